--- a/store/src/file.rs
+++ b/store/src/file.rs
@@ -159,11 +159,6 @@
     Ok(())
 }
 
-/// The file is opened anew after so many writes. The embedded store (redb 3.1.3) queues the place of each page that its
-/// read cache takes in, and does not let all of those go of pages that it drops: eight bytes for each page that is
-/// rewritten, for as long as the file is open.
-pub const WRITES_PER_OPENING: usize = 1 << 18;
-
 /// A key and its value.
 pub type Pair = (Vec<u8>, Vec<u8>);
 
@@ -176,8 +171,6 @@
     /// None after a write failed, until it is opened again: the store takes no more once one did.
     db: Option<Database>,
     opener: Opener,
-    /// Writes since the file was opened.
-    writes: usize,
 }
 
 impl fmt::Debug for Store {
@@ -235,7 +228,7 @@
     }
 
     fn by(opener: Opener) -> Result<Self, Fault> {
-        let mut store = Store { db: None, opener, writes: 0 };
+        let mut store = Store { db: None, opener };
         store.reopen()?;
         match store.get(HEAD, VERSION)? {
             None if store.is_new()? => {
@@ -327,10 +320,6 @@
         let written = catch_unwind(AssertUnwindSafe(write))
             .map_err(|_| broken())
             .and_then(|result| result.map_err(fault));
-        self.writes += group.len();
-        if written.is_ok() && self.writes >= WRITES_PER_OPENING {
-            (self.db, self.writes) = (None, 0);
-        }
         if written.is_err() {
             // After a failed write the store refuses all others; opened again it stands as of its last whole group.
             self.db = None;
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -11,5 +11,5 @@
 mod keeper;
 mod medium;
 
-pub use file::{Change, Fault, Format, Pair, Space, Store, Write, WRITES_PER_OPENING};
+pub use file::{Change, Fault, Format, Pair, Space, Store, Write};
 pub use keeper::{Done, Keeper, Ticket};
--- a/store/src/medium.rs
+++ b/store/src/medium.rs
@@ -6,6 +6,10 @@
 use std::io;
 use std::path::Path;
 
+/// Memory for pages of the file. By itself the embedded store keeps up to 1 GiB of them; and of pages that it drops from a
+/// cache which is never full it keeps the places, without a bound.
+const CACHE_BYTES: usize = 4 << 20;
+
 /// A medium whose new length is on the disk before anything that is written later.
 ///
 /// The embedded store lengthens its file and writes a header that tells of the new length, with one sync for both. A
@@ -46,7 +50,7 @@
 
 /// Opens a store on a medium, or begins it on an empty one.
 pub(crate) fn open_on(medium: impl StorageBackend) -> Result<Database, DatabaseError> {
-    Database::builder().create_with_backend(SyncedGrowth(medium))
+    Database::builder().set_cache_size(CACHE_BYTES).create_with_backend(SyncedGrowth(medium))
 }
 
 /// Begins a store in a file that is not there yet.
