--- a/budgets/src/kinds.rs
+++ b/budgets/src/kinds.rs
@@ -1,5 +1,14 @@
 //! The kinds of budgets and their units.
 
+use crate::Amount;
+
+/// A demand is so many times what is unsettled, so that a lease is there before it is needed.
+const DEMAND_FACTOR: Amount = 2;
+/// Requests that are asked for beyond that.
+const SPARE_REQUESTS: Amount = 4;
+/// One part in so many of what a server bears that is asked for beyond that.
+const SPARE_DIVISOR: Amount = 10;
+
 /// The unit of an amount.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unit {
@@ -19,12 +28,25 @@
     }
 
     /// Returns the amount that stands for one request, or for all that a server can bear.
-    pub fn one(self) -> crate::Amount {
+    pub fn one(self) -> Amount {
         match self {
             Unit::Concurrent => 1,
             Unit::Millionths => 1_000_000,
         }
     }
+
+    /// Returns the demand of a member that has so much unsettled.
+    pub fn demand(self, unsettled: Amount) -> Amount {
+        let spare = match self {
+            Unit::Concurrent => SPARE_REQUESTS,
+            Unit::Millionths => self.one() / SPARE_DIVISOR,
+        };
+        if unsettled == 0 {
+            0
+        } else {
+            DEMAND_FACTOR * unsettled + spare
+        }
+    }
 }
 
 /// A kind of budget.
--- a/daemon/examples/purge_soak.rs
+++ b/daemon/examples/purge_soak.rs
@@ -70,7 +70,7 @@
     /// Takes an entry as a datagram of a peer.
     fn receive(&mut self, now: Micros, entry: Entry) -> Result<(), Box<dyn Error>> {
         let bytes = Datagram::Entry(entry).write().ok_or("the entry fits no datagram")?;
-        let received = self.ledger.receive(0, Datagram::read(&bytes)?);
+        let received = self.ledger.receive(now, 0, Datagram::read(&bytes)?);
         if received.new.len() != 1 {
             return Err("an entry was not taken".into());
         }
--- a/daemon/src/core.rs
+++ b/daemon/src/core.rs
@@ -3,7 +3,7 @@
 
 use crate::limits::Limits;
 use crate::net::{Key, Slots};
-use linnetknot::purges::{Bucket, BucketBits, BucketIndex, BucketIndexError, PurgeTable};
+use linnetknot::purges::PurgeTable;
 use linnetknot::{
     Action, Event, Fill, ListMode, Load, Micros, Note, Outcome, Repeat, Request, Router, ServerId, Settings,
     SettingsError, State,
@@ -348,31 +348,16 @@
         self.feed(now, Event::Purged { object, group, age_us: now.saturating_sub(at) });
     }
 
-    /// A bucket of the purges that another proxy or an earlier process knows. Returns the own buckets that changed.
-    pub fn merge_purges(
-        &mut self,
-        bucket_bits: BucketBits,
-        index: BucketIndex,
-        bucket: &Bucket,
-    ) -> Result<Vec<BucketIndex>, BucketIndexError> {
-        self.router.merge_purges(bucket_bits, index, bucket)
-    }
-
-    /// Takes every object as purged at a time, as this process can't learn which purges it has missed.
-    pub fn raise_purges(&mut self, at: Micros) {
-        self.router.raise_purges(at);
-    }
-
-    /// How many purges are held exactly, and the size of the table behind them.
-    pub fn set_purge_capacity(&mut self, exact: usize, bucket_bits: BucketBits) {
-        self.router.set_purge_capacity(exact, bucket_bits);
-    }
-
     /// The purges that are in force.
     pub fn purges(&self) -> &PurgeTable {
         self.router.purges()
     }
 
+    /// The purges that are in force, to take in what another proxy or an earlier process knows.
+    pub fn purges_mut(&mut self) -> &mut PurgeTable {
+        self.router.purges_mut()
+    }
+
     /// Takes a request. None where the front has to refuse it: the table is full, it has the id of one that is open,
     /// by which a box would take the two for one, or its class carries a key and it has none.
     pub fn ask(&mut self, now: Micros, client: Client, mut asked: Asked) -> Option<Ticket> {
--- a/daemon/src/daemon/budgets/mod.rs
+++ b/daemon/src/daemon/budgets/mod.rs
@@ -13,12 +13,6 @@
 };
 use std::collections::BTreeMap;
 
-/// The demand is so many times what is unsettled, so that a lease is there before it is needed.
-const DEMAND_FACTOR: Amount = 2;
-/// Requests that are asked for beyond that.
-const SPARE_REQUESTS: Amount = 4;
-/// One part in so many of what a server bears that is asked for beyond that.
-const SPARE_DIVISOR: Amount = 10;
 /// The shortest time between two ticks.
 const MIN_TICK_US: Micros = 1_000;
 
@@ -35,19 +29,6 @@
     detached: bool,
 }
 
-/// Returns the demand of a proxy that has so much unsettled.
-fn demand(unsettled: Amount, unit: Unit) -> Amount {
-    let spare = match unit {
-        Unit::Concurrent => SPARE_REQUESTS,
-        Unit::Millionths => unit.one() / SPARE_DIVISOR,
-    };
-    if unsettled == 0 {
-        0
-    } else {
-        DEMAND_FACTOR * unsettled + spare
-    }
-}
-
 /// What this proxy has unsettled of each budget that the module knows.
 struct Unsettled {
     origin: Amount,
@@ -157,7 +138,7 @@
         for (n, budget) in self.config.budgets.list.iter().enumerate() {
             let unsettled = all.of(budget.of);
             // A process that ends gives up all that it has not spent.
-            let amount = if is_stopping { unsettled } else { demand(unsettled, budget.unit) };
+            let amount = if is_stopping { unsettled } else { budget.unit.demand(unsettled) };
             shared.member.set_demand(n, amount, unsettled);
         }
     }
--- a/daemon/src/daemon/feeds/peers.rs
+++ b/daemon/src/daemon/feeds/peers.rs
@@ -39,8 +39,8 @@
             }
             if self.origin_health.as_mut().is_some_and(|h| h.receive(now, from, bytes)) {
                 self.heed(now);
-            } else if let Some((object, group, at)) = peers::read(bytes) {
-                self.receive_plain_purge(now, peer.place, object, group, at);
+            } else if let Some(purge) = peers::read(bytes) {
+                self.receive_plain_purge(now, peer.place, purge);
             } else {
                 self.dropped.1 += 1;
             }
@@ -82,7 +82,7 @@
         if is_chunk && loses_chunks() {
             return true;
         }
-        let heard = ledger.receive(peer, datagram);
+        let heard = ledger.receive(now, peer, datagram);
         let same = told == Some(ledger.replica().log_store().checksum());
         self.enforce(now, &heard);
         // What its operators decided, and not each purge of a long log that comes back.
@@ -118,7 +118,9 @@
             self.core.purged(now, object, group, at);
         }
         for merged in &received.buckets {
-            if let Err(e) = self.core.merge_purges(merged.bucket_bits, merged.index, &merged.bucket) {
+            if let Err(e) =
+                self.core.purges_mut().merge_bucket(merged.bucket_bits, merged.index, &merged.bucket)
+            {
                 log::error!("{e}");
             }
         }
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -9,6 +9,7 @@
 use crate::net::{
     bind_shared_udp, connect, Clock, Conn, Deadlines, Due, Interest, Key, Poll, Progress, Ready, Slots,
 };
+use crate::plain_purges::PlainPurges;
 use crate::upstream::Link;
 use crate::wire::WireError;
 use linnetknot::{Micros, Outcome, ServerId};
@@ -208,8 +209,9 @@
     peers: Option<(UdpSocket, Vec<SocketAddr>)>,
     /// The same peers by address.
     peer_index: PeerIndex,
-    /// Plain purges whose senders have still to show whether they replicate logs.
-    unwritten_purges: usize,
+    plain_purges: PlainPurges,
+    /// When those are looked at again.
+    plain_purges_due: Option<Due>,
     origin_health: Option<OriginHealth>,
     /// Datagrams dropped: from nobody who is a peer, and of no known kind.
     dropped: (u64, u64),
@@ -351,7 +353,8 @@
             keeper,
             peers,
             peer_index: PeerIndex::default(),
-            unwritten_purges: 0,
+            plain_purges: PlainPurges::new(&limits),
+            plain_purges_due: None,
             origin_health,
             dropped: (0, 0),
             desk,
--- a/daemon/src/daemon/promises.rs
+++ b/daemon/src/daemon/promises.rs
@@ -6,7 +6,6 @@
 use crate::front::cdni::{Effect, Name, Response};
 use crate::ledger;
 use crate::net::{Due, Key};
-use crate::peers;
 use linnetknot::Micros;
 use linnetknot_discovery::server_id;
 use linnetknot_ops::{Effect as Done, Reply};
@@ -67,9 +66,6 @@
 /// RejectReason a process promises nothing whose name another has taken.
 const REPLACED: &str = "another process of this name has begun after this one";
 
-/// How often a purge is sent again to peers that do not replicate logs, and so do not ask for what they miss.
-const PLAIN_PURGE_RESENDS: u8 = 2;
-
 /// Never: only a fault that rehearsals plant has a yes go out before the copy.
 fn gives_credit() -> bool {
     fail::fail_point!("plant-credit", |_| true);
@@ -276,16 +272,13 @@
         group: u64,
     ) -> Result<Option<Index>, String> {
         self.core.purged(now, object.clone(), group, now);
-        let text = peers::write(object.as_deref(), group, now);
         let entry =
             self.ledger.as_mut().map(|ledger| ledger.append_purge(object.as_deref(), group, now)).transpose();
         fail::fail_point!("peers-tell");
         if let Ok(Some(entry)) = &entry {
             self.tell_entry(entry.clone());
         }
-        if let Some(text) = text {
-            self.send_plain_purge(now, text, PLAIN_PURGE_RESENDS);
-        }
+        self.send_plain_purge(now, object.as_deref(), group);
         fail::fail_point!("peers-told");
         entry.map(|entry| entry.map(|entry| entry.index)).map_err(|e| e.to_string())
     }
--- a/daemon/src/daemon/recovery.rs
+++ b/daemon/src/daemon/recovery.rs
@@ -137,7 +137,7 @@
 
     /// The snapshot did not come in time. Which copies its purges concern can't be known, so all are taken as purged.
     fn give_up_snapshot(&mut self, now: Micros) {
-        self.core.raise_purges(now);
+        self.core.purges_mut().raise_all(now);
         log::error!(
             "the peers' snapshot has not come in time: every copy from before now is taken as purged"
         );
@@ -148,9 +148,10 @@
     pub(super) fn restore_purges(&mut self, now: Micros) {
         let Some(ledger) = &self.ledger else { return };
         let bucket_bits = ledger.table().bucket_bits();
-        self.core.set_purge_capacity(self.core.purges().exact_capacity(), bucket_bits);
+        let exact_capacity = self.core.purges().exact_capacity();
+        self.core.purges_mut().set_capacity(exact_capacity, bucket_bits);
         for (index, bucket) in ledger.table().occupied(Default::default()) {
-            if let Err(e) = self.core.merge_purges(bucket_bits, index, bucket) {
+            if let Err(e) = self.core.purges_mut().merge_bucket(bucket_bits, index, bucket) {
                 log::error!("{e}");
             }
         }
--- a/daemon/src/ledger/mod.rs
+++ b/daemon/src/ledger/mod.rs
@@ -267,7 +267,7 @@
     }
 
     /// Takes in what a peer says of the logs. What is new is on its way to the disk.
-    pub fn receive(&mut self, from: usize, datagram: Datagram) -> Received {
+    pub fn receive(&mut self, now: Micros, from: usize, datagram: Datagram) -> Received {
         let datagram = match datagram {
             Datagram::Entry(entry) if skips() => {
                 let prev = entry.prev.min(self.replica.log_store().last_index(entry.log));
@@ -275,7 +275,7 @@
             }
             datagram => datagram,
         };
-        let received = self.replica.receive(from, datagram);
+        let received = self.replica.receive(now, from, datagram);
         received.new.iter().for_each(|entry| self.write(entry));
         received.buckets.iter().for_each(|merged| self.compaction.add_bucket(merged.index));
         received.compacted.iter().for_each(|marker| self.compaction.add_snapshot(*marker));
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -19,6 +19,7 @@
 pub mod logging;
 pub mod net;
 pub mod peers;
+pub mod plain_purges;
 #[cfg(feature = "points")]
 pub mod points;
 pub mod upstream;
--- a/daemon/tests/compaction.rs
+++ b/daemon/tests/compaction.rs
@@ -12,7 +12,7 @@
     WINDOW, WRITER,
 };
 use linnetknot_daemon::ledger::LedgerError;
-use linnetknot_purges::BucketBits;
+use linnetknot_purges::{BucketBits, Micros};
 use linnetknot_replication::{Datagram, LogId, Subject};
 use linnetknot_store::{Fault, Format, Space, Write};
 use medium::Medium;
@@ -228,7 +228,7 @@
             acks.extend(positions.iter().copied());
         }
         let datagram = Datagram::read(&datagram.write().unwrap()).unwrap();
-        let received = sides[1 - from].ledger.receive(0, datagram);
+        let received = sides[1 - from].ledger.receive(Micros::MAX, 0, datagram);
         pending.extend(received.replies.into_iter().map(|reply| (1 - from, reply)));
     }
 }
--- a/daemon/tests/ledger.rs
+++ b/daemon/tests/ledger.rs
@@ -11,6 +11,9 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::Duration;
 
+/// The time at which datagrams come; it does not matter here.
+const NOW: Micros = Micros::MAX;
+
 fn open(path: &Path, now: Micros) -> Result<(Ledger, Receiver<()>), LedgerError> {
     let (wake, woken) = channel();
     let wake = move || {
@@ -118,13 +121,13 @@
     ledger.0.peers(10, vec![20, 30]);
     let theirs =
         Entry { log: LogId::new(2, 5), index: 1, prev: 0, subject: Subject::Group(3), at: 8, revoked: false };
-    let received = ledger.0.receive(1, Datagram::Entry(theirs.clone()));
+    let received = ledger.0.receive(NOW, 1, Datagram::Entry(theirs.clone()));
     assert_eq!((received.new, received.replies), (vec![theirs.clone()], vec![]), "not before");
     let held = Datagram::Ack { process: 77, positions: vec![(LogId::new(2, 5), 1)] };
     assert_eq!(written(&mut ledger), [Outgoing { peer: 1, datagram: held.clone() }]);
-    assert_eq!(ledger.0.receive(0, Datagram::Entry(theirs.clone())).replies, [held]);
+    assert_eq!(ledger.0.receive(NOW, 0, Datagram::Entry(theirs.clone())).replies, [held]);
     // Its own log of an earlier life comes back from a peer; what it writes now stands in another.
-    ledger.0.receive(0, Datagram::Entry(Entry { log: LogId::new(1, 4), ..theirs }));
+    ledger.0.receive(NOW, 0, Datagram::Entry(Entry { log: LogId::new(1, 4), ..theirs }));
     let new = ledger.0.append_purge(Some("0c"), 0, 9).unwrap();
     assert_eq!((new.log, new.index), (LogId::new(1, 77), 1));
     let ban = || Subject::Ban("pc-1".into());
@@ -132,7 +135,7 @@
     ledger.0.open_commit(100, 1).unwrap();
     written(&mut ledger);
     assert_eq!(ledger.0.resolve_commits(100), [], "on this disk alone");
-    ledger.0.receive(0, Datagram::Ack { process: 1, positions: vec![(LogId::new(1, 77), 1)] });
+    ledger.0.receive(NOW, 0, Datagram::Ack { process: 1, positions: vec![(LogId::new(1, 77), 1)] });
     assert_eq!(ledger.0.resolve_commits(200), [CommitOutcome { commit: 1, result: Ok(100) }]);
     ledger.0.append(ban(), 10, false).unwrap();
     ledger.0.append(Subject::Drain, 11, false).unwrap();
--- a/origin-health/src/lib.rs
+++ b/origin-health/src/lib.rs
@@ -79,6 +79,7 @@
 }
 
 /// A peer's last report.
+#[derive(Clone, Debug)]
 struct Last {
     start: Micros,
     number: u32,
@@ -88,6 +89,7 @@
 }
 
 /// What one proxy has received from the others, and has sent them.
+#[derive(Clone, Debug)]
 pub struct OriginHealth {
     place: ZonePlace,
     start: Micros,
--- a/purges/src/bucket.rs
+++ b/purges/src/bucket.rs
@@ -71,6 +71,19 @@
         changed
     }
 
+    /// The same purges, with each that is later than a time taken as made then. A purge that is known now was made by now:
+    /// a later time is that of a clock that is ahead, and would cost all copies of its keys until it has come.
+    pub fn no_later_than(&self, at: Micros) -> Bucket {
+        let latest = Stamp::not_before(at);
+        let mut bucket = Bucket::default();
+        bucket.raise_to(self.watermark.min(latest));
+        for slot in self.occupied_slots() {
+            let fingerprint = Fingerprint(*slot & Fingerprint::MASK);
+            bucket.insert(pack(stamp_of(*slot).min(latest), fingerprint));
+        }
+        bucket
+    }
+
     /// A time no earlier than any purge of a key with this fingerprint that was put in, less than a millisecond later
     /// than the latest of them where it still has its slot. None: nothing that could be one was put in.
     pub fn latest(&self, fingerprint: Fingerprint) -> Option<Micros> {
--- a/purges/tests/bucket.rs
+++ b/purges/tests/bucket.rs
@@ -179,3 +179,25 @@
         assert!(!error.to_string().is_empty());
     }
 }
+
+proptest! {
+    /// The clock of whoever sent a bucket may be ahead.
+    #[test]
+    fn no_purge_of_a_bounded_bucket_is_later_than_the_bound_and_none_is_lost(all in steps(), bound in 0..30 * MS) {
+        let bounded = filled(&all).no_later_than(bound);
+        for key in 0..12 {
+            let latest = bounded.latest(fingerprint(key));
+            prop_assert!(latest < Some(bound + MS), "{latest:?}, a stamp is rounded up by less than a millisecond");
+            let purges = all.iter().filter_map(|step| match step {
+                Step::Record(recorded, at) => (*recorded == key).then_some(*at),
+                Step::Raise(at) => Some(*at),
+            });
+            prop_assert!(latest >= purges.max().map(|at| at.min(bound)));
+        }
+    }
+
+    #[test]
+    fn a_bucket_without_later_purges_is_bounded_to_itself(all in steps()) {
+        prop_assert_eq!(filled(&all).no_later_than(30 * MS), filled(&all));
+    }
+}
--- a/rehearse/src/scale/command.rs
+++ b/rehearse/src/scale/command.rs
@@ -3,13 +3,14 @@
 use crate::scale::fault::Fault;
 use crate::scale::hollow::config::Without;
 use crate::scale::hollow::FleetConfig;
-use crate::scale::memory;
+use crate::scale::memory::{self, Held};
 use crate::scale::prefill;
 use crate::scale::report::Report;
 use crate::scale::simulation::{play, Run};
 use crate::scale::slopes;
 use crate::scale::target::Target;
 use clap::{value_parser, Args};
+use linnetknot_purges::{Bucket, BucketBits};
 use std::fmt::Display;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -104,9 +105,12 @@
     let Some(available) = memory::available() else { return Ok(()) };
     let config = FleetConfig::of(run, &vec![0; run.members]);
     let purges = run.target.purges_per_second * run.seconds;
-    let entries =
-        (prefill::entries(run, &config) + purges as usize).min(config.replication.max_exact_entries);
-    let too_large = memory::admit(run.members, entries, available).err();
+    let max_entries = config.replication.max_exact_entries;
+    let told = prefill::entries(run, &config) + purges as usize;
+    let has_table = run.fault == Fault::LateJoin || told > max_entries;
+    let table_bytes = if has_table { BucketBits::DEFAULT.buckets() * size_of::<Bucket>() } else { 0 };
+    let held = Held { entries: told.min(max_entries), table_bytes };
+    let too_large = memory::admit(run.members, held, available).err();
     too_large.map_or(Ok(()), |error| Err(format!("--members {}: {error}", run.members)))
 }
 
--- a/rehearse/src/scale/daemons/command.rs
+++ b/rehearse/src/scale/daemons/command.rs
@@ -4,7 +4,7 @@
 use super::run::{play, Run};
 use super::slopes::{self, SizeOutcome, SizeRun};
 use super::sockets;
-use crate::scale::memory;
+use crate::scale::memory::{self, Held};
 use crate::scale::target::Target;
 use clap::{value_parser, Args};
 use std::path::{Path, PathBuf};
@@ -108,7 +108,8 @@
     let purges = run.purges_per_second * run.seconds;
     let daemons = run.daemons as u64 * DAEMON_BYTES;
     let left = memory::Bytes(available.saturating_sub(2 * daemons));
-    memory::admit(run.members, purges as usize, left).map_err(|error| refused(error.to_string()))
+    memory::admit(run.members, Held { entries: purges as usize, table_bytes: 0 }, left)
+        .map_err(|error| refused(error.to_string()))
 }
 
 fn play_one(run: &Run) -> Result<Report, String> {
--- a/rehearse/src/scale/daemons/host.rs
+++ b/rehearse/src/scale/daemons/host.rs
@@ -6,10 +6,9 @@
 use super::acks::PurgeAcks;
 use super::kind::Kind;
 use super::sockets::MemberSockets;
-use crate::scale::hollow::{
-    DiskContents, FleetConfig, HollowMember, MemberEvent, Outgoing, PurgeNumber, Refusal,
-};
+use crate::scale::hollow::{DiskContents, FleetConfig, HollowMember, MemberEvent, Outgoing, Refusal};
 use crate::scale::network::HEADER_BYTES;
+use crate::scale::purge_number::PurgeNumber;
 use hdrhistogram::Histogram;
 use linnetknot_daemon::net::Clock;
 use linnetknot_replication::{Datagram, Index, Writer, MAX_DATAGRAM_BYTES};
--- a/rehearse/src/scale/daemons/purge_plan.rs
+++ b/rehearse/src/scale/daemons/purge_plan.rs
@@ -1,7 +1,7 @@
 //! Which purges are told when and where, and the clients that tell the daemons of theirs.
 
 use super::real;
-use crate::scale::hollow::PurgeNumber;
+use crate::scale::purge_number::{object, PurgeNumber};
 use hdrhistogram::Histogram;
 use linnetknot_datagram::Random;
 use linnetknot_simnet::Micros;
@@ -22,11 +22,6 @@
     pub member: usize,
 }
 
-/// The object that a purge of this number is about, as hollow members name it.
-fn object(purge: PurgeNumber) -> String {
-    format!("{purge:032x}")
-}
-
 /// Purges at an even rate, each told to one of all members, which are drawn with equal chances.
 pub fn plan(members: usize, per_second: u64, seconds: u64, seed: u64) -> Vec<PlannedPurge> {
     let mut random = Random::new(seed);
--- a/rehearse/src/scale/fault.rs
+++ b/rehearse/src/scale/fault.rs
@@ -32,13 +32,15 @@
     RegionsApart,
     /// All proxies are restarted, a tenth at a time.
     FleetRestart,
-    /// One proxy starts with nothing beside a fleet whose logs are nearly full.
+    /// One proxy starts with nothing beside a fleet whose logs are nearly full, and its table of older purges, too.
     LateJoin,
+    /// Each proxy finds the origin late, once a second for the middle half.
+    SlowOrigin,
 }
 
 impl Fault {
     /// All of them.
-    pub const ALL: [Fault; 8] = [
+    pub const ALL: [Fault; 9] = [
         Fault::Calm,
         Fault::HotWriter,
         Fault::Day,
@@ -47,6 +49,7 @@
         Fault::RegionsApart,
         Fault::FleetRestart,
         Fault::LateJoin,
+        Fault::SlowOrigin,
     ];
 
     /// As it is written on the command line.
@@ -85,6 +88,11 @@
         /// Until when.
         until: Micros,
     },
+    /// An answer of the origin was late.
+    OriginLate {
+        /// At whom.
+        member: MemberIndex,
+    },
 }
 
 /// An action and its time.
@@ -138,13 +146,15 @@
     window: Window,
     random: &mut Random,
 ) -> Vec<ScheduledAction> {
+    let time = duration(fault, target, window).unwrap_or(window);
     match fault {
         Fault::Calm | Fault::HotWriter => Vec::new(),
         Fault::Day => day(layout, target, window, random),
-        Fault::Rack => outage(layout.members_where(|position| position.rack == 0), window),
-        Fault::Zone => outage(layout.members_where(|position| position.zone == 0), window),
-        Fault::RegionsApart => regions_apart(layout, target, window),
+        Fault::Rack => outage(layout.members_where(|position| position.rack == 0), time),
+        Fault::Zone => outage(layout.members_where(|position| position.zone == 0), time),
+        Fault::RegionsApart => regions_apart(layout, time),
         Fault::FleetRestart => fleet_restart(layout, window),
+        Fault::SlowOrigin => slow_origin(layout, time, random),
         Fault::LateJoin => joiner(fault, layout)
             .map(|member| ScheduledAction { at: window.quarter(1), action: Action::Join { member } })
             .into_iter()
@@ -152,23 +162,46 @@
     }
 }
 
-/// Members lose their power for the middle half.
-fn outage(members: Vec<MemberIndex>, window: Window) -> Vec<ScheduledAction> {
+/// How long a fault lasts that ends within the run; none: it has no such time.
+pub fn duration(fault: Fault, target: &Target, window: Window) -> Option<Window> {
+    let middle = Window { from: window.quarter(1), until: window.quarter(3) };
+    match fault {
+        Fault::Rack | Fault::Zone | Fault::SlowOrigin => Some(middle),
+        Fault::RegionsApart => {
+            let longest = target.faults.regions_apart_seconds * SECOND_US;
+            Some(Window { until: middle.until.min(middle.from + longest), ..middle })
+        }
+        Fault::Calm | Fault::HotWriter | Fault::Day | Fault::FleetRestart | Fault::LateJoin => None,
+    }
+}
+
+/// Members lose their power for a time.
+fn outage(members: Vec<MemberIndex>, time: Window) -> Vec<ScheduledAction> {
     let crash = Action::Crash { members: members.clone() };
     vec![
-        ScheduledAction { at: window.quarter(1), action: crash },
-        ScheduledAction { at: window.quarter(3), action: Action::Start { members } },
+        ScheduledAction { at: time.from, action: crash },
+        ScheduledAction { at: time.until, action: Action::Start { members } },
     ]
 }
 
-fn regions_apart(layout: &Layout, target: &Target, window: Window) -> Vec<ScheduledAction> {
+fn regions_apart(layout: &Layout, time: Window) -> Vec<ScheduledAction> {
     if layout.regions() < 2 {
         return Vec::new();
     }
-    let from = window.quarter(1);
-    let longest = target.faults.regions_apart_seconds * SECOND_US;
-    let until = window.quarter(3).min(from + longest);
-    vec![ScheduledAction { at: from, action: Action::Cut { pair: RegionPair::new(0, 1), until } }]
+    let cut = Action::Cut { pair: RegionPair::new(0, 1), until: time.until };
+    vec![ScheduledAction { at: time.from, action: cut }]
+}
+
+/// Each member finds it out at a time of its own in each second.
+fn slow_origin(layout: &Layout, time: Window, random: &mut Random) -> Vec<ScheduledAction> {
+    let seconds = (time.from..time.until).step_by(SECOND_US as usize);
+    let members = 0..layout.members();
+    let times = seconds.flat_map(|second| members.clone().map(move |member| (second, member)));
+    let late = |(second, member)| ScheduledAction {
+        at: second + random.below(SECOND_US),
+        action: Action::OriginLate { member },
+    };
+    times.map(late).collect()
 }
 
 /// A stop, and a start after a while.
--- a/rehearse/src/scale/hollow/budget_share.rs
+++ b/rehearse/src/scale/hollow/budget_share.rs
@@ -3,7 +3,7 @@
 use super::config::{FleetConfig, SharedBudget};
 use super::outbox::Outbox;
 use linnetknot_budgets::kinds::Unit;
-use linnetknot_budgets::{wire, Amount, Member as Shareholder, MemberProcess, Message, Outgoing};
+use linnetknot_budgets::{wire, Member as Shareholder, MemberProcess, Message, Outgoing};
 use linnetknot_datagram::Random;
 use linnetknot_simnet::{member_at, peer_index, Micros};
 use std::collections::BTreeMap;
@@ -11,12 +11,6 @@
 /// The loop comes to its sockets between two looks at the budgets.
 const MIN_PAUSE_US: Micros = 1_000;
 
-/// More than is spent now is asked for: so many times as much, and a little besides.
-const AHEAD: Amount = 2;
-const AHEAD_CONCURRENT: Amount = 4;
-/// The little of what is counted in millionths.
-const AHEAD_SHARE: Amount = 10;
-
 /// Requests of the origin that a member would hold at a time, at most.
 const MAX_CONCURRENT: u64 = 6;
 /// Millionths of a cold cache that a member would spend, at most.
@@ -34,18 +28,6 @@
     random: Random,
 }
 
-fn demand(spent: Amount, unit: Unit) -> Amount {
-    let more = match unit {
-        Unit::Concurrent => AHEAD_CONCURRENT,
-        Unit::Millionths => unit.one() / AHEAD_SHARE,
-    };
-    if spent == 0 {
-        0
-    } else {
-        AHEAD * spent + more
-    }
-}
-
 impl BudgetShare {
     pub(super) fn new(config: &FleetConfig, index: usize, now: Micros, seed: u64) -> Self {
         let members = config.members.len();
@@ -91,7 +73,7 @@
             };
             let lease = self.core.lease(now, number);
             let spent = if is_spent_here { wish.min(lease.amount) } else { 0 };
-            let wanted = if is_spent_here { demand(wish, budget.unit) } else { 0 };
+            let wanted = if is_spent_here { budget.unit.demand(wish) } else { 0 };
             self.core.set_demand(number, wanted, spent);
         }
     }
--- a/rehearse/src/scale/hollow/config.rs
+++ b/rehearse/src/scale/hollow/config.rs
@@ -5,10 +5,10 @@
 use linnetknot_budgets::kinds::{self, Unit};
 use linnetknot_budgets::spec::BudgetSpec;
 use linnetknot_budgets::Options as BudgetOptions;
+use linnetknot_daemon::interconnect::{Copies, CopiesFile};
 use linnetknot_daemon::limits::Limits;
 use linnetknot_discovery::server_id;
 use linnetknot_replication::Options as ReplicationOptions;
-use linnetknot_simnet::Micros;
 
 /// Descriptors and megabytes of a proxy's machine: they decide on clients, and on nothing that a hollow member has.
 const DESCRIPTORS: usize = 1_024;
@@ -56,20 +56,17 @@
     pub budgets: Vec<SharedBudget>,
     /// Stands for what is shared, and among how many: members with another one do not share.
     pub budget_fingerprint: u64,
-    /// The daemon's bounds.
+    /// Bounds of the logs, by which the daemon runs them.
     pub replication: ReplicationOptions,
-    /// A purge is told again after this, by its plain datagram.
-    pub repeat_us: Micros,
-    /// A sender of plain purges shows within this whether it replicates logs.
-    pub plain_purge_grace_us: Micros,
-    /// Plain purges that may wait for that.
-    pub unwritten_purges: usize,
-    /// Entries that may wait for the disk.
-    pub disk_queue: usize,
-    /// A member without a disk is ready after this, whatever is missing.
-    pub recovery_us: Micros,
-    /// It asks its peers so often.
-    pub recovery_ask_us: Micros,
+    /// The daemon's bounds.
+    pub limits: Limits,
+}
+
+/// What a commit waits for, where an operator's file says nothing of it.
+fn commitments() -> Copies {
+    let CopiesFile { wait, within_ms, .. } = CopiesFile::default();
+    let holders = ReplicationOptions::default().replication_factor;
+    Copies { on: true, wait, holders, within_us: within_ms * 1_000, ..Copies::default() }
 }
 
 fn shared_budgets(members: usize, target: &Target) -> Vec<SharedBudget> {
@@ -92,13 +89,7 @@
     /// The configuration of members that stand in these zones.
     pub fn new(zones: &[usize], target: &Target, without: Without) -> Self {
         let limits = Limits::for_machine(DESCRIPTORS, MEMORY_MB);
-        let replication = ReplicationOptions {
-            max_exact_entries: limits.purges,
-            max_logs: limits.purge_logs,
-            expiring: limits.statuses,
-            max_pending: limits.promises,
-            ..ReplicationOptions::default()
-        };
+        let replication = limits.replication(&commitments());
         let member = |(index, zone): (usize, &usize)| {
             let (name, machine) = (format!("edge-{index:05}"), format!("host-{index:05}"));
             let (id, machine_id) = (server_id(&name), server_id(&machine));
@@ -109,12 +100,7 @@
             budgets: if without.budgets { Vec::new() } else { shared_budgets(zones.len(), target) },
             budget_fingerprint: zones.len() as u64,
             replication,
-            repeat_us: limits.repeat_us,
-            plain_purge_grace_us: limits.plain_purge_grace_us,
-            unwritten_purges: limits.unwritten_purges,
-            disk_queue: limits.store_writes,
-            recovery_us: limits.recovery_us,
-            recovery_ask_us: limits.recovery_ask_us,
+            limits,
         }
     }
 
--- a/rehearse/src/scale/hollow/mod.rs
+++ b/rehearse/src/scale/hollow/mod.rs
@@ -7,28 +7,26 @@
 pub mod config;
 mod disk;
 mod outbox;
-mod plain_purges;
 mod purge_log;
 
 pub use config::FleetConfig;
 pub use outbox::Outgoing;
 pub use purge_log::DiskContents;
 
+use crate::scale::purge_number::{object, purge_of, PurgeNumber};
 use budget_share::BudgetShare;
+use linnetknot_daemon::peers::{self, Purge};
+use linnetknot_daemon::plain_purges::{PlainPurges, Treatment};
 use linnetknot_discovery::server_id;
 use linnetknot_membership::{Body, Membership, Message, Options as MembershipOptions, Sender, Standing};
 use linnetknot_origin_health::{OriginHealth, ZonePlace};
 use linnetknot_replication::{Datagram, Index, LogId};
 use linnetknot_simnet::{peer_index, Micros};
 use outbox::Outbox;
-use plain_purges::{PlainPurges, Treatment};
 use purge_log::PurgeLog;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 
-/// Names a purge in a run.
-pub type PurgeNumber = u64;
-
 /// Why a purge is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Refusal {
@@ -85,6 +83,8 @@
     SpendsTwice,
     /// It never compacts its logs.
     NeverCompacts,
+    /// It drops the buckets that peers send it.
+    DropsSnapshots,
 }
 
 /// How far a log goes.
@@ -109,6 +109,8 @@
     pub pending_commits: usize,
     /// Entries on their way to the disk.
     pub disk_queue: usize,
+    /// Bytes of the compact table of older purges.
+    pub table_bytes: usize,
 }
 
 /// A hollow member.
@@ -122,21 +124,12 @@
     plain_purges: PlainPurges,
     /// None: nothing is shared.
     budgets: Option<BudgetShare>,
-    origin_health: OriginHealthState,
+    origin_health: OriginHealth,
     outbox: Outbox,
     events: Vec<MemberEvent>,
     defect: Option<Defect>,
 }
 
-/// The core of the origin's health has no `Debug` of its own.
-struct OriginHealthState(OriginHealth);
-
-impl std::fmt::Debug for OriginHealthState {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{:?}", self.0.counters())
-    }
-}
-
 /// The address by which a peer's messages on the origin are known.
 fn address(peer: usize) -> SocketAddr {
     let number = u32::try_from(peer).unwrap_or(u32::MAX);
@@ -168,9 +161,9 @@
             membership: Membership::new((me.id, now), names, peers, (seed, now), options),
             membership_due: now,
             purge_log: PurgeLog::new(config, index, now, disk),
-            plain_purges: PlainPurges::new(config),
+            plain_purges: PlainPurges::new(&config.limits),
             budgets: (!config.budgets.is_empty()).then(|| BudgetShare::new(config, index, now, seed)),
-            origin_health: OriginHealthState(OriginHealth::new(zone, now)),
+            origin_health: OriginHealth::new(zone, now),
             outbox: Outbox::new(peers),
             events: Vec::new(),
             defect: None,
@@ -189,13 +182,18 @@
 
     /// Takes in a datagram of the peer at this place of its list.
     pub fn receive(&mut self, from_place: usize, bytes: &[u8], now: Micros) {
-        if self.defect == Some(Defect::DropsPurges) && is_purge(bytes) {
+        let is_dropped = match self.defect {
+            Some(Defect::DropsPurges) => is_purge(bytes),
+            Some(Defect::DropsSnapshots) => is_snapshot(bytes),
+            _ => false,
+        };
+        if is_dropped {
             return;
         }
         if self.receive_membership(from_place, bytes, now)
             || self.receive_budgets(from_place, bytes, now)
             || self.purge_log.receive(from_place, bytes, now, &mut self.outbox, &mut self.events)
-            || self.origin_health.0.receive(now, address(from_place), bytes)
+            || self.origin_health.receive(now, address(from_place), bytes)
         {
             return;
         }
@@ -203,18 +201,32 @@
     }
 
     fn receive_plain_purge(&mut self, from: usize, bytes: &[u8], now: Micros) {
-        let Some(plain) = PlainPurges::read(bytes) else { return };
-        self.events.push(MemberEvent::InForce { purge: plain.purge });
-        match self.plain_purges.receive(from, plain, now, &self.membership) {
-            Treatment::None => {}
+        let Some(plain) = peers::read(bytes) else { return };
+        if let Some(purge) = plain.0.as_deref().and_then(purge_of) {
+            self.events.push(MemberEvent::InForce { purge });
+        }
+        let replicates = replicates(&self.membership, from);
+        match self.plain_purges.receive(now, Some(from), replicates, plain) {
+            Treatment::Replicated => {}
             Treatment::Greet => {
                 self.membership.greet(from);
                 self.tend_membership(now);
             }
-            Treatment::Write => self.purge_log.write_plain(plain, now, &mut self.events),
+            Treatment::Write(purge) => self.write_plain_purge(&purge, now),
+        }
+    }
+
+    fn write_plain_purge(&mut self, (object, _, at): &Purge, now: Micros) {
+        if let Some(purge) = object.as_deref().and_then(purge_of) {
+            self.purge_log.write_plain(purge, *at, now, &mut self.events);
         }
     }
 
+    fn send_where_not_replicated(&mut self, text: &str) {
+        let membership = &self.membership;
+        self.outbox.send_where(text.as_bytes(), |peer| !replicates(membership, peer));
+    }
+
     fn receive_budgets(&mut self, from: usize, bytes: &[u8], now: Micros) -> bool {
         let outbox = &mut self.outbox;
         self.budgets.as_mut().is_some_and(|budgets| budgets.receive(from, bytes, now, outbox))
@@ -294,9 +306,9 @@
             self.purge_log.compact(now);
         }
         self.purge_log.tick(now, &mut self.outbox, &mut self.events);
-        for plain in self.plain_purges.tick(now, &self.membership, &mut self.outbox) {
-            self.purge_log.write_plain(plain, now, &mut self.events);
-        }
+        let overdue = self.plain_purges.tick(now, |peer| replicates(&self.membership, peer));
+        overdue.resends.iter().for_each(|text| self.send_where_not_replicated(text));
+        overdue.writes.iter().for_each(|purge| self.write_plain_purge(purge, now));
         if self.membership_due <= now {
             self.membership.tick(now);
             self.tend_membership(now);
@@ -310,12 +322,15 @@
     /// A client tells it of a purge.
     pub fn purge(&mut self, purge: PurgeNumber, now: Micros) {
         self.purge_log.purge(purge, now, &mut self.outbox, &mut self.events);
-        self.plain_purges.send(purge, now, &self.membership, &mut self.outbox);
+        if let Some(text) = peers::write(Some(&object(purge)), 0, now) {
+            self.send_where_not_replicated(&text);
+            self.plain_purges.sent(now, text);
+        }
     }
 
     /// An answer of the origin was late: this share of its requests may still ask it.
     pub fn find_origin_late(&mut self, share: f64, now: Micros) {
-        if let Some(bytes) = self.origin_health.0.observe(now, share) {
+        if let Some(bytes) = self.origin_health.observe(now, share) {
             self.outbox.broadcast(&bytes);
         }
     }
@@ -393,11 +408,22 @@
             claims: self.membership.members().iter().filter(|member| member.claim.is_some()).count(),
             pending_commits: self.purge_log.pending_commits(),
             disk_queue: self.purge_log.disk_queue(),
+            table_bytes: store.table().memory_bytes(),
         }
     }
 }
 
+/// Whether a peer is known to replicate logs: one that runs does, as far as membership tells.
+fn replicates(membership: &Membership, peer: usize) -> bool {
+    membership.members().get(peer).is_some_and(linnetknot_membership::Member::is_up)
+}
+
+/// Whether a datagram is a part of a snapshot.
+fn is_snapshot(bytes: &[u8]) -> bool {
+    matches!(Datagram::read(bytes), Ok(Datagram::SnapshotChunk(_)))
+}
+
 /// Whether a datagram is an entry or a plain purge.
 fn is_purge(bytes: &[u8]) -> bool {
-    matches!(Datagram::read(bytes), Ok(Datagram::Entry(_))) || linnetknot_daemon::peers::read(bytes).is_some()
+    matches!(Datagram::read(bytes), Ok(Datagram::Entry(_))) || peers::read(bytes).is_some()
 }
--- a/rehearse/src/scale/hollow/purge_log.rs
+++ b/rehearse/src/scale/hollow/purge_log.rs
@@ -3,8 +3,8 @@
 use super::config::FleetConfig;
 use super::disk::{SimulatedDisk, Write};
 use super::outbox::Outbox;
-use super::plain_purges::{object, purge_of, PlainPurge};
-use super::{MemberEvent, PurgeNumber, Refusal};
+use super::{MemberEvent, Refusal};
+use crate::scale::purge_number::{object, purge_of, PurgeNumber};
 use linnetknot_replication::{
     CommitId, CompactedLog, Datagram, DecodeError, Entry, Index, LogId, LogStore, Outgoing, Received,
     Recovery, RejectReason, Replica, Subject,
@@ -64,13 +64,13 @@
         let own = own.unwrap_or(LogId::new(me.id, now));
         let mut replica = Replica::new(own, logs, now, config.replication);
         let machines: Vec<u64> = config.peers_of(index).map(|peer| peer.machine_id).collect();
-        let times = (now, now + config.recovery_us, config.recovery_ask_us);
+        let times = (now, now + config.limits.recovery_us, config.limits.recovery_ask_us);
         let min_acks = config.replication.min_acks;
         let recovery = is_fresh.then(|| Recovery::new(me.machine_id, machines.clone(), min_acks, times));
         replica.peers(me.machine_id, machines);
         PurgeLog {
             replica,
-            disk: SimulatedDisk::new(config.disk_queue),
+            disk: SimulatedDisk::new(config.limits.store_writes),
             due: now,
             expires: now,
             commits: BTreeMap::new(),
@@ -239,7 +239,7 @@
             Datagram::Digest { sum, .. } => Some(*sum),
             _ => None,
         };
-        let received = self.replica.receive(from, datagram);
+        let received = self.replica.receive(now, from, datagram);
         received.new.iter().for_each(|entry| self.write(entry, now));
         in_force(&received, events);
         if their_sum == Some(self.replica.log_store().checksum()) {
@@ -260,7 +260,8 @@
     /// Writes a purge of a peer that does not replicate logs into this member's own log, if no log has it.
     pub(super) fn write_plain(
         &mut self,
-        PlainPurge { purge, at }: PlainPurge,
+        purge: PurgeNumber,
+        at: Micros,
         now: Micros,
         events: &mut Vec<MemberEvent>,
     ) {
--- a/rehearse/src/scale/memory.rs
+++ b/rehearse/src/scale/memory.rs
@@ -4,13 +4,16 @@
 
 /// Bytes of a member by itself: its cores, its budgets, and its datagrams on their way. This and the two below were fitted
 /// to the resident memory of runs of 100 to 3,200 members, above each of them.
-const MEMBER_BYTES: u64 = 120_000;
+const MEMBER_BYTES: usize = 120_000;
 
 /// Bytes that a member has for each peer: what it believes of it, its names, its machine and its acknowledgements.
-const PEER_BYTES: u64 = 150;
+pub const PEER_BYTES: usize = 150;
 
 /// Bytes of an entry in a member's logs.
-const ENTRY_BYTES: u64 = 500;
+pub const ENTRY_BYTES: usize = 500;
+
+/// Bytes of a log in a member's logs, besides its entries (`replication/examples/memory.rs`).
+pub const LOG_BYTES: usize = 470;
 
 /// What a run would take, or the machine has, in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -65,18 +68,28 @@
     proc_figure("/proc/meminfo", "MemAvailable")
 }
 
-/// What a run of so many members takes whose logs come to so many entries.
-pub fn estimate(members: usize, entries: usize) -> Bytes {
-    let (members, entries) = (members as u64, entries as u64);
-    Bytes(members * (MEMBER_BYTES + members * PEER_BYTES + entries * ENTRY_BYTES))
+/// What each member of a run comes to hold.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Held {
+    /// Entries of its logs.
+    pub entries: usize,
+    /// Bytes of its compact table.
+    pub table_bytes: usize,
+}
+
+/// What a run of so many members takes.
+pub fn estimate(members: usize, held: Held) -> Bytes {
+    let Held { entries, table_bytes } = held;
+    let each = MEMBER_BYTES + members * PEER_BYTES + entries * ENTRY_BYTES + table_bytes;
+    Bytes(members as u64 * each as u64)
 }
 
 /// Whether a run fits into half of the available memory.
 ///
 /// # Errors
 /// Where it does not.
-pub fn admit(members: usize, entries: usize, available: Bytes) -> Result<(), TooLarge> {
-    let estimate = estimate(members, entries);
+pub fn admit(members: usize, held: Held, available: Bytes) -> Result<(), TooLarge> {
+    let estimate = estimate(members, held);
     if estimate.0 > available.0 / 2 {
         return Err(TooLarge { estimate, available });
     }
--- a/rehearse/src/scale/meter.rs
+++ b/rehearse/src/scale/meter.rs
@@ -1,5 +1,6 @@
 //! What each member spent while a run was measured.
 
+use crate::scale::fault::Window;
 use crate::scale::network::HEADER_BYTES;
 use linnetknot_simnet::Micros;
 use rustix::time::{clock_gettime, ClockId};
@@ -28,12 +29,23 @@
     pub busy: Duration,
     /// Bytes sent and received in the worst second.
     pub worst_second_bytes: u64,
+    /// Bytes sent and received while the run's fault lasted, and after it.
+    pub during_fault_bytes: u64,
+    /// See `during_fault_bytes`.
+    pub after_fault_bytes: u64,
+    /// When the fault lasts, if it does.
+    fault: Option<Window>,
     /// The second that runs, and its bytes.
     second: u64,
     second_bytes: u64,
 }
 
 impl Meter {
+    /// In a run whose fault lasts for this time, or for none.
+    pub fn new(fault: Option<Window>) -> Self {
+        Meter { fault, ..Meter::default() }
+    }
+
     /// A datagram of so many bytes is sent.
     pub fn sent(&mut self, bytes: usize, now: Micros) {
         self.sent_datagrams += 1;
@@ -54,7 +66,13 @@
             self.second = second;
             self.second_bytes = 0;
         }
-        self.second_bytes += bytes as u64 + HEADER_BYTES;
+        let bytes = bytes as u64 + HEADER_BYTES;
+        self.second_bytes += bytes;
         self.worst_second_bytes = self.worst_second_bytes.max(self.second_bytes);
+        match self.fault {
+            Some(fault) if now >= fault.until => self.after_fault_bytes += bytes,
+            Some(fault) if now >= fault.from => self.during_fault_bytes += bytes,
+            _ => {}
+        }
     }
 }
--- a/rehearse/src/scale/mod.rs
+++ b/rehearse/src/scale/mod.rs
@@ -12,6 +12,7 @@
 pub mod meter;
 pub mod network;
 mod prefill;
+pub mod purge_number;
 pub mod report;
 pub mod simulation;
 pub mod slopes;
--- a/rehearse/src/scale/prefill.rs
+++ b/rehearse/src/scale/prefill.rs
@@ -1,16 +1,33 @@
 //! What the members' disks have when a run begins.
 
 use crate::scale::fault::Fault;
+use crate::scale::hollow::config::MemberName;
 use crate::scale::hollow::{DiskContents, FleetConfig};
+use crate::scale::purge_number::{object, PurgeNumber};
 use crate::scale::simulation::Run;
-use linnetknot_replication::{Capacity, LogId, LogStore, Subject};
+use linnetknot_purges::{BucketBits, CompactTable, KeyHash};
+use linnetknot_replication::{Capacity, CompactedLog, LogId, LogStore, Subject};
 use linnetknot_simnet::Micros;
 
 /// How full the logs of a full fleet are, in hundredths of their capacity: purges of the run are to have room.
 const FULL_PERCENT: usize = 75;
 
-/// Purges that were told before the run have numbers from here on.
-const FIRST_NUMBER: u64 = 1 << 40;
+/// Purges in the compact table of a full fleet, for each entry that a member may hold: by the daemon's own bounds as many
+/// as the table has slots.
+const COMPACTED_PER_ENTRY: usize = 7;
+
+/// Purges that were told before the run have numbers from here on, those in the compact table from further on.
+const FIRST_NUMBER: PurgeNumber = 1 << 40;
+const FIRST_COMPACTED: PurgeNumber = 1 << 41;
+
+/// A purge that is in the compact tables when a run begins.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct CompactedPurge {
+    /// Which.
+    pub purge: PurgeNumber,
+    /// When it was told.
+    pub at: Micros,
+}
 
 /// Entries that each member's disk has when a run begins.
 pub fn entries(run: &Run, config: &FleetConfig) -> usize {
@@ -20,22 +37,31 @@
     }
 }
 
-/// The disks of all members: the same logs on each, as many entries of each member.
+/// The purges in each member's compact table when a run begins at a time.
+pub fn compacted(run: &Run, config: &FleetConfig, now: Micros) -> impl Iterator<Item = CompactedPurge> {
+    let count = match run.fault {
+        Fault::LateJoin => config.replication.max_exact_entries * COMPACTED_PER_ENTRY,
+        _ => 0,
+    };
+    (0..count as u64).map(move |number| CompactedPurge { purge: FIRST_COMPACTED + number, at: number % now })
+}
+
+/// The disks of all members: the same logs on each, as many entries of each member, behind those that were compacted.
 pub fn disks(run: &Run, config: &FleetConfig, now: Micros) -> Vec<DiskContents> {
-    let mut logs = LogStore::default();
+    let own = |member: &MemberName| LogId::new(member.id, now);
+    let mut table = CompactTable::new(BucketBits::DEFAULT);
+    for CompactedPurge { purge, at } in compacted(run, config, now) {
+        table.record(KeyHash::of_object(&object(purge)), at);
+    }
+    let marker = |member| CompactedLog { log: own(member), through: 1 };
+    let is_compacted = !table.is_empty();
+    let markers: Vec<CompactedLog> = config.members.iter().filter(|_| is_compacted).map(marker).collect();
+    let mut logs = LogStore::restore(table, &markers, Vec::new()).expect("no index stands twice");
     for number in 0..entries(run, config) {
         let writer = &config.members[number % config.members.len()];
-        let object = format!("{:032x}", FIRST_NUMBER + number as u64);
-        let entry = logs.append(
-            LogId::new(writer.id, now),
-            (Subject::Object(object), now, false),
-            Capacity::UNLIMITED,
-        );
-        // There is room for whatever comes.
-        debug_assert!(entry.is_ok());
+        let subject = Subject::Object(object(FIRST_NUMBER + number as u64));
+        let entry = logs.append(own(writer), (subject, now, false), Capacity::UNLIMITED);
+        entry.expect("there is room for whatever comes");
     }
-    let disk = |member: &crate::scale::hollow::config::MemberName| {
-        DiskContents::with_logs(logs.clone(), LogId::new(member.id, now))
-    };
-    config.members.iter().map(disk).collect()
+    config.members.iter().map(|member| DiskContents::with_logs(logs.clone(), own(member))).collect()
 }
--- a/rehearse/src/scale/report.rs
+++ b/rehearse/src/scale/report.rs
@@ -1,6 +1,7 @@
 //! What a run came to, as a table: each figure by role, over members, beside its limit.
 
-use crate::scale::fault::{writers, Fault};
+use crate::scale::fault::{duration, writers, Fault};
+use crate::scale::hollow::StateSize;
 use crate::scale::layout::MemberIndex;
 use crate::scale::memory;
 use crate::scale::meter::Meter;
@@ -158,7 +159,7 @@
     };
     let kilobytes = Some(limits.kilobytes_per_second);
     let processor = Some(limits.processor_percent);
-    vec![
+    let mut figures = vec![
         figure("sent", "kB/s", None, false, seconds, |meter| meter.sent_bytes as f64 / 1e3),
         figure("received", "kB/s", None, false, seconds, |meter| meter.received_bytes as f64 / 1e3),
         figure("sent and received", "kB/s", kilobytes, false, seconds, |meter| {
@@ -172,22 +173,46 @@
         figure("processor", "% of a core", processor, true, seconds, |meter| {
             meter.busy.as_secs_f64() * 100.0
         }),
-    ]
+    ];
+    if let Some(fault) = duration(run.fault, &run.target, outcome.window) {
+        let after = outcome.window.until - fault.until;
+        let [during, after] = [fault.length(), after].map(|time| time as f64 / 1e6);
+        figures.push(figure(
+            "sent and received during the fault",
+            "kB/s",
+            kilobytes,
+            false,
+            during,
+            |meter| meter.during_fault_bytes as f64 / 1e3,
+        ));
+        figures.push(figure("sent and received after the fault", "kB/s", kilobytes, false, after, |meter| {
+            meter.after_fault_bytes as f64 / 1e3
+        }));
+    }
+    figures
 }
 
+/// How much members hold at the end, and the memory of each kind of state: of what is counted, by the bytes that one
+/// takes.
 fn state_figures(outcome: &Outcome) -> Vec<MemberFigure> {
-    type Count = fn(&crate::scale::hollow::StateSize) -> usize;
-    let counts: [(&str, Count); 5] = [
-        ("entries", |size| size.entries),
-        ("logs", |size| size.logs),
-        ("claims on members", |size| size.claims),
-        ("pending commits", |size| size.pending_commits),
-        ("disk queue", |size| size.disk_queue),
+    type Count = fn(&StateSize) -> usize;
+    const COUNT: &str = "at the end";
+    const MEMORY: &str = "kB at the end";
+    let counts: [(&str, &str, Count); 9] = [
+        ("entries", COUNT, |size| size.entries),
+        ("logs", COUNT, |size| size.logs),
+        ("claims on members", COUNT, |size| size.claims),
+        ("pending commits", COUNT, |size| size.pending_commits),
+        ("disk queue", COUNT, |size| size.disk_queue),
+        ("memory of entries", MEMORY, |size| size.entries * memory::ENTRY_BYTES / 1_000),
+        ("memory of logs", MEMORY, |size| size.logs * memory::LOG_BYTES / 1_000),
+        ("memory of peers", MEMORY, |size| size.claims * memory::PEER_BYTES / 1_000),
+        ("memory of the purge table", MEMORY, |size| size.table_bytes / 1_000),
     ];
-    let figure = |(name, of): (&'static str, Count)| {
+    let figure = |(name, unit, of): (&'static str, &'static str, Count)| {
         let states = outcome.states.clone();
         let of = Box::new(move |member: MemberIndex| Some(of(states.get(&member)?) as f64));
-        MemberFigure { name, unit: "at the end", limit: None, is_volatile: false, of }
+        MemberFigure { name, unit, limit: None, is_volatile: false, of }
     };
     counts.into_iter().map(figure).collect()
 }
--- a/rehearse/src/scale/simulation/checks.rs
+++ b/rehearse/src/scale/simulation/checks.rs
@@ -1,8 +1,12 @@
 //! What a run must keep, and what is looked at while it goes on.
 
-use super::{Event, Simulation, CHECK_BUDGETS_US, COMPARE_US, LOOK_FOR_ALLOCATORS_US, MAX_SETTLING_US};
+use super::{
+    Event, Simulation, CHECK_BUDGETS_US, COMPARE_US, LOOK_FOR_ALLOCATORS_US, MAX_SETTLING_US, START,
+};
+use crate::scale::fault::joiner;
 use crate::scale::hollow::{HollowMember, StateSize};
 use crate::scale::layout::MemberIndex;
+use crate::scale::prefill;
 use crate::scale::verdict::Rule;
 use linnetknot_simnet::Micros;
 use std::collections::BTreeMap;
@@ -116,6 +120,17 @@
     pub(super) fn judge_end(&mut self) {
         let running: Vec<MemberIndex> = self.running().map(|(index, _)| index).collect();
         let missing: Vec<(u64, MemberIndex)> = self.missing_purges(&running).collect();
+        let joiner = joiner(self.run.fault, self.network.layout());
+        let compacted = prefill::compacted(self.run, &self.config, START).map(|c| (c.purge, c.at));
+        let lost: Vec<u64> = match joiner.and_then(|joiner| self.nodes[joiner].member.as_ref()) {
+            Some(joiner) => {
+                compacted.filter(|(purge, at)| !joiner.is_in_force(*purge, *at)).map(|c| c.0).collect()
+            }
+            None => Vec::new(),
+        };
+        for purge in lost {
+            self.verdict.add(Rule::PurgeEverywhere, || format!("compacted purge {purge} at who joined"));
+        }
         for (purge, member) in missing {
             self.verdict.add(Rule::PurgeEverywhere, || format!("purge {purge} at member {member}"));
         }
--- a/rehearse/src/scale/simulation/faults.rs
+++ b/rehearse/src/scale/simulation/faults.rs
@@ -6,6 +6,9 @@
 use crate::scale::layout::MemberIndex;
 use linnetknot_simnet::Micros;
 
+/// The share of its requests that a proxy lets ask an origin that is late.
+const LATE_ORIGIN_SHARE: f64 = 0.3;
+
 impl Simulation<'_> {
     pub(super) fn act(&mut self, action: Action) {
         match action {
@@ -20,6 +23,9 @@
             }
             Action::Join { member } => self.join(member),
             Action::Cut { pair, until } => self.network.cut(pair, until),
+            Action::OriginLate { member } => {
+                self.drive(member, |member, now| member.find_origin_late(LATE_ORIGIN_SHARE, now));
+            }
         }
     }
 
--- a/rehearse/src/scale/simulation/mod.rs
+++ b/rehearse/src/scale/simulation/mod.rs
@@ -4,7 +4,7 @@
 mod faults;
 
 use crate::scale::delivery::{delays, PurgeTracker};
-use crate::scale::fault::{joiner, schedule, writers, Action, Fault, Window};
+use crate::scale::fault::{duration, joiner, schedule, writers, Action, Fault, Window};
 use crate::scale::hollow::config::Without;
 use crate::scale::hollow::{
     Defect, DiskContents, FleetConfig, HollowMember, LogEnd, MemberEvent, Outgoing, Refusal, StateSize,
@@ -80,6 +80,8 @@
 pub struct Outcome {
     /// Where the members stood.
     pub layout: Layout,
+    /// The time in which it was measured.
+    pub window: Window,
     /// What each member spent while it was measured.
     pub meters: Vec<Meter>,
     /// What each member that ran held when the measured time ended.
@@ -174,6 +176,7 @@
     let Simulation { network, meters, purges, allocators, starters, .. } = simulation;
     Outcome {
         layout: network.layout().clone(),
+        window: simulation.window,
         meters,
         states,
         allocators,
@@ -195,6 +198,7 @@
         let zones: Vec<usize> = (0..run.members).map(|member| layout.position(member).zone).collect();
         let from = START + WARM_UP_US;
         let config = FleetConfig::of(run, &zones);
+        let window = Window { from, until: from + run.seconds * SECOND_US };
         let node = || Node { member: None, wakes: NEVER, running_since: NEVER, disk: None, crashed_at: None };
         Simulation {
             run,
@@ -203,8 +207,8 @@
             nodes: (0..run.members).map(|_| node()).collect(),
             queue: EventQueue::default(),
             now: START,
-            window: Window { from, until: from + run.seconds * SECOND_US },
-            meters: vec![Meter::default(); run.members],
+            window,
+            meters: vec![Meter::new(duration(run.fault, &run.target, window)); run.members],
             purges: PurgeTracker::new(run.members),
             allocators: BTreeSet::new(),
             starters: BTreeSet::new(),
--- a/rehearse/tests/scale.rs
+++ b/rehearse/tests/scale.rs
@@ -5,7 +5,7 @@
 use linnetknot_rehearse::scale::hollow::config::Without;
 use linnetknot_rehearse::scale::hollow::{Defect, DiskContents, FleetConfig, HollowMember, MemberEvent};
 use linnetknot_rehearse::scale::layout::{Distance, Layout};
-use linnetknot_rehearse::scale::memory::{admit, estimate, Bytes};
+use linnetknot_rehearse::scale::memory::{admit, estimate, Bytes, Held};
 use linnetknot_rehearse::scale::report::{Report, Role, Value};
 use linnetknot_rehearse::scale::simulation::{play, Outcome, Plant, Run};
 use linnetknot_rehearse::scale::target::Target;
@@ -176,15 +176,52 @@
     assert_eq!(sound(Fault::FleetRestart).starters.len(), MEMBERS);
 }
 
+/// A fleet whose members hold 15,000 entries each and 140,000 purges in their tables.
+fn late_join() -> Run {
+    let without = Without { budgets: true };
+    Run { members: 12, without, exact_entries: Some(20_000), ..quiet(Fault::LateJoin) }
+}
+
 #[test]
 fn a_late_member_gets_all_that_a_full_fleet_has() {
-    let without = Without { budgets: true };
-    let run = Run { members: 12, without, ..quiet(Fault::LateJoin) };
+    let run = late_join();
     let outcome = play(&run);
     assert!(outcome.verdict.is_sound(), "{:?}", outcome.verdict);
     let report = Report::of(&run, &outcome);
     assert!(single(&report, "until who joined has all") > 0.0);
-    assert!(outcome.states[&11].entries >= 15_000, "{:?}", outcome.states[&11]);
+    assert!(outcome.states[&0].table_bytes > 0 && outcome.states[&0].entries >= 15_000);
+}
+
+/// Its logs are those of the others, and what was compacted in them is nowhere.
+#[test]
+fn a_late_member_that_gets_no_table_is_found() {
+    let plants = vec![Plant { member: 11, defect: Defect::DropsSnapshots }];
+    let verdict = play(&Run { plants, ..late_join() }).verdict;
+    assert!(verdict.breaks(Rule::PurgeEverywhere), "{verdict:?}");
+    assert!(verdict.violations[&Rule::PurgeEverywhere].first.contains("compacted purge"), "{verdict:?}");
+}
+
+#[test]
+fn a_slow_origin_is_reported_by_one_voice_of_each_zone() {
+    let outcome = sound(Fault::SlowOrigin);
+    let calm = play(&run(Fault::Calm));
+    let sent = |outcome: &Outcome| outcome.meters.iter().map(|m| m.sent_datagrams).sum::<u64>();
+    // Two reports a second of each of five zones at most, to all others, for two seconds.
+    let reports = sent(&outcome).saturating_sub(sent(&calm));
+    let members = MEMBERS as u64;
+    assert!(reports > members && reports < 2 * members * members, "{reports}");
+}
+
+#[test]
+fn what_a_fault_costs_is_told_for_its_time_and_after_it() {
+    let run = run(Fault::RegionsApart);
+    let report = Report::of(&run, &play(&run));
+    for figure in ["sent and received during the fault", "sent and received after the fault"] {
+        assert!(matches!(row(&report, Role::Member, figure), Value::Spread(spread) if spread.median > 0.0));
+    }
+    let calm = quiet(Fault::Calm);
+    let report = Report::of(&calm, &play(&calm));
+    assert!(!report.rows.iter().any(|row| row.figure.contains("the fault")));
 }
 
 // ---- One member by itself ----
@@ -260,11 +297,14 @@
 
 #[test]
 fn a_run_that_takes_more_than_half_of_the_memory_is_not_admitted() {
-    let needed = estimate(1_000, 1_000);
-    assert!(admit(1_000, 1_000, Bytes(2 * needed.0)).is_ok());
-    let error = admit(1_000, 1_000, Bytes(2 * needed.0 - 2)).expect_err("it does not fit");
+    let held = Held { entries: 1_000, table_bytes: 0 };
+    let needed = estimate(1_000, held);
+    assert!(admit(1_000, held, Bytes(2 * needed.0)).is_ok());
+    let error = admit(1_000, held, Bytes(2 * needed.0 - 2)).expect_err("it does not fit");
     assert_eq!(error.estimate, needed);
-    assert!(estimate(2_000, 1_000).0 > 2 * needed.0, "it grows faster than the fleet");
+    assert!(estimate(2_000, held).0 > 2 * needed.0, "it grows faster than the fleet");
+    let with_table = estimate(1_000, Held { table_bytes: 4 << 20, ..held });
+    assert_eq!(with_table.0, needed.0 + 1_000 * (4 << 20), "each has a table");
 }
 
 #[test]
--- a/replication/examples/memory.rs
+++ b/replication/examples/memory.rs
@@ -69,7 +69,7 @@
         let log = LogId::new(1 + n % 6_400, 1);
         let index = 1 + n / 6_400;
         let entry = Entry { log, index, prev: index - 1, subject: object(n), at: n, revoked: false };
-        replica.receive(0, Datagram::Entry(entry));
+        replica.receive(Micros::MAX, 0, Datagram::Entry(entry));
         replica.synced(log, index);
     }
     let started = Instant::now();
@@ -77,10 +77,10 @@
     println!("{moved} purges of 6,400 logs compacted in {:.1?}", started.elapsed());
     let request = SnapshotRequest { process: 1, from: SnapshotCursor::START };
     let started = Instant::now();
-    let chunks = replica.receive(0, Datagram::SnapshotRequest(request)).replies.len();
+    let chunks = replica.receive(Micros::MAX, 0, Datagram::SnapshotRequest(request)).replies.len();
     println!("an image, and {chunks} chunks of it, in {:.1?}", started.elapsed());
     let started = Instant::now();
-    let chunks = replica.receive(0, Datagram::SnapshotRequest(request)).replies.len();
+    let chunks = replica.receive(Micros::MAX, 0, Datagram::SnapshotRequest(request)).replies.len();
     println!("{chunks} chunks more of it in {:.1?}", started.elapsed());
 }
 
--- a/replication/src/replica/catch_up.rs
+++ b/replication/src/replica/catch_up.rs
@@ -43,9 +43,8 @@
 
 impl Replica {
     /// Moves the oldest purges to the compact table, if there are more entries than are to be held. It waits a while for a
-    /// snapshot that is being read. To be called after
-    /// each change, or often: it is cheap as long as there is nothing to move. What it moved is in force as before; the
-    /// disk is to be brought in line as [`Compaction`] says.
+    /// snapshot that is being read. To be called after each change, or often: it is cheap as long as there is nothing to
+    /// move. What it moved is in force as before; the disk is to be brought in line as [`Compaction`] says.
     pub fn compact(&mut self, now: Micros) -> Option<Compaction> {
         let max_entries = self.options.max_exact_entries;
         let exact_len = self.log_store.exact_len();
@@ -174,23 +173,25 @@
         self.counters.snapshot_chunks_sent += chunks as u64;
     }
 
-    pub(super) fn take_chunk(&mut self, from: usize, chunk: &SnapshotChunk) -> Received {
+    pub(super) fn take_chunk(&mut self, now: Micros, from: usize, chunk: &SnapshotChunk) -> Received {
         self.offers.remove(&from);
         let mut received = Received::default();
-        self.merge_buckets(&chunk.content, &mut received);
+        self.merge_buckets(now, &chunk.content, &mut received);
         if let Progress::Complete(complete) = self.catch_up.chunk(from, chunk, &self.options) {
             self.complete_snapshot(from, complete, &mut received);
         }
         received
     }
 
-    /// Takes a chunk's buckets into the table: that is right whoever sent them, and whenever.
-    fn merge_buckets(&mut self, content: &SnapshotContent, received: &mut Received) {
+    /// Takes a chunk's buckets into the table: that is right whoever sent them, and whenever. The sender's clock may be
+    /// ahead.
+    fn merge_buckets(&mut self, now: Micros, content: &SnapshotContent, received: &mut Received) {
         let SnapshotContent::Buckets { bucket_bits, buckets } = content else { return };
         let table = &mut self.log_store.table;
         for placed in buckets {
+            let bucket = placed.bucket.no_later_than(now);
             // A bucket that such a table does not have was not read.
-            let changed = table.merge_bucket(*bucket_bits, placed.index, &placed.bucket).unwrap_or_default();
+            let changed = table.merge_bucket(*bucket_bits, placed.index, &bucket).unwrap_or_default();
             let bucket_bits = table.bucket_bits();
             let merged = changed.into_iter().filter_map(|index| {
                 let bucket = *table.bucket(index)?;
--- a/replication/src/replica/exchange.rs
+++ b/replication/src/replica/exchange.rs
@@ -2,7 +2,7 @@
 
 use super::Replica;
 use crate::wire::MAX_LOGS_PER_DATAGRAM;
-use crate::{CapacityExceeded, CompactedLog, Datagram, Entry, Index, Insertion, LogId, Received};
+use crate::{CapacityExceeded, CompactedLog, Datagram, Entry, Index, Insertion, LogId, Micros, Received};
 
 /// A part of a log that a peer lacks.
 #[derive(Clone, Copy, Debug)]
@@ -16,7 +16,7 @@
 
 impl Replica {
     /// Takes in what a peer says, known by its place.
-    pub fn receive(&mut self, from: usize, datagram: Datagram) -> Received {
+    pub fn receive(&mut self, now: Micros, from: usize, datagram: Datagram) -> Received {
         match datagram {
             Datagram::Entry(entry) => self.take(from, entry),
             Datagram::RangeRequest { positions } => self.compare(from, &positions).0,
@@ -37,7 +37,7 @@
             Datagram::Digest { positions, all, sum } => self.take_digest(from, &positions, all, sum),
             Datagram::SnapshotOffer(offer) => self.take_offer(from, &offer),
             Datagram::SnapshotRequest(request) => self.take_request(from, request),
-            Datagram::SnapshotChunk(chunk) => self.take_chunk(from, &chunk),
+            Datagram::SnapshotChunk(chunk) => self.take_chunk(now, from, &chunk),
         }
     }
 
--- a/replication/tests/compaction/fleet.rs
+++ b/replication/tests/compaction/fleet.rs
@@ -255,7 +255,7 @@
             member.received_chunks += 1;
             member.received_bytes += bytes.len() as u64;
         }
-        let received = replica.receive(simnet::peer_index(from, to), datagram);
+        let received = replica.receive(self.links.now, simnet::peer_index(from, to), datagram);
         for entry in received.out_of_order.iter().chain(&received.rejected) {
             let floor = member.floors.entry(entry.subject.clone()).or_default();
             *floor = entry.at.max(*floor);
--- a/replication/tests/compaction_model.rs
+++ b/replication/tests/compaction_model.rs
@@ -230,7 +230,7 @@
         }
         let proxy = &mut state.proxies[to];
         let replica = proxy.replica.as_mut()?;
-        let received = replica.receive(peer_index(from, to), datagram);
+        let received = replica.receive(Micros::MAX, peer_index(from, to), datagram);
         if self.planted == Planted::AckedEarly {
             replica.snapshot_synced(&received.compacted);
         }
--- a/replication/tests/deferred_compaction.rs
+++ b/replication/tests/deferred_compaction.rs
@@ -22,7 +22,7 @@
 /// The sender's chunks for a request from the start.
 fn read(sender: &mut Replica) -> usize {
     let request = SnapshotRequest { process: 1, from: SnapshotCursor::START };
-    sender.receive(0, Datagram::SnapshotRequest(request)).replies.len()
+    sender.receive(Micros::MAX, 0, Datagram::SnapshotRequest(request)).replies.len()
 }
 
 #[test]
--- a/replication/tests/fleet.rs
+++ b/replication/tests/fleet.rs
@@ -9,6 +9,8 @@
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
+/// The time where it does not matter.
+const NOW: Micros = Micros::MAX;
 
 /// A member: its logs, what it has put in force, and its disk.
 struct Member {
@@ -177,8 +179,10 @@
         if let Some(waiting) = &mut self.members[to].stalled {
             return waiting.push((from, bytes));
         }
+        let now = self.links.now;
         let Some(replica) = self.members[to].replica.as_mut() else { return };
-        let received = replica.receive(simnet::peer_index(from, to), Datagram::read(&bytes).expect("whole"));
+        let received =
+            replica.receive(now, simnet::peer_index(from, to), Datagram::read(&bytes).expect("whole"));
         received.new.iter().for_each(|e| self.put(to, e));
         for e in &received.out_of_order {
             let floor = self.members[to].in_force.entry(e.subject.clone()).or_insert(0);
@@ -404,7 +408,7 @@
     assert_eq!((replica.log_store().last_index(LogId::new(1, 7)), replica.log_store().len()), (4, 4));
     let entry =
         |log, index| Entry { log, index, prev: index - 1, subject: Subject::Group(9), at: 1, revoked: false };
-    let received = replica.receive(0, Datagram::Entry(entry(LogId::new(2, 7), 1)));
+    let received = replica.receive(NOW, 0, Datagram::Entry(entry(LogId::new(2, 7), 1)));
     assert_eq!((received.rejected.len(), received.new.len(), replica.counters().rejected), (1, 0, 1));
     assert_eq!(replica.log_store().entries().count(), 4);
     // The disk is back.
@@ -413,7 +417,7 @@
     let moved = replica.compact(now).expect("all but the last can be moved");
     assert_eq!(moved.entries.iter().map(|e| e.index).collect::<Vec<_>>(), [1, 2, 3]);
     assert_eq!(moved.logs, [CompactedLog { log: LogId::new(1, 7), through: 3 }]);
-    let again = replica.receive(0, Datagram::Entry(entry(LogId::new(2, 7), 1)));
+    let again = replica.receive(NOW, 0, Datagram::Entry(entry(LogId::new(2, 7), 1)));
     assert_eq!((again.rejected.len(), again.new.len()), (0, 1), "who was refused comes again");
     let times = [(1, 5), (2, 6), (3, 7), (4, 8)];
     assert!(times.iter().all(|(n, at)| replica.log_store().effective(&object(*n)) >= Some(*at)));
@@ -547,13 +551,13 @@
     assert!(replica.synced(entry.log, entry.index).is_empty());
     let held = || Datagram::Ack { process: 5, positions: vec![(LogId::new(1, 7), 1)] };
     for peer in [0, 1, 2] {
-        replica.receive(peer, held());
+        replica.receive(NOW, peer, held());
         assert_eq!(replica.resolve_commits(200), [], "{peer}");
     }
     // What one has of another's log is no copy of this one's.
-    replica.receive(3, Datagram::Ack { process: 5, positions: vec![(LogId::new(2, 7), 9)] });
+    replica.receive(NOW, 3, Datagram::Ack { process: 5, positions: vec![(LogId::new(2, 7), 9)] });
     assert_eq!((replica.resolve_commits(200), replica.under_replicated()), (vec![], 1));
-    replica.receive(3, held());
+    replica.receive(NOW, 3, held());
     assert_eq!(replica.resolve_commits(300), [CommitOutcome { commit: 1, result: Ok(200) }]);
     assert_eq!(replica.under_replicated(), 0);
 }
@@ -564,13 +568,13 @@
     let mut replica = Replica::new(LogId::new(1, 7), LogStore::default(), 1, Options::default());
     replica.peers(10, vec![20, 30]);
     let entry = Entry { log: LogId::new(2, 9), index: 1, prev: 0, subject: object(1), at: 1, revoked: false };
-    replica.receive(1, Datagram::Entry(entry));
+    replica.receive(NOW, 1, Datagram::Entry(entry));
     replica.peers(10, vec![20, 31]);
     let ack = Datagram::Ack { process: 1, positions: vec![(LogId::new(2, 9), 1)] };
     assert_eq!(replica.synced(LogId::new(2, 9), 1), [Outgoing { peer: 1, datagram: ack }]);
     // One whose peer is no longer in the list has nobody to go to.
     let entry = Entry { log: LogId::new(2, 9), index: 2, prev: 1, subject: object(2), at: 1, revoked: false };
-    replica.receive(1, Datagram::Entry(entry));
+    replica.receive(NOW, 1, Datagram::Entry(entry));
     replica.peers(10, vec![20]);
     assert_eq!(replica.synced(LogId::new(2, 9), 2), []);
 }
@@ -584,7 +588,7 @@
     for e in &all {
         replica.open_commit(100, e.index).unwrap();
     }
-    replica.receive(0, Datagram::Ack { process: 5, positions: vec![(LogId::new(1, 7), 3)] });
+    replica.receive(NOW, 0, Datagram::Ack { process: 5, positions: vec![(LogId::new(1, 7), 3)] });
     replica.synced(LogId::new(1, 7), 1);
     replica.sync_failed(LogId::new(1, 7), 2);
     replica.synced(LogId::new(1, 7), 3);
@@ -607,7 +611,7 @@
         at: 1,
         revoked: false,
     };
-    (1..=2).for_each(|index| drop(replica.receive(0, Datagram::Entry(theirs(index)))));
+    (1..=2).for_each(|index| drop(replica.receive(NOW, 0, Datagram::Entry(theirs(index)))));
     assert_eq!(replica.synced(LogId::new(2, 9), 2), [], "the one before it is not there yet");
     assert_eq!(
         replica.synced(LogId::new(2, 9), 1),
@@ -616,7 +620,7 @@
             datagram: Datagram::Ack { process: 1, positions: vec![(LogId::new(2, 9), 2)] }
         }]
     );
-    let again = replica.receive(0, Datagram::Entry(theirs(1)));
+    let again = replica.receive(NOW, 0, Datagram::Entry(theirs(1)));
     assert_eq!(
         again.replies,
         [Datagram::Ack { process: 1, positions: vec![(LogId::new(2, 9), 2)] }],
@@ -637,7 +641,7 @@
     (1..=3).for_each(|n| drop(replica.append(object(n), n, false).unwrap()));
     let held = |process, index| Datagram::Ack { process, positions: vec![(LogId::new(1, 7), index)] };
     let mut short_after = |message| {
-        replica.receive(0, message);
+        replica.receive(NOW, 0, message);
         replica.under_replicated()
     };
     assert_eq!(short_after(held(5, 3)), 0);
--- a/replication/tests/model.rs
+++ b/replication/tests/model.rs
@@ -179,7 +179,8 @@
             }
             Action::Deliver(from, to, bytes) => {
                 let datagram = Datagram::read(&bytes).ok()?;
-                let received = state.proxies[to].replica.as_mut()?.receive(peer_index(from, to), datagram);
+                let received =
+                    state.proxies[to].replica.as_mut()?.receive(Micros::MAX, peer_index(from, to), datagram);
                 received.new.iter().for_each(|entry| self.take(&mut state, to, entry));
                 received.replies.iter().for_each(|reply| Self::send(&mut state, to, from, reply));
                 self.tell(&mut state, to, Vec::new());
--- a/replication/tests/reorder.rs
+++ b/replication/tests/reorder.rs
@@ -20,7 +20,7 @@
 
 /// The indexes that an entry brings in force in their places, its own among them or not.
 fn receive(replica: &mut Replica, entry: Entry) -> Vec<Index> {
-    replica.receive(0, Datagram::Entry(entry)).new.into_iter().map(|entry| entry.index).collect()
+    replica.receive(Micros::MAX, 0, Datagram::Entry(entry)).new.into_iter().map(|entry| entry.index).collect()
 }
 
 /// What is asked for of the log by now.
--- a/replication/tests/snapshot.rs
+++ b/replication/tests/snapshot.rs
@@ -41,14 +41,14 @@
 fn ask(receiver: &mut Replica, sender: &mut Replica, now: Micros) -> Vec<Datagram> {
     let is_request = |out: &Outgoing| matches!(out.datagram, Datagram::SnapshotRequest(_));
     let requests = receiver.tick(now).into_iter().filter(is_request);
-    requests.flat_map(|out| sender.receive(0, out.datagram).replies).collect()
+    requests.flat_map(|out| sender.receive(Micros::MAX, 0, out.datagram).replies).collect()
 }
 
 fn offer(receiver: &mut Replica, sender: &mut Replica) {
     let asked = Datagram::RangeRequest { positions: vec![(OWN, 0)] };
-    for reply in sender.receive(0, asked).replies {
+    for reply in sender.receive(Micros::MAX, 0, asked).replies {
         assert!(matches!(reply, Datagram::SnapshotOffer(_)), "nothing that it could not take in: {reply:?}");
-        receiver.receive(0, reply);
+        receiver.receive(Micros::MAX, 0, reply);
     }
 }
 
@@ -57,7 +57,7 @@
     loop {
         now += S;
         for chunk in ask(receiver, sender, now) {
-            let received = receiver.receive(0, chunk);
+            let received = receiver.receive(Micros::MAX, 0, chunk);
             if !received.compacted.is_empty() {
                 return received;
             }
@@ -78,10 +78,13 @@
     assert_eq!((receiver.log_store().last_index(OWN), receiver.durable_index(OWN)), (through, 0));
     assert!(!receiver.is_synced() && !receiver.is_catching_up());
     // What stands behind it comes as entries, and a peer that asks is not told of it either.
-    let rest: Vec<Datagram> =
-        received.replies.into_iter().flat_map(|request| sender.receive(0, request).replies).collect();
+    let rest: Vec<Datagram> = received
+        .replies
+        .into_iter()
+        .flat_map(|request| sender.receive(Micros::MAX, 0, request).replies)
+        .collect();
     for entry in rest {
-        let received = receiver.receive(0, entry);
+        let received = receiver.receive(Micros::MAX, 0, entry);
         assert_eq!(received.new.len(), 1);
         received.new.iter().for_each(|entry| assert_eq!(receiver.synced(entry.log, entry.index), []));
     }
@@ -108,7 +111,7 @@
     let mut late = Vec::new();
     for n in 1..10 {
         let chunks = ask(&mut first, &mut sender, n * S);
-        chunks.iter().for_each(|chunk| drop(first.receive(0, chunk.clone())));
+        chunks.iter().for_each(|chunk| drop(first.receive(Micros::MAX, 0, chunk.clone())));
         late.extend(chunks);
     }
     assert!(!first.is_catching_up());
@@ -117,11 +120,11 @@
     let mut second = receiver();
     offer(&mut second, &mut sender);
     for chunk in ask(&mut second, &mut sender, S) {
-        second.receive(0, chunk);
+        second.receive(Micros::MAX, 0, chunk);
     }
     let is_late = |chunk: &&Datagram| matches!(chunk, Datagram::SnapshotChunk(c) if !matches!(c.content, SnapshotContent::Logs(_)));
     for chunk in late.iter().filter(is_late) {
-        assert!(second.receive(0, chunk.clone()).compacted.is_empty(), "{chunk:?}");
+        assert!(second.receive(Micros::MAX, 0, chunk.clone()).compacted.is_empty(), "{chunk:?}");
     }
     assert_eq!((second.is_catching_up(), second.log_store().last_index(OWN)), (true, 0));
     complete(&mut second, &mut sender, S);
@@ -138,17 +141,19 @@
         let wide = Options { snapshot_bytes_per_s: 1 << 20, ..options() };
         let (mut sender, mut receiver) = (sender(1..400, wide), receiver());
         offer(&mut receiver, &mut sender);
-        ask(&mut receiver, &mut sender, S).into_iter().for_each(|logs| drop(receiver.receive(0, logs)));
+        ask(&mut receiver, &mut sender, S)
+            .into_iter()
+            .for_each(|logs| drop(receiver.receive(Micros::MAX, 0, logs)));
         let mut chunks = ask(&mut receiver, &mut sender, 2 * S);
         assert!(chunks.len() > 20);
         let count = chunks.len();
         (0..count).for_each(|n| chunks.swap(n, (n * 31 + seed as usize * 7) % count));
         let (last, others) = chunks.split_last().expect("there are some");
         for chunk in others.iter().chain(others) {
-            assert!(receiver.receive(0, chunk.clone()).compacted.is_empty(), "seed {seed}");
+            assert!(receiver.receive(Micros::MAX, 0, chunk.clone()).compacted.is_empty(), "seed {seed}");
         }
         assert_eq!(receiver.log_store().last_index(OWN), 0);
-        assert_eq!(receiver.receive(0, last.clone()).compacted.len(), 1, "seed {seed}");
+        assert_eq!(receiver.receive(Micros::MAX, 0, last.clone()).compacted.len(), 1, "seed {seed}");
     }
 }
 
@@ -161,7 +166,9 @@
     let mut sender = sender(1..3_000, options);
     sender.tick(10_000 * S);
     let request = SnapshotRequest { process: 5, from: SnapshotCursor::BUCKETS };
-    let sent = |sender: &mut Replica| sender.receive(0, Datagram::SnapshotRequest(request)).replies.len();
+    let sent = |sender: &mut Replica| {
+        sender.receive(Micros::MAX, 0, Datagram::SnapshotRequest(request)).replies.len()
+    };
     assert_eq!((0..5).map(|_| sent(&mut sender)).sum::<usize>(), 40);
     sender.tick(10_001 * S);
     assert!(sent(&mut sender) > 0, "in the next period there is more");
@@ -252,7 +259,9 @@
     receiver.peers(20, vec![10, 30]);
     offer(&mut receiver, &mut sender);
     for n in 1..10 {
-        ask(&mut receiver, &mut sender, n * S).into_iter().for_each(|chunk| drop(receiver.receive(0, chunk)));
+        ask(&mut receiver, &mut sender, n * S)
+            .into_iter()
+            .for_each(|chunk| drop(receiver.receive(Micros::MAX, 0, chunk)));
     }
     let request = |receiver: &mut Replica, now| {
         let requests = receiver.tick(now).into_iter().map(|out| out.datagram);
@@ -272,3 +281,22 @@
         "its sender is gone"
     );
 }
+
+/// A floor in the future would cost every copy of its keys until then.
+#[test]
+fn buckets_of_a_peer_whose_clock_is_ahead_bring_no_floor_in_the_future() {
+    const NOW: Micros = 30 * S;
+    let (mut sender, mut receiver) = (sender(1..100, options()), receiver());
+    offer(&mut receiver, &mut sender);
+    for round in 1..100 {
+        for chunk in ask(&mut receiver, &mut sender, round * S) {
+            receiver.receive(NOW, 0, chunk);
+        }
+    }
+    assert!(!receiver.is_catching_up());
+    for n in 1..=80 {
+        let floor = receiver.log_store().effective(&group(n)).expect("the snapshot has it");
+        assert!(floor >= NOW.min(n * S), "group {n}: {floor}");
+        assert!(floor <= NOW, "group {n}: {floor}, {} s ahead", (floor - NOW) / S);
+    }
+}
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -250,13 +250,18 @@
     known.record(KeyHash::of_object("/o/a"), start - 3 * S);
     known.record(KeyHash::of_group(3), start - 8 * S);
     for (index, bucket) in known.occupied(BucketIndex::default()) {
-        assert!(!rig.router.merge_purges(known.bucket_bits(), index, bucket).unwrap().is_empty());
+        assert!(!rig
+            .router
+            .purges_mut()
+            .merge_bucket(known.bucket_bits(), index, bucket)
+            .unwrap()
+            .is_empty());
     }
     assert_eq!(floor(&mut rig, "/o/a"), Some(3 * S));
     assert_eq!(floor(&mut rig, "/o/b"), Some(8 * S), "by its group");
-    rig.router.set_purge_capacity(0, BucketBits::new(6).unwrap());
+    rig.router.purges_mut().set_capacity(0, BucketBits::new(6).unwrap());
     assert_eq!(floor(&mut rig, "/o/a"), Some(3 * S));
-    rig.router.raise_purges(start - S);
+    rig.router.purges_mut().raise_all(start - S);
     assert_eq!((floor(&mut rig, "/o/a"), floor(&mut rig, "/o/b")), (Some(S), Some(S)));
 }
 
