--- a/budgets/src/allocation.rs
+++ b/budgets/src/allocation.rs
@@ -36,10 +36,17 @@
         if !self.ledger.record(now, from, request) {
             return None;
         }
-        self.demands.set(now, from.member, request.demand, terms.demand_lifetime_us);
-        let share = self.demands.fair_share(from.member, terms.shared).min(terms.max_amount);
+        self.demands
+            .set(now, from.member, request.demand, terms.demand_lifetime_us);
+        let share = self
+            .demands
+            .fair_share(from.member, terms.shared)
+            .min(terms.max_amount);
         let target = self.next_amount(from.member, request.demand, share);
-        Some(self.ledger.grant(from, request, target, terms.shared, terms.until))
+        Some(
+            self.ledger
+                .grant(from, request, target, terms.shared, terms.until),
+        )
     }
 
     /// A lease grows at once and shrinks by halves, so that it does not swing with each request.
@@ -54,6 +61,8 @@
 
     /// Returns what each holder may spend or have unsettled.
     pub(crate) fn outstanding(&self) -> impl Iterator<Item = OutstandingGrant> + '_ {
-        self.ledger.outstanding_by_holder().filter(|grant| grant.amount > 0)
+        self.ledger
+            .outstanding_by_holder()
+            .filter(|grant| grant.amount > 0)
     }
 }
--- a/budgets/src/election.rs
+++ b/budgets/src/election.rs
@@ -92,7 +92,9 @@
             return leader.member;
         }
         let running = (0..up.len()).filter(|member| up[*member]);
-        running.max_by_key(|member| weight(*member, self.group)).unwrap_or(self.own.member)
+        running
+            .max_by_key(|member| weight(*member, self.group))
+            .unwrap_or(self.own.member)
     }
 
     /// Ends this member's candidacy.
@@ -124,7 +126,8 @@
 
     fn back_off(&mut self, now: Micros, last_number: u64) {
         let vote_us = self.options.vote_us;
-        let spread = weight(self.own.member, self.group) ^ self.own.process.rotate_left(17) ^ last_number;
+        let spread =
+            weight(self.own.member, self.group) ^ self.own.process.rotate_left(17) ^ last_number;
         self.candidate_since = None;
         self.backoff_until = now + vote_us + spread % vote_us.max(1);
     }
@@ -132,7 +135,10 @@
     /// Returns the request for votes of this number, and records that it was sent.
     pub(crate) fn vote_request(&mut self, now: Micros, number: u64) -> VoteRequest {
         self.requests.insert(number, now);
-        VoteRequest { group: self.group, number }
+        VoteRequest {
+            group: self.group,
+            number,
+        }
     }
 
     /// Votes on a candidate's request.
@@ -145,7 +151,10 @@
         let vote_us = self.options.vote_us;
         let granted = self.vote.request(now, from, vote_us);
         if granted || self.yields_to(now, from.member) {
-            self.known_leader = Some(KnownLeader { member: from.member, until: now + vote_us });
+            self.known_leader = Some(KnownLeader {
+                member: from.member,
+                until: now + vote_us,
+            });
         }
         VoteResponse {
             group: self.group,
@@ -159,19 +168,33 @@
     /// off.
     fn yields_to(&self, now: Micros, candidate: MemberIndex) -> bool {
         let own = self.own.member;
-        let is_candidate = self.known_leader.is_none_or(|leader| leader.member == own || now >= leader.until);
+        let is_candidate = self
+            .known_leader
+            .is_none_or(|leader| leader.member == own || now >= leader.until);
         !self.leads(now) && is_candidate && weight(candidate, self.group) > weight(own, self.group)
     }
 
     /// Counts the response to a request for votes.
-    pub(crate) fn receive_response(&mut self, now: Micros, voter: MemberIndex, response: VoteResponse) {
-        let Some(sent_at) = self.requests.sent_at(response.number) else { return };
+    pub(crate) fn receive_response(
+        &mut self,
+        now: Micros,
+        voter: MemberIndex,
+        response: VoteResponse,
+    ) {
+        let Some(sent_at) = self.requests.sent_at(response.number) else {
+            return;
+        };
         if response.granted {
             self.refusals.remove(&voter);
-            self.votes.add(voter, sent_at + self.options.shortened_by_drift(self.options.vote_us));
+            self.votes.add(
+                voter,
+                sent_at + self.options.shortened_by_drift(self.options.vote_us),
+            );
             return;
         }
-        let refused_for = response.voted_for.filter(|leader| *leader != self.own.member);
+        let refused_for = response
+            .voted_for
+            .filter(|leader| *leader != self.own.member);
         if let Some(leader) = refused_for {
             self.receive_refusal(now, voter, leader);
         }
@@ -179,9 +202,16 @@
 
     /// Where more than half voted for the same other member, that one is taken for the allocator.
     fn receive_refusal(&mut self, now: Micros, voter: MemberIndex, leader: MemberIndex) {
-        let known = KnownLeader { member: leader, until: now + self.options.vote_us };
+        let known = KnownLeader {
+            member: leader,
+            until: now + self.options.vote_us,
+        };
         self.refusals.insert(voter, known);
-        let agreeing = self.refusals.values().filter(|refusal| refusal.is(leader, now)).count();
+        let agreeing = self
+            .refusals
+            .values()
+            .filter(|refusal| refusal.is(leader, now))
+            .count();
         if agreeing > self.members / 2 && !self.leads(now) {
             self.known_leader = Some(known);
         }
@@ -207,7 +237,8 @@
 
 /// A member's weight for a group, by rendezvous hashing.
 fn weight(member: MemberIndex, group: usize) -> u64 {
-    let mut x = (member as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ (group as u64 + 1).rotate_left(32);
+    let mut x = (member as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15)
+        ^ (group as u64 + 1).rotate_left(32);
     for by in [0xbf58_476d_1ce4_e5b9, 0x94d0_49bb_1331_11eb] {
         x = (x ^ (x >> 30)).wrapping_mul(by);
     }
--- a/budgets/src/fair_share.rs
+++ b/budgets/src/fair_share.rs
@@ -23,15 +23,31 @@
 
 impl Demands {
     /// Sets a holder's demand, and forgets those that were not repeated within `lifetime_us`.
-    pub(crate) fn set(&mut self, now: Micros, holder: MemberIndex, amount: Amount, lifetime_us: Micros) {
-        self.0.retain(|_, demand| now < demand.received_at + lifetime_us);
-        self.0.insert(holder, KnownDemand { amount, received_at: now });
+    pub(crate) fn set(
+        &mut self,
+        now: Micros,
+        holder: MemberIndex,
+        amount: Amount,
+        lifetime_us: Micros,
+    ) {
+        self.0
+            .retain(|_, demand| now < demand.received_at + lifetime_us);
+        self.0.insert(
+            holder,
+            KnownDemand {
+                amount,
+                received_at: now,
+            },
+        );
     }
 
     /// Returns a holder's fair share of so much.
     pub(crate) fn fair_share(&self, holder: MemberIndex, shared: Amount) -> Amount {
-        let mut demands: Vec<(Amount, MemberIndex)> =
-            self.0.iter().map(|(holder, demand)| (demand.amount, *holder)).collect();
+        let mut demands: Vec<(Amount, MemberIndex)> = self
+            .0
+            .iter()
+            .map(|(holder, demand)| (demand.amount, *holder))
+            .collect();
         // The smallest first: what they leave goes to the others.
         demands.sort_unstable();
         let mut left = shared - shared / NEWCOMER_DIVISOR;
--- a/budgets/src/holding.rs
+++ b/budgets/src/holding.rs
@@ -57,8 +57,10 @@
     /// Sets the demand; the reserved minimum is included in both amounts.
     pub(crate) fn set_demand(&mut self, amount: Amount, unsettled: Amount) {
         let reserved = self.spec.reserved;
-        self.demand =
-            Demand { amount: amount.saturating_sub(reserved), unsettled: unsettled.saturating_sub(reserved) };
+        self.demand = Demand {
+            amount: amount.saturating_sub(reserved),
+            unsettled: unsettled.saturating_sub(reserved),
+        };
     }
 
     pub(crate) fn demand(&self) -> Demand {
@@ -69,9 +71,15 @@
     pub(crate) fn lease(&self, now: Micros) -> Lease {
         let GrantedLease { amount, until, .. } = self.granted;
         if now < until {
-            Lease { amount: self.spec.reserved + amount, until }
+            Lease {
+                amount: self.spec.reserved + amount,
+                until,
+            }
         } else {
-            Lease { amount: self.spec.reserved, until: Micros::MAX }
+            Lease {
+                amount: self.spec.reserved,
+                until: Micros::MAX,
+            }
         }
     }
 
@@ -90,11 +98,18 @@
     /// Accepts a lease; false where it has expired, or a later one came before it.
     pub(crate) fn accept(&mut self, now: Micros, grant: LeaseGrant, options: &Options) -> bool {
         let duration_us = options.shortened_by_drift(grant.duration_us.min(options.lease_us));
-        let until = self.requests.take(grant.number).map_or(0, |sent_at| sent_at + duration_us);
+        let until = self
+            .requests
+            .take(grant.number)
+            .map_or(0, |sent_at| sent_at + duration_us);
         if grant.number < self.granted.number || until <= now {
             return false;
         }
-        self.granted = GrantedLease { amount: grant.amount, until, number: grant.number };
+        self.granted = GrantedLease {
+            amount: grant.amount,
+            until,
+            number: grant.number,
+        };
         true
     }
 
--- a/budgets/src/kinds.rs
+++ b/budgets/src/kinds.rs
@@ -59,8 +59,17 @@
 }
 
 /// Requests that the origin holds at a time, whether they came directly or for a fill.
-pub const ORIGIN: Kind = Kind { name: "origin", unit: Unit::Concurrent };
+pub const ORIGIN: Kind = Kind {
+    name: "origin",
+    unit: Unit::Concurrent,
+};
 /// What each cold parent cache can bear.
-pub const PARENTS: Kind = Kind { name: "cold-parents", unit: Unit::Millionths };
+pub const PARENTS: Kind = Kind {
+    name: "cold-parents",
+    unit: Unit::Millionths,
+};
 /// What each cold cache of a zone can bear; there is one budget for each zone.
-pub const CACHES: Kind = Kind { name: "cold-caches", unit: Unit::Millionths };
+pub const CACHES: Kind = Kind {
+    name: "cold-caches",
+    unit: Unit::Millionths,
+};
--- a/budgets/src/ledger.rs
+++ b/budgets/src/ledger.rs
@@ -49,14 +49,21 @@
     /// Drops the grants that the holder gave up by going by a later one. It never goes back to them, so that they need not
     /// be counted until they expire, but for what is unsettled of them.
     fn drop_given_up(&mut self, process: ProcessId, request: &LeaseRequest) {
-        let is_current = |grant: &&Grant| grant.process == process && grant.number == request.current_lease;
-        let Some(current) = self.grants.iter().find(is_current).copied() else { return };
+        let is_current =
+            |grant: &&Grant| grant.process == process && grant.number == request.current_lease;
+        let Some(current) = self.grants.iter().find(is_current).copied() else {
+            return;
+        };
         let is_given_up = |grant: &Grant| grant.process == process && grant.number < current.number;
         let given_up = self.grants.iter().filter(|grant| is_given_up(grant));
         let last_until = given_up.map(|grant| grant.until).max();
         self.grants.retain(|grant| !is_given_up(grant));
         if let Some(until) = last_until.filter(|_| request.unsettled > current.amount) {
-            self.grants.push(Grant { amount: request.unsettled, until, ..current });
+            self.grants.push(Grant {
+                amount: request.unsettled,
+                until,
+                ..current
+            });
         }
     }
 }
@@ -76,7 +83,12 @@
 
 impl Ledger {
     /// Records a holder's request. Returns false where a later request, or one of a later process, came before it.
-    pub(crate) fn record(&mut self, now: Micros, from: MemberProcess, request: &LeaseRequest) -> bool {
+    pub(crate) fn record(
+        &mut self,
+        now: Micros,
+        from: MemberProcess,
+        request: &LeaseRequest,
+    ) -> bool {
         self.drop_expired(now);
         let holder = self.0.entry(from.member).or_default();
         if (from.process, request.number) <= (holder.process, holder.last_number) {
@@ -118,11 +130,18 @@
         until: Micros,
     ) -> Amount {
         let total: Amount = self.outstanding_by_holder().map(|grant| grant.amount).sum();
-        let Some(holder) = self.0.get_mut(&from.member) else { return 0 };
+        let Some(holder) = self.0.get_mut(&from.member) else {
+            return 0;
+        };
         let others = total - holder.largest_of(from.process);
         let amount = target.min(shared.saturating_sub(others));
         // An empty lease is one, too: that its holder goes by it says that it gave up the one before.
-        holder.grants.push(Grant { process: from.process, number: request.number, amount, until });
+        holder.grants.push(Grant {
+            process: from.process,
+            number: request.number,
+            amount,
+            until,
+        });
         amount
     }
 }
--- a/budgets/src/member.rs
+++ b/budgets/src/member.rs
@@ -5,8 +5,8 @@
 use crate::holding::{Demand, Holding, Lease};
 use crate::spec::{BudgetSpec, LimitTooSmall};
 use crate::{
-    Amount, LeaseGrant, LeaseRequest, MemberIndex, MemberProcess, Message, Micros, Options, Outgoing,
-    OutstandingGrant, ProcessId, VoteRequest, VoteResponse,
+    Amount, LeaseGrant, LeaseRequest, MemberIndex, MemberProcess, Message, Micros, Options,
+    Outgoing, OutstandingGrant, ProcessId, VoteRequest, VoteResponse,
 };
 use std::fmt;
 
@@ -101,11 +101,14 @@
         options: Options,
     ) -> Result<Self, InvalidBudget> {
         for (budget, spec) in specs.iter().enumerate() {
-            spec.shared(members).map_err(|error| InvalidBudget { budget, error })?;
+            spec.shared(members)
+                .map_err(|error| InvalidBudget { budget, error })?;
         }
         let election = |group| Election::new(group, own, members, now, options);
-        let budget =
-            |spec: &BudgetSpec| Budget { holding: Holding::new(*spec), allocation: Allocation::default() };
+        let budget = |spec: &BudgetSpec| Budget {
+            holding: Holding::new(*spec),
+            allocation: Allocation::default(),
+        };
         Ok(Member {
             own,
             up: (0..members).map(|member| member == own.member).collect(),
@@ -122,7 +125,11 @@
 
     /// Sets whether another member is believed to run.
     pub fn set_up(&mut self, member: MemberIndex, up: bool) {
-        if let Some(known) = self.up.get_mut(member).filter(|_| member != self.own.member) {
+        if let Some(known) = self
+            .up
+            .get_mut(member)
+            .filter(|_| member != self.own.member)
+        {
             *known = up;
         }
     }
@@ -141,8 +148,13 @@
     /// # Errors
     /// Fails where the limit is less than the reserved minimums of all members; it stays as it was.
     pub fn set_limit(&mut self, budget: usize, limit: Amount) -> Result<(), LimitTooSmall> {
-        let Some(budget) = self.budgets.get_mut(budget) else { return Ok(()) };
-        let spec = BudgetSpec { limit, ..budget.holding.spec };
+        let Some(budget) = self.budgets.get_mut(budget) else {
+            return Ok(());
+        };
+        let spec = BudgetSpec {
+            limit,
+            ..budget.holding.spec
+        };
         spec.shared(self.up.len())?;
         budget.holding.spec = spec;
         Ok(())
@@ -150,23 +162,34 @@
 
     /// Returns what may be spent of a budget now. It is to be called at the moment of each spend.
     pub fn lease(&self, now: Micros, budget: usize) -> Lease {
-        let none = Lease { amount: 0, until: Micros::MAX };
-        self.budgets.get(budget).map_or(none, |budget| budget.holding.lease(now))
+        let none = Lease {
+            amount: 0,
+            until: Micros::MAX,
+        };
+        self.budgets
+            .get(budget)
+            .map_or(none, |budget| budget.holding.lease(now))
     }
 
     /// Returns whether this member is the allocator of a group, by the votes of more than half of all members.
     pub fn leads(&self, now: Micros, group: usize) -> bool {
-        self.elections.get(group).is_some_and(|election| election.leads(now))
+        self.elections
+            .get(group)
+            .is_some_and(|election| election.leads(now))
     }
 
     /// Returns the allocator of a group as far as this member knows.
     pub fn allocator(&self, now: Micros, group: usize) -> MemberIndex {
-        self.elections.get(group).map_or(self.own.member, |election| election.leader(now, &self.up))
+        self.elections
+            .get(group)
+            .map_or(self.own.member, |election| election.leader(now, &self.up))
     }
 
     /// Returns this member's demand of a budget, beyond its reserved minimum.
     pub fn demand(&self, budget: usize) -> Demand {
-        self.budgets.get(budget).map_or_else(Demand::default, |budget| budget.holding.demand())
+        self.budgets
+            .get(budget)
+            .map_or_else(Demand::default, |budget| budget.holding.demand())
     }
 
     /// Returns this process of the member.
@@ -181,7 +204,9 @@
 
     /// Returns what this member has granted of a budget and may be spent or unsettled, by holder.
     pub fn outstanding_grants(&self, budget: usize) -> Vec<OutstandingGrant> {
-        self.budgets.get(budget).map_or_else(Vec::new, |budget| budget.allocation.outstanding().collect())
+        self.budgets
+            .get(budget)
+            .map_or_else(Vec::new, |budget| budget.allocation.outstanding().collect())
     }
 
     /// Returns the group of a budget.
@@ -289,7 +314,9 @@
     }
 
     fn receive_vote_request(&mut self, now: Micros, from: MemberProcess, request: VoteRequest) {
-        let Some(election) = self.elections.get_mut(request.group) else { return };
+        let Some(election) = self.elections.get_mut(request.group) else {
+            return;
+        };
         let response = election.receive_request(now, from, request);
         self.send(now, from.member, Message::VoteResponse(response));
     }
@@ -301,8 +328,14 @@
     }
 
     fn receive_lease_request(&mut self, now: Micros, from: MemberProcess, request: LeaseRequest) {
-        let (members, options, group) = (self.up.len() as u64, self.options, self.group(request.budget));
-        let Some(budget) = self.budgets.get_mut(request.budget) else { return };
+        let (members, options, group) = (
+            self.up.len() as u64,
+            self.options,
+            self.group(request.budget),
+        );
+        let Some(budget) = self.budgets.get_mut(request.budget) else {
+            return;
+        };
         let election = &mut self.elections[group];
         let spec = budget.holding.spec;
         // What is spent at the end of a lease settles before the votes expire, too.
@@ -317,21 +350,36 @@
         let shared = spec.shared(self.up.len()).unwrap_or(0);
         // While not all holders have asked this allocator, the first ones must not get what the others will ask for.
         let all_known_at = election.serve(now) + 2 * options.request_interval_us;
-        let max_amount = if now < all_known_at { shared / members } else { Amount::MAX };
-        let terms =
-            Terms { shared, max_amount, until: until + settling_us, demand_lifetime_us: options.lease_us };
+        let max_amount = if now < all_known_at {
+            shared / members
+        } else {
+            Amount::MAX
+        };
+        let terms = Terms {
+            shared,
+            max_amount,
+            until: until + settling_us,
+            demand_lifetime_us: options.lease_us,
+        };
         let Some(amount) = budget.allocation.grant(now, from, &request, terms) else {
             self.counters.stale += 1;
             return;
         };
         self.counters.granted += 1;
         let LeaseRequest { budget, number, .. } = request;
-        let grant = LeaseGrant { budget, number, amount, duration_us: until - now };
+        let grant = LeaseGrant {
+            budget,
+            number,
+            amount,
+            duration_us: until - now,
+        };
         self.send(now, from.member, Message::LeaseGrant(grant));
     }
 
     fn receive_lease_grant(&mut self, now: Micros, grant: LeaseGrant) {
-        let Some(budget) = self.budgets.get_mut(grant.budget) else { return };
+        let Some(budget) = self.budgets.get_mut(grant.budget) else {
+            return;
+        };
         if !budget.holding.accept(now, grant, &self.options) {
             self.counters.stale += 1;
             return;
--- a/budgets/src/options.rs
+++ b/budgets/src/options.rs
@@ -47,7 +47,9 @@
 
     /// Returns these options for budgets with a settling time: votes outlast a lease and what is unsettled of it.
     pub fn with_settling_time(self, settling_us: Micros) -> Self {
-        let vote_us = self.vote_us.saturating_add(self.extended_by_drift(settling_us));
+        let vote_us = self
+            .vote_us
+            .saturating_add(self.extended_by_drift(settling_us));
         Options { vote_us, ..self }
     }
 }
--- a/budgets/src/spec.rs
+++ b/budgets/src/spec.rs
@@ -24,7 +24,11 @@
 impl fmt::Display for LimitTooSmall {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         // Operators know the reserved minimum by the key of their file, `floor`.
-        write!(f, "less than {}, the sum of the floors", self.reserved_total)
+        write!(
+            f,
+            "less than {}, the sum of the floors",
+            self.reserved_total
+        )
     }
 }
 
@@ -37,6 +41,8 @@
     /// Fails where the limit is less than the sum of the reserved minimums.
     pub fn shared(self, members: usize) -> Result<Amount, LimitTooSmall> {
         let reserved_total = self.reserved.saturating_mul(members as u64);
-        self.limit.checked_sub(reserved_total).ok_or(LimitTooSmall { reserved_total })
+        self.limit
+            .checked_sub(reserved_total)
+            .ok_or(LimitTooSmall { reserved_total })
     }
 }
--- a/budgets/src/vote.rs
+++ b/budgets/src/vote.rs
@@ -13,16 +13,26 @@
 impl Vote {
     /// The vote of a process that starts. An earlier process may have given it: it is free once that vote has expired.
     pub(crate) fn new(now: Micros, vote_us: Micros) -> Self {
-        Vote { candidate: None, until: now + vote_us }
+        Vote {
+            candidate: None,
+            until: now + vote_us,
+        }
     }
 
     /// Returns the member that has the vote.
     pub(crate) fn voted_for(&self, now: Micros) -> Option<MemberIndex> {
-        self.candidate.filter(|_| now < self.until).map(|candidate| candidate.member)
+        self.candidate
+            .filter(|_| now < self.until)
+            .map(|candidate| candidate.member)
     }
 
     /// Gives the vote to a candidate for `vote_us`, unless another one has it. Returns whether the candidate has it.
-    pub(crate) fn request(&mut self, now: Micros, candidate: MemberProcess, vote_us: Micros) -> bool {
+    pub(crate) fn request(
+        &mut self,
+        now: Micros,
+        candidate: MemberProcess,
+        vote_us: Micros,
+    ) -> bool {
         if self.candidate != Some(candidate) && now < self.until {
             return false;
         }
--- a/budgets/src/wire.rs
+++ b/budgets/src/wire.rs
@@ -29,7 +29,10 @@
     let head = format!("{MARK} {fingerprint:x} {process:x}");
     let mut datagrams: Vec<String> = Vec::new();
     for message in messages.iter().map(encode) {
-        match datagrams.last_mut().filter(|last| last.len() + message.len() <= MAX_DATAGRAM_BYTES) {
+        match datagrams
+            .last_mut()
+            .filter(|last| last.len() + message.len() <= MAX_DATAGRAM_BYTES)
+        {
             // Writing to a string does not fail.
             Some(last) => drop(write!(last, "{message}")),
             None => datagrams.push(format!("{head}{message}")),
@@ -44,11 +47,21 @@
 /// Fails where it is of another kind or version, or malformed; nothing of a malformed one is used.
 pub fn read(bytes: &[u8]) -> Result<Datagram, DecodeError> {
     let text = std::str::from_utf8(payload(bytes, MARK)?).map_err(|_| DecodeError::Malformed)?;
-    let mut words = text.strip_prefix(' ').ok_or(DecodeError::Malformed)?.split(' ');
+    let mut words = text
+        .strip_prefix(' ')
+        .ok_or(DecodeError::Malformed)?
+        .split(' ');
     let mut number = || u64::from_str_radix(words.next()?, 16).ok();
     let (fingerprint, process) = number().zip(number()).ok_or(DecodeError::Malformed)?;
-    let messages = words.map(decode).collect::<Option<Vec<Message>>>().ok_or(DecodeError::Malformed)?;
-    Ok(Datagram { fingerprint, process, messages })
+    let messages = words
+        .map(decode)
+        .collect::<Option<Vec<Message>>>()
+        .ok_or(DecodeError::Malformed)?;
+    Ok(Datagram {
+        fingerprint,
+        process,
+        messages,
+    })
 }
 
 /// A message as text. Its first letter stands for its kind: `s` for a vote request, `v` for a vote response, `w` for a lease
@@ -56,14 +69,33 @@
 fn encode(message: &Message) -> String {
     match *message {
         Message::VoteRequest(VoteRequest { group, number }) => format!(" s.{group:x}.{number:x}"),
-        Message::VoteResponse(VoteResponse { group, number, granted, voted_for }) => {
+        Message::VoteResponse(VoteResponse {
+            group,
+            number,
+            granted,
+            voted_for,
+        }) => {
             let voted_for = voted_for.map_or(0, |member| member + 1);
-            format!(" v.{group:x}.{number:x}.{:x}.{voted_for:x}", u8::from(granted))
+            format!(
+                " v.{group:x}.{number:x}.{:x}.{voted_for:x}",
+                u8::from(granted)
+            )
         }
-        Message::LeaseRequest(LeaseRequest { budget, number, demand, current_lease, unsettled }) => {
+        Message::LeaseRequest(LeaseRequest {
+            budget,
+            number,
+            demand,
+            current_lease,
+            unsettled,
+        }) => {
             format!(" w.{budget:x}.{number:x}.{demand:x}.{current_lease:x}.{unsettled:x}")
         }
-        Message::LeaseGrant(LeaseGrant { budget, number, amount, duration_us }) => {
+        Message::LeaseGrant(LeaseGrant {
+            budget,
+            number,
+            amount,
+            duration_us,
+        }) => {
             format!(" p.{budget:x}.{number:x}.{amount:x}.{duration_us:x}")
         }
     }
@@ -73,7 +105,10 @@
 fn decode(text: &str) -> Option<Message> {
     let mut fields = Fields(text.split('.'));
     let message = match fields.0.next()? {
-        "s" => Message::VoteRequest(VoteRequest { group: fields.index()?, number: fields.number()? }),
+        "s" => Message::VoteRequest(VoteRequest {
+            group: fields.index()?,
+            number: fields.number()?,
+        }),
         "v" => Message::VoteResponse(VoteResponse {
             group: fields.index()?,
             number: fields.number()?,
@@ -110,7 +145,8 @@
     }
 
     fn index(&mut self) -> Option<usize> {
-        self.number().and_then(|number| usize::try_from(number).ok())
+        self.number()
+            .and_then(|number| usize::try_from(number).ok())
     }
 
     fn flag(&mut self) -> Option<bool> {
--- a/consul/src/answer.rs
+++ b/consul/src/answer.rs
@@ -21,7 +21,13 @@
 
 impl fmt::Display for Skipped {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "instance '{}' is passed over: {}: {}", self.uid.escape_default(), self.key, self.why)
+        write!(
+            f,
+            "instance '{}' is passed over: {}: {}",
+            self.uid.escape_default(),
+            self.key,
+            self.why
+        )
     }
 }
 
@@ -41,7 +47,9 @@
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         Ok(match Value::deserialize(from)? {
             Value::Null => Field::Absent,
-            value => T::deserialize(value).map_or_else(|e| Field::Unreadable(e.to_string()), Field::Is),
+            value => {
+                T::deserialize(value).map_or_else(|e| Field::Unreadable(e.to_string()), Field::Is)
+            }
         })
     }
 }
@@ -130,13 +138,19 @@
 impl Instance {
     /// Its checks. What each of them says is needed; what it is called and its notes only make a better reason.
     pub fn checks(&self) -> Result<Vec<Standing<'_>>, (String, String)> {
-        let all = self.checks.needed().map_err(|why| ("Checks".to_owned(), why))?;
+        let all = self
+            .checks
+            .needed()
+            .map_err(|why| ("Checks".to_owned(), why))?;
         all.into_iter()
             .flatten()
             .enumerate()
             .map(|(n, check)| {
                 let at = |key: &str, why: String| (format!("Checks[{n}]{key}"), why);
-                let check = check.needed().map_err(|why| at("", why))?.ok_or(at("", MISSING.to_owned()))?;
+                let check = check
+                    .needed()
+                    .map_err(|why| at("", why))?
+                    .ok_or(at("", MISSING.to_owned()))?;
                 let status = check.status.needed().map_err(|why| at(".Status", why))?;
                 Ok(Standing {
                     id: check.id.known().map_or("", String::as_str),
@@ -158,17 +172,24 @@
     /// Why the instance must get no fresh work, if it must not. What the operators did by hand comes first: it
     /// says most.
     pub fn fault(&self) -> Option<Reason> {
-        let failing = || self.0.iter().filter(|c| !matches!(c.status, "passing" | "warning"));
+        let failing = || {
+            self.0
+                .iter()
+                .filter(|c| !matches!(c.status, "passing" | "warning"))
+        };
         let by = |of: &dyn Fn(&Standing) -> Option<Reason>| failing().find_map(of);
-        by(&|c| c.id.starts_with("_node_maintenance").then(|| Reason::NodeMaintenance(c.notes.to_owned())))
-            .or_else(|| {
-                by(&|c| {
-                    c.id.starts_with("_service_maintenance")
-                        .then(|| Reason::ServiceMaintenance(c.notes.to_owned()))
-                })
+        by(&|c| {
+            c.id.starts_with("_node_maintenance")
+                .then(|| Reason::NodeMaintenance(c.notes.to_owned()))
+        })
+        .or_else(|| {
+            by(&|c| {
+                c.id.starts_with("_service_maintenance")
+                    .then(|| Reason::ServiceMaintenance(c.notes.to_owned()))
             })
-            .or_else(|| by(&|c| (c.id == "serfHealth").then_some(Reason::NodeLost)))
-            .or_else(|| by(&|c| Some(Reason::Check(c.id.to_owned()))))
+        })
+        .or_else(|| by(&|c| (c.id == "serfHealth").then_some(Reason::NodeLost)))
+        .or_else(|| by(&|c| Some(Reason::Check(c.id.to_owned()))))
     }
 
     /// A check that warns.
@@ -218,7 +239,11 @@
                     self.part.extend_from_slice(&bytes[from..at]);
                     each(&self.part)?;
                     self.part.clear();
-                    self.place = if b == b',' { Place::Next } else { Place::AfterList };
+                    self.place = if b == b',' {
+                        Place::Next
+                    } else {
+                        Place::AfterList
+                    };
                 }
                 continue;
             }
@@ -291,7 +316,11 @@
         Ok(instance) => Ok(instance),
         Err(e) if e.is_data() => {
             let (uid, key) = ("?".to_owned(), ".".to_owned());
-            Err(Bad::Instance(Skipped { uid, key, why: e.to_string() }))
+            Err(Bad::Instance(Skipped {
+                uid,
+                key,
+                why: e.to_string(),
+            }))
         }
         Err(e) => Err(Bad::Answer(e.to_string())),
     }
@@ -333,7 +362,13 @@
     #[test]
     fn a_list_is_split_into_its_elements_however_it_is_cut() {
         let text = r#" [ {"a":"]},[\"\\\"","b":[1,{"c":2}]} , [] ,17, "x,]" ,{} ] "#;
-        let want = [r#"{"a":"]},[\"\\\"","b":[1,{"c":2}]}"#, "[]", "17", r#""x,]""#, "{}"];
+        let want = [
+            r#"{"a":"]},[\"\\\"","b":[1,{"c":2}]}"#,
+            "[]",
+            "17",
+            r#""x,]""#,
+            "{}",
+        ];
         for cut in 0..=text.len() {
             assert_eq!(split(text, cut).unwrap(), want, "cut at {cut}");
         }
--- a/consul/src/http.rs
+++ b/consul/src/http.rs
@@ -5,7 +5,11 @@
 use std::fmt;
 
 /// What may stand in a path segment unescaped (RFC 3986, 'unreserved').
-const SEGMENT: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'.').remove(b'_').remove(b'~');
+const SEGMENT: &AsciiSet = &NON_ALPHANUMERIC
+    .remove(b'-')
+    .remove(b'.')
+    .remove(b'_')
+    .remove(b'~');
 
 /// A secret that never shows in a log.
 #[derive(Clone, PartialEq, Eq)]
@@ -76,7 +80,8 @@
     /// The request as HTTP/1.1, for one request a connection.
     pub fn to_bytes(&self, host: &str, token: Option<&Token>) -> Vec<u8> {
         let (method, target) = (self.method, &self.target);
-        let mut head = format!("{method} {target} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n");
+        let mut head =
+            format!("{method} {target} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n");
         head.push_str("Connection: close\r\n");
         if let Some(Token(token)) = token {
             head.push_str(&format!("X-Consul-Token: {token}\r\n"));
@@ -106,13 +111,21 @@
 impl Response<'_> {
     /// The value of a header, by its name in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
+        self.headers
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, value)| value.as_str())
     }
 
     /// What an answer that is no success says of itself: its first line, cut short.
     pub fn says(&self) -> String {
         let text = String::from_utf8_lossy(&self.body[..self.body.len().min(160)]).into_owned();
-        text.lines().next().unwrap_or("").chars().filter(|c| !c.is_control()).collect()
+        text.lines()
+            .next()
+            .unwrap_or("")
+            .chars()
+            .filter(|c| !c.is_control())
+            .collect()
     }
 }
 
@@ -170,15 +183,28 @@
 
     #[test]
     fn requests_are_escaped_and_tokens_stay_out_of_sight() {
-        let query = [("index", "7"), ("stale", ""), ("filter", "Service.Meta.az == \"a b\"")];
-        let target = target(format!("/v1/health/service/{}", segment("pop cache/ä")), &query);
+        let query = [
+            ("index", "7"),
+            ("stale", ""),
+            ("filter", "Service.Meta.az == \"a b\""),
+        ];
+        let target = target(
+            format!("/v1/health/service/{}", segment("pop cache/ä")),
+            &query,
+        );
         assert_eq!(
             target,
             "/v1/health/service/pop%20cache%2F%C3%A4?index=7&stale&filter=Service.Meta.az+%3D%3D+%22a+b%22"
         );
         let token = Token::read("b1gs33cr3t\n").unwrap();
         assert!(!format!("{token:?}").contains("b1g"));
-        let call = Call { agent: 0, method: "GET", target, body: Vec::new(), timeout_us: 1 };
+        let call = Call {
+            agent: 0,
+            method: "GET",
+            target,
+            body: Vec::new(),
+            timeout_us: 1,
+        };
         let text = String::from_utf8(call.to_bytes("c:8500", Some(&token))).unwrap();
         assert!(text.contains("\r\nX-Consul-Token: b1gs33cr3t\r\n") && text.ends_with("\r\n\r\n"));
         for (bad, why) in [
--- a/consul/src/mapping.rs
+++ b/consul/src/mapping.rs
@@ -38,7 +38,13 @@
     fn default() -> Self {
         let [zone, kind, cell, capacity, started_ms] =
             ["az", "model", "pod_group", "capacity_hint", "boot_ms"].map(str::to_owned);
-        MetaKeys { zone, kind, cell, capacity, started_ms }
+        MetaKeys {
+            zone,
+            kind,
+            cell,
+            capacity,
+            started_ms,
+        }
     }
 }
 
@@ -83,12 +89,17 @@
 
 impl Meta<'_> {
     fn bad(&self, key: &str, why: String) -> Skipped {
-        Skipped { uid: self.uid.to_owned(), key: format!("Service.Meta.{key}"), why }
+        Skipped {
+            uid: self.uid.to_owned(),
+            key: format!("Service.Meta.{key}"),
+            why,
+        }
     }
 
     fn text(&self, key: &str) -> Result<Option<&str>, Skipped> {
         let text = self.values.get(key).map_or(Ok(None), Field::needed);
-        text.map(|text| text.map(String::as_str)).map_err(|why| self.bad(key, why))
+        text.map(|text| text.map(String::as_str))
+            .map_err(|why| self.bad(key, why))
     }
 
     fn text_or(&self, key: &str, default: &str) -> Result<String, Skipped> {
@@ -97,8 +108,14 @@
 
     /// A figure: finite and not negative.
     fn number(&self, key: &str) -> Result<Option<f64>, Skipped> {
-        let Some(text) = self.text(key)? else { return Ok(None) };
-        let number = text.trim().parse::<f64>().ok().filter(|n| n.is_finite() && *n >= 0.0);
+        let Some(text) = self.text(key)? else {
+            return Ok(None);
+        };
+        let number = text
+            .trim()
+            .parse::<f64>()
+            .ok()
+            .filter(|n| n.is_finite() && *n >= 0.0);
         match number {
             Some(number) => Ok(Some(number)),
             None => Err(self.bad(key, format!("'{}' is no figure", text.escape_default()))),
@@ -110,7 +127,11 @@
 fn weight(service: &Service, capacity: Option<f64>, warns: bool) -> f64 {
     // Weights that can't be read are as those that are not told: a box with a wrong share is better than none.
     let weigh = |of: fn(&Weights) -> &Field<f64>| {
-        service.weights.known().and_then(|w| of(w).known().copied()).unwrap_or(1.0)
+        service
+            .weights
+            .known()
+            .and_then(|w| of(w).known().copied())
+            .unwrap_or(1.0)
     };
     let passing = weigh(|w| &w.passing).max(0.0);
     let warning = weigh(|w| &w.warning);
@@ -129,7 +150,9 @@
     }
     match checks.warning() {
         // Weighed with nothing while it warns: it is to be given nothing.
-        Some(check) if weight.is_nan() || weight <= 0.0 => (State::Draining, Reason::Check(check.to_owned())),
+        Some(check) if weight.is_nan() || weight <= 0.0 => {
+            (State::Draining, Reason::Check(check.to_owned()))
+        }
         _ => (State::Ready, Reason::Told),
     }
 }
@@ -150,7 +173,11 @@
             Identity::Service => text(Part::Service, service)?,
             Identity::Node => text(Part::Node, node)?,
             Identity::NodeAndService => {
-                format!("{}/{}", text(Part::Node, node)?, text(Part::Service, service)?)
+                format!(
+                    "{}/{}",
+                    text(Part::Node, node)?,
+                    text(Part::Service, service)?
+                )
             }
         })
     }
@@ -161,19 +188,31 @@
         let node = i.node.known().unwrap_or(&no_node);
         let service = i.service.known().unwrap_or(&no_service);
         let uid = self.checked_uid(i, node, service)?;
-        let bad = |key: &str, why: String| Skipped { uid: uid.clone(), key: key.to_owned(), why };
+        let bad = |key: &str, why: String| Skipped {
+            uid: uid.clone(),
+            key: key.to_owned(),
+            why,
+        };
         let none = BTreeMap::new();
-        let values = service.meta.needed().map_err(|why| bad("Service.Meta", why))?.unwrap_or(&none);
+        let values = service
+            .meta
+            .needed()
+            .map_err(|why| bad("Service.Meta", why))?
+            .unwrap_or(&none);
         let meta = Meta { uid: &uid, values };
         let zone = meta.text_or(&self.keys.zone, &self.zone)?;
         let kind = meta.text_or(&self.keys.kind, &self.kind)?;
         self.check_zone(&meta, &zone)?;
-        let endpoint = self.endpoint(node, service).map_err(|(key, why)| bad(&key, why))?;
+        let endpoint = self
+            .endpoint(node, service)
+            .map_err(|(key, why)| bad(&key, why))?;
         let checks = i.checks().map_err(|(key, why)| bad(&key, why))?;
         let capacity = meta.number(&self.keys.capacity)?.filter(|n| *n > 0.0);
         let weight = weight(service, capacity, Checks(&checks).warning().is_some());
         let (state, reason) = standing(&Checks(&checks), weight);
-        let started = meta.number(&self.keys.started_ms)?.map(|ms| (ms * 1000.0) as Micros);
+        let started = meta
+            .number(&self.keys.started_ms)?
+            .map(|ms| (ms * 1000.0) as Micros);
         let cell = meta.number(&self.keys.cell)?.unwrap_or(0.0) as u64;
         let server = Server {
             id: server_id(&uid),
@@ -184,7 +223,14 @@
             state,
             started: started.filter(|at| *at > 0),
         };
-        Ok(Report { entry: Entry { server, uid, endpoint }, reason })
+        Ok(Report {
+            entry: Entry {
+                server,
+                uid,
+                endpoint,
+            },
+            reason,
+        })
     }
 
     /// The id of an instance, if it can be that of a box.
@@ -199,12 +245,24 @@
         };
         let uid = self.uid(&node.node, &service.id).map_err(|(part, why)| {
             let (key, why) = fault(part, why);
-            Skipped { uid: "?".to_owned(), key: key.to_owned(), why }
+            Skipped {
+                uid: "?".to_owned(),
+                key: key.to_owned(),
+                why,
+            }
         })?;
         if !is_usable(&uid) {
-            let key = if self.identity == Identity::Node { "Node.Node" } else { "Service.ID" };
+            let key = if self.identity == Identity::Node {
+                "Node.Node"
+            } else {
+                "Service.ID"
+            };
             let why = format!("'{}' can't be the id of a box", uid.escape_default());
-            return Err(Skipped { uid, key: key.to_owned(), why });
+            return Err(Skipped {
+                uid,
+                key: key.to_owned(),
+                why,
+            });
         }
         Ok(uid)
     }
@@ -215,7 +273,10 @@
             return Ok(());
         }
         let known = self.zones.join(", ");
-        let why = format!("'{}' is no zone of this deployment ({known})", zone.escape_default());
+        let why = format!(
+            "'{}' is no zone of this deployment ({known})",
+            zone.escape_default()
+        );
         Err(meta.bad(&self.keys.zone, why))
     }
 
@@ -224,21 +285,34 @@
         let mut port = (&service.port, "Service.Port".to_owned());
         if let Some(tag) = self.tagged_address.as_deref() {
             let at = |part: &str, why| (format!("{part}.TaggedAddresses.{tag}"), why);
-            let own = service.tagged_addresses.needed().map_err(|why| at("Service", why))?;
-            let own = own.and_then(|all| all.get(tag)).map_or(Ok(None), Field::needed);
+            let own = service
+                .tagged_addresses
+                .needed()
+                .map_err(|why| at("Service", why))?;
+            let own = own
+                .and_then(|all| all.get(tag))
+                .map_or(Ok(None), Field::needed);
             if let Some(tagged) = own.map_err(|why| at("Service", why))? {
                 key = format!("Service.TaggedAddresses.{tag}.Address");
                 address = tagged.address.needed().map_err(|why| (key.clone(), why))?;
                 port = (&tagged.port, format!("Service.TaggedAddresses.{tag}.Port"));
             } else {
-                let of_node = node.tagged_addresses.needed().map_err(|why| at("Node", why))?;
-                let of_node = of_node.and_then(|all| all.get(tag)).map_or(Ok(None), Field::needed);
+                let of_node = node
+                    .tagged_addresses
+                    .needed()
+                    .map_err(|why| at("Node", why))?;
+                let of_node = of_node
+                    .and_then(|all| all.get(tag))
+                    .map_or(Ok(None), Field::needed);
                 address = of_node.map_err(|why| at("Node", why))?;
                 key = format!("Node.TaggedAddresses.{tag}");
             }
         }
         if address.is_none() {
-            let own = service.address.needed().map_err(|why| ("Service.Address".to_owned(), why))?;
+            let own = service
+                .address
+                .needed()
+                .map_err(|why| ("Service.Address".to_owned(), why))?;
             address = own.filter(|a| !a.is_empty());
             key = "Service.Address".to_owned();
         }
@@ -250,7 +324,10 @@
         let ip: IpAddr = address.parse().map_err(|_| {
             (
                 key.clone(),
-                format!("'{}' is no IP address, and names are not looked up", address.escape_default()),
+                format!(
+                    "'{}' is no IP address, and names are not looked up",
+                    address.escape_default()
+                ),
             )
         })?;
         if ip.is_unspecified() || ip.is_multicast() {
@@ -258,7 +335,12 @@
         }
         let (port, key) = port;
         let number = port.needed().map_err(|why| (key.clone(), why))?;
-        let port = number.and_then(|p| u16::try_from(*p).ok()).filter(|p| *p > 0);
-        Ok(SocketAddr::new(ip, port.ok_or((key, "it is no port to connect to".to_owned()))?))
+        let port = number
+            .and_then(|p| u16::try_from(*p).ok())
+            .filter(|p| *p > 0);
+        Ok(SocketAddr::new(
+            ip,
+            port.ok_or((key, "it is no port to connect to".to_owned()))?,
+        ))
     }
 }
--- a/consul/src/register.rs
+++ b/consul/src/register.rs
@@ -146,8 +146,9 @@
             return None;
         }
         // A change is told at once, unless the agent has just failed.
-        let news =
-            self.stage == Stage::Registered && self.told != Some(ready) && self.backoff.failures() == 0;
+        let news = self.stage == Stage::Registered
+            && self.told != Some(ready)
+            && self.backoff.failures() == 0;
         Some(if news { now } else { self.next_at })
     }
 
@@ -177,20 +178,44 @@
                     },
                 };
                 let body = serde_json::to_vec(&body).unwrap_or_default();
-                (Out::Register(ready), "/v1/agent/service/register".to_owned(), body)
+                (
+                    Out::Register(ready),
+                    "/v1/agent/service/register".to_owned(),
+                    body,
+                )
             }
             Stage::Registered => {
-                let output = if ready { "serving" } else { "no boxes to send to, or about to end" };
-                let body = serde_json::to_vec(&Update { status: status(ready), output }).unwrap_or_default();
-                (Out::Update(ready), format!("/v1/agent/check/update/{}", segment(&self.check_id())), body)
-            }
-            Stage::Leaving => {
-                (Out::Leave, format!("/v1/agent/service/deregister/{}", segment(&self.r.id)), Vec::new())
+                let output = if ready {
+                    "serving"
+                } else {
+                    "no boxes to send to, or about to end"
+                };
+                let body = serde_json::to_vec(&Update {
+                    status: status(ready),
+                    output,
+                })
+                .unwrap_or_default();
+                (
+                    Out::Update(ready),
+                    format!("/v1/agent/check/update/{}", segment(&self.check_id())),
+                    body,
+                )
             }
+            Stage::Leaving => (
+                Out::Leave,
+                format!("/v1/agent/service/deregister/{}", segment(&self.r.id)),
+                Vec::new(),
+            ),
             Stage::Left => return None,
         };
         self.out = Some(out);
-        Some(Call { agent: self.agent, method: "PUT", target, body, timeout_us: self.r.answer_us })
+        Some(Call {
+            agent: self.agent,
+            method: "PUT",
+            target,
+            body,
+            timeout_us: self.r.answer_us,
+        })
     }
 
     /// The call was answered.
--- a/consul/src/watch/content.rs
+++ b/consul/src/watch/content.rs
@@ -26,10 +26,18 @@
         for (uid, skipped) in &content.skipped {
             // It is still registered, but nothing is known of it that could be used.
             if let Some(known) = self.last.get(uid).filter(|_| !named.contains_key(uid)) {
-                named.insert(uid.clone(), drained(known, Reason::Unusable(skipped.key.clone())));
+                named.insert(
+                    uid.clone(),
+                    drained(known, Reason::Unusable(skipped.key.clone())),
+                );
             }
         }
-        self.missing = self.last.keys().filter(|uid| !named.contains_key(*uid)).cloned().collect();
+        self.missing = self
+            .last
+            .keys()
+            .filter(|uid| !named.contains_key(*uid))
+            .cloned()
+            .collect();
         if !self.hold_if_shrunk(told) {
             for uid in &self.missing {
                 if let Some(report) = self.last.get(uid) {
@@ -38,13 +46,20 @@
             }
         }
         for (uid, report) in named {
-            let same = self.last.get(&uid).is_some_and(|r| Arc::ptr_eq(r, &report) || *r == report);
+            let same = self
+                .last
+                .get(&uid)
+                .is_some_and(|r| Arc::ptr_eq(r, &report) || *r == report);
             if !same {
                 changes.push(Report::clone(&report));
                 self.last.insert(uid, report);
             }
         }
-        self.asks = if self.missing.is_empty() { Asks::Health } else { Asks::Catalogue };
+        self.asks = if self.missing.is_empty() {
+            Asks::Health
+        } else {
+            Asks::Catalogue
+        };
     }
 
     /// Takes in the index of an answer, from which the next query waits.
@@ -63,22 +78,46 @@
 
     /// Notes what can't be used of an answer, each thing once, when it begins.
     fn note_faults(&mut self, content: &Content, told: &mut Told) {
-        let Content { named, duplicates, skipped, unusable, .. } = content;
+        let Content {
+            named,
+            duplicates,
+            skipped,
+            unusable,
+            ..
+        } = content;
         let of = unusable + named.len() + duplicates.len();
         let mostly = 2 * unusable > of;
-        if let (true, false, Some(first)) = (mostly, self.mostly_unusable, skipped.values().next()) {
-            told.notes.push(Note::MostlyUnusable { unusable: *unusable, of, first: first.clone() });
+        if let (true, false, Some(first)) = (mostly, self.mostly_unusable, skipped.values().next())
+        {
+            told.notes.push(Note::MostlyUnusable {
+                unusable: *unusable,
+                of,
+                first: first.clone(),
+            });
         }
         self.mostly_unusable = mostly;
-        for (uid, duplicate) in duplicates.iter().filter(|(uid, _)| !self.duplicates.contains(*uid)) {
+        for (uid, duplicate) in duplicates
+            .iter()
+            .filter(|(uid, _)| !self.duplicates.contains(*uid))
+        {
             let (kept, refused) = (duplicate.kept, duplicate.refused);
-            told.notes.push(Note::SameId { uid: uid.clone(), kept, refused });
+            told.notes.push(Note::SameId {
+                uid: uid.clone(),
+                kept,
+                refused,
+            });
         }
         self.duplicates = duplicates.keys().cloned().collect();
-        for s in skipped.values().filter(|s| !self.skipped.contains(&(s.uid.clone(), s.key.clone()))) {
+        for s in skipped
+            .values()
+            .filter(|s| !self.skipped.contains(&(s.uid.clone(), s.key.clone())))
+        {
             told.notes.push(Note::Skipped(s.clone()));
         }
-        self.skipped = skipped.values().map(|s| (s.uid.clone(), s.key.clone())).collect();
+        self.skipped = skipped
+            .values()
+            .map(|s| (s.uid.clone(), s.key.clone()))
+            .collect();
     }
 
     /// Holds an answer that leaves out too many of those that ran, until the catalogue confirms it. False: it counts.
@@ -102,7 +141,12 @@
     }
 
     /// What a catalogue's answer comes to, of those that the last health answer left out.
-    pub(super) fn catalogue(&mut self, known: &BTreeSet<String>, changes: &mut Vec<Report>, told: &mut Told) {
+    pub(super) fn catalogue(
+        &mut self,
+        known: &BTreeSet<String>,
+        changes: &mut Vec<Report>,
+        told: &mut Told,
+    ) {
         self.asks = Asks::Health;
         let missing = std::mem::take(&mut self.missing);
         if let Some(HeldAnswer { named, ran }) = self.held.take() {
@@ -121,7 +165,9 @@
             told.confirmed = true;
         }
         for uid in missing {
-            let Some(report) = self.last.get(&uid) else { continue };
+            let Some(report) = self.last.get(&uid) else {
+                continue;
+            };
             if known.contains(&uid) {
                 // Registered without health: its agent is on the way out, or a filter leaves it out.
                 let report = drained(report, Reason::NoHealth);
--- a/consul/src/watch/reading.rs
+++ b/consul/src/watch/reading.rs
@@ -62,7 +62,9 @@
 impl Reading {
     /// Takes bytes of the answer in.
     pub(super) fn read(&mut self, bytes: &[u8], context: &Context<'_>) {
-        let Reading { elements, content, .. } = self;
+        let Reading {
+            elements, content, ..
+        } = self;
         let result = elements.read(bytes, |raw| match context.asks {
             Asks::Catalogue => content.add_registered(raw, context),
             Asks::Health => content.add_instance(raw, context),
@@ -88,7 +90,8 @@
         let found = registered(raw)?;
         // Left out, it would count as gone: an answer that can't tell which box it names tells nothing.
         let uid = context.mapping.uid(&found.node, &found.id);
-        self.registered.insert(uid.map_err(|(part, why)| format!("{part:?}: {why}"))?);
+        self.registered
+            .insert(uid.map_err(|(part, why)| format!("{part:?}: {why}"))?);
         Ok(())
     }
 
@@ -99,7 +102,9 @@
         let hash = hasher.finish();
         let report = match context.known.get(&hash) {
             Some(report) => report.clone(),
-            None => match instance(raw).and_then(|i| context.mapping.report(&i).map_err(Bad::Instance)) {
+            None => match instance(raw)
+                .and_then(|i| context.mapping.report(&i).map_err(Bad::Instance))
+            {
                 Ok(report) => Arc::new(report),
                 Err(Bad::Instance(skipped)) => {
                     self.unusable += 1;
@@ -122,7 +127,12 @@
             return;
         };
         let had = context.last.get(&uid).map(|r| r.entry.endpoint);
-        let rank = |r: &Report| (had != Some(r.entry.endpoint), r.entry.server.state != State::Ready);
+        let rank = |r: &Report| {
+            (
+                had != Some(r.entry.endpoint),
+                r.entry.server.state != State::Ready,
+            )
+        };
         let mut other = report;
         if rank(&other) < rank(first) {
             std::mem::swap(first, &mut other);
--- a/daemon/src/bus.rs
+++ b/daemon/src/bus.rs
@@ -54,7 +54,11 @@
         state,
         started: Some(int_or(m, "boot_ms", 0)? * 1000).filter(|at| *at > 0),
     };
-    Ok(Entry { server, uid, endpoint: endpoint.parse().map_err(|_| wrong("endpoint"))? })
+    Ok(Entry {
+        server,
+        uid,
+        endpoint: endpoint.parse().map_err(|_| wrong("endpoint"))?,
+    })
 }
 
 /// Reads an event.
@@ -62,12 +66,23 @@
     let m = value.as_object().ok_or("an event is not an object")?;
     let news = if get(m, "topology").is_some() {
         let topology = object(m, "topology")?;
-        let mode = if flag(topology, "all")? { ListMode::Full } else { ListMode::Delta };
-        let rev = get(topology, "rev").map(|_| int(topology, "rev")).transpose()?;
+        let mode = if flag(topology, "all")? {
+            ListMode::Full
+        } else {
+            ListMode::Delta
+        };
+        let rev = get(topology, "rev")
+            .map(|_| int(topology, "rev"))
+            .transpose()?;
         let targets = list(topology, "targets")?;
         let read = |v: &Value| entry(v.as_object().ok_or_else(|| wrong("targets"))?);
         // One that can't be read must not hide what the others say.
-        let mut answer = Answer { rev, mode, entries: Vec::new(), unreadable: Vec::new() };
+        let mut answer = Answer {
+            rev,
+            mode,
+            entries: Vec::new(),
+            unreadable: Vec::new(),
+        };
         for target in targets {
             match read(target) {
                 Ok(entry) => answer.entries.push(entry),
@@ -78,12 +93,23 @@
     } else if get(m, "ban").is_some() {
         let ban = object(m, "ban")?;
         let object = get(ban, "url").map(|_| text(ban, "url")).transpose()?;
-        let group = if object.is_some() { 0 } else { int(ban, "tag")? };
-        Some(News::Purge { object, group, at: int(ban, "ts")? * 1000 })
+        let group = if object.is_some() {
+            0
+        } else {
+            int(ban, "tag")?
+        };
+        Some(News::Purge {
+            object,
+            group,
+            at: int(ban, "ts")? * 1000,
+        })
     } else {
         None
     };
-    Ok(BusEvent { offset: int(m, "offset")?, news })
+    Ok(BusEvent {
+        offset: int(m, "offset")?,
+        news,
+    })
 }
 
 /// One call to the bus.
@@ -105,7 +131,10 @@
     /// A call just begun.
     pub fn new(limits: &Limits) -> Self {
         let http = http::Messages::responses(limits.line, usize::MAX);
-        Feed { http, events: sse::Events::new(limits.line) }
+        Feed {
+            http,
+            events: sse::Events::new(limits.line),
+        }
     }
 
     /// Takes bytes in: how many, and the events that became whole, those after `last` only.
@@ -142,7 +171,8 @@
             let (taken, event) = self.events.parse(bytes)?;
             bytes = &bytes[taken..];
             let Some(event) = event else { continue };
-            let value = serde_json::from_str(&event.data).map_err(|_| WireError::Malformed("an event"))?;
+            let value =
+                serde_json::from_str(&event.data).map_err(|_| WireError::Malformed("an event"))?;
             match read_event(&value) {
                 // A repeat after a reconnection is old news: the list must not step back.
                 Ok(event) if event.offset > *last => {
--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -9,7 +9,9 @@
 use crate::limits::Limits;
 use linnetknot::Settings;
 use linnetknot_discovery::Answer;
-use linnetknot_settings::{get, int_or, list, object, settings, text, text_or, wrong, Fields, Result};
+use linnetknot_settings::{
+    get, int_or, list, object, settings, text, text_or, wrong, Fields, Result,
+};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -73,7 +75,9 @@
 const SOCKET_SLACK_US: u64 = 50_000;
 
 fn address(m: &Fields, key: &str) -> Result<Option<SocketAddr>> {
-    get(m, key).map(|_| text(m, key)?.parse().map_err(|_| wrong(key))).transpose()
+    get(m, key)
+        .map(|_| text(m, key)?.parse().map_err(|_| wrong(key)))
+        .transpose()
 }
 
 fn known(m: &Fields) -> Result<(u64, Vec<BusEvent>)> {
@@ -81,19 +85,27 @@
         return Ok((0, Vec::new()));
     }
     let known = object(m, "known")?;
-    let events: Vec<BusEvent> = list(known, "batch")?.iter().map(read_event).collect::<Result<_>>()?;
+    let events: Vec<BusEvent> = list(known, "batch")?
+        .iter()
+        .map(read_event)
+        .collect::<Result<_>>()?;
     // Heard later, what can't be read is passed over; here it is a fault of the configuration.
     for event in &events {
         if let Some(News::List(Answer { unreadable, .. })) = &event.news {
-            unreadable.first().map_or(Ok(()), |fault| Err(fault.clone()))?;
+            unreadable
+                .first()
+                .map_or(Ok(()), |fault| Err(fault.clone()))?;
         }
     }
     Ok((int_or(known, "offset", 0)?, events))
 }
 
 fn cdni(file: &CdniFile, settings: &Settings) -> Result<Option<Cdni>> {
-    let Some(listen) = file.listen else { return Ok(None) };
-    let said = |key: &str, value: &Option<String>| value.clone().ok_or(format!("cdni.{key} is missing"));
+    let Some(listen) = file.listen else {
+        return Ok(None);
+    };
+    let said =
+        |key: &str, value: &Option<String>| value.clone().ok_or(format!("cdni.{key} is missing"));
     let mut footprint = Vec::new();
     for (n, text) in file.footprint.iter().enumerate() {
         let network = Network::read(text);
@@ -114,15 +126,26 @@
         neighbours: file.neighbours.iter().map(neighbour).collect(),
         classes: read.map(|c| (c.name.clone(), c.deadline_us)).collect(),
     };
-    Ok(Some(Cdni { listen, identity, purges: file.purges.clone() }))
+    Ok(Some(Cdni {
+        listen,
+        identity,
+        purges: file.purges.clone(),
+    }))
 }
 
 /// What the settings say of connections to boxes: how long one may take to come up, and how long it may rest; 0: not
 /// told.
 fn network(settings: &Fields) -> Result<(u64, u64)> {
     let none = Fields::new();
-    let limits = if get(settings, "limits").is_some() { object(settings, "limits")? } else { &none };
-    Ok((int_or(limits, "connect-timeout-us", 0)?, int_or(limits, "conn-idle-us", 0)?))
+    let limits = if get(settings, "limits").is_some() {
+        object(settings, "limits")?
+    } else {
+        &none
+    };
+    Ok((
+        int_or(limits, "connect-timeout-us", 0)?,
+        int_or(limits, "conn-idle-us", 0)?,
+    ))
 }
 
 /// The object of a file.
@@ -140,9 +163,14 @@
     /// lacks. The second front and Consul stand in a file of the deployment's own, `deploy/interconnect.json`
     /// unless `LINNETKNOT_INTERCONNECT` names another.
     pub fn from_env() -> Result<Self> {
-        let path = std::env::var("ROUTER_CONFIG").map_err(|_| "the variable ROUTER_CONFIG names no file")?;
+        let path = std::env::var("ROUTER_CONFIG")
+            .map_err(|_| "the variable ROUTER_CONFIG names no file")?;
         let mut m = file(&path)?;
-        for (key, variable) in [("name", "ROUTER_NAME"), ("listen", "ROUTER_LISTEN"), ("ops", "ROUTER_OPS")] {
+        for (key, variable) in [
+            ("name", "ROUTER_NAME"),
+            ("listen", "ROUTER_LISTEN"),
+            ("ops", "ROUTER_OPS"),
+        ] {
             if let (None, Ok(said)) = (get(&m, key), std::env::var(variable)) {
                 m.insert(key.to_owned(), said.into());
             }
@@ -151,7 +179,9 @@
         let named = std::env::var("LINNETKNOT_INTERCONNECT").ok();
         let path = named.as_deref().unwrap_or(INTERCONNECT);
         if named.is_some() || Path::new(path).exists() {
-            config.interconnect(&file(path)?).map_err(|e| format!("{path}: {e}"))?;
+            config
+                .interconnect(&file(path)?)
+                .map_err(|e| format!("{path}: {e}"))?;
         }
         Ok(config)
     }
@@ -163,8 +193,16 @@
             let path = e.path().to_string();
             format!("{path}: {}", e.into_inner())
         })?;
-        self.cdni = file.cdni.as_ref().map(|c| cdni(c, &self.settings)).transpose()?.flatten();
-        let consul = file.consul.as_ref().map(|c| c.check(&self.settings, &self.name));
+        self.cdni = file
+            .cdni
+            .as_ref()
+            .map(|c| cdni(c, &self.settings))
+            .transpose()?
+            .flatten();
+        let consul = file
+            .consul
+            .as_ref()
+            .map(|c| c.check(&self.settings, &self.name));
         self.consul = consul.transpose()?.flatten();
         self.tell = file.peers.tell;
         self.copies_file = (file.peers.copies, file.copies);
@@ -172,7 +210,9 @@
         if self.copies.on && self.cdni.as_ref().is_none_or(|c| c.purges.is_none()) {
             return Err("peers.copies: 'cdni.purges' names no file to keep them in".into());
         }
-        self.budgets = file.budgets.check(&self.settings, self.copies.on, self.peers.as_ref())?;
+        self.budgets = file
+            .budgets
+            .check(&self.settings, self.copies.on, self.peers.as_ref())?;
         self.state = file.state.check()?;
         self.log = file.log.form;
         Ok(())
@@ -229,13 +269,21 @@
             ("state", self.state != new.state),
             ("log", self.log != new.log),
         ];
-        changes.into_iter().filter(|(_, changed)| *changed).map(|(key, _)| key).collect()
+        changes
+            .into_iter()
+            .filter(|(_, changed)| *changed)
+            .map(|(key, _)| key)
+            .collect()
     }
 
     /// Reads a configuration.
     pub fn read(m: &Fields) -> Result<Self> {
         let none = Fields::new();
-        let machine = if get(m, "limits").is_some() { object(m, "limits")? } else { &none };
+        let machine = if get(m, "limits").is_some() {
+            object(m, "limits")?
+        } else {
+            &none
+        };
         let whole = |key: &str, default: u64| {
             int_or(machine, key, default).and_then(|n| {
                 let n = usize::try_from(n).map_err(|_| wrong(&format!("limits.{key}")))?;
@@ -247,8 +295,12 @@
             })
         };
         let seed = text_or(m, "seed", "0")?;
-        let peers = list(m, "peers")?.iter().map(|v| v.as_str().and_then(|p| p.parse().ok()));
-        let peers = peers.collect::<Option<Vec<_>>>().ok_or_else(|| wrong("peers"))?;
+        let peers = list(m, "peers")?
+            .iter()
+            .map(|v| v.as_str().and_then(|p| p.parse().ok()));
+        let peers = peers
+            .collect::<Option<Vec<_>>>()
+            .ok_or_else(|| wrong("peers"))?;
         let mut parsed = settings(object(m, "settings")?).map_err(|e| format!("settings: {e}"))?;
         // Boxes drop what was purged by themselves, each time limit on sockets being that much longer: until
         // then an age must be asked for.
@@ -257,7 +309,9 @@
         let network = network(object(m, "settings")?).map_err(|e| format!("settings: {e}"))?;
         // What the process may really hold binds it, whatever it was told.
         let allowed = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
-        let allowed = allowed.and_then(|n| usize::try_from(n).ok()).unwrap_or(usize::MAX);
+        let allowed = allowed
+            .and_then(|n| usize::try_from(n).ok())
+            .unwrap_or(usize::MAX);
         let sockets = whole("sockets", 1024)?.min(allowed.max(1));
         let machine = Limits::for_machine(sockets, whole("memory_mb", 192)?);
         Ok(Config {
@@ -296,13 +350,18 @@
     let mut results = Vec::new();
     for path in files {
         let shown = path.display().to_string();
-        let read = file(&shown).and_then(|m| match get(&m, "settings").or(get(&m, "listen")).is_some() {
-            false => {
-                own.push((shown.clone(), m));
-                Ok(None)
-            }
-            true => Config::read(&m).map(Some).map_err(|e| format!("{shown}: {e}")),
-        });
+        let read =
+            file(&shown).and_then(
+                |m| match get(&m, "settings").or(get(&m, "listen")).is_some() {
+                    false => {
+                        own.push((shown.clone(), m));
+                        Ok(None)
+                    }
+                    true => Config::read(&m)
+                        .map(Some)
+                        .map_err(|e| format!("{shown}: {e}")),
+                },
+            );
         match read {
             Ok(None) => {}
             Ok(Some(config)) => {
--- a/daemon/src/core.rs
+++ b/daemon/src/core.rs
@@ -5,8 +5,8 @@
 use crate::net::{Key, Slots};
 use linnetknot::purges::PurgeTable;
 use linnetknot::{
-    Action, Event, Fill, ListMode, Load, Micros, Note, Outcome, Repeat, Request, Router, ServerId, Settings,
-    SettingsError, State,
+    Action, Event, Fill, ListMode, Load, Micros, Note, Outcome, Repeat, Request, Router, ServerId,
+    Settings, SettingsError, State,
 };
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
@@ -127,7 +127,13 @@
 
 impl From<Outcome> for Ended {
     fn from(outcome: Outcome) -> Self {
-        Ended { outcome, note: Note::None, waited_us: 0, load: None, content: None }
+        Ended {
+            outcome,
+            note: Note::None,
+            waited_us: 0,
+            load: None,
+            content: None,
+        }
     }
 }
 
@@ -230,7 +236,11 @@
 impl Core {
     /// A core without boxes.
     pub fn new(settings: Settings, seed: u64, limits: &Limits) -> Result<Self, SettingsError> {
-        let keyed = settings.classes.iter().filter(|c| c.repeat == Repeat::Keyed).map(|c| c.name.clone());
+        let keyed = settings
+            .classes
+            .iter()
+            .filter(|c| c.repeat == Repeat::Keyed)
+            .map(|c| c.name.clone());
         Ok(Core {
             ids: HashSet::new(),
             keyed: keyed.collect(),
@@ -250,7 +260,11 @@
     /// New settings from a reload, checked whole: where they are not sound nothing changes. Requests under way
     /// keep the class they started with.
     pub fn retune(&mut self, settings: Settings) -> Result<(), SettingsError> {
-        let keyed = settings.classes.iter().filter(|c| c.repeat == Repeat::Keyed).map(|c| c.name.clone());
+        let keyed = settings
+            .classes
+            .iter()
+            .filter(|c| c.repeat == Repeat::Keyed)
+            .map(|c| c.name.clone());
         let keyed = keyed.collect();
         self.router.retune(settings)?;
         self.keyed = keyed;
@@ -275,7 +289,10 @@
     /// A request's text and how its attempt is to be sent, while that attempt is out.
     pub fn sending(&self, attempt: AttemptId) -> Option<(&Asked, &Sending)> {
         let open = self.requests.get(attempt.ticket)?;
-        let out = open.out.as_ref().filter(|out| out.number == attempt.number)?;
+        let out = open
+            .out
+            .as_ref()
+            .filter(|out| out.number == attempt.number)?;
         Some((&open.asked, &out.sending))
     }
 
@@ -292,8 +309,13 @@
 
     /// The first byte of an attempt is written.
     pub fn begun(&mut self, attempt: AttemptId) {
-        let out = self.requests.get_mut(attempt.ticket).and_then(|open| open.out.as_mut());
-        out.into_iter().filter(|out| out.number == attempt.number).for_each(|out| out.begun = true);
+        let out = self
+            .requests
+            .get_mut(attempt.ticket)
+            .and_then(|open| open.out.as_mut());
+        out.into_iter()
+            .filter(|out| out.number == attempt.number)
+            .for_each(|out| out.begun = true);
     }
 
     /// Whether half of the table is taken.
@@ -308,7 +330,9 @@
 
     /// Id on the wire and address of a box.
     pub fn location(&self, id: ServerId) -> Option<(&str, SocketAddr)> {
-        self.boxes.get(&id).map(|(uid, endpoint, _)| (uid.as_str(), *endpoint))
+        self.boxes
+            .get(&id)
+            .map(|(uid, endpoint, _)| (uid.as_str(), *endpoint))
     }
 
     /// Id on the wire of a box, for the log; `-` where it is gone.
@@ -320,13 +344,19 @@
     pub fn list(&mut self, now: Micros, mode: ListMode, entries: Vec<Entry>) {
         if mode == ListMode::Full {
             let named = |id: &ServerId| entries.iter().any(|e| e.server.id == *id);
-            let missing: Vec<ServerId> = self.boxes.keys().filter(|id| !named(id)).copied().collect();
-            missing.into_iter().for_each(|id| self.set_state(id, State::Gone));
+            let missing: Vec<ServerId> =
+                self.boxes.keys().filter(|id| !named(id)).copied().collect();
+            missing
+                .into_iter()
+                .for_each(|id| self.set_state(id, State::Gone));
         }
         let mut servers = Vec::new();
         for e in entries {
             let id = e.server.id;
-            let known = self.boxes.entry(id).or_insert((e.uid, e.endpoint, State::Ready));
+            let known = self
+                .boxes
+                .entry(id)
+                .or_insert((e.uid, e.endpoint, State::Ready));
             known.1 = e.endpoint;
             self.set_state(id, e.server.state);
             servers.push(e.server);
@@ -337,7 +367,9 @@
     }
 
     fn set_state(&mut self, id: ServerId, state: State) {
-        let Some(known) = self.boxes.get_mut(&id) else { return };
+        let Some(known) = self.boxes.get_mut(&id) else {
+            return;
+        };
         if std::mem::replace(&mut known.2, state) == State::Ready && state != State::Ready {
             self.commands.push(Command::Withdraw(id));
         }
@@ -345,7 +377,14 @@
 
     /// A purge of an object, or with none of a whole group. It holds for good.
     pub fn purged(&mut self, now: Micros, object: Option<String>, group: u64, at: Micros) {
-        self.feed(now, Event::Purged { object, group, age_us: now.saturating_sub(at) });
+        self.feed(
+            now,
+            Event::Purged {
+                object,
+                group,
+                age_us: now.saturating_sub(at),
+            },
+        );
     }
 
     /// The purges that are in force.
@@ -366,7 +405,10 @@
         if self.bodies + body > self.most_bodies || keyless || self.ids.contains(&asked.id) {
             return None;
         }
-        let remaining_us = asked.remaining_us.min(self.most_us).saturating_sub(self.answer_ahead_us);
+        let remaining_us = asked
+            .remaining_us
+            .min(self.most_us)
+            .saturating_sub(self.answer_ahead_us);
         let request = Request {
             id: 0,
             class: asked.class.clone(),
@@ -380,38 +422,77 @@
         };
         asked.remaining_us = remaining_us;
         let deadline = now + remaining_us;
-        let open = Open { client, asked, deadline, attempts: 0, out: None, answered: false };
+        let open = Open {
+            client,
+            asked,
+            deadline,
+            attempts: 0,
+            out: None,
+            answered: false,
+        };
         let id = open.asked.id.clone();
         let ticket = self.requests.insert(open).ok()?;
         self.ids.insert(id);
         self.counts.taken += 1;
         self.bodies += body;
-        self.commands.push(Command::Wake(deadline, Wake::Request(ticket)));
-        self.feed(now, Event::Request(Request { id: ticket.to_u64(), ..request }));
+        self.commands
+            .push(Command::Wake(deadline, Wake::Request(ticket)));
+        self.feed(
+            now,
+            Event::Request(Request {
+                id: ticket.to_u64(),
+                ..request
+            }),
+        );
         Some(ticket)
     }
 
     /// The client no longer waits: no answer is owed.
     pub fn leave(&mut self, now: Micros, ticket: Ticket) {
-        let Some(open) = self.requests.get_mut(ticket).filter(|open| !open.answered) else { return };
+        let Some(open) = self.requests.get_mut(ticket).filter(|open| !open.answered) else {
+            return;
+        };
         open.answered = true;
         self.counts.left += 1;
-        let unsent = open.out.as_ref().filter(|out| !out.begun).map(|out| out.number);
+        let unsent = open
+            .out
+            .as_ref()
+            .filter(|out| !out.begun)
+            .map(|out| out.number);
         if let Some(number) = unsent {
             // Whether or not attempts may be cancelled: this one can still be kept from being made.
             self.give_up(now, AttemptId { ticket, number }, Outcome::Moot);
         }
-        self.feed(now, Event::Left { request: ticket.to_u64() });
+        self.feed(
+            now,
+            Event::Left {
+                request: ticket.to_u64(),
+            },
+        );
         self.tidy(ticket);
     }
 
     /// An attempt ended. One that is not out any more is passed over: late answers change nothing.
     pub fn ended(&mut self, now: Micros, attempt: AttemptId, ended: Ended) {
-        let Some(open) = self.requests.get_mut(attempt.ticket) else { return };
-        let Some(out) = open.out.take_if(|out| out.number == attempt.number) else { return };
-        let Ended { outcome, note, waited_us, load, content } = ended;
+        let Some(open) = self.requests.get_mut(attempt.ticket) else {
+            return;
+        };
+        let Some(out) = open.out.take_if(|out| out.number == attempt.number) else {
+            return;
+        };
+        let Ended {
+            outcome,
+            note,
+            waited_us,
+            load,
+            content,
+        } = ended;
         // What was in transit when it was given up is how it ended, all the same.
-        let outcome = if outcome == Outcome::Cancelled { out.given_up.unwrap_or(outcome) } else { outcome };
+        let outcome = if outcome == Outcome::Cancelled {
+            out.given_up.unwrap_or(outcome)
+        } else {
+            outcome
+        };
         log::debug!(
             target: TRACE,
             request = open.asked.id.as_str(),
@@ -427,7 +508,10 @@
         if let Some(content) = content.filter(|_| outcome == Outcome::Ok && !open.answered) {
             self.finish(now, attempt.ticket, Answer::Served(content));
         }
-        let settled = self.requests.get(attempt.ticket).is_none_or(|open| open.answered);
+        let settled = self
+            .requests
+            .get(attempt.ticket)
+            .is_none_or(|open| open.answered);
         let event = Event::Outcome {
             request: attempt.ticket.to_u64(),
             attempt: attempt.number,
@@ -440,13 +524,20 @@
             load,
         };
         self.feed(now, event);
-        self.commands.extend(self.router.found().map(Command::Found));
+        self.commands
+            .extend(self.router.found().map(Command::Found));
         self.tidy(attempt.ticket);
     }
 
     /// Other proxies find the origin late.
     pub fn heard(&mut self, now: Micros, origin_share: f64, until: Micros) {
-        self.feed(now, Event::Heard { origin_share, for_us: until.saturating_sub(now) });
+        self.feed(
+            now,
+            Event::Heard {
+                origin_share,
+                for_us: until.saturating_sub(now),
+            },
+        );
     }
 
     /// What this proxy may spend of what all spend together.
@@ -473,7 +564,15 @@
         took_us: Micros,
         load: Option<Load>,
     ) {
-        self.feed(now, Event::Probed { server, outcome, took_us, load });
+        self.feed(
+            now,
+            Event::Probed {
+                server,
+                outcome,
+                took_us,
+                load,
+            },
+        );
     }
 
     /// A wake-up has come due.
@@ -488,31 +587,51 @@
     /// The client gives up: what is out has timed out, and the module has the last word, which can't be a
     /// further attempt.
     fn expire(&mut self, now: Micros, ticket: Ticket) {
-        let Some(open) = self.requests.get(ticket).filter(|open| !open.answered) else { return };
+        let Some(open) = self.requests.get(ticket).filter(|open| !open.answered) else {
+            return;
+        };
         if let Some(out) = &open.out {
-            let attempt = AttemptId { ticket, number: out.number };
+            let attempt = AttemptId {
+                ticket,
+                number: out.number,
+            };
             if out.given_up.is_none() {
-                self.commands.push(Command::GiveUp(attempt, out.sending.server));
+                self.commands
+                    .push(Command::GiveUp(attempt, out.sending.server));
             }
-            let outcome = if out.begun { Outcome::Timeout } else { Outcome::Moot };
+            let outcome = if out.begun {
+                Outcome::Timeout
+            } else {
+                Outcome::Moot
+            };
             self.ended(now, attempt, outcome.into());
         }
         if self.requests.get(ticket).is_some_and(|open| !open.answered) {
             // Guards the promise of one answer against a module that holds a request past its end.
             log::warn!("a request was still unanswered at its deadline");
             self.finish(now, ticket, Answer::Failed);
-            self.feed(now, Event::Left { request: ticket.to_u64() });
+            self.feed(
+                now,
+                Event::Left {
+                    request: ticket.to_u64(),
+                },
+            );
             self.tidy(ticket);
         }
     }
 
     /// Gives an attempt up. One that has not begun is over at once, and never ran.
     fn give_up(&mut self, now: Micros, attempt: AttemptId, outcome: Outcome) {
-        let Some(open) = self.requests.get_mut(attempt.ticket) else { return };
-        let Some(out) = open.out.as_mut().filter(|out| out.number == attempt.number) else { return };
+        let Some(open) = self.requests.get_mut(attempt.ticket) else {
+            return;
+        };
+        let Some(out) = open.out.as_mut().filter(|out| out.number == attempt.number) else {
+            return;
+        };
         if out.given_up.is_none() {
             out.given_up = Some(outcome);
-            self.commands.push(Command::GiveUp(attempt, out.sending.server));
+            self.commands
+                .push(Command::GiveUp(attempt, out.sending.server));
             if !out.begun {
                 self.ended(now, attempt, Outcome::Moot.into());
             }
@@ -521,7 +640,9 @@
 
     /// The one place where answers are given: a request that has its answer gets no second one.
     fn finish(&mut self, now: Micros, ticket: Ticket, answer: Answer) {
-        let Some(open) = self.requests.get_mut(ticket).filter(|open| !open.answered) else { return };
+        let Some(open) = self.requests.get_mut(ticket).filter(|open| !open.answered) else {
+            return;
+        };
         open.answered = true;
         log::debug!(
             target: TRACE,
@@ -544,7 +665,11 @@
 
     /// Frees the slot of a request that is answered and has nothing out.
     fn tidy(&mut self, ticket: Ticket) {
-        if self.requests.get(ticket).is_some_and(|open| open.answered && open.out.is_none()) {
+        if self
+            .requests
+            .get(ticket)
+            .is_some_and(|open| open.answered && open.out.is_none())
+        {
             if let Some(open) = self.requests.remove(ticket) {
                 self.ids.remove(&open.asked.id);
                 self.bodies -= open.asked.body.len();
@@ -563,9 +688,17 @@
 
     fn act(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Attempt { request, server, timeout_us, fill } => {
+            Action::Attempt {
+                request,
+                server,
+                timeout_us,
+                fill,
+            } => {
                 let ticket = Key::from_u64(request);
-                let Some(open) = self.requests.get_mut(ticket).filter(|o| !o.answered && o.out.is_none())
+                let Some(open) = self
+                    .requests
+                    .get_mut(ticket)
+                    .filter(|o| !o.answered && o.out.is_none())
                 else {
                     // Two attempts of one request must never be out at once.
                     log::error!("the module sent an attempt for a request that can't have one");
@@ -574,21 +707,44 @@
                 let until = timeout_us.map_or(open.deadline, |t| (now + t).min(open.deadline));
                 let number = open.attempts;
                 open.attempts += 1;
-                let sending = Sending { server, fill, until };
-                open.out = Some(Out { number, sent: now, sending, begun: false, given_up: None });
+                let sending = Sending {
+                    server,
+                    fill,
+                    until,
+                };
+                open.out = Some(Out {
+                    number,
+                    sent: now,
+                    sending,
+                    begun: false,
+                    given_up: None,
+                });
                 let attempt = AttemptId { ticket, number };
                 self.counts.attempts += 1;
                 self.commands.push(Command::Send(attempt));
                 if until < open.deadline {
-                    self.commands.push(Command::Wake(until, Wake::Attempt(attempt)));
+                    self.commands
+                        .push(Command::Wake(until, Wake::Attempt(attempt)));
                 }
             }
             Action::Cancel { request, attempt } => {
-                let attempt = AttemptId { ticket: Key::from_u64(request), number: attempt };
+                let attempt = AttemptId {
+                    ticket: Key::from_u64(request),
+                    number: attempt,
+                };
                 self.give_up(now, attempt, Outcome::Cancelled);
             }
-            Action::Refuse { request, retry_after_us } => {
-                self.finish(now, Key::from_u64(request), Answer::Refused { wait_us: retry_after_us });
+            Action::Refuse {
+                request,
+                retry_after_us,
+            } => {
+                self.finish(
+                    now,
+                    Key::from_u64(request),
+                    Answer::Refused {
+                        wait_us: retry_after_us,
+                    },
+                );
                 self.tidy(Key::from_u64(request));
             }
             Action::Fail { request } => {
