--- a/daemon/src/daemon/admin.rs
+++ b/daemon/src/daemon/admin.rs
@@ -65,13 +65,23 @@
             if self.callers >= self.limits.admin_callers {
                 self.make_room_for_caller(now);
             }
-            let Ok(conn) = Conn::new(socket, true, self.limits.admin_input, self.limits.admin_output) else {
+            let Ok(conn) = Conn::new(
+                socket,
+                true,
+                self.limits.admin_input,
+                self.limits.admin_output,
+            ) else {
                 continue;
             };
-            let caller = Caller { parser: Parser::new(), answered: false, waits: false };
+            let caller = Caller {
+                parser: Parser::new(),
+                answered: false,
+                waits: false,
+            };
             if let Some(key) = self.open(now, conn, Kind::Admin(Box::new(caller))) {
                 self.callers += 1;
-                self.deadlines.set(now + self.limits.admin_call_us, Timer::Admin(key));
+                self.deadlines
+                    .set(now + self.limits.admin_call_us, Timer::Admin(key));
             }
         }
     }
@@ -87,9 +97,17 @@
     fn make_room_for_caller(&mut self, now: Micros) -> bool {
         let keys = self.connections.keys();
         let admin = |key: &Key| {
-            Some((self.connections.get(*key).filter(|c| matches!(c.kind, Kind::Admin(_)))?.since, *key))
+            Some((
+                self.connections
+                    .get(*key)
+                    .filter(|c| matches!(c.kind, Kind::Admin(_)))?
+                    .since,
+                *key,
+            ))
+        };
+        let Some((_, oldest)) = keys.iter().filter_map(admin).min() else {
+            return false;
         };
-        let Some((_, oldest)) = keys.iter().filter_map(admin).min() else { return false };
         self.close(now, oldest);
         true
     }
@@ -97,7 +115,10 @@
     /// A caller's time for its call is over.
     pub(super) fn admin_timeout(&mut self, now: Micros, key: Key) {
         // One whose call is carried out has its answer when that is kept or can't be, which has a time of its own.
-        if self.connections.get(key).is_some_and(|c| matches!(&c.kind, Kind::Admin(caller) if !caller.waits))
+        if self
+            .connections
+            .get(key)
+            .is_some_and(|c| matches!(&c.kind, Kind::Admin(caller) if !caller.waits))
         {
             self.close(now, key);
         }
@@ -105,8 +126,12 @@
 
     /// Reads what a caller sent, and answers once the call is whole or can't be.
     pub(super) fn read_admin(&mut self, now: Micros, key: Key, ended: bool) {
-        let Some(c) = self.connections.get_mut(key) else { return };
-        let Kind::Admin(caller) = &mut c.kind else { return };
+        let Some(c) = self.connections.get_mut(key) else {
+            return;
+        };
+        let Kind::Admin(caller) = &mut c.kind else {
+            return;
+        };
         if caller.waits {
             // Bytes behind a call are nobody's, and a caller may end its half.
             return c.conn.input.consume(c.conn.input.len());
@@ -124,7 +149,10 @@
             Ok(Some(call)) => match self.called(now, key, call) {
                 Some(reply) => reply,
                 None => {
-                    if let Some(Connection { kind: Kind::Admin(caller), .. }) = self.connections.get_mut(key)
+                    if let Some(Connection {
+                        kind: Kind::Admin(caller),
+                        ..
+                    }) = self.connections.get_mut(key)
                     {
                         caller.waits = true;
                     }
@@ -147,8 +175,12 @@
 
     /// Gives a caller its one answer; it is written by whoever serves the connection next.
     pub(super) fn answer_admin(&mut self, key: Key, reply: &Reply) {
-        let Some(c) = self.connections.get_mut(key) else { return };
-        let Kind::Admin(caller) = &mut c.kind else { return };
+        let Some(c) = self.connections.get_mut(key) else {
+            return;
+        };
+        let Kind::Admin(caller) = &mut c.kind else {
+            return;
+        };
         caller.waits = false;
         if !std::mem::replace(&mut caller.answered, true) {
             c.conn.output.push(&reply.to_bytes());
@@ -170,7 +202,8 @@
         if let Some(told) = told {
             return Some(Reply::new(200, told));
         }
-        let kept = self.ledger.is_some() && !matches!(call, Call::Ready | Call::Fleet | Call::Budgets);
+        let kept =
+            self.ledger.is_some() && !matches!(call, Call::Ready | Call::Fleet | Call::Budgets);
         let shown = format!("{call:?}");
         let members = &self.members;
         let known = |id: &str| members.listed().any(|(e, _)| e.uid == id);
@@ -229,7 +262,11 @@
 
     /// Nothing new to a pop cache: to the core it is gone, whatever its sources say, until the call back.
     fn ban(&mut self, now: Micros, id: &str) {
-        let listed = self.members.listed().find(|(e, _)| e.uid == id).map(|(e, _)| e.clone());
+        let listed = self
+            .members
+            .listed()
+            .find(|(e, _)| e.uid == id)
+            .map(|(e, _)| e.clone());
         if let Some(mut entry) = listed {
             entry.server.state = State::Gone;
             self.core.list(now, ListMode::Delta, vec![entry]);
@@ -238,7 +275,11 @@
 
     /// The pop cache is back as its sources tell of it; the module takes it for a new one, cold.
     fn unban(&mut self, now: Micros, id: &str) {
-        let listed = self.members.listed().find(|(e, _)| e.uid == id).map(|(e, _)| e.clone());
+        let listed = self
+            .members
+            .listed()
+            .find(|(e, _)| e.uid == id)
+            .map(|(e, _)| e.clone());
         if let Some(entry) = listed.filter(|e| e.server.state != State::Gone) {
             self.core.list(now, ListMode::Delta, vec![entry]);
         }
@@ -278,11 +319,15 @@
 
     /// Closes the client connections that have nothing open, while the process drains, and looks again later.
     pub(super) fn sweep(&mut self, now: Micros) {
-        let Drain::Draining(_) = self.ops.drain() else { return };
+        let Drain::Draining(_) = self.ops.drain() else {
+            return;
+        };
         for key in self.connections.keys() {
             // A connection that has asked nothing yet is let be for a sweep: its request may be on its way.
             let idle = self.connections.get(key).is_some_and(|c| match &c.kind {
-                Kind::Client(s) => Self::is_quiet(c) && (s.has_asked() || c.since + SWEEP_US <= now),
+                Kind::Client(s) => {
+                    Self::is_quiet(c) && (s.has_asked() || c.since + SWEEP_US <= now)
+                }
                 _ => false,
             });
             if idle {
--- a/daemon/src/daemon/boxes.rs
+++ b/daemon/src/daemon/boxes.rs
@@ -18,21 +18,32 @@
                     self.core.ended(now, attempt, Outcome::Moot.into())
                 }
                 Told::Ended(attempt, ended) => self.core.ended(now, attempt, ended),
-                Told::Probed(outcome, took_us, load) => self.core.probed(now, server, outcome, took_us, load),
+                Told::Probed(outcome, took_us, load) => {
+                    self.core.probed(now, server, outcome, took_us, load)
+                }
             }
         }
     }
 
     /// Whether a connection to a box is up on which it has spoken a moment ago.
     fn hears(&self, now: Micros, server: ServerId) -> bool {
-        let fresh =
-            |(conn, link): (&Conn, &Link)| conn.up && link.last_heard() + self.limits.suspect_us > now;
-        self.links.get(&server).into_iter().flatten().any(|key| self.peek(*key).is_some_and(fresh))
+        let fresh = |(conn, link): (&Conn, &Link)| {
+            conn.up && link.last_heard() + self.limits.suspect_us > now
+        };
+        self.links
+            .get(&server)
+            .into_iter()
+            .flatten()
+            .any(|key| self.peek(*key).is_some_and(fresh))
     }
 
     pub(super) fn link(&mut self, key: Key) -> Option<(&mut Conn, &mut Link)> {
         match self.connections.get_mut(key)? {
-            Connection { conn, kind: Kind::Box(link), .. } => Some((conn, link)),
+            Connection {
+                conn,
+                kind: Kind::Box(link),
+                ..
+            } => Some((conn, link)),
             _ => None,
         }
     }
@@ -40,24 +51,44 @@
     /// A connection to a box, to look at.
     fn peek(&self, key: Key) -> Option<(&Conn, &Link)> {
         match self.connections.get(key)? {
-            Connection { conn, kind: Kind::Box(link), .. } => Some((conn, link)),
+            Connection {
+                conn,
+                kind: Kind::Box(link),
+                ..
+            } => Some((conn, link)),
             _ => None,
         }
     }
 
     pub(super) fn send(&mut self, now: Micros, attempt: AttemptId) {
-        let Some((asked, sending)) = self.core.sending(attempt) else { return };
+        let Some((asked, sending)) = self.core.sending(attempt) else {
+            return;
+        };
         let (id, server) = (asked.id.as_str(), sending.server);
         let links = self.links.get(&server).map_or(&[][..], Vec::as_slice);
         let endpoint = self.core.location(server).map(|(_, endpoint)| endpoint);
-        let leads = |key: &Key| self.peek(*key).filter(|(_, link)| link.endpoint == endpoint);
+        let leads = |key: &Key| {
+            self.peek(*key)
+                .filter(|(_, link)| link.endpoint == endpoint)
+        };
         let room = |key: &Key| {
             let (conn, link) = leads(key)?;
-            let waits = !conn.up && link.is_late(now, &self.limits) || link.is_stale(now, &self.limits);
-            let live = link.room_for(id, &self.core, &self.limits).filter(|_| !waits)?;
-            Some((!link.gave_up(id), !conn.up, link.is_held_up(now, &self.limits), live))
+            let waits =
+                !conn.up && link.is_late(now, &self.limits) || link.is_stale(now, &self.limits);
+            let live = link
+                .room_for(id, &self.core, &self.limits)
+                .filter(|_| !waits)?;
+            Some((
+                !link.gave_up(id),
+                !conn.up,
+                link.is_held_up(now, &self.limits),
+                live,
+            ))
         };
-        let best = links.iter().filter_map(|key| Some((room(key)?, *key))).min();
+        let best = links
+            .iter()
+            .filter_map(|key| Some((room(key)?, *key)))
+            .min();
         // One answer that can't be read ends all that is open on its connection: the more of them, the less is
         // lost at once. The next one is begun ahead, so that no attempt waits for it.
         let up = |key: &Key| self.peek(*key).is_some_and(|(conn, _)| conn.up);
@@ -73,7 +104,10 @@
         let vain: Vec<Key> = links.iter().filter(vain).copied().collect();
         // Connections that are late may come up all the same: more of them than this would only add to whatever
         // keeps them.
-        let late = links.iter().filter(|key| leads(key).is_some_and(|(conn, _)| !conn.up)).count();
+        let late = links
+            .iter()
+            .filter(|key| leads(key).is_some_and(|(conn, _)| !conn.up))
+            .count();
         let places = links.len() - vain.len() < self.limits.box_connections;
         let fresh = best.is_none() && places && late < self.limits.box_dials;
         if fresh {
@@ -91,11 +125,14 @@
         }
         match key {
             Ok(key) => {
-                let Some((conn, link)) = self.link(key) else { return };
+                let Some((conn, link)) = self.link(key) else {
+                    return;
+                };
                 link.send(now, attempt);
                 let up = conn.up;
                 if !up {
-                    self.deadlines.set(now + self.limits.connect_us, Timer::Link(key));
+                    self.deadlines
+                        .set(now + self.limits.connect_us, Timer::Link(key));
                 }
                 if !self.pump(now, key) {
                     self.close(now, key);
@@ -104,9 +141,11 @@
             }
             // Nothing was written: it never ran.
             Err(NoCall::Refused) => self.core.ended(now, attempt, Outcome::ConnectFailed.into()),
-            Err(NoCall::Late) => {
-                self.tell(now, server, vec![Told::Ended(attempt, Outcome::Unreached.into())])
-            }
+            Err(NoCall::Late) => self.tell(
+                now,
+                server,
+                vec![Told::Ended(attempt, Outcome::Unreached.into())],
+            ),
             Err(NoCall::NoRoom) => self.core.ended(now, attempt, Outcome::Moot.into()),
         }
     }
@@ -135,7 +174,9 @@
     /// for longer, as it may come up yet: given up each time, a box that is slow to accept would get one after another
     /// and never be reached.
     pub(super) fn look_at_dial(&mut self, now: Micros, key: Key) {
-        let Some(c) = self.connections.get(key).filter(|c| !c.conn.up) else { return };
+        let Some(c) = self.connections.get(key).filter(|c| !c.conn.up) else {
+            return;
+        };
         match &c.kind {
             Kind::Box(link) if link.given_up_at(&self.limits) > now => {
                 let at = link.given_up_at(&self.limits);
@@ -147,29 +188,46 @@
 
     /// Begins what a connection takes, and tells what has ended on it. False: it is to be closed.
     pub(super) fn pump(&mut self, now: Micros, key: Key) -> bool {
-        let Some(Connection { conn, kind: Kind::Box(link), .. }) = self.connections.get_mut(key) else {
+        let Some(Connection {
+            conn,
+            kind: Kind::Box(link),
+            ..
+        }) = self.connections.get_mut(key)
+        else {
             return true;
         };
         let (server, mut told) = (link.server, Vec::new());
         let sound = link.pump(now, conn, &self.core, &self.limits, &mut told);
         let forgets = link.forget_at(now, &self.limits);
-        let due = [link.report_at(&self.limits), link.half_at(&self.limits).filter(|_| sound), forgets];
+        let due = [
+            link.report_at(&self.limits),
+            link.half_at(&self.limits).filter(|_| sound),
+            forgets,
+        ];
         for at in due.into_iter().flatten() {
             self.deadlines.set(at, Timer::Link(key));
         }
         if conn.is_stuck() {
-            self.deadlines.set(now + self.limits.stalled_us, Timer::Link(key));
+            self.deadlines
+                .set(now + self.limits.stalled_us, Timer::Link(key));
         }
         // What drains or is gone gets nothing new: once all that it owed has come, its connections are of no use,
         // and where a machine has vanished nobody else would end them.
-        let moved = self.core.location(server).is_some_and(|(_, at)| link.endpoint != Some(at));
+        let moved = self
+            .core
+            .location(server)
+            .is_some_and(|(_, at)| link.endpoint != Some(at));
         let done = link.is_idle() && (moved || !self.core.takes_work(server));
         self.tell(now, server, told);
         sound && !done
     }
 
     pub(super) fn look_at_link(&mut self, now: Micros, key: Key) {
-        if let Some(Connection { kind: Kind::Box(link), .. }) = self.connections.get_mut(key) {
+        if let Some(Connection {
+            kind: Kind::Box(link),
+            ..
+        }) = self.connections.get_mut(key)
+        {
             link.prune(now, &self.limits);
         }
         if !self.pump(now, key) {
@@ -180,7 +238,9 @@
 
     pub(super) fn give_up(&mut self, now: Micros, attempt: AttemptId, server: ServerId) {
         for key in self.links.get(&server).cloned().unwrap_or_default() {
-            let Some((_, link)) = self.link(key) else { continue };
+            let Some((_, link)) = self.link(key) else {
+                continue;
+            };
             link.give_up(now, attempt);
             if !self.pump(now, key) {
                 self.close(now, key);
@@ -191,7 +251,11 @@
 
     pub(super) fn withdraw(&mut self, now: Micros, server: ServerId) {
         for key in self.links.values().flatten().copied().collect::<Vec<_>>() {
-            let Some(Connection { kind: Kind::Box(link), .. }) = self.connections.get_mut(key) else {
+            let Some(Connection {
+                kind: Kind::Box(link),
+                ..
+            }) = self.connections.get_mut(key)
+            else {
                 continue;
             };
             let (to, mut told) = (link.server, Vec::new());
@@ -208,13 +272,20 @@
     pub(super) fn probe(&mut self, now: Micros, server: ServerId) {
         let endpoint = self.core.location(server).map(|(_, endpoint)| endpoint);
         let mut links = self.links.get(&server).into_iter().flatten().copied();
-        let key = links.find(|key| self.peek(*key).is_some_and(|(_, link)| link.endpoint == endpoint));
-        let asked = key.and_then(|key| self.link(key)).is_some_and(|(conn, link)| link.probe(now, conn));
+        let key = links.find(|key| {
+            self.peek(*key)
+                .is_some_and(|(_, link)| link.endpoint == endpoint)
+        });
+        let asked = key
+            .and_then(|key| self.link(key))
+            .is_some_and(|(conn, link)| link.probe(now, conn));
         match key.filter(|_| asked) {
             Some(key) => {
                 self.write(now, key);
             }
-            None => self.core.probed(now, server, Outcome::ConnectFailed, 0, None),
+            None => self
+                .core
+                .probed(now, server, Outcome::ConnectFailed, 0, None),
         }
     }
 }
--- a/daemon/src/daemon/budgets/mod.rs
+++ b/daemon/src/daemon/budgets/mod.rs
@@ -52,23 +52,38 @@
     /// Joins the members that share the budgets of the operators' file.
     pub(super) fn join_budgets(&mut self, now: Micros) -> Result<(), String> {
         let config = &self.config.budgets;
-        let Some(ledger) = self.ledger.as_ref().filter(|_| !config.list.is_empty()) else { return Ok(()) };
+        let Some(ledger) = self.ledger.as_ref().filter(|_| !config.list.is_empty()) else {
+            return Ok(());
+        };
         let mut specs: Vec<_> = config.list.iter().map(|budget| budget.spec).collect();
         let settling_us = specs.iter().map(|spec| spec.settling_us).max().unwrap_or(0);
         if faults::forgets_reserved() {
-            specs.iter_mut().for_each(|spec| spec.limit += spec.reserved * config.members as Amount);
+            specs
+                .iter_mut()
+                .for_each(|spec| spec.limit += spec.reserved * config.members as Amount);
         }
-        let own = MemberProcess { member: config.index, process: ledger.member() };
+        let own = MemberProcess {
+            member: config.index,
+            process: ledger.member(),
+        };
         let options = Options::default().with_settling_time(settling_us);
         // The file was checked, by the same figures.
         let member = Member::new(own, config.members, &specs, now, options).map_err(|invalid| {
-            format!("budgets: '{}': {}", config.list[invalid.budget].name, invalid.error)
+            format!(
+                "budgets: '{}': {}",
+                config.list[invalid.budget].name, invalid.error
+            )
         })?;
         let delivered = vec![None; specs.len()];
         // A request that stayed open for longer than its class allows would settle later, too.
         self.core.most_us = config.longest_open_us().unwrap_or(Micros::MAX);
-        self.shared_budgets =
-            Some(SharedBudgets { member, delivered, due: None, mismatch_logged: false, detached: false });
+        self.shared_budgets = Some(SharedBudgets {
+            member,
+            delivered,
+            due: None,
+            mismatch_logged: false,
+            detached: false,
+        });
         self.tick_budgets(now);
         Ok(())
     }
@@ -94,8 +109,15 @@
             }
             Ok(datagram) => datagram,
         };
-        let from = MemberProcess { member: self.member_index(peer), process: datagram.process };
-        let Some(shared) = self.shared_budgets.as_mut().filter(|shared| !shared.detached) else {
+        let from = MemberProcess {
+            member: self.member_index(peer),
+            process: datagram.process,
+        };
+        let Some(shared) = self
+            .shared_budgets
+            .as_mut()
+            .filter(|shared| !shared.detached)
+        else {
             return true;
         };
         if datagram.fingerprint != self.config.budgets.fingerprint {
@@ -122,23 +144,40 @@
             shared.member.tick(now);
         }
         self.flush_budgets(now);
-        let due = self.shared_budgets.as_ref().map(|shared| shared.member.due().max(now + MIN_TICK_US));
-        let old = self.shared_budgets.as_mut().and_then(|shared| shared.due.take());
+        let due = self
+            .shared_budgets
+            .as_ref()
+            .map(|shared| shared.member.due().max(now + MIN_TICK_US));
+        let old = self
+            .shared_budgets
+            .as_mut()
+            .and_then(|shared| shared.due.take());
         let new = self.instead(old, due, |daemon, now| {
-            daemon.shared_budgets.iter_mut().for_each(|shared| shared.due = None);
+            daemon
+                .shared_budgets
+                .iter_mut()
+                .for_each(|shared| shared.due = None);
             daemon.tick_budgets(now);
         });
-        self.shared_budgets.iter_mut().for_each(|shared| shared.due = new);
+        self.shared_budgets
+            .iter_mut()
+            .for_each(|shared| shared.due = new);
     }
 
     fn update_demand(&mut self, now: Micros) {
         let is_stopping = self.is_stopping();
         let all = self.unsettled(now);
-        let Some(shared) = &mut self.shared_budgets else { return };
+        let Some(shared) = &mut self.shared_budgets else {
+            return;
+        };
         for (n, budget) in self.config.budgets.list.iter().enumerate() {
             let unsettled = all.of(budget.of);
             // A process that ends gives up all that it has not spent.
-            let amount = if is_stopping { unsettled } else { budget.unit.demand(unsettled) };
+            let amount = if is_stopping {
+                unsettled
+            } else {
+                budget.unit.demand(unsettled)
+            };
             shared.member.set_demand(n, amount, unsettled);
         }
     }
@@ -154,17 +193,25 @@
     }
 
     fn update_up(&mut self) {
-        let Some(fleet) = &self.membership else { return };
+        let Some(fleet) = &self.membership else {
+            return;
+        };
         let members = fleet.members().iter().enumerate();
-        let up: Vec<(MemberIndex, bool)> =
-            members.map(|(peer, member)| (self.member_index(peer), member.is_up())).collect();
-        let Some(shared) = &mut self.shared_budgets else { return };
-        up.into_iter().for_each(|(index, up)| shared.member.set_up(index, up));
+        let up: Vec<(MemberIndex, bool)> = members
+            .map(|(peer, member)| (self.member_index(peer), member.is_up()))
+            .collect();
+        let Some(shared) = &mut self.shared_budgets else {
+            return;
+        };
+        up.into_iter()
+            .for_each(|(index, up)| shared.member.set_up(index, up));
     }
 
     /// Sends the member's messages, logs its changes, and passes its leases to the module.
     fn flush_budgets(&mut self, now: Micros) {
-        let Some(shared) = &mut self.shared_budgets else { return };
+        let Some(shared) = &mut self.shared_budgets else {
+            return;
+        };
         let mut outgoing = shared.member.outgoing();
         let changes = shared.member.changes();
         if shared.detached {
@@ -174,15 +221,23 @@
             assume_votes(&mut shared.member, now, &outgoing);
         }
         self.send_budgets(outgoing);
-        changes.into_iter().for_each(|change| self.log_change(change));
+        changes
+            .into_iter()
+            .for_each(|change| self.log_change(change));
         self.deliver_leases(now);
     }
 
     fn send_budgets(&mut self, outgoing: Vec<Outgoing>) {
-        let Some(process) = self.shared_budgets.as_ref().map(|shared| shared.member.process()) else {
+        let Some(process) = self
+            .shared_budgets
+            .as_ref()
+            .map(|shared| shared.member.process())
+        else {
             return;
         };
-        let grants = outgoing.iter().any(|outgoing| matches!(outgoing.message, Message::LeaseGrant(_)));
+        let grants = outgoing
+            .iter()
+            .any(|outgoing| matches!(outgoing.message, Message::LeaseGrant(_)));
         if grants {
             fail::fail_point!("budgets-grant");
         }
@@ -203,10 +258,14 @@
 
     /// Passes the leases that have changed to the module.
     fn deliver_leases(&mut self, now: Micros) {
-        let Some(shared) = &mut self.shared_budgets else { return };
+        let Some(shared) = &mut self.shared_budgets else {
+            return;
+        };
         let mut changed = Vec::new();
         for (n, budget) in self.config.budgets.list.iter().enumerate() {
-            let (Some(of), Some(spec)) = (budget.of, shared.member.spec(n)) else { continue };
+            let (Some(of), Some(spec)) = (budget.of, shared.member.spec(n)) else {
+                continue;
+            };
             let unit = budget.unit.one() as f64;
             let lease = shared.member.lease(now, n);
             let mut lease = Lease {
@@ -225,7 +284,9 @@
                 changed.push(lease);
             }
         }
-        changed.into_iter().for_each(|lease| self.core.receive_lease(now, lease));
+        changed
+            .into_iter()
+            .for_each(|lease| self.core.receive_lease(now, lease));
     }
 
     /// Takes over the limits of a file that was read again; all else of budgets waits for the next start.
@@ -235,8 +296,16 @@
                 "SIGHUP: 'budgets' has changed beyond its limits, which takes effect with the next start only"
             );
         }
-        let Some(shared) = &mut self.shared_budgets else { return };
-        let budgets = self.config.budgets.list.iter_mut().zip(&new.list).enumerate();
+        let Some(shared) = &mut self.shared_budgets else {
+            return;
+        };
+        let budgets = self
+            .config
+            .budgets
+            .list
+            .iter_mut()
+            .zip(&new.list)
+            .enumerate();
         for (n, (old, new)) in budgets.filter(|(_, (old, new))| old.spec != new.spec) {
             match shared.member.set_limit(n, new.spec.limit) {
                 Ok(()) => {
@@ -256,7 +325,9 @@
     pub(super) fn detach_budgets(&mut self) {
         if let Some(shared) = &mut self.shared_budgets {
             shared.detached = true;
-            log::error!("SIGHUP: the peers have changed: nothing is shared with them before the next start");
+            log::error!(
+                "SIGHUP: the peers have changed: nothing is shared with them before the next start"
+            );
         }
     }
 }
@@ -265,9 +336,16 @@
 fn assume_votes(member: &mut Member, now: Micros, outgoing: &[Outgoing]) {
     for Outgoing { to, message } in outgoing {
         if let Message::VoteRequest(request) = message {
-            let response =
-                VoteResponse { group: request.group, number: request.number, granted: true, voted_for: None };
-            let from = MemberProcess { member: *to, process: 0 };
+            let response = VoteResponse {
+                group: request.group,
+                number: request.number,
+                granted: true,
+                voted_for: None,
+            };
+            let from = MemberProcess {
+                member: *to,
+                process: 0,
+            };
             member.receive(now, from, Message::VoteResponse(response));
         }
     }
--- a/daemon/src/daemon/budgets/status.rs
+++ b/daemon/src/daemon/budgets/status.rs
@@ -17,18 +17,36 @@
         Some(Status {
             name: self.config.name.clone(),
             members: config.members,
-            budgets: listed.map(|(n, budget)| self.budget_status(member, now, n, budget)).collect(),
+            budgets: listed
+                .map(|(n, budget)| self.budget_status(member, now, n, budget))
+                .collect(),
             budgets_total: config.list.len(),
         })
     }
 
-    fn budget_status(&self, member: &Member, now: Micros, n: usize, budget: &Shared) -> BudgetStatus {
+    fn budget_status(
+        &self,
+        member: &Member,
+        now: Micros,
+        n: usize,
+        budget: &Shared,
+    ) -> BudgetStatus {
         let spec = member.spec(n).unwrap_or(budget.spec);
-        let Lease { amount: lease, until } = member.lease(now, n);
-        let Demand { amount: demand, unsettled } = member.demand(n);
+        let Lease {
+            amount: lease,
+            until,
+        } = member.lease(now, n);
+        let Demand {
+            amount: demand,
+            unsettled,
+        } = member.demand(n);
         let group = member.group(n);
         let leads = member.leads(now, group);
-        let grants = if leads { member.outstanding_grants(n) } else { Vec::new() };
+        let grants = if leads {
+            member.outstanding_grants(n)
+        } else {
+            Vec::new()
+        };
         BudgetStatus {
             name: budget.name.clone(),
             unit: budget.unit.name().to_owned(),
@@ -43,12 +61,19 @@
             reserved_only: until == Micros::MAX,
             granted_total: grants.iter().map(|grant| grant.amount).sum(),
             holders: grants.len(),
-            granted: grants.iter().take(MAX_GRANTS).map(|grant| self.grant_status(grant)).collect(),
+            granted: grants
+                .iter()
+                .take(MAX_GRANTS)
+                .map(|grant| self.grant_status(grant))
+                .collect(),
         }
     }
 
     fn grant_status(&self, grant: &OutstandingGrant) -> GrantStatus {
-        GrantStatus { name: self.member_name(grant.holder), amount: grant.amount }
+        GrantStatus {
+            name: self.member_name(grant.holder),
+            amount: grant.amount,
+        }
     }
 
     /// Returns a member's name, or its address until the name is known.
@@ -59,18 +84,34 @@
             Ordering::Less => index,
             Ordering::Greater => index - 1,
         };
-        let member = self.membership.as_ref().and_then(|fleet| fleet.members().get(peer));
-        let name = member.and_then(|member| member.names.as_ref()).map(|(name, _)| name.clone());
-        let address = || self.config.copies.machines.get(peer).map(|(address, _)| address.to_string());
+        let member = self
+            .membership
+            .as_ref()
+            .and_then(|fleet| fleet.members().get(peer));
+        let name = member
+            .and_then(|member| member.names.as_ref())
+            .map(|(name, _)| name.clone());
+        let address = || {
+            self.config
+                .copies
+                .machines
+                .get(peer)
+                .map(|(address, _)| address.to_string())
+        };
         name.or_else(address).unwrap_or_default()
     }
 
     /// Logs a change.
     pub(super) fn log_change(&self, change: Change) {
-        let Some(shared) = &self.shared_budgets else { return };
+        let Some(shared) = &self.shared_budgets else {
+            return;
+        };
         match change {
             Change::Leads { group, begins } => self.log_leadership(&shared.member, group, begins),
-            Change::ReservedOnly { budget, begins: true } => {
+            Change::ReservedOnly {
+                budget,
+                begins: true,
+            } => {
                 let name = self.config.budgets.list[budget].name.as_str();
                 let reserved = shared.member.spec(budget).map_or(0, |spec| spec.reserved);
                 log::warn!(
@@ -78,7 +119,10 @@
                     "no lease is in force: only the reserved minimum is spent"
                 );
             }
-            Change::ReservedOnly { budget, begins: false } => {
+            Change::ReservedOnly {
+                budget,
+                begins: false,
+            } => {
                 let name = self.config.budgets.list[budget].name.as_str();
                 log::info!(budget = name; "a lease is in force again");
             }
@@ -96,7 +140,9 @@
 
     /// Logs the counters at the end of the process.
     pub(in crate::daemon) fn log_budgets(&self) {
-        let Some(shared) = &self.shared_budgets else { return };
+        let Some(shared) = &self.shared_budgets else {
+            return;
+        };
         let counters = shared.member.counters();
         log::info!(
             granted = counters.granted, accepted = counters.accepted, stale = counters.stale,
--- a/daemon/src/daemon/clients.rs
+++ b/daemon/src/daemon/clients.rs
@@ -19,12 +19,18 @@
             Kind::Lingering => return Some(Standing::Lingering),
             _ => return None,
         };
-        Some(match (busy || !c.conn.output.is_empty(), half || !c.conn.input.is_empty(), asked) {
-            (true, ..) => Standing::Busy,
-            (_, true, _) => Standing::Half,
-            (.., true) => Standing::Idle,
-            _ => Standing::Silent,
-        })
+        Some(
+            match (
+                busy || !c.conn.output.is_empty(),
+                half || !c.conn.input.is_empty(),
+                asked,
+            ) {
+                (true, ..) => Standing::Busy,
+                (_, true, _) => Standing::Half,
+                (.., true) => Standing::Idle,
+                _ => Standing::Silent,
+            },
+        )
     }
 
     fn owed(c: &Connection) -> usize {
@@ -48,7 +54,10 @@
         };
         loop {
             let keys = self.connections.keys();
-            let first = keys.iter().filter_map(|key| Some((leaves(self, *key)?, *key))).min();
+            let first = keys
+                .iter()
+                .filter_map(|key| Some((leaves(self, *key)?, *key)))
+                .min();
             let (before, key) = first.ok_or(io::ErrorKind::OutOfMemory)?;
             // Bytes that came meanwhile put it into another standing: then it is not the one to leave.
             if !self.look(now, key) || leaves(self, key) == Some(before) {
@@ -67,15 +76,23 @@
 
     /// Notes what a client's connection is at since when, after something was read or written there.
     pub(super) fn note_client(&mut self, now: Micros, key: Key) {
-        let Some(c) = self.connections.get_mut(key) else { return };
-        let Some(standing) = Self::standing(c) else { return };
+        let Some(c) = self.connections.get_mut(key) else {
+            return;
+        };
+        let Some(standing) = Self::standing(c) else {
+            return;
+        };
         let half = standing == Standing::Half;
         // A request that comes in crumbs stays the one that began with the first.
         if standing == Standing::Busy || half && !std::mem::replace(&mut c.half, half) {
             c.since = now;
         }
         c.half = half;
-        let held = if let Kind::Client(session) = &c.kind { session.held() } else { 0 };
+        let held = if let Kind::Client(session) = &c.kind {
+            session.held()
+        } else {
+            0
+        };
         let before = std::mem::replace(&mut c.held, held);
         self.held = self.held + held - before;
         if self.held > self.limits.bodies && held > before {
@@ -89,8 +106,12 @@
     /// Ends a client's connection that holds its place for nothing. Usual clients end theirs sooner, so none of
     /// their requests can cross this.
     pub(super) fn look_at_client(&mut self, now: Micros, key: Key) {
-        let Some(c) = self.connections.get_mut(key) else { return };
-        let Some(standing) = Self::standing(c) else { return };
+        let Some(c) = self.connections.get_mut(key) else {
+            return;
+        };
+        let Some(standing) = Self::standing(c) else {
+            return;
+        };
         if standing == Standing::Idle {
             c.conn.input.release();
             c.conn.output.release();
@@ -101,15 +122,20 @@
             if !self.look(now, key) {
                 return;
             }
-            let Some(c) = self.connections.get(key) else { return };
+            let Some(c) = self.connections.get(key) else {
+                return;
+            };
             due = Self::standing(c).and_then(|s| self.limits.leaves_at(s, Self::owed(c), c.since));
             if due.is_some_and(|due| due <= now) && !self.half_close(now, key) {
                 return self.close(now, key);
             }
         }
         let look = now + self.limits.client_look_us;
-        self.deadlines
-            .set(due.filter(|due| *due > now).map_or(look, |due| due.min(look)), Timer::Client(key));
+        self.deadlines.set(
+            due.filter(|due| *due > now)
+                .map_or(look, |due| due.min(look)),
+            Timer::Client(key),
+        );
     }
 
     /// Takes one connection from a listener: none where none waits, an error where no descriptor is left.
@@ -119,7 +145,10 @@
                 Ok((socket, _)) => return Ok(Some(socket)),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(None),
                 Err(e)
-                    if matches!(e.kind(), io::ErrorKind::Interrupted | io::ErrorKind::ConnectionAborted) => {}
+                    if matches!(
+                        e.kind(),
+                        io::ErrorKind::Interrupted | io::ErrorKind::ConnectionAborted
+                    ) => {}
                 Err(e) => return Err(e),
             }
         }
@@ -133,7 +162,9 @@
                 Ok(leaver) => leaver,
                 Err(e) => return self.pause_accepting(now, e),
             };
-            let Some(listener) = &self.listener else { return };
+            let Some(listener) = &self.listener else {
+                return;
+            };
             let socket = match Self::accept_one(listener) {
                 Ok(Some(socket)) => socket,
                 Ok(None) => break,
@@ -148,7 +179,12 @@
                 },
             };
             made_room = false;
-            let conn = Conn::new(socket, true, self.limits.input_ring, self.limits.output_ring);
+            let conn = Conn::new(
+                socket,
+                true,
+                self.limits.input_ring,
+                self.limits.output_ring,
+            );
             if let Ok(conn) = conn {
                 self.take_in(now, conn, Kind::Client(Default::default()), leaver);
             }
@@ -172,7 +208,8 @@
     /// of them would set two more while the table stays full.
     pub(super) fn accept_later(&mut self, now: Micros) {
         if !std::mem::replace(&mut self.accepts_later, true) {
-            self.deadlines.set(now + self.limits.accept_again_us, Timer::Accept);
+            self.deadlines
+                .set(now + self.limits.accept_again_us, Timer::Accept);
         }
     }
 
@@ -186,15 +223,20 @@
                 self.close_when_answered(key);
             }
             self.clients += 1;
-            self.deadlines.set(now + self.limits.client_half_us, Timer::Client(key));
+            self.deadlines
+                .set(now + self.limits.client_half_us, Timer::Client(key));
         }
     }
 
     /// Takes in what a client's connection asks. False: its client has gone, and of what it sent before nothing begins.
     pub(super) fn read_client(&mut self, now: Micros, key: Key) -> Result<bool, WireError> {
         for _ in 0..self.limits.client_reads {
-            let Some(c) = self.connections.get_mut(key) else { return Ok(false) };
-            let Kind::Client(session) = &mut c.kind else { return Ok(true) };
+            let Some(c) = self.connections.get_mut(key) else {
+                return Ok(false);
+            };
+            let Kind::Client(session) = &mut c.kind else {
+                return Ok(true);
+            };
             match c.conn.read(false) {
                 Progress::Moved => session.read(&mut c.conn.input, &self.limits)?,
                 Progress::Blocked => break,
@@ -202,18 +244,34 @@
             }
         }
         loop {
-            let Some(c) = self.connections.get_mut(key) else { return Ok(false) };
-            let Kind::Client(session) = &mut c.kind else { return Ok(true) };
-            let Some((input, first)) = session.next_input() else { return Ok(true) };
+            let Some(c) = self.connections.get_mut(key) else {
+                return Ok(false);
+            };
+            let Kind::Client(session) = &mut c.kind else {
+                return Ok(true);
+            };
+            let Some((input, first)) = session.next_input() else {
+                return Ok(true);
+            };
             let stopping = self.term_at.is_some();
             match input {
                 Input::Leave(ticket) => self.core.leave(now, ticket),
                 Input::Health(stream) => {
                     let ready = self.core.is_ready() && !stopping && self.ops.in_service();
-                    session.say(stream, if ready { "200 OK" } else { "503 Service Unavailable" });
+                    session.say(
+                        stream,
+                        if ready {
+                            "200 OK"
+                        } else {
+                            "503 Service Unavailable"
+                        },
+                    );
                 }
                 Input::Ask(stream, asked) => {
-                    let client = Client { connection: key, stream: u32::from(stream) };
+                    let client = Client {
+                        connection: key,
+                        stream: u32::from(stream),
+                    };
                     let slow = self.waiting_answers > self.limits.waiting_answers;
                     // One client's flood must leave room for the requests of the others.
                     let flood = !self.limits.admits(session.owed(), self.core.is_crowded());
@@ -224,12 +282,19 @@
                         || matches!(self.ops.drain(), Drain::Draining(since) if now > since + self.limits.drain_last_taken_us);
                     // The first request of a connection was sent before the front could know that this one ends.
                     let leaving = session.is_closing() && (session.owed() > 1 || late && !first);
-                    let ticket =
-                        if slow || flood || leaving { None } else { self.core.ask(now, client, asked) };
+                    let ticket = if slow || flood || leaving {
+                        None
+                    } else {
+                        self.core.ask(now, client, asked)
+                    };
                     match ticket {
                         Some(ticket) => session.taken(stream, ticket),
-                        None => session
-                            .answer(stream, &Answer::Refused { wait_us: Some(self.limits.back_off_us) }),
+                        None => session.answer(
+                            stream,
+                            &Answer::Refused {
+                                wait_us: Some(self.limits.back_off_us),
+                            },
+                        ),
                     }
                 }
             }
@@ -239,7 +304,9 @@
     }
 
     pub(super) fn answer(&mut self, now: Micros, client: Client, answer: Answer) {
-        let Some(c) = self.connections.get_mut(client.connection) else { return };
+        let Some(c) = self.connections.get_mut(client.connection) else {
+            return;
+        };
         match &mut c.kind {
             Kind::Client(session) => {
                 session.answer(client.stream as u16, &answer);
@@ -251,8 +318,12 @@
     }
 
     pub(super) fn write_client(&mut self, key: Key) {
-        let Some(c) = self.connections.get_mut(key) else { return };
-        let Kind::Client(session) = &mut c.kind else { return };
+        let Some(c) = self.connections.get_mut(key) else {
+            return;
+        };
+        let Kind::Client(session) = &mut c.kind else {
+            return;
+        };
         loop {
             session.write(&mut c.conn.output);
             if c.conn.write() != Progress::Moved {
--- a/daemon/src/daemon/exchange.rs
+++ b/daemon/src/daemon/exchange.rs
@@ -54,7 +54,9 @@
     ) -> Option<Key> {
         let key = self.call(now, to, Kind::Exchange(exchange)).ok()?;
         if let Some(us) = timeout_us {
-            self.later(now + us, move |daemon, now| daemon.end(now, key, End::TimedOut));
+            self.later(now + us, move |daemon, now| {
+                daemon.end(now, key, End::TimedOut)
+            });
         }
         Some(key)
     }
@@ -73,15 +75,23 @@
     }
 
     /// Does something later.
-    pub(super) fn later(&mut self, at: Micros, what: impl FnOnce(&mut Daemon, Micros) + 'static) -> Due {
+    pub(super) fn later(
+        &mut self,
+        at: Micros,
+        what: impl FnOnce(&mut Daemon, Micros) + 'static,
+    ) -> Due {
         self.deadlines.set(at, Timer::Task(Box::new(what)))
     }
 
     pub(super) fn read_exchange(&mut self, now: Micros, key: Key) {
         let mut effects = Vec::new();
         let mut result = Ok(Flow::More);
-        let Some(c) = self.connections.get_mut(key) else { return };
-        let Kind::Exchange(exchange) = &mut c.kind else { return };
+        let Some(c) = self.connections.get_mut(key) else {
+            return;
+        };
+        let Kind::Exchange(exchange) = &mut c.kind else {
+            return;
+        };
         while !c.conn.input.is_empty() && result == Ok(Flow::More) {
             let front = c.conn.input.front();
             let taken = front.len();
@@ -102,7 +112,9 @@
         if !matches!(self.connections.get(key), Some(c) if matches!(c.kind, Kind::Exchange(_))) {
             return;
         }
-        let Some(Kind::Exchange(exchange)) = self.connections.remove(key).map(|c| c.kind) else { return };
+        let Some(Kind::Exchange(exchange)) = self.connections.remove(key).map(|c| c.kind) else {
+            return;
+        };
         if let Some(effect) = exchange.ended(end) {
             effect(self, now);
         }
--- a/daemon/src/daemon/feeds/bus.rs
+++ b/daemon/src/daemon/feeds/bus.rs
@@ -27,7 +27,13 @@
     /// Nothing is heard yet.
     pub(in crate::daemon) fn new(seed: u64, limits: &Limits) -> Self {
         let backoff = Backoff::new(limits.bus_again_us, limits.bus_again_most_us, seed);
-        State { key: None, timer: None, last: 0, read_at: 0, backoff }
+        State {
+            key: None,
+            timer: None,
+            last: 0,
+            read_at: 0,
+            backoff,
+        }
     }
 }
 
@@ -49,7 +55,9 @@
         effects.push(Box::new(move |daemon, now| {
             (daemon.bus.last, daemon.bus.read_at) = (last, now);
             daemon.bus.backoff.succeeded();
-            events.into_iter().for_each(|event| daemon.heard(now, event));
+            events
+                .into_iter()
+                .for_each(|event| daemon.heard(now, event));
         }));
         Ok(Flow::More)
     }
@@ -98,7 +106,11 @@
     pub(in crate::daemon) fn call_bus(&mut self, now: Micros) {
         let Some(bus) = self.config.bus else { return };
         let feed = Feed::new(&self.limits);
-        let call = Call { host: bus.to_string(), last: self.bus.last, feed };
+        let call = Call {
+            host: bus.to_string(),
+            last: self.bus.last,
+            feed,
+        };
         self.bus.key = self.exchange(now, bus, Box::new(call), None);
         self.bus.read_at = now;
         match self.bus.key {
--- a/daemon/src/daemon/feeds/consul/call.rs
+++ b/daemon/src/daemon/feeds/consul/call.rs
@@ -34,7 +34,15 @@
     ) -> Box<Self> {
         let messages = Messages::responses(most_line, most_body);
         let then: Option<Then> = Some(Box::new(then));
-        Box::new(Call { request, messages, head: None, body: Vec::new(), parts: None, number: 0, then })
+        Box::new(Call {
+            request,
+            messages,
+            head: None,
+            body: Vec::new(),
+            parts: None,
+            number: 0,
+            then,
+        })
     }
 
     /// Hands the parts of a body with status 200 on as they come, with the number given here.
@@ -56,17 +64,21 @@
             match piece {
                 None => return Ok(Flow::More),
                 Some(Piece::Head(head)) => self.head = Some(head),
-                Some(Piece::Body(bytes)) => match (self.parts, self.head.as_ref().and_then(Head::status)) {
-                    (Some(parts), Some(200)) => {
-                        let number = self.number;
-                        effects.push(Box::new(move |daemon, _| parts(daemon, number, &bytes)));
+                Some(Piece::Body(bytes)) => {
+                    match (self.parts, self.head.as_ref().and_then(Head::status)) {
+                        (Some(parts), Some(200)) => {
+                            let number = self.number;
+                            effects.push(Box::new(move |daemon, _| parts(daemon, number, &bytes)));
+                        }
+                        _ => self.body.extend(bytes),
                     }
-                    _ => self.body.extend(bytes),
-                },
+                }
                 Some(Piece::End) => {
                     let body = std::mem::take(&mut self.body);
                     if let Some((head, then)) = self.head.take().zip(self.then.take()) {
-                        effects.push(Box::new(move |daemon, now| then(daemon, now, Ok((head, body)))));
+                        effects.push(Box::new(move |daemon, now| {
+                            then(daemon, now, Ok((head, body)))
+                        }));
                     }
                     return Ok(Flow::Done);
                 }
@@ -80,7 +92,9 @@
             // A body without a length goes on to the connection's end.
             End::Closed if self.head.is_some() && self.messages.may_end() => {
                 let (head, body) = (self.head.take()?, self.body);
-                return Some(Box::new(move |daemon, now| then(daemon, now, Ok((head, body)))));
+                return Some(Box::new(move |daemon, now| {
+                    then(daemon, now, Ok((head, body)))
+                }));
             }
             End::Unreachable => Failure::Unreachable,
             End::Closed => Failure::CutOff,
--- a/daemon/src/daemon/feeds/consul/kept.rs
+++ b/daemon/src/daemon/feeds/consul/kept.rs
@@ -34,14 +34,29 @@
         let disk = Disk::start("linnetknot-disk").map_err(whole)?;
         let list = |(n, scope)| {
             let path = folder.join(format!("boxes-{n}.list"));
-            List { path, scope, timer: None, good_at: 0, written_at: 0, written: Vec::new() }
+            List {
+                path,
+                scope,
+                timer: None,
+                good_at: 0,
+                written_at: 0,
+                written: Vec::new(),
+            }
         };
-        Ok(Keeper { disk, lists: scopes.into_iter().enumerate().map(list).collect() })
+        Ok(Keeper {
+            disk,
+            lists: scopes.into_iter().enumerate().map(list).collect(),
+        })
     }
 }
 
 /// Reads a list, or says why it is not used. Its length is looked at before any of it is held.
-fn read(list: &List, now: Micros, most_bytes: usize, most_age: Micros) -> Result<kept::Kept, String> {
+fn read(
+    list: &List,
+    now: Micros,
+    most_bytes: usize,
+    most_age: Micros,
+) -> Result<kept::Kept, String> {
     let whole = |e: io::Error| e.to_string();
     if fs::metadata(&list.path).map_err(whole)?.len() > most_bytes as u64 {
         return Err(kept::KeptError::TooLong.to_string());
@@ -54,7 +69,9 @@
     /// Takes up the lists that an earlier run has kept, if they can be trusted.
     pub(in crate::daemon) fn recall_lists(&mut self, now: Micros) {
         for n in 0..self.keeper.as_ref().map_or(0, |k| k.lists.len()) {
-            let Some(list) = self.keeper.as_ref().map(|k| &k.lists[n]) else { return };
+            let Some(list) = self.keeper.as_ref().map(|k| &k.lists[n]) else {
+                return;
+            };
             let shown = list.path.display();
             if !list.path.exists() {
                 log::info!("there is no kept list {shown}");
@@ -76,10 +93,19 @@
     /// A list is good as it stands now: it is written down soon if it has changed, else before its time grows old.
     pub(in crate::daemon) fn keep_list(&mut self, now: Micros, n: usize) {
         let (soon, seldom) = (self.limits.keep_soon_us, self.limits.keep_seldom_us);
-        let Some(list) = self.keeper.as_mut().and_then(|k| k.lists.get_mut(n)) else { return };
+        let Some(list) = self.keeper.as_mut().and_then(|k| k.lists.get_mut(n)) else {
+            return;
+        };
         list.good_at = now;
-        let same = self.members.told_by(SourceId(CONSUL.0 + n)).eq(list.written.iter());
-        let at = if same { (list.written_at + seldom).max(now) } else { now + soon };
+        let same = self
+            .members
+            .told_by(SourceId(CONSUL.0 + n))
+            .eq(list.written.iter());
+        let at = if same {
+            (list.written_at + seldom).max(now)
+        } else {
+            now + soon
+        };
         if list.timer.is_none_or(|t| t.0 > at) {
             if let Some(old) = list.timer.take() {
                 self.deadlines.take_back(old);
@@ -96,12 +122,23 @@
     }
 
     fn write_list(&mut self, now: Micros, n: usize) {
-        let Some(keeper) = &mut self.keeper else { return };
-        let Some(list) = keeper.lists.get_mut(n) else { return };
+        let Some(keeper) = &mut self.keeper else {
+            return;
+        };
+        let Some(list) = keeper.lists.get_mut(n) else {
+            return;
+        };
         list.timer = None;
-        let entries: Vec<Entry> = self.members.told_by(SourceId(CONSUL.0 + n)).cloned().collect();
+        let entries: Vec<Entry> = self
+            .members
+            .told_by(SourceId(CONSUL.0 + n))
+            .cloned()
+            .collect();
         let bytes = kept::write(&list.scope, list.good_at, entries.iter());
-        if keeper.disk.give(Job { path: list.path.clone(), bytes }) {
+        if keeper.disk.give(Job {
+            path: list.path.clone(),
+            bytes,
+        }) {
             (list.written, list.written_at) = (entries, now);
         } else {
             // The disk has not yet taken the one before. What is written then is the list of then.
@@ -112,7 +149,11 @@
     /// At the end: what has changed since it was last written must not be lost to the wait for more changes.
     pub(in crate::daemon) fn write_lists(&mut self, now: Micros) {
         for n in 0..self.keeper.as_ref().map_or(0, |k| k.lists.len()) {
-            if self.keeper.as_ref().is_some_and(|k| k.lists[n].timer.is_some()) {
+            if self
+                .keeper
+                .as_ref()
+                .is_some_and(|k| k.lists[n].timer.is_some())
+            {
                 self.write_list(now, n);
             }
         }
--- a/daemon/src/daemon/feeds/consul/mod.rs
+++ b/daemon/src/daemon/feeds/consul/mod.rs
@@ -39,25 +39,44 @@
 
 /// Reads the token's file. Its text shows in no message.
 fn token(consul: &Consul) -> Result<Option<Token>, String> {
-    let Some(path) = &consul.token_file else { return Ok(None) };
-    let text = fs::read_to_string(path).map_err(|e| format!("consul.token_file: {}: {e}", path.display()))?;
-    let token = Token::read(&text).map_err(|e| format!("consul.token_file: {}: {e}", path.display()))?;
+    let Some(path) = &consul.token_file else {
+        return Ok(None);
+    };
+    let text = fs::read_to_string(path)
+        .map_err(|e| format!("consul.token_file: {}: {e}", path.display()))?;
+    let token =
+        Token::read(&text).map_err(|e| format!("consul.token_file: {}: {e}", path.display()))?;
     Ok(Some(token))
 }
 
 impl State {
     /// The state at the start. `listen` is where clients connect, which is what is registered.
-    pub(in crate::daemon) fn start(consul: &Consul, seed: u64, listen: SocketAddr) -> Result<Self, String> {
+    pub(in crate::daemon) fn start(
+        consul: &Consul,
+        seed: u64,
+        listen: SocketAddr,
+    ) -> Result<Self, String> {
         let watch = |(n, options)| {
             let watch = Watch::new(options, consul.mapping.clone(), seed ^ (n as u64 + 1));
-            Watched { watch, key: None, timer: None }
+            Watched {
+                watch,
+                key: None,
+                timer: None,
+            }
         };
-        let registered = consul
-            .registrant(listen)
-            .map(|r| Registered { registration: Registration::new(r, seed), timer: None });
+        let registered = consul.registrant(listen).map(|r| Registered {
+            registration: Registration::new(r, seed),
+            timer: None,
+        });
         Ok(State {
             agents: consul.agents.clone(),
-            watches: consul.options.iter().cloned().enumerate().map(watch).collect(),
+            watches: consul
+                .options
+                .iter()
+                .cloned()
+                .enumerate()
+                .map(watch)
+                .collect(),
             registered,
             token: token(consul)?,
             most_answer: consul.most_answer,
@@ -74,8 +93,12 @@
     }
 
     fn drive_watch(&mut self, now: Micros, n: usize) {
-        let Some(state) = &mut self.consul else { return };
-        let Some(w) = state.watches.get_mut(n) else { return };
+        let Some(state) = &mut self.consul else {
+            return;
+        };
+        let Some(w) = state.watches.get_mut(n) else {
+            return;
+        };
         if let Some(timer) = w.timer.take() {
             self.deadlines.take_back(timer);
         }
@@ -90,7 +113,8 @@
         };
         let to = state.agents[call.agent.min(state.agents.len() - 1)];
         let request = call.to_bytes(&to.to_string(), state.token.as_ref());
-        let then = move |daemon: &mut Daemon, now, outcome: Outcome| daemon.watch_told(now, n, outcome);
+        let then =
+            move |daemon: &mut Daemon, now, outcome: Outcome| daemon.watch_told(now, n, outcome);
         let exchange = Call::new(request, self.limits.line, state.most_answer, then);
         let exchange = exchange.in_parts(n, Daemon::watch_reads);
         let key = self.exchange(now, to, exchange, Some(call.timeout_us));
@@ -110,11 +134,21 @@
     }
 
     fn watch_told(&mut self, now: Micros, n: usize, outcome: Outcome) {
-        let Some(w) = self.consul.as_mut().and_then(|c| c.watches.get_mut(n)) else { return };
+        let Some(w) = self.consul.as_mut().and_then(|c| c.watches.get_mut(n)) else {
+            return;
+        };
         w.key = None;
-        let Told { evidence, notes, confirmed } = match &outcome {
+        let Told {
+            evidence,
+            notes,
+            confirmed,
+        } = match &outcome {
             Ok((head, body)) => {
-                let response = Response { status: head.status().unwrap_or(0), headers: &head.headers, body };
+                let response = Response {
+                    status: head.status().unwrap_or(0),
+                    headers: &head.headers,
+                    body,
+                };
                 w.watch.answered(now, &response)
             }
             Err(failure) => w.watch.failed(now, *failure),
@@ -146,7 +180,9 @@
     }
 
     fn read_token(&mut self) {
-        let Some((state, consul)) = self.consul.as_mut().zip(self.config.consul.as_ref()) else { return };
+        let Some((state, consul)) = self.consul.as_mut().zip(self.config.consul.as_ref()) else {
+            return;
+        };
         match token(consul) {
             Ok(token) => state.token = token,
             Err(e) => log::warn!("the token stays as it was: {e}"),
@@ -155,8 +191,12 @@
 
     pub(in crate::daemon) fn drive_registration(&mut self, now: Micros) {
         let ready = self.can_serve();
-        let Some(state) = &mut self.consul else { return };
-        let Some(r) = &mut state.registered else { return };
+        let Some(state) = &mut self.consul else {
+            return;
+        };
+        let Some(r) = &mut state.registered else {
+            return;
+        };
         let Some(call) = r.registration.ask(now, ready) else {
             let due = r.registration.due(now, ready);
             if due != r.timer.map(|t| t.0) {
@@ -165,7 +205,8 @@
                 }
                 let timer = due.map(|at| {
                     self.later(at, |daemon, now| {
-                        if let Some(r) = daemon.consul.as_mut().and_then(|c| c.registered.as_mut()) {
+                        if let Some(r) = daemon.consul.as_mut().and_then(|c| c.registered.as_mut())
+                        {
                             r.timer = None;
                         }
                         daemon.drive_registration(now);
@@ -179,7 +220,8 @@
         };
         let to = state.agents[call.agent.min(state.agents.len() - 1)];
         let request = call.to_bytes(&to.to_string(), state.token.as_ref());
-        let then = |daemon: &mut Daemon, now, outcome: Outcome| daemon.registration_told(now, outcome);
+        let then =
+            |daemon: &mut Daemon, now, outcome: Outcome| daemon.registration_told(now, outcome);
         let exchange = Call::new(request, self.limits.line, self.limits.line, then);
         let key = self.exchange(now, to, exchange, Some(call.timeout_us));
         if key.is_none() {
@@ -188,10 +230,16 @@
     }
 
     fn registration_told(&mut self, now: Micros, outcome: Outcome) {
-        let Some(r) = self.consul.as_mut().and_then(|c| c.registered.as_mut()) else { return };
+        let Some(r) = self.consul.as_mut().and_then(|c| c.registered.as_mut()) else {
+            return;
+        };
         let step = match &outcome {
             Ok((head, body)) => {
-                let response = Response { status: head.status().unwrap_or(0), headers: &head.headers, body };
+                let response = Response {
+                    status: head.status().unwrap_or(0),
+                    headers: &head.headers,
+                    body,
+                };
                 r.registration.answered(now, &response)
             }
             Err(failure) => r.registration.failed(now, *failure),
@@ -210,7 +258,14 @@
 
     /// A kept list counts as what a watch was told last, so that an empty first answer can't wipe it out.
     pub(super) fn remember_list(&mut self, n: usize, entries: &[Entry]) -> Option<Evidence> {
-        Some(self.consul.as_mut()?.watches.get_mut(n)?.watch.remember(entries))
+        Some(
+            self.consul
+                .as_mut()?
+                .watches
+                .get_mut(n)?
+                .watch
+                .remember(entries),
+        )
     }
 
     /// About to end: clients are to go elsewhere.
@@ -233,7 +288,9 @@
             self.read_token();
             return true;
         }
-        let (Some(old), Some(new)) = (&self.config.consul, new) else { return false };
+        let (Some(old), Some(new)) = (&self.config.consul, new) else {
+            return false;
+        };
         if !old.can_become(&new) {
             return false;
         }
@@ -244,13 +301,16 @@
                 return true;
             }
         };
-        let Some(state) = &mut self.consul else { return false };
+        let Some(state) = &mut self.consul else {
+            return false;
+        };
         let mut keys = Vec::new();
         for (w, options) in state.watches.iter_mut().zip(&new.options) {
             keys.extend(w.key.take());
             w.watch.change(options.clone(), new.mapping.clone());
         }
-        (state.agents, state.token, state.most_answer) = (new.agents.clone(), token, new.most_answer);
+        (state.agents, state.token, state.most_answer) =
+            (new.agents.clone(), token, new.most_answer);
         for key in keys {
             self.connections.remove(key);
         }
--- a/daemon/src/daemon/feeds/peers.rs
+++ b/daemon/src/daemon/feeds/peers.rs
@@ -37,7 +37,11 @@
             if peer.place.is_some_and(heard) {
                 continue;
             }
-            if self.origin_health.as_mut().is_some_and(|h| h.receive(now, from, bytes)) {
+            if self
+                .origin_health
+                .as_mut()
+                .is_some_and(|h| h.receive(now, from, bytes))
+            {
                 self.heed(now);
             } else if let Some(purge) = peers::read(bytes) {
                 self.receive_plain_purge(now, peer.place, purge);
@@ -49,14 +53,24 @@
 
     /// What others find of the origin, as far as enough of them agree.
     fn heed(&mut self, now: Micros) {
-        if let Some((share, until)) = self.origin_health.as_ref().and_then(|h| h.origin_share(now)) {
+        if let Some((share, until)) = self
+            .origin_health
+            .as_ref()
+            .and_then(|h| h.origin_share(now))
+        {
             self.core.heard(now, share, until);
         }
     }
 
     /// The origin is late for this proxy.
     pub(in crate::daemon) fn tell_found(&mut self, now: Micros, share: f64) {
-        let Some(word) = self.origin_health.as_mut().and_then(|h| h.observe(now, share)) else { return };
+        let Some(word) = self
+            .origin_health
+            .as_mut()
+            .and_then(|h| h.observe(now, share))
+        else {
+            return;
+        };
         log::debug!(target: TRACE, share = share; "peers are told of a late origin");
         self.send_to_peers(&word);
     }
@@ -72,7 +86,9 @@
                 return true;
             }
         };
-        let Some(ledger) = &mut self.ledger else { return true };
+        let Some(ledger) = &mut self.ledger else {
+            return true;
+        };
         let own = ledger.replica().own().writer;
         let told = match &datagram {
             Datagram::Digest { sum, .. } => Some(*sum),
@@ -86,7 +102,11 @@
         let same = told == Some(ledger.replica().log_store().checksum());
         self.enforce(now, &heard);
         // What its operators decided, and not each purge of a long log that comes back.
-        if heard.new.iter().any(|entry| entry.log.writer == own && ledger::purge(entry).is_none()) {
+        if heard
+            .new
+            .iter()
+            .any(|entry| entry.log.writer == own && ledger::purge(entry).is_none())
+        {
             self.recall_decided(now);
         }
         self.hear_triggers(now, &heard.new);
@@ -103,7 +123,10 @@
         if !heard.new.is_empty() {
             log::debug!(target: TRACE, place = peer, entries = heard.new.len(); "a peer told of purges");
         }
-        let replies = heard.replies.into_iter().map(|datagram| Outgoing { peer, datagram });
+        let replies = heard
+            .replies
+            .into_iter()
+            .map(|datagram| Outgoing { peer, datagram });
         self.send_words(replies.collect());
         self.settle_promises(now);
         // The next part of a snapshot, or of what is missing, may be due sooner now.
@@ -113,14 +136,23 @@
 
     /// Puts in force what a peer told of purges. What there is no room to keep is in force all the same.
     fn enforce(&mut self, now: Micros, received: &Received) {
-        for entry in received.new.iter().chain(&received.out_of_order).chain(&received.rejected) {
-            let Some((object, group, at)) = ledger::purge(entry) else { continue };
+        for entry in received
+            .new
+            .iter()
+            .chain(&received.out_of_order)
+            .chain(&received.rejected)
+        {
+            let Some((object, group, at)) = ledger::purge(entry) else {
+                continue;
+            };
             self.core.purged(now, object, group, at);
         }
         for merged in &received.buckets {
-            if let Err(e) =
-                self.core.purges_mut().merge_bucket(merged.bucket_bits, merged.index, &merged.bucket)
-            {
+            if let Err(e) = self.core.purges_mut().merge_bucket(
+                merged.bucket_bits,
+                merged.index,
+                &merged.bucket,
+            ) {
                 log::error!("{e}");
             }
         }
@@ -128,7 +160,10 @@
 
     /// Tells all peers of a new entry at once; those whom that misses get it with the logs.
     pub(in crate::daemon) fn tell_entry(&mut self, entry: Entry) {
-        if let Some(bytes) = Datagram::Entry(entry).write().filter(|_| self.config.copies.on) {
+        if let Some(bytes) = Datagram::Entry(entry)
+            .write()
+            .filter(|_| self.config.copies.on)
+        {
             self.send_to_peers(&bytes);
         }
     }
@@ -151,9 +186,15 @@
 
     /// The peers besides this proxy itself.
     pub(in crate::daemon) fn other_peers(&self) -> Vec<SocketAddr> {
-        let Some((socket, known)) = &self.peers else { return Vec::new() };
+        let Some((socket, known)) = &self.peers else {
+            return Vec::new();
+        };
         let own = socket.local_addr().ok();
-        known.iter().filter(|peer| Some(**peer) != own).copied().collect()
+        known
+            .iter()
+            .filter(|peer| Some(**peer) != own)
+            .copied()
+            .collect()
     }
 
     pub(in crate::daemon) fn send_to_peer(&self, peer: SocketAddr, datagram: &[u8]) {
@@ -164,6 +205,8 @@
     }
 
     fn send_to_peers(&self, datagram: &[u8]) {
-        self.other_peers().into_iter().for_each(|peer| self.send_to_peer(peer, datagram));
+        self.other_peers()
+            .into_iter()
+            .for_each(|peer| self.send_to_peer(peer, datagram));
     }
 }
--- a/daemon/src/daemon/fleet.rs
+++ b/daemon/src/daemon/fleet.rs
@@ -21,18 +21,30 @@
 impl Daemon {
     /// Begins to look after the peers.
     pub(super) fn join_fleet(&mut self, now: Micros) {
-        let Some(ledger) = self.ledger.as_ref().filter(|_| self.config.copies.on) else { return };
+        let Some(ledger) = self.ledger.as_ref().filter(|_| self.config.copies.on) else {
+            return;
+        };
         let (name, machine) = (&self.config.name, &self.config.copies.machine);
-        let (me, peers) = ((server_id(name), ledger.member()), self.config.copies.machines.len());
-        let membership =
-            Membership::new(me, (name, machine), peers, (self.config.seed, now), Options::default());
+        let (me, peers) = (
+            (server_id(name), ledger.member()),
+            self.config.copies.machines.len(),
+        );
+        let membership = Membership::new(
+            me,
+            (name, machine),
+            peers,
+            (self.config.seed, now),
+            Options::default(),
+        );
         self.membership = Some(membership);
         self.plan_fleet(now);
     }
 
     /// Whether a later process of this name has begun.
     pub(super) fn is_replaced(&self) -> bool {
-        self.membership.as_ref().is_some_and(Membership::is_replaced)
+        self.membership
+            .as_ref()
+            .is_some_and(Membership::is_replaced)
     }
 
     /// Whether it may promise anything: one that was replaced leaves that to its successor.
@@ -43,8 +55,15 @@
 
     /// Takes in a word of a member; false where it is none.
     pub(super) fn hear_member(&mut self, now: Micros, place: usize, bytes: &[u8]) -> bool {
-        let Some(membership) = &mut self.membership else { return false };
-        let named = |membership: &Membership| membership.members().get(place).and_then(|m| m.names.clone());
+        let Some(membership) = &mut self.membership else {
+            return false;
+        };
+        let named = |membership: &Membership| {
+            membership
+                .members()
+                .get(place)
+                .and_then(|m| m.names.clone())
+        };
         let before = (membership.is_replaced(), named(membership));
         match membership.receive(now, place, bytes) {
             Err(DecodeError::Foreign) => return false,
@@ -70,18 +89,31 @@
 
     /// Sends what is to be said, and says what has changed.
     pub(super) fn tend_membership(&mut self, now: Micros) {
-        let Some(membership) = &mut self.membership else { return };
+        let Some(membership) = &mut self.membership else {
+            return;
+        };
         let (outgoing, changes) = (membership.outgoing(), membership.changes());
-        outgoing.iter().for_each(|(place, bytes)| self.send_to_place(*place, bytes));
-        changes.into_iter().for_each(|change| self.say_member(change));
+        outgoing
+            .iter()
+            .for_each(|(place, bytes)| self.send_to_place(*place, bytes));
+        changes
+            .into_iter()
+            .for_each(|change| self.say_member(change));
         self.plan_fleet(now);
     }
 
     fn say_member(&self, Change { peer, old, new }: Change) {
         let membership = self.membership.as_ref();
         let member = membership.and_then(|m| m.members().get(peer));
-        let name = member.and_then(|m| m.names.as_ref()).map_or("", |names| names.0.as_str());
-        let address = self.config.copies.machines.get(peer).map_or_else(String::new, |(a, _)| a.to_string());
+        let name = member
+            .and_then(|m| m.names.as_ref())
+            .map_or("", |names| names.0.as_str());
+        let address = self
+            .config
+            .copies
+            .machines
+            .get(peer)
+            .map_or_else(String::new, |(a, _)| a.to_string());
         let level = match new.standing {
             Standing::Alive | Standing::Left => log::Level::Info,
             Standing::Suspect => log::Level::Debug,
@@ -95,13 +127,18 @@
     }
 
     fn plan_fleet(&mut self, now: Micros) {
-        let Some(membership) = &self.membership else { return };
+        let Some(membership) = &self.membership else {
+            return;
+        };
         let due = membership.due().max(now + 1);
         if self.fleet_due.is_none_or(|(at, _)| at > due || at <= now) {
             let old = self.fleet_due.take();
             self.fleet_due = self.instead(old, Some(due), |daemon, now| {
                 daemon.fleet_due = None;
-                daemon.membership.iter_mut().for_each(|membership| membership.tick(now));
+                daemon
+                    .membership
+                    .iter_mut()
+                    .for_each(|membership| membership.tick(now));
                 daemon.tend_membership(now);
             });
         }
@@ -109,7 +146,9 @@
 
     /// The process ends: the others need not find it out.
     pub(super) fn leave_fleet(&mut self, now: Micros) {
-        let Some(membership) = &mut self.membership else { return };
+        let Some(membership) = &mut self.membership else {
+            return;
+        };
         membership.leave();
         let t = membership.counters();
         log::info!(
@@ -124,13 +163,20 @@
     pub(super) fn fleet_status(&self) -> Option<Status> {
         let copies = &self.config.copies;
         let ledger = self.ledger.as_ref().filter(|_| copies.on)?.replica();
-        let (own, counters, ends) = (ledger.own(), ledger.counters(), ledger.log_store().last_indexes());
+        let (own, counters, ends) = (
+            ledger.own(),
+            ledger.counters(),
+            ledger.log_store().last_indexes(),
+        );
         let end = ledger.log_store().last_index(own);
         let membership = self.membership.as_ref();
         let peer = |(place, (address, machine)): (usize, &(SocketAddr, String))| {
             let held = ledger.acked_by(place);
             let member = membership.and_then(|m| m.members().get(place));
-            let (claim, names) = (member.and_then(|m| m.claim), member.and_then(|m| m.names.as_ref()));
+            let (claim, names) = (
+                member.and_then(|m| m.claim),
+                member.and_then(|m| m.names.as_ref()),
+            );
             PeerStatus {
                 address: *address,
                 machine: names.map_or(machine, |(_, told)| told).clone(),
@@ -167,7 +213,13 @@
             refused: counters.commits_rejected,
             up: membership.map_or(1, Membership::up),
             replaced: self.is_replaced(),
-            peers: copies.machines.iter().enumerate().take(MOST_PEERS).map(peer).collect(),
+            peers: copies
+                .machines
+                .iter()
+                .enumerate()
+                .take(MOST_PEERS)
+                .map(peer)
+                .collect(),
             peers_in_all: copies.machines.len(),
             logs: ends.iter().take(MOST_LOGS).map(log).collect(),
             logs_in_all: ends.len(),
--- a/daemon/src/daemon/lifecycle.rs
+++ b/daemon/src/daemon/lifecycle.rs
@@ -19,7 +19,11 @@
 impl Daemon {
     /// A client's connection is to end once all that it asked is answered.
     pub(super) fn close_when_answered(&mut self, key: Key) {
-        if let Some(Connection { kind: Kind::Client(session), .. }) = self.connections.get_mut(key) {
+        if let Some(Connection {
+            kind: Kind::Client(session),
+            ..
+        }) = self.connections.get_mut(key)
+        {
             session.close_when_answered();
         }
     }
@@ -62,7 +66,9 @@
 
     /// Takes in what a client's connection has received up to this moment. False: it has gone.
     pub(super) fn look(&mut self, now: Micros, key: Key) -> bool {
-        let Some(c) = self.connections.get_mut(key) else { return false };
+        let Some(c) = self.connections.get_mut(key) else {
+            return false;
+        };
         let here = match &c.kind {
             Kind::Client(_) => self.read_client(now, key),
             Kind::Cdni(_) if c.conn.input.room() > 0 => match c.conn.read(false) {
@@ -88,7 +94,9 @@
         if !self.look(now, key) {
             return true;
         }
-        let Some(c) = self.connections.get_mut(key) else { return true };
+        let Some(c) = self.connections.get_mut(key) else {
+            return true;
+        };
         if !Self::is_quiet(c) {
             return false;
         }
@@ -105,7 +113,9 @@
 
     /// Throws away what still comes on a connection that this side has ended. False: its client has ended it too.
     pub(super) fn drain_lingering(&mut self, key: Key) -> bool {
-        let Some(c) = self.connections.get_mut(key) else { return false };
+        let Some(c) = self.connections.get_mut(key) else {
+            return false;
+        };
         for _ in 0..self.limits.client_reads {
             match c.conn.read(false) {
                 Progress::Moved => c.conn.input.consume(c.conn.input.len()),
@@ -125,14 +135,21 @@
         self.drop_listener();
         for key in self.connections.keys() {
             self.close_when_answered(key);
-            let silent = self.connections.get(key).is_some_and(|c| c.since + self.limits.settle_us > now);
+            let silent = self
+                .connections
+                .get(key)
+                .is_some_and(|c| c.since + self.limits.settle_us > now);
             if !silent {
                 self.end_soon(now, key);
             }
         }
         // Those that came a moment ago: their requests are on their way.
         self.later(now + self.limits.settle_us, |daemon, now| {
-            daemon.connections.keys().into_iter().for_each(|key| daemon.end_soon(now, key));
+            daemon
+                .connections
+                .keys()
+                .into_iter()
+                .for_each(|key| daemon.end_soon(now, key));
         });
     }
 
@@ -140,7 +157,9 @@
     pub(super) fn holds_back(&self, now: Micros, c: &Connection) -> bool {
         match &c.kind {
             Kind::Client(_) | Kind::Cdni(_) => true,
-            Kind::Lingering => self.term_at.is_some_and(|at| now < at + self.limits.term_linger_us),
+            Kind::Lingering => self
+                .term_at
+                .is_some_and(|at| now < at + self.limits.term_linger_us),
             Kind::Admin(caller) => caller.is_waiting() || !c.conn.output.is_empty(),
             _ => false,
         }
--- a/daemon/src/daemon/members.rs
+++ b/daemon/src/daemon/members.rs
@@ -57,11 +57,20 @@
         for notice in out.notices {
             let line = match notice {
                 Notice::Full(uid) => format!("the table of boxes is full: {uid} is not taken in"),
-                Notice::SameId { uid, kept, refused, source } => {
+                Notice::SameId {
+                    uid,
+                    kept,
+                    refused,
+                    source,
+                } => {
                     let source = self.members.source(source);
                     format!("{source} names {uid} at {refused} too, which is passed over: it is at {kept}")
                 }
-                Notice::SameAddress { uid, other, endpoint } => {
+                Notice::SameAddress {
+                    uid,
+                    other,
+                    endpoint,
+                } => {
                     format!("{uid} has taken the address {endpoint} over from {other}")
                 }
                 Notice::Moved { uid, from, to } => format!("{uid} has moved from {from} to {to}"),
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -7,7 +7,8 @@
 use crate::ledger::{Bounds, Ledger};
 use crate::limits::Limits;
 use crate::net::{
-    bind_shared_udp, connect, Clock, Conn, Deadlines, Due, Interest, Key, Poll, Progress, Ready, Slots,
+    bind_shared_udp, connect, Clock, Conn, Deadlines, Due, Interest, Key, Poll, Progress, Ready,
+    Slots,
 };
 use crate::plain_purges::PlainPurges;
 use crate::upstream::Link;
@@ -125,12 +126,16 @@
 impl Control {
     /// Ends it as SIGTERM does, once all that it has taken is answered.
     pub fn stop(&mut self) -> io::Result<()> {
-        rustix::io::write(&self.term, b"t").map(drop).map_err(io::Error::from)
+        rustix::io::write(&self.term, b"t")
+            .map(drop)
+            .map_err(io::Error::from)
     }
 
     /// Has it read its configuration again, as SIGHUP does.
     pub fn reload(&mut self) -> io::Result<()> {
-        rustix::io::write(&self.hup, b"h").map(drop).map_err(io::Error::from)
+        rustix::io::write(&self.hup, b"h")
+            .map(drop)
+            .map_err(io::Error::from)
     }
 }
 
@@ -171,10 +176,21 @@
 
 /// Who tells of the boxes. The bus alone is relayed: on the platform the module hears it event by event.
 fn sources(config: &Config) -> Vec<ListSource> {
-    let mut sources = vec![ListSource { name: "bus".into(), relayed: true, damped: false }];
+    let mut sources = vec![ListSource {
+        name: "bus".into(),
+        relayed: true,
+        damped: false,
+    }];
     for options in config.consul.iter().flat_map(|c| &c.options) {
-        let name = options.datacenter.as_ref().map_or("consul".to_owned(), |dc| format!("consul/{dc}"));
-        sources.push(ListSource { name, relayed: false, damped: true });
+        let name = options
+            .datacenter
+            .as_ref()
+            .map_or("consul".to_owned(), |dc| format!("consul/{dc}"));
+        sources.push(ListSource {
+            name,
+            relayed: false,
+            damped: true,
+        });
     }
     sources
 }
@@ -249,11 +265,13 @@
 /// The clients' listener: the one that `$ROUTER_SOCKET_FD` names, inherited from the platform, or one of its own.
 fn client_listener(config: &Config) -> Result<(TcpListener, bool), String> {
     let Ok(fd) = std::env::var("ROUTER_SOCKET_FD") else {
-        let listener =
-            TcpListener::bind(config.listen).map_err(|e| format!("listen: {}: {e}", config.listen))?;
+        let listener = TcpListener::bind(config.listen)
+            .map_err(|e| format!("listen: {}: {e}", config.listen))?;
         return Ok((listener, false));
     };
-    let fd: u32 = fd.parse().map_err(|_| format!("ROUTER_SOCKET_FD: '{fd}' is no descriptor"))?;
+    let fd: u32 = fd
+        .parse()
+        .map_err(|_| format!("ROUTER_SOCKET_FD: '{fd}' is no descriptor"))?;
     // listenfd takes descriptors as systemd hands them over; this is told before any thread is started.
     std::env::set_var("LISTEN_FDS", "1");
     std::env::set_var("LISTEN_FDS_FIRST_FD", fd.to_string());
@@ -261,7 +279,9 @@
     let taken = listenfd::ListenFd::from_env().take_tcp_listener(0);
     let listener = taken
         .map_err(|e| format!("ROUTER_SOCKET_FD: descriptor {fd}: {e}"))?
-        .ok_or(format!("ROUTER_SOCKET_FD: descriptor {fd} is no listening TCP socket"))?;
+        .ok_or(format!(
+            "ROUTER_SOCKET_FD: descriptor {fd} is no listening TCP socket"
+        ))?;
     Ok((listener, true))
 }
 
@@ -276,11 +296,15 @@
         let hup = Signal::register(signal_hook::consts::SIGHUP).map_err(text)?;
         // As many as there can be: what is known at all is known before anything is done about a part of it.
         let poll = Poll::new(limits.descriptors).map_err(text)?;
-        poll.add(&listener, LISTENER, Interest::READ).map_err(text)?;
-        poll.add(&term.heard, SIGNAL, Interest::READ).map_err(text)?;
+        poll.add(&listener, LISTENER, Interest::READ)
+            .map_err(text)?;
+        poll.add(&term.heard, SIGNAL, Interest::READ)
+            .map_err(text)?;
         poll.add(&hup.heard, RELOAD, Interest::READ).map_err(text)?;
-        let admin =
-            config.ops.map(|at| TcpListener::bind(at).map_err(|e| format!("ops: {at}: {e}"))).transpose()?;
+        let admin = config
+            .ops
+            .map(|at| TcpListener::bind(at).map_err(|e| format!("ops: {at}: {e}")))
+            .transpose()?;
         if let Some(admin) = &admin {
             admin.set_nonblocking(true).map_err(text)?;
             poll.add(admin, ADMIN, Interest::READ).map_err(text)?;
@@ -288,11 +312,14 @@
         let clock = Clock::start();
         let (mut desk, mut peers, mut ledger, mut store_word) = (None, None, None, None);
         if let Some(cdni) = config.cdni.clone() {
-            let listener =
-                TcpListener::bind(cdni.listen).map_err(|e| format!("cdni.listen: {}: {e}", cdni.listen))?;
+            let listener = TcpListener::bind(cdni.listen)
+                .map_err(|e| format!("cdni.listen: {}: {e}", cdni.listen))?;
             listener.set_nonblocking(true).map_err(text)?;
             poll.add(&listener, CDNI, Interest::READ).map_err(text)?;
-            desk = Some((listener, Desk::new(cdni.identity, config.seed, limits.triggers)));
+            desk = Some((
+                listener,
+                Desk::new(cdni.identity, config.seed, limits.triggers),
+            ));
             if let Some(path) = cdni.purges {
                 let writer = linnetknot_discovery::server_id(&config.name);
                 let word = Signal::new().map_err(text)?;
@@ -320,17 +347,27 @@
             peers = Some((socket, known));
         }
         let ops_folder = config.ops_folder.clone();
-        let ops = linnetknot_ops::Operations::new(linnetknot_ops::store::load(&ops_folder), clock.now());
+        let ops =
+            linnetknot_ops::Operations::new(linnetknot_ops::store::load(&ops_folder), clock.now());
         let place = ZonePlace::of(&config.settings);
         let origin_health = config.tell.then(|| OriginHealth::new(place, clock.now()));
-        let core = Core::new(config.settings.clone(), config.seed, &limits).map_err(|e| e.to_string())?;
+        let core =
+            Core::new(config.settings.clone(), config.seed, &limits).map_err(|e| e.to_string())?;
         let (last_event, known) = std::mem::take(&mut config.known);
-        let damping = config.consul.as_ref().map_or(Damping::default(), |c| c.damping);
+        let damping = config
+            .consul
+            .as_ref()
+            .map_or(Damping::default(), |c| c.damping);
         let address = listener.local_addr().unwrap_or(config.listen);
-        let consul =
-            config.consul.as_ref().map(|c| consul::State::start(c, config.seed, address)).transpose()?;
+        let consul = config
+            .consul
+            .as_ref()
+            .map(|c| consul::State::start(c, config.seed, address))
+            .transpose()?;
         let keeper = config.consul.as_ref().zip(config.state.directory.as_ref());
-        let keeper = keeper.map(|(c, folder)| consul::Keeper::start(folder, c.scopes())).transpose()?;
+        let keeper = keeper
+            .map(|(c, folder)| consul::Keeper::start(folder, c.scopes()))
+            .transpose()?;
         let mut daemon = Daemon {
             clock,
             core,
@@ -427,7 +464,10 @@
 
     /// What does to it from another thread what signals do.
     pub fn control(&self) -> io::Result<Control> {
-        Ok(Control { term: self.term.raised.try_clone()?, hup: self.hup.raised.try_clone()? })
+        Ok(Control {
+            term: self.term.raised.try_clone()?,
+            hup: self.hup.raised.try_clone()?,
+        })
     }
 
     /// Serves until SIGTERM, and then until all is answered.
@@ -435,7 +475,11 @@
         let mut ready = Vec::new();
         while !self.is_done() {
             let now = self.clock.now();
-            let wait = self.deadlines.next().map_or(IDLE_US, |at| at.saturating_sub(now)).min(IDLE_US);
+            let wait = self
+                .deadlines
+                .next()
+                .map_or(IDLE_US, |at| at.saturating_sub(now))
+                .min(IDLE_US);
             self.poll.wait(wait, &mut ready)?;
             ready.sort_by_key(|event| self.rank(event));
             for event in ready.drain(..) {
@@ -448,9 +492,14 @@
             }
         }
         self.write_lists(self.clock.now());
-        let tally = self.ledger.as_ref().map(|ledger| ledger.replica().counters());
+        let tally = self
+            .ledger
+            .as_ref()
+            .map(|ledger| ledger.replica().counters());
         if let Some(Err(e)) = self.ledger.take().map(Ledger::close) {
-            log::warn!("the store is not closed, and the next start begins a new life of its log: {e}");
+            log::warn!(
+                "the store is not closed, and the next start begins a new life of its log: {e}"
+            );
         }
         let c = self.core.counts;
         log::info!(
@@ -501,10 +550,18 @@
 
     fn is_done(&self) -> bool {
         let now = self.clock.now();
-        self.grace_over && self.has_left_consul() && self.core.is_idle() && self.waiting_answers == 0 && {
-            let holds = |key: &Key| self.connections.get(*key).is_some_and(|c| self.holds_back(now, c));
-            !self.connections.keys().iter().any(holds)
-        }
+        self.grace_over
+            && self.has_left_consul()
+            && self.core.is_idle()
+            && self.waiting_answers == 0
+            && {
+                let holds = |key: &Key| {
+                    self.connections
+                        .get(*key)
+                        .is_some_and(|c| self.holds_back(now, c))
+                };
+                !self.connections.keys().iter().any(holds)
+            }
     }
 
     /// What is taken up first of all that is known at once. Clients that have gone come first, then what is told of the
@@ -574,7 +631,8 @@
                     self.end_if_over(now, key);
                 }
             }
-            self.deadlines.set(now + self.limits.term_grace_us, Timer::Term);
+            self.deadlines
+                .set(now + self.limits.term_grace_us, Timer::Term);
             self.leave_consul(now);
             self.leave_fleet(now);
         }
@@ -602,12 +660,19 @@
             self.limits.follow(&new.limits);
             self.config.limits.follow(&new.limits);
         }
-        for key in self.config.fixed_changes(&new).into_iter().filter(|key| *key != "settings") {
+        for key in self
+            .config
+            .fixed_changes(&new)
+            .into_iter()
+            .filter(|key| *key != "settings")
+        {
             log::warn!("SIGHUP: '{key}' has changed, which takes effect with the next start only");
         }
         if let (Some((_, known)), Some((_, peers))) = (&mut self.peers, &new.peers) {
             known.clone_from(peers);
-            self.origin_health.iter_mut().for_each(|h| h.retain_peers(|peer| peers.contains(peer)));
+            self.origin_health
+                .iter_mut()
+                .for_each(|h| h.retain_peers(|peer| peers.contains(peer)));
         }
         if self.config.budgets != new.budgets {
             self.reload_budgets(&new.budgets);
@@ -623,7 +688,9 @@
         if machines != self.config.copies.machines {
             self.detach_budgets();
             let peers = self.config.copies.machines.len();
-            self.membership.iter_mut().for_each(|fleet| fleet.peers(peers));
+            self.membership
+                .iter_mut()
+                .for_each(|fleet| fleet.peers(peers));
             self.know_machines();
             if !self.promised.has_recovered() {
                 self.begin_recovery(now);
@@ -631,7 +698,11 @@
         }
         log::info!(
             "SIGHUP: the configuration is read again{}",
-            if moved { "; the event bus has moved" } else { "" }
+            if moved {
+                "; the event bus has moved"
+            } else {
+                ""
+            }
         );
         self.index_peers();
         if moved {
@@ -667,11 +738,20 @@
     // ---- Connections ----
 
     fn open(&mut self, now: Micros, conn: Conn, kind: Kind) -> Option<Key> {
-        let key =
-            self.connections.insert(Connection { conn, kind, since: now, half: false, waiting: 0, held: 0 });
+        let key = self.connections.insert(Connection {
+            conn,
+            kind,
+            since: now,
+            half: false,
+            waiting: 0,
+            held: 0,
+        });
         let key = key.ok()?;
         let c = self.connections.get(key)?;
-        if let Err(e) = self.poll.add(c.conn.socket(), key.to_u64(), c.conn.watched()) {
+        if let Err(e) = self
+            .poll
+            .add(c.conn.socket(), key.to_u64(), c.conn.watched())
+        {
             log::warn!("a connection can't be watched: {e}");
             self.connections.remove(key);
             return None;
@@ -689,15 +769,25 @@
                 NoCall::NoRoom
             }
         })?;
-        let conn = Conn::new(socket, false, self.limits.input_ring, self.limits.output_ring);
-        let key = self.open(now, conn.map_err(|_| NoCall::NoRoom)?, kind).ok_or(NoCall::NoRoom)?;
-        self.deadlines.set(now + self.limits.connect_us, Timer::Connect(key));
+        let conn = Conn::new(
+            socket,
+            false,
+            self.limits.input_ring,
+            self.limits.output_ring,
+        );
+        let key = self
+            .open(now, conn.map_err(|_| NoCall::NoRoom)?, kind)
+            .ok_or(NoCall::NoRoom)?;
+        self.deadlines
+            .set(now + self.limits.connect_us, Timer::Connect(key));
         Ok(key)
     }
 
     fn serve(&mut self, now: Micros, key: Key, ready: Ready) {
         // A stale event, of a connection that ended earlier in the same round, misses by its generation.
-        let Some(c) = self.connections.get_mut(key) else { return };
+        let Some(c) = self.connections.get_mut(key) else {
+            return;
+        };
         if ready.write && !c.conn.up {
             if c.conn.finish_connect().is_err() {
                 return self.close(now, key);
@@ -724,9 +814,16 @@
             over = ended && !(matches!(c.kind, Kind::Admin(_)) && got == Progress::Ended);
             if let Err(e) = self.read(now, key, ended) {
                 // Whoever sends garbage must not fill the log with it.
-                let client = self.connections.get(key).is_some_and(|c| c.kind.is_client());
+                let client = self
+                    .connections
+                    .get(key)
+                    .is_some_and(|c| c.kind.is_client());
                 log::log!(
-                    if client { log::Level::Debug } else { log::Level::Warn },
+                    if client {
+                        log::Level::Debug
+                    } else {
+                        log::Level::Warn
+                    },
                     "a connection is ended: {e}"
                 );
                 over = true;
@@ -742,7 +839,9 @@
     }
 
     fn read(&mut self, now: Micros, key: Key, ended: bool) -> Result<(), WireError> {
-        let Some(c) = self.connections.get_mut(key) else { return Ok(()) };
+        let Some(c) = self.connections.get_mut(key) else {
+            return Ok(());
+        };
         match &mut c.kind {
             // These are read by `look`.
             Kind::Client(_) | Kind::Lingering => Ok(()),
@@ -767,7 +866,9 @@
 
     /// Writes what is waiting; false where the connection is over.
     fn write(&mut self, now: Micros, key: Key) -> bool {
-        let Some(c) = self.connections.get_mut(key) else { return true };
+        let Some(c) = self.connections.get_mut(key) else {
+            return true;
+        };
         let sound = match &mut c.kind {
             Kind::Client(_) => {
                 self.write_client(key);
@@ -790,7 +891,9 @@
     }
 
     fn watch(&mut self, key: Key) {
-        let Some(c) = self.connections.get_mut(key) else { return };
+        let Some(c) = self.connections.get_mut(key) else {
+            return;
+        };
         if let Some(interest) = c.conn.watch() {
             if let Err(e) = self.poll.change(c.conn.socket(), key.to_u64(), interest) {
                 log::warn!("a connection can't be watched: {e}");
@@ -799,13 +902,18 @@
     }
 
     fn close(&mut self, now: Micros, key: Key) {
-        let Some(c) = self.connections.remove(key) else { return };
+        let Some(c) = self.connections.remove(key) else {
+            return;
+        };
         match c.kind {
             Kind::Client(session) => {
                 self.clients -= 1;
                 self.waiting_answers -= c.waiting;
                 self.held -= c.held;
-                session.tickets().into_iter().for_each(|ticket| self.core.leave(now, ticket));
+                session
+                    .tickets()
+                    .into_iter()
+                    .for_each(|ticket| self.core.leave(now, ticket));
             }
             Kind::Box(mut link) => {
                 let server = link.server;
@@ -834,7 +942,11 @@
             Kind::Lingering => self.clients -= 1,
             Kind::Admin(_) => self.callers -= 1,
             Kind::Exchange(exchange) => {
-                let end = if c.conn.up { exchange::End::Closed } else { exchange::End::Unreachable };
+                let end = if c.conn.up {
+                    exchange::End::Closed
+                } else {
+                    exchange::End::Unreachable
+                };
                 if let Some(effect) = exchange.ended(end) {
                     effect(self, now);
                 }
--- a/daemon/src/daemon/peer_index.rs
+++ b/daemon/src/daemon/peer_index.rs
@@ -23,7 +23,9 @@
         peers: impl IntoIterator<Item = SocketAddr>,
         replicating: impl IntoIterator<Item = SocketAddr>,
     ) -> Self {
-        let unplaced = peers.into_iter().map(|address| (address, PeerEntry { place: None }));
+        let unplaced = peers
+            .into_iter()
+            .map(|address| (address, PeerEntry { place: None }));
         let mut entries: HashMap<SocketAddr, PeerEntry> = unplaced.collect();
         for (place, address) in replicating.into_iter().enumerate() {
             if let Some(entry) = entries.get_mut(&address) {
--- a/daemon/src/daemon/plain_purges.rs
+++ b/daemon/src/daemon/plain_purges.rs
@@ -37,15 +37,21 @@
 
     /// Writes a purge of a peer that does not replicate logs, so that the next process knows it, too.
     fn write_plain_purge(&mut self, (object, group, at): &Purge) {
-        let Some(ledger) = &mut self.ledger else { return };
+        let Some(ledger) = &mut self.ledger else {
+            return;
+        };
         if let Err(e) = ledger.learn_purge(object.as_deref(), *group, *at) {
-            log::error!("a purge that a peer told is in force but not kept for the next start: {e}");
+            log::error!(
+                "a purge that a peer told is in force but not kept for the next start: {e}"
+            );
         }
     }
 
     /// Sends a purge as a plain datagram to the peers that are not known to replicate logs, now and again.
     pub(super) fn send_plain_purge(&mut self, now: Micros, object: Option<&str>, group: u64) {
-        let Some(text) = peers::write(object, group, now).filter(|_| self.peers.is_some()) else { return };
+        let Some(text) = peers::write(object, group, now).filter(|_| self.peers.is_some()) else {
+            return;
+        };
         self.send_where_not_replicated(&text);
         self.plain_purges.sent(now, text);
         self.plan_plain_purges();
@@ -72,18 +78,36 @@
 
     fn tick_plain_purges(&mut self, now: Micros) {
         let membership = self.membership.as_ref();
-        let overdue = self.plain_purges.tick(now, |place| replicates(membership, place));
-        overdue.resends.iter().for_each(|text| self.send_where_not_replicated(text));
-        overdue.writes.iter().for_each(|purge| self.write_plain_purge(purge));
+        let overdue = self
+            .plain_purges
+            .tick(now, |place| replicates(membership, place));
+        overdue
+            .resends
+            .iter()
+            .for_each(|text| self.send_where_not_replicated(text));
+        overdue
+            .writes
+            .iter()
+            .for_each(|purge| self.write_plain_purge(purge));
         self.plan_plain_purges();
     }
 
     /// Indexes the peers by their addresses; to be called after each change of theirs.
     pub(super) fn index_peers(&mut self) {
-        let peers = self.peers.iter().flat_map(|(_, peers)| peers.iter().copied());
-        let members = self.config.copies.machines.iter().map(|(address, _)| *address);
+        let peers = self
+            .peers
+            .iter()
+            .flat_map(|(_, peers)| peers.iter().copied());
+        let members = self
+            .config
+            .copies
+            .machines
+            .iter()
+            .map(|(address, _)| *address);
         self.peer_index = PeerIndex::new(peers, members);
         let unwritten = self.plain_purges.take_unwritten();
-        unwritten.iter().for_each(|purge| self.write_plain_purge(purge));
+        unwritten
+            .iter()
+            .for_each(|purge| self.write_plain_purge(purge));
     }
 }
--- a/daemon/src/daemon/promises.rs
+++ b/daemon/src/daemon/promises.rs
@@ -40,7 +40,11 @@
             Done::Resume => (Subject::Drain, true),
         };
         // A call that changes something finds the contrary.
-        Decided { what, lifted, before: !lifted }
+        Decided {
+            what,
+            lifted,
+            before: !lifted,
+        }
     }
 }
 
@@ -129,7 +133,11 @@
     }
 
     fn answer_once_kept(&mut self, now: Micros, place: Index, answer: Answer) {
-        match self.ledger.as_mut().map(|ledger| ledger.open_commit(now, place)) {
+        match self
+            .ledger
+            .as_mut()
+            .map(|ledger| ledger.open_commit(now, place))
+        {
             Some(Ok(promise)) => drop(self.promised.answers.insert(promise, answer)),
             Some(Err(why)) => self.answer_promise(now, answer, Err(why.to_string())),
             // No place is given where there is no log.
@@ -159,7 +167,10 @@
             (Some(d), true) => self.say_decided(now, &d.what, d.lifted),
             (None, _) => Ok(()),
         };
-        let end = self.ledger.as_ref().map_or(0, |l| l.replica().log_store().last_index(l.replica().own()));
+        let end = self
+            .ledger
+            .as_ref()
+            .map_or(0, |l| l.replica().log_store().last_index(l.replica().own()));
         match said {
             Ok(()) if end == 0 => return Some(reply),
             Ok(()) => self.answer_once_kept(now, end, Answer::Operator(key, reply, decided)),
@@ -170,25 +181,41 @@
 
     /// An entry of what the operators decided: on its way to the disk and to the peers.
     fn say_decided(&mut self, now: Micros, what: &Subject, lifted: bool) -> Result<(), String> {
-        let Some(ledger) = &mut self.ledger else { return Ok(()) };
-        let entry = ledger.append(what.clone(), now, lifted).map_err(|e| e.to_string())?;
+        let Some(ledger) = &mut self.ledger else {
+            return Ok(());
+        };
+        let entry = ledger
+            .append(what.clone(), now, lifted)
+            .map_err(|e| e.to_string())?;
         self.tell_entry(entry);
         Ok(())
     }
 
     /// The status of a trigger as entries: the place of the last; none where there is no log.
     fn say_status(&mut self, now: Micros, name: Name, text: &str) -> Result<Option<Index>, String> {
-        let Some(ledger) = &mut self.ledger else { return Ok(None) };
-        let entries = ledger.append_status(name.number, text, now).map_err(|e| e.to_string())?;
+        let Some(ledger) = &mut self.ledger else {
+            return Ok(None);
+        };
+        let entries = ledger
+            .append_status(name.number, text, now)
+            .map_err(|e| e.to_string())?;
         let place = entries.last().map(|entry| entry.index);
         entries.into_iter().for_each(|entry| self.tell_entry(entry));
         Ok(place)
     }
 
     /// An entry of a trigger that is gone: its place; none where there is no log.
-    fn say_gone(&mut self, now: Micros, Name { writer, number }: Name) -> Result<Option<Index>, String> {
-        let Some(ledger) = &mut self.ledger else { return Ok(None) };
-        let entry = ledger.append(Subject::Gone { writer, number }, now, false).map_err(|e| e.to_string())?;
+    fn say_gone(
+        &mut self,
+        now: Micros,
+        Name { writer, number }: Name,
+    ) -> Result<Option<Index>, String> {
+        let Some(ledger) = &mut self.ledger else {
+            return Ok(None);
+        };
+        let entry = ledger
+            .append(Subject::Gone { writer, number }, now, false)
+            .map_err(|e| e.to_string())?;
         let place = entry.index;
         self.tell_entry(entry);
         Ok(Some(place))
@@ -196,8 +223,13 @@
 
     /// The triggers that were told before this process began, here or elsewhere, and names for those to come.
     pub(super) fn begin_triggers(&mut self, now: Micros) {
-        let (Some(ledger), Some((_, desk))) = (&self.ledger, &mut self.desk) else { return };
-        let first = Name { writer: ledger.replica().own().writer, number: ledger.first_number() };
+        let (Some(ledger), Some((_, desk))) = (&self.ledger, &mut self.desk) else {
+            return;
+        };
+        let first = Name {
+            writer: ledger.replica().own().writer,
+            number: ledger.first_number(),
+        };
         desk.begin_triggers(first);
         for (writer, number, text) in ledger.statuses() {
             desk.admit(now, Name { writer, number }, &text);
@@ -206,16 +238,25 @@
 
     /// Entries of triggers have come from a peer.
     pub(super) fn hear_triggers(&mut self, now: Micros, entries: &[Entry]) {
-        let (Some(ledger), Some((_, desk))) = (&self.ledger, &mut self.desk) else { return };
+        let (Some(ledger), Some((_, desk))) = (&self.ledger, &mut self.desk) else {
+            return;
+        };
         let named = |entry: &Entry| match entry.subject {
-            Subject::Status { number, .. } => Some(Name { writer: entry.log.writer, number }),
+            Subject::Status { number, .. } => Some(Name {
+                writer: entry.log.writer,
+                number,
+            }),
             Subject::Gone { writer, number } => Some(Name { writer, number }),
             _ => None,
         };
         let mut names: Vec<Name> = entries.iter().filter_map(named).collect();
         names.dedup();
         for name in names {
-            match ledger.replica().log_store().status(name.writer, name.number) {
+            match ledger
+                .replica()
+                .log_store()
+                .status(name.writer, name.number)
+            {
                 Some(text) => desk.admit(now, name, &text),
                 None => desk.forget(name),
             }
@@ -226,9 +267,13 @@
     /// files beside it, which the log is told then.
     pub(super) fn begin_decided(&mut self, now: Micros) {
         self.recall_decided(now);
-        let Some(known) = self.ledger.as_ref().map(ledger::Ledger::decided) else { return };
+        let Some(known) = self.ledger.as_ref().map(ledger::Ledger::decided) else {
+            return;
+        };
         let bans = self.ops.bans().map(|id| Subject::Ban(id.to_owned()));
-        let kept: Vec<Subject> = bans.chain((!self.ops.in_service()).then_some(Subject::Drain)).collect();
+        let kept: Vec<Subject> = bans
+            .chain((!self.ops.in_service()).then_some(Subject::Drain))
+            .collect();
         for what in kept.into_iter().filter(|what| !known.contains_key(what)) {
             if let Err(e) = self.say_decided(now, &what, false) {
                 log::error!("what the operators decided has no copy yet: {e}");
@@ -238,13 +283,17 @@
 
     /// Puts in force what this proxy's log says that its operators decided: entries that came back, too.
     pub(super) fn recall_decided(&mut self, now: Micros) {
-        let Some(decided) = self.ledger.as_ref().map(ledger::Ledger::decided) else { return };
+        let Some(decided) = self.ledger.as_ref().map(ledger::Ledger::decided) else {
+            return;
+        };
         let mut changed = false;
         for (what, lifted) in decided {
             changed |= self.recall(now, &what, lifted);
         }
         if changed && !self.keep_ops() {
-            log::warn!("what the operators decided came back from the log and can't be kept beside it");
+            log::warn!(
+                "what the operators decided came back from the log and can't be kept beside it"
+            );
         }
     }
 
@@ -272,15 +321,20 @@
         group: u64,
     ) -> Result<Option<Index>, String> {
         self.core.purged(now, object.clone(), group, now);
-        let entry =
-            self.ledger.as_mut().map(|ledger| ledger.append_purge(object.as_deref(), group, now)).transpose();
+        let entry = self
+            .ledger
+            .as_mut()
+            .map(|ledger| ledger.append_purge(object.as_deref(), group, now))
+            .transpose();
         fail::fail_point!("peers-tell");
         if let Ok(Some(entry)) = &entry {
             self.tell_entry(entry.clone());
         }
         self.send_plain_purge(now, object.as_deref(), group);
         fail::fail_point!("peers-told");
-        entry.map(|entry| entry.map(|entry| entry.index)).map_err(|e| e.to_string())
+        entry
+            .map(|entry| entry.map(|entry| entry.index))
+            .map_err(|e| e.to_string())
     }
 
     /// The store's worker has word of what is on the disk.
@@ -288,7 +342,11 @@
         if let Some(word) = &mut self.store_word {
             word.clear();
         }
-        let told = self.ledger.as_mut().map(|ledger| ledger.take_completions(now)).unwrap_or_default();
+        let told = self
+            .ledger
+            .as_mut()
+            .map(|ledger| ledger.take_completions(now))
+            .unwrap_or_default();
         if !told.is_empty() {
             fail::fail_point!("holder-says");
         }
@@ -298,7 +356,9 @@
 
     /// Gives the answers whose promises are kept, and refuses those that can't be in time.
     pub(super) fn settle_promises(&mut self, now: Micros) {
-        let Some(ledger) = &mut self.ledger else { return };
+        let Some(ledger) = &mut self.ledger else {
+            return;
+        };
         for settled in ledger.resolve_commits(now) {
             if settled.result.is_ok() {
                 fail::fail_point!("promise-kept");
@@ -323,14 +383,22 @@
                     }
                 }
                 let connection = self.connections.get_mut(key);
-                let Some(Connection { kind: Kind::Cdni(session), .. }) = connection else { return };
+                let Some(Connection {
+                    kind: Kind::Cdni(session),
+                    ..
+                }) = connection
+                else {
+                    return;
+                };
                 session.respond(&response);
                 key
             }
             Answer::Operator(key, mut reply, decided) => {
                 if let (Some(d), Ok(_)) = (&decided, &kept) {
                     // Those that still wait go back to this, if they must.
-                    self.promised.decided(&d.what).for_each(|later| later.before = d.lifted);
+                    self.promised
+                        .decided(&d.what)
+                        .for_each(|later| later.before = d.lifted);
                 }
                 if let Err(why) = kept {
                     log::warn!(call = reply.text.as_str(), why = why.as_str(); "a promise to an operator is refused");
@@ -348,7 +416,9 @@
     /// An operator was told no: what the call decided is undone, here and in the log, where others may have it. Where a
     /// later call on the same waits, that one decides, and undoes this one too if it must.
     fn take_back(&mut self, now: Micros, decided: Option<Decided>) {
-        let Some(Decided { what, before, .. }) = decided else { return };
+        let Some(Decided { what, before, .. }) = decided else {
+            return;
+        };
         if self.promised.decided(&what).next().is_some() || !self.recall(now, &what, before) {
             return;
         }
@@ -360,7 +430,9 @@
 
     /// Tells peers how far the logs are had here, asks them what they have, and again when that is due.
     pub(super) fn copy_purges(&mut self, now: Micros) {
-        let Some(ledger) = &mut self.ledger else { return };
+        let Some(ledger) = &mut self.ledger else {
+            return;
+        };
         let told = ledger.tick(now);
         let (short, before) = (ledger.replica().under_replicated(), self.promised.short);
         self.promised.short = short;
@@ -382,7 +454,11 @@
         let Some(ledger) = &self.ledger else { return };
         // Never at once again, whatever the logs say: the loop must come to its sockets.
         let due = ledger.due().max(now + 1_000);
-        if self.promised.due.is_none_or(|(at, _)| at > due || at <= now) {
+        if self
+            .promised
+            .due
+            .is_none_or(|(at, _)| at > due || at <= now)
+        {
             let old = self.promised.due.take();
             self.promised.due = self.instead(old, Some(due), |daemon, now| {
                 daemon.promised.due = None;
@@ -395,9 +471,15 @@
     /// file here says.
     pub(super) fn know_machines(&mut self) {
         let copies = &self.config.copies;
-        let members = self.membership.as_ref().map_or(&[][..], |fleet| fleet.members());
+        let members = self
+            .membership
+            .as_ref()
+            .map_or(&[][..], |fleet| fleet.members());
         let machine = |(place, (_, said)): (usize, &(SocketAddr, String))| {
-            let told = members.get(place).and_then(|m| m.names.as_ref()).map(|(_, machine)| machine);
+            let told = members
+                .get(place)
+                .and_then(|m| m.names.as_ref())
+                .map(|(_, machine)| machine);
             server_id(told.filter(|machine| !machine.is_empty()).unwrap_or(said))
         };
         let machines = copies.machines.iter().enumerate().map(machine).collect();
--- a/daemon/src/daemon/recovery.rs
+++ b/daemon/src/daemon/recovery.rs
@@ -19,7 +19,12 @@
 
 impl SnapshotWait {
     fn begin(now: Micros, timeout_us: Micros, max_us: Micros) -> Self {
-        SnapshotWait { since: now, until: now + timeout_us, max_until: now + max_us, has_ended: false }
+        SnapshotWait {
+            since: now,
+            until: now + timeout_us,
+            max_until: now + max_us,
+            has_ended: false,
+        }
     }
 
     /// Something has come.
@@ -45,24 +50,39 @@
     /// it soon knows whether it is behind what they have compacted.
     pub(super) fn begin_recovery(&mut self, now: Micros) {
         let copies = &self.config.copies;
-        let Some(ledger) = self.ledger.as_ref().filter(|_| copies.on) else { return };
+        let Some(ledger) = self.ledger.as_ref().filter(|_| copies.on) else {
+            return;
+        };
         if !ledger.is_fresh() {
             return self.request_digests((0..copies.machines.len()).collect());
         }
-        let machines = copies.machines.iter().map(|(_, machine)| server_id(machine)).collect();
-        let times = (now, now + self.limits.recovery_us, self.limits.recovery_ask_us);
+        let machines = copies
+            .machines
+            .iter()
+            .map(|(_, machine)| server_id(machine))
+            .collect();
+        let times = (
+            now,
+            now + self.limits.recovery_us,
+            self.limits.recovery_ask_us,
+        );
         let recovery = Recovery::new(server_id(&copies.machine), machines, copies.wait, times);
         self.promised.recovery = Some(recovery);
         self.recover(now);
     }
 
     fn request_digests(&self, peers: Vec<usize>) {
-        let requests = peers.into_iter().map(|peer| Outgoing { peer, datagram: Datagram::DigestRequest });
+        let requests = peers.into_iter().map(|peer| Outgoing {
+            peer,
+            datagram: Datagram::DigestRequest,
+        });
         self.send_words(requests.collect());
     }
 
     fn recover(&mut self, now: Micros) {
-        let Some(recovery) = &mut self.promised.recovery else { return };
+        let Some(recovery) = &mut self.promised.recovery else {
+            return;
+        };
         let (peers, missing) = recovery.tick(now);
         if let Some(machines) = missing {
             log::error!(machines = machines; "not all that this proxy promised may have come back, and it is ready all the same");
@@ -85,11 +105,23 @@
     /// A peer has the same logs as this proxy.
     pub(super) fn same_as(&mut self, now: Micros, peer: usize) {
         // With a snapshot half taken in, equal logs do not tell that all their purges are here.
-        if self.ledger.as_ref().is_some_and(|ledger| ledger.replica().is_catching_up()) {
+        if self
+            .ledger
+            .as_ref()
+            .is_some_and(|ledger| ledger.replica().is_catching_up())
+        {
             return;
         }
-        if self.promised.recovery.as_mut().is_some_and(|recovery| recovery.settled(peer)) {
-            let entries = self.ledger.as_ref().map_or(0, |ledger| ledger.replica().log_store().len());
+        if self
+            .promised
+            .recovery
+            .as_mut()
+            .is_some_and(|recovery| recovery.settled(peer))
+        {
+            let entries = self
+                .ledger
+                .as_ref()
+                .map_or(0, |ledger| ledger.replica().log_store().len());
             log::info!(entries = entries; "what this proxy promised has come back");
             self.notify(now);
         }
@@ -98,7 +130,9 @@
     /// A chunk of a snapshot has come, or entries behind it: the waits for them are extended.
     pub(super) fn extend_recovery(&mut self, now: Micros) {
         let timeout_us = self.limits.recovery_us;
-        let Some(wait) = &mut self.promised.snapshot else { return };
+        let Some(wait) = &mut self.promised.snapshot else {
+            return;
+        };
         wait.extend(now, timeout_us);
         if let Some(recovery) = &mut self.promised.recovery {
             recovery.extend(wait.until);
@@ -108,20 +142,28 @@
     /// Looks whether the replica is behind its peers' snapshots: the proxy is not ready until it has them, or the wait is
     /// over.
     pub(super) fn watch_snapshot(&mut self, now: Micros) {
-        let is_behind = self.ledger.as_ref().is_some_and(|ledger| ledger.replica().is_catching_up());
+        let is_behind = self
+            .ledger
+            .as_ref()
+            .is_some_and(|ledger| ledger.replica().is_catching_up());
         match &mut self.promised.snapshot {
             None if is_behind => {
                 let limits = &self.limits;
                 let wait = SnapshotWait::begin(now, limits.recovery_us, limits.recovery_max_us);
                 self.promised.snapshot = Some(wait);
                 self.extend_recovery(now);
-                log::warn!("behind what peers have compacted: not ready until their snapshot is here");
+                log::warn!(
+                    "behind what peers have compacted: not ready until their snapshot is here"
+                );
                 self.notify(now);
             }
             Some(wait) if !is_behind => {
                 let took_ms = now.saturating_sub(wait.since) / 1_000;
                 self.promised.snapshot = None;
-                let compacted = self.ledger.as_ref().map_or(0, |ledger| ledger.table().len());
+                let compacted = self
+                    .ledger
+                    .as_ref()
+                    .map_or(0, |ledger| ledger.table().len());
                 log::info!(took_ms = took_ms, compacted = compacted; "the peers' snapshot is here");
                 self.notify(now);
             }
@@ -149,9 +191,15 @@
         let Some(ledger) = &self.ledger else { return };
         let bucket_bits = ledger.table().bucket_bits();
         let exact_capacity = self.core.purges().exact_capacity();
-        self.core.purges_mut().set_capacity(exact_capacity, bucket_bits);
+        self.core
+            .purges_mut()
+            .set_capacity(exact_capacity, bucket_bits);
         for (index, bucket) in ledger.table().occupied(Default::default()) {
-            if let Err(e) = self.core.purges_mut().merge_bucket(bucket_bits, index, bucket) {
+            if let Err(e) = self
+                .core
+                .purges_mut()
+                .merge_bucket(bucket_bits, index, bucket)
+            {
                 log::error!("{e}");
             }
         }
--- a/daemon/src/front/cdni/footprint.rs
+++ b/daemon/src/front/cdni/footprint.rs
@@ -20,7 +20,10 @@
     pub fn read(text: &str) -> Option<Self> {
         let (address, bits) = text.split_once('/')?;
         let bits = bits.parse().ok().filter(|bits| *bits <= 32)?;
-        Some(Network { address: address.parse::<Ipv4Addr>().ok()?.into(), bits })
+        Some(Network {
+            address: address.parse::<Ipv4Addr>().ok()?.into(),
+            bits,
+        })
     }
 
     /// Whether an address lies in it.
@@ -42,8 +45,14 @@
     let footprints = json!([{"footprint-type": "ipv4cidr", "footprint-value": networks}]);
     let capability = |kind: &str, value: Value| json!({"capability-type": kind, "capability-value": value, "footprints": footprints});
     let capabilities = [
-        capability("FCI.DeliveryProtocol", json!({"delivery-protocols": ["http/1.1"]})),
-        capability("FCI.RedirectionMode", json!({"redirection-modes": ["HTTP-I"]})),
+        capability(
+            "FCI.DeliveryProtocol",
+            json!({"delivery-protocols": ["http/1.1"]}),
+        ),
+        capability(
+            "FCI.RedirectionMode",
+            json!({"redirection-modes": ["HTTP-I"]}),
+        ),
     ];
     json!({"capabilities": if ready { &capabilities[..] } else { &[] }})
 }
@@ -61,7 +70,12 @@
                 .as_array()?
                 .iter()
                 .any(|p| p == "http/1.1");
-        for footprint in capability["footprints"].as_array().into_iter().flatten().filter(|_| delivers) {
+        for footprint in capability["footprints"]
+            .as_array()
+            .into_iter()
+            .flatten()
+            .filter(|_| delivers)
+        {
             if footprint["footprint-type"] == "ipv4cidr" {
                 for value in footprint["footprint-value"].as_array()? {
                     networks.push(Network::read(value.as_str()?)?);
--- a/daemon/src/front/cdni/mod.rs
+++ b/daemon/src/front/cdni/mod.rs
@@ -65,14 +65,23 @@
 impl Response {
     /// A response of a status alone.
     pub fn bare(status: u16) -> Self {
-        Response { status, ..Response::default() }
+        Response {
+            status,
+            ..Response::default()
+        }
     }
 
     /// A CDNI payload.
     pub fn payload(status: u16, ptype: &str, value: &Value) -> Self {
-        let headers =
-            vec![("Content-Type", format!("{MEDIA}{ptype}")), ("Cache-Control", "no-store".to_owned())];
-        Response { status, headers, body: value.to_string().into_bytes() }
+        let headers = vec![
+            ("Content-Type", format!("{MEDIA}{ptype}")),
+            ("Cache-Control", "no-store".to_owned()),
+        ];
+        Response {
+            status,
+            headers,
+            body: value.to_string().into_bytes(),
+        }
     }
 
     fn with(mut self, name: &'static str, value: String) -> Self {
@@ -120,24 +129,37 @@
 
 /// A content URL's class, object and part, by its path.
 pub fn content_path(path: &str) -> Option<(&str, &str, u64)> {
-    let mut parts = path.split('?').next()?.strip_prefix("/content/")?.split('/');
+    let mut parts = path
+        .split('?')
+        .next()?
+        .strip_prefix("/content/")?
+        .split('/');
     let (class, object) = (parts.next()?, parts.next()?);
     let part = parts.next().map_or(Some(0), |p| p.parse().ok())?;
-    let hex = object.len() == 16 && object.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
-    let named =
-        !class.is_empty() && class.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_');
+    let hex = object.len() == 16
+        && object
+            .bytes()
+            .all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
+    let named = !class.is_empty()
+        && class
+            .bytes()
+            .all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_');
     (hex && named && parts.next().is_none()).then_some((class, object, part))
 }
 
 /// The path of a URL, absolute or not.
 fn path_of(url: &str) -> &str {
-    let rest = url.strip_prefix("http://").or_else(|| url.strip_prefix("https://"));
+    let rest = url
+        .strip_prefix("http://")
+        .or_else(|| url.strip_prefix("https://"));
     rest.map_or(url, |rest| rest.find('/').map_or("/", |at| &rest[at..]))
 }
 
 /// Whether a payload's list of the networks that it passed names us.
 fn looped(cdn_path: &Value, own: &str) -> bool {
-    cdn_path.as_array().is_some_and(|path| path.iter().any(|id| id == own))
+    cdn_path
+        .as_array()
+        .is_some_and(|path| path.iter().any(|id| id == own))
 }
 
 /// The state of the interconnection.
@@ -152,7 +174,13 @@
 impl Desk {
     /// A desk for so many trigger status resources at most.
     pub fn new(id: Identity, seed: u64, most_triggers: usize) -> Self {
-        Desk { id, triggers: Triggers::new(most_triggers), heard: Vec::new(), asked: 0, seed }
+        Desk {
+            id,
+            triggers: Triggers::new(most_triggers),
+            heard: Vec::new(),
+            asked: 0,
+            seed,
+        }
     }
 
     /// Takes a request. `ready` tells whether content can be served, and `now` is Unix time.
@@ -169,7 +197,9 @@
             ("GET", path) if path.starts_with("/content/") => return self.content(head, target),
             ("POST", "/cdni/triggers") => match json() {
                 Some(command) => {
-                    let (response, made) = self.triggers.command(&self.id, seconds, &command, &mut effects);
+                    let (response, made) =
+                        self.triggers
+                            .command(&self.id, seconds, &command, &mut effects);
                     if made.is_some() {
                         return Reply::Promise(response, made, effects);
                     }
@@ -194,7 +224,9 @@
             ("POST", path) if path.starts_with("/cdni/footprint/") => {
                 self.notice(&path["/cdni/footprint/".len()..], json().as_ref())
             }
-            (_, "/cdni/triggers" | "/cdni/redirect" | "/cdni/footprint" | "/health") => Response::bare(405),
+            (_, "/cdni/triggers" | "/cdni/redirect" | "/cdni/footprint" | "/health") => {
+                Response::bare(405)
+            }
             _ => Response::bare(404),
         };
         Reply::Now(response)
@@ -229,7 +261,9 @@
         if !self.id.neighbours.iter().any(|n| n.provider == from) {
             return Response::bare(403);
         }
-        let Some(networks) = payload.and_then(footprint::read) else { return Response::bare(400) };
+        let Some(networks) = payload.and_then(footprint::read) else {
+            return Response::bare(400);
+        };
         self.heard.retain(|(provider, _)| provider != from);
         self.heard.push((from.to_owned(), networks));
         Response::bare(204)
@@ -260,14 +294,23 @@
             return Reply::Now(Response::bare(404));
         };
         let query = target.split_once('?').map_or("", |(_, query)| query);
-        let value = |name: &str| query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
-        let size_kb =
-            value("kb").and_then(|v| v.parse().ok()).filter(|kb: &f64| kb.is_finite() && *kb >= 0.0);
+        let value = |name: &str| {
+            query
+                .split('&')
+                .find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
+        };
+        let size_kb = value("kb")
+            .and_then(|v| v.parse().ok())
+            .filter(|kb: &f64| kb.is_finite() && *kb >= 0.0);
         let tag = |v: &str| v.bytes().all(|b| b.is_ascii_alphanumeric()) && !v.is_empty();
-        let have = head.header("if-none-match").map(|v| v.trim_start_matches("W/").trim_matches('"'));
+        let have = head
+            .header("if-none-match")
+            .map(|v| v.trim_start_matches("W/").trim_matches('"'));
         self.asked += 1;
         // Ids are 16 hex digits, as all others are; odd multiples never meet before 2^64 of them.
-        let id = self.seed.wrapping_add(self.asked.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let id = self
+            .seed
+            .wrapping_add(self.asked.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         Reply::Ask(Asked {
             id: format!("{id:016x}"),
             class: class.clone(),
@@ -286,7 +329,11 @@
 pub fn response(answer: Answer, late: bool) -> Response {
     match answer {
         Answer::Served(Content::Object { bytes, tag }) => {
-            let response = Response { status: 200, headers: vec![], body: bytes };
+            let response = Response {
+                status: 200,
+                headers: vec![],
+                body: bytes,
+            };
             let response = response.with("Content-Type", "application/octet-stream".to_owned());
             match tag {
                 Some(tag) => response.with("ETag", format!("\"{tag}\"")),
--- a/daemon/src/front/cdni/redirect.rs
+++ b/daemon/src/front/cdni/redirect.rs
@@ -9,7 +9,11 @@
 /// A response that tells why there is no redirection.
 pub(super) fn error(code: u16, reason: &str) -> Response {
     // The response itself went well: what went wrong stands in its payload.
-    Response::payload(200, PTYPE, &json!({"error": {"error-code": code, "reason": reason}}))
+    Response::payload(
+        200,
+        PTYPE,
+        &json!({"error": {"error-code": code, "reason": reason}}),
+    )
 }
 
 /// Where a client is sent.
@@ -28,15 +32,24 @@
     cdn_path: &[Value],
     client: Ipv4Addr,
 ) -> Option<Target<'a>> {
-    let within = |networks: &[footprint::Network]| networks.iter().find(|n| n.holds(client)).copied();
+    let within =
+        |networks: &[footprint::Network]| networks.iter().find(|n| n.holds(client)).copied();
     if let Some(network) = within(&id.footprint).filter(|_| ready) {
-        return Some(Target { network, base: &id.base });
+        return Some(Target {
+            network,
+            base: &id.base,
+        });
     }
-    let unseen = heard.iter().filter(|(provider, _)| !cdn_path.iter().any(|p| p == provider));
+    let unseen = heard
+        .iter()
+        .filter(|(provider, _)| !cdn_path.iter().any(|p| p == provider));
     let mut reached = unseen.filter_map(|(provider, networks)| Some((provider, within(networks)?)));
     let (provider, network) = reached.next()?;
     let neighbour = id.neighbours.iter().find(|n| n.provider == *provider)?;
-    Some(Target { network, base: &neighbour.content })
+    Some(Target {
+        network,
+        base: &neighbour.content,
+    })
 }
 
 /// Answers a redirection request: to our own content where the client lies in our footprint and we can serve,
@@ -47,11 +60,16 @@
     ready: bool,
     asked: &Value,
 ) -> Response {
-    let Some(cdn_path) = asked["cdn-path"].as_array() else { return error(400, "cdn-path is missing") };
+    let Some(cdn_path) = asked["cdn-path"].as_array() else {
+        return error(400, "cdn-path is missing");
+    };
     if looped(&asked["cdn-path"], &id.provider) {
         return error(502, "a loop");
     }
-    if asked["max-hops"].as_u64().is_some_and(|most| cdn_path.len() as u64 > most) {
+    if asked["max-hops"]
+        .as_u64()
+        .is_some_and(|most| cdn_path.len() as u64 > most)
+    {
         return error(503, "too many hops");
     }
     if asked["dns"].is_object() {
@@ -69,12 +87,16 @@
     else {
         return error(500, "the URI names no content of ours");
     };
-    let Ok(client) = client.parse::<Ipv4Addr>() else { return error(400, "c-ip is no IPv4 address") };
+    let Ok(client) = client.parse::<Ipv4Addr>() else {
+        return error(400, "c-ip is no IPv4 address");
+    };
     let Some(target) = target(id, heard, ready, cdn_path, client) else {
         return error(504, "nothing here can serve this client");
     };
     let Target { network, base } = target;
-    let query = uri.split_once('?').map_or(String::new(), |(_, query)| format!("?{query}"));
+    let query = uri
+        .split_once('?')
+        .map_or(String::new(), |(_, query)| format!("?{query}"));
     let response = json!({
         "http": {
             "sc-status": 302, "sc-version": "HTTP/1.1", "sc-reason": "Found", "cs-uri": uri,
--- a/daemon/src/front/cdni/session.rs
+++ b/daemon/src/front/cdni/session.rs
@@ -103,7 +103,9 @@
                 Some(Piece::Head(head)) => self.head = Some(head),
                 Some(Piece::Body(bytes)) => self.body.extend(bytes),
                 Some(Piece::End) => {
-                    let Some(head) = self.head.take() else { continue };
+                    let Some(head) = self.head.take() else {
+                        continue;
+                    };
                     (self.asked, self.half) = (true, false);
                     self.keep = head.keeps_open();
                     return Ok(Some((head, std::mem::take(&mut self.body))));
@@ -119,8 +121,11 @@
     pub fn respond(&mut self, response: &Response) {
         self.waiting = None;
         let connection = if self.keep { "keep-alive" } else { "close" };
-        let mut headers: Vec<_> =
-            response.headers.iter().map(|(name, value)| (*name, value.as_str())).collect();
+        let mut headers: Vec<_> = response
+            .headers
+            .iter()
+            .map(|(name, value)| (*name, value.as_str()))
+            .collect();
         headers.push(("Connection", connection));
         let start = format!("HTTP/1.1 {} {}", response.status, reason(response.status));
         http::write_message(&mut self.out, &start, &headers, &response.body);
--- a/daemon/src/front/cdni/triggers.rs
+++ b/daemon/src/front/cdni/triggers.rs
@@ -25,11 +25,18 @@
 impl Name {
     fn read(text: &str) -> Option<Self> {
         match text.split_once('-') {
-            None => Some(Name { writer: 0, number: text.parse().ok()? }),
+            None => Some(Name {
+                writer: 0,
+                number: text.parse().ok()?,
+            }),
             Some((writer, number)) => {
                 let hex = |text| u64::from_str_radix(text, 16).ok();
                 // One name has one text.
-                Some(Name { writer: hex(writer)?, number: hex(number)? }).filter(|n| n.to_string() == text)
+                Some(Name {
+                    writer: hex(writer)?,
+                    number: hex(number)?,
+                })
+                .filter(|n| n.to_string() == text)
             }
         }
     }
@@ -65,10 +72,17 @@
     /// Reads a payload; none where it is not all there.
     fn read(payload: &str) -> Option<Self> {
         let mut value: Value = serde_json::from_str(payload).ok()?;
-        let status = [COMPLETE, FAILED].into_iter().find(|s| value["status"] == **s)?;
+        let status = [COMPLETE, FAILED]
+            .into_iter()
+            .find(|s| value["status"] == **s)?;
         let made = value["ctime"].as_u64()?;
         let error = value.get_mut("errors").map(|errors| errors[0].take());
-        Some(Trigger { spec: value["trigger"].take(), made, status, error })
+        Some(Trigger {
+            spec: value["trigger"].take(),
+            made,
+            status,
+            error,
+        })
     }
 }
 
@@ -95,12 +109,14 @@
         let mut unable = Vec::new();
         for value in values {
             let named = match selector.as_str() {
-                "content.urls" => {
-                    content_path(path_of(value.as_str()?)).map(|(_, key, _)| (Some(key.to_owned()), 0))
-                }
-                "content.ccid" => {
-                    value.as_str()?.parse().ok().filter(|group| *group < 256).map(|group| (None, group))
-                }
+                "content.urls" => content_path(path_of(value.as_str()?))
+                    .map(|(_, key, _)| (Some(key.to_owned()), 0)),
+                "content.ccid" => value
+                    .as_str()?
+                    .parse()
+                    .ok()
+                    .filter(|group| *group < 256)
+                    .map(|group| (None, group)),
                 // Metadata is not held here, and objects are known by their keys alone, so that no pattern
                 // can be matched against them.
                 _ => None,
@@ -140,9 +156,10 @@
     fn error(self, spec: &Map<String, Value>, plan: &Plan) -> Option<Value> {
         match self {
             Kind::Purge if plan.unable.is_empty() => None,
-            Kind::Purge => {
-                Some(rejected(&plan.unable, "only content named by its URL or its collection can be purged"))
-            }
+            Kind::Purge => Some(rejected(
+                &plan.unable,
+                "only content named by its URL or its collection can be purged",
+            )),
             Kind::Preposition => {
                 let mut all = spec.clone();
                 all.retain(|key, _| key != "type");
@@ -165,7 +182,10 @@
     let mut path = cdn_path.to_vec();
     path.push(json!(id.provider));
     let body = json!({"trigger": spec, "cdn-path": path}).to_string();
-    let unseen = id.neighbours.iter().filter(|n| !cdn_path.iter().any(|p| *p == n.provider));
+    let unseen = id
+        .neighbours
+        .iter()
+        .filter(|n| !cdn_path.iter().any(|p| *p == n.provider));
     let to = |n: &super::Neighbour| Post {
         address: n.address,
         path: n.triggers.clone(),
@@ -180,7 +200,12 @@
     let url = |object: &str, class: &str| format!("{}/content/{class}/{object}", id.base);
     let spec = match object {
         Some(object) => {
-            let urls: Vec<_> = id.classes.iter().take(1).map(|(class, _)| url(object, class)).collect();
+            let urls: Vec<_> = id
+                .classes
+                .iter()
+                .take(1)
+                .map(|(class, _)| url(object, class))
+                .collect();
             json!({"type": "purge", "content.urls": urls})
         }
         None => json!({"type": "purge", "content.ccid": [group.to_string()]}),
@@ -190,7 +215,14 @@
 
 impl Triggers {
     pub(super) fn new(most: usize) -> Self {
-        Triggers { held: BTreeMap::new(), next: Name { writer: 0, number: 1 }, most }
+        Triggers {
+            held: BTreeMap::new(),
+            next: Name {
+                writer: 0,
+                number: 1,
+            },
+            most,
+        }
     }
 
     fn url(id: &Identity, name: Name) -> String {
@@ -206,7 +238,9 @@
     pub(super) fn admit(&mut self, now: u64, name: Name, payload: &str) {
         // Its pieces come one by one, and a long text is not to be read once for each of them.
         let whole = Some(payload).filter(|payload| payload.ends_with('}'));
-        let trigger = whole.and_then(Trigger::read).filter(|t| t.made + STALE_S >= now);
+        let trigger = whole
+            .and_then(Trigger::read)
+            .filter(|t| t.made + STALE_S >= now);
         let Some(trigger) = trigger else { return };
         self.held.retain(|_, t| t.made + STALE_S >= now);
         if name.writer == self.next.writer {
@@ -224,7 +258,9 @@
         command: &Value,
         effects: &mut Vec<Effect>,
     ) -> (Response, Option<Name>) {
-        let Some(cdn_path) = command["cdn-path"].as_array() else { return (Response::bare(400), None) };
+        let Some(cdn_path) = command["cdn-path"].as_array() else {
+            return (Response::bare(400), None);
+        };
         if looped(&command["cdn-path"], &id.provider) {
             return (Response::bare(403), None);
         }
@@ -243,24 +279,46 @@
         (spec, cdn_path): (&Map<String, Value>, &[Value]),
         effects: &mut Vec<Effect>,
     ) -> (Response, Option<Name>) {
-        let (Some(kind), Some(plan)) = (spec.get("type").and_then(Value::as_str), plan(spec)) else {
+        let (Some(kind), Some(plan)) = (spec.get("type").and_then(Value::as_str), plan(spec))
+        else {
             return (Response::bare(400), None);
         };
         if plan.purges.is_empty() && plan.unable.is_empty() {
             return (Response::bare(400), None);
         }
         self.held.retain(|_, t| t.made + STALE_S >= now);
-        if self.held.keys().filter(|name| name.writer == self.next.writer).count() >= self.most {
+        if self
+            .held
+            .keys()
+            .filter(|name| name.writer == self.next.writer)
+            .count()
+            >= self.most
+        {
             return (Response::bare(503), None);
         }
-        let Some(kind) = Kind::read(kind) else { return (Response::bare(501), None) };
+        let Some(kind) = Kind::read(kind) else {
+            return (Response::bare(501), None);
+        };
         let error = kind.error(spec, &plan);
         if kind == Kind::Purge {
-            effects.extend(plan.purges.iter().map(|(object, group)| Effect::Purge(object.clone(), *group)));
-            effects.extend(posts(id, &Value::Object(spec.clone()), cdn_path).into_iter().map(Effect::Post));
+            effects.extend(
+                plan.purges
+                    .iter()
+                    .map(|(object, group)| Effect::Purge(object.clone(), *group)),
+            );
+            effects.extend(
+                posts(id, &Value::Object(spec.clone()), cdn_path)
+                    .into_iter()
+                    .map(Effect::Post),
+            );
         }
         let status = if error.is_some() { FAILED } else { COMPLETE };
-        let trigger = Trigger { spec: Value::Object(spec.clone()), made: now, status, error };
+        let trigger = Trigger {
+            spec: Value::Object(spec.clone()),
+            made: now,
+            status,
+            error,
+        };
         let payload = trigger.payload();
         let response = Response::payload(201, STATUS, &payload);
         let name = self.next;
@@ -277,10 +335,18 @@
     }
 
     pub(super) fn collection(&self, id: &Identity, status: Option<&str>) -> Response {
-        let listed = self.held.iter().filter(|(_, t)| status.is_none_or(|s| s == t.status));
+        let listed = self
+            .held
+            .iter()
+            .filter(|(_, t)| status.is_none_or(|s| s == t.status));
         let urls: Vec<_> = listed.map(|(name, _)| Self::url(id, *name)).collect();
-        let mut value = json!({"triggers": urls, "staleresourcetime": STALE_S, "cdn-id": id.provider});
-        for (key, name) in [("coll-all", ""), ("coll-complete", "/complete"), ("coll-failed", "/failed")] {
+        let mut value =
+            json!({"triggers": urls, "staleresourcetime": STALE_S, "cdn-id": id.provider});
+        for (key, name) in [
+            ("coll-all", ""),
+            ("coll-complete", "/complete"),
+            ("coll-failed", "/failed"),
+        ] {
             value[key] = format!("{}/cdni/triggers{name}", id.base).into();
         }
         Response::payload(200, COLLECTION, &value)
--- a/daemon/src/front/fastcgi.rs
+++ b/daemon/src/front/fastcgi.rs
@@ -19,8 +19,16 @@
 }
 
 enum Stream {
-    Reading { keep: bool, params: Vec<u8>, params_done: bool, body: Vec<u8> },
-    Waiting { keep: bool, ticket: Option<Ticket> },
+    Reading {
+        keep: bool,
+        params: Vec<u8>,
+        params_done: bool,
+        body: Vec<u8>,
+    },
+    Waiting {
+        keep: bool,
+        ticket: Option<Ticket>,
+    },
 }
 
 /// An answer on its way out.
@@ -65,8 +73,13 @@
 /// unread: boxes close a connection on what they can't read, with all that others have open on it, and the
 /// decision module learns from the figures.
 fn ask(pairs: &[(String, String)], body: Vec<u8>, limits: &Limits) -> Result<Asked, &'static str> {
-    let get =
-        |name: &str| pairs.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str()).filter(|v| !v.is_empty());
+    let get = |name: &str| {
+        pairs
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, v)| v.as_str())
+            .filter(|v| !v.is_empty())
+    };
     let digits = |name: &'static str, n: usize| match get(name) {
         Some(v) if !hex(v, n) => Err(name),
         v => Ok(v.map(str::to_owned)),
@@ -74,16 +87,26 @@
     let number = |name: &'static str, most: u64| match get(name) {
         None => Ok(None),
         Some(v) if !v.bytes().all(|b| b.is_ascii_digit()) => Err(name),
-        Some(v) => v.parse::<u64>().ok().filter(|n| *n <= most).map(Some).ok_or(name),
+        Some(v) => v
+            .parse::<u64>()
+            .ok()
+            .filter(|n| *n <= most)
+            .map(Some)
+            .ok_or(name),
     };
     let size = match get("HTTP_FOOTPRINT_KB").map(str::parse::<f64>) {
         None => 0.0,
         Some(Ok(kb)) if kb >= 0.0 && kb <= limits.size_kb => kb,
         Some(_) => return Err("HTTP_FOOTPRINT_KB"),
     };
-    let class = get("SCRIPT_NAME").and_then(|path| path.strip_prefix("/invoke/")).filter(|class| {
-        !class.is_empty() && class.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_')
-    });
+    let class = get("SCRIPT_NAME")
+        .and_then(|path| path.strip_prefix("/invoke/"))
+        .filter(|class| {
+            !class.is_empty()
+                && class
+                    .bytes()
+                    .all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_')
+        });
     if number("CONTENT_LENGTH", u64::MAX)?.is_some_and(|length| length != body.len() as u64) {
         return Err("CONTENT_LENGTH");
     }
@@ -149,13 +172,21 @@
     /// How many answers are owed to what was taken out.
     pub fn owed(&self) -> usize {
         let asked = |input: &&Input| !matches!(input, Input::Leave(_));
-        let whole = self.open.values().filter(|s| matches!(s, Stream::Waiting { .. })).count();
+        let whole = self
+            .open
+            .values()
+            .filter(|s| matches!(s, Stream::Waiting { .. }))
+            .count();
         whole - self.inputs.iter().filter(asked).count()
     }
 
     /// Whether a request has come in part.
     pub fn is_half(&self) -> bool {
-        self.records.is_half() || self.open.values().any(|s| matches!(s, Stream::Reading { .. }))
+        self.records.is_half()
+            || self
+                .open
+                .values()
+                .any(|s| matches!(s, Stream::Reading { .. }))
     }
 
     /// Whether any whole request has come.
@@ -185,7 +216,13 @@
 
     /// Tickets of what the connection still waits for.
     pub fn tickets(&self) -> Vec<Ticket> {
-        let ticket = |s: &Stream| if let Stream::Waiting { ticket, .. } = s { *ticket } else { None };
+        let ticket = |s: &Stream| {
+            if let Stream::Waiting { ticket, .. } = s {
+                *ticket
+            } else {
+                None
+            }
+        };
         self.open.values().filter_map(ticket).collect()
     }
 
@@ -195,7 +232,11 @@
         while !input.is_empty() {
             let (taken, record) = self.records.parse(input.front())?;
             input.consume(taken);
-            if let Some(asked) = record.map(|r| self.record(r, limits)).transpose()?.flatten() {
+            if let Some(asked) = record
+                .map(|r| self.record(r, limits))
+                .transpose()?
+                .flatten()
+            {
                 match asked {
                     // Ahead of all else: nothing new is to begin for a client before what it left is called off.
                     Input::Leave(_) => self.inputs.push_front(asked),
@@ -228,30 +269,56 @@
                 let (role, flags) = wire::read_begin(&r.content)?;
                 let keep = flags & wire::KEEP_CONN != 0;
                 if role != wire::RESPONDER || self.open.len() >= limits.client_requests {
-                    let status = if role == wire::RESPONDER { wire::OVERLOADED } else { wire::UNKNOWN_ROLE };
+                    let status = if role == wire::RESPONDER {
+                        wire::OVERLOADED
+                    } else {
+                        wire::UNKNOWN_ROLE
+                    };
                     self.push(r.id, Vec::new(), status, keep);
                 } else {
-                    let new =
-                        Stream::Reading { keep, params: Vec::new(), params_done: false, body: Vec::new() };
+                    let new = Stream::Reading {
+                        keep,
+                        params: Vec::new(),
+                        params_done: false,
+                        body: Vec::new(),
+                    };
                     self.open.insert(r.id, new);
                 }
             }
-            (kind::BEGIN, Some(_)) => return Err(WireError::Malformed("a request id that is in use")),
+            (kind::BEGIN, Some(_)) => {
+                return Err(WireError::Malformed("a request id that is in use"))
+            }
             (kind::ABORT, Some(_)) => return Ok(self.abort(r.id)),
-            (kind::PARAMS, Some(Stream::Reading { params, params_done, .. })) => {
+            (
+                kind::PARAMS,
+                Some(Stream::Reading {
+                    params,
+                    params_done,
+                    ..
+                }),
+            ) => {
                 if params.len() + r.content.len() > limits.params {
                     return Err(WireError::TooLong("a request's parameters"));
                 }
                 *params_done = r.content.is_empty();
                 params.extend_from_slice(&r.content);
             }
-            (kind::STDIN, Some(Stream::Reading { keep, params, params_done: true, body })) => {
+            (
+                kind::STDIN,
+                Some(Stream::Reading {
+                    keep,
+                    params,
+                    params_done: true,
+                    body,
+                }),
+            ) => {
                 if body.len() + r.content.len() > limits.body {
                     return Err(WireError::TooLong("a request's body"));
                 }
                 body.extend_from_slice(&r.content);
                 if r.content.is_empty() {
-                    let (keep, params, body) = (*keep, std::mem::take(params), std::mem::take(body));
+                    let (keep, params, body) =
+                        (*keep, std::mem::take(params), std::mem::take(body));
                     return self.whole(r.id, keep, &params, body, limits);
                 }
             }
@@ -277,7 +344,13 @@
         let mut bytes = Vec::new();
         wire::write_record(&mut bytes, kind, 0, &content);
         self.waiting += bytes.len();
-        self.out.push_back(Outgoing { id: 0, bytes, at: 0, status: 0, keep: true });
+        self.out.push_back(Outgoing {
+            id: 0,
+            bytes,
+            at: 0,
+            status: 0,
+            keep: true,
+        });
         Ok(())
     }
 
@@ -292,7 +365,10 @@
         self.asked = true;
         self.open.insert(id, Stream::Waiting { keep, ticket: None });
         let pairs = wire::read_pairs(params)?;
-        let path = pairs.iter().find(|(n, _)| n == "SCRIPT_NAME").map_or("", |(_, v)| v.as_str());
+        let path = pairs
+            .iter()
+            .find(|(n, _)| n == "SCRIPT_NAME")
+            .map_or("", |(_, v)| v.as_str());
         if path == "/_health" {
             return Ok(Some(Input::Health(id)));
         }
@@ -300,7 +376,11 @@
             Ok(asked) => return Ok(Some(Input::Ask(id, asked))),
             Err(what) => {
                 log::info!("a request was turned away for {what}");
-                let status = if path.starts_with("/invoke/") { "400 Bad Request" } else { "404 Not Found" };
+                let status = if path.starts_with("/invoke/") {
+                    "400 Bad Request"
+                } else {
+                    "404 Not Found"
+                };
                 self.say(id, status);
             }
         }
@@ -309,12 +389,17 @@
 
     fn abort(&mut self, id: u16) -> Option<Input> {
         let stream = self.open.remove(&id)?;
-        self.inputs.retain(|input| !matches!(input, Input::Ask(of, _) | Input::Health(of) if *of == id));
+        self.inputs
+            .retain(|input| !matches!(input, Input::Ask(of, _) | Input::Health(of) if *of == id));
         let keep = match stream {
             Stream::Reading { keep, .. } | Stream::Waiting { keep, .. } => keep,
         };
         self.push(id, Vec::new(), wire::REQUEST_COMPLETE, keep);
-        if let Stream::Waiting { ticket: Some(ticket), .. } = stream {
+        if let Stream::Waiting {
+            ticket: Some(ticket),
+            ..
+        } = stream
+        {
             Some(Input::Leave(ticket))
         } else {
             None
@@ -335,7 +420,10 @@
 
     /// An answer of a status alone.
     pub fn say(&mut self, id: u16, status: &str) {
-        self.finish(id, format!("Status: {status}\r\nContent-Length: 0\r\n\r\n").into_bytes());
+        self.finish(
+            id,
+            format!("Status: {status}\r\nContent-Length: 0\r\n\r\n").into_bytes(),
+        );
     }
 
     fn finish(&mut self, id: u16, bytes: Vec<u8>) {
@@ -346,7 +434,13 @@
 
     fn push(&mut self, id: u16, bytes: Vec<u8>, status: u8, keep: bool) {
         self.waiting += bytes.len();
-        self.out.push_back(Outgoing { id, bytes, at: 0, status, keep });
+        self.out.push_back(Outgoing {
+            id,
+            bytes,
+            at: 0,
+            status,
+            keep,
+        });
     }
 
     /// Moves as much of the answers as fits into the ring.
@@ -359,12 +453,21 @@
                 }
                 output.push(&out.bytes);
             } else if left > 0 {
-                let fits = output.room().saturating_sub(8).min(left).min(wire::MOST_CONTENT);
+                let fits = output
+                    .room()
+                    .saturating_sub(8)
+                    .min(left)
+                    .min(wire::MOST_CONTENT);
                 if fits < left.min(LEAST_RECORD) {
                     return;
                 }
                 let mut record = Vec::with_capacity(fits + 8);
-                wire::write_record(&mut record, kind::STDOUT, out.id, &out.bytes[out.at..out.at + fits]);
+                wire::write_record(
+                    &mut record,
+                    kind::STDOUT,
+                    out.id,
+                    &out.bytes[out.at..out.at + fits],
+                );
                 output.push(&record);
                 out.at += fits;
                 self.waiting -= fits;
--- a/daemon/src/interconnect.rs
+++ b/daemon/src/interconnect.rs
@@ -129,7 +129,10 @@
         }
         let bits = Self::BITS_OF_ONE_MB + mb.ilog2();
         let bucket_bits = BucketBits::new(bits as u8).map_err(|e| format!("{KEY}: {e}"))?;
-        let exact = file.exact_purges.map(|n| range("copies.exact_purges", n, 1, 1 << 24)).transpose()?;
+        let exact = file
+            .exact_purges
+            .map(|n| range("copies.exact_purges", n, 1, 1 << 24))
+            .transpose()?;
         Ok(PurgeTableSize { bucket_bits, exact })
     }
 }
@@ -141,17 +144,38 @@
         let purge_table = PurgeTableSize::check(self)?;
         if !on {
             // A promise is kept on this proxy's own disk alone.
-            return Ok(Copies { within_us, purge_table, ..Copies::default() });
+            return Ok(Copies {
+                within_us,
+                purge_table,
+                ..Copies::default()
+            });
         }
-        let name =
-            |peer: &SocketAddr| self.machines.get(peer).cloned().unwrap_or_else(|| peer.ip().to_string());
+        let name = |peer: &SocketAddr| {
+            self.machines
+                .get(peer)
+                .cloned()
+                .unwrap_or_else(|| peer.ip().to_string())
+        };
         let own = peers.map(|(own, _)| *own);
-        let machine = self.machine.clone().or(own.as_ref().map(name)).unwrap_or_default();
-        let others = peers.into_iter().flat_map(|(own, all)| all.iter().filter(move |peer| *peer != own));
+        let machine = self
+            .machine
+            .clone()
+            .or(own.as_ref().map(name))
+            .unwrap_or_default();
+        let others = peers
+            .into_iter()
+            .flat_map(|(own, all)| all.iter().filter(move |peer| *peer != own));
         let machines: Vec<_> = others.map(|peer| (*peer, name(peer))).collect();
-        let further: BTreeSet<&String> = machines.iter().map(|(_, m)| m).filter(|m| **m != machine).collect();
+        let further: BTreeSet<&String> = machines
+            .iter()
+            .map(|(_, m)| m)
+            .filter(|m| **m != machine)
+            .collect();
         // Without peers a file is checked by itself, and nothing can be said of their machines.
-        for (key, wanted) in [("wait", self.wait), ("holders", self.holders.unwrap_or(self.wait))] {
+        for (key, wanted) in [
+            ("wait", self.wait),
+            ("holders", self.holders.unwrap_or(self.wait)),
+        ] {
             if peers.is_some() && wanted > further.len() {
                 return Err(format!(
                     "copies.{key}: {wanted} further machines are to have what is promised, and the peers stand on \
@@ -161,10 +185,21 @@
             }
         }
         if self.holders.is_some_and(|holders| holders < self.wait) {
-            return Err(format!("copies.holders: fewer than the {} of 'copies.wait'", self.wait));
+            return Err(format!(
+                "copies.holders: fewer than the {} of 'copies.wait'",
+                self.wait
+            ));
         }
         let holders = self.holders.unwrap_or(further.len().min(2).max(self.wait));
-        Ok(Copies { on, wait: self.wait, holders, within_us, machine, machines, purge_table })
+        Ok(Copies {
+            on,
+            wait: self.wait,
+            holders,
+            within_us,
+            machine,
+            machines,
+            purge_table,
+        })
     }
 }
 
@@ -186,7 +221,11 @@
 
 impl Default for BudgetsFile {
     fn default() -> Self {
-        BudgetsFile { origin: None, cold: false, cold_reserved: 0.25 }
+        BudgetsFile {
+            origin: None,
+            cold: false,
+            cold_reserved: 0.25,
+        }
     }
 }
 
@@ -240,7 +279,10 @@
     /// How long a request may be open at most, whatever its client says; none: places at the origin are not shared, so
     /// that it need not be bounded.
     pub fn longest_open_us(&self) -> Option<Micros> {
-        let origin = self.list.iter().find(|shared| shared.of == Some(Budget::Origin));
+        let origin = self
+            .list
+            .iter()
+            .find(|shared| shared.of == Some(Budget::Origin));
         origin.map(|shared| shared.spec.settling_us)
     }
 }
@@ -262,29 +304,56 @@
             return Ok(Budgets::default());
         }
         if !copies {
-            return Err("budgets: needs 'peers.copies', by which the proxies know each other".into());
+            return Err(
+                "budgets: needs 'peers.copies', by which the proxies know each other".into(),
+            );
         }
         // Without peers a file is checked by itself, and nothing can be said of how many share.
-        let Some((own, all)) = peers else { return Ok(Budgets::default()) };
+        let Some((own, all)) = peers else {
+            return Ok(Budgets::default());
+        };
         let index = all.iter().position(|peer| peer == own).ok_or(
             "budgets: 'peers' does not name this proxy's own 'peer_listen', by whose place there it is known",
         )?;
         let members = all.len();
         let share = |kind: kinds::Kind, zone: &str, of, spec| {
-            let name = if zone.is_empty() { kind.name.to_owned() } else { format!("{}:{zone}", kind.name) };
-            Shared { name, unit: kind.unit, of, spec }
+            let name = if zone.is_empty() {
+                kind.name.to_owned()
+            } else {
+                format!("{}:{zone}", kind.name)
+            };
+            Shared {
+                name,
+                unit: kind.unit,
+                of,
+                spec,
+            }
         };
         let mut list = Vec::new();
         if let Some(OriginFile { limit, reserved }) = self.origin {
-            let settling_us = settings.classes.iter().map(|class| class.deadline_us).max().unwrap_or(0);
-            let spec = BudgetSpec { limit, reserved, settling_us };
-            spec.shared(members).map_err(|e| format!("budgets.origin.whole: {} is {e}", spec.limit))?;
+            let settling_us = settings
+                .classes
+                .iter()
+                .map(|class| class.deadline_us)
+                .max()
+                .unwrap_or(0);
+            let spec = BudgetSpec {
+                limit,
+                reserved,
+                settling_us,
+            };
+            spec.shared(members)
+                .map_err(|e| format!("budgets.origin.whole: {} is {e}", spec.limit))?;
             list.push(share(kinds::ORIGIN, "", Some(Budget::Origin), spec));
         }
         if self.cold {
             let all = kinds::CACHES.unit.one();
             let reserved = (reserved_share * all as f64 / members as f64) as u64;
-            let spec = BudgetSpec { limit: all, reserved, settling_us: settings.rules.fall_us };
+            let spec = BudgetSpec {
+                limit: all,
+                reserved,
+                settling_us: settings.rules.fall_us,
+            };
             if settings.parent_kind.is_some() {
                 list.push(share(kinds::PARENTS, "", Some(Budget::Parents), spec));
             }
@@ -293,9 +362,16 @@
                 list.push(share(kinds::CACHES, &zone.name, of, spec));
             }
         }
-        let names = list.iter().map(|b| format!("{} {} {}", b.name, b.spec.reserved, b.spec.settling_us));
+        let names = list
+            .iter()
+            .map(|b| format!("{} {} {}", b.name, b.spec.reserved, b.spec.settling_us));
         let text = names.fold(format!("{members}"), |text, name| text + "\n" + &name);
-        Ok(Budgets { index, members, fingerprint: linnetknot_discovery::server_id(&text), list })
+        Ok(Budgets {
+            index,
+            members,
+            fingerprint: linnetknot_discovery::server_id(&text),
+            list,
+        })
     }
 }
 
@@ -463,8 +539,20 @@
 
 impl Default for MetaFile {
     fn default() -> Self {
-        let MetaKeys { zone, kind, cell, capacity, started_ms } = MetaKeys::default();
-        MetaFile { zone, kind, cell, capacity, started_ms }
+        let MetaKeys {
+            zone,
+            kind,
+            cell,
+            capacity,
+            started_ms,
+        } = MetaKeys::default();
+        MetaFile {
+            zone,
+            kind,
+            cell,
+            capacity,
+            started_ms,
+        }
     }
 }
 
@@ -545,7 +633,10 @@
 
 impl Default for StateFile {
     fn default() -> Self {
-        StateFile { directory: None, most_age_s: 86_400 }
+        StateFile {
+            directory: None,
+            most_age_s: 86_400,
+        }
     }
 }
 
@@ -652,15 +743,27 @@
             least_share: range("consul.least_share", self.least_share, 0.0, 1.0)?,
             ..Options::default()
         };
-        let zones = settings.zones.iter().map(|z| z.name.clone()).filter(|name| !name.is_empty());
+        let zones = settings
+            .zones
+            .iter()
+            .map(|z| z.name.clone())
+            .filter(|name| !name.is_empty());
         let zones: Vec<String> = zones.collect();
-        if let Some(zone) = self.zone.as_ref().filter(|zone| !zones.is_empty() && !zones.contains(zone)) {
+        if let Some(zone) = self
+            .zone
+            .as_ref()
+            .filter(|zone| !zones.is_empty() && !zones.contains(zone))
+        {
             return Err(format!(
                 "consul.zone: '{zone}' is none of the settings' zones ({})",
                 zones.join(", ")
             ));
         }
-        let own = settings.zones.get(settings.zone).map(|z| z.name.clone()).unwrap_or_default();
+        let own = settings
+            .zones
+            .get(settings.zone)
+            .map(|z| z.name.clone())
+            .unwrap_or_default();
         let meta = &self.meta;
         let mapping = Mapping {
             identity: match self.identity {
@@ -680,7 +783,10 @@
             zones,
             tagged_address: self.tagged_address.clone(),
         };
-        let each = |dc: &String| Options { datacenter: Some(dc.clone()), ..options.clone() };
+        let each = |dc: &String| Options {
+            datacenter: Some(dc.clone()),
+            ..options.clone()
+        };
         let options = match self.datacenters.is_empty() {
             true => vec![options.clone()],
             false => self.datacenters.iter().map(each).collect(),
@@ -697,7 +803,11 @@
             "half_life" | "most_suppressed" => format!("consul.damping.{key}_s {why}"),
             key => format!("consul.damping.{key} {why}"),
         })?;
-        let register = self.register.as_ref().map(|r| r.check(name, agents.len())).transpose()?;
+        let register = self
+            .register
+            .as_ref()
+            .map(|r| r.check(name, agents.len()))
+            .transpose()?;
         Ok(Some(Consul {
             agents,
             options,
@@ -717,8 +827,17 @@
         let id = self.id.clone().unwrap_or_else(|| name.to_owned());
         word("consul.register.id", &id)?;
         let size: usize = self.tags.iter().map(String::len).sum::<usize>()
-            + self.meta.iter().map(|(k, v)| k.len() + v.len()).sum::<usize>();
-        range("consul.register: bytes of 'tags' and 'meta'", size, 0, 16 << 10)?;
+            + self
+                .meta
+                .iter()
+                .map(|(k, v)| k.len() + v.len())
+                .sum::<usize>();
+        range(
+            "consul.register: bytes of 'tags' and 'meta'",
+            size,
+            0,
+            16 << 10,
+        )?;
         let registrant = Registrant {
             id,
             name: self.name.clone(),
@@ -739,15 +858,31 @@
     pub fn registrant(&self, listen: SocketAddr) -> Option<Registrant> {
         let (registrant, named) = self.register.as_ref()?;
         let address = if *named { registrant.address } else { listen };
-        Some(Registrant { address, ..registrant.clone() })
+        Some(Registrant {
+            address,
+            ..registrant.clone()
+        })
     }
 
     /// Whether a running daemon can follow a change to this: the sources of its list and its own registration are
     /// those of its start.
     pub fn can_become(&self, new: &Consul) -> bool {
-        let sources = |c: &Consul| c.options.iter().map(|o| o.datacenter.clone()).collect::<Vec<_>>();
+        let sources = |c: &Consul| {
+            c.options
+                .iter()
+                .map(|o| o.datacenter.clone())
+                .collect::<Vec<_>>()
+        };
         let registered = |c: &Consul| {
-            c.register.as_ref().map(|(r, named)| (Registrant { agents: 0, ..r.clone() }, *named))
+            c.register.as_ref().map(|(r, named)| {
+                (
+                    Registrant {
+                        agents: 0,
+                        ..r.clone()
+                    },
+                    *named,
+                )
+            })
         };
         sources(self) == sources(new)
             && registered(self) == registered(new)
@@ -769,7 +904,10 @@
     /// What the daemon uses.
     pub fn check(&self) -> Result<State> {
         let most_age_us = range("state.most_age_s", self.most_age_s, 1, 1 << 32)? * 1_000_000;
-        Ok(State { directory: self.directory.clone(), most_age_us })
+        Ok(State {
+            directory: self.directory.clone(),
+            most_age_us,
+        })
     }
 }
 
--- a/daemon/src/ledger/codec.rs
+++ b/daemon/src/ledger/codec.rs
@@ -77,8 +77,18 @@
     let log = LogId::new(number(key.get(..8)?)?, number(key.get(8..LOG_BYTES)?)?);
     let subject = subject(*key.get(LOG_BYTES)?, key.get(LOG_BYTES + 1..)?, value)?;
     let revoked = !subject.is_expiring() && value.len() > VALUE_BYTES;
-    let (index, at) = (number(value.get(..8)?)?, number(value.get(8..VALUE_BYTES)?)?);
-    Some(Entry { log, index, prev: 0, subject, at, revoked })
+    let (index, at) = (
+        number(value.get(..8)?)?,
+        number(value.get(8..VALUE_BYTES)?)?,
+    );
+    Some(Entry {
+        log,
+        index,
+        prev: 0,
+        subject,
+        at,
+        revoked,
+    })
 }
 
 /// The subject of a kind, from what stands behind the kind in the key.
@@ -91,9 +101,16 @@
         STATUS => {
             let part = u16::from_be_bytes(name.get(8..)?.try_into().ok()?);
             let text = String::from_utf8(value.get(VALUE_BYTES..)?.to_vec()).ok()?;
-            Subject::Status { number: number(name.get(..8)?)?, part, text }
+            Subject::Status {
+                number: number(name.get(..8)?)?,
+                part,
+                text,
+            }
         }
-        GONE => Subject::Gone { writer: number(name.get(..8)?)?, number: number(name.get(8..)?)? },
+        GONE => Subject::Gone {
+            writer: number(name.get(..8)?)?,
+            number: number(name.get(8..)?)?,
+        },
         _ => return None,
     })
 }
--- a/daemon/src/ledger/compaction.rs
+++ b/daemon/src/ledger/compaction.rs
@@ -80,7 +80,10 @@
 impl CompactionWriter {
     /// Of a store that has the table's header, or not yet.
     pub(super) fn new(has_header: bool) -> Self {
-        CompactionWriter { has_header, ..Self::default() }
+        CompactionWriter {
+            has_header,
+            ..Self::default()
+        }
     }
 
     /// Whether all that was added is on the disk.
@@ -91,7 +94,10 @@
     /// Adds a compaction of this replica's logs.
     pub(super) fn add(&mut self, compaction: Compaction) {
         self.next.buckets.extend(compaction.buckets);
-        compaction.logs.into_iter().for_each(|marker| self.next.add_marker(marker));
+        compaction
+            .logs
+            .into_iter()
+            .for_each(|marker| self.next.add_marker(marker));
         self.next.entries.extend(compaction.entries);
     }
 
@@ -134,15 +140,22 @@
             let has_room = keeper.room() > reserve;
             let ticket = has_room.then(|| keeper.give(write(item, table))).flatten();
             let Some(ticket) = ticket else { break };
-            self.in_flight.extend(self.to_give.pop_front().map(|item| (ticket, item)));
+            self.in_flight
+                .extend(self.to_give.pop_front().map(|item| (ticket, item)));
         }
         synced
     }
 
     /// Takes in what became of writes.
     pub(super) fn settle(&mut self, done: &Done) {
-        while self.in_flight.front().is_some_and(|(ticket, _)| *ticket <= done.to) {
-            let Some((_, item)) = self.in_flight.pop_front() else { break };
+        while self
+            .in_flight
+            .front()
+            .is_some_and(|(ticket, _)| *ticket <= done.to)
+        {
+            let Some((_, item)) = self.in_flight.pop_front() else {
+                break;
+            };
             if done.result.is_err() {
                 self.is_failing = true;
                 self.to_give.push_back(item);
@@ -181,12 +194,20 @@
             Stage::Idle => VecDeque::new(),
             Stage::Header if self.has_header => VecDeque::new(),
             Stage::Header => table::begin(bucket_bits).map(Item::Begin).into(),
-            Stage::Buckets => std::mem::take(&mut step.buckets).into_iter().map(Item::Bucket).collect(),
+            Stage::Buckets => std::mem::take(&mut step.buckets)
+                .into_iter()
+                .map(Item::Bucket)
+                .collect(),
             Stage::Markers => {
                 let markers = std::mem::take(&mut step.markers).into_iter();
-                markers.map(|(log, through)| Item::Marker(CompactedLog { log, through })).collect()
+                markers
+                    .map(|(log, through)| Item::Marker(CompactedLog { log, through }))
+                    .collect()
             }
-            Stage::Removals => std::mem::take(&mut step.entries).into_iter().map(Item::Removal).collect(),
+            Stage::Removals => std::mem::take(&mut step.entries)
+                .into_iter()
+                .map(Item::Removal)
+                .collect(),
         }
     }
 }
--- a/daemon/src/ledger/identity.rs
+++ b/daemon/src/ledger/identity.rs
@@ -62,5 +62,8 @@
 }
 
 fn number(store: &mut Store, key: &[u8]) -> Result<Option<u64>, Fault> {
-    Ok(store.get(OWN, key)?.and_then(|bytes| bytes.try_into().ok()).map(u64::from_be_bytes))
+    Ok(store
+        .get(OWN, key)?
+        .and_then(|bytes| bytes.try_into().ok())
+        .map(u64::from_be_bytes))
 }
--- a/daemon/src/ledger/legacy.rs
+++ b/daemon/src/ledger/legacy.rs
@@ -25,7 +25,10 @@
 impl LegacyFile {
     /// Reads a file, line by line.
     pub(super) fn read(path: &Path) -> Result<Self, LedgerError> {
-        let error = |source| LedgerError::Legacy { path: path.to_owned(), source };
+        let error = |source| LedgerError::Legacy {
+            path: path.to_owned(),
+            source,
+        };
         let text = fs::read(path).map_err(error)?;
         let file = Self::parse(path, &String::from_utf8_lossy(&text));
         log::info!(entries = file.entries.len() + file.purges.len(); "{} is taken over", path.display());
@@ -38,7 +41,10 @@
         let mut store = LogStore::default();
         for whole in text.split_inclusive('\n') {
             let line = whole.strip_suffix('\n').unwrap_or("");
-            match (Datagram::read(line.as_bytes()), peers::read(line.as_bytes())) {
+            match (
+                Datagram::read(line.as_bytes()),
+                peers::read(line.as_bytes()),
+            ) {
                 (Ok(Datagram::Entry(entry)), _) => {
                     store.take(&entry, Capacity::UNLIMITED);
                 }
@@ -48,7 +54,9 @@
             }
         }
         // As the store has them: a later purge in place of the one before.
-        let entries = store.entries().map(|entry| ((entry.log, entry.subject.clone()), entry));
+        let entries = store
+            .entries()
+            .map(|entry| ((entry.log, entry.subject.clone()), entry));
         file.entries = entries.collect::<BTreeMap<_, _>>().into_values().collect();
         file
     }
@@ -56,7 +64,10 @@
 
 /// Puts a file of an earlier version aside and gives where it is; none where there was none.
 pub(super) fn put_aside(path: &Path) -> Result<Option<PathBuf>, LedgerError> {
-    let error = |source| LedgerError::Legacy { path: path.to_owned(), source };
+    let error = |source| LedgerError::Legacy {
+        path: path.to_owned(),
+        source,
+    };
     let mut aside = path.as_os_str().to_owned();
     aside.push(".old");
     let aside = PathBuf::from(aside);
@@ -76,6 +87,9 @@
 
 fn first_bytes(path: &Path) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
-    io::Read::read_to_end(&mut io::Read::take(fs::File::open(path)?, FIRST_BYTES), &mut bytes)?;
+    io::Read::read_to_end(
+        &mut io::Read::take(fs::File::open(path)?, FIRST_BYTES),
+        &mut bytes,
+    )?;
     Ok(bytes)
 }
