--- a/daemon/src/ledger/mod.rs
+++ b/daemon/src/ledger/mod.rs
@@ -19,8 +19,8 @@
 use linnetknot::Micros;
 use linnetknot_purges::{BucketBits, CompactTable};
 use linnetknot_replication::{
-    pieces, Capacity, CommitId, CommitOutcome, Datagram, Entry, Epoch, Index, LogId, LogStore, Options,
-    Outgoing, Received, RejectReason, Replica, Subject, Writer,
+    pieces, Capacity, CommitId, CommitOutcome, Datagram, Entry, Epoch, Index, LogId, LogStore,
+    Options, Outgoing, Received, RejectReason, Replica, Subject, Writer,
 };
 use linnetknot_store::{Done, Fault, Keeper, Store, Ticket, Write};
 use std::collections::{BTreeMap, VecDeque};
@@ -62,7 +62,9 @@
 
 /// What was purged, as entries name it.
 fn subject(object: Option<&str>, group: u64) -> Subject {
-    object.map_or(Subject::Group(group), |object| Subject::Object(object.to_owned()))
+    object.map_or(Subject::Group(group), |object| {
+        Subject::Object(object.to_owned())
+    })
 }
 
 /// An entry as the module takes a purge; none where it is no purge.
@@ -81,8 +83,13 @@
 }
 
 /// The next entry of those that went to the disk up to a ticket.
-fn next_written(in_flight: &mut VecDeque<(Ticket, LogId, Index)>, through: Ticket) -> Option<(LogId, Index)> {
-    in_flight.front().filter(|(ticket, ..)| *ticket <= through)?;
+fn next_written(
+    in_flight: &mut VecDeque<(Ticket, LogId, Index)>,
+    through: Ticket,
+) -> Option<(LogId, Index)> {
+    in_flight
+        .front()
+        .filter(|(ticket, ..)| *ticket <= through)?;
     in_flight.pop_front().map(|(_, log, index)| (log, index))
 }
 
@@ -145,7 +152,8 @@
         // All of this is there, or nothing and the old file still is.
         store.commit(&writes)?;
         let replica = Replica::new(own, log_store, identity.incarnation, bounds.replication);
-        let keeper = Keeper::start("store", store, bounds.queue, wake).map_err(LedgerError::Worker)?;
+        let keeper =
+            Keeper::start("store", store, bounds.queue, wake).map_err(LedgerError::Worker)?;
         Ok(Ledger {
             keeper,
             replica,
@@ -159,7 +167,11 @@
 
     /// The purges that it holds one by one. Of one that several logs have, the latest counts for whoever takes them all.
     pub fn purges(&self) -> Vec<Purge> {
-        self.replica.log_store().entries().filter_map(|entry| purge(&entry)).collect()
+        self.replica
+            .log_store()
+            .entries()
+            .filter_map(|entry| purge(&entry))
+            .collect()
     }
 
     /// The table of all older purges.
@@ -184,7 +196,9 @@
 
     /// What this proxy's operators decided, and whether it is lifted.
     pub fn decided(&self) -> BTreeMap<Subject, bool> {
-        self.replica.log_store().decisions(self.replica.own().writer)
+        self.replica
+            .log_store()
+            .decisions(self.replica.own().writer)
     }
 
     /// The logs, to look at.
@@ -216,7 +230,12 @@
     }
 
     /// Adds what the operators decided, or that it is over, as `append_purge` does a purge.
-    pub fn append(&mut self, subject: Subject, at: Micros, revoked: bool) -> Result<Entry, AppendError> {
+    pub fn append(
+        &mut self,
+        subject: Subject,
+        at: Micros,
+        revoked: bool,
+    ) -> Result<Entry, AppendError> {
         if self.keeper.room() == 0 {
             return Err(AppendError::DiskBehind);
         }
@@ -226,7 +245,12 @@
     }
 
     /// Adds the status of a trigger as `append_purge` does a purge, in as many entries as it takes.
-    pub fn append_status(&mut self, number: u64, text: &str, at: Micros) -> Result<Vec<Entry>, AppendError> {
+    pub fn append_status(
+        &mut self,
+        number: u64,
+        text: &str,
+        at: Micros,
+    ) -> Result<Vec<Entry>, AppendError> {
         let pieces = pieces(text).filter(|pieces| pieces.len() <= self.keeper.room());
         let pieces = pieces.ok_or(AppendError::StatusTooLong)?;
         let append = |(part, text)| self.append(Subject::Status { number, part, text }, at, false);
@@ -237,19 +261,37 @@
     pub fn statuses(&self) -> Vec<(Writer, u64, String)> {
         let log_store = self.replica.log_store();
         let status = |(writer, number)| Some((writer, number, log_store.status(writer, number)?));
-        log_store.triggers().into_iter().filter_map(status).collect()
+        log_store
+            .triggers()
+            .into_iter()
+            .filter_map(status)
+            .collect()
     }
 
     /// A number for this writer's next trigger that none of its lives has given, as far as their entries tell: from the
     /// time of its start on, as nobody starts again sooner than it can answer.
     pub fn first_number(&self) -> u64 {
         let own = self.replica.own().writer;
-        let known = self.replica.log_store().triggers().into_iter().filter(|(writer, _)| *writer == own);
-        known.map(|(_, number)| number + 1).max().unwrap_or(0).max(self.identity.incarnation)
+        let known = self
+            .replica
+            .log_store()
+            .triggers()
+            .into_iter()
+            .filter(|(writer, _)| *writer == own);
+        known
+            .map(|(_, number)| number + 1)
+            .max()
+            .unwrap_or(0)
+            .max(self.identity.incarnation)
     }
 
     /// Adds a purge that a peer of an earlier version told; one that is known is not added again.
-    pub fn learn_purge(&mut self, object: Option<&str>, group: u64, at: Micros) -> Result<(), AppendError> {
+    pub fn learn_purge(
+        &mut self,
+        object: Option<&str>,
+        group: u64,
+        at: Micros,
+    ) -> Result<(), AppendError> {
         match self.replica.log_store().latest(&subject(object, group)) {
             Some(known) if known >= at => Ok(()),
             _ => self.append_purge(object, group, at).map(drop),
@@ -270,15 +312,23 @@
     pub fn receive(&mut self, now: Micros, from: usize, datagram: Datagram) -> Received {
         let datagram = match datagram {
             Datagram::Entry(entry) if skips() => {
-                let prev = entry.prev.min(self.replica.log_store().last_index(entry.log));
+                let prev = entry
+                    .prev
+                    .min(self.replica.log_store().last_index(entry.log));
                 Datagram::Entry(Entry { prev, ..entry })
             }
             datagram => datagram,
         };
         let received = self.replica.receive(now, from, datagram);
         received.new.iter().for_each(|entry| self.write(entry));
-        received.buckets.iter().for_each(|merged| self.compaction.add_bucket(merged.index));
-        received.compacted.iter().for_each(|marker| self.compaction.add_snapshot(*marker));
+        received
+            .buckets
+            .iter()
+            .for_each(|merged| self.compaction.add_bucket(merged.index));
+        received
+            .compacted
+            .iter()
+            .for_each(|marker| self.compaction.add_snapshot(*marker));
         received
     }
 
@@ -328,7 +378,10 @@
     /// What to tell which peer now. What the disk did not take is given to it again.
     pub fn tick(&mut self, now: Micros) -> Vec<Outgoing> {
         if self.keeper.room() > 0 {
-            self.replica.take_failed().iter().for_each(|entry| self.write(entry));
+            self.replica
+                .take_failed()
+                .iter()
+                .for_each(|entry| self.write(entry));
         }
         if now >= self.expires {
             self.expires = now + EXPIRE_PERIOD_US;
@@ -345,7 +398,12 @@
 
     /// The process ends in order: the next one goes on with this life, if the disk has all of it. Waits for the disk.
     pub fn close(self) -> Result<(), LedgerError> {
-        let Ledger { keeper, mut replica, mut in_flight, .. } = self;
+        let Ledger {
+            keeper,
+            mut replica,
+            mut in_flight,
+            ..
+        } = self;
         let (mut store, last) = keeper.close().ok_or(LedgerError::WorkerEnded)?;
         for done in last {
             while let Some((log, index)) = next_written(&mut in_flight, done.to) {
--- a/daemon/src/ledger/table.rs
+++ b/daemon/src/ledger/table.rs
@@ -50,12 +50,22 @@
         let table = read_buckets(bucket_bits, &buckets)?;
         let markers = markers.iter().map(read_marker).collect::<Result<_, _>>()?;
         if bucket_bits == wanted {
-            return Ok(StoredTable { table, markers, resize: Vec::new(), has_header: true });
+            return Ok(StoredTable {
+                table,
+                markers,
+                resize: Vec::new(),
+                has_header: true,
+            });
         }
         let resized = table.resized(wanted);
         log::info!(from = table.memory_bytes(), to = resized.memory_bytes(); "the purge table is given another size");
         let resize = resize(&buckets, &resized);
-        Ok(StoredTable { table: resized, markers, resize, has_header: true })
+        Ok(StoredTable {
+            table: resized,
+            markers,
+            resize,
+            has_header: true,
+        })
     }
 
     fn empty(wanted: BucketBits) -> Self {
@@ -76,13 +86,21 @@
 /// The write that keeps a bucket. One that was never written to is empty.
 pub(super) fn put_bucket(table: &CompactTable, index: BucketIndex) -> Write {
     let mut value = Vec::new();
-    table.bucket(index).copied().unwrap_or_default().encode(&mut value);
+    table
+        .bucket(index)
+        .copied()
+        .unwrap_or_default()
+        .encode(&mut value);
     Write::put(BUCKETS, index.value().to_be_bytes().to_vec(), value)
 }
 
 /// The write that keeps through which index a log is compacted.
 pub(super) fn put_marker(marker: CompactedLog) -> Write {
-    let key = [marker.log.writer.to_be_bytes(), marker.log.epoch.to_be_bytes()].concat();
+    let key = [
+        marker.log.writer.to_be_bytes(),
+        marker.log.epoch.to_be_bytes(),
+    ]
+    .concat();
     Write::put(MARKERS, key, marker.through.to_be_bytes().to_vec())
 }
 
@@ -92,8 +110,15 @@
 
 /// What takes the place of the buckets of another size.
 fn resize(old: &[Pair], table: &CompactTable) -> Vec<Write> {
-    let mut writes: Vec<Write> = old.iter().map(|(key, _)| Write::remove(BUCKETS, key.clone())).collect();
-    writes.extend(table.occupied(BucketIndex::default()).map(|(index, _)| put_bucket(table, index)));
+    let mut writes: Vec<Write> = old
+        .iter()
+        .map(|(key, _)| Write::remove(BUCKETS, key.clone()))
+        .collect();
+    writes.extend(
+        table
+            .occupied(BucketIndex::default())
+            .map(|(index, _)| put_bucket(table, index)),
+    );
     writes.push(put_header(table.bucket_bits()));
     writes
 }
@@ -112,7 +137,9 @@
         let index = key.as_slice().try_into().map(u32::from_be_bytes);
         let index = index.map_err(|_| damaged("a purge table's bucket has no index"))?;
         let bucket = Bucket::decode(value).map_err(|e| damaged(format!("bucket {index}: {e}")))?;
-        table.merge_bucket(bucket_bits, index.into(), &bucket).map_err(damaged)?;
+        table
+            .merge_bucket(bucket_bits, index.into(), &bucket)
+            .map_err(damaged)?;
     }
     Ok(table)
 }
@@ -121,7 +148,8 @@
     let number = |bytes: Option<&[u8]>| bytes?.try_into().ok().map(u64::from_be_bytes);
     let log = || Some(LogId::new(number(key.get(..8))?, number(key.get(8..))?));
     let marker = log().zip(number(Some(value)));
-    let (log, through) = marker.ok_or_else(|| damaged("through where a log is compacted can't be read"))?;
+    let (log, through) =
+        marker.ok_or_else(|| damaged("through where a log is compacted can't be read"))?;
     Ok(CompactedLog { log, through })
 }
 
--- a/daemon/src/limits.rs
+++ b/daemon/src/limits.rs
@@ -190,16 +190,26 @@
     /// Whether a client connection that is owed so many answers, its new one with them, may ask for one more: a
     /// flood by one must leave room for the requests of the others.
     pub fn admits(&self, owed: usize, crowded: bool) -> bool {
-        owed <= if crowded { self.crowded_requests } else { self.client_requests }
+        owed <= if crowded {
+            self.crowded_requests
+        } else {
+            self.client_requests
+        }
     }
 
     /// The bounds of the book of boxes.
     pub fn members(&self) -> linnetknot_discovery::Bounds {
-        linnetknot_discovery::Bounds { boxes: self.boxes, remembered: self.gone_boxes }
+        linnetknot_discovery::Bounds {
+            boxes: self.boxes,
+            remembered: self.gone_boxes,
+        }
     }
 
     /// The bounds of the logs of purges, and what is promised of them.
-    pub fn replication(&self, promised: &crate::interconnect::Copies) -> linnetknot_replication::Options {
+    pub fn replication(
+        &self,
+        promised: &crate::interconnect::Copies,
+    ) -> linnetknot_replication::Options {
         linnetknot_replication::Options {
             max_exact_entries: promised.purge_table.exact.unwrap_or(self.purges),
             max_logs: self.purge_logs,
@@ -216,12 +226,25 @@
     /// The same for a site: what follows from its settings, and from how long its connections to boxes may take to come
     /// up and may rest (0: not told).
     pub fn for_site(self, settings: &linnetknot::Settings, connect_us: u64, idle_us: u64) -> Self {
-        let longest = settings.classes.iter().map(|c| c.deadline_us).max().unwrap_or(0);
+        let longest = settings
+            .classes
+            .iter()
+            .map(|c| c.deadline_us)
+            .max()
+            .unwrap_or(0);
         Limits {
             back_off_us: settings.max_retry_after_us.min(self.back_off_us),
-            connect_us: if connect_us > 0 { connect_us } else { self.connect_us },
+            connect_us: if connect_us > 0 {
+                connect_us
+            } else {
+                self.connect_us
+            },
             dial_us: self.dial_us.max(connect_us),
-            answer_us: if longest > 0 { longest.max(self.half_answer_us) } else { self.answer_us },
+            answer_us: if longest > 0 {
+                longest.max(self.half_answer_us)
+            } else {
+                self.answer_us
+            },
             // Its box ends a connection at the full time: what is sent a moment before crosses that.
             box_idle_us: idle_us / 10 * 9,
             // SIGKILL may come 0.7 s after the longest deadline, of which more than 3 s don't count.
@@ -232,15 +255,25 @@
 
     /// Takes over from other bounds what follows from the settings, after these have changed.
     pub fn follow(&mut self, other: &Limits) {
-        let Limits { back_off_us, answer_us, term_linger_us, .. } = *other;
-        (self.back_off_us, self.answer_us, self.term_linger_us) = (back_off_us, answer_us, term_linger_us);
+        let Limits {
+            back_off_us,
+            answer_us,
+            term_linger_us,
+            ..
+        } = *other;
+        (self.back_off_us, self.answer_us, self.term_linger_us) =
+            (back_off_us, answer_us, term_linger_us);
     }
 
     /// The bounds that fit a machine with so many descriptors and MB of memory.
     pub fn for_machine(descriptors: usize, memory_mb: usize) -> Self {
         // The rest is for boxes, the bus and what the process itself has open.
         let clients = (descriptors * 3 / 5).max(1);
-        let clients = if descriptors >= 64 { clients.min(descriptors - 40) } else { clients };
+        let clients = if descriptors >= 64 {
+            clients.min(descriptors - 40)
+        } else {
+            clients
+        };
         let memory = memory_mb.max(16) << 20;
         let connections = descriptors.saturating_sub(24).max(clients + 16);
         let spare = (connections / 8).clamp(2, 24);
--- a/daemon/src/logging.rs
+++ b/daemon/src/logging.rs
@@ -13,10 +13,16 @@
 
 impl<'kvs> VisitSource<'kvs> for Fields {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), kv::Error> {
-        let number = value.to_u64().map(Into::into).or_else(|| value.to_i64().map(Into::into));
+        let number = value
+            .to_u64()
+            .map(Into::into)
+            .or_else(|| value.to_i64().map(Into::into));
         let json = number.or_else(|| value.to_f64().map(Into::into));
         let json = json.or_else(|| value.to_bool().map(Into::into));
-        self.0.insert(key.to_string(), json.unwrap_or_else(|| value.to_string().into()));
+        self.0.insert(
+            key.to_string(),
+            json.unwrap_or_else(|| value.to_string().into()),
+        );
         Ok(())
     }
 }
@@ -33,7 +39,11 @@
     line.insert("message".into(), record.args().to_string().into());
     let mut taken = Map::new();
     for (key, value) in fields.0 {
-        let place = if line.contains_key(&key) { &mut taken } else { &mut line };
+        let place = if line.contains_key(&key) {
+            &mut taken
+        } else {
+            &mut line
+        };
         place.insert(key, value);
     }
     if !taken.is_empty() {
@@ -44,12 +54,17 @@
 
 /// Starts the log in this form. `RUST_LOG` names the level, `info` by default.
 pub fn start(form: LogForm) {
-    let mut builder = env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"));
+    let mut builder =
+        env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"));
     if form == LogForm::Json {
-        builder.format(|out: &mut Formatter, record: &Record<'_>| -> io::Result<()> {
-            let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-            writeln!(out, "{}", json(record, unix.as_millis() as u64))
-        });
+        builder.format(
+            |out: &mut Formatter, record: &Record<'_>| -> io::Result<()> {
+                let unix = SystemTime::now()
+                    .duration_since(UNIX_EPOCH)
+                    .unwrap_or_default();
+                writeln!(out, "{}", json(record, unix.as_millis() as u64))
+            },
+        );
     }
     // A second start would be one in a test.
     let _ = builder.try_init();
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -75,9 +75,11 @@
     linnetknot_daemon::points::arm()?;
     let config = Config::from_env();
     logging::start(config.as_ref().map_or(Default::default(), |c| c.log));
-    let mut daemon =
-        Daemon::start(config?, Box::new(Config::from_env)).map_err(|e| format!("could not start: {e}"))?;
-    daemon.run().map_err(|e| format!("the event loop failed: {e}"))
+    let mut daemon = Daemon::start(config?, Box::new(Config::from_env))
+        .map_err(|e| format!("could not start: {e}"))?;
+    daemon
+        .run()
+        .map_err(|e| format!("the event loop failed: {e}"))
 }
 
 fn main() -> ExitCode {
@@ -102,12 +104,24 @@
             }
             ExitCode::from(u8::from(!sound))
         }
-        Some(Command::Fleet { what: FleetCommand::Status { admin, json } }) => {
-            tell(admin, fleet::ask(admin), |s| if json { fleet::to_json(s) } else { s.to_table() })
-        }
-        Some(Command::Fleet { what: FleetCommand::Budgets { admin, json } }) => {
-            tell(admin, fleet::ask_budgets(admin), |s| if json { fleet::to_json(s) } else { s.to_table() })
-        }
+        Some(Command::Fleet {
+            what: FleetCommand::Status { admin, json },
+        }) => tell(admin, fleet::ask(admin), |s| {
+            if json {
+                fleet::to_json(s)
+            } else {
+                s.to_table()
+            }
+        }),
+        Some(Command::Fleet {
+            what: FleetCommand::Budgets { admin, json },
+        }) => tell(admin, fleet::ask_budgets(admin), |s| {
+            if json {
+                fleet::to_json(s)
+            } else {
+                s.to_table()
+            }
+        }),
         Some(Command::Schema) => {
             print!("{}", interconnect::schema());
             ExitCode::SUCCESS
--- a/daemon/src/net/clock.rs
+++ b/daemon/src/net/clock.rs
@@ -13,8 +13,13 @@
 impl Clock {
     /// A clock set by the system's.
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { unix_us: unix.as_micros() as u64, start: Instant::now() }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            unix_us: unix.as_micros() as u64,
+            start: Instant::now(),
+        }
     }
 
     /// Unix time in microseconds.
--- a/daemon/src/net/conn.rs
+++ b/daemon/src/net/conn.rs
@@ -42,7 +42,12 @@
     match result {
         Ok(0) => none,
         Ok(_) => Progress::Moved,
-        Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {
+        Err(e)
+            if matches!(
+                e.kind(),
+                io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
+            ) =>
+        {
             Progress::Blocked
         }
         Err(_) => Progress::Broken,
@@ -52,9 +57,17 @@
 /// A UDP socket bound so that the next process of an upgrade can bind the same address while this one still runs:
 /// both set `SO_REUSEPORT`, and the kernel shares the datagrams out between them until the old one ends.
 pub fn bind_shared_udp(at: SocketAddr) -> io::Result<std::net::UdpSocket> {
-    let family = if at.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
-    let socket =
-        net::socket_with(family, SocketType::DGRAM, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC, None)?;
+    let family = if at.is_ipv4() {
+        AddressFamily::INET
+    } else {
+        AddressFamily::INET6
+    };
+    let socket = net::socket_with(
+        family,
+        SocketType::DGRAM,
+        SocketFlags::NONBLOCK | SocketFlags::CLOEXEC,
+        None,
+    )?;
     sockopt::set_socket_reuseaddr(&socket, true)?;
     sockopt::set_socket_reuseport(&socket, true)?;
     net::bind(&socket, &at)?;
@@ -63,7 +76,11 @@
 
 /// Begins a connection without waiting for it.
 pub fn connect(to: SocketAddr) -> io::Result<TcpStream> {
-    let family = if to.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
+    let family = if to.is_ipv4() {
+        AddressFamily::INET
+    } else {
+        AddressFamily::INET6
+    };
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
     let socket = net::socket_with(family, SocketType::STREAM, flags, None)?;
     match net::connect(&socket, &to) {
@@ -79,7 +96,11 @@
         // Small answers must not wait for the acknowledgement of earlier ones.
         socket.set_nodelay(true)?;
         let (input, output) = (Ring::new(input), Ring::new(output));
-        let watched = Interest { read: true, write: !up, hang_up: true };
+        let watched = Interest {
+            read: true,
+            write: !up,
+            hang_up: true,
+        };
         Ok(Conn {
             socket,
             input,
@@ -111,7 +132,11 @@
         if self.input.room() == 0 {
             // epoll goes on telling of a broken connection whatever is watched: the loop would spin on it for
             // as long as the ring stays full, and nobody is left to answer.
-            return if broken { Progress::Broken } else { Progress::Blocked };
+            return if broken {
+                Progress::Broken
+            } else {
+                Progress::Blocked
+            };
         }
         let got = progress(self.input.read_from(&mut self.socket), Progress::Ended);
         self.ended |= got == Progress::Ended;
--- a/daemon/src/net/poll.rs
+++ b/daemon/src/net/poll.rs
@@ -32,9 +32,17 @@
 
 impl Interest {
     /// What a listener, a pipe or a datagram socket is watched for.
-    pub const READ: Interest = Interest { read: true, write: false, hang_up: false };
+    pub const READ: Interest = Interest {
+        read: true,
+        write: false,
+        hang_up: false,
+    };
     /// Nothing for now.
-    pub const NONE: Interest = Interest { read: false, write: false, hang_up: false };
+    pub const NONE: Interest = Interest {
+        read: false,
+        write: false,
+        hang_up: false,
+    };
 }
 
 /// An epoll set, level-triggered.
@@ -54,17 +62,30 @@
 impl Poll {
     /// A set that gives so many events at a time.
     pub fn new(events: usize) -> io::Result<Self> {
-        Ok(Poll { fd: epoll::create(epoll::CreateFlags::CLOEXEC)?, events: Vec::with_capacity(events) })
+        Ok(Poll {
+            fd: epoll::create(epoll::CreateFlags::CLOEXEC)?,
+            events: Vec::with_capacity(events),
+        })
     }
 
     /// Watches a socket until it is closed.
     pub fn add(&self, socket: impl AsFd, token: u64, interest: Interest) -> io::Result<()> {
-        Ok(epoll::add(&self.fd, socket, epoll::EventData::new_u64(token), flags(interest))?)
+        Ok(epoll::add(
+            &self.fd,
+            socket,
+            epoll::EventData::new_u64(token),
+            flags(interest),
+        )?)
     }
 
     /// Changes what is watched for.
     pub fn change(&self, socket: impl AsFd, token: u64, interest: Interest) -> io::Result<()> {
-        Ok(epoll::modify(&self.fd, socket, epoll::EventData::new_u64(token), flags(interest))?)
+        Ok(epoll::modify(
+            &self.fd,
+            socket,
+            epoll::EventData::new_u64(token),
+            flags(interest),
+        )?)
     }
 
     /// Watches a socket no more. Closing is not enough for one that another process holds too.
@@ -75,9 +96,15 @@
     /// Waits for events, or for so many microseconds.
     pub fn wait(&mut self, most_us: u64, out: &mut Vec<Ready>) -> io::Result<()> {
         self.events.clear();
-        let most =
-            Timespec { tv_sec: (most_us / 1_000_000) as i64, tv_nsec: (most_us % 1_000_000 * 1_000) as i64 };
-        match epoll::wait(&self.fd, rustix::buffer::spare_capacity(&mut self.events), Some(&most)) {
+        let most = Timespec {
+            tv_sec: (most_us / 1_000_000) as i64,
+            tv_nsec: (most_us % 1_000_000 * 1_000) as i64,
+        };
+        match epoll::wait(
+            &self.fd,
+            rustix::buffer::spare_capacity(&mut self.events),
+            Some(&most),
+        ) {
             Ok(_) | Err(rustix::io::Errno::INTR) => {}
             Err(e) => return Err(e.into()),
         }
--- a/daemon/src/net/ring.rs
+++ b/daemon/src/net/ring.rs
@@ -13,7 +13,12 @@
 impl Ring {
     /// A ring for so many bytes at most.
     pub fn new(most: usize) -> Self {
-        Ring { bytes: Vec::new(), most: most.max(1), head: 0, len: 0 }
+        Ring {
+            bytes: Vec::new(),
+            most: most.max(1),
+            head: 0,
+            len: 0,
+        }
     }
 
     /// Bytes held.
@@ -48,7 +53,11 @@
     pub fn consume(&mut self, n: usize) {
         let n = n.min(self.len);
         self.len -= n;
-        self.head = if self.len == 0 { 0 } else { (self.head + n) % self.most };
+        self.head = if self.len == 0 {
+            0
+        } else {
+            (self.head + n) % self.most
+        };
     }
 
     fn gap(&mut self) -> &mut [u8] {
@@ -56,7 +65,11 @@
             self.bytes = vec![0; self.most];
         }
         let tail = (self.head + self.len) % self.most;
-        let end = if self.len > 0 && tail <= self.head { self.head } else { self.most };
+        let end = if self.len > 0 && tail <= self.head {
+            self.head
+        } else {
+            self.most
+        };
         &mut self.bytes[tail..end]
     }
 
--- a/daemon/src/net/slots.rs
+++ b/daemon/src/net/slots.rs
@@ -15,7 +15,10 @@
 
     /// Back from `to_u64`.
     pub fn from_u64(n: u64) -> Self {
-        Key { slot: n as u32, generation: (n >> 32) as u32 }
+        Key {
+            slot: n as u32,
+            generation: (n >> 32) as u32,
+        }
     }
 }
 
@@ -29,7 +32,11 @@
 impl<T> Slots<T> {
     /// A table for so many entries at most.
     pub fn new(most: usize) -> Self {
-        Slots { slots: Vec::new(), free: Vec::new(), most }
+        Slots {
+            slots: Vec::new(),
+            free: Vec::new(),
+            most,
+        }
     }
 
     /// How many entries there are.
@@ -62,28 +69,45 @@
         if let Some(slot) = self.free.pop() {
             let (generation, place) = &mut self.slots[slot as usize];
             *place = Some(value);
-            return Ok(Key { slot, generation: *generation });
+            return Ok(Key {
+                slot,
+                generation: *generation,
+            });
         }
         if self.slots.len() >= self.most {
             return Err(value);
         }
         self.slots.push((0, Some(value)));
-        Ok(Key { slot: self.slots.len() as u32 - 1, generation: 0 })
+        Ok(Key {
+            slot: self.slots.len() as u32 - 1,
+            generation: 0,
+        })
     }
 
     /// The entry of a key, unless it has left.
     pub fn get(&self, key: Key) -> Option<&T> {
-        self.slots.get(key.slot as usize).filter(|s| s.0 == key.generation)?.1.as_ref()
+        self.slots
+            .get(key.slot as usize)
+            .filter(|s| s.0 == key.generation)?
+            .1
+            .as_ref()
     }
 
     /// As `get`, to change it.
     pub fn get_mut(&mut self, key: Key) -> Option<&mut T> {
-        self.slots.get_mut(key.slot as usize).filter(|s| s.0 == key.generation)?.1.as_mut()
+        self.slots
+            .get_mut(key.slot as usize)
+            .filter(|s| s.0 == key.generation)?
+            .1
+            .as_mut()
     }
 
     /// Takes an entry out; its slot may be used again under a new generation.
     pub fn remove(&mut self, key: Key) -> Option<T> {
-        let place = self.slots.get_mut(key.slot as usize).filter(|s| s.0 == key.generation)?;
+        let place = self
+            .slots
+            .get_mut(key.slot as usize)
+            .filter(|s| s.0 == key.generation)?;
         let value = place.1.take()?;
         place.0 = place.0.wrapping_add(1);
         self.free.push(key.slot);
@@ -93,7 +117,11 @@
     /// All keys, in the order of the slots.
     pub fn keys(&self) -> Vec<Key> {
         let held = self.slots.iter().enumerate().filter(|(_, s)| s.1.is_some());
-        held.map(|(slot, s)| Key { slot: slot as u32, generation: s.0 }).collect()
+        held.map(|(slot, s)| Key {
+            slot: slot as u32,
+            generation: s.0,
+        })
+        .collect()
     }
 }
 
--- a/daemon/src/plain_purges.rs
+++ b/daemon/src/plain_purges.rs
@@ -73,16 +73,30 @@
 
     /// A datagram is sent now to the peers that are not known to replicate logs, and is to be sent again.
     pub fn sent(&mut self, now: Micros, text: String) {
-        self.resends.push_back(Resend { at: now + self.resend_us, text, left: RESENDS - 1 });
+        self.resends.push_back(Resend {
+            at: now + self.resend_us,
+            text,
+            left: RESENDS - 1,
+        });
     }
 
     /// What is to be done about a purge of the peer at this place, which is known to replicate logs or not. None: of a
     /// peer that can't be greeted.
-    pub fn receive(&mut self, now: Micros, from: Option<usize>, replicates: bool, purge: Purge) -> Treatment {
+    pub fn receive(
+        &mut self,
+        now: Micros,
+        from: Option<usize>,
+        replicates: bool,
+        purge: Purge,
+    ) -> Treatment {
         match from {
             _ if replicates => Treatment::Replicated,
             Some(from) if self.unwritten.len() < self.capacity => {
-                self.unwritten.push_back(Unwritten { due: now + self.grace_us, from, purge });
+                self.unwritten.push_back(Unwritten {
+                    due: now + self.grace_us,
+                    from,
+                    purge,
+                });
                 Treatment::Greet
             }
             _ => Treatment::Write(purge),
@@ -103,7 +117,11 @@
             overdue.resends.push(resend.text.clone());
             if resend.left > 0 {
                 let at = now + self.resend_us;
-                self.resends.push_back(Resend { at, left: resend.left - 1, ..resend });
+                self.resends.push_back(Resend {
+                    at,
+                    left: resend.left - 1,
+                    ..resend
+                });
             }
         }
         while let Some(unwritten) = pop_if(&mut self.unwritten, |unwritten| unwritten.due <= now) {
@@ -116,7 +134,10 @@
 
     /// Takes out all that may have to be written, as the peers' places are others from now on.
     pub fn take_unwritten(&mut self) -> Vec<Purge> {
-        self.unwritten.drain(..).map(|unwritten| unwritten.purge).collect()
+        self.unwritten
+            .drain(..)
+            .map(|unwritten| unwritten.purge)
+            .collect()
     }
 }
 
--- a/daemon/src/points.rs
+++ b/daemon/src/points.rs
@@ -52,7 +52,9 @@
 
 /// Arms the points that the environment names.
 pub fn arm() -> Result<(), String> {
-    let Ok(text) = std::env::var("LINNETKNOT_POINTS") else { return Ok(()) };
+    let Ok(text) = std::env::var("LINNETKNOT_POINTS") else {
+        return Ok(());
+    };
     for part in text.split(';').filter(|part| !part.is_empty()) {
         let (name, act) = part.split_once('=').unwrap_or((part, ""));
         if !POINTS.contains(&name) {
--- a/daemon/src/upstream/answers.rs
+++ b/daemon/src/upstream/answers.rs
@@ -23,9 +23,19 @@
         let (Some(id), Some(word)) = (items.next(), items.next()) else {
             return Err(WireError::Malformed("a box's answer"));
         };
-        let (fields, body) = (items.next().unwrap_or_default(), items.next().unwrap_or_default());
-        let Ok(id) = String::from_utf8(id) else { return Ok(None) };
-        Ok(Some(Answer { id, word, fields, body }))
+        let (fields, body) = (
+            items.next().unwrap_or_default(),
+            items.next().unwrap_or_default(),
+        );
+        let Ok(id) = String::from_utf8(id) else {
+            return Ok(None);
+        };
+        Ok(Some(Answer {
+            id,
+            word,
+            fields,
+            body,
+        }))
     }
 }
 
@@ -46,7 +56,9 @@
             (self.last_heard, self.last_used) = (now, now);
             self.suspect = false;
             let Some(items) = array else { continue };
-            let Some(answer) = Answer::new(items)? else { continue };
+            let Some(answer) = Answer::new(items)? else {
+                continue;
+            };
             self.take_answer(now, conn.written, core, answer, events)?;
         }
         Ok(())
@@ -64,14 +76,20 @@
         match self.open.get(&answer.id) {
             Some(Stream::Attempt(sent)) if sent.end_offset > written => {
                 // Nobody can have read what it answers: whatever speaks there, it is not the protocol.
-                return Err(WireError::Malformed("a box's answer to what it has not been sent whole"));
+                return Err(WireError::Malformed(
+                    "a box's answer to what it has not been sent whole",
+                ));
             }
             Some(Stream::Attempt(_)) => self.answered(now, core, answer, events),
             Some(Stream::GivenUp(_, Some(_))) => self.answered_given_up(core, answer, events),
             Some(Stream::Probe(sent)) => {
                 let alive = matches!(answer.word.as_slice(), b"alive" | b"status" | b"200");
                 let outcome = if alive { Outcome::Ok } else { Outcome::Error };
-                events.push(Told::Probed(outcome, now.saturating_sub(*sent), load(&answer.fields)));
+                events.push(Told::Probed(
+                    outcome,
+                    now.saturating_sub(*sent),
+                    load(&answer.fields),
+                ));
                 self.open.remove(&answer.id);
             }
             Some(Stream::GivenUp(_, None) | Stream::Answered(_)) | None => {
@@ -83,8 +101,15 @@
 
     /// Takes the answer to an attempt.
     fn answered(&mut self, now: Micros, core: &Core, answer: Answer, events: &mut Vec<Told>) {
-        let Answer { id, word, fields, body } = answer;
-        let Some(Stream::Attempt(sent)) = self.open.get_mut(&id) else { return };
+        let Answer {
+            id,
+            word,
+            fields,
+            body,
+        } = answer;
+        let Some(Stream::Attempt(sent)) = self.open.get_mut(&id) else {
+            return;
+        };
         let (attempt, old) = (sent.attempt, sent.is_too_old(&fields));
         // The answer to the attempt before may have crossed its abort: which of the two this one ends is not known.
         let unclear = std::mem::take(&mut sent.behind);
@@ -96,7 +121,11 @@
             log::warn!("a box gave a copy from before what was asked for");
         }
         let asked = core.sending(attempt).map(|s| s.0);
-        let ended = if old { Outcome::Error.into() } else { ended(&word, &fields, body, asked) };
+        let ended = if old {
+            Outcome::Error.into()
+        } else {
+            ended(&word, &fields, body, asked)
+        };
         if ended.outcome == Outcome::Ok {
             self.open.remove(&id);
         } else if unclear {
@@ -111,9 +140,18 @@
 
     /// Takes the answer to an attempt that was given up. It came before the attempt was over: then this is how it ended.
     fn answered_given_up(&mut self, core: &Core, answer: Answer, events: &mut Vec<Told>) {
-        let Answer { id, word, fields, body } = answer;
-        let Some(Stream::GivenUp(at, report)) = self.open.get_mut(&id) else { return };
-        let (at, Some(r)) = (*at, report.take()) else { return };
+        let Answer {
+            id,
+            word,
+            fields,
+            body,
+        } = answer;
+        let Some(Stream::GivenUp(at, report)) = self.open.get_mut(&id) else {
+            return;
+        };
+        let (at, Some(r)) = (*at, report.take()) else {
+            return;
+        };
         let asked = core.sending(r.attempt).map(|s| s.0);
         events.push(Told::Ended(r.attempt, ended(&word, &fields, body, asked)));
         if r.end_offset.is_none() {
--- a/daemon/src/upstream/frames.rs
+++ b/daemon/src/upstream/frames.rs
@@ -25,11 +25,22 @@
 pub(super) fn load(fields: &[u8]) -> Option<Load> {
     let stats = resp::field(fields, "stats")?;
     let value = |name: &str| {
-        let of = |pair: &str| pair.split_once(':').filter(|(n, _)| *n == name)?.1.parse().ok();
+        let of = |pair: &str| {
+            pair.split_once(':')
+                .filter(|(n, _)| *n == name)?
+                .1
+                .parse()
+                .ok()
+        };
         stats.split(';').find_map(of)
     };
     let (util, inflight) = (value("util"), value("inflight"));
-    Some(Load { util, inflight, hit_share: value("x0"), link_use: value("x1") })
+    Some(Load {
+        util,
+        inflight,
+        hit_share: value("x0"),
+        link_use: value("x1"),
+    })
 }
 
 /// How an attempt ended by this answer.
@@ -37,13 +48,17 @@
     let (outcome, content) = match word {
         b"200" => (
             Outcome::Ok,
-            Some(Content::Object { bytes: body, tag: resp::field(fields, "etag").map(str::to_owned) }),
+            Some(Content::Object {
+                bytes: body,
+                tag: resp::field(fields, "etag").map(str::to_owned),
+            }),
         ),
         // A copy is only called current where the box names it: an answer that names none, or another, may belong to
         // something else.
         b"304"
-            if asked
-                .is_some_and(|a| a.have.is_some() && a.have.as_deref() == resp::field(fields, "etag")) =>
+            if asked.is_some_and(|a| {
+                a.have.is_some() && a.have.as_deref() == resp::field(fields, "etag")
+            }) =>
         {
             (Outcome::Ok, Some(Content::Unchanged))
         }
@@ -53,7 +68,9 @@
         // Also what this page does not know: it may have run.
         _ => (Outcome::Error, None),
     };
-    let waited = resp::field(fields, "ttfb").and_then(|ms| ms.parse::<f64>().ok()).unwrap_or(0.0);
+    let waited = resp::field(fields, "ttfb")
+        .and_then(|ms| ms.parse::<f64>().ok())
+        .unwrap_or(0.0);
     Ended {
         outcome,
         note: note(fields),
@@ -73,7 +90,10 @@
 /// The frame of an attempt; none where it must not begin any more.
 pub(super) fn frame(core: &Core, now: Micros, attempt: AttemptId) -> Option<Frame> {
     let (asked, sending) = core.beginning(now, attempt)?;
-    let mut fields = format!("class={},key={},part={}", asked.class, asked.object, asked.part);
+    let mut fields = format!(
+        "class={},key={},part={}",
+        asked.class, asked.object, asked.part
+    );
     let wait_ms = (sending.until.saturating_sub(now) / 1000).max(1);
     add(&mut fields, "wait", &wait_ms.to_string());
     if let Some(once) = &asked.once {
@@ -89,8 +109,19 @@
         add(&mut fields, "have", have);
     }
     let mut bytes = Vec::with_capacity(fields.len() + asked.body.len() + 80);
-    resp::write_array(&mut bytes, &[b"fetch", asked.id.as_bytes(), fields.as_bytes(), &asked.body]);
-    Some(Frame { bytes, max_age_us: sending.fill.and_then(|f| f.max_age_us) })
+    resp::write_array(
+        &mut bytes,
+        &[
+            b"fetch",
+            asked.id.as_bytes(),
+            fields.as_bytes(),
+            &asked.body,
+        ],
+    );
+    Some(Frame {
+        bytes,
+        max_age_us: sending.fill.and_then(|f| f.max_age_us),
+    })
 }
 
 fn add(fields: &mut String, name: &str, value: &str) {
@@ -112,7 +143,11 @@
         (fill.bypass_parent, "no-keep"),
         (fill.renew, "background"),
     ];
-    let flags: Vec<&str> = flags.iter().filter(|flag| flag.0).map(|flag| flag.1).collect();
+    let flags: Vec<&str> = flags
+        .iter()
+        .filter(|flag| flag.0)
+        .map(|flag| flag.1)
+        .collect();
     if !flags.is_empty() {
         add(fields, "flags", &flags.join("+"));
     }
--- a/daemon/src/upstream/mod.rs
+++ b/daemon/src/upstream/mod.rs
@@ -91,16 +91,32 @@
         let live = self.open.values().filter(|s| s.is_live()).count() + self.queue.len();
         // Two clients may give one id: a second attempt under it here would take the first one's answer, also
         // where both still wait for the connection.
-        let queued = |q: &Queued| core.sending(q.attempt).is_some_and(|(asked, _)| asked.id == id);
-        let free = self.open.get(id).is_none_or(|s| matches!(s, Stream::GivenUp(_, None)))
+        let queued = |q: &Queued| {
+            core.sending(q.attempt)
+                .is_some_and(|(asked, _)| asked.id == id)
+        };
+        let free = self
+            .open
+            .get(id)
+            .is_none_or(|s| matches!(s, Stream::GivenUp(_, None)))
             && !self.queue.iter().any(queued);
         (!self.suspect && live < limits.box_streams && free).then_some(live)
     }
 
     /// When the next attempt that was given up is reported as over.
     pub fn report_at(&self, limits: &Limits) -> Option<Micros> {
-        let written = |s: &Stream| if let Stream::GivenUp(_, Some(r)) = s { r.written } else { None };
-        self.open.values().filter_map(written).min().map(|at| at + limits.give_up_us)
+        let written = |s: &Stream| {
+            if let Stream::GivenUp(_, Some(r)) = s {
+                r.written
+            } else {
+                None
+            }
+        };
+        self.open
+            .values()
+            .filter_map(written)
+            .min()
+            .map(|at| at + limits.give_up_us)
     }
 
     /// When an answer that has come in part will have stopped short, or will have taken longer than anybody waits for
@@ -112,7 +128,8 @@
 
     /// Whether what is sent on it now would wait behind an answer that comes slowly.
     pub fn is_held_up(&self, now: Micros, limits: &Limits) -> bool {
-        self.half_since.is_some_and(|since| since + limits.half_answer_us <= now)
+        self.half_since
+            .is_some_and(|since| since + limits.half_answer_us <= now)
     }
 
     /// Whether an attempt under this id was given up here not long ago.
@@ -160,7 +177,10 @@
     /// Queues an attempt. Nothing of it is written before the connection is up and takes its first byte, so that what
     /// is given up or withdrawn until then never reaches the box.
     pub fn send(&mut self, now: Micros, attempt: AttemptId) {
-        self.queue.push_back(Queued { attempt, since: now });
+        self.queue.push_back(Queued {
+            attempt,
+            since: now,
+        });
     }
 
     /// Writes a probe, if the connection is up and takes it.
@@ -188,7 +208,10 @@
     ) -> bool {
         // What waits for a connection goes on elsewhere in time, whether or not that comes up after all.
         let late = |q: &&Queued| !conn.up && q.since + limits.connect_us <= now;
-        for q in self.queue.drain(..self.queue.iter().take_while(late).count()) {
+        for q in self
+            .queue
+            .drain(..self.queue.iter().take_while(late).count())
+        {
             events.push(Told::Ended(q.attempt, Outcome::Unreached.into()));
         }
         if conn.write() == Progress::Broken || !self.begin(now, conn, core, limits, events) {
@@ -213,9 +236,13 @@
         }
         // A side that takes no bytes would keep what is given up here from ever being over.
         let stuck = conn.is_stuck();
-        self.stalled =
-            stuck.then(|| self.stalled.filter(|s| s.0 == conn.written).unwrap_or((conn.written, now)));
-        self.stalled.is_none_or(|(_, since)| now - since < limits.stalled_us)
+        self.stalled = stuck.then(|| {
+            self.stalled
+                .filter(|s| s.0 == conn.written)
+                .unwrap_or((conn.written, now))
+        });
+        self.stalled
+            .is_none_or(|(_, since)| now - since < limits.stalled_us)
     }
 
     /// Begins one frame after the other while the socket takes each of them whole. False: the connection is broken.
@@ -270,7 +297,8 @@
         attempt: AttemptId,
         events: &mut Vec<Told>,
     ) -> Progress {
-        let frame = frame(core, now, attempt).filter(|frame| frame.bytes.len() <= limits.output_ring);
+        let frame =
+            frame(core, now, attempt).filter(|frame| frame.bytes.len() <= limits.output_ring);
         let Some((frame, (asked, _))) = frame.zip(core.sending(attempt)) else {
             events.push(Told::Ended(attempt, Outcome::Moot.into()));
             self.queue.pop_front();
@@ -280,7 +308,13 @@
         if progress == Progress::Moved {
             let end_offset = conn.written + conn.output.len() as u64;
             let behind = self.gave_up(&asked.id);
-            let sent = Sent { attempt, at: now, end_offset, max_age_us: frame.max_age_us, behind };
+            let sent = Sent {
+                attempt,
+                at: now,
+                end_offset,
+                max_age_us: frame.max_age_us,
+                behind,
+            };
             self.open.insert(asked.id.clone(), Stream::Attempt(sent));
             self.last_used = now;
             events.push(Told::Begun(attempt));
@@ -296,7 +330,9 @@
             return;
         }
         let is_it = |s: &Stream| matches!(s, Stream::Attempt(sent) if sent.attempt == attempt);
-        let Some((id, Stream::Attempt(sent))) = self.open.iter().find(|(_, s)| is_it(s)) else { return };
+        let Some((id, Stream::Attempt(sent))) = self.open.iter().find(|(_, s)| is_it(s)) else {
+            return;
+        };
         self.suspect |= self.last_heard < sent.at && self.last_heard + self.suspect_us < now;
         let id = id.clone();
         self.abort(now, id, attempt, Outcome::Cancelled.into());
@@ -304,7 +340,12 @@
 
     /// Has the box told that an attempt is given up; it is reported as ended in this way once that is on its way.
     fn abort(&mut self, now: Micros, id: String, attempt: AttemptId, ended: Ended) {
-        let report = Unreported { attempt, ended, end_offset: None, written: None };
+        let report = Unreported {
+            attempt,
+            ended,
+            end_offset: None,
+            written: None,
+        };
         self.aborts.push_back(id.clone());
         self.open.insert(id, Stream::GivenUp(now, Some(report)));
     }
@@ -319,7 +360,12 @@
             Stream::GivenUp(at, None) | Stream::Answered(at) => Some(*at),
             _ => None,
         };
-        self.forgets = self.open.values().filter_map(over).min().map(|at| at + limits.forget_us + 1);
+        self.forgets = self
+            .open
+            .values()
+            .filter_map(over)
+            .min()
+            .map(|at| at + limits.forget_us + 1);
         self.forgets
     }
 
@@ -332,7 +378,10 @@
     /// Takes back what is not written yet and would go to this box or be filled from it.
     pub fn withdraw(&mut self, server: ServerId, core: &Core, events: &mut Vec<Told>) {
         self.queue.retain(|q| {
-            let source = core.sending(q.attempt).and_then(|(_, s)| s.fill).map(|f| f.source);
+            let source = core
+                .sending(q.attempt)
+                .and_then(|(_, s)| s.fill)
+                .map(|f| f.source);
             let keep = self.server != server && source != Some(server);
             if !keep {
                 events.push(Told::Ended(q.attempt, Outcome::Moot.into()));
--- a/daemon/src/upstream/stream.rs
+++ b/daemon/src/upstream/stream.rs
@@ -41,7 +41,8 @@
     /// not passed on.
     pub(super) fn is_too_old(&self, fields: &[u8]) -> bool {
         let made = resp::field(fields, "made").and_then(|ms| ms.parse::<u64>().ok());
-        made.zip(self.max_age_us).is_some_and(|(ms, age)| (ms + 1) * 1000 + age < self.at)
+        made.zip(self.max_age_us)
+            .is_some_and(|(ms, age)| (ms + 1) * 1000 + age < self.at)
     }
 }
 
--- a/daemon/src/wire/fastcgi.rs
+++ b/daemon/src/wire/fastcgi.rs
@@ -74,8 +74,13 @@
             rest = left;
             taken
         };
-        self.header.extend_from_slice(take(HEADER - self.header.len()));
-        if self.header.first().is_some_and(|version| *version != VERSION) {
+        self.header
+            .extend_from_slice(take(HEADER - self.header.len()));
+        if self
+            .header
+            .first()
+            .is_some_and(|version| *version != VERSION)
+        {
             return Err(WireError::Malformed("the version of a FastCGI record"));
         }
         if self.header.len() < HEADER {
@@ -84,7 +89,8 @@
         let h = &self.header;
         let length = usize::from(u16::from_be_bytes([h[4], h[5]]));
         let padding = usize::from(h[6]);
-        self.content.extend_from_slice(take(length - self.content.len()));
+        self.content
+            .extend_from_slice(take(length - self.content.len()));
         if self.content.len() == length {
             self.skipped += take(padding - self.skipped).len();
         }
@@ -93,7 +99,11 @@
             return Ok((input.len(), None));
         }
         let id = u16::from_be_bytes([h[2], h[3]]);
-        let record = Record { kind: h[1], id, content: std::mem::take(&mut self.content) };
+        let record = Record {
+            kind: h[1],
+            id,
+            content: std::mem::take(&mut self.content),
+        };
         self.header.clear();
         self.skipped = 0;
         Ok((input.len() - left, Some(record)))
@@ -126,7 +136,9 @@
     const BAD: WireError = WireError::Malformed("a FastCGI parameter");
     fn length(bytes: &mut &[u8]) -> Result<usize, WireError> {
         let (n, size) = match **bytes {
-            [a, b, c, d, ..] if a >> 7 == 1 => (u32::from_be_bytes([a & 0x7f, b, c, d]) as usize, 4),
+            [a, b, c, d, ..] if a >> 7 == 1 => {
+                (u32::from_be_bytes([a & 0x7f, b, c, d]) as usize, 4)
+            }
             [a, ..] if a >> 7 == 0 => (usize::from(a), 1),
             _ => return Err(BAD),
         };
@@ -136,7 +148,10 @@
     let mut pairs = Vec::new();
     while !bytes.is_empty() {
         let (name, value) = (length(&mut bytes)?, length(&mut bytes)?);
-        let end = name.checked_add(value).filter(|end| *end <= bytes.len()).ok_or(BAD)?;
+        let end = name
+            .checked_add(value)
+            .filter(|end| *end <= bytes.len())
+            .ok_or(BAD)?;
         let text = |b: &[u8]| String::from_utf8(b.to_vec()).map_err(|_| BAD);
         pairs.push((text(&bytes[..name])?, text(&bytes[name..end])?));
         bytes = &bytes[end..];
--- a/daemon/src/wire/http.rs
+++ b/daemon/src/wire/http.rs
@@ -14,12 +14,20 @@
 impl Head {
     /// The value of a header, by its name in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
+        self.headers
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, value)| value.as_str())
     }
 
     /// The status of a response.
     pub fn status(&self) -> Option<u16> {
-        self.start.strip_prefix("HTTP/1.")?.split(' ').nth(1)?.parse().ok()
+        self.start
+            .strip_prefix("HTTP/1.")?
+            .split(' ')
+            .nth(1)?
+            .parse()
+            .ok()
     }
 
     /// Method and target of a request.
@@ -33,7 +41,9 @@
     pub fn keeps_open(&self) -> bool {
         let says = |word: &str| {
             let words = self.header("connection").unwrap_or("").split(',');
-            words.into_iter().any(|w| w.trim().eq_ignore_ascii_case(word))
+            words
+                .into_iter()
+                .any(|w| w.trim().eq_ignore_ascii_case(word))
         };
         if self.start.contains("HTTP/1.0") {
             says("keep-alive")
@@ -97,12 +107,16 @@
 
     /// A reader of responses; `max_body` is `usize::MAX` for streams.
     pub fn responses(max_line: usize, max_body: usize) -> Self {
-        Messages { responses: true, ..Self::requests(max_line, max_body) }
+        Messages {
+            responses: true,
+            ..Self::requests(max_line, max_body)
+        }
     }
 
     /// Whether the connection's end now would also be the message's.
     pub fn may_end(&self) -> bool {
-        matches!(self.place, Place::ToTheEnd) || matches!(self.place, Place::Head) && self.head.is_none()
+        matches!(self.place, Place::ToTheEnd)
+            || matches!(self.place, Place::Head) && self.head.is_none()
     }
 
     /// How the body behind this head ends.
@@ -112,12 +126,21 @@
         let coding = head.header("transfer-encoding");
         // Two ways to tell where a message ends are how requests are smuggled.
         if length.is_some() && coding.is_some()
-            || head.headers.iter().filter(|(n, _)| n == "content-length").count() > 1
+            || head
+                .headers
+                .iter()
+                .filter(|(n, _)| n == "content-length")
+                .count()
+                > 1
         {
             return Err(BAD);
         }
         if let Some(coding) = coding {
-            return if coding.eq_ignore_ascii_case("chunked") { Ok(Place::ChunkSize) } else { Err(BAD) };
+            return if coding.eq_ignore_ascii_case("chunked") {
+                Ok(Place::ChunkSize)
+            } else {
+                Err(BAD)
+            };
         }
         if let Some(length) = length {
             let digits = !length.is_empty() && length.bytes().all(|b| b.is_ascii_digit());
@@ -129,7 +152,11 @@
             };
         }
         let empty = !self.responses || matches!(head.status(), Some(100..200 | 204 | 304));
-        Ok(if empty { Place::Length(0) } else { Place::ToTheEnd })
+        Ok(if empty {
+            Place::Length(0)
+        } else {
+            Place::ToTheEnd
+        })
     }
 
     /// Takes a line of a head: the head, if the line ends it.
@@ -137,9 +164,15 @@
         let line = String::from_utf8(line).map_err(|_| WireError::Malformed("an HTTP head"))?;
         let Some(head) = &mut self.head else {
             if !line.is_empty() {
-                let head = Head { start: line, headers: Vec::new() };
-                let is_sound =
-                    if self.responses { head.status().is_some() } else { head.request().is_some() };
+                let head = Head {
+                    start: line,
+                    headers: Vec::new(),
+                };
+                let is_sound = if self.responses {
+                    head.status().is_some()
+                } else {
+                    head.request().is_some()
+                };
                 if !is_sound {
                     return Err(WireError::Malformed("an HTTP message's first line"));
                 }
@@ -153,9 +186,12 @@
         if head.headers.len() >= self.max_headers {
             return Err(WireError::TooLong("an HTTP head"));
         }
-        let named = line.split_once(':').filter(|(n, _)| !n.is_empty() && !n.contains([' ', '\t']));
+        let named = line
+            .split_once(':')
+            .filter(|(n, _)| !n.is_empty() && !n.contains([' ', '\t']));
         let (name, value) = named.ok_or(WireError::Malformed("an HTTP header"))?;
-        head.headers.push((name.to_ascii_lowercase(), value.trim().to_owned()));
+        head.headers
+            .push((name.to_ascii_lowercase(), value.trim().to_owned()));
         Ok(None)
     }
 
@@ -181,7 +217,9 @@
     fn take_whole_line(&mut self, line: Vec<u8>) -> Result<Option<Piece>, WireError> {
         match self.place {
             Place::Head => {
-                let Some(head) = self.head_line(line)? else { return Ok(None) };
+                let Some(head) = self.head_line(line)? else {
+                    return Ok(None);
+                };
                 self.place = self.place_of_body(&head)?;
                 self.done = matches!(self.place, Place::Length(0));
                 return Ok(Some(Piece::Head(head)));
@@ -201,14 +239,25 @@
 
     /// What comes behind the line that gives a chunk's size.
     fn chunk(&mut self, line: &[u8]) -> Result<Place, WireError> {
-        let text = std::str::from_utf8(line).unwrap_or("").split(';').next().unwrap_or("").trim();
-        let size = usize::from_str_radix(text, 16).ok().filter(|_| !text.starts_with('+'));
+        let text = std::str::from_utf8(line)
+            .unwrap_or("")
+            .split(';')
+            .next()
+            .unwrap_or("")
+            .trim();
+        let size = usize::from_str_radix(text, 16)
+            .ok()
+            .filter(|_| !text.starts_with('+'));
         let size = size.ok_or(WireError::Malformed("an HTTP chunk"))?;
         self.body = self.body.saturating_add(size);
         if self.body > self.max_body && self.max_body != usize::MAX {
             return Err(WireError::TooLong("an HTTP body"));
         }
-        Ok(if size == 0 { Place::Trailers } else { Place::Chunk(size) })
+        Ok(if size == 0 {
+            Place::Trailers
+        } else {
+            Place::Chunk(size)
+        })
     }
 }
 
--- a/daemon/src/wire/mod.rs
+++ b/daemon/src/wire/mod.rs
@@ -37,7 +37,11 @@
 }
 
 /// Moves bytes up to the line's end into `line`: bytes taken, and whether the line is whole (without its end).
-pub(crate) fn take_line(input: &[u8], line: &mut Vec<u8>, most: usize) -> Result<(usize, bool), WireError> {
+pub(crate) fn take_line(
+    input: &[u8],
+    line: &mut Vec<u8>,
+    most: usize,
+) -> Result<(usize, bool), WireError> {
     let end = input.iter().position(|b| *b == b'\n');
     let taken = end.map_or(input.len(), |at| at + 1);
     if line.len() + taken > most {
--- a/daemon/src/wire/resp.rs
+++ b/daemon/src/wire/resp.rs
@@ -20,7 +20,14 @@
 impl Arrays {
     /// A reader that takes strings of so many bytes at most.
     pub fn new(most: usize) -> Self {
-        Arrays { most, line: Vec::new(), lacking: None, length: None, items: Vec::new(), item: Vec::new() }
+        Arrays {
+            most,
+            line: Vec::new(),
+            lacking: None,
+            length: None,
+            items: Vec::new(),
+            item: Vec::new(),
+        }
     }
 
     /// Whether an array has come in part.
@@ -30,7 +37,9 @@
 
     fn number(&mut self, mark: u8, most: usize, what: &'static str) -> Result<usize, WireError> {
         let line = std::mem::take(&mut self.line);
-        let digits = line.strip_prefix(&[mark]).filter(|d| d.iter().all(u8::is_ascii_digit));
+        let digits = line
+            .strip_prefix(&[mark])
+            .filter(|d| d.iter().all(u8::is_ascii_digit));
         let number = digits.and_then(|d| std::str::from_utf8(d).ok()?.parse().ok());
         let number = number.ok_or(WireError::Malformed(what))?;
         // Checked before anything is taken for it: a peer names any length it likes.
@@ -95,5 +104,9 @@
 /// The value of a name in a list `name=value,name=value`.
 pub fn field<'a>(fields: &'a [u8], name: &str) -> Option<&'a str> {
     let fields = std::str::from_utf8(fields).ok()?;
-    fields.split(',').find_map(|f| f.split_once('=').filter(|(n, _)| *n == name).map(|(_, value)| value))
+    fields.split(',').find_map(|f| {
+        f.split_once('=')
+            .filter(|(n, _)| *n == name)
+            .map(|(_, value)| value)
+    })
 }
--- a/daemon/src/wire/sse.rs
+++ b/daemon/src/wire/sse.rs
@@ -22,7 +22,12 @@
 impl Events {
     /// A reader of events of so many bytes at most.
     pub fn new(most: usize) -> Self {
-        Events { most, line: Vec::new(), id: String::new(), data: None }
+        Events {
+            most,
+            line: Vec::new(),
+            id: String::new(),
+            data: None,
+        }
     }
 }
 
@@ -41,7 +46,13 @@
                 .map_err(|_| WireError::Malformed("an event's text"))?;
             if line.is_empty() {
                 if let Some(data) = self.data.take() {
-                    return Ok((at, Some(Event { id: self.id.clone(), data })));
+                    return Ok((
+                        at,
+                        Some(Event {
+                            id: self.id.clone(),
+                            data,
+                        }),
+                    ));
                 }
                 continue;
             }
