--- a/discovery/src/book/mod.rs
+++ b/discovery/src/book/mod.rs
@@ -5,7 +5,9 @@
 mod verdict;
 
 use crate::damping::{Damping, Penalty};
-use crate::evidence::{Change, Entry, Evidence, Explanation, Notice, Reason, Source, SourceId, Standing};
+use crate::evidence::{
+    Change, Entry, Evidence, Explanation, Notice, Reason, Source, SourceId, Standing,
+};
 use linnetknot::{ListMode, Micros, State};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -132,12 +134,18 @@
     /// Takes evidence in.
     pub fn tell(&mut self, now: Micros, source: SourceId, evidence: Evidence) -> Output {
         let mut out = Output::default();
-        let Some(relayed) = self.sources.get(source.0).map(|s| s.relayed) else { return out };
+        let Some(relayed) = self.sources.get(source.0).map(|s| s.relayed) else {
+            return out;
+        };
         let (mode, reports) = match evidence {
             Evidence::Full(reports) => (ListMode::Full, reports),
             Evidence::Delta(reports) => (ListMode::Delta, reports),
         };
-        let reports = if relayed { reports } else { self.one_each(source, reports, &mut out) };
+        let reports = if relayed {
+            reports
+        } else {
+            self.one_each(source, reports, &mut out)
+        };
         let mut entries = Vec::new();
         let mut touched = BTreeSet::new();
         // Who leaves makes room first, in the table and at its address.
@@ -154,9 +162,16 @@
         }
         entries.extend(leavers);
         let mut follow = Vec::new();
-        touched.iter().for_each(|uid| self.settle(now, uid, &mut follow, &mut out));
+        touched
+            .iter()
+            .for_each(|uid| self.settle(now, uid, &mut follow, &mut out));
         self.balance(now, &mut follow, &mut out);
-        self.give(if relayed { mode } else { ListMode::Delta }, entries, relayed, &mut out);
+        self.give(
+            if relayed { mode } else { ListMode::Delta },
+            entries,
+            relayed,
+            &mut out,
+        );
         self.give(ListMode::Delta, follow, false, &mut out);
         self.sweep(now);
         out
@@ -182,13 +197,20 @@
     /// Boxes that some source lists, as they are given out.
     pub fn listed(&self) -> impl Iterator<Item = (&Entry, Standing)> {
         let given = self.members.values().filter_map(|m| m.given.as_ref());
-        given.filter(|g| g.standing != Standing::Gone).map(|g| (&g.entry, g.standing))
+        given
+            .filter(|g| g.standing != Standing::Gone)
+            .map(|g| (&g.entry, g.standing))
     }
 
     /// What a source itself says of the boxes that it lists, whatever became of that.
     pub fn told_by(&self, source: SourceId) -> impl Iterator<Item = &Entry> {
-        let words = self.members.values().filter_map(move |m| m.words.get(&source));
-        words.filter(|w| w.entry.server.state != State::Gone).map(|w| &w.entry)
+        let words = self
+            .members
+            .values()
+            .filter_map(move |m| m.words.get(&source));
+        words
+            .filter(|w| w.entry.server.state != State::Gone)
+            .map(|w| &w.entry)
     }
 
     /// Other figures of damping, from here on.
@@ -198,7 +220,10 @@
 
     /// Where a box stands; `Gone` for one that is not known.
     pub fn standing(&self, uid: &str) -> Standing {
-        self.members.get(uid).and_then(|m| m.given.as_ref()).map_or(Standing::Gone, |g| g.standing)
+        self.members
+            .get(uid)
+            .and_then(|m| m.given.as_ref())
+            .map_or(Standing::Gone, |g| g.standing)
     }
 
     /// Why a box stands where it does; none for one that is not known.
@@ -219,6 +244,8 @@
 
     /// Explanations of all boxes that are known, in the order of their ids.
     pub fn explain_all(&self, now: Micros) -> impl Iterator<Item = Explanation> + '_ {
-        self.members.keys().filter_map(move |uid| self.explain(uid, now))
+        self.members
+            .keys()
+            .filter_map(move |uid| self.explain(uid, now))
     }
 }
--- a/discovery/src/book/publish.rs
+++ b/discovery/src/book/publish.rs
@@ -40,7 +40,10 @@
     /// kind of a box that it knows: it has to leave, by the entry that is given back, and come anew.
     fn remake(&mut self, now: Micros, standing: Standing, entry: &Entry) -> Option<Entry> {
         let given = self.given.as_ref()?;
-        if given.standing == Standing::Gone || standing == Standing::Gone || !remade(&given.entry, entry) {
+        if given.standing == Standing::Gone
+            || standing == Standing::Gone
+            || !remade(&given.entry, entry)
+        {
             return None;
         }
         let mut old = given.entry.clone();
@@ -50,9 +53,26 @@
     }
 
     /// Notes what was given out.
-    fn give(&mut self, now: Micros, entry: Entry, standing: Standing, reason: Reason, source: SourceId) {
-        let since = self.given.as_ref().filter(|g| g.standing == standing).map_or(now, |g| g.since);
-        self.given = Some(Given { entry, standing, reason, source, since });
+    fn give(
+        &mut self,
+        now: Micros,
+        entry: Entry,
+        standing: Standing,
+        reason: Reason,
+        source: SourceId,
+    ) {
+        let since = self
+            .given
+            .as_ref()
+            .filter(|g| g.standing == standing)
+            .map_or(now, |g| g.since);
+        self.given = Some(Given {
+            entry,
+            standing,
+            reason,
+            source,
+            since,
+        });
     }
 
     /// The reason of a new standing, where damping has a part in it.
@@ -68,10 +88,20 @@
 
 impl Discovery {
     /// Weighs a box anew after a word on it, counts its losses and returns, and gives out what has changed.
-    pub(super) fn settle(&mut self, now: Micros, uid: &str, entries: &mut Vec<Entry>, out: &mut Output) {
-        let Some(verdict) = self.members.get(uid).and_then(|m| self.verdict(uid, m)) else { return };
+    pub(super) fn settle(
+        &mut self,
+        now: Micros,
+        uid: &str,
+        entries: &mut Vec<Entry>,
+        out: &mut Output,
+    ) {
+        let Some(verdict) = self.members.get(uid).and_then(|m| self.verdict(uid, m)) else {
+            return;
+        };
         let opened = self.opened.contains(&verdict.source);
-        let Some(m) = self.members.get_mut(uid) else { return };
+        let Some(m) = self.members.get_mut(uid) else {
+            return;
+        };
         let was = m.counted.is_some();
         let is = verdict.state == State::Ready;
         let counted = is.then(|| group(&verdict.entry));
@@ -98,7 +128,8 @@
         if before == after {
             return;
         }
-        if let Some(btree_map::Entry::Occupied(mut n)) = before.map(|group| self.ready.entry(group)) {
+        if let Some(btree_map::Entry::Occupied(mut n)) = before.map(|group| self.ready.entry(group))
+        {
             *n.get_mut() -= 1;
             if *n.get() == 0 {
                 n.remove();
@@ -114,9 +145,14 @@
     fn held(&self, now: Micros) -> BTreeSet<String> {
         let mut groups: BTreeMap<&Group, Vec<(f64, &String)>> = BTreeMap::new();
         for uid in &self.damped {
-            let Some(m) = self.members.get(uid) else { continue };
+            let Some(m) = self.members.get(uid) else {
+                continue;
+            };
             if let Some(group) = &m.counted {
-                groups.entry(group).or_default().push((m.penalty.figure(&self.damping, now), uid));
+                groups
+                    .entry(group)
+                    .or_default()
+                    .push((m.penalty.figure(&self.damping, now), uid));
             }
         }
         let mut held = BTreeSet::new();
@@ -140,8 +176,15 @@
         out: &mut Output,
     ) {
         let relayed = self.sources[verdict.source.0].relayed;
-        let Some(m) = self.members.get_mut(uid) else { return };
-        let Verdict { mut entry, state, reason, source } = verdict;
+        let Some(m) = self.members.get_mut(uid) else {
+            return;
+        };
+        let Verdict {
+            mut entry,
+            state,
+            reason,
+            source,
+        } = verdict;
         let standing = match state {
             State::Ready if held => Standing::Suppressed,
             State::Ready => Standing::Ready,
@@ -165,7 +208,14 @@
         if standing != old {
             let penalty = m.penalty.figure(&self.damping, now);
             let (uid, reason) = (uid.to_owned(), reason.clone());
-            out.changes.push(Change { uid, old, new: standing, reason, source, penalty });
+            out.changes.push(Change {
+                uid,
+                old,
+                new: standing,
+                reason,
+                source,
+                penalty,
+            });
         }
         m.give(now, entry, standing, reason, source);
     }
@@ -179,7 +229,9 @@
         let members = &mut self.members;
         let mut steady = Vec::new();
         self.damped.retain(|uid| {
-            let Some(m) = members.get_mut(uid) else { return false };
+            let Some(m) = members.get_mut(uid) else {
+                return false;
+            };
             m.damped = m.penalty.figure(&d, now) >= d.reuse;
             if !m.damped {
                 steady.push(uid.clone());
@@ -188,13 +240,21 @@
         });
         let held = self.held(now);
         for uid in steady.iter().chain(&self.damped.clone()) {
-            let Some(verdict) = self.members.get(uid).and_then(|m| self.verdict(uid, m)) else { continue };
+            let Some(verdict) = self.members.get(uid).and_then(|m| self.verdict(uid, m)) else {
+                continue;
+            };
             self.publish(now, uid, verdict, held.contains(uid), entries, out);
         }
     }
 
     /// Adds an event to the output; an empty one only where it is passed on.
-    pub(super) fn give(&self, mode: ListMode, mut entries: Vec<Entry>, relayed: bool, out: &mut Output) {
+    pub(super) fn give(
+        &self,
+        mode: ListMode,
+        mut entries: Vec<Entry>,
+        relayed: bool,
+        out: &mut Output,
+    ) {
         if entries.is_empty() && !relayed {
             return;
         }
@@ -219,8 +279,13 @@
         let mut kept: Vec<(f64, String)> = Vec::new();
         let mut leave: Vec<String> = Vec::new();
         for uid in &self.gone {
-            let Some(m) = self.members.get(uid) else { continue };
-            if m.words.values().any(|w| w.entry.server.state != State::Gone) {
+            let Some(m) = self.members.get(uid) else {
+                continue;
+            };
+            if m.words
+                .values()
+                .any(|w| w.entry.server.state != State::Gone)
+            {
                 continue; // Another box has its address for now.
             }
             match m.penalty.is_forgotten(&self.damping, now) {
--- a/discovery/src/book/verdict.rs
+++ b/discovery/src/book/verdict.rs
@@ -29,29 +29,55 @@
         let verdict = |state, reason: Reason, source| {
             let mut entry = base.entry.clone();
             entry.server.state = state;
-            Some(Verdict { entry, state, reason, source })
+            Some(Verdict {
+                entry,
+                state,
+                reason,
+                source,
+            })
         };
         // A word on another address is on another box, which only has the same id.
-        let mut same = m.words.iter().filter(|(_, w)| w.entry.endpoint == base.entry.endpoint);
+        let mut same = m
+            .words
+            .iter()
+            .filter(|(_, w)| w.entry.endpoint == base.entry.endpoint);
         if !self.sources[base_id.0].relayed {
             let newer = |other: &String| {
-                self.members.get(other).filter(|_| other != uid).is_some_and(|o| {
-                    (o.joined, other.as_str()) > (m.joined, uid)
-                        && o.words.values().any(|w| live(&w) && w.entry.endpoint == base.entry.endpoint)
-                })
+                self.members
+                    .get(other)
+                    .filter(|_| other != uid)
+                    .is_some_and(|o| {
+                        (o.joined, other.as_str()) > (m.joined, uid)
+                            && o.words
+                                .values()
+                                .any(|w| live(&w) && w.entry.endpoint == base.entry.endpoint)
+                    })
             };
             let claims = self.claims.get(&base.entry.endpoint);
-            if let Some(other) = claims.and_then(|claims| claims.iter().find(|other| newer(other))) {
+            if let Some(other) = claims.and_then(|claims| claims.iter().find(|other| newer(other)))
+            {
                 return verdict(State::Gone, Reason::AddressTaken(other.clone()), *base_id);
             }
         }
-        if let Some((id, w)) = same.clone().find(|(_, w)| w.entry.server.state == State::Draining) {
+        if let Some((id, w)) = same
+            .clone()
+            .find(|(_, w)| w.entry.server.state == State::Draining)
+        {
             return verdict(State::Draining, w.reason.clone(), *id);
         }
         // Whoever says that it is gone is believed until another says anew that it is there.
-        let ready_at = same.clone().filter(|(_, w)| live(w)).map(|(_, w)| w.at).max().unwrap_or(0);
+        let ready_at = same
+            .clone()
+            .filter(|(_, w)| live(w))
+            .map(|(_, w)| w.at)
+            .max()
+            .unwrap_or(0);
         if let Some((id, _)) = same.find(|(_, w)| !live(w) && w.at >= ready_at) {
-            return verdict(State::Draining, Reason::GoneElsewhere(self.source(*id).to_owned()), *id);
+            return verdict(
+                State::Draining,
+                Reason::GoneElsewhere(self.source(*id).to_owned()),
+                *id,
+            );
         }
         verdict(State::Ready, base.reason.clone(), *base_id)
     }
--- a/discovery/src/damping.rs
+++ b/discovery/src/damping.rs
@@ -23,7 +23,13 @@
 
 impl Default for Damping {
     fn default() -> Self {
-        Damping { half_life_us: 15_000_000, suppress: 2.0, reuse: 1.0, most_us: 30_000_000, most_share: 0.34 }
+        Damping {
+            half_life_us: 15_000_000,
+            suppress: 2.0,
+            reuse: 1.0,
+            most_us: 30_000_000,
+            most_share: 0.34,
+        }
     }
 }
 
@@ -48,7 +54,10 @@
         }
         // Under a ceiling below `suppress` no box would ever be suppressed, which should be said openly instead.
         if self.ceiling() < self.suppress {
-            return Err(("most_suppressed", "is too short for 'suppress' to be reached"));
+            return Err((
+                "most_suppressed",
+                "is too short for 'suppress' to be reached",
+            ));
         }
         Ok(())
     }
@@ -78,7 +87,10 @@
 
     /// Counts a loss.
     pub fn add(&mut self, d: &Damping, now: Micros) {
-        *self = Penalty { figure: (self.figure(d, now) + 1.0).min(d.ceiling()), at: now };
+        *self = Penalty {
+            figure: (self.figure(d, now) + 1.0).min(d.ceiling()),
+            at: now,
+        };
     }
 
     /// When the figure will have decayed below `level`; now, if it has.
@@ -123,10 +135,34 @@
         let good = Damping::default();
         assert_eq!(good.check(), Ok(()));
         for (bad, name) in [
-            (Damping { half_life_us: 0, ..good }, "half_life"),
-            (Damping { reuse: f64::NAN, ..good }, "reuse"),
-            (Damping { suppress: 1.0, ..good }, "suppress"),
-            (Damping { most_share: 1.5, ..good }, "most_share"),
+            (
+                Damping {
+                    half_life_us: 0,
+                    ..good
+                },
+                "half_life",
+            ),
+            (
+                Damping {
+                    reuse: f64::NAN,
+                    ..good
+                },
+                "reuse",
+            ),
+            (
+                Damping {
+                    suppress: 1.0,
+                    ..good
+                },
+                "suppress",
+            ),
+            (
+                Damping {
+                    most_share: 1.5,
+                    ..good
+                },
+                "most_share",
+            ),
             (Damping { most_us: S, ..good }, "most_suppressed"),
         ] {
             assert_eq!(bad.check().unwrap_err().0, name);
--- a/discovery/src/evidence.rs
+++ b/discovery/src/evidence.rs
@@ -17,7 +17,9 @@
 
 /// A number for a box's id, the same at every proxy: the module's order of boxes is hashed from it.
 pub fn server_id(uid: &str) -> ServerId {
-    uid.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3))
+    uid.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)
+    })
 }
 
 /// A source's place in the order of precedence: 0 comes first.
@@ -100,7 +102,10 @@
 
 impl From<Entry> for Report {
     fn from(entry: Entry) -> Self {
-        Report { entry, reason: Reason::Told }
+        Report {
+            entry,
+            reason: Reason::Told,
+        }
     }
 }
 
--- a/discovery/src/kept.rs
+++ b/discovery/src/kept.rs
@@ -64,11 +64,16 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Foreign => write!(f, "it is no kept list"),
-            Self::Format(n) => write!(f, "its format is {n}, and this program reads up to {FORMAT}"),
+            Self::Format(n) => write!(
+                f,
+                "its format is {n}, and this program reads up to {FORMAT}"
+            ),
             Self::Torn { told, there } => write!(f, "it is torn: {there} bytes of {told}"),
             Self::Damaged => write!(f, "its checksum does not fit"),
             Self::Unreadable(why) => write!(f, "it can't be read: {why}"),
-            Self::Scope { told, wanted } => write!(f, "it is the list of '{told}', not of '{wanted}'"),
+            Self::Scope { told, wanted } => {
+                write!(f, "it is the list of '{told}', not of '{wanted}'")
+            }
             Self::Future(by) => write!(f, "it is from the future, by {} s", by / 1_000_000),
             Self::Old(age) => write!(f, "it is too old: {} s", age / 1_000_000),
             Self::TooLong => write!(f, "it is too long"),
@@ -109,10 +114,19 @@
         draining: e.server.state == State::Draining,
         started_us: e.server.started,
     };
-    let body = Body { scope: scope.to_owned(), at_us: at, boxes: entries.map(kept).collect() };
+    let body = Body {
+        scope: scope.to_owned(),
+        at_us: at,
+        boxes: entries.map(kept).collect(),
+    };
     // Of texts and numbers only: it can always be written.
     let body = serde_json::to_vec(&body).unwrap_or_default();
-    let mut out = format!("{MARK} {FORMAT} {:08x} {}\n", crc32fast::hash(&body), body.len()).into_bytes();
+    let mut out = format!(
+        "{MARK} {FORMAT} {:08x} {}\n",
+        crc32fast::hash(&body),
+        body.len()
+    )
+    .into_bytes();
     out.extend(body);
     out
 }
@@ -129,9 +143,13 @@
         return Err(KeptError::TooLong);
     }
     let body = verified_body(bytes)?;
-    let body: Body = serde_json::from_slice(body).map_err(|e| KeptError::Unreadable(e.to_string()))?;
+    let body: Body =
+        serde_json::from_slice(body).map_err(|e| KeptError::Unreadable(e.to_string()))?;
     if body.scope != scope {
-        return Err(KeptError::Scope { told: body.scope, wanted: scope.to_owned() });
+        return Err(KeptError::Scope {
+            told: body.scope,
+            wanted: scope.to_owned(),
+        });
     }
     if body.at_us > now + FUTURE_US {
         return Err(KeptError::Future(body.at_us - now));
@@ -140,26 +158,45 @@
     if age > max_age {
         return Err(KeptError::Old(age));
     }
-    Ok(Kept { at: body.at_us, entries: body.boxes.into_iter().map(Entry::from).collect() })
+    Ok(Kept {
+        at: body.at_us,
+        entries: body.boxes.into_iter().map(Entry::from).collect(),
+    })
 }
 
 /// The body of a list whose head is of a known format and fits it in length and checksum.
 fn verified_body(bytes: &[u8]) -> Result<&[u8], KeptError> {
-    let end = bytes.iter().take(MAX_HEAD).position(|b| *b == b'\n').ok_or(KeptError::Foreign)?;
+    let end = bytes
+        .iter()
+        .take(MAX_HEAD)
+        .position(|b| *b == b'\n')
+        .ok_or(KeptError::Foreign)?;
     let head = std::str::from_utf8(&bytes[..end]).map_err(|_| KeptError::Foreign)?;
     let body = &bytes[end + 1..];
     let mut fields = head.split(' ');
     if fields.next() != Some(MARK) {
         return Err(KeptError::Foreign);
     }
-    let format = fields.next().and_then(|w| w.parse().ok()).ok_or(KeptError::Foreign)?;
+    let format = fields
+        .next()
+        .and_then(|w| w.parse().ok())
+        .ok_or(KeptError::Foreign)?;
     if format != FORMAT {
         return Err(KeptError::Format(format));
     }
-    let checksum = fields.next().and_then(|w| u32::from_str_radix(w, 16).ok()).ok_or(KeptError::Foreign)?;
-    let length: usize = fields.next().and_then(|w| w.parse().ok()).ok_or(KeptError::Foreign)?;
+    let checksum = fields
+        .next()
+        .and_then(|w| u32::from_str_radix(w, 16).ok())
+        .ok_or(KeptError::Foreign)?;
+    let length: usize = fields
+        .next()
+        .and_then(|w| w.parse().ok())
+        .ok_or(KeptError::Foreign)?;
     if length != body.len() {
-        return Err(KeptError::Torn { told: length, there: body.len() });
+        return Err(KeptError::Torn {
+            told: length,
+            there: body.len(),
+        });
     }
     if crc32fast::hash(body) != checksum {
         return Err(KeptError::Damaged);
@@ -176,7 +213,11 @@
                 cell: kept.cell,
                 kind: kept.kind,
                 weight: kept.weight,
-                state: if kept.draining { State::Draining } else { State::Ready },
+                state: if kept.draining {
+                    State::Draining
+                } else {
+                    State::Ready
+                },
                 started: kept.started_us,
             },
             uid: kept.uid,
--- a/discovery/src/lib.rs
+++ b/discovery/src/lib.rs
@@ -22,6 +22,7 @@
 pub use book::{Bounds, Discovery, Output};
 pub use damping::{BadFigure, Damping, Penalty};
 pub use evidence::{
-    server_id, Change, Entry, Evidence, Explanation, Notice, Reason, Report, Source, SourceId, Standing,
+    server_id, Change, Entry, Evidence, Explanation, Notice, Reason, Report, Source, SourceId,
+    Standing,
 };
 pub use vet::{Answer, PassedOver, Vetting};
--- a/discovery/src/vet.rs
+++ b/discovery/src/vet.rs
@@ -43,7 +43,9 @@
             Self::Stale { rev, known } => {
                 write!(f, "a list of revision {rev} is older than {known}: only what it takes away counts")
             }
-            Self::Contradiction(uid) => write!(f, "a list names {uid} twice: the more cautious word counts"),
+            Self::Contradiction(uid) => {
+                write!(f, "a list names {uid} twice: the more cautious word counts")
+            }
             Self::LeftOut { zone, kind, kept } => {
                 write!(
                     f,
@@ -94,7 +96,12 @@
         answer: Answer,
         listed: impl Iterator<Item = &'a Entry>,
     ) -> (ListMode, Vec<Entry>, Vec<PassedOver>) {
-        let Answer { rev, mut mode, entries, unreadable } = answer;
+        let Answer {
+            rev,
+            mut mode,
+            entries,
+            unreadable,
+        } = answer;
         let mut passed = Vec::new();
         let mut entries = one_word_each(entries, &mut passed);
         match (rev, self.rev) {
@@ -145,7 +152,9 @@
 ) -> Vec<Entry> {
     let mut groups: BTreeMap<(&str, &str), (usize, Vec<&Entry>)> = BTreeMap::new();
     for entry in listed.filter(|e| e.server.state == State::Ready) {
-        let (count, missing) = groups.entry((&entry.server.zone, &entry.server.kind)).or_default();
+        let (count, missing) = groups
+            .entry((&entry.server.zone, &entry.server.kind))
+            .or_default();
         *count += 1;
         if !entries.iter().any(|e| e.uid == entry.uid) {
             missing.push(entry);
@@ -155,7 +164,11 @@
     for ((zone, kind), (count, missing)) in groups {
         if 2 * missing.len() > count {
             let (zone, kind) = (zone.to_owned(), kind.to_owned());
-            passed.push(PassedOver::LeftOut { zone, kind, kept: missing.len() });
+            passed.push(PassedOver::LeftOut {
+                zone,
+                kind,
+                kept: missing.len(),
+            });
             kept.extend(missing.into_iter().cloned());
         }
     }
--- a/membership/src/member.rs
+++ b/membership/src/member.rs
@@ -53,7 +53,13 @@
 impl Member {
     /// Whether it is believed to run: a suspect is, until its time is over.
     pub fn is_up(&self) -> bool {
-        matches!(self.claim, Some(Claim { standing: Standing::Alive | Standing::Suspect, .. }))
+        matches!(
+            self.claim,
+            Some(Claim {
+                standing: Standing::Alive | Standing::Suspect,
+                ..
+            })
+        )
     }
 
     /// Takes a claim if it beats the one that is believed.
--- a/membership/src/suspicion.rs
+++ b/membership/src/suspicion.rs
@@ -25,7 +25,13 @@
         let least = (3.0 * rounds * period as f64) as Micros;
         // Besides the suspect and whoever began it.
         let enough = MAX_CONFIRMATIONS.min(members.saturating_sub(2));
-        Suspicion { since: now, least, most: least * 5, enough, by: BTreeSet::from([by]) }
+        Suspicion {
+            since: now,
+            least,
+            most: least * 5,
+            enough,
+            by: BTreeSet::from([by]),
+        }
     }
 
     /// Another suspects it too; true where that was new.
@@ -37,8 +43,11 @@
     pub(crate) fn until(&self) -> Micros {
         let confirmed = (self.by.len() - 1).min(self.enough) as f64;
         // With nobody to confirm it, nobody is waited for.
-        let share =
-            if self.enough == 0 { 1.0 } else { (confirmed + 1.0).ln() / (self.enough as f64 + 1.0).ln() };
+        let share = if self.enough == 0 {
+            1.0
+        } else {
+            (confirmed + 1.0).ln() / (self.enough as f64 + 1.0).ln()
+        };
         self.since + self.most - ((self.most - self.least) as f64 * share) as Micros
     }
 
--- a/membership/src/swim.rs
+++ b/membership/src/swim.rs
@@ -120,7 +120,11 @@
         options: Options,
     ) -> Self {
         let mut membership = Membership {
-            me: Sender { id, process, incarnation: 0 },
+            me: Sender {
+                id,
+                process,
+                incarnation: 0,
+            },
             names: (truncated(names.0), truncated(names.1)),
             options,
             members: Vec::new(),
@@ -201,10 +205,17 @@
 
     /// When `tick` has something to do.
     pub fn due(&self) -> Micros {
-        let probe = self.probe.as_ref().filter(|p| p.asked.is_none()).map(|p| p.begun + self.ack_us());
+        let probe = self
+            .probe
+            .as_ref()
+            .filter(|p| p.asked.is_none())
+            .map(|p| p.begun + self.ack_us());
         let suspects = self.suspicions.values().map(Suspicion::until).min();
         let indirect = self.indirect.values().map(|h| h.until).min();
-        [probe, suspects, indirect].into_iter().flatten().fold(self.next, Micros::min)
+        [probe, suspects, indirect]
+            .into_iter()
+            .flatten()
+            .fold(self.next, Micros::min)
     }
 
     fn ack_us(&self) -> Micros {
@@ -222,13 +233,19 @@
         }
         self.notice_stall(now);
         self.nack(now);
-        if let Some(probe) =
-            self.probe.clone().filter(|p| p.asked.is_none() && p.begun + self.ack_us() <= now)
+        if let Some(probe) = self
+            .probe
+            .clone()
+            .filter(|p| p.asked.is_none() && p.begun + self.ack_us() <= now)
         {
             self.request_indirect_probes(&probe);
         }
-        let over: Vec<Peer> =
-            self.suspicions.iter().filter(|(_, s)| s.until() <= now).map(|(peer, _)| *peer).collect();
+        let over: Vec<Peer> = self
+            .suspicions
+            .iter()
+            .filter(|(_, s)| s.until() <= now)
+            .map(|(peer, _)| *peer)
+            .collect();
         for peer in over {
             self.suspicions.remove(&peer);
             self.claim_own(now, peer, Standing::Dead);
@@ -265,7 +282,13 @@
         let Some(peer) = self.round.pop() else { return };
         self.number = self.number.wrapping_add(1);
         self.counters.probes += 1;
-        self.probe = Some(Probe { peer, number: self.number, begun: now, asked: None, nacks: 0 });
+        self.probe = Some(Probe {
+            peer,
+            number: self.number,
+            begun: now,
+            asked: None,
+            nacks: 0,
+        });
         self.ping(peer, self.number);
     }
 
@@ -316,13 +339,21 @@
 
     /// It did not answer here: others may hear it.
     fn request_indirect_probes(&mut self, probe: &Probe) {
-        let mut others: Vec<Peer> =
-            (0..self.members.len()).filter(|p| *p != probe.peer && self.members[*p].is_up()).collect();
+        let mut others: Vec<Peer> = (0..self.members.len())
+            .filter(|p| *p != probe.peer && self.members[*p].is_up())
+            .collect();
         let mut asked = 0;
         if let Some(target) = self.members[probe.peer].id {
             while asked < self.options.indirect_probes && !others.is_empty() {
                 let proxy = others.swap_remove(self.random.below(others.len() as u64) as usize);
-                self.send(proxy, Body::PingRequest { number: probe.number, target }, None);
+                self.send(
+                    proxy,
+                    Body::PingRequest {
+                        number: probe.number,
+                        target,
+                    },
+                    None,
+                );
                 asked += 1;
             }
         }
@@ -333,7 +364,9 @@
 
     /// The period is over: whoever did not answer by any way is suspected.
     fn end_probe(&mut self, now: Micros) {
-        let Some(probe) = self.probe.take() else { return };
+        let Some(probe) = self.probe.take() else {
+            return;
+        };
         self.counters.failed += 1;
         if !self.members[probe.peer].is_up() {
             return;
@@ -341,7 +374,10 @@
         // Helpers say so where the member does not answer them. Where some say nothing at all, they were not reached or
         // their messages not heard: that speaks against this detector, though no more for each of them, as one of them
         // may be gone itself and links cut, and a detector that waits ever longer would not find that out.
-        if probe.asked.is_none_or(|asked| asked == 0 || probe.nacks < asked) {
+        if probe
+            .asked
+            .is_none_or(|asked| asked == 0 || probe.nacks < asked)
+        {
             self.degrade_health(1);
         }
         self.claim_own(now, probe.peer, Standing::Suspect);
@@ -349,10 +385,21 @@
 
     /// Pings on behalf of others that were not answered in time.
     fn nack(&mut self, now: Micros) {
-        let over: Vec<u32> = self.indirect.iter().filter(|(_, h)| h.until <= now).map(|(n, _)| *n).collect();
+        let over: Vec<u32> = self
+            .indirect
+            .iter()
+            .filter(|(_, h)| h.until <= now)
+            .map(|(n, _)| *n)
+            .collect();
         for number in over {
             if let Some(indirect) = self.indirect.remove(&number) {
-                self.send(indirect.asker, Body::Nack { number: indirect.number }, None);
+                self.send(
+                    indirect.asker,
+                    Body::Nack {
+                        number: indirect.number,
+                    },
+                    None,
+                );
             }
         }
     }
@@ -368,7 +415,15 @@
                 updates.push(claim);
             }
         }
-        self.outgoing.push((peer, Message { from: self.me, body, updates }.write()));
+        self.outgoing.push((
+            peer,
+            Message {
+                from: self.me,
+                body,
+                updates,
+            }
+            .write(),
+        ));
     }
 
     /// Takes in a datagram from a peer's address.
@@ -387,16 +442,37 @@
             return Ok(());
         }
         self.observe(now, peer, from);
-        message.updates.iter().for_each(|updates| self.claim(now, *updates));
+        message
+            .updates
+            .iter()
+            .for_each(|updates| self.claim(now, *updates));
         // Whoever is believed to be worse than it says is to hear it: it alone can refute, or learn its successor.
-        let said = Claim { process: from.process, incarnation: from.incarnation, standing: Standing::Alive };
-        let known = self.place(from.id).and_then(|place| self.members[place].claim);
+        let said = Claim {
+            process: from.process,
+            incarnation: from.incarnation,
+            standing: Standing::Alive,
+        };
+        let known = self
+            .place(from.id)
+            .and_then(|place| self.members[place].claim);
         let worse = known.filter(|claim| *claim > said);
-        let on_receiver = worse.map(|claim| Update { id: from.id, by: self.me.id, claim });
+        let on_receiver = worse.map(|claim| Update {
+            id: from.id,
+            by: self.me.id,
+            claim,
+        });
         match message.body {
             Body::Ping { number, names } => {
                 let names = names.then(|| self.names.clone());
-                self.send(peer, Body::Ack { number, of: None, names }, on_receiver);
+                self.send(
+                    peer,
+                    Body::Ack {
+                        number,
+                        of: None,
+                        names,
+                    },
+                    on_receiver,
+                );
             }
             Body::Ack { number, of, names } => {
                 if let Some(names) = names.filter(|_| of.is_none()) {
@@ -411,8 +487,18 @@
                 }
             }
             Body::Leave => {
-                let claim = Claim { standing: Standing::Left, ..said };
-                self.claim(now, Update { id: from.id, by: from.id, claim });
+                let claim = Claim {
+                    standing: Standing::Left,
+                    ..said
+                };
+                self.claim(
+                    now,
+                    Update {
+                        id: from.id,
+                        by: from.id,
+                        claim,
+                    },
+                );
             }
         }
         Ok(())
@@ -422,7 +508,10 @@
     fn observe(&mut self, now: Micros, peer: Peer, from: Sender) {
         if let Some(other) = self.place(from.id).filter(|other| *other != peer) {
             // Two processes of one name: the later one stands for it, wherever it is.
-            if self.members[other].claim.is_some_and(|claim| claim.process > from.process) {
+            if self.members[other]
+                .claim
+                .is_some_and(|claim| claim.process > from.process)
+            {
                 return;
             }
             self.members[other] = Member::default();
@@ -434,26 +523,53 @@
             if let Some(old) = known.id {
                 self.by_id.remove(&old);
             }
-            *known = Member { id: Some(from.id), ..Member::default() };
+            *known = Member {
+                id: Some(from.id),
+                ..Member::default()
+            };
             self.suspicions.remove(&peer);
             self.by_id.insert(from.id, peer);
         }
-        if known.claim.is_some_and(|claim| claim.process < from.process) {
+        if known
+            .claim
+            .is_some_and(|claim| claim.process < from.process)
+        {
             // It may have been given other names.
             known.names = None;
         }
-        let claim = Claim { process: from.process, incarnation: from.incarnation, standing: Standing::Alive };
-        self.claim(now, Update { id: from.id, by: from.id, claim });
+        let claim = Claim {
+            process: from.process,
+            incarnation: from.incarnation,
+            standing: Standing::Alive,
+        };
+        self.claim(
+            now,
+            Update {
+                id: from.id,
+                by: from.id,
+                claim,
+            },
+        );
     }
 
     fn acked(&mut self, number: u32, of: Id) {
         if let Some(indirect) = self.indirect.get(&number).filter(|h| h.target == of) {
             let (asker, theirs, of) = (indirect.asker, indirect.number, Some(indirect.target));
             self.indirect.remove(&number);
-            return self.send(asker, Body::Ack { number: theirs, of, names: None }, None);
-        }
-        let probed =
-            self.probe.as_ref().filter(|p| p.number == number && self.members[p.peer].id == Some(of));
+            return self.send(
+                asker,
+                Body::Ack {
+                    number: theirs,
+                    of,
+                    names: None,
+                },
+                None,
+            );
+        }
+        let probed = self
+            .probe
+            .as_ref()
+            .filter(|p| p.number == number && self.members[p.peer].id == Some(of));
         if probed.is_some() {
             self.probe = None;
             self.health = self.health.saturating_sub(1);
@@ -465,7 +581,15 @@
             Some(peer) if self.indirect.len() < self.options.max_indirect && peer != asker => {
                 self.number = self.number.wrapping_add(1);
                 let until = now + self.options.ack_us;
-                self.indirect.insert(self.number, IndirectProbe { asker, number, target, until });
+                self.indirect.insert(
+                    self.number,
+                    IndirectProbe {
+                        asker,
+                        number,
+                        target,
+                        until,
+                    },
+                );
                 self.ping(peer, self.number);
             }
             _ => self.send(asker, Body::Nack { number }, None),
@@ -478,7 +602,14 @@
     fn claim_own(&mut self, now: Micros, peer: Peer, standing: Standing) {
         let member = &self.members[peer];
         if let (Some(id), Some(claim)) = (member.id, member.claim) {
-            self.claim(now, Update { id, by: self.me.id, claim: Claim { standing, ..claim } });
+            self.claim(
+                now,
+                Update {
+                    id,
+                    by: self.me.id,
+                    claim: Claim { standing, ..claim },
+                },
+            );
         }
     }
 
@@ -488,11 +619,19 @@
             return self.refute(update.claim);
         }
         // Members come from the configuration, and are known once they were heard.
-        let Some(peer) = self.place(update.id) else { return };
+        let Some(peer) = self.place(update.id) else {
+            return;
+        };
         let known = &mut self.members[peer];
         let Some(old) = known.believe(update.claim) else {
-            let again = known.claim == Some(update.claim) && update.claim.standing == Standing::Suspect;
-            if again && self.suspicions.get_mut(&peer).is_some_and(|s| s.confirm(update.by)) {
+            let again =
+                known.claim == Some(update.claim) && update.claim.standing == Standing::Suspect;
+            if again
+                && self
+                    .suspicions
+                    .get_mut(&peer)
+                    .is_some_and(|s| s.confirm(update.by))
+            {
                 self.gossip.add(update);
             }
             return;
@@ -507,7 +646,11 @@
         if old.is_some() || update.claim.standing != Standing::Alive {
             self.gossip.add(update);
         }
-        self.changes.push(Change { peer, old, new: update.claim });
+        self.changes.push(Change {
+            peer,
+            old,
+            new: update.claim,
+        });
     }
 
     fn refute(&mut self, claim: Claim) {
@@ -525,8 +668,16 @@
     }
 
     fn announce_self(&mut self) {
-        let Sender { id, process, incarnation } = self.me;
-        let claim = Claim { process, incarnation, standing: Standing::Alive };
+        let Sender {
+            id,
+            process,
+            incarnation,
+        } = self.me;
+        let claim = Claim {
+            process,
+            incarnation,
+            standing: Standing::Alive,
+        };
         self.gossip.add(Update { id, by: id, claim });
     }
 
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -80,7 +80,10 @@
 
 /// A name as it is told: cut where it is too long for a datagram.
 pub(crate) fn truncated(name: &str) -> String {
-    let end = (0..=MAX_NAME_BYTES.min(name.len())).rev().find(|at| name.is_char_boundary(*at)).unwrap_or(0);
+    let end = (0..=MAX_NAME_BYTES.min(name.len()))
+        .rev()
+        .find(|at| name.is_char_boundary(*at))
+        .unwrap_or(0);
     name[..end].to_owned()
 }
 
--- a/origin-health/src/lib.rs
+++ b/origin-health/src/lib.rs
@@ -48,7 +48,10 @@
     pub fn of(settings: &Settings) -> Self {
         let zones = settings.zones.iter().filter(|z| z.routers > 0).count();
         let short = |n: usize| u16::try_from(n).unwrap_or(u16::MAX);
-        ZonePlace { zone: short(settings.zone), zones: short(zones).max(1) }
+        ZonePlace {
+            zone: short(settings.zone),
+            zones: short(zones).max(1),
+        }
     }
 }
 
@@ -134,8 +137,22 @@
             return true;
         }
         self.counters.received += 1;
-        let Report { start, number, origin, zone } = report;
-        self.last.insert(from, Last { start, number, origin, zone, at: now });
+        let Report {
+            start,
+            number,
+            origin,
+            zone,
+        } = report;
+        self.last.insert(
+            from,
+            Last {
+                start,
+                number,
+                origin,
+                zone,
+                at: now,
+            },
+        );
         true
     }
 
@@ -157,24 +174,42 @@
         let until = zones.values().map(|s| s.0).max()? + REPORT_LIFETIME_US;
         let missing: f64 = zones.values().map(|s| 1.0 - s.1).sum();
         // A sender may name a zone that there is not.
-        Some(((1.0 - missing / f64::from(self.place.zones)).max(0.0), until))
+        Some((
+            (1.0 - missing / f64::from(self.place.zones)).max(0.0),
+            until,
+        ))
     }
 
     /// An answer was late, and this proxy lets so many of its requests ask the origin: the datagram for all others,
     /// if they should know and have not been sent from this zone just now.
     pub fn observe(&mut self, now: Micros, origin: f64) -> Option<[u8; REPORT_BYTES]> {
-        if origin > MAX_REPORTED_SHARE || self.sent_at.is_some_and(|at| now < at + MIN_REPORT_INTERVAL_US) {
+        if origin > MAX_REPORTED_SHARE
+            || self
+                .sent_at
+                .is_some_and(|at| now < at + MIN_REPORT_INTERVAL_US)
+        {
             return None;
         }
         let zone = self.place.zone;
-        if self.fresh(now).any(|l| l.zone == zone && l.origin <= MAX_REPORTED_SHARE) {
+        if self
+            .fresh(now)
+            .any(|l| l.zone == zone && l.origin <= MAX_REPORTED_SHARE)
+        {
             self.counters.suppressed += 1;
             return None;
         }
         self.sent_at = Some(now);
         self.number += 1;
         self.counters.sent += 1;
-        Some(Report { start: self.start, number: self.number, origin, zone }.write())
+        Some(
+            Report {
+                start: self.start,
+                number: self.number,
+                origin,
+                zone,
+            }
+            .write(),
+        )
     }
 
     /// What was received and sent so far.
@@ -183,6 +218,8 @@
     }
 
     fn fresh(&self, now: Micros) -> impl Iterator<Item = &Last> {
-        self.last.values().filter(move |l| now < l.at + REPORT_LIFETIME_US)
+        self.last
+            .values()
+            .filter(move |l| now < l.at + REPORT_LIFETIME_US)
     }
 }
--- a/purges/src/bucket.rs
+++ b/purges/src/bucket.rs
@@ -87,7 +87,10 @@
     /// A time no earlier than any purge of a key with this fingerprint that was put in, less than a millisecond later
     /// than the latest of them where it still has its slot. None: nothing that could be one was put in.
     pub fn latest(&self, fingerprint: Fingerprint) -> Option<Micros> {
-        let matching = self.slots.iter().find(|slot| **slot & Fingerprint::MASK == fingerprint.0);
+        let matching = self
+            .slots
+            .iter()
+            .find(|slot| **slot & Fingerprint::MASK == fingerprint.0);
         let stamp = matching.map_or(Stamp::NONE, |slot| stamp_of(*slot));
         stamp.max(self.watermark).time()
     }
@@ -151,7 +154,9 @@
         let slots = self.occupied_slots();
         bytes.push(slots.len() as u8);
         bytes.extend(self.watermark.bits().to_be_bytes());
-        slots.iter().for_each(|slot| bytes.extend(slot.to_be_bytes()));
+        slots
+            .iter()
+            .for_each(|slot| bytes.extend(slot.to_be_bytes()));
     }
 
     /// How many bytes the encoding has.
@@ -172,7 +177,10 @@
         let watermark = words.next().unwrap_or_default();
         let watermark = Stamp::from_bits(watermark).ok_or(DecodeError::Watermark)?;
         let mut slots = [EMPTY_SLOT; SLOTS];
-        slots.iter_mut().zip(words).for_each(|(slot, word)| *slot = word);
+        slots
+            .iter_mut()
+            .zip(words)
+            .for_each(|(slot, word)| *slot = word);
         Self::check(&slots[..count], watermark)?;
         Ok(Bucket { slots, watermark })
     }
@@ -191,7 +199,9 @@
 
 /// A big endian word; `bytes` has its length.
 fn word(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(0, |word, byte| word << 8 | u64::from(*byte))
+    bytes
+        .iter()
+        .fold(0, |word, byte| word << 8 | u64::from(*byte))
 }
 
 /// Why bytes are no bucket.
@@ -218,8 +228,12 @@
 impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Length { bytes } => write!(f, "{bytes} bytes don't fit the bucket's number of slots"),
-            Self::TooManySlots { slots } => write!(f, "a bucket of {slots} slots; it has at most {SLOTS}"),
+            Self::Length { bytes } => {
+                write!(f, "{bytes} bytes don't fit the bucket's number of slots")
+            }
+            Self::TooManySlots { slots } => {
+                write!(f, "a bucket of {slots} slots; it has at most {SLOTS}")
+            }
             Self::Order => write!(f, "a bucket's slots are not in descending order"),
             Self::EmptySlot => write!(f, "a bucket's occupied slot has no time"),
             Self::Watermark => write!(f, "a bucket's watermark is no time before its slots"),
--- a/purges/src/compact.rs
+++ b/purges/src/compact.rs
@@ -21,7 +21,10 @@
     /// A size from its number of bits.
     pub fn new(bits: u8) -> Result<Self, BucketBitsError> {
         let allowed = Self::MIN.0..=Self::MAX.0;
-        allowed.contains(&bits).then_some(BucketBits(bits)).ok_or(BucketBitsError { bits })
+        allowed
+            .contains(&bits)
+            .then_some(BucketBits(bits))
+            .ok_or(BucketBitsError { bits })
     }
 
     /// The number of bits.
@@ -51,7 +54,11 @@
 impl fmt::Display for BucketBitsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (min, max) = (BucketBits::MIN.0, BucketBits::MAX.0);
-        write!(f, "a purge table of 2^{} buckets; from 2^{min} to 2^{max} are possible", self.bits)
+        write!(
+            f,
+            "a purge table of 2^{} buckets; from 2^{min} to 2^{max} are possible",
+            self.bits
+        )
     }
 }
 
@@ -94,7 +101,11 @@
 
 impl fmt::Display for BucketIndexError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "bucket {} of a purge table of 2^{} buckets", self.index.0, self.bucket_bits.0)
+        write!(
+            f,
+            "bucket {} of a purge table of 2^{} buckets",
+            self.index.0, self.bucket_bits.0
+        )
     }
 }
 
@@ -115,7 +126,12 @@
 impl CompactTable {
     /// An empty table.
     pub fn new(bucket_bits: BucketBits) -> Self {
-        CompactTable { bucket_bits, buckets: Vec::new(), occupied_slots: 0, digest: 0 }
+        CompactTable {
+            bucket_bits,
+            buckets: Vec::new(),
+            occupied_slots: 0,
+            digest: 0,
+        }
     }
 
     /// Records a purge. Returns the bucket that holds it.
@@ -248,5 +264,7 @@
         return 0;
     }
     let start = mix(u64::from(index.0) + 1);
-    bucket.words().fold(start, |hash, word| mix(hash.rotate_left(5) ^ word))
+    bucket
+        .words()
+        .fold(start, |hash, word| mix(hash.rotate_left(5) ^ word))
 }
--- a/purges/src/table.rs
+++ b/purges/src/table.rs
@@ -21,7 +21,11 @@
 impl PurgeTable {
     /// An empty table.
     pub fn new(exact_capacity: usize, bucket_bits: BucketBits) -> Self {
-        PurgeTable { exact_capacity, exact: BTreeMap::new(), compact: CompactTable::new(bucket_bits) }
+        PurgeTable {
+            exact_capacity,
+            exact: BTreeMap::new(),
+            compact: CompactTable::new(bucket_bits),
+        }
     }
 
     /// Records a purge. Returns the bucket that the key belongs to.
