--- a/rehearse/src/lib.rs
+++ b/rehearse/src/lib.rs
@@ -61,7 +61,10 @@
     serve: impl Fn(TcpStream) -> T + Clone + Send + 'static,
 ) -> io::Result<Listening> {
     let listener = TcpListener::bind(address)?;
-    let listening = Listening { address: listener.local_addr()?, socket: listener.try_clone()? };
+    let listening = Listening {
+        address: listener.local_addr()?,
+        socket: listener.try_clone()?,
+    };
     thread::spawn(move || {
         loop {
             match listener.accept() {
@@ -106,7 +109,10 @@
 
 /// Unix time in milliseconds.
 pub fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
 /// A broken rule.
--- a/rehearse/src/links/mod.rs
+++ b/rehearse/src/links/mod.rs
@@ -102,7 +102,12 @@
                 }
             })
         }));
-        Ok(FaultyLinks { state, addresses, over, threads })
+        Ok(FaultyLinks {
+            state,
+            addresses,
+            over,
+            threads,
+        })
     }
 
     /// Where the first proxy of a direction reaches the second: an entry of its `peers`.
@@ -122,7 +127,9 @@
 
     /// The same conditions between all.
     pub fn set_all(&self, conditions: LinkConditions) {
-        self.addresses.keys().for_each(|direction| self.set(*direction, conditions));
+        self.addresses
+            .keys()
+            .for_each(|direction| self.set(*direction, conditions));
     }
 
     /// Splits the proxies in two: nothing passes between those of one side and all others, until they are joined.
@@ -136,7 +143,11 @@
 
     /// What passed over a direction so far.
     pub fn counters(&self, direction: Direction) -> Counters {
-        lock(&self.state).counters.get(&direction).copied().unwrap_or_default()
+        lock(&self.state)
+            .counters
+            .get(&direction)
+            .copied()
+            .unwrap_or_default()
     }
 }
 
@@ -162,14 +173,20 @@
     let mut bytes = vec![0; LONGEST];
     let mut number = 0;
     while !over.load(Ordering::Relaxed) {
-        let Ok((length, from)) = socket.recv_from(&mut bytes) else { continue };
+        let Ok((length, from)) = socket.recv_from(&mut bytes) else {
+            continue;
+        };
         if from != proxy {
             continue;
         }
         let now = unix_us();
         let comes = {
             let mut state = lock(state);
-            let conditions = state.conditions.get(&direction).copied().unwrap_or_default();
+            let conditions = state
+                .conditions
+                .get(&direction)
+                .copied()
+                .unwrap_or_default();
             let comes = fate.of(&conditions);
             let counters = state.counters.entry(direction).or_default();
             counters.sent += 1;
@@ -178,7 +195,10 @@
         };
         for after in comes {
             number += 1;
-            if send.send((now + after, number, direction, bytes[..length].to_vec())).is_err() {
+            if send
+                .send((now + after, number, direction, bytes[..length].to_vec()))
+                .is_err()
+            {
                 return;
             }
         }
--- a/rehearse/src/player/deployment.rs
+++ b/rehearse/src/player/deployment.rs
@@ -50,7 +50,11 @@
 pub(super) fn recorded_class(class: &ClassLoad) -> Class {
     Class {
         name: class.name.clone(),
-        repeat: if class.keyed { Repeat::Keyed(KEY_WINDOW_US) } else { Repeat::Safe },
+        repeat: if class.keyed {
+            Repeat::Keyed(KEY_WINDOW_US)
+        } else {
+            Repeat::Safe
+        },
         aim_us: aim_us(class),
         stretch: AIM_STRETCH,
         worth: worth(class),
@@ -143,20 +147,41 @@
     pub fn of(scenario: &Scenario) -> Self {
         let form = &scenario.site;
         let boxes = form.boxes(scenario.proxies);
-        let mut deployment = Deployment { world: World::new(site(scenario, boxes)), nodes: Vec::new() };
+        let mut deployment = Deployment {
+            world: World::new(site(scenario, boxes)),
+            nodes: Vec::new(),
+        };
         for n in 0..boxes as u32 {
             deployment.add(Kind::Box, box_uid(n), "here", "box", &form.edge_box);
         }
         for n in 0..form.hubs {
             deployment.add(Kind::Hub, format!("h-{n:08x}"), "hub", "hub", &form.hub);
         }
-        deployment.add(Kind::Origin, "o-00000000".to_owned(), "hub", "origin", &form.origin);
+        deployment.add(
+            Kind::Origin,
+            "o-00000000".to_owned(),
+            "hub",
+            "origin",
+            &form.origin,
+        );
         deployment
     }
 
-    fn add(&mut self, kind: Kind, uid: String, zone: &'static str, model: &'static str, form: &NodeForm) {
+    fn add(
+        &mut self,
+        kind: Kind,
+        uid: String,
+        zone: &'static str,
+        model: &'static str,
+        form: &NodeForm,
+    ) {
         self.world.start(&uid, kind, figures(form), None);
-        self.nodes.push(Node { uid, zone, model, capacity: form.capacity });
+        self.nodes.push(Node {
+            uid,
+            zone,
+            model,
+            capacity: form.capacity,
+        });
     }
 }
 
--- a/rehearse/src/pressure.rs
+++ b/rehearse/src/pressure.rs
@@ -44,7 +44,9 @@
     while !shared.over.load(Ordering::Relaxed) {
         // Each write is about an object of its own, and all of them run at the origin.
         web.ask(1, "post", "00000000000000e1", 900)?;
-        let Some(answer) = web.end()?.1 else { return Ok(()) };
+        let Some(answer) = web.end()?.1 else {
+            return Ok(());
+        };
         match answer.status {
             200 => shared.served.fetch_add(1, Ordering::Relaxed),
             503 => shared.refused.fetch_add(1, Ordering::Relaxed),
@@ -63,7 +65,10 @@
 impl Pressure {
     /// So many clients of a proxy, that each send writes.
     pub fn on(front: SocketAddr, clients: usize) -> Self {
-        let mut pressure = Pressure { shared: Arc::default(), clients: Vec::new() };
+        let mut pressure = Pressure {
+            shared: Arc::default(),
+            clients: Vec::new(),
+        };
         pressure.aim(Some(front));
         let client = |_| {
             let shared = Arc::clone(&pressure.shared);
@@ -83,14 +88,27 @@
 
     /// Where the proxy listens from now on; none: it is not there.
     pub fn aim(&self, front: Option<SocketAddr>) {
-        *self.shared.aim.lock().unwrap_or_else(PoisonError::into_inner) = front;
+        *self
+            .shared
+            .aim
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = front;
     }
 
     /// What became of the requests so far.
     pub fn answers(&self) -> Answers {
         let of = |count: &AtomicU64| count.load(Ordering::Relaxed);
-        let Shared { served, refused, failed, .. } = &*self.shared;
-        Answers { served: of(served), refused: of(refused), failed: of(failed) }
+        let Shared {
+            served,
+            refused,
+            failed,
+            ..
+        } = &*self.shared;
+        Answers {
+            served: of(served),
+            refused: of(refused),
+            failed: of(failed),
+        }
     }
 }
 
@@ -98,6 +116,8 @@
     fn drop(&mut self) {
         self.shared.over.store(true, Ordering::Relaxed);
         // A client waits for its answer no longer than its patience; the proxies may be gone by then.
-        self.clients.drain(..).for_each(|client| drop(client.join()));
+        self.clients
+            .drain(..)
+            .for_each(|client| drop(client.join()));
     }
 }
--- a/rehearse/src/record.rs
+++ b/rehearse/src/record.rs
@@ -210,7 +210,12 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { drain_us: 1_050_000, purge_us: 350_000, attempts: 6, late_us: 0 }
+        Limits {
+            drain_us: 1_050_000,
+            purge_us: 350_000,
+            attempts: 6,
+            late_us: 0,
+        }
     }
 }
 
--- a/rehearse/src/scale/daemons/host.rs
+++ b/rehearse/src/scale/daemons/host.rs
@@ -6,7 +6,9 @@
 use super::acks::PurgeAcks;
 use super::kind::Kind;
 use super::sockets::MemberSockets;
-use crate::scale::hollow::{DiskContents, FleetConfig, HollowMember, MemberEvent, Outgoing, Refusal};
+use crate::scale::hollow::{
+    DiskContents, FleetConfig, HollowMember, MemberEvent, Outgoing, Refusal,
+};
 use crate::scale::network::HEADER_BYTES;
 use crate::scale::purge_number::PurgeNumber;
 use hdrhistogram::Histogram;
@@ -92,7 +94,10 @@
 
 impl Timers {
     fn new(members: usize) -> Self {
-        Timers { queue: BTreeSet::new(), set: vec![None; members] }
+        Timers {
+            queue: BTreeSet::new(),
+            set: vec![None; members],
+        }
     }
 
     /// Sets a member's timer. One that comes earlier stays: whoever is woken too early sets it anew.
@@ -151,7 +156,9 @@
         };
         let mut members: Vec<HollowMember> = indexes.clone().map(start).collect();
         let introductions = introductions(&config, daemons.len(), now);
-        members.iter_mut().for_each(|member| member.acquaint(&introductions, now));
+        members
+            .iter_mut()
+            .for_each(|member| member.acquaint(&introductions, now));
         let mut timers = Timers::new(config.members.len());
         indexes.for_each(|index| timers.set(index, now));
         HollowHost {
@@ -193,7 +200,9 @@
         let introduction = HollowMember::introduction(&self.config, daemon, process);
         for index in self.daemons.len()..self.config.members.len() {
             let from = peer_index(daemon, index);
-            self.drive(index, |member, now| member.receive(from, &introduction, now));
+            self.drive(index, |member, now| {
+                member.receive(from, &introduction, now)
+            });
         }
     }
 
@@ -246,13 +255,19 @@
     /// Hollow members that do not know all members of the fleet.
     pub fn unacquainted(&self) -> usize {
         let peers = self.config.members.len() - 1;
-        self.members.iter().filter(|member| member.state_size().claims < peers).count()
+        self.members
+            .iter()
+            .filter(|member| member.state_size().claims < peers)
+            .count()
     }
 
     /// The digest that all hollow members have of their logs; none where they differ.
     pub fn common_digest(&self) -> Option<u64> {
         let first = self.members.first()?.digest();
-        self.members.iter().all(|member| member.digest() == first).then_some(first)
+        self.members
+            .iter()
+            .all(|member| member.digest() == first)
+            .then_some(first)
     }
 
     /// A hollow member is told of a purge.
@@ -297,10 +312,19 @@
 
     fn hand_over(&mut self) {
         for _ in 0..MAX_LOCAL_BATCH {
-            let Some(datagram) = self.local.pop_front() else { return };
-            let LocalDatagram { sent_at, from, to, bytes } = datagram;
+            let Some(datagram) = self.local.pop_front() else {
+                return;
+            };
+            let LocalDatagram {
+                sent_at,
+                from,
+                to,
+                bytes,
+            } = datagram;
             self.lateness.saturating_record(self.clock.now() - sent_at);
-            self.drive(to, |member, now| member.receive(peer_index(from, to), &bytes, now));
+            self.drive(to, |member, now| {
+                member.receive(peer_index(from, to), &bytes, now)
+            });
         }
     }
 
@@ -325,16 +349,22 @@
         let index = self.daemons.len() + place;
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         for _ in 0..MAX_RECEIVE_BATCH {
-            let Some(received) = self.sockets.receive(place, &mut buffer) else { return };
+            let Some(received) = self.sockets.receive(place, &mut buffer) else {
+                return;
+            };
             let bytes = &buffer[..received.length];
             self.traffic[received.daemon].sent(bytes);
             self.note_ack(index, received.daemon, bytes);
-            self.drive(index, |member, now| member.receive(peer_index(received.daemon, index), bytes, now));
+            self.drive(index, |member, now| {
+                member.receive(peer_index(received.daemon, index), bytes, now)
+            });
         }
     }
 
     fn note_ack(&mut self, index: usize, daemon: usize, bytes: &[u8]) {
-        let Ok(Datagram::Ack { positions, .. }) = Datagram::read(bytes) else { return };
+        let Ok(Datagram::Ack { positions, .. }) = Datagram::read(bytes) else {
+            return;
+        };
         let (own, now) = (self.config.members[index].id, self.clock.now());
         for (log, durable_index) in positions {
             if log.writer == own {
@@ -355,7 +385,9 @@
     fn dispatch(&mut self, index: usize, outgoing: Vec<Outgoing>) {
         let member = &mut self.members[index - self.daemons.len()];
         let (events, due) = (member.take_events(), member.due());
-        outgoing.into_iter().for_each(|outgoing| self.send(index, outgoing));
+        outgoing
+            .into_iter()
+            .for_each(|outgoing| self.send(index, outgoing));
         events.into_iter().for_each(|event| self.note(index, event));
         self.timers.set(index, due);
     }
@@ -366,12 +398,19 @@
             self.send_to_daemon(from, to, &outgoing.bytes);
         } else {
             let (sent_at, bytes) = (self.clock.now(), outgoing.bytes);
-            self.local.push_back(LocalDatagram { sent_at, from, to, bytes });
+            self.local.push_back(LocalDatagram {
+                sent_at,
+                from,
+                to,
+                bytes,
+            });
         }
     }
 
     fn send_to_daemon(&mut self, from: usize, daemon: usize, bytes: &[u8]) {
-        let is_sent = self.sockets.send(from - self.daemons.len(), self.daemons[daemon], bytes);
+        let is_sent = self
+            .sockets
+            .send(from - self.daemons.len(), self.daemons[daemon], bytes);
         let traffic = &mut self.traffic[daemon];
         match is_sent {
             true => traffic.received(bytes),
--- a/rehearse/src/scale/daemons/purge_plan.rs
+++ b/rehearse/src/scale/daemons/purge_plan.rs
@@ -69,13 +69,18 @@
 }
 
 fn tell(cdni: SocketAddr, purges: &[PlannedPurge], begun: Instant) -> ToldDaemon {
-    let mut told = ToldDaemon { answers: super::acks::delay_histogram(), refused: Vec::new() };
+    let mut told = ToldDaemon {
+        answers: super::acks::delay_histogram(),
+        refused: Vec::new(),
+    };
     for purge in purges {
         let due = begun + Duration::from_micros(purge.after_us);
         thread::sleep(due.saturating_duration_since(Instant::now()));
         let sent = Instant::now();
         match real::purge(cdni, &object(purge.number)) {
-            Ok(()) => told.answers.saturating_record(sent.elapsed().as_micros() as u64),
+            Ok(()) => told
+                .answers
+                .saturating_record(sent.elapsed().as_micros() as u64),
             Err(why) => told.refused.push(format!("purge {}: {why}", purge.number)),
         }
     }
--- a/rehearse/src/scale/daemons/real.rs
+++ b/rehearse/src/scale/daemons/real.rs
@@ -60,8 +60,9 @@
     /// Its interconnect file.
     fn interconnect(&self, index: usize, purges: &Path) -> Value {
         let machines = self.addresses.iter().zip(&self.members);
-        let machines: Map<String, Value> =
-            machines.map(|(address, member)| (address.to_string(), member.machine.clone().into())).collect();
+        let machines: Map<String, Value> = machines
+            .map(|(address, member)| (address.to_string(), member.machine.clone().into()))
+            .collect();
         json!({
             "cdni": {"listen": "127.0.0.1:0", "provider": "AS64500:0", "base": "http://cdn.example",
                 "footprint": ["127.0.0.0/8"], "purges": purges.display().to_string()},
@@ -125,14 +126,24 @@
     pub fn start(program: &Path, daemons: usize, files: &FleetFiles) -> io::Result<Self> {
         static RUNS: AtomicU64 = AtomicU64::new(0);
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("linnetknot-scale-{}-{run}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("linnetknot-scale-{}-{run}", std::process::id()));
         let addresses = files.addresses[..daemons].to_vec();
-        let mut running = RealDaemons { processes: Vec::new(), addresses, folder };
+        let mut running = RealDaemons {
+            processes: Vec::new(),
+            addresses,
+            folder,
+        };
         for index in 0..daemons {
             let name = &files.members[index].name;
             let disk = running.folder.join(name);
-            let (config, own) = (files.config(index), files.interconnect(index, &disk.join("purges")));
-            running.processes.push(Process::start(program, &disk, name, &config, &own)?);
+            let (config, own) = (
+                files.config(index),
+                files.interconnect(index, &disk.join("purges")),
+            );
+            running
+                .processes
+                .push(Process::start(program, &disk, name, &config, &own)?);
         }
         Ok(running)
     }
@@ -173,7 +184,10 @@
     /// # Errors
     /// Where one has ended.
     pub fn process_stats(&self) -> io::Result<Vec<ProcessStat>> {
-        self.processes.iter().map(|process| proc_stat::read(process.child.id())).collect()
+        self.processes
+            .iter()
+            .map(|process| proc_stat::read(process.child.id()))
+            .collect()
     }
 
     /// Datagrams that found no room in each daemon's socket.
@@ -181,7 +195,10 @@
     /// # Errors
     /// Where the system does not tell.
     pub fn dropped_datagrams(&self) -> io::Result<Vec<u64>> {
-        self.addresses.iter().map(|address| proc_stat::dropped_datagrams(*address)).collect()
+        self.addresses
+            .iter()
+            .map(|address| proc_stat::dropped_datagrams(*address))
+            .collect()
     }
 }
 
