--- a/rehearse/src/scale/hollow/disk.rs
+++ b/rehearse/src/scale/hollow/disk.rs
@@ -27,7 +27,12 @@
 
 impl SimulatedDisk {
     pub(super) fn new(capacity: usize) -> Self {
-        SimulatedDisk { queue: VecDeque::new(), capacity, committing: 0, ends: None }
+        SimulatedDisk {
+            queue: VecDeque::new(),
+            capacity,
+            committing: 0,
+            ends: None,
+        }
     }
 
     pub(super) fn is_full(&self) -> bool {
--- a/rehearse/src/scale/hollow/outbox.rs
+++ b/rehearse/src/scale/hollow/outbox.rs
@@ -21,11 +21,17 @@
 impl Outbox {
     /// Of a member with so many peers.
     pub(super) fn new(peers: usize) -> Self {
-        Outbox { peers, waiting: Vec::new() }
+        Outbox {
+            peers,
+            waiting: Vec::new(),
+        }
     }
 
     pub(super) fn send(&mut self, to: usize, bytes: Vec<u8>) {
-        self.waiting.push(Outgoing { to, bytes: bytes.into() });
+        self.waiting.push(Outgoing {
+            to,
+            bytes: bytes.into(),
+        });
     }
 
     pub(super) fn broadcast(&mut self, bytes: &[u8]) {
@@ -36,7 +42,10 @@
     pub(super) fn send_where(&mut self, bytes: &[u8], condition: impl Fn(usize) -> bool) {
         let bytes: Arc<[u8]> = bytes.into();
         let peers = (0..self.peers).filter(|peer| condition(*peer));
-        self.waiting.extend(peers.map(|to| Outgoing { to, bytes: bytes.clone() }));
+        self.waiting.extend(peers.map(|to| Outgoing {
+            to,
+            bytes: bytes.clone(),
+        }));
     }
 
     pub(super) fn take(&mut self) -> Vec<Outgoing> {
--- a/rehearse/src/scale/memory.rs
+++ b/rehearse/src/scale/memory.rs
@@ -43,7 +43,10 @@
 
 impl fmt::Display for TooLarge {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let TooLarge { estimate, available } = self;
+        let TooLarge {
+            estimate,
+            available,
+        } = self;
         write!(f, "takes about {estimate}, more than half of the {available} that this machine has available")
     }
 }
@@ -53,7 +56,9 @@
 /// A figure of a file under `/proc`, which has it in kilobytes.
 fn proc_figure(file: &str, key: &str) -> Option<Bytes> {
     let text = std::fs::read_to_string(file).ok()?;
-    let line = text.lines().find_map(|line| line.strip_prefix(key)?.strip_prefix(':'))?;
+    let line = text
+        .lines()
+        .find_map(|line| line.strip_prefix(key)?.strip_prefix(':'))?;
     let kilobytes: u64 = line.split_whitespace().next()?.parse().ok()?;
     Some(Bytes(kilobytes << 10))
 }
@@ -79,7 +84,10 @@
 
 /// What a run of so many members takes.
 pub fn estimate(members: usize, held: Held) -> Bytes {
-    let Held { entries, table_bytes } = held;
+    let Held {
+        entries,
+        table_bytes,
+    } = held;
     let each = MEMBER_BYTES + members * PEER_BYTES + entries * ENTRY_BYTES + table_bytes;
     Bytes(members as u64 * each as u64)
 }
@@ -91,7 +99,10 @@
 pub fn admit(members: usize, held: Held, available: Bytes) -> Result<(), TooLarge> {
     let estimate = estimate(members, held);
     if estimate.0 > available.0 / 2 {
-        return Err(TooLarge { estimate, available });
+        return Err(TooLarge {
+            estimate,
+            available,
+        });
     }
     Ok(())
 }
--- a/rehearse/src/scale/meter.rs
+++ b/rehearse/src/scale/meter.rs
@@ -43,7 +43,10 @@
 impl Meter {
     /// In a run whose fault lasts for this time, or for none.
     pub fn new(fault: Option<Window>) -> Self {
-        Meter { fault, ..Meter::default() }
+        Meter {
+            fault,
+            ..Meter::default()
+        }
     }
 
     /// A datagram of so many bytes is sent.
--- a/rehearse/src/scale/simulation/faults.rs
+++ b/rehearse/src/scale/simulation/faults.rs
@@ -24,7 +24,9 @@
             Action::Join { member } => self.join(member),
             Action::Cut { pair, until } => self.network.cut(pair, until),
             Action::OriginLate { member } => {
-                self.drive(member, |member, now| member.find_origin_late(LATE_ORIGIN_SHARE, now));
+                self.drive(member, |member, now| {
+                    member.find_origin_late(LATE_ORIGIN_SHARE, now)
+                });
             }
         }
     }
@@ -46,7 +48,9 @@
     /// Its process is gone.
     pub(super) fn end(&mut self, index: MemberIndex, is_in_order: bool) {
         let node = &mut self.nodes[index];
-        let Some(member) = node.member.take() else { return };
+        let Some(member) = node.member.take() else {
+            return;
+        };
         node.disk = Some(member.disk_contents(is_in_order));
         node.wakes = NEVER;
         self.purges.abandon(index);
@@ -64,26 +68,51 @@
     }
 
     pub(super) fn join(&mut self, index: MemberIndex) {
-        let known = self.nodes.iter().filter_map(|node| node.member.as_ref()).next();
+        let known = self
+            .nodes
+            .iter()
+            .filter_map(|node| node.member.as_ref())
+            .next();
         let ends = known.map_or_else(Vec::new, HollowMember::log_ends);
-        self.joining = Some(Joining { member: index, since: self.now, ends });
+        self.joining = Some(Joining {
+            member: index,
+            since: self.now,
+            ends,
+        });
         self.start(index, None);
-        self.queue.schedule(self.now + LOOK_AT_JOINER_US, Event::LookAtJoiner);
+        self.queue
+            .schedule(self.now + LOOK_AT_JOINER_US, Event::LookAtJoiner);
     }
 
     pub(super) fn look_at_joiner(&mut self) {
-        let Some(Joining { member, since, ends }) = &self.joining else { return };
-        let has_all = self.nodes[*member].member.as_ref().is_some_and(|member| member.has_logs(ends));
+        let Some(Joining {
+            member,
+            since,
+            ends,
+        }) = &self.joining
+        else {
+            return;
+        };
+        let has_all = self.nodes[*member]
+            .member
+            .as_ref()
+            .is_some_and(|member| member.has_logs(ends));
         if has_all {
             self.join_us = Some(self.now - since);
             self.joining = None;
         } else {
-            self.queue.schedule(self.now + LOOK_AT_JOINER_US, Event::LookAtJoiner);
+            self.queue
+                .schedule(self.now + LOOK_AT_JOINER_US, Event::LookAtJoiner);
         }
     }
 
     /// A member believes that the process of another which started then is dead.
-    pub(super) fn note_death(&mut self, observer: MemberIndex, victim: MemberIndex, started: Micros) {
+    pub(super) fn note_death(
+        &mut self,
+        observer: MemberIndex,
+        victim: MemberIndex,
+        started: Micros,
+    ) {
         let node = &self.nodes[victim];
         let Some(crashed_at) = node.crashed_at else {
             // Word of an earlier process that did die may come late.
@@ -92,7 +121,8 @@
             return;
         };
         if self.deaths_known.insert((observer, victim)) {
-            self.death_delays.saturating_record((self.now - crashed_at).max(1));
+            self.death_delays
+                .saturating_record((self.now - crashed_at).max(1));
         }
     }
 }
--- a/rehearse/src/scale/slopes.rs
+++ b/rehearse/src/scale/slopes.rs
@@ -68,7 +68,10 @@
             Ok(report) => Played::Ran(Box::new(report)),
             Err(why) => Played::Skipped(why),
         };
-        let run = SizeRun { size: *size, played };
+        let run = SizeRun {
+            size: *size,
+            played,
+        };
         // The table comes when all are done, which may take long.
         eprint!("{}", said(&run));
         runs.push(run);
@@ -77,9 +80,13 @@
 }
 
 fn run_size(size: usize, options: &Options) -> Result<Report, String> {
-    let file = std::env::temp_dir().join(format!("linnetknot-scale-{}-{size}.json", std::process::id()));
+    let file = std::env::temp_dir().join(format!(
+        "linnetknot-scale-{}-{size}.json",
+        std::process::id()
+    ));
     let result = run_process(size, options, &file).and_then(|()| {
-        let text = std::fs::read_to_string(&file).map_err(|error| format!("it left no result: {error}"))?;
+        let text = std::fs::read_to_string(&file)
+            .map_err(|error| format!("it left no result: {error}"))?;
         serde_json::from_str(&text).map_err(|error| format!("its result can't be read: {error}"))
     });
     // There is none where it did not run.
@@ -117,9 +124,16 @@
             Ok(None) => std::thread::sleep(LOOK),
             Ok(Some(status)) if matches!(status.code(), Some(0 | 1)) => return Ok(()),
             Ok(Some(status)) => {
-                let output = child.wait_with_output().map(|output| output.stderr).unwrap_or_default();
+                let output = child
+                    .wait_with_output()
+                    .map(|output| output.stderr)
+                    .unwrap_or_default();
                 let said = String::from_utf8_lossy(&output).trim().to_owned();
-                return Err(if said.is_empty() { status.to_string() } else { said });
+                return Err(if said.is_empty() {
+                    status.to_string()
+                } else {
+                    said
+                });
             }
             Err(error) => return Err(error.to_string()),
         }
@@ -127,7 +141,10 @@
     // Both fail only where it has just ended by itself.
     let _ = child.kill();
     let _ = child.wait();
-    Err(format!("not done within the {} s that a size may take", budget.as_secs()))
+    Err(format!(
+        "not done within the {} s that a size may take",
+        budget.as_secs()
+    ))
 }
 
 /// What the runs came to.
@@ -152,8 +169,14 @@
 /// A figure at all sizes that have it.
 fn points(runs: &[SizeRun], of: &Row) -> Vec<Point> {
     let figure = |report: &Report| {
-        let row = report.rows.iter().find(|row| (row.role, &row.figure) == (of.role, &of.figure));
-        Some(Point { size: report.members as f64, figure: row?.most()? })
+        let row = report
+            .rows
+            .iter()
+            .find(|row| (row.role, &row.figure) == (of.role, &of.figure));
+        Some(Point {
+            size: report.members as f64,
+            figure: row?.most()?,
+        })
     };
     reports(runs).filter_map(figure).collect()
 }
@@ -164,7 +187,10 @@
         Played::Ran(report) => report,
         Played::Skipped(why) => return format!("{} members: SKIPPED: {why}\n", run.size),
     };
-    let mut out = format!("{} members: {:.1} s of real time\n", run.size, report.real_seconds);
+    let mut out = format!(
+        "{} members: {:.1} s of real time\n",
+        run.size, report.real_seconds
+    );
     for (verdict, (count, first)) in &report.wrong {
         // Writing to a string does not fail.
         let _ = writeln!(out, "    {verdict} ({count} times; first: {first})");
@@ -178,7 +204,9 @@
     out += "\nThe worst member's figure at each size; residual: the farthest point's, of the largest figure.\n\n";
     out += "| role | figure | unit | at each size | slope x size + constant | residual | exponent | limit | at the target's size |\n";
     out += "| --- | --- | --- | --- | --- | ---: | ---: | ---: | --- |\n";
-    let Some(largest) = reports(runs).max_by_key(|report| report.members) else { return out };
+    let Some(largest) = reports(runs).max_by_key(|report| report.members) else {
+        return out;
+    };
     for row in &largest.rows {
         let points = points(runs, row);
         if let Some(line) = line(&points) {
@@ -189,13 +217,17 @@
 }
 
 fn fitted(row: &Row, points: &[Point], line: Line, target_size: usize) -> String {
-    let at: Vec<String> =
-        points.iter().map(|point| format!("{}: {}", point.size, shown(point.figure))).collect();
+    let at: Vec<String> = points
+        .iter()
+        .map(|point| format!("{}: {}", point.size, shown(point.figure)))
+        .collect();
     let exponent = exponent(points).map_or_else(String::new, |exponent| format!("{exponent:.2}"));
     let limit = row.limit.map_or_else(String::new, shown);
     let there = line.slope * target_size as f64 + line.constant;
     let over = row.limit.is_some_and(|limit| there > limit);
-    let Row { role, figure, unit, .. } = row;
+    let Row {
+        role, figure, unit, ..
+    } = row;
     format!(
         "| {role} | {figure} | {unit} | {} | {} x size + {} | {:.0}% | {exponent} | {limit} | {}{} |\n",
         at.join(", "),
--- a/rehearse/src/scale/target.rs
+++ b/rehearse/src/scale/target.rs
@@ -149,7 +149,10 @@
     /// # Errors
     /// Where the file can't be read or is no target.
     pub fn load(file: Option<&Path>) -> Result<Self, TargetError> {
-        let text = file.map(std::fs::read_to_string).transpose().map_err(TargetError::Read)?;
+        let text = file
+            .map(std::fs::read_to_string)
+            .transpose()
+            .map_err(TargetError::Read)?;
         Self::parse(text.as_deref().unwrap_or(BUILT_IN))
     }
 
@@ -159,7 +162,8 @@
     /// Where the text is none.
     pub fn parse(text: &str) -> Result<Self, TargetError> {
         let mut json = serde_json::Deserializer::from_str(text);
-        let target: Target = serde_path_to_error::deserialize(&mut json).map_err(TargetError::Parse)?;
+        let target: Target =
+            serde_path_to_error::deserialize(&mut json).map_err(TargetError::Parse)?;
         let positive = [
             ("proxies", target.proxies as u64),
             ("sites", target.sites as u64),
@@ -167,7 +171,10 @@
             ("regions", target.regions as u64),
             ("purges_per_second", target.purges_per_second),
             ("purge_limit_ms", target.purge_limit_ms),
-            ("faults.proxies_per_rack", target.faults.proxies_per_rack as u64),
+            (
+                "faults.proxies_per_rack",
+                target.faults.proxies_per_rack as u64,
+            ),
         ];
         match positive.into_iter().find(|(_, figure)| *figure == 0) {
             Some((key, _)) => Err(TargetError::Zero(key)),
--- a/rehearse/src/stand_ins/link.rs
+++ b/rehearse/src/stand_ins/link.rs
@@ -27,7 +27,14 @@
     /// An idle link.
     pub fn new(capacity: f64) -> Self {
         let (ends, places) = Default::default();
-        Link { capacity: capacity.max(1e-6), given: 0.0, at: 0, ends, places, next: 0 }
+        Link {
+            capacity: capacity.max(1e-6),
+            given: 0.0,
+            at: 0,
+            ends,
+            places,
+            next: 0,
+        }
     }
 
     /// Transfers on it.
@@ -82,7 +89,9 @@
 
     /// Calls a transfer off: its share is the others'.
     pub fn call_off(&mut self, id: u64) -> bool {
-        self.places.remove(&id).is_some_and(|place| self.ends.remove(&place).is_some())
+        self.places
+            .remove(&id)
+            .is_some_and(|place| self.ends.remove(&place).is_some())
     }
 
     /// Another capacity, from here on: a box that is cold, or warms up.
--- a/rehearse/src/stand_ins/memory.rs
+++ b/rehearse/src/stand_ins/memory.rs
@@ -30,7 +30,13 @@
 impl Memory {
     /// An empty memory for so many bytes.
     pub fn new(room: u64) -> Self {
-        Memory { room, held: 0, copies: HashMap::new(), order: BTreeMap::new(), uses: 0 }
+        Memory {
+            room,
+            held: 0,
+            copies: HashMap::new(),
+            order: BTreeMap::new(),
+            uses: 0,
+        }
     }
 
     /// Bytes held.
@@ -73,7 +79,16 @@
         leave.into_iter().chain([part]).for_each(|p| self.drop(p));
         self.uses += 1;
         self.order.insert((rank, self.uses), part);
-        self.copies.insert(part, Copy { size, rank, used: self.uses, made, group });
+        self.copies.insert(
+            part,
+            Copy {
+                size,
+                rank,
+                used: self.uses,
+                made,
+                group,
+            },
+        );
         self.held += size;
         true
     }
--- a/rehearse/src/stand_ins/world/mod.rs
+++ b/rehearse/src/stand_ins/world/mod.rs
@@ -23,7 +23,11 @@
 enum Phase {
     Waiting,
     Filling,
-    Sending { how: &'static str, made: Micros, waited_us: Micros },
+    Sending {
+        how: &'static str,
+        made: Micros,
+        waited_us: Micros,
+    },
 }
 
 #[derive(Clone, Debug)]
@@ -105,7 +109,9 @@
 
     /// Adds a node, or starts one anew with an empty memory. One that is given a `Cold` starts cold.
     pub fn start(&mut self, uid: &str, kind: Kind, figures: Figures, cold: Option<Cold>) {
-        let capacity = cold.as_ref().map_or(figures.capacity, |c| c.capacity_at(c.at));
+        let capacity = cold
+            .as_ref()
+            .map_or(figures.capacity, |c| c.capacity_at(c.at));
         let node = Node {
             kind,
             link: Link::new(capacity),
@@ -126,7 +132,9 @@
 
     /// Takes a node down: what was open there is over.
     pub fn stop(&mut self, now: Micros, uid: &str) {
-        let Some(node) = self.nodes.get_mut(uid) else { return };
+        let Some(node) = self.nodes.get_mut(uid) else {
+            return;
+        };
         node.up = false;
         for open in std::mem::take(&mut node.open).into_values() {
             self.attempts[open.attempt].ended = Some((now, Ended::GivenUp));
@@ -189,7 +197,11 @@
 
     /// When `advance` has something to do.
     pub fn next_due(&self) -> Option<Micros> {
-        let links = self.nodes.values().filter(|n| n.up && !n.stalled).filter_map(|n| n.link.next_due());
+        let links = self
+            .nodes
+            .values()
+            .filter(|n| n.up && !n.stalled)
+            .filter_map(|n| n.link.next_due());
         let timer = self.timers.keys().next().map(|t| t.0);
         links.chain(timer).chain(self.inward.next_due()).min()
     }
@@ -213,17 +225,41 @@
         }
         let uids: Vec<String> = self.nodes.keys().cloned().collect();
         for uid in &uids {
-            let Some(node) = self.nodes.get_mut(uid) else { continue };
+            let Some(node) = self.nodes.get_mut(uid) else {
+                continue;
+            };
             let ended = node.link.advance(now);
             if let Some(cold) = node.cold.as_ref().filter(|_| !node.stalled) {
                 node.link.change(cold.capacity_at(now));
             }
             for (request, at) in ended {
-                let Some(open) = node.open.remove(&request) else { continue };
-                let Phase::Sending { how, made, waited_us } = open.phase else { continue };
+                let Some(open) = node.open.remove(&request) else {
+                    continue;
+                };
+                let Phase::Sending {
+                    how,
+                    made,
+                    waited_us,
+                } = open.phase
+                else {
+                    continue;
+                };
                 self.attempts[open.attempt].ended = Some((at, Ended::Ran));
-                let Fetch { connection, id, part, .. } = open.fetch;
-                out.push(Out::Answer { connection, id, word: "200", how, waited_us, made, part });
+                let Fetch {
+                    connection,
+                    id,
+                    part,
+                    ..
+                } = open.fetch;
+                out.push(Out::Answer {
+                    connection,
+                    id,
+                    word: "200",
+                    how,
+                    waited_us,
+                    made,
+                    part,
+                });
             }
             self.admit(now, uid, out);
         }
@@ -236,7 +272,9 @@
     /// A request arrives. `advance` must have been called up to now.
     pub fn fetch(&mut self, now: Micros, uid: &str, fetch: Fetch) -> Vec<Out> {
         let mut out = Vec::new();
-        let Some(node) = self.nodes.get_mut(uid).filter(|n| n.up) else { return out };
+        let Some(node) = self.nodes.get_mut(uid).filter(|n| n.up) else {
+            return out;
+        };
         self.next += 1;
         let request = self.next;
         self.attempts.push(Attempt {
@@ -253,7 +291,15 @@
         let attempt = self.attempts.len() - 1;
         let full = node.open.len() >= node.figures.slots + node.figures.waiting;
         let work = fetch.work_us as f64;
-        node.open.insert(request, Open { fetch, phase: Phase::Waiting, since: now, attempt });
+        node.open.insert(
+            request,
+            Open {
+                fetch,
+                phase: Phase::Waiting,
+                since: now,
+                attempt,
+            },
+        );
         if self.push(now, uid, work, &mut out) {
             return out;
         }
@@ -268,9 +314,17 @@
 
     /// A request is given up, or its connection has ended.
     pub fn abort(&mut self, now: Micros, uid: &str, connection: u64, id: Option<&str>) {
-        let Some(node) = self.nodes.get_mut(uid) else { return };
-        let meant = |o: &Open| o.fetch.connection == connection && id.is_none_or(|id| o.fetch.id == id);
-        let over: Vec<u64> = node.open.iter().filter(|(_, o)| meant(o)).map(|(r, _)| *r).collect();
+        let Some(node) = self.nodes.get_mut(uid) else {
+            return;
+        };
+        let meant =
+            |o: &Open| o.fetch.connection == connection && id.is_none_or(|id| o.fetch.id == id);
+        let over: Vec<u64> = node
+            .open
+            .iter()
+            .filter(|(_, o)| meant(o))
+            .map(|(r, _)| *r)
+            .collect();
         for request in &over {
             node.link.call_off(*request);
             node.waiting.retain(|r| r != request);
@@ -292,8 +346,12 @@
 
     /// Work is sent to a node: one that is cold falls over if that is too much. Whether it has.
     fn push(&mut self, now: Micros, uid: &str, work_us: f64, out: &mut Vec<Out>) -> bool {
-        let Some(node) = self.nodes.get_mut(uid) else { return false };
-        let Some(cold) = node.cold.clone().filter(|c| now < c.at + c.warm_us) else { return false };
+        let Some(node) = self.nodes.get_mut(uid) else {
+            return false;
+        };
+        let Some(cold) = node.cold.clone().filter(|c| now < c.at + c.warm_us) else {
+            return false;
+        };
         node.sent.push_back((now, work_us));
         while node.sent.front().is_some_and(|s| s.0 + cold.fall_us < now) {
             node.sent.pop_front();
@@ -317,21 +375,44 @@
         how: &'static str,
         out: &mut Vec<Out>,
     ) {
-        let Some(open) = self.nodes.get_mut(uid).and_then(|n| n.open.remove(&request)) else { return };
+        let Some(open) = self
+            .nodes
+            .get_mut(uid)
+            .and_then(|n| n.open.remove(&request))
+        else {
+            return;
+        };
         self.attempts[open.attempt].ended = Some((now, Ended::Unseen));
-        let Fetch { connection, id, part, .. } = open.fetch;
-        out.push(Out::Answer { connection, id, word, how, waited_us: now - open.since, made: 0, part });
+        let Fetch {
+            connection,
+            id,
+            part,
+            ..
+        } = open.fetch;
+        out.push(Out::Answer {
+            connection,
+            id,
+            word,
+            how,
+            waited_us: now - open.since,
+            made: 0,
+            part,
+        });
     }
 
     /// Begins what waits, as far as there are slots.
     fn admit(&mut self, now: Micros, uid: &str, out: &mut Vec<Out>) {
         loop {
-            let Some(node) = self.nodes.get_mut(uid) else { return };
+            let Some(node) = self.nodes.get_mut(uid) else {
+                return;
+            };
             let busy = node.open.len() - node.waiting.len();
             if busy >= node.figures.slots || node.stalled {
                 return;
             }
-            let Some(request) = node.waiting.pop_front() else { return };
+            let Some(request) = node.waiting.pop_front() else {
+                return;
+            };
             self.begin(now, uid, request, out);
         }
     }
--- a/rehearse/src/stand_ins/world/timers.rs
+++ b/rehearse/src/stand_ins/world/timers.rs
@@ -35,23 +35,43 @@
 
     /// The first byte of a fill has come. Passed on while it comes: clients are sent what there is by now.
     fn fill_begins(&mut self, now: Micros, uid: String, part: Part, number: u64) {
-        let Some(node) = self.nodes.get_mut(&uid) else { return };
-        let Some(fill) = node.filling.get(&part).filter(|f| f.number == number) else { return };
+        let Some(node) = self.nodes.get_mut(&uid) else {
+            return;
+        };
+        let Some(fill) = node.filling.get(&part).filter(|f| f.number == number) else {
+            return;
+        };
         let (how, made, began) = (fill.how, fill.made, fill.began);
         let (waiters, work) = (fill.waiters.clone(), fill.fetch.work_us);
         for (n, request) in waiters.into_iter().enumerate() {
-            let Some(open) = node.open.get_mut(&request) else { continue };
+            let Some(open) = node.open.get_mut(&request) else {
+                continue;
+            };
             let how = if n == 0 { how } else { "rode" };
-            open.phase = Phase::Sending { how, made, waited_us: now - began };
+            open.phase = Phase::Sending {
+                how,
+                made,
+                waited_us: now - began,
+            };
             node.link.begin(request, open.fetch.work_us);
         }
         self.inward_fills.insert(number, (uid, part));
-        self.inward.begin(number, (work as f64 / self.site.fill_pace) as Micros);
+        self.inward
+            .begin(number, (work as f64 / self.site.fill_pace) as Micros);
     }
 
     /// A fill of which nothing has come in time is given up.
-    fn fill_is_late(&mut self, now: Micros, uid: &str, part: Part, number: u64, out: &mut Vec<Out>) {
-        let Some(node) = self.nodes.get_mut(uid) else { return };
+    fn fill_is_late(
+        &mut self,
+        now: Micros,
+        uid: &str,
+        part: Part,
+        number: u64,
+        out: &mut Vec<Out>,
+    ) {
+        let Some(node) = self.nodes.get_mut(uid) else {
+            return;
+        };
         let waits = |f: &&Filling| {
             let all = f.waiters.iter().filter_map(|r| node.open.get(r));
             f.number == number && all.into_iter().any(|o| o.phase == Phase::Filling)
@@ -59,18 +79,40 @@
         if node.filling.get(&part).filter(waits).is_some() {
             let fill = node.filling.remove(&part);
             let waiters = fill.map(|f| f.waiters).unwrap_or_default();
-            waiters.into_iter().for_each(|r| self.turn_away(now, uid, r, "503", "cut_off", out));
+            waiters
+                .into_iter()
+                .for_each(|r| self.turn_away(now, uid, r, "503", "cut_off", out));
         }
     }
 
     /// A write has run at the origin, and is answered.
     fn written(&mut self, now: Micros, uid: &str, request: u64, out: &mut Vec<Out>) {
-        let Some(open) = self.nodes.get_mut(uid).and_then(|n| n.open.remove(&request)) else { return };
+        let Some(open) = self
+            .nodes
+            .get_mut(uid)
+            .and_then(|n| n.open.remove(&request))
+        else {
+            return;
+        };
         self.attempts[open.attempt].ended = Some((now, Ended::Ran));
-        let Fetch { connection, id, write, part, .. } = open.fetch;
+        let Fetch {
+            connection,
+            id,
+            write,
+            part,
+            ..
+        } = open.fetch;
         self.count_write(now, write.flatten());
         let (word, how) = ("200", "local");
-        out.push(Out::Answer { connection, id, word, how, waited_us: 0, made: now, part });
+        out.push(Out::Answer {
+            connection,
+            id,
+            word,
+            how,
+            waited_us: 0,
+            made: now,
+            part,
+        });
     }
 
     /// Counts a write, unless the origin drops it as a repeat of its key.
@@ -85,8 +127,14 @@
 
     /// A stall is over.
     fn stall_ends(&mut self, now: Micros, uid: &str) {
-        let Some(node) = self.nodes.get_mut(uid) else { return };
+        let Some(node) = self.nodes.get_mut(uid) else {
+            return;
+        };
         node.stalled = false;
-        node.link.change(node.cold.as_ref().map_or(node.figures.capacity, |c| c.capacity_at(now)));
+        node.link.change(
+            node.cold
+                .as_ref()
+                .map_or(node.figures.capacity, |c| c.capacity_at(now)),
+        );
     }
 }
