--- a/replication/src/commit.rs
+++ b/replication/src/commit.rs
@@ -84,7 +84,11 @@
     }
 
     pub(crate) fn sync_failed(&mut self, log: LogId, index: Index) {
-        if self.logs.get(&log).is_some_and(|indexes| indexes.contains(&index)) {
+        if self
+            .logs
+            .get(&log)
+            .is_some_and(|indexes| indexes.contains(&index))
+        {
             self.failed.insert((log, index));
         }
     }
@@ -101,7 +105,10 @@
 
     /// Up to which index all of a log that ends at `end` is on the disk.
     pub(crate) fn through(&self, log: LogId, end: Index) -> Index {
-        self.logs.get(&log).and_then(|indexes| indexes.first()).map_or(end, |first| (first - 1).min(end))
+        self.logs
+            .get(&log)
+            .and_then(|indexes| indexes.first())
+            .map_or(end, |first| (first - 1).min(end))
     }
 
     /// Whether the disk did not take something of a log up to an index.
@@ -145,7 +152,12 @@
 
     /// A peer says how far it has a log of this writer on its disk. In one process that only grows, so that a message that
     /// was overtaken takes nothing back; the next process may have lost the disk, and begins anew.
-    pub(crate) fn durable_index(&mut self, (peer, process): (usize, u64), epoch: Epoch, index: Index) {
+    pub(crate) fn durable_index(
+        &mut self,
+        (peer, process): (usize, u64),
+        epoch: Epoch,
+        index: Index,
+    ) {
         let known = self.process.get(&peer).copied().unwrap_or(0);
         if peer >= self.machines.len() || process < known {
             return;
@@ -156,20 +168,33 @@
                 durable.remove(&peer);
             }
         }
-        let durable_index = self.durable.entry(epoch).or_default().entry(peer).or_insert(0);
+        let durable_index = self
+            .durable
+            .entry(epoch)
+            .or_default()
+            .entry(peer)
+            .or_insert(0);
         *durable_index = index.max(*durable_index);
     }
 
     /// What a peer is known to have of an epoch.
     pub(crate) fn of(&self, peer: usize, epoch: Epoch) -> Index {
-        self.durable.get(&epoch).and_then(|durable| durable.get(&peer)).copied().unwrap_or(0)
+        self.durable
+            .get(&epoch)
+            .and_then(|durable| durable.get(&peer))
+            .copied()
+            .unwrap_or(0)
     }
 
     /// Up to which index each machine besides this one has an epoch, the furthest first.
     fn furthest(&self, epoch: Epoch) -> Vec<Index> {
         let mut best = BTreeMap::<Machine, Index>::new();
         for (peer, durable_index) in self.durable.get(&epoch).into_iter().flatten() {
-            if let Some(machine) = self.machines.get(*peer).filter(|machine| **machine != self.own) {
+            if let Some(machine) = self
+                .machines
+                .get(*peer)
+                .filter(|machine| **machine != self.own)
+            {
                 let most = best.entry(*machine).or_default();
                 *most = (*most).max(*durable_index);
             }
@@ -187,12 +212,21 @@
         }
     }
 
-    pub(crate) fn open(&mut self, now: Micros, index: Index, most: usize) -> Result<CommitId, RejectReason> {
+    pub(crate) fn open(
+        &mut self,
+        now: Micros,
+        index: Index,
+        most: usize,
+    ) -> Result<CommitId, RejectReason> {
         if self.open.len() >= most {
             return Err(RejectReason::TooManyPending);
         }
         self.asked += 1;
-        self.open.push_back(Open { commit: self.asked, index, since: now });
+        self.open.push_back(Open {
+            commit: self.asked,
+            index,
+            since: now,
+        });
         Ok(self.asked)
     }
 
@@ -219,10 +253,17 @@
             return outcomes;
         }
         let replicated = self.through(log.epoch, min_acks);
-        while let Some(Open { commit, index, since }) = self.open.front().copied() {
+        while let Some(Open {
+            commit,
+            index,
+            since,
+        }) = self.open.front().copied()
+        {
             let result = if durable_index >= index && replicated >= index {
                 Ok(now.saturating_sub(since))
-            } else if unsynced.is_failed(log, index) || durable_index < index && since + timeout_us <= now {
+            } else if unsynced.is_failed(log, index)
+                || durable_index < index && since + timeout_us <= now
+            {
                 Err(RejectReason::Disk)
             } else if since + timeout_us <= now {
                 let have = self
@@ -230,7 +271,10 @@
                     .into_iter()
                     .filter(|durable_index| *durable_index >= index)
                     .count();
-                Err(RejectReason::TooFewReplicas { have, wanted: min_acks })
+                Err(RejectReason::TooFewReplicas {
+                    have,
+                    wanted: min_acks,
+                })
             } else {
                 break;
             };
--- a/replication/src/compaction.rs
+++ b/replication/src/compaction.rs
@@ -68,10 +68,17 @@
         let mut times = Vec::with_capacity(self.live.len());
         // Entries are in the order of their logs: the bound of each log is looked up once.
         let mut bound = (LogId::default(), 0);
-        for (key, record) in self.live.iter().filter(|(_, record)| record.subject.is_purge()) {
+        for (key, record) in self
+            .live
+            .iter()
+            .filter(|(_, record)| record.subject.is_purge())
+        {
             if key.log != bound.0 {
                 let durable = durable.get(&key.log).copied().unwrap_or(0);
-                bound = (key.log, durable.min(self.last_index(key.log).saturating_sub(1)));
+                bound = (
+                    key.log,
+                    durable.min(self.last_index(key.log).saturating_sub(1)),
+                );
             }
             if key.index <= bound.1 {
                 times.push(record.at);
@@ -81,7 +88,12 @@
     }
 
     /// Moves of each log the purges before the first one that is later than `cutoff`.
-    fn move_until(&mut self, now: Micros, cutoff: Micros, durable: &BTreeMap<LogId, Index>) -> Compaction {
+    fn move_until(
+        &mut self,
+        now: Micros,
+        cutoff: Micros,
+        durable: &BTreeMap<LogId, Index>,
+    ) -> Compaction {
         let mut compaction = Compaction::default();
         let mut buckets = BTreeSet::new();
         for (log, durable) in durable {
@@ -91,10 +103,15 @@
                 continue;
             }
             let superseded = self.superseded(&keys, *durable);
-            let entries: Vec<Entry> = keys.into_iter().filter_map(|key| self.remove(key)).collect();
+            let entries: Vec<Entry> = keys
+                .into_iter()
+                .filter_map(|key| self.remove(key))
+                .collect();
             self.set_compacted(*log, through);
             compaction.logs.push(CompactedLog { log: *log, through });
-            let unsuperseded = entries.iter().filter(|entry| !superseded.contains(&entry.index));
+            let unsuperseded = entries
+                .iter()
+                .filter(|entry| !superseded.contains(&entry.index));
             buckets.extend(unsuperseded.filter_map(|entry| self.record(now, entry)));
             compaction.entries.extend(entries);
         }
@@ -124,8 +141,14 @@
 
     /// The purges of a log through an index.
     fn purges_through(&self, log: LogId, through: Index) -> Vec<EntryKey> {
-        let keys = EntryKey { log, index: 0 }..=EntryKey { log, index: through };
-        let purges = self.live.range(keys).filter(|(_, record)| record.subject.is_purge());
+        let keys = EntryKey { log, index: 0 }..=EntryKey {
+            log,
+            index: through,
+        };
+        let purges = self
+            .live
+            .range(keys)
+            .filter(|(_, record)| record.subject.is_purge());
         purges.map(|(key, _)| *key).collect()
     }
 
@@ -139,7 +162,10 @@
             let latest = latest.filter(|latest| key.index < *latest && *latest <= durable);
             latest.is_some_and(|index| at(EntryKey { index, ..**key }) >= at(**key))
         };
-        keys.iter().filter(is_superseded).map(|key| key.index).collect()
+        keys.iter()
+            .filter(is_superseded)
+            .map(|key| key.index)
+            .collect()
     }
 
     /// Records a purge in the table. Its time is never later than now: a copy that is made from now on is younger than
--- a/replication/src/entry.rs
+++ b/replication/src/entry.rs
@@ -30,7 +30,10 @@
     pub(crate) fn successor(self) -> Option<Self> {
         match self.epoch.checked_add(1) {
             Some(epoch) => Some(LogId { epoch, ..self }),
-            None => Some(LogId { writer: self.writer.checked_add(1)?, epoch: 0 }),
+            None => Some(LogId {
+                writer: self.writer.checked_add(1)?,
+                epoch: 0,
+            }),
         }
     }
 }
@@ -75,7 +78,9 @@
         match self {
             Subject::Object(object) => Some(KeyHash::of_object(object)),
             Subject::Group(group) => Some(KeyHash::of_group(*group)),
-            Subject::Ban(_) | Subject::Drain | Subject::Status { .. } | Subject::Gone { .. } => None,
+            Subject::Ban(_) | Subject::Drain | Subject::Status { .. } | Subject::Gone { .. } => {
+                None
+            }
         }
     }
 
--- a/replication/src/lib.rs
+++ b/replication/src/lib.rs
@@ -40,6 +40,8 @@
 pub use received::{MergedBucket, Outgoing, Received};
 pub use recovery::Recovery;
 pub use replica::Replica;
-pub use snapshot::{SnapshotChunk, SnapshotContent, SnapshotCursor, SnapshotOffer, SnapshotRequest};
+pub use snapshot::{
+    SnapshotChunk, SnapshotContent, SnapshotCursor, SnapshotOffer, SnapshotRequest,
+};
 pub use status::pieces;
 pub use wire::Datagram;
--- a/replication/src/log_store/capacity.rs
+++ b/replication/src/log_store/capacity.rs
@@ -16,7 +16,11 @@
 
 impl Capacity {
     /// For whatever comes.
-    pub const UNLIMITED: Capacity = Capacity { entries: usize::MAX, expiring: usize::MAX, logs: usize::MAX };
+    pub const UNLIMITED: Capacity = Capacity {
+        entries: usize::MAX,
+        expiring: usize::MAX,
+        logs: usize::MAX,
+    };
 }
 
 /// There is no room for one more entry or log.
@@ -43,7 +47,11 @@
 impl fmt::Display for DuplicateIndex {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let LogId { writer, epoch } = self.log;
-        write!(f, "two entries have index {} of the log {writer:x} {epoch:x}", self.index)
+        write!(
+            f,
+            "two entries have index {} of the log {writer:x} {epoch:x}",
+            self.index
+        )
     }
 }
 
--- a/replication/src/log_store/mod.rs
+++ b/replication/src/log_store/mod.rs
@@ -37,8 +37,19 @@
 
 impl Record {
     pub(crate) fn into_entry(self, key: EntryKey, prev: Index) -> Entry {
-        let Record { subject, at, revoked } = self;
-        Entry { log: key.log, index: key.index, prev, subject, at, revoked }
+        let Record {
+            subject,
+            at,
+            revoked,
+        } = self;
+        Entry {
+            log: key.log,
+            index: key.index,
+            prev,
+            subject,
+            at,
+            revoked,
+        }
     }
 }
 
@@ -52,7 +63,10 @@
 impl SubjectKey {
     /// Before the key of any log.
     fn first(subject: Subject) -> Self {
-        SubjectKey { subject, log: LogId::default() }
+        SubjectKey {
+            subject,
+            log: LogId::default(),
+        }
     }
 }
 
@@ -108,16 +122,28 @@
         compacted: &[CompactedLog],
         mut entries: Vec<Entry>,
     ) -> Result<Self, DuplicateIndex> {
-        let mut store = LogStore { table, ..LogStore::default() };
+        let mut store = LogStore {
+            table,
+            ..LogStore::default()
+        };
         for CompactedLog { log, through } in compacted {
             store.set_compacted(*log, *through);
             store.raise_last_index(*log, *through);
         }
-        entries.sort_unstable_by_key(|entry| EntryKey { log: entry.log, index: entry.index });
+        entries.sort_unstable_by_key(|entry| EntryKey {
+            log: entry.log,
+            index: entry.index,
+        });
         for entry in entries {
-            let key = EntryKey { log: entry.log, index: entry.index };
+            let key = EntryKey {
+                log: entry.log,
+                index: entry.index,
+            };
             if store.live.contains_key(&key) {
-                return Err(DuplicateIndex { log: entry.log, index: entry.index });
+                return Err(DuplicateIndex {
+                    log: entry.log,
+                    index: entry.index,
+                });
             }
             store.raise_last_index(entry.log, entry.index);
             store.record_if_compacted(&entry);
@@ -133,12 +159,28 @@
         (subject, at, revoked): (Subject, Micros, bool),
         capacity: Capacity,
     ) -> Result<Entry, CapacityExceeded> {
-        let prev = self.prev_of(EntryKey { log, index: Index::MAX });
+        let prev = self.prev_of(EntryKey {
+            log,
+            index: Index::MAX,
+        });
         let superseded = self.latest_in(log, &subject).filter(|_| subject.is_purge());
         let at = at.max(superseded.map_or(0, |record| record.at));
-        let entry = Entry { log, index: self.last_index(log) + 1, prev, subject, at, revoked };
+        let entry = Entry {
+            log,
+            index: self.last_index(log) + 1,
+            prev,
+            subject,
+            at,
+            revoked,
+        };
         // A log of one's own is always had in full.
-        match self.take(&entry, Capacity { logs: usize::MAX, ..capacity }) {
+        match self.take(
+            &entry,
+            Capacity {
+                logs: usize::MAX,
+                ..capacity
+            },
+        ) {
             Insertion::New => Ok(entry),
             _ => Err(CapacityExceeded),
         }
@@ -170,8 +212,14 @@
     /// Takes in an entry that a snapshot brought, which stands through the index to which that raised its log. True where
     /// it is in force now, and was not.
     pub(crate) fn take_retained(&mut self, entry: &Entry) -> bool {
-        let key = SubjectKey { subject: entry.subject.clone(), log: entry.log };
-        let is_superseded = self.latest.get(&key).is_some_and(|index| *index >= entry.index);
+        let key = SubjectKey {
+            subject: entry.subject.clone(),
+            log: entry.log,
+        };
+        let is_superseded = self
+            .latest
+            .get(&key)
+            .is_some_and(|index| *index >= entry.index);
         if is_superseded || entry.index > self.last_index(entry.log) {
             return false;
         }
@@ -182,21 +230,49 @@
     /// Puts an entry in force, in place of the one that it supersedes. A purge that is superseded stays until it is
     /// compacted: a peer that is behind both gets both, so that it has a floor whichever of them comes.
     fn insert(&mut self, entry: Entry) {
-        let Entry { log, index, subject, at, revoked, .. } = entry;
-        let key = SubjectKey { subject: subject.clone(), log };
-        if let Some(superseded) = self.latest.get(&key).copied().filter(|_| !subject.is_purge()) {
-            self.remove(EntryKey { log, index: superseded });
+        let Entry {
+            log,
+            index,
+            subject,
+            at,
+            revoked,
+            ..
+        } = entry;
+        let key = SubjectKey {
+            subject: subject.clone(),
+            log,
+        };
+        if let Some(superseded) = self
+            .latest
+            .get(&key)
+            .copied()
+            .filter(|_| !subject.is_purge())
+        {
+            self.remove(EntryKey {
+                log,
+                index: superseded,
+            });
         }
         self.expiring += usize::from(subject.is_expiring());
         self.latest.insert(key, index);
-        self.live.insert(EntryKey { log, index }, Record { subject, at, revoked });
+        self.live.insert(
+            EntryKey { log, index },
+            Record {
+                subject,
+                at,
+                revoked,
+            },
+        );
     }
 
     /// Takes an entry out of those in force.
     pub(crate) fn remove(&mut self, key: EntryKey) -> Option<Entry> {
         let record = self.live.remove(&key)?;
         self.expiring -= usize::from(record.subject.is_expiring());
-        let subject_key = SubjectKey { subject: record.subject.clone(), log: key.log };
+        let subject_key = SubjectKey {
+            subject: record.subject.clone(),
+            log: key.log,
+        };
         if self.latest.get(&subject_key) == Some(&key.index) {
             self.latest.remove(&subject_key);
         }
@@ -210,7 +286,12 @@
 
     /// Where the last entry in force of a log on a subject stands.
     pub(crate) fn latest_index(&self, log: LogId, subject: &Subject) -> Option<Index> {
-        self.latest.get(&SubjectKey { subject: subject.clone(), log }).copied()
+        self.latest
+            .get(&SubjectKey {
+                subject: subject.clone(),
+                log,
+            })
+            .copied()
     }
 
     /// Raises the index up to which a log is had.
@@ -245,13 +326,19 @@
         self.raise_last_index(log, through);
         self.set_compacted(log, through);
         let held: Vec<Entry> = self.live_through(log, through).collect();
-        held.iter().for_each(|entry| self.record_if_compacted(entry));
+        held.iter()
+            .for_each(|entry| self.record_if_compacted(entry));
     }
 
     /// Entries in force of a log up to an index; `prev` is not told.
     fn live_through(&self, log: LogId, through: Index) -> impl Iterator<Item = Entry> + '_ {
-        let keys = EntryKey { log, index: 0 }..=EntryKey { log, index: through };
-        self.live.range(keys).map(|(key, record)| record.clone().into_entry(*key, 0))
+        let keys = EntryKey { log, index: 0 }..=EntryKey {
+            log,
+            index: through,
+        };
+        self.live
+            .range(keys)
+            .map(|(key, record)| record.clone().into_entry(*key, 0))
     }
 
     /// Up to which index a log is had; 0: not at all.
@@ -261,7 +348,10 @@
 
     /// All logs and how far they are had.
     pub fn last_indexes(&self) -> Vec<(LogId, Index)> {
-        self.tracks.iter().map(|(log, t)| (*log, t.through)).collect()
+        self.tracks
+            .iter()
+            .map(|(log, t)| (*log, t.through))
+            .collect()
     }
 
     /// Through which index a log is compacted; 0: not at all.
@@ -271,8 +361,14 @@
 
     /// The logs that are compacted, from one on.
     pub fn compacted_logs(&self, from: LogId) -> impl Iterator<Item = CompactedLog> + '_ {
-        let tracks = self.tracks.range(from..).filter(|(_, track)| track.compacted > 0);
-        tracks.map(|(log, track)| CompactedLog { log: *log, through: track.compacted })
+        let tracks = self
+            .tracks
+            .range(from..)
+            .filter(|(_, track)| track.compacted > 0);
+        tracks.map(|(log, track)| CompactedLog {
+            log: *log,
+            through: track.compacted,
+        })
     }
 
     /// The table with all older purges.
@@ -292,7 +388,10 @@
 
     /// Entries in force of a log behind an index, in order.
     pub fn entries_after(&self, log: LogId, index: Index) -> impl Iterator<Item = Entry> + '_ {
-        let before = EntryKey { log, index: index.saturating_add(1) };
+        let before = EntryKey {
+            log,
+            index: index.saturating_add(1),
+        };
         let mut live_before = self.live_before(before);
         let compacted = self.compacted(log);
         self.live_after(log, index).map(move |(key, record)| {
@@ -303,21 +402,37 @@
     }
 
     /// Entries in force of a log behind an index.
-    pub(crate) fn live_after(&self, log: LogId, index: Index) -> impl Iterator<Item = (&EntryKey, &Record)> {
-        let last = EntryKey { log, index: Index::MAX };
-        let first = EntryKey { log, index: index.saturating_add(1) };
-        self.live.range(first..=last).filter(move |_| index < Index::MAX)
+    pub(crate) fn live_after(
+        &self,
+        log: LogId,
+        index: Index,
+    ) -> impl Iterator<Item = (&EntryKey, &Record)> {
+        let last = EntryKey {
+            log,
+            index: Index::MAX,
+        };
+        let first = EntryKey {
+            log,
+            index: index.saturating_add(1),
+        };
+        self.live
+            .range(first..=last)
+            .filter(move |_| index < Index::MAX)
     }
 
     /// The last entry in force before a place of its log.
     fn live_before(&self, key: EntryKey) -> Index {
         let first = EntryKey { index: 0, ..key };
-        self.live.range(first..key).next_back().map_or(0, |(key, _)| key.index)
+        self.live
+            .range(first..key)
+            .next_back()
+            .map_or(0, |(key, _)| key.index)
     }
 
     /// What a replica must have of a log to take the entry at a place next.
     fn prev_of(&self, key: EntryKey) -> Index {
-        self.live_before(key).max(self.compacted(key.log).min(key.index - 1))
+        self.live_before(key)
+            .max(self.compacted(key.log).min(key.index - 1))
     }
 
     /// What a log says of a subject.
@@ -335,8 +450,13 @@
     pub fn latest(&self, subject: &Subject) -> Option<Micros> {
         let logs = self.latest.range(SubjectKey::first(subject.clone())..);
         let of_subject = logs.take_while(|(key, _)| key.subject == *subject);
-        let keys = of_subject.map(|(key, index)| EntryKey { log: key.log, index: *index });
-        keys.filter_map(|key| self.live.get(&key)).map(|record| record.at).max()
+        let keys = of_subject.map(|(key, index)| EntryKey {
+            log: key.log,
+            index: *index,
+        });
+        keys.filter_map(|key| self.live.get(&key))
+            .map(|record| record.at)
+            .max()
     }
 
     /// The time before which no copy may be served: no earlier than any purge of it, of the entries or of the table.
@@ -347,9 +467,15 @@
 
     /// All entries in force, log by log. Purges that a later one of their log supersedes are none of them.
     pub fn entries(&self) -> impl Iterator<Item = Entry> + '_ {
-        let held = self.tracks.keys().flat_map(|log| self.entries_after(*log, 0));
+        let held = self
+            .tracks
+            .keys()
+            .flat_map(|log| self.entries_after(*log, 0));
         held.filter(|entry| {
-            let key = EntryKey { log: entry.log, index: entry.index };
+            let key = EntryKey {
+                log: entry.log,
+                index: entry.index,
+            };
             self.is_latest(key, &entry.subject)
         })
     }
--- a/replication/src/recovery.rs
+++ b/replication/src/recovery.rs
@@ -34,7 +34,16 @@
         // With `wait: 0` nothing was promised of others; who can be reached is asked all the same.
         let needed = (further.len() + 1).saturating_sub(wait.max(1));
         let over = needed == 0;
-        Recovery { own, machines, needed, settled: BTreeSet::new(), until, ask: now, retry_us, over }
+        Recovery {
+            own,
+            machines,
+            needed,
+            settled: BTreeSet::new(),
+            until,
+            ask: now,
+            retry_us,
+            over,
+        }
     }
 
     /// Whether it is over.
@@ -60,7 +69,12 @@
             return (Vec::new(), None);
         }
         self.ask = now + self.retry_us;
-        ((0..self.machines.len()).filter(|peer| !self.settled.contains(peer)).collect(), None)
+        (
+            (0..self.machines.len())
+                .filter(|peer| !self.settled.contains(peer))
+                .collect(),
+            None,
+        )
     }
 
     /// What the peers have is on its way: the wait is over no sooner than this.
@@ -79,7 +93,11 @@
     }
 
     fn machines(&self) -> usize {
-        let machines = self.settled.iter().map(|peer| self.machines[*peer]).filter(|m| *m != self.own);
+        let machines = self
+            .settled
+            .iter()
+            .map(|peer| self.machines[*peer])
+            .filter(|m| *m != self.own);
         machines.collect::<BTreeSet<_>>().len()
     }
 }
--- a/replication/src/replica/catch_up.rs
+++ b/replication/src/replica/catch_up.rs
@@ -5,7 +5,8 @@
 use crate::wire::MAX_LOGS_PER_DATAGRAM;
 use crate::{
     CompactedLog, Compaction, Datagram, Index, LogId, MergedBucket, Micros, Outgoing, Received,
-    SnapshotChunk, SnapshotContent, SnapshotCursor, SnapshotOffer, SnapshotRequest, MAX_DATAGRAM_BYTES,
+    SnapshotChunk, SnapshotContent, SnapshotCursor, SnapshotOffer, SnapshotRequest,
+    MAX_DATAGRAM_BYTES,
 };
 use std::collections::BTreeMap;
 
@@ -55,7 +56,9 @@
             return None;
         }
         let logs = self.log_store.last_indexes().into_iter();
-        let durable: BTreeMap<LogId, Index> = logs.map(|(log, _)| (log, self.durable_index(log))).collect();
+        let durable: BTreeMap<LogId, Index> = logs
+            .map(|(log, _)| (log, self.durable_index(log)))
+            .collect();
         let compaction = self.log_store.compact(now, max_entries, &durable);
         match &compaction {
             Some(compaction) => {
@@ -76,7 +79,10 @@
     /// Peers that were offered a snapshot again and again and did not answer, as those of a version before snapshots:
     /// what they missed while they were away they do not get.
     pub fn peers_without_snapshot(&self) -> Vec<usize> {
-        let unanswered = self.offers.iter().filter(|(_, offers)| offers.periods >= MIN_UNANSWERED_PERIODS);
+        let unanswered = self
+            .offers
+            .iter()
+            .filter(|(_, offers)| offers.periods >= MIN_UNANSWERED_PERIODS);
         unanswered.map(|(peer, _)| *peer).collect()
     }
 
@@ -84,28 +90,46 @@
     pub(super) fn offer(&mut self, peer: usize, logs: Vec<CompactedLog>) -> Datagram {
         let offers = self.offers.entry(peer).or_default();
         if offers.last != self.period || offers.periods == 0 {
-            *offers = Offers { periods: offers.periods + 1, last: self.period };
+            *offers = Offers {
+                periods: offers.periods + 1,
+                last: self.period,
+            };
         }
         self.counters.snapshots_offered += 1;
         let total = self.log_store.compacted_logs(LogId::default()).count() as u64;
-        Datagram::SnapshotOffer(SnapshotOffer { process: self.process, total, logs })
+        Datagram::SnapshotOffer(SnapshotOffer {
+            process: self.process,
+            total,
+            logs,
+        })
     }
 
     /// Asks for the next part of a snapshot, or any peer for one.
     pub(super) fn request_snapshot(&mut self, now: Micros, outgoing: &mut Vec<Outgoing>) {
         let store = &self.log_store;
         let peers = self.pending.count();
-        match self.catch_up.tick(now, &self.options, |log| store.last_index(log)) {
+        match self
+            .catch_up
+            .tick(now, &self.options, |log| store.last_index(log))
+        {
             None => {}
             Some(Ask::Sender { peer, request }) => {
-                outgoing.push(Outgoing { peer, datagram: Datagram::SnapshotRequest(request) });
+                outgoing.push(Outgoing {
+                    peer,
+                    datagram: Datagram::SnapshotRequest(request),
+                });
             }
             Some(Ask::Any(_)) if peers == 0 => {}
             Some(Ask::Any(logs)) => {
                 let logs = logs.into_iter().take(MAX_LOGS_PER_DATAGRAM);
-                let positions = logs.map(|log| (log, self.log_store.last_index(log))).collect();
+                let positions = logs
+                    .map(|log| (log, self.log_store.last_index(log)))
+                    .collect();
                 let peer = self.random.below(peers as u64) as usize;
-                outgoing.push(Outgoing { peer, datagram: Datagram::RangeRequest { positions } });
+                outgoing.push(Outgoing {
+                    peer,
+                    datagram: Datagram::RangeRequest { positions },
+                });
             }
         }
     }
@@ -113,7 +137,8 @@
     pub(super) fn take_offer(&mut self, from: usize, offer: &SnapshotOffer) -> Received {
         self.offers.remove(&from);
         let store = &self.log_store;
-        self.catch_up.offer(from, offer, |log| store.last_index(log));
+        self.catch_up
+            .offer(from, offer, |log| store.last_index(log));
         Received::default()
     }
 
@@ -137,7 +162,10 @@
     fn image_for(&mut self, from: SnapshotCursor) -> Image {
         self.image_period = self.period;
         let is_begin = from == SnapshotCursor::START;
-        let known = self.image.take().filter(|image| !is_begin || image.compactions == self.compactions);
+        let known = self
+            .image
+            .take()
+            .filter(|image| !is_begin || image.compactions == self.compactions);
         known.unwrap_or_else(|| {
             self.images += 1;
             Image::new(&self.log_store, self.images, self.compactions)
@@ -155,14 +183,24 @@
     /// with them: what is read together with them counts for nothing.
     fn send_snapshot(&mut self, from: SnapshotCursor, replies: &mut Vec<Datagram>) {
         let image = self.image_for(from);
-        let reader = Reader { image: &image, store: &self.log_store, process: self.process };
+        let reader = Reader {
+            image: &image,
+            store: &self.log_store,
+            process: self.process,
+        };
         let window = self.options.snapshot_window_bytes().max(MAX_DATAGRAM_BYTES);
         let max_chunks = window.min(self.snapshot_allowance) / MAX_DATAGRAM_BYTES;
-        let end = if from < SnapshotCursor::BUCKETS { SnapshotCursor::BUCKETS } else { SnapshotCursor::End };
+        let end = if from < SnapshotCursor::BUCKETS {
+            SnapshotCursor::BUCKETS
+        } else {
+            SnapshotCursor::End
+        };
         let mut cursor = from;
         let mut chunks = 0;
         while chunks < max_chunks && cursor < end {
-            let Some(mut chunk) = reader.chunk(cursor) else { break };
+            let Some(mut chunk) = reader.chunk(cursor) else {
+                break;
+            };
             cursor = chunk.next;
             chunks += 1;
             chunk.ends_window = chunks == max_chunks || cursor >= end;
@@ -173,7 +211,12 @@
         self.counters.snapshot_chunks_sent += chunks as u64;
     }
 
-    pub(super) fn take_chunk(&mut self, now: Micros, from: usize, chunk: &SnapshotChunk) -> Received {
+    pub(super) fn take_chunk(
+        &mut self,
+        now: Micros,
+        from: usize,
+        chunk: &SnapshotChunk,
+    ) -> Received {
         self.offers.remove(&from);
         let mut received = Received::default();
         self.merge_buckets(now, &chunk.content, &mut received);
@@ -186,16 +229,28 @@
     /// Takes a chunk's buckets into the table: that is right whoever sent them, and whenever. The sender's clock may be
     /// ahead.
     fn merge_buckets(&mut self, now: Micros, content: &SnapshotContent, received: &mut Received) {
-        let SnapshotContent::Buckets { bucket_bits, buckets } = content else { return };
+        let SnapshotContent::Buckets {
+            bucket_bits,
+            buckets,
+        } = content
+        else {
+            return;
+        };
         let table = &mut self.log_store.table;
         for placed in buckets {
             let bucket = placed.bucket.no_later_than(now);
             // A bucket that such a table does not have was not read.
-            let changed = table.merge_bucket(*bucket_bits, placed.index, &bucket).unwrap_or_default();
+            let changed = table
+                .merge_bucket(*bucket_bits, placed.index, &bucket)
+                .unwrap_or_default();
             let bucket_bits = table.bucket_bits();
             let merged = changed.into_iter().filter_map(|index| {
                 let bucket = *table.bucket(index)?;
-                Some(MergedBucket { bucket_bits, index, bucket })
+                Some(MergedBucket {
+                    bucket_bits,
+                    index,
+                    bucket,
+                })
             });
             received.buckets.extend(merged);
         }
@@ -218,7 +273,9 @@
             received.compacted.push(CompactedLog { log, through });
         }
         for entry in complete.entries {
-            let is_missing = last_indexes.get(&entry.log).is_some_and(|last| entry.index > *last);
+            let is_missing = last_indexes
+                .get(&entry.log)
+                .is_some_and(|last| entry.index > *last);
             if is_missing && self.log_store.take_retained(&entry) {
                 self.counters.learned += 1;
                 self.unsynced.add(entry.log, entry.index);
@@ -228,21 +285,32 @@
         self.compactions += 1;
         self.counters.snapshots_received += 1;
         self.request_after_snapshot(&received.compacted, &mut received.replies);
-        last_indexes.into_keys().for_each(|log| self.take_reordered(from, log, received));
+        last_indexes
+            .into_keys()
+            .for_each(|log| self.take_reordered(from, log, received));
     }
 
     /// Asks the sender of a snapshot for what stands behind it: others may have compacted more by then.
     fn request_after_snapshot(&self, logs: &[CompactedLog], replies: &mut Vec<Datagram>) {
-        let requests = logs.chunks(MAX_LOGS_PER_DATAGRAM).take(MAX_REQUESTS_AFTER_SNAPSHOT);
+        let requests = logs
+            .chunks(MAX_LOGS_PER_DATAGRAM)
+            .take(MAX_REQUESTS_AFTER_SNAPSHOT);
         replies.extend(requests.map(|logs| {
-            let positions = logs.iter().map(|compacted| (compacted.log, compacted.through));
-            Datagram::RangeRequest { positions: positions.collect() }
+            let positions = logs
+                .iter()
+                .map(|compacted| (compacted.log, compacted.through));
+            Datagram::RangeRequest {
+                positions: positions.collect(),
+            }
         }));
     }
 
     fn raise_to_snapshot(&mut self, CompactedLog { log, through }: CompactedLog) {
         let durable = self.durable_index(log);
-        let pending = self.pending_snapshots.entry(log).or_insert(PendingSnapshot { durable, through });
+        let pending = self
+            .pending_snapshots
+            .entry(log)
+            .or_insert(PendingSnapshot { durable, through });
         pending.through = through;
         self.log_store.raise_to_snapshot(log, through);
     }
--- a/replication/src/replica/commits.rs
+++ b/replication/src/replica/commits.rs
@@ -3,7 +3,8 @@
 use super::Replica;
 use crate::log_store::EntryKey;
 use crate::{
-    CommitId, CommitOutcome, CompactedLog, Datagram, Entry, Index, LogId, Micros, Outgoing, RejectReason,
+    CommitId, CommitOutcome, CompactedLog, Datagram, Entry, Index, LogId, Micros, Outgoing,
+    RejectReason,
 };
 
 impl Replica {
@@ -58,7 +59,11 @@
     pub fn snapshot_synced(&mut self, logs: &[CompactedLog]) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
         for CompactedLog { log, through } in logs {
-            if self.pending_snapshots.get(log).is_some_and(|pending| pending.through <= *through) {
+            if self
+                .pending_snapshots
+                .get(log)
+                .is_some_and(|pending| pending.through <= *through)
+            {
                 self.pending_snapshots.remove(log);
                 outgoing.extend(self.due_acks(*log));
             }
@@ -75,7 +80,13 @@
         let tell = |peer| {
             self.pending_acks.remove(&(log, peer));
             let positions = vec![(log, durable_index)];
-            Outgoing { peer, datagram: Datagram::Ack { process: self.process, positions } }
+            Outgoing {
+                peer,
+                datagram: Datagram::Ack {
+                    process: self.process,
+                    positions,
+                },
+            }
         };
         peers.into_iter().map(tell).collect()
     }
@@ -113,9 +124,15 @@
     /// Entries of its own logs that fewer further machines are known to have than are to.
     pub fn under_replicated(&self) -> usize {
         let own = self.own.writer;
-        let epochs = self.log_store.last_indexes().into_iter().filter(|(log, _)| log.writer == own);
+        let epochs = self
+            .log_store
+            .last_indexes()
+            .into_iter()
+            .filter(|(log, _)| log.writer == own);
         let short = |(log, _): (LogId, Index)| {
-            let replicated = self.pending.through(log.epoch, self.options.replication_factor);
+            let replicated = self
+                .pending
+                .through(log.epoch, self.options.replication_factor);
             self.log_store.live_after(log, replicated).count()
         };
         epochs.map(short).sum()
--- a/replication/src/replica/exchange.rs
+++ b/replication/src/replica/exchange.rs
@@ -2,7 +2,9 @@
 
 use super::Replica;
 use crate::wire::MAX_LOGS_PER_DATAGRAM;
-use crate::{CapacityExceeded, CompactedLog, Datagram, Entry, Index, Insertion, LogId, Micros, Received};
+use crate::{
+    CapacityExceeded, CompactedLog, Datagram, Entry, Index, Insertion, LogId, Micros, Received,
+};
 
 /// A part of a log that a peer lacks.
 #[derive(Clone, Copy, Debug)]
@@ -21,27 +23,45 @@
             Datagram::Entry(entry) => self.take(from, entry),
             Datagram::RangeRequest { positions } => self.compare(from, &positions).0,
             Datagram::GapRequest { log, gaps } => {
-                let range = |(behind, through)| Range { log, behind, through };
+                let range = |(behind, through)| Range {
+                    log,
+                    behind,
+                    through,
+                };
                 self.answer(from, gaps.into_iter().map(range))
             }
-            Datagram::DigestRequest => Received { replies: vec![self.digest()], ..Received::default() },
+            Datagram::DigestRequest => Received {
+                replies: vec![self.digest()],
+                ..Received::default()
+            },
             Datagram::Ack { process, positions } => {
                 // What others have of others' logs is for those to know.
                 for (log, index) in positions {
                     if log.writer == self.own.writer {
-                        self.pending.durable_index((from, process), log.epoch, index);
+                        self.pending
+                            .durable_index((from, process), log.epoch, index);
                     }
                 }
                 Received::default()
             }
-            Datagram::Digest { positions, all, sum } => self.take_digest(from, &positions, all, sum),
+            Datagram::Digest {
+                positions,
+                all,
+                sum,
+            } => self.take_digest(from, &positions, all, sum),
             Datagram::SnapshotOffer(offer) => self.take_offer(from, &offer),
             Datagram::SnapshotRequest(request) => self.take_request(from, request),
             Datagram::SnapshotChunk(chunk) => self.take_chunk(now, from, &chunk),
         }
     }
 
-    fn take_digest(&mut self, from: usize, positions: &[(LogId, Index)], all: u64, sum: u64) -> Received {
+    fn take_digest(
+        &mut self,
+        from: usize,
+        positions: &[(LogId, Index)],
+        all: u64,
+        sum: u64,
+    ) -> Received {
         let (mut received, settled) = self.compare(from, positions);
         if sum == self.log_store.checksum() {
             self.offers.remove(&from);
@@ -49,14 +69,27 @@
         }
         if positions.len() as u64 == all {
             // Logs that the peer does not have at all.
-            let logs = self.log_store.last_indexes().into_iter().map(|(log, _)| log);
+            let logs = self
+                .log_store
+                .last_indexes()
+                .into_iter()
+                .map(|(log, _)| log);
             let unknown = logs.filter(|log| !positions.iter().any(|(named, _)| named == log));
-            let ranges: Vec<Range> =
-                unknown.map(|log| Range { log, behind: 0, through: Index::MAX }).collect();
-            received.replies.extend(self.answer(from, ranges.into_iter()).replies);
+            let ranges: Vec<Range> = unknown
+                .map(|log| Range {
+                    log,
+                    behind: 0,
+                    through: Index::MAX,
+                })
+                .collect();
+            received
+                .replies
+                .extend(self.answer(from, ranges.into_iter()).replies);
         } else if settled {
             // What it named of its many is the same here: the difference is elsewhere.
-            received.replies.push(Datagram::RangeRequest { positions: self.some_positions() });
+            received.replies.push(Datagram::RangeRequest {
+                positions: self.some_positions(),
+            });
         }
         received
     }
@@ -92,7 +125,10 @@
                 let durable_index = self.durable_index(log);
                 if durable_index >= index {
                     let positions = vec![(log, durable_index)];
-                    received.replies.push(Datagram::Ack { process: self.process, positions });
+                    received.replies.push(Datagram::Ack {
+                        process: self.process,
+                        positions,
+                    });
                 } else {
                     self.ack_once_synced(log, index, from);
                 }
@@ -114,7 +150,9 @@
 
     /// Something that was not here has come: what is missing still is asked for as soon as at first.
     fn reset_gap_requests(&mut self) {
-        self.gap_request.iter_mut().for_each(|(_, asked)| *asked = 0);
+        self.gap_request
+            .iter_mut()
+            .for_each(|(_, asked)| *asked = 0);
     }
 
     /// Sends what a peer lacks and asks for what it has more of; true where there was nothing of either.
@@ -124,7 +162,11 @@
         for (log, theirs) in positions {
             let ours = self.log_store.last_index(*log);
             if ours > *theirs {
-                ranges.push(Range { log: *log, behind: *theirs, through: Index::MAX });
+                ranges.push(Range {
+                    log: *log,
+                    behind: *theirs,
+                    through: Index::MAX,
+                });
             } else if ours < *theirs {
                 wanted.push((*log, ours));
             }
@@ -132,7 +174,9 @@
         let mut received = self.answer(from, ranges.into_iter());
         let settled = wanted.is_empty() && received.replies.is_empty();
         if !wanted.is_empty() {
-            received.replies.push(Datagram::RangeRequest { positions: wanted });
+            received
+                .replies
+                .push(Datagram::RangeRequest { positions: wanted });
         }
         (received, settled)
     }
@@ -147,7 +191,10 @@
             if range.behind >= through {
                 self.send(range, &mut received.replies);
             } else if compacted.len() < MAX_LOGS_PER_DATAGRAM {
-                compacted.push(CompactedLog { log: range.log, through });
+                compacted.push(CompactedLog {
+                    log: range.log,
+                    through,
+                });
             }
         }
         if !compacted.is_empty() {
--- a/replication/src/replica/mod.rs
+++ b/replication/src/replica/mod.rs
@@ -9,8 +9,8 @@
 use crate::snapshot::{CatchUp, Image};
 use crate::wire::{MAX_GAPS_PER_DATAGRAM, MAX_LOGS_PER_DATAGRAM};
 use crate::{
-    Capacity, CapacityExceeded, Counters, Datagram, Entry, Index, LogId, LogStore, Machine, Micros, Options,
-    Outgoing, Subject,
+    Capacity, CapacityExceeded, Counters, Datagram, Entry, Index, LogId, LogStore, Machine, Micros,
+    Options, Outgoing, Subject,
 };
 use catch_up::{Offers, PendingSnapshot};
 use linnetknot_datagram::Random;
@@ -115,7 +115,10 @@
 
     /// Counts so far.
     pub fn counters(&self) -> Counters {
-        Counters { snapshots_abandoned: self.catch_up.abandoned(), ..self.counters }
+        Counters {
+            snapshots_abandoned: self.catch_up.abandoned(),
+            ..self.counters
+        }
     }
 
     /// Whose machine is which: this proxy's own and those of its peers, by whose indexes in this list they are known
@@ -132,15 +135,28 @@
 
     /// A new entry of its own log. It is for the caller to put it on the disk and to send it to all peers at once;
     /// those whom that misses get it later.
-    pub fn append(&mut self, subject: Subject, at: Micros, revoked: bool) -> Result<Entry, CapacityExceeded> {
-        let entry = self.log_store.append(self.own, (subject, at, revoked), self.capacity())?;
+    pub fn append(
+        &mut self,
+        subject: Subject,
+        at: Micros,
+        revoked: bool,
+    ) -> Result<Entry, CapacityExceeded> {
+        let entry = self
+            .log_store
+            .append(self.own, (subject, at, revoked), self.capacity())?;
         self.unsynced.add(entry.log, entry.index);
         Ok(entry)
     }
 
     fn capacity(&self) -> Capacity {
-        let Options { expiring, max_logs, .. } = self.options;
-        Capacity { entries: self.options.max_entries(), expiring, logs: max_logs }
+        let Options {
+            expiring, max_logs, ..
+        } = self.options;
+        Capacity {
+            entries: self.options.max_entries(),
+            expiring,
+            logs: max_logs,
+        }
     }
 
     /// Lets entries go whose time is over, to be taken off the disk, too.
@@ -150,11 +166,17 @@
 
     /// When `tick` or `resolve_commits` has something to do.
     pub fn due(&self) -> Micros {
-        let waits =
-            self.pending.until(self.options.commit_timeout_us).map(|until| until.min(self.next_retry));
-        let gap_request = (!self.reorder.is_empty()).then_some(self.gap_request.map_or(0, |(at, _)| at));
+        let waits = self
+            .pending
+            .until(self.options.commit_timeout_us)
+            .map(|until| until.min(self.next_retry));
+        let gap_request =
+            (!self.reorder.is_empty()).then_some(self.gap_request.map_or(0, |(at, _)| at));
         let catch_up = self.catch_up.due();
-        [waits, gap_request, catch_up].into_iter().flatten().fold(self.due, Micros::min)
+        [waits, gap_request, catch_up]
+            .into_iter()
+            .flatten()
+            .fold(self.due, Micros::min)
     }
 
     /// Once a period: what to tell which peer, by its place. While a commit waits, those that it may wait for are
@@ -177,7 +199,9 @@
     /// Sends a digest to a peer; what may be sent in a period may be sent again.
     fn begin_period(&mut self, now: Micros, outgoing: &mut Vec<Outgoing>) {
         // Spread by up to a quarter, so that the messages of many proxies do not fall together.
-        self.due = now + self.options.digest_period_us + self.random.below(self.options.digest_period_us / 4);
+        self.due = now
+            + self.options.digest_period_us
+            + self.random.below(self.options.digest_period_us / 4);
         self.period += 1;
         self.drop_unread_image();
         self.allowance = self.options.max_entries_per_period;
@@ -198,22 +222,34 @@
             return;
         }
         // Most of what is missing at first was overtaken on its way, and comes by itself.
-        let (at, asked) = *self.gap_request.get_or_insert((now + self.options.gap_request_us, 0));
+        let (at, asked) = *self
+            .gap_request
+            .get_or_insert((now + self.options.gap_request_us, 0));
         if now < at {
             return;
         }
         // What nobody has any more, as its writer was lost with it, is asked for as seldom as all else.
-        let wait =
-            if asked < MAX_FAST_GAP_REQUESTS { self.options.retry_us } else { self.options.digest_period_us };
+        let wait = if asked < MAX_FAST_GAP_REQUESTS {
+            self.options.retry_us
+        } else {
+            self.options.digest_period_us
+        };
         self.gap_request = Some((now + wait, asked + 1));
         // Who sent what is behind it has it mostly; any other may, should that one's link be cut.
         let drawn = self.random.below(2 * peers) as usize;
-        let peer = if drawn < peers as usize { drawn } else { self.reorder_from };
+        let peer = if drawn < peers as usize {
+            drawn
+        } else {
+            self.reorder_from
+        };
         for log in self.reorder.logs().take(MAX_GAP_LOGS) {
             let gaps = self.reorder.gaps(log, self.log_store.last_index(log));
             let messages = gaps.chunks(MAX_GAPS_PER_DATAGRAM).take(MAX_GAP_LOGS);
             outgoing.extend(messages.map(|gaps| {
-                let datagram = Datagram::GapRequest { log, gaps: gaps.to_vec() };
+                let datagram = Datagram::GapRequest {
+                    log,
+                    gaps: gaps.to_vec(),
+                };
                 Outgoing { peer, datagram }
             }));
         }
@@ -223,15 +259,26 @@
     /// whoever has it says so again, and whoever lacks entries before it asks for them.
     fn resend_unacked(&mut self, outgoing: &mut Vec<Outgoing>) {
         let own = self.own.writer;
-        let epochs = self.log_store.last_indexes().into_iter().filter(|(log, _)| log.writer == own);
+        let epochs = self
+            .log_store
+            .last_indexes()
+            .into_iter()
+            .filter(|(log, _)| log.writer == own);
         for (log, end) in epochs.collect::<Vec<_>>() {
-            let Some(last) = self.log_store.entries_after(log, end - 1).next() else { continue };
-            for peer in (0..self.pending.count()).filter(|peer| self.pending.of(*peer, log.epoch) < end) {
+            let Some(last) = self.log_store.entries_after(log, end - 1).next() else {
+                continue;
+            };
+            for peer in
+                (0..self.pending.count()).filter(|peer| self.pending.of(*peer, log.epoch) < end)
+            {
                 if self.allowance == 0 {
                     return;
                 }
                 self.allowance -= 1;
-                outgoing.push(Outgoing { peer, datagram: Datagram::Entry(last.clone()) });
+                outgoing.push(Outgoing {
+                    peer,
+                    datagram: Datagram::Entry(last.clone()),
+                });
             }
         }
     }
@@ -239,16 +286,25 @@
     /// How far it has its logs. One without any says so too, as that is how it gets them.
     fn digest(&mut self) -> Datagram {
         let (all, sum) = (self.log_store.logs() as u64, self.log_store.checksum());
-        Datagram::Digest { positions: self.some_positions(), all, sum }
+        Datagram::Digest {
+            positions: self.some_positions(),
+            all,
+            sum,
+        }
     }
 
     /// As many logs as fit into a datagram, a different part each time.
     fn some_positions(&mut self) -> Vec<(LogId, Index)> {
         let all = self.log_store.last_indexes();
-        let from = self.next.and_then(|next| all.iter().position(|(log, _)| *log >= next)).unwrap_or(0);
+        let from = self
+            .next
+            .and_then(|next| all.iter().position(|(log, _)| *log >= next))
+            .unwrap_or(0);
         let count = all.len().min(MAX_LOGS_PER_DATAGRAM);
         let some: Vec<_> = all.iter().cycle().skip(from).take(count).copied().collect();
-        self.next = all.get((from + some.len()) % all.len().max(1)).map(|(log, _)| *log);
+        self.next = all
+            .get((from + some.len()) % all.len().max(1))
+            .map(|(log, _)| *log);
         some
     }
 }
--- a/replication/src/snapshot/encoding.rs
+++ b/replication/src/snapshot/encoding.rs
@@ -5,7 +5,8 @@
 use linnetknot_purges::{Bucket, BucketBits, BucketIndex};
 
 /// Bytes that the items of a chunk may take.
-pub(crate) const MAX_CONTENT_BYTES: usize = MAX_DATAGRAM_BYTES - wire::CHUNK_MARK.len() - encoded_len::HEAD;
+pub(crate) const MAX_CONTENT_BYTES: usize =
+    MAX_DATAGRAM_BYTES - wire::CHUNK_MARK.len() - encoded_len::HEAD;
 /// Bytes of an entry besides its subject.
 const ENTRY_HEAD_BYTES: usize = 33;
 /// Bytes of a bucket besides its encoding.
@@ -65,18 +66,29 @@
         SnapshotContent::Buckets { .. } => BUCKETS,
         SnapshotContent::Entries(_) => ENTRIES,
     };
-    bytes.push(if chunk.ends_window { kind | ENDS_WINDOW } else { kind });
+    bytes.push(if chunk.ends_window {
+        kind | ENDS_WINDOW
+    } else {
+        kind
+    });
     bytes.extend(chunk.process.to_be_bytes());
     bytes.extend(chunk.image.to_be_bytes());
     write_cursor(chunk.from, bytes);
     write_cursor(chunk.next, bytes);
     match &chunk.content {
         SnapshotContent::Logs(logs) => logs.iter().for_each(|log| write_compacted(log, bytes)),
-        SnapshotContent::Buckets { bucket_bits, buckets } => {
+        SnapshotContent::Buckets {
+            bucket_bits,
+            buckets,
+        } => {
             bytes.push(bucket_bits.value());
-            buckets.iter().for_each(|placed| write_bucket(placed, bytes));
+            buckets
+                .iter()
+                .for_each(|placed| write_bucket(placed, bytes));
+        }
+        SnapshotContent::Entries(entries) => {
+            entries.iter().for_each(|entry| write_entry(entry, bytes))
         }
-        SnapshotContent::Entries(entries) => entries.iter().for_each(|entry| write_entry(entry, bytes)),
     }
 }
 
@@ -154,7 +166,14 @@
     let (from, next) = (reader.cursor()?, reader.cursor()?);
     let content = reader.content(kind & !ENDS_WINDOW)?;
     let ends_window = kind & ENDS_WINDOW != 0;
-    let chunk = SnapshotChunk { process, image, from, next, ends_window, content };
+    let chunk = SnapshotChunk {
+        process,
+        image,
+        from,
+        next,
+        ends_window,
+        content,
+    };
     is_sound(&chunk).then_some(chunk)
 }
 
@@ -162,11 +181,15 @@
 fn is_sound(chunk: &SnapshotChunk) -> bool {
     let places: Vec<SnapshotCursor> = match &chunk.content {
         SnapshotContent::Logs(logs) => logs.iter().map(|l| SnapshotCursor::Log(l.log)).collect(),
-        SnapshotContent::Buckets { buckets, .. } => {
-            buckets.iter().map(|b| SnapshotCursor::Bucket(b.index)).collect()
-        }
+        SnapshotContent::Buckets { buckets, .. } => buckets
+            .iter()
+            .map(|b| SnapshotCursor::Bucket(b.index))
+            .collect(),
         SnapshotContent::Entries(entries) => {
-            let place = |entry: &Entry| SnapshotCursor::Entry { log: entry.log, index: entry.index };
+            let place = |entry: &Entry| SnapshotCursor::Entry {
+                log: entry.log,
+                index: entry.index,
+            };
             entries.iter().map(place).collect()
         }
     };
@@ -176,7 +199,9 @@
         SnapshotContent::Entries(_) => (SnapshotCursor::ENTRIES, SnapshotCursor::End),
     };
     let is_in_section = first <= chunk.from && chunk.from < chunk.next && chunk.next <= last;
-    let is_between = places.iter().all(|place| chunk.from <= *place && *place < chunk.next);
+    let is_between = places
+        .iter()
+        .all(|place| chunk.from <= *place && *place < chunk.next);
     is_in_section && is_between && places.windows(2).all(|pair| pair[0] < pair[1])
 }
 
@@ -206,7 +231,10 @@
     }
 
     fn log(&mut self) -> Option<LogId> {
-        Some(LogId { writer: self.number()?, epoch: self.number()? })
+        Some(LogId {
+            writer: self.number()?,
+            epoch: self.number()?,
+        })
     }
 
     fn cursor(&mut self) -> Option<SnapshotCursor> {
@@ -214,7 +242,10 @@
             b'l' => Some(SnapshotCursor::Log(self.log()?)),
             b'b' => Some(SnapshotCursor::Bucket(self.bucket_index()?)),
             b'E' => Some(SnapshotCursor::ENTRIES),
-            b'e' => Some(SnapshotCursor::Entry { log: self.log()?, index: self.number()? }),
+            b'e' => Some(SnapshotCursor::Entry {
+                log: self.log()?,
+                index: self.number()?,
+            }),
             b'.' => Some(SnapshotCursor::End),
             _ => None,
         }
@@ -226,9 +257,13 @@
             BUCKETS => {
                 let bucket_bits = BucketBits::new(self.byte()?).ok()?;
                 let buckets = self.all(Self::bucket)?;
-                let exist =
-                    buckets.iter().all(|placed| (placed.index.value() as usize) < bucket_bits.buckets());
-                exist.then_some(SnapshotContent::Buckets { bucket_bits, buckets })
+                let exist = buckets
+                    .iter()
+                    .all(|placed| (placed.index.value() as usize) < bucket_bits.buckets());
+                exist.then_some(SnapshotContent::Buckets {
+                    bucket_bits,
+                    buckets,
+                })
             }
             ENTRIES => self.all(Self::entry).map(SnapshotContent::Entries),
             _ => None,
@@ -245,14 +280,20 @@
     }
 
     fn compacted(&mut self) -> Option<CompactedLog> {
-        Some(CompactedLog { log: self.log()?, through: self.number()? })
+        Some(CompactedLog {
+            log: self.log()?,
+            through: self.number()?,
+        })
     }
 
     fn bucket(&mut self) -> Option<PlacedBucket> {
         let index = self.bucket_index()?;
         let slots = usize::from(*self.bytes.first()?);
         let encoded = self.take(1 + 8 + 8 * slots)?;
-        Some(PlacedBucket { index, bucket: Bucket::decode(encoded).ok()? })
+        Some(PlacedBucket {
+            index,
+            bucket: Bucket::decode(encoded).ok()?,
+        })
     }
 
     fn entry(&mut self) -> Option<Entry> {
@@ -263,22 +304,40 @@
             _ => return None,
         };
         let (kind, len) = (self.byte()?, self.byte()?);
-        let mut body = Reader { bytes: self.take(usize::from(len))? };
+        let mut body = Reader {
+            bytes: self.take(usize::from(len))?,
+        };
         let subject = body.subject(kind)?;
         let is_whole = body.bytes.is_empty() && index > 0 && !(revoked && subject.is_expiring());
-        is_whole.then_some(Entry { log, index, prev: 0, subject, at, revoked })
+        is_whole.then_some(Entry {
+            log,
+            index,
+            prev: 0,
+            subject,
+            at,
+            revoked,
+        })
     }
 
     fn subject(&mut self, kind: u8) -> Option<Subject> {
         match kind {
-            b'b' => Some(Subject::Ban(self.text()?)).filter(|ban| *ban != Subject::Ban(String::new())),
+            b'b' => {
+                Some(Subject::Ban(self.text()?)).filter(|ban| *ban != Subject::Ban(String::new()))
+            }
             b'd' => Some(Subject::Drain),
             b's' => {
                 let number = self.number()?;
                 let part = u16::from_be_bytes(self.take(2)?.try_into().ok()?);
-                Some(Subject::Status { number, part, text: self.text()? })
+                Some(Subject::Status {
+                    number,
+                    part,
+                    text: self.text()?,
+                })
             }
-            b'x' => Some(Subject::Gone { writer: self.number()?, number: self.number()? }),
+            b'x' => Some(Subject::Gone {
+                writer: self.number()?,
+                number: self.number()?,
+            }),
             _ => None,
         }
     }
--- a/replication/src/snapshot/mod.rs
+++ b/replication/src/snapshot/mod.rs
@@ -41,7 +41,10 @@
     /// Where the buckets begin.
     pub const BUCKETS: SnapshotCursor = SnapshotCursor::Bucket(BucketIndex::FIRST);
     /// Where the entries begin.
-    pub const ENTRIES: SnapshotCursor = SnapshotCursor::Entry { log: LogId::new(0, 0), index: 0 };
+    pub const ENTRIES: SnapshotCursor = SnapshotCursor::Entry {
+        log: LogId::new(0, 0),
+        index: 0,
+    };
 }
 
 /// The receiver is behind what the sender compacted, and may ask for a snapshot.
--- a/replication/src/snapshot/receiver.rs
+++ b/replication/src/snapshot/receiver.rs
@@ -94,8 +94,16 @@
 
 impl CatchUp {
     /// A peer offers a snapshot of logs of which this replica has less.
-    pub(crate) fn offer(&mut self, peer: usize, offer: &SnapshotOffer, last_index: impl Fn(LogId) -> Index) {
-        let ahead = offer.logs.iter().filter(|offered| offered.through > last_index(offered.log));
+    pub(crate) fn offer(
+        &mut self,
+        peer: usize,
+        offer: &SnapshotOffer,
+        last_index: impl Fn(LogId) -> Index,
+    ) {
+        let ahead = offer
+            .logs
+            .iter()
+            .filter(|offered| offered.through > last_index(offered.log));
         let mut is_behind = false;
         for offered in ahead {
             is_behind = true;
@@ -111,7 +119,8 @@
         if self.settling.is_some() {
             return;
         }
-        let is_open = |transfer: &Transfer| transfer.peer != peer || transfer.process >= offer.process;
+        let is_open =
+            |transfer: &Transfer| transfer.peer != peer || transfer.process >= offer.process;
         if !self.transfer.as_ref().is_some_and(is_open) {
             self.transfer = Some(Transfer::new(peer, offer.process));
         }
@@ -119,9 +128,16 @@
 
     /// A chunk has come. Its buckets are merged whoever sent it; what it covers counts if it is of the snapshot that is
     /// being received.
-    pub(crate) fn chunk(&mut self, peer: usize, chunk: &SnapshotChunk, options: &Options) -> Progress {
+    pub(crate) fn chunk(
+        &mut self,
+        peer: usize,
+        chunk: &SnapshotChunk,
+        options: &Options,
+    ) -> Progress {
         let of_this = |t: &&mut Transfer| t.peer == peer && t.process == chunk.process;
-        let Some(transfer) = self.transfer.as_mut().filter(of_this) else { return Progress::Incomplete };
+        let Some(transfer) = self.transfer.as_mut().filter(of_this) else {
+            return Progress::Incomplete;
+        };
         transfer.take(chunk, options);
         if transfer.covered < SnapshotCursor::End {
             return Progress::Incomplete;
@@ -138,7 +154,8 @@
         options: &Options,
         last_index: impl Fn(LogId) -> Index,
     ) -> Option<Ask> {
-        self.missing.retain(|log, through| last_index(*log) < *through);
+        self.missing
+            .retain(|log, through| last_index(*log) < *through);
         if self.is_settling(now, options) {
             return None;
         }
@@ -147,7 +164,10 @@
                 return None;
             }
             if let Some(request) = transfer.request(now, options) {
-                return Some(Ask::Sender { peer: transfer.peer, request });
+                return Some(Ask::Sender {
+                    peer: transfer.peer,
+                    request,
+                });
             }
             self.transfer = None;
             self.abandoned += 1;
@@ -158,7 +178,9 @@
 
     /// Whether the logs have their time after a snapshot.
     fn is_settling(&mut self, now: Micros, options: &Options) -> bool {
-        let Some(settling) = &mut self.settling else { return false };
+        let Some(settling) = &mut self.settling else {
+            return false;
+        };
         let until = *settling.get_or_insert(now + SETTLING_PERIODS * options.digest_period_us);
         if now >= until {
             self.settling = None;
@@ -197,7 +219,11 @@
 
     /// There are so many peers now: what is received of one that is no longer among them is asked of any.
     pub(crate) fn retain_peers(&mut self, count: usize) {
-        if self.transfer.as_ref().is_some_and(|transfer| transfer.peer >= count) {
+        if self
+            .transfer
+            .as_ref()
+            .is_some_and(|transfer| transfer.peer >= count)
+        {
             self.transfer = None;
         }
     }
@@ -235,7 +261,10 @@
         self.has_progressed = false;
         self.requested_at = Some(now);
         self.due = now + options.snapshot_timeout_us;
-        Some(SnapshotRequest { process: self.process, from: self.covered })
+        Some(SnapshotRequest {
+            process: self.process,
+            from: self.covered,
+        })
     }
 
     /// Takes in what a chunk covers, if it counts.
@@ -288,16 +317,25 @@
             return true;
         }
         self.covered = next.max(self.covered);
-        while let Some(first) = self.early.first_entry().filter(|first| *first.key() <= self.covered) {
+        while let Some(first) = self
+            .early
+            .first_entry()
+            .filter(|first| *first.key() <= self.covered)
+        {
             self.covered = first.remove().max(self.covered);
         }
         true
     }
 
     fn complete(self) -> Complete {
-        let Transfer { logs, mut entries, .. } = self;
+        let Transfer {
+            logs, mut entries, ..
+        } = self;
         entries.sort_unstable_by_key(|entry| (entry.log, entry.index));
-        entries.retain(|entry| logs.get(&entry.log).is_some_and(|through| entry.index <= *through));
+        entries.retain(|entry| {
+            logs.get(&entry.log)
+                .is_some_and(|through| entry.index <= *through)
+        });
         Complete { logs, entries }
     }
 }
--- a/replication/src/snapshot/sender.rs
+++ b/replication/src/snapshot/sender.rs
@@ -32,8 +32,15 @@
                 table.record(key, record.at);
             }
         }
-        let logs = store.compacted_logs(LogId::default()).map(|compacted| (compacted.log, compacted.through));
-        Image { number, compactions, logs: logs.collect(), table }
+        let logs = store
+            .compacted_logs(LogId::default())
+            .map(|compacted| (compacted.log, compacted.through));
+        Image {
+            number,
+            compactions,
+            logs: logs.collect(),
+            table,
+        }
     }
 }
 
@@ -57,15 +64,27 @@
             SnapshotCursor::End => return None,
         };
         let (process, image) = (self.process, self.image.number);
-        Some(SnapshotChunk { process, image, from, next, ends_window: false, content })
+        Some(SnapshotChunk {
+            process,
+            image,
+            from,
+            next,
+            ends_window: false,
+            content,
+        })
     }
 
     fn logs(&self, from: LogId) -> (SnapshotContent, SnapshotCursor) {
         const MAX_LOGS: usize = MAX_CONTENT_BYTES / encoded_len::LOG;
-        let compacted = |(log, through): (&LogId, &Index)| CompactedLog { log: *log, through: *through };
+        let compacted = |(log, through): (&LogId, &Index)| CompactedLog {
+            log: *log,
+            through: *through,
+        };
         let mut logs = self.image.logs.range(from..).map(compacted);
         let some = logs.by_ref().take(MAX_LOGS).collect();
-        let next = logs.next().map_or(SnapshotCursor::BUCKETS, |next| SnapshotCursor::Log(next.log));
+        let next = logs.next().map_or(SnapshotCursor::BUCKETS, |next| {
+            SnapshotCursor::Log(next.log)
+        });
         (SnapshotContent::Logs(some), next)
     }
 
@@ -83,10 +102,19 @@
                     break;
                 }
             }
-            buckets.push(PlacedBucket { index, bucket: *bucket });
+            buckets.push(PlacedBucket {
+                index,
+                bucket: *bucket,
+            });
         }
         let bucket_bits = self.image.table.bucket_bits();
-        (SnapshotContent::Buckets { bucket_bits, buckets }, next)
+        (
+            SnapshotContent::Buckets {
+                bucket_bits,
+                buckets,
+            },
+            next,
+        )
     }
 
     fn entries(&self, log: LogId, index: Index) -> (SnapshotContent, SnapshotCursor) {
@@ -96,7 +124,10 @@
             match room.checked_sub(encoded_len::entry(&entry)) {
                 Some(left) => room = left,
                 None => {
-                    let next = SnapshotCursor::Entry { log: entry.log, index: entry.index };
+                    let next = SnapshotCursor::Entry {
+                        log: entry.log,
+                        index: entry.index,
+                    };
                     return (SnapshotContent::Entries(some), next);
                 }
             }
@@ -109,9 +140,14 @@
 impl LogStore {
     /// Entries that are no purges and stand through the index to which their log is compacted, from a place on.
     pub(crate) fn retained(&self, log: LogId, index: Index) -> impl Iterator<Item = Entry> + '_ {
-        let first = self.compacted_logs(log).take_while(move |compacted| compacted.log == log);
+        let first = self
+            .compacted_logs(log)
+            .take_while(move |compacted| compacted.log == log);
         let first = first.map(move |compacted| (compacted, index.saturating_sub(1)));
-        let later = log.successor().into_iter().flat_map(|next| self.compacted_logs(next));
+        let later = log
+            .successor()
+            .into_iter()
+            .flat_map(|next| self.compacted_logs(next));
         let logs = first.chain(later.map(|compacted| (compacted, 0)));
         logs.flat_map(|(compacted, behind)| {
             let live = self.live_after(compacted.log, behind);
--- a/replication/src/status.rs
+++ b/replication/src/status.rs
@@ -25,7 +25,9 @@
     let mut rest = word;
     while let Some((before, behind)) = rest.split_once('%') {
         out.push_str(before);
-        let code = behind.get(..2).filter(|code| code.bytes().all(|b| b.is_ascii_hexdigit()))?;
+        let code = behind
+            .get(..2)
+            .filter(|code| code.bytes().all(|b| b.is_ascii_hexdigit()))?;
         out.push(char::from(u8::from_str_radix(code, 16).ok()?));
         rest = &behind[2..];
     }
@@ -49,5 +51,9 @@
             last.push(c);
         }
     }
-    pieces.into_iter().enumerate().map(|(part, text)| Some((u16::try_from(part).ok()?, text))).collect()
+    pieces
+        .into_iter()
+        .enumerate()
+        .map(|(part, text)| Some((u16::try_from(part).ok()?, text)))
+        .collect()
 }
--- a/replication/src/wire.rs
+++ b/replication/src/wire.rs
@@ -83,19 +83,33 @@
     fn write_text(&self) -> String {
         match self {
             Datagram::Entry(entry) => write_entry(entry),
-            Datagram::Digest { positions, all, sum } => {
+            Datagram::Digest {
+                positions,
+                all,
+                sum,
+            } => {
                 format!("{MARK} have {all:x} {sum:x}{}", listed(positions))
             }
             Datagram::RangeRequest { positions } => format!("{MARK} want{}", listed(positions)),
-            Datagram::GapRequest { log: LogId { writer, epoch }, gaps } => {
+            Datagram::GapRequest {
+                log: LogId { writer, epoch },
+                gaps,
+            } => {
                 let gap = |(behind, through): &(Index, Index)| format!(" {behind:x} {through:x}");
                 let gaps: String = gaps.iter().map(gap).collect();
                 format!("{MARK} lack {writer:x} {epoch:x}{gaps}")
             }
             Datagram::DigestRequest => format!("{MARK} ask"),
-            Datagram::Ack { process, positions } => format!("{MARK} held {process:x}{}", listed(positions)),
-            Datagram::SnapshotOffer(SnapshotOffer { process, total, logs }) => {
-                let positions: Vec<(LogId, Index)> = logs.iter().map(|l| (l.log, l.through)).collect();
+            Datagram::Ack { process, positions } => {
+                format!("{MARK} held {process:x}{}", listed(positions))
+            }
+            Datagram::SnapshotOffer(SnapshotOffer {
+                process,
+                total,
+                logs,
+            }) => {
+                let positions: Vec<(LogId, Index)> =
+                    logs.iter().map(|l| (l.log, l.through)).collect();
                 format!("{MARK} offer {process:x} {total:x}{}", listed(&positions))
             }
             Datagram::SnapshotRequest(SnapshotRequest { process, from }) => {
@@ -110,11 +124,18 @@
     pub fn read(bytes: &[u8]) -> Result<Self, DecodeError> {
         let body = payload(bytes, MARK)?;
         if let Some(chunk) = bytes.strip_prefix(CHUNK_MARK.as_bytes()) {
-            return snapshot::read_chunk(chunk).map(Datagram::SnapshotChunk).ok_or(DecodeError::Malformed);
+            return snapshot::read_chunk(chunk)
+                .map(Datagram::SnapshotChunk)
+                .ok_or(DecodeError::Malformed);
         }
         let text = std::str::from_utf8(body).map_err(|_| DecodeError::Malformed)?;
-        let mut words = text.strip_prefix(' ').ok_or(DecodeError::Malformed)?.split(' ');
-        Self::read_words(&mut words).filter(|_| words.next().is_none()).ok_or(DecodeError::Malformed)
+        let mut words = text
+            .strip_prefix(' ')
+            .ok_or(DecodeError::Malformed)?
+            .split(' ');
+        Self::read_words(&mut words)
+            .filter(|_| words.next().is_none())
+            .ok_or(DecodeError::Malformed)
     }
 
     fn read_words(words: &mut Words) -> Option<Self> {
@@ -122,20 +143,35 @@
             "entry" => read_entry(words).map(Datagram::Entry),
             "have" => {
                 let (all, sum) = (read_number(words)?, read_number(words)?);
-                Some(Datagram::Digest { positions: read_positions(words)?, all, sum })
+                Some(Datagram::Digest {
+                    positions: read_positions(words)?,
+                    all,
+                    sum,
+                })
             }
             "ask" => Some(Datagram::DigestRequest),
             "lack" => read_gaps(words),
-            "want" => Some(Datagram::RangeRequest { positions: read_positions(words)? }),
+            "want" => Some(Datagram::RangeRequest {
+                positions: read_positions(words)?,
+            }),
             "held" => {
                 let process = read_number(words)?;
-                Some(Datagram::Ack { process, positions: read_positions(words)? })
+                Some(Datagram::Ack {
+                    process,
+                    positions: read_positions(words)?,
+                })
             }
             "offer" => {
                 let (process, total) = (read_number(words)?, read_number(words)?);
                 let positions = read_positions(words)?.into_iter();
-                let logs = positions.map(|(log, through)| CompactedLog { log, through }).collect();
-                Some(Datagram::SnapshotOffer(SnapshotOffer { process, total, logs }))
+                let logs = positions
+                    .map(|(log, through)| CompactedLog { log, through })
+                    .collect();
+                Some(Datagram::SnapshotOffer(SnapshotOffer {
+                    process,
+                    total,
+                    logs,
+                }))
             }
             "fetch" => {
                 let (process, from) = (read_number(words)?, read_cursor(words)?);
@@ -147,7 +183,8 @@
 }
 
 fn listed(positions: &[(LogId, Index)]) -> String {
-    let one = |(log, index): &(LogId, Index)| format!(" {:x} {:x} {index:x}", log.writer, log.epoch);
+    let one =
+        |(log, index): &(LogId, Index)| format!(" {:x} {:x} {index:x}", log.writer, log.epoch);
     positions.iter().map(one).collect()
 }
 
@@ -158,13 +195,16 @@
         (Subject::Ban(id), false) => ("ban", id.clone()),
         (Subject::Ban(id), true) => ("unban", id.clone()),
         (Subject::Drain, revoked) => ("drain", if revoked { "over" } else { "on" }.to_owned()),
-        (Subject::Status { number, part, text }, _) => {
-            ("status", format!("{number:x}.{part:x}.{}", status::escape(text)))
-        }
+        (Subject::Status { number, part, text }, _) => (
+            "status",
+            format!("{number:x}.{part:x}.{}", status::escape(text)),
+        ),
         (Subject::Gone { writer, number }, _) => ("gone", format!("{writer:x}.{number:x}")),
     };
     let LogId { writer, epoch } = entry.log;
-    let Entry { prev, index, at, .. } = entry;
+    let Entry {
+        prev, index, at, ..
+    } = entry;
     format!("{MARK} entry {writer:x} {epoch:x} {prev:x} {index:x} {at:x} {kind} {subject}")
 }
 
@@ -172,7 +212,10 @@
     match cursor {
         SnapshotCursor::Log(LogId { writer, epoch }) => format!("log {writer:x} {epoch:x}"),
         SnapshotCursor::Bucket(index) => format!("bucket {:x}", index.value()),
-        SnapshotCursor::Entry { log: LogId { writer, epoch }, index } => {
+        SnapshotCursor::Entry {
+            log: LogId { writer, epoch },
+            index,
+        } => {
             format!("entry {writer:x} {epoch:x} {index:x}")
         }
         SnapshotCursor::End => "end".to_owned(),
@@ -190,13 +233,19 @@
 }
 
 fn read_log(words: &mut Words) -> Option<LogId> {
-    Some(LogId { writer: read_number(words)?, epoch: read_number(words)? })
+    Some(LogId {
+        writer: read_number(words)?,
+        epoch: read_number(words)?,
+    })
 }
 
 fn read_positions(words: &mut Words) -> Option<Vec<(LogId, Index)>> {
     let mut positions = Vec::new();
     while let Some(writer) = words.next() {
-        let log = LogId { writer: number(writer)?, epoch: read_number(words)? };
+        let log = LogId {
+            writer: number(writer)?,
+            epoch: read_number(words)?,
+        };
         positions.push((log, read_number(words)?));
     }
     (positions.len() <= MAX_LOGS_PER_DATAGRAM).then_some(positions)
@@ -208,8 +257,8 @@
     while let Some(behind) = words.next() {
         gaps.push((number(behind)?, read_number(words)?));
     }
-    let is_sound =
-        gaps.len() <= MAX_GAPS_PER_DATAGRAM && gaps.iter().all(|(behind, through)| behind < through);
+    let is_sound = gaps.len() <= MAX_GAPS_PER_DATAGRAM
+        && gaps.iter().all(|(behind, through)| behind < through);
     is_sound.then_some(Datagram::GapRequest { log, gaps })
 }
 
@@ -220,7 +269,10 @@
             let index = u32::try_from(read_number(words)?).ok()?;
             Some(SnapshotCursor::Bucket(BucketIndex::from(index)))
         }
-        "entry" => Some(SnapshotCursor::Entry { log: read_log(words)?, index: read_number(words)? }),
+        "entry" => Some(SnapshotCursor::Entry {
+            log: read_log(words)?,
+            index: read_number(words)?,
+        }),
         "end" => Some(SnapshotCursor::End),
         _ => None,
     }
@@ -228,14 +280,27 @@
 
 fn read_entry(words: &mut Words) -> Option<Entry> {
     let log = read_log(words)?;
-    let (prev, index, at) = (read_number(words)?, read_number(words)?, read_number(words)?);
+    let (prev, index, at) = (
+        read_number(words)?,
+        read_number(words)?,
+        read_number(words)?,
+    );
     let (subject, revoked) = read_subject(words.next()?, words.next()?)?;
-    (index > prev).then_some(Entry { log, index, prev, subject, at, revoked })
+    (index > prev).then_some(Entry {
+        log,
+        index,
+        prev,
+        subject,
+        at,
+        revoked,
+    })
 }
 
 fn read_subject(kind: &str, body: &str) -> Option<(Subject, bool)> {
     match (kind, body) {
-        ("object", object) if !object.is_empty() => Some((Subject::Object(object.to_owned()), false)),
+        ("object", object) if !object.is_empty() => {
+            Some((Subject::Object(object.to_owned()), false))
+        }
         ("group", group) => Some((Subject::Group(group.parse().ok()?), false)),
         ("ban", id) if !id.is_empty() => Some((Subject::Ban(id.to_owned()), false)),
         ("unban", id) if !id.is_empty() => Some((Subject::Ban(id.to_owned()), true)),
@@ -245,11 +310,24 @@
             let mut parts = body.splitn(3, '.');
             let (trigger, part) = (number(parts.next()?)?, number(parts.next()?)?);
             let text = status::unescape(parts.next()?)?;
-            Some((Subject::Status { number: trigger, part: u16::try_from(part).ok()?, text }, false))
+            Some((
+                Subject::Status {
+                    number: trigger,
+                    part: u16::try_from(part).ok()?,
+                    text,
+                },
+                false,
+            ))
         }
         ("gone", body) => {
             let (writer, trigger) = body.split_once('.')?;
-            Some((Subject::Gone { writer: number(writer)?, number: number(trigger)? }, false))
+            Some((
+                Subject::Gone {
+                    writer: number(writer)?,
+                    number: number(trigger)?,
+                },
+                false,
+            ))
         }
         _ => None,
     }
