--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -27,7 +27,11 @@
 
 /// A whole number, also where it is written with a point.
 pub fn as_int(v: &Value) -> Option<u64> {
-    v.as_u64().or_else(|| v.as_f64().filter(|f| *f >= 0.0 && f.is_finite()).map(|f| f as u64))
+    v.as_u64().or_else(|| {
+        v.as_f64()
+            .filter(|f| *f >= 0.0 && f.is_finite())
+            .map(|f| f as u64)
+    })
 }
 
 /// A whole number that must be there.
@@ -52,12 +56,17 @@
 
 /// A text that must be there.
 pub fn text(m: &Fields, key: &str) -> Result<String> {
-    need(m, key)?.as_str().map(str::to_owned).ok_or_else(|| wrong(key))
+    need(m, key)?
+        .as_str()
+        .map(str::to_owned)
+        .ok_or_else(|| wrong(key))
 }
 
 /// A text or its default.
 pub fn text_or(m: &Fields, key: &str, default: &str) -> Result<String> {
-    get(m, key).map_or(Ok(default.to_owned()), |v| v.as_str().map(str::to_owned).ok_or_else(|| wrong(key)))
+    get(m, key).map_or(Ok(default.to_owned()), |v| {
+        v.as_str().map(str::to_owned).ok_or_else(|| wrong(key))
+    })
 }
 
 /// A name that is left out, null or 0 when there is none.
@@ -72,7 +81,9 @@
 
 /// A list; empty by default.
 pub fn list<'a>(m: &'a Fields, key: &str) -> Result<&'a [Value]> {
-    get(m, key).map_or(Ok(&[][..]), |v| v.as_array().map(Vec::as_slice).ok_or_else(|| wrong(key)))
+    get(m, key).map_or(Ok(&[][..]), |v| {
+        v.as_array().map(Vec::as_slice).ok_or_else(|| wrong(key))
+    })
 }
 
 /// An object that must be there.
@@ -81,8 +92,16 @@
 }
 
 /// One place of a list.
-pub fn at<T>(m: &Fields, key: &str, i: usize, read: impl Fn(&Value) -> Option<T>) -> Result<Option<T>> {
-    list(m, key)?.get(i).map(|v| read(v).ok_or_else(|| wrong(key))).transpose()
+pub fn at<T>(
+    m: &Fields,
+    key: &str,
+    i: usize,
+    read: impl Fn(&Value) -> Option<T>,
+) -> Result<Option<T>> {
+    list(m, key)?
+        .get(i)
+        .map(|v| read(v).ok_or_else(|| wrong(key)))
+        .transpose()
 }
 
 /// A request is tried no more often than this, however often a site would let it be.
@@ -107,7 +126,10 @@
     let kinds = list(m, "kinds")?;
     let zones = zones(m, family)?;
     let own_zone = text(m, "zone")?;
-    let zone = zones.iter().position(|z| z.name == own_zone).unwrap_or(usize::MAX);
+    let zone = zones
+        .iter()
+        .position(|z| z.name == own_zone)
+        .unwrap_or(usize::MAX);
     let tenants = tenants(m)?;
     let telemetry = object_or_empty(m, "telemetry", &empty)?;
     Ok(w::Settings {
@@ -146,7 +168,9 @@
     }
     let rank = int_or(m, "rank", 0)?;
     if rank >= group {
-        return Err(format!("field 'rank' is {rank}, outside a 'group-size' of {group}"));
+        return Err(format!(
+            "field 'rank' is {rank}, outside a 'group-size' of {group}"
+        ));
     }
     Ok(get(m, "rank").and(u32::try_from(rank).ok()))
 }
@@ -193,7 +217,9 @@
 /// The name of the kind that a key of the family gives the place of; a negative place means none.
 fn kind(family: &Fields, kinds: &[Value], key: &str) -> Result<Option<String>> {
     let place = num_or(family, key, -1.0)?;
-    Ok((place >= 0.0).then(|| kinds.get(place as usize)?.as_str().map(str::to_owned)).flatten())
+    Ok((place >= 0.0)
+        .then(|| kinds.get(place as usize)?.as_str().map(str::to_owned))
+        .flatten())
 }
 
 /// The zones, with what the family's lists say of each by its place.
@@ -215,7 +241,10 @@
     let mut tenants = Vec::new();
     for v in list(m, "customers")? {
         let t = v.as_object().ok_or_else(|| wrong("customers"))?;
-        tenants.push(w::Tenant { name: text(t, "name")?, quota_rps: num_or(t, "quota-rps", 0.0)? });
+        tenants.push(w::Tenant {
+            name: text(t, "name")?,
+            quota_rps: num_or(t, "quota-rps", 0.0)?,
+        });
     }
     Ok(tenants)
 }
--- a/simnet/src/links.rs
+++ b/simnet/src/links.rs
@@ -51,9 +51,13 @@
             return Arrivals::default();
         }
         let first = now + self.delay(link, now, random);
-        let is_duplicated = self.duplication_ppm > 0 && random.below(MILLION) < self.duplication_ppm;
+        let is_duplicated =
+            self.duplication_ppm > 0 && random.below(MILLION) < self.duplication_ppm;
         let second = is_duplicated.then(|| first + 1 + random.below(self.delay_us.max(1)));
-        Arrivals { first: Some(first), second }
+        Arrivals {
+            first: Some(first),
+            second,
+        }
     }
 
     fn delay(&self, link: u64, now: Micros, random: &mut Random) -> Micros {
--- a/src/aging.rs
+++ b/src/aging.rs
@@ -20,7 +20,12 @@
 impl Counts {
     /// An empty table of at most so many entries; the least counted go first when it is full.
     pub(crate) fn new(half_s: f64, most: usize) -> Self {
-        Counts { entries: HashMap::new(), total: (0.0, 0), half_s, most }
+        Counts {
+            entries: HashMap::new(),
+            total: (0.0, 0),
+            half_s,
+            most,
+        }
     }
 
     /// All that was counted, also what the table holds no more.
@@ -64,8 +69,13 @@
     pub(crate) fn add(&mut self, now: Micros, took_s: f64, work_s: f64, held: f64) {
         let old = faded((1.0, self.at), now, Self::HALF_S);
         let (took_s, work_s) = (self.took_s * old + took_s, self.work_s * old + work_s);
-        *self =
-            Pace { took_s, work_s, held: self.held * old + held, number: self.number * old + 1.0, at: now };
+        *self = Pace {
+            took_s,
+            work_s,
+            held: self.held * old + held,
+            number: self.number * old + 1.0,
+            at: now,
+        };
     }
 
     /// Time taken over sending time, and transfers held, while so many of them still tell.
@@ -75,6 +85,7 @@
 
     /// The same once there were so many of them, however long ago.
     pub(crate) fn shown(&self, number: f64) -> Option<(f64, f64)> {
-        (self.number >= number).then(|| (self.took_s / self.work_s.max(1e-9), self.held / self.number))
+        (self.number >= number)
+            .then(|| (self.took_s / self.work_s.max(1e-9), self.held / self.number))
     }
 }
--- a/src/checks.rs
+++ b/src/checks.rs
@@ -57,6 +57,8 @@
         sound.extend(self.zones.iter().map(|z| ("zone link", z.link_kb_per_s)));
         let bad_sound = sound.iter().find(|(_, x)| !x.is_finite() || *x < 0.0);
         let bad_positive = positive.iter().find(|(_, x)| !x.is_finite() || *x <= 0.0);
-        bad_sound.or(bad_positive).map_or(Ok(()), |(name, _)| Err(SettingsError::BadFigure(name)))
+        bad_sound
+            .or(bad_positive)
+            .map_or(Ok(()), |(name, _)| Err(SettingsError::BadFigure(name)))
     }
 }
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -109,7 +109,7 @@
     source: Option<ServerId>,
     sent: Micros,
     overdue_at: Micros,
-    held: f64,  // Transfers that the server held, this one with them, as far as could be judged.
+    held: f64, // Transfers that the server held, this one with them, as far as could be judged.
     fills: f64, // Fills by the location's link when it was sent, this one with them.
     cancelled: bool,
     stuck_at: Micros, // When sharing no longer explains that it is still out; called off for that.
@@ -139,7 +139,7 @@
     stuck: u32,        // Attempts called off as stuck.
     errors: u32,       // Attempts that servers failed without a reason.
     erred: Option<ServerId>, // The server of the first of these: judged once another one serves the request.
-    missed: bool,      // Its cache was only looked into and holds no copy: it must be filled.
+    missed: bool,            // Its cache was only looked into and holds no copy: it must be filled.
     tried: Vec<ServerId>,
     bad_sources: Vec<ServerId>,
     /// First attempt that may have run: when it was sent, and its server's zone and cell.
@@ -193,7 +193,11 @@
     /// A router for one proxy. Equal settings, seed and events give equal actions.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
-        let usual_s: Vec<_> = settings.classes.iter().map(|c| (c.aim_us as f64 / 1e6 / 2.0, 0.0)).collect();
+        let usual_s: Vec<_> = settings
+            .classes
+            .iter()
+            .map(|c| (c.aim_us as f64 / 1e6 / 2.0, 0.0))
+            .collect();
         Ok(Router {
             settings,
             random: mix(seed ^ 0x5bd1_e995),
@@ -223,12 +227,21 @@
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         if !self.ticking {
             self.ticking = true;
-            actions.push(Action::Timer { at: now + TICK_US, tag: TICK_TAG });
+            actions.push(Action::Timer {
+                at: now + TICK_US,
+                tag: TICK_TAG,
+            });
             actions.extend(self.settings.ask_for_list.then_some(Action::Watch));
         }
         match event {
-            Event::List { mode: ListMode::Failed, .. } => {
-                actions.push(Action::Timer { at: now + WATCH_AGAIN_US, tag: WATCH_TAG });
+            Event::List {
+                mode: ListMode::Failed,
+                ..
+            } => {
+                actions.push(Action::Timer {
+                    at: now + WATCH_AGAIN_US,
+                    tag: WATCH_TAG,
+                });
             }
             Event::List { mode, servers } => self.list(mode == ListMode::Full, servers),
             Event::Request(r) => self.request(now, r, actions),
@@ -241,10 +254,19 @@
             Event::Timer { tag: TICK_TAG } => self.tick(now, actions),
             Event::Timer { tag: WATCH_TAG } => actions.push(Action::Watch),
             Event::Timer { .. } | Event::Probed { .. } => {}
-            Event::Heard { origin_share, for_us } => self.heard = (origin_share, now + for_us),
+            Event::Heard {
+                origin_share,
+                for_us,
+            } => self.heard = (origin_share, now + for_us),
             Event::Lease(lease) => drop(self.leases.insert(lease.budget, lease)),
-            Event::Purged { object, group, age_us } => {
-                let key = object.map_or(KeyHash::of_group(group), |object| KeyHash::of_object(&object));
+            Event::Purged {
+                object,
+                group,
+                age_us,
+            } => {
+                let key = object.map_or(KeyHash::of_group(group), |object| {
+                    KeyHash::of_object(&object)
+                });
                 self.purges.record(key, now.saturating_sub(age_us));
             }
         }
@@ -259,11 +281,19 @@
     fn list(&mut self, full: bool, entries: Vec<Server>) {
         if full {
             let named: Vec<ServerId> = entries.iter().map(|e| e.id).collect();
-            let left = self.servers.iter_mut().filter(|(id, _)| !named.contains(id));
+            let left = self
+                .servers
+                .iter_mut()
+                .filter(|(id, _)| !named.contains(id));
             left.for_each(|(_, known)| known.state = State::Gone);
         }
         for e in entries {
-            let zone = self.settings.zones.iter().position(|z| z.name == e.zone).unwrap_or(usize::MAX);
+            let zone = self
+                .settings
+                .zones
+                .iter()
+                .position(|z| z.name == e.zone)
+                .unwrap_or(usize::MAX);
             let role = if self.settings.parent_kind.as_ref() == Some(&e.kind) {
                 Role::Parent
             } else if self.settings.origin_kind == e.kind {
@@ -277,7 +307,11 @@
                 role,
                 zone,
                 cell: e.cell,
-                weight: if e.weight.is_finite() && e.weight > 0.0 { e.weight } else { 1.0 },
+                weight: if e.weight.is_finite() && e.weight > 0.0 {
+                    e.weight
+                } else {
+                    1.0
+                },
                 state: e.state,
                 started: e.started,
                 ..Known::default()
@@ -286,15 +320,23 @@
                 // A new start wipes what was held against the old process; what is out to it still counts.
                 Some(known) if known.started != e.started && e.state == State::Ready => {
                     let out = known.out;
-                    *known = Known { out, charged: std::mem::take(&mut known.charged), ..fresh };
+                    *known = Known {
+                        out,
+                        charged: std::mem::take(&mut known.charged),
+                        ..fresh
+                    };
                 }
                 Some(known) => (known.state, known.weight) = (e.state, fresh.weight),
                 None => drop(self.servers.insert(e.id, fresh)),
             }
         }
-        self.servers.retain(|_, s| s.state != State::Gone || s.out > 0); // New ones come under new ids.
+        self.servers
+            .retain(|_, s| s.state != State::Gone || s.out > 0); // New ones come under new ids.
         self.ready = [Role::Cache, Role::Parent, Role::Origin].map(|role| {
-            let ready = self.servers.iter().filter(|(_, s)| s.role == role && s.state == State::Ready);
+            let ready = self
+                .servers
+                .iter()
+                .filter(|(_, s)| s.role == role && s.state == State::Ready);
             ready.map(|(id, _)| *id).collect()
         });
     }
@@ -302,13 +344,20 @@
     fn request(&mut self, now: Micros, r: Request, actions: &mut Vec<Action>) {
         let Some(class) = self.settings.classes.iter().position(|c| c.name == r.class) else {
             // Nothing is known of what it may do: it was not tried, so it may be refused.
-            actions.push(Action::Refuse { request: r.id, retry_after_us: None });
+            actions.push(Action::Refuse {
+                request: r.id,
+                retry_after_us: None,
+            });
             return;
         };
         let object = KeyHash::of_object(&r.object).value();
         let unit = mix(object.wrapping_add(r.part.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
         let sized = self.settings.flow_kb_per_s > 0.0 && r.size_kb > 0.0;
-        let work_s = if sized { r.size_kb / self.settings.flow_kb_per_s } else { self.usual_s[class].0 };
+        let work_s = if sized {
+            r.size_kb / self.settings.flow_kb_per_s
+        } else {
+            self.usual_s[class].0
+        };
         // What could never be sent in time is no usual size: a client may claim any.
         if sized && work_s * 1e6 <= self.settings.classes[class].deadline_us as f64 {
             self.learn_usual(class, work_s);
@@ -316,8 +365,16 @@
         let c = &self.settings.classes[class];
         let aim_at = now + c.aim_us + (c.aim_stretch * work_s * 1e6) as Micros;
         let write = c.write;
-        let count = if write { 0.0 } else { self.objects.add(object, now) };
-        let repeats = if write { 0.0 } else { self.parts.add(unit, now) };
+        let count = if write {
+            0.0
+        } else {
+            self.objects.add(object, now)
+        };
+        let repeats = if write {
+            0.0
+        } else {
+            self.parts.add(unit, now)
+        };
         let open = Open {
             class,
             unit,
@@ -354,7 +411,9 @@
     /// Sends a request on, or gives it up.
     fn route(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         self.random = mix(self.random.wrapping_add(0x9e37_79b9_7f4a_7c15));
-        let Some(open) = self.open.get(&id) else { return };
+        let Some(open) = self.open.get(&id) else {
+            return;
+        };
         let class = &self.settings.classes[open.class];
         let late = open.deadline.saturating_sub(now) < LEAST_US
             || open.attempts >= self.settings.max_attempts
@@ -366,7 +425,8 @@
             if class.write {
                 self.pick_for_write(now, open, &ranked)
             } else {
-                self.pick_cache(now, open, &ranked).or_else(|| self.pick_beyond(now, open, &ranked))
+                self.pick_cache(now, open, &ranked)
+                    .or_else(|| self.pick_beyond(now, open, &ranked))
             }
         };
         match target {
@@ -378,16 +438,20 @@
     /// Whether a request may have run, and must not run again any more.
     fn is_barred(&self, now: Micros, open: &Open) -> bool {
         let class = &self.settings.classes[open.class];
-        open.may_have_run.is_some_and(|(sent, ..)| match class.repeat {
-            Repeat::Safe => false,
-            Repeat::Keyed => now.saturating_sub(sent) + LEAST_US >= class.window_us,
-            Repeat::Unsafe => true,
-        })
+        open.may_have_run
+            .is_some_and(|(sent, ..)| match class.repeat {
+                Repeat::Safe => false,
+                Repeat::Keyed => now.saturating_sub(sent) + LEAST_US >= class.window_us,
+                Repeat::Unsafe => true,
+            })
     }
 
     /// Whether an attempt that waited for its connection may begin now, and the oldest copy that will do.
     pub fn begins(&self, now: Micros, id: RequestId) -> Option<Option<Micros>> {
-        let open = self.open.get(&id).filter(|o| !o.over && !self.is_barred(now, o))?;
+        let open = self
+            .open
+            .get(&id)
+            .filter(|o| !o.over && !self.is_barred(now, o))?;
         Some(self.max_age_us(now, open))
     }
 
@@ -395,8 +459,14 @@
     fn max_age_us(&self, now: Micros, open: &Open) -> Option<Micros> {
         let keys = [KeyHash::from(open.object), KeyHash::of_group(open.group)];
         let fresh = Some(self.settings.classes[open.class].fresh_us).filter(|us| *us > 0);
-        let purged = keys.into_iter().filter_map(|key| self.purges.latest(key)).max();
-        purged.map(|at| now.saturating_sub(at).clamp(1, fresh.unwrap_or(Micros::MAX)))
+        let purged = keys
+            .into_iter()
+            .filter_map(|key| self.purges.latest(key))
+            .max();
+        purged.map(|at| {
+            now.saturating_sub(at)
+                .clamp(1, fresh.unwrap_or(Micros::MAX))
+        })
     }
 
     /// The design: the object's share gives its number of copies; a uniform pick among those caches at the
@@ -406,7 +476,9 @@
         let share = open.count / self.objects.total(now).max(PRIOR_REQUESTS);
         let copies = (share * all.len() as f64).ceil().max(1.0) as usize;
         let able = |id: &&ServerId| {
-            let fits = !open.tried.contains(id) && self.is_well(**id, now) && self.has_room(**id, now, open);
+            let fits = !open.tried.contains(id)
+                && self.is_well(**id, now)
+                && self.has_room(**id, now, open);
             fits && self.in_time(**id, now, open)
         };
         let free: Vec<ServerId> = all.iter().take(copies).filter(able).copied().collect();
@@ -414,19 +486,31 @@
             0 => *all.iter().skip(copies).find(able)?,
             n => free[(self.random % n) as usize],
         };
-        let source =
-            self.pick_sibling(now, open, ranked, chosen).or_else(|| self.pick_source(now, open, ranked));
+        let source = self
+            .pick_sibling(now, open, ranked, chosen)
+            .or_else(|| self.pick_source(now, open, ranked));
         (source.is_some() || !open.missed).then_some((chosen, source))
     }
 
     /// Where caches may fill each other: a cache that is not the first in the order, or the first just
     /// started, is filled from the one that most likely holds a copy, which spares the location's link.
-    fn pick_sibling(&self, now: Micros, open: &Open, ranked: &Ranked, chosen: ServerId) -> Option<ServerId> {
+    fn pick_sibling(
+        &self,
+        now: Micros,
+        open: &Open,
+        ranked: &Ranked,
+        chosen: ServerId,
+    ) -> Option<ServerId> {
         let order = &ranked.caches;
-        let cold = |id: &ServerId| self.servers.get(id).is_none_or(|s| self.warmth(s, now) < 1.0);
+        let cold = |id: &ServerId| {
+            self.servers
+                .get(id)
+                .is_none_or(|s| self.warmth(s, now) < 1.0)
+        };
         let first = order.iter().copied().find(|id| *id != chosen)?;
         let likely = order.first() != Some(&chosen) || cold(&chosen);
-        let fits = self.settings.siblings != Siblings::Off && likely && !open.bad_sources.contains(&first);
+        let fits =
+            self.settings.siblings != Siblings::Off && likely && !open.bad_sources.contains(&first);
         let able = self.is_well(first, now) && !cold(&first) && self.has_room(first, now, open);
         (fits && able && self.in_time(first, now, open)).then_some(first)
     }
@@ -437,56 +521,112 @@
         if open.failed_fills >= FILL_TRIES || self.link_full(now, open) {
             return None;
         }
-        let fits = |id: &&ServerId| !open.bad_sources.contains(id) && self.has_room(**id, now, open);
-        let mut well = ranked.parents.iter().filter(fits).filter(|id| self.is_well(**id, now));
+        let fits =
+            |id: &&ServerId| !open.bad_sources.contains(id) && self.has_room(**id, now, open);
+        let mut well = ranked
+            .parents
+            .iter()
+            .filter(fits)
+            .filter(|id| self.is_well(**id, now));
         let (first, second) = (well.next(), well.next());
         let pace = |id: Option<&ServerId>| self.servers.get(id?)?.fills.told(now, PACE_TOLD);
-        let slower = pace(first).zip(pace(second)).is_some_and(|(a, b)| a.0 > CLEARLY * b.0);
-        let origin = || ranked.origin.iter().find(|id| fits(id) && self.may_ask(now, open));
-        let marked =
-            || ranked.parents.iter().find(|id| fits(id) && self.servers.get(id).is_some_and(|s| !s.lost));
-        first.filter(|_| !slower).or(second).or_else(origin).or_else(marked).copied()
+        let slower = pace(first)
+            .zip(pace(second))
+            .is_some_and(|(a, b)| a.0 > CLEARLY * b.0);
+        let origin = || {
+            ranked
+                .origin
+                .iter()
+                .find(|id| fits(id) && self.may_ask(now, open))
+        };
+        let marked = || {
+            ranked
+                .parents
+                .iter()
+                .find(|id| fits(id) && self.servers.get(id).is_some_and(|s| !s.lost))
+        };
+        first
+            .filter(|_| !slower)
+            .or(second)
+            .or_else(origin)
+            .or_else(marked)
+            .copied()
     }
 
     /// Whether a request may have the origin asked: so many may, and further attempts are no further chances.
     fn may_ask(&self, now: Micros, open: &Open) -> bool {
-        let heard = if now < self.heard.1 { self.heard.0.max(ORIGIN_LEAST) } else { 1.0 };
+        let heard = if now < self.heard.1 {
+            self.heard.0.max(ORIGIN_LEAST)
+        } else {
+            1.0
+        };
         open.draw < self.origin_share.min(heard) && self.has_place(now)
     }
 
     fn rank(&self, unit: u64) -> Ranked {
         let order = |role: usize| {
-            let weight = |s: &Known| if self.settings.weights_told { s.weight } else { 1.0 };
-            let placed = self.ready[role].iter().filter_map(|id| self.servers.get_key_value(id));
-            let mut order: Vec<_> = placed.map(|(id, s)| (place(unit, *id, weight(s)), *id)).collect();
+            let weight = |s: &Known| {
+                if self.settings.weights_told {
+                    s.weight
+                } else {
+                    1.0
+                }
+            };
+            let placed = self.ready[role]
+                .iter()
+                .filter_map(|id| self.servers.get_key_value(id));
+            let mut order: Vec<_> = placed
+                .map(|(id, s)| (place(unit, *id, weight(s)), *id))
+                .collect();
             order.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-            order.into_iter().map(|(_, id)| id).collect::<Vec<ServerId>>()
+            order
+                .into_iter()
+                .map(|(_, id)| id)
+                .collect::<Vec<ServerId>>()
         };
-        Ranked { caches: order(0), parents: order(1), origin: order(2).first().copied() }
+        Ranked {
+            caches: order(0),
+            parents: order(1),
+            origin: order(2).first().copied(),
+        }
     }
 
     fn send(&mut self, now: Micros, id: RequestId, target: Target, actions: &mut Vec<Action>) {
         let (server, source) = target;
-        let Some(open) = self.open.get(&id) else { return };
-        let bound =
-            STUCK_TIMES * self.long[open.class] * self.base_s(open) * f64::from(1 << open.stuck.min(4));
+        let Some(open) = self.open.get(&id) else {
+            return;
+        };
+        let bound = STUCK_TIMES
+            * self.long[open.class]
+            * self.base_s(open)
+            * f64::from(1 << open.stuck.min(4));
         let held = self.servers.get(&server).map_or(0.0, |s| self.held(s)) + 1.0;
         let fills = self.fills() + 1.0;
         let may_ask = self.may_ask(now, open);
-        let fetches = source.is_some_and(|id| self.servers.get(&id).is_some_and(|s| s.role != Role::Cache));
+        let fetches =
+            source.is_some_and(|id| self.servers.get(&id).is_some_and(|s| s.role != Role::Cache));
         let max_age_us = self.max_age_us(now, open);
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         let class = &self.settings.classes[open.class];
         let fill = Fill {
             source: source.unwrap_or(server),
-            keep: if class.write { 0 } else { 1 + u8::from(open.repeats >= REPEAT_COUNT) },
+            keep: if class.write {
+                0
+            } else {
+                1 + u8::from(open.repeats >= REPEAT_COUNT)
+            },
             max_age_us,
             join: self.settings.joins && !class.write,
             only_held: !class.write && source.is_some() && !may_ask,
             bypass_parent: false,
             renew: class.fresh_us > 0 && open.repeats >= REPEAT_COUNT,
         };
-        let direct = self.servers.get(&server).is_some_and(|s| s.role != Role::Cache);
+        let direct = self
+            .servers
+            .get(&server)
+            .is_some_and(|s| s.role != Role::Cache);
         let attempt = Attempt {
             number: open.attempts,
             server,
@@ -506,13 +646,32 @@
         open.out = Some(attempt);
         for s in [Some(server), source].into_iter().flatten() {
             if let Some(known) = self.servers.get_mut(&s) {
-                known.charged.push_back((now, self.usual_s[open.class].0, id));
+                known
+                    .charged
+                    .push_back((now, self.usual_s[open.class].0, id));
                 known.on_trial = known.strikes > 0;
             }
         }
-        self.servers.get_mut(&server).into_iter().for_each(|known| known.out += 1);
-        let fill = if direct { Fill { keep: 0, join: false, renew: false, ..fill } } else { fill };
-        actions.push(Action::Attempt { request: id, server, timeout_us: None, fill: Some(fill) });
+        self.servers
+            .get_mut(&server)
+            .into_iter()
+            .for_each(|known| known.out += 1);
+        let fill = if direct {
+            Fill {
+                keep: 0,
+                join: false,
+                renew: false,
+                ..fill
+            }
+        } else {
+            fill
+        };
+        actions.push(Action::Attempt {
+            request: id,
+            server,
+            timeout_us: None,
+            fill: Some(fill),
+        });
     }
 
     // ---- Where the ordinary path has no answer ----
@@ -530,8 +689,9 @@
         if self.settings.direct && same_group(&origin) {
             return Some((origin, None));
         }
-        let fits =
-            |id: &&ServerId| same_group(id) && self.is_well(**id, now) && self.has_room(**id, now, open);
+        let fits = |id: &&ServerId| {
+            same_group(id) && self.is_well(**id, now) && self.has_room(**id, now, open)
+        };
         Some((*ranked.caches.iter().find(fits)?, Some(origin)))
     }
 
@@ -542,12 +702,18 @@
         let free = |id: &&ServerId| !open.tried.contains(id) && self.has_room(**id, now, open);
         let none_well = !ranked.caches.iter().any(|id| self.is_well(*id, now));
         if none_well && self.settings.direct && !self.link_full(now, open) {
-            if let Some(parent) = ranked.parents.iter().filter(free).find(|id| self.is_well(**id, now)) {
+            if let Some(parent) = ranked
+                .parents
+                .iter()
+                .filter(free)
+                .find(|id| self.is_well(**id, now))
+            {
                 return Some((*parent, ranked.origin));
             }
         }
-        let in_time =
-            |id: &&ServerId| self.servers.get(id).is_some_and(|s| !s.lost) && self.in_time(**id, now, open);
+        let in_time = |id: &&ServerId| {
+            self.servers.get(id).is_some_and(|s| !s.lost) && self.in_time(**id, now, open)
+        };
         let chosen = *ranked.caches.iter().filter(free).find(in_time)?;
         let source = self.pick_source(now, open, ranked);
         (source.is_some() || !open.missed).then_some((chosen, source))
@@ -557,28 +723,47 @@
 
     /// Not marked; once a mark has run out, a single trial at a time.
     fn is_well(&self, id: ServerId, now: Micros) -> bool {
-        self.servers.get(&id).is_some_and(|s| s.strikes == 0 || (now >= s.marked_until && !s.on_trial))
+        self.servers
+            .get(&id)
+            .is_some_and(|s| s.strikes == 0 || (now >= s.marked_until && !s.on_trial))
     }
 
     /// Whether the rules let a server be given this request, as target or as source of its fill.
     fn has_room(&self, id: ServerId, now: Micros, open: &Open) -> bool {
         // The rule weighs each by its class's mean: what is large has the same chance.
         let work_s = self.usual_s[open.class].0;
-        self.servers.get(&id).is_some_and(|s| s.state == State::Ready && self.cold_room(id, s, now, work_s))
+        self.servers
+            .get(&id)
+            .is_some_and(|s| s.state == State::Ready && self.cold_room(id, s, now, work_s))
     }
 
     /// Whether a request sent so many times slower than at full pace is in time: while it is wanted, or, once
     /// that is past, until the client gives up.
     fn fits(&self, now: Micros, open: &Open, times: f64, margin: f64) -> bool {
-        let until = if now < open.aim_at { open.aim_at.min(open.deadline) } else { open.deadline };
+        let until = if now < open.aim_at {
+            open.aim_at.min(open.deadline)
+        } else {
+            open.deadline
+        };
         open.work_s * times * 1e6 <= margin * until.saturating_sub(now) as f64
     }
 
     /// Whether a cache is not full: by its transfers from here and the capacity that its answers showed.
     fn in_time(&self, id: ServerId, now: Micros, open: &Open) -> bool {
-        let Some(s) = self.servers.get(&id) else { return false };
+        let Some(s) = self.servers.get(&id) else {
+            return false;
+        };
         let sharing = (self.held(s) + 1.0) / (self.shown_capacity(now, s) * self.warmth(s, now));
-        self.fits(now, open, sharing.max(1.0), if open.sized { CACHE_MARGIN } else { MARGIN_UNTOLD })
+        self.fits(
+            now,
+            open,
+            sharing.max(1.0),
+            if open.sized {
+                CACHE_MARGIN
+            } else {
+                MARGIN_UNTOLD
+            },
+        )
     }
 
     /// Transfers that a server holds: this router's own, and the others' guessed. Reported loads foretold
@@ -613,8 +798,17 @@
         let links: f64 = z.iter().map(|z| z.link_kb_per_s).sum();
         let places = z.iter().filter(|z| z.link_kb_per_s > 0.0).count().max(1) as f64;
         let link = links / places / self.settings.flow_kb_per_s.max(1.0);
-        let caches = self.servers.values().filter(|s| s.role == Role::Cache).count().max(1) as f64;
-        let part = if s.role == Role::Cache { link / caches } else { link };
+        let caches = self
+            .servers
+            .values()
+            .filter(|s| s.role == Role::Cache)
+            .count()
+            .max(1) as f64;
+        let part = if s.role == Role::Cache {
+            link / caches
+        } else {
+            link
+        };
         part.max(1.0)
     }
 
@@ -626,11 +820,20 @@
         let fits = if told > 0.0 {
             told / self.settings.flow_kb_per_s.max(1.0)
         } else {
-            let shown = self.link.shown(LINK_TOLD).filter(|(stretch, _)| *stretch >= STRETCHED);
-            let Some((stretch, held)) = shown else { return false };
+            let shown = self
+                .link
+                .shown(LINK_TOLD)
+                .filter(|(stretch, _)| *stretch >= STRETCHED);
+            let Some((stretch, held)) = shown else {
+                return false;
+            };
             held / stretch / faded((1.0, self.link.at), now, LINK_OPENS_S)
         };
-        let margin = if open.sized { LINK_MARGIN } else { MARGIN_UNTOLD };
+        let margin = if open.sized {
+            LINK_MARGIN
+        } else {
+            MARGIN_UNTOLD
+        };
         !self.fits(now, open, (self.fills() + 1.0) / fits.max(1e-3), margin)
     }
 
@@ -642,7 +845,9 @@
         let since_s = now.saturating_sub(self.origin_at).min(1_000_000) as f64 / 1e6;
         let weight = 1.0 + ORIGIN_PER_S * since_s;
         self.origin_share = match note {
-            Note::FilledByOrigin if late <= 1.0 => (self.origin_share + ORIGIN_STEP * weight).min(1.0),
+            Note::FilledByOrigin if late <= 1.0 => {
+                (self.origin_share + ORIGIN_STEP * weight).min(1.0)
+            }
             Note::FilledByOrigin | Note::OriginFailed | Note::SourceLost => {
                 let fall = ORIGIN_FALL.powf(late.clamp(1.0, ORIGIN_FALL_MOST) * weight);
                 (self.origin_share * fall).max(ORIGIN_LEAST)
@@ -661,37 +866,67 @@
     fn ramp(&self, s: &Known) -> Ramp {
         let r = &self.settings.rules;
         match s.role {
-            Role::Parent => Ramp { share: r.parent_cold_share, cold_us: r.parent_cold_us },
-            _ => Ramp { share: r.cold_share, cold_us: r.cold_us },
+            Role::Parent => Ramp {
+                share: r.parent_cold_share,
+                cold_us: r.parent_cold_us,
+            },
+            _ => Ramp {
+                share: r.cold_share,
+                cold_us: r.cold_us,
+            },
         }
     }
 
     fn warmth(&self, s: &Known, at: Micros) -> f64 {
-        s.started.max(s.back).map_or(1.0, |started| self.ramp(s).at(at.saturating_sub(started)))
+        s.started
+            .max(s.back)
+            .map_or(1.0, |started| self.ramp(s).at(at.saturating_sub(started)))
     }
 
     /// What this router may spend of a budget of all: by its lease, else one of so many equal shares.
     fn budget_share(&self, budget: Budget, routers: u32, now: Micros) -> f64 {
-        let leased = |lease: &Lease| if now < lease.until { lease.amount } else { lease.reserved };
-        self.leases.get(&budget).map_or(1.0 / f64::from(routers.max(1)), leased)
+        let leased = |lease: &Lease| {
+            if now < lease.until {
+                lease.amount
+            } else {
+                lease.reserved
+            }
+        };
+        self.leases
+            .get(&budget)
+            .map_or(1.0 / f64::from(routers.max(1)), leased)
     }
 
     /// Requests from here that the origin holds, or may hold.
     pub fn asking(&self) -> usize {
-        let origin = |id| self.servers.get(&id).is_some_and(|s| s.role == Role::Origin);
-        self.open.values().filter_map(|o| o.out.as_ref()).filter(|a| a.asks || origin(a.server)).count()
+        let origin = |id| {
+            self.servers
+                .get(&id)
+                .is_some_and(|s| s.role == Role::Origin)
+        };
+        self.open
+            .values()
+            .filter_map(|o| o.out.as_ref())
+            .filter(|a| a.asks || origin(a.server))
+            .count()
     }
 
     /// Whether the origin may hold one more: without a lease of its places there is no bound.
     fn has_place(&self, now: Micros) -> bool {
         let of = Budget::Origin;
-        !self.leases.contains_key(&of) || self.asking() as f64 + 1.0 <= self.budget_share(of, 1, now)
+        !self.leases.contains_key(&of)
+            || self.asking() as f64 + 1.0 <= self.budget_share(of, 1, now)
     }
 
     /// The greatest share of what a cold cache, or parent, bears that was sent from here; none: none is cold.
     pub fn cold_use(&self, now: Micros, parents: bool) -> Option<f64> {
-        let cold = self.servers.values().filter(|s| (s.role == Role::Parent) == parents);
-        cold.filter_map(|s| self.cold(s, now)).map(|(bears, spent)| spent / bears).reduce(f64::max)
+        let cold = self
+            .servers
+            .values()
+            .filter(|s| (s.role == Role::Parent) == parents);
+        cold.filter_map(|s| self.cold(s, now))
+            .map(|(bears, spent)| spent / bears)
+            .reduce(f64::max)
     }
 
     /// What a cold server bears within the rule's window, and what was sent from here; none: it is warm.
@@ -702,25 +937,44 @@
         if warmth >= 1.0 || s.role == Role::Origin || s.state != State::Ready {
             return None;
         }
-        let multiple = if s.role == Role::Parent { r.parent_fall_multiple } else { r.fall_multiple };
+        let multiple = if s.role == Role::Parent {
+            r.parent_fall_multiple
+        } else {
+            r.fall_multiple
+        };
         let bears = COLD_USE * multiple * warmth * self.capacity(s) * (r.fall_us as f64 / 1e6);
-        let spent = s.charged.iter().filter(|c| c.0 + r.fall_us >= now).map(|c| c.1).sum();
+        let spent = s
+            .charged
+            .iter()
+            .filter(|c| c.0 + r.fall_us >= now)
+            .map(|c| c.1)
+            .sum();
         Some((bears, spent))
     }
 
     /// Rule on cold servers: this router's share of the budget, retries and fills charged with the rest.
     fn cold_room(&self, id: ServerId, s: &Known, now: Micros, work_s: f64) -> bool {
-        let Some((bears, spent)) = self.cold(s, now) else { return true };
+        let Some((bears, spent)) = self.cold(s, now) else {
+            return true;
+        };
         let zones = &self.settings.zones;
         let share = match s.role {
-            Role::Parent => self.budget_share(Budget::Parents, zones.iter().map(|z| z.routers).sum(), now),
+            Role::Parent => {
+                self.budget_share(Budget::Parents, zones.iter().map(|z| z.routers).sum(), now)
+            }
             _ => self.budget_share(Budget::Caches, zones[self.settings.zone].routers, now),
         };
         // A share below one request is spent by turns, each of the largest class's usual work. A router
         // that starts again, and has forgotten what it sent, finds them where they were, by its number.
-        let (budget, turn_s) = (bears * share, self.usual_s.iter().map(|u| u.0).fold(0.0, f64::max));
+        let (budget, turn_s) = (
+            bears * share,
+            self.usual_s.iter().map(|u| u.0).fold(0.0, f64::max),
+        );
         let since = s.started.max(s.back).unwrap_or(0);
-        let number = self.settings.rank.map_or(share_of(mix(self.seed)), |rank| GOLDEN * f64::from(rank));
+        let number = self
+            .settings
+            .rank
+            .map_or(share_of(mix(self.seed)), |rank| GOLDEN * f64::from(rank));
         let own = share_of(mix(id ^ mix(since))) + number;
         let (age, window) = (now.saturating_sub(since), self.settings.rules.fall_us);
         let turn = budget < turn_s && self.ramp(s).is_turn(age, budget / turn_s, window, own);
@@ -730,7 +984,9 @@
     /// Counts a success or failure of a server; failing servers are marked, longer each time, and come back
     /// by way of a single trial.
     fn judge(&mut self, now: Micros, id: ServerId, failed: Option<f64>) {
-        let Some(s) = self.servers.get_mut(&id) else { return };
+        let Some(s) = self.servers.get_mut(&id) else {
+            return;
+        };
         s.on_trial = false;
         match failed {
             None => {
@@ -764,78 +1020,123 @@
     /// Silence: a server that hangs shows only in what does not come back. All that is overdue there is
     /// called off and goes elsewhere.
     fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        actions.push(Action::Timer { at: now + TICK_US, tag: TICK_TAG });
+        actions.push(Action::Timer {
+            at: now + TICK_US,
+            tag: TICK_TAG,
+        });
         self.purges.compact(now, self.settings.rules.purge_done_us);
         let step = TICK_US as f64 / 1e6 / MEAN_S;
         for s in self.servers.values_mut() {
             s.mean_out += step * (s.out as f64 - s.mean_out);
-            s.charged.retain(|c| c.0 + self.settings.rules.fall_us >= now);
+            s.charged
+                .retain(|c| c.0 + self.settings.rules.fall_us >= now);
         }
         let under_way = |o: &&Open| {
             let since = |a: &Attempt| now.saturating_sub(a.sent) as f64 / 1e6;
             // What is stuck is lost rather than filled.
             let fills = |a: &Attempt| since(a) > 1.5 * o.work_s + WAY_S && now <= a.stuck_at;
-            o.out.as_ref().is_some_and(|a| fills(a) && self.is_well(a.server, now))
+            o.out
+                .as_ref()
+                .is_some_and(|a| fills(a) && self.is_well(a.server, now))
         };
         self.filling = self.open.values().filter(under_way).count() as f64;
         self.mean_filling += step * (self.filling - self.mean_filling);
         let mut overdue: BTreeMap<ServerId, (usize, Micros)> = BTreeMap::new();
-        for a in self.open.values().filter_map(|o| o.out.as_ref()).filter(|a| a.overdue_at < now) {
+        for a in self
+            .open
+            .values()
+            .filter_map(|o| o.out.as_ref())
+            .filter(|a| a.overdue_at < now)
+        {
             for id in [Some(a.server), a.source].into_iter().flatten() {
                 let entry = overdue.entry(id).or_insert((0, a.sent));
                 *entry = (entry.0 + 1, entry.1.min(a.sent));
             }
         }
         for (id, (count, since)) in overdue {
-            let Some(s) = self.servers.get_mut(&id) else { continue };
+            let Some(s) = self.servers.get_mut(&id) else {
+                continue;
+            };
             if (count >= OVERDUE_COUNT || s.on_trial) && s.last_ok < since {
                 Self::mark(s, now);
             }
         }
         for (id, o) in &mut self.open {
             let safe = self.settings.classes[o.class].repeat == Repeat::Safe && !o.begun;
-            let Some(a) = o.out.as_mut().filter(|a| self.settings.cancel && safe && !a.cancelled) else {
+            let Some(a) = o
+                .out
+                .as_mut()
+                .filter(|a| self.settings.cancel && safe && !a.cancelled)
+            else {
                 continue;
             };
             let silent = |id: &ServerId| {
-                self.servers.get(id).is_some_and(|s| now < s.marked_until && s.last_ok < a.sent)
+                self.servers
+                    .get(id)
+                    .is_some_and(|s| now < s.marked_until && s.last_ok < a.sent)
             };
-            let hangs = a.overdue_at < now && (silent(&a.server) || a.source.as_ref().is_some_and(silent));
+            let hangs =
+                a.overdue_at < now && (silent(&a.server) || a.source.as_ref().is_some_and(silent));
             if hangs || now > a.stuck_at {
                 a.stuck = !hangs;
                 a.cancelled = true;
-                actions.push(Action::Cancel { request: *id, attempt: a.number });
+                actions.push(Action::Cancel {
+                    request: *id,
+                    attempt: a.number,
+                });
             }
         }
     }
 
     fn outcome(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         let Event::Outcome {
-            request: id, attempt: number, outcome, took_us, settled, note, waited_us, ..
+            request: id,
+            attempt: number,
+            outcome,
+            took_us,
+            settled,
+            note,
+            waited_us,
+            ..
         } = event
         else {
             return;
         };
-        let Some(base_s) = self.open.get(&id).map(|open| self.base_s(open)) else { return };
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let Some(attempt) = open.out.take_if(|a| a.number == number) else { return };
+        let Some(base_s) = self.open.get(&id).map(|open| self.base_s(open)) else {
+            return;
+        };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
+        let Some(attempt) = open.out.take_if(|a| a.number == number) else {
+            return;
+        };
         let (class, over, work_s, sized) = (open.class, open.over, open.work_s, open.sized);
         let server = attempt.server;
         open.stuck += u32::from(attempt.stuck);
         let mut erred = open.erred.filter(|id| *id != server);
         // Where a server answered others meanwhile, only this answer may be lost: the work ran, and the copy
         // is there by now, so the same server is asked again.
-        let answered = |id: ServerId| self.servers.get(&id).is_some_and(|s| s.last_ok > attempt.sent);
+        let answered = |id: ServerId| {
+            self.servers
+                .get(&id)
+                .is_some_and(|s| s.last_ok > attempt.sent)
+        };
         let slow = attempt.stuck && answered(server);
         let again = slow && open.stuck == 1;
         let mute = attempt.source.filter(|id| attempt.stuck && !answered(*id));
         // A parent that is lost tells nothing of the origin: the others must go on asking it.
-        let by_origin = attempt.source.is_some_and(|id| note != Note::SourceLost || answered(id));
+        let by_origin = attempt
+            .source
+            .is_some_and(|id| note != Note::SourceLost || answered(id));
         // Nothing came back while it was wanted, though cache and source are well: an origin that is asked
         // for more than it can do shows that first, and many routers see nothing else of it.
         let aim_us = self.settings.classes[class].aim_us.max(1);
         let ended = matches!(outcome, Outcome::Timeout | Outcome::Cancelled);
-        let sound = answered(server) && attempt.source.is_none_or(|id| answered(id) || self.is_well(id, now));
+        let sound = answered(server)
+            && attempt
+                .source
+                .is_none_or(|id| answered(id) || self.is_well(id, now));
         let unanswered = attempt.asks && ended && took_us > aim_us && sound;
         let capacity = self.servers.get(&server).map_or(0.0, |s| self.capacity(s));
         let hit = outcome == Outcome::Ok && matches!(note, Note::Hit | Note::Stale);
@@ -848,20 +1149,29 @@
         let held_now = self.servers.get(&server).map_or(0.0, |s| self.held(s));
         if let Some(s) = self.servers.get_mut(&server) {
             if hit {
-                s.hits.add(now, took_s, work_s + WAY_S, (attempt.held + held_now) / 2.0);
+                s.hits
+                    .add(now, took_s, work_s + WAY_S, (attempt.held + held_now) / 2.0);
             }
             s.out = s.out.saturating_sub(1);
         }
         // However it ended, a trial is over: left open by what judges nobody, it would bar the server.
         for id in [Some(server), attempt.source].into_iter().flatten() {
-            self.servers.get_mut(&id).into_iter().for_each(|s| s.on_trial = false);
+            self.servers
+                .get_mut(&id)
+                .into_iter()
+                .for_each(|s| s.on_trial = false);
         }
         // What was called off as slow had its share of the link all the while. What timed out at the client's
         // deadline may as well have waited for the origin, which says nothing of the link.
         let filled = outcome == Outcome::Ok && matches!(note, Note::Filled | Note::FilledByOrigin);
         if sized && attempt.source.is_some() && (filled || slow) {
             let moving_s = took_us.saturating_sub(waited_us) as f64 / 1e6;
-            self.link.add(now, moving_s, work_s + WAY_S, (attempt.fills + self.fills()) / 2.0);
+            self.link.add(
+                now,
+                moving_s,
+                work_s + WAY_S,
+                (attempt.fills + self.fills()) / 2.0,
+            );
         }
         if unanswered {
             self.learn_origin(now, Note::OriginFailed, took_us as f64 / aim_us as f64);
@@ -871,17 +1181,26 @@
             let clear = note == Note::FilledByOrigin && late >= ORIGIN_TOLD;
             self.found = clear.then_some(self.origin_share).or(self.found);
         }
-        let told = matches!(note, Note::SourceRefused | Note::SourceLost | Note::OriginFailed);
+        let told = matches!(
+            note,
+            Note::SourceRefused | Note::SourceLost | Note::OriginFailed
+        );
         // Where reasons are not told, cache or source failed: the blame is shared by their failures so far,
         // and the sound one is cleared by its other answers.
-        let failing = |id: ServerId| self.servers.get(&id).map_or(0.0, |s| s.failing) + FAIL_STEP / 4.0;
-        let untold = self.settings.tells != Tells::All && matches!(outcome, Outcome::Full | Outcome::Error);
+        let failing =
+            |id: ServerId| self.servers.get(&id).map_or(0.0, |s| s.failing) + FAIL_STEP / 4.0;
+        let untold =
+            self.settings.tells != Tells::All && matches!(outcome, Outcome::Full | Outcome::Error);
         let shared = attempt.source.filter(|_| untold).map(failing);
-        let blame = shared.map_or(f64::from(u8::from(told)), |source| source / (source + failing(server)));
+        let blame = shared.map_or(f64::from(u8::from(told)), |source| {
+            source / (source + failing(server))
+        });
         let by_source = blame >= 0.5;
         match outcome {
             Outcome::Ok => {
-                erred.into_iter().for_each(|id| self.judge(now, id, Some(1.0)));
+                erred
+                    .into_iter()
+                    .for_each(|id| self.judge(now, id, Some(1.0)));
                 self.judge(now, server, None);
                 let longer = f64::from(u8::from(took_s > self.long[class] * base_s));
                 self.long[class] *= 1.0 + LONG_STEP * (longer - LONG_SHARE);
@@ -894,7 +1213,8 @@
                     } else if note != Note::None && note != Note::Joined {
                         self.judge(now, source, None);
                         let s = self.servers.get_mut(&source).filter(|_| sized);
-                        s.into_iter().for_each(|s| s.fills.add(now, took_s, work_s + WAY_S, 0.0));
+                        s.into_iter()
+                            .for_each(|s| s.fills.add(now, took_s, work_s + WAY_S, 0.0));
                     }
                 }
             }
@@ -905,14 +1225,23 @@
                     self.long[class] *= 1.0 + LONG_STEP * (1.0 - LONG_SHARE);
                 }
                 let muted = [Some(server).filter(|_| !again), mute];
-                muted.into_iter().flatten().for_each(|id| self.judge(now, id, Some(STUCK_WEIGHT)));
+                muted
+                    .into_iter()
+                    .flatten()
+                    .for_each(|id| self.judge(now, id, Some(STUCK_WEIGHT)));
             }
             Outcome::Miss | Outcome::Moot | Outcome::Cancelled => {}
-            _ if told => attempt.source.into_iter().for_each(|id| self.judge(now, id, Some(1.0))),
+            _ if told => attempt
+                .source
+                .into_iter()
+                .for_each(|id| self.judge(now, id, Some(1.0))),
             Outcome::Full if note == Note::NoFillPlace || note == Note::SourceLacks => {}
             _ if shared.is_some() => {
                 self.judge(now, server, Some(1.0 - blame));
-                attempt.source.into_iter().for_each(|id| self.judge(now, id, Some(blame)));
+                attempt
+                    .source
+                    .into_iter()
+                    .for_each(|id| self.judge(now, id, Some(blame)));
             }
             Outcome::Timeout if now < attempt.overdue_at => {}
             Outcome::ConnectFailed | Outcome::Unreached => {
@@ -922,7 +1251,10 @@
             }
             Outcome::Reset => {
                 // One break ends all that is out on a connection: it counts once.
-                let last = self.servers.get_mut(&server).map(|s| std::mem::replace(&mut s.reset_at, now));
+                let last = self
+                    .servers
+                    .get_mut(&server)
+                    .map(|s| std::mem::replace(&mut s.reset_at, now));
                 if last.is_some_and(|last| last != now) {
                     self.judge(now, server, Some(RESET_WEIGHT));
                 }
@@ -935,12 +1267,18 @@
             self.open.remove(&id);
             return;
         }
-        let lost = outcome == Outcome::Cancelled && attempt.source.is_some_and(|id| !self.is_well(id, now));
+        let lost = outcome == Outcome::Cancelled
+            && attempt.source.is_some_and(|id| !self.is_well(id, now));
         let by_source = by_source || lost && self.is_well(server, now);
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         use Outcome::{ConnectFailed, Full, Miss, Moot, Unreached};
         if !matches!(outcome, Full | ConnectFailed | Unreached | Moot | Miss) {
-            let place = self.servers.get(&server).map_or((usize::MAX, u64::MAX), |s| (s.zone, s.cell));
+            let place = self
+                .servers
+                .get(&server)
+                .map_or((usize::MAX, u64::MAX), |s| (s.zone, s.cell));
             open.may_have_run = open.may_have_run.or(Some((attempt.sent, place.0, place.1)));
         }
         open.bad_sources.extend(mute);
@@ -949,7 +1287,11 @@
             open.erred = open.erred.or(erred);
         }
         // An untold failure may be the origin's behind the source: another fill would only add to its load.
-        open.failed_fills += if shared.is_some() { 2 } else { u32::from(by_source || mute.is_some()) };
+        open.failed_fills += if shared.is_some() {
+            2
+        } else {
+            u32::from(by_source || mute.is_some())
+        };
         if by_source || outcome == Outcome::Miss || note == Note::SourceLacks {
             // What two parents lack hardly any other holds, and the cache has just been looked into.
             open.missed |= outcome == Outcome::Miss;
@@ -963,19 +1305,28 @@
 
     /// The client left: what is out for it is called off, so that no link carries it in vain.
     fn left(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let Some(a) = open.out.as_mut() else { return drop(self.open.remove(&id)) };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
+        let Some(a) = open.out.as_mut() else {
+            return drop(self.open.remove(&id));
+        };
         open.over = true;
         if self.settings.cancel && !a.cancelled && !open.begun {
             a.cancelled = true;
-            actions.push(Action::Cancel { request: id, attempt: a.number });
+            actions.push(Action::Cancel {
+                request: id,
+                attempt: a.number,
+            });
         }
     }
 
     /// The final answer to a request that no server is to be tried for: at once, and a refusal if that is
     /// known to be safe.
     fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.open.remove(&id) else { return };
+        let Some(open) = self.open.remove(&id) else {
+            return;
+        };
         let class = &self.settings.classes[open.class];
         let refusable = match class.repeat {
             Repeat::Safe => true,
@@ -984,7 +1335,14 @@
         };
         // Advice is given also where clients are not said to follow it: it does them no harm.
         let most = Some(self.settings.max_retry_after_us).filter(|us| *us > 0);
-        let refusal = Action::Refuse { request: id, retry_after_us: most.map(|us| us.min(RETRY_AFTER_US)) };
-        actions.push(if refusable { refusal } else { Action::Fail { request: id } });
+        let refusal = Action::Refuse {
+            request: id,
+            retry_after_us: most.map(|us| us.min(RETRY_AFTER_US)),
+        };
+        actions.push(if refusable {
+            refusal
+        } else {
+            Action::Fail { request: id }
+        });
     }
 }
--- a/store/src/file.rs
+++ b/store/src/file.rs
@@ -2,8 +2,8 @@
 
 use crate::medium;
 use redb::{
-    AccessGuard, Database, DatabaseError, ReadOnlyDatabase, ReadOnlyTable, ReadableDatabase, ReadableTable,
-    StorageBackend, StorageError, Table, TableDefinition, TableError,
+    AccessGuard, Database, DatabaseError, ReadOnlyDatabase, ReadOnlyTable, ReadableDatabase,
+    ReadableTable, StorageBackend, StorageError, Table, TableDefinition, TableError,
 };
 use std::fmt;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -37,7 +37,9 @@
     }
 
     fn of(name: &[u8]) -> Option<Self> {
-        Self::KNOWN.into_iter().find(|format| format.name().as_bytes() == name)
+        Self::KNOWN
+            .into_iter()
+            .find(|format| format.name().as_bytes() == name)
     }
 }
 
@@ -80,17 +82,29 @@
 impl Write {
     /// Gives a key a value.
     pub fn put(space: Space, key: Vec<u8>, value: Vec<u8>) -> Self {
-        Write { space, key, change: Change::Put(value) }
+        Write {
+            space,
+            key,
+            change: Change::Put(value),
+        }
     }
 
     /// Takes a key out.
     pub fn remove(space: Space, key: Vec<u8>) -> Self {
-        Write { space, key, change: Change::Remove }
+        Write {
+            space,
+            key,
+            change: Change::Remove,
+        }
     }
 
     /// Takes a key out if it has a value.
     pub fn remove_if(space: Space, key: Vec<u8>, value: Vec<u8>) -> Self {
-        Write { space, key, change: Change::RemoveIf(value) }
+        Write {
+            space,
+            key,
+            change: Change::RemoveIf(value),
+        }
     }
 }
 
@@ -133,7 +147,9 @@
         redb::Error::UpgradeRequired(version) => Fault::Format(format!("redb file {version}")),
         redb::Error::RepairAborted => Fault::Damaged("its repair was broken off".into()),
         // What is no store at all comes as invalid data.
-        redb::Error::Io(e) if e.kind() == std::io::ErrorKind::InvalidData => Fault::Damaged(e.to_string()),
+        redb::Error::Io(e) if e.kind() == std::io::ErrorKind::InvalidData => {
+            Fault::Damaged(e.to_string())
+        }
         e => Fault::Disk(e.to_string()),
     }
 }
@@ -150,7 +166,9 @@
         Change::Put(value) => drop(table.insert(key, value.as_slice())?),
         Change::Remove => drop(table.remove(key)?),
         Change::RemoveIf(value) => {
-            let is_same = table.get(key)?.is_some_and(|found| found.value() == value.as_slice());
+            let is_same = table
+                .get(key)?
+                .is_some_and(|found| found.value() == value.as_slice());
             if is_same {
                 drop(table.remove(key)?);
             }
@@ -175,7 +193,9 @@
 
 impl fmt::Debug for Store {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Store").field("sound", &self.db.is_some()).finish()
+        f.debug_struct("Store")
+            .field("sound", &self.db.is_some())
+            .finish()
     }
 }
 
@@ -194,7 +214,9 @@
     /// with a file, or what only a repair can tell of it, is left to the opening.
     fn refuse_unknown(path: &Path) -> Result<(), Fault> {
         let format = || -> Result<Option<Vec<u8>>, redb::Error> {
-            let table = ReadOnlyDatabase::open(path)?.begin_read()?.open_table(HEAD.table())?;
+            let table = ReadOnlyDatabase::open(path)?
+                .begin_read()?
+                .open_table(HEAD.table())?;
             Ok(table.get(VERSION)?.map(|found| found.value().to_vec()))
         };
         match catch_unwind(AssertUnwindSafe(format)) {
@@ -217,13 +239,17 @@
         drop(Self::by(Box::new(move || medium::create_file(&made)))?);
         std::fs::rename(&beside, path).map_err(disk)?;
         match path.parent().filter(|p| !p.as_os_str().is_empty()) {
-            Some(folder) => std::fs::File::open(folder).and_then(|f| f.sync_all()).map_err(disk),
+            Some(folder) => std::fs::File::open(folder)
+                .and_then(|f| f.sync_all())
+                .map_err(disk),
             None => Ok(()),
         }
     }
 
     /// Opens a store on a medium of the caller's, as tests do that lose what was not synced.
-    pub fn on<B: StorageBackend>(mut medium: impl FnMut() -> B + Send + 'static) -> Result<Self, Fault> {
+    pub fn on<B: StorageBackend>(
+        mut medium: impl FnMut() -> B + Send + 'static,
+    ) -> Result<Self, Fault> {
         Self::by(Box::new(move || medium::open_on(medium())))
     }
 
@@ -272,7 +298,10 @@
 
     /// The value of a key.
     pub fn get(&mut self, space: Space, key: &[u8]) -> Result<Option<Vec<u8>>, Fault> {
-        self.read(space, |table| Ok(table.get(key)?.map(|value| value.value().to_vec()))).map(Option::flatten)
+        self.read(space, |table| {
+            Ok(table.get(key)?.map(|value| value.value().to_vec()))
+        })
+        .map(Option::flatten)
     }
 
     /// All keys of a space with their values, in the keys' order.
@@ -300,7 +329,9 @@
                 Err(e) => Err(e.into()),
             }
         };
-        catch_unwind(AssertUnwindSafe(read)).map_err(|_| broken())?.map_err(fault)
+        catch_unwind(AssertUnwindSafe(read))
+            .map_err(|_| broken())?
+            .map_err(fault)
     }
 
     /// Writes a group: all of it is on the disk when this returns, or none of it ever is. After an error it may be
--- a/store/src/keeper.rs
+++ b/store/src/keeper.rs
@@ -35,19 +35,28 @@
 fn commit(store: &mut Store, group: &[Write]) -> Result<(), Fault> {
     // Points at which tests end the process or have the disk fail; nothing at all in a release build.
     fail::fail_point!("store-commits");
-    fail::fail_point!("store-fails", |_| Err(Fault::Disk("no space is left".into())));
+    fail::fail_point!("store-fails", |_| Err(Fault::Disk(
+        "no space is left".into()
+    )));
     store.commit(group)?;
     fail::fail_point!("store-committed");
     Ok(())
 }
 
-fn work(mut store: Store, jobs: &Receiver<(Ticket, Write)>, done: &Sender<Done>, wake: &dyn Fn()) -> Store {
+fn work(
+    mut store: Store,
+    jobs: &Receiver<(Ticket, Write)>,
+    done: &Sender<Done>,
+    wake: &dyn Fn(),
+) -> Store {
     let mut failing = false;
     while let Ok((mut to, first)) = jobs.recv() {
         // What came while the disk was busy goes with the next sync, all of it.
         let mut group = vec![first];
         while group.len() < GROUP {
-            let Ok((ticket, next)) = jobs.try_recv() else { break };
+            let Ok((ticket, next)) = jobs.try_recv() else {
+                break;
+            };
             group.push(next);
             to = ticket;
         }
@@ -82,12 +91,22 @@
         let (tell, done) = unbounded();
         let work = move || work(store, &given, &tell, &wake);
         let worker = thread::Builder::new().name(name.to_owned()).spawn(work)?;
-        Ok(Keeper { jobs, done, worker, given: 0, heard: 0, most: most.max(1) })
+        Ok(Keeper {
+            jobs,
+            done,
+            worker,
+            given: 0,
+            heard: 0,
+            most: most.max(1),
+        })
     }
 
     /// Writes that may be given now.
     pub fn room(&self) -> usize {
-        self.most - usize::try_from(self.given - self.heard).unwrap_or(usize::MAX).min(self.most)
+        self.most
+            - usize::try_from(self.given - self.heard)
+                .unwrap_or(usize::MAX)
+                .min(self.most)
     }
 
     /// Hands a write over; none where there is no room, and nothing was taken.
--- a/store/src/medium.rs
+++ b/store/src/medium.rs
@@ -50,12 +50,18 @@
 
 /// Opens a store on a medium, or begins it on an empty one.
 pub(crate) fn open_on(medium: impl StorageBackend) -> Result<Database, DatabaseError> {
-    Database::builder().set_cache_size(CACHE_BYTES).create_with_backend(SyncedGrowth(medium))
+    Database::builder()
+        .set_cache_size(CACHE_BYTES)
+        .create_with_backend(SyncedGrowth(medium))
 }
 
 /// Begins a store in a file that is not there yet.
 pub(crate) fn create_file(path: &Path) -> Result<Database, DatabaseError> {
-    let file = OpenOptions::new().read(true).write(true).create_new(true).open(path)?;
+    let file = OpenOptions::new()
+        .read(true)
+        .write(true)
+        .create_new(true)
+        .open(path)?;
     open_on(FileBackend::new(file)?)
 }
 
