--- a/budgets/src/lib.rs
+++ b/budgets/src/lib.rs
@@ -27,8 +27,6 @@
 //! - `holding`: the holder's side of a budget.
 //! - `allocation`, `ledger`, `fair_share`: the allocator's side of a budget: what is granted, and what may be.
 //! - `member`: one member, which joins these.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod allocation;
 mod election;
--- a/budgets/tests/fleet.rs
+++ b/budgets/tests/fleet.rs
@@ -216,7 +216,7 @@
             by_member
                 .entry(outgoing.to)
                 .or_default()
-                .push(outgoing.message)
+                .push(outgoing.message);
         });
         let datagrams = by_member
             .values()
@@ -298,7 +298,7 @@
                         member: from,
                         process,
                     };
-                    self.arrive(Envelope { from, message }, to)
+                    self.arrive(Envelope { from, message }, to);
                 }
                 Step::Due(n) => {
                     self.spend(n);
--- a/consul/src/answer.rs
+++ b/consul/src/answer.rs
@@ -56,7 +56,7 @@
 
 impl<T> Field<T> {
     /// Where the value is needed: none where nothing is said, or what is wrong with it.
-    pub fn needed(&self) -> Result<Option<&T>, String> {
+    pub(crate) fn needed(&self) -> Result<Option<&T>, String> {
         match self {
             Field::Absent => Ok(None),
             Field::Is(value) => Ok(Some(value)),
@@ -65,7 +65,7 @@
     }
 
     /// Where it is of use but not needed.
-    pub fn known(&self) -> Option<&T> {
+    pub(crate) fn known(&self) -> Option<&T> {
         if let Field::Is(value) = self {
             Some(value)
         } else {
@@ -137,7 +137,7 @@
 
 impl Instance {
     /// Its checks. What each of them says is needed; what it is called and its notes only make a better reason.
-    pub fn checks(&self) -> Result<Vec<Standing<'_>>, (String, String)> {
+    pub(crate) fn checks(&self) -> Result<Vec<Standing<'_>>, (String, String)> {
         let all = self
             .checks
             .needed()
@@ -171,7 +171,7 @@
 impl<'a> Checks<'a> {
     /// Why the instance must get no fresh work, if it must not. What the operators did by hand comes first: it
     /// says most.
-    pub fn fault(&self) -> Option<Reason> {
+    pub(crate) fn fault(&self) -> Option<Reason> {
         let failing = || {
             self.0
                 .iter()
@@ -193,7 +193,7 @@
     }
 
     /// A check that warns.
-    pub fn warning(&self) -> Option<&'a str> {
+    pub(crate) fn warning(&self) -> Option<&'a str> {
         self.0.iter().find(|c| c.status == "warning").map(|c| c.id)
     }
 }
@@ -227,7 +227,7 @@
 
 impl Elements {
     /// Takes bytes in, and gives each element that has become whole.
-    pub fn read(
+    pub(crate) fn read(
         &mut self,
         bytes: &[u8],
         mut each: impl FnMut(&[u8]) -> Result<(), String>,
@@ -299,7 +299,7 @@
     }
 
     /// Whether the list is whole.
-    pub fn is_whole(&self) -> bool {
+    pub(crate) fn is_whole(&self) -> bool {
         self.place == Place::AfterList
     }
 }
--- a/consul/src/lib.rs
+++ b/consul/src/lib.rs
@@ -7,8 +7,6 @@
 //!
 //! The shapes and rules are those of Consul's published API pages: 'Blocking Queries', 'Consistency Modes', 'Health',
 //! 'Catalog', 'Agent Service' and 'Agent Check'.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod answer;
 mod backoff;
--- a/consul/tests/watch.rs
+++ b/consul/tests/watch.rs
@@ -408,7 +408,7 @@
             "tagged addresses in small letters",
             Box::new(|i| {
                 i["Service"]["TaggedAddresses"] = json!({"lan": {"address": "10.1.10.12", "port": 8000},
-                    "wan": {"address": "198.18.1.2", "port": 80}})
+                    "wan": {"address": "198.18.1.2", "port": 80}});
             }),
         ),
         (
--- a/daemon/src/daemon/admin.rs
+++ b/daemon/src/daemon/admin.rs
@@ -313,7 +313,7 @@
         }
         // Idle connections are not closed at once: the front sends on them until it has heard the first no.
         if let Some(at) = self.ops.next_sweep(now) {
-            self.later(at, |daemon, now| daemon.sweep(now));
+            self.later(at, Daemon::sweep);
         }
     }
 
@@ -335,7 +335,7 @@
             }
         }
         if let Some(at) = self.ops.next_sweep(now) {
-            self.later(at, |daemon, now| daemon.sweep(now));
+            self.later(at, Daemon::sweep);
         }
     }
 }
--- a/daemon/src/daemon/boxes.rs
+++ b/daemon/src/daemon/boxes.rs
@@ -15,11 +15,11 @@
                 Told::Ended(attempt, ended)
                     if ended.outcome == Outcome::Unreached && self.hears(now, server) =>
                 {
-                    self.core.ended(now, attempt, Outcome::Moot.into())
+                    self.core.ended(now, attempt, Outcome::Moot.into());
                 }
                 Told::Ended(attempt, ended) => self.core.ended(now, attempt, ended),
                 Told::Probed(outcome, took_us, load) => {
-                    self.core.probed(now, server, outcome, took_us, load)
+                    self.core.probed(now, server, outcome, took_us, load);
                 }
             }
         }
--- a/daemon/src/daemon/exchange.rs
+++ b/daemon/src/daemon/exchange.rs
@@ -55,7 +55,7 @@
         let key = self.call(now, to, Kind::Exchange(exchange)).ok()?;
         if let Some(us) = timeout_us {
             self.later(now + us, move |daemon, now| {
-                daemon.end(now, key, End::TimedOut)
+                daemon.end(now, key, End::TimedOut);
             });
         }
         Some(key)
--- a/daemon/src/daemon/feeds/bus.rs
+++ b/daemon/src/daemon/feeds/bus.rs
@@ -134,7 +134,7 @@
     }
 
     fn wake_bus(&mut self, at: Micros) {
-        let due = self.later(at, |daemon, now| daemon.check_bus(now));
+        let due = self.later(at, Daemon::check_bus);
         if let Some(due) = self.bus.timer.replace(due) {
             self.deadlines.take_back(due);
         }
--- a/daemon/src/daemon/feeds/consul/call.rs
+++ b/daemon/src/daemon/feeds/consul/call.rs
@@ -77,7 +77,7 @@
                     let body = std::mem::take(&mut self.body);
                     if let Some((head, then)) = self.head.take().zip(self.then.take()) {
                         effects.push(Box::new(move |daemon, now| {
-                            then(daemon, now, Ok((head, body)))
+                            then(daemon, now, Ok((head, body)));
                         }));
                     }
                     return Ok(Flow::Done);
@@ -93,7 +93,7 @@
             End::Closed if self.head.is_some() && self.messages.may_end() => {
                 let (head, body) = (self.head.take()?, self.body);
                 return Some(Box::new(move |daemon, now| {
-                    then(daemon, now, Ok((head, body)))
+                    then(daemon, now, Ok((head, body)));
                 }));
             }
             End::Unreachable => Failure::Unreachable,
--- a/daemon/src/daemon/feeds/consul/mod.rs
+++ b/daemon/src/daemon/feeds/consul/mod.rs
@@ -247,7 +247,7 @@
         match step {
             Some(Step::Registered) => log::info!("registered in Consul"),
             Some(Step::Forgotten) => {
-                log::warn!("the agent has forgotten the registration: it is taken up again")
+                log::warn!("the agent has forgotten the registration: it is taken up again");
             }
             Some(Step::Left) => log::info!("deregistered in Consul"),
             Some(Step::Failed(why)) => log::warn!("the registration: the agent {why}"),
--- a/daemon/src/daemon/neighbours.rs
+++ b/daemon/src/daemon/neighbours.rs
@@ -50,7 +50,7 @@
         };
         let (post, tries, status) = (self.post.clone(), self.tries, head.status());
         effects.push(Box::new(move |daemon, now| {
-            daemon.posted(now, post, tries, status)
+            daemon.posted(now, post, tries, status);
         }));
         Ok(Flow::Done)
     }
@@ -58,7 +58,7 @@
     fn ended(self: Box<Self>, _: End) -> Option<Effect> {
         let (post, tries) = (self.post, self.tries);
         Some(Box::new(move |daemon, now| {
-            daemon.posted(now, post, tries, None)
+            daemon.posted(now, post, tries, None);
         }))
     }
 }
--- a/daemon/src/disk.rs
+++ b/daemon/src/disk.rs
@@ -49,7 +49,7 @@
             for job in given {
                 match replace(&job.path, &job.bytes) {
                     Ok(()) if std::mem::take(&mut failing) => {
-                        log::info!("{} is written again", job.path.display())
+                        log::info!("{} is written again", job.path.display());
                     }
                     Ok(()) => {}
                     // Said once: a full disk stays full for long.
--- a/daemon/src/ledger/mod.rs
+++ b/daemon/src/ledger/mod.rs
@@ -3,7 +3,7 @@
 //! (`linnetknot_replication`), its own and those of others; a worker thread writes it.
 //!
 //! Purges are held one by one up to a bound. Older ones are moved to a compact table of fixed size, in memory by the
-//! replica (`Replica::compact`) and on the disk by [`compaction`].
+//! replica (`Replica::compact`) and on the disk by `compaction`.
 
 mod codec;
 mod compaction;
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -2,8 +2,6 @@
 //!
 //! `core` deals in requests, attempts and outcomes and drives the module; fronts and upstreams translate between
 //! it and their wires; `net` owns sockets, buffers and deadlines; `daemon` ties them together.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod budgets;
 pub mod bus;
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,5 +1,4 @@
 //! Starts the daemon, or checks what it would be started with. Everything else is the library's.
-#![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
 use linnetknot_daemon::{config, config::Config, daemon::Daemon, fleet, interconnect, logging};
--- a/daemon/src/upstream/answers.rs
+++ b/daemon/src/upstream/answers.rs
@@ -93,7 +93,7 @@
                 self.open.remove(&answer.id);
             }
             Some(Stream::GivenUp(_, None) | Stream::Answered(_)) | None => {
-                log::debug!("a box answered what is not open")
+                log::debug!("a box answered what is not open");
             }
         }
         Ok(())
--- a/daemon/tests/between.rs
+++ b/daemon/tests/between.rs
@@ -631,7 +631,7 @@
             &(0..4).filter(|n| *n != of).collect::<Vec<_>>(),
             of,
             "alive",
-        )
+        );
     });
     let before = lives(&fleet, 0, "p3");
     fleet.kill(3).unwrap();
@@ -655,7 +655,7 @@
             &(0..5).filter(|n| *n != of).collect::<Vec<_>>(),
             of,
             "alive",
-        )
+        );
     });
     fleet.gates.set((0, 1), LinkConditions::CUT);
     fleet.gates.set((1, 2), LinkConditions::CUT);
@@ -680,7 +680,7 @@
             &(0..4).filter(|n| *n != of).collect::<Vec<_>>(),
             of,
             "alive",
-        )
+        );
     });
     let before = lives(&fleet, 0, "p3");
     fleet.stall(3).unwrap();
--- a/daemon/tests/budgets.rs
+++ b/daemon/tests/budgets.rs
@@ -217,11 +217,9 @@
 
 #[test]
 fn an_allocator_that_is_killed_is_followed_by_another_and_comes_back_as_one_of_them() {
-    lost_and_found(
-        2,
-        |ground, allocator| ground.kill(allocator),
-        |ground, allocator| ground.restart(allocator, ""),
-    );
+    lost_and_found(2, Ground::kill, |ground, allocator| {
+        ground.restart(allocator, "");
+    });
 }
 
 /// It stands still for longer than its votes last, another has them by then, and it goes on as if nothing was: two that
--- a/daemon/tests/common/ledger_on_medium.rs
+++ b/daemon/tests/common/ledger_on_medium.rs
@@ -10,18 +10,18 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::Duration;
 
-pub const WRITER: u64 = 1;
+pub(crate) const WRITER: u64 = 1;
 /// Purges that a ledger holds one by one.
-pub const WINDOW: usize = 8;
+pub(crate) const WINDOW: usize = 8;
 /// Steps of time between purges.
-pub const STEP_US: Micros = 10_000;
+pub(crate) const STEP_US: Micros = 10_000;
 /// The worker's word is waited for so long.
 const TIMEOUT: Duration = Duration::from_secs(10);
 /// The same between two ticks, after which there may be nothing to say.
 const TICK_TIMEOUT: Duration = Duration::from_millis(100);
 const MAX_TICKS: usize = 100;
 
-pub fn bounds(window: usize, bucket_bits: BucketBits) -> Bounds {
+pub(crate) fn bounds(window: usize, bucket_bits: BucketBits) -> Bounds {
     let replication = Options {
         max_exact_entries: window,
         ..Options::default()
@@ -33,16 +33,16 @@
     }
 }
 
-pub fn object(n: u64) -> String {
+pub(crate) fn object(n: u64) -> String {
     format!("{n:016x}")
 }
 
-pub fn subject(n: u64) -> Subject {
+pub(crate) fn subject(n: u64) -> Subject {
     Subject::Object(object(n))
 }
 
 /// All pairs of the spaces that a ledger writes.
-pub fn all_pairs(store: &mut Store) -> Vec<(Space, Vec<Pair>)> {
+pub(crate) fn all_pairs(store: &mut Store) -> Vec<(Space, Vec<Pair>)> {
     let spaces = ["head", "own", "entries", "buckets", "compacted", "table"].map(Space);
     spaces
         .into_iter()
@@ -50,13 +50,13 @@
         .collect()
 }
 
-pub fn open_store(medium: &Medium) -> Store {
+pub(crate) fn open_store(medium: &Medium) -> Store {
     let clone = medium.clone();
     Store::on(move || clone.clone()).unwrap()
 }
 
 /// A ledger and the word of its worker.
-pub struct Running {
+pub(crate) struct Running {
     pub ledger: Ledger,
     pub medium: Medium,
     woken: Receiver<()>,
@@ -64,11 +64,15 @@
 }
 
 impl Running {
-    pub fn open(medium: &Medium, now: Micros, bounds: Bounds) -> Result<Running, LedgerError> {
+    pub(crate) fn open(
+        medium: &Medium,
+        now: Micros,
+        bounds: Bounds,
+    ) -> Result<Running, LedgerError> {
         Self::open_as(WRITER, medium, now, bounds)
     }
 
-    pub fn open_as(
+    pub(crate) fn open_as(
         writer: u64,
         medium: &Medium,
         now: Micros,
@@ -89,16 +93,16 @@
         })
     }
 
-    pub fn is_stopped(&self) -> bool {
+    pub(crate) fn is_stopped(&self) -> bool {
         self.medium.0.lock().unwrap().left == Some(0)
     }
 
-    pub fn is_synced(&self) -> bool {
+    pub(crate) fn is_synced(&self) -> bool {
         self.ledger.replica().is_synced() && self.ledger.is_compaction_synced()
     }
 
     /// Takes in the worker's word until all is on the disk, or the medium has stopped.
-    pub fn settle(&mut self) -> Vec<Outgoing> {
+    pub(crate) fn settle(&mut self) -> Vec<Outgoing> {
         let mut outgoing = self.ledger.take_completions(self.now);
         while !self.is_synced() && !self.is_stopped() {
             self.woken
@@ -110,7 +114,7 @@
     }
 
     /// Lets time pass until all is on the disk: what it did not take is given to it again at each tick.
-    pub fn settle_in_time(&mut self) {
+    pub(crate) fn settle_in_time(&mut self) {
         for _ in 0..MAX_TICKS {
             self.now += 1_000_000;
             self.ledger.tick(self.now);
@@ -124,12 +128,12 @@
     }
 
     /// Waits a little for a word of the worker, if none has come. What it tells is left to be taken in.
-    pub fn await_disk(&self) {
+    pub(crate) fn await_disk(&self) {
         let _ = self.woken.recv_timeout(TICK_TIMEOUT);
     }
 
     /// Waits for one word of the worker.
-    pub fn hear(&mut self) -> Vec<Outgoing> {
+    pub(crate) fn hear(&mut self) -> Vec<Outgoing> {
         self.woken
             .recv_timeout(TIMEOUT)
             .expect("the worker has a word");
@@ -137,7 +141,7 @@
     }
 
     /// Purges an object and waits for the disk. Gives the entry if it is acknowledged.
-    pub fn purge(&mut self, n: u64) -> Option<Entry> {
+    pub(crate) fn purge(&mut self, n: u64) -> Option<Entry> {
         self.now += STEP_US;
         let entry = self
             .ledger
@@ -149,13 +153,13 @@
     }
 
     /// Whether a purge is in force: as an entry or in the table, no earlier than told.
-    pub fn holds(&self, entry: &Entry) -> bool {
+    pub(crate) fn holds(&self, entry: &Entry) -> bool {
         self.ledger.replica().log_store().effective(&entry.subject) >= Some(entry.at)
     }
 }
 
 /// Purges objects, some of them again, until the medium stops. Gives what was acknowledged.
-pub fn run_until_stopped(medium: &Medium, bounds: Bounds) -> Vec<Entry> {
+pub(crate) fn run_until_stopped(medium: &Medium, bounds: Bounds) -> Vec<Entry> {
     let mut acknowledged = Vec::new();
     // Some logs are begun by the crash before: their epoch is the time of their beginning.
     let now = 1_000_000 + medium.0.lock().unwrap().operations * 1_000_000;
@@ -174,7 +178,7 @@
 
 /// Stops a ledger at each operation that it makes on the medium, loses what was not synced, and opens it again. Gives
 /// what was acknowledged and is not in force then, with the operation.
-pub fn lost_by_crashes(bounds: Bounds) -> Vec<(u64, Entry)> {
+pub(crate) fn lost_by_crashes(bounds: Bounds) -> Vec<(u64, Entry)> {
     let calm = Medium::default();
     drop(open_store(&calm));
     let begun = calm.0.lock().unwrap().operations;
--- a/daemon/tests/common/mod.rs
+++ b/daemon/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use std::fmt::Debug;
 
 /// Runs from a fixed seed: every run tries the same cases.
-pub fn fixed(cases: u32) -> ProptestConfig {
+pub(crate) fn fixed(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
         rng_seed: RngSeed::Fixed(0x11ae),
@@ -16,7 +16,7 @@
 }
 
 /// All items of some bytes that come cut at these places, or the error that ends them.
-pub fn items<P: Parser>(
+pub(crate) fn items<P: Parser>(
     mut parser: P,
     bytes: &[u8],
     cuts: &[usize],
@@ -40,7 +40,7 @@
 }
 
 /// Whole and cut, valid bytes give the same; garbage in their midst gives an error or items, never a panic.
-pub fn check<P: Parser>(
+pub(crate) fn check<P: Parser>(
     new: impl Fn() -> P,
     valid: &[u8],
     cuts: &[usize],
--- a/daemon/tests/descriptors.rs
+++ b/daemon/tests/descriptors.rs
@@ -66,8 +66,9 @@
     setrlimit(Resource::Nofile, own).unwrap();
     let mut child = child.unwrap();
     until("it listens", || WebServer::connect(front).is_ok());
-    let held =
-        || std::fs::read_dir(format!("/proc/{}/fd", child.id())).map_or(0, |fds| fds.count());
+    let held = || {
+        std::fs::read_dir(format!("/proc/{}/fd", child.id())).map_or(0, std::iter::Iterator::count)
+    };
     // Four times as many as it may hold, on both of its listeners.
     let crowd: Vec<WebServer> = (0..200)
         .map(|_| WebServer::connect(front).unwrap())
--- a/daemon/tests/handover.rs
+++ b/daemon/tests/handover.rs
@@ -166,7 +166,7 @@
         b.behave(Manner {
             padding: BYTES,
             ..Manner::default()
-        })
+        });
     });
     let mut slow: Vec<WebServer> = (0..4)
         .map(|n| {
--- a/daemon/tests/loopback.rs
+++ b/daemon/tests/loopback.rs
@@ -670,7 +670,7 @@
         b.behave(Manner {
             hold_ms: 250,
             ..Manner::default()
-        })
+        });
     });
     (1..=6).for_each(|n| web.ask(n, "photo", &object(u64::from(n)), 2500).unwrap());
     rig.boxes[0].wait_for(|a| a.word == "fetch").unwrap();
@@ -698,7 +698,7 @@
     for round in 0..3 {
         (1..=8).for_each(|n| {
             web.ask(n, "photo", &object(round * 8 + u64::from(n)), 2500)
-                .unwrap()
+                .unwrap();
         });
         for _ in 1..=8 {
             assert_eq!(web.end().unwrap().1.unwrap().status, 200);
--- a/daemon/tests/rig/mod.rs
+++ b/daemon/tests/rig/mod.rs
@@ -14,7 +14,7 @@
 use std::thread::JoinHandle;
 
 /// A daemon on a thread of its own, with stand-ins around it.
-pub struct Rig {
+pub(crate) struct Rig {
     pub front: SocketAddr,
     pub cdni: SocketAddr,
     /// The admin listener, where the configuration has one.
@@ -39,7 +39,7 @@
 }
 
 /// Holds a daemon's loop for as long as it lives.
-pub struct Held(Arc<Gate>);
+pub(crate) struct Held(Arc<Gate>);
 
 impl Drop for Held {
     fn drop(&mut self) {
@@ -48,14 +48,14 @@
     }
 }
 
-pub const READY: &str = "ready";
+pub(crate) const READY: &str = "ready";
 
 impl Rig {
-    pub fn start() -> Rig {
+    pub(crate) fn start() -> Rig {
         Rig::with(&["s-0a"], |_| {})
     }
 
-    pub fn with(boxes: &[&'static str], change: impl Fn(&mut Value)) -> Rig {
+    pub(crate) fn with(boxes: &[&'static str], change: impl Fn(&mut Value)) -> Rig {
         let bus = Bus::start().unwrap();
         let boxes: Vec<StandIn> = boxes
             .iter()
@@ -148,7 +148,7 @@
 
     /// Holds the daemon's loop fast, in the midst of a reload, for as long as the guard lives: whatever comes meanwhile it
     /// finds all at once, in its next turn.
-    pub fn hold(&mut self) -> Held {
+    pub(crate) fn hold(&mut self) -> Held {
         *self.gate.shut.lock().unwrap() = true;
         let before = self.reads.load(Ordering::SeqCst);
         self.control.reload().unwrap();
@@ -158,22 +158,22 @@
         Held(self.gate.clone())
     }
 
-    pub fn web(&self) -> WebServer {
+    pub(crate) fn web(&self) -> WebServer {
         WebServer::connect(self.front).unwrap()
     }
 
     /// Stops the daemon, which must end well.
-    pub fn stop(mut self) {
+    pub(crate) fn stop(mut self) {
         self.control.stop().unwrap();
         self.run.join().unwrap().unwrap();
     }
 }
 
-pub fn one(web: &mut WebServer, class: &str, object: &str) -> Answer {
+pub(crate) fn one(web: &mut WebServer, class: &str, object: &str) -> Answer {
     web.ask(1, class, object, 2500).unwrap();
     web.end().unwrap().1.expect("an answer")
 }
 
-pub fn object(n: u64) -> String {
+pub(crate) fn object(n: u64) -> String {
     format!("{n:016x}")
 }
--- a/datagram/src/lib.rs
+++ b/datagram/src/lib.rs
@@ -1,7 +1,5 @@
 //! What all datagrams between the proxies of an installation have in common: their bound, the mark and version at
 //! their head, why one can't be read, and the numbers that those who send them draw.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 use std::fmt;
 
--- a/discovery/src/lib.rs
+++ b/discovery/src/lib.rs
@@ -10,8 +10,6 @@
 //! - A box that any source says drains, fails or is gone is given out as not ready by the call that tells it.
 //! - Damping alone holds back at most a stated share of the boxes of a zone and kind, and none for ever.
 //! - A relayed source with no other beside it is given out as it came, to the event.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod book;
 mod damping;
--- a/discovery/tests/common/mod.rs
+++ b/discovery/tests/common/mod.rs
@@ -8,11 +8,11 @@
 };
 use std::collections::BTreeMap;
 
-pub const S: Micros = 1_000_000;
-pub const BUS: SourceId = SourceId(0);
-pub const CONSUL: SourceId = SourceId(1);
+pub(crate) const S: Micros = 1_000_000;
+pub(crate) const BUS: SourceId = SourceId(0);
+pub(crate) const CONSUL: SourceId = SourceId(1);
 
-pub fn entry(uid: &str, port: u16, state: State) -> Entry {
+pub(crate) fn entry(uid: &str, port: u16, state: State) -> Entry {
     let (zone, kind) = ("here".to_owned(), "box".to_owned());
     let server = Server {
         id: server_id(uid),
@@ -30,7 +30,7 @@
     }
 }
 
-pub fn report(uid: &str, port: u16, state: State) -> Report {
+pub(crate) fn report(uid: &str, port: u16, state: State) -> Report {
     let reason = if state == State::Ready {
         Reason::Told
     } else {
@@ -42,7 +42,7 @@
     }
 }
 
-pub fn source(name: &str, relayed: bool) -> Source {
+pub(crate) fn source(name: &str, relayed: bool) -> Source {
     Source {
         name: name.to_owned(),
         relayed,
@@ -51,7 +51,7 @@
 }
 
 /// A book with a relayed bus and a damped Consul.
-pub fn book() -> Discovery {
+pub(crate) fn book() -> Discovery {
     let sources = vec![source("bus", true), source("consul", false)];
     Discovery::new(
         sources,
@@ -65,10 +65,10 @@
 
 /// The list as the module holds it, from the events alone.
 #[derive(Clone, Debug, Default)]
-pub struct Mirror(pub BTreeMap<String, Entry>);
+pub(crate) struct Mirror(pub BTreeMap<String, Entry>);
 
 impl Mirror {
-    pub fn hear(&mut self, out: &Output) {
+    pub(crate) fn hear(&mut self, out: &Output) {
         for (mode, entries) in &out.events {
             if *mode == ListMode::Full {
                 self.0
@@ -81,11 +81,11 @@
         }
     }
 
-    pub fn state(&self, uid: &str) -> State {
+    pub(crate) fn state(&self, uid: &str) -> State {
         self.0.get(uid).map_or(State::Gone, |e| e.server.state)
     }
 }
 
-pub fn full(reports: Vec<Report>) -> Evidence {
+pub(crate) fn full(reports: Vec<Report>) -> Evidence {
     Evidence::Full(reports)
 }
--- a/drill/src/main.rs
+++ b/drill/src/main.rs
@@ -1,5 +1,4 @@
 //! Hosts many router instances on the bench's wire: one JSON value a line in, one a line out. No decisions here.
-#![forbid(unsafe_code)]
 
 mod wire;
 
--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -11,7 +11,7 @@
 
 /// The instances, and the batch being read.
 #[derive(Default)]
-pub struct Host {
+pub(crate) struct Host {
     routers: BTreeMap<u64, w::Router>,
     now: u64,
     round: Option<u64>,
@@ -191,7 +191,7 @@
 
 impl Host {
     /// Takes a line in; at the end of a batch gives the reply to it.
-    pub fn line(&mut self, line: &str) -> Result<Option<String>> {
+    pub(crate) fn line(&mut self, line: &str) -> Result<Option<String>> {
         let value: Value = serde_json::from_str(line).map_err(|e| format!("not JSON: {e}"))?;
         let m = value.as_object().ok_or("not a JSON object")?;
         let kind = text(m, "event_type")?;
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -14,8 +14,6 @@
 //! A process id is one run of a process under a name. A later process beats all that was said of an earlier one, so a machine
 //! that comes back, with its disk or without, is not taken for the one that died, and an old process that goes on
 //! after its successor has begun learns that it was replaced.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod gossip;
 mod member;
--- a/ops/src/lib.rs
+++ b/ops/src/lib.rs
@@ -2,8 +2,6 @@
 //! (`state`: readiness, drains, pop-cache bans) and how that state is kept whole across an upgrade (`store`).
 //!
 //! Times are microseconds on the caller's clock, handed in with every call.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod admin;
 pub mod state;
--- a/ops/src/store.rs
+++ b/ops/src/store.rs
@@ -58,7 +58,7 @@
         let save = |kept: &Kept| {
             copies(&folder)
                 .iter()
-                .for_each(|p| std::fs::write(p, encode(kept)).unwrap())
+                .for_each(|p| std::fs::write(p, encode(kept)).unwrap());
         };
         save(&kept);
         assert_eq!(load(&folder), kept);
--- a/origin-health/src/lib.rs
+++ b/origin-health/src/lib.rs
@@ -16,8 +16,6 @@
 //! - Nothing received is sent on: a proxy speaks of its own answers only, so no report feeds itself.
 //! - One proxy speaks once in `MIN_REPORT_INTERVAL_US` at most, and not at all while another of its zone has just done
 //!   so: the datagrams of a trouble grow with the zones and the proxies, not with the square of the proxies.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod report;
 
--- a/purges/src/lib.rs
+++ b/purges/src/lib.rs
@@ -18,8 +18,6 @@
 //! assert_eq!(table.latest(film), Some(1_000_000));
 //! assert_eq!(table.latest(KeyHash::of_group(7)), None);
 //! ```
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod bucket;
 pub mod compact;
--- a/purges/src/time.rs
+++ b/purges/src/time.rs
@@ -3,7 +3,7 @@
 /// Microseconds since a fixed start, in the daemon the Unix epoch.
 pub type Micros = u64;
 
-/// Microseconds in one unit of a [`Stamp`].
+/// Microseconds in one unit of a a bucket's stamps.
 pub const STAMP_UNIT_US: Micros = 1_000;
 
 /// A time in milliseconds, rounded up, in 42 bits; 0 is the absence of a time, so time 0 is stamp 1.
--- a/purges/tests/common/mod.rs
+++ b/purges/tests/common/mod.rs
@@ -5,15 +5,15 @@
 use linnetknot_purges::{BucketBits, CompactTable, KeyHash, Micros, PurgeTable};
 
 mod formula;
-pub use formula::*;
+pub(crate) use formula::*;
 
-pub const SECOND_US: Micros = 1_000_000;
+pub(crate) const SECOND_US: Micros = 1_000_000;
 /// Keeps the keys that are looked up apart from those that were purged.
 const LOOKUP_SALT: u64 = 0x5851_f42d_4c95_7f2d;
 
 /// A steady stream of purges, each of a new key.
 #[derive(Clone, Copy, Debug)]
-pub struct Stream {
+pub(crate) struct Stream {
     pub seed: u64,
     pub per_second: f64,
     pub purges: u64,
@@ -21,28 +21,28 @@
 
 impl Stream {
     /// The time of a purge.
-    pub fn time(&self, number: u64) -> Micros {
+    pub(crate) fn time(&self, number: u64) -> Micros {
         (number as f64 * 1e6 / self.per_second) as Micros
     }
 
     /// The time of the last purge.
-    pub fn end(&self) -> Micros {
+    pub(crate) fn end(&self) -> Micros {
         self.time(self.purges)
     }
 
     /// The key of a purge.
-    pub fn key(&self, number: u64) -> KeyHash {
+    pub(crate) fn key(&self, number: u64) -> KeyHash {
         KeyHash::from(mix(self.seed ^ mix(number + 1)))
     }
 
     /// How many purges there were on average since a copy of this age was made.
-    pub fn since(&self, age: Micros) -> f64 {
+    pub(crate) fn since(&self, age: Micros) -> f64 {
         self.per_second * age as f64 / 1e6
     }
 }
 
 /// What answers when a key was purged last.
-pub trait Lookup {
+pub(crate) trait Lookup {
     fn latest(&self, key: KeyHash) -> Option<Micros>;
 }
 
@@ -59,7 +59,7 @@
 }
 
 /// The plain alternative: the latest purge of all keys with the same top bits, one word each.
-pub struct PlainTable {
+pub(crate) struct PlainTable {
     rows: Vec<Option<Micros>>,
     shift: u32,
 }
@@ -67,7 +67,7 @@
 impl PlainTable {
     /// A plain table in the memory of a compact one: eight rows in place of each bucket, of the 8 bytes that a packed
     /// time needs there.
-    pub fn in_memory_of(bucket_bits: BucketBits) -> Self {
+    pub(crate) fn in_memory_of(bucket_bits: BucketBits) -> Self {
         let rows = bucket_bits.buckets() * 8;
         PlainTable {
             rows: vec![None; rows],
@@ -75,7 +75,7 @@
         }
     }
 
-    pub fn record(&mut self, key: KeyHash, at: Micros) {
+    pub(crate) fn record(&mut self, key: KeyHash, at: Micros) {
         let row = &mut self.rows[(key.value() >> self.shift) as usize];
         *row = (*row).max(Some(at));
     }
@@ -89,7 +89,12 @@
 
 /// Share of copies that were never purged and are lost all the same, for each age. One look-up of a copy tells for all
 /// ages: it is lost from the age on at which it was made before the time that is told for its keys.
-pub fn lost_shares(table: &impl Lookup, now: Micros, ages: &[Micros], copies: u64) -> Vec<f64> {
+pub(crate) fn lost_shares(
+    table: &impl Lookup,
+    now: Micros,
+    ages: &[Micros],
+    copies: u64,
+) -> Vec<f64> {
     let mut lost = vec![0u64; ages.len()];
     for copy in 0..copies {
         let keys = (0..LOOKUPS).map(|n| KeyHash::from(mix(LOOKUP_SALT ^ mix(copy * LOOKUPS + n))));
@@ -106,7 +111,7 @@
 }
 
 /// The share that a plain table in the same memory loses.
-pub fn predicted_by_plain_rows(bucket_bits: BucketBits, purges: f64) -> f64 {
+pub(crate) fn predicted_by_plain_rows(bucket_bits: BucketBits, purges: f64) -> f64 {
     let mean = purges / (bucket_bits.buckets() * 8) as f64;
     1.0 - (-mean * LOOKUPS as f64).exp()
 }
--- a/rehearse/src/clients.rs
+++ b/rehearse/src/clients.rs
@@ -147,7 +147,7 @@
             self.input.drain(..taken);
             match record {
                 Some(r) if r.kind == kind::STDOUT => {
-                    self.answers.entry(r.id).or_default().extend(r.content)
+                    self.answers.entry(r.id).or_default().extend(r.content);
                 }
                 Some(r) if r.kind == kind::END => {
                     let answer = self
--- a/rehearse/src/lib.rs
+++ b/rehearse/src/lib.rs
@@ -1,7 +1,5 @@
 //! A bounded rehearsal on loopback: stand-in boxes, a stand-in event bus and a stand-in CDNI neighbour play a
 //! purge and a drain against a real daemon, and every breach of the rules is reported.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod boxes;
 pub mod bus;
@@ -77,7 +75,7 @@
                 // What a client broke off before it was taken costs itself only; a socket that was shut ends this.
                 Err(e) if e.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(e) if e.raw_os_error() == Some(NO_DESCRIPTOR) => {
-                    thread::sleep(std::time::Duration::from_millis(10))
+                    thread::sleep(std::time::Duration::from_millis(10));
                 }
                 Err(_) => return,
             }
--- a/rehearse/src/links/mod.rs
+++ b/rehearse/src/links/mod.rs
@@ -100,7 +100,7 @@
                 if sockets[&(to, from)].send_to(bytes, proxies[to]).is_ok() {
                     lock(&counted).counters.entry(direction).or_default().came += 1;
                 }
-            })
+            });
         }));
         Ok(FaultyLinks {
             state,
--- a/rehearse/src/main.rs
+++ b/rehearse/src/main.rs
@@ -1,5 +1,4 @@
 //! The rehearsal kit's command line.
-#![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
--- a/rehearse/src/play.rs
+++ b/rehearse/src/play.rs
@@ -104,7 +104,7 @@
             b.behave(Manner {
                 any_age: true,
                 ..Manner::default()
-            })
+            });
         });
     }
     purge(&running, &boxes, &mut report)?;
@@ -232,7 +232,7 @@
         b.behave(Manner {
             hold_ms: 150,
             ..Manner::default()
-        })
+        });
     });
     let clients = redirect(running, report)?;
     // The box that the first of them waits at drains.
@@ -367,7 +367,7 @@
         b.behave(Manner {
             hold_ms: 150,
             ..Manner::default()
-        })
+        });
     });
     let mut server = WebServer::connect(running.front)?;
     server.ask(1, "photo", "00000000000000e1", 2500)?;
--- a/rehearse/src/player/load_generator.rs
+++ b/rehearse/src/player/load_generator.rs
@@ -289,7 +289,7 @@
             }
             Step::Thaw(proxy) => self.proxies.thaw(proxy)?,
             Step::Links(ref proxies, conditions, one_way) => {
-                self.proxies.set_links(proxies, conditions, one_way)
+                self.proxies.set_links(proxies, conditions, one_way);
             }
             Step::Kill(proxy) => {
                 self.proxies.kill(proxy)?;
--- a/rehearse/src/scale/daemons/host.rs
+++ b/rehearse/src/scale/daemons/host.rs
@@ -201,7 +201,7 @@
         for index in self.daemons.len()..self.config.members.len() {
             let from = peer_index(daemon, index);
             self.drive(index, |member, now| {
-                member.receive(from, &introduction, now)
+                member.receive(from, &introduction, now);
             });
         }
     }
@@ -323,7 +323,7 @@
             } = datagram;
             self.lateness.saturating_record(self.clock.now() - sent_at);
             self.drive(to, |member, now| {
-                member.receive(peer_index(from, to), &bytes, now)
+                member.receive(peer_index(from, to), &bytes, now);
             });
         }
     }
@@ -356,7 +356,7 @@
             self.traffic[received.daemon].sent(bytes);
             self.note_ack(index, received.daemon, bytes);
             self.drive(index, |member, now| {
-                member.receive(peer_index(received.daemon, index), bytes, now)
+                member.receive(peer_index(received.daemon, index), bytes, now);
             });
         }
     }
--- a/rehearse/src/scale/prefill.rs
+++ b/rehearse/src/scale/prefill.rs
@@ -22,7 +22,7 @@
 
 /// A purge that is in the compact tables when a run begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CompactedPurge {
+pub(super) struct CompactedPurge {
     /// Which.
     pub purge: PurgeNumber,
     /// When it was told.
@@ -30,7 +30,7 @@
 }
 
 /// Entries that each member's disk has when a run begins.
-pub fn entries(run: &Run, config: &FleetConfig) -> usize {
+pub(super) fn entries(run: &Run, config: &FleetConfig) -> usize {
     match run.fault {
         Fault::LateJoin => config.replication.max_exact_entries * FULL_PERCENT / 100,
         _ => 0,
@@ -38,7 +38,7 @@
 }
 
 /// The purges in each member's compact table when a run begins at a time.
-pub fn compacted(
+pub(super) fn compacted(
     run: &Run,
     config: &FleetConfig,
     now: Micros,
@@ -54,7 +54,7 @@
 }
 
 /// The disks of all members: the same logs on each, as many entries of each member, behind those that were compacted.
-pub fn disks(run: &Run, config: &FleetConfig, now: Micros) -> Vec<DiskContents> {
+pub(super) fn disks(run: &Run, config: &FleetConfig, now: Micros) -> Vec<DiskContents> {
     let own = |member: &MemberName| LogId::new(member.id, now);
     let mut table = CompactTable::new(BucketBits::DEFAULT);
     for CompactedPurge { purge, at } in compacted(run, config, now) {
--- a/rehearse/src/scale/simulation/faults.rs
+++ b/rehearse/src/scale/simulation/faults.rs
@@ -25,7 +25,7 @@
             Action::Cut { pair, until } => self.network.cut(pair, until),
             Action::OriginLate { member } => {
                 self.drive(member, |member, now| {
-                    member.find_origin_late(LATE_ORIGIN_SHARE, now)
+                    member.find_origin_late(LATE_ORIGIN_SHARE, now);
                 });
             }
         }
--- a/rehearse/src/timetable.rs
+++ b/rehearse/src/timetable.rs
@@ -66,7 +66,7 @@
                 steps.extend(back);
             }
             What::BoxStalls { boxes: n, first } => {
-                steps.extend(boxes(n, first).map(|uid| (at, Step::Stall(uid, us(f.lasts)))))
+                steps.extend(boxes(n, first).map(|uid| (at, Step::Stall(uid, us(f.lasts)))));
             }
             What::SlowOrigin { times } => {
                 steps.push((at, Step::Origin(*times)));
--- a/rehearse/tests/report.rs
+++ b/rehearse/tests/report.rs
@@ -30,7 +30,10 @@
         whole: part("all", in_time, None),
         classes: vec![part("photo", in_time, Some(120.0))],
         worst: Some((3, in_time / 2.0)),
-        breaches: breaches.iter().map(|b| b.to_string()).collect(),
+        breaches: breaches
+            .iter()
+            .map(std::string::ToString::to_string)
+            .collect(),
     }
 }
 
--- a/rehearse/tests/rules.rs
+++ b/rehearse/tests/rules.rs
@@ -143,10 +143,10 @@
     ("one answer", |r| drop(r.answered.remove(0))),
     ("one answer", |r| r.answered[0].at = 12 * S + 1),
     ("one answer", |r| {
-        r.answered.push(served("a", 11 * S, 9 * S))
+        r.answered.push(served("a", 11 * S, 9 * S));
     }),
     ("one answer", |r| {
-        r.answered.push(served("nobody's", 11 * S, 9 * S))
+        r.answered.push(served("nobody's", 11 * S, 9 * S));
     }),
     ("whole bytes", |r| {
         r.answered[0].answer = Final::Served {
@@ -158,7 +158,7 @@
         r.answered[2].answer = Final::Refused { advised: false }
     }),
     ("one out", |r| {
-        r.attempts[1].ended = Some((20 * S + 250 * MS, Ended::GivenUp))
+        r.attempts[1].ended = Some((20 * S + 250 * MS, Ended::GivenUp));
     }),
     ("one out", |r| r.attempts[1].ended = None),
     ("six attempts", |r| {
@@ -174,7 +174,7 @@
     }),
     ("repeats", |r| r.attempts[2].at = 23 * S),
     ("repeats", |r| {
-        r.attempts[4].ended = Some((40 * S + 10 * MS, Ended::GivenUp))
+        r.attempts[4].ended = Some((40 * S + 10 * MS, Ended::GivenUp));
     }),
     ("repeats", |r| r.attempts[0].id = "unknown".into()),
     ("drains", |r| r.attempts[3].target = "box-1".into()),
@@ -194,7 +194,7 @@
         r.attempts.extend(fills);
     }),
     ("purges", |r| {
-        r.answered[3] = served("c2", 31 * S + 90 * MS, 28 * S - 1)
+        r.answered[3] = served("c2", 31 * S + 90 * MS, 28 * S - 1);
     }),
 ];
 
--- a/replication/src/lib.rs
+++ b/replication/src/lib.rs
@@ -14,8 +14,6 @@
 //!
 //! What a proxy committed must outlive its machine. So it is told by its disk and by its peers what each has for good,
 //! and says which commits may be given ([`commit`]).
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod commit;
 pub mod compaction;
--- a/replication/src/snapshot/encoding.rs
+++ b/replication/src/snapshot/encoding.rs
@@ -87,7 +87,7 @@
                 .for_each(|placed| write_bucket(placed, bytes));
         }
         SnapshotContent::Entries(entries) => {
-            entries.iter().for_each(|entry| write_entry(entry, bytes))
+            entries.iter().for_each(|entry| write_entry(entry, bytes));
         }
     }
 }
--- a/replication/tests/compaction/fleet.rs
+++ b/replication/tests/compaction/fleet.rs
@@ -4,8 +4,8 @@
 use linnetknot_simnet::{self as simnet, Step};
 use std::collections::{BTreeMap, VecDeque};
 
-pub const MS: Micros = 1_000;
-pub const S: Micros = 1_000_000;
+pub(crate) const MS: Micros = 1_000;
+pub(crate) const S: Micros = 1_000_000;
 
 /// What a disk is told.
 #[derive(Clone, Debug)]
@@ -22,7 +22,7 @@
 
 /// What is on a disk: of each log one entry on each subject, buckets, and how far logs are compacted.
 #[derive(Clone, Debug, Default)]
-pub struct Disk {
+pub(crate) struct Disk {
     entries: BTreeMap<(LogId, Subject), Entry>,
     buckets: BTreeMap<BucketIndex, Bucket>,
     compacted: BTreeMap<LogId, Index>,
@@ -37,7 +37,7 @@
     }
 
     /// What a process that starts finds.
-    pub fn restore(&self, bits: BucketBits) -> LogStore {
+    pub(crate) fn restore(&self, bits: BucketBits) -> LogStore {
         let mut table = CompactTable::new(bits);
         for (index, bucket) in &self.buckets {
             table
@@ -53,12 +53,12 @@
             .expect("each index stands once")
     }
 
-    pub fn entries(&self) -> usize {
+    pub(crate) fn entries(&self) -> usize {
         self.entries.len()
     }
 }
 
-pub struct Member {
+pub(crate) struct Member {
     pub replica: Option<Replica>,
     pub epoch: Epoch,
     pub disk: Disk,
@@ -73,7 +73,7 @@
     pub received_chunks: u64,
 }
 
-pub struct Fleet {
+pub(crate) struct Fleet {
     pub links: simnet::Network<Vec<u8>>,
     pub members: Vec<Member>,
     pub options: Options,
@@ -90,11 +90,11 @@
     Tick(usize),
 }
 
-pub fn object(n: u64) -> Subject {
+pub(crate) fn object(n: u64) -> Subject {
     Subject::Object(format!("{n:016x}"))
 }
 
-pub fn purge(n: u64) -> Subject {
+pub(crate) fn purge(n: u64) -> Subject {
     if n % 4 == 0 {
         Subject::Group(n)
     } else {
@@ -104,7 +104,12 @@
 
 impl Fleet {
     /// Members that hold so many entries; the first `running` of them run.
-    pub fn new(members: usize, running: usize, max_exact_entries: usize, seed: u64) -> Fleet {
+    pub(crate) fn new(
+        members: usize,
+        running: usize,
+        max_exact_entries: usize,
+        seed: u64,
+    ) -> Fleet {
         let options = Options {
             max_exact_entries,
             ..Options::default()
@@ -134,7 +139,7 @@
     }
 
     /// Starts a member with what its disk holds, in a new epoch.
-    pub fn start(&mut self, n: usize) {
+    pub(crate) fn start(&mut self, n: usize) {
         let machines = (0..self.members.len())
             .filter(|m| *m != n)
             .map(|m| m as Machine);
@@ -149,7 +154,7 @@
     }
 
     /// What was not on the disk is lost.
-    pub fn kill(&mut self, n: usize) {
+    pub(crate) fn kill(&mut self, n: usize) {
         let member = &mut self.members[n];
         member.replica = None;
         member.writes.clear();
@@ -157,11 +162,11 @@
         member.floors.clear();
     }
 
-    pub fn lose_disk(&mut self, n: usize) {
+    pub(crate) fn lose_disk(&mut self, n: usize) {
         self.members[n].disk = Disk::default();
     }
 
-    pub fn replica(&self, n: usize) -> &Replica {
+    pub(crate) fn replica(&self, n: usize) -> &Replica {
         self.members[n].replica.as_ref().expect("it runs")
     }
 
@@ -175,7 +180,7 @@
     }
 
     /// Tells a member of something.
-    pub fn append(&mut self, n: usize, subject: Subject, revoked: bool) {
+    pub(crate) fn append(&mut self, n: usize, subject: Subject, revoked: bool) {
         let now = self.links.now;
         let Some(replica) = self.members[n].replica.as_mut() else {
             return;
@@ -194,7 +199,7 @@
         self.compact(n);
     }
 
-    pub fn tell(&mut self, n: usize, subject: Subject) {
+    pub(crate) fn tell(&mut self, n: usize, subject: Subject) {
         self.append(n, subject, false);
     }
 
@@ -310,7 +315,7 @@
         self.compact(to);
     }
 
-    pub fn run(&mut self, for_us: Micros) {
+    pub(crate) fn run(&mut self, for_us: Micros) {
         let end = self.links.now + for_us;
         loop {
             let due = |(n, member): (usize, &Member)| {
@@ -344,7 +349,7 @@
     }
 
     /// Runs on until all members that run have the same logs, or the time is over. Gives how long it took.
-    pub fn settle(&mut self, within: Micros) -> Micros {
+    pub(crate) fn settle(&mut self, within: Micros) -> Micros {
         let begin = self.links.now;
         while !self.agree() {
             assert!(
@@ -356,7 +361,7 @@
         self.links.now - begin
     }
 
-    pub fn agree(&self) -> bool {
+    pub(crate) fn agree(&self) -> bool {
         let mut sums = self
             .members
             .iter()
@@ -367,7 +372,7 @@
     }
 
     /// Purges told by a time that a member does not hold at their time or later: of its own logs and table.
-    pub fn missing(&self, n: usize, until: Micros) -> usize {
+    pub(crate) fn missing(&self, n: usize, until: Micros) -> usize {
         let store = self.replica(n).log_store();
         let holds = |(subject, at): &(&Subject, &Micros)| {
             **at > until || store.effective(subject) >= Some(**at)
@@ -376,7 +381,7 @@
     }
 
     /// Every purge ever told is in force at every member that runs, and comes back from its disk.
-    pub fn check(&self) {
+    pub(crate) fn check(&self) {
         for (n, member) in self
             .members
             .iter()
@@ -406,7 +411,7 @@
     }
 
     /// What is in force of every `step`-th subject has not fallen since this was last asked.
-    pub fn check_not_fallen(&mut self, step: usize) {
+    pub(crate) fn check_not_fallen(&mut self, step: usize) {
         for (n, member) in self.members.iter_mut().enumerate() {
             let Some(replica) = &member.replica else {
                 continue;
--- a/replication/tests/statuses.rs
+++ b/replication/tests/statuses.rs
@@ -68,7 +68,7 @@
                 10 + u64::from(part),
             )
             .unwrap(),
-        )
+        );
     });
     assert_eq!(
         said(&mut log_store, OWN, piece(6, 0, "x"), 20),
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,6 +1,4 @@
 //! Reads the settings object that the drill and the daemon are both started with. Every message names the key.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 use linnetknot as w;
 use serde_json::{Map, Value};
--- a/simnet/src/lib.rs
+++ b/simnet/src/lib.rs
@@ -1,7 +1,5 @@
 //! For tests of sans-IO cores: virtual time, and the links between members on it. Datagrams are lost, doubled and late,
 //! and so out of order; links are cut, one way or both. All by a seed.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod events;
 mod links;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -59,8 +59,6 @@
 //! assert_eq!(Router::new(settings, 42).err(), Some(SettingsError::NoClass));
 //! # Ok::<(), SettingsError>(())
 //! ```
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod aging;
 mod checks;
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -4,8 +4,6 @@
 //! [`Store`] owns the file: its format, its version and what is said of one that can't be read. [`Keeper`] owns the
 //! thread: a bounded queue before it, many writes to one sync (group commit), and a word for each write that tells
 //! whether it is on the disk. Only that word may be acknowledged to others.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod file;
 mod keeper;
--- a/store/tests/common/medium.rs
+++ b/store/tests/common/medium.rs
@@ -12,7 +12,7 @@
 
 /// What a medium holds.
 #[derive(Debug, Default)]
-pub struct Disk {
+pub(crate) struct Disk {
     /// What a reader sees while the power is on.
     pub seen: Vec<u8>,
     /// What is there for good.
@@ -52,7 +52,7 @@
     }
 
     /// The power goes: of what was not synced some is there, by the seed, one of them in part.
-    pub fn lose(&mut self, mut seed: u64) {
+    pub(crate) fn lose(&mut self, mut seed: u64) {
         for change in std::mem::take(&mut self.unsynced) {
             seed = seed
                 .wrapping_mul(6_364_136_223_846_793_005)
@@ -77,7 +77,7 @@
 
 /// A disk in memory, of which all clones are the same one.
 #[derive(Clone, Debug, Default)]
-pub struct Medium(pub Arc<Mutex<Disk>>);
+pub(crate) struct Medium(pub Arc<Mutex<Disk>>);
 
 impl StorageBackend for Medium {
     fn len(&self) -> Result<u64, std::io::Error> {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,16 +1,16 @@
 //! Settings, lists and requests for the tests of the module.
 #![allow(dead_code)]
 
-pub mod world;
+pub(crate) mod world;
 
 use linnetknot::*;
 
-pub const MS: Micros = 1_000;
-pub const S: Micros = 1_000_000;
+pub(crate) const MS: Micros = 1_000;
+pub(crate) const S: Micros = 1_000_000;
 /// Long after every server's start.
-pub const T0: Micros = 100 * S;
+pub(crate) const T0: Micros = 100 * S;
 
-pub fn class(name: &str) -> Class {
+pub(crate) fn class(name: &str) -> Class {
     Class {
         name: name.into(),
         aim_us: 500 * MS,
@@ -30,7 +30,7 @@
     }
 }
 
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     let zone = |name: &str, routers, link_kb_per_s| Zone {
         name: name.into(),
         routers,
@@ -100,7 +100,7 @@
     }
 }
 
-pub fn server(id: ServerId, zone: &str, kind: &str) -> Server {
+pub(crate) fn server(id: ServerId, zone: &str, kind: &str) -> Server {
     Server {
         id,
         zone: zone.into(),
@@ -113,7 +113,7 @@
 }
 
 /// Caches 1 to 4 of the router's location, one of another, two parents and the origin.
-pub fn fleet() -> Vec<Server> {
+pub(crate) fn fleet() -> Vec<Server> {
     let mut all: Vec<Server> = (1..=4).map(|id| server(id, "town", "cache")).collect();
     all.push(server(5, "shore", "cache"));
     all.push(server(11, "hub", "parent"));
@@ -122,14 +122,14 @@
     all
 }
 
-pub struct Rig {
+pub(crate) struct Rig {
     pub router: Router,
     pub now: Micros,
     pub next: RequestId,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Sent {
+pub(crate) struct Sent {
     pub request: RequestId,
     pub server: ServerId,
     pub fill: Fill,
@@ -137,7 +137,7 @@
 }
 
 impl Rig {
-    pub fn new(settings: Settings, fleet: Vec<Server>) -> Rig {
+    pub(crate) fn new(settings: Settings, fleet: Vec<Server>) -> Rig {
         let mut rig = Rig {
             router: Router::new(settings, 7).expect("usable settings"),
             now: T0,
@@ -150,13 +150,13 @@
         rig
     }
 
-    pub fn handle(&mut self, event: Event) -> Vec<Action> {
+    pub(crate) fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
         actions
     }
 
-    pub fn ask(
+    pub(crate) fn ask(
         &mut self,
         class: &str,
         object: &str,
@@ -166,7 +166,7 @@
     }
 
     /// Asks for a part of a class `video` of this size.
-    pub fn ask_sized(&mut self, object: &str, size_kb: f64) -> (RequestId, Vec<Action>) {
+    pub(crate) fn ask_sized(&mut self, object: &str, size_kb: f64) -> (RequestId, Vec<Action>) {
         self.ask_for("video", object, 5 * S, size_kb)
     }
 
@@ -197,12 +197,12 @@
     }
 
     /// Asks and expects an attempt.
-    pub fn send(&mut self, class: &str, object: &str) -> Sent {
+    pub(crate) fn send(&mut self, class: &str, object: &str) -> Sent {
         let (_, actions) = self.ask(class, object, 5 * S);
         sent(&actions).unwrap_or_else(|| panic!("no attempt in {actions:?}"))
     }
 
-    pub fn end(
+    pub(crate) fn end(
         &mut self,
         request: RequestId,
         attempt: u32,
@@ -212,7 +212,7 @@
         self.end_with(request, attempt, server, outcome, Note::None)
     }
 
-    pub fn end_with(
+    pub(crate) fn end_with(
         &mut self,
         request: RequestId,
         attempt: u32,
@@ -233,12 +233,12 @@
         })
     }
 
-    pub fn tick(&mut self) -> Vec<Action> {
+    pub(crate) fn tick(&mut self) -> Vec<Action> {
         self.handle(Event::Timer { tag: 0 })
     }
 }
 
-pub fn sent(actions: &[Action]) -> Option<Sent> {
+pub(crate) fn sent(actions: &[Action]) -> Option<Sent> {
     actions.iter().find_map(|a| match a {
         Action::Attempt {
             request,
@@ -255,7 +255,7 @@
     })
 }
 
-pub fn finals(actions: &[Action]) -> usize {
+pub(crate) fn finals(actions: &[Action]) -> usize {
     actions
         .iter()
         .filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. }))
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -11,11 +11,11 @@
 const KB_PER_S: f64 = 5_000.0;
 const DEADLINE_US: Micros = 2_500 * MS;
 
-pub const PARENTS: [ServerId; 2] = [901, 902];
-pub const ORIGIN: ServerId = 950;
+pub(crate) const PARENTS: [ServerId; 2] = [901, 902];
+pub(crate) const ORIGIN: ServerId = 950;
 
 /// A box, a parent, or the origin.
-pub struct Box {
+pub(crate) struct Box {
     pub zone: usize,
     pub weight: f64,
     pub started: Option<Micros>,
@@ -31,7 +31,7 @@
 }
 
 /// One proxy.
-pub struct Seat {
+pub(crate) struct Seat {
     pub router: Router,
     pub zone: usize,
     out: BTreeMap<RequestId, Out>,
@@ -69,7 +69,7 @@
 
 /// What came of it, by second since the start.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Second {
+pub(crate) struct Second {
     pub asked: u32,
     pub in_time: u32,
     pub late: u32,
@@ -80,7 +80,7 @@
     pub origin: u32,
 }
 
-pub struct World {
+pub(crate) struct World {
     pub now: Micros,
     pub seats: Vec<Seat>,
     pub boxes: BTreeMap<ServerId, Box>,
@@ -119,12 +119,18 @@
 
 impl World {
     /// A fleet of so many proxies and boxes in so many locations; each proxy is asked at this rate.
-    pub fn new(zones: usize, seats: usize, caches: usize, rate_per_s: f64, seed: u64) -> Self {
+    pub(crate) fn new(
+        zones: usize,
+        seats: usize,
+        caches: usize,
+        rate_per_s: f64,
+        seed: u64,
+    ) -> Self {
         Self::shaped(zones, seats, caches, rate_per_s, seed, |_| ())
     }
 
     /// The same under settings of another shape.
-    pub fn shaped(
+    pub(crate) fn shaped(
         zones: usize,
         seats: usize,
         caches: usize,
@@ -214,7 +220,7 @@
     }
 
     /// A box with nothing in it.
-    pub fn put(&mut self, id: ServerId, zone: usize, weight: f64, started: Option<Micros>) {
+    pub(crate) fn put(&mut self, id: ServerId, zone: usize, weight: f64, started: Option<Micros>) {
         let new = Box {
             zone,
             weight,
@@ -230,7 +236,7 @@
     }
 
     /// An entry of the list for a box.
-    pub fn entry(&self, id: ServerId, state: State) -> Server {
+    pub(crate) fn entry(&self, id: ServerId, state: State) -> Server {
         let b = &self.boxes[&id];
         let (zone, kind) = match id {
             ORIGIN => ("hub".to_owned(), "origin"),
@@ -254,7 +260,7 @@
     }
 
     /// All routers hear of the list after a wait, each a little later than the one before.
-    pub fn tell(&mut self, wait: Micros, mode: ListMode, entries: &[Server]) {
+    pub(crate) fn tell(&mut self, wait: Micros, mode: ListMode, entries: &[Server]) {
         for n in 0..self.seats.len() {
             self.later(
                 wait + n as Micros,
@@ -264,7 +270,7 @@
     }
 
     /// `run` comes back with this number after a wait.
-    pub fn call(&mut self, wait: Micros, number: u64) {
+    pub(crate) fn call(&mut self, wait: Micros, number: u64) {
         self.later(wait, Happening::Call(number));
     }
 
@@ -295,7 +301,7 @@
 
     /// Goes on for so long; `heed` is called with the numbers that were to be called, and after each outcome at a
     /// proxy.
-    pub fn run(&mut self, for_us: Micros, mut heed: impl FnMut(&mut World, Heed)) {
+    pub(crate) fn run(&mut self, for_us: Micros, mut heed: impl FnMut(&mut World, Heed)) {
         let end = self.now + for_us;
         while let Some(entry) = self.queue.first_entry().filter(|e| e.key().0 <= end) {
             self.now = entry.key().0;
@@ -305,7 +311,7 @@
                 Happening::List(n, mode, servers) => self.list(n, mode, servers),
                 Happening::Call(number) => heed(self, Heed::Call(number)),
                 Happening::Deadline(n, id) => {
-                    self.ended(n, id, None, Outcome::Timeout, Note::None, 0)
+                    self.ended(n, id, None, Outcome::Timeout, Note::None, 0);
                 }
                 Happening::End(n, id, attempt, outcome, note, waited) => {
                     self.ended(n, id, Some(attempt), outcome, note, waited);
@@ -317,7 +323,7 @@
     }
 
     /// A sum over seconds, the last not counted.
-    pub fn sum(&self, seconds: std::ops::Range<usize>, of: impl Fn(&Second) -> u32) -> u32 {
+    pub(crate) fn sum(&self, seconds: std::ops::Range<usize>, of: impl Fn(&Second) -> u32) -> u32 {
         self.seconds[seconds].iter().map(of).sum()
     }
 
@@ -386,7 +392,7 @@
     }
 
     /// The share that is answered: of all requests, and of the tenth that take longest.
-    pub fn answered(&self) -> (f64, f64) {
+    pub(crate) fn answered(&self) -> (f64, f64) {
         let mut answers = self.answers.clone();
         answers.sort_by(|a, b| b.0.total_cmp(&a.0));
         let share =
@@ -501,7 +507,7 @@
     }
 
     /// Gives a router an event and carries out what follows.
-    pub fn feed(&mut self, n: usize, event: Event) {
+    pub(crate) fn feed(&mut self, n: usize, event: Event) {
         let mut actions = Vec::new();
         self.seats[n].router.handle(self.now, event, &mut actions);
         for action in actions {
@@ -519,7 +525,7 @@
                     );
                 }
                 Action::Refuse { request, .. } | Action::Fail { request } => {
-                    self.finish(n, request, false)
+                    self.finish(n, request, false);
                 }
                 Action::Timer { at, tag } => self.later(at - self.now, Happening::Timer(n, tag)),
                 other => panic!("{other:?} is not expected here"),
@@ -665,7 +671,7 @@
 }
 
 /// Why `run` calls back.
-pub enum Heed {
+pub(crate) enum Heed {
     /// This number was to be called.
     Call(u64),
     /// An attempt of this proxy has ended.
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -57,7 +57,7 @@
     w.run(50 * S, |w, heed| {
         let now = w.now;
         let vanish = |w: &mut World, n: usize| {
-            w.boxes.get_mut(&PARENTS[n]).expect("it is there").vanished = true
+            w.boxes.get_mut(&PARENTS[n]).expect("it is there").vanished = true;
         };
         match heed {
             Heed::Call(12) => w.origin_per_s = 200.0,
