--- a/daemon/src/daemon/admin.rs
+++ b/daemon/src/daemon/admin.rs
@@ -6,9 +6,9 @@
 //! clients, never keep an operator out: where its slots are full, the caller that came first leaves.
 
 use super::promises::Decided;
-use super::{Connection, Daemon, Kind, Timer, ADMIN};
+use super::{Connection, Daemon, Kind, Timer};
 use crate::fleet;
-use crate::net::{Conn, Interest, Key};
+use crate::net::{Conn, FailureKind, Key};
 use linnetknot::{ListMode, Micros, State};
 use linnetknot_ops::state::SWEEP_US;
 use linnetknot_ops::{store, Call, Drain, Effect, Parser, Reply};
@@ -39,16 +39,22 @@
     pub(super) fn accept_admin(&mut self, now: Micros) {
         let mut made_room = false;
         loop {
-            let Some(listener) = &self.admin else { return };
-            let socket = match Self::accept_one(listener) {
+            let Some(listener) = &mut self.admin else {
+                return;
+            };
+            let socket = match listener.accept() {
                 Ok(Some(socket)) => socket,
                 Ok(None) => {
-                    let _ = self.poll.change(listener, ADMIN, Interest::READ);
+                    if !listener.resume(&self.poll) {
+                        self.accept_later(now);
+                    }
                     return;
                 }
+                Err(failure) if failure.kind != FailureKind::NoDescriptors => {
+                    return self.pause_admin(now);
+                }
                 // Out of descriptors: make room by the oldest caller, or a client that rests, and take the next one then.
-                Err(e) => {
-                    log::debug!("the admin listener can't accept: {e}");
+                Err(_) => {
                     let again = std::mem::replace(&mut made_room, true);
                     if !again && self.make_room_for_caller(now) {
                         continue;
@@ -87,8 +93,8 @@
     }
 
     fn pause_admin(&mut self, now: Micros) {
-        if let Some(listener) = &self.admin {
-            let _ = self.poll.change(listener, ADMIN, Interest::NONE);
+        if let Some(listener) = &mut self.admin {
+            listener.pause(&self.poll);
         }
         self.accept_later(now);
     }
--- a/daemon/src/daemon/boxes.rs
+++ b/daemon/src/daemon/boxes.rs
@@ -137,7 +137,7 @@
                 if !self.pump(now, key) {
                     self.close(now, key);
                 }
-                self.watch(key);
+                self.watch(now, key);
             }
             // Nothing was written: it never ran.
             Err(NoCall::Refused) => self.core.ended(now, attempt, Outcome::ConnectFailed.into()),
@@ -147,6 +147,7 @@
                 vec![Told::Ended(attempt, Outcome::Unreached.into())],
             ),
             Err(NoCall::NoRoom) => self.core.ended(now, attempt, Outcome::Moot.into()),
+            Err(NoCall::Local) => self.send_later(now, attempt),
         }
     }
 
@@ -233,7 +234,7 @@
         if !self.pump(now, key) {
             self.close(now, key);
         }
-        self.watch(key);
+        self.watch(now, key);
     }
 
     pub(super) fn give_up(&mut self, now: Micros, attempt: AttemptId, server: ServerId) {
@@ -245,7 +246,7 @@
             if !self.pump(now, key) {
                 self.close(now, key);
             }
-            self.watch(key);
+            self.watch(now, key);
         }
     }
 
--- a/daemon/src/daemon/clients.rs
+++ b/daemon/src/daemon/clients.rs
@@ -1,15 +1,14 @@
 //! Clients' connections on the platform's front: who is taken in, who has to leave, what they ask and are answered.
 
-use super::{Connection, Daemon, Kind, Timer, LISTENER};
+use super::{Connection, Daemon, Kind, Timer};
 use crate::core::{Answer, Client};
 use crate::front::fastcgi::Input;
 use crate::limits::Standing;
-use crate::net::{Conn, Interest, Key, Progress};
+use crate::net::{Conn, FailureKind, Key, Progress};
 use crate::wire::WireError;
 use linnetknot::Micros;
 use linnetknot_ops::Drain;
 use std::io;
-use std::net::{TcpListener, TcpStream};
 
 impl Daemon {
     fn standing(c: &Connection) -> Option<Standing> {
@@ -138,45 +137,32 @@
         );
     }
 
-    /// Takes one connection from a listener: none where none waits, an error where no descriptor is left.
-    pub(super) fn accept_one(listener: &TcpListener) -> io::Result<Option<TcpStream>> {
-        loop {
-            match listener.accept() {
-                Ok((socket, _)) => return Ok(Some(socket)),
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(None),
-                Err(e)
-                    if matches!(
-                        e.kind(),
-                        io::ErrorKind::Interrupted | io::ErrorKind::ConnectionAborted
-                    ) => {}
-                Err(e) => return Err(e),
-            }
-        }
-    }
-
     pub(super) fn accept(&mut self, now: Micros) {
         let mut made_room = false;
         while self.listener.is_some() {
             // With no room left, connections wait in the kernel's queue: others end, and these are taken then.
-            let mut leaver = match self.room_for_client(now) {
-                Ok(leaver) => leaver,
-                Err(e) => return self.pause_accepting(now, e),
+            let Ok(mut leaver) = self.room_for_client(now) else {
+                return self.pause_accepting(now);
             };
             let Some(listener) = &self.listener else {
                 return;
             };
-            let socket = match Self::accept_one(listener) {
+            let socket = match listener.accept() {
                 Ok(Some(socket)) => socket,
                 Ok(None) => break,
                 // No descriptor is left though the table has places: one who rests makes room there too. More than one
                 // would be ended for something else than descriptors.
-                Err(e) => match leaver.take().map_or_else(|| self.leaver(now), Ok) {
-                    Ok(key) if !std::mem::replace(&mut made_room, true) => {
-                        self.close(now, key);
-                        continue;
+                Err(failure) if failure.kind == FailureKind::NoDescriptors => {
+                    match leaver.take().map_or_else(|| self.leaver(now), Ok) {
+                        Ok(key) if !std::mem::replace(&mut made_room, true) => {
+                            self.close(now, key);
+                            continue;
+                        }
+                        _ => return self.pause_accepting(now),
                     }
-                    _ => return self.pause_accepting(now, e),
-                },
+                }
+                // Short of memory, say, which no single client that left would mend.
+                Err(_) => return self.pause_accepting(now),
             };
             made_room = false;
             let conn = Conn::new(
@@ -189,18 +175,17 @@
                 self.take_in(now, conn, Kind::Client(Default::default()), leaver);
             }
         }
-        if let Some(listener) = self.listener.as_ref().filter(|_| !self.accepting) {
-            self.accepting = self.poll.change(listener, LISTENER, Interest::READ).is_ok();
+        let resumed = self.listener.as_mut().is_none_or(|l| l.resume(&self.poll));
+        if !resumed {
+            self.accept_later(now);
         }
     }
 
     /// No place left: the listener would stay readable and the loop spin on it.
-    fn pause_accepting(&mut self, now: Micros, e: io::Error) {
-        log::debug!("accepting pauses: {e}");
-        if let Some(listener) = &self.listener {
-            let _ = self.poll.change(listener, LISTENER, Interest::NONE);
+    fn pause_accepting(&mut self, now: Micros) {
+        if let Some(listener) = &mut self.listener {
+            listener.pause(&self.poll);
         }
-        self.accepting = false;
         self.accept_later(now);
     }
 
@@ -317,6 +302,14 @@
         }
     }
 
+    /// Ends a client's connection that writing has shown to be broken: its client has gone.
+    pub(super) fn close_if_broken(&mut self, now: Micros, key: Key) {
+        let client = |c: &Connection| c.kind.is_client() && c.conn.is_broken();
+        if self.connections.get(key).is_some_and(client) {
+            self.close(now, key);
+        }
+    }
+
     pub(super) fn write_client(&mut self, key: Key) {
         let Some(c) = self.connections.get_mut(key) else {
             return;
--- a/daemon/src/daemon/feeds/peers.rs
+++ b/daemon/src/daemon/feeds/peers.rs
@@ -2,10 +2,10 @@
 
 use crate::core::TRACE;
 use crate::daemon::Daemon;
+use crate::net::{receive_from, send_to, FailureKind};
 use crate::{ledger, peers};
 use linnetknot::Micros;
 use linnetknot_replication::{Datagram, DecodeError, Entry, Outgoing, Received};
-use std::io;
 use std::net::SocketAddr;
 
 /// Never: only a test has all chunks of snapshots lost.
@@ -18,10 +18,12 @@
     pub(in crate::daemon) fn hear_peers(&mut self, now: Micros) {
         let mut bytes = [0; peers::MAX_DATAGRAM_BYTES + 1];
         while let Some((socket, _)) = &self.peers {
-            let (length, from) = match socket.recv_from(&mut bytes) {
+            let (length, from) = match receive_from(socket, &mut bytes) {
                 Ok(received) => received,
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                Err(_) => continue,
+                // What an earlier datagram met costs no other.
+                Err(failure) if failure.kind == FailureKind::Broken => continue,
+                // epoll tells when there is more, or at once while there is.
+                Err(_) => return,
             };
             // What does not come from a peer is not listened to.
             let Some(peer) = self.peer_index.find(&from) else {
@@ -200,7 +202,7 @@
     pub(in crate::daemon) fn send_to_peer(&self, peer: SocketAddr, datagram: &[u8]) {
         if let Some((socket, _)) = &self.peers {
             // A datagram may be lost anyway: one that can't be sent is one of those.
-            let _ = socket.send_to(datagram, peer);
+            let _ = send_to(socket, datagram, peer);
         }
     }
 
--- a/daemon/src/daemon/lifecycle.rs
+++ b/daemon/src/daemon/lifecycle.rs
@@ -84,6 +84,7 @@
             return false;
         }
         self.write(now, key);
+        self.close_if_broken(now, key);
         self.note_client(now, key);
         self.connections.get(key).is_some()
     }
@@ -107,7 +108,7 @@
         self.waiting_answers -= std::mem::take(&mut c.waiting);
         self.held -= std::mem::take(&mut c.held);
         (c.kind, c.since) = (Kind::Lingering, now);
-        self.watch(key);
+        self.watch(now, key);
         true
     }
 
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -7,8 +7,8 @@
 use crate::ledger::{Bounds, Ledger};
 use crate::limits::Limits;
 use crate::net::{
-    bind_shared_udp, connect, Clock, Conn, Deadlines, Due, Interest, Key, Poll, Progress, Ready,
-    Slots,
+    bind_shared_udp, connect, spells, Clock, Conn, Deadlines, Due, Failure, FailureKind, Key,
+    Listener, Poll, Progress, Ready, Slots,
 };
 use crate::plain_purges::PlainPurges;
 use crate::upstream::Link;
@@ -36,11 +36,14 @@
 mod plain_purges;
 mod promises;
 mod recovery;
+mod redial;
+mod registration;
 
 use exchange::{Effect, Exchange};
 use feeds::{bus, consul};
 use members::Said;
 use peer_index::PeerIndex;
+use registration::Registration;
 
 const LISTENER: u64 = u64::MAX;
 const SIGNAL: u64 = u64::MAX - 1;
@@ -75,10 +78,12 @@
 enum NoCall {
     /// The other side refused it: nobody listens there.
     Refused,
-    /// Others that were begun before have not come up.
+    /// Others that were begun before have not come up, or this one can't.
     Late,
-    /// No descriptor, port or place in the table is left here, which says nothing of the other side.
+    /// No place in the table is left here, which says nothing of the other side.
     NoRoom,
+    /// No descriptor, port, route or memory is left here for now, which says nothing of the other side.
+    Local,
 }
 
 struct Connection {
@@ -92,6 +97,9 @@
     waiting: usize,
     /// Bytes of requests that have not come whole, the same.
     held: usize,
+    /// How far it is known to the epoll set, and whether that is due to be tried again.
+    registration: Registration,
+    registers_later: bool,
 }
 
 /// What has a deadline.
@@ -109,6 +117,8 @@
     Client(Key),
     /// A client's connection ends if nothing is open on it.
     End(Key),
+    /// A connection that could not be watched is tried again.
+    Register(Key),
     /// Accepting goes on.
     Accept,
     /// The grace after SIGTERM is over.
@@ -201,9 +211,10 @@
     limits: Limits,
     core: Core,
     poll: Poll,
-    listener: Option<TcpListener>,
-    accepting: bool,
+    listener: Option<Listener>,
     accepts_later: bool,
+    /// Attempts whose connection can't be begun from here for now.
+    redial: redial::Waiting,
     term: Signal,
     hup: Signal,
     /// The configuration that is in force, and where a new one is read from.
@@ -231,7 +242,7 @@
     origin_health: Option<OriginHealth>,
     /// Datagrams dropped: from nobody who is a peer, and of no known kind.
     dropped: (u64, u64),
-    desk: Option<(TcpListener, Desk)>,
+    desk: Option<(Listener, Desk)>,
     ledger: Option<Ledger>,
     /// The answers that wait for it, and when it is due to be looked at again.
     promised: promises::Promised,
@@ -253,7 +264,7 @@
     term_at: Option<Micros>,
     grace_over: bool,
     /// The admin listener, its callers, and what they decided.
-    admin: Option<TcpListener>,
+    admin: Option<Listener>,
     callers: usize,
     ops: linnetknot_ops::Operations,
     /// Where that is kept for the next process: `$TMPDIR`.
@@ -291,31 +302,26 @@
         let text = |e: io::Error| e.to_string();
         let limits = config.limits.clone();
         let (listener, inherited) = client_listener(&config)?;
-        listener.set_nonblocking(true).map_err(text)?;
         let term = Signal::register(signal_hook::consts::SIGTERM).map_err(text)?;
         let hup = Signal::register(signal_hook::consts::SIGHUP).map_err(text)?;
         // As many as there can be: what is known at all is known before anything is done about a part of it.
         let poll = Poll::new(limits.descriptors).map_err(text)?;
-        poll.add(&listener, LISTENER, Interest::READ)
-            .map_err(text)?;
-        poll.add(&term.heard, SIGNAL, Interest::READ)
-            .map_err(text)?;
-        poll.add(&hup.heard, RELOAD, Interest::READ).map_err(text)?;
+        let lacking = |e: Failure| e.to_string();
+        let listener = Listener::watch(listener, LISTENER, &poll).map_err(text)?;
+        poll.add_at_start(&term.heard, SIGNAL).map_err(lacking)?;
+        poll.add_at_start(&hup.heard, RELOAD).map_err(lacking)?;
         let admin = config
             .ops
             .map(|at| TcpListener::bind(at).map_err(|e| format!("ops: {at}: {e}")))
             .transpose()?;
-        if let Some(admin) = &admin {
-            admin.set_nonblocking(true).map_err(text)?;
-            poll.add(admin, ADMIN, Interest::READ).map_err(text)?;
-        }
+        let admin = admin.map(|listener| Listener::watch(listener, ADMIN, &poll));
+        let admin = admin.transpose().map_err(text)?;
         let clock = Clock::start();
         let (mut desk, mut peers, mut ledger, mut store_word) = (None, None, None, None);
         if let Some(cdni) = config.cdni.clone() {
             let listener = TcpListener::bind(cdni.listen)
                 .map_err(|e| format!("cdni.listen: {}: {e}", cdni.listen))?;
-            listener.set_nonblocking(true).map_err(text)?;
-            poll.add(&listener, CDNI, Interest::READ).map_err(text)?;
+            let listener = Listener::watch(listener, CDNI, &poll).map_err(text)?;
             desk = Some((
                 listener,
                 Desk::new(cdni.identity, config.seed, limits.triggers),
@@ -323,7 +329,7 @@
             if let Some(path) = cdni.purges {
                 let writer = linnetknot_discovery::server_id(&config.name);
                 let word = Signal::new().map_err(text)?;
-                poll.add(&word.heard, STORE, Interest::READ).map_err(text)?;
+                poll.add_at_start(&word.heard, STORE).map_err(lacking)?;
                 let bounds = Bounds {
                     replication: limits.replication(&config.copies),
                     queue: limits.store_writes,
@@ -343,7 +349,7 @@
         if let Some((own, known)) = config.peers.clone().filter(|_| talks) {
             let socket = bind_shared_udp(own).map_err(|e| format!("peer_listen: {own}: {e}"))?;
             socket.set_nonblocking(true).map_err(text)?;
-            poll.add(&socket, PEERS, Interest::READ).map_err(text)?;
+            poll.add_at_start(&socket, PEERS).map_err(lacking)?;
             peers = Some((socket, known));
         }
         let ops_folder = config.ops_folder.clone();
@@ -358,7 +364,7 @@
             .consul
             .as_ref()
             .map_or(Damping::default(), |c| c.damping);
-        let address = listener.local_addr().unwrap_or(config.listen);
+        let address = listener.address().unwrap_or(config.listen);
         let consul = config
             .consul
             .as_ref()
@@ -373,8 +379,8 @@
             core,
             poll,
             listener: Some(listener),
-            accepting: true,
             accepts_later: false,
+            redial: redial::Waiting::default(),
             term,
             hup,
             connections: Slots::new(limits.connections),
@@ -454,12 +460,12 @@
 
     /// Where clients connect.
     pub fn address(&self) -> Option<SocketAddr> {
-        self.listener.as_ref()?.local_addr().ok()
+        self.listener.as_ref()?.address()
     }
 
     /// Where operators call.
     pub fn admin_address(&self) -> Option<SocketAddr> {
-        self.admin.as_ref()?.local_addr().ok()
+        self.admin.as_ref()?.address()
     }
 
     /// What does to it from another thread what signals do.
@@ -490,7 +496,9 @@
                 self.timer(now, timer);
                 self.settle(now);
             }
+            spells::log_ended();
         }
+        spells::log_rest();
         self.write_lists(self.clock.now());
         let tally = self
             .ledger
@@ -604,6 +612,7 @@
             Timer::End(key) => drop(self.half_close(now, key)),
             Timer::Task(task) => task(self, now),
             Timer::Serve(key) => self.serve_again(now, key),
+            Timer::Register(key) => self.register_again(now, key),
             Timer::Accept => {
                 self.accepts_later = false;
                 self.accept(now);
@@ -642,7 +651,7 @@
     /// that comes would wake this one in vain.
     fn drop_listener(&mut self) {
         if let Some(listener) = self.listener.take() {
-            if let Err(e) = self.poll.remove(&listener) {
+            if let Err(e) = listener.close(&self.poll) {
                 log::debug!("the listener was not watched: {e}");
             }
         }
@@ -745,14 +754,11 @@
             half: false,
             waiting: 0,
             held: 0,
+            registration: Registration::Missing,
+            registers_later: false,
         });
         let key = key.ok()?;
-        let c = self.connections.get(key)?;
-        if let Err(e) = self
-            .poll
-            .add(c.conn.socket(), key.to_u64(), c.conn.watched())
-        {
-            log::warn!("a connection can't be watched: {e}");
+        if !self.register(now, key) {
             self.connections.remove(key);
             return None;
         }
@@ -761,12 +767,16 @@
 
     /// Begins a connection. An error tells whether the other side refused it, or none could be begun from here.
     fn call(&mut self, now: Micros, to: SocketAddr, kind: Kind) -> Result<Key, NoCall> {
-        let socket = connect(to).map_err(|e| {
-            log::warn!("no connection to {to}: {e}");
-            if e.kind() == io::ErrorKind::ConnectionRefused {
-                NoCall::Refused
-            } else {
-                NoCall::NoRoom
+        let socket = connect(to).map_err(|failure| {
+            log::debug!("no connection to {to}: {failure}");
+            match failure.kind {
+                FailureKind::Refused => NoCall::Refused,
+                FailureKind::Broken => NoCall::Late,
+                FailureKind::ProgramFault => NoCall::NoRoom,
+                FailureKind::RetryNow
+                | FailureKind::WouldBlock
+                | FailureKind::RetryLater
+                | FailureKind::NoDescriptors => NoCall::Local,
             }
         })?;
         let conn = Conn::new(
@@ -873,7 +883,9 @@
             Kind::Client(_) => {
                 self.write_client(key);
                 self.connections.get(key).is_none_or(|c| match &c.kind {
-                    Kind::Client(s) => !(s.is_over() && c.conn.output.is_empty()),
+                    Kind::Client(s) => {
+                        !(c.conn.is_broken() || s.is_over() && c.conn.output.is_empty())
+                    }
                     _ => true,
                 })
             }
@@ -886,21 +898,10 @@
                 c.conn.write() != Progress::Broken && !(over && c.conn.output.is_empty())
             }
         };
-        self.watch(key);
+        self.watch(now, key);
         sound
     }
 
-    fn watch(&mut self, key: Key) {
-        let Some(c) = self.connections.get_mut(key) else {
-            return;
-        };
-        if let Some(interest) = c.conn.watch() {
-            if let Err(e) = self.poll.change(c.conn.socket(), key.to_u64(), interest) {
-                log::warn!("a connection can't be watched: {e}");
-            }
-        }
-    }
-
     fn close(&mut self, now: Micros, key: Key) {
         let Some(c) = self.connections.remove(key) else {
             return;
@@ -925,10 +926,17 @@
                     }
                 }
                 let mut told = Vec::new();
-                let unsent = match (c.conn.up, c.conn.refused) {
-                    (true, _) => Outcome::Moot,
-                    (false, true) => Outcome::ConnectFailed,
-                    (false, false) => Outcome::Unreached,
+                let failure = c.conn.connect_failure();
+                if failure.is_some_and(Failure::is_local) {
+                    // Nothing was heard of its box: what waited for it goes on waiting.
+                    for attempt in link.take_queued() {
+                        self.send_later(now, attempt);
+                    }
+                }
+                let unsent = match failure.map(|failure| failure.kind) {
+                    _ if c.conn.up => Outcome::Moot,
+                    Some(FailureKind::Refused) => Outcome::ConnectFailed,
+                    _ => Outcome::Unreached,
                 };
                 link.broken(unsent, c.conn.written, &mut told);
                 self.tell(now, server, told);
@@ -967,7 +975,8 @@
                     Command::GiveUp(attempt, server) => self.give_up(now, attempt, server),
                     Command::Answer(client, answer) => {
                         self.answer(now, client, answer);
-                        self.watch(client.connection);
+                        self.watch(now, client.connection);
+                        self.close_if_broken(now, client.connection);
                         self.note_client(now, client.connection);
                         self.end_if_over(now, client.connection);
                     }
--- a/daemon/src/daemon/neighbours.rs
+++ b/daemon/src/daemon/neighbours.rs
@@ -1,10 +1,10 @@
 //! The second front's sockets: what neighbours and redirected clients ask, and what neighbours are sent.
 
 use super::exchange::{Effect, End, Exchange, Flow};
-use super::{Connection, Daemon, Kind, Timer, CDNI};
+use super::{Connection, Daemon, Kind, Timer};
 use crate::core::{Answer, Client};
 use crate::front::cdni::{self, Post, Reply, Session, Waiting, MEDIA};
-use crate::net::{Conn, Interest, Key, Progress};
+use crate::net::{Conn, Key, Progress};
 use crate::wire::http::{self, Messages, Piece};
 use crate::wire::{Parser, WireError};
 use linnetknot::Micros;
@@ -66,24 +66,21 @@
 impl Daemon {
     /// Where neighbours connect.
     pub fn cdni_address(&self) -> Option<std::net::SocketAddr> {
-        self.desk.as_ref()?.0.local_addr().ok()
+        self.desk.as_ref()?.0.address()
     }
 
     pub(super) fn accept_cdni(&mut self, now: Micros) {
         while self.desk.is_some() && !self.grace_over {
-            let room = self.room_for_client(now);
+            let Ok(leaver) = self.room_for_client(now) else {
+                return self.pause_cdni(now);
+            };
             let Some((listener, _)) = &self.desk else {
                 return;
             };
-            let taken = room.and_then(|leaver| Ok((listener.accept()?.0, leaver)));
-            let (socket, leaver) = match taken {
-                Ok(taken) => taken,
-                Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => break,
-                Err(e) => {
-                    log::debug!("accepting neighbours pauses: {e}");
-                    let _ = self.poll.change(listener, CDNI, Interest::NONE);
-                    return self.accept_later(now);
-                }
+            let socket = match listener.accept() {
+                Ok(Some(socket)) => socket,
+                Ok(None) => break,
+                Err(_) => return self.pause_cdni(now),
             };
             let session = Session::new(self.limits.line, self.limits.body);
             let conn = Conn::new(
@@ -96,9 +93,17 @@
                 self.take_in(now, conn, Kind::Cdni(Box::new(session)), leaver);
             }
         }
-        if let Some((listener, _)) = &self.desk {
-            let _ = self.poll.change(listener, CDNI, Interest::READ);
+        let resumed = self.desk.as_mut().is_none_or(|(l, _)| l.resume(&self.poll));
+        if !resumed {
+            self.accept_later(now);
+        }
+    }
+
+    fn pause_cdni(&mut self, now: Micros) {
+        if let Some((listener, _)) = &mut self.desk {
+            listener.pause(&self.poll);
         }
+        self.accept_later(now);
     }
 
     pub(super) fn read_cdni(&mut self, now: Micros, key: Key) -> Result<(), WireError> {
--- /dev/null
+++ b/daemon/src/daemon/redial.rs
@@ -0,0 +1,53 @@
+//! Attempts whose connection can't be begun from this machine for now.
+//!
+//! Without a local port, a route, a descriptor or memory nothing is known of the cache, and nothing was sent to it. Such
+//! an attempt stays out, has not begun, and waits here until a connection can be begun or its time is over: the cache is
+//! not judged by it, and the request has not spent an attempt.
+
+use super::Daemon;
+use crate::core::AttemptId;
+use linnetknot::{Micros, Outcome, ServerId};
+use std::collections::BTreeSet;
+
+/// The attempts that wait.
+#[derive(Default)]
+pub(super) struct Waiting {
+    attempts: Vec<AttemptId>,
+    /// Whether they are due to be looked at.
+    is_due: bool,
+    /// Caches to which no connection could be begun in this round.
+    failed: BTreeSet<ServerId>,
+}
+
+impl Daemon {
+    /// Has an attempt wait until a connection can be begun.
+    pub(super) fn send_later(&mut self, now: Micros, attempt: AttemptId) {
+        if let Some((_, sending)) = self.core.sending(attempt) {
+            self.redial.failed.insert(sending.server);
+            self.redial.attempts.push(attempt);
+        }
+        if !std::mem::replace(&mut self.redial.is_due, true) {
+            self.later(now + self.limits.accept_again_us, Daemon::send_again);
+        }
+    }
+
+    /// Sends the attempts that wait and may still begin.
+    fn send_again(&mut self, now: Micros) {
+        self.redial.is_due = false;
+        self.redial.failed.clear();
+        for attempt in std::mem::take(&mut self.redial.attempts) {
+            let Some((_, sending)) = self.core.sending(attempt) else {
+                continue;
+            };
+            let server = sending.server;
+            if self.core.beginning(now, attempt).is_none() {
+                self.core.ended(now, attempt, Outcome::Moot.into());
+            } else if self.redial.failed.contains(&server) {
+                // One call a round tells: the others wait for the next.
+                self.send_later(now, attempt);
+            } else {
+                self.send(now, attempt);
+            }
+        }
+    }
+}
--- a/daemon/src/net/conn.rs
+++ b/daemon/src/net/conn.rs
@@ -1,8 +1,9 @@
 //! A TCP connection with its two rings.
 
-use super::{Interest, Ring};
-use rustix::net::{self, sockopt, AddressFamily, SocketFlags, SocketType};
-use std::io::{self, Write};
+use super::errno::{Failure, FailureKind};
+use super::{syscall, Interest, Ring};
+use rustix::net::{self, SocketType};
+use std::io;
 use std::net::{SocketAddr, TcpStream};
 
 /// A connection: a non-blocking socket, what came in and what is to go out.
@@ -16,8 +17,10 @@
     pub written: u64,
     /// False until a connection begun from here is up.
     pub up: bool,
-    /// The other side has refused it: nobody listens there.
-    pub refused: bool,
+    /// Why a connection begun from here did not come up.
+    connect_failure: Option<Failure>,
+    /// Reading or writing has shown that it is broken.
+    broken: bool,
     /// A frame could not begin because the socket takes nothing: it is to be tried again once it does.
     blocked: bool,
     /// The other side's end has been read: it must not be told of for ever.
@@ -38,55 +41,37 @@
     Broken,
 }
 
-fn progress(result: io::Result<usize>, none: Progress) -> Progress {
-    match result {
+fn progress(result: Result<usize, Failure>, none: Progress) -> Progress {
+    match result.map_err(|failure| failure.kind) {
         Ok(0) => none,
         Ok(_) => Progress::Moved,
-        Err(e)
-            if matches!(
-                e.kind(),
-                io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
-            ) =>
-        {
+        Err(FailureKind::WouldBlock | FailureKind::RetryNow | FailureKind::RetryLater) => {
             Progress::Blocked
         }
-        Err(_) => Progress::Broken,
+        Err(
+            FailureKind::Refused
+            | FailureKind::Broken
+            | FailureKind::NoDescriptors
+            | FailureKind::ProgramFault,
+        ) => Progress::Broken,
     }
 }
 
 /// A UDP socket bound so that the next process of an upgrade can bind the same address while this one still runs:
 /// both set `SO_REUSEPORT`, and the kernel shares the datagrams out between them until the old one ends.
 pub fn bind_shared_udp(at: SocketAddr) -> io::Result<std::net::UdpSocket> {
-    let family = if at.is_ipv4() {
-        AddressFamily::INET
-    } else {
-        AddressFamily::INET6
-    };
-    let socket = net::socket_with(
-        family,
-        SocketType::DGRAM,
-        SocketFlags::NONBLOCK | SocketFlags::CLOEXEC,
-        None,
-    )?;
-    sockopt::set_socket_reuseaddr(&socket, true)?;
-    sockopt::set_socket_reuseport(&socket, true)?;
+    let socket = syscall::patiently(|| syscall::socket(at, SocketType::DGRAM))?;
+    syscall::share_address(&socket)?;
     net::bind(&socket, &at)?;
     Ok(std::net::UdpSocket::from(socket))
 }
 
 /// Begins a connection without waiting for it.
-pub fn connect(to: SocketAddr) -> io::Result<TcpStream> {
-    let family = if to.is_ipv4() {
-        AddressFamily::INET
-    } else {
-        AddressFamily::INET6
-    };
-    let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
-    let socket = net::socket_with(family, SocketType::STREAM, flags, None)?;
-    match net::connect(&socket, &to) {
-        Ok(()) | Err(rustix::io::Errno::INPROGRESS) => Ok(TcpStream::from(socket)),
-        Err(e) => Err(e.into()),
-    }
+///
+/// # Errors
+/// It can't be begun; the failure tells whether that says anything of the other side.
+pub fn connect(to: SocketAddr) -> Result<TcpStream, Failure> {
+    syscall::connect(to)
 }
 
 impl Conn {
@@ -94,7 +79,8 @@
     pub fn new(socket: TcpStream, up: bool, input: usize, output: usize) -> io::Result<Self> {
         socket.set_nonblocking(true)?;
         // Small answers must not wait for the acknowledgement of earlier ones.
-        socket.set_nodelay(true)?;
+        // Where that can't be had, they wait, and nothing is lost.
+        let _ = syscall::set_nodelay(&socket);
         let (input, output) = (Ring::new(input), Ring::new(output));
         let watched = Interest {
             read: true,
@@ -107,7 +93,8 @@
             output,
             written: 0,
             up,
-            refused: false,
+            connect_failure: None,
+            broken: false,
             blocked: false,
             ended: false,
             watched,
@@ -120,11 +107,24 @@
     }
 
     /// How a connection begun from here came out, once it can be written.
-    pub fn finish_connect(&mut self) -> io::Result<()> {
-        let result = sockopt::socket_error(&self.socket)?;
+    ///
+    /// # Errors
+    /// Why it did not come up.
+    pub fn finish_connect(&mut self) -> Result<(), Failure> {
+        let result = syscall::connect_result(&self.socket);
         self.up = result.is_ok();
-        self.refused = result == Err(rustix::io::Errno::CONNREFUSED);
-        Ok(result?)
+        self.connect_failure = result.err();
+        result
+    }
+
+    /// Why a connection begun from here did not come up, if it came out at all.
+    pub fn connect_failure(&self) -> Option<&Failure> {
+        self.connect_failure.as_ref()
+    }
+
+    /// Whether reading or writing has shown that it is broken.
+    pub fn is_broken(&self) -> bool {
+        self.broken
     }
 
     /// Reads once. A full ring reads nothing, so the other side has to wait.
@@ -138,8 +138,11 @@
                 Progress::Blocked
             };
         }
-        let got = progress(self.input.read_from(&mut self.socket), Progress::Ended);
+        let socket = &self.socket;
+        let filled = self.input.fill(|buffer| syscall::read(socket, buffer));
+        let got = progress(filled, Progress::Ended);
         self.ended |= got == Progress::Ended;
+        self.broken |= got == Progress::Broken;
         got
     }
 
@@ -151,11 +154,12 @@
         if !self.up {
             return Progress::Blocked;
         }
-        let result = self.socket.write(frame);
-        let taken = *result.as_ref().unwrap_or(&0);
+        let result = syscall::write(&self.socket, frame);
+        let taken = result.unwrap_or(0);
         self.written += taken as u64;
         let progress = progress(result, Progress::Blocked);
         self.blocked = progress == Progress::Blocked;
+        self.broken |= progress == Progress::Broken;
         if progress == Progress::Moved {
             self.output.push(&frame[taken..]);
         }
@@ -176,11 +180,15 @@
     pub fn write(&mut self) -> Progress {
         let mut moved = Progress::Blocked;
         while self.up && !self.output.is_empty() {
-            let result = self.output.write_to(&mut self.socket);
-            self.written += *result.as_ref().unwrap_or(&0) as u64;
+            let socket = &self.socket;
+            let result = self.output.drain(|bytes| syscall::write(socket, bytes));
+            self.written += result.unwrap_or(0) as u64;
             match progress(result, Progress::Blocked) {
                 Progress::Moved => moved = Progress::Moved,
-                Progress::Broken => return Progress::Broken,
+                Progress::Broken => {
+                    self.broken = true;
+                    return Progress::Broken;
+                }
                 _ => break,
             }
         }
@@ -189,8 +197,8 @@
 
     /// Ends this side's half: the other side reads all that was written and then the end. Unlike closing, that
     /// sends no reset when more comes in, and a reset would strike from the kernel what is still on its way out.
-    pub fn end_output(&self) -> io::Result<()> {
-        self.socket.shutdown(std::net::Shutdown::Write)
+    pub fn end_output(&self) -> Result<(), Failure> {
+        syscall::shutdown_write(&self.socket)
     }
 
     /// What to watch for from now on, if that has changed.
--- a/daemon/src/net/mod.rs
+++ b/daemon/src/net/mod.rs
@@ -3,13 +3,21 @@
 mod clock;
 mod conn;
 mod deadlines;
+mod errno;
+pub mod injection;
+mod listener;
 mod poll;
 mod ring;
 mod slots;
+pub mod spells;
+mod syscall;
 
 pub use clock::Clock;
 pub use conn::{bind_shared_udp, connect, Conn, Progress};
 pub use deadlines::{Deadlines, Due};
+pub use errno::{classify, Call, Failure, FailureKind};
+pub use listener::Listener;
 pub use poll::{Interest, Poll, Ready};
 pub use ring::Ring;
 pub use slots::{Key, Slots};
+pub use syscall::{receive_from, send_to};
--- a/daemon/src/net/poll.rs
+++ b/daemon/src/net/poll.rs
@@ -1,5 +1,7 @@
 //! epoll.
 
+use super::errno::Failure;
+use super::syscall;
 use rustix::event::{epoll, Timespec};
 use rustix::fd::{AsFd, OwnedFd};
 use std::io;
@@ -19,6 +21,19 @@
     pub hung_up: bool,
 }
 
+impl Ready {
+    /// What may be so of a socket that the kernel does not watch: it is found out by reading and writing.
+    pub fn unwatched(token: u64) -> Self {
+        Ready {
+            token,
+            read: true,
+            write: true,
+            broken: false,
+            hung_up: false,
+        }
+    }
+}
+
 /// What a socket is watched for. That it breaks is told in any case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interest {
@@ -63,51 +78,55 @@
     /// A set that gives so many events at a time.
     pub fn new(events: usize) -> io::Result<Self> {
         Ok(Poll {
-            fd: epoll::create(epoll::CreateFlags::CLOEXEC)?,
+            fd: syscall::patiently(syscall::epoll_create)?,
             events: Vec::with_capacity(events),
         })
     }
 
     /// Watches a socket until it is closed.
-    pub fn add(&self, socket: impl AsFd, token: u64, interest: Interest) -> io::Result<()> {
-        Ok(epoll::add(
-            &self.fd,
-            socket,
-            epoll::EventData::new_u64(token),
-            flags(interest),
-        )?)
+    ///
+    /// # Errors
+    /// Memory or watches may be short for a moment (`FailureKind::RetryLater`).
+    pub fn add(&self, socket: impl AsFd, token: u64, interest: Interest) -> Result<(), Failure> {
+        syscall::epoll_add(&self.fd, socket, token, flags(interest))
+    }
+
+    /// Watches, from the start on, what can be read. Memory or watches that are short for a moment are waited for.
+    ///
+    /// # Errors
+    /// The failure that stays.
+    pub fn add_at_start(&self, socket: impl AsFd, token: u64) -> Result<(), Failure> {
+        let flags = flags(Interest::READ);
+        syscall::patiently(|| syscall::epoll_add(&self.fd, &socket, token, flags))
     }
 
     /// Changes what is watched for.
-    pub fn change(&self, socket: impl AsFd, token: u64, interest: Interest) -> io::Result<()> {
-        Ok(epoll::modify(
-            &self.fd,
-            socket,
-            epoll::EventData::new_u64(token),
-            flags(interest),
-        )?)
+    ///
+    /// # Errors
+    /// As `add`.
+    pub fn change(&self, socket: impl AsFd, token: u64, interest: Interest) -> Result<(), Failure> {
+        syscall::epoll_modify(&self.fd, socket, token, flags(interest))
     }
 
     /// Watches a socket no more. Closing is not enough for one that another process holds too.
-    pub fn remove(&self, socket: impl AsFd) -> io::Result<()> {
-        Ok(epoll::delete(&self.fd, socket)?)
+    ///
+    /// # Errors
+    /// It was not watched.
+    pub fn remove(&self, socket: impl AsFd) -> Result<(), Failure> {
+        syscall::epoll_delete(&self.fd, socket)
     }
 
     /// Waits for events, or for so many microseconds.
-    pub fn wait(&mut self, most_us: u64, out: &mut Vec<Ready>) -> io::Result<()> {
+    ///
+    /// # Errors
+    /// The set itself is unusable.
+    pub fn wait(&mut self, most_us: u64, out: &mut Vec<Ready>) -> Result<(), Failure> {
         self.events.clear();
         let most = Timespec {
             tv_sec: (most_us / 1_000_000) as i64,
             tv_nsec: (most_us % 1_000_000 * 1_000) as i64,
         };
-        match epoll::wait(
-            &self.fd,
-            rustix::buffer::spare_capacity(&mut self.events),
-            Some(&most),
-        ) {
-            Ok(_) | Err(rustix::io::Errno::INTR) => {}
-            Err(e) => return Err(e.into()),
-        }
+        syscall::epoll_wait(&self.fd, most, &mut self.events)?;
         let broken = epoll::EventFlags::ERR | epoll::EventFlags::HUP;
         out.extend(self.events.iter().map(|e| {
             let flags = e.flags;
--- a/daemon/src/net/ring.rs
+++ b/daemon/src/net/ring.rs
@@ -1,7 +1,5 @@
 //! A ring buffer of bytes: one for each direction of a connection.
 
-use std::io::{self, Read, Write};
-
 /// A bounded ring of bytes. Memory is taken with the first byte, so a connection that never speaks costs none.
 pub struct Ring {
     bytes: Vec<u8>,
@@ -86,19 +84,28 @@
         self.len - before
     }
 
-    /// Reads once into the free part; 0 where the other side has ended or nothing fits.
-    pub fn read_from(&mut self, from: &mut impl Read) -> io::Result<usize> {
+    /// Has the free part filled once; 0 where the other side has ended or nothing fits.
+    ///
+    /// # Errors
+    /// Those of `read`.
+    pub fn fill<E>(
+        &mut self,
+        read: impl FnOnce(&mut [u8]) -> Result<usize, E>,
+    ) -> Result<usize, E> {
         if self.room() == 0 {
             return Ok(0);
         }
-        let n = from.read(self.gap())?;
+        let n = read(self.gap())?;
         self.len += n;
         Ok(n)
     }
 
-    /// Writes once from the front.
-    pub fn write_to(&mut self, to: &mut impl Write) -> io::Result<usize> {
-        let n = to.write(self.front())?;
+    /// Has bytes from the front taken once.
+    ///
+    /// # Errors
+    /// Those of `write`.
+    pub fn drain<E>(&mut self, write: impl FnOnce(&[u8]) -> Result<usize, E>) -> Result<usize, E> {
+        let n = write(self.front())?;
         self.consume(n);
         Ok(n)
     }
@@ -112,14 +119,18 @@
     fn bytes_come_out_as_they_went_in_around_the_end() {
         let mut ring = Ring::new(5);
         let (mut sent, mut got) = (0u8, Vec::new());
+        let mut take = |bytes: &[u8]| {
+            got.extend_from_slice(bytes);
+            Ok::<_, std::convert::Infallible>(bytes.len())
+        };
         for step in [3, 1, 4, 2, 5, 1, 3, 5] {
             let bytes: Vec<u8> = (sent..sent + step).collect();
             sent += ring.push(&bytes) as u8;
             assert_eq!(ring.push(&[0; 9][..0]), 0);
-            ring.write_to(&mut got).unwrap();
+            ring.drain(&mut take).unwrap();
         }
         while !ring.is_empty() {
-            ring.write_to(&mut got).unwrap();
+            ring.drain(&mut take).unwrap();
         }
         assert_eq!(got, (0..sent).collect::<Vec<_>>());
         assert_eq!((ring.push(&[7; 9]), ring.room()), (5, 0));
--- /dev/null
+++ b/daemon/src/net/syscall.rs
@@ -0,0 +1,203 @@
+//! The system calls of the event loop. No other module makes them, and what they fail with is classified before it
+//! leaves this one (`errno`).
+
+use super::errno::{Call, Failure, FailureKind};
+use super::{injection, spells};
+use rustix::event::{epoll, Timespec};
+use rustix::fd::{AsFd, OwnedFd};
+use rustix::io::Errno;
+use rustix::net::{self, sockopt, AddressFamily, RecvFlags, SendFlags, SocketFlags, SocketType};
+use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
+use std::time::Duration;
+
+/// An interrupted call is made again at once, though not for ever.
+const MOST_INTERRUPTIONS: usize = 16;
+/// At the start a call that may succeed a moment later is made again after so long, this many times.
+const START_AGAIN: Duration = Duration::from_millis(10);
+const MOST_AT_START: usize = 200;
+
+/// Makes a call until it is no longer interrupted.
+fn make<T>(call: Call, mut system_call: impl FnMut() -> Result<T, Errno>) -> Result<T, Failure> {
+    let mut interruptions = 0;
+    loop {
+        let result = injection::failure(call).map_or_else(&mut system_call, Err);
+        let failure = match result {
+            Ok(done) => return Ok(done),
+            Err(errno) => Failure::new(call, errno),
+        };
+        interruptions += 1;
+        if failure.kind != FailureKind::RetryNow || interruptions >= MOST_INTERRUPTIONS {
+            spells::note(&failure);
+            return Err(failure);
+        }
+    }
+}
+
+/// Makes a call again, for a while, where it may succeed a moment later: at the start nothing else waits.
+pub(super) fn patiently<T>(mut make: impl FnMut() -> Result<T, Failure>) -> Result<T, Failure> {
+    for _ in 1..MOST_AT_START {
+        match make() {
+            Err(failure) if failure.kind == FailureKind::RetryLater => {
+                std::thread::sleep(START_AGAIN);
+            }
+            result => return result,
+        }
+    }
+    make()
+}
+
+/// Takes a connection that waits at a listener.
+pub(super) fn accept(listener: &TcpListener) -> Result<TcpStream, Failure> {
+    let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
+    make(Call::Accept, || net::accept_with(listener, flags)).map(TcpStream::from)
+}
+
+fn family(of: SocketAddr) -> AddressFamily {
+    if of.is_ipv4() {
+        AddressFamily::INET
+    } else {
+        AddressFamily::INET6
+    }
+}
+
+/// Makes a socket that does not block.
+pub(super) fn socket(of: SocketAddr, kind: SocketType) -> Result<OwnedFd, Failure> {
+    let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
+    make(Call::Socket, || {
+        net::socket_with(family(of), kind, flags, None)
+    })
+}
+
+/// Begins a connection, which goes on in the background.
+pub(super) fn connect(to: SocketAddr) -> Result<TcpStream, Failure> {
+    let socket = socket(to, SocketType::STREAM)?;
+    let result = match injection::failure(Call::Connect) {
+        // What is only planted as begun has to be begun.
+        Some(errno @ (Errno::INTR | Errno::INPROGRESS)) => {
+            net::connect(&socket, &to).and(Err(errno))
+        }
+        Some(errno) => Err(errno),
+        None => net::connect(&socket, &to),
+    };
+    match result.map_err(|errno| Failure::new(Call::Connect, errno)) {
+        Err(failure) if failure.kind != FailureKind::WouldBlock => {
+            spells::note(&failure);
+            Err(failure)
+        }
+        _ => Ok(TcpStream::from(socket)),
+    }
+}
+
+/// How a connection begun from here came out, once it can be written.
+pub(super) fn connect_result(socket: &TcpStream) -> Result<(), Failure> {
+    make(Call::ConnectResult, || sockopt::socket_error(socket)?)
+}
+
+/// Reads what a connection has; 0 at its end.
+pub(super) fn read(socket: &TcpStream, buffer: &mut [u8]) -> Result<usize, Failure> {
+    let most = injection::limit(Call::Read, buffer.len());
+    make(Call::Read, || {
+        net::recv(socket, &mut buffer[..most], RecvFlags::empty()).map(|(_, length)| length)
+    })
+}
+
+/// Writes what a connection takes.
+pub(super) fn write(socket: &TcpStream, bytes: &[u8]) -> Result<usize, Failure> {
+    let most = injection::limit(Call::Write, bytes.len());
+    make(Call::Write, || {
+        net::send(socket, &bytes[..most], SendFlags::NOSIGNAL)
+    })
+}
+
+/// Receives a datagram.
+pub fn receive_from(socket: &UdpSocket, buffer: &mut [u8]) -> Result<(usize, SocketAddr), Failure> {
+    make(Call::ReceiveDatagram, || {
+        socket.recv_from(buffer).map_err(|e| errno_of(&e))
+    })
+}
+
+/// Sends a datagram.
+pub fn send_to(socket: &UdpSocket, datagram: &[u8], to: SocketAddr) -> Result<usize, Failure> {
+    make(Call::SendDatagram, || {
+        net::sendto(socket, datagram, SendFlags::NOSIGNAL, &to)
+    })
+}
+
+fn errno_of(error: &std::io::Error) -> Errno {
+    Errno::from_io_error(error).unwrap_or(Errno::IO)
+}
+
+/// Ends the sending half of a connection.
+pub(super) fn shutdown_write(socket: &TcpStream) -> Result<(), Failure> {
+    make(Call::Shutdown, || {
+        net::shutdown(socket, net::Shutdown::Write)
+    })
+}
+
+/// Has a connection send small messages at once.
+pub(super) fn set_nodelay(socket: &TcpStream) -> Result<(), Failure> {
+    make(Call::SetOption, || sockopt::set_tcp_nodelay(socket, true))
+}
+
+/// Lets the next process bind the same address while this one still runs.
+pub(super) fn share_address(socket: &OwnedFd) -> Result<(), Failure> {
+    make(Call::SetOption, || {
+        sockopt::set_socket_reuseaddr(socket, true)?;
+        sockopt::set_socket_reuseport(socket, true)
+    })
+}
+
+/// Makes an epoll set.
+pub(super) fn epoll_create() -> Result<OwnedFd, Failure> {
+    make(Call::EpollControl, || {
+        epoll::create(epoll::CreateFlags::CLOEXEC)
+    })
+}
+
+/// Watches a socket.
+pub(super) fn epoll_add(
+    set: &OwnedFd,
+    socket: impl AsFd,
+    token: u64,
+    flags: epoll::EventFlags,
+) -> Result<(), Failure> {
+    let data = epoll::EventData::new_u64(token);
+    make(Call::EpollControl, || epoll::add(set, &socket, data, flags))
+}
+
+/// Changes what a socket is watched for.
+pub(super) fn epoll_modify(
+    set: &OwnedFd,
+    socket: impl AsFd,
+    token: u64,
+    flags: epoll::EventFlags,
+) -> Result<(), Failure> {
+    let data = epoll::EventData::new_u64(token);
+    make(Call::EpollControl, || {
+        epoll::modify(set, &socket, data, flags)
+    })
+}
+
+/// Watches a socket no more.
+pub(super) fn epoll_delete(set: &OwnedFd, socket: impl AsFd) -> Result<(), Failure> {
+    make(Call::EpollControl, || epoll::delete(set, &socket))
+}
+
+/// Waits for events. An interrupted wait has seen none.
+pub(super) fn epoll_wait(
+    set: &OwnedFd,
+    most: Timespec,
+    events: &mut Vec<epoll::Event>,
+) -> Result<(), Failure> {
+    let waited = match injection::failure(Call::EpollWait) {
+        Some(errno) => Err(errno),
+        None => epoll::wait(set, rustix::buffer::spare_capacity(events), Some(&most)).map(drop),
+    };
+    match waited.map_err(|errno| Failure::new(Call::EpollWait, errno)) {
+        Err(failure) if failure.kind != FailureKind::RetryNow => {
+            spells::note(&failure);
+            Err(failure)
+        }
+        _ => Ok(()),
+    }
+}
--- a/daemon/src/points.rs
+++ b/daemon/src/points.rs
@@ -2,8 +2,11 @@
 //! middle of a promise. Only builds with the feature `points` have them, which no release build does: without it each
 //! `fail_point!` is nothing at all.
 //!
-//! `LINNETKNOT_POINTS=store-committed=die;admin-kept=stall` arms them at the start.
+//! `LINNETKNOT_POINTS=store-committed=die;admin-kept=stall` arms them at the start. System calls fail with
+//! `sys-epoll-ctl=errno(ENOMEM|ENOSPC):every(31)`, and move few bytes with `sys-read=short(1)` (`net::injection`).
 
+use crate::net::injection::{self, Plan};
+use crate::net::Call;
 use rustix::process::{getpid, kill_process, Signal};
 
 /// The points, in the order in which a promise passes them.
@@ -55,8 +58,15 @@
     let Ok(text) = std::env::var("LINNETKNOT_POINTS") else {
         return Ok(());
     };
+    let mut plans = Vec::new();
     for part in text.split(';').filter(|part| !part.is_empty()) {
         let (name, act) = part.split_once('=').unwrap_or((part, ""));
+        if let Some(call) = name.strip_prefix("sys-") {
+            plans.push(
+                system_call(call, act).map_err(|e| format!("LINNETKNOT_POINTS: {part}: {e}"))?,
+            );
+            continue;
+        }
         if !POINTS.contains(&name) {
             return Err(format!("LINNETKNOT_POINTS: there is no point '{name}'"));
         }
@@ -72,5 +82,12 @@
         };
         armed.map_err(|e| format!("LINNETKNOT_POINTS: {e}"))?;
     }
-    Ok(())
+    injection::arm_process(plans)
+}
+
+/// A system call by its name, and how it is to fail.
+fn system_call(name: &str, plan: &str) -> Result<(Call, Plan), String> {
+    let call = Call::ALL.into_iter().find(|call| call.name() == name);
+    let call = call.ok_or_else(|| format!("there is no system call '{name}'"))?;
+    Ok((call, Plan::parse(plan)?))
 }
--- a/daemon/src/upstream/mod.rs
+++ b/daemon/src/upstream/mod.rs
@@ -390,6 +390,11 @@
         });
     }
 
+    /// Takes out what has not begun, to go on elsewhere.
+    pub fn take_queued(&mut self) -> Vec<AttemptId> {
+        self.queue.drain(..).map(|queued| queued.attempt).collect()
+    }
+
     /// The connection is over. What never arrived whole can't have run, and ends as `unsent`; the rest may have.
     pub fn broken(&mut self, unsent: Outcome, written: u64, events: &mut Vec<Told>) {
         for q in self.queue.drain(..) {
--- a/rehearse/src/player/mod.rs
+++ b/rehearse/src/player/mod.rs
@@ -113,23 +113,42 @@
     watch: Watch<'_>,
 ) -> io::Result<Outcome> {
     let plan = plan(scenario, seed);
+    let play = Play {
+        plan: &plan,
+        seed,
+        plant,
+        watch,
+        points: "",
+    };
+    play_in_own_folder(daemon, scenario, &play)
+}
+
+/// Plays a scenario as `play` does, with points armed in each daemon (its `LINNETKNOT_POINTS`).
+pub fn play_armed(
+    daemon: &Path,
+    scenario: &Scenario,
+    seed: u64,
+    points: &str,
+) -> io::Result<Outcome> {
+    let plan = plan(scenario, seed);
+    let play = Play {
+        plan: &plan,
+        seed,
+        plant: None,
+        watch: Watch::default(),
+        points,
+    };
+    play_in_own_folder(daemon, scenario, &play)
+}
+
+fn play_in_own_folder(daemon: &Path, scenario: &Scenario, play: &Play<'_>) -> io::Result<Outcome> {
     // Plays may run side by side in one process, with the same seed and in the same microsecond: each has a number.
     static PLAYS: AtomicU64 = AtomicU64::new(0);
     let n = PLAYS.fetch_add(1, Ordering::Relaxed);
-    let folder =
-        std::env::temp_dir().join(format!("linnetknot-play-{}-{seed}-{n}", std::process::id()));
+    let name = format!("linnetknot-play-{}-{}-{n}", std::process::id(), play.seed);
+    let folder = std::env::temp_dir().join(name);
     std::fs::create_dir_all(&folder)?;
-    let result = play_in(
-        &folder,
-        daemon,
-        scenario,
-        &Play {
-            plan: &plan,
-            seed,
-            plant,
-            watch,
-        },
-    );
+    let result = play_in(&folder, daemon, scenario, play);
     let _ = std::fs::remove_dir_all(&folder);
     result
 }
@@ -140,6 +159,8 @@
     seed: u64,
     plant: Option<Plant>,
     watch: Watch<'a>,
+    /// Armed in each daemon.
+    points: &'a str,
 }
 
 /// Plays in a folder of its own, and judges the record.
@@ -150,7 +171,13 @@
     play: &Play<'_>,
 ) -> io::Result<Outcome> {
     let mut environment = Environment::start(scenario, play.plan, play.plant)?;
-    let proxies = Proxies::start(daemon, folder, scenario, play.seed, &environment)?;
+    let proxies = Proxies::start(
+        (daemon, play.points),
+        folder,
+        scenario,
+        play.seed,
+        &environment,
+    )?;
     let (retry_sender, retries) = mpsc::channel();
     let clients = Arc::new(Clients::new(retry_sender));
     let release_killed = play.plant != Some(Plant::KillsOwed);
--- a/rehearse/src/player/proxies.rs
+++ b/rehearse/src/player/proxies.rs
@@ -17,6 +17,8 @@
 #[derive(Clone)]
 struct Launcher {
     daemon: PathBuf,
+    /// Armed in it.
+    points: String,
     folder: PathBuf,
     /// The operators' own file of each.
     own_file: Value,
@@ -24,12 +26,12 @@
 
 impl Launcher {
     fn start(&self, proxy: usize, config: &Value) -> io::Result<Process> {
-        Process::start(
+        Process::start_armed(
             &self.daemon,
             &self.folder,
             &format!("p{proxy}"),
-            config,
-            &self.own_file,
+            (config, &self.own_file),
+            &self.points,
         )
     }
 }
@@ -58,9 +60,9 @@
 }
 
 impl Proxies {
-    /// Starts the proxies of a scenario in their environment.
+    /// Starts the proxies of a scenario in their environment, with points armed in their program.
     pub(super) fn start(
-        daemon: &Path,
+        (daemon, points): (&Path, &str),
         folder: &Path,
         scenario: &Scenario,
         seed: u64,
@@ -84,6 +86,7 @@
         };
         let launcher = Launcher {
             daemon: daemon.to_owned(),
+            points: points.to_owned(),
             folder: folder.to_owned(),
             own_file,
         };
