--- a/daemon/src/net/injection.rs
+++ b/daemon/src/net/injection.rs
@@ -3,6 +3,7 @@
 
 use super::errno::Call;
 use rustix::io::Errno;
+use std::net::TcpStream;
 
 #[cfg(feature = "points")]
 pub use armed::{arm, arm_process, disarm_all, errno_named, Plan};
@@ -13,6 +14,12 @@
     None
 }
 
+/// The same for a call on a connection.
+#[cfg(not(feature = "points"))]
+pub(super) const fn failure_on(_: Call, _: &TcpStream) -> Option<Errno> {
+    None
+}
+
 /// How many of so many bytes this call may move.
 #[cfg(not(feature = "points"))]
 pub(super) const fn limit(_: Call, bytes: usize) -> usize {
@@ -20,13 +27,14 @@
 }
 
 #[cfg(feature = "points")]
-pub(super) use armed::{failure, limit};
+pub(super) use armed::{failure, failure_on, limit};
 
 #[cfg(feature = "points")]
 mod armed {
-    use super::{Call, Errno};
+    use super::{Call, Errno, TcpStream};
     use std::cell::RefCell;
     use std::collections::BTreeMap;
+    use std::net::SocketAddr;
     use std::sync::OnceLock;
 
     /// When a call fails, and with what.
@@ -40,6 +48,8 @@
         pub after: u64,
         /// No more than so many fail; 0 is no limit.
         pub times: u64,
+        /// Only calls on connections from or to this port count; 0: all calls.
+        pub port: u16,
         /// A transfer moves no more than so many bytes; 0 is no limit.
         pub short: usize,
         calls: u64,
@@ -85,10 +95,11 @@
                     "every" => plan.every = number()?,
                     "after" => plan.after = number()?,
                     "times" => plan.times = number()?,
+                    "port" => plan.port = argument.parse().map_err(|e| format!("{part}: {e}"))?,
                     "short" => plan.short = argument.parse().map_err(|e| format!("{part}: {e}"))?,
                     _ => {
                         return Err(format!(
-                            "'{name}' is none of errno, every, after, times and short"
+                            "'{name}' is none of errno, every, after, times, port and short"
                         ))
                     }
                 }
@@ -140,6 +151,16 @@
         PLANS.with_borrow_mut(Plans::clear);
     }
 
+    pub(in crate::net) fn failure_on(call: Call, socket: &TcpStream) -> Option<Errno> {
+        let wanted = PLANS.with_borrow(|plans| plans.get(&call).map_or(0, |plan| plan.port));
+        let ends = [socket.local_addr(), socket.peer_addr()];
+        let mut ports = ends.iter().flatten().map(SocketAddr::port);
+        if wanted != 0 && !ports.any(|port| port == wanted) {
+            return None;
+        }
+        failure(call)
+    }
+
     pub(in crate::net) fn failure(call: Call) -> Option<Errno> {
         PLANS.with_borrow_mut(|plans| plans.get_mut(&call)?.next())
     }
--- a/daemon/src/net/syscall.rs
+++ b/daemon/src/net/syscall.rs
@@ -17,10 +17,28 @@
 const MOST_AT_START: usize = 200;
 
 /// Makes a call until it is no longer interrupted.
-fn make<T>(call: Call, mut system_call: impl FnMut() -> Result<T, Errno>) -> Result<T, Failure> {
+fn make<T>(call: Call, system_call: impl FnMut() -> Result<T, Errno>) -> Result<T, Failure> {
+    make_unless(call, || injection::failure(call), system_call)
+}
+
+/// Makes a call on a connection until it is no longer interrupted.
+fn make_on<T>(
+    call: Call,
+    socket: &TcpStream,
+    system_call: impl FnMut() -> Result<T, Errno>,
+) -> Result<T, Failure> {
+    make_unless(call, || injection::failure_on(call, socket), system_call)
+}
+
+/// Makes a call, unless a test wants it to fail, until it is no longer interrupted.
+fn make_unless<T>(
+    call: Call,
+    injected: impl Fn() -> Option<Errno>,
+    mut system_call: impl FnMut() -> Result<T, Errno>,
+) -> Result<T, Failure> {
     let mut interruptions = 0;
     loop {
-        let result = injection::failure(call).map_or_else(&mut system_call, Err);
+        let result = injected().map_or_else(&mut system_call, Err);
         let failure = match result {
             Ok(done) => return Ok(done),
             Err(errno) => Failure::new(call, errno),
@@ -90,13 +108,15 @@
 
 /// How a connection begun from here came out, once it can be written.
 pub(super) fn connect_result(socket: &TcpStream) -> Result<(), Failure> {
-    make(Call::ConnectResult, || sockopt::socket_error(socket)?)
+    make_on(Call::ConnectResult, socket, || {
+        sockopt::socket_error(socket)?
+    })
 }
 
 /// Reads what a connection has; 0 at its end.
 pub(super) fn read(socket: &TcpStream, buffer: &mut [u8]) -> Result<usize, Failure> {
     let most = injection::limit(Call::Read, buffer.len());
-    make(Call::Read, || {
+    make_on(Call::Read, socket, || {
         net::recv(socket, &mut buffer[..most], RecvFlags::empty()).map(|(_, length)| length)
     })
 }
@@ -104,7 +124,7 @@
 /// Writes what a connection takes.
 pub(super) fn write(socket: &TcpStream, bytes: &[u8]) -> Result<usize, Failure> {
     let most = injection::limit(Call::Write, bytes.len());
-    make(Call::Write, || {
+    make_on(Call::Write, socket, || {
         net::send(socket, &bytes[..most], SendFlags::NOSIGNAL)
     })
 }
--- a/daemon/tests/armed/mod.rs
+++ b/daemon/tests/armed/mod.rs
@@ -6,6 +6,7 @@
 use linnetknot_rehearse::process::Process;
 use linnetknot_rehearse::settings;
 use serde_json::{json, Value};
+use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
@@ -13,6 +14,25 @@
 /// What a busy machine may take for anything here.
 const PATIENCE: Duration = Duration::from_secs(20);
 
+/// An address that nobody listens at.
+fn free_address() -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    listener.local_addr().unwrap()
+}
+
+/// Ports by which system calls can be told apart.
+#[derive(Clone, Copy)]
+#[allow(
+    dead_code,
+    reason = "not every test that shares this module tells ports apart"
+)]
+pub(crate) struct Ports {
+    /// Where clients connect.
+    pub(crate) front: u16,
+    /// The cache's.
+    pub(crate) cache: u16,
+}
+
 /// The daemon and its surroundings.
 pub(crate) struct Armed {
     pub(crate) process: Process,
@@ -34,8 +54,16 @@
         Self::with(points, |_| {})
     }
 
-    /// Starts it with these points, and waits until its list has come.
+    /// Starts it with these points and a change to the operators' own file, and waits until its list has come.
     pub(crate) fn with(points: &str, change: impl Fn(&mut Value)) -> Self {
+        Self::placed(|_| points.to_owned(), |_, own| change(own))
+    }
+
+    /// Starts it with points for the ports that it uses, and changes to its configuration and the operators' own file.
+    pub(crate) fn placed(
+        points: impl Fn(Ports) -> String,
+        change: impl Fn(&mut Value, &mut Value),
+    ) -> Self {
         static STARTED: AtomicUsize = AtomicUsize::new(0);
         let number = STARTED.fetch_add(1, Ordering::Relaxed);
         let name = format!("linnetknot-armed-{}-{number}", std::process::id());
@@ -45,11 +73,16 @@
             StandIn::start("s-0a").unwrap(),
             StandIn::start("s-0f").unwrap(),
         );
-        let config = json!({"listen": "127.0.0.1:0", "ops": "127.0.0.1:0", "bus": bus.address.to_string(),
+        let front = free_address();
+        let points = points(Ports {
+            front: front.port(),
+            cache: cache.address.port(),
+        });
+        let mut config = json!({"listen": front.to_string(), "ops": "127.0.0.1:0", "bus": bus.address.to_string(),
             "settings": settings(), "limits": {"memory_mb": 192, "sockets": 256}});
         let mut own = json!({"cdni": {"listen": "127.0.0.1:0", "provider": "AS64500:0",
             "base": "http://cdn.example", "footprint": ["127.0.0.0/8"]}});
-        change(&mut own);
+        change(&mut config, &mut own);
         bus.list(
             true,
             vec![
@@ -59,7 +92,7 @@
         );
         let program = Path::new(env!("CARGO_BIN_EXE_linnetknot"));
         let process =
-            Process::start_armed(program, &folder, "armed", (&config, &own), points).unwrap();
+            Process::start_armed(program, &folder, "armed", (&config, &own), &points).unwrap();
         let armed = Armed {
             process,
             cache,
--- a/daemon/tests/syscalls.rs
+++ b/daemon/tests/syscalls.rs
@@ -1,15 +1,12 @@
-//! System calls that fail in the ways that the manual pages document: what each errno is taken for, and what becomes of
-//! requests meanwhile.
+//! System calls that fail in the ways that the manual pages document: what each errno is taken for, and what sockets do
+//! then.
 
-mod armed;
-
-use armed::{ask, Armed};
 use linnetknot_daemon::net::injection::{arm, disarm_all, errno_named, Plan};
-use linnetknot_daemon::net::spells::Spells;
+use linnetknot_daemon::net::spells::{self, Spells};
 use linnetknot_daemon::net::{
     classify, connect, Call, Conn, Failure, FailureKind, Interest, Listener, Poll, Progress,
 };
-use linnetknot_rehearse::clients::WebServer;
+use std::cell::RefCell;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::thread::sleep;
@@ -332,103 +329,41 @@
     );
 }
 
-/// Clients that ask on new connections, one after the other: each is to be answered.
-fn serves_new_clients(armed: &Armed, clients: u64) {
-    for number in 0..clients {
-        let answer = ask(&mut armed.web(), number);
-        assert_eq!(answer.map(|a| a.status), Some(200), "client {number}");
-    }
-}
-
-#[test]
-fn a_client_that_cannot_be_watched_at_once_is_answered() {
-    serves_new_clients(
-        &Armed::start("sys-epoll-ctl=errno(ENOMEM|ENOSPC):every(2)"),
-        40,
-    );
-}
+/// Counts the lines that this thread logs of system calls.
+struct LineCounter;
 
-#[test]
-fn clients_are_served_while_no_connection_can_be_watched_at_all() {
-    let armed = Armed::start("sys-epoll-ctl=errno(ENOSPC|ENOMEM):after(40)");
-    serves_new_clients(&armed, 40);
-    // One that has gone is noticed too, and what it asked is not answered by an attempt that begins later.
-    let mut web = armed.web();
-    assert_eq!(ask(&mut web, 1).map(|a| a.status), Some(200));
-    assert_eq!(ask(&mut web, 2).map(|a| a.status), Some(200));
+thread_local! {
+    static LINES: RefCell<Vec<String>> = const { RefCell::new(Vec::new()) };
 }
 
-/// Clients that rest, and one that comes while `accept` fails.
-fn resting_clients_stay(errnos: &str) {
-    let points = format!("sys-accept=errno({errnos}):after(40):every(2):times(12)");
-    let armed = Armed::start(&points);
-    let mut resting: Vec<WebServer> = (0..4).map(|_| armed.web()).collect();
-    for (number, web) in (0..).zip(&mut resting) {
-        assert_eq!(ask(web, number).map(|a| a.status), Some(200));
-    }
-    // Those that came a moment ago are let be in any case.
-    sleep(Duration::from_millis(400));
-    serves_new_clients(&armed, 40);
-    for (number, web) in (0..).zip(&mut resting) {
-        let answer = ask(web, number);
-        assert_eq!(
-            answer.map(|a| a.status),
-            Some(200),
-            "{errnos}: client {number} was closed"
-        );
+impl log::Log for LineCounter {
+    fn enabled(&self, _: &log::Metadata<'_>) -> bool {
+        true
     }
-}
 
-#[test]
-fn no_resting_client_is_closed_for_errors_of_connections_to_come() {
-    resting_clients_stay("EPROTO|ENETDOWN|EHOSTUNREACH|ENETUNREACH|EOPNOTSUPP|ETIMEDOUT|EPERM");
-}
-
-#[test]
-fn no_resting_client_is_closed_for_memory() {
-    resting_clients_stay("ENOBUFS|ENOMEM");
-}
-
-/// A cache to which no connection can be begun for a while, by a fault of this machine, is tried again in time.
-fn waits_for_this_machine(points: &str) {
-    let armed = Armed::start(points);
-    let begun = Instant::now();
-    let mut web = armed.web();
-    let answer = ask(&mut web, 1);
-    assert_eq!(answer.map(|a| a.status), Some(200), "{points}");
-    assert!(
-        begun.elapsed() >= Duration::from_millis(100),
-        "{points}: nothing failed"
-    );
-    let fetched = armed.cache.arrivals();
-    assert_eq!(
-        fetched.len(),
-        1,
-        "{points}: the cache itself, and once: {fetched:?}"
-    );
-}
-
-#[test]
-fn a_failure_of_this_machine_to_connect_spends_no_attempt_and_ejects_no_cache() {
-    // The first connection is the bus's.
-    for points in [
-        "sys-connect=errno(EADDRNOTAVAIL|ENETUNREACH|ENOBUFS|ENETDOWN|EAGAIN|EPERM):after(1):times(12)",
-        "sys-socket=errno(ENFILE|EMFILE|ENOBUFS|ENOMEM):after(1):times(12)",
-        "sys-connect-result=errno(ENETUNREACH|EADDRNOTAVAIL|ENOBUFS):after(1):times(12)",
-    ] {
-        waits_for_this_machine(points);
+    fn log(&self, record: &log::Record<'_>) {
+        if record.target().ends_with("spells") {
+            LINES.with_borrow_mut(|lines| lines.push(record.args().to_string()));
+        }
     }
+
+    fn flush(&self) {}
 }
 
 #[test]
-fn transfers_that_fail_for_a_moment_lose_no_answer() {
-    let points = "sys-read=errno(ENOMEM|ENOBUFS|EINTR|EAGAIN):every(3);\
-                  sys-write=errno(ENOBUFS|ENOMEM|EINTR|EAGAIN):every(3);\
-                  sys-setsockopt=errno(ENOBUFS|ENOMEM|ENOPROTOOPT):every(2)";
-    let armed = Armed::start(points);
-    serves_new_clients(&armed, 30);
-    let mut web = armed.web();
-    for number in 0..30 {
-        assert_eq!(ask(&mut web, number).map(|a| a.status), Some(200));
+fn a_thousand_failures_are_two_lines_in_the_log() {
+    log::set_logger(&LineCounter).unwrap();
+    log::set_max_level(log::LevelFilter::Warn);
+    let (_poll, listener, _far) = waiting();
+    arm(Accept, Plan::always(&[errno_named("ENOBUFS").unwrap()]));
+    for _ in 0..1_000 {
+        assert!(listener.accept().is_err());
+        spells::log_ended();
     }
+    disarm_all();
+    assert_eq!(LINES.with_borrow(Vec::len), 1, "its begin");
+    sleep(Duration::from_millis(2_100));
+    spells::log_ended();
+    spells::log_rest();
+    assert_eq!(LINES.with_borrow(Vec::len), 2, "and its end");
 }
