--- a/daemon/src/daemon/registration.rs
+++ b/daemon/src/daemon/registration.rs
@@ -35,7 +35,10 @@
         }
         c.registration = Registration::Outdated;
         let done = self.try_register(key);
-        self.register_later(now, key, done);
+        if !self.register_later(now, key, done) {
+            // Whoever asks may be in the midst of it: it ends in this turn of the loop, unless it works by then.
+            self.deadlines.set(now, Timer::Register(key));
+        }
     }
 
     fn try_register(&mut self, key: Key) -> Result<(), Failure> {
@@ -56,7 +59,7 @@
     fn register_later(&mut self, now: Micros, key: Key, done: Result<(), Failure>) -> bool {
         let Err(failure) = done else { return true };
         if failure.kind == FailureKind::ProgramFault {
-            log::error!("a connection can't be watched: {failure}");
+            log::debug!("a connection can't be watched: {failure}");
             return false;
         }
         let Some(c) = self.connections.get_mut(key) else {
