--- a/daemon/src/net/syscall.rs
+++ b/daemon/src/net/syscall.rs
@@ -92,7 +92,8 @@
     let result = match injection::failure(Call::Connect) {
         // What is only planted as begun has to be begun.
         Some(errno @ (Errno::INTR | Errno::INPROGRESS)) => {
-            net::connect(&socket, &to).and(Err(errno))
+            let _ = net::connect(&socket, &to);
+            Err(errno)
         }
         Some(errno) => Err(errno),
         None => net::connect(&socket, &to),
