--- a/store/src/file.rs
+++ b/store/src/file.rs
@@ -1,11 +1,15 @@
 //! The file: spaces of keys and values, written in groups that are there whole or not at all.
 
+use crate::fault::{broken, fault, Fault};
+use crate::fault_points;
 use crate::medium;
+use crate::unsynced::Unsynced;
 use redb::{
     AccessGuard, Database, DatabaseError, ReadOnlyDatabase, ReadOnlyTable, ReadableDatabase,
     ReadableTable, StorageBackend, StorageError, Table, TableDefinition, TableError,
 };
 use std::fmt;
+use std::io;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::Path;
 
@@ -108,57 +112,6 @@
     }
 }
 
-/// Why the file can't be used.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
-    /// It can't be opened, read or written: the system's word for it.
-    Disk(String),
-    /// Another process has it open.
-    Busy,
-    /// What stands in it is damaged, or it is no store at all.
-    Damaged(String),
-    /// Another version of the program wrote it, in this format.
-    Format(String),
-}
-
-impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Fault::Disk(why) => write!(f, "the disk: {why}"),
-            Fault::Busy => f.write_str("another process has it open"),
-            Fault::Damaged(why) => write!(
-                f,
-                "it is damaged ({why}); move it away and start again: what was promised comes back from the peers"
-            ),
-            Fault::Format(found) => {
-                let known = Format::KNOWN.map(Format::name).join("' and '");
-                write!(f, "its format is '{found}', this program's are '{known}'; start the program that wrote it")
-            }
-        }
-    }
-}
-
-impl std::error::Error for Fault {}
-
-fn fault(e: redb::Error) -> Fault {
-    match e {
-        redb::Error::Corrupted(why) => Fault::Damaged(why),
-        redb::Error::DatabaseAlreadyOpen => Fault::Busy,
-        redb::Error::UpgradeRequired(version) => Fault::Format(format!("redb file {version}")),
-        redb::Error::RepairAborted => Fault::Damaged("its repair was broken off".into()),
-        // What is no store at all comes as invalid data.
-        redb::Error::Io(e) if e.kind() == std::io::ErrorKind::InvalidData => {
-            Fault::Damaged(e.to_string())
-        }
-        e => Fault::Disk(e.to_string()),
-    }
-}
-
-/// The store's own checks failed, which it says by a panic.
-fn broken() -> Fault {
-    Fault::Damaged("its structure does not hold".into())
-}
-
 /// Carries out a write in its space.
 fn apply(table: &mut WritableTable<'_>, write: &Write) -> Result<(), StorageError> {
     let key = write.key.as_slice();
@@ -207,7 +160,8 @@
         }
         Self::refuse_unknown(path)?;
         let path = path.to_owned();
-        Self::by(Box::new(move || medium::open_file(&path)))
+        let unsynced = Unsynced::default();
+        Self::by(Box::new(move || medium::open_file(&path, &unsynced)))
     }
 
     /// Refuses a file of an unknown format before it is opened for writing, which changes its bytes. What else is wrong
@@ -228,18 +182,21 @@
     /// Begins a file beside its place and puts it there once it is whole: a file whose first words were cut off by a
     /// crash could not be told from a damaged one.
     fn begin(path: &Path) -> Result<(), Fault> {
-        let disk = |e: std::io::Error| Fault::Disk(e.to_string());
+        let disk = |e: io::Error| Fault::of(&e);
         let mut beside = path.as_os_str().to_owned();
         beside.push(".new");
         match std::fs::remove_file(&beside) {
-            Err(e) if e.kind() != std::io::ErrorKind::NotFound => return Err(disk(e)),
+            Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(disk(e)),
             _ => {}
         }
         let made = std::path::PathBuf::from(&beside);
         drop(Self::by(Box::new(move || medium::create_file(&made)))?);
-        std::fs::rename(&beside, path).map_err(disk)?;
+        fault_points::rename()
+            .and_then(|()| std::fs::rename(&beside, path))
+            .map_err(disk)?;
         match path.parent().filter(|p| !p.as_os_str().is_empty()) {
-            Some(folder) => std::fs::File::open(folder)
+            Some(folder) => fault_points::sync()
+                .and_then(|()| std::fs::File::open(folder))
                 .and_then(|f| f.sync_all())
                 .map_err(disk),
             None => Ok(()),
@@ -250,7 +207,8 @@
     pub fn on<B: StorageBackend>(
         mut medium: impl FnMut() -> B + Send + 'static,
     ) -> Result<Self, Fault> {
-        Self::by(Box::new(move || medium::open_on(medium())))
+        let unsynced = Unsynced::default();
+        Self::by(Box::new(move || medium::open_on(medium(), &unsynced)))
     }
 
     fn by(opener: Opener) -> Result<Self, Fault> {
@@ -329,9 +287,14 @@
                 Err(e) => Err(e.into()),
             }
         };
-        catch_unwind(AssertUnwindSafe(read))
-            .map_err(|_| broken())?
-            .map_err(fault)
+        let found = catch_unwind(AssertUnwindSafe(read))
+            .map_err(|_| broken())
+            .and_then(|result| result.map_err(fault));
+        if found.is_err() {
+            // After a failed read, too, the store refuses all others until it is opened again.
+            self.db = None;
+        }
+        found
     }
 
     /// Writes a group: all of it is on the disk when this returns, or none of it ever is. After an error it may be
--- a/store/src/keeper.rs
+++ b/store/src/keeper.rs
@@ -43,13 +43,39 @@
     Ok(())
 }
 
+/// Commits that failed in a row. Said at their begin and at their end: a full disk stays full for long.
+#[derive(Default)]
+struct Failures {
+    commits: u64,
+    writes: u64,
+}
+
+impl Failures {
+    fn take(&mut self, result: &Result<(), Fault>, writes: usize) {
+        match result {
+            Ok(()) if self.commits > 0 => {
+                let Failures { commits, writes } = std::mem::take(self);
+                log::info!(failed_commits = commits, failed_writes = writes; "the store is written again");
+            }
+            Ok(()) => {}
+            Err(e) => {
+                if self.commits == 0 {
+                    log::error!(writes = writes; "the store can't be written: {e}");
+                }
+                self.commits += 1;
+                self.writes += writes as u64;
+            }
+        }
+    }
+}
+
 fn work(
     mut store: Store,
     jobs: &Receiver<(Ticket, Write)>,
     done: &Sender<Done>,
     wake: &dyn Fn(),
 ) -> Store {
-    let mut failing = false;
+    let mut failures = Failures::default();
     while let Ok((mut to, first)) = jobs.recv() {
         // What came while the disk was busy goes with the next sync, all of it.
         let mut group = vec![first];
@@ -61,15 +87,7 @@
             to = ticket;
         }
         let result = commit(&mut store, &group);
-        match &result {
-            Ok(()) if std::mem::take(&mut failing) => log::info!("the store is written again"),
-            Ok(()) => {}
-            // Said once: a full disk stays full for long.
-            Err(e) if !std::mem::replace(&mut failing, true) => {
-                log::error!(writes = group.len(); "the store can't be written: {e}");
-            }
-            Err(_) => {}
-        }
+        failures.take(&result, group.len());
         // Nobody listens any more once the keeper is being closed.
         let _ = done.send(Done { to, result });
         wake();
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -5,9 +5,14 @@
 //! thread: a bounded queue before it, many writes to one sync (group commit), and a word for each write that tells
 //! whether it is on the disk. Only that word may be acknowledged to others.
 
+mod fault;
+#[doc(hidden)]
+pub mod fault_points;
 mod file;
 mod keeper;
 mod medium;
+mod unsynced;
 
-pub use file::{Change, Fault, Format, Pair, Space, Store, Write};
+pub use fault::{is_lasting, Fault};
+pub use file::{Change, Format, Pair, Space, Store, Write};
 pub use keeper::{Done, Keeper, Ticket};
--- a/store/tests/common/medium.rs
+++ b/store/tests/common/medium.rs
@@ -1,8 +1,91 @@
-//! A medium that stops at its n-th operation and then loses what was not synced.
+//! A medium that stops at its n-th operation and then loses what was not synced, or whose calls fail for a while.
+#![allow(dead_code, reason = "each test has its own use of it")]
 
 use redb::StorageBackend;
+use std::io;
 use std::sync::{Arc, Mutex};
 
+const EIO: i32 = 5;
+const ENOSPC: i32 = 28;
+
+/// Kinds of calls.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct Calls(u8);
+
+impl Calls {
+    pub(crate) const READ: Calls = Calls(1);
+    pub(crate) const WRITE: Calls = Calls(2);
+    pub(crate) const SYNC: Calls = Calls(4);
+    pub(crate) const LENGTH: Calls = Calls(8);
+    pub(crate) const ALL: Calls = Calls(15);
+    /// Each kind, and all that change something.
+    pub(crate) const EACH: [Calls; 5] = [
+        Calls::READ,
+        Calls::WRITE,
+        Calls::SYNC,
+        Calls::LENGTH,
+        Calls(14),
+    ];
+}
+
+/// Calls that fail.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Spell {
+    calls: Calls,
+    /// Calls of this kind before it begins.
+    before: u64,
+    /// Calls that fail then.
+    times: u64,
+    errno: i32,
+    /// What a failed sync covered is read as it was before (some file systems), and not as it was written (others).
+    evicts: bool,
+}
+
+impl Spell {
+    pub(crate) fn new(calls: Calls, before: u64, times: u64) -> Self {
+        let errno = if before % 2 == 0 { EIO } else { ENOSPC };
+        Spell {
+            calls,
+            before,
+            times,
+            errno,
+            evicts: false,
+        }
+    }
+
+    pub(crate) fn for_good(calls: Calls) -> Self {
+        Spell::new(calls, 0, u64::MAX)
+    }
+
+    /// The one call of this kind after so many.
+    pub(crate) fn nth(calls: Calls, before: u64) -> Self {
+        Spell::new(calls, before, 1)
+    }
+
+    /// The pages of a sync that fails are let go, and read as they are on the medium.
+    pub(crate) fn evicting(self) -> Self {
+        Spell {
+            evicts: true,
+            ..self
+        }
+    }
+
+    fn call(&mut self, call: Calls) -> io::Result<()> {
+        if self.calls.0 & call.0 == 0 {
+            return Ok(());
+        }
+        if self.before > 0 {
+            self.before -= 1;
+            return Ok(());
+        }
+        if self.times == 0 {
+            return Ok(());
+        }
+        self.times -= 1;
+        Err(io::Error::from_raw_os_error(self.errno))
+    }
+}
+
 /// A change that the medium was told of and that is not synced.
 #[derive(Clone, Debug)]
 enum Change {
@@ -20,6 +103,8 @@
     unsynced: Vec<Change>,
     /// Operations until it stops; none: it goes on.
     pub left: Option<u64>,
+    /// Calls that fail.
+    spell: Option<Spell>,
     /// Operations so far.
     pub operations: u64,
 }
@@ -35,6 +120,21 @@
 }
 
 impl Disk {
+    fn fails(&mut self, call: Calls) -> io::Result<()> {
+        self.spell.as_mut().map_or(Ok(()), |spell| spell.call(call))
+    }
+
+    /// What was not synced is clean to the system from now on, and no sync takes it to the medium: only the loss of power
+    /// shows it.
+    fn lose_unsynced(&mut self) {
+        self.unsynced.clear();
+        if self.spell.is_some_and(|spell| spell.evicts) {
+            let length = self.seen.len();
+            self.seen.clone_from(&self.lasting);
+            self.seen.resize(length, 0);
+        }
+    }
+
     fn operate(&mut self) -> Result<(), std::io::Error> {
         if self.left == Some(0) {
             return Err(std::io::Error::other("the medium has stopped"));
@@ -85,7 +185,8 @@
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> Result<(), std::io::Error> {
-        let disk = self.0.lock().unwrap();
+        let mut disk = self.0.lock().unwrap();
+        disk.fails(Calls::READ)?;
         let part = disk.seen.get(offset as usize..offset as usize + out.len());
         out.copy_from_slice(
             part.ok_or_else(|| std::io::Error::from(std::io::ErrorKind::UnexpectedEof))?,
@@ -94,24 +195,39 @@
     }
 
     fn set_len(&self, length: u64) -> Result<(), std::io::Error> {
-        self.0
-            .lock()
-            .unwrap()
-            .change(Change::Length(length as usize))
+        let mut disk = self.0.lock().unwrap();
+        disk.fails(Calls::LENGTH)?;
+        disk.change(Change::Length(length as usize))
     }
 
     fn sync_data(&self) -> Result<(), std::io::Error> {
         let mut disk = self.0.lock().unwrap();
+        if let Err(e) = disk.fails(Calls::SYNC) {
+            disk.lose_unsynced();
+            return Err(e);
+        }
         disk.operate()?;
-        disk.lasting = disk.seen.clone();
-        disk.unsynced.clear();
+        for change in std::mem::take(&mut disk.unsynced) {
+            apply(&mut disk.lasting, &change);
+        }
         Ok(())
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> Result<(), std::io::Error> {
-        self.0
-            .lock()
-            .unwrap()
-            .change(Change::Bytes(offset as usize, data.to_vec()))
+        let mut disk = self.0.lock().unwrap();
+        if let Err(e) = disk.fails(Calls::WRITE) {
+            // A part of it was taken.
+            let part = data[..data.len() / 2].to_vec();
+            disk.change(Change::Bytes(offset as usize, part))?;
+            return Err(e);
+        }
+        disk.change(Change::Bytes(offset as usize, data.to_vec()))
+    }
+}
+
+impl Medium {
+    /// Has calls fail from now on, or none; gives what failed before.
+    pub(crate) fn fail(&self, spell: Option<Spell>) -> Option<Spell> {
+        std::mem::replace(&mut self.0.lock().unwrap().spell, spell)
     }
 }
