--- a/daemon/src/daemon/admin.rs
+++ b/daemon/src/daemon/admin.rs
@@ -209,14 +209,28 @@
         let known = |id: &str| members.listed().any(|(e, _)| e.uid == id);
         let ready = self.can_serve();
         let before = self.ops.clone();
-        let (reply, effect) = self.ops.call(now, call, known, ready);
+        let is_ready_call = matches!(call, Call::Ready);
+        let (mut reply, effect) = self.ops.call(now, call, known, ready);
+        if let Some(pending) = self.pending_store.as_ref().filter(|_| is_ready_call) {
+            let lacks = format!(
+                "; commands are rejected, as the store can't be opened: {}",
+                pending.reason()
+            );
+            reply.text.push_str(&lacks);
+        }
+        if effect.is_some() && self.lacks_store() {
+            self.ops = before;
+            self.count_rejected();
+            return Some(Reply::unavailable(
+                "nothing has changed: the store can't be opened yet",
+            ));
+        }
         if let Some(effect) = effect {
             if !self.keep_ops() {
                 // A yes would promise what the next process does not know of. One copy may have been put in place.
                 self.ops = before;
                 self.keep_ops();
-                return Some(Reply::new(
-                    503,
+                return Some(Reply::unavailable(
                     "it can't be kept for the next process, so nothing has changed",
                 ));
             }
--- a/daemon/src/daemon/budgets/mod.rs
+++ b/daemon/src/daemon/budgets/mod.rs
@@ -88,6 +88,16 @@
         Ok(())
     }
 
+    /// Joins them anew, as a later process of this member.
+    pub(super) fn rejoin_budgets(&mut self, now: Micros) {
+        if let Some(due) = self.shared_budgets.take().and_then(|shared| shared.due) {
+            self.deadlines.take_back(due);
+        }
+        if let Err(e) = self.join_budgets(now) {
+            log::error!("{e}");
+        }
+    }
+
     /// Returns a peer's index among all configured members.
     fn member_index(&self, peer: usize) -> MemberIndex {
         peer + usize::from(peer >= self.config.budgets.index)
--- a/daemon/src/daemon/fleet.rs
+++ b/daemon/src/daemon/fleet.rs
@@ -205,6 +205,10 @@
             entries: ledger.log_store().len(),
             compacted: ledger.log_store().table().len(),
             table_bytes: ledger.log_store().table().memory_bytes(),
+            store_error: self
+                .pending_store
+                .as_ref()
+                .map(|pending| pending.reason().to_owned()),
             catching_up: ledger.is_catching_up(),
             digest: format!("{:016x}", ledger.log_store().checksum()),
             waiting: self.promised.waiting(),
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -36,11 +36,13 @@
 mod plain_purges;
 mod promises;
 mod recovery;
+mod store_opening;
 
 use exchange::{Effect, Exchange};
 use feeds::{bus, consul};
 use members::Said;
 use peer_index::PeerIndex;
+use store_opening::{PendingStore, StoreConfig};
 
 const LISTENER: u64 = u64::MAX;
 const SIGNAL: u64 = u64::MAX - 1;
@@ -233,6 +235,8 @@
     dropped: (u64, u64),
     desk: Option<(TcpListener, Desk)>,
     ledger: Option<Ledger>,
+    /// Its store, while that can't be opened.
+    pending_store: Option<PendingStore>,
     /// The answers that wait for it, and when it is due to be looked at again.
     promised: promises::Promised,
     /// Who of the peers is there, and when that is due to be looked at again.
@@ -311,6 +315,7 @@
         }
         let clock = Clock::start();
         let (mut desk, mut peers, mut ledger, mut store_word) = (None, None, None, None);
+        let mut pending_store = None;
         if let Some(cdni) = config.cdni.clone() {
             let listener = TcpListener::bind(cdni.listen)
                 .map_err(|e| format!("cdni.listen: {}: {e}", cdni.listen))?;
@@ -330,8 +335,13 @@
                     bucket_bits: config.copies.purge_table.bucket_bits,
                 };
                 let wake = word.raiser().map_err(text)?;
-                let open = Ledger::open(&path, writer, clock.now(), bounds, wake);
-                ledger = Some(open.map_err(|e| format!("cdni.purges: {}: {e}", path.display()))?);
+                let store = StoreConfig {
+                    path,
+                    writer,
+                    bounds,
+                };
+                let (opened, pending) = store.start(clock.now(), config.seed, wake)?;
+                (ledger, pending_store) = (Some(opened), pending);
                 store_word = Some(word);
             }
         }
@@ -396,6 +406,7 @@
             dropped: (0, 0),
             desk,
             ledger,
+            pending_store,
             promised: promises::Promised::default(),
             membership: None,
             shared_budgets: None,
@@ -427,6 +438,7 @@
         daemon.begin_decided(now);
         daemon.begin_triggers(now);
         daemon.begin_recovery(now);
+        daemon.begin_reopening(now);
         daemon.copy_purges(now);
         daemon.recall_lists(now);
         daemon.call_bus(now);
--- a/daemon/src/daemon/neighbours.rs
+++ b/daemon/src/daemon/neighbours.rs
@@ -126,6 +126,17 @@
                 return Ok(());
             };
             let reply = desk.take(now, ready, &head, &body);
+            // What is not known may stand in the store.
+            let is_unknown = matches!(&reply, Reply::Now(response) if response.status == 404)
+                && head
+                    .request()
+                    .is_some_and(|(_, target)| cdni::is_trigger(target));
+            let reply = match reply {
+                Reply::Now(_) if is_unknown && self.pending_store.is_some() => {
+                    Reply::Now(desk.retract(None))
+                }
+                reply => reply,
+            };
             match reply {
                 Reply::Now(response) => session.respond(&response),
                 Reply::Promise(response, trigger, effects) => {
--- a/daemon/src/daemon/plain_purges.rs
+++ b/daemon/src/daemon/plain_purges.rs
@@ -36,10 +36,13 @@
     }
 
     /// Writes a purge of a peer that does not replicate logs, so that the next process knows it, too.
-    fn write_plain_purge(&mut self, (object, group, at): &Purge) {
+    pub(super) fn write_plain_purge(&mut self, (object, group, at): &Purge) {
         let Some(ledger) = &mut self.ledger else {
             return;
         };
+        if let Some(pending) = &mut self.pending_store {
+            return pending.learn((object.clone(), *group, *at));
+        }
         if let Err(e) = ledger.learn_purge(object.as_deref(), *group, *at) {
             log::error!(
                 "a purge that a peer told is in force but not kept for the next start: {e}"
--- a/daemon/src/daemon/promises.rs
+++ b/daemon/src/daemon/promises.rs
@@ -4,7 +4,7 @@
 use super::recovery::SnapshotWait;
 use super::{Connection, Daemon, Kind, Timer};
 use crate::front::cdni::{Effect, Name, Response};
-use crate::ledger;
+use crate::ledger::{self, AppendError};
 use crate::net::{Due, Key};
 use linnetknot::Micros;
 use linnetknot_discovery::server_id;
@@ -102,6 +102,9 @@
     /// A command's purges are put in force and on their way, and its answer given once they are kept.
     pub(super) fn promise(&mut self, now: Micros, answer: Neighbours, effects: Vec<Effect>) {
         let answer = Answer::Neighbour(answer);
+        if self.lacks_store() {
+            return self.answer_promise(now, answer, Err(AppendError::NoStore.to_string()));
+        }
         if !self.may_promise() {
             // Its successor has the name, and those who hold its promises turn to that.
             return self.answer_promise(now, answer, Err(REPLACED.into()));
@@ -162,6 +165,9 @@
                 d.before = first.before;
             }
         }
+        if self.lacks_store() {
+            return Some(reply);
+        }
         let said = match (&decided, self.may_promise()) {
             (Some(_), false) => Err(REPLACED.to_owned()),
             (Some(d), true) => self.say_decided(now, &d.what, d.lifted),
@@ -267,6 +273,9 @@
     /// files beside it, which the log is told then.
     pub(super) fn begin_decided(&mut self, now: Micros) {
         self.recall_decided(now);
+        if self.lacks_store() {
+            return;
+        }
         let Some(known) = self.ledger.as_ref().map(ledger::Ledger::decided) else {
             return;
         };
@@ -342,6 +351,7 @@
         if let Some(word) = &mut self.store_word {
             word.clear();
         }
+        self.take_opened_store(now);
         let told = self
             .ledger
             .as_mut()
@@ -374,10 +384,14 @@
             Answer::Neighbour((key, mut response, trigger)) => {
                 if let (Err(why), Some((_, desk))) = (kept, &mut self.desk) {
                     let name = trigger.map_or_else(String::new, |name| name.to_string());
-                    log::warn!(trigger = name.as_str(), why = why.as_str(); "a promise to a neighbour is refused");
                     response = desk.retract(trigger);
-                    // One that was replaced has said nothing of it.
-                    let said = trigger.filter(|_| self.may_promise());
+                    // One that was replaced has said nothing of it, nor has one without its store.
+                    let said = trigger.filter(|_| self.may_promise() && !self.lacks_store());
+                    if self.lacks_store() {
+                        self.count_rejected();
+                    } else {
+                        log::warn!(trigger = name.as_str(), why = why.as_str(); "a promise to a neighbour is refused");
+                    }
                     if let Some(Err(e)) = said.map(|name| self.say_gone(now, name)) {
                         log::warn!(trigger = name.as_str(); "that it is refused is known here alone: {e}");
                     }
@@ -403,7 +417,7 @@
                 if let Err(why) = kept {
                     log::warn!(call = reply.text.as_str(), why = why.as_str(); "a promise to an operator is refused");
                     self.take_back(now, decided);
-                    reply = Reply::new(503, format!("nothing has changed: {why}"));
+                    reply = Reply::unavailable(format!("nothing has changed: {why}"));
                 }
                 self.answer_admin(key, &reply);
                 key
--- a/daemon/src/daemon/recovery.rs
+++ b/daemon/src/daemon/recovery.rs
@@ -2,6 +2,7 @@
 //! and one that is behind what its peers have compacted, until it has their snapshot.
 
 use super::Daemon;
+use crate::ledger::Ledger;
 use linnetknot::Micros;
 use linnetknot_discovery::server_id;
 use linnetknot_replication::{Datagram, Outgoing, Recovery};
@@ -51,7 +52,7 @@
     pub(super) fn begin_recovery(&mut self, now: Micros) {
         let copies = &self.config.copies;
         let Some(ledger) = self.ledger.as_ref().filter(|_| copies.on) else {
-            return;
+            return self.begin_without_peers(now);
         };
         if !ledger.is_fresh() {
             return self.request_digests((0..copies.machines.len()).collect());
@@ -71,6 +72,33 @@
         self.recover(now);
     }
 
+    /// Without peers that could tell what the store has, every copy from before now is taken as purged until it opens.
+    fn begin_without_peers(&mut self, now: Micros) {
+        if self.lacks_store() {
+            log::warn!(
+                "no peer knows what the store has: every copy from before now is taken as purged"
+            );
+            self.core.purges_mut().raise_all(now);
+        }
+    }
+
+    /// The store has opened: what it lacks, the peers have. A proxy that was ready before stays so.
+    pub(super) fn recover_with_store(&mut self, now: Micros) {
+        if self
+            .promised
+            .recovery
+            .as_ref()
+            .is_none_or(Recovery::is_over)
+        {
+            return self.request_digests((0..self.config.copies.machines.len()).collect());
+        }
+        let is_fresh = self.ledger.as_ref().is_some_and(Ledger::is_fresh);
+        if !is_fresh {
+            self.promised.recovery = None;
+        }
+        self.begin_recovery(now);
+    }
+
     fn request_digests(&self, peers: Vec<usize>) {
         let requests = peers.into_iter().map(|peer| Outgoing {
             peer,
@@ -86,6 +114,9 @@
         let (peers, missing) = recovery.tick(now);
         if let Some(machines) = missing {
             log::error!(machines = machines; "not all that this proxy promised may have come back, and it is ready all the same");
+            if self.pending_store.is_some() {
+                self.core.purges_mut().raise_all(now);
+            }
         }
         let due = recovery.due();
         self.request_digests(peers);
--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -44,6 +44,9 @@
     /// Memory of that table, in bytes.
     #[serde(default)]
     pub table_bytes: usize,
+    /// Why its store can't be opened, while it is so.
+    #[serde(default, skip_serializing_if = "Option::is_none")]
+    pub store_error: Option<String>,
     /// Peers have compacted what is missing here: a snapshot is on its way.
     #[serde(default)]
     pub catching_up: bool,
@@ -116,7 +119,10 @@
             ),
             (
                 "log",
-                format!("{} places, {} on disk", self.end, self.on_disk),
+                match &self.store_error {
+                    None => format!("{} places, {} on disk", self.end, self.on_disk),
+                    Some(why) => format!("the store can't be opened: {why}"),
+                },
             ),
             (
                 "entries",
@@ -305,6 +311,7 @@
             on_disk: u64::MAX / 3,
         };
         Status {
+            store_error: None,
             name: "p0".into(),
             machine: "m0".into(),
             life: "5".into(),
--- a/daemon/src/front/cdni/mod.rs
+++ b/daemon/src/front/cdni/mod.rs
@@ -127,6 +127,11 @@
     Ask(Asked),
 }
 
+/// Whether a target is the status of one trigger.
+pub fn is_trigger(target: &str) -> bool {
+    path_of(target).starts_with("/cdni/triggers/")
+}
+
 /// A content URL's class, object and part, by its path.
 pub fn content_path(path: &str) -> Option<(&str, &str, u64)> {
     let mut parts = path
--- a/daemon/src/ledger/error.rs
+++ b/daemon/src/ledger/error.rs
@@ -1,7 +1,7 @@
 //! Why a ledger can't be opened, and why it does not take an entry.
 
 use linnetknot_replication::CapacityExceeded;
-use linnetknot_store::Fault;
+use linnetknot_store::{is_lasting, Fault};
 use std::io;
 use std::path::PathBuf;
 
@@ -39,9 +39,26 @@
     Capacity(#[from] CapacityExceeded),
 }
 
+impl LedgerError {
+    /// Whether it may go away by itself, as a full or failing disk does.
+    pub fn is_transient(&self) -> bool {
+        match self {
+            LedgerError::Store(fault) => fault.is_transient(),
+            LedgerError::Legacy { source, .. } | LedgerError::Worker(source) => !is_lasting(source),
+            LedgerError::TableForm { .. }
+            | LedgerError::WorkerEnded
+            | LedgerError::Unsynced
+            | LedgerError::Capacity(_) => false,
+        }
+    }
+}
+
 /// Why an entry is not appended to this proxy's log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AppendError {
+    /// The store can't be opened yet.
+    #[error("the store can't be opened yet")]
+    NoStore,
     /// The queue to the disk is full.
     #[error("the disk is too far behind")]
     DiskBehind,
--- a/daemon/src/ledger/identity.rs
+++ b/daemon/src/ledger/identity.rs
@@ -25,6 +25,15 @@
 }
 
 impl Identity {
+    /// Of a process whose store can't be read yet.
+    pub(super) fn without_store(now: Micros) -> Self {
+        Identity {
+            is_fresh: true,
+            epoch: now,
+            incarnation: now,
+        }
+    }
+
     /// Reads what the last process left.
     ///
     /// This writer's log goes on in the epoch of the store only where the store was closed: after a crash its last
--- a/daemon/src/ledger/mod.rs
+++ b/daemon/src/ledger/mod.rs
@@ -48,7 +48,8 @@
 
 /// The logs, and the store that has them.
 pub struct Ledger {
-    keeper: Keeper,
+    /// None while the store can't be opened: what peers tell is known in memory alone, and nothing is acknowledged.
+    keeper: Option<Keeper>,
     replica: Replica,
     identity: Identity,
     /// Entries on their way to the disk, in order.
@@ -154,15 +155,42 @@
         let replica = Replica::new(own, log_store, identity.incarnation, bounds.replication);
         let keeper =
             Keeper::start("store", store, bounds.queue, wake).map_err(LedgerError::Worker)?;
-        Ok(Ledger {
-            keeper,
+        let mut ledger = Self::new(replica, identity, bounds);
+        ledger.keeper = Some(keeper);
+        ledger.compaction = CompactionWriter::new(stored.has_header);
+        Ok(ledger)
+    }
+
+    /// A ledger whose store can't be opened for a while. It learns what its peers have and acknowledges none of it, and
+    /// it appends nothing.
+    pub fn without_store(writer: Writer, now: Micros, bounds: Bounds) -> Self {
+        let identity = Identity::without_store(now);
+        let own = LogId::new(writer, identity.epoch);
+        let log_store = LogStore::new(bounds.bucket_bits);
+        let replica = Replica::new(own, log_store, identity.incarnation, bounds.replication);
+        Self::new(replica, identity, bounds)
+    }
+
+    fn new(replica: Replica, identity: Identity, bounds: Bounds) -> Self {
+        Ledger {
+            keeper: None,
             replica,
             identity,
             in_flight: VecDeque::new(),
-            compaction: CompactionWriter::new(stored.has_header),
+            compaction: CompactionWriter::new(false),
             reserve: bounds.queue / RESERVE_DIVISOR,
             expires: 0,
-        })
+        }
+    }
+
+    /// Whether it has its store.
+    pub fn has_store(&self) -> bool {
+        self.keeper.is_some()
+    }
+
+    /// Writes that the queue to the disk has room for.
+    fn room(&self) -> usize {
+        self.keeper.as_ref().map_or(0, Keeper::room)
     }
 
     /// The purges that it holds one by one. Of one that several logs have, the latest counts for whoever takes them all.
@@ -213,7 +241,8 @@
 
     /// Hands an entry to the worker. What has no room there is given again later, as what the disk did not take.
     fn write(&mut self, entry: &Entry) {
-        match self.keeper.give(codec::put(entry)) {
+        let given = self.keeper.as_mut().map(|k| k.give(codec::put(entry)));
+        match given.flatten() {
             Some(ticket) => self.in_flight.push_back((ticket, entry.log, entry.index)),
             None => self.replica.sync_failed(entry.log, entry.index),
         }
@@ -236,7 +265,10 @@
         at: Micros,
         revoked: bool,
     ) -> Result<Entry, AppendError> {
-        if self.keeper.room() == 0 {
+        if self.keeper.is_none() {
+            return Err(AppendError::NoStore);
+        }
+        if self.room() == 0 {
             return Err(AppendError::DiskBehind);
         }
         let entry = self.replica.append(subject, at, revoked)?;
@@ -251,7 +283,10 @@
         text: &str,
         at: Micros,
     ) -> Result<Vec<Entry>, AppendError> {
-        let pieces = pieces(text).filter(|pieces| pieces.len() <= self.keeper.room());
+        if self.keeper.is_none() {
+            return Err(AppendError::NoStore);
+        }
+        let pieces = pieces(text).filter(|pieces| pieces.len() <= self.room());
         let pieces = pieces.ok_or(AppendError::StatusTooLong)?;
         let append = |(part, text)| self.append(Subject::Status { number, part, text }, at, false);
         pieces.into_iter().map(append).collect()
@@ -321,6 +356,9 @@
         };
         let received = self.replica.receive(now, from, datagram);
         received.new.iter().for_each(|entry| self.write(entry));
+        if self.keeper.is_none() {
+            return received;
+        }
         received
             .buckets
             .iter()
@@ -339,18 +377,24 @@
         if self.compaction.is_idle() {
             if let Some(compaction) = self.replica.compact(now) {
                 log::debug!(entries = compaction.entries.len(), buckets = compaction.buckets.len(); "purges are compacted");
-                self.compaction.add(compaction);
+                // Without a store there is nothing on the disk that it would be taken off.
+                if self.keeper.is_some() {
+                    self.compaction.add(compaction);
+                }
             }
         }
+        let Some(keeper) = &mut self.keeper else {
+            return Vec::new();
+        };
         let table = self.replica.log_store().table();
-        let synced = self.compaction.give(&mut self.keeper, self.reserve, table);
+        let synced = self.compaction.give(keeper, self.reserve, table);
         self.replica.snapshot_synced(&synced)
     }
 
     /// Takes in the worker's word of what is on the disk: what peers are to be told of it.
     pub fn take_completions(&mut self, now: Micros) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
-        while let Some(done) = self.keeper.done() {
+        while let Some(done) = self.keeper.as_mut().and_then(Keeper::done) {
             outgoing.extend(self.settle(&done));
         }
         outgoing.extend(self.compact(now));
@@ -377,7 +421,7 @@
 
     /// What to tell which peer now. What the disk did not take is given to it again.
     pub fn tick(&mut self, now: Micros) -> Vec<Outgoing> {
-        if self.keeper.room() > 0 {
+        if self.room() > 0 {
             self.replica
                 .take_failed()
                 .iter()
@@ -387,7 +431,9 @@
             self.expires = now + EXPIRE_PERIOD_US;
             for entry in self.replica.expire(now) {
                 // One that finds no room there is found by the next process.
-                self.keeper.give(codec::remove(&entry));
+                if let Some(keeper) = &mut self.keeper {
+                    keeper.give(codec::remove(&entry));
+                }
             }
         }
         self.compaction.retry();
@@ -404,6 +450,7 @@
             mut in_flight,
             ..
         } = self;
+        let Some(keeper) = keeper else { return Ok(()) };
         let (mut store, last) = keeper.close().ok_or(LedgerError::WorkerEnded)?;
         for done in last {
             while let Some((log, index)) = next_written(&mut in_flight, done.to) {
@@ -421,6 +468,6 @@
     /// Ends the worker and leaves the store as a crash does, not closed: for tests.
     #[doc(hidden)]
     pub fn abandon(self) {
-        drop(self.keeper.close());
+        drop(self.keeper.map(Keeper::close));
     }
 }
--- a/daemon/src/points.rs
+++ b/daemon/src/points.rs
@@ -5,9 +5,11 @@
 //! `LINNETKNOT_POINTS=store-committed=die;admin-kept=stall` arms them at the start.
 
 use rustix::process::{getpid, kill_process, Signal};
+use std::thread;
+use std::time::Duration;
 
 /// The points, in the order in which a promise passes them.
-pub const POINTS: [&str; 21] = [
+pub const POINTS: [&str; 27] = [
     // A purge that a neighbour told: before the peers are told and after; before the store's worker writes and after;
     // and once enough have it, before the answer.
     "peers-tell",
@@ -17,6 +19,13 @@
     "promise-kept",
     // The disk takes nothing more (`fail`).
     "store-fails",
+    // Calls to the file system, of the store and of files that are put in place as a whole (`ERRNO`).
+    "disk-open",
+    "disk-read",
+    "disk-write",
+    "disk-sync",
+    "disk-truncate",
+    "disk-rename",
     // At a peer that has it on its disk, before it says so.
     "holder-says",
     // At a proxy that is behind what its peers compacted, when a chunk of their snapshot is in force; and one that gets
@@ -50,6 +59,47 @@
     let _ = kill_process(getpid(), signal);
 }
 
+/// Calls that fail with an errno: `EIO` for good, `EIO*2` twice, `EIO@1500` for so many milliseconds.
+struct Spell<'a> {
+    errno: &'a str,
+    times: Option<usize>,
+    lasts: Option<Duration>,
+}
+
+impl<'a> Spell<'a> {
+    fn read(act: &'a str) -> Option<Self> {
+        let (rest, lasts) = match act.split_once('@') {
+            Some((rest, ms)) => (rest, Some(Duration::from_millis(ms.parse().ok()?))),
+            None => (act, None),
+        };
+        let (errno, times) = match rest.split_once('*') {
+            Some((errno, times)) => (errno, Some(times.parse().ok()?)),
+            None => (rest, None),
+        };
+        let is_errno = errno.len() > 1 && errno.bytes().all(|byte| byte.is_ascii_uppercase());
+        is_errno.then_some(Spell {
+            errno,
+            times,
+            lasts,
+        })
+    }
+
+    fn arm(&self, name: &str) -> Result<(), String> {
+        let times = self
+            .times
+            .map_or_else(String::new, |times| format!("{times}*"));
+        fail::cfg(name, &format!("{times}return({})", self.errno))?;
+        if let Some(lasts) = self.lasts {
+            let name = name.to_owned();
+            thread::spawn(move || {
+                thread::sleep(lasts);
+                fail::remove(name);
+            });
+        }
+        Ok(())
+    }
+}
+
 /// Arms the points that the environment names.
 pub fn arm() -> Result<(), String> {
     let Ok(text) = std::env::var("LINNETKNOT_POINTS") else {
@@ -64,11 +114,11 @@
             "die" => fail::cfg_callback(name, || meet(Signal::KILL)),
             "stall" => fail::cfg_callback(name, || meet(Signal::STOP)),
             "fail" => fail::cfg(name, "return"),
-            _ => {
-                return Err(format!(
-                    "LINNETKNOT_POINTS: '{part}' is none of NAME=die, NAME=stall and NAME=fail"
-                ))
-            }
+            act => Spell::read(act)
+                .ok_or(format!(
+                    "LINNETKNOT_POINTS: '{part}' is none of NAME=die, NAME=stall, NAME=fail and NAME=ERRNO"
+                ))?
+                .arm(name),
         };
         armed.map_err(|e| format!("LINNETKNOT_POINTS: {e}"))?;
     }
--- /dev/null
+++ b/daemon/tests/failing_folder.rs
@@ -0,0 +1,193 @@
+//! Daemons whose folder fails for a while (EIO, ENOSPC) or for good, at their start and in the middle of their work, as
+//! processes of their own that are killed in between.
+
+use linnetknot_daemon::fleet::ask as ask_status;
+use linnetknot_rehearse::clients::{becomes, call, Answer};
+use linnetknot_rehearse::fleet::{status_path, Disk, Fleet, Setup};
+use std::path::Path;
+use std::time::Duration;
+
+const DAEMON: &str = env!("CARGO_BIN_EXE_linnetknot");
+const PATIENCE: Duration = Duration::from_secs(20);
+
+fn fleet(running: usize, seed: u64, wait: Option<usize>) -> Fleet {
+    Fleet::with(Setup {
+        wait,
+        ..Setup::copying(Path::new(DAEMON), running, seed)
+    })
+    .unwrap()
+}
+
+fn object(n: u64) -> String {
+    format!("{n:016x}")
+}
+
+fn ready(fleet: &Fleet, n: usize) -> Answer {
+    call(fleet.process(n).unwrap().admin, "GET", "/control/ready", "").unwrap()
+}
+
+fn text(answer: &Answer) -> String {
+    String::from_utf8(answer.body.clone()).unwrap()
+}
+
+fn is_ready(fleet: &Fleet, n: usize) -> bool {
+    ready(fleet, n).status == 200
+}
+
+/// Its store is open: it says nothing of one that is not.
+fn has_store(fleet: &Fleet, n: usize) -> bool {
+    let answer = ready(fleet, n);
+    answer.status == 200 && !text(&answer).contains("can't be opened")
+}
+
+fn trigger(fleet: &Fleet, n: usize, object: &str) -> String {
+    let answer = fleet.trigger(n, &[object]).unwrap();
+    status_path(&answer).unwrap_or_else(|| panic!("no trigger was made: {answer:?}"))
+}
+
+fn status_of(fleet: &Fleet, n: usize, path: &str) -> u16 {
+    fleet.neighbour(n, "GET", path).unwrap().status
+}
+
+/// What it answers to whatever needs the store, while that is away.
+fn assert_rejects(fleet: &Fleet, n: usize) {
+    let answer = fleet.trigger(n, &[&object(900)]).unwrap();
+    assert_eq!(
+        (answer.status, answer.header("retry-after")),
+        (503, Some("1")),
+        "a trigger"
+    );
+    for path in [
+        "/control/out-of-service",
+        "/control/pop-caches/s-0b/offline",
+    ] {
+        let admin = fleet.process(n).unwrap().admin;
+        let answer = call(admin, "POST", path, "").unwrap();
+        assert_eq!(
+            (answer.status, answer.header("retry-after")),
+            (503, Some("1")),
+            "{path}: {}",
+            text(&answer)
+        );
+    }
+    assert_eq!(fleet.ask(n, &object(901)).unwrap().status, 200, "all else");
+}
+
+/// The first sync of a start fails once.
+#[test]
+fn a_start_whose_first_sync_fails_serves_and_has_all_once_it_is_tried_again() {
+    for (errno, seed) in [("EIO", 71), ("ENOSPC", 72)] {
+        let mut fleet = fleet(1, seed, None);
+        let path = trigger(&fleet, 0, &object(1));
+        fleet.kill(0).unwrap();
+        fleet
+            .restart_armed(0, Disk::Kept, &format!("disk-sync={errno}*1"))
+            .unwrap_or_else(|e| panic!("{errno}: {e}"));
+        assert!(becomes(PATIENCE, || has_store(&fleet, 0)), "{errno}");
+        assert!(fleet.holds_floor(0, &object(1)).unwrap(), "{errno}");
+        assert_eq!(status_of(&fleet, 0, &path), 200, "{errno}");
+        trigger(&fleet, 0, &object(2));
+        assert!(fleet.end(0).unwrap());
+    }
+}
+
+/// The folder fails for longer, with no peer that knows what it has: copies from before count as purged, and what needs
+/// the folder is rejected until it is back. A kill in the middle of it changes nothing.
+#[test]
+fn alone_it_rejects_what_needs_the_folder_serves_all_else_and_recovers() {
+    let mut fleet = fleet(1, 73, None);
+    let before = fleet.ask(0, &object(1)).unwrap().made();
+    let path = trigger(&fleet, 0, &object(2));
+    assert_eq!(
+        fleet
+            .operate(0, "POST", "/control/pop-caches/s-0a/offline")
+            .unwrap(),
+        200
+    );
+    for lasts in ["", "@2500"] {
+        fleet.kill(0).unwrap();
+        fleet
+            .restart_armed(0, Disk::Kept, &format!("disk-write=ENOSPC{lasts}"))
+            .unwrap();
+        assert!(becomes(PATIENCE, || is_ready(&fleet, 0)));
+        let said = text(&ready(&fleet, 0));
+        assert!(said.contains("No space left on device"), "{said}");
+        assert_rejects(&fleet, 0);
+        let answer = fleet.neighbour(0, "GET", &path).unwrap();
+        assert_eq!(
+            (answer.status, answer.header("retry-after")),
+            (503, Some("1")),
+            "its status may stand in the store"
+        );
+        assert!(fleet.ask(0, &object(1)).unwrap().made() > before);
+    }
+    assert!(becomes(PATIENCE, || has_store(&fleet, 0)));
+    assert_eq!(status_of(&fleet, 0, &path), 200, "what was answered 201");
+    assert_eq!(fleet.triggers(0).unwrap().len(), 1, "and nothing else");
+    assert_eq!(fleet.operate(0, "GET", "/control/ready").unwrap(), 200);
+    trigger(&fleet, 0, &object(3));
+    assert!(fleet.end(0).unwrap());
+}
+
+/// With peers, it learns from them what it committed before, acknowledges none of it, and is one of them again once its
+/// folder is back.
+#[test]
+fn among_peers_it_learns_from_them_and_acknowledges_nothing_until_the_folder_is_back() {
+    let mut fleet = fleet(3, 74, Some(1));
+    let path = trigger(&fleet, 0, &object(1));
+    assert!(becomes(PATIENCE, || fleet.agrees().unwrap()));
+    fleet.kill(0).unwrap();
+    fleet
+        .restart_armed(0, Disk::Kept, "disk-open=EIO@6000")
+        .unwrap();
+    assert!(becomes(PATIENCE, || is_ready(&fleet, 0)));
+    let status = ask_status(fleet.process(0).unwrap().admin).unwrap();
+    let why = status.store_error.expect("it says so");
+    assert!(why.contains("os error 5"), "{why}");
+    assert!(fleet.holds_floor(0, &object(1)).unwrap(), "by its peers");
+    assert_eq!(status_of(&fleet, 0, &path), 200, "by its peers");
+    assert_rejects(&fleet, 0);
+    // Its memory is no copy: with the third one standing still, nobody has a second.
+    fleet.stall(2).unwrap();
+    assert_eq!(fleet.purge(1, &object(2)).unwrap(), 503);
+    fleet.go_on(2).unwrap();
+    let third = trigger(&fleet, 1, &object(3));
+    assert!(becomes(PATIENCE, || has_store(&fleet, 0)));
+    assert!(becomes(PATIENCE, || fleet.agrees().unwrap()));
+    assert_eq!(status_of(&fleet, 0, &third), 200);
+    let own = trigger(&fleet, 0, &object(4));
+    // What it has is on its disk: it comes back alone.
+    fleet.kill(1).unwrap();
+    fleet.kill(2).unwrap();
+    fleet.kill(0).unwrap();
+    fleet.restart(0, Disk::Kept).unwrap();
+    for path in [&path, &third, &own] {
+        assert_eq!(status_of(&fleet, 0, path), 200);
+    }
+}
+
+/// What somebody must mend is refused by name at once.
+#[test]
+fn what_is_wrong_for_good_is_refused_at_once() {
+    let mut fleet = fleet(1, 75, None);
+    fleet.kill(0).unwrap();
+    let refused = |fleet: &mut Fleet, points: &str| {
+        let error = fleet.restart_armed(0, Disk::Kept, points).unwrap_err();
+        error.to_string()
+    };
+    let said = refused(&mut fleet, "disk-open=EACCES");
+    assert!(
+        said.contains("cdni.purges") && said.contains("Permission denied"),
+        "{said}"
+    );
+    let store = fleet.store(0);
+    std::fs::remove_file(&store).unwrap();
+    std::fs::create_dir(&store).unwrap();
+    let said = refused(&mut fleet, "");
+    assert!(
+        said.contains("cdni.purges") && said.contains("Is a directory"),
+        "{said}"
+    );
+    std::fs::remove_dir(&store).unwrap();
+    fleet.restart(0, Disk::Kept).unwrap();
+}
--- a/ops/src/admin.rs
+++ b/ops/src/admin.rs
@@ -253,14 +253,28 @@
     pub status: u16,
     /// A line of text for whoever reads it.
     pub text: String,
+    /// When the caller may come again, in seconds, where that is told.
+    pub retry_after_s: Option<u32>,
 }
 
+/// When a caller may come again whose call could not be kept, in seconds.
+const RETRY_AFTER_S: u32 = 1;
+
 impl Reply {
     /// An answer with a status and a line.
     pub fn new(status: u16, text: impl Into<String>) -> Self {
         Reply {
             status,
             text: text.into(),
+            retry_after_s: None,
+        }
+    }
+
+    /// The answer to a call that can't be kept for a while.
+    pub fn unavailable(text: impl Into<String>) -> Self {
+        Reply {
+            retry_after_s: Some(RETRY_AFTER_S),
+            ..Reply::new(503, text)
         }
     }
 
@@ -283,8 +297,11 @@
             _ => "Other",
         };
         let body = format!("{}\n", self.text);
+        let retry = self
+            .retry_after_s
+            .map_or_else(String::new, |s| format!("Retry-After: {s}\r\n"));
         format!(
-            "HTTP/1.1 {} {reason}\r\nContent-Type: text/plain\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{body}",
+            "HTTP/1.1 {} {reason}\r\nContent-Type: text/plain\r\n{retry}Content-Length: {}\r\nConnection: close\r\n\r\n{body}",
             self.status,
             body.len()
         )
