--- a/daemon/src/daemon/admin.rs
+++ b/daemon/src/daemon/admin.rs
@@ -11,7 +11,7 @@
 use crate::net::{Conn, Interest, Key};
 use linnetknot::{ListMode, Micros, State};
 use linnetknot_ops::state::SWEEP_US;
-use linnetknot_ops::{store, Call, Drain, Effect, Parser, Reply};
+use linnetknot_ops::{Call, Drain, Effect, Parser, Reply};
 
 /// One caller's connection.
 pub(super) struct Caller {
@@ -218,18 +218,23 @@
             );
             reply.text.push_str(&lacks);
         }
-        if effect.is_some() && self.lacks_store() {
+        if is_ready_call && self.operator_state.is_unread() {
+            let lacks =
+                "; operators' calls are rejected, as what they decided before can't be read yet";
+            reply.text.push_str(lacks);
+        }
+        if effect.is_some() && (self.lacks_store() || self.operator_state.is_unread()) {
             self.ops = before;
             self.count_rejected();
             return Some(Reply::unavailable(
-                "nothing has changed: the store can't be opened yet",
+                "nothing has changed: what was kept before can't be read yet",
             ));
         }
         if let Some(effect) = effect {
             if !self.keep_ops() {
                 // A yes would promise what the next process does not know of. One copy may have been put in place.
                 self.ops = before;
-                self.keep_ops();
+                self.undo_ops(now);
                 return Some(Reply::unavailable(
                     "it can't be kept for the next process, so nothing has changed",
                 ));
@@ -257,25 +262,8 @@
         }
     }
 
-    /// Keeps the operators' state for the next process: both copies in turn, each put in place whole. This is
-    /// done before the yes, on the loop, and not by the disk worker: the yes promises that the state outlives the
-    /// process, and the worker's queue may refuse a job. Calls that change something are few.
-    pub(super) fn keep_ops(&self) -> bool {
-        fail::fail_point!("admin-keeps");
-        let bytes = store::encode(self.ops.kept());
-        for path in store::copies(&self.ops_folder) {
-            if let Err(e) = crate::disk::replace(&path, &bytes) {
-                log::error!(file = path.display().to_string().as_str(); "the operators' state can't be kept: {e}");
-                return false;
-            }
-            fail::fail_point!("admin-kept-once");
-        }
-        fail::fail_point!("admin-kept");
-        true
-    }
-
     /// Nothing new to a pop cache: to the core it is gone, whatever its sources say, until the call back.
-    fn ban(&mut self, now: Micros, id: &str) {
+    pub(super) fn ban(&mut self, now: Micros, id: &str) {
         let listed = self
             .members
             .listed()
--- a/daemon/src/daemon/feeds/consul/kept.rs
+++ b/daemon/src/daemon/feeds/consul/kept.rs
@@ -2,10 +2,11 @@
 
 use crate::daemon::members::CONSUL;
 use crate::daemon::Daemon;
-use crate::disk::{Disk, Job};
+use crate::disk::{remove_leftovers, Disk, Job};
 use crate::net::Due;
 use linnetknot::Micros;
 use linnetknot_discovery::{kept, Entry, SourceId};
+use linnetknot_store::is_lasting;
 use std::path::{Path, PathBuf};
 use std::{fs, io};
 
@@ -13,6 +14,8 @@
 pub(in crate::daemon) struct Keeper {
     disk: Disk,
     lists: Vec<List>,
+    /// The folder, where it could not be made at the start.
+    missing: Option<PathBuf>,
 }
 
 struct List {
@@ -30,10 +33,18 @@
     /// Keeps lists in a folder. The scopes say what each is the list of.
     pub(in crate::daemon) fn start(folder: &Path, scopes: Vec<String>) -> Result<Self, String> {
         let whole = |e: io::Error| format!("state.directory: {}: {e}", folder.display());
-        fs::create_dir_all(folder).map_err(whole)?;
+        let missing = match fs::create_dir_all(folder) {
+            Ok(()) => None,
+            Err(e) if is_lasting(&e) => return Err(whole(e)),
+            Err(e) => {
+                log::error!("{}; it is made once that is over", whole(e));
+                Some(folder.to_owned())
+            }
+        };
         let disk = Disk::start("linnetknot-disk").map_err(whole)?;
         let list = |(n, scope)| {
             let path = folder.join(format!("boxes-{n}.list"));
+            remove_leftovers(&path);
             List {
                 path,
                 scope,
@@ -44,6 +55,7 @@
             }
         };
         Ok(Keeper {
+            missing,
             disk,
             lists: scopes.into_iter().enumerate().map(list).collect(),
         })
@@ -125,6 +137,13 @@
         let Some(keeper) = &mut self.keeper else {
             return;
         };
+        if keeper
+            .missing
+            .as_ref()
+            .is_some_and(|folder| fs::create_dir_all(folder).is_ok())
+        {
+            keeper.missing = None;
+        }
         let Some(list) = keeper.lists.get_mut(n) else {
             return;
         };
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -32,6 +32,7 @@
 mod lifecycle;
 mod members;
 mod neighbours;
+mod operator_state;
 mod peer_index;
 mod plain_purges;
 mod promises;
@@ -262,6 +263,7 @@
     ops: linnetknot_ops::Operations,
     /// Where that is kept for the next process: `$TMPDIR`.
     ops_folder: std::path::PathBuf,
+    operator_state: operator_state::OperatorState,
     /// The clients' listener came from the process that started this one, and is shared with the next.
     inherited: bool,
 }
@@ -357,8 +359,8 @@
             peers = Some((socket, known));
         }
         let ops_folder = config.ops_folder.clone();
-        let ops =
-            linnetknot_ops::Operations::new(linnetknot_ops::store::load(&ops_folder), clock.now());
+        let (ops, operator_state) =
+            operator_state::OperatorState::load(&ops_folder, config.seed, clock.now());
         let place = ZonePlace::of(&config.settings);
         let origin_health = config.tell.then(|| OriginHealth::new(place, clock.now()));
         let core =
@@ -422,6 +424,7 @@
             callers: 0,
             ops,
             ops_folder,
+            operator_state,
             inherited,
             limits,
             config,
@@ -439,6 +442,7 @@
         daemon.begin_triggers(now);
         daemon.begin_recovery(now);
         daemon.begin_reopening(now);
+        daemon.plan_operator_state(now);
         daemon.copy_purges(now);
         daemon.recall_lists(now);
         daemon.call_bus(now);
--- a/daemon/src/daemon/promises.rs
+++ b/daemon/src/daemon/promises.rs
@@ -299,10 +299,8 @@
         for (what, lifted) in decided {
             changed |= self.recall(now, &what, lifted);
         }
-        if changed && !self.keep_ops() {
-            log::warn!(
-                "what the operators decided came back from the log and can't be kept beside it"
-            );
+        if changed {
+            self.keep_ops_in_time(now);
         }
     }
 
@@ -436,7 +434,7 @@
         if self.promised.decided(&what).next().is_some() || !self.recall(now, &what, before) {
             return;
         }
-        self.keep_ops();
+        self.undo_ops(now);
         if let Err(e) = self.say_decided(now, &what, before) {
             log::error!("a call that was refused stands in the log until the next one: {e}");
         }
--- a/daemon/src/points.rs
+++ b/daemon/src/points.rs
@@ -59,9 +59,14 @@
     let _ = kill_process(getpid(), signal);
 }
 
-/// Calls that fail with an errno: `EIO` for good, `EIO*2` twice, `EIO@1500` for so many milliseconds.
+/// How long after the start a spell begins that is armed as `late-NAME=ERRNO`: the process has opened its files by then.
+const LATE: Duration = Duration::from_millis(500);
+
+/// Calls that fail with an errno: `EIO` for good, `EIO*2` twice, `EIO@1500` for so many milliseconds, `EIO+3` behind three
+/// that do not.
 struct Spell<'a> {
     errno: &'a str,
+    before: usize,
     times: Option<usize>,
     lasts: Option<Duration>,
 }
@@ -76,19 +81,39 @@
             Some((errno, times)) => (errno, Some(times.parse().ok()?)),
             None => (rest, None),
         };
+        let (errno, before) = match errno.split_once('+') {
+            Some((errno, before)) => (errno, before.parse().ok()?),
+            None => (errno, 0),
+        };
         let is_errno = errno.len() > 1 && errno.bytes().all(|byte| byte.is_ascii_uppercase());
         is_errno.then_some(Spell {
             errno,
+            before,
             times,
             lasts,
         })
     }
 
-    fn arm(&self, name: &str) -> Result<(), String> {
+    fn arm(&self, name: &str, is_late: bool) -> Result<(), String> {
         let times = self
             .times
             .map_or_else(String::new, |times| format!("{times}*"));
-        fail::cfg(name, &format!("{times}return({})", self.errno))?;
+        let before = match self.before {
+            0 => String::new(),
+            before => format!("{before}*off->"),
+        };
+        let action = format!("{before}{times}return({})", self.errno);
+        if is_late {
+            let name = name.to_owned();
+            thread::spawn(move || {
+                thread::sleep(LATE);
+                if let Err(e) = fail::cfg(name, &action) {
+                    log::error!("LINNETKNOT_POINTS: {e}");
+                }
+            });
+            return Ok(());
+        }
+        fail::cfg(name, &action)?;
         if let Some(lasts) = self.lasts {
             let name = name.to_owned();
             thread::spawn(move || {
@@ -107,6 +132,10 @@
     };
     for part in text.split(';').filter(|part| !part.is_empty()) {
         let (name, act) = part.split_once('=').unwrap_or((part, ""));
+        let (name, is_late) = match name.strip_prefix("late-") {
+            Some(name) => (name, true),
+            None => (name, false),
+        };
         if !POINTS.contains(&name) {
             return Err(format!("LINNETKNOT_POINTS: there is no point '{name}'"));
         }
@@ -118,7 +147,7 @@
                 .ok_or(format!(
                     "LINNETKNOT_POINTS: '{part}' is none of NAME=die, NAME=stall, NAME=fail and NAME=ERRNO"
                 ))?
-                .arm(name),
+                .arm(name, is_late),
         };
         armed.map_err(|e| format!("LINNETKNOT_POINTS: {e}"))?;
     }
--- a/daemon/tests/failing_folder.rs
+++ b/daemon/tests/failing_folder.rs
@@ -8,11 +8,15 @@
 use std::time::Duration;
 
 const DAEMON: &str = env!("CARGO_BIN_EXE_linnetknot");
+/// How long a commit may wait.
+const WITHIN_MS: u64 = 4_000;
 const PATIENCE: Duration = Duration::from_secs(20);
 
 fn fleet(running: usize, seed: u64, wait: Option<usize>) -> Fleet {
     Fleet::with(Setup {
         wait,
+        // A busy machine may sync slowly.
+        within_ms: Some(WITHIN_MS),
         ..Setup::copying(Path::new(DAEMON), running, seed)
     })
     .unwrap()
@@ -166,6 +170,89 @@
     }
 }
 
+/// The operators' state: a ban or drain that was answered 503 is not in force in the next process, also where the failed
+/// call was killed before it was undone; one that was answered 200 is.
+#[test]
+fn what_operators_were_answered_200_holds_and_what_they_were_answered_503_does_not() {
+    let drain = |fleet: &Fleet| {
+        let admin = fleet.process(0).unwrap().admin;
+        call(admin, "POST", "/control/out-of-service", "").unwrap()
+    };
+    let ban = "/control/pop-caches/s-0a/offline";
+    for points in [
+        "disk-open=ENOSPC*1",
+        "disk-open=EIO",
+        "disk-write=ENOSPC*1",
+        "disk-write=ENOSPC",
+        "disk-sync=EIO*1",
+        "disk-sync=EIO",
+        "disk-sync=EIO+1",
+        "disk-sync=EIO+2",
+        "disk-sync=EIO+3*1",
+        "disk-sync=EIO+3",
+        "disk-rename=EIO*1",
+        "disk-rename=EIO",
+        "disk-rename=EIO+1*1",
+        "disk-rename=EIO+1",
+        "disk-rename=ENOSPC+1",
+    ] {
+        let mut fleet = fleet(1, 76, None);
+        assert_eq!(fleet.operate(0, "POST", ban).unwrap(), 200);
+        fleet.kill(0).unwrap();
+        // The store opens before the spell begins: it fails the operators' files.
+        fleet
+            .restart_armed(0, Disk::Kept, &format!("late-{points}"))
+            .unwrap();
+        assert!(becomes(PATIENCE, || is_ready(&fleet, 0)), "{points}");
+        let armed = Duration::from_millis(700);
+        std::thread::sleep(armed);
+        let answer = drain(&fleet);
+        assert_eq!(
+            (answer.status, answer.header("retry-after")),
+            (503, Some("1")),
+            "{points}: {}",
+            text(&answer)
+        );
+        assert!(is_ready(&fleet, 0), "{points}: nothing has changed");
+        fleet.kill(0).unwrap();
+        fleet.restart(0, Disk::Kept).unwrap();
+        assert!(
+            becomes(PATIENCE, || is_ready(&fleet, 0)),
+            "{points}: what was answered 503 is claimed"
+        );
+        assert_eq!(fleet.operate(0, "POST", ban).unwrap(), 200);
+        let answer = drain(&fleet);
+        assert_eq!(answer.status, 200, "{points}: {}", text(&answer));
+        fleet.kill(0).unwrap();
+        fleet.restart(0, Disk::Kept).unwrap();
+        assert_eq!(text(&ready(&fleet, 0)).trim(), "out of service", "{points}");
+    }
+}
+
+/// The operators' files can't be read at a start: that is no sign that there are none.
+#[test]
+fn bans_that_cannot_be_read_at_a_start_are_in_force_once_they_can() {
+    let mut fleet = fleet(1, 77, None);
+    assert_eq!(
+        fleet.operate(0, "POST", "/control/out-of-service").unwrap(),
+        200
+    );
+    fleet.kill(0).unwrap();
+    // The log of this proxy would tell of it, too.
+    std::fs::remove_file(fleet.store(0)).unwrap();
+    fleet
+        .restart_armed(0, Disk::Kept, "disk-read=EIO@2000")
+        .unwrap();
+    let admin = fleet.process(0).unwrap().admin;
+    let answer = call(admin, "POST", "/control/pop-caches/s-0a/offline", "").unwrap();
+    assert_eq!(answer.status, 503, "{}", text(&answer));
+    assert!(becomes(PATIENCE, || text(&ready(&fleet, 0)).trim()
+        == "out of service"));
+    let files = std::fs::read_dir(fleet.store(0).parent().unwrap()).unwrap();
+    let names = files.map(|f| f.unwrap().file_name().into_string().unwrap());
+    assert!(names.into_iter().all(|name| !name.ends_with(".new")));
+}
+
 /// What somebody must mend is refused by name at once.
 #[test]
 fn what_is_wrong_for_good_is_refused_at_once() {
--- a/ops/src/state.rs
+++ b/ops/src/state.rs
@@ -38,7 +38,7 @@
 /// What is kept across an upgrade, whole.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Kept {
-    /// Raised with every change: of two whole copies, the higher stands.
+    /// Raised with every change: of two whole copies, the lower stands.
     pub sequence: u64,
     /// Banned pop caches, by id.
     pub bans: BTreeSet<String>,
