--- a/daemon/src/points.rs
+++ b/daemon/src/points.rs
@@ -103,24 +103,22 @@
             before => format!("{before}*off->"),
         };
         let action = format!("{before}{times}return({})", self.errno);
-        if is_late {
-            let name = name.to_owned();
-            thread::spawn(move || {
+        let (name, lasts) = (name.to_owned(), self.lasts);
+        if !is_late {
+            fail::cfg(&name, &action)?;
+        }
+        thread::spawn(move || {
+            if is_late {
                 thread::sleep(LATE);
-                if let Err(e) = fail::cfg(name, &action) {
+                if let Err(e) = fail::cfg(&name, &action) {
                     log::error!("LINNETKNOT_POINTS: {e}");
                 }
-            });
-            return Ok(());
-        }
-        fail::cfg(name, &action)?;
-        if let Some(lasts) = self.lasts {
-            let name = name.to_owned();
-            thread::spawn(move || {
+            }
+            if let Some(lasts) = lasts {
                 thread::sleep(lasts);
                 fail::remove(name);
-            });
-        }
+            }
+        });
         Ok(())
     }
 }
--- a/daemon/tests/failing_folder.rs
+++ b/daemon/tests/failing_folder.rs
@@ -5,7 +5,7 @@
 use linnetknot_rehearse::clients::{becomes, call, Answer};
 use linnetknot_rehearse::fleet::{status_path, Disk, Fleet, Setup};
 use std::path::Path;
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 const DAEMON: &str = env!("CARGO_BIN_EXE_linnetknot");
 /// How long a commit may wait.
@@ -253,6 +253,72 @@
     assert!(names.into_iter().all(|name| !name.ends_with(".new")));
 }
 
+/// The store of a running process fails: once, for a spell, and until the process is killed. What was answered 201 is
+/// there in the next process; what was answered 503 is not told of where the spell ended before the kill.
+#[test]
+fn a_running_store_that_fails_loses_nothing_that_was_answered_201() {
+    let spells = [
+        ("disk-sync=EIO*1", true),
+        ("disk-sync=EIO@1500", true),
+        ("disk-write=ENOSPC@1500", true),
+        ("disk-truncate=ENOSPC@1500", true),
+        ("disk-sync=EIO", false),
+        ("disk-write=ENOSPC", false),
+    ];
+    for (seed, (points, passes)) in (80..).zip(spells) {
+        let mut fleet = fleet(1, seed, None);
+        fleet.kill(0).unwrap();
+        fleet
+            .restart_armed(0, Disk::Kept, &format!("late-{points}"))
+            .unwrap();
+        assert!(becomes(PATIENCE, || is_ready(&fleet, 0)), "{points}");
+        let (mut committed, mut rejected) = (Vec::new(), 0);
+        let begun = Instant::now();
+        while begun.elapsed() < Duration::from_secs(4) {
+            let answer = fleet.trigger(0, &[&object(rejected)]).unwrap();
+            match status_path(&answer) {
+                Some(path) => committed.push(path),
+                None => {
+                    assert_eq!(
+                        (answer.status, answer.header("retry-after")),
+                        (503, Some("1")),
+                        "{points}"
+                    );
+                    rejected += 1;
+                }
+            }
+            std::thread::sleep(Duration::from_millis(50));
+        }
+        if passes {
+            let last = fleet.trigger(0, &[&object(999)]).unwrap();
+            assert_eq!(
+                last.status,
+                201,
+                "{points}: {} and {rejected} before",
+                committed.len()
+            );
+            assert!(becomes(PATIENCE, || {
+                let status = fleet.triggers(0).unwrap();
+                status.len() == committed.len() + 1
+            }));
+        } else {
+            assert!(rejected > 0, "{points}: nothing failed");
+        }
+        fleet.kill(0).unwrap();
+        fleet.restart(0, Disk::Kept).unwrap();
+        for path in &committed {
+            assert_eq!(status_of(&fleet, 0, path), 200, "{points}: {path}");
+        }
+        if passes {
+            assert_eq!(
+                fleet.triggers(0).unwrap().len(),
+                committed.len() + 1,
+                "{points}"
+            );
+        }
+    }
+}
+
 /// What somebody must mend is refused by name at once.
 #[test]
 fn what_is_wrong_for_good_is_refused_at_once() {
