--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -32,18 +32,21 @@
 mod lifecycle;
 mod members;
 mod neighbours;
+mod operator_state;
 mod peer_index;
 mod plain_purges;
 mod promises;
 mod recovery;
 mod redial;
 mod registration;
+mod store_opening;
 
 use exchange::{Effect, Exchange};
 use feeds::{bus, consul};
 use members::Said;
 use peer_index::PeerIndex;
 use registration::Registration;
+use store_opening::{PendingStore, StoreConfig};
 
 const LISTENER: u64 = u64::MAX;
 const SIGNAL: u64 = u64::MAX - 1;
@@ -244,6 +247,8 @@
     dropped: (u64, u64),
     desk: Option<(Listener, Desk)>,
     ledger: Option<Ledger>,
+    /// Its store, while that can't be opened.
+    pending_store: Option<PendingStore>,
     /// The answers that wait for it, and when it is due to be looked at again.
     promised: promises::Promised,
     /// Who of the peers is there, and when that is due to be looked at again.
@@ -269,6 +274,7 @@
     ops: linnetknot_ops::Operations,
     /// Where that is kept for the next process: `$TMPDIR`.
     ops_folder: std::path::PathBuf,
+    operator_state: operator_state::OperatorState,
     /// The clients' listener came from the process that started this one, and is shared with the next.
     inherited: bool,
 }
@@ -318,6 +324,7 @@
         let admin = admin.transpose().map_err(text)?;
         let clock = Clock::start();
         let (mut desk, mut peers, mut ledger, mut store_word) = (None, None, None, None);
+        let mut pending_store = None;
         if let Some(cdni) = config.cdni.clone() {
             let listener = TcpListener::bind(cdni.listen)
                 .map_err(|e| format!("cdni.listen: {}: {e}", cdni.listen))?;
@@ -336,8 +343,13 @@
                     bucket_bits: config.copies.purge_table.bucket_bits,
                 };
                 let wake = word.raiser().map_err(text)?;
-                let open = Ledger::open(&path, writer, clock.now(), bounds, wake);
-                ledger = Some(open.map_err(|e| format!("cdni.purges: {}: {e}", path.display()))?);
+                let store = StoreConfig {
+                    path,
+                    writer,
+                    bounds,
+                };
+                let (opened, pending) = store.start(clock.now(), config.seed, wake)?;
+                (ledger, pending_store) = (Some(opened), pending);
                 store_word = Some(word);
             }
         }
@@ -353,8 +365,8 @@
             peers = Some((socket, known));
         }
         let ops_folder = config.ops_folder.clone();
-        let ops =
-            linnetknot_ops::Operations::new(linnetknot_ops::store::load(&ops_folder), clock.now());
+        let (ops, operator_state) =
+            operator_state::OperatorState::load(&ops_folder, config.seed, clock.now());
         let place = ZonePlace::of(&config.settings);
         let origin_health = config.tell.then(|| OriginHealth::new(place, clock.now()));
         let core =
@@ -402,6 +414,7 @@
             dropped: (0, 0),
             desk,
             ledger,
+            pending_store,
             promised: promises::Promised::default(),
             membership: None,
             shared_budgets: None,
@@ -417,6 +430,7 @@
             callers: 0,
             ops,
             ops_folder,
+            operator_state,
             inherited,
             limits,
             config,
@@ -433,6 +447,8 @@
         daemon.begin_decided(now);
         daemon.begin_triggers(now);
         daemon.begin_recovery(now);
+        daemon.begin_reopening(now);
+        daemon.plan_operator_state(now);
         daemon.copy_purges(now);
         daemon.recall_lists(now);
         daemon.call_bus(now);
--- a/daemon/src/points.rs
+++ b/daemon/src/points.rs
@@ -8,9 +8,11 @@
 use crate::net::injection::{self, Plan};
 use crate::net::Call;
 use rustix::process::{getpid, kill_process, Signal};
+use std::thread;
+use std::time::Duration;
 
 /// The points, in the order in which a promise passes them.
-pub const POINTS: [&str; 21] = [
+pub const POINTS: [&str; 27] = [
     // A purge that a neighbour told: before the peers are told and after; before the store's worker writes and after;
     // and once enough have it, before the answer.
     "peers-tell",
@@ -20,6 +22,13 @@
     "promise-kept",
     // The disk takes nothing more (`fail`).
     "store-fails",
+    // Calls to the file system, of the store and of files that are put in place as a whole (`ERRNO`).
+    "disk-open",
+    "disk-read",
+    "disk-write",
+    "disk-sync",
+    "disk-truncate",
+    "disk-rename",
     // At a peer that has it on its disk, before it says so.
     "holder-says",
     // At a proxy that is behind what its peers compacted, when a chunk of their snapshot is in force; and one that gets
@@ -53,6 +62,70 @@
     let _ = kill_process(getpid(), signal);
 }
 
+/// How long after the start a spell begins that is armed as `late-NAME=ERRNO`: the process has opened its files by then.
+const LATE: Duration = Duration::from_millis(500);
+
+/// Calls that fail with an errno: `EIO` for good, `EIO*2` twice, `EIO@1500` for so many milliseconds, `EIO+3` behind three
+/// that do not.
+struct Spell<'a> {
+    errno: &'a str,
+    before: usize,
+    times: Option<usize>,
+    lasts: Option<Duration>,
+}
+
+impl<'a> Spell<'a> {
+    fn read(act: &'a str) -> Option<Self> {
+        let (rest, lasts) = match act.split_once('@') {
+            Some((rest, ms)) => (rest, Some(Duration::from_millis(ms.parse().ok()?))),
+            None => (act, None),
+        };
+        let (errno, times) = match rest.split_once('*') {
+            Some((errno, times)) => (errno, Some(times.parse().ok()?)),
+            None => (rest, None),
+        };
+        let (errno, before) = match errno.split_once('+') {
+            Some((errno, before)) => (errno, before.parse().ok()?),
+            None => (errno, 0),
+        };
+        let is_errno = errno.len() > 1 && errno.bytes().all(|byte| byte.is_ascii_uppercase());
+        is_errno.then_some(Spell {
+            errno,
+            before,
+            times,
+            lasts,
+        })
+    }
+
+    fn arm(&self, name: &str, is_late: bool) -> Result<(), String> {
+        let times = self
+            .times
+            .map_or_else(String::new, |times| format!("{times}*"));
+        let before = match self.before {
+            0 => String::new(),
+            before => format!("{before}*off->"),
+        };
+        let action = format!("{before}{times}return({})", self.errno);
+        let (name, lasts) = (name.to_owned(), self.lasts);
+        if !is_late {
+            fail::cfg(&name, &action)?;
+        }
+        thread::spawn(move || {
+            if is_late {
+                thread::sleep(LATE);
+                if let Err(e) = fail::cfg(&name, &action) {
+                    log::error!("LINNETKNOT_POINTS: {e}");
+                }
+            }
+            if let Some(lasts) = lasts {
+                thread::sleep(lasts);
+                fail::remove(name);
+            }
+        });
+        Ok(())
+    }
+}
+
 /// Arms the points that the environment names.
 pub fn arm() -> Result<(), String> {
     let Ok(text) = std::env::var("LINNETKNOT_POINTS") else {
@@ -67,6 +140,10 @@
             );
             continue;
         }
+        let (name, is_late) = match name.strip_prefix("late-") {
+            Some(name) => (name, true),
+            None => (name, false),
+        };
         if !POINTS.contains(&name) {
             return Err(format!("LINNETKNOT_POINTS: there is no point '{name}'"));
         }
@@ -74,11 +151,11 @@
             "die" => fail::cfg_callback(name, || meet(Signal::KILL)),
             "stall" => fail::cfg_callback(name, || meet(Signal::STOP)),
             "fail" => fail::cfg(name, "return"),
-            _ => {
-                return Err(format!(
-                    "LINNETKNOT_POINTS: '{part}' is none of NAME=die, NAME=stall and NAME=fail"
-                ))
-            }
+            act => Spell::read(act)
+                .ok_or(format!(
+                    "LINNETKNOT_POINTS: '{part}' is none of NAME=die, NAME=stall, NAME=fail and NAME=ERRNO"
+                ))?
+                .arm(name, is_late),
         };
         armed.map_err(|e| format!("LINNETKNOT_POINTS: {e}"))?;
     }
