--- a/daemon/src/core.rs
+++ b/daemon/src/core.rs
@@ -3,11 +3,13 @@
 
 use crate::limits::Limits;
 use crate::net::{Key, Slots};
+use crate::origin_clock::OriginClock;
 use linnetknot::purges::PurgeTable;
 use linnetknot::{
     Action, Event, Fill, ListMode, Load, Micros, Note, Outcome, Repeat, Request, Router, ServerId,
     Settings, SettingsError, State,
 };
+use linnetknot_purges::KeyHash;
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
 
@@ -208,6 +210,10 @@
 
 type Boxes = BTreeMap<ServerId, (String, SocketAddr, State)>;
 
+fn purge_key(object: Option<&str>, group: u64) -> KeyHash {
+    object.map_or(KeyHash::of_group(group), KeyHash::of_object)
+}
+
 fn uid(boxes: &Boxes, id: ServerId) -> &str {
     boxes.get(&id).map_or("-", |b| b.0.as_str())
 }
@@ -215,6 +221,7 @@
 /// The request table and the module.
 pub struct Core {
     router: Router,
+    origin_clock: OriginClock,
     /// No request is open for longer, whatever its client says.
     pub most_us: Micros,
     requests: Slots<Open>,
@@ -245,6 +252,7 @@
             ids: HashSet::new(),
             keyed: keyed.collect(),
             router: Router::new(settings, seed)?,
+            origin_clock: OriginClock::default(),
             most_us: Micros::MAX,
             requests: Slots::new(limits.requests),
             boxes: BTreeMap::new(),
@@ -375,16 +383,42 @@
         }
     }
 
-    /// A purge of an object, or with none of a whole group. It holds for good.
+    /// A purge of an object, or with none of a whole group, by a date that was told with it. It holds for good.
     pub fn purged(&mut self, now: Micros, object: Option<String>, group: u64, at: Micros) {
-        self.feed(
-            now,
-            Event::Purged {
-                object,
-                group,
-                age_us: now.saturating_sub(at),
-            },
-        );
+        let key = purge_key(object.as_deref(), group);
+        let date = self.origin_clock.bound(now, key, at);
+        self.router.purges_mut().record(key, date);
+    }
+
+    /// A purge that was told here, as of now. Gives the date that peers are to be told.
+    pub fn purged_now(&mut self, now: Micros, object: Option<&str>, group: u64) -> Micros {
+        let key = purge_key(object, group);
+        let date = self.origin_clock.date_own(now, key);
+        self.router.purges_mut().record(key, date);
+        self.origin_clock.date_for_peers(now)
+    }
+
+    /// The origin or the event bus was heard just now, with a date of theirs.
+    pub fn heard_date(&mut self, now: Micros, date: Micros) {
+        for (key, date) in self.origin_clock.heard(now, date) {
+            self.router.purges_mut().record(key, date);
+        }
+        self.router.set_origin_offset(self.origin_clock.offset_us());
+    }
+
+    /// The date by which all copies from before now are told from later ones.
+    pub fn date_of_all(&self, now: Micros) -> Micros {
+        self.origin_clock.date_for_peers(now)
+    }
+
+    /// A time of the origin's clock by the own clock, as far as is known: never before it.
+    pub fn own_time(&self, date: Micros) -> Micros {
+        self.origin_clock.to_own(date)
+    }
+
+    /// What the origin's clock has reached at a time of the own clock, as far as is known.
+    pub fn origin_time(&self, now: Micros) -> Micros {
+        self.origin_clock.now(now)
     }
 
     /// The purges that are in force.
--- a/daemon/src/daemon/boxes.rs
+++ b/daemon/src/daemon/boxes.rs
@@ -18,6 +18,7 @@
                     self.core.ended(now, attempt, Outcome::Moot.into());
                 }
                 Told::Ended(attempt, ended) => self.core.ended(now, attempt, ended),
+                Told::Dated(made) => self.core.heard_date(now, made),
                 Told::Probed(outcome, took_us, load) => {
                     self.core.probed(now, server, outcome, took_us, load);
                 }
--- a/daemon/src/daemon/feeds/bus.rs
+++ b/daemon/src/daemon/feeds/bus.rs
@@ -7,9 +7,10 @@
 use crate::limits::Limits;
 use crate::net::{Due, Key};
 use crate::wire::WireError;
-use linnetknot::{ListMode, Micros};
+use linnetknot::{ListMode, Micros, ServerId, State as Standing};
 use linnetknot_consul::Backoff;
-use linnetknot_discovery::{Evidence, Report};
+use linnetknot_discovery::{Entry, Evidence, Report};
+use std::collections::BTreeMap;
 
 /// What the daemon knows of the bus.
 pub(in crate::daemon) struct State {
@@ -19,6 +20,9 @@
     pub(in crate::daemon) last: u64,
     /// When something last came.
     read_at: Micros,
+    /// When boxes started, as the bus dated it and by the own clock. One date always has the same time by the own clock:
+    /// a box whose start changes has started again.
+    starts: BTreeMap<ServerId, (Micros, Micros)>,
     /// How long to wait before it is called again. The longest wait is short against what its news may take.
     backoff: Backoff,
 }
@@ -32,6 +36,7 @@
             timer: None,
             last: 0,
             read_at: 0,
+            starts: BTreeMap::new(),
             backoff,
         }
     }
@@ -79,6 +84,12 @@
             // Unless told otherwise, one source has the list.
             Some(News::List(..)) if self.config.consul.as_ref().is_some_and(|c| !c.beside_bus) => {}
             Some(News::List(answer)) => {
+                for entry in &answer.entries {
+                    if let Some(started) = entry.server.started {
+                        let dated = (started, started);
+                        self.bus.starts.entry(entry.server.id).or_insert(dated);
+                    }
+                }
                 let (mode, entries, passed) = self.vetting.vet(answer, self.members.told_by(BUS));
                 for passed in passed {
                     log::warn!("event {} of the bus: {passed}", event.offset);
@@ -95,9 +106,36 @@
         }
     }
 
+    /// When a box started is dated by the platform's clock: it is taken by the own one, which may be off. None has started
+    /// later than it is told.
+    fn date_start(&mut self, now: Micros, entry: &mut Entry) {
+        let id = entry.server.id;
+        if entry.server.state == Standing::Gone {
+            self.bus.starts.remove(&id);
+        }
+        let Some(date) = entry.server.started else {
+            return;
+        };
+        let known = self.bus.starts.get(&id).filter(|(known, _)| *known == date);
+        let started = known.map(|(_, started)| *started).unwrap_or_else(|| {
+            self.core.heard_date(now, date);
+            self.core.own_time(date).min(now)
+        });
+        entry.server.started = Some(started);
+        if entry.server.state != Standing::Gone {
+            self.bus.starts.insert(id, (date, started));
+        }
+    }
+
     /// An event that has just happened: neighbours hear of purges too.
-    fn heard(&mut self, now: Micros, event: BusEvent) {
-        if let Some(News::Purge { object, group, .. }) = &event.news {
+    fn heard(&mut self, now: Micros, mut event: BusEvent) {
+        if let Some(News::List(answer)) = &mut event.news {
+            for entry in &mut answer.entries {
+                self.date_start(now, entry);
+            }
+        }
+        if let Some(News::Purge { object, group, at }) = &event.news {
+            self.core.heard_date(now, *at);
             self.pass_on(now, object.as_deref(), *group);
         }
         self.news(now, event);
--- a/daemon/src/daemon/plain_purges.rs
+++ b/daemon/src/daemon/plain_purges.rs
@@ -48,8 +48,14 @@
     }
 
     /// Sends a purge as a plain datagram to the peers that are not known to replicate logs, now and again.
-    pub(super) fn send_plain_purge(&mut self, now: Micros, object: Option<&str>, group: u64) {
-        let Some(text) = peers::write(object, group, now).filter(|_| self.peers.is_some()) else {
+    pub(super) fn send_plain_purge(
+        &mut self,
+        now: Micros,
+        object: Option<&str>,
+        group: u64,
+        at: Micros,
+    ) {
+        let Some(text) = peers::write(object, group, at).filter(|_| self.peers.is_some()) else {
             return;
         };
         self.send_where_not_replicated(&text);
--- a/daemon/src/daemon/promises.rs
+++ b/daemon/src/daemon/promises.rs
@@ -320,17 +320,17 @@
         object: Option<String>,
         group: u64,
     ) -> Result<Option<Index>, String> {
-        self.core.purged(now, object.clone(), group, now);
+        let at = self.core.purged_now(now, object.as_deref(), group);
         let entry = self
             .ledger
             .as_mut()
-            .map(|ledger| ledger.append_purge(object.as_deref(), group, now))
+            .map(|ledger| ledger.append_purge(object.as_deref(), group, at))
             .transpose();
         fail::fail_point!("peers-tell");
         if let Ok(Some(entry)) = &entry {
             self.tell_entry(entry.clone());
         }
-        self.send_plain_purge(now, object.as_deref(), group);
+        self.send_plain_purge(now, object.as_deref(), group, at);
         fail::fail_point!("peers-told");
         entry
             .map(|entry| entry.map(|entry| entry.index))
--- a/daemon/src/daemon/recovery.rs
+++ b/daemon/src/daemon/recovery.rs
@@ -179,7 +179,8 @@
 
     /// The snapshot did not come in time. Which copies its purges concern can't be known, so all are taken as purged.
     fn give_up_snapshot(&mut self, now: Micros) {
-        self.core.purges_mut().raise_all(now);
+        let at = self.core.date_of_all(now);
+        self.core.purges_mut().raise_all(at);
         log::error!(
             "the peers' snapshot has not come in time: every copy from before now is taken as purged"
         );
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -16,6 +16,7 @@
 pub mod limits;
 pub mod logging;
 pub mod net;
+pub mod origin_clock;
 pub mod peers;
 pub mod plain_purges;
 #[cfg(feature = "points")]
--- a/daemon/src/net/clock.rs
+++ b/daemon/src/net/clock.rs
@@ -17,7 +17,7 @@
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Clock {
-            unix_us: unix.as_micros() as u64,
+            unix_us: with_test_offset(unix.as_micros() as u64),
             start: Instant::now(),
         }
     }
@@ -27,3 +27,15 @@
         self.unix_us + self.start.elapsed().as_micros() as u64
     }
 }
+
+/// The system's time as it is, in every build but those of tests.
+#[cfg(not(feature = "points"))]
+fn with_test_offset(unix_us: u64) -> u64 {
+    unix_us
+}
+
+/// The system's time as a test wants it to be off.
+#[cfg(feature = "points")]
+fn with_test_offset(unix_us: u64) -> u64 {
+    unix_us.saturating_add_signed(crate::points::clock_offset_us())
+}
--- a/daemon/src/points.rs
+++ b/daemon/src/points.rs
@@ -2,9 +2,30 @@
 //! middle of a promise. Only builds with the feature `points` have them, which no release build does: without it each
 //! `fail_point!` is nothing at all.
 //!
-//! `LINNETKNOT_POINTS=store-committed=die;admin-kept=stall` arms them at the start.
+//! `LINNETKNOT_POINTS=store-committed=die;admin-kept=stall` arms them at the start. `clock=-3600` among them starts the
+//! process with a wall clock that is so many seconds off.
 
 use rustix::process::{getpid, kill_process, Signal};
+use std::sync::atomic::{AtomicI64, Ordering};
+
+/// The name under which an offset of the wall clock is given.
+const CLOCK: &str = "clock";
+const MICROS_PER_SECOND: i64 = 1_000_000;
+/// How far the wall clock of this process is off, in microseconds.
+static CLOCK_OFFSET_US: AtomicI64 = AtomicI64::new(0);
+
+/// How far the wall clock of this process is off, in microseconds.
+pub(crate) fn clock_offset_us() -> i64 {
+    CLOCK_OFFSET_US.load(Ordering::Relaxed)
+}
+
+fn set_clock_offset(seconds: &str) -> Result<(), String> {
+    let seconds: i64 = seconds
+        .parse()
+        .map_err(|e| format!("LINNETKNOT_POINTS: '{CLOCK}={seconds}': {e}"))?;
+    CLOCK_OFFSET_US.store(seconds * MICROS_PER_SECOND, Ordering::Relaxed);
+    Ok(())
+}
 
 /// The points, in the order in which a promise passes them.
 pub const POINTS: [&str; 21] = [
@@ -57,6 +78,10 @@
     };
     for part in text.split(';').filter(|part| !part.is_empty()) {
         let (name, act) = part.split_once('=').unwrap_or((part, ""));
+        if name == CLOCK {
+            set_clock_offset(act)?;
+            continue;
+        }
         if !POINTS.contains(&name) {
             return Err(format!("LINNETKNOT_POINTS: there is no point '{name}'"));
         }
--- a/daemon/src/upstream/answers.rs
+++ b/daemon/src/upstream/answers.rs
@@ -1,7 +1,7 @@
 //! Reading the answers that come in on a link.
 
 use super::frames::{ended, load};
-use super::stream::Stream;
+use super::stream::{made_ms, Stream};
 use super::{Link, Told};
 use crate::core::Core;
 use crate::net::Conn;
@@ -111,6 +111,9 @@
             return;
         };
         let (attempt, old) = (sent.attempt, sent.is_too_old(&fields));
+        if let Some(made) = made_ms(&fields).and_then(|ms| ms.checked_mul(1000)) {
+            events.push(Told::Dated(made));
+        }
         // The answer to the attempt before may have crossed its abort: which of the two this one ends is not known.
         let unclear = std::mem::take(&mut sent.behind);
         if old && unclear {
--- a/daemon/src/upstream/mod.rs
+++ b/daemon/src/upstream/mod.rs
@@ -32,6 +32,8 @@
     Begun(AttemptId),
     /// An attempt ended.
     Ended(AttemptId, Ended),
+    /// An answer has come, with the time at which the origin gave out its copy.
+    Dated(Micros),
     /// A probe ended.
     Probed(Outcome, Micros, Option<Load>),
 }
@@ -311,6 +313,7 @@
             let sent = Sent {
                 attempt,
                 at: now,
+                origin_at: core.origin_time(now),
                 end_offset,
                 max_age_us: frame.max_age_us,
                 behind,
--- a/daemon/src/upstream/stream.rs
+++ b/daemon/src/upstream/stream.rs
@@ -28,6 +28,8 @@
 pub(super) struct Sent {
     pub(super) attempt: AttemptId,
     pub(super) at: Micros,
+    /// What the origin's clock had reached by then, as far as was known.
+    pub(super) origin_at: Micros,
     /// So many bytes are written once it is whole.
     pub(super) end_offset: u64,
     /// The oldest copy that will do, as its box was told.
@@ -36,13 +38,23 @@
     pub(super) behind: bool,
 }
 
+/// When the origin gave out the copy that an answer brings, in Unix milliseconds.
+pub(super) fn made_ms(fields: &[u8]) -> Option<u64> {
+    resp::field(fields, "made")?.parse().ok()
+}
+
 impl Sent {
     /// Whether an answer brings a copy from before what the attempt asked for: no box may give one, so it is
     /// not passed on.
     pub(super) fn is_too_old(&self, fields: &[u8]) -> bool {
-        let made = resp::field(fields, "made").and_then(|ms| ms.parse::<u64>().ok());
-        made.zip(self.max_age_us)
-            .is_some_and(|(ms, age)| (ms + 1) * 1000 + age < self.at)
+        made_ms(fields)
+            .zip(self.max_age_us)
+            .is_some_and(|(ms, age)| {
+                (ms.saturating_add(1))
+                    .saturating_mul(1000)
+                    .saturating_add(age)
+                    < self.origin_at
+            })
     }
 }
 
--- a/daemon/tests/upstream.rs
+++ b/daemon/tests/upstream.rs
@@ -143,7 +143,7 @@
     fn ends(&mut self) -> Vec<(AttemptId, Outcome)> {
         let end = |t| match t {
             Told::Ended(attempt, ended) => Some((attempt, ended.outcome)),
-            Told::Begun(_) => None,
+            Told::Begun(_) | Told::Dated(_) => None,
             Told::Probed(..) => panic!("{t:?}"),
         };
         self.told.drain(..).filter_map(end).collect()
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -171,6 +171,8 @@
     heard: (f64, Micros), // What it may be at most by what others found, and until when.
     /// The latest purge of each object and of each group.
     purges: PurgeTable,
+    /// What is to be added to this router's clock for the one by which purges are dated.
+    origin_offset_us: i64,
     leases: BTreeMap<Budget, Lease>, // Of what all routers share.
     ticking: bool,
 }
@@ -218,6 +220,7 @@
             found: None,
             heard: (1.0, 0),
             purges: PurgeTable::new(EXACT_PURGES, BucketBits::DEFAULT),
+            origin_offset_us: 0,
             leases: BTreeMap::new(),
             ticking: false,
         })
@@ -267,6 +270,7 @@
                 let key = object.map_or(KeyHash::of_group(group), |object| {
                     KeyHash::of_object(&object)
                 });
+                let now = now.saturating_add_signed(self.origin_offset_us);
                 self.purges.record(key, now.saturating_sub(age_us));
             }
         }
@@ -446,6 +450,11 @@
             })
     }
 
+    /// Sets what is to be added to this router's clock for the one by which the purges of its table are dated.
+    pub fn set_origin_offset(&mut self, offset_us: i64) {
+        self.origin_offset_us = offset_us;
+    }
+
     /// Whether an attempt that waited for its connection may begin now, and the oldest copy that will do.
     pub fn begins(&self, now: Micros, id: RequestId) -> Option<Option<Micros>> {
         let open = self
@@ -464,7 +473,8 @@
             .filter_map(|key| self.purges.latest(key))
             .max();
         purged.map(|at| {
-            now.saturating_sub(at)
+            now.saturating_add_signed(self.origin_offset_us)
+                .saturating_sub(at)
                 .clamp(1, fresh.unwrap_or(Micros::MAX))
         })
     }
@@ -1024,7 +1034,9 @@
             at: now + TICK_US,
             tag: TICK_TAG,
         });
-        self.purges.compact(now, self.settings.rules.purge_done_us);
+        let origin_now = now.saturating_add_signed(self.origin_offset_us);
+        self.purges
+            .compact(origin_now, self.settings.rules.purge_done_us);
         let step = TICK_US as f64 / 1e6 / MEAN_S;
         for s in self.servers.values_mut() {
             s.mean_out += step * (s.out as f64 - s.mean_out);
