--- a/daemon/src/front/cdni/triggers.rs
+++ b/daemon/src/front/cdni/triggers.rs
@@ -12,6 +12,8 @@
 const FAILED: &str = "failed";
 /// Status resources of triggers that are over may go after so many seconds.
 pub const STALE_S: u64 = 3600;
+/// How far the wall clock that dated a trigger may be from this process's: each may be an hour off, either way.
+const MAX_CLOCK_SKEW_S: u64 = 2 * 3600;
 
 /// A trigger's name in all of an installation: the proxy that was told (0 where nothing is kept), and its number there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -53,12 +55,21 @@
 
 struct Trigger {
     spec: Value,
+    /// When it was made, by the wall clock of the process that was told.
     made: u64,
+    /// When it was first held here, by this process's clock, which never steps.
+    held_since: u64,
     status: &'static str,
     error: Option<Value>,
 }
 
 impl Trigger {
+    /// Whether its time is over: it was held here for all of it, or was made too long ago for any clock to be wrong.
+    fn is_stale(&self, now: u64) -> bool {
+        self.held_since + STALE_S < now
+            || self.made.saturating_add(STALE_S + MAX_CLOCK_SKEW_S) < now
+    }
+
     fn payload(&self) -> Value {
         let mut status = json!({
             "trigger": self.spec, "ctime": self.made, "mtime": self.made, "status": self.status,
@@ -70,7 +81,7 @@
     }
 
     /// Reads a payload; none where it is not all there.
-    fn read(payload: &str) -> Option<Self> {
+    fn read(now: u64, payload: &str) -> Option<Self> {
         let mut value: Value = serde_json::from_str(payload).ok()?;
         let status = [COMPLETE, FAILED]
             .into_iter()
@@ -80,6 +91,7 @@
         Some(Trigger {
             spec: value["trigger"].take(),
             made,
+            held_since: now,
             status,
             error,
         })
@@ -239,10 +251,13 @@
         // Its pieces come one by one, and a long text is not to be read once for each of them.
         let whole = Some(payload).filter(|payload| payload.ends_with('}'));
         let trigger = whole
-            .and_then(Trigger::read)
-            .filter(|t| t.made + STALE_S >= now);
-        let Some(trigger) = trigger else { return };
-        self.held.retain(|_, t| t.made + STALE_S >= now);
+            .and_then(|payload| Trigger::read(now, payload))
+            .filter(|trigger| !trigger.is_stale(now));
+        let Some(mut trigger) = trigger else { return };
+        self.held.retain(|_, trigger| !trigger.is_stale(now));
+        if let Some(known) = self.held.get(&name) {
+            trigger.held_since = known.held_since;
+        }
         if name.writer == self.next.writer {
             self.next.number = self.next.number.max(name.number + 1);
         }
@@ -286,7 +301,7 @@
         if plan.purges.is_empty() && plan.unable.is_empty() {
             return (Response::bare(400), None);
         }
-        self.held.retain(|_, t| t.made + STALE_S >= now);
+        self.held.retain(|_, trigger| !trigger.is_stale(now));
         if self
             .held
             .keys()
@@ -316,6 +331,7 @@
         let trigger = Trigger {
             spec: Value::Object(spec.clone()),
             made: now,
+            held_since: now,
             status,
             error,
         };
--- a/daemon/src/ledger/identity.rs
+++ b/daemon/src/ledger/identity.rs
@@ -34,10 +34,13 @@
     pub(super) fn of(store: &mut Store, now: Micros) -> Result<Self, Fault> {
         let is_closed = store.get(OWN, CLOSED)?.is_some();
         let known = number(store, EPOCH)?;
+        // A later epoch is a greater one, also where the clock was set back between the two: what its operators decided
+        // last counts (`LogStore::decisions`).
+        let next_epoch = known.map_or(now, |before| now.max(before + 1));
         let incarnation = number(store, INCARNATION)?.map_or(0, |before| before + 1);
         Ok(Identity {
             is_fresh: known.is_none(),
-            epoch: known.filter(|_| is_closed).unwrap_or(now),
+            epoch: known.filter(|_| is_closed).unwrap_or(next_epoch),
             incarnation: now.max(incarnation),
         })
     }
--- a/daemon/src/ledger/mod.rs
+++ b/daemon/src/ledger/mod.rs
@@ -146,6 +146,7 @@
         let own = LogId::new(writer, identity.epoch);
         let mut log_store = LogStore::restore(stored.table, &stored.markers, entries)
             .map_err(|e| Fault::Damaged(e.to_string()))?;
+        log_store.restart_expiry(now);
         writes.extend(adopt(&mut log_store, own, legacy.purges)?);
         writes.extend(stored.resize);
         writes.extend(identity.begin());
@@ -272,16 +273,10 @@
     /// time of its start on, as nobody starts again sooner than it can answer.
     pub fn first_number(&self) -> u64 {
         let own = self.replica.own().writer;
-        let known = self
-            .replica
-            .log_store()
-            .triggers()
-            .into_iter()
-            .filter(|(writer, _)| *writer == own);
+        // Those that are gone count, too: a name that is given again would name something that is known to be gone.
+        let known = self.replica.log_store().last_trigger(own);
         known
-            .map(|(_, number)| number + 1)
-            .max()
-            .unwrap_or(0)
+            .map_or(0, |number| number + 1)
             .max(self.identity.incarnation)
     }
 
--- a/replication/src/log_store/mod.rs
+++ b/replication/src/log_store/mod.rs
@@ -80,6 +80,8 @@
     latest: BTreeMap<SubjectKey, Index>,
     /// Those of them that are of use for a time only.
     expiring: usize,
+    /// When those of them that another process wrote were first seen by this one, by its own clock.
+    first_seen: BTreeMap<EntryKey, Micros>,
     /// All older purges.
     pub(crate) table: CompactTable,
     sum: u64,
@@ -109,6 +111,7 @@
             live: BTreeMap::new(),
             latest: BTreeMap::new(),
             expiring: 0,
+            first_seen: BTreeMap::new(),
             table: CompactTable::new(bucket_bits),
             sum: 0,
         }
@@ -268,6 +271,7 @@
     /// Takes an entry out of those in force.
     pub(crate) fn remove(&mut self, key: EntryKey) -> Option<Entry> {
         let record = self.live.remove(&key)?;
+        self.first_seen.remove(&key);
         self.expiring -= usize::from(record.subject.is_expiring());
         let subject_key = SubjectKey {
             subject: record.subject.clone(),
--- a/replication/src/replica/exchange.rs
+++ b/replication/src/replica/exchange.rs
@@ -19,6 +19,14 @@
 impl Replica {
     /// Takes in what a peer says, known by its place.
     pub fn receive(&mut self, now: Micros, from: usize, datagram: Datagram) -> Received {
+        let received = self.take_in(now, from, datagram);
+        for entry in &received.new {
+            self.log_store.begin_expiry(now, entry);
+        }
+        received
+    }
+
+    fn take_in(&mut self, now: Micros, from: usize, datagram: Datagram) -> Received {
         match datagram {
             Datagram::Entry(entry) => self.take(from, entry),
             Datagram::RangeRequest { positions } => self.compare(from, &positions).0,
