--- a/daemon/src/daemon/fleet.rs
+++ b/daemon/src/daemon/fleet.rs
@@ -29,13 +29,16 @@
             (server_id(name), ledger.member()),
             self.config.copies.machines.len(),
         );
-        let membership = Membership::new(
+        let mut membership = Membership::new(
             me,
             (name, machine),
             peers,
             (self.config.seed, now),
             Options::default(),
         );
+        if ledger.is_fresh() {
+            membership.expect_predecessor(now + self.limits.recovery_us);
+        }
         self.membership = Some(membership);
         self.plan_fleet(now);
     }
@@ -74,6 +77,11 @@
             }
             Ok(()) => {}
         }
+        let process = membership.process();
+        if let Some(ledger) = self.ledger.as_mut().filter(|l| l.member() < process) {
+            log::warn!("a process of this name that a peer knows began by a later clock: this one is numbered behind it");
+            ledger.renumber(process);
+        }
         let after = (membership.is_replaced(), named(membership));
         if after.0 && !before.0 {
             log::error!(
--- a/daemon/src/ledger/identity.rs
+++ b/daemon/src/ledger/identity.rs
@@ -55,6 +55,11 @@
     }
 }
 
+/// The write that keeps a process's incarnation.
+pub(super) fn incarnation(incarnation: Epoch) -> Write {
+    put(INCARNATION, &incarnation.to_be_bytes())
+}
+
 /// The write that ends a process in order.
 pub(super) fn closed() -> Write {
     put(CLOSED, b"1")
--- a/daemon/src/ledger/mod.rs
+++ b/daemon/src/ledger/mod.rs
@@ -190,6 +190,14 @@
         self.identity.incarnation
     }
 
+    /// This process's life is a later one than its empty disk told: a peer knows of one before it.
+    pub fn renumber(&mut self, incarnation: Epoch) {
+        self.identity.incarnation = incarnation;
+        self.replica.renumber(incarnation);
+        // Where there is no room for it, the next start on this disk learns it as this one did.
+        self.keeper.give(identity::incarnation(incarnation));
+    }
+
     /// Whether it began without anything on its disk: what this proxy promised, others have.
     pub fn is_fresh(&self) -> bool {
         self.identity.is_fresh
--- a/daemon/tests/clock_steps.rs
+++ b/daemon/tests/clock_steps.rs
@@ -171,3 +171,30 @@
         }
     }
 }
+
+/// Peers hear a proxy by the number of its process, which grows with each start on one disk. One that lost its disk, and
+/// whose clock went back, has to be heard all the same.
+#[test]
+fn a_proxy_that_lost_its_disk_and_whose_clock_went_back_is_heard() {
+    let mut fleet = fleet(2, 69, "");
+    assert_eq!(fleet.purge(0, &object(1)).unwrap(), 201);
+    for life in 0..2 {
+        fleet.kill(0).unwrap();
+        let offset = clock(-3_605 * (1 + life));
+        fleet.restart_armed(0, Disk::Lost, &offset).unwrap();
+        let is_settled = || {
+            let status = fleet.status(0).unwrap();
+            fleet.operate(0, "GET", "/control/ready").unwrap() == 200
+                && status.peers.iter().any(|peer| peer.standing == "alive")
+        };
+        assert!(becomes(PATIENCE, is_settled), "life {life}");
+        // Long enough for peers to tell of the process before.
+        for n in 0..20 {
+            let purged = object(10 + 100 * life as u64 + n);
+            assert_eq!(fleet.purge(0, &purged).unwrap(), 201, "life {life}, {n}");
+            let other = object(50 + 100 * life as u64 + n);
+            assert_eq!(fleet.purge(1, &other).unwrap(), 201, "life {life}, {n}");
+            thread::sleep(Duration::from_millis(200));
+        }
+    }
+}
--- a/discovery/src/kept.rs
+++ b/discovery/src/kept.rs
@@ -15,8 +15,9 @@
 pub const FORMAT: u32 = 1;
 /// The first line ends within so many bytes.
 const MAX_HEAD: usize = 80;
-/// The clock may have been set back a little between two starts.
-const FUTURE_US: Micros = 5_000_000;
+/// How far from the future a list may seem: the clock may have been an hour ahead when it was written, and an hour behind
+/// when it is read. Beyond that the time says nothing of how old it is.
+const FUTURE_US: Micros = 2 * 60 * 60 * 1_000_000;
 
 /// A list as it is kept.
 #[derive(Clone, Debug, PartialEq)]
--- a/membership/src/swim.rs
+++ b/membership/src/swim.rs
@@ -105,6 +105,8 @@
     random: Random,
     left: bool,
     replaced: bool,
+    /// Until then a later process of this name that peers know is one from before this one.
+    predecessor_until: Micros,
     outgoing: Vec<(Peer, Vec<u8>)>,
     changes: Vec<Change>,
     counters: Counters,
@@ -141,6 +143,7 @@
             random: Random::new(seed ^ id.rotate_left(17) ^ process),
             left: false,
             replaced: false,
+            predecessor_until: 0,
             outgoing: Vec::new(),
             changes: Vec::new(),
             counters: Counters::default(),
@@ -178,6 +181,18 @@
         1 + self.members.iter().filter(|m| m.is_up()).count()
     }
 
+    /// This process began without its disk, and can't know the number of the process before it: until then one that
+    /// peers tell of is taken to be that one, and this process takes the number behind it. The wall clock may have been
+    /// set back between the two.
+    pub fn expect_predecessor(&mut self, until: Micros) {
+        self.predecessor_until = until;
+    }
+
+    /// The number of this process among those of its name.
+    pub fn process(&self) -> ProcessId {
+        self.me.process
+    }
+
     /// Whether a later process of its own name has begun: this process was replaced.
     pub fn is_replaced(&self) -> bool {
         self.replaced
@@ -616,7 +631,7 @@
     /// Takes in a claim, its own or another's.
     fn claim(&mut self, now: Micros, update: Update) {
         if update.id == self.me.id {
-            return self.refute(update.claim);
+            return self.refute(now, update.claim);
         }
         // Members come from the configuration, and are known once they were heard.
         let Some(peer) = self.place(update.id) else {
@@ -653,9 +668,16 @@
         });
     }
 
-    fn refute(&mut self, claim: Claim) {
+    fn refute(&mut self, now: Micros, claim: Claim) {
         if claim.process > self.me.process {
-            self.replaced = true;
+            match claim.process.checked_add(1) {
+                Some(next) if now < self.predecessor_until && !self.replaced => {
+                    (self.me.process, self.me.incarnation) = (next, 0);
+                    self.counters.refuted += 1;
+                    self.announce_self();
+                }
+                _ => self.replaced = true,
+            }
         } else if claim.process == self.me.process
             && claim.standing != Standing::Alive
             && claim.incarnation >= self.me.incarnation
--- a/replication/src/replica/mod.rs
+++ b/replication/src/replica/mod.rs
@@ -103,6 +103,11 @@
         }
     }
 
+    /// This process has another number than was thought at its start.
+    pub fn renumber(&mut self, process: u64) {
+        self.process = process;
+    }
+
     /// Its own log.
     pub fn own(&self) -> LogId {
         self.own
--- a/replication/tests/statuses.rs
+++ b/replication/tests/statuses.rs
@@ -213,3 +213,40 @@
             && pieces(&"x".repeat(112 * 65_536 + 1)).is_none()
     );
 }
+
+/// That a status is gone is known for longer than the status: its number must not be given again meanwhile.
+#[test]
+fn the_last_trigger_of_a_writer_counts_also_where_only_its_end_is_known() {
+    let mut log_store = LogStore::default();
+    assert_eq!(log_store.last_trigger(1), None);
+    said(&mut log_store, OWN, piece(5, 0, "x"), 10).unwrap();
+    let gone = Subject::Gone {
+        writer: 1,
+        number: 5,
+    };
+    said(&mut log_store, OWN, gone, 10).unwrap();
+    said(&mut log_store, OWN, Subject::Drain, 10).unwrap();
+    assert_eq!(log_store.expire(110, 100).len(), 1, "the status alone");
+    assert!(log_store.triggers().is_empty());
+    assert_eq!(log_store.last_trigger(1), Some(5));
+    assert_eq!(log_store.last_trigger(2), None);
+}
+
+/// What a process finds on its disk counts from its start, whatever its clock says; by the stored time it goes only
+/// where no two clocks can be that far apart.
+#[test]
+fn what_another_process_wrote_counts_from_when_it_was_first_seen() {
+    const HOUR: u64 = 3_600_000_000;
+    for (start, over) in [
+        (HOUR + 1, 2 * HOUR + 1),
+        (10, HOUR + 10),
+        (4 * HOUR, 4 * HOUR),
+    ] {
+        let mut log_store = LogStore::default();
+        said(&mut log_store, OWN, piece(5, 0, "x"), HOUR).unwrap();
+        said(&mut log_store, OWN, Subject::Drain, HOUR).unwrap();
+        log_store.restart_expiry(start);
+        assert!(log_store.expire(over - 1, HOUR).is_empty(), "{start}");
+        assert_eq!(log_store.expire(over, HOUR).len(), 1, "{start}");
+    }
+}
