--- a/origin-health/src/lib.rs
+++ b/origin-health/src/lib.rs
@@ -129,7 +129,12 @@
                 return true;
             }
         };
-        let news = |last: &Last| (last.start, last.number) < (report.start, report.number);
+        // A sender whose clock was set back starts with an earlier time than its process before.
+        let restarted =
+            |last: &Last| last.start != report.start && now >= last.at + REPORT_LIFETIME_US;
+        let news = |last: &Last| {
+            (last.start, last.number) < (report.start, report.number) || restarted(last)
+        };
         if self.last.get(&from).is_some_and(|last| !news(last)) {
             self.counters.old += 1;
             return true;
--- a/origin-health/tests/reports.rs
+++ b/origin-health/tests/reports.rs
@@ -1,6 +1,8 @@
 //! What is received wrongly, twice, late or never, and when there is something to say.
 
-use linnetknot_origin_health::{DecodeError, OriginHealth, Report, ZonePlace, REPORT_BYTES};
+use linnetknot_origin_health::{
+    DecodeError, OriginHealth, Report, ZonePlace, REPORT_BYTES, REPORT_LIFETIME_US,
+};
 use proptest::prelude::*;
 use std::net::SocketAddr;
 
@@ -156,3 +158,23 @@
         prop_assert_eq!(t.received + t.dropped(), count);
     }
 }
+
+/// A process that starts after its clock was set back tells an earlier start than the one before it.
+#[test]
+fn a_sender_whose_clock_went_back_is_heard_once_its_last_report_is_over() {
+    let mut ear = ear();
+    let before = report(1_000, 0.5, 0);
+    let start = before.start - 1;
+    let after = Report {
+        start,
+        ..report(1, 0.2, 0)
+    };
+    ear.receive(0, peer(1), &before.write());
+    ear.receive(REPORT_LIFETIME_US - 1, peer(1), &after.write());
+    assert_eq!(ear.counters().old, 1, "it may have been overtaken");
+    ear.receive(REPORT_LIFETIME_US, peer(1), &after.write());
+    assert_eq!((ear.counters().old, ear.counters().received), (1, 2));
+    assert!(ear.origin_share(REPORT_LIFETIME_US).is_some());
+    ear.receive(2 * REPORT_LIFETIME_US, peer(1), &after.write());
+    assert_eq!(ear.counters().old, 2, "the same report twice");
+}
