--- a/daemon/src/daemon/store_opening.rs
+++ b/daemon/src/daemon/store_opening.rs
@@ -177,11 +177,16 @@
 
     /// Puts the store in the place of what was known in memory: nothing of that was acknowledged, and the peers tell it
     /// again.
-    fn attach_store(&mut self, now: Micros, ledger: Ledger) {
+    fn attach_store(&mut self, now: Micros, mut ledger: Ledger) {
         let Some(pending) = self.pending_store.take() else {
             return;
         };
         log::info!(attempts = pending.backoff.failures(), rejected = pending.rejected; "the store {} is open", pending.store.path.display());
+        let announced = self.ledger.as_ref().map_or(0, Ledger::member);
+        if announced > ledger.member() {
+            // Peers know this process by a later number than its store would give it.
+            ledger.renumber(announced);
+        }
         let before = self.ledger.replace(ledger);
         let incarnation = |ledger: &Option<Ledger>| ledger.as_ref().map(Ledger::member);
         if incarnation(&before) != incarnation(&self.ledger) {
--- a/daemon/src/points.rs
+++ b/daemon/src/points.rs
@@ -4,13 +4,34 @@
 //!
 //! `LINNETKNOT_POINTS=store-committed=die;admin-kept=stall` arms them at the start. System calls fail with
 //! `sys-epoll-ctl=errno(ENOMEM|ENOSPC):every(31)`, and move few bytes with `sys-read=short(1)` (`net::injection`).
+//! `clock=-3600` among them starts the process with a wall clock that is so many seconds off.
 
 use crate::net::injection::{self, Plan};
 use crate::net::Call;
 use rustix::process::{getpid, kill_process, Signal};
+use std::sync::atomic::{AtomicI64, Ordering};
 use std::thread;
 use std::time::Duration;
 
+/// The name under which an offset of the wall clock is given.
+const CLOCK: &str = "clock";
+const MICROS_PER_SECOND: i64 = 1_000_000;
+/// How far the wall clock of this process is off, in microseconds.
+static CLOCK_OFFSET_US: AtomicI64 = AtomicI64::new(0);
+
+/// How far the wall clock of this process is off, in microseconds.
+pub(crate) fn clock_offset_us() -> i64 {
+    CLOCK_OFFSET_US.load(Ordering::Relaxed)
+}
+
+fn set_clock_offset(seconds: &str) -> Result<(), String> {
+    let seconds: i64 = seconds
+        .parse()
+        .map_err(|e| format!("LINNETKNOT_POINTS: '{CLOCK}={seconds}': {e}"))?;
+    CLOCK_OFFSET_US.store(seconds * MICROS_PER_SECOND, Ordering::Relaxed);
+    Ok(())
+}
+
 /// The points, in the order in which a promise passes them.
 pub const POINTS: [&str; 27] = [
     // A purge that a neighbour told: before the peers are told and after; before the store's worker writes and after;
@@ -144,6 +165,10 @@
             Some(name) => (name, true),
             None => (name, false),
         };
+        if name == CLOCK {
+            set_clock_offset(act)?;
+            continue;
+        }
         if !POINTS.contains(&name) {
             return Err(format!("LINNETKNOT_POINTS: there is no point '{name}'"));
         }
