--- a/daemon/tests/races.rs
+++ b/daemon/tests/races.rs
@@ -2,150 +2,19 @@
 //! it is there, so that the bad order happens every time.
 
 mod rig;
+mod scripted;
 
-use linnetknot_daemon::wire::{fastcgi, resp, Parser};
+use linnetknot_daemon::wire::fastcgi;
 use linnetknot_rehearse::boxes::StandIn;
 use linnetknot_rehearse::bus::entry;
 use linnetknot_rehearse::clients::WebServer;
 use rig::{object, one, Held, Rig};
+use scripted::{abort, full, next_of, pass, request, scripted};
 use serde_json::{json, Value};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// A box that does nothing until the test does it.
-struct Scripted {
-    listener: TcpListener,
-    wires: Vec<Wire>,
-}
-
-/// One connection of a scripted box.
-struct Wire {
-    socket: TcpStream,
-    arrays: resp::Arrays,
-    input: Vec<u8>,
-    ended: bool,
-}
-
-impl Scripted {
-    fn start() -> Scripted {
-        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        listener.set_nonblocking(true).unwrap();
-        Scripted {
-            listener,
-            wires: Vec::new(),
-        }
-    }
-
-    fn address(&self) -> String {
-        self.listener.local_addr().unwrap().to_string()
-    }
-
-    /// Takes the connections that wait, and what has come on all: the connection's place, and the command.
-    fn arrived(&mut self) -> Vec<(usize, Vec<String>)> {
-        while let Ok((socket, _)) = self.listener.accept() {
-            socket.set_nonblocking(true).unwrap();
-            let arrays = resp::Arrays::new(1 << 20);
-            self.wires.push(Wire {
-                socket,
-                arrays,
-                input: Vec::new(),
-                ended: false,
-            });
-        }
-        let mut all = Vec::new();
-        for (place, wire) in self.wires.iter_mut().enumerate() {
-            all.extend(wire.arrived().into_iter().map(|command| (place, command)));
-        }
-        all
-    }
-}
-
-impl Wire {
-    fn arrived(&mut self) -> Vec<Vec<String>> {
-        let (mut commands, mut bytes) = (Vec::new(), [0; 65_536]);
-        loop {
-            match self.socket.read(&mut bytes) {
-                Ok(0) => self.ended = true,
-                Ok(got) => {
-                    self.input.extend_from_slice(&bytes[..got]);
-                    continue;
-                }
-                Err(e) => self.ended |= e.kind() != ErrorKind::WouldBlock,
-            }
-            break;
-        }
-        while !self.input.is_empty() {
-            let (taken, array) = self.arrays.parse(&self.input).unwrap();
-            self.input.drain(..taken);
-            let text = |item: Vec<u8>| String::from_utf8(item).unwrap();
-            commands.extend(array.map(|array| array.into_iter().map(text).collect()));
-        }
-        commands
-    }
-
-    fn answer(&mut self, id: &str, word: &str, fields: &str, body: &str) {
-        let mut out = Vec::new();
-        resp::write_array(
-            &mut out,
-            &[
-                id.as_bytes(),
-                word.as_bytes(),
-                fields.as_bytes(),
-                body.as_bytes(),
-            ],
-        );
-        self.socket.write_all(&out).unwrap();
-    }
-}
-
-/// A rig whose boxes are all scripted.
-fn scripted<const N: usize>(change: impl Fn(&mut Value)) -> (Rig, [Scripted; N]) {
-    let boxes = std::array::from_fn(|_| Scripted::start());
-    let addresses = boxes.iter().map(Scripted::address).collect::<Vec<_>>();
-    let rig = Rig::with(&["s-0a", "s-0b", "s-0c"][..N], |config| {
-        for (n, address) in addresses.iter().enumerate() {
-            config["known"]["batch"][0]["topology"]["targets"][n]["endpoint"] =
-                address.as_str().into();
-        }
-        change(config);
-    });
-    (rig, boxes)
-}
-
-/// Waits until something has come to any box: the box, the connection there, and the command.
-fn next_of<const N: usize>(boxes: &mut [Scripted; N]) -> (usize, usize, Vec<String>) {
-    let start = Instant::now();
-    loop {
-        for (n, scripted) in boxes.iter_mut().enumerate() {
-            if let Some((place, command)) = scripted.arrived().into_iter().next() {
-                return (n, place, command);
-            }
-        }
-        assert!(start.elapsed() < Duration::from_secs(10), "nothing comes");
-        std::thread::yield_now();
-    }
-}
-
-/// A request of a client, as bytes.
-fn request(id: u16, object: &str, padding: usize) -> Vec<u8> {
-    let name = format!("{:016x}", 0xabc_0000 + u64::from(id));
-    let padding = "x".repeat(padding);
-    let fields = [
-        ("HTTP_REQUEST_ID", name.as_str()),
-        ("HTTP_RESOURCE_KEY", object),
-        ("HTTP_BUDGET_MS", "2000"),
-        ("HTTP_PADDING", &padding),
-    ];
-    WebServer::request(id, "/invoke/photo", &fields, b"")
-}
-
-fn abort(id: u16) -> Vec<u8> {
-    let mut out = Vec::new();
-    fastcgi::write_record(&mut out, fastcgi::kind::ABORT, id, &[]);
-    out
-}
-
 /// Ids of the objects that a box was asked for.
 fn asked(of: &StandIn) -> Vec<String> {
     let fetched = of.arrivals().into_iter().filter(|a| a.word == "fetch");
@@ -154,14 +23,6 @@
         .collect()
 }
 
-/// Lets a time pass on the clock that the daemon counts by.
-fn pass(time: Duration) {
-    let start = Instant::now();
-    while start.elapsed() < time {
-        std::thread::yield_now();
-    }
-}
-
 #[test]
 fn of_a_client_that_sent_much_and_has_gone_nothing_begins() {
     let mut rig = Rig::start();
@@ -405,12 +266,6 @@
     rig.run.join().unwrap().unwrap();
 }
 
-/// A listener whose queue is full: connections to it don't come up until the returned one is accepted.
-fn full(scripted: &Scripted) -> TcpStream {
-    rustix::net::listen(&scripted.listener, 0).unwrap();
-    TcpStream::connect(scripted.listener.local_addr().unwrap()).unwrap()
-}
-
 /// Connections that are late come up all the same: begun anew for each attempt, they never would.
 #[test]
 fn late_connections_are_kept_and_no_further_ones_begun_and_what_waited_for_them_never_begins() {
