--- a/daemon/src/daemon/clients.rs
+++ b/daemon/src/daemon/clients.rs
@@ -225,6 +225,10 @@
             self.clients += 1;
             self.deadlines
                 .set(now + self.limits.client_half_us, Timer::Client(key));
+            if self.turn.waited_unread(now) > 0 {
+                // Its requests have been there since before the loop was kept: in the next turn they would seem new.
+                self.look(now, key);
+            }
         }
     }
 
@@ -267,7 +271,10 @@
                         },
                     );
                 }
-                Input::Ask(stream, asked) => {
+                Input::Ask(stream, mut asked) => {
+                    // A client counts its time from when it sent the request.
+                    let unread = self.turn.waited_unread(now);
+                    asked.remaining_us = asked.remaining_us.saturating_sub(unread);
                     let client = Client {
                         connection: key,
                         stream: u32::from(stream),
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -36,11 +36,13 @@
 mod plain_purges;
 mod promises;
 mod recovery;
+mod turn;
 
 use exchange::{Effect, Exchange};
 use feeds::{bus, consul};
 use members::Said;
 use peer_index::PeerIndex;
+use turn::Turn;
 
 const LISTENER: u64 = u64::MAX;
 const SIGNAL: u64 = u64::MAX - 1;
@@ -251,6 +253,7 @@
     held: usize,
     /// When SIGTERM came, if it has.
     term_at: Option<Micros>,
+    turn: Turn,
     grace_over: bool,
     /// The admin listener, its callers, and what they decided.
     admin: Option<TcpListener>,
@@ -406,6 +409,7 @@
             waiting_answers: 0,
             held: 0,
             term_at: None,
+            turn: Turn::start(clock.now()),
             grace_over: false,
             admin,
             callers: 0,
@@ -481,15 +485,11 @@
                 .map_or(IDLE_US, |at| at.saturating_sub(now))
                 .min(IDLE_US);
             self.poll.wait(wait, &mut ready)?;
+            self.turn
+                .wait_ended(now, wait, self.clock.now(), !ready.is_empty());
             ready.sort_by_key(|event| self.rank(event));
-            for event in ready.drain(..) {
-                self.event(event);
-            }
-            let now = self.clock.now();
-            while let Some(timer) = self.deadlines.pop(now) {
-                self.timer(now, timer);
-                self.settle(now);
-            }
+            let broken_off = self.turn_over(&mut ready);
+            self.turn.over(broken_off);
         }
         self.write_lists(self.clock.now());
         let tally = self
@@ -543,6 +543,26 @@
         Ok(())
     }
 
+    /// One turn: events, and then what is due. True: it was broken off, as what is known of clients had become old.
+    /// epoll tells of the events that are left once more.
+    fn turn_over(&mut self, ready: &mut Vec<Ready>) -> bool {
+        for event in ready.drain(..) {
+            if self.turn.is_old(self.clock.now()) {
+                return true;
+            }
+            self.event(event);
+        }
+        let now = self.clock.now();
+        if self.turn.is_old(now) {
+            return true;
+        }
+        while let Some(timer) = self.deadlines.pop(now) {
+            self.timer(now, timer);
+            self.settle(now);
+        }
+        false
+    }
+
     /// Whether SIGTERM has come.
     fn is_stopping(&self) -> bool {
         self.term_at.is_some()
--- a/daemon/src/daemon/neighbours.rs
+++ b/daemon/src/daemon/neighbours.rs
@@ -137,7 +137,9 @@
                     }
                     continue;
                 }
-                Reply::Ask(asked) => {
+                Reply::Ask(mut asked) => {
+                    let unread = self.turn.waited_unread(now);
+                    asked.remaining_us = asked.remaining_us.saturating_sub(unread);
                     session.until = now + asked.remaining_us;
                     let client = Client {
                         connection: key,
