--- a/daemon/src/core.rs
+++ b/daemon/src/core.rs
@@ -217,6 +217,8 @@
     router: Router,
     /// No request is open for longer, whatever its client says.
     pub most_us: Micros,
+    /// Nor beyond this time: the process ends.
+    ends_by: Micros,
     requests: Slots<Open>,
     /// Ids of what is open: no two may be out under one.
     ids: HashSet<String>,
@@ -246,6 +248,7 @@
             keyed: keyed.collect(),
             router: Router::new(settings, seed)?,
             most_us: Micros::MAX,
+            ends_by: Micros::MAX,
             requests: Slots::new(limits.requests),
             boxes: BTreeMap::new(),
             answer_ahead_us: limits.answer_ahead_us,
@@ -408,6 +411,7 @@
         let remaining_us = asked
             .remaining_us
             .min(self.most_us)
+            .min(self.ends_by.saturating_sub(now))
             .saturating_sub(self.answer_ahead_us);
         let request = Request {
             id: 0,
@@ -447,6 +451,21 @@
         Some(ticket)
     }
 
+    /// The process may be killed a little after this time: all that is open, and all that is taken from now on, is
+    /// answered by then.
+    pub fn end_by(&mut self, at: Micros) {
+        self.ends_by = at;
+        for ticket in self.requests.keys() {
+            let Some(open) = self.requests.get_mut(ticket) else {
+                continue;
+            };
+            if open.deadline > at {
+                open.deadline = at;
+                self.commands.push(Command::Wake(at, Wake::Request(ticket)));
+            }
+        }
+    }
+
     /// The client no longer waits: no answer is owed.
     pub fn leave(&mut self, now: Micros, ticket: Ticket) {
         let Some(open) = self.requests.get_mut(ticket).filter(|open| !open.answered) else {
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -641,6 +641,7 @@
         self.term.clear();
         if !self.is_stopping() {
             self.term_at = Some(now);
+            self.core.end_by(now + self.limits.term_answer_us);
             log::info!("SIGTERM: answering what is open");
             if self.inherited {
                 // The next process accepts on the same socket: whatever this one took now it would have to answer
--- a/daemon/src/limits.rs
+++ b/daemon/src/limits.rs
@@ -126,6 +126,8 @@
     pub client_linger_us: u64,
     /// Such connections hold the process back for no longer than this after SIGTERM.
     pub term_linger_us: u64,
+    /// So long after SIGTERM every request has its answer: the process may be killed a little later.
+    pub term_answer_us: u64,
     /// A client that takes none of its answers for so long is ended.
     pub client_stalled_us: u64,
     /// How often a client's connection is looked at.
@@ -173,6 +175,9 @@
     Busy,
 }
 
+/// Of a longest deadline beyond this, no more than this passes from SIGTERM until SIGKILL may come.
+const MAX_TERM_DEADLINE_US: u64 = 3_000_000;
+
 impl Limits {
     /// When a client's connection ends that stays what it has been `since` then; none while answers are owed.
     pub fn leaves_at(&self, standing: Standing, owed: usize, since: u64) -> Option<u64> {
@@ -248,7 +253,12 @@
             // Its box ends a connection at the full time: what is sent a moment before crosses that.
             box_idle_us: idle_us / 10 * 9,
             // SIGKILL may come 0.7 s after the longest deadline, of which more than 3 s don't count.
-            term_linger_us: longest.min(3_000_000) + 400_000,
+            term_linger_us: longest.min(MAX_TERM_DEADLINE_US) + 400_000,
+            term_answer_us: longest.min(MAX_TERM_DEADLINE_US) + 500_000,
+            // What comes at the end of a short one's grace still has to be answered.
+            term_grace_us: self
+                .term_grace_us
+                .min(longest.min(MAX_TERM_DEADLINE_US) + 400_000),
             ..self
         }
     }
@@ -259,10 +269,11 @@
             back_off_us,
             answer_us,
             term_linger_us,
+            term_answer_us,
             ..
         } = *other;
-        (self.back_off_us, self.answer_us, self.term_linger_us) =
-            (back_off_us, answer_us, term_linger_us);
+        (self.back_off_us, self.answer_us) = (back_off_us, answer_us);
+        (self.term_linger_us, self.term_answer_us) = (term_linger_us, term_answer_us);
     }
 
     /// The bounds that fit a machine with so many descriptors and MB of memory.
@@ -337,6 +348,7 @@
             client_idle_us: 5_000_000,
             client_linger_us: 1_000_000,
             term_linger_us: 3_400_000,
+            term_answer_us: 3_500_000,
             client_stalled_us: 10_000_000,
             client_look_us: 500_000,
             settle_us: 150_000,
