--- a/daemon/src/daemon/clients.rs
+++ b/daemon/src/daemon/clients.rs
@@ -95,14 +95,44 @@
         };
         let before = std::mem::replace(&mut c.held, held);
         self.held = self.held + held - before;
-        if self.held > self.limits.bodies && held > before {
-            log::debug!("a connection is ended: too much of requests that have not come whole");
-            self.close(now, key);
-        } else if self.grace_over {
+        if held > before {
+            self.free_half_requests(now);
+        }
+        if self.grace_over {
             self.end_soon(now, key);
         }
     }
 
+    /// Holds what is kept of requests that have not come whole to its bound. The clients that hold most of it make room:
+    /// one of them that is owed answers gets these, and a refusal of what is not whole; the others are ended.
+    fn free_half_requests(&mut self, now: Micros) {
+        while self.held > self.limits.bodies {
+            let keys = self.connections.keys().into_iter();
+            let held = |key: Key| Some((self.connections.get(key)?.held, key));
+            let Some((before, key)) = keys.filter_map(held).max().filter(|(held, _)| *held > 0)
+            else {
+                return;
+            };
+            let Some(c) = self.connections.get_mut(key) else {
+                return;
+            };
+            if let Kind::Client(session) = &mut c.kind {
+                if session.owes_answers() {
+                    session.refuse_half(Some(self.limits.back_off_us));
+                    c.held = session.held();
+                    self.held = self.held + c.held - before;
+                }
+            }
+            if c.held == before {
+                log::debug!("a connection is ended: too much of requests that have not come whole");
+                self.close(now, key);
+            } else {
+                self.write_client(key);
+                self.watch(key);
+            }
+        }
+    }
+
     /// Ends a client's connection that holds its place for nothing. Usual clients end theirs sooner, so none of
     /// their requests can cross this.
     pub(super) fn look_at_client(&mut self, now: Micros, key: Key) {
@@ -242,7 +272,13 @@
                 return Ok(true);
             };
             match c.conn.read(false) {
-                Progress::Moved => session.read(&mut c.conn.input, &self.limits)?,
+                Progress::Moved => match session.read(&mut c.conn.input, &self.limits) {
+                    Err(e) if session.owes_answers() => {
+                        log::debug!("a connection is read no further: {e}");
+                        session.stop_reading();
+                    }
+                    read => read?,
+                },
                 Progress::Blocked => break,
                 Progress::Ended | Progress::Broken => return Ok(false),
             }
@@ -314,6 +350,8 @@
         let Some(c) = self.connections.get_mut(client.connection) else {
             return;
         };
+        // It may rest from now on: its next request may be on its way, so that it must not make room at once.
+        c.since = now;
         match &mut c.kind {
             Kind::Client(session) => {
                 session.answer(client.stream as u16, &answer);
--- a/daemon/src/front/fastcgi.rs
+++ b/daemon/src/front/fastcgi.rs
@@ -55,6 +55,8 @@
     taken_out: bool,
     /// It ends once all is written.
     closing: bool,
+    /// Something came that can't be read: what comes behind it is thrown away.
+    unreadable: bool,
 }
 
 /// Room for the record that ends a stream and the one that ends the request.
@@ -209,6 +211,49 @@
         self.closing = true;
     }
 
+    /// Whether a request that has come whole has no answer yet.
+    pub fn owes_answers(&self) -> bool {
+        self.open
+            .values()
+            .any(|s| matches!(s, Stream::Waiting { .. }))
+    }
+
+    /// Something came that can't be read: nothing more is taken in, and the connection ends once all that came whole
+    /// before it is answered.
+    pub fn stop_reading(&mut self) {
+        (self.unreadable, self.closing) = (true, true);
+        self.records = Records::default();
+        self.open
+            .retain(|_, s| !matches!(s, Stream::Reading { .. }));
+        let waits = |id: &u16| {
+            let of =
+                |input: &Input| matches!(input, Input::Ask(of, _) | Input::Health(of) if of == id);
+            self.inputs.iter().any(of)
+        };
+        let unread: Vec<u16> = self
+            .open
+            .iter()
+            .filter(|(id, s)| matches!(s, Stream::Waiting { ticket: None, .. }) && !waits(id))
+            .map(|(id, _)| *id)
+            .collect();
+        for id in unread {
+            self.say(id, "400 Bad Request");
+        }
+    }
+
+    /// Refuses what has come in part, so that it holds no memory. The rest of it is passed over.
+    pub fn refuse_half(&mut self, wait_us: Option<u64>) {
+        let half = |(id, s): (&u16, &Stream)| matches!(s, Stream::Reading { .. }).then_some(*id);
+        let mut half: Vec<u16> = self.open.iter().filter_map(half).collect();
+        half.sort_unstable();
+        for id in half {
+            if let Some(Stream::Reading { keep, .. }) = self.open.remove(&id) {
+                let refusal = response(&Answer::Refused { wait_us });
+                self.push(id, refusal, wire::REQUEST_COMPLETE, keep);
+            }
+        }
+    }
+
     /// Bytes of answers that wait to be written.
     pub fn waiting(&self) -> usize {
         self.waiting
@@ -229,6 +274,9 @@
     /// Reads all of the ring. What is asked by it waits to be taken out: a request may be taken back by what comes
     /// behind it, and must not begin then.
     pub fn read(&mut self, input: &mut Ring, limits: &Limits) -> Result<(), WireError> {
+        if self.unreadable {
+            input.consume(input.len());
+        }
         while !input.is_empty() {
             let (taken, record) = self.records.parse(input.front())?;
             input.consume(taken);
