--- a/daemon/tests/closed_unanswered.rs
+++ b/daemon/tests/closed_unanswered.rs
@@ -142,11 +142,15 @@
         config["bounds"] = json!({"client_half_us": 60_000_000});
     });
     let mut crowd: Vec<WebServer> = (0..4).map(|_| rig.web()).collect();
-    for web in &mut crowd {
-        for id in 1..=30 {
+    // All but 2 KB of the 4 MB that may be held.
+    for (n, web) in crowd.iter_mut().enumerate() {
+        for id in 1..=26 {
             let half = WebServer::request(id, "/invoke/photo", &[], &[b'x'; 40_000]);
-            // Whoever is ended reads no further.
-            let _ = web.send(&half[..half.len() - 8]);
+            web.send(&half[..half.len() - 8]).unwrap();
+        }
+        if n == 0 {
+            let half = WebServer::request(27, "/invoke/photo", &[], &[b'x'; 30_000]);
+            web.send(&half[..half.len() - 8]).unwrap();
         }
     }
     let mut quiet = rig.web();
@@ -162,6 +166,38 @@
     rig.stop();
 }
 
+/// In a full table a client that has just been answered does not make room for others before clients that have rested
+/// for longer, however long its answer took: its next request is on its way.
+#[test]
+fn a_client_that_was_answered_a_moment_ago_makes_no_room_though_it_asked_long_ago() {
+    const PLACES: usize = 24;
+    let rig = Rig::with(&["s-0a"], |config| {
+        config["limits"] = json!({"memory_mb": 192, "sockets": 64});
+        // The box is waited for.
+        config["settings"]["limits"]["cancel"] = json!(false);
+    });
+    rig.boxes[0].behave(Manner {
+        hold_ms: 600,
+        ..Manner::default()
+    });
+    let rests = || {
+        let mut web = rig.web();
+        web.send(&WebServer::request(9, "/_health", &[], b""))
+            .unwrap();
+        assert_eq!(web.end().unwrap().1.unwrap().status, 200);
+        web
+    };
+    let mut quiet = rests();
+    quiet.ask(1, "photo", &object(1), 2_500).unwrap();
+    let resting: Vec<WebServer> = (1..PLACES).map(|_| rests()).collect();
+    assert_eq!(quiet.end().unwrap().1.unwrap().status, 200);
+    let newcomer = rests();
+    rig.boxes[0].behave(Manner::default());
+    assert_eq!(one(&mut quiet, "photo", &object(2)).status, 200);
+    drop((quiet, resting, newcomer));
+    rig.stop();
+}
+
 /// Others flood, fill the table of requests and get no answers.
 #[test]
 fn a_quiet_client_gets_every_answer_beside_a_flood_a_full_table_and_a_box_that_never_answers() {
--- a/daemon/tests/shutdown_terms.rs
+++ b/daemon/tests/shutdown_terms.rs
@@ -2,16 +2,20 @@
 //! sent on open connections has its answer, also where no box answers anything.
 
 mod rig;
+mod scripted;
 
 use linnetknot_rehearse::boxes::Manner;
 use linnetknot_rehearse::clients::WebServer;
 use rig::{object, Rig};
+use scripted::pass;
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
 /// What may pass behind the longest deadline until SIGKILL.
 const BEYOND: Duration = Duration::from_millis(700);
 const CLIENTS: u64 = 3;
+/// From then on after SIGTERM no box answers anything.
+const HANGS_FROM: Duration = Duration::from_millis(600);
 /// Between two requests of a client.
 const EACH: Duration = Duration::from_millis(20);
 
@@ -95,12 +99,6 @@
             class["aim-us"] = (deadline.as_micros() as u64 / 2).into();
         }
     });
-    for stand_in in rig.boxes.iter().chain([&rig.origin]) {
-        stand_in.behave(Manner {
-            mute: true,
-            ..Manner::default()
-        });
-    }
     let webs: Vec<WebServer> = (0..CLIENTS).map(|_| rig.web()).collect();
     // Nothing waits for this moment: the clients send from the same moment on.
     let term = Instant::now();
@@ -110,6 +108,14 @@
         .zip(1..)
         .map(|(web, number)| std::thread::spawn(move || client(web, number, deadline, term)))
         .collect();
+    // Late in the grace, so that nothing is known yet of what hangs.
+    pass(HANGS_FROM);
+    for stand_in in rig.boxes.iter().chain([&rig.origin]) {
+        stand_in.behave(Manner {
+            mute: true,
+            ..Manner::default()
+        });
+    }
     let killed = deadline + BEYOND;
     for got in clients.into_iter().map(|client| client.join().unwrap()) {
         println!(
