--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,6 +1,7 @@
 //! Settings, lists and requests for the tests of the module.
 #![allow(dead_code)]
 
+pub(crate) mod trace;
 pub(crate) mod world;
 
 use linnetknot::*;
--- /dev/null
+++ b/tests/common/trace.rs
@@ -0,0 +1,145 @@
+//! A record of all that a router answers, folded into one number: two records are equal only if every action was the
+//! same, at the same time and in the same order.
+
+use linnetknot::*;
+use std::fmt::Write;
+
+/// Counts and a digest of the actions of one or more routers.
+pub(crate) struct Trace {
+    /// First word of each line of the report.
+    name: String,
+    digest: u64,
+    events: u64,
+    attempts: u64,
+    cancels: u64,
+    refusals: u64,
+    failures: u64,
+    report: String,
+}
+
+/// The finaliser of splitmix64; written out here so that the digest depends on nothing of the module.
+pub(crate) fn scramble(x: u64) -> u64 {
+    let x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
+    let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    x ^ (x >> 31)
+}
+
+/// A number for an optional time that no time has.
+fn optional(us: Option<Micros>) -> u64 {
+    us.unwrap_or(u64::MAX)
+}
+
+impl Trace {
+    pub(crate) fn new(name: String) -> Trace {
+        Trace {
+            name,
+            digest: 0,
+            events: 0,
+            attempts: 0,
+            cancels: 0,
+            refusals: 0,
+            failures: 0,
+            report: String::new(),
+        }
+    }
+
+    /// Takes in a number.
+    pub(crate) fn word(&mut self, word: u64) {
+        self.digest = scramble(self.digest ^ word).rotate_left(1);
+    }
+
+    /// Takes in what a router did with an event, and what can be asked of it afterwards.
+    pub(crate) fn record(&mut self, now: Micros, router: &mut Router, actions: &[Action]) {
+        self.events += 1;
+        self.word(now);
+        self.word(actions.len() as u64);
+        for action in actions {
+            self.action(action);
+            if let Action::Attempt { request, .. } = action {
+                let begins = router.begins(now + 1_000, *request);
+                self.word(begins.map_or(u64::MAX - 1, optional));
+            }
+        }
+        self.word(router.asking() as u64);
+        self.word(router.found().map_or(0, f64::to_bits));
+        for parents in [false, true] {
+            self.word(router.cold_use(now, parents).map_or(0, f64::to_bits));
+        }
+        self.word(router.purges().exact_len() as u64);
+    }
+
+    fn action(&mut self, action: &Action) {
+        let (counter, words) = match action {
+            Action::Attempt {
+                request,
+                server,
+                timeout_us,
+                fill,
+            } => {
+                self.words(&[*request, *server, optional(*timeout_us)]);
+                self.fill(fill.as_ref());
+                (&mut self.attempts, [1, 0, 0])
+            }
+            Action::Cancel { request, attempt } => {
+                (&mut self.cancels, [2, *request, u64::from(*attempt)])
+            }
+            Action::Refuse {
+                request,
+                retry_after_us,
+            } => (&mut self.refusals, [3, *request, optional(*retry_after_us)]),
+            Action::Fail { request } => (&mut self.failures, [4, *request, 0]),
+            Action::Timer { at, tag } => (&mut 0, [5, *at, *tag]),
+            Action::Probe { server } => (&mut 0, [6, *server, 0]),
+            Action::Watch => (&mut 0, [7, 0, 0]),
+            Action::Report { line } => (&mut 0, [8, line.len() as u64, 0]),
+        };
+        *counter += 1;
+        self.words(&words);
+    }
+
+    fn fill(&mut self, fill: Option<&Fill>) {
+        let Some(fill) = fill else {
+            return self.word(0);
+        };
+        let flags = [fill.join, fill.only_held, fill.bypass_parent, fill.renew];
+        let flags = flags
+            .iter()
+            .fold(1, |bits, flag| bits << 1 | u64::from(*flag));
+        self.words(&[
+            fill.source,
+            u64::from(fill.keep),
+            optional(fill.max_age_us),
+            flags,
+        ]);
+    }
+
+    fn words(&mut self, words: &[u64]) {
+        words.iter().for_each(|word| self.word(*word));
+    }
+
+    /// A line of the report: all counts and the digest so far.
+    pub(crate) fn checkpoint(&mut self, second: u64) {
+        let Trace {
+            name,
+            digest,
+            events,
+            attempts,
+            cancels,
+            refusals,
+            failures,
+            report,
+        } = self;
+        writeln!(
+            report,
+            "{name} {second}s events {events} attempts {attempts} cancels {cancels} refusals {refusals} \
+             failures {failures} digest {digest:016x}"
+        )
+        .expect("a string takes all that is written");
+    }
+
+    /// The lines of all checkpoints.
+    pub(crate) fn into_report(self) -> String {
+        self.report
+    }
+}
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -2,6 +2,7 @@
 //! formulas. One thread, one queue of what happens when, one seed: the same verdict every time.
 #![allow(dead_code)]
 
+use super::trace::Trace;
 use super::{class, server, settings, MS, S, T0};
 use linnetknot::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -111,6 +112,8 @@
     pub answers: Vec<(f64, usize, bool)>,
     /// Distinct objects; a few of them are asked for most.
     pub objects: f64,
+    /// Where all that the routers do is recorded, if it is.
+    pub trace: Option<Trace>,
     queue: BTreeMap<(Micros, u64), Happening>,
     number: u64,
     random: u64,
@@ -180,6 +183,7 @@
             tenants: Vec::new(),
             answers: Vec::new(),
             objects: 4_000.0,
+            trace: None,
             queue: BTreeMap::new(),
             number: 0,
             random: seed | 1,
@@ -509,7 +513,11 @@
     /// Gives a router an event and carries out what follows.
     pub(crate) fn feed(&mut self, n: usize, event: Event) {
         let mut actions = Vec::new();
-        self.seats[n].router.handle(self.now, event, &mut actions);
+        let router = &mut self.seats[n].router;
+        router.handle(self.now, event, &mut actions);
+        if let Some(trace) = &mut self.trace {
+            trace.record(self.now, router, &actions);
+        }
         for action in actions {
             match action {
                 Action::Attempt {
--- /dev/null
+++ b/tests/decision_trace/answers.rs
@@ -0,0 +1,170 @@
+//! How the servers of a random fleet answer: by their faults, what they hold and what the settings let them tell.
+
+use crate::common::MS;
+use crate::random_fleet::RandomFleet;
+use linnetknot::*;
+use std::collections::BTreeSet;
+
+/// What is wrong with a server.
+#[derive(Clone, Copy, PartialEq)]
+pub(crate) enum Fault {
+    None,
+    Slow,
+    Silent,
+    Down,
+    Unreachable,
+    Resets,
+    Errors,
+    Full,
+}
+
+pub(crate) const FAULTS: [Fault; 8] = [
+    Fault::None,
+    Fault::Slow,
+    Fault::Silent,
+    Fault::Down,
+    Fault::Unreachable,
+    Fault::Resets,
+    Fault::Errors,
+    Fault::Full,
+];
+
+pub(crate) struct Simulated {
+    pub entry: Server,
+    pub fault: Fault,
+    pub holds: BTreeSet<(u64, u64)>,
+    pub active: u64,
+}
+
+/// How an attempt ends.
+#[derive(Clone, Copy)]
+pub(crate) struct Answer {
+    pub outcome: Outcome,
+    pub note: Note,
+    pub waited_us: Micros,
+}
+
+impl Answer {
+    pub(crate) const fn of(outcome: Outcome, note: Note) -> Answer {
+        Answer {
+            outcome,
+            note,
+            waited_us: 0,
+        }
+    }
+}
+
+impl RandomFleet {
+    /// What the settings let an answer tell.
+    pub(crate) fn told(&self, note: Note) -> Note {
+        match (self.settings.tells, note) {
+            (Tells::All, note) => note,
+            (Tells::Hit, Note::Hit | Note::Stale) => Note::Hit,
+            (Tells::Hit, Note::Filled | Note::FilledByOrigin) => Note::Filled,
+            _ => Note::None,
+        }
+    }
+
+    /// When and how a server answers; none: never.
+    pub(crate) fn answer(
+        &mut self,
+        id: ServerId,
+        fill: &Fill,
+        part: (u64, u64),
+        work_us: Micros,
+    ) -> Option<(Micros, Answer)> {
+        let jitter = self.below(4 * MS);
+        let Some(target) = self.servers.get(&id) else {
+            return Some((MS, Answer::of(Outcome::ConnectFailed, Note::None)));
+        };
+        let failed = |wait, outcome| Some((wait + jitter, Answer::of(outcome, Note::None)));
+        match target.fault {
+            Fault::Silent => return None,
+            Fault::Down => return failed(MS, Outcome::ConnectFailed),
+            Fault::Unreachable => return failed(250 * MS, Outcome::Unreached),
+            Fault::Resets => return failed(20 * MS, Outcome::Reset),
+            Fault::Errors => return failed(15 * MS, Outcome::Error),
+            Fault::Full => return failed(2 * MS, Outcome::Full),
+            Fault::None | Fault::Slow => {}
+        }
+        let slowness = if target.fault == Fault::Slow { 12 } else { 1 };
+        let sending = work_us * (target.active / 8).max(1) * slowness + 10 * MS + jitter;
+        let held = target.holds.contains(&part) || target.entry.kind != "cache";
+        if self.one_in(200) {
+            return failed(MS, Outcome::Moot);
+        }
+        if held {
+            let note = if self.one_in(9) {
+                Note::Stale
+            } else {
+                Note::Hit
+            };
+            return Some((sending, Answer::of(Outcome::Ok, note)));
+        }
+        if fill.source == id {
+            return failed(5 * MS, Outcome::Miss);
+        }
+        let (wait, answer) = self.fill(fill, part)?;
+        let sending = if answer.outcome == Outcome::Ok {
+            sending
+        } else {
+            0
+        };
+        Some((wait + sending, answer))
+    }
+
+    /// When and how a source gives what is not held; none: never.
+    fn fill(&mut self, fill: &Fill, part: (u64, u64)) -> Option<(Micros, Answer)> {
+        let waited_us = 8 * MS + self.below(6 * MS);
+        let ended = |outcome, note| Some((waited_us, Answer::of(outcome, note)));
+        let origin = self.servers.get(&21).map_or(Fault::Down, |s| s.fault);
+        if self.one_in(80) {
+            return ended(Outcome::Full, Note::NoFillPlace);
+        }
+        let Some(source) = self.servers.get_mut(&fill.source) else {
+            return ended(Outcome::Full, Note::SourceLost);
+        };
+        match source.fault {
+            Fault::Silent => return None,
+            Fault::Down | Fault::Unreachable => return ended(Outcome::Full, Note::SourceLost),
+            Fault::Resets => return ended(Outcome::Error, Note::SourceLost),
+            Fault::Errors => return ended(Outcome::Error, Note::OriginFailed),
+            Fault::Full => return ended(Outcome::Full, Note::SourceRefused),
+            Fault::None | Fault::Slow => {}
+        }
+        let slowness = if source.fault == Fault::Slow { 20 } else { 1 };
+        if source.holds.contains(&part) {
+            let waited_us = waited_us * slowness;
+            let note = if self.one_in(12) {
+                Note::Joined
+            } else {
+                Note::Filled
+            };
+            return Some((
+                waited_us,
+                Answer {
+                    waited_us,
+                    ..Answer::of(Outcome::Ok, note)
+                },
+            ));
+        }
+        if fill.only_held {
+            return ended(Outcome::Miss, Note::SourceLacks);
+        }
+        source.holds.insert(part);
+        let waited_us = match origin {
+            Fault::Silent => return None,
+            Fault::Down | Fault::Errors => return ended(Outcome::Error, Note::OriginFailed),
+            Fault::Slow => 700 * MS + self.below(900 * MS),
+            _ => 60 * MS + self.below(60 * MS),
+        };
+        let answer = Answer::of(Outcome::Ok, Note::FilledByOrigin);
+        Some((
+            waited_us,
+            Answer {
+                waited_us,
+                ..answer
+            },
+        ))
+    }
+}
--- /dev/null
+++ b/tests/decision_trace/disturbances.rs
@@ -0,0 +1,152 @@
+//! What happens to a random fleet besides requests: faults, changes of the list, purges, leases, word of other routers
+//! and new settings.
+
+use crate::answers::Fault;
+use crate::common::{server, MS, S};
+use crate::random_fleet::RandomFleet;
+use linnetknot::*;
+
+impl RandomFleet {
+    /// One thing at random.
+    pub(crate) fn disturb(&mut self) {
+        match self.below(16) {
+            0..=3 => self.change_fault(),
+            4 => self
+                .servers
+                .values_mut()
+                .for_each(|s| s.fault = Fault::None),
+            5 | 6 => self.change_life(),
+            7 => self.replace(),
+            8 => self.change_list(),
+            9 | 10 => self.purge(),
+            11 => self.lease(),
+            12 => self.hear(),
+            13 => self.probe(),
+            14 => self.change_settings(),
+            _ => self.origin_turns_slow(),
+        }
+    }
+
+    fn change_fault(&mut self) {
+        let (id, fault) = (self.any_server(), self.any_fault());
+        self.servers.get_mut(&id).expect("it is there").fault = fault;
+    }
+
+    fn origin_turns_slow(&mut self) {
+        let origin = self.servers.get_mut(&21).expect("it never goes");
+        origin.fault = match origin.fault {
+            Fault::None => Fault::Slow,
+            _ => Fault::None,
+        };
+    }
+
+    /// A server drains, goes, comes back, or has started anew; the router is told at once.
+    fn change_life(&mut self) {
+        let id = self.any_server();
+        let started = self.now - self.below(4 * S);
+        let fate = self.below(5);
+        let server = self.servers.get_mut(&id).expect("it is there");
+        match fate {
+            0 => server.entry.state = State::Draining,
+            1 if id != 21 => server.entry.state = State::Gone,
+            2 => {
+                server.entry.state = State::Ready;
+                server.entry.started = Some(started);
+                server.fault = Fault::None;
+                server.holds.clear();
+            }
+            _ => server.entry.state = State::Ready,
+        }
+        let servers = vec![server.entry.clone()];
+        let mode = ListMode::Delta;
+        self.feed(Event::List { mode, servers });
+    }
+
+    /// A cache or parent goes for good and a new one comes under a new id.
+    fn replace(&mut self) {
+        let id = self.any_server();
+        if id == 21 {
+            return;
+        }
+        let old = self.servers.remove(&id).expect("it is there").entry;
+        let mut new = server(id % 100 + 100 * (1 + self.below(50)), &old.zone, &old.kind);
+        new.started = Some(self.now - self.below(S));
+        new.weight = old.weight * (0.5 + self.share());
+        self.put(new);
+        self.list(ListMode::Full);
+    }
+
+    fn change_list(&mut self) {
+        match self.below(3) {
+            0 => self.list(ListMode::Failed),
+            1 => self.list(ListMode::Full),
+            _ => {
+                let id = self.any_server();
+                let weight = [0.0, f64::NAN, 4.0, 9.5][self.below(4) as usize];
+                self.servers.get_mut(&id).expect("it is there").entry.weight = weight;
+                self.list(ListMode::Delta);
+            }
+        }
+    }
+
+    fn purge(&mut self) {
+        let (object, group) = self.any_key();
+        let age_us = self.below(800 * MS);
+        self.feed(Event::Purged {
+            object,
+            group,
+            age_us,
+        });
+    }
+
+    fn lease(&mut self) {
+        let (budget, limit) = match self.below(3) {
+            0 => (Budget::Origin, 60.0),
+            1 => (Budget::Caches, 0.7),
+            _ => (Budget::Parents, 0.7),
+        };
+        let (amount, reserved) = (limit * self.share(), limit * self.share() / 4.0);
+        let until = self.now + self.below(3 * S);
+        self.feed(Event::Lease(Lease {
+            budget,
+            amount,
+            until,
+            reserved,
+        }));
+    }
+
+    fn hear(&mut self) {
+        let origin_share = self.share();
+        let for_us = self.below(2 * S);
+        self.feed(Event::Heard {
+            origin_share,
+            for_us,
+        });
+    }
+
+    fn probe(&mut self) {
+        let server = self.any_server();
+        self.feed(Event::Probed {
+            server,
+            outcome: Outcome::Ok,
+            took_us: MS,
+            load: None,
+        });
+    }
+
+    /// A reload: classes change places, names and figures, or fewer attempts are allowed; one in eight is not sound.
+    fn change_settings(&mut self) {
+        let mut new = self.settings.clone();
+        let places = self.below(new.classes.len() as u64) as usize;
+        new.classes.rotate_left(places);
+        match self.below(8) {
+            0 => new.classes.clear(),
+            1 => drop(new.classes.pop()),
+            2 => new.classes[0].aim_us = 200 * MS + self.below(S),
+            3 => new.classes[0].repeat = Repeat::Unsafe,
+            4 => new.max_attempts = 1 + self.below(6) as u32,
+            _ => {}
+        }
+        self.retune(new);
+    }
+}
--- /dev/null
+++ b/tests/decision_trace/main.rs
@@ -0,0 +1,219 @@
+//! The decisions of the module, action by action, over seeds and settings: any change of what it decides changes a
+//! digest in `expected/`. The digests were taken before `src/decide.rs` was split into modules; a change of code
+//! that should change no decision must leave them alone.
+//!
+//! A change that is meant to change decisions replaces the files by those that a failing run leaves, and says why.
+
+mod answers;
+#[path = "../common/mod.rs"]
+mod common;
+mod disturbances;
+mod random_fleet;
+
+use common::trace::Trace;
+use common::world::{Heed, World, ORIGIN, PARENTS};
+use common::{class, settings, MS, S};
+use linnetknot::*;
+use random_fleet::RandomFleet;
+use std::path::Path;
+
+const SECONDS: u64 = 10;
+
+/// Settings that differ in what is told and allowed.
+fn variants() -> Vec<(&'static str, Settings)> {
+    let base = settings();
+    let linked = |routers, link_kb_per_s| {
+        let mut zones = base.zones.clone();
+        zones[1].routers = routers;
+        zones[1].link_kb_per_s = link_kb_per_s;
+        zones
+    };
+    let keyed = |name: &str, scope| Class {
+        repeat: Repeat::Keyed,
+        write: true,
+        window_us: 400 * MS,
+        scope,
+        ..class(name)
+    };
+    let deduplicating = vec![
+        class("video"),
+        Class {
+            fresh_us: S,
+            ..class("page")
+        },
+        keyed("order", DedupScope::Zone),
+        keyed("charge", DedupScope::Cell),
+    ];
+    vec![
+        ("told", base.clone()),
+        (
+            "untold",
+            Settings {
+                tells: Tells::Off,
+                weights_told: false,
+                flow_kb_per_s: 0.0,
+                ..base.clone()
+            },
+        ),
+        (
+            "siblings",
+            Settings {
+                siblings: Siblings::Location,
+                tells: Tells::Hit,
+                weights_told: false,
+                ..base.clone()
+            },
+        ),
+        (
+            "thin-link",
+            Settings {
+                zones: linked(1, 20_000.0),
+                direct: false,
+                ..base.clone()
+            },
+        ),
+        (
+            "link-not-told",
+            Settings {
+                zones: linked(2, 0.0),
+                joins: false,
+                ..base.clone()
+            },
+        ),
+        (
+            "no-parents",
+            Settings {
+                parent_kind: None,
+                cancel: false,
+                ..base.clone()
+            },
+        ),
+        (
+            "many-routers",
+            Settings {
+                zones: linked(40, 500_000.0),
+                rank: Some(3),
+                direct: false,
+                ..base.clone()
+            },
+        ),
+        (
+            "deduplicating",
+            Settings {
+                classes: deduplicating,
+                direct: false,
+                ..base.clone()
+            },
+        ),
+        (
+            "few-attempts",
+            Settings {
+                max_attempts: 2,
+                max_retry_after_us: 0,
+                ask_for_list: true,
+                ..base
+            },
+        ),
+    ]
+}
+
+/// The reports of one seed under all settings.
+fn random_fleets(seed: u64) -> String {
+    let report = |(name, settings): (&str, Settings)| {
+        let fleet = RandomFleet::new(name, settings, seed);
+        fleet.run(SECONDS)
+    };
+    variants().into_iter().map(report).collect()
+}
+
+/// A fleet whose first zone vanishes at 3 s and comes back cold, whose first parent restarts, and whose origin is slow
+/// from 7 s on.
+fn eventful_world(name: &str, seed: u64, shape: impl FnOnce(&mut Settings)) -> String {
+    let mut world = World::shaped(2, 3, 4, 30.0, seed, shape);
+    world.trace = Some(Trace::new(format!("{name}-{seed}")));
+    world.link_fits = 6.0;
+    world.sigma = 1.0;
+    world.objects = 500.0;
+    (1..=SECONDS).for_each(|second| world.call(second * S, second));
+    world.run(SECONDS * S, |world, heed| {
+        let Heed::Call(second) = heed else {
+            return;
+        };
+        let trace = world.trace.as_mut().expect("it was set");
+        trace.checkpoint(second);
+        let now = world.now;
+        let zone: Vec<ServerId> = (10..14).collect();
+        match second {
+            3 => world
+                .boxes
+                .values_mut()
+                .filter(|b| b.zone == 1)
+                .for_each(|b| b.vanished = true),
+            4 => {
+                let gone: Vec<_> = zone
+                    .iter()
+                    .map(|id| world.entry(*id, State::Gone))
+                    .collect();
+                world.tell(0, ListMode::Delta, &gone);
+            }
+            5 => {
+                zone.iter().for_each(|id| world.put(*id, 1, 8.0, Some(now)));
+                world.put(PARENTS[0], 0, 30.0, Some(now));
+                let back = zone.iter().chain(&PARENTS[..1]);
+                let back: Vec<_> = back.map(|id| world.entry(*id, State::Ready)).collect();
+                world.tell(0, ListMode::Delta, &back);
+            }
+            7 => world.origin_per_s = 5.0,
+            9 => world.boxes.get_mut(&PARENTS[1]).expect("it is there").up = false,
+            10 => world.boxes.get_mut(&ORIGIN).expect("it is there").up = false,
+            _ => {}
+        }
+    });
+    world.trace.expect("it was set").into_report()
+}
+
+/// What the routers are told of servers, answers and caches that fill each other: as little as there is.
+fn tell_little(settings: &mut Settings) {
+    settings.tells = Tells::Off;
+    settings.weights_told = false;
+    settings.siblings = Siblings::Location;
+}
+
+fn compare(name: &str, found: &str) {
+    let recorded = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/decision_trace/expected");
+    let expected = std::fs::read_to_string(recorded.join(name)).expect("a record");
+    let left = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+    std::fs::write(&left, found).expect("a folder for tests");
+    let differs = |(a, b): &(&str, &str)| a != b;
+    if let Some((found, expected)) = found.lines().zip(expected.lines()).find(differs) {
+        panic!(
+            "a decision differs:\n   found {found}\nexpected {expected}\nall that was found: {}",
+            left.display()
+        );
+    }
+    let lines = [found, &expected].map(|text| text.lines().count());
+    assert_eq!(lines[0], lines[1], "lines are missing or too many");
+    assert!(found == expected, "the ends of lines differ");
+}
+
+#[test]
+fn every_decision_of_the_first_seed_is_the_one_on_record() {
+    compare("fleets-1.txt", &random_fleets(1));
+}
+
+#[test]
+fn every_decision_of_the_second_seed_is_the_one_on_record() {
+    compare("fleets-2.txt", &random_fleets(2));
+}
+
+#[test]
+fn every_decision_of_the_third_seed_is_the_one_on_record() {
+    compare("fleets-3.txt", &random_fleets(3));
+}
+
+#[test]
+fn every_decision_in_an_eventful_world_is_the_one_on_record() {
+    let told = eventful_world("world-told", 11, |_| ());
+    let untold = eventful_world("world-untold", 13, tell_little);
+    compare("worlds.txt", &(told + &untold));
+}
--- /dev/null
+++ b/tests/decision_trace/random_fleet.rs
@@ -0,0 +1,325 @@
+//! One router amid servers that do at random whatever the interface allows: the events are as varied as they can be
+//! rather than likely, and all follow from the seed and from what the router did before.
+
+use crate::answers::{Answer, Fault, Simulated, FAULTS};
+use crate::common::trace::{scramble, Trace};
+use crate::common::{server, MS, S, T0};
+use linnetknot::*;
+use std::collections::{BTreeMap, BTreeSet};
+
+const OBJECTS: u64 = 400;
+const PARTS: u64 = 3;
+const GROUPS: u64 = 20;
+/// Mean time between requests.
+const GAP_US: Micros = 6 * MS;
+/// Mean time between disturbances.
+const CALM_US: Micros = 120 * MS;
+const PACE_KB_PER_S: f64 = 5_000.0;
+
+struct Client {
+    part: (u64, u64),
+    work_us: Micros,
+    streams: bool,
+    gone: bool,
+    attempts: u32,
+    out: Option<Out>,
+}
+
+struct Out {
+    server: ServerId,
+    sent: Micros,
+}
+
+enum Happening {
+    Arrival,
+    Disturbance,
+    Checkpoint(u64),
+    Timer(u64),
+    Begun(RequestId, u32),
+    End(RequestId, u32, Answer),
+    Deadline(RequestId),
+    Leaves(RequestId),
+}
+
+pub(crate) struct RandomFleet {
+    pub now: Micros,
+    pub settings: Settings,
+    pub servers: BTreeMap<ServerId, Simulated>,
+    router: Router,
+    clients: BTreeMap<RequestId, Client>,
+    queue: BTreeMap<(Micros, u64), Happening>,
+    number: u64,
+    random: u64,
+    trace: Trace,
+}
+
+impl RandomFleet {
+    pub(crate) fn new(name: &str, settings: Settings, seed: u64) -> RandomFleet {
+        let mut fleet = RandomFleet {
+            now: T0,
+            router: Router::new(settings.clone(), seed).expect("usable settings"),
+            settings,
+            servers: BTreeMap::new(),
+            clients: BTreeMap::new(),
+            queue: BTreeMap::new(),
+            number: 0,
+            random: scramble(seed),
+            trace: Trace::new(format!("{name}-{seed}")),
+        };
+        (1..=5).for_each(|id| fleet.put(server(id, "town", "cache")));
+        fleet.put(server(6, "shore", "cache"));
+        (11..=13).for_each(|id| fleet.put(server(id, "hub", "parent")));
+        fleet.put(server(21, "hub", "origin"));
+        fleet.list(ListMode::Full);
+        fleet.later(0, Happening::Arrival);
+        fleet.later(0, Happening::Disturbance);
+        fleet
+    }
+
+    pub(crate) fn put(&mut self, mut entry: Server) {
+        entry.cell = entry.id % 3;
+        let new = Simulated {
+            entry,
+            fault: Fault::None,
+            holds: BTreeSet::new(),
+            active: 0,
+        };
+        self.servers.insert(new.entry.id, new);
+    }
+
+    /// Tells the router the whole list, or only what may have changed.
+    pub(crate) fn list(&mut self, mode: ListMode) {
+        let servers = self.servers.values().map(|s| s.entry.clone()).collect();
+        self.feed(Event::List { mode, servers });
+    }
+
+    /// A number below this one.
+    pub(crate) fn below(&mut self, bound: u64) -> u64 {
+        self.random = self.random.wrapping_add(1);
+        scramble(self.random) % bound
+    }
+
+    /// One time in so many.
+    pub(crate) fn one_in(&mut self, times: u64) -> bool {
+        self.below(times) == 0
+    }
+
+    pub(crate) fn share(&mut self) -> f64 {
+        self.below(1_000) as f64 / 1_000.0
+    }
+
+    pub(crate) fn any_server(&mut self) -> ServerId {
+        let nth = self.below(self.servers.len() as u64) as usize;
+        *self.servers.keys().nth(nth).expect("a place of the table")
+    }
+
+    /// A fault at random; a healthy server is as likely as all faults together.
+    pub(crate) fn any_fault(&mut self) -> Fault {
+        if self.one_in(2) {
+            return Fault::None;
+        }
+        FAULTS[self.below(FAULTS.len() as u64) as usize]
+    }
+
+    pub(crate) fn any_key(&mut self) -> (Option<String>, u64) {
+        let (object, group) = (self.below(OBJECTS), self.below(GROUPS));
+        let object = (!self.one_in(4)).then(|| format!("/o/{object}"));
+        (object, group)
+    }
+
+    pub(crate) fn retune(&mut self, settings: Settings) {
+        let taken = self.router.retune(settings).is_ok();
+        self.trace.word(u64::from(taken));
+    }
+
+    fn later(&mut self, wait: Micros, what: Happening) {
+        self.number += 1;
+        self.queue.insert((self.now + wait, self.number), what);
+    }
+
+    /// Plays so many seconds; the report has a line for each.
+    pub(crate) fn run(mut self, seconds: u64) -> String {
+        for second in 1..=seconds {
+            self.later(second * S, Happening::Checkpoint(second));
+        }
+        let end = T0 + seconds * S;
+        while let Some(entry) = self.queue.first_entry().filter(|e| e.key().0 <= end) {
+            self.now = entry.key().0;
+            match entry.remove() {
+                Happening::Arrival => self.arrival(),
+                Happening::Disturbance => {
+                    let wait = self.below(2 * CALM_US) + 1;
+                    self.later(wait, Happening::Disturbance);
+                    self.disturb();
+                }
+                Happening::Checkpoint(second) => self.trace.checkpoint(second),
+                Happening::Timer(tag) => self.feed(Event::Timer { tag }),
+                Happening::Begun(request, attempt) => self.begun(request, attempt),
+                Happening::End(request, attempt, answer) => self.end(request, attempt, answer),
+                Happening::Deadline(request) => self.deadline(request),
+                Happening::Leaves(request) => self.leaves(request),
+            }
+        }
+        self.trace.into_report()
+    }
+
+    fn arrival(&mut self) {
+        let gap = self.below(2 * GAP_US) + 1;
+        self.later(gap, Happening::Arrival);
+        self.number += 1;
+        let id = self.number;
+        // The product of two draws: low numbers are asked for most.
+        let object = self.below(OBJECTS) * self.below(OBJECTS) / OBJECTS;
+        let part = self.below(PARTS);
+        let classes = [
+            "video", "video", "page", "order", "charge", "stream", "other",
+        ];
+        let class = classes[self.below(classes.len() as u64) as usize];
+        let size_kb = (50 + object * 37 % 900) as f64 * if self.one_in(30) { 20.0 } else { 1.0 };
+        let remaining_us = 200 * MS + self.below(4 * S);
+        let sized = self.settings.flow_kb_per_s > 0.0;
+        let request = Request {
+            id,
+            class: class.into(),
+            tenant: None,
+            object: format!("/o/{object}"),
+            part,
+            group: object % GROUPS,
+            size_kb: if sized { size_kb } else { 0.0 },
+            remaining_us,
+            repeated: self.one_in(10),
+        };
+        let client = Client {
+            part: (object, part),
+            work_us: (size_kb / PACE_KB_PER_S * 1e6) as Micros,
+            streams: class == "stream",
+            gone: false,
+            attempts: 0,
+            out: None,
+        };
+        self.clients.insert(id, client);
+        self.later(remaining_us, Happening::Deadline(id));
+        if self.one_in(25) {
+            let wait = self.below(remaining_us);
+            self.later(wait, Happening::Leaves(id));
+        }
+        let again = self.one_in(100).then(|| request.clone());
+        self.feed(Event::Request(request));
+        // An id that is open already changes nothing.
+        if let Some(request) = again {
+            self.feed(Event::Request(request));
+        }
+    }
+
+    fn begun(&mut self, request: RequestId, attempt: u32) {
+        let out = |c: &Client| c.out.is_some() && c.attempts == attempt + 1;
+        if self.clients.get(&request).is_some_and(out) {
+            self.feed(Event::Begun { request, attempt });
+        }
+    }
+
+    fn end(&mut self, request: RequestId, attempt: u32, answer: Answer) {
+        let Some(client) = self.clients.get_mut(&request) else {
+            return;
+        };
+        if client.attempts != attempt + 1 {
+            return;
+        }
+        let (Some(out), gone, part) = (client.out.take(), client.gone, client.part) else {
+            return;
+        };
+        let settled = answer.outcome == Outcome::Ok || gone;
+        if let Some(server) = self.servers.get_mut(&out.server) {
+            server.active = server.active.saturating_sub(1);
+            if answer.outcome == Outcome::Ok {
+                server.holds.insert(part);
+            }
+        }
+        if settled {
+            self.clients.remove(&request);
+        }
+        let util = self.share();
+        self.feed(Event::Outcome {
+            request,
+            attempt,
+            server: out.server,
+            outcome: answer.outcome,
+            took_us: self.now - out.sent,
+            settled,
+            note: answer.note,
+            waited_us: answer.waited_us,
+            load: Some(Load {
+                util: Some(util),
+                ..Load::default()
+            }),
+        });
+    }
+
+    fn deadline(&mut self, request: RequestId) {
+        let Some(client) = self.clients.get_mut(&request) else {
+            return;
+        };
+        client.gone = true;
+        let attempt = client.attempts.saturating_sub(1);
+        self.end(request, attempt, Answer::of(Outcome::Timeout, Note::None));
+        self.clients.remove(&request);
+    }
+
+    fn leaves(&mut self, request: RequestId) {
+        let Some(client) = self.clients.get_mut(&request) else {
+            return;
+        };
+        client.gone = true;
+        self.feed(Event::Left { request });
+    }
+
+    /// Gives the router an event, records what it does and carries that out.
+    pub(crate) fn feed(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        self.router.handle(self.now, event, &mut actions);
+        self.trace.record(self.now, &mut self.router, &actions);
+        for action in actions {
+            match action {
+                Action::Attempt {
+                    request,
+                    server,
+                    fill,
+                    ..
+                } => self.attempt(request, server, fill.expect("a fill is always named")),
+                Action::Cancel { request, attempt } => {
+                    let wait = self.below(2 * MS);
+                    let answer = Answer::of(Outcome::Cancelled, Note::None);
+                    self.later(wait, Happening::End(request, attempt, answer));
+                }
+                Action::Refuse { request, .. } | Action::Fail { request } => {
+                    self.clients.remove(&request);
+                }
+                Action::Timer { at, tag } => self.later(at - self.now, Happening::Timer(tag)),
+                Action::Watch | Action::Probe { .. } | Action::Report { .. } => {}
+            }
+        }
+    }
+
+    fn attempt(&mut self, request: RequestId, server: ServerId, fill: Fill) {
+        let now = self.now;
+        let client = self.clients.get_mut(&request).expect("an open request");
+        let number = client.attempts;
+        client.attempts += 1;
+        client.out = Some(Out { server, sent: now });
+        let (part, work_us, streams) = (client.part, client.work_us, client.streams);
+        if let Some(target) = self.servers.get_mut(&server) {
+            target.active += 1;
+        }
+        let Some((wait, answer)) = self.answer(server, &fill, part, work_us) else {
+            return;
+        };
+        let answer = Answer {
+            note: self.told(answer.note),
+            ..answer
+        };
+        if streams {
+            self.later(wait / 2, Happening::Begun(request, number));
+        }
+        self.later(wait, Happening::End(request, number, answer));
+    }
+}
