--- a/tests/decision_trace/main.rs
+++ b/tests/decision_trace/main.rs
@@ -19,15 +19,33 @@
 
 const SECONDS: u64 = 10;
 
-/// Settings that differ in what is told and allowed.
-fn variants() -> Vec<(&'static str, Settings)> {
-    let base = settings();
-    let linked = |routers, link_kb_per_s| {
-        let mut zones = base.zones.clone();
-        zones[1].routers = routers;
-        zones[1].link_kb_per_s = link_kb_per_s;
-        zones
-    };
+/// The settings of the tests with a link of this size and so many routers in the router's own zone.
+fn linked(routers: u32, link_kb_per_s: f64) -> Settings {
+    let mut settings = settings();
+    settings.zones[1].routers = routers;
+    settings.zones[1].link_kb_per_s = link_kb_per_s;
+    settings
+}
+
+fn untold() -> Settings {
+    Settings {
+        tells: Tells::Off,
+        weights_told: false,
+        flow_kb_per_s: 0.0,
+        ..settings()
+    }
+}
+
+fn siblings() -> Settings {
+    Settings {
+        siblings: Siblings::Location,
+        tells: Tells::Hit,
+        weights_told: false,
+        ..settings()
+    }
+}
+
+fn deduplicating() -> Settings {
     let keyed = |name: &str, scope| Class {
         repeat: Repeat::Keyed,
         write: true,
@@ -35,85 +53,59 @@
         scope,
         ..class(name)
     };
-    let deduplicating = vec![
+    let page = Class {
+        fresh_us: S,
+        ..class("page")
+    };
+    let classes = vec![
         class("video"),
-        Class {
-            fresh_us: S,
-            ..class("page")
-        },
+        page,
         keyed("order", DedupScope::Zone),
         keyed("charge", DedupScope::Cell),
     ];
+    Settings {
+        classes,
+        direct: false,
+        ..settings()
+    }
+}
+
+/// Settings that differ in what is told and allowed.
+fn variants() -> Vec<(&'static str, Settings)> {
+    let thin_link = Settings {
+        direct: false,
+        ..linked(1, 20_000.0)
+    };
+    let link_not_told = Settings {
+        joins: false,
+        ..linked(2, 0.0)
+    };
+    let no_parents = Settings {
+        parent_kind: None,
+        cancel: false,
+        ..settings()
+    };
+    let many_routers = Settings {
+        rank: Some(3),
+        direct: false,
+        ..linked(40, 500_000.0)
+    };
+    let few_attempts = Settings {
+        max_attempts: 2,
+        max_retry_after_us: 0,
+        ask_for_list: true,
+        ..settings()
+    };
     vec![
-        ("told", base.clone()),
-        (
-            "untold",
-            Settings {
-                tells: Tells::Off,
-                weights_told: false,
-                flow_kb_per_s: 0.0,
-                ..base.clone()
-            },
-        ),
-        (
-            "siblings",
-            Settings {
-                siblings: Siblings::Location,
-                tells: Tells::Hit,
-                weights_told: false,
-                ..base.clone()
-            },
-        ),
-        (
-            "thin-link",
-            Settings {
-                zones: linked(1, 20_000.0),
-                direct: false,
-                ..base.clone()
-            },
-        ),
-        (
-            "link-not-told",
-            Settings {
-                zones: linked(2, 0.0),
-                joins: false,
-                ..base.clone()
-            },
-        ),
-        (
-            "no-parents",
-            Settings {
-                parent_kind: None,
-                cancel: false,
-                ..base.clone()
-            },
-        ),
-        (
-            "many-routers",
-            Settings {
-                zones: linked(40, 500_000.0),
-                rank: Some(3),
-                direct: false,
-                ..base.clone()
-            },
-        ),
-        (
-            "deduplicating",
-            Settings {
-                classes: deduplicating,
-                direct: false,
-                ..base.clone()
-            },
-        ),
-        (
-            "few-attempts",
-            Settings {
-                max_attempts: 2,
-                max_retry_after_us: 0,
-                ask_for_list: true,
-                ..base
-            },
-        ),
+        ("told", settings()),
+        ("untold", untold()),
+        ("siblings", siblings()),
+        ("thin-link", thin_link),
+        ("link-not-told", link_not_told),
+        ("no-parents", no_parents),
+        ("many-routers", many_routers),
+        ("deduplicating", deduplicating()),
+        ("few-attempts", few_attempts),
     ]
 }
 
