--- a/tests/decision_trace/main.rs
+++ b/tests/decision_trace/main.rs
@@ -12,12 +12,34 @@
 
 use common::trace::Trace;
 use common::world::{Heed, World, ORIGIN, PARENTS};
-use common::{class, settings, MS, S};
+use common::{class, fleet, sent, settings, Rig, MS, S, T0};
 use linnetknot::*;
-use random_fleet::RandomFleet;
+use random_fleet::{RandomFleet, Tempo};
 use std::path::Path;
 
-const SECONDS: u64 = 10;
+const WORLD_SECONDS: u64 = 10;
+/// Much happens in a short time.
+const BUSY: Tempo = Tempo {
+    seconds: 10,
+    checkpoint_seconds: 1,
+    gap_us: 6 * MS,
+    calm_us: 120 * MS,
+    objects: 400,
+};
+/// Long enough that counts of requests fade, and warm servers stay warm.
+const SLOW: Tempo = Tempo {
+    seconds: 120,
+    checkpoint_seconds: 10,
+    gap_us: 50 * MS,
+    calm_us: 3 * S,
+    objects: 400,
+};
+/// Few objects, so that some are asked for often enough to have several copies.
+const HOT: Tempo = Tempo {
+    objects: 12,
+    calm_us: 600 * MS,
+    ..BUSY
+};
 
 /// The settings of the tests with a link of this size and so many routers in the router's own zone.
 fn linked(routers: u32, link_kb_per_s: f64) -> Settings {
@@ -112,8 +134,8 @@
 /// The reports of one seed under all settings.
 fn random_fleets(seed: u64) -> String {
     let report = |(name, settings): (&str, Settings)| {
-        let fleet = RandomFleet::new(name, settings, seed);
-        fleet.run(SECONDS)
+        let fleet = RandomFleet::new(name, settings, BUSY, seed);
+        fleet.run()
     };
     variants().into_iter().map(report).collect()
 }
@@ -126,8 +148,8 @@
     world.link_fits = 6.0;
     world.sigma = 1.0;
     world.objects = 500.0;
-    (1..=SECONDS).for_each(|second| world.call(second * S, second));
-    world.run(SECONDS * S, |world, heed| {
+    (1..=WORLD_SECONDS).for_each(|second| world.call(second * S, second));
+    world.run(WORLD_SECONDS * S, |world, heed| {
         let Heed::Call(second) = heed else {
             return;
         };
@@ -203,6 +225,38 @@
     compare("fleets-3.txt", &random_fleets(3));
 }
 
+#[test]
+fn every_decision_of_a_slow_fleet_and_of_a_hot_one_is_the_one_on_record() {
+    let slow = RandomFleet::new("slow", settings(), SLOW, 4).run();
+    let hot = RandomFleet::new("hot", linked(1, 500_000.0), HOT, 5).run();
+    compare("slow-and-hot.txt", &(slow + &hot));
+}
+
+/// More distinct parts than the tables of counts hold, and then some of them once more: how each is kept tells what
+/// was counted of it.
+#[test]
+fn every_decision_of_a_scan_that_overflows_the_counts_is_the_one_on_record() {
+    const PARTS: u64 = 24_000;
+    let mut rig = Rig::new(settings(), fleet());
+    let mut trace = Trace::new("scan".into());
+    for number in 0..PARTS + 2_000 {
+        rig.now += MS;
+        let object = match number.checked_sub(PARTS) {
+            None => number - u64::from(number % 7 == 1),
+            Some(again) => again * 11,
+        };
+        let (request, actions) = rig.ask("video", &format!("/o/{object}"), 5 * S);
+        trace.record(rig.now, &mut rig.router, &actions);
+        if let Some(sent) = sent(&actions) {
+            rig.end_with(request, 0, sent.server, Outcome::Ok, Note::Hit);
+        }
+        if number % 2_000 == 1_999 {
+            trace.checkpoint((rig.now - T0) / S);
+        }
+    }
+    compare("scan.txt", &trace.into_report());
+}
+
 #[test]
 fn every_decision_in_an_eventful_world_is_the_one_on_record() {
     let told = eventful_world("world-told", 11, |_| ());
--- a/tests/decision_trace/random_fleet.rs
+++ b/tests/decision_trace/random_fleet.rs
@@ -7,13 +7,8 @@
 use linnetknot::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-const OBJECTS: u64 = 400;
 const PARTS: u64 = 3;
 const GROUPS: u64 = 20;
-/// Mean time between requests.
-const GAP_US: Micros = 6 * MS;
-/// Mean time between disturbances.
-const CALM_US: Micros = 120 * MS;
 const PACE_KB_PER_S: f64 = 5_000.0;
 
 struct Client {
@@ -41,9 +36,24 @@
     Leaves(RequestId),
 }
 
+/// How much happens.
+#[derive(Clone, Copy)]
+pub(crate) struct Tempo {
+    /// Time that is played, and between lines of the report.
+    pub seconds: u64,
+    pub checkpoint_seconds: u64,
+    /// Mean time between requests.
+    pub gap_us: Micros,
+    /// Mean time between disturbances.
+    pub calm_us: Micros,
+    /// Distinct objects; low numbers are asked for most.
+    pub objects: u64,
+}
+
 pub(crate) struct RandomFleet {
     pub now: Micros,
     pub settings: Settings,
+    tempo: Tempo,
     pub servers: BTreeMap<ServerId, Simulated>,
     router: Router,
     clients: BTreeMap<RequestId, Client>,
@@ -54,11 +64,12 @@
 }
 
 impl RandomFleet {
-    pub(crate) fn new(name: &str, settings: Settings, seed: u64) -> RandomFleet {
+    pub(crate) fn new(name: &str, settings: Settings, tempo: Tempo, seed: u64) -> RandomFleet {
         let mut fleet = RandomFleet {
             now: T0,
             router: Router::new(settings.clone(), seed).expect("usable settings"),
             settings,
+            tempo,
             servers: BTreeMap::new(),
             clients: BTreeMap::new(),
             queue: BTreeMap::new(),
@@ -122,7 +133,7 @@
     }
 
     pub(crate) fn any_key(&mut self) -> (Option<String>, u64) {
-        let (object, group) = (self.below(OBJECTS), self.below(GROUPS));
+        let (object, group) = (self.below(self.tempo.objects), self.below(GROUPS));
         let object = (!self.one_in(4)).then(|| format!("/o/{object}"));
         (object, group)
     }
@@ -137,9 +148,14 @@
         self.queue.insert((self.now + wait, self.number), what);
     }
 
-    /// Plays so many seconds; the report has a line for each.
-    pub(crate) fn run(mut self, seconds: u64) -> String {
-        for second in 1..=seconds {
+    /// Plays to the end; the report has a line for each checkpoint.
+    pub(crate) fn run(mut self) -> String {
+        let Tempo {
+            seconds,
+            checkpoint_seconds,
+            ..
+        } = self.tempo;
+        for second in (1..=seconds).filter(|second| second % checkpoint_seconds == 0) {
             self.later(second * S, Happening::Checkpoint(second));
         }
         let end = T0 + seconds * S;
@@ -148,7 +164,7 @@
             match entry.remove() {
                 Happening::Arrival => self.arrival(),
                 Happening::Disturbance => {
-                    let wait = self.below(2 * CALM_US) + 1;
+                    let wait = self.below(2 * self.tempo.calm_us) + 1;
                     self.later(wait, Happening::Disturbance);
                     self.disturb();
                 }
@@ -164,12 +180,13 @@
     }
 
     fn arrival(&mut self) {
-        let gap = self.below(2 * GAP_US) + 1;
+        let gap = self.below(2 * self.tempo.gap_us) + 1;
         self.later(gap, Happening::Arrival);
         self.number += 1;
         let id = self.number;
         // The product of two draws: low numbers are asked for most.
-        let object = self.below(OBJECTS) * self.below(OBJECTS) / OBJECTS;
+        let objects = self.tempo.objects;
+        let object = self.below(objects) * self.below(objects) / objects;
         let part = self.below(PARTS);
         let classes = [
             "video", "video", "page", "order", "charge", "stream", "other",
