--- a/src/lib.rs
+++ b/src/lib.rs
@@ -62,12 +62,12 @@
 
 mod aging;
 mod checks;
-mod decide;
 mod hashing;
 pub mod interface;
 mod ramp;
+mod router;
 
 pub use checks::SettingsError;
-pub use decide::Router;
 pub use interface::*;
 pub use linnetknot_purges as purges;
+pub use router::Router;
