--- a/src/router/endpoints.rs
+++ b/src/router/endpoints.rs
@@ -1,15 +1,15 @@
 //! The list of servers as it is told.
 
-use super::state::{Known, Role};
+use super::state::{Endpoint, Role};
 use super::Router;
 use crate::interface::{Server, ServerId, State};
 
 impl Router {
-    pub(super) fn list(&mut self, full: bool, entries: Vec<Server>) {
+    pub(super) fn update_endpoints(&mut self, full: bool, entries: Vec<Server>) {
         if full {
             let named: Vec<ServerId> = entries.iter().map(|e| e.id).collect();
             let left = self
-                .servers
+                .endpoints
                 .iter_mut()
                 .filter(|(id, _)| !named.contains(id));
             left.for_each(|(_, known)| known.state = State::Gone);
@@ -30,7 +30,7 @@
             } else {
                 continue; // A cache of another location: never used.
             };
-            let fresh = Known {
+            let fresh = Endpoint {
                 role,
                 zone,
                 cell: e.cell,
@@ -41,27 +41,27 @@
                 },
                 state: e.state,
                 started: e.started,
-                ..Known::default()
+                ..Endpoint::default()
             };
-            match self.servers.get_mut(&e.id) {
+            match self.endpoints.get_mut(&e.id) {
                 // A new start wipes what was held against the old process; what is out to it still counts.
                 Some(known) if known.started != e.started && e.state == State::Ready => {
-                    let out = known.out;
-                    *known = Known {
-                        out,
-                        charged: std::mem::take(&mut known.charged),
+                    let in_flight = known.in_flight;
+                    *known = Endpoint {
+                        in_flight,
+                        slow_start_charges: std::mem::take(&mut known.slow_start_charges),
                         ..fresh
                     };
                 }
                 Some(known) => (known.state, known.weight) = (e.state, fresh.weight),
-                None => drop(self.servers.insert(e.id, fresh)),
+                None => drop(self.endpoints.insert(e.id, fresh)),
             }
         }
-        self.servers
-            .retain(|_, s| s.state != State::Gone || s.out > 0); // New ones come under new ids.
-        self.ready = [Role::Cache, Role::Parent, Role::Origin].map(|role| {
+        self.endpoints
+            .retain(|_, s| s.state != State::Gone || s.in_flight > 0); // New ones come under new ids.
+        self.ready_by_role = [Role::Cache, Role::Parent, Role::Origin].map(|role| {
             let ready = self
-                .servers
+                .endpoints
                 .iter()
                 .filter(|(_, s)| s.role == role && s.state == State::Ready);
             ready.map(|(id, _)| *id).collect()
--- a/src/router/leases.rs
+++ b/src/router/leases.rs
@@ -22,19 +22,19 @@
     /// Requests from here that the origin holds, or may hold.
     pub fn asking(&self) -> usize {
         let origin = |id| {
-            self.servers
+            self.endpoints
                 .get(&id)
                 .is_some_and(|s| s.role == Role::Origin)
         };
-        self.open
+        self.requests
             .values()
-            .filter_map(|o| o.out.as_ref())
-            .filter(|a| a.asks || origin(a.server))
+            .filter_map(|o| o.in_flight.as_ref())
+            .filter(|a| a.may_reach_origin || origin(a.server))
             .count()
     }
 
     /// Whether the origin may hold one more: without a lease of its places there is no bound.
-    pub(super) fn has_place(&self, now: Micros) -> bool {
+    pub(super) fn origin_has_capacity(&self, now: Micros) -> bool {
         let of = Budget::Origin;
         !self.leases.contains_key(&of)
             || self.asking() as f64 + 1.0 <= self.budget_share(of, 1, now)
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -24,19 +24,19 @@
 };
 use linnetknot_purges::hashing::mix;
 use linnetknot_purges::{BucketBits, KeyHash, PurgeTable};
-use state::{Known, Open};
+use state::{Endpoint, OpenRequest};
 use statistics::LINK_HALF_MS;
 use std::collections::BTreeMap;
 use timers::{TICK_TAG, TICK_US};
 
 /// Half-life of the request counts: the design's value.
-const HALF_LIFE_S: f64 = 10.0;
+const COUNT_HALF_LIFE_S: f64 = 10.0;
 /// Entries of a table of counts; the least counted go first when it is full.
-const TABLE_SIZE: usize = 20_000;
+const COUNT_TABLE_SIZE: usize = 20_000;
 /// Purges held exactly, also once carried out: a fill across one may leave an older copy.
-const EXACT_PURGES: usize = 16_384;
+const EXACT_PURGE_CAPACITY: usize = 16_384;
 /// Wait before the list is asked for again after a failed call.
-const WATCH_AGAIN_US: Micros = 1_000_000;
+const WATCH_RETRY_US: Micros = 1_000_000;
 /// Tag of the timer to ask for the list again.
 const WATCH_TAG: u64 = 1;
 
@@ -44,25 +44,25 @@
 pub struct Router {
     settings: Settings,
     random: u64,
-    servers: BTreeMap<ServerId, Known>,
-    ready: [Vec<ServerId>; 3], // The ready ones of each role: all that a request ranks.
+    endpoints: BTreeMap<ServerId, Endpoint>,
+    ready_by_role: [Vec<ServerId>; 3], // The ready ones of each role: all that a request ranks.
     seed: u64,
-    open: BTreeMap<RequestId, Open>,
-    objects: Counts,
-    parts: Counts,
-    usual_s: Vec<(f64, f64)>, // By class: usual sending time in seconds, and how many it was learned from.
-    long: Vec<f64>, // By class: what all but `LONG_SHARE` of the answers took at most, over `base_s`.
-    missing: f64,   // Share of attempts that find no copy in the cache.
+    requests: BTreeMap<RequestId, OpenRequest>,
+    object_counts: Counts,
+    part_counts: Counts,
+    usual_transfer_s: Vec<(f64, f64)>, // By class: usual sending time in seconds, and how many it was learned from.
+    tail_factor: Vec<f64>, // By class: what all but `TAIL_SHARE` of the answers took at most, over `expected_s`.
+    miss_rate: f64,        // Share of attempts that find no copy in the cache.
     /// Fills that seem to be under way by the location's link from this router, now and on average.
-    filling: f64,
-    mean_filling: f64,
+    active_fills: f64,
+    mean_active_fills: f64,
     /// Recent fills by the location's link, whoever gave them: what they took tells its size.
-    link: Pace<LINK_HALF_MS>,
+    link_pace: Pace<LINK_HALF_MS>,
     /// Share of the requests that may have the origin asked: it falls while its answers come too late.
     origin_share: f64,
-    origin_at: Micros,    // When that was last learned.
-    found: Option<f64>,   // What it fell to by an answer that others should know of.
-    heard: (f64, Micros), // What it may be at most by what others found, and until when.
+    origin_learned_at: Micros,         // When that was last learned.
+    origin_finding: Option<f64>,       // What it fell to by an answer that others should know of.
+    origin_limit_heard: (f64, Micros), // What it may be at most by what others found, and until when.
     /// The latest purge of each object and of each group.
     purges: PurgeTable,
     leases: BTreeMap<Budget, Lease>, // Of what all routers share.
@@ -73,7 +73,7 @@
     /// A router for one proxy. Equal settings, seed and events give equal actions.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
-        let usual_s: Vec<_> = settings
+        let usual_transfer_s: Vec<_> = settings
             .classes
             .iter()
             .map(|c| (c.aim_us as f64 / 1e6 / 2.0, 0.0))
@@ -81,23 +81,23 @@
         Ok(Router {
             settings,
             random: mix(seed ^ 0x5bd1_e995),
-            servers: BTreeMap::new(),
-            ready: Default::default(),
+            endpoints: BTreeMap::new(),
+            ready_by_role: Default::default(),
             seed,
-            open: BTreeMap::new(),
-            objects: Counts::new(HALF_LIFE_S, TABLE_SIZE),
-            parts: Counts::new(HALF_LIFE_S, TABLE_SIZE),
-            long: vec![4.0; usual_s.len()],
-            usual_s,
-            missing: 0.5,
-            filling: 0.0,
-            mean_filling: 0.0,
-            link: Pace::default(),
+            requests: BTreeMap::new(),
+            object_counts: Counts::new(COUNT_HALF_LIFE_S, COUNT_TABLE_SIZE),
+            part_counts: Counts::new(COUNT_HALF_LIFE_S, COUNT_TABLE_SIZE),
+            tail_factor: vec![4.0; usual_transfer_s.len()],
+            usual_transfer_s,
+            miss_rate: 0.5,
+            active_fills: 0.0,
+            mean_active_fills: 0.0,
+            link_pace: Pace::default(),
             origin_share: 1.0,
-            origin_at: Micros::MAX, // The first answer speaks for itself alone.
-            found: None,
-            heard: (1.0, 0),
-            purges: PurgeTable::new(EXACT_PURGES, BucketBits::DEFAULT),
+            origin_learned_at: Micros::MAX, // The first answer speaks for itself alone.
+            origin_finding: None,
+            origin_limit_heard: (1.0, 0),
+            purges: PurgeTable::new(EXACT_PURGE_CAPACITY, BucketBits::DEFAULT),
             leases: BTreeMap::new(),
             ticking: false,
         })
@@ -119,25 +119,27 @@
                 ..
             } => {
                 actions.push(Action::Timer {
-                    at: now + WATCH_AGAIN_US,
+                    at: now + WATCH_RETRY_US,
                     tag: WATCH_TAG,
                 });
             }
-            Event::List { mode, servers } => self.list(mode == ListMode::Full, servers),
+            Event::List { mode, servers } => self.update_endpoints(mode == ListMode::Full, servers),
             Event::Request(r) => self.request(now, r, actions),
             Event::Begun { request, attempt } => {
-                let open = self.open.get_mut(&request).into_iter();
-                open.for_each(|o| o.begun |= o.out.as_ref().is_some_and(|a| a.number == attempt));
+                let open = self.requests.get_mut(&request).into_iter();
+                open.for_each(|o| {
+                    o.streaming |= o.in_flight.as_ref().is_some_and(|a| a.number == attempt);
+                });
             }
             Event::Outcome { .. } => self.outcome(now, event, actions),
-            Event::Left { request } => self.left(request, actions),
+            Event::Left { request } => self.client_left(request, actions),
             Event::Timer { tag: TICK_TAG } => self.tick(now, actions),
             Event::Timer { tag: WATCH_TAG } => actions.push(Action::Watch),
             Event::Timer { .. } | Event::Probed { .. } => {}
             Event::Heard {
                 origin_share,
                 for_us,
-            } => self.heard = (origin_share, now + for_us),
+            } => self.origin_limit_heard = (origin_share, now + for_us),
             Event::Lease(lease) => drop(self.leases.insert(lease.budget, lease)),
             Event::Purged {
                 object,
--- a/src/router/outliers.rs
+++ b/src/router/outliers.rs
@@ -1,59 +1,59 @@
 //! Outlier detection: servers that fail are left out for a while and come back by way of a single trial.
 
-use super::state::Known;
+use super::state::Endpoint;
 use super::Router;
 use crate::interface::{Micros, ServerId};
 
 /// First mark of a server that fails, doubled with each failed trial.
-const MARK_US: Micros = 1_500_000;
+const MIN_EJECTION_US: Micros = 1_500_000;
 /// Longest: a server that came back is missed for no longer.
-const MARK_MAX_US: Micros = 4_000_000;
+const MAX_EJECTION_US: Micros = 4_000_000;
 /// Weight of one outcome in a server's failure share.
-pub(super) const FAIL_STEP: f64 = 0.3;
+pub(super) const FAILURE_WEIGHT: f64 = 0.3;
 /// Marked above this failure share: two in a row, or a lasting third.
-const FAIL_LIMIT: f64 = 0.45;
+const MAX_FAILURE_RATE: f64 = 0.45;
 
 impl Router {
     /// Not marked; once a mark has run out, a single trial at a time.
-    pub(super) fn is_well(&self, id: ServerId, now: Micros) -> bool {
-        self.servers
+    pub(super) fn is_healthy(&self, id: ServerId, now: Micros) -> bool {
+        self.endpoints
             .get(&id)
-            .is_some_and(|s| s.strikes == 0 || (now >= s.marked_until && !s.on_trial))
+            .is_some_and(|s| s.ejections == 0 || (now >= s.ejected_until && !s.trial_in_flight))
     }
 
     /// Counts a success or failure of a server; failing servers are marked, longer each time, and come back
     /// by way of a single trial.
-    pub(super) fn judge(&mut self, now: Micros, id: ServerId, failed: Option<f64>) {
-        let Some(s) = self.servers.get_mut(&id) else {
+    pub(super) fn record_result(&mut self, now: Micros, id: ServerId, failed: Option<f64>) {
+        let Some(s) = self.endpoints.get_mut(&id) else {
             return;
         };
-        s.on_trial = false;
+        s.trial_in_flight = false;
         match failed {
             None => {
-                s.last_ok = now;
-                if std::mem::take(&mut s.lost) {
-                    s.back = Some(now);
+                s.last_success = now;
+                if std::mem::take(&mut s.connect_failed) {
+                    s.recovered_at = Some(now);
                 }
-                s.failing -= FAIL_STEP * s.failing;
-                if now >= s.marked_until {
-                    s.strikes = 0;
+                s.failure_rate -= FAILURE_WEIGHT * s.failure_rate;
+                if now >= s.ejected_until {
+                    s.ejections = 0;
                 }
             }
             Some(weight) => {
-                s.failing += (FAIL_STEP * weight * (1.0 - s.failing)).min(1.0);
-                if s.failing > FAIL_LIMIT || s.strikes > 0 {
-                    Self::mark(s, now);
+                s.failure_rate += (FAILURE_WEIGHT * weight * (1.0 - s.failure_rate)).min(1.0);
+                if s.failure_rate > MAX_FAILURE_RATE || s.ejections > 0 {
+                    Self::eject(s, now);
                 }
             }
         }
     }
 
-    pub(super) fn mark(s: &mut Known, now: Micros) {
-        if now < s.marked_until {
+    pub(super) fn eject(s: &mut Endpoint, now: Micros) {
+        if now < s.ejected_until {
             return;
         }
-        s.marked_until = now + (MARK_US << s.strikes.min(4)).min(MARK_MAX_US);
-        s.strikes += 1;
-        s.on_trial = false;
+        s.ejected_until = now + (MIN_EJECTION_US << s.ejections.min(4)).min(MAX_EJECTION_US);
+        s.ejections += 1;
+        s.trial_in_flight = false;
     }
 }
--- a/src/router/requests.rs
+++ b/src/router/requests.rs
@@ -1,6 +1,6 @@
 //! A client's request as it comes in.
 
-use super::state::Open;
+use super::state::OpenRequest;
 use super::Router;
 use crate::hashing::share_of;
 use crate::interface::{Action, Micros, Request};
@@ -19,45 +19,45 @@
             return;
         };
         let object = KeyHash::of_object(&r.object).value();
-        let unit = mix(object.wrapping_add(r.part.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
-        let sized = self.settings.flow_kb_per_s > 0.0 && r.size_kb > 0.0;
-        let work_s = if sized {
+        let part_key = mix(object.wrapping_add(r.part.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
+        let size_known = self.settings.flow_kb_per_s > 0.0 && r.size_kb > 0.0;
+        let transfer_s = if size_known {
             r.size_kb / self.settings.flow_kb_per_s
         } else {
-            self.usual_s[class].0
+            self.usual_transfer_s[class].0
         };
         // What could never be sent in time is no usual size: a client may claim any.
-        if sized && work_s * 1e6 <= self.settings.classes[class].deadline_us as f64 {
-            self.learn_usual(class, work_s);
+        if size_known && transfer_s * 1e6 <= self.settings.classes[class].deadline_us as f64 {
+            self.learn_transfer(class, transfer_s);
         }
         let c = &self.settings.classes[class];
-        let aim_at = now + c.aim_us + (c.aim_stretch * work_s * 1e6) as Micros;
+        let objective_at = now + c.aim_us + (c.aim_stretch * transfer_s * 1e6) as Micros;
         let write = c.write;
-        let count = if write {
+        let object_count = if write {
             0.0
         } else {
-            self.objects.add(object, now)
+            self.object_counts.add(object, now)
         };
-        let repeats = if write {
+        let part_count = if write {
             0.0
         } else {
-            self.parts.add(unit, now)
+            self.part_counts.add(part_key, now)
         };
-        let open = Open {
+        let open = OpenRequest {
             class,
-            unit,
+            part_key,
             object,
             group: r.group,
-            work_s,
-            sized,
-            count,
-            repeats,
-            aim_at,
+            transfer_s,
+            size_known,
+            object_count,
+            part_count,
+            objective_at,
             deadline: now + r.remaining_us,
             draw: share_of(mix(self.seed ^ mix(r.id))),
-            ..Open::default()
+            ..OpenRequest::default()
         };
-        if let btree_map::Entry::Vacant(place) = self.open.entry(r.id) {
+        if let btree_map::Entry::Vacant(place) = self.requests.entry(r.id) {
             place.insert(open);
             self.route(now, r.id, actions);
         }
--- a/src/router/retune.rs
+++ b/src/router/retune.rs
@@ -21,27 +21,27 @@
         let old = std::mem::take(&mut self.settings.classes);
         let fresh = |s: &Settings, i: usize| (s.classes[i].aim_us as f64 / 1e6 / 2.0, 0.0);
         let mut usual = Vec::new();
-        let mut long = Vec::new();
+        let mut tail_factor = Vec::new();
         for i in 0..settings.classes.len() {
             // What was learned of a class goes on where its name does.
             let same = old.iter().position(|o| o.name == settings.classes[i].name);
-            usual.push(same.map_or_else(|| fresh(&settings, i), |j| self.usual_s[j]));
-            long.push(same.map_or(4.0, |j| self.long[j]));
+            usual.push(same.map_or_else(|| fresh(&settings, i), |j| self.usual_transfer_s[j]));
+            tail_factor.push(same.map_or(4.0, |j| self.tail_factor[j]));
         }
         let mut moved = BTreeMap::new();
-        for open in self.open.values_mut() {
+        for open in self.requests.values_mut() {
             open.class = *moved.entry(open.class).or_insert_with(|| {
                 let mut held = old[open.class].clone();
                 if !held.name.starts_with(HELD) {
                     held.name.insert(0, HELD);
                 }
                 settings.classes.push(held);
-                usual.push(self.usual_s[open.class]);
-                long.push(self.long[open.class]);
+                usual.push(self.usual_transfer_s[open.class]);
+                tail_factor.push(self.tail_factor[open.class]);
                 settings.classes.len() - 1
             });
         }
-        (self.settings, self.usual_s, self.long) = (settings, usual, long);
+        (self.settings, self.usual_transfer_s, self.tail_factor) = (settings, usual, tail_factor);
         Ok(())
     }
 }
--- a/src/router/slow_start.rs
+++ b/src/router/slow_start.rs
@@ -1,7 +1,7 @@
 //! The rule on servers that have just started: each gets no more than it can bear while it warms up, from all routers
 //! together.
 
-use super::state::{Known, Role};
+use super::state::{Endpoint, Role};
 use super::Router;
 use crate::hashing::share_of;
 use crate::interface::{Budget, Micros, ServerId, State};
@@ -9,11 +9,11 @@
 use linnetknot_purges::hashing::mix;
 
 /// Used share of a cold server's budget: the rest is slack for chance.
-const COLD_USE: f64 = 0.55;
+const SLOW_START_UTILISATION: f64 = 0.55;
 
 impl Router {
     /// Share of its capacity that a server is sure to have, in a line from its cold share.
-    fn ramp(&self, s: &Known) -> Ramp {
+    fn ramp_of(&self, s: &Endpoint) -> Ramp {
         let r = &self.settings.rules;
         match s.role {
             Role::Parent => Ramp {
@@ -27,25 +27,25 @@
         }
     }
 
-    pub(super) fn warmth(&self, s: &Known, at: Micros) -> f64 {
-        s.started
-            .max(s.back)
-            .map_or(1.0, |started| self.ramp(s).at(at.saturating_sub(started)))
+    pub(super) fn warmth(&self, s: &Endpoint, at: Micros) -> f64 {
+        s.started.max(s.recovered_at).map_or(1.0, |started| {
+            self.ramp_of(s).at(at.saturating_sub(started))
+        })
     }
 
     /// The greatest share of what a cold cache, or parent, bears that was sent from here; none: none is cold.
     pub fn cold_use(&self, now: Micros, parents: bool) -> Option<f64> {
         let cold = self
-            .servers
+            .endpoints
             .values()
             .filter(|s| (s.role == Role::Parent) == parents);
-        cold.filter_map(|s| self.cold(s, now))
+        cold.filter_map(|s| self.slow_start_budget(s, now))
             .map(|(bears, spent)| spent / bears)
             .reduce(f64::max)
     }
 
     /// What a cold server bears within the rule's window, and what was sent from here; none: it is warm.
-    pub(super) fn cold(&self, s: &Known, now: Micros) -> Option<(f64, f64)> {
+    pub(super) fn slow_start_budget(&self, s: &Endpoint, now: Micros) -> Option<(f64, f64)> {
         let r = &self.settings.rules;
         // What it can do in the window's mean: by the time this is judged it can do more.
         let warmth = self.warmth(s, now.saturating_sub(r.fall_us / 2));
@@ -57,9 +57,13 @@
         } else {
             r.fall_multiple
         };
-        let bears = COLD_USE * multiple * warmth * self.capacity(s) * (r.fall_us as f64 / 1e6);
+        let bears = SLOW_START_UTILISATION
+            * multiple
+            * warmth
+            * self.capacity(s)
+            * (r.fall_us as f64 / 1e6);
         let spent = s
-            .charged
+            .slow_start_charges
             .iter()
             .filter(|c| c.0 + r.fall_us >= now)
             .map(|c| c.1)
@@ -68,8 +72,14 @@
     }
 
     /// Rule on cold servers: this router's share of the budget, retries and fills charged with the rest.
-    pub(super) fn cold_room(&self, id: ServerId, s: &Known, now: Micros, work_s: f64) -> bool {
-        let Some((bears, spent)) = self.cold(s, now) else {
+    pub(super) fn admits_in_slow_start(
+        &self,
+        id: ServerId,
+        s: &Endpoint,
+        now: Micros,
+        transfer_s: f64,
+    ) -> bool {
+        let Some((bears, spent)) = self.slow_start_budget(s, now) else {
             return true;
         };
         let zones = &self.settings.zones;
@@ -83,16 +93,19 @@
         // that starts again, and has forgotten what it sent, finds them where they were, by its number.
         let (budget, turn_s) = (
             bears * share,
-            self.usual_s.iter().map(|u| u.0).fold(0.0, f64::max),
+            self.usual_transfer_s
+                .iter()
+                .map(|u| u.0)
+                .fold(0.0, f64::max),
         );
-        let since = s.started.max(s.back).unwrap_or(0);
+        let since = s.started.max(s.recovered_at).unwrap_or(0);
         let number = self
             .settings
             .rank
             .map_or(share_of(mix(self.seed)), |rank| GOLDEN * f64::from(rank));
         let own = share_of(mix(id ^ mix(since))) + number;
         let (age, window) = (now.saturating_sub(since), self.settings.rules.fall_us);
-        let turn = budget < turn_s && self.ramp(s).is_turn(age, budget / turn_s, window, own);
-        spent + work_s <= if turn { turn_s } else { budget }
+        let turn = budget < turn_s && self.ramp_of(s).is_turn(age, budget / turn_s, window, own);
+        spent + transfer_s <= if turn { turn_s } else { budget }
     }
 }
