--- a/tests/decision_trace/main.rs
+++ b/tests/decision_trace/main.rs
@@ -34,6 +34,14 @@
     calm_us: 3 * S,
     objects: 400,
 };
+/// So few requests that hits and fills hardly tell of a pace.
+const SPARSE: Tempo = Tempo {
+    seconds: 1_200,
+    checkpoint_seconds: 100,
+    gap_us: 700 * MS,
+    calm_us: 20 * S,
+    objects: 100,
+};
 /// Few objects, so that some are asked for often enough to have several copies.
 const HOT: Tempo = Tempo {
     objects: 12,
@@ -226,10 +234,41 @@
 }
 
 #[test]
-fn every_decision_of_a_slow_fleet_and_of_a_hot_one_is_the_one_on_record() {
+fn every_decision_of_a_slow_a_sparse_and_a_hot_fleet_is_the_one_on_record() {
     let slow = RandomFleet::new("slow", settings(), SLOW, 4).run();
-    let hot = RandomFleet::new("hot", linked(1, 500_000.0), HOT, 5).run();
-    compare("slow-and-hot.txt", &(slow + &hot));
+    let sparse = RandomFleet::new("sparse", linked(2, 0.0), SPARSE, 5).run();
+    let hot = RandomFleet::new("hot", linked(1, 500_000.0), HOT, 6).run();
+    compare("slow-sparse-and-hot.txt", &(slow + &sparse + &hot));
+}
+
+/// More purges than are held exactly, with requests between: what is asked of copies tells which ones still are.
+#[test]
+fn every_decision_amid_many_purges_is_the_one_on_record() {
+    let mut rig = Rig::new(settings(), fleet());
+    let mut trace = Trace::new("purges".into());
+    for number in 0..20_000 {
+        rig.now += MS / 10;
+        rig.handle(Event::Purged {
+            object: Some(format!("/o/{number}")),
+            group: 0,
+            age_us: 0,
+        });
+        if number % 500 == 0 {
+            let actions = rig.tick();
+            trace.record(rig.now, &mut rig.router, &actions);
+        }
+        if number % 20 == 0 {
+            let (request, actions) = rig.ask("video", &format!("/o/{}", number / 2), 5 * S);
+            trace.record(rig.now, &mut rig.router, &actions);
+            if let Some(sent) = sent(&actions) {
+                rig.end_with(request, 0, sent.server, Outcome::Ok, Note::Hit);
+            }
+        }
+        if number % 2_000 == 1_999 {
+            trace.checkpoint((rig.now - T0) / S);
+        }
+    }
+    compare("purges.txt", &trace.into_report());
 }
 
 /// More distinct parts than the tables of counts hold, and then some of them once more: how each is kept tells what
--- a/tests/decision_trace/random_fleet.rs
+++ b/tests/decision_trace/random_fleet.rs
@@ -193,7 +193,11 @@
         ];
         let class = classes[self.below(classes.len() as u64) as usize];
         let size_kb = (50 + object * 37 % 900) as f64 * if self.one_in(30) { 20.0 } else { 1.0 };
-        let remaining_us = 200 * MS + self.below(4 * S);
+        let remaining_us = if self.one_in(20) {
+            self.below(20 * MS)
+        } else {
+            200 * MS + self.below(4 * S)
+        };
         let sized = self.settings.flow_kb_per_s > 0.0;
         let request = Request {
             id,
@@ -217,7 +221,7 @@
         self.clients.insert(id, client);
         self.later(remaining_us, Happening::Deadline(id));
         if self.one_in(25) {
-            let wait = self.below(remaining_us);
+            let wait = self.below(remaining_us + 1);
             self.later(wait, Happening::Leaves(id));
         }
         let again = self.one_in(100).then(|| request.clone());
