--- a/src/lib.rs
+++ b/src/lib.rs
@@ -60,12 +60,12 @@
 //! # Ok::<(), SettingsError>(())
 //! ```
 
-mod aging;
 mod checks;
 mod hashing;
 pub mod interface;
 mod ramp;
 mod router;
+mod statistics;
 
 pub use checks::SettingsError;
 pub use interface::*;
--- a/src/router/endpoints.rs
+++ b/src/router/endpoints.rs
@@ -1,70 +1,111 @@
-//! The list of servers as it is told.
+//! The list of servers: who is there, in which role, and who takes work.
 
 use super::state::{Endpoint, Role};
 use super::Router;
-use crate::interface::{Server, ServerId, State};
+use crate::interface::{Action, ListMode, Micros, Server, ServerId, State};
+
+/// Wait before the list is asked for again after a failed call.
+const WATCH_RETRY_US: Micros = 1_000_000;
+/// Tag of the timer to ask for the list again.
+pub(super) const WATCH_TAG: u64 = 1;
+/// Weight of a server whose entry has no usable one.
+const DEFAULT_WEIGHT: f64 = 1.0;
 
 impl Router {
-    pub(super) fn update_endpoints(&mut self, full: bool, entries: Vec<Server>) {
-        if full {
-            let named: Vec<ServerId> = entries.iter().map(|e| e.id).collect();
-            let left = self
-                .endpoints
-                .iter_mut()
-                .filter(|(id, _)| !named.contains(id));
-            left.for_each(|(_, known)| known.state = State::Gone);
+    /// Takes the list in, or changes to it.
+    pub(super) fn update_endpoints(
+        &mut self,
+        now: Micros,
+        mode: ListMode,
+        entries: Vec<Server>,
+        actions: &mut Vec<Action>,
+    ) {
+        if mode == ListMode::Failed {
+            actions.push(Action::Timer {
+                at: now + WATCH_RETRY_US,
+                tag: WATCH_TAG,
+            });
+            return;
+        }
+        if mode == ListMode::Full {
+            self.remove_unlisted(&entries);
+        }
+        for entry in entries {
+            self.update_endpoint(&entry);
         }
-        for e in entries {
-            let zone = self
-                .settings
-                .zones
-                .iter()
-                .position(|z| z.name == e.zone)
-                .unwrap_or(usize::MAX);
-            let role = if self.settings.parent_kind.as_ref() == Some(&e.kind) {
-                Role::Parent
-            } else if self.settings.origin_kind == e.kind {
-                Role::Origin
-            } else if zone == self.settings.zone {
-                Role::Cache
+        // A server that is gone stays while it holds attempts; new ones come under new ids.
+        self.endpoints
+            .retain(|_, server| server.state != State::Gone || server.in_flight > 0);
+        let roles = [Role::Cache, Role::Parent, Role::Origin];
+        self.ready_by_role = roles.map(|role| self.ready_in(role));
+    }
+
+    /// What a whole list does not name is gone.
+    fn remove_unlisted(&mut self, entries: &[Server]) {
+        let listed: Vec<ServerId> = entries.iter().map(|entry| entry.id).collect();
+        for (id, server) in &mut self.endpoints {
+            if !listed.contains(id) {
+                server.state = State::Gone;
+            }
+        }
+    }
+
+    fn update_endpoint(&mut self, entry: &Server) {
+        let zones = &self.settings.zones;
+        let zone = zones.iter().position(|zone| zone.name == entry.zone);
+        let Some(role) = self.role_of(entry, zone) else {
+            return;
+        };
+        let is_usable = entry.weight.is_finite() && entry.weight > 0.0;
+        let listed = Endpoint {
+            role,
+            zone: zone.unwrap_or(usize::MAX),
+            cell: entry.cell,
+            weight: if is_usable {
+                entry.weight
             } else {
-                continue; // A cache of another location: never used.
-            };
-            let fresh = Endpoint {
-                role,
-                zone,
-                cell: e.cell,
-                weight: if e.weight.is_finite() && e.weight > 0.0 {
-                    e.weight
-                } else {
-                    1.0
-                },
-                state: e.state,
-                started: e.started,
-                ..Endpoint::default()
+                DEFAULT_WEIGHT
+            },
+            state: entry.state,
+            started: entry.started,
+            ..Endpoint::default()
+        };
+        let Some(known) = self.endpoints.get_mut(&entry.id) else {
+            self.endpoints.insert(entry.id, listed);
+            return;
+        };
+        if known.started != entry.started && entry.state == State::Ready {
+            // A new start clears what was held against the old process; what is out to it still counts.
+            *known = Endpoint {
+                in_flight: known.in_flight,
+                slow_start_charges: std::mem::take(&mut known.slow_start_charges),
+                ..listed
             };
-            match self.endpoints.get_mut(&e.id) {
-                // A new start wipes what was held against the old process; what is out to it still counts.
-                Some(known) if known.started != e.started && e.state == State::Ready => {
-                    let in_flight = known.in_flight;
-                    *known = Endpoint {
-                        in_flight,
-                        slow_start_charges: std::mem::take(&mut known.slow_start_charges),
-                        ..fresh
-                    };
-                }
-                Some(known) => (known.state, known.weight) = (e.state, fresh.weight),
-                None => drop(self.endpoints.insert(e.id, fresh)),
-            }
+        } else {
+            known.state = entry.state;
+            known.weight = listed.weight;
         }
-        self.endpoints
-            .retain(|_, s| s.state != State::Gone || s.in_flight > 0); // New ones come under new ids.
-        self.ready_by_role = [Role::Cache, Role::Parent, Role::Origin].map(|role| {
-            let ready = self
-                .endpoints
-                .iter()
-                .filter(|(_, s)| s.role == role && s.state == State::Ready);
-            ready.map(|(id, _)| *id).collect()
-        });
+    }
+
+    /// The role of a server; none: a cache of another location, which is never used.
+    fn role_of(&self, entry: &Server, zone: Option<usize>) -> Option<Role> {
+        if self.settings.parent_kind.as_ref() == Some(&entry.kind) {
+            Some(Role::Parent)
+        } else if self.settings.origin_kind == entry.kind {
+            Some(Role::Origin)
+        } else if zone == Some(self.settings.zone) {
+            Some(Role::Cache)
+        } else {
+            None
+        }
+    }
+
+    fn ready_in(&self, role: Role) -> Vec<ServerId> {
+        let is_ready = |server: &Endpoint| server.role == role && server.state == State::Ready;
+        let servers = self.endpoints.iter();
+        servers
+            .filter(|(_, server)| is_ready(server))
+            .map(|(id, _)| *id)
+            .collect()
     }
 }
--- a/src/router/leases.rs
+++ b/src/router/leases.rs
@@ -2,41 +2,46 @@
 
 use super::state::Role;
 use super::Router;
-use crate::interface::{Budget, Lease, Micros};
+use crate::interface::{Budget, Lease, Micros, ServerId};
 
 impl Router {
-    /// What this router may spend of a budget of all: by its lease, else one of so many equal shares.
+    /// What this router may spend of a shared budget: by its lease, else one of so many equal shares.
     pub(super) fn budget_share(&self, budget: Budget, routers: u32, now: Micros) -> f64 {
-        let leased = |lease: &Lease| {
-            if now < lease.until {
-                lease.amount
-            } else {
-                lease.reserved
-            }
-        };
-        self.leases
-            .get(&budget)
-            .map_or(1.0 / f64::from(routers.max(1)), leased)
+        match self.leases.get(&budget) {
+            None => 1.0 / f64::from(routers.max(1)),
+            Some(lease) => lease.amount_at(now),
+        }
     }
 
     /// Requests from here that the origin holds, or may hold.
     pub fn asking(&self) -> usize {
-        let origin = |id| {
-            self.endpoints
-                .get(&id)
-                .is_some_and(|s| s.role == Role::Origin)
-        };
-        self.requests
-            .values()
-            .filter_map(|o| o.in_flight.as_ref())
-            .filter(|a| a.may_reach_origin || origin(a.server))
+        let attempts = self.requests.values().filter_map(|o| o.in_flight.as_ref());
+        attempts
+            .filter(|attempt| attempt.may_reach_origin || self.is_origin(attempt.server))
             .count()
     }
 
-    /// Whether the origin may hold one more: without a lease of its places there is no bound.
+    fn is_origin(&self, id: ServerId) -> bool {
+        let server = self.endpoints.get(&id);
+        server.is_some_and(|server| server.role == Role::Origin)
+    }
+
+    /// Whether the origin may hold one more: without a lease of its capacity there is no bound.
     pub(super) fn origin_has_capacity(&self, now: Micros) -> bool {
-        let of = Budget::Origin;
-        !self.leases.contains_key(&of)
-            || self.asking() as f64 + 1.0 <= self.budget_share(of, 1, now)
+        let Some(lease) = self.leases.get(&Budget::Origin) else {
+            return true;
+        };
+        self.asking() as f64 + 1.0 <= lease.amount_at(now)
+    }
+}
+
+impl Lease {
+    /// How much may be spent at a time.
+    fn amount_at(&self, now: Micros) -> f64 {
+        if now < self.until {
+            self.amount
+        } else {
+            self.reserved
+        }
     }
 }
--- a/src/router/outliers.rs
+++ b/src/router/outliers.rs
@@ -1,59 +1,66 @@
-//! Outlier detection: servers that fail are left out for a while and come back by way of a single trial.
+//! Outlier detection: a server that fails is ejected for a while and comes back by way of a single trial.
 
 use super::state::Endpoint;
 use super::Router;
 use crate::interface::{Micros, ServerId};
 
-/// First mark of a server that fails, doubled with each failed trial.
+/// First ejection of a server, doubled with each failed trial.
 const MIN_EJECTION_US: Micros = 1_500_000;
-/// Longest: a server that came back is missed for no longer.
+/// Longest ejection: a server that came back is missed for no longer.
 const MAX_EJECTION_US: Micros = 4_000_000;
-/// Weight of one outcome in a server's failure share.
+/// Ejections in a row that double the time at most.
+const MAX_DOUBLINGS: u32 = 4;
+/// Weight of one outcome in a server's failure rate.
 pub(super) const FAILURE_WEIGHT: f64 = 0.3;
-/// Marked above this failure share: two in a row, or a lasting third.
+/// Above this failure rate a server is ejected: two failures in a row, or a lasting third.
 const MAX_FAILURE_RATE: f64 = 0.45;
 
 impl Router {
-    /// Not marked; once a mark has run out, a single trial at a time.
+    /// Not ejected; once an ejection has run out, a single trial at a time.
     pub(super) fn is_healthy(&self, id: ServerId, now: Micros) -> bool {
-        self.endpoints
-            .get(&id)
-            .is_some_and(|s| s.ejections == 0 || (now >= s.ejected_until && !s.trial_in_flight))
+        self.endpoints.get(&id).is_some_and(|server| {
+            server.ejections == 0 || (now >= server.ejected_until && !server.trial_in_flight)
+        })
     }
 
-    /// Counts a success or failure of a server; failing servers are marked, longer each time, and come back
-    /// by way of a single trial.
-    pub(super) fn record_result(&mut self, now: Micros, id: ServerId, failed: Option<f64>) {
-        let Some(s) = self.endpoints.get_mut(&id) else {
+    /// Counts a success of a server.
+    pub(super) fn record_success(&mut self, now: Micros, id: ServerId) {
+        let Some(server) = self.endpoints.get_mut(&id) else {
             return;
         };
-        s.trial_in_flight = false;
-        match failed {
-            None => {
-                s.last_success = now;
-                if std::mem::take(&mut s.connect_failed) {
-                    s.recovered_at = Some(now);
-                }
-                s.failure_rate -= FAILURE_WEIGHT * s.failure_rate;
-                if now >= s.ejected_until {
-                    s.ejections = 0;
-                }
-            }
-            Some(weight) => {
-                s.failure_rate += (FAILURE_WEIGHT * weight * (1.0 - s.failure_rate)).min(1.0);
-                if s.failure_rate > MAX_FAILURE_RATE || s.ejections > 0 {
-                    Self::eject(s, now);
-                }
-            }
+        server.trial_in_flight = false;
+        server.last_success = now;
+        if std::mem::take(&mut server.connect_failed) {
+            server.recovered_at = Some(now);
+        }
+        server.failure_rate -= FAILURE_WEIGHT * server.failure_rate;
+        if now >= server.ejected_until {
+            server.ejections = 0;
         }
     }
 
-    pub(super) fn eject(s: &mut Endpoint, now: Micros) {
-        if now < s.ejected_until {
+    /// Counts a failure of a server, by its weight.
+    pub(super) fn record_failure(&mut self, now: Micros, id: ServerId, weight: f64) {
+        let Some(server) = self.endpoints.get_mut(&id) else {
+            return;
+        };
+        server.trial_in_flight = false;
+        server.failure_rate += (FAILURE_WEIGHT * weight * (1.0 - server.failure_rate)).min(1.0);
+        if server.failure_rate > MAX_FAILURE_RATE || server.ejections > 0 {
+            server.eject(now);
+        }
+    }
+}
+
+impl Endpoint {
+    /// Ejects the server, for longer each time in a row; no change while it is ejected.
+    pub(super) fn eject(&mut self, now: Micros) {
+        if now < self.ejected_until {
             return;
         }
-        s.ejected_until = now + (MIN_EJECTION_US << s.ejections.min(4)).min(MAX_EJECTION_US);
-        s.ejections += 1;
-        s.trial_in_flight = false;
+        let doubled_us = MIN_EJECTION_US << self.ejections.min(MAX_DOUBLINGS);
+        self.ejected_until = now + doubled_us.min(MAX_EJECTION_US);
+        self.ejections += 1;
+        self.trial_in_flight = false;
     }
 }
--- a/src/router/placement.rs
+++ b/src/router/placement.rs
@@ -1,154 +1,166 @@
-//! Which servers a request goes to: the shared hash order, the number of copies of an object, and the source of a
-//! fill.
+//! Placement: which cache a request goes to, by the shared hash order and the number of copies of its object, and the
+//! source of its fill.
 
-use super::state::{Endpoint, OpenRequest, Target};
+use super::state::{Endpoint, OpenRequest, Role, Target};
 use super::statistics::MIN_PACE_SAMPLES;
 use super::Router;
 use crate::interface::{DedupScope, Micros, ServerId, Siblings};
 use linnetknot_purges::hashing::mix;
 
-/// Taken as seen by a new table: its first objects are not hot yet.
+/// Requests taken as counted by a new table: its first objects are not hot yet.
 const MIN_TOTAL_COUNT: f64 = 50.0;
-/// Failed fills, untold ones twice, until it is only looked for in the caches.
+/// Failed fills, those of unknown cause twice, until a request is only looked for in the caches.
 const MAX_FAILED_FILLS: u32 = 2;
 /// The second parent fills while the first's fills take so many times as long.
 const SLOWER_PARENT_FACTOR: f64 = 2.0;
 
-/// The ready servers in the shared hash order of a unit.
-pub(super) struct Ranked {
-    pub(super) caches: Vec<ServerId>,
-    pub(super) parents: Vec<ServerId>,
-    pub(super) origin: Option<ServerId>,
+/// The ready servers in the shared hash order of a part.
+pub(super) struct RankedServers {
+    caches: Vec<ServerId>,
+    parents: Vec<ServerId>,
+    origin: Option<ServerId>,
 }
 
 /// Place in the shared hash order (rendezvous hashing, by weight): lowest first.
 fn rendezvous_score(part_key: u64, server: ServerId, weight: f64) -> f64 {
-    let h = mix(part_key ^ mix(server.wrapping_add(0x9e37_79b9_7f4a_7c15)));
-    let u = ((h >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
-    -u.ln() / weight.max(1e-6)
+    let hash = mix(part_key ^ mix(server.wrapping_add(0x9e37_79b9_7f4a_7c15)));
+    let unit = ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
+    -unit.ln() / weight.max(1e-6)
 }
 
 impl Router {
-    /// The design: the object's share gives its number of copies; a uniform pick among those caches at the
-    /// top of the shared hash order that are not full, else the next in the order.
+    /// The ready servers in the shared hash order of a part.
+    pub(super) fn rank(&self, part_key: u64) -> RankedServers {
+        RankedServers {
+            caches: self.rank_role(Role::Cache, part_key),
+            parents: self.rank_role(Role::Parent, part_key),
+            origin: self.rank_role(Role::Origin, part_key).first().copied(),
+        }
+    }
+
+    fn rank_role(&self, role: Role, part_key: u64) -> Vec<ServerId> {
+        let weight = |server: &Endpoint| {
+            if self.settings.weights_told {
+                server.weight
+            } else {
+                1.0
+            }
+        };
+        let ready = self.ready_by_role[role as usize].iter();
+        let mut scores: Vec<_> = ready
+            .filter_map(|id| self.endpoints.get_key_value(id))
+            .map(|(id, server)| (rendezvous_score(part_key, *id, weight(server)), *id))
+            .collect();
+        scores.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+        scores.into_iter().map(|(_, id)| id).collect()
+    }
+
+    /// The object's share of the requests gives its number of copies; a uniform pick among those caches at the top of
+    /// the shared hash order that are not full, else the next in the order.
     pub(super) fn pick_cache(
         &self,
         now: Micros,
         open: &OpenRequest,
-        ranked: &Ranked,
+        ranked: &RankedServers,
     ) -> Option<Target> {
-        let all = &ranked.caches;
+        let caches = &ranked.caches;
         let share = open.object_count / self.object_counts.total(now).max(MIN_TOTAL_COUNT);
-        let copies = (share * all.len() as f64).ceil().max(1.0) as usize;
-        let able = |id: &&ServerId| {
-            let fits = !open.tried_servers.contains(id)
+        let copies = (share * caches.len() as f64).ceil().max(1.0) as usize;
+        let is_able = |id: &&ServerId| {
+            !open.tried_servers.contains(id)
                 && self.is_healthy(**id, now)
-                && self.admits(**id, now, open);
-            fits && self.responds_in_time(**id, now, open)
+                && self.admits(**id, now, open)
+                && self.responds_in_time(**id, now, open)
         };
-        let free: Vec<ServerId> = all.iter().take(copies).filter(able).copied().collect();
-        let chosen = match free.len() as u64 {
-            0 => *all.iter().skip(copies).find(able)?,
-            n => free[(self.random % n) as usize],
+        let first = caches.iter().take(copies);
+        let able: Vec<ServerId> = first.filter(is_able).copied().collect();
+        let server = match able.len() as u64 {
+            0 => *caches.iter().skip(copies).find(is_able)?,
+            number => able[(self.random % number) as usize],
         };
         let source = self
-            .pick_sibling(now, open, ranked, chosen)
+            .pick_sibling(now, open, ranked, server)
             .or_else(|| self.pick_source(now, open, ranked));
-        (source.is_some() || !open.known_miss).then_some((chosen, source))
+        Self::target_with_fill(open, server, source)
+    }
+
+    /// A cache as target, unless it is known to need a fill and there is no source.
+    fn target_with_fill(
+        open: &OpenRequest,
+        server: ServerId,
+        source: Option<ServerId>,
+    ) -> Option<Target> {
+        (source.is_some() || !open.known_miss).then_some(Target { server, source })
     }
 
-    /// Where caches may fill each other: a cache that is not the first in the order, or the first just
-    /// started, is filled from the one that most likely holds a copy, which spares the location's link.
+    /// Where caches may fill each other: a cache that is not the first in the order, or the first just started, is
+    /// filled from the one that most likely holds a copy, which spares the location's link.
     fn pick_sibling(
         &self,
         now: Micros,
         open: &OpenRequest,
-        ranked: &Ranked,
+        ranked: &RankedServers,
         chosen: ServerId,
     ) -> Option<ServerId> {
         let order = &ranked.caches;
-        let cold = |id: &ServerId| {
-            self.endpoints
-                .get(id)
-                .is_none_or(|s| self.warmth(s, now) < 1.0)
+        let is_warming = |id: ServerId| {
+            let server = self.endpoints.get(&id);
+            server.is_none_or(|server| self.warmth(server, now) < 1.0)
         };
         let first = order.iter().copied().find(|id| *id != chosen)?;
-        let likely = order.first() != Some(&chosen) || cold(&chosen);
-        let fits = self.settings.siblings != Siblings::Off
-            && likely
-            && !open.excluded_sources.contains(&first);
-        let able = self.is_healthy(first, now) && !cold(&first) && self.admits(first, now, open);
-        (fits && able && self.responds_in_time(first, now, open)).then_some(first)
+        let allowed = self.settings.siblings != Siblings::Off;
+        let lacks_copy = order.first() != Some(&chosen) || is_warming(chosen);
+        let is_able = allowed
+            && lacks_copy
+            && !open.excluded_sources.contains(&first)
+            && self.is_healthy(first, now)
+            && !is_warming(first)
+            && self.admits(first, now, open)
+            && self.responds_in_time(first, now, open);
+        is_able.then_some(first)
     }
 
-    /// Fills come from the first hashed parent that takes work, the second while that is clearly slower; from
-    /// the origin while none does, by no more requests than may have it asked, as it may be slow or stopped.
-    fn pick_source(&self, now: Micros, open: &OpenRequest, ranked: &Ranked) -> Option<ServerId> {
+    /// Fills come from the first hashed parent that takes work, the second while that is clearly slower; from the
+    /// origin while none does, by no more requests than may have it asked, as it may be slow or stopped; else from a
+    /// parent that is ejected but was reached.
+    fn pick_source(
+        &self,
+        now: Micros,
+        open: &OpenRequest,
+        ranked: &RankedServers,
+    ) -> Option<ServerId> {
         if open.failed_fills >= MAX_FAILED_FILLS || self.link_is_full(now, open) {
             return None;
         }
-        let fits =
-            |id: &&ServerId| !open.excluded_sources.contains(id) && self.admits(**id, now, open);
-        let mut well = ranked
-            .parents
-            .iter()
-            .filter(fits)
-            .filter(|id| self.is_healthy(**id, now));
-        let (first, second) = (well.next(), well.next());
-        let pace = |id: Option<&ServerId>| {
-            self.endpoints
-                .get(id?)?
-                .fill_pace
-                .told(now, MIN_PACE_SAMPLES)
-        };
-        let slower = pace(first)
-            .zip(pace(second))
-            .is_some_and(|(a, b)| a.0 > SLOWER_PARENT_FACTOR * b.0);
+        let is_able =
+            |id: &ServerId| !open.excluded_sources.contains(id) && self.admits(*id, now, open);
+        let parents = ranked.parents.iter().copied().filter(is_able);
+        let mut healthy = parents.clone().filter(|id| self.is_healthy(*id, now));
+        let (first, second) = (healthy.next(), healthy.next());
         let origin = || {
-            ranked
-                .origin
-                .iter()
-                .find(|id| fits(id) && self.may_reach_origin(now, open))
+            let origin = ranked.origin.filter(is_able);
+            origin.filter(|_| self.may_reach_origin(now, open))
         };
-        let marked = || {
-            ranked
-                .parents
-                .iter()
-                .find(|id| fits(id) && self.endpoints.get(id).is_some_and(|s| !s.connect_failed))
+        let reached = |id: &ServerId| {
+            let server = self.endpoints.get(id);
+            server.is_some_and(|server| !server.connect_failed)
         };
         first
-            .filter(|_| !slower)
+            .filter(|_| !self.fills_slower(now, first, second))
             .or(second)
             .or_else(origin)
-            .or_else(marked)
-            .copied()
+            .or_else(|| parents.clone().find(reached))
     }
 
-    pub(super) fn rank(&self, part_key: u64) -> Ranked {
-        let order = |role: usize| {
-            let weight = |s: &Endpoint| {
-                if self.settings.weights_told {
-                    s.weight
-                } else {
-                    1.0
-                }
-            };
-            let placed = self.ready_by_role[role]
-                .iter()
-                .filter_map(|id| self.endpoints.get_key_value(id));
-            let mut order: Vec<_> = placed
-                .map(|(id, s)| (rendezvous_score(part_key, *id, weight(s)), *id))
-                .collect();
-            order.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-            order
-                .into_iter()
-                .map(|(_, id)| id)
-                .collect::<Vec<ServerId>>()
+    /// Whether the first parent's fills take clearly longer than the second's.
+    fn fills_slower(&self, now: Micros, first: Option<ServerId>, second: Option<ServerId>) -> bool {
+        let stretch = |id: Option<ServerId>| {
+            let pace = &self.endpoints.get(&id?)?.fill_pace;
+            Some(pace.recent(now, MIN_PACE_SAMPLES)?.stretch)
         };
-        Ranked {
-            caches: order(0),
-            parents: order(1),
-            origin: order(2).first().copied(),
+        match (stretch(first), stretch(second)) {
+            (Some(first), Some(second)) => first > SLOWER_PARENT_FACTOR * second,
+            _ => false,
         }
     }
 
@@ -157,53 +169,70 @@
         &self,
         now: Micros,
         open: &OpenRequest,
-        ranked: &Ranked,
+        ranked: &RankedServers,
     ) -> Option<Target> {
-        let scope = self.settings.classes[open.class].scope;
-        let same_group = |id: &ServerId| match (open.may_have_run, self.endpoints.get(id)) {
-            (Some((_, zone, _)), Some(s)) if scope == DedupScope::Zone => s.zone == zone,
-            (Some((.., cell)), Some(s)) if scope == DedupScope::Cell => s.cell == cell,
-            _ => true,
-        };
-        // There is one origin, so a mark on it leaves no other way: it is asked all the same.
+        // There is one origin, so its ejection leaves no other way: it is asked all the same.
         let origin = ranked.origin.filter(|_| self.origin_has_capacity(now))?;
-        if self.settings.direct && same_group(&origin) {
-            return Some((origin, None));
+        if self.settings.direct && self.deduplicates(open, origin) {
+            return Some(Target {
+                server: origin,
+                source: None,
+            });
         }
-        let fits = |id: &&ServerId| {
-            same_group(id) && self.is_healthy(**id, now) && self.admits(**id, now, open)
+        let is_able = |id: &&ServerId| {
+            self.deduplicates(open, **id)
+                && self.is_healthy(**id, now)
+                && self.admits(**id, now, open)
         };
-        Some((*ranked.caches.iter().find(fits)?, Some(origin)))
+        Some(Target {
+            server: *ranked.caches.iter().find(is_able)?,
+            source: Some(origin),
+        })
+    }
+
+    /// Whether a server would drop the repeat of a request that may have run.
+    fn deduplicates(&self, open: &OpenRequest, id: ServerId) -> bool {
+        let (Some(run), Some(server)) = (open.may_have_run, self.endpoints.get(&id)) else {
+            return true;
+        };
+        match self.settings.classes[open.class].scope {
+            DedupScope::All => true,
+            DedupScope::Zone => server.zone == run.zone,
+            DedupScope::Cell => server.cell == run.cell,
+        }
     }
 
-    /// No cache that is well would be in time. With none well, straight to the first hashed parent where that
-    /// is allowed; else the first in the order that would be in time, marked or not: when marks leave none,
-    /// they tell of overload rather than of single servers.
+    /// No healthy cache would be in time. With none healthy, straight to the first hashed parent where that is
+    /// allowed; else the first in the order that would be in time, ejected or not: when ejections leave none, they
+    /// tell of overload rather than of single servers.
     pub(super) fn pick_fallback(
         &self,
         now: Micros,
         open: &OpenRequest,
-        ranked: &Ranked,
+        ranked: &RankedServers,
     ) -> Option<Target> {
-        let free =
+        let is_free =
             |id: &&ServerId| !open.tried_servers.contains(id) && self.admits(**id, now, open);
-        let none_well = !ranked.caches.iter().any(|id| self.is_healthy(*id, now));
-        if none_well && self.settings.direct && !self.link_is_full(now, open) {
-            if let Some(parent) = ranked
-                .parents
-                .iter()
-                .filter(free)
-                .find(|id| self.is_healthy(**id, now))
-            {
-                return Some((*parent, ranked.origin));
+        let is_healthy = |id: &ServerId| self.is_healthy(*id, now);
+        let direct = self.settings.direct
+            && !ranked.caches.iter().any(is_healthy)
+            && !self.link_is_full(now, open);
+        if direct {
+            let mut parents = ranked.parents.iter().filter(is_free);
+            if let Some(parent) = parents.find(|id| is_healthy(id)) {
+                return Some(Target {
+                    server: *parent,
+                    source: ranked.origin,
+                });
             }
         }
-        let responds_in_time = |id: &&ServerId| {
-            self.endpoints.get(id).is_some_and(|s| !s.connect_failed)
+        let responds = |id: &&ServerId| {
+            let server = self.endpoints.get(id);
+            server.is_some_and(|server| !server.connect_failed)
                 && self.responds_in_time(**id, now, open)
         };
-        let chosen = *ranked.caches.iter().filter(free).find(responds_in_time)?;
-        let source = self.pick_source(now, open, ranked);
-        (source.is_some() || !open.known_miss).then_some((chosen, source))
+        let mut free = ranked.caches.iter().filter(is_free);
+        let server = *free.find(responds)?;
+        Self::target_with_fill(open, server, self.pick_source(now, open, ranked))
     }
 }
--- a/src/router/purges.rs
+++ b/src/router/purges.rs
@@ -1,7 +1,9 @@
-//! The router's purge state, as a whole: its size, and what other routers and earlier processes know.
+//! Purges: the latest one of each object and group, and the oldest copy that will do because of them.
 
+use super::state::OpenRequest;
 use super::Router;
-use linnetknot_purges::PurgeTable;
+use crate::interface::Micros;
+use linnetknot_purges::{KeyHash, PurgeTable};
 
 impl Router {
     /// The purge state.
@@ -14,4 +16,22 @@
     pub fn purges_mut(&mut self) -> &mut PurgeTable {
         &mut self.purges
     }
+
+    /// Takes in a purge of an object, or with no object of a whole group.
+    pub(super) fn record_purge(&mut self, at: Micros, object: Option<&str>, group: u64) {
+        let key = object.map_or(KeyHash::of_group(group), KeyHash::of_object);
+        self.purges.record(key, at);
+    }
+
+    /// The oldest copy that will do; none: whatever the class allows.
+    pub(super) fn max_age_us(&self, now: Micros, open: &OpenRequest) -> Option<Micros> {
+        let keys = [KeyHash::from(open.object), KeyHash::of_group(open.group)];
+        let purged = keys.into_iter().filter_map(|key| self.purges.latest(key));
+        let purged_at = purged.max()?;
+        let fresh_us = match self.settings.classes[open.class].fresh_us {
+            0 => Micros::MAX,
+            us => us,
+        };
+        Some(now.saturating_sub(purged_at).clamp(1, fresh_us))
+    }
 }
--- a/src/router/requests.rs
+++ b/src/router/requests.rs
@@ -3,63 +3,74 @@
 use super::state::OpenRequest;
 use super::Router;
 use crate::hashing::share_of;
-use crate::interface::{Action, Micros, Request};
+use crate::interface::{Action, Micros, Request, RequestId};
 use linnetknot_purges::hashing::mix;
 use linnetknot_purges::KeyHash;
 use std::collections::btree_map;
 
 impl Router {
-    pub(super) fn request(&mut self, now: Micros, r: Request, actions: &mut Vec<Action>) {
-        let Some(class) = self.settings.classes.iter().position(|c| c.name == r.class) else {
+    /// Takes a request in and sends its first attempt. An id that is open already changes nothing.
+    pub(super) fn request(&mut self, now: Micros, request: &Request, actions: &mut Vec<Action>) {
+        let classes = &self.settings.classes;
+        let Some(class) = classes.iter().position(|c| c.name == request.class) else {
             // Nothing is known of what it may do: it was not tried, so it may be refused.
             actions.push(Action::Refuse {
-                request: r.id,
+                request: request.id,
                 retry_after_us: None,
             });
             return;
         };
-        let object = KeyHash::of_object(&r.object).value();
-        let part_key = mix(object.wrapping_add(r.part.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
-        let size_known = self.settings.flow_kb_per_s > 0.0 && r.size_kb > 0.0;
+        let open = self.open_request(now, class, request);
+        if let btree_map::Entry::Vacant(entry) = self.requests.entry(request.id) {
+            entry.insert(open);
+            self.route(now, request.id, actions);
+        }
+    }
+
+    /// Counts a request, and learns from its size.
+    fn open_request(&mut self, now: Micros, class: usize, request: &Request) -> OpenRequest {
+        let object = KeyHash::of_object(&request.object).value();
+        let part = request.part.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let part_key = mix(object.wrapping_add(part));
+        let size_known = self.settings.flow_kb_per_s > 0.0 && request.size_kb > 0.0;
         let transfer_s = if size_known {
-            r.size_kb / self.settings.flow_kb_per_s
+            request.size_kb / self.settings.flow_kb_per_s
         } else {
-            self.usual_transfer_s[class].0
+            self.class_statistics[class].transfer_s
         };
+        let settings = &self.settings.classes[class];
         // What could never be sent in time is no usual size: a client may claim any.
-        if size_known && transfer_s * 1e6 <= self.settings.classes[class].deadline_us as f64 {
-            self.learn_transfer(class, transfer_s);
+        if size_known && transfer_s * 1e6 <= settings.deadline_us as f64 {
+            self.class_statistics[class].learn_transfer(transfer_s);
         }
-        let c = &self.settings.classes[class];
-        let objective_at = now + c.aim_us + (c.aim_stretch * transfer_s * 1e6) as Micros;
-        let write = c.write;
-        let object_count = if write {
-            0.0
-        } else {
-            self.object_counts.add(object, now)
-        };
-        let part_count = if write {
-            0.0
+        let stretch_us = (settings.aim_stretch * transfer_s * 1e6) as Micros;
+        let (object_count, part_count) = if settings.write {
+            (0.0, 0.0)
         } else {
-            self.part_counts.add(part_key, now)
+            let object_count = self.object_counts.add(object, now);
+            (object_count, self.part_counts.add(part_key, now))
         };
-        let open = OpenRequest {
+        OpenRequest {
             class,
             part_key,
             object,
-            group: r.group,
+            group: request.group,
             transfer_s,
             size_known,
             object_count,
             part_count,
-            objective_at,
-            deadline: now + r.remaining_us,
-            draw: share_of(mix(self.seed ^ mix(r.id))),
+            objective_at: now + settings.aim_us + stretch_us,
+            deadline: now + request.remaining_us,
+            draw: share_of(mix(self.seed ^ mix(request.id))),
             ..OpenRequest::default()
-        };
-        if let btree_map::Entry::Vacant(place) = self.requests.entry(r.id) {
-            place.insert(open);
-            self.route(now, r.id, actions);
+        }
+    }
+
+    /// A streamed answer has begun: from now on it belongs to the client.
+    pub(super) fn streaming_began(&mut self, id: RequestId, attempt: u32) {
+        if let Some(open) = self.requests.get_mut(&id) {
+            let in_flight = open.in_flight.as_ref();
+            open.streaming |= in_flight.is_some_and(|a| a.number == attempt);
         }
     }
 }
--- a/src/router/slow_start.rs
+++ b/src/router/slow_start.rs
@@ -1,4 +1,4 @@
-//! The rule on servers that have just started: each gets no more than it can bear while it warms up, from all routers
+//! Slow start: a server that has just started gets no more than it can bear while it warms up, from all routers
 //! together.
 
 use super::state::{Endpoint, Role};
@@ -8,104 +8,123 @@
 use crate::ramp::{Ramp, GOLDEN};
 use linnetknot_purges::hashing::mix;
 
-/// Used share of a cold server's budget: the rest is slack for chance.
+/// Used share of a warming server's budget: the rest is slack for chance.
 const SLOW_START_UTILISATION: f64 = 0.55;
 
+/// What a server may be sent within the rule's window while it warms up, in seconds of transfer.
+pub(super) struct SlowStartBudget {
+    /// By all routers together.
+    limit_s: f64,
+    /// What was sent from here.
+    spent_s: f64,
+}
+
 impl Router {
-    /// Share of its capacity that a server is sure to have, in a line from its cold share.
-    fn ramp_of(&self, s: &Endpoint) -> Ramp {
-        let r = &self.settings.rules;
-        match s.role {
+    /// Share of its capacity that a server is sure to have, in a line from its share at the start.
+    fn ramp_of(&self, server: &Endpoint) -> Ramp {
+        let rules = &self.settings.rules;
+        match server.role {
             Role::Parent => Ramp {
-                share: r.parent_cold_share,
-                cold_us: r.parent_cold_us,
+                share: rules.parent_cold_share,
+                cold_us: rules.parent_cold_us,
             },
-            _ => Ramp {
-                share: r.cold_share,
-                cold_us: r.cold_us,
+            Role::Cache | Role::Origin => Ramp {
+                share: rules.cold_share,
+                cold_us: rules.cold_us,
             },
         }
     }
 
-    pub(super) fn warmth(&self, s: &Endpoint, at: Micros) -> f64 {
-        s.started.max(s.recovered_at).map_or(1.0, |started| {
-            self.ramp_of(s).at(at.saturating_sub(started))
+    /// Share of its capacity that a server has at a time; 1: it is warm.
+    pub(super) fn warmth(&self, server: &Endpoint, at: Micros) -> f64 {
+        server.warming_since().map_or(1.0, |since| {
+            self.ramp_of(server).at(at.saturating_sub(since))
         })
     }
 
-    /// The greatest share of what a cold cache, or parent, bears that was sent from here; none: none is cold.
+    /// The greatest share of what a warming cache, or parent, bears that was sent from here; none: none warms up.
     pub fn cold_use(&self, now: Micros, parents: bool) -> Option<f64> {
-        let cold = self
-            .endpoints
-            .values()
-            .filter(|s| (s.role == Role::Parent) == parents);
-        cold.filter_map(|s| self.slow_start_budget(s, now))
-            .map(|(bears, spent)| spent / bears)
+        let servers = self.endpoints.values();
+        servers
+            .filter(|server| (server.role == Role::Parent) == parents)
+            .filter_map(|server| self.slow_start_budget(server, now))
+            .map(|budget| budget.spent_s / budget.limit_s)
             .reduce(f64::max)
     }
 
-    /// What a cold server bears within the rule's window, and what was sent from here; none: it is warm.
-    pub(super) fn slow_start_budget(&self, s: &Endpoint, now: Micros) -> Option<(f64, f64)> {
-        let r = &self.settings.rules;
+    /// What a server may be sent within the rule's window; none: it is warm.
+    fn slow_start_budget(&self, server: &Endpoint, now: Micros) -> Option<SlowStartBudget> {
+        let rules = &self.settings.rules;
+        let window_us = rules.fall_us;
         // What it can do in the window's mean: by the time this is judged it can do more.
-        let warmth = self.warmth(s, now.saturating_sub(r.fall_us / 2));
-        if warmth >= 1.0 || s.role == Role::Origin || s.state != State::Ready {
+        let warmth = self.warmth(server, now.saturating_sub(window_us / 2));
+        if warmth >= 1.0 || server.role == Role::Origin || server.state != State::Ready {
             return None;
         }
-        let multiple = if s.role == Role::Parent {
-            r.parent_fall_multiple
-        } else {
-            r.fall_multiple
+        let overload = match server.role {
+            Role::Parent => rules.parent_fall_multiple,
+            Role::Cache | Role::Origin => rules.fall_multiple,
         };
-        let bears = SLOW_START_UTILISATION
-            * multiple
-            * warmth
-            * self.capacity(s)
-            * (r.fall_us as f64 / 1e6);
-        let spent = s
-            .slow_start_charges
-            .iter()
-            .filter(|c| c.0 + r.fall_us >= now)
-            .map(|c| c.1)
-            .sum();
-        Some((bears, spent))
+        let capacity = self.capacity(server);
+        let window_s = window_us as f64 / 1e6;
+        let recent = server.slow_start_charges.iter();
+        Some(SlowStartBudget {
+            limit_s: SLOW_START_UTILISATION * overload * warmth * capacity * window_s,
+            spent_s: recent
+                .filter(|charge| charge.at + window_us >= now)
+                .map(|charge| charge.transfer_s)
+                .sum(),
+        })
     }
 
-    /// Rule on cold servers: this router's share of the budget, retries and fills charged with the rest.
+    /// Whether a server that warms up may be sent a request: this router's share of its budget, retries and fills
+    /// charged with the rest.
+    ///
+    /// A share below one request is spent by turns, each of the largest class's usual transfer.
     pub(super) fn admits_in_slow_start(
         &self,
         id: ServerId,
-        s: &Endpoint,
+        server: &Endpoint,
         now: Micros,
         transfer_s: f64,
     ) -> bool {
-        let Some((bears, spent)) = self.slow_start_budget(s, now) else {
+        let Some(budget) = self.slow_start_budget(server, now) else {
             return true;
         };
+        let own_limit_s = budget.limit_s * self.slow_start_share(server, now);
+        let transfers = self.class_statistics.iter().map(|class| class.transfer_s);
+        let turn_s = transfers.fold(0.0, f64::max);
+        let is_turn =
+            own_limit_s < turn_s && self.is_own_turn(id, server, now, own_limit_s / turn_s);
+        budget.spent_s + transfer_s <= if is_turn { turn_s } else { own_limit_s }
+    }
+
+    /// This router's share of a warming server's budget.
+    fn slow_start_share(&self, server: &Endpoint, now: Micros) -> f64 {
         let zones = &self.settings.zones;
-        let share = match s.role {
+        match server.role {
             Role::Parent => {
-                self.budget_share(Budget::Parents, zones.iter().map(|z| z.routers).sum(), now)
+                let routers = zones.iter().map(|zone| zone.routers).sum();
+                self.budget_share(Budget::Parents, routers, now)
             }
-            _ => self.budget_share(Budget::Caches, zones[self.settings.zone].routers, now),
+            Role::Cache | Role::Origin => {
+                let routers = zones[self.settings.zone].routers;
+                self.budget_share(Budget::Caches, routers, now)
+            }
+        }
+    }
+
+    /// Whether it is this router's turn at a server, of which it has so many in a window. A router that starts again,
+    /// and has forgotten what it sent, finds its turns where they were, by its number.
+    fn is_own_turn(&self, id: ServerId, server: &Endpoint, now: Micros, turns: f64) -> bool {
+        let since = server.warming_since().unwrap_or(0);
+        let number = match self.settings.rank {
+            None => share_of(mix(self.seed)),
+            Some(rank) => GOLDEN * f64::from(rank),
         };
-        // A share below one request is spent by turns, each of the largest class's usual work. A router
-        // that starts again, and has forgotten what it sent, finds them where they were, by its number.
-        let (budget, turn_s) = (
-            bears * share,
-            self.usual_transfer_s
-                .iter()
-                .map(|u| u.0)
-                .fold(0.0, f64::max),
-        );
-        let since = s.started.max(s.recovered_at).unwrap_or(0);
-        let number = self
-            .settings
-            .rank
-            .map_or(share_of(mix(self.seed)), |rank| GOLDEN * f64::from(rank));
-        let own = share_of(mix(id ^ mix(since))) + number;
-        let (age, window) = (now.saturating_sub(since), self.settings.rules.fall_us);
-        let turn = budget < turn_s && self.ramp_of(s).is_turn(age, budget / turn_s, window, own);
-        spent + transfer_s <= if turn { turn_s } else { budget }
+        let phase = share_of(mix(id ^ mix(since))) + number;
+        let age = now.saturating_sub(since);
+        let window_us = self.settings.rules.fall_us;
+        self.ramp_of(server).is_turn(age, turns, window_us, phase)
     }
 }
--- a/src/router/timers.rs
+++ b/src/router/timers.rs
@@ -1,90 +1,111 @@
-//! What is done at each tick: averages move on, and attempts that are overdue or stuck are called off.
+//! What is done at each tick: averages move on, silent servers are ejected, and attempts that are overdue or stuck are
+//! cancelled.
 
-use super::state::{Attempt, OpenRequest};
-use super::statistics::ROUND_TRIP_S;
+use super::state::{Endpoint, OpenRequest};
 use super::Router;
 use crate::interface::{Action, Micros, Repeat, ServerId};
 use std::collections::BTreeMap;
 
 /// How often overdue attempts are looked for.
-pub(super) const TICK_US: Micros = 50_000;
-/// So many overdue and no answer since the first was sent: silent.
-const MIN_OVERDUE: usize = 2;
-/// Own transfers are averaged over so many seconds to guess the other routers'.
-const AVERAGING_S: f64 = 3.0;
+const TICK_US: Micros = 50_000;
 /// Tag of the recurring timer.
 pub(super) const TICK_TAG: u64 = 0;
+/// Own transfers are averaged over so many seconds to estimate the other routers'.
+const AVERAGING_S: f64 = 3.0;
+/// A server with so many overdue attempts and no answer since the first was sent is silent.
+const MIN_OVERDUE: usize = 2;
+
+/// Overdue attempts of one server.
+struct Overdue {
+    attempts: usize,
+    first_sent_at: Micros,
+}
 
 impl Router {
-    /// Silence: a server that hangs shows only in what does not come back. All that is overdue there is
-    /// called off and goes elsewhere.
-    pub(super) fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    /// Asks for the next tick.
+    pub(super) fn schedule_tick(now: Micros, actions: &mut Vec<Action>) {
         actions.push(Action::Timer {
             at: now + TICK_US,
             tag: TICK_TAG,
         });
+    }
+
+    /// A tick: a server that hangs shows only in what does not come back. All that is overdue there is cancelled and
+    /// goes elsewhere.
+    pub(super) fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        Self::schedule_tick(now, actions);
         self.purges.compact(now, self.settings.rules.purge_done_us);
-        let step = TICK_US as f64 / 1e6 / AVERAGING_S;
-        for s in self.endpoints.values_mut() {
-            s.mean_in_flight += step * (s.in_flight as f64 - s.mean_in_flight);
-            s.slow_start_charges
-                .retain(|c| c.0 + self.settings.rules.fall_us >= now);
-        }
-        let under_way = |o: &&OpenRequest| {
-            let since = |a: &Attempt| now.saturating_sub(a.sent_at) as f64 / 1e6;
-            // What is stuck is lost rather than filled.
-            let fills =
-                |a: &Attempt| since(a) > 1.5 * o.transfer_s + ROUND_TRIP_S && now <= a.stuck_after;
-            o.in_flight
-                .as_ref()
-                .is_some_and(|a| fills(a) && self.is_healthy(a.server, now))
-        };
-        self.active_fills = self.requests.values().filter(under_way).count() as f64;
-        self.mean_active_fills += step * (self.active_fills - self.mean_active_fills);
-        let mut overdue: BTreeMap<ServerId, (usize, Micros)> = BTreeMap::new();
-        for a in self
-            .requests
-            .values()
-            .filter_map(|o| o.in_flight.as_ref())
-            .filter(|a| a.overdue_at < now)
-        {
-            for id in [Some(a.server), a.source].into_iter().flatten() {
-                let entry = overdue.entry(id).or_insert((0, a.sent_at));
-                *entry = (entry.0 + 1, entry.1.min(a.sent_at));
-            }
-        }
-        for (id, (count, since)) in overdue {
-            let Some(s) = self.endpoints.get_mut(&id) else {
+        self.update_averages(now, TICK_US as f64 / 1e6 / AVERAGING_S);
+        self.eject_silent(now);
+        self.cancel_hopeless(now, actions);
+    }
+
+    /// Ejects servers and sources that leave several attempts, or their trial, without an answer.
+    fn eject_silent(&mut self, now: Micros) {
+        for (id, overdue) in self.overdue_by_server(now) {
+            let Some(server) = self.endpoints.get_mut(&id) else {
                 continue;
             };
-            if (count >= MIN_OVERDUE || s.trial_in_flight) && s.last_success < since {
-                Self::eject(s, now);
+            let enough = overdue.attempts >= MIN_OVERDUE || server.trial_in_flight;
+            if enough && server.last_success < overdue.first_sent_at {
+                server.eject(now);
             }
         }
-        for (id, o) in &mut self.requests {
-            let safe = self.settings.classes[o.class].repeat == Repeat::Safe && !o.streaming;
-            let Some(a) = o
-                .in_flight
-                .as_mut()
-                .filter(|a| self.settings.cancel && safe && !a.cancelled)
-            else {
+    }
+
+    fn overdue_by_server(&self, now: Micros) -> BTreeMap<ServerId, Overdue> {
+        let mut by_server = BTreeMap::new();
+        let attempts = self.requests.values().filter_map(|o| o.in_flight.as_ref());
+        for attempt in attempts.filter(|attempt| attempt.overdue_at < now) {
+            for id in [Some(attempt.server), attempt.source].into_iter().flatten() {
+                let overdue = by_server.entry(id).or_insert(Overdue {
+                    attempts: 0,
+                    first_sent_at: attempt.sent_at,
+                });
+                overdue.attempts += 1;
+                overdue.first_sent_at = overdue.first_sent_at.min(attempt.sent_at);
+            }
+        }
+        by_server
+    }
+
+    /// Cancels attempts that may be repeated and hang at a silent server, or are stuck.
+    fn cancel_hopeless(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        if !self.settings.cancel {
+            return;
+        }
+        for (id, open) in &mut self.requests {
+            let repeat = self.settings.classes[open.class].repeat;
+            if repeat != Repeat::Safe || open.streaming {
                 continue;
-            };
-            let silent = |id: &ServerId| {
-                self.endpoints
-                    .get(id)
-                    .is_some_and(|s| now < s.ejected_until && s.last_success < a.sent_at)
-            };
-            let hangs =
-                a.overdue_at < now && (silent(&a.server) || a.source.as_ref().is_some_and(silent));
-            if hangs || now > a.stuck_after {
-                a.stuck = !hangs;
-                a.cancelled = true;
+            }
+            if let Some(attempt) = Self::cancel_if_hopeless(now, open, &self.endpoints) {
                 actions.push(Action::Cancel {
                     request: *id,
-                    attempt: a.number,
+                    attempt,
                 });
             }
         }
     }
+
+    /// Marks a request's attempt as cancelled if it hangs or is stuck, and gives its number.
+    fn cancel_if_hopeless(
+        now: Micros,
+        open: &mut OpenRequest,
+        endpoints: &BTreeMap<ServerId, Endpoint>,
+    ) -> Option<u32> {
+        let attempt = open.in_flight.as_mut().filter(|a| !a.cancelled)?;
+        let is_silent = |id: ServerId| {
+            let server = endpoints.get(&id);
+            server.is_some_and(|s| now < s.ejected_until && s.last_success < attempt.sent_at)
+        };
+        let silent = is_silent(attempt.server) || attempt.source.is_some_and(is_silent);
+        let hangs = attempt.overdue_at < now && silent;
+        if !hangs && now <= attempt.stuck_after {
+            return None;
+        }
+        attempt.stuck = !hangs;
+        attempt.cancelled = true;
+        Some(attempt.number)
+    }
 }
