--- a/tests/decision_trace/main.rs
+++ b/tests/decision_trace/main.rs
@@ -42,6 +42,14 @@
     calm_us: 20 * S,
     objects: 100,
 };
+/// Fills so far apart that one or two of them tell of the link.
+const IDLE_LINK: Tempo = Tempo {
+    seconds: 600,
+    checkpoint_seconds: 50,
+    gap_us: 500 * MS,
+    calm_us: 600 * MS,
+    objects: 20_000,
+};
 /// Few objects, so that some are asked for often enough to have several copies.
 const HOT: Tempo = Tempo {
     objects: 12,
@@ -237,8 +245,12 @@
 fn every_decision_of_a_slow_a_sparse_and_a_hot_fleet_is_the_one_on_record() {
     let slow = RandomFleet::new("slow", settings(), SLOW, 4).run();
     let sparse = RandomFleet::new("sparse", linked(2, 0.0), SPARSE, 5).run();
+    let idle_link = RandomFleet::new("idle-link", linked(3, 0.0), IDLE_LINK, 7).run();
     let hot = RandomFleet::new("hot", linked(1, 500_000.0), HOT, 6).run();
-    compare("slow-sparse-and-hot.txt", &(slow + &sparse + &hot));
+    compare(
+        "slow-sparse-and-hot.txt",
+        &(slow + &sparse + &idle_link + &hot),
+    );
 }
 
 /// More purges than are held exactly, with requests between: what is asked of copies tells which ones still are.
@@ -246,7 +258,7 @@
 fn every_decision_amid_many_purges_is_the_one_on_record() {
     let mut rig = Rig::new(settings(), fleet());
     let mut trace = Trace::new("purges".into());
-    for number in 0..20_000 {
+    for number in 0..40_000 {
         rig.now += MS / 10;
         rig.handle(Event::Purged {
             object: Some(format!("/o/{number}")),
@@ -264,7 +276,7 @@
                 rig.end_with(request, 0, sent.server, Outcome::Ok, Note::Hit);
             }
         }
-        if number % 2_000 == 1_999 {
+        if number % 4_000 == 3_999 {
             trace.checkpoint((rig.now - T0) / S);
         }
     }
