--- a/src/checks.rs
+++ b/src/interface/validation.rs
@@ -1,6 +1,6 @@
-//! Whether settings can be used. No decisions.
+//! Whether settings can be used.
 
-use crate::interface::Settings;
+use super::Settings;
 use std::fmt;
 
 /// Why settings can't be used.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -60,14 +60,12 @@
 //! # Ok::<(), SettingsError>(())
 //! ```
 
-mod checks;
 mod hashing;
 pub mod interface;
 mod ramp;
 mod router;
 mod statistics;
 
-pub use checks::SettingsError;
 pub use interface::*;
 pub use linnetknot_purges as purges;
 pub use router::Router;
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -22,8 +22,9 @@
 mod statistics;
 mod timers;
 
-use crate::checks::SettingsError;
-use crate::interface::{Action, Budget, Event, Lease, Micros, RequestId, ServerId, Settings};
+use crate::interface::{
+    Action, Budget, Event, Lease, Micros, RequestId, ServerId, Settings, SettingsError,
+};
 use crate::statistics::{Pace, RequestCounts};
 use endpoints::WATCH_TAG;
 use linnetknot_purges::hashing::mix;
--- a/src/router/reload.rs
+++ b/src/router/reload.rs
@@ -8,8 +8,7 @@
 
 use super::statistics::ClassStatistics;
 use super::Router;
-use crate::checks::SettingsError;
-use crate::interface::Settings;
+use crate::interface::{Settings, SettingsError};
 use std::collections::BTreeMap;
 
 /// What a retained class's name begins with; names on the wire are printable, so none begins so.
