--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -138,21 +138,21 @@
         zone,
         parent_kind: kind(family, kinds, "mid-kind")?,
         origin_kind: kind(family, kinds, "source-kind")?.unwrap_or_default(),
-        ask_for_list: text_or(m, "discovery", "push")? == "ask",
+        polls_list: text_or(m, "discovery", "push")? == "ask",
         direct: flag(family, "may-pass-by")?,
-        joins: flag(family, "can-join")?,
+        joins_fills: flag(family, "can-join")?,
         siblings: siblings(family)?,
-        tells: tells(family)?,
+        answer_detail: tells(family)?,
         reports: reports(telemetry)?,
-        weights_told: matches!(text_or(m, "weights", "off")?.as_str(), "nominal" | "rough"),
+        weights_known: matches!(text_or(m, "weights", "off")?.as_str(), "nominal" | "rough"),
         flow_kb_per_s: num_or(family, "one-flow-kb-per-s", 0.0)?,
         max_attempts: int_or(limits, "try-limit", 1)?.min(MAX_ATTEMPTS) as u32,
-        second_copies: flag(limits, "second-copies")?,
+        hedged_requests: flag(limits, "second-copies")?,
         cancel: flag(limits, "cancel")?,
         probes: flag(limits, "probing")?,
         retry_after: flag(limits, "retry-after")?,
         max_retry_after_us: int_or(limits, "max-retry-after-us", 0)?,
-        origin_fall_multiple: num_or(family, "origin-fall-multiple", 0.0)?,
+        origin_overload_multiple: num_or(family, "origin-fall-multiple", 0.0)?,
         rules: rules(rule_fields, family)?,
     })
 }
@@ -187,11 +187,11 @@
 fn class(c: &Fields, family: &Fields, i: usize) -> Result<w::Class> {
     Ok(w::Class {
         name: text(c, "name")?,
-        aim_us: int(c, "aim-us")?,
-        aim_stretch: num_or(c, "aim-stretch", 0.0)?,
+        objective_us: int(c, "aim-us")?,
+        objective_stretch: num_or(c, "aim-stretch", 0.0)?,
         deadline_us: int(c, "deadline-us")?,
-        worth: num_or(c, "worth", 1.0)?,
-        late_worth: num_or(c, "late-worth", 0.0)?,
+        priority_weight: num_or(c, "worth", 1.0)?,
+        late_weight: num_or(c, "late-worth", 0.0)?,
         repeat: match text_or(c, "repeat", "side_effect")?.as_str() {
             "pure" => w::Repeat::Safe,
             "token" => w::Repeat::Keyed,
@@ -208,7 +208,7 @@
         write: at(family, "never-kept", i, Value::as_bool)?.unwrap_or(false),
         fresh_us: at(family, "good-for-us", i, as_int)?.unwrap_or(0),
         grace_us: at(family, "usable-after-us", i, as_int)?.unwrap_or(0),
-        stale_worth: at(family, "old-copy-worth", i, Value::as_f64)?.unwrap_or(0.0),
+        stale_weight: at(family, "old-copy-worth", i, Value::as_f64)?.unwrap_or(0.0),
     })
 }
 
@@ -278,13 +278,13 @@
 fn rules(rules: &Fields, family: &Fields) -> Result<w::Rules> {
     Ok(w::Rules {
         drain_grace_us: int_or(rules, "drain-grace-us", 0)?,
-        cold_share: num_or(rules, "cold-share", 1.0)?,
-        cold_us: int_or(rules, "ramp-time-us", 0)?,
-        fall_multiple: num_or(rules, "fall-multiple", 1.0)?,
+        slow_start_share: num_or(rules, "cold-share", 1.0)?,
+        slow_start_us: int_or(rules, "ramp-time-us", 0)?,
+        overload_multiple: num_or(rules, "fall-multiple", 1.0)?,
         fall_us: int_or(rules, "tip-after-us", 1)?,
-        parent_cold_share: num_or(family, "parent-cold-from", 1.0)?,
-        parent_cold_us: int_or(family, "upper-cold-us", 0)?,
-        parent_fall_multiple: num_or(family, "upper-fall-multiple", 1.0)?,
+        parent_slow_start_share: num_or(family, "parent-cold-from", 1.0)?,
+        parent_slow_start_us: int_or(family, "upper-cold-us", 0)?,
+        parent_overload_multiple: num_or(family, "upper-fall-multiple", 1.0)?,
         purge_grace_us: int_or(family, "purge-slack-us", 0)?,
         purge_done_us: int_or(family, "purge-takes-us", 0)?,
         ask_within_us: int_or(rules, "ask-within-us", 0)?,
--- a/src/interface/servers.rs
+++ b/src/interface/servers.rs
@@ -25,7 +25,7 @@
     pub cell: u64,
     /// Its kind.
     pub kind: String,
-    /// Its size; see `Settings::weights_told`.
+    /// Its size; see `Settings::weights_known`.
     pub weight: f64,
     /// Where it is in its life.
     pub state: State,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -30,15 +30,15 @@
     /// Its name, as requests carry it.
     pub name: String,
     /// An answer within this time earns the full worth.
-    pub aim_us: Micros,
+    pub objective_us: Micros,
     /// The aim grows by this many times the request's own sending time.
-    pub aim_stretch: f64,
+    pub objective_stretch: f64,
     /// When clients give up at the latest.
     pub deadline_us: Micros,
     /// Worth of one request.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth that a late answer earns.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// How often it may take effect.
     pub repeat: Repeat,
     /// For keyed classes: who drops repeats.
@@ -56,7 +56,7 @@
     /// How long past that it may still be served.
     pub grace_us: Micros,
     /// Share of the worth that an answer past its fresh time earns.
-    pub stale_worth: f64,
+    pub stale_weight: f64,
 }
 
 /// A tenant and its share.
@@ -120,19 +120,19 @@
     /// A server that drains or is gone gets nothing new later than this after word of it.
     pub drain_grace_us: Micros,
     /// A just-started cache has this share of its capacity, or more.
-    pub cold_share: f64,
+    pub slow_start_share: f64,
     /// It is warm after this long at most.
-    pub cold_us: Micros,
+    pub slow_start_us: Micros,
     /// Sent more than this multiple of its present capacity for `fall_us`, it falls over.
-    pub fall_multiple: f64,
-    /// See `fall_multiple`; also holds for parents.
+    pub overload_multiple: f64,
+    /// See `overload_multiple`; also holds for parents.
     pub fall_us: Micros,
-    /// As `cold_share`, for parents.
-    pub parent_cold_share: f64,
-    /// As `cold_us`, for parents.
-    pub parent_cold_us: Micros,
-    /// As `fall_multiple`, for parents.
-    pub parent_fall_multiple: f64,
+    /// As `slow_start_share`, for parents.
+    pub parent_slow_start_share: f64,
+    /// As `slow_start_us`, for parents.
+    pub parent_slow_start_us: Micros,
+    /// As `overload_multiple`, for parents.
+    pub parent_overload_multiple: f64,
     /// A purge must be kept from this long after word of it.
     pub purge_grace_us: Micros,
     /// After this long, the servers have dropped older copies by themselves.
@@ -159,25 +159,25 @@
     /// The kind of server that is the origin.
     pub origin_kind: String,
     /// The list of servers must be asked for; else it is pushed.
-    pub ask_for_list: bool,
+    pub polls_list: bool,
     /// Parents and the origin take requests too.
     pub direct: bool,
     /// A request may wait for a fill that is under way.
-    pub joins: bool,
+    pub joins_fills: bool,
     /// Which caches may fill others.
     pub siblings: Siblings,
     /// What answers tell.
-    pub tells: Tells,
+    pub answer_detail: Tells,
     /// Where load reports come from.
     pub reports: Reports,
     /// Weights in the list are link sizes in transfers at full pace.
-    pub weights_told: bool,
+    pub weights_known: bool,
     /// Pace of one transfer to a client at most, KB a second; 0: not told.
     pub flow_kb_per_s: f64,
     /// Most attempts for a request.
     pub max_attempts: u32,
     /// Two attempts of a request may be out together.
-    pub second_copies: bool,
+    pub hedged_requests: bool,
     /// Attempts may be cancelled.
     pub cancel: bool,
     /// Servers may be probed.
@@ -187,7 +187,7 @@
     /// The longest such advice that clients follow.
     pub max_retry_after_us: Micros,
     /// The origin stops for a while when asked for this multiple of what it can do; 0: it does not.
-    pub origin_fall_multiple: f64,
+    pub origin_overload_multiple: f64,
     /// The rules' figures.
     pub rules: Rules,
 }
--- a/src/interface/validation.rs
+++ b/src/interface/validation.rs
@@ -39,20 +39,26 @@
         let r = &self.rules;
         let mut sound = vec![
             ("flow", self.flow_kb_per_s),
-            ("origin fall multiple", self.origin_fall_multiple),
-            ("cold share", r.cold_share),
-            ("parent cold share", r.parent_cold_share),
+            ("origin fall multiple", self.origin_overload_multiple),
+            ("cold share", r.slow_start_share),
+            ("parent cold share", r.parent_slow_start_share),
         ];
         let mut positive = vec![
             ("attempts", f64::from(self.max_attempts)),
-            ("fall multiple", r.fall_multiple),
+            ("fall multiple", r.overload_multiple),
             ("fall time", r.fall_us as f64),
-            ("parent fall multiple", r.parent_fall_multiple),
+            ("parent fall multiple", r.parent_overload_multiple),
         ];
         for c in &self.classes {
             positive.push(("deadline", c.deadline_us as f64));
-            sound.extend([("aim stretch", c.aim_stretch), ("worth", c.worth)]);
-            sound.extend([("late worth", c.late_worth), ("stale worth", c.stale_worth)]);
+            sound.extend([
+                ("aim stretch", c.objective_stretch),
+                ("worth", c.priority_weight),
+            ]);
+            sound.extend([
+                ("late worth", c.late_weight),
+                ("stale worth", c.stale_weight),
+            ]);
         }
         sound.extend(self.zones.iter().map(|z| ("zone link", z.link_kb_per_s)));
         let bad_sound = sound.iter().find(|(_, x)| !x.is_finite() || *x < 0.0);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,21 +8,21 @@
 //! use linnetknot::*;
 //!
 //! let class = Class {
-//!     name: "video".into(), aim_us: 500_000, aim_stretch: 1.5, deadline_us: 5_000_000, worth: 2.0,
-//!     late_worth: 0.1, repeat: Repeat::Safe, scope: DedupScope::All, window_us: 0, streaming: false,
-//!     parts: true, write: false, fresh_us: 0, grace_us: 0, stale_worth: 0.0,
+//!     name: "video".into(), objective_us: 500_000, objective_stretch: 1.5, deadline_us: 5_000_000, priority_weight: 2.0,
+//!     late_weight: 0.1, repeat: Repeat::Safe, scope: DedupScope::All, window_us: 0, streaming: false,
+//!     parts: true, write: false, fresh_us: 0, grace_us: 0, stale_weight: 0.0,
 //! };
 //! let zone = |name: &str, routers, hub| Zone { name: name.into(), routers, hub, link_kb_per_s: 0.0 };
 //! let mut settings = Settings {
 //!     classes: vec![class], tenants: vec![], zones: vec![zone("hub", 0, 0), zone("town", 1, 0)], zone: 1,
 //!     rank: Some(0),
-//!     parent_kind: None, origin_kind: "origin".into(), ask_for_list: false, direct: false, joins: true,
-//!     siblings: Siblings::Off, tells: Tells::All, reports: Reports::Off, weights_told: true,
-//!     flow_kb_per_s: 4_000.0, max_attempts: 4, second_copies: false, cancel: true, probes: false,
-//!     retry_after: true, max_retry_after_us: 1_000_000, origin_fall_multiple: 0.0,
+//!     parent_kind: None, origin_kind: "origin".into(), polls_list: false, direct: false, joins_fills: true,
+//!     siblings: Siblings::Off, answer_detail: Tells::All, reports: Reports::Off, weights_known: true,
+//!     flow_kb_per_s: 4_000.0, max_attempts: 4, hedged_requests: false, cancel: true, probes: false,
+//!     retry_after: true, max_retry_after_us: 1_000_000, origin_overload_multiple: 0.0,
 //!     rules: Rules {
-//!         drain_grace_us: 1_000_000, cold_share: 0.2, cold_us: 10_000_000, fall_multiple: 3.0,
-//!         fall_us: 1_000_000, parent_cold_share: 0.1, parent_cold_us: 10_000_000, parent_fall_multiple: 2.0,
+//!         drain_grace_us: 1_000_000, slow_start_share: 0.2, slow_start_us: 10_000_000, overload_multiple: 3.0,
+//!         fall_us: 1_000_000, parent_slow_start_share: 0.1, parent_slow_start_us: 10_000_000, parent_overload_multiple: 2.0,
 //!         purge_grace_us: 500_000, purge_done_us: 5_000_000, ask_within_us: 0,
 //!     },
 //! };
--- a/src/router/capacity.rs
+++ b/src/router/capacity.rs
@@ -83,7 +83,7 @@
 
     /// What a server's link fits at full pace, in transfers.
     pub(super) fn capacity(&self, server: &Endpoint) -> f64 {
-        if self.settings.weights_told {
+        if self.settings.weights_known {
             return server.weight;
         }
         // Not told. A location's link carries only the misses of its caches, so its part for one cache is less than
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -68,7 +68,7 @@
             source: target.source.unwrap_or(target.server),
             keep: if held_by_cache { rank } else { 0 },
             max_age_us: self.max_age_us(now, open),
-            join: held_by_cache && self.settings.joins && !class.write,
+            join: held_by_cache && self.settings.joins_fills && !class.write,
             only_held: !class.write && target.source.is_some() && !self.may_reach_origin(now, open),
             bypass_parent: false,
             renew: held_by_cache && class.fresh_us > 0 && retained,
--- a/src/router/faults.rs
+++ b/src/router/faults.rs
@@ -40,7 +40,7 @@
     /// Whose fault a failure would be. Where reasons are not told, it is shared by what has failed of each so far, and
     /// the healthy one is cleared by its other answers.
     pub(super) fn assign_fault(&self, end: &AttemptEnd) -> Fault {
-        let told = self.settings.tells == Tells::All
+        let told = self.settings.answer_detail == Tells::All
             || !matches!(end.outcome, Outcome::Full | Outcome::Error);
         match end.attempt.source.filter(|_| !told) {
             None if end.source_blamed() => Fault::Source,
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -107,7 +107,7 @@
         if !self.started {
             self.started = true;
             Self::schedule_tick(now, actions);
-            actions.extend(self.settings.ask_for_list.then_some(Action::Watch));
+            actions.extend(self.settings.polls_list.then_some(Action::Watch));
         }
         match event {
             Event::List { mode, servers } => self.update_endpoints(now, mode, servers, actions),
--- a/src/router/origin.rs
+++ b/src/router/origin.rs
@@ -95,7 +95,7 @@
 
     /// Learns how late the origin is from the end of an attempt.
     pub(super) fn learn_of_origin(&mut self, end: &AttemptEnd) {
-        let objective_us = self.settings.classes[end.class].aim_us.max(1) as f64;
+        let objective_us = self.settings.classes[end.class].objective_us.max(1) as f64;
         let admission = &mut self.origin_admission;
         if end.origin_unanswered {
             let lateness = end.took_us as f64 / objective_us;
--- a/src/router/outcomes.rs
+++ b/src/router/outcomes.rs
@@ -121,7 +121,7 @@
             server.is_some_and(|server| server.last_success > attempt.sent_at)
         };
         let slow = attempt.stuck && answered(server);
-        let objective_us = self.settings.classes[open.class].aim_us;
+        let objective_us = self.settings.classes[open.class].objective_us;
         let unanswered = matches!(report.outcome, Outcome::Timeout | Outcome::Cancelled)
             && report.took_us > objective_us.max(1);
         let both_healthy =
--- a/src/router/placement.rs
+++ b/src/router/placement.rs
@@ -40,7 +40,7 @@
 
     fn rank_role(&self, role: Role, part_key: u64) -> Vec<ServerId> {
         let weight = |server: &Endpoint| {
-            if self.settings.weights_told {
+            if self.settings.weights_known {
                 server.weight
             } else {
                 1.0
--- a/src/router/requests.rs
+++ b/src/router/requests.rs
@@ -43,7 +43,7 @@
         if size_known && transfer_s * 1e6 <= settings.deadline_us as f64 {
             self.class_statistics[class].learn_transfer(transfer_s);
         }
-        let stretch_us = (settings.aim_stretch * transfer_s * 1e6) as Micros;
+        let stretch_us = (settings.objective_stretch * transfer_s * 1e6) as Micros;
         let (object_count, part_count) = if settings.write {
             (0.0, 0.0)
         } else {
@@ -59,7 +59,7 @@
             size_known,
             object_count,
             part_count,
-            objective_at: now + settings.aim_us + stretch_us,
+            objective_at: now + settings.objective_us + stretch_us,
             deadline: now + request.remaining_us,
             draw: share_of(mix(self.seed ^ mix(request.id))),
             ..OpenRequest::default()
--- a/src/router/slow_start.rs
+++ b/src/router/slow_start.rs
@@ -25,12 +25,12 @@
         let rules = &self.settings.rules;
         match server.role {
             Role::Parent => Ramp {
-                share: rules.parent_cold_share,
-                cold_us: rules.parent_cold_us,
+                share: rules.parent_slow_start_share,
+                cold_us: rules.parent_slow_start_us,
             },
             Role::Cache | Role::Origin => Ramp {
-                share: rules.cold_share,
-                cold_us: rules.cold_us,
+                share: rules.slow_start_share,
+                cold_us: rules.slow_start_us,
             },
         }
     }
@@ -62,8 +62,8 @@
             return None;
         }
         let overload = match server.role {
-            Role::Parent => rules.parent_fall_multiple,
-            Role::Cache | Role::Origin => rules.fall_multiple,
+            Role::Parent => rules.parent_overload_multiple,
+            Role::Cache | Role::Origin => rules.overload_multiple,
         };
         let capacity = self.capacity(server);
         let window_s = window_us as f64 / 1e6;
--- a/src/router/statistics.rs
+++ b/src/router/statistics.rs
@@ -41,7 +41,7 @@
     /// Of a class that nothing is known of but its latency objective.
     pub(super) fn new(class: &Class) -> Self {
         ClassStatistics {
-            transfer_s: class.aim_us as f64 / 1e6 / 2.0,
+            transfer_s: class.objective_us as f64 / 1e6 / 2.0,
             samples: 0.0,
             tail_factor: FIRST_TAIL_FACTOR,
         }
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -150,7 +150,7 @@
         let mut list = vec![zone("hub".into(), 0)];
         list.extend((1..=zones).map(|n| zone(format!("zone-{n}"), seats as u32)));
         let video = Class {
-            aim_us: 400 * MS,
+            objective_us: 400 * MS,
             deadline_us: DEADLINE_US,
             ..class("video")
         };
@@ -644,9 +644,9 @@
     fn warmth(&self, b: &Box) -> f64 {
         let r = &self.rules;
         let (share, cold_us) = if b.zone == 0 {
-            (r.parent_cold_share, r.parent_cold_us)
+            (r.parent_slow_start_share, r.parent_slow_start_us)
         } else {
-            (r.cold_share, r.cold_us)
+            (r.slow_start_share, r.slow_start_us)
         };
         let age = b
             .started
@@ -660,8 +660,8 @@
         let warmth = self.warmth(&self.boxes[&id]);
         let r = &self.rules;
         let (multiple, window) = match self.boxes[&id].zone {
-            0 => (r.parent_fall_multiple, r.fall_us),
-            _ => (r.fall_multiple, r.fall_us),
+            0 => (r.parent_overload_multiple, r.fall_us),
+            _ => (r.overload_multiple, r.fall_us),
         };
         let b = self.boxes.get_mut(&id).expect("a server of the list");
         if id == ORIGIN || warmth >= 1.0 {
--- a/tests/decision_trace/answers.rs
+++ b/tests/decision_trace/answers.rs
@@ -57,7 +57,7 @@
 impl RandomFleet {
     /// What the settings let an answer tell.
     pub(crate) fn told(&self, note: Note) -> Note {
-        match (self.settings.tells, note) {
+        match (self.settings.answer_detail, note) {
             (Tells::All, note) => note,
             (Tells::Hit, Note::Hit | Note::Stale) => Note::Hit,
             (Tells::Hit, Note::Filled | Note::FilledByOrigin) => Note::Filled,
--- a/tests/decision_trace/disturbances.rs
+++ b/tests/decision_trace/disturbances.rs
@@ -142,7 +142,7 @@
         match self.below(8) {
             0 => new.classes.clear(),
             1 => drop(new.classes.pop()),
-            2 => new.classes[0].aim_us = 200 * MS + self.below(S),
+            2 => new.classes[0].objective_us = 200 * MS + self.below(S),
             3 => new.classes[0].repeat = Repeat::Unsafe,
             4 => new.max_attempts = 1 + self.below(6) as u32,
             _ => {}
--- a/tests/decision_trace/main.rs
+++ b/tests/decision_trace/main.rs
@@ -67,8 +67,8 @@
 
 fn untold() -> Settings {
     Settings {
-        tells: Tells::Off,
-        weights_told: false,
+        answer_detail: Tells::Off,
+        weights_known: false,
         flow_kb_per_s: 0.0,
         ..settings()
     }
@@ -77,8 +77,8 @@
 fn siblings() -> Settings {
     Settings {
         siblings: Siblings::Location,
-        tells: Tells::Hit,
-        weights_told: false,
+        answer_detail: Tells::Hit,
+        weights_known: false,
         ..settings()
     }
 }
@@ -115,7 +115,7 @@
         ..linked(1, 20_000.0)
     };
     let link_not_told = Settings {
-        joins: false,
+        joins_fills: false,
         ..linked(2, 0.0)
     };
     let no_parents = Settings {
@@ -131,7 +131,7 @@
     let few_attempts = Settings {
         max_attempts: 2,
         max_retry_after_us: 0,
-        ask_for_list: true,
+        polls_list: true,
         ..settings()
     };
     vec![
@@ -204,8 +204,8 @@
 
 /// What the routers are told of servers, answers and caches that fill each other: as little as there is.
 fn tell_little(settings: &mut Settings) {
-    settings.tells = Tells::Off;
-    settings.weights_told = false;
+    settings.answer_detail = Tells::Off;
+    settings.weights_known = false;
     settings.siblings = Siblings::Location;
 }
 
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -24,14 +24,14 @@
         });
         s.siblings = Siblings::Location;
         s.reports = Reports::Answers;
-        s.second_copies = true;
+        s.hedged_requests = true;
         s.direct = true;
         s.max_retry_after_us = 500 * MS;
         s.rules.drain_grace_us = 500 * MS;
-        s.rules.fall_multiple = 4.0;
+        s.rules.overload_multiple = 4.0;
         s.rules.fall_us = 2 * S;
-        s.rules.cold_share = 0.15;
-        s.rules.cold_us = 18 * S;
+        s.rules.slow_start_share = 0.15;
+        s.rules.slow_start_us = 18 * S;
     });
     w.link_fits = LINK;
     w.fill_timeout_us = 1_500 * MS;
--- a/tests/large.rs
+++ b/tests/large.rs
@@ -15,7 +15,7 @@
     aim: (Micros, f64),
     deadline_us: Micros,
     siblings: Siblings,
-    tells: Tells,
+    answer_detail: Tells,
     sizes_told: bool,
     links_told: bool,
     tenants: &'static [f64],
@@ -29,7 +29,7 @@
         aim: (500 * MS, 1.6),
         deadline_us: 6 * S,
         siblings: Siblings::Any,
-        tells: Tells::All,
+        answer_detail: Tells::All,
         sizes_told: true,
         links_told: false,
         tenants: &[],
@@ -41,7 +41,7 @@
         aim: (600 * MS, 2.0),
         deadline_us: 5 * S,
         siblings: Siblings::Location,
-        tells: Tells::All,
+        answer_detail: Tells::All,
         sizes_told: true,
         links_told: true,
         tenants: &[],
@@ -53,7 +53,7 @@
         aim: (600 * MS, 2.0),
         deadline_us: 6 * S,
         siblings: Siblings::Off,
-        tells: Tells::All,
+        answer_detail: Tells::All,
         sizes_told: true,
         links_told: false,
         tenants: &[],
@@ -65,7 +65,7 @@
         aim: (500 * MS, 1.6),
         deadline_us: 5 * S,
         siblings: Siblings::Location,
-        tells: Tells::Hit,
+        answer_detail: Tells::Hit,
         sizes_told: false,
         links_told: false,
         tenants: &[],
@@ -77,7 +77,7 @@
         aim: (180 * MS, 2.0),
         deadline_us: 700 * MS,
         siblings: Siblings::Off,
-        tells: Tells::All,
+        answer_detail: Tells::All,
         sizes_told: true,
         links_told: true,
         tenants: &[0.7, 0.2, 0.1],
@@ -94,11 +94,11 @@
         // Four boxes of eight transfers, by three proxies.
         let rate = load * 32.0 / site.work_s / 3.0;
         let mut w = World::shaped(2, 3, 4, rate, seed, |s| {
-            s.classes[0].aim_us = site.aim.0;
-            s.classes[0].aim_stretch = site.aim.1;
+            s.classes[0].objective_us = site.aim.0;
+            s.classes[0].objective_stretch = site.aim.1;
             s.classes[0].deadline_us = site.deadline_us;
             s.siblings = site.siblings;
-            s.tells = site.tells;
+            s.answer_detail = site.answer_detail;
             s.direct = true;
             let link = if site.links_told {
                 LINK * s.flow_kb_per_s
--- a/tests/ordinary.rs
+++ b/tests/ordinary.rs
@@ -255,7 +255,7 @@
         Some(SettingsError::BadFigure("flow"))
     );
     assert_eq!(
-        error(&|s| s.rules.cold_share = -1.0),
+        error(&|s| s.rules.slow_start_share = -1.0),
         Some(SettingsError::BadFigure("cold share"))
     );
     assert_eq!(error(&|_| ()), None);
