--- a/tests/decision_trace/answers.rs
+++ b/tests/decision_trace/answers.rs
@@ -16,9 +16,11 @@
     Resets,
     Errors,
     Full,
+    /// One answer in three is lost, and one in three is an error.
+    Flaky,
 }
 
-pub(crate) const FAULTS: [Fault; 8] = [
+pub(crate) const FAULTS: [Fault; 9] = [
     Fault::None,
     Fault::Slow,
     Fault::Silent,
@@ -27,6 +29,7 @@
     Fault::Resets,
     Fault::Errors,
     Fault::Full,
+    Fault::Flaky,
 ];
 
 pub(crate) struct Simulated {
@@ -74,6 +77,7 @@
         work_us: Micros,
     ) -> Option<(Micros, Answer)> {
         let jitter = self.below(4 * MS);
+        let luck = self.below(3);
         let Some(target) = self.servers.get(&id) else {
             return Some((MS, Answer::of(Outcome::ConnectFailed, Note::None)));
         };
@@ -85,7 +89,9 @@
             Fault::Resets => return failed(20 * MS, Outcome::Reset),
             Fault::Errors => return failed(15 * MS, Outcome::Error),
             Fault::Full => return failed(2 * MS, Outcome::Full),
-            Fault::None | Fault::Slow => {}
+            Fault::Flaky if luck == 0 => return None,
+            Fault::Flaky if luck == 1 => return failed(15 * MS, Outcome::Error),
+            Fault::None | Fault::Slow | Fault::Flaky => {}
         }
         let slowness = if target.fault == Fault::Slow { 12 } else { 1 };
         let sending = work_us * (target.active / 8).max(1) * slowness + 10 * MS + jitter;
@@ -116,6 +122,7 @@
     /// When and how a source gives what is not held; none: never.
     fn fill(&mut self, fill: &Fill, part: (u64, u64)) -> Option<(Micros, Answer)> {
         let waited_us = 8 * MS + self.below(6 * MS);
+        let luck = self.below(3);
         let ended = |outcome, note| Some((waited_us, Answer::of(outcome, note)));
         let origin = self.servers.get(&21).map_or(Fault::Down, |s| s.fault);
         if self.one_in(80) {
@@ -130,7 +137,8 @@
             Fault::Resets => return ended(Outcome::Error, Note::SourceLost),
             Fault::Errors => return ended(Outcome::Error, Note::OriginFailed),
             Fault::Full => return ended(Outcome::Full, Note::SourceRefused),
-            Fault::None | Fault::Slow => {}
+            Fault::Flaky if luck == 0 => return None,
+            Fault::None | Fault::Slow | Fault::Flaky => {}
         }
         let slowness = if source.fault == Fault::Slow { 20 } else { 1 };
         if source.holds.contains(&part) {
--- a/tests/decision_trace/disturbances.rs
+++ b/tests/decision_trace/disturbances.rs
@@ -9,7 +9,7 @@
 impl RandomFleet {
     /// One thing at random.
     pub(crate) fn disturb(&mut self) {
-        match self.below(16) {
+        match self.below(18) {
             0..=3 => self.change_fault(),
             4 => self
                 .servers
@@ -23,7 +23,11 @@
             12 => self.hear(),
             13 => self.probe(),
             14 => self.change_settings(),
-            _ => self.origin_turns_slow(),
+            15 => self.origin_turns_slow(),
+            _ => {
+                let id = self.any_server();
+                self.break_connections(id);
+            }
         }
     }
 
--- a/tests/decision_trace/random_fleet.rs
+++ b/tests/decision_trace/random_fleet.rs
@@ -192,7 +192,7 @@
             "video", "video", "page", "order", "charge", "stream", "other",
         ];
         let class = classes[self.below(classes.len() as u64) as usize];
-        let size_kb = (50 + object * 37 % 900) as f64 * if self.one_in(30) { 20.0 } else { 1.0 };
+        let size_kb = (50 + object * 37 % 900) as f64 * if self.one_in(30) { 40.0 } else { 1.0 };
         let remaining_us = if self.one_in(20) {
             self.below(20 * MS)
         } else {
@@ -276,6 +276,18 @@
         });
     }
 
+    /// All attempts that are out at a server end at once, as its connections break.
+    pub(crate) fn break_connections(&mut self, id: ServerId) {
+        let is_out = |c: &Client| c.out.as_ref().is_some_and(|out| out.server == id);
+        let broken = self.clients.iter().filter(|(_, client)| is_out(client));
+        let broken: Vec<_> = broken
+            .map(|(id, client)| (*id, client.attempts - 1))
+            .collect();
+        for (request, attempt) in broken {
+            self.end(request, attempt, Answer::of(Outcome::Reset, Note::None));
+        }
+    }
+
     fn deadline(&mut self, request: RequestId) {
         let Some(client) = self.clients.get_mut(&request) else {
             return;
