--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -257,11 +257,11 @@
 }
 
 /// Which answers tell how they were made.
-fn tells(family: &Fields) -> Result<w::Tells> {
+fn tells(family: &Fields) -> Result<w::AnswerDetail> {
     Ok(match text_or(family, "note-level", "off")?.as_str() {
-        "all" => w::Tells::All,
-        "hit" => w::Tells::Hit,
-        _ => w::Tells::Off,
+        "all" => w::AnswerDetail::All,
+        "hit" => w::AnswerDetail::Hit,
+        _ => w::AnswerDetail::Off,
     })
 }
 
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -1,74 +1,74 @@
-//! What a router asks its proxy to do.
+//! The actions that a router asks its proxy to carry out.
 
 use super::{Micros, RequestId, ServerId};
 
-/// How a miss is filled, and what is kept.
+/// How a cache fills a miss, and how it keeps the copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fill {
-    /// Where from; the server itself: no fill.
+    /// The server to fill from; the target itself: no fill.
     pub source: ServerId,
-    /// Rank at which the copy is kept, 1 to 3; 0: not kept.
+    /// Rank at which the copy is cached, 1 to 3; 0: it is not cached.
     pub keep: u8,
-    /// Oldest copy that will do; none: the class's fresh time.
+    /// Greatest age of a usable copy; `None`: the class's fresh time.
     pub max_age_us: Option<Micros>,
-    /// Wait for a fill that is under way.
+    /// A fill under way may be waited for.
     pub join: bool,
-    /// The source gives only what it holds.
+    /// The source must not fetch what it does not hold.
     pub only_held: bool,
-    /// The parent keeps no copy.
+    /// The parent is not to cache a copy.
     pub bypass_parent: bool,
-    /// Renew an ageing copy behind the answer.
+    /// The cache may refresh an ageing copy after it has answered with it.
     pub renew: bool,
 }
 
-/// What a router does.
+/// An action to be carried out, in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Try a server.
+    /// Send an attempt to a server.
     Attempt {
         /// The request.
         request: RequestId,
         /// The server.
         server: ServerId,
-        /// Time-out; none: until the client gives up.
+        /// Time-out of the attempt; `None`: the client's deadline.
         timeout_us: Option<Micros>,
-        /// How a miss is filled; none: what the server holds only.
+        /// How a miss is filled; `None`: it is not.
         fill: Option<Fill>,
     },
-    /// Call an attempt off.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
-        /// Which attempt, counted from 0.
+        /// Number of the attempt, counted from 0.
         attempt: u32,
     },
-    /// Final answer: refused; asking again does no harm.
+    /// Final answer: rejected; a retry by the client does no harm.
     Refuse {
         /// The request.
         request: RequestId,
-        /// When to come back; none: no advice.
+        /// Retry-After; `None`: none is sent.
         retry_after_us: Option<Micros>,
     },
-    /// Final answer: failed.
+    /// Final answer: failed; the request may have run.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Wake the router.
+    /// Send a timer event at a time.
     Timer {
-        /// When.
+        /// When the timer expires.
         at: Micros,
-        /// Comes back with the event.
+        /// The tag of the event.
         tag: u64,
     },
-    /// Ask a server for its load.
+    /// Send a health check to a server.
     Probe {
         /// The server.
         server: ServerId,
     },
-    /// Follow the list of servers from now on.
+    /// Poll the list of servers, or follow it from now on.
     Watch,
-    /// A line for the operators.
+    /// Write a log line for the operators.
     Report {
         /// The line.
         line: String,
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,4 +1,4 @@
-//! What a router is told: requests, the ends of attempts, changes of the list, purges, leases and timers.
+//! The events that a router takes in: requests, the ends of attempts, changes of the list, purges, leases and timers.
 
 use super::{ListMode, Load, Micros, RequestId, Server, ServerId};
 
@@ -9,104 +9,104 @@
     pub id: RequestId,
     /// Name of its class.
     pub class: String,
-    /// Its tenant.
+    /// Name of its tenant, if it has one.
     pub tenant: Option<String>,
-    /// The object asked for.
+    /// The requested object.
     pub object: String,
-    /// Which part of it.
+    /// The requested part of it.
     pub part: u64,
-    /// The object's group, as purges may name it.
+    /// The object's group, by which purges may name it.
     pub group: u64,
-    /// Size of this part in KB; 0: not told.
+    /// Size of this part in KB; 0: unknown.
     pub size_kb: f64,
     /// Time until the client gives up.
     pub remaining_us: Micros,
-    /// The client marked it as a repeat.
+    /// The client marked it as a retry.
     pub repeated: bool,
 }
 
-/// How an attempt or a probe ended.
+/// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// It was served.
     Ok,
-    /// The server failed it; it may have run.
+    /// The server answered with an error; it may have run.
     Error,
-    /// Turned away unseen, or the source of its fill refused.
+    /// The server rejected it before it ran, or the source of its fill did.
     Full,
     /// No answer in time; it may have run or still run.
     Timeout,
-    /// No connection; it never ran.
+    /// The connection was refused; it never ran.
     ConnectFailed,
-    /// No connection came up in time, and none was refused: it never ran, and its process may be there all the same.
+    /// No connection came up in time, though none was refused: it never ran, and the server's process may be up.
     Unreached,
     /// The connection broke; it may have run.
     Reset,
-    /// Called off; it may have run.
+    /// The router cancelled it; it may have run.
     Cancelled,
-    /// Never sent.
+    /// It was never sent.
     Moot,
-    /// No copy that will do, and none was filled.
+    /// The cache has no usable copy, and none was filled.
     Miss,
 }
 
 /// How an answer was made, or why a fill failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Note {
-    /// Not told.
+    /// Unknown.
     None,
-    /// Found in the cache.
+    /// A hit.
     Hit,
-    /// Filled from the source's copy.
+    /// A miss, filled from the source's copy.
     Filled,
-    /// Filled by way of the origin.
+    /// A miss, filled from the origin, directly or by way of the source.
     FilledByOrigin,
-    /// Joined a fill under way.
+    /// A miss that waited for a fill under way.
     Joined,
-    /// A copy past its fresh time.
+    /// A hit on a stale copy.
     Stale,
-    /// The source refused.
+    /// The source rejected the fill.
     SourceRefused,
-    /// The source was not reached, broke off or was too slow.
+    /// The source was not reached, broke the connection or was too slow.
     SourceLost,
-    /// The source lacks the object.
+    /// The source has no copy and was not to fetch one.
     SourceLacks,
-    /// All places for fills are taken in the cache.
+    /// The cache has as many fills in flight as it can.
     NoFillPlace,
     /// The origin failed behind the parent.
     OriginFailed,
 }
 
-/// What all routers of a fleet spend from together.
+/// A budget that all routers of a fleet share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Budget {
-    /// Requests that the origin holds at a time, for whichever class: a number.
+    /// Requests in flight at the origin, of all classes: a number.
     Origin,
-    /// What the cold caches of this router's zone bear, each of them: a share.
+    /// What each cache of the router's zone bears while it warms up: a share of it.
     Caches,
-    /// What the cold parents bear, each of them: a share.
+    /// What each parent bears while it warms up: a share of it.
     Parents,
 }
 
-/// A router's lease of a budget, its reserved minimum included. It goes before the router's own guess of what the others spend.
+/// A router's lease of a budget. Without one, the router takes an equal share.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lease {
-    /// Of which.
+    /// The leased budget.
     pub budget: Budget,
-    /// How much may be spent until `until`.
+    /// What may be spent before `until`, the reserved minimum included.
     pub amount: f64,
-    /// The time from which on the lease is `reserved`, unless another one was received.
+    /// When the lease expires; from then on it is worth `reserved`, until another one is received.
     pub until: Micros,
-    /// How much may be spent for ever.
+    /// The reserved minimum, which never expires.
     pub reserved: f64,
 }
 
-/// What a router hears.
+/// An event that a router takes in.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The list of servers, or changes to it.
     List {
-        /// How much of it.
+        /// How much of the list.
         mode: ListMode,
         /// The entries.
         servers: Vec<Server>,
@@ -117,16 +117,16 @@
     Begun {
         /// The request.
         request: RequestId,
-        /// Which attempt.
+        /// Number of the attempt, counted from 0.
         attempt: u32,
     },
     /// An attempt ended.
     Outcome {
         /// The request.
         request: RequestId,
-        /// Which attempt.
+        /// Number of the attempt, counted from 0.
         attempt: u32,
-        /// The server tried.
+        /// The server it was sent to.
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
@@ -136,22 +136,22 @@
         settled: bool,
         /// How the answer was made.
         note: Note,
-        /// The fill's wait for its first byte.
+        /// Time to the first byte of the fill.
         waited_us: Micros,
-        /// The server's report.
+        /// The server's load report.
         load: Option<Load>,
     },
-    /// The client left: no answer is owed any more.
+    /// The client closed or cancelled: no answer is owed any more.
     Left {
         /// The request.
         request: RequestId,
     },
-    /// A timer came due.
+    /// A timer expired.
     Timer {
-        /// As given in the action.
+        /// The tag of the action.
         tag: u64,
     },
-    /// A probe ended.
+    /// A health check ended.
     Probed {
         /// The server.
         server: ServerId,
@@ -159,24 +159,24 @@
         outcome: Outcome,
         /// Time since it was sent.
         took_us: Micros,
-        /// The server's report.
+        /// The server's load report.
         load: Option<Load>,
     },
-    /// Other routers find the origin late: makes this one more cautious while it counts, never less.
+    /// Other routers find the origin late. That can only lower this router's share of requests that may reach it.
     Heard {
-        /// Share of the requests that may have the origin asked at most, by what they found.
+        /// Greatest share of the requests that may reach the origin.
         origin_share: f64,
-        /// How long that counts.
+        /// How long that limit holds.
         for_us: Micros,
     },
-    /// What this router may spend of a budget of all. It holds from now on, also for what is under way: nothing is
-    /// called off for it, and nothing more is sent until enough of that has ended.
+    /// A lease of a shared budget. It holds at once, also for what is in flight: nothing is cancelled for it, and
+    /// nothing more is sent until enough of that has ended.
     Lease(Lease),
-    /// An object, or with no object a whole group, was purged.
+    /// An object, or without an object a whole group, was purged.
     Purged {
-        /// The object.
+        /// The purged object.
         object: Option<String>,
-        /// Its group.
+        /// The object's group, or the purged one.
         group: u64,
         /// Time since the purge.
         age_us: Micros,
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -11,15 +11,15 @@
 pub use events::{Budget, Event, Lease, Note, Outcome, Request};
 pub use servers::{ListMode, Load, Server, State};
 pub use settings::{
-    Class, DedupScope, Repeat, Reports, Rules, Settings, Siblings, Tells, Tenant, Zone,
+    AnswerDetail, Class, DedupScope, Repeat, Reports, Rules, Settings, Siblings, Tenant, Zone,
 };
 pub use validation::SettingsError;
 
-/// Time or duration in microseconds, on the clock of whoever feeds the router.
+/// A time or duration in microseconds, on the clock of the caller.
 pub type Micros = u64;
 
-/// A cache, parent or origin, by the id that the list of servers gives it.
+/// Id of a cache, parent or origin in the list of servers.
 pub type ServerId = u64;
 
-/// A client's try of a request. Never used twice.
+/// Id of a client's request; never used twice.
 pub type RequestId = u64;
--- a/src/interface/servers.rs
+++ b/src/interface/servers.rs
@@ -2,14 +2,14 @@
 
 use super::{Micros, ServerId};
 
-/// Where a server is in its life.
+/// Whether a server takes work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum State {
-    /// Takes work.
+    /// It takes new work.
     Ready,
-    /// Finishes what it has.
+    /// It finishes what it has and takes nothing new.
     Draining,
-    /// Gone.
+    /// It has left the list.
     #[default]
     Gone,
 }
@@ -21,38 +21,38 @@
     pub id: ServerId,
     /// Name of its zone.
     pub zone: String,
-    /// Its cell: servers that share which keys they have seen.
+    /// Its cell: the servers that share the idempotency keys they have seen.
     pub cell: u64,
-    /// Its kind.
+    /// Its kind; see [`Settings::parent_kind`](super::Settings::parent_kind).
     pub kind: String,
-    /// Its size; see `Settings::weights_known`.
+    /// Its capacity; see [`Settings::weights_known`](super::Settings::weights_known).
     pub weight: f64,
-    /// Where it is in its life.
+    /// Whether it takes work.
     pub state: State,
-    /// When it last started; none: long ago.
+    /// When it last started; `None`: long ago.
     pub started: Option<Micros>,
 }
 
 /// How much of the list an event carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListMode {
-    /// All of it; what is not named is gone.
+    /// All of it; servers that are not named are gone.
     Full,
-    /// Changed entries only.
+    /// Only the entries that changed.
     Delta,
-    /// The call for it failed.
+    /// None: the poll failed.
     Failed,
 }
 
-/// A server's report of its load; values that it does not report are absent.
+/// A server's load report; values that it does not report are absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// How busy its cores are.
+    /// Share of its processor time in use.
     pub util: Option<f64>,
-    /// Requests that it holds.
+    /// Requests in flight.
     pub inflight: Option<f64>,
-    /// Its recent share of hits.
+    /// Recent hit ratio.
     pub hit_share: Option<f64>,
-    /// Of a cache: how full its location's link is. Of a parent: fetches out.
+    /// Of a cache: used share of its location's link. Of a parent: fetches in flight.
     pub link_use: Option<f64>,
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,26 +1,26 @@
-//! What a router is started with: classes of requests, zones, what the deployment offers, and the figures of the rules.
+//! What a router is started with: classes of requests, zones, what the deployment offers, and the limits of its rules.
 
 use super::Micros;
 
-/// How often a request may take effect.
+/// Whether a request may be sent again after it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// May be repeated at will.
+    /// Idempotent: it may be repeated at will.
     Safe,
-    /// Carries a key: a group of servers drops repeats for a while.
+    /// It carries an idempotency key: a group of servers drops repeats for a while.
     Keyed,
-    /// Must not run twice.
+    /// Not idempotent: it must not run twice.
     Unsafe,
 }
 
-/// Which servers drop the repeats of a keyed request.
+/// Which servers recognise the repeat of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// All of them.
     All,
-    /// Those in the zone of the server that was tried.
+    /// Those in the zone of the server that was tried first.
     Zone,
-    /// Those in the cell of the server that was tried.
+    /// Those in the cell of the server that was tried first.
     Cell,
 }
 
@@ -29,55 +29,55 @@
 pub struct Class {
     /// Its name, as requests carry it.
     pub name: String,
-    /// An answer within this time earns the full worth.
+    /// The latency objective: an answer within this time has the full weight.
     pub objective_us: Micros,
-    /// The aim grows by this many times the request's own sending time.
+    /// The objective is extended by this multiple of the request's own transfer time.
     pub objective_stretch: f64,
     /// When clients give up at the latest.
     pub deadline_us: Micros,
-    /// Worth of one request.
+    /// Priority weight of one request.
     pub priority_weight: f64,
-    /// Share of the worth that a late answer earns.
+    /// Share of the weight that an answer after the objective has.
     pub late_weight: f64,
-    /// How often it may take effect.
+    /// Whether a request may be sent again after it may have run.
     pub repeat: Repeat,
-    /// For keyed classes: who drops repeats.
+    /// For [`Repeat::Keyed`]: which servers recognise repeats.
     pub scope: DedupScope,
-    /// For keyed classes: for how long repeats are dropped.
+    /// For [`Repeat::Keyed`]: for how long they do.
     pub window_us: Micros,
-    /// The answer is a stream: once begun it belongs to the client.
+    /// The answer is a stream: once it has begun, no other attempt can serve the client.
     pub streaming: bool,
     /// Its objects have several parts.
     pub parts: bool,
-    /// Runs at the origin and is never kept.
+    /// It runs at the origin, and its answer is never cached.
     pub write: bool,
-    /// How long a copy is fresh; 0: until purged.
+    /// How long a copy is fresh; 0: until it is purged.
     pub fresh_us: Micros,
-    /// How long past that it may still be served.
+    /// How long after that a stale copy may still be served.
     pub grace_us: Micros,
-    /// Share of the worth that an answer past its fresh time earns.
+    /// Share of the weight that a stale answer has.
     pub stale_weight: f64,
 }
 
-/// A tenant and its share.
+/// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
     /// Its name, as requests carry it.
     pub name: String,
-    /// Requests a second within its share, over all routers.
+    /// Requests per second within its quota, over all routers.
     pub quota_rps: f64,
 }
 
-/// A zone: a location with caches and routers, or a hub with parents.
+/// A zone: a location with caches and routers, or one with parent caches and the origin.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Zone {
     /// Its name, as the list of servers carries it.
     pub name: String,
     /// How many routers serve it.
     pub routers: u32,
-    /// The zone that is its hub.
+    /// The zone with its parent caches, as a place in [`Settings::zones`].
     pub hub: usize,
-    /// What its one link for fills carries, KB a second; 0: not told.
+    /// Capacity of its link for fills in KB per second; 0: unknown.
     pub link_kb_per_s: f64,
 }
 
@@ -92,12 +92,12 @@
     Any,
 }
 
-/// What answers tell of where they came from.
+/// What answers tell of how they were made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Tells {
+pub enum AnswerDetail {
     /// How each answer was made, and why a fill failed.
     All,
-    /// Hit or filled only.
+    /// Only whether it was a hit or a fill.
     Hit,
     /// Nothing.
     Off,
@@ -106,26 +106,26 @@
 /// Where load reports come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reports {
-    /// In answers and probe results.
+    /// Answers and health checks.
     Answers,
-    /// In probe results only.
+    /// Health checks only.
     Probes,
     /// There are none.
     Off,
 }
 
-/// The figures of the rules.
+/// The limits of the rules that the platform checks.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// A server that drains or is gone gets nothing new later than this after word of it.
+    /// A server gets nothing new later than this after the router heard that it drains or is gone.
     pub drain_grace_us: Micros,
-    /// A just-started cache has this share of its capacity, or more.
+    /// Share of its capacity that a cache has at least when it has just started.
     pub slow_start_share: f64,
-    /// It is warm after this long at most.
+    /// Time after its start at which a cache has its whole capacity at the latest.
     pub slow_start_us: Micros,
-    /// Sent more than this multiple of its present capacity for `fall_us`, it falls over.
+    /// A cache that is sent more than this multiple of its present capacity for `fall_us` fails.
     pub overload_multiple: f64,
-    /// See `overload_multiple`; also holds for parents.
+    /// The window of `overload_multiple`, for caches and parents.
     pub fall_us: Micros,
     /// As `slow_start_share`, for parents.
     pub parent_slow_start_share: f64,
@@ -133,15 +133,15 @@
     pub parent_slow_start_us: Micros,
     /// As `overload_multiple`, for parents.
     pub parent_overload_multiple: f64,
-    /// A purge must be kept from this long after word of it.
+    /// A purge must be respected from this long after the router heard of it.
     pub purge_grace_us: Micros,
     /// After this long, the servers have dropped older copies by themselves.
     pub purge_done_us: Micros,
-    /// Where the list must be asked for: without word for this long, a router counts as told.
+    /// Where the list must be polled: a router that has not polled for this long counts as informed.
     pub ask_within_us: Micros,
 }
 
-/// What a router is told when it starts.
+/// What a router is started with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Classes of requests.
@@ -152,42 +152,42 @@
     pub zones: Vec<Zone>,
     /// The router's own zone, as a place in `zones`.
     pub zone: usize,
-    /// The router's number among all that share these settings, from 0; none: not told.
+    /// The router's number among all that share these settings, from 0; `None`: unknown.
     pub rank: Option<u32>,
-    /// The kind of server that is a parent, if the deployment has any.
+    /// The kind of server that is a parent cache, if the deployment has any.
     pub parent_kind: Option<String>,
     /// The kind of server that is the origin.
     pub origin_kind: String,
-    /// The list of servers must be asked for; else it is pushed.
+    /// The list of servers must be polled; otherwise it is pushed.
     pub polls_list: bool,
-    /// Parents and the origin take requests too.
+    /// Parents and the origin may be the target of an attempt too.
     pub direct: bool,
     /// A request may wait for a fill that is under way.
     pub joins_fills: bool,
     /// Which caches may fill others.
     pub siblings: Siblings,
-    /// What answers tell.
-    pub answer_detail: Tells,
+    /// What answers tell of how they were made.
+    pub answer_detail: AnswerDetail,
     /// Where load reports come from.
     pub reports: Reports,
-    /// Weights in the list are link sizes in transfers at full pace.
+    /// Weights in the list are link capacities, in transfers at full pace.
     pub weights_known: bool,
-    /// Pace of one transfer to a client at most, KB a second; 0: not told.
+    /// Greatest pace of one transfer to a client, in KB per second; 0: unknown.
     pub flow_kb_per_s: f64,
-    /// Most attempts for a request.
+    /// Greatest number of attempts of a request.
     pub max_attempts: u32,
-    /// Two attempts of a request may be out together.
+    /// Two attempts of a request may be in flight together.
     pub hedged_requests: bool,
     /// Attempts may be cancelled.
     pub cancel: bool,
-    /// Servers may be probed.
+    /// Servers may be sent health checks.
     pub probes: bool,
-    /// Clients are told when to come back.
+    /// Refusals carry a Retry-After that clients follow.
     pub retry_after: bool,
-    /// The longest such advice that clients follow.
+    /// The longest Retry-After that clients follow; 0: none is sent.
     pub max_retry_after_us: Micros,
-    /// The origin stops for a while when asked for this multiple of what it can do; 0: it does not.
+    /// The origin stops for a while when it is asked for this multiple of its capacity; 0: it does not.
     pub origin_overload_multiple: f64,
-    /// The rules' figures.
+    /// The limits of the rules.
     pub rules: Rules,
 }
--- a/src/interface/validation.rs
+++ b/src/interface/validation.rs
@@ -3,14 +3,14 @@
 use super::Settings;
 use std::fmt;
 
-/// Why settings can't be used.
+/// Why a router can't use its settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
     /// There is no class of requests.
     NoClass,
     /// The router's zone, or a zone's hub, is not among the zones.
     ZoneOutOfRange,
-    /// A figure is zero, negative or not a number where that can't be.
+    /// The named figure is negative, not finite, or zero where that makes no sense.
     BadFigure(&'static str),
 }
 
@@ -27,7 +27,11 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Tells what, if anything, makes these settings unusable.
+    /// Checks that a router can use these settings.
+    ///
+    /// # Errors
+    ///
+    /// The first reason found why it can't.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClass);
--- a/src/router/faults.rs
+++ b/src/router/faults.rs
@@ -3,7 +3,7 @@
 use super::outcomes::AttemptEnd;
 use super::outliers::FAILURE_WEIGHT;
 use super::Router;
-use crate::interface::{Note, Outcome, ServerId, Tells};
+use crate::interface::{AnswerDetail, Note, Outcome, ServerId};
 
 /// A server that was not reached is ejected at once: its process is down whatever the list says.
 const CONNECT_FAILURE_WEIGHT: f64 = 2.0;
@@ -40,7 +40,7 @@
     /// Whose fault a failure would be. Where reasons are not told, it is shared by what has failed of each so far, and
     /// the healthy one is cleared by its other answers.
     pub(super) fn assign_fault(&self, end: &AttemptEnd) -> Fault {
-        let told = self.settings.answer_detail == Tells::All
+        let told = self.settings.answer_detail == AnswerDetail::All
             || !matches!(end.outcome, Outcome::Full | Outcome::Error);
         match end.attempt.source.filter(|_| !told) {
             None if end.source_blamed() => Fault::Source,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -74,7 +74,7 @@
         direct: true,
         joins_fills: true,
         siblings: Siblings::Off,
-        answer_detail: Tells::All,
+        answer_detail: AnswerDetail::All,
         reports: Reports::Off,
         weights_known: true,
         flow_kb_per_s: 5_000.0,
--- a/tests/decision_trace/answers.rs
+++ b/tests/decision_trace/answers.rs
@@ -61,9 +61,9 @@
     /// What the settings let an answer tell.
     pub(crate) fn told(&self, note: Note) -> Note {
         match (self.settings.answer_detail, note) {
-            (Tells::All, note) => note,
-            (Tells::Hit, Note::Hit | Note::Stale) => Note::Hit,
-            (Tells::Hit, Note::Filled | Note::FilledByOrigin) => Note::Filled,
+            (AnswerDetail::All, note) => note,
+            (AnswerDetail::Hit, Note::Hit | Note::Stale) => Note::Hit,
+            (AnswerDetail::Hit, Note::Filled | Note::FilledByOrigin) => Note::Filled,
             _ => Note::None,
         }
     }
--- a/tests/decision_trace/main.rs
+++ b/tests/decision_trace/main.rs
@@ -67,7 +67,7 @@
 
 fn untold() -> Settings {
     Settings {
-        answer_detail: Tells::Off,
+        answer_detail: AnswerDetail::Off,
         weights_known: false,
         flow_kb_per_s: 0.0,
         ..settings()
@@ -77,7 +77,7 @@
 fn siblings() -> Settings {
     Settings {
         siblings: Siblings::Location,
-        answer_detail: Tells::Hit,
+        answer_detail: AnswerDetail::Hit,
         weights_known: false,
         ..settings()
     }
@@ -204,7 +204,7 @@
 
 /// What the routers are told of servers, answers and caches that fill each other: as little as there is.
 fn tell_little(settings: &mut Settings) {
-    settings.answer_detail = Tells::Off;
+    settings.answer_detail = AnswerDetail::Off;
     settings.weights_known = false;
     settings.siblings = Siblings::Location;
 }
--- a/tests/decision_trace/random_fleet.rs
+++ b/tests/decision_trace/random_fleet.rs
@@ -98,7 +98,7 @@
         self.servers.insert(new.entry.id, new);
     }
 
-    /// Tells the router the whole list, or only what may have changed.
+    /// AnswerDetail the router the whole list, or only what may have changed.
     pub(crate) fn list(&mut self, mode: ListMode) {
         let servers = self.servers.values().map(|s| s.entry.clone()).collect();
         self.feed(Event::List { mode, servers });
--- a/tests/defences.rs
+++ b/tests/defences.rs
@@ -230,7 +230,7 @@
 fn a_failing_parent_is_not_put_on_its_caches_where_reasons_are_not_told() {
     let mut rig = Rig::new(
         Settings {
-            answer_detail: Tells::Hit,
+            answer_detail: AnswerDetail::Hit,
             ..settings()
         },
         fleet(),
