--- a/src/hashing.rs
+++ b/src/hashing.rs
@@ -1,6 +1,6 @@
-//! Numbers as shares. The hashes that all routers share are those of `linnetknot_purges::hashing`.
+//! A hash as a number between 0 and 1. The hashes that all routers share are those of `linnetknot_purges::hashing`.
 
-/// A number as a share: from 0 to 1.
+/// A hash as a share: evenly from 0 to 1.
 pub(crate) fn share_of(x: u64) -> f64 {
     x as f64 / u64::MAX as f64
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! linnetknot decides for a front of caches of large objects behind thin links: which cache a request goes to,
-//! where a miss is filled from, what is kept, and what happens when things fail.
+//! linnetknot makes the decisions of an edge proxy in front of caches of large objects behind thin links: which cache a
+//! request goes to, where a miss is filled from, what is cached, and what happens when things fail.
 //!
 //! The library is sans-IO. A proxy feeds a [`Router`] with events and carries out the actions that come back;
 //! time is the `now` of each call, and randomness comes from the seed alone.
