--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -31,6 +31,46 @@
     }
 }
 
+fn classes() -> Vec<Class> {
+    vec![
+        class("video"),
+        Class {
+            fresh_us: 10 * S,
+            ..class("page")
+        },
+        Class {
+            repeat: Repeat::Keyed,
+            write: true,
+            ..class("order")
+        },
+        Class {
+            repeat: Repeat::Unsafe,
+            write: true,
+            ..class("charge")
+        },
+        Class {
+            streaming: true,
+            ..class("stream")
+        },
+    ]
+}
+
+fn rules() -> Rules {
+    Rules {
+        drain_grace_us: S,
+        slow_start_share: 0.2,
+        slow_start_us: 10 * S,
+        overload_multiple: 3.0,
+        fall_us: S,
+        parent_slow_start_share: 0.1,
+        parent_slow_start_us: 20 * S,
+        parent_overload_multiple: 2.0,
+        purge_grace_us: 500 * MS,
+        purge_done_us: 6 * S,
+        ask_within_us: 0,
+    }
+}
+
 pub(crate) fn settings() -> Settings {
     let zone = |name: &str, routers, link_kb_per_s| Zone {
         name: name.into(),
@@ -39,27 +79,7 @@
         link_kb_per_s,
     };
     Settings {
-        classes: vec![
-            class("video"),
-            Class {
-                fresh_us: 10 * S,
-                ..class("page")
-            },
-            Class {
-                repeat: Repeat::Keyed,
-                write: true,
-                ..class("order")
-            },
-            Class {
-                repeat: Repeat::Unsafe,
-                write: true,
-                ..class("charge")
-            },
-            Class {
-                streaming: true,
-                ..class("stream")
-            },
-        ],
+        classes: classes(),
         tenants: vec![],
         zones: vec![
             zone("hub", 0, 0.0),
@@ -85,19 +105,7 @@
         retry_after: true,
         max_retry_after_us: S,
         origin_overload_multiple: 2.5,
-        rules: Rules {
-            drain_grace_us: S,
-            slow_start_share: 0.2,
-            slow_start_us: 10 * S,
-            overload_multiple: 3.0,
-            fall_us: S,
-            parent_slow_start_share: 0.1,
-            parent_slow_start_us: 20 * S,
-            parent_overload_multiple: 2.0,
-            purge_grace_us: 500 * MS,
-            purge_done_us: 6 * S,
-            ask_within_us: 0,
-        },
+        rules: rules(),
     }
 }
 
--- /dev/null
+++ b/tests/common/world/attempts.rs
@@ -0,0 +1,173 @@
+//! Attempts on their way: how the servers of the world answer them.
+
+use super::{InFlight, Scheduled, World, ORIGIN};
+use crate::common::MS;
+use linnetknot::*;
+
+impl World {
+    /// No server that a proxy was told is gone gets anything new from it.
+    fn assert_not_barred(&self, n: usize, server: ServerId) {
+        let told = self.proxies[n].barred.get(&server);
+        assert!(
+            told.is_none(),
+            "{server} was told to be gone {} us ago",
+            self.now - told.unwrap_or(&self.now)
+        );
+    }
+
+    pub(super) fn attempt(&mut self, n: usize, id: RequestId, server: ServerId, fill: Fill) {
+        let (now, zone) = (self.now, self.proxies[n].zone);
+        let source = (fill.source != server).then_some(fill.source);
+        for s in [Some(server), source].into_iter().flatten() {
+            self.assert_not_barred(n, s);
+        }
+        let out = self.proxies[n]
+            .out
+            .get_mut(&id)
+            .expect("a request that is open");
+        assert!(out.sent.is_none() && !out.answered && out.attempts < 6 && now < out.deadline);
+        let (attempt, object, work_s) = (out.attempts, out.object, out.work_s);
+        out.attempts += 1;
+        self.push(server);
+        let (up, vanished, held) = {
+            let b = self.servers.get_mut(&server).expect("a server of the list");
+            b.active += 1.0;
+            (b.up, b.vanished, b.cached.contains(&object))
+        };
+        let mut link = false;
+        let end = if vanished {
+            None
+        } else if !up {
+            Some((MS, Outcome::ConnectFailed, Note::None, 0))
+        } else if server == ORIGIN {
+            assert!(self.ran.insert(id), "a write that must not run twice");
+            Some((80 * MS, Outcome::Ok, Note::Hit, 0))
+        } else if held {
+            Some((self.sending(server, work_s), Outcome::Ok, Note::Hit, 0))
+        } else if let Some(source) = source {
+            let (took, outcome, note, waited) =
+                self.fill(source, (object, work_s), fill.only_held, zone);
+            link = outcome == Outcome::Ok;
+            Some((
+                took + if link {
+                    self.sending(server, work_s)
+                } else {
+                    0
+                },
+                outcome,
+                note,
+                waited,
+            ))
+        } else {
+            Some((5 * MS, Outcome::Miss, Note::None, 0))
+        };
+        if end.is_none_or(|e| e.1 == Outcome::ConnectFailed) {
+            self.second(now).in_vain += 1;
+        }
+        self.links[zone] += f64::from(u8::from(link));
+        let sent = InFlight {
+            server,
+            at: now,
+            link,
+        };
+        self.proxies[n].out.get_mut(&id).expect("it is open").sent = Some(sent);
+        if let Some((took, outcome, note, waited)) = end {
+            self.later(took, Scheduled::End(n, id, attempt, outcome, note, waited));
+        }
+    }
+
+    /// How long a fill from a source takes, and how it ends.
+    pub(super) fn fill(
+        &mut self,
+        source: ServerId,
+        (object, work_s): (u64, f64),
+        only_held: bool,
+        zone: usize,
+    ) -> (Micros, Outcome, Note, Micros) {
+        self.push(source);
+        let shared = ((self.links[zone] + 1.0) / self.link_fits).max(1.0) - 1.0;
+        let moving = (work_s * shared * 1e6) as Micros;
+        let b = self.servers.get_mut(&source).expect("a source of the list");
+        if !b.up || b.vanished {
+            return (self.fill_timeout_us, Outcome::Full, Note::SourceLost, 0);
+        }
+        if b.cached.contains(&object) && source != ORIGIN {
+            return (10 * MS + moving, Outcome::Ok, Note::Filled, 10 * MS);
+        }
+        if only_held {
+            return (10 * MS, Outcome::Miss, Note::SourceLacks, 10 * MS);
+        }
+        b.cached.insert(object);
+        let now = self.now;
+        self.origin_free = self.origin_free.max(now) + (1e6 / self.origin_per_s) as Micros;
+        let waited = self.origin_free - now + 80 * MS;
+        self.second(now).origin += 1;
+        (waited + moving, Outcome::Ok, Note::FilledByOrigin, waited)
+    }
+
+    pub(super) fn sending(&self, server: ServerId, work_s: f64) -> Micros {
+        let b = &self.servers[&server];
+        (work_s * (b.active / (b.weight * self.warmth(b))).max(1.0) * 1e6) as Micros
+    }
+
+    pub(super) fn ended(
+        &mut self,
+        n: usize,
+        id: RequestId,
+        attempt: Option<u32>,
+        outcome: Outcome,
+        note: Note,
+        waited_us: Micros,
+    ) {
+        let Some(out) = self.proxies[n].out.get_mut(&id) else {
+            return;
+        };
+        let last = attempt.is_none();
+        // An end that comes after the attempt was called off says nothing.
+        let live = out.sent.is_some() && attempt.is_none_or(|a| a + 1 == out.attempts);
+        if !live {
+            if last {
+                self.finish(n, id, false);
+            }
+            return;
+        }
+        let Some(sent) = out.sent.take() else { return };
+        let (number, object, at) = (out.attempts - 1, out.object, out.at);
+        let settled = outcome == Outcome::Ok || last;
+        let zone = self.proxies[n].zone;
+        self.links[zone] -= f64::from(u8::from(sent.link));
+        if let Some(b) = self.servers.get_mut(&sent.server) {
+            b.active = (b.active - 1.0).max(0.0);
+            if outcome == Outcome::Ok {
+                b.cached.insert(object);
+            }
+        }
+        if outcome == Outcome::Ok {
+            let now = self.now;
+            let in_time = now - at <= 400 * MS + 150 * MS;
+            let second = self.second(at);
+            *(if in_time {
+                &mut second.in_time
+            } else {
+                &mut second.late
+            }) += 1;
+        }
+        if settled {
+            self.finish(n, id, outcome == Outcome::Ok);
+        }
+        let took_us = self.now - sent.at;
+        let event = Event::Outcome {
+            request: id,
+            attempt: number,
+            server: sent.server,
+            outcome,
+            took_us,
+            settled,
+            note,
+            waited_us,
+            load: self.reports.then(|| self.load(sent.server)),
+        };
+        self.feed(n, event);
+        self.tidy(n, id);
+    }
+}
--- /dev/null
+++ b/tests/common/world/mod.rs
@@ -0,0 +1,359 @@
+//! A fleet on virtual time: many routers, and around them caches, parents, links and an origin that answer by plain
+//! formulas. One thread, one queue of what happens when, one seed: the same verdict every time.
+#![allow(dead_code)]
+
+mod attempts;
+mod clients;
+mod servers;
+
+use super::trace::Trace;
+use super::{class, settings, MS, S, T0};
+use linnetknot::*;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+/// Transfers to a client take this long at full pace, unless a test says otherwise: 500 KB at 5,000 KB a second.
+const WORK_S: f64 = 0.1;
+const KB_PER_S: f64 = 5_000.0;
+const DEADLINE_US: Micros = 2_500 * MS;
+
+pub(crate) const PARENTS: [ServerId; 2] = [901, 902];
+pub(crate) const ORIGIN: ServerId = 950;
+
+/// A cache, a parent, or the origin.
+pub(crate) struct FakeServer {
+    pub zone: usize,
+    pub weight: f64,
+    pub started: Option<Micros>,
+    /// It takes connections.
+    pub up: bool,
+    /// It is not there and nothing says so: what is sent is never answered.
+    pub vanished: bool,
+    pub cached: BTreeSet<u64>,
+    active: f64,
+    /// Work sent to it while cold, and the most of what it bears in one window that ever was.
+    recent_work: VecDeque<(Micros, f64)>,
+    pub max_overload: f64,
+}
+
+/// One proxy.
+pub(crate) struct Proxy {
+    pub router: Router,
+    pub zone: usize,
+    out: BTreeMap<RequestId, OpenRequest>,
+    /// Since when a server must get nothing new.
+    barred: BTreeMap<ServerId, Micros>,
+}
+
+struct OpenRequest {
+    object: u64,
+    /// What it takes to send it at full pace, and which tenant's it is.
+    work_s: f64,
+    tenant: usize,
+    attempts: u32,
+    answered: bool,
+    deadline: Micros,
+    at: Micros,
+    sent: Option<InFlight>,
+}
+
+struct InFlight {
+    server: ServerId,
+    at: Micros,
+    link: bool,
+}
+
+enum Scheduled {
+    Arrival(usize),
+    Timer(usize, u64),
+    End(usize, RequestId, u32, Outcome, Note, Micros),
+    Deadline(usize, RequestId),
+    List(usize, ListMode, Vec<Server>),
+    /// What a test wants done at a time.
+    Call(u64),
+}
+
+/// What came of it, by second since the start.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct Second {
+    pub asked: u32,
+    pub in_time: u32,
+    pub late: u32,
+    pub lost: u32,
+    /// Attempts sent to servers that were down or had vanished.
+    pub in_vain: u32,
+    /// What the origin was asked for.
+    pub origin: u32,
+}
+
+pub(crate) struct World {
+    pub now: Micros,
+    pub proxies: Vec<Proxy>,
+    pub servers: BTreeMap<ServerId, FakeServer>,
+    pub seconds: Vec<Second>,
+    /// What a location's link fits at full pace, in transfers.
+    pub link_fits: f64,
+    /// How long a cache waits for a source that is not there before it says so.
+    pub fill_timeout_us: Micros,
+    /// Share of the requests that are writes, which must not run twice; and those that ran.
+    pub writes: f64,
+    ran: BTreeSet<RequestId>,
+    /// Answers carry load reports.
+    reports: bool,
+    links: Vec<f64>,
+    /// What the origin can do a second.
+    pub origin_per_s: f64,
+    origin_free: Micros,
+    pub rate_per_s: f64,
+    /// What objects take at full pace in the mean, how unevenly (the sigma of their logarithms), and whether requests tell.
+    pub work_s: f64,
+    pub sigma: f64,
+    pub sizes_told: bool,
+    /// When clients give up.
+    pub deadline_us: Micros,
+    /// The tenants' shares of the requests.
+    pub tenants: Vec<f64>,
+    /// Of each request that has ended: what it takes, its tenant, and whether it was served.
+    pub answers: Vec<(f64, usize, bool)>,
+    /// Distinct objects; a few of them are asked for most.
+    pub objects: f64,
+    /// Where all that the routers do is recorded, if it is.
+    pub trace: Option<Trace>,
+    queue: BTreeMap<(Micros, u64), Scheduled>,
+    number: u64,
+    random: u64,
+    rules: Rules,
+}
+
+impl Proxy {
+    fn new(n: usize, zone: usize, config: &Settings, seed: u64) -> Self {
+        let settings = Settings {
+            zone,
+            rank: Some(n as u32),
+            ..config.clone()
+        };
+        Proxy {
+            router: Router::new(settings, seed ^ (n as u64) << 20).expect("usable"),
+            zone,
+            out: BTreeMap::new(),
+            barred: BTreeMap::new(),
+        }
+    }
+}
+
+/// The settings of the tests with so many locations, and of another shape.
+fn shaped_settings(zones: usize, proxies: usize, shape: impl FnOnce(&mut Settings)) -> Settings {
+    let zone = |name: String, routers| Zone {
+        name,
+        routers,
+        hub: 0,
+        link_kb_per_s: 0.0,
+    };
+    let mut list = vec![zone("hub".into(), 0)];
+    list.extend((1..=zones).map(|n| zone(format!("zone-{n}"), proxies as u32)));
+    let video = Class {
+        objective_us: 400 * MS,
+        deadline_us: DEADLINE_US,
+        ..class("video")
+    };
+    let mut config = Settings {
+        zones: list,
+        classes: vec![video],
+        direct: false,
+        ..settings()
+    };
+    shape(&mut config);
+    config
+}
+
+impl World {
+    /// A fleet of so many proxies and caches in so many locations; each proxy is asked at this rate.
+    pub(crate) fn new(
+        zones: usize,
+        proxies: usize,
+        caches: usize,
+        rate_per_s: f64,
+        seed: u64,
+    ) -> Self {
+        Self::shaped(zones, proxies, caches, rate_per_s, seed, |_| ())
+    }
+
+    /// The same under settings of another shape.
+    pub(crate) fn shaped(
+        zones: usize,
+        proxies: usize,
+        caches: usize,
+        rate_per_s: f64,
+        seed: u64,
+        shape: impl FnOnce(&mut Settings),
+    ) -> Self {
+        let config = shaped_settings(zones, proxies, shape);
+        let mut world = World::empty(&config, rate_per_s, seed);
+        for z in 1..=zones {
+            (0..caches).for_each(|n| world.put(z as u64 * 10 + n as u64, z, 8.0, None));
+        }
+        for parent in PARENTS {
+            world.put(parent, 0, 30.0, None);
+        }
+        world.put(ORIGIN, 0, 1.0, None);
+        for n in 0..zones * proxies {
+            world
+                .proxies
+                .push(Proxy::new(n, n / proxies + 1, &config, seed));
+        }
+        let all = world.listed();
+        for n in 0..world.proxies.len() {
+            world.later(0, Scheduled::List(n, ListMode::Full, all.clone()));
+            let wait = world.gap();
+            world.later(wait, Scheduled::Arrival(n));
+        }
+        world
+    }
+
+    /// A world without servers and proxies.
+    fn empty(config: &Settings, rate_per_s: f64, seed: u64) -> Self {
+        World {
+            now: T0,
+            proxies: Vec::new(),
+            servers: BTreeMap::new(),
+            seconds: Vec::new(),
+            link_fits: 30.0,
+            fill_timeout_us: 5 * MS,
+            writes: 0.0,
+            ran: BTreeSet::new(),
+            reports: config.reports == Reports::Answers,
+            links: vec![0.0; config.zones.len()],
+            origin_per_s: 1e6,
+            origin_free: 0,
+            rate_per_s,
+            work_s: WORK_S,
+            sigma: 0.0,
+            sizes_told: true,
+            deadline_us: DEADLINE_US,
+            tenants: Vec::new(),
+            answers: Vec::new(),
+            objects: 4_000.0,
+            trace: None,
+            queue: BTreeMap::new(),
+            number: 0,
+            random: seed | 1,
+            rules: config.rules.clone(),
+        }
+    }
+
+    /// All routers hear of the list after a wait, each a little later than the one before.
+    pub(crate) fn tell(&mut self, wait: Micros, mode: ListMode, entries: &[Server]) {
+        for n in 0..self.proxies.len() {
+            self.later(
+                wait + n as Micros,
+                Scheduled::List(n, mode, entries.to_vec()),
+            );
+        }
+    }
+
+    /// `run` comes back with this number after a wait.
+    pub(crate) fn call(&mut self, wait: Micros, number: u64) {
+        self.later(wait, Scheduled::Call(number));
+    }
+
+    fn later(&mut self, wait: Micros, what: Scheduled) {
+        self.number += 1;
+        self.queue.insert((self.now + wait, self.number), what);
+    }
+
+    fn unit(&mut self) -> f64 {
+        self.random ^= self.random << 13;
+        self.random ^= self.random >> 7;
+        self.random ^= self.random << 17;
+        (self.random >> 11) as f64 / (1u64 << 53) as f64
+    }
+
+    fn gap(&mut self) -> Micros {
+        let mean = 1e6 / self.rate_per_s;
+        (-(1.0 - self.unit()).ln() * mean) as Micros + 1
+    }
+
+    fn second(&mut self, at: Micros) -> &mut Second {
+        let n = ((at - T0) / S) as usize;
+        if self.seconds.len() <= n {
+            self.seconds.resize(n + 1, Second::default());
+        }
+        &mut self.seconds[n]
+    }
+
+    /// Goes on for so long; `notify` is called with the numbers that were to be called, and after each outcome at a
+    /// proxy.
+    pub(crate) fn run(&mut self, for_us: Micros, mut notify: impl FnMut(&mut World, Notice)) {
+        let end = self.now + for_us;
+        while let Some(entry) = self.queue.first_entry().filter(|e| e.key().0 <= end) {
+            self.now = entry.key().0;
+            match entry.remove() {
+                Scheduled::Arrival(n) => self.arrival(n),
+                Scheduled::Timer(n, tag) => self.feed(n, Event::Timer { tag }),
+                Scheduled::List(n, mode, servers) => self.list(n, mode, servers),
+                Scheduled::Call(number) => notify(self, Notice::Call(number)),
+                Scheduled::Deadline(n, id) => {
+                    self.ended(n, id, None, Outcome::Timeout, Note::None, 0);
+                }
+                Scheduled::End(n, id, attempt, outcome, note, waited) => {
+                    self.ended(n, id, Some(attempt), outcome, note, waited);
+                    notify(self, Notice::Outcome(n));
+                }
+            }
+        }
+        self.now = end;
+    }
+
+    /// A sum over seconds, the last not counted.
+    pub(crate) fn sum(&self, seconds: std::ops::Range<usize>, of: impl Fn(&Second) -> u32) -> u32 {
+        self.seconds[seconds].iter().map(of).sum()
+    }
+
+    fn list(&mut self, n: usize, mode: ListMode, servers: Vec<Server>) {
+        for s in &servers {
+            match s.state {
+                State::Ready => _ = self.proxies[n].barred.remove(&s.id),
+                _ => _ = self.proxies[n].barred.entry(s.id).or_insert(self.now),
+            }
+        }
+        self.feed(n, Event::List { mode, servers });
+    }
+
+    /// Gives a router an event and carries out what follows.
+    pub(crate) fn feed(&mut self, n: usize, event: Event) {
+        let mut actions = Vec::new();
+        let router = &mut self.proxies[n].router;
+        router.handle(self.now, event, &mut actions);
+        if let Some(trace) = &mut self.trace {
+            trace.record(self.now, router, &actions);
+        }
+        for action in actions {
+            match action {
+                Action::Attempt {
+                    request,
+                    server,
+                    fill: Some(fill),
+                    ..
+                } => self.attempt(n, request, server, fill),
+                Action::Cancel { request, attempt } => {
+                    self.later(
+                        0,
+                        Scheduled::End(n, request, attempt, Outcome::Cancelled, Note::None, 0),
+                    );
+                }
+                Action::Refuse { request, .. } | Action::Fail { request } => {
+                    self.finish(n, request, false);
+                }
+                Action::Timer { at, tag } => self.later(at - self.now, Scheduled::Timer(n, tag)),
+                other => panic!("{other:?} is not expected here"),
+            }
+        }
+    }
+}
+
+/// Why `run` calls back.
+pub(crate) enum Notice {
+    /// This number was to be called.
+    Call(u64),
+    /// An attempt of this proxy has ended.
+    Outcome(usize),
+}
--- a/tests/decision_trace/main.rs
+++ b/tests/decision_trace/main.rs
@@ -11,7 +11,7 @@
 mod random_fleet;
 
 use common::trace::Trace;
-use common::world::{Heed, World, ORIGIN, PARENTS};
+use common::world::{Notice, World, ORIGIN, PARENTS};
 use common::{class, fleet, sent, settings, Rig, MS, S, T0};
 use linnetknot::*;
 use random_fleet::{RandomFleet, Tempo};
@@ -165,8 +165,8 @@
     world.sigma = 1.0;
     world.objects = 500.0;
     (1..=WORLD_SECONDS).for_each(|second| world.call(second * S, second));
-    world.run(WORLD_SECONDS * S, |world, heed| {
-        let Heed::Call(second) = heed else {
+    world.run(WORLD_SECONDS * S, |world, notify| {
+        let Notice::Call(second) = notify else {
             return;
         };
         let trace = world.trace.as_mut().expect("it was set");
@@ -175,7 +175,7 @@
         let zone: Vec<ServerId> = (10..14).collect();
         match second {
             3 => world
-                .boxes
+                .servers
                 .values_mut()
                 .filter(|b| b.zone == 1)
                 .for_each(|b| b.vanished = true),
@@ -194,8 +194,8 @@
                 world.tell(0, ListMode::Delta, &back);
             }
             7 => world.origin_per_s = 5.0,
-            9 => world.boxes.get_mut(&PARENTS[1]).expect("it is there").up = false,
-            10 => world.boxes.get_mut(&ORIGIN).expect("it is there").up = false,
+            9 => world.servers.get_mut(&PARENTS[1]).expect("it is there").up = false,
+            10 => world.servers.get_mut(&ORIGIN).expect("it is there").up = false,
             _ => {}
         }
     });
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -54,29 +54,32 @@
     [12, 16, 20, 23, 27, 30]
         .into_iter()
         .for_each(|s| w.call(s * S, s));
-    w.run(50 * S, |w, heed| {
+    w.run(50 * S, |w, notify| {
         let now = w.now;
         let vanish = |w: &mut World, n: usize| {
-            w.boxes.get_mut(&PARENTS[n]).expect("it is there").vanished = true;
+            w.servers
+                .get_mut(&PARENTS[n])
+                .expect("it is there")
+                .vanished = true;
         };
-        match heed {
-            Heed::Call(12) => w.origin_per_s = 200.0,
-            Heed::Call(16) => vanish(w, 0),
-            Heed::Call(20) => vanish(w, 1),
-            Heed::Call(23) => w.tell(0, ListMode::Delta, &[w.entry(PARENTS[0], State::Gone)]),
-            Heed::Call(27) => w.tell(0, ListMode::Delta, &[w.entry(PARENTS[1], State::Gone)]),
-            Heed::Call(_) => {
+        match notify {
+            Notice::Call(12) => w.origin_per_s = 200.0,
+            Notice::Call(16) => vanish(w, 0),
+            Notice::Call(20) => vanish(w, 1),
+            Notice::Call(23) => w.tell(0, ListMode::Delta, &[w.entry(PARENTS[0], State::Gone)]),
+            Notice::Call(27) => w.tell(0, ListMode::Delta, &[w.entry(PARENTS[1], State::Gone)]),
+            Notice::Call(_) => {
                 w.put(PARENTS[0], 0, 30.0, Some(now));
                 w.tell(0, ListMode::Delta, &[w.entry(PARENTS[0], State::Ready)]);
             }
-            Heed::Outcome(_) => {}
+            Notice::Outcome(_) => {}
         }
     });
     w
 }
 
 /// With no hub cache that is well, a proxy that went on naming dead ones, or refused for want of room at one that is
-/// back cold, would turn away all that its boxes lack, though the origin has places.
+/// back cold, would turn away all that its caches lack, though the origin has places.
 #[test]
 fn with_all_hub_caches_lost_the_origin_fills_what_it_can_give_in_time() {
     let w = parents_lost();
@@ -99,39 +102,39 @@
         4 * late < all,
         "{late} of {all} lost while both were found out"
     );
-    let pushed = PARENTS.map(|p| w.boxes[&p].pushed_most);
+    let recent_work = PARENTS.map(|p| w.servers[&p].max_overload);
     assert!(
-        pushed.iter().all(|p| *p < 0.9),
-        "{pushed:?} of what makes a cold hub cache fall"
+        recent_work.iter().all(|p| *p < 0.9),
+        "{recent_work:?} of what makes a cold hub cache fall"
     );
 }
 
-/// A location's boxes vanish at 6 s and are back, cold and empty, at 14 s. Five seconds after that nothing is turned
+/// A location's caches vanish at 6 s and are back, cold and empty, at 14 s. Five seconds after that nothing is turned
 /// away that its link could have brought.
 #[test]
 fn a_location_that_is_back_cold_refuses_nothing_five_seconds_later() {
     let mut w = second();
     [6, 10, 14].into_iter().for_each(|s| w.call(s * S, s));
-    w.run(40 * S, |w, heed| {
+    w.run(40 * S, |w, notify| {
         let zone: Vec<ServerId> = (10..14).collect();
         let word = |w: &World, state| {
             zone.iter()
                 .map(|id| w.entry(*id, state))
                 .collect::<Vec<_>>()
         };
-        match heed {
-            Heed::Call(6) => w
-                .boxes
+        match notify {
+            Notice::Call(6) => w
+                .servers
                 .values_mut()
                 .filter(|b| b.zone == 1)
                 .for_each(|b| b.vanished = true),
-            Heed::Call(10) => w.tell(0, ListMode::Delta, &word(w, State::Gone)),
-            Heed::Call(_) => {
+            Notice::Call(10) => w.tell(0, ListMode::Delta, &word(w, State::Gone)),
+            Notice::Call(_) => {
                 let now = w.now;
                 zone.iter().for_each(|id| w.put(*id, 1, 8.0, Some(now)));
                 w.tell(0, ListMode::Delta, &word(w, State::Ready));
             }
-            Heed::Outcome(_) => {}
+            Notice::Outcome(_) => {}
         }
     });
     let (refused, all) = lost(&w, 19..39);
@@ -139,8 +142,11 @@
         100 * refused < all,
         "{refused} of {all} turned away from five seconds after the return on"
     );
-    let pushed = (10..14)
-        .map(|id| w.boxes[&id].pushed_most)
+    let recent_work = (10..14)
+        .map(|id| w.servers[&id].max_overload)
         .fold(0.0, f64::max);
-    assert!(pushed < 0.9, "{pushed} of what makes a cold box fall");
+    assert!(
+        recent_work < 0.9,
+        "{recent_work} of what makes a cold box fall"
+    );
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -7,58 +7,61 @@
 
 fn caches(w: &World, zone: usize) -> Vec<ServerId> {
     let of_zone = w
-        .boxes
+        .servers
         .iter()
         .filter(|(id, b)| b.zone == zone && !PARENTS.contains(id) && **id != ORIGIN);
     of_zone.map(|(id, _)| *id).collect()
 }
 
-fn pushed_most(w: &World) -> f64 {
-    w.boxes.values().map(|b| b.pushed_most).fold(0.0, f64::max)
+fn max_overload(w: &World) -> f64 {
+    w.servers
+        .values()
+        .map(|b| b.max_overload)
+        .fold(0.0, f64::max)
 }
 
-/// A zone whose boxes vanish without a word at 6 s, are told to be gone at 9 s and come back cold at 11 s.
-fn zone_lost(seats: usize, link_fits: f64) -> World {
-    let mut w = World::new(6, seats, 4, 16.0, 5);
+/// A zone whose caches vanish without a word at 6 s, are told to be gone at 9 s and come back cold at 11 s.
+fn zone_lost(proxies: usize, link_fits: f64) -> World {
+    let mut w = World::new(6, proxies, 4, 16.0, 5);
     w.link_fits = link_fits;
     [6, 9, 11].into_iter().for_each(|s| w.call(s * S, s));
-    w.run(30 * S, |w, heed| {
+    w.run(30 * S, |w, notify| {
         let zone = caches(w, 1);
         let word = |w: &World, state| {
             zone.iter()
                 .map(|id| w.entry(*id, state))
                 .collect::<Vec<_>>()
         };
-        match heed {
-            Heed::Call(6) => w
-                .boxes
+        match notify {
+            Notice::Call(6) => w
+                .servers
                 .values_mut()
                 .filter(|b| b.zone == 1)
                 .for_each(|b| b.vanished = true),
-            Heed::Call(9) => w.tell(0, ListMode::Delta, &word(w, State::Gone)),
-            Heed::Call(_) => {
+            Notice::Call(9) => w.tell(0, ListMode::Delta, &word(w, State::Gone)),
+            Notice::Call(_) => {
                 let now = w.now;
                 zone.iter().for_each(|id| w.put(*id, 1, 8.0, Some(now)));
                 w.tell(0, ListMode::Delta, &word(w, State::Ready));
             }
-            Heed::Outcome(_) => {}
+            Notice::Outcome(_) => {}
         }
     });
     w
 }
-/// Three in five boxes of each zone are replaced by cold ones within 7 s; the word comes this late.
-fn replaced(seats: usize, late: Micros) -> World {
-    let mut w = World::new(6, seats, 5, 8.0, 5);
+/// Three in five caches of each zone are replaced by cold ones within 7 s; the word comes this late.
+fn replaced(proxies: usize, late: Micros) -> World {
+    let mut w = World::new(6, proxies, 5, 8.0, 5);
     w.link_fits = 1e3;
     (0..7).for_each(|n| w.call((6 + n) * S, n));
-    w.run(24 * S, |w, heed| {
-        let Heed::Call(n) = heed else { return };
+    w.run(24 * S, |w, notify| {
+        let Notice::Call(n) = notify else { return };
         let now = w.now;
         let mut word = Vec::new();
         for zone in 1..=6 {
             let leaves = |id: &ServerId| *id < 100 && id % 10 < 3 && (id / 10 + id % 10) % 7 == n;
             for id in caches(w, zone).into_iter().filter(leaves) {
-                w.boxes.get_mut(&id).expect("it is there").up = false;
+                w.servers.get_mut(&id).expect("it is there").up = false;
                 word.push(w.entry(id, State::Gone));
                 w.put(id + 100, zone, 8.0, Some(now));
                 word.push(w.entry(id + 100, State::Ready));
@@ -69,17 +72,17 @@
     w
 }
 
-/// All copies in boxes are void at 10 s, while a location's link fits this.
-fn void(zones: usize, seats: usize, link_fits: f64) -> World {
-    let mut w = World::new(zones, seats, 4, 8.0, 5);
+/// All copies in caches are void at 10 s, while a location's link fits this.
+fn void(zones: usize, proxies: usize, link_fits: f64) -> World {
+    let mut w = World::new(zones, proxies, 4, 8.0, 5);
     w.link_fits = link_fits;
     w.call(10 * S, 0);
-    w.run(24 * S, |w, heed| {
-        if let Heed::Call(_) = heed {
-            w.boxes
+    w.run(24 * S, |w, notify| {
+        if let Notice::Call(_) = notify {
+            w.servers
                 .values_mut()
                 .filter(|b| b.zone > 0)
-                .for_each(|b| b.holds.clear());
+                .for_each(|b| b.cached.clear());
         }
     });
     w
@@ -94,10 +97,10 @@
 #[test]
 fn a_zone_back_cold_is_worked_hard_and_never_pushed_over() {
     let w = zone_lost(12, 1e3);
-    let most = pushed_most(&w);
+    let most = max_overload(&w);
     assert!(
         (0.4..0.8).contains(&most),
-        "its boxes were sent {most} of what makes them fall"
+        "its caches were sent {most} of what makes them fall"
     );
     let (lost, asked) = (w.sum(11..20, |s| s.lost), w.sum(11..20, |s| s.asked) / 6);
     assert!(
@@ -112,22 +115,22 @@
     let vain = w.sum(6..11, |s| s.in_vain);
     assert!(
         vain < w.sum(6..9, |s| s.asked) / 3,
-        "{vain} attempts at boxes that are not there"
+        "{vain} attempts at caches that are not there"
     );
 }
 
 #[test]
-fn three_boxes_in_five_replaced_within_seven_seconds_cost_less_than_one_request_in_a_hundred() {
-    for seats in [3, 8, 16] {
-        let w = replaced(seats, 300 * MS);
+fn three_caches_in_five_replaced_within_seven_seconds_cost_less_than_one_request_in_a_hundred() {
+    for proxies in [3, 8, 16] {
+        let w = replaced(proxies, 300 * MS);
         let (lost, asked) = (missed(&w, 6..18), w.sum(6..18, |s| s.asked));
-        assert!(100 * lost < asked, "{seats}: {lost} of {asked}");
-        assert!(pushed_most(&w) < 0.8, "{seats}: {}", pushed_most(&w));
-        // Eighteen boxes, each known to the proxies of its own zone alone.
+        assert!(100 * lost < asked, "{proxies}: {lost} of {asked}");
+        assert!(max_overload(&w) < 0.8, "{proxies}: {}", max_overload(&w));
+        // Eighteen caches, each known to the proxies of its own zone alone.
         let vain = w.sum(6..18, |s| s.in_vain);
         assert!(
-            vain as usize <= 18 * seats,
-            "{seats}: {vain} attempts at boxes that had left"
+            vain as usize <= 18 * proxies,
+            "{proxies}: {vain} attempts at caches that had left"
         );
     }
 }
@@ -136,34 +139,34 @@
 #[test]
 fn discovery_that_is_late_or_absent_during_a_release_costs_trials_and_hardly_a_request() {
     for (late, trials) in [(3 * S, 3), (100 * S, 8)] {
-        for seats in [3, 8, 16] {
-            let w = replaced(seats, late);
+        for proxies in [3, 8, 16] {
+            let w = replaced(proxies, late);
             let (lost, asked) = (missed(&w, 6..18), w.sum(6..18, |s| s.asked));
-            assert!(50 * lost < asked, "{late} {seats}: {lost} of {asked}");
+            assert!(50 * lost < asked, "{late} {proxies}: {lost} of {asked}");
             let vain = w.sum(6..18, |s| s.in_vain);
             assert!(
-                vain as usize <= trials * 18 * seats,
-                "{late} {seats}: {vain} attempts in vain"
+                vain as usize <= trials * 18 * proxies,
+                "{late} {proxies}: {vain} attempts in vain"
             );
         }
     }
 }
 
-/// The list names boxes that are not there, and takes others away that are: what it takes away is left alone (the
+/// The list names caches that are not there, and takes others away that are: what it takes away is left alone (the
 /// world sees to that), what it adds wrongly is tried and then left alone.
 #[test]
 fn discovery_that_is_wrong_costs_a_trial_for_each_box_that_is_not_there() {
     let mut w = World::new(6, 16, 4, 8.0, 5);
     w.link_fits = 1e3;
     w.call(6 * S, 0);
-    w.run(16 * S, |w, heed| {
-        let Heed::Call(_) = heed else { return };
+    w.run(16 * S, |w, notify| {
+        let Notice::Call(_) = notify else { return };
         let mut word = Vec::new();
         for zone in 1..=6 {
             word.push(w.entry(caches(w, zone)[0], State::Gone));
             let ghost = 500 + zone as u64;
             w.put(ghost, zone, 8.0, None);
-            w.boxes.get_mut(&ghost).expect("just put").up = false;
+            w.servers.get_mut(&ghost).expect("just put").up = false;
             word.push(w.entry(ghost, State::Ready));
         }
         w.tell(0, ListMode::Delta, &word);
@@ -173,24 +176,24 @@
     let vain = w.sum(6..15, |s| s.in_vain);
     assert!(
         (96..=96 * 5).contains(&vain),
-        "{vain} attempts of 96 proxies at six boxes that are not there"
+        "{vain} attempts of 96 proxies at six caches that are not there"
     );
 }
 
 /// All proxies fill at once. What a fill told of the crowd must not count for longer than the crowd lasts.
 #[test]
 fn a_link_crowded_by_the_void_of_all_copies_is_used_again_within_four_seconds() {
-    for (seats, link_fits, most) in [(8, 6.0, 120), (16, 12.0, 90)] {
-        let w = void(6, seats, link_fits);
+    for (proxies, link_fits, most) in [(8, 6.0, 120), (16, 12.0, 90)] {
+        let w = void(6, proxies, link_fits);
         let lost = missed(&w, 10..23);
         assert!(
             lost < most,
-            "{seats}: {lost} of {}",
+            "{proxies}: {lost} of {}",
             w.sum(10..23, |s| s.asked)
         );
         assert!(
             missed(&w, 14..23) < 30,
-            "{seats}: {} after four seconds",
+            "{proxies}: {} after four seconds",
             missed(&w, 14..23)
         );
     }
--- a/tests/large.rs
+++ b/tests/large.rs
@@ -88,10 +88,10 @@
 const LINK: f64 = 12.0;
 
 impl Site {
-    /// Two locations of three proxies and four boxes each, asked for this share of what the boxes can send.
+    /// Two locations of three proxies and four caches each, asked for this share of what the caches can send.
     fn world(&self, load: f64, seed: u64) -> World {
         let site = *self;
-        // Four boxes of eight transfers, by three proxies.
+        // Four caches of eight transfers, by three proxies.
         let rate = load * 32.0 / site.work_s / 3.0;
         let mut w = World::shaped(2, 3, 4, rate, seed, |s| {
             s.classes[0].objective_us = site.aim.0;
@@ -165,7 +165,7 @@
     }
 }
 
-/// Half of the boxes of each location, and the parents, are replaced by cold and empty ones at 8 s, at the load that the
+/// Half of the caches of each location, and the parents, are replaced by cold and empty ones at 8 s, at the load that the
 /// sites' bad days have in the middle of their ranges.
 #[test]
 fn on_other_days_the_largest_objects_get_half_of_their_classs_answers_and_tenants_their_shares() {
@@ -173,16 +173,16 @@
         for (seed, load) in [(7, 0.6), (8, 0.6), (9, 0.6)] {
             let mut w = site.world(load, seed);
             w.call(8 * S, 1);
-            w.run(25 * S, |w, heed| {
-                let Heed::Call(_) = heed else { return };
+            w.run(25 * S, |w, notify| {
+                let Notice::Call(_) = notify else { return };
                 let now = w.now;
                 let replaced: Vec<ServerId> = [10, 11, 20, 21]
                     .into_iter()
                     .chain(PARENTS)
-                    .filter(|id| w.boxes.contains_key(id))
+                    .filter(|id| w.servers.contains_key(id))
                     .collect();
                 for id in replaced {
-                    let zone = w.boxes[&id].zone;
+                    let zone = w.servers[&id].zone;
                     w.put(id, zone, if zone == 0 { 30.0 } else { 8.0 }, Some(now));
                     w.tell(0, ListMode::Delta, &[w.entry(id, State::Ready)]);
                 }
