--- a/src/router/slow_start.rs
+++ b/src/router/slow_start.rs
@@ -26,11 +26,11 @@
         match server.role {
             Role::Parent => Ramp {
                 share: rules.parent_slow_start_share,
-                cold_us: rules.parent_slow_start_us,
+                duration_us: rules.parent_slow_start_us,
             },
             Role::Cache | Role::Origin => Ramp {
                 share: rules.slow_start_share,
-                cold_us: rules.slow_start_us,
+                duration_us: rules.slow_start_us,
             },
         }
     }
