--- a/tests/decision_trace/main.rs
+++ b/tests/decision_trace/main.rs
@@ -50,6 +50,12 @@
     calm_us: 600 * MS,
     objects: 20_000,
 };
+/// Long enough that writes are sent again amid all kinds of faults.
+const LONG_BUSY: Tempo = Tempo {
+    seconds: 60,
+    checkpoint_seconds: 5,
+    ..BUSY
+};
 /// Few objects, so that some are asked for often enough to have several copies.
 const HOT: Tempo = Tempo {
     objects: 12,
@@ -246,10 +252,11 @@
     let slow = RandomFleet::new("slow", settings(), SLOW, 4).run();
     let sparse = RandomFleet::new("sparse", linked(2, 0.0), SPARSE, 5).run();
     let idle_link = RandomFleet::new("idle-link", linked(3, 0.0), IDLE_LINK, 7).run();
+    let writes = RandomFleet::new("writes", deduplicating(), LONG_BUSY, 8).run();
     let hot = RandomFleet::new("hot", linked(1, 500_000.0), HOT, 6).run();
     compare(
         "slow-sparse-and-hot.txt",
-        &(slow + &sparse + &idle_link + &hot),
+        &(slow + &sparse + &idle_link + &writes + &hot),
     );
 }
 
