--- a/tests/decision_trace/main.rs
+++ b/tests/decision_trace/main.rs
@@ -315,6 +315,62 @@
     compare("scan.txt", &trace.into_report());
 }
 
+/// Ticks, with an answer to a new request in each; what is cancelled ends so.
+fn answer_others(rig: &mut Rig, trace: &mut Trace, ticks: u64) {
+    for tick in 0..ticks {
+        let (request, actions) = rig.ask("video", &format!("/others/{tick}"), 5 * S);
+        rig.now += 50 * MS;
+        trace.record(rig.now, &mut rig.router, &actions);
+        if let Some(sent) = sent(&actions) {
+            rig.end_with(request, 0, sent.server, Outcome::Ok, Note::Hit);
+        }
+        let actions = rig.tick();
+        trace.record(rig.now, &mut rig.router, &actions);
+        for action in actions {
+            if let Action::Cancel { request, attempt } = action {
+                let again = rig.end(request, attempt, 0, Outcome::Cancelled);
+                trace.record(rig.now, &mut rig.router, &again);
+            }
+        }
+    }
+}
+
+/// Some requests are never answered though their servers answer others, and then no server answers any more from the
+/// moment of its last answer on.
+#[test]
+fn every_decision_on_answers_that_never_come_is_the_one_on_record() {
+    let mut rig = Rig::new(settings(), fleet());
+    let mut trace = Trace::new("silence".into());
+    for number in 0..8 {
+        let (_, actions) = rig.ask("video", &format!("/lost/{number}"), 60 * S);
+        trace.record(rig.now, &mut rig.router, &actions);
+    }
+    for second in [10, 20, 30] {
+        answer_others(&mut rig, &mut trace, 200);
+        trace.checkpoint(second);
+    }
+    let last: Vec<_> = (0..24)
+        .map(|number| rig.ask("video", &format!("/last/{number}"), 5 * S))
+        .collect();
+    rig.now += 50 * MS;
+    for (request, actions) in last {
+        if let Some(sent) = sent(&actions) {
+            rig.end_with(request, 0, sent.server, Outcome::Ok, Note::Hit);
+        }
+    }
+    for number in 0..24 {
+        let (_, actions) = rig.ask("video", &format!("/silent/{number}"), 5 * S);
+        trace.record(rig.now, &mut rig.router, &actions);
+    }
+    for _ in 0..40 {
+        rig.now += 50 * MS;
+        let actions = rig.tick();
+        trace.record(rig.now, &mut rig.router, &actions);
+    }
+    trace.checkpoint(32);
+    compare("silence.txt", &trace.into_report());
+}
+
 #[test]
 fn every_decision_in_an_eventful_world_is_the_one_on_record() {
     let told = eventful_world("world-told", 11, |_| ());
