--- /dev/null
+++ b/src/router/mod.rs
@@ -0,0 +1,156 @@
+//! The decisions of the router. Its interface - settings, events and actions - stands in `crate::interface`.
+//!
+//! The way of a request: `requests` takes it in, `retries` decides whether an attempt is sent, `placement` picks its
+//! target by way of `outliers`, `slow_start`, `capacity`, `leases` and `origin`, `dispatch` sends it, and `outcomes`
+//! takes its end in, with `faults` and `statistics`. `timers` looks after what does not end.
+
+mod capacity;
+mod dispatch;
+mod endpoints;
+mod faults;
+mod leases;
+mod origin;
+mod outcomes;
+mod outliers;
+mod placement;
+mod purges;
+mod reload;
+mod requests;
+mod retries;
+mod slow_start;
+mod state;
+mod statistics;
+mod timers;
+
+use crate::interface::{
+    Action, Budget, Event, Lease, Micros, RequestId, ServerId, Settings, SettingsError,
+};
+use crate::statistics::{Pace, RequestCounts};
+use endpoints::WATCH_TAG;
+use linnetknot_purges::hashing::mix;
+use linnetknot_purges::{BucketBits, PurgeTable};
+use origin::OriginAdmission;
+use outcomes::AttemptReport;
+use state::{Endpoint, OpenRequest};
+use statistics::{ClassStatistics, LINK_HALF_LIFE_MS};
+use std::collections::BTreeMap;
+use timers::TICK_TAG;
+
+/// Half-life of the request counts.
+const COUNT_HALF_LIFE_S: f64 = 10.0;
+/// Entries of a table of counts; the least counted go first when it is full.
+const COUNT_TABLE_SIZE: usize = 20_000;
+/// Purges held exactly, also once carried out: a fill across one may leave an older copy.
+const EXACT_PURGE_CAPACITY: usize = 16_384;
+/// Share of attempts taken to find no copy before anything is learned.
+const FIRST_MISS_RATE: f64 = 0.5;
+
+/// A router: one instance decides for one proxy.
+pub struct Router {
+    settings: Settings,
+    seed: u64,
+    /// State of the random picks among copies.
+    random: u64,
+    endpoints: BTreeMap<ServerId, Endpoint>,
+    /// The ready servers of each role: all that a request ranks.
+    ready_by_role: [Vec<ServerId>; 3],
+    requests: BTreeMap<RequestId, OpenRequest>,
+    /// Recent requests for each object, and for each part.
+    object_counts: RequestCounts,
+    part_counts: RequestCounts,
+    /// By place of the class in the settings.
+    class_statistics: Vec<ClassStatistics>,
+    /// Share of attempts that find no copy in the cache.
+    miss_rate: f64,
+    /// Fills that seem to be under way by the location's link from this router, now and on average.
+    active_fills: f64,
+    mean_active_fills: f64,
+    /// Recent fills by the location's link, whoever gave them: what they took tells its size.
+    link_pace: Pace<LINK_HALF_LIFE_MS>,
+    origin_admission: OriginAdmission,
+    /// The latest purge of each object and of each group.
+    purges: PurgeTable,
+    /// What this router may spend of the budgets that all routers share.
+    leases: BTreeMap<Budget, Lease>,
+    /// The first event has been taken in.
+    started: bool,
+}
+
+impl Router {
+    /// A router for one proxy. Equal settings, seed and events give equal actions.
+    pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
+        settings.check()?;
+        let class_statistics = settings.classes.iter().map(ClassStatistics::new).collect();
+        Ok(Router {
+            settings,
+            seed,
+            random: mix(seed ^ 0x5bd1_e995),
+            endpoints: BTreeMap::new(),
+            ready_by_role: Default::default(),
+            requests: BTreeMap::new(),
+            object_counts: RequestCounts::new(COUNT_HALF_LIFE_S, COUNT_TABLE_SIZE),
+            part_counts: RequestCounts::new(COUNT_HALF_LIFE_S, COUNT_TABLE_SIZE),
+            class_statistics,
+            miss_rate: FIRST_MISS_RATE,
+            active_fills: 0.0,
+            mean_active_fills: 0.0,
+            link_pace: Pace::default(),
+            origin_admission: OriginAdmission::new(),
+            purges: PurgeTable::new(EXACT_PURGE_CAPACITY, BucketBits::DEFAULT),
+            leases: BTreeMap::new(),
+            started: false,
+        })
+    }
+
+    /// Takes an event in and appends what is to be done, in order.
+    pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
+        if !self.started {
+            self.started = true;
+            Self::schedule_tick(now, actions);
+            actions.extend(self.settings.polls_list.then_some(Action::Watch));
+        }
+        match event {
+            Event::List { mode, servers } => self.update_endpoints(now, mode, servers, actions),
+            Event::Request(request) => self.request(now, &request, actions),
+            Event::Begun { request, attempt } => self.streaming_began(request, attempt),
+            Event::Outcome {
+                request,
+                attempt,
+                server: _,
+                outcome,
+                took_us,
+                settled,
+                note,
+                waited_us,
+                load: _,
+            } => {
+                let report = AttemptReport {
+                    request,
+                    attempt,
+                    outcome,
+                    took_us,
+                    settled,
+                    note,
+                    waited_us,
+                };
+                self.attempt_ended(now, &report, actions);
+            }
+            Event::Left { request } => self.client_left(request, actions),
+            Event::Timer { tag: TICK_TAG } => self.tick(now, actions),
+            Event::Timer { tag: WATCH_TAG } => actions.push(Action::Watch),
+            Event::Timer { .. } | Event::Probed { .. } => {}
+            Event::Heard {
+                origin_share,
+                for_us,
+            } => self.origin_admission.limit(origin_share, now + for_us),
+            Event::Lease(lease) => {
+                self.leases.insert(lease.budget, lease);
+            }
+            Event::Purged {
+                object,
+                group,
+                age_us,
+            } => self.record_purge(now.saturating_sub(age_us), object.as_deref(), group),
+        }
+    }
+}
