--- a/consul/src/backoff.rs
+++ b/consul/src/backoff.rs
@@ -8,35 +8,35 @@
 /// Waits that grow with each failure in a row.
 #[derive(Clone, Debug)]
 pub struct Backoff {
-    least_us: Micros,
-    most_us: Micros,
+    min_us: Micros,
+    max_us: Micros,
     failures: u32,
     random: SmallRng,
 }
 
 impl Backoff {
-    /// The first wait is about `least_us`, and none is about more than `most_us`, in microseconds.
-    pub fn new(least_us: Micros, most_us: Micros, seed: u64) -> Self {
+    /// The first wait is about `min_us`, and none is about more than `max_us`, in microseconds.
+    pub fn new(min_us: Micros, max_us: Micros, seed: u64) -> Self {
         Backoff {
-            least_us,
-            most_us,
+            min_us,
+            max_us,
             failures: 0,
             random: SmallRng::seed_from_u64(seed),
         }
     }
 
     /// A try has failed: how long to wait before the next, from half to one and a half of the doubled wait.
-    pub fn failed(&mut self) -> Micros {
+    pub fn next_delay(&mut self) -> Micros {
         let wait = self
-            .least_us
+            .min_us
             .saturating_mul(1 << self.failures.min(20))
-            .min(self.most_us);
+            .min(self.max_us);
         self.failures += 1;
-        self.spread(wait)
+        self.jitter(wait)
     }
 
     /// A try has succeeded.
-    pub fn succeeded(&mut self) {
+    pub fn reset(&mut self) {
         self.failures = 0;
     }
 
@@ -46,7 +46,7 @@
     }
 
     /// A time from half to one and a half of this.
-    pub fn spread(&mut self, wait: Micros) -> Micros {
+    pub fn jitter(&mut self, wait: Micros) -> Micros {
         wait / 2 + self.random.random_range(0..=wait)
     }
 }
@@ -59,7 +59,7 @@
     fn waits_double_up_to_their_most_and_differ_from_proxy_to_proxy() {
         let waits = |seed| {
             let mut b = Backoff::new(100, 5_000, seed);
-            (0..12).map(|_| b.failed()).collect::<Vec<_>>()
+            (0..12).map(|_| b.next_delay()).collect::<Vec<_>>()
         };
         for seed in 0..20 {
             for (n, wait) in waits(seed).into_iter().enumerate() {
@@ -77,9 +77,9 @@
         );
         let mut b = Backoff::new(100, 5_000, 1);
         (0..9).for_each(|_| {
-            b.failed();
+            b.next_delay();
         });
-        b.succeeded();
-        assert!(b.failures() == 0 && b.failed() <= 150);
+        b.reset();
+        assert!(b.failures() == 0 && b.next_delay() <= 150);
     }
 }
--- a/consul/src/http.rs
+++ b/consul/src/http.rs
@@ -118,7 +118,7 @@
     }
 
     /// What an answer that is no success says of itself: its first line, cut short.
-    pub fn says(&self) -> String {
+    pub fn error_summary(&self) -> String {
         let text = String::from_utf8_lossy(&self.body[..self.body.len().min(160)]).into_owned();
         text.lines()
             .next()
@@ -131,11 +131,11 @@
 
 /// Why there is no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Failure {
+pub enum TransportError {
     /// No connection came up.
     Unreachable,
     /// The connection ended before the answer was whole.
-    CutOff,
+    Truncated,
     /// No whole answer came in time.
     TimedOut,
     /// What came is no HTTP.
@@ -144,11 +144,11 @@
     TooLong,
 }
 
-impl fmt::Display for Failure {
+impl fmt::Display for TransportError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Unreachable => "can't be reached",
-            Self::CutOff => "broke off in the middle of an answer",
+            Self::Truncated => "broke off in the middle of an answer",
             Self::TimedOut => "gave no whole answer in time",
             Self::Malformed => "answered with something that is no HTTP",
             Self::TooLong => "gave an answer that is longer than allowed",
--- a/consul/src/lib.rs
+++ b/consul/src/lib.rs
@@ -8,16 +8,16 @@
 //! The shapes and rules are those of Consul's published API pages: 'Blocking Queries', 'Consistency Modes', 'Health',
 //! 'Catalog', 'Agent Service' and 'Agent Check'.
 
-mod answer;
 mod backoff;
 mod http;
 mod mapping;
-mod register;
+mod registration;
+mod schema;
 mod watch;
 
-pub use answer::Skipped;
 pub use backoff::Backoff;
-pub use http::{Call, Failure, Response, Token, TokenError};
+pub use http::{Call, Response, Token, TokenError, TransportError};
 pub use mapping::{Identity, Mapping, MetaKeys};
-pub use register::{Registrant, Registration, Step};
-pub use watch::{Consistency, Note, Options, Told, Watch};
+pub use registration::{Registrant, Registration, RegistrationEvent};
+pub use schema::SkippedInstance;
+pub use watch::{Consistency, Options, Watch, WatchEvent, WatchUpdate};
--- a/consul/src/mapping.rs
+++ b/consul/src/mapping.rs
@@ -1,7 +1,7 @@
 //! How a catalogue's instances become boxes: where each property is found, and what it is where nothing is said.
 //! A catalogue made by others has its own words, so every name is a setting.
 
-use crate::answer::{Checks, Field, Instance, Node, Service, Skipped, Weights, MISSING};
+use crate::schema::{Checks, Field, Instance, Node, Service, SkippedInstance, Weights, MISSING};
 use linnetknot::{Micros, Server, State};
 use linnetknot_discovery::{server_id, Entry, Reason, Report};
 use std::collections::BTreeMap;
@@ -88,26 +88,26 @@
 }
 
 impl Meta<'_> {
-    fn bad(&self, key: &str, why: String) -> Skipped {
-        Skipped {
+    fn bad(&self, key: &str, why: String) -> SkippedInstance {
+        SkippedInstance {
             uid: self.uid.to_owned(),
             key: format!("Service.Meta.{key}"),
             why,
         }
     }
 
-    fn text(&self, key: &str) -> Result<Option<&str>, Skipped> {
-        let text = self.values.get(key).map_or(Ok(None), Field::needed);
+    fn text(&self, key: &str) -> Result<Option<&str>, SkippedInstance> {
+        let text = self.values.get(key).map_or(Ok(None), Field::value);
         text.map(|text| text.map(String::as_str))
             .map_err(|why| self.bad(key, why))
     }
 
-    fn text_or(&self, key: &str, default: &str) -> Result<String, Skipped> {
+    fn text_or(&self, key: &str, default: &str) -> Result<String, SkippedInstance> {
         Ok(self.text(key)?.unwrap_or(default).to_owned())
     }
 
     /// A figure: finite and not negative.
-    fn number(&self, key: &str) -> Result<Option<f64>, Skipped> {
+    fn number(&self, key: &str) -> Result<Option<f64>, SkippedInstance> {
         let Some(text) = self.text(key)? else {
             return Ok(None);
         };
@@ -129,8 +129,8 @@
     let weigh = |of: fn(&Weights) -> &Field<f64>| {
         service
             .weights
-            .known()
-            .and_then(|w| of(w).known().copied())
+            .if_readable()
+            .and_then(|w| of(w).if_readable().copied())
             .unwrap_or(1.0)
     };
     let passing = weigh(|w| &w.passing).max(0.0);
@@ -144,7 +144,7 @@
 }
 
 /// Whether a service of this weight takes work, by its checks, and why.
-fn standing(checks: &Checks<'_>, weight: f64) -> (State, Reason) {
+fn health(checks: &Checks<'_>, weight: f64) -> (State, Reason) {
     if let Some(reason) = checks.fault() {
         return (State::Draining, reason);
     }
@@ -164,7 +164,7 @@
         node: &Field<String>,
         service: &Field<String>,
     ) -> Result<String, (Part, String)> {
-        let text = |part, field: &Field<String>| match field.needed() {
+        let text = |part, field: &Field<String>| match field.value() {
             Ok(Some(text)) => Ok(text.clone()),
             Ok(None) => Err((part, MISSING.to_owned())),
             Err(why) => Err((part, why)),
@@ -183,12 +183,12 @@
     }
 
     /// An instance as a report on a box, or the key at fault. Only what this mapping needs can be at fault.
-    pub(crate) fn report(&self, i: &Instance) -> Result<Report, Skipped> {
+    pub(crate) fn report(&self, i: &Instance) -> Result<Report, SkippedInstance> {
         let (no_node, no_service) = (Node::default(), Service::default());
-        let node = i.node.known().unwrap_or(&no_node);
-        let service = i.service.known().unwrap_or(&no_service);
+        let node = i.node.if_readable().unwrap_or(&no_node);
+        let service = i.service.if_readable().unwrap_or(&no_service);
         let uid = self.checked_uid(i, node, service)?;
-        let bad = |key: &str, why: String| Skipped {
+        let bad = |key: &str, why: String| SkippedInstance {
             uid: uid.clone(),
             key: key.to_owned(),
             why,
@@ -196,7 +196,7 @@
         let none = BTreeMap::new();
         let values = service
             .meta
-            .needed()
+            .value()
             .map_err(|why| bad("Service.Meta", why))?
             .unwrap_or(&none);
         let meta = Meta { uid: &uid, values };
@@ -209,7 +209,7 @@
         let checks = i.checks().map_err(|(key, why)| bad(&key, why))?;
         let capacity = meta.number(&self.keys.capacity)?.filter(|n| *n > 0.0);
         let weight = weight(service, capacity, Checks(&checks).warning().is_some());
-        let (state, reason) = standing(&Checks(&checks), weight);
+        let (state, reason) = health(&Checks(&checks), weight);
         let started = meta
             .number(&self.keys.started_ms)?
             .map(|ms| (ms * 1000.0) as Micros);
@@ -234,9 +234,14 @@
     }
 
     /// The id of an instance, if it can be that of a box.
-    fn checked_uid(&self, i: &Instance, node: &Node, service: &Service) -> Result<String, Skipped> {
+    fn checked_uid(
+        &self,
+        i: &Instance,
+        node: &Node,
+        service: &Service,
+    ) -> Result<String, SkippedInstance> {
         // A part that can't be read at all is at fault itself, where anything of it is needed.
-        let fault = |part: Part, why: String| match (part, i.node.needed(), i.service.needed()) {
+        let fault = |part: Part, why: String| match (part, i.node.value(), i.service.value()) {
             (Part::Node, Err(why), _) => ("Node", why),
             (Part::Service, _, Err(why)) => ("Service", why),
             (Part::Service, _, Ok(None)) => ("Service", MISSING.to_owned()),
@@ -245,7 +250,7 @@
         };
         let uid = self.uid(&node.node, &service.id).map_err(|(part, why)| {
             let (key, why) = fault(part, why);
-            Skipped {
+            SkippedInstance {
                 uid: "?".to_owned(),
                 key: key.to_owned(),
                 why,
@@ -258,7 +263,7 @@
                 "Service.ID"
             };
             let why = format!("'{}' can't be the id of a box", uid.escape_default());
-            return Err(Skipped {
+            return Err(SkippedInstance {
                 uid,
                 key: key.to_owned(),
                 why,
@@ -268,7 +273,7 @@
     }
 
     /// An error unless the deployment has the zone, where its zones are known.
-    fn check_zone(&self, meta: &Meta<'_>, zone: &String) -> Result<(), Skipped> {
+    fn check_zone(&self, meta: &Meta<'_>, zone: &String) -> Result<(), SkippedInstance> {
         if self.zones.is_empty() || self.zones.contains(zone) {
             return Ok(());
         }
@@ -287,23 +292,23 @@
             let at = |part: &str, why| (format!("{part}.TaggedAddresses.{tag}"), why);
             let own = service
                 .tagged_addresses
-                .needed()
+                .value()
                 .map_err(|why| at("Service", why))?;
             let own = own
                 .and_then(|all| all.get(tag))
-                .map_or(Ok(None), Field::needed);
+                .map_or(Ok(None), Field::value);
             if let Some(tagged) = own.map_err(|why| at("Service", why))? {
                 key = format!("Service.TaggedAddresses.{tag}.Address");
-                address = tagged.address.needed().map_err(|why| (key.clone(), why))?;
+                address = tagged.address.value().map_err(|why| (key.clone(), why))?;
                 port = (&tagged.port, format!("Service.TaggedAddresses.{tag}.Port"));
             } else {
                 let of_node = node
                     .tagged_addresses
-                    .needed()
+                    .value()
                     .map_err(|why| at("Node", why))?;
                 let of_node = of_node
                     .and_then(|all| all.get(tag))
-                    .map_or(Ok(None), Field::needed);
+                    .map_or(Ok(None), Field::value);
                 address = of_node.map_err(|why| at("Node", why))?;
                 key = format!("Node.TaggedAddresses.{tag}");
             }
@@ -311,14 +316,14 @@
         if address.is_none() {
             let own = service
                 .address
-                .needed()
+                .value()
                 .map_err(|why| ("Service.Address".to_owned(), why))?;
             address = own.filter(|a| !a.is_empty());
             key = "Service.Address".to_owned();
         }
         if address.is_none() {
             key = "Node.Address".to_owned();
-            address = node.address.needed().map_err(|why| (key.clone(), why))?;
+            address = node.address.value().map_err(|why| (key.clone(), why))?;
         }
         let address = address.ok_or((key.clone(), MISSING.to_owned()))?;
         let ip: IpAddr = address.parse().map_err(|_| {
@@ -334,7 +339,7 @@
             return Err((key, format!("{ip} is no address of a box")));
         }
         let (port, key) = port;
-        let number = port.needed().map_err(|why| (key.clone(), why))?;
+        let number = port.value().map_err(|why| (key.clone(), why))?;
         let port = number
             .and_then(|p| u16::try_from(*p).ok())
             .filter(|p| *p > 0);
--- a/consul/src/register.rs
+++ b/consul/src/registration.rs
@@ -4,7 +4,7 @@
 //! so (404, or 500 from older agents), and it is taken up again.
 
 use crate::backoff::Backoff;
-use crate::http::{segment, Call, Failure, Response};
+use crate::http::{segment, Call, Response, TransportError};
 use linnetknot::Micros;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -26,22 +26,22 @@
     /// The check turns critical by itself if it is not updated for so long.
     pub ttl_us: Micros,
     /// The agent drops the registration once it was critical for so long; none: never.
-    pub drop_after_us: Option<Micros>,
+    pub deregister_after_us: Option<Micros>,
     /// How long a call may take.
-    pub answer_us: Micros,
+    pub response_timeout_us: Micros,
     /// Agents to choose from. The one that took the registration keeps it: a service belongs to an agent.
     pub agents: usize,
 }
 
 /// What is to be said of a call that ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum RegistrationEvent {
     /// Registered.
     Registered,
     /// The agent has forgotten the registration: it is taken up again.
     Forgotten,
     /// Deregistered.
-    Left,
+    Deregistered,
     /// A call failed for this reason, the first in a row.
     Failed(String),
 }
@@ -50,15 +50,15 @@
 enum Stage {
     Unregistered,
     Registered,
-    Leaving,
-    Left,
+    Deregistering,
+    Deregistered,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Out {
+enum PendingCall {
     Register(bool),
     Update(bool),
-    Leave,
+    Deregister,
 }
 
 #[derive(Serialize)]
@@ -105,81 +105,81 @@
 /// The proxy's registration at an agent.
 #[derive(Clone, Debug)]
 pub struct Registration {
-    r: Registrant,
+    registrant: Registrant,
     stage: Stage,
     agent: usize,
-    out: Option<Out>,
+    pending: Option<PendingCall>,
     next_at: Micros,
     /// What the agent was last told of the proxy's being able to serve.
-    told: Option<bool>,
+    reported_ready: Option<bool>,
     backoff: Backoff,
-    leave_tries: u32,
+    deregister_attempts: u32,
 }
 
 /// Tries to deregister: the proxy is about to end, and the check turns critical by itself.
-const LEAVE_TRIES: u32 = 3;
+const MAX_DEREGISTER_ATTEMPTS: u32 = 3;
 
 impl Registration {
     /// A registration that is still to be made.
     pub fn new(registrant: Registrant, seed: u64) -> Self {
         // Never slower than two updates within a TTL, whatever fails in between.
-        let most = (registrant.ttl_us / 3).max(100_000);
+        let max_backoff_us = (registrant.ttl_us / 3).max(100_000);
         Registration {
-            r: registrant,
+            registrant,
             stage: Stage::Unregistered,
             agent: 0,
-            out: None,
+            pending: None,
             next_at: 0,
-            told: None,
-            backoff: Backoff::new(100_000.min(most), most, seed ^ 0x7e61),
-            leave_tries: 0,
+            reported_ready: None,
+            backoff: Backoff::new(100_000.min(max_backoff_us), max_backoff_us, seed ^ 0x7e61),
+            deregister_attempts: 0,
         }
     }
 
     fn check_id(&self) -> String {
-        format!("service:{}", self.r.id)
+        format!("service:{}", self.registrant.id)
     }
 
     /// When the next call is due, given whether the proxy can serve; none while one is out, or when all is done.
     pub fn due(&self, now: Micros, ready: bool) -> Option<Micros> {
-        if self.out.is_some() || self.stage == Stage::Left {
+        if self.pending.is_some() || self.stage == Stage::Deregistered {
             return None;
         }
         // A change is told at once, unless the agent has just failed.
-        let news = self.stage == Stage::Registered
-            && self.told != Some(ready)
+        let changed = self.stage == Stage::Registered
+            && self.reported_ready != Some(ready)
             && self.backoff.failures() == 0;
-        Some(if news { now } else { self.next_at })
+        Some(if changed { now } else { self.next_at })
     }
 
     /// The next call, if it is due. Its end must be handed back by `answered` or `failed`.
-    pub fn ask(&mut self, now: Micros, ready: bool) -> Option<Call> {
+    pub fn poll(&mut self, now: Micros, ready: bool) -> Option<Call> {
         if self.due(now, ready)? > now {
             return None;
         }
-        let (out, target, body) = match self.stage {
+        let (call, target, body) = match self.stage {
             Stage::Unregistered => {
                 let body = Register {
-                    id: &self.r.id,
-                    name: &self.r.name,
-                    address: self.r.address.ip().to_string(),
-                    port: self.r.address.port(),
-                    tags: &self.r.tags,
-                    meta: &self.r.meta,
+                    id: &self.registrant.id,
+                    name: &self.registrant.name,
+                    address: self.registrant.address.ip().to_string(),
+                    port: self.registrant.address.port(),
+                    tags: &self.registrant.tags,
+                    meta: &self.registrant.meta,
                     check: RegisterCheck {
                         check_id: self.check_id(),
                         name: "can serve",
-                        ttl: format!("{}ms", self.r.ttl_us / 1000),
+                        ttl: format!("{}ms", self.registrant.ttl_us / 1000),
                         status: status(ready),
                         deregister_critical_service_after: self
-                            .r
-                            .drop_after_us
+                            .registrant
+                            .deregister_after_us
                             .map(|us| format!("{}ms", us / 1000)),
                     },
                 };
                 let body = serde_json::to_vec(&body).unwrap_or_default();
                 (
-                    Out::Register(ready),
+                    PendingCall::Register(ready),
                     "/v1/agent/service/register".to_owned(),
                     body,
                 )
@@ -196,108 +196,131 @@
                 })
                 .unwrap_or_default();
                 (
-                    Out::Update(ready),
+                    PendingCall::Update(ready),
                     format!("/v1/agent/check/update/{}", segment(&self.check_id())),
                     body,
                 )
             }
-            Stage::Leaving => (
-                Out::Leave,
-                format!("/v1/agent/service/deregister/{}", segment(&self.r.id)),
+            Stage::Deregistering => (
+                PendingCall::Deregister,
+                format!(
+                    "/v1/agent/service/deregister/{}",
+                    segment(&self.registrant.id)
+                ),
                 Vec::new(),
             ),
-            Stage::Left => return None,
+            Stage::Deregistered => return None,
         };
-        self.out = Some(out);
+        self.pending = Some(call);
         Some(Call {
             agent: self.agent,
             method: "PUT",
             target,
             body,
-            timeout_us: self.r.answer_us,
+            timeout_us: self.registrant.response_timeout_us,
         })
     }
 
     /// The call was answered.
-    pub fn answered(&mut self, now: Micros, response: &Response<'_>) -> Option<Step> {
-        let out = self.out.take()?;
-        let beat = self.backoff.spread(self.r.ttl_us / 4);
-        match (out, response.status) {
-            (Out::Register(ready), 200) => {
+    pub fn on_response(
+        &mut self,
+        now: Micros,
+        response: &Response<'_>,
+    ) -> Option<RegistrationEvent> {
+        let call = self.pending.take()?;
+        let heartbeat_us = self.backoff.jitter(self.registrant.ttl_us / 4);
+        match (call, response.status) {
+            (PendingCall::Register(ready), 200) => {
                 if self.stage == Stage::Unregistered {
                     self.stage = Stage::Registered;
                 }
-                self.done(now + beat, ready);
-                Some(Step::Registered)
+                self.on_success(now + heartbeat_us, ready);
+                Some(RegistrationEvent::Registered)
             }
-            (Out::Update(ready), 200) => {
-                self.done(now + beat, ready);
+            (PendingCall::Update(ready), 200) => {
+                self.on_success(now + heartbeat_us, ready);
                 None
             }
             // Older agents answer 500 with these words in place of 404.
-            (Out::Update(_), status)
-                if status == 404 || status == 500 && response.says().contains("nknown check") =>
+            (PendingCall::Update(_), status)
+                if status == 404
+                    || status == 500 && response.error_summary().contains("nknown check") =>
             {
                 if self.stage == Stage::Registered {
                     self.stage = Stage::Unregistered;
                 }
                 self.next_at = now;
-                Some(Step::Forgotten)
+                Some(RegistrationEvent::Forgotten)
             }
-            (Out::Leave, 200 | 404) => {
-                self.stage = Stage::Left;
-                Some(Step::Left)
+            (PendingCall::Deregister, 200 | 404) => {
+                self.stage = Stage::Deregistered;
+                Some(RegistrationEvent::Deregistered)
             }
-            (out, status) => self.fail(now, out, format!("answers {status} ({})", response.says())),
+            (call, status) => self.fail(
+                now,
+                call,
+                format!("answers {status} ({})", response.error_summary()),
+            ),
         }
     }
 
-    fn done(&mut self, next_at: Micros, ready: bool) {
-        self.backoff.succeeded();
-        self.told = Some(ready);
-        if self.stage != Stage::Leaving {
+    fn on_success(&mut self, next_at: Micros, ready: bool) {
+        self.backoff.reset();
+        self.reported_ready = Some(ready);
+        if self.stage != Stage::Deregistering {
             self.next_at = next_at;
         }
     }
 
     /// The call came to nothing.
-    pub fn failed(&mut self, now: Micros, failure: Failure) -> Option<Step> {
-        let out = self.out.take()?;
-        self.fail(now, out, failure.to_string())
+    pub fn on_failure(
+        &mut self,
+        now: Micros,
+        failure: TransportError,
+    ) -> Option<RegistrationEvent> {
+        let call = self.pending.take()?;
+        self.fail(now, call, failure.to_string())
     }
 
-    fn fail(&mut self, now: Micros, out: Out, why: String) -> Option<Step> {
+    fn fail(
+        &mut self,
+        now: Micros,
+        call: PendingCall,
+        reason: String,
+    ) -> Option<RegistrationEvent> {
         let first = self.backoff.failures() == 0;
-        self.next_at = now + self.backoff.failed();
-        match out {
+        self.next_at = now + self.backoff.next_delay();
+        match call {
             // It is nobody's yet: the next agent may take it.
-            Out::Register(_) => self.agent = (self.agent + 1) % self.r.agents.max(1),
-            Out::Update(_) => {}
-            Out::Leave => {
-                self.leave_tries += 1;
-                if self.leave_tries >= LEAVE_TRIES {
-                    self.stage = Stage::Left;
+            PendingCall::Register(_) => {
+                self.agent = (self.agent + 1) % self.registrant.agents.max(1);
+            }
+            PendingCall::Update(_) => {}
+            PendingCall::Deregister => {
+                self.deregister_attempts += 1;
+                if self.deregister_attempts >= MAX_DEREGISTER_ATTEMPTS {
+                    self.stage = Stage::Deregistered;
                 }
             }
         }
-        if self.stage == Stage::Leaving {
+        if self.stage == Stage::Deregistering {
             self.next_at = self.next_at.min(now + 100_000);
         }
-        first.then_some(Step::Failed(why))
+        first.then_some(RegistrationEvent::Failed(reason))
     }
 
     /// The proxy is about to end: deregisters, as soon as no call is out.
-    pub fn leave(&mut self, now: Micros) {
-        self.stage = match (self.stage, self.out) {
-            (Stage::Unregistered, None) => Stage::Left,
-            (Stage::Left, _) => Stage::Left,
-            _ => Stage::Leaving,
+    pub fn deregister(&mut self, now: Micros) {
+        self.stage = match (self.stage, self.pending) {
+            (Stage::Unregistered, None) => Stage::Deregistered,
+            (Stage::Deregistered, _) => Stage::Deregistered,
+            _ => Stage::Deregistering,
         };
         self.next_at = now;
     }
 
     /// Whether nothing is left to be done before the proxy ends.
-    pub fn has_left(&self) -> bool {
-        self.stage == Stage::Left
+    pub fn is_finished(&self) -> bool {
+        self.stage == Stage::Deregistered
     }
 }
--- a/consul/src/answer.rs
+++ b/consul/src/schema.rs
@@ -10,7 +10,7 @@
 
 /// An instance that is passed over.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Skipped {
+pub struct SkippedInstance {
     /// Its id, as far as it can be told.
     pub uid: String,
     /// The key at fault, from the instance down.
@@ -19,7 +19,7 @@
     pub why: String,
 }
 
-impl fmt::Display for Skipped {
+impl fmt::Display for SkippedInstance {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -38,35 +38,34 @@
     /// Nothing is said, or `null`.
     #[default]
     Absent,
-    Is(T),
+    Present(T),
     /// What stands there is something else, and why it can't be read.
     Unreadable(String),
 }
 
 impl<'de, T: DeserializeOwned> Deserialize<'de> for Field<T> {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        Ok(match Value::deserialize(from)? {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        Ok(match Value::deserialize(deserializer)? {
             Value::Null => Field::Absent,
-            value => {
-                T::deserialize(value).map_or_else(|e| Field::Unreadable(e.to_string()), Field::Is)
-            }
+            value => T::deserialize(value)
+                .map_or_else(|e| Field::Unreadable(e.to_string()), Field::Present),
         })
     }
 }
 
 impl<T> Field<T> {
     /// Where the value is needed: none where nothing is said, or what is wrong with it.
-    pub(crate) fn needed(&self) -> Result<Option<&T>, String> {
+    pub(crate) fn value(&self) -> Result<Option<&T>, String> {
         match self {
             Field::Absent => Ok(None),
-            Field::Is(value) => Ok(Some(value)),
+            Field::Present(value) => Ok(Some(value)),
             Field::Unreadable(why) => Err(why.clone()),
         }
     }
 
     /// Where it is of use but not needed.
-    pub(crate) fn known(&self) -> Option<&T> {
-        if let Field::Is(value) = self {
+    pub(crate) fn if_readable(&self) -> Option<&T> {
+        if let Field::Present(value) = self {
             Some(value)
         } else {
             None
@@ -129,7 +128,7 @@
 }
 
 /// A check, as far as it counts.
-pub(crate) struct Standing<'a> {
+pub(crate) struct CheckStatus<'a> {
     id: &'a str,
     status: &'a str,
     notes: &'a str,
@@ -137,10 +136,10 @@
 
 impl Instance {
     /// Its checks. What each of them says is needed; what it is called and its notes only make a better reason.
-    pub(crate) fn checks(&self) -> Result<Vec<Standing<'_>>, (String, String)> {
+    pub(crate) fn checks(&self) -> Result<Vec<CheckStatus<'_>>, (String, String)> {
         let all = self
             .checks
-            .needed()
+            .value()
             .map_err(|why| ("Checks".to_owned(), why))?;
         all.into_iter()
             .flatten()
@@ -148,14 +147,14 @@
             .map(|(n, check)| {
                 let at = |key: &str, why: String| (format!("Checks[{n}]{key}"), why);
                 let check = check
-                    .needed()
+                    .value()
                     .map_err(|why| at("", why))?
                     .ok_or(at("", MISSING.to_owned()))?;
-                let status = check.status.needed().map_err(|why| at(".Status", why))?;
-                Ok(Standing {
-                    id: check.id.known().map_or("", String::as_str),
+                let status = check.status.value().map_err(|why| at(".Status", why))?;
+                Ok(CheckStatus {
+                    id: check.id.if_readable().map_or("", String::as_str),
                     status: status.ok_or(at(".Status", MISSING.to_owned()))?,
-                    notes: check.notes.known().map_or("", String::as_str),
+                    notes: check.notes.if_readable().map_or("", String::as_str),
                 })
             })
             .collect()
@@ -166,7 +165,7 @@
 pub(crate) const MISSING: &str = "it is missing";
 
 /// What an instance's checks come to.
-pub(crate) struct Checks<'a>(pub &'a [Standing<'a>]);
+pub(crate) struct Checks<'a>(pub &'a [CheckStatus<'a>]);
 
 impl<'a> Checks<'a> {
     /// Why the instance must get no fresh work, if it must not. What the operators did by hand comes first: it
@@ -177,7 +176,7 @@
                 .iter()
                 .filter(|c| !matches!(c.status, "passing" | "warning"))
         };
-        let by = |of: &dyn Fn(&Standing) -> Option<Reason>| failing().find_map(of);
+        let by = |of: &dyn Fn(&CheckStatus) -> Option<Reason>| failing().find_map(of);
         by(&|c| {
             c.id.starts_with("_node_maintenance")
                 .then(|| Reason::NodeMaintenance(c.notes.to_owned()))
@@ -201,8 +200,8 @@
 /// Splits a JSON list into its elements as its bytes come, so that a long answer is read in small steps and never held
 /// as a whole. What stands in an element is for whoever reads it to check.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Elements {
-    place: Place,
+pub(crate) struct ListSplitter {
+    position: Position,
     depth: u32,
     quoted: bool,
     escaped: bool,
@@ -211,7 +210,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Place {
+enum Position {
     #[default]
     BeforeList,
     /// Behind `[`, where the list may also end.
@@ -225,34 +224,34 @@
 /// The longest element: an instance with its checks takes some KB.
 const MAX_ELEMENT: usize = 1 << 20;
 
-impl Elements {
+impl ListSplitter {
     /// Takes bytes in, and gives each element that has become whole.
-    pub(crate) fn read(
+    pub(crate) fn push(
         &mut self,
         bytes: &[u8],
         mut each: impl FnMut(&[u8]) -> Result<(), String>,
     ) -> Result<(), String> {
         let mut from = 0;
         for (at, &b) in bytes.iter().enumerate() {
-            if self.place == Place::Inside {
+            if self.position == Position::Inside {
                 if self.is_end(b) {
                     self.part.extend_from_slice(&bytes[from..at]);
                     each(&self.part)?;
                     self.part.clear();
-                    self.place = if b == b',' {
-                        Place::Next
+                    self.position = if b == b',' {
+                        Position::Next
                     } else {
-                        Place::AfterList
+                        Position::AfterList
                     };
                 }
                 continue;
             }
-            self.place = self.between(b)?;
-            if self.place == Place::Inside {
+            self.position = self.between(b)?;
+            if self.position == Position::Inside {
                 from = at;
             }
         }
-        if self.place == Place::Inside {
+        if self.position == Position::Inside {
             self.part.extend_from_slice(&bytes[from..]);
             if self.part.len() > MAX_ELEMENT {
                 return Err("an instance is too long".into());
@@ -283,46 +282,48 @@
     }
 
     /// Takes a byte outside of elements: the place behind it.
-    fn between(&mut self, b: u8) -> Result<Place, String> {
-        match (self.place, b) {
-            (place, b' ' | b'\t' | b'\r' | b'\n') => Ok(place),
-            (Place::BeforeList, b'[') => Ok(Place::First),
-            (Place::First, b']') => Ok(Place::AfterList),
-            (Place::First | Place::Next, b',' | b']' | b'}') => Err("a list is malformed".into()),
-            (Place::First | Place::Next, _) => {
+    fn between(&mut self, b: u8) -> Result<Position, String> {
+        match (self.position, b) {
+            (position, b' ' | b'\t' | b'\r' | b'\n') => Ok(position),
+            (Position::BeforeList, b'[') => Ok(Position::First),
+            (Position::First, b']') => Ok(Position::AfterList),
+            (Position::First | Position::Next, b',' | b']' | b'}') => {
+                Err("a list is malformed".into())
+            }
+            (Position::First | Position::Next, _) => {
                 self.quoted = b == b'"';
                 self.depth = u32::from(matches!(b, b'{' | b'['));
-                Ok(Place::Inside)
+                Ok(Position::Inside)
             }
             _ => Err("it is no list".into()),
         }
     }
 
     /// Whether the list is whole.
-    pub(crate) fn is_whole(&self) -> bool {
-        self.place == Place::AfterList
+    pub(crate) fn is_complete(&self) -> bool {
+        self.position == Position::AfterList
     }
 }
 
 /// What is wrong with an element: it costs itself, or the whole answer where it is no JSON at all.
-pub(crate) enum Bad {
-    Instance(Skipped),
+pub(crate) enum ElementError {
+    Instance(SkippedInstance),
     Answer(String),
 }
 
 /// One element of a health answer.
-pub(crate) fn instance(raw: &[u8]) -> Result<Instance, Bad> {
+pub(crate) fn instance(raw: &[u8]) -> Result<Instance, ElementError> {
     match serde_json::from_slice(raw) {
         Ok(instance) => Ok(instance),
         Err(e) if e.is_data() => {
             let (uid, key) = ("?".to_owned(), ".".to_owned());
-            Err(Bad::Instance(Skipped {
+            Err(ElementError::Instance(SkippedInstance {
                 uid,
                 key,
                 why: e.to_string(),
             }))
         }
-        Err(e) => Err(Bad::Answer(e.to_string())),
+        Err(e) => Err(ElementError::Answer(e.to_string())),
     }
 }
 
@@ -345,14 +346,14 @@
     use super::*;
 
     fn split(text: &str, cut: usize) -> Result<Vec<String>, String> {
-        let (mut elements, mut out) = (Elements::default(), Vec::new());
+        let (mut elements, mut out) = (ListSplitter::default(), Vec::new());
         for part in [&text.as_bytes()[..cut], &text.as_bytes()[cut..]] {
-            elements.read(part, |raw| {
+            elements.push(part, |raw| {
                 out.push(String::from_utf8_lossy(raw).trim().to_owned());
                 Ok(())
             })?;
         }
-        if elements.is_whole() {
+        if elements.is_complete() {
             Ok(out)
         } else {
             Err("cut off".into())
--- a/consul/src/watch/options.rs
+++ b/consul/src/watch/options.rs
@@ -10,7 +10,7 @@
     Default,
     /// By the leader, which makes sure that it is one.
     Consistent,
-    /// By any server, however far behind; bounded by `Options::most_stale_us`.
+    /// By any server, however far behind; bounded by `Options::max_stale_us`.
     Stale,
 }
 
@@ -30,21 +30,21 @@
     /// Consistency of the queries.
     pub consistency: Consistency,
     /// A stale answer from a server that has not heard its leader for longer is not used.
-    pub most_stale_us: Micros,
+    pub max_stale_us: Micros,
     /// How long a query waits for a change.
-    pub wait_us: Micros,
+    pub blocking_wait_us: Micros,
     /// How long a query that does not wait may take.
-    pub answer_us: Micros,
+    pub response_timeout_us: Micros,
     /// Agents to choose from; they are asked by their place.
     pub agents: usize,
     /// An answer that names a smaller share of what ran is confirmed before it counts.
-    pub least_share: f64,
+    pub min_share: f64,
     /// First wait after a failure.
-    pub again_us: Micros,
+    pub min_backoff_us: Micros,
     /// Longest wait after failures.
-    pub most_again_us: Micros,
+    pub max_backoff_us: Micros,
     /// After a failover, the first agent is tried again about so often.
-    pub home_us: Micros,
+    pub primary_retry_us: Micros,
 }
 
 impl Default for Options {
@@ -56,14 +56,14 @@
             tags: Vec::new(),
             filter: None,
             consistency: Consistency::Default,
-            most_stale_us: 1_000_000,
-            wait_us: 10_000_000,
-            answer_us: 2_000_000,
+            max_stale_us: 1_000_000,
+            blocking_wait_us: 10_000_000,
+            response_timeout_us: 2_000_000,
             agents: 1,
-            least_share: 0.5,
-            again_us: 100_000,
-            most_again_us: 3_000_000,
-            home_us: 60_000_000,
+            min_share: 0.5,
+            min_backoff_us: 100_000,
+            max_backoff_us: 3_000_000,
+            primary_retry_us: 60_000_000,
         }
     }
 }
--- a/consul/src/watch/reading.rs
+++ b/consul/src/watch/reader.rs
@@ -1,8 +1,8 @@
 //! An answer as it is read, part by part.
 
-use super::Asks;
-use crate::answer::{instance, registered, Bad, Elements, Skipped};
+use super::Query;
 use crate::mapping::Mapping;
+use crate::schema::{instance, registered, ElementError, ListSplitter, SkippedInstance};
 use linnetknot::State;
 use linnetknot_discovery::Report;
 use std::collections::hash_map::{DefaultHasher, HashMap};
@@ -15,25 +15,25 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DuplicateId {
     /// Who keeps it.
-    pub(super) kept: SocketAddr,
+    pub(super) accepted: SocketAddr,
     /// Who does not get it.
-    pub(super) refused: SocketAddr,
+    pub(super) rejected: SocketAddr,
 }
 
 /// An answer that has come in part.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Reading {
-    elements: Elements,
+pub(super) struct ResponseReader {
+    splitter: ListSplitter,
     /// Bytes that have come.
     pub(super) bytes: u64,
     /// Why it can't be used.
-    pub(super) failed: Option<String>,
-    content: Content,
+    pub(super) error: Option<String>,
+    content: ListContent,
 }
 
 /// What the elements of an answer come to.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Content {
+pub(super) struct ListContent {
     /// Each report, by the hash of its element's text.
     pub(super) reports: HashMap<u64, Arc<Report>>,
     /// Each report that counts, by id.
@@ -41,7 +41,7 @@
     /// Ids that are there twice.
     pub(super) duplicates: BTreeMap<String, DuplicateId>,
     /// Instances that can't be used, by id.
-    pub(super) skipped: BTreeMap<String, Skipped>,
+    pub(super) skipped: BTreeMap<String, SkippedInstance>,
     /// Instances that can't be used, those that have no id with them.
     pub(super) unusable: usize,
     /// Ids that a catalogue's answer names.
@@ -51,40 +51,40 @@
 /// What an answer is read against.
 pub(super) struct Context<'a> {
     /// What was asked for.
-    pub(super) asks: Asks,
+    pub(super) query: Query,
     pub(super) mapping: &'a Mapping,
     /// What was told last.
-    pub(super) last: &'a BTreeMap<String, Arc<Report>>,
+    pub(super) endpoints: &'a BTreeMap<String, Arc<Report>>,
     /// The reports of the answer before, by the hash of their elements' text.
     pub(super) known: &'a HashMap<u64, Arc<Report>>,
 }
 
-impl Reading {
+impl ResponseReader {
     /// Takes bytes of the answer in.
-    pub(super) fn read(&mut self, bytes: &[u8], context: &Context<'_>) {
-        let Reading {
-            elements, content, ..
+    pub(super) fn push(&mut self, bytes: &[u8], context: &Context<'_>) {
+        let ResponseReader {
+            splitter, content, ..
         } = self;
-        let result = elements.read(bytes, |raw| match context.asks {
-            Asks::Catalogue => content.add_registered(raw, context),
-            Asks::Health => content.add_instance(raw, context),
+        let result = splitter.push(bytes, |raw| match context.query {
+            Query::Catalog => content.add_registered(raw, context),
+            Query::Health => content.add_instance(raw, context),
         });
-        self.failed = result.err();
+        self.error = result.err();
     }
 
     /// What the answer comes to; else why it gives no list.
-    pub(super) fn finish(self) -> Result<Content, String> {
-        if let Some(why) = self.failed {
+    pub(super) fn finish(self) -> Result<ListContent, String> {
+        if let Some(why) = self.error {
             return Err(why);
         }
-        if !self.elements.is_whole() {
+        if !self.splitter.is_complete() {
             return Err("it is not whole".into());
         }
         Ok(self.content)
     }
 }
 
-impl Content {
+impl ListContent {
     /// Takes in an element of a catalogue's answer.
     fn add_registered(&mut self, raw: &[u8], context: &Context<'_>) -> Result<(), String> {
         let found = registered(raw)?;
@@ -103,15 +103,15 @@
         let report = match context.known.get(&hash) {
             Some(report) => report.clone(),
             None => match instance(raw)
-                .and_then(|i| context.mapping.report(&i).map_err(Bad::Instance))
+                .and_then(|i| context.mapping.report(&i).map_err(ElementError::Instance))
             {
                 Ok(report) => Arc::new(report),
-                Err(Bad::Instance(skipped)) => {
+                Err(ElementError::Instance(skipped)) => {
                     self.unusable += 1;
                     self.skipped.insert(skipped.uid.clone(), skipped);
                     return Ok(());
                 }
-                Err(Bad::Answer(why)) => return Err(why),
+                Err(ElementError::Answer(why)) => return Err(why),
             },
         };
         self.reports.insert(hash, report.clone());
@@ -126,10 +126,10 @@
             self.named.insert(uid, report);
             return;
         };
-        let had = context.last.get(&uid).map(|r| r.entry.endpoint);
+        let known_endpoint = context.endpoints.get(&uid).map(|r| r.entry.endpoint);
         let rank = |r: &Report| {
             (
-                had != Some(r.entry.endpoint),
+                known_endpoint != Some(r.entry.endpoint),
                 r.entry.server.state != State::Ready,
             )
         };
@@ -137,9 +137,10 @@
         if rank(&other) < rank(first) {
             std::mem::swap(first, &mut other);
         }
-        let (kept, refused) = (first.entry.endpoint, other.entry.endpoint);
-        if kept != refused {
-            self.duplicates.insert(uid, DuplicateId { kept, refused });
+        let (accepted, rejected) = (first.entry.endpoint, other.entry.endpoint);
+        if accepted != rejected {
+            self.duplicates
+                .insert(uid, DuplicateId { accepted, rejected });
         }
     }
 }
--- a/consul/src/watch/content.rs
+++ b/consul/src/watch/reconcile.rs
@@ -1,7 +1,7 @@
 //! What the content of an answer changes in a watch: which boxes are told anew, which are held, and which are gone.
 
-use super::reading::Content;
-use super::{number, Asks, HeldAnswer, Note, Told, Watch};
+use super::reader::ListContent;
+use super::{header_number, Query, UnconfirmedShrink, Watch, WatchEvent, WatchUpdate};
 use crate::http::Response;
 use linnetknot::State;
 use linnetknot_discovery::{Reason, Report};
@@ -9,23 +9,26 @@
 use std::sync::Arc;
 
 /// Answers that contradict the catalogue so many times in a row are believed: the catalogue is the one that errs.
-const CONTRADICTIONS: u32 = 3;
+const MAX_CONTRADICTIONS: u32 = 3;
 impl Watch {
     /// What a health answer comes to.
-    pub(super) fn health(
+    pub(super) fn apply_health(
         &mut self,
         response: &Response<'_>,
-        mut content: Content,
+        mut content: ListContent,
         changes: &mut Vec<Report>,
-        told: &mut Told,
+        update: &mut WatchUpdate,
     ) {
-        self.take_index(number(response, "x-consul-index").unwrap_or(0), told);
-        self.note_faults(&content, told);
-        self.read = std::mem::take(&mut content.reports);
+        self.take_index(
+            header_number(response, "x-consul-index").unwrap_or(0),
+            update,
+        );
+        self.report_faults(&content, update);
+        self.reports_by_hash = std::mem::take(&mut content.reports);
         let mut named = content.named;
         for (uid, skipped) in &content.skipped {
             // It is still registered, but nothing is known of it that could be used.
-            if let Some(known) = self.last.get(uid).filter(|_| !named.contains_key(uid)) {
+            if let Some(known) = self.endpoints.get(uid).filter(|_| !named.contains_key(uid)) {
                 named.insert(
                     uid.clone(),
                     drained(known, Reason::Unusable(skipped.key.clone())),
@@ -33,37 +36,37 @@
             }
         }
         self.missing = self
-            .last
+            .endpoints
             .keys()
             .filter(|uid| !named.contains_key(*uid))
             .cloned()
             .collect();
-        if !self.hold_if_shrunk(told) {
+        if !self.confirm_if_shrunk(update) {
             for uid in &self.missing {
-                if let Some(report) = self.last.get(uid) {
+                if let Some(report) = self.endpoints.get(uid) {
                     named.insert(uid.clone(), drained(report, Reason::NoHealth));
                 }
             }
         }
         for (uid, report) in named {
             let same = self
-                .last
+                .endpoints
                 .get(&uid)
                 .is_some_and(|r| Arc::ptr_eq(r, &report) || *r == report);
             if !same {
                 changes.push(Report::clone(&report));
-                self.last.insert(uid, report);
+                self.endpoints.insert(uid, report);
             }
         }
-        self.asks = if self.missing.is_empty() {
-            Asks::Health
+        self.query = if self.missing.is_empty() {
+            Query::Health
         } else {
-            Asks::Catalogue
+            Query::Catalog
         };
     }
 
     /// Takes in the index of an answer, from which the next query waits.
-    fn take_index(&mut self, to: u64, told: &mut Told) {
+    fn take_index(&mut self, to: u64, update: &mut WatchUpdate) {
         let from = self.index;
         self.index = match to {
             // It is always safe to wait from 1, and a client that does not wait would ask without end.
@@ -72,26 +75,26 @@
             to => to,
         };
         if to < from {
-            told.notes.push(Note::IndexReset { from, to });
+            update.events.push(WatchEvent::IndexReset { from, to });
         }
     }
 
     /// Notes what can't be used of an answer, each thing once, when it begins.
-    fn note_faults(&mut self, content: &Content, told: &mut Told) {
-        let Content {
+    fn report_faults(&mut self, content: &ListContent, update: &mut WatchUpdate) {
+        let ListContent {
             named,
             duplicates,
             skipped,
             unusable,
             ..
         } = content;
-        let of = unusable + named.len() + duplicates.len();
-        let mostly = 2 * unusable > of;
+        let total = unusable + named.len() + duplicates.len();
+        let mostly = 2 * unusable > total;
         if let (true, false, Some(first)) = (mostly, self.mostly_unusable, skipped.values().next())
         {
-            told.notes.push(Note::MostlyUnusable {
+            update.events.push(WatchEvent::MostlyUnusable {
                 unusable: *unusable,
-                of,
+                total,
                 first: first.clone(),
             });
         }
@@ -100,11 +103,11 @@
             .iter()
             .filter(|(uid, _)| !self.duplicates.contains(*uid))
         {
-            let (kept, refused) = (duplicate.kept, duplicate.refused);
-            told.notes.push(Note::SameId {
+            let (accepted, rejected) = (duplicate.accepted, duplicate.rejected);
+            update.events.push(WatchEvent::DuplicateId {
                 uid: uid.clone(),
-                kept,
-                refused,
+                accepted,
+                rejected,
             });
         }
         self.duplicates = duplicates.keys().cloned().collect();
@@ -112,7 +115,7 @@
             .values()
             .filter(|s| !self.skipped.contains(&(s.uid.clone(), s.key.clone())))
         {
-            told.notes.push(Note::Skipped(s.clone()));
+            update.events.push(WatchEvent::InstanceSkipped(s.clone()));
         }
         self.skipped = skipped
             .values()
@@ -121,65 +124,72 @@
     }
 
     /// Holds an answer that leaves out too many of those that ran, until the catalogue confirms it. False: it counts.
-    fn hold_if_shrunk(&mut self, told: &mut Told) -> bool {
-        let ran = self.last.len();
-        let named = ran - self.missing.len();
-        let shrunk = ran > 0 && (named == 0 || (named as f64) < self.o.least_share * ran as f64);
-        if !shrunk || self.contradictions >= CONTRADICTIONS {
+    fn confirm_if_shrunk(&mut self, update: &mut WatchUpdate) -> bool {
+        let known = self.endpoints.len();
+        let named = known - self.missing.len();
+        let shrunk =
+            known > 0 && (named == 0 || (named as f64) < self.options.min_share * known as f64);
+        if !shrunk || self.contradictions >= MAX_CONTRADICTIONS {
             self.contradictions = 0;
-            told.confirmed = true;
+            update.confirmed = true;
             return false;
         }
-        if self.held.is_none() && self.contradictions == 0 {
-            told.notes.push(Note::Held { named, ran });
+        if self.unconfirmed.is_none() && self.contradictions == 0 {
+            update
+                .events
+                .push(WatchEvent::ConfirmationPending { named, known });
         }
-        self.held = Some(HeldAnswer { named, ran });
-        if self.o.agents > 1 {
-            self.agent = (self.agent + 1) % self.o.agents;
+        self.unconfirmed = Some(UnconfirmedShrink { named, known });
+        if self.options.agents > 1 {
+            self.agent = (self.agent + 1) % self.options.agents;
         }
         true
     }
 
     /// What a catalogue's answer comes to, of those that the last health answer left out.
-    pub(super) fn catalogue(
+    pub(super) fn apply_catalog(
         &mut self,
-        known: &BTreeSet<String>,
+        catalog_ids: &BTreeSet<String>,
         changes: &mut Vec<Report>,
-        told: &mut Told,
+        update: &mut WatchUpdate,
     ) {
-        self.asks = Asks::Health;
+        self.query = Query::Health;
         let missing = std::mem::take(&mut self.missing);
-        if let Some(HeldAnswer { named, ran }) = self.held.take() {
-            let registered = named + missing.iter().filter(|uid| known.contains(*uid)).count();
-            if registered > 0 && (registered as f64) >= self.o.least_share * ran as f64 {
+        if let Some(UnconfirmedShrink { named, known }) = self.unconfirmed.take() {
+            let registered = named
+                + missing
+                    .iter()
+                    .filter(|uid| catalog_ids.contains(*uid))
+                    .count();
+            if registered > 0 && (registered as f64) >= self.options.min_share * known as f64 {
                 // The two answers differ, so the one that would cost more is asked again.
                 self.contradictions += 1;
                 self.index = 0;
                 if self.contradictions == 1 {
-                    told.notes.push(Note::Contradicted { registered });
+                    update.events.push(WatchEvent::Contradicted { registered });
                 }
                 return;
             }
-            told.notes.push(Note::Confirmed);
+            update.events.push(WatchEvent::Confirmed);
             self.contradictions = 0;
-            told.confirmed = true;
+            update.confirmed = true;
         }
         for uid in missing {
-            let Some(report) = self.last.get(&uid) else {
+            let Some(report) = self.endpoints.get(&uid) else {
                 continue;
             };
-            if known.contains(&uid) {
+            if catalog_ids.contains(&uid) {
                 // Registered without health: its agent is on the way out, or a filter leaves it out.
                 let report = drained(report, Reason::NoHealth);
-                if self.last.get(&uid) != Some(&report) {
+                if self.endpoints.get(&uid) != Some(&report) {
                     changes.push(Report::clone(&report));
-                    self.last.insert(uid, report);
+                    self.endpoints.insert(uid, report);
                 }
             } else {
                 let mut report = Report::clone(report);
                 (report.entry.server.state, report.reason) = (State::Gone, Reason::Unlisted);
                 changes.push(report);
-                self.last.remove(&uid);
+                self.endpoints.remove(&uid);
             }
         }
     }
--- a/consul/tests/watch.rs
+++ b/consul/tests/watch.rs
@@ -57,7 +57,7 @@
     watch: Watch,
     now: Micros,
     list: BTreeMap<String, Report>,
-    notes: Vec<Note>,
+    events: Vec<WatchEvent>,
 }
 
 impl Rig {
@@ -68,25 +68,25 @@
             watch: Watch::new(options, mapping(), 7),
             now: 1_000_000,
             list: BTreeMap::new(),
-            notes: vec![],
+            events: vec![],
         }
     }
 
     /// Waits until the next call is due, and gives it.
     fn call(&mut self) -> Call {
         self.now = self.now.max(self.watch.due().expect("no call is out"));
-        self.watch.ask(self.now).expect("it is due")
+        self.watch.poll(self.now).expect("it is due")
     }
 
-    fn hear(&mut self, told: Told) -> bool {
-        self.notes.extend(told.notes);
-        let changed = told.evidence.is_some();
-        let (whole, reports) = match told.evidence {
+    fn apply(&mut self, update: WatchUpdate) -> bool {
+        self.events.extend(update.events);
+        let changed = update.evidence.is_some();
+        let (is_full, reports) = match update.evidence {
             Some(Evidence::Full(reports)) => (true, reports),
             Some(Evidence::Delta(reports)) => (false, reports),
             None => return false,
         };
-        if whole {
+        if is_full {
             self.list.clear();
         }
         for r in reports {
@@ -101,7 +101,7 @@
             .iter()
             .map(|(n, v)| ((*n).to_owned(), (*v).to_owned()))
             .collect();
-        let told = self.watch.answered(
+        let update = self.watch.on_response(
             self.now,
             &Response {
                 status,
@@ -109,7 +109,7 @@
                 body,
             },
         );
-        self.hear(told)
+        self.apply(update)
     }
 
     /// Asks, and answers with a list under this index. Gives the target that was asked for.
@@ -150,15 +150,15 @@
     ] {
         rig.round(to, &ready(&["a"]));
         assert_eq!(
-            rig.watch.clone().ask(rig.now + 10_000_000).unwrap().target,
+            rig.watch.clone().poll(rig.now + 10_000_000).unwrap().target,
             format!("{HEALTH}{next}")
         );
     }
     assert!(matches!(
-        rig.notes[..],
+        rig.events[..],
         [
-            Note::IndexReset { from: 9, to: 3 },
-            Note::IndexReset { from: 4, to: 0 }
+            WatchEvent::IndexReset { from: 9, to: 3 },
+            WatchEvent::IndexReset { from: 4, to: 0 }
         ]
     ));
     // A header that is missing, or no number, is as good as 0: the next query still waits.
@@ -169,7 +169,7 @@
             headers,
             Value::from(ready(&["a"])).to_string().as_bytes(),
         );
-        let next = rig.watch.clone().ask(rig.now + 10_000_000).unwrap().target;
+        let next = rig.watch.clone().poll(rig.now + 10_000_000).unwrap().target;
         assert_eq!(next, format!("{HEALTH}?index=1&wait=10000ms"));
     }
 }
@@ -181,9 +181,9 @@
         (o.tags, o.filter) = (vec!["v 1".into()], Some("Service.Port != 1".into()));
         o.consistency = Consistency::Stale;
     });
-    let asked = rig.round(5, &ready(&["a", "b", "c"]));
+    let target = rig.round(5, &ready(&["a", "b", "c"]));
     assert_eq!(
-        asked,
+        target,
         format!("{HEALTH}?stale&dc=dc2&ns=media&tag=v+1&filter=Service.Port+%21%3D+1")
     );
     rig.round(6, &ready(&["a", "b"]));
@@ -371,8 +371,8 @@
             [("a", State::Ready), ("b", State::Ready)],
             "{key}"
         );
-        let [Note::Skipped(s)] = &rig.notes[..] else {
-            panic!("{key}: {:?}", rig.notes)
+        let [WatchEvent::InstanceSkipped(s)] = &rig.events[..] else {
+            panic!("{key}: {:?}", rig.events)
         };
         assert!(
             s.key == key || key == "Service" && s.why.contains("Service"),
@@ -386,7 +386,7 @@
             [("a", State::Draining), ("b", State::Ready)],
             "{key}"
         );
-        assert_eq!(rig.notes.len(), 1, "{key}: {:?}", rig.notes);
+        assert_eq!(rig.events.len(), 1, "{key}: {:?}", rig.events);
     }
     // One that ran and can't be used any more gets no fresh work.
     let mut rig = Rig::new(|_| {});
@@ -479,9 +479,9 @@
             rig.states(),
             [("a", State::Ready)],
             "{name}: {:?}",
-            rig.notes
+            rig.events
         );
-        assert!(rig.notes.is_empty(), "{name}: {:?}", rig.notes);
+        assert!(rig.events.is_empty(), "{name}: {:?}", rig.events);
     }
     // Where a tagged address is configured, both spellings are read, and what is wrong there is told by its path.
     let endpoint = |tagged: Value| {
@@ -494,8 +494,8 @@
         let mut one = instance("a", 7000, &[]);
         one["Service"]["TaggedAddresses"] = tagged;
         rig.round(5, &[one]);
-        match &rig.notes[..] {
-            [.., Note::Skipped(s)] => s.key.clone(),
+        match &rig.events[..] {
+            [.., WatchEvent::InstanceSkipped(s)] => s.key.clone(),
             _ => rig.list["a"].entry.endpoint.to_string(),
         }
     };
@@ -529,9 +529,9 @@
     list[0]["Service"]["Port"] = 0.into();
     rig.round(5, &list);
     let loud = |rig: &Rig| {
-        rig.notes
+        rig.events
             .iter()
-            .filter(|n| matches!(n, Note::MostlyUnusable { .. }))
+            .filter(|n| matches!(n, WatchEvent::MostlyUnusable { .. }))
             .count()
     };
     assert_eq!(loud(&rig), 0, "one of three");
@@ -548,12 +548,12 @@
     list.iter_mut()
         .for_each(|i| i["Service"]["ID"] = Value::Null);
     rig.round(5, &list);
-    let note = rig.notes.iter().find(|n| {
+    let note = rig.events.iter().find(|n| {
         matches!(
             n,
-            Note::MostlyUnusable {
+            WatchEvent::MostlyUnusable {
                 unusable: 3,
-                of: 3,
+                total: 3,
                 ..
             }
         )
@@ -561,7 +561,7 @@
     assert!(
         note.is_some_and(|n| n.to_string().contains("Service.ID")),
         "{:?}",
-        rig.notes
+        rig.events
     );
 }
 
@@ -588,9 +588,9 @@
     rig.round(6, &two(2, 1));
     assert_eq!(rig.list["a"].entry.endpoint.port(), 1);
     assert!(
-        matches!(&rig.notes[..], [Note::SameId { .. }]),
+        matches!(&rig.events[..], [WatchEvent::DuplicateId { .. }]),
         "said once: {:?}",
-        rig.notes
+        rig.events
     );
     let mut m = mapping();
     m.identity = Identity::NodeAndService;
@@ -640,7 +640,10 @@
         5,
         "nothing is lost yet"
     );
-    assert!(matches!(rig.notes[..], [Note::Held { named: 0, ran: 5 }]));
+    assert!(matches!(
+        rig.events[..],
+        [WatchEvent::ConfirmationPending { named: 0, known: 5 }]
+    ));
     let call = rig.call();
     assert_eq!(
         (call.target, call.agent),
@@ -648,7 +651,7 @@
         "from the other agent"
     );
     rig.answer(200, &[("x-consul-index", "6")], b"[]");
-    assert!(rig.list.is_empty() && rig.notes.last() == Some(&Note::Confirmed));
+    assert!(rig.list.is_empty() && rig.events.last() == Some(&WatchEvent::Confirmed));
     // Empty, and not true: a server that was restored from nothing.
     let mut rig = Rig::new(|_| {});
     rig.round(5, &ready(&all));
@@ -662,11 +665,14 @@
     }
     assert!(
         matches!(
-            rig.notes[..],
-            [Note::Held { .. }, Note::Contradicted { registered: 5 }]
+            rig.events[..],
+            [
+                WatchEvent::ConfirmationPending { .. },
+                WatchEvent::Contradicted { registered: 5 }
+            ]
         ),
         "{:?}",
-        rig.notes
+        rig.events
     );
     // Where it is said again and again, the catalogue is the one that errs; still nobody is gone by it.
     rig.round(6, &[]);
@@ -692,9 +698,9 @@
     assert_eq!(rig.round(7, &ready(&all)), HEALTH);
     assert_eq!(rig.states()[0], ("a", State::Ready));
     // A list that was kept over a restart is defended in the same way.
-    let kept: Vec<_> = rig.list.values().map(|r| r.entry.clone()).collect();
+    let cached: Vec<_> = rig.list.values().map(|r| r.entry.clone()).collect();
     let mut rig = Rig::new(|_| {});
-    let Evidence::Full(reports) = rig.watch.remember(&kept) else {
+    let Evidence::Full(reports) = rig.watch.restore(&cached) else {
         panic!("the whole list")
     };
     assert_eq!((reports.len(), &reports[0].reason), (5, &Reason::Kept));
@@ -727,8 +733,8 @@
             ),
             4 => rig.answer(200, &[("x-consul-knownleader", "false")], list.as_bytes()),
             _ => {
-                let told = rig.watch.failed(rig.now, Failure::TimedOut);
-                rig.hear(told)
+                let update = rig.watch.on_failure(rig.now, TransportError::TimedOut);
+                rig.apply(update)
             }
         };
         assert_eq!(rig.states(), [("a", State::Ready)]);
@@ -743,20 +749,20 @@
     let waited = rig.now - start;
     assert!((5_000_000..25_000_000).contains(&waited), "{waited}");
     assert!(rig
-        .notes
+        .events
         .iter()
-        .any(|n| matches!(n, Note::Failed { why, .. } if why.contains("No cluster leader"))));
+        .any(|n| matches!(n, WatchEvent::QueryFailed { reason, .. } if reason.contains("No cluster leader"))));
     rig.round(9, &ready(&["a", "b"]));
     assert!(matches!(
-        rig.notes.last(),
-        Some(Note::Back { failures: 12, .. })
+        rig.events.last(),
+        Some(WatchEvent::Recovered { failures: 12, .. })
     ));
     assert_eq!(rig.list.len(), 2);
     // The first agent is the one that was wanted: after a while it is tried again.
     let mut rig = Rig::new(|o| o.agents = 2);
     rig.call();
-    let told = rig.watch.failed(rig.now, Failure::Unreachable);
-    rig.hear(told);
+    let update = rig.watch.on_failure(rig.now, TransportError::Unreachable);
+    rig.apply(update);
     rig.round(5, &ready(&["a"]));
     assert_eq!(rig.call().agent, 1);
     rig.now += 100_000_000;
@@ -801,8 +807,8 @@
         b"[]",
     );
     assert_eq!(
-        (rig.list.len(), rig.notes.last()),
-        (1, Some(&Note::Stale(1_001_000)))
+        (rig.list.len(), rig.events.last()),
+        (1, Some(&WatchEvent::StaleResponse(1_001_000)))
     );
     let call = rig.call();
     assert!(
@@ -861,8 +867,8 @@
         tags: vec!["v1".into()],
         meta: BTreeMap::new(),
         ttl_us: 9_000_000,
-        drop_after_us: Some(60_000_000),
-        answer_us: 1_000_000,
+        deregister_after_us: Some(60_000_000),
+        response_timeout_us: 1_000_000,
         agents: 2,
     };
     let says = |status: u16, body: &'static str| Response {
@@ -874,13 +880,13 @@
     let mut r = Registration::new(registrant, 3);
     let mut now = 1_000_000;
     // Nobody answers at the first agent: the next one is asked.
-    assert_eq!(r.ask(now, false).unwrap().agent, 0);
+    assert_eq!(r.poll(now, false).unwrap().agent, 0);
     assert!(matches!(
-        r.failed(now, Failure::Unreachable),
-        Some(Step::Failed(_))
+        r.on_failure(now, TransportError::Unreachable),
+        Some(RegistrationEvent::Failed(_))
     ));
     now = r.due(now, false).unwrap();
-    let call = r.ask(now, false).unwrap();
+    let call = r.poll(now, false).unwrap();
     assert_eq!(
         (call.method, call.target.as_str(), call.agent),
         ("PUT", "/v1/agent/service/register", 1)
@@ -895,60 +901,72 @@
         json!({"CheckID": "service:edge/1", "Name": "can serve", "TTL": "9000ms",
         "Status": "critical", "DeregisterCriticalServiceAfter": "60000ms"})
     );
-    assert_eq!(r.answered(now, &says(200, "")), Some(Step::Registered));
+    assert_eq!(
+        r.on_response(now, &says(200, "")),
+        Some(RegistrationEvent::Registered)
+    );
     // It is kept within its TTL, and a change is told at once.
     assert!((now + 1..now + 4_500_000).contains(&r.due(now, false).unwrap()));
     assert_eq!(r.due(now, true), Some(now));
-    let call = r.ask(now, true).unwrap();
+    let call = r.poll(now, true).unwrap();
     assert_eq!(call.target, "/v1/agent/check/update/service%3Aedge%2F1");
     assert_eq!(json(&call)["Status"], "passing");
-    assert_eq!(r.answered(now, &says(200, "")), None);
+    assert_eq!(r.on_response(now, &says(200, "")), None);
     // Failures in a row are said once, and do not use up the TTL.
-    let mut said = 0;
+    let mut reported = 0;
     for _ in 0..5 {
         let due = r.due(now, true).unwrap();
         assert!(due <= now + 4_500_000);
         now = due;
         assert_eq!(
-            r.ask(now, true).unwrap().agent,
+            r.poll(now, true).unwrap().agent,
             1,
             "the service belongs to the agent that took it"
         );
-        said += usize::from(r.failed(now, Failure::TimedOut).is_some());
+        reported += usize::from(r.on_failure(now, TransportError::TimedOut).is_some());
     }
-    assert_eq!(said, 1);
+    assert_eq!(reported, 1);
     for forgot in [
         says(404, "Unknown check ID \"service:edge/1\""),
         says(500, "Unknown check \"service:edge/1\""),
     ] {
         now = r.due(now, true).unwrap();
-        r.ask(now, true).unwrap();
-        assert_eq!(r.answered(now, &forgot), Some(Step::Forgotten));
-        let call = r.ask(now, true).unwrap();
+        r.poll(now, true).unwrap();
+        assert_eq!(
+            r.on_response(now, &forgot),
+            Some(RegistrationEvent::Forgotten)
+        );
+        let call = r.poll(now, true).unwrap();
         assert_eq!(
             (call.target.as_str(), &json(&call)["Check"]["Status"]),
             ("/v1/agent/service/register", &"passing".into())
         );
-        assert_eq!(r.answered(now, &says(200, "")), Some(Step::Registered));
+        assert_eq!(
+            r.on_response(now, &says(200, "")),
+            Some(RegistrationEvent::Registered)
+        );
     }
     // At the end it deregisters, also where a call is out, and gives up in time where nobody answers.
     let mut again = r.clone();
     now = r.due(now, true).unwrap();
-    r.ask(now, true).unwrap();
-    r.leave(now);
-    assert_eq!(r.answered(now, &says(200, "")), None);
+    r.poll(now, true).unwrap();
+    r.deregister(now);
+    assert_eq!(r.on_response(now, &says(200, "")), None);
     assert_eq!(
-        r.ask(now, false).unwrap().target,
+        r.poll(now, false).unwrap().target,
         "/v1/agent/service/deregister/edge%2F1"
     );
-    assert_eq!(r.answered(now, &says(200, "")), Some(Step::Left));
-    assert!(r.has_left() && r.due(now, false).is_none());
+    assert_eq!(
+        r.on_response(now, &says(200, "")),
+        Some(RegistrationEvent::Deregistered)
+    );
+    assert!(r.is_finished() && r.due(now, false).is_none());
     let start = now;
-    again.leave(now);
-    while !again.has_left() {
+    again.deregister(now);
+    while !again.is_finished() {
         now = again.due(now, false).unwrap();
-        again.ask(now, false).unwrap();
-        again.failed(now, Failure::Unreachable);
+        again.poll(now, false).unwrap();
+        again.on_failure(now, TransportError::Unreachable);
     }
     assert!(now - start < 500_000);
 }
@@ -1015,7 +1033,7 @@
         let mut rig = Rig::new(|_| {});
         rig.round(5, &[one]);
         let state = if fails { State::Draining } else { State::Ready };
-        prop_assert_eq!(rig.states(), [("a", state)], "{:?}", rig.notes);
+        prop_assert_eq!(rig.states(), [("a", state)], "{:?}", rig.events);
         prop_assert_eq!(rig.list["a"].entry.endpoint.to_string(), "10.1.10.13:7000");
     }
 
--- a/daemon/src/daemon/feeds/bus.rs
+++ b/daemon/src/daemon/feeds/bus.rs
@@ -54,7 +54,7 @@
         let last = self.last;
         effects.push(Box::new(move |daemon, now| {
             (daemon.bus.last, daemon.bus.read_at) = (last, now);
-            daemon.bus.backoff.succeeded();
+            daemon.bus.backoff.reset();
             events
                 .into_iter()
                 .for_each(|event| daemon.heard(now, event));
@@ -120,7 +120,7 @@
     }
 
     fn call_bus_again(&mut self, now: Micros) {
-        let wait = self.bus.backoff.failed();
+        let wait = self.bus.backoff.next_delay();
         self.wake_bus(now + wait);
     }
 
@@ -129,7 +129,7 @@
         if let Some(old) = self.bus.key.take() {
             self.connections.remove(old);
         }
-        self.bus.backoff.succeeded();
+        self.bus.backoff.reset();
         self.call_bus(now);
     }
 
--- a/daemon/src/daemon/feeds/consul/call.rs
+++ b/daemon/src/daemon/feeds/consul/call.rs
@@ -5,10 +5,10 @@
 use crate::wire::http::{Head, Messages, Piece};
 use crate::wire::{Parser, WireError};
 use linnetknot::Micros;
-use linnetknot_consul::Failure;
+use linnetknot_consul::TransportError;
 
 /// What came of a call: head and body of the response, or none.
-pub(super) type Outcome = Result<(Head, Vec<u8>), Failure>;
+pub(super) type Outcome = Result<(Head, Vec<u8>), TransportError>;
 type Parts = fn(&mut Daemon, usize, &[u8]);
 type Then = Box<dyn FnOnce(&mut Daemon, Micros, Outcome)>;
 
@@ -96,11 +96,11 @@
                     then(daemon, now, Ok((head, body)));
                 }));
             }
-            End::Unreachable => Failure::Unreachable,
-            End::Closed => Failure::CutOff,
-            End::TimedOut => Failure::TimedOut,
-            End::Unreadable(WireError::TooLong(_)) => Failure::TooLong,
-            End::Unreadable(WireError::Malformed(_)) => Failure::Malformed,
+            End::Unreachable => TransportError::Unreachable,
+            End::Closed => TransportError::Truncated,
+            End::TimedOut => TransportError::TimedOut,
+            End::Unreadable(WireError::TooLong(_)) => TransportError::TooLong,
+            End::Unreadable(WireError::Malformed(_)) => TransportError::Malformed,
         };
         Some(Box::new(move |daemon, now| then(daemon, now, Err(failure))))
     }
--- a/daemon/src/daemon/feeds/consul/mod.rs
+++ b/daemon/src/daemon/feeds/consul/mod.rs
@@ -11,7 +11,10 @@
 use call::{Call, Outcome};
 pub(in crate::daemon) use kept::Keeper;
 use linnetknot::Micros;
-use linnetknot_consul::{Failure, Note, Registration, Response, Step, Token, Told, Watch};
+use linnetknot_consul::{
+    Registration, RegistrationEvent, Response, Token, TransportError, Watch, WatchEvent,
+    WatchUpdate,
+};
 use linnetknot_discovery::{Entry, Evidence, SourceId};
 use std::fs;
 use std::net::SocketAddr;
@@ -102,7 +105,7 @@
         if let Some(timer) = w.timer.take() {
             self.deadlines.take_back(timer);
         }
-        let Some(call) = w.watch.ask(now) else {
+        let Some(call) = w.watch.poll(now) else {
             if let Some(at) = w.watch.due() {
                 let timer = self.later(at, move |daemon, now| daemon.drive_watch(now, n));
                 if let Some(w) = self.consul.as_mut().and_then(|c| c.watches.get_mut(n)) {
@@ -122,14 +125,14 @@
             w.key = key;
         }
         if key.is_none() {
-            self.watch_told(now, n, Err(Failure::Unreachable));
+            self.watch_told(now, n, Err(TransportError::Unreachable));
         }
     }
 
     /// A part of an answer: read as it comes, so that a long one takes the loop's time in small steps.
     fn watch_reads(&mut self, n: usize, bytes: &[u8]) {
         if let Some(w) = self.consul.as_mut().and_then(|c| c.watches.get_mut(n)) {
-            w.watch.read(bytes);
+            w.watch.on_body(bytes);
         }
     }
 
@@ -138,9 +141,9 @@
             return;
         };
         w.key = None;
-        let Told {
+        let WatchUpdate {
             evidence,
-            notes,
+            events,
             confirmed,
         } = match &outcome {
             Ok((head, body)) => {
@@ -149,20 +152,22 @@
                     headers: &head.headers,
                     body,
                 };
-                w.watch.answered(now, &response)
+                w.watch.on_response(now, &response)
             }
-            Err(failure) => w.watch.failed(now, *failure),
+            Err(failure) => w.watch.on_failure(now, *failure),
         };
         let source = SourceId(CONSUL.0 + n);
         let mut denied = false;
-        for note in notes {
-            denied |= matches!(note, Note::Denied { .. });
-            let level = match note {
-                Note::Back { .. } | Note::Confirmed | Note::IndexReset { .. } => log::Level::Info,
-                Note::MostlyUnusable { .. } => log::Level::Error,
+        for event in events {
+            denied |= matches!(event, WatchEvent::PermissionDenied { .. });
+            let level = match event {
+                WatchEvent::Recovered { .. }
+                | WatchEvent::Confirmed
+                | WatchEvent::IndexReset { .. } => log::Level::Info,
+                WatchEvent::MostlyUnusable { .. } => log::Level::Error,
                 _ => log::Level::Warn,
             };
-            log::log!(level, source = self.members.source(source); "Consul: {note}");
+            log::log!(level, source = self.members.source(source); "Consul: {event}");
         }
         if denied {
             // It may have been replaced since.
@@ -197,7 +202,7 @@
         let Some(r) = &mut state.registered else {
             return;
         };
-        let Some(call) = r.registration.ask(now, ready) else {
+        let Some(call) = r.registration.poll(now, ready) else {
             let due = r.registration.due(now, ready);
             if due != r.timer.map(|t| t.0) {
                 if let Some(timer) = r.timer.take() {
@@ -225,7 +230,7 @@
         let exchange = Call::new(request, self.limits.line, self.limits.line, then);
         let key = self.exchange(now, to, exchange, Some(call.timeout_us));
         if key.is_none() {
-            self.registration_told(now, Err(Failure::Unreachable));
+            self.registration_told(now, Err(TransportError::Unreachable));
         }
     }
 
@@ -240,17 +245,17 @@
                     headers: &head.headers,
                     body,
                 };
-                r.registration.answered(now, &response)
+                r.registration.on_response(now, &response)
             }
-            Err(failure) => r.registration.failed(now, *failure),
+            Err(failure) => r.registration.on_failure(now, *failure),
         };
         match step {
-            Some(Step::Registered) => log::info!("registered in Consul"),
-            Some(Step::Forgotten) => {
+            Some(RegistrationEvent::Registered) => log::info!("registered in Consul"),
+            Some(RegistrationEvent::Forgotten) => {
                 log::warn!("the agent has forgotten the registration: it is taken up again");
             }
-            Some(Step::Left) => log::info!("deregistered in Consul"),
-            Some(Step::Failed(why)) => log::warn!("the registration: the agent {why}"),
+            Some(RegistrationEvent::Deregistered) => log::info!("deregistered in Consul"),
+            Some(RegistrationEvent::Failed(why)) => log::warn!("the registration: the agent {why}"),
             None => {}
         }
         self.drive_registration(now);
@@ -264,14 +269,14 @@
                 .watches
                 .get_mut(n)?
                 .watch
-                .remember(entries),
+                .restore(entries),
         )
     }
 
     /// About to end: clients are to go elsewhere.
     pub(in crate::daemon) fn leave_consul(&mut self, now: Micros) {
         if let Some(r) = self.consul.as_mut().and_then(|c| c.registered.as_mut()) {
-            r.registration.leave(now);
+            r.registration.deregister(now);
         }
         self.drive_registration(now);
     }
@@ -279,7 +284,7 @@
     /// Whether Consul needs nothing more of a proxy that ends.
     pub(in crate::daemon) fn has_left_consul(&self) -> bool {
         let registered = self.consul.as_ref().and_then(|c| c.registered.as_ref());
-        registered.is_none_or(|r| r.registration.has_left())
+        registered.is_none_or(|r| r.registration.is_finished())
     }
 
     /// Another configuration of Consul. The list stays until an answer changes it. False: it needs a new start.
@@ -307,7 +312,7 @@
         let mut keys = Vec::new();
         for (w, options) in state.watches.iter_mut().zip(&new.options) {
             keys.extend(w.key.take());
-            w.watch.change(options.clone(), new.mapping.clone());
+            w.watch.reconfigure(options.clone(), new.mapping.clone());
         }
         (state.agents, state.token, state.most_answer) =
             (new.agents.clone(), token, new.most_answer);
--- a/daemon/src/interconnect.rs
+++ b/daemon/src/interconnect.rs
@@ -736,11 +736,11 @@
                 ConsistencyFile::Consistent => Consistency::Consistent,
                 ConsistencyFile::Stale => Consistency::Stale,
             },
-            most_stale_us: self.most_stale_ms.saturating_mul(1000),
-            wait_us: range("consul.wait_s", self.wait_s, 1, 600)? * 1_000_000,
-            answer_us: range("consul.answer_ms", self.answer_ms, 50, 60_000)? * 1000,
+            max_stale_us: self.most_stale_ms.saturating_mul(1000),
+            blocking_wait_us: range("consul.wait_s", self.wait_s, 1, 600)? * 1_000_000,
+            response_timeout_us: range("consul.answer_ms", self.answer_ms, 50, 60_000)? * 1000,
             agents: agents.len(),
-            least_share: range("consul.least_share", self.least_share, 0.0, 1.0)?,
+            min_share: range("consul.least_share", self.least_share, 0.0, 1.0)?,
             ..Options::default()
         };
         let zones = settings
@@ -845,8 +845,8 @@
             tags: self.tags.clone(),
             meta: self.meta.clone(),
             ttl_us: range("consul.register.ttl_s", self.ttl_s, 1, 3600)? * 1_000_000,
-            drop_after_us: self.drop_after_s.map(|s| s.saturating_mul(1_000_000)),
-            answer_us: 1_000_000,
+            deregister_after_us: self.drop_after_s.map(|s| s.saturating_mul(1_000_000)),
+            response_timeout_us: 1_000_000,
             agents,
         };
         Ok((registrant, self.address.is_some()))
