--- a/consul/src/http.rs
+++ b/consul/src/http.rs
@@ -178,41 +178,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn requests_are_escaped_and_tokens_stay_out_of_sight() {
-        let query = [
-            ("index", "7"),
-            ("stale", ""),
-            ("filter", "Service.Meta.az == \"a b\""),
-        ];
-        let target = target(
-            format!("/v1/health/service/{}", segment("pop cache/ä")),
-            &query,
-        );
-        assert_eq!(
-            target,
-            "/v1/health/service/pop%20cache%2F%C3%A4?index=7&stale&filter=Service.Meta.az+%3D%3D+%22a+b%22"
-        );
-        let token = Token::read("b1gs33cr3t\n").unwrap();
-        assert!(!format!("{token:?}").contains("b1g"));
-        let call = Call {
-            agent: 0,
-            method: "GET",
-            target,
-            body: Vec::new(),
-            timeout_us: 1,
-        };
-        let text = String::from_utf8(call.to_bytes("c:8500", Some(&token))).unwrap();
-        assert!(text.contains("\r\nX-Consul-Token: b1gs33cr3t\r\n") && text.ends_with("\r\n\r\n"));
-        for (bad, why) in [
-            (" \n", TokenError::Empty),
-            ("a\r\nX-Other: b", TokenError::Malformed),
-            (&"x".repeat(600), TokenError::TooLong),
-        ] {
-            assert_eq!(Token::read(bad), Err(why));
-        }
-    }
-}
+mod tests;
