--- /dev/null
+++ b/consul/tests/common/mod.rs
@@ -0,0 +1,137 @@
+//! What the tests share: instances in the API's shapes, and a watch that is driven by scripts of responses.
+#![allow(dead_code, reason = "each test file uses a part of it")]
+
+use linnetknot::{Micros, State};
+use linnetknot_consul::{Call, Mapping, Options, Response, Watch, WatchEvent, WatchUpdate};
+use linnetknot_discovery::{Evidence, Reason, Report};
+use serde_json::{json, Value};
+use std::collections::BTreeMap;
+
+pub(crate) const MS: Micros = 1000;
+
+pub(crate) fn mapping() -> Mapping {
+    let names = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect();
+    let zones = names(&["hub", "here"]);
+    Mapping {
+        zone: "here".into(),
+        kind: "box".into(),
+        zones,
+        ..Mapping::default()
+    }
+}
+
+/// An instance as the health API gives it.
+pub(crate) fn instance(id: &str, port: u16, checks: &[(&str, &str)]) -> Value {
+    let checks: Vec<Value> = checks
+        .iter()
+        .map(|(id, status)| {
+            json!({"Node": "n1", "CheckID": id, "Name": "c", "Status": status, "Notes": "by hand",
+            "Output": "", "ServiceID": "", "ServiceTags": [], "Type": "ttl", "CreateIndex": 7})
+        })
+        .collect();
+    json!({
+        "Node": {"ID": "40e4a748", "Node": "n1", "Address": "10.1.10.12", "Datacenter": "dc1",
+            "TaggedAddresses": {"lan": "10.1.10.12", "wan": "192.0.2.12"}, "Meta": {"instance_type": "m"}},
+        "Service": {"ID": id, "Service": "pop-cache", "Tags": [], "Address": "", "Meta": {"az": "here"}, "Port": port,
+            "TaggedAddresses": {"wan": {"Address": "192.0.2.77", "Port": 9000}},
+            "Weights": {"Passing": 8, "Warning": 2}, "EnableTagOverride": false},
+        "Checks": checks,
+    })
+}
+
+pub(crate) fn ready(ids: &[&str]) -> Vec<Value> {
+    let one = |(n, id): (usize, &&str)| instance(id, 7000 + n as u16, &[("serfHealth", "passing")]);
+    ids.iter().enumerate().map(one).collect()
+}
+
+pub(crate) fn catalogue(ids: &[&str]) -> Vec<Value> {
+    ids.iter()
+        .map(|id| json!({"Node": "n1", "ServiceID": id, "ServiceName": "pop-cache"}))
+        .collect()
+}
+
+/// A watch, a clock, and the list as its evidence makes it.
+pub(crate) struct Rig {
+    pub(crate) watch: Watch,
+    pub(crate) now: Micros,
+    pub(crate) list: BTreeMap<String, Report>,
+    pub(crate) events: Vec<WatchEvent>,
+}
+
+impl Rig {
+    pub(crate) fn new(change: impl Fn(&mut Options)) -> Rig {
+        let mut options = Options::default();
+        change(&mut options);
+        Rig {
+            watch: Watch::new(options, mapping(), 7),
+            now: 1_000_000,
+            list: BTreeMap::new(),
+            events: vec![],
+        }
+    }
+
+    /// Waits until the next call is due, and gives it.
+    pub(crate) fn call(&mut self) -> Call {
+        self.now = self.now.max(self.watch.due().expect("no call is out"));
+        self.watch.poll(self.now).expect("it is due")
+    }
+
+    pub(crate) fn apply(&mut self, update: WatchUpdate) -> bool {
+        self.events.extend(update.events);
+        let changed = update.evidence.is_some();
+        let (is_full, reports) = match update.evidence {
+            Some(Evidence::Full(reports)) => (true, reports),
+            Some(Evidence::Delta(reports)) => (false, reports),
+            None => return false,
+        };
+        if is_full {
+            self.list.clear();
+        }
+        for r in reports {
+            self.list.insert(r.entry.uid.clone(), r);
+        }
+        self.list.retain(|_, r| r.entry.server.state != State::Gone);
+        changed
+    }
+
+    pub(crate) fn answer(&mut self, status: u16, headers: &[(&str, &str)], body: &[u8]) -> bool {
+        let headers: Vec<_> = headers
+            .iter()
+            .map(|(n, v)| ((*n).to_owned(), (*v).to_owned()))
+            .collect();
+        let update = self.watch.on_response(
+            self.now,
+            &Response {
+                status,
+                headers: &headers,
+                body,
+            },
+        );
+        self.apply(update)
+    }
+
+    /// Asks, and answers with a list under this index. Gives the target that was asked for.
+    pub(crate) fn round(&mut self, index: u64, list: &[Value]) -> String {
+        let call = self.call();
+        self.answer(
+            200,
+            &[("x-consul-index", &index.to_string())],
+            Value::from(list).to_string().as_bytes(),
+        );
+        call.target
+    }
+
+    pub(crate) fn states(&self) -> Vec<(&str, State)> {
+        self.list
+            .iter()
+            .map(|(uid, r)| (uid.as_str(), r.entry.server.state))
+            .collect()
+    }
+
+    pub(crate) fn reason(&self, uid: &str) -> &Reason {
+        &self.list[uid].reason
+    }
+}
+
+pub(crate) const HEALTH: &str = "/v1/health/service/pop-cache";
+pub(crate) const CATALOGUE: &str = "/v1/catalog/service/pop-cache";
