--- a/consul/src/mapping/instance.rs
+++ b/consul/src/mapping/instance.rs
@@ -183,6 +183,6 @@
         Some(check) if weight.is_nan() || weight <= 0.0 => {
             (State::Draining, Reason::Check(check.to_owned()))
         }
-        _ => (State::Ready, Reason::Told),
+        _ => (State::Ready, Reason::Reported),
     }
 }
--- a/consul/src/watch/mod.rs
+++ b/consul/src/watch/mod.rs
@@ -137,7 +137,7 @@
     pub fn restore(&mut self, entries: &[Entry]) -> Evidence {
         let report = |entry: &Entry| Report {
             entry: entry.clone(),
-            reason: Reason::Kept,
+            reason: Reason::Cached,
         };
         self.endpoints = entries
             .iter()
--- a/consul/tests/watch.rs
+++ b/consul/tests/watch.rs
@@ -185,7 +185,7 @@
     let Evidence::Full(reports) = rig.watch.restore(&cached) else {
         panic!("the whole list")
     };
-    assert_eq!((reports.len(), &reports[0].reason), (5, &Reason::Kept));
+    assert_eq!((reports.len(), &reports[0].reason), (5, &Reason::Cached));
     rig.list = reports
         .into_iter()
         .map(|r| (r.entry.uid.clone(), r))
--- a/daemon/src/bus.rs
+++ b/daemon/src/bus.rs
@@ -4,7 +4,7 @@
 use crate::limits::Limits;
 use crate::wire::{http, sse, Parser, WireError};
 use linnetknot::{ListMode, Micros, Server, State};
-use linnetknot_discovery::Answer;
+use linnetknot_discovery::ReceivedList;
 use linnetknot_settings::{
     flag, get, int, int_or, list, num_or, object, text, text_or, wrong, Fields, Result,
 };
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum News {
     /// The list of boxes, or changes to it.
-    List(Answer),
+    List(ReceivedList),
     /// An object, or with none a whole group, was purged at this Unix time.
     Purge {
         /// The object.
@@ -77,7 +77,7 @@
         let targets = list(topology, "targets")?;
         let read = |v: &Value| entry(v.as_object().ok_or_else(|| wrong("targets"))?);
         // One that can't be read must not hide what the others say.
-        let mut answer = Answer {
+        let mut answer = ReceivedList {
             rev,
             mode,
             entries: Vec::new(),
--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -8,7 +8,7 @@
 };
 use crate::limits::Limits;
 use linnetknot::Settings;
-use linnetknot_discovery::Answer;
+use linnetknot_discovery::ReceivedList;
 use linnetknot_settings::{
     get, int_or, list, object, settings, text, text_or, wrong, Fields, Result,
 };
@@ -91,7 +91,7 @@
         .collect::<Result<_>>()?;
     // Heard later, what can't be read is passed over; here it is a fault of the configuration.
     for event in &events {
-        if let Some(News::List(Answer { unreadable, .. })) = &event.news {
+        if let Some(News::List(ReceivedList { unreadable, .. })) = &event.news {
             unreadable
                 .first()
                 .map_or(Ok(()), |fault| Err(fault.clone()))?;
--- a/daemon/src/daemon/feeds/bus.rs
+++ b/daemon/src/daemon/feeds/bus.rs
@@ -79,7 +79,8 @@
             // Unless told otherwise, one source has the list.
             Some(News::List(..)) if self.config.consul.as_ref().is_some_and(|c| !c.beside_bus) => {}
             Some(News::List(answer)) => {
-                let (mode, entries, passed) = self.vetting.vet(answer, self.members.told_by(BUS));
+                let (mode, entries, passed) =
+                    self.vetting.validate(answer, self.members.reported_by(BUS));
                 for passed in passed {
                     log::warn!("event {} of the bus: {passed}", event.offset);
                 }
--- a/daemon/src/daemon/feeds/consul/kept.rs
+++ b/daemon/src/daemon/feeds/consul/kept.rs
@@ -99,7 +99,7 @@
         list.good_at = now;
         let same = self
             .members
-            .told_by(SourceId(CONSUL.0 + n))
+            .reported_by(SourceId(CONSUL.0 + n))
             .eq(list.written.iter());
         let at = if same {
             (list.written_at + seldom).max(now)
@@ -131,7 +131,7 @@
         list.timer = None;
         let entries: Vec<Entry> = self
             .members
-            .told_by(SourceId(CONSUL.0 + n))
+            .reported_by(SourceId(CONSUL.0 + n))
             .cloned()
             .collect();
         let bytes = kept::write(&list.scope, list.good_at, entries.iter());
--- a/daemon/src/daemon/members.rs
+++ b/daemon/src/daemon/members.rs
@@ -2,7 +2,7 @@
 
 use super::Daemon;
 use linnetknot::Micros;
-use linnetknot_discovery::{Evidence, Notice, Output, SourceId};
+use linnetknot_discovery::{Evidence, Notice, SourceId, TableUpdate};
 use std::collections::BTreeSet;
 
 /// The event bus, which comes first.
@@ -27,7 +27,7 @@
 impl Daemon {
     /// A source has told something of the boxes.
     pub(super) fn evidence(&mut self, now: Micros, source: SourceId, evidence: Evidence) {
-        let out = self.members.tell(now, source, evidence);
+        let out = self.members.apply(now, source, evidence);
         self.follow(now, out);
     }
 
@@ -38,7 +38,7 @@
         self.follow(now, out);
     }
 
-    fn follow(&mut self, now: Micros, out: Output) {
+    fn follow(&mut self, now: Micros, out: TableUpdate) {
         for (mode, entries) in out.events {
             let entries = self.without_bans(mode, entries);
             self.core.list(now, mode, entries);
@@ -56,17 +56,19 @@
         }
         for notice in out.notices {
             let line = match notice {
-                Notice::Full(uid) => format!("the table of boxes is full: {uid} is not taken in"),
-                Notice::SameId {
+                Notice::TableFull(uid) => {
+                    format!("the table of boxes is full: {uid} is not taken in")
+                }
+                Notice::DuplicateId {
                     uid,
-                    kept,
-                    refused,
+                    accepted,
+                    rejected,
                     source,
                 } => {
                     let source = self.members.source(source);
-                    format!("{source} names {uid} at {refused} too, which is passed over: it is at {kept}")
+                    format!("{source} names {uid} at {rejected} too, which is passed over: it is at {accepted}")
                 }
-                Notice::SameAddress {
+                Notice::DuplicateAddress {
                     uid,
                     other,
                     endpoint,
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -14,7 +14,7 @@
 use crate::upstream::Link;
 use crate::wire::WireError;
 use linnetknot::{Micros, Outcome, ServerId};
-use linnetknot_discovery::{Damping, Discovery, Source as ListSource, Vetting};
+use linnetknot_discovery::{Damping, EndpointTable, ListValidator, Source as ListSource};
 use linnetknot_origin_health::{OriginHealth, ZonePlace};
 use rustix::fd::OwnedFd;
 use rustix::pipe::{pipe_with, PipeFlags};
@@ -215,9 +215,9 @@
     deadlines: Deadlines<Timer>,
     bus: bus::State,
     /// What is believed of the boxes, and when it is due to be looked at again.
-    members: Discovery,
+    members: EndpointTable,
     /// What of the bus's lists is believed.
-    vetting: Vetting,
+    vetting: ListValidator,
     members_due: Option<Due>,
     said: Said,
     consul: Option<consul::State>,
@@ -382,8 +382,8 @@
             links: BTreeMap::new(),
             deadlines: Deadlines::default(),
             bus: bus::State::new(config.seed, &limits),
-            members: Discovery::new(sources(&config), damping, limits.members()),
-            vetting: Vetting::default(),
+            members: EndpointTable::new(sources(&config), damping, limits.members()),
+            vetting: ListValidator::default(),
             members_due: None,
             said: Said::default(),
             consul,
--- a/daemon/src/interconnect.rs
+++ b/daemon/src/interconnect.rs
@@ -580,8 +580,8 @@
             half_life_s: d.half_life_us as f64 / 1e6,
             suppress: d.suppress,
             reuse: d.reuse,
-            most_suppressed_s: d.most_us as f64 / 1e6,
-            most_share: d.most_share,
+            most_suppressed_s: d.max_suppressed_us as f64 / 1e6,
+            most_share: d.max_suppressed_share,
         }
     }
 }
@@ -796,8 +796,8 @@
             half_life_us: seconds("consul.damping.half_life_s", d.half_life_s)?,
             suppress: d.suppress,
             reuse: d.reuse,
-            most_us: seconds("consul.damping.most_suppressed_s", d.most_suppressed_s)?,
-            most_share: d.most_share,
+            max_suppressed_us: seconds("consul.damping.most_suppressed_s", d.most_suppressed_s)?,
+            max_suppressed_share: d.most_share,
         };
         damping.check().map_err(|(key, why)| match key {
             "half_life" | "most_suppressed" => format!("consul.damping.{key}_s {why}"),
--- a/daemon/src/limits.rs
+++ b/daemon/src/limits.rs
@@ -198,10 +198,10 @@
     }
 
     /// The bounds of the book of boxes.
-    pub fn members(&self) -> linnetknot_discovery::Bounds {
-        linnetknot_discovery::Bounds {
-            boxes: self.boxes,
-            remembered: self.gone_boxes,
+    pub fn members(&self) -> linnetknot_discovery::Limits {
+        linnetknot_discovery::Limits {
+            max_caches: self.boxes,
+            max_remembered: self.gone_boxes,
         }
     }
 
--- a/discovery/src/damping.rs
+++ b/discovery/src/damping.rs
@@ -2,7 +2,7 @@
 //!
 //! A box is suppressed when it comes back with a figure over `suppress`, and reused once the figure has decayed
 //! below `reuse`. The figure has a ceiling, so that however long a box has flapped, it is taken in again
-//! `most_us` after its last loss at the latest (section 4.2 of the RFC: 'max hold-down time').
+//! `max_suppressed_us` after its last loss at the latest (section 4.2 of the RFC: 'max hold-down time').
 
 use linnetknot::Micros;
 
@@ -16,9 +16,9 @@
     /// It is taken in again below this.
     pub reuse: f64,
     /// Longest suppression after the last loss, in microseconds.
-    pub most_us: Micros,
+    pub max_suppressed_us: Micros,
     /// Share of the boxes of one zone and kind that may be suppressed at once, rounded down.
-    pub most_share: f64,
+    pub max_suppressed_share: f64,
 }
 
 impl Default for Damping {
@@ -27,18 +27,18 @@
             half_life_us: 15_000_000,
             suppress: 2.0,
             reuse: 1.0,
-            most_us: 30_000_000,
-            most_share: 0.34,
+            max_suppressed_us: 30_000_000,
+            max_suppressed_share: 0.34,
         }
     }
 }
 
 /// What makes figures of damping unusable: the name of the one at fault, and what it must be.
-pub type BadFigure = (&'static str, &'static str);
+pub type DampingError = (&'static str, &'static str);
 
 impl Damping {
     /// Tells what, if anything, makes these figures unusable.
-    pub fn check(&self) -> Result<(), BadFigure> {
+    pub fn check(&self) -> Result<(), DampingError> {
         let sound = |x: f64| x.is_finite() && x > 0.0;
         if self.half_life_us == 0 {
             return Err(("half_life", "must be above 0"));
@@ -49,7 +49,7 @@
         if !sound(self.suppress) || self.suppress <= self.reuse {
             return Err(("suppress", "must be above 'reuse'"));
         }
-        if !(0.0..=1.0).contains(&self.most_share) {
+        if !(0.0..=1.0).contains(&self.max_suppressed_share) {
             return Err(("most_share", "must be from 0 to 1"));
         }
         // Under a ceiling below `suppress` no box would ever be suppressed, which should be said openly instead.
@@ -62,9 +62,9 @@
         Ok(())
     }
 
-    /// The highest penalty: from here it decays to `reuse` within `most_us`.
+    /// The highest penalty: from here it decays to `reuse` within `max_suppressed_us`.
     pub fn ceiling(&self) -> f64 {
-        self.reuse * (self.most_us as f64 / self.half_life_us as f64).exp2()
+        self.reuse * (self.max_suppressed_us as f64 / self.half_life_us as f64).exp2()
     }
 }
 
--- a/discovery/src/book/intake.rs
+++ b/discovery/src/endpoint_table/ingest.rs
@@ -1,111 +1,111 @@
 //! How reports are taken in: which sources say what of a box, and who claims which address.
 
-use super::{Discovery, Member, Output, Word};
-use crate::evidence::{Entry, Notice, Reason, Report, SourceId, Standing};
+use super::{EndpointTable, SourceReport, TableUpdate, TrackedCache};
+use crate::evidence::{EndpointStatus, Entry, Notice, Reason, Report, SourceId};
 use linnetknot::{Micros, State};
 use std::collections::{btree_map, BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-impl Discovery {
+impl EndpointTable {
     /// One report for each id: a list that names an id twice, at two nodes, means two boxes, and only one of them
     /// can have it. The one that had it keeps it.
-    pub(super) fn one_each(
+    pub(super) fn unique_reports(
         &self,
         source: SourceId,
         reports: Vec<Report>,
-        out: &mut Output,
+        out: &mut TableUpdate,
     ) -> Vec<Report> {
-        let mut kept: Vec<Report> = Vec::with_capacity(reports.len());
-        let mut places: BTreeMap<String, usize> = BTreeMap::new();
+        let mut accepted: Vec<Report> = Vec::with_capacity(reports.len());
+        let mut positions: BTreeMap<String, usize> = BTreeMap::new();
         for mut report in reports {
-            let place = match places.entry(report.entry.uid.clone()) {
+            let position = match positions.entry(report.entry.uid.clone()) {
                 btree_map::Entry::Vacant(e) => {
-                    e.insert(kept.len());
-                    kept.push(report);
+                    e.insert(accepted.len());
+                    accepted.push(report);
                     continue;
                 }
                 btree_map::Entry::Occupied(e) => *e.get(),
             };
             let before = self
-                .members
+                .caches
                 .get(&report.entry.uid)
-                .and_then(|m| m.words.get(&source));
+                .and_then(|m| m.reports.get(&source));
             if before.is_some_and(|w| w.entry.endpoint == report.entry.endpoint) {
-                std::mem::swap(&mut kept[place], &mut report);
+                std::mem::swap(&mut accepted[position], &mut report);
             }
-            let first = &kept[place].entry;
+            let first = &accepted[position].entry;
             if first.endpoint != report.entry.endpoint {
-                out.notices.push(Notice::SameId {
+                out.notices.push(Notice::DuplicateId {
                     uid: first.uid.clone(),
-                    kept: first.endpoint,
-                    refused: report.entry.endpoint,
+                    accepted: first.endpoint,
+                    rejected: report.entry.endpoint,
                     source,
                 });
             }
         }
-        kept
+        accepted
     }
 
     /// Unlists what a source lists and its whole list of reports names no more; gives the entries that tell of it.
-    pub(super) fn unlist_all_but(
+    pub(super) fn unlist_omitted(
         &mut self,
         now: Micros,
         source: SourceId,
         reports: &[Report],
-        touched: &mut BTreeSet<String>,
-        out: &mut Output,
+        affected: &mut BTreeSet<String>,
+        out: &mut TableUpdate,
     ) -> Vec<Entry> {
         let named: BTreeSet<&str> = reports.iter().map(|r| r.entry.uid.as_str()).collect();
-        let unlisted = |(uid, m): (&String, &Member)| {
+        let unlisted = |(uid, m): (&String, &TrackedCache)| {
             let listed = m
-                .words
+                .reports
                 .get(&source)
                 .is_some_and(|w| w.entry.server.state != State::Gone);
             (listed && !named.contains(uid.as_str())).then(|| uid.clone())
         };
-        let unlisted: Vec<String> = self.members.iter().filter_map(unlisted).collect();
-        let mut leavers = Vec::new();
+        let unlisted: Vec<String> = self.caches.iter().filter_map(unlisted).collect();
+        let mut removals = Vec::new();
         unlisted
             .iter()
-            .for_each(|uid| self.unlist(now, source, uid, touched));
+            .for_each(|uid| self.unlist(now, source, uid, affected));
         unlisted
             .iter()
-            .for_each(|uid| self.settle(now, uid, &mut leavers, out));
+            .for_each(|uid| self.settle(now, uid, &mut removals, out));
         if self.sources[source.0].relayed {
             // A whole list says by itself who is gone; what other sources list is added to it.
             let others = self
-                .members
+                .caches
                 .iter()
                 .filter(|(uid, _)| !named.contains(uid.as_str()));
-            let others = others.filter_map(|(_, m)| m.given.as_ref());
-            let others = others.filter(|g| g.standing != Standing::Gone);
-            leavers = others.map(|g| g.entry.clone()).collect();
+            let others = others.filter_map(|(_, m)| m.published.as_ref());
+            let others = others.filter(|g| g.status != EndpointStatus::Gone);
+            removals = others.map(|g| g.entry.clone()).collect();
         }
-        leavers
+        removals
     }
 
     /// Takes a report in and gives out what follows for its box.
-    pub(super) fn take_report(
+    pub(super) fn ingest(
         &mut self,
         now: Micros,
         source: SourceId,
         report: Report,
         entries: &mut Vec<Entry>,
-        touched: &mut BTreeSet<String>,
-        out: &mut Output,
+        affected: &mut BTreeSet<String>,
+        out: &mut TableUpdate,
     ) {
         let relayed = self.sources[source.0].relayed;
         let reported = report.entry.clone();
         let before = entries.len();
-        if self.note(now, source, report, touched, out) {
+        if self.record(now, source, report, affected, out) {
             self.settle(now, &reported.uid, entries, out);
             // Passed on whether it changed or not, each report of the event in its turn.
-            let given = self
-                .members
+            let published = self
+                .caches
                 .get(&reported.uid)
-                .and_then(|m| m.given.as_ref());
+                .and_then(|m| m.published.as_ref());
             entries.extend(
-                given
+                published
                     .filter(|_| relayed && entries.len() == before)
                     .map(|g| g.entry.clone()),
             );
@@ -116,31 +116,31 @@
     }
 
     /// Notes a source's report; false where it is not taken in. Those whose own case it may change are touched.
-    fn note(
+    fn record(
         &mut self,
         now: Micros,
         source: SourceId,
         report: Report,
-        touched: &mut BTreeSet<String>,
-        out: &mut Output,
+        affected: &mut BTreeSet<String>,
+        out: &mut TableUpdate,
     ) -> bool {
         let Report { entry, reason } = report;
         let (uid, endpoint) = (entry.uid.clone(), entry.endpoint);
         let gone = entry.server.state == State::Gone;
-        if !self.members.contains_key(&uid) {
+        if !self.caches.contains_key(&uid) {
             if gone {
                 return false;
             }
-            if self.members.len() - self.gone.len() >= self.bounds.boxes {
-                out.notices.push(Notice::Full(uid));
+            if self.caches.len() - self.gone.len() >= self.limits.max_caches {
+                out.notices.push(Notice::TableFull(uid));
                 return false;
             }
         }
         let member = self
-            .members
+            .caches
             .entry(uid.clone())
-            .or_insert_with(|| Member::new(now));
-        let old = member.words.get(&source).map(|w| w.entry.endpoint);
+            .or_insert_with(|| TrackedCache::new(now));
+        let old = member.reports.get(&source).map(|w| w.entry.endpoint);
         if old != Some(endpoint) {
             out.notices.extend(member.conflict(source, &uid, endpoint));
             member.joined = now;
@@ -152,21 +152,21 @@
                 });
             }
         }
-        member.words.insert(
+        member.reports.insert(
             source,
-            Word {
+            SourceReport {
                 entry,
                 reason,
                 at: now,
             },
         );
         if let Some(old) = old.filter(|old| *old != endpoint) {
-            self.unclaim(old, &uid, touched);
+            self.unclaim(old, &uid, affected);
         }
         if gone {
-            self.unclaim(endpoint, &uid, touched);
+            self.unclaim(endpoint, &uid, affected);
         } else {
-            self.claim(endpoint, &uid, touched, out);
+            self.claim(endpoint, &uid, affected, out);
         }
         true
     }
@@ -176,16 +176,16 @@
         &mut self,
         endpoint: SocketAddr,
         uid: &str,
-        touched: &mut BTreeSet<String>,
-        out: &mut Output,
+        affected: &mut BTreeSet<String>,
+        out: &mut TableUpdate,
     ) {
         let claims = self.claims.entry(endpoint).or_default();
         let is_new = claims.insert(uid.to_owned());
         for other in claims.iter().filter(|other| *other != uid) {
-            touched.insert(other.clone());
+            affected.insert(other.clone());
             if is_new {
                 let (uid, other) = (uid.to_owned(), other.clone());
-                out.notices.push(Notice::SameAddress {
+                out.notices.push(Notice::DuplicateAddress {
                     uid,
                     other,
                     endpoint,
@@ -194,9 +194,9 @@
         }
     }
 
-    fn unclaim(&mut self, endpoint: SocketAddr, uid: &str, touched: &mut BTreeSet<String>) {
-        let still = self.members.get(uid).is_some_and(|m| {
-            m.words
+    fn unclaim(&mut self, endpoint: SocketAddr, uid: &str, affected: &mut BTreeSet<String>) {
+        let still = self.caches.get(uid).is_some_and(|m| {
+            m.reports
                 .values()
                 .any(|w| w.entry.endpoint == endpoint && w.entry.server.state != State::Gone)
         });
@@ -205,7 +205,7 @@
         };
         if !still {
             claims.get_mut().remove(uid);
-            touched.extend(claims.get().iter().cloned());
+            affected.extend(claims.get().iter().cloned());
         }
         if claims.get().is_empty() {
             claims.remove();
@@ -213,31 +213,38 @@
     }
 
     /// A source's whole list names a box no more.
-    fn unlist(&mut self, now: Micros, source: SourceId, uid: &str, touched: &mut BTreeSet<String>) {
-        let Some(word) = self
-            .members
+    fn unlist(
+        &mut self,
+        now: Micros,
+        source: SourceId,
+        uid: &str,
+        affected: &mut BTreeSet<String>,
+    ) {
+        let Some(report) = self
+            .caches
             .get_mut(uid)
-            .and_then(|m| m.words.get_mut(&source))
+            .and_then(|m| m.reports.get_mut(&source))
         else {
             return;
         };
-        (word.entry.server.state, word.reason, word.at) = (State::Gone, Reason::Unlisted, now);
-        let endpoint = word.entry.endpoint;
-        self.unclaim(endpoint, uid, touched);
+        (report.entry.server.state, report.reason, report.at) =
+            (State::Gone, Reason::Unlisted, now);
+        let endpoint = report.entry.endpoint;
+        self.unclaim(endpoint, uid, affected);
     }
 }
 
-impl Member {
+impl TrackedCache {
     /// The notice that another source lists this box at another address than the one that `source` tells.
     fn conflict(&self, source: SourceId, uid: &str, endpoint: SocketAddr) -> Option<Notice> {
-        let (_, other) = self.words.iter().find(|(id, w)| {
+        let (_, other) = self.reports.iter().find(|(id, w)| {
             **id != source && w.entry.server.state != State::Gone && w.entry.endpoint != endpoint
         })?;
-        let (kept, refused) = (other.entry.endpoint, endpoint);
-        Some(Notice::SameId {
+        let (accepted, rejected) = (other.entry.endpoint, endpoint);
+        Some(Notice::DuplicateId {
             uid: uid.to_owned(),
-            kept,
-            refused,
+            accepted,
+            rejected,
             source,
         })
     }
--- a/discovery/src/book/mod.rs
+++ b/discovery/src/endpoint_table/mod.rs
@@ -1,12 +1,12 @@
 //! The book of boxes: every source's last word on each, what follows from them, and what was given out of it.
 
-mod intake;
+mod ingest;
 mod publish;
 mod verdict;
 
 use crate::damping::{Damping, Penalty};
 use crate::evidence::{
-    Change, Entry, Evidence, Explanation, Notice, Reason, Source, SourceId, Standing,
+    Change, EndpointStatus, Entry, Evidence, Explanation, Notice, Reason, Source, SourceId,
 };
 use linnetknot::{ListMode, Micros, State};
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,16 +14,16 @@
 
 /// Bounds on what is remembered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct Limits {
     /// Boxes that are listed by any source.
-    pub boxes: usize,
+    pub max_caches: usize,
     /// Boxes that are gone, whose flaps are still held against them should they come back.
-    pub remembered: usize,
+    pub max_remembered: usize,
 }
 
 /// What follows from evidence.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Output {
+pub struct TableUpdate {
     /// List events, to be given to the module in this order.
     pub events: Vec<(ListMode, Vec<Entry>)>,
     /// Changes of standing, for the log.
@@ -32,7 +32,7 @@
     pub notices: Vec<Notice>,
 }
 
-impl Output {
+impl TableUpdate {
     /// Whether nothing follows.
     pub fn is_empty(&self) -> bool {
         self.events.is_empty() && self.changes.is_empty() && self.notices.is_empty()
@@ -41,7 +41,7 @@
 
 /// A source's last word on a box; the state stands in the entry.
 #[derive(Clone, Debug)]
-struct Word {
+struct SourceReport {
     entry: Entry,
     reason: Reason,
     at: Micros,
@@ -49,9 +49,9 @@
 
 /// What was last given out of a box.
 #[derive(Clone, Debug)]
-struct Given {
+struct Published {
     entry: Entry,
-    standing: Standing,
+    status: EndpointStatus,
     reason: Reason,
     source: SourceId,
     since: Micros,
@@ -61,8 +61,8 @@
 type Group = (String, String);
 
 #[derive(Clone, Debug)]
-struct Member {
-    words: BTreeMap<SourceId, Word>,
+struct TrackedCache {
+    reports: BTreeMap<SourceId, SourceReport>,
     /// When it was first told at its present address.
     joined: Micros,
     penalty: Penalty,
@@ -72,20 +72,20 @@
     counted: Option<Group>,
     /// When it was last taken in again; the module ramps it up from then, as it does one that has just started.
     returned: Option<Micros>,
-    given: Option<Given>,
+    published: Option<Published>,
 }
 
 /// The book.
 #[derive(Clone, Debug)]
-pub struct Discovery {
+pub struct EndpointTable {
     sources: Vec<Source>,
     damping: Damping,
-    bounds: Bounds,
-    members: BTreeMap<String, Member>,
+    limits: Limits,
+    caches: BTreeMap<String, TrackedCache>,
     /// Who is told to listen at an address.
     claims: BTreeMap<SocketAddr, BTreeSet<String>>,
     /// Sources that have given a whole list: what they name for the first time from then on has just started.
-    opened: BTreeSet<SourceId>,
+    initialized: BTreeSet<SourceId>,
     /// Boxes under damping.
     damped: BTreeSet<String>,
     /// Boxes told ready, by group.
@@ -94,32 +94,32 @@
     gone: BTreeSet<String>,
 }
 
-impl Member {
+impl TrackedCache {
     /// A box that no source has reported yet.
     fn new(now: Micros) -> Self {
-        Member {
-            words: BTreeMap::new(),
+        TrackedCache {
+            reports: BTreeMap::new(),
             joined: now,
             penalty: Penalty::default(),
             damped: false,
             counted: None,
             returned: None,
-            given: None,
+            published: None,
         }
     }
 }
 
-impl Discovery {
+impl EndpointTable {
     /// An empty book. The order of the sources is that of their precedence: where two differ on anything but the
     /// state of a box, the first holds.
-    pub fn new(sources: Vec<Source>, damping: Damping, bounds: Bounds) -> Self {
-        Discovery {
+    pub fn new(sources: Vec<Source>, damping: Damping, limits: Limits) -> Self {
+        EndpointTable {
             sources,
             damping,
-            bounds,
-            members: BTreeMap::new(),
+            limits,
+            caches: BTreeMap::new(),
             claims: BTreeMap::new(),
-            opened: BTreeSet::new(),
+            initialized: BTreeSet::new(),
             damped: BTreeSet::new(),
             ready: BTreeMap::new(),
             gone: BTreeSet::new(),
@@ -132,8 +132,8 @@
     }
 
     /// Takes evidence in.
-    pub fn tell(&mut self, now: Micros, source: SourceId, evidence: Evidence) -> Output {
-        let mut out = Output::default();
+    pub fn apply(&mut self, now: Micros, source: SourceId, evidence: Evidence) -> TableUpdate {
+        let mut out = TableUpdate::default();
         let Some(relayed) = self.sources.get(source.0).map(|s| s.relayed) else {
             return out;
         };
@@ -144,45 +144,45 @@
         let reports = if relayed {
             reports
         } else {
-            self.one_each(source, reports, &mut out)
+            self.unique_reports(source, reports, &mut out)
         };
         let mut entries = Vec::new();
-        let mut touched = BTreeSet::new();
+        let mut affected = BTreeSet::new();
         // Who leaves makes room first, in the table and at its address.
-        let leavers = if mode == ListMode::Full {
-            self.unlist_all_but(now, source, &reports, &mut touched, &mut out)
+        let removals = if mode == ListMode::Full {
+            self.unlist_omitted(now, source, &reports, &mut affected, &mut out)
         } else {
             Vec::new()
         };
         for report in reports {
-            self.take_report(now, source, report, &mut entries, &mut touched, &mut out);
+            self.ingest(now, source, report, &mut entries, &mut affected, &mut out);
         }
         if mode == ListMode::Full {
-            self.opened.insert(source);
+            self.initialized.insert(source);
         }
-        entries.extend(leavers);
-        let mut follow = Vec::new();
-        touched
+        entries.extend(removals);
+        let mut follow_ups = Vec::new();
+        affected
             .iter()
-            .for_each(|uid| self.settle(now, uid, &mut follow, &mut out));
-        self.balance(now, &mut follow, &mut out);
-        self.give(
+            .for_each(|uid| self.settle(now, uid, &mut follow_ups, &mut out));
+        self.balance(now, &mut follow_ups, &mut out);
+        self.push_event(
             if relayed { mode } else { ListMode::Delta },
             entries,
             relayed,
             &mut out,
         );
-        self.give(ListMode::Delta, follow, false, &mut out);
+        self.push_event(ListMode::Delta, follow_ups, false, &mut out);
         self.sweep(now);
         out
     }
 
     /// Takes in again what has been steady for long enough.
-    pub fn poll(&mut self, now: Micros) -> Output {
-        let mut out = Output::default();
+    pub fn poll(&mut self, now: Micros) -> TableUpdate {
+        let mut out = TableUpdate::default();
         let mut entries = Vec::new();
         self.balance(now, &mut entries, &mut out);
-        self.give(ListMode::Delta, entries, false, &mut out);
+        self.push_event(ListMode::Delta, entries, false, &mut out);
         self.sweep(now);
         out
     }
@@ -190,25 +190,25 @@
     /// When `poll` has something to do at the latest.
     pub fn next_due(&self, now: Micros) -> Option<Micros> {
         let d = &self.damping;
-        let due = |uid: &String| Some(self.members.get(uid)?.penalty.below(d, d.reuse, now));
+        let due = |uid: &String| Some(self.caches.get(uid)?.penalty.below(d, d.reuse, now));
         self.damped.iter().filter_map(due).min()
     }
 
     /// Boxes that some source lists, as they are given out.
-    pub fn listed(&self) -> impl Iterator<Item = (&Entry, Standing)> {
-        let given = self.members.values().filter_map(|m| m.given.as_ref());
-        given
-            .filter(|g| g.standing != Standing::Gone)
-            .map(|g| (&g.entry, g.standing))
+    pub fn listed(&self) -> impl Iterator<Item = (&Entry, EndpointStatus)> {
+        let published = self.caches.values().filter_map(|m| m.published.as_ref());
+        published
+            .filter(|g| g.status != EndpointStatus::Gone)
+            .map(|g| (&g.entry, g.status))
     }
 
     /// What a source itself says of the boxes that it lists, whatever became of that.
-    pub fn told_by(&self, source: SourceId) -> impl Iterator<Item = &Entry> {
-        let words = self
-            .members
+    pub fn reported_by(&self, source: SourceId) -> impl Iterator<Item = &Entry> {
+        let reports = self
+            .caches
             .values()
-            .filter_map(move |m| m.words.get(&source));
-        words
+            .filter_map(move |m| m.reports.get(&source));
+        reports
             .filter(|w| w.entry.server.state != State::Gone)
             .map(|w| &w.entry)
     }
@@ -219,21 +219,21 @@
     }
 
     /// Where a box stands; `Gone` for one that is not known.
-    pub fn standing(&self, uid: &str) -> Standing {
-        self.members
+    pub fn status(&self, uid: &str) -> EndpointStatus {
+        self.caches
             .get(uid)
-            .and_then(|m| m.given.as_ref())
-            .map_or(Standing::Gone, |g| g.standing)
+            .and_then(|m| m.published.as_ref())
+            .map_or(EndpointStatus::Gone, |g| g.status)
     }
 
     /// Why a box stands where it does; none for one that is not known.
     pub fn explain(&self, uid: &str, now: Micros) -> Option<Explanation> {
-        let (m, d) = (self.members.get(uid)?, &self.damping);
-        let g = m.given.as_ref()?;
-        let suppressed = g.standing == Standing::Suppressed;
+        let (m, d) = (self.caches.get(uid)?, &self.damping);
+        let g = m.published.as_ref()?;
+        let suppressed = g.status == EndpointStatus::Suppressed;
         Some(Explanation {
             entry: g.entry.clone(),
-            standing: g.standing,
+            status: g.status,
             since: g.since,
             reason: g.reason.clone(),
             source: g.source,
@@ -244,7 +244,7 @@
 
     /// Explanations of all boxes that are known, in the order of their ids.
     pub fn explain_all(&self, now: Micros) -> impl Iterator<Item = Explanation> + '_ {
-        self.members
+        self.caches
             .keys()
             .filter_map(move |uid| self.explain(uid, now))
     }
--- a/discovery/src/book/publish.rs
+++ b/discovery/src/endpoint_table/publish.rs
@@ -1,9 +1,9 @@
 //! How verdicts are damped and given out: which boxes are held back, and what has changed for the module.
 
 use super::verdict::Verdict;
-use super::{Discovery, Given, Group, Member, Output};
+use super::{EndpointTable, Group, Published, TableUpdate, TrackedCache};
 use crate::damping::Damping;
-use crate::evidence::{Change, Entry, Reason, SourceId, Standing};
+use crate::evidence::{Change, EndpointStatus, Entry, Reason, SourceId};
 use linnetknot::{ListMode, Micros, State};
 use std::collections::{btree_map, BTreeMap, BTreeSet};
 
@@ -12,15 +12,22 @@
 }
 
 /// Whether two entries can't be one and the same box to the module, which takes these from the first alone.
-fn remade(a: &Entry, b: &Entry) -> bool {
+fn changes_identity(a: &Entry, b: &Entry) -> bool {
     let of = |e: &Entry| (e.endpoint, e.server.cell);
     of(a) != of(b) || a.server.zone != b.server.zone || a.server.kind != b.server.kind
 }
 
-impl Member {
-    /// Counts a loss of the box, or its return: whether it is put under damping by it. `opened`: its source had given
+impl TrackedCache {
+    /// Counts a loss of the box, or its return: whether it is put under damping by it. `initialized`: its source had given
     /// a whole list before.
-    fn count(&mut self, now: Micros, damping: &Damping, was: bool, is: bool, opened: bool) -> bool {
+    fn count(
+        &mut self,
+        now: Micros,
+        damping: &Damping,
+        was: bool,
+        is: bool,
+        initialized: bool,
+    ) -> bool {
         if was && !is {
             self.penalty.add(damping, now);
         }
@@ -30,7 +37,7 @@
         let is_damped = self.penalty.figure(damping, now) >= damping.suppress && !self.damped;
         self.damped |= is_damped;
         // What is named for the first time once a list was there has just started, for all that is known.
-        if self.given.is_some() || opened {
+        if self.published.is_some() || initialized {
             self.returned = Some(now);
         }
         is_damped
@@ -38,37 +45,37 @@
 
     /// Takes the box out where its new entry can't be the same box to the module, which keeps the address, zone and
     /// kind of a box that it knows: it has to leave, by the entry that is given back, and come anew.
-    fn remake(&mut self, now: Micros, standing: Standing, entry: &Entry) -> Option<Entry> {
-        let given = self.given.as_ref()?;
-        if given.standing == Standing::Gone
-            || standing == Standing::Gone
-            || !remade(&given.entry, entry)
+    fn replace(&mut self, now: Micros, status: EndpointStatus, entry: &Entry) -> Option<Entry> {
+        let published = self.published.as_ref()?;
+        if published.status == EndpointStatus::Gone
+            || status == EndpointStatus::Gone
+            || !changes_identity(&published.entry, entry)
         {
             return None;
         }
-        let mut old = given.entry.clone();
+        let mut old = published.entry.clone();
         old.server.state = State::Gone;
         self.returned = Some(now);
         Some(old)
     }
 
     /// Notes what was given out.
-    fn give(
+    fn record_published(
         &mut self,
         now: Micros,
         entry: Entry,
-        standing: Standing,
+        status: EndpointStatus,
         reason: Reason,
         source: SourceId,
     ) {
         let since = self
-            .given
+            .published
             .as_ref()
-            .filter(|g| g.standing == standing)
+            .filter(|g| g.status == status)
             .map_or(now, |g| g.since);
-        self.given = Some(Given {
+        self.published = Some(Published {
             entry,
-            standing,
+            status,
             reason,
             source,
             since,
@@ -76,30 +83,30 @@
     }
 
     /// The reason of a new standing, where damping has a part in it.
-    fn damping_reason(&self, old: Standing, new: Standing) -> Option<Reason> {
+    fn damping_reason(&self, old: EndpointStatus, new: EndpointStatus) -> Option<Reason> {
         match (old, new) {
-            (_, Standing::Suppressed) => Some(Reason::Flapping),
-            (_, Standing::Ready) if self.damped => Some(Reason::Panic),
-            (Standing::Suppressed, Standing::Ready) => Some(Reason::Steady),
+            (_, EndpointStatus::Suppressed) => Some(Reason::Flapping),
+            (_, EndpointStatus::Ready) if self.damped => Some(Reason::DampingLimit),
+            (EndpointStatus::Suppressed, EndpointStatus::Ready) => Some(Reason::Steady),
             _ => None,
         }
     }
 }
 
-impl Discovery {
+impl EndpointTable {
     /// Weighs a box anew after a word on it, counts its losses and returns, and gives out what has changed.
     pub(super) fn settle(
         &mut self,
         now: Micros,
         uid: &str,
         entries: &mut Vec<Entry>,
-        out: &mut Output,
+        out: &mut TableUpdate,
     ) {
-        let Some(verdict) = self.members.get(uid).and_then(|m| self.verdict(uid, m)) else {
+        let Some(verdict) = self.caches.get(uid).and_then(|m| self.verdict(uid, m)) else {
             return;
         };
-        let opened = self.opened.contains(&verdict.source);
-        let Some(m) = self.members.get_mut(uid) else {
+        let initialized = self.initialized.contains(&verdict.source);
+        let Some(m) = self.caches.get_mut(uid) else {
             return;
         };
         let was = m.counted.is_some();
@@ -107,7 +114,7 @@
         let counted = is.then(|| group(&verdict.entry));
         let before = std::mem::replace(&mut m.counted, counted.clone());
         let counts = self.sources[verdict.source.0].damped;
-        if counts && m.count(now, &self.damping, was, is, opened) {
+        if counts && m.count(now, &self.damping, was, is, initialized) {
             self.damped.insert(uid.to_owned());
         }
         let under_damping = m.damped && is;
@@ -142,10 +149,10 @@
 
     /// Which of the boxes under damping are held back: those with the highest penalties, and of each group no more
     /// than its share.
-    fn held(&self, now: Micros) -> BTreeSet<String> {
+    fn suppressed(&self, now: Micros) -> BTreeSet<String> {
         let mut groups: BTreeMap<&Group, Vec<(f64, &String)>> = BTreeMap::new();
         for uid in &self.damped {
-            let Some(m) = self.members.get(uid) else {
+            let Some(m) = self.caches.get(uid) else {
                 continue;
             };
             if let Some(group) = &m.counted {
@@ -155,14 +162,19 @@
                     .push((m.penalty.figure(&self.damping, now), uid));
             }
         }
-        let mut held = BTreeSet::new();
+        let mut suppressed = BTreeSet::new();
         for (group, mut members) in groups {
             let all = self.ready.get(group).copied().unwrap_or(0);
-            let room = (self.damping.most_share * all as f64) as usize;
+            let capacity = (self.damping.max_suppressed_share * all as f64) as usize;
             members.sort_by(|a, b| b.0.total_cmp(&a.0).then_with(|| a.1.cmp(b.1)));
-            held.extend(members.into_iter().take(room).map(|(_, uid)| uid.clone()));
+            suppressed.extend(
+                members
+                    .into_iter()
+                    .take(capacity)
+                    .map(|(_, uid)| uid.clone()),
+            );
         }
-        held
+        suppressed
     }
 
     /// Gives out what a verdict changes for the module, and notes it as given.
@@ -171,12 +183,12 @@
         now: Micros,
         uid: &str,
         verdict: Verdict,
-        held: bool,
+        suppressed: bool,
         entries: &mut Vec<Entry>,
-        out: &mut Output,
+        out: &mut TableUpdate,
     ) {
         let relayed = self.sources[verdict.source.0].relayed;
-        let Some(m) = self.members.get_mut(uid) else {
+        let Some(m) = self.caches.get_mut(uid) else {
             return;
         };
         let Verdict {
@@ -185,48 +197,51 @@
             reason,
             source,
         } = verdict;
-        let standing = match state {
-            State::Ready if held => Standing::Suppressed,
-            State::Ready => Standing::Ready,
-            State::Draining => Standing::Draining,
-            State::Gone => Standing::Gone,
+        let status = match state {
+            State::Ready if suppressed => EndpointStatus::Suppressed,
+            State::Ready => EndpointStatus::Ready,
+            State::Draining => EndpointStatus::Draining,
+            State::Gone => EndpointStatus::Gone,
         };
-        let old = m.given.as_ref().map_or(Standing::Gone, |g| g.standing);
-        let reason = m.damping_reason(old, standing).unwrap_or(reason);
-        if standing == Standing::Ready && old == Standing::Suppressed {
+        let old = m
+            .published
+            .as_ref()
+            .map_or(EndpointStatus::Gone, |g| g.status);
+        let reason = m.damping_reason(old, status).unwrap_or(reason);
+        if status == EndpointStatus::Ready && old == EndpointStatus::Suppressed {
             m.returned = Some(now);
         }
-        entry.server.state = standing.state();
+        entry.server.state = status.state();
         if !relayed {
-            entries.extend(m.remake(now, standing, &entry));
+            entries.extend(m.replace(now, status, &entry));
             entry.server.started = entry.server.started.max(m.returned);
         }
-        let is_known = m.given.is_some() || standing != Standing::Gone;
-        if is_known && m.given.as_ref().is_none_or(|g| g.entry != entry) {
+        let is_known = m.published.is_some() || status != EndpointStatus::Gone;
+        if is_known && m.published.as_ref().is_none_or(|g| g.entry != entry) {
             entries.push(entry.clone());
         }
-        if standing != old {
+        if status != old {
             let penalty = m.penalty.figure(&self.damping, now);
             let (uid, reason) = (uid.to_owned(), reason.clone());
             out.changes.push(Change {
                 uid,
                 old,
-                new: standing,
+                new: status,
                 reason,
                 source,
                 penalty,
             });
         }
-        m.give(now, entry, standing, reason, source);
+        m.record_published(now, entry, status, reason, source);
     }
 
     /// Ends the damping of those that have been steady, and keeps those that are held back within their share.
-    pub(super) fn balance(&mut self, now: Micros, entries: &mut Vec<Entry>, out: &mut Output) {
+    pub(super) fn balance(&mut self, now: Micros, entries: &mut Vec<Entry>, out: &mut TableUpdate) {
         if self.damped.is_empty() {
             return;
         }
         let d = self.damping;
-        let members = &mut self.members;
+        let members = &mut self.caches;
         let mut steady = Vec::new();
         self.damped.retain(|uid| {
             let Some(m) = members.get_mut(uid) else {
@@ -238,22 +253,22 @@
             }
             m.damped
         });
-        let held = self.held(now);
+        let suppressed = self.suppressed(now);
         for uid in steady.iter().chain(&self.damped.clone()) {
-            let Some(verdict) = self.members.get(uid).and_then(|m| self.verdict(uid, m)) else {
+            let Some(verdict) = self.caches.get(uid).and_then(|m| self.verdict(uid, m)) else {
                 continue;
             };
-            self.publish(now, uid, verdict, held.contains(uid), entries, out);
+            self.publish(now, uid, verdict, suppressed.contains(uid), entries, out);
         }
     }
 
     /// Adds an event to the output; an empty one only where it is passed on.
-    pub(super) fn give(
+    pub(super) fn push_event(
         &self,
         mode: ListMode,
         mut entries: Vec<Entry>,
         relayed: bool,
-        out: &mut Output,
+        out: &mut TableUpdate,
     ) {
         if entries.is_empty() && !relayed {
             return;
@@ -276,13 +291,13 @@
         if self.gone.is_empty() {
             return;
         }
-        let mut kept: Vec<(f64, String)> = Vec::new();
+        let mut accepted: Vec<(f64, String)> = Vec::new();
         let mut leave: Vec<String> = Vec::new();
         for uid in &self.gone {
-            let Some(m) = self.members.get(uid) else {
+            let Some(m) = self.caches.get(uid) else {
                 continue;
             };
-            if m.words
+            if m.reports
                 .values()
                 .any(|w| w.entry.server.state != State::Gone)
             {
@@ -290,18 +305,18 @@
             }
             match m.penalty.is_forgotten(&self.damping, now) {
                 true => leave.push(uid.clone()),
-                false => kept.push((m.penalty.figure(&self.damping, now), uid.clone())),
+                false => accepted.push((m.penalty.figure(&self.damping, now), uid.clone())),
             }
         }
-        if kept.len() > self.bounds.remembered {
-            kept.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.cmp(&b.1)));
-            let most = kept.len() - self.bounds.remembered;
-            leave.extend(kept.into_iter().take(most).map(|(_, uid)| uid));
+        if accepted.len() > self.limits.max_remembered {
+            accepted.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.cmp(&b.1)));
+            let most = accepted.len() - self.limits.max_remembered;
+            leave.extend(accepted.into_iter().take(most).map(|(_, uid)| uid));
         }
         for uid in leave {
             self.gone.remove(&uid);
             self.damped.remove(&uid);
-            self.members.remove(&uid);
+            self.caches.remove(&uid);
         }
     }
 }
--- a/discovery/src/book/verdict.rs
+++ b/discovery/src/endpoint_table/verdict.rs
@@ -1,6 +1,6 @@
 //! What the words of all sources on a box come to, before damping.
 
-use super::{Discovery, Member, Word};
+use super::{EndpointTable, SourceReport, TrackedCache};
 use crate::evidence::{Entry, Reason, SourceId};
 use linnetknot::State;
 
@@ -12,17 +12,17 @@
     pub(super) source: SourceId,
 }
 
-impl Discovery {
+impl EndpointTable {
     /// What the words on a box come to.
-    pub(super) fn verdict(&self, uid: &str, m: &Member) -> Option<Verdict> {
-        let live = |w: &&Word| w.entry.server.state != State::Gone;
-        let Some((base_id, base)) = m.words.iter().find(|(_, w)| live(w)) else {
+    pub(super) fn verdict(&self, uid: &str, m: &TrackedCache) -> Option<Verdict> {
+        let live = |w: &&SourceReport| w.entry.server.state != State::Gone;
+        let Some((base_id, base)) = m.reports.iter().find(|(_, w)| live(w)) else {
             // The last word of them all: who took it from the list.
-            let (source, word) = m.words.iter().max_by_key(|(_, w)| w.at)?;
+            let (source, report) = m.reports.iter().max_by_key(|(_, w)| w.at)?;
             return Some(Verdict {
-                entry: word.entry.clone(),
+                entry: report.entry.clone(),
                 state: State::Gone,
-                reason: word.reason.clone(),
+                reason: report.reason.clone(),
                 source: *source,
             });
         };
@@ -38,17 +38,17 @@
         };
         // A word on another address is on another box, which only has the same id.
         let mut same = m
-            .words
+            .reports
             .iter()
             .filter(|(_, w)| w.entry.endpoint == base.entry.endpoint);
         if !self.sources[base_id.0].relayed {
             let newer = |other: &String| {
-                self.members
+                self.caches
                     .get(other)
                     .filter(|_| other != uid)
                     .is_some_and(|o| {
                         (o.joined, other.as_str()) > (m.joined, uid)
-                            && o.words
+                            && o.reports
                                 .values()
                                 .any(|w| live(&w) && w.entry.endpoint == base.entry.endpoint)
                     })
--- a/discovery/src/evidence.rs
+++ b/discovery/src/evidence.rs
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reason {
     /// It just says so.
-    Told,
+    Reported,
     /// This check is critical.
     Check(String),
     /// The service was put in maintenance, with the note given there.
@@ -57,7 +57,7 @@
     /// The source's whole list does not name it any more.
     Unlisted,
     /// From a list kept over a restart.
-    Kept,
+    Cached,
     /// One source has taken it from its list while another still names it.
     GoneElsewhere(String),
     /// Another box has taken over its address.
@@ -65,7 +65,7 @@
     /// It went and came back too often; taken in again once its penalty has decayed.
     Flapping,
     /// It flaps, but too many of its kind are held back already.
-    Panic,
+    DampingLimit,
     /// Its penalty has decayed.
     Steady,
 }
@@ -73,7 +73,7 @@
 impl fmt::Display for Reason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Told => write!(f, "told"),
+            Self::Reported => write!(f, "told"),
             Self::Check(id) => write!(f, "check '{id}' is critical"),
             Self::ServiceMaintenance(note) => write!(f, "service in maintenance: {note}"),
             Self::NodeMaintenance(note) => write!(f, "node in maintenance: {note}"),
@@ -81,11 +81,11 @@
             Self::NoHealth => write!(f, "registered without health"),
             Self::Unusable(key) => write!(f, "its registration can't be used: {key}"),
             Self::Unlisted => write!(f, "not listed any more"),
-            Self::Kept => write!(f, "from the kept list"),
+            Self::Cached => write!(f, "from the kept list"),
             Self::GoneElsewhere(source) => write!(f, "gone by {source}"),
             Self::AddressTaken(uid) => write!(f, "its address belongs to {uid} now"),
             Self::Flapping => write!(f, "flapping"),
-            Self::Panic => write!(f, "flapping, but too many are held back already"),
+            Self::DampingLimit => write!(f, "flapping, but too many are held back already"),
             Self::Steady => write!(f, "steady again"),
         }
     }
@@ -104,7 +104,7 @@
     fn from(entry: Entry) -> Self {
         Report {
             entry,
-            reason: Reason::Told,
+            reason: Reason::Reported,
         }
     }
 }
@@ -120,7 +120,7 @@
 
 /// Where a box stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Standing {
+pub enum EndpointStatus {
     /// May be given fresh work, as target or as source of a fill.
     Ready,
     /// Told ready, but held back: it went and came back too often.
@@ -131,7 +131,7 @@
     Gone,
 }
 
-impl Standing {
+impl EndpointStatus {
     /// The state that the decision module is told.
     pub fn state(self) -> State {
         match self {
@@ -158,9 +158,9 @@
     /// The box.
     pub uid: String,
     /// Before; `Gone` for one that was not known.
-    pub old: Standing,
+    pub old: EndpointStatus,
     /// From now on.
-    pub new: Standing,
+    pub new: EndpointStatus,
     /// Why.
     pub reason: Reason,
     /// The source whose word decides.
@@ -173,20 +173,20 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
     /// The table is full: this box is not taken in.
-    Full(String),
+    TableFull(String),
     /// Two sources, or two places of one, name different boxes by one id: the first keeps it.
-    SameId {
+    DuplicateId {
         /// The id.
         uid: String,
         /// Where the box is that keeps it.
-        kept: SocketAddr,
+        accepted: SocketAddr,
         /// Where the other one is, which is passed over.
-        refused: SocketAddr,
+        rejected: SocketAddr,
         /// The source that names the other one.
         source: SourceId,
     },
     /// Two boxes are told to listen at one address: the one that was told there last has it.
-    SameAddress {
+    DuplicateAddress {
         /// The one that came last.
         uid: String,
         /// The other one.
@@ -211,7 +211,7 @@
     /// The box.
     pub entry: Entry,
     /// Where it stands.
-    pub standing: Standing,
+    pub status: EndpointStatus,
     /// Since when.
     pub since: Micros,
     /// Why.
--- a/discovery/src/vet.rs
+++ b/discovery/src/validation.rs
@@ -5,7 +5,7 @@
 //! boxes away by naming them. What it may not do is take most of a zone's boxes away by leaving them out, bring
 //! boxes back by news older than what is known, or be both ready and gone.
 //!
-//! [`Vetting`] is sans-IO and keeps one number; what it passes over is returned for the log.
+//! [`ListValidator`] is sans-IO and keeps one number; what it passes over is returned for the log.
 
 use crate::evidence::Entry;
 use linnetknot::{ListMode, State};
@@ -14,7 +14,7 @@
 
 /// Something of an answer that was not believed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum PassedOver {
+pub enum Rejection {
     /// The answer is older than one that was heard: of it only what takes boxes away counts.
     Stale {
         /// Its revision.
@@ -25,19 +25,19 @@
     /// It names a box more than once; the more cautious word counts.
     Contradiction(String),
     /// It leaves out more than half of the ready boxes of a zone and kind; they are kept.
-    LeftOut {
+    Omission {
         /// The zone.
         zone: String,
         /// The kind.
         kind: String,
         /// How many are kept.
-        kept: usize,
+        retained: usize,
     },
     /// These faults kept entries of it from being read, so what it leaves out may be what could not be read.
     Unreadable(Vec<String>),
 }
 
-impl fmt::Display for PassedOver {
+impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Stale { rev, known } => {
@@ -46,10 +46,14 @@
             Self::Contradiction(uid) => {
                 write!(f, "a list names {uid} twice: the more cautious word counts")
             }
-            Self::LeftOut { zone, kind, kept } => {
+            Self::Omission {
+                zone,
+                kind,
+                retained,
+            } => {
                 write!(
                     f,
-                    "a list leaves out more than half of zone '{zone}', kind '{kind}': {kept} boxes are kept"
+                    "a list leaves out more than half of zone '{zone}', kind '{kind}': {retained} boxes are kept"
                 )
             }
             Self::Unreadable(faults) => {
@@ -62,7 +66,7 @@
 
 /// An answer as it came.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answer {
+pub struct ReceivedList {
     /// Its revision, where the source numbers them.
     pub rev: Option<u64>,
     /// Whether it means to be the whole list.
@@ -75,7 +79,7 @@
 
 /// Vets the answers of one source.
 #[derive(Clone, Debug, Default)]
-pub struct Vetting {
+pub struct ListValidator {
     rev: Option<u64>,
 }
 
@@ -88,67 +92,67 @@
     }
 }
 
-impl Vetting {
+impl ListValidator {
     /// Takes an answer; gives the mode and entries to believe, and what was passed over. `listed`: what the source is
     /// believed to list so far.
-    pub fn vet<'a>(
+    pub fn validate<'a>(
         &mut self,
-        answer: Answer,
+        answer: ReceivedList,
         listed: impl Iterator<Item = &'a Entry>,
-    ) -> (ListMode, Vec<Entry>, Vec<PassedOver>) {
-        let Answer {
+    ) -> (ListMode, Vec<Entry>, Vec<Rejection>) {
+        let ReceivedList {
             rev,
             mut mode,
             entries,
             unreadable,
         } = answer;
-        let mut passed = Vec::new();
-        let mut entries = one_word_each(entries, &mut passed);
+        let mut rejections = Vec::new();
+        let mut entries = unique_entries(entries, &mut rejections);
         match (rev, self.rev) {
             (Some(rev), Some(known)) if rev < known => {
                 entries.retain(|e| e.server.state != State::Ready);
                 mode = ListMode::Delta;
-                passed.push(PassedOver::Stale { rev, known });
+                rejections.push(Rejection::Stale { rev, known });
             }
             _ => self.rev = rev.or(self.rev),
         }
         if !unreadable.is_empty() {
-            passed.push(PassedOver::Unreadable(unreadable));
+            rejections.push(Rejection::Unreadable(unreadable));
             mode = ListMode::Delta;
         }
         if mode == ListMode::Full {
-            entries.extend(left_out(&entries, listed, &mut passed));
+            entries.extend(keep_omitted(&entries, listed, &mut rejections));
         }
-        (mode, entries, passed)
+        (mode, entries, rejections)
     }
 }
 
 /// Each box once, in the order of the last word on it. A box that was gone and has started since is no contradiction.
-fn one_word_each(entries: Vec<Entry>, passed: &mut Vec<PassedOver>) -> Vec<Entry> {
-    let mut kept: Vec<Entry> = Vec::with_capacity(entries.len());
-    let mut places: BTreeMap<String, usize> = BTreeMap::new();
+fn unique_entries(entries: Vec<Entry>, rejections: &mut Vec<Rejection>) -> Vec<Entry> {
+    let mut retained: Vec<Entry> = Vec::with_capacity(entries.len());
+    let mut positions: BTreeMap<String, usize> = BTreeMap::new();
     for entry in entries {
-        let Some(place) = places.get(&entry.uid).copied() else {
-            places.insert(entry.uid.clone(), kept.len());
-            kept.push(entry);
+        let Some(position) = positions.get(&entry.uid).copied() else {
+            positions.insert(entry.uid.clone(), retained.len());
+            retained.push(entry);
             continue;
         };
-        let old = &mut kept[place];
+        let old = &mut retained[position];
         let newer = entry.server.started > old.server.started;
         if newer || rank(entry.server.state) <= rank(old.server.state) {
             *old = entry;
         } else {
-            passed.push(PassedOver::Contradiction(entry.uid));
+            rejections.push(Rejection::Contradiction(entry.uid));
         }
     }
-    kept
+    retained
 }
 
 /// Ready boxes of the zones and kinds of which a whole list leaves out more than half.
-fn left_out<'a>(
+fn keep_omitted<'a>(
     entries: &[Entry],
     listed: impl Iterator<Item = &'a Entry>,
-    passed: &mut Vec<PassedOver>,
+    rejections: &mut Vec<Rejection>,
 ) -> Vec<Entry> {
     let mut groups: BTreeMap<(&str, &str), (usize, Vec<&Entry>)> = BTreeMap::new();
     for entry in listed.filter(|e| e.server.state == State::Ready) {
@@ -160,17 +164,17 @@
             missing.push(entry);
         }
     }
-    let mut kept = Vec::new();
+    let mut retained = Vec::new();
     for ((zone, kind), (count, missing)) in groups {
         if 2 * missing.len() > count {
             let (zone, kind) = (zone.to_owned(), kind.to_owned());
-            passed.push(PassedOver::LeftOut {
+            rejections.push(Rejection::Omission {
                 zone,
                 kind,
-                kept: missing.len(),
+                retained: missing.len(),
             });
-            kept.extend(missing.into_iter().cloned());
+            retained.extend(missing.into_iter().cloned());
         }
     }
-    kept
+    retained
 }
--- a/discovery/tests/common/mod.rs
+++ b/discovery/tests/common/mod.rs
@@ -3,8 +3,8 @@
 
 use linnetknot::{ListMode, Micros, Server, State};
 use linnetknot_discovery::{
-    server_id, Bounds, Damping, Discovery, Entry, Evidence, Output, Reason, Report, Source,
-    SourceId,
+    server_id, Damping, EndpointTable, Entry, Evidence, Limits, Reason, Report, Source, SourceId,
+    TableUpdate,
 };
 use std::collections::BTreeMap;
 
@@ -32,7 +32,7 @@
 
 pub(crate) fn report(uid: &str, port: u16, state: State) -> Report {
     let reason = if state == State::Ready {
-        Reason::Told
+        Reason::Reported
     } else {
         Reason::Check("c".into())
     };
@@ -51,14 +51,14 @@
 }
 
 /// A book with a relayed bus and a damped Consul.
-pub(crate) fn book() -> Discovery {
+pub(crate) fn table() -> EndpointTable {
     let sources = vec![source("bus", true), source("consul", false)];
-    Discovery::new(
+    EndpointTable::new(
         sources,
         Damping::default(),
-        Bounds {
-            boxes: 100,
-            remembered: 8,
+        Limits {
+            max_caches: 100,
+            max_remembered: 8,
         },
     )
 }
@@ -68,7 +68,7 @@
 pub(crate) struct Mirror(pub BTreeMap<String, Entry>);
 
 impl Mirror {
-    pub(crate) fn hear(&mut self, out: &Output) {
+    pub(crate) fn apply(&mut self, out: &TableUpdate) {
         for (mode, entries) in &out.events {
             if *mode == ListMode::Full {
                 self.0
--- a/discovery/tests/damping.rs
+++ b/discovery/tests/damping.rs
@@ -15,7 +15,10 @@
         p.add(&d, n * S);
     }
     let end = p.below(&d, d.reuse, 999 * S);
-    assert!(end <= 999 * S + d.most_us + 1, "however long it flapped");
+    assert!(
+        end <= 999 * S + d.max_suppressed_us + 1,
+        "however long it flapped"
+    );
     assert!(p.figure(&d, end) < d.reuse && p.figure(&d, end - 2) >= d.reuse);
     assert!(!p.is_forgotten(&d, end) && p.is_forgotten(&d, end + 75 * S));
 }
@@ -48,12 +51,18 @@
         ),
         (
             Damping {
-                most_share: 1.5,
+                max_suppressed_share: 1.5,
                 ..good
             },
             "most_share",
         ),
-        (Damping { most_us: S, ..good }, "most_suppressed"),
+        (
+            Damping {
+                max_suppressed_us: S,
+                ..good
+            },
+            "most_suppressed",
+        ),
     ] {
         assert_eq!(bad.check().unwrap_err().0, name);
     }
--- a/discovery/tests/model.rs
+++ b/discovery/tests/model.rs
@@ -18,9 +18,9 @@
 
 #[derive(Clone, Debug)]
 struct Seen {
-    book: Discovery,
+    table: EndpointTable,
     mirror: Mirror,
-    told: [BTreeMap<usize, State>; 2],
+    reported: [BTreeMap<usize, State>; 2],
     now: u64,
     /// All that the future depends on, in words.
     key: String,
@@ -30,7 +30,7 @@
     fn keyed(mut self) -> Self {
         self.key = format!(
             "{:?}{:?}{:?}{}",
-            self.book, self.mirror, self.told, self.now
+            self.table, self.mirror, self.reported, self.now
         );
         self
     }
@@ -70,28 +70,28 @@
         let damping = Damping {
             suppress: 0.85,
             reuse: 0.5,
-            most_share: 0.34,
+            max_suppressed_share: 0.34,
             ..Damping::default()
         };
         let sources = vec![source("file", false), source("consul", false)];
-        let mut book = Discovery::new(
+        let mut table = EndpointTable::new(
             sources,
             damping,
-            Bounds {
-                boxes: 8,
-                remembered: 2,
+            Limits {
+                max_caches: 8,
+                max_remembered: 2,
             },
         );
         let mut mirror = Mirror::default();
         let all = (0..3)
             .map(|n| report(NAMES[n], n as u16, State::Ready))
             .collect();
-        mirror.hear(&book.tell(S, SourceId(1), full(all)));
-        let told = [BTreeMap::new(), (0..3).map(|n| (n, State::Ready)).collect()];
+        mirror.apply(&table.apply(S, SourceId(1), full(all)));
+        let reported = [BTreeMap::new(), (0..3).map(|n| (n, State::Ready)).collect()];
         vec![Seen {
-            book,
+            table,
             mirror,
-            told,
+            reported,
             now: S,
             key: String::new(),
         }
@@ -119,13 +119,13 @@
         next.now += S;
         let out = match step {
             Step::Say(source, n, state) => {
-                next.told[source].insert(n, state);
+                next.reported[source].insert(n, state);
                 let evidence = Evidence::Delta(vec![report(NAMES[n], n as u16, state)]);
-                next.book.tell(next.now, SourceId(source), evidence)
+                next.table.apply(next.now, SourceId(source), evidence)
             }
             Step::Only(source, n) => {
-                next.told[source] = [(n, State::Ready)].into();
-                next.book.tell(
+                next.reported[source] = [(n, State::Ready)].into();
+                next.table.apply(
                     next.now,
                     SourceId(source),
                     full(vec![report(NAMES[n], n as u16, State::Ready)]),
@@ -133,10 +133,10 @@
             }
             Step::Wait(us) => {
                 next.now += us;
-                next.book.poll(next.now)
+                next.table.poll(next.now)
             }
         };
-        next.mirror.hear(&out);
+        next.mirror.apply(&out);
         Some(next.keyed())
     }
 
@@ -144,47 +144,56 @@
         vec![
             Property::always("no fresh work where a drain is told", |_, s: &Seen| {
                 (0..3).all(|n| {
-                    let drains = s.told.iter().any(|t| t.get(&n) == Some(&State::Draining));
+                    let drains = s
+                        .reported
+                        .iter()
+                        .any(|t| t.get(&n) == Some(&State::Draining));
                     !drains || s.mirror.state(NAMES[n]) != State::Ready
                 })
             }),
             Property::always("no empty list while a box is named", |_, s: &Seen| {
                 let named = s
-                    .told
+                    .reported
                     .iter()
                     .any(|t| t.values().any(|state| *state != State::Gone));
                 !named || !s.mirror.0.is_empty()
             }),
             Property::always("damping stays within its share", |_, s: &Seen| {
-                let held = s
-                    .book
+                let suppressed = s
+                    .table
                     .listed()
-                    .filter(|(_, standing)| *standing == Standing::Suppressed);
-                held.count() <= 1
+                    .filter(|(_, status)| *status == EndpointStatus::Suppressed);
+                suppressed.count() <= 1
             }),
             Property::always("no box is suppressed for ever", |_, s: &Seen| {
-                let (mut book, mut now) = (s.book.clone(), s.now);
-                let end = now + Damping::default().most_us + 2;
+                let (mut table, mut now) = (s.table.clone(), s.now);
+                let end = now + Damping::default().max_suppressed_us + 2;
                 // Three boxes have three releases at most; a book that never lets go must not hang the check.
                 for _ in 0..4 {
-                    let Some(due) = book.next_due(now).filter(|due| *due <= end) else {
+                    let Some(due) = table.next_due(now).filter(|due| *due <= end) else {
                         break;
                     };
                     now = due;
-                    book.poll(due);
+                    table.poll(due);
                 }
-                let mut suppressed = book.listed().filter(|(_, s)| *s == Standing::Suppressed);
+                let mut suppressed = table
+                    .listed()
+                    .filter(|(_, s)| *s == EndpointStatus::Suppressed);
                 suppressed.next().is_none()
             }),
             // That the checker reaches what the properties are about at all.
             Property::sometimes("a box is suppressed", |_, s: &Seen| {
-                s.book
+                s.table
                     .listed()
-                    .any(|(_, standing)| standing == Standing::Suppressed)
+                    .any(|(_, status)| status == EndpointStatus::Suppressed)
             }),
             Property::sometimes(
                 "a box flaps but is one too many to be held back",
-                |_, s: &Seen| s.book.explain_all(s.now).any(|e| e.reason == Reason::Panic),
+                |_, s: &Seen| {
+                    s.table
+                        .explain_all(s.now)
+                        .any(|e| e.reason == Reason::DampingLimit)
+                },
             ),
         ]
     }
