--- a/daemon/src/daemon/feeds/bus.rs
+++ b/daemon/src/daemon/feeds/bus.rs
@@ -79,13 +79,14 @@
             // Unless told otherwise, one source has the list.
             Some(News::List(..)) if self.config.consul.as_ref().is_some_and(|c| !c.beside_bus) => {}
             Some(News::List(answer)) => {
-                let (mode, entries, passed) =
-                    self.vetting.validate(answer, self.members.reported_by(BUS));
-                for passed in passed {
-                    log::warn!("event {} of the bus: {passed}", event.offset);
+                let list = self
+                    .validator
+                    .validate(answer, self.members.reported_by(BUS));
+                for rejection in list.rejections {
+                    log::warn!("event {} of the bus: {rejection}", event.offset);
                 }
-                let reports = entries.into_iter().map(Report::from).collect();
-                let evidence = match mode {
+                let reports = list.entries.into_iter().map(Report::from).collect();
+                let evidence = match list.mode {
                     ListMode::Full => Evidence::Full(reports),
                     _ => Evidence::Delta(reports),
                 };
--- a/daemon/src/daemon/members.rs
+++ b/daemon/src/daemon/members.rs
@@ -2,7 +2,7 @@
 
 use super::Daemon;
 use linnetknot::Micros;
-use linnetknot_discovery::{Evidence, Notice, SourceId, TableUpdate};
+use linnetknot_discovery::{Evidence, ListEvent, Notice, SourceId, TableUpdate};
 use std::collections::BTreeSet;
 
 /// The event bus, which comes first.
@@ -39,7 +39,7 @@
     }
 
     fn follow(&mut self, now: Micros, out: TableUpdate) {
-        for (mode, entries) in out.events {
+        for ListEvent { mode, entries } in out.events {
             let entries = self.without_bans(mode, entries);
             self.core.list(now, mode, entries);
         }
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -217,7 +217,7 @@
     /// What is believed of the boxes, and when it is due to be looked at again.
     members: EndpointTable,
     /// What of the bus's lists is believed.
-    vetting: ListValidator,
+    validator: ListValidator,
     members_due: Option<Due>,
     said: Said,
     consul: Option<consul::State>,
@@ -383,7 +383,7 @@
             deadlines: Deadlines::default(),
             bus: bus::State::new(config.seed, &limits),
             members: EndpointTable::new(sources(&config), damping, limits.members()),
-            vetting: ListValidator::default(),
+            validator: ListValidator::default(),
             members_due: None,
             said: Said::default(),
             consul,
--- a/daemon/src/interconnect.rs
+++ b/daemon/src/interconnect.rs
@@ -799,9 +799,9 @@
             max_suppressed_us: seconds("consul.damping.most_suppressed_s", d.most_suppressed_s)?,
             max_suppressed_share: d.most_share,
         };
-        damping.check().map_err(|(key, why)| match key {
-            "half_life" | "most_suppressed" => format!("consul.damping.{key}_s {why}"),
-            key => format!("consul.damping.{key} {why}"),
+        damping.check().map_err(|error| match error.key() {
+            key @ ("half_life" | "most_suppressed") => format!("consul.damping.{key}_s {error}"),
+            key => format!("consul.damping.{key} {error}"),
         })?;
         let register = self
             .register
--- a/discovery/src/damping.rs
+++ b/discovery/src/damping.rs
@@ -1,23 +1,23 @@
-//! Route flap damping (RFC 2439) for boxes: a figure of merit that each loss raises and that time halves.
+//! Route flap damping (RFC 2439) for caches: a penalty that grows with each loss and decays exponentially.
 //!
-//! A box is suppressed when it comes back with a figure over `suppress`, and reused once the figure has decayed
-//! below `reuse`. The figure has a ceiling, so that however long a box has flapped, it is taken in again
-//! `max_suppressed_us` after its last loss at the latest (section 4.2 of the RFC: 'max hold-down time').
+//! A cache is suppressed when it comes back with a penalty over `suppress`, and reused once the penalty has decayed below
+//! `reuse`. The penalty has a ceiling, so that however long a cache has flapped, it is reused `max_suppressed_us` after
+//! its last loss at the latest (section 4.2 of the RFC: 'max hold-down time').
 
 use linnetknot::Micros;
 
-/// The figures of damping.
+/// Parameters of damping.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Damping {
     /// Time in which a penalty halves, in microseconds.
     pub half_life_us: Micros,
-    /// A box that comes back with this much is suppressed. Each loss adds 1.
+    /// A cache that comes back with this penalty is suppressed. Each loss adds 1.
     pub suppress: f64,
-    /// It is taken in again below this.
+    /// A suppressed cache is reused below this penalty.
     pub reuse: f64,
     /// Longest suppression after the last loss, in microseconds.
     pub max_suppressed_us: Micros,
-    /// Share of the boxes of one zone and kind that may be suppressed at once, rounded down.
+    /// Share of the caches of one zone and kind that may be suppressed at once, rounded down.
     pub max_suppressed_share: f64,
 }
 
@@ -33,31 +33,57 @@
     }
 }
 
-/// What makes figures of damping unusable: the name of the one at fault, and what it must be.
-pub type DampingError = (&'static str, &'static str);
+/// Why damping parameters can't be used. The text follows the parameter's name: `suppress must be above 'reuse'`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum DampingError {
+    /// The half-life is 0.
+    #[error("must be above 0")]
+    HalfLife,
+    /// The reuse threshold is not a finite number above 0.
+    #[error("must be above 0")]
+    Reuse,
+    /// The suppress threshold is not a finite number above the reuse threshold.
+    #[error("must be above 'reuse'")]
+    Suppress,
+    /// The share is not from 0 to 1.
+    #[error("must be from 0 to 1")]
+    Share,
+    /// The penalty's ceiling is below the suppress threshold, so no cache would ever be suppressed.
+    #[error("is too short for 'suppress' to be reached")]
+    MaxSuppressed,
+}
+
+impl DampingError {
+    /// The parameter at fault, by its key in the settings, without a unit.
+    pub fn key(self) -> &'static str {
+        match self {
+            Self::HalfLife => "half_life",
+            Self::Reuse => "reuse",
+            Self::Suppress => "suppress",
+            Self::Share => "most_share",
+            Self::MaxSuppressed => "most_suppressed",
+        }
+    }
+}
 
 impl Damping {
-    /// Tells what, if anything, makes these figures unusable.
+    /// Validates the parameters.
     pub fn check(&self) -> Result<(), DampingError> {
-        let sound = |x: f64| x.is_finite() && x > 0.0;
+        let is_positive = |x: f64| x.is_finite() && x > 0.0;
         if self.half_life_us == 0 {
-            return Err(("half_life", "must be above 0"));
+            return Err(DampingError::HalfLife);
         }
-        if !sound(self.reuse) {
-            return Err(("reuse", "must be above 0"));
+        if !is_positive(self.reuse) {
+            return Err(DampingError::Reuse);
         }
-        if !sound(self.suppress) || self.suppress <= self.reuse {
-            return Err(("suppress", "must be above 'reuse'"));
+        if !is_positive(self.suppress) || self.suppress <= self.reuse {
+            return Err(DampingError::Suppress);
         }
         if !(0.0..=1.0).contains(&self.max_suppressed_share) {
-            return Err(("most_share", "must be from 0 to 1"));
+            return Err(DampingError::Share);
         }
-        // Under a ceiling below `suppress` no box would ever be suppressed, which should be said openly instead.
         if self.ceiling() < self.suppress {
-            return Err((
-                "most_suppressed",
-                "is too short for 'suppress' to be reached",
-            ));
+            return Err(DampingError::MaxSuppressed);
         }
         Ok(())
     }
@@ -68,18 +94,18 @@
     }
 }
 
-/// A box's figure of merit.
+/// The penalty of a cache for its losses.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Penalty {
     figure: f64,
     at: Micros,
 }
 
-/// Below this nothing is remembered any more.
+/// Below this a penalty no longer matters.
 const FORGOTTEN: f64 = 0.05;
 
 impl Penalty {
-    /// The figure by now.
+    /// The penalty as it has decayed by now.
     pub fn figure(&self, d: &Damping, now: Micros) -> f64 {
         let half_lives = now.saturating_sub(self.at) as f64 / d.half_life_us as f64;
         self.figure * (-half_lives).exp2()
@@ -93,7 +119,7 @@
         };
     }
 
-    /// When the figure will have decayed below `level`; now, if it has.
+    /// When the penalty will have decayed below `level`; now, if it has.
     pub fn below(&self, d: &Damping, level: f64, now: Micros) -> Micros {
         let figure = self.figure(d, now);
         if figure < level {
@@ -103,7 +129,7 @@
         now + wait as Micros + 1
     }
 
-    /// Whether nothing is left that could matter.
+    /// Whether the penalty no longer matters.
     pub fn is_forgotten(&self, d: &Damping, now: Micros) -> bool {
         self.figure(d, now) < FORGOTTEN
     }
--- a/discovery/src/endpoint_table/ingest.rs
+++ b/discovery/src/endpoint_table/ingest.rs
@@ -1,41 +1,37 @@
-//! How reports are taken in: which sources say what of a box, and who claims which address.
+//! How reports enter the table.
 
-use super::{EndpointTable, SourceReport, TableUpdate, TrackedCache};
+use super::{Batch, EndpointTable, SourceReport, TrackedCache};
 use crate::evidence::{EndpointStatus, Entry, Notice, Reason, Report, SourceId};
-use linnetknot::{Micros, State};
+use linnetknot::State;
 use std::collections::{btree_map, BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 impl EndpointTable {
-    /// One report for each id: a list that names an id twice, at two nodes, means two boxes, and only one of them
-    /// can have it. The one that had it keeps it.
+    /// One report per id. A list that has an id twice, at two addresses, means two caches, of which only one can have
+    /// it: the one that had it before, else the first.
     pub(super) fn unique_reports(
         &self,
         source: SourceId,
         reports: Vec<Report>,
-        out: &mut TableUpdate,
+        batch: &mut Batch,
     ) -> Vec<Report> {
         let mut accepted: Vec<Report> = Vec::with_capacity(reports.len());
         let mut positions: BTreeMap<String, usize> = BTreeMap::new();
         for mut report in reports {
             let position = match positions.entry(report.entry.uid.clone()) {
-                btree_map::Entry::Vacant(e) => {
-                    e.insert(accepted.len());
+                btree_map::Entry::Vacant(position) => {
+                    position.insert(accepted.len());
                     accepted.push(report);
                     continue;
                 }
-                btree_map::Entry::Occupied(e) => *e.get(),
+                btree_map::Entry::Occupied(position) => *position.get(),
             };
-            let before = self
-                .caches
-                .get(&report.entry.uid)
-                .and_then(|m| m.reports.get(&source));
-            if before.is_some_and(|w| w.entry.endpoint == report.entry.endpoint) {
+            if self.reported_endpoint(source, &report.entry.uid) == Some(report.entry.endpoint) {
                 std::mem::swap(&mut accepted[position], &mut report);
             }
             let first = &accepted[position].entry;
             if first.endpoint != report.entry.endpoint {
-                out.notices.push(Notice::DuplicateId {
+                batch.update.notices.push(Notice::DuplicateId {
                     uid: first.uid.clone(),
                     accepted: first.endpoint,
                     rejected: report.entry.endpoint,
@@ -46,205 +42,156 @@
         accepted
     }
 
-    /// Unlists what a source lists and its whole list of reports names no more; gives the entries that tell of it.
+    /// Where a source last reported a cache.
+    fn reported_endpoint(&self, source: SourceId, uid: &str) -> Option<SocketAddr> {
+        let report = self.caches.get(uid)?.reports.get(&source)?;
+        Some(report.entry.endpoint)
+    }
+
+    /// Unlists the caches that a source has listed and its new full list omits; gives the entries that follow.
     pub(super) fn unlist_omitted(
         &mut self,
-        now: Micros,
         source: SourceId,
         reports: &[Report],
-        affected: &mut BTreeSet<String>,
-        out: &mut TableUpdate,
+        batch: &mut Batch,
     ) -> Vec<Entry> {
-        let named: BTreeSet<&str> = reports.iter().map(|r| r.entry.uid.as_str()).collect();
-        let unlisted = |(uid, m): (&String, &TrackedCache)| {
-            let listed = m
-                .reports
-                .get(&source)
-                .is_some_and(|w| w.entry.server.state != State::Gone);
-            (listed && !named.contains(uid.as_str())).then(|| uid.clone())
-        };
-        let unlisted: Vec<String> = self.caches.iter().filter_map(unlisted).collect();
-        let mut removals = Vec::new();
-        unlisted
+        let named: BTreeSet<&str> = reports
             .iter()
-            .for_each(|uid| self.unlist(now, source, uid, affected));
-        unlisted
+            .map(|report| report.entry.uid.as_str())
+            .collect();
+        let is_omitted = |uid: &str, cache: &TrackedCache| {
+            let report = cache.reports.get(&source);
+            report.is_some_and(SourceReport::is_listed) && !named.contains(uid)
+        };
+        let omitted: Vec<String> = self
+            .caches
             .iter()
-            .for_each(|uid| self.settle(now, uid, &mut removals, out));
+            .filter(|(uid, cache)| is_omitted(uid, cache))
+            .map(|(uid, _)| uid.clone())
+            .collect();
+        for uid in &omitted {
+            self.unlist(source, uid, batch);
+        }
+        let mut removals = Vec::new();
+        for uid in &omitted {
+            self.settle(uid, &mut removals, batch);
+        }
         if self.sources[source.0].relayed {
-            // A whole list says by itself who is gone; what other sources list is added to it.
-            let others = self
-                .caches
-                .iter()
-                .filter(|(uid, _)| !named.contains(uid.as_str()));
-            let others = others.filter_map(|(_, m)| m.published.as_ref());
-            let others = others.filter(|g| g.status != EndpointStatus::Gone);
-            removals = others.map(|g| g.entry.clone()).collect();
+            // A full list states by itself who is gone; what other sources list is added to it.
+            return self.published_besides(&named);
         }
         removals
     }
 
-    /// Takes a report in and gives out what follows for its box.
+    /// The published entries of all caches but those named here.
+    fn published_besides(&self, named: &BTreeSet<&str>) -> Vec<Entry> {
+        self.caches
+            .iter()
+            .filter(|(uid, _)| !named.contains(uid.as_str()))
+            .filter_map(|(_, cache)| cache.published.as_ref())
+            .filter(|published| published.status != EndpointStatus::Gone)
+            .map(|published| published.entry.clone())
+            .collect()
+    }
+
+    /// Takes a report, and publishes what follows for its cache.
     pub(super) fn ingest(
         &mut self,
-        now: Micros,
         source: SourceId,
         report: Report,
         entries: &mut Vec<Entry>,
-        affected: &mut BTreeSet<String>,
-        out: &mut TableUpdate,
+        batch: &mut Batch,
     ) {
         let relayed = self.sources[source.0].relayed;
         let reported = report.entry.clone();
-        let before = entries.len();
-        if self.record(now, source, report, affected, out) {
-            self.settle(now, &reported.uid, entries, out);
-            // Passed on whether it changed or not, each report of the event in its turn.
-            let published = self
-                .caches
-                .get(&reported.uid)
-                .and_then(|m| m.published.as_ref());
-            entries.extend(
-                published
-                    .filter(|_| relayed && entries.len() == before)
-                    .map(|g| g.entry.clone()),
-            );
-        } else if relayed && reported.server.state == State::Gone {
-            // Nothing is known of it, but the event is passed on as it came.
-            entries.push(reported);
+        if !self.record(source, report, batch) {
+            if relayed && reported.server.state == State::Gone {
+                // Nothing is known of the cache, but the event is relayed as it came.
+                entries.push(reported);
+            }
+            return;
+        }
+        let count_before = entries.len();
+        self.settle(&reported.uid, entries, batch);
+        if relayed && entries.len() == count_before {
+            // Relayed whether it changes anything or not, each report of the event in its turn.
+            let cache = self.caches.get(&reported.uid);
+            let published = cache.and_then(|cache| cache.published.as_ref());
+            entries.extend(published.map(|published| published.entry.clone()));
         }
     }
 
-    /// Notes a source's report; false where it is not taken in. Those whose own case it may change are touched.
-    fn record(
-        &mut self,
-        now: Micros,
-        source: SourceId,
-        report: Report,
-        affected: &mut BTreeSet<String>,
-        out: &mut TableUpdate,
-    ) -> bool {
+    /// Records a source's report; false if it is not taken.
+    fn record(&mut self, source: SourceId, report: Report, batch: &mut Batch) -> bool {
         let Report { entry, reason } = report;
         let (uid, endpoint) = (entry.uid.clone(), entry.endpoint);
-        let gone = entry.server.state == State::Gone;
+        let is_gone = entry.server.state == State::Gone;
         if !self.caches.contains_key(&uid) {
-            if gone {
+            if is_gone {
                 return false;
             }
             if self.caches.len() - self.gone.len() >= self.limits.max_caches {
-                out.notices.push(Notice::TableFull(uid));
+                batch.update.notices.push(Notice::TableFull(uid));
                 return false;
             }
         }
-        let member = self
+        let cache = self
             .caches
             .entry(uid.clone())
-            .or_insert_with(|| TrackedCache::new(now));
-        let old = member.reports.get(&source).map(|w| w.entry.endpoint);
-        if old != Some(endpoint) {
-            out.notices.extend(member.conflict(source, &uid, endpoint));
-            member.joined = now;
-            if let Some(from) = old {
-                out.notices.push(Notice::Moved {
-                    uid: uid.clone(),
-                    from,
-                    to: endpoint,
-                });
-            }
+            .or_insert_with(|| TrackedCache::new(batch.now));
+        let previous = cache.reports.get(&source);
+        let previous = previous.map(|report| report.entry.endpoint);
+        if previous != Some(endpoint) {
+            let conflict = cache.conflict(source, &uid, endpoint);
+            batch.update.notices.extend(conflict);
+            cache.joined = batch.now;
         }
-        member.reports.insert(
-            source,
-            SourceReport {
-                entry,
-                reason,
-                at: now,
-            },
-        );
-        if let Some(old) = old.filter(|old| *old != endpoint) {
-            self.unclaim(old, &uid, affected);
+        let report = SourceReport {
+            entry,
+            reason,
+            at: batch.now,
+        };
+        cache.reports.insert(source, report);
+        if let Some(from) = previous.filter(|previous| *previous != endpoint) {
+            batch.update.notices.push(Notice::Moved {
+                uid: uid.clone(),
+                from,
+                to: endpoint,
+            });
+            self.unclaim(from, &uid, batch);
         }
-        if gone {
-            self.unclaim(endpoint, &uid, affected);
+        if is_gone {
+            self.unclaim(endpoint, &uid, batch);
         } else {
-            self.claim(endpoint, &uid, affected, out);
+            self.claim(endpoint, &uid, batch);
         }
         true
     }
 
-    /// Notes that a box is told to listen at an address.
-    fn claim(
-        &mut self,
-        endpoint: SocketAddr,
-        uid: &str,
-        affected: &mut BTreeSet<String>,
-        out: &mut TableUpdate,
-    ) {
-        let claims = self.claims.entry(endpoint).or_default();
-        let is_new = claims.insert(uid.to_owned());
-        for other in claims.iter().filter(|other| *other != uid) {
-            affected.insert(other.clone());
-            if is_new {
-                let (uid, other) = (uid.to_owned(), other.clone());
-                out.notices.push(Notice::DuplicateAddress {
-                    uid,
-                    other,
-                    endpoint,
-                });
-            }
-        }
-    }
-
-    fn unclaim(&mut self, endpoint: SocketAddr, uid: &str, affected: &mut BTreeSet<String>) {
-        let still = self.caches.get(uid).is_some_and(|m| {
-            m.reports
-                .values()
-                .any(|w| w.entry.endpoint == endpoint && w.entry.server.state != State::Gone)
-        });
-        let btree_map::Entry::Occupied(mut claims) = self.claims.entry(endpoint) else {
-            return;
-        };
-        if !still {
-            claims.get_mut().remove(uid);
-            affected.extend(claims.get().iter().cloned());
-        }
-        if claims.get().is_empty() {
-            claims.remove();
-        }
-    }
-
-    /// A source's whole list names a box no more.
-    fn unlist(
-        &mut self,
-        now: Micros,
-        source: SourceId,
-        uid: &str,
-        affected: &mut BTreeSet<String>,
-    ) {
-        let Some(report) = self
-            .caches
-            .get_mut(uid)
-            .and_then(|m| m.reports.get_mut(&source))
-        else {
+    /// Records that a source's full list omits a cache.
+    fn unlist(&mut self, source: SourceId, uid: &str, batch: &mut Batch) {
+        let cache = self.caches.get_mut(uid);
+        let Some(report) = cache.and_then(|cache| cache.reports.get_mut(&source)) else {
             return;
         };
-        (report.entry.server.state, report.reason, report.at) =
-            (State::Gone, Reason::Unlisted, now);
+        report.entry.server.state = State::Gone;
+        report.reason = Reason::Unlisted;
+        report.at = batch.now;
         let endpoint = report.entry.endpoint;
-        self.unclaim(endpoint, uid, affected);
+        self.unclaim(endpoint, uid, batch);
     }
 }
 
 impl TrackedCache {
-    /// The notice that another source lists this box at another address than the one that `source` tells.
+    /// The notice that another source lists this cache at another address than `source` does.
     fn conflict(&self, source: SourceId, uid: &str, endpoint: SocketAddr) -> Option<Notice> {
-        let (_, other) = self.reports.iter().find(|(id, w)| {
-            **id != source && w.entry.server.state != State::Gone && w.entry.endpoint != endpoint
+        let (_, other) = self.reports.iter().find(|(id, report)| {
+            **id != source && report.is_listed() && report.entry.endpoint != endpoint
         })?;
-        let (accepted, rejected) = (other.entry.endpoint, endpoint);
         Some(Notice::DuplicateId {
             uid: uid.to_owned(),
-            accepted,
-            rejected,
+            accepted: other.entry.endpoint,
+            rejected: endpoint,
             source,
         })
     }
--- a/discovery/src/endpoint_table/mod.rs
+++ b/discovery/src/endpoint_table/mod.rs
@@ -1,34 +1,47 @@
-//! The book of boxes: every source's last word on each, what follows from them, and what was given out of it.
+//! The endpoint table: the last report of every source on each cache, what follows from them, and what of that was
+//! published.
 
+mod claims;
+mod eviction;
 mod ingest;
 mod publish;
+mod suppression;
 mod verdict;
 
 use crate::damping::{Damping, Penalty};
 use crate::evidence::{
-    Change, EndpointStatus, Entry, Evidence, Explanation, Notice, Reason, Source, SourceId,
+    Change, EndpointStatus, Entry, Evidence, Explanation, Notice, Reason, Report, Source, SourceId,
 };
 use linnetknot::{ListMode, Micros, State};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Bounds on what is remembered.
+/// Bounds of the table's size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Boxes that are listed by any source.
+    /// Caches that any source lists.
     pub max_caches: usize,
-    /// Boxes that are gone, whose flaps are still held against them should they come back.
+    /// Caches that are gone, whose penalties are remembered in case they return.
     pub max_remembered: usize,
 }
 
-/// What follows from evidence.
+/// A change of the endpoint list, for the decision module.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ListEvent {
+    /// Whether the entries are the full list or what has changed.
+    pub mode: ListMode,
+    /// The entries, in this order.
+    pub entries: Vec<Entry>,
+}
+
+/// What follows from evidence, or from the passing of time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TableUpdate {
-    /// List events, to be given to the module in this order.
-    pub events: Vec<(ListMode, Vec<Entry>)>,
-    /// Changes of standing, for the log.
+    /// Events for the decision module, in this order.
+    pub events: Vec<ListEvent>,
+    /// Changes of status, for the log.
     pub changes: Vec<Change>,
-    /// What the operators should know besides.
+    /// What operators should know besides.
     pub notices: Vec<Notice>,
 }
 
@@ -39,7 +52,7 @@
     }
 }
 
-/// A source's last word on a box; the state stands in the entry.
+/// A source's last report on a cache; the state is part of the entry.
 #[derive(Clone, Debug)]
 struct SourceReport {
     entry: Entry,
@@ -47,7 +60,14 @@
     at: Micros,
 }
 
-/// What was last given out of a box.
+impl SourceReport {
+    /// Whether the source lists the cache.
+    fn is_listed(&self) -> bool {
+        self.entry.server.state != State::Gone
+    }
+}
+
+/// What was last published of a cache.
 #[derive(Clone, Debug)]
 struct Published {
     entry: Entry,
@@ -57,45 +77,40 @@
     since: Micros,
 }
 
-/// Zone and kind: boxes that can stand in for each other.
-type Group = (String, String);
+/// Zone and kind: caches that can stand in for each other.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Group {
+    zone: String,
+    kind: String,
+}
+
+impl Group {
+    fn of(entry: &Entry) -> Self {
+        Group {
+            zone: entry.server.zone.clone(),
+            kind: entry.server.kind.clone(),
+        }
+    }
+}
 
+/// All that is known of one cache.
 #[derive(Clone, Debug)]
 struct TrackedCache {
     reports: BTreeMap<SourceId, SourceReport>,
-    /// When it was first told at its present address.
+    /// When it was first reported at its present address.
     joined: Micros,
     penalty: Penalty,
-    /// Came back with too high a penalty, which has not decayed yet.
+    /// It came back with too high a penalty, which has not decayed yet.
     damped: bool,
-    /// The group under which it is counted as told ready.
+    /// The group in which it is counted as reported ready.
     counted: Option<Group>,
-    /// When it was last taken in again; the module ramps it up from then, as it does one that has just started.
+    /// When it last came back; the decision module starts it slowly from then, as one that has just started.
     returned: Option<Micros>,
     published: Option<Published>,
 }
 
-/// The book.
-#[derive(Clone, Debug)]
-pub struct EndpointTable {
-    sources: Vec<Source>,
-    damping: Damping,
-    limits: Limits,
-    caches: BTreeMap<String, TrackedCache>,
-    /// Who is told to listen at an address.
-    claims: BTreeMap<SocketAddr, BTreeSet<String>>,
-    /// Sources that have given a whole list: what they name for the first time from then on has just started.
-    initialized: BTreeSet<SourceId>,
-    /// Boxes under damping.
-    damped: BTreeSet<String>,
-    /// Boxes told ready, by group.
-    ready: BTreeMap<Group, usize>,
-    /// Members that no source lists.
-    gone: BTreeSet<String>,
-}
-
 impl TrackedCache {
-    /// A box that no source has reported yet.
+    /// A cache without reports.
     fn new(now: Micros) -> Self {
         TrackedCache {
             reports: BTreeMap::new(),
@@ -107,11 +122,60 @@
             published: None,
         }
     }
+
+    /// The status that was last published.
+    fn status(&self) -> EndpointStatus {
+        self.published
+            .as_ref()
+            .map_or(EndpointStatus::Gone, |published| published.status)
+    }
+
+    /// Whether any source lists it.
+    fn is_listed(&self) -> bool {
+        self.reports.values().any(SourceReport::is_listed)
+    }
+}
+
+/// The effects of one call as they accumulate.
+struct Batch {
+    now: Micros,
+    /// Other caches whose verdict may have changed with a report.
+    affected: BTreeSet<String>,
+    update: TableUpdate,
+}
+
+impl Batch {
+    fn new(now: Micros) -> Self {
+        Batch {
+            now,
+            affected: BTreeSet::new(),
+            update: TableUpdate::default(),
+        }
+    }
+}
+
+/// The endpoint table.
+#[derive(Clone, Debug)]
+pub struct EndpointTable {
+    sources: Vec<Source>,
+    damping: Damping,
+    limits: Limits,
+    caches: BTreeMap<String, TrackedCache>,
+    /// The caches that are reported to listen at an address.
+    claims: BTreeMap<SocketAddr, BTreeSet<String>>,
+    /// Sources that have given a full list: a cache that they list for the first time from then on has just started.
+    initialized: BTreeSet<SourceId>,
+    /// Caches under damping.
+    damped: BTreeSet<String>,
+    /// Number of caches reported ready, by group.
+    ready: BTreeMap<Group, usize>,
+    /// Caches that no source lists.
+    gone: BTreeSet<String>,
 }
 
 impl EndpointTable {
-    /// An empty book. The order of the sources is that of their precedence: where two differ on anything but the
-    /// state of a box, the first holds.
+    /// An empty table. The sources are in order of precedence: where two differ on anything but the state of a cache,
+    /// the first one counts.
     pub fn new(sources: Vec<Source>, damping: Damping, limits: Limits) -> Self {
         EndpointTable {
             sources,
@@ -128,124 +192,154 @@
 
     /// Name of a source.
     pub fn source(&self, id: SourceId) -> &str {
-        self.sources.get(id.0).map_or("?", |s| &s.name)
+        self.sources.get(id.0).map_or("?", |source| &source.name)
     }
 
-    /// Takes evidence in.
+    /// Takes evidence of a source. That of an unknown source is ignored.
     pub fn apply(&mut self, now: Micros, source: SourceId, evidence: Evidence) -> TableUpdate {
-        let mut out = TableUpdate::default();
-        let Some(relayed) = self.sources.get(source.0).map(|s| s.relayed) else {
-            return out;
+        let mut batch = Batch::new(now);
+        let Some(relayed) = self.sources.get(source.0).map(|source| source.relayed) else {
+            return batch.update;
         };
         let (mode, reports) = match evidence {
             Evidence::Full(reports) => (ListMode::Full, reports),
             Evidence::Delta(reports) => (ListMode::Delta, reports),
         };
-        let reports = if relayed {
-            reports
+        let entries = if relayed {
+            self.ingest_list(source, mode, reports, &mut batch)
         } else {
-            self.unique_reports(source, reports, &mut out)
+            let reports = self.unique_reports(source, reports, &mut batch);
+            self.ingest_list(source, mode, reports, &mut batch)
         };
-        let mut entries = Vec::new();
-        let mut affected = BTreeSet::new();
-        // Who leaves makes room first, in the table and at its address.
-        let removals = if mode == ListMode::Full {
-            self.unlist_omitted(now, source, &reports, &mut affected, &mut out)
+        let mut follow_ups = Vec::new();
+        for uid in std::mem::take(&mut batch.affected) {
+            self.settle(&uid, &mut follow_ups, &mut batch);
+        }
+        self.rebalance_suppression(&mut follow_ups, &mut batch);
+        let events = &mut batch.update.events;
+        if relayed {
+            events.push(ListEvent { mode, entries });
+        } else {
+            push_changes(events, entries);
+        }
+        push_changes(events, follow_ups);
+        self.evict_gone(now);
+        batch.update
+    }
+
+    /// Takes in a source's reports; gives the entries that follow. What a full list omits is removed first, which frees
+    /// capacity and addresses, but published last.
+    fn ingest_list(
+        &mut self,
+        source: SourceId,
+        mode: ListMode,
+        reports: Vec<Report>,
+        batch: &mut Batch,
+    ) -> Vec<Entry> {
+        let is_full = mode == ListMode::Full;
+        let removals = if is_full {
+            self.unlist_omitted(source, &reports, batch)
         } else {
             Vec::new()
         };
+        let mut entries = Vec::new();
         for report in reports {
-            self.ingest(now, source, report, &mut entries, &mut affected, &mut out);
+            self.ingest(source, report, &mut entries, batch);
         }
-        if mode == ListMode::Full {
+        if is_full {
             self.initialized.insert(source);
         }
         entries.extend(removals);
-        let mut follow_ups = Vec::new();
-        affected
-            .iter()
-            .for_each(|uid| self.settle(now, uid, &mut follow_ups, &mut out));
-        self.balance(now, &mut follow_ups, &mut out);
-        self.push_event(
-            if relayed { mode } else { ListMode::Delta },
-            entries,
-            relayed,
-            &mut out,
-        );
-        self.push_event(ListMode::Delta, follow_ups, false, &mut out);
-        self.sweep(now);
-        out
-    }
-
-    /// Takes in again what has been steady for long enough.
+        entries
+    }
+
+    /// Ends the suppression of caches that have been steady for long enough.
     pub fn poll(&mut self, now: Micros) -> TableUpdate {
-        let mut out = TableUpdate::default();
+        let mut batch = Batch::new(now);
         let mut entries = Vec::new();
-        self.balance(now, &mut entries, &mut out);
-        self.push_event(ListMode::Delta, entries, false, &mut out);
-        self.sweep(now);
-        out
+        self.rebalance_suppression(&mut entries, &mut batch);
+        push_changes(&mut batch.update.events, entries);
+        self.evict_gone(now);
+        batch.update
     }
 
-    /// When `poll` has something to do at the latest.
+    /// When [`poll`](Self::poll) has something to do at the latest.
     pub fn next_due(&self, now: Micros) -> Option<Micros> {
-        let d = &self.damping;
-        let due = |uid: &String| Some(self.caches.get(uid)?.penalty.below(d, d.reuse, now));
-        self.damped.iter().filter_map(due).min()
+        let damping = &self.damping;
+        let damped = self.damped.iter().filter_map(|uid| self.caches.get(uid));
+        damped
+            .map(|cache| cache.penalty.below(damping, damping.reuse, now))
+            .min()
     }
 
-    /// Boxes that some source lists, as they are given out.
+    /// Caches that some source lists, as they are published.
     pub fn listed(&self) -> impl Iterator<Item = (&Entry, EndpointStatus)> {
-        let published = self.caches.values().filter_map(|m| m.published.as_ref());
-        published
-            .filter(|g| g.status != EndpointStatus::Gone)
-            .map(|g| (&g.entry, g.status))
+        self.caches
+            .values()
+            .filter_map(|cache| cache.published.as_ref())
+            .filter(|published| published.status != EndpointStatus::Gone)
+            .map(|published| (&published.entry, published.status))
     }
 
-    /// What a source itself says of the boxes that it lists, whatever became of that.
+    /// The caches that a source itself lists, as it reports them.
     pub fn reported_by(&self, source: SourceId) -> impl Iterator<Item = &Entry> {
-        let reports = self
-            .caches
+        self.caches
             .values()
-            .filter_map(move |m| m.reports.get(&source));
-        reports
-            .filter(|w| w.entry.server.state != State::Gone)
-            .map(|w| &w.entry)
+            .filter_map(move |cache| cache.reports.get(&source))
+            .filter(|report| report.is_listed())
+            .map(|report| &report.entry)
     }
 
-    /// Other figures of damping, from here on.
+    /// Changes the damping parameters from here on.
     pub fn change_damping(&mut self, damping: Damping) {
         self.damping = damping;
     }
 
-    /// Where a box stands; `Gone` for one that is not known.
+    /// The published status of a cache; `Gone` for an unknown one.
     pub fn status(&self, uid: &str) -> EndpointStatus {
         self.caches
             .get(uid)
-            .and_then(|m| m.published.as_ref())
-            .map_or(EndpointStatus::Gone, |g| g.status)
+            .map_or(EndpointStatus::Gone, TrackedCache::status)
     }
 
-    /// Why a box stands where it does; none for one that is not known.
+    /// Why a cache has its status; none for an unknown one.
     pub fn explain(&self, uid: &str, now: Micros) -> Option<Explanation> {
-        let (m, d) = (self.caches.get(uid)?, &self.damping);
-        let g = m.published.as_ref()?;
-        let suppressed = g.status == EndpointStatus::Suppressed;
+        let damping = &self.damping;
+        let cache = self.caches.get(uid)?;
+        let published = cache.published.as_ref()?;
+        let is_suppressed = published.status == EndpointStatus::Suppressed;
         Some(Explanation {
-            entry: g.entry.clone(),
-            status: g.status,
-            since: g.since,
-            reason: g.reason.clone(),
-            source: g.source,
-            penalty: m.penalty.figure(d, now),
-            until: suppressed.then(|| m.penalty.below(d, d.reuse, now)),
+            entry: published.entry.clone(),
+            status: published.status,
+            since: published.since,
+            reason: published.reason.clone(),
+            source: published.source,
+            penalty: cache.penalty.figure(damping, now),
+            until: is_suppressed.then(|| cache.penalty.below(damping, damping.reuse, now)),
         })
     }
 
-    /// Explanations of all boxes that are known, in the order of their ids.
+    /// Explanations of all known caches, in the order of their ids.
     pub fn explain_all(&self, now: Micros) -> impl Iterator<Item = Explanation> + '_ {
         self.caches
             .keys()
             .filter_map(move |uid| self.explain(uid, now))
     }
 }
+
+/// Adds an event of what has changed, if anything. Removals come first: an address may pass from one cache to another
+/// within one event.
+fn push_changes(events: &mut Vec<ListEvent>, mut entries: Vec<Entry>) {
+    if entries.is_empty() {
+        return;
+    }
+    entries.sort_by_key(|entry| match entry.server.state {
+        State::Gone => 0,
+        State::Draining => 1,
+        State::Ready => 2,
+    });
+    events.push(ListEvent {
+        mode: ListMode::Delta,
+        entries,
+    });
+}
--- /dev/null
+++ b/discovery/src/endpoint_table/suppression.rs
@@ -0,0 +1,110 @@
+//! Flap damping: which caches are under damping, and which of those are suppressed.
+
+use super::{Batch, EndpointTable, Group, TrackedCache};
+use crate::damping::Damping;
+use crate::evidence::{EndpointStatus, Entry, Reason};
+use linnetknot::Micros;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// A cache under damping.
+struct Candidate<'a> {
+    penalty: f64,
+    uid: &'a str,
+}
+
+impl EndpointTable {
+    /// Ends the damping of caches that have been steady, and publishes which of the others are suppressed.
+    pub(super) fn rebalance_suppression(&mut self, entries: &mut Vec<Entry>, batch: &mut Batch) {
+        if self.damped.is_empty() {
+            return;
+        }
+        let steady = self.end_damping(batch.now);
+        let suppressed = self.select_suppressed(batch.now);
+        for uid in steady.iter().chain(&self.damped.clone()) {
+            let cache = self.caches.get(uid);
+            let Some(verdict) = cache.and_then(|cache| self.verdict(uid, cache)) else {
+                continue;
+            };
+            self.publish(uid, verdict, suppressed.contains(uid), entries, batch);
+        }
+    }
+
+    /// Ends the damping of caches whose penalty has decayed; gives their ids.
+    fn end_damping(&mut self, now: Micros) -> Vec<String> {
+        let damping = self.damping;
+        let caches = &mut self.caches;
+        let mut steady = Vec::new();
+        self.damped.retain(|uid| {
+            let Some(cache) = caches.get_mut(uid) else {
+                return false;
+            };
+            cache.damped = cache.penalty.figure(&damping, now) >= damping.reuse;
+            if !cache.damped {
+                steady.push(uid.clone());
+            }
+            cache.damped
+        });
+        steady
+    }
+
+    /// The caches to suppress: those with the highest penalties, and of each group no more than its share.
+    fn select_suppressed(&self, now: Micros) -> BTreeSet<String> {
+        let mut groups: BTreeMap<&Group, Vec<Candidate<'_>>> = BTreeMap::new();
+        for uid in &self.damped {
+            let Some(cache) = self.caches.get(uid) else {
+                continue;
+            };
+            if let Some(group) = &cache.counted {
+                let penalty = cache.penalty.figure(&self.damping, now);
+                let candidates = groups.entry(group).or_default();
+                candidates.push(Candidate { penalty, uid });
+            }
+        }
+        let mut suppressed = BTreeSet::new();
+        for (group, mut candidates) in groups {
+            let ready = self.ready.get(group).copied().unwrap_or(0);
+            let quota = (self.damping.max_suppressed_share * ready as f64) as usize;
+            candidates.sort_by(|a, b| {
+                let by_penalty = b.penalty.total_cmp(&a.penalty);
+                by_penalty.then_with(|| a.uid.cmp(b.uid))
+            });
+            candidates.truncate(quota);
+            suppressed.extend(candidates.iter().map(|candidate| candidate.uid.to_owned()));
+        }
+        suppressed
+    }
+}
+
+impl TrackedCache {
+    /// Counts the return of the cache; true if that puts it under damping. `is_initialized`: its source had given a
+    /// full list before.
+    pub(super) fn count_return(
+        &mut self,
+        now: Micros,
+        damping: &Damping,
+        is_initialized: bool,
+    ) -> bool {
+        let exceeds = self.penalty.figure(damping, now) >= damping.suppress;
+        let begins_damping = exceeds && !self.damped;
+        self.damped |= exceeds;
+        // A cache that appears after its source's first full list has just started, for all that is known.
+        if self.published.is_some() || is_initialized {
+            self.returned = Some(now);
+        }
+        begins_damping
+    }
+
+    /// The reason of a new status, where damping has a part in it.
+    pub(super) fn damping_reason(
+        &self,
+        old: EndpointStatus,
+        new: EndpointStatus,
+    ) -> Option<Reason> {
+        match (old, new) {
+            (_, EndpointStatus::Suppressed) => Some(Reason::Flapping),
+            (_, EndpointStatus::Ready) if self.damped => Some(Reason::DampingLimit),
+            (EndpointStatus::Suppressed, EndpointStatus::Ready) => Some(Reason::Steady),
+            _ => None,
+        }
+    }
+}
--- a/discovery/src/endpoint_table/verdict.rs
+++ b/discovery/src/endpoint_table/verdict.rs
@@ -1,84 +1,95 @@
-//! What the words of all sources on a box come to, before damping.
+//! What the reports of all sources on a cache amount to, before damping.
 
 use super::{EndpointTable, SourceReport, TrackedCache};
 use crate::evidence::{Entry, Reason, SourceId};
 use linnetknot::State;
+use std::net::SocketAddr;
 
-/// What the words on a box come to, before damping.
+/// What the reports on a cache amount to, before damping.
 pub(super) struct Verdict {
     pub(super) entry: Entry,
     pub(super) state: State,
     pub(super) reason: Reason,
+    /// The source whose report decides.
     pub(super) source: SourceId,
 }
 
 impl EndpointTable {
-    /// What the words on a box come to.
-    pub(super) fn verdict(&self, uid: &str, m: &TrackedCache) -> Option<Verdict> {
-        let live = |w: &&SourceReport| w.entry.server.state != State::Gone;
-        let Some((base_id, base)) = m.reports.iter().find(|(_, w)| live(w)) else {
-            // The last word of them all: who took it from the list.
-            let (source, report) = m.reports.iter().max_by_key(|(_, w)| w.at)?;
-            return Some(Verdict {
-                entry: report.entry.clone(),
-                state: State::Gone,
-                reason: report.reason.clone(),
-                source: *source,
-            });
+    /// What the reports on a cache amount to; none without reports.
+    pub(super) fn verdict(&self, uid: &str, cache: &TrackedCache) -> Option<Verdict> {
+        let mut reports = cache.reports.iter();
+        let Some((base_id, base)) = reports.find(|(_, report)| report.is_listed()) else {
+            return cache.verdict_gone();
         };
-        let verdict = |state, reason: Reason, source| {
+        let verdict = |state, reason: Reason, source: &SourceId| {
             let mut entry = base.entry.clone();
             entry.server.state = state;
             Some(Verdict {
                 entry,
                 state,
                 reason,
-                source,
+                source: *source,
             })
         };
-        // A word on another address is on another box, which only has the same id.
-        let mut same = m
-            .reports
-            .iter()
-            .filter(|(_, w)| w.entry.endpoint == base.entry.endpoint);
+        let endpoint = base.entry.endpoint;
         if !self.sources[base_id.0].relayed {
-            let newer = |other: &String| {
-                self.caches
-                    .get(other)
-                    .filter(|_| other != uid)
-                    .is_some_and(|o| {
-                        (o.joined, other.as_str()) > (m.joined, uid)
-                            && o.reports
-                                .values()
-                                .any(|w| live(&w) && w.entry.endpoint == base.entry.endpoint)
-                    })
-            };
-            let claims = self.claims.get(&base.entry.endpoint);
-            if let Some(other) = claims.and_then(|claims| claims.iter().find(|other| newer(other)))
-            {
-                return verdict(State::Gone, Reason::AddressTaken(other.clone()), *base_id);
+            if let Some(other) = self.newer_claimant(endpoint, uid, cache) {
+                let reason = Reason::AddressTaken(other.clone());
+                return verdict(State::Gone, reason, base_id);
             }
         }
-        if let Some((id, w)) = same
-            .clone()
-            .find(|(_, w)| w.entry.server.state == State::Draining)
-        {
-            return verdict(State::Draining, w.reason.clone(), *id);
+        // A report of another address is about another cache, which only has the same id.
+        let same_cache = || {
+            let reports = cache.reports.iter();
+            reports.filter(|(_, report)| report.entry.endpoint == endpoint)
+        };
+        let is_draining = |report: &SourceReport| report.entry.server.state == State::Draining;
+        if let Some((id, report)) = same_cache().find(|(_, report)| is_draining(report)) {
+            return verdict(State::Draining, report.reason.clone(), id);
         }
-        // Whoever says that it is gone is believed until another says anew that it is there.
-        let ready_at = same
-            .clone()
-            .filter(|(_, w)| live(w))
-            .map(|(_, w)| w.at)
+        // A source that reports it gone is believed until another reports it anew.
+        let listed_at = same_cache()
+            .filter(|(_, report)| report.is_listed())
+            .map(|(_, report)| report.at)
             .max()
             .unwrap_or(0);
-        if let Some((id, _)) = same.find(|(_, w)| !live(w) && w.at >= ready_at) {
-            return verdict(
-                State::Draining,
-                Reason::GoneElsewhere(self.source(*id).to_owned()),
-                *id,
-            );
+        let is_removed = |report: &SourceReport| !report.is_listed() && report.at >= listed_at;
+        if let Some((id, _)) = same_cache().find(|(_, report)| is_removed(report)) {
+            let reason = Reason::GoneElsewhere(self.source(*id).to_owned());
+            return verdict(State::Draining, reason, id);
         }
-        verdict(State::Ready, base.reason.clone(), *base_id)
+        verdict(State::Ready, base.reason.clone(), base_id)
+    }
+
+    /// Another cache that is listed at the address and was first reported there later than this one.
+    fn newer_claimant(
+        &self,
+        endpoint: SocketAddr,
+        uid: &str,
+        cache: &TrackedCache,
+    ) -> Option<&String> {
+        let is_newer = |other_uid: &String| {
+            let Some(other) = self.caches.get(other_uid).filter(|_| other_uid != uid) else {
+                return false;
+            };
+            let mut reports = other.reports.values();
+            (other.joined, other_uid.as_str()) > (cache.joined, uid)
+                && reports.any(|report| report.is_listed() && report.entry.endpoint == endpoint)
+        };
+        let claims = self.claims.get(&endpoint)?;
+        claims.iter().find(|other| is_newer(other))
+    }
+}
+
+impl TrackedCache {
+    /// The verdict on a cache that no source lists, by the last report: the one that removed it.
+    fn verdict_gone(&self) -> Option<Verdict> {
+        let (source, report) = self.reports.iter().max_by_key(|(_, report)| report.at)?;
+        Some(Verdict {
+            entry: report.entry.clone(),
+            state: State::Gone,
+            reason: report.reason.clone(),
+            source: *source,
+        })
     }
 }
--- a/discovery/src/evidence.rs
+++ b/discovery/src/evidence.rs
@@ -1,46 +1,46 @@
-//! What sources say: the words in which they say it, and what is known of each source.
+//! What sources report of caches, and what the table tells of them: entries, reasons, changes and notices.
 
 use linnetknot::{Micros, Server, ServerId, State};
 use std::fmt;
 use std::net::SocketAddr;
 
-/// An entry of the list of boxes.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// What the decision module is told.
+    /// The cache as the decision module knows it.
     pub server: Server,
-    /// The box's id on the wire.
+    /// Id of the cache on the wire.
     pub uid: String,
     /// Where it listens.
     pub endpoint: SocketAddr,
 }
 
-/// A number for a box's id, the same at every proxy: the module's order of boxes is hashed from it.
+/// The number of a cache's id (64-bit FNV-1a), the same at every proxy: the decision module ranks caches by it.
 pub fn server_id(uid: &str) -> ServerId {
     uid.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
         (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)
     })
 }
 
-/// A source's place in the order of precedence: 0 comes first.
+/// A source's position in the order of precedence: 0 comes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SourceId(pub usize);
 
-/// What is known of a source beforehand.
+/// The properties of a source.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Source {
     /// Its name, for logs and explanations.
     pub name: String,
-    /// Every event of it is passed on as it came, in its own mode and order, changed or not.
+    /// Each of its events is published as it came, in its mode and order, whether it changes anything or not.
     pub relayed: bool,
-    /// Its words on health may flap, so a box's returns are counted against it and taken in step by step.
+    /// Its reports on health may flap, so they are damped, and a cache that returns is started slowly.
     pub damped: bool,
 }
 
-/// Why a source says what it says of a box.
+/// Why a cache has its state or status.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// It just says so.
+    /// The source states no reason.
     Reported,
     /// This check is critical.
     Check(String),
@@ -48,23 +48,23 @@
     ServiceMaintenance(String),
     /// Its node was put in maintenance, with the note given there.
     NodeMaintenance(String),
-    /// The node's own check is critical: its agent is not heard of any more.
+    /// The node's own check is critical: its agent has failed.
     NodeLost,
-    /// It is registered, but the source tells no health of it.
+    /// It is registered, but the source reports no health for it.
     NoHealth,
-    /// Its registration can't be used, for what stands under this key.
+    /// Its registration can't be used, because of the value under this key.
     Unusable(String),
-    /// The source's whole list does not name it any more.
+    /// The source's full list no longer contains it.
     Unlisted,
-    /// From a list kept over a restart.
+    /// It is from a list cached before a restart.
     Cached,
-    /// One source has taken it from its list while another still names it.
+    /// One source has removed it while another still lists it.
     GoneElsewhere(String),
-    /// Another box has taken over its address.
+    /// Another cache has taken over its address.
     AddressTaken(String),
-    /// It went and came back too often; taken in again once its penalty has decayed.
+    /// It was lost and came back too often; it is reused once its penalty has decayed.
     Flapping,
-    /// It flaps, but too many of its kind are held back already.
+    /// It flaps, but too many of its group are suppressed already.
     DampingLimit,
     /// Its penalty has decayed.
     Steady,
@@ -73,30 +73,30 @@
 impl fmt::Display for Reason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Reported => write!(f, "told"),
+            Self::Reported => write!(f, "reported"),
             Self::Check(id) => write!(f, "check '{id}' is critical"),
             Self::ServiceMaintenance(note) => write!(f, "service in maintenance: {note}"),
             Self::NodeMaintenance(note) => write!(f, "node in maintenance: {note}"),
-            Self::NodeLost => write!(f, "its node is not heard of any more"),
+            Self::NodeLost => write!(f, "its node's agent has failed"),
             Self::NoHealth => write!(f, "registered without health"),
             Self::Unusable(key) => write!(f, "its registration can't be used: {key}"),
             Self::Unlisted => write!(f, "not listed any more"),
-            Self::Cached => write!(f, "from the kept list"),
-            Self::GoneElsewhere(source) => write!(f, "gone by {source}"),
+            Self::Cached => write!(f, "from the cached snapshot"),
+            Self::GoneElsewhere(source) => write!(f, "removed by {source}"),
             Self::AddressTaken(uid) => write!(f, "its address belongs to {uid} now"),
             Self::Flapping => write!(f, "flapping"),
-            Self::DampingLimit => write!(f, "flapping, but too many are held back already"),
+            Self::DampingLimit => write!(f, "flapping, but too many are suppressed already"),
             Self::Steady => write!(f, "steady again"),
         }
     }
 }
 
-/// A source's word on one box.
+/// A source's report on one cache.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
-    /// The box, with the state that the source gives it.
+    /// The cache, with its state according to the source.
     pub entry: Entry,
-    /// Why.
+    /// Why it has that state.
     pub reason: Reason,
 }
 
@@ -109,30 +109,30 @@
     }
 }
 
-/// What a source tells at one moment.
+/// What a source reports at one moment.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Evidence {
-    /// Its whole list: what it named before and does not name now is gone, as far as it can tell.
+    /// Its full list: what it listed before and does not list now is gone, as far as it knows.
     Full(Vec<Report>),
     /// What has changed.
     Delta(Vec<Report>),
 }
 
-/// Where a box stands.
+/// The published status of a cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EndpointStatus {
-    /// May be given fresh work, as target or as source of a fill.
+    /// Takes new work, as target or as source of a fill.
     Ready,
-    /// Told ready, but held back: it went and came back too often.
+    /// Reported ready, but suppressed by damping.
     Suppressed,
-    /// Finishes what it has.
+    /// Finishes its work and takes no more.
     Draining,
-    /// Gone.
+    /// Not listed by any source.
     Gone,
 }
 
 impl EndpointStatus {
-    /// The state that the decision module is told.
+    /// The state for the decision module.
     pub fn state(self) -> State {
         match self {
             Self::Ready => State::Ready,
@@ -152,51 +152,51 @@
     }
 }
 
-/// A change of a box's standing.
+/// A change of a cache's status.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    /// The box.
+    /// Id of the cache.
     pub uid: String,
-    /// Before; `Gone` for one that was not known.
+    /// Status before; `Gone` for an unknown cache.
     pub old: EndpointStatus,
-    /// From now on.
+    /// Status from now on.
     pub new: EndpointStatus,
-    /// Why.
+    /// Why the status is new.
     pub reason: Reason,
-    /// The source whose word decides.
+    /// The source whose report decides.
     pub source: SourceId,
-    /// The penalty for its flaps so far.
+    /// Its penalty for flaps.
     pub penalty: f64,
 }
 
-/// Something that the operators should know besides the changes.
+/// Something that operators should know besides the changes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
-    /// The table is full: this box is not taken in.
+    /// The table is full: the cache with this id is not added.
     TableFull(String),
-    /// Two sources, or two places of one, name different boxes by one id: the first keeps it.
+    /// Two sources, or two entries of one, use one id for different caches: the first keeps it.
     DuplicateId {
         /// The id.
         uid: String,
-        /// Where the box is that keeps it.
+        /// Address of the cache that keeps the id.
         accepted: SocketAddr,
-        /// Where the other one is, which is passed over.
+        /// Address of the other one, which is skipped.
         rejected: SocketAddr,
-        /// The source that names the other one.
+        /// The source of the other one.
         source: SourceId,
     },
-    /// Two boxes are told to listen at one address: the one that was told there last has it.
+    /// Two caches are reported at one address: the one that was first reported there last has it.
     DuplicateAddress {
-        /// The one that came last.
+        /// Id of the one that has it.
         uid: String,
-        /// The other one.
+        /// Id of the other one.
         other: String,
         /// The address.
         endpoint: SocketAddr,
     },
-    /// A box has moved.
+    /// A cache is reported at another address.
     Moved {
-        /// The box.
+        /// Id of the cache.
         uid: String,
         /// Its address before.
         from: SocketAddr,
@@ -205,21 +205,21 @@
     },
 }
 
-/// Why a box stands where it does.
+/// Why a cache has its status.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Explanation {
-    /// The box.
+    /// The cache as it is published.
     pub entry: Entry,
-    /// Where it stands.
+    /// Its status.
     pub status: EndpointStatus,
-    /// Since when.
+    /// Since when it has that status.
     pub since: Micros,
-    /// Why.
+    /// Why it has that status.
     pub reason: Reason,
-    /// The source whose word decides.
+    /// The source whose report decides.
     pub source: SourceId,
-    /// The penalty for its flaps, by now.
+    /// Its penalty for flaps, as decayed by now.
     pub penalty: f64,
-    /// When a suppressed one is taken in again, if it stays steady.
+    /// When a suppressed cache is reused, if it stays steady.
     pub until: Option<Micros>,
 }
--- a/discovery/src/validation.rs
+++ b/discovery/src/validation.rs
@@ -1,179 +1,197 @@
 //! What of a pushed list is believed, before it becomes evidence.
 //!
-//! A proxy that takes every answer of discovery at its word empties its list by one that came out empty, and a
-//! hundred proxies that do so send all they have to the few boxes that are left. An answer may always take single
-//! boxes away by naming them. What it may not do is take most of a zone's boxes away by leaving them out, bring
-//! boxes back by news older than what is known, or be both ready and gone.
-//!
-//! [`ListValidator`] is sans-IO and keeps one number; what it passes over is returned for the log.
+//! A proxy that takes every list at its word loses all its caches by one that came out empty, and a hundred proxies that
+//! do so send all their work to the few caches that are left. A list may always remove single caches by naming them. What
+//! it may not do is remove most of a zone's caches by leaving them out, bring caches back by a revision older than the
+//! known one, or report a cache both ready and gone.
 
 use crate::evidence::Entry;
 use linnetknot::{ListMode, State};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Something of an answer that was not believed.
+/// A part of a list that was not believed, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// The answer is older than one that was heard: of it only what takes boxes away counts.
+    /// The list is older than one received before: only what it removes counts.
     Stale {
         /// Its revision.
         rev: u64,
-        /// The highest one heard.
+        /// The highest revision received.
         known: u64,
     },
-    /// It names a box more than once; the more cautious word counts.
+    /// The cache with this id is listed more than once; the more cautious entry counts.
     Contradiction(String),
-    /// It leaves out more than half of the ready boxes of a zone and kind; they are kept.
+    /// More than half of the ready caches of a zone and kind are left out; they are retained.
     Omission {
         /// The zone.
         zone: String,
         /// The kind.
         kind: String,
-        /// How many are kept.
+        /// Number of caches retained.
         retained: usize,
     },
-    /// These faults kept entries of it from being read, so what it leaves out may be what could not be read.
+    /// Entries that could not be read, by their faults. What the list leaves out may be among them.
     Unreadable(Vec<String>),
 }
 
 impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Stale { rev, known } => {
-                write!(f, "a list of revision {rev} is older than {known}: only what it takes away counts")
-            }
+            Self::Stale { rev, known } => write!(
+                f,
+                "a list of revision {rev} is older than {known}: only its removals count"
+            ),
             Self::Contradiction(uid) => {
-                write!(f, "a list names {uid} twice: the more cautious word counts")
+                write!(f, "a list has {uid} twice: the more cautious entry counts")
             }
             Self::Omission {
                 zone,
                 kind,
                 retained,
-            } => {
+            } => write!(
+                f,
+                "a list leaves out more than half of zone '{zone}', kind '{kind}': {retained} caches are retained"
+            ),
+            Self::Unreadable(faults) => {
+                let count = faults.len();
+                let first = faults.first().map_or("", String::as_str);
                 write!(
                     f,
-                    "a list leaves out more than half of zone '{zone}', kind '{kind}': {retained} boxes are kept"
+                    "{count} entries of a list can't be read ({first}): it removes only what it names"
                 )
             }
-            Self::Unreadable(faults) => {
-                let (n, first) = (faults.len(), faults.first().map_or("", String::as_str));
-                write!(f, "{n} entries of a list can't be read ({first}): it takes away what it names only")
-            }
         }
     }
 }
 
-/// An answer as it came.
+/// A list as it was received.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedList {
     /// Its revision, where the source numbers them.
     pub rev: Option<u64>,
-    /// Whether it means to be the whole list.
+    /// Whether it claims to be the full list.
     pub mode: ListMode,
-    /// Its entries, as far as they could be read.
+    /// The entries that could be read.
     pub entries: Vec<Entry>,
-    /// What was wrong with each entry that could not be read.
+    /// The fault of each entry that could not be read.
     pub unreadable: Vec<String>,
 }
 
-/// Vets the answers of one source.
+/// What of a received list is believed.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ValidatedList {
+    /// Whether the entries are the full list.
+    pub mode: ListMode,
+    /// The entries to believe.
+    pub entries: Vec<Entry>,
+    /// What was not believed.
+    pub rejections: Vec<Rejection>,
+}
+
+/// Validates the lists of one source.
 #[derive(Clone, Debug, Default)]
 pub struct ListValidator {
+    /// The highest revision received.
     rev: Option<u64>,
 }
 
-/// Lower is more cautious.
-fn rank(state: State) -> u8 {
-    match state {
-        State::Gone => 0,
-        State::Draining => 1,
-        State::Ready => 2,
-    }
-}
-
 impl ListValidator {
-    /// Takes an answer; gives the mode and entries to believe, and what was passed over. `listed`: what the source is
-    /// believed to list so far.
+    /// Validates a list. `listed`: the entries that the source is believed to list so far.
     pub fn validate<'a>(
         &mut self,
-        answer: ReceivedList,
+        list: ReceivedList,
         listed: impl Iterator<Item = &'a Entry>,
-    ) -> (ListMode, Vec<Entry>, Vec<Rejection>) {
-        let ReceivedList {
-            rev,
-            mut mode,
-            entries,
-            unreadable,
-        } = answer;
+    ) -> ValidatedList {
+        let mut mode = list.mode;
         let mut rejections = Vec::new();
-        let mut entries = unique_entries(entries, &mut rejections);
-        match (rev, self.rev) {
+        let mut entries = unique_entries(list.entries, &mut rejections);
+        match (list.rev, self.rev) {
             (Some(rev), Some(known)) if rev < known => {
-                entries.retain(|e| e.server.state != State::Ready);
+                entries.retain(|entry| entry.server.state != State::Ready);
                 mode = ListMode::Delta;
                 rejections.push(Rejection::Stale { rev, known });
             }
-            _ => self.rev = rev.or(self.rev),
+            (rev, known) => self.rev = rev.or(known),
         }
-        if !unreadable.is_empty() {
-            rejections.push(Rejection::Unreadable(unreadable));
+        if !list.unreadable.is_empty() {
+            rejections.push(Rejection::Unreadable(list.unreadable));
             mode = ListMode::Delta;
         }
         if mode == ListMode::Full {
-            entries.extend(keep_omitted(&entries, listed, &mut rejections));
+            let retained = retain_omitted(&entries, listed, &mut rejections);
+            entries.extend(retained);
+        }
+        ValidatedList {
+            mode,
+            entries,
+            rejections,
         }
-        (mode, entries, rejections)
     }
 }
 
-/// Each box once, in the order of the last word on it. A box that was gone and has started since is no contradiction.
+/// One entry per cache, at the position of its first. Of two, the more cautious counts, or the second if the cache has
+/// started since the first.
 fn unique_entries(entries: Vec<Entry>, rejections: &mut Vec<Rejection>) -> Vec<Entry> {
-    let mut retained: Vec<Entry> = Vec::with_capacity(entries.len());
+    let mut accepted: Vec<Entry> = Vec::with_capacity(entries.len());
     let mut positions: BTreeMap<String, usize> = BTreeMap::new();
     for entry in entries {
         let Some(position) = positions.get(&entry.uid).copied() else {
-            positions.insert(entry.uid.clone(), retained.len());
-            retained.push(entry);
+            positions.insert(entry.uid.clone(), accepted.len());
+            accepted.push(entry);
             continue;
         };
-        let old = &mut retained[position];
-        let newer = entry.server.started > old.server.started;
-        if newer || rank(entry.server.state) <= rank(old.server.state) {
-            *old = entry;
+        let first = &mut accepted[position];
+        let has_restarted = entry.server.started > first.server.started;
+        if has_restarted || readiness(entry.server.state) <= readiness(first.server.state) {
+            *first = entry;
         } else {
             rejections.push(Rejection::Contradiction(entry.uid));
         }
     }
-    retained
+    accepted
 }
 
-/// Ready boxes of the zones and kinds of which a whole list leaves out more than half.
-fn keep_omitted<'a>(
+/// Lower is more cautious.
+fn readiness(state: State) -> u8 {
+    match state {
+        State::Gone => 0,
+        State::Draining => 1,
+        State::Ready => 2,
+    }
+}
+
+/// The ready caches of one zone and kind.
+#[derive(Default)]
+struct Group<'a> {
+    count: usize,
+    omitted: Vec<&'a Entry>,
+}
+
+/// Ready caches of the zones and kinds of which a full list leaves out more than half.
+fn retain_omitted<'a>(
     entries: &[Entry],
     listed: impl Iterator<Item = &'a Entry>,
     rejections: &mut Vec<Rejection>,
 ) -> Vec<Entry> {
-    let mut groups: BTreeMap<(&str, &str), (usize, Vec<&Entry>)> = BTreeMap::new();
-    for entry in listed.filter(|e| e.server.state == State::Ready) {
-        let (count, missing) = groups
-            .entry((&entry.server.zone, &entry.server.kind))
-            .or_default();
-        *count += 1;
-        if !entries.iter().any(|e| e.uid == entry.uid) {
-            missing.push(entry);
+    let mut groups: BTreeMap<(&str, &str), Group<'_>> = BTreeMap::new();
+    for entry in listed.filter(|entry| entry.server.state == State::Ready) {
+        let key = (entry.server.zone.as_str(), entry.server.kind.as_str());
+        let group = groups.entry(key).or_default();
+        group.count += 1;
+        if !entries.iter().any(|named| named.uid == entry.uid) {
+            group.omitted.push(entry);
         }
     }
     let mut retained = Vec::new();
-    for ((zone, kind), (count, missing)) in groups {
-        if 2 * missing.len() > count {
-            let (zone, kind) = (zone.to_owned(), kind.to_owned());
+    for ((zone, kind), Group { count, omitted }) in groups {
+        if 2 * omitted.len() > count {
             rejections.push(Rejection::Omission {
-                zone,
-                kind,
-                retained: missing.len(),
+                zone: zone.to_owned(),
+                kind: kind.to_owned(),
+                retained: omitted.len(),
             });
-            retained.extend(missing.into_iter().cloned());
+            retained.extend(omitted.into_iter().cloned());
         }
     }
     retained
--- a/discovery/tests/common/mod.rs
+++ b/discovery/tests/common/mod.rs
@@ -1,10 +1,10 @@
 //! What the tests of the book share: boxes, and the list as the decision module comes to see it.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use linnetknot::{ListMode, Micros, Server, State};
 use linnetknot_discovery::{
-    server_id, Damping, EndpointTable, Entry, Evidence, Limits, Reason, Report, Source, SourceId,
-    TableUpdate,
+    server_id, Damping, EndpointTable, Entry, Evidence, Limits, ListEvent, Reason, Report, Source,
+    SourceId, TableUpdate,
 };
 use std::collections::BTreeMap;
 
@@ -69,7 +69,7 @@
 
 impl Mirror {
     pub(crate) fn apply(&mut self, out: &TableUpdate) {
-        for (mode, entries) in &out.events {
+        for ListEvent { mode, entries } in &out.events {
             if *mode == ListMode::Full {
                 self.0
                     .retain(|uid, _| entries.iter().any(|e| e.uid == *uid));
--- a/discovery/tests/damping.rs
+++ b/discovery/tests/damping.rs
@@ -64,6 +64,6 @@
             "most_suppressed",
         ),
     ] {
-        assert_eq!(bad.check().unwrap_err().0, name);
+        assert_eq!(bad.check().unwrap_err().key(), name);
     }
 }
--- a/discovery/tests/endpoint_table.rs
+++ b/discovery/tests/endpoint_table.rs
@@ -163,25 +163,32 @@
     );
 }
 
+/// Applies a full list of ready caches at these ports.
+fn tell(
+    table: &mut EndpointTable,
+    mirror: &mut Mirror,
+    now: u64,
+    list: &[(&str, u16)],
+) -> TableUpdate {
+    let reports = list
+        .iter()
+        .map(|(uid, port)| report(uid, *port, State::Ready))
+        .collect();
+    let out = table.apply(now, CONSUL, full(reports));
+    mirror.apply(&out);
+    out
+}
+
 #[test]
 fn an_address_goes_with_the_box_that_was_told_there_last() {
     let (mut table, mut mirror) = (table(), Mirror::default());
-    let tell = |table: &mut EndpointTable, mirror: &mut Mirror, now, list: &[(&str, u16)]| {
-        let reports = list
-            .iter()
-            .map(|(uid, port)| report(uid, *port, State::Ready))
-            .collect();
-        let out = table.apply(now, CONSUL, full(reports));
-        mirror.apply(&out);
-        out
-    };
-    tell(&mut table, &mut mirror, S, &[("old", 1), ("b", 2)]);
-    let out = tell(
-        &mut table,
-        &mut mirror,
-        2 * S,
-        &[("old", 1), ("new", 1), ("b", 2)],
-    );
+    an_address_is_taken_over(&mut table, &mut mirror);
+    addresses_are_swapped_and_inherited(&mut table, &mut mirror);
+}
+
+fn an_address_is_taken_over(table: &mut EndpointTable, mirror: &mut Mirror) {
+    tell(table, mirror, S, &[("old", 1), ("b", 2)]);
+    let out = tell(table, mirror, 2 * S, &[("old", 1), ("new", 1), ("b", 2)]);
     assert_eq!(
         (mirror.state("old"), mirror.state("new")),
         (State::Gone, State::Ready)
@@ -192,32 +199,20 @@
         Reason::AddressTaken("new".into())
     );
     // Told again and again, and it stays so.
-    let out = tell(
-        &mut table,
-        &mut mirror,
-        3 * S,
-        &[("old", 1), ("new", 1), ("b", 2)],
-    );
+    let out = tell(table, mirror, 3 * S, &[("old", 1), ("new", 1), ("b", 2)]);
     assert!(out.is_empty(), "{out:?}");
     // The old one moves away: it leaves and comes anew, at the new address.
-    let out = tell(
-        &mut table,
-        &mut mirror,
-        4 * S,
-        &[("old", 9), ("new", 1), ("b", 2)],
-    );
+    let out = tell(table, mirror, 4 * S, &[("old", 9), ("new", 1), ("b", 2)]);
     assert_eq!(
         (mirror.state("old"), mirror.0["old"].endpoint.port()),
         (State::Ready, 9)
     );
     assert!(matches!(&out.notices[..], [Notice::Moved { .. }]));
+}
+
+fn addresses_are_swapped_and_inherited(table: &mut EndpointTable, mirror: &mut Mirror) {
     // Two swap their addresses in one list.
-    let out = tell(
-        &mut table,
-        &mut mirror,
-        5 * S,
-        &[("old", 1), ("new", 9), ("b", 2)],
-    );
+    let out = tell(table, mirror, 5 * S, &[("old", 1), ("new", 9), ("b", 2)]);
     assert_eq!(
         (
             mirror.0["old"].endpoint.port(),
@@ -225,21 +220,20 @@
         ),
         (1, 9)
     );
-    let states: Vec<State> = out.events[0].1.iter().map(|e| e.server.state).collect();
+    let states: Vec<State> = out.events[0]
+        .entries
+        .iter()
+        .map(|e| e.server.state)
+        .collect();
     assert_eq!(
         states,
         [State::Gone, State::Gone, State::Ready, State::Ready],
         "who leaves comes first"
     );
     // The one that holds an address leaves: the one that waits for it has it back.
-    tell(
-        &mut table,
-        &mut mirror,
-        6 * S,
-        &[("old", 1), ("x", 1), ("b", 2)],
-    );
+    tell(table, mirror, 6 * S, &[("old", 1), ("x", 1), ("b", 2)]);
     assert_eq!(mirror.state("old"), State::Gone);
-    tell(&mut table, &mut mirror, 7 * S, &[("old", 1), ("b", 2)]);
+    tell(table, mirror, 7 * S, &[("old", 1), ("b", 2)]);
     assert_eq!(
         (mirror.state("old"), mirror.state("x")),
         (State::Ready, State::Gone)
@@ -415,7 +409,7 @@
                 false => (ListMode::Delta, Evidence::Delta(reports)),
             };
             let out = table.apply(n as u64 * S, BUS, evidence);
-            prop_assert_eq!(out.events, vec![(mode, entries)]);
+            prop_assert_eq!(out.events, vec![ListEvent { mode, entries }]);
         }
     }
 
--- a/discovery/tests/validation.rs
+++ b/discovery/tests/validation.rs
@@ -1,7 +1,9 @@
 //! Answers of discovery that are empty, partial, stale, torn or at odds with themselves.
 
 use linnetknot::{ListMode, Server, State};
-use linnetknot_discovery::{server_id, Entry, ListValidator, ReceivedList, Rejection};
+use linnetknot_discovery::{
+    server_id, Entry, ListValidator, ReceivedList, Rejection, ValidatedList,
+};
 
 fn entry(uid: &str, zone: &str, state: State) -> Entry {
     let server = Server {
@@ -47,8 +49,11 @@
 #[test]
 fn an_empty_whole_list_empties_nothing() {
     let (listed, mut validator) = (listed(), ListValidator::default());
-    let (mode, retained, rejections) =
-        validator.validate(answer(2, ListMode::Full, vec![]), listed.iter());
+    let ValidatedList {
+        mode,
+        entries: retained,
+        rejections,
+    } = validator.validate(answer(2, ListMode::Full, vec![]), listed.iter());
     assert_eq!(
         (mode, uids(&retained)),
         (ListMode::Full, vec!["a1", "a2", "a3", "a4", "b1"])
@@ -61,14 +66,18 @@
     assert_eq!(rejections, [left("a", 4), left("b", 1)]);
     assert!(
         rejections[0].to_string().contains("zone 'a'")
-            && rejections[0].to_string().contains("4 boxes are kept")
+            && rejections[0].to_string().contains("4 caches are retained")
     );
 }
 
 #[test]
 fn what_leaves_out_more_than_half_of_a_zone_is_partial_and_what_leaves_out_less_is_not() {
     let (listed, mut validator) = (listed(), ListValidator::default());
-    let (_, retained, rejections) = validator.validate(
+    let ValidatedList {
+        entries: retained,
+        rejections,
+        ..
+    } = validator.validate(
         answer(2, ListMode::Full, ready(&["a1", "b1"])),
         listed.iter(),
     );
@@ -76,7 +85,11 @@
         (uids(&retained), rejections.len()),
         (vec!["a1", "b1", "a2", "a3", "a4"], 1)
     );
-    let (mode, retained, rejections) = validator.validate(
+    let ValidatedList {
+        mode,
+        entries: retained,
+        rejections,
+    } = validator.validate(
         answer(3, ListMode::Full, ready(&["a1", "a2", "b1"])),
         listed.iter(),
     );
@@ -94,8 +107,11 @@
         .map(|e| entry(&e.uid, &e.server.zone, State::Gone))
         .collect();
     for mode in [ListMode::Full, ListMode::Delta] {
-        let (validated_mode, retained, rejections) =
-            validator.validate(answer(2, mode, gone.clone()), listed.iter());
+        let ValidatedList {
+            mode: validated_mode,
+            entries: retained,
+            rejections,
+        } = validator.validate(answer(2, mode, gone.clone()), listed.iter());
         assert_eq!(
             (validated_mode, retained, rejections),
             (mode, gone.clone(), vec![])
@@ -106,8 +122,11 @@
         .iter()
         .map(|e| entry(&e.uid, "a", State::Draining))
         .collect();
-    let (_, retained, rejections) =
-        validator.validate(answer(3, ListMode::Full, vec![]), drained.iter());
+    let ValidatedList {
+        entries: retained,
+        rejections,
+        ..
+    } = validator.validate(answer(3, ListMode::Full, vec![]), drained.iter());
     assert_eq!((retained, rejections), (vec![], vec![]));
 }
 
@@ -120,8 +139,11 @@
         entry("a9", "a", State::Ready),
         entry("a2", "a", State::Draining),
     ];
-    let (mode, retained, rejections) =
-        validator.validate(answer(6, ListMode::Full, old), listed.iter());
+    let ValidatedList {
+        mode,
+        entries: retained,
+        rejections,
+    } = validator.validate(answer(6, ListMode::Full, old), listed.iter());
     assert_eq!((mode, uids(&retained)), (ListMode::Delta, vec!["a1", "a2"]));
     assert_eq!(rejections, [Rejection::Stale { rev: 6, known: 7 }]);
     // The same revision again is a repeat and no older, and a source may number nothing at all.
@@ -130,7 +152,7 @@
             rev,
             ..answer(0, ListMode::Delta, ready(&["a9"]))
         };
-        assert_eq!(validator.validate(again, listed.iter()).2, []);
+        assert_eq!(validator.validate(again, listed.iter()).rejections, []);
     }
 }
 
@@ -153,8 +175,11 @@
         (vec![gone.clone(), started], State::Ready, false),
         (vec![back.clone(), back], State::Ready, false),
     ] {
-        let (_, retained, rejections) =
-            ListValidator::default().validate(answer(1, ListMode::Delta, changes), [].iter());
+        let ValidatedList {
+            entries: retained,
+            rejections,
+            ..
+        } = ListValidator::default().validate(answer(1, ListMode::Delta, changes), [].iter());
         assert_eq!((retained.len(), retained[0].server.state), (1, state));
         assert_eq!(
             rejections == [Rejection::Contradiction("a1".into())],
@@ -170,7 +195,11 @@
         unreadable: vec!["field 'state' is wrong".into(), "?".into()],
         ..answer(2, ListMode::Full, ready(&["a1", "a2"]))
     };
-    let (mode, retained, rejections) = ListValidator::default().validate(torn, listed.iter());
+    let ValidatedList {
+        mode,
+        entries: retained,
+        rejections,
+    } = ListValidator::default().validate(torn, listed.iter());
     assert_eq!((mode, uids(&retained)), (ListMode::Delta, vec!["a1", "a2"]));
     assert_eq!(
         rejections,
