--- /dev/null
+++ b/consul/src/registration.rs
@@ -0,0 +1,273 @@
+//! The proxy's own registration, with a TTL check that it keeps passing only while it can serve.
+//!
+//! An agent that restarts without its state has lost the registration. The next check update then fails (404, or 500
+//! from older agents), and the proxy registers again.
+
+mod payload;
+
+use crate::backoff::Backoff;
+use crate::error::CallError;
+use crate::http::{segment, Call, Response, TransportError};
+use linnetknot::Micros;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+/// Delay after the first failure.
+const MIN_BACKOFF_US: Micros = 100_000;
+/// Attempts to deregister at shutdown; if all fail, the check turns critical by itself.
+const MAX_DEREGISTER_ATTEMPTS: u32 = 3;
+/// Longest delay between the attempts to deregister.
+const MAX_DEREGISTER_DELAY_US: Micros = 100_000;
+/// Mixed into the seed, so that watch and registration of one proxy do not share their jitter.
+const SEED_SALT: u64 = 0x7e61;
+
+/// What is registered.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Registrant {
+    /// Id of the instance, unique at its agent.
+    pub id: String,
+    /// Name of the service.
+    pub name: String,
+    /// Where clients connect.
+    pub address: SocketAddr,
+    /// Tags of the service.
+    pub tags: Vec<String>,
+    /// Metadata of the service.
+    pub meta: BTreeMap<String, String>,
+    /// The check turns critical by itself if it is not updated for this long, in microseconds.
+    pub ttl_us: Micros,
+    /// The agent deregisters the service once it was critical for this long, in microseconds; none: never.
+    pub deregister_after_us: Option<Micros>,
+    /// Timeout of a call, in microseconds.
+    pub response_timeout_us: Micros,
+    /// Number of agents to choose from. A service belongs to the agent that registered it, so that one is kept.
+    pub agents: usize,
+}
+
+impl Registrant {
+    fn check_id(&self) -> String {
+        format!("service:{}", self.id)
+    }
+}
+
+/// A change of the registration, for the log.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum RegistrationEvent {
+    /// The agent has taken the registration.
+    Registered,
+    /// The agent has lost the registration; the proxy registers again.
+    Forgotten,
+    /// The agent has removed the registration.
+    Deregistered,
+    /// A call failed, the first in a row.
+    Failed(CallError),
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Stage {
+    Unregistered,
+    Registered,
+    Deregistering,
+    Deregistered,
+}
+
+/// The call in flight, with the readiness that it reports.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum PendingCall {
+    Register { ready: bool },
+    Update { ready: bool },
+    Deregister,
+}
+
+/// The proxy's registration at an agent.
+#[derive(Clone, Debug)]
+pub struct Registration {
+    registrant: Registrant,
+    stage: Stage,
+    /// Index of the agent that is called.
+    agent: usize,
+    pending: Option<PendingCall>,
+    next_at: Micros,
+    /// The readiness that the agent last acknowledged.
+    reported_ready: Option<bool>,
+    backoff: Backoff,
+    deregister_attempts: u32,
+}
+
+impl Registration {
+    /// A registration that is due at once.
+    pub fn new(registrant: Registrant, seed: u64) -> Self {
+        // At least two updates within a TTL, whatever fails in between.
+        let max_backoff_us = (registrant.ttl_us / 3).max(MIN_BACKOFF_US);
+        Registration {
+            registrant,
+            stage: Stage::Unregistered,
+            agent: 0,
+            pending: None,
+            next_at: 0,
+            reported_ready: None,
+            backoff: Backoff::new(MIN_BACKOFF_US, max_backoff_us, seed ^ SEED_SALT),
+            deregister_attempts: 0,
+        }
+    }
+
+    /// When the next call is due, given whether the proxy can serve; none while a call is in flight, and after the end.
+    pub fn due(&self, now: Micros, ready: bool) -> Option<Micros> {
+        if self.pending.is_some() || self.stage == Stage::Deregistered {
+            return None;
+        }
+        // A change is reported at once, unless the agent has just failed.
+        let changed = self.stage == Stage::Registered
+            && self.reported_ready != Some(ready)
+            && self.backoff.failures() == 0;
+        Some(if changed { now } else { self.next_at })
+    }
+
+    /// The next call, if one is due. Its outcome goes to [`on_response`](Self::on_response) or
+    /// [`on_failure`](Self::on_failure).
+    pub fn poll(&mut self, now: Micros, ready: bool) -> Option<Call> {
+        if self.due(now, ready)? > now {
+            return None;
+        }
+        let pending = match self.stage {
+            Stage::Unregistered => PendingCall::Register { ready },
+            Stage::Registered => PendingCall::Update { ready },
+            Stage::Deregistering => PendingCall::Deregister,
+            Stage::Deregistered => return None,
+        };
+        self.pending = Some(pending);
+        Some(self.call(pending))
+    }
+
+    /// The request of a call.
+    fn call(&self, pending: PendingCall) -> Call {
+        let registrant = &self.registrant;
+        let (target, body) = match pending {
+            PendingCall::Register { ready } => (
+                "/v1/agent/service/register".to_owned(),
+                payload::register(registrant, ready),
+            ),
+            PendingCall::Update { ready } => {
+                let check_id = segment(&registrant.check_id());
+                let target = format!("/v1/agent/check/update/{check_id}");
+                (target, payload::check_update(ready))
+            }
+            PendingCall::Deregister => {
+                let id = segment(&registrant.id);
+                let target = format!("/v1/agent/service/deregister/{id}");
+                (target, Vec::new())
+            }
+        };
+        Call {
+            agent: self.agent,
+            method: "PUT",
+            target,
+            body,
+            timeout_us: registrant.response_timeout_us,
+        }
+    }
+
+    /// Takes the response to the call in flight.
+    pub fn on_response(
+        &mut self,
+        now: Micros,
+        response: &Response<'_>,
+    ) -> Option<RegistrationEvent> {
+        let pending = self.pending.take()?;
+        let heartbeat_at = now + self.backoff.jitter(self.registrant.ttl_us / 4);
+        match (pending, response.status) {
+            (PendingCall::Register { ready }, 200) => {
+                if self.stage == Stage::Unregistered {
+                    self.stage = Stage::Registered;
+                }
+                self.on_reported(heartbeat_at, ready);
+                Some(RegistrationEvent::Registered)
+            }
+            (PendingCall::Update { ready }, 200) => {
+                self.on_reported(heartbeat_at, ready);
+                None
+            }
+            (PendingCall::Update { .. }, _) if is_unknown_check(response) => {
+                if self.stage == Stage::Registered {
+                    self.stage = Stage::Unregistered;
+                }
+                self.next_at = now;
+                Some(RegistrationEvent::Forgotten)
+            }
+            (PendingCall::Deregister, 200 | 404) => {
+                self.stage = Stage::Deregistered;
+                Some(RegistrationEvent::Deregistered)
+            }
+            (pending, status) => {
+                let summary = response.error_summary();
+                self.fail(now, pending, CallError::Status { status, summary })
+            }
+        }
+    }
+
+    /// Takes the failure of the call in flight.
+    pub fn on_failure(&mut self, now: Micros, error: TransportError) -> Option<RegistrationEvent> {
+        let pending = self.pending.take()?;
+        self.fail(now, pending, error.into())
+    }
+
+    /// The agent has taken a report of the proxy's readiness.
+    fn on_reported(&mut self, heartbeat_at: Micros, ready: bool) {
+        self.backoff.reset();
+        self.reported_ready = Some(ready);
+        if self.stage != Stage::Deregistering {
+            self.next_at = heartbeat_at;
+        }
+    }
+
+    fn fail(
+        &mut self,
+        now: Micros,
+        pending: PendingCall,
+        error: CallError,
+    ) -> Option<RegistrationEvent> {
+        let is_first = self.backoff.failures() == 0;
+        self.next_at = now + self.backoff.next_delay();
+        match pending {
+            // The service does not belong to an agent yet, so the next one may take it.
+            PendingCall::Register { .. } => {
+                self.agent = (self.agent + 1) % self.registrant.agents.max(1);
+            }
+            PendingCall::Update { .. } => {}
+            PendingCall::Deregister => {
+                self.deregister_attempts += 1;
+                if self.deregister_attempts >= MAX_DEREGISTER_ATTEMPTS {
+                    self.stage = Stage::Deregistered;
+                }
+            }
+        }
+        if self.stage == Stage::Deregistering {
+            self.next_at = self.next_at.min(now + MAX_DEREGISTER_DELAY_US);
+        }
+        is_first.then_some(RegistrationEvent::Failed(error))
+    }
+
+    /// Begins the shutdown: the service is deregistered as soon as no call is in flight.
+    pub fn deregister(&mut self, now: Micros) {
+        self.stage = match (self.stage, self.pending) {
+            (Stage::Unregistered, None) => Stage::Deregistered,
+            (Stage::Deregistered, _) => Stage::Deregistered,
+            _ => Stage::Deregistering,
+        };
+        self.next_at = now;
+    }
+
+    /// Whether the proxy may end: it is deregistered, or the attempts to do so are used up.
+    pub fn is_finished(&self) -> bool {
+        self.stage == Stage::Deregistered
+    }
+}
+
+/// Whether an agent does not know the check that was updated. Older agents answer 500 in place of 404.
+fn is_unknown_check(response: &Response<'_>) -> bool {
+    match response.status {
+        404 => true,
+        500 => response.error_summary().contains("nknown check"),
+        _ => false,
+    }
+}
