--- a/tests/common/world/attempts.rs
+++ b/tests/common/world/attempts.rs
@@ -7,7 +7,7 @@
 impl World {
     /// No server that a proxy was told is gone gets anything new from it.
     fn assert_not_barred(&self, n: usize, server: ServerId) {
-        let told = self.proxies[n].barred.get(&server);
+        let told = self.seats[n].barred.get(&server);
         assert!(
             told.is_none(),
             "{server} was told to be gone {} us ago",
@@ -16,12 +16,12 @@
     }
 
     pub(super) fn attempt(&mut self, n: usize, id: RequestId, server: ServerId, fill: Fill) {
-        let (now, zone) = (self.now, self.proxies[n].zone);
+        let (now, zone) = (self.now, self.seats[n].zone);
         let source = (fill.source != server).then_some(fill.source);
         for s in [Some(server), source].into_iter().flatten() {
             self.assert_not_barred(n, s);
         }
-        let out = self.proxies[n]
+        let out = self.seats[n]
             .out
             .get_mut(&id)
             .expect("a request that is open");
@@ -70,7 +70,7 @@
             at: now,
             link,
         };
-        self.proxies[n].out.get_mut(&id).expect("it is open").sent = Some(sent);
+        self.seats[n].out.get_mut(&id).expect("it is open").sent = Some(sent);
         if let Some((took, outcome, note, waited)) = end {
             self.later(took, Scheduled::End(n, id, attempt, outcome, note, waited));
         }
@@ -119,7 +119,7 @@
         note: Note,
         waited_us: Micros,
     ) {
-        let Some(out) = self.proxies[n].out.get_mut(&id) else {
+        let Some(out) = self.seats[n].out.get_mut(&id) else {
             return;
         };
         let last = attempt.is_none();
@@ -134,7 +134,7 @@
         let Some(sent) = out.sent.take() else { return };
         let (number, object, at) = (out.attempts - 1, out.object, out.at);
         let settled = outcome == Outcome::Ok || last;
-        let zone = self.proxies[n].zone;
+        let zone = self.seats[n].zone;
         self.links[zone] -= f64::from(u8::from(sent.link));
         if let Some(b) = self.servers.get_mut(&sent.server) {
             b.active = (b.active - 1.0).max(0.0);
--- a/tests/common/world/clients.rs
+++ b/tests/common/world/clients.rs
@@ -36,7 +36,7 @@
             at,
             sent: None,
         };
-        self.proxies[n].out.insert(id, out);
+        self.seats[n].out.insert(id, out);
         self.later(self.deadline_us, Scheduled::Deadline(n, id));
         let write = self.writes > 0.0 && self.unit() < self.writes;
         let request = Request {
@@ -78,7 +78,7 @@
     }
 
     pub(super) fn finish(&mut self, n: usize, id: RequestId, served: bool) {
-        let Some(out) = self.proxies[n].out.get_mut(&id) else {
+        let Some(out) = self.seats[n].out.get_mut(&id) else {
             return;
         };
         assert!(!out.answered, "two final answers");
@@ -92,12 +92,12 @@
     }
 
     pub(super) fn tidy(&mut self, n: usize, id: RequestId) {
-        if self.proxies[n]
+        if self.seats[n]
             .out
             .get(&id)
             .is_some_and(|o| o.answered && o.sent.is_none())
         {
-            self.proxies[n].out.remove(&id);
+            self.seats[n].out.remove(&id);
         }
     }
 }
--- a/tests/common/world/mod.rs
+++ b/tests/common/world/mod.rs
@@ -87,7 +87,7 @@
 
 pub(crate) struct World {
     pub now: Micros,
-    pub proxies: Vec<Proxy>,
+    pub seats: Vec<Proxy>,
     pub servers: BTreeMap<ServerId, FakeServer>,
     pub seconds: Vec<Second>,
     /// What a location's link fits at full pace, in transfers.
@@ -197,11 +197,11 @@
         world.put(ORIGIN, 0, 1.0, None);
         for n in 0..zones * proxies {
             world
-                .proxies
+                .seats
                 .push(Proxy::new(n, n / proxies + 1, &config, seed));
         }
         let all = world.listed();
-        for n in 0..world.proxies.len() {
+        for n in 0..world.seats.len() {
             world.later(0, Scheduled::List(n, ListMode::Full, all.clone()));
             let wait = world.gap();
             world.later(wait, Scheduled::Arrival(n));
@@ -213,7 +213,7 @@
     fn empty(config: &Settings, rate_per_s: f64, seed: u64) -> Self {
         World {
             now: T0,
-            proxies: Vec::new(),
+            seats: Vec::new(),
             servers: BTreeMap::new(),
             seconds: Vec::new(),
             link_fits: 30.0,
@@ -242,7 +242,7 @@
 
     /// All routers hear of the list after a wait, each a little later than the one before.
     pub(crate) fn tell(&mut self, wait: Micros, mode: ListMode, entries: &[Server]) {
-        for n in 0..self.proxies.len() {
+        for n in 0..self.seats.len() {
             self.later(
                 wait + n as Micros,
                 Scheduled::List(n, mode, entries.to_vec()),
@@ -282,7 +282,7 @@
 
     /// Goes on for so long; `notify` is called with the numbers that were to be called, and after each outcome at a
     /// proxy.
-    pub(crate) fn run(&mut self, for_us: Micros, mut notify: impl FnMut(&mut World, Notice)) {
+    pub(crate) fn run(&mut self, for_us: Micros, mut notify: impl FnMut(&mut World, Heed)) {
         let end = self.now + for_us;
         while let Some(entry) = self.queue.first_entry().filter(|e| e.key().0 <= end) {
             self.now = entry.key().0;
@@ -290,13 +290,13 @@
                 Scheduled::Arrival(n) => self.arrival(n),
                 Scheduled::Timer(n, tag) => self.feed(n, Event::Timer { tag }),
                 Scheduled::List(n, mode, servers) => self.list(n, mode, servers),
-                Scheduled::Call(number) => notify(self, Notice::Call(number)),
+                Scheduled::Call(number) => notify(self, Heed::Call(number)),
                 Scheduled::Deadline(n, id) => {
                     self.ended(n, id, None, Outcome::Timeout, Note::None, 0);
                 }
                 Scheduled::End(n, id, attempt, outcome, note, waited) => {
                     self.ended(n, id, Some(attempt), outcome, note, waited);
-                    notify(self, Notice::Outcome(n));
+                    notify(self, Heed::Outcome(n));
                 }
             }
         }
@@ -311,8 +311,8 @@
     fn list(&mut self, n: usize, mode: ListMode, servers: Vec<Server>) {
         for s in &servers {
             match s.state {
-                State::Ready => _ = self.proxies[n].barred.remove(&s.id),
-                _ => _ = self.proxies[n].barred.entry(s.id).or_insert(self.now),
+                State::Ready => _ = self.seats[n].barred.remove(&s.id),
+                _ => _ = self.seats[n].barred.entry(s.id).or_insert(self.now),
             }
         }
         self.feed(n, Event::List { mode, servers });
@@ -321,7 +321,7 @@
     /// Gives a router an event and carries out what follows.
     pub(crate) fn feed(&mut self, n: usize, event: Event) {
         let mut actions = Vec::new();
-        let router = &mut self.proxies[n].router;
+        let router = &mut self.seats[n].router;
         router.handle(self.now, event, &mut actions);
         if let Some(trace) = &mut self.trace {
             trace.record(self.now, router, &actions);
@@ -351,7 +351,7 @@
 }
 
 /// Why `run` calls back.
-pub(crate) enum Notice {
+pub(crate) enum Heed {
     /// This number was to be called.
     Call(u64),
     /// An attempt of this proxy has ended.
--- a/tests/decision_trace/main.rs
+++ b/tests/decision_trace/main.rs
@@ -11,7 +11,7 @@
 mod random_fleet;
 
 use common::trace::Trace;
-use common::world::{Notice, World, ORIGIN, PARENTS};
+use common::world::{Heed, World, ORIGIN, PARENTS};
 use common::{class, fleet, sent, settings, Rig, MS, S, T0};
 use linnetknot::*;
 use random_fleet::{RandomFleet, Tempo};
@@ -172,7 +172,7 @@
     world.objects = 500.0;
     (1..=WORLD_SECONDS).for_each(|second| world.call(second * S, second));
     world.run(WORLD_SECONDS * S, |world, notify| {
-        let Notice::Call(second) = notify else {
+        let Heed::Call(second) = notify else {
             return;
         };
         let trace = world.trace.as_mut().expect("it was set");
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -63,16 +63,16 @@
                 .vanished = true;
         };
         match notify {
-            Notice::Call(12) => w.origin_per_s = 200.0,
-            Notice::Call(16) => vanish(w, 0),
-            Notice::Call(20) => vanish(w, 1),
-            Notice::Call(23) => w.tell(0, ListMode::Delta, &[w.entry(PARENTS[0], State::Gone)]),
-            Notice::Call(27) => w.tell(0, ListMode::Delta, &[w.entry(PARENTS[1], State::Gone)]),
-            Notice::Call(_) => {
+            Heed::Call(12) => w.origin_per_s = 200.0,
+            Heed::Call(16) => vanish(w, 0),
+            Heed::Call(20) => vanish(w, 1),
+            Heed::Call(23) => w.tell(0, ListMode::Delta, &[w.entry(PARENTS[0], State::Gone)]),
+            Heed::Call(27) => w.tell(0, ListMode::Delta, &[w.entry(PARENTS[1], State::Gone)]),
+            Heed::Call(_) => {
                 w.put(PARENTS[0], 0, 30.0, Some(now));
                 w.tell(0, ListMode::Delta, &[w.entry(PARENTS[0], State::Ready)]);
             }
-            Notice::Outcome(_) => {}
+            Heed::Outcome(_) => {}
         }
     });
     w
@@ -123,18 +123,18 @@
                 .collect::<Vec<_>>()
         };
         match notify {
-            Notice::Call(6) => w
+            Heed::Call(6) => w
                 .servers
                 .values_mut()
                 .filter(|b| b.zone == 1)
                 .for_each(|b| b.vanished = true),
-            Notice::Call(10) => w.tell(0, ListMode::Delta, &word(w, State::Gone)),
-            Notice::Call(_) => {
+            Heed::Call(10) => w.tell(0, ListMode::Delta, &word(w, State::Gone)),
+            Heed::Call(_) => {
                 let now = w.now;
                 zone.iter().for_each(|id| w.put(*id, 1, 8.0, Some(now)));
                 w.tell(0, ListMode::Delta, &word(w, State::Ready));
             }
-            Notice::Outcome(_) => {}
+            Heed::Outcome(_) => {}
         }
     });
     let (refused, all) = lost(&w, 19..39);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -33,18 +33,18 @@
                 .collect::<Vec<_>>()
         };
         match notify {
-            Notice::Call(6) => w
+            Heed::Call(6) => w
                 .servers
                 .values_mut()
                 .filter(|b| b.zone == 1)
                 .for_each(|b| b.vanished = true),
-            Notice::Call(9) => w.tell(0, ListMode::Delta, &word(w, State::Gone)),
-            Notice::Call(_) => {
+            Heed::Call(9) => w.tell(0, ListMode::Delta, &word(w, State::Gone)),
+            Heed::Call(_) => {
                 let now = w.now;
                 zone.iter().for_each(|id| w.put(*id, 1, 8.0, Some(now)));
                 w.tell(0, ListMode::Delta, &word(w, State::Ready));
             }
-            Notice::Outcome(_) => {}
+            Heed::Outcome(_) => {}
         }
     });
     w
@@ -55,7 +55,7 @@
     w.link_fits = 1e3;
     (0..7).for_each(|n| w.call((6 + n) * S, n));
     w.run(24 * S, |w, notify| {
-        let Notice::Call(n) = notify else { return };
+        let Heed::Call(n) = notify else { return };
         let now = w.now;
         let mut word = Vec::new();
         for zone in 1..=6 {
@@ -78,7 +78,7 @@
     w.link_fits = link_fits;
     w.call(10 * S, 0);
     w.run(24 * S, |w, notify| {
-        if let Notice::Call(_) = notify {
+        if let Heed::Call(_) = notify {
             w.servers
                 .values_mut()
                 .filter(|b| b.zone > 0)
@@ -160,7 +160,7 @@
     w.link_fits = 1e3;
     w.call(6 * S, 0);
     w.run(16 * S, |w, notify| {
-        let Notice::Call(_) = notify else { return };
+        let Heed::Call(_) = notify else { return };
         let mut word = Vec::new();
         for zone in 1..=6 {
             word.push(w.entry(caches(w, zone)[0], State::Gone));
--- a/tests/large.rs
+++ b/tests/large.rs
@@ -174,7 +174,7 @@
             let mut w = site.world(load, seed);
             w.call(8 * S, 1);
             w.run(25 * S, |w, notify| {
-                let Notice::Call(_) = notify else { return };
+                let Heed::Call(_) = notify else { return };
                 let now = w.now;
                 let replaced: Vec<ServerId> = [10, 11, 20, 21]
                     .into_iter()
