--- a/daemon/src/daemon/operator_state.rs
+++ b/daemon/src/daemon/operator_state.rs
@@ -94,7 +94,7 @@
         if written.is_err() {
             return false;
         }
-        self.operator_state.backoff.succeeded();
+        self.operator_state.backoff.reset();
         fail::fail_point!("admin-kept");
         true
     }
@@ -125,7 +125,7 @@
         if is_planned || !(state.is_unread || state.is_stale) {
             return;
         }
-        let at = now + state.backoff.failed();
+        let at = now + state.backoff.next_delay();
         let due = self.later(at, |daemon, now| {
             daemon.operator_state.due = None;
             daemon.tend_operator_state(now);
@@ -148,7 +148,7 @@
     fn take_kept(&mut self, now: Micros, kept: Kept) {
         log::info!(attempts = self.operator_state.backoff.failures(); "what the operators decided before is read");
         self.operator_state.is_unread = false;
-        self.operator_state.backoff.succeeded();
+        self.operator_state.backoff.reset();
         let is_drained = kept.out_of_service;
         let bans: Vec<String> = kept.bans.iter().cloned().collect();
         self.ops = Operations::new(kept, now);
--- a/daemon/src/daemon/store_opening.rs
+++ b/daemon/src/daemon/store_opening.rs
@@ -123,7 +123,7 @@
             log::error!(attempts = self.backoff.failures() + 1; "the store still can't be opened: {reason}");
             self.reason = reason;
         }
-        now + self.backoff.failed()
+        now + self.backoff.next_delay()
     }
 }
 
@@ -143,7 +143,7 @@
     /// Plans the first attempt after the start.
     pub(super) fn begin_reopening(&mut self, now: Micros) {
         if let Some(pending) = &mut self.pending_store {
-            let due = now + pending.backoff.failed();
+            let due = now + pending.backoff.next_delay();
             self.later(due, Daemon::reopen_store);
         }
     }
--- a/daemon/src/disk.rs
+++ b/daemon/src/disk.rs
@@ -177,7 +177,7 @@
     fn run(mut self) {
         loop {
             let wait =
-                (!self.owed.is_empty()).then(|| Duration::from_micros(self.backoff.failed()));
+                (!self.owed.is_empty()).then(|| Duration::from_micros(self.backoff.next_delay()));
             let next = match wait {
                 Some(wait) => self.given.recv_timeout(wait),
                 None => self
@@ -208,7 +208,7 @@
         let failed = self.failed.entry(path.clone()).or_default();
         failed.take(&path, &result);
         match result {
-            Ok(()) => self.backoff.succeeded(),
+            Ok(()) => self.backoff.reset(),
             Err(_) => drop(self.owed.insert(path, bytes)),
         }
     }
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -70,6 +70,8 @@
     origin_admission: OriginAdmission,
     /// The latest purge of each object and of each group.
     purges: PurgeTable,
+    /// What is to be added to this router's clock for the one by which purges are dated.
+    origin_offset_us: i64,
     /// What this router may spend of the budgets that all routers share.
     leases: BTreeMap<Budget, Lease>,
     /// The first event has been taken in.
@@ -97,6 +99,7 @@
             link_pace: Pace::default(),
             origin_admission: OriginAdmission::new(),
             purges: PurgeTable::new(EXACT_PURGE_CAPACITY, BucketBits::DEFAULT),
+            origin_offset_us: 0,
             leases: BTreeMap::new(),
             started: false,
         })
@@ -150,7 +153,7 @@
                 object,
                 group,
                 age_us,
-            } => self.record_purge(now.saturating_sub(age_us), object.as_deref(), group),
+            } => self.record_purge(now, age_us, object.as_deref(), group),
         }
     }
 }
--- a/src/router/purges.rs
+++ b/src/router/purges.rs
@@ -17,8 +17,25 @@
         &mut self.purges
     }
 
+    /// Sets what is to be added to this router's clock for the one by which the purges of its table are dated.
+    pub fn set_origin_offset(&mut self, offset_us: i64) {
+        self.origin_offset_us = offset_us;
+    }
+
+    /// A time on the clock by which purges are dated.
+    pub(super) fn origin_time(&self, now: Micros) -> Micros {
+        now.saturating_add_signed(self.origin_offset_us)
+    }
+
     /// Takes in a purge of an object, or with no object of a whole group.
-    pub(super) fn record_purge(&mut self, at: Micros, object: Option<&str>, group: u64) {
+    pub(super) fn record_purge(
+        &mut self,
+        now: Micros,
+        age_us: Micros,
+        object: Option<&str>,
+        group: u64,
+    ) {
+        let at = self.origin_time(now).saturating_sub(age_us);
         let key = object.map_or(KeyHash::of_group(group), KeyHash::of_object);
         self.purges.record(key, at);
     }
@@ -32,6 +49,10 @@
             0 => Micros::MAX,
             us => us,
         };
-        Some(now.saturating_sub(purged_at).clamp(1, fresh_us))
+        Some(
+            self.origin_time(now)
+                .saturating_sub(purged_at)
+                .clamp(1, fresh_us),
+        )
     }
 }
--- a/src/router/timers.rs
+++ b/src/router/timers.rs
@@ -34,7 +34,9 @@
     /// goes elsewhere.
     pub(super) fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
         Self::schedule_tick(now, actions);
-        self.purges.compact(now, self.settings.rules.purge_done_us);
+        let origin_now = self.origin_time(now);
+        self.purges
+            .compact(origin_now, self.settings.rules.purge_done_us);
         self.update_averages(now, TICK_US as f64 / 1e6 / AVERAGING_S);
         self.eject_silent(now);
         self.cancel_hopeless(now, actions);
--- a/tests/slow_start_split.rs
+++ b/tests/slow_start_split.rs
@@ -174,13 +174,18 @@
         let r = self.settings(0).rules;
         let (share, cold, multiple, capacity) = if self.parent {
             (
-                r.parent_cold_share,
-                r.parent_cold_us,
-                r.parent_fall_multiple,
+                r.parent_slow_start_share,
+                r.parent_slow_start_us,
+                r.parent_overload_multiple,
                 30.0,
             )
         } else {
-            (r.cold_share, r.cold_us, r.fall_multiple, 8.0)
+            (
+                r.slow_start_share,
+                r.slow_start_us,
+                r.overload_multiple,
+                8.0,
+            )
         };
         let warmth = (share + (1.0 - share) * age as f64 / cold as f64).min(1.0);
         multiple * warmth * capacity * self.size * r.fall_us as f64 / 1e6 / WORK_S
