--- a/consul/src/http.rs
+++ b/consul/src/http.rs
@@ -26,8 +26,8 @@
     /// The text is empty or white space.
     #[error("the token is empty")]
     Empty,
-    /// The text holds a character that is not allowed in a header.
-    #[error("the token holds a character that is not allowed in a header")]
+    /// The text contains a character that is not allowed in a header.
+    #[error("the token contains a character that is not allowed in a header")]
     Malformed,
     /// The text is longer than any token.
     #[error("the token is too long")]
--- a/consul/src/watch/event.rs
+++ b/consul/src/watch/event.rs
@@ -77,45 +77,66 @@
 impl fmt::Display for WatchEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::QueryFailed { agent, error } => {
-                write!(f, "agent {agent} {error}; the last endpoint list stays in force")
-            }
-            Self::Recovered { agent, failures } => {
-                write!(f, "agent {agent} answers again, after {failures} failures in a row")
-            }
+            Self::QueryFailed { agent, error } => write!(
+                f,
+                "agent {agent} {error}; the last endpoint list stays in force"
+            ),
+            Self::Recovered { agent, failures } => write!(
+                f,
+                "agent {agent} answers again, after {failures} failures in a row"
+            ),
             Self::PermissionDenied { agent, message } => {
                 write!(f, "agent {agent} denies the query: {message}")
             }
             Self::InstanceSkipped(skipped) => write!(f, "{skipped}"),
-            Self::MostlyUnusable { unusable, total, first } => write!(
-                f,
-                "{unusable} of {total} instances can't be used, as with '{}': {}; see 'consul' in the configuration",
-                first.uid.escape_default(),
-                first.fault,
-            ),
-            Self::DuplicateId { uid, accepted, rejected } => write!(
+            Self::MostlyUnusable {
+                unusable,
+                total,
+                first,
+            } => write_mostly_unusable(f, *unusable, *total, first),
+            Self::DuplicateId {
+                uid,
+                accepted,
+                rejected,
+            } => write!(
                 f,
-                "id '{uid}' is registered at {accepted} and {rejected}: the latter is skipped (see 'identity')",
+                "id '{uid}' is registered at {accepted} and {rejected}: \
+                 the latter is skipped (see 'identity')",
             ),
             Self::ConfirmationPending { named, known } => write!(
                 f,
-                "a response lists {named} of {known} known caches: the others stay until the catalog confirms it",
+                "a response lists {named} of {known} known caches: \
+                 the others stay until the catalog confirms it",
             ),
-            Self::Confirmed => {
-                write!(f, "the catalog confirms the response that left out known caches")
-            }
+            Self::Confirmed => f.write_str("the catalog confirms the shrunken list"),
             Self::Contradicted { registered } => write!(
                 f,
-                "the catalog contradicts the response that left out known caches: it lists {registered} of them",
+                "the catalog contradicts the shrunken list: it has {registered} of the known caches",
             ),
             Self::StaleResponse(us) => write!(
                 f,
                 "a server has had no contact with its leader for {} ms: its response is not used",
                 us / 1000,
             ),
-            Self::IndexReset { from, to } => {
-                write!(f, "the index went from {from} to {to}: the list is read from scratch")
-            }
+            Self::IndexReset { from, to } => write!(
+                f,
+                "the index went from {from} to {to}: the list is read from scratch"
+            ),
         }
     }
 }
+
+fn write_mostly_unusable(
+    f: &mut fmt::Formatter<'_>,
+    unusable: usize,
+    total: usize,
+    first: &SkippedInstance,
+) -> fmt::Result {
+    let uid = first.uid.escape_default();
+    let fault = &first.fault;
+    write!(
+        f,
+        "{unusable} of {total} instances can't be used, as with '{uid}': {fault}; \
+         see 'consul' in the configuration",
+    )
+}
--- a/consul/tests/mapping.rs
+++ b/consul/tests/mapping.rs
@@ -68,7 +68,7 @@
     assert_eq!(
         (weight("ok"), weight("warns")),
         (8.0, 2.0),
-        "the weights that Consul holds"
+        "the weights in Consul"
     );
 }
 
@@ -409,7 +409,7 @@
     assert_eq!(rig.list["a"].entry.endpoint.port(), 1);
     assert!(
         matches!(&rig.events[..], [WatchEvent::DuplicateId { .. }]),
-        "said once: {:?}",
+        "reported once: {:?}",
         rig.events
     );
     let mut m = mapping();
@@ -475,11 +475,15 @@
 
     /// Whatever stands where nothing is needed, the box stays, and its state is its checks'.
     #[test]
-    fn any_json_where_nothing_is_needed_leaves_the_box(place in 0..NOT_NEEDED.len(), put in any_json(), fails in any::<bool>()) {
+    fn any_json_where_nothing_is_needed_leaves_the_box(
+        position in 0..NOT_NEEDED.len(),
+        put in any_json(),
+        fails in any::<bool>(),
+    ) {
         let mut one = instance("a", 7000, &[("c", if fails { "critical" } else { "passing" })]);
         one["Service"]["Address"] = "10.1.10.13".into();
         let mut at = &mut one;
-        for key in NOT_NEEDED[place] {
+        for key in NOT_NEEDED[position] {
             at = match key.parse::<usize>() {
                 Ok(n) => &mut at[n],
                 Err(_) => &mut at[*key],
--- a/consul/tests/watch.rs
+++ b/consul/tests/watch.rs
@@ -183,7 +183,7 @@
     let cached: Vec<_> = rig.list.values().map(|r| r.entry.clone()).collect();
     let mut rig = Rig::new(|_| {});
     let Evidence::Full(reports) = rig.watch.restore(&cached) else {
-        panic!("the whole list")
+        panic!("a full list")
     };
     assert_eq!((reports.len(), &reports[0].reason), (5, &Reason::Cached));
     rig.list = reports
@@ -223,7 +223,7 @@
         if n == 1 {
             assert!(
                 rig.now - start < 100 * MS,
-                "the other agents are asked at once"
+                "the other agents are queried at once"
             );
         }
     }
@@ -295,7 +295,7 @@
     let call = rig.call();
     assert!(
         !call.target.contains("stale"),
-        "the leader is asked: {}",
+        "the leader is queried: {}",
         call.target
     );
 }
@@ -348,7 +348,11 @@
     /// Any bytes in a valid answer's place, or in its midst, are an answer or a failure, never a panic, and a failure
     /// changes nothing.
     #[test]
-    fn garbage_is_no_list(garbage in proptest::collection::vec(any::<u8>(), 0..64), at in any::<usize>(), status in 100u16..600) {
+    fn garbage_is_no_list(
+        garbage in proptest::collection::vec(any::<u8>(), 0..64),
+        at in any::<usize>(),
+        status in 100u16..600,
+    ) {
         let mut rig = Rig::new(|_| {});
         rig.round(5, &ready(&["a", "b", "c"]));
         let valid = Value::from(ready(&["a", "b", "c"])).to_string().into_bytes();
--- a/discovery/src/endpoint_table/publish.rs
+++ b/discovery/src/endpoint_table/publish.rs
@@ -77,20 +77,12 @@
         let Some(cache) = self.caches.get_mut(uid) else {
             return;
         };
-        let Verdict {
-            mut entry,
-            state,
-            reason,
-            source,
-        } = verdict;
-        let status = match state {
-            State::Ready if is_suppressed => EndpointStatus::Suppressed,
-            State::Ready => EndpointStatus::Ready,
-            State::Draining => EndpointStatus::Draining,
-            State::Gone => EndpointStatus::Gone,
-        };
+        let status = verdict.status(is_suppressed);
+        let source = verdict.source;
+        let mut entry = verdict.entry;
         let old = cache.status();
-        let reason = cache.damping_reason(old, status).unwrap_or(reason);
+        let damping_reason = cache.damping_reason(old, status);
+        let reason = damping_reason.unwrap_or(verdict.reason);
         if status == EndpointStatus::Ready && old == EndpointStatus::Suppressed {
             cache.returned = Some(batch.now);
         }
--- a/discovery/src/endpoint_table/verdict.rs
+++ b/discovery/src/endpoint_table/verdict.rs
@@ -1,7 +1,7 @@
 //! What the reports of all sources on a cache amount to, before damping.
 
 use super::{EndpointTable, SourceReport, TrackedCache};
-use crate::evidence::{Entry, Reason, SourceId};
+use crate::evidence::{EndpointStatus, Entry, Reason, SourceId};
 use linnetknot::State;
 use std::net::SocketAddr;
 
@@ -14,6 +14,18 @@
     pub(super) source: SourceId,
 }
 
+impl Verdict {
+    /// The status that follows, once it is settled whether damping suppresses the cache.
+    pub(super) fn status(&self, is_suppressed: bool) -> EndpointStatus {
+        match self.state {
+            State::Ready if is_suppressed => EndpointStatus::Suppressed,
+            State::Ready => EndpointStatus::Ready,
+            State::Draining => EndpointStatus::Draining,
+            State::Gone => EndpointStatus::Gone,
+        }
+    }
+}
+
 impl EndpointTable {
     /// What the reports on a cache amount to; none without reports.
     pub(super) fn verdict(&self, uid: &str, cache: &TrackedCache) -> Option<Verdict> {
--- a/discovery/src/validation.rs
+++ b/discovery/src/validation.rs
@@ -51,7 +51,8 @@
                 retained,
             } => write!(
                 f,
-                "a list leaves out more than half of zone '{zone}', kind '{kind}': {retained} caches are retained"
+                "a list leaves out more than half of zone '{zone}', kind '{kind}': \
+                 {retained} caches are retained"
             ),
             Self::Unreadable(faults) => {
                 let count = faults.len();
--- a/discovery/tests/endpoint_table.rs
+++ b/discovery/tests/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The book by scripts: flaps, conflicts, bounds; and a relayed source, event by event.
+//! The endpoint table by scripts: flaps, conflicts, limits; and a relayed source, event by event.
 
 mod common;
 
@@ -97,7 +97,7 @@
         ready(&mut table, &mut mirror, now, &all(State::Draining));
         assert!(
             mirror.0.values().all(|e| e.server.state == State::Draining),
-            "told drains always hold"
+            "a reported drain always counts"
         );
         assert_eq!(mirror.0.len(), 9, "but the list is not emptied");
         now += S;
@@ -109,7 +109,7 @@
             .count();
         assert!(
             suppressed <= 3,
-            "{suppressed} of 9 held back, and a third may be"
+            "{suppressed} of 9 suppressed, and a third may be"
         );
     }
     let suppressed: Vec<_> = table
@@ -159,7 +159,7 @@
     );
     assert!(
         out.is_empty(),
-        "nothing is told where nothing has changed: {out:?}"
+        "nothing is published where nothing has changed: {out:?}"
     );
 }
 
@@ -398,7 +398,7 @@
         cases: 256, rng_seed: RngSeed::Fixed(0x11ae), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// On the platform the bus alone tells: the module must hear what it heard before there was a book.
+    /// Where the bus is the only source, the module must receive its events as they came.
     #[test]
     fn a_relayed_source_alone_is_passed_on_to_the_event(events in proptest::collection::vec(event(), 1..12)) {
         let mut table = table();
@@ -413,8 +413,8 @@
         }
     }
 
-    /// Whatever two sources say in whatever order: what one of them says drains is not given out as ready, no list
-    /// is emptied while a box is named, and what is told ready and steady is ready in the end.
+    /// Whatever two sources report in whatever order: what one of them reports as draining is not published as ready, no list
+    /// is emptied while a cache is listed, and what is reported ready and steady is ready in the end.
     #[test]
     fn words_of_two_sources_are_kept(steps in proptest::collection::vec(
         (any::<bool>(), any::<bool>(), 0u64..4000, proptest::collection::vec((0u8..4, state()), 0..5)), 1..30)) {
@@ -443,7 +443,7 @@
                 let (a, b) = (state_by(0), state_by(1));
                 let published = mirror.state(&format!("s-{n}"));
                 if a == State::Draining || b == State::Draining {
-                    prop_assert!(published != State::Ready, "s-{} is told to drain", n);
+                    prop_assert!(published != State::Ready, "s-{} is reported as draining", n);
                 }
                 prop_assert_eq!(published == State::Gone, a == State::Gone && b == State::Gone, "s-{}: {:?}", n, (a, b));
             }
--- a/discovery/tests/model.rs
+++ b/discovery/tests/model.rs
@@ -1,8 +1,8 @@
-//! The book under a model checker: all interleavings of evidence of two sources on three boxes, up to a depth.
+//! The endpoint table under a model checker: all interleavings of evidence of two sources on three caches, up to a depth.
 //!
-//! A state is the book itself beside the list as the module holds it and what each source last said. Checked in
-//! every state: nothing that a source says drains is given out as ready; the list is not empty while a source names
-//! a box; damping holds back no more than its share; and from here on, if nothing more is said, no box stays
+//! A state is the table itself beside the list as the module has it and what each source last reported. Checked in
+//! every state: nothing that a source reports as draining is published as ready; the list is not empty while a source lists
+//! a cache; damping suppresses no more than its share; and from here on, if nothing more is reported, no cache stays
 //! suppressed.
 
 mod common;
--- a/discovery/tests/validation.rs
+++ b/discovery/tests/validation.rs
@@ -1,4 +1,4 @@
-//! Answers of discovery that are empty, partial, stale, torn or at odds with themselves.
+//! Received lists that are empty, partial, stale, torn or contradict themselves.
 
 use linnetknot::{ListMode, Server, State};
 use linnetknot_discovery::{
@@ -41,7 +41,7 @@
     entries.iter().map(|e| e.uid.as_str()).collect()
 }
 
-/// Zone `a` with four boxes, zone `b` with one.
+/// Zone `a` with four caches, zone `b` with one.
 fn listed() -> Vec<Entry> {
     ready(&["a1", "a2", "a3", "a4", "b1"])
 }
@@ -117,7 +117,7 @@
             (mode, gone.clone(), vec![])
         );
     }
-    // Boxes that drain are no loss to a zone: nothing is kept for them.
+    // Caches that drain are no loss to a zone: nothing is retained for them.
     let drained: Vec<Entry> = listed
         .iter()
         .map(|e| entry(&e.uid, "a", State::Draining))
