--- a/daemon/src/daemon/admin.rs
+++ b/daemon/src/daemon/admin.rs
@@ -6,12 +6,12 @@
 //! clients, never keep an operator out: where its slots are full, the caller that came first leaves.
 
 use super::promises::Decided;
-use super::{Connection, Daemon, Kind, Timer, ADMIN};
+use super::{Connection, Daemon, Kind, Timer};
 use crate::fleet;
-use crate::net::{Conn, Interest, Key};
+use crate::net::{Conn, FailureKind, Key};
 use linnetknot::{ListMode, Micros, State};
 use linnetknot_ops::state::SWEEP_US;
-use linnetknot_ops::{store, Call, Drain, Effect, Parser, Reply};
+use linnetknot_ops::{Call, Drain, Effect, Parser, Reply};
 
 /// One caller's connection.
 pub(super) struct Caller {
@@ -39,16 +39,22 @@
     pub(super) fn accept_admin(&mut self, now: Micros) {
         let mut made_room = false;
         loop {
-            let Some(listener) = &self.admin else { return };
-            let socket = match Self::accept_one(listener) {
+            let Some(listener) = &mut self.admin else {
+                return;
+            };
+            let socket = match listener.accept() {
                 Ok(Some(socket)) => socket,
                 Ok(None) => {
-                    let _ = self.poll.change(listener, ADMIN, Interest::READ);
+                    if !listener.resume(&self.poll) {
+                        self.accept_later(now);
+                    }
                     return;
                 }
+                Err(failure) if failure.kind != FailureKind::NoDescriptors => {
+                    return self.pause_admin(now);
+                }
                 // Out of descriptors: make room by the oldest caller, or a client that rests, and take the next one then.
-                Err(e) => {
-                    log::debug!("the admin listener can't accept: {e}");
+                Err(_) => {
                     let again = std::mem::replace(&mut made_room, true);
                     if !again && self.make_room_for_caller(now) {
                         continue;
@@ -87,8 +93,8 @@
     }
 
     fn pause_admin(&mut self, now: Micros) {
-        if let Some(listener) = &self.admin {
-            let _ = self.poll.change(listener, ADMIN, Interest::NONE);
+        if let Some(listener) = &mut self.admin {
+            listener.pause(&self.poll);
         }
         self.accept_later(now);
     }
@@ -209,14 +215,33 @@
         let known = |id: &str| members.listed().any(|(e, _)| e.uid == id);
         let ready = self.can_serve();
         let before = self.ops.clone();
-        let (reply, effect) = self.ops.call(now, call, known, ready);
+        let is_ready_call = matches!(call, Call::Ready);
+        let (mut reply, effect) = self.ops.call(now, call, known, ready);
+        if let Some(pending) = self.pending_store.as_ref().filter(|_| is_ready_call) {
+            let lacks = format!(
+                "; commands are rejected, as the store can't be opened: {}",
+                pending.reason()
+            );
+            reply.text.push_str(&lacks);
+        }
+        if is_ready_call && self.operator_state.is_unread() {
+            let lacks =
+                "; operators' calls are rejected, as what they decided before can't be read yet";
+            reply.text.push_str(lacks);
+        }
+        if effect.is_some() && (self.lacks_store() || self.operator_state.is_unread()) {
+            self.ops = before;
+            self.count_rejected();
+            return Some(Reply::unavailable(
+                "nothing has changed: what was kept before can't be read yet",
+            ));
+        }
         if let Some(effect) = effect {
             if !self.keep_ops() {
                 // A yes would promise what the next process does not know of. One copy may have been put in place.
                 self.ops = before;
-                self.keep_ops();
-                return Some(Reply::new(
-                    503,
+                self.undo_ops(now);
+                return Some(Reply::unavailable(
                     "it can't be kept for the next process, so nothing has changed",
                 ));
             }
@@ -243,25 +268,8 @@
         }
     }
 
-    /// Keeps the operators' state for the next process: both copies in turn, each put in place whole. This is
-    /// done before the yes, on the loop, and not by the disk worker: the yes promises that the state outlives the
-    /// process, and the worker's queue may refuse a job. Calls that change something are few.
-    pub(super) fn keep_ops(&self) -> bool {
-        fail::fail_point!("admin-keeps");
-        let bytes = store::encode(self.ops.kept());
-        for path in store::copies(&self.ops_folder) {
-            if let Err(e) = crate::disk::replace(&path, &bytes) {
-                log::error!(file = path.display().to_string().as_str(); "the operators' state can't be kept: {e}");
-                return false;
-            }
-            fail::fail_point!("admin-kept-once");
-        }
-        fail::fail_point!("admin-kept");
-        true
-    }
-
     /// Nothing new to a pop cache: to the core it is gone, whatever its sources say, until the call back.
-    fn ban(&mut self, now: Micros, id: &str) {
+    pub(super) fn ban(&mut self, now: Micros, id: &str) {
         let listed = self
             .members
             .listed()
--- a/daemon/src/ledger/identity.rs
+++ b/daemon/src/ledger/identity.rs
@@ -25,6 +25,15 @@
 }
 
 impl Identity {
+    /// Of a process whose store can't be read yet.
+    pub(super) fn without_store(now: Micros) -> Self {
+        Identity {
+            is_fresh: true,
+            epoch: now,
+            incarnation: now,
+        }
+    }
+
     /// Reads what the last process left.
     ///
     /// This writer's log goes on in the epoch of the store only where the store was closed: after a crash its last
@@ -34,10 +43,13 @@
     pub(super) fn of(store: &mut Store, now: Micros) -> Result<Self, Fault> {
         let is_closed = store.get(OWN, CLOSED)?.is_some();
         let known = number(store, EPOCH)?;
+        // A later epoch is a greater one, also where the clock was set back between the two: what its operators decided
+        // last counts (`LogStore::decisions`).
+        let next_epoch = known.map_or(now, |before| now.max(before + 1));
         let incarnation = number(store, INCARNATION)?.map_or(0, |before| before + 1);
         Ok(Identity {
             is_fresh: known.is_none(),
-            epoch: known.filter(|_| is_closed).unwrap_or(now),
+            epoch: known.filter(|_| is_closed).unwrap_or(next_epoch),
             incarnation: now.max(incarnation),
         })
     }
@@ -52,6 +64,11 @@
     }
 }
 
+/// The write that keeps a process's incarnation.
+pub(super) fn incarnation(incarnation: Epoch) -> Write {
+    put(INCARNATION, &incarnation.to_be_bytes())
+}
+
 /// The write that ends a process in order.
 pub(super) fn closed() -> Write {
     put(CLOSED, b"1")
--- a/daemon/src/upstream/mod.rs
+++ b/daemon/src/upstream/mod.rs
@@ -32,6 +32,8 @@
     Begun(AttemptId),
     /// An attempt ended.
     Ended(AttemptId, Ended),
+    /// An answer has come, with the time at which the origin gave out its copy.
+    Dated(Micros),
     /// A probe ended.
     Probed(Outcome, Micros, Option<Load>),
 }
@@ -311,6 +313,7 @@
             let sent = Sent {
                 attempt,
                 at: now,
+                origin_at: core.origin_time(now),
                 end_offset,
                 max_age_us: frame.max_age_us,
                 behind,
@@ -390,6 +393,11 @@
         });
     }
 
+    /// Takes out what has not begun, to go on elsewhere.
+    pub fn take_queued(&mut self) -> Vec<AttemptId> {
+        self.queue.drain(..).map(|queued| queued.attempt).collect()
+    }
+
     /// The connection is over. What never arrived whole can't have run, and ends as `unsent`; the rest may have.
     pub fn broken(&mut self, unsent: Outcome, written: u64, events: &mut Vec<Told>) {
         for q in self.queue.drain(..) {
