--- a/discovery/src/kept.rs
+++ b/discovery/src/kept.rs
@@ -1,89 +1,74 @@
-//! The last good list, as a file holds it: one line with format, checksum and length, then JSON.
+//! The last confirmed endpoint list as a file stores it: one line with format, checksum and length, then JSON.
 //!
-//! A list is only taken from a file that is whole, of a known format, of the same scope and not from the future: a
-//! wrong list sends work to boxes that are long gone, which is worse than none. Only bytes are dealt with here; who
-//! writes them must put them in place at once (write beside, sync, rename).
+//! A list is only taken from a file that is complete, of a known format, of the same scope and recent: a wrong list sends
+//! work to caches that are long gone, which is worse than no list. This module deals with bytes only; whoever writes them
+//! must replace the file atomically (write beside, sync, rename).
 
 use crate::evidence::{server_id, Entry};
 use linnetknot::{Micros, Server, State};
 use serde::{Deserialize, Serialize};
-use std::fmt;
 use std::net::SocketAddr;
 
 const MARK: &str = "linnetknot-list";
-/// The format that is written.
+/// Version of the format that is written.
 pub const FORMAT: u32 = 1;
-/// The first line ends within so many bytes.
+/// Longest first line, in bytes.
 const MAX_HEAD: usize = 80;
 /// How far from the future a list may seem: the clock may have been an hour ahead when it was written, and an hour behind
 /// when it is read. Beyond that the time says nothing of how old it is.
 const FUTURE_US: Micros = 2 * 60 * 60 * 1_000_000;
 
-/// A list as it is kept.
+/// A cached list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Kept {
-    /// When it was last known to be good, as Unix time in microseconds.
+    /// When it was last confirmed, as Unix time in microseconds.
     pub at: Micros,
-    /// The boxes.
+    /// Its entries.
     pub entries: Vec<Entry>,
 }
 
-/// Why a kept list is not used.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Why a cached list is not used.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeptError {
-    /// The file is no list of ours.
+    /// The file is no cached list.
+    #[error("it is no cached snapshot")]
     Foreign,
-    /// It is in a format of a later program.
+    /// Its format is of a later version of the program.
+    #[error("its format is {0}, and this program reads up to {FORMAT}")]
     Format(u32),
-    /// It is cut off, or longer than it says.
+    /// It is truncated, or longer than its head states.
+    #[error("it is torn: {there} bytes of {told}")]
     Torn {
-        /// Bytes that it says it has.
+        /// Length that its head states, in bytes.
         told: usize,
-        /// Bytes that are there.
+        /// Its length, in bytes.
         there: usize,
     },
-    /// Its checksum does not fit.
+    /// Its checksum does not match.
+    #[error("its checksum does not match")]
     Damaged,
-    /// What it holds can't be read.
+    /// Its body can't be parsed; the text is the parser's.
+    #[error("it can't be read: {0}")]
     Unreadable(String),
-    /// It is the list of something else.
+    /// It is the list of another scope.
+    #[error("it is the list of '{told}', not of '{wanted}'")]
     Scope {
-        /// What it is the list of.
+        /// The scope that it states.
         told: String,
-        /// What is wanted.
+        /// The scope of this proxy.
         wanted: String,
     },
-    /// It was written so many microseconds from now.
+    /// Its time is this far in the future, in microseconds.
+    #[error("it is from the future, by {} s", .0 / 1_000_000)]
     Future(Micros),
-    /// It is older than allowed, by its age in microseconds.
+    /// Its age, in microseconds, is above the limit.
+    #[error("it is too old: {} s", .0 / 1_000_000)]
     Old(Micros),
-    /// It is longer than is ever written.
+    /// It is longer than the limit.
+    #[error("it is too long")]
     TooLong,
 }
 
-impl fmt::Display for KeptError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Foreign => write!(f, "it is no kept list"),
-            Self::Format(n) => write!(
-                f,
-                "its format is {n}, and this program reads up to {FORMAT}"
-            ),
-            Self::Torn { told, there } => write!(f, "it is torn: {there} bytes of {told}"),
-            Self::Damaged => write!(f, "its checksum does not fit"),
-            Self::Unreadable(why) => write!(f, "it can't be read: {why}"),
-            Self::Scope { told, wanted } => {
-                write!(f, "it is the list of '{told}', not of '{wanted}'")
-            }
-            Self::Future(by) => write!(f, "it is from the future, by {} s", by / 1_000_000),
-            Self::Old(age) => write!(f, "it is too old: {} s", age / 1_000_000),
-            Self::TooLong => write!(f, "it is too long"),
-        }
-    }
-}
-
-impl std::error::Error for KeptError {}
-
 #[derive(Serialize, Deserialize)]
 struct Body {
     scope: String,
@@ -103,7 +88,7 @@
     started_us: Option<Micros>,
 }
 
-/// A list as bytes. `scope` says what it is the list of: one deployment's must not be taken for another's.
+/// Encodes a list. `scope` identifies what it is the list of, so that one deployment's is never used by another.
 pub fn write<'a>(scope: &str, at: Micros, entries: impl Iterator<Item = &'a Entry>) -> Vec<u8> {
     let kept = |e: &Entry| KeptBox {
         uid: e.uid.clone(),
@@ -120,7 +105,7 @@
         at_us: at,
         boxes: entries.map(kept).collect(),
     };
-    // Of texts and numbers only: it can always be written.
+    // It consists of strings and numbers only, which can always be encoded.
     let body = serde_json::to_vec(&body).unwrap_or_default();
     let mut out = format!(
         "{MARK} {FORMAT} {:08x} {}\n",
@@ -132,7 +117,7 @@
     out
 }
 
-/// Reads a list that may be so many bytes long and so old.
+/// Decodes a list of at most `max_bytes` that was confirmed at most `max_age` ago.
 pub fn read(
     bytes: &[u8],
     scope: &str,
@@ -165,7 +150,7 @@
     })
 }
 
-/// The body of a list whose head is of a known format and fits it in length and checksum.
+/// The body, if the head's format is known and its length and checksum match.
 fn verified_body(bytes: &[u8]) -> Result<&[u8], KeptError> {
     let end = bytes
         .iter()
--- a/discovery/tests/endpoint_table.rs
+++ b/discovery/tests/endpoint_table.rs
@@ -385,6 +385,20 @@
     );
 }
 
+/// Files that earlier versions have written must stay readable.
+#[test]
+fn the_stored_form_of_a_cached_list_is_as_it_was() {
+    let list = [entry("a", 1, State::Ready), entry("b", 2, State::Draining)];
+    let stored = include_bytes!("cached_list_format_1.list");
+    let written = kept::write("pop-cache", 100 * S, list.iter());
+    assert_eq!(
+        String::from_utf8_lossy(&written),
+        String::from_utf8_lossy(stored)
+    );
+    let read = kept::read(stored, "pop-cache", 130 * S, 4096, 60 * S).unwrap();
+    assert_eq!(read.entries, list);
+}
+
 fn state() -> impl Strategy<Value = State> {
     prop_oneof![3 => Just(State::Ready), 1 => Just(State::Draining), 1 => Just(State::Gone)]
 }
