--- a/purges/src/bucket.rs
+++ b/purges/src/bucket.rs
@@ -18,7 +18,7 @@
 const HEADER_BYTES: usize = 1 + WORD_BYTES;
 const EMPTY_SLOT: u64 = 0;
 
-/// The low bits of a key's hash: what tells the keys of one bucket apart.
+/// The low bits of a key's hash, which distinguish the keys of one bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint(u64);
 
@@ -52,17 +52,17 @@
 }
 
 impl Bucket {
-    /// Puts a purge in. Returns whether the bucket changed.
+    /// Records a purge. Returns whether the bucket changed.
     pub fn record(&mut self, fingerprint: Fingerprint, at: Micros) -> bool {
         self.insert(pack(Stamp::not_before(at), fingerprint))
     }
 
-    /// Raises the watermark, if it is lower. Returns whether the bucket changed.
+    /// Raises the watermark to a time if it is lower. Returns whether the bucket changed.
     pub fn raise(&mut self, at: Micros) -> bool {
         self.raise_to(Stamp::not_before(at))
     }
 
-    /// Takes in all that was put into another bucket. Returns whether this one changed.
+    /// Merges another bucket into this one. Returns whether this one changed.
     pub fn merge(&mut self, other: &Bucket) -> bool {
         let mut changed = self.raise_to(other.watermark);
         for slot in other.occupied_slots() {
@@ -71,8 +71,10 @@
         changed
     }
 
-    /// The same purges, with each that is later than a time taken as made then. A purge that is known now was made by now:
-    /// a later time is that of a clock that is ahead, and would cost all copies of its keys until it has come.
+    /// Returns a bucket with the same purges, each no later than a time.
+    ///
+    /// Callers pass the current time: a purge that is known was made by now, so a later time comes from a clock that is
+    /// ahead, and would invalidate every cached copy of its keys until that time has come.
     pub fn no_later_than(&self, at: Micros) -> Bucket {
         let latest = Stamp::not_before(at);
         let mut bucket = Bucket::default();
@@ -84,8 +86,8 @@
         bucket
     }
 
-    /// A time no earlier than any purge of a key with this fingerprint that was put in, less than a millisecond later
-    /// than the latest of them where it still has its slot. None: nothing that could be one was put in.
+    /// Returns a time no earlier than any recorded purge of a key with this fingerprint, or `None` if there is no such
+    /// purge. It is less than a millisecond later than the latest such purge if that one still has its slot.
     pub fn latest(&self, fingerprint: Fingerprint) -> Option<Micros> {
         let matching = self
             .slots
@@ -95,22 +97,22 @@
         stamp.max(self.watermark).time()
     }
 
-    /// The watermark: no key of this bucket has an earlier latest purge, as far as can be told from it.
+    /// Returns the watermark: the earliest time that [`Bucket::latest`] gives for any key of this bucket.
     pub fn watermark(&self) -> Option<Micros> {
         self.watermark.time()
     }
 
-    /// How many slots are occupied.
+    /// Returns the number of occupied slots.
     pub fn len(&self) -> usize {
         self.slots.partition_point(|slot| *slot != EMPTY_SLOT)
     }
 
-    /// Whether nothing was ever put in.
+    /// Returns whether nothing was ever recorded.
     pub fn is_empty(&self) -> bool {
         *self == Bucket::default()
     }
 
-    /// All eight words, for digests.
+    /// Returns the seven slots and the watermark as words, for digests.
     pub(crate) fn words(&self) -> impl Iterator<Item = u64> + '_ {
         self.slots.iter().copied().chain([self.watermark.bits()])
     }
@@ -127,12 +129,12 @@
         if self.slots.get(position) == Some(&slot) {
             return false;
         }
-        // Shifts the later part by one; what falls out at the end is the smallest of the eight.
-        let mut moving = slot;
+        // Shifts the slots behind the position by one; the one that is left over is the smallest of the eight.
+        let mut displaced = slot;
         for other in &mut self.slots[position..] {
-            std::mem::swap(other, &mut moving);
+            std::mem::swap(other, &mut displaced);
         }
-        self.raise_to(stamp_of(moving));
+        self.raise_to(stamp_of(displaced));
         true
     }
 
@@ -141,8 +143,8 @@
             return false;
         }
         self.watermark = stamp;
-        let kept = self.slots.partition_point(|slot| stamp_of(*slot) > stamp);
-        self.slots[kept..].fill(EMPTY_SLOT);
+        let remaining = self.slots.partition_point(|slot| stamp_of(*slot) > stamp);
+        self.slots[remaining..].fill(EMPTY_SLOT);
         true
     }
 }
@@ -159,12 +161,15 @@
             .for_each(|slot| bytes.extend(slot.to_be_bytes()));
     }
 
-    /// How many bytes the encoding has.
+    /// Returns the length of the encoding in bytes.
     pub fn encoded_len(&self) -> usize {
         HEADER_BYTES + WORD_BYTES * self.len()
     }
 
-    /// Reads the encoding of one bucket, which has to fill `bytes`.
+    /// Decodes one bucket, which has to fill `bytes`.
+    ///
+    /// # Errors
+    /// Fails if the bytes are not the encoding of a bucket.
     pub fn decode(bytes: &[u8]) -> Result<Bucket, DecodeError> {
         let count = usize::from(*bytes.first().ok_or(DecodeError::Length { bytes: 0 })?);
         if count > SLOTS {
@@ -185,6 +190,7 @@
         Ok(Bucket { slots, watermark })
     }
 
+    /// Checks that occupied slots are in order and later than the watermark.
     fn check(slots: &[u64], watermark: Stamp) -> Result<(), DecodeError> {
         if !slots.windows(2).all(|pair| pair[0] > pair[1]) {
             return Err(DecodeError::Order);
@@ -197,29 +203,29 @@
     }
 }
 
-/// A big endian word; `bytes` has its length.
+/// Reads a big endian word from as many bytes as it has.
 fn word(bytes: &[u8]) -> u64 {
     bytes
         .iter()
         .fold(0, |word, byte| word << 8 | u64::from(*byte))
 }
 
-/// Why bytes are no bucket.
+/// The error of bytes that are not the encoding of a bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeError {
     /// There are more or fewer bytes than the number of slots needs.
     Length {
-        /// How many bytes there are.
+        /// The number of bytes.
         bytes: usize,
     },
-    /// More slots than a bucket has.
+    /// There are more occupied slots than a bucket has.
     TooManySlots {
-        /// How many.
+        /// The number of occupied slots.
         slots: usize,
     },
     /// The slots are not in descending order.
     Order,
-    /// A slot has no time.
+    /// An occupied slot has no time.
     EmptySlot,
     /// The watermark is too large for a time, or not before the earliest slot.
     Watermark,
--- a/purges/src/compact.rs
+++ b/purges/src/compact.rs
@@ -1,5 +1,5 @@
-//! A table of buckets: purges of any number of keys in memory of fixed size. What does not fit it remembers as
-//! too strict, never as forgotten.
+//! A table of buckets: the purges of any number of keys in memory of fixed size. Purges that do not fit make the answers
+//! for other keys later than need be; no purge is ever lost.
 
 use crate::bucket::{Bucket, Fingerprint};
 use crate::hashing::{mix, KeyHash};
@@ -18,7 +18,10 @@
     /// The usual table: 65,536 buckets, 4 MiB.
     pub const DEFAULT: BucketBits = BucketBits(16);
 
-    /// A size from its number of bits.
+    /// The size of a number of bits.
+    ///
+    /// # Errors
+    /// Fails if the number is not between [`BucketBits::MIN`] and [`BucketBits::MAX`].
     pub fn new(bits: u8) -> Result<Self, BucketBitsError> {
         let allowed = Self::MIN.0..=Self::MAX.0;
         allowed
@@ -27,12 +30,12 @@
             .ok_or(BucketBitsError { bits })
     }
 
-    /// The number of bits.
+    /// Returns the number of bits.
     pub const fn value(self) -> u8 {
         self.0
     }
 
-    /// How many buckets such a table has.
+    /// Returns the number of buckets of such a table.
     pub const fn buckets(self) -> usize {
         1 << self.0
     }
@@ -44,10 +47,10 @@
     }
 }
 
-/// A number of bits that no table can have.
+/// The error of a number of bits that no table can have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BucketBitsError {
-    /// The number.
+    /// The number of bits.
     pub bits: u8,
 }
 
@@ -77,20 +80,20 @@
         BucketIndex((key.value() >> (u64::BITS - bits.0 as u32)) as u32)
     }
 
-    /// The index as a number.
+    /// Returns the index as a number.
     pub const fn value(self) -> u32 {
         self.0
     }
 }
 
 impl From<u32> for BucketIndex {
-    /// An index from its number, as [`BucketIndex::value`] gave it.
+    /// The index of a number that [`BucketIndex::value`] returned.
     fn from(value: u32) -> Self {
         BucketIndex(value)
     }
 }
 
-/// A bucket that a table of the named size does not have.
+/// The error of a bucket index that is out of range for a table's size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BucketIndexError {
     /// The table's size.
@@ -134,30 +137,33 @@
         }
     }
 
-    /// Records a purge. Returns the bucket that holds it.
+    /// Records a purge. Returns the index of the bucket that the key belongs to.
     pub fn record(&mut self, key: KeyHash, at: Micros) -> BucketIndex {
         let index = BucketIndex::of(key, self.bucket_bits);
         self.change(index, |bucket| bucket.record(Fingerprint::of(key), at));
         index
     }
 
-    /// A time no earlier than any purge of the key that was recorded; none: it was never purged.
+    /// Returns a time no earlier than any recorded purge of the key, or `None` if there is no such purge.
     pub fn latest(&self, key: KeyHash) -> Option<Micros> {
         let bucket = self.bucket(BucketIndex::of(key, self.bucket_bits))?;
         bucket.latest(Fingerprint::of(key))
     }
 
-    /// Takes every key as purged at a time: for a process that can't learn which purges it has missed.
+    /// Records a purge of every key at once, for a process that can't learn which purges it has missed.
     pub fn raise_all(&mut self, at: Micros) {
         for index in 0..self.bucket_bits.buckets() as u32 {
             self.change(BucketIndex(index), |bucket| bucket.raise(at));
         }
     }
 
-    /// Takes in a bucket of another table, whose size may be another one. Returns the own buckets that changed.
+    /// Merges a bucket of another table, which may be of another size. Returns the buckets of this table that changed.
     ///
-    /// A bucket of a smaller table holds the keys of several own ones and is merged into each of them; that makes them
-    /// stricter than need be. A bucket of a larger table is merged into the one that holds its keys.
+    /// A bucket of a smaller table covers several buckets of this one and is merged into each of them, which makes their
+    /// answers later than need be. A bucket of a larger table is merged into the one that covers it.
+    ///
+    /// # Errors
+    /// Fails if a table of `bucket_bits` has no bucket of this index.
     pub fn merge_bucket(
         &mut self,
         bucket_bits: BucketBits,
@@ -180,7 +186,7 @@
         Ok(changed)
     }
 
-    /// The own buckets that share keys with a bucket of a table of another size.
+    /// Returns the buckets of this table that share keys with a bucket of a table of another size.
     fn covered(&self, bucket_bits: BucketBits, index: BucketIndex) -> std::ops::Range<u32> {
         if bucket_bits >= self.bucket_bits {
             let parent = index.0 >> (bucket_bits.0 - self.bucket_bits.0);
@@ -190,7 +196,7 @@
         index.0 << ratio_bits..(index.0 + 1) << ratio_bits
     }
 
-    /// The same purges in a table of another size.
+    /// Returns a table of another size with the same purges.
     pub fn resized(&self, bucket_bits: BucketBits) -> CompactTable {
         if bucket_bits == self.bucket_bits {
             return self.clone();
@@ -204,45 +210,45 @@
         table
     }
 
-    /// A bucket; none where nothing was recorded yet or the table has no such bucket.
+    /// Returns a bucket, or `None` if nothing was recorded yet or the index is out of range.
     pub fn bucket(&self, index: BucketIndex) -> Option<&Bucket> {
         self.buckets.get(index.0 as usize)
     }
 
-    /// All buckets that are not empty, in order from an index on.
+    /// Returns all buckets from an index on that are not empty, in order.
     pub fn occupied(&self, from: BucketIndex) -> impl Iterator<Item = (BucketIndex, &Bucket)> {
         let buckets = self.buckets.iter().enumerate().skip(from.0 as usize);
         let occupied = buckets.filter(|(_, bucket)| !bucket.is_empty());
         occupied.map(|(index, bucket)| (BucketIndex(index as u32), bucket))
     }
 
-    /// The table's size.
+    /// Returns the table's size.
     pub fn bucket_bits(&self) -> BucketBits {
         self.bucket_bits
     }
 
-    /// How many slots are occupied.
+    /// Returns the number of occupied slots.
     pub fn len(&self) -> usize {
         self.occupied_slots
     }
 
-    /// Whether nothing was recorded yet.
+    /// Returns whether nothing was recorded yet.
     pub fn is_empty(&self) -> bool {
         self.buckets.is_empty()
     }
 
-    /// Memory that the buckets take.
+    /// Returns the memory that the buckets take, in bytes.
     pub fn memory_bytes(&self) -> usize {
         self.buckets.capacity() * size_of::<Bucket>()
     }
 
-    /// A number that is equal for equal tables of one size, and for others with a chance of 2^-64. It is kept up to
-    /// date, not computed.
+    /// Returns a digest: equal tables of one size have the same one, others with a chance of 2^-64. It is maintained
+    /// with each change, so that reading it costs nothing.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Changes a bucket and keeps the sums up to date. Returns whether it changed.
+    /// Changes a bucket, and updates the number of slots and the digest. Returns whether the bucket changed.
     fn change(&mut self, index: BucketIndex, change: impl FnOnce(&mut Bucket) -> bool) -> bool {
         if self.buckets.is_empty() {
             self.buckets = vec![Bucket::default(); self.bucket_bits.buckets()];
@@ -258,7 +264,7 @@
     }
 }
 
-/// A bucket's part of the digest: 0 where it is empty.
+/// Returns a bucket's part of the digest; 0 if it is empty.
 fn digest_of(index: BucketIndex, bucket: &Bucket) -> u64 {
     if bucket.is_empty() {
         return 0;
--- a/purges/src/hashing.rs
+++ b/purges/src/hashing.rs
@@ -1,11 +1,11 @@
-//! Hashes of what is purged. Buckets are exchanged between proxies and kept on disk by these values, so they are
-//! fixed for good.
+//! Hashes of the keys of purges. Proxies exchange buckets and store them on disk by these values, so they must never
+//! change.
 
 /// Start value of the 64-bit FNV-1a hash.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 /// Multiplier of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x100_0000_01b3;
-/// Keeps a group's hash apart from that of any number hashed plainly.
+/// Distinguishes the hash of a group from that of the same number hashed by [`mix`] alone.
 const GROUP_SALT: u64 = 0x94d0_49bb_1331_11eb;
 
 /// Spreads a number over all 64 bits (the finalizer of SplitMix64). It is a bijection.
@@ -20,25 +20,25 @@
 pub struct KeyHash(u64);
 
 impl KeyHash {
-    /// Hash of an object's name.
+    /// The hash of an object's name.
     pub fn of_object(object: &str) -> Self {
         let fold = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
         KeyHash(mix(object.bytes().fold(FNV_OFFSET, fold)))
     }
 
-    /// Hash of a group of objects.
+    /// The hash of a group of objects.
     pub fn of_group(group: u64) -> Self {
         KeyHash(mix(group ^ GROUP_SALT))
     }
 
-    /// The hash as a number.
+    /// Returns the hash as a number.
     pub const fn value(self) -> u64 {
         self.0
     }
 }
 
 impl From<u64> for KeyHash {
-    /// A hash from its number, as [`KeyHash::value`] gave it.
+    /// The hash of a number that [`KeyHash::value`] returned.
     fn from(value: u64) -> Self {
         KeyHash(value)
     }
--- a/purges/src/lib.rs
+++ b/purges/src/lib.rs
@@ -1,4 +1,4 @@
-//! When was an object, or its group, last purged? Answered in bounded memory for any number of purges, sans-IO.
+//! The latest purge of every object and group, in bounded memory for any number of purges. Sans-IO.
 //!
 //! A cached copy may be served only if it was made after the latest purge of its object and of its group. A proxy
 //! therefore asks for copies no older than that purge. The answer given here is never earlier than the true latest
--- a/purges/src/table.rs
+++ b/purges/src/table.rs
@@ -1,4 +1,4 @@
-//! The purge state of a proxy: recent purges exactly, all older ones in a compact table.
+//! The purge state of a proxy: recent purges exactly, older ones in a compact table.
 
 use crate::bucket::Bucket;
 use crate::compact::{BucketBits, BucketIndex, BucketIndexError, CompactTable};
@@ -6,11 +6,11 @@
 use crate::time::Micros;
 use std::collections::BTreeMap;
 
-/// Holds the latest purge of every key in bounded memory. It takes any purge at any time, and never gives an earlier
-/// time for a key than before.
+/// The latest purge of every key in bounded memory. Purges may be recorded in any order, and the answer for a key never
+/// becomes earlier.
 ///
-/// At most twice [`PurgeTable::exact_capacity`] purges are held exactly. [`PurgeTable::compact`], to be called from
-/// time to time, moves the older ones of them to the compact table once there are more than that capacity.
+/// At most twice [`PurgeTable::exact_capacity`] purges are stored exactly. [`PurgeTable::compact`], to be called
+/// periodically, moves the older ones to the compact table once there are more than that capacity.
 #[derive(Clone, Debug)]
 pub struct PurgeTable {
     exact_capacity: usize,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Records a purge. Returns the bucket that the key belongs to.
+    /// Records a purge. Returns the index of the bucket that the key belongs to.
     pub fn record(&mut self, key: KeyHash, at: Micros) -> BucketIndex {
         let latest = self.exact.entry(key).or_insert(at);
         *latest = at.max(*latest);
@@ -38,12 +38,12 @@
         BucketIndex::of(key, self.compact.bucket_bits())
     }
 
-    /// A time no earlier than any purge of the key that was recorded; none: it was never purged.
+    /// Returns a time no earlier than any recorded purge of the key, or `None` if there is no such purge.
     pub fn latest(&self, key: KeyHash) -> Option<Micros> {
         self.exact.get(&key).copied().max(self.compact.latest(key))
     }
 
-    /// Moves the older half of the exact purges to the compact table where there are more than their capacity, but
+    /// Moves the older half of the exact purges to the compact table if there are more than the exact capacity, but
     /// none that is younger than `keep_us`.
     pub fn compact(&mut self, now: Micros, keep_us: Micros) {
         if self.exact.len() > self.exact_capacity {
@@ -51,12 +51,15 @@
         }
     }
 
-    /// Takes every key as purged at a time: for a process that can't learn which purges it has missed.
+    /// Records a purge of every key at once, for a process that can't learn which purges it has missed.
     pub fn raise_all(&mut self, at: Micros) {
         self.compact.raise_all(at);
     }
 
-    /// Takes in a bucket of another proxy's compact table; see [`CompactTable::merge_bucket`].
+    /// Merges a bucket of another proxy's compact table; see [`CompactTable::merge_bucket`].
+    ///
+    /// # Errors
+    /// Fails if a table of `bucket_bits` has no bucket of this index.
     pub fn merge_bucket(
         &mut self,
         bucket_bits: BucketBits,
@@ -66,7 +69,7 @@
         self.compact.merge_bucket(bucket_bits, index, bucket)
     }
 
-    /// Changes how much is held exactly, and the size of the compact table. No purge is forgotten.
+    /// Changes the exact capacity and the size of the compact table. No purge is lost.
     pub fn set_capacity(&mut self, exact_capacity: usize, bucket_bits: BucketBits) {
         self.exact_capacity = exact_capacity;
         if bucket_bits != self.compact.bucket_bits() {
@@ -77,27 +80,27 @@
         }
     }
 
-    /// How many purges may be held exactly before older ones are moved.
+    /// Returns how many purges are stored exactly before older ones are moved.
     pub fn exact_capacity(&self) -> usize {
         self.exact_capacity
     }
 
-    /// How many purges are held exactly.
+    /// Returns how many purges are stored exactly.
     pub fn exact_len(&self) -> usize {
         self.exact.len()
     }
 
-    /// The purges that are held exactly, in the order of their keys.
+    /// Returns the purges that are stored exactly, in the order of their keys.
     pub fn exact_purges(&self) -> impl Iterator<Item = (KeyHash, Micros)> + '_ {
         self.exact.iter().map(|(key, at)| (*key, *at))
     }
 
-    /// The table that holds all older purges.
+    /// Returns the table of all older purges.
     pub fn compact_table(&self) -> &CompactTable {
         &self.compact
     }
 
-    /// Moves the older half of the exact purges to the compact table, as far as they are not later than `until`.
+    /// Moves those of the older half of the exact purges to the compact table that are not later than `until`.
     fn move_older_half(&mut self, until: Micros) {
         let mut times: Vec<Micros> = self.exact.values().copied().collect();
         let middle = times.len() / 2;
@@ -105,11 +108,11 @@
         let until = until.min(median);
         let compact = &mut self.compact;
         self.exact.retain(|key, at| {
-            let moves = *at <= until;
-            if moves {
+            let is_moved = *at <= until;
+            if is_moved {
                 compact.record(*key, *at);
             }
-            !moves
+            !is_moved
         });
     }
 }
--- a/purges/src/time.rs
+++ b/purges/src/time.rs
@@ -3,7 +3,7 @@
 /// Microseconds since a fixed start, in the daemon the Unix epoch.
 pub type Micros = u64;
 
-/// Microseconds in one unit of a a bucket's stamps.
+/// Microseconds in one unit of a bucket's stamps.
 pub const STAMP_UNIT_US: Micros = 1_000;
 
 /// A time in milliseconds, rounded up, in 42 bits; 0 is the absence of a time, so time 0 is stamp 1.
@@ -26,17 +26,17 @@
         Stamp(at.div_ceil(STAMP_UNIT_US) + 1).min(Self::LAST)
     }
 
-    /// A stamp from its bits; none where they are too many.
+    /// The stamp of these bits; `None` if they are too many.
     pub(crate) fn from_bits(bits: u64) -> Option<Self> {
         Some(Stamp(bits)).filter(|stamp| *stamp <= Self::LAST)
     }
 
-    /// The stamp as a number.
+    /// Returns the stamp as a number.
     pub(crate) const fn bits(self) -> u64 {
         self.0
     }
 
-    /// The time it stands for.
+    /// Returns the time that the stamp stands for.
     pub(crate) fn time(self) -> Option<Micros> {
         match self {
             Self::NONE => None,
