--- a/purges/examples/memory.rs
+++ b/purges/examples/memory.rs
@@ -10,8 +10,8 @@
 const PER_SECOND: u64 = 110;
 const DAY_S: u64 = 86_400;
 const KEEP_US: Micros = 6_000_000;
-/// After how many purges the memory is told: from none to a week.
-const MARKS: [u64; 8] = [
+/// After how many purges the memory is printed: from none to a week.
+const CHECKPOINTS: [u64; 8] = [
     0,
     16_384,
     100_000,
@@ -26,15 +26,15 @@
 fn resident() -> std::io::Result<String> {
     let status = std::fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find(|line| line.starts_with("VmRSS"));
-    Ok(line.unwrap_or("VmRSS: not told").to_owned())
+    Ok(line.unwrap_or("VmRSS: unknown").to_owned())
 }
 
 fn main() -> std::io::Result<()> {
     let started = Instant::now();
     let mut table = PurgeTable::new(EXACT_CAPACITY, BucketBits::DEFAULT);
     let mut recorded = 0;
-    for mark in MARKS {
-        while recorded < mark {
+    for checkpoint in CHECKPOINTS {
+        while recorded < checkpoint {
             let at = recorded * 1_000_000 / PER_SECOND;
             table.record(KeyHash::from(mix(recorded + 1)), at);
             table.compact(at, KEEP_US);
--- a/purges/tests/bucket.rs
+++ b/purges/tests/bucket.rs
@@ -69,14 +69,14 @@
     }
 
     #[test]
-    fn a_change_is_told(steps in steps(), more in step()) {
+    fn a_change_is_reported(steps in steps(), more in step()) {
         let mut bucket = filled(&steps);
         let before = bucket;
-        let told = match more {
+        let reported = match more {
             Step::Record(key, at) => bucket.record(fingerprint(key), at),
             Step::Raise(at) => bucket.raise(at),
         };
-        prop_assert_eq!(told, bucket != before);
+        prop_assert_eq!(reported, bucket != before);
     }
 
     #[test]
@@ -202,11 +202,17 @@
 proptest! {
     /// The clock of whoever sent a bucket may be ahead.
     #[test]
-    fn no_purge_of_a_bounded_bucket_is_later_than_the_bound_and_none_is_lost(all in steps(), bound in 0..30 * MS) {
+    fn no_purge_of_a_bounded_bucket_is_later_than_the_bound_and_none_is_lost(
+        all in steps(),
+        bound in 0..30 * MS,
+    ) {
         let bounded = filled(&all).no_later_than(bound);
         for key in 0..12 {
             let latest = bounded.latest(fingerprint(key));
-            prop_assert!(latest < Some(bound + MS), "{latest:?}, a stamp is rounded up by less than a millisecond");
+            prop_assert!(
+                latest < Some(bound + MS),
+                "{latest:?}, a stamp is rounded up by less than a millisecond"
+            );
             let purges = all.iter().filter_map(|step| match step {
                 Step::Record(recorded, at) => (*recorded == key).then_some(*at),
                 Step::Raise(at) => Some(*at),
--- a/purges/tests/common/mod.rs
+++ b/purges/tests/common/mod.rs
@@ -87,8 +87,8 @@
     }
 }
 
-/// Share of copies that were never purged and are lost all the same, for each age. One look-up of a copy tells for all
-/// ages: it is lost from the age on at which it was made before the time that is told for its keys.
+/// The share of copies that were never purged and are lost all the same, for each age. One look-up of a copy answers for
+/// all ages: the copy is lost from the age on at which it was made before the time that the table gives for its keys.
 pub(crate) fn lost_shares(
     table: &impl Lookup,
     now: Micros,
--- a/purges/tests/floors.rs
+++ b/purges/tests/floors.rs
@@ -22,7 +22,7 @@
 trait Floors {
     fn record(&mut self, key: KeyHash, at: Micros);
     fn latest(&self, key: KeyHash) -> Option<Micros>;
-    /// Takes in all that a table of another size holds.
+    /// Merges all buckets of a table of another size.
     fn merge(&mut self, other: &CompactTable);
     fn resize(&mut self, bucket_bits: BucketBits);
     /// Writes everything to bytes and reads it into an empty table.
@@ -151,7 +151,7 @@
     }
 }
 
-fn place(key: KeyHash) -> usize {
+fn bucket_of(key: KeyHash) -> usize {
     (key.value() >> 60) as usize
 }
 
@@ -161,7 +161,7 @@
 
 impl Floors for Model {
     fn record(&mut self, key: KeyHash, at: Micros) {
-        let bucket = &mut self.buckets[place(key)];
+        let bucket = &mut self.buckets[bucket_of(key)];
         bucket.pairs.insert((at.div_ceil(MS), low_bits(key)));
         if bucket.pairs.len() > 7 {
             let dropped = bucket.pairs.pop_first().map(|pair| pair.0);
@@ -172,7 +172,7 @@
     }
 
     fn latest(&self, key: KeyHash) -> Option<Micros> {
-        let bucket = &self.buckets[place(key)];
+        let bucket = &self.buckets[bucket_of(key)];
         let matching = bucket
             .pairs
             .iter()
@@ -257,16 +257,16 @@
     steps: &[Step],
 ) -> Result<(), TestCaseError> {
     let mut truth = BTreeMap::new();
-    let mut told: BTreeMap<KeyHash, Option<Micros>> = BTreeMap::new();
+    let mut answers: BTreeMap<KeyHash, Option<Micros>> = BTreeMap::new();
     for step in steps {
         carry_out(table, &mut truth, step);
         for (key, at) in &truth {
             let latest = table.latest(*key);
             prop_assert!(
                 latest >= Some(*at),
-                "{key:?} purged at {at}, told {latest:?} after {step:?}"
+                "{key:?} purged at {at}, answered {latest:?} after {step:?}"
             );
-            let before = told.insert(*key, latest).flatten();
+            let before = answers.insert(*key, latest).flatten();
             prop_assert!(
                 latest >= before,
                 "{key:?} fell from {before:?} to {latest:?} by {step:?}"
@@ -315,7 +315,8 @@
         };
         let (table, other) = (filled(&purges), filled(&shuffled));
         prop_assert_eq!(table.digest(), other.digest());
-        prop_assert_eq!(table.len(), table.occupied(BucketIndex::default()).map(|(_, b)| b.len()).sum::<usize>());
+        let occupied_slots = table.occupied(BucketIndex::default()).map(|(_, b)| b.len());
+        prop_assert_eq!(table.len(), occupied_slots.sum::<usize>());
         prop_assert_eq!(table, other);
     }
 
--- a/purges/tests/hashing.rs
+++ b/purges/tests/hashing.rs
@@ -1,4 +1,4 @@
-//! The hashes are exchanged and kept on disk: their values never change.
+//! The hashes are exchanged and stored on disk: their values never change.
 
 use linnetknot_purges::hashing::mix;
 use linnetknot_purges::KeyHash;
