--- a/replication/src/lib.rs
+++ b/replication/src/lib.rs
@@ -26,6 +26,7 @@
 mod replica;
 pub mod snapshot;
 mod status;
+mod unsynced;
 mod wire;
 
 pub use commit::{CommitId, CommitOutcome, Machine, RejectReason};
--- a/replication/src/replica/mod.rs
+++ b/replication/src/replica/mod.rs
@@ -4,9 +4,10 @@
 mod commits;
 mod exchange;
 
-use crate::commit::{PendingCommits, Unsynced};
+use crate::commit::PendingCommits;
 use crate::reorder::ReorderBuffer;
 use crate::snapshot::{CatchUp, Image};
+use crate::unsynced::Unsynced;
 use crate::wire::{MAX_GAPS_PER_DATAGRAM, MAX_LOGS_PER_DATAGRAM};
 use crate::{
     Capacity, CapacityExceeded, Counters, Datagram, Entry, Index, LogId, LogStore, Machine, Micros,
