--- a/daemon/examples/purge_soak.rs
+++ b/daemon/examples/purge_soak.rs
@@ -150,7 +150,7 @@
         taken as f64 / PER_SECOND as f64 / 3600.0,
         status_mb("VmRSS")?,
         store.len(),
-        store.logs(),
+        store.log_count(),
         store.table().memory_bytes() >> 20,
         store.table().len(),
         purges.exact_len(),
--- a/daemon/src/daemon/feeds/peers.rs
+++ b/daemon/src/daemon/feeds/peers.rs
@@ -91,7 +91,7 @@
         };
         let own = ledger.replica().own().writer;
         let told = match &datagram {
-            Datagram::Digest { sum, .. } => Some(*sum),
+            Datagram::Digest { checksum, .. } => Some(*checksum),
             _ => None,
         };
         let is_chunk = matches!(datagram, Datagram::SnapshotChunk(_));
--- a/daemon/src/daemon/fleet.rs
+++ b/daemon/src/daemon/fleet.rs
@@ -5,7 +5,7 @@
 use linnetknot::Micros;
 use linnetknot_discovery::server_id;
 use linnetknot_membership::{Change, DecodeError, Membership, Options, Standing};
-use linnetknot_replication::{Index, LogId};
+use linnetknot_replication::LogPosition;
 use std::net::SocketAddr;
 
 fn shown(standing: Option<Standing>) -> &'static str {
@@ -187,7 +187,7 @@
                 behind: end.saturating_sub(held),
             }
         };
-        let log = |(log, end): &(LogId, Index)| LogStatus {
+        let log = |LogPosition { log, index: end }: &LogPosition| LogStatus {
             writer: format!("{:016x}", log.writer),
             life: format!("{:x}", log.epoch),
             own: log.writer == own.writer,
--- a/daemon/src/daemon/recovery.rs
+++ b/daemon/src/daemon/recovery.rs
@@ -4,7 +4,7 @@
 use super::Daemon;
 use linnetknot::Micros;
 use linnetknot_discovery::server_id;
-use linnetknot_replication::{Datagram, Outgoing, Recovery};
+use linnetknot_replication::{Datagram, Outgoing, Recovery, RecoveryTimes};
 
 /// A wait for a snapshot. It is extended while chunks or entries come, up to a bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -61,11 +61,11 @@
             .iter()
             .map(|(_, machine)| server_id(machine))
             .collect();
-        let times = (
-            now,
-            now + self.limits.recovery_us,
-            self.limits.recovery_ask_us,
-        );
+        let times = RecoveryTimes {
+            start: now,
+            deadline: now + self.limits.recovery_us,
+            retry_us: self.limits.recovery_ask_us,
+        };
         let recovery = Recovery::new(server_id(&copies.machine), machines, copies.wait, times);
         self.promised.recovery = Some(recovery);
         self.recover(now);
@@ -83,12 +83,12 @@
         let Some(recovery) = &mut self.promised.recovery else {
             return;
         };
-        let (peers, missing) = recovery.tick(now);
-        if let Some(machines) = missing {
+        let step = recovery.tick(now);
+        if let Some(machines) = step.missing_machines {
             log::error!(machines = machines; "not all that this proxy promised may have come back, and it is ready all the same");
         }
         let due = recovery.due();
-        self.request_digests(peers);
+        self.request_digests(step.request_from);
         match due {
             Some(due) => {
                 let due = due.max(now + 1_000);
--- a/daemon/src/ledger/mod.rs
+++ b/daemon/src/ledger/mod.rs
@@ -20,7 +20,7 @@
 use linnetknot_purges::{BucketBits, CompactTable};
 use linnetknot_replication::{
     pieces, Capacity, CommitId, CommitOutcome, Datagram, Entry, Epoch, Index, LogId, LogStore,
-    Options, Outgoing, Received, RejectReason, Replica, Subject, Writer,
+    Options, Outgoing, Received, Record, RejectReason, Replica, Subject, Writer,
 };
 use linnetknot_store::{Done, Fault, Keeper, Store, Ticket, Write};
 use std::collections::{BTreeMap, VecDeque};
@@ -103,7 +103,12 @@
     let mut writes = Vec::new();
     for (subject, at) in latest {
         if store.latest(&subject).is_none_or(|known| known < at) {
-            let entry = store.append(own, (subject, at, false), Capacity::UNLIMITED)?;
+            let record = Record {
+                subject,
+                at,
+                revoked: false,
+            };
+            let entry = store.append(own, record, Capacity::UNLIMITED)?;
             writes.push(codec::put(&entry));
         }
     }
@@ -208,7 +213,7 @@
 
     /// Whose machine is which (`Copies::peers`).
     pub fn peers(&mut self, own: u64, machines: Vec<u64>) {
-        self.replica.peers(own, machines);
+        self.replica.set_peers(own, machines);
     }
 
     /// Hands an entry to the worker. What has no room there is given again later, as what the disk did not take.
--- a/daemon/tests/compaction.rs
+++ b/daemon/tests/compaction.rs
@@ -13,7 +13,7 @@
 };
 use linnetknot_daemon::ledger::LedgerError;
 use linnetknot_purges::{BucketBits, Micros};
-use linnetknot_replication::{Datagram, LogId, Subject};
+use linnetknot_replication::{Datagram, LogPosition, Subject};
 use linnetknot_store::{Fault, Format, Space, Write};
 use medium::Medium;
 
@@ -282,7 +282,7 @@
 }
 
 /// Hands over all that two ledgers send each other, at one moment.
-fn exchange(sides: &mut [Running; 2], now: u64, acks: &mut Vec<(LogId, u64)>) {
+fn exchange(sides: &mut [Running; 2], now: u64, acks: &mut Vec<LogPosition>) {
     let mut pending: Vec<(usize, Datagram)> = Vec::new();
     for (n, side) in sides.iter_mut().enumerate() {
         side.now = now;
@@ -331,7 +331,7 @@
     // The disk is back.
     stop(&theirs, None);
     let begun = std::time::Instant::now();
-    while acks.last() != Some(&(log, 40)) {
+    while acks.last() != Some(&LogPosition { log, index: 40 }) {
         assert!(
             begun.elapsed() < std::time::Duration::from_secs(20),
             "{acks:?}"
--- a/daemon/tests/ledger.rs
+++ b/daemon/tests/ledger.rs
@@ -4,7 +4,9 @@
 use linnetknot::Micros;
 use linnetknot_daemon::ledger::{Bounds, Ledger, LedgerError};
 use linnetknot_purges::BucketBits;
-use linnetknot_replication::{CommitOutcome, Datagram, Entry, LogId, Options, Outgoing, Subject};
+use linnetknot_replication::{
+    CommitOutcome, Datagram, Entry, LogId, LogPosition, Options, Outgoing, Subject,
+};
 use linnetknot_store::Fault;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -175,7 +177,10 @@
     );
     let held = Datagram::Ack {
         process: 77,
-        positions: vec![(LogId::new(2, 5), 1)],
+        positions: vec![LogPosition {
+            log: LogId::new(2, 5),
+            index: 1,
+        }],
     };
     assert_eq!(
         written(&mut ledger),
@@ -212,7 +217,10 @@
         0,
         Datagram::Ack {
             process: 1,
-            positions: vec![(LogId::new(1, 77), 1)],
+            positions: vec![LogPosition {
+                log: LogId::new(1, 77),
+                index: 1,
+            }],
         },
     );
     assert_eq!(
--- a/rehearse/src/scale/daemons/host.rs
+++ b/rehearse/src/scale/daemons/host.rs
@@ -366,9 +366,9 @@
             return;
         };
         let (own, now) = (self.config.members[index].id, self.clock.now());
-        for (log, durable_index) in positions {
-            if log.writer == own {
-                self.acks.acknowledged(index, daemon, durable_index, now);
+        for position in positions {
+            if position.log.writer == own {
+                self.acks.acknowledged(index, daemon, position.index, now);
             }
         }
     }
--- a/rehearse/src/scale/daemons/kind.rs
+++ b/rehearse/src/scale/daemons/kind.rs
@@ -72,7 +72,10 @@
         assert_eq!(Kind::of(&digest_request), Kind::Digests);
         let ack = Datagram::Ack {
             process: 1,
-            positions: vec![(linnetknot_replication::LogId::new(1, 2), 3)],
+            positions: vec![linnetknot_replication::LogPosition {
+                log: linnetknot_replication::LogId::new(1, 2),
+                index: 3,
+            }],
         };
         assert_eq!(Kind::of(&ack.write().expect("it is short")), Kind::Acks);
         assert_eq!(Kind::of(b"purge object a 1"), Kind::Other);
--- a/rehearse/src/scale/hollow/mod.rs
+++ b/rehearse/src/scale/hollow/mod.rs
@@ -22,7 +22,7 @@
     Body, Membership, Message, Options as MembershipOptions, Sender, Standing,
 };
 use linnetknot_origin_health::{OriginHealth, ZonePlace};
-use linnetknot_replication::{Datagram, Index, LogId};
+use linnetknot_replication::{Datagram, Index, LogId, LogPosition};
 use linnetknot_simnet::{peer_index, Micros};
 use outbox::Outbox;
 use purge_log::PurgeLog;
@@ -453,7 +453,7 @@
     pub fn log_ends(&self) -> Vec<LogEnd> {
         let ends = self.purge_log.replica().log_store().last_indexes();
         ends.into_iter()
-            .map(|(log, index)| LogEnd { log, index })
+            .map(|LogPosition { log, index }| LogEnd { log, index })
             .collect()
     }
 
@@ -474,7 +474,7 @@
         let store = self.purge_log.replica().log_store();
         StateSize {
             entries: store.len(),
-            logs: store.logs(),
+            logs: store.log_count(),
             claims: self
                 .membership
                 .members()
--- a/rehearse/src/scale/hollow/purge_log.rs
+++ b/rehearse/src/scale/hollow/purge_log.rs
@@ -7,7 +7,7 @@
 use crate::scale::purge_number::{object, purge_of, PurgeNumber};
 use linnetknot_replication::{
     CommitId, CompactedLog, Datagram, DecodeError, Entry, Index, LogId, LogStore, Outgoing,
-    Received, Recovery, RejectReason, Replica, Subject,
+    Received, Recovery, RecoveryTimes, RejectReason, Replica, Subject,
 };
 use linnetknot_simnet::Micros;
 use std::collections::BTreeMap;
@@ -72,15 +72,15 @@
         let own = own.unwrap_or(LogId::new(me.id, now));
         let mut replica = Replica::new(own, logs, now, config.replication);
         let machines: Vec<u64> = config.peers_of(index).map(|peer| peer.machine_id).collect();
-        let times = (
-            now,
-            now + config.limits.recovery_us,
-            config.limits.recovery_ask_us,
-        );
+        let times = RecoveryTimes {
+            start: now,
+            deadline: now + config.limits.recovery_us,
+            retry_us: config.limits.recovery_ask_us,
+        };
         let min_acks = config.replication.min_acks;
         let recovery =
             is_fresh.then(|| Recovery::new(me.machine_id, machines.clone(), min_acks, times));
-        replica.peers(me.machine_id, machines);
+        replica.set_peers(me.machine_id, machines);
         PurgeLog {
             replica,
             disk: SimulatedDisk::new(config.limits.store_writes),
@@ -119,7 +119,7 @@
 
     /// The machines of the peers, as they are known now.
     pub(super) fn set_machines(&mut self, own: u64, machines: Vec<u64>) {
-        self.replica.peers(own, machines);
+        self.replica.set_peers(own, machines);
     }
 
     pub(super) fn due(&self) -> Micros {
@@ -185,8 +185,8 @@
         let Some(recovery) = &mut self.recovery else {
             return;
         };
-        let (peers, _) = recovery.tick(now);
-        let requests = peers.into_iter().map(|peer| Outgoing {
+        let step = recovery.tick(now);
+        let requests = step.request_from.into_iter().map(|peer| Outgoing {
             peer,
             datagram: Datagram::DigestRequest,
         });
@@ -286,7 +286,7 @@
             Err(_) => return true,
         };
         let their_sum = match &datagram {
-            Datagram::Digest { sum, .. } => Some(*sum),
+            Datagram::Digest { checksum, .. } => Some(*checksum),
             _ => None,
         };
         let received = self.replica.receive(now, from, datagram);
--- a/rehearse/src/scale/prefill.rs
+++ b/rehearse/src/scale/prefill.rs
@@ -6,7 +6,7 @@
 use crate::scale::purge_number::{object, PurgeNumber};
 use crate::scale::simulation::Run;
 use linnetknot_purges::{BucketBits, CompactTable, KeyHash};
-use linnetknot_replication::{Capacity, CompactedLog, LogId, LogStore, Subject};
+use linnetknot_replication::{Capacity, CompactedLog, LogId, LogStore, Record, Subject};
 use linnetknot_simnet::Micros;
 
 /// How full the logs of a full fleet are, in hundredths of their capacity: purges of the run are to have room.
@@ -75,7 +75,12 @@
     for number in 0..entries(run, config) {
         let writer = &config.members[number % config.members.len()];
         let subject = Subject::Object(object(FIRST_NUMBER + number as u64));
-        let entry = logs.append(own(writer), (subject, now, false), Capacity::UNLIMITED);
+        let record = Record {
+            subject,
+            at: now,
+            revoked: false,
+        };
+        let entry = logs.append(own(writer), record, Capacity::UNLIMITED);
         entry.expect("there is room for whatever comes");
     }
     config
--- a/replication/examples/memory.rs
+++ b/replication/examples/memory.rs
@@ -46,7 +46,10 @@
         store.take(&entry, Capacity::UNLIMITED);
     }
     let bytes = (resident_kib()? - before) * 1_024 / LOGS;
-    println!("{} logs of one entry: {bytes} bytes each", store.logs());
+    println!(
+        "{} logs of one entry: {bytes} bytes each",
+        store.log_count()
+    );
     Ok(())
 }
 
--- a/replication/src/commit.rs
+++ b/replication/src/commit.rs
@@ -1,83 +1,93 @@
-//! Commits: what of this proxy's own logs is on its disk and on those of others, and which answers may go out.
+//! Commits: which entries of this proxy's own logs are on its disk and on those of enough peers.
 //!
-//! A peer says for a log up to which index it has all entries in force on its disk (its durable index). Durable indexes cover all indexes
-//! before them, so a commit is an index: it is kept once this proxy's own durable index and those of enough peers, on machines
-//! that are not this one and not each other's, have reached it. What can't be had in time is refused, never granted on
-//! credit; the entry stays in the log all the same, as others may have it by then.
+//! A peer reports for a log its durable index: through which index it has all entries in force on its disk. So a commit
+//! is an index. It is given once this proxy's own durable index and those of enough peers, on machines that are neither
+//! this one nor each other's, have reached it. One that does not get there in time is rejected, never given on credit; the
+//! entry stays in the log all the same, as others may have it by then.
 
 use crate::unsynced::Unsynced;
-use crate::{Epoch, Index, LogId, Micros};
+use crate::{Epoch, Index, LogId, Micros, Options};
 use std::collections::{BTreeMap, VecDeque};
+use std::fmt;
 
 /// A machine, the domain that fails as one: a hash of its name.
 pub type Machine = u64;
 
-/// Why a commit can't be given.
+/// Why a commit is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// This proxy's own disk did not take it.
+    /// This proxy's own disk did not take the entry.
     Disk,
-    /// Too few further machines have it.
+    /// Too few further machines have acknowledged the entry.
     TooFewReplicas {
-        /// As many have it.
+        /// How many have.
         have: usize,
-        /// As many are to have it.
+        /// How many are required.
         wanted: usize,
     },
-    /// Too many commits are open.
+    /// Too many commits are pending.
     TooManyPending,
 }
 
-impl std::fmt::Display for RejectReason {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+impl fmt::Display for RejectReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             RejectReason::Disk => f.write_str("it is not on this proxy's disk"),
             RejectReason::TooFewReplicas { have, wanted } => {
                 write!(f, "{have} of {wanted} further machines have it")
             }
-            RejectReason::TooManyPending => f.write_str("too many pending are open"),
+            RejectReason::TooManyPending => f.write_str("too many commits are pending"),
         }
     }
 }
 
-/// Number of a commit, in the order in which they were asked for.
+/// The number of a commit, in the order in which they were opened.
 pub type CommitId = u64;
 
-/// The end of a commit.
+/// The outcome of a commit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CommitOutcome {
-    /// Which.
+    /// The commit.
     pub commit: CommitId,
-    /// How long it took, or why it is refused.
+    /// How long it took, or why it was rejected.
     pub result: Result<Micros, RejectReason>,
 }
 
+/// A commit that waits for the disk and for acknowledgements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Open {
-    commit: CommitId,
+struct PendingCommit {
+    id: CommitId,
     /// In the log of this epoch.
     index: Index,
     since: Micros,
 }
 
-/// The durable indexes of the peers for this proxy's own logs, and the commits that wait for them.
+/// This proxy's own log, as far as its disk has it.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct OwnLog<'a> {
+    pub(crate) log: LogId,
+    pub(crate) durable_index: Index,
+    pub(crate) unsynced: &'a Unsynced,
+}
+
+/// The durable indexes that peers reported of this proxy's own logs, and the commits that wait for them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct PendingCommits {
-    /// By this writer's epochs, what each peer has on its disk.
+    /// The durable index of each peer, by epoch of this writer.
     durable: BTreeMap<Epoch, BTreeMap<usize, Index>>,
-    /// The process of each peer that said so.
+    /// The process of each peer that reported it.
     process: BTreeMap<usize, u64>,
-    /// The machine of each peer; the domain of its copy.
+    /// The machine of each peer, the failure domain of its replica.
     machines: Vec<Machine>,
     own: Machine,
     /// In the order of their indexes, which is that of their times.
-    open: VecDeque<Open>,
-    asked: CommitId,
+    pending: VecDeque<PendingCommit>,
+    last_id: CommitId,
 }
 
 impl PendingCommits {
-    /// Whose machine is which. What the durable indexes said of the peers before is asked for anew.
-    pub(crate) fn peers(&mut self, own: Machine, machines: Vec<Machine>) {
+    /// Sets the machines of this proxy and of its peers. If any differs, all durable indexes are learned anew.
+    pub(crate) fn set_peers(&mut self, own: Machine, machines: Vec<Machine>) {
         if (self.own, &self.machines) != (own, &machines) {
             (self.own, self.machines) = (own, machines);
             self.durable.clear();
@@ -85,18 +95,14 @@
         }
     }
 
-    pub(crate) fn count(&self) -> usize {
+    /// Returns the number of peers.
+    pub(crate) fn peer_count(&self) -> usize {
         self.machines.len()
     }
 
-    /// A peer says how far it has a log of this writer on its disk. In one process that only grows, so that a message that
-    /// was overtaken takes nothing back; the next process may have lost the disk, and begins anew.
-    pub(crate) fn durable_index(
-        &mut self,
-        (peer, process): (usize, u64),
-        epoch: Epoch,
-        index: Index,
-    ) {
+    /// Records a peer's durable index of an epoch. Within one process it only grows, so that a delayed message takes
+    /// nothing back; the next process may have lost the disk and starts anew.
+    pub(crate) fn record_ack(&mut self, peer: usize, process: u64, epoch: Epoch, index: Index) {
         let known = self.process.get(&peer).copied().unwrap_or(0);
         if peer >= self.machines.len() || process < known {
             return;
@@ -107,119 +113,128 @@
                 durable.remove(&peer);
             }
         }
-        let durable_index = self
-            .durable
-            .entry(epoch)
-            .or_default()
-            .entry(peer)
-            .or_insert(0);
+        let durable = self.durable.entry(epoch).or_default();
+        let durable_index = durable.entry(peer).or_insert(0);
         *durable_index = index.max(*durable_index);
     }
 
-    /// What a peer is known to have of an epoch.
-    pub(crate) fn of(&self, peer: usize, epoch: Epoch) -> Index {
-        self.durable
-            .get(&epoch)
+    /// Returns a peer's durable index of an epoch, as far as it is known.
+    pub(crate) fn acked_by(&self, peer: usize, epoch: Epoch) -> Index {
+        let durable = self.durable.get(&epoch);
+        durable
             .and_then(|durable| durable.get(&peer))
             .copied()
             .unwrap_or(0)
     }
 
-    /// Up to which index each machine besides this one has an epoch, the furthest first.
-    fn furthest(&self, epoch: Epoch) -> Vec<Index> {
-        let mut best = BTreeMap::<Machine, Index>::new();
+    /// Returns the durable index of each machine besides this one, the highest first.
+    fn durable_by_machine(&self, epoch: Epoch) -> Vec<Index> {
+        let mut by_machine = BTreeMap::<Machine, Index>::new();
         for (peer, durable_index) in self.durable.get(&epoch).into_iter().flatten() {
-            if let Some(machine) = self
-                .machines
-                .get(*peer)
-                .filter(|machine| **machine != self.own)
-            {
-                let most = best.entry(*machine).or_default();
-                *most = (*most).max(*durable_index);
+            let machine = self.machines.get(*peer);
+            if let Some(machine) = machine.filter(|machine| **machine != self.own) {
+                let highest = by_machine.entry(*machine).or_default();
+                *highest = (*highest).max(*durable_index);
             }
         }
-        let mut durable: Vec<Index> = best.into_values().collect();
+        let mut durable: Vec<Index> = by_machine.into_values().collect();
         durable.sort_unstable_by(|a, b| b.cmp(a));
         durable
     }
 
-    /// The index up to which as many further machines have an epoch.
-    pub(crate) fn through(&self, epoch: Epoch, wanted: usize) -> Index {
-        match wanted.checked_sub(1) {
+    /// Returns the index through which at least `replicas` further machines have an epoch.
+    pub(crate) fn replicated_through(&self, epoch: Epoch, replicas: usize) -> Index {
+        match replicas.checked_sub(1) {
             None => Index::MAX,
-            Some(n) => self.furthest(epoch).get(n).copied().unwrap_or(0),
+            Some(nth) => self
+                .durable_by_machine(epoch)
+                .get(nth)
+                .copied()
+                .unwrap_or(0),
         }
     }
 
+    /// Opens a commit of this epoch's log through an index, unless `max_pending` are open.
     pub(crate) fn open(
         &mut self,
         now: Micros,
         index: Index,
-        most: usize,
+        max_pending: usize,
     ) -> Result<CommitId, RejectReason> {
-        if self.open.len() >= most {
+        if self.pending.len() >= max_pending {
             return Err(RejectReason::TooManyPending);
         }
-        self.asked += 1;
-        self.open.push_back(Open {
-            commit: self.asked,
+        self.last_id += 1;
+        self.pending.push_back(PendingCommit {
+            id: self.last_id,
             index,
             since: now,
         });
-        Ok(self.asked)
+        Ok(self.last_id)
     }
 
+    /// Returns whether any commit is pending.
     pub(crate) fn is_waiting(&self) -> bool {
-        !self.open.is_empty()
+        !self.pending.is_empty()
     }
 
-    /// When the oldest commit is to be refused.
-    pub(crate) fn until(&self, within: Micros) -> Option<Micros> {
-        self.open.front().map(|open| open.since + within)
+    /// Returns when the oldest pending commit times out.
+    pub(crate) fn next_timeout(&self, timeout_us: Micros) -> Option<Micros> {
+        self.pending
+            .front()
+            .map(|pending| pending.since + timeout_us)
     }
 
-    /// Takes out the commits that are kept, that this proxy's disk did not take or that have waited for too long.
-    pub(crate) fn resolve_commits(
+    /// Takes out the commits that are given or rejected by now.
+    pub(crate) fn resolve(
         &mut self,
         now: Micros,
-        log: LogId,
-        (durable_index, unsynced): (Index, &Unsynced),
-        (min_acks, timeout_us): (usize, Micros),
+        own: OwnLog,
+        options: &Options,
     ) -> Vec<CommitOutcome> {
         let mut outcomes = Vec::new();
-        if self.open.is_empty() {
-            // This is asked after each datagram: the acks of all machines are looked through only where it matters.
+        if self.pending.is_empty() {
+            // This is called after each datagram: the machines' durable indexes are computed only if needed.
             return outcomes;
         }
-        let replicated = self.through(log.epoch, min_acks);
-        while let Some(Open {
-            commit,
-            index,
-            since,
-        }) = self.open.front().copied()
-        {
-            let result = if durable_index >= index && replicated >= index {
-                Ok(now.saturating_sub(since))
-            } else if unsynced.is_failed(log, index)
-                || durable_index < index && since + timeout_us <= now
-            {
-                Err(RejectReason::Disk)
-            } else if since + timeout_us <= now {
-                let have = self
-                    .furthest(log.epoch)
-                    .into_iter()
-                    .filter(|durable_index| *durable_index >= index)
-                    .count();
-                Err(RejectReason::TooFewReplicas {
-                    have,
-                    wanted: min_acks,
-                })
-            } else {
+        let replicated = self.replicated_through(own.log.epoch, options.min_acks);
+        while let Some(pending) = self.pending.front().copied() {
+            let Some(result) = self.result(now, pending, own, replicated, options) else {
                 break;
             };
-            self.open.pop_front();
-            outcomes.push(CommitOutcome { commit, result });
+            self.pending.pop_front();
+            outcomes.push(CommitOutcome {
+                commit: pending.id,
+                result,
+            });
         }
         outcomes
     }
+
+    /// Returns the result of a commit; `None` while it waits.
+    fn result(
+        &self,
+        now: Micros,
+        pending: PendingCommit,
+        own: OwnLog,
+        replicated: Index,
+        options: &Options,
+    ) -> Option<Result<Micros, RejectReason>> {
+        let PendingCommit { index, since, .. } = pending;
+        let is_durable = own.durable_index >= index;
+        let has_timed_out = since + options.commit_timeout_us <= now;
+        if is_durable && replicated >= index {
+            return Some(Ok(now.saturating_sub(since)));
+        }
+        if own.unsynced.is_failed(own.log, index) || !is_durable && has_timed_out {
+            return Some(Err(RejectReason::Disk));
+        }
+        has_timed_out.then(|| {
+            let by_machine = self.durable_by_machine(own.log.epoch);
+            Err(RejectReason::TooFewReplicas {
+                have: by_machine.into_iter().filter(|i| *i >= index).count(),
+                wanted: options.min_acks,
+            })
+        })
+    }
 }
--- a/replication/src/compaction.rs
+++ b/replication/src/compaction.rs
@@ -1,15 +1,15 @@
 //! Compaction: the oldest purges of the logs are moved to a table of fixed size.
 //!
-//! For every log there is an index, `compacted`, through which every purge that no later entry supersedes is in the
-//! table; what is no purge stays. So a replica whose position in the log is before that index can't get the log entry
-//! by entry any more, and is given a snapshot of the table first.
+//! Every log has an index, `compacted`, through which every purge that no later entry supersedes is in the table; other
+//! entries stay. So a replica whose position in the log is before that index can't receive the log entry by entry any
+//! more, and receives a snapshot of the table first.
 
 use crate::log_store::EntryKey;
 use crate::{snapshot, Entry, Index, LogId, LogStore, Micros};
 use linnetknot_purges::BucketIndex;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Through which index a log is compacted.
+/// The index through which a log is compacted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CompactedLog {
     /// The log.
@@ -18,26 +18,28 @@
     pub through: Index,
 }
 
-/// One step of compaction, for the disk. First the buckets and the logs' indexes are to be written, at once or in this
-/// order. Only when these are synced the entries may be deleted ([`LogStore::is_live`] says which must stay, as their
-/// key has a later entry by then). A process that ends in between finds the entries again, and moves them again.
+/// One step of compaction, for the disk.
+///
+/// First the buckets and the logs' indexes must be written, at once or in this order. Only when these are synced may the
+/// entries be deleted, except those that [`LogStore::is_live`] reports, as their key has a later entry by then. A process
+/// that ends in between finds the entries again, and moves them again.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Compaction {
-    /// Buckets that hold what was moved, to be read from [`LogStore::table`].
+    /// The buckets of the moved entries, to be read from [`LogStore::table`].
     pub buckets: Vec<BucketIndex>,
-    /// How far these logs are compacted now.
+    /// The indexes through which these logs are compacted now.
     pub logs: Vec<CompactedLog>,
-    /// Entries that were moved.
+    /// The moved entries.
     pub entries: Vec<Entry>,
 }
 
-/// A step moves this part of the entries that may be held.
+/// A step moves one part in so many of the entries that may be stored.
 const STEP_DIVISOR: usize = 8;
 
 impl LogStore {
-    /// Moves the oldest purges to the table, so many that about seven eighths of `max_entries` are left, of each log
-    /// those through some index. `durable` gives through which index a log is on the disk; nothing behind it is moved,
-    /// nor is the last entry of a log. None: nothing could be moved.
+    /// Moves the oldest purges to the table, of each log those through some index, so that about seven eighths of
+    /// `max_entries` are left. Nothing after a log's index in `durable`, through which the log is on the disk, is moved,
+    /// nor is the last entry of a log. Returns `None` if nothing could be moved.
     pub(crate) fn compact(
         &mut self,
         now: Micros,
@@ -54,7 +56,7 @@
             if !compaction.entries.is_empty() {
                 return Some(compaction);
             }
-            // In each log something younger stands before what is that old.
+            // Each log has a younger entry before those that are old enough.
             if step >= times.len() {
                 return None;
             }
@@ -63,31 +65,34 @@
         None
     }
 
-    /// The times of the purges that may be moved.
+    /// Returns the times of the purges that may be moved.
     fn movable_times(&self, durable: &BTreeMap<LogId, Index>) -> Vec<Micros> {
         let mut times = Vec::with_capacity(self.live.len());
         // Entries are in the order of their logs: the bound of each log is looked up once.
-        let mut bound = (LogId::default(), 0);
-        for (key, record) in self
+        let mut bound = EntryKey {
+            log: LogId::default(),
+            index: 0,
+        };
+        let purges = self
             .live
             .iter()
-            .filter(|(_, record)| record.subject.is_purge())
-        {
-            if key.log != bound.0 {
+            .filter(|(_, record)| record.subject.is_purge());
+        for (key, record) in purges {
+            if key.log != bound.log {
                 let durable = durable.get(&key.log).copied().unwrap_or(0);
-                bound = (
-                    key.log,
-                    durable.min(self.last_index(key.log).saturating_sub(1)),
-                );
+                bound = EntryKey {
+                    log: key.log,
+                    index: durable.min(self.last_index(key.log).saturating_sub(1)),
+                };
             }
-            if key.index <= bound.1 {
+            if key.index <= bound.index {
                 times.push(record.at);
             }
         }
         times
     }
 
-    /// Moves of each log the purges before the first one that is later than `cutoff`.
+    /// Moves the purges of each log before the first one that is later than `cutoff`.
     fn move_until(
         &mut self,
         now: Micros,
@@ -119,7 +124,7 @@
         compaction
     }
 
-    /// Through which index a log can be compacted.
+    /// Returns the index through which a log can be compacted.
     fn movable_through(&self, log: LogId, cutoff: Micros, durable: Index) -> Index {
         let mut through = self.compacted(log);
         let last_index = self.last_index(log);
@@ -139,7 +144,7 @@
         through
     }
 
-    /// The purges of a log through an index.
+    /// Returns the purges of a log through an index.
     fn purges_through(&self, log: LogId, through: Index) -> Vec<EntryKey> {
         let keys = EntryKey { log, index: 0 }..=EntryKey {
             log,
@@ -152,8 +157,8 @@
         purges.map(|(key, _)| *key).collect()
     }
 
-    /// Those of some purges of a log that a later one supersedes which is on the disk, and so need not be in the table:
-    /// what is purged again and again must not fill a bucket.
+    /// Returns which of these purges of a log a later one on the disk supersedes. They need not be in the table: an object
+    /// that is purged again and again must not fill a bucket.
     fn superseded(&self, keys: &[EntryKey], durable: Index) -> BTreeSet<Index> {
         let is_superseded = |key: &&EntryKey| {
             let at = |key: EntryKey| self.live.get(&key).map(|record| record.at);
@@ -168,8 +173,8 @@
             .collect()
     }
 
-    /// Records a purge in the table. Its time is never later than now: a copy that is made from now on is younger than
-    /// the purge, whatever clock told it.
+    /// Records a purge in the table, no later than now: a copy that is made from now on is younger than the purge,
+    /// whichever clock gave the purge its time.
     pub(crate) fn record(&mut self, now: Micros, entry: &Entry) -> Option<BucketIndex> {
         let key = entry.subject.purge_key()?;
         Some(self.table.record(key, entry.at.min(now)))
--- a/replication/src/log_store/capacity.rs
+++ b/replication/src/log_store/capacity.rs
@@ -1,21 +1,21 @@
-//! What a log store has room for, and what becomes of an entry.
+//! The capacity of a log store, and the outcome of an insertion.
 
 use crate::{Index, LogId};
 use std::fmt;
 
-/// What a log store has room for.
+/// The capacity of a log store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capacity {
-    /// Entries that hold for good.
+    /// The most entries that do not expire.
     pub entries: usize,
-    /// Entries that are of use for a time only: they must not take the room of the others.
+    /// The most entries that expire, which must not take the capacity of the others.
     pub expiring: usize,
-    /// Logs.
+    /// The most logs.
     pub logs: usize,
 }
 
 impl Capacity {
-    /// For whatever comes.
+    /// No bound.
     pub const UNLIMITED: Capacity = Capacity {
         entries: usize::MAX,
         expiring: usize::MAX,
@@ -23,7 +23,7 @@
     };
 }
 
-/// There is no room for one more entry or log.
+/// The error of an entry or log beyond the capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CapacityExceeded;
 
@@ -35,7 +35,7 @@
 
 impl std::error::Error for CapacityExceeded {}
 
-/// Two entries have one index of a log.
+/// The error of two entries at the same position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DuplicateIndex {
     /// The log.
@@ -57,15 +57,15 @@
 
 impl std::error::Error for DuplicateIndex {}
 
-/// What became of an entry.
+/// The outcome of an insertion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Insertion {
-    /// It was the next one.
+    /// The entry was the next one of its log, and is in force.
     New,
-    /// It was there, or superseded.
+    /// The entry is stored already, or was superseded.
     Known,
-    /// Others before it are missing.
+    /// Entries before it are missing.
     OutOfOrder,
-    /// There was no room.
+    /// The capacity is exhausted.
     Rejected(CapacityExceeded),
 }
--- a/replication/src/log_store/decisions.rs
+++ b/replication/src/log_store/decisions.rs
@@ -1,11 +1,11 @@
-//! What operators decided, as the logs of a writer have it.
+//! Operators' decisions in the logs of a writer.
 
 use super::{EntryKey, LogStore};
 use crate::{Epoch, Index, LogId, Subject, Writer};
 use std::collections::BTreeMap;
 
 impl LogStore {
-    /// What the operators of a writer decided, by its latest message on each, of all its epochs: whether it is revoked.
+    /// Returns the decisions of a writer's operators, each with whether it is revoked, by the latest entry of all epochs.
     pub fn decisions(&self, writer: Writer) -> BTreeMap<Subject, bool> {
         let mut latest = BTreeMap::<Subject, (Epoch, Index, bool)>::new();
         let first = EntryKey {
@@ -18,10 +18,10 @@
         };
         for (key, record) in self.live.range(first..=last) {
             if matches!(record.subject, Subject::Ban(_) | Subject::Drain) {
-                // A later epoch's message counts, also where the clock was set back between the two.
-                let message = (key.log.epoch, key.index, record.revoked);
-                let known = latest.entry(record.subject.clone()).or_insert(message);
-                *known = message.max(*known);
+                // The entry of a later epoch counts, also if the clock was set back in between.
+                let entry = (key.log.epoch, key.index, record.revoked);
+                let known = latest.entry(record.subject.clone()).or_insert(entry);
+                *known = entry.max(*known);
             }
         }
         latest
--- a/replication/src/log_store/mod.rs
+++ b/replication/src/log_store/mod.rs
@@ -1,5 +1,5 @@
-//! The logs that a proxy has: each without holes up to some index, less what later entries superseded and what was
-//! compacted.
+//! The logs that a proxy has: each complete through some index, less the entries that later ones superseded and those
+//! that were compacted.
 
 mod capacity;
 mod decisions;
@@ -12,28 +12,31 @@
 use linnetknot_purges::{BucketBits, CompactTable};
 use std::collections::BTreeMap;
 
-/// How far a log is had.
+/// How far a log is stored and compacted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-struct Track {
-    /// All entries up to here are had, were superseded or are in the table.
+struct Progress {
+    /// All entries through this index are stored, were superseded or are in the table.
     through: Index,
-    /// All purges up to here that were not superseded are in the table.
+    /// All purges through this index that were not superseded are in the table.
     compacted: Index,
 }
 
-/// An entry by its place.
+/// The position of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct EntryKey {
     pub(crate) log: LogId,
     pub(crate) index: Index,
 }
 
-/// What stands at a place of a log.
+/// The content of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Record {
-    pub(crate) subject: Subject,
-    pub(crate) at: Micros,
-    pub(crate) revoked: bool,
+pub struct Record {
+    /// The subject.
+    pub subject: Subject,
+    /// When it was purged, decided or reported.
+    pub at: Micros,
+    /// Whether an operators' decision is revoked; a purge never is.
+    pub revoked: bool,
 }
 
 impl Record {
@@ -54,7 +57,7 @@
     }
 }
 
-/// What a log says of a subject. Ordered by the subject first, so that all logs' entries of one stand together.
+/// A subject in a log. Ordered by the subject first, so that all logs' entries on one subject are adjacent.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct SubjectKey {
     subject: Subject,
@@ -62,7 +65,7 @@
 }
 
 impl SubjectKey {
-    /// Before the key of any log.
+    /// The first key of a subject, whichever log it is in.
     fn first(subject: Subject) -> Self {
         SubjectKey {
             subject,
@@ -74,10 +77,10 @@
 /// Logs by writer and epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LogStore {
-    tracks: BTreeMap<LogId, Track>,
-    /// Entries in force.
+    progress: BTreeMap<LogId, Progress>,
+    /// Entries in force, and purges that were superseded and are not compacted yet.
     pub(crate) live: BTreeMap<EntryKey, Record>,
-    /// Where the last entry in force of each log on each subject stands.
+    /// The index of the last entry in force of each log on each subject.
     latest: BTreeMap<SubjectKey, Index>,
     /// Those of them that are of use for a time only.
     expiring: usize,
@@ -92,8 +95,8 @@
     }
 }
 
-/// A log's part of the sum by which two log stores are compared.
-fn part(log: LogId, through: Index) -> u64 {
+/// Returns a log's part of the checksum by which two log stores are compared.
+fn checksum_part(log: LogId, through: Index) -> u64 {
     let mut x = log.writer.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ log.epoch.rotate_left(31);
     for by in [through, 0x94d0_49bb_1331_11eb] {
         x = (x ^ (x >> 30) ^ by).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -106,7 +109,7 @@
     /// No logs, and an empty table of a size.
     pub fn new(bucket_bits: BucketBits) -> Self {
         LogStore {
-            tracks: BTreeMap::new(),
+            progress: BTreeMap::new(),
             live: BTreeMap::new(),
             latest: BTreeMap::new(),
             expiring: 0,
@@ -115,9 +118,12 @@
         }
     }
 
-    /// The logs that a process finds on its disk: the table, through which indexes logs were compacted, and the entries,
-    /// in any order and with any `prev`. Purges that were compacted and are still on the disk are held until they are
-    /// compacted again.
+    /// Restores the logs that a process finds on its disk: the table, through which indexes the logs were compacted, and
+    /// the entries, in any order and with any `prev`. Purges that were compacted and are still on the disk are stored
+    /// until they are compacted again.
+    ///
+    /// # Errors
+    /// Fails if two entries have the same position.
     pub fn restore(
         table: CompactTable,
         compacted: &[CompactedLog],
@@ -153,13 +159,21 @@
         Ok(store)
     }
 
-    /// Adds the next entry of a log that is written here. A purge is never earlier than the one that it supersedes.
+    /// Appends an entry to a log that is written here. A purge is never earlier than the one that it supersedes.
+    ///
+    /// # Errors
+    /// Fails if the capacity for entries of this kind is exhausted.
     pub fn append(
         &mut self,
         log: LogId,
-        (subject, at, revoked): (Subject, Micros, bool),
+        record: Record,
         capacity: Capacity,
     ) -> Result<Entry, CapacityExceeded> {
+        let Record {
+            subject,
+            at,
+            revoked,
+        } = record;
         let prev = self.prev_of(EntryKey {
             log,
             index: Index::MAX,
@@ -174,35 +188,34 @@
             at,
             revoked,
         };
-        // A log of one's own is always had in full.
-        match self.take(
-            &entry,
-            Capacity {
-                logs: usize::MAX,
-                ..capacity
-            },
-        ) {
+        // The bound of logs is for those of others.
+        let capacity = Capacity {
+            logs: usize::MAX,
+            ..capacity
+        };
+        match self.take(&entry, capacity) {
             Insertion::New => Ok(entry),
             _ => Err(CapacityExceeded),
         }
     }
 
-    /// Takes an entry in, if it is the next one of its log.
+    /// Stores an entry if it is the next one of its log.
     pub fn take(&mut self, entry: &Entry, capacity: Capacity) -> Insertion {
-        let have = self.last_index(entry.log);
-        if entry.index <= have {
+        let last_index = self.last_index(entry.log);
+        if entry.index <= last_index {
             return Insertion::Known;
         }
-        if entry.prev > have {
+        if entry.prev > last_index {
             return Insertion::OutOfOrder;
         }
         let replaces = !entry.subject.is_purge() && self.is_live(entry.log, &entry.subject);
-        let full = match entry.subject.is_expiring() {
-            true => self.expiring >= capacity.expiring,
-            false => self.exact_len() >= capacity.entries,
+        let is_full = if entry.subject.is_expiring() {
+            self.expiring >= capacity.expiring
+        } else {
+            self.exact_len() >= capacity.entries
         };
-        let is_new_log = !self.tracks.contains_key(&entry.log);
-        if is_new_log && self.tracks.len() >= capacity.logs || !replaces && full {
+        let is_new_log = !self.progress.contains_key(&entry.log);
+        if is_new_log && self.progress.len() >= capacity.logs || !replaces && is_full {
             return Insertion::Rejected(CapacityExceeded);
         }
         self.raise_last_index(entry.log, entry.index);
@@ -210,8 +223,8 @@
         Insertion::New
     }
 
-    /// Takes in an entry that a snapshot brought, which stands through the index to which that raised its log. True where
-    /// it is in force now, and was not.
+    /// Stores an entry that came with a snapshot, within the index to which the snapshot raised its log. Returns whether
+    /// the entry is newly in force.
     pub(crate) fn take_retained(&mut self, entry: &Entry) -> bool {
         let key = SubjectKey {
             subject: entry.subject.clone(),
@@ -228,8 +241,8 @@
         true
     }
 
-    /// Puts an entry in force, in place of the one that it supersedes. A purge that is superseded stays until it is
-    /// compacted: a peer that is behind both gets both, so that it has a floor whichever of them comes.
+    /// Puts an entry in force, in place of the one that it supersedes. A superseded purge stays until it is compacted: a
+    /// peer that is behind both receives both, so that it has the purge whichever of them arrives.
     fn insert(&mut self, entry: Entry) {
         let Entry {
             log,
@@ -266,7 +279,7 @@
         );
     }
 
-    /// Takes an entry out of those in force.
+    /// Removes an entry from those in force.
     pub(crate) fn remove(&mut self, key: EntryKey) -> Option<Entry> {
         let record = self.live.remove(&key)?;
         self.expiring -= usize::from(record.subject.is_expiring());
@@ -280,39 +293,40 @@
         Some(record.into_entry(key, 0))
     }
 
-    /// Raises the index up to which a log is had.
+    /// Raises a log's last index.
     pub(crate) fn raise_last_index(&mut self, log: LogId, through: Index) {
-        let track = self.tracks.entry(log).or_default();
-        if through <= track.through {
+        let progress = self.progress.entry(log).or_default();
+        if through <= progress.through {
             return;
         }
-        if track.through > 0 {
-            self.sum = self.sum.wrapping_sub(part(log, track.through));
+        if progress.through > 0 {
+            self.sum = self.sum.wrapping_sub(checksum_part(log, progress.through));
         }
-        self.sum = self.sum.wrapping_add(part(log, through));
-        track.through = through;
+        self.sum = self.sum.wrapping_add(checksum_part(log, through));
+        progress.through = through;
     }
 
     /// Raises the index through which a log is compacted.
     pub(crate) fn set_compacted(&mut self, log: LogId, through: Index) {
-        let track = self.tracks.entry(log).or_default();
-        track.compacted = track.compacted.max(through);
+        let progress = self.progress.entry(log).or_default();
+        progress.compacted = progress.compacted.max(through);
     }
 
-    /// A purge that stands where its log is compacted is in the table, too.
+    /// Records a purge in the table, too, if its log is compacted through its index.
     fn record_if_compacted(&mut self, entry: &Entry) {
         if entry.index <= self.compacted(entry.log) {
             self.record(Micros::MAX, entry);
         }
     }
 
-    /// Raises a log to the index through which the table has it from a snapshot. What is held of it so far is recorded
+    /// Raises a log to the index through which a snapshot covers it. The purges of it that are stored so far are recorded
     /// in the table, too.
     pub(crate) fn raise_to_snapshot(&mut self, log: LogId, through: Index) {
         self.raise_last_index(log, through);
         self.set_compacted(log, through);
-        let held: Vec<Entry> = self.live_through(log, through).collect();
-        held.iter()
+        let stored: Vec<Entry> = self.live_through(log, through).collect();
+        stored
+            .iter()
             .for_each(|entry| self.record_if_compacted(entry));
     }
 }
--- a/replication/src/options.rs
+++ b/replication/src/options.rs
@@ -1,58 +1,58 @@
-//! Bounds and times of a replica, and its counters.
+//! The options of a replica, and its counters.
 
 use crate::Micros;
 
-/// Bounds and times.
+/// Bounds and times of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Options {
-    /// Purges and operators' decisions of all logs together that are held as entries. Above it the oldest purges are
-    /// moved to the compact table ([`crate::Replica::compact`]). Twice as many is the hard bound, for what can't be
-    /// moved since the disk does not take it.
+    /// The most purges and operators' decisions of all logs together that are stored as entries. Above it the oldest
+    /// purges are moved to the compact table ([`crate::Replica::compact`]). The hard bound is twice as many, for entries
+    /// that can't be moved because the disk does not take them.
     pub max_exact_entries: usize,
-    /// Entries of the status of triggers, besides.
+    /// The most entries of triggers' statuses, in addition.
     pub expiring: usize,
-    /// These are of use for so long.
+    /// How long those entries are of use.
     pub expiry_us: Micros,
-    /// Logs: writers by their epochs.
+    /// The most logs, which are writers by their epochs.
     pub max_logs: usize,
-    /// How often a peer is sent how far the logs are had here.
+    /// The interval between two digests.
     pub digest_period_us: Micros,
-    /// Entries sent in answer to one message of a peer that has less.
+    /// The most entries sent in answer to one message of a peer that has fewer.
     pub batch: usize,
-    /// Entries sent in one period, to all: copying must leave the loop to requests.
+    /// The most entries sent in one digest period to all peers: replication must leave the event loop to requests.
     pub max_entries_per_period: usize,
-    /// Entries that came early, kept until those before them come.
+    /// The most entries in the reorder buffer.
     pub reorder: usize,
-    /// What stands before those is asked for after this.
+    /// How long after the first entry out of order the gap before it is requested.
     pub gap_request_us: Micros,
-    /// Further machines that must have a commit on their disks before it is given.
+    /// How many further machines must have a commit on their disks before it is given.
     pub min_acks: usize,
-    /// Further machines that are to have each entry in the end.
+    /// How many further machines are to have each entry in the end.
     pub replication_factor: usize,
-    /// A commit that can't be given within this is refused.
+    /// The time after which a commit is rejected.
     pub commit_timeout_us: Micros,
-    /// Peers are asked so often what they have, while a commit waits for them.
+    /// The interval in which entries are sent again while a commit waits for peers.
     pub retry_us: Micros,
-    /// Commits that may wait at a time.
+    /// The most pending commits.
     pub max_pending: usize,
-    /// Bytes a second of a snapshot that this replica asks for.
+    /// The bytes of a snapshot per second that this replica requests.
     pub snapshot_bytes_per_s: usize,
-    /// Bytes of snapshots sent in one digest period, to all.
+    /// The most bytes of snapshots sent in one digest period to all peers.
     pub max_snapshot_bytes_per_period: usize,
-    /// A part of a snapshot is asked for this long after the one before it, at least.
+    /// The shortest interval between two requests for parts of a snapshot.
     pub snapshot_request_us: Micros,
-    /// A part of which the end has not come is asked for again after this.
+    /// The time after which an incomplete part of a snapshot is requested again.
     pub snapshot_timeout_us: Micros,
 }
 
 impl Options {
-    /// Bytes of a snapshot that one request is answered with.
+    /// Returns how many bytes of a snapshot one request is answered with.
     pub(crate) fn snapshot_window_bytes(&self) -> usize {
         let window = self.snapshot_bytes_per_s as u64 * self.snapshot_request_us / 1_000_000;
         window as usize
     }
 
-    /// The hard bound of entries that hold for good.
+    /// Returns the hard bound of entries that do not expire.
     pub(crate) fn max_entries(&self) -> usize {
         self.max_exact_entries.saturating_mul(2)
     }
@@ -83,7 +83,7 @@
     }
 }
 
-/// Counts for the operators.
+/// Counters for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Counters {
     /// Entries sent to peers.
@@ -92,13 +92,13 @@
     pub learned: u64,
     /// Entries that were known.
     pub known: u64,
-    /// Entries that came before ones that are missing still.
+    /// Entries that arrived before others of their log.
     pub out_of_order: u64,
-    /// Entries for which there was no room.
+    /// Entries beyond the capacity.
     pub rejected: u64,
     /// Commits given.
     pub committed: u64,
-    /// Commits refused.
+    /// Commits rejected.
     pub commits_rejected: u64,
     /// Purges moved to the compact table.
     pub compacted: u64,
@@ -108,6 +108,6 @@
     pub snapshot_chunks_sent: u64,
     /// Snapshots received in full.
     pub snapshots_received: u64,
-    /// Snapshots given up, as their sender did not answer.
+    /// Snapshots abandoned because their sender did not answer.
     pub snapshots_abandoned: u64,
 }
--- a/replication/src/recovery.rs
+++ b/replication/src/recovery.rs
@@ -1,103 +1,125 @@
-//! When a proxy that began without a disk has its own promises back.
+//! When a proxy that started without a disk has its own commits back.
 //!
-//! Each of its promises is on the disks of `wait` further machines at least. So once it has all that all but `wait - 1`
-//! of the further machines have, it has all that it ever promised, whichever machines those were on. Until then it
-//! is not ready; a machine that is gone as well must not keep it from service for ever, so that its time is bounded.
+//! Each commit is on the disks of at least `min_acks` further machines. So once the proxy has all entries that all but
+//! `min_acks - 1` of the further machines have, it has every entry that it ever committed, whichever machines those were
+//! on. Until then it is not ready. A machine that is lost as well must not keep it from service for ever, so the
+//! recovery ends at a deadline.
 
 use crate::{Machine, Micros};
 use std::collections::BTreeSet;
 
-/// A proxy's wait for its own promises.
+/// The times of a recovery.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RecoveryTimes {
+    /// When the peers are asked first.
+    pub start: Micros,
+    /// The recovery ends then, whatever is missing.
+    pub deadline: Micros,
+    /// The interval in which peers are asked again.
+    pub retry_us: Micros,
+}
+
+/// What a recovery requires at a tick.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct RecoveryStep {
+    /// The peers to request digests from now.
+    pub request_from: Vec<usize>,
+    /// Set when the deadline passes: how many more machines would have been needed.
+    pub missing_machines: Option<usize>,
+}
+
+/// The recovery of a proxy's own commits from its peers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Recovery {
     own: Machine,
+    /// The machine of each peer.
     machines: Vec<Machine>,
+    /// How many further machines the proxy must be level with.
     needed: usize,
-    /// Peers of which it has all.
+    /// Peers of which the proxy has all entries.
     settled: BTreeSet<usize>,
-    until: Micros,
-    ask: Micros,
+    deadline: Micros,
+    next_request: Micros,
     retry_us: Micros,
-    over: bool,
+    is_over: bool,
 }
 
 impl Recovery {
-    /// Of a proxy on this machine, among peers on these, whose promises waited for `wait` of them. It is over at
-    /// `until`, whatever is missing; peers are asked each `retry_us`.
+    /// The recovery of a proxy on the machine `own`, whose peers are on `machines` and whose commits waited for
+    /// `min_acks` further machines.
     pub fn new(
         own: Machine,
         machines: Vec<Machine>,
-        wait: usize,
-        (now, until, retry_us): (Micros, Micros, Micros),
+        min_acks: usize,
+        times: RecoveryTimes,
     ) -> Self {
         let further: BTreeSet<Machine> = machines.iter().copied().filter(|m| *m != own).collect();
-        // With `wait: 0` nothing was promised of others; who can be reached is asked all the same.
-        let needed = (further.len() + 1).saturating_sub(wait.max(1));
-        let over = needed == 0;
+        // With no acknowledgements required nothing was committed elsewhere; the peers are asked all the same.
+        let needed = (further.len() + 1).saturating_sub(min_acks.max(1));
         Recovery {
             own,
             machines,
             needed,
             settled: BTreeSet::new(),
-            until,
-            ask: now,
-            retry_us,
-            over,
+            deadline: times.deadline,
+            next_request: times.start,
+            retry_us: times.retry_us,
+            is_over: needed == 0,
         }
     }
 
-    /// Whether it is over.
+    /// Returns whether the recovery is over.
     pub fn is_over(&self) -> bool {
-        self.over
+        self.is_over
     }
 
-    /// When `tick` has something to do.
+    /// Returns when [`Recovery::tick`] is to be called next; `None` once the recovery is over.
     pub fn due(&self) -> Option<Micros> {
-        (!self.over).then_some(self.ask.min(self.until))
+        (!self.is_over).then_some(self.next_request.min(self.deadline))
     }
 
-    /// Which peers are to be asked now; the time may be over with that, with how many machines still not heard out.
-    pub fn tick(&mut self, now: Micros) -> (Vec<usize>, Option<usize>) {
-        if self.over {
-            return (Vec::new(), None);
+    /// Returns the peers to ask now, and ends the recovery at its deadline.
+    pub fn tick(&mut self, now: Micros) -> RecoveryStep {
+        if self.is_over {
+            return RecoveryStep::default();
+        }
+        if now >= self.deadline {
+            self.is_over = true;
+            return RecoveryStep {
+                missing_machines: Some(self.needed - self.settled_machines()),
+                ..RecoveryStep::default()
+            };
         }
-        if now >= self.until {
-            self.over = true;
-            return (Vec::new(), Some(self.needed - self.machines()));
+        if now < self.next_request {
+            return RecoveryStep::default();
         }
-        if now < self.ask {
-            return (Vec::new(), None);
+        self.next_request = now + self.retry_us;
+        let unsettled = (0..self.machines.len()).filter(|peer| !self.settled.contains(peer));
+        RecoveryStep {
+            request_from: unsettled.collect(),
+            missing_machines: None,
         }
-        self.ask = now + self.retry_us;
-        (
-            (0..self.machines.len())
-                .filter(|peer| !self.settled.contains(peer))
-                .collect(),
-            None,
-        )
     }
 
-    /// What the peers have is on its way: the wait is over no sooner than this.
-    pub fn extend(&mut self, until: Micros) {
-        self.until = self.until.max(until);
+    /// Extends the deadline to at least this time: entries are on their way.
+    pub fn extend(&mut self, deadline: Micros) {
+        self.deadline = self.deadline.max(deadline);
     }
 
-    /// This proxy has all that a peer has. True where that ended the wait.
+    /// Records that the proxy has all entries that a peer has. Returns whether that ended the recovery.
     pub fn settled(&mut self, peer: usize) -> bool {
-        if self.over || peer >= self.machines.len() {
+        if self.is_over || peer >= self.machines.len() {
             return false;
         }
         self.settled.insert(peer);
-        self.over = self.machines() >= self.needed;
-        self.over
+        self.is_over = self.settled_machines() >= self.needed;
+        self.is_over
     }
 
-    fn machines(&self) -> usize {
-        let machines = self
-            .settled
-            .iter()
-            .map(|peer| self.machines[*peer])
-            .filter(|m| *m != self.own);
-        machines.collect::<BTreeSet<_>>().len()
+    /// Counts the further machines of which the proxy has all entries.
+    fn settled_machines(&self) -> usize {
+        let machines = self.settled.iter().map(|peer| self.machines[*peer]);
+        let further: BTreeSet<Machine> = machines.filter(|machine| *machine != self.own).collect();
+        further.len()
     }
 }
--- a/replication/src/reorder.rs
+++ b/replication/src/reorder.rs
@@ -1,10 +1,10 @@
-//! Entries that came before others of their log which are missing still. They are kept until those come, so that a lost
-//! datagram costs itself alone and not all that were sent behind it.
+//! A buffer for entries that arrived before others of their log, so that a lost datagram costs only itself and not all
+//! that were sent after it.
 
-use crate::{Entry, Index, LogId};
+use crate::{Entry, Gap, Index, LogId};
 use std::collections::BTreeMap;
 
-/// What came early, bounded in all.
+/// Entries that arrived out of order, bounded in total.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct ReorderBuffer {
     logs: BTreeMap<LogId, BTreeMap<Index, Entry>>,
@@ -12,9 +12,9 @@
 }
 
 impl ReorderBuffer {
-    /// Keeps an entry, if there is room. True where it was not here.
-    pub(crate) fn put(&mut self, entry: &Entry, most: usize) -> bool {
-        if self.len >= most {
+    /// Stores an entry unless there are `max_len` already. Returns whether it was new.
+    pub(crate) fn put(&mut self, entry: &Entry, max_len: usize) -> bool {
+        if self.len >= max_len {
             return false;
         }
         let log = self.logs.entry(entry.log).or_default();
@@ -23,18 +23,18 @@
         is_new
     }
 
-    /// The next entry of a log that is had up to `have`, if it is here.
-    pub(crate) fn next(&mut self, log: LogId, have: Index) -> Option<Entry> {
+    /// Takes out the entry that follows `last_index` in a log, if it is here. Entries that the replica has received
+    /// otherwise by now are dropped.
+    pub(crate) fn next(&mut self, log: LogId, last_index: Index) -> Option<Entry> {
         let out_of_order = self.logs.get_mut(&log)?;
         let mut next = None;
         while let Some(first) = out_of_order.first_entry() {
-            if first.get().index > have && first.get().prev > have {
+            if first.get().index > last_index && first.get().prev > last_index {
                 break;
             }
             let entry = first.remove();
             self.len -= 1;
-            // What is had by now, by another way, is let go.
-            if entry.index > have {
+            if entry.index > last_index {
                 next = Some(entry);
                 break;
             }
@@ -45,20 +45,23 @@
         next
     }
 
-    /// What is missing of a log that is had up to `have`: behind the first index of each, up to the second.
-    pub(crate) fn gaps(&self, log: LogId, have: Index) -> Vec<(Index, Index)> {
+    /// Returns what is missing of a log between `last_index` and the entries of it that are here.
+    pub(crate) fn gaps(&self, log: LogId, last_index: Index) -> Vec<Gap> {
         let mut gaps = Vec::new();
-        let mut through = have;
+        let mut through = last_index;
         for entry in self.logs.get(&log).into_iter().flat_map(BTreeMap::values) {
             if entry.prev > through {
-                gaps.push((through, entry.prev));
+                gaps.push(Gap {
+                    after: through,
+                    through: entry.prev,
+                });
             }
             through = through.max(entry.index);
         }
         gaps
     }
 
-    /// The logs of which something came early.
+    /// Returns the logs of which entries are here.
     pub(crate) fn logs(&self) -> impl Iterator<Item = LogId> + '_ {
         self.logs.keys().copied()
     }
--- a/replication/src/replica/catch_up.rs
+++ b/replication/src/replica/catch_up.rs
@@ -1,51 +1,49 @@
 //! Compaction, and snapshots to and from peers.
 
 use super::Replica;
-use crate::snapshot::{Ask, Complete, Image, Progress, Reader};
+use crate::snapshot::{CatchUpRequest, CompleteSnapshot, Image, ImageReader, Progress};
 use crate::wire::MAX_LOGS_PER_DATAGRAM;
 use crate::{
-    CompactedLog, Compaction, Datagram, Index, LogId, MergedBucket, Micros, Outgoing, Received,
-    SnapshotChunk, SnapshotContent, SnapshotCursor, SnapshotOffer, SnapshotRequest,
+    CompactedLog, Compaction, Datagram, Index, LogId, LogPosition, MergedBucket, Micros, Outgoing,
+    Received, SnapshotChunk, SnapshotContent, SnapshotCursor, SnapshotOffer, SnapshotRequest,
     MAX_DATAGRAM_BYTES,
 };
 use std::collections::BTreeMap;
 
-/// When nothing could be moved, it is tried again after this.
+/// The interval after which compaction is tried again if it could move nothing.
 const COMPACTION_RETRY_US: Micros = 1_000_000;
-/// A peer that was offered a snapshot in so many digest periods and never answered does not know what one is.
+/// A peer that was offered a snapshot in so many digest periods and never answered has a version without snapshots.
 const MIN_UNANSWERED_PERIODS: u32 = 64;
-
-/// An image that was not read for so many digest periods is let go.
+/// An image that was not read for so many digest periods is dropped.
 const MAX_IMAGE_PERIODS: u64 = 64;
-/// Datagrams that ask the sender of a snapshot for what stands behind it.
+/// The most datagrams that request from the sender of a snapshot the entries after it.
 const MAX_REQUESTS_AFTER_SNAPSHOT: usize = 16;
+/// While a peer reads a snapshot, compaction is deferred until one part in so many is stored beyond the usual bound: the
+/// peer then receives the entries after the snapshot as such, and not by another snapshot.
+const MAX_DEFERRED_DIVISOR: usize = 2;
 
 /// A log that a snapshot raised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PendingSnapshot {
-    /// Up to which index it was on the disk before.
+    /// The log's durable index before.
     pub(super) durable: Index,
-    /// To which it was raised.
+    /// The index to which the log was raised.
     pub(super) through: Index,
 }
 
 /// Offers to a peer since it last answered one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Offers {
-    /// In how many digest periods.
+    /// The number of digest periods with an offer.
     periods: u32,
     /// The last of them.
     last: u64,
 }
 
-/// While a peer reads a snapshot, so large a part of the entries that may be held is held beyond them: the peer gets as
-/// entries what stands behind the snapshot, and not by another one.
-const MAX_DEFERRED_DIVISOR: usize = 2;
-
 impl Replica {
-    /// Moves the oldest purges to the compact table, if there are more entries than are to be held. It waits a while for a
-    /// snapshot that is being read. To be called after each change, or often: it is cheap as long as there is nothing to
-    /// move. What it moved is in force as before; the disk is to be brought in line as [`Compaction`] says.
+    /// Moves the oldest purges to the compact table if there are more entries than the bound. It waits a while for a
+    /// snapshot that is being read. To be called after each change, or often: it is cheap while there is nothing to move.
+    /// The moved purges are in force as before; the caller must update the disk as [`Compaction`] says.
     pub fn compact(&mut self, now: Micros) -> Option<Compaction> {
         let max_entries = self.options.max_exact_entries;
         let exact_len = self.log_store.exact_len();
@@ -57,7 +55,7 @@
         }
         let logs = self.log_store.last_indexes().into_iter();
         let durable: BTreeMap<LogId, Index> = logs
-            .map(|(log, _)| (log, self.durable_index(log)))
+            .map(|position| (position.log, self.durable_index(position.log)))
             .collect();
         let compaction = self.log_store.compact(now, max_entries, &durable);
         match &compaction {
@@ -70,14 +68,14 @@
         compaction
     }
 
-    /// Whether this replica knows that it lacks what peers have compacted. Until it has it, purges may be missing here
-    /// that no log will bring.
+    /// Returns whether this replica knows that it is behind what peers have compacted. Until it has that, purges may be
+    /// missing here that no log will bring.
     pub fn is_catching_up(&self) -> bool {
         self.catch_up.is_open(|log| self.log_store.last_index(log))
     }
 
-    /// Peers that were offered a snapshot again and again and did not answer, as those of a version before snapshots:
-    /// what they missed while they were away they do not get.
+    /// Returns the peers that were offered a snapshot again and again and did not answer, as those of a version without
+    /// snapshots do: they do not receive what they missed while they were away.
     pub fn peers_without_snapshot(&self) -> Vec<usize> {
         let unanswered = self
             .offers
@@ -86,7 +84,7 @@
         unanswered.map(|(peer, _)| *peer).collect()
     }
 
-    /// Offers a snapshot to a peer.
+    /// Returns the offer of a snapshot to a peer.
     pub(super) fn offer(&mut self, peer: usize, logs: Vec<CompactedLog>) -> Datagram {
         let offers = self.offers.entry(peer).or_default();
         if offers.last != self.period || offers.periods == 0 {
@@ -104,27 +102,27 @@
         })
     }
 
-    /// Asks for the next part of a snapshot, or any peer for one.
+    /// Requests the next part of a snapshot from its sender, or the missing logs from any peer.
     pub(super) fn request_snapshot(&mut self, now: Micros, outgoing: &mut Vec<Outgoing>) {
         let store = &self.log_store;
-        let peers = self.pending.count();
-        match self
-            .catch_up
-            .tick(now, &self.options, |log| store.last_index(log))
-        {
+        let peers = self.pending.peer_count();
+        let last_index = |log| store.last_index(log);
+        match self.catch_up.tick(now, &self.options, last_index) {
             None => {}
-            Some(Ask::Sender { peer, request }) => {
+            Some(CatchUpRequest::Sender { peer, request }) => {
                 outgoing.push(Outgoing {
                     peer,
                     datagram: Datagram::SnapshotRequest(request),
                 });
             }
-            Some(Ask::Any(_)) if peers == 0 => {}
-            Some(Ask::Any(logs)) => {
+            Some(CatchUpRequest::Any(_)) if peers == 0 => {}
+            Some(CatchUpRequest::Any(logs)) => {
+                let position = |log| LogPosition {
+                    log,
+                    index: store.last_index(log),
+                };
                 let logs = logs.into_iter().take(MAX_LOGS_PER_DATAGRAM);
-                let positions = logs
-                    .map(|log| (log, self.log_store.last_index(log)))
-                    .collect();
+                let positions = logs.map(position).collect();
                 let peer = self.random.below(peers as u64) as usize;
                 outgoing.push(Outgoing {
                     peer,
@@ -142,7 +140,7 @@
         Received::default()
     }
 
-    /// Answers with a part of a snapshot. Who names an earlier process is told of this one.
+    /// Replies with a part of a snapshot. A request to an earlier process is answered by an offer of this one.
     pub(super) fn take_request(&mut self, from: usize, request: SnapshotRequest) -> Received {
         self.offers.remove(&from);
         let mut received = Received::default();
@@ -158,32 +156,32 @@
         received
     }
 
-    /// The image that is to be read from a cursor on. A snapshot that begins has one of the last compaction.
+    /// Returns the image to read from a cursor on. A snapshot that starts is read from an image of the last compaction.
     fn image_for(&mut self, from: SnapshotCursor) -> Image {
         self.image_period = self.period;
-        let is_begin = from == SnapshotCursor::START;
-        let known = self
+        let is_start = from == SnapshotCursor::START;
+        let current = self
             .image
             .take()
-            .filter(|image| !is_begin || image.compactions == self.compactions);
-        known.unwrap_or_else(|| {
+            .filter(|image| !is_start || image.compactions == self.compactions);
+        current.unwrap_or_else(|| {
             self.images += 1;
             Image::new(&self.log_store, self.images, self.compactions)
         })
     }
 
-    /// Lets the image go that nobody has asked for lately.
+    /// Drops the image if no peer has read it lately.
     pub(super) fn drop_unread_image(&mut self) {
         if self.period - self.image_period > MAX_IMAGE_PERIODS {
             self.image = None;
         }
     }
 
-    /// One window of a snapshot, as far as this period leaves it. It does not go beyond the logs' indexes where it begins
-    /// with them: what is read together with them counts for nothing.
+    /// Sends one window of a snapshot, as much as this period leaves. A window that starts with the logs' indexes ends
+    /// with them, as the receiver does not use what is read together with them.
     fn send_snapshot(&mut self, from: SnapshotCursor, replies: &mut Vec<Datagram>) {
         let image = self.image_for(from);
-        let reader = Reader {
+        let reader = ImageReader {
             image: &image,
             store: &self.log_store,
             process: self.process,
@@ -226,8 +224,8 @@
         received
     }
 
-    /// Takes a chunk's buckets into the table: that is right whoever sent them, and whenever. The sender's clock may be
-    /// ahead.
+    /// Merges a chunk's buckets into the table, which is right whoever sent them and whenever. Their times are bounded by
+    /// now, as the sender's clock may be ahead.
     fn merge_buckets(&mut self, now: Micros, content: &SnapshotContent, received: &mut Received) {
         let SnapshotContent::Buckets {
             bucket_bits,
@@ -239,7 +237,7 @@
         let table = &mut self.log_store.table;
         for placed in buckets {
             let bucket = placed.bucket.no_later_than(now);
-            // A bucket that such a table does not have was not read.
+            // Decoding has checked the index, so that the merge does not fail.
             let changed = table
                 .merge_bucket(*bucket_bits, placed.index, &bucket)
                 .unwrap_or_default();
@@ -256,15 +254,20 @@
         }
     }
 
-    /// All of a snapshot is here: the logs go on from where it leaves them.
-    fn complete_snapshot(&mut self, from: usize, complete: Complete, received: &mut Received) {
+    /// Takes a complete snapshot: the logs continue after the indexes to which it raises them.
+    fn complete_snapshot(
+        &mut self,
+        from: usize,
+        complete: CompleteSnapshot,
+        received: &mut Received,
+    ) {
         let mut last_indexes = BTreeMap::new();
         for (log, through) in complete.logs {
             let last_index = self.log_store.last_index(log);
             if through <= last_index {
                 continue;
             }
-            if last_index == 0 && self.log_store.logs() >= self.options.max_logs {
+            if last_index == 0 && self.log_store.log_count() >= self.options.max_logs {
                 self.counters.rejected += 1;
                 continue;
             }
@@ -290,18 +293,17 @@
             .for_each(|log| self.take_reordered(from, log, received));
     }
 
-    /// Asks the sender of a snapshot for what stands behind it: others may have compacted more by then.
+    /// Requests the entries after a snapshot from its sender, as other peers may have compacted more by then.
     fn request_after_snapshot(&self, logs: &[CompactedLog], replies: &mut Vec<Datagram>) {
+        let position = |compacted: &CompactedLog| LogPosition {
+            log: compacted.log,
+            index: compacted.through,
+        };
         let requests = logs
             .chunks(MAX_LOGS_PER_DATAGRAM)
             .take(MAX_REQUESTS_AFTER_SNAPSHOT);
-        replies.extend(requests.map(|logs| {
-            let positions = logs
-                .iter()
-                .map(|compacted| (compacted.log, compacted.through));
-            Datagram::RangeRequest {
-                positions: positions.collect(),
-            }
+        replies.extend(requests.map(|logs| Datagram::RangeRequest {
+            positions: logs.iter().map(position).collect(),
         }));
     }
 
--- a/replication/src/replica/commits.rs
+++ b/replication/src/replica/commits.rs
@@ -1,18 +1,22 @@
-//! What of the logs is on which disk, and which commits may be given.
+//! Commits and acknowledgements: which entries are on which disks.
 
 use super::Replica;
+use crate::commit::OwnLog;
 use crate::log_store::EntryKey;
 use crate::{
-    CommitId, CommitOutcome, CompactedLog, Datagram, Entry, Index, LogId, Micros, Outgoing,
-    RejectReason,
+    CommitId, CommitOutcome, CompactedLog, Datagram, Entry, Index, LogId, LogPosition, Micros,
+    Outgoing, RejectReason,
 };
 
 impl Replica {
-    /// The answer to whoever told what stands in this epoch's log up to an index is to wait until it is kept, or can't be.
-    /// Places never go down from one commit to the next.
+    /// Opens a commit of this epoch's log through an index, which [`Replica::resolve_commits`] gives or rejects later.
+    /// The index must not be lower than that of any commit before.
+    ///
+    /// # Errors
+    /// Fails if too many commits are pending.
     pub fn open_commit(&mut self, now: Micros, index: Index) -> Result<CommitId, RejectReason> {
         if !self.pending.is_waiting() {
-            // Peers were sent the entry just now: they are asked again only after a while.
+            // The entry was sent to the peers just now, and is sent again only after a while.
             self.next_retry = now + self.options.retry_us;
         }
         let opened = self.pending.open(now, index, self.options.max_pending);
@@ -20,50 +24,47 @@
         opened
     }
 
-    /// Commits that are kept, and those that can't be.
+    /// Takes the commits that are given or rejected by now.
     pub fn resolve_commits(&mut self, now: Micros) -> Vec<CommitOutcome> {
-        let durable_index = self.durable_index(self.own);
-        let (min_acks, timeout_us) = (self.options.min_acks, self.options.commit_timeout_us);
-        let outcomes = self.pending.resolve_commits(
-            now,
-            self.own,
-            (durable_index, &self.unsynced),
-            (min_acks, timeout_us),
-        );
-        let kept = outcomes.iter().filter(|s| s.result.is_ok()).count() as u64;
-        self.counters.committed += kept;
-        self.counters.commits_rejected += outcomes.len() as u64 - kept;
+        let own = OwnLog {
+            log: self.own,
+            durable_index: self.durable_index(self.own),
+            unsynced: &self.unsynced,
+        };
+        let outcomes = self.pending.resolve(now, own, &self.options);
+        let given = outcomes.iter().filter(|o| o.result.is_ok()).count() as u64;
+        self.counters.committed += given;
+        self.counters.commits_rejected += outcomes.len() as u64 - given;
         outcomes
     }
 
-    /// Up to which index all that is in force of a log is on this proxy's disk.
+    /// Returns the index through which all entries in force of a log are on this proxy's disk.
     pub fn durable_index(&self, log: LogId) -> Index {
-        let durable = self.unsynced.through(log, self.log_store.last_index(log));
+        let last_index = self.log_store.last_index(log);
+        let durable = self.unsynced.synced_through(log, last_index);
         let pending = self.pending_snapshots.get(&log);
         pending.map_or(durable, |pending| durable.min(pending.durable))
     }
 
-    /// Whether all that the log store has is on the disk.
+    /// Returns whether all that the log store has is on the disk.
     pub fn is_synced(&self) -> bool {
         self.unsynced.is_empty() && self.pending_snapshots.is_empty()
     }
 
-    /// An entry is on the disk: which peers are to be told so.
+    /// Records that an entry is on the disk. Returns the acknowledgements to send.
     pub fn synced(&mut self, log: LogId, index: Index) -> Vec<Outgoing> {
         self.unsynced.synced(log, index);
         self.due_acks(log)
     }
 
-    /// What a snapshot brought is on the disk, the indexes of these logs ([`crate::Received::compacted`]) and all buckets
-    /// that were given up to then: which peers are to be told so. Before that, none is told of what the snapshot covers.
+    /// Records that a snapshot is on the disk: the indexes of these logs ([`crate::Received::compacted`]) and all buckets
+    /// returned up to then. Returns the acknowledgements to send. Before that, nothing that the snapshot covers is
+    /// acknowledged.
     pub fn snapshot_synced(&mut self, logs: &[CompactedLog]) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
         for CompactedLog { log, through } in logs {
-            if self
-                .pending_snapshots
-                .get(log)
-                .is_some_and(|pending| pending.through <= *through)
-            {
+            let pending = self.pending_snapshots.get(log);
+            if pending.is_some_and(|pending| pending.through <= *through) {
                 self.pending_snapshots.remove(log);
                 outgoing.extend(self.due_acks(*log));
             }
@@ -71,39 +72,46 @@
         outgoing
     }
 
-    /// Tells the peers that wait for a log to be on the disk.
+    /// Returns the acknowledgements to the peers that wait for a log to be on the disk, as far as it is.
     fn due_acks(&mut self, log: LogId) -> Vec<Outgoing> {
         let durable_index = self.durable_index(log);
         let waiting = self.pending_acks.range((log, 0)..=(log, usize::MAX));
         let due = waiting.filter(|(_, index)| **index <= durable_index);
         let peers: Vec<usize> = due.map(|((_, peer), _)| *peer).collect();
-        let tell = |peer| {
+        let ack = |peer| {
             self.pending_acks.remove(&(log, peer));
-            let positions = vec![(log, durable_index)];
             Outgoing {
                 peer,
-                datagram: Datagram::Ack {
-                    process: self.process,
-                    positions,
-                },
+                datagram: self.ack(log, durable_index),
             }
         };
-        peers.into_iter().map(tell).collect()
+        peers.into_iter().map(ack).collect()
+    }
+
+    /// Returns the acknowledgement of a log through its durable index.
+    pub(super) fn ack(&self, log: LogId, durable_index: Index) -> Datagram {
+        Datagram::Ack {
+            process: self.process,
+            positions: vec![LogPosition {
+                log,
+                index: durable_index,
+            }],
+        }
     }
 
-    /// A peer is to be told once this index is on the disk.
+    /// Records that a peer waits for this index to be on the disk.
     pub(super) fn ack_once_synced(&mut self, log: LogId, index: Index, peer: usize) {
         let latest = self.pending_acks.entry((log, peer)).or_insert(index);
         *latest = (*latest).max(index);
     }
 
-    /// The disk did not take an entry. It is in force, and is given again by [`Replica::take_failed`].
+    /// Records that the disk did not take an entry. It stays in force, and [`Replica::take_failed`] returns it.
     pub fn sync_failed(&mut self, log: LogId, index: Index) {
         self.unsynced.sync_failed(log, index);
     }
 
-    /// Entries to be put on the disk again. One that was superseded meanwhile need not be there once all behind it are,
-    /// the one in its place among them.
+    /// Takes the entries that must be written to the disk again. One that was superseded meanwhile need not be there once
+    /// all after it are, among them the one that superseded it.
     pub fn take_failed(&mut self) -> Vec<Entry> {
         let mut entries = Vec::new();
         for (log, index) in self.unsynced.take_failed() {
@@ -121,25 +129,26 @@
         entries
     }
 
-    /// Entries of its own logs that fewer further machines are known to have than are to.
+    /// Counts the entries of its own logs that fewer further machines have acknowledged than the replication factor.
     pub fn under_replicated(&self) -> usize {
-        let own = self.own.writer;
-        let epochs = self
-            .log_store
-            .last_indexes()
-            .into_iter()
-            .filter(|(log, _)| log.writer == own);
-        let short = |(log, _): (LogId, Index)| {
-            let replicated = self
-                .pending
-                .through(log.epoch, self.options.replication_factor);
+        let replicas = self.options.replication_factor;
+        let under_replicated = |position: LogPosition| {
+            let log = position.log;
+            let replicated = self.pending.replicated_through(log.epoch, replicas);
             self.log_store.live_after(log, replicated).count()
         };
-        epochs.map(short).sum()
+        self.own_epochs().into_iter().map(under_replicated).sum()
+    }
+
+    /// Returns the logs of all its own epochs.
+    pub(super) fn own_epochs(&self) -> Vec<LogPosition> {
+        let mut logs = self.log_store.last_indexes();
+        logs.retain(|position| position.log.writer == self.own.writer);
+        logs
     }
 
-    /// How far a peer is known to have the log of this epoch on its disk.
+    /// Returns a peer's durable index of the log of this epoch, as far as it is known.
     pub fn acked_by(&self, peer: usize) -> Index {
-        self.pending.of(peer, self.own.epoch)
+        self.pending.acked_by(peer, self.own.epoch)
     }
 }
--- a/replication/src/replica/exchange.rs
+++ b/replication/src/replica/exchange.rs
@@ -1,92 +1,100 @@
-//! What peers say, and the answers to it.
+//! Datagrams from peers, and the replies to them.
 
 use super::Replica;
 use crate::wire::MAX_LOGS_PER_DATAGRAM;
 use crate::{
-    CapacityExceeded, CompactedLog, Datagram, Entry, Index, Insertion, LogId, Micros, Received,
+    CapacityExceeded, CompactedLog, Datagram, Entry, Gap, Index, Insertion, LogId, LogPosition,
+    Micros, Received,
 };
 
-/// A part of a log that a peer lacks.
+/// A part of a log that a peer is missing.
 #[derive(Clone, Copy, Debug)]
 struct Range {
     log: LogId,
-    /// It has the log up to here.
-    behind: Index,
-    /// It lacks nothing after this.
-    through: Index,
+    gap: Gap,
+}
+
+impl Range {
+    /// All of a log after an index.
+    fn after(log: LogId, after: Index) -> Self {
+        let gap = Gap {
+            after,
+            through: Index::MAX,
+        };
+        Range { log, gap }
+    }
+}
+
+/// The replies to a peer's positions.
+struct Comparison {
+    received: Received,
+    /// Whether both have the same of these logs.
+    is_equal: bool,
 }
 
 impl Replica {
-    /// Takes in what a peer says, known by its place.
+    /// Receives a datagram from a peer.
     pub fn receive(&mut self, now: Micros, from: usize, datagram: Datagram) -> Received {
         match datagram {
             Datagram::Entry(entry) => self.take(from, entry),
-            Datagram::RangeRequest { positions } => self.compare(from, &positions).0,
+            Datagram::RangeRequest { positions } => self.compare(from, &positions).received,
             Datagram::GapRequest { log, gaps } => {
-                let range = |(behind, through)| Range {
-                    log,
-                    behind,
-                    through,
-                };
-                self.answer(from, gaps.into_iter().map(range))
+                let ranges = gaps.into_iter().map(|gap| Range { log, gap });
+                self.answer(from, ranges)
             }
             Datagram::DigestRequest => Received {
                 replies: vec![self.digest()],
                 ..Received::default()
             },
             Datagram::Ack { process, positions } => {
-                // What others have of others' logs is for those to know.
-                for (log, index) in positions {
-                    if log.writer == self.own.writer {
-                        self.pending
-                            .durable_index((from, process), log.epoch, index);
-                    }
-                }
+                self.take_ack(from, process, &positions);
                 Received::default()
             }
             Datagram::Digest {
                 positions,
-                all,
-                sum,
-            } => self.take_digest(from, &positions, all, sum),
+                log_count,
+                checksum,
+            } => self.take_digest(from, &positions, log_count, checksum),
             Datagram::SnapshotOffer(offer) => self.take_offer(from, &offer),
             Datagram::SnapshotRequest(request) => self.take_request(from, request),
             Datagram::SnapshotChunk(chunk) => self.take_chunk(now, from, &chunk),
         }
     }
 
+    /// Records what a peer has of this proxy's own logs; only their writer needs to know.
+    fn take_ack(&mut self, from: usize, process: u64, positions: &[LogPosition]) {
+        for LogPosition { log, index } in positions {
+            if log.writer == self.own.writer {
+                self.pending.record_ack(from, process, log.epoch, *index);
+            }
+        }
+    }
+
     fn take_digest(
         &mut self,
         from: usize,
-        positions: &[(LogId, Index)],
-        all: u64,
-        sum: u64,
+        positions: &[LogPosition],
+        log_count: u64,
+        checksum: u64,
     ) -> Received {
-        let (mut received, settled) = self.compare(from, positions);
-        if sum == self.log_store.checksum() {
+        let Comparison {
+            mut received,
+            is_equal,
+        } = self.compare(from, positions);
+        if checksum == self.log_store.checksum() {
             self.offers.remove(&from);
             return received;
         }
-        if positions.len() as u64 == all {
-            // Logs that the peer does not have at all.
-            let logs = self
-                .log_store
-                .last_indexes()
-                .into_iter()
-                .map(|(log, _)| log);
-            let unknown = logs.filter(|log| !positions.iter().any(|(named, _)| named == log));
-            let ranges: Vec<Range> = unknown
-                .map(|log| Range {
-                    log,
-                    behind: 0,
-                    through: Index::MAX,
-                })
-                .collect();
-            received
-                .replies
-                .extend(self.answer(from, ranges.into_iter()).replies);
-        } else if settled {
-            // What it named of its many is the same here: the difference is elsewhere.
+        if positions.len() as u64 == log_count {
+            // The peer named all its logs: it has no other.
+            let is_named = |log: &LogId| positions.iter().any(|named| named.log == *log);
+            let logs = self.log_store.last_indexes().into_iter();
+            let unknown = logs.map(|position| position.log).filter(|l| !is_named(l));
+            let ranges: Vec<Range> = unknown.map(|log| Range::after(log, 0)).collect();
+            let answer = self.answer(from, ranges.into_iter());
+            received.replies.extend(answer.replies);
+        } else if is_equal {
+            // The logs that it named are the same here: the difference is in others.
             received.replies.push(Datagram::RangeRequest {
                 positions: self.some_positions(),
             });
@@ -102,7 +110,7 @@
         received
     }
 
-    /// Takes in what came early of a log, as far as it follows now.
+    /// Takes the entries of a log from the reorder buffer that follow now.
     pub(super) fn take_reordered(&mut self, from: usize, log: LogId, received: &mut Received) {
         while let Some(next) = self.reorder.next(log, self.log_store.last_index(log)) {
             self.take_one(from, next, received);
@@ -121,14 +129,10 @@
             }
             Insertion::Known => {
                 self.counters.known += 1;
-                // Whoever sends what is known asks whether it is kept, too.
+                // A peer that sends a known entry also asks for its acknowledgement.
                 let durable_index = self.durable_index(log);
                 if durable_index >= index {
-                    let positions = vec![(log, durable_index)];
-                    received.replies.push(Datagram::Ack {
-                        process: self.process,
-                        positions,
-                    });
+                    received.replies.push(self.ack(log, durable_index));
                 } else {
                     self.ack_once_synced(log, index, from);
                 }
@@ -148,47 +152,46 @@
         }
     }
 
-    /// Something that was not here has come: what is missing still is asked for as soon as at first.
+    /// Something new arrived: the remaining gaps are requested at the retry interval again.
     fn reset_gap_requests(&mut self) {
-        self.gap_request
-            .iter_mut()
-            .for_each(|(_, asked)| *asked = 0);
+        if let Some(timer) = &mut self.gap_request {
+            timer.unanswered = 0;
+        }
     }
 
-    /// Sends what a peer lacks and asks for what it has more of; true where there was nothing of either.
-    fn compare(&mut self, from: usize, positions: &[(LogId, Index)]) -> (Received, bool) {
-        let mut wanted = Vec::new();
+    /// Sends the entries that a peer is missing, and requests those that it has beyond.
+    fn compare(&mut self, from: usize, positions: &[LogPosition]) -> Comparison {
+        let mut behind = Vec::new();
         let mut ranges = Vec::new();
-        for (log, theirs) in positions {
+        for LogPosition { log, index: theirs } in positions {
             let ours = self.log_store.last_index(*log);
             if ours > *theirs {
-                ranges.push(Range {
+                ranges.push(Range::after(*log, *theirs));
+            } else if ours < *theirs {
+                behind.push(LogPosition {
                     log: *log,
-                    behind: *theirs,
-                    through: Index::MAX,
+                    index: ours,
                 });
-            } else if ours < *theirs {
-                wanted.push((*log, ours));
             }
         }
         let mut received = self.answer(from, ranges.into_iter());
-        let settled = wanted.is_empty() && received.replies.is_empty();
-        if !wanted.is_empty() {
+        let is_equal = behind.is_empty() && received.replies.is_empty();
+        if !behind.is_empty() {
             received
                 .replies
-                .push(Datagram::RangeRequest { positions: wanted });
+                .push(Datagram::RangeRequest { positions: behind });
         }
-        (received, settled)
+        Comparison { received, is_equal }
     }
 
-    /// Sends what a peer lacks, as much as this period leaves. Where it lacks what was compacted here, it is offered a
-    /// snapshot, and is sent nothing that stands behind that: it could not take it in.
+    /// Sends the entries that a peer is missing, as many as this period leaves. A peer that is missing compacted entries
+    /// of a log is offered a snapshot, and sent no later entries, which it could not take.
     fn answer(&mut self, peer: usize, ranges: impl Iterator<Item = Range>) -> Received {
         let mut received = Received::default();
         let mut compacted = Vec::new();
         for range in ranges {
             let through = self.log_store.compacted(range.log);
-            if range.behind >= through {
+            if range.gap.after >= through {
                 self.send(range, &mut received.replies);
             } else if compacted.len() < MAX_LOGS_PER_DATAGRAM {
                 compacted.push(CompactedLog {
@@ -203,12 +206,12 @@
         received
     }
 
-    /// Entries of a part of a log, as many as this period leaves.
+    /// Sends the entries of a part of a log, as many as this period leaves.
     fn send(&mut self, range: Range, replies: &mut Vec<Datagram>) {
         let capacity = self.options.batch.min(self.allowance);
         let before = replies.len();
-        let entries = self.log_store.entries_after(range.log, range.behind);
-        let entries = entries.take_while(|entry| entry.index <= range.through);
+        let entries = self.log_store.entries_after(range.log, range.gap.after);
+        let entries = entries.take_while(|entry| entry.index <= range.gap.through);
         replies.extend(entries.take(capacity).map(Datagram::Entry));
         let sent = replies.len() - before;
         self.allowance -= sent;
--- a/replication/src/replica/mod.rs
+++ b/replication/src/replica/mod.rs
@@ -1,4 +1,4 @@
-//! The logs that one proxy has, and what it tells its peers.
+//! One proxy's replica of all logs, and the digests and requests that it sends to its peers.
 
 mod catch_up;
 mod commits;
@@ -10,68 +10,76 @@
 use crate::unsynced::Unsynced;
 use crate::wire::{MAX_GAPS_PER_DATAGRAM, MAX_LOGS_PER_DATAGRAM};
 use crate::{
-    Capacity, CapacityExceeded, Counters, Datagram, Entry, Index, LogId, LogStore, Machine, Micros,
-    Options, Outgoing, Subject,
+    Capacity, CapacityExceeded, Counters, Datagram, Entry, Index, LogId, LogPosition, LogStore,
+    Machine, Micros, Options, Outgoing, Record, Subject,
 };
 use catch_up::{Offers, PendingSnapshot};
 use linnetknot_datagram::Random;
 use std::collections::BTreeMap;
 
-/// Logs of which what is missing is asked for at a time, and datagrams that name it of one.
+/// The most logs whose gaps are requested at a time, and the most datagrams for the gaps of one.
 const MAX_GAP_LOGS: usize = 8;
 
-/// What is missing is asked for so often in haste, while nothing comes of it.
+/// How many requests for gaps follow each other at the retry interval while none of them brings anything.
 const MAX_FAST_GAP_REQUESTS: u32 = 16;
 
-/// The logs that one proxy has, and what it tells its peers.
+/// When gaps are requested next.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct GapRequestTimer {
+    due: Micros,
+    /// Requests since any of them brought something.
+    unanswered: u32,
+}
+
+/// One proxy's replica of all logs.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Replica {
     own: LogId,
-    /// This process among those of its name.
+    /// This process; later processes of the proxy have greater ids.
     process: u64,
     log_store: LogStore,
     reorder: ReorderBuffer,
-    /// Who sent the last of them.
+    /// The peer that sent the last entry out of order.
     reorder_from: usize,
-    /// When peers are asked for what stands before those, and how often they were since anything came of it.
-    gap_request: Option<(Micros, u32)>,
+    /// Set while entries are out of order.
+    gap_request: Option<GapRequestTimer>,
     options: Options,
     random: Random,
     due: Micros,
-    /// Digest periods so far.
+    /// The number of digest periods so far.
     period: u64,
-    /// Entries that may still be sent in this period.
+    /// The entries that may still be sent in this period.
     allowance: usize,
-    /// Bytes of snapshots that may still be sent in this period.
+    /// The bytes of snapshots that may still be sent in this period.
     snapshot_allowance: usize,
-    /// The log with which the next message begins, where they don't fit into one.
+    /// The log with which the next digest begins, if not all fit into one.
     next: Option<LogId>,
-    /// What is not on this proxy's disk.
+    /// Entries that are not on this proxy's disk.
     unsynced: Unsynced,
-    /// Logs that a snapshot raised, until the disk has that.
+    /// Logs that a snapshot raised, until that is on the disk.
     pending_snapshots: BTreeMap<LogId, PendingSnapshot>,
-    /// Peers that are to be sent once it is, by log, up to the index that they sent.
+    /// The peers that wait for an acknowledgement, by log, and the index that they wait for.
     pending_acks: BTreeMap<(LogId, usize), Index>,
     pending: PendingCommits,
-    /// When peers are asked again what they have.
+    /// When unacknowledged entries are sent again.
     next_retry: Micros,
-    /// How often something was compacted here, or came by a snapshot.
+    /// How often anything was compacted here, or came with a snapshot.
     compactions: u64,
-    /// Images that were made so far, the last of them, and the period in which it was last read.
+    /// The number of images so far, the last image, and the period in which it was last read.
     images: u64,
     image: Option<Image>,
     image_period: u64,
-    /// When compaction is tried again, after it could move nothing.
+    /// When compaction is tried again after it could move nothing.
     next_compaction: Micros,
     catch_up: CatchUp,
-    /// Peers to whom snapshots were offered, and who did not answer yet.
+    /// Snapshots offered to peers that have not answered yet.
     offers: BTreeMap<usize, Offers>,
     counters: Counters,
 }
 
 impl Replica {
-    /// The logs of a proxy: its own goes on in this epoch, behind what `log_store` holds of it. `process` grows with
-    /// each process of this name, and seeds what it draws.
+    /// The replica of a proxy. Its own log continues in this epoch after what `log_store` has of it. `process` grows with
+    /// each process of the proxy, and seeds the random numbers.
     pub fn new(own: LogId, log_store: LogStore, process: u64, options: Options) -> Self {
         let random = Random::new(process ^ own.writer.rotate_left(17) ^ own.epoch);
         Replica {
@@ -104,17 +112,17 @@
         }
     }
 
-    /// Its own log.
+    /// Returns its own log.
     pub fn own(&self) -> LogId {
         self.own
     }
 
-    /// What it has.
+    /// Returns the logs that it has.
     pub fn log_store(&self) -> &LogStore {
         &self.log_store
     }
 
-    /// Counts so far.
+    /// Returns the counters since the start.
     pub fn counters(&self) -> Counters {
         Counters {
             snapshots_abandoned: self.catch_up.abandoned(),
@@ -122,29 +130,34 @@
         }
     }
 
-    /// Whose machine is which: this proxy's own and those of its peers, by whose indexes in this list they are known
-    /// from here on.
-    pub fn peers(&mut self, own: Machine, peers: Vec<Machine>) {
+    /// Sets the machines of this proxy and of its peers. From here on peers are identified by their indexes in this list.
+    pub fn set_peers(&mut self, own: Machine, peers: Vec<Machine>) {
         let count = peers.len();
-        self.pending.peers(own, peers);
-        // An ack is true whoever is told it. Dropped where a peer's machine becomes known between an entry and its sync,
-        // the writer would have to ask for it. So is a snapshot that is under way.
+        self.pending.set_peers(own, peers);
+        // Pending acknowledgements and a snapshot in progress are kept: acknowledgements are true whoever receives them,
+        // and a writer whose peer's machine becomes known between an entry and its sync would have to request them.
         self.pending_acks.retain(|(_, peer), _| *peer < count);
         self.offers.retain(|peer, _| *peer < count);
         self.catch_up.retain_peers(count);
     }
 
-    /// A new entry of its own log. It is for the caller to put it on the disk and to send it to all peers at once;
-    /// those whom that misses get it later.
+    /// Appends an entry to its own log. The caller must write it to the disk and send it to all peers at once; those that
+    /// miss it receive it later.
+    ///
+    /// # Errors
+    /// Fails if the capacity for entries of this kind is exhausted.
     pub fn append(
         &mut self,
         subject: Subject,
         at: Micros,
         revoked: bool,
     ) -> Result<Entry, CapacityExceeded> {
-        let entry = self
-            .log_store
-            .append(self.own, (subject, at, revoked), self.capacity())?;
+        let record = Record {
+            subject,
+            at,
+            revoked,
+        };
+        let entry = self.log_store.append(self.own, record, self.capacity())?;
         self.unsynced.add(entry.log, entry.index);
         Ok(entry)
     }
@@ -160,28 +173,26 @@
         }
     }
 
-    /// Lets entries go whose time is over, to be taken off the disk, too.
+    /// Removes the entries that have expired, and returns them to be deleted from the disk.
     pub fn expire(&mut self, now: Micros) -> Vec<Entry> {
         self.log_store.expire(now, self.options.expiry_us)
     }
 
-    /// When `tick` or `resolve_commits` has something to do.
+    /// Returns when [`Replica::tick`] or [`Replica::resolve_commits`] is to be called next.
     pub fn due(&self) -> Micros {
-        let waits = self
-            .pending
-            .until(self.options.commit_timeout_us)
-            .map(|until| until.min(self.next_retry));
+        let timeout = self.pending.next_timeout(self.options.commit_timeout_us);
+        let commit = timeout.map(|timeout| timeout.min(self.next_retry));
         let gap_request =
-            (!self.reorder.is_empty()).then_some(self.gap_request.map_or(0, |(at, _)| at));
+            (!self.reorder.is_empty()).then_some(self.gap_request.map_or(0, |timer| timer.due));
         let catch_up = self.catch_up.due();
-        [waits, gap_request, catch_up]
+        [commit, gap_request, catch_up]
             .into_iter()
             .flatten()
             .fold(self.due, Micros::min)
     }
 
-    /// Once a period: what to tell which peer, by its place. While a commit waits, those that it may wait for are
-    /// asked more often.
+    /// Returns the datagrams to send now: a digest once a period, requests for what is missing, and unacknowledged
+    /// entries, which are sent more often while a commit waits.
     pub fn tick(&mut self, now: Micros) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
         self.request_gaps(now, &mut outgoing);
@@ -197,9 +208,9 @@
         outgoing
     }
 
-    /// Sends a digest to a peer; what may be sent in a period may be sent again.
+    /// Begins a digest period: renews what may be sent in it, and sends a digest to a random peer.
     fn begin_period(&mut self, now: Micros, outgoing: &mut Vec<Outgoing>) {
-        // Spread by up to a quarter, so that the messages of many proxies do not fall together.
+        // Spread by up to a quarter, so that the digests of many proxies do not coincide.
         self.due = now
             + self.options.digest_period_us
             + self.random.below(self.options.digest_period_us / 4);
@@ -207,7 +218,7 @@
         self.drop_unread_image();
         self.allowance = self.options.max_entries_per_period;
         self.snapshot_allowance = self.options.max_snapshot_bytes_per_period;
-        let peers = self.pending.count();
+        let peers = self.pending.peer_count();
         if peers > 0 {
             let peer = self.random.below(peers as u64) as usize;
             let datagram = self.digest();
@@ -215,34 +226,33 @@
         }
     }
 
-    /// Asks a peer for what stands before entries that came early; any may have it.
+    /// Requests the gaps before entries that arrived out of order, when it is time.
     fn request_gaps(&mut self, now: Micros, outgoing: &mut Vec<Outgoing>) {
-        let peers = self.pending.count() as u64;
+        let peers = self.pending.peer_count();
         if self.reorder.is_empty() || peers == 0 {
             self.gap_request = None;
             return;
         }
-        // Most of what is missing at first was overtaken on its way, and comes by itself.
-        let (at, asked) = *self
-            .gap_request
-            .get_or_insert((now + self.options.gap_request_us, 0));
-        if now < at {
+        // Most of what is missing at first was overtaken on its way, and arrives by itself.
+        let GapRequestTimer { due, unanswered } =
+            *self.gap_request.get_or_insert(GapRequestTimer {
+                due: now + self.options.gap_request_us,
+                unanswered: 0,
+            });
+        if now < due {
             return;
         }
-        // What nobody has any more, as its writer was lost with it, is asked for as seldom as all else.
-        let wait = if asked < MAX_FAST_GAP_REQUESTS {
+        // Entries that nobody has any more, as their writer was lost with them, are requested as seldom as digests.
+        let interval_us = if unanswered < MAX_FAST_GAP_REQUESTS {
             self.options.retry_us
         } else {
             self.options.digest_period_us
         };
-        self.gap_request = Some((now + wait, asked + 1));
-        // Who sent what is behind it has it mostly; any other may, should that one's link be cut.
-        let drawn = self.random.below(2 * peers) as usize;
-        let peer = if drawn < peers as usize {
-            drawn
-        } else {
-            self.reorder_from
-        };
+        self.gap_request = Some(GapRequestTimer {
+            due: now + interval_us,
+            unanswered: unanswered + 1,
+        });
+        let peer = self.gap_request_target(peers);
         for log in self.reorder.logs().take(MAX_GAP_LOGS) {
             let gaps = self.reorder.gaps(log, self.log_store.last_index(log));
             let messages = gaps.chunks(MAX_GAPS_PER_DATAGRAM).take(MAX_GAP_LOGS);
@@ -256,56 +266,59 @@
         }
     }
 
-    /// Sends the last entry of each of its own epochs to those peers that are not known to have it on their disks:
-    /// whoever has it says so again, and whoever lacks entries before it asks for them.
+    /// Draws the peer to request gaps from: half of the time the one that sent what is after them, which mostly has them;
+    /// else any, should the link to that one be cut.
+    fn gap_request_target(&mut self, peers: usize) -> usize {
+        let drawn = self.random.below(2 * peers as u64) as usize;
+        if drawn < peers {
+            drawn
+        } else {
+            self.reorder_from
+        }
+    }
+
+    /// Sends the last entry of each of its own epochs to the peers that have not acknowledged it: a peer that has it
+    /// acknowledges it again, and one that is missing entries before it requests them.
     fn resend_unacked(&mut self, outgoing: &mut Vec<Outgoing>) {
-        let own = self.own.writer;
-        let epochs = self
-            .log_store
-            .last_indexes()
-            .into_iter()
-            .filter(|(log, _)| log.writer == own);
-        for (log, end) in epochs.collect::<Vec<_>>() {
-            let Some(last) = self.log_store.entries_after(log, end - 1).next() else {
+        for LogPosition { log, index: last } in self.own_epochs() {
+            let Some(entry) = self.log_store.entries_after(log, last - 1).next() else {
                 continue;
             };
-            for peer in
-                (0..self.pending.count()).filter(|peer| self.pending.of(*peer, log.epoch) < end)
-            {
+            let peers = 0..self.pending.peer_count();
+            for peer in peers.filter(|peer| self.pending.acked_by(*peer, log.epoch) < last) {
                 if self.allowance == 0 {
                     return;
                 }
                 self.allowance -= 1;
                 outgoing.push(Outgoing {
                     peer,
-                    datagram: Datagram::Entry(last.clone()),
+                    datagram: Datagram::Entry(entry.clone()),
                 });
             }
         }
     }
 
-    /// How far it has its logs. One without any says so too, as that is how it gets them.
+    /// Returns a digest of its logs. A replica without any sends one too, as that is how it receives them.
     fn digest(&mut self) -> Datagram {
-        let (all, sum) = (self.log_store.logs() as u64, self.log_store.checksum());
         Datagram::Digest {
             positions: self.some_positions(),
-            all,
-            sum,
+            log_count: self.log_store.log_count() as u64,
+            checksum: self.log_store.checksum(),
         }
     }
 
-    /// As many logs as fit into a datagram, a different part each time.
-    fn some_positions(&mut self) -> Vec<(LogId, Index)> {
+    /// Returns the positions of as many logs as fit into a datagram, of different ones each time.
+    fn some_positions(&mut self) -> Vec<LogPosition> {
         let all = self.log_store.last_indexes();
-        let from = self
+        let first = self
             .next
-            .and_then(|next| all.iter().position(|(log, _)| *log >= next))
+            .and_then(|next| all.iter().position(|position| position.log >= next))
             .unwrap_or(0);
         let count = all.len().min(MAX_LOGS_PER_DATAGRAM);
-        let some: Vec<_> = all.iter().cycle().skip(from).take(count).copied().collect();
-        self.next = all
-            .get((from + some.len()) % all.len().max(1))
-            .map(|(log, _)| *log);
+        let cyclic = all.iter().cycle().skip(first);
+        let some: Vec<LogPosition> = cyclic.take(count).copied().collect();
+        let next = all.get((first + some.len()) % all.len().max(1));
+        self.next = next.map(|position| position.log);
         some
     }
 }
--- a/replication/src/snapshot/encoding.rs
+++ b/replication/src/snapshot/encoding.rs
@@ -1,10 +1,10 @@
-//! Chunks as bytes. Numbers are big endian.
+//! The encoding of chunks as bytes. Numbers are big endian.
 
-use super::{PlacedBucket, SnapshotChunk, SnapshotContent, SnapshotCursor};
+use super::{IndexedBucket, SnapshotChunk, SnapshotContent, SnapshotCursor};
 use crate::{wire, CompactedLog, Entry, LogId, Subject, MAX_DATAGRAM_BYTES};
 use linnetknot_purges::{Bucket, BucketBits, BucketIndex};
 
-/// Bytes that the items of a chunk may take.
+/// The most bytes that the items of a chunk may take.
 pub(crate) const MAX_CONTENT_BYTES: usize =
     MAX_DATAGRAM_BYTES - wire::CHUNK_MARK.len() - encoded_len::HEAD;
 /// Bytes of an entry besides its subject.
@@ -20,12 +20,12 @@
 /// Added to the kind of a chunk that ends a window.
 const ENDS_WINDOW: u8 = 0x80;
 
-/// Whether an entry on a subject can be sent in a chunk.
+/// Returns whether an entry on a subject can be sent in a chunk.
 pub(crate) fn fits(subject: &Subject) -> bool {
     subject_len(subject).is_some_and(|len| ENTRY_HEAD_BYTES + len <= MAX_CONTENT_BYTES)
 }
 
-/// Bytes that parts of a chunk take.
+/// The encoded lengths of the parts of a chunk, in bytes.
 pub(crate) mod encoded_len {
     use super::{subject_len, Bucket, Entry, BUCKET_HEAD_BYTES, ENTRY_HEAD_BYTES, LOG_BYTES};
 
@@ -42,11 +42,11 @@
         ENTRY_HEAD_BYTES + subject_len(&entry.subject).unwrap_or(usize::MAX / 2)
     }
 
-    /// Of all of a chunk besides its items, with the longest cursors.
+    /// Of a chunk without its items, with the longest cursors.
     pub(crate) const HEAD: usize = 1 + 8 + 8 + 2 * 25 + 1;
 }
 
-/// Bytes of a subject; none where it is a purge, which no chunk holds.
+/// Returns the encoded length of a subject; `None` if it is a purge, which no chunk contains.
 fn subject_len(subject: &Subject) -> Option<usize> {
     let body = match subject {
         Subject::Ban(id) => id.len(),
@@ -59,7 +59,7 @@
     Some(2 + body)
 }
 
-/// Appends a chunk.
+/// Appends the encoding of a chunk.
 pub(crate) fn write_chunk(chunk: &SnapshotChunk, bytes: &mut Vec<u8>) {
     let kind = match chunk.content {
         SnapshotContent::Logs(_) => LOGS,
@@ -84,7 +84,7 @@
             bytes.push(bucket_bits.value());
             buckets
                 .iter()
-                .for_each(|placed| write_bucket(placed, bytes));
+                .for_each(|indexed| write_bucket(indexed, bytes));
         }
         SnapshotContent::Entries(entries) => {
             entries.iter().for_each(|entry| write_entry(entry, bytes));
@@ -122,9 +122,9 @@
     bytes.extend(compacted.through.to_be_bytes());
 }
 
-fn write_bucket(placed: &PlacedBucket, bytes: &mut Vec<u8>) {
-    bytes.extend(placed.index.value().to_be_bytes());
-    placed.bucket.encode(bytes);
+fn write_bucket(indexed: &IndexedBucket, bytes: &mut Vec<u8>) {
+    bytes.extend(indexed.index.value().to_be_bytes());
+    indexed.bucket.encode(bytes);
 }
 
 fn write_entry(entry: &Entry, bytes: &mut Vec<u8>) {
@@ -150,7 +150,7 @@
             body.extend(number.to_be_bytes());
             b'x'
         }
-        // The sender takes none.
+        // The sender reads no purges as entries.
         Subject::Object(_) | Subject::Group(_) => return,
     };
     bytes.push(kind);
@@ -158,7 +158,7 @@
     bytes.extend(body);
 }
 
-/// Reads a chunk, which has to fill `bytes`.
+/// Decodes a chunk, which has to fill `bytes`.
 pub(crate) fn read_chunk(bytes: &[u8]) -> Option<SnapshotChunk> {
     let mut reader = Reader { bytes };
     let kind = reader.byte()?;
@@ -174,38 +174,43 @@
         ends_window,
         content,
     };
-    is_sound(&chunk).then_some(chunk)
+    is_valid(&chunk).then_some(chunk)
 }
 
-/// Whether all of a chunk's content stands between its cursors, in order.
-fn is_sound(chunk: &SnapshotChunk) -> bool {
-    let places: Vec<SnapshotCursor> = match &chunk.content {
+/// Returns the cursors of a chunk's items.
+fn item_cursors(content: &SnapshotContent) -> Vec<SnapshotCursor> {
+    match content {
         SnapshotContent::Logs(logs) => logs.iter().map(|l| SnapshotCursor::Log(l.log)).collect(),
         SnapshotContent::Buckets { buckets, .. } => buckets
             .iter()
             .map(|b| SnapshotCursor::Bucket(b.index))
             .collect(),
         SnapshotContent::Entries(entries) => {
-            let place = |entry: &Entry| SnapshotCursor::Entry {
+            let cursor = |entry: &Entry| SnapshotCursor::Entry {
                 log: entry.log,
                 index: entry.index,
             };
-            entries.iter().map(place).collect()
+            entries.iter().map(cursor).collect()
         }
-    };
+    }
+}
+
+/// Returns whether a chunk's items are between its cursors and in order.
+fn is_valid(chunk: &SnapshotChunk) -> bool {
+    let cursors = item_cursors(&chunk.content);
     let (first, last) = match chunk.content {
         SnapshotContent::Logs(_) => (SnapshotCursor::START, SnapshotCursor::BUCKETS),
         SnapshotContent::Buckets { .. } => (SnapshotCursor::BUCKETS, SnapshotCursor::ENTRIES),
         SnapshotContent::Entries(_) => (SnapshotCursor::ENTRIES, SnapshotCursor::End),
     };
     let is_in_section = first <= chunk.from && chunk.from < chunk.next && chunk.next <= last;
-    let is_between = places
+    let is_between = cursors
         .iter()
-        .all(|place| chunk.from <= *place && *place < chunk.next);
-    is_in_section && is_between && places.windows(2).all(|pair| pair[0] < pair[1])
+        .all(|cursor| chunk.from <= *cursor && *cursor < chunk.next);
+    is_in_section && is_between && cursors.windows(2).all(|pair| pair[0] < pair[1])
 }
 
-/// Bytes that are read from the front.
+/// Reads bytes from the front.
 struct Reader<'a> {
     bytes: &'a [u8],
 }
@@ -259,7 +264,7 @@
                 let buckets = self.all(Self::bucket)?;
                 let exist = buckets
                     .iter()
-                    .all(|placed| (placed.index.value() as usize) < bucket_bits.buckets());
+                    .all(|indexed| (indexed.index.value() as usize) < bucket_bits.buckets());
                 exist.then_some(SnapshotContent::Buckets {
                     bucket_bits,
                     buckets,
@@ -270,7 +275,7 @@
         }
     }
 
-    /// All items up to the end.
+    /// Reads all items up to the end.
     fn all<T>(&mut self, read: impl Fn(&mut Self) -> Option<T>) -> Option<Vec<T>> {
         let mut items = Vec::new();
         while !self.bytes.is_empty() {
@@ -286,11 +291,11 @@
         })
     }
 
-    fn bucket(&mut self) -> Option<PlacedBucket> {
+    fn bucket(&mut self) -> Option<IndexedBucket> {
         let index = self.bucket_index()?;
         let slots = usize::from(*self.bytes.first()?);
         let encoded = self.take(1 + 8 + 8 * slots)?;
-        Some(PlacedBucket {
+        Some(IndexedBucket {
             index,
             bucket: Bucket::decode(encoded).ok()?,
         })
@@ -308,8 +313,8 @@
             bytes: self.take(usize::from(len))?,
         };
         let subject = body.subject(kind)?;
-        let is_whole = body.bytes.is_empty() && index > 0 && !(revoked && subject.is_expiring());
-        is_whole.then_some(Entry {
+        let is_valid = body.bytes.is_empty() && index > 0 && !(revoked && subject.is_expiring());
+        is_valid.then_some(Entry {
             log,
             index,
             prev: 0,
@@ -342,7 +347,7 @@
         }
     }
 
-    /// All that is left, as text.
+    /// Reads the rest as text.
     fn text(&mut self) -> Option<String> {
         let bytes = self.take(self.bytes.len())?;
         String::from_utf8(bytes.to_vec()).ok()
--- a/replication/src/snapshot/mod.rs
+++ b/replication/src/snapshot/mod.rs
@@ -1,82 +1,84 @@
-//! Snapshots: how a replica that is behind what its peers compacted gets it.
+//! Snapshots, by which a replica that is behind what its peers compacted receives it.
 //!
-//! A snapshot is read in the order of its cursors: through which index each log is compacted, the buckets of all purges,
-//! and the entries that stand through those indexes and are no purges. The receiver asks for it part by part. The sender
-//! answers from an image of one moment, or from a later one: since buckets only grow, what was compacted through the
-//! indexes of one image is in the buckets of each later one. A chunk names the sender's process and the image's number,
-//! so that a late chunk of an earlier one is known for what it is.
+//! A snapshot is read in the order of its cursors: the index through which each log is compacted, the buckets of all
+//! purges, and the entries within those indexes that are no purges. The receiver requests it part by part. The sender
+//! answers from an image of one point in time, or from a later one: since buckets only grow, what was compacted through
+//! the indexes of one image is in the buckets of each later one. A chunk names the sender's process and the image's
+//! number, by which a delayed chunk of an earlier one is recognised.
 
 mod encoding;
 mod receiver;
 mod sender;
+mod transfer;
 
 use crate::{CompactedLog, Entry, Index, LogId};
 use linnetknot_purges::{Bucket, BucketBits, BucketIndex};
 
 pub(crate) use encoding::{fits, read_chunk, write_chunk};
-pub(crate) use receiver::{Ask, CatchUp, Complete, Progress};
-pub(crate) use sender::{Image, Reader};
+pub(crate) use receiver::{CatchUp, CatchUpRequest, Progress};
+pub(crate) use sender::{Image, ImageReader};
+pub(crate) use transfer::CompleteSnapshot;
 
-/// A place in a snapshot; all that stands before it is had or sent.
+/// A position in a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum SnapshotCursor {
-    /// The index of this log, or the next one that has one.
+    /// Before the index of this log.
     Log(LogId),
-    /// A bucket.
+    /// Before this bucket.
     Bucket(BucketIndex),
-    /// The entry of a log at an index, or the next one.
+    /// Before the entry of a log at an index.
     Entry {
         /// The log.
         log: LogId,
         /// The index.
         index: Index,
     },
-    /// Behind all.
+    /// After everything.
     End,
 }
 
 impl SnapshotCursor {
-    /// The begin of a snapshot.
+    /// The start of a snapshot.
     pub const START: SnapshotCursor = SnapshotCursor::Log(LogId::new(0, 0));
-    /// Where the buckets begin.
+    /// The start of the buckets.
     pub const BUCKETS: SnapshotCursor = SnapshotCursor::Bucket(BucketIndex::FIRST);
-    /// Where the entries begin.
+    /// The start of the entries.
     pub const ENTRIES: SnapshotCursor = SnapshotCursor::Entry {
         log: LogId::new(0, 0),
         index: 0,
     };
 }
 
-/// The receiver is behind what the sender compacted, and may ask for a snapshot.
+/// An offer of a snapshot to a receiver that is behind what the sender compacted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SnapshotOffer {
     /// The sender's process.
     pub process: u64,
-    /// How many logs the sender has compacted.
+    /// The number of logs that the sender has compacted.
     pub total: u64,
-    /// Some of those of which the receiver is behind.
+    /// Some of those that the receiver is behind in.
     pub logs: Vec<CompactedLog>,
 }
 
-/// The sender wants the part of a snapshot that begins at a cursor.
+/// A request for the part of a snapshot that starts at a cursor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SnapshotRequest {
-    /// The receiver's process that offered it.
+    /// The process that offered the snapshot.
     pub process: u64,
-    /// All before it is had.
+    /// The sender of the request has everything before this cursor.
     pub from: SnapshotCursor,
 }
 
-/// A bucket and its place.
+/// A bucket and its index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PlacedBucket {
-    /// Its place.
+pub struct IndexedBucket {
+    /// The index.
     pub index: BucketIndex,
-    /// Its content.
+    /// The bucket.
     pub bucket: Bucket,
 }
 
-/// What stands in a chunk.
+/// The content of a chunk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SnapshotContent {
     /// All compacted logs between its cursors.
@@ -86,9 +88,9 @@
         /// The size of the sender's table.
         bucket_bits: BucketBits,
         /// The buckets.
-        buckets: Vec<PlacedBucket>,
+        buckets: Vec<IndexedBucket>,
     },
-    /// All entries between its cursors, if any: those that stand through the index to which their log is compacted.
+    /// All entries between its cursors that are no purges, each within the index through which its log is compacted.
     Entries(Vec<Entry>),
 }
 
@@ -97,14 +99,14 @@
 pub struct SnapshotChunk {
     /// The sender's process.
     pub process: u64,
-    /// The number of the sender's image that it was read from.
+    /// The number of the sender's image that the chunk was read from.
     pub image: u64,
-    /// Where it begins.
+    /// Where the chunk starts.
     pub from: SnapshotCursor,
-    /// Where the next chunk begins.
+    /// Where the next chunk starts.
     pub next: SnapshotCursor,
-    /// Whether it is the last one in answer to a request.
+    /// Whether the chunk is the last one in reply to a request.
     pub ends_window: bool,
-    /// All that stands between.
+    /// Everything between the two cursors.
     pub content: SnapshotContent,
 }
--- a/replication/src/snapshot/sender.rs
+++ b/replication/src/snapshot/sender.rs
@@ -1,30 +1,30 @@
-//! The sender of a snapshot: an image of what is in force at one moment, read chunk by chunk.
+//! The sender of a snapshot: an image of what is in force at one point in time, read chunk by chunk.
 //!
-//! An image's buckets hold the purges that are entries still, too. So whatever stood in a log through the index to which
-//! it is compacted has its floor from the image alone: also a purge that a later entry superseded which stands behind
-//! that index, and which the receiver does not have yet.
+//! An image's buckets also contain the purges that are still entries. So the image alone covers every purge of a log
+//! through the index to which the log is compacted: also one that was superseded by an entry after that index, which the
+//! receiver does not have yet.
 
 use super::encoding::{encoded_len, MAX_CONTENT_BYTES};
-use super::{PlacedBucket, SnapshotChunk, SnapshotContent, SnapshotCursor};
+use super::{IndexedBucket, SnapshotChunk, SnapshotContent, SnapshotCursor};
 use crate::{CompactedLog, Entry, Index, LogId, LogStore};
 use linnetknot_purges::{BucketIndex, CompactTable};
 use std::collections::BTreeMap;
 
-/// What was in force at one moment.
+/// What was in force at one point in time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Image {
-    /// Images of one process are counted.
+    /// The number of the image within the process.
     pub(crate) number: u64,
-    /// In which order they stand in the process's compactions.
+    /// How many compactions the process had made.
     pub(crate) compactions: u64,
-    /// Through which index the logs were compacted.
+    /// The indexes through which the logs were compacted.
     logs: BTreeMap<LogId, Index>,
     /// All purges.
     table: CompactTable,
 }
 
 impl Image {
-    /// What is in force now.
+    /// An image of what is in force now.
     pub(crate) fn new(store: &LogStore, number: u64, compactions: u64) -> Self {
         let mut table = store.table().clone();
         for record in store.live.values() {
@@ -44,18 +44,18 @@
     }
 }
 
-/// What is read, and in whose name.
-pub(crate) struct Reader<'a> {
-    /// The logs and all purges.
+/// Reads chunks of a snapshot.
+pub(crate) struct ImageReader<'a> {
+    /// The source of the logs and of all purges.
     pub(crate) image: &'a Image,
-    /// What is no purge.
+    /// The source of the entries that are no purges.
     pub(crate) store: &'a LogStore,
     /// This process.
     pub(crate) process: u64,
 }
 
-impl Reader<'_> {
-    /// The chunk that begins at a cursor; none at the end.
+impl ImageReader<'_> {
+    /// Returns the chunk that starts at a cursor; `None` at the end.
     pub(crate) fn chunk(&self, from: SnapshotCursor) -> Option<SnapshotChunk> {
         let (content, next) = match from {
             SnapshotCursor::Log(log) => self.logs(log),
@@ -81,28 +81,28 @@
             through: *through,
         };
         let mut logs = self.image.logs.range(from..).map(compacted);
-        let some = logs.by_ref().take(MAX_LOGS).collect();
+        let chunk = logs.by_ref().take(MAX_LOGS).collect();
         let next = logs.next().map_or(SnapshotCursor::BUCKETS, |next| {
             SnapshotCursor::Log(next.log)
         });
-        (SnapshotContent::Logs(some), next)
+        (SnapshotContent::Logs(chunk), next)
     }
 
     fn buckets(&self, from: BucketIndex) -> (SnapshotContent, SnapshotCursor) {
-        // Cursors of buckets are shorter than the longest.
-        const SHORTER: usize = 2 * 20;
-        let mut room = MAX_CONTENT_BYTES + SHORTER;
+        // By so much the two cursors of buckets are shorter than the longest ones.
+        const SHORTER_CURSORS: usize = 2 * 20;
+        let mut remaining = MAX_CONTENT_BYTES + SHORTER_CURSORS;
         let mut buckets = Vec::new();
         let mut next = SnapshotCursor::ENTRIES;
         for (index, bucket) in self.image.table.occupied(from) {
-            match room.checked_sub(encoded_len::bucket(bucket)) {
-                Some(left) => room = left,
+            match remaining.checked_sub(encoded_len::bucket(bucket)) {
+                Some(left) => remaining = left,
                 None => {
                     next = SnapshotCursor::Bucket(index);
                     break;
                 }
             }
-            buckets.push(PlacedBucket {
+            buckets.push(IndexedBucket {
                 index,
                 bucket: *bucket,
             });
@@ -118,27 +118,28 @@
     }
 
     fn entries(&self, log: LogId, index: Index) -> (SnapshotContent, SnapshotCursor) {
-        let mut room = MAX_CONTENT_BYTES;
-        let mut some = Vec::new();
+        let mut remaining = MAX_CONTENT_BYTES;
+        let mut entries = Vec::new();
         for entry in self.store.retained(log, index) {
-            match room.checked_sub(encoded_len::entry(&entry)) {
-                Some(left) => room = left,
+            match remaining.checked_sub(encoded_len::entry(&entry)) {
+                Some(left) => remaining = left,
                 None => {
                     let next = SnapshotCursor::Entry {
                         log: entry.log,
                         index: entry.index,
                     };
-                    return (SnapshotContent::Entries(some), next);
+                    return (SnapshotContent::Entries(entries), next);
                 }
             }
-            some.push(entry);
+            entries.push(entry);
         }
-        (SnapshotContent::Entries(some), SnapshotCursor::End)
+        (SnapshotContent::Entries(entries), SnapshotCursor::End)
     }
 }
 
 impl LogStore {
-    /// Entries that are no purges and stand through the index to which their log is compacted, from a place on.
+    /// Returns the entries from a position on that are no purges and are within the index through which their log is
+    /// compacted.
     pub(crate) fn retained(&self, log: LogId, index: Index) -> impl Iterator<Item = Entry> + '_ {
         let first = self
             .compacted_logs(log)
@@ -149,8 +150,8 @@
             .into_iter()
             .flat_map(|next| self.compacted_logs(next));
         let logs = first.chain(later.map(|compacted| (compacted, 0)));
-        logs.flat_map(|(compacted, behind)| {
-            let live = self.live_after(compacted.log, behind);
+        logs.flat_map(|(compacted, after)| {
+            let live = self.live_after(compacted.log, after);
             let retained = live.take_while(move |(key, _)| key.index <= compacted.through);
             let retained = retained.filter(|(_, record)| !record.subject.is_purge());
             retained.map(|(key, record)| record.clone().into_entry(*key, 0))
--- /dev/null
+++ b/replication/src/snapshot/transfer.rs
@@ -0,0 +1,160 @@
+//! The transfer of one snapshot: which parts have arrived, and what is requested next.
+
+use super::{SnapshotChunk, SnapshotContent, SnapshotCursor, SnapshotRequest};
+use crate::{Entry, Index, LogId, Micros, Options};
+use std::collections::BTreeMap;
+
+/// A sender is given up after so many requests in a row without progress.
+const MAX_UNANSWERED_REQUESTS: u32 = 16;
+/// The most parts that are remembered while parts before them are missing.
+const MAX_OUT_OF_ORDER: usize = 1_024;
+
+/// A snapshot that is being received from one process of one peer.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(super) struct Transfer {
+    pub(super) peer: usize,
+    /// The peer's process.
+    pub(super) process: u64,
+    /// Everything before this cursor has arrived.
+    covered: SnapshotCursor,
+    /// The parts after it that have arrived, by their start, and their ends.
+    out_of_order: BTreeMap<SnapshotCursor, SnapshotCursor>,
+    /// The indexes through which the logs are compacted.
+    logs: BTreeMap<LogId, Index>,
+    /// The sender's image that they were read from. Nothing read from an earlier image is used.
+    image: u64,
+    /// The entries to take once the snapshot is complete.
+    entries: Vec<Entry>,
+    /// When the last request was sent.
+    requested_at: Option<Micros>,
+    /// When the next request is to be sent.
+    pub(super) due: Micros,
+    /// Whether the last request brought anything new.
+    has_progressed: bool,
+    /// The number of requests in a row without progress.
+    unanswered: u32,
+}
+
+/// A snapshot that has arrived completely.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub(crate) struct CompleteSnapshot {
+    /// The indexes through which the logs are compacted.
+    pub(crate) logs: BTreeMap<LogId, Index>,
+    /// The entries within those indexes that are no purges.
+    pub(crate) entries: Vec<Entry>,
+}
+
+impl Transfer {
+    pub(super) fn new(peer: usize, process: u64) -> Self {
+        Transfer {
+            peer,
+            process,
+            covered: SnapshotCursor::START,
+            out_of_order: BTreeMap::new(),
+            logs: BTreeMap::new(),
+            image: 0,
+            entries: Vec::new(),
+            requested_at: None,
+            due: 0,
+            has_progressed: false,
+            unanswered: 0,
+        }
+    }
+
+    /// Returns the next request; `None` if the sender does not answer.
+    pub(super) fn request(&mut self, now: Micros, options: &Options) -> Option<SnapshotRequest> {
+        let is_unanswered = self.requested_at.is_some() && !self.has_progressed;
+        self.unanswered = if is_unanswered {
+            self.unanswered + 1
+        } else {
+            0
+        };
+        if self.unanswered > MAX_UNANSWERED_REQUESTS {
+            return None;
+        }
+        self.has_progressed = false;
+        self.requested_at = Some(now);
+        self.due = now + options.snapshot_timeout_us;
+        Some(SnapshotRequest {
+            process: self.process,
+            from: self.covered,
+        })
+    }
+
+    /// Takes a chunk of this transfer. Returns whether the snapshot is complete.
+    pub(super) fn take(&mut self, chunk: &SnapshotChunk, options: &Options) -> bool {
+        if !self.is_current(chunk) {
+            return false;
+        }
+        if chunk.ends_window {
+            let next_request = self.requested_at.map(|at| at + options.snapshot_request_us);
+            self.due = next_request.unwrap_or(self.due).min(self.due);
+        }
+        let is_new =
+            chunk.next > self.covered && self.out_of_order.get(&chunk.from) < Some(&chunk.next);
+        if is_new && self.cover(chunk.from, chunk.next) {
+            self.has_progressed = true;
+            self.store(chunk);
+        }
+        self.covered >= SnapshotCursor::End
+    }
+
+    /// Returns whether a chunk belongs to the part that is being received. Buckets and entries must be of the image that
+    /// the logs' indexes were read from, or of a later one.
+    fn is_current(&self, chunk: &SnapshotChunk) -> bool {
+        let is_of_logs = matches!(chunk.content, SnapshotContent::Logs(_));
+        if self.covered < SnapshotCursor::BUCKETS {
+            is_of_logs
+        } else {
+            !is_of_logs && chunk.image >= self.image
+        }
+    }
+
+    /// Stores what is needed once the snapshot is complete. Buckets have been merged already.
+    fn store(&mut self, chunk: &SnapshotChunk) {
+        match &chunk.content {
+            SnapshotContent::Logs(logs) => {
+                self.image = self.image.max(chunk.image);
+                for compacted in logs {
+                    let through = self.logs.entry(compacted.log).or_default();
+                    *through = compacted.through.max(*through);
+                }
+            }
+            SnapshotContent::Buckets { .. } => {}
+            SnapshotContent::Entries(entries) => self.entries.extend(entries.iter().cloned()),
+        }
+    }
+
+    /// Records that the part between two cursors has arrived. Returns false if it can't be remembered.
+    fn cover(&mut self, from: SnapshotCursor, next: SnapshotCursor) -> bool {
+        if from > self.covered {
+            if self.out_of_order.len() >= MAX_OUT_OF_ORDER {
+                return false;
+            }
+            let end = self.out_of_order.entry(from).or_insert(next);
+            *end = next.max(*end);
+            return true;
+        }
+        self.covered = next.max(self.covered);
+        while let Some(first) = self.out_of_order.first_entry() {
+            if *first.key() > self.covered {
+                break;
+            }
+            self.covered = first.remove().max(self.covered);
+        }
+        true
+    }
+
+    /// Returns the snapshot. Entries of a later image may be beyond the logs' indexes, and are dropped.
+    pub(super) fn complete(self) -> CompleteSnapshot {
+        let Transfer {
+            logs, mut entries, ..
+        } = self;
+        entries.sort_unstable_by_key(|entry| (entry.log, entry.index));
+        entries.retain(|entry| {
+            logs.get(&entry.log)
+                .is_some_and(|through| entry.index <= *through)
+        });
+        CompleteSnapshot { logs, entries }
+    }
+}
--- a/replication/src/wire.rs
+++ b/replication/src/wire.rs
@@ -1,73 +1,73 @@
-//! Datagrams: as text one entry, or how far logs are had; as bytes a part of a snapshot. At most 256 bytes, the bound of
-//! what proxies may send each other on any installation.
+//! The encoding of datagrams: an entry or positions in logs as text, a part of a snapshot as bytes. A datagram has at most
+//! 256 bytes, the bound of what proxies may send each other on any installation.
 //!
-//! The words of a released form stay: `have` is a digest, `want` a range request, `lack` a gap request, `ask` a digest
-//! request and `held` an acknowledgement. A version before snapshots drops `offer`, `fetch` and `chunk`.
+//! The keywords of released versions never change: `have` is a digest, `want` a range request, `lack` a gap request, `ask`
+//! a digest request and `held` an acknowledgement. A version before snapshots drops `offer`, `fetch` and `chunk`.
 
 use crate::snapshot::{self, SnapshotChunk, SnapshotCursor, SnapshotOffer, SnapshotRequest};
-use crate::{status, CompactedLog, Entry, Index, LogId, Subject};
+use crate::{status, CompactedLog, Entry, Gap, LogId, LogPosition, Subject};
 use linnetknot_datagram::{payload, DecodeError, MAX_DATAGRAM_BYTES};
 use linnetknot_purges::BucketIndex;
 
-/// Logs of which one datagram can tell: three numbers of up to 17 bytes each behind a head.
+/// The most logs that one datagram can name: three numbers of up to 17 bytes each behind a head.
 pub(crate) const MAX_LOGS_PER_DATAGRAM: usize = 4;
-/// Gaps that one datagram can name: two numbers each behind a head and a log.
+/// The most gaps that one datagram can name: two numbers each behind a head and a log.
 pub(crate) const MAX_GAPS_PER_DATAGRAM: usize = 6;
-/// Its first message; the digit is the form's version.
+/// The first word of a datagram; the digit is the version of the encoding.
 const MARK: &str = "copies1";
-/// What stands before the bytes of a chunk.
+/// The text before the bytes of a chunk.
 pub(crate) const CHUNK_MARK: &str = "copies1 chunk ";
 
-/// What proxies say to each other.
+/// A message between replicas.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Datagram {
     /// An entry.
     Entry(Entry),
-    /// How far the sender has its logs, once in a while.
+    /// How far the sender has its logs, sent periodically.
     Digest {
-        /// Some of them.
-        positions: Vec<(LogId, Index)>,
-        /// How many it has in all.
-        all: u64,
-        /// The sum over all.
-        sum: u64,
+        /// Some of its logs.
+        positions: Vec<LogPosition>,
+        /// How many logs it has.
+        log_count: u64,
+        /// The checksum over all its logs.
+        checksum: u64,
     },
-    /// How far the sender has these logs, of which it wants more, or may have more itself.
+    /// How far the sender has these logs. It requests what the receiver has beyond, and may have more itself.
     RangeRequest {
         /// The logs.
-        positions: Vec<(LogId, Index)>,
+        positions: Vec<LogPosition>,
     },
-    /// Of this log the sender lacks what is in force in these gaps, and has what is behind them. A version before this
-    /// one drops it, and is asked with `RangeRequest` in time.
+    /// Requests the entries in force in these gaps of a log, whose later entries the sender has. A version without gap
+    /// requests drops it, and is sent a `RangeRequest` in time.
     GapRequest {
         /// The log.
         log: LogId,
-        /// Behind the first index, up to the second.
-        gaps: Vec<(Index, Index)>,
+        /// The gaps, in order.
+        gaps: Vec<Gap>,
     },
-    /// The sender wants to hear how far the receiver has its logs.
+    /// Requests a digest.
     DigestRequest,
-    /// Up to which index the sender has all that is in force of these logs on its disk. A version before this one does
-    /// not know it and drops it.
+    /// The sender's durable indexes: through which index it has all that is in force of these logs on its disk. A version
+    /// without acknowledgements drops it.
     Ack {
-        /// The sender's process, so that a late message of an earlier one is known for what it is.
+        /// The sender's process, by which a delayed message of an earlier one is recognised.
         process: u64,
         /// The logs.
-        positions: Vec<(LogId, Index)>,
+        positions: Vec<LogPosition>,
     },
-    /// The receiver is behind what the sender compacted. A version before this one drops it, as the next two.
+    /// The receiver is behind what the sender compacted. A version without snapshots drops it, as the next two.
     SnapshotOffer(SnapshotOffer),
-    /// The sender wants a part of a snapshot.
+    /// Requests a part of a snapshot.
     SnapshotRequest(SnapshotRequest),
     /// A part of a snapshot.
     SnapshotChunk(SnapshotChunk),
 }
 
-/// The words of a datagram behind its mark.
+/// The words of a datagram after its mark.
 type Words<'a> = std::str::Split<'a, char>;
 
 impl Datagram {
-    /// Its bytes; none where they would be too many, as for an object of a very long name.
+    /// Encodes the datagram; `None` if it would be too long, as for an object of a very long name.
     pub fn write(&self) -> Option<Vec<u8>> {
         let bytes = match self {
             Datagram::SnapshotChunk(chunk) => {
@@ -85,32 +85,39 @@
             Datagram::Entry(entry) => write_entry(entry),
             Datagram::Digest {
                 positions,
-                all,
-                sum,
+                log_count,
+                checksum,
             } => {
-                format!("{MARK} have {all:x} {sum:x}{}", listed(positions))
+                let positions = write_positions(positions);
+                format!("{MARK} have {log_count:x} {checksum:x}{positions}")
+            }
+            Datagram::RangeRequest { positions } => {
+                format!("{MARK} want{}", write_positions(positions))
             }
-            Datagram::RangeRequest { positions } => format!("{MARK} want{}", listed(positions)),
             Datagram::GapRequest {
                 log: LogId { writer, epoch },
                 gaps,
             } => {
-                let gap = |(behind, through): &(Index, Index)| format!(" {behind:x} {through:x}");
-                let gaps: String = gaps.iter().map(gap).collect();
+                let write_gap = |Gap { after, through }: &Gap| format!(" {after:x} {through:x}");
+                let gaps: String = gaps.iter().map(write_gap).collect();
                 format!("{MARK} lack {writer:x} {epoch:x}{gaps}")
             }
             Datagram::DigestRequest => format!("{MARK} ask"),
             Datagram::Ack { process, positions } => {
-                format!("{MARK} held {process:x}{}", listed(positions))
+                format!("{MARK} held {process:x}{}", write_positions(positions))
             }
             Datagram::SnapshotOffer(SnapshotOffer {
                 process,
                 total,
                 logs,
             }) => {
-                let positions: Vec<(LogId, Index)> =
-                    logs.iter().map(|l| (l.log, l.through)).collect();
-                format!("{MARK} offer {process:x} {total:x}{}", listed(&positions))
+                let position = |compacted: &CompactedLog| LogPosition {
+                    log: compacted.log,
+                    index: compacted.through,
+                };
+                let positions: Vec<LogPosition> = logs.iter().map(position).collect();
+                let positions = write_positions(&positions);
+                format!("{MARK} offer {process:x} {total:x}{positions}")
             }
             Datagram::SnapshotRequest(SnapshotRequest { process, from }) => {
                 format!("{MARK} fetch {process:x} {}", write_cursor(*from))
@@ -120,7 +127,10 @@
         }
     }
 
-    /// Reads one.
+    /// Decodes a datagram.
+    ///
+    /// # Errors
+    /// Fails if it is of another kind or version, or malformed.
     pub fn read(bytes: &[u8]) -> Result<Self, DecodeError> {
         let body = payload(bytes, MARK)?;
         if let Some(chunk) = bytes.strip_prefix(CHUNK_MARK.as_bytes()) {
@@ -142,11 +152,11 @@
         match words.next()? {
             "entry" => read_entry(words).map(Datagram::Entry),
             "have" => {
-                let (all, sum) = (read_number(words)?, read_number(words)?);
+                let (log_count, checksum) = (read_number(words)?, read_number(words)?);
                 Some(Datagram::Digest {
                     positions: read_positions(words)?,
-                    all,
-                    sum,
+                    log_count,
+                    checksum,
                 })
             }
             "ask" => Some(Datagram::DigestRequest),
@@ -163,14 +173,15 @@
             }
             "offer" => {
                 let (process, total) = (read_number(words)?, read_number(words)?);
-                let positions = read_positions(words)?.into_iter();
-                let logs = positions
-                    .map(|(log, through)| CompactedLog { log, through })
-                    .collect();
+                let compacted = |position: LogPosition| CompactedLog {
+                    log: position.log,
+                    through: position.index,
+                };
+                let logs = read_positions(words)?.into_iter().map(compacted);
                 Some(Datagram::SnapshotOffer(SnapshotOffer {
                     process,
                     total,
-                    logs,
+                    logs: logs.collect(),
                 }))
             }
             "fetch" => {
@@ -182,10 +193,11 @@
     }
 }
 
-fn listed(positions: &[(LogId, Index)]) -> String {
-    let one =
-        |(log, index): &(LogId, Index)| format!(" {:x} {:x} {index:x}", log.writer, log.epoch);
-    positions.iter().map(one).collect()
+fn write_positions(positions: &[LogPosition]) -> String {
+    let write = |LogPosition { log, index }: &LogPosition| {
+        format!(" {:x} {:x} {index:x}", log.writer, log.epoch)
+    };
+    positions.iter().map(write).collect()
 }
 
 fn write_entry(entry: &Entry) -> String {
@@ -239,14 +251,15 @@
     })
 }
 
-fn read_positions(words: &mut Words) -> Option<Vec<(LogId, Index)>> {
+fn read_positions(words: &mut Words) -> Option<Vec<LogPosition>> {
     let mut positions = Vec::new();
     while let Some(writer) = words.next() {
         let log = LogId {
             writer: number(writer)?,
             epoch: read_number(words)?,
         };
-        positions.push((log, read_number(words)?));
+        let index = read_number(words)?;
+        positions.push(LogPosition { log, index });
     }
     (positions.len() <= MAX_LOGS_PER_DATAGRAM).then_some(positions)
 }
@@ -254,12 +267,15 @@
 fn read_gaps(words: &mut Words) -> Option<Datagram> {
     let log = read_log(words)?;
     let mut gaps = Vec::new();
-    while let Some(behind) = words.next() {
-        gaps.push((number(behind)?, read_number(words)?));
+    while let Some(after) = words.next() {
+        gaps.push(Gap {
+            after: number(after)?,
+            through: read_number(words)?,
+        });
     }
-    let is_sound = gaps.len() <= MAX_GAPS_PER_DATAGRAM
-        && gaps.iter().all(|(behind, through)| behind < through);
-    is_sound.then_some(Datagram::GapRequest { log, gaps })
+    let is_valid =
+        gaps.len() <= MAX_GAPS_PER_DATAGRAM && gaps.iter().all(|gap| gap.after < gap.through);
+    is_valid.then_some(Datagram::GapRequest { log, gaps })
 }
 
 fn read_cursor(words: &mut Words) -> Option<SnapshotCursor> {
--- a/replication/tests/compaction/fleet.rs
+++ b/replication/tests/compaction/fleet.rs
@@ -149,7 +149,7 @@
         member.epoch = now + n as u64;
         let own = LogId::new(1_000 + n as u64, member.epoch);
         let mut replica = Replica::new(own, store, now + n as u64, options);
-        replica.peers(n as Machine, machines.collect());
+        replica.set_peers(n as Machine, machines.collect());
         member.replica = Some(replica);
     }
 
--- a/replication/tests/compaction_model.rs
+++ b/replication/tests/compaction_model.rs
@@ -185,7 +185,7 @@
         };
         let own = LogId::new(n as Writer + 1, epoch);
         let mut replica = Replica::new(own, proxy.disk.restore(), proxy.process, options);
-        replica.peers(n as Machine, vec![1 - n as Machine]);
+        replica.set_peers(n as Machine, vec![1 - n as Machine]);
         proxy.replica = Some(replica);
     }
 
--- a/replication/tests/deferred_compaction.rs
+++ b/replication/tests/deferred_compaction.rs
@@ -12,7 +12,7 @@
         ..Options::default()
     };
     let mut replica = Replica::new(LogId::new(writer, 7), LogStore::default(), writer, options);
-    replica.peers(writer, vec![writer + 1]);
+    replica.set_peers(writer, vec![writer + 1]);
     replica
 }
 
--- a/replication/tests/fleet.rs
+++ b/replication/tests/fleet.rs
@@ -93,7 +93,7 @@
             process,
             self.options,
         );
-        replica.peers(n as Machine, machines.collect());
+        replica.set_peers(n as Machine, machines.collect());
         m.replica = Some(replica);
     }
 
@@ -701,13 +701,16 @@
     };
     let mut replica = Replica::new(LogId::new(1, 7), LogStore::default(), 1, options);
     // Peers 0 and 1 stand on machine 20, peer 2 on this proxy's own, peer 3 on machine 30.
-    replica.peers(10, vec![20, 20, 10, 30]);
+    replica.set_peers(10, vec![20, 20, 10, 30]);
     let entry = replica.append(object(1), 5, false).unwrap();
     replica.open_commit(100, entry.index).unwrap();
     assert!(replica.synced(entry.log, entry.index).is_empty());
     let held = || Datagram::Ack {
         process: 5,
-        positions: vec![(LogId::new(1, 7), 1)],
+        positions: vec![LogPosition {
+            log: LogId::new(1, 7),
+            index: 1,
+        }],
     };
     for peer in [0, 1, 2] {
         replica.receive(NOW, peer, held());
@@ -719,7 +722,10 @@
         3,
         Datagram::Ack {
             process: 5,
-            positions: vec![(LogId::new(2, 7), 9)],
+            positions: vec![LogPosition {
+                log: LogId::new(2, 7),
+                index: 9,
+            }],
         },
     );
     assert_eq!(
@@ -741,7 +747,7 @@
 #[test]
 fn an_ack_that_waits_for_the_disk_outlives_news_of_the_peers_machines() {
     let mut replica = Replica::new(LogId::new(1, 7), LogStore::default(), 1, Options::default());
-    replica.peers(10, vec![20, 30]);
+    replica.set_peers(10, vec![20, 30]);
     let entry = Entry {
         log: LogId::new(2, 9),
         index: 1,
@@ -751,10 +757,13 @@
         revoked: false,
     };
     replica.receive(NOW, 1, Datagram::Entry(entry));
-    replica.peers(10, vec![20, 31]);
+    replica.set_peers(10, vec![20, 31]);
     let ack = Datagram::Ack {
         process: 1,
-        positions: vec![(LogId::new(2, 9), 1)],
+        positions: vec![LogPosition {
+            log: LogId::new(2, 9),
+            index: 1,
+        }],
     };
     assert_eq!(
         replica.synced(LogId::new(2, 9), 1),
@@ -773,7 +782,7 @@
         revoked: false,
     };
     replica.receive(NOW, 1, Datagram::Entry(entry));
-    replica.peers(10, vec![20]);
+    replica.set_peers(10, vec![20]);
     assert_eq!(replica.synced(LogId::new(2, 9), 2), []);
 }
 
@@ -781,7 +790,7 @@
 #[test]
 fn what_the_disk_did_not_take_is_refused_and_given_to_it_again() {
     let mut replica = Replica::new(LogId::new(1, 7), LogStore::default(), 1, Options::default());
-    replica.peers(10, vec![20]);
+    replica.set_peers(10, vec![20]);
     let all: Vec<Entry> = (1..=3)
         .map(|n| replica.append(object(n), n, false).unwrap())
         .collect();
@@ -793,7 +802,10 @@
         0,
         Datagram::Ack {
             process: 5,
-            positions: vec![(LogId::new(1, 7), 3)],
+            positions: vec![LogPosition {
+                log: LogId::new(1, 7),
+                index: 3,
+            }],
         },
     );
     replica.synced(LogId::new(1, 7), 1);
@@ -836,7 +848,10 @@
             peer: 0,
             datagram: Datagram::Ack {
                 process: 1,
-                positions: vec![(LogId::new(2, 9), 2)]
+                positions: vec![LogPosition {
+                    log: LogId::new(2, 9),
+                    index: 2
+                }]
             }
         }]
     );
@@ -845,7 +860,10 @@
         again.replies,
         [Datagram::Ack {
             process: 1,
-            positions: vec![(LogId::new(2, 9), 2)]
+            positions: vec![LogPosition {
+                log: LogId::new(2, 9),
+                index: 2
+            }]
         }],
         "whoever asks again is outgoing again"
     );
@@ -863,11 +881,14 @@
             ..Options::default()
         },
     );
-    replica.peers(10, vec![20]);
+    replica.set_peers(10, vec![20]);
     (1..=3).for_each(|n| drop(replica.append(object(n), n, false).unwrap()));
     let held = |process, index| Datagram::Ack {
         process,
-        positions: vec![(LogId::new(1, 7), index)],
+        positions: vec![LogPosition {
+            log: LogId::new(1, 7),
+            index,
+        }],
     };
     let mut short_after = |message| {
         replica.receive(NOW, 0, message);
@@ -899,7 +920,7 @@
             ..Options::default()
         },
     );
-    replica.peers(10, vec![20]);
+    replica.set_peers(10, vec![20]);
     for n in 1..=2 {
         let entry = replica.append(object(n), n, false).unwrap();
         assert_eq!(replica.open_commit(n, entry.index), Ok(n));
@@ -949,8 +970,8 @@
         positions in proptest::collection::vec(any::<(u64, u64, u64)>(), 0..5),
         sum: u64,
     ) {
-        let position = |(writer, epoch, index)| (LogId::new(writer, epoch), index);
-        let positions: Vec<(LogId, Index)> = positions.into_iter().map(position).collect();
+        let position = |(writer, epoch, index)| LogPosition { log: LogId::new(writer, epoch), index };
+        let positions: Vec<LogPosition> = positions.into_iter().map(position).collect();
         let text = format!("{{\"a b\": \"{at}%\"}}");
         let status = Subject::Status { number: group, part: (sum % 70_000) as u16, text };
         let gone = Subject::Gone { writer: sum, number: group };
@@ -958,12 +979,16 @@
         let subjects = [Subject::Group(group), ban, Subject::Drain, object(group), status, gone];
         let revoked = matches!(group % 6, 1 | 2) && group % 12 > 5;
         let subject = subjects[(group % 6) as usize].clone();
-        let gaps = positions.iter().map(|(_, index)| (*index / 2, *index / 2 + 1)).collect();
+        let gap = |position: &LogPosition| {
+            let after = position.index / 2;
+            Gap { after, through: after + 1 }
+        };
+        let gaps = positions.iter().map(gap).collect();
         let gap_request = Datagram::GapRequest { log: LogId::new(writer, epoch), gaps };
         let entry = Entry { log: LogId::new(writer, epoch), index, prev: index - 1, subject, at, revoked };
         let datagrams = [
             Datagram::Entry(entry),
-            Datagram::Digest { positions: positions.clone(), all: 9, sum },
+            Datagram::Digest { positions: positions.clone(), log_count: 9, checksum: sum },
             Datagram::Ack { process: at, positions: positions.clone() },
             Datagram::DigestRequest,
             gap_request,
--- a/replication/tests/model.rs
+++ b/replication/tests/model.rs
@@ -86,7 +86,7 @@
             process,
             options,
         );
-        replica.peers(
+        replica.set_peers(
             n as Machine,
             (0..ALL).filter(|m| *m != n).map(|m| m as Machine).collect(),
         );
@@ -172,7 +172,7 @@
             if !proxy.writes.is_empty() {
                 actions.push(Action::Write(n));
             }
-            if proxy.ticks < self.ticks && replica.log_store().logs() > 0 {
+            if proxy.ticks < self.ticks && replica.log_store().log_count() > 0 {
                 actions.push(Action::Tick(n));
             }
             if state.crashes < self.crashes {
--- a/replication/tests/reorder.rs
+++ b/replication/tests/reorder.rs
@@ -23,7 +23,7 @@
         ..Options::default()
     };
     let mut replica = Replica::new(LogId::new(2, 2), LogStore::default(), 1, options);
-    replica.peers(10, vec![20]);
+    replica.set_peers(10, vec![20]);
     assert_eq!(receive(&mut replica, entry(1, 0)), [1]);
     replica
 }
@@ -41,7 +41,9 @@
 /// What is asked for of the log by now.
 fn gaps(replica: &mut Replica, now: Micros) -> Vec<(Index, Index)> {
     let requested = |out: Outgoing| match out.datagram {
-        Datagram::GapRequest { log: LOG, gaps } => gaps,
+        Datagram::GapRequest { log: LOG, gaps } => {
+            gaps.iter().map(|gap| (gap.after, gap.through)).collect()
+        }
         _ => Vec::new(),
     };
     // The first tick finds what is missing, the second has waited for it.
--- a/replication/tests/snapshot.rs
+++ b/replication/tests/snapshot.rs
@@ -12,7 +12,7 @@
 /// A replica that holds few entries and appends purges of these groups, all on its disk.
 fn sender(groups: std::ops::Range<u64>, options: Options) -> Replica {
     let mut replica = Replica::new(OWN, LogStore::default(), 5, options);
-    replica.peers(10, vec![20]);
+    replica.set_peers(10, vec![20]);
     append(&mut replica, groups);
     replica
 }
@@ -39,7 +39,7 @@
 
 fn receiver() -> Replica {
     let mut replica = Replica::new(LogId::new(2, 9), LogStore::default(), 6, options());
-    replica.peers(20, vec![10]);
+    replica.set_peers(20, vec![10]);
     replica
 }
 
@@ -54,7 +54,7 @@
 
 fn offer(receiver: &mut Replica, sender: &mut Replica) {
     let asked = Datagram::RangeRequest {
-        positions: vec![(OWN, 0)],
+        positions: vec![LogPosition { log: OWN, index: 0 }],
     };
     for reply in sender.receive(Micros::MAX, 0, asked).replies {
         assert!(
@@ -118,7 +118,10 @@
     let end = sender.log_store().last_index(OWN);
     let ack = Datagram::Ack {
         process: 6,
-        positions: vec![(OWN, end)],
+        positions: vec![LogPosition {
+            log: OWN,
+            index: end,
+        }],
     };
     assert_eq!(
         outgoing,
@@ -288,7 +291,15 @@
     let mut store = LogStore::default();
     for (at, n) in [(1, 3), (2, 4), (3, 3)] {
         store
-            .append(OWN, (group(n), at * S, false), Capacity::UNLIMITED)
+            .append(
+                OWN,
+                Record {
+                    subject: group(n),
+                    at: at * S,
+                    revoked: false,
+                },
+                Capacity::UNLIMITED,
+            )
             .expect("there is room");
     }
     assert_eq!(
@@ -307,10 +318,26 @@
 fn a_clock_that_is_set_back_lowers_no_floor() {
     let mut store = LogStore::default();
     store
-        .append(OWN, (group(3), 9 * S, false), Capacity::UNLIMITED)
+        .append(
+            OWN,
+            Record {
+                subject: group(3),
+                at: 9 * S,
+                revoked: false,
+            },
+            Capacity::UNLIMITED,
+        )
         .expect("there is room");
     let entry = store
-        .append(OWN, (group(3), 4 * S, false), Capacity::UNLIMITED)
+        .append(
+            OWN,
+            Record {
+                subject: group(3),
+                at: 4 * S,
+                revoked: false,
+            },
+            Capacity::UNLIMITED,
+        )
         .expect("there is room");
     assert_eq!((entry.at, store.effective(&group(3))), (9 * S, Some(9 * S)));
 }
@@ -336,7 +363,7 @@
         ..options()
     };
     let mut sender = Replica::new(LogId::new(1, 8), store, 5, few);
-    sender.peers(10, vec![20]);
+    sender.set_peers(10, vec![20]);
     let compaction = sender.compact(100 * S).expect("there are too many");
     assert!(
         compaction
@@ -359,7 +386,7 @@
 #[test]
 fn a_snapshot_goes_on_when_the_peers_machines_become_known() {
     let (mut sender, mut receiver) = (sender(1..400, options()), receiver());
-    receiver.peers(20, vec![10, 30]);
+    receiver.set_peers(20, vec![10, 30]);
     offer(&mut receiver, &mut sender);
     for n in 1..10 {
         ask(&mut receiver, &mut sender, n * S)
@@ -374,10 +401,10 @@
         });
         from.collect::<Vec<_>>()
     };
-    receiver.peers(20, vec![10, 31]);
+    receiver.set_peers(20, vec![10, 31]);
     let from = request(&mut receiver, 10 * S);
     assert!(from.first() > Some(&SnapshotCursor::BUCKETS), "{from:?}");
-    receiver.peers(20, vec![]);
+    receiver.set_peers(20, vec![]);
     assert_eq!(
         (request(&mut receiver, 11 * S), receiver.is_catching_up()),
         (vec![], true),
--- a/replication/tests/statuses.rs
+++ b/replication/tests/statuses.rs
@@ -15,7 +15,15 @@
     subject: Subject,
     at: Micros,
 ) -> Result<Entry, CapacityExceeded> {
-    log_store.append(log, (subject, at, false), ROOM)
+    log_store.append(
+        log,
+        Record {
+            subject,
+            at,
+            revoked: false,
+        },
+        ROOM,
+    )
 }
 
 fn piece(number: u64, part: u16, text: &str) -> Subject {
--- a/replication/tests/wire.rs
+++ b/replication/tests/wire.rs
@@ -26,7 +26,9 @@
         part: 3,
         text: "{\"a b\": 50%}".into(),
     };
-    let positions = || vec![(LOG, 7), (LogId::new(3, 4), u64::MAX)];
+    let position = |log, index| LogPosition { log, index };
+    let gap = |after, through| Gap { after, through };
+    let positions = || vec![position(LOG, 7), position(LogId::new(3, 4), u64::MAX)];
     let golden: Vec<(Datagram, &str)> = vec![
         (
             entry(Subject::Object("0a".into()), false),
@@ -69,16 +71,16 @@
         (
             Datagram::Digest {
                 positions: positions(),
-                all: 0x11,
-                sum: 0xff,
+                log_count: 0x11,
+                checksum: 0xff,
             },
             "copies1 have 11 ff 1a 2b 7 3 4 ffffffffffffffff",
         ),
         (
             Datagram::Digest {
                 positions: vec![],
-                all: 0,
-                sum: 0,
+                log_count: 0,
+                checksum: 0,
             },
             "copies1 have 0 0",
         ),
@@ -91,7 +93,7 @@
         (
             Datagram::GapRequest {
                 log: LOG,
-                gaps: vec![(1, 3), (10, 11)],
+                gaps: vec![gap(1, 3), gap(10, 11)],
             },
             "copies1 lack 1a 2b 1 3 a b",
         ),
@@ -162,7 +164,7 @@
     }
     let mut bucket = Bucket::default();
     bucket.record(Fingerprint::of(KeyHash::from(5)), 7_000);
-    let placed = snapshot::PlacedBucket {
+    let placed = snapshot::IndexedBucket {
         index: BucketIndex::from(2),
         bucket,
     };
@@ -197,7 +199,7 @@
         full.record(Fingerprint::of(KeyHash::from(n)), n << 30);
     }
     assert_eq!(full.len(), 7);
-    let placed = |n| snapshot::PlacedBucket {
+    let placed = |n| snapshot::IndexedBucket {
         index: BucketIndex::from(n),
         bucket: full,
     };
