--- /dev/null
+++ b/membership/tests/wire.rs
@@ -0,0 +1,77 @@
+//! Datagrams as bytes. They are pinned byte for byte: an older and a newer proxy stand beside each other while an
+//! installation is upgraded.
+
+use linnetknot_membership::*;
+
+const NUMBER: u32 = 300;
+
+fn message(body: Body) -> Message {
+    let claim = |standing| Claim {
+        process: 0x1_0000,
+        incarnation: 2,
+        standing,
+    };
+    let update = |id, standing| Update {
+        id,
+        by: 9,
+        claim: claim(standing),
+    };
+    Message {
+        from: Sender {
+            id: 0x1234,
+            process: 7,
+            incarnation: 1,
+        },
+        body,
+        updates: vec![
+            update(1, Standing::Alive),
+            update(2, Standing::Suspect),
+            update(3, Standing::Dead),
+            update(4, Standing::Left),
+        ],
+    }
+}
+
+#[test]
+fn datagrams_of_released_versions_stay_byte_for_byte() {
+    let ack = |of, names| Body::Ack {
+        number: NUMBER,
+        of,
+        names,
+    };
+    let cases = [
+        (
+            Body::Ping {
+                number: NUMBER,
+                names: true,
+            },
+            "00ac0201",
+        ),
+        (ack(None, None), "01ac020000"),
+        (
+            ack(Some(5), Some(("p-1".into(), "m-1".into()))),
+            "01ac0201050103702d31036d2d31",
+        ),
+        (
+            Body::PingRequest {
+                number: NUMBER,
+                target: 5,
+            },
+            "02ac0205",
+        ),
+        (Body::Nack { number: NUMBER }, "03ac02"),
+        (Body::Leave, "04"),
+    ];
+    // The mark, the sender, the body, and the four claims.
+    let claims = "0401098080040200020980800402010309808004020204098080040203";
+    for (body, expected) in cases {
+        let bytes = message(body.clone()).write();
+        let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+        assert_eq!(
+            hex,
+            format!("666c65657431b4240701{expected}{claims}"),
+            "{body:?}"
+        );
+        assert_eq!(Message::read(&bytes), Ok(message(body)));
+    }
+}
