--- a/replication/examples/memory.rs
+++ b/replication/examples/memory.rs
@@ -22,7 +22,7 @@
     let number = line
         .and_then(|line| line.split_whitespace().next())
         .and_then(|n| n.parse().ok());
-    number.ok_or_else(|| io::Error::other("no resident memory is told"))
+    number.ok_or_else(|| io::Error::other("the resident memory is unknown"))
 }
 
 fn object(n: u64) -> Subject {
@@ -59,20 +59,20 @@
     let own = LogId::new(1, 1);
     let mut replica = Replica::new(own, LogStore::default(), 1, Options::default());
     let marks = [0, 20_000, 65_536, 131_072, 1_000_000, PER_SECOND * DAY_S];
-    let mut told = 0;
+    let mut purges = 0;
     for mark in marks {
-        while told < mark {
-            let at = told * SECOND_US / PER_SECOND;
+        while purges < mark {
+            let at = purges * SECOND_US / PER_SECOND;
             let entry = replica
-                .append(object(told), at, false)
+                .append(object(purges), at, false)
                 .map_err(io::Error::other)?;
             replica.synced(entry.log, entry.index);
             replica.compact(at);
-            told += 1;
+            purges += 1;
         }
-        let held = replica.log_store().len();
+        let entries = replica.log_store().len();
         println!(
-            "{told} purges: {held} entries, {} KiB",
+            "{purges} purges: {entries} entries, {} KiB",
             resident_kib()? - before
         );
     }
--- a/replication/tests/compaction/fleet.rs
+++ b/replication/tests/compaction/fleet.rs
@@ -7,7 +7,7 @@
 pub(crate) const MS: Micros = 1_000;
 pub(crate) const S: Micros = 1_000_000;
 
-/// What a disk is told.
+/// A write to a disk.
 #[derive(Clone, Debug)]
 enum Write {
     Entry(Entry),
@@ -79,8 +79,8 @@
     pub options: Options,
     pub bits: BucketBits,
     pub disk_us: Micros,
-    /// Every purge that was told: the latest time of each.
-    pub told: BTreeMap<Subject, Micros>,
+    /// The latest time of every purge so far.
+    pub purged: BTreeMap<Subject, Micros>,
     pub refused: usize,
 }
 
@@ -120,7 +120,7 @@
             options,
             bits: BucketBits::DEFAULT,
             disk_us: 2 * MS,
-            told: BTreeMap::new(),
+            purged: BTreeMap::new(),
             refused: 0,
         };
         fleet.members.extend((0..members).map(|_| Member {
@@ -190,7 +190,7 @@
             return;
         };
         if subject.is_purge() {
-            self.told.insert(subject, now);
+            self.purged.insert(subject, now);
         }
         self.write(n, Write::Entry(entry.clone()));
         for to in (0..self.members.len()).filter(|to| *to != n) {
@@ -246,7 +246,7 @@
                         .log_store()
                         .table()
                         .bucket(index)
-                        .expect("it holds something");
+                        .expect("it is not empty");
                     disk.buckets.insert(index, *bucket);
                 }
                 disk.set_compacted(&compaction.logs);
@@ -282,7 +282,7 @@
         let Some(replica) = member.replica.as_mut() else {
             return;
         };
-        let datagram = Datagram::read(bytes).expect("whole");
+        let datagram = Datagram::read(bytes).expect("it is well formed");
         let is_of_snapshots = matches!(
             datagram,
             Datagram::SnapshotOffer(_) | Datagram::SnapshotRequest(_) | Datagram::SnapshotChunk(_)
@@ -371,16 +371,16 @@
         sums.all(|sum| Some(sum) == first)
     }
 
-    /// Purges told by a time that a member does not hold at their time or later: of its own logs and table.
+    /// Counts the purges by a time that a member does not have at their time or later, in its own logs and table.
     pub(crate) fn missing(&self, n: usize, until: Micros) -> usize {
         let store = self.replica(n).log_store();
-        let holds = |(subject, at): &(&Subject, &Micros)| {
+        let has = |(subject, at): &(&Subject, &Micros)| {
             **at > until || store.effective(subject) >= Some(**at)
         };
-        self.told.iter().filter(|told| !holds(told)).count()
+        self.purged.iter().filter(|purge| !has(purge)).count()
     }
 
-    /// Every purge ever told is in force at every member that runs, and comes back from its disk.
+    /// Every purge so far is in force at every member that runs, and comes back from its disk.
     pub(crate) fn check(&self) {
         for (n, member) in self
             .members
@@ -392,12 +392,12 @@
                 self.missing(n, Micros::MAX),
                 0,
                 "p{n} of {}",
-                self.told.len()
+                self.purged.len()
             );
             if member.writes.is_empty() {
                 let restored = member.disk.restore(self.bits);
                 let lost = self
-                    .told
+                    .purged
                     .iter()
                     .filter(|(subject, at)| restored.effective(subject) < Some(**at));
                 assert_eq!(lost.count(), 0, "on the disk of p{n}");
@@ -416,7 +416,7 @@
             let Some(replica) = &member.replica else {
                 continue;
             };
-            for subject in self.told.keys().step_by(step) {
+            for subject in self.purged.keys().step_by(step) {
                 let Some(now) = replica.log_store().effective(subject) else {
                     assert!(
                         !member.seen.contains_key(subject),
--- a/replication/tests/compaction/main.rs
+++ b/replication/tests/compaction/main.rs
@@ -1,4 +1,4 @@
-//! Compaction and snapshots in fleets on virtual time. An independent record has every purge that was told; every
+//! Compaction and snapshots in fleets on virtual time. An independent record has every purge; every
 //! member must hold each of them at its time or later, also as its disk would give it back, and what it holds of one
 //! never falls.
 
@@ -37,7 +37,7 @@
     }
     fleet.settle(60 * S);
     fleet.run(S);
-    assert_eq!((fleet.refused, fleet.told.len()), (0, 24_000));
+    assert_eq!((fleet.refused, fleet.purged.len()), (0, 24_000));
     for n in all {
         let counters = fleet.replica(n).counters();
         assert!(
@@ -90,7 +90,7 @@
         let mut fleet = Fleet::new(3, 2, 100, seed);
         tell(&mut fleet, &[0, 1], 0..3_000, 2 * MS);
         fleet.run(S);
-        let told = fleet.links.now;
+        let purged_at = fleet.links.now;
         fleet.start(2);
         let mut was_catching_up = false;
         while fleet.replica(2).log_store().checksum() != fleet.replica(0).log_store().checksum() {
@@ -105,11 +105,11 @@
                 );
             }
             was_catching_up |= is_catching_up;
-            assert!(fleet.links.now < told + 60 * S, "seed {seed}");
+            assert!(fleet.links.now < purged_at + 60 * S, "seed {seed}");
         }
         assert!(was_catching_up, "seed {seed}");
         assert_eq!(
-            fleet.missing(2, told),
+            fleet.missing(2, purged_at),
             0,
             "seed {seed}: equal sums mean that nothing is missing"
         );
@@ -308,10 +308,10 @@
         [0],
         "it never answers an offer"
     );
-    let since = fleet.told.iter().filter(|(_, at)| **at >= returned);
-    let heard = since.filter(|(subject, at)| fleet.members[1].floors.get(subject) >= Some(at));
+    let since = fleet.purged.iter().filter(|(_, at)| **at >= returned);
+    let in_force = since.filter(|(subject, at)| fleet.members[1].floors.get(subject) >= Some(at));
     assert_eq!(
-        heard.count(),
+        in_force.count(),
         10,
         "what is told from now on it puts in force"
     );
--- a/replication/tests/compaction_model.rs
+++ b/replication/tests/compaction_model.rs
@@ -28,7 +28,7 @@
     RaisedEarly,
     /// What a snapshot brought counts as durable before the disk has it.
     AckedEarly,
-    /// A log goes on in its epoch after a crash.
+    /// A log continues its epoch after a crash.
     SameEpoch,
 }
 
@@ -113,7 +113,7 @@
     /// What was sent, and how often it came.
     sent: BTreeMap<(usize, usize, Vec<u8>), u8>,
     /// What was written at each index of each log.
-    told: BTreeMap<(LogId, Index), (Subject, Micros)>,
+    appended: BTreeMap<(LogId, Index), (Subject, Micros)>,
     tells: u8,
     crashes: u8,
     broken: BTreeSet<&'static str>,
@@ -149,7 +149,7 @@
 /// The floors that a store gives for all that was told.
 fn floors(store: &LogStore, state: &State) -> BTreeMap<Subject, Option<Micros>> {
     state
-        .told
+        .appended
         .values()
         .map(|(subject, _)| (subject.clone(), store.effective(subject)))
         .collect()
@@ -158,7 +158,7 @@
 /// Whether a later entry of a log on the same subject is on a disk, so that it is still to come everywhere: a disk has
 /// one entry of a log on each subject, and who starts with it passes over those that were superseded.
 fn is_to_come(state: &State, log: LogId, index: Index) -> bool {
-    let (subject, _) = &state.told[&(log, index)];
+    let (subject, _) = &state.appended[&(log, index)];
     let later = |proxy: &Proxy| {
         proxy
             .disk
@@ -212,18 +212,18 @@
             .or_default();
     }
 
-    fn tell(&self, state: &mut State, said: Subject, at: Micros) -> Option<()> {
+    fn tell(&self, state: &mut State, purged: Subject, at: Micros) -> Option<()> {
         let entry = state.proxies[WRITER]
             .replica
             .as_mut()?
-            .append(said, at, false)
+            .append(purged, at, false)
             .ok()?;
-        let told = (entry.subject.clone(), entry.at);
+        let appended = (entry.subject.clone(), entry.at);
         let known = state
-            .told
+            .appended
             .entry((entry.log, entry.index))
-            .or_insert_with(|| told.clone());
-        if *known != told {
+            .or_insert_with(|| appended.clone());
+        if *known != appended {
             state.broken.insert(TWICE);
         }
         self.send(state, WRITER, FOLLOWER, &Datagram::Entry(entry.clone()));
@@ -321,8 +321,12 @@
             Action::Tell => {
                 state.tells += 1;
                 // The second one supersedes one that was told before.
-                let said = [4, 1, 5][usize::from(state.tells - 1) % 3];
-                self.tell(state, subject(said), (10 + Micros::from(state.tells)) * MS)
+                let purged = [4, 1, 5][usize::from(state.tells - 1) % 3];
+                self.tell(
+                    state,
+                    subject(purged),
+                    (10 + Micros::from(state.tells)) * MS,
+                )
             }
             Action::Compact(n) => self.compact(state, *n),
             Action::Write(n) => self.write(state, *n),
@@ -356,7 +360,7 @@
                 broken.insert(FALLEN);
             }
             let uncovered = |positions: &dyn Fn(LogId) -> Index, store: &LogStore| {
-                state.told.iter().any(|((log, index), (subject, at))| {
+                state.appended.iter().any(|((log, index), (subject, at))| {
                     let is_covered = positions(*log) >= *index;
                     is_covered
                         && store.effective(subject) < Some(*at)
@@ -392,7 +396,7 @@
     }
 
     /// The writer has told of subjects 1, 2, 1, 3 and again 3, all on its disk, the follower has the first.
-    fn told(&self) -> State {
+    fn appended(&self) -> State {
         let proxy = |n| {
             let (disk, writes) = (Disk::default(), VecDeque::new());
             let mut proxy = Proxy {
@@ -408,16 +412,16 @@
         let mut state = State {
             proxies: vec![proxy(WRITER), proxy(FOLLOWER)],
             sent: BTreeMap::new(),
-            told: BTreeMap::new(),
+            appended: BTreeMap::new(),
             tells: 0,
             crashes: 0,
             broken: BTreeSet::new(),
             snapshots: 0,
         };
-        for (at, said) in (1..).zip([1, 2, 3, 1]) {
-            self.tell(&mut state, subject(said), at * MS)
-                .expect("there is room");
-            self.write(&mut state, WRITER).expect("it was told");
+        for (at, purged) in (1..).zip([1, 2, 3, 1]) {
+            self.tell(&mut state, subject(purged), at * MS)
+                .expect("there is capacity");
+            self.write(&mut state, WRITER).expect("it was appended");
         }
         let first = state
             .sent
@@ -443,7 +447,7 @@
 
     /// The writer has compacted, and the follower was offered a snapshot and sent the logs' indexes.
     fn offered(&self) -> State {
-        let state = self.play(self.told(), [Action::Compact(WRITER)]);
+        let state = self.play(self.appended(), [Action::Compact(WRITER)]);
         let state = self.play(
             state,
             [
@@ -465,7 +469,7 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        vec![self.told(), self.offered()]
+        vec![self.appended(), self.offered()]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
--- a/replication/tests/fleet.rs
+++ b/replication/tests/fleet.rs
@@ -20,8 +20,8 @@
     disk: LogStore,
     /// On their way to it, and when they are there.
     writes: VecDeque<(Micros, Entry)>,
-    /// Commits that wait, and what was sent.
-    asked: Vec<(CommitId, Subject, Micros)>,
+    /// Pending commits, and what was sent.
+    pending: Vec<(CommitId, Subject, Micros)>,
     /// What came while it stood still.
     stalled: Option<Vec<(usize, Vec<u8>)>>,
 }
@@ -51,8 +51,8 @@
 }
 
 impl Net {
-    fn new(members: usize, seed: u64, weather: (u64, u64, Micros)) -> Net {
-        let (lost, doubled, late) = weather;
+    fn new(members: usize, seed: u64, conditions: (u64, u64, Micros)) -> Net {
+        let (lost, doubled, late) = conditions;
         let mut net = Net {
             links: simnet::Network::new(seed, (MS, late)),
             members: Vec::new(),
@@ -71,7 +71,7 @@
                 in_force: BTreeMap::new(),
                 disk: LogStore::default(),
                 writes: VecDeque::new(),
-                asked: Vec::new(),
+                pending: Vec::new(),
                 stalled: None,
             });
         }
@@ -101,9 +101,9 @@
         let m = &mut self.members[n];
         (m.replica, m.stalled) = (None, None);
         m.in_force.clear();
-        // What was not on the disk is lost, and the log does not go on in an epoch of which others may know more.
+        // What was not on the disk is lost, and the log does not continue an epoch of which others may know more.
         m.writes.clear();
-        m.asked.clear();
+        m.pending.clear();
     }
 
     /// A new machine under the old name.
@@ -132,7 +132,7 @@
         let commit = replica
             .open_commit(now, entry.index)
             .expect("there is capacity");
-        self.members[n].asked.push((commit, subject.clone(), now));
+        self.members[n].pending.push((commit, subject.clone(), now));
         self.put(n, &entry);
         self.outgoing.insert(subject, now);
         for to in (0..self.members.len()).filter(|to| *to != n) {
@@ -188,11 +188,11 @@
             .unwrap_or_default()
         {
             let index = m
-                .asked
+                .pending
                 .iter()
                 .position(|(commit, ..)| *commit == outcome.commit)
-                .expect("it was asked");
-            let (_, subject, at) = m.asked.remove(index);
+                .expect("it is pending");
+            let (_, subject, at) = m.pending.remove(index);
             match outcome.result {
                 Ok(took) => {
                     assert!(took <= self.options.commit_timeout_us, "{took}");
@@ -207,11 +207,11 @@
     /// Commits given that nobody who runs holds at their time or later.
     fn lost(&self) -> Vec<&Subject> {
         let runs = || self.members.iter().filter(|m| m.replica.is_some());
-        let held =
+        let is_held =
             |subject: &Subject, at: &Micros| runs().any(|m| m.in_force.get(subject) >= Some(at));
         self.committed
             .iter()
-            .filter(|(subject, at)| !held(subject, at))
+            .filter(|(subject, at)| !is_held(subject, at))
             .map(|(subject, _)| subject)
             .collect()
     }
@@ -227,7 +227,7 @@
         let received = replica.receive(
             now,
             simnet::peer_index(from, to),
-            Datagram::read(&bytes).expect("whole"),
+            Datagram::read(&bytes).expect("it is well formed"),
         );
         received.new.iter().for_each(|e| self.put(to, e));
         for e in &received.out_of_order {
@@ -281,14 +281,14 @@
 
     /// How many members that run do not hold every purge at its time or later.
     fn entries_after(&self) -> usize {
-        let holds = |m: &Member| {
+        let has_all = |m: &Member| {
             self.outgoing
                 .iter()
                 .all(|(subject, at)| m.in_force.get(subject) >= Some(at))
         };
         self.members
             .iter()
-            .filter(|m| m.replica.is_some() && !holds(m))
+            .filter(|m| m.replica.is_some() && !has_all(m))
             .count()
     }
 }
@@ -594,8 +594,8 @@
                 _ => {}
             }
             net.tell(writer, object(n));
-            let moment = net.links.draw(80 * MS);
-            net.run(moment);
+            let pause = net.links.draw(80 * MS);
+            net.run(pause);
             if net.links.draw(3) == 0 {
                 let lost = if net.links.draw(2) == 0 {
                     writer
@@ -663,7 +663,7 @@
     let mut net = Net::new(3, 5, (0, 0, 5 * MS));
     net.disk_us = MS;
     net.run(S);
-    // One way: the entry arrives, and the message of it does not come back.
+    // One way: the entry arrives, and its acknowledgement does not come back.
     net.links.cut.extend([(1, 0), (2, 0)]);
     net.tell(0, object(1));
     net.run(900 * MS);
@@ -705,7 +705,7 @@
     let entry = replica.append(object(1), 5, false).unwrap();
     replica.open_commit(100, entry.index).unwrap();
     assert!(replica.synced(entry.log, entry.index).is_empty());
-    let held = || Datagram::Ack {
+    let ack = || Datagram::Ack {
         process: 5,
         positions: vec![LogPosition {
             log: LogId::new(1, 7),
@@ -713,7 +713,7 @@
         }],
     };
     for peer in [0, 1, 2] {
-        replica.receive(NOW, peer, held());
+        replica.receive(NOW, peer, ack());
         assert_eq!(replica.resolve_commits(200), [], "{peer}");
     }
     // What one has of another's log is no copy of this one's.
@@ -732,7 +732,7 @@
         (replica.resolve_commits(200), replica.under_replicated()),
         (vec![], 1)
     );
-    replica.receive(NOW, 3, held());
+    replica.receive(NOW, 3, ack());
     assert_eq!(
         replica.resolve_commits(300),
         [CommitOutcome {
@@ -827,7 +827,7 @@
         (replica.durable_index(LogId::new(1, 7)), replica.is_synced()),
         (3, true)
     );
-    // A peer that asked meanwhile is sent once all before its index is there.
+    // A peer that asked meanwhile is acknowledged once all entries before its index are there.
     let theirs = |index| Entry {
         log: LogId::new(2, 9),
         index,
@@ -865,11 +865,11 @@
                 index: 2
             }]
         }],
-        "whoever asks again is outgoing again"
+        "whoever asks again is acknowledged again"
     );
 }
 
-/// A message that was overtaken, or of a process that is gone, takes nothing back and adds nothing.
+/// An acknowledgement that was overtaken, or of an earlier process, takes nothing back and adds nothing.
 #[test]
 fn a_late_word_of_what_a_peer_has_is_known_for_what_it_is() {
     let mut replica = Replica::new(
@@ -883,7 +883,7 @@
     );
     replica.set_peers(10, vec![20]);
     (1..=3).for_each(|n| drop(replica.append(object(n), n, false).unwrap()));
-    let held = |process, index| Datagram::Ack {
+    let ack = |process, index| Datagram::Ack {
         process,
         positions: vec![LogPosition {
             log: LogId::new(1, 7),
@@ -894,19 +894,19 @@
         replica.receive(NOW, 0, message);
         replica.under_replicated()
     };
-    assert_eq!(short_after(held(5, 3)), 0);
-    assert_eq!(short_after(held(5, 1)), 0, "overtaken");
+    assert_eq!(short_after(ack(5, 3)), 0);
+    assert_eq!(short_after(ack(5, 1)), 0, "overtaken");
     assert_eq!(
-        short_after(held(6, 1)),
+        short_after(ack(6, 1)),
         2,
         "its next process has lost some of it"
     );
     assert_eq!(
-        short_after(held(5, 3)),
+        short_after(ack(5, 3)),
         2,
         "and the one before has nothing to say any more"
     );
-    assert_eq!(short_after(held(6, 3)), 0);
+    assert_eq!(short_after(ack(6, 3)), 0);
 }
 
 #[test]
--- a/replication/tests/model.rs
+++ b/replication/tests/model.rs
@@ -16,8 +16,8 @@
     Nothing,
     /// A yes on this proxy's own disk alone.
     Credit,
-    /// A log goes on in its epoch after a crash.
-    SameLife,
+    /// A log continues its epoch after a crash.
+    SameEpoch,
     /// A copy counts once it has come, and not once it is on the disk.
     BeforeDisk,
 }
@@ -40,7 +40,7 @@
     proxies: Vec<Proxy>,
     /// All that was ever sent: any of it may come at any time, more than once or never.
     sent: BTreeSet<(usize, usize, Vec<u8>)>,
-    /// Commits given: by whom, and subject.
+    /// Commits given: the writer and the subject of each.
     committed: BTreeSet<(usize, Subject)>,
     /// What was written at each index of each log.
     indexes: BTreeMap<(LogId, Index), Subject>,
@@ -240,7 +240,7 @@
                 }
             }
             Action::Start(n) => {
-                let same = self.planted == Planted::SameLife;
+                let same = self.planted == Planted::SameEpoch;
                 let proxy = &mut state.proxies[n];
                 proxy.epoch += u64::from(!same);
                 proxy.process += 1;
@@ -276,7 +276,7 @@
                         .all(|(_, subject)| on_a_disk(subject))
             }),
             Property::always("an index is given once", |_, state: &State| !state.twice),
-            Property::sometimes("pending are given", |_, state: &State| {
+            Property::sometimes("a commit is given", |_, state: &State| {
                 !state.committed.is_empty()
             }),
             Property::sometimes("all agree after a machine was lost", |_, state: &State| {
@@ -319,7 +319,7 @@
 #[test]
 fn no_state_within_reach_loses_a_promise_or_gives_a_place_twice() {
     let seen = check(Planted::Nothing);
-    assert!(seen.contains(&"pending are given"), "{seen:?}");
+    assert!(seen.contains(&"a commit is given"), "{seen:?}");
     assert!(!seen.iter().any(|name| FAILURES.contains(name)), "{seen:?}");
 }
 
@@ -358,5 +358,5 @@
     let lost = "a commit outlives one machine";
     assert!(check(Planted::Credit).contains(&lost));
     assert!(check(Planted::BeforeDisk).contains(&lost));
-    assert!(check(Planted::SameLife).contains(&"an index is given once"));
+    assert!(check(Planted::SameEpoch).contains(&"an index is given once"));
 }
--- a/replication/tests/recovery.rs
+++ b/replication/tests/recovery.rs
@@ -8,8 +8,8 @@
     retry_us: 10,
 };
 
-/// The step that asks these peers and ends nothing.
-fn asks(peers: &[usize]) -> RecoveryStep {
+/// The step that requests from these peers and ends nothing.
+fn requests(peers: &[usize]) -> RecoveryStep {
     RecoveryStep {
         request_from: peers.to_vec(),
         missing_machines: None,
@@ -21,12 +21,12 @@
     // Peers 0 and 1 are on machine 20, 2 is on the proxy's own, 3 on 30; commits waited for one of the two machines.
     let new = |min_acks| Recovery::new(10, vec![20, 20, 10, 30], min_acks, TIMES);
     let mut one = new(1);
-    assert_eq!(one.tick(0), asks(&[0, 1, 2, 3]));
+    assert_eq!(one.tick(0), requests(&[0, 1, 2, 3]));
     assert!(
         !one.settled(0) && !one.settled(1) && !one.settled(2),
         "a commit may be on machine 30 alone"
     );
-    assert_eq!((one.tick(5), one.tick(10)), (asks(&[]), asks(&[3])));
+    assert_eq!((one.tick(5), one.tick(10)), (requests(&[]), requests(&[3])));
     assert!(one.settled(3) && one.is_over() && one.due().is_none());
     // Commits that waited for both are on each.
     let mut both = new(2);
--- a/replication/tests/snapshot.rs
+++ b/replication/tests/snapshot.rs
@@ -1,4 +1,4 @@
-//! A snapshot datagram by datagram: which chunks count, and what is told of what they brought.
+//! A snapshot datagram by datagram: which chunks are used, and what is acknowledged of them.
 
 use linnetknot_replication::*;
 
@@ -21,7 +21,7 @@
     for n in groups {
         let entry = replica
             .append(group(n), n * S, false)
-            .expect("there is room");
+            .expect("there is capacity");
         replica.synced(entry.log, entry.index);
         replica.compact(n * S);
     }
@@ -43,8 +43,8 @@
     replica
 }
 
-/// The chunks with which a sender answers what a receiver asks for now.
-fn ask(receiver: &mut Replica, sender: &mut Replica, now: Micros) -> Vec<Datagram> {
+/// Returns the chunks with which a sender answers what a receiver requests now.
+fn request(receiver: &mut Replica, sender: &mut Replica, now: Micros) -> Vec<Datagram> {
     let is_request = |out: &Outgoing| matches!(out.datagram, Datagram::SnapshotRequest(_));
     let requests = receiver.tick(now).into_iter().filter(is_request);
     requests
@@ -53,10 +53,10 @@
 }
 
 fn offer(receiver: &mut Replica, sender: &mut Replica) {
-    let asked = Datagram::RangeRequest {
+    let range_request = Datagram::RangeRequest {
         positions: vec![LogPosition { log: OWN, index: 0 }],
     };
-    for reply in sender.receive(Micros::MAX, 0, asked).replies {
+    for reply in sender.receive(Micros::MAX, 0, range_request).replies {
         assert!(
             matches!(reply, Datagram::SnapshotOffer(_)),
             "nothing that it could not take in: {reply:?}"
@@ -69,7 +69,7 @@
 fn complete(receiver: &mut Replica, sender: &mut Replica, mut now: Micros) -> Received {
     loop {
         now += S;
-        for chunk in ask(receiver, sender, now) {
+        for chunk in request(receiver, sender, now) {
             let received = receiver.receive(Micros::MAX, 0, chunk);
             if !received.compacted.is_empty() {
                 return received;
@@ -147,7 +147,7 @@
     offer(&mut first, &mut sender);
     let mut late = Vec::new();
     for n in 1..10 {
-        let chunks = ask(&mut first, &mut sender, n * S);
+        let chunks = request(&mut first, &mut sender, n * S);
         chunks
             .iter()
             .for_each(|chunk| drop(first.receive(Micros::MAX, 0, chunk.clone())));
@@ -158,7 +158,7 @@
     append(&mut sender, 100..300);
     let mut second = receiver();
     offer(&mut second, &mut sender);
-    for chunk in ask(&mut second, &mut sender, S) {
+    for chunk in request(&mut second, &mut sender, S) {
         second.receive(Micros::MAX, 0, chunk);
     }
     let is_late = |chunk: &&Datagram| matches!(chunk, Datagram::SnapshotChunk(c) if !matches!(c.content, SnapshotContent::Logs(_)));
@@ -195,10 +195,10 @@
         };
         let (mut sender, mut receiver) = (sender(1..400, wide), receiver());
         offer(&mut receiver, &mut sender);
-        ask(&mut receiver, &mut sender, S)
+        request(&mut receiver, &mut sender, S)
             .into_iter()
             .for_each(|logs| drop(receiver.receive(Micros::MAX, 0, logs)));
-        let mut chunks = ask(&mut receiver, &mut sender, 2 * S);
+        let mut chunks = request(&mut receiver, &mut sender, 2 * S);
         assert!(chunks.len() > 20);
         let count = chunks.len();
         (0..count).for_each(|n| chunks.swap(n, (n * 31 + seed as usize * 7) % count));
@@ -276,7 +276,7 @@
     for n in 1..1_000 {
         let entry = replica
             .append(group(3), n * S, false)
-            .expect("there is room");
+            .expect("there is capacity");
         replica.synced(entry.log, entry.index);
         replica.compact(n * S);
     }
@@ -300,7 +300,7 @@
                 },
                 Capacity::UNLIMITED,
             )
-            .expect("there is room");
+            .expect("there is capacity");
     }
     assert_eq!(
         store.entries().map(|entry| entry.index).collect::<Vec<_>>(),
@@ -327,7 +327,7 @@
             },
             Capacity::UNLIMITED,
         )
-        .expect("there is room");
+        .expect("there is capacity");
     let entry = store
         .append(
             OWN,
@@ -338,7 +338,7 @@
             },
             Capacity::UNLIMITED,
         )
-        .expect("there is room");
+        .expect("there is capacity");
     assert_eq!((entry.at, store.effective(&group(3))), (9 * S, Some(9 * S)));
 }
 
@@ -378,7 +378,7 @@
     assert!((2..5).contains(&receiver.log_store().last_index(OWN)));
     assert!(
         receiver.log_store().effective(&group(1)) >= Some(S),
-        "the purge at index 1 was told"
+        "the purge at index 1 was received"
     );
 }
 
@@ -389,7 +389,7 @@
     receiver.set_peers(20, vec![10, 30]);
     offer(&mut receiver, &mut sender);
     for n in 1..10 {
-        ask(&mut receiver, &mut sender, n * S)
+        request(&mut receiver, &mut sender, n * S)
             .into_iter()
             .for_each(|chunk| drop(receiver.receive(Micros::MAX, 0, chunk)));
     }
@@ -419,7 +419,7 @@
     let (mut sender, mut receiver) = (sender(1..100, options()), receiver());
     offer(&mut receiver, &mut sender);
     for round in 1..100 {
-        for chunk in ask(&mut receiver, &mut sender, round * S) {
+        for chunk in request(&mut receiver, &mut sender, round * S) {
             receiver.receive(NOW, 0, chunk);
         }
     }
--- a/replication/tests/statuses.rs
+++ b/replication/tests/statuses.rs
@@ -2,14 +2,14 @@
 
 use linnetknot_replication::*;
 
-const ROOM: Capacity = Capacity {
+const CAPACITY: Capacity = Capacity {
     entries: 3,
     expiring: 6,
     logs: 9,
 };
 const OWN: LogId = LogId::new(1, 7);
 
-fn said(
+fn append(
     log_store: &mut LogStore,
     log: LogId,
     subject: Subject,
@@ -22,7 +22,7 @@
             at,
             revoked: false,
         },
-        ROOM,
+        CAPACITY,
     )
 }
 
@@ -38,7 +38,7 @@
 fn a_status_is_told_in_the_order_of_its_pieces_until_one_is_missing_or_it_is_gone() {
     let mut log_store = LogStore::default();
     for (number, part, text) in [(5, 0, "{a"), (6, 0, "{x}"), (5, 1, "b}"), (4, 1, "cut}")] {
-        said(&mut log_store, OWN, piece(number, part, text), 10).unwrap();
+        append(&mut log_store, OWN, piece(number, part, text), 10).unwrap();
     }
     let outgoing = |log_store: &LogStore| [4, 5, 6].map(|number| log_store.status(1, number));
     assert_eq!(
@@ -51,7 +51,7 @@
         [(1, 4), (1, 5), (1, 6)]
     );
     // Another proxy was sent that it is done with.
-    said(
+    append(
         &mut log_store,
         LogId::new(2, 9),
         Subject::Gone {
@@ -69,7 +69,7 @@
     let mut log_store = LogStore::default();
     (0..6).for_each(|part| {
         drop(
-            said(
+            append(
                 &mut log_store,
                 OWN,
                 piece(5, part, "x"),
@@ -79,12 +79,12 @@
         );
     });
     assert_eq!(
-        said(&mut log_store, OWN, piece(6, 0, "x"), 20),
+        append(&mut log_store, OWN, piece(6, 0, "x"), 20),
         Err(CapacityExceeded)
     );
-    (0..3).for_each(|group| drop(said(&mut log_store, OWN, Subject::Group(group), 20).unwrap()));
+    (0..3).for_each(|group| drop(append(&mut log_store, OWN, Subject::Group(group), 20).unwrap()));
     assert_eq!(
-        said(&mut log_store, OWN, Subject::Group(3), 20),
+        append(&mut log_store, OWN, Subject::Group(3), 20),
         Err(CapacityExceeded),
         "nor does it give any"
     );
@@ -100,7 +100,7 @@
     // One who was away passes over what has gone.
     let mut away = LogStore::default();
     for entry in log_store.entries_after(OWN, 0) {
-        assert_eq!(away.take(&entry, ROOM), Insertion::New);
+        assert_eq!(away.take(&entry, CAPACITY), Insertion::New);
     }
     assert_eq!(
         (away.last_index(OWN), away.checksum(), away.len()),
@@ -111,14 +111,14 @@
 #[test]
 fn the_last_place_of_a_log_is_kept_and_that_a_status_is_gone_outlives_the_status() {
     let mut log_store = LogStore::default();
-    said(&mut log_store, OWN, piece(5, 0, "x"), 10).unwrap();
-    said(&mut log_store, OWN, piece(6, 0, "y"), 10).unwrap();
+    append(&mut log_store, OWN, piece(5, 0, "x"), 10).unwrap();
+    append(&mut log_store, OWN, piece(6, 0, "y"), 10).unwrap();
     let gone = Subject::Gone {
         writer: 1,
         number: 5,
     };
-    said(&mut log_store, LogId::new(2, 3), gone.clone(), 10).unwrap();
-    said(&mut log_store, LogId::new(2, 3), piece(1, 0, "z"), 10).unwrap();
+    append(&mut log_store, LogId::new(2, 3), gone.clone(), 10).unwrap();
+    append(&mut log_store, LogId::new(2, 3), piece(1, 0, "z"), 10).unwrap();
     let over: Vec<(LogId, Index)> = log_store
         .expire(110, 100)
         .iter()
@@ -135,7 +135,7 @@
     );
     let over: Vec<Index> = log_store.expire(210, 100).iter().map(|e| e.index).collect();
     assert_eq!(over, [1], "by then nobody has what it is about");
-    said(&mut log_store, OWN, Subject::Drain, 300).unwrap();
+    append(&mut log_store, OWN, Subject::Drain, 300).unwrap();
     assert_eq!(
         log_store.expire(300, 100).len(),
         1,
