--- a/daemon/src/daemon/budgets/status.rs
+++ b/daemon/src/daemon/budgets/status.rs
@@ -90,7 +90,7 @@
             .and_then(|fleet| fleet.members().get(peer));
         let name = member
             .and_then(|member| member.names.as_ref())
-            .map(|(name, _)| name.clone());
+            .map(|names| names.name.clone());
         let address = || {
             self.config
                 .copies
--- a/daemon/src/daemon/fleet.rs
+++ b/daemon/src/daemon/fleet.rs
@@ -4,17 +4,19 @@
 use crate::fleet::{LogStatus, PeerStatus, Status, MOST_LOGS, MOST_PEERS};
 use linnetknot::Micros;
 use linnetknot_discovery::server_id;
-use linnetknot_membership::{Change, DecodeError, Membership, Options, Standing};
+use linnetknot_membership::{
+    Change, DecodeError, MemberState, Membership, MembershipConfig, Names, Options,
+};
 use linnetknot_replication::LogPosition;
 use std::net::SocketAddr;
 
-fn shown(standing: Option<Standing>) -> &'static str {
-    match standing {
+fn shown(state: Option<MemberState>) -> &'static str {
+    match state {
         None => "unknown",
-        Some(Standing::Alive) => "alive",
-        Some(Standing::Suspect) => "suspect",
-        Some(Standing::Dead) => "dead",
-        Some(Standing::Left) => "left",
+        Some(MemberState::Alive) => "alive",
+        Some(MemberState::Suspect) => "suspect",
+        Some(MemberState::Dead) => "dead",
+        Some(MemberState::Left) => "left",
     }
 }
 
@@ -25,18 +27,18 @@
             return;
         };
         let (name, machine) = (&self.config.name, &self.config.copies.machine);
-        let (me, peers) = (
-            (server_id(name), ledger.member()),
-            self.config.copies.machines.len(),
-        );
-        let membership = Membership::new(
-            me,
-            (name, machine),
-            peers,
-            (self.config.seed, now),
-            Options::default(),
-        );
-        self.membership = Some(membership);
+        let config = MembershipConfig {
+            id: server_id(name),
+            process: ledger.member(),
+            names: Names {
+                name: name.clone(),
+                machine: machine.clone(),
+            },
+            peers: self.config.copies.machines.len(),
+            seed: self.config.seed,
+            options: Options::default(),
+        };
+        self.membership = Some(Membership::new(config, now));
         self.plan_fleet(now);
     }
 
@@ -95,7 +97,7 @@
         let (outgoing, changes) = (membership.outgoing(), membership.changes());
         outgoing
             .iter()
-            .for_each(|(place, bytes)| self.send_to_place(*place, bytes));
+            .for_each(|out| self.send_to_place(out.peer, &out.datagram));
         changes
             .into_iter()
             .for_each(|change| self.say_member(change));
@@ -107,21 +109,21 @@
         let member = membership.and_then(|m| m.members().get(peer));
         let name = member
             .and_then(|m| m.names.as_ref())
-            .map_or("", |names| names.0.as_str());
+            .map_or("", |names| names.name.as_str());
         let address = self
             .config
             .copies
             .machines
             .get(peer)
             .map_or_else(String::new, |(a, _)| a.to_string());
-        let level = match new.standing {
-            Standing::Alive | Standing::Left => log::Level::Info,
-            Standing::Suspect => log::Level::Debug,
-            Standing::Dead => log::Level::Warn,
+        let level = match new.state {
+            MemberState::Alive | MemberState::Left => log::Level::Info,
+            MemberState::Suspect => log::Level::Debug,
+            MemberState::Dead => log::Level::Warn,
         };
         log::log!(
-            level, peer = address.as_str(), member = name, old = shown(old.map(|c| c.standing)),
-            new = shown(Some(new.standing)), life = new.process, up = membership.map_or(0, Membership::up);
+            level, peer = address.as_str(), member = name, old = shown(old.map(|c| c.state)),
+            new = shown(Some(new.state)), life = new.process, up = membership.map_or(0, Membership::up);
             "a member's standing has changed"
         );
     }
@@ -179,9 +181,9 @@
             );
             PeerStatus {
                 address: *address,
-                machine: names.map_or(machine, |(_, told)| told).clone(),
-                name: names.map_or_else(String::new, |(name, _)| name.clone()),
-                standing: shown(claim.map(|c| c.standing)).to_owned(),
+                machine: names.map_or(machine, |names| &names.machine).clone(),
+                name: names.map_or_else(String::new, |names| names.name.clone()),
+                standing: shown(claim.map(|c| c.state)).to_owned(),
                 life: claim.map_or_else(String::new, |c| format!("{:x}", c.process)),
                 held,
                 behind: end.saturating_sub(held),
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -690,7 +690,7 @@
             let peers = self.config.copies.machines.len();
             self.membership
                 .iter_mut()
-                .for_each(|fleet| fleet.peers(peers));
+                .for_each(|fleet| fleet.reset_peers(peers));
             self.know_machines();
             if !self.promised.has_recovered() {
                 self.begin_recovery(now);
--- a/daemon/src/daemon/promises.rs
+++ b/daemon/src/daemon/promises.rs
@@ -479,7 +479,7 @@
             let told = members
                 .get(place)
                 .and_then(|m| m.names.as_ref())
-                .map(|(_, machine)| machine);
+                .map(|names| &names.machine);
             server_id(told.filter(|machine| !machine.is_empty()).unwrap_or(said))
         };
         let machines = copies.machines.iter().enumerate().map(machine).collect();
--- a/daemon/tests/plain_purges.rs
+++ b/daemon/tests/plain_purges.rs
@@ -2,7 +2,7 @@
 
 use linnetknot_daemon::fleet::ask as ask_status;
 use linnetknot_datagram::MAX_DATAGRAM_BYTES;
-use linnetknot_membership::{Membership, Options};
+use linnetknot_membership::{Membership, MembershipConfig, Names, Options};
 use linnetknot_rehearse::clients::{becomes, PATIENCE};
 use linnetknot_rehearse::fleet::purge_at;
 use linnetknot_rehearse::process::Process;
@@ -47,17 +47,20 @@
 
 impl MemberPeer {
     fn new() -> Self {
-        let identity = (MEMBER_ID, 1);
-        let membership = Membership::new(
-            identity,
-            ("member", "machine-m"),
-            1,
-            (1, now_us()),
-            Options::default(),
-        );
+        let config = MembershipConfig {
+            id: MEMBER_ID,
+            process: 1,
+            names: Names {
+                name: "member".to_owned(),
+                machine: "machine-m".to_owned(),
+            },
+            peers: 1,
+            seed: 1,
+            options: Options::default(),
+        };
         MemberPeer {
             socket: socket(),
-            membership,
+            membership: Membership::new(config, now_us()),
             received: Vec::new(),
         }
     }
@@ -71,8 +74,8 @@
             }
         }
         self.membership.tick(now_us());
-        for (_, bytes) in self.membership.outgoing() {
-            self.socket.send_to(&bytes, daemon).unwrap();
+        for out in self.membership.outgoing() {
+            self.socket.send_to(&out.datagram, daemon).unwrap();
         }
     }
 }
--- a/membership/src/member.rs
+++ b/membership/src/member.rs
@@ -1,69 +1,82 @@
-//! What is believed of each member, and which claim beats which.
+//! What is believed of each member, and which claim overrides which.
 
-use crate::{Id, Peer, ProcessId};
+use crate::{Id, PeerIndex, ProcessId};
 use serde::{Deserialize, Serialize};
 
-/// What is claimed of a member, in the order in which claims of one process and incarnation beat each other.
+/// The state of a member, in the order in which claims of one process and incarnation override each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Standing {
+pub enum MemberState {
     /// It runs.
     Alive,
     /// It did not answer, and may still refute.
     Suspect,
     /// It did not refute in time.
     Dead,
-    /// It said that it ends.
+    /// It announced its shutdown.
     Left,
 }
 
-/// A claim on a member. One of a later process beats all others; in one process that of the higher incarnation, which the
-/// member alone may raise; in one incarnation the worse one.
+/// A claim about a member. A claim on a later process overrides all others; in one process that of the higher incarnation,
+/// which the member alone may raise; in one incarnation the greater state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Claim {
-    /// Its process.
+    /// The member's process.
     pub process: ProcessId,
-    /// How often it has refuted in that process.
+    /// How often the member has refuted in that process.
     pub incarnation: u32,
-    /// What it is claimed to be.
-    pub standing: Standing,
+    /// The state that is claimed.
+    pub state: MemberState,
 }
 
 /// A change of what is believed of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// Whose.
-    pub peer: Peer,
-    /// The claim before; none: nothing was known of it.
+    /// The member.
+    pub peer: PeerIndex,
+    /// The claim before; `None` if nothing was known of the member.
     pub old: Option<Claim>,
     /// The claim that is believed now.
     pub new: Claim,
 }
 
+/// The names of a member.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Names {
+    /// The member's name.
+    pub name: String,
+    /// The name of its machine.
+    pub machine: String,
+}
+
 /// A member as this proxy sees it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Member {
-    /// Who it says it is; none: it was never heard.
+    /// Its id; `None` if nothing was ever received from it.
     pub id: Option<Id>,
-    /// Its name and its machine, as it says them.
-    pub names: Option<(String, String)>,
-    /// What is believed of it; none: nothing yet.
+    /// Its names, as it reports them.
+    pub names: Option<Names>,
+    /// The claim that is believed of it.
     pub claim: Option<Claim>,
 }
 
 impl Member {
-    /// Whether it is believed to run: a suspect is, until its time is over.
+    /// Returns whether it is believed to run. A suspect is, until its suspicion times out.
     pub fn is_up(&self) -> bool {
         matches!(
             self.claim,
             Some(Claim {
-                standing: Standing::Alive | Standing::Suspect,
+                state: MemberState::Alive | MemberState::Suspect,
                 ..
             })
         )
     }
 
-    /// Takes a claim if it beats the one that is believed.
-    pub(crate) fn believe(&mut self, claim: Claim) -> Option<Option<Claim>> {
-        (Some(claim) > self.claim).then(|| self.claim.replace(claim))
+    /// Believes a claim if it overrides the one before. Returns whether it did.
+    pub(crate) fn believe(&mut self, claim: Claim) -> bool {
+        let overrides = Some(claim) > self.claim;
+        if overrides {
+            self.claim = Some(claim);
+        }
+        overrides
     }
 }
--- a/membership/src/suspicion.rs
+++ b/membership/src/suspicion.rs
@@ -1,58 +1,64 @@
-//! How long a suspect has to refute: long while one proxy alone suspects it, which may be the slow one itself, and short
-//! once others that could not reach it either say so.
+//! How long a suspect has to refute: long while one member alone suspects it, which may itself be the slow one, and short
+//! once others that could not reach it either confirm the suspicion.
 
 use crate::{Id, Micros};
 use std::collections::BTreeSet;
 
-/// Independent confirmations after which the time is at its shortest, where there are members enough to give them.
+/// The number of independent confirmations at which the timeout is shortest, if there are enough members.
 const MAX_CONFIRMATIONS: usize = 3;
+/// The shortest timeout, in periods for each decimal power of the number of members.
+const MIN_PERIODS: f64 = 3.0;
+/// The longest timeout, as a multiple of the shortest.
+const MAX_TIMEOUT_FACTOR: Micros = 5;
 
-/// A suspicion that runs.
+/// A suspicion that is pending.
 #[derive(Clone, Debug)]
 pub(crate) struct Suspicion {
     since: Micros,
-    least: Micros,
-    most: Micros,
-    enough: usize,
-    /// Who suspects it. Whoever repeats itself confirms nothing.
+    min_us: Micros,
+    max_us: Micros,
+    /// The number of confirmations at which the timeout is shortest.
+    max_confirmations: usize,
+    /// The members that suspect it. One that repeats itself confirms nothing.
     by: BTreeSet<Id>,
 }
 
 impl Suspicion {
-    /// One that `by` began. The more members there are, the longer a refutation takes to come round.
-    pub(crate) fn new(now: Micros, by: Id, members: usize, period: Micros) -> Self {
+    /// A suspicion by one member. The more members there are, the longer a refutation takes to reach them all.
+    pub(crate) fn new(now: Micros, by: Id, members: usize, period_us: Micros) -> Self {
         let rounds = (members.max(2) as f64).log10().max(1.0);
-        let least = (3.0 * rounds * period as f64) as Micros;
-        // Besides the suspect and whoever began it.
-        let enough = MAX_CONFIRMATIONS.min(members.saturating_sub(2));
+        let min_us = (MIN_PERIODS * rounds * period_us as f64) as Micros;
+        // Neither the suspect nor the first accuser can confirm.
+        let max_confirmations = MAX_CONFIRMATIONS.min(members.saturating_sub(2));
         Suspicion {
             since: now,
-            least,
-            most: least * 5,
-            enough,
+            min_us,
+            max_us: min_us * MAX_TIMEOUT_FACTOR,
+            max_confirmations,
             by: BTreeSet::from([by]),
         }
     }
 
-    /// Another suspects it too; true where that was new.
+    /// Records that another member suspects it too. Returns whether that was new.
     pub(crate) fn confirm(&mut self, by: Id) -> bool {
-        self.by.len() <= self.enough && self.by.insert(by)
+        self.by.len() <= self.max_confirmations && self.by.insert(by)
     }
 
-    /// When the suspect is dead, unless it refutes.
-    pub(crate) fn until(&self) -> Micros {
-        let confirmed = (self.by.len() - 1).min(self.enough) as f64;
-        // With nobody to confirm it, nobody is waited for.
-        let share = if self.enough == 0 {
+    /// Returns when the suspect is declared dead unless it refutes.
+    pub(crate) fn deadline(&self) -> Micros {
+        let confirmations = (self.by.len() - 1).min(self.max_confirmations) as f64;
+        // With nobody to confirm it, there is no reason to wait.
+        let share = if self.max_confirmations == 0 {
             1.0
         } else {
-            (confirmed + 1.0).ln() / (self.enough as f64 + 1.0).ln()
+            (confirmations + 1.0).ln() / (self.max_confirmations as f64 + 1.0).ln()
         };
-        self.since + self.most - ((self.most - self.least) as f64 * share) as Micros
+        self.since + self.max_us - ((self.max_us - self.min_us) as f64 * share) as Micros
     }
 
-    /// The one that waits stood still itself: what it did not hear in that time says nothing of the suspect.
-    pub(crate) fn put_off(&mut self, by: Micros) {
+    /// Extends the timeout by a time in which this process stalled: what it did not receive then says nothing of the
+    /// suspect.
+    pub(crate) fn extend(&mut self, by: Micros) {
         self.since += by;
     }
 }
--- /dev/null
+++ b/membership/src/swim/probes.rs
@@ -0,0 +1,249 @@
+//! Probes and their timeouts. One member is probed in each period, in rounds of a random order. For one that does not
+//! answer in time others are asked for indirect probes; if it does not answer these either, it is suspected.
+
+use super::Membership;
+use crate::member::MemberState;
+use crate::wire::Body;
+use crate::{Id, Micros, PeerIndex};
+
+/// The number of pings that greet a member and are no probes.
+const GREETING: u32 = 0;
+
+/// The probe of this period.
+#[derive(Clone, Debug)]
+pub(super) struct Probe {
+    pub(super) peer: PeerIndex,
+    pub(super) number: u32,
+    pub(super) started_at: Micros,
+    /// How many members were asked for indirect probes; `None` before that.
+    pub(super) helpers: Option<usize>,
+    /// How many of them reported that they received no answer either.
+    pub(super) nacks: usize,
+}
+
+impl Probe {
+    /// Returns whether no indirect probes were requested yet.
+    pub(super) fn is_direct(&self) -> bool {
+        self.helpers.is_none()
+    }
+}
+
+/// A ping on behalf of another member.
+#[derive(Clone, Debug)]
+pub(super) struct IndirectProbe {
+    pub(super) requester: PeerIndex,
+    /// The number of the request.
+    pub(super) number: u32,
+    pub(super) target: Id,
+    pub(super) deadline: Micros,
+}
+
+impl Membership {
+    pub(super) fn begin_probe(&mut self, now: Micros) {
+        self.next_probe = now + self.options.period_us * Micros::from(1 + self.health);
+        self.greet_some();
+        if self.round.is_empty() {
+            self.draw_round();
+        }
+        let Some(peer) = self.round.pop() else { return };
+        let number = self.next_number();
+        self.counters.probes += 1;
+        self.probe = Some(Probe {
+            peer,
+            number,
+            started_at: now,
+            helpers: None,
+            nacks: 0,
+        });
+        self.ping(peer, number);
+    }
+
+    fn next_number(&mut self) -> u32 {
+        self.last_number = self.last_number.wrapping_add(1);
+        self.last_number
+    }
+
+    /// Pings a member that is not known to run, so that it is known soon. The ping is no probe: a member that does not
+    /// answer it is not suspected.
+    pub fn greet(&mut self, peer: PeerIndex) {
+        let member = self.members.get(peer);
+        if !self.has_left && member.is_some_and(|member| !member.is_up()) {
+            self.ping(peer, GREETING);
+        }
+    }
+
+    /// Greets members that were never heard of: many at first, and one in a period once each was greeted.
+    fn greet_some(&mut self) {
+        let is_unknown =
+            |membership: &Self, peer: &PeerIndex| membership.members[*peer].claim.is_none();
+        let is_first_time = !self.ungreeted.is_empty();
+        if !is_first_time {
+            let all = 0..self.members.len();
+            self.ungreeted = all.filter(|peer| is_unknown(self, peer)).collect();
+        }
+        let max_greetings = if is_first_time {
+            self.options.greetings_per_period
+        } else {
+            1
+        };
+        for _ in 0..max_greetings.min(self.ungreeted.len()) {
+            let drawn = self.random.below(self.ungreeted.len() as u64) as usize;
+            let peer = self.ungreeted.swap_remove(drawn);
+            if is_unknown(self, &peer) {
+                self.ping(peer, GREETING);
+            }
+        }
+        if max_greetings == 1 {
+            self.ungreeted.clear();
+        }
+    }
+
+    /// Draws a round of probes in random order: all members that may run, and few of those that do not.
+    fn draw_round(&mut self) {
+        for peer in 0..self.members.len() {
+            let member = &self.members[peer];
+            let is_down = member.claim.is_some() && !member.is_up();
+            if !is_down || self.random.below(self.options.dead_probe_interval) == 0 {
+                let position = self.random.below(self.round.len() as u64 + 1) as usize;
+                self.round.insert(position, peer);
+            }
+        }
+    }
+
+    fn ping(&mut self, peer: PeerIndex, number: u32) {
+        let names = self.members[peer].names.is_none();
+        self.send(peer, Body::Ping { number, names }, None);
+    }
+
+    /// Requests indirect probes if the direct one was not answered in time.
+    pub(super) fn extend_probe(&mut self, now: Micros) {
+        let timeout_us = self.ack_timeout_us();
+        let has_timed_out =
+            |probe: &Probe| probe.is_direct() && probe.started_at + timeout_us <= now;
+        let Some(probe) = self.probe.clone().filter(has_timed_out) else {
+            return;
+        };
+        let helpers = self.request_indirect_probes(&probe);
+        if let Some(probe) = &mut self.probe {
+            probe.helpers = Some(helpers);
+        }
+    }
+
+    /// Requests indirect probes of random members. Returns of how many.
+    fn request_indirect_probes(&mut self, probe: &Probe) -> usize {
+        let Some(target) = self.members[probe.peer].id else {
+            return 0;
+        };
+        let mut candidates: Vec<PeerIndex> = (0..self.members.len())
+            .filter(|peer| *peer != probe.peer && self.members[*peer].is_up())
+            .collect();
+        let mut helpers = 0;
+        while helpers < self.options.indirect_probes && !candidates.is_empty() {
+            let drawn = self.random.below(candidates.len() as u64) as usize;
+            let helper = candidates.swap_remove(drawn);
+            let request = Body::PingRequest {
+                number: probe.number,
+                target,
+            };
+            self.send(helper, request, None);
+            helpers += 1;
+        }
+        helpers
+    }
+
+    /// Ends the probe of the last period: a member that did not answer it in any way is suspected.
+    pub(super) fn end_probe(&mut self, now: Micros) {
+        let Some(probe) = self.probe.take() else {
+            return;
+        };
+        self.counters.failed += 1;
+        if !self.members[probe.peer].is_up() {
+            return;
+        }
+        // Helpers report if the member does not answer them. If some report nothing at all, they were not reached or their
+        // datagrams were not received, which speaks against this failure detector. The score does not grow with each of
+        // them, as one of them may be gone itself and links cut: a detector that waits ever longer would not notice that.
+        let is_suspicious_of_itself = probe
+            .helpers
+            .is_none_or(|helpers| helpers == 0 || probe.nacks < helpers);
+        if is_suspicious_of_itself {
+            self.degrade_health(1);
+        }
+        self.claim_own(now, probe.peer, MemberState::Suspect);
+    }
+
+    /// Receives the acknowledgement of a ping by a member.
+    pub(super) fn receive_ack(&mut self, number: u32, from: Id) {
+        let indirect = self.indirect.get(&number);
+        if indirect.is_some_and(|probe| probe.target == from) {
+            self.forward_ack(number);
+            return;
+        }
+        let is_of_probe =
+            |probe: &Probe| probe.number == number && self.members[probe.peer].id == Some(from);
+        if self.probe.as_ref().is_some_and(is_of_probe) {
+            self.probe = None;
+            self.health = self.health.saturating_sub(1);
+        }
+    }
+
+    fn forward_ack(&mut self, number: u32) {
+        if let Some(probe) = self.indirect.remove(&number) {
+            let ack = Body::Ack {
+                number: probe.number,
+                of: Some(probe.target),
+                names: None,
+            };
+            self.send(probe.requester, ack, None);
+        }
+    }
+
+    /// Receives a helper's report that the target of an indirect probe did not answer.
+    pub(super) fn receive_nack(&mut self, number: u32) {
+        if let Some(probe) = self.probe.as_mut().filter(|probe| probe.number == number) {
+            probe.nacks += 1;
+        }
+    }
+
+    /// Pings a member on behalf of another.
+    pub(super) fn receive_ping_request(
+        &mut self,
+        now: Micros,
+        requester: PeerIndex,
+        number: u32,
+        target: Id,
+    ) {
+        let has_capacity = self.indirect.len() < self.options.max_indirect;
+        let peer = self.index_of(target).filter(|peer| *peer != requester);
+        let Some(peer) = peer.filter(|_| has_capacity) else {
+            self.send(requester, Body::Nack { number }, None);
+            return;
+        };
+        let own_number = self.next_number();
+        let probe = IndirectProbe {
+            requester,
+            number,
+            target,
+            deadline: now + self.options.ack_us,
+        };
+        self.indirect.insert(own_number, probe);
+        self.ping(peer, own_number);
+    }
+
+    /// Reports the pings on behalf of others that were not answered in time.
+    pub(super) fn expire_indirect_probes(&mut self, now: Micros) {
+        let indirect = self.indirect.iter();
+        let expired: Vec<u32> = indirect
+            .filter(|(_, probe)| probe.deadline <= now)
+            .map(|(number, _)| *number)
+            .collect();
+        for number in expired {
+            if let Some(probe) = self.indirect.remove(&number) {
+                let nack = Body::Nack {
+                    number: probe.number,
+                };
+                self.send(probe.requester, nack, None);
+            }
+        }
+    }
+}
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -1,30 +1,32 @@
-//! Datagrams: a mark with the version of the form, then a message by postcard. At most 256 bytes, the bound of what
-//! proxies may send each other on any installation.
+//! The encoding of datagrams: a mark with the version, then a message by postcard. A datagram has at most 256 bytes, the
+//! bound of what proxies may send each other on any installation.
+//!
+//! Postcard encodes fields and variants by their order alone, so that the order of both must never change.
 
-use crate::{Claim, Id, ProcessId};
+use crate::{Claim, Id, Names, ProcessId};
 use linnetknot_datagram::{payload, DecodeError, MAX_DATAGRAM_BYTES};
 use serde::{Deserialize, Serialize};
 
-/// The first bytes; the digit is the form's version.
+/// The first bytes of a datagram; the digit is the version of the encoding.
 const MARK: &str = "fleet1";
-/// Bytes of a name or a machine's name that are told.
+/// The most bytes of a name that are sent.
 const MAX_NAME_BYTES: usize = 40;
 
-/// A claim on a member, and by whom.
+/// A claim about a member, and who makes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
     /// The member.
     pub id: Id,
-    /// Who claims it of its own knowledge: two that suspect a member confirm each other.
+    /// The member that observed it: two that suspect a member confirm each other.
     pub by: Id,
     /// The claim.
     pub claim: Claim,
 }
 
-/// Who sends a datagram.
+/// The sender of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sender {
-    /// Itself.
+    /// Its id.
     pub id: Id,
     /// Its process.
     pub process: ProcessId,
@@ -32,53 +34,53 @@
     pub incarnation: u32,
 }
 
-/// What is said.
+/// The body of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Are you there? `names`: and what are you called?
+    /// Probes the receiver.
     Ping {
-        /// Names the answer.
+        /// The number that the acknowledgement repeats.
         number: u32,
-        /// The sender does not know the receiver's names.
+        /// Whether the acknowledgement shall contain the receiver's names.
         names: bool,
     },
-    /// Yes, or on behalf of another that was asked.
+    /// Acknowledges a ping, or forwards the acknowledgement of an indirect probe.
     Ack {
-        /// Of the ping.
+        /// The number of the ping or of the request.
         number: u32,
-        /// The one that is there, where that is not the sender.
+        /// The member that acknowledged, if that is not the sender.
         of: Option<Id>,
-        /// Name and machine, where they were asked for.
-        names: Option<(String, String)>,
+        /// The sender's names, if they were requested.
+        names: Option<Names>,
     },
-    /// Ask this member for me.
+    /// Requests an indirect probe.
     PingRequest {
-        /// Names the answer.
+        /// The number that the acknowledgement repeats.
         number: u32,
-        /// The member.
+        /// The member to probe.
         target: Id,
     },
-    /// It did not answer me either, but I am there.
+    /// Reports that the target of an indirect probe did not answer.
     Nack {
-        /// Of the request.
+        /// The number of the request.
         number: u32,
     },
-    /// The sender ends.
+    /// Announces the sender's shutdown.
     Leave,
 }
 
-/// A datagram's content.
+/// The content of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// Who sends it.
+    /// The sender.
     pub from: Sender,
-    /// What it says.
+    /// The body.
     pub body: Body,
-    /// Claims that ride along.
+    /// Updates sent along.
     pub updates: Vec<Update>,
 }
 
-/// A name as it is told: cut where it is too long for a datagram.
+/// Returns a name cut to the length that is sent.
 pub(crate) fn truncated(name: &str) -> String {
     let end = (0..=MAX_NAME_BYTES.min(name.len()))
         .rev()
@@ -88,7 +90,7 @@
 }
 
 impl Message {
-    /// Its bytes, with as many of its claims as fit.
+    /// Encodes the message with as many of its updates as fit.
     pub fn write(mut self) -> Vec<u8> {
         loop {
             let mut bytes = MARK.as_bytes().to_vec();
@@ -100,7 +102,10 @@
         }
     }
 
-    /// Reads one.
+    /// Decodes a message.
+    ///
+    /// # Errors
+    /// Fails if the datagram is of another kind or version, or malformed.
     pub fn read(bytes: &[u8]) -> Result<Self, DecodeError> {
         match postcard::take_from_bytes::<Message>(payload(bytes, MARK)?) {
             Ok((message, [])) => Ok(message),
--- a/membership/tests/net.rs
+++ b/membership/tests/net.rs
@@ -28,6 +28,13 @@
     0x1000 + n as u64
 }
 
+fn names(n: usize) -> Names {
+    Names {
+        name: format!("p{n}"),
+        machine: format!("machine-{n}"),
+    }
+}
+
 impl Net {
     fn new(nodes: usize, seed: u64) -> Net {
         let mut net = Net {
@@ -47,20 +54,17 @@
 
     fn start(&mut self, n: usize) {
         let seed = self.links.draw(u64::MAX);
-        let (name, machine) = (format!("p{n}"), format!("machine-{n}"));
         let node = &mut self.nodes[n];
         (node.process, node.stalled) = (node.process.max(self.links.now) + 1, None);
-        let names = (name.as_str(), machine.as_str());
-        let peers = self.nodes.len() - 1;
-        let process = self.nodes[n].process;
-        let new = Membership::new(
-            (id(n), process),
-            names,
-            peers,
-            (seed, self.links.now),
-            Options::default(),
-        );
-        self.nodes[n].membership = Some(new);
+        let config = MembershipConfig {
+            id: id(n),
+            process: self.nodes[n].process,
+            names: names(n),
+            peers: self.nodes.len() - 1,
+            seed,
+            options: Options::default(),
+        };
+        self.nodes[n].membership = Some(Membership::new(config, self.links.now));
     }
 
     fn kill(&mut self, n: usize) {
@@ -73,17 +77,17 @@
             .as_mut()
             .map(Membership::outgoing)
             .unwrap_or_default();
-        for (peer, bytes) in outgoing {
-            assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
-            self.bytes += bytes.len() as u64;
-            self.links.send(n, member_at(peer, n), &bytes);
+        for Outgoing { peer, datagram } in outgoing {
+            assert!(datagram.len() <= MAX_DATAGRAM_BYTES);
+            self.bytes += datagram.len() as u64;
+            self.links.send(n, member_at(peer, n), &datagram);
         }
         let changes = self.nodes[n]
             .membership
             .as_mut()
             .map(Membership::changes)
             .unwrap_or_default();
-        for change in changes.iter().filter(|c| c.new.standing == Standing::Dead) {
+        for change in changes.iter().filter(|c| c.new.state == MemberState::Dead) {
             self.deaths
                 .push((self.links.now, n, member_at(change.peer, n)));
         }
@@ -97,7 +101,7 @@
         if let Some(membership) = &mut self.nodes[to].membership {
             membership
                 .receive(now, peer_index(from, to), &bytes)
-                .expect("whole");
+                .expect("it is well formed");
             self.send(to);
         }
     }
@@ -146,11 +150,11 @@
     }
 
     /// What a node believes of another.
-    fn standing(&self, at: usize, of: usize) -> Option<Standing> {
+    fn state(&self, at: usize, of: usize) -> Option<MemberState> {
         Some(
             self.nodes[at].membership.as_ref()?.members()[peer_index(of, at)]
                 .claim?
-                .standing,
+                .state,
         )
     }
 
@@ -158,9 +162,9 @@
     fn agree(&self) -> bool {
         let runs = |n: usize| self.nodes[n].membership.is_some();
         let all = || 0..self.nodes.len();
-        let right = |at: usize, of: usize| match self.standing(at, of) {
-            Some(Standing::Alive) => runs(of),
-            Some(Standing::Suspect) => false,
+        let right = |at: usize, of: usize| match self.state(at, of) {
+            Some(MemberState::Alive) => runs(of),
+            Some(MemberState::Suspect) => false,
             _ => !runs(of),
         };
         all()
@@ -247,11 +251,11 @@
         net.links.cut.extend([(0, 1), (1, 2), (2, 1)]);
         net.links.split(net.nodes.len(), &[4]);
         net.run(15 * S);
-        let dead = |at, of| net.standing(at, of) == Some(Standing::Dead);
+        let dead = |at, of| net.state(at, of) == Some(MemberState::Dead);
         assert!((0..4).all(|n| dead(n, 4)), "seed {seed}: {:?}", net.deaths);
         net.run(15 * S);
         assert!(
-            (0..4).all(|n| net.standing(4, n) == Some(Standing::Dead)),
+            (0..4).all(|n| net.state(4, n) == Some(MemberState::Dead)),
             "seed {seed}: and they to it"
         );
         let wrong = net
@@ -297,13 +301,13 @@
         net.run(30 * S);
         for (at, of) in [(0, 2), (1, 4), (2, 0), (4, 1)] {
             assert_eq!(
-                net.standing(at, of),
-                Some(Standing::Dead),
+                net.state(at, of),
+                Some(MemberState::Dead),
                 "seed {seed}: {at} of {of}"
             );
         }
-        assert_eq!(net.standing(0, 1), Some(Standing::Alive));
-        assert_eq!(net.standing(3, 4), Some(Standing::Alive));
+        assert_eq!(net.state(0, 1), Some(MemberState::Alive));
+        assert_eq!(net.state(3, 4), Some(MemberState::Alive));
         net.links.cut.clear();
         assert!(
             net.until_agreed(60 * S).is_some(),
@@ -356,17 +360,17 @@
     net.nodes[0].membership.as_mut().unwrap().leave();
     net.send(0);
     net.run(10 * MS);
-    assert!((1..5).all(|n| net.standing(n, 0) == Some(Standing::Left)));
+    assert!((1..5).all(|n| net.state(n, 0) == Some(MemberState::Left)));
     net.kill(0);
     net.run(30 * S);
     assert_eq!(net.deaths, []);
-    let names = net.nodes[1].membership.as_ref().unwrap().members()[1]
+    let reported = net.nodes[1].membership.as_ref().unwrap().members()[1]
         .names
         .clone();
     assert_eq!(
-        names,
-        Some(("p2".into(), "machine-2".into())),
-        "names are told when they are asked for"
+        reported,
+        Some(names(2)),
+        "names are reported when they are requested"
     );
     net.start(0);
     assert!(
@@ -380,7 +384,10 @@
 #[test]
 #[ignore = "a measurement of some minutes"]
 fn figures_of_fleets_of_many_sizes() {
-    println!("members | seeds | first knows, p50 and most s | all know, p50 and most s | false deaths | bytes a member a second");
+    println!(
+        "members | seeds | first knows, p50 and most s | all know, p50 and most s | false deaths | \
+         bytes a member a second"
+    );
     for (nodes, seeds) in [(4, 1000), (16, 300), (64, 40), (256, 6), (1024, 1)] {
         let (mut first, mut all, mut wrong, mut rest) = (Vec::new(), Vec::new(), 0, 0);
         for seed in 0..seeds {
@@ -449,7 +456,7 @@
     let outgoing = membership.outgoing();
     let pings = outgoing
         .iter()
-        .filter(|(peer, _)| *peer == peer_index(2, 0))
+        .filter(|out| out.peer == peer_index(2, 0))
         .count();
     assert_eq!(
         (pings, outgoing.len()),
@@ -478,23 +485,30 @@
     })]
 
     #[test]
-    fn any_bytes_are_a_message_or_an_error_and_harm_nobody(bytes in proptest::collection::vec(any::<u8>(), 0..300), marked: bool) {
+    fn any_bytes_are_a_message_or_an_error_and_harm_nobody(
+        bytes in proptest::collection::vec(any::<u8>(), 0..300),
+        marked: bool,
+    ) {
         let mut net = Net::new(3, 1);
-        let whole = if marked { [b"fleet1".as_slice(), &bytes].concat() } else { bytes };
+        let datagram = if marked { [b"fleet1".as_slice(), &bytes].concat() } else { bytes };
         let now = net.links.now;
         let membership = net.nodes[0].membership.as_mut().unwrap();
-        let said = Message::read(&whole);
-        prop_assert_eq!(membership.receive(now, 0, &whole).is_err(), said.is_err());
-        prop_assert_eq!(membership.counters().unreadable, u64::from(said.is_err()));
+        let read = Message::read(&datagram);
+        prop_assert_eq!(membership.receive(now, 0, &datagram).is_err(), read.is_err());
+        prop_assert_eq!(membership.counters().unreadable, u64::from(read.is_err()));
         membership.tick(now + S);
     }
 
     #[test]
-    fn a_message_cut_anywhere_is_torn_and_no_other_message(number: u32, process: u64, claims in proptest::collection::vec(any::<(u64, u64, u64, u32)>(), 0..20)) {
+    fn a_message_cut_anywhere_is_malformed_and_no_other_message(
+        number: u32,
+        process: u64,
+        claims in proptest::collection::vec(any::<(u64, u64, u64, u32)>(), 0..20),
+    ) {
         let updates = claims.into_iter().map(|(id, by, process, incarnation)| {
-            Update { id, by, claim: Claim { process, incarnation, standing: Standing::Suspect } }
+            Update { id, by, claim: Claim { process, incarnation, state: MemberState::Suspect } }
         });
-        let names = Some(("n".repeat(40), "m".repeat(40)));
+        let names = Some(Names { name: "n".repeat(40), machine: "m".repeat(40) });
         let message = Message {
             from: Sender { id: 1, process, incarnation: 3 },
             body: Body::Ack { number, of: None, names },
@@ -504,7 +518,10 @@
         prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
         let read = Message::read(&bytes).unwrap();
         prop_assert_eq!(&read.body, &message.body);
-        prop_assert!(message.updates.starts_with(&read.updates), "claims that do not fit are left out from the end");
+        prop_assert!(
+            message.updates.starts_with(&read.updates),
+            "claims that do not fit are left out from the end"
+        );
         for cut in 6..bytes.len() {
             prop_assert!(Message::read(&bytes[..cut]).is_err());
         }
--- a/membership/tests/wire.rs
+++ b/membership/tests/wire.rs
@@ -6,15 +6,15 @@
 const NUMBER: u32 = 300;
 
 fn message(body: Body) -> Message {
-    let claim = |standing| Claim {
+    let claim = |state| Claim {
         process: 0x1_0000,
         incarnation: 2,
-        standing,
+        state,
     };
-    let update = |id, standing| Update {
+    let update = |id, state| Update {
         id,
         by: 9,
-        claim: claim(standing),
+        claim: claim(state),
     };
     Message {
         from: Sender {
@@ -24,10 +24,10 @@
         },
         body,
         updates: vec![
-            update(1, Standing::Alive),
-            update(2, Standing::Suspect),
-            update(3, Standing::Dead),
-            update(4, Standing::Left),
+            update(1, MemberState::Alive),
+            update(2, MemberState::Suspect),
+            update(3, MemberState::Dead),
+            update(4, MemberState::Left),
         ],
     }
 }
@@ -39,6 +39,10 @@
         of,
         names,
     };
+    let names = Names {
+        name: "p-1".to_owned(),
+        machine: "m-1".to_owned(),
+    };
     let cases = [
         (
             Body::Ping {
@@ -48,10 +52,7 @@
             "00ac0201",
         ),
         (ack(None, None), "01ac020000"),
-        (
-            ack(Some(5), Some(("p-1".into(), "m-1".into()))),
-            "01ac0201050103702d31036d2d31",
-        ),
+        (ack(Some(5), Some(names)), "01ac0201050103702d31036d2d31"),
         (
             Body::PingRequest {
                 number: NUMBER,
--- a/rehearse/src/scale/hollow/mod.rs
+++ b/rehearse/src/scale/hollow/mod.rs
@@ -19,7 +19,8 @@
 use linnetknot_daemon::plain_purges::{PlainPurges, Treatment};
 use linnetknot_discovery::server_id;
 use linnetknot_membership::{
-    Body, Membership, Message, Options as MembershipOptions, Sender, Standing,
+    Body, MemberState, Membership, MembershipConfig, Message, Names, Options as MembershipOptions,
+    Sender,
 };
 use linnetknot_origin_health::{OriginHealth, ZonePlace};
 use linnetknot_replication::{Datagram, Index, LogId, LogPosition};
@@ -138,6 +139,14 @@
     (Ipv4Addr::from(number), 1).into()
 }
 
+/// The names that a member reports to its peers.
+fn names(member: &config::MemberName) -> Names {
+    Names {
+        name: member.name.clone(),
+        machine: member.machine.clone(),
+    }
+}
+
 impl HollowMember {
     /// A member that starts now, with what its disk has, or without a disk.
     ///
@@ -152,8 +161,14 @@
     ) -> Self {
         let me = &config.members[index];
         let peers = config.members.len() - 1;
-        let names = (me.name.as_str(), me.machine.as_str());
-        let options = MembershipOptions::default();
+        let membership = MembershipConfig {
+            id: me.id,
+            process: now,
+            names: names(me),
+            peers,
+            seed,
+            options: MembershipOptions::default(),
+        };
         let zones = config
             .members
             .iter()
@@ -169,7 +184,7 @@
         HollowMember {
             config: config.clone(),
             index,
-            membership: Membership::new((me.id, now), names, peers, (seed, now), options),
+            membership: Membership::new(membership, now),
             membership_due: now,
             purge_log: PurgeLog::new(config, index, now, disk),
             plain_purges: PlainPurges::new(&config.limits),
@@ -278,7 +293,7 @@
             .iter()
             .zip(self.config.peers_of(self.index));
         let machine = |(member, peer): (&linnetknot_membership::Member, &config::MemberName)| {
-            let said = member.names.as_ref().map(|(_, machine)| machine.as_str());
+            let said = member.names.as_ref().map(|names| names.machine.as_str());
             server_id(said.unwrap_or(&peer.machine))
         };
         let machines = known.map(machine).collect();
@@ -287,11 +302,11 @@
     }
 
     fn tend_membership(&mut self, now: Micros) {
-        for (peer, bytes) in self.membership.outgoing() {
-            self.outbox.send(peer, bytes);
+        for out in self.membership.outgoing() {
+            self.outbox.send(out.peer, out.datagram);
         }
         for change in self.membership.changes() {
-            if change.new.standing == Standing::Dead {
+            if change.new.state == MemberState::Dead {
                 let started = change.new.process;
                 self.events.push(MemberEvent::Died {
                     peer: change.peer,
@@ -325,7 +340,7 @@
     /// The answer to a greeting by the member at an index, by which `acquaint` makes it known.
     pub fn introduction(config: &FleetConfig, index: usize, started: Micros) -> Vec<u8> {
         let me = &config.members[index];
-        let names = Some((me.name.clone(), me.machine.clone()));
+        let names = Some(names(me));
         let from = Sender {
             id: me.id,
             process: started,
