--- a/budgets/src/allocation.rs
+++ b/budgets/src/allocation.rs
@@ -51,9 +51,9 @@
 
     /// A lease grows at once and shrinks by halves, so that it does not swing with each request.
     fn next_amount(&self, holder: MemberIndex, demand: Amount, share: Amount) -> Amount {
-        let held = self.ledger.outstanding(holder);
-        if share < held && demand > 0 {
-            share + (held - share) / 2
+        let outstanding = self.ledger.outstanding(holder);
+        if share < outstanding && demand > 0 {
+            share + (outstanding - share) / 2
         } else {
             share
         }
--- a/budgets/src/election.rs
+++ b/budgets/src/election.rs
@@ -116,8 +116,8 @@
             return true;
         }
         // The fewer votes it has the sooner it backs off, so that they come together.
-        let patience_us = (2 + self.votes.count(now)) * self.options.vote_us;
-        if now < candidate_since + patience_us {
+        let timeout_us = (2 + self.votes.count(now)) * self.options.vote_us;
+        if now < candidate_since + timeout_us {
             return true;
         }
         self.back_off(now, last_number);
--- a/budgets/src/fair_share.rs
+++ b/budgets/src/fair_share.rs
@@ -1,5 +1,5 @@
 //! How much each holder should have: nobody gets more than its demand, what some do not demand goes to the others in equal
-//! shares, and a reserve is kept for newcomers.
+//! shares, and a part is reserved for newcomers.
 
 use crate::{Amount, MemberIndex, Micros};
 use std::collections::BTreeMap;
@@ -7,7 +7,7 @@
 #[cfg(test)]
 mod tests;
 
-/// One part in so many is kept for newcomers.
+/// One part in so many is reserved for newcomers.
 const NEWCOMER_DIVISOR: Amount = 25;
 
 /// A holder's demand, and when it was received.
--- a/budgets/src/fair_share/tests.rs
+++ b/budgets/src/fair_share/tests.rs
@@ -14,12 +14,12 @@
     assert_eq!(
         shares,
         [10, 91, 91, 0, 0],
-        "a part in 25 is kept for the next"
+        "a part in 25 is reserved for the next"
     );
     demands.set(106, 1, 1_000, 100);
     assert_eq!(
         demands.fair_share(1, 200),
         192,
-        "those that said nothing for long want nothing"
+        "those that sent nothing for long demand nothing"
     );
 }
--- a/budgets/src/kinds.rs
+++ b/budgets/src/kinds.rs
@@ -4,22 +4,22 @@
 
 /// A demand is so many times what is unsettled, so that a lease is there before it is needed.
 const DEMAND_FACTOR: Amount = 2;
-/// Requests that are asked for beyond that.
+/// The requests demanded in addition.
 const SPARE_REQUESTS: Amount = 4;
-/// One part in so many of what a server bears that is asked for beyond that.
+/// One part in so many of what a server can bear is demanded in addition.
 const SPARE_DIVISOR: Amount = 10;
 
 /// The unit of an amount.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unit {
-    /// Requests that are held at a time.
+    /// Concurrent requests.
     Concurrent,
     /// Millionths of what a server can bear.
     Millionths,
 }
 
 impl Unit {
-    /// Returns the name that `fleet budgets` shows. It is read by tools and does not change.
+    /// Returns the name that `fleet budgets` shows. Tools read it, so that it must not change.
     pub fn name(self) -> &'static str {
         match self {
             Unit::Concurrent => "held at a time",
@@ -58,17 +58,17 @@
     pub unit: Unit,
 }
 
-/// Requests that the origin holds at a time, whether they came directly or for a fill.
+/// Concurrent requests at the origin, whether they were made directly or for a fill.
 pub const ORIGIN: Kind = Kind {
     name: "origin",
     unit: Unit::Concurrent,
 };
-/// What each cold parent cache can bear.
+/// What each parent cache that is warming up can bear.
 pub const PARENTS: Kind = Kind {
     name: "cold-parents",
     unit: Unit::Millionths,
 };
-/// What each cold cache of a zone can bear; there is one budget for each zone.
+/// What each cache of a zone that is warming up can bear; there is one budget for each zone.
 pub const CACHES: Kind = Kind {
     name: "cold-caches",
     unit: Unit::Millionths,
--- a/budgets/src/ledger.rs
+++ b/budgets/src/ledger.rs
@@ -46,8 +46,8 @@
         own.map(|grant| grant.amount).max().unwrap_or(0)
     }
 
-    /// Drops the grants that the holder gave up by going by a later one. It never goes back to them, so that they need not
-    /// be counted until they expire, but for what is unsettled of them.
+    /// Drops the grants that the holder gave up for a later one. It never returns to them, so that they need not be counted
+    /// until they expire, except for what is unsettled of them.
     fn drop_given_up(&mut self, process: ProcessId, request: &LeaseRequest) {
         let is_current =
             |grant: &&Grant| grant.process == process && grant.number == request.current_lease;
@@ -135,7 +135,7 @@
         };
         let others = total - holder.largest_of(from.process);
         let amount = target.min(shared.saturating_sub(others));
-        // An empty lease is one, too: that its holder goes by it says that it gave up the one before.
+        // An empty lease is recorded, too: once it is in force, its holder has given up the one before.
         holder.grants.push(Grant {
             process: from.process,
             number: request.number,
--- a/budgets/src/lib.rs
+++ b/budgets/src/lib.rs
@@ -13,9 +13,10 @@
 //! counts its lease from when it sent the request, the allocator from when it granted it, each corrected by what clocks
 //! may drift apart in that time; so no lease is in force for longer than its allocator counts it as granted.
 //!
-//! What is spent may occupy the resource for a while: a request that the origin holds, or work that a cold cache has not
-//! done yet. An allocator counts a lease as granted until that settling time is over, and its votes must last as long.
-//! Each request of a holder says what is unsettled and which lease it goes by, so that what it gave up is free at once.
+//! What is spent may occupy the resource for a while: a request in flight at the origin, or work that a cache that is
+//! warming up has not done yet. An allocator counts a lease as granted until that settling time is over, and its votes
+//! must last as long. Each request of a holder states what is unsettled and which lease is in force, so that what it gave
+//! up is free at once.
 //!
 //! # Modules
 //!
--- a/budgets/src/member.rs
+++ b/budgets/src/member.rs
@@ -160,7 +160,7 @@
         Ok(())
     }
 
-    /// Returns what may be spent of a budget now. It is to be called at the moment of each spend.
+    /// Returns what may be spent of a budget now. It must be called for each spend.
     pub fn lease(&self, now: Micros, budget: usize) -> Lease {
         let none = Lease {
             amount: 0,
@@ -328,54 +328,54 @@
     }
 
     fn receive_lease_request(&mut self, now: Micros, from: MemberProcess, request: LeaseRequest) {
-        let (members, options, group) = (
-            self.up.len() as u64,
-            self.options,
-            self.group(request.budget),
-        );
-        let Some(budget) = self.budgets.get_mut(request.budget) else {
+        let group = self.group(request.budget);
+        let Some(spec) = self.spec(request.budget) else {
             return;
         };
-        let election = &mut self.elections[group];
-        let spec = budget.holding.spec;
         // What is spent at the end of a lease settles before the votes expire, too.
-        let settling_us = options.extended_by_drift(spec.settling_us);
-        let last_end = election.majority_until().saturating_sub(settling_us);
-        let until = last_end.min(now + options.lease_us);
+        let settling_us = self.options.extended_by_drift(spec.settling_us);
+        let votes_until = self.elections[group].majority_until();
+        let last_end = votes_until.saturating_sub(settling_us);
+        let until = last_end.min(now + self.options.lease_us);
         if until <= now {
-            election.stop_serving();
+            self.elections[group].stop_serving();
             self.counters.misdirected += 1;
             return;
         }
         let shared = spec.shared(self.up.len()).unwrap_or(0);
-        // While not all holders have asked this allocator, the first ones must not get what the others will ask for.
-        let all_known_at = election.serve(now) + 2 * options.request_interval_us;
-        let max_amount = if now < all_known_at {
-            shared / members
-        } else {
-            Amount::MAX
-        };
         let terms = Terms {
             shared,
-            max_amount,
+            max_amount: self.max_grant(now, group, shared),
             until: until + settling_us,
-            demand_lifetime_us: options.lease_us,
+            demand_lifetime_us: self.options.lease_us,
         };
-        let Some(amount) = budget.allocation.grant(now, from, &request, terms) else {
+        let allocation = &mut self.budgets[request.budget].allocation;
+        let Some(amount) = allocation.grant(now, from, &request, terms) else {
             self.counters.stale += 1;
             return;
         };
         self.counters.granted += 1;
-        let LeaseRequest { budget, number, .. } = request;
         let grant = LeaseGrant {
-            budget,
-            number,
+            budget: request.budget,
+            number: request.number,
             amount,
             duration_us: until - now,
         };
         self.send(now, from.member, Message::LeaseGrant(grant));
     }
 
+    /// Returns the most that this allocator may grant to one holder. Until all holders have had the time to send it a
+    /// request, the first ones must not receive what the others will demand.
+    fn max_grant(&mut self, now: Micros, group: usize, shared: Amount) -> Amount {
+        let serving_since = self.elections[group].serve(now);
+        let all_known_at = serving_since + 2 * self.options.request_interval_us;
+        if now < all_known_at {
+            shared / self.up.len() as u64
+        } else {
+            Amount::MAX
+        }
+    }
+
     fn receive_lease_grant(&mut self, now: Micros, grant: LeaseGrant) {
         let Some(budget) = self.budgets.get_mut(grant.budget) else {
             return;
--- a/budgets/src/wire/tests.rs
+++ b/budgets/src/wire/tests.rs
@@ -47,7 +47,7 @@
         again.extend(datagram.messages);
     }
     assert_eq!(again, messages);
-    assert!(write(3, 1, &[]).is_empty(), "nothing to say is no datagram");
+    assert!(write(3, 1, &[]).is_empty(), "no message is no datagram");
 }
 
 #[test]
--- a/budgets/tests/fleet.rs
+++ b/budgets/tests/fleet.rs
@@ -85,7 +85,8 @@
                 net.links.draw(1_000 * S),
                 net.links.draw(100_001) as i64 - 50_000,
             );
-            let (demand, spent) = (vec![0; specs.len()], vec![Vec::new(); specs.len()]);
+            let demand = vec![0; specs.len()];
+            let spent = vec![Vec::new(); specs.len()];
             let before = spent.clone();
             net.nodes.push(Node {
                 member: None,
@@ -183,13 +184,13 @@
                 .lease(node.clock(now), budget)
                 .amount
                 .min(node.demand[budget]);
-            let room = lease.saturating_sub(node.unsettled(now, budget));
-            if room > 0 {
+            let available = lease.saturating_sub(node.unsettled(now, budget));
+            if available > 0 {
                 // Often all of it, and mostly for as long as it can be.
                 let amount = if self.links.draw(2) == 0 {
-                    room
+                    available
                 } else {
-                    self.links.draw(room + 1)
+                    self.links.draw(available + 1)
                 };
                 let duration_us = max_us
                     - if self.links.draw(3) == 0 {
@@ -408,8 +409,8 @@
                         .for_each(|m| m.set_up(of, up));
                 }
             }
-            let moment = net.links.draw(1_500 * MS);
-            net.run(moment);
+            let pause = net.links.draw(1_500 * MS);
+            net.run(pause);
         }
         highest = (net.peak[0].0.max(highest.0), net.peak[0].1.max(highest.1));
     }
@@ -586,8 +587,8 @@
                     .enumerate()
                     .for_each(|(m, up)| member.set_up(m, *up));
                 net.nodes[n].member = Some(member);
-                let moment = net.links.draw(3 * S);
-                net.run(moment);
+                let pause = net.links.draw(3 * S);
+                net.run(pause);
             }
             let begun = net.links.now;
             while net.allocator(0).is_none() || net.in_force(0) < 90_000 {
@@ -660,8 +661,8 @@
             net.kill(holder);
             net.start(holder);
             net.demand(holder, 1_000_000);
-            let moment = net.links.draw(1_500 * MS);
-            net.run(moment);
+            let pause = net.links.draw(1_500 * MS);
+            net.run(pause);
         }
         net.run(6 * S);
         assert!(net.in_force(0) > 90_000, "seed {seed}: {}", net.in_force(0));
@@ -756,64 +757,84 @@
     }
 }
 
+/// The limit of the budget that the figures are of.
+const FIGURES_LIMIT: Amount = 1_000_000;
+
+/// A fleet all of whose members demand the limit, after 12 seconds.
+fn settled(nodes: usize) -> Net {
+    // A quarter set aside in reserved minimums: what the dead do not spend of theirs is lost to the others.
+    let specs = [BudgetSpec {
+        limit: FIGURES_LIMIT,
+        reserved: FIGURES_LIMIT / 4 / nodes as u64,
+        settling_us: S,
+    }];
+    let mut net = Net::new(nodes, 9, &specs);
+    (0..nodes).for_each(|n| net.demand(n, FIGURES_LIMIT));
+    net.run(12 * S);
+    net
+}
+
+/// What a member may spend.
+fn leased(net: &Net, n: usize) -> Amount {
+    let node = &net.nodes[n];
+    let member = node.member.as_ref();
+    member.map_or(0, |member| {
+        member.lease(node.clock(net.links.now), 0).amount
+    })
+}
+
+/// What the living may spend, in percent of what their reserved minimums and what is shared come to.
+fn usable(net: &Net) -> Amount {
+    let leases: Amount = (0..net.nodes.len()).map(|n| leased(net, n)).sum();
+    leases * 100 / FIGURES_LIMIT
+}
+
+/// The members of a fleet that are not its allocator.
+fn others(net: &Net) -> Vec<usize> {
+    let allocator = net.allocator(0).expect("one leads");
+    (0..net.nodes.len()).filter(|n| *n != allocator).collect()
+}
+
+/// What is usable two seconds after so many members that are not the allocator died.
+fn usable_after_deaths(mut net: Net, deaths: usize) -> Amount {
+    let others = others(&net);
+    others.iter().take(deaths).for_each(|n| net.kill(*n));
+    net.run(2 * S);
+    usable(&net)
+}
+
+/// How long it takes, in milliseconds, until the one member that demands anything has nine tenths of what is shared.
+fn takeover_ms(mut net: Net) -> Micros {
+    (1..net.nodes.len()).for_each(|n| net.demand(n, 0));
+    let begun = net.links.now;
+    while leased(&net, 0) < FIGURES_LIMIT * 3 / 4 * 9 / 10 && net.links.now < begun + 20 * S {
+        net.run(50 * MS);
+    }
+    (net.links.now - begun) / MS
+}
+
 /// `cargo test --release -p linnetknot-budgets -- --ignored --nocapture`
 #[test]
 #[ignore = "a measurement"]
 fn figures() {
-    println!("| members | calm | bytes a member a second | a tenth away, 2 s after | half dead, 2 s after | the allocator among them, 2 s, 5 s | one alone wants: 90% after |");
+    println!(
+        "| members | calm | bytes a member a second | a tenth away, 2 s after | half dead, 2 s after | \
+         the allocator among them, 2 s, 5 s | one alone wants: 90% after |"
+    );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for nodes in [4, 16, 64, 300] {
-        let limit = 1_000_000;
-        // A quarter set aside in reserved minimums: what the dead do not spend of theirs is lost to the others.
-        let specs = [BudgetSpec {
-            limit,
-            reserved: limit / 4 / nodes as u64,
-            settling_us: S,
-        }];
-        let start = || {
-            let mut net = Net::new(nodes, 9, &specs);
-            (0..nodes).for_each(|n| net.demand(n, limit));
-            net.run(12 * S);
-            net
-        };
-        // What the living may spend, in percent of what their reserved minimums and what is shared come to.
-        let usable = |net: &Net| {
-            let runs = net.nodes.iter().filter(|n| n.member.is_some());
-            let leases: Amount = runs
-                .map(|n| {
-                    n.member
-                        .as_ref()
-                        .map_or(0, |m| m.lease(n.clock(net.links.now), 0).amount)
-                })
-                .sum();
-            leases * 100 / limit
-        };
-        let mut net = start();
+        let mut net = settled(nodes);
         let calm = usable(&net);
         let before = net.bytes;
         net.run(5 * S);
         let bytes = (net.bytes - before) / 5 / nodes as u64;
-        let allocator = net.allocator(0).expect("one leads");
-        let others: Vec<usize> = (0..nodes).filter(|n| *n != allocator).collect();
-        others
-            .iter()
-            .take(nodes.div_ceil(10))
-            .for_each(|n| net.kill(*n));
-        net.run(2 * S);
-        let tenth = usable(&net);
-        let mut net = start();
-        let allocator = net.allocator(0).expect("one leads");
-        let others: Vec<usize> = (0..nodes).filter(|n| *n != allocator).collect();
-        others
-            .iter()
-            .take((nodes - 1) / 2)
-            .for_each(|n| net.kill(*n));
-        net.run(2 * S);
-        let half = usable(&net);
-        let mut net = start();
+        let first_others = others(&net);
+        let tenth = usable_after_deaths(net, nodes.div_ceil(10));
+        let half = usable_after_deaths(settled(nodes), (nodes - 1) / 2);
+        let mut net = settled(nodes);
         let allocator = net.allocator(0).expect("one leads");
         net.kill(allocator);
-        others
+        first_others
             .iter()
             .filter(|n| **n != allocator)
             .take((nodes - 1) / 2 - 1)
@@ -822,19 +843,7 @@
         let two = usable(&net);
         net.run(3 * S);
         let five = usable(&net);
-        let mut net = start();
-        (1..nodes).for_each(|n| net.demand(n, 0));
-        let begun = net.links.now;
-        let lease = |net: &Net| {
-            net.nodes[0]
-                .member
-                .as_ref()
-                .map_or(0, |m| m.lease(net.nodes[0].clock(net.links.now), 0).amount)
-        };
-        while lease(&net) < limit * 3 / 4 * 9 / 10 && net.links.now < begun + 20 * S {
-            net.run(50 * MS);
-        }
-        let hot = (net.links.now - begun) / MS;
+        let hot = takeover_ms(settled(nodes));
         println!(
             "| {nodes} | {calm}% | {bytes} | {tenth}% | {half}% | {two}%, {five}% | {hot} ms |"
         );
