--- a/daemon/src/daemon/feeds/peers.rs
+++ b/daemon/src/daemon/feeds/peers.rs
@@ -4,6 +4,7 @@
 use crate::daemon::Daemon;
 use crate::{ledger, peers};
 use linnetknot::Micros;
+use linnetknot_origin_health::OriginShare;
 use linnetknot_replication::{Datagram, DecodeError, Entry, Outgoing, Received};
 use std::io;
 use std::net::SocketAddr;
@@ -53,11 +54,11 @@
 
     /// What others find of the origin, as far as enough of them agree.
     fn heed(&mut self, now: Micros) {
-        if let Some((share, until)) = self
+        let found = self
             .origin_health
             .as_ref()
-            .and_then(|h| h.origin_share(now))
-        {
+            .and_then(|h| h.origin_share(now));
+        if let Some(OriginShare { share, until }) = found {
             self.core.heard(now, share, until);
         }
     }
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -15,7 +15,7 @@
 use crate::wire::WireError;
 use linnetknot::{Micros, Outcome, ServerId};
 use linnetknot_discovery::{Damping, Discovery, Source as ListSource, Vetting};
-use linnetknot_origin_health::{OriginHealth, ZonePlace};
+use linnetknot_origin_health::{OriginHealth, ZonePosition};
 use rustix::fd::OwnedFd;
 use rustix::pipe::{pipe_with, PipeFlags};
 use std::collections::{btree_map::Entry, BTreeMap};
@@ -349,8 +349,8 @@
         let ops_folder = config.ops_folder.clone();
         let ops =
             linnetknot_ops::Operations::new(linnetknot_ops::store::load(&ops_folder), clock.now());
-        let place = ZonePlace::of(&config.settings);
-        let origin_health = config.tell.then(|| OriginHealth::new(place, clock.now()));
+        let zone = ZonePosition::of(&config.settings);
+        let origin_health = config.tell.then(|| OriginHealth::new(zone, clock.now()));
         let core =
             Core::new(config.settings.clone(), config.seed, &limits).map_err(|e| e.to_string())?;
         let (last_event, known) = std::mem::take(&mut config.known);
@@ -533,9 +533,9 @@
                 sent = t.sent,
                 suppressed = t.suppressed,
                 received = t.received,
-                old = t.old,
-                torn = t.torn,
-                version = t.version,
+                old = t.stale,
+                torn = t.malformed,
+                version = t.unknown_version,
                 too_long = t.too_long;
                 "reports of a late origin to and from peers"
             );
--- a/daemon/tests/loopback.rs
+++ b/daemon/tests/loopback.rs
@@ -509,7 +509,7 @@
     let mut bytes = [0; 512];
     let (length, from) = peer.recv_from(&mut bytes).unwrap();
     let told = Report::read(&bytes[..length]).unwrap();
-    assert!(told.number == 1 && told.origin < 0.7, "{told:?}");
+    assert!(told.number == 1 && told.origin_share < 0.7, "{told:?}");
     rig.boxes[0].behave(Manner {
         origin_ms: 1,
         ..Manner::default()
@@ -528,7 +528,7 @@
     let late = Report {
         start: told.start,
         number: 1,
-        origin: 0.0,
+        origin_share: 0.0,
         zone: told.zone,
     }
     .write();
@@ -554,7 +554,7 @@
         let word = Report {
             start: told.start,
             number,
-            origin: 0.0,
+            origin_share: 0.0,
             zone: told.zone,
         };
         peer.send_to(&word.write(), from).unwrap();
--- a/rehearse/src/scale/hollow/mod.rs
+++ b/rehearse/src/scale/hollow/mod.rs
@@ -22,7 +22,7 @@
     Body, MemberState, Membership, MembershipConfig, Message, Names, Options as MembershipOptions,
     Sender,
 };
-use linnetknot_origin_health::{OriginHealth, ZonePlace};
+use linnetknot_origin_health::{OriginHealth, ZonePosition};
 use linnetknot_replication::{Datagram, Index, LogId, LogPosition};
 use linnetknot_simnet::{peer_index, Micros};
 use outbox::Outbox;
@@ -177,7 +177,7 @@
             .unwrap_or(0)
             + 1;
         let short = |n: usize| u16::try_from(n).unwrap_or(u16::MAX);
-        let zone = ZonePlace {
+        let zone = ZonePosition {
             zone: short(me.zone),
             zones: short(zones),
         };
