--- a/budgets/tests/fleet.rs
+++ b/budgets/tests/fleet.rs
@@ -3,7 +3,7 @@
 
 use linnetknot_budgets::spec::BudgetSpec;
 use linnetknot_budgets::*;
-use linnetknot_simnet::{self as simnet, Step};
+use linnetknot_simnet::{self as simnet, Delay, Step, Timed};
 
 const MS: Micros = 1_000;
 const OPTIONS: Options = Options {
@@ -67,7 +67,13 @@
 
 impl Net {
     fn new(nodes: usize, seed: u64, specs: &[BudgetSpec]) -> Net {
-        let links = simnet::Network::new(seed, (100, 20 * MS));
+        let links = simnet::Network::new(
+            seed,
+            Delay {
+                min_us: 100,
+                jitter_us: 20 * MS,
+            },
+        );
         let settling_us = specs.iter().map(|spec| spec.settling_us).max().unwrap_or(0);
         let options = OPTIONS.with_settling_time(settling_us);
         let peak = vec![(0, 0); specs.len()];
@@ -286,7 +292,10 @@
             // When a member's clock will show what it is due.
             let due = |(n, node): (usize, &Node)| {
                 let member = node.member.as_ref().filter(|_| node.stalled.is_none())?;
-                Some((now + member.due().saturating_sub(node.clock(now)), n))
+                Some(Timed {
+                    at: now + member.due().saturating_sub(node.clock(now)),
+                    event: n,
+                })
             };
             let due = self.nodes.iter().enumerate().filter_map(due).min();
             match self.links.step(end, due) {
@@ -395,8 +404,8 @@
                 5 => net
                     .links
                     .split(net.nodes.len(), &(0..nodes / 2).collect::<Vec<_>>()),
-                6 => drop(net.links.cut.insert((n, (n + 1) % nodes))),
-                7 => net.links.cut.clear(),
+                6 => net.links.cut(n, (n + 1) % nodes),
+                7 => net.links.restore(),
                 // Nobody knows who runs.
                 _ => {
                     let (of, up) = (
@@ -737,7 +746,7 @@
         net.links.split(net.nodes.len(), &[other]);
         net.run(5 * S);
         assert_eq!(net.allocator(0), Some(allocator), "seed {seed}");
-        net.links.cut.clear();
+        net.links.restore();
         net.links.split(net.nodes.len(), &[allocator]);
         net.kill(voter);
         net.start(voter);
--- a/membership/tests/net.rs
+++ b/membership/tests/net.rs
@@ -2,7 +2,7 @@
 //! successors under an old name. All by seeds.
 
 use linnetknot_membership::*;
-use linnetknot_simnet::{self as simnet, member_at, peer_index, Step};
+use linnetknot_simnet::{self as simnet, member_at, peer_index, Delay, Step, Timed};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -38,7 +38,13 @@
 impl Net {
     fn new(nodes: usize, seed: u64) -> Net {
         let mut net = Net {
-            links: simnet::Network::new(seed, (100, 2 * MS)),
+            links: simnet::Network::new(
+                seed,
+                Delay {
+                    min_us: 100,
+                    jitter_us: 2 * MS,
+                },
+            ),
             nodes: Vec::new(),
             bytes: 0,
             deaths: Vec::new(),
@@ -110,13 +116,12 @@
         let end = self.links.now + for_us;
         loop {
             let due = |(n, node): (usize, &Node)| {
-                Some((
-                    node.membership
-                        .as_ref()
-                        .filter(|_| node.stalled.is_none())?
-                        .due(),
-                    n,
-                ))
+                let membership = node.membership.as_ref();
+                let running = membership.filter(|_| node.stalled.is_none())?;
+                Some(Timed {
+                    at: running.due(),
+                    event: n,
+                })
             };
             let due = self.nodes.iter().enumerate().filter_map(due).min();
             match self.links.step(end, due) {
@@ -233,11 +238,11 @@
     for seed in 0..300 {
         let mut net = Net::new(5, seed);
         net.until_agreed(20 * S).unwrap();
-        net.links.cut.insert((0, 1));
+        net.links.cut(0, 1);
         net.run(60 * S);
         assert_eq!(net.deaths, [], "seed {seed}");
         // Both ways, between two of five: the others hear both.
-        net.links.cut.insert((1, 0));
+        net.links.cut(1, 0);
         net.run(60 * S);
         assert_eq!(net.deaths, [], "seed {seed}");
     }
@@ -248,7 +253,9 @@
     for seed in 0..300 {
         let mut net = Net::new(5, seed);
         net.until_agreed(20 * S).unwrap();
-        net.links.cut.extend([(0, 1), (1, 2), (2, 1)]);
+        net.links.cut(0, 1);
+        net.links.cut(1, 2);
+        net.links.cut(2, 1);
         net.links.split(net.nodes.len(), &[4]);
         net.run(15 * S);
         let dead = |at, of| net.state(at, of) == Some(MemberState::Dead);
@@ -308,7 +315,7 @@
         }
         assert_eq!(net.state(0, 1), Some(MemberState::Alive));
         assert_eq!(net.state(3, 4), Some(MemberState::Alive));
-        net.links.cut.clear();
+        net.links.restore();
         assert!(
             net.until_agreed(60 * S).is_some(),
             "seed {seed}: dead members are asked for again, now and then"
--- a/rehearse/src/scale/simulation/mod.rs
+++ b/rehearse/src/scale/simulation/mod.rs
@@ -18,7 +18,7 @@
 use crate::scale::verdict::{Rule, Verdict};
 use hdrhistogram::Histogram;
 use linnetknot_datagram::Random;
-use linnetknot_simnet::{member_at, peer_index, EventQueue, Micros};
+use linnetknot_simnet::{member_at, peer_index, EventQueue, Micros, Timed};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -308,7 +308,7 @@
     // ---- Time ----
 
     fn run_until(&mut self, end: Micros) {
-        while let Some((at, event)) = self.queue.next_until(end) {
+        while let Some(Timed { at, event }) = self.queue.next_until(end) {
             self.now = at;
             self.events += 1;
             self.handle(event);
--- a/replication/tests/compaction/fleet.rs
+++ b/replication/tests/compaction/fleet.rs
@@ -1,7 +1,7 @@
 //! A fleet on virtual time whose members compact, each with a disk that is written in order and late.
 
 use linnetknot_replication::*;
-use linnetknot_simnet::{self as simnet, Step};
+use linnetknot_simnet::{self as simnet, Delay, Step, Timed};
 use std::collections::{BTreeMap, VecDeque};
 
 pub(crate) const MS: Micros = 1_000;
@@ -115,7 +115,13 @@
             ..Options::default()
         };
         let mut fleet = Fleet {
-            links: simnet::Network::new(seed, (MS, 5 * MS)),
+            links: simnet::Network::new(
+                seed,
+                Delay {
+                    min_us: MS,
+                    jitter_us: 5 * MS,
+                },
+            ),
             members: Vec::new(),
             options,
             bits: BucketBits::DEFAULT,
@@ -320,11 +326,15 @@
         loop {
             let due = |(n, member): (usize, &Member)| {
                 let replica = member.replica.as_ref()?;
-                let write = member.writes.front().map(|(at, _)| (*at, Due::Write(n)));
-                write
-                    .into_iter()
-                    .chain([(replica.due(), Due::Tick(n))])
-                    .min()
+                let write = member.writes.front().map(|(at, _)| Timed {
+                    at: *at,
+                    event: Due::Write(n),
+                });
+                let tick = Timed {
+                    at: replica.due(),
+                    event: Due::Tick(n),
+                };
+                write.into_iter().chain([tick]).min()
             };
             let due = self.members.iter().enumerate().filter_map(due).min();
             match self.links.step(end, due) {
--- a/replication/tests/compaction/main.rs
+++ b/replication/tests/compaction/main.rs
@@ -136,7 +136,7 @@
             tell(&mut fleet, &[3, 4, 5], n + 50..n + 100, 5 * MS);
         }
         fleet.run(S);
-        fleet.links.cut.clear();
+        fleet.links.restore();
         fleet.settle(120 * S);
         fleet.run(S);
         let received: u64 = (0..6).map(|n| snapshots(&fleet, n)).sum();
@@ -154,7 +154,7 @@
         (
             fleet.links.loss_percent,
             fleet.links.duplicate_percent,
-            fleet.links.jitter_us,
+            fleet.links.delay.jitter_us,
         ) = (30, 20, 150 * MS);
         fleet.start(2);
         tell(&mut fleet, &[0, 1, 2], 2_500..2_700, 20 * MS);
--- a/replication/tests/fleet.rs
+++ b/replication/tests/fleet.rs
@@ -2,7 +2,7 @@
 //! that are away, stand still or come back with an empty disk. All that was sent anywhere is everywhere in the end.
 
 use linnetknot_replication::*;
-use linnetknot_simnet::{self as simnet, Step};
+use linnetknot_simnet::{self as simnet, Delay, Step, Timed};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, VecDeque};
@@ -54,7 +54,13 @@
     fn new(members: usize, seed: u64, conditions: (u64, u64, Micros)) -> Net {
         let (lost, doubled, late) = conditions;
         let mut net = Net {
-            links: simnet::Network::new(seed, (MS, late)),
+            links: simnet::Network::new(
+                seed,
+                Delay {
+                    min_us: MS,
+                    jitter_us: late,
+                },
+            ),
             members: Vec::new(),
             bytes: 0,
             outgoing: BTreeMap::new(),
@@ -246,11 +252,15 @@
         loop {
             let due = |(n, m): (usize, &Member)| {
                 let replica = m.replica.as_ref().filter(|_| m.stalled.is_none())?;
-                let write = m.writes.front().map(|(at, _)| (*at, Due::Write(n)));
-                write
-                    .into_iter()
-                    .chain([(replica.due(), Due::Tick(n))])
-                    .min()
+                let write = m.writes.front().map(|(at, _)| Timed {
+                    at: *at,
+                    event: Due::Write(n),
+                });
+                let tick = Timed {
+                    at: replica.due(),
+                    event: Due::Tick(n),
+                };
+                write.into_iter().chain([tick]).min()
             };
             let due = self.members.iter().enumerate().filter_map(due).min();
             match self.links.step(end, due) {
@@ -387,7 +397,7 @@
 #[test]
 fn a_member_that_the_writer_can_not_reach_hears_by_way_of_others() {
     let mut net = Net::new(4, 5, (0, 0, 5 * MS));
-    net.links.cut.insert((0, 3));
+    net.links.cut(0, 3);
     (0..10).for_each(|n| net.tell(0, object(n)));
     net.run(10 * MS);
     assert_eq!(net.entries_after(), 1, "no message goes from 0 to 3");
@@ -401,7 +411,8 @@
         let mut net = Net::new(5, seed, (10, 10, 50 * MS));
         for a in 0..2 {
             for b in 2..5 {
-                net.links.cut.extend([(a, b), (b, a)]);
+                net.links.cut(a, b);
+                net.links.cut(b, a);
             }
         }
         for n in 0..20 {
@@ -417,7 +428,7 @@
             net.start(n);
         }
         net.run(3 * S);
-        net.links.cut.clear();
+        net.links.restore();
         net.run(15 * S);
         assert_eq!(net.entries_after(), 0, "seed {seed}");
         assert!(
@@ -589,8 +600,8 @@
         for n in 0..60 {
             let (writer, other) = (net.links.draw(5) as usize, net.links.draw(5) as usize);
             match net.links.draw(6) {
-                0 => drop(net.links.cut.insert((writer, other))),
-                1 => net.links.cut.clear(),
+                0 => net.links.cut(writer, other),
+                1 => net.links.restore(),
                 _ => {}
             }
             net.tell(writer, object(n));
@@ -611,12 +622,12 @@
                 );
                 net.start(lost);
                 // The next machine is lost only once this one has all again.
-                net.links.cut.clear();
+                net.links.restore();
                 net.run(10 * S);
                 epochs += 1;
             }
         }
-        net.links.cut.clear();
+        net.links.restore();
         net.run(20 * S);
         let everywhere = |m: &Member| {
             net.committed
@@ -647,7 +658,8 @@
         let mut net = Net::new(3, seed, (0, 0, 5 * MS));
         net.options.min_acks = 0;
         (0..3).for_each(|n| net.start(n));
-        net.links.cut.extend([(0, 1), (0, 2)]);
+        net.links.cut(0, 1);
+        net.links.cut(0, 2);
         net.tell(0, object(seed));
         net.run(10 * MS);
         assert_eq!(net.committed.len(), 1, "given on this disk alone");
@@ -664,7 +676,8 @@
     net.disk_us = MS;
     net.run(S);
     // One way: the entry arrives, and its acknowledgement does not come back.
-    net.links.cut.extend([(1, 0), (2, 0)]);
+    net.links.cut(1, 0);
+    net.links.cut(2, 0);
     net.tell(0, object(1));
     net.run(900 * MS);
     assert!(
@@ -680,7 +693,7 @@
         net.members[0].replica.as_ref().unwrap().under_replicated(),
         1
     );
-    net.links.cut.clear();
+    net.links.restore();
     net.run(2 * S);
     assert_eq!(
         net.members[0].replica.as_ref().unwrap().under_replicated(),
--- a/simnet/src/events.rs
+++ b/simnet/src/events.rs
@@ -4,7 +4,16 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// An event and the time at which it is due. Of two that are due at once, the one that was scheduled first comes first.
+/// An event and the time at which it is due. Of two, the earlier one is less.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Timed<E> {
+    /// When it is due.
+    pub at: Micros,
+    /// The event.
+    pub event: E,
+}
+
+/// An event in the queue. Of two that are due at once, the one that was scheduled first comes first.
 #[derive(Clone, Debug)]
 struct Scheduled<E> {
     at: Micros,
@@ -33,13 +42,13 @@
 }
 
 impl<E> Ord for Scheduled<E> {
-    /// The heap gives its greatest element first: the earliest event is the greatest.
+    /// The heap pops its greatest element first, so the earliest event is the greatest.
     fn cmp(&self, other: &Self) -> Ordering {
         other.key().cmp(&self.key())
     }
 }
 
-/// Scheduled events. Scheduling one and taking one out cost the logarithm of how many there are.
+/// A queue of scheduled events. Scheduling and removing one cost the logarithm of how many there are.
 #[derive(Clone, Debug)]
 pub struct EventQueue<E> {
     heap: BinaryHeap<Scheduled<E>>,
@@ -66,18 +75,24 @@
         });
     }
 
-    /// Takes out the first event if it is due by `end`, with its time.
-    pub fn next_until(&mut self, end: Micros) -> Option<(Micros, E)> {
-        self.heap.peek().filter(|first| first.at <= end)?;
-        self.heap.pop().map(|first| (first.at, first.event))
+    /// Removes the first event if it is due by `end`.
+    pub fn next_until(&mut self, end: Micros) -> Option<Timed<E>> {
+        self.next_at().filter(|at| *at <= end)?;
+        let Scheduled { at, event, .. } = self.heap.pop()?;
+        Some(Timed { at, event })
+    }
+
+    /// Returns when the first event is due.
+    pub fn next_at(&self) -> Option<Micros> {
+        self.heap.peek().map(|first| first.at)
     }
 
-    /// How many events are scheduled.
+    /// Returns the number of scheduled events.
     pub fn len(&self) -> usize {
         self.heap.len()
     }
 
-    /// Whether none is.
+    /// Returns whether no event is scheduled.
     pub fn is_empty(&self) -> bool {
         self.heap.is_empty()
     }
--- a/simnet/tests/links.rs
+++ b/simnet/tests/links.rs
@@ -11,7 +11,7 @@
     }
     let mut taken = Vec::new();
     while let Some(event) = queue.next_until(20) {
-        taken.push(event);
+        taken.push((event.at, event.event));
     }
     assert_eq!(taken, [(10, "first"), (10, "second"), (20, "third")]);
     assert_eq!((queue.len(), queue.is_empty()), (1, false));
@@ -29,7 +29,7 @@
 #[test]
 fn a_link_loses_duplicates_and_delays_as_often_as_its_conditions_say() {
     let mut random = Random::new(7);
-    let (mut lost, mut twice, mut held_up) = (0, 0, 0);
+    let (mut lost, mut twice, mut overtaken) = (0, 0, 0);
     for number in 0..100_000 {
         let now = number * 10;
         let arrivals = CONDITIONS.arrivals(3, now, &mut random);
@@ -40,11 +40,11 @@
         };
         twice += u32::from(arrivals.second.is_some_and(|second| second > first));
         assert!((1_000..=2_700).contains(&(first - now)));
-        held_up += u32::from(first - now > 1_700);
+        overtaken += u32::from(first - now > 1_700);
     }
     assert!((9_000..11_000).contains(&lost), "{lost}");
     assert!((4_000..5_000).contains(&twice), "{twice}");
-    assert!((1_500..2_100).contains(&held_up), "{held_up}");
+    assert!((1_500..2_100).contains(&overtaken), "{overtaken}");
 }
 
 #[test]
