--- a/daemon/src/daemon/clients.rs
+++ b/daemon/src/daemon/clients.rs
@@ -1,15 +1,14 @@
 //! Clients' connections on the platform's front: who is taken in, who has to leave, what they ask and are answered.
 
-use super::{Connection, Daemon, Kind, Timer, LISTENER};
+use super::{Connection, Daemon, Kind, Timer};
 use crate::core::{Answer, Client};
 use crate::front::fastcgi::Input;
 use crate::limits::Standing;
-use crate::net::{Conn, Interest, Key, Progress};
+use crate::net::{Conn, FailureKind, Key, Progress};
 use crate::wire::WireError;
 use linnetknot::Micros;
 use linnetknot_ops::Drain;
 use std::io;
-use std::net::{TcpListener, TcpStream};
 
 impl Daemon {
     fn standing(c: &Connection) -> Option<Standing> {
@@ -95,14 +94,44 @@
         };
         let before = std::mem::replace(&mut c.held, held);
         self.held = self.held + held - before;
-        if self.held > self.limits.bodies && held > before {
-            log::debug!("a connection is ended: too much of requests that have not come whole");
-            self.close(now, key);
-        } else if self.grace_over {
+        if held > before {
+            self.free_half_requests(now);
+        }
+        if self.grace_over {
             self.end_soon(now, key);
         }
     }
 
+    /// Holds what is kept of requests that have not come whole to its bound. The clients that hold most of it make room:
+    /// one of them that is owed answers gets these, and a refusal of what is not whole; the others are ended.
+    fn free_half_requests(&mut self, now: Micros) {
+        while self.held > self.limits.bodies {
+            let keys = self.connections.keys().into_iter();
+            let held = |key: Key| Some((self.connections.get(key)?.held, key));
+            let Some((before, key)) = keys.filter_map(held).max().filter(|(held, _)| *held > 0)
+            else {
+                return;
+            };
+            let Some(c) = self.connections.get_mut(key) else {
+                return;
+            };
+            if let Kind::Client(session) = &mut c.kind {
+                if session.owes_answers() {
+                    session.refuse_half(Some(self.limits.back_off_us));
+                    c.held = session.held();
+                    self.held = self.held + c.held - before;
+                }
+            }
+            if c.held == before {
+                log::debug!("a connection is ended: too much of requests that have not come whole");
+                self.close(now, key);
+            } else {
+                self.write_client(key);
+                self.watch(now, key);
+            }
+        }
+    }
+
     /// Ends a client's connection that holds its place for nothing. Usual clients end theirs sooner, so none of
     /// their requests can cross this.
     pub(super) fn look_at_client(&mut self, now: Micros, key: Key) {
@@ -138,45 +167,32 @@
         );
     }
 
-    /// Takes one connection from a listener: none where none waits, an error where no descriptor is left.
-    pub(super) fn accept_one(listener: &TcpListener) -> io::Result<Option<TcpStream>> {
-        loop {
-            match listener.accept() {
-                Ok((socket, _)) => return Ok(Some(socket)),
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(None),
-                Err(e)
-                    if matches!(
-                        e.kind(),
-                        io::ErrorKind::Interrupted | io::ErrorKind::ConnectionAborted
-                    ) => {}
-                Err(e) => return Err(e),
-            }
-        }
-    }
-
     pub(super) fn accept(&mut self, now: Micros) {
         let mut made_room = false;
         while self.listener.is_some() {
             // With no room left, connections wait in the kernel's queue: others end, and these are taken then.
-            let mut leaver = match self.room_for_client(now) {
-                Ok(leaver) => leaver,
-                Err(e) => return self.pause_accepting(now, e),
+            let Ok(mut leaver) = self.room_for_client(now) else {
+                return self.pause_accepting(now);
             };
             let Some(listener) = &self.listener else {
                 return;
             };
-            let socket = match Self::accept_one(listener) {
+            let socket = match listener.accept() {
                 Ok(Some(socket)) => socket,
                 Ok(None) => break,
                 // No descriptor is left though the table has places: one who rests makes room there too. More than one
                 // would be ended for something else than descriptors.
-                Err(e) => match leaver.take().map_or_else(|| self.leaver(now), Ok) {
-                    Ok(key) if !std::mem::replace(&mut made_room, true) => {
-                        self.close(now, key);
-                        continue;
+                Err(failure) if failure.kind == FailureKind::NoDescriptors => {
+                    match leaver.take().map_or_else(|| self.leaver(now), Ok) {
+                        Ok(key) if !std::mem::replace(&mut made_room, true) => {
+                            self.close(now, key);
+                            continue;
+                        }
+                        _ => return self.pause_accepting(now),
                     }
-                    _ => return self.pause_accepting(now, e),
-                },
+                }
+                // Short of memory, say, which no single client that left would mend.
+                Err(_) => return self.pause_accepting(now),
             };
             made_room = false;
             let conn = Conn::new(
@@ -189,18 +205,17 @@
                 self.take_in(now, conn, Kind::Client(Default::default()), leaver);
             }
         }
-        if let Some(listener) = self.listener.as_ref().filter(|_| !self.accepting) {
-            self.accepting = self.poll.change(listener, LISTENER, Interest::READ).is_ok();
+        let resumed = self.listener.as_mut().is_none_or(|l| l.resume(&self.poll));
+        if !resumed {
+            self.accept_later(now);
         }
     }
 
     /// No place left: the listener would stay readable and the loop spin on it.
-    fn pause_accepting(&mut self, now: Micros, e: io::Error) {
-        log::debug!("accepting pauses: {e}");
-        if let Some(listener) = &self.listener {
-            let _ = self.poll.change(listener, LISTENER, Interest::NONE);
+    fn pause_accepting(&mut self, now: Micros) {
+        if let Some(listener) = &mut self.listener {
+            listener.pause(&self.poll);
         }
-        self.accepting = false;
         self.accept_later(now);
     }
 
@@ -225,6 +240,10 @@
             self.clients += 1;
             self.deadlines
                 .set(now + self.limits.client_half_us, Timer::Client(key));
+            if self.turn.waited_unread(now) > 0 {
+                // Its requests have been there since before the loop was kept: in the next turn they would seem new.
+                self.look(now, key);
+            }
         }
     }
 
@@ -238,7 +257,13 @@
                 return Ok(true);
             };
             match c.conn.read(false) {
-                Progress::Moved => session.read(&mut c.conn.input, &self.limits)?,
+                Progress::Moved => match session.read(&mut c.conn.input, &self.limits) {
+                    Err(e) if session.owes_answers() => {
+                        log::debug!("a connection is read no further: {e}");
+                        session.stop_reading();
+                    }
+                    read => read?,
+                },
                 Progress::Blocked => break,
                 Progress::Ended | Progress::Broken => return Ok(false),
             }
@@ -267,7 +292,10 @@
                         },
                     );
                 }
-                Input::Ask(stream, asked) => {
+                Input::Ask(stream, mut asked) => {
+                    // A client counts its time from when it sent the request.
+                    let unread = self.turn.waited_unread(now);
+                    asked.remaining_us = asked.remaining_us.saturating_sub(unread);
                     let client = Client {
                         connection: key,
                         stream: u32::from(stream),
@@ -307,6 +335,8 @@
         let Some(c) = self.connections.get_mut(client.connection) else {
             return;
         };
+        // It may rest from now on: its next request may be on its way, so that it must not make room at once.
+        c.since = now;
         match &mut c.kind {
             Kind::Client(session) => {
                 session.answer(client.stream as u16, &answer);
@@ -317,6 +347,14 @@
         }
     }
 
+    /// Ends a client's connection that writing has shown to be broken: its client has gone.
+    pub(super) fn close_if_broken(&mut self, now: Micros, key: Key) {
+        let client = |c: &Connection| c.kind.is_client() && c.conn.is_broken();
+        if self.connections.get(key).is_some_and(client) {
+            self.close(now, key);
+        }
+    }
+
     pub(super) fn write_client(&mut self, key: Key) {
         let Some(c) = self.connections.get_mut(key) else {
             return;
--- a/daemon/src/daemon/neighbours.rs
+++ b/daemon/src/daemon/neighbours.rs
@@ -1,10 +1,10 @@
 //! The second front's sockets: what neighbours and redirected clients ask, and what neighbours are sent.
 
 use super::exchange::{Effect, End, Exchange, Flow};
-use super::{Connection, Daemon, Kind, Timer, CDNI};
+use super::{Connection, Daemon, Kind, Timer};
 use crate::core::{Answer, Client};
 use crate::front::cdni::{self, Post, Reply, Session, Waiting, MEDIA};
-use crate::net::{Conn, Interest, Key, Progress};
+use crate::net::{Conn, Key, Progress};
 use crate::wire::http::{self, Messages, Piece};
 use crate::wire::{Parser, WireError};
 use linnetknot::Micros;
@@ -66,24 +66,21 @@
 impl Daemon {
     /// Where neighbours connect.
     pub fn cdni_address(&self) -> Option<std::net::SocketAddr> {
-        self.desk.as_ref()?.0.local_addr().ok()
+        self.desk.as_ref()?.0.address()
     }
 
     pub(super) fn accept_cdni(&mut self, now: Micros) {
         while self.desk.is_some() && !self.grace_over {
-            let room = self.room_for_client(now);
+            let Ok(leaver) = self.room_for_client(now) else {
+                return self.pause_cdni(now);
+            };
             let Some((listener, _)) = &self.desk else {
                 return;
             };
-            let taken = room.and_then(|leaver| Ok((listener.accept()?.0, leaver)));
-            let (socket, leaver) = match taken {
-                Ok(taken) => taken,
-                Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => break,
-                Err(e) => {
-                    log::debug!("accepting neighbours pauses: {e}");
-                    let _ = self.poll.change(listener, CDNI, Interest::NONE);
-                    return self.accept_later(now);
-                }
+            let socket = match listener.accept() {
+                Ok(Some(socket)) => socket,
+                Ok(None) => break,
+                Err(_) => return self.pause_cdni(now),
             };
             let session = Session::new(self.limits.line, self.limits.body);
             let conn = Conn::new(
@@ -96,9 +93,17 @@
                 self.take_in(now, conn, Kind::Cdni(Box::new(session)), leaver);
             }
         }
-        if let Some((listener, _)) = &self.desk {
-            let _ = self.poll.change(listener, CDNI, Interest::READ);
+        let resumed = self.desk.as_mut().is_none_or(|(l, _)| l.resume(&self.poll));
+        if !resumed {
+            self.accept_later(now);
+        }
+    }
+
+    fn pause_cdni(&mut self, now: Micros) {
+        if let Some((listener, _)) = &mut self.desk {
+            listener.pause(&self.poll);
         }
+        self.accept_later(now);
     }
 
     pub(super) fn read_cdni(&mut self, now: Micros, key: Key) -> Result<(), WireError> {
@@ -126,6 +131,17 @@
                 return Ok(());
             };
             let reply = desk.take(now, ready, &head, &body);
+            // What is not known may stand in the store.
+            let is_unknown = matches!(&reply, Reply::Now(response) if response.status == 404)
+                && head
+                    .request()
+                    .is_some_and(|(_, target)| cdni::is_trigger(target));
+            let reply = match reply {
+                Reply::Now(_) if is_unknown && self.pending_store.is_some() => {
+                    Reply::Now(desk.retract(None))
+                }
+                reply => reply,
+            };
             match reply {
                 Reply::Now(response) => session.respond(&response),
                 Reply::Promise(response, trigger, effects) => {
@@ -137,7 +153,9 @@
                     }
                     continue;
                 }
-                Reply::Ask(asked) => {
+                Reply::Ask(mut asked) => {
+                    let unread = self.turn.waited_unread(now);
+                    asked.remaining_us = asked.remaining_us.saturating_sub(unread);
                     session.until = now + asked.remaining_us;
                     let client = Client {
                         connection: key,
--- a/membership/src/swim/claims.rs
+++ b/membership/src/swim/claims.rs
@@ -4,7 +4,7 @@
 use crate::member::{Change, Claim, MemberState};
 use crate::suspicion::Suspicion;
 use crate::wire::{Sender, Update};
-use crate::{Micros, PeerIndex};
+use crate::{Micros, PeerIndex, ProcessId};
 
 impl Membership {
     /// Makes a claim about a member from this failure detector's own observation.
@@ -23,7 +23,7 @@
     /// Receives a claim, its own or another's.
     pub(super) fn receive_claim(&mut self, now: Micros, update: Update) {
         if update.id == self.own.id {
-            return self.refute(update.claim);
+            return self.refute(now, update.claim);
         }
         // Members come from the configuration, and their ids are known once something was received from them.
         let Some(peer) = self.index_of(update.id) else {
@@ -65,9 +65,9 @@
     }
 
     /// Receives a claim about this member itself, and refutes it if it is not true.
-    fn refute(&mut self, claim: Claim) {
+    fn refute(&mut self, now: Micros, claim: Claim) {
         if claim.process > self.own.process {
-            self.is_replaced = true;
+            self.receive_later_process(now, claim.process);
         } else if claim.process == self.own.process
             && claim.state != MemberState::Alive
             && claim.incarnation >= self.own.incarnation
@@ -79,6 +79,20 @@
         }
     }
 
+    /// Receives the report of a process with a greater id: this one's successor, or its predecessor if that is expected.
+    fn receive_later_process(&mut self, now: Micros, process: ProcessId) {
+        let is_predecessor = now < self.predecessor_until && !self.is_replaced;
+        match process.checked_add(1) {
+            Some(next) if is_predecessor => {
+                self.own.process = next;
+                self.own.incarnation = 0;
+                self.counters.refuted += 1;
+                self.announce_self();
+            }
+            _ => self.is_replaced = true,
+        }
+    }
+
     fn announce_self(&mut self) {
         let Sender {
             id,
--- a/membership/src/swim/mod.rs
+++ b/membership/src/swim/mod.rs
@@ -74,6 +74,8 @@
     random: Random,
     has_left: bool,
     is_replaced: bool,
+    /// Until then a later process of this member that peers know of is taken for an earlier one.
+    predecessor_until: Micros,
     outgoing: Vec<Outgoing>,
     changes: Vec<Change>,
     counters: Counters,
@@ -115,6 +117,7 @@
             random: Random::new(seed ^ id.rotate_left(17) ^ process),
             has_left: false,
             is_replaced: false,
+            predecessor_until: 0,
             outgoing: Vec::new(),
             changes: Vec::new(),
             counters: Counters::default(),
@@ -152,6 +155,18 @@
         1 + self.members.iter().filter(|m| m.is_up()).count()
     }
 
+    /// Declares that this process started without its disk, and can't know the id of the process before it. Until a time,
+    /// a greater process id that peers report is taken for that process, and this one takes the id after it: the wall
+    /// clock may have been set back between the two.
+    pub fn expect_predecessor(&mut self, until: Micros) {
+        self.predecessor_until = until;
+    }
+
+    /// Returns the id of this process.
+    pub fn process(&self) -> ProcessId {
+        self.own.process
+    }
+
     /// Returns whether a later process of this member has started.
     pub fn is_replaced(&self) -> bool {
         self.is_replaced
--- a/origin-health/src/lib.rs
+++ b/origin-health/src/lib.rs
@@ -135,8 +135,12 @@
     }
 
     fn receive_report(&mut self, now: Micros, from: SocketAddr, report: Report) {
-        let last = self.last.get(&from);
-        if last.is_some_and(|last| !report.is_newer_than(&last.report)) {
+        // A sender whose clock was set back starts at an earlier time than its process before.
+        let has_restarted = |last: &LastReport| {
+            last.report.start != report.start && now >= last.received_at + REPORT_LIFETIME_US
+        };
+        let is_news = |last: &LastReport| report.is_newer_than(&last.report) || has_restarted(last);
+        if self.last.get(&from).is_some_and(|last| !is_news(last)) {
             self.counters.stale += 1;
             return;
         }
--- a/origin-health/tests/reports.rs
+++ b/origin-health/tests/reports.rs
@@ -1,7 +1,7 @@
 //! Reports that are malformed, repeated, late or missing, and when a report is sent.
 
 use linnetknot_origin_health::{
-    DecodeError, OriginHealth, OriginShare, Report, ZonePosition, REPORT_BYTES,
+    DecodeError, OriginHealth, OriginShare, Report, ZonePosition, REPORT_BYTES, REPORT_LIFETIME_US,
 };
 use proptest::prelude::*;
 use std::net::SocketAddr;
@@ -198,3 +198,26 @@
         prop_assert_eq!(t.received + t.dropped(), count);
     }
 }
+
+/// A process that starts after its clock was set back reports an earlier start than the one before it.
+#[test]
+fn a_sender_whose_clock_went_back_is_accepted_once_its_last_report_has_expired() {
+    let mut health = origin_health();
+    let before = report(1_000, 0.5, 0);
+    let start = before.start - 1;
+    let after = Report {
+        start,
+        ..report(1, 0.2, 0)
+    };
+    health.receive(0, peer(1), &before.write());
+    health.receive(REPORT_LIFETIME_US - 1, peer(1), &after.write());
+    assert_eq!(health.counters().stale, 1, "it may have been overtaken");
+    health.receive(REPORT_LIFETIME_US, peer(1), &after.write());
+    assert_eq!(
+        (health.counters().stale, health.counters().received),
+        (1, 2)
+    );
+    assert!(health.origin_share(REPORT_LIFETIME_US).is_some());
+    health.receive(2 * REPORT_LIFETIME_US, peer(1), &after.write());
+    assert_eq!(health.counters().stale, 2, "the same report twice");
+}
--- a/replication/src/replica/mod.rs
+++ b/replication/src/replica/mod.rs
@@ -112,6 +112,11 @@
         }
     }
 
+    /// Sets another process id than was assumed at the start.
+    pub fn renumber(&mut self, process: u64) {
+        self.process = process;
+    }
+
     /// Returns its own log.
     pub fn own(&self) -> LogId {
         self.own
