--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -15,7 +15,7 @@
 use crate::wire::WireError;
 use linnetknot::{Micros, Outcome, ServerId};
 use linnetknot_discovery::{Damping, EndpointTable, ListValidator, Source as ListSource};
-use linnetknot_origin_health::{OriginHealth, ZonePlace};
+use linnetknot_origin_health::{OriginHealth, ZonePosition};
 use rustix::fd::OwnedFd;
 use rustix::pipe::{pipe_with, PipeFlags};
 use std::collections::{btree_map::Entry, BTreeMap};
@@ -370,8 +370,8 @@
         let ops_folder = config.ops_folder.clone();
         let (ops, operator_state) =
             operator_state::OperatorState::load(&ops_folder, config.seed, clock.now());
-        let place = ZonePlace::of(&config.settings);
-        let origin_health = config.tell.then(|| OriginHealth::new(place, clock.now()));
+        let zone = ZonePosition::of(&config.settings);
+        let origin_health = config.tell.then(|| OriginHealth::new(zone, clock.now()));
         let core =
             Core::new(config.settings.clone(), config.seed, &limits).map_err(|e| e.to_string())?;
         let (last_event, known) = std::mem::take(&mut config.known);
@@ -557,9 +557,9 @@
                 sent = t.sent,
                 suppressed = t.suppressed,
                 received = t.received,
-                old = t.old,
-                torn = t.torn,
-                version = t.version,
+                old = t.stale,
+                torn = t.malformed,
+                version = t.unknown_version,
                 too_long = t.too_long;
                 "reports of a late origin to and from peers"
             );
@@ -736,7 +736,7 @@
             let peers = self.config.copies.machines.len();
             self.membership
                 .iter_mut()
-                .for_each(|fleet| fleet.peers(peers));
+                .for_each(|fleet| fleet.reset_peers(peers));
             self.know_machines();
             if !self.promised.has_recovered() {
                 self.begin_recovery(now);
--- a/replication/tests/fleet.rs
+++ b/replication/tests/fleet.rs
@@ -2,7 +2,7 @@
 //! that are away, stand still or come back with an empty disk. All that was sent anywhere is everywhere in the end.
 
 use linnetknot_replication::*;
-use linnetknot_simnet::{self as simnet, Step};
+use linnetknot_simnet::{self as simnet, Delay, Step, Timed};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, VecDeque};
@@ -20,8 +20,8 @@
     disk: LogStore,
     /// On their way to it, and when they are there.
     writes: VecDeque<(Micros, Entry)>,
-    /// Commits that wait, and what was sent.
-    asked: Vec<(CommitId, Subject, Micros)>,
+    /// Pending commits, and what was sent.
+    pending: Vec<(CommitId, Subject, Micros)>,
     /// What came while it stood still.
     stalled: Option<Vec<(usize, Vec<u8>)>>,
 }
@@ -51,10 +51,16 @@
 }
 
 impl Net {
-    fn new(members: usize, seed: u64, weather: (u64, u64, Micros)) -> Net {
-        let (lost, doubled, late) = weather;
+    fn new(members: usize, seed: u64, conditions: (u64, u64, Micros)) -> Net {
+        let (lost, doubled, late) = conditions;
         let mut net = Net {
-            links: simnet::Network::new(seed, (MS, late)),
+            links: simnet::Network::new(
+                seed,
+                Delay {
+                    min_us: MS,
+                    jitter_us: late,
+                },
+            ),
             members: Vec::new(),
             bytes: 0,
             outgoing: BTreeMap::new(),
@@ -71,7 +77,7 @@
                 in_force: BTreeMap::new(),
                 disk: LogStore::default(),
                 writes: VecDeque::new(),
-                asked: Vec::new(),
+                pending: Vec::new(),
                 stalled: None,
             });
         }
@@ -93,7 +99,7 @@
             process,
             self.options,
         );
-        replica.peers(n as Machine, machines.collect());
+        replica.set_peers(n as Machine, machines.collect());
         m.replica = Some(replica);
     }
 
@@ -101,9 +107,9 @@
         let m = &mut self.members[n];
         (m.replica, m.stalled) = (None, None);
         m.in_force.clear();
-        // What was not on the disk is lost, and the log does not go on in an epoch of which others may know more.
+        // What was not on the disk is lost, and the log does not continue an epoch of which others may know more.
         m.writes.clear();
-        m.asked.clear();
+        m.pending.clear();
     }
 
     /// A new machine under the old name.
@@ -132,7 +138,7 @@
         let commit = replica
             .open_commit(now, entry.index)
             .expect("there is capacity");
-        self.members[n].asked.push((commit, subject.clone(), now));
+        self.members[n].pending.push((commit, subject.clone(), now));
         self.put(n, &entry);
         self.outgoing.insert(subject, now);
         for to in (0..self.members.len()).filter(|to| *to != n) {
@@ -188,11 +194,11 @@
             .unwrap_or_default()
         {
             let index = m
-                .asked
+                .pending
                 .iter()
                 .position(|(commit, ..)| *commit == outcome.commit)
-                .expect("it was asked");
-            let (_, subject, at) = m.asked.remove(index);
+                .expect("it is pending");
+            let (_, subject, at) = m.pending.remove(index);
             match outcome.result {
                 Ok(took) => {
                     assert!(took <= self.options.commit_timeout_us, "{took}");
@@ -207,11 +213,11 @@
     /// Commits given that nobody who runs holds at their time or later.
     fn lost(&self) -> Vec<&Subject> {
         let runs = || self.members.iter().filter(|m| m.replica.is_some());
-        let held =
+        let is_held =
             |subject: &Subject, at: &Micros| runs().any(|m| m.in_force.get(subject) >= Some(at));
         self.committed
             .iter()
-            .filter(|(subject, at)| !held(subject, at))
+            .filter(|(subject, at)| !is_held(subject, at))
             .map(|(subject, _)| subject)
             .collect()
     }
@@ -227,7 +233,7 @@
         let received = replica.receive(
             now,
             simnet::peer_index(from, to),
-            Datagram::read(&bytes).expect("whole"),
+            Datagram::read(&bytes).expect("it is well formed"),
         );
         received.new.iter().for_each(|e| self.put(to, e));
         for e in &received.out_of_order {
@@ -246,11 +252,15 @@
         loop {
             let due = |(n, m): (usize, &Member)| {
                 let replica = m.replica.as_ref().filter(|_| m.stalled.is_none())?;
-                let write = m.writes.front().map(|(at, _)| (*at, Due::Write(n)));
-                write
-                    .into_iter()
-                    .chain([(replica.due(), Due::Tick(n))])
-                    .min()
+                let write = m.writes.front().map(|(at, _)| Timed {
+                    at: *at,
+                    event: Due::Write(n),
+                });
+                let tick = Timed {
+                    at: replica.due(),
+                    event: Due::Tick(n),
+                };
+                write.into_iter().chain([tick]).min()
             };
             let due = self.members.iter().enumerate().filter_map(due).min();
             match self.links.step(end, due) {
@@ -281,14 +291,14 @@
 
     /// How many members that run do not hold every purge at its time or later.
     fn entries_after(&self) -> usize {
-        let holds = |m: &Member| {
+        let has_all = |m: &Member| {
             self.outgoing
                 .iter()
                 .all(|(subject, at)| m.in_force.get(subject) >= Some(at))
         };
         self.members
             .iter()
-            .filter(|m| m.replica.is_some() && !holds(m))
+            .filter(|m| m.replica.is_some() && !has_all(m))
             .count()
     }
 }
@@ -387,7 +397,7 @@
 #[test]
 fn a_member_that_the_writer_can_not_reach_hears_by_way_of_others() {
     let mut net = Net::new(4, 5, (0, 0, 5 * MS));
-    net.links.cut.insert((0, 3));
+    net.links.cut(0, 3);
     (0..10).for_each(|n| net.tell(0, object(n)));
     net.run(10 * MS);
     assert_eq!(net.entries_after(), 1, "no message goes from 0 to 3");
@@ -401,7 +411,8 @@
         let mut net = Net::new(5, seed, (10, 10, 50 * MS));
         for a in 0..2 {
             for b in 2..5 {
-                net.links.cut.extend([(a, b), (b, a)]);
+                net.links.cut(a, b);
+                net.links.cut(b, a);
             }
         }
         for n in 0..20 {
@@ -417,7 +428,7 @@
             net.start(n);
         }
         net.run(3 * S);
-        net.links.cut.clear();
+        net.links.restore();
         net.run(15 * S);
         assert_eq!(net.entries_after(), 0, "seed {seed}");
         assert!(
@@ -589,13 +600,13 @@
         for n in 0..60 {
             let (writer, other) = (net.links.draw(5) as usize, net.links.draw(5) as usize);
             match net.links.draw(6) {
-                0 => drop(net.links.cut.insert((writer, other))),
-                1 => net.links.cut.clear(),
+                0 => net.links.cut(writer, other),
+                1 => net.links.restore(),
                 _ => {}
             }
             net.tell(writer, object(n));
-            let moment = net.links.draw(80 * MS);
-            net.run(moment);
+            let pause = net.links.draw(80 * MS);
+            net.run(pause);
             if net.links.draw(3) == 0 {
                 let lost = if net.links.draw(2) == 0 {
                     writer
@@ -611,12 +622,12 @@
                 );
                 net.start(lost);
                 // The next machine is lost only once this one has all again.
-                net.links.cut.clear();
+                net.links.restore();
                 net.run(10 * S);
                 epochs += 1;
             }
         }
-        net.links.cut.clear();
+        net.links.restore();
         net.run(20 * S);
         let everywhere = |m: &Member| {
             net.committed
@@ -647,7 +658,8 @@
         let mut net = Net::new(3, seed, (0, 0, 5 * MS));
         net.options.min_acks = 0;
         (0..3).for_each(|n| net.start(n));
-        net.links.cut.extend([(0, 1), (0, 2)]);
+        net.links.cut(0, 1);
+        net.links.cut(0, 2);
         net.tell(0, object(seed));
         net.run(10 * MS);
         assert_eq!(net.committed.len(), 1, "given on this disk alone");
@@ -663,8 +675,9 @@
     let mut net = Net::new(3, 5, (0, 0, 5 * MS));
     net.disk_us = MS;
     net.run(S);
-    // One way: the entry arrives, and the message of it does not come back.
-    net.links.cut.extend([(1, 0), (2, 0)]);
+    // One way: the entry arrives, and its acknowledgement does not come back.
+    net.links.cut(1, 0);
+    net.links.cut(2, 0);
     net.tell(0, object(1));
     net.run(900 * MS);
     assert!(
@@ -680,7 +693,7 @@
         net.members[0].replica.as_ref().unwrap().under_replicated(),
         1
     );
-    net.links.cut.clear();
+    net.links.restore();
     net.run(2 * S);
     assert_eq!(
         net.members[0].replica.as_ref().unwrap().under_replicated(),
@@ -701,16 +714,19 @@
     };
     let mut replica = Replica::new(LogId::new(1, 7), LogStore::default(), 1, options);
     // Peers 0 and 1 stand on machine 20, peer 2 on this proxy's own, peer 3 on machine 30.
-    replica.peers(10, vec![20, 20, 10, 30]);
+    replica.set_peers(10, vec![20, 20, 10, 30]);
     let entry = replica.append(object(1), 5, false).unwrap();
     replica.open_commit(100, entry.index).unwrap();
     assert!(replica.synced(entry.log, entry.index).is_empty());
-    let held = || Datagram::Ack {
+    let ack = || Datagram::Ack {
         process: 5,
-        positions: vec![(LogId::new(1, 7), 1)],
+        positions: vec![LogPosition {
+            log: LogId::new(1, 7),
+            index: 1,
+        }],
     };
     for peer in [0, 1, 2] {
-        replica.receive(NOW, peer, held());
+        replica.receive(NOW, peer, ack());
         assert_eq!(replica.resolve_commits(200), [], "{peer}");
     }
     // What one has of another's log is no copy of this one's.
@@ -719,14 +735,17 @@
         3,
         Datagram::Ack {
             process: 5,
-            positions: vec![(LogId::new(2, 7), 9)],
+            positions: vec![LogPosition {
+                log: LogId::new(2, 7),
+                index: 9,
+            }],
         },
     );
     assert_eq!(
         (replica.resolve_commits(200), replica.under_replicated()),
         (vec![], 1)
     );
-    replica.receive(NOW, 3, held());
+    replica.receive(NOW, 3, ack());
     assert_eq!(
         replica.resolve_commits(300),
         [CommitOutcome {
@@ -741,7 +760,7 @@
 #[test]
 fn an_ack_that_waits_for_the_disk_outlives_news_of_the_peers_machines() {
     let mut replica = Replica::new(LogId::new(1, 7), LogStore::default(), 1, Options::default());
-    replica.peers(10, vec![20, 30]);
+    replica.set_peers(10, vec![20, 30]);
     let entry = Entry {
         log: LogId::new(2, 9),
         index: 1,
@@ -751,10 +770,13 @@
         revoked: false,
     };
     replica.receive(NOW, 1, Datagram::Entry(entry));
-    replica.peers(10, vec![20, 31]);
+    replica.set_peers(10, vec![20, 31]);
     let ack = Datagram::Ack {
         process: 1,
-        positions: vec![(LogId::new(2, 9), 1)],
+        positions: vec![LogPosition {
+            log: LogId::new(2, 9),
+            index: 1,
+        }],
     };
     assert_eq!(
         replica.synced(LogId::new(2, 9), 1),
@@ -773,7 +795,7 @@
         revoked: false,
     };
     replica.receive(NOW, 1, Datagram::Entry(entry));
-    replica.peers(10, vec![20]);
+    replica.set_peers(10, vec![20]);
     assert_eq!(replica.synced(LogId::new(2, 9), 2), []);
 }
 
@@ -781,7 +803,7 @@
 #[test]
 fn what_the_disk_did_not_take_is_refused_and_given_to_it_again() {
     let mut replica = Replica::new(LogId::new(1, 7), LogStore::default(), 1, Options::default());
-    replica.peers(10, vec![20]);
+    replica.set_peers(10, vec![20]);
     let all: Vec<Entry> = (1..=3)
         .map(|n| replica.append(object(n), n, false).unwrap())
         .collect();
@@ -793,7 +815,10 @@
         0,
         Datagram::Ack {
             process: 5,
-            positions: vec![(LogId::new(1, 7), 3)],
+            positions: vec![LogPosition {
+                log: LogId::new(1, 7),
+                index: 3,
+            }],
         },
     );
     replica.synced(LogId::new(1, 7), 1);
@@ -815,7 +840,7 @@
         (replica.durable_index(LogId::new(1, 7)), replica.is_synced()),
         (3, true)
     );
-    // A peer that asked meanwhile is sent once all before its index is there.
+    // A peer that asked meanwhile is acknowledged once all entries before its index are there.
     let theirs = |index| Entry {
         log: LogId::new(2, 9),
         index,
@@ -836,7 +861,10 @@
             peer: 0,
             datagram: Datagram::Ack {
                 process: 1,
-                positions: vec![(LogId::new(2, 9), 2)]
+                positions: vec![LogPosition {
+                    log: LogId::new(2, 9),
+                    index: 2
+                }]
             }
         }]
     );
@@ -845,13 +873,16 @@
         again.replies,
         [Datagram::Ack {
             process: 1,
-            positions: vec![(LogId::new(2, 9), 2)]
+            positions: vec![LogPosition {
+                log: LogId::new(2, 9),
+                index: 2
+            }]
         }],
-        "whoever asks again is outgoing again"
+        "whoever asks again is acknowledged again"
     );
 }
 
-/// A message that was overtaken, or of a process that is gone, takes nothing back and adds nothing.
+/// An acknowledgement that was overtaken, or of an earlier process, takes nothing back and adds nothing.
 #[test]
 fn a_late_word_of_what_a_peer_has_is_known_for_what_it_is() {
     let mut replica = Replica::new(
@@ -863,29 +894,32 @@
             ..Options::default()
         },
     );
-    replica.peers(10, vec![20]);
+    replica.set_peers(10, vec![20]);
     (1..=3).for_each(|n| drop(replica.append(object(n), n, false).unwrap()));
-    let held = |process, index| Datagram::Ack {
+    let ack = |process, index| Datagram::Ack {
         process,
-        positions: vec![(LogId::new(1, 7), index)],
+        positions: vec![LogPosition {
+            log: LogId::new(1, 7),
+            index,
+        }],
     };
     let mut short_after = |message| {
         replica.receive(NOW, 0, message);
         replica.under_replicated()
     };
-    assert_eq!(short_after(held(5, 3)), 0);
-    assert_eq!(short_after(held(5, 1)), 0, "overtaken");
+    assert_eq!(short_after(ack(5, 3)), 0);
+    assert_eq!(short_after(ack(5, 1)), 0, "overtaken");
     assert_eq!(
-        short_after(held(6, 1)),
+        short_after(ack(6, 1)),
         2,
         "its next process has lost some of it"
     );
     assert_eq!(
-        short_after(held(5, 3)),
+        short_after(ack(5, 3)),
         2,
         "and the one before has nothing to say any more"
     );
-    assert_eq!(short_after(held(6, 3)), 0);
+    assert_eq!(short_after(ack(6, 3)), 0);
 }
 
 #[test]
@@ -899,7 +933,7 @@
             ..Options::default()
         },
     );
-    replica.peers(10, vec![20]);
+    replica.set_peers(10, vec![20]);
     for n in 1..=2 {
         let entry = replica.append(object(n), n, false).unwrap();
         assert_eq!(replica.open_commit(n, entry.index), Ok(n));
@@ -949,8 +983,8 @@
         positions in proptest::collection::vec(any::<(u64, u64, u64)>(), 0..5),
         sum: u64,
     ) {
-        let position = |(writer, epoch, index)| (LogId::new(writer, epoch), index);
-        let positions: Vec<(LogId, Index)> = positions.into_iter().map(position).collect();
+        let position = |(writer, epoch, index)| LogPosition { log: LogId::new(writer, epoch), index };
+        let positions: Vec<LogPosition> = positions.into_iter().map(position).collect();
         let text = format!("{{\"a b\": \"{at}%\"}}");
         let status = Subject::Status { number: group, part: (sum % 70_000) as u16, text };
         let gone = Subject::Gone { writer: sum, number: group };
@@ -958,12 +992,16 @@
         let subjects = [Subject::Group(group), ban, Subject::Drain, object(group), status, gone];
         let revoked = matches!(group % 6, 1 | 2) && group % 12 > 5;
         let subject = subjects[(group % 6) as usize].clone();
-        let gaps = positions.iter().map(|(_, index)| (*index / 2, *index / 2 + 1)).collect();
+        let gap = |position: &LogPosition| {
+            let after = position.index / 2;
+            Gap { after, through: after + 1 }
+        };
+        let gaps = positions.iter().map(gap).collect();
         let gap_request = Datagram::GapRequest { log: LogId::new(writer, epoch), gaps };
         let entry = Entry { log: LogId::new(writer, epoch), index, prev: index - 1, subject, at, revoked };
         let datagrams = [
             Datagram::Entry(entry),
-            Datagram::Digest { positions: positions.clone(), all: 9, sum },
+            Datagram::Digest { positions: positions.clone(), log_count: 9, checksum: sum },
             Datagram::Ack { process: at, positions: positions.clone() },
             Datagram::DigestRequest,
             gap_request,
