--- a/replication/src/entry.rs
+++ b/replication/src/entry.rs
@@ -8,7 +8,7 @@
 pub type Writer = u64;
 /// An epoch of a writer's log: the time of its beginning.
 pub type Epoch = u64;
-/// Place in a log, from 1.
+/// An index in a log, from 1.
 pub type Index = u64;
 
 /// A log: what one writer appends within one epoch.
@@ -26,7 +26,7 @@
         LogId { writer, epoch }
     }
 
-    /// The least log that is greater than this one; none: it is the greatest.
+    /// Returns the least log that is greater than this one; `None` if this is the greatest.
     pub(crate) fn successor(self) -> Option<Self> {
         match self.epoch.checked_add(1) {
             Some(epoch) => Some(LogId { epoch, ..self }),
@@ -38,7 +38,7 @@
     }
 }
 
-/// What an entry is about: what was purged, what the operators of its writer decided, or a trigger's status.
+/// The subject of an entry: what was purged, what the operators of its writer decided, or a trigger's status.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Subject {
     /// An object.
@@ -49,31 +49,31 @@
     Ban(String),
     /// An operator's drain of the proxy.
     Drain,
-    /// One of the pieces, from 0, into which the status of a trigger is cut (`pieces`). It never changes.
+    /// One of the pieces into which the status of a trigger is cut ([`crate::pieces`]). It never changes.
     Status {
-        /// The trigger's number, its writer's alone.
+        /// The trigger's number, which is unique for its writer.
         number: u64,
-        /// Which piece.
+        /// The number of the piece, from 0.
         part: u16,
-        /// Its text.
+        /// The text of the piece.
         text: String,
     },
-    /// A neighbour has done with the status of a trigger, which another proxy may have written.
+    /// A peer CDN has deleted a trigger, whose status another proxy may have written.
     Gone {
-        /// Whose trigger it was.
+        /// The writer of the trigger's status.
         writer: Writer,
-        /// Its number there.
+        /// The trigger's number.
         number: u64,
     },
 }
 
 impl Subject {
-    /// Whether an entry of this is of use for a time only, and gone after it.
+    /// Returns whether entries on this subject expire.
     pub fn is_expiring(&self) -> bool {
         matches!(self, Subject::Status { .. } | Subject::Gone { .. })
     }
 
-    /// The key of what is purged in a compact table; none where this is no purge.
+    /// Returns the key of the purge in a compact table; `None` if this is no purge.
     pub fn purge_key(&self) -> Option<KeyHash> {
         match self {
             Subject::Object(object) => Some(KeyHash::of_object(object)),
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Whether an entry of this is a purge.
+    /// Returns whether entries on this subject are purges.
     pub fn is_purge(&self) -> bool {
         matches!(self, Subject::Object(_) | Subject::Group(_))
     }
@@ -97,13 +97,13 @@
     pub log: LogId,
     /// Its index there.
     pub index: Index,
-    /// The greatest index before it that a replica must have to take the entry next, or 0: that of the entry before it
-    /// that is still in force, or that through which its sender has compacted the log. All between were superseded.
+    /// The index before it that a replica must have to take the entry next, or 0: that of the last entry before it that is
+    /// in force, or that through which its sender has compacted the log. All entries between were superseded.
     pub prev: Index,
-    /// What it is about.
+    /// Its subject.
     pub subject: Subject,
-    /// When.
+    /// When it was purged, decided or reported.
     pub at: Micros,
-    /// What the operators decided is over; a purge never is.
+    /// Whether an operators' decision is revoked; a purge never is.
     pub revoked: bool,
 }
--- a/replication/src/log_store/mod.rs
+++ b/replication/src/log_store/mod.rs
@@ -82,13 +82,13 @@
     pub(crate) live: BTreeMap<EntryKey, Record>,
     /// The index of the last entry in force of each log on each subject.
     latest: BTreeMap<SubjectKey, Index>,
-    /// Those of them that are of use for a time only.
+    /// The number of entries that expire.
     expiring: usize,
-    /// When those of them that another process wrote were first seen by this one, by its own clock.
+    /// When the entries that expire and that another process wrote were first seen by this one, by its own clock.
     first_seen: BTreeMap<EntryKey, Micros>,
-    /// All older purges.
+    /// The compacted purges.
     pub(crate) table: CompactTable,
-    sum: u64,
+    checksum: u64,
 }
 
 impl Default for LogStore {
@@ -117,7 +117,7 @@
             expiring: 0,
             first_seen: BTreeMap::new(),
             table: CompactTable::new(bucket_bits),
-            sum: 0,
+            checksum: 0,
         }
     }
 
@@ -304,9 +304,11 @@
             return;
         }
         if progress.through > 0 {
-            self.sum = self.sum.wrapping_sub(checksum_part(log, progress.through));
+            self.checksum = self
+                .checksum
+                .wrapping_sub(checksum_part(log, progress.through));
         }
-        self.sum = self.sum.wrapping_add(checksum_part(log, through));
+        self.checksum = self.checksum.wrapping_add(checksum_part(log, through));
         progress.through = through;
     }
 
--- a/replication/src/log_store/queries.rs
+++ b/replication/src/log_store/queries.rs
@@ -50,7 +50,7 @@
 
     /// Returns a checksum over all logs and their last indexes: equal log stores have equal ones, and others hardly ever.
     pub fn checksum(&self) -> u64 {
-        self.sum
+        self.checksum
     }
 
     /// Returns the entries in force of a log after an index, in order.
--- a/replication/src/log_store/statuses.rs
+++ b/replication/src/log_store/statuses.rs
@@ -1,15 +1,15 @@
-//! The statuses of triggers that a log store has: told of, listed, and let go once their time is over.
+//! The statuses of triggers in a log store, and their expiry.
 
 use super::{EntryKey, LogStore, Record, SubjectKey};
 use crate::{Entry, Epoch, Index, Micros, Subject, Writer};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How far two wall clocks, or one before and after a restart, may be apart: each may be an hour off, either way.
+/// How far two wall clocks, or one before and after a restart, may be apart: each may be off by an hour in either direction.
 const MAX_CLOCK_SKEW_US: Micros = 2 * 60 * 60 * 1_000_000;
 
 impl LogStore {
-    /// Takes all entries that are of use for a time only as first seen now: a process that begins can't tell by the
-    /// wall clock how long ago its forerunner, or a peer, wrote them.
+    /// Restarts the expiry of all entries that expire. To be called when a process starts, which can't tell by its wall
+    /// clock how long ago its predecessor, or a peer, wrote them.
     pub fn restart_expiry(&mut self, now: Micros) {
         let expiring = self
             .live
@@ -18,7 +18,7 @@
         self.first_seen = expiring.map(|(key, _)| (*key, now)).collect();
     }
 
-    /// An entry that another process wrote has come: from now on it is kept as long as one that is written now.
+    /// Starts the expiry of an entry that another process wrote: it is stored as long as one that is written now.
     pub(crate) fn begin_expiry(&mut self, now: Micros, entry: &Entry) {
         let key = EntryKey {
             log: entry.log,
@@ -29,14 +29,15 @@
         }
     }
 
-    /// Lets go what is of use for a time only once `keep` has gone by since it was seen first. The last entry of a log
-    /// stays, whatever it is: it is what others learn from how far the log goes.
+    /// Removes the entries that have expired, and returns them. The last entry of a log stays in any case, as others learn
+    /// from it how far the log goes.
     ///
-    /// What another process wrote is counted from when it came here, as its time is that of another clock; by its time
-    /// it goes only where that is over whatever the two clocks say. So a status outlives each step of a clock, and is
-    /// not kept for ever by a proxy that starts again and again.
+    /// An entry expires when `keep` has passed since it was first seen. For an entry of another process that is when it
+    /// arrived here, as its time is that of another clock; by its own time it expires only once that is past whatever the
+    /// two clocks say. So a status outlives any step of a clock, and yet does not stay for ever in a proxy that restarts
+    /// again and again.
     ///
-    /// That a status is gone is kept twice as long, as long as any proxy may have the status still.
+    /// The deletion of a trigger is stored twice as long, for as long as any proxy may still have the status.
     pub fn expire(&mut self, now: Micros, keep: Micros) -> Vec<Entry> {
         let first = SubjectKey::first(Subject::Status {
             number: 0,
@@ -63,8 +64,8 @@
             .collect()
     }
 
-    /// The status of a trigger, if all of its pieces are had and no neighbour has done with it. Whether they are all is for
-    /// the text to tell, of which no part is whole.
+    /// Returns the status of a trigger as far as its pieces are stored without a gap; `None` if there is none, or the
+    /// trigger was deleted. Whether the text is complete must follow from the text itself.
     pub fn status(&self, writer: Writer, number: u64) -> Option<String> {
         if self.latest(&Subject::Gone { writer, number }).is_some() {
             return None;
@@ -83,7 +84,7 @@
                     text,
                 } if *n == number => {
                     let pieces = epochs.entry(key.log.epoch).or_default();
-                    // Ordered by part; what comes behind a missing one is not told.
+                    // Ordered by part: those after a missing one are left out.
                     if key.log.writer == writer && pieces.len() == usize::from(*part) {
                         pieces.push(text);
                     }
@@ -95,7 +96,7 @@
         texts.find(|text| !text.is_empty())
     }
 
-    /// The greatest number of a writer's triggers that is had or is known to be gone; none: nothing is told of any.
+    /// Returns the greatest number of a writer's triggers that is stored or known to be deleted.
     pub fn last_trigger(&self, writer: Writer) -> Option<u64> {
         let first = SubjectKey::first(Subject::Status {
             number: 0,
@@ -113,7 +114,7 @@
             .max()
     }
 
-    /// The triggers of which a status, or a part of one, is had.
+    /// Returns the triggers of which at least a part of a status is stored.
     pub fn triggers(&self) -> BTreeSet<(Writer, u64)> {
         let first = SubjectKey::first(Subject::Status {
             number: 0,
@@ -128,14 +129,14 @@
     }
 }
 
-/// Whether the time of something is over that is of use for `keep` only.
+/// Returns whether a record has expired that is stored for `keep`.
 fn is_over(record: &Record, first_seen: Option<Micros>, now: Micros, keep: Micros) -> bool {
     let keep = if matches!(record.subject, Subject::Gone { .. }) {
         2 * keep
     } else {
         keep
     };
-    // What has no such time was written by this process, by the clock that `now` is of.
+    // A record that was not first seen was written by this process, by the clock of `now`.
     let since = first_seen.unwrap_or(record.at);
     since.saturating_add(keep) <= now || record.at.saturating_add(keep + MAX_CLOCK_SKEW_US) <= now
 }
--- a/replication/src/replica/exchange.rs
+++ b/replication/src/replica/exchange.rs
@@ -35,14 +35,14 @@
 impl Replica {
     /// Receives a datagram from a peer.
     pub fn receive(&mut self, now: Micros, from: usize, datagram: Datagram) -> Received {
-        let received = self.take_in(now, from, datagram);
+        let received = self.receive_datagram(now, from, datagram);
         for entry in &received.new {
             self.log_store.begin_expiry(now, entry);
         }
         received
     }
 
-    fn take_in(&mut self, now: Micros, from: usize, datagram: Datagram) -> Received {
+    fn receive_datagram(&mut self, now: Micros, from: usize, datagram: Datagram) -> Received {
         match datagram {
             Datagram::Entry(entry) => self.take(from, entry),
             Datagram::RangeRequest { positions } => self.compare(from, &positions).received,
--- a/replication/src/status.rs
+++ b/replication/src/status.rs
@@ -1,10 +1,9 @@
-//! The status of a trigger as text that is cut into pieces, each of which fits into a datagram with all that an entry
-//! says besides.
+//! The status of a trigger as text, cut into pieces that each fit into a datagram with the rest of an entry.
 
-/// Bytes of a piece as it stands in a datagram. The head of an entry takes 98 at most, the kind, number and part 29.
-const PIECE: usize = 112;
+/// The most bytes of an escaped piece. The head of an entry takes 98 at most, its kind, number and part 29.
+const MAX_PIECE_BYTES: usize = 112;
 
-/// How a character stands in a datagram, whose words are parted by blanks.
+/// Returns the escape sequence of a character that can't be in a word of a datagram; `None` if it can.
 fn escaped(c: char) -> Option<String> {
     (c <= ' ' || c == '%' || c == '\u{7f}').then(|| format!("%{:02x}", u32::from(c)))
 }
@@ -32,21 +31,21 @@
         rest = &behind[2..];
     }
     out.push_str(rest);
-    // One text has one word, so that what was read is never too long to be passed on.
+    // Each text has exactly one escaped form, so that a text that was received is never too long to be passed on.
     Some(out).filter(|text| escape(text) == word)
 }
 
-/// Cuts a text into pieces that each fit into a datagram; none where there would be more than can be numbered.
+/// Cuts a text into numbered pieces that each fit into a datagram; `None` if there would be more than can be numbered.
 pub fn pieces(text: &str) -> Option<Vec<(u16, String)>> {
     let mut pieces = vec![String::new()];
-    let mut long = 0;
+    let mut piece_bytes = 0;
     for c in text.chars() {
         let bytes = escaped(c).map_or(c.len_utf8(), |word| word.len());
-        if long + bytes > PIECE {
+        if piece_bytes + bytes > MAX_PIECE_BYTES {
             pieces.push(String::new());
-            long = 0;
+            piece_bytes = 0;
         }
-        long += bytes;
+        piece_bytes += bytes;
         if let Some(last) = pieces.last_mut() {
             last.push(c);
         }
