--- a/replication/tests/fleet.rs
+++ b/replication/tests/fleet.rs
@@ -303,6 +303,14 @@
     }
 }
 
+/// The acknowledgement of a log by a process.
+fn ack_of(process: u64, log: LogId, index: Index) -> Datagram {
+    Datagram::Ack {
+        process,
+        positions: vec![LogPosition { log, index }],
+    }
+}
+
 fn object(n: u64) -> Subject {
     Subject::Object(format!("{n:016x}"))
 }
@@ -487,16 +495,33 @@
     }
 }
 
+/// Options of a replica that stores two entries, and four that can't be moved.
+fn two_entries() -> Options {
+    Options {
+        max_exact_entries: 2,
+        max_logs: 2,
+        ..Options::default()
+    }
+}
+
+/// The first entry of another writer's log.
+fn first_of_another_log() -> Datagram {
+    Datagram::Entry(Entry {
+        log: LogId::new(2, 7),
+        index: 1,
+        prev: 0,
+        subject: Subject::Group(9),
+        at: 1,
+        revoked: false,
+    })
+}
+
 /// Memory is bounded by moving what the disk has to the table. What the disk does not take can't be moved: twice the
 /// bound of it is held, more is refused and said, and nothing that is held is let go.
 #[test]
 fn what_the_disk_does_not_take_is_bounded_and_told_and_nothing_held_is_let_go() {
-    let few = Options {
-        max_exact_entries: 2,
-        max_logs: 2,
-        ..Options::default()
-    };
-    let mut replica = Replica::new(LogId::new(1, 7), LogStore::default(), 1, few);
+    const OWN: LogId = LogId::new(1, 7);
+    let mut replica = Replica::new(OWN, LogStore::default(), 1, two_entries());
     for n in 1..=4 {
         replica.append(object(n), 4 + n, false).unwrap();
         assert_eq!(replica.compact(100), None, "nothing is on the disk");
@@ -509,20 +534,12 @@
     );
     assert_eq!(
         (
-            replica.log_store().last_index(LogId::new(1, 7)),
+            replica.log_store().last_index(OWN),
             replica.log_store().len()
         ),
         (4, 4)
     );
-    let entry = |log, index| Entry {
-        log,
-        index,
-        prev: index - 1,
-        subject: Subject::Group(9),
-        at: 1,
-        revoked: false,
-    };
-    let received = replica.receive(NOW, 0, Datagram::Entry(entry(LogId::new(2, 7), 1)));
+    let received = replica.receive(NOW, 0, first_of_another_log());
     assert_eq!(
         (
             received.rejected.len(),
@@ -533,7 +550,7 @@
     );
     assert_eq!(replica.log_store().entries().count(), 4);
     // The disk is back.
-    (1..=4).for_each(|index| drop(replica.synced(LogId::new(1, 7), index)));
+    (1..=4).for_each(|index| drop(replica.synced(OWN, index)));
     let now = 100 + S;
     let moved = replica.compact(now).expect("all but the last can be moved");
     assert_eq!(
@@ -543,11 +560,11 @@
     assert_eq!(
         moved.logs,
         [CompactedLog {
-            log: LogId::new(1, 7),
+            log: OWN,
             through: 3
         }]
     );
-    let again = replica.receive(NOW, 0, Datagram::Entry(entry(LogId::new(2, 7), 1)));
+    let again = replica.receive(NOW, 0, first_of_another_log());
     assert_eq!(
         (again.rejected.len(), again.new.len()),
         (0, 1),
@@ -718,29 +735,13 @@
     let entry = replica.append(object(1), 5, false).unwrap();
     replica.open_commit(100, entry.index).unwrap();
     assert!(replica.synced(entry.log, entry.index).is_empty());
-    let ack = || Datagram::Ack {
-        process: 5,
-        positions: vec![LogPosition {
-            log: LogId::new(1, 7),
-            index: 1,
-        }],
-    };
+    let ack = || ack_of(5, LogId::new(1, 7), 1);
     for peer in [0, 1, 2] {
         replica.receive(NOW, peer, ack());
         assert_eq!(replica.resolve_commits(200), [], "{peer}");
     }
     // What one has of another's log is no copy of this one's.
-    replica.receive(
-        NOW,
-        3,
-        Datagram::Ack {
-            process: 5,
-            positions: vec![LogPosition {
-                log: LogId::new(2, 7),
-                index: 9,
-            }],
-        },
-    );
+    replica.receive(NOW, 3, ack_of(5, LogId::new(2, 7), 9));
     assert_eq!(
         (replica.resolve_commits(200), replica.under_replicated()),
         (vec![], 1)
@@ -771,13 +772,7 @@
     };
     replica.receive(NOW, 1, Datagram::Entry(entry));
     replica.set_peers(10, vec![20, 31]);
-    let ack = Datagram::Ack {
-        process: 1,
-        positions: vec![LogPosition {
-            log: LogId::new(2, 9),
-            index: 1,
-        }],
-    };
+    let ack = ack_of(1, LogId::new(2, 9), 1);
     assert_eq!(
         replica.synced(LogId::new(2, 9), 1),
         [Outgoing {
@@ -810,17 +805,7 @@
     for e in &all {
         replica.open_commit(100, e.index).unwrap();
     }
-    replica.receive(
-        NOW,
-        0,
-        Datagram::Ack {
-            process: 5,
-            positions: vec![LogPosition {
-                log: LogId::new(1, 7),
-                index: 3,
-            }],
-        },
-    );
+    replica.receive(NOW, 0, ack_of(5, LogId::new(1, 7), 3));
     replica.synced(LogId::new(1, 7), 1);
     replica.sync_failed(LogId::new(1, 7), 2);
     replica.synced(LogId::new(1, 7), 3);
@@ -859,25 +844,13 @@
         replica.synced(LogId::new(2, 9), 1),
         [Outgoing {
             peer: 0,
-            datagram: Datagram::Ack {
-                process: 1,
-                positions: vec![LogPosition {
-                    log: LogId::new(2, 9),
-                    index: 2
-                }]
-            }
+            datagram: ack_of(1, LogId::new(2, 9), 2)
         }]
     );
     let again = replica.receive(NOW, 0, Datagram::Entry(theirs(1)));
     assert_eq!(
         again.replies,
-        [Datagram::Ack {
-            process: 1,
-            positions: vec![LogPosition {
-                log: LogId::new(2, 9),
-                index: 2
-            }]
-        }],
+        [ack_of(1, LogId::new(2, 9), 2)],
         "whoever asks again is acknowledged again"
     );
 }
