--- a/daemon/src/daemon/feeds/consul/kept.rs
+++ b/daemon/src/daemon/feeds/consul/cached_snapshot.rs
@@ -5,7 +5,7 @@
 use crate::disk::{remove_leftovers, Disk, Job};
 use crate::net::Due;
 use linnetknot::Micros;
-use linnetknot_discovery::{kept, Entry, SourceId};
+use linnetknot_discovery::{cached_snapshot, Entry, SourceId};
 use linnetknot_store::is_lasting;
 use std::path::{Path, PathBuf};
 use std::{fs, io};
@@ -68,13 +68,14 @@
     now: Micros,
     most_bytes: usize,
     most_age: Micros,
-) -> Result<kept::Kept, String> {
+) -> Result<cached_snapshot::CachedSnapshot, String> {
     let whole = |e: io::Error| e.to_string();
     if fs::metadata(&list.path).map_err(whole)?.len() > most_bytes as u64 {
-        return Err(kept::KeptError::TooLong.to_string());
+        return Err(cached_snapshot::SnapshotError::TooLong.to_string());
     }
     let bytes = fs::read(&list.path).map_err(whole)?;
-    kept::read(&bytes, &list.scope, now, most_bytes, most_age).map_err(|e| e.to_string())
+    cached_snapshot::decode(&bytes, &list.scope, now, most_bytes, most_age)
+        .map_err(|e| e.to_string())
 }
 
 impl Daemon {
@@ -153,7 +154,7 @@
             .reported_by(SourceId(CONSUL.0 + n))
             .cloned()
             .collect();
-        let bytes = kept::write(&list.scope, list.good_at, entries.iter());
+        let bytes = cached_snapshot::encode(&list.scope, list.good_at, entries.iter());
         if keeper.disk.give(Job {
             path: list.path.clone(),
             bytes,
--- a/daemon/src/daemon/feeds/consul/mod.rs
+++ b/daemon/src/daemon/feeds/consul/mod.rs
@@ -1,15 +1,15 @@
 //! Consul in the daemon: the watches of its data centres, the proxy's own registration, and the list that is kept for
 //! the next start.
 
+mod cached_snapshot;
 mod call;
-mod kept;
 
 use crate::daemon::members::CONSUL;
 use crate::daemon::Daemon;
 use crate::interconnect::Consul;
 use crate::net::{Due, Key};
+pub(in crate::daemon) use cached_snapshot::Keeper;
 use call::{Call, Outcome};
-pub(in crate::daemon) use kept::Keeper;
 use linnetknot::Micros;
 use linnetknot_consul::{
     Registration, RegistrationEvent, Response, Token, TransportError, Watch, WatchEvent,
--- a/discovery/src/kept.rs
+++ b/discovery/src/cached_snapshot.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-const MARK: &str = "linnetknot-list";
+const MAGIC: &str = "linnetknot-list";
 /// Version of the format that is written.
 pub const FORMAT: u32 = 1;
 /// Longest first line, in bytes.
@@ -20,7 +20,7 @@
 
 /// A cached list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Kept {
+pub struct CachedSnapshot {
     /// When it was last confirmed, as Unix time in microseconds.
     pub at: Micros,
     /// Its entries.
@@ -29,7 +29,7 @@
 
 /// Why a cached list is not used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum KeptError {
+pub enum SnapshotError {
     /// The file is no cached list.
     #[error("it is no cached snapshot")]
     Foreign,
@@ -37,12 +37,12 @@
     #[error("its format is {0}, and this program reads up to {FORMAT}")]
     Format(u32),
     /// It is truncated, or longer than its head states.
-    #[error("it is torn: {there} bytes of {told}")]
+    #[error("it is torn: {actual} bytes of {stored}")]
     Torn {
         /// Length that its head states, in bytes.
-        told: usize,
+        stored: usize,
         /// Its length, in bytes.
-        there: usize,
+        actual: usize,
     },
     /// Its checksum does not match.
     #[error("its checksum does not match")]
@@ -51,12 +51,12 @@
     #[error("it can't be read: {0}")]
     Unreadable(String),
     /// It is the list of another scope.
-    #[error("it is the list of '{told}', not of '{wanted}'")]
+    #[error("it is the list of '{stored}', not of '{expected}'")]
     Scope {
         /// The scope that it states.
-        told: String,
+        stored: String,
         /// The scope of this proxy.
-        wanted: String,
+        expected: String,
     },
     /// Its time is this far in the future, in microseconds.
     #[error("it is from the future, by {} s", .0 / 1_000_000)]
@@ -73,11 +73,12 @@
 struct Body {
     scope: String,
     at_us: Micros,
-    boxes: Vec<KeptBox>,
+    #[serde(rename = "boxes")]
+    entries: Vec<SnapshotEntry>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct KeptBox {
+struct SnapshotEntry {
     uid: String,
     endpoint: SocketAddr,
     zone: String,
@@ -89,8 +90,8 @@
 }
 
 /// Encodes a list. `scope` identifies what it is the list of, so that one deployment's is never used by another.
-pub fn write<'a>(scope: &str, at: Micros, entries: impl Iterator<Item = &'a Entry>) -> Vec<u8> {
-    let kept = |e: &Entry| KeptBox {
+pub fn encode<'a>(scope: &str, at: Micros, entries: impl Iterator<Item = &'a Entry>) -> Vec<u8> {
+    let entry = |e: &Entry| SnapshotEntry {
         uid: e.uid.clone(),
         endpoint: e.endpoint,
         zone: e.server.zone.clone(),
@@ -103,12 +104,12 @@
     let body = Body {
         scope: scope.to_owned(),
         at_us: at,
-        boxes: entries.map(kept).collect(),
+        entries: entries.map(entry).collect(),
     };
     // It consists of strings and numbers only, which can always be encoded.
     let body = serde_json::to_vec(&body).unwrap_or_default();
     let mut out = format!(
-        "{MARK} {FORMAT} {:08x} {}\n",
+        "{MAGIC} {FORMAT} {:08x} {}\n",
         crc32fast::hash(&body),
         body.len()
     )
@@ -118,96 +119,96 @@
 }
 
 /// Decodes a list of at most `max_bytes` that was confirmed at most `max_age` ago.
-pub fn read(
+pub fn decode(
     bytes: &[u8],
     scope: &str,
     now: Micros,
     max_bytes: usize,
     max_age: Micros,
-) -> Result<Kept, KeptError> {
+) -> Result<CachedSnapshot, SnapshotError> {
     if bytes.len() > max_bytes {
-        return Err(KeptError::TooLong);
+        return Err(SnapshotError::TooLong);
     }
     let body = verified_body(bytes)?;
     let body: Body =
-        serde_json::from_slice(body).map_err(|e| KeptError::Unreadable(e.to_string()))?;
+        serde_json::from_slice(body).map_err(|e| SnapshotError::Unreadable(e.to_string()))?;
     if body.scope != scope {
-        return Err(KeptError::Scope {
-            told: body.scope,
-            wanted: scope.to_owned(),
+        return Err(SnapshotError::Scope {
+            stored: body.scope,
+            expected: scope.to_owned(),
         });
     }
     if body.at_us > now + FUTURE_US {
-        return Err(KeptError::Future(body.at_us - now));
+        return Err(SnapshotError::Future(body.at_us - now));
     }
     let age = now.saturating_sub(body.at_us);
     if age > max_age {
-        return Err(KeptError::Old(age));
+        return Err(SnapshotError::Old(age));
     }
-    Ok(Kept {
+    Ok(CachedSnapshot {
         at: body.at_us,
-        entries: body.boxes.into_iter().map(Entry::from).collect(),
+        entries: body.entries.into_iter().map(Entry::from).collect(),
     })
 }
 
 /// The body, if the head's format is known and its length and checksum match.
-fn verified_body(bytes: &[u8]) -> Result<&[u8], KeptError> {
+fn verified_body(bytes: &[u8]) -> Result<&[u8], SnapshotError> {
     let end = bytes
         .iter()
         .take(MAX_HEAD)
         .position(|b| *b == b'\n')
-        .ok_or(KeptError::Foreign)?;
-    let head = std::str::from_utf8(&bytes[..end]).map_err(|_| KeptError::Foreign)?;
+        .ok_or(SnapshotError::Foreign)?;
+    let head = std::str::from_utf8(&bytes[..end]).map_err(|_| SnapshotError::Foreign)?;
     let body = &bytes[end + 1..];
     let mut fields = head.split(' ');
-    if fields.next() != Some(MARK) {
-        return Err(KeptError::Foreign);
+    if fields.next() != Some(MAGIC) {
+        return Err(SnapshotError::Foreign);
     }
     let format = fields
         .next()
         .and_then(|w| w.parse().ok())
-        .ok_or(KeptError::Foreign)?;
+        .ok_or(SnapshotError::Foreign)?;
     if format != FORMAT {
-        return Err(KeptError::Format(format));
+        return Err(SnapshotError::Format(format));
     }
     let checksum = fields
         .next()
         .and_then(|w| u32::from_str_radix(w, 16).ok())
-        .ok_or(KeptError::Foreign)?;
+        .ok_or(SnapshotError::Foreign)?;
     let length: usize = fields
         .next()
         .and_then(|w| w.parse().ok())
-        .ok_or(KeptError::Foreign)?;
+        .ok_or(SnapshotError::Foreign)?;
     if length != body.len() {
-        return Err(KeptError::Torn {
-            told: length,
-            there: body.len(),
+        return Err(SnapshotError::Torn {
+            stored: length,
+            actual: body.len(),
         });
     }
     if crc32fast::hash(body) != checksum {
-        return Err(KeptError::Damaged);
+        return Err(SnapshotError::Damaged);
     }
     Ok(body)
 }
 
-impl From<KeptBox> for Entry {
-    fn from(kept: KeptBox) -> Self {
+impl From<SnapshotEntry> for Entry {
+    fn from(entry: SnapshotEntry) -> Self {
         Entry {
             server: Server {
-                id: server_id(&kept.uid),
-                zone: kept.zone,
-                cell: kept.cell,
-                kind: kept.kind,
-                weight: kept.weight,
-                state: if kept.draining {
+                id: server_id(&entry.uid),
+                zone: entry.zone,
+                cell: entry.cell,
+                kind: entry.kind,
+                weight: entry.weight,
+                state: if entry.draining {
                     State::Draining
                 } else {
                     State::Ready
                 },
-                started: kept.started_us,
+                started: entry.started_us,
             },
-            uid: kept.uid,
-            endpoint: kept.endpoint,
+            uid: entry.uid,
+            endpoint: entry.endpoint,
         }
     }
 }
--- a/discovery/src/lib.rs
+++ b/discovery/src/lib.rs
@@ -12,10 +12,10 @@
 //! - Damping alone suppresses at most a stated share of the caches of a zone and kind, and none for ever.
 //! - The events of a relayed source that is the only one are published exactly as they came.
 
+pub mod cached_snapshot;
 mod damping;
 mod endpoint_table;
 mod evidence;
-pub mod kept;
 mod validation;
 
 pub use damping::{Damping, DampingError, Penalty};
--- a/discovery/tests/endpoint_table.rs
+++ b/discovery/tests/endpoint_table.rs
@@ -341,11 +341,11 @@
 #[test]
 fn a_list_that_is_kept_comes_back_whole_or_not_at_all() {
     let list = [entry("a", 1, State::Ready), entry("b", 2, State::Draining)];
-    let bytes = kept::write("pop-cache", 100 * S, list.iter());
-    let read = |bytes: &[u8], scope, now| kept::read(bytes, scope, now, 4096, 60 * S);
+    let bytes = cached_snapshot::encode("pop-cache", 100 * S, list.iter());
+    let read = |bytes: &[u8], scope, now| cached_snapshot::decode(bytes, scope, now, 4096, 60 * S);
     assert_eq!(
         read(&bytes, "pop-cache", 130 * S).unwrap(),
-        kept::Kept {
+        cached_snapshot::CachedSnapshot {
             at: 100 * S,
             entries: list.to_vec()
         }
@@ -356,21 +356,22 @@
             "cut at {cut}"
         );
     }
-    for place in 0..bytes.len() {
+    for position in 0..bytes.len() {
         let mut bad = bytes.clone();
-        bad[place] ^= 1;
+        bad[position] ^= 1;
         assert!(
             read(&bad, "pop-cache", 130 * S).is_err(),
-            "a flipped bit at {place}"
+            "a flipped bit at {position}"
         );
     }
-    use kept::KeptError::*;
+    use cached_snapshot::SnapshotError::*;
     assert_eq!(read(&bytes, "pop-cache", 161 * S), Err(Old(61 * S)));
     // An hour's step back of the clock, twice, loses no list; what is further from the future is refused.
-    let stepped =
-        |seconds: u64| kept::write("pop-cache", (7_300 + seconds) * S, std::iter::empty());
+    let stepped = |seconds: u64| {
+        cached_snapshot::encode("pop-cache", (7_300 + seconds) * S, std::iter::empty())
+    };
     let read_stepped =
-        |seconds: u64| read(&stepped(seconds), "pop-cache", 100 * S).map(|kept| kept.at);
+        |seconds: u64| read(&stepped(seconds), "pop-cache", 100 * S).map(|snapshot| snapshot.at);
     assert_eq!(read_stepped(0), Ok(7_300 * S));
     assert_eq!(read_stepped(10), Err(Future(7_210 * S)));
     assert!(matches!(read(&bytes, "other", 130 * S), Err(Scope { .. })));
@@ -380,7 +381,7 @@
         .replacen("list 1 ", "list 2 ", 1);
     assert_eq!(read(later.as_bytes(), "pop-cache", 130 * S), Err(Format(2)));
     assert_eq!(
-        kept::read(&bytes, "pop-cache", 130 * S, 20, S),
+        cached_snapshot::decode(&bytes, "pop-cache", 130 * S, 20, S),
         Err(TooLong)
     );
 }
@@ -390,12 +391,12 @@
 fn the_stored_form_of_a_cached_list_is_as_it_was() {
     let list = [entry("a", 1, State::Ready), entry("b", 2, State::Draining)];
     let stored = include_bytes!("cached_list_format_1.list");
-    let written = kept::write("pop-cache", 100 * S, list.iter());
+    let written = cached_snapshot::encode("pop-cache", 100 * S, list.iter());
     assert_eq!(
         String::from_utf8_lossy(&written),
         String::from_utf8_lossy(stored)
     );
-    let read = kept::read(stored, "pop-cache", 130 * S, 4096, 60 * S).unwrap();
+    let read = cached_snapshot::decode(stored, "pop-cache", 130 * S, 4096, 60 * S).unwrap();
     assert_eq!(read.entries, list);
 }
 
