--- a/daemon/src/daemon/boxes.rs
+++ b/daemon/src/daemon/boxes.rs
@@ -2,9 +2,10 @@
 
 use super::{Connection, Daemon, Kind, NoCall, Timer};
 use crate::core::{AttemptId, TRACE};
-use crate::net::{Conn, Key};
+use crate::net::{Conn, Failure, FailureKind, Key};
 use crate::upstream::{Link, Told};
 use linnetknot::{Micros, Outcome, ServerId};
+use std::collections::btree_map::Entry;
 
 impl Daemon {
     pub(super) fn tell(&mut self, now: Micros, server: ServerId, told: Vec<Told>) {
@@ -238,6 +239,33 @@
         self.watch(now, key);
     }
 
+    /// A connection to a box has ended, and with it all that was open on it.
+    pub(super) fn link_ended(&mut self, now: Micros, key: Key, conn: &Conn, mut link: Link) {
+        let server = link.server;
+        log::debug!(target: TRACE, "box" = self.core.uid(server), up = conn.up; "a connection has ended");
+        if let Entry::Occupied(mut links) = self.links.entry(server) {
+            links.get_mut().retain(|k| *k != key);
+            if links.get().is_empty() {
+                links.remove();
+            }
+        }
+        let mut told = Vec::new();
+        let failure = conn.connect_failure();
+        if failure.is_some_and(Failure::is_local) {
+            // Nothing was heard of its box: what waited for it goes on waiting.
+            for attempt in link.take_queued() {
+                self.send_later(now, attempt);
+            }
+        }
+        let unsent = match failure.map(|failure| failure.kind) {
+            _ if conn.up => Outcome::Moot,
+            Some(FailureKind::Refused) => Outcome::ConnectFailed,
+            _ => Outcome::Unreached,
+        };
+        link.broken(unsent, conn.written, &mut told);
+        self.tell(now, server, told);
+    }
+
     pub(super) fn give_up(&mut self, now: Micros, attempt: AttemptId, server: ServerId) {
         for key in self.links.get(&server).cloned().unwrap_or_default() {
             let Some((_, link)) = self.link(key) else {
