--- a/daemon/src/daemon/clients.rs
+++ b/daemon/src/daemon/clients.rs
@@ -134,7 +134,7 @@
 
     /// Ends a client's connection that holds its place for nothing. Usual clients end theirs sooner, so none of
     /// their requests can cross this.
-    pub(super) fn look_at_client(&mut self, now: Micros, key: Key) {
+    pub(super) fn check_client(&mut self, now: Micros, key: Key) {
         let Some(c) = self.connections.get_mut(key) else {
             return;
         };
--- a/daemon/src/daemon/connection_table.rs
+++ b/daemon/src/daemon/connection_table.rs
@@ -15,7 +15,7 @@
 /// What a connection is for.
 pub(super) enum Kind {
     Client(Session),
-    Box(Link),
+    CacheServer(Link),
     Cdni(Box<cdni::Session>),
     /// A client's that this side has ended, with all answered: what still comes is thrown away.
     Lingering,
@@ -34,15 +34,15 @@
 
 /// Why a connection was not begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum NoCall {
+pub(super) enum ConnectError {
     /// The other side refused it: nobody listens there.
     Refused,
     /// Others that were begun before have not come up, or this one can't.
-    Late,
+    Unreachable,
     /// No place in the table is left here, which says nothing of the other side.
-    NoRoom,
+    NoCapacity,
     /// No descriptor, port, route or memory is left here for now, which says nothing of the other side.
-    Local,
+    LocalResources,
 }
 
 /// A connection and what the daemon knows of it.
@@ -84,17 +84,22 @@
     }
 
     /// Begins a connection. An error tells whether the other side refused it, or none could be begun from here.
-    pub(super) fn call(&mut self, now: Micros, to: SocketAddr, kind: Kind) -> Result<Key, NoCall> {
+    pub(super) fn connect_to(
+        &mut self,
+        now: Micros,
+        to: SocketAddr,
+        kind: Kind,
+    ) -> Result<Key, ConnectError> {
         let socket = connect(to).map_err(|failure| {
             log::debug!("no connection to {to}: {failure}");
             match failure.kind {
-                FailureKind::Refused => NoCall::Refused,
-                FailureKind::Broken => NoCall::Late,
-                FailureKind::ProgramFault => NoCall::NoRoom,
+                FailureKind::Refused => ConnectError::Refused,
+                FailureKind::Broken => ConnectError::Unreachable,
+                FailureKind::ProgramFault => ConnectError::NoCapacity,
                 FailureKind::RetryNow
                 | FailureKind::WouldBlock
                 | FailureKind::RetryLater
-                | FailureKind::NoDescriptors => NoCall::Local,
+                | FailureKind::NoDescriptors => ConnectError::LocalResources,
             }
         })?;
         let conn = Conn::new(
@@ -104,8 +109,8 @@
             self.limits.output_ring,
         );
         let key = self
-            .open(now, conn.map_err(|_| NoCall::NoRoom)?, kind)
-            .ok_or(NoCall::NoRoom)?;
+            .open(now, conn.map_err(|_| ConnectError::NoCapacity)?, kind)
+            .ok_or(ConnectError::NoCapacity)?;
         self.deadlines
             .set(now + self.limits.connect_us, Timer::Connect(key));
         Ok(key)
@@ -183,11 +188,11 @@
                 self.read_admin(now, key, ended);
                 Ok(())
             }
-            Kind::Box(link) => {
+            Kind::CacheServer(link) => {
                 let mut told = Vec::new();
                 let result = link.read(now, &mut c.conn, &self.core, &mut told);
                 let server = link.server;
-                self.tell(now, server, told);
+                self.apply_events(now, server, told);
                 result
             }
         }
@@ -208,7 +213,7 @@
                     _ => true,
                 })
             }
-            Kind::Box(_) => self.pump(now, key),
+            Kind::CacheServer(_) => self.pump(now, key),
             Kind::Cdni(_) => self.write_cdni(key),
             Kind::Exchange(_) => c.conn.write() != Progress::Broken,
             Kind::Lingering => true,
@@ -236,7 +241,7 @@
                     .into_iter()
                     .for_each(|ticket| self.core.leave(now, ticket));
             }
-            Kind::Box(link) => self.link_ended(now, key, &c.conn, link),
+            Kind::CacheServer(link) => self.cache_connection_closed(now, key, &c.conn, link),
             Kind::Cdni(session) => {
                 self.clients -= 1;
                 if let Some(Waiting::Core(ticket)) = session.waiting {
--- a/daemon/src/daemon/event_loop.rs
+++ b/daemon/src/daemon/event_loop.rs
@@ -25,8 +25,8 @@
     Core(Wake),
     /// A connection begun from here must be up.
     Connect(Key),
-    /// A link is looked at again: barred ids, stalled writing.
-    Link(Key),
+    /// A connection to a cache server is checked: barred ids, stalled writing.
+    CacheConnection(Key),
     /// Something else is to be done.
     Task(Effect),
     /// A connection's next request, which waited for the answer to the one before.
@@ -123,9 +123,9 @@
     fn timer(&mut self, now: Micros, timer: Timer) {
         match timer {
             Timer::Core(wake) => self.core.wake(now, wake),
-            Timer::Connect(key) => self.look_at_dial(now, key),
-            Timer::Link(key) => self.look_at_link(now, key),
-            Timer::Client(key) => self.look_at_client(now, key),
+            Timer::Connect(key) => self.check_connecting(now, key),
+            Timer::CacheConnection(key) => self.check_cache_connection(now, key),
+            Timer::Client(key) => self.check_client(now, key),
             Timer::End(key) => drop(self.half_close(now, key)),
             Timer::Task(task) => task(self, now),
             Timer::Serve(key) => self.serve_again(now, key),
--- a/daemon/src/daemon/exchange.rs
+++ b/daemon/src/daemon/exchange.rs
@@ -52,7 +52,7 @@
         exchange: Box<dyn Exchange>,
         timeout_us: Option<Micros>,
     ) -> Option<Key> {
-        let key = self.call(now, to, Kind::Exchange(exchange)).ok()?;
+        let key = self.connect_to(now, to, Kind::Exchange(exchange)).ok()?;
         if let Some(us) = timeout_us {
             self.later(now + us, move |daemon, now| {
                 daemon.end(now, key, End::TimedOut);
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -25,7 +25,6 @@
 use std::net::{SocketAddr, UdpSocket};
 
 mod admin;
-mod boxes;
 mod budgets;
 mod clients;
 mod connection_table;
@@ -49,11 +48,12 @@
 mod startup;
 mod store_opening;
 mod turn;
+mod upstream_connections;
 
 pub use signals::Control;
 pub use startup::StartError;
 
-use connection_table::{Connection, Kind, NoCall};
+use connection_table::{ConnectError, Connection, Kind};
 use event_loop::Timer;
 use feeds::{bus, consul};
 use members::Said;
@@ -79,7 +79,7 @@
     source: Source,
     connections: Slots<Connection>,
     clients: usize,
-    links: BTreeMap<ServerId, Vec<Key>>,
+    cache_connections: BTreeMap<ServerId, Vec<Key>>,
     deadlines: Deadlines<Timer>,
     bus: bus::State,
     /// What is believed of the boxes, and when it is due to be looked at again.
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -216,7 +216,7 @@
             hup: parts.sockets.hup,
             connections: Slots::new(config.limits.connections),
             clients: 0,
-            links: BTreeMap::new(),
+            cache_connections: BTreeMap::new(),
             deadlines: Deadlines::default(),
             bus: bus::State::new(config.seed, &config.limits),
             members: Discovery::new(
--- a/daemon/src/daemon/boxes.rs
+++ b/daemon/src/daemon/upstream_connections.rs
@@ -1,6 +1,6 @@
-//! Links to boxes: which connection an attempt takes, and what becomes of it.
+//! Connections to cache servers: which one an attempt takes, and what becomes of it.
 
-use super::{Connection, Daemon, Kind, NoCall, Timer};
+use super::{ConnectError, Connection, Daemon, Kind, Timer};
 use crate::core::{AttemptId, TRACE};
 use crate::net::{Conn, Failure, FailureKind, Key};
 use crate::upstream::{Link, Told};
@@ -8,13 +8,13 @@
 use std::collections::btree_map::Entry;
 
 impl Daemon {
-    pub(super) fn tell(&mut self, now: Micros, server: ServerId, told: Vec<Told>) {
+    pub(super) fn apply_events(&mut self, now: Micros, server: ServerId, told: Vec<Told>) {
         for t in told {
             match t {
                 Told::Begun(attempt) => self.core.begun(attempt),
                 // A box that answers on another connection is there: only this one did not come up.
                 Told::Ended(attempt, ended)
-                    if ended.outcome == Outcome::Unreached && self.hears(now, server) =>
+                    if ended.outcome == Outcome::Unreached && self.is_heard_from(now, server) =>
                 {
                     self.core.ended(now, attempt, Outcome::Moot.into());
                 }
@@ -28,22 +28,22 @@
     }
 
     /// Whether a connection to a box is up on which it has spoken a moment ago.
-    fn hears(&self, now: Micros, server: ServerId) -> bool {
+    fn is_heard_from(&self, now: Micros, server: ServerId) -> bool {
         let fresh = |(conn, link): (&Conn, &Link)| {
             conn.up && link.last_heard() + self.limits.suspect_us > now
         };
-        self.links
+        self.cache_connections
             .get(&server)
             .into_iter()
             .flatten()
-            .any(|key| self.peek(*key).is_some_and(fresh))
+            .any(|key| self.cache_connection(*key).is_some_and(fresh))
     }
 
-    pub(super) fn link(&mut self, key: Key) -> Option<(&mut Conn, &mut Link)> {
+    pub(super) fn cache_connection_mut(&mut self, key: Key) -> Option<(&mut Conn, &mut Link)> {
         match self.connections.get_mut(key)? {
             Connection {
                 conn,
-                kind: Kind::Box(link),
+                kind: Kind::CacheServer(link),
                 ..
             } => Some((conn, link)),
             _ => None,
@@ -51,11 +51,11 @@
     }
 
     /// A connection to a box, to look at.
-    fn peek(&self, key: Key) -> Option<(&Conn, &Link)> {
+    fn cache_connection(&self, key: Key) -> Option<(&Conn, &Link)> {
         match self.connections.get(key)? {
             Connection {
                 conn,
-                kind: Kind::Box(link),
+                kind: Kind::CacheServer(link),
                 ..
             } => Some((conn, link)),
             _ => None,
@@ -67,10 +67,13 @@
             return;
         };
         let (id, server) = (asked.id.as_str(), sending.server);
-        let links = self.links.get(&server).map_or(&[][..], Vec::as_slice);
+        let links = self
+            .cache_connections
+            .get(&server)
+            .map_or(&[][..], Vec::as_slice);
         let endpoint = self.core.location(server).map(|(_, endpoint)| endpoint);
         let leads = |key: &Key| {
-            self.peek(*key)
+            self.cache_connection(*key)
                 .filter(|(_, link)| link.endpoint == endpoint)
         };
         let room = |key: &Key| {
@@ -93,13 +96,13 @@
             .min();
         // One answer that can't be read ends all that is open on its connection: the more of them, the less is
         // lost at once. The next one is begun ahead, so that no attempt waits for it.
-        let up = |key: &Key| self.peek(*key).is_some_and(|(conn, _)| conn.up);
+        let up = |key: &Key| self.cache_connection(*key).is_some_and(|(conn, _)| conn.up);
         let shared = best.is_some_and(|((.., live), _)| live >= self.limits.box_shared);
         let ahead = shared && links.len() < self.limits.box_connections && links.iter().all(up);
         // A connection that may lead nowhere gives its place up to the one that takes over from it: places at a box are
         // scarce where many proxies hold some, and what is kept in vain by all bars all.
         let vain = |key: &&Key| {
-            self.peek(**key).is_some_and(|(conn, link)| {
+            self.cache_connection(**key).is_some_and(|(conn, link)| {
                 conn.up && link.is_idle() && (link.is_suspect() || link.is_stale(now, &self.limits))
             })
         };
@@ -117,24 +120,24 @@
         }
         let key = match best {
             Some((_, key)) => Ok(key),
-            None if fresh => self.dial(now, server),
+            None if fresh => self.connect_cache(now, server),
             // All that lead there are taken, which says nothing of the box, or none comes up.
-            None if late == 0 => Err(NoCall::NoRoom),
-            None => Err(NoCall::Late),
+            None if late == 0 => Err(ConnectError::NoCapacity),
+            None => Err(ConnectError::Unreachable),
         };
         if ahead && self.connections.room() > self.limits.spare_connections {
-            let _ = self.dial(now, server);
+            let _ = self.connect_cache(now, server);
         }
         match key {
             Ok(key) => {
-                let Some((conn, link)) = self.link(key) else {
+                let Some((conn, link)) = self.cache_connection_mut(key) else {
                     return;
                 };
                 link.send(now, attempt);
                 let up = conn.up;
                 if !up {
                     self.deadlines
-                        .set(now + self.limits.connect_us, Timer::Link(key));
+                        .set(now + self.limits.connect_us, Timer::CacheConnection(key));
                 }
                 if !self.pump(now, key) {
                     self.close(now, key);
@@ -142,32 +145,49 @@
                 self.watch(now, key);
             }
             // Nothing was written: it never ran.
-            Err(NoCall::Refused) => self.core.ended(now, attempt, Outcome::ConnectFailed.into()),
-            Err(NoCall::Late) => self.tell(
+            Err(ConnectError::Refused) => {
+                self.core.ended(now, attempt, Outcome::ConnectFailed.into());
+            }
+            Err(ConnectError::Unreachable) => self.apply_events(
                 now,
                 server,
                 vec![Told::Ended(attempt, Outcome::Unreached.into())],
             ),
-            Err(NoCall::NoRoom) => self.core.ended(now, attempt, Outcome::Moot.into()),
-            Err(NoCall::Local) => self.send_later(now, attempt),
+            Err(ConnectError::NoCapacity) => self.core.ended(now, attempt, Outcome::Moot.into()),
+            Err(ConnectError::LocalResources) => self.send_later(now, attempt),
         }
     }
 
     /// Begins a connection to a box. The last places of the table are kept for others than boxes: were they taken too,
     /// the list of boxes could not be asked for any more. Connections that rest make room.
-    fn dial(&mut self, now: Micros, server: ServerId) -> Result<Key, NoCall> {
-        let (_, endpoint) = self.core.location(server).ok_or(NoCall::NoRoom)?;
+    fn connect_cache(&mut self, now: Micros, server: ServerId) -> Result<Key, ConnectError> {
+        let (_, endpoint) = self.core.location(server).ok_or(ConnectError::NoCapacity)?;
         if self.connections.room() <= self.limits.spare_connections {
-            let rests = |key: &&Key| self.peek(**key).is_some_and(|(_, link)| link.is_idle());
-            let used = |key: &Key| (self.peek(*key).map(|(_, link)| link.last_used()), *key);
-            let longest = self.links.values().flatten().filter(rests).map(used).min();
-            let (_, longest) = longest.ok_or(NoCall::NoRoom)?;
+            let rests = |key: &&Key| {
+                self.cache_connection(**key)
+                    .is_some_and(|(_, link)| link.is_idle())
+            };
+            let used = |key: &Key| {
+                (
+                    self.cache_connection(*key)
+                        .map(|(_, link)| link.last_used()),
+                    *key,
+                )
+            };
+            let longest = self
+                .cache_connections
+                .values()
+                .flatten()
+                .filter(rests)
+                .map(used)
+                .min();
+            let (_, longest) = longest.ok_or(ConnectError::NoCapacity)?;
             self.close(now, longest);
         }
         let mut link = Link::new(server, &self.limits, now);
         link.endpoint = Some(endpoint);
-        let key = self.call(now, endpoint, Kind::Box(link))?;
-        let links = self.links.entry(server).or_default();
+        let key = self.connect_to(now, endpoint, Kind::CacheServer(link))?;
+        let links = self.cache_connections.entry(server).or_default();
         links.push(key);
         log::debug!(target: TRACE, "box" = self.core.uid(server), number = links.len(); "a connection is begun");
         Ok(key)
@@ -176,12 +196,12 @@
     /// A connection is not up in time. What waits for one to a box goes on elsewhere; the connection itself is let be
     /// for longer, as it may come up yet: given up each time, a box that is slow to accept would get one after another
     /// and never be reached.
-    pub(super) fn look_at_dial(&mut self, now: Micros, key: Key) {
+    pub(super) fn check_connecting(&mut self, now: Micros, key: Key) {
         let Some(c) = self.connections.get(key).filter(|c| !c.conn.up) else {
             return;
         };
         match &c.kind {
-            Kind::Box(link) if link.given_up_at(&self.limits) > now => {
+            Kind::CacheServer(link) if link.given_up_at(&self.limits) > now => {
                 let at = link.given_up_at(&self.limits);
                 self.deadlines.set(at, Timer::Connect(key));
             }
@@ -193,7 +213,7 @@
     pub(super) fn pump(&mut self, now: Micros, key: Key) -> bool {
         let Some(Connection {
             conn,
-            kind: Kind::Box(link),
+            kind: Kind::CacheServer(link),
             ..
         }) = self.connections.get_mut(key)
         else {
@@ -208,11 +228,11 @@
             forgets,
         ];
         for at in due.into_iter().flatten() {
-            self.deadlines.set(at, Timer::Link(key));
+            self.deadlines.set(at, Timer::CacheConnection(key));
         }
         if conn.is_stuck() {
             self.deadlines
-                .set(now + self.limits.stalled_us, Timer::Link(key));
+                .set(now + self.limits.stalled_us, Timer::CacheConnection(key));
         }
         // What drains or is gone gets nothing new: once all that it owed has come, its connections are of no use,
         // and where a machine has vanished nobody else would end them.
@@ -221,13 +241,13 @@
             .location(server)
             .is_some_and(|(_, at)| link.endpoint != Some(at));
         let done = link.is_idle() && (moved || !self.core.takes_work(server));
-        self.tell(now, server, told);
+        self.apply_events(now, server, told);
         sound && !done
     }
 
-    pub(super) fn look_at_link(&mut self, now: Micros, key: Key) {
+    pub(super) fn check_cache_connection(&mut self, now: Micros, key: Key) {
         if let Some(Connection {
-            kind: Kind::Box(link),
+            kind: Kind::CacheServer(link),
             ..
         }) = self.connections.get_mut(key)
         {
@@ -240,10 +260,16 @@
     }
 
     /// A connection to a box has ended, and with it all that was open on it.
-    pub(super) fn link_ended(&mut self, now: Micros, key: Key, conn: &Conn, mut link: Link) {
+    pub(super) fn cache_connection_closed(
+        &mut self,
+        now: Micros,
+        key: Key,
+        conn: &Conn,
+        mut link: Link,
+    ) {
         let server = link.server;
         log::debug!(target: TRACE, "box" = self.core.uid(server), up = conn.up; "a connection has ended");
-        if let Entry::Occupied(mut links) = self.links.entry(server) {
+        if let Entry::Occupied(mut links) = self.cache_connections.entry(server) {
             links.get_mut().retain(|k| *k != key);
             if links.get().is_empty() {
                 links.remove();
@@ -263,12 +289,17 @@
             _ => Outcome::Unreached,
         };
         link.broken(unsent, conn.written, &mut told);
-        self.tell(now, server, told);
+        self.apply_events(now, server, told);
     }
 
     pub(super) fn give_up(&mut self, now: Micros, attempt: AttemptId, server: ServerId) {
-        for key in self.links.get(&server).cloned().unwrap_or_default() {
-            let Some((_, link)) = self.link(key) else {
+        for key in self
+            .cache_connections
+            .get(&server)
+            .cloned()
+            .unwrap_or_default()
+        {
+            let Some((_, link)) = self.cache_connection_mut(key) else {
                 continue;
             };
             link.give_up(now, attempt);
@@ -280,9 +311,15 @@
     }
 
     pub(super) fn withdraw(&mut self, now: Micros, server: ServerId) {
-        for key in self.links.values().flatten().copied().collect::<Vec<_>>() {
+        for key in self
+            .cache_connections
+            .values()
+            .flatten()
+            .copied()
+            .collect::<Vec<_>>()
+        {
             let Some(Connection {
-                kind: Kind::Box(link),
+                kind: Kind::CacheServer(link),
                 ..
             }) = self.connections.get_mut(key)
             else {
@@ -291,7 +328,7 @@
             let (to, mut told) = (link.server, Vec::new());
             link.withdraw(server, &self.core, &mut told);
             let over = to == server && link.is_idle();
-            self.tell(now, to, told);
+            self.apply_events(now, to, told);
             if over {
                 // Its address may be given to another box.
                 self.close(now, key);
@@ -301,13 +338,18 @@
 
     pub(super) fn probe(&mut self, now: Micros, server: ServerId) {
         let endpoint = self.core.location(server).map(|(_, endpoint)| endpoint);
-        let mut links = self.links.get(&server).into_iter().flatten().copied();
+        let mut links = self
+            .cache_connections
+            .get(&server)
+            .into_iter()
+            .flatten()
+            .copied();
         let key = links.find(|key| {
-            self.peek(*key)
+            self.cache_connection(*key)
                 .is_some_and(|(_, link)| link.endpoint == endpoint)
         });
         let asked = key
-            .and_then(|key| self.link(key))
+            .and_then(|key| self.cache_connection_mut(key))
             .is_some_and(|(conn, link)| link.probe(now, conn));
         match key.filter(|_| asked) {
             Some(key) => {
