--- a/daemon/src/daemon/event_loop.rs
+++ b/daemon/src/daemon/event_loop.rs
@@ -2,6 +2,7 @@
 
 use super::connection_table::Kind;
 use super::exchange::Effect;
+use super::turn::MAX_WAIT_US;
 use super::Daemon;
 use crate::core::{Command, Wake};
 use crate::net::{spells, Key, Ready};
@@ -17,9 +18,6 @@
 pub(super) const ADMIN: u64 = u64::MAX - 5;
 pub(super) const STORE: u64 = u64::MAX - 6;
 
-/// The longest wait of the loop where no deadline is near.
-const IDLE_US: Micros = 1_000_000;
-
 /// What has a deadline.
 pub(super) enum Timer {
     Core(Wake),
@@ -54,8 +52,8 @@
             let wait = self
                 .deadlines
                 .next()
-                .map_or(IDLE_US, |at| at.saturating_sub(now))
-                .min(IDLE_US);
+                .map_or(MAX_WAIT_US, |at| at.saturating_sub(now))
+                .min(MAX_WAIT_US);
             self.poll.wait(wait, &mut ready)?;
             self.turn
                 .wait_ended(now, wait, self.clock.now(), !ready.is_empty());
--- a/daemon/src/daemon/turn.rs
+++ b/daemon/src/daemon/turn.rs
@@ -3,6 +3,13 @@
 
 use linnetknot::Micros;
 
+#[cfg(test)]
+mod tests;
+
+/// The longest wait of the loop. A process that is stopped while it waits can't tell that from a wait for events, as long as
+/// the wait could have lasted that long: so this and `USUAL_US` together stay under what a deadline may be passed on late.
+pub(super) const MAX_WAIT_US: Micros = 80_000;
+
 /// A step of a turn that takes longer than this was kept, or the process was stopped: the events of the turn that are
 /// left are asked for anew before anything follows from them.
 const KEPT_US: Micros = 50_000;
--- /dev/null
+++ b/daemon/src/daemon/turn/tests.rs
@@ -0,0 +1,57 @@
+//! Tests of what a turn of the loop knows of the time.
+
+use super::{Turn, MAX_WAIT_US};
+use linnetknot::Micros;
+
+const MS: Micros = 1_000;
+const START: Micros = 1_000 * MS;
+/// How much more than a client has left may be passed on.
+const SLACK_US: Micros = 150 * MS;
+
+/// A process that waits may be stopped at once, and what a client sends may come at once as well.
+#[test]
+fn of_a_stop_within_a_wait_no_more_than_the_slack_is_missed() {
+    for wait in [0, 1, MS, 40 * MS, MAX_WAIT_US] {
+        for slept in (0..3_000 * MS).step_by(MS as usize) {
+            let mut turn = Turn::start(START);
+            let ended = START + slept;
+            turn.wait_ended(START, wait, ended, true);
+            let missed = slept - turn.waited_unread(ended);
+            assert!(
+                missed <= SLACK_US,
+                "{missed} us of {slept} us, in a wait of {wait} us"
+            );
+        }
+    }
+}
+
+/// Stopped by a signal, it goes on with a wait that tells of nothing, and the next one tells of all.
+#[test]
+fn of_a_stop_that_interrupts_a_wait_no_more_than_the_slack_is_missed() {
+    for wait in [0, 1, MS, 40 * MS, MAX_WAIT_US] {
+        for slept in (0..3_000 * MS).step_by(MS as usize) {
+            let mut turn = Turn::start(START);
+            let ended = START + slept;
+            turn.wait_ended(START, wait, ended, false);
+            turn.over(false);
+            turn.wait_ended(ended, MAX_WAIT_US, ended, true);
+            let missed = slept - turn.waited_unread(ended);
+            assert!(
+                missed <= SLACK_US,
+                "{missed} us of {slept} us, in a wait of {wait} us"
+            );
+        }
+    }
+}
+
+#[test]
+fn what_comes_in_a_wait_that_ends_in_time_has_not_waited() {
+    let mut turn = Turn::start(START);
+    let mut now = START;
+    for _ in 0..100 {
+        turn.wait_ended(now, MAX_WAIT_US, now + MAX_WAIT_US, true);
+        now += MAX_WAIT_US;
+        assert_eq!(turn.waited_unread(now), 0);
+        turn.over(false);
+    }
+}
