--- a/daemon/src/daemon/event_loop.rs
+++ b/daemon/src/daemon/event_loop.rs
@@ -55,8 +55,7 @@
                 .map_or(MAX_WAIT_US, |at| at.saturating_sub(now))
                 .min(MAX_WAIT_US);
             self.poll.wait(wait, &mut ready)?;
-            self.turn
-                .wait_ended(now, wait, self.clock.now(), !ready.is_empty());
+            self.turn.wait_ended(now, wait, self.clock.now());
             ready.sort_by_key(|event| self.rank(event));
             let broken_off = self.turn_over(&mut ready);
             self.turn.over(broken_off);
--- a/daemon/src/daemon/turn.rs
+++ b/daemon/src/daemon/turn.rs
@@ -50,14 +50,15 @@
         }
     }
 
-    /// A wait from `began` to `ended` that was to last for `wait` at the most; whether it told of anything.
-    pub(super) fn wait_ended(&mut self, began: Micros, wait: Micros, ended: Micros, told: bool) {
+    /// A wait from `began` to `ended` that was to last for `wait` at the most.
+    pub(super) fn wait_ended(&mut self, began: Micros, wait: Micros, ended: Micros) {
         let slept = ended.saturating_sub(began);
         let asleep = slept.min(wait);
         self.told_until += asleep;
         self.came_since = self.told_until.min(ended);
-        // A process that was stopped in its wait goes on with an interrupted one, which tells of nothing.
-        self.telling_until = if told || slept <= wait + USUAL_US {
+        // A process that is stopped at the end of its wait goes on with the events of before the stop, or with none: what
+        // came meanwhile is told by the next wait.
+        self.telling_until = if slept <= wait + USUAL_US {
             ended
         } else {
             self.told_until
--- a/daemon/src/daemon/turn/tests.rs
+++ b/daemon/src/daemon/turn/tests.rs
@@ -15,7 +15,7 @@
         for slept in (0..3_000 * MS).step_by(MS as usize) {
             let mut turn = Turn::start(START);
             let ended = START + slept;
-            turn.wait_ended(START, wait, ended, true);
+            turn.wait_ended(START, wait, ended);
             let missed = slept - turn.waited_unread(ended);
             assert!(
                 missed <= SLACK_US,
@@ -25,16 +25,17 @@
     }
 }
 
-/// Stopped by a signal, it goes on with a wait that tells of nothing, and the next one tells of all.
+/// Stopped at the end of a wait, it goes on with the events of before the stop, or with none where a signal interrupted
+/// the wait, and the next wait tells of all others.
 #[test]
-fn of_a_stop_that_interrupts_a_wait_no_more_than_the_slack_is_missed() {
+fn of_a_stop_at_the_end_of_a_wait_no_more_than_the_slack_is_missed() {
     for wait in [0, 1, MS, 40 * MS, MAX_WAIT_US] {
         for slept in (0..3_000 * MS).step_by(MS as usize) {
             let mut turn = Turn::start(START);
             let ended = START + slept;
-            turn.wait_ended(START, wait, ended, false);
+            turn.wait_ended(START, wait, ended);
             turn.over(false);
-            turn.wait_ended(ended, MAX_WAIT_US, ended, true);
+            turn.wait_ended(ended, MAX_WAIT_US, ended);
             let missed = slept - turn.waited_unread(ended);
             assert!(
                 missed <= SLACK_US,
@@ -49,7 +50,7 @@
     let mut turn = Turn::start(START);
     let mut now = START;
     for _ in 0..100 {
-        turn.wait_ended(now, MAX_WAIT_US, now + MAX_WAIT_US, true);
+        turn.wait_ended(now, MAX_WAIT_US, now + MAX_WAIT_US);
         now += MAX_WAIT_US;
         assert_eq!(turn.waited_unread(now), 0);
         turn.over(false);
