--- a/daemon/src/daemon/upstream_connections.rs
+++ b/daemon/src/daemon/upstream_connections/mod.rs
@@ -1,18 +1,22 @@
 //! Connections to cache servers: which one an attempt takes, and what becomes of it.
 
+mod selection;
+
 use super::{ConnectError, Connection, Daemon, Kind, Timer};
 use crate::core::{AttemptId, TRACE};
 use crate::net::{Conn, Failure, FailureKind, Key};
 use crate::upstream::{Link, Told};
 use linnetknot::{Micros, Outcome, ServerId};
+use selection::{CacheConnections, Selection};
 use std::collections::btree_map::Entry;
 
 impl Daemon {
+    /// Applies to the core what happened on a connection to a cache server.
     pub(super) fn apply_events(&mut self, now: Micros, server: ServerId, told: Vec<Told>) {
         for t in told {
             match t {
                 Told::Begun(attempt) => self.core.begun(attempt),
-                // A box that answers on another connection is there: only this one did not come up.
+                // A cache server that answers on another connection is there: only this one did not come up.
                 Told::Ended(attempt, ended)
                     if ended.outcome == Outcome::Unreached && self.is_heard_from(now, server) =>
                 {
@@ -27,7 +31,7 @@
         }
     }
 
-    /// Whether a connection to a box is up on which it has spoken a moment ago.
+    /// Whether a connection to a cache server is up on which something came from it a moment ago.
     fn is_heard_from(&self, now: Micros, server: ServerId) -> bool {
         let fresh = |(conn, link): (&Conn, &Link)| {
             conn.up && link.last_heard() + self.limits.suspect_us > now
@@ -39,7 +43,8 @@
             .any(|key| self.cache_connection(*key).is_some_and(fresh))
     }
 
-    pub(super) fn cache_connection_mut(&mut self, key: Key) -> Option<(&mut Conn, &mut Link)> {
+    /// A connection to a cache server.
+    fn cache_connection_mut(&mut self, key: Key) -> Option<(&mut Conn, &mut Link)> {
         match self.connections.get_mut(key)? {
             Connection {
                 conn,
@@ -50,7 +55,7 @@
         }
     }
 
-    /// A connection to a box, to look at.
+    /// The same, to read.
     fn cache_connection(&self, key: Key) -> Option<(&Conn, &Link)> {
         match self.connections.get(key)? {
             Connection {
@@ -62,140 +67,111 @@
         }
     }
 
+    /// Sends an attempt on a connection to its cache server.
     pub(super) fn send(&mut self, now: Micros, attempt: AttemptId) {
         let Some((asked, sending)) = self.core.sending(attempt) else {
             return;
         };
-        let (id, server) = (asked.id.as_str(), sending.server);
-        let links = self
-            .cache_connections
-            .get(&server)
-            .map_or(&[][..], Vec::as_slice);
-        let endpoint = self.core.location(server).map(|(_, endpoint)| endpoint);
-        let leads = |key: &Key| {
-            self.cache_connection(*key)
-                .filter(|(_, link)| link.endpoint == endpoint)
-        };
-        let room = |key: &Key| {
-            let (conn, link) = leads(key)?;
-            let waits =
-                !conn.up && link.is_late(now, &self.limits) || link.is_stale(now, &self.limits);
-            let live = link
-                .room_for(id, &self.core, &self.limits)
-                .filter(|_| !waits)?;
-            Some((
-                !link.gave_up(id),
-                !conn.up,
-                link.is_held_up(now, &self.limits),
-                live,
-            ))
-        };
-        let best = links
-            .iter()
-            .filter_map(|key| Some((room(key)?, *key)))
-            .min();
-        // One answer that can't be read ends all that is open on its connection: the more of them, the less is
-        // lost at once. The next one is begun ahead, so that no attempt waits for it.
-        let up = |key: &Key| self.cache_connection(*key).is_some_and(|(conn, _)| conn.up);
-        let shared = best.is_some_and(|((.., live), _)| live >= self.limits.box_shared);
-        let ahead = shared && links.len() < self.limits.box_connections && links.iter().all(up);
-        // A connection that may lead nowhere gives its place up to the one that takes over from it: places at a box are
-        // scarce where many proxies hold some, and what is kept in vain by all bars all.
-        let vain = |key: &&Key| {
-            self.cache_connection(**key).is_some_and(|(conn, link)| {
-                conn.up && link.is_idle() && (link.is_suspect() || link.is_stale(now, &self.limits))
-            })
-        };
-        let vain: Vec<Key> = links.iter().filter(vain).copied().collect();
-        // Connections that are late may come up all the same: more of them than this would only add to whatever
-        // keeps them.
-        let late = links
-            .iter()
-            .filter(|key| leads(key).is_some_and(|(conn, _)| !conn.up))
-            .count();
-        let places = links.len() - vain.len() < self.limits.box_connections;
-        let fresh = best.is_none() && places && late < self.limits.box_dials;
-        if fresh {
-            vain.into_iter().for_each(|key| self.close(now, key));
+        let server = sending.server;
+        let selection = CacheConnections::of(self, now, server).select(&asked.id);
+        match self.selected(now, server, selection) {
+            Ok(key) => self.send_on(now, key, attempt),
+            Err(error) => self.not_sent(now, server, attempt, error),
         }
-        let key = match best {
-            Some((_, key)) => Ok(key),
-            None if fresh => self.connect_cache(now, server),
-            // All that lead there are taken, which says nothing of the box, or none comes up.
-            None if late == 0 => Err(ConnectError::NoCapacity),
-            None => Err(ConnectError::Unreachable),
-        };
-        if ahead && self.connections.room() > self.limits.spare_connections {
-            let _ = self.connect_cache(now, server);
-        }
-        match key {
-            Ok(key) => {
-                let Some((conn, link)) = self.cache_connection_mut(key) else {
-                    return;
-                };
-                link.send(now, attempt);
-                let up = conn.up;
-                if !up {
-                    self.deadlines
-                        .set(now + self.limits.connect_us, Timer::CacheConnection(key));
+    }
+
+    /// The connection that was selected, begun now where that was selected.
+    fn selected(
+        &mut self,
+        now: Micros,
+        server: ServerId,
+        selection: Selection,
+    ) -> Result<Key, ConnectError> {
+        match selection {
+            Selection::Use { key, connect_spare } => {
+                if connect_spare && self.connections.room() > self.limits.spare_connections {
+                    // No attempt waits for it: where it fails, it is begun again with the next one.
+                    let _ = self.connect_cache(now, server);
                 }
-                if !self.pump(now, key) {
+                Ok(key)
+            }
+            Selection::Connect { reclaim } => {
+                for key in reclaim {
                     self.close(now, key);
                 }
-                self.watch(now, key);
+                self.connect_cache(now, server)
             }
-            // Nothing was written: it never ran.
-            Err(ConnectError::Refused) => {
-                self.core.ended(now, attempt, Outcome::ConnectFailed.into());
+            Selection::Unavailable(error) => Err(error),
+        }
+    }
+
+    /// Sends an attempt on this connection, at once or when it is up.
+    fn send_on(&mut self, now: Micros, key: Key, attempt: AttemptId) {
+        let Some((conn, link)) = self.cache_connection_mut(key) else {
+            return;
+        };
+        link.send(now, attempt);
+        if !conn.up {
+            self.deadlines
+                .set(now + self.limits.connect_us, Timer::CacheConnection(key));
+        }
+        self.pump_or_close(now, key);
+    }
+
+    /// An attempt has no connection. Nothing was written: it never ran.
+    fn not_sent(&mut self, now: Micros, server: ServerId, attempt: AttemptId, error: ConnectError) {
+        let outcome = match error {
+            ConnectError::Refused => Outcome::ConnectFailed,
+            ConnectError::NoCapacity => Outcome::Moot,
+            ConnectError::LocalResources => return self.send_later(now, attempt),
+            ConnectError::Unreachable => {
+                let ended = Told::Ended(attempt, Outcome::Unreached.into());
+                return self.apply_events(now, server, vec![ended]);
             }
-            Err(ConnectError::Unreachable) => self.apply_events(
-                now,
-                server,
-                vec![Told::Ended(attempt, Outcome::Unreached.into())],
-            ),
-            Err(ConnectError::NoCapacity) => self.core.ended(now, attempt, Outcome::Moot.into()),
-            Err(ConnectError::LocalResources) => self.send_later(now, attempt),
+        };
+        self.core.ended(now, attempt, outcome.into());
+    }
+
+    /// Goes on with a connection, and closes it if it is over.
+    fn pump_or_close(&mut self, now: Micros, key: Key) {
+        if !self.pump(now, key) {
+            self.close(now, key);
         }
+        self.watch(now, key);
     }
 
-    /// Begins a connection to a box. The last places of the table are kept for others than boxes: were they taken too,
-    /// the list of boxes could not be asked for any more. Connections that rest make room.
+    /// Begins a connection to a cache server. The last places of the table are reserved for other connections: were they
+    /// taken too, the list of cache servers could not be asked for any more.
     fn connect_cache(&mut self, now: Micros, server: ServerId) -> Result<Key, ConnectError> {
         let (_, endpoint) = self.core.location(server).ok_or(ConnectError::NoCapacity)?;
         if self.connections.room() <= self.limits.spare_connections {
-            let rests = |key: &&Key| {
-                self.cache_connection(**key)
-                    .is_some_and(|(_, link)| link.is_idle())
-            };
-            let used = |key: &Key| {
-                (
-                    self.cache_connection(*key)
-                        .map(|(_, link)| link.last_used()),
-                    *key,
-                )
-            };
-            let longest = self
-                .cache_connections
-                .values()
-                .flatten()
-                .filter(rests)
-                .map(used)
-                .min();
-            let (_, longest) = longest.ok_or(ConnectError::NoCapacity)?;
-            self.close(now, longest);
+            let idle = self.longest_idle().ok_or(ConnectError::NoCapacity)?;
+            self.close(now, idle);
         }
         let mut link = Link::new(server, &self.limits, now);
         link.endpoint = Some(endpoint);
         let key = self.connect_to(now, endpoint, Kind::CacheServer(link))?;
-        let links = self.cache_connections.entry(server).or_default();
-        links.push(key);
-        log::debug!(target: TRACE, "box" = self.core.uid(server), number = links.len(); "a connection is begun");
+        let connections = self.cache_connections.entry(server).or_default();
+        connections.push(key);
+        log::debug!(target: TRACE, "box" = self.core.uid(server), number = connections.len(); "a connection is begun");
         Ok(key)
     }
 
-    /// A connection is not up in time. What waits for one to a box goes on elsewhere; the connection itself is let be
-    /// for longer, as it may come up yet: given up each time, a box that is slow to accept would get one after another
-    /// and never be reached.
+    /// The connection to any cache server that has been idle for longest.
+    fn longest_idle(&self) -> Option<Key> {
+        self.cache_connections
+            .values()
+            .flatten()
+            .filter_map(|key| Some((self.cache_connection(*key)?.1, *key)))
+            .filter(|(link, _)| link.is_idle())
+            .map(|(link, key)| (link.last_used(), key))
+            .min()
+            .map(|(_, key)| key)
+    }
+
+    /// A connection is not up in time. The attempts that wait for one to a cache server go on elsewhere; the connection
+    /// itself is left for longer, as it may come up yet: closed each time, a cache server that is slow to accept would get
+    /// one after another and never be reached.
     pub(super) fn check_connecting(&mut self, now: Micros, key: Key) {
         let Some(c) = self.connections.get(key).filter(|c| !c.conn.up) else {
             return;
@@ -209,7 +185,7 @@
         }
     }
 
-    /// Begins what a connection takes, and tells what has ended on it. False: it is to be closed.
+    /// Sends what a connection takes, and applies what has ended on it. False: it is to be closed.
     pub(super) fn pump(&mut self, now: Micros, key: Key) -> bool {
         let Some(Connection {
             conn,
@@ -234,8 +210,8 @@
             self.deadlines
                 .set(now + self.limits.stalled_us, Timer::CacheConnection(key));
         }
-        // What drains or is gone gets nothing new: once all that it owed has come, its connections are of no use,
-        // and where a machine has vanished nobody else would end them.
+        // A cache server that drains or is gone gets nothing new: once all that it owed has come, its connections are of
+        // no use, and where a machine has vanished nobody else would end them.
         let moved = self
             .core
             .location(server)
@@ -245,6 +221,7 @@
         sound && !done
     }
 
+    /// Checks a connection to a cache server when that is due: forgets old ids, and sends what waits.
     pub(super) fn check_cache_connection(&mut self, now: Micros, key: Key) {
         if let Some(Connection {
             kind: Kind::CacheServer(link),
@@ -253,13 +230,10 @@
         {
             link.prune(now, &self.limits);
         }
-        if !self.pump(now, key) {
-            self.close(now, key);
-        }
-        self.watch(now, key);
+        self.pump_or_close(now, key);
     }
 
-    /// A connection to a box has ended, and with it all that was open on it.
+    /// A connection to a cache server was closed, and with it all that was open on it.
     pub(super) fn cache_connection_closed(
         &mut self,
         now: Micros,
@@ -269,16 +243,16 @@
     ) {
         let server = link.server;
         log::debug!(target: TRACE, "box" = self.core.uid(server), up = conn.up; "a connection has ended");
-        if let Entry::Occupied(mut links) = self.cache_connections.entry(server) {
-            links.get_mut().retain(|k| *k != key);
-            if links.get().is_empty() {
-                links.remove();
+        if let Entry::Occupied(mut connections) = self.cache_connections.entry(server) {
+            connections.get_mut().retain(|k| *k != key);
+            if connections.get().is_empty() {
+                connections.remove();
             }
         }
         let mut told = Vec::new();
         let failure = conn.connect_failure();
         if failure.is_some_and(Failure::is_local) {
-            // Nothing was heard of its box: what waited for it goes on waiting.
+            // Nothing was heard of the cache server: what waited for it goes on waiting.
             for attempt in link.take_queued() {
                 self.send_later(now, attempt);
             }
@@ -292,6 +266,7 @@
         self.apply_events(now, server, told);
     }
 
+    /// Cancels an attempt at a cache server.
     pub(super) fn give_up(&mut self, now: Micros, attempt: AttemptId, server: ServerId) {
         for key in self
             .cache_connections
@@ -303,13 +278,11 @@
                 continue;
             };
             link.give_up(now, attempt);
-            if !self.pump(now, key) {
-                self.close(now, key);
-            }
-            self.watch(now, key);
+            self.pump_or_close(now, key);
         }
     }
 
+    /// Withdraws a cache server: nothing that is open anywhere is to be filled from it any more.
     pub(super) fn withdraw(&mut self, now: Micros, server: ServerId) {
         for key in self
             .cache_connections
@@ -330,21 +303,22 @@
             let over = to == server && link.is_idle();
             self.apply_events(now, to, told);
             if over {
-                // Its address may be given to another box.
+                // Its address may be given to another cache server.
                 self.close(now, key);
             }
         }
     }
 
+    /// Sends a health check to a cache server.
     pub(super) fn probe(&mut self, now: Micros, server: ServerId) {
         let endpoint = self.core.location(server).map(|(_, endpoint)| endpoint);
-        let mut links = self
+        let mut connections = self
             .cache_connections
             .get(&server)
             .into_iter()
             .flatten()
             .copied();
-        let key = links.find(|key| {
+        let key = connections.find(|key| {
             self.cache_connection(*key)
                 .is_some_and(|(_, link)| link.endpoint == endpoint)
         });
