--- a/daemon/src/daemon/admin.rs
+++ b/daemon/src/daemon/admin.rs
@@ -59,7 +59,7 @@
                     if !again && self.make_room_for_caller(now) {
                         continue;
                     }
-                    match self.leaver(now) {
+                    match self.eviction_candidate(now) {
                         Ok(key) if !again => self.close(now, key),
                         // Left readable, it would keep the loop awake.
                         _ => return self.pause_admin(now),
--- a/daemon/src/daemon/connection_table.rs
+++ b/daemon/src/daemon/connection_table.rs
@@ -135,7 +135,7 @@
             return self.close(now, key);
         }
         if matches!(c.kind, Kind::Client(_) | Kind::Lingering) {
-            if self.look(now, key) && self.connections.get(key).is_some_and(Self::is_over) {
+            if self.check_client(now, key) && self.connections.get(key).is_some_and(Self::is_over) {
                 self.half_close(now, key);
             }
             return;
@@ -177,7 +177,7 @@
             return Ok(());
         };
         match &mut c.kind {
-            // These are read by `look`.
+            // These are read by `check_client`.
             Kind::Client(_) | Kind::Lingering => Ok(()),
             Kind::Cdni(_) => self.read_cdni(now, key),
             Kind::Exchange(_) => {
--- a/daemon/src/daemon/event_loop.rs
+++ b/daemon/src/daemon/event_loop.rs
@@ -125,7 +125,7 @@
             Timer::Core(wake) => self.core.wake(now, wake),
             Timer::Connect(key) => self.check_connecting(now, key),
             Timer::CacheConnection(key) => self.check_cache_connection(now, key),
-            Timer::Client(key) => self.check_client(now, key),
+            Timer::Client(key) => self.client_timeout(now, key),
             Timer::End(key) => drop(self.half_close(now, key)),
             Timer::Task(task) => task(self, now),
             Timer::Serve(key) => self.serve_again(now, key),
--- a/daemon/src/daemon/lifecycle.rs
+++ b/daemon/src/daemon/lifecycle.rs
@@ -65,7 +65,7 @@
     }
 
     /// Takes in what a client's connection has received up to this moment. False: it has gone.
-    pub(super) fn look(&mut self, now: Micros, key: Key) -> bool {
+    pub(super) fn check_client(&mut self, now: Micros, key: Key) -> bool {
         let Some(c) = self.connections.get_mut(key) else {
             return false;
         };
@@ -92,7 +92,7 @@
     /// Ends a client's connection if nothing is open on it and nothing has come in this very moment. False: it does not
     /// end in this way, as something is open on it, or it has ended before.
     pub(super) fn half_close(&mut self, now: Micros, key: Key) -> bool {
-        if !self.look(now, key) {
+        if !self.check_client(now, key) {
             return true;
         }
         let Some(c) = self.connections.get_mut(key) else {
--- a/daemon/src/daemon/neighbours.rs
+++ b/daemon/src/daemon/neighbours.rs
@@ -71,7 +71,7 @@
 
     pub(super) fn accept_cdni(&mut self, now: Micros) {
         while self.desk.is_some() && !self.grace_over {
-            let Ok(leaver) = self.room_for_client(now) else {
+            let Ok(evicted) = self.room_for_client(now) else {
                 return self.pause_cdni(now);
             };
             let Some((listener, _)) = &self.desk else {
@@ -90,7 +90,7 @@
                 self.limits.output_ring,
             );
             if let Ok(conn) = conn {
-                self.take_in(now, conn, Kind::Cdni(Box::new(session)), leaver);
+                self.take_in(now, conn, Kind::Cdni(Box::new(session)), evicted);
             }
         }
         let resumed = self.desk.as_mut().is_none_or(|(l, _)| l.resume(&self.poll));
