--- a/consul/src/watch/options.rs
+++ b/consul/src/watch/options.rs
@@ -5,21 +5,21 @@
 /// Consul's consistency modes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Consistency {
-    /// By the leader, which may be an old one for a moment.
+    /// Read by the leader, which for a moment may be a deposed one.
     #[default]
     Default,
-    /// By the leader, which makes sure that it is one.
+    /// Read by the leader after it has verified its leadership.
     Consistent,
-    /// By any server, however far behind; bounded by `Options::most_stale_us`.
+    /// Read by any server, however far behind; bounded by [`Options::max_stale_us`].
     Stale,
 }
 
-/// What is watched, and how.
+/// What is watched, and how. All durations are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
     /// Name of the service.
     pub service: String,
-    /// Data centre; none: the agent's own.
+    /// Datacenter; none: the agent's own.
     pub datacenter: Option<String>,
     /// Namespace; none: the token's own.
     pub namespace: Option<String>,
@@ -29,22 +29,22 @@
     pub filter: Option<String>,
     /// Consistency of the queries.
     pub consistency: Consistency,
-    /// A stale answer from a server that has not heard its leader for longer is not used.
-    pub most_stale_us: Micros,
-    /// How long a query waits for a change.
-    pub wait_us: Micros,
-    /// How long a query that does not wait may take.
-    pub answer_us: Micros,
-    /// Agents to choose from; they are asked by their place.
+    /// Longest time without contact to the leader for a stale response to be used.
+    pub max_stale_us: Micros,
+    /// How long a blocking query waits for a change.
+    pub blocking_wait_us: Micros,
+    /// Timeout of a query, besides the wait of a blocking one.
+    pub response_timeout_us: Micros,
+    /// Number of agents to choose from, which calls name by index.
     pub agents: usize,
-    /// An answer that names a smaller share of what ran is confirmed before it counts.
-    pub least_share: f64,
-    /// First wait after a failure.
-    pub again_us: Micros,
-    /// Longest wait after failures.
-    pub most_again_us: Micros,
-    /// After a failover, the first agent is tried again about so often.
-    pub home_us: Micros,
+    /// Share of the known caches that a health response must list to be believed without confirmation.
+    pub min_share: f64,
+    /// Delay after the first failure.
+    pub min_backoff_us: Micros,
+    /// Longest delay after failures.
+    pub max_backoff_us: Micros,
+    /// After a failover, the first agent is tried again about this often.
+    pub primary_retry_us: Micros,
 }
 
 impl Default for Options {
@@ -56,14 +56,14 @@
             tags: Vec::new(),
             filter: None,
             consistency: Consistency::Default,
-            most_stale_us: 1_000_000,
-            wait_us: 10_000_000,
-            answer_us: 2_000_000,
+            max_stale_us: 1_000_000,
+            blocking_wait_us: 10_000_000,
+            response_timeout_us: 2_000_000,
             agents: 1,
-            least_share: 0.5,
-            again_us: 100_000,
-            most_again_us: 3_000_000,
-            home_us: 60_000_000,
+            min_share: 0.5,
+            min_backoff_us: 100_000,
+            max_backoff_us: 3_000_000,
+            primary_retry_us: 60_000_000,
         }
     }
 }
--- a/daemon/src/daemon/feeds/peers.rs
+++ b/daemon/src/daemon/feeds/peers.rs
@@ -5,6 +5,7 @@
 use crate::net::{receive_from, send_to, FailureKind};
 use crate::{ledger, peers};
 use linnetknot::Micros;
+use linnetknot_origin_health::OriginShare;
 use linnetknot_replication::{Datagram, DecodeError, Entry, Outgoing, Received};
 use std::net::SocketAddr;
 
@@ -55,11 +56,11 @@
 
     /// What others find of the origin, as far as enough of them agree.
     fn heed(&mut self, now: Micros) {
-        if let Some((share, until)) = self
+        let found = self
             .origin_health
             .as_ref()
-            .and_then(|h| h.origin_share(now))
-        {
+            .and_then(|h| h.origin_share(now));
+        if let Some(OriginShare { share, until }) = found {
             self.core.heard(now, share, until);
         }
     }
@@ -93,7 +94,7 @@
         };
         let own = ledger.replica().own().writer;
         let told = match &datagram {
-            Datagram::Digest { sum, .. } => Some(*sum),
+            Datagram::Digest { checksum, .. } => Some(*checksum),
             _ => None,
         };
         let is_chunk = matches!(datagram, Datagram::SnapshotChunk(_));
--- a/daemon/src/daemon/reload.rs
+++ b/daemon/src/daemon/reload.rs
@@ -81,7 +81,7 @@
         self.detach_budgets();
         let peers = self.config.copies.machines.len();
         if let Some(membership) = &mut self.membership {
-            membership.peers(peers);
+            membership.reset_peers(peers);
         }
         self.know_machines();
         if !self.promised.has_recovered() {
--- a/daemon/src/daemon/shutdown.rs
+++ b/daemon/src/daemon/shutdown.rs
@@ -114,9 +114,9 @@
                 sent = t.sent,
                 suppressed = t.suppressed,
                 received = t.received,
-                old = t.old,
-                torn = t.torn,
-                version = t.version,
+                old = t.stale,
+                torn = t.malformed,
+                version = t.unknown_version,
                 too_long = t.too_long;
                 "reports of a late origin to and from peers"
             );
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -24,8 +24,8 @@
 use crate::net::{Clock, Deadlines, Listener, Poll, Slots};
 use crate::plain_purges::PlainPurges;
 use error::{kernel, watching};
-use linnetknot_discovery::{Damping, Discovery, Source as ListSource, Vetting};
-use linnetknot_origin_health::{OriginHealth, ZonePlace};
+use linnetknot_discovery::{Damping, EndpointTable, ListValidator, Source as ListSource};
+use linnetknot_origin_health::{OriginHealth, ZonePosition};
 use sockets::{open_cdni, open_peers, Sockets};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -204,7 +204,7 @@
         let (ops, operator_state) = OperatorState::load(&config.ops_folder, config.seed, now);
         let origin_health = config
             .tell
-            .then(|| OriginHealth::new(ZonePlace::of(&config.settings), now));
+            .then(|| OriginHealth::new(ZonePosition::of(&config.settings), now));
         Daemon {
             clock: parts.clock,
             core: parts.core,
@@ -219,12 +219,12 @@
             cache_connections: BTreeMap::new(),
             deadlines: Deadlines::default(),
             bus: bus::State::new(config.seed, &config.limits),
-            members: Discovery::new(
+            members: EndpointTable::new(
                 list_sources(&config),
                 parts.consul.damping,
                 config.limits.members(),
             ),
-            vetting: Vetting::default(),
+            validator: ListValidator::default(),
             members_due: None,
             said: Said::default(),
             consul: parts.consul.state,
--- /dev/null
+++ b/discovery/src/endpoint_table/publish.rs
@@ -0,0 +1,155 @@
+//! How verdicts are published: what changes for the decision module.
+
+use super::verdict::Verdict;
+use super::{Batch, EndpointTable, Group, Published, TrackedCache};
+use crate::evidence::{Change, EndpointStatus, Entry};
+use linnetknot::{Micros, State};
+use std::collections::btree_map;
+
+impl EndpointTable {
+    /// Settles a cache after a report on it: counts a loss or a return, and publishes what has changed.
+    pub(super) fn settle(&mut self, uid: &str, entries: &mut Vec<Entry>, batch: &mut Batch) {
+        let cache = self.caches.get(uid);
+        let Some(verdict) = cache.and_then(|cache| self.verdict(uid, cache)) else {
+            return;
+        };
+        let is_initialized = self.initialized.contains(&verdict.source);
+        let counts_flaps = self.sources[verdict.source.0].damped;
+        let is_ready = verdict.state == State::Ready;
+        let Some(cache) = self.caches.get_mut(uid) else {
+            return;
+        };
+        let group = is_ready.then(|| Group::of(&verdict.entry));
+        let previous_group = std::mem::replace(&mut cache.counted, group.clone());
+        if counts_flaps {
+            let was_ready = previous_group.is_some();
+            if was_ready && !is_ready {
+                cache.penalty.add(&self.damping, batch.now);
+            }
+            if !was_ready
+                && is_ready
+                && cache.count_return(batch.now, &self.damping, is_initialized)
+            {
+                self.damped.insert(uid.to_owned());
+            }
+        }
+        let is_under_damping = cache.damped && is_ready;
+        self.recount(previous_group, group);
+        if verdict.state == State::Gone {
+            self.gone.insert(uid.to_owned());
+        } else {
+            self.gone.remove(uid);
+        }
+        // Which of the caches under damping are suppressed depends on all of them: that is settled once, at the end.
+        if !is_under_damping {
+            self.publish(uid, verdict, false, entries, batch);
+        }
+    }
+
+    /// Moves a cache that is reported ready from one group's count to another's.
+    fn recount(&mut self, from: Option<Group>, to: Option<Group>) {
+        if from == to {
+            return;
+        }
+        if let Some(btree_map::Entry::Occupied(mut count)) =
+            from.map(|group| self.ready.entry(group))
+        {
+            *count.get_mut() -= 1;
+            if *count.get() == 0 {
+                count.remove();
+            }
+        }
+        if let Some(group) = to {
+            *self.ready.entry(group).or_insert(0) += 1;
+        }
+    }
+
+    /// Publishes what a verdict changes for the decision module.
+    pub(super) fn publish(
+        &mut self,
+        uid: &str,
+        verdict: Verdict,
+        is_suppressed: bool,
+        entries: &mut Vec<Entry>,
+        batch: &mut Batch,
+    ) {
+        let relayed = self.sources[verdict.source.0].relayed;
+        let Some(cache) = self.caches.get_mut(uid) else {
+            return;
+        };
+        let status = verdict.status(is_suppressed);
+        let source = verdict.source;
+        let mut entry = verdict.entry;
+        let old = cache.status();
+        let damping_reason = cache.damping_reason(old, status);
+        let reason = damping_reason.unwrap_or(verdict.reason);
+        if status == EndpointStatus::Ready && old == EndpointStatus::Suppressed {
+            cache.returned = Some(batch.now);
+        }
+        entry.server.state = status.state();
+        if !relayed {
+            entries.extend(cache.replace(batch.now, status, &entry));
+            entry.server.started = entry.server.started.max(cache.returned);
+        }
+        let is_known = cache.published.is_some() || status != EndpointStatus::Gone;
+        if is_known && !cache.is_published(&entry) {
+            entries.push(entry.clone());
+        }
+        if status != old {
+            batch.update.changes.push(Change {
+                uid: uid.to_owned(),
+                old,
+                new: status,
+                reason: reason.clone(),
+                source,
+                penalty: cache.penalty.figure(&self.damping, batch.now),
+            });
+        }
+        let since = cache.status_since(status).unwrap_or(batch.now);
+        cache.published = Some(Published {
+            entry,
+            status,
+            reason,
+            source,
+            since,
+        });
+    }
+}
+
+impl TrackedCache {
+    fn is_published(&self, entry: &Entry) -> bool {
+        let published = self.published.as_ref();
+        published.is_some_and(|published| published.entry == *entry)
+    }
+
+    /// Since when the cache is published with this status; none if it is not.
+    fn status_since(&self, status: EndpointStatus) -> Option<Micros> {
+        let published = self.published.as_ref()?;
+        (published.status == status).then_some(published.since)
+    }
+
+    /// The removal that must precede an entry which is another cache for the decision module: the module keeps the
+    /// address, zone, kind and cell of a cache that it knows, so the cache has to be removed and added anew.
+    fn replace(&mut self, now: Micros, status: EndpointStatus, entry: &Entry) -> Option<Entry> {
+        let published = self.published.as_ref()?;
+        let is_gone = |status| status == EndpointStatus::Gone;
+        if is_gone(published.status)
+            || is_gone(status)
+            || !changes_identity(&published.entry, entry)
+        {
+            return None;
+        }
+        let mut removal = published.entry.clone();
+        removal.server.state = State::Gone;
+        self.returned = Some(now);
+        Some(removal)
+    }
+}
+
+/// Whether two entries can't be one cache for the decision module.
+fn changes_identity(old: &Entry, new: &Entry) -> bool {
+    old.endpoint != new.endpoint
+        || old.server.cell != new.server.cell
+        || old.server.zone != new.server.zone
+        || old.server.kind != new.server.kind
+}
--- /dev/null
+++ b/replication/src/log_store/queries.rs
@@ -0,0 +1,191 @@
+//! What a log store answers: how far it has each log, and which entries and purges are in force.
+
+use super::{EntryKey, LogStore, Record, SubjectKey};
+use crate::{CompactedLog, Entry, Index, LogId, LogPosition, Micros, Subject};
+use linnetknot_purges::CompactTable;
+
+impl LogStore {
+    /// Returns a log's last index; 0 if there is no such log.
+    pub fn last_index(&self, log: LogId) -> Index {
+        self.progress
+            .get(&log)
+            .map_or(0, |progress| progress.through)
+    }
+
+    /// Returns all logs and their last indexes.
+    pub fn last_indexes(&self) -> Vec<LogPosition> {
+        let position = |(log, progress): (&LogId, &super::Progress)| LogPosition {
+            log: *log,
+            index: progress.through,
+        };
+        self.progress.iter().map(position).collect()
+    }
+
+    /// Returns the index through which a log is compacted; 0 if it is not.
+    pub fn compacted(&self, log: LogId) -> Index {
+        self.progress
+            .get(&log)
+            .map_or(0, |progress| progress.compacted)
+    }
+
+    /// Returns the logs that are compacted, from one on.
+    pub fn compacted_logs(&self, from: LogId) -> impl Iterator<Item = CompactedLog> + '_ {
+        let logs = self.progress.range(from..);
+        let compacted = logs.filter(|(_, progress)| progress.compacted > 0);
+        compacted.map(|(log, progress)| CompactedLog {
+            log: *log,
+            through: progress.compacted,
+        })
+    }
+
+    /// Returns the table of all compacted purges.
+    pub fn table(&self) -> &CompactTable {
+        &self.table
+    }
+
+    /// Returns the number of logs.
+    pub fn log_count(&self) -> usize {
+        self.progress.len()
+    }
+
+    /// Returns a checksum over all logs and their last indexes: equal log stores have equal ones, and others hardly ever.
+    pub fn checksum(&self) -> u64 {
+        self.checksum
+    }
+
+    /// Returns the entries in force of a log after an index, in order.
+    pub fn entries_after(&self, log: LogId, index: Index) -> impl Iterator<Item = Entry> + '_ {
+        let next = EntryKey {
+            log,
+            index: index.saturating_add(1),
+        };
+        let mut live_before = self.live_before(next);
+        let compacted = self.compacted(log);
+        self.live_after(log, index).map(move |(key, record)| {
+            let prev = live_before.max(compacted.min(key.index - 1));
+            live_before = key.index;
+            record.clone().into_entry(*key, prev)
+        })
+    }
+
+    /// Returns the records in force of a log after an index, in order.
+    pub(crate) fn live_after(
+        &self,
+        log: LogId,
+        index: Index,
+    ) -> impl Iterator<Item = (&EntryKey, &Record)> {
+        let last = EntryKey {
+            log,
+            index: Index::MAX,
+        };
+        let first = EntryKey {
+            log,
+            index: index.saturating_add(1),
+        };
+        self.live
+            .range(first..=last)
+            .filter(move |_| index < Index::MAX)
+    }
+
+    /// Returns the entries in force of a log through an index, without their `prev`.
+    pub(super) fn live_through(
+        &self,
+        log: LogId,
+        through: Index,
+    ) -> impl Iterator<Item = Entry> + '_ {
+        let first = EntryKey { log, index: 0 };
+        let last = EntryKey {
+            log,
+            index: through,
+        };
+        self.live
+            .range(first..=last)
+            .map(|(key, record)| record.clone().into_entry(*key, 0))
+    }
+
+    /// Returns the index of the last entry in force before a position of its log; 0 if there is none.
+    fn live_before(&self, key: EntryKey) -> Index {
+        let first = EntryKey { index: 0, ..key };
+        let before = self.live.range(first..key).next_back();
+        before.map_or(0, |(key, _)| key.index)
+    }
+
+    /// Returns the index that a replica must have of a log to take the entry at a position next.
+    pub(super) fn prev_of(&self, key: EntryKey) -> Index {
+        self.live_before(key)
+            .max(self.compacted(key.log).min(key.index - 1))
+    }
+
+    /// Returns the index of the last entry in force of a log on a subject.
+    pub(crate) fn latest_index(&self, log: LogId, subject: &Subject) -> Option<Index> {
+        let key = SubjectKey {
+            subject: subject.clone(),
+            log,
+        };
+        self.latest.get(&key).copied()
+    }
+
+    /// Returns the last record in force of a log on a subject.
+    pub(super) fn latest_in(&self, log: LogId, subject: &Subject) -> Option<&Record> {
+        let index = self.latest_index(log, subject)?;
+        self.live.get(&EntryKey { log, index })
+    }
+
+    /// Returns whether no later entry of its log supersedes the one at a position.
+    pub(crate) fn is_latest(&self, key: EntryKey, subject: &Subject) -> bool {
+        self.latest_index(key.log, subject) == Some(key.index)
+    }
+
+    /// Returns whether an entry of a log on a subject is in force.
+    pub fn is_live(&self, log: LogId, subject: &Subject) -> bool {
+        self.latest_in(log, subject).is_some()
+    }
+
+    /// Returns when a subject was last purged by any writer, as far as entries say.
+    pub fn latest(&self, subject: &Subject) -> Option<Micros> {
+        let logs = self.latest.range(SubjectKey::first(subject.clone())..);
+        let of_subject = logs.take_while(|(key, _)| key.subject == *subject);
+        let keys = of_subject.map(|(key, index)| EntryKey {
+            log: key.log,
+            index: *index,
+        });
+        keys.filter_map(|key| self.live.get(&key))
+            .map(|record| record.at)
+            .max()
+    }
+
+    /// Returns the time before which no copy may be served: no earlier than any purge of the subject, whether it is an
+    /// entry or in the table.
+    pub fn effective(&self, subject: &Subject) -> Option<Micros> {
+        let compacted = subject.purge_key().and_then(|key| self.table.latest(key));
+        self.latest(subject).max(compacted)
+    }
+
+    /// Returns all entries in force, log by log, without the purges that a later one of their log supersedes.
+    pub fn entries(&self) -> impl Iterator<Item = Entry> + '_ {
+        let logs = self.progress.keys();
+        let entries = logs.flat_map(|log| self.entries_after(*log, 0));
+        entries.filter(|entry| {
+            let key = EntryKey {
+                log: entry.log,
+                index: entry.index,
+            };
+            self.is_latest(key, &entry.subject)
+        })
+    }
+
+    /// Returns the number of stored entries, including purges that are superseded and not compacted yet.
+    pub fn len(&self) -> usize {
+        self.live.len()
+    }
+
+    /// Returns the number of stored entries that do not expire.
+    pub fn exact_len(&self) -> usize {
+        self.live.len() - self.expiring
+    }
+
+    /// Returns whether no entry is stored.
+    pub fn is_empty(&self) -> bool {
+        self.live.is_empty()
+    }
+}
--- a/replication/tests/snapshot.rs
+++ b/replication/tests/snapshot.rs
@@ -1,4 +1,4 @@
-//! A snapshot datagram by datagram: which chunks count, and what is told of what they brought.
+//! A snapshot datagram by datagram: which chunks are used, and what is acknowledged of them.
 
 use linnetknot_replication::*;
 
@@ -12,7 +12,7 @@
 /// A replica that holds few entries and appends purges of these groups, all on its disk.
 fn sender(groups: std::ops::Range<u64>, options: Options) -> Replica {
     let mut replica = Replica::new(OWN, LogStore::default(), 5, options);
-    replica.peers(10, vec![20]);
+    replica.set_peers(10, vec![20]);
     append(&mut replica, groups);
     replica
 }
@@ -21,7 +21,7 @@
     for n in groups {
         let entry = replica
             .append(group(n), n * S, false)
-            .expect("there is room");
+            .expect("there is capacity");
         replica.synced(entry.log, entry.index);
         replica.compact(n * S);
     }
@@ -39,12 +39,12 @@
 
 fn receiver() -> Replica {
     let mut replica = Replica::new(LogId::new(2, 9), LogStore::default(), 6, options());
-    replica.peers(20, vec![10]);
+    replica.set_peers(20, vec![10]);
     replica
 }
 
-/// The chunks with which a sender answers what a receiver asks for now.
-fn ask(receiver: &mut Replica, sender: &mut Replica, now: Micros) -> Vec<Datagram> {
+/// Returns the chunks with which a sender answers what a receiver requests now.
+fn request(receiver: &mut Replica, sender: &mut Replica, now: Micros) -> Vec<Datagram> {
     let is_request = |out: &Outgoing| matches!(out.datagram, Datagram::SnapshotRequest(_));
     let requests = receiver.tick(now).into_iter().filter(is_request);
     requests
@@ -53,10 +53,10 @@
 }
 
 fn offer(receiver: &mut Replica, sender: &mut Replica) {
-    let asked = Datagram::RangeRequest {
-        positions: vec![(OWN, 0)],
+    let range_request = Datagram::RangeRequest {
+        positions: vec![LogPosition { log: OWN, index: 0 }],
     };
-    for reply in sender.receive(Micros::MAX, 0, asked).replies {
+    for reply in sender.receive(Micros::MAX, 0, range_request).replies {
         assert!(
             matches!(reply, Datagram::SnapshotOffer(_)),
             "nothing that it could not take in: {reply:?}"
@@ -69,7 +69,7 @@
 fn complete(receiver: &mut Replica, sender: &mut Replica, mut now: Micros) -> Received {
     loop {
         now += S;
-        for chunk in ask(receiver, sender, now) {
+        for chunk in request(receiver, sender, now) {
             let received = receiver.receive(Micros::MAX, 0, chunk);
             if !received.compacted.is_empty() {
                 return received;
@@ -118,7 +118,10 @@
     let end = sender.log_store().last_index(OWN);
     let ack = Datagram::Ack {
         process: 6,
-        positions: vec![(OWN, end)],
+        positions: vec![LogPosition {
+            log: OWN,
+            index: end,
+        }],
     };
     assert_eq!(
         outgoing,
@@ -144,7 +147,7 @@
     offer(&mut first, &mut sender);
     let mut late = Vec::new();
     for n in 1..10 {
-        let chunks = ask(&mut first, &mut sender, n * S);
+        let chunks = request(&mut first, &mut sender, n * S);
         chunks
             .iter()
             .for_each(|chunk| drop(first.receive(Micros::MAX, 0, chunk.clone())));
@@ -155,7 +158,7 @@
     append(&mut sender, 100..300);
     let mut second = receiver();
     offer(&mut second, &mut sender);
-    for chunk in ask(&mut second, &mut sender, S) {
+    for chunk in request(&mut second, &mut sender, S) {
         second.receive(Micros::MAX, 0, chunk);
     }
     let is_late = |chunk: &&Datagram| matches!(chunk, Datagram::SnapshotChunk(c) if !matches!(c.content, SnapshotContent::Logs(_)));
@@ -192,10 +195,10 @@
         };
         let (mut sender, mut receiver) = (sender(1..400, wide), receiver());
         offer(&mut receiver, &mut sender);
-        ask(&mut receiver, &mut sender, S)
+        request(&mut receiver, &mut sender, S)
             .into_iter()
             .for_each(|logs| drop(receiver.receive(Micros::MAX, 0, logs)));
-        let mut chunks = ask(&mut receiver, &mut sender, 2 * S);
+        let mut chunks = request(&mut receiver, &mut sender, 2 * S);
         assert!(chunks.len() > 20);
         let count = chunks.len();
         (0..count).for_each(|n| chunks.swap(n, (n * 31 + seed as usize * 7) % count));
@@ -273,7 +276,7 @@
     for n in 1..1_000 {
         let entry = replica
             .append(group(3), n * S, false)
-            .expect("there is room");
+            .expect("there is capacity");
         replica.synced(entry.log, entry.index);
         replica.compact(n * S);
     }
@@ -288,8 +291,16 @@
     let mut store = LogStore::default();
     for (at, n) in [(1, 3), (2, 4), (3, 3)] {
         store
-            .append(OWN, (group(n), at * S, false), Capacity::UNLIMITED)
-            .expect("there is room");
+            .append(
+                OWN,
+                Record {
+                    subject: group(n),
+                    at: at * S,
+                    revoked: false,
+                },
+                Capacity::UNLIMITED,
+            )
+            .expect("there is capacity");
     }
     assert_eq!(
         store.entries().map(|entry| entry.index).collect::<Vec<_>>(),
@@ -307,11 +318,27 @@
 fn a_clock_that_is_set_back_lowers_no_floor() {
     let mut store = LogStore::default();
     store
-        .append(OWN, (group(3), 9 * S, false), Capacity::UNLIMITED)
-        .expect("there is room");
+        .append(
+            OWN,
+            Record {
+                subject: group(3),
+                at: 9 * S,
+                revoked: false,
+            },
+            Capacity::UNLIMITED,
+        )
+        .expect("there is capacity");
     let entry = store
-        .append(OWN, (group(3), 4 * S, false), Capacity::UNLIMITED)
-        .expect("there is room");
+        .append(
+            OWN,
+            Record {
+                subject: group(3),
+                at: 4 * S,
+                revoked: false,
+            },
+            Capacity::UNLIMITED,
+        )
+        .expect("there is capacity");
     assert_eq!((entry.at, store.effective(&group(3))), (9 * S, Some(9 * S)));
 }
 
@@ -336,7 +363,7 @@
         ..options()
     };
     let mut sender = Replica::new(LogId::new(1, 8), store, 5, few);
-    sender.peers(10, vec![20]);
+    sender.set_peers(10, vec![20]);
     let compaction = sender.compact(100 * S).expect("there are too many");
     assert!(
         compaction
@@ -351,7 +378,7 @@
     assert!((2..5).contains(&receiver.log_store().last_index(OWN)));
     assert!(
         receiver.log_store().effective(&group(1)) >= Some(S),
-        "the purge at index 1 was told"
+        "the purge at index 1 was received"
     );
 }
 
@@ -359,10 +386,10 @@
 #[test]
 fn a_snapshot_goes_on_when_the_peers_machines_become_known() {
     let (mut sender, mut receiver) = (sender(1..400, options()), receiver());
-    receiver.peers(20, vec![10, 30]);
+    receiver.set_peers(20, vec![10, 30]);
     offer(&mut receiver, &mut sender);
     for n in 1..10 {
-        ask(&mut receiver, &mut sender, n * S)
+        request(&mut receiver, &mut sender, n * S)
             .into_iter()
             .for_each(|chunk| drop(receiver.receive(Micros::MAX, 0, chunk)));
     }
@@ -374,10 +401,10 @@
         });
         from.collect::<Vec<_>>()
     };
-    receiver.peers(20, vec![10, 31]);
+    receiver.set_peers(20, vec![10, 31]);
     let from = request(&mut receiver, 10 * S);
     assert!(from.first() > Some(&SnapshotCursor::BUCKETS), "{from:?}");
-    receiver.peers(20, vec![]);
+    receiver.set_peers(20, vec![]);
     assert_eq!(
         (request(&mut receiver, 11 * S), receiver.is_catching_up()),
         (vec![], true),
@@ -392,7 +419,7 @@
     let (mut sender, mut receiver) = (sender(1..100, options()), receiver());
     offer(&mut receiver, &mut sender);
     for round in 1..100 {
-        for chunk in ask(&mut receiver, &mut sender, round * S) {
+        for chunk in request(&mut receiver, &mut sender, round * S) {
             receiver.receive(NOW, 0, chunk);
         }
     }
--- a/tests/large.rs
+++ b/tests/large.rs
@@ -15,7 +15,7 @@
     aim: (Micros, f64),
     deadline_us: Micros,
     siblings: Siblings,
-    tells: Tells,
+    answer_detail: AnswerDetail,
     sizes_told: bool,
     links_told: bool,
     tenants: &'static [f64],
@@ -29,7 +29,7 @@
         aim: (500 * MS, 1.6),
         deadline_us: 6 * S,
         siblings: Siblings::Any,
-        tells: Tells::All,
+        answer_detail: AnswerDetail::All,
         sizes_told: true,
         links_told: false,
         tenants: &[],
@@ -41,7 +41,7 @@
         aim: (600 * MS, 2.0),
         deadline_us: 5 * S,
         siblings: Siblings::Location,
-        tells: Tells::All,
+        answer_detail: AnswerDetail::All,
         sizes_told: true,
         links_told: true,
         tenants: &[],
@@ -53,7 +53,7 @@
         aim: (600 * MS, 2.0),
         deadline_us: 6 * S,
         siblings: Siblings::Off,
-        tells: Tells::All,
+        answer_detail: AnswerDetail::All,
         sizes_told: true,
         links_told: false,
         tenants: &[],
@@ -65,7 +65,7 @@
         aim: (500 * MS, 1.6),
         deadline_us: 5 * S,
         siblings: Siblings::Location,
-        tells: Tells::Hit,
+        answer_detail: AnswerDetail::Hit,
         sizes_told: false,
         links_told: false,
         tenants: &[],
@@ -77,7 +77,7 @@
         aim: (180 * MS, 2.0),
         deadline_us: 700 * MS,
         siblings: Siblings::Off,
-        tells: Tells::All,
+        answer_detail: AnswerDetail::All,
         sizes_told: true,
         links_told: true,
         tenants: &[0.7, 0.2, 0.1],
@@ -88,17 +88,17 @@
 const LINK: f64 = 12.0;
 
 impl Site {
-    /// Two locations of three proxies and four boxes each, asked for this share of what the boxes can send.
+    /// Two locations of three proxies and four caches each, asked for this share of what the caches can send.
     fn world(&self, load: f64, seed: u64) -> World {
         let site = *self;
-        // Four boxes of eight transfers, by three proxies.
+        // Four caches of eight transfers, by three proxies.
         let rate = load * 32.0 / site.work_s / 3.0;
         let mut w = World::shaped(2, 3, 4, rate, seed, |s| {
-            s.classes[0].aim_us = site.aim.0;
-            s.classes[0].aim_stretch = site.aim.1;
+            s.classes[0].objective_us = site.aim.0;
+            s.classes[0].objective_stretch = site.aim.1;
             s.classes[0].deadline_us = site.deadline_us;
             s.siblings = site.siblings;
-            s.tells = site.tells;
+            s.answer_detail = site.answer_detail;
             s.direct = true;
             let link = if site.links_told {
                 LINK * s.flow_kb_per_s
@@ -165,7 +165,7 @@
     }
 }
 
-/// Half of the boxes of each location, and the parents, are replaced by cold and empty ones at 8 s, at the load that the
+/// Half of the caches of each location, and the parents, are replaced by cold and empty ones at 8 s, at the load that the
 /// sites' bad days have in the middle of their ranges.
 #[test]
 fn on_other_days_the_largest_objects_get_half_of_their_classs_answers_and_tenants_their_shares() {
@@ -173,16 +173,16 @@
         for (seed, load) in [(7, 0.6), (8, 0.6), (9, 0.6)] {
             let mut w = site.world(load, seed);
             w.call(8 * S, 1);
-            w.run(25 * S, |w, heed| {
-                let Heed::Call(_) = heed else { return };
+            w.run(25 * S, |w, notify| {
+                let Heed::Call(_) = notify else { return };
                 let now = w.now;
                 let replaced: Vec<ServerId> = [10, 11, 20, 21]
                     .into_iter()
                     .chain(PARENTS)
-                    .filter(|id| w.boxes.contains_key(id))
+                    .filter(|id| w.servers.contains_key(id))
                     .collect();
                 for id in replaced {
-                    let zone = w.boxes[&id].zone;
+                    let zone = w.servers[&id].zone;
                     w.put(id, zone, if zone == 0 { 30.0 } else { 8.0 }, Some(now));
                     w.tell(0, ListMode::Delta, &[w.entry(id, State::Ready)]);
                 }
