--- /dev/null
+++ b/daemon/src/config/check.rs
@@ -0,0 +1,76 @@
+//! `linnetknot check`: checks files without starting anything.
+
+use super::{get, read_object, Config, ConfigError, Fields};
+use std::path::{Path, PathBuf};
+
+/// What a file is that was found sound, for people.
+const CONFIGURATION: &str = "a configuration, sound";
+const INTERCONNECT_FILE: &str = "an interconnect file, sound";
+const ENVIRONMENT: &str = "a start would find nothing wrong";
+
+/// The result of the check of one file.
+#[derive(Debug)]
+pub struct CheckedFile {
+    /// The path of the file, or `environment` for those that a start would read.
+    pub name: String,
+    /// What the file is, or what is wrong with it.
+    pub result: Result<&'static str, ConfigError>,
+}
+
+/// Checks files; without any, those that a start would read.
+pub fn check(files: &[PathBuf]) -> Vec<CheckedFile> {
+    if files.is_empty() {
+        return vec![CheckedFile {
+            name: "environment".to_owned(),
+            result: Config::from_env().map(|_| ENVIRONMENT),
+        }];
+    }
+    let mut checked = Vec::new();
+    // The operators' own file needs the settings: a configuration named beside it lends it these.
+    let mut configuration = None;
+    let mut interconnect_files = Vec::new();
+    for path in files {
+        let name = path.display().to_string();
+        match read_file(path) {
+            Ok(FileContent::Interconnect(fields)) => interconnect_files.push((name, fields)),
+            Ok(FileContent::Configuration(config)) => {
+                configuration = Some(*config);
+                checked.push(CheckedFile {
+                    name,
+                    result: Ok(CONFIGURATION),
+                });
+            }
+            Err(e) => checked.push(CheckedFile {
+                name,
+                result: Err(e),
+            }),
+        }
+    }
+    for (name, fields) in interconnect_files {
+        let result = check_interconnect(configuration.clone(), &fields)
+            .map(|()| INTERCONNECT_FILE)
+            .map_err(|e| e.in_file(&name));
+        checked.push(CheckedFile { name, result });
+    }
+    checked
+}
+
+enum FileContent {
+    Configuration(Box<Config>),
+    Interconnect(Fields),
+}
+
+fn read_file(path: &Path) -> Result<FileContent, ConfigError> {
+    let name = path.display().to_string();
+    let fields = read_object(&name)?;
+    if get(&fields, "settings").is_none() && get(&fields, "listen").is_none() {
+        return Ok(FileContent::Interconnect(fields));
+    }
+    let config = Config::read(&fields).map_err(|e| e.in_file(&name))?;
+    Ok(FileContent::Configuration(Box::new(config)))
+}
+
+fn check_interconnect(configuration: Option<Config>, fields: &Fields) -> Result<(), ConfigError> {
+    let mut config = configuration.map_or_else(Config::bare, Ok)?;
+    config.interconnect(fields)
+}
--- /dev/null
+++ b/daemon/src/config/error.rs
@@ -0,0 +1,77 @@
+//! Why a configuration is rejected.
+
+use crate::interconnect::InterconnectError;
+use std::io;
+
+/// A fault in the configuration. Every message names the key at fault, or the file that can't be read.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigError {
+    /// The environment names no configuration.
+    #[error("the variable ROUTER_CONFIG names no file")]
+    NoFile,
+    /// A file can't be read.
+    #[error("{path}: {source}")]
+    Unreadable {
+        /// The path of the file.
+        path: String,
+        /// Why not.
+        source: io::Error,
+    },
+    /// A file is not JSON.
+    #[error("{path}: not JSON: {source}")]
+    NotJson {
+        /// The path of the file.
+        path: String,
+        /// Where, and why not.
+        source: serde_json::Error,
+    },
+    /// A file holds JSON that is not an object.
+    #[error("{path}: not a JSON object")]
+    NotAnObject {
+        /// The path of the file.
+        path: String,
+    },
+    /// A fault in the content of a file.
+    #[error("{path}: {source}")]
+    InFile {
+        /// The path of the file.
+        path: String,
+        /// The fault.
+        source: Box<ConfigError>,
+    },
+    /// A field is missing or has the wrong type: the message of the reader of settings, which names it.
+    #[error("{0}")]
+    Field(String),
+    /// A fault in `settings`.
+    #[error("settings: {0}")]
+    Settings(String),
+    /// A fault in `known`.
+    #[error("known: {0}")]
+    Known(String),
+    /// A limit of the machine is 0.
+    #[error("field 'limits.{key}' must not be 0")]
+    ZeroLimit {
+        /// The key within `limits`.
+        key: &'static str,
+    },
+    /// A fault in the operators' own file.
+    #[error(transparent)]
+    Interconnect(#[from] InterconnectError),
+}
+
+impl ConfigError {
+    /// The same fault, with the file in which it was found.
+    pub(super) fn in_file(self, path: &str) -> Self {
+        ConfigError::InFile {
+            path: path.to_owned(),
+            source: Box::new(self),
+        }
+    }
+}
+
+/// The reader of settings returns messages that name the field at fault.
+impl From<String> for ConfigError {
+    fn from(message: String) -> Self {
+        ConfigError::Field(message)
+    }
+}
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -1,9 +1,10 @@
 //! The loop: sockets and deadlines on one side, the core on the other.
 
-use crate::config::{Config, Source};
+use crate::config::{Config, KnownEvents, Source};
 use crate::core::{Command, Core, Wake, TRACE};
 use crate::front::cdni::{self, Desk, Waiting};
 use crate::front::fastcgi::Session;
+use crate::interconnect::PeerAddresses;
 use crate::ledger::{Bounds, Ledger};
 use crate::limits::Limits;
 use crate::net::{
@@ -361,7 +362,7 @@
         }
         // Peers are told what the second front is told, and of an origin that is late.
         let talks = desk.is_some() || config.tell;
-        if let Some((own, known)) = config.peers.clone().filter(|_| talks) {
+        if let Some(PeerAddresses { own, all: known }) = config.peers.clone().filter(|_| talks) {
             let socket = bind_shared_udp(own).map_err(|e| format!("peer_listen: {own}: {e}"))?;
             socket.set_nonblocking(true).map_err(text)?;
             poll.add_at_start(&socket, PEERS).map_err(lacking)?;
@@ -374,7 +375,10 @@
         let origin_health = config.tell.then(|| OriginHealth::new(place, clock.now()));
         let core =
             Core::new(config.settings.clone(), config.seed, &limits).map_err(|e| e.to_string())?;
-        let (last_event, known) = std::mem::take(&mut config.known);
+        let KnownEvents {
+            offset: last_event,
+            events: known,
+        } = std::mem::take(&mut config.known);
         let damping = config
             .consul
             .as_ref()
@@ -714,7 +718,9 @@
         {
             log::warn!("SIGHUP: '{key}' has changed, which takes effect with the next start only");
         }
-        if let (Some((_, known)), Some((_, peers))) = (&mut self.peers, &new.peers) {
+        if let (Some((_, known)), Some(PeerAddresses { all: peers, .. })) =
+            (&mut self.peers, &new.peers)
+        {
             known.clone_from(peers);
             self.origin_health
                 .iter_mut()
--- a/daemon/src/interconnect/budgets.rs
+++ b/daemon/src/interconnect/budgets.rs
@@ -1,12 +1,14 @@
 //! The section `budgets`: the limits that all proxies share.
 
 use super::validation::range;
-use super::Result;
+use super::{InterconnectError, PeerAddresses, Result};
 use linnetknot::{Budget, Micros, Settings};
 use linnetknot_budgets::{kinds, spec::BudgetSpec};
 use schemars::JsonSchema;
 use serde::Deserialize;
-use std::net::SocketAddr;
+
+/// The largest limit of the origin, in requests at a time.
+const MAX_ORIGIN_REQUESTS: u64 = 1_000_000;
 
 /// What all proxies spend together, divided among them so that their parts never sum to more than the whole. Needs
 /// `peers.copies`, by which proxies know each other. The same at all of them.
@@ -94,88 +96,117 @@
 
 impl BudgetsFile {
     /// What the daemon uses, for these settings and the peers of the configuration.
+    ///
+    /// # Errors
+    /// Fails on a number out of range, without replication, and where this proxy is not among the peers.
     pub fn check(
         &self,
         settings: &Settings,
-        copies: bool,
-        peers: Option<&(SocketAddr, Vec<SocketAddr>)>,
+        replicates: bool,
+        peers: Option<&PeerAddresses>,
     ) -> Result<Budgets> {
-        let reserved_share = range("budgets.cold_floors", self.cold_reserved, 0.01, 1.0)?;
-        if let Some(origin) = &self.origin {
-            range("budgets.origin.whole", origin.limit, 1, 1_000_000)?;
-            range("budgets.origin.floor", origin.reserved, 0, 1_000_000)?;
-        }
+        self.check_ranges()?;
         if self.origin.is_none() && !self.cold {
             return Ok(Budgets::default());
         }
-        if !copies {
-            return Err(
-                "budgets: needs 'peers.copies', by which the proxies know each other".into(),
-            );
+        if !replicates {
+            return Err(InterconnectError::BudgetsNeedReplication);
         }
         // Without peers a file is checked by itself, and nothing can be said of how many share.
-        let Some((own, all)) = peers else {
+        let Some(peers) = peers else {
             return Ok(Budgets::default());
         };
-        let index = all.iter().position(|peer| peer == own).ok_or(
-            "budgets: 'peers' does not name this proxy's own 'peer_listen', by whose place there it is known",
-        )?;
-        let members = all.len();
-        let share = |kind: kinds::Kind, zone: &str, of, spec| {
-            let name = if zone.is_empty() {
-                kind.name.to_owned()
-            } else {
-                format!("{}:{zone}", kind.name)
-            };
-            Shared {
-                name,
-                unit: kind.unit,
-                of,
-                spec,
-            }
-        };
+        let index = peers.own_index().ok_or(InterconnectError::NotAmongPeers)?;
+        let members = peers.all.len();
         let mut list = Vec::new();
-        if let Some(OriginFile { limit, reserved }) = self.origin {
-            let settling_us = settings
-                .classes
-                .iter()
-                .map(|class| class.deadline_us)
-                .max()
-                .unwrap_or(0);
-            let spec = BudgetSpec {
-                limit,
-                reserved,
-                settling_us,
-            };
-            spec.shared(members)
-                .map_err(|e| format!("budgets.origin.whole: {} is {e}", spec.limit))?;
-            list.push(share(kinds::ORIGIN, "", Some(Budget::Origin), spec));
+        if let Some(origin) = &self.origin {
+            list.push(origin.shared(settings, members)?);
         }
         if self.cold {
-            let all = kinds::CACHES.unit.one();
-            let reserved = (reserved_share * all as f64 / members as f64) as u64;
-            let spec = BudgetSpec {
-                limit: all,
-                reserved,
-                settling_us: settings.rules.fall_us,
-            };
-            if settings.parent_kind.is_some() {
-                list.push(share(kinds::PARENTS, "", Some(Budget::Parents), spec));
-            }
-            for (n, zone) in settings.zones.iter().enumerate() {
-                let of = (n == settings.zone).then_some(Budget::Caches);
-                list.push(share(kinds::CACHES, &zone.name, of, spec));
-            }
+            list.extend(self.slow_start_budgets(settings, members));
         }
-        let names = list
-            .iter()
-            .map(|b| format!("{} {} {}", b.name, b.spec.reserved, b.spec.settling_us));
-        let text = names.fold(format!("{members}"), |text, name| text + "\n" + &name);
         Ok(Budgets {
             index,
             members,
-            fingerprint: linnetknot_discovery::server_id(&text),
+            fingerprint: fingerprint(members, &list),
             list,
         })
     }
+
+    fn check_ranges(&self) -> Result<()> {
+        range("budgets.cold_floors", self.cold_reserved, 0.01, 1.0)?;
+        if let Some(origin) = &self.origin {
+            range("budgets.origin.whole", origin.limit, 1, MAX_ORIGIN_REQUESTS)?;
+            range(
+                "budgets.origin.floor",
+                origin.reserved,
+                0,
+                MAX_ORIGIN_REQUESTS,
+            )?;
+        }
+        Ok(())
+    }
+
+    /// What caches in slow start take: of the parents, and of the caches of each zone.
+    fn slow_start_budgets(&self, settings: &Settings, members: usize) -> Vec<Shared> {
+        let limit = kinds::CACHES.unit.one();
+        let spec = BudgetSpec {
+            limit,
+            reserved: (self.cold_reserved * limit as f64 / members as f64) as u64,
+            settling_us: settings.rules.fall_us,
+        };
+        let parents = settings
+            .parent_kind
+            .as_ref()
+            .map(|_| Shared::new(kinds::PARENTS, "", Some(Budget::Parents), spec));
+        let caches = settings.zones.iter().enumerate().map(|(index, zone)| {
+            let of = (index == settings.zone).then_some(Budget::Caches);
+            Shared::new(kinds::CACHES, &zone.name, of, spec)
+        });
+        parents.into_iter().chain(caches).collect()
+    }
+}
+
+impl OriginFile {
+    /// The origin's requests as a budget of so many members.
+    fn shared(&self, settings: &Settings, members: usize) -> Result<Shared> {
+        let deadlines = settings.classes.iter().map(|class| class.deadline_us);
+        let spec = BudgetSpec {
+            limit: self.limit,
+            reserved: self.reserved,
+            settling_us: deadlines.max().unwrap_or(0),
+        };
+        spec.shared(members)
+            .map_err(|source| InterconnectError::OriginLimit {
+                limit: spec.limit,
+                source,
+            })?;
+        Ok(Shared::new(kinds::ORIGIN, "", Some(Budget::Origin), spec))
+    }
+}
+
+impl Shared {
+    fn new(kind: kinds::Kind, zone: &str, of: Option<Budget>, spec: BudgetSpec) -> Self {
+        let name = if zone.is_empty() {
+            kind.name.to_owned()
+        } else {
+            format!("{}:{zone}", kind.name)
+        };
+        Shared {
+            name,
+            unit: kind.unit,
+            of,
+            spec,
+        }
+    }
+}
+
+/// Stands for what is shared among how many. A limit may differ for a while, as it is changed at one proxy after the
+/// other: it is left out.
+fn fingerprint(members: usize, list: &[Shared]) -> u64 {
+    let mut text = members.to_string();
+    for Shared { name, spec, .. } in list {
+        text += &format!("\n{name} {} {}", spec.reserved, spec.settling_us);
+    }
+    linnetknot_discovery::server_id(&text)
 }
--- a/daemon/src/interconnect/cdni.rs
+++ b/daemon/src/interconnect/cdni.rs
@@ -1,5 +1,9 @@
 //! The section `cdni`: the listener for peer CDNs.
 
+use super::{InterconnectError, Result};
+use crate::front::cdni::footprint::Network;
+use crate::front::cdni::{Identity, Neighbour};
+use linnetknot::Settings;
 use schemars::JsonSchema;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -43,3 +47,70 @@
 fn triggers() -> String {
     "/cdni/triggers".to_owned()
 }
+
+/// The listener for peer CDNs, checked.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Cdni {
+    /// Where peer CDNs and redirected clients connect.
+    pub listen: SocketAddr,
+    /// How this CDN presents itself.
+    pub identity: Identity,
+    /// The file that purges by peer CDNs are stored in; none: they last as long as the daemon runs.
+    pub purges: Option<PathBuf>,
+}
+
+impl CdniFile {
+    /// What the daemon uses, checked; none where the file names no address to listen on.
+    ///
+    /// # Errors
+    /// Fails where the provider or the base is missing, and on a network that can't be read.
+    pub fn check(&self, settings: &Settings) -> Result<Option<Cdni>> {
+        let Some(listen) = self.listen else {
+            return Ok(None);
+        };
+        let footprint = self.footprint()?;
+        let read_classes = settings.classes.iter().filter(|class| !class.write);
+        let identity = Identity {
+            provider: required("cdni.provider", &self.provider)?,
+            base: required("cdni.base", &self.base)?,
+            footprint,
+            neighbours: self.neighbours.iter().map(Neighbour::from).collect(),
+            classes: read_classes
+                .map(|class| (class.name.clone(), class.deadline_us))
+                .collect(),
+        };
+        Ok(Some(Cdni {
+            listen,
+            identity,
+            purges: self.purges.clone(),
+        }))
+    }
+
+    fn footprint(&self) -> Result<Vec<Network>> {
+        let networks = self.footprint.iter().enumerate();
+        networks
+            .map(|(index, text)| {
+                Network::read(text).ok_or_else(|| InterconnectError::Footprint {
+                    index,
+                    text: text.clone(),
+                })
+            })
+            .collect()
+    }
+}
+
+impl From<&NeighbourFile> for Neighbour {
+    fn from(file: &NeighbourFile) -> Self {
+        Neighbour {
+            provider: file.provider.clone(),
+            address: file.address,
+            triggers: file.triggers.clone(),
+            notices: file.notices.clone(),
+            content: file.content.clone(),
+        }
+    }
+}
+
+fn required(key: &'static str, value: &Option<String>) -> Result<String> {
+    value.clone().ok_or(InterconnectError::Missing { key })
+}
--- a/daemon/src/interconnect/consul/mod.rs
+++ b/daemon/src/interconnect/consul/mod.rs
@@ -27,14 +27,40 @@
     pub beside_bus: bool,
     /// Damping.
     pub damping: Damping,
-    register: Option<(Registrant, bool)>,
+    register: Option<Registration>,
+}
+
+/// The proxy's own registration, checked.
+#[derive(Clone, Debug, PartialEq)]
+struct Registration {
+    registrant: Registrant,
+    /// The file names the address that is registered; else it is the one that clients connect to.
+    has_address: bool,
+}
+
+impl Registration {
+    /// Whether two registrations are the same at the agents, however many agents there are.
+    fn is_same(&self, other: &Registration) -> bool {
+        let registrant = Registrant {
+            agents: self.registrant.agents,
+            ..other.registrant.clone()
+        };
+        self.registrant == registrant && self.has_address == other.has_address
+    }
 }
 
 impl Consul {
-    /// What is registered, where clients connect to `listen` unless the file says otherwise.
+    /// What is registered, where clients connect to `listen` unless the file names another address.
     pub fn registrant(&self, listen: SocketAddr) -> Option<Registrant> {
-        let (registrant, named) = self.register.as_ref()?;
-        let address = if *named { registrant.address } else { listen };
+        let Registration {
+            registrant,
+            has_address,
+        } = self.register.as_ref()?;
+        let address = if *has_address {
+            registrant.address
+        } else {
+            listen
+        };
         Some(Registrant {
             address,
             ..registrant.clone()
@@ -44,34 +70,28 @@
     /// Whether a running daemon can follow a change to this: the sources of its list and its own registration are
     /// those of its start.
     pub fn can_become(&self, new: &Consul) -> bool {
-        let sources = |c: &Consul| {
-            c.options
-                .iter()
-                .map(|o| o.datacenter.clone())
-                .collect::<Vec<_>>()
-        };
-        let registered = |c: &Consul| {
-            c.register.as_ref().map(|(r, named)| {
-                (
-                    Registrant {
-                        agents: 0,
-                        ..r.clone()
-                    },
-                    *named,
-                )
-            })
+        let has_same_registration = match (&self.register, &new.register) {
+            (Some(own), Some(new)) => own.is_same(new),
+            (own, new) => own.is_none() && new.is_none(),
         };
-        sources(self) == sources(new)
-            && registered(self) == registered(new)
+        self.datacenters().eq(new.datacenters())
+            && has_same_registration
             && self.beside_bus == new.beside_bus
     }
 
+    /// The data centres that are watched; none stands for the agent's own.
+    fn datacenters(&self) -> impl Iterator<Item = Option<&str>> {
+        self.options
+            .iter()
+            .map(|options| options.datacenter.as_deref())
+    }
+
     /// What a list of each data centre is the list of.
     pub fn scopes(&self) -> Vec<String> {
-        let scope = |o: &Options| {
-            let dc = o.datacenter.as_deref().unwrap_or("");
-            let namespace = o.namespace.as_deref().unwrap_or("");
-            format!("consul {dc} {namespace} {}", o.service)
+        let scope = |options: &Options| {
+            let datacenter = options.datacenter.as_deref().unwrap_or("");
+            let namespace = options.namespace.as_deref().unwrap_or("");
+            format!("consul {datacenter} {namespace} {}", options.service)
         };
         self.options.iter().map(scope).collect()
     }
--- a/daemon/src/interconnect/consul/validation.rs
+++ b/daemon/src/interconnect/consul/validation.rs
@@ -1,139 +1,192 @@
 //! Validation of the section `consul`.
 
-use super::{ConsistencyFile, Consul, ConsulFile, IdentityFile, RegisterFile};
-use crate::interconnect::validation::{range, seconds, word};
-use crate::interconnect::Result;
+use super::{
+    ConsistencyFile, Consul, ConsulFile, DampingFile, IdentityFile, MetaFile, RegisterFile,
+    Registration,
+};
+use crate::interconnect::validation::{range, seconds, text};
+use crate::interconnect::{InterconnectError, Result};
 use linnetknot::Settings;
 use linnetknot_consul::{Consistency, Identity, Mapping, MetaKeys, Options, Registrant};
 use linnetknot_discovery::Damping;
 use std::net::SocketAddr;
 
+const MAX_DATACENTERS: usize = 16;
+/// The most bytes of the tags and the meta of a registration.
+const MAX_REGISTRATION_BYTES: usize = 16 << 10;
+/// How long the agent may take to answer a call about the registration.
+const REGISTRATION_TIMEOUT_US: u64 = 1_000_000;
+
 impl ConsulFile {
     /// What the daemon uses, checked; none where no agent is named.
+    ///
+    /// # Errors
+    /// Fails on a number out of range, an unusable text, and a zone that the settings don't have.
     pub fn check(&self, settings: &Settings, name: &str) -> Result<Option<Consul>> {
         let agents: Vec<SocketAddr> = self.address.iter().chain(&self.agents).copied().collect();
         if agents.is_empty() {
             return Ok(None);
         }
-        word("consul.service", &self.service)?;
+        self.check_texts()?;
+        let options = self.options(agents.len())?;
+        let mapping = self.mapping(settings)?;
+        let damping = self.damping.check()?;
+        let register = self
+            .register
+            .as_ref()
+            .map(|register| register.check(name, agents.len()))
+            .transpose()?;
+        let max_megabytes = range("consul.most_answer_mb", self.most_answer_mb, 1, 1024)?;
+        Ok(Some(Consul {
+            agents,
+            options,
+            mapping,
+            token_file: self.token_file.clone(),
+            most_answer: max_megabytes << 20,
+            beside_bus: self.beside_bus,
+            damping,
+            register,
+        }))
+    }
+
+    fn check_texts(&self) -> Result<()> {
+        text("consul.service", &self.service)?;
         for (key, texts) in [("datacenters", &self.datacenters), ("tags", &self.tags)] {
-            for (n, text) in texts.iter().enumerate() {
-                word(&format!("consul.{key}[{n}]"), text)?;
+            for (index, value) in texts.iter().enumerate() {
+                text(&format!("consul.{key}[{index}]"), value)?;
             }
         }
-        range("consul.datacenters", self.datacenters.len(), 0, 16)?;
+        Ok(())
+    }
+
+    /// The queries, one for each data centre.
+    fn options(&self, agents: usize) -> Result<Vec<Options>> {
+        range(
+            "consul.datacenters",
+            self.datacenters.len(),
+            0,
+            MAX_DATACENTERS,
+        )?;
         let options = Options {
             service: self.service.clone(),
             datacenter: None,
             namespace: self.namespace.clone(),
             tags: self.tags.clone(),
             filter: self.filter.clone(),
-            consistency: match self.consistency {
-                ConsistencyFile::Default => Consistency::Default,
-                ConsistencyFile::Consistent => Consistency::Consistent,
-                ConsistencyFile::Stale => Consistency::Stale,
-            },
+            consistency: self.consistency.into(),
             most_stale_us: self.most_stale_ms.saturating_mul(1000),
             wait_us: range("consul.wait_s", self.wait_s, 1, 600)? * 1_000_000,
             answer_us: range("consul.answer_ms", self.answer_ms, 50, 60_000)? * 1000,
-            agents: agents.len(),
+            agents,
             least_share: range("consul.least_share", self.least_share, 0.0, 1.0)?,
             ..Options::default()
         };
-        let zones = settings
-            .zones
-            .iter()
-            .map(|z| z.name.clone())
-            .filter(|name| !name.is_empty());
-        let zones: Vec<String> = zones.collect();
-        if let Some(zone) = self
-            .zone
-            .as_ref()
-            .filter(|zone| !zones.is_empty() && !zones.contains(zone))
-        {
-            return Err(format!(
-                "consul.zone: '{zone}' is none of the settings' zones ({})",
-                zones.join(", ")
-            ));
+        if self.datacenters.is_empty() {
+            return Ok(vec![options]);
         }
-        let own = settings
-            .zones
-            .get(settings.zone)
-            .map(|z| z.name.clone())
-            .unwrap_or_default();
-        let meta = &self.meta;
-        let mapping = Mapping {
-            identity: match self.identity {
-                IdentityFile::Service => Identity::Service,
-                IdentityFile::Node => Identity::Node,
-                IdentityFile::NodeAndService => Identity::NodeAndService,
-            },
-            keys: MetaKeys {
-                zone: meta.zone.clone(),
-                kind: meta.kind.clone(),
-                cell: meta.cell.clone(),
-                capacity: meta.capacity.clone(),
-                started_ms: meta.started_ms.clone(),
-            },
-            zone: self.zone.clone().unwrap_or(own),
-            kind: self.kind.clone().unwrap_or_default(),
-            zones,
-            tagged_address: self.tagged_address.clone(),
-        };
-        let each = |dc: &String| Options {
-            datacenter: Some(dc.clone()),
+        let in_datacenter = |datacenter: &String| Options {
+            datacenter: Some(datacenter.clone()),
             ..options.clone()
         };
-        let options = match self.datacenters.is_empty() {
-            true => vec![options.clone()],
-            false => self.datacenters.iter().map(each).collect(),
+        Ok(self.datacenters.iter().map(in_datacenter).collect())
+    }
+
+    /// How instances are read.
+    fn mapping(&self, settings: &Settings) -> Result<Mapping> {
+        let names = settings.zones.iter().map(|zone| zone.name.clone());
+        let zones: Vec<String> = names.filter(|name| !name.is_empty()).collect();
+        if let Some(zone) = &self.zone {
+            if !zones.is_empty() && !zones.contains(zone) {
+                return Err(InterconnectError::UnknownZone {
+                    zone: zone.clone(),
+                    zones,
+                });
+            }
+        }
+        let own_zone = || {
+            let zone = settings.zones.get(settings.zone);
+            zone.map(|zone| zone.name.clone()).unwrap_or_default()
         };
-        let d = &self.damping;
+        Ok(Mapping {
+            identity: self.identity.into(),
+            keys: MetaKeys::from(&self.meta),
+            zone: self.zone.clone().unwrap_or_else(own_zone),
+            kind: self.kind.clone().unwrap_or_default(),
+            zones,
+            tagged_address: self.tagged_address.clone(),
+        })
+    }
+}
+
+impl From<ConsistencyFile> for Consistency {
+    fn from(mode: ConsistencyFile) -> Self {
+        match mode {
+            ConsistencyFile::Default => Consistency::Default,
+            ConsistencyFile::Consistent => Consistency::Consistent,
+            ConsistencyFile::Stale => Consistency::Stale,
+        }
+    }
+}
+
+impl From<IdentityFile> for Identity {
+    fn from(identity: IdentityFile) -> Self {
+        match identity {
+            IdentityFile::Service => Identity::Service,
+            IdentityFile::Node => Identity::Node,
+            IdentityFile::NodeAndService => Identity::NodeAndService,
+        }
+    }
+}
+
+impl From<&MetaFile> for MetaKeys {
+    fn from(meta: &MetaFile) -> Self {
+        MetaKeys {
+            zone: meta.zone.clone(),
+            kind: meta.kind.clone(),
+            cell: meta.cell.clone(),
+            capacity: meta.capacity.clone(),
+            started_ms: meta.started_ms.clone(),
+        }
+    }
+}
+
+impl DampingFile {
+    fn check(&self) -> Result<Damping> {
         let damping = Damping {
-            half_life_us: seconds("consul.damping.half_life_s", d.half_life_s)?,
-            suppress: d.suppress,
-            reuse: d.reuse,
-            most_us: seconds("consul.damping.most_suppressed_s", d.most_suppressed_s)?,
-            most_share: d.most_share,
+            half_life_us: seconds("consul.damping.half_life_s", self.half_life_s)?,
+            suppress: self.suppress,
+            reuse: self.reuse,
+            most_us: seconds("consul.damping.most_suppressed_s", self.most_suppressed_s)?,
+            most_share: self.most_share,
         };
-        damping.check().map_err(|(key, why)| match key {
-            "half_life" | "most_suppressed" => format!("consul.damping.{key}_s {why}"),
-            key => format!("consul.damping.{key} {why}"),
-        })?;
-        let register = self
-            .register
-            .as_ref()
-            .map(|r| r.check(name, agents.len()))
-            .transpose()?;
-        Ok(Some(Consul {
-            agents,
-            options,
-            mapping,
-            token_file: self.token_file.clone(),
-            most_answer: range("consul.most_answer_mb", self.most_answer_mb, 1, 1024)? << 20,
-            beside_bus: self.beside_bus,
-            damping,
-            register,
-        }))
+        damping
+            .check()
+            .map_err(|(figure, reason)| InterconnectError::Damping {
+                key: Self::key(figure),
+                reason,
+            })?;
+        Ok(damping)
+    }
+
+    /// The key of a figure: times are in seconds here.
+    fn key(figure: &str) -> String {
+        match figure {
+            "half_life" | "most_suppressed" => format!("{figure}_s"),
+            figure => figure.to_owned(),
+        }
     }
 }
 
 impl RegisterFile {
-    fn check(&self, name: &str, agents: usize) -> Result<(Registrant, bool)> {
-        word("consul.register.name", &self.name)?;
+    fn check(&self, name: &str, agents: usize) -> Result<Registration> {
+        text("consul.register.name", &self.name)?;
         let id = self.id.clone().unwrap_or_else(|| name.to_owned());
-        word("consul.register.id", &id)?;
-        let size: usize = self.tags.iter().map(String::len).sum::<usize>()
-            + self
-                .meta
-                .iter()
-                .map(|(k, v)| k.len() + v.len())
-                .sum::<usize>();
+        text("consul.register.id", &id)?;
         range(
             "consul.register: bytes of 'tags' and 'meta'",
-            size,
+            self.size(),
             0,
-            16 << 10,
+            MAX_REGISTRATION_BYTES,
         )?;
         let registrant = Registrant {
             id,
@@ -142,10 +195,22 @@
             tags: self.tags.clone(),
             meta: self.meta.clone(),
             ttl_us: range("consul.register.ttl_s", self.ttl_s, 1, 3600)? * 1_000_000,
-            drop_after_us: self.drop_after_s.map(|s| s.saturating_mul(1_000_000)),
-            answer_us: 1_000_000,
+            drop_after_us: self
+                .drop_after_s
+                .map(|seconds| seconds.saturating_mul(1_000_000)),
+            answer_us: REGISTRATION_TIMEOUT_US,
             agents,
         };
-        Ok((registrant, self.address.is_some()))
+        Ok(Registration {
+            registrant,
+            has_address: self.address.is_some(),
+        })
+    }
+
+    /// Bytes of the tags and the meta.
+    fn size(&self) -> usize {
+        let tags: usize = self.tags.iter().map(String::len).sum();
+        let meta = self.meta.iter().map(|(key, value)| key.len() + value.len());
+        tags + meta.sum::<usize>()
     }
 }
--- a/daemon/src/interconnect/copies.rs
+++ b/daemon/src/interconnect/copies.rs
@@ -1,7 +1,7 @@
 //! The section `copies`: to how many machines a purge is replicated before it is committed.
 
 use super::validation::range;
-use super::Result;
+use super::{InterconnectError, PeerAddresses, Result};
 use linnetknot::Micros;
 use linnetknot_purges::BucketBits;
 use schemars::JsonSchema;
@@ -87,12 +87,16 @@
 
     fn check(file: &CopiesFile) -> Result<Self> {
         const KEY: &str = "copies.purge_table_mb";
-        let mb = range(KEY, file.purge_table_mb, 1, Self::MAX_MB)?;
-        if !mb.is_power_of_two() {
-            return Err(format!("{KEY}: {mb} is no power of two"));
+        let megabytes = range(KEY, file.purge_table_mb, 1, Self::MAX_MB)?;
+        if !megabytes.is_power_of_two() {
+            return Err(InterconnectError::NotPowerOfTwo {
+                key: KEY,
+                megabytes,
+            });
         }
-        let bits = Self::BITS_OF_ONE_MB + mb.ilog2();
-        let bucket_bits = BucketBits::new(bits as u8).map_err(|e| format!("{KEY}: {e}"))?;
+        let bits = Self::BITS_OF_ONE_MB + megabytes.ilog2();
+        let bucket_bits = BucketBits::new(bits as u8)
+            .map_err(|source| InterconnectError::TableSize { key: KEY, source })?;
         let exact = file
             .exact_purges
             .map(|n| range("copies.exact_purges", n, 1, 1 << 24))
@@ -101,60 +105,37 @@
     }
 }
 
+/// The usual number of further machines that have each purge in the end, where there are as many.
+const USUAL_FURTHER_REPLICAS: usize = 2;
+
 impl CopiesFile {
     /// What the daemon uses, for the peers of the configuration.
-    pub fn check(&self, on: bool, peers: Option<&(SocketAddr, Vec<SocketAddr>)>) -> Result<Copies> {
+    ///
+    /// # Errors
+    /// Fails on a number out of range, and where the peers stand on too few machines.
+    pub fn check(&self, on: bool, peers: Option<&PeerAddresses>) -> Result<Copies> {
         let within_us = range("copies.within_ms", self.within_ms, 50, 30_000)? * 1000;
         let purge_table = PurgeTableSize::check(self)?;
         if !on {
-            // A promise is kept on this proxy's own disk alone.
+            // A purge is committed once it is on this proxy's own disk.
             return Ok(Copies {
                 within_us,
                 purge_table,
                 ..Copies::default()
             });
         }
-        let name = |peer: &SocketAddr| {
-            self.machines
-                .get(peer)
-                .cloned()
-                .unwrap_or_else(|| peer.ip().to_string())
-        };
-        let own = peers.map(|(own, _)| *own);
-        let machine = self
-            .machine
-            .clone()
-            .or(own.as_ref().map(name))
-            .unwrap_or_default();
-        let others = peers
-            .into_iter()
-            .flat_map(|(own, all)| all.iter().filter(move |peer| *peer != own));
-        let machines: Vec<_> = others.map(|peer| (*peer, name(peer))).collect();
+        let machine = self.own_machine(peers);
+        let machines = self.peer_machines(peers);
         let further: BTreeSet<&String> = machines
             .iter()
-            .map(|(_, m)| m)
-            .filter(|m| **m != machine)
+            .map(|(_, name)| name)
+            .filter(|name| **name != machine)
             .collect();
         // Without peers a file is checked by itself, and nothing can be said of their machines.
-        for (key, wanted) in [
-            ("wait", self.wait),
-            ("holders", self.holders.unwrap_or(self.wait)),
-        ] {
-            if peers.is_some() && wanted > further.len() {
-                return Err(format!(
-                    "copies.{key}: {wanted} further machines are to have what is promised, and the peers stand on \
-                     {} besides this proxy's own; 'copies.machines' names those that share an address",
-                    further.len()
-                ));
-            }
+        if peers.is_some() {
+            self.check_machines(further.len())?;
         }
-        if self.holders.is_some_and(|holders| holders < self.wait) {
-            return Err(format!(
-                "copies.holders: fewer than the {} of 'copies.wait'",
-                self.wait
-            ));
-        }
-        let holders = self.holders.unwrap_or(further.len().min(2).max(self.wait));
+        let holders = self.replication_factor(further.len())?;
         Ok(Copies {
             on,
             wait: self.wait,
@@ -165,4 +146,48 @@
             purge_table,
         })
     }
+
+    /// The machine that a proxy with this address stands on: the address itself unless `machines` has another.
+    fn machine_at(&self, address: SocketAddr) -> String {
+        let named = self.machines.get(&address).cloned();
+        named.unwrap_or_else(|| address.ip().to_string())
+    }
+
+    fn own_machine(&self, peers: Option<&PeerAddresses>) -> String {
+        let by_address = || peers.map(|peers| self.machine_at(peers.own));
+        self.machine.clone().or_else(by_address).unwrap_or_default()
+    }
+
+    fn peer_machines(&self, peers: Option<&PeerAddresses>) -> Vec<(SocketAddr, String)> {
+        let others = peers.into_iter().flat_map(PeerAddresses::others);
+        others.map(|peer| (peer, self.machine_at(peer))).collect()
+    }
+
+    /// Checks that as many further machines are available as each key requires.
+    fn check_machines(&self, available: usize) -> Result<()> {
+        let holders = self.holders.unwrap_or(self.wait);
+        for (key, required) in [("wait", self.wait), ("holders", holders)] {
+            if required > available {
+                return Err(InterconnectError::TooFewMachines {
+                    key,
+                    required,
+                    available,
+                });
+            }
+        }
+        Ok(())
+    }
+
+    /// How many further machines have each purge in the end, where so many are available.
+    fn replication_factor(&self, available: usize) -> Result<usize> {
+        match self.holders {
+            Some(holders) if holders < self.wait => {
+                Err(InterconnectError::ReplicationFactorTooSmall {
+                    min_acks: self.wait,
+                })
+            }
+            Some(holders) => Ok(holders),
+            None => Ok(available.min(USUAL_FURTHER_REPLICAS).max(self.wait)),
+        }
+    }
 }
--- a/daemon/src/interconnect/mod.rs
+++ b/daemon/src/interconnect/mod.rs
@@ -6,19 +6,21 @@
 mod cdni;
 mod consul;
 mod copies;
+mod error;
 mod log;
 mod peers;
 mod state;
 mod validation;
 
 pub use budgets::{Budgets, BudgetsFile, OriginFile, Shared};
-pub use cdni::{CdniFile, NeighbourFile};
+pub use cdni::{Cdni, CdniFile, NeighbourFile};
 pub use consul::{
     ConsistencyFile, Consul, ConsulFile, DampingFile, IdentityFile, MetaFile, RegisterFile,
 };
 pub use copies::{Copies, CopiesFile, PurgeTableSize};
+pub use error::InterconnectError;
 pub use log::{LogFile, LogForm};
-pub use peers::PeersFile;
+pub use peers::{PeerAddresses, PeersFile};
 pub use state::{State, StateFile};
 
 use schemars::JsonSchema;
@@ -45,8 +47,7 @@
     pub log: LogFile,
 }
 
-/// A message that names the key at fault by its full path.
-type Result<T> = std::result::Result<T, String>;
+type Result<T> = std::result::Result<T, InterconnectError>;
 
 /// The file's JSON Schema.
 pub fn schema() -> String {
--- a/daemon/src/interconnect/peers.rs
+++ b/daemon/src/interconnect/peers.rs
@@ -2,6 +2,7 @@
 
 use schemars::JsonSchema;
 use serde::Deserialize;
+use std::net::SocketAddr;
 
 /// What the proxies of the fleet tell each other.
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema)]
@@ -13,3 +14,24 @@
     /// `cdni.purges` and `peers` in the configuration. The same at all of them.
     pub copies: bool,
 }
+
+/// Where the proxies of a fleet exchange datagrams, as the configuration has it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct PeerAddresses {
+    /// The address at which this proxy receives.
+    pub own: SocketAddr,
+    /// The addresses of all proxies, in the order of the configuration. It may name this one.
+    pub all: Vec<SocketAddr>,
+}
+
+impl PeerAddresses {
+    /// The addresses of the proxies besides this one.
+    pub fn others(&self) -> impl Iterator<Item = SocketAddr> + '_ {
+        self.all.iter().copied().filter(|peer| *peer != self.own)
+    }
+
+    /// The index of this proxy in the list of all.
+    pub fn own_index(&self) -> Option<usize> {
+        self.all.iter().position(|peer| *peer == self.own)
+    }
+}
--- a/daemon/src/interconnect/validation.rs
+++ b/daemon/src/interconnect/validation.rs
@@ -1,29 +1,33 @@
 //! Checks that several sections share.
 
-use super::Result;
+use super::{InterconnectError, Result};
 use linnetknot::Micros;
+use std::fmt::Display;
 
-pub(super) fn range<T: PartialOrd + std::fmt::Display>(
-    key: &str,
-    value: T,
-    least: T,
-    most: T,
-) -> Result<T> {
-    if value >= least && value <= most {
+/// The longest text that may stand in a request to the agent, in bytes.
+const MAX_TEXT_BYTES: usize = 256;
+
+/// Returns the value if it lies from `min` to `max`.
+pub(super) fn range<T: PartialOrd + Display>(key: &str, value: T, min: T, max: T) -> Result<T> {
+    if value >= min && value <= max {
         Ok(value)
     } else {
-        Err(format!("{key}: {value} is not from {least} to {most}"))
+        Err(InterconnectError::out_of_range(key, value, min, max))
     }
 }
 
-pub(super) fn seconds(key: &str, s: f64) -> Result<Micros> {
-    Ok((range(key, s, 0.001, 1e6)? * 1e6) as Micros)
+/// Returns a time that the file has in seconds.
+pub(super) fn seconds(key: &str, seconds: f64) -> Result<Micros> {
+    Ok((range(key, seconds, 0.001, 1e6)? * 1e6) as Micros)
 }
 
-/// A word that stands in an address of the agent: an empty one would ask for something else.
-pub(super) fn word(key: &str, text: &str) -> Result<()> {
-    match text.is_empty() || text.len() > 256 || text.chars().any(char::is_control) {
-        true => Err(format!("{key}: '{}' can't be used", text.escape_default())),
-        false => Ok(()),
+/// Checks a text that stands in a request to the agent: an empty one would ask for something else.
+pub(super) fn text(key: &str, text: &str) -> Result<()> {
+    if text.is_empty() || text.len() > MAX_TEXT_BYTES || text.chars().any(char::is_control) {
+        return Err(InterconnectError::UnusableText {
+            key: key.to_owned(),
+            text: text.to_owned(),
+        });
     }
+    Ok(())
 }
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -74,8 +74,11 @@
     linnetknot_daemon::points::arm()?;
     let config = Config::from_env();
     logging::start(config.as_ref().map_or(Default::default(), |c| c.log));
-    let mut daemon = Daemon::start(config?, Box::new(Config::from_env))
-        .map_err(|e| format!("could not start: {e}"))?;
+    let mut daemon = Daemon::start(
+        config.map_err(|e| e.to_string())?,
+        Box::new(Config::from_env),
+    )
+    .map_err(|e| format!("could not start: {e}"))?;
     daemon
         .run()
         .map_err(|e| format!("the event loop failed: {e}"))
@@ -92,9 +95,9 @@
         },
         Some(Command::Check { files }) => {
             let mut sound = true;
-            for (file, result) in config::check(&files) {
-                match result {
-                    Ok(what) => println!("{file}: {what}"),
+            for file in config::check(&files) {
+                match file.result {
+                    Ok(what) => println!("{}: {what}", file.name),
                     Err(e) => {
                         sound = false;
                         eprintln!("{e}");
--- a/daemon/tests/config.rs
+++ b/daemon/tests/config.rs
@@ -11,14 +11,14 @@
 }
 
 fn read(value: &Value) -> Result<Config, String> {
-    Config::read(value.as_object().unwrap())
+    Config::read(value.as_object().unwrap()).map_err(|e| e.to_string())
 }
 
 #[test]
 fn what_is_not_said_has_a_default() {
     let config = read(&good()).unwrap();
     assert_eq!(
-        (config.bus, config.known.0, config.limits.descriptors),
+        (config.bus, config.known.offset, config.limits.descriptors),
         (None, 0, 1024)
     );
     assert!(config.cdni.is_none() && config.consul.is_none() && config.peers.is_none());
@@ -77,7 +77,10 @@
     std::fs::write(&file, config.to_string()).unwrap();
     let said = linnetknot_daemon::config::check(std::slice::from_ref(&file));
     let _ = std::fs::remove_file(&file);
-    assert!(matches!(&said[..], [(_, Ok(_))]), "{said:?}");
+    assert!(
+        matches!(&said[..], [checked] if checked.result.is_ok()),
+        "{said:?}"
+    );
 }
 
 #[test]
@@ -136,7 +139,10 @@
         ),
         (json!({"consul": {"address": "x"}}), "address"),
     ] {
-        let message = config.interconnect(file.as_object().unwrap()).unwrap_err();
+        let message = config
+            .interconnect(file.as_object().unwrap())
+            .unwrap_err()
+            .to_string();
         assert!(message.contains(key), "{message}");
     }
 }
@@ -205,7 +211,10 @@
         ),
     ] {
         let mut config = read(&good()).unwrap();
-        let message = config.interconnect(file.as_object().unwrap()).unwrap_err();
+        let message = config
+            .interconnect(file.as_object().unwrap())
+            .unwrap_err()
+            .to_string();
         assert!(message.starts_with(path), "{path} | {message}");
     }
     // Promises that these machines can't keep: the peers share an address, which is one machine unless they are named.
@@ -222,6 +231,7 @@
         config
             .interconnect(file.as_object().unwrap())
             .map(|()| config.copies)
+            .map_err(|e| e.to_string())
     };
     for (file, path) in [
         (copies(json!({})), "copies.wait: 1 further machines"),
@@ -323,7 +333,8 @@
     let message = read(&elsewhere)
         .unwrap()
         .interconnect(shared(origin(9, 1)).as_object().unwrap())
-        .unwrap_err();
+        .unwrap_err()
+        .to_string();
     assert!(
         message.starts_with("budgets: 'peers' does not name this proxy's own"),
         "{message}"
