--- a/daemon/src/disk.rs
+++ b/daemon/src/disk.rs
@@ -249,6 +249,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/daemon/src/disk/tests.rs
+++ b/daemon/tests/disk.rs
@@ -1,6 +1,9 @@
 //! Files that are put in place as a whole, and what is left of those that are not.
 
-use super::*;
+use linnetknot_daemon::disk::{remove_leftovers, replace, Disk, Job};
+use std::fs;
+use std::thread;
+use std::time::Duration;
 
 #[test]
 fn a_file_that_could_not_be_written_is_written_once_the_folder_is_back() {
