--- a/daemon/src/budgets.rs
+++ b/daemon/src/budgets.rs
@@ -78,106 +78,66 @@
 impl Status {
     /// Formats the status as tables for people. The headings are the same words as the keys of the file and of the JSON.
     pub fn to_table(&self) -> String {
-        let mut out = format!(
+        let mut table = format!(
             "{} shares with {} proxies, itself among them\n\n",
             self.name, self.members
         );
-        // Writing to a string does not fail.
+        self.write_budgets(&mut table);
+        for budget in self.budgets.iter().filter(|budget| budget.leads) {
+            budget.write_grants(self.members, &mut table);
+        }
+        let more_budgets = self.budgets_total.saturating_sub(self.budgets.len());
+        if more_budgets > 0 {
+            // Writing to a string does not fail.
+            let _ = writeln!(table, "\nand {more_budgets} budgets more");
+        }
+        table
+    }
+
+    fn write_budgets(&self, table: &mut String) {
         let _ = writeln!(
-            out,
+            table,
             "{:<22} {:>9} {:>8} {:>9} {:>9} {:>9}  {:<14} ends",
             "budget", "whole", "floor", "part", "out", "wanted", "divider"
         );
-        for b in &self.budgets {
-            let ends = match b.ends_in_ms {
+        for budget in &self.budgets {
+            let ends = match budget.ends_in_ms {
                 Some(ms) => format!("in {ms} ms"),
                 None => "on its floor".to_owned(),
             };
-            let (unsettled, demand) = (b.unsettled, b.demand);
             let _ = writeln!(
-                out,
+                table,
                 "{:<22} {:>9} {:>8} {:>9} {:>9} {:>9}  {:<14} {ends}",
-                b.name, b.limit, b.reserved, b.lease, unsettled, demand, b.allocator
+                budget.name,
+                budget.limit,
+                budget.reserved,
+                budget.lease,
+                budget.unsettled,
+                budget.demand,
+                budget.allocator
             );
         }
-        for b in self.budgets.iter().filter(|b| b.leads) {
-            let reserved_total = b.reserved * self.members as u64;
-            let free = b.limit.saturating_sub(reserved_total + b.granted_total);
-            let _ = writeln!(
-                out,
-                "\n{} ({}): {reserved_total} in floors, {free} not granted",
-                b.name, b.unit
-            );
-            for grant in &b.granted {
-                let _ = writeln!(out, "    {:<22} {:>9}", grant.name, grant.amount);
-            }
-            if b.holders > b.granted.len() {
-                let _ = writeln!(out, "    and {} more", b.holders - b.granted.len());
-            }
-        }
-        if self.budgets_total > self.budgets.len() {
-            let _ = writeln!(
-                out,
-                "\nand {} budgets more",
-                self.budgets_total - self.budgets.len()
-            );
-        }
-        out
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::fleet::to_json;
-
-    #[test]
-    fn the_longest_answer_fits_the_admins_ring_and_is_read_again() {
-        let grant = |n| GrantStatus {
-            name: format!("proxy-with-a-long-name-{n}"),
-            amount: 1_000_000,
-        };
-        let budget = |n| BudgetStatus {
-            name: format!("cold-caches:a-zone-with-a-name-{n}"),
-            unit: "held at a time".into(),
-            limit: 1_000_000,
-            reserved: 1_000,
-            lease: 100_000,
-            ends_in_ms: Some(1_000),
-            demand: 1_000_000,
-            unsettled: 1_000_000,
-            allocator: "proxy-with-a-long-name".into(),
-            leads: true,
-            reserved_only: false,
-            granted_total: 900_000,
-            holders: 9,
-            granted: (0..MAX_GRANTS).map(grant).collect(),
-        };
-        let budgets = (0..MAX_BUDGETS).map(budget).collect();
-        let status = Status {
-            name: "p0".into(),
-            members: 9,
-            budgets,
-            budgets_total: MAX_BUDGETS + 2,
-        };
-        let ring = crate::limits::Limits::for_machine(256, 32).admin_output;
-        assert!(
-            to_json(&status).len() + 256 < ring,
-            "{}",
-            to_json(&status).len()
-        );
-        assert_eq!(
-            serde_json::from_str::<Status>(&to_json(&status)).unwrap(),
-            status
-        );
-        let table = status.to_table();
-        assert!(
-            table.contains("9000 in floors, 91000 not granted") && table.contains("and 1 more"),
-            "{table}"
-        );
-        assert!(
-            table.contains("and 2 budgets more") && table.contains("in 1000 ms"),
-            "{table}"
+impl BudgetStatus {
+    /// Writes what the allocator of this budget has granted to so many members.
+    fn write_grants(&self, members: usize, table: &mut String) {
+        let reserved_total = self.reserved * members as u64;
+        let free = self
+            .limit
+            .saturating_sub(reserved_total + self.granted_total);
+        let _ = writeln!(
+            table,
+            "\n{} ({}): {reserved_total} in floors, {free} not granted",
+            self.name, self.unit
         );
+        for grant in &self.granted {
+            let _ = writeln!(table, "    {:<22} {:>9}", grant.name, grant.amount);
+        }
+        let more_holders = self.holders.saturating_sub(self.granted.len());
+        if more_holders > 0 {
+            let _ = writeln!(table, "    and {more_holders} more");
+        }
     }
 }
--- a/daemon/src/daemon/fleet.rs
+++ b/daemon/src/daemon/fleet.rs
@@ -1,7 +1,7 @@
 //! The other proxies: who of them is there (`linnetknot_membership`), and what the admin listener tells of them and of the copies.
 
 use super::Daemon;
-use crate::fleet::{LogStatus, PeerStatus, Status, MOST_LOGS, MOST_PEERS};
+use crate::fleet::{LogStatus, PeerStatus, Status, MAX_LOGS, MAX_PEERS};
 use linnetknot::Micros;
 use linnetknot_discovery::server_id;
 use linnetknot_membership::{Change, DecodeError, Membership, Options, Standing};
@@ -229,11 +229,11 @@
                 .machines
                 .iter()
                 .enumerate()
-                .take(MOST_PEERS)
+                .take(MAX_PEERS)
                 .map(peer)
                 .collect(),
             peers_in_all: copies.machines.len(),
-            logs: ends.iter().take(MOST_LOGS).map(log).collect(),
+            logs: ends.iter().take(MAX_LOGS).map(log).collect(),
             logs_in_all: ends.len(),
         })
     }
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -9,6 +9,8 @@
 pub mod core;
 pub mod daemon;
 pub mod disk;
+#[cfg(feature = "points")]
+pub mod fail_points;
 pub mod fleet;
 pub mod front;
 pub mod interconnect;
@@ -19,7 +21,5 @@
 pub mod origin_clock;
 pub mod peers;
 pub mod plain_purges;
-#[cfg(feature = "points")]
-pub mod points;
 pub mod upstream;
 pub mod wire;
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,8 +1,12 @@
 //! Starts the daemon, or checks what it would be started with. Everything else is the library's.
 
 use clap::{Parser, Subcommand};
-use linnetknot_daemon::{config, config::Config, daemon::Daemon, fleet, interconnect, logging};
-use std::io;
+use linnetknot_daemon::config::{self, Config, ConfigError};
+use linnetknot_daemon::daemon::Daemon;
+use linnetknot_daemon::fleet::{self, StatusError};
+use linnetknot_daemon::interconnect::{self, LogForm};
+use linnetknot_daemon::{budgets, logging};
+use serde::Serialize;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -55,11 +59,78 @@
     },
 }
 
-/// Prints what an admin listener said.
-fn tell<T>(admin: SocketAddr, said: io::Result<T>, shown: impl Fn(&T) -> String) -> ExitCode {
-    match said {
+/// Why the daemon ended, other than after SIGTERM.
+#[derive(Debug, thiserror::Error)]
+enum ServeError {
+    #[cfg(feature = "points")]
+    #[error(transparent)]
+    FailPoints(#[from] linnetknot_daemon::fail_points::ArmError),
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    #[error("could not start: {0}")]
+    Start(String),
+    #[error("the event loop failed: {0}")]
+    EventLoop(String),
+}
+
+fn serve() -> Result<(), ServeError> {
+    #[cfg(feature = "points")]
+    linnetknot_daemon::fail_points::arm()?;
+    let config = Config::from_env();
+    // The log starts first: a fault of the configuration is logged too.
+    logging::start(
+        config
+            .as_ref()
+            .map_or(LogForm::default(), |config| config.log),
+    );
+    let mut daemon = Daemon::start(config?, Box::new(Config::from_env))
+        .map_err(|e| ServeError::Start(e.to_string()))?;
+    daemon
+        .run()
+        .map_err(|e| ServeError::EventLoop(e.to_string()))
+}
+
+/// Serves until SIGTERM, or until what must not fail has failed.
+fn run_daemon() -> ExitCode {
+    match serve() {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(e) => {
+            log::error!("{e}");
+            ExitCode::FAILURE
+        }
+    }
+}
+
+/// Prints what each file is, or what is wrong with it.
+fn check(files: &[PathBuf]) -> ExitCode {
+    let mut exit_code = ExitCode::SUCCESS;
+    for file in config::check(files) {
+        match file.result {
+            Ok(what) => println!("{}: {what}", file.name),
+            Err(e) => {
+                eprintln!("{e}");
+                exit_code = ExitCode::FAILURE;
+            }
+        }
+    }
+    exit_code
+}
+
+/// Prints the status that an admin listener returned.
+fn print_status<T: Serialize>(
+    admin: SocketAddr,
+    status: Result<T, StatusError>,
+    as_json: bool,
+    to_table: impl Fn(&T) -> String,
+) -> ExitCode {
+    match status {
         Ok(status) => {
-            println!("{}", shown(&status).trim_end());
+            let text = if as_json {
+                fleet::to_json(&status)
+            } else {
+                to_table(&status)
+            };
+            println!("{}", text.trim_end());
             ExitCode::SUCCESS
         }
         Err(e) => {
@@ -69,61 +140,23 @@
     }
 }
 
-fn serve() -> Result<(), String> {
-    #[cfg(feature = "points")]
-    linnetknot_daemon::points::arm()?;
-    let config = Config::from_env();
-    logging::start(config.as_ref().map_or(Default::default(), |c| c.log));
-    let mut daemon = Daemon::start(
-        config.map_err(|e| e.to_string())?,
-        Box::new(Config::from_env),
-    )
-    .map_err(|e| format!("could not start: {e}"))?;
-    daemon
-        .run()
-        .map_err(|e| format!("the event loop failed: {e}"))
+fn query_fleet(command: &FleetCommand) -> ExitCode {
+    match *command {
+        FleetCommand::Status { admin, json } => {
+            print_status(admin, fleet::ask(admin), json, fleet::Status::to_table)
+        }
+        FleetCommand::Budgets { admin, json } => {
+            let status = fleet::ask_budgets(admin);
+            print_status(admin, status, json, budgets::Status::to_table)
+        }
+    }
 }
 
 fn main() -> ExitCode {
     match Arguments::parse().command {
-        None => match serve() {
-            Ok(()) => ExitCode::SUCCESS,
-            Err(message) => {
-                log::error!("{message}");
-                ExitCode::FAILURE
-            }
-        },
-        Some(Command::Check { files }) => {
-            let mut sound = true;
-            for file in config::check(&files) {
-                match file.result {
-                    Ok(what) => println!("{}: {what}", file.name),
-                    Err(e) => {
-                        sound = false;
-                        eprintln!("{e}");
-                    }
-                }
-            }
-            ExitCode::from(u8::from(!sound))
-        }
-        Some(Command::Fleet {
-            what: FleetCommand::Status { admin, json },
-        }) => tell(admin, fleet::ask(admin), |s| {
-            if json {
-                fleet::to_json(s)
-            } else {
-                s.to_table()
-            }
-        }),
-        Some(Command::Fleet {
-            what: FleetCommand::Budgets { admin, json },
-        }) => tell(admin, fleet::ask_budgets(admin), |s| {
-            if json {
-                fleet::to_json(s)
-            } else {
-                s.to_table()
-            }
-        }),
+        None => run_daemon(),
+        Some(Command::Check { files }) => check(&files),
+        Some(Command::Fleet { what }) => query_fleet(&what),
         Some(Command::Schema) => {
             print!("{}", interconnect::schema());
             ExitCode::SUCCESS
--- a/daemon/src/net/clock.rs
+++ b/daemon/src/net/clock.rs
@@ -37,5 +37,5 @@
 /// The system's time as a test wants it to be off.
 #[cfg(feature = "points")]
 fn with_test_offset(unix_us: u64) -> u64 {
-    unix_us.saturating_add_signed(crate::points::clock_offset_us())
+    unix_us.saturating_add_signed(crate::fail_points::clock_offset_us())
 }
--- /dev/null
+++ b/daemon/tests/fleet_status.rs
@@ -0,0 +1,140 @@
+//! The status that the admin listener shows: that it fits the listener's ring buffer, is read again and shown as tables.
+
+use linnetknot_daemon::budgets::{self, BudgetStatus, GrantStatus, MAX_BUDGETS, MAX_GRANTS};
+use linnetknot_daemon::fleet::{
+    ask, to_json, LogStatus, PeerStatus, Status, StatusError, MAX_LOGS, MAX_PEERS,
+};
+use linnetknot_daemon::limits::Limits;
+use std::io::Write;
+use std::time::Duration;
+
+fn status(peers: usize, logs: usize) -> Status {
+    let peer = |n: usize| PeerStatus {
+        address: ([255, 255, 255, 200 + (n % 50) as u8], 65_535).into(),
+        machine: "machine-of-a-long-name".into(),
+        name: "a-proxy-of-quite-a-long-name".into(),
+        standing: "suspect".into(),
+        life: "ffffffffffffff".into(),
+        held: u64::MAX / 3,
+        behind: u64::MAX / 3,
+    };
+    let log = |_| LogStatus {
+        writer: "ffffffffffffffff".into(),
+        life: "ffffffffffffff".into(),
+        own: true,
+        end: u64::MAX / 3,
+        on_disk: u64::MAX / 3,
+    };
+    Status {
+        store_error: None,
+        name: "p0".into(),
+        machine: "m0".into(),
+        life: "5".into(),
+        wait: 1,
+        holders: 2,
+        end: 9,
+        on_disk: 8,
+        entries: 7,
+        compacted: 5,
+        table_bytes: 4_194_304,
+        catching_up: true,
+        digest: "00".into(),
+        waiting: 1,
+        short: 3,
+        promised: 4,
+        refused: 2,
+        up: 3,
+        replaced: false,
+        peers: (0..peers).map(peer).collect(),
+        peers_in_all: peers + 5,
+        logs: (0..logs).map(log).collect(),
+        logs_in_all: logs,
+    }
+}
+
+#[test]
+fn a_server_that_says_a_little_for_ever_is_left() {
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let admin = listener.local_addr().unwrap();
+    std::thread::spawn(move || {
+        let (mut socket, _) = listener.accept().unwrap();
+        socket
+            .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+            .unwrap();
+        while socket.write_all(b"1\r\n \r\n").is_ok() {
+            std::thread::sleep(Duration::from_millis(100));
+        }
+    });
+    assert!(matches!(ask(admin), Err(StatusError::Endless)));
+}
+
+#[test]
+fn the_longest_answer_fits_the_admins_ring_and_is_read_again() {
+    let longest = status(MAX_PEERS, MAX_LOGS);
+    let ring = Limits::for_machine(256, 32).admin_output;
+    assert!(
+        to_json(&longest).len() + 256 < ring,
+        "{}",
+        to_json(&longest).len()
+    );
+    assert_eq!(
+        serde_json::from_str::<Status>(&to_json(&longest)).unwrap(),
+        longest
+    );
+    let table = status(2, 1).to_table();
+    assert!(
+        table.contains("3 with fewer copies than 2")
+            && table.contains("and 5 peers and 0 logs more"),
+        "{table}"
+    );
+}
+
+#[test]
+fn the_longest_status_of_budgets_fits_the_admins_ring_and_is_read_again() {
+    let grant = |n| GrantStatus {
+        name: format!("proxy-with-a-long-name-{n}"),
+        amount: 1_000_000,
+    };
+    let budget = |n| BudgetStatus {
+        name: format!("cold-caches:a-zone-with-a-name-{n}"),
+        unit: "held at a time".into(),
+        limit: 1_000_000,
+        reserved: 1_000,
+        lease: 100_000,
+        ends_in_ms: Some(1_000),
+        demand: 1_000_000,
+        unsettled: 1_000_000,
+        allocator: "proxy-with-a-long-name".into(),
+        leads: true,
+        reserved_only: false,
+        granted_total: 900_000,
+        holders: 9,
+        granted: (0..MAX_GRANTS).map(grant).collect(),
+    };
+    let budgets = (0..MAX_BUDGETS).map(budget).collect();
+    let status = budgets::Status {
+        name: "p0".into(),
+        members: 9,
+        budgets,
+        budgets_total: MAX_BUDGETS + 2,
+    };
+    let ring = Limits::for_machine(256, 32).admin_output;
+    assert!(
+        to_json(&status).len() + 256 < ring,
+        "{}",
+        to_json(&status).len()
+    );
+    assert_eq!(
+        serde_json::from_str::<budgets::Status>(&to_json(&status)).unwrap(),
+        status
+    );
+    let table = status.to_table();
+    assert!(
+        table.contains("9000 in floors, 91000 not granted") && table.contains("and 1 more"),
+        "{table}"
+    );
+    assert!(
+        table.contains("and 2 budgets more") && table.contains("in 1000 ms"),
+        "{table}"
+    );
+}
--- a/rehearse/src/fleet.rs
+++ b/rehearse/src/fleet.rs
@@ -388,7 +388,7 @@
 
     /// What a proxy tells operators of what all spend together.
     pub fn budgets(&self, n: usize) -> io::Result<budgets::Status> {
-        ask_budgets(self.process(n)?.admin)
+        Ok(ask_budgets(self.process(n)?.admin)?)
     }
 
     /// The file in which a proxy keeps what neighbours told.
@@ -403,7 +403,7 @@
 
     /// What a proxy tells operators of its copies.
     pub fn status(&self, n: usize) -> io::Result<Status> {
-        ask_status(self.process(n)?.admin)
+        Ok(ask_status(self.process(n)?.admin)?)
     }
 
     /// Whether all proxies that run have the same entries, all of them on their disks and none short of copies.
--- a/rehearse/src/scale/daemons/real.rs
+++ b/rehearse/src/scale/daemons/real.rs
@@ -168,7 +168,7 @@
     /// # Errors
     /// Where it can't be asked.
     pub fn status(&self, daemon: usize) -> io::Result<Status> {
-        ask(self.processes[daemon].admin)
+        Ok(ask(self.processes[daemon].admin)?)
     }
 
     /// The number of a daemon's process among those of its name. One that began without a disk has that of its log.
