--- a/daemon/src/config/error.rs
+++ b/daemon/src/config/error.rs
@@ -1,6 +1,7 @@
 //! Why a configuration is rejected.
 
 use crate::interconnect::InterconnectError;
+use linnetknot::SettingsError;
 use std::io;
 
 /// A fault in the configuration. Every message names the key at fault, or the file that can't be read.
@@ -42,9 +43,12 @@
     /// A field is missing or has the wrong type: the message of the reader of settings, which names it.
     #[error("{0}")]
     Field(String),
-    /// A fault in `settings`.
+    /// A field of `settings` is missing or has the wrong type.
     #[error("settings: {0}")]
     Settings(String),
+    /// The fields of `settings` contradict each other.
+    #[error("settings: {0}")]
+    Contradiction(#[from] SettingsError),
     /// A fault in `known`.
     #[error("known: {0}")]
     Known(String),
--- a/daemon/src/config/read.rs
+++ b/daemon/src/config/read.rs
@@ -5,7 +5,7 @@
 use crate::interconnect::PeerAddresses;
 use crate::limits::Limits;
 use linnetknot::Settings;
-use linnetknot_discovery::Answer;
+use linnetknot_discovery::ReceivedList;
 use linnetknot_settings::{
     get, int_or, list, object, settings, text, text_or, wrong, Fields, Result as FieldResult,
 };
@@ -46,13 +46,11 @@
 }
 
 fn read_settings(fields: &Fields) -> Result<Settings, ConfigError> {
-    let mut settings = settings(fields).map_err(|e| ConfigError::Settings(e.to_string()))?;
+    let mut settings = settings(fields).map_err(ConfigError::Settings)?;
     // Caches drop what was purged by themselves, each time limit on sockets being that much longer: until then a
     // response of unknown age is not used.
     settings.rules.purge_done_us += SOCKET_SLACK_US;
-    settings
-        .check()
-        .map_err(|e| ConfigError::Settings(e.to_string()))?;
+    settings.check()?;
     Ok(settings)
 }
 
@@ -139,7 +137,7 @@
             .collect::<FieldResult<_>>()?;
         // From the bus, an event that can't be read is skipped; here it is a fault of the configuration.
         for event in &events {
-            if let Some(News::List(Answer { unreadable, .. })) = &event.news {
+            if let Some(News::List(ReceivedList { unreadable, .. })) = &event.news {
                 if let Some(fault) = unreadable.first() {
                     return Err(fault.clone());
                 }
--- a/daemon/src/interconnect/consul/file.rs
+++ b/daemon/src/interconnect/consul/file.rs
@@ -174,8 +174,8 @@
             half_life_s: d.half_life_us as f64 / 1e6,
             suppress: d.suppress,
             reuse: d.reuse,
-            most_suppressed_s: d.most_us as f64 / 1e6,
-            most_share: d.most_share,
+            most_suppressed_s: d.max_suppressed_us as f64 / 1e6,
+            most_share: d.max_suppressed_share,
         }
     }
 }
--- a/daemon/src/interconnect/consul/validation.rs
+++ b/daemon/src/interconnect/consul/validation.rs
@@ -74,11 +74,11 @@
             tags: self.tags.clone(),
             filter: self.filter.clone(),
             consistency: self.consistency.into(),
-            most_stale_us: self.most_stale_ms.saturating_mul(1000),
-            wait_us: range("consul.wait_s", self.wait_s, 1, 600)? * 1_000_000,
-            answer_us: range("consul.answer_ms", self.answer_ms, 50, 60_000)? * 1000,
+            max_stale_us: self.most_stale_ms.saturating_mul(1000),
+            blocking_wait_us: range("consul.wait_s", self.wait_s, 1, 600)? * 1_000_000,
+            response_timeout_us: range("consul.answer_ms", self.answer_ms, 50, 60_000)? * 1000,
             agents,
-            least_share: range("consul.least_share", self.least_share, 0.0, 1.0)?,
+            min_share: range("consul.least_share", self.least_share, 0.0, 1.0)?,
             ..Options::default()
         };
         if self.datacenters.is_empty() {
@@ -156,14 +156,14 @@
             half_life_us: seconds("consul.damping.half_life_s", self.half_life_s)?,
             suppress: self.suppress,
             reuse: self.reuse,
-            most_us: seconds("consul.damping.most_suppressed_s", self.most_suppressed_s)?,
-            most_share: self.most_share,
+            max_suppressed_us: seconds("consul.damping.most_suppressed_s", self.most_suppressed_s)?,
+            max_suppressed_share: self.most_share,
         };
         damping
             .check()
-            .map_err(|(figure, reason)| InterconnectError::Damping {
-                key: Self::key(figure),
-                reason,
+            .map_err(|source| InterconnectError::Damping {
+                key: Self::key(source.key()),
+                source,
             })?;
         Ok(damping)
     }
@@ -195,10 +195,10 @@
             tags: self.tags.clone(),
             meta: self.meta.clone(),
             ttl_us: range("consul.register.ttl_s", self.ttl_s, 1, 3600)? * 1_000_000,
-            drop_after_us: self
+            deregister_after_us: self
                 .drop_after_s
                 .map(|seconds| seconds.saturating_mul(1_000_000)),
-            answer_us: REGISTRATION_TIMEOUT_US,
+            response_timeout_us: REGISTRATION_TIMEOUT_US,
             agents,
         };
         Ok(Registration {
--- a/daemon/src/interconnect/error.rs
+++ b/daemon/src/interconnect/error.rs
@@ -1,6 +1,7 @@
 //! Why the operators' own file is rejected.
 
 use linnetknot_budgets::spec::LimitTooSmall;
+use linnetknot_discovery::DampingError;
 use linnetknot_purges::BucketBitsError;
 use std::fmt::Display;
 
@@ -58,12 +59,12 @@
         zones: Vec<String>,
     },
     /// The figures of the damping contradict each other.
-    #[error("consul.damping.{key} {reason}")]
+    #[error("consul.damping.{key} {source}")]
     Damping {
         /// The key within `consul.damping`.
         key: String,
         /// What is wrong with it.
-        reason: &'static str,
+        source: DampingError,
     },
     /// Replication is on, and there is no file to store its purges in.
     #[error("peers.copies: 'cdni.purges' names no file to keep them in")]
--- a/daemon/src/limits/mod.rs
+++ b/daemon/src/limits/mod.rs
@@ -5,7 +5,7 @@
 use crate::front::cdni::triggers;
 use crate::interconnect::Copies;
 use linnetknot::Settings;
-use linnetknot_discovery::Bounds as DiscoveryBounds;
+use linnetknot_discovery::Limits as DiscoveryLimits;
 use linnetknot_replication::Options as ReplicationOptions;
 
 /// Bounds on what the daemon holds and waits for. Times in microseconds.
@@ -239,10 +239,10 @@
     }
 
     /// The bounds of the table of endpoints.
-    pub fn members(&self) -> DiscoveryBounds {
-        DiscoveryBounds {
-            boxes: self.boxes,
-            remembered: self.gone_boxes,
+    pub fn members(&self) -> DiscoveryLimits {
+        DiscoveryLimits {
+            max_caches: self.boxes,
+            max_remembered: self.gone_boxes,
         }
     }
 
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -2,11 +2,12 @@
 
 use clap::{Parser, Subcommand};
 use linnetknot_daemon::config::{self, Config, ConfigError};
-use linnetknot_daemon::daemon::Daemon;
+use linnetknot_daemon::daemon::{Daemon, StartError};
 use linnetknot_daemon::fleet::{self, StatusError};
 use linnetknot_daemon::interconnect::{self, LogForm};
 use linnetknot_daemon::{budgets, logging};
 use serde::Serialize;
+use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -68,9 +69,9 @@
     #[error(transparent)]
     Config(#[from] ConfigError),
     #[error("could not start: {0}")]
-    Start(String),
+    Start(#[from] StartError),
     #[error("the event loop failed: {0}")]
-    EventLoop(String),
+    EventLoop(#[from] io::Error),
 }
 
 fn serve() -> Result<(), ServeError> {
@@ -83,11 +84,9 @@
             .as_ref()
             .map_or(LogForm::default(), |config| config.log),
     );
-    let mut daemon = Daemon::start(config?, Box::new(Config::from_env))
-        .map_err(|e| ServeError::Start(e.to_string()))?;
-    daemon
-        .run()
-        .map_err(|e| ServeError::EventLoop(e.to_string()))
+    let mut daemon = Daemon::start(config?, Box::new(Config::from_env))?;
+    daemon.run()?;
+    Ok(())
 }
 
 /// Serves until SIGTERM, or until what must not fail has failed.
--- a/discovery/tests/common/mod.rs
+++ b/discovery/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! What the tests of the book share: boxes, and the list as the decision module comes to see it.
-#![allow(dead_code)]
+//! What the tests of the endpoint table share: caches, and the list as the decision module comes to see it.
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use linnetknot::{ListMode, Micros, Server, State};
 use linnetknot_discovery::{
-    server_id, Bounds, Damping, Discovery, Entry, Evidence, Output, Reason, Report, Source,
-    SourceId,
+    server_id, Damping, EndpointTable, Entry, Evidence, Limits, ListEvent, Reason, Report, Source,
+    SourceId, TableUpdate,
 };
 use std::collections::BTreeMap;
 
@@ -32,7 +32,7 @@
 
 pub(crate) fn report(uid: &str, port: u16, state: State) -> Report {
     let reason = if state == State::Ready {
-        Reason::Told
+        Reason::Reported
     } else {
         Reason::Check("c".into())
     };
@@ -50,26 +50,26 @@
     }
 }
 
-/// A book with a relayed bus and a damped Consul.
-pub(crate) fn book() -> Discovery {
+/// A table with a relayed bus and a damped Consul.
+pub(crate) fn table() -> EndpointTable {
     let sources = vec![source("bus", true), source("consul", false)];
-    Discovery::new(
+    EndpointTable::new(
         sources,
         Damping::default(),
-        Bounds {
-            boxes: 100,
-            remembered: 8,
+        Limits {
+            max_caches: 100,
+            max_remembered: 8,
         },
     )
 }
 
-/// The list as the module holds it, from the events alone.
+/// The list as the module has it, from the events alone.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Mirror(pub BTreeMap<String, Entry>);
 
 impl Mirror {
-    pub(crate) fn hear(&mut self, out: &Output) {
-        for (mode, entries) in &out.events {
+    pub(crate) fn apply(&mut self, out: &TableUpdate) {
+        for ListEvent { mode, entries } in &out.events {
             if *mode == ListMode::Full {
                 self.0
                     .retain(|uid, _| entries.iter().any(|e| e.uid == *uid));
--- /dev/null
+++ b/src/router/outcomes.rs
@@ -0,0 +1,206 @@
+//! The end of an attempt: what it says of servers, source, link and origin, and what becomes of its request.
+
+use super::faults::Fault;
+use super::state::{Attempt, FirstRun};
+use super::Router;
+use crate::interface::{Action, Micros, Note, Outcome, RequestId, ServerId};
+
+/// What a proxy tells of the end of an attempt.
+pub(super) struct AttemptReport {
+    pub(super) request: RequestId,
+    /// Number of the attempt.
+    pub(super) attempt: u32,
+    pub(super) outcome: Outcome,
+    pub(super) took_us: Micros,
+    /// The request has its final answer.
+    pub(super) settled: bool,
+    pub(super) note: Note,
+    pub(super) waited_us: Micros,
+}
+
+/// An attempt that has ended, with what follows from the state at that time.
+pub(super) struct AttemptEnd {
+    pub(super) now: Micros,
+    pub(super) request: RequestId,
+    pub(super) attempt: Attempt,
+    pub(super) outcome: Outcome,
+    pub(super) note: Note,
+    pub(super) took_us: Micros,
+    pub(super) waited_us: Micros,
+    /// The request's class, as a place in the settings.
+    pub(super) class: usize,
+    pub(super) transfer_s: f64,
+    pub(super) size_known: bool,
+    /// What its time is compared with.
+    pub(super) expected_s: f64,
+    /// It was cancelled as stuck though its server answered others meanwhile. Only this answer may be lost: the work
+    /// ran, and the copy is there by now.
+    pub(super) slow: bool,
+    /// That happened for the first time, so the same server is asked again.
+    pub(super) retry_same_server: bool,
+    /// It was cancelled as stuck, and its source answered nobody meanwhile.
+    pub(super) silent_source: Option<ServerId>,
+    /// Whether the note tells of the origin. A parent that is lost does not: the others must go on asking it.
+    pub(super) tells_of_origin: bool,
+    /// Nothing came back within the latency objective, though cache and source are healthy: an origin that is asked
+    /// for more than it can do shows that first, and many routers see nothing else of it.
+    pub(super) origin_unanswered: bool,
+    /// The server that failed this request first without a reason, unless it is the one of this attempt.
+    pub(super) first_failed_server: Option<ServerId>,
+}
+
+impl AttemptEnd {
+    pub(super) fn took_s(&self) -> f64 {
+        self.took_us as f64 / 1e6
+    }
+
+    /// Whether the cache answered from its own copy.
+    pub(super) fn is_hit(&self) -> bool {
+        self.outcome == Outcome::Ok && matches!(self.note, Note::Hit | Note::Stale)
+    }
+
+    /// Whether the note blames the source.
+    pub(super) fn source_blamed(&self) -> bool {
+        matches!(
+            self.note,
+            Note::SourceRefused | Note::SourceLost | Note::OriginFailed
+        )
+    }
+
+    /// Whether the request may have run at the server.
+    fn may_have_run(&self) -> bool {
+        !matches!(
+            self.outcome,
+            Outcome::Full
+                | Outcome::ConnectFailed
+                | Outcome::Unreached
+                | Outcome::Moot
+                | Outcome::Miss
+        )
+    }
+}
+
+impl Router {
+    /// Learns from the end of an attempt, and sends its request on if it has no final answer yet.
+    pub(super) fn attempt_ended(
+        &mut self,
+        now: Micros,
+        report: &AttemptReport,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(mut end) = self.take_attempt(now, report) else {
+            return;
+        };
+        self.learn_unknown_size(&end);
+        self.learn_hit_pace(&end);
+        self.release(&end.attempt);
+        self.learn_link_pace(&end);
+        self.learn_of_origin(&end);
+        let fault = self.assign_fault(&end);
+        self.record_outcome(&mut end, &fault);
+        let open = self.requests.get(&report.request);
+        if report.settled || open.is_some_and(|open| open.client_left) {
+            self.requests.remove(&report.request);
+            return;
+        }
+        self.note_failure(&end, &fault);
+        self.route(now, report.request, actions);
+    }
+
+    /// Takes an attempt out of its request; none if it is not the one in flight.
+    fn take_attempt(&mut self, now: Micros, report: &AttemptReport) -> Option<AttemptEnd> {
+        let expected_s = self.expected_s(self.requests.get(&report.request)?);
+        let open = self.requests.get_mut(&report.request)?;
+        let is_reported = |attempt: &mut Attempt| attempt.number == report.attempt;
+        let attempt = open.in_flight.take_if(is_reported)?;
+        open.stuck += u32::from(attempt.stuck);
+        let open = self.requests.get(&report.request)?;
+        let (server, source) = (attempt.server, attempt.source);
+        let answered = |id: ServerId| {
+            let server = self.endpoints.get(&id);
+            server.is_some_and(|server| server.last_success > attempt.sent_at)
+        };
+        let slow = attempt.stuck && answered(server);
+        let objective_us = self.settings.classes[open.class].objective_us;
+        let unanswered = matches!(report.outcome, Outcome::Timeout | Outcome::Cancelled)
+            && report.took_us > objective_us.max(1);
+        let both_healthy =
+            answered(server) && source.is_none_or(|id| answered(id) || self.is_healthy(id, now));
+        Some(AttemptEnd {
+            now,
+            request: report.request,
+            outcome: report.outcome,
+            note: report.note,
+            took_us: report.took_us,
+            waited_us: report.waited_us,
+            class: open.class,
+            transfer_s: open.transfer_s,
+            size_known: open.size_known,
+            expected_s,
+            slow,
+            retry_same_server: slow && open.stuck == 1,
+            silent_source: source.filter(|id| attempt.stuck && !answered(*id)),
+            tells_of_origin: source
+                .is_some_and(|id| report.note != Note::SourceLost || answered(id)),
+            origin_unanswered: attempt.may_reach_origin && unanswered && both_healthy,
+            first_failed_server: open.first_failed_server.filter(|id| *id != server),
+            attempt,
+        })
+    }
+
+    /// An attempt is no longer in flight. However it ended, a trial is over: left open by what judges nobody, it would
+    /// bar the server.
+    fn release(&mut self, attempt: &Attempt) {
+        if let Some(server) = self.endpoints.get_mut(&attempt.server) {
+            server.in_flight = server.in_flight.saturating_sub(1);
+        }
+        for id in [Some(attempt.server), attempt.source].into_iter().flatten() {
+            if let Some(server) = self.endpoints.get_mut(&id) {
+                server.trial_in_flight = false;
+            }
+        }
+    }
+
+    /// Notes on a request what must not be tried again.
+    fn note_failure(&mut self, end: &AttemptEnd, fault: &Fault) {
+        let source_ejected = end.outcome == Outcome::Cancelled
+            && end
+                .attempt
+                .source
+                .is_some_and(|id| !self.is_healthy(id, end.now));
+        let by_source =
+            fault.is_source() || source_ejected && self.is_healthy(end.attempt.server, end.now);
+        let server = self.endpoints.get(&end.attempt.server);
+        let run = FirstRun {
+            sent_at: end.attempt.sent_at,
+            zone: server.map_or(usize::MAX, |server| server.zone),
+            cell: server.map_or(u64::MAX, |server| server.cell),
+        };
+        let write = self.settings.classes[end.class].write;
+        let Some(open) = self.requests.get_mut(&end.request) else {
+            return;
+        };
+        if end.may_have_run() {
+            open.may_have_run = open.may_have_run.or(Some(run));
+        }
+        open.excluded_sources.extend(end.silent_source);
+        if end.outcome == Outcome::Error && matches!(fault, Fault::Server) {
+            open.unexplained_errors += 1;
+            open.first_failed_server = open.first_failed_server.or(end.first_failed_server);
+        }
+        open.failed_fills += match fault {
+            // It may be the origin's behind the source: another fill would only add to its load.
+            Fault::Shared { .. } => 2,
+            _ => u32::from(by_source || end.silent_source.is_some()),
+        };
+        let looked_into = end.outcome == Outcome::Miss;
+        if by_source || looked_into || end.note == Note::SourceLacks {
+            // What two parents lack hardly any other holds, and the cache has just been looked into.
+            open.known_miss |= looked_into;
+            open.failed_fills += u32::from(looked_into && end.attempt.fills_from_upstream);
+            open.excluded_sources.extend(end.attempt.source);
+        } else if !write && !end.retry_same_server {
+            open.tried_servers.push(end.attempt.server);
+        }
+    }
+}
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,6 +1,7 @@
 //! Settings, lists and requests for the tests of the module.
 #![allow(dead_code)]
 
+pub(crate) mod trace;
 pub(crate) mod world;
 
 use linnetknot::*;
@@ -13,11 +14,11 @@
 pub(crate) fn class(name: &str) -> Class {
     Class {
         name: name.into(),
-        aim_us: 500 * MS,
-        aim_stretch: 1.5,
+        objective_us: 500 * MS,
+        objective_stretch: 1.5,
         deadline_us: 5 * S,
-        worth: 1.0,
-        late_worth: 0.1,
+        priority_weight: 1.0,
+        late_weight: 0.1,
         repeat: Repeat::Safe,
         scope: DedupScope::All,
         window_us: 2 * S,
@@ -26,7 +27,47 @@
         write: false,
         fresh_us: 0,
         grace_us: 0,
-        stale_worth: 0.5,
+        stale_weight: 0.5,
+    }
+}
+
+fn classes() -> Vec<Class> {
+    vec![
+        class("video"),
+        Class {
+            fresh_us: 10 * S,
+            ..class("page")
+        },
+        Class {
+            repeat: Repeat::Keyed,
+            write: true,
+            ..class("order")
+        },
+        Class {
+            repeat: Repeat::Unsafe,
+            write: true,
+            ..class("charge")
+        },
+        Class {
+            streaming: true,
+            ..class("stream")
+        },
+    ]
+}
+
+fn rules() -> Rules {
+    Rules {
+        drain_grace_us: S,
+        slow_start_share: 0.2,
+        slow_start_us: 10 * S,
+        overload_multiple: 3.0,
+        fall_us: S,
+        parent_slow_start_share: 0.1,
+        parent_slow_start_us: 20 * S,
+        parent_overload_multiple: 2.0,
+        purge_grace_us: 500 * MS,
+        purge_done_us: 6 * S,
+        ask_within_us: 0,
     }
 }
 
@@ -38,27 +79,7 @@
         link_kb_per_s,
     };
     Settings {
-        classes: vec![
-            class("video"),
-            Class {
-                fresh_us: 10 * S,
-                ..class("page")
-            },
-            Class {
-                repeat: Repeat::Keyed,
-                write: true,
-                ..class("order")
-            },
-            Class {
-                repeat: Repeat::Unsafe,
-                write: true,
-                ..class("charge")
-            },
-            Class {
-                streaming: true,
-                ..class("stream")
-            },
-        ],
+        classes: classes(),
         tenants: vec![],
         zones: vec![
             zone("hub", 0, 0.0),
@@ -69,34 +90,22 @@
         rank: None,
         parent_kind: Some("parent".into()),
         origin_kind: "origin".into(),
-        ask_for_list: false,
+        polls_list: false,
         direct: true,
-        joins: true,
+        joins_fills: true,
         siblings: Siblings::Off,
-        tells: Tells::All,
+        answer_detail: AnswerDetail::All,
         reports: Reports::Off,
-        weights_told: true,
+        weights_known: true,
         flow_kb_per_s: 5_000.0,
         max_attempts: 6,
-        second_copies: false,
+        hedged_requests: false,
         cancel: true,
         probes: false,
         retry_after: true,
         max_retry_after_us: S,
-        origin_fall_multiple: 2.5,
-        rules: Rules {
-            drain_grace_us: S,
-            cold_share: 0.2,
-            cold_us: 10 * S,
-            fall_multiple: 3.0,
-            fall_us: S,
-            parent_cold_share: 0.1,
-            parent_cold_us: 20 * S,
-            parent_fall_multiple: 2.0,
-            purge_grace_us: 500 * MS,
-            purge_done_us: 6 * S,
-            ask_within_us: 0,
-        },
+        origin_overload_multiple: 2.5,
+        rules: rules(),
     }
 }
 
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -24,14 +24,14 @@
         });
         s.siblings = Siblings::Location;
         s.reports = Reports::Answers;
-        s.second_copies = true;
+        s.hedged_requests = true;
         s.direct = true;
         s.max_retry_after_us = 500 * MS;
         s.rules.drain_grace_us = 500 * MS;
-        s.rules.fall_multiple = 4.0;
+        s.rules.overload_multiple = 4.0;
         s.rules.fall_us = 2 * S;
-        s.rules.cold_share = 0.15;
-        s.rules.cold_us = 18 * S;
+        s.rules.slow_start_share = 0.15;
+        s.rules.slow_start_us = 18 * S;
     });
     w.link_fits = LINK;
     w.fill_timeout_us = 1_500 * MS;
@@ -54,12 +54,15 @@
     [12, 16, 20, 23, 27, 30]
         .into_iter()
         .for_each(|s| w.call(s * S, s));
-    w.run(50 * S, |w, heed| {
+    w.run(50 * S, |w, notify| {
         let now = w.now;
         let vanish = |w: &mut World, n: usize| {
-            w.boxes.get_mut(&PARENTS[n]).expect("it is there").vanished = true;
+            w.servers
+                .get_mut(&PARENTS[n])
+                .expect("it is there")
+                .vanished = true;
         };
-        match heed {
+        match notify {
             Heed::Call(12) => w.origin_per_s = 200.0,
             Heed::Call(16) => vanish(w, 0),
             Heed::Call(20) => vanish(w, 1),
@@ -76,7 +79,7 @@
 }
 
 /// With no hub cache that is well, a proxy that went on naming dead ones, or refused for want of room at one that is
-/// back cold, would turn away all that its boxes lack, though the origin has places.
+/// back cold, would turn away all that its caches lack, though the origin has places.
 #[test]
 fn with_all_hub_caches_lost_the_origin_fills_what_it_can_give_in_time() {
     let w = parents_lost();
@@ -99,29 +102,29 @@
         4 * late < all,
         "{late} of {all} lost while both were found out"
     );
-    let pushed = PARENTS.map(|p| w.boxes[&p].pushed_most);
+    let recent_work = PARENTS.map(|p| w.servers[&p].max_overload);
     assert!(
-        pushed.iter().all(|p| *p < 0.9),
-        "{pushed:?} of what makes a cold hub cache fall"
+        recent_work.iter().all(|p| *p < 0.9),
+        "{recent_work:?} of what makes a cold hub cache fall"
     );
 }
 
-/// A location's boxes vanish at 6 s and are back, cold and empty, at 14 s. Five seconds after that nothing is turned
+/// A location's caches vanish at 6 s and are back, cold and empty, at 14 s. Five seconds after that nothing is turned
 /// away that its link could have brought.
 #[test]
 fn a_location_that_is_back_cold_refuses_nothing_five_seconds_later() {
     let mut w = second();
     [6, 10, 14].into_iter().for_each(|s| w.call(s * S, s));
-    w.run(40 * S, |w, heed| {
+    w.run(40 * S, |w, notify| {
         let zone: Vec<ServerId> = (10..14).collect();
         let word = |w: &World, state| {
             zone.iter()
                 .map(|id| w.entry(*id, state))
                 .collect::<Vec<_>>()
         };
-        match heed {
+        match notify {
             Heed::Call(6) => w
-                .boxes
+                .servers
                 .values_mut()
                 .filter(|b| b.zone == 1)
                 .for_each(|b| b.vanished = true),
@@ -139,8 +142,11 @@
         100 * refused < all,
         "{refused} of {all} turned away from five seconds after the return on"
     );
-    let pushed = (10..14)
-        .map(|id| w.boxes[&id].pushed_most)
+    let recent_work = (10..14)
+        .map(|id| w.servers[&id].max_overload)
         .fold(0.0, f64::max);
-    assert!(pushed < 0.9, "{pushed} of what makes a cold box fall");
+    assert!(
+        recent_work < 0.9,
+        "{recent_work} of what makes a cold box fall"
+    );
 }
