--- a/daemon/tests/fleet_status.rs
+++ b/daemon/tests/fleet_status.rs
@@ -68,6 +68,37 @@
     assert!(matches!(ask(admin), Err(StatusError::Endless)));
 }
 
+/// Tools of operators read these keys.
+#[test]
+fn the_status_of_the_fleet_keeps_its_keys() {
+    let mut status = status(1, 1);
+    status.store_error = Some("reason".into());
+    let json = serde_json::json!({
+        "name": "p0", "machine": "m0", "life": "5", "wait": 1, "holders": 2, "end": 9, "on_disk": 8, "entries": 7,
+        "compacted": 5, "table_bytes": 4_194_304, "store_error": "reason", "catching_up": true, "digest": "00",
+        "waiting": 1, "short": 3, "promised": 4, "refused": 2, "up": 3, "replaced": false,
+        "peers": [{
+            "address": "255.255.255.200:65535", "machine": "machine-of-a-long-name",
+            "name": "a-proxy-of-quite-a-long-name", "standing": "suspect", "life": "ffffffffffffff",
+            "held": u64::MAX / 3, "behind": u64::MAX / 3,
+        }],
+        "peers_in_all": 6,
+        "logs": [{
+            "writer": "ffffffffffffffff", "life": "ffffffffffffff", "own": true, "end": u64::MAX / 3,
+            "on_disk": u64::MAX / 3,
+        }],
+        "logs_in_all": 1,
+    });
+    assert_eq!(serde_json::to_value(&status).unwrap(), json);
+    // A proxy of an earlier version leaves some out.
+    let mut earlier = json;
+    for key in ["compacted", "table_bytes", "store_error", "catching_up"] {
+        earlier.as_object_mut().unwrap().remove(key);
+    }
+    let read: Status = serde_json::from_value(earlier).unwrap();
+    assert_eq!((read.compacted, read.store_error), (0, None));
+}
+
 #[test]
 fn the_longest_answer_fits_the_admins_ring_and_is_read_again() {
     let longest = status(MAX_PEERS, MAX_LOGS);
