--- a/daemon/src/daemon/reload.rs
+++ b/daemon/src/daemon/reload.rs
@@ -59,9 +59,10 @@
 
     /// Follows a changed list of peers.
     fn reload_peers(&mut self, new: &Config) {
-        let (Some((_, known)), Some((_, peers))) = (&mut self.peers, &new.peers) else {
+        let (Some((_, known)), Some(new)) = (&mut self.peers, &new.peers) else {
             return;
         };
+        let peers = &new.all;
         known.clone_from(peers);
         if let Some(health) = &mut self.origin_health {
             health.retain_peers(|peer| peers.contains(peer));
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -168,13 +168,16 @@
     /// The configuration can't be followed on this machine.
     pub fn start(mut config: Config, source: Source) -> Result<Self, StartError> {
         let parts = Parts::set_up(&config)?;
-        let (last_event, known) = std::mem::take(&mut config.known);
+        let known = std::mem::take(&mut config.known);
         let mut daemon = Daemon::assemble(config, source, parts);
         daemon.index_peers();
         let now = daemon.clock.now();
         daemon.restore_purges(now);
-        known.into_iter().for_each(|event| daemon.news(now, event));
-        daemon.bus.last = last_event;
+        known
+            .events
+            .into_iter()
+            .for_each(|event| daemon.news(now, event));
+        daemon.bus.last = known.offset;
         daemon.know_machines();
         daemon.join_fleet(now);
         daemon
--- a/daemon/src/daemon/startup/sockets.rs
+++ b/daemon/src/daemon/startup/sockets.rs
@@ -110,9 +110,10 @@
     poll: &Poll,
 ) -> Result<Option<(UdpSocket, Vec<SocketAddr>)>, StartError> {
     let talks = config.cdni.is_some() || config.tell;
-    let Some((address, peers)) = config.peers.clone().filter(|_| talks) else {
+    let Some(peers) = config.peers.as_ref().filter(|_| talks) else {
         return Ok(None);
     };
+    let address = peers.own;
     let socket = bind_shared_udp(address).map_err(|source| StartError::Bind {
         key: "peer_listen",
         address,
@@ -123,5 +124,5 @@
         .map_err(kernel("peer_listen"))?;
     poll.add_at_start(&socket, PEERS)
         .map_err(watching("peer_listen"))?;
-    Ok(Some((socket, peers)))
+    Ok(Some((socket, peers.all.clone())))
 }
