--- a/rehearse/src/scale/command.rs
+++ b/rehearse/src/scale/command.rs
@@ -1,12 +1,12 @@
 //! The command line of `scale`.
 
 use crate::scale::fault::Fault;
-use crate::scale::hollow::config::Without;
-use crate::scale::hollow::FleetConfig;
+use crate::scale::fleet_config::FleetConfig;
 use crate::scale::memory::{self, Held};
 use crate::scale::prefill;
 use crate::scale::report::Report;
-use crate::scale::simulation::{play, Run};
+use crate::scale::run::{Run, Without};
+use crate::scale::simulation::play;
 use crate::scale::slopes;
 use crate::scale::target::Target;
 use clap::{value_parser, Args};
--- a/rehearse/src/scale/daemons/host.rs
+++ b/rehearse/src/scale/daemons/host.rs
@@ -4,18 +4,17 @@
 //! as any datagram, and handed over within the process: it would cost the system's time and no daemon's.
 
 use super::acks::PurgeAcks;
-use super::kind::Kind;
 use super::sockets::MemberSockets;
-use crate::scale::hollow::{
-    DiskContents, FleetConfig, HollowMember, MemberEvent, Outgoing, Refusal,
-};
-use crate::scale::network::HEADER_BYTES;
+use super::timers::Timers;
+use super::traffic::Traffic;
+use crate::scale::fleet_config::FleetConfig;
+use crate::scale::hollow::{DiskContents, HollowMember, MemberEvent, Outgoing, Refusal};
 use crate::scale::purge_number::PurgeNumber;
 use hdrhistogram::Histogram;
 use linnetknot_daemon::net::Clock;
 use linnetknot_replication::{Datagram, Index, Writer, MAX_DATAGRAM_BYTES};
 use linnetknot_simnet::{member_at, peer_index, Micros};
-use std::collections::{BTreeSet, VecDeque};
+use std::collections::VecDeque;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -30,43 +29,6 @@
 const MAX_INTRODUCTIONS: usize = 64;
 const INTRODUCTION_PAUSE_US: Micros = 20_000;
 
-/// What went between one daemon and all hollow members, as the daemon sees it.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Traffic {
-    /// Datagrams that it was sent.
-    pub datagrams_in: u64,
-    /// Their bytes, with headers.
-    pub bytes_in: u64,
-    /// Datagrams that it sent.
-    pub datagrams_out: u64,
-    /// Their bytes, with headers.
-    pub bytes_out: u64,
-    /// Datagrams for it that this machine did not take.
-    pub unsent: u64,
-    /// The bytes of both directions by kind, in the order of `Kind::ALL`.
-    pub bytes_by_kind: [u64; Kind::ALL.len()],
-}
-
-impl Traffic {
-    /// It was sent a datagram.
-    fn received(&mut self, bytes: &[u8]) {
-        self.datagrams_in += 1;
-        self.bytes_in += self.count_kind(bytes);
-    }
-
-    /// It sent a datagram.
-    fn sent(&mut self, bytes: &[u8]) {
-        self.datagrams_out += 1;
-        self.bytes_out += self.count_kind(bytes);
-    }
-
-    fn count_kind(&mut self, bytes: &[u8]) -> u64 {
-        let with_headers = bytes.len() as u64 + HEADER_BYTES;
-        self.bytes_by_kind[Kind::of(bytes) as usize] += with_headers;
-        with_headers
-    }
-}
-
 /// A purge that a hollow member was refused, or can't keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RefusedPurge {
@@ -86,43 +48,6 @@
     bytes: Arc<[u8]>,
 }
 
-/// The timers of all members, by their index.
-struct Timers {
-    queue: BTreeSet<(Micros, usize)>,
-    set: Vec<Option<Micros>>,
-}
-
-impl Timers {
-    fn new(members: usize) -> Self {
-        Timers {
-            queue: BTreeSet::new(),
-            set: vec![None; members],
-        }
-    }
-
-    /// Sets a member's timer. One that comes earlier stays: whoever is woken too early sets it anew.
-    fn set(&mut self, member: usize, at: Micros) {
-        match self.set[member] {
-            Some(old) if old <= at => return,
-            Some(old) => drop(self.queue.remove(&(old, member))),
-            None => {}
-        }
-        self.set[member] = Some(at);
-        self.queue.insert((at, member));
-    }
-
-    fn next(&self) -> Option<Micros> {
-        self.queue.first().map(|(at, _)| *at)
-    }
-
-    fn take_due(&mut self, now: Micros) -> Option<(Micros, usize)> {
-        let (at, member) = *self.queue.first().filter(|(at, _)| *at <= now)?;
-        self.queue.pop_first();
-        self.set[member] = None;
-        Some((at, member))
-    }
-}
-
 /// All hollow members. They have the indexes behind those of the daemons.
 pub struct HollowHost {
     config: Arc<FleetConfig>,
--- a/rehearse/src/scale/daemons/mod.rs
+++ b/rehearse/src/scale/daemons/mod.rs
@@ -17,3 +17,5 @@
 pub mod run;
 pub mod slopes;
 pub mod sockets;
+mod timers;
+pub mod traffic;
--- a/rehearse/src/scale/daemons/real.rs
+++ b/rehearse/src/scale/daemons/real.rs
@@ -3,7 +3,7 @@
 use super::proc_stat::{self, ProcessStat};
 use crate::fleet::{free_ports, trigger_at};
 use crate::process::Process;
-use crate::scale::hollow::config::{MemberName, SharedBudget};
+use crate::scale::fleet_config::{MemberName, SharedBudget};
 use crate::scale::target::Target;
 use crate::settings;
 use linnetknot_daemon::config::Config;
--- a/rehearse/src/scale/daemons/run.rs
+++ b/rehearse/src/scale/daemons/run.rs
@@ -1,12 +1,13 @@
 //! One run: the fleet comes up, rests, bears its load and settles; what the daemons spent meanwhile.
 
-use super::host::{HollowHost, RefusedPurge, Traffic};
+use super::host::{HollowHost, RefusedPurge};
 use super::proc_stat::{self, ProcessStat};
 use super::purge_plan::{plan, PlannedPurge, ToldDaemon, TriggerClient};
 use super::real::{daemon_addresses, shared_budgets, FleetFiles, RealDaemons};
 use super::sockets::MemberSockets;
-use crate::scale::hollow::config::Without;
-use crate::scale::hollow::FleetConfig;
+use super::traffic::Traffic;
+use crate::scale::fleet_config::FleetConfig;
+use crate::scale::run::Without;
 use crate::scale::target::Target;
 use hdrhistogram::Histogram;
 use linnetknot_simnet::Micros;
--- a/rehearse/src/scale/hollow/config.rs
+++ b/rehearse/src/scale/fleet_config.rs
@@ -1,6 +1,6 @@
-//! What all hollow members of one fleet have in common.
+//! The configuration that all hollow members of one fleet have in common.
 
-use crate::scale::simulation::Run;
+use crate::scale::run::{Run, Without};
 use crate::scale::target::Target;
 use linnetknot_budgets::kinds::{self, Unit};
 use linnetknot_budgets::spec::BudgetSpec;
@@ -14,13 +14,6 @@
 const DESCRIPTORS: usize = 1_024;
 const MEMORY_MB: usize = 256;
 
-/// Parts of the daemon that a trial leaves out, to see what lies behind them.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Without {
-    /// The budgets that all members share.
-    pub budgets: bool,
-}
-
 /// A member's names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberName {
--- a/rehearse/src/scale/hollow/budget_share.rs
+++ b/rehearse/src/scale/hollow/budget_share.rs
@@ -1,7 +1,7 @@
 //! A hollow member's part of what all members spend, as the daemon drives it, with a demand that is drawn.
 
-use super::config::{FleetConfig, SharedBudget};
 use super::outbox::Outbox;
+use crate::scale::fleet_config::{FleetConfig, SharedBudget};
 use linnetknot_budgets::kinds::Unit;
 use linnetknot_budgets::{wire, Member as Shareholder, MemberProcess, Message, Outgoing};
 use linnetknot_datagram::Random;
--- a/rehearse/src/scale/hollow/mod.rs
+++ b/rehearse/src/scale/hollow/mod.rs
@@ -4,16 +4,20 @@
 //! (`tick`, when it is `due`) and purges, and sends what it has to send (`take_outgoing`): on virtual time, or on sockets.
 
 mod budget_share;
-pub mod config;
 mod disk;
+mod event;
+mod inspection;
 mod outbox;
 mod purge_log;
 
-pub use config::FleetConfig;
+pub use event::{MemberEvent, Refusal};
+pub use inspection::{LogEnd, StateSize};
 pub use outbox::Outgoing;
 pub use purge_log::DiskContents;
 
+use crate::scale::fleet_config::{FleetConfig, MemberName};
 use crate::scale::purge_number::{object, purge_of, PurgeNumber};
+use crate::scale::run::Defect;
 use budget_share::BudgetShare;
 use linnetknot_daemon::peers::{self, Purge};
 use linnetknot_daemon::plain_purges::{PlainPurges, Treatment};
@@ -22,99 +26,13 @@
     Body, Membership, Message, Options as MembershipOptions, Sender, Standing,
 };
 use linnetknot_origin_health::{OriginHealth, ZonePlace};
-use linnetknot_replication::{Datagram, Index, LogId};
+use linnetknot_replication::Datagram;
 use linnetknot_simnet::{peer_index, Micros};
 use outbox::Outbox;
 use purge_log::PurgeLog;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 
-/// Why a purge is refused.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Refusal {
-    /// There is no room for one more entry, log or pending commit.
-    Capacity,
-    /// The disk is too far behind, or did not take it.
-    Disk,
-    /// Too few further machines acknowledged it in time.
-    Acknowledgements,
-}
-
-/// What happened at a member.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum MemberEvent {
-    /// A purge is in force here; it may be said again.
-    InForce {
-        /// Which.
-        purge: PurgeNumber,
-    },
-    /// A purge that was told here is committed.
-    Committed {
-        /// Which.
-        purge: PurgeNumber,
-    },
-    /// A purge that was told here is refused.
-    Refused {
-        /// Which.
-        purge: PurgeNumber,
-        /// Why.
-        why: Refusal,
-    },
-    /// A purge that a peer told is in force and can't be kept.
-    NotKept {
-        /// Which.
-        purge: PurgeNumber,
-        /// Why.
-        why: Refusal,
-    },
-    /// A peer is believed to be dead.
-    Died {
-        /// Its place in the list of peers.
-        peer: usize,
-        /// When the process began that is believed to be dead.
-        started: Micros,
-    },
-}
-
-/// A fault that tests plant in a member: the run's verdict must find it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Defect {
-    /// It drops all entries and plain purges that peers send.
-    DropsPurges,
-    /// It spends twice its lease of each budget.
-    SpendsTwice,
-    /// It never compacts its logs.
-    NeverCompacts,
-    /// It drops the buckets that peers send it.
-    DropsSnapshots,
-}
-
-/// How far a log goes.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LogEnd {
-    /// The log.
-    pub log: LogId,
-    /// Its last index.
-    pub index: Index,
-}
-
-/// How much a member holds, by kind of state.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct StateSize {
-    /// Entries in force in all logs.
-    pub entries: usize,
-    /// Logs.
-    pub logs: usize,
-    /// Members of which something is believed.
-    pub claims: usize,
-    /// Commits that wait for acknowledgements.
-    pub pending_commits: usize,
-    /// Entries on their way to the disk.
-    pub disk_queue: usize,
-    /// Bytes of the compact table of older purges.
-    pub table_bytes: usize,
-}
-
 /// A hollow member.
 #[derive(Debug)]
 pub struct HollowMember {
@@ -277,7 +195,7 @@
             .members()
             .iter()
             .zip(self.config.peers_of(self.index));
-        let machine = |(member, peer): (&linnetknot_membership::Member, &config::MemberName)| {
+        let machine = |(member, peer): (&linnetknot_membership::Member, &MemberName)| {
             let said = member.names.as_ref().map(|(_, machine)| machine.as_str());
             server_id(said.unwrap_or(&peer.machine))
         };
@@ -418,74 +336,6 @@
     pub fn take_events(&mut self) -> Vec<MemberEvent> {
         std::mem::take(&mut self.events)
     }
-
-    /// How much it may spend of a budget now.
-    pub fn may_spend(&self, budget: usize, now: Micros) -> u64 {
-        let Some(budgets) = &self.budgets else {
-            return 0;
-        };
-        let amount = budgets.core().lease(now, budget).amount;
-        match self.defect {
-            Some(Defect::SpendsTwice) => 2 * amount,
-            _ => amount,
-        }
-    }
-
-    /// Whether it allocates any budget.
-    pub fn is_allocator(&self, now: Micros) -> bool {
-        let Some(core) = self.budgets.as_ref().map(BudgetShare::core) else {
-            return false;
-        };
-        (0..self.config.budgets.len()).any(|budget| core.leads(now, core.group(budget)))
-    }
-
-    /// Whether no copy of a purge's object from before the purge would be served.
-    pub fn is_in_force(&self, purge: PurgeNumber, at: Micros) -> bool {
-        self.purge_log.is_in_force(purge, at)
-    }
-
-    /// A sum over all its logs: members with the same sum have the same logs.
-    pub fn digest(&self) -> u64 {
-        self.purge_log.replica().log_store().checksum()
-    }
-
-    /// Its logs and how far it has each.
-    pub fn log_ends(&self) -> Vec<LogEnd> {
-        let ends = self.purge_log.replica().log_store().last_indexes();
-        ends.into_iter()
-            .map(|(log, index)| LogEnd { log, index })
-            .collect()
-    }
-
-    /// Whether it has logs up to these places at least.
-    pub fn has_logs(&self, ends: &[LogEnd]) -> bool {
-        let store = self.purge_log.replica().log_store();
-        ends.iter()
-            .all(|end| store.last_index(end.log) >= end.index)
-    }
-
-    /// Whether it has all that it committed before it lost its disk, or has waited for that as long as it may.
-    pub fn has_recovered(&self) -> bool {
-        self.purge_log.has_recovered()
-    }
-
-    /// How much it holds.
-    pub fn state_size(&self) -> StateSize {
-        let store = self.purge_log.replica().log_store();
-        StateSize {
-            entries: store.len(),
-            logs: store.logs(),
-            claims: self
-                .membership
-                .members()
-                .iter()
-                .filter(|member| member.claim.is_some())
-                .count(),
-            pending_commits: self.purge_log.pending_commits(),
-            disk_queue: self.purge_log.disk_queue(),
-            table_bytes: store.table().memory_bytes(),
-        }
-    }
 }
 
 /// Whether a peer is known to replicate logs: one that runs does, as far as membership tells.
--- a/rehearse/src/scale/hollow/purge_log.rs
+++ b/rehearse/src/scale/hollow/purge_log.rs
@@ -1,9 +1,9 @@
 //! A hollow member's replicated logs, as the daemon drives them: purges, their commits, and the disk beside them.
 
-use super::config::FleetConfig;
 use super::disk::{SimulatedDisk, Write};
 use super::outbox::Outbox;
 use super::{MemberEvent, Refusal};
+use crate::scale::fleet_config::FleetConfig;
 use crate::scale::purge_number::{object, purge_of, PurgeNumber};
 use linnetknot_replication::{
     CommitId, CompactedLog, Datagram, DecodeError, Entry, Index, LogId, LogStore, Outgoing,
--- a/rehearse/src/scale/prefill.rs
+++ b/rehearse/src/scale/prefill.rs
@@ -1,10 +1,10 @@
 //! What the members' disks have when a run begins.
 
 use crate::scale::fault::Fault;
-use crate::scale::hollow::config::MemberName;
-use crate::scale::hollow::{DiskContents, FleetConfig};
+use crate::scale::fleet_config::{FleetConfig, MemberName};
+use crate::scale::hollow::DiskContents;
 use crate::scale::purge_number::{object, PurgeNumber};
-use crate::scale::simulation::Run;
+use crate::scale::run::Run;
 use linnetknot_purges::{BucketBits, CompactTable, KeyHash};
 use linnetknot_replication::{Capacity, CompactedLog, LogId, LogStore, Subject};
 use linnetknot_simnet::Micros;
--- a/rehearse/src/scale/simulation/mod.rs
+++ b/rehearse/src/scale/simulation/mod.rs
@@ -2,26 +2,27 @@
 
 mod checks;
 mod faults;
+mod outcome;
+mod purges;
+
+pub use outcome::Outcome;
 
 use crate::scale::delivery::{delays, PurgeTracker};
-use crate::scale::fault::{duration, joiner, schedule, writers, Action, Fault, Window};
-use crate::scale::hollow::config::Without;
-use crate::scale::hollow::{
-    Defect, DiskContents, FleetConfig, HollowMember, LogEnd, MemberEvent, Outgoing, Refusal,
-    StateSize,
-};
+use crate::scale::fault::{duration, joiner, schedule, writers, Action, Window};
+use crate::scale::fleet_config::FleetConfig;
+use crate::scale::hollow::{DiskContents, HollowMember, LogEnd, Outgoing};
 use crate::scale::layout::{Layout, MemberIndex};
 use crate::scale::meter::{processor_time, Meter};
 use crate::scale::network::Network;
 use crate::scale::prefill;
-use crate::scale::target::Target;
-use crate::scale::verdict::{Rule, Verdict};
+use crate::scale::run::Run;
+use crate::scale::verdict::Verdict;
 use hdrhistogram::Histogram;
 use linnetknot_datagram::Random;
 use linnetknot_simnet::{member_at, peer_index, EventQueue, Micros};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 use std::sync::Arc;
-use std::time::{Duration, Instant};
+use std::time::Instant;
 
 const SECOND_US: Micros = 1_000_000;
 
@@ -46,69 +47,6 @@
 /// How often a member that joined is looked at.
 const LOOK_AT_JOINER_US: Micros = SECOND_US / 10;
 
-/// A fault planted in a member, for tests.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Plant {
-    /// In whom.
-    pub member: MemberIndex,
-    /// What.
-    pub defect: Defect,
-}
-
-/// What is run.
-#[derive(Clone, Debug)]
-pub struct Run {
-    /// Members.
-    pub members: usize,
-    /// The same seed gives the same run, but for what clocks say.
-    pub seed: u64,
-    /// Seconds of virtual time that are measured.
-    pub seconds: u64,
-    /// What happens.
-    pub fault: Fault,
-    /// What it is measured against.
-    pub target: Target,
-    /// Parts of the daemon that are left out, in trials.
-    pub without: Without,
-    /// Entries that a member holds exactly; none: as many as the daemon.
-    pub exact_entries: Option<usize>,
-    /// Planted faults; none but in tests.
-    pub plants: Vec<Plant>,
-}
-
-/// What a run came to.
-#[derive(Debug)]
-pub struct Outcome {
-    /// Where the members stood.
-    pub layout: Layout,
-    /// The time in which it was measured.
-    pub window: Window,
-    /// What each member spent while it was measured.
-    pub meters: Vec<Meter>,
-    /// What each member that ran held when the measured time ended.
-    pub states: BTreeMap<MemberIndex, StateSize>,
-    /// Those that allocated a budget at any time.
-    pub allocators: BTreeSet<MemberIndex>,
-    /// Those that started while it was measured.
-    pub starters: BTreeSet<MemberIndex>,
-    /// The purges.
-    pub purges: PurgeTracker,
-    /// From a member's death until each other believed it.
-    pub death_delays: Histogram<u64>,
-    /// Times that a member which ran was believed to be dead.
-    pub false_deaths: u64,
-    /// How long a member that joined took until it had all that was there when it started.
-    pub join_us: Option<Micros>,
-    /// How long it took after the last purge until all connected members had the same logs.
-    pub settling_us: Option<Micros>,
-    /// What is wrong.
-    pub verdict: Verdict,
-    /// Events handled.
-    pub events: u64,
-    /// Real time of the whole run.
-    pub real: Duration,
-}
-
 /// Something that is due.
 #[derive(Debug)]
 enum Event {
@@ -415,61 +353,4 @@
         let place = peer_index(from, to);
         self.drive(to, |member, now| member.receive(place, bytes, now));
     }
-
-    // ---- Purges ----
-
-    /// A client tells a member of a purge, or the next one where that is away.
-    fn tell_purge(&mut self, writer: MemberIndex) {
-        let members = self.nodes.len();
-        let candidates = (0..members).map(|offset| (writer + offset) % members);
-        let Some(writer) = candidates
-            .into_iter()
-            .find(|member| self.nodes[*member].member.is_some())
-        else {
-            return;
-        };
-        let purge = self.purges.tell(writer, self.now);
-        let limit = self.run.target.purge_limit_ms * 1_000;
-        self.queue
-            .schedule(self.now + limit, Event::PurgeDeadline { purge });
-        self.drive(writer, |member, now| member.purge(purge, now));
-    }
-
-    /// Since when a member has been there, and not cut off from another.
-    fn connected_since(&self, member: MemberIndex, from: MemberIndex, told_at: Micros) -> Micros {
-        match self.network.was_cut_since(member, from, told_at) {
-            true => NEVER,
-            false => self.nodes[member].running_since,
-        }
-    }
-
-    fn note(&mut self, member: MemberIndex, event: MemberEvent) {
-        match event {
-            MemberEvent::InForce { purge } => {
-                let Some(record) = self.purges.get(purge) else {
-                    return;
-                };
-                let since = self.connected_since(member, record.writer, record.told_at);
-                self.purges.in_force(purge, member, self.now, since);
-            }
-            MemberEvent::Committed { purge } => self.purges.commit(purge),
-            MemberEvent::Refused { purge, why } => {
-                let rule = match why {
-                    Refusal::Capacity => Rule::PurgeHasRoom,
-                    Refusal::Disk | Refusal::Acknowledgements => Rule::PurgeCommitted,
-                };
-                self.verdict.add(rule, || {
-                    format!("purge {purge} at its writer {member}: {why:?}")
-                });
-            }
-            MemberEvent::NotKept { purge, why } => {
-                let example =
-                    || format!("purge {purge}, told by a peer, at member {member}: {why:?}");
-                self.verdict.add(Rule::PurgeHasRoom, example);
-            }
-            MemberEvent::Died { peer, started } => {
-                self.note_death(member, member_at(peer, member), started);
-            }
-        }
-    }
 }
--- /dev/null
+++ b/rehearse/src/scale/simulation/purges.rs
@@ -0,0 +1,69 @@
+//! Purges that clients tell members of, and what becomes of them.
+
+use super::{Event, Simulation, NEVER};
+use crate::scale::hollow::{MemberEvent, Refusal};
+use crate::scale::layout::MemberIndex;
+use crate::scale::verdict::Rule;
+use linnetknot_simnet::{member_at, Micros};
+
+impl Simulation<'_> {
+    /// A client tells a member of a purge, or the next one where that is away.
+    pub(super) fn tell_purge(&mut self, writer: MemberIndex) {
+        let members = self.nodes.len();
+        let candidates = (0..members).map(|offset| (writer + offset) % members);
+        let Some(writer) = candidates
+            .into_iter()
+            .find(|member| self.nodes[*member].member.is_some())
+        else {
+            return;
+        };
+        let purge = self.purges.tell(writer, self.now);
+        let limit = self.run.target.purge_limit_ms * 1_000;
+        self.queue
+            .schedule(self.now + limit, Event::PurgeDeadline { purge });
+        self.drive(writer, |member, now| member.purge(purge, now));
+    }
+
+    /// Since when a member has been there, and not cut off from another.
+    pub(super) fn connected_since(
+        &self,
+        member: MemberIndex,
+        from: MemberIndex,
+        told_at: Micros,
+    ) -> Micros {
+        match self.network.was_cut_since(member, from, told_at) {
+            true => NEVER,
+            false => self.nodes[member].running_since,
+        }
+    }
+
+    pub(super) fn note(&mut self, member: MemberIndex, event: MemberEvent) {
+        match event {
+            MemberEvent::InForce { purge } => {
+                let Some(record) = self.purges.get(purge) else {
+                    return;
+                };
+                let since = self.connected_since(member, record.writer, record.told_at);
+                self.purges.in_force(purge, member, self.now, since);
+            }
+            MemberEvent::Committed { purge } => self.purges.commit(purge),
+            MemberEvent::Refused { purge, why } => {
+                let rule = match why {
+                    Refusal::Capacity => Rule::PurgeHasRoom,
+                    Refusal::Disk | Refusal::Acknowledgements => Rule::PurgeCommitted,
+                };
+                self.verdict.add(rule, || {
+                    format!("purge {purge} at its writer {member}: {why:?}")
+                });
+            }
+            MemberEvent::NotKept { purge, why } => {
+                let example =
+                    || format!("purge {purge}, told by a peer, at member {member}: {why:?}");
+                self.verdict.add(Rule::PurgeHasRoom, example);
+            }
+            MemberEvent::Died { peer, started } => {
+                self.note_death(member, member_at(peer, member), started);
+            }
+        }
+    }
+}
--- a/rehearse/src/scale/slopes.rs
+++ b/rehearse/src/scale/slopes.rs
@@ -4,8 +4,8 @@
 
 use crate::scale::fault::Fault;
 use crate::scale::fit::{exponent, line, Line, Point};
-use crate::scale::hollow::config::Without;
 use crate::scale::report::{shown, Report, Row};
+use crate::scale::run::Without;
 use std::fmt::Write as _;
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
--- a/rehearse/tests/scale.rs
+++ b/rehearse/tests/scale.rs
@@ -2,14 +2,13 @@
 
 use linnetknot_rehearse::scale::fault::Fault;
 use linnetknot_rehearse::scale::fit::{exponent, line, Point};
-use linnetknot_rehearse::scale::hollow::config::Without;
-use linnetknot_rehearse::scale::hollow::{
-    Defect, DiskContents, FleetConfig, HollowMember, MemberEvent,
-};
+use linnetknot_rehearse::scale::fleet_config::FleetConfig;
+use linnetknot_rehearse::scale::hollow::{DiskContents, HollowMember, MemberEvent};
 use linnetknot_rehearse::scale::layout::{Distance, Layout};
 use linnetknot_rehearse::scale::memory::{admit, estimate, Bytes, Held};
 use linnetknot_rehearse::scale::report::{Report, Role, Value};
-use linnetknot_rehearse::scale::simulation::{play, Outcome, Plant, Run};
+use linnetknot_rehearse::scale::run::{Defect, Plant, Run, Without};
+use linnetknot_rehearse::scale::simulation::{play, Outcome};
 use linnetknot_rehearse::scale::target::Target;
 use linnetknot_rehearse::scale::verdict::Rule;
 use std::process::Command;
--- a/rehearse/tests/scale_daemons.rs
+++ b/rehearse/tests/scale_daemons.rs
@@ -1,11 +1,12 @@
 //! The verdict and the tables of runs with real daemons, on outcomes that are made up.
 
 use linnetknot_rehearse::scale::daemons::acks::delay_histogram;
-use linnetknot_rehearse::scale::daemons::host::{RefusedPurge, Traffic};
+use linnetknot_rehearse::scale::daemons::host::RefusedPurge;
 use linnetknot_rehearse::scale::daemons::purge_plan::ToldDaemon;
 use linnetknot_rehearse::scale::daemons::report::Report;
 use linnetknot_rehearse::scale::daemons::run::{DaemonOutcome, Outcome, Run, Spent};
 use linnetknot_rehearse::scale::daemons::slopes::{table, SizeOutcome, SizeRun};
+use linnetknot_rehearse::scale::daemons::traffic::Traffic;
 use linnetknot_rehearse::scale::hollow::Refusal;
 use linnetknot_rehearse::scale::target::Target;
 use std::path::PathBuf;
