--- /dev/null
+++ b/rehearse/src/fleet/queries.rs
@@ -0,0 +1,80 @@
+//! What a fleet's proxies tell operators and clients.
+
+use super::Fleet;
+use crate::clients::{call, Answer, WebServer, PATIENCE};
+use linnetknot_daemon::budgets;
+use linnetknot_daemon::fleet::{ask as ask_status, ask_budgets, Status};
+use std::io;
+use std::path::PathBuf;
+use std::time::Instant;
+
+impl Fleet {
+    /// What a proxy tells operators of what all spend together.
+    pub fn budgets(&self, n: usize) -> io::Result<budgets::Status> {
+        ask_budgets(self.process(n)?.admin)
+    }
+
+    /// The file in which a proxy keeps what neighbours told.
+    pub fn store(&self, n: usize) -> PathBuf {
+        self.members[n].disk.join("purges")
+    }
+
+    /// An operator's call at a proxy's admin listener: the status of its answer.
+    pub fn operate(&self, n: usize, method: &str, path: &str) -> io::Result<u16> {
+        Ok(call(self.process(n)?.admin, method, path, "")?.status)
+    }
+
+    /// What a proxy tells operators of its copies.
+    pub fn status(&self, n: usize) -> io::Result<Status> {
+        ask_status(self.process(n)?.admin)
+    }
+
+    /// Whether all proxies that run have the same entries, all of them on their disks and none short of copies.
+    pub fn agrees(&self) -> io::Result<bool> {
+        let runs = (0..self.members.len()).filter(|n| self.members[*n].process.is_some());
+        let all = runs
+            .map(|n| self.status(n))
+            .collect::<io::Result<Vec<_>>>()?;
+        let settled = |s: &Status| {
+            s.short == 0 && s.waiting == 0 && s.logs.iter().all(|l| l.end == l.on_disk)
+        };
+        Ok(all
+            .iter()
+            .all(|s| settled(s) && s.digest == all[0].digest && s.entries == all[0].entries))
+    }
+
+    /// Asks a proxy for a photo.
+    pub fn ask(&self, n: usize, object: &str) -> io::Result<Answer> {
+        let mut web = WebServer::connect(self.process(n)?.front)?;
+        web.ask(1, "photo", object, 2500)?;
+        web.end()?
+            .1
+            .ok_or_else(|| io::Error::other("it was aborted"))
+    }
+
+    /// Whether a proxy holds a floor for a photo: it asks its box for no copy older than something. What it serves
+    /// tells less, as the boxes are shared: one proxy that holds a floor has the box fetch anew for all.
+    pub fn holds_floor(&self, n: usize, object: &str) -> io::Result<bool> {
+        let before: Vec<usize> = self.boxes.iter().map(|b| b.arrivals().len()).collect();
+        self.ask(n, object)?;
+        let mut new = self
+            .boxes
+            .iter()
+            .zip(before)
+            .flat_map(|(b, before)| b.arrivals().split_off(before));
+        let asked = new.rfind(|a| a.field("key") == Some(object));
+        let asked = asked.ok_or_else(|| io::Error::other(format!("p{n} asked no box")))?;
+        Ok(asked.field("maxage").is_some())
+    }
+
+    /// Waits until a proxy holds a floor for a photo, or patience ends: whether it does.
+    pub fn hears(&self, n: usize, object: &str) -> io::Result<bool> {
+        let start = Instant::now();
+        while start.elapsed() < PATIENCE {
+            if self.holds_floor(n, object)? {
+                return Ok(true);
+            }
+        }
+        Ok(false)
+    }
+}
