--- /dev/null
+++ b/rehearse/src/bin/linnetknot-rehearse/scenarios.rs
@@ -0,0 +1,236 @@
+//! Scenarios by name or file: playing, checking, listing and showing them.
+
+use crate::arguments::{PlayArguments, RunArguments};
+use crate::error::CommandError;
+use crate::output::{is_stopped, print, STOP};
+use crate::{beside, tables, NOT_PLAYED};
+use indicatif::{ProgressBar, ProgressStyle};
+use linnetknot_rehearse::load::plan;
+use linnetknot_rehearse::player::{self, Outcome, Watch};
+use linnetknot_rehearse::report::Report;
+use linnetknot_rehearse::scenario::Scenario;
+use linnetknot_rehearse::series::{all_at_once, Seeds, Summary, Verdict};
+use linnetknot_rehearse::shipped;
+use std::path::{Path, PathBuf};
+use std::process::ExitCode;
+
+/// Breaches of one play that a series prints as they come.
+const MAX_SHOWN_BREACHES: usize = 5;
+
+/// Reads a scenario file.
+fn read(file: &Path) -> Result<Scenario, CommandError> {
+    let text = std::fs::read_to_string(file).map_err(|error| CommandError::ReadFile {
+        file: file.to_owned(),
+        error,
+    })?;
+    Scenario::read(&text).map_err(|error| CommandError::ScenarioFile {
+        file: file.to_owned(),
+        error: Box::new(error),
+    })
+}
+
+/// A scenario by its name or file, in a share of its time.
+fn scenario(name: &str, time_scale: f64) -> Result<Scenario, CommandError> {
+    let scenario = match shipped::named(name) {
+        Some(scenario) => scenario?,
+        None => read(Path::new(name))?,
+    };
+    if time_scale == 1.0 {
+        return Ok(scenario);
+    }
+    Ok(scenario.scaled(time_scale)?)
+}
+
+/// Plays one scenario of a series with one seed.
+fn play_of_series(
+    name: &str,
+    seed: u64,
+    time_scale: f64,
+    daemon: &Path,
+) -> Result<Outcome, CommandError> {
+    let scenario = scenario(name, time_scale)?;
+    let watch = Watch {
+        stop: Some(&**STOP),
+        progress: None,
+    };
+    player::play_watched(daemon, &scenario, seed, None, watch).map_err(|error| CommandError::Play {
+        daemon: daemon.to_owned(),
+        error,
+    })
+}
+
+/// Plays the chosen scenarios with all of these seeds; the exit status is the worst of theirs.
+pub(crate) fn run_series(arguments: &RunArguments, seeds: &Seeds) -> ExitCode {
+    let daemon = beside(arguments.daemon.clone());
+    let all = ["all".to_owned()];
+    let chosen = shipped::chosen(match arguments.scenarios.is_empty() {
+        true => &all,
+        false => &arguments.scenarios,
+    });
+    let plays: Vec<(usize, u64)> = (0..chosen.len())
+        .flat_map(|n| seeds.0.clone().map(move |seed| (n, seed)))
+        .collect();
+    let verdicts = all_at_once(&plays, arguments.jobs.into(), |(n, seed)| {
+        if is_stopped() {
+            return Verdict::Nothing("not played: ended by hand".into());
+        }
+        let name = &chosen[*n];
+        match play_of_series(name, *seed, arguments.time_scale, &daemon) {
+            Ok(outcome) => {
+                for breach in outcome.breaches.iter().take(MAX_SHOWN_BREACHES) {
+                    eprintln!("{name} seed {seed}: BREACH {breach}");
+                }
+                Verdict::of(&outcome)
+            }
+            Err(why) => Verdict::Nothing(why.to_string()),
+        }
+    });
+    let rows = chosen.into_iter().map(|name| (name, Default::default()));
+    let mut summary = Summary(rows.collect());
+    for ((n, seed), verdict) in plays.into_iter().zip(verdicts) {
+        summary.0[n].1.insert(seed, verdict);
+    }
+    print(&summary.to_string());
+    ExitCode::from(summary.status())
+}
+
+/// Plays the chosen scenarios in turn; the exit status is the worst of theirs.
+pub(crate) fn run_all(arguments: &RunArguments) -> ExitCode {
+    let chosen = shipped::chosen(&arguments.scenarios);
+    let daemon = beside(arguments.daemon.clone());
+    let mut worst = 0;
+    for name in &chosen {
+        if is_stopped() {
+            eprintln!("ended by hand: {name} and those after it are not played");
+            return ExitCode::from(worst.max(NOT_PLAYED));
+        }
+        let json = match (&arguments.json, chosen.len()) {
+            (Some(file), 2..) => Some(result_file(file, name)),
+            (file, _) => file.clone(),
+        };
+        let played = scenario(name, arguments.time_scale)
+            .and_then(|scenario| play(&scenario, arguments.seed, &daemon, json.as_deref()));
+        worst = worst.max(status(played));
+    }
+    ExitCode::from(worst)
+}
+
+/// The file for the result of one of several scenarios: its name stands before the extension.
+fn result_file(file: &Path, scenario: &str) -> PathBuf {
+    let stem = file.file_stem().unwrap_or_default().to_string_lossy();
+    let extension = file
+        .extension()
+        .map(|extension| format!(".{}", extension.to_string_lossy()))
+        .unwrap_or_default();
+    let scenario = Path::new(scenario).file_stem().unwrap_or_default();
+    file.with_file_name(format!("{stem}-{}{extension}", scenario.to_string_lossy()))
+}
+
+/// Plays a scenario file.
+pub(crate) fn play_file(arguments: PlayArguments) -> ExitCode {
+    let daemon = beside(arguments.daemon);
+    let played = read(&arguments.file).and_then(|scenario| {
+        play(
+            &scenario,
+            arguments.seed,
+            &daemon,
+            arguments.json.as_deref(),
+        )
+    });
+    ExitCode::from(status(played))
+}
+
+/// The exit status of a play; what kept it from being played is printed.
+fn status(played: Result<Verdict, CommandError>) -> u8 {
+    match played {
+        Err(error) => {
+            eprintln!("{error}");
+            NOT_PLAYED
+        }
+        Ok(verdict) => {
+            // What was broken before an end by hand stands; what was not seen, nobody knows.
+            if let Verdict::Nothing(why) = &verdict {
+                eprintln!("the rehearsal proves nothing: {why}");
+            }
+            verdict.status()
+        }
+    }
+}
+
+/// Plays a scenario, prints what it came to and writes it to a file where one is named.
+fn play(
+    scenario: &Scenario,
+    seed: u64,
+    daemon: &Path,
+    json: Option<&Path>,
+) -> Result<Verdict, CommandError> {
+    let outcome = play_with_progress(scenario, seed, daemon)?;
+    print(&tables::outcome(scenario, &outcome));
+    if let Some(file) = json {
+        let text = Report::of(scenario, seed, &outcome).write()?;
+        std::fs::write(file, text).map_err(|error| CommandError::WriteFile {
+            file: file.to_owned(),
+            error,
+        })?;
+    }
+    Ok(Verdict::of(&outcome))
+}
+
+/// Plays a scenario with a progress bar, on a terminal only: indicatif draws nothing into a pipe.
+fn play_with_progress(
+    scenario: &Scenario,
+    seed: u64,
+    daemon: &Path,
+) -> Result<Outcome, CommandError> {
+    let bar = ProgressBar::new(scenario.seconds.ceil() as u64);
+    bar.set_style(
+        ProgressStyle::with_template("{msg:<16} [{bar:40}] {pos}/{len} s, {prefix} requests")?
+            .progress_chars("=> "),
+    );
+    bar.set_message(scenario.name.clone());
+    let progress = |seconds: f64, sent: usize| {
+        bar.set_position(seconds.max(0.0) as u64);
+        bar.set_prefix(sent.to_string());
+    };
+    let watch = Watch {
+        stop: Some(&**STOP),
+        progress: Some(&progress),
+    };
+    let outcome = player::play_watched(daemon, scenario, seed, None, watch);
+    bar.finish_and_clear();
+    outcome.map_err(|error| CommandError::Play {
+        daemon: daemon.to_owned(),
+        error,
+    })
+}
+
+/// Lists the shipped scenarios.
+pub(crate) fn list() -> ExitCode {
+    for (name, text) in shipped::SHIPPED {
+        let about = Scenario::read(text).map_or_else(|e| format!("unsound: {e}"), |s| s.about);
+        println!("{name:<16} {about}");
+    }
+    ExitCode::SUCCESS
+}
+
+/// Checks scenario files.
+pub(crate) fn check(files: &[PathBuf]) -> ExitCode {
+    let mut status = ExitCode::SUCCESS;
+    for file in files {
+        match read(file) {
+            Ok(scenario) => println!("{}: sound: {}", file.display(), scenario.about),
+            Err(error) => {
+                status = ExitCode::from(NOT_PLAYED);
+                eprintln!("{error}");
+            }
+        }
+    }
+    status
+}
+
+/// Shows what a scenario asks for.
+pub(crate) fn show_plan(file: &Path, seed: u64) -> Result<ExitCode, CommandError> {
+    let scenario = read(file)?;
+    print(&tables::plan(&scenario, &plan(&scenario, seed)));
+    Ok(ExitCode::SUCCESS)
+}
--- a/rehearse/src/links/conditions.rs
+++ b/rehearse/src/links/conditions.rs
@@ -6,6 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
 /// The state of one direction of a link. The default is a clear one: all passes at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
@@ -34,6 +35,31 @@
 /// How long a datagram that is held back waits at the least, in microseconds.
 const HELD_US: Micros = 20_000;
 
+/// The longest delay and jitter, in milliseconds.
+const MAX_DELAY_MS: f64 = 60_000.0;
+
+/// A value of link conditions that can't be.
+#[derive(Clone, Copy, Debug, PartialEq, Error)]
+#[error("{key}: {value} is not from 0 to {max}")]
+pub struct ConditionOutOfRange {
+    /// Its key.
+    pub key: &'static str,
+    /// The value.
+    pub value: f64,
+    /// The largest that can be.
+    pub max: f64,
+}
+
+impl ConditionOutOfRange {
+    fn check(key: &'static str, value: f64, max: f64) -> Result<(), Self> {
+        if (0.0..=max).contains(&value) {
+            Ok(())
+        } else {
+            Err(ConditionOutOfRange { key, value, max })
+        }
+    }
+}
+
 impl LinkConditions {
     /// A link over which nothing passes.
     pub const CUT: LinkConditions = LinkConditions {
@@ -58,21 +84,20 @@
         said.into_iter().find(|(_, said)| *said).map(|(key, _)| key)
     }
 
-    /// What can't be, by its key.
-    pub fn check(&self) -> Result<(), String> {
+    /// Checks that all values can be.
+    ///
+    /// # Errors
+    /// Where one can't; it is named by its key.
+    pub fn check(&self) -> Result<(), ConditionOutOfRange> {
         for (key, share) in [
             ("drop", self.drop),
             ("duplicate", self.duplicate),
             ("reorder", self.reorder),
         ] {
-            if !(0.0..=1.0).contains(&share) {
-                return Err(format!("{key}: {share} is not from 0 to 1"));
-            }
+            ConditionOutOfRange::check(key, share, 1.0)?;
         }
         for (key, ms) in [("delay_ms", self.delay_ms), ("jitter_ms", self.jitter_ms)] {
-            if !(0.0..=60_000.0).contains(&ms) {
-                return Err(format!("{key}: {ms} is not from 0 to 60000"));
-            }
+            ConditionOutOfRange::check(key, ms, MAX_DELAY_MS)?;
         }
         Ok(())
     }
@@ -285,12 +310,15 @@
             drop: 1.5,
             ..LinkConditions::default()
         };
-        assert_eq!(bad.check(), Err("drop: 1.5 is not from 0 to 1".into()));
+        assert_eq!(
+            bad.check().map_err(|error| error.to_string()),
+            Err("drop: 1.5 is not from 0 to 1".into())
+        );
         let bad = LinkConditions {
             delay_ms: f64::NAN,
             ..LinkConditions::default()
         };
-        assert!(bad.check().unwrap_err().starts_with("delay_ms"));
+        assert!(bad.check().unwrap_err().to_string().starts_with("delay_ms"));
         assert_eq!(LinkConditions::CUT.check(), Ok(()));
     }
 }
--- a/rehearse/src/links/mod.rs
+++ b/rehearse/src/links/mod.rs
@@ -8,7 +8,7 @@
 mod conditions;
 mod stream;
 
-pub use conditions::{Fate, Flow, LinkConditions, Pass};
+pub use conditions::{ConditionOutOfRange, Fate, Flow, LinkConditions, Pass};
 pub use stream::FaultyStream;
 
 use crate::record::Micros;
--- a/rehearse/src/player/mod.rs
+++ b/rehearse/src/player/mod.rs
@@ -25,6 +25,7 @@
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{mpsc, Arc};
+use thiserror::Error;
 
 /// What a rehearsal came to.
 #[derive(Clone, Debug, PartialEq)]
@@ -47,20 +48,39 @@
     pub interrupted: Option<f64>,
 }
 
+/// Why a rehearsal proves nothing.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum Unseen {
+    /// No request was sent.
+    #[error("nothing was asked")]
+    NothingAsked,
+    /// No request was answered.
+    #[error("nothing was answered")]
+    NothingAnswered,
+    /// The load generator did not keep its plan.
+    #[error("the load came {p99_ms} ms late (p99)")]
+    LateLoad {
+        /// How late, p99.
+        p99_ms: u64,
+    },
+}
+
 impl Outcome {
-    /// Whether it has seen anything, or why not: a rehearsal that could not see must not pass for a good one.
-    pub fn has_seen(&self) -> Result<(), String> {
+    /// Checks that it has seen anything: a rehearsal that could not see must not pass for a good one.
+    ///
+    /// # Errors
+    /// Where it proves nothing.
+    pub fn has_seen(&self) -> Result<(), Unseen> {
         if self.score.whole.score().is_none() {
-            return Err("nothing was asked".into());
+            return Err(Unseen::NothingAsked);
         }
         if self.score.whole.unanswered >= self.score.whole.asked {
-            return Err("nothing was answered".into());
+            return Err(Unseen::NothingAnswered);
         }
         if self.lag_us.0 > MOST_LAG_US {
-            return Err(format!(
-                "the load came {} ms late (p99)",
-                self.lag_us.0 / 1000
-            ));
+            return Err(Unseen::LateLoad {
+                p99_ms: self.lag_us.0 / 1000,
+            });
         }
         Ok(())
     }
--- a/rehearse/src/report.rs
+++ b/rehearse/src/report.rs
@@ -5,6 +5,7 @@
 use crate::scenario::Scenario;
 use crate::score::Shares;
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
 /// The form of the file; another one is refused.
 const FORM: u32 = 1;
@@ -78,6 +79,41 @@
     }
 }
 
+/// Why a report can't be read or written.
+#[derive(Debug, Error)]
+pub enum ReportError {
+    /// The text has not the form of a report.
+    #[error("{0}")]
+    Malformed(serde_path_to_error::Error<serde_json::Error>),
+    /// A file of another form.
+    #[error("form: {0} is not known here, {FORM} is")]
+    UnknownForm(u32),
+    /// A value has no form in JSON.
+    #[error("{0}")]
+    Unwritable(serde_json::Error),
+}
+
+/// Why two reports can't be compared.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum CompareError {
+    /// They are of two scenarios.
+    #[error("'{first}' and '{second}' are two scenarios")]
+    TwoScenarios {
+        /// The scenario of the first.
+        first: String,
+        /// The scenario of the second.
+        second: String,
+    },
+    /// One of them has seen nothing.
+    #[error("the {which} proves nothing: {why}")]
+    ProvesNothing {
+        /// Which.
+        which: &'static str,
+        /// Why.
+        why: String,
+    },
+}
+
 impl Report {
     /// The report of an outcome.
     pub fn of(scenario: &Scenario, seed: u64, o: &Outcome) -> Self {
@@ -94,7 +130,7 @@
             unsent: o.unsent,
             interrupted: o.interrupted,
             lag_ms: o.lag_us.0 as f64 / 1e3,
-            unseen: o.has_seen().err(),
+            unseen: o.has_seen().err().map(|why| why.to_string()),
             whole: part("all", &o.score.whole, None),
             classes: classes
                 .map(|(c, (s, w))| part(&c.name, s, Some(w)))
@@ -104,36 +140,47 @@
         }
     }
 
-    /// Reads a report; the message names what is wrong.
-    pub fn read(text: &str) -> Result<Self, String> {
+    /// Reads a report.
+    ///
+    /// # Errors
+    /// Where the text is none; the key at fault is named by its path.
+    pub fn read(text: &str) -> Result<Self, ReportError> {
         let mut json = serde_json::Deserializer::from_str(text);
         let report: Report =
-            serde_path_to_error::deserialize(&mut json).map_err(|e| e.to_string())?;
+            serde_path_to_error::deserialize(&mut json).map_err(ReportError::Malformed)?;
         match report.form {
             FORM => Ok(report),
-            other => Err(format!("form: {other} is not known here, {FORM} is")),
+            other => Err(ReportError::UnknownForm(other)),
         }
     }
 
     /// The file's text.
-    pub fn write(&self) -> Result<String, String> {
-        serde_json::to_string_pretty(self)
-            .map(|text| text + "\n")
-            .map_err(|e| e.to_string())
+    ///
+    /// # Errors
+    /// Where a value has no form in JSON.
+    pub fn write(&self) -> Result<String, ReportError> {
+        let text = serde_json::to_string_pretty(self).map_err(ReportError::Unwritable)?;
+        Ok(text + "\n")
     }
 }
 
-/// Two reports of one scenario side by side; a message where they can't be compared.
-pub fn compare(a: &Report, b: &Report) -> Result<String, String> {
+/// Two reports of one scenario side by side.
+///
+/// # Errors
+/// Where they can't be compared.
+pub fn compare(a: &Report, b: &Report) -> Result<String, CompareError> {
     if a.scenario != b.scenario {
-        return Err(format!(
-            "'{}' and '{}' are two scenarios",
-            a.scenario, b.scenario
-        ));
+        return Err(CompareError::TwoScenarios {
+            first: a.scenario.clone(),
+            second: b.scenario.clone(),
+        });
     }
     for (name, report) in [("first", a), ("second", b)] {
         if let Some(why) = &report.unseen {
-            return Err(format!("the {name} proves nothing: {why}"));
+            return Err(CompareError::ProvesNothing {
+                which: name,
+                why: why.clone(),
+            });
         }
     }
     let mut out = format!("{}, seeds {} and {}\n\n", a.scenario, a.seed, b.seed);
--- a/rehearse/src/scale/command.rs
+++ b/rehearse/src/scale/command.rs
@@ -2,18 +2,19 @@
 
 use crate::scale::fault::Fault;
 use crate::scale::fleet_config::FleetConfig;
-use crate::scale::memory::{self, Held};
+use crate::scale::memory::{self, Held, TooLarge};
 use crate::scale::prefill;
 use crate::scale::report::Report;
 use crate::scale::run::{Run, Without};
 use crate::scale::simulation::play;
 use crate::scale::slopes;
-use crate::scale::target::Target;
+use crate::scale::target::{Target, TargetError};
 use clap::{value_parser, Args};
 use linnetknot_purges::{Bucket, BucketBits};
-use std::fmt::Display;
+use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use thiserror::Error;
 
 /// Something is wrong with what was run.
 const WRONG: u8 = 1;
@@ -77,17 +78,25 @@
     }
 }
 
-fn named(path: &Path, error: impl Display) -> String {
-    format!("{}: {error}", path.display())
+/// Why a run can't be played, or its result not be written.
+#[derive(Debug, Error)]
+enum CommandError {
+    /// The target can't be used.
+    #[error("{}: {error}", file.display())]
+    Target { file: PathBuf, error: TargetError },
+    /// The machine's memory does not hold it.
+    #[error("--members {members}: {error}")]
+    Memory { members: usize, error: TooLarge },
+    /// Its result can't be written.
+    #[error("{}: {error}", file.display())]
+    Write { file: PathBuf, error: io::Error },
 }
 
-fn prepare(arguments: &Arguments) -> Result<Run, String> {
-    let target = Target::load(arguments.target.as_deref()).map_err(|error| {
-        let file = arguments
-            .target
-            .as_deref()
-            .unwrap_or(Path::new("the built-in target"));
-        named(file, error)
+fn prepare(arguments: &Arguments) -> Result<Run, CommandError> {
+    let file = arguments.target.as_deref();
+    let target = Target::load(file).map_err(|error| CommandError::Target {
+        file: file.unwrap_or(Path::new("the built-in target")).to_owned(),
+        error,
     })?;
     let purges_per_second = arguments
         .purges_per_second
@@ -111,7 +120,7 @@
 }
 
 /// Whether the machine's memory holds a run.
-fn admit(run: &Run) -> Result<(), String> {
+fn admit(run: &Run) -> Result<(), CommandError> {
     let Some(available) = memory::available() else {
         return Ok(());
     };
@@ -129,9 +138,9 @@
         entries: told.min(max_entries),
         table_bytes,
     };
-    let too_large = memory::admit(run.members, held, available).err();
-    too_large.map_or(Ok(()), |error| {
-        Err(format!("--members {}: {error}", run.members))
+    memory::admit(run.members, held, available).map_err(|error| CommandError::Memory {
+        members: run.members,
+        error,
     })
 }
 
@@ -150,9 +159,13 @@
     ExitCode::from(if report.wrong.is_empty() { 0 } else { WRONG })
 }
 
-fn write(report: &Report, file: &Path) -> Result<(), String> {
-    let text = serde_json::to_string_pretty(report).map_err(|error| named(file, error))?;
-    std::fs::write(file, text).map_err(|error| named(file, error))
+fn write(report: &Report, file: &Path) -> Result<(), CommandError> {
+    let text = serde_json::to_string_pretty(report).map_err(io::Error::from);
+    let written = text.and_then(|text| std::fs::write(file, text));
+    written.map_err(|error| CommandError::Write {
+        file: file.to_owned(),
+        error,
+    })
 }
 
 fn run_slopes(run: &Run, arguments: &Arguments) -> ExitCode {
--- a/rehearse/src/scale/daemons/command.rs
+++ b/rehearse/src/scale/daemons/command.rs
@@ -3,13 +3,15 @@
 use super::report::Report;
 use super::run::{play, Run};
 use super::slopes::{self, SizeOutcome, SizeRun};
-use super::sockets;
-use crate::scale::memory::{self, Held};
-use crate::scale::target::Target;
+use super::sockets::{self, TooManySockets};
+use crate::scale::memory::{self, Held, TooLarge};
+use crate::scale::target::{Target, TargetError};
 use clap::{value_parser, Args};
+use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
+use thiserror::Error;
 
 /// Something is wrong with what was run.
 const WRONG: u8 = 1;
@@ -85,9 +87,34 @@
     }
 }
 
-fn prepare(arguments: &Arguments) -> Result<Run, String> {
-    let target =
-        Target::load(arguments.target.as_deref()).map_err(|error| format!("--target: {error}"))?;
+/// Why a run can't be played, or its result not be written.
+#[derive(Debug, Error)]
+enum CommandError {
+    /// The target can't be used.
+    #[error("--target: {0}")]
+    Target(#[from] TargetError),
+    /// The machine has too few descriptors.
+    #[error("--members {members}: {error}")]
+    Sockets {
+        members: usize,
+        error: TooManySockets,
+    },
+    /// The machine's memory does not hold it.
+    #[error("--members {members}: {error}")]
+    Memory { members: usize, error: TooLarge },
+    /// The daemons can't be run.
+    #[error("{}: {error}", program.display())]
+    Play { program: PathBuf, error: io::Error },
+    /// All sizes together have taken too long for one more.
+    #[error("the {} s of all sizes together are over", MAX_TOTAL.as_secs())]
+    OutOfTime,
+    /// Its result can't be written.
+    #[error("--json {}: {error}", file.display())]
+    Write { file: PathBuf, error: io::Error },
+}
+
+fn prepare(arguments: &Arguments) -> Result<Run, CommandError> {
+    let target = Target::load(arguments.target.as_deref())?;
     let beside = || {
         std::env::current_exe()
             .map(|own| own.with_file_name("linnetknot"))
@@ -106,33 +133,32 @@
 }
 
 /// Whether this machine holds a run.
-fn admit(run: &Run) -> Result<(), String> {
-    let refused = |why: String| format!("--members {}: {why}", run.members);
-    sockets::admit(run.members).map_err(|error| refused(error.to_string()))?;
+fn admit(run: &Run) -> Result<(), CommandError> {
+    let members = run.members;
+    sockets::admit(members).map_err(|error| CommandError::Sockets { members, error })?;
     let Some(memory::Bytes(available)) = memory::available() else {
         return Ok(());
     };
     let purges = run.purges_per_second * run.seconds;
     let daemons = run.daemons as u64 * DAEMON_BYTES;
     let left = memory::Bytes(available.saturating_sub(2 * daemons));
-    memory::admit(
-        run.members,
-        Held {
-            entries: purges as usize,
-            table_bytes: 0,
-        },
-        left,
-    )
-    .map_err(|error| refused(error.to_string()))
+    let held = Held {
+        entries: purges as usize,
+        table_bytes: 0,
+    };
+    memory::admit(members, held, left).map_err(|error| CommandError::Memory { members, error })
 }
 
-fn play_one(run: &Run) -> Result<Report, String> {
+fn play_one(run: &Run) -> Result<Report, CommandError> {
     admit(run)?;
-    let outcome = play(run).map_err(|error| format!("{}: {error}", run.program.display()))?;
+    let outcome = play(run).map_err(|error| CommandError::Play {
+        program: run.program.clone(),
+        error,
+    })?;
     Ok(Report::of(run, &outcome))
 }
 
-fn run_one(run: &Run, arguments: &Arguments) -> Result<u8, String> {
+fn run_one(run: &Run, arguments: &Arguments) -> Result<u8, CommandError> {
     let report = play_one(run)?;
     print!("{}", report.table(&run.target.limits));
     write(arguments.json.as_deref(), &[&report])?;
@@ -148,16 +174,19 @@
     }
 }
 
-fn write(file: Option<&Path>, reports: &[&Report]) -> Result<(), String> {
+fn write(file: Option<&Path>, reports: &[&Report]) -> Result<(), CommandError> {
     let Some(file) = file else { return Ok(()) };
     let text = match reports {
         [report] => serde_json::to_string_pretty(report),
         reports => serde_json::to_string_pretty(reports),
     };
     let written = text
-        .map_err(std::io::Error::other)
+        .map_err(io::Error::from)
         .and_then(|text| std::fs::write(file, text));
-    written.map_err(|error| format!("--json {}: {error}", file.display()))
+    written.map_err(|error| CommandError::Write {
+        file: file.to_owned(),
+        error,
+    })
 }
 
 /// How long a run mostly takes.
@@ -166,7 +195,7 @@
     Duration::from_secs(run.seconds + run.rest_seconds + OTHER_SECONDS + greeting)
 }
 
-fn run_slopes(run: &Run, arguments: &Arguments) -> Result<u8, String> {
+fn run_slopes(run: &Run, arguments: &Arguments) -> Result<u8, CommandError> {
     let begun = Instant::now();
     let mut runs = Vec::new();
     for members in arguments.slopes.iter().map(|members| *members as usize) {
@@ -175,10 +204,7 @@
             ..run.clone()
         };
         let played = match begun.elapsed() + expected(&run) > MAX_TOTAL {
-            true => Err(format!(
-                "the {} s of all sizes together are over",
-                MAX_TOTAL.as_secs()
-            )),
+            true => Err(CommandError::OutOfTime),
             false => play_one(&run),
         };
         let outcome = match played {
@@ -186,7 +212,7 @@
                 println!("{}", report.table(&run.target.limits));
                 SizeOutcome::Ran(Box::new(report))
             }
-            Err(why) => SizeOutcome::NotRun(why),
+            Err(why) => SizeOutcome::NotRun(why.to_string()),
         };
         runs.push(SizeRun { members, outcome });
     }
--- a/rehearse/src/scale/daemons/real.rs
+++ b/rehearse/src/scale/daemons/real.rs
@@ -14,6 +14,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
+use thiserror::Error;
 
 /// The machine that each daemon is told it has. They decide on clients, and on nothing that control has.
 const MEMORY_MB: usize = 256;
@@ -202,11 +203,24 @@
     }
 }
 
-/// Tells a daemon's second front of a purge: why it was refused, if it was.
-pub fn purge(cdni: SocketAddr, object: &str) -> Result<(), String> {
-    match trigger_at(cdni, &[object]) {
-        Ok(answer) if answer.status == 201 => Ok(()),
-        Ok(answer) => Err(format!("answered {}", answer.status)),
-        Err(error) => Err(error.to_string()),
+/// Why a daemon did not take a purge.
+#[derive(Debug, Error)]
+pub enum PurgeError {
+    /// It answered with another status than 201.
+    #[error("answered {0}")]
+    Status(u16),
+    /// It could not be told.
+    #[error("{0}")]
+    Connection(#[from] io::Error),
+}
+
+/// Tells a daemon's CDNI listener of a purge.
+///
+/// # Errors
+/// Where it did not take it.
+pub fn purge(cdni: SocketAddr, object: &str) -> Result<(), PurgeError> {
+    match trigger_at(cdni, &[object])?.status {
+        201 => Ok(()),
+        status => Err(PurgeError::Status(status)),
     }
 }
--- a/rehearse/src/scale/daemons/sockets.rs
+++ b/rehearse/src/scale/daemons/sockets.rs
@@ -4,9 +4,9 @@
 use linnetknot_daemon::net::{Interest, Poll, Ready};
 use rustix::process::{getrlimit, Resource};
 use std::collections::HashMap;
-use std::fmt;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
+use thiserror::Error;
 
 /// The address of the first member; the others follow.
 const FIRST_ADDRESS: u32 = u32::from_be_bytes([127, 77, 0, 1]);
@@ -21,7 +21,8 @@
 const MAX_READY: usize = 1_024;
 
 /// There are too few descriptors for so many sockets.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("needs {needed} descriptors, and this process may hold {limit}")]
 pub struct TooManySockets {
     /// Descriptors that would be needed.
     pub needed: usize,
@@ -29,18 +30,6 @@
     pub limit: usize,
 }
 
-impl fmt::Display for TooManySockets {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(
-            f,
-            "needs {} descriptors, and this process may hold {}",
-            self.needed, self.limit
-        )
-    }
-}
-
-impl std::error::Error for TooManySockets {}
-
 /// Whether this process may hold the sockets of so many members.
 ///
 /// # Errors
--- a/rehearse/src/scale/memory.rs
+++ b/rehearse/src/scale/memory.rs
@@ -1,6 +1,7 @@
 //! What the machine has, what this process takes, and whether a run fits.
 
 use std::fmt;
+use thiserror::Error;
 
 /// Bytes of a member by itself: its cores, its budgets, and its datagrams on their way. This and the two below were fitted
 /// to the resident memory of runs of 100 to 3,200 members, above each of them.
@@ -33,7 +34,10 @@
 }
 
 /// A run does not fit into half of the memory that is available.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error(
+    "takes about {estimate}, more than half of the {available} that this machine has available"
+)]
 pub struct TooLarge {
     /// What it would take.
     pub estimate: Bytes,
@@ -41,18 +45,6 @@
     pub available: Bytes,
 }
 
-impl fmt::Display for TooLarge {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let TooLarge {
-            estimate,
-            available,
-        } = self;
-        write!(f, "takes about {estimate}, more than half of the {available} that this machine has available")
-    }
-}
-
-impl std::error::Error for TooLarge {}
-
 /// A figure of a file under `/proc`, which has it in kilobytes.
 fn proc_figure(file: &str, key: &str) -> Option<Bytes> {
     let text = std::fs::read_to_string(file).ok()?;
--- a/rehearse/src/scale/slopes.rs
+++ b/rehearse/src/scale/slopes.rs
@@ -7,9 +7,11 @@
 use crate::scale::report::{shown, Report, Row};
 use crate::scale::run::Without;
 use std::fmt::Write as _;
+use std::io;
 use std::path::PathBuf;
-use std::process::{Child, Command, Stdio};
+use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::{Duration, Instant};
+use thiserror::Error;
 
 /// How often it is looked whether a size is done.
 const LOOK: Duration = Duration::from_millis(100);
@@ -66,7 +68,7 @@
     for size in sizes {
         let played = match run_size(*size, options) {
             Ok(report) => Played::Ran(Box::new(report)),
-            Err(why) => Played::Skipped(why),
+            Err(why) => Played::Skipped(why.to_string()),
         };
         let run = SizeRun {
             size: *size,
@@ -79,23 +81,48 @@
     runs
 }
 
-fn run_size(size: usize, options: &Options) -> Result<Report, String> {
+/// Why a size was not run.
+#[derive(Debug, Error)]
+enum SizeError {
+    /// Its process can't be started or waited for.
+    #[error("{0}")]
+    Process(#[from] io::Error),
+    /// Its process failed and said nothing.
+    #[error("{0}")]
+    Status(ExitStatus),
+    /// Its process failed, and what it said.
+    #[error("{0}")]
+    Failed(String),
+    /// Its process took too long.
+    #[error("not done within the {seconds} s that a size may take")]
+    TimedOut {
+        /// What it may take.
+        seconds: u64,
+    },
+    /// Its process wrote no result.
+    #[error("it left no result: {0}")]
+    NoResult(io::Error),
+    /// Its process wrote a result that is none.
+    #[error("its result can't be read: {0}")]
+    MalformedResult(serde_json::Error),
+}
+
+fn run_size(size: usize, options: &Options) -> Result<Report, SizeError> {
     let file = std::env::temp_dir().join(format!(
         "linnetknot-scale-{}-{size}.json",
         std::process::id()
     ));
     let result = run_process(size, options, &file).and_then(|()| {
-        let text = std::fs::read_to_string(&file)
-            .map_err(|error| format!("it left no result: {error}"))?;
-        serde_json::from_str(&text).map_err(|error| format!("its result can't be read: {error}"))
+        let text = std::fs::read_to_string(&file).map_err(SizeError::NoResult)?;
+        serde_json::from_str(&text).map_err(SizeError::MalformedResult)
     });
     // There is none where it did not run.
     let _ = std::fs::remove_file(&file);
     result
 }
 
-fn run_process(size: usize, options: &Options, file: &std::path::Path) -> Result<(), String> {
-    let own = std::env::current_exe().map_err(|error| error.to_string())?;
+fn run_process(size: usize, options: &Options, file: &std::path::Path) -> Result<(), SizeError> {
+    let own = std::env::current_exe()?;
     let mut command = Command::new(own);
     command.arg("scale").arg("--json").arg(file);
     for (name, value) in [
@@ -113,11 +140,11 @@
         command.arg("--target").arg(target);
     }
     let child = command.stdout(Stdio::null()).stderr(Stdio::piped()).spawn();
-    wait(child.map_err(|error| error.to_string())?, options.budget)
+    wait(child?, options.budget)
 }
 
 /// Waits for a process, and ends it when its time is over.
-fn wait(mut child: Child, budget: Duration) -> Result<(), String> {
+fn wait(mut child: Child, budget: Duration) -> Result<(), SizeError> {
     let begun = Instant::now();
     while begun.elapsed() < budget {
         match child.try_wait() {
@@ -130,21 +157,20 @@
                     .unwrap_or_default();
                 let said = String::from_utf8_lossy(&output).trim().to_owned();
                 return Err(if said.is_empty() {
-                    status.to_string()
+                    SizeError::Status(status)
                 } else {
-                    said
+                    SizeError::Failed(said)
                 });
             }
-            Err(error) => return Err(error.to_string()),
+            Err(error) => return Err(error.into()),
         }
     }
     // Both fail only where it has just ended by itself.
     let _ = child.kill();
     let _ = child.wait();
-    Err(format!(
-        "not done within the {} s that a size may take",
-        budget.as_secs()
-    ))
+    Err(SizeError::TimedOut {
+        seconds: budget.as_secs(),
+    })
 }
 
 /// What the runs came to.
--- a/rehearse/src/scale/target.rs
+++ b/rehearse/src/scale/target.rs
@@ -3,33 +3,25 @@
 use linnetknot_simnet::LinkConditions;
 use serde::Deserialize;
 use std::path::Path;
+use thiserror::Error;
 
 /// The target that is built in.
 const BUILT_IN: &str = include_str!("../../targets/fleet.json");
 
 /// Why a target can't be used.
-#[derive(Debug)]
+#[derive(Debug, Error)]
 pub enum TargetError {
     /// The file can't be read.
+    #[error("{0}")]
     Read(std::io::Error),
     /// It is no target: the key at fault is in the message.
+    #[error("{0}")]
     Parse(serde_path_to_error::Error<serde_json::Error>),
     /// A figure that must be positive is 0.
+    #[error("{0}: must be above 0")]
     Zero(&'static str),
 }
 
-impl std::fmt::Display for TargetError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            TargetError::Read(error) => write!(f, "{error}"),
-            TargetError::Parse(error) => write!(f, "{error}"),
-            TargetError::Zero(key) => write!(f, "{key}: must be above 0"),
-        }
-    }
-}
-
-impl std::error::Error for TargetError {}
-
 /// What a proxy may spend for control.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
--- a/rehearse/src/scenario/check.rs
+++ b/rehearse/src/scenario/check.rs
@@ -1,7 +1,8 @@
-//! What a scenario's values may be. Every message names the key at fault by its path.
+//! What a scenario's values may be. Every error names the key at fault by its path.
 
 use super::{ClassLoad, Fault, NodeForm, Scenario, SiteForm, What};
-use crate::links::LinkConditions;
+use crate::links::{ConditionOutOfRange, LinkConditions};
+use thiserror::Error;
 
 /// The most proxies of a scenario, and the most boxes of each.
 const MAX_PROXIES: f64 = 64.0;
@@ -12,18 +13,92 @@
 /// What the sum of the classes' shares may differ from 1.
 const SHARE_SUM_TOLERANCE: f64 = 0.001;
 
+/// A value that a scenario can't have.
+#[derive(Clone, Debug, PartialEq, Error)]
+pub enum InvalidScenario {
+    /// A value lies outside its bounds.
+    #[error("{key}: {value} is not from {min} to {max}")]
+    OutOfRange {
+        /// The path of its key.
+        key: String,
+        /// The value.
+        value: f64,
+        /// The smallest that can be.
+        min: f64,
+        /// The largest that can be.
+        max: f64,
+    },
+    /// The points of the load's shape are out of order.
+    #[error("{key}: {value} does not come after {previous}")]
+    NotAscending {
+        /// The path of the later point's time.
+        key: String,
+        /// The time.
+        value: f64,
+        /// The time of the point before.
+        previous: f64,
+    },
+    /// A proxy that is stopped must go on again.
+    #[error("{key}: a stall must end")]
+    StallWithoutEnd {
+        /// The path of the fault's length.
+        key: String,
+    },
+    /// A value of link conditions lies outside its bounds.
+    #[error("{key}.{error}")]
+    LinkConditions {
+        /// The path of the conditions.
+        key: String,
+        /// Which of them, and its bounds.
+        error: ConditionOutOfRange,
+    },
+    /// A fault of links between proxies that are no peers.
+    #[error("{key}: the proxies have no links: 'peers' is off")]
+    NoLinks {
+        /// The path of the fault.
+        key: String,
+    },
+    /// A condition of streams on links that carry datagrams.
+    #[error("{key}.{condition}: the proxies send each other datagrams, no streams")]
+    StreamCondition {
+        /// The path of the conditions.
+        key: String,
+        /// The condition's key.
+        condition: &'static str,
+    },
+    /// A fault of the links between some proxies and the others names all of them.
+    #[error("{key}: there are no others than these")]
+    NoOtherProxies {
+        /// The path of the number of proxies.
+        key: String,
+    },
+    /// A class that the load does not have.
+    #[error("{key}: there is no class '{class}'")]
+    UnknownClass {
+        /// The path of the name.
+        key: String,
+        /// The name.
+        class: String,
+    },
+}
+
 /// An error unless a value is within bounds.
-fn within(key: String, value: f64, min: f64, max: f64) -> Result<(), String> {
+fn within(key: String, value: f64, min: f64, max: f64) -> Result<(), InvalidScenario> {
     if value.is_finite() && (min..=max).contains(&value) {
         Ok(())
     } else {
-        Err(format!("{key}: {value} is not from {min} to {max}"))
+        Err(InvalidScenario::OutOfRange {
+            key,
+            value,
+            min,
+            max,
+        })
     }
 }
 
 impl Scenario {
     /// Checks all values; the message names the first key at fault.
-    pub(super) fn check(&self) -> Result<(), String> {
+    pub(super) fn check(&self) -> Result<(), InvalidScenario> {
         within("seconds".into(), self.seconds, 1.0, MAX_SECONDS)?;
         within("proxies".into(), f64::from(self.proxies), 1.0, MAX_PROXIES)?;
         self.check_load()?;
@@ -42,7 +117,7 @@
         Ok(())
     }
 
-    fn check_load(&self) -> Result<(), String> {
+    fn check_load(&self) -> Result<(), InvalidScenario> {
         within("load.rate".into(), self.load.rate, 0.1, 100_000.0)?;
         within("load.purges".into(), self.load.purges, 0.0, 1000.0)?;
         within(
@@ -55,9 +130,11 @@
         for (n, (at, factor)) in self.load.shape.iter().enumerate() {
             within(format!("load.shape[{n}][1]"), *factor, 0.0, 1.0)?;
             if *at <= last {
-                return Err(format!(
-                    "load.shape[{n}][0]: {at} does not come after {last}"
-                ));
+                return Err(InvalidScenario::NotAscending {
+                    key: format!("load.shape[{n}][0]"),
+                    value: *at,
+                    previous: last,
+                });
             }
             last = *at;
         }
@@ -69,7 +146,7 @@
 
 impl ClassLoad {
     /// Checks the values of the class at place `n`.
-    fn check(&self, n: usize) -> Result<(), String> {
+    fn check(&self, n: usize) -> Result<(), InvalidScenario> {
         let key = |key: &str| format!("load.classes[{n}].{key}");
         within(key("share"), self.share, 0.0, 1.0)?;
         within(key("objects"), self.objects as f64, 1.0, 1e9)?;
@@ -92,7 +169,7 @@
 }
 
 impl SiteForm {
-    fn check(&self) -> Result<(), String> {
+    fn check(&self) -> Result<(), InvalidScenario> {
         let key = |key: &str| format!("site.{key}");
         within(
             key("boxes_per_proxy"),
@@ -123,7 +200,7 @@
 
 impl NodeForm {
     /// Checks the figures of the node under this key of the site.
-    fn check(&self, name: &str) -> Result<(), String> {
+    fn check(&self, name: &str) -> Result<(), InvalidScenario> {
         let key = |key: &str| format!("site.{name}.{key}");
         within(key("slots"), f64::from(self.slots), 1.0, 10_000.0)?;
         within(key("waiting"), f64::from(self.waiting), 0.0, 100_000.0)?;
@@ -151,7 +228,7 @@
         format!("faults[{}].{key}", self.n)
     }
 
-    fn check(&self) -> Result<(), String> {
+    fn check(&self) -> Result<(), InvalidScenario> {
         within(self.key("at"), self.fault.at, 0.0, self.scenario.seconds)?;
         within(
             self.key("lasts"),
@@ -175,7 +252,9 @@
             }
             What::ProxyStalled { proxies, first } => {
                 if self.fault.lasts <= 0.0 {
-                    return Err(format!("{}: a stall must end", self.key("lasts")));
+                    return Err(InvalidScenario::StallWithoutEnd {
+                        key: self.key("lasts"),
+                    });
                 }
                 self.check_proxies(*proxies, *first)
             }
@@ -192,7 +271,7 @@
         }
     }
 
-    fn check_boxes(&self, boxes: u32, first: u32) -> Result<(), String> {
+    fn check_boxes(&self, boxes: u32, first: u32) -> Result<(), InvalidScenario> {
         let all = self.scenario.site.boxes(self.scenario.proxies) as f64;
         within(self.key("what.first"), f64::from(first), 0.0, all - 1.0)?;
         within(
@@ -203,7 +282,7 @@
         )
     }
 
-    fn check_proxies(&self, proxies: u32, first: u32) -> Result<(), String> {
+    fn check_proxies(&self, proxies: u32, first: u32) -> Result<(), InvalidScenario> {
         let all = f64::from(self.scenario.proxies);
         within(self.key("what.first"), f64::from(first), 0.0, all - 1.0)?;
         within(
@@ -214,36 +293,41 @@
         )
     }
 
-    fn check_links(&self, proxies: u32, conditions: &LinkConditions) -> Result<(), String> {
+    fn check_links(
+        &self,
+        proxies: u32,
+        conditions: &LinkConditions,
+    ) -> Result<(), InvalidScenario> {
         let key = self.key("what.links.weather");
-        conditions.check().map_err(|e| format!("{key}.{e}"))?;
+        if let Err(error) = conditions.check() {
+            return Err(InvalidScenario::LinkConditions { key, error });
+        }
         if !self.scenario.peers {
-            return Err(format!(
-                "{}: the proxies have no links: 'peers' is off",
-                self.key("what.links")
-            ));
+            return Err(InvalidScenario::NoLinks {
+                key: self.key("what.links"),
+            });
         }
         if let Some(stream) = conditions.of_streams() {
-            return Err(format!(
-                "{key}.{stream}: the proxies send each other datagrams, no streams"
-            ));
+            return Err(InvalidScenario::StreamCondition {
+                key,
+                condition: stream,
+            });
         }
         if proxies >= self.scenario.proxies {
-            return Err(format!(
-                "{}: there are no others than these",
-                self.key("what.links.proxies")
-            ));
+            return Err(InvalidScenario::NoOtherProxies {
+                key: self.key("what.links.proxies"),
+            });
         }
         Ok(())
     }
 
-    fn check_hot_object(&self, class: &str, share: f64) -> Result<(), String> {
+    fn check_hot_object(&self, class: &str, share: f64) -> Result<(), InvalidScenario> {
         within(self.key("what.hot-object.share"), share, 0.0, 1.0)?;
         if !self.scenario.load.classes.iter().any(|c| c.name == class) {
-            return Err(format!(
-                "{}: there is no class '{class}'",
-                self.key("what.hot-object.class")
-            ));
+            return Err(InvalidScenario::UnknownClass {
+                key: self.key("what.hot-object.class"),
+                class: class.to_owned(),
+            });
         }
         Ok(())
     }
--- a/rehearse/src/scenario/mod.rs
+++ b/rehearse/src/scenario/mod.rs
@@ -2,9 +2,12 @@
 
 mod check;
 
+pub use check::InvalidScenario;
+
 use crate::links::LinkConditions;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
 /// A scenario: how long it lasts, what is asked for, and what goes wrong when.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
@@ -286,11 +289,41 @@
     },
 }
 
+/// Why a scenario can't be read or scaled.
+#[derive(Debug, Error)]
+pub enum ScenarioError {
+    /// The text has not the form of a scenario.
+    #[error("{path}: {error}")]
+    Malformed {
+        /// The path of the key at fault.
+        path: String,
+        /// What is wrong there.
+        error: serde_json::Error,
+    },
+    /// There is more behind it.
+    #[error("{0}")]
+    TrailingText(serde_json::Error),
+    /// A value that it can't have.
+    #[error(transparent)]
+    Invalid(#[from] InvalidScenario),
+    /// A value that it can't have in another length of time.
+    #[error("--time-scale {factor}: {error}")]
+    Scaled {
+        /// The factor.
+        factor: f64,
+        /// The value at fault.
+        error: InvalidScenario,
+    },
+}
+
 impl Scenario {
     /// The same scenario in another length of time: its seconds, the points of its shape and its faults' times and
     /// lengths by `factor`; rates, sizes and clients' gaps as they are, so that a second is as busy as before. A
     /// factor that would leave it shorter than a second, or above an hour, is refused.
-    pub fn scaled(&self, factor: f64) -> Result<Self, String> {
+    ///
+    /// # Errors
+    /// Where a value of the scaled scenario can't be.
+    pub fn scaled(&self, factor: f64) -> Result<Self, ScenarioError> {
         let mut scaled = self.clone();
         scaled.seconds *= factor;
         scaled
@@ -304,19 +337,24 @@
         }
         scaled
             .check()
-            .map_err(|e| format!("--time-scale {factor}: {e}"))
+            .map_err(|error| ScenarioError::Scaled { factor, error })
             .map(|()| scaled)
     }
 
-    /// Reads a scenario. The message names the key at fault by its path.
-    pub fn read(text: &str) -> Result<Self, String> {
+    /// Reads a scenario.
+    ///
+    /// # Errors
+    /// Where the text is none; the key at fault is named by its path.
+    pub fn read(text: &str) -> Result<Self, ScenarioError> {
         let mut de = serde_json::Deserializer::from_str(text);
-        let scenario: Scenario = serde_path_to_error::deserialize(&mut de).map_err(|e| {
-            let path = e.path().to_string();
-            format!("{path}: {}", e.into_inner())
-        })?;
-        de.end().map_err(|e| e.to_string())?;
-        scenario.check().map(|()| scenario)
+        let scenario: Scenario =
+            serde_path_to_error::deserialize(&mut de).map_err(|e| ScenarioError::Malformed {
+                path: e.path().to_string(),
+                error: e.into_inner(),
+            })?;
+        de.end().map_err(ScenarioError::TrailingText)?;
+        scenario.check()?;
+        Ok(scenario)
     }
 }
 
--- a/rehearse/src/series.rs
+++ b/rehearse/src/series.rs
@@ -9,33 +9,58 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
 use std::thread;
+use thiserror::Error;
 
 /// More plays than this in one series are refused: a slip of the keyboard must not take the machine for a day.
-const MOST: u64 = 10_000;
+const MAX_PLAYS: u64 = 10_000;
 
 /// Seeds from the first to the last, both played.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Seeds(pub RangeInclusive<u64>);
 
+/// Why a text is no range of seeds.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum InvalidSeeds {
+    /// A bound is no number.
+    #[error("'{0}' is no seed; seeds read as 1..20")]
+    NotANumber(String),
+    /// The last comes before the first.
+    #[error("{first}..{last} holds no seed")]
+    Empty {
+        /// The first.
+        first: u64,
+        /// The last.
+        last: u64,
+    },
+    /// More plays than one series may have.
+    #[error("{first}..{last} is more than {MAX_PLAYS} plays")]
+    TooMany {
+        /// The first.
+        first: u64,
+        /// The last.
+        last: u64,
+    },
+}
+
 impl FromStr for Seeds {
-    type Err = String;
+    type Err = InvalidSeeds;
 
     /// Reads `A..B`, or `A` alone.
-    fn from_str(text: &str) -> Result<Self, String> {
+    fn from_str(text: &str) -> Result<Self, InvalidSeeds> {
         let number = |t: &str| {
             t.trim()
                 .parse::<u64>()
-                .map_err(|_| format!("'{t}' is no seed; seeds read as 1..20"))
+                .map_err(|_| InvalidSeeds::NotANumber(t.to_owned()))
         };
         let (first, last) = match text.split_once("..") {
             Some((a, b)) => (number(a)?, number(b)?),
             None => (number(text)?, number(text)?),
         };
         if last < first {
-            return Err(format!("{first}..{last} holds no seed"));
+            return Err(InvalidSeeds::Empty { first, last });
         }
-        if last - first >= MOST {
-            return Err(format!("{first}..{last} is more than {MOST} plays"));
+        if last - first >= MAX_PLAYS {
+            return Err(InvalidSeeds::TooMany { first, last });
         }
         Ok(Seeds(first..=last))
     }
@@ -56,27 +81,21 @@
 }
 
 impl Verdict {
-    /// The verdict on a play that ran, or could not.
-    pub fn of(played: Result<Outcome, String>) -> Self {
-        let seen = played.and_then(|o| {
-            o.has_seen()?;
-            match o.interrupted {
-                Some(at) if o.breaches.is_empty() => Err(format!("ended by hand after {at:.1} s")),
-                _ => Ok(o),
-            }
-        });
-        match seen {
-            Err(why) => Verdict::Nothing(why),
-            Ok(o) => {
-                let mut broken = BTreeMap::new();
-                o.breaches
-                    .iter()
-                    .for_each(|b| *broken.entry(b.rule).or_insert(0) += 1);
-                Verdict::Played {
-                    broken,
-                    score: o.score.whole.score().unwrap_or(0.0),
-                }
-            }
+    /// The verdict on a play that ran.
+    pub fn of(outcome: &Outcome) -> Self {
+        if let Err(why) = outcome.has_seen() {
+            return Verdict::Nothing(why.to_string());
+        }
+        if let Some(at) = outcome.interrupted.filter(|_| outcome.breaches.is_empty()) {
+            return Verdict::Nothing(format!("ended by hand after {at:.1} s"));
+        }
+        let mut broken = BTreeMap::new();
+        for breach in &outcome.breaches {
+            *broken.entry(breach.rule).or_insert(0) += 1;
+        }
+        Verdict::Played {
+            broken,
+            score: outcome.score.whole.score().unwrap_or(0.0),
         }
     }
 
@@ -196,11 +215,9 @@
     fn seeds_read_as_a_range_and_a_slip_is_told() {
         assert_eq!("1..20".parse(), Ok(Seeds(1..=20)));
         assert_eq!("7".parse(), Ok(Seeds(7..=7)));
-        assert_eq!("20..1".parse::<Seeds>(), Err("20..1 holds no seed".into()));
-        assert_eq!(
-            "1..x".parse::<Seeds>(),
-            Err("'x' is no seed; seeds read as 1..20".into())
-        );
+        let error = |text: &str| text.parse::<Seeds>().unwrap_err().to_string();
+        assert_eq!(error("20..1"), "20..1 holds no seed");
+        assert_eq!(error("1..x"), "'x' is no seed; seeds read as 1..20");
         assert!("0..10000".parse::<Seeds>().is_err() && "0..9999".parse::<Seeds>().is_ok());
     }
 
--- a/rehearse/src/shipped.rs
+++ b/rehearse/src/shipped.rs
@@ -1,6 +1,6 @@
 //! The scenarios that come with the kit, built into it so that `run NAME` works from any folder.
 
-use crate::scenario::Scenario;
+use crate::scenario::{Scenario, ScenarioError};
 
 /// Each shipped scenario: its name and its file.
 pub const SHIPPED: [(&str, &str); 10] = [
@@ -26,7 +26,7 @@
 ];
 
 /// A shipped scenario by its name; none where there is no such one.
-pub fn named(name: &str) -> Option<Result<Scenario, String>> {
+pub fn named(name: &str) -> Option<Result<Scenario, ScenarioError>> {
     SHIPPED
         .iter()
         .find(|(n, _)| *n == name)
@@ -61,8 +61,8 @@
             ("x.json", "calm", "rolling-restart")
         );
         assert_eq!(
-            named("half-crash").map(|s| s.map(|s| s.proxies)),
-            Some(Ok(3))
+            named("half-crash").and_then(|read| Some(read.ok()?.proxies)),
+            Some(3)
         );
         assert!(named("meteor").is_none());
     }
--- a/rehearse/src/timetable.rs
+++ b/rehearse/src/timetable.rs
@@ -215,21 +215,21 @@
         let mut text: serde_json::Value =
             serde_json::from_str(include_str!("../scenarios/chuseok-evening.json")).unwrap();
         text["faults"] = serde_json::json!([{"at": 1, "what": {"box-dies": {"boxes": 13}}}]);
-        let message = Scenario::read(&text.to_string()).unwrap_err();
+        let message = Scenario::read(&text.to_string()).unwrap_err().to_string();
         assert!(
             message.starts_with("faults[0].what.boxes: 13 is not from 1 to 12"),
             "{message}"
         );
         text["faults"] =
             serde_json::json!([{"at": 1, "what": {"box-stalls": {"boxes": 3, "first": 10}}}]);
-        let message = Scenario::read(&text.to_string()).unwrap_err();
+        let message = Scenario::read(&text.to_string()).unwrap_err().to_string();
         assert!(
             message.starts_with("faults[0].what.boxes: 3 is not from 1 to 2"),
             "{message}"
         );
         let links = |weather: serde_json::Value| serde_json::json!([{"at": 1, "lasts": 1, "what": {"links": {"proxies": 1, "weather": weather}}}]);
         text["faults"] = links(serde_json::json!({"drop": 0.5}));
-        let message = Scenario::read(&text.to_string()).unwrap_err();
+        let message = Scenario::read(&text.to_string()).unwrap_err().to_string();
         assert!(
             message.starts_with("faults[0].what.links: the proxies have no links"),
             "{message}"
@@ -237,32 +237,32 @@
         text["peers"] = true.into();
         assert!(Scenario::read(&text.to_string()).is_ok());
         text["faults"] = links(serde_json::json!({"drop": 7}));
-        let message = Scenario::read(&text.to_string()).unwrap_err();
+        let message = Scenario::read(&text.to_string()).unwrap_err().to_string();
         assert!(
             message.starts_with("faults[0].what.links.weather.drop: 7 is not from 0 to 1"),
             "{message}"
         );
         text["faults"] = links(serde_json::json!({"trickle": 7}));
-        let message = Scenario::read(&text.to_string()).unwrap_err();
+        let message = Scenario::read(&text.to_string()).unwrap_err().to_string();
         assert!(
             message.starts_with("faults[0].what.links.weather.trickle: the proxies send"),
             "{message}"
         );
         text["faults"] = serde_json::json!([{"at": 1, "what": {"links": {"proxies": 3, "weather": {"cut": true}}}}]);
-        let message = Scenario::read(&text.to_string()).unwrap_err();
+        let message = Scenario::read(&text.to_string()).unwrap_err().to_string();
         assert!(
             message.starts_with("faults[0].what.links.proxies: there are no others"),
             "{message}"
         );
         text["faults"] = serde_json::json!([{"at": 1, "what": {"proxy-stalled": {"proxies": 1}}}]);
-        let message = Scenario::read(&text.to_string()).unwrap_err();
+        let message = Scenario::read(&text.to_string()).unwrap_err().to_string();
         assert!(
             message.starts_with("faults[0].lasts: a stall must end"),
             "{message}"
         );
         text["faults"] =
             serde_json::json!([{"at": 1, "what": {"proxy-killed": {"proxies": 1, "first": 3}}}]);
-        let message = Scenario::read(&text.to_string()).unwrap_err();
+        let message = Scenario::read(&text.to_string()).unwrap_err().to_string();
         assert!(
             message.starts_with("faults[0].what.first: 3 is not from 0 to 2"),
             "{message}"
--- a/rehearse/tests/load.rs
+++ b/rehearse/tests/load.rs
@@ -208,7 +208,7 @@
     ] {
         let text = EVENING.replacen(from, to, 1);
         assert_ne!(text, EVENING, "{from}");
-        let message = Scenario::read(&text).unwrap_err();
+        let message = Scenario::read(&text).unwrap_err().to_string();
         assert!(message.starts_with(path), "{path} | {message}");
     }
     assert!(Scenario::read(&EVENING[..EVENING.len() / 2]).is_err());
@@ -220,8 +220,8 @@
         what: What::MassPurge { share: 0.1 },
     });
     assert_eq!(
-        Scenario::read(&serde_json::to_string(&scenario).unwrap()),
-        Ok(scenario)
+        Scenario::read(&serde_json::to_string(&scenario).unwrap()).unwrap(),
+        scenario
     );
 }
 
@@ -300,5 +300,6 @@
     assert!(evening
         .scaled(0.001)
         .unwrap_err()
+        .to_string()
         .starts_with("--time-scale 0.001: seconds: 0.06 is not from 1"));
 }
--- a/rehearse/tests/report.rs
+++ b/rehearse/tests/report.rs
@@ -54,7 +54,9 @@
     ] {
         let text = good.write().unwrap();
         assert!(text.contains(from), "{from}");
-        let message = Report::read(&text.replacen(from, to, 1)).unwrap_err();
+        let message = Report::read(&text.replacen(from, to, 1))
+            .unwrap_err()
+            .to_string();
         assert!(message.contains(key), "{key}: {message}");
     }
 }
@@ -79,6 +81,7 @@
     };
     assert!(compare(&report(0.9, &[]), &other)
         .unwrap_err()
+        .to_string()
         .contains("two scenarios"));
     let blind = Report {
         unseen: Some("nothing was asked".into()),
@@ -86,5 +89,6 @@
     };
     assert!(compare(&blind, &report(0.9, &[]))
         .unwrap_err()
+        .to_string()
         .contains("the first proves nothing"));
 }
