--- a/rehearse/src/links/conditions.rs
+++ b/rehearse/src/links/conditions.rs
@@ -33,7 +33,7 @@
 }
 
 /// How long a datagram that is held back waits at the least, in microseconds.
-const HELD_US: Micros = 20_000;
+pub const REORDER_DELAY_US: Micros = 20_000;
 
 /// The longest delay and jitter, in milliseconds.
 const MAX_DELAY_MS: f64 = 60_000.0;
@@ -129,7 +129,7 @@
         let delay =
             |jitter: f64| ((conditions.delay_ms + jitter * conditions.jitter_ms) * 1e3) as Micros;
         let held_back = if held < conditions.reorder {
-            HELD_US + delay(1.0)
+            REORDER_DELAY_US + delay(1.0)
         } else {
             0
         };
@@ -197,128 +197,3 @@
         self.allowance = (self.allowance - bytes as f64).max(0.0);
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_clear_link_passes_each_datagram_once_and_at_once_and_a_cut_one_none() {
-        let mut fate = Fate::new(7, 0, 1);
-        assert!((0..100).all(|_| fate.of(&LinkConditions::default()) == [0]));
-        assert!((0..100).all(|_| fate.of(&LinkConditions::CUT).is_empty()));
-    }
-
-    #[test]
-    fn losses_doubles_and_delays_come_in_their_shares_and_alike_for_one_seed() {
-        let rough = LinkConditions {
-            drop: 0.3,
-            duplicate: 0.2,
-            reorder: 0.1,
-            delay_ms: 5.0,
-            jitter_ms: 2.0,
-            ..LinkConditions::default()
-        };
-        let all = |seed, to| {
-            let mut fate = Fate::new(seed, 0, to);
-            (0..10_000).map(|_| fate.of(&rough)).collect::<Vec<_>>()
-        };
-        let fates = all(7, 1);
-        let lost = fates.iter().filter(|f| f.is_empty()).count();
-        let twice = fates.iter().filter(|f| f.len() == 2).count();
-        let held = fates
-            .iter()
-            .filter(|f| f.first().is_some_and(|us| *us >= HELD_US))
-            .count();
-        assert!((2_800..3_200).contains(&lost), "{lost}");
-        assert!((1_250..1_550).contains(&twice), "{twice}");
-        assert!((600..800).contains(&held), "{held}");
-        let usual = |us: &u64| (5_000..=7_000).contains(us) || *us >= HELD_US + 12_000;
-        assert!(fates.iter().flatten().all(usual));
-        assert_eq!(fates, all(7, 1));
-        assert!(
-            fates != all(8, 1) && fates != all(7, 2),
-            "each direction and seed has fates of its own"
-        );
-    }
-
-    #[test]
-    fn a_change_of_conditions_shifts_no_later_fate() {
-        let (mut a, mut b) = (Fate::new(3, 1, 2), Fate::new(3, 1, 2));
-        let rough = LinkConditions {
-            drop: 0.5,
-            duplicate: 0.5,
-            jitter_ms: 9.0,
-            ..LinkConditions::default()
-        };
-        for _ in 0..50 {
-            a.of(&rough);
-            b.of(&LinkConditions::CUT);
-        }
-        assert!((0..50).all(|_| a.of(&rough) == b.of(&rough)));
-    }
-
-    #[test]
-    fn a_stream_trickles_breaks_in_the_midst_and_stands_still_while_cut() {
-        let slow = LinkConditions {
-            trickle: 1000,
-            ..LinkConditions::default()
-        };
-        let mut flow = Flow::default();
-        assert_eq!(
-            flow.may(0, &slow, 500),
-            Pass::Nothing,
-            "nothing is earned yet"
-        );
-        assert_eq!(flow.may(50_000, &slow, 500), Pass::Bytes(50));
-        flow.passed(50);
-        assert_eq!(flow.may(50_000, &slow, 500), Pass::Nothing);
-        assert_eq!(
-            flow.may(5_000_000, &slow, 500),
-            Pass::Bytes(100),
-            "not all of an idle time at once"
-        );
-        assert_eq!(
-            flow.may(5_000_000, &LinkConditions::CUT, 500),
-            Pass::Nothing
-        );
-        assert_eq!(
-            flow.may(9_000_000, &LinkConditions::default(), 500),
-            Pass::Bytes(500)
-        );
-        let breaks = LinkConditions {
-            reset_after: 70,
-            ..LinkConditions::default()
-        };
-        assert_eq!(
-            flow.may(9_000_000, &breaks, 500),
-            Pass::Bytes(20),
-            "50 have passed"
-        );
-        flow.passed(20);
-        assert_eq!(flow.may(9_000_000, &breaks, 1), Pass::Reset);
-        let deaf = LinkConditions {
-            half_open: true,
-            ..LinkConditions::default()
-        };
-        assert_eq!(Flow::default().may(0, &deaf, 9), Pass::Nothing);
-    }
-
-    #[test]
-    fn what_can_not_be_is_told_by_its_key() {
-        let bad = LinkConditions {
-            drop: 1.5,
-            ..LinkConditions::default()
-        };
-        assert_eq!(
-            bad.check().map_err(|error| error.to_string()),
-            Err("drop: 1.5 is not from 0 to 1".into())
-        );
-        let bad = LinkConditions {
-            delay_ms: f64::NAN,
-            ..LinkConditions::default()
-        };
-        assert!(bad.check().unwrap_err().to_string().starts_with("delay_ms"));
-        assert_eq!(LinkConditions::CUT.check(), Ok(()));
-    }
-}
--- a/rehearse/src/links/mod.rs
+++ b/rehearse/src/links/mod.rs
@@ -8,7 +8,7 @@
 mod conditions;
 mod stream;
 
-pub use conditions::{ConditionOutOfRange, Fate, Flow, LinkConditions, Pass};
+pub use conditions::{ConditionOutOfRange, Fate, Flow, LinkConditions, Pass, REORDER_DELAY_US};
 pub use stream::FaultyStream;
 
 use crate::record::Micros;
--- a/rehearse/src/process.rs
+++ b/rehearse/src/process.rs
@@ -178,27 +178,3 @@
 ];
 /// Lines of a daemon's log kept to say why it did not start.
 const LAST_LINES: usize = 12;
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_daemon_that_ends_at_once_is_told_with_its_end() {
-        let folder =
-            std::env::temp_dir().join(format!("linnetknot-process-{}", std::process::id()));
-        let started = Process::start(
-            Path::new("/bin/false"),
-            &folder,
-            "ends",
-            &Value::Null,
-            &Value::Null,
-        );
-        let _ = std::fs::remove_dir_all(&folder);
-        let said = started.err().expect("nothing listens").to_string();
-        assert!(
-            said.contains("'ends' did not start: it ended (exit status: 1)"),
-            "{said}"
-        );
-    }
-}
--- a/rehearse/src/rules/cold.rs
+++ b/rehearse/src/rules/cold.rs
@@ -46,25 +46,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use crate::record::Cold;
-
-    #[test]
-    fn what_a_cold_box_can_do_is_the_area_under_its_line() {
-        let c = Cold {
-            uid: "a".into(),
-            at: 100,
-            capacity: 2.0,
-            share: 0.2,
-            warm_us: 1000,
-            multiple: 1.0,
-            fall_us: 100,
-        };
-        assert!((c.able(100, 1100) - 2.0 * 600.0).abs() < 1e-6);
-        assert!((c.able(1100, 1200) - 200.0).abs() < 1e-6, "warm");
-        assert!((c.able(100, 101) - 0.4).abs() < 0.01);
-        assert_eq!(c.able(0, 100), 0.0, "before its start it can do nothing");
-    }
-}
--- a/rehearse/src/scale/daemons/acks.rs
+++ b/rehearse/src/scale/daemons/acks.rs
@@ -94,28 +94,3 @@
         &self.delays[daemon]
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn an_acknowledgement_covers_all_before_its_index_once() {
-        let mut acks = PurgeAcks::new(2);
-        acks.told(5, 1, 100);
-        acks.told(5, 3, 200);
-        acks.told(5, 4, 300);
-        acks.acknowledged(5, 0, 3, 1_000);
-        acks.acknowledged(5, 0, 3, 9_000);
-        assert_eq!((acks.total(), acks.missing(0), acks.missing(1)), (3, 1, 3));
-        assert_eq!((acks.delays(0).len(), acks.delays(0).max()), (2, 900));
-        acks.acknowledged(5, 0, 4, 20_000_300);
-        assert!(
-            acks.delays(0).max() >= 20_000_000,
-            "{}",
-            acks.delays(0).max()
-        );
-        acks.acknowledged(7, 0, 3, 9_000);
-        assert_eq!((acks.missing(0), acks.missing(1)), (0, 3));
-    }
-}
--- a/rehearse/src/scale/daemons/kind.rs
+++ b/rehearse/src/scale/daemons/kind.rs
@@ -61,20 +61,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn datagrams_are_known_by_their_own_decoders() {
-        let digest_request = Datagram::DigestRequest.write().expect("it is short");
-        assert_eq!(Kind::of(&digest_request), Kind::Digests);
-        let ack = Datagram::Ack {
-            process: 1,
-            positions: vec![(linnetknot_replication::LogId::new(1, 2), 3)],
-        };
-        assert_eq!(Kind::of(&ack.write().expect("it is short")), Kind::Acks);
-        assert_eq!(Kind::of(b"purge object a 1"), Kind::Other);
-    }
-}
--- a/rehearse/src/scale/daemons/proc_stat.rs
+++ b/rehearse/src/scale/daemons/proc_stat.rs
@@ -90,35 +90,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use std::net::UdpSocket;
-
-    #[test]
-    fn ticks_are_found_behind_a_name_with_spaces_and_brackets() {
-        let stat = "7 (a ) b) S 1 7 7 0 -1 4194304 100 0 0 0 250 50 0 0 20 0 2 0 100 1000 10";
-        assert_eq!(processor_ticks(stat), Some(300));
-        assert_eq!(processor_ticks("7 (cut"), None);
-    }
-
-    #[test]
-    fn kilobytes_become_bytes() {
-        assert_eq!(
-            memory_bytes("Name:\tx\nVmHWM:\t    20 kB\nVmRSS:\t    10 kB\n", "VmRSS:"),
-            Some(10_240)
-        );
-        assert_eq!(memory_bytes("Name:\tx\n", "VmRSS:"), None);
-    }
-
-    #[test]
-    fn this_process_has_memory_and_its_socket_a_row() {
-        let own = read(std::process::id()).expect("this process runs");
-        assert!(
-            own.resident_bytes > 0 && own.peak_resident_bytes >= own.resident_bytes,
-            "{own:?}"
-        );
-        let socket = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
-        let address = socket.local_addr().expect("it is bound");
-        assert_eq!(dropped_datagrams(address).expect("it has a row"), 0);
-    }
-}
+mod tests;
--- a/rehearse/src/scale/daemons/purge_plan.rs
+++ b/rehearse/src/scale/daemons/purge_plan.rs
@@ -86,17 +86,3 @@
     }
     told
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn purges_come_at_an_even_rate_and_reach_all_members() {
-        let purges = plan(4, 100, 2, 1);
-        assert_eq!((purges.len(), purges[100].after_us), (200, SECOND_US));
-        assert!((0..4).all(|member| purges.iter().any(|purge| purge.member == member)));
-        assert_eq!(purges, plan(4, 100, 2, 1));
-        assert!(plan(4, 0, 2, 1).is_empty());
-    }
-}
--- a/rehearse/src/scale/daemons/sockets.rs
+++ b/rehearse/src/scale/daemons/sockets.rs
@@ -12,7 +12,7 @@
 const FIRST_ADDRESS: u32 = u32::from_be_bytes([127, 77, 0, 1]);
 
 /// Descriptors that this process needs besides: files, daemons' logs and clients.
-const OTHER_DESCRIPTORS: usize = 128;
+pub const OTHER_DESCRIPTORS: usize = 128;
 
 /// Ports that are tried; the addresses of one may belong to another run.
 const MAX_PORTS: usize = 16;
@@ -149,45 +149,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn members_hear_daemons_and_nobody_else() {
-        let daemon = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
-        let stranger = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
-        let daemon_address = daemon.local_addr().expect("it is bound");
-        let mut sockets = MemberSockets::bind(3, &[daemon_address]).expect("loopback has room");
-        let second = sockets.addresses()[1];
-        stranger
-            .send_to(b"stranger", second)
-            .expect("loopback takes it");
-        daemon
-            .send_to(b"daemon", second)
-            .expect("loopback takes it");
-        assert_eq!(sockets.wait(1_000_000).expect("it waits"), [1]);
-        let mut buffer = [0; 16];
-        let received = sockets.receive(1, &mut buffer);
-        assert_eq!(
-            received,
-            Some(ReceivedDatagram {
-                daemon: 0,
-                length: 6
-            })
-        );
-        assert_eq!(&buffer[..6], b"daemon");
-        assert_eq!(sockets.receive(1, &mut buffer), None);
-    }
-
-    #[test]
-    fn more_sockets_than_descriptors_are_refused() {
-        assert_eq!(admit(1), Ok(()));
-        let error = admit(usize::MAX - OTHER_DESCRIPTORS);
-        assert!(
-            error.is_err() || getrlimit(Resource::Nofile).current.is_none(),
-            "{error:?}"
-        );
-    }
-}
--- a/rehearse/src/shipped.rs
+++ b/rehearse/src/shipped.rs
@@ -47,23 +47,3 @@
         })
         .collect()
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn all_is_every_shipped_scenario_in_order_and_a_name_is_found() {
-        let chosen = chosen(&["x.json".into(), "all".into()]);
-        assert_eq!(chosen.len(), 1 + SHIPPED.len());
-        assert_eq!(
-            (chosen[0].as_str(), chosen[1].as_str(), chosen[8].as_str()),
-            ("x.json", "calm", "rolling-restart")
-        );
-        assert_eq!(
-            named("half-crash").and_then(|read| Some(read.ok()?.proxies)),
-            Some(3)
-        );
-        assert!(named("meteor").is_none());
-    }
-}
--- a/rehearse/tests/rules.rs
+++ b/rehearse/tests/rules.rs
@@ -407,3 +407,20 @@
         "{w:?}"
     );
 }
+
+#[test]
+fn what_a_cold_box_can_do_is_the_area_under_its_line() {
+    let c = Cold {
+        uid: "a".into(),
+        at: 100,
+        capacity: 2.0,
+        share: 0.2,
+        warm_us: 1000,
+        multiple: 1.0,
+        fall_us: 100,
+    };
+    assert!((c.able(100, 1100) - 2.0 * 600.0).abs() < 1e-6);
+    assert!((c.able(1100, 1200) - 200.0).abs() < 1e-6, "warm");
+    assert!((c.able(100, 101) - 0.4).abs() < 0.01);
+    assert_eq!(c.able(0, 100), 0.0, "before its start it can do nothing");
+}
--- /dev/null
+++ b/rehearse/tests/rules_budgets.rs
@@ -0,0 +1,57 @@
+//! The rule of budgets that several proxies share, from spans alone.
+
+use linnetknot_rehearse::record::Micros;
+use linnetknot_rehearse::rules::budgets::{held, judge, mean, HeldFrom, LimitFrom, Span};
+
+fn span(from: Micros, until: Micros) -> Span {
+    Span { from, until }
+}
+
+#[test]
+fn each_time_over_the_whole_is_named_with_its_most() {
+    let spans = [
+        span(0, 10),
+        span(5, 20),
+        span(10, 30),
+        span(12, 14),
+        span(13, 15),
+        span(40, 50),
+    ];
+    let judged = |limits: &[(Micros, u64)]| {
+        let limits: Vec<LimitFrom> = limits
+            .iter()
+            .map(|(from, limit)| LimitFrom {
+                from: *from,
+                limit: *limit,
+            })
+            .collect();
+        judge(&spans, &limits)
+            .into_iter()
+            .map(|b| (b.at, b.evidence))
+            .collect::<Vec<_>>()
+    };
+    assert_eq!(judged(&[(0, 4)]), []);
+    assert_eq!(
+        judged(&[(0, 3)]),
+        [(13, "4 of 3 held at a time".to_owned())]
+    );
+    assert_eq!(
+        judged(&[(0, 2)]),
+        [(12, "4 of 2 held at a time".to_owned())],
+        "the first two met, and the third took the place of one that ended with its beginning"
+    );
+    // The limit is lowered: what was out before is not held against anybody, what comes after is.
+    assert_eq!(judged(&[(0, 4), (13, 0)]).len(), 2);
+    assert_eq!(judged(&[]), [], "nothing is said of a limit");
+    assert_eq!(
+        held(&[span(7, 7), span(7, 8)]),
+        [HeldFrom { from: 7, held: 1 }, HeldFrom { from: 8, held: 0 }],
+        "what took no time was not held"
+    );
+}
+
+#[test]
+fn the_mean_counts_what_lies_within() {
+    assert_eq!(mean(&[span(0, 10), span(5, 20)], 0, 20), 1.25);
+    assert_eq!(mean(&[span(0, 10)], 10, 20), 0.0);
+}
