--- a/rehearse/src/boxes.rs
+++ b/rehearse/src/boxes.rs
@@ -41,6 +41,23 @@
 }
 
 impl Arrival {
+    /// What the words of a command say.
+    fn of(words: &[Vec<u8>]) -> Self {
+        let text = |at: usize| {
+            words
+                .get(at)
+                .map(|b| String::from_utf8_lossy(b).into_owned())
+                .unwrap_or_default()
+        };
+        Arrival {
+            at: unix_ms(),
+            word: text(0),
+            id: text(1),
+            fields: text(2),
+            body: words.get(3).cloned().unwrap_or_default(),
+        }
+    }
+
     /// The value of a field.
     pub fn field(&self, name: &str) -> Option<&str> {
         resp::field(self.fields.as_bytes(), name)
@@ -192,20 +209,7 @@
     }
 
     fn arrived(&self, array: &[Vec<u8>], socket: &TcpStream, connection: usize) {
-        let text = |at: usize| {
-            array
-                .get(at)
-                .map(|b| String::from_utf8_lossy(b).into_owned())
-                .unwrap_or_default()
-        };
-        let body = array.get(3).cloned().unwrap_or_default();
-        let arrival = Arrival {
-            at: unix_ms(),
-            word: text(0),
-            id: text(1),
-            fields: text(2),
-            body,
-        };
+        let arrival = Arrival::of(array);
         let mut state = self.state();
         state.arrivals.push(arrival.clone());
         self.state.1.notify_all();
@@ -217,27 +221,13 @@
         if arrival.word != "fetch" || manner.mute {
             return;
         }
-        let held = Held {
+        state.held.push(Held {
             connection,
             id: arrival.id.clone(),
             from: Instant::now(),
             until: None,
-        };
-        state.held.push(held);
-        let name = format!(
-            "{}/{}",
-            arrival.field("key").unwrap_or(""),
-            arrival.field("part").unwrap_or("")
-        );
-        let oldest = arrival
-            .field("maxage")
-            .and_then(|v| v.parse::<u64>().ok())
-            .filter(|v| *v > 0);
-        let held = state.made.get(&name).copied();
-        let good =
-            held.filter(|made| manner.any_age || oldest.is_none_or(|age| made + age >= arrival.at));
-        let made = good.unwrap_or(arrival.at);
-        state.made.insert(name.clone(), made);
+        });
+        let copy = state.copy_for(&arrival);
         drop(state);
         let Ok(mut socket) = socket.try_clone() else {
             return;
@@ -248,26 +238,7 @@
         };
         let mut answer = move || {
             thread::sleep(Duration::from_millis(manner.hold_ms));
-            let fetched = if manner.origin_ms > 0 {
-                "pulled_far"
-            } else {
-                "pulled"
-            };
-            let how = if good.is_some() { "local" } else { fetched };
-            let waited = manner.origin_ms.max(1);
-            let told = if manner.any_age { arrival.at } else { made };
-            let fields = format!("how={how},ttfb={waited},made={told},etag=t{made}");
-            let mut out = Vec::new();
-            let body = format!("{}{name}@{made}", ".".repeat(manner.padding));
-            resp::write_array(
-                &mut out,
-                &[
-                    arrival.id.as_bytes(),
-                    b"200",
-                    fields.as_bytes(),
-                    body.as_bytes(),
-                ],
-            );
+            let out = answer_bytes(&arrival, &copy, &manner);
             // Before its answer is on its way: whoever has that may send the next.
             me.let_go(|held| held.connection == connection && held.id == arrival.id);
             let _ = socket.write_all(&out);
@@ -279,3 +250,63 @@
         }
     }
 }
+
+/// A copy that answers a fetch.
+struct Copied {
+    /// The object and part.
+    name: String,
+    /// When it left the origin, in Unix milliseconds.
+    made: u64,
+    /// Whether it was there before.
+    is_hit: bool,
+}
+
+impl State {
+    /// The copy for a fetch: the one that is there where it is new enough, or one that is made now.
+    fn copy_for(&mut self, arrival: &Arrival) -> Copied {
+        let name = format!(
+            "{}/{}",
+            arrival.field("key").unwrap_or(""),
+            arrival.field("part").unwrap_or("")
+        );
+        let max_age = arrival
+            .field("maxage")
+            .and_then(|age| age.parse::<u64>().ok())
+            .filter(|age| *age > 0);
+        let is_good =
+            |made: &u64| self.manner.any_age || max_age.is_none_or(|age| made + age >= arrival.at);
+        let good = self.made.get(&name).copied().filter(is_good);
+        let made = good.unwrap_or(arrival.at);
+        self.made.insert(name.clone(), made);
+        Copied {
+            name,
+            made,
+            is_hit: good.is_some(),
+        }
+    }
+}
+
+/// The bytes of the answer to a fetch.
+fn answer_bytes(arrival: &Arrival, copy: &Copied, manner: &Manner) -> Vec<u8> {
+    let Copied { name, made, is_hit } = copy;
+    let how = match (is_hit, manner.origin_ms) {
+        (true, _) => "local",
+        (false, 0) => "pulled",
+        (false, _) => "pulled_far",
+    };
+    let waited = manner.origin_ms.max(1);
+    let told = if manner.any_age { arrival.at } else { *made };
+    let fields = format!("how={how},ttfb={waited},made={told},etag=t{made}");
+    let body = format!("{}{name}@{made}", ".".repeat(manner.padding));
+    let mut out = Vec::new();
+    resp::write_array(
+        &mut out,
+        &[
+            arrival.id.as_bytes(),
+            b"200",
+            fields.as_bytes(),
+            body.as_bytes(),
+        ],
+    );
+    out
+}
--- a/rehearse/src/process.rs
+++ b/rehearse/src/process.rs
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 use std::os::unix::process::CommandExt;
 use std::path::Path;
-use std::process::{Child, Command, Stdio};
-use std::sync::mpsc::{self, RecvTimeoutError};
+use std::process::{Child, ChildStderr, Command, Stdio};
+use std::sync::mpsc::{self, Receiver, RecvTimeoutError};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
 
@@ -68,25 +68,7 @@
         (config, own): (&Value, &Value),
         points: &str,
     ) -> io::Result<Self> {
-        std::fs::create_dir_all(folder)?;
-        let (config_file, own_file) = (
-            folder.join(format!("{name}.json")),
-            folder.join(format!("{name}-own.json")),
-        );
-        std::fs::write(&config_file, config.to_string())?;
-        std::fs::write(&own_file, own.to_string())?;
-        let mut child = Command::new(program)
-            .env("ROUTER_CONFIG", &config_file)
-            .env("LINNETKNOT_INTERCONNECT", &own_file)
-            .env("RUST_LOG", "info")
-            .env("LINNETKNOT_POINTS", points)
-            // What the operators decided is kept there: no other daemon is to find it.
-            .env("TMPDIR", folder)
-            .stdin(Stdio::null())
-            // A group of its own: Ctrl-C at a terminal is for the kit, which then ends its daemons.
-            .process_group(0)
-            .stderr(Stdio::piped())
-            .spawn()?;
+        let mut child = spawn(program, folder, name, config, own, points)?;
         let log = child.stderr.take();
         // From here on it is ended with this, whatever comes.
         let nowhere = ([127, 0, 0, 1], 0).into();
@@ -96,58 +78,38 @@
             cdni: nowhere,
             admin: nowhere,
         };
-        let (tell, told) = mpsc::channel();
-        let last = Arc::new(Mutex::new(VecDeque::new()));
-        let kept = last.clone();
-        thread::spawn(move || {
-            // Read to the end, so that the daemon is never held up by its log.
-            for line in log
-                .into_iter()
-                .flat_map(|l| BufReader::new(l).lines())
-                .map_while(Result::ok)
-            {
-                let mut kept = kept.lock().unwrap_or_else(PoisonError::into_inner);
-                if kept.len() == LAST_LINES {
-                    kept.pop_front();
-                }
-                kept.push_back(line.clone());
-                drop(kept);
-                let address =
-                    |mark: &&str| line.split_once(mark)?.1.trim().parse::<SocketAddr>().ok();
-                for found in SAID.iter().filter_map(address) {
-                    let _ = tell.send(found);
-                }
-            }
-        });
-        // It says first where clients connect, and then where neighbours and operators do, if they can.
-        let (second, admin) = (own["cdni"]["listen"].is_string(), config["ops"].is_string());
-        let heard = told.recv_timeout(PATIENCE).and_then(|front| {
-            process.front = front;
-            process.cdni = if second {
-                told.recv_timeout(PATIENCE)?
-            } else {
-                front
-            };
-            process.admin = if admin {
-                told.recv_timeout(PATIENCE)?
-            } else {
-                front
-            };
-            Ok(())
-        });
-        match heard {
+        let last_lines = Arc::default();
+        let addresses = read_log(log, Arc::clone(&last_lines));
+        let has_cdni = own["cdni"]["listen"].is_string();
+        let has_admin = config["ops"].is_string();
+        match process.learn_addresses(&addresses, has_cdni, has_admin) {
             Ok(()) => Ok(process),
-            Err(waited) => Err(process.why_not(name, waited, &last)),
+            Err(waited) => Err(process.why_not(name, waited, &last_lines)),
         }
     }
 
-    /// Why a daemon did not say where it listens: how it ended, if it did, and the last it said.
-    fn why_not(
+    /// Takes the addresses in the order in which a daemon says them: where clients connect, and then where peer CDNs and
+    /// operators do, if they can.
+    fn learn_addresses(
         &mut self,
-        name: &str,
-        waited: RecvTimeoutError,
-        last: &Mutex<VecDeque<String>>,
-    ) -> io::Error {
+        addresses: &Receiver<SocketAddr>,
+        has_cdni: bool,
+        has_admin: bool,
+    ) -> Result<(), RecvTimeoutError> {
+        self.front = addresses.recv_timeout(PATIENCE)?;
+        self.cdni = match has_cdni {
+            true => addresses.recv_timeout(PATIENCE)?,
+            false => self.front,
+        };
+        self.admin = match has_admin {
+            true => addresses.recv_timeout(PATIENCE)?,
+            false => self.front,
+        };
+        Ok(())
+    }
+
+    /// Why a daemon did not say where it listens: how it ended, if it did, and the last it said.
+    fn why_not(&mut self, name: &str, waited: RecvTimeoutError, last: &LastLines) -> io::Error {
         let ended = match waited {
             // Its log ended: the process has ended or is about to.
             RecvTimeoutError::Disconnected => match self.child.wait() {
@@ -170,6 +132,60 @@
     }
 }
 
+/// The last lines of a daemon's log.
+type LastLines = Mutex<VecDeque<String>>;
+
+/// Writes a daemon's files and starts its process, in a process group of its own.
+fn spawn(
+    program: &Path,
+    folder: &Path,
+    name: &str,
+    config: &Value,
+    own: &Value,
+    points: &str,
+) -> io::Result<Child> {
+    std::fs::create_dir_all(folder)?;
+    let config_file = folder.join(format!("{name}.json"));
+    let own_file = folder.join(format!("{name}-own.json"));
+    std::fs::write(&config_file, config.to_string())?;
+    std::fs::write(&own_file, own.to_string())?;
+    Command::new(program)
+        .env("ROUTER_CONFIG", &config_file)
+        .env("LINNETKNOT_INTERCONNECT", &own_file)
+        .env("RUST_LOG", "info")
+        .env("LINNETKNOT_POINTS", points)
+        // What the operators decided is kept there: no other daemon is to find it.
+        .env("TMPDIR", folder)
+        .stdin(Stdio::null())
+        // A group of its own: Ctrl-C at a terminal is for the kit, which then ends its daemons.
+        .process_group(0)
+        .stderr(Stdio::piped())
+        .spawn()
+}
+
+/// Reads a daemon's log to the end on a thread of its own, so that the daemon is never held up by it: gives the addresses
+/// that it names, and keeps its last lines.
+fn read_log(log: Option<ChildStderr>, last_lines: Arc<LastLines>) -> Receiver<SocketAddr> {
+    let (sender, addresses) = mpsc::channel();
+    thread::spawn(move || {
+        let lines = log.into_iter().flat_map(|log| BufReader::new(log).lines());
+        for line in lines.map_while(Result::ok) {
+            let address = |mark: &&str| line.split_once(mark)?.1.trim().parse().ok();
+            let found: Vec<SocketAddr> = SAID.iter().filter_map(address).collect();
+            let mut last = last_lines.lock().unwrap_or_else(PoisonError::into_inner);
+            if last.len() == LAST_LINES {
+                last.pop_front();
+            }
+            last.push_back(line);
+            drop(last);
+            for address in found {
+                let _ = sender.send(address);
+            }
+        }
+    });
+    addresses
+}
+
 /// What a daemon says before its addresses, in the order in which it says them.
 const SAID: [&str; 3] = [
     " listens on ",
--- a/rehearse/src/scale/report.rs
+++ b/rehearse/src/scale/report/mod.rs
@@ -1,15 +1,14 @@
 //! What a run came to, as a table: each figure by role, over members, beside its limit.
 
-use crate::scale::fault::{duration, writers, Fault};
-use crate::scale::hollow::StateSize;
-use crate::scale::layout::MemberIndex;
+mod member_figures;
+
 use crate::scale::memory;
-use crate::scale::meter::Meter;
 use crate::scale::run::Run;
 use crate::scale::simulation::Outcome;
 use crate::scale::target::Target;
 use crate::scale::verdict::Verdict;
 use hdrhistogram::Histogram;
+use member_figures::member_rows;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt::{self, Write as _};
@@ -151,185 +150,6 @@
     pub events: u64,
 }
 
-/// A figure of one member.
-struct MemberFigure {
-    name: &'static str,
-    unit: &'static str,
-    limit: Option<f64>,
-    is_volatile: bool,
-    /// None: the member did not run when it was read.
-    of: Box<dyn Fn(MemberIndex) -> Option<f64>>,
-}
-
-fn meter_figures(outcome: &Outcome, run: &Run) -> Vec<MemberFigure> {
-    let seconds = run.seconds as f64;
-    let limits = &run.target.limits;
-    let figure = |name, unit, limit, is_volatile, per: f64, of: fn(&Meter) -> f64| {
-        let meters = outcome.meters.clone();
-        let of = Box::new(move |member: MemberIndex| Some(of(&meters[member]) / per));
-        MemberFigure {
-            name,
-            unit,
-            limit,
-            is_volatile,
-            of,
-        }
-    };
-    let kilobytes = Some(limits.kilobytes_per_second);
-    let processor = Some(limits.processor_percent);
-    let mut figures = vec![
-        figure("sent", "kB/s", None, false, seconds, |meter| {
-            meter.sent_bytes as f64 / 1e3
-        }),
-        figure("received", "kB/s", None, false, seconds, |meter| {
-            meter.received_bytes as f64 / 1e3
-        }),
-        figure(
-            "sent and received",
-            "kB/s",
-            kilobytes,
-            false,
-            seconds,
-            |meter| (meter.sent_bytes + meter.received_bytes) as f64 / 1e3,
-        ),
-        figure(
-            "sent and received in the worst second",
-            "kB",
-            None,
-            false,
-            1.0,
-            |meter| meter.worst_second_bytes as f64 / 1e3,
-        ),
-        figure("datagrams sent", "1/s", None, false, seconds, |meter| {
-            meter.sent_datagrams as f64
-        }),
-        figure("datagrams received", "1/s", None, false, seconds, |meter| {
-            meter.received_datagrams as f64
-        }),
-        figure(
-            "processor",
-            "% of a core",
-            processor,
-            true,
-            seconds,
-            |meter| meter.busy.as_secs_f64() * 100.0,
-        ),
-    ];
-    if let Some(fault) = duration(run.fault, &run.target, outcome.window) {
-        let after = outcome.window.until - fault.until;
-        let [during, after] = [fault.length(), after].map(|time| time as f64 / 1e6);
-        figures.push(figure(
-            "sent and received during the fault",
-            "kB/s",
-            kilobytes,
-            false,
-            during,
-            |meter| meter.during_fault_bytes as f64 / 1e3,
-        ));
-        figures.push(figure(
-            "sent and received after the fault",
-            "kB/s",
-            kilobytes,
-            false,
-            after,
-            |meter| meter.after_fault_bytes as f64 / 1e3,
-        ));
-    }
-    figures
-}
-
-/// How much members hold at the end, and the memory of each kind of state: of what is counted, by the bytes that one
-/// takes.
-fn state_figures(outcome: &Outcome) -> Vec<MemberFigure> {
-    type Count = fn(&StateSize) -> usize;
-    const COUNT: &str = "at the end";
-    const MEMORY: &str = "kB at the end";
-    let counts: [(&str, &str, Count); 9] = [
-        ("entries", COUNT, |size| size.entries),
-        ("logs", COUNT, |size| size.logs),
-        ("claims on members", COUNT, |size| size.claims),
-        ("pending commits", COUNT, |size| size.pending_commits),
-        ("disk queue", COUNT, |size| size.disk_queue),
-        ("memory of entries", MEMORY, |size| {
-            size.entries * memory::ENTRY_BYTES / 1_000
-        }),
-        ("memory of logs", MEMORY, |size| {
-            size.logs * memory::LOG_BYTES / 1_000
-        }),
-        ("memory of peers", MEMORY, |size| {
-            size.claims * memory::PEER_BYTES / 1_000
-        }),
-        ("memory of the purge table", MEMORY, |size| {
-            size.table_bytes / 1_000
-        }),
-    ];
-    let figure = |(name, unit, of): (&'static str, &'static str, Count)| {
-        let states = outcome.states.clone();
-        let of = Box::new(move |member: MemberIndex| Some(of(states.get(&member)?) as f64));
-        MemberFigure {
-            name,
-            unit,
-            limit: None,
-            is_volatile: false,
-            of,
-        }
-    };
-    counts.into_iter().map(figure).collect()
-}
-
-/// The members at which most purges were told.
-fn most_told(outcome: &Outcome, run: &Run) -> Vec<MemberIndex> {
-    if run.fault == Fault::HotWriter {
-        return writers(run.fault, &outcome.layout);
-    }
-    let mut told = BTreeMap::<MemberIndex, usize>::new();
-    for purge in 0..outcome.purges.len() as u64 {
-        if let Some(record) = outcome.purges.get(purge) {
-            *told.entry(record.writer).or_default() += 1;
-        }
-    }
-    let most = told.values().copied().max().unwrap_or(0);
-    told.into_iter()
-        .filter(|(_, count)| *count == most)
-        .map(|(member, _)| member)
-        .collect()
-}
-
-fn member_rows(outcome: &Outcome, run: &Run) -> Vec<Row> {
-    let mut figures = meter_figures(outcome, run);
-    figures.extend(state_figures(outcome));
-    let roles = [
-        (Role::Member, (0..run.members).collect::<Vec<_>>()),
-        (
-            Role::Allocator,
-            outcome.allocators.iter().copied().collect(),
-        ),
-        (Role::Writer, most_told(outcome, run)),
-        (Role::Starter, outcome.starters.iter().copied().collect()),
-    ];
-    let mut rows = Vec::new();
-    for (role, members) in roles.into_iter().filter(|(_, members)| !members.is_empty()) {
-        for figure in &figures {
-            let spread = Spread::of(
-                members
-                    .iter()
-                    .filter_map(|member| (figure.of)(*member))
-                    .collect(),
-            );
-            let none = || Value::None("no such member runs at the end".into());
-            rows.push(Row {
-                role,
-                figure: figure.name.to_owned(),
-                unit: figure.unit.to_owned(),
-                value: spread.map_or_else(none, Value::Spread),
-                limit: figure.limit,
-                is_volatile: figure.is_volatile,
-            });
-        }
-    }
-    rows
-}
-
 fn fleet_row(figure: &str, unit: &str, value: Value, limit: Option<f64>) -> Row {
     let (figure, unit) = (figure.to_owned(), unit.to_owned());
     Row {
--- a/rehearse/src/timetable.rs
+++ b/rehearse/src/timetable.rs
@@ -5,7 +5,7 @@
 
 use crate::links::LinkConditions;
 use crate::record::Micros;
-use crate::scenario::{Scenario, What};
+use crate::scenario::{Fault, Scenario, What};
 
 /// One step of the timetable.
 #[derive(Clone, Debug, PartialEq)]
@@ -44,73 +44,96 @@
 
 /// The steps of a scenario's faults, from the start of its load, in the order of time.
 pub fn timetable(scenario: &Scenario) -> Vec<(Micros, Step)> {
-    let us = |seconds: f64| (seconds * 1e6) as Micros;
-    let mut steps = Vec::new();
-    for f in &scenario.faults {
-        let (at, end) = (us(f.at), (f.lasts > 0.0).then(|| us(f.at + f.lasts)));
-        let boxes = |n: &u32, first: &u32| (*first..first + n).map(box_uid);
-        match &f.what {
-            What::BoxDrains { boxes: n, first } | What::BoxDies { boxes: n, first } => {
-                let drains = matches!(f.what, What::BoxDrains { .. });
-                let gone = |uid| {
-                    if drains {
-                        Step::Drain(uid)
-                    } else {
-                        Step::Down(uid)
-                    }
-                };
-                steps.extend(boxes(n, first).map(|uid| (at, gone(uid))));
-                let back = end
-                    .into_iter()
-                    .flat_map(|end| boxes(n, first).map(move |uid| (end, Step::Back(uid))));
-                steps.extend(back);
-            }
-            What::BoxStalls { boxes: n, first } => {
-                steps.extend(boxes(n, first).map(|uid| (at, Step::Stall(uid, us(f.lasts)))));
-            }
-            What::SlowOrigin { times } => {
-                steps.push((at, Step::Origin(*times)));
-                steps.extend(end.map(|end| (end, Step::Origin(1.0))));
-            }
-            What::BusBreaks => steps.push((at, Step::CutBus)),
-            What::ProxyKilled { proxies, first } | What::ProxyStopped { proxies, first } => {
-                let killed = matches!(f.what, What::ProxyKilled { .. });
-                let which = (*first..first + proxies).map(|n| n as usize);
-                steps.extend(
-                    which
-                        .clone()
-                        .map(|n| (at, if killed { Step::Kill(n) } else { Step::Term(n) })),
-                );
-                steps.extend(
-                    end.into_iter()
-                        .flat_map(|end| which.clone().map(move |n| (end, Step::Restart(n)))),
-                );
-            }
-            What::ProxyStalled { proxies, first } => {
-                for n in (*first..first + proxies).map(|n| n as usize) {
-                    steps.push((at, Step::Freeze(n)));
-                    steps.extend(end.map(|end| (end, Step::Thaw(n))));
-                }
-            }
-            What::Links {
-                proxies,
-                first,
-                conditions,
-                one_way,
-            } => {
-                let which: Vec<usize> = (*first..first + proxies).map(|n| n as usize).collect();
-                steps.extend(end.map(|end| {
-                    (
-                        end,
-                        Step::Links(which.clone(), LinkConditions::default(), *one_way),
-                    )
-                }));
-                steps.push((at, Step::Links(which, *conditions, *one_way)));
-            }
-            What::MassPurge { .. } | What::HotObject { .. } => {}
-        }
-    }
+    let mut steps: Vec<(Micros, Step)> = scenario.faults.iter().flat_map(steps_of).collect();
     // Stable: at one time, the order of the faults stands.
-    steps.sort_by_key(|s| s.0);
+    steps.sort_by_key(|(at, _)| *at);
     steps
 }
+
+/// The microsecond of the play at which so many seconds have passed.
+fn micros(seconds: f64) -> Micros {
+    (seconds * 1e6) as Micros
+}
+
+/// When a fault begins, and when it ends if it does.
+#[derive(Clone, Copy)]
+struct Period {
+    at: Micros,
+    end: Option<Micros>,
+}
+
+impl Period {
+    fn of(fault: &Fault) -> Self {
+        let lasts = fault.lasts > 0.0;
+        Period {
+            at: micros(fault.at),
+            end: lasts.then(|| micros(fault.at + fault.lasts)),
+        }
+    }
+
+    /// A step for each of these when the fault begins, and one for each when it ends.
+    fn steps<T: Clone>(
+        self,
+        which: impl Iterator<Item = T> + Clone,
+        begin: impl Fn(T) -> Step,
+        end: impl Fn(T) -> Step,
+    ) -> Vec<(Micros, Step)> {
+        let begun = which.clone().map(|one| (self.at, begin(one)));
+        let ended = self.end.into_iter();
+        let ended = ended.flat_map(|at| which.clone().map(move |one| (at, one)));
+        begun.chain(ended.map(|(at, one)| (at, end(one)))).collect()
+    }
+}
+
+/// The uids of so many boxes from the first on.
+fn boxes(count: u32, first: u32) -> impl Iterator<Item = String> + Clone {
+    (first..first + count).map(box_uid)
+}
+
+/// So many proxies from the first on.
+fn proxies(count: u32, first: u32) -> impl Iterator<Item = usize> + Clone {
+    (first..first + count).map(|n| n as usize)
+}
+
+/// The steps of one fault.
+fn steps_of(fault: &Fault) -> Vec<(Micros, Step)> {
+    let period = Period::of(fault);
+    match &fault.what {
+        What::BoxDrains { boxes: n, first } => {
+            period.steps(boxes(*n, *first), Step::Drain, Step::Back)
+        }
+        What::BoxDies { boxes: n, first } => {
+            period.steps(boxes(*n, *first), Step::Down, Step::Back)
+        }
+        What::BoxStalls { boxes: n, first } => boxes(*n, *first)
+            .map(|uid| (period.at, Step::Stall(uid, micros(fault.lasts))))
+            .collect(),
+        What::SlowOrigin { times } => {
+            period.steps(std::iter::once(*times), Step::Origin, |_| Step::Origin(1.0))
+        }
+        What::BusBreaks => vec![(period.at, Step::CutBus)],
+        What::ProxyKilled { proxies: n, first } => {
+            period.steps(proxies(*n, *first), Step::Kill, Step::Restart)
+        }
+        What::ProxyStopped { proxies: n, first } => {
+            period.steps(proxies(*n, *first), Step::Term, Step::Restart)
+        }
+        What::ProxyStalled { proxies: n, first } => {
+            period.steps(proxies(*n, *first), Step::Freeze, Step::Thaw)
+        }
+        What::Links {
+            proxies: n,
+            first,
+            conditions,
+            one_way,
+        } => {
+            let which: Vec<usize> = proxies(*n, *first).collect();
+            period.steps(
+                std::iter::once(which),
+                |which| Step::Links(which, *conditions, *one_way),
+                |which| Step::Links(which, LinkConditions::default(), *one_way),
+            )
+        }
+        What::MassPurge { .. } | What::HotObject { .. } => Vec::new(),
+    }
+}
