--- a/rehearse/src/moments/matrix.rs
+++ b/rehearse/src/moments/matrix.rs
@@ -2,7 +2,7 @@
 
 use super::{Case, Played, AGREE, MOMENTS};
 use crate::fleet::Disk;
-use crate::rules::promises::Answer;
+use crate::rules::commits::PurgeAnswer;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::io;
@@ -25,11 +25,11 @@
     /// Takes a play in.
     fn add(&mut self, played: &Played) {
         self.plays += 1;
-        for told in &played.record.told {
-            let place = match told.answer {
-                Answer::Yes => 0,
-                Answer::No => 1,
-                Answer::Nothing => 2,
+        for purge in &played.record.purges {
+            let place = match purge.answer {
+                PurgeAnswer::Committed => 0,
+                PurgeAnswer::Rejected => 1,
+                PurgeAnswer::None => 2,
             };
             self.answers[place] += 1;
         }
--- a/rehearse/src/moments/mod.rs
+++ b/rehearse/src/moments/mod.rs
@@ -9,7 +9,7 @@
 use crate::clients::becomes;
 use crate::fleet::{status_path, Disk, Fleet, Setup};
 use crate::links::LinkConditions;
-use crate::rules::promises::{judge, Answer, Held, Promises, Told};
+use crate::rules::commits::{judge, CommitRecord, FinalState, PurgeAnswer, PurgeRequest};
 use crate::rules::Breach;
 use std::collections::BTreeSet;
 use std::io;
@@ -23,9 +23,9 @@
 /// How long a death or a successor may take to be known.
 const KNOWN: Duration = Duration::from_secs(20);
 /// What the proxies are told of the time for an answer.
-const WITHIN_US: u64 = 1_000_000;
+const TIMEOUT_US: u64 = 1_000_000;
 /// How late the kit may be: its threads share the cores with the daemons.
-const LATE_US: u64 = 500_000;
+const TOLERANCE_US: u64 = 500_000;
 
 /// When and to whom it happens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -158,7 +158,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Played {
     /// Its record.
-    pub record: Promises,
+    pub record: CommitRecord,
     /// What it broke.
     pub breaches: Vec<Breach>,
     /// From the return of the one it happened to until all agreed; none: they did not.
@@ -168,7 +168,7 @@
 struct Play {
     fleet: Fleet,
     begun: Instant,
-    record: Promises,
+    record: CommitRecord,
     objects: u64,
 }
 
@@ -178,21 +178,21 @@
     }
 
     /// A neighbour tells a proxy of one more object.
-    fn tell(&mut self, proxy: usize, excused: bool) -> Answer {
+    fn tell(&mut self, proxy: usize, excused: bool) -> PurgeAnswer {
         self.objects += 1;
         let object = format!("{:016x}", self.objects);
         let replaced = self.fleet.status(proxy).is_ok_and(|s| s.replaced);
-        let at = self.now();
+        let sent_at = self.now();
         let said = self.fleet.trigger(proxy, &[&object]);
         let answer = match &said {
-            Ok(said) if said.status == 201 => Answer::Yes,
-            Ok(_) => Answer::No,
-            Err(_) => Answer::Nothing,
+            Ok(said) if said.status == 201 => PurgeAnswer::Committed,
+            Ok(_) => PurgeAnswer::Rejected,
+            Err(_) => PurgeAnswer::None,
         };
-        let (answered, trigger) = (self.now(), said.ok().as_ref().and_then(status_path));
-        self.record.told.push(Told {
-            at,
-            answered,
+        let (answered_at, trigger) = (self.now(), said.ok().as_ref().and_then(status_path));
+        self.record.purges.push(PurgeRequest {
+            sent_at,
+            answered_at,
             proxy,
             object,
             trigger,
@@ -261,10 +261,10 @@
         ..Setup::copying(daemon, PROXIES, case.seed)
     };
     let fleet = Fleet::with(setup)?;
-    let record = Promises {
-        within_us: WITHIN_US,
-        late_us: LATE_US,
-        ..Promises::default()
+    let record = CommitRecord {
+        timeout_us: TIMEOUT_US,
+        tolerance_us: TOLERANCE_US,
+        ..CommitRecord::default()
     };
     let mut play = Play {
         fleet,
@@ -362,7 +362,7 @@
     /// The writer dies of its point when it is told.
     fn writer_dies(&mut self, cast: &Cast) -> io::Result<()> {
         self.rearm(cast.writer, cast.points)?;
-        if self.tell(cast.writer, true) != Answer::Nothing && !cast.is_planted {
+        if self.tell(cast.writer, true) != PurgeAnswer::None && !cast.is_planted {
             return Err(io::Error::other(
                 "the writer did not die: this daemon has no points",
             ));
@@ -428,22 +428,22 @@
             .collect();
         for proxy in running {
             let mut objects = BTreeSet::new();
-            for told in &self.record.told {
-                if self.fleet.holds_floor(proxy, &told.object)? {
-                    objects.insert(told.object.clone());
+            for purge in &self.record.purges {
+                if self.fleet.holds_floor(proxy, &purge.object)? {
+                    objects.insert(purge.object.clone());
                 }
             }
-            let short = if has_agreed {
+            let under_replicated = if has_agreed {
                 self.fleet.status(proxy)?.short
             } else {
                 0
             };
             let triggers = self.fleet.triggers(proxy)?;
-            self.record.held.push(Held {
+            self.record.final_states.push(FinalState {
                 proxy,
                 objects,
                 triggers,
-                short,
+                under_replicated,
             });
         }
         Ok(())
--- a/rehearse/src/rules/mod.rs
+++ b/rehearse/src/rules/mod.rs
@@ -4,8 +4,8 @@
 mod attempts;
 pub mod budgets;
 mod cold;
+pub mod commits;
 mod drains;
-pub mod promises;
 mod purges;
 
 use crate::record::{Asked, Attempt, Limits, Micros, Record};
