--- a/daemon/examples/figures.rs
+++ b/daemon/examples/figures.rs
@@ -6,11 +6,11 @@
 
 use clap::{Parser, ValueEnum};
 use hdrhistogram::Histogram;
-use linnetknot_rehearse::boxes::{Arrival, StandIn};
-use linnetknot_rehearse::clients::WebServer;
-use linnetknot_rehearse::process::Process;
-use linnetknot_rehearse::stand_ins::consul::{instance, Agent, Manner};
-use linnetknot_rehearse::{settings, unix_ms};
+use linnetknot_harness::clients::WebServer;
+use linnetknot_harness::fakes::cache::{Arrival, StandIn};
+use linnetknot_harness::fakes::consul::{instance, Agent, Manner};
+use linnetknot_harness::process::Process;
+use linnetknot_harness::{settings, unix_ms};
 use serde_json::{json, Value};
 use std::io;
 use std::net::SocketAddr;
--- a/daemon/examples/purge_soak.rs
+++ b/daemon/examples/purge_soak.rs
@@ -64,7 +64,7 @@
         };
         let mut ledger = Ledger::open(path, u64::MAX, START_US, bounds, wake)?;
         ledger.peers(1, vec![2]);
-        let settings = linnetknot_rehearse::settings();
+        let settings = linnetknot_harness::settings();
         let settings = linnetknot_settings::settings(settings.as_object().ok_or("no settings")?)?;
         let core = Core::new(settings, 1, limits)?;
         Ok(Process {
--- a/daemon/tests/admin.rs
+++ b/daemon/tests/admin.rs
@@ -2,7 +2,7 @@
 
 mod rig;
 
-use linnetknot_rehearse::clients::call;
+use linnetknot_harness::clients::call;
 use rig::{object, one, Rig};
 use serde_json::json;
 use std::io::{Read, Write};
@@ -292,7 +292,7 @@
     let mut web = rig.web();
     assert_eq!(one(&mut web, "photo", &object(1)).status, 200);
     assert_eq!(status(admin, "POST", "/control/out-of-service"), 200);
-    rig.boxes[0].behave(linnetknot_rehearse::boxes::Manner {
+    rig.boxes[0].behave(linnetknot_harness::fakes::cache::Manner {
         hold_ms: 300,
         ..Default::default()
     });
--- a/daemon/tests/between.rs
+++ b/daemon/tests/between.rs
@@ -2,9 +2,9 @@
 //! processes killed and started again. What each of them was told of a purge is what it must keep, and what it was
 //! not told of it can't.
 
-use linnetknot_rehearse::clients::{becomes, call, PATIENCE};
-use linnetknot_rehearse::fleet::{purge_at, status_path, Disk, Fleet, Setup};
-use linnetknot_rehearse::links::LinkConditions;
+use linnetknot_harness::clients::{becomes, call, PATIENCE};
+use linnetknot_harness::fleet::{purge_at, status_path, Disk, Fleet, Setup};
+use linnetknot_harness::links::LinkConditions;
 use std::collections::BTreeSet;
 use std::path::Path;
 use std::time::Instant;
--- a/daemon/tests/budgets.rs
+++ b/daemon/tests/budgets.rs
@@ -3,10 +3,10 @@
 //! used by those that have something to do.
 
 use linnetknot_daemon::budgets::{BudgetStatus, GrantStatus, Status};
-use linnetknot_rehearse::clients::{becomes, PATIENCE};
-use linnetknot_rehearse::fleet::{Disk, Fleet, Setup};
-use linnetknot_rehearse::gates::Weather;
-use linnetknot_rehearse::pressure::Pressure;
+use linnetknot_harness::clients::{becomes, PATIENCE};
+use linnetknot_harness::fleet::{Disk, Fleet, Setup};
+use linnetknot_harness::links::LinkConditions;
+use linnetknot_harness::pressure::Pressure;
 use linnetknot_rehearse::rules::budgets::{judge, mean, LimitFrom};
 use linnetknot_rehearse::rules::Breach;
 use serde_json::{json, Value};
@@ -45,10 +45,12 @@
             ..Setup::copying(Path::new(DAEMON), proxies, seed)
         };
         let fleet = Fleet::with(setup).unwrap();
-        fleet.origin.behave(linnetknot_rehearse::boxes::Manner {
-            hold_ms: HOLD_MS,
-            ..Default::default()
-        });
+        fleet
+            .origin
+            .behave(linnetknot_harness::fakes::cache::Manner {
+                hold_ms: HOLD_MS,
+                ..Default::default()
+            });
         let clients = (0..proxies).map(|_| None).collect();
         let mut ground = Ground {
             fleet,
@@ -239,14 +241,19 @@
     lost_and_found(
         7,
         |ground, allocator| {
-            ground.fleet.gates.split(&[allocator], Weather::CUT);
+            ground.fleet.gates.split(&[allocator], LinkConditions::CUT);
             ground.until("it lives on its reserved minimum", || {
                 ground
                     .places(allocator)
                     .is_some_and(|b| b.reserved_only && b.lease == RESERVED && !b.leads)
             });
         },
-        |ground, allocator| ground.fleet.gates.split(&[allocator], Weather::default()),
+        |ground, allocator| {
+            ground
+                .fleet
+                .gates
+                .split(&[allocator], LinkConditions::default());
+        },
     );
 }
 
@@ -260,8 +267,8 @@
     };
     lost_and_found(
         8,
-        |ground, allocator| set(ground, allocator, Weather::CUT),
-        |ground, allocator| set(ground, allocator, Weather::default()),
+        |ground, allocator| set(ground, allocator, LinkConditions::CUT),
+        |ground, allocator| set(ground, allocator, LinkConditions::default()),
     );
 }
 
@@ -334,7 +341,10 @@
     let (ground, allocator) = full(4, 9, "");
     let holders: Vec<usize> = (0..4).filter(|n| *n != allocator).collect();
     for holder in holders {
-        ground.fleet.gates.set((holder, allocator), Weather::CUT);
+        ground
+            .fleet
+            .gates
+            .set((holder, allocator), LinkConditions::CUT);
         ground.until("it lives on its reserved minimum", || {
             ground.places(holder).is_some_and(|b| b.reserved_only)
         });
@@ -342,7 +352,7 @@
         ground
             .fleet
             .gates
-            .set((holder, allocator), Weather::default());
+            .set((holder, allocator), LinkConditions::default());
         ground.until("it has a lease again", || {
             ground.places(holder).is_some_and(|b| !b.reserved_only)
         });
@@ -353,12 +363,12 @@
 #[test]
 fn datagrams_lost_by_a_third_doubled_and_out_of_order_cost_places_and_no_more() {
     let ground = Ground::start(3, 3, 10, "");
-    let rough = Weather {
+    let rough = LinkConditions {
         drop: 0.33,
         duplicate: 0.33,
         reorder: 0.33,
         jitter_ms: 60.0,
-        ..Weather::default()
+        ..LinkConditions::default()
     };
     ground.fleet.gates.set_all(rough);
     ground.until_used("most places are used", LIMIT as f64 * 0.75);
@@ -469,12 +479,12 @@
     // A holder that ignores its lease's end: cut off, it goes on with what the others have been given by then.
     let (ground, allocator) = full(3, 21, "plant-lease=fail");
     let holder = others(allocator)[0];
-    ground.fleet.gates.split(&[holder], Weather::CUT);
+    ground.fleet.gates.split(&[holder], LinkConditions::CUT);
     ground.until("more is held than may be", || !ground.breaches().is_empty());
     drop(ground);
     // An allocator that waits for nobody's vote: each side of a split has one.
     let ground = Ground::start(3, 3, 22, "plant-votes=fail");
     ground.until_used("all places are used", LIMIT as f64 * 0.8);
-    ground.fleet.gates.split(&[0], Weather::CUT);
+    ground.fleet.gates.split(&[0], LinkConditions::CUT);
     ground.until("more is held than may be", || !ground.breaches().is_empty());
 }
--- a/daemon/tests/compacted_fleet.rs
+++ b/daemon/tests/compacted_fleet.rs
@@ -1,8 +1,8 @@
 //! Three processes of the daemon that hold few purges one by one: one that was away past that, or lost its disk, has
 //! the floors of all purges before it is ready, from its peers' snapshot.
 
-use linnetknot_rehearse::clients::{becomes, PATIENCE};
-use linnetknot_rehearse::fleet::{Disk, Fleet, Setup};
+use linnetknot_harness::clients::{becomes, PATIENCE};
+use linnetknot_harness::fleet::{Disk, Fleet, Setup};
 use std::path::Path;
 
 const DAEMON: &str = env!("CARGO_BIN_EXE_linnetknot");
--- a/daemon/tests/config.rs
+++ b/daemon/tests/config.rs
@@ -3,7 +3,7 @@
 use linnetknot::{Repeat, Reports, Siblings};
 use linnetknot_daemon::config::Config;
 use linnetknot_daemon::interconnect;
-use linnetknot_rehearse::settings;
+use linnetknot_harness::settings;
 use serde_json::{json, Value};
 
 fn good() -> Value {
--- a/daemon/tests/core.rs
+++ b/daemon/tests/core.rs
@@ -6,7 +6,7 @@
 };
 use linnetknot_daemon::limits::Limits;
 use linnetknot_daemon::net::Key;
-use linnetknot_rehearse::settings;
+use linnetknot_harness::settings;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 const NOW: u64 = 1_000_000_000;
--- a/daemon/tests/descriptors.rs
+++ b/daemon/tests/descriptors.rs
@@ -1,9 +1,9 @@
 //! A daemon that may hold fewer descriptors than it was told, and a crowd that takes all that it gives.
 
-use linnetknot_rehearse::boxes::StandIn;
-use linnetknot_rehearse::bus::{entry, Bus};
-use linnetknot_rehearse::clients::{call, WebServer};
-use linnetknot_rehearse::settings;
+use linnetknot_harness::clients::{call, WebServer};
+use linnetknot_harness::fakes::cache::StandIn;
+use linnetknot_harness::fakes::event_bus::{entry, Bus};
+use linnetknot_harness::settings;
 use rustix::process::{getrlimit, kill_process, setrlimit, Pid, Resource, Rlimit, Signal};
 use serde_json::{json, Value};
 use std::net::{SocketAddr, TcpListener};
--- a/daemon/tests/discovery.rs
+++ b/daemon/tests/discovery.rs
@@ -2,9 +2,9 @@
 
 mod rig;
 
-use linnetknot_rehearse::boxes::StandIn;
-use linnetknot_rehearse::clients::WebServer;
-use linnetknot_rehearse::stand_ins::consul::{instance, Agent, Manner};
+use linnetknot_harness::clients::WebServer;
+use linnetknot_harness::fakes::cache::StandIn;
+use linnetknot_harness::fakes::consul::{instance, Agent, Manner};
 use rig::{object, one, Rig};
 use serde_json::{json, Value};
 use std::net::TcpListener;
@@ -171,7 +171,7 @@
     let before = agent.asked().len();
     agent.lose_health();
     let consistent =
-        |a: &linnetknot_rehearse::stand_ins::consul::Asked| a.target.contains("?consistent");
+        |a: &linnetknot_harness::fakes::consul::Asked| a.target.contains("?consistent");
     assert!(agent.wait_for(|asked| asked[before..].iter().any(consistent)));
     assert!(spread(&rig, &mut web)[0] > 0);
     rig.stop();
--- a/daemon/tests/handover.rs
+++ b/daemon/tests/handover.rs
@@ -2,10 +2,10 @@
 //! SIGTERM while clients go on connecting. The socket is handed over as a descriptor named by
 //! `$ROUTER_SOCKET_FD`, here standard input, which std can hand to a child without `unsafe`.
 
-use linnetknot_rehearse::boxes::{Manner, StandIn};
-use linnetknot_rehearse::bus::{entry, Bus};
-use linnetknot_rehearse::clients::{call, WebServer};
-use linnetknot_rehearse::settings;
+use linnetknot_harness::clients::{call, WebServer};
+use linnetknot_harness::fakes::cache::{Manner, StandIn};
+use linnetknot_harness::fakes::event_bus::{entry, Bus};
+use linnetknot_harness::settings;
 use serde_json::json;
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::OwnedFd;
--- a/daemon/tests/limits.rs
+++ b/daemon/tests/limits.rs
@@ -1,7 +1,7 @@
 //! Bounds: that they fit the machines they are made for, and each other.
 
 use linnetknot_daemon::limits::{Limits, Standing};
-use linnetknot_rehearse::settings;
+use linnetknot_harness::settings;
 
 #[test]
 fn bounds_fit_the_least_machine_and_the_largest_and_a_flood_leaves_room() {
--- a/daemon/tests/loopback.rs
+++ b/daemon/tests/loopback.rs
@@ -2,11 +2,11 @@
 
 mod rig;
 
+use linnetknot_harness::clients::{call, exchange, WebServer};
+use linnetknot_harness::fakes::cache::Manner;
+use linnetknot_harness::fakes::event_bus::{entry, Bus};
+use linnetknot_harness::unix_ms;
 use linnetknot_origin_health::Report;
-use linnetknot_rehearse::boxes::Manner;
-use linnetknot_rehearse::bus::{entry, Bus};
-use linnetknot_rehearse::clients::{call, exchange, WebServer};
-use linnetknot_rehearse::unix_ms;
 use rig::{object, one, Rig, READY};
 use serde_json::{json, Value};
 use std::io::ErrorKind;
--- a/daemon/tests/plain_purges.rs
+++ b/daemon/tests/plain_purges.rs
@@ -2,11 +2,11 @@
 
 use linnetknot_daemon::fleet::ask as ask_status;
 use linnetknot_datagram::MAX_DATAGRAM_BYTES;
+use linnetknot_harness::clients::{becomes, PATIENCE};
+use linnetknot_harness::fleet::purge_at;
+use linnetknot_harness::process::Process;
+use linnetknot_harness::{settings, unix_ms};
 use linnetknot_membership::{Membership, Options};
-use linnetknot_rehearse::clients::{becomes, PATIENCE};
-use linnetknot_rehearse::fleet::purge_at;
-use linnetknot_rehearse::process::Process;
-use linnetknot_rehearse::{settings, unix_ms};
 use serde_json::json;
 use std::net::{SocketAddr, UdpSocket};
 use std::path::{Path, PathBuf};
--- a/daemon/tests/races.rs
+++ b/daemon/tests/races.rs
@@ -4,9 +4,9 @@
 mod rig;
 
 use linnetknot_daemon::wire::{fastcgi, resp, Parser};
-use linnetknot_rehearse::boxes::StandIn;
-use linnetknot_rehearse::bus::entry;
-use linnetknot_rehearse::clients::WebServer;
+use linnetknot_harness::clients::WebServer;
+use linnetknot_harness::fakes::cache::StandIn;
+use linnetknot_harness::fakes::event_bus::entry;
 use rig::{object, one, Held, Rig};
 use serde_json::{json, Value};
 use std::io::{ErrorKind, Read, Write};
--- a/daemon/tests/rehearsal.rs
+++ b/daemon/tests/rehearsal.rs
@@ -106,7 +106,11 @@
     out.lag_us.0 = player::MOST_LAG_US + 1;
     assert!(out.has_seen().unwrap_err().to_string().contains("late"));
     out.score.whole.asked = 0.0;
-    assert!(out.has_seen().unwrap_err().to_string().contains("nothing was asked"));
+    assert!(out
+        .has_seen()
+        .unwrap_err()
+        .to_string()
+        .contains("nothing was asked"));
 }
 
 /// The short load for six seconds, with these faults: when, how long, what.
--- a/daemon/tests/rig/mod.rs
+++ b/daemon/tests/rig/mod.rs
@@ -3,10 +3,10 @@
 
 use linnetknot_daemon::config::Config;
 use linnetknot_daemon::daemon::{Control, Daemon};
-use linnetknot_rehearse::boxes::StandIn;
-use linnetknot_rehearse::bus::{entry, Bus};
-use linnetknot_rehearse::clients::{Answer, WebServer};
-use linnetknot_rehearse::settings;
+use linnetknot_harness::clients::{Answer, WebServer};
+use linnetknot_harness::fakes::cache::StandIn;
+use linnetknot_harness::fakes::event_bus::{entry, Bus};
+use linnetknot_harness::settings;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/daemon/tests/upstream.rs
+++ b/daemon/tests/upstream.rs
@@ -6,7 +6,7 @@
 use linnetknot_daemon::net::{Conn, Key, Progress};
 use linnetknot_daemon::upstream::{Link, Told};
 use linnetknot_daemon::wire::resp;
-use linnetknot_rehearse::settings;
+use linnetknot_harness::settings;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,6 +1,6 @@
 //! The boxes of `config.json`, for a first try: two that keep copies and an origin, until it is stopped.
 
-use linnetknot_rehearse::boxes::StandIn;
+use linnetknot_harness::fakes::cache::StandIn;
 
 fn main() -> std::io::Result<()> {
     for (uid, address) in [
--- a/rehearse/src/boxes.rs
+++ b/harness/src/fakes/cache.rs
@@ -1,7 +1,8 @@
 //! Stand-in boxes: they keep copies, honour the age that is asked for, and write down all that reaches them.
 
-use crate::rules::budgets::Span;
-use crate::{listen, read_commands, unix_ms, Listening};
+use crate::listener::{listen, read_commands, Listening};
+use crate::span::Span;
+use crate::unix_ms;
 use linnetknot_daemon::wire::resp;
 use std::collections::BTreeMap;
 use std::io::{self, Write};
--- a/rehearse/src/stand_ins/consul.rs
+++ b/harness/src/fakes/consul.rs
@@ -1,7 +1,7 @@
 //! A stand-in Consul agent: the health, catalogue and agent endpoints of the HTTP API, with the shapes, headers and
 //! blocking queries of its pages, and the ways in which an agent fails.
 
-use crate::{listen, Listening};
+use crate::listener::{listen, Listening};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
--- a/rehearse/src/bus.rs
+++ b/harness/src/fakes/event_bus.rs
@@ -1,7 +1,7 @@
 //! A stand-in event bus.
 
-use crate::boxes::StandIn;
-use crate::{listen, Listening};
+use crate::fakes::cache::StandIn;
+use crate::listener::{listen, Listening};
 use serde_json::{json, Value};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/rehearse/src/fleet/mod.rs
+++ b/harness/src/fleet/mod.rs
@@ -10,12 +10,12 @@
 mod setup;
 
 pub use cdni::{purge_at, status_path, trigger_at};
-pub(crate) use ports::free_ports;
+pub use ports::free_ports;
 pub use setup::{Disk, Setup};
 
-use crate::boxes::StandIn;
-use crate::bus::{entry, Bus};
-use crate::gates::Gates;
+use crate::fakes::cache::StandIn;
+use crate::fakes::event_bus::{entry, Bus};
+use crate::links::FaultyLinks;
 use crate::process::Process;
 use crate::settings;
 use rustix::process::Signal;
@@ -47,7 +47,7 @@
     planted: String,
     exact_purges: Option<usize>,
     /// The gates, to set the weather.
-    pub gates: Gates,
+    pub gates: FaultyLinks,
     /// The boxes.
     pub boxes: Vec<StandIn>,
     /// The origin.
@@ -88,7 +88,7 @@
     setup: &Setup<'_>,
     folder: &Path,
     ports: &[SocketAddr],
-    gates: &Gates,
+    gates: &FaultyLinks,
     known: &Value,
 ) -> io::Result<Vec<Member>> {
     let settings = settings_of(setup);
@@ -138,7 +138,7 @@
             .collect::<io::Result<Vec<_>>>()?;
         let origin = StandIn::start("s-0f")?;
         let ports = free_ports(setup.running + setup.later.len())?;
-        let gates = Gates::between(&ports, setup.seed)?;
+        let gates = FaultyLinks::between(&ports, setup.seed)?;
         let folder = fleet_folder();
         let known = known_targets(&boxes, &origin);
         let members = members(&setup, &folder, &ports, &gates, &known)?;
--- a/rehearse/src/fleet/ports.rs
+++ b/harness/src/fleet/ports.rs
@@ -7,7 +7,7 @@
 /// Free ports of the loopback, for daemons that bind them later and again after a restart. They lie below those that the
 /// system gives to whoever asks for any, so that no other socket takes one meanwhile; each process begins at another
 /// and none is given twice.
-pub(crate) fn free_ports(n: usize) -> io::Result<Vec<SocketAddr>> {
+pub fn free_ports(n: usize) -> io::Result<Vec<SocketAddr>> {
     const FIRST: u32 = 12_000;
     const PORTS: u32 = 20_000;
     static NEXT: AtomicU32 = AtomicU32::new(0);
--- /dev/null
+++ b/harness/src/lib.rs
@@ -0,0 +1,16 @@
+//! The harness of the tests that run real daemons on loopback: processes, clients, fault-injecting links, fakes of the
+//! systems around the daemon, and whole fleets of them.
+
+pub mod clients;
+pub mod fakes;
+pub mod fleet;
+pub mod links;
+pub mod listener;
+pub mod pressure;
+pub mod process;
+mod settings;
+pub mod span;
+pub mod time;
+
+pub use settings::settings;
+pub use time::unix_ms;
--- a/rehearse/src/links/conditions.rs
+++ b/harness/src/links/conditions.rs
@@ -1,7 +1,7 @@
 //! What a link between two proxies does to what passes over it, decided without a socket: what is lost, what comes
 //! twice, and what comes when.
 
-use crate::record::Micros;
+use crate::time::Micros;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use schemars::JsonSchema;
--- a/rehearse/src/links/mod.rs
+++ b/harness/src/links/mod.rs
@@ -11,8 +11,8 @@
 pub use conditions::{ConditionOutOfRange, Fate, Flow, LinkConditions, Pass, REORDER_DELAY_US};
 pub use stream::FaultyStream;
 
-use crate::record::Micros;
-use crate::stand_ins::served::unix_us;
+use crate::time::unix_us;
+use crate::time::Micros;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::io;
--- a/rehearse/src/links/stream.rs
+++ b/harness/src/links/stream.rs
@@ -1,7 +1,7 @@
 //! A link for streams: connections to its address go on to another, each direction by its own conditions.
 
 use super::conditions::{Flow, LinkConditions, Pass};
-use crate::stand_ins::served::unix_us;
+use crate::time::unix_us;
 use rustix::net::sockopt;
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
--- /dev/null
+++ b/harness/src/span.rs
@@ -0,0 +1,12 @@
+//! Spans of time.
+
+use crate::time::Micros;
+
+/// A time in which a request was held.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Span {
+    /// Its start.
+    pub from: Micros,
+    /// Its end.
+    pub until: Micros,
+}
--- a/rehearse/tests/links.rs
+++ b/harness/tests/links.rs
@@ -1,8 +1,6 @@
 //! Fault-injecting links: what becomes of datagrams and streams.
 
-use linnetknot_rehearse::links::{
-    Fate, FaultyStream, Flow, LinkConditions, Pass, REORDER_DELAY_US,
-};
+use linnetknot_harness::links::{Fate, FaultyStream, Flow, LinkConditions, Pass, REORDER_DELAY_US};
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::thread;
--- a/rehearse/tests/process.rs
+++ b/harness/tests/process.rs
@@ -1,6 +1,6 @@
 //! A daemon that does not start.
 
-use linnetknot_rehearse::process::Process;
+use linnetknot_harness::process::Process;
 use serde_json::Value;
 use std::path::Path;
 
--- a/rehearse/examples/promises.rs
+++ b/rehearse/examples/promises.rs
@@ -4,7 +4,7 @@
 //!
 //!     cargo build --release && cargo run --release -p linnetknot-rehearse --example promises -- target/release/linnetknot
 
-use linnetknot_rehearse::fleet::{purge_at, Disk, Fleet};
+use linnetknot_harness::fleet::{purge_at, Disk, Fleet};
 use std::io;
 use std::path::Path;
 use std::time::Instant;
--- a/rehearse/src/moments/matrix.rs
+++ b/rehearse/src/moments/matrix.rs
@@ -1,8 +1,8 @@
 //! The matrix of all plays: a row for each moment and disk, and one for all.
 
 use super::{Case, Played, AGREE, MOMENTS};
-use crate::fleet::Disk;
 use crate::rules::commits::PurgeAnswer;
+use linnetknot_harness::fleet::Disk;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::io;
--- a/rehearse/src/moments/mod.rs
+++ b/rehearse/src/moments/mod.rs
@@ -6,11 +6,11 @@
 
 pub use matrix::Matrix;
 
-use crate::clients::becomes;
-use crate::fleet::{status_path, Disk, Fleet, Setup};
-use crate::links::LinkConditions;
 use crate::rules::commits::{judge, CommitRecord, FinalState, PurgeAnswer, PurgeRequest};
 use crate::rules::Breach;
+use linnetknot_harness::clients::becomes;
+use linnetknot_harness::fleet::{status_path, Disk, Fleet, Setup};
+use linnetknot_harness::links::LinkConditions;
 use std::collections::BTreeSet;
 use std::io;
 use std::path::Path;
--- a/rehearse/src/player/clients.rs
+++ b/rehearse/src/player/clients.rs
@@ -1,9 +1,10 @@
 //! The readers of the clients' connections: they take answers in, and have rejected requests retried.
 
-use crate::clients::{Answer, WebServer};
 use crate::load::Arrival;
 use crate::record::{Answered, Final, Micros};
-use crate::stand_ins::served::{made_of, unix_us};
+use crate::stand_ins::served::made_of;
+use linnetknot_harness::clients::{Answer, WebServer};
+use linnetknot_harness::time::unix_us;
 use std::collections::HashMap;
 use std::io;
 use std::sync::mpsc::Sender;
--- a/rehearse/src/player/environment.rs
+++ b/rehearse/src/player/environment.rs
@@ -2,13 +2,14 @@
 
 use super::deployment::{cold, figures, fresh_us, settings, Deployment, Node};
 use super::Plant;
-use crate::bus::Bus;
 use crate::load::{group, Plan, Purge};
 use crate::record::{Cold, Micros, Told, Word};
 use crate::scenario::Scenario;
-use crate::stand_ins::served::{unix_us, Knows, Served};
+use crate::stand_ins::served::{Knows, Served};
 use crate::stand_ins::world::{Kind, World};
 use crate::timetable::Step;
+use linnetknot_harness::fakes::event_bus::Bus;
+use linnetknot_harness::time::unix_us;
 use serde_json::{json, Value};
 use std::io;
 
--- a/rehearse/src/player/proxies.rs
+++ b/rehearse/src/player/proxies.rs
@@ -1,10 +1,10 @@
 //! The proxies' processes: started for a play, killed, stopped and started again by its timetable.
 
 use super::environment::Environment;
-use crate::fleet::free_ports;
-use crate::links::{FaultyLinks, LinkConditions};
-use crate::process::Process;
 use crate::scenario::Scenario;
+use linnetknot_harness::fleet::free_ports;
+use linnetknot_harness::links::{FaultyLinks, LinkConditions};
+use linnetknot_harness::process::Process;
 use rustix::process::Signal;
 use serde_json::{json, Value};
 use std::io;
--- a/rehearse/src/record.rs
+++ b/rehearse/src/record.rs
@@ -1,8 +1,7 @@
 //! What a rehearsal writes down: who was asked what, what reached which box, what was told to whom. Plain data with
 //! times, so that rules and scores are judged from the records alone, after the fact and without a socket.
 
-/// Unix time or duration in microseconds.
-pub type Micros = u64;
+pub use linnetknot_harness::time::Micros;
 
 /// How often a request may take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/rehearse/src/rules/budgets.rs
+++ b/rehearse/src/rules/budgets.rs
@@ -3,6 +3,7 @@
 
 use super::Breach;
 use crate::record::Micros;
+pub use linnetknot_harness::span::Span;
 
 /// The rule.
 pub const BUDGET: (&str, &str) = (
@@ -10,15 +11,6 @@
     "what all proxies have out at a time is never more than the limit",
 );
 
-/// A time in which a request was held.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Span {
-    /// Its start.
-    pub from: Micros,
-    /// Its end.
-    pub until: Micros,
-}
-
 /// A limit that holds from a time on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitFrom {
--- a/rehearse/src/scale/daemons/real.rs
+++ b/rehearse/src/scale/daemons/real.rs
@@ -1,14 +1,14 @@
 //! The real daemons: their files, their processes and what is asked of them.
 
 use super::proc_stat::{self, ProcessStat};
-use crate::fleet::{free_ports, trigger_at};
-use crate::process::Process;
 use crate::scale::fleet_config::{MemberName, SharedBudget};
 use crate::scale::target::Target;
-use crate::settings;
 use linnetknot_daemon::config::Config;
 use linnetknot_daemon::fleet::{ask, Status};
 use linnetknot_daemon::interconnect::Budgets;
+use linnetknot_harness::fleet::{free_ports, trigger_at};
+use linnetknot_harness::process::Process;
+use linnetknot_harness::settings;
 use serde_json::{json, Map, Value};
 use std::io;
 use std::net::SocketAddr;
--- a/rehearse/src/scale/daemons/sockets.rs
+++ b/rehearse/src/scale/daemons/sockets.rs
@@ -1,7 +1,7 @@
 //! The UDP sockets of all hollow members: each has an address of its own on loopback, and one poll waits for them all.
 
-use crate::fleet::free_ports;
 use linnetknot_daemon::net::{Interest, Poll, Ready};
+use linnetknot_harness::fleet::free_ports;
 use rustix::process::{getrlimit, Resource};
 use std::collections::HashMap;
 use std::io;
--- a/rehearse/src/scenario/check.rs
+++ b/rehearse/src/scenario/check.rs
@@ -1,7 +1,7 @@
 //! What a scenario's values may be. Every error names the key at fault by its path.
 
 use super::{ClassLoad, Fault, NodeForm, Scenario, SiteForm, What};
-use crate::links::{ConditionOutOfRange, LinkConditions};
+use linnetknot_harness::links::{ConditionOutOfRange, LinkConditions};
 use thiserror::Error;
 
 /// The most proxies of a scenario, and the most boxes of each.
--- a/rehearse/src/scenario/mod.rs
+++ b/rehearse/src/scenario/mod.rs
@@ -4,7 +4,7 @@
 
 pub use check::InvalidScenario;
 
-use crate::links::LinkConditions;
+use linnetknot_harness::links::LinkConditions;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
--- a/rehearse/src/stand_ins/mod.rs
+++ b/rehearse/src/stand_ins/mod.rs
@@ -1,6 +1,5 @@
 //! Stand-ins for outside systems, from their published specifications.
 
-pub mod consul;
 pub mod link;
 pub mod memory;
 pub mod served;
--- a/rehearse/src/stand_ins/served.rs
+++ b/rehearse/src/stand_ins/served.rs
@@ -3,8 +3,9 @@
 
 use super::world::{Fetch, Out, World};
 use crate::record::Micros;
-use crate::{listen, read_commands, Listening};
 use linnetknot_daemon::wire::resp;
+use linnetknot_harness::listener::{listen, read_commands, Listening};
+use linnetknot_harness::time::unix_us;
 use std::collections::{BTreeMap, HashMap};
 use std::io::{self, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -12,7 +13,7 @@
 use std::sync::mpsc::{self, RecvTimeoutError, Sender};
 use std::sync::Arc;
 use std::thread::{self, JoinHandle};
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 
 /// What a part is, as far as the wire does not tell: its size in KB and its group.
 pub type Parts = HashMap<(u64, u64), (f64, u64)>;
@@ -53,14 +54,6 @@
     _listeners: Vec<Listening>,
 }
 
-/// Unix time in microseconds.
-pub fn unix_us() -> Micros {
-    SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .unwrap_or_default()
-        .as_micros() as u64
-}
-
 impl Served {
     /// Serves a world's nodes to so many proxies.
     pub fn start(world: World, nodes: &[String], proxies: usize, knows: Knows) -> io::Result<Self> {
--- a/rehearse/src/timetable.rs
+++ b/rehearse/src/timetable.rs
@@ -3,9 +3,9 @@
 //! Sans-IO: the player carries each step out on the served world and the event buses. Steps come in the order of
 //! their time; of two at one time, in the order of the faults that make them.
 
-use crate::links::LinkConditions;
 use crate::record::Micros;
 use crate::scenario::{Fault, Scenario, What};
+use linnetknot_harness::links::LinkConditions;
 
 /// One step of the timetable.
 #[derive(Clone, Debug, PartialEq)]
--- a/rehearse/tests/purges.rs
+++ b/rehearse/tests/purges.rs
@@ -5,7 +5,7 @@
 use linnetknot::{
     Action, Event, Fill, ListMode, Micros, Note, Outcome, Request, Router, Server, State,
 };
-use linnetknot_rehearse::settings;
+use linnetknot_harness::settings;
 use linnetknot_rehearse::stand_ins::world::{Fetch, Figures, Kind, Out, Site, World};
 
 const S: Micros = 1_000_000;
--- a/rehearse/tests/timetable.rs
+++ b/rehearse/tests/timetable.rs
@@ -1,6 +1,6 @@
 //! Faults as steps in time, and faults that can't be.
 
-use linnetknot_rehearse::links::LinkConditions;
+use linnetknot_harness::links::LinkConditions;
 use linnetknot_rehearse::scenario::{Fault, Scenario, What};
 use linnetknot_rehearse::timetable::{box_uid, timetable, Step};
 
