--- a/harness/src/clients.rs
+++ b/harness/src/clients.rs
@@ -1,4 +1,4 @@
-//! Stand-in clients: a web server that speaks FastCGI, and callers and takers of HTTP.
+//! Clients: a web server that speaks FastCGI, and callers and takers of HTTP.
 
 use linnetknot_daemon::wire::fastcgi::{self, kind, Records};
 use linnetknot_daemon::wire::http::{write_message, Head, Messages, Piece};
@@ -40,7 +40,7 @@
             .map(|(_, v)| v.as_str())
     }
 
-    /// When the copy that it brings left the stand-in origin.
+    /// When the copy that it brings left the fake origin.
     pub fn made(&self) -> Option<u64> {
         std::str::from_utf8(&self.body)
             .ok()?
--- a/harness/src/fakes/consul.rs
+++ b/harness/src/fakes/consul.rs
@@ -1,4 +1,4 @@
-//! A stand-in Consul agent: the health, catalogue and agent endpoints of the HTTP API, with the shapes, headers and
+//! A fake Consul agent: the health, catalogue and agent endpoints of the HTTP API, with the shapes, headers and
 //! blocking queries of its pages, and the ways in which an agent fails.
 
 use crate::listener::{listen, Listening};
--- a/harness/src/fakes/event_bus.rs
+++ b/harness/src/fakes/event_bus.rs
@@ -1,4 +1,4 @@
-//! A stand-in event bus.
+//! A fake of the platform's event bus.
 
 use crate::fakes::cache::StandIn;
 use crate::listener::{listen, Listening};
--- a/harness/src/listener.rs
+++ b/harness/src/listener.rs
@@ -5,7 +5,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::thread;
 
-/// A stand-in's listening socket. It is closed with its last holder: many plays run in one process, and each would
+/// A fake's listening socket. It is closed with its last owner: many plays run in one process, and each would
 /// leave its sockets and threads behind.
 pub struct Listening {
     /// Where it listens.
--- a/rehearse/src/stand_ins/memory.rs
+++ b/rehearse/src/fakes/cache_memory.rs
@@ -18,7 +18,7 @@
 
 /// A cache's memory.
 #[derive(Clone, Debug)]
-pub struct Memory {
+pub struct CacheMemory {
     room: u64,
     held: u64,
     copies: HashMap<Part, Copy>,
@@ -27,10 +27,10 @@
     uses: u64,
 }
 
-impl Memory {
+impl CacheMemory {
     /// An empty memory for so many bytes.
     pub fn new(room: u64) -> Self {
-        Memory {
+        CacheMemory {
             room,
             held: 0,
             copies: HashMap::new(),
--- /dev/null
+++ b/rehearse/src/fakes/mod.rs
@@ -0,0 +1,6 @@
+//! Fakes of a site: its cache servers, parent caches and origin, on virtual time and on loopback sockets.
+
+pub mod cache_memory;
+pub mod shared_link;
+pub mod site;
+pub mod site_server;
--- a/rehearse/src/stand_ins/link.rs
+++ b/rehearse/src/fakes/shared_link.rs
@@ -10,7 +10,7 @@
 /// transfer ends when the figure has grown by its work. Each step costs the logarithm of the transfers, not their
 /// number.
 #[derive(Clone, Debug)]
-pub struct Link {
+pub struct SharedLink {
     /// In transfers at full pace.
     capacity: f64,
     /// What a transfer that was there all along has been given, in microseconds at full pace.
@@ -23,11 +23,11 @@
     next: u64,
 }
 
-impl Link {
+impl SharedLink {
     /// An idle link.
     pub fn new(capacity: f64) -> Self {
         let (ends, places) = Default::default();
-        Link {
+        SharedLink {
             capacity: capacity.max(1e-6),
             given: 0.0,
             at: 0,
--- a/rehearse/src/stand_ins/world/fills.rs
+++ b/rehearse/src/fakes/site/fills.rs
@@ -1,9 +1,9 @@
 //! How a node begins a request: from its memory, by a fill from a source, or as a write at the origin.
 
 use super::timers::Timer;
-use super::{Fetch, Filling, Kind, Out, Phase, World};
+use super::{FakeSite, Fetch, Filling, Kind, Out, Phase};
+use crate::fakes::cache_memory::Part;
 use crate::record::Micros;
-use crate::stand_ins::memory::Part;
 
 /// What a source answers to a fill.
 struct SourceAnswer {
@@ -15,7 +15,7 @@
     made: Micros,
 }
 
-impl World {
+impl FakeSite {
     /// Begins a request that has got a slot.
     pub(super) fn begin(&mut self, now: Micros, uid: &str, request: u64, out: &mut Vec<Out>) {
         let Some(node) = self.nodes.get_mut(uid) else {
@@ -59,7 +59,7 @@
             let took = self.ask_origin(now);
             return self.at(now + took, Timer::Written(uid.to_owned(), request));
         }
-        self.turn_away(now, uid, request, "404", "", out);
+        self.reject(now, uid, request, "404", "", out);
     }
 
     /// Joins the fill of the same part that is under way.
@@ -79,7 +79,7 @@
         };
         // One that is under way from a copy that is too old for this one is nothing to join.
         if !fetch.join || fill.made < now.saturating_sub(fetch.max_age_us) {
-            return self.turn_away(now, uid, request, "404", "rode", out);
+            return self.reject(now, uid, request, "404", "rode", out);
         }
         fill.waiters.push(request);
         fill.fetch.keep = fill.fetch.keep.max(fetch.keep);
@@ -111,18 +111,18 @@
             return;
         };
         let Some(source) = fetch.source.clone() else {
-            return self.turn_away(now, uid, request, "404", "", out);
+            return self.reject(now, uid, request, "404", "", out);
         };
         if node.filling.len() >= node.figures.fills {
-            return self.turn_away(now, uid, request, "503", "no_place", out);
+            return self.reject(now, uid, request, "503", "no_place", out);
         }
         let timeout = node.figures.fill_timeout_us;
         self.attempts[attempt].fill_us = fetch.work_us;
         if self.push(now, &source, fetch.work_us as f64, out) || !self.is_up(&source) {
-            return self.turn_away(now, uid, request, "503", "cut_off", out);
+            return self.reject(now, uid, request, "503", "cut_off", out);
         }
         let Some(SourceAnswer { wait_us, how, made }) = self.ask(now, &source, &fetch) else {
-            return self.turn_away(now, uid, request, "503", "not_there", out);
+            return self.reject(now, uid, request, "503", "not_there", out);
         };
         self.next += 1;
         let number = self.next;
--- a/rehearse/src/stand_ins/world/forms.rs
+++ b/rehearse/src/fakes/site/forms.rs
@@ -1,7 +1,7 @@
-//! What goes into a world and comes out of it: figures, requests and answers.
+//! What goes into a fake site and comes out of it: figures, requests and answers.
 
+use crate::fakes::cache_memory::Part;
 use crate::record::Micros;
-use crate::stand_ins::memory::Part;
 
 /// What a node is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -16,7 +16,7 @@
 
 /// What a node can do.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Figures {
+pub struct NodeFigures {
     /// Requests in work.
     pub slots: usize,
     /// Requests that wait for a slot; one more is turned away unseen.
@@ -33,7 +33,7 @@
 
 /// What the nodes share.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Site {
+pub struct SiteFigures {
     /// The one link in, which all fills share, in transfers at full pace to a client.
     pub link: f64,
     /// How many times as fast as a transfer to a client a fill can be.
--- a/rehearse/src/stand_ins/world/mod.rs
+++ b/rehearse/src/fakes/site/mod.rs
@@ -1,17 +1,18 @@
-//! Boxes, hub caches and the origin store that behave: slots, waiting rooms, shared links, copies, fills, cold starts and
-//! falling over. Sans-IO: requests go in with their time, answers come out with theirs; sockets are the driver's.
+//! A fake site: cache servers, parent caches and the origin, with slots, queues, shared links, copies, fills, slow starts
+//! and crashes under load. Sans-IO: requests go in with their time, answers come out with theirs; sockets are the driver's.
 //!
-//! All figures are data (`Figures`, `Site`). Left out on purpose: sizes of answers on the wire, noise in load reports,
+//! All figures are data (`NodeFigures`, `SiteFigures`). Left out on purpose: sizes of answers on the wire, noise in load reports,
 //! and the transfer from a hub cache by its own link, which is wider than a site's.
 
 mod fills;
 mod forms;
+mod requests;
 mod timers;
 
-pub use forms::{Fetch, Figures, Kind, Out, Purged, Site};
+pub use forms::{Fetch, Kind, NodeFigures, Out, Purged, SiteFigures};
 
-use super::link::Link;
-use super::memory::{Memory, Part};
+use super::cache_memory::{CacheMemory, Part};
+use super::shared_link::SharedLink;
 use crate::record::{Attempt, Cold, Ended, Micros};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use timers::Timer;
@@ -54,9 +55,9 @@
 
 struct Node {
     kind: Kind,
-    figures: Figures,
-    link: Link,
-    memory: Memory,
+    figures: NodeFigures,
+    link: SharedLink,
+    memory: CacheMemory,
     cold: Option<Cold>,
     sent: VecDeque<(Micros, f64)>,
     up: bool,
@@ -71,9 +72,9 @@
 }
 
 /// All nodes of a rehearsal.
-pub struct World {
-    site: Site,
-    inward: Link,
+pub struct FakeSite {
+    site: SiteFigures,
+    inward: SharedLink,
     /// Fills on the site's link: node and part.
     inward_fills: HashMap<u64, (String, Part)>,
     nodes: BTreeMap<String, Node>,
@@ -89,11 +90,11 @@
     pub attempts: Vec<Attempt>,
 }
 
-impl World {
-    /// A world without nodes.
-    pub fn new(site: Site) -> Self {
-        World {
-            inward: Link::new(site.link),
+impl FakeSite {
+    /// A site without nodes.
+    pub fn new(site: SiteFigures) -> Self {
+        FakeSite {
+            inward: SharedLink::new(site.link),
             site,
             inward_fills: HashMap::new(),
             nodes: BTreeMap::new(),
@@ -108,14 +109,14 @@
     }
 
     /// Adds a node, or starts one anew with an empty memory. One that is given a `Cold` starts cold.
-    pub fn start(&mut self, uid: &str, kind: Kind, figures: Figures, cold: Option<Cold>) {
+    pub fn start(&mut self, uid: &str, kind: Kind, figures: NodeFigures, cold: Option<Cold>) {
         let capacity = cold
             .as_ref()
             .map_or(figures.capacity, |c| c.capacity_at(c.at));
         let node = Node {
             kind,
-            link: Link::new(capacity),
-            memory: Memory::new(figures.memory_kb),
+            link: SharedLink::new(capacity),
+            memory: CacheMemory::new(figures.memory_kb),
             cold,
             sent: VecDeque::new(),
             up: true,
@@ -141,7 +142,7 @@
         }
         node.waiting.clear();
         node.filling.clear();
-        node.link = Link::new(node.figures.capacity);
+        node.link = SharedLink::new(node.figures.capacity);
     }
 
     /// A node sends nothing for a while.
@@ -268,152 +269,4 @@
             self.timer(now, timer, out);
         }
     }
-
-    /// A request arrives. `advance` must have been called up to now.
-    pub fn fetch(&mut self, now: Micros, uid: &str, fetch: Fetch) -> Vec<Out> {
-        let mut out = Vec::new();
-        let Some(node) = self.nodes.get_mut(uid).filter(|n| n.up) else {
-            return out;
-        };
-        self.next += 1;
-        let request = self.next;
-        self.attempts.push(Attempt {
-            id: fetch.id.clone(),
-            proxy: fetch.proxy,
-            target: uid.to_owned(),
-            source: fetch.source.clone(),
-            first_byte: now,
-            at: now,
-            ended: None,
-            work_us: fetch.work_us,
-            fill_us: 0,
-        });
-        let attempt = self.attempts.len() - 1;
-        let full = node.open.len() >= node.figures.slots + node.figures.waiting;
-        let work = fetch.work_us as f64;
-        node.open.insert(
-            request,
-            Open {
-                fetch,
-                phase: Phase::Waiting,
-                since: now,
-                attempt,
-            },
-        );
-        if self.push(now, uid, work, &mut out) {
-            return out;
-        }
-        if full {
-            self.turn_away(now, uid, request, "503", "", &mut out);
-        } else if let Some(node) = self.nodes.get_mut(uid) {
-            node.waiting.push_back(request);
-            self.admit(now, uid, &mut out);
-        }
-        out
-    }
-
-    /// A request is given up, or its connection has ended.
-    pub fn abort(&mut self, now: Micros, uid: &str, connection: u64, id: Option<&str>) {
-        let Some(node) = self.nodes.get_mut(uid) else {
-            return;
-        };
-        let meant =
-            |o: &Open| o.fetch.connection == connection && id.is_none_or(|id| o.fetch.id == id);
-        let over: Vec<u64> = node
-            .open
-            .iter()
-            .filter(|(_, o)| meant(o))
-            .map(|(r, _)| *r)
-            .collect();
-        for request in &over {
-            node.link.call_off(*request);
-            node.waiting.retain(|r| r != request);
-            if let Some(open) = node.open.remove(request) {
-                self.attempts[open.attempt].ended = Some((now, Ended::GivenUp));
-            }
-        }
-        // A fill whose clients have all left is dropped.
-        let (inward, fills) = (&mut self.inward, &mut self.inward_fills);
-        node.filling.retain(|_, f| {
-            f.waiters.retain(|r| !over.contains(r));
-            if f.waiters.is_empty() {
-                inward.call_off(f.number);
-                fills.remove(&f.number);
-            }
-            !f.waiters.is_empty()
-        });
-    }
-
-    /// Work is sent to a node: one that is cold falls over if that is too much. Whether it has.
-    fn push(&mut self, now: Micros, uid: &str, work_us: f64, out: &mut Vec<Out>) -> bool {
-        let Some(node) = self.nodes.get_mut(uid) else {
-            return false;
-        };
-        let Some(cold) = node.cold.clone().filter(|c| now < c.at + c.warm_us) else {
-            return false;
-        };
-        node.sent.push_back((now, work_us));
-        while node.sent.front().is_some_and(|s| s.0 + cold.fall_us < now) {
-            node.sent.pop_front();
-        }
-        let sum: f64 = node.sent.iter().map(|s| s.1).sum();
-        let from = now.saturating_sub(cold.fall_us).max(cold.at);
-        if sum <= cold.multiple * cold.able(from, from + cold.fall_us) {
-            return false;
-        }
-        self.stop(now, uid);
-        out.push(Out::Fell(uid.to_owned()));
-        true
-    }
-
-    fn turn_away(
-        &mut self,
-        now: Micros,
-        uid: &str,
-        request: u64,
-        word: &'static str,
-        how: &'static str,
-        out: &mut Vec<Out>,
-    ) {
-        let Some(open) = self
-            .nodes
-            .get_mut(uid)
-            .and_then(|n| n.open.remove(&request))
-        else {
-            return;
-        };
-        self.attempts[open.attempt].ended = Some((now, Ended::Unseen));
-        let Fetch {
-            connection,
-            id,
-            part,
-            ..
-        } = open.fetch;
-        out.push(Out::Answer {
-            connection,
-            id,
-            word,
-            how,
-            waited_us: now - open.since,
-            made: 0,
-            part,
-        });
-    }
-
-    /// Begins what waits, as far as there are slots.
-    fn admit(&mut self, now: Micros, uid: &str, out: &mut Vec<Out>) {
-        loop {
-            let Some(node) = self.nodes.get_mut(uid) else {
-                return;
-            };
-            let busy = node.open.len() - node.waiting.len();
-            if busy >= node.figures.slots || node.stalled {
-                return;
-            }
-            let Some(request) = node.waiting.pop_front() else {
-                return;
-            };
-            self.begin(now, uid, request, out);
-        }
-    }
 }
--- /dev/null
+++ b/rehearse/src/fakes/site/requests.rs
@@ -0,0 +1,161 @@
+//! Requests that reach a node: they are admitted, queued, rejected or given up.
+
+use super::{FakeSite, Fetch, Open, Out, Phase};
+use crate::record::{Attempt, Ended, Micros};
+
+impl FakeSite {
+    /// A request arrives. `advance` must have been called up to now.
+    pub fn fetch(&mut self, now: Micros, uid: &str, fetch: Fetch) -> Vec<Out> {
+        let mut out = Vec::new();
+        let Some(node) = self.nodes.get_mut(uid).filter(|n| n.up) else {
+            return out;
+        };
+        self.next += 1;
+        let request = self.next;
+        self.attempts.push(Attempt {
+            id: fetch.id.clone(),
+            proxy: fetch.proxy,
+            target: uid.to_owned(),
+            source: fetch.source.clone(),
+            first_byte: now,
+            at: now,
+            ended: None,
+            work_us: fetch.work_us,
+            fill_us: 0,
+        });
+        let attempt = self.attempts.len() - 1;
+        let full = node.open.len() >= node.figures.slots + node.figures.waiting;
+        let work = fetch.work_us as f64;
+        node.open.insert(
+            request,
+            Open {
+                fetch,
+                phase: Phase::Waiting,
+                since: now,
+                attempt,
+            },
+        );
+        if self.push(now, uid, work, &mut out) {
+            return out;
+        }
+        if full {
+            self.reject(now, uid, request, "503", "", &mut out);
+        } else if let Some(node) = self.nodes.get_mut(uid) {
+            node.waiting.push_back(request);
+            self.admit(now, uid, &mut out);
+        }
+        out
+    }
+
+    /// A request is given up, or its connection has ended.
+    pub fn abort(&mut self, now: Micros, uid: &str, connection: u64, id: Option<&str>) {
+        let Some(node) = self.nodes.get_mut(uid) else {
+            return;
+        };
+        let meant =
+            |o: &Open| o.fetch.connection == connection && id.is_none_or(|id| o.fetch.id == id);
+        let over: Vec<u64> = node
+            .open
+            .iter()
+            .filter(|(_, o)| meant(o))
+            .map(|(r, _)| *r)
+            .collect();
+        for request in &over {
+            node.link.call_off(*request);
+            node.waiting.retain(|r| r != request);
+            if let Some(open) = node.open.remove(request) {
+                self.attempts[open.attempt].ended = Some((now, Ended::GivenUp));
+            }
+        }
+        // A fill whose clients have all left is dropped.
+        let (inward, fills) = (&mut self.inward, &mut self.inward_fills);
+        node.filling.retain(|_, f| {
+            f.waiters.retain(|r| !over.contains(r));
+            if f.waiters.is_empty() {
+                inward.call_off(f.number);
+                fills.remove(&f.number);
+            }
+            !f.waiters.is_empty()
+        });
+    }
+
+    /// Work is sent to a node: one that is cold falls over if that is too much. Whether it has.
+    pub(super) fn push(
+        &mut self,
+        now: Micros,
+        uid: &str,
+        work_us: f64,
+        out: &mut Vec<Out>,
+    ) -> bool {
+        let Some(node) = self.nodes.get_mut(uid) else {
+            return false;
+        };
+        let Some(cold) = node.cold.clone().filter(|c| now < c.at + c.warm_us) else {
+            return false;
+        };
+        node.sent.push_back((now, work_us));
+        while node.sent.front().is_some_and(|s| s.0 + cold.fall_us < now) {
+            node.sent.pop_front();
+        }
+        let sum: f64 = node.sent.iter().map(|s| s.1).sum();
+        let from = now.saturating_sub(cold.fall_us).max(cold.at);
+        if sum <= cold.multiple * cold.able(from, from + cold.fall_us) {
+            return false;
+        }
+        self.stop(now, uid);
+        out.push(Out::Fell(uid.to_owned()));
+        true
+    }
+
+    /// Answers a request without having served it.
+    pub(super) fn reject(
+        &mut self,
+        now: Micros,
+        uid: &str,
+        request: u64,
+        word: &'static str,
+        how: &'static str,
+        out: &mut Vec<Out>,
+    ) {
+        let Some(open) = self
+            .nodes
+            .get_mut(uid)
+            .and_then(|n| n.open.remove(&request))
+        else {
+            return;
+        };
+        self.attempts[open.attempt].ended = Some((now, Ended::Unseen));
+        let Fetch {
+            connection,
+            id,
+            part,
+            ..
+        } = open.fetch;
+        out.push(Out::Answer {
+            connection,
+            id,
+            word,
+            how,
+            waited_us: now - open.since,
+            made: 0,
+            part,
+        });
+    }
+
+    /// Begins what waits, as far as there are slots.
+    pub(super) fn admit(&mut self, now: Micros, uid: &str, out: &mut Vec<Out>) {
+        loop {
+            let Some(node) = self.nodes.get_mut(uid) else {
+                return;
+            };
+            let busy = node.open.len() - node.waiting.len();
+            if busy >= node.figures.slots || node.stalled {
+                return;
+            }
+            let Some(request) = node.waiting.pop_front() else {
+                return;
+            };
+            self.begin(now, uid, request, out);
+        }
+    }
+}
--- a/rehearse/src/stand_ins/world/timers.rs
+++ b/rehearse/src/fakes/site/timers.rs
@@ -1,8 +1,8 @@
 //! What comes due at a time: fills that begin to come or never do, writes, stalls and purges.
 
-use super::{Ended, Fetch, Filling, Out, Phase, Purged, World};
+use super::{Ended, FakeSite, Fetch, Filling, Out, Phase, Purged};
+use crate::fakes::cache_memory::Part;
 use crate::record::Micros;
-use crate::stand_ins::memory::Part;
 
 /// What comes due at a time.
 pub(super) enum Timer {
@@ -20,7 +20,7 @@
     Drops(String, Purged, Micros),
 }
 
-impl World {
+impl FakeSite {
     /// Carries out what has come due.
     pub(super) fn timer(&mut self, now: Micros, timer: Timer, out: &mut Vec<Out>) {
         match timer {
@@ -81,7 +81,7 @@
             let waiters = fill.map(|f| f.waiters).unwrap_or_default();
             waiters
                 .into_iter()
-                .for_each(|r| self.turn_away(now, uid, r, "503", "cut_off", out));
+                .for_each(|r| self.reject(now, uid, r, "503", "cut_off", out));
         }
     }
 
--- a/rehearse/src/stand_ins/served.rs
+++ b/rehearse/src/fakes/site_server.rs
@@ -1,7 +1,7 @@
-//! A world of nodes on loopback sockets: one thread owns the world, others only read. Each proxy is given addresses of its
+//! A fake site on loopback sockets: one thread owns the site, others only read. Each proxy is given addresses of its
 //! own for every node, by which the record tells who sent what.
 
-use super::world::{Fetch, Out, World};
+use super::site::{FakeSite, Fetch, Out};
 use crate::record::Micros;
 use linnetknot_daemon::wire::resp;
 use linnetknot_harness::listener::{listen, read_commands, Listening};
@@ -10,7 +10,7 @@
 use std::io::{self, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::mpsc::{self, RecvTimeoutError, Sender};
+use std::sync::mpsc::{self, Receiver, RecvTimeoutError, Sender};
 use std::sync::Arc;
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
@@ -19,18 +19,56 @@
 pub type Parts = HashMap<(u64, u64), (f64, u64)>;
 
 /// What the driver must know of the load.
-pub struct Knows {
+pub struct Workload {
     /// Parts.
     pub parts: Parts,
     /// Pace of one transfer to a client, KB a second.
     pub flow_kb_per_s: f64,
-    /// By class: how long a copy is fresh, in microseconds (0: for good), and whether it is a write.
-    pub classes: HashMap<String, (Micros, bool)>,
+    /// Classes, by their names.
+    pub classes: HashMap<String, ClassRules>,
     /// Every tenth answer's bytes are another part's: a fault that is planted.
     pub spoil: bool,
 }
 
-type Change = Box<dyn FnOnce(&mut World, Micros) + Send>;
+/// What nodes must know of a class of requests.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ClassRules {
+    /// How long a copy is fresh, in microseconds; 0: for good.
+    pub fresh_us: Micros,
+    /// Its requests are writes.
+    pub is_write: bool,
+}
+
+impl Workload {
+    /// The request that these fields of a fetch describe; whose it is, its receiver fills in.
+    fn fetch(&self, fields: &[u8]) -> Fetch {
+        let field = |name: &str| resp::field(fields, name);
+        let number = |name: &str| field(name).and_then(|value| value.parse::<u64>().ok());
+        let object = field("key").and_then(|key| u64::from_str_radix(key, 16).ok());
+        let part = (object.unwrap_or(0), number("part").unwrap_or(0));
+        let (kb, group) = self.parts.get(&part).copied().unwrap_or((1.0, 0));
+        let class = self.classes.get(field("class").unwrap_or(""));
+        let ClassRules { fresh_us, is_write } = class.copied().unwrap_or_default();
+        let fresh_us = if fresh_us == 0 { u64::MAX } else { fresh_us };
+        let max_age_ms = number("maxage").filter(|ms| *ms > 0);
+        Fetch {
+            connection: 0,
+            proxy: 0,
+            id: String::new(),
+            part,
+            group,
+            work_us: (kb / self.flow_kb_per_s * 1e6) as Micros,
+            kb: kb.ceil() as u64,
+            source: field("src").map(str::to_owned),
+            keep: field("keep").and_then(|k| k.parse().ok()).unwrap_or(0),
+            max_age_us: max_age_ms.map_or(fresh_us, |ms| ms * 1000),
+            join: field("flags").is_some_and(|f| f.split('+').any(|w| w == "wait-for")),
+            write: is_write.then(|| field("once").map(str::to_owned)),
+        }
+    }
+}
+
+type Change = Box<dyn FnOnce(&mut FakeSite, Micros) + Send>;
 
 enum Message {
     Opened(u64, String, TcpStream),
@@ -45,109 +83,124 @@
     End,
 }
 
-/// A world that is served.
-pub struct Served {
+/// The driver looks at its site at least this often, in microseconds.
+const MAX_WAIT_US: Micros = 1_000_000;
+
+/// A site that is served.
+pub struct SiteServer {
     /// By proxy and node: where that node listens for that proxy.
     pub addresses: BTreeMap<(usize, String), SocketAddr>,
     tell: Sender<Message>,
-    world: JoinHandle<World>,
+    site: JoinHandle<FakeSite>,
     _listeners: Vec<Listening>,
 }
 
-impl Served {
-    /// Serves a world's nodes to so many proxies.
-    pub fn start(world: World, nodes: &[String], proxies: usize, knows: Knows) -> io::Result<Self> {
-        let (tell, told) = mpsc::channel();
+/// Listens at a port of its own for what one proxy sends to one node.
+fn listen_for(
+    proxy: usize,
+    node: &str,
+    tell: &Sender<Message>,
+    next: &Arc<AtomicU64>,
+) -> io::Result<Listening> {
+    let (tell, next, node) = (tell.clone(), next.clone(), node.to_owned());
+    listen("127.0.0.1:0", move |socket: TcpStream| {
+        let connection = next.fetch_add(1, Ordering::Relaxed);
+        socket.set_nodelay(true).ok()?;
+        let writer = socket.try_clone().ok()?;
+        tell.send(Message::Opened(connection, node.clone(), writer))
+            .ok()?;
+        read_commands(socket, |words| {
+            let message = Message::Got {
+                connection,
+                node: node.clone(),
+                proxy,
+                words,
+            };
+            tell.send(message).ok()
+        });
+        tell.send(Message::Closed(connection)).ok()
+    })
+}
+
+impl SiteServer {
+    /// Serves a site's nodes to so many proxies.
+    pub fn start(
+        site: FakeSite,
+        nodes: &[String],
+        proxies: usize,
+        workload: Workload,
+    ) -> io::Result<Self> {
+        let (tell, messages) = mpsc::channel();
         let next = Arc::new(AtomicU64::new(1));
         let (mut addresses, mut listeners) = (BTreeMap::new(), Vec::new());
         for proxy in 0..proxies {
             for node in nodes {
-                let (tell, next, name) = (tell.clone(), next.clone(), node.clone());
-                let listening = listen("127.0.0.1:0", move |socket: TcpStream| {
-                    let connection = next.fetch_add(1, Ordering::Relaxed);
-                    socket.set_nodelay(true).ok()?;
-                    tell.send(Message::Opened(
-                        connection,
-                        name.clone(),
-                        socket.try_clone().ok()?,
-                    ))
-                    .ok()?;
-                    read_commands(socket, |words| {
-                        let node = name.clone();
-                        tell.send(Message::Got {
-                            connection,
-                            node,
-                            proxy,
-                            words,
-                        })
-                        .ok()
-                    });
-                    tell.send(Message::Closed(connection)).ok()
-                })?;
+                let listening = listen_for(proxy, node, &tell, &next)?;
                 addresses.insert((proxy, node.clone()), listening.address);
                 listeners.push(listening);
             }
         }
-        let world = thread::spawn(move || {
-            let mut driver = Driver {
-                world,
-                knows,
-                sockets: HashMap::new(),
-                answers: 0,
-            };
-            loop {
-                let now = unix_us();
-                let out = driver.world.advance(now);
-                driver.write(out);
-                let wait = driver
-                    .world
-                    .next_due()
-                    .map_or(1_000_000, |due| due.saturating_sub(now));
-                match told.recv_timeout(Duration::from_micros(wait.min(1_000_000))) {
-                    Ok(Message::End) | Err(RecvTimeoutError::Disconnected) => return driver.world,
-                    Ok(message) => driver.message(message),
-                    Err(RecvTimeoutError::Timeout) => {}
-                }
-            }
-        });
-        Ok(Served {
+        let driver = Driver {
+            site,
+            workload,
+            sockets: HashMap::new(),
+            answers: 0,
+        };
+        let site = thread::spawn(move || driver.run(&messages));
+        Ok(SiteServer {
             addresses,
             tell,
-            world,
+            site,
             _listeners: listeners,
         })
     }
 
-    /// Changes the world.
-    pub fn change(&self, change: impl FnOnce(&mut World, Micros) + Send + 'static) {
+    /// Changes the site.
+    pub fn change(&self, change: impl FnOnce(&mut FakeSite, Micros) + Send + 'static) {
         let _ = self.tell.send(Message::Change(Box::new(change)));
     }
 
-    /// Ends, and gives the world with its record.
-    pub fn end(self) -> io::Result<World> {
+    /// Ends, and gives the site with its record.
+    pub fn end(self) -> io::Result<FakeSite> {
         let _ = self.tell.send(Message::End);
-        self.world
+        self.site
             .join()
-            .map_err(|_| io::Error::other("the world's thread has panicked"))
+            .map_err(|_| io::Error::other("the site's thread has panicked"))
     }
 }
 
 struct Driver {
-    world: World,
-    knows: Knows,
+    site: FakeSite,
+    workload: Workload,
     /// Open connections, with their nodes.
     sockets: HashMap<u64, (String, TcpStream)>,
     answers: u64,
 }
 
 impl Driver {
+    /// Lets time pass and takes messages, until it is told to end.
+    fn run(mut self, messages: &Receiver<Message>) -> FakeSite {
+        loop {
+            let now = unix_us();
+            let out = self.site.advance(now);
+            self.write(out);
+            let next_due = self.site.next_due();
+            let wait = next_due.map_or(MAX_WAIT_US, |due| due.saturating_sub(now));
+            match messages.recv_timeout(Duration::from_micros(wait.min(MAX_WAIT_US))) {
+                Ok(Message::End) | Err(RecvTimeoutError::Disconnected) => return self.site,
+                Ok(message) => self.message(message),
+                Err(RecvTimeoutError::Timeout) => {}
+            }
+        }
+    }
+
     fn message(&mut self, message: Message) {
         let now = unix_us();
-        let out = self.world.advance(now);
+        let out = self.site.advance(now);
         self.write(out);
         match message {
             Message::Opened(connection, node, socket) => {
-                if self.world.is_up(&node) {
+                if self.site.is_up(&node) {
                     self.sockets.insert(connection, (node, socket));
                 } else {
                     let _ = socket.shutdown(Shutdown::Both);
@@ -155,7 +208,7 @@
             }
             Message::Closed(connection) => {
                 if let Some((node, _)) = self.sockets.remove(&connection) {
-                    self.world.abort(now, &node, connection, None);
+                    self.site.abort(now, &node, connection, None);
                 }
             }
             Message::Got {
@@ -165,11 +218,11 @@
                 words,
             } => self.got(now, connection, &node, proxy, &words),
             Message::Change(change) => {
-                change(&mut self.world, now);
+                change(&mut self.site, now);
                 // A node that has died resets what was open to it.
-                let world = &self.world;
+                let site = &self.site;
                 self.sockets.retain(|_, (node, socket)| {
-                    world.is_up(node) || {
+                    site.is_up(node) || {
                         let _ = socket.shutdown(Shutdown::Both);
                         false
                     }
@@ -187,54 +240,22 @@
                 .unwrap_or_default()
         };
         let (word, id) = (text(0), text(1));
-        let fields = words.get(2).map(Vec::as_slice).unwrap_or_default();
-        let field = |name: &str| resp::field(fields, name);
         match word.as_str() {
-            "abort" => self.world.abort(now, node, connection, Some(&id)),
+            "abort" => self.site.abort(now, node, connection, Some(&id)),
             "fetch" => {
-                let object = field("key")
-                    .and_then(|k| u64::from_str_radix(k, 16).ok())
-                    .unwrap_or(0);
-                let part = (
-                    object,
-                    field("part").and_then(|p| p.parse().ok()).unwrap_or(0),
-                );
-                let (kb, group) = self.knows.parts.get(&part).copied().unwrap_or((1.0, 0));
-                let class = self.knows.classes.get(field("class").unwrap_or(""));
-                let (fresh_us, write) = class.copied().unwrap_or((0, false));
-                let asked = field("maxage")
-                    .and_then(|m| m.parse::<u64>().ok())
-                    .filter(|m| *m > 0);
-                let good = if fresh_us == 0 { u64::MAX } else { fresh_us };
-                let fetch = Fetch {
-                    connection,
-                    proxy,
-                    id,
-                    part,
-                    group,
-                    work_us: (kb / self.knows.flow_kb_per_s * 1e6) as Micros,
-                    kb: kb.ceil() as u64,
-                    source: field("src").map(str::to_owned),
-                    keep: field("keep").and_then(|k| k.parse().ok()).unwrap_or(0),
-                    max_age_us: asked.map_or(good, |ms| ms * 1000),
-                    join: field("flags").is_some_and(|f| f.split('+').any(|w| w == "wait-for")),
-                    write: write.then(|| field("once").map(str::to_owned)),
-                };
-                let out = self.world.fetch(now, node, fetch);
+                let fields = words.get(2).map(Vec::as_slice).unwrap_or_default();
+                let mut fetch = self.workload.fetch(fields);
+                fetch.connection = connection;
+                fetch.proxy = proxy;
+                fetch.id = id;
+                let out = self.site.fetch(now, node, fetch);
                 self.write(out);
             }
             probe => {
-                let fields = format!("stats=inflight:{}", self.world.inflight(node));
+                let fields = format!("stats=inflight:{}", self.site.inflight(node));
                 let answer = if probe == "stats" { "stats" } else { "alive" };
-                self.send(
-                    connection,
-                    &[
-                        text(1).as_bytes(),
-                        answer.as_bytes(),
-                        fields.as_bytes(),
-                        b"",
-                    ],
-                );
+                let words = [id.as_bytes(), answer.as_bytes(), fields.as_bytes(), b""];
+                self.send(connection, &words);
             }
         }
     }
@@ -270,7 +291,7 @@
                     if word == "200" {
                         fields += &format!(",made={made_ms},etag=t{made_ms}");
                         self.answers += 1;
-                        let spoilt = self.knows.spoil && self.answers % 10 == 0;
+                        let spoilt = self.workload.spoil && self.answers % 10 == 0;
                         body = bytes((part.0, part.1 + u64::from(spoilt)), made_ms);
                     }
                     self.send(
--- a/rehearse/src/lib.rs
+++ b/rehearse/src/lib.rs
@@ -1,6 +1,7 @@
-//! A bounded rehearsal on loopback: stand-in boxes, a stand-in event bus and a stand-in CDNI neighbour play a
-//! purge and a drain against a real daemon, and every breach of the rules is reported.
+//! A bounded rehearsal on loopback: fakes of cache servers, of the event bus and of a peer CDN play a purge and a
+//! drain against a real daemon, and every breach of the rules is reported.
 
+pub mod fakes;
 pub mod latency;
 pub mod load;
 pub mod moments;
@@ -14,7 +15,6 @@
 pub mod score;
 pub mod series;
 pub mod shipped;
-pub mod stand_ins;
 pub mod timetable;
 
 pub use play::{rehearse, Plant};
--- a/rehearse/src/play.rs
+++ b/rehearse/src/play.rs
@@ -16,7 +16,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// A fault that the stand-ins are made to show, to see that it is reported.
+/// A fault that the fakes are made to show, to see that it is reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Plant {
     /// The boxes serve copies of any age, also after a purge, and say that they are new.
--- a/rehearse/src/player/clients.rs
+++ b/rehearse/src/player/clients.rs
@@ -1,8 +1,8 @@
 //! The readers of the clients' connections: they take answers in, and have rejected requests retried.
 
+use crate::fakes::site_server::made_of;
 use crate::load::Arrival;
 use crate::record::{Answered, Final, Micros};
-use crate::stand_ins::served::made_of;
 use linnetknot_harness::clients::{Answer, WebServer};
 use linnetknot_harness::time::unix_us;
 use std::collections::HashMap;
--- a/rehearse/src/player/deployment.rs
+++ b/rehearse/src/player/deployment.rs
@@ -1,12 +1,12 @@
 //! The deployment that a scenario describes: the settings of its proxies and the nodes behind them.
 
+use crate::fakes::site::{FakeSite, Kind, NodeFigures, SiteFigures};
 use crate::record::{Class, Cold, Micros, Repeat};
 use crate::scenario::{ClassLoad, NodeForm, Scenario};
-use crate::stand_ins::world::{Figures, Kind, Site, World};
 use crate::timetable::box_uid;
 use serde_json::{json, Value};
 
-/// What the proxies are told of cold boxes, and what the stand-ins do: a share at the start, warm after a time, and
+/// What the proxies are told of cold boxes, and what the fakes do: a share at the start, warm after a time, and
 /// over by a multiple of what they can do for a while.
 const COLD_SHARE: f64 = 0.15;
 const RAMP_US: Micros = 13_000_000;
@@ -97,8 +97,8 @@
 }
 
 /// The figures of a node of this form.
-pub(super) fn figures(node: &NodeForm) -> Figures {
-    Figures {
+pub(super) fn figures(node: &NodeForm) -> NodeFigures {
+    NodeFigures {
         slots: node.slots as usize,
         waiting: node.waiting as usize,
         capacity: node.capacity,
@@ -137,7 +137,7 @@
 /// The nodes of a rehearsal: as they behave, and as the proxies are told of them.
 pub struct Deployment {
     /// How they behave.
-    pub world: World,
+    pub site: FakeSite,
     /// How they are listed.
     pub nodes: Vec<Node>,
 }
@@ -148,7 +148,7 @@
         let form = &scenario.site;
         let boxes = form.boxes(scenario.proxies);
         let mut deployment = Deployment {
-            world: World::new(site(scenario, boxes)),
+            site: FakeSite::new(site(scenario, boxes)),
             nodes: Vec::new(),
         };
         for n in 0..boxes as u32 {
@@ -175,7 +175,7 @@
         model: &'static str,
         form: &NodeForm,
     ) {
-        self.world.start(&uid, kind, figures(form), None);
+        self.site.start(&uid, kind, figures(form), None);
         self.nodes.push(Node {
             uid,
             zone,
@@ -186,9 +186,9 @@
 }
 
 /// What the nodes of a scenario share.
-fn site(scenario: &Scenario, boxes: usize) -> Site {
+fn site(scenario: &Scenario, boxes: usize) -> SiteFigures {
     let form = &scenario.site;
-    Site {
+    SiteFigures {
         link: form.link_per_box * boxes as f64,
         fill_pace: form.fill_pace,
         near_us: micros(form.near_ms),
--- a/rehearse/src/player/environment.rs
+++ b/rehearse/src/player/environment.rs
@@ -2,11 +2,11 @@
 
 use super::deployment::{cold, figures, fresh_us, settings, Deployment, Node};
 use super::Plant;
+use crate::fakes::site::{FakeSite, Kind};
+use crate::fakes::site_server::{ClassRules, SiteServer, Workload};
 use crate::load::{group, Plan, Purge};
 use crate::record::{Cold, Micros, Told, Word};
-use crate::scenario::Scenario;
-use crate::stand_ins::served::{Knows, Served};
-use crate::stand_ins::world::{Kind, World};
+use crate::scenario::{ClassLoad, Scenario};
 use crate::timetable::Step;
 use linnetknot_harness::fakes::event_bus::Bus;
 use linnetknot_harness::time::unix_us;
@@ -17,7 +17,7 @@
 pub(super) struct Environment<'a> {
     scenario: &'a Scenario,
     plant: Option<Plant>,
-    served: Served,
+    served: SiteServer,
     nodes: Vec<Node>,
     /// One for each proxy: each is told the addresses at which it reaches the nodes.
     buses: Vec<Bus>,
@@ -27,7 +27,7 @@
 
 /// What remains of an environment once it has ended.
 pub(super) struct EnvironmentRecord {
-    pub(super) world: World,
+    pub(super) site: FakeSite,
     pub(super) told: Vec<Told>,
     pub(super) started: Vec<Cold>,
     /// Kept until the proxies have ended, so that none of them loses its bus before.
@@ -49,9 +49,9 @@
         plant: Option<Plant>,
     ) -> io::Result<Self> {
         let proxies = scenario.proxies as usize;
-        let Deployment { world, nodes } = Deployment::of(scenario);
+        let Deployment { site, nodes } = Deployment::of(scenario);
         let uids: Vec<String> = nodes.iter().map(|node| node.uid.clone()).collect();
-        let served = Served::start(world, &uids, proxies, knows(scenario, plan, plant))?;
+        let served = SiteServer::start(site, &uids, proxies, workload(scenario, plan, plant))?;
         let buses = (0..proxies)
             .map(|_| Bus::start())
             .collect::<io::Result<Vec<_>>>()?;
@@ -114,7 +114,7 @@
             Step::CutBus => self.buses.iter().for_each(Bus::cut),
             _ => {}
         }
-        self.change_world(step.clone());
+        self.change_site(step.clone());
     }
 
     /// Tells every proxy of a node's new state, each on its own bus.
@@ -140,21 +140,21 @@
         }
     }
 
-    fn change_world(&self, step: Step) {
+    fn change_site(&self, step: Step) {
         let form = self.scenario.site.edge_box.clone();
-        self.served.change(move |world, now| match step {
-            Step::Down(uid) => world.stop(now, &uid),
+        self.served.change(move |site, now| match step {
+            Step::Down(uid) => site.stop(now, &uid),
             Step::Back(uid) => {
-                world.stop(now, &uid);
-                world.start(
+                site.stop(now, &uid);
+                site.start(
                     &uid,
                     Kind::Box,
                     figures(&form),
                     Some(cold(&uid, now, form.capacity)),
                 );
             }
-            Step::Stall(uid, lasts) => world.stall(now, &uid, lasts),
-            Step::Origin(times) => world.slow_origin(times),
+            Step::Stall(uid, lasts) => site.stall(now, &uid, lasts),
+            Step::Origin(times) => site.slow_origin(times),
             _ => {}
         });
     }
@@ -188,15 +188,15 @@
         }));
         if !is_untold {
             self.served
-                .change(move |world, now| world.purge_all(now, what, at));
+                .change(move |site, now| site.purge_all(now, what, at));
         }
     }
 
     /// Ends the nodes, and gives what is to be judged.
     pub(super) fn end(self) -> io::Result<EnvironmentRecord> {
-        let world = self.served.end()?;
+        let site = self.served.end()?;
         Ok(EnvironmentRecord {
-            world,
+            site,
             told: self.told,
             started: self.started,
             _buses: self.buses,
@@ -205,18 +205,22 @@
 }
 
 /// What the nodes must know of the load that the wire does not tell.
-fn knows(scenario: &Scenario, plan: &Plan, plant: Option<Plant>) -> Knows {
+fn workload(scenario: &Scenario, plan: &Plan, plant: Option<Plant>) -> Workload {
     let parts = plan
         .arrivals
         .iter()
         .map(|a| ((a.object, a.part), (a.size_kb, group(a.object))))
         .collect();
     let classes = scenario.load.classes.iter();
+    let rules = |class: &ClassLoad| ClassRules {
+        fresh_us: fresh_us(scenario, class),
+        is_write: class.keyed,
+    };
     let classes = classes
-        .map(|c| (c.name.clone(), (fresh_us(scenario, c), c.keyed)))
+        .map(|class| (class.name.clone(), rules(class)))
         .collect();
     let spoil = plant == Some(Plant::WrongBytes);
-    Knows {
+    Workload {
         parts,
         flow_kb_per_s: scenario.site.flow_kb_per_s,
         classes,
--- a/rehearse/src/player/mod.rs
+++ b/rehearse/src/player/mod.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario's plan against real daemons and a served world, and judges the record that remains.
+//! Plays a scenario's plan against real daemons and a fake site, and judges the record that remains.
 
 mod clients;
 mod deployment;
@@ -91,7 +91,7 @@
 /// The load begins this long after all has been started.
 const LEAD_US: Micros = 200_000;
 
-/// A fault of the stand-ins' own, to see that it is found.
+/// A fault of the fakes' own, to see that it is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Plant {
     /// Purges count as told, but neither proxies nor nodes hear of them.
@@ -194,7 +194,7 @@
         classes: scenario.load.classes.iter().map(recorded_class).collect(),
         asked,
         answered: std::mem::take(&mut clients.record().answered),
-        attempts: ended.world.attempts,
+        attempts: ended.site.attempts,
         told: ended.told,
         cold: ended.started,
     };
@@ -210,7 +210,7 @@
         score: score(&record),
         waits: waits(&record),
         breaches: judge(&record, &limits),
-        writes: ended.world.writes,
+        writes: ended.site.writes,
         unsent,
         interrupted,
     })
--- a/rehearse/src/rules/budgets.rs
+++ b/rehearse/src/rules/budgets.rs
@@ -1,4 +1,4 @@
-//! The rule on fleet-wide budgets, judged where they are spent: what a stand-in held at each time, whichever proxy sent it,
+//! The rule on fleet-wide budgets, judged where they are spent: what a fake held at each time, whichever proxy sent it,
 //! against the limit of all proxies.
 
 use super::Breach;
--- a/rehearse/src/timetable.rs
+++ b/rehearse/src/timetable.rs
@@ -1,6 +1,6 @@
 //! The faults of a scenario as a timetable: what is done to which node at which microsecond of the play.
 //!
-//! Sans-IO: the player carries each step out on the served world and the event buses. Steps come in the order of
+//! Sans-IO: the player carries each step out on the fake site and the event buses. Steps come in the order of
 //! their time; of two at one time, in the order of the faults that make them.
 
 use crate::record::Micros;
--- a/rehearse/tests/stand_ins.rs
+++ b/rehearse/tests/fake_site.rs
@@ -1,12 +1,12 @@
-//! Stand-ins that behave, in virtual time: a link that is shared, a memory with ranks, and boxes, hub caches and the
+//! A fake site in virtual time: a link that is shared, a memory with ranks, and boxes, hub caches and the
 //! origin made of them.
 
+use linnetknot_rehearse::fakes::cache_memory::CacheMemory;
+use linnetknot_rehearse::fakes::shared_link::SharedLink;
+use linnetknot_rehearse::fakes::site::{FakeSite, Fetch, Kind, NodeFigures, Out, SiteFigures};
 use linnetknot_rehearse::load::plan;
 use linnetknot_rehearse::record::Cold;
 use linnetknot_rehearse::scenario::Scenario;
-use linnetknot_rehearse::stand_ins::link::Link;
-use linnetknot_rehearse::stand_ins::memory::Memory;
-use linnetknot_rehearse::stand_ins::world::{Fetch, Figures, Kind, Out, Site, World};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -14,7 +14,7 @@
 
 #[test]
 fn transfers_run_at_full_pace_until_the_link_is_full_and_then_share_it() {
-    let mut link = Link::new(2.0);
+    let mut link = SharedLink::new(2.0);
     link.begin(1, 100 * MS);
     link.begin(2, 100 * MS);
     assert_eq!(link.next_due(), Some(100 * MS), "two fit");
@@ -42,7 +42,7 @@
     let mut random = ChaCha8Rng::seed_from_u64(11);
     for _ in 0..50 {
         let capacity = random.random_range(0.5..6.0);
-        let (mut link, mut coarse) = (Link::new(capacity), Link::new(capacity));
+        let (mut link, mut coarse) = (SharedLink::new(capacity), SharedLink::new(capacity));
         let (mut now, mut asked, mut ends, mut ends_coarse) = (0, 0, Vec::new(), Vec::new());
         for id in 0..40 {
             now += random.random_range(0..60 * MS);
@@ -94,7 +94,7 @@
 
 #[test]
 fn low_ranks_go_first_and_nothing_goes_for_a_copy_of_lower_rank() {
-    let mut memory = Memory::new(100);
+    let mut memory = CacheMemory::new(100);
     assert!(memory.keep((1, 0), 7, 40, 10, 1) && memory.keep((2, 0), 7, 40, 10, 2));
     assert!(!memory.keep((3, 0), 7, 101, 10, 3), "larger than all");
     assert!(!memory.keep((3, 0), 7, 10, 10, 0), "rank 0 is not kept");
@@ -135,8 +135,8 @@
     assert_eq!((memory.purge(Ok(2), 21), memory.held()), (2, 0));
 }
 
-fn figures() -> Figures {
-    Figures {
+fn figures() -> NodeFigures {
+    NodeFigures {
         slots: 4,
         waiting: 2,
         capacity: 2.0,
@@ -146,8 +146,8 @@
     }
 }
 
-fn roomy() -> Figures {
-    Figures {
+fn roomy() -> NodeFigures {
+    NodeFigures {
         slots: 64,
         waiting: 64,
         capacity: 40.0,
@@ -157,8 +157,8 @@
     }
 }
 
-fn site() -> Site {
-    Site {
+fn site_figures() -> SiteFigures {
+    SiteFigures {
         link: 4.0,
         fill_pace: 2.0,
         near_us: 5 * MS,
@@ -171,17 +171,17 @@
 }
 
 /// Two boxes, a hub cache and the origin.
-fn world() -> World {
-    let mut world = World::new(site());
+fn site() -> FakeSite {
+    let mut site = FakeSite::new(site_figures());
     for (uid, kind) in [
         ("a", Kind::Box),
         ("b", Kind::Box),
         ("hub", Kind::Hub),
         ("origin", Kind::Origin),
     ] {
-        world.start(uid, kind, figures(), None);
+        site.start(uid, kind, figures(), None);
     }
-    world
+    site
 }
 
 fn fetch(id: &str, object: u64, source: Option<&str>) -> Fetch {
@@ -219,7 +219,7 @@
 
 #[test]
 fn a_miss_is_filled_by_way_of_the_hub_and_found_afterwards() {
-    let mut w = world();
+    let mut w = site();
     assert_eq!(w.fetch(0, "a", fetch("1", 7, Some("hub"))), []);
     // The way to the origin, its answer and the way to the hub cache pass before the first byte comes.
     assert_eq!(w.advance(170 * MS), []);
@@ -256,9 +256,9 @@
 #[test]
 fn what_a_fill_brings_from_before_a_purge_is_kept_only_where_late_fills_are() {
     for late_fills in [false, true] {
-        let mut w = World::new(Site {
+        let mut w = FakeSite::new(SiteFigures {
             late_fills,
-            ..site()
+            ..site_figures()
         });
         for (uid, kind) in [
             ("a", Kind::Box),
@@ -303,7 +303,7 @@
 
 #[test]
 fn a_fill_from_too_old_a_copy_is_nothing_to_join() {
-    let mut w = world();
+    let mut w = site();
     w.fetch(0, "a", fetch("1", 7, Some("hub")));
     w.advance(1000 * MS);
     w.fetch(1000 * MS, "b", fetch("2", 7, Some("hub")));
@@ -319,13 +319,13 @@
 
 #[test]
 fn each_box_carries_a_purge_out_in_its_own_time_and_all_have_by_the_end() {
-    let mut w = world();
+    let mut w = site();
     for (n, uid) in ["a", "b"].iter().enumerate() {
         w.fetch(0, uid, fetch(&n.to_string(), 7, Some("origin")));
     }
     w.advance(1000 * MS);
     w.purge_all(1000 * MS, Err(0), 1000 * MS);
-    let held = |w: &mut World, at: u64| {
+    let held = |w: &mut FakeSite, at: u64| {
         w.advance(at);
         let all = ["a", "b"].map(|uid| said(w.fetch(at, uid, fetch("x", 7, None))).is_empty());
         w.advance(at + 200 * MS);
@@ -337,7 +337,7 @@
 
 #[test]
 fn what_can_not_be_taken_or_filled_is_turned_away_with_its_reason() {
-    let mut w = world();
+    let mut w = site();
     assert_eq!(
         said(w.fetch(0, "a", fetch("none", 1, None))),
         one("none", "404", "")
@@ -388,7 +388,7 @@
 
 #[test]
 fn a_stalled_box_says_nothing_and_a_cold_one_that_is_pushed_over_stays_down() {
-    let mut w = world();
+    let mut w = site();
     w.fetch(0, "origin", fetch("1", 1, None));
     w.stall(50 * MS, "origin", 500 * MS);
     w.advance(50 * MS);
@@ -405,7 +405,7 @@
     };
     // 2.5 x 2 x 3 s at 15% and rising is some 4 s of work: requests that are turned away count too.
     for (uid, target, source) in [("a", "a", None), ("hub", "a", Some("hub"))] {
-        let mut w = world();
+        let mut w = site();
         w.start("a", Kind::Box, roomy(), None);
         let kind = if uid == "a" { Kind::Box } else { Kind::Hub };
         w.start(uid, kind, figures(), Some(cold(uid)));
@@ -425,7 +425,7 @@
 
 #[test]
 fn a_write_runs_once_for_its_key_while_the_key_is_held() {
-    let mut w = world();
+    let mut w = site();
     let post = |id: &str| Fetch {
         write: Some(Some("k".into())),
         ..fetch(id, 1, None)
@@ -452,11 +452,11 @@
 }
 
 /// An evening against boxes that behave, in virtual time: each request that arrives has one end, and the rules on
-/// attempts hold in the record that the world has kept.
+/// attempts hold in the record that the site has kept.
 #[test]
 fn a_whole_evening_ends_every_request_once() {
     let scenario = Scenario::read(include_str!("../scenarios/chuseok-evening.json")).unwrap();
-    let mut w = world();
+    let mut w = site();
     for (uid, kind) in [
         ("a", Kind::Box),
         ("b", Kind::Box),
--- a/rehearse/tests/purges.rs
+++ b/rehearse/tests/purges.rs
@@ -6,7 +6,7 @@
     Action, Event, Fill, ListMode, Micros, Note, Outcome, Request, Router, Server, State,
 };
 use linnetknot_harness::settings;
-use linnetknot_rehearse::stand_ins::world::{Fetch, Figures, Kind, Out, Site, World};
+use linnetknot_rehearse::fakes::site::{FakeSite, Fetch, Kind, NodeFigures, Out, SiteFigures};
 
 const S: Micros = 1_000_000;
 const T0: Micros = 1_000 * S;
@@ -24,10 +24,10 @@
     NODES.iter().find(|n| n.0 == id).map_or("-", |n| n.1)
 }
 
-/// A router and the world behind it.
+/// A router and the site behind it.
 struct Play {
     router: Router,
-    world: World,
+    site: FakeSite,
     requests: u64,
 }
 
@@ -56,7 +56,7 @@
 }
 
 fn play(siblings: bool) -> Play {
-    let mut world = World::new(Site {
+    let mut site = FakeSite::new(SiteFigures {
         link: 8.0,
         fill_pace: 2.0,
         near_us: S / 100,
@@ -67,7 +67,7 @@
         late_fills: true,
     });
     for (_, uid, kind, _) in NODES {
-        let figures = Figures {
+        let figures = NodeFigures {
             slots: 16,
             waiting: 16,
             capacity: 8.0,
@@ -75,11 +75,11 @@
             fills: 8,
             fill_timeout_us: 5 * S,
         };
-        world.start(uid, kind, figures, None);
+        site.start(uid, kind, figures, None);
     }
     Play {
         router: router(siblings),
-        world,
+        site,
         requests: 0,
     }
 }
@@ -128,11 +128,11 @@
         });
         let (server, fill): (u64, Fill) = sent.expect("an attempt");
         let uid = name(server);
-        self.world.advance(now);
-        let mut out = self.world.fetch(now, uid, asked(id, &fill, server));
-        out.extend(self.world.advance(now + RUNS));
+        self.site.advance(now);
+        let mut out = self.site.fetch(now, uid, asked(id, &fill, server));
+        out.extend(self.site.advance(now + RUNS));
         meanwhile(self, now + RUNS);
-        out.extend(self.world.advance(now + 4 * S));
+        out.extend(self.site.advance(now + 4 * S));
         let Some(Out::Answer {
             word: "200",
             how,
@@ -190,7 +190,7 @@
             let what = if by_object { Ok(OBJECT) } else { Err(GROUP) };
             ["a", "b"]
                 .iter()
-                .for_each(|uid| p.world.purge(uid, what, purged_at));
+                .for_each(|uid| p.site.purge(uid, what, purged_at));
             p.purge(purged_at, by_object);
         });
         assert!(old < purged_at, "made before the purge");
@@ -201,7 +201,7 @@
         };
         let (later, mut out) = (
             T0 + 10 * S,
-            p.world.fetch(
+            p.site.fetch(
                 T0 + 10 * S,
                 uid,
                 Fetch {
@@ -210,7 +210,7 @@
                 },
             ),
         );
-        out.extend(p.world.advance(later + S));
+        out.extend(p.site.advance(later + S));
         assert!(
             matches!(out[..], [Out::Answer { how: "local", made, .. }] if made == old),
             "{out:?}"
@@ -231,7 +231,7 @@
     let other = if first == "a" { "b" } else { "a" };
     let purged_at = T0 + 5 * S;
     // The other box has carried the purge out when the first, which has not, passes its copy on.
-    p.world.purge(other, Ok(OBJECT), purged_at);
+    p.site.purge(other, Ok(OBJECT), purged_at);
     p.purge(purged_at, true);
     let untold = Fetch {
         source: Some(first.into()),
@@ -239,9 +239,9 @@
         keep: 1,
         ..asked(98, &bare(), 0)
     };
-    p.world.fetch(purged_at + S / 10, other, untold);
-    p.world.advance(purged_at + S);
-    p.world.purge(first, Ok(OBJECT), purged_at);
+    p.site.fetch(purged_at + S / 10, other, untold);
+    p.site.advance(purged_at + S);
+    p.site.purge(first, Ok(OBJECT), purged_at);
     // Both boxes have had their six seconds. The router is made to ask the other one.
     let gone = |state| Server {
         id: if first == "a" { 1 } else { 2 },
@@ -274,7 +274,7 @@
         purged_at = now;
         ["a", "b"]
             .iter()
-            .for_each(|uid| p.world.purge(uid, Ok(OBJECT), purged_at));
+            .for_each(|uid| p.site.purge(uid, Ok(OBJECT), purged_at));
     });
     p.router = router(false);
     let now = T0 + 20 * S;
