--- a/daemon/tests/moments.rs
+++ b/daemon/tests/fault_matrix.rs
@@ -1,7 +1,7 @@
-//! Faults by moments of a promise, on processes: a slice of the matrix that `linnetknot-rehearse moments` plays at length,
+//! Faults at points of a commit, on processes: a slice of the matrix that `linnetknot-rehearse fault-matrix` plays at length,
 //! and the faults that it must find where they are planted.
 
-use linnetknot_rehearse::moments::{cases, play, Case, Matrix, MOMENTS, PLANTS};
+use linnetknot_rehearse::fault_matrix::{cases, play, Case, Matrix, FAULT_POINTS, PLANTS};
 use linnetknot_rehearse::series::all_at_once;
 use std::path::Path;
 
@@ -18,27 +18,30 @@
 }
 
 #[test]
-fn at_every_moment_and_with_both_disks_no_promise_is_lost() {
-    let matrix = played(&cases(2 * MOMENTS.len(), 100), "");
+fn at_every_fault_point_and_with_both_disks_no_commit_is_lost() {
+    let matrix = played(&cases(2 * FAULT_POINTS.len(), 100), "");
     assert_eq!(matrix.status(), 0, "{matrix}\n{:#?}", matrix.said);
 }
 
-/// Each planted fault is named by its rule at a moment that shows it.
+/// Each planted fault is named by its rule at a point that shows it.
 #[test]
 fn planted_faults_are_found() {
-    for ((name, points, _), moment, rule) in PLANTS
+    for ((plant, point), rule) in PLANTS
         .into_iter()
         .zip(["writer-cut", "holder-cut", "successor"])
         .zip(["promises", "promises", "fence"])
-        .map(|((p, m), r)| (p, m, r))
     {
-        let at = MOMENTS.iter().position(|(_, n, _)| *n == moment).unwrap();
-        // The second round of the moments has the disk lost; by this seed the weather is calm.
+        let name = plant.name;
+        let at = FAULT_POINTS
+            .iter()
+            .position(|entry| entry.name == point)
+            .unwrap();
+        // The second round of the points has the disk lost; by this seed the links are clear.
         let case = Case {
             seed: 300,
-            ..cases(2 * MOMENTS.len(), 0)[MOMENTS.len() + at]
+            ..cases(2 * FAULT_POINTS.len(), 0)[FAULT_POINTS.len() + at]
         };
-        let matrix = played(&[case], points);
+        let matrix = played(&[case], plant.armed);
         assert_eq!(matrix.status(), 1, "{name}: {matrix}\n{:#?}", matrix.said);
         assert!(
             matrix
--- a/rehearse/src/bin/linnetknot-rehearse/arguments.rs
+++ b/rehearse/src/bin/linnetknot-rehearse/arguments.rs
@@ -20,9 +20,10 @@
     /// Plays scenarios in turn: shipped ones by name (`all` for every one, see `list`) or files. Without any, it
     /// plays a purge by CDNI, a drain under redirected requests and a planned end, some five seconds.
     Run(RunArguments),
-    /// Plays faults by moments of a promise: three proxies that keep each other's promises, one of which dies, stands
-    /// still or is cut off, and comes back with its disk or without. Prints a table by moment and disk.
-    Moments(MatrixArguments),
+    /// Plays faults at points of a commit: three proxies that replicate each other's commits, one of which dies, is
+    /// stopped or is cut off, and comes back with its disk or without. Prints a table by fault point and disk.
+    #[command(visible_alias = "moments")]
+    FaultMatrix(MatrixArguments),
     /// Runs a whole fleet of hollow proxies, thousands in one process, on virtual time, and prints what each role spends
     /// beside its limit. Exits with 1 where something is wrong, with 2 where it can't be run.
     Scale(scale::command::Arguments),
@@ -86,10 +87,10 @@
     pub(crate) time_scale: f64,
 }
 
-/// What `moments` takes.
+/// What `fault-matrix` takes.
 #[derive(Args)]
 pub(crate) struct MatrixArguments {
-    /// Plays, through all moments and both disks in turn.
+    /// Plays, through all fault points and both disks in turn.
     #[arg(long, default_value_t = 28)]
     pub(crate) plays: u32,
     /// The first seed; each play has the next.
--- a/rehearse/src/bin/linnetknot-rehearse/matrix.rs
+++ b/rehearse/src/bin/linnetknot-rehearse/fault_matrix.rs
@@ -1,32 +1,32 @@
-//! Plays faults by moments of a promise.
+//! Plays the fault matrix.
 
 use crate::arguments::MatrixArguments;
 use crate::beside;
 use crate::error::CommandError;
 use crate::output::{is_stopped, print};
-use linnetknot_rehearse::moments;
+use linnetknot_rehearse::fault_matrix;
 use linnetknot_rehearse::series::all_at_once;
 use std::io;
 use std::process::ExitCode;
 
-/// The points that plant a fault in all daemons; none where none is asked for.
+/// The fail points that plant a fault in all daemons; none where none is asked for.
 fn planted(name: Option<&str>) -> Result<&'static str, CommandError> {
     let Some(name) = name else { return Ok("") };
-    let plant = moments::PLANTS.iter().find(|(plant, ..)| *plant == name);
-    let (_, points, _) = plant.ok_or_else(|| CommandError::UnknownPlant(name.to_owned()))?;
-    Ok(points)
+    let plant = fault_matrix::PLANTS.iter().find(|plant| plant.name == name);
+    let plant = plant.ok_or_else(|| CommandError::UnknownPlant(name.to_owned()))?;
+    Ok(plant.armed)
 }
 
-/// Plays faults by moments; the exit status is that of the matrix.
+/// Plays the fault matrix; the exit status is that of the matrix.
 pub(crate) fn run(arguments: MatrixArguments) -> Result<ExitCode, CommandError> {
     let planted = planted(arguments.plant.as_deref())?;
     let daemon = beside(arguments.daemon);
-    let cases = moments::cases(arguments.plays as usize, arguments.seed);
+    let cases = fault_matrix::cases(arguments.plays as usize, arguments.seed);
     let plays = all_at_once(&cases, arguments.jobs.into(), |case| match is_stopped() {
         true => Err(io::Error::other("not played: ended by hand")),
-        false => moments::play(&daemon, *case, planted),
+        false => fault_matrix::play(&daemon, *case, planted),
     });
-    let mut matrix = moments::Matrix::default();
+    let mut matrix = fault_matrix::Matrix::default();
     for (case, played) in cases.iter().zip(plays) {
         matrix.add(*case, played);
     }
--- a/rehearse/src/bin/linnetknot-rehearse/main.rs
+++ b/rehearse/src/bin/linnetknot-rehearse/main.rs
@@ -2,7 +2,7 @@
 
 mod arguments;
 mod error;
-mod matrix;
+mod fault_matrix;
 mod output;
 mod scenarios;
 mod tables;
@@ -87,7 +87,7 @@
             None if arguments.scenarios.is_empty() => run_built_in(arguments.daemon),
             None => scenarios::run_all(&arguments),
         }),
-        Some(Command::Moments(arguments)) => matrix::run(arguments),
+        Some(Command::FaultMatrix(arguments)) => fault_matrix::run(arguments),
         Some(Command::Scale(arguments)) => Ok(scale::command::run(&arguments)),
         Some(Command::ScaleDaemons(arguments)) => Ok(scale::daemons::command::run(&arguments)),
         Some(Command::List) => Ok(scenarios::list()),
--- a/rehearse/src/moments/matrix.rs
+++ b/rehearse/src/fault_matrix/matrix.rs
@@ -1,6 +1,6 @@
-//! The matrix of all plays: a row for each moment and disk, and one for all.
+//! The matrix of all plays: a row for each fault point and disk, and one for all.
 
-use super::{Case, Played, AGREE, MOMENTS};
+use super::{Case, Played, AGREE, FAULT_POINTS};
 use crate::rules::commits::PurgeAnswer;
 use linnetknot_harness::fleet::Disk;
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Row {
     plays: usize,
-    /// Answers of yes, of no, and none.
+    /// Commits, rejections, and requests without an answer.
     answers: [usize; 3],
     lost: usize,
     broken: BTreeMap<&'static str, usize>,
@@ -85,7 +85,7 @@
 
     /// Writes the row under this name.
     fn write(&self, f: &mut fmt::Formatter<'_>, name: &str, disk: &str) -> fmt::Result {
-        let [yes, no, none] = self.answers;
+        let [committed, rejected, unanswered] = self.answers;
         let Row {
             plays,
             lost,
@@ -96,13 +96,13 @@
         let (broken, p50, p99) = (self.broken_rules(), self.agreed_ms(50), self.agreed_ms(99));
         write!(
             f,
-            "| {name} | {disk} | {plays} | {yes} | {no} | {none} | {lost} | {broken} | {apart} "
+            "| {name} | {disk} | {plays} | {committed} | {rejected} | {unanswered} | {lost} | {broken} | {apart} "
         )?;
         writeln!(f, "| {p50}, {p99} | {nothing} |")
     }
 }
 
-/// What all plays came to, by moment and disk.
+/// What all plays came to, by fault point and disk.
 #[derive(Clone, Debug, Default)]
 pub struct Matrix {
     rows: BTreeMap<(usize, bool), Row>,
@@ -115,11 +115,11 @@
     pub fn add(&mut self, case: Case, played: io::Result<Played>) {
         let row = self
             .rows
-            .entry((case.moment, case.disk == Disk::Lost))
+            .entry((case.point, case.disk == Disk::Lost))
             .or_default();
         let name = format!(
             "{}, disk {:?}, seed {}",
-            MOMENTS[case.moment].1, case.disk, case.seed
+            FAULT_POINTS[case.point].name, case.disk, case.seed
         );
         match played {
             Err(e) => {
@@ -165,7 +165,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "| moment | disk | plays | yes | no | no answer | promises lost | rules broken "
+            "| fault point | disk | plays | committed | rejected | no answer | commits lost | rules broken "
         )?;
         writeln!(f, "| did not agree | agree p50, p99 ms | proved nothing |")?;
         writeln!(
@@ -173,8 +173,12 @@
             "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"
         )?;
         let mut total = Row::default();
-        for ((moment, lost), row) in &self.rows {
-            row.write(f, MOMENTS[*moment].1, if *lost { "lost" } else { "kept" })?;
+        for ((point, lost), row) in &self.rows {
+            row.write(
+                f,
+                FAULT_POINTS[*point].name,
+                if *lost { "lost" } else { "kept" },
+            )?;
             total.merge(row);
         }
         total.write(f, "all", "")
--- a/rehearse/src/moments/mod.rs
+++ b/rehearse/src/fault_matrix/mod.rs
@@ -1,10 +1,12 @@
-//! Faults by moments: several daemons that keep each other's promises, one of which dies, stands still or is cut off at
-//! a moment of a promise drawn in advance, and comes back with its disk or on a new machine. What was answered yes must
-//! hold. The daemon needs its named points (`--features points`).
+//! The fault matrix: several daemons that replicate each other's commits, one of which dies, is stopped or is cut off at
+//! a point of a commit drawn in advance, and comes back with its disk or on a new machine. What was committed must hold.
+//! The daemon needs its fail points (`--features points`).
 
 mod matrix;
+mod points;
 
 pub use matrix::Matrix;
+pub use points::{FaultPoint, FaultPointEntry, Plant, FAULT_POINTS, PLANTS};
 
 use crate::rules::commits::{judge, CommitRecord, FinalState, PurgeAnswer, PurgeRequest};
 use crate::rules::Breach;
@@ -27,124 +29,22 @@
 /// How late the kit may be: its threads share the cores with the daemons.
 const TOLERANCE_US: u64 = 500_000;
 
-/// When and to whom it happens.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Moment {
-    /// The writer dies before it tells anybody.
-    WriterBeforeTelling,
-    /// It dies once it has told its peers.
-    WriterAfterTelling,
-    /// It dies before its disk has it.
-    WriterBeforeDisk,
-    /// It dies once its disk has it.
-    WriterAfterDisk,
-    /// It dies with all copies made, before its yes.
-    WriterBeforeYes,
-    /// It is killed the moment after its yes.
-    WriterAfterYes,
-    /// It is cut off from all, told, and lost before the links are back.
-    WriterCut,
-    /// Its disk takes nothing more.
-    WriterDiskFails,
-    /// A holder dies before its disk has the copy.
-    HolderBeforeDisk,
-    /// It dies once its disk has it.
-    HolderAfterDisk,
-    /// It dies before it says so.
-    HolderBeforeWord,
-    /// It stands still, and is lost.
-    HolderStalled,
-    /// It is cut off for one promise and joined for the next; the writer is lost then.
-    HolderCut,
-    /// The writer stands still while another takes its name, and goes on.
-    Successor,
-}
-
-/// All moments, with what is armed at them.
-pub const MOMENTS: [(Moment, &str, &str); 14] = [
-    (
-        Moment::WriterBeforeTelling,
-        "writer-before-telling",
-        "peers-tell=die",
-    ),
-    (
-        Moment::WriterAfterTelling,
-        "writer-after-telling",
-        "peers-told=die",
-    ),
-    (
-        Moment::WriterBeforeDisk,
-        "writer-before-disk",
-        "store-commits=die",
-    ),
-    (
-        Moment::WriterAfterDisk,
-        "writer-after-disk",
-        "store-committed=die",
-    ),
-    (
-        Moment::WriterBeforeYes,
-        "writer-before-yes",
-        "promise-kept=die",
-    ),
-    (Moment::WriterAfterYes, "writer-after-yes", ""),
-    (Moment::WriterCut, "writer-cut", ""),
-    (
-        Moment::WriterDiskFails,
-        "writer-disk-fails",
-        "store-fails=fail",
-    ),
-    (
-        Moment::HolderBeforeDisk,
-        "holder-before-disk",
-        "store-commits=die",
-    ),
-    (
-        Moment::HolderAfterDisk,
-        "holder-after-disk",
-        "store-committed=die",
-    ),
-    (
-        Moment::HolderBeforeWord,
-        "holder-before-word",
-        "holder-says=die",
-    ),
-    (Moment::HolderStalled, "holder-stalled", ""),
-    (Moment::HolderCut, "holder-cut", ""),
-    (Moment::Successor, "successor", ""),
-];
-
-/// Faults that can be planted in the daemons, so that the rules have something to find.
-pub const PLANTS: [(&str, &str, &str); 3] = [
-    ("credit", "plant-credit=fail", "a yes before the copy"),
-    (
-        "skip",
-        "plant-skip=fail",
-        "a catch-up that skips what is missing",
-    ),
-    (
-        "no-fence",
-        "plant-no-fence=fail",
-        "a replaced process that goes on promising",
-    ),
-];
-
 /// One play to come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Case {
-    /// The moment, by its place in `MOMENTS`.
-    pub moment: usize,
+    /// The fault point, by its index in `FAULT_POINTS`.
+    pub point: usize,
     /// How the one it happens to comes back.
     pub disk: Disk,
     /// For the conditions, who is who, and what the links draw.
     pub seed: u64,
 }
 
-/// So many plays, through all moments and both disks in turn.
+/// So many plays, through all fault points and both disks in turn.
 pub fn cases(plays: usize, seed: u64) -> Vec<Case> {
     let case = |n: usize| Case {
-        moment: n % MOMENTS.len(),
-        disk: if n / MOMENTS.len() % 2 == 0 {
+        point: n % FAULT_POINTS.len(),
+        disk: if n / FAULT_POINTS.len() % 2 == 0 {
             Disk::Kept
         } else {
             Disk::Lost
@@ -246,11 +146,11 @@
 /// # Errors
 /// Where it could not be played: a daemon did not start, or has no points.
 pub fn play(daemon: &Path, case: Case, planted: &str) -> io::Result<Played> {
-    let (moment, _, points) = MOMENTS[case.moment % MOMENTS.len()];
+    let FaultPointEntry { point, armed, .. } = FAULT_POINTS[case.point % FAULT_POINTS.len()];
     let writer = (case.seed % 3) as usize;
     let holder = ((case.seed + 1 + case.seed / 3 % 2) % 3) as usize;
     let successor = format!("p{writer}");
-    let later: &[&str] = if moment == Moment::Successor {
+    let later: &[&str] = if point == FaultPoint::Successor {
         &[&successor]
     } else {
         &[]
@@ -276,17 +176,17 @@
     for proxy in 0..PROXIES {
         play.tell(proxy, false);
     }
-    let cast = Cast {
+    let roles = Roles {
         writer,
         holder,
-        points,
+        armed,
         is_planted: !planted.is_empty(),
         conditions: conditions(case.seed),
     };
-    let victim = play.break_at(moment, &cast)?;
+    let victim = play.break_at(point, &roles)?;
     play.fleet.kill(victim)?;
-    if moment != Moment::Successor {
-        play.recover(victim, &cast, case.disk)?;
+    if point != FaultPoint::Successor {
+        play.recover(victim, &roles, case.disk)?;
     }
     let agreed = play.agree(AGREE)?;
     play.record_held(PROXIES + later.len(), agreed.is_some())?;
@@ -299,59 +199,61 @@
 }
 
 /// Who is who in a play, and what it happens under.
-struct Cast {
-    /// The proxy that is told the promise.
+struct Roles {
+    /// The proxy that gets the purge.
     writer: usize,
     /// One that holds a copy.
     holder: usize,
     /// What is armed at the one it happens to.
-    points: &'static str,
+    armed: &'static str,
     /// Whether a fault is planted in all daemons.
     is_planted: bool,
     conditions: LinkConditions,
 }
 
 impl Play {
-    /// Brings the fault of a moment about: the proxy that is lost by it.
-    fn break_at(&mut self, moment: Moment, cast: &Cast) -> io::Result<usize> {
-        let Cast { writer, holder, .. } = *cast;
-        match moment {
-            Moment::WriterBeforeTelling
-            | Moment::WriterAfterTelling
-            | Moment::WriterBeforeDisk
-            | Moment::WriterAfterDisk
-            | Moment::WriterBeforeYes => {
-                self.writer_dies(cast)?;
+    /// Brings a fault about: the proxy that is lost by it.
+    fn break_at(&mut self, point: FaultPoint, roles: &Roles) -> io::Result<usize> {
+        let Roles { writer, holder, .. } = *roles;
+        match point {
+            FaultPoint::WriterBeforeTelling
+            | FaultPoint::WriterAfterTelling
+            | FaultPoint::WriterBeforeDisk
+            | FaultPoint::WriterAfterDisk
+            | FaultPoint::WriterBeforeYes => {
+                self.writer_dies(roles)?;
                 Ok(writer)
             }
-            Moment::WriterAfterYes => {
+            FaultPoint::WriterAfterYes => {
                 self.tell(writer, false);
                 Ok(writer)
             }
-            Moment::WriterCut => {
+            FaultPoint::WriterCut => {
                 self.fleet.gates.split(&[writer], LinkConditions::CUT);
                 self.tell(writer, false);
                 Ok(writer)
             }
-            Moment::WriterDiskFails => {
-                self.rearm(writer, cast.points)?;
+            FaultPoint::WriterDiskFails => {
+                self.rearm(writer, roles.armed)?;
                 self.tell(writer, false);
                 Ok(writer)
             }
-            Moment::HolderBeforeDisk | Moment::HolderAfterDisk | Moment::HolderBeforeWord => {
-                self.holder_dies(cast)?;
+            FaultPoint::HolderBeforeDisk
+            | FaultPoint::HolderAfterDisk
+            | FaultPoint::HolderBeforeWord => {
+                self.holder_dies(roles)?;
                 Ok(holder)
             }
-            Moment::HolderStalled => {
+            FaultPoint::HolderStalled => {
                 self.fleet.stall(holder)?;
                 self.tell(writer, false);
                 Ok(holder)
             }
-            Moment::HolderCut => {
-                self.holder_is_cut(cast)?;
+            FaultPoint::HolderCut => {
+                self.holder_is_cut(roles)?;
                 Ok(writer)
             }
-            Moment::Successor => {
+            FaultPoint::Successor => {
                 self.writer_is_replaced(writer)?;
                 // The old machine is switched off at last.
                 Ok(writer)
@@ -360,9 +262,9 @@
     }
 
     /// The writer dies of its point when it is told.
-    fn writer_dies(&mut self, cast: &Cast) -> io::Result<()> {
-        self.rearm(cast.writer, cast.points)?;
-        if self.tell(cast.writer, true) != PurgeAnswer::None && !cast.is_planted {
+    fn writer_dies(&mut self, roles: &Roles) -> io::Result<()> {
+        self.rearm(roles.writer, roles.armed)?;
+        if self.tell(roles.writer, true) != PurgeAnswer::None && !roles.is_planted {
             return Err(io::Error::other(
                 "the writer did not die: this daemon has no points",
             ));
@@ -371,10 +273,10 @@
     }
 
     /// The holder dies of its point when the writer is told.
-    fn holder_dies(&mut self, cast: &Cast) -> io::Result<()> {
-        let holder = cast.holder;
-        self.rearm(holder, cast.points)?;
-        self.tell(cast.writer, false);
+    fn holder_dies(&mut self, roles: &Roles) -> io::Result<()> {
+        let holder = roles.holder;
+        self.rearm(holder, roles.armed)?;
+        self.tell(roles.writer, false);
         if !self.until(KNOWN, |fleet| fleet.status(holder).is_err()) {
             return Err(io::Error::other(
                 "the holder did not die: this daemon has no points",
@@ -383,13 +285,13 @@
         Ok(())
     }
 
-    /// The holder is cut off for one promise and joined for the next.
-    fn holder_is_cut(&mut self, cast: &Cast) -> io::Result<()> {
+    /// The replica is cut off for one commit and back for the next.
+    fn holder_is_cut(&mut self, roles: &Roles) -> io::Result<()> {
         self.agree(AGREE)?;
-        self.fleet.gates.split(&[cast.holder], LinkConditions::CUT);
-        self.tell(cast.writer, false);
-        self.fleet.gates.split(&[cast.holder], cast.conditions);
-        self.tell(cast.writer, false);
+        self.fleet.gates.split(&[roles.holder], LinkConditions::CUT);
+        self.tell(roles.writer, false);
+        self.fleet.gates.split(&[roles.holder], roles.conditions);
+        self.tell(roles.writer, false);
         Ok(())
     }
 
@@ -412,12 +314,12 @@
     }
 
     /// The others go on without the one that was lost, and then it comes back.
-    fn recover(&mut self, victim: usize, cast: &Cast, disk: Disk) -> io::Result<()> {
+    fn recover(&mut self, victim: usize, roles: &Roles, disk: Disk) -> io::Result<()> {
         let other = (0..PROXIES)
             .find(|proxy| *proxy != victim)
             .unwrap_or_default();
         self.tell(other, false);
-        self.fleet.gates.split(&[cast.writer], cast.conditions);
+        self.fleet.gates.split(&[roles.writer], roles.conditions);
         self.fleet.restart(victim, disk)
     }
 
--- a/rehearse/src/lib.rs
+++ b/rehearse/src/lib.rs
@@ -2,9 +2,9 @@
 //! drain against a real daemon, and every breach of the rules is reported.
 
 pub mod fakes;
+pub mod fault_matrix;
 pub mod latency;
 pub mod load;
-pub mod moments;
 mod play;
 pub mod player;
 pub mod record;
