--- a/daemon/examples/figures.rs
+++ b/daemon/examples/figures.rs
@@ -7,7 +7,7 @@
 use clap::{Parser, ValueEnum};
 use hdrhistogram::Histogram;
 use linnetknot_harness::clients::WebServer;
-use linnetknot_harness::fakes::cache::{Arrival, StandIn};
+use linnetknot_harness::fakes::cache::{Arrival, FakeCache};
 use linnetknot_harness::fakes::consul::{instance, Agent, Manner};
 use linnetknot_harness::process::Process;
 use linnetknot_harness::{settings, unix_ms};
@@ -141,12 +141,12 @@
     }
 }
 
-fn boxes(uids: &[&'static str]) -> io::Result<Vec<StandIn>> {
-    uids.iter().map(|uid| StandIn::start(uid)).collect()
+fn boxes(uids: &[&'static str]) -> io::Result<Vec<FakeCache>> {
+    uids.iter().map(|uid| FakeCache::start(uid)).collect()
 }
 
 /// What was fetched from a box since then, by what fits: how long after that, in ms.
-fn since(b: &StandIn, at: u64, fits: impl Fn(&Arrival) -> bool) -> Vec<u64> {
+fn since(b: &FakeCache, at: u64, fits: impl Fn(&Arrival) -> bool) -> Vec<u64> {
     let arrivals = b.arrivals();
     arrivals
         .iter()
@@ -155,7 +155,7 @@
         .collect()
 }
 
-fn fetches(b: &StandIn) -> usize {
+fn fetches(b: &FakeCache) -> usize {
     since(b, 0, |_| true).len()
 }
 
@@ -178,10 +178,10 @@
     );
     let status = |drains: bool| if drains { "critical" } else { READY };
     let list = |drained: Option<(usize, usize)>| -> Vec<Value> {
-        let one = |(n, b): (usize, &StandIn)| {
+        let one = |(n, b): (usize, &FakeCache)| {
             instance(b.uid, b.address, status(drained.is_some_and(|d| d.0 == n)))
         };
-        let hub = |(n, b): (usize, &StandIn)| {
+        let hub = |(n, b): (usize, &FakeCache)| {
             let mut hub = instance(b.uid, b.address, status(drained.is_some_and(|d| d.1 == n)));
             hub["Service"]["Meta"] = json!({"az": "hub", "model": "hub", "capacity_hint": "64"});
             hub
@@ -244,7 +244,7 @@
     let agent = Agent::start()?;
     let edge = boxes(&["e-0", "e-1", "e-2", "e-3"])?;
     let list = |status: &str| -> Vec<Value> {
-        let one = |(n, b): (usize, &StandIn)| {
+        let one = |(n, b): (usize, &FakeCache)| {
             instance(b.uid, b.address, if n == 0 { status } else { READY })
         };
         edge.iter().enumerate().map(one).collect()
--- a/daemon/tests/between.rs
+++ b/daemon/tests/between.rs
@@ -54,7 +54,7 @@
         ..LinkConditions::default()
     };
     let fleet = fleet(4, 11);
-    fleet.gates.set_all(rough);
+    fleet.links.set_all(rough);
     for n in 0..3 {
         let object = object(n);
         assert_eq!(fleet.purge(n as usize, &object).unwrap(), 201);
@@ -65,9 +65,9 @@
     }
     // All three have gone by then.
     until("all three are sent", || {
-        (1..4).all(|b| fleet.gates.counters((0, b)).sent >= 3)
+        (1..4).all(|b| fleet.links.counters((0, b)).sent >= 3)
     });
-    let lost: u64 = (1..4).map(|b| fleet.gates.counters((0, b)).lost).sum();
+    let lost: u64 = (1..4).map(|b| fleet.links.counters((0, b)).lost).sum();
     assert!(lost > 0, "else the links were clear");
 }
 
@@ -77,10 +77,10 @@
 fn a_one_way_cut_keeps_a_purge_from_one_process_and_from_no_other() {
     let fleet = fleet(3, 5);
     let (object, after) = (object(1), object(2));
-    fleet.gates.set((0, 2), LinkConditions::CUT);
+    fleet.links.set((0, 2), LinkConditions::CUT);
     assert_eq!(fleet.purge(0, &object).unwrap(), 201);
     assert!(fleet.hears(0, &object).unwrap() && fleet.hears(1, &object).unwrap());
-    assert!(fleet.gates.counters((0, 2)).came == 0 && fleet.gates.counters((0, 1)).came > 0);
+    assert!(fleet.links.counters((0, 2)).came == 0 && fleet.links.counters((0, 1)).came > 0);
     assert!(
         !floor(&fleet, 2, &object),
         "what is behind the cut has no word"
@@ -98,7 +98,7 @@
     assert_eq!(fleet.purge(0, &object).unwrap(), 201);
     assert!(fleet.hears(2, &object).unwrap());
     // All three datagrams have reached its socket.
-    until("all three came", || fleet.gates.counters((0, 1)).came >= 3);
+    until("all three came", || fleet.links.counters((0, 1)).came >= 3);
     fleet.go_on(1).unwrap();
     assert!(fleet.hears(1, &object).unwrap(), "it goes on and has heard");
 }
@@ -132,12 +132,12 @@
 fn with_copies_a_purge_comes_to_a_process_behind_a_one_way_cut_by_way_of_another() {
     let fleet = copying(3, 21);
     let object = object(1);
-    fleet.gates.set((0, 2), LinkConditions::CUT);
+    fleet.links.set((0, 2), LinkConditions::CUT);
     // What was on its way at the cut may still come. It is all that was sent and not lost by then.
-    let before = fleet.gates.counters((0, 2));
+    let before = fleet.links.counters((0, 2));
     assert_eq!(fleet.purge(0, &object).unwrap(), 201);
     assert!(fleet.hears(2, &object).unwrap(), "from 0 to 1 to 2");
-    let after = fleet.gates.counters((0, 2));
+    let after = fleet.links.counters((0, 2));
     assert!(
         after.came <= before.sent - before.lost,
         "{after:?}: something has come by the cut link"
@@ -153,7 +153,7 @@
     assert_eq!(fleet.purge(0, &object).unwrap(), 201);
     // The datagrams are sent three times within 80 ms; it comes back when all of them are gone.
     until("all of them are sent", || {
-        fleet.gates.counters((0, 1)).sent >= 4
+        fleet.links.counters((0, 1)).sent >= 4
     });
     fleet.restart(1, Disk::Kept).unwrap();
     assert!(fleet.hears(1, &object).unwrap());
@@ -190,7 +190,7 @@
 #[test]
 fn with_copies_both_sides_of_a_split_agree_after_it() {
     let mut fleet = copying(5, 24);
-    fleet.gates.split(&[0, 1], LinkConditions::CUT);
+    fleet.links.split(&[0, 1], LinkConditions::CUT);
     for n in 0..5 {
         assert_eq!(fleet.purge(n, &object(100 + n as u64)).unwrap(), 201);
     }
@@ -204,7 +204,7 @@
         (0..2).all(|n| !floor(&fleet, n, &object(102))),
         "nothing passes the split"
     );
-    fleet.gates.split(&[0, 1], LinkConditions::default());
+    fleet.links.split(&[0, 1], LinkConditions::default());
     until("the sides agree", || {
         (0..5).all(|n| (0..5).all(|o| floor(&fleet, n, &object(100 + o))))
     });
@@ -219,7 +219,7 @@
     }
     agree("each purge is in each store", &fleet);
     // All texts that repeat them have come by then, and were known.
-    let came = |a, b| a == b || fleet.gates.counters((a, b)).came >= 5 * 4;
+    let came = |a, b| a == b || fleet.links.counters((a, b)).came >= 5 * 4;
     until("all texts came", || {
         (0..4).all(|a| (0..4).all(|b| came(a, b)))
     });
@@ -320,7 +320,7 @@
         ..LinkConditions::default()
     };
     let mut fleet = copying(3, 41);
-    fleet.gates.set_all(rough);
+    fleet.links.set_all(rough);
     let mut promised = Vec::new();
     for round in 0..6 {
         let (writer, object) = (round % 3, object(400 + round as u64));
@@ -344,7 +344,7 @@
 #[test]
 fn a_proxy_that_no_further_machine_answers_promises_nothing() {
     let fleet = copying(3, 42);
-    fleet.gates.split(&[0], LinkConditions::CUT);
+    fleet.links.split(&[0], LinkConditions::CUT);
     assert_eq!(fleet.purge(0, &object(500)).unwrap(), 503);
     assert!(floor(&fleet, 0, &object(500)), "in force here");
     assert_eq!(
@@ -353,15 +353,15 @@
         "the other side has a second machine"
     );
     // One way: the others hear and their word does not come back.
-    fleet.gates.split(&[0], LinkConditions::default());
-    fleet.gates.set((1, 0), LinkConditions::CUT);
-    fleet.gates.set((2, 0), LinkConditions::CUT);
+    fleet.links.split(&[0], LinkConditions::default());
+    fleet.links.set((1, 0), LinkConditions::CUT);
+    fleet.links.set((2, 0), LinkConditions::CUT);
     assert_eq!(fleet.purge(0, &object(502)).unwrap(), 503);
     assert!(fleet.hears(1, &object(502)).unwrap());
     let status = fleet.status(0).unwrap();
     assert_eq!((status.promised, status.refused, status.waiting), (0, 2, 0));
     assert!(status.short > 0, "and they are known to be short of copies");
-    fleet.gates.split(&[0], LinkConditions::default());
+    fleet.links.split(&[0], LinkConditions::default());
     assert_eq!(fleet.purge(0, &object(503)).unwrap(), 201);
     agree("all agree, none short", &fleet);
     assert!((0..3).all(|n| (500..504).all(|o| floor(&fleet, n, &object(o)))));
@@ -657,16 +657,16 @@
             "alive",
         );
     });
-    fleet.gates.set((0, 1), LinkConditions::CUT);
-    fleet.gates.set((1, 2), LinkConditions::CUT);
-    fleet.gates.set((2, 1), LinkConditions::CUT);
-    fleet.gates.split(&[4], LinkConditions::CUT);
+    fleet.links.set((0, 1), LinkConditions::CUT);
+    fleet.links.set((1, 2), LinkConditions::CUT);
+    fleet.links.set((2, 1), LinkConditions::CUT);
+    fleet.links.split(&[4], LinkConditions::CUT);
     believe(&fleet, &[0, 1, 2, 3], 4, "dead");
     believe(&fleet, &[4], 0, "dead");
     for (at, of) in [(0, 1), (1, 0), (1, 2), (2, 1), (3, 1)] {
         assert_ne!(standing(&fleet, at, of), "dead", "p{at} of p{of}");
     }
-    fleet.gates.split(&[4], LinkConditions::default());
+    fleet.links.split(&[4], LinkConditions::default());
     believe(&fleet, &[0, 1, 2, 3], 4, "alive");
     believe(&fleet, &[4], 0, "alive");
 }
@@ -806,7 +806,7 @@
 fn a_ban_that_no_further_machine_has_is_refused_and_nothing_has_changed() {
     let fleet = copying(3, 71);
     until("it has heard the others", || ready(&fleet, 0));
-    fleet.gates.split(&[0], LinkConditions::CUT);
+    fleet.links.split(&[0], LinkConditions::CUT);
     assert_eq!(
         fleet
             .operate(0, "POST", "/control/pop-caches/s-0a/offline")
@@ -819,7 +819,7 @@
     );
     assert!(ready(&fleet, 0));
     comes_to_use(&fleet, 0, 0, 1100);
-    fleet.gates.split(&[0], LinkConditions::default());
+    fleet.links.split(&[0], LinkConditions::default());
     assert_eq!(
         fleet
             .operate(0, "POST", "/control/pop-caches/s-0a/offline")
@@ -851,7 +851,7 @@
     );
     agree("all agree", &fleet);
     fleet.kill(0).unwrap();
-    fleet.gates.split(&[0], LinkConditions::CUT);
+    fleet.links.split(&[0], LinkConditions::CUT);
     fleet.restart(0, Disk::Kept).unwrap();
     until("with its disk it needs nobody", || ready(&fleet, 0));
     assert!(!uses_box(&fleet, 0, 0, 1300));
@@ -859,7 +859,7 @@
     fleet.restart(0, Disk::Lost).unwrap();
     let begun = Instant::now();
     assert!(!ready(&fleet, 0));
-    fleet.gates.split(&[0], LinkConditions::default());
+    fleet.links.split(&[0], LinkConditions::default());
     until("it has heard the others", || ready(&fleet, 0));
     assert!(
         begun.elapsed().as_secs() < 5,
@@ -867,7 +867,7 @@
     );
     assert!(!uses_box(&fleet, 0, 0, 1400));
     fleet.kill(0).unwrap();
-    fleet.gates.split(&[0], LinkConditions::CUT);
+    fleet.links.split(&[0], LinkConditions::CUT);
     fleet.restart(0, Disk::Lost).unwrap();
     let begun = Instant::now();
     until("it does not wait for ever", || ready(&fleet, 0));
@@ -896,7 +896,7 @@
         jitter_ms: 5.0,
         ..LinkConditions::default()
     };
-    fleet.gates.set_all(rough);
+    fleet.links.set_all(rough);
     let objects: Vec<String> = (2000..2060).map(object).collect();
     let all: Vec<&str> = objects.iter().map(String::as_str).collect();
     let answer = fleet.trigger(0, &all).unwrap();
@@ -964,7 +964,7 @@
 #[test]
 fn a_trigger_that_was_not_promised_is_told_by_nobody() {
     let fleet = copying(3, 82);
-    fleet.gates.split(&[0], LinkConditions::CUT);
+    fleet.links.split(&[0], LinkConditions::CUT);
     assert_eq!(fleet.purge(0, &object(2200)).unwrap(), 503);
     assert!(fleet.triggers(0).unwrap().is_empty());
     let odd =
@@ -976,7 +976,7 @@
         503,
         "nobody else could tell what became of it"
     );
-    fleet.gates.split(&[0], LinkConditions::default());
+    fleet.links.split(&[0], LinkConditions::default());
     let path = status_path(&failed()).expect("it is promised");
     agree("all agree", &fleet);
     for n in 0..3 {
--- a/daemon/tests/budgets.rs
+++ b/daemon/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! What all proxies spend together, on several processes with gates between them: places at the origin, counted by the
+//! What all proxies spend together, on several processes with fault-injecting links between them: places at the origin, counted by the
 //! origin itself. However links and processes fail, it never holds more than the limit; and what the others do not use is
 //! used by those that have something to do.
 
@@ -241,7 +241,7 @@
     lost_and_found(
         7,
         |ground, allocator| {
-            ground.fleet.gates.split(&[allocator], LinkConditions::CUT);
+            ground.fleet.links.split(&[allocator], LinkConditions::CUT);
             ground.until("it lives on its reserved minimum", || {
                 ground
                     .places(allocator)
@@ -251,7 +251,7 @@
         |ground, allocator| {
             ground
                 .fleet
-                .gates
+                .links
                 .split(&[allocator], LinkConditions::default());
         },
     );
@@ -260,10 +260,10 @@
 /// It receives all and nothing that it sends arrives.
 #[test]
 fn an_allocator_that_hears_and_is_not_heard_is_followed_by_another() {
-    let set = |ground: &mut Ground, allocator, weather| {
+    let set = |ground: &mut Ground, allocator, conditions| {
         others(allocator)
             .into_iter()
-            .for_each(|n| ground.fleet.gates.set((allocator, n), weather));
+            .for_each(|n| ground.fleet.links.set((allocator, n), conditions));
     };
     lost_and_found(
         8,
@@ -343,7 +343,7 @@
     for holder in holders {
         ground
             .fleet
-            .gates
+            .links
             .set((holder, allocator), LinkConditions::CUT);
         ground.until("it lives on its reserved minimum", || {
             ground.places(holder).is_some_and(|b| b.reserved_only)
@@ -351,7 +351,7 @@
         ground.until_used("the others have the rest", REST);
         ground
             .fleet
-            .gates
+            .links
             .set((holder, allocator), LinkConditions::default());
         ground.until("it has a lease again", || {
             ground.places(holder).is_some_and(|b| !b.reserved_only)
@@ -370,7 +370,7 @@
         jitter_ms: 60.0,
         ..LinkConditions::default()
     };
-    ground.fleet.gates.set_all(rough);
+    ground.fleet.links.set_all(rough);
     ground.until_used("most places are used", LIMIT as f64 * 0.75);
     ground.pass(Duration::from_secs(2));
     ground.judge();
@@ -479,12 +479,12 @@
     // A holder that ignores its lease's end: cut off, it goes on with what the others have been given by then.
     let (ground, allocator) = full(3, 21, "plant-lease=fail");
     let holder = others(allocator)[0];
-    ground.fleet.gates.split(&[holder], LinkConditions::CUT);
+    ground.fleet.links.split(&[holder], LinkConditions::CUT);
     ground.until("more is held than may be", || !ground.breaches().is_empty());
     drop(ground);
     // An allocator that waits for nobody's vote: each side of a split has one.
     let ground = Ground::start(3, 3, 22, "plant-votes=fail");
     ground.until_used("all places are used", LIMIT as f64 * 0.8);
-    ground.fleet.gates.split(&[0], LinkConditions::CUT);
+    ground.fleet.links.split(&[0], LinkConditions::CUT);
     ground.until("more is held than may be", || !ground.breaches().is_empty());
 }
--- a/daemon/tests/descriptors.rs
+++ b/daemon/tests/descriptors.rs
@@ -1,7 +1,7 @@
 //! A daemon that may hold fewer descriptors than it was told, and a crowd that takes all that it gives.
 
 use linnetknot_harness::clients::{call, WebServer};
-use linnetknot_harness::fakes::cache::StandIn;
+use linnetknot_harness::fakes::cache::FakeCache;
 use linnetknot_harness::fakes::event_bus::{entry, Bus};
 use linnetknot_harness::settings;
 use rustix::process::{getrlimit, kill_process, setrlimit, Pid, Resource, Rlimit, Signal};
@@ -35,8 +35,8 @@
     std::fs::create_dir_all(&folder).unwrap();
     let (bus, cache, origin) = (
         Bus::start().unwrap(),
-        StandIn::start("s-0a").unwrap(),
-        StandIn::start("s-0f").unwrap(),
+        FakeCache::start("s-0a").unwrap(),
+        FakeCache::start("s-0f").unwrap(),
     );
     let (front, admin, nowhere) = (free_address(), free_address(), free_address());
     let config = |bus: SocketAddr| -> Value {
--- a/daemon/tests/discovery.rs
+++ b/daemon/tests/discovery.rs
@@ -3,7 +3,7 @@
 mod rig;
 
 use linnetknot_harness::clients::WebServer;
-use linnetknot_harness::fakes::cache::StandIn;
+use linnetknot_harness::fakes::cache::FakeCache;
 use linnetknot_harness::fakes::consul::{instance, Agent, Manner};
 use rig::{object, one, Rig};
 use serde_json::{json, Value};
@@ -43,7 +43,7 @@
 
 /// Asks for many objects; tells how many of them reached each box.
 fn spread(rig: &Rig, web: &mut WebServer) -> Vec<usize> {
-    let count = |b: &StandIn| b.arrivals().iter().filter(|a| a.word == "fetch").count();
+    let count = |b: &FakeCache| b.arrivals().iter().filter(|a| a.word == "fetch").count();
     let before: Vec<usize> = rig.boxes.iter().map(count).collect();
     for n in 0..60 {
         assert_eq!(one(web, "photo", &object(n)).status, 200);
@@ -204,7 +204,7 @@
 fn a_box_that_moves_is_asked_at_its_new_address_only() {
     let (agent, rig, mut web) = started(|_| {});
     assert!(spread(&rig, &mut web).iter().all(|n| *n > 0));
-    let there = StandIn::start("s-0a").unwrap();
+    let there = FakeCache::start("s-0a").unwrap();
     let mut list = listed(&rig, READY);
     list[0] = instance("s-0a", there.address, "passing");
     agent.register(&list);
@@ -274,7 +274,7 @@
     rig.stop();
     let file = folder.join("boxes-0.list");
     let bytes = String::from_utf8(std::fs::read(&file).unwrap()).unwrap();
-    let kept = |b: &StandIn| bytes.contains(b.uid) && bytes.contains(&b.address.to_string());
+    let kept = |b: &FakeCache| bytes.contains(b.uid) && bytes.contains(&b.address.to_string());
     assert!(boxes.iter().all(kept), "{bytes}");
     // The agent is gone: the list is there at once, and the drain is remembered.
     agent.behave(Manner::Gone);
--- a/daemon/tests/handover.rs
+++ b/daemon/tests/handover.rs
@@ -3,7 +3,7 @@
 //! `$ROUTER_SOCKET_FD`, here standard input, which std can hand to a child without `unsafe`.
 
 use linnetknot_harness::clients::{call, WebServer};
-use linnetknot_harness::fakes::cache::{Manner, StandIn};
+use linnetknot_harness::fakes::cache::{FakeCache, Manner};
 use linnetknot_harness::fakes::event_bus::{entry, Bus};
 use linnetknot_harness::settings;
 use serde_json::json;
@@ -72,7 +72,7 @@
     config: std::path::PathBuf,
     listener: TcpListener,
     front: SocketAddr,
-    boxes: [StandIn; 2],
+    boxes: [FakeCache; 2],
     _bus: Bus,
 }
 
@@ -83,10 +83,10 @@
         std::fs::create_dir_all(&folder).unwrap();
         let bus = Bus::start().unwrap();
         let boxes = [
-            StandIn::start("s-0a").unwrap(),
-            StandIn::start("s-0b").unwrap(),
+            FakeCache::start("s-0a").unwrap(),
+            FakeCache::start("s-0b").unwrap(),
         ];
-        let origin = StandIn::start("s-0f").unwrap();
+        let origin = FakeCache::start("s-0f").unwrap();
         let mut list: Vec<_> = boxes
             .iter()
             .map(|b| entry(b, "here", "box", "ready"))
--- a/daemon/tests/races.rs
+++ b/daemon/tests/races.rs
@@ -5,7 +5,7 @@
 
 use linnetknot_daemon::wire::{fastcgi, resp, Parser};
 use linnetknot_harness::clients::WebServer;
-use linnetknot_harness::fakes::cache::StandIn;
+use linnetknot_harness::fakes::cache::FakeCache;
 use linnetknot_harness::fakes::event_bus::entry;
 use rig::{object, one, Held, Rig};
 use serde_json::{json, Value};
@@ -147,7 +147,7 @@
 }
 
 /// Ids of the objects that a box was asked for.
-fn asked(of: &StandIn) -> Vec<String> {
+fn asked(of: &FakeCache) -> Vec<String> {
     let fetched = of.arrivals().into_iter().filter(|a| a.word == "fetch");
     fetched
         .map(|a| a.field("key").unwrap().to_owned())
--- a/daemon/tests/rig/mod.rs
+++ b/daemon/tests/rig/mod.rs
@@ -4,7 +4,7 @@
 use linnetknot_daemon::config::Config;
 use linnetknot_daemon::daemon::{Control, Daemon};
 use linnetknot_harness::clients::{Answer, WebServer};
-use linnetknot_harness::fakes::cache::StandIn;
+use linnetknot_harness::fakes::cache::FakeCache;
 use linnetknot_harness::fakes::event_bus::{entry, Bus};
 use linnetknot_harness::settings;
 use serde_json::{json, Value};
@@ -27,8 +27,8 @@
     gate: Arc<Gate>,
     pub run: JoinHandle<std::io::Result<()>>,
     pub bus: Bus,
-    pub boxes: Vec<StandIn>,
-    pub origin: StandIn,
+    pub boxes: Vec<FakeCache>,
+    pub origin: FakeCache,
 }
 
 /// What the daemon waits at before it reads its configuration again.
@@ -57,11 +57,11 @@
 
     pub(crate) fn with(boxes: &[&'static str], change: impl Fn(&mut Value)) -> Rig {
         let bus = Bus::start().unwrap();
-        let boxes: Vec<StandIn> = boxes
+        let boxes: Vec<FakeCache> = boxes
             .iter()
-            .map(|uid| StandIn::start(uid).unwrap())
+            .map(|uid| FakeCache::start(uid).unwrap())
             .collect();
-        let origin = StandIn::start("s-0f").unwrap();
+        let origin = FakeCache::start("s-0f").unwrap();
         let mut list: Vec<Value> = boxes
             .iter()
             .map(|b| entry(b, "here", "box", READY))
--- a/harness/src/fakes/cache.rs
+++ b/harness/src/fakes/cache.rs
@@ -1,4 +1,4 @@
-//! Stand-in boxes: they keep copies, honour the age that is asked for, and write down all that reaches them.
+//! Fake cache servers: they keep copies, honour the age that is asked for, and write down all that reaches them.
 
 use crate::listener::{listen, read_commands, Listening};
 use crate::span::Span;
@@ -86,9 +86,9 @@
 
 type Shared = Arc<(Mutex<State>, Condvar)>;
 
-/// A stand-in box.
+/// A fake cache server.
 #[derive(Clone)]
-pub struct StandIn {
+pub struct FakeCache {
     /// Its id.
     pub uid: &'static str,
     /// Where it listens.
@@ -98,7 +98,7 @@
     _listening: Option<Arc<Listening>>,
 }
 
-impl StandIn {
+impl FakeCache {
     /// Starts a box on a port of its own.
     pub fn start(uid: &'static str) -> io::Result<Self> {
         Self::start_at(uid, "127.0.0.1:0")
@@ -109,24 +109,24 @@
         let state = Shared::default();
         let served = state.clone();
         let listening = listen(address, move |socket| {
-            let stand_in = StandIn {
+            let cache = FakeCache {
                 uid,
                 address: socket.local_addr().ok()?,
                 state: served.clone(),
                 _listening: None,
             };
             let connection = {
-                let mut state = stand_in.state();
+                let mut state = cache.state();
                 state.connections += 1;
                 state.connections
             };
-            let served = stand_in.serve(socket, connection);
-            stand_in.state().ended += 1;
+            let served = cache.serve(socket, connection);
+            cache.state().ended += 1;
             // What was asked by it is wanted by nobody any more.
-            stand_in.let_go(|held| held.connection == connection);
+            cache.let_go(|held| held.connection == connection);
             served
         })?;
-        Ok(StandIn {
+        Ok(FakeCache {
             uid,
             address: listening.address,
             state,
@@ -140,7 +140,7 @@
 
     /// The same box under another id, as if it had taken over the address.
     pub fn heir(&self, uid: &'static str) -> Self {
-        StandIn {
+        FakeCache {
             uid,
             ..self.clone()
         }
@@ -233,7 +233,7 @@
         let Ok(mut socket) = socket.try_clone() else {
             return;
         };
-        let me = StandIn {
+        let me = FakeCache {
             _listening: None,
             ..self.clone()
         };
--- a/harness/src/fakes/event_bus.rs
+++ b/harness/src/fakes/event_bus.rs
@@ -1,6 +1,6 @@
 //! A fake of the platform's event bus.
 
-use crate::fakes::cache::StandIn;
+use crate::fakes::cache::FakeCache;
 use crate::listener::{listen, Listening};
 use serde_json::{json, Value};
 use std::io::{self, Read, Write};
@@ -28,9 +28,9 @@
 }
 
 /// An entry of the list of boxes.
-pub fn entry(stand_in: &StandIn, zone: &str, kind: &str, state: &str) -> Value {
+pub fn entry(cache: &FakeCache, zone: &str, kind: &str, state: &str) -> Value {
     json!({
-        "uid": stand_in.uid, "endpoint": stand_in.address.to_string(), "az": zone, "model": kind,
+        "uid": cache.uid, "endpoint": cache.address.to_string(), "az": zone, "model": kind,
         "pod_group": 0, "state": state, "capacity_hint": 8, "boot_ms": 0,
     })
 }
--- a/harness/src/fleet/mod.rs
+++ b/harness/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Several daemons as processes of their own, with gates between every two of them: the ground on which tests and
+//! Several daemons as processes of their own, with fault-injecting links between every two of them: the ground on which tests and
 //! plays let links fail, peers stand still and processes die in the middle of their work.
 //!
 //! Each proxy has a folder of its own, its disk: what outlives its process. It survives a kill and is lost only where
@@ -13,7 +13,7 @@
 pub use ports::free_ports;
 pub use setup::{Disk, Setup};
 
-use crate::fakes::cache::StandIn;
+use crate::fakes::cache::FakeCache;
 use crate::fakes::event_bus::{entry, Bus};
 use crate::links::FaultyLinks;
 use crate::process::Process;
@@ -35,7 +35,7 @@
     config: Value,
 }
 
-/// Daemons with gates between them, and the boxes and origin that they share.
+/// Daemons with fault-injecting links between them, and the caches and origin that they share.
 pub struct Fleet {
     daemon: PathBuf,
     members: Vec<Member>,
@@ -46,12 +46,12 @@
     machine: Option<String>,
     planted: String,
     exact_purges: Option<usize>,
-    /// The gates, to set the weather.
-    pub gates: FaultyLinks,
+    /// The links, to set their conditions.
+    pub links: FaultyLinks,
     /// The boxes.
-    pub boxes: Vec<StandIn>,
+    pub boxes: Vec<FakeCache>,
     /// The origin.
-    pub origin: StandIn,
+    pub origin: FakeCache,
     folder: PathBuf,
 }
 
@@ -63,7 +63,7 @@
 }
 
 /// The platform's topology with these caches and this origin, as proxies know it when they start.
-fn known_targets(boxes: &[StandIn], origin: &StandIn) -> Value {
+fn known_targets(boxes: &[FakeCache], origin: &FakeCache) -> Value {
     let mut targets: Vec<Value> = boxes
         .iter()
         .map(|b| entry(b, "here", "box", "ready"))
@@ -88,7 +88,7 @@
     setup: &Setup<'_>,
     folder: &Path,
     ports: &[SocketAddr],
-    gates: &FaultyLinks,
+    links: &FaultyLinks,
     known: &Value,
 ) -> io::Result<Vec<Member>> {
     let settings = settings_of(setup);
@@ -97,7 +97,7 @@
     let mut members = Vec::new();
     for (n, (name, own)) in running.chain(later).zip(ports).enumerate() {
         let bus = Bus::start()?;
-        let peer = |p: usize| gates.address((n, p)).unwrap_or(*own).to_string();
+        let peer = |p: usize| links.address((n, p)).unwrap_or(*own).to_string();
         let config = json!({
             "name": name, "listen": "127.0.0.1:0", "bus": bus.address.to_string(), "known": known,
             "seed": format!("{:x}", setup.seed * 64 + n as u64 + 1), "settings": settings,
@@ -116,8 +116,8 @@
 }
 
 impl Fleet {
-    /// Starts so many daemons, each on a machine of its own; the seed draws what their gates do. They copy what neighbours
-    /// told, with promises that wait for so many further machines, or do not.
+    /// Starts so many daemons, each on a machine of its own; the seed draws what their links do. They replicate
+    /// what peer CDNs purge, with commits that wait for so many further machines, or do not.
     pub fn start(
         daemon: &Path,
         proxies: usize,
@@ -134,14 +134,14 @@
     pub fn with(setup: Setup<'_>) -> io::Result<Self> {
         let boxes = ["s-0a", "s-0b"]
             .into_iter()
-            .map(StandIn::start)
+            .map(FakeCache::start)
             .collect::<io::Result<Vec<_>>>()?;
-        let origin = StandIn::start("s-0f")?;
+        let origin = FakeCache::start("s-0f")?;
         let ports = free_ports(setup.running + setup.later.len())?;
-        let gates = FaultyLinks::between(&ports, setup.seed)?;
+        let links = FaultyLinks::between(&ports, setup.seed)?;
         let folder = fleet_folder();
         let known = known_targets(&boxes, &origin);
-        let members = members(&setup, &folder, &ports, &gates, &known)?;
+        let members = members(&setup, &folder, &ports, &links, &known)?;
         let mut fleet = Fleet {
             daemon: setup.daemon.to_owned(),
             copies: setup.wait,
@@ -151,7 +151,7 @@
             planted: setup.planted.to_owned(),
             exact_purges: setup.exact_purges,
             members,
-            gates,
+            links,
             boxes,
             origin,
             folder,
--- a/harness/src/fleet/setup.rs
+++ b/harness/src/fleet/setup.rs
@@ -21,7 +21,7 @@
     pub running: usize,
     /// Machines that are not there yet, by the names that their proxies will have: `restart` begins them.
     pub later: &'a [&'a str],
-    /// Draws what the gates do.
+    /// Draws what the links do.
     pub seed: u64,
     /// Further machines that a promise waits for; none: no copies are made.
     pub wait: Option<usize>,
--- a/rehearse/src/fault_matrix/mod.rs
+++ b/rehearse/src/fault_matrix/mod.rs
@@ -172,7 +172,7 @@
         record,
         objects: 0,
     };
-    play.fleet.gates.set_all(conditions(case.seed));
+    play.fleet.links.set_all(conditions(case.seed));
     for proxy in 0..PROXIES {
         play.tell(proxy, false);
     }
@@ -229,7 +229,7 @@
                 Ok(writer)
             }
             FaultPoint::WriterCut => {
-                self.fleet.gates.split(&[writer], LinkConditions::CUT);
+                self.fleet.links.split(&[writer], LinkConditions::CUT);
                 self.tell(writer, false);
                 Ok(writer)
             }
@@ -288,9 +288,9 @@
     /// The replica is cut off for one commit and back for the next.
     fn holder_is_cut(&mut self, roles: &Roles) -> io::Result<()> {
         self.agree(AGREE)?;
-        self.fleet.gates.split(&[roles.holder], LinkConditions::CUT);
+        self.fleet.links.split(&[roles.holder], LinkConditions::CUT);
         self.tell(roles.writer, false);
-        self.fleet.gates.split(&[roles.holder], roles.conditions);
+        self.fleet.links.split(&[roles.holder], roles.conditions);
         self.tell(roles.writer, false);
         Ok(())
     }
@@ -319,7 +319,7 @@
             .find(|proxy| *proxy != victim)
             .unwrap_or_default();
         self.tell(other, false);
-        self.fleet.gates.split(&[roles.writer], roles.conditions);
+        self.fleet.links.split(&[roles.writer], roles.conditions);
         self.fleet.restart(victim, disk)
     }
 
--- a/rehearse/src/play.rs
+++ b/rehearse/src/play.rs
@@ -2,7 +2,7 @@
 
 use crate::Report;
 use linnetknot_harness::clients::{call, neighbour, Answer, WebServer, PATIENCE};
-use linnetknot_harness::fakes::cache::{Arrival, Manner, StandIn};
+use linnetknot_harness::fakes::cache::{Arrival, FakeCache, Manner};
 use linnetknot_harness::fakes::event_bus::{entry, Bus};
 use linnetknot_harness::process::Process;
 use linnetknot_harness::{settings, unix_ms};
@@ -61,8 +61,11 @@
 /// Plays both cases against a daemon's program and reports every breach. Errors are those of the play itself.
 pub fn rehearse(daemon: &Path, plant: Option<Plant>) -> io::Result<Report> {
     let mut report = Report::default();
-    let boxes = [StandIn::start("s-0000000a")?, StandIn::start("s-0000000b")?];
-    let origin = StandIn::start("s-0000000f")?;
+    let boxes = [
+        FakeCache::start("s-0000000a")?,
+        FakeCache::start("s-0000000b")?,
+    ];
+    let origin = FakeCache::start("s-0000000f")?;
     let bus = Bus::start()?;
     let mut list: Vec<Value> = boxes
         .iter()
@@ -101,7 +104,7 @@
 }
 
 /// A purge told by the neighbour: from its grace on, neither front serves an older copy.
-fn purge(running: &Process, boxes: &[StandIn], report: &mut Report) -> io::Result<()> {
+fn purge(running: &Process, boxes: &[FakeCache], report: &mut Report) -> io::Result<()> {
     let warm = content(running.cdni, OBJECT)?;
     report.hold("one answer", warm.status == 200, || {
         format!("the first copy was answered {}", warm.status)
@@ -204,7 +207,7 @@
 fn drain(
     running: &Process,
     bus: &Bus,
-    boxes: &[StandIn],
+    boxes: &[FakeCache],
     plant: Option<Plant>,
     report: &mut Report,
 ) -> io::Result<()> {
@@ -288,7 +291,7 @@
 }
 
 /// The box that a redirected request has reached first.
-fn redirected_to(boxes: &[StandIn]) -> io::Result<&StandIn> {
+fn redirected_to(boxes: &[FakeCache]) -> io::Result<&FakeCache> {
     let objects: Vec<_> = (0..REDIRECTED).map(redirected_object).collect();
     let redirected = |a: &Arrival| {
         a.field("key")
@@ -328,9 +331,9 @@
 }
 
 /// No request had more than six attempts.
-fn attempts(boxes: &[StandIn], origin: &StandIn, report: &mut Report) {
+fn attempts(boxes: &[FakeCache], origin: &FakeCache, report: &mut Report) {
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
-    let all = boxes.iter().chain([origin]).flat_map(StandIn::arrivals);
+    let all = boxes.iter().chain([origin]).flat_map(FakeCache::arrivals);
     all.filter(|a| a.word == "fetch")
         .for_each(|a| *counts.entry(a.id).or_default() += 1);
     for (id, count) in counts.iter().filter(|c| *c.1 > 6) {
@@ -341,7 +344,7 @@
 }
 
 /// A planned end: what is open is answered, and the daemon ends well.
-fn end(running: &mut Process, boxes: &[StandIn], report: &mut Report) -> io::Result<()> {
+fn end(running: &mut Process, boxes: &[FakeCache], report: &mut Report) -> io::Result<()> {
     let before: usize = boxes.iter().map(|b| b.arrivals().len()).sum();
     boxes.iter().for_each(|b| {
         b.behave(Manner {
