--- a/daemon/tests/rehearsal.rs
+++ b/daemon/tests/rehearsal.rs
@@ -18,7 +18,7 @@
 
 #[test]
 fn planted_breaches_are_reported() {
-    for (plant, rule) in [(Plant::StaleCopies, "purge"), (Plant::DrainUntold, "drain")] {
+    for (plant, rule) in [(Plant::StaleCopies, "purge"), (Plant::DrainHidden, "drain")] {
         let report = rehearse(daemon(), Some(plant)).expect("the rehearsal is played");
         assert!(
             report.breaches.len() > 1,
--- a/harness/src/clients.rs
+++ b/harness/src/clients.rs
@@ -194,37 +194,50 @@
     })
 }
 
+/// A message that has come whole.
+struct Received {
+    head: Head,
+    body: Vec<u8>,
+    /// Whether anything came behind it.
+    surplus: bool,
+}
+
 /// Reads one message and, where the other side closes behind it, whether anything else came.
-fn message(
+fn receive(
     socket: &mut TcpStream,
     messages: &mut Messages,
     to_the_end: bool,
-) -> io::Result<(Head, Vec<u8>, bool)> {
-    let (mut input, mut head, mut body, mut whole, mut surplus) =
-        (Vec::new(), None, Vec::new(), false, false);
-    // The whole of it, not each read: another server may have the address by now, one that says a little for ever.
+) -> io::Result<Received> {
+    let (mut input, mut head, mut body) = (Vec::new(), None, Vec::new());
+    let (mut is_complete, mut surplus) = (false, false);
+    // All of it together, not each read: another server may have the address by now, one that sends a little for ever.
     let begun = Instant::now();
     loop {
         let (taken, piece) = messages.parse(&input).map_err(|e| bad(&e.to_string()))?;
         input.drain(..taken);
         match piece {
-            Some(_) if whole => surplus = true,
+            Some(_) if is_complete => surplus = true,
             Some(Piece::Head(h)) => head = Some(h),
             Some(Piece::Body(bytes)) => body.extend(bytes),
-            Some(Piece::End) => whole = true,
+            Some(Piece::End) => is_complete = true,
             None if begun.elapsed() > PATIENCE => return Err(io::ErrorKind::TimedOut.into()),
             None => {
                 let mut bytes = [0; 4096];
-                let got = if whole && !to_the_end {
+                let got = if is_complete && !to_the_end {
                     0
                 } else {
                     socket.read(&mut bytes)?
                 };
                 if got == 0 {
-                    let head = head.filter(|_| whole).ok_or(io::ErrorKind::UnexpectedEof)?;
-                    return Ok((head, body, surplus));
+                    let head = head.filter(|_| is_complete);
+                    let head = head.ok_or(io::ErrorKind::UnexpectedEof)?;
+                    return Ok(Received {
+                        head,
+                        body,
+                        surplus,
+                    });
                 }
-                surplus |= whole;
+                surplus |= is_complete;
                 input.extend_from_slice(&bytes[..got]);
             }
         }
@@ -262,11 +275,12 @@
     let mut socket = TcpStream::connect(to)?;
     socket.set_read_timeout(Some(PATIENCE))?;
     socket.write_all(bytes)?;
-    let (head, body, surplus) = message(
-        &mut socket,
-        &mut Messages::responses(1 << 16, 1 << 20),
-        true,
-    )?;
+    let mut messages = Messages::responses(1 << 16, 1 << 20);
+    let Received {
+        head,
+        body,
+        surplus,
+    } = receive(&mut socket, &mut messages, true)?;
     let status = head
         .status()
         .ok_or_else(|| bad("a response without a status"))?;
@@ -278,32 +292,51 @@
     })
 }
 
-/// A neighbour's HTTP interface: gives each request that comes, after it was answered with 201.
-pub fn neighbour() -> io::Result<(SocketAddr, mpsc::Receiver<(String, String)>)> {
-    let listener = TcpListener::bind("127.0.0.1:0")?;
-    let address = listener.local_addr()?;
-    let (tell, told) = mpsc::channel();
-    thread::spawn(move || {
-        for mut socket in listener.incoming().flatten() {
-            let Ok((head, body, _)) = message(
-                &mut socket,
-                &mut Messages::requests(1 << 16, 1 << 20),
-                false,
-            ) else {
-                continue;
-            };
-            let _ = socket.write_all(b"HTTP/1.1 201 Created\r\nContent-Length: 0\r\n\r\n");
-            let target = head
-                .request()
-                .map(|(_, target)| target.to_owned())
-                .unwrap_or_default();
-            if tell
-                .send((target, String::from_utf8_lossy(&body).into_owned()))
-                .is_err()
-            {
-                return;
+/// A request that a peer CDN's HTTP interface got.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct PeerRequest {
+    /// Its target.
+    pub target: String,
+    /// Its body.
+    pub body: String,
+}
+
+/// The HTTP interface of a peer CDN.
+pub struct PeerCdn {
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// Each request that came, after it was answered with 201.
+    pub requests: mpsc::Receiver<PeerRequest>,
+}
+
+impl PeerCdn {
+    /// Starts it on a port of its own.
+    pub fn start() -> io::Result<Self> {
+        let listener = TcpListener::bind("127.0.0.1:0")?;
+        let address = listener.local_addr()?;
+        let (sender, requests) = mpsc::channel();
+        thread::spawn(move || {
+            for socket in listener.incoming().flatten() {
+                let Ok(request) = serve_peer(socket) else {
+                    continue;
+                };
+                if sender.send(request).is_err() {
+                    return;
+                }
             }
-        }
-    });
-    Ok((address, told))
+        });
+        Ok(PeerCdn { address, requests })
+    }
+}
+
+/// Reads one request and answers it with 201.
+fn serve_peer(mut socket: TcpStream) -> io::Result<PeerRequest> {
+    let mut messages = Messages::requests(1 << 16, 1 << 20);
+    let Received { head, body, .. } = receive(&mut socket, &mut messages, false)?;
+    let _ = socket.write_all(b"HTTP/1.1 201 Created\r\nContent-Length: 0\r\n\r\n");
+    let target = head.request().map(|(_, target)| target.to_owned());
+    Ok(PeerRequest {
+        target: target.unwrap_or_default(),
+        body: String::from_utf8_lossy(&body).into_owned(),
+    })
 }
--- a/rehearse/src/play.rs
+++ b/rehearse/src/play.rs
@@ -1,7 +1,7 @@
 //! The cases, and what must hold in them.
 
 use crate::Report;
-use linnetknot_harness::clients::{call, neighbour, Answer, WebServer, PATIENCE};
+use linnetknot_harness::clients::{call, Answer, PeerCdn, PeerRequest, WebServer, PATIENCE};
 use linnetknot_harness::fakes::cache::{Arrival, FakeCache, Manner};
 use linnetknot_harness::fakes::event_bus::{entry, Bus};
 use linnetknot_harness::process::Process;
@@ -19,15 +19,15 @@
 /// A fault that the fakes are made to show, to see that it is reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Plant {
-    /// The boxes serve copies of any age, also after a purge, and say that they are new.
+    /// The caches serve copies of any age, also after a purge, and say that they are new.
     StaleCopies,
     /// The drain never reaches the daemon.
-    DrainUntold,
+    DrainHidden,
 }
 
-/// Time from word of a purge until nothing older is served, and what sockets add to every time limit.
+/// Time from the notice of a purge until nothing older is served, and what sockets add to every time limit.
 const PURGE_GRACE_MS: u64 = 300 + 50;
-/// Time from word of a drain until nothing new goes there, with the same.
+/// Time from the notice of a drain until nothing new goes there, with the same.
 const DRAIN_GRACE_MS: u64 = 1000 + 50;
 const OBJECT: &str = "00000000000000a1";
 const REDIRECTED: usize = 12;
@@ -61,20 +61,20 @@
 /// Plays both cases against a daemon's program and reports every breach. Errors are those of the play itself.
 pub fn rehearse(daemon: &Path, plant: Option<Plant>) -> io::Result<Report> {
     let mut report = Report::default();
-    let boxes = [
+    let caches = [
         FakeCache::start("s-0000000a")?,
         FakeCache::start("s-0000000b")?,
     ];
     let origin = FakeCache::start("s-0000000f")?;
     let bus = Bus::start()?;
-    let mut list: Vec<Value> = boxes
+    let mut list: Vec<Value> = caches
         .iter()
-        .map(|b| entry(b, "here", "box", "ready"))
+        .map(|cache| entry(cache, "here", "box", "ready"))
         .collect();
     list.push(entry(&origin, "hub", "origin", "ready"));
     bus.list(true, list);
-    let (peer, told) = neighbour()?;
-    let mut running = start(daemon, &bus, peer)?;
+    let peer = PeerCdn::start()?;
+    let mut running = start(daemon, &bus, peer.address)?;
     let until = Instant::now() + PATIENCE;
     while call(running.cdni, "GET", "/health", "")?.status != 200 {
         if Instant::now() > until {
@@ -83,19 +83,21 @@
         thread::sleep(Duration::from_millis(10));
     }
     if plant == Some(Plant::StaleCopies) {
-        boxes.iter().for_each(|b| {
-            b.behave(Manner {
+        caches.iter().for_each(|cache| {
+            cache.behave(Manner {
                 any_age: true,
                 ..Manner::default()
             });
         });
     }
-    purge(&running, &boxes, &mut report)?;
-    notices(&bus, &told, &mut report)?;
-    boxes.iter().for_each(|b| b.behave(Manner::default()));
-    drain(&running, &bus, &boxes, plant, &mut report)?;
-    attempts(&boxes, &origin, &mut report);
-    end(&mut running, &boxes, &mut report)?;
+    purge(&running, &caches, &mut report)?;
+    notices(&bus, &peer.requests, &mut report)?;
+    caches
+        .iter()
+        .for_each(|cache| cache.behave(Manner::default()));
+    drain(&running, &bus, &caches, plant, &mut report)?;
+    attempts(&caches, &origin, &mut report);
+    end(&mut running, &caches, &mut report)?;
     Ok(report)
 }
 
@@ -103,50 +105,50 @@
     call(to, "GET", &format!("/content/photo/{object}/0?kb=40"), "")
 }
 
-/// A purge told by the neighbour: from its grace on, neither front serves an older copy.
-fn purge(running: &Process, boxes: &[FakeCache], report: &mut Report) -> io::Result<()> {
+/// A purge by the peer CDN: from its grace on, neither front serves an older copy.
+fn purge(running: &Process, caches: &[FakeCache], report: &mut Report) -> io::Result<()> {
     let warm = content(running.cdni, OBJECT)?;
     report.hold("one answer", warm.status == 200, || {
         format!("the first copy was answered {}", warm.status)
     });
     // The purge must lie behind the copy by more than the clock's step.
     thread::sleep(Duration::from_millis(5));
-    let purged = unix_ms();
+    let purged_ms = unix_ms();
     let url = format!("http://cdn.example/content/photo/{OBJECT}");
     let command =
         json!({"trigger": {"type": "purge", "content.urls": [url]}, "cdn-path": ["AS64501:0"]});
     let made = call(running.cdni, "POST", "/cdni/triggers", &command.to_string())?;
-    let told = unix_ms();
+    let notified_ms = unix_ms();
     report.hold("trigger", made.status == 201, || {
         format!("the purge was answered {}", made.status)
     });
-    let place = made
+    let path = made
         .header("location")
         .and_then(|l| l.strip_prefix("http://cdn.example"))
         .unwrap_or("/");
-    let status = call(running.cdni, "GET", place, "")?;
+    let status = call(running.cdni, "GET", path, "")?;
     let done =
         serde_json::from_slice::<Value>(&status.body).is_ok_and(|v| v["status"] == "complete");
     report.hold("trigger", done, || {
-        format!("the status resource {place} does not tell a complete purge")
+        format!("the status resource {path} does not say that the purge is complete")
     });
-    let (mut server, mut asked) = (WebServer::connect(running.front)?, 0u16);
-    while unix_ms() < told + PURGE_GRACE_MS + 600 {
+    let (mut server, mut requests) = (WebServer::connect(running.front)?, 0u16);
+    while unix_ms() < notified_ms + PURGE_GRACE_MS + 600 {
         let sent = unix_ms();
-        asked += 1;
-        server.ask(asked, "photo", OBJECT, 2500)?;
+        requests += 1;
+        server.ask(requests, "photo", OBJECT, 2500)?;
         let fronts = [
             ("FastCGI", server.end()?.1),
             ("CDNI", Some(content(running.cdni, OBJECT)?)),
         ];
         for (front, answer) in fronts {
             let Some(answer) = answer else { continue };
-            let old =
-                sent > told + PURGE_GRACE_MS && answer.made().is_some_and(|made| made < purged);
-            report.hold("purge", !old, || {
+            let is_stale = sent > notified_ms + PURGE_GRACE_MS
+                && answer.made().is_some_and(|made| made < purged_ms);
+            report.hold("purge", !is_stale, || {
                 format!(
-                    "by {front}, {} ms after the purge was told, a copy from before it was served",
-                    sent - told
+                    "by {front}, {} ms after the notice of the purge, a copy from before it was served",
+                    sent - notified_ms
                 )
             });
             report.hold("one answer", !answer.surplus, || {
@@ -155,23 +157,23 @@
         }
         thread::sleep(Duration::from_millis(20));
     }
-    let reached: usize = boxes.iter().map(|b| b.arrivals().len()).sum();
+    let reached: usize = caches.iter().map(|cache| cache.arrivals().len()).sum();
     report.played.push(format!(
-        "a purge by CDNI, {asked} requests by each front, {reached} at the boxes"
+        "a purge by CDNI, {requests} requests by each front, {reached} at the caches"
     ));
     Ok(())
 }
 
-/// Our footprint and a purge of the bus reach the neighbour.
+/// Our footprint and a purge of the bus reach the peer CDN.
 fn notices(
     bus: &Bus,
-    told: &mpsc::Receiver<(String, String)>,
+    requests: &mpsc::Receiver<PeerRequest>,
     report: &mut Report,
 ) -> io::Result<()> {
     bus.push(json!({"ban": {"url": "00000000000000ff", "ts": unix_ms()}}));
     let (mut footprint, mut purge) = (false, false);
     while !(footprint && purge) {
-        let Ok((target, body)) = told.recv_timeout(PATIENCE) else {
+        let Ok(PeerRequest { target, body }) = requests.recv_timeout(PATIENCE) else {
             break;
         };
         let body: Value = serde_json::from_str(&body).map_err(|e| failed(e.to_string()))?;
@@ -185,14 +187,14 @@
             && body["cdn-path"][0] == "AS64500:0";
     }
     report.hold("notice", footprint, || {
-        "our footprint did not reach the neighbour".to_owned()
+        "our footprint did not reach the peer CDN".to_owned()
     });
     report.hold("notice", purge, || {
-        "a purge of the event bus did not reach the neighbour".to_owned()
+        "a purge of the event bus did not reach the peer CDN".to_owned()
     });
     report
         .played
-        .push("notices to the neighbour: footprint and purge".to_owned());
+        .push("notices to the peer CDN: footprint and purge".to_owned());
     Ok(())
 }
 
@@ -202,31 +204,33 @@
     answer: JoinHandle<io::Result<Answer>>,
 }
 
-/// Requests that were redirected here while their target box drains: one final answer each, and nothing new at
-/// the box from the grace on.
+/// Requests that were redirected here while their target cache is draining: one final answer each, and nothing new
+/// at the cache from the grace on.
 fn drain(
     running: &Process,
     bus: &Bus,
-    boxes: &[FakeCache],
+    caches: &[FakeCache],
     plant: Option<Plant>,
     report: &mut Report,
 ) -> io::Result<()> {
-    boxes.iter().for_each(|b| {
-        b.behave(Manner {
+    caches.iter().for_each(|cache| {
+        cache.behave(Manner {
             hold_ms: 150,
             ..Manner::default()
         });
     });
     let clients = redirect(running, report)?;
-    // The box that the first of them waits at drains.
-    let target = redirected_to(boxes)?;
-    if plant != Some(Plant::DrainUntold) {
+    // The cache that the first of them waits at is draining.
+    let target = redirected_to(caches)?;
+    if plant != Some(Plant::DrainHidden) {
         bus.list(false, vec![entry(target, "here", "box", "draining")]);
     }
-    let drained = unix_ms();
+    let draining_ms = unix_ms();
     judge_redirected(clients, report)?;
-    boxes.iter().for_each(|b| b.behave(Manner::default()));
-    while unix_ms() < drained + DRAIN_GRACE_MS + 10 {
+    caches
+        .iter()
+        .for_each(|cache| cache.behave(Manner::default()));
+    while unix_ms() < draining_ms + DRAIN_GRACE_MS + 10 {
         thread::sleep(Duration::from_millis(5));
     }
     for n in 0..2 * REDIRECTED {
@@ -238,14 +242,14 @@
     for a in target
         .arrivals()
         .iter()
-        .filter(|a| a.word == "fetch" && a.at > drained + DRAIN_GRACE_MS)
+        .filter(|a| a.word == "fetch" && a.at > draining_ms + DRAIN_GRACE_MS)
     {
         report.hold("drain", false, || {
             format!(
-                "{} reached {} {} ms after word that it drains",
+                "{} reached {} {} ms after the notice that it drains",
                 a.id,
                 target.uid,
-                a.at - drained
+                a.at - draining_ms
             )
         });
     }
@@ -270,8 +274,8 @@
             redirected_object(number)
         );
         let http = json!({"c-ip": "127.0.0.9", "cs-uri": uri, "cs-method": "GET"});
-        let asked = json!({"http": http, "cdn-path": ["AS64501:0"]});
-        let answer = call(running.cdni, "POST", "/cdni/redirect", &asked.to_string())?;
+        let request = json!({"http": http, "cdn-path": ["AS64501:0"]});
+        let answer = call(running.cdni, "POST", "/cdni/redirect", &request.to_string())?;
         let value: Value =
             serde_json::from_slice(&answer.body).map_err(|e| failed(e.to_string()))?;
         let location = value["http"]["sc-(location)"]
@@ -290,8 +294,8 @@
     Ok(clients)
 }
 
-/// The box that a redirected request has reached first.
-fn redirected_to(boxes: &[FakeCache]) -> io::Result<&FakeCache> {
+/// The cache that a redirected request has reached first.
+fn redirected_to(caches: &[FakeCache]) -> io::Result<&FakeCache> {
     let objects: Vec<_> = (0..REDIRECTED).map(redirected_object).collect();
     let redirected = |a: &Arrival| {
         a.field("key")
@@ -299,10 +303,13 @@
     };
     let until = Instant::now() + PATIENCE;
     loop {
-        match boxes.iter().find(|b| b.arrivals().iter().any(redirected)) {
+        match caches
+            .iter()
+            .find(|cache| cache.arrivals().iter().any(redirected))
+        {
             Some(target) => return Ok(target),
             None if Instant::now() > until => {
-                return Err(failed("a redirected request reached no box"))
+                return Err(failed("a redirected request reached no cache"))
             }
             None => thread::sleep(Duration::from_millis(2)),
         }
@@ -331,23 +338,21 @@
 }
 
 /// No request had more than six attempts.
-fn attempts(boxes: &[FakeCache], origin: &FakeCache, report: &mut Report) {
+fn attempts(caches: &[FakeCache], origin: &FakeCache, report: &mut Report) {
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
-    let all = boxes.iter().chain([origin]).flat_map(FakeCache::arrivals);
+    let all = caches.iter().chain([origin]).flat_map(FakeCache::arrivals);
     all.filter(|a| a.word == "fetch")
         .for_each(|a| *counts.entry(a.id).or_default() += 1);
     for (id, count) in counts.iter().filter(|c| *c.1 > 6) {
-        report.hold("attempts", false, || {
-            format!("{id} was tried {count} times")
-        });
+        report.hold("attempts", false, || format!("{id} had {count} attempts"));
     }
 }
 
 /// A planned end: what is open is answered, and the daemon ends well.
-fn end(running: &mut Process, boxes: &[FakeCache], report: &mut Report) -> io::Result<()> {
-    let before: usize = boxes.iter().map(|b| b.arrivals().len()).sum();
-    boxes.iter().for_each(|b| {
-        b.behave(Manner {
+fn end(running: &mut Process, caches: &[FakeCache], report: &mut Report) -> io::Result<()> {
+    let before: usize = caches.iter().map(|cache| cache.arrivals().len()).sum();
+    caches.iter().for_each(|cache| {
+        cache.behave(Manner {
             hold_ms: 150,
             ..Manner::default()
         });
@@ -356,14 +361,18 @@
     server.ask(1, "photo", "00000000000000e1", 2500)?;
     let fits = |a: &Arrival| a.field("key") == Some("00000000000000e1");
     let until = Instant::now() + PATIENCE;
-    while boxes.iter().map(|b| b.arrivals().len()).sum::<usize>() == before
+    while caches
+        .iter()
+        .map(|cache| cache.arrivals().len())
+        .sum::<usize>()
+        == before
         && Instant::now() < until
     {
         thread::sleep(Duration::from_millis(2));
     }
     report.hold(
         "one answer",
-        boxes.iter().any(|b| b.arrivals().iter().any(fits)),
+        caches.iter().any(|cache| cache.arrivals().iter().any(fits)),
         || "the last request strayed".into(),
     );
     // The shell sends the signal: the standard library can't.
