--- a/daemon/tests/rehearsal.rs
+++ b/daemon/tests/rehearsal.rs
@@ -70,7 +70,7 @@
     assert_eq!(out.breaches, []);
     assert_eq!(out.has_seen(), Ok(()));
     assert!(
-        out.asked > 300 && out.score.whole.score() > Some(0.9),
+        out.requests > 300 && out.score.total.score() > Some(0.9),
         "{out:?}"
     );
     assert!(out.writes.0 > 20 && out.writes.1 == 0, "{:?}", out.writes);
@@ -105,7 +105,7 @@
     .expect("it is played");
     out.lag_us.0 = player::MOST_LAG_US + 1;
     assert!(out.has_seen().unwrap_err().to_string().contains("late"));
-    out.score.whole.asked = 0.0;
+    out.score.total.offered = 0.0;
     assert!(out
         .has_seen()
         .unwrap_err()
@@ -144,7 +144,7 @@
     assert_eq!(out.breaches, []);
     assert_eq!(out.has_seen(), Ok(()));
     assert!(
-        out.asked > 450 && out.score.whole.score() > Some(0.6),
+        out.requests > 450 && out.score.total.score() > Some(0.6),
         "{out:?}"
     );
 }
@@ -194,7 +194,7 @@
     let out = play(daemon(), &crashed(), 3, None).expect("it is played");
     assert_eq!(out.breaches, []);
     assert_eq!(out.has_seen(), Ok(()));
-    assert!(out.asked > 450 && out.unsent == 0, "{out:?}");
+    assert!(out.requests > 450 && out.unsent == 0, "{out:?}");
     // What was open at the killed proxy is lost, and named where it is counted as owed.
     let out = play(daemon(), &crashed(), 3, Some(player::Plant::KillsOwed)).expect("it is played");
     assert!(
@@ -220,5 +220,5 @@
     let at = out.interrupted.expect("it was ended");
     assert!((1.0..2.0).contains(&at), "{at}");
     assert_eq!(out.breaches, [], "what was open at the end is owed no more");
-    assert!(out.asked > 50 && out.asked < 300, "{}", out.asked);
+    assert!(out.requests > 50 && out.requests < 300, "{}", out.requests);
 }
--- a/rehearse/src/bin/linnetknot-rehearse/tables.rs
+++ b/rehearse/src/bin/linnetknot-rehearse/tables.rs
@@ -11,7 +11,7 @@
     let mut out = format!(
         "{}: {} requests sent, {} taken by no proxy, {:.1} ms late at most (p99 {:.1}); {} writes ran, {} of them again\n\n",
         scenario.name,
-        o.asked,
+        o.requests,
         o.unsent,
         o.lag_us.1 as f64 / 1e3,
         o.lag_us.0 as f64 / 1e3,
@@ -21,13 +21,13 @@
     out += "| | worth asked | in time | late | refused | failed | unanswered |\n";
     out += "| --- | --- | --- | --- | --- | --- | --- |\n";
     let names = scenario.load.classes.iter().map(|c| c.name.as_str());
-    let rows = std::iter::once(("all", &o.score.whole)).chain(names.zip(&o.score.classes));
+    let rows = std::iter::once(("all", &o.score.total)).chain(names.zip(&o.score.classes));
     for (name, s) in rows {
         let [a, b, c, d, e] =
-            [s.earned, s.late, s.refused, s.failed, s.unanswered].map(|x| share(x, s.asked));
+            [s.earned, s.late, s.refused, s.failed, s.unanswered].map(|x| share(x, s.offered));
         out += &format!(
             "| {name} | {:.0} | {a} | {b} | {c} | {d} | {e} |\n",
-            s.asked
+            s.offered
         );
     }
     out += "\n| ms, from when it was due | served | p50 | p90 | p99 | p99.9 | most |\n";
@@ -37,7 +37,7 @@
             [w.p50, w.p90, w.p99, w.p999, w.most].map(|us| format!("{:.1}", us as f64 / 1e3));
         out += &format!(
             "| {} | {} of {} | {a} | {b} | {c} | {d} | {e} |\n",
-            class.name, w.served, w.asked
+            class.name, w.served, w.requests
         );
     }
     if let Some((second, score)) = o.score.worst {
--- a/rehearse/src/latency.rs
+++ b/rehearse/src/latency.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Waits {
     /// Requests, retries not counted.
-    pub asked: u64,
+    pub requests: u64,
     /// Those that were served at last.
     pub served: u64,
     /// Within this, half of the served were; in microseconds, three digits exact, as all below.
@@ -43,7 +43,7 @@
     }
     // By first try: its class, when it was due, and when any try of it was first served.
     let mut requests: BTreeMap<&str, (usize, Micros, Option<Micros>)> = BTreeMap::new();
-    for a in &record.asked {
+    for a in &record.requests {
         let served = served_at.get(a.id.as_str()).copied();
         let request = requests.entry(&a.first).or_insert((a.class, a.due, None));
         request.1 = request.1.min(a.due);
@@ -55,13 +55,13 @@
         .collect()
 }
 
-fn of_class<'a>(requests: impl Iterator<Item = &'a (usize, Micros, Option<Micros>)>) -> Waits {
+fn of_class<'a>(of: impl Iterator<Item = &'a (usize, Micros, Option<Micros>)>) -> Waits {
     let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, MOST_US, 3) else {
         return Waits::default();
     };
-    let mut asked = 0;
-    for (_, due, served) in requests {
-        asked += 1;
+    let mut requests = 0;
+    for (_, due, served) in of {
+        requests += 1;
         if let Some(at) = served {
             histogram.saturating_record(at.saturating_sub(*due).max(1));
         }
@@ -74,7 +74,7 @@
         }
     };
     Waits {
-        asked,
+        requests,
         served: histogram.len(),
         p50: at(0.5),
         p90: at(0.9),
--- a/rehearse/src/player/clients.rs
+++ b/rehearse/src/player/clients.rs
@@ -147,7 +147,7 @@
             let made = made_of((arrival.object, arrival.part), &answer.body);
             Final::Served {
                 made: made.map(|ms| ms * 1000 + 999),
-                whole: made.is_some(),
+                intact: made.is_some(),
             }
         }
         429 | 503 => Final::Refused {
--- a/rehearse/src/player/deployment.rs
+++ b/rehearse/src/player/deployment.rs
@@ -17,7 +17,7 @@
 /// An answer within this multiple of its own sending time is in time.
 const AIM_STRETCH: f64 = 2.0;
 /// Share of its worth that a late answer earns.
-const LATE_WORTH: f64 = 0.1;
+const LATE_WEIGHT: f64 = 0.1;
 
 /// The time in which a request of a class should be answered.
 fn aim_us(class: &ClassLoad) -> Micros {
@@ -29,7 +29,7 @@
 }
 
 /// What a request of a class is worth.
-fn worth(class: &ClassLoad) -> f64 {
+fn weight(class: &ClassLoad) -> f64 {
     if class.keyed {
         3.0
     } else {
@@ -42,7 +42,7 @@
     json!({
         "name": class.name, "aim-us": aim_us(class), "aim-stretch": AIM_STRETCH,
         "deadline-us": class.budget_ms * 1000, "repeat": if class.keyed { "token" } else { "pure" },
-        "dedup-scope": "all", "window-us": KEY_WINDOW_US, "worth": worth(class), "late-worth": LATE_WORTH,
+        "dedup-scope": "all", "window-us": KEY_WINDOW_US, "worth": weight(class), "late-worth": LATE_WEIGHT,
     })
 }
 
@@ -55,10 +55,10 @@
         } else {
             Repeat::Safe
         },
-        aim_us: aim_us(class),
+        objective_us: aim_us(class),
         stretch: AIM_STRETCH,
-        worth: worth(class),
-        late_worth: LATE_WORTH,
+        weight: weight(class),
+        late_weight: LATE_WEIGHT,
     }
 }
 
--- a/rehearse/src/player/environment.rs
+++ b/rehearse/src/player/environment.rs
@@ -5,7 +5,7 @@
 use crate::fakes::site::{FakeSite, Kind};
 use crate::fakes::site_server::{ClassRules, SiteServer, Workload};
 use crate::load::{group, Plan, Purge};
-use crate::record::{Cold, Micros, Told, Word};
+use crate::record::{Cold, Micros, Notice, NoticeKind};
 use crate::scenario::{ClassLoad, Scenario};
 use crate::timetable::Step;
 use linnetknot_harness::fakes::event_bus::Bus;
@@ -21,14 +21,14 @@
     nodes: Vec<Node>,
     /// One for each proxy: each is told the addresses at which it reaches the nodes.
     buses: Vec<Bus>,
-    told: Vec<Told>,
+    notices: Vec<Notice>,
     started: Vec<Cold>,
 }
 
 /// What remains of an environment once it has ended.
 pub(super) struct EnvironmentRecord {
     pub(super) site: FakeSite,
-    pub(super) told: Vec<Told>,
+    pub(super) notices: Vec<Notice>,
     pub(super) started: Vec<Cold>,
     /// Kept until the proxies have ended, so that none of them loses its bus before.
     _buses: Vec<Bus>,
@@ -61,7 +61,7 @@
             served,
             nodes,
             buses,
-            told: Vec::new(),
+            notices: Vec::new(),
             started: Vec::new(),
         })
     }
@@ -105,9 +105,9 @@
     pub(super) fn carry_out(&mut self, step: &Step) {
         let at = unix_us();
         match step {
-            Step::Drain(uid) => self.announce(at, uid, Word::Out(uid.clone()), "draining", 0),
+            Step::Drain(uid) => self.announce(at, uid, NoticeKind::Out(uid.clone()), "draining", 0),
             Step::Back(uid) => {
-                self.announce(at, uid, Word::Ready(uid.clone()), "ready", at / 1000);
+                self.announce(at, uid, NoticeKind::Ready(uid.clone()), "ready", at / 1000);
                 self.started
                     .push(cold(uid, at, self.scenario.site.edge_box.capacity));
             }
@@ -117,8 +117,15 @@
         self.change_site(step.clone());
     }
 
-    /// Tells every proxy of a node's new state, each on its own bus.
-    fn announce(&mut self, at: Micros, uid: &str, word: Word, state: &'static str, boot_ms: u64) {
+    /// Notifies every proxy of a node's new state, each on its own bus.
+    fn announce(
+        &mut self,
+        at: Micros,
+        uid: &str,
+        kind: NoticeKind,
+        state: &'static str,
+        boot_ms: u64,
+    ) {
         let Some(node) = self.nodes.iter().find(|node| node.uid == uid) else {
             return;
         };
@@ -132,10 +139,10 @@
             if is_sent {
                 bus.list(false, vec![self.listed(proxy, &listing)]);
             }
-            self.told.push(Told {
+            self.notices.push(Notice {
                 proxy,
                 at,
-                word: word.clone(),
+                kind: kind.clone(),
             });
         }
     }
@@ -159,7 +166,7 @@
         });
     }
 
-    /// Purges an object or a group: the proxies are told, and the nodes hear of it by themselves, each in its own time.
+    /// Purges an object or a group: the proxies are notified, and the nodes learn of it by themselves, each in its own time.
     pub(super) fn purge(&mut self, purge: &Purge) {
         let at = unix_us();
         let what = purge.what;
@@ -175,16 +182,16 @@
             };
             self.buses.iter().for_each(|bus| bus.push(ban.clone()));
         }
-        let word = Word::Purged {
+        let kind = NoticeKind::Purged {
             object,
             group: lot,
             at: at / 1000 * 1000,
         };
         let proxies = 0..self.buses.len();
-        self.told.extend(proxies.map(|proxy| Told {
+        self.notices.extend(proxies.map(|proxy| Notice {
             proxy,
             at,
-            word: word.clone(),
+            kind: kind.clone(),
         }));
         if !is_untold {
             self.served
@@ -197,7 +204,7 @@
         let site = self.served.end()?;
         Ok(EnvironmentRecord {
             site,
-            told: self.told,
+            notices: self.notices,
             started: self.started,
             _buses: self.buses,
         })
--- a/rehearse/src/player/load_generator.rs
+++ b/rehearse/src/player/load_generator.rs
@@ -6,7 +6,7 @@
 use super::proxies::Proxies;
 use super::Watch;
 use crate::load::{group, Arrival, Plan, Purge};
-use crate::record::{Asked, Micros};
+use crate::record::{Micros, Request};
 use crate::scenario::Scenario;
 use crate::timetable::Step;
 use linnetknot_harness::clients::WebServer;
@@ -180,7 +180,7 @@
 #[derive(Default)]
 pub(super) struct Sent {
     /// All requests that were sent.
-    pub(super) asked: Vec<Asked>,
+    pub(super) requests: Vec<Request>,
     /// How much later than planned each of them was sent.
     pub(super) lags: Vec<Micros>,
     /// Requests that no proxy took: all were down, or the connection broke as it was written.
@@ -229,7 +229,7 @@
                 .filter(|_| reported.elapsed() >= PROGRESS_INTERVAL)
             {
                 reported = Instant::now();
-                progress(schedule.seconds_at(now), self.sent.asked.len());
+                progress(schedule.seconds_at(now), self.sent.requests.len());
             }
             retries.try_iter().for_each(|retry| retry_queue.push(retry));
             if now >= schedule.end {
@@ -323,8 +323,13 @@
         let open: HashSet<String> = connections
             .flat_map(|(_, c)| c.iter().flat_map(|c| c.open.ids()))
             .collect();
-        for asked in self.sent.asked.iter_mut().filter(|a| open.contains(&a.id)) {
-            asked.released.get_or_insert(now);
+        for request in self
+            .sent
+            .requests
+            .iter_mut()
+            .filter(|a| open.contains(&a.id))
+        {
+            request.released.get_or_insert(now);
         }
     }
 
@@ -369,7 +374,7 @@
         };
         let id = format!(
             "{:016x}",
-            (self.seed << 40) ^ (self.sent.asked.len() as u64 + 1)
+            (self.seed << 40) ^ (self.sent.requests.len() as u64 + 1)
         );
         let fields = Fields::new(id, &request.arrival);
         if !self.write(proxy, place, &fields, &request) {
@@ -380,8 +385,8 @@
         self.connections[proxy][place].used = Instant::now();
         let at = unix_us();
         self.sent.lags.push(at.saturating_sub(due));
-        let asked = self.asked(fields, &request, proxy, due, at);
-        self.sent.asked.push(asked);
+        let sent = self.sent_request(fields, &request, proxy, due, at);
+        self.sent.requests.push(sent);
         Ok(())
     }
 
@@ -412,16 +417,16 @@
     }
 
     /// A request as the record has it.
-    fn asked(
+    fn sent_request(
         &self,
         fields: Fields,
         request: &ClientRequest,
         proxy: usize,
         due: Micros,
         at: Micros,
-    ) -> Asked {
+    ) -> Request {
         let arrival = &request.arrival;
-        Asked {
+        Request {
             first: first_id(request, &fields.id),
             id: fields.id,
             class: arrival.class,
--- a/rehearse/src/player/mod.rs
+++ b/rehearse/src/player/mod.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
     /// Requests sent, retries with them.
-    pub asked: usize,
+    pub requests: usize,
     /// How much later than planned requests were sent, p99 and most, in microseconds.
     pub lag_us: (Micros, Micros),
     /// The score.
@@ -71,10 +71,10 @@
     /// # Errors
     /// Where it proves nothing.
     pub fn has_seen(&self) -> Result<(), Unseen> {
-        if self.score.whole.score().is_none() {
+        if self.score.total.score().is_none() {
             return Err(Unseen::NothingAsked);
         }
-        if self.score.whole.unanswered >= self.score.whole.asked {
+        if self.score.total.unanswered >= self.score.total.offered {
             return Err(Unseen::NothingAnswered);
         }
         if self.lag_us.0 > MOST_LAG_US {
@@ -186,16 +186,16 @@
     let interrupted = generator.play(schedule, &mut environment, &retries, &play.watch)?;
     let ended = environment.end()?;
     let Sent {
-        asked,
+        requests,
         mut lags,
         unsent,
     } = generator.end();
     let record = Record {
         classes: scenario.load.classes.iter().map(recorded_class).collect(),
-        asked,
+        requests,
         answered: std::mem::take(&mut clients.record().answered),
         attempts: ended.site.attempts,
-        told: ended.told,
+        notices: ended.notices,
         cold: ended.started,
     };
     lags.sort_unstable();
@@ -205,7 +205,7 @@
         ..Limits::default()
     };
     Ok(Outcome {
-        asked: record.asked.len(),
+        requests: record.requests.len(),
         lag_us,
         score: score(&record),
         waits: waits(&record),
--- a/rehearse/src/record.rs
+++ b/rehearse/src/record.rs
@@ -1,4 +1,4 @@
-//! What a rehearsal writes down: who was asked what, what reached which box, what was told to whom. Plain data with
+//! What a rehearsal records: requests and answers, attempts that reached a cache, and notices to proxies. Plain data with
 //! times, so that rules and scores are judged from the records alone, after the fact and without a socket.
 
 pub use linnetknot_harness::time::Micros;
@@ -22,21 +22,21 @@
     /// How often one may take effect.
     pub repeat: Repeat,
     /// An answer within this time, and `stretch` times its own sending time, is in time.
-    pub aim_us: Micros,
+    pub objective_us: Micros,
     /// See `aim_us`.
     pub stretch: f64,
-    /// Worth of one.
-    pub worth: f64,
-    /// Share of the worth that a late answer earns.
-    pub late_worth: f64,
+    /// Priority weight of one.
+    pub weight: f64,
+    /// Share of the weight that a late answer earns.
+    pub late_weight: f64,
 }
 
-/// A client's try of a request.
+/// A request as a client sent it; its retries are requests of their own.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Asked {
-    /// Its id, new with every try.
+pub struct Request {
+    /// Its id, new with every retry.
     pub id: String,
-    /// The first try that this one repeats; its own id for a first try.
+    /// The first request that this one retries; its own id for a first one.
     pub first: String,
     /// Its class, by its place.
     pub class: usize,
@@ -56,7 +56,7 @@
     pub at: Micros,
     /// When the client gives up.
     pub until: Micros,
-    /// No answer is owed from then on: the client took it back, or the proxy's process ended by the rehearsal's hand.
+    /// No answer is due from then on: the client aborted it, or the rehearsal ended the proxy's process.
     pub released: Option<Micros>,
 }
 
@@ -65,10 +65,10 @@
 pub enum Final {
     /// Served: when its copy was made, and whether its bytes are those of the part.
     Served {
-        /// When the origin gave the copy out; none: not told.
+        /// When the origin sent the copy; none: not known.
         made: Option<Micros>,
-        /// Its bytes are whole and unchanged.
-        whole: bool,
+        /// Its bytes are complete and unchanged.
+        intact: bool,
     },
     /// Refused, and whether the client was told when to come back.
     Refused {
@@ -79,10 +79,10 @@
     Failed,
 }
 
-/// A final answer and when it was whole.
+/// A final answer and when it was complete.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answered {
-    /// The try.
+    /// The request.
     pub id: String,
     /// When.
     pub at: Micros,
@@ -95,16 +95,16 @@
 pub enum Ended {
     /// It ran.
     Ran,
-    /// Turned away unseen: it never ran.
+    /// Rejected: it never ran.
     Unseen,
     /// Given up by the proxy, or its connection ended: it may have run.
     GivenUp,
 }
 
-/// An attempt that arrived whole at a box.
+/// An attempt that arrived at a cache.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
-    /// The try.
+    /// The request.
     pub id: String,
     /// The proxy that sent it.
     pub proxy: usize,
@@ -124,12 +124,12 @@
     pub fill_us: Micros,
 }
 
-/// What a proxy is told, or counts as told.
+/// What a proxy is notified of, or counts as notified of.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Word {
-    /// A box takes work, again or for the first time.
+pub enum NoticeKind {
+    /// A cache takes requests, again or for the first time.
     Ready(String),
-    /// A box drains or is gone.
+    /// A cache is draining or gone.
     Out(String),
     /// An object, or with none a group, was purged at this time.
     Purged {
@@ -142,15 +142,15 @@
     },
 }
 
-/// A word to one proxy.
+/// A notice to one proxy.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct Notice {
     /// The proxy.
     pub proxy: usize,
     /// When.
     pub at: Micros,
     /// What.
-    pub word: Word,
+    pub kind: NoticeKind,
 }
 
 /// A box or hub cache that started during the rehearsal.
@@ -196,9 +196,9 @@
 /// The figures of the rules, with what sockets add to every time limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Nothing new to a box later than this after word that it drains or is gone.
+    /// Nothing new to a cache later than this after the notice that it is draining or gone.
     pub drain_us: Micros,
-    /// Nothing older than a purge later than this after word of it.
+    /// Nothing older than a purge later than this after the notice of it.
     pub purge_us: Micros,
     /// Attempts for a request.
     pub attempts: usize,
@@ -218,19 +218,19 @@
     }
 }
 
-/// All that a rehearsal wrote down.
+/// All that a rehearsal recorded.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Record {
     /// Classes.
     pub classes: Vec<Class>,
-    /// Tries.
-    pub asked: Vec<Asked>,
+    /// Requests of clients.
+    pub requests: Vec<Request>,
     /// Final answers.
     pub answered: Vec<Answered>,
     /// Attempts.
     pub attempts: Vec<Attempt>,
-    /// Words.
-    pub told: Vec<Told>,
-    /// Boxes that started.
+    /// Notices to proxies.
+    pub notices: Vec<Notice>,
+    /// Caches that started.
     pub cold: Vec<Cold>,
 }
--- a/rehearse/src/report.rs
+++ b/rehearse/src/report.rs
@@ -66,10 +66,10 @@
 }
 
 fn part(name: &str, s: &Shares, waits: Option<&Waits>) -> Part {
-    let share = |of: f64| if s.asked > 0.0 { of / s.asked } else { 0.0 };
+    let share = |of: f64| if s.offered > 0.0 { of / s.offered } else { 0.0 };
     Part {
         name: name.to_owned(),
-        asked: s.asked,
+        asked: s.offered,
         in_time: share(s.earned),
         late: share(s.late),
         refused: share(s.refused),
@@ -126,12 +126,12 @@
             form: FORM,
             scenario: scenario.name.clone(),
             seed,
-            asked: o.asked,
+            asked: o.requests,
             unsent: o.unsent,
             interrupted: o.interrupted,
             lag_ms: o.lag_us.0 as f64 / 1e3,
             unseen: o.has_seen().err().map(|why| why.to_string()),
-            whole: part("all", &o.score.whole, None),
+            whole: part("all", &o.score.total, None),
             classes: classes
                 .map(|(c, (s, w))| part(&c.name, s, Some(w)))
                 .collect(),
--- a/rehearse/src/rules/answers.rs
+++ b/rehearse/src/rules/answers.rs
@@ -16,24 +16,31 @@
         at,
         evidence,
     };
-    for asked in &case.record.asked {
-        let of = answers.remove(asked.id.as_str()).unwrap_or_default();
-        let owed = asked.released.is_none_or(|at| at >= asked.until);
+    for request in &case.record.requests {
+        let of = answers.remove(request.id.as_str()).unwrap_or_default();
+        let owed = request.released.is_none_or(|at| at >= request.until);
         match of.iter().map(|a| a.at).min() {
             None if owed => out.push(breach(
-                &asked.id,
-                asked.until,
+                &request.id,
+                request.until,
                 "no answer before its client gave up".into(),
             )),
             // When it was read by its client's thread, which is late as the rehearsal is.
-            Some(at) if owed && at > asked.until + case.limits.late_us => {
-                let late = format!("answered {} us after its client gave up", at - asked.until);
-                out.push(breach(&asked.id, at, late));
+            Some(at) if owed && at > request.until + case.limits.late_us => {
+                let late = format!(
+                    "answered {} us after its client gave up",
+                    at - request.until
+                );
+                out.push(breach(&request.id, at, late));
             }
             _ => {}
         }
         for more in of.iter().skip(1) {
-            out.push(breach(&asked.id, more.at, format!("{} answers", of.len())));
+            out.push(breach(
+                &request.id,
+                more.at,
+                format!("{} answers", of.len()),
+            ));
         }
     }
     for (id, of) in answers {
@@ -48,7 +55,7 @@
 pub(super) fn content(case: &Case<'_>, out: &mut Vec<Breach>) {
     for a in &case.record.answered {
         let (rule, evidence) = match a.answer {
-            Final::Served { whole: false, .. } => {
+            Final::Served { intact: false, .. } => {
                 ("whole bytes", "served with bytes that no box gave for it")
             }
             Final::Refused { advised: false } => {
--- a/rehearse/src/rules/attempts.rs
+++ b/rehearse/src/rules/attempts.rs
@@ -52,7 +52,7 @@
 pub(super) fn repeats(case: &Case<'_>, out: &mut Vec<Breach>) {
     // Held to one try: a client that tries again has itself asked for more.
     for (id, of) in &case.attempts {
-        let Some(asked) = case.asked.get(id) else {
+        let Some(request) = case.requests.get(id) else {
             out.push(breach(
                 "repeats",
                 of[0],
@@ -65,7 +65,7 @@
             continue;
         };
         for a in later {
-            match case.record.classes[asked.class].repeat {
+            match case.record.classes[request.class].repeat {
                 Repeat::Safe => {}
                 Repeat::Unsafe => {
                     out.push(breach(
--- a/rehearse/src/rules/drains.rs
+++ b/rehearse/src/rules/drains.rs
@@ -1,17 +1,17 @@
 //! Drains: nothing new to a box, as target or as source of a fill, once a proxy has had word and its grace is over.
 
 use super::{Breach, Case};
-use crate::record::{Micros, Word};
+use crate::record::{Micros, NoticeKind};
 use std::collections::BTreeMap;
 
 pub(super) fn check(case: &Case<'_>, out: &mut Vec<Breach>) {
     // By proxy and box: when it was told what, in order.
     let mut words: BTreeMap<(usize, &str), Vec<(Micros, bool)>> = BTreeMap::new();
-    for t in &case.record.told {
-        let (uid, is_out) = match &t.word {
-            Word::Ready(uid) => (uid, false),
-            Word::Out(uid) => (uid, true),
-            Word::Purged { .. } => continue,
+    for t in &case.record.notices {
+        let (uid, is_out) = match &t.kind {
+            NoticeKind::Ready(uid) => (uid, false),
+            NoticeKind::Out(uid) => (uid, true),
+            NoticeKind::Purged { .. } => continue,
         };
         words
             .entry((t.proxy, uid))
@@ -22,8 +22,12 @@
     // Since when a box has been out for a proxy at some time: repeats of a word do not begin its grace anew.
     let out_since = |proxy: usize, uid: &str, at: Micros| {
         let mut since = None;
-        for (told, is_out) in words.get(&(proxy, uid))?.iter().take_while(|w| w.0 <= at) {
-            since = if *is_out { since.or(Some(*told)) } else { None };
+        for (notified_at, is_out) in words.get(&(proxy, uid))?.iter().take_while(|w| w.0 <= at) {
+            since = if *is_out {
+                since.or(Some(*notified_at))
+            } else {
+                None
+            };
         }
         since
     };
--- a/rehearse/src/rules/mod.rs
+++ b/rehearse/src/rules/mod.rs
@@ -8,7 +8,7 @@
 mod drains;
 mod purges;
 
-use crate::record::{Asked, Attempt, Limits, Micros, Record};
+use crate::record::{Attempt, Limits, Micros, Record, Request};
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -50,7 +50,7 @@
 pub(crate) struct Case<'a> {
     record: &'a Record,
     limits: &'a Limits,
-    asked: BTreeMap<&'a str, &'a Asked>,
+    requests: BTreeMap<&'a str, &'a Request>,
     /// Attempts of each try, in the order of their arrival.
     attempts: BTreeMap<&'a str, Vec<&'a Attempt>>,
 }
@@ -85,7 +85,7 @@
 
 /// Every breach in a record, in the order of time.
 pub fn judge(record: &Record, limits: &Limits) -> Vec<Breach> {
-    let asked = record.asked.iter().map(|a| (a.id.as_str(), a)).collect();
+    let requests = record.requests.iter().map(|a| (a.id.as_str(), a)).collect();
     let mut attempts: BTreeMap<&str, Vec<&Attempt>> = BTreeMap::new();
     for a in &record.attempts {
         attempts.entry(&a.id).or_default().push(a);
@@ -96,7 +96,7 @@
     let case = Case {
         record,
         limits,
-        asked,
+        requests,
         attempts,
     };
     let mut breaches = Vec::new();
--- a/rehearse/src/score.rs
+++ b/rehearse/src/score.rs
@@ -1,14 +1,14 @@
-//! The score of a rehearsal: worth answered in time over worth asked, for the whole run, its worst ten seconds and its
-//! worst class, and what became of the rest. A client's retries belong to its first try.
+//! The score of a rehearsal: weight answered in time over weight offered, for the whole run, its worst ten seconds and its
+//! worst class, and what became of the rest. A client's retries belong to its first request.
 
-use crate::record::{Answered, Asked, Final, Micros, Record};
+use crate::record::{Answered, Final, Micros, Record, Request};
 use std::collections::BTreeMap;
 
-/// What became of worth, as shares of what was asked for; the six add up to 1 where late answers earn nothing.
+/// What became of the requests' weight, as shares of what was offered; the six add up to 1 where late answers earn nothing.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Shares {
-    /// Worth asked for.
-    pub asked: f64,
+    /// Weight of all requests.
+    pub offered: f64,
     /// Earned: in time, or part of it where late.
     pub earned: f64,
     /// Lost to answers after the wanted time.
@@ -22,13 +22,13 @@
 }
 
 impl Shares {
-    /// Earned over asked; none where nothing was asked: such a run has seen nothing.
+    /// Earned over offered; none where nothing was offered: such a run has seen nothing.
     pub fn score(&self) -> Option<f64> {
-        (self.asked > 0.0).then(|| self.earned / self.asked)
+        (self.offered > 0.0).then(|| self.earned / self.offered)
     }
 
     fn add(&mut self, other: &Shares) {
-        self.asked += other.asked;
+        self.offered += other.offered;
         self.earned += other.earned;
         self.late += other.late;
         self.refused += other.refused;
@@ -41,45 +41,51 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Score {
     /// The whole run.
-    pub whole: Shares,
+    pub total: Shares,
     /// By class, in the order of the record's.
     pub classes: Vec<Shares>,
-    /// By seconds, by when the first try was sent, from the earliest on.
+    /// By seconds, by when the first request was sent, from the earliest on.
     pub seconds: Vec<Shares>,
-    /// The ten seconds in a row that earned least of what they asked, by their first second.
+    /// The ten seconds in a row that earned least of what was offered, by their first second.
     pub worst: Option<(usize, f64)>,
 }
 
 /// Width of the worst window, in seconds.
 const WINDOW: usize = 10;
 
-/// What one request came to: its tries in order, and the answer to each.
-fn outcome(record: &Record, tries: &[(&Asked, Option<&Answered>)]) -> Shares {
-    let first = tries[0].0;
+/// What one request came to: it and its retries in order, and the answer to each.
+fn outcome(record: &Record, attempts: &[(&Request, Option<&Answered>)]) -> Shares {
+    let first = attempts[0].0;
     let class = &record.classes[first.class];
-    let worth = class.worth;
+    let weight = class.weight;
     let mut shares = Shares {
-        asked: worth,
+        offered: weight,
         ..Shares::default()
     };
-    let served = tries
+    let served = attempts
         .iter()
         .filter_map(|(_, a)| a.filter(|a| matches!(a.answer, Final::Served { .. })));
-    // Counted from the first try: a retry that is quick does not make the wait before it shorter.
+    // Counted from the first request: a retry that is quick does not make the wait before it shorter.
     if let Some(at) = served.map(|a| a.at).min() {
-        let aim = first.at + class.aim_us + (class.stretch * first.work_us as f64) as Micros;
-        shares.earned = if at <= aim {
-            worth
+        let objective =
+            first.at + class.objective_us + (class.stretch * first.work_us as f64) as Micros;
+        shares.earned = if at <= objective {
+            weight
         } else {
-            worth * class.late_worth
+            weight * class.late_weight
         };
-        shares.late = worth - shares.earned;
+        shares.late = weight - shares.earned;
         return shares;
     }
-    match tries.iter().rev().find_map(|(_, a)| *a).map(|a| a.answer) {
-        Some(Final::Refused { .. }) => shares.refused = worth,
-        Some(_) => shares.failed = worth,
-        None => shares.unanswered = worth,
+    match attempts
+        .iter()
+        .rev()
+        .find_map(|(_, a)| *a)
+        .map(|a| a.answer)
+    {
+        Some(Final::Refused { .. }) => shares.refused = weight,
+        Some(_) => shares.failed = weight,
+        None => shares.unanswered = weight,
     }
     shares
 }
@@ -90,21 +96,21 @@
     for a in &record.answered {
         answers.entry(&a.id).or_insert(a);
     }
-    let mut tries: BTreeMap<&str, Vec<(&Asked, Option<&Answered>)>> = BTreeMap::new();
-    for a in &record.asked {
-        tries
+    let mut attempts: BTreeMap<&str, Vec<(&Request, Option<&Answered>)>> = BTreeMap::new();
+    for a in &record.requests {
+        attempts
             .entry(&a.first)
             .or_default()
             .push((a, answers.get(a.id.as_str()).copied()));
     }
-    let start = record.asked.iter().map(|a| a.at).min().unwrap_or(0);
+    let start = record.requests.iter().map(|a| a.at).min().unwrap_or(0);
     let mut out = Score {
-        whole: Shares::default(),
+        total: Shares::default(),
         classes: vec![Shares::default(); record.classes.len()],
         seconds: Vec::new(),
         worst: None,
     };
-    for of in tries.values_mut() {
+    for of in attempts.values_mut() {
         of.sort_by_key(|(a, _)| a.at);
         let shares = outcome(record, of);
         let second = ((of[0].0.at - start) / 1_000_000) as usize;
@@ -112,7 +118,7 @@
             out.seconds.resize(second + 1, Shares::default());
         }
         for place in [
-            &mut out.whole,
+            &mut out.total,
             &mut out.classes[of[0].0.class],
             &mut out.seconds[second],
         ] {
--- a/rehearse/src/series.rs
+++ b/rehearse/src/series.rs
@@ -95,7 +95,7 @@
         }
         Verdict::Played {
             broken,
-            score: outcome.score.whole.score().unwrap_or(0.0),
+            score: outcome.score.total.score().unwrap_or(0.0),
         }
     }
 
--- a/rehearse/tests/purges.rs
+++ b/rehearse/tests/purges.rs
@@ -87,12 +87,12 @@
 impl Play {
     fn purge(&mut self, now: Micros, object: bool) {
         let object = object.then(|| OBJECT.to_string());
-        let told = Event::Purged {
+        let purged = Event::Purged {
             object,
             group: GROUP,
             age_us: 0,
         };
-        self.router.handle(now, told, &mut Vec::new());
+        self.router.handle(now, purged, &mut Vec::new());
     }
 
     /// Asks through the router: which box was asked, and when the copy that it gave was made. What is to happen
@@ -129,7 +129,7 @@
         let (server, fill): (u64, Fill) = sent.expect("an attempt");
         let uid = name(server);
         self.site.advance(now);
-        let mut out = self.site.fetch(now, uid, asked(id, &fill, server));
+        let mut out = self.site.fetch(now, uid, fetch_of(id, &fill, server));
         out.extend(self.site.advance(now + RUNS));
         meanwhile(self, now + RUNS);
         out.extend(self.site.advance(now + 4 * S));
@@ -163,7 +163,7 @@
     }
 }
 
-fn asked(id: u64, fill: &Fill, server: u64) -> Fetch {
+fn fetch_of(id: u64, fill: &Fill, server: u64) -> Fetch {
     Fetch {
         connection: 1,
         id: id.to_string(),
@@ -197,7 +197,7 @@
         let any = Fetch {
             max_age_us: u64::MAX,
             keep: 0,
-            ..asked(99, &bare(), 0)
+            ..fetch_of(99, &bare(), 0)
         };
         let (later, mut out) = (
             T0 + 10 * S,
@@ -237,7 +237,7 @@
         source: Some(first.into()),
         max_age_us: u64::MAX,
         keep: 1,
-        ..asked(98, &bare(), 0)
+        ..fetch_of(98, &bare(), 0)
     };
     p.site.fetch(purged_at + S / 10, other, untold);
     p.site.advance(purged_at + S);
@@ -278,12 +278,12 @@
     });
     p.router = router(false);
     let now = T0 + 20 * S;
-    let told = Event::Purged {
+    let purged = Event::Purged {
         object: Some(OBJECT.to_string()),
         group: GROUP,
         age_us: now - purged_at,
     };
-    p.router.handle(now, told, &mut Vec::new());
+    p.router.handle(now, purged, &mut Vec::new());
     let (_, made) = p.ask(now + S, |_, _| {});
     assert!(
         old < purged_at && made >= purged_at,
--- a/rehearse/tests/rules.rs
+++ b/rehearse/tests/rules.rs
@@ -9,22 +9,22 @@
 const MS: Micros = 1000;
 const S: Micros = 1_000_000;
 
-fn class(name: &str, repeat: Repeat, worth: f64) -> Class {
+fn class(name: &str, repeat: Repeat, weight: f64) -> Class {
     Class {
         name: name.into(),
         repeat,
-        aim_us: 300 * MS,
+        objective_us: 300 * MS,
         stretch: 2.0,
-        worth,
-        late_worth: 0.2,
+        weight,
+        late_weight: 0.2,
     }
 }
 
-fn asked(id: &str, class: usize, at: Micros) -> Asked {
+fn request(id: &str, class: usize, at: Micros) -> Request {
     let key = (class == 1).then(|| format!("key-{id}"));
     let (id, object) = (id.to_owned(), "o".to_owned());
     let (first, work_us, until) = (id.clone(), 50 * MS, at + 2 * S);
-    Asked {
+    Request {
         id,
         first,
         class,
@@ -60,18 +60,18 @@
         at,
         answer: Final::Served {
             made: Some(made),
-            whole: true,
+            intact: true,
         },
     }
 }
 
-fn told(at: Micros, word: Word) -> Told {
-    Told { proxy: 0, at, word }
+fn notice(at: Micros, kind: NoticeKind) -> Notice {
+    Notice { proxy: 0, at, kind }
 }
 
 /// Two requests, a retry behind a refusal, a post, a drain, a purge and a cold box, all as they should be.
 fn sound() -> Record {
-    let mut retry = asked("c2", 0, 31 * S);
+    let mut retry = request("c2", 0, 31 * S);
     retry.first = "c1".into();
     Record {
         classes: vec![
@@ -79,12 +79,12 @@
             class("post", Repeat::Keyed(3 * S), 3.0),
             class("pay", Repeat::Unsafe, 3.0),
         ],
-        asked: vec![
-            asked("a", 0, 10 * S),
-            asked("b", 1, 20 * S),
-            asked("c1", 0, 30 * S),
+        requests: vec![
+            request("a", 0, 10 * S),
+            request("b", 1, 20 * S),
+            request("c1", 0, 30 * S),
             retry,
-            asked("d", 2, 40 * S),
+            request("d", 2, 40 * S),
         ],
         answered: vec![
             served("a", 10 * S + 80 * MS, 9 * S),
@@ -109,11 +109,11 @@
             attempt("d", "origin", 40 * S, 10 * MS, Ended::Unseen),
             attempt("d", "origin", 40 * S + 20 * MS, 10 * MS, Ended::Ran),
         ],
-        told: vec![
-            told(25 * S, Word::Out("box-1".into())),
-            told(
+        notices: vec![
+            notice(25 * S, NoticeKind::Out("box-1".into())),
+            notice(
                 29 * S,
-                Word::Purged {
+                NoticeKind::Purged {
                     object: Some("o".into()),
                     group: 0,
                     at: 28 * S,
@@ -151,7 +151,7 @@
     ("whole bytes", |r| {
         r.answered[0].answer = Final::Served {
             made: Some(9 * S),
-            whole: false,
+            intact: false,
         }
     }),
     ("advice", |r| {
@@ -181,8 +181,8 @@
     ("drains", |r| r.attempts[3].source = Some("box-1".into())),
     // A second word does not begin the grace anew.
     ("drains", |r| {
-        r.told
-            .push(told(30 * S + 900 * MS, Word::Out("box-1".into())));
+        r.notices
+            .push(notice(30 * S + 900 * MS, NoticeKind::Out("box-1".into())));
         r.attempts[3].target = "box-1".into();
     }),
     ("cold boxes", |r| {
@@ -222,7 +222,7 @@
     // So it is with an answer that was read a moment after its client gave up.
     let answered = |late_us, after: u64| {
         let mut record = sound();
-        record.answered[0].at = record.asked[0].until + after;
+        record.answered[0].at = record.requests[0].until + after;
         judge(
             &record,
             &Limits {
@@ -274,11 +274,11 @@
 fn what_lies_within_a_grace_or_was_released_is_no_breach() {
     let mut record = sound();
     // Sent 1 s after word of the drain, and 300 ms after word of a purge.
-    record.told = vec![
-        told(9 * S, Word::Out("box-1".into())),
-        told(
+    record.notices = vec![
+        notice(9 * S, NoticeKind::Out("box-1".into())),
+        notice(
             10 * S - 350 * MS,
-            Word::Purged {
+            NoticeKind::Purged {
                 object: None,
                 group: 3,
                 at: 9 * S + 1,
@@ -288,13 +288,13 @@
     record.cold.clear();
     assert_eq!(broken(&record), []);
     // One ms more, and both are.
-    record.told.iter_mut().for_each(|t| t.at -= 51 * MS);
+    record.notices.iter_mut().for_each(|t| t.at -= 51 * MS);
     let rules: Vec<&str> = broken(&record).iter().map(|b| b.rule).collect();
     assert_eq!(rules, ["drains", "purges"]);
     // Ready again in between: its word holds.
     record
-        .told
-        .push(told(9 * S + MS, Word::Ready("box-1".into())));
+        .notices
+        .push(notice(9 * S + MS, NoticeKind::Ready("box-1".into())));
     assert_eq!(
         broken(&record).iter().map(|b| b.rule).collect::<Vec<_>>(),
         ["purges"]
@@ -302,7 +302,7 @@
     // A client that took its request back is owed nothing, and two answers are too many all the same.
     let mut record = sound();
     record.answered.remove(0);
-    record.asked[0].released = Some(11 * S);
+    record.requests[0].released = Some(11 * S);
     assert_eq!(broken(&record), []);
     // A cold box may be given what it can bear.
     let mut record = sound();
@@ -322,23 +322,23 @@
     // a in time; b late, of which a fifth counts; c served by its retry, late by its first try; d failed.
     let earned = 1.0 + 3.0 * 0.2 + 0.2;
     assert!(
-        (out.whole.asked - 8.0).abs() < 1e-9 && (out.whole.earned - earned).abs() < 1e-9,
+        (out.total.offered - 8.0).abs() < 1e-9 && (out.total.earned - earned).abs() < 1e-9,
         "{out:?}"
     );
-    assert!((out.whole.late - (2.4 + 0.8)).abs() < 1e-9);
+    assert!((out.total.late - (2.4 + 0.8)).abs() < 1e-9);
     assert_eq!(
-        (out.whole.failed, out.whole.refused, out.whole.unanswered),
+        (out.total.failed, out.total.refused, out.total.unanswered),
         (3.0, 0.0, 0.0)
     );
     assert_eq!(
-        out.classes.iter().map(|c| c.asked).collect::<Vec<_>>(),
+        out.classes.iter().map(|c| c.offered).collect::<Vec<_>>(),
         [2.0, 3.0, 3.0]
     );
     assert_eq!(
         (
             out.seconds.len(),
-            out.seconds[0].asked,
-            out.seconds[1].asked
+            out.seconds[0].offered,
+            out.seconds[1].offered
         ),
         (31, 1.0, 0.0)
     );
@@ -349,13 +349,13 @@
     );
     // Without its retry, c is refused; without any answer, unanswered.
     let mut record = sound();
-    record.asked.remove(3);
+    record.requests.remove(3);
     record.answered.remove(3);
-    assert_eq!(score(&record).whole.refused, 1.0);
+    assert_eq!(score(&record).total.refused, 1.0);
     record.answered.clear();
-    assert_eq!(score(&record).whole.unanswered, 8.0);
+    assert_eq!(score(&record).total.unanswered, 8.0);
     // Nothing asked is no score at all, rather than a good one.
-    assert_eq!(score(&Record::default()).whole.score(), None);
+    assert_eq!(score(&Record::default()).total.score(), None);
     assert_eq!(score(&Record::default()).worst, None);
 }
 
@@ -371,26 +371,26 @@
     // A hundred in time, each 20 ms; the load generator is held up before the last, which waits 2 s all the same.
     for n in 0..100 {
         let (id, at) = (format!("{n}"), (10 + n) * S);
-        record.asked.push(asked(&id, 0, at));
+        record.requests.push(request(&id, 0, at));
         record.answered.push(served(&id, at + 20 * MS, at));
     }
-    let held_up = Asked {
+    let held_up = Request {
         due: 198 * S,
-        ..asked("late", 0, 200 * S)
+        ..request("late", 0, 200 * S)
     };
-    record.asked.push(held_up);
+    record.requests.push(held_up);
     record
         .answered
         .push(served("late", 200 * S + 20 * MS, 200 * S));
     // Refused at first and served by its retry; and one never served.
-    let retry = Asked {
+    let retry = Request {
         first: "again".into(),
-        ..asked("retry", 0, 301 * S)
+        ..request("retry", 0, 301 * S)
     };
-    record.asked.extend([
-        asked("again", 0, 300 * S),
+    record.requests.extend([
+        request("again", 0, 300 * S),
         retry,
-        asked("never", 0, 400 * S),
+        request("never", 0, 400 * S),
     ]);
     record.answered.push(Answered {
         id: "again".into(),
@@ -401,7 +401,7 @@
         .answered
         .push(served("retry", 301 * S + 500 * MS, 301 * S));
     let w = class_of(&record, 0);
-    assert_eq!((w.asked, w.served), (103, 102));
+    assert_eq!((w.requests, w.served), (103, 102));
     assert!(
         near(w.p50, 20) && near(w.p90, 20) && near(w.p99, 1500) && near(w.most, 2020),
         "{w:?}"
