--- a/daemon/examples/figures.rs
+++ b/daemon/examples/figures.rs
@@ -384,7 +384,7 @@
         before.1, after.1, after.2
     );
     let _ = load.quantiles();
-    let (asked, begun, cpu) = (agent.asked().len(), Instant::now(), used(pid).0);
+    let (asked, begun, cpu) = (agent.requests().len(), Instant::now(), used(pid).0);
     let changes = rounds as usize * 10_000 / 60;
     for n in 0..changes {
         let at = n * 7 % FAR;
@@ -395,7 +395,7 @@
         thread::sleep(Duration::from_millis(6 * n as u64).saturating_sub(begun.elapsed()));
     }
     let (busy, s) = (load.quantiles(), begun.elapsed().as_secs_f64());
-    let queries = (agent.asked().len() - asked) as f64 / s;
+    let queries = (agent.requests().len() - asked) as f64 / s;
     println!(
         "| changes a second, queries a second | {:.0}, {queries:.1} |",
         changes as f64 / s
--- a/daemon/tests/between.rs
+++ b/daemon/tests/between.rs
@@ -2,7 +2,7 @@
 //! processes killed and started again. What each of them was told of a purge is what it must keep, and what it was
 //! not told of it can't.
 
-use linnetknot_harness::clients::{becomes, call, PATIENCE};
+use linnetknot_harness::clients::{becomes, call, TIMEOUT};
 use linnetknot_harness::fleet::{purge_at, status_path, Disk, Fleet, Setup};
 use linnetknot_harness::links::LinkConditions;
 use std::collections::BTreeSet;
@@ -37,7 +37,7 @@
 /// Waits until something is so; a test whose cause has gone must fail and not stand still.
 fn until(what: &str, so: impl FnMut() -> bool) {
     // A death takes up to some seconds to be believed, and a machine that is busy with other tests some more.
-    assert!(becomes(3 * PATIENCE, so), "never: {what}");
+    assert!(becomes(3 * TIMEOUT, so), "never: {what}");
 }
 
 fn floor(fleet: &Fleet, n: usize, object: &str) -> bool {
@@ -739,9 +739,9 @@
 
 /// Whether a proxy that is asked for forty photos from one on asks a box for any of them.
 fn uses_box(fleet: &Fleet, n: usize, place: usize, from: u64) -> bool {
-    let before = fleet.boxes[place].arrivals().len();
+    let before = fleet.caches[place].arrivals().len();
     (from..from + 40).for_each(|o| drop(fleet.ask(n, &object(o)).unwrap()));
-    fleet.boxes[place].arrivals().len() > before
+    fleet.caches[place].arrivals().len() > before
 }
 
 /// A proxy sends something to a box in the end: on a busy machine a box may be late, and is let be for a while.
--- a/daemon/tests/budgets.rs
+++ b/daemon/tests/budgets.rs
@@ -3,7 +3,7 @@
 //! used by those that have something to do.
 
 use linnetknot_daemon::budgets::{BudgetStatus, GrantStatus, Status};
-use linnetknot_harness::clients::{becomes, PATIENCE};
+use linnetknot_harness::clients::{becomes, TIMEOUT};
 use linnetknot_harness::fleet::{Disk, Fleet, Setup};
 use linnetknot_harness::links::LinkConditions;
 use linnetknot_harness::pressure::Pressure;
@@ -76,7 +76,9 @@
     }
 
     fn kill(&mut self, n: usize) {
-        self.clients[n].iter().for_each(|clients| clients.aim(None));
+        self.clients[n]
+            .iter()
+            .for_each(|clients| clients.send_to(None));
         self.fleet.kill(n).unwrap();
     }
 
@@ -85,7 +87,7 @@
         let front = self.fleet.process(n).unwrap().front;
         self.clients[n]
             .iter()
-            .for_each(|clients| clients.aim(Some(front)));
+            .for_each(|clients| clients.send_to(Some(front)));
     }
 
     /// What a proxy tells of the places; none where it does not run, or stands still.
@@ -115,11 +117,7 @@
                 .map(|n| (n, self.places(n)))
                 .collect::<Vec<_>>()
         };
-        assert!(
-            becomes(3 * PATIENCE, so),
-            "never: {what}: {:#?}",
-            statuses()
-        );
+        assert!(becomes(3 * TIMEOUT, so), "never: {what}: {:#?}", statuses());
     }
 
     /// The mean of what the origin held in the last half second.
@@ -397,7 +395,7 @@
     for n in ALL {
         ground.clients[n]
             .iter()
-            .for_each(|clients| clients.aim(None));
+            .for_each(|clients| clients.send_to(None));
         assert!(ground.fleet.end(n).unwrap(), "p{n} ends well");
         ground.restart(n, "");
     }
--- a/daemon/tests/compacted_fleet.rs
+++ b/daemon/tests/compacted_fleet.rs
@@ -1,7 +1,7 @@
 //! Three processes of the daemon that hold few purges one by one: one that was away past that, or lost its disk, has
 //! the floors of all purges before it is ready, from its peers' snapshot.
 
-use linnetknot_harness::clients::{becomes, PATIENCE};
+use linnetknot_harness::clients::{becomes, TIMEOUT};
 use linnetknot_harness::fleet::{Disk, Fleet, Setup};
 use std::path::Path;
 
@@ -27,7 +27,7 @@
 }
 
 fn until(what: &str, so: impl FnMut() -> bool) {
-    assert!(becomes(3 * PATIENCE, so), "never: {what}");
+    assert!(becomes(3 * TIMEOUT, so), "never: {what}");
 }
 
 /// Tells proxies 0 and 1 of all purges in turn, and waits until both have compacted all beyond the window.
--- a/daemon/tests/discovery.rs
+++ b/daemon/tests/discovery.rs
@@ -123,7 +123,7 @@
         Manner::Mute,
         Manner::Gone,
     ] {
-        let (before, mut web) = (agent.asked().len(), rig.web());
+        let (before, mut web) = (agent.requests().len(), rig.web());
         agent.behave(manner);
         if manner != Manner::Gone {
             assert!(agent.wait_for(|asked| asked.len() > before), "{manner:?}");
@@ -168,10 +168,10 @@
     assert!(agent.wait_until_read());
     assert_eq!(spread(&rig, &mut web)[1], 0);
     // The health API names none, and the catalogue all.
-    let before = agent.asked().len();
+    let before = agent.requests().len();
     agent.lose_health();
     let consistent =
-        |a: &linnetknot_harness::fakes::consul::Asked| a.target.contains("?consistent");
+        |a: &linnetknot_harness::fakes::consul::AgentRequest| a.target.contains("?consistent");
     assert!(agent.wait_for(|asked| asked[before..].iter().any(consistent)));
     assert!(spread(&rig, &mut web)[0] > 0);
     rig.stop();
@@ -306,7 +306,7 @@
     });
     assert!(agent.wait_for_check("edge-7", Some("passing")));
     let registered = agent
-        .asked()
+        .requests()
         .into_iter()
         .find(|a| a.target.ends_with("/register"))
         .unwrap();
@@ -336,7 +336,7 @@
     std::fs::write(&file, "old-secret\n").unwrap();
     let (agent, rig, mut web) = started(|config| config["consul"]["token_file"] = json!(file));
     assert!(agent
-        .asked()
+        .requests()
         .iter()
         .all(|a| a.token.as_deref() == Some("old-secret")));
     std::fs::write(&file, "new-secret\n").unwrap();
--- a/daemon/tests/fault_matrix.rs
+++ b/daemon/tests/fault_matrix.rs
@@ -20,7 +20,7 @@
 #[test]
 fn at_every_fault_point_and_with_both_disks_no_commit_is_lost() {
     let matrix = played(&cases(2 * FAULT_POINTS.len(), 100), "");
-    assert_eq!(matrix.status(), 0, "{matrix}\n{:#?}", matrix.said);
+    assert_eq!(matrix.status(), 0, "{matrix}\n{:#?}", matrix.notes);
 }
 
 /// Each planted fault is named by its rule at a point that shows it.
@@ -42,14 +42,14 @@
             ..cases(2 * FAULT_POINTS.len(), 0)[FAULT_POINTS.len() + at]
         };
         let matrix = played(&[case], plant.armed);
-        assert_eq!(matrix.status(), 1, "{name}: {matrix}\n{:#?}", matrix.said);
+        assert_eq!(matrix.status(), 1, "{name}: {matrix}\n{:#?}", matrix.notes);
         assert!(
             matrix
-                .said
+                .notes
                 .iter()
                 .any(|said| said.contains(&format!("{rule} at"))),
             "{name}: {:#?}",
-            matrix.said
+            matrix.notes
         );
     }
 }
--- a/daemon/tests/plain_purges.rs
+++ b/daemon/tests/plain_purges.rs
@@ -2,7 +2,7 @@
 
 use linnetknot_daemon::fleet::ask as ask_status;
 use linnetknot_datagram::MAX_DATAGRAM_BYTES;
-use linnetknot_harness::clients::{becomes, PATIENCE};
+use linnetknot_harness::clients::{becomes, TIMEOUT};
 use linnetknot_harness::fleet::purge_at;
 use linnetknot_harness::process::Process;
 use linnetknot_harness::{settings, unix_ms};
@@ -129,7 +129,7 @@
     /// Waits until the daemon believes that the member runs.
     fn meet(&mut self) {
         let (admin, address, member) = (self.daemon.admin, self.address, &mut self.member);
-        let met = becomes(PATIENCE, || {
+        let met = becomes(TIMEOUT, || {
             member.take_turn(address);
             ask_status(admin)
                 .unwrap()
@@ -149,7 +149,7 @@
     fn index_of(&mut self, object: &str) -> u64 {
         let (address, member, older) = (self.address, &mut self.member, &self.older);
         let mut index = None;
-        let sent = becomes(PATIENCE, || {
+        let sent = becomes(TIMEOUT, || {
             member.take_turn(address);
             while let Some(bytes) = next_datagram(older) {
                 index = index.or(entry_index(&bytes, object));
@@ -213,7 +213,7 @@
         }
         plain == PLAIN_DATAGRAMS
     };
-    assert!(becomes(PATIENCE, &mut was_sent_all), "{plain} came");
+    assert!(becomes(TIMEOUT, &mut was_sent_all), "{plain} came");
     rig.member.take_turn(rig.address);
     let is_entry = |text: &&String| text.starts_with("copies1 entry ") && text.ends_with(OBJECT);
     assert!(
--- a/daemon/tests/rehearsal.rs
+++ b/daemon/tests/rehearsal.rs
@@ -103,7 +103,7 @@
         None,
     )
     .expect("it is played");
-    out.lag_us.0 = player::MOST_LAG_US + 1;
+    out.lag_us.0 = player::MAX_LAG_US + 1;
     assert!(out.has_seen().unwrap_err().to_string().contains("late"));
     out.score.total.offered = 0.0;
     assert!(out
--- a/harness/src/clients.rs
+++ b/harness/src/clients.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 /// How long a client waits for anything at the most.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+pub const TIMEOUT: Duration = Duration::from_secs(10);
 
 fn bad(what: &str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, what.to_owned())
@@ -63,7 +63,7 @@
     /// Connects.
     pub fn connect(to: SocketAddr) -> io::Result<Self> {
         let socket = TcpStream::connect(to)?;
-        socket.set_read_timeout(Some(PATIENCE))?;
+        socket.set_read_timeout(Some(TIMEOUT))?;
         Ok(WebServer {
             socket,
             records: Records::default(),
@@ -220,7 +220,7 @@
             Some(Piece::Head(h)) => head = Some(h),
             Some(Piece::Body(bytes)) => body.extend(bytes),
             Some(Piece::End) => is_complete = true,
-            None if begun.elapsed() > PATIENCE => return Err(io::ErrorKind::TimedOut.into()),
+            None if begun.elapsed() > TIMEOUT => return Err(io::ErrorKind::TimedOut.into()),
             None => {
                 let mut bytes = [0; 4096];
                 let got = if is_complete && !to_the_end {
@@ -273,7 +273,7 @@
 /// Sends bytes and reads the one response to them.
 pub fn exchange(to: SocketAddr, bytes: &[u8]) -> io::Result<Answer> {
     let mut socket = TcpStream::connect(to)?;
-    socket.set_read_timeout(Some(PATIENCE))?;
+    socket.set_read_timeout(Some(TIMEOUT))?;
     socket.write_all(bytes)?;
     let mut messages = Messages::responses(1 << 16, 1 << 20);
     let Received {
--- a/harness/src/fakes/cache.rs
+++ b/harness/src/fakes/cache.rs
@@ -67,7 +67,7 @@
 
 /// Something that a box held.
 #[derive(Clone, Debug)]
-struct Held {
+struct ActiveFetch {
     connection: usize,
     id: String,
     from: Instant,
@@ -76,7 +76,7 @@
 
 #[derive(Default)]
 struct State {
-    held: Vec<Held>,
+    fetches: Vec<ActiveFetch>,
     manner: Manner,
     arrivals: Vec<Arrival>,
     made: BTreeMap<String, u64>,
@@ -123,7 +123,7 @@
             let served = cache.serve(socket, connection);
             cache.state().ended += 1;
             // What was asked by it is wanted by nobody any more.
-            cache.let_go(|held| held.connection == connection);
+            cache.finish(|fetch| fetch.connection == connection);
             served
         })?;
         Ok(FakeCache {
@@ -184,22 +184,26 @@
     pub fn spans(&self, begun: Instant) -> Vec<Span> {
         let at = |at: Instant| at.saturating_duration_since(begun).as_micros() as u64;
         let now = Instant::now();
-        let held = self.state().held.clone();
-        held.iter()
-            .map(|held| Span {
-                from: at(held.from),
-                until: at(held.until.unwrap_or(now)),
+        let fetches = self.state().fetches.clone();
+        fetches
+            .iter()
+            .map(|fetch| Span {
+                from: at(fetch.from),
+                until: at(fetch.until.unwrap_or(now)),
             })
             .collect()
     }
 
-    fn let_go(&self, which: impl Fn(&Held) -> bool) {
+    fn finish(&self, which: impl Fn(&ActiveFetch) -> bool) {
         let now = Instant::now();
         let mut state = self.state();
         // Each ends once; those that have ended long ago need not be looked at.
-        let open = state.held.iter_mut().filter(|held| held.until.is_none());
-        open.filter(|held| which(held))
-            .for_each(|held| held.until = Some(now));
+        let open = state
+            .fetches
+            .iter_mut()
+            .filter(|fetch| fetch.until.is_none());
+        open.filter(|fetch| which(fetch))
+            .for_each(|fetch| fetch.until = Some(now));
     }
 
     fn serve(&self, socket: TcpStream, connection: usize) -> Option<()> {
@@ -217,12 +221,12 @@
         let manner = state.manner;
         if arrival.word == "abort" {
             drop(state);
-            return self.let_go(|held| held.connection == connection && held.id == arrival.id);
+            return self.finish(|fetch| fetch.connection == connection && fetch.id == arrival.id);
         }
         if arrival.word != "fetch" || manner.mute {
             return;
         }
-        state.held.push(Held {
+        state.fetches.push(ActiveFetch {
             connection,
             id: arrival.id.clone(),
             from: Instant::now(),
@@ -241,7 +245,7 @@
             thread::sleep(Duration::from_millis(manner.hold_ms));
             let out = answer_bytes(&arrival, &copy, &manner);
             // Before its answer is on its way: whoever has that may send the next.
-            me.let_go(|held| held.connection == connection && held.id == arrival.id);
+            me.finish(|fetch| fetch.connection == connection && fetch.id == arrival.id);
             let _ = socket.write_all(&out);
         };
         if manner.hold_ms > 0 {
@@ -296,8 +300,8 @@
         (false, _) => "pulled_far",
     };
     let waited = manner.origin_ms.max(1);
-    let told = if manner.any_age { arrival.at } else { *made };
-    let fields = format!("how={how},ttfb={waited},made={told},etag=t{made}");
+    let made_field = if manner.any_age { arrival.at } else { *made };
+    let fields = format!("how={how},ttfb={waited},made={made_field},etag=t{made}");
     let body = format!("{}{name}@{made}", ".".repeat(manner.padding));
     let mut out = Vec::new();
     resp::write_array(
--- a/harness/src/fakes/consul.rs
+++ b/harness/src/fakes/consul.rs
@@ -40,7 +40,7 @@
 
 /// A call that reached the agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Asked {
+pub struct AgentRequest {
     /// Method.
     pub method: String,
     /// Path and query.
@@ -63,7 +63,7 @@
     token: Option<String>,
     /// Registrations by other programs: id, and the status of the check.
     registered: BTreeMap<String, (Value, String)>,
-    asked: Vec<Asked>,
+    requests: Vec<AgentRequest>,
     /// How many calls there were when the instances or the index last changed.
     changed_at: usize,
 }
@@ -139,30 +139,30 @@
         };
         let catalogue = instances.iter().map(named).collect();
         self.change(|s| {
-            (s.index, s.changed_at) = (s.index + 1, s.asked.len());
+            (s.index, s.changed_at) = (s.index + 1, s.requests.len());
             (s.instances, s.catalogue) = (written, catalogue);
         });
     }
 
     /// Changes one of the instances, by its place, and moves the index on.
-    pub fn update(&self, place: usize, instance: &Value) {
+    pub fn update(&self, index: usize, instance: &Value) {
         self.change(|s| {
-            (s.index, s.changed_at) = (s.index + 1, s.asked.len());
-            s.instances[place] = instance.to_string();
+            (s.index, s.changed_at) = (s.index + 1, s.requests.len());
+            s.instances[index] = instance.to_string();
         });
     }
 
     /// The health API names no instance any more, though all are registered.
     pub fn lose_health(&self) {
         self.change(|s| {
-            (s.index, s.changed_at) = (s.index + 1, s.asked.len());
+            (s.index, s.changed_at) = (s.index + 1, s.requests.len());
             s.instances.clear();
         });
     }
 
     /// The index is set, as by servers that were restored.
     pub fn set_index(&self, index: u64) {
-        self.change(|s| (s.index, s.changed_at) = (index, s.asked.len()));
+        self.change(|s| (s.index, s.changed_at) = (index, s.requests.len()));
     }
 
     /// Changes its manner.
@@ -181,13 +181,13 @@
     }
 
     /// All calls so far.
-    pub fn asked(&self) -> Vec<Asked> {
-        self.state().asked.clone()
+    pub fn requests(&self) -> Vec<AgentRequest> {
+        self.state().requests.clone()
     }
 
     /// Waits until the calls so far fit; false after twenty seconds.
-    pub fn wait_for(&self, fits: impl Fn(&[Asked]) -> bool) -> bool {
-        let waits = |s: &mut State| !fits(&s.asked);
+    pub fn wait_for(&self, fits: impl Fn(&[AgentRequest]) -> bool) -> bool {
+        let waits = |s: &mut State| !fits(&s.requests);
         let waited = self
             .state
             .1
@@ -201,7 +201,7 @@
             let state = self.state();
             (format!("index={}&", state.index), state.changed_at)
         };
-        self.wait_for(|asked| asked[since..].iter().any(|a| a.target.contains(&behind)))
+        self.wait_for(|request| request[since..].iter().any(|a| a.target.contains(&behind)))
     }
 
     /// Waits until a registration's check has this status; none: until it is not registered.
@@ -244,18 +244,18 @@
             words.next().unwrap_or_default(),
         );
         let body = String::from_utf8_lossy(&body).into_owned();
-        let asked = Asked {
+        let request = AgentRequest {
             method,
             target,
             token: header("x-consul-token"),
             body,
         };
-        self.change(|s| s.asked.push(asked.clone()));
-        self.answer(&asked, &mut socket)
+        self.change(|s| s.requests.push(request.clone()));
+        self.answer(&request, &mut socket)
     }
 
-    fn answer(&self, asked: &Asked, socket: &mut TcpStream) -> io::Result<()> {
-        let Some(answer) = self.answer_to(asked) else {
+    fn answer(&self, request: &AgentRequest, socket: &mut TcpStream) -> io::Result<()> {
+        let Some(answer) = self.answer_to(request) else {
             return Ok(());
         };
         self.state.1.notify_all();
@@ -263,10 +263,13 @@
     }
 
     /// What a call is answered, once it has waited for a change if it asks for that; none: nothing at all.
-    fn answer_to(&self, asked: &Asked) -> Option<HttpAnswer> {
-        let (path, query) = asked.target.split_once('?').unwrap_or((&asked.target, ""));
+    fn answer_to(&self, request: &AgentRequest) -> Option<HttpAnswer> {
+        let (path, query) = request
+            .target
+            .split_once('?')
+            .unwrap_or((&request.target, ""));
         let mut state = self.wait_for_change(query);
-        let denied = state.token.is_some() && state.token != asked.token;
+        let denied = state.token.is_some() && state.token != request.token;
         let (status, body) = match state.manner {
             Manner::Gone | Manner::Mute => return None,
             Manner::Leaderless => ("500 Internal Server Error", "No cluster leader".to_owned()),
@@ -277,7 +280,7 @@
                 "Permission denied: token lacks 'service:read'".to_owned(),
             ),
             Manner::Garbage => ("200 OK", "<html>welcome</html>".to_owned()),
-            _ if asked.method == "PUT" => Self::put(&mut state, path, &asked.body),
+            _ if request.method == "PUT" => Self::put(&mut state, path, &request.body),
             _ if path.starts_with("/v1/catalog/service/") => {
                 let one = |(node, id): &(String, String)| json!({"Node": node, "ServiceID": id});
                 (
@@ -321,14 +324,16 @@
     }
 
     fn put(state: &mut State, path: &str, body: &str) -> (&'static str, String) {
-        let said: Value = serde_json::from_str(body).unwrap_or(Value::Null);
+        let registration: Value = serde_json::from_str(body).unwrap_or(Value::Null);
         let text = |v: &Value| v.as_str().unwrap_or("").to_owned();
         if path == "/v1/agent/service/register" {
-            let status = text(&said["Check"]["Status"]);
-            state.registered.insert(text(&said["ID"]), (said, status));
+            let status = text(&registration["Check"]["Status"]);
+            state
+                .registered
+                .insert(text(&registration["ID"]), (registration, status));
         } else if let Some(id) = path.strip_prefix("/v1/agent/check/update/service%3A") {
             match state.registered.get_mut(id) {
-                Some(known) => known.1 = text(&said["Status"]),
+                Some(known) => known.1 = text(&registration["Status"]),
                 None => {
                     return (
                         "404 Not Found",
@@ -372,14 +377,14 @@
             _ => {}
         }
         out += &format!("Content-Length: {}\r\n\r\n", body.len());
-        let whole = out + body;
+        let bytes = out + body;
         let cut_off = self.manner == Manner::CutOff;
         let sent = if cut_off {
-            whole.len() - body.len() / 2 - 1
+            bytes.len() - body.len() / 2 - 1
         } else {
-            whole.len()
+            bytes.len()
         };
-        socket.write_all(&whole.as_bytes()[..sent])
+        socket.write_all(&bytes.as_bytes()[..sent])
     }
 
     /// Writes until whoever reads has had enough, or a GB has gone.
--- a/harness/src/fleet/mod.rs
+++ b/harness/src/fleet/mod.rs
@@ -48,8 +48,8 @@
     exact_purges: Option<usize>,
     /// The links, to set their conditions.
     pub links: FaultyLinks,
-    /// The boxes.
-    pub boxes: Vec<FakeCache>,
+    /// The cache servers.
+    pub caches: Vec<FakeCache>,
     /// The origin.
     pub origin: FakeCache,
     folder: PathBuf,
@@ -63,8 +63,8 @@
 }
 
 /// The platform's topology with these caches and this origin, as proxies know it when they start.
-fn known_targets(boxes: &[FakeCache], origin: &FakeCache) -> Value {
-    let mut targets: Vec<Value> = boxes
+fn known_targets(caches: &[FakeCache], origin: &FakeCache) -> Value {
+    let mut targets: Vec<Value> = caches
         .iter()
         .map(|b| entry(b, "here", "box", "ready"))
         .collect();
@@ -132,7 +132,7 @@
 
     /// Starts a fleet.
     pub fn with(setup: Setup<'_>) -> io::Result<Self> {
-        let boxes = ["s-0a", "s-0b"]
+        let caches = ["s-0a", "s-0b"]
             .into_iter()
             .map(FakeCache::start)
             .collect::<io::Result<Vec<_>>>()?;
@@ -140,7 +140,7 @@
         let ports = free_ports(setup.running + setup.later.len())?;
         let links = FaultyLinks::between(&ports, setup.seed)?;
         let folder = fleet_folder();
-        let known = known_targets(&boxes, &origin);
+        let known = known_targets(&caches, &origin);
         let members = members(&setup, &folder, &ports, &links, &known)?;
         let mut fleet = Fleet {
             daemon: setup.daemon.to_owned(),
@@ -152,7 +152,7 @@
             exact_purges: setup.exact_purges,
             members,
             links,
-            boxes,
+            caches,
             origin,
             folder,
         };
--- a/harness/src/fleet/queries.rs
+++ b/harness/src/fleet/queries.rs
@@ -1,7 +1,7 @@
 //! What a fleet's proxies tell operators and clients.
 
 use super::Fleet;
-use crate::clients::{call, Answer, WebServer, PATIENCE};
+use crate::clients::{call, Answer, WebServer, TIMEOUT};
 use linnetknot_daemon::budgets;
 use linnetknot_daemon::fleet::{ask as ask_status, ask_budgets, Status};
 use std::io;
@@ -55,22 +55,22 @@
     /// Whether a proxy holds a floor for a photo: it asks its box for no copy older than something. What it serves
     /// tells less, as the boxes are shared: one proxy that holds a floor has the box fetch anew for all.
     pub fn holds_floor(&self, n: usize, object: &str) -> io::Result<bool> {
-        let before: Vec<usize> = self.boxes.iter().map(|b| b.arrivals().len()).collect();
+        let before: Vec<usize> = self.caches.iter().map(|b| b.arrivals().len()).collect();
         self.ask(n, object)?;
         let mut new = self
-            .boxes
+            .caches
             .iter()
             .zip(before)
             .flat_map(|(b, before)| b.arrivals().split_off(before));
         let asked = new.rfind(|a| a.field("key") == Some(object));
-        let asked = asked.ok_or_else(|| io::Error::other(format!("p{n} asked no box")))?;
+        let asked = asked.ok_or_else(|| io::Error::other(format!("p{n} asked no cache")))?;
         Ok(asked.field("maxage").is_some())
     }
 
     /// Waits until a proxy holds a floor for a photo, or patience ends: whether it does.
     pub fn hears(&self, n: usize, object: &str) -> io::Result<bool> {
         let start = Instant::now();
-        while start.elapsed() < PATIENCE {
+        while start.elapsed() < TIMEOUT {
             if self.holds_floor(n, object)? {
                 return Ok(true);
             }
--- a/harness/src/links/conditions.rs
+++ b/harness/src/links/conditions.rs
@@ -76,12 +76,15 @@
 
     /// What concerns streams alone, by its key.
     pub fn of_streams(&self) -> Option<&'static str> {
-        let said = [
+        let flags = [
             ("trickle", self.trickle > 0),
             ("reset_after", self.reset_after > 0),
             ("half_open", self.half_open),
         ];
-        said.into_iter().find(|(_, said)| *said).map(|(key, _)| key)
+        flags
+            .into_iter()
+            .find(|(_, flags)| *flags)
+            .map(|(key, _)| key)
     }
 
     /// Checks that all values can be.
@@ -122,20 +125,21 @@
     /// After how many microseconds the next datagram comes, for each time that it comes: none where it is lost. As
     /// many draws are made whatever the conditions are, so that a change of conditions shifts no later fate.
     pub fn of(&mut self, conditions: &LinkConditions) -> Vec<Micros> {
-        let [lost, twice, held, late, later] = std::array::from_fn(|_| self.random.random::<f64>());
+        let [lost, twice, reordered, late, later] =
+            std::array::from_fn(|_| self.random.random::<f64>());
         if conditions.cut || lost < conditions.drop {
             return Vec::new();
         }
         let delay =
             |jitter: f64| ((conditions.delay_ms + jitter * conditions.jitter_ms) * 1e3) as Micros;
-        let held_back = if held < conditions.reorder {
+        let reorder_delay = if reordered < conditions.reorder {
             REORDER_DELAY_US + delay(1.0)
         } else {
             0
         };
-        let mut comes = vec![delay(late) + held_back];
+        let mut comes = vec![delay(late) + reorder_delay];
         if twice < conditions.duplicate {
-            comes.push(delay(later) + held_back);
+            comes.push(delay(later) + reorder_delay);
         }
         comes
     }
--- a/harness/src/pressure.rs
+++ b/harness/src/pressure.rs
@@ -14,7 +14,7 @@
 
 #[derive(Default)]
 struct Shared {
-    aim: Mutex<Option<SocketAddr>>,
+    target: Mutex<Option<SocketAddr>>,
     over: AtomicBool,
     served: AtomicU64,
     refused: AtomicU64,
@@ -39,7 +39,7 @@
 }
 
 /// One connection, until it or the play is over.
-fn ask(shared: &Shared, to: SocketAddr) -> io::Result<()> {
+fn send_request(shared: &Shared, to: SocketAddr) -> io::Result<()> {
     let mut web = WebServer::connect(to)?;
     while !shared.over.load(Ordering::Relaxed) {
         // Each write is about an object of its own, and all of them run at the origin.
@@ -55,7 +55,7 @@
         if answer.status != 200 {
             thread::sleep(AFTER_REFUSAL);
         }
-        if *shared.aim.lock().unwrap_or_else(PoisonError::into_inner) != Some(to) {
+        if *shared.target.lock().unwrap_or_else(PoisonError::into_inner) != Some(to) {
             return Ok(());
         }
     }
@@ -69,14 +69,14 @@
             shared: Arc::default(),
             clients: Vec::new(),
         };
-        pressure.aim(Some(front));
+        pressure.send_to(Some(front));
         let client = |_| {
             let shared = Arc::clone(&pressure.shared);
             thread::spawn(move || {
                 while !shared.over.load(Ordering::Relaxed) {
-                    let aim = *shared.aim.lock().unwrap_or_else(PoisonError::into_inner);
+                    let target = *shared.target.lock().unwrap_or_else(PoisonError::into_inner);
                     // A proxy that was killed, or is not there: it is gone to again, wherever it listens by then.
-                    if aim.is_none_or(|to| ask(&shared, to).is_err()) {
+                    if target.is_none_or(|to| send_request(&shared, to).is_err()) {
                         thread::sleep(AFTER_REFUSAL);
                     }
                 }
@@ -87,10 +87,10 @@
     }
 
     /// Where the proxy listens from now on; none: it is not there.
-    pub fn aim(&self, front: Option<SocketAddr>) {
+    pub fn send_to(&self, front: Option<SocketAddr>) {
         *self
             .shared
-            .aim
+            .target
             .lock()
             .unwrap_or_else(PoisonError::into_inner) = front;
     }
--- a/harness/src/process.rs
+++ b/harness/src/process.rs
@@ -1,6 +1,6 @@
 //! A daemon as a process of its own, ended with its value.
 
-use crate::clients::PATIENCE;
+use crate::clients::TIMEOUT;
 use rustix::process::{kill_process, waitid, Pid, Signal, WaitId, WaitIdOptions};
 use serde_json::Value;
 use std::collections::VecDeque;
@@ -96,13 +96,13 @@
         has_cdni: bool,
         has_admin: bool,
     ) -> Result<(), RecvTimeoutError> {
-        self.front = addresses.recv_timeout(PATIENCE)?;
+        self.front = addresses.recv_timeout(TIMEOUT)?;
         self.cdni = match has_cdni {
-            true => addresses.recv_timeout(PATIENCE)?,
+            true => addresses.recv_timeout(TIMEOUT)?,
             false => self.front,
         };
         self.admin = match has_admin {
-            true => addresses.recv_timeout(PATIENCE)?,
+            true => addresses.recv_timeout(TIMEOUT)?,
             false => self.front,
         };
         Ok(())
@@ -117,17 +117,17 @@
                 Err(e) => format!("its end can't be learnt: {e}"),
             },
             RecvTimeoutError::Timeout => {
-                format!("it said nothing of it in {} s", PATIENCE.as_secs())
+                format!("it said nothing of it in {} s", TIMEOUT.as_secs())
             }
         };
-        let said = last.lock().unwrap_or_else(PoisonError::into_inner);
-        let said = said
+        let lines = last.lock().unwrap_or_else(PoisonError::into_inner);
+        let lines = lines
             .iter()
             .map(String::as_str)
             .collect::<Vec<_>>()
             .join("\n  ");
         io::Error::other(format!(
-            "the daemon '{name}' did not start: {ended}; its last words:\n  {said}"
+            "the daemon '{name}' did not start: {ended}; its last words:\n  {lines}"
         ))
     }
 }
@@ -171,7 +171,7 @@
         let lines = log.into_iter().flat_map(|log| BufReader::new(log).lines());
         for line in lines.map_while(Result::ok) {
             let address = |mark: &&str| line.split_once(mark)?.1.trim().parse().ok();
-            let found: Vec<SocketAddr> = SAID.iter().filter_map(address).collect();
+            let found: Vec<SocketAddr> = ADDRESS_MARKS.iter().filter_map(address).collect();
             let mut last = last_lines.lock().unwrap_or_else(PoisonError::into_inner);
             if last.len() == LAST_LINES {
                 last.pop_front();
@@ -187,7 +187,7 @@
 }
 
 /// What a daemon says before its addresses, in the order in which it says them.
-const SAID: [&str; 3] = [
+const ADDRESS_MARKS: [&str; 3] = [
     " listens on ",
     "neighbours connect to ",
     "the admin listener is at ",
--- a/rehearse/src/bin/linnetknot-rehearse/fault_matrix.rs
+++ b/rehearse/src/bin/linnetknot-rehearse/fault_matrix.rs
@@ -31,7 +31,7 @@
         matrix.add(*case, played);
     }
     print(&matrix.to_string());
-    for line in &matrix.said {
+    for line in &matrix.notes {
         print(&format!("{line}\n"));
     }
     Ok(ExitCode::from(matrix.status()))
--- a/rehearse/src/fakes/cache_memory.rs
+++ b/rehearse/src/fakes/cache_memory.rs
@@ -19,8 +19,8 @@
 /// A cache's memory.
 #[derive(Clone, Debug)]
 pub struct CacheMemory {
-    room: u64,
-    held: u64,
+    capacity_kb: u64,
+    used_kb: u64,
     copies: HashMap<Part, Copy>,
     /// By rank and last use: who goes first.
     order: BTreeMap<(u8, u64), Part>,
@@ -29,10 +29,10 @@
 
 impl CacheMemory {
     /// An empty memory for so many bytes.
-    pub fn new(room: u64) -> Self {
+    pub fn new(capacity_kb: u64) -> Self {
         CacheMemory {
-            room,
-            held: 0,
+            capacity_kb,
+            used_kb: 0,
             copies: HashMap::new(),
             order: BTreeMap::new(),
             uses: 0,
@@ -40,8 +40,8 @@
     }
 
     /// Bytes held.
-    pub fn held(&self) -> u64 {
-        self.held
+    pub fn used_kb(&self) -> u64 {
+        self.used_kb
     }
 
     /// When the copy of a part was made, if there is one that will do. A use sets its rank anew; rank 0 leaves it.
@@ -57,12 +57,15 @@
 
     /// Keeps a copy in place of an older one; false where only copies of a higher rank would have to go for it.
     pub fn keep(&mut self, part: Part, group: u64, size: u64, made: Micros, rank: u8) -> bool {
-        if rank == 0 || size > self.room || self.copies.get(&part).is_some_and(|c| c.made > made) {
+        if rank == 0
+            || size > self.capacity_kb
+            || self.copies.get(&part).is_some_and(|c| c.made > made)
+        {
             return false;
         }
         let own = self.copies.get(&part).map_or(0, |c| c.size);
         // Looked through before anything goes: a copy that is not kept in the end must cost nobody else.
-        let mut free = self.room - self.held + own;
+        let mut free = self.capacity_kb - self.used_kb + own;
         let mut leave = Vec::new();
         for ((other, _), victim) in &self.order {
             if free >= size || *other > rank {
@@ -89,7 +92,7 @@
                 group,
             },
         );
-        self.held += size;
+        self.used_kb += size;
         true
     }
 
@@ -107,7 +110,7 @@
     fn drop(&mut self, part: Part) {
         if let Some(copy) = self.copies.remove(&part) {
             self.order.remove(&(copy.rank, copy.used));
-            self.held -= copy.size;
+            self.used_kb -= copy.size;
         }
     }
 }
--- a/rehearse/src/fakes/shared_link.rs
+++ b/rehearse/src/fakes/shared_link.rs
@@ -19,20 +19,20 @@
     /// By the figure at which each ends, and by the order in which they came. The bits of a positive float order as
     /// it does.
     ends: BTreeMap<(u64, u64), u64>,
-    places: HashMap<u64, (u64, u64)>,
+    positions: HashMap<u64, (u64, u64)>,
     next: u64,
 }
 
 impl SharedLink {
     /// An idle link.
     pub fn new(capacity: f64) -> Self {
-        let (ends, places) = Default::default();
+        let (ends, positions) = Default::default();
         SharedLink {
             capacity: capacity.max(1e-6),
             given: 0.0,
             at: 0,
             ends,
-            places,
+            positions,
             next: 0,
         }
     }
@@ -55,17 +55,17 @@
     /// Lets time pass; gives the transfers that have ended by then, each with its time, in order.
     pub fn advance(&mut self, now: Micros) -> Vec<(u64, Micros)> {
         let mut ended = Vec::new();
-        while let Some((&place, &id)) = self.ends.first_key_value() {
+        while let Some((&position, &id)) = self.ends.first_key_value() {
             // Each end makes the others faster, so they are taken one by one.
-            let wait = (f64::from_bits(place.0) - self.given).max(0.0) / self.pace();
+            let wait = (f64::from_bits(position.0) - self.given).max(0.0) / self.pace();
             let end = self.at as f64 + wait;
             if end > now as f64 {
                 break;
             }
-            self.given = self.given.max(f64::from_bits(place.0));
+            self.given = self.given.max(f64::from_bits(position.0));
             self.at = (end as Micros).max(self.at);
-            self.ends.remove(&place);
-            self.places.remove(&id);
+            self.ends.remove(&position);
+            self.positions.remove(&id);
             ended.push((id, self.at));
         }
         if now > self.at {
@@ -80,18 +80,18 @@
     /// Begins a transfer of so many microseconds at full pace. `advance` must have been called up to now.
     pub fn begin(&mut self, id: u64, work_us: Micros) {
         self.next += 1;
-        let place = ((self.given + work_us as f64).to_bits(), self.next);
-        if let Some(old) = self.places.insert(id, place) {
+        let position = ((self.given + work_us as f64).to_bits(), self.next);
+        if let Some(old) = self.positions.insert(id, position) {
             self.ends.remove(&old);
         }
-        self.ends.insert(place, id);
+        self.ends.insert(position, id);
     }
 
     /// Calls a transfer off: its share is the others'.
     pub fn call_off(&mut self, id: u64) -> bool {
-        self.places
+        self.positions
             .remove(&id)
-            .is_some_and(|place| self.ends.remove(&place).is_some())
+            .is_some_and(|position| self.ends.remove(&position).is_some())
     }
 
     /// Another capacity, from here on: a box that is cold, or warms up.
@@ -101,8 +101,8 @@
 
     /// When the next transfer ends, if nothing changes.
     pub fn next_due(&self) -> Option<Micros> {
-        let (place, _) = self.ends.first_key_value()?;
-        let wait = (f64::from_bits(place.0) - self.given).max(0.0) / self.pace();
+        let (position, _) = self.ends.first_key_value()?;
+        let wait = (f64::from_bits(position.0) - self.given).max(0.0) / self.pace();
         Some(self.at + wait.ceil() as Micros)
     }
 }
--- a/rehearse/src/fault_matrix/matrix.rs
+++ b/rehearse/src/fault_matrix/matrix.rs
@@ -26,12 +26,12 @@
     fn add(&mut self, played: &Played) {
         self.plays += 1;
         for purge in &played.record.purges {
-            let place = match purge.answer {
+            let index = match purge.answer {
                 PurgeAnswer::Committed => 0,
                 PurgeAnswer::Rejected => 1,
                 PurgeAnswer::None => 2,
             };
-            self.answers[place] += 1;
+            self.answers[index] += 1;
         }
         self.lost += played
             .breaches
@@ -77,9 +77,9 @@
     fn agreed_ms(&self, percent: usize) -> String {
         let mut agreed = self.agreed.clone();
         agreed.sort_unstable();
-        let place = (agreed.len() * percent / 100).min(agreed.len().saturating_sub(1));
+        let index = (agreed.len() * percent / 100).min(agreed.len().saturating_sub(1));
         agreed
-            .get(place)
+            .get(index)
             .map_or_else(|| "-".to_owned(), |d| d.as_millis().to_string())
     }
 
@@ -107,7 +107,7 @@
 pub struct Matrix {
     rows: BTreeMap<(usize, bool), Row>,
     /// Why plays proved nothing, and each breach with its case.
-    pub said: Vec<String>,
+    pub notes: Vec<String>,
 }
 
 impl Matrix {
@@ -124,17 +124,17 @@
         match played {
             Err(e) => {
                 row.nothing += 1;
-                self.said.push(format!("{name}: proved nothing: {e}"));
+                self.notes.push(format!("{name}: proved nothing: {e}"));
             }
             Ok(played) => {
                 row.add(&played);
                 if played.agreed.is_none() {
-                    self.said.push(format!(
+                    self.notes.push(format!(
                         "{name}: not all agreed within {} s",
                         AGREE.as_secs()
                     ));
                 }
-                self.said.extend(
+                self.notes.extend(
                     played
                         .breaches
                         .iter()
--- a/rehearse/src/load.rs
+++ b/rehearse/src/load.rs
@@ -76,17 +76,17 @@
 /// A class's objects and sizes.
 struct Source<'a> {
     class: &'a ClassLoad,
-    place: usize,
+    index: usize,
     popularity: Option<Zipf<f64>>,
     sizes: Option<LogNormal<f64>>,
     once: u64,
 }
 
 impl<'a> Source<'a> {
-    fn new(place: usize, class: &'a ClassLoad) -> Self {
+    fn new(index: usize, class: &'a ClassLoad) -> Self {
         Source {
             class,
-            place,
+            index,
             popularity: Zipf::new(class.objects as f64, class.zipf).ok(),
             sizes: LogNormal::new(class.median_kb.max(0.001).ln(), class.sigma).ok(),
             once: 0,
@@ -94,7 +94,7 @@
     }
 
     fn object(&mut self, random: &mut ChaCha8Rng, at: f64) -> u64 {
-        let (c, tag) = (self.class, (self.place as u64 + 1) << 56);
+        let (c, tag) = (self.class, (self.index as u64 + 1) << 56);
         if random.random_bool(c.once) {
             self.once += 1;
             return mix(tag ^ (1 << 55) ^ self.once);
@@ -117,11 +117,11 @@
 pub fn plan(scenario: &Scenario, seed: u64) -> Plan {
     let mut plan = Plan::default();
     let end = scenario.seconds;
-    for (place, class) in scenario.load.classes.iter().enumerate() {
+    for (index, class) in scenario.load.classes.iter().enumerate() {
         // Each class and the purges have a stream of chance of their own: a change of one leaves the others alone.
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        random.set_stream(place as u64 + 1);
-        let mut source = Source::new(place, class);
+        random.set_stream(index as u64 + 1);
+        let mut source = Source::new(index, class);
         let parts = (class.parts.0 + class.parts.1) as f64 / 2.0;
         let Ok(gaps) = Exp::new(scenario.load.rate * class.share / parts) else {
             continue;
@@ -129,7 +129,7 @@
         let mut at = gaps.sample(&mut random);
         while at < end {
             // Thinned to the shape: what comes at full rate is kept by the factor of its moment.
-            let kept = random.random_bool(factor(&scenario.load.shape, at).clamp(0.0, 1.0));
+            let is_accepted = random.random_bool(factor(&scenario.load.shape, at).clamp(0.0, 1.0));
             let mut object = source.object(&mut random, at);
             for (n, f) in scenario.faults.iter().enumerate() {
                 if let What::HotObject { class: hot, share } = &f.what {
@@ -142,14 +142,14 @@
             let proxy = random.random_range(0..scenario.proxies.max(1));
             let count = random.random_range(class.parts.0..=class.parts.1);
             let mut part_at = at;
-            for part in 0..if kept { count } else { 0 } {
+            for part in 0..if is_accepted { count } else { 0 } {
                 if part_at >= end {
                     break;
                 }
                 let key = class.keyed.then(|| random.random());
                 plan.arrivals.push(Arrival {
                     at: (part_at * 1e6) as u64,
-                    class: place,
+                    class: index,
                     object,
                     part,
                     size_kb: source.size_kb(object, part),
--- a/rehearse/src/play.rs
+++ b/rehearse/src/play.rs
@@ -1,7 +1,7 @@
 //! The cases, and what must hold in them.
 
 use crate::Report;
-use linnetknot_harness::clients::{call, Answer, PeerCdn, PeerRequest, WebServer, PATIENCE};
+use linnetknot_harness::clients::{call, Answer, PeerCdn, PeerRequest, WebServer, TIMEOUT};
 use linnetknot_harness::fakes::cache::{Arrival, FakeCache, Manner};
 use linnetknot_harness::fakes::event_bus::{entry, Bus};
 use linnetknot_harness::process::Process;
@@ -75,7 +75,7 @@
     bus.list(true, list);
     let peer = PeerCdn::start()?;
     let mut running = start(daemon, &bus, peer.address)?;
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     while call(running.cdni, "GET", "/health", "")?.status != 200 {
         if Instant::now() > until {
             return Err(failed("the daemon did not become ready"));
@@ -173,7 +173,7 @@
     bus.push(json!({"ban": {"url": "00000000000000ff", "ts": unix_ms()}}));
     let (mut footprint, mut purge) = (false, false);
     while !(footprint && purge) {
-        let Ok(PeerRequest { target, body }) = requests.recv_timeout(PATIENCE) else {
+        let Ok(PeerRequest { target, body }) = requests.recv_timeout(TIMEOUT) else {
             break;
         };
         let body: Value = serde_json::from_str(&body).map_err(|e| failed(e.to_string()))?;
@@ -301,7 +301,7 @@
         a.field("key")
             .is_some_and(|key| objects.iter().any(|o| o == key))
     };
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     loop {
         match caches
             .iter()
@@ -360,7 +360,7 @@
     let mut server = WebServer::connect(running.front)?;
     server.ask(1, "photo", "00000000000000e1", 2500)?;
     let fits = |a: &Arrival| a.field("key") == Some("00000000000000e1");
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     while caches
         .iter()
         .map(|cache| cache.arrivals().len())
--- a/rehearse/src/player/deployment.rs
+++ b/rehearse/src/player/deployment.rs
@@ -146,12 +146,12 @@
     /// The nodes of a scenario as its site has them: boxes for each proxy, hub caches and an origin.
     pub fn of(scenario: &Scenario) -> Self {
         let form = &scenario.site;
-        let boxes = form.boxes(scenario.proxies);
+        let caches = form.boxes(scenario.proxies);
         let mut deployment = Deployment {
-            site: FakeSite::new(site(scenario, boxes)),
+            site: FakeSite::new(site(scenario, caches)),
             nodes: Vec::new(),
         };
-        for n in 0..boxes as u32 {
+        for n in 0..caches as u32 {
             deployment.add(Kind::Box, box_uid(n), "here", "box", &form.edge_box);
         }
         for n in 0..form.hubs {
@@ -186,10 +186,10 @@
 }
 
 /// What the nodes of a scenario share.
-fn site(scenario: &Scenario, boxes: usize) -> SiteFigures {
+fn site(scenario: &Scenario, caches: usize) -> SiteFigures {
     let form = &scenario.site;
     SiteFigures {
-        link: form.link_per_box * boxes as f64,
+        link: form.link_per_box * caches as f64,
         fill_pace: form.fill_pace,
         near_us: micros(form.near_ms),
         far_us: micros(form.far_ms),
--- a/rehearse/src/player/load_generator.rs
+++ b/rehearse/src/player/load_generator.rs
@@ -4,15 +4,15 @@
 use super::clients::{ClientRequest, Clients, OpenRequests, Retry};
 use super::environment::Environment;
 use super::proxies::Proxies;
+use super::schedule::{RetryQueue, Schedule};
 use super::Watch;
-use crate::load::{group, Arrival, Plan, Purge};
+use crate::load::{group, Arrival};
 use crate::record::{Micros, Request};
 use crate::scenario::Scenario;
 use crate::timetable::Step;
 use linnetknot_harness::clients::WebServer;
 use linnetknot_harness::time::unix_us;
-use std::cmp::Reverse;
-use std::collections::{BinaryHeap, HashMap, HashSet};
+use std::collections::HashSet;
 use std::io::{self, Write};
 use std::net::TcpStream;
 use std::sync::atomic::Ordering;
@@ -40,90 +40,6 @@
     used: Instant,
 }
 
-/// What is to be sent and done, in the order of time from the start; each part shrinks as it is carried out.
-pub(super) struct Schedule<'a> {
-    start: Micros,
-    end: Micros,
-    arrivals: &'a [Arrival],
-    purges: &'a [Purge],
-    steps: &'a [(Micros, Step)],
-}
-
-impl<'a> Schedule<'a> {
-    /// The schedule of a plan that begins at a time and is over once the last request has been waited for.
-    pub(super) fn new(
-        start: Micros,
-        seconds: f64,
-        plan: &'a Plan,
-        steps: &'a [(Micros, Step)],
-    ) -> Self {
-        let longest_wait = plan.arrivals.iter().map(|a| a.budget).max().unwrap_or(0);
-        let end = start + (seconds * 1e6) as Micros + longest_wait;
-        Schedule {
-            start,
-            end,
-            arrivals: &plan.arrivals,
-            purges: &plan.purges,
-            steps,
-        }
-    }
-
-    fn seconds_at(&self, now: Micros) -> f64 {
-        now.saturating_sub(self.start) as f64 / 1e6
-    }
-
-    fn next_arrival(&mut self, now: Micros) -> Option<&'a Arrival> {
-        let start = self.start;
-        take_first_if(&mut self.arrivals, |arrival| start + arrival.at <= now)
-    }
-
-    fn next_purge(&mut self, now: Micros) -> Option<&'a Purge> {
-        let start = self.start;
-        take_first_if(&mut self.purges, |purge| start + purge.at <= now)
-    }
-
-    fn next_step(&mut self, now: Micros) -> Option<&'a Step> {
-        let start = self.start;
-        take_first_if(&mut self.steps, |(at, _)| start + at <= now).map(|(_, step)| step)
-    }
-}
-
-fn take_first_if<'a, T>(items: &mut &'a [T], is_due: impl Fn(&T) -> bool) -> Option<&'a T> {
-    let (first, rest) = items.split_first()?;
-    if !is_due(first) {
-        return None;
-    }
-    *items = rest;
-    Some(first)
-}
-
-/// Requests that are to be retried, the earliest first.
-#[derive(Default)]
-struct RetryQueue {
-    due: BinaryHeap<Reverse<(Micros, u64)>>,
-    requests: HashMap<u64, ClientRequest>,
-    count: u64,
-}
-
-impl RetryQueue {
-    fn push(&mut self, retry: Retry) {
-        self.count += 1;
-        self.due.push(Reverse((retry.at, self.count)));
-        self.requests.insert(self.count, retry.request);
-    }
-
-    fn pop_due(&mut self, now: Micros) -> Option<Retry> {
-        let Reverse((at, number)) = self
-            .due
-            .peek()
-            .copied()
-            .filter(|Reverse((at, _))| *at <= now)?;
-        self.due.pop();
-        let request = self.requests.remove(&number)?;
-        Some(Retry { at, request })
-    }
-}
-
 /// A request as its fields are written.
 struct Fields {
     id: String,
--- a/rehearse/src/player/mod.rs
+++ b/rehearse/src/player/mod.rs
@@ -5,6 +5,7 @@
 mod environment;
 mod load_generator;
 mod proxies;
+mod schedule;
 
 pub use deployment::{Deployment, Node};
 
@@ -19,8 +20,9 @@
 use deployment::recorded_class;
 use environment::Environment;
 use linnetknot_harness::time::unix_us;
-use load_generator::{LoadGenerator, Schedule, Sent};
+use load_generator::{LoadGenerator, Sent};
 use proxies::Proxies;
+use schedule::Schedule;
 use std::io;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -77,7 +79,7 @@
         if self.score.total.unanswered >= self.score.total.offered {
             return Err(Unseen::NothingAnswered);
         }
-        if self.lag_us.0 > MOST_LAG_US {
+        if self.lag_us.0 > MAX_LAG_US {
             return Err(Unseen::LateLoad {
                 p99_ms: self.lag_us.0 / 1000,
             });
@@ -87,7 +89,7 @@
 }
 
 /// A load generator that is later than this has measured itself.
-pub const MOST_LAG_US: Micros = 50_000;
+pub const MAX_LAG_US: Micros = 50_000;
 /// The load begins this long after all has been started.
 const LEAD_US: Micros = 200_000;
 
@@ -201,7 +203,7 @@
     lags.sort_unstable();
     let lag_us = (quantile(&lags, 0.99), quantile(&lags, 1.0));
     let limits = Limits {
-        late_us: lag_us.0.min(MOST_LAG_US),
+        late_us: lag_us.0.min(MAX_LAG_US),
         ..Limits::default()
     };
     Ok(Outcome {
@@ -218,6 +220,6 @@
 
 /// A quantile of sorted lags; 0 where there are none.
 fn quantile(lags: &[Micros], share: f64) -> Micros {
-    let place = (lags.len() as f64 * share) as usize;
-    lags.get(place).or(lags.last()).copied().unwrap_or(0)
+    let index = (lags.len() as f64 * share) as usize;
+    lags.get(index).or(lags.last()).copied().unwrap_or(0)
 }
--- a/rehearse/src/rules/budgets.rs
+++ b/rehearse/src/rules/budgets.rs
@@ -22,15 +22,15 @@
 
 /// How many requests were held from a time on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeldFrom {
+pub struct InFlightFrom {
     /// The time.
     pub from: Micros,
     /// The number of requests.
-    pub held: u64,
+    pub in_flight: u64,
 }
 
 /// Returns how many requests were held after each change, in order.
-pub fn held(spans: &[Span]) -> Vec<HeldFrom> {
+pub fn in_flight(spans: &[Span]) -> Vec<InFlightFrom> {
     // What ends in the microsecond in which something else begins was out of the way by then.
     let spans = spans.iter().filter(|span| span.from < span.until);
     let mut changes: Vec<(Micros, bool)> = spans
@@ -40,7 +40,10 @@
     let mut now = 0;
     let count = |(from, begins): (Micros, bool)| {
         now = if begins { now + 1 } else { now - 1 };
-        HeldFrom { from, held: now }
+        InFlightFrom {
+            from,
+            in_flight: now,
+        }
     };
     changes.into_iter().map(count).collect()
 }
@@ -49,14 +52,14 @@
 struct Excess {
     from: Micros,
     /// The most that was held in that time.
-    held: u64,
+    in_flight: u64,
     /// The limit when it began.
     limit: u64,
 }
 
 impl Excess {
     fn breach(&self) -> Breach {
-        let evidence = format!("{} of {} held at a time", self.held, self.limit);
+        let evidence = format!("{} of {} held at a time", self.in_flight, self.limit);
         Breach {
             rule: BUDGET.0,
             request: None,
@@ -76,14 +79,18 @@
     };
     let mut excesses: Vec<Excess> = Vec::new();
     let mut is_over = false;
-    for HeldFrom { from, held } in held(spans) {
+    for InFlightFrom { from, in_flight } in in_flight(spans) {
         let limit = limit_at(from);
         match excesses.last_mut() {
-            _ if held <= limit => {}
-            Some(excess) if is_over => excess.held = held.max(excess.held),
-            _ => excesses.push(Excess { from, held, limit }),
+            _ if in_flight <= limit => {}
+            Some(excess) if is_over => excess.in_flight = in_flight.max(excess.in_flight),
+            _ => excesses.push(Excess {
+                from,
+                in_flight,
+                limit,
+            }),
         }
-        is_over = held > limit;
+        is_over = in_flight > limit;
     }
     excesses.iter().map(Excess::breach).collect()
 }
--- a/rehearse/src/scale/command.rs
+++ b/rehearse/src/scale/command.rs
@@ -2,7 +2,7 @@
 
 use crate::scale::fault::Fault;
 use crate::scale::fleet_config::FleetConfig;
-use crate::scale::memory::{self, Held, TooLarge};
+use crate::scale::memory::{self, MemberState, TooLarge};
 use crate::scale::prefill;
 use crate::scale::report::Report;
 use crate::scale::run::{Run, Without};
@@ -134,11 +134,11 @@
     } else {
         0
     };
-    let held = Held {
+    let state = MemberState {
         entries: told.min(max_entries),
         table_bytes,
     };
-    memory::admit(run.members, held, available).map_err(|error| CommandError::Memory {
+    memory::admit(run.members, state, available).map_err(|error| CommandError::Memory {
         members: run.members,
         error,
     })
--- a/rehearse/src/scale/daemons/command.rs
+++ b/rehearse/src/scale/daemons/command.rs
@@ -4,7 +4,7 @@
 use super::run::{play, Run};
 use super::slopes::{self, SizeOutcome, SizeRun};
 use super::sockets::{self, TooManySockets};
-use crate::scale::memory::{self, Held, TooLarge};
+use crate::scale::memory::{self, MemberState, TooLarge};
 use crate::scale::target::{Target, TargetError};
 use clap::{value_parser, Args};
 use std::io;
@@ -142,11 +142,11 @@
     let purges = run.purges_per_second * run.seconds;
     let daemons = run.daemons as u64 * DAEMON_BYTES;
     let left = memory::Bytes(available.saturating_sub(2 * daemons));
-    let held = Held {
+    let state = MemberState {
         entries: purges as usize,
         table_bytes: 0,
     };
-    memory::admit(members, held, left).map_err(|error| CommandError::Memory { members, error })
+    memory::admit(members, state, left).map_err(|error| CommandError::Memory { members, error })
 }
 
 fn play_one(run: &Run) -> Result<Report, CommandError> {
--- a/rehearse/src/scale/daemons/purge_plan.rs
+++ b/rehearse/src/scale/daemons/purge_plan.rs
@@ -36,7 +36,7 @@
 
 /// What became of the purges that one daemon was told by its second front.
 #[derive(Debug)]
-pub struct ToldDaemon {
+pub struct TriggerOutcome {
     /// How long each answer took, in microseconds.
     pub answers: Histogram<u64>,
     /// Those that were refused, and why.
@@ -44,7 +44,7 @@
 }
 
 /// A client that tells one daemon of its purges, each when it is due, on a thread of its own.
-pub struct TriggerClient(JoinHandle<ToldDaemon>);
+pub struct TriggerClient(JoinHandle<TriggerOutcome>);
 
 impl TriggerClient {
     /// Begins.
@@ -59,8 +59,8 @@
     }
 
     /// Waits until all are answered.
-    pub fn join(self) -> ToldDaemon {
-        let gave_up = |_| ToldDaemon {
+    pub fn join(self) -> TriggerOutcome {
+        let gave_up = |_| TriggerOutcome {
             answers: super::acks::delay_histogram(),
             refused: vec!["the client that tells purges gave up".to_owned()],
         };
@@ -68,8 +68,8 @@
     }
 }
 
-fn tell(cdni: SocketAddr, purges: &[PlannedPurge], begun: Instant) -> ToldDaemon {
-    let mut told = ToldDaemon {
+fn tell(cdni: SocketAddr, purges: &[PlannedPurge], begun: Instant) -> TriggerOutcome {
+    let mut outcome = TriggerOutcome {
         answers: super::acks::delay_histogram(),
         refused: Vec::new(),
     };
@@ -78,11 +78,13 @@
         thread::sleep(due.saturating_duration_since(Instant::now()));
         let sent = Instant::now();
         match real::purge(cdni, &object(purge.number)) {
-            Ok(()) => told
+            Ok(()) => outcome
                 .answers
                 .saturating_record(sent.elapsed().as_micros() as u64),
-            Err(why) => told.refused.push(format!("purge {}: {why}", purge.number)),
+            Err(why) => outcome
+                .refused
+                .push(format!("purge {}: {why}", purge.number)),
         }
     }
-    told
+    outcome
 }
--- a/rehearse/src/scale/daemons/report.rs
+++ b/rehearse/src/scale/daemons/report.rs
@@ -131,7 +131,7 @@
         at_rest: figures(run, &outcome.at_rest),
         under_load: figures(run, &outcome.under_load),
         acknowledged: delays(&outcome.ack_delays),
-        answered: delays(&outcome.told.answers),
+        answered: delays(&outcome.triggers.answers),
         entries: outcome.entries,
         logs: outcome.logs,
     }
@@ -340,7 +340,7 @@
                 "daemon {number} has other logs than the hollow members"
             ));
         }
-        let refused = daemon.told.refused.iter().take(MAX_NAMED);
+        let refused = daemon.triggers.refused.iter().take(MAX_NAMED);
         wrong.extend(refused.map(|why| format!("daemon {number} refused {why}")));
     }
     let refused = outcome.refused.iter().take(MAX_NAMED);
--- a/rehearse/src/scale/daemons/run.rs
+++ b/rehearse/src/scale/daemons/run.rs
@@ -2,7 +2,7 @@
 
 use super::host::{HollowHost, RefusedPurge};
 use super::proc_stat::{self, ProcessStat};
-use super::purge_plan::{plan, PlannedPurge, ToldDaemon, TriggerClient};
+use super::purge_plan::{plan, PlannedPurge, TriggerClient, TriggerOutcome};
 use super::real::{daemon_addresses, shared_budgets, FleetFiles, RealDaemons};
 use super::sockets::MemberSockets;
 use super::traffic::Traffic;
@@ -84,7 +84,7 @@
     /// Purges of hollow members that it never acknowledged.
     pub unacknowledged: usize,
     /// What it was told by its second front.
-    pub told: ToldDaemon,
+    pub triggers: TriggerOutcome,
     /// Entries in force at the end.
     pub entries: usize,
     /// Its logs at the end.
@@ -152,12 +152,12 @@
         fleet.host.lateness().max(),
     );
     let settling_us = fleet.settle(&clients)?;
-    let told: Vec<ToldDaemon> = clients.into_iter().map(TriggerClient::join).collect();
-    let spent = at_rest.into_iter().zip(under_load).zip(told);
+    let triggers: Vec<TriggerOutcome> = clients.into_iter().map(TriggerClient::join).collect();
+    let spent = at_rest.into_iter().zip(under_load).zip(triggers);
     let outcomes = spent
         .enumerate()
-        .map(|(daemon, ((at_rest, under_load), told))| {
-            fleet.daemon_outcome(daemon, at_rest, under_load, told)
+        .map(|(daemon, ((at_rest, under_load), triggers))| {
+            fleet.daemon_outcome(daemon, at_rest, under_load, triggers)
         });
     Ok(Outcome {
         daemons: outcomes.collect::<io::Result<_>>()?,
@@ -229,11 +229,11 @@
     fn wait_until(
         &mut self,
         max_us: Micros,
-        holds: impl Fn(&Self) -> io::Result<bool>,
+        is_so: impl Fn(&Self) -> io::Result<bool>,
     ) -> io::Result<Option<Micros>> {
         let begun = self.host.now();
         while self.host.now() < begun + max_us {
-            if holds(self)? {
+            if is_so(self)? {
                 return Ok(Some(self.host.now() - begun));
             }
             self.host.run_until(self.host.now() + ASK_US)?;
@@ -327,7 +327,7 @@
         daemon: usize,
         at_rest: Spent,
         under_load: Spent,
-        told: ToldDaemon,
+        triggers: TriggerOutcome,
     ) -> io::Result<DaemonOutcome> {
         let status = self.daemons.status(daemon)?;
         let digest = self
@@ -339,7 +339,7 @@
             under_load,
             ack_delays: self.host.acks().delays(daemon).clone(),
             unacknowledged: self.host.acks().missing(daemon),
-            told,
+            triggers,
             entries: status.entries,
             logs: status.logs_in_all,
             is_settled: digest.as_ref() == Some(&status.digest),
--- a/rehearse/src/scale/memory.rs
+++ b/rehearse/src/scale/memory.rs
@@ -67,7 +67,7 @@
 
 /// What each member of a run comes to hold.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct MemberState {
     /// Entries of its logs.
     pub entries: usize,
     /// Bytes of its compact table.
@@ -75,11 +75,11 @@
 }
 
 /// What a run of so many members takes.
-pub fn estimate(members: usize, held: Held) -> Bytes {
-    let Held {
+pub fn estimate(members: usize, state: MemberState) -> Bytes {
+    let MemberState {
         entries,
         table_bytes,
-    } = held;
+    } = state;
     let each = MEMBER_BYTES + members * PEER_BYTES + entries * ENTRY_BYTES + table_bytes;
     Bytes(members as u64 * each as u64)
 }
@@ -88,8 +88,8 @@
 ///
 /// # Errors
 /// Where it does not.
-pub fn admit(members: usize, held: Held, available: Bytes) -> Result<(), TooLarge> {
-    let estimate = estimate(members, held);
+pub fn admit(members: usize, state: MemberState, available: Bytes) -> Result<(), TooLarge> {
+    let estimate = estimate(members, state);
     if estimate.0 > available.0 / 2 {
         return Err(TooLarge {
             estimate,
--- a/rehearse/src/score.rs
+++ b/rehearse/src/score.rs
@@ -117,12 +117,12 @@
         if out.seconds.len() <= second {
             out.seconds.resize(second + 1, Shares::default());
         }
-        for place in [
+        for shares_of in [
             &mut out.total,
             &mut out.classes[of[0].0.class],
             &mut out.seconds[second],
         ] {
-            place.add(&shares);
+            shares_of.add(&shares);
         }
     }
     let windows = out
--- a/rehearse/tests/fake_site.rs
+++ b/rehearse/tests/fake_site.rs
@@ -101,7 +101,7 @@
     // 1 has the lowest rank, whatever was used last.
     assert_eq!(memory.get((1, 0), 10, 0), Some(10));
     assert!(memory.keep((3, 0), 7, 40, 10, 2));
-    assert_eq!((memory.get((1, 0), 0, 0), memory.held()), (None, 80));
+    assert_eq!((memory.get((1, 0), 0, 0), memory.used_kb()), (None, 80));
     // Of one rank, what was used longest ago.
     assert_eq!(memory.get((2, 0), 0, 0), Some(10));
     assert!(memory.keep((4, 0), 7, 40, 10, 2));
@@ -111,7 +111,7 @@
     );
     // One of lower rank is not kept, and costs nobody.
     assert!(!memory.keep((5, 0), 7, 40, 10, 1));
-    assert_eq!(memory.held(), 80);
+    assert_eq!(memory.used_kb(), 80);
     // A use sets the rank anew: then it goes first.
     memory.get((4, 0), 0, 1);
     assert!(memory.keep((6, 0), 7, 50, 10, 1));
@@ -125,14 +125,14 @@
         (
             memory.get((2, 0), 21, 0),
             memory.get((2, 0), 20, 0),
-            memory.held()
+            memory.used_kb()
         ),
         (None, Some(20), 80)
     );
     // Purges strike what is older than they are, by object or by group.
     assert!(memory.keep((2, 1), 8, 20, 20, 3));
     assert_eq!((memory.purge(Ok(2), 20), memory.purge(Err(7), 20)), (0, 1));
-    assert_eq!((memory.purge(Ok(2), 21), memory.held()), (2, 0));
+    assert_eq!((memory.purge(Ok(2), 21), memory.used_kb()), (2, 0));
 }
 
 fn figures() -> NodeFigures {
--- a/rehearse/tests/rules_budgets.rs
+++ b/rehearse/tests/rules_budgets.rs
@@ -1,7 +1,7 @@
 //! The rule of budgets that several proxies share, from spans alone.
 
 use linnetknot_rehearse::record::Micros;
-use linnetknot_rehearse::rules::budgets::{held, judge, mean, HeldFrom, LimitFrom, Span};
+use linnetknot_rehearse::rules::budgets::{in_flight, judge, mean, InFlightFrom, LimitFrom, Span};
 
 fn span(from: Micros, until: Micros) -> Span {
     Span { from, until }
@@ -44,8 +44,17 @@
     assert_eq!(judged(&[(0, 4), (13, 0)]).len(), 2);
     assert_eq!(judged(&[]), [], "nothing is said of a limit");
     assert_eq!(
-        held(&[span(7, 7), span(7, 8)]),
-        [HeldFrom { from: 7, held: 1 }, HeldFrom { from: 8, held: 0 }],
+        in_flight(&[span(7, 7), span(7, 8)]),
+        [
+            InFlightFrom {
+                from: 7,
+                in_flight: 1
+            },
+            InFlightFrom {
+                from: 8,
+                in_flight: 0
+            }
+        ],
         "what took no time was not held"
     );
 }
--- a/rehearse/tests/scale.rs
+++ b/rehearse/tests/scale.rs
@@ -5,7 +5,7 @@
 use linnetknot_rehearse::scale::fleet_config::FleetConfig;
 use linnetknot_rehearse::scale::hollow::{DiskContents, HollowMember, MemberEvent};
 use linnetknot_rehearse::scale::layout::{Distance, Layout};
-use linnetknot_rehearse::scale::memory::{admit, estimate, Bytes, Held};
+use linnetknot_rehearse::scale::memory::{admit, estimate, Bytes, MemberState};
 use linnetknot_rehearse::scale::report::{Report, Role, Value};
 use linnetknot_rehearse::scale::run::{Defect, Plant, Run, Without};
 use linnetknot_rehearse::scale::simulation::{play, Outcome};
@@ -454,7 +454,7 @@
 
 #[test]
 fn a_run_that_takes_more_than_half_of_the_memory_is_not_admitted() {
-    let held = Held {
+    let held = MemberState {
         entries: 1_000,
         table_bytes: 0,
     };
@@ -468,7 +468,7 @@
     );
     let with_table = estimate(
         1_000,
-        Held {
+        MemberState {
             table_bytes: 4 << 20,
             ..held
         },
--- a/rehearse/tests/scale_daemons.rs
+++ b/rehearse/tests/scale_daemons.rs
@@ -2,7 +2,7 @@
 
 use linnetknot_rehearse::scale::daemons::acks::delay_histogram;
 use linnetknot_rehearse::scale::daemons::host::RefusedPurge;
-use linnetknot_rehearse::scale::daemons::purge_plan::ToldDaemon;
+use linnetknot_rehearse::scale::daemons::purge_plan::TriggerOutcome;
 use linnetknot_rehearse::scale::daemons::report::Report;
 use linnetknot_rehearse::scale::daemons::run::{DaemonOutcome, Outcome, Run, Spent};
 use linnetknot_rehearse::scale::daemons::slopes::{table, SizeOutcome, SizeRun};
@@ -49,7 +49,7 @@
         under_load,
         ack_delays: delay_histogram(),
         unacknowledged: 0,
-        told: ToldDaemon {
+        triggers: TriggerOutcome {
             answers: delay_histogram(),
             refused: Vec::new(),
         },
@@ -110,7 +110,7 @@
     let mut lacking = daemon(spent(1, 0));
     (lacking.unacknowledged, lacking.is_settled) = (2, false);
     lacking
-        .told
+        .triggers
         .refused
         .push("purge 7: answered 503".to_owned());
     let outcome = Outcome {
