--- /dev/null
+++ b/harness/src/fakes/consul/answer.rs
@@ -0,0 +1,59 @@
+//! An agent's answers as they are written, whole or broken.
+
+use super::Manner;
+use std::io::{self, Write};
+use std::net::TcpStream;
+
+/// An answer, and how it is written.
+pub(super) struct HttpAnswer {
+    pub(super) status: &'static str,
+    pub(super) body: String,
+    pub(super) index: u64,
+    pub(super) manner: Manner,
+}
+
+impl HttpAnswer {
+    pub(super) fn write(&self, socket: &mut TcpStream) -> io::Result<()> {
+        let HttpAnswer {
+            status,
+            body,
+            index,
+            ..
+        } = self;
+        let mut out = format!(
+            "HTTP/1.1 {status}\r\nContent-Type: application/json\r\nX-Consul-Index: {index}\r\n"
+        );
+        out += "X-Consul-KnownLeader: true\r\nX-Consul-LastContact: 0\r\n";
+        match self.manner {
+            Manner::Endless => return Self::write_endless(socket, out),
+            Manner::Chunked => return self.write_chunked(socket, out),
+            Manner::Busy => out += "Retry-After: 1\r\n",
+            _ => {}
+        }
+        out += &format!("Content-Length: {}\r\n\r\n", body.len());
+        let bytes = out + body;
+        let cut_off = self.manner == Manner::CutOff;
+        let sent = if cut_off {
+            bytes.len() - body.len() / 2 - 1
+        } else {
+            bytes.len()
+        };
+        socket.write_all(&bytes.as_bytes()[..sent])
+    }
+
+    /// Writes until whoever reads has had enough, or a GB has gone.
+    fn write_endless(socket: &mut TcpStream, mut out: String) -> io::Result<()> {
+        out += "Transfer-Encoding: chunked\r\n\r\n";
+        socket.write_all(out.as_bytes())?;
+        let chunk = format!("10000\r\n{}\r\n", " ".repeat(0x10000));
+        (0..0x4000).try_for_each(|_| socket.write_all(chunk.as_bytes()))
+    }
+
+    fn write_chunked(&self, socket: &mut TcpStream, mut out: String) -> io::Result<()> {
+        out += "Transfer-Encoding: chunked\r\n\r\n";
+        for part in self.body.as_bytes().chunks(100) {
+            out += &format!("{:x}\r\n{}\r\n", part.len(), String::from_utf8_lossy(part));
+        }
+        socket.write_all((out + "0\r\n\r\n").as_bytes())
+    }
+}
--- a/harness/src/links/stream.rs
+++ b/harness/src/links/stream.rs
@@ -110,6 +110,19 @@
     let _ = socket.shutdown(Shutdown::Both);
 }
 
+/// Waits as long as bytes take on a link: its delay and half of its jitter.
+fn delay(conditions: &LinkConditions) {
+    let LinkConditions {
+        delay_ms,
+        jitter_ms,
+        ..
+    } = conditions;
+    if delay_ms + jitter_ms > 0.0 {
+        let delay_us = (delay_ms + jitter_ms / 2.0) * 1e3;
+        thread::sleep(Duration::from_micros(delay_us as u64));
+    }
+}
+
 /// Passes what comes on until one side ends it.
 fn pump(
     mut from: TcpStream,
@@ -141,11 +154,7 @@
                 return;
             }
             Ok(n) => {
-                if now.delay_ms + now.jitter_ms > 0.0 {
-                    thread::sleep(Duration::from_micros(
-                        ((now.delay_ms + now.jitter_ms / 2.0) * 1e3) as u64,
-                    ));
-                }
+                delay(&now);
                 if to.write_all(&bytes[..n]).is_err() {
                     let _ = from.shutdown(Shutdown::Both);
                     return;
--- a/rehearse/src/fakes/site/mod.rs
+++ b/rehearse/src/fakes/site/mod.rs
@@ -40,6 +40,30 @@
     attempt: usize,
 }
 
+impl Open {
+    /// The answer to a request that has been sent, with its attempt's index; none where it was not being sent.
+    fn into_answer(self) -> Option<(usize, Out)> {
+        let Phase::Sending {
+            how,
+            made,
+            waited_us,
+        } = self.phase
+        else {
+            return None;
+        };
+        let answer = Out::Answer {
+            connection: self.fetch.connection,
+            id: self.fetch.id,
+            word: "200",
+            how,
+            waited_us,
+            made,
+            part: self.fetch.part,
+        };
+        Some((self.attempt, answer))
+    }
+}
+
 /// A fill under way at a node, by its part.
 #[derive(Clone, Debug)]
 struct Filling {
@@ -234,33 +258,11 @@
                 node.link.change(cold.capacity_at(now));
             }
             for (request, at) in ended {
-                let Some(open) = node.open.remove(&request) else {
-                    continue;
-                };
-                let Phase::Sending {
-                    how,
-                    made,
-                    waited_us,
-                } = open.phase
-                else {
-                    continue;
-                };
-                self.attempts[open.attempt].ended = Some((at, Ended::Ran));
-                let Fetch {
-                    connection,
-                    id,
-                    part,
-                    ..
-                } = open.fetch;
-                out.push(Out::Answer {
-                    connection,
-                    id,
-                    word: "200",
-                    how,
-                    waited_us,
-                    made,
-                    part,
-                });
+                let open = node.open.remove(&request);
+                if let Some((attempt, answer)) = open.and_then(Open::into_answer) {
+                    self.attempts[attempt].ended = Some((at, Ended::Ran));
+                    out.push(answer);
+                }
             }
             self.admit(now, uid, out);
         }
--- a/rehearse/src/fault_matrix/mod.rs
+++ b/rehearse/src/fault_matrix/mod.rs
@@ -73,6 +73,20 @@
 }
 
 impl Play {
+    /// Starts the proxies of a play.
+    fn start(setup: Setup<'_>) -> io::Result<Self> {
+        Ok(Play {
+            fleet: Fleet::with(setup)?,
+            begun: Instant::now(),
+            record: CommitRecord {
+                timeout_us: TIMEOUT_US,
+                tolerance_us: TOLERANCE_US,
+                ..CommitRecord::default()
+            },
+            objects: 0,
+        })
+    }
+
     fn now(&self) -> u64 {
         self.begun.elapsed().as_micros() as u64
     }
@@ -155,23 +169,11 @@
     } else {
         &[]
     };
-    let setup = Setup {
+    let mut play = Play::start(Setup {
         later,
         planted,
         ..Setup::copying(daemon, PROXIES, case.seed)
-    };
-    let fleet = Fleet::with(setup)?;
-    let record = CommitRecord {
-        timeout_us: TIMEOUT_US,
-        tolerance_us: TOLERANCE_US,
-        ..CommitRecord::default()
-    };
-    let mut play = Play {
-        fleet,
-        begun: Instant::now(),
-        record,
-        objects: 0,
-    };
+    })?;
     play.fleet.links.set_all(conditions(case.seed));
     for proxy in 0..PROXIES {
         play.tell(proxy, false);
--- a/rehearse/src/load.rs
+++ b/rehearse/src/load.rs
@@ -113,6 +113,26 @@
     }
 }
 
+/// The hot object that a request of a class is for at this second, where a fault makes it one.
+fn hot_object(
+    scenario: &Scenario,
+    class: &ClassLoad,
+    at: f64,
+    random: &mut ChaCha8Rng,
+) -> Option<u64> {
+    let mut object = None;
+    for (n, fault) in scenario.faults.iter().enumerate() {
+        if let What::HotObject { class: hot, share } = &fault.what {
+            let lasts = fault.at..fault.at + fault.lasts;
+            let is_hot = *hot == class.name && lasts.contains(&at);
+            if is_hot && random.random_bool(*share) {
+                object = Some(mix(0x4007 ^ mix(n as u64)));
+            }
+        }
+    }
+    object
+}
+
 /// Draws the plan of a scenario.
 pub fn plan(scenario: &Scenario, seed: u64) -> Plan {
     let mut plan = Plan::default();
@@ -131,13 +151,8 @@
             // Thinned to the shape: what comes at full rate is kept by the factor of its moment.
             let is_accepted = random.random_bool(factor(&scenario.load.shape, at).clamp(0.0, 1.0));
             let mut object = source.object(&mut random, at);
-            for (n, f) in scenario.faults.iter().enumerate() {
-                if let What::HotObject { class: hot, share } = &f.what {
-                    let now = *hot == class.name && (f.at..f.at + f.lasts).contains(&at);
-                    if now && random.random_bool(*share) {
-                        object = mix(0x4007 ^ mix(n as u64));
-                    }
-                }
+            if let Some(hot) = hot_object(scenario, class, at, &mut random) {
+                object = hot;
             }
             let proxy = random.random_range(0..scenario.proxies.max(1));
             let count = random.random_range(class.parts.0..=class.parts.1);
--- a/rehearse/src/play.rs
+++ b/rehearse/src/play/mod.rs
@@ -1,5 +1,7 @@
 //! The cases, and what must hold in them.
 
+mod drain;
+
 use crate::Report;
 use linnetknot_harness::clients::{call, Answer, PeerCdn, PeerRequest, WebServer, TIMEOUT};
 use linnetknot_harness::fakes::cache::{Arrival, FakeCache, Manner};
@@ -13,7 +15,7 @@
 use std::path::Path;
 use std::process::Command;
 use std::sync::mpsc;
-use std::thread::{self, JoinHandle};
+use std::thread;
 use std::time::{Duration, Instant};
 
 /// A fault that the fakes are made to show, to see that it is reported.
@@ -27,10 +29,7 @@
 
 /// Time from the notice of a purge until nothing older is served, and what sockets add to every time limit.
 const PURGE_GRACE_MS: u64 = 300 + 50;
-/// Time from the notice of a drain until nothing new goes there, with the same.
-const DRAIN_GRACE_MS: u64 = 1000 + 50;
 const OBJECT: &str = "00000000000000a1";
-const REDIRECTED: usize = 12;
 
 fn failed(what: impl Into<String>) -> io::Error {
     io::Error::other(what.into())
@@ -95,7 +94,7 @@
     caches
         .iter()
         .for_each(|cache| cache.behave(Manner::default()));
-    drain(&running, &bus, &caches, plant, &mut report)?;
+    drain::drain(&running, &bus, &caches, plant, &mut report)?;
     attempts(&caches, &origin, &mut report);
     end(&mut running, &caches, &mut report)?;
     Ok(report)
@@ -122,16 +121,7 @@
     report.hold("trigger", made.status == 201, || {
         format!("the purge was answered {}", made.status)
     });
-    let path = made
-        .header("location")
-        .and_then(|l| l.strip_prefix("http://cdn.example"))
-        .unwrap_or("/");
-    let status = call(running.cdni, "GET", path, "")?;
-    let done =
-        serde_json::from_slice::<Value>(&status.body).is_ok_and(|v| v["status"] == "complete");
-    report.hold("trigger", done, || {
-        format!("the status resource {path} does not say that the purge is complete")
-    });
+    check_status(running, &made, report)?;
     let (mut server, mut requests) = (WebServer::connect(running.front)?, 0u16);
     while unix_ms() < notified_ms + PURGE_GRACE_MS + 600 {
         let sent = unix_ms();
@@ -164,6 +154,21 @@
     Ok(())
 }
 
+/// The status that an answer to a trigger names says that the purge is complete.
+fn check_status(running: &Process, made: &Answer, report: &mut Report) -> io::Result<()> {
+    let path = made
+        .header("location")
+        .and_then(|l| l.strip_prefix("http://cdn.example"))
+        .unwrap_or("/");
+    let status = call(running.cdni, "GET", path, "")?;
+    let done =
+        serde_json::from_slice::<Value>(&status.body).is_ok_and(|v| v["status"] == "complete");
+    report.hold("trigger", done, || {
+        format!("the status resource {path} does not say that the purge is complete")
+    });
+    Ok(())
+}
+
 /// Our footprint and a purge of the bus reach the peer CDN.
 fn notices(
     bus: &Bus,
@@ -198,145 +203,6 @@
     Ok(())
 }
 
-/// A request that was redirected here and is under way.
-struct Redirected {
-    number: usize,
-    answer: JoinHandle<io::Result<Answer>>,
-}
-
-/// Requests that were redirected here while their target cache is draining: one final answer each, and nothing new
-/// at the cache from the grace on.
-fn drain(
-    running: &Process,
-    bus: &Bus,
-    caches: &[FakeCache],
-    plant: Option<Plant>,
-    report: &mut Report,
-) -> io::Result<()> {
-    caches.iter().for_each(|cache| {
-        cache.behave(Manner {
-            hold_ms: 150,
-            ..Manner::default()
-        });
-    });
-    let clients = redirect(running, report)?;
-    // The cache that the first of them waits at is draining.
-    let target = redirected_to(caches)?;
-    if plant != Some(Plant::DrainHidden) {
-        bus.list(false, vec![entry(target, "here", "box", "draining")]);
-    }
-    let draining_ms = unix_ms();
-    judge_redirected(clients, report)?;
-    caches
-        .iter()
-        .for_each(|cache| cache.behave(Manner::default()));
-    while unix_ms() < draining_ms + DRAIN_GRACE_MS + 10 {
-        thread::sleep(Duration::from_millis(5));
-    }
-    for n in 0..2 * REDIRECTED {
-        let answer = content(running.cdni, &format!("{:016x}", 0xc000 + n))?;
-        report.hold("one answer", !answer.surplus, || {
-            format!("bytes behind the answer to request {n} after a drain")
-        });
-    }
-    for a in target
-        .arrivals()
-        .iter()
-        .filter(|a| a.word == "fetch" && a.at > draining_ms + DRAIN_GRACE_MS)
-    {
-        report.hold("drain", false, || {
-            format!(
-                "{} reached {} {} ms after the notice that it drains",
-                a.id,
-                target.uid,
-                a.at - draining_ms
-            )
-        });
-    }
-    report.played.push(format!(
-        "a drain under {REDIRECTED} redirected requests, {} after it",
-        2 * REDIRECTED
-    ));
-    Ok(())
-}
-
-/// The object that a redirected request asks for.
-fn redirected_object(number: usize) -> String {
-    format!("{:016x}", 0xb000 + number)
-}
-
-/// Has requests redirected, and sends each where its redirection leads.
-fn redirect(running: &Process, report: &mut Report) -> io::Result<Vec<Redirected>> {
-    let mut clients = Vec::new();
-    for number in 0..REDIRECTED {
-        let uri = format!(
-            "http://cdn.example/content/photo/{}/0?kb=40",
-            redirected_object(number)
-        );
-        let http = json!({"c-ip": "127.0.0.9", "cs-uri": uri, "cs-method": "GET"});
-        let request = json!({"http": http, "cdn-path": ["AS64501:0"]});
-        let answer = call(running.cdni, "POST", "/cdni/redirect", &request.to_string())?;
-        let value: Value =
-            serde_json::from_slice(&answer.body).map_err(|e| failed(e.to_string()))?;
-        let location = value["http"]["sc-(location)"]
-            .as_str()
-            .and_then(|l| l.strip_prefix("http://cdn.example"));
-        let Some(target) = location.map(str::to_owned) else {
-            report.hold("redirection", false, || {
-                format!("no redirection but {value}")
-            });
-            continue;
-        };
-        let to = running.cdni;
-        let answer = thread::spawn(move || call(to, "GET", &target, ""));
-        clients.push(Redirected { number, answer });
-    }
-    Ok(clients)
-}
-
-/// The cache that a redirected request has reached first.
-fn redirected_to(caches: &[FakeCache]) -> io::Result<&FakeCache> {
-    let objects: Vec<_> = (0..REDIRECTED).map(redirected_object).collect();
-    let redirected = |a: &Arrival| {
-        a.field("key")
-            .is_some_and(|key| objects.iter().any(|o| o == key))
-    };
-    let until = Instant::now() + TIMEOUT;
-    loop {
-        match caches
-            .iter()
-            .find(|cache| cache.arrivals().iter().any(redirected))
-        {
-            Some(target) => return Ok(target),
-            None if Instant::now() > until => {
-                return Err(failed("a redirected request reached no cache"))
-            }
-            None => thread::sleep(Duration::from_millis(2)),
-        }
-    }
-}
-
-/// Each redirected request has one final answer.
-fn judge_redirected(clients: Vec<Redirected>, report: &mut Report) -> io::Result<()> {
-    for Redirected { number, answer } in clients {
-        match answer.join().map_err(|_| failed("a client gave up"))? {
-            Err(e) => report.hold("one answer", false, || {
-                format!("redirected request {number} got none: {e}")
-            }),
-            Ok(answer) => {
-                let known = matches!(answer.status, 200 | 502 | 503 | 504);
-                report.hold("one answer", known && !answer.surplus, || {
-                    let (status, surplus) = (answer.status, answer.surplus);
-                    format!(
-                        "redirected request {number} got {status} with more behind it: {surplus}"
-                    )
-                });
-            }
-        }
-    }
-    Ok(())
-}
-
 /// No request had more than six attempts.
 fn attempts(caches: &[FakeCache], origin: &FakeCache, report: &mut Report) {
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
--- a/rehearse/src/player/clients.rs
+++ b/rehearse/src/player/clients.rs
@@ -24,6 +24,17 @@
     pub(super) retry: u32,
 }
 
+impl ClientRequest {
+    /// A first request.
+    pub(super) fn first(arrival: &Arrival) -> Self {
+        ClientRequest {
+            arrival: arrival.clone(),
+            first_id: String::new(),
+            retry: 0,
+        }
+    }
+}
+
 /// A request that is to be sent again.
 pub(super) struct Retry {
     pub(super) at: Micros,
--- a/rehearse/src/player/load_generator.rs
+++ b/rehearse/src/player/load_generator.rs
@@ -160,14 +160,7 @@
             }
             while let Some(arrival) = schedule.next_arrival(now) {
                 let due = schedule.start + arrival.at;
-                self.send(
-                    due,
-                    ClientRequest {
-                        arrival: arrival.clone(),
-                        first_id: String::new(),
-                        retry: 0,
-                    },
-                )?;
+                self.send(due, ClientRequest::first(arrival))?;
             }
             while let Some(Retry { at, request }) = retry_queue.pop_due(now) {
                 self.send(at, request)?;
--- a/rehearse/src/player/mod.rs
+++ b/rehearse/src/player/mod.rs
@@ -201,21 +201,31 @@
         cold: ended.started,
     };
     lags.sort_unstable();
-    let lag_us = (quantile(&lags, 0.99), quantile(&lags, 1.0));
+    Ok(Outcome {
+        writes: ended.site.writes,
+        unsent,
+        interrupted,
+        ..judged(&record, &lags)
+    })
+}
+
+/// What a record shows, with the sorted lags of its load.
+fn judged(record: &Record, lags: &[Micros]) -> Outcome {
+    let lag_us = (quantile(lags, 0.99), quantile(lags, 1.0));
     let limits = Limits {
         late_us: lag_us.0.min(MAX_LAG_US),
         ..Limits::default()
     };
-    Ok(Outcome {
+    Outcome {
         requests: record.requests.len(),
         lag_us,
-        score: score(&record),
-        waits: waits(&record),
-        breaches: judge(&record, &limits),
-        writes: ended.site.writes,
-        unsent,
-        interrupted,
-    })
+        score: score(record),
+        waits: waits(record),
+        breaches: judge(record, &limits),
+        writes: (0, 0),
+        unsent: 0,
+        interrupted: None,
+    }
 }
 
 /// A quantile of sorted lags; 0 where there are none.
--- a/rehearse/src/rules/drains.rs
+++ b/rehearse/src/rules/drains.rs
@@ -1,43 +1,59 @@
-//! Drains: nothing new to a box, as target or as source of a fill, once a proxy has had word and its grace is over.
+//! Drains: nothing new to a cache, as target or as source of a fill, once a proxy has been notified and its grace is over.
 
 use super::{Breach, Case};
 use crate::record::{Micros, NoticeKind};
 use std::collections::BTreeMap;
 
-pub(super) fn check(case: &Case<'_>, out: &mut Vec<Breach>) {
-    // By proxy and box: when it was told what, in order.
-    let mut words: BTreeMap<(usize, &str), Vec<(Micros, bool)>> = BTreeMap::new();
-    for t in &case.record.notices {
-        let (uid, is_out) = match &t.kind {
-            NoticeKind::Ready(uid) => (uid, false),
-            NoticeKind::Out(uid) => (uid, true),
-            NoticeKind::Purged { .. } => continue,
-        };
-        words
-            .entry((t.proxy, uid))
-            .or_default()
-            .push((t.at, is_out));
+/// A notice that a cache is out, or ready again.
+struct StateNotice {
+    at: Micros,
+    is_out: bool,
+}
+
+/// Notices of each cache's state to each proxy, in the order of time.
+struct StateNotices<'a>(BTreeMap<(usize, &'a str), Vec<StateNotice>>);
+
+impl<'a> StateNotices<'a> {
+    fn of(case: &Case<'a>) -> Self {
+        let mut notices: BTreeMap<(usize, &str), Vec<StateNotice>> = BTreeMap::new();
+        for notice in &case.record.notices {
+            let (uid, is_out) = match &notice.kind {
+                NoticeKind::Ready(uid) => (uid, false),
+                NoticeKind::Out(uid) => (uid, true),
+                NoticeKind::Purged { .. } => continue,
+            };
+            let of = notices.entry((notice.proxy, uid)).or_default();
+            let at = notice.at;
+            of.push(StateNotice { at, is_out });
+        }
+        let lists = notices.values_mut();
+        lists.for_each(|of| of.sort_by_key(|notice| notice.at));
+        StateNotices(notices)
     }
-    words.values_mut().for_each(|of| of.sort_by_key(|w| w.0));
-    // Since when a box has been out for a proxy at some time: repeats of a word do not begin its grace anew.
-    let out_since = |proxy: usize, uid: &str, at: Micros| {
+
+    /// Since when a cache has been out for a proxy at some time: repeated notices do not begin its grace anew.
+    fn out_since(&self, proxy: usize, uid: &str, at: Micros) -> Option<Micros> {
+        let notices = self.0.get(&(proxy, uid))?;
         let mut since = None;
-        for (notified_at, is_out) in words.get(&(proxy, uid))?.iter().take_while(|w| w.0 <= at) {
-            since = if *is_out {
-                since.or(Some(*notified_at))
-            } else {
-                None
+        for notice in notices.iter().take_while(|notice| notice.at <= at) {
+            since = match notice.is_out {
+                true => since.or(Some(notice.at)),
+                false => None,
             };
         }
         since
-    };
+    }
+}
+
+pub(super) fn check(case: &Case<'_>, out: &mut Vec<Breach>) {
+    let notices = StateNotices::of(case);
     for a in &case.record.attempts {
         for (uid, role) in [
             (Some(&a.target), "target"),
             (a.source.as_ref(), "source of a fill"),
         ] {
             let Some(uid) = uid else { continue };
-            let Some(since) = out_since(a.proxy, uid, a.first_byte) else {
+            let Some(since) = notices.out_since(a.proxy, uid, a.first_byte) else {
                 continue;
             };
             if a.first_byte > since + case.limits.drain_us {
@@ -47,7 +63,7 @@
                     target: Some(uid.clone()),
                     at: a.first_byte,
                     evidence: format!(
-                        "as {role}, {} us after proxy {} had word",
+                        "as {role}, {} us after proxy {} was notified",
                         a.first_byte - since,
                         a.proxy
                     ),
