--- a/harness/src/clients.rs
+++ b/harness/src/clients.rs
@@ -194,7 +194,7 @@
     })
 }
 
-/// A message that has come whole.
+/// A complete message.
 struct Received {
     head: Head,
     body: Vec<u8>,
@@ -244,7 +244,7 @@
     }
 }
 
-/// Whether something becomes so before patience ends.
+/// Polls a condition until it holds or a time has passed: whether it holds.
 pub fn becomes(patience: Duration, mut so: impl FnMut() -> bool) -> bool {
     let begun = Instant::now();
     while !so() {
--- a/harness/src/fakes/cache.rs
+++ b/harness/src/fakes/cache.rs
@@ -11,14 +11,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How a box behaves from now on.
+/// How a cache behaves from now on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Manner {
     /// It waits so many milliseconds before it answers.
     pub hold_ms: u64,
     /// Bytes that its answers hold besides what they tell.
     pub padding: usize,
-    /// It says that what it fetched came from the origin, after so many milliseconds; 0: from a hub.
+    /// It says that what it fetched came from the origin, after so many milliseconds; 0: from a parent cache.
     pub origin_ms: u64,
     /// It answers nothing.
     pub mute: bool,
@@ -26,12 +26,12 @@
     pub any_age: bool,
 }
 
-/// Something that reached a box.
+/// Something that reached a cache.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
     /// When, in Unix milliseconds.
     pub at: u64,
-    /// `fetch`, `abort` or a probe's word.
+    /// `fetch`, `abort` or the command of a health check.
     pub word: String,
     /// The request.
     pub id: String,
@@ -42,7 +42,7 @@
 }
 
 impl Arrival {
-    /// What the words of a command say.
+    /// Reads the words of a command.
     fn of(words: &[Vec<u8>]) -> Self {
         let text = |at: usize| {
             words
@@ -65,7 +65,7 @@
     }
 }
 
-/// Something that a box held.
+/// A fetch that a cache works on, or has worked on.
 #[derive(Clone, Debug)]
 struct ActiveFetch {
     connection: usize,
@@ -99,12 +99,12 @@
 }
 
 impl FakeCache {
-    /// Starts a box on a port of its own.
+    /// Starts a cache on a port of its own.
     pub fn start(uid: &'static str) -> io::Result<Self> {
         Self::start_at(uid, "127.0.0.1:0")
     }
 
-    /// Starts a box at an address.
+    /// Starts a cache at an address.
     pub fn start_at(uid: &'static str, address: &str) -> io::Result<Self> {
         let state = Shared::default();
         let served = state.clone();
@@ -122,7 +122,7 @@
             };
             let served = cache.serve(socket, connection);
             cache.state().ended += 1;
-            // What was asked by it is wanted by nobody any more.
+            // Nobody waits for what came on it any more.
             cache.finish(|fetch| fetch.connection == connection);
             served
         })?;
@@ -138,7 +138,7 @@
         self.state.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The same box under another id, as if it had taken over the address.
+    /// The same cache under another id, as if it had taken over the address.
     pub fn heir(&self, uid: &'static str) -> Self {
         FakeCache {
             uid,
@@ -179,7 +179,7 @@
         state.arrivals.iter().find(|a| fits(a)).cloned()
     }
 
-    /// When it held what it was asked for, in microseconds from a moment on: until its answer, an abort, or the end of the
+    /// When it worked on fetches, in microseconds from a moment on: until the answer, an abort, or the end of the
     /// connection.
     pub fn spans(&self, begun: Instant) -> Vec<Span> {
         let at = |at: Instant| at.saturating_duration_since(begun).as_micros() as u64;
--- a/harness/src/fakes/consul/answer.rs
+++ b/harness/src/fakes/consul/answer.rs
@@ -1,4 +1,4 @@
-//! An agent's answers as they are written, whole or broken.
+//! An agent's answers as they are written, complete or broken.
 
 use super::Manner;
 use std::io::{self, Write};
--- a/harness/src/fakes/event_bus.rs
+++ b/harness/src/fakes/event_bus.rs
@@ -27,7 +27,7 @@
     _listening: Option<Arc<Listening>>,
 }
 
-/// An entry of the list of boxes.
+/// An entry of the endpoint list.
 pub fn entry(cache: &FakeCache, zone: &str, kind: &str, state: &str) -> Value {
     json!({
         "uid": cache.uid, "endpoint": cache.address.to_string(), "az": zone, "model": kind,
@@ -60,7 +60,7 @@
         self.state.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells the list of boxes, or changes to it.
+    /// Sends the endpoint list, or changes to it.
     pub fn list(&self, all: bool, entries: Vec<Value>) {
         self.push(json!({"topology": {"rev": 1, "all": all, "targets": entries}}));
     }
--- a/harness/src/fleet/cdni.rs
+++ b/harness/src/fleet/cdni.rs
@@ -7,12 +7,12 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// A neighbour tells a proxy, by its second front, to purge a photo: the status of its answer.
+/// A peer CDN asks a proxy, at its CDNI listener, to purge a photo: the status of the answer.
 pub fn purge_at(cdni: SocketAddr, object: &str) -> io::Result<u16> {
     Ok(trigger_at(cdni, &[object])?.status)
 }
 
-/// A neighbour tells a proxy, by its second front, to purge photos: its answer.
+/// A peer CDN asks a proxy, at its CDNI listener, to purge photos: the answer.
 pub fn trigger_at(cdni: SocketAddr, objects: &[&str]) -> io::Result<Answer> {
     let urls: Vec<String> = objects
         .iter()
@@ -32,17 +32,17 @@
 }
 
 impl Fleet {
-    /// A neighbour tells one proxy to purge a photo: the status of its answer.
+    /// A peer CDN asks one proxy to purge a photo: the status of the answer.
     pub fn purge(&self, n: usize, object: &str) -> io::Result<u16> {
         purge_at(self.process(n)?.cdni, object)
     }
 
-    /// A neighbour tells one proxy to purge photos: its answer.
+    /// A peer CDN asks one proxy to purge photos: the answer.
     pub fn trigger(&self, n: usize, objects: &[&str]) -> io::Result<Answer> {
         trigger_at(self.process(n)?.cdni, objects)
     }
 
-    /// A neighbour asks a proxy of a path: its answer.
+    /// A peer CDN's call of a path at a proxy: the answer.
     pub fn neighbour(&self, n: usize, method: &str, path: &str) -> io::Result<Answer> {
         call(self.process(n)?.cdni, method, path, "")
     }
--- a/harness/src/fleet/mod.rs
+++ b/harness/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Several daemons as processes of their own, with fault-injecting links between every two of them: the ground on which tests and
-//! plays let links fail, peers stand still and processes die in the middle of their work.
+//! Several daemons as processes of their own, with fault-injecting links between every two of them: tests and plays let
+//! links fail, peers stop and processes die in the middle of their work.
 //!
 //! Each proxy has a folder of its own, its disk: what outlives its process. It survives a kill and is lost only where
 //! a test says so.
@@ -29,7 +29,7 @@
 struct Member {
     name: String,
     process: Option<Process>,
-    /// A bus of its own: what one proxy is told by the platform, another need not be.
+    /// A bus of its own: an event that one proxy gets, another need not get.
     _bus: Bus,
     disk: PathBuf,
     config: Value,
@@ -39,7 +39,7 @@
 pub struct Fleet {
     daemon: PathBuf,
     members: Vec<Member>,
-    /// Further machines that a promise waits for; none: no copies are made.
+    /// Further machines that a commit waits for; none: nothing is replicated.
     copies: Option<usize>,
     within_ms: Option<u64>,
     budgets: Value,
@@ -218,7 +218,7 @@
         self.process(n)?.signal(signal)
     }
 
-    /// A proxy stands still: its process runs no more until it goes on, and knows nothing of it.
+    /// Stops a proxy's process (SIGSTOP) until it goes on; it knows nothing of it.
     pub fn stall(&self, n: usize) -> io::Result<()> {
         self.signal(n, Signal::STOP)
     }
--- a/harness/src/fleet/queries.rs
+++ b/harness/src/fleet/queries.rs
@@ -9,12 +9,12 @@
 use std::time::Instant;
 
 impl Fleet {
-    /// What a proxy tells operators of what all spend together.
+    /// A proxy's status of the budgets that all share.
     pub fn budgets(&self, n: usize) -> io::Result<budgets::Status> {
         ask_budgets(self.process(n)?.admin)
     }
 
-    /// The file in which a proxy keeps what neighbours told.
+    /// The file in which a proxy stores the purges of peer CDNs.
     pub fn store(&self, n: usize) -> PathBuf {
         self.members[n].disk.join("purges")
     }
@@ -24,7 +24,7 @@
         Ok(call(self.process(n)?.admin, method, path, "")?.status)
     }
 
-    /// What a proxy tells operators of its copies.
+    /// A proxy's status of its replication.
     pub fn status(&self, n: usize) -> io::Result<Status> {
         ask_status(self.process(n)?.admin)
     }
@@ -52,8 +52,8 @@
             .ok_or_else(|| io::Error::other("it was aborted"))
     }
 
-    /// Whether a proxy holds a floor for a photo: it asks its box for no copy older than something. What it serves
-    /// tells less, as the boxes are shared: one proxy that holds a floor has the box fetch anew for all.
+    /// Whether a purge of a photo is in force at a proxy: it asks its cache for no copy older than something. What it
+    /// serves tells less, as the caches are shared: one proxy with the purge has the cache fetch anew for all.
     pub fn holds_floor(&self, n: usize, object: &str) -> io::Result<bool> {
         let before: Vec<usize> = self.caches.iter().map(|b| b.arrivals().len()).collect();
         self.ask(n, object)?;
@@ -67,7 +67,7 @@
         Ok(asked.field("maxage").is_some())
     }
 
-    /// Waits until a proxy holds a floor for a photo, or patience ends: whether it does.
+    /// Waits until a purge of a photo is in force at a proxy, or the timeout has passed: whether it is.
     pub fn hears(&self, n: usize, object: &str) -> io::Result<bool> {
         let start = Instant::now();
         while start.elapsed() < TIMEOUT {
--- a/harness/src/fleet/setup.rs
+++ b/harness/src/fleet/setup.rs
@@ -23,9 +23,9 @@
     pub later: &'a [&'a str],
     /// Draws what the links do.
     pub seed: u64,
-    /// Further machines that a promise waits for; none: no copies are made.
+    /// Further machines that a commit waits for; none: nothing is replicated.
     pub wait: Option<usize>,
-    /// How long a promise may wait; none: as long as the daemon's default says.
+    /// How long a commit may wait; none: as long as the daemon's default says.
     pub within_ms: Option<u64>,
     /// The machine that all of them say they stand on, whatever the others' files say; none: each on its own.
     pub machine: Option<&'a str>,
@@ -40,7 +40,7 @@
 }
 
 impl<'a> Setup<'a> {
-    /// So many proxies that copy, with promises that wait for one further machine.
+    /// So many proxies that replicate, with commits that wait for one further machine.
     pub fn copying(daemon: &'a Path, running: usize, seed: u64) -> Self {
         Setup {
             daemon,
--- a/harness/src/links/conditions.rs
+++ b/harness/src/links/conditions.rs
@@ -32,7 +32,7 @@
     pub half_open: bool,
 }
 
-/// How long a datagram that is held back waits at the least, in microseconds.
+/// How long a datagram that is reordered is delayed at the least, in microseconds.
 pub const REORDER_DELAY_US: Micros = 20_000;
 
 /// The longest delay and jitter, in milliseconds.
--- a/harness/src/links/stream.rs
+++ b/harness/src/links/stream.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often a direction that stands still is looked at again.
+/// How often a direction over which nothing may pass is checked again.
 const LOOK: Duration = Duration::from_millis(2);
 const CHUNK: usize = 16 << 10;
 
@@ -135,7 +135,7 @@
     let _ = from.set_read_timeout(Some(Duration::from_millis(50)));
     while !over.load(Ordering::Relaxed) {
         let now = conditions();
-        // Asked before it is read: what stands still here fills the sender's window, as on a real link.
+        // Checked before it is read: what waits here fills the sender's window, as on a real link.
         let most = match flow.may(unix_us(), &now, CHUNK) {
             Pass::Bytes(n) => n,
             Pass::Nothing => {
--- a/harness/src/pressure.rs
+++ b/harness/src/pressure.rs
@@ -9,7 +9,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// Between a refusal and the next request of the same client: as it is told, more or less.
+/// Between a refusal and the next request of the same client: as its answer says, more or less.
 const AFTER_REFUSAL: Duration = Duration::from_millis(20);
 
 #[derive(Default)]
@@ -24,7 +24,7 @@
 /// What became of the requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Answers {
-    /// Answered with what was asked for.
+    /// Served.
     pub served: u64,
     /// Refused.
     pub refused: u64,
@@ -115,7 +115,7 @@
 impl Drop for Pressure {
     fn drop(&mut self) {
         self.shared.over.store(true, Ordering::Relaxed);
-        // A client waits for its answer no longer than its patience; the proxies may be gone by then.
+        // A client waits for its answer no longer than its timeout; the proxies may be gone by then.
         self.clients
             .drain(..)
             .for_each(|client| drop(client.join()));
--- a/harness/src/process.rs
+++ b/harness/src/process.rs
@@ -19,7 +19,7 @@
     pub child: Child,
     /// Where clients connect.
     pub front: SocketAddr,
-    /// Where neighbours connect; that of `front` where the second front is off.
+    /// Where peer CDNs connect; that of `front` where the CDNI listener is off.
     pub cdni: SocketAddr,
     /// Where operators call; that of `front` where there is no admin listener.
     pub admin: SocketAddr,
@@ -59,7 +59,7 @@
         Self::start_armed(program, folder, name, (config, own), "")
     }
 
-    /// As `start`, with points armed at which it stops dead or stands still (the daemon's `points`); a daemon without
+    /// As `start`, with fail points armed at which it dies or is stopped (the daemon's feature `points`); a daemon without
     /// points passes them over.
     pub fn start_armed(
         program: &Path,
@@ -163,7 +163,7 @@
         .spawn()
 }
 
-/// Reads a daemon's log to the end on a thread of its own, so that the daemon is never held up by it: gives the addresses
+/// Reads a daemon's log to the end on a thread of its own, so that the daemon never blocks on it: gives the addresses
 /// that it names, and keeps its last lines.
 fn read_log(log: Option<ChildStderr>, last_lines: Arc<LastLines>) -> Receiver<SocketAddr> {
     let (sender, addresses) = mpsc::channel();
--- a/harness/src/settings.rs
+++ b/harness/src/settings.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{json, Value};
 
-/// Settings of a small deployment: one location with boxes, one hub with the origin.
+/// Settings of a small deployment: one location with caches, one hub with the origin.
 pub fn settings() -> Value {
     json!({
         "categories": [
--- a/harness/src/span.rs
+++ b/harness/src/span.rs
@@ -2,7 +2,7 @@
 
 use crate::time::Micros;
 
-/// A time in which a request was held.
+/// A time in which a request was in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Span {
     /// Its start.
--- a/rehearse/tests/load.rs
+++ b/rehearse/tests/load.rs
@@ -130,89 +130,95 @@
     assert_eq!(plan(&scenario, 5).purges, []);
 }
 
+/// Slips in a scenario: what stands there, what is put in its place, and the start of the message.
+const SLIPS: [(&str, &str, &str); 16] = [
+    (
+        "\"seconds\": 60",
+        "\"seconds\": 0",
+        "seconds: 0 is not from 1 to 3600",
+    ),
+    ("\"seconds\": 60", "\"second\": 60", "second: unknown field"),
+    (
+        "\"rate\": 210",
+        "\"rate\": 1e5",
+        "load.rate times seconds: ",
+    ),
+    (
+        "\"rate\": 210",
+        "\"rate\": \"fast\"",
+        "load.rate: invalid type",
+    ),
+    (
+        "[20, 1.0]",
+        "[0, 1.0]",
+        "load.shape[1][0]: 0 does not come after 0",
+    ),
+    (
+        "[20, 1.0]",
+        "[20, 2.0]",
+        "load.shape[1][1]: 2 is not from 0 to 1",
+    ),
+    (
+        "\"share\": 0.55",
+        "\"share\": 0.5",
+        "load.classes: sum of 'share'",
+    ),
+    (
+        "\"parts\": [9, 19]",
+        "\"parts\": [9, 3]",
+        "load.classes[0].parts[1]: 3 is not from 9",
+    ),
+    (
+        "\"median_kb\": 180,",
+        "",
+        "load.classes[1]: missing field `median_kb`",
+    ),
+    (
+        "\"class\": \"video-part\"",
+        "\"class\": \"film\"",
+        "faults[0].what.hot-object.class: there is no class",
+    ),
+    (
+        "\"boxes_per_proxy\": 4",
+        "\"boxes_per_proxy\": 0",
+        "site.boxes_per_proxy: 0 is not from 1",
+    ),
+    (
+        "\"capacity\": 200",
+        "\"capacity\": -1",
+        "site.hub.capacity: -1 is not from 0.1",
+    ),
+    ("\"fills\": 64,", "", "site.origin: missing field `fills`"),
+    (
+        "\"near_ms\": 8",
+        "\"near\": 8",
+        "site.near: unknown field `near`",
+    ),
+    (
+        "\"mass-purge\"",
+        "\"meteor\"",
+        "faults[1].what: unknown variant `meteor`",
+    ),
+    (
+        "\"share\": 0.4 }",
+        "\"share\": 4 }",
+        "faults[1].what.mass-purge.share: 4 is not",
+    ),
+];
+
 #[test]
 fn scenarios_are_refused_by_the_path_of_the_key() {
-    for (from, to, path) in [
-        (
-            "\"seconds\": 60",
-            "\"seconds\": 0",
-            "seconds: 0 is not from 1 to 3600",
-        ),
-        ("\"seconds\": 60", "\"second\": 60", "second: unknown field"),
-        (
-            "\"rate\": 210",
-            "\"rate\": 1e5",
-            "load.rate times seconds: ",
-        ),
-        (
-            "\"rate\": 210",
-            "\"rate\": \"fast\"",
-            "load.rate: invalid type",
-        ),
-        (
-            "[20, 1.0]",
-            "[0, 1.0]",
-            "load.shape[1][0]: 0 does not come after 0",
-        ),
-        (
-            "[20, 1.0]",
-            "[20, 2.0]",
-            "load.shape[1][1]: 2 is not from 0 to 1",
-        ),
-        (
-            "\"share\": 0.55",
-            "\"share\": 0.5",
-            "load.classes: sum of 'share'",
-        ),
-        (
-            "\"parts\": [9, 19]",
-            "\"parts\": [9, 3]",
-            "load.classes[0].parts[1]: 3 is not from 9",
-        ),
-        (
-            "\"median_kb\": 180,",
-            "",
-            "load.classes[1]: missing field `median_kb`",
-        ),
-        (
-            "\"class\": \"video-part\"",
-            "\"class\": \"film\"",
-            "faults[0].what.hot-object.class: there is no class",
-        ),
-        (
-            "\"boxes_per_proxy\": 4",
-            "\"boxes_per_proxy\": 0",
-            "site.boxes_per_proxy: 0 is not from 1",
-        ),
-        (
-            "\"capacity\": 200",
-            "\"capacity\": -1",
-            "site.hub.capacity: -1 is not from 0.1",
-        ),
-        ("\"fills\": 64,", "", "site.origin: missing field `fills`"),
-        (
-            "\"near_ms\": 8",
-            "\"near\": 8",
-            "site.near: unknown field `near`",
-        ),
-        (
-            "\"mass-purge\"",
-            "\"meteor\"",
-            "faults[1].what: unknown variant `meteor`",
-        ),
-        (
-            "\"share\": 0.4 }",
-            "\"share\": 4 }",
-            "faults[1].what.mass-purge.share: 4 is not",
-        ),
-    ] {
+    for (from, to, path) in SLIPS {
         let text = EVENING.replacen(from, to, 1);
         assert_ne!(text, EVENING, "{from}");
         let message = Scenario::read(&text).unwrap_err().to_string();
         assert!(message.starts_with(path), "{path} | {message}");
     }
     assert!(Scenario::read(&EVENING[..EVENING.len() / 2]).is_err());
-    // What is written can be read again.
+}
+
+#[test]
+fn what_is_written_can_be_read_again() {
     let mut scenario = evening();
     scenario.faults.push(Fault {
         at: 1.0,
--- a/rehearse/tests/timetable.rs
+++ b/rehearse/tests/timetable.rs
@@ -12,10 +12,13 @@
     }
 }
 
-#[test]
-fn faults_become_steps_in_the_order_of_time() {
-    let fault = |at, lasts, what| Fault { at, lasts, what };
-    let scenario = with(vec![
+fn fault(at: f64, lasts: f64, what: What) -> Fault {
+    Fault { at, lasts, what }
+}
+
+/// Faults of every kind that has steps, out of order.
+fn faults() -> Vec<Fault> {
+    vec![
         fault(10.0, 5.0, What::BoxDies { boxes: 2, first: 0 }),
         fault(2.0, 0.0, What::BoxDrains { boxes: 1, first: 3 }),
         fault(12.0, 1.5, What::SlowOrigin { times: 4.0 }),
@@ -62,8 +65,12 @@
                 one_way: true,
             },
         ),
-    ]);
-    let steps = timetable(&scenario);
+    ]
+}
+
+#[test]
+fn faults_become_steps_in_the_order_of_time() {
+    let steps = timetable(&with(faults()));
     let (a, b) = (box_uid(0), box_uid(1));
     assert_eq!(
         steps,
