--- a/daemon/tests/admin.rs
+++ b/daemon/tests/admin.rs
@@ -2,7 +2,7 @@
 
 mod rig;
 
-use linnetknot_rehearse::clients::call;
+use linnetknot_harness::clients::call;
 use rig::{object, one, Rig};
 use serde_json::json;
 use std::io::{Read, Write};
@@ -294,7 +294,7 @@
     assert_eq!(status(admin, "POST", "/control/out-of-service"), 200);
     // A write, which is never given up and sent elsewhere as a read that is overdue is (after 0.35 s here): however long
     // the machine keeps its answer back, it is the drain that is tested.
-    rig.origin.behave(linnetknot_rehearse::boxes::Manner {
+    rig.origin.behave(linnetknot_harness::fakes::cache::Manner {
         hold_ms: 600,
         ..Default::default()
     });
--- a/daemon/tests/armed/mod.rs
+++ b/daemon/tests/armed/mod.rs
@@ -1,10 +1,10 @@
 //! One daemon as a process of its own whose system calls fail as asked, with stand-ins around it.
 
-use linnetknot_rehearse::boxes::StandIn;
-use linnetknot_rehearse::bus::{entry, Bus};
-use linnetknot_rehearse::clients::{becomes, call, Answer, WebServer};
-use linnetknot_rehearse::process::Process;
-use linnetknot_rehearse::settings;
+use linnetknot_harness::clients::{becomes, call, Answer, WebServer};
+use linnetknot_harness::fakes::cache::FakeCache;
+use linnetknot_harness::fakes::event_bus::{entry, Bus};
+use linnetknot_harness::process::Process;
+use linnetknot_harness::settings;
 use serde_json::{json, Value};
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// What a busy machine may take for anything here.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// An address that nobody listens at.
 fn free_address() -> SocketAddr {
@@ -36,9 +36,9 @@
 /// The daemon and its surroundings.
 pub(crate) struct Armed {
     pub(crate) process: Process,
-    pub(crate) cache: StandIn,
+    pub(crate) cache: FakeCache,
     _bus: Bus,
-    _origin: StandIn,
+    _origin: FakeCache,
     folder: PathBuf,
 }
 
@@ -70,8 +70,8 @@
         let folder = std::env::temp_dir().join(name);
         let (bus, cache, origin) = (
             Bus::start().unwrap(),
-            StandIn::start("s-0a").unwrap(),
-            StandIn::start("s-0f").unwrap(),
+            FakeCache::start("s-0a").unwrap(),
+            FakeCache::start("s-0f").unwrap(),
         );
         let front = free_address();
         let points = points(Ports {
@@ -104,7 +104,7 @@
             call(armed.process.admin, "GET", "/control/ready", "")
                 .is_ok_and(|answer| answer.status == 200)
         };
-        assert!(becomes(PATIENCE, is_ready), "it never hears the list");
+        assert!(becomes(TIMEOUT, is_ready), "it never hears the list");
         armed
     }
 
--- a/daemon/tests/failing_folder.rs
+++ b/daemon/tests/failing_folder.rs
@@ -2,15 +2,15 @@
 //! processes of their own that are killed in between.
 
 use linnetknot_daemon::fleet::ask as ask_status;
-use linnetknot_rehearse::clients::{becomes, call, Answer};
-use linnetknot_rehearse::fleet::{status_path, Disk, Fleet, Setup};
+use linnetknot_harness::clients::{becomes, call, Answer};
+use linnetknot_harness::fleet::{status_path, Disk, Fleet, Setup};
 use std::path::Path;
 use std::time::{Duration, Instant};
 
 const DAEMON: &str = env!("CARGO_BIN_EXE_linnetknot");
 /// How long a commit may wait.
 const WITHIN_MS: u64 = 4_000;
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn fleet(running: usize, seed: u64, wait: Option<usize>) -> Fleet {
     Fleet::with(Setup {
@@ -87,7 +87,7 @@
         fleet
             .restart_armed(0, Disk::Kept, &format!("disk-sync={errno}*1"))
             .unwrap_or_else(|e| panic!("{errno}: {e}"));
-        assert!(becomes(PATIENCE, || has_store(&fleet, 0)), "{errno}");
+        assert!(becomes(TIMEOUT, || has_store(&fleet, 0)), "{errno}");
         assert!(fleet.holds_floor(0, &object(1)).unwrap(), "{errno}");
         assert_eq!(status_of(&fleet, 0, &path), 200, "{errno}");
         trigger(&fleet, 0, &object(2));
@@ -113,7 +113,7 @@
         fleet
             .restart_armed(0, Disk::Kept, &format!("disk-write=ENOSPC{lasts}"))
             .unwrap();
-        assert!(becomes(PATIENCE, || is_ready(&fleet, 0)));
+        assert!(becomes(TIMEOUT, || is_ready(&fleet, 0)));
         let said = text(&ready(&fleet, 0));
         assert!(said.contains("No space left on device"), "{said}");
         assert_rejects(&fleet, 0);
@@ -125,7 +125,7 @@
         );
         assert!(fleet.ask(0, &object(1)).unwrap().made() > before);
     }
-    assert!(becomes(PATIENCE, || has_store(&fleet, 0)));
+    assert!(becomes(TIMEOUT, || has_store(&fleet, 0)));
     assert_eq!(status_of(&fleet, 0, &path), 200, "what was answered 201");
     assert_eq!(fleet.triggers(0).unwrap().len(), 1, "and nothing else");
     assert_eq!(fleet.operate(0, "GET", "/control/ready").unwrap(), 200);
@@ -139,12 +139,12 @@
 fn among_peers_it_learns_from_them_and_acknowledges_nothing_until_the_folder_is_back() {
     let mut fleet = fleet(3, 74, Some(1));
     let path = trigger(&fleet, 0, &object(1));
-    assert!(becomes(PATIENCE, || fleet.agrees().unwrap()));
+    assert!(becomes(TIMEOUT, || fleet.agrees().unwrap()));
     fleet.kill(0).unwrap();
     fleet
         .restart_armed(0, Disk::Kept, "disk-open=EIO@6000")
         .unwrap();
-    assert!(becomes(PATIENCE, || is_ready(&fleet, 0)));
+    assert!(becomes(TIMEOUT, || is_ready(&fleet, 0)));
     let status = ask_status(fleet.process(0).unwrap().admin).unwrap();
     let why = status.store_error.expect("it says so");
     assert!(why.contains("os error 5"), "{why}");
@@ -156,8 +156,8 @@
     assert_eq!(fleet.purge(1, &object(2)).unwrap(), 503);
     fleet.go_on(2).unwrap();
     let third = trigger(&fleet, 1, &object(3));
-    assert!(becomes(PATIENCE, || has_store(&fleet, 0)));
-    assert!(becomes(PATIENCE, || fleet.agrees().unwrap()));
+    assert!(becomes(TIMEOUT, || has_store(&fleet, 0)));
+    assert!(becomes(TIMEOUT, || fleet.agrees().unwrap()));
     assert_eq!(status_of(&fleet, 0, &third), 200);
     let own = trigger(&fleet, 0, &object(4));
     // What it has is on its disk: it comes back alone.
@@ -203,7 +203,7 @@
         fleet
             .restart_armed(0, Disk::Kept, &format!("late-{points}"))
             .unwrap();
-        assert!(becomes(PATIENCE, || is_ready(&fleet, 0)), "{points}");
+        assert!(becomes(TIMEOUT, || is_ready(&fleet, 0)), "{points}");
         let armed = Duration::from_millis(700);
         std::thread::sleep(armed);
         let answer = drain(&fleet);
@@ -217,7 +217,7 @@
         fleet.kill(0).unwrap();
         fleet.restart(0, Disk::Kept).unwrap();
         assert!(
-            becomes(PATIENCE, || is_ready(&fleet, 0)),
+            becomes(TIMEOUT, || is_ready(&fleet, 0)),
             "{points}: what was answered 503 is claimed"
         );
         assert_eq!(fleet.operate(0, "POST", ban).unwrap(), 200);
@@ -246,7 +246,7 @@
     let admin = fleet.process(0).unwrap().admin;
     let answer = call(admin, "POST", "/control/pop-caches/s-0a/offline", "").unwrap();
     assert_eq!(answer.status, 503, "{}", text(&answer));
-    assert!(becomes(PATIENCE, || text(&ready(&fleet, 0)).trim()
+    assert!(becomes(TIMEOUT, || text(&ready(&fleet, 0)).trim()
         == "out of service"));
     let files = std::fs::read_dir(fleet.store(0).parent().unwrap()).unwrap();
     let names = files.map(|f| f.unwrap().file_name().into_string().unwrap());
@@ -271,7 +271,7 @@
         fleet
             .restart_armed(0, Disk::Kept, &format!("late-{points}"))
             .unwrap();
-        assert!(becomes(PATIENCE, || is_ready(&fleet, 0)), "{points}");
+        assert!(becomes(TIMEOUT, || is_ready(&fleet, 0)), "{points}");
         let (mut committed, mut rejected) = (Vec::new(), 0);
         let begun = Instant::now();
         while begun.elapsed() < Duration::from_secs(4) {
@@ -297,7 +297,7 @@
                 "{points}: {} and {rejected} before",
                 committed.len()
             );
-            assert!(becomes(PATIENCE, || {
+            assert!(becomes(TIMEOUT, || {
                 let status = fleet.triggers(0).unwrap();
                 status.len() == committed.len() + 1
             }));
--- a/rehearse/src/player/clients.rs
+++ b/rehearse/src/player/clients.rs
@@ -1,9 +1,10 @@
 //! The readers of the clients' connections: they take answers in, and have rejected requests retried.
 
-use crate::clients::{Answer, WebServer};
+use crate::fakes::site_server::made_of;
 use crate::load::Arrival;
 use crate::record::{Answered, Final, Micros};
-use crate::stand_ins::served::{made_of, unix_us};
+use linnetknot_harness::clients::{Answer, WebServer};
+use linnetknot_harness::time::unix_us;
 use std::collections::HashMap;
 use std::io;
 use std::sync::mpsc::Sender;
@@ -23,6 +24,17 @@
     pub(super) retry: u32,
 }
 
+impl ClientRequest {
+    /// A first request.
+    pub(super) fn first(arrival: &Arrival) -> Self {
+        ClientRequest {
+            arrival: arrival.clone(),
+            first_id: String::new(),
+            retry: 0,
+        }
+    }
+}
+
 /// A request that is to be sent again.
 pub(super) struct Retry {
     pub(super) at: Micros,
@@ -146,7 +158,7 @@
             let made = made_of((arrival.object, arrival.part), &answer.body);
             Final::Served {
                 made: made.map(|ms| ms * 1000 + 999),
-                whole: made.is_some(),
+                intact: made.is_some(),
             }
         }
         429 | 503 => Final::Refused {
--- a/rehearse/src/player/deployment.rs
+++ b/rehearse/src/player/deployment.rs
@@ -1,12 +1,12 @@
 //! The deployment that a scenario describes: the settings of its proxies and the nodes behind them.
 
+use crate::fakes::site::{FakeSite, Kind, NodeFigures, SiteFigures};
 use crate::record::{Class, Cold, Micros, Repeat};
 use crate::scenario::{ClassLoad, NodeForm, Scenario};
-use crate::stand_ins::world::{Figures, Kind, Site, World};
 use crate::timetable::box_uid;
 use serde_json::{json, Value};
 
-/// What the proxies are told of cold boxes, and what the stand-ins do: a share at the start, warm after a time, and
+/// What the proxies are told of cold boxes, and what the fakes do: a share at the start, warm after a time, and
 /// over by a multiple of what they can do for a while.
 const COLD_SHARE: f64 = 0.15;
 const RAMP_US: Micros = 13_000_000;
@@ -17,7 +17,7 @@
 /// An answer within this multiple of its own sending time is in time.
 const AIM_STRETCH: f64 = 2.0;
 /// Share of its worth that a late answer earns.
-const LATE_WORTH: f64 = 0.1;
+const LATE_WEIGHT: f64 = 0.1;
 
 /// The time in which a request of a class should be answered.
 fn aim_us(class: &ClassLoad) -> Micros {
@@ -29,7 +29,7 @@
 }
 
 /// What a request of a class is worth.
-fn worth(class: &ClassLoad) -> f64 {
+fn weight(class: &ClassLoad) -> f64 {
     if class.keyed {
         3.0
     } else {
@@ -42,7 +42,7 @@
     json!({
         "name": class.name, "aim-us": aim_us(class), "aim-stretch": AIM_STRETCH,
         "deadline-us": class.budget_ms * 1000, "repeat": if class.keyed { "token" } else { "pure" },
-        "dedup-scope": "all", "window-us": KEY_WINDOW_US, "worth": worth(class), "late-worth": LATE_WORTH,
+        "dedup-scope": "all", "window-us": KEY_WINDOW_US, "worth": weight(class), "late-worth": LATE_WEIGHT,
     })
 }
 
@@ -55,10 +55,10 @@
         } else {
             Repeat::Safe
         },
-        aim_us: aim_us(class),
+        objective_us: aim_us(class),
         stretch: AIM_STRETCH,
-        worth: worth(class),
-        late_worth: LATE_WORTH,
+        weight: weight(class),
+        late_weight: LATE_WEIGHT,
     }
 }
 
@@ -97,8 +97,8 @@
 }
 
 /// The figures of a node of this form.
-pub(super) fn figures(node: &NodeForm) -> Figures {
-    Figures {
+pub(super) fn figures(node: &NodeForm) -> NodeFigures {
+    NodeFigures {
         slots: node.slots as usize,
         waiting: node.waiting as usize,
         capacity: node.capacity,
@@ -137,7 +137,7 @@
 /// The nodes of a rehearsal: as they behave, and as the proxies are told of them.
 pub struct Deployment {
     /// How they behave.
-    pub world: World,
+    pub site: FakeSite,
     /// How they are listed.
     pub nodes: Vec<Node>,
 }
@@ -146,12 +146,12 @@
     /// The nodes of a scenario as its site has them: boxes for each proxy, hub caches and an origin.
     pub fn of(scenario: &Scenario) -> Self {
         let form = &scenario.site;
-        let boxes = form.boxes(scenario.proxies);
+        let caches = form.boxes(scenario.proxies);
         let mut deployment = Deployment {
-            world: World::new(site(scenario, boxes)),
+            site: FakeSite::new(site(scenario, caches)),
             nodes: Vec::new(),
         };
-        for n in 0..boxes as u32 {
+        for n in 0..caches as u32 {
             deployment.add(Kind::Box, box_uid(n), "here", "box", &form.edge_box);
         }
         for n in 0..form.hubs {
@@ -175,7 +175,7 @@
         model: &'static str,
         form: &NodeForm,
     ) {
-        self.world.start(&uid, kind, figures(form), None);
+        self.site.start(&uid, kind, figures(form), None);
         self.nodes.push(Node {
             uid,
             zone,
@@ -186,10 +186,10 @@
 }
 
 /// What the nodes of a scenario share.
-fn site(scenario: &Scenario, boxes: usize) -> Site {
+fn site(scenario: &Scenario, caches: usize) -> SiteFigures {
     let form = &scenario.site;
-    Site {
-        link: form.link_per_box * boxes as f64,
+    SiteFigures {
+        link: form.link_per_box * caches as f64,
         fill_pace: form.fill_pace,
         near_us: micros(form.near_ms),
         far_us: micros(form.far_ms),
