--- /dev/null
+++ b/daemon/src/daemon/cdni_listener/tests.rs
@@ -0,0 +1,29 @@
+//! What counts as the delivery of a payload.
+
+use super::*;
+
+#[test]
+fn a_request_without_an_answer_is_no_delivery() {
+    let post = Post {
+        address: ([127, 0, 0, 1], 9).into(),
+        path: "/t".into(),
+        ptype: "x",
+        body: "{}".into(),
+    };
+    let mut delivery = Delivery::new(post, 0, 512);
+    let text = String::from_utf8(delivery.opening()).unwrap();
+    assert!(
+        text.starts_with("POST /t HTTP/1.1\r\n") && text.ends_with("Content-Length: 2\r\n\r\n{}")
+    );
+    let mut effects = Vec::new();
+    assert_eq!(
+        delivery.read(b"HTTP/1.1 201 Cre", &mut effects),
+        Ok(Flow::More)
+    );
+    assert!(effects.is_empty());
+    assert_eq!(
+        delivery.read(b"ated\r\nContent-Length: 0\r\n\r\n", &mut effects),
+        Ok(Flow::Done)
+    );
+    assert_eq!(effects.len(), 1);
+}
--- a/daemon/src/daemon/connection_table.rs
+++ b/daemon/src/daemon/connection_table.rs
@@ -179,7 +179,10 @@
         match &mut c.kind {
             // These are read by `check_client`.
             Kind::Client(_) | Kind::Lingering => Ok(()),
-            Kind::Cdni(_) => self.read_cdni(now, key),
+            Kind::Cdni(_) => {
+                self.read_cdni(now, key);
+                Ok(())
+            }
             Kind::Exchange(_) => {
                 self.read_exchange(now, key);
                 Ok(())
--- a/daemon/src/daemon/lifecycle.rs
+++ b/daemon/src/daemon/lifecycle.rs
@@ -72,7 +72,10 @@
         let here = match &c.kind {
             Kind::Client(_) => self.read_client(now, key),
             Kind::Cdni(_) if c.conn.input.room() > 0 => match c.conn.read(false) {
-                Progress::Moved => self.read_cdni(now, key).map(|()| true),
+                Progress::Moved => {
+                    self.read_cdni(now, key);
+                    Ok(true)
+                }
                 got => Ok(got == Progress::Blocked),
             },
             // Its client may have ended its half meanwhile.
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -26,6 +26,7 @@
 
 mod admin;
 mod budgets;
+mod cdni_listener;
 mod clients;
 mod connection_table;
 mod event_loop;
@@ -34,7 +35,6 @@
 mod fleet;
 mod lifecycle;
 mod members;
-mod neighbours;
 mod operator_state;
 mod peer_index;
 mod plain_purges;
@@ -99,7 +99,7 @@
     origin_health: Option<OriginHealth>,
     /// Datagrams dropped: from nobody who is a peer, and of no known kind.
     dropped: (u64, u64),
-    desk: Option<(Listener, Desk)>,
+    trigger_api: Option<(Listener, Desk)>,
     ledger: Option<Ledger>,
     /// Its store, while that can't be opened.
     pending_store: Option<PendingStore>,
--- a/daemon/src/daemon/promises.rs
+++ b/daemon/src/daemon/promises.rs
@@ -229,22 +229,22 @@
 
     /// The triggers that were told before this process began, here or elsewhere, and names for those to come.
     pub(super) fn begin_triggers(&mut self, now: Micros) {
-        let (Some(ledger), Some((_, desk))) = (&self.ledger, &mut self.desk) else {
+        let (Some(ledger), Some((_, trigger_api))) = (&self.ledger, &mut self.trigger_api) else {
             return;
         };
         let first = Name {
             writer: ledger.replica().own().writer,
             number: ledger.first_number(),
         };
-        desk.begin_triggers(first);
+        trigger_api.begin_triggers(first);
         for (writer, number, text) in ledger.statuses() {
-            desk.admit(now, Name { writer, number }, &text);
+            trigger_api.admit(now, Name { writer, number }, &text);
         }
     }
 
     /// Entries of triggers have come from a peer.
     pub(super) fn hear_triggers(&mut self, now: Micros, entries: &[Entry]) {
-        let (Some(ledger), Some((_, desk))) = (&self.ledger, &mut self.desk) else {
+        let (Some(ledger), Some((_, trigger_api))) = (&self.ledger, &mut self.trigger_api) else {
             return;
         };
         let named = |entry: &Entry| match entry.subject {
@@ -263,8 +263,8 @@
                 .log_store()
                 .status(name.writer, name.number)
             {
-                Some(text) => desk.admit(now, name, &text),
-                None => desk.forget(name),
+                Some(text) => trigger_api.admit(now, name, &text),
+                None => trigger_api.forget(name),
             }
         }
     }
@@ -380,9 +380,9 @@
     fn answer_promise(&mut self, now: Micros, answer: Answer, kept: Result<Micros, String>) {
         let key = match answer {
             Answer::Neighbour((key, mut response, trigger)) => {
-                if let (Err(why), Some((_, desk))) = (kept, &mut self.desk) {
+                if let (Err(why), Some((_, trigger_api))) = (kept, &mut self.trigger_api) {
                     let name = trigger.map_or_else(String::new, |name| name.to_string());
-                    response = desk.retract(trigger);
+                    response = trigger_api.retract(trigger);
                     // One that was replaced has said nothing of it, nor has one without its store.
                     let said = trigger.filter(|_| self.may_promise() && !self.lacks_store());
                     if self.lacks_store() {
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -129,7 +129,7 @@
 struct Parts {
     clock: Clock,
     sockets: Sockets,
-    desk: Option<(Listener, Desk)>,
+    trigger_api: Option<(Listener, Desk)>,
     store: StoreParts,
     peers: Option<(UdpSocket, Vec<SocketAddr>)>,
     core: Core,
@@ -140,7 +140,7 @@
     fn set_up(config: &Config) -> Result<Self, StartError> {
         let sockets = Sockets::open(config)?;
         let clock = Clock::start();
-        let desk = open_cdni(config, &sockets.poll)?;
+        let trigger_api = open_cdni(config, &sockets.poll)?;
         let store = StoreParts::open(config, &sockets.poll, &clock)?;
         if config.copies.on && config.peers.is_none() {
             return Err(StartError::NoPeers);
@@ -152,7 +152,7 @@
         Ok(Parts {
             clock,
             sockets,
-            desk,
+            trigger_api,
             store,
             peers,
             core,
@@ -235,7 +235,7 @@
             plain_purges_due: None,
             origin_health,
             dropped: (0, 0),
-            desk: parts.desk,
+            trigger_api: parts.trigger_api,
             ledger: parts.store.ledger,
             pending_store: parts.store.pending,
             promised: Promised::default(),
--- a/daemon/src/daemon/startup/sockets.rs
+++ b/daemon/src/daemon/startup/sockets.rs
@@ -99,8 +99,8 @@
     let listener = bind("cdni.listen", cdni.listen)?;
     let listener = Listener::watch(listener, CDNI, poll).map_err(kernel("cdni.listen"))?;
     let identity = cdni.identity.clone();
-    let desk = Desk::new(identity, config.seed, config.limits.triggers);
-    Ok(Some((listener, desk)))
+    let trigger_api = Desk::new(identity, config.seed, config.limits.triggers);
+    Ok(Some((listener, trigger_api)))
 }
 
 /// Binds the socket for the peers, where they are told anything: what the front for CDNI is told, and of an origin that
