--- a/daemon/src/disk.rs
+++ b/daemon/src/disk.rs
@@ -1,4 +1,5 @@
-//! A worker thread that puts files in place. The loop hands jobs over by a bounded queue and never waits for a disk.
+//! A worker thread that replaces files atomically. The event loop hands jobs over by a bounded queue and never waits for a
+//! disk.
 
 use crossbeam_channel::{bounded, Receiver, RecvTimeoutError, Sender};
 use linnetknot::Micros;
@@ -11,31 +12,31 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// A file to be put in place as a whole.
+/// A file to be replaced.
 pub struct Job {
-    /// Where.
+    /// Its path.
     pub path: PathBuf,
-    /// What.
+    /// Its new content.
     pub bytes: Vec<u8>,
 }
 
-/// The worker. What was given is written before it is dropped, and what could not be is tried again until it is replaced
-/// by a later job for its file.
+/// The worker. Before it is dropped, all its jobs are done. A job that fails is retried until it succeeds or is superseded
+/// by a later one for the same file.
 pub struct Disk {
     jobs: Option<Sender<Job>>,
     worker: Option<JoinHandle<()>>,
 }
 
-/// Jobs that wait; one more is not taken.
-const QUEUE: usize = 2;
+/// Capacity of the queue of jobs.
+const MAX_QUEUED_JOBS: usize = 2;
 
-/// The first wait before files that could not be put in place are tried again.
+/// The first backoff of jobs that failed.
 const MIN_RETRY_US: Micros = 100_000;
-/// About the longest wait between two attempts.
+/// About the longest backoff between two attempts.
 const MAX_RETRY_US: Micros = 2_000_000;
 
-/// A file that is written whole beside its place and not there yet. Dropped before that, it is removed: what a full disk
-/// took in part must not fill it further.
+/// A complete file beside the one that it is to replace. Dropped before that, it is removed: what a full disk took in part
+/// must not fill it further.
 pub struct Staged {
     beside: PathBuf,
     path: PathBuf,
@@ -74,10 +75,10 @@
         Ok(self)
     }
 
-    /// Puts it in place, and writes the folder.
+    /// Replaces the file, and syncs the folder.
     pub fn place(self) -> io::Result<()> {
         let placed = self.rename()?;
-        // The new name is only there for good once its folder is written too.
+        // The new name is durable only once its folder is synced too.
         fault_points::sync()?;
         match placed.path.parent().filter(|p| !p.as_os_str().is_empty()) {
             Some(folder) => File::open(folder)?.sync_all(),
@@ -89,19 +90,18 @@
 impl Drop for Staged {
     fn drop(&mut self) {
         if !self.is_placed {
-            // It may not have come to be.
+            // It may not exist.
             let _ = fs::remove_file(&self.beside);
         }
     }
 }
 
-/// Puts a file in place so that it is there whole, or as it was before: also where the power fails half-way.
+/// Replaces a file atomically and durably: after a power failure it is complete, or as it was before.
 pub fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
     Staged::write(path, bytes)?.place()
 }
 
-/// Puts a file in place as `replace` does, and does not wait until it is there for good: for one that was there before and
-/// of which another copy is.
+/// Replaces a file atomically without waiting until it is durable: for one of which there is another copy.
 pub fn replace_unsynced(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let staged = Staged::new(path);
     fault_points::write()?;
@@ -109,7 +109,7 @@
     staged.rename().map(drop)
 }
 
-/// Removes what processes that were killed left beside a file before it was in place.
+/// Removes what killed processes left beside a file that they were replacing.
 pub fn remove_leftovers(path: &Path) {
     let (Some(folder), Some(name)) = (path.parent(), path.file_name().and_then(|n| n.to_str()))
     else {
@@ -133,12 +133,12 @@
     }
 }
 
-/// Attempts to write something that failed in a row. Said at their begin and at their end.
+/// Counts failed attempts in a row to write a file, and logs the first and the success after the last.
 #[derive(Debug, Default)]
 pub struct FailedAttempts(u64);
 
 impl FailedAttempts {
-    /// Takes in what became of an attempt.
+    /// Records the result of an attempt.
     pub fn take(&mut self, path: &Path, result: &io::Result<()>) {
         match result {
             Ok(()) if self.0 > 0 => {
@@ -158,17 +158,17 @@
         }
     }
 
-    /// Whether the last one failed.
+    /// Whether the last attempt failed.
     pub fn is_failing(&self) -> bool {
         self.0 > 0
     }
 }
 
-/// What the worker does: each file as it was last given, until it is in place.
+/// The worker's side: each file is written as the last job for it has it, until that succeeds.
 struct Work {
-    given: Receiver<Job>,
-    /// Files that could not be put in place.
-    owed: BTreeMap<PathBuf, Vec<u8>>,
+    jobs: Receiver<Job>,
+    /// The content of files that could not be replaced yet.
+    pending: BTreeMap<PathBuf, Vec<u8>>,
     failed: BTreeMap<PathBuf, FailedAttempts>,
     backoff: Backoff,
 }
@@ -176,51 +176,48 @@
 impl Work {
     fn run(mut self) {
         loop {
-            let wait =
-                (!self.owed.is_empty()).then(|| Duration::from_micros(self.backoff.next_delay()));
+            let wait = (!self.pending.is_empty())
+                .then(|| Duration::from_micros(self.backoff.next_delay()));
             let next = match wait {
-                Some(wait) => self.given.recv_timeout(wait),
-                None => self
-                    .given
-                    .recv()
-                    .map_err(|_| RecvTimeoutError::Disconnected),
+                Some(wait) => self.jobs.recv_timeout(wait),
+                None => self.jobs.recv().map_err(|_| RecvTimeoutError::Disconnected),
             };
             match next {
                 Ok(Job { path, bytes }) => {
-                    self.owed.remove(&path);
-                    self.put(path, bytes);
+                    self.pending.remove(&path);
+                    self.write(path, bytes);
                 }
-                Err(RecvTimeoutError::Timeout) => self.put_owed(),
+                Err(RecvTimeoutError::Timeout) => self.retry_pending(),
                 // The process ends: a last attempt.
-                Err(RecvTimeoutError::Disconnected) => return self.put_owed(),
+                Err(RecvTimeoutError::Disconnected) => return self.retry_pending(),
             }
         }
     }
 
-    fn put_owed(&mut self) {
-        for (path, bytes) in std::mem::take(&mut self.owed) {
-            self.put(path, bytes);
+    fn retry_pending(&mut self) {
+        for (path, bytes) in std::mem::take(&mut self.pending) {
+            self.write(path, bytes);
         }
     }
 
-    fn put(&mut self, path: PathBuf, bytes: Vec<u8>) {
+    fn write(&mut self, path: PathBuf, bytes: Vec<u8>) {
         let result = replace(&path, &bytes);
         let failed = self.failed.entry(path.clone()).or_default();
         failed.take(&path, &result);
         match result {
             Ok(()) => self.backoff.reset(),
-            Err(_) => drop(self.owed.insert(path, bytes)),
+            Err(_) => drop(self.pending.insert(path, bytes)),
         }
     }
 }
 
 impl Disk {
-    /// Starts the worker.
+    /// Starts the worker, a thread of this name.
     pub fn start(name: &str) -> io::Result<Self> {
-        let (jobs, given) = bounded::<Job>(QUEUE);
+        let (jobs, queue) = bounded::<Job>(MAX_QUEUED_JOBS);
         let work = Work {
-            given,
-            owed: BTreeMap::new(),
+            jobs: queue,
+            pending: BTreeMap::new(),
             failed: BTreeMap::new(),
             backoff: Backoff::new(MIN_RETRY_US, MAX_RETRY_US, u64::from(std::process::id())),
         };
@@ -233,7 +230,7 @@
         })
     }
 
-    /// Hands a job over; false where too many wait.
+    /// Enqueues a job; false where the queue is full.
     pub fn give(&self, job: Job) -> bool {
         self.jobs
             .as_ref()
--- a/daemon/src/fleet/mod.rs
+++ b/daemon/src/fleet/mod.rs
@@ -13,26 +13,26 @@
 /// Logs that one status shows: with those peers it fits the admin listener's ring buffer.
 pub const MAX_LOGS: usize = 32;
 
-/// Where a proxy's copies and promises stand.
+/// The status of a proxy's replication. The names of the fields are the keys of the JSON, which tools read.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Its name.
+    /// The name of the proxy.
     pub name: String,
-    /// The machine that it says it stands on.
+    /// The machine that it runs on, by its configuration.
     pub machine: String,
-    /// The life of its log.
+    /// The epoch of its log.
     pub life: String,
-    /// Further machines that a promise waits for.
+    /// The minimum of further machines that acknowledge a purge before it is committed.
     pub wait: usize,
-    /// Further machines that are to have each in the end.
+    /// The replication factor: further machines that have each purge in the end.
     pub holders: usize,
-    /// The last place in its log.
+    /// The last index of its log.
     pub end: u64,
-    /// Up to where that is on its own disk.
+    /// The durable index of its log on its own disk.
     pub on_disk: u64,
     /// Entries in force, of all logs.
     pub entries: usize,
-    /// Purges of the table behind them that have a slot of their own there.
+    /// Older purges that have a slot of their own in the compact table.
     #[serde(default)]
     pub compacted: usize,
     /// Memory of that table, in bytes.
@@ -44,61 +44,61 @@
     /// Peers have compacted what is missing here: a snapshot is on its way.
     #[serde(default)]
     pub catching_up: bool,
-    /// A sum over all logs: proxies with the same have the same.
+    /// A checksum of all logs: proxies with the same entries have the same.
     pub digest: String,
-    /// Answers that wait for copies.
+    /// Pending commits.
     pub waiting: usize,
-    /// Promises with fewer copies than wanted: 0 once all is well.
+    /// Under-replicated entries: 0 once all peers have caught up.
     pub short: usize,
-    /// Promises given in this process.
+    /// Commits of this process.
     pub promised: u64,
-    /// Promises refused in this process.
+    /// Rejected commits of this process.
     pub refused: u64,
-    /// Members that run, by its own belief, itself among them.
+    /// Members that it believes to be alive, itself among them.
     pub up: usize,
-    /// Another process of its name has begun after it: it promises nothing any more.
+    /// A later process of its name has started: this one commits nothing any more.
     pub replaced: bool,
-    /// Its peers.
+    /// Its peers, the first of them.
     pub peers: Vec<PeerStatus>,
-    /// How many there are.
+    /// The number of all peers.
     pub peers_in_all: usize,
-    /// The logs that it has.
+    /// The logs of which it has entries, the first of them.
     pub logs: Vec<LogStatus>,
-    /// How many there are.
+    /// The number of all logs.
     pub logs_in_all: usize,
 }
 
 /// What a proxy knows of a peer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerStatus {
-    /// Its address.
+    /// The address of the peer.
     pub address: SocketAddr,
     /// Its machine.
     pub machine: String,
-    /// Its name, once it has told it.
+    /// Its name; empty until that is known.
     pub name: String,
-    /// What is believed of it: `unknown`, `alive`, `suspect`, `dead` or `left`.
+    /// Its state by the membership: `unknown`, `alive`, `suspect`, `dead` or `left`.
     pub standing: String,
-    /// Its life among the members.
+    /// Its incarnation.
     pub life: String,
-    /// Up to where it is known to have the asked proxy's log on its disk.
+    /// Its acknowledged index in the log of the proxy.
     pub held: u64,
-    /// Places behind.
+    /// Entries of that log that it has not acknowledged.
     pub behind: u64,
 }
 
-/// A log that a proxy has.
+/// A log of which a proxy has entries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogStatus {
     /// The hash of its writer's name.
     pub writer: String,
-    /// Its life.
+    /// The epoch of the log.
     pub life: String,
-    /// Whether the asked proxy wrote it, in this life or an earlier one.
+    /// Whether the proxy wrote it, in this process or an earlier one.
     pub own: bool,
-    /// Up to where it is had.
+    /// The last index that the proxy has.
     pub end: u64,
-    /// Up to where it is on the asked proxy's disk.
+    /// The durable index on the disk of the proxy.
     pub on_disk: u64,
 }
 
--- a/daemon/src/logging.rs
+++ b/daemon/src/logging.rs
@@ -1,4 +1,4 @@
-//! The log on standard error: lines for people, or one JSON object a line.
+//! The log on standard error: lines for people, or JSON Lines.
 
 use crate::interconnect::LogForm;
 use env_logger::fmt::Formatter;
@@ -8,10 +8,10 @@
 use std::io::{self, Write};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A record's key-values as JSON.
-struct Fields(Map<String, serde_json::Value>);
+/// The key-values of a record as JSON.
+struct KeyValues(Map<String, serde_json::Value>);
 
-impl<'kvs> VisitSource<'kvs> for Fields {
+impl<'kvs> VisitSource<'kvs> for KeyValues {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), kv::Error> {
         let number = value
             .to_u64()
@@ -27,32 +27,32 @@
     }
 }
 
-/// A record as one JSON object. What a record brings under a name of the form's own is kept under `kv`.
+/// Formats a record as one JSON object. Key-values whose key is one of the format's own stand under `kv`.
 pub fn json(record: &Record<'_>, unix_ms: u64) -> String {
-    let mut fields = Fields(Map::new());
-    // Nothing here fails: what can't be a JSON value is kept as text.
-    let _ = record.key_values().visit(&mut fields);
+    let mut key_values = KeyValues(Map::new());
+    // Nothing here fails: what can't be a JSON value becomes text.
+    let _ = record.key_values().visit(&mut key_values);
     let mut line = Map::new();
     line.insert("ts_ms".into(), unix_ms.into());
     line.insert("level".into(), record.level().as_str().into());
     line.insert("target".into(), record.target().into());
     line.insert("message".into(), record.args().to_string().into());
-    let mut taken = Map::new();
-    for (key, value) in fields.0 {
-        let place = if line.contains_key(&key) {
-            &mut taken
+    let mut colliding = Map::new();
+    for (key, value) in key_values.0 {
+        let object = if line.contains_key(&key) {
+            &mut colliding
         } else {
             &mut line
         };
-        place.insert(key, value);
+        object.insert(key, value);
     }
-    if !taken.is_empty() {
-        line.insert("kv".into(), taken.into());
+    if !colliding.is_empty() {
+        line.insert("kv".into(), colliding.into());
     }
     serde_json::Value::Object(line).to_string()
 }
 
-/// Starts the log in this form. `RUST_LOG` names the level, `info` by default.
+/// Starts the log in this format. `RUST_LOG` sets the level, `info` by default.
 pub fn start(form: LogForm) {
     let mut builder =
         env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"));
@@ -66,6 +66,6 @@
             },
         );
     }
-    // A second start would be one in a test.
+    // It fails where a log is started already, which only tests do.
     let _ = builder.try_init();
 }
