--- /dev/null
+++ b/daemon/src/core/mod.rs
@@ -0,0 +1,253 @@
+//! Requests, attempts and outcomes, without any I/O: the core drives the decision module and sees to it that every
+//! request gets exactly one final answer. It knows no wire: fronts and upstreams translate.
+//!
+//! The loop around it reports what happens (a request, the end of an attempt, a wake-up) together with the time, and
+//! carries out the [`Command`]s that follow.
+//!
+//! * `request`, `attempt`, `command`, `counters`: the types of this interface;
+//! * `request_table`, `cache_table`: its state;
+//! * `requests`, `attempts`, `purging`: what it does with them.
+
+mod attempt;
+mod attempts;
+mod cache_table;
+mod command;
+mod counters;
+mod purging;
+mod request;
+mod request_table;
+mod requests;
+
+pub use attempt::{AttemptId, Ended, Sending};
+pub use command::{Command, Wake};
+pub use counters::Counts;
+pub use linnetknot_discovery::{server_id, Entry};
+pub use request::{Answer, Asked, Client, Content, Ticket};
+
+use crate::limits::Limits;
+use crate::net::Key;
+use crate::origin_clock::OriginClock;
+use cache_table::CacheTable;
+use linnetknot::{
+    Action, Event, ListMode, Load, Micros, Outcome, Repeat, Router, ServerId, Settings,
+    SettingsError,
+};
+use request_table::RequestTable;
+use std::net::SocketAddr;
+
+/// Log target for the traces at level debug: each attempt, each final answer and each connection to a cache.
+pub(crate) const TRACE: &str = "linnetknot::trace";
+
+/// The request table and the decision module.
+pub struct Core {
+    router: Router,
+    origin_clock: OriginClock,
+    /// The longest time for which a request may be open, whatever its client gives it.
+    pub most_us: Micros,
+    /// The time at which the process ends: no request is open beyond it.
+    ends_by: Micros,
+    requests: RequestTable,
+    caches: CacheTable,
+    /// Classes whose requests must carry an idempotency key.
+    keyed_classes: Vec<String>,
+    /// How long before its deadline a request is answered, so that the answer still reaches the client.
+    answer_ahead_us: Micros,
+    /// The decision module's actions, empty between two events: kept for its allocation.
+    actions: Vec<Action>,
+    commands: Vec<Command>,
+    /// What was done so far.
+    pub counts: Counts,
+}
+
+/// The classes whose requests must carry an idempotency key.
+fn keyed_classes(settings: &Settings) -> Vec<String> {
+    settings
+        .classes
+        .iter()
+        .filter(|class| class.repeat == Repeat::Keyed)
+        .map(|class| class.name.clone())
+        .collect()
+}
+
+impl Core {
+    /// A core without caches.
+    ///
+    /// # Errors
+    /// The settings are not sound.
+    pub fn new(settings: Settings, seed: u64, limits: &Limits) -> Result<Self, SettingsError> {
+        Ok(Core {
+            keyed_classes: keyed_classes(&settings),
+            router: Router::new(settings, seed)?,
+            origin_clock: OriginClock::default(),
+            most_us: Micros::MAX,
+            ends_by: Micros::MAX,
+            requests: RequestTable::new(limits),
+            caches: CacheTable::default(),
+            answer_ahead_us: limits.answer_ahead_us,
+            actions: Vec::new(),
+            commands: Vec::new(),
+            counts: Counts::default(),
+        })
+    }
+
+    /// Takes the settings of a reload. Open requests keep the class that they were admitted with.
+    ///
+    /// # Errors
+    /// The settings are not sound; nothing has changed then.
+    pub fn retune(&mut self, settings: Settings) -> Result<(), SettingsError> {
+        let keyed_classes = keyed_classes(&settings);
+        self.router.retune(settings)?;
+        self.keyed_classes = keyed_classes;
+        Ok(())
+    }
+
+    /// Takes out what is to be done, in order.
+    pub fn commands(&mut self) -> Vec<Command> {
+        std::mem::take(&mut self.commands)
+    }
+
+    /// Whether no request is open.
+    pub fn is_idle(&self) -> bool {
+        self.requests.is_empty()
+    }
+
+    /// Whether there is a cache to send requests to.
+    pub fn is_ready(&self) -> bool {
+        self.caches.any_ready()
+    }
+
+    /// Whether at least half of the request table is taken.
+    pub fn is_crowded(&self) -> bool {
+        self.requests.is_half_full()
+    }
+
+    /// Whether a cache takes new work, by the endpoint list.
+    pub fn takes_work(&self, id: ServerId) -> bool {
+        self.caches.is_ready(id)
+    }
+
+    /// Id on the wire and address of a cache.
+    pub fn location(&self, id: ServerId) -> Option<(&str, SocketAddr)> {
+        self.caches.location(id)
+    }
+
+    /// Id on the wire of a cache, for the log; `-` where it is gone.
+    pub fn uid(&self, id: ServerId) -> &str {
+        self.caches.uid(id)
+    }
+
+    /// Takes the endpoint list, or changes to it.
+    pub fn list(&mut self, now: Micros, mode: ListMode, entries: Vec<Entry>) {
+        let update = self.caches.update(mode, entries);
+        let withdrawn = update.withdrawn.into_iter().map(Command::Withdraw);
+        self.commands.extend(withdrawn);
+        let servers = update.servers;
+        self.drive(now, Event::List { mode, servers });
+    }
+
+    /// Takes what other proxies found: the origin is slow, and each may ask it for this share of its requests until
+    /// this time.
+    pub fn heard(&mut self, now: Micros, origin_share: f64, until: Micros) {
+        let for_us = until.saturating_sub(now);
+        self.drive(
+            now,
+            Event::Heard {
+                origin_share,
+                for_us,
+            },
+        );
+    }
+
+    /// Takes a lease: this proxy's part of what all proxies may spend together.
+    pub fn receive_lease(&mut self, now: Micros, lease: linnetknot::Lease) {
+        self.drive(now, Event::Lease(lease));
+    }
+
+    /// How many requests of this proxy the origin has, or may have, in flight.
+    pub fn asking(&self) -> usize {
+        self.router.asking()
+    }
+
+    /// The greatest recent use of the capacity that a cache (or parent cache) has while in slow start, as a share of it;
+    /// none: no cache is in slow start.
+    pub fn cold_use(&self, now: Micros, parents: bool) -> Option<f64> {
+        self.router.cold_use(now, parents)
+    }
+
+    /// Takes the end of a health check.
+    pub fn probed(
+        &mut self,
+        now: Micros,
+        server: ServerId,
+        outcome: Outcome,
+        took_us: Micros,
+        load: Option<Load>,
+    ) {
+        self.drive(
+            now,
+            Event::Probed {
+                server,
+                outcome,
+                took_us,
+                load,
+            },
+        );
+    }
+
+    /// Takes a wake-up that was asked for by [`Command::Wake`] and has come due.
+    pub fn wake(&mut self, now: Micros, wake: Wake) {
+        match wake {
+            Wake::Router(tag) => self.drive(now, Event::Timer { tag }),
+            Wake::Attempt(attempt) => self.give_up(now, attempt, Outcome::Timeout),
+            Wake::Request(ticket) => self.expire(now, ticket),
+        }
+    }
+
+    /// Hands an event to the decision module and carries out what it decides.
+    fn drive(&mut self, now: Micros, event: Event) {
+        let mut actions = std::mem::take(&mut self.actions);
+        self.router.handle(now, event, &mut actions);
+        for action in actions.drain(..) {
+            self.execute(now, action);
+        }
+        self.actions = actions;
+    }
+
+    /// Carries out an action of the decision module.
+    fn execute(&mut self, now: Micros, action: Action) {
+        match action {
+            Action::Attempt {
+                request,
+                server,
+                timeout_us,
+                fill,
+            } => self.start_attempt(now, Key::from_u64(request), server, timeout_us, fill),
+            Action::Cancel { request, attempt } => {
+                let attempt = AttemptId {
+                    ticket: Key::from_u64(request),
+                    number: attempt,
+                };
+                self.give_up(now, attempt, Outcome::Cancelled);
+            }
+            Action::Refuse {
+                request,
+                retry_after_us,
+            } => {
+                let answer = Answer::Refused {
+                    wait_us: retry_after_us,
+                };
+                self.finish(now, Key::from_u64(request), answer);
+                self.requests.release_if_finished(Key::from_u64(request));
+            }
+            Action::Fail { request } => {
+                self.finish(now, Key::from_u64(request), Answer::Failed);
+                self.requests.release_if_finished(Key::from_u64(request));
+            }
+            Action::Timer { at, tag } => self.commands.push(Command::Wake(at, Wake::Router(tag))),
+            Action::Probe { server } => self.commands.push(Command::Probe(server)),
+            // The sources of the endpoint list push it without being asked.
+            Action::Watch => {}
+            Action::Report { line } => log::info!("{line}"),
+        }
+    }
+}
