--- a/daemon/examples/purge_soak.rs
+++ b/daemon/examples/purge_soak.rs
@@ -85,7 +85,7 @@
             return Err("an entry was not taken".into());
         }
         for (object, group, at) in received.new.iter().filter_map(ledger::purge) {
-            self.core.purged(now, object, group, at);
+            self.core.record_purge(now, object, group, at);
         }
         Ok(())
     }
@@ -95,7 +95,7 @@
         self.ledger.tick(now);
         let wakes = self
             .core
-            .commands()
+            .take_commands()
             .into_iter()
             .filter_map(|command| match command {
                 Command::Wake(at, wake) => Some((at, wake)),
--- a/daemon/src/core/attempt.rs
+++ b/daemon/src/core/attempt.rs
@@ -1,46 +1,55 @@
 //! An attempt at a pop cache: its name, where it goes and how it ended.
 
-use super::{Content, Ticket};
+use super::{ClientRequest, Content, RequestKey};
 use linnetknot::{Fill, Load, Micros, Note, Outcome, ServerId};
 
-/// An attempt, by its request and its place among that request's attempts.
+/// An attempt, by its request and its number among that request's attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptId {
     /// The request.
-    pub ticket: Ticket,
-    /// Which one, from 0.
+    pub request: RequestKey,
+    /// Its number, from 0.
     pub number: u32,
 }
 
-/// What an upstream needs to know to send an attempt.
+/// Where an attempt goes, and on what terms.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Sending {
-    /// The box.
+pub struct AttemptTarget {
+    /// The cache that it is sent to.
     pub server: ServerId,
-    /// How a miss is filled; none: what the box holds only.
+    /// How the cache fills a miss; none: it may only serve what it has.
     pub fill: Option<Fill>,
-    /// When it is given up at the latest.
-    pub until: Micros,
+    /// When the attempt is given up at the latest.
+    pub deadline: Micros,
+}
+
+/// What an upstream needs to know to send an attempt.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Dispatch<'a> {
+    /// The request.
+    pub request: &'a ClientRequest,
+    /// Where the attempt goes.
+    pub target: AttemptTarget,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ended {
-    /// Its outcome.
+pub struct AttemptResult {
+    /// Its outcome, as the decision module takes it.
     pub outcome: Outcome,
     /// How the answer was made.
     pub note: Note,
-    /// The fill's wait for its first byte.
+    /// How long the fill waited for its first byte.
     pub waited_us: Micros,
-    /// The box's report of its load.
+    /// The cache's load report, if the answer carried one.
     pub load: Option<Load>,
-    /// What an answer `Ok` brought.
+    /// What an answer with the outcome `Ok` brought.
     pub content: Option<Content>,
 }
 
-impl From<Outcome> for Ended {
+impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> Self {
-        Ended {
+        AttemptResult {
             outcome,
             note: Note::None,
             waited_us: 0,
@@ -55,9 +64,9 @@
     pub(super) number: u32,
     /// When it was handed to an upstream.
     pub(super) sent_at: Micros,
-    pub(super) sending: Sending,
+    pub(super) target: AttemptTarget,
     /// Its first byte is written. Until then no cache can know of it, and it is recalled without a trace.
-    pub(super) begun: bool,
+    pub(super) started: bool,
     /// Given up, with the outcome to report once that is done.
     pub(super) given_up: Option<Outcome>,
 }
--- a/daemon/src/core/cache_table.rs
+++ b/daemon/src/core/cache_table.rs
@@ -42,16 +42,14 @@
             .any(|cache| cache.state == State::Ready)
     }
 
-    /// Id on the wire and address of a cache.
-    pub(super) fn location(&self, id: ServerId) -> Option<(&str, SocketAddr)> {
-        self.caches
-            .get(&id)
-            .map(|cache| (cache.uid.as_str(), cache.endpoint))
+    /// The address of a cache.
+    pub(super) fn endpoint(&self, id: ServerId) -> Option<SocketAddr> {
+        self.caches.get(&id).map(|cache| cache.endpoint)
     }
 
-    /// Id on the wire of a cache, for the log; `-` where it is gone.
-    pub(super) fn uid(&self, id: ServerId) -> &str {
-        self.caches.get(&id).map_or("-", |cache| cache.uid.as_str())
+    /// Id on the wire of a cache.
+    pub(super) fn wire_id(&self, id: ServerId) -> Option<&str> {
+        self.caches.get(&id).map(|cache| cache.uid.as_str())
     }
 
     /// Takes a whole list, or changes to it.
--- a/daemon/src/core/command.rs
+++ b/daemon/src/core/command.rs
@@ -1,34 +1,34 @@
 //! What the core asks of the loop around it.
 
-use super::{Answer, AttemptId, Client, Ticket};
+use super::{Answer, AttemptId, Client, RequestKey};
 use linnetknot::{Micros, ServerId};
 
-/// What the core wants to be woken for.
+/// What the core is woken for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wake {
-    /// The client of a request gives up.
-    Request(Ticket),
-    /// The time of an attempt is over.
+    /// The deadline of a request.
+    Request(RequestKey),
+    /// The timeout of an attempt.
     Attempt(AttemptId),
-    /// The module's timer with this tag.
+    /// The decision module's timer with this tag.
     Router(u64),
 }
 
-/// What the core wants done.
+/// What the loop is to do for the core.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Send an attempt; `sending` tells how.
+    /// Send an attempt; [`super::Core::dispatch`] tells where.
     Send(AttemptId),
-    /// Give an attempt up and report it ended once its box can no longer take it for one that is out.
+    /// Give an attempt up, and report its end once its cache can no longer take it for one that is out.
     GiveUp(AttemptId, ServerId),
     /// Give a client its final answer.
     Answer(Client, Answer),
-    /// Wake the core.
+    /// Wake the core at this time.
     Wake(Micros, Wake),
-    /// Ask a box for its load.
+    /// Check the health of a cache, which answers with its load report.
     Probe(ServerId),
-    /// A box drains or is gone: what is not written for it, or for a fill from it, must not be any more.
+    /// A cache is draining or gone: take back every attempt at it, or with a fill from it, that is not written yet.
     Withdraw(ServerId),
-    /// The origin is late: others should know that this share of the requests may have it asked here.
-    Found(f64),
+    /// The origin is slow here: tell the other proxies which share of the requests may still go to it.
+    ShareOriginHealth(f64),
 }
--- a/daemon/src/core/counters.rs
+++ b/daemon/src/core/counters.rs
@@ -1,18 +1,18 @@
-//! What the core counts for the operators.
+//! Counters of requests and attempts.
 
-/// Counts for the operators.
+/// Totals since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
-    /// Requests taken.
-    pub taken: u64,
-    /// Attempts sent.
+pub struct Counters {
+    /// Requests admitted.
+    pub admitted: u64,
+    /// Attempts made.
     pub attempts: u64,
-    /// Served.
+    /// Requests served.
     pub served: u64,
-    /// Refused.
-    pub refused: u64,
-    /// Failed.
+    /// Requests rejected: a retry is harmless.
+    pub rejected: u64,
+    /// Requests failed.
     pub failed: u64,
-    /// Left by their clients.
-    pub left: u64,
+    /// Requests whose client went before the answer.
+    pub abandoned: u64,
 }
--- a/daemon/src/core/mod.rs
+++ b/daemon/src/core/mod.rs
@@ -18,11 +18,11 @@
 mod request_table;
 mod requests;
 
-pub use attempt::{AttemptId, Ended, Sending};
+pub use attempt::{AttemptId, AttemptResult, AttemptTarget, Dispatch};
 pub use command::{Command, Wake};
-pub use counters::Counts;
+pub use counters::Counters;
 pub use linnetknot_discovery::{server_id, Entry};
-pub use request::{Answer, Asked, Client, Content, Ticket};
+pub use request::{Answer, Client, ClientRequest, Content, RequestKey};
 
 use crate::limits::Limits;
 use crate::net::Key;
@@ -43,9 +43,9 @@
     router: Router,
     origin_clock: OriginClock,
     /// The longest time for which a request may be open, whatever its client gives it.
-    pub most_us: Micros,
+    pub max_request_us: Micros,
     /// The time at which the process ends: no request is open beyond it.
-    ends_by: Micros,
+    shutdown_deadline: Micros,
     requests: RequestTable,
     caches: CacheTable,
     /// Classes whose requests must carry an idempotency key.
@@ -56,7 +56,7 @@
     actions: Vec<Action>,
     commands: Vec<Command>,
     /// What was done so far.
-    pub counts: Counts,
+    pub counters: Counters,
 }
 
 /// The classes whose requests must carry an idempotency key.
@@ -79,14 +79,14 @@
             keyed_classes: keyed_classes(&settings),
             router: Router::new(settings, seed)?,
             origin_clock: OriginClock::default(),
-            most_us: Micros::MAX,
-            ends_by: Micros::MAX,
+            max_request_us: Micros::MAX,
+            shutdown_deadline: Micros::MAX,
             requests: RequestTable::new(limits),
             caches: CacheTable::default(),
             answer_ahead_us: limits.answer_ahead_us,
             actions: Vec::new(),
             commands: Vec::new(),
-            counts: Counts::default(),
+            counters: Counters::default(),
         })
     }
 
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     /// The settings are not sound; nothing has changed then.
-    pub fn retune(&mut self, settings: Settings) -> Result<(), SettingsError> {
+    pub fn apply_settings(&mut self, settings: Settings) -> Result<(), SettingsError> {
         let keyed_classes = keyed_classes(&settings);
         self.router.retune(settings)?;
         self.keyed_classes = keyed_classes;
@@ -102,7 +102,7 @@
     }
 
     /// Takes out what is to be done, in order.
-    pub fn commands(&mut self) -> Vec<Command> {
+    pub fn take_commands(&mut self) -> Vec<Command> {
         std::mem::take(&mut self.commands)
     }
 
@@ -117,27 +117,32 @@
     }
 
     /// Whether at least half of the request table is taken.
-    pub fn is_crowded(&self) -> bool {
+    pub fn is_half_full(&self) -> bool {
         self.requests.is_half_full()
     }
 
     /// Whether a cache takes new work, by the endpoint list.
-    pub fn takes_work(&self, id: ServerId) -> bool {
+    pub fn is_cache_ready(&self, id: ServerId) -> bool {
         self.caches.is_ready(id)
     }
 
-    /// Id on the wire and address of a cache.
-    pub fn location(&self, id: ServerId) -> Option<(&str, SocketAddr)> {
-        self.caches.location(id)
+    /// Id on the wire of a cache; none where it is gone.
+    pub fn wire_id(&self, id: ServerId) -> Option<&str> {
+        self.caches.wire_id(id)
+    }
+
+    /// The address of a cache; none where it is gone.
+    pub fn endpoint(&self, id: ServerId) -> Option<SocketAddr> {
+        self.caches.endpoint(id)
     }
 
     /// Id on the wire of a cache, for the log; `-` where it is gone.
     pub fn uid(&self, id: ServerId) -> &str {
-        self.caches.uid(id)
+        self.wire_id(id).unwrap_or("-")
     }
 
     /// Takes the endpoint list, or changes to it.
-    pub fn list(&mut self, now: Micros, mode: ListMode, entries: Vec<Entry>) {
+    pub fn update_endpoints(&mut self, now: Micros, mode: ListMode, entries: Vec<Entry>) {
         let update = self.caches.update(mode, entries);
         let withdrawn = update.withdrawn.into_iter().map(Command::Withdraw);
         self.commands.extend(withdrawn);
@@ -147,7 +152,7 @@
 
     /// Takes what other proxies found: the origin is slow, and each may ask it for this share of its requests until
     /// this time.
-    pub fn heard(&mut self, now: Micros, origin_share: f64, until: Micros) {
+    pub fn receive_origin_health(&mut self, now: Micros, origin_share: f64, until: Micros) {
         let for_us = until.saturating_sub(now);
         self.drive(
             now,
@@ -164,18 +169,18 @@
     }
 
     /// How many requests of this proxy the origin has, or may have, in flight.
-    pub fn asking(&self) -> usize {
+    pub fn origin_in_flight(&self) -> usize {
         self.router.asking()
     }
 
     /// The greatest recent use of the capacity that a cache (or parent cache) has while in slow start, as a share of it;
     /// none: no cache is in slow start.
-    pub fn cold_use(&self, now: Micros, parents: bool) -> Option<f64> {
+    pub fn slow_start_use(&self, now: Micros, parents: bool) -> Option<f64> {
         self.router.cold_use(now, parents)
     }
 
     /// Takes the end of a health check.
-    pub fn probed(
+    pub fn health_check_finished(
         &mut self,
         now: Micros,
         server: ServerId,
@@ -199,7 +204,7 @@
         match wake {
             Wake::Router(tag) => self.drive(now, Event::Timer { tag }),
             Wake::Attempt(attempt) => self.give_up(now, attempt, Outcome::Timeout),
-            Wake::Request(ticket) => self.expire(now, ticket),
+            Wake::Request(key) => self.expire(now, key),
         }
     }
 
@@ -224,7 +229,7 @@
             } => self.start_attempt(now, Key::from_u64(request), server, timeout_us, fill),
             Action::Cancel { request, attempt } => {
                 let attempt = AttemptId {
-                    ticket: Key::from_u64(request),
+                    request: Key::from_u64(request),
                     number: attempt,
                 };
                 self.give_up(now, attempt, Outcome::Cancelled);
@@ -233,9 +238,7 @@
                 request,
                 retry_after_us,
             } => {
-                let answer = Answer::Refused {
-                    wait_us: retry_after_us,
-                };
+                let answer = Answer::Rejected { retry_after_us };
                 self.finish(now, Key::from_u64(request), answer);
                 self.requests.release_if_finished(Key::from_u64(request));
             }
--- a/daemon/src/core/purging.rs
+++ b/daemon/src/core/purging.rs
@@ -5,45 +5,47 @@
 use linnetknot::Micros;
 use linnetknot_purges::KeyHash;
 
+/// The key of a purge of an object, or with none of a group.
 fn purge_key(object: Option<&str>, group: u64) -> KeyHash {
     object.map_or(KeyHash::of_group(group), KeyHash::of_object)
 }
 
 impl Core {
-    /// A purge of an object, or with none of a whole group, by a date that was told with it. It holds for good.
-    pub fn purged(&mut self, now: Micros, object: Option<String>, group: u64, at: Micros) {
+    /// Records a purge of an object, or with none of a whole group, by the date that came with it.
+    pub fn record_purge(&mut self, now: Micros, object: Option<String>, group: u64, at: Micros) {
         let key = purge_key(object.as_deref(), group);
         let date = self.origin_clock.bound(now, key, at);
         self.router.purges_mut().record(key, date);
     }
 
-    /// A purge that was told here, as of now. Gives the date that peers are to be told.
-    pub fn purged_now(&mut self, now: Micros, object: Option<&str>, group: u64) -> Micros {
+    /// Records a purge that was requested from this proxy, as of now. Gives the date for the other proxies.
+    pub fn record_local_purge(&mut self, now: Micros, object: Option<&str>, group: u64) -> Micros {
         let key = purge_key(object, group);
         let date = self.origin_clock.date_own(now, key);
         self.router.purges_mut().record(key, date);
         self.origin_clock.date_for_peers(now)
     }
 
-    /// The origin or the event bus was heard just now, with a date of theirs.
-    pub fn heard_date(&mut self, now: Micros, date: Micros) {
+    /// Takes a date that the origin or the event bus has just given: a lower bound of the origin's clock.
+    pub fn observe_origin_date(&mut self, now: Micros, date: Micros) {
         for (key, date) in self.origin_clock.heard(now, date) {
             self.router.purges_mut().record(key, date);
         }
         self.router.set_origin_offset(self.origin_clock.offset_us());
     }
 
-    /// The date by which all copies from before now are told from later ones.
-    pub fn date_of_all(&self, now: Micros) -> Micros {
+    /// The date of a purge of everything as of now: copies from before now are older than it.
+    pub fn purge_all_date(&self, now: Micros) -> Micros {
         self.origin_clock.date_for_peers(now)
     }
 
-    /// A time of the origin's clock by the own clock, as far as is known: never before it.
-    pub fn own_time(&self, date: Micros) -> Micros {
+    /// Translates a time of the origin's clock to the local clock, as far as its offset is known: never to an earlier
+    /// time than it was.
+    pub fn local_time(&self, date: Micros) -> Micros {
         self.origin_clock.to_own(date)
     }
 
-    /// What the origin's clock has reached at a time of the own clock, as far as is known.
+    /// The time that the origin's clock has reached at least at a time of the local clock.
     pub fn origin_time(&self, now: Micros) -> Micros {
         self.origin_clock.now(now)
     }
@@ -53,7 +55,7 @@
         self.router.purges()
     }
 
-    /// The purges that are in force, to take in what another proxy or an earlier process knows.
+    /// The purges that are in force, to merge those of another proxy or an earlier process.
     pub fn purges_mut(&mut self) -> &mut PurgeTable {
         self.router.purges_mut()
     }
--- a/daemon/src/core/request.rs
+++ b/daemon/src/core/request.rs
@@ -3,8 +3,8 @@
 use crate::net::Key;
 use linnetknot::Micros;
 
-/// A request in the table.
-pub type Ticket = Key;
+/// The key of an open request.
+pub type RequestKey = Key;
 
 /// Where a request's answer goes: a connection of some front, and the front's own number for the request there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -15,42 +15,42 @@
     pub stream: u32,
 }
 
-/// A request as any front gives it.
+/// A request as every front hands it over.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Asked {
-    /// The client's id of it, passed on unchanged.
+pub struct ClientRequest {
+    /// Its id, given by the client and passed on unchanged.
     pub id: String,
-    /// Name of its class.
+    /// The name of its class.
     pub class: String,
-    /// The object.
+    /// The key of the object.
     pub object: String,
-    /// Part of the object.
+    /// Which part of the object.
     pub part: u64,
-    /// Group of the object.
+    /// The group of the object, by which groups are purged.
     pub group: u64,
-    /// Size of the part in KB; 0: not told.
+    /// The size of the part in KB; 0: unknown.
     pub size_kb: f64,
-    /// How long the client still waits.
+    /// How long the client still waits from now on.
     pub remaining_us: Micros,
-    /// The client's idempotency key.
-    pub once: Option<String>,
-    /// Tag of the copy that the client holds.
-    pub have: Option<String>,
-    /// What a write brings.
+    /// The idempotency key, if the client gave one.
+    pub idempotency_key: Option<String>,
+    /// The tag of the copy that the client has cached, if any.
+    pub cached_tag: Option<String>,
+    /// The body of a write.
     pub body: Vec<u8>,
 }
 
-/// What a box gave for a request.
+/// What a cache served.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Content {
     /// The bytes of the part, and the tag of the copy.
     Object {
         /// The bytes.
         bytes: Vec<u8>,
-        /// The tag, if it was told.
+        /// The tag, if the cache named one.
         tag: Option<String>,
     },
-    /// The client's copy is the one that would be served.
+    /// The copy that the client has cached is current: the cache named its tag.
     Unchanged,
 }
 
@@ -59,10 +59,10 @@
 pub enum Answer {
     /// Served.
     Served(Content),
-    /// Refused: trying again is harmless, best after this time.
-    Refused {
-        /// When to come back.
-        wait_us: Option<Micros>,
+    /// Rejected: a retry is harmless.
+    Rejected {
+        /// How long the client best waits before a retry.
+        retry_after_us: Option<Micros>,
     },
     /// Failed.
     Failed,
@@ -73,7 +73,7 @@
     pub fn name(&self) -> &'static str {
         match self {
             Answer::Served(_) => "served",
-            Answer::Refused { .. } => "refused",
+            Answer::Rejected { .. } => "rejected",
             Answer::Failed => "failed",
         }
     }
--- a/daemon/src/core/request_table.rs
+++ b/daemon/src/core/request_table.rs
@@ -1,7 +1,7 @@
 //! The table of open requests, bounded in their number and in the bytes of their bodies.
 
 use super::attempt::OutstandingAttempt;
-use super::{Asked, Client, Ticket};
+use super::{Client, ClientRequest, RequestKey};
 use crate::limits::Limits;
 use crate::net::Slots;
 use linnetknot::Micros;
@@ -10,7 +10,7 @@
 /// A request from its admission until it is answered and none of its attempts is out.
 pub(super) struct OpenRequest {
     pub(super) client: Client,
-    pub(super) request: Asked,
+    pub(super) request: ClientRequest,
     /// When its final answer is due at the latest.
     pub(super) deadline: Micros,
     /// Attempts made so far.
@@ -43,13 +43,13 @@
     }
 
     /// Whether a request's id is free and its body fits. The table may still be full.
-    pub(super) fn admits(&self, request: &Asked) -> bool {
+    pub(super) fn admits(&self, request: &ClientRequest) -> bool {
         self.body_bytes + request.body.len() <= self.max_body_bytes
             && !self.ids.contains(&request.id)
     }
 
     /// Adds a request; none where the table is full.
-    pub(super) fn insert(&mut self, open: OpenRequest) -> Option<Ticket> {
+    pub(super) fn insert(&mut self, open: OpenRequest) -> Option<RequestKey> {
         let id = open.request.id.clone();
         let body_bytes = open.request.body.len();
         let key = self.requests.insert(open).ok()?;
@@ -59,27 +59,27 @@
     }
 
     /// The request of this key.
-    pub(super) fn get(&self, key: Ticket) -> Option<&OpenRequest> {
+    pub(super) fn get(&self, key: RequestKey) -> Option<&OpenRequest> {
         self.requests.get(key)
     }
 
     /// The request of this key, to be changed.
-    pub(super) fn get_mut(&mut self, key: Ticket) -> Option<&mut OpenRequest> {
+    pub(super) fn get_mut(&mut self, key: RequestKey) -> Option<&mut OpenRequest> {
         self.requests.get_mut(key)
     }
 
     /// The request of this key, if its final answer is still owed.
-    pub(super) fn unanswered(&self, key: Ticket) -> Option<&OpenRequest> {
+    pub(super) fn unanswered(&self, key: RequestKey) -> Option<&OpenRequest> {
         self.get(key).filter(|open| !open.answered)
     }
 
     /// The request of this key, to be changed, if its final answer is still owed.
-    pub(super) fn unanswered_mut(&mut self, key: Ticket) -> Option<&mut OpenRequest> {
+    pub(super) fn unanswered_mut(&mut self, key: RequestKey) -> Option<&mut OpenRequest> {
         self.get_mut(key).filter(|open| !open.answered)
     }
 
     /// The keys of all open requests.
-    pub(super) fn keys(&self) -> Vec<Ticket> {
+    pub(super) fn keys(&self) -> Vec<RequestKey> {
         self.requests.keys()
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// Frees the slot of a request that is answered and has no attempt out.
-    pub(super) fn release_if_finished(&mut self, key: Ticket) {
+    pub(super) fn release_if_finished(&mut self, key: RequestKey) {
         let is_finished = self
             .get(key)
             .is_some_and(|open| open.answered && open.outstanding.is_none());
--- a/daemon/src/core/requests.rs
+++ b/daemon/src/core/requests.rs
@@ -1,21 +1,27 @@
 //! The life of a request: its admission, the client that goes, its deadline and its final answer.
 
 use super::request_table::OpenRequest;
-use super::{Answer, Asked, AttemptId, Client, Command, Core, Ticket, Wake, TRACE};
+use super::{Answer, AttemptId, Client, ClientRequest, Command, Core, RequestKey, Wake, TRACE};
 use linnetknot::{Event, Micros, Outcome, Request};
 
 impl Core {
     /// Admits a request. None where the front has to reject it: the table is full, the request has the id of an open
     /// one, which a cache would take for the same, or its class needs an idempotency key and it has none.
-    pub fn ask(&mut self, now: Micros, client: Client, mut request: Asked) -> Option<Ticket> {
-        let lacks_key = request.once.is_none() && self.keyed_classes.contains(&request.class);
+    pub fn admit(
+        &mut self,
+        now: Micros,
+        client: Client,
+        mut request: ClientRequest,
+    ) -> Option<RequestKey> {
+        let lacks_key =
+            request.idempotency_key.is_none() && self.keyed_classes.contains(&request.class);
         if lacks_key || !self.requests.admits(&request) {
             return None;
         }
         request.remaining_us = self.time_for(now, &request);
         let deadline = now + request.remaining_us;
         let mut event = decision_request(&request);
-        let ticket = self.requests.insert(OpenRequest {
+        let key = self.requests.insert(OpenRequest {
             client,
             request,
             deadline,
@@ -23,95 +29,105 @@
             outstanding: None,
             answered: false,
         })?;
-        self.counts.taken += 1;
+        self.counters.admitted += 1;
         self.commands
-            .push(Command::Wake(deadline, Wake::Request(ticket)));
-        event.id = ticket.to_u64();
+            .push(Command::Wake(deadline, Wake::Request(key)));
+        event.id = key.to_u64();
         self.drive(now, Event::Request(event));
-        Some(ticket)
+        Some(key)
     }
 
     /// How long a request may be open.
-    fn time_for(&self, now: Micros, request: &Asked) -> Micros {
+    fn time_for(&self, now: Micros, request: &ClientRequest) -> Micros {
         request
             .remaining_us
-            .min(self.most_us)
-            .min(self.ends_by.saturating_sub(now))
+            .min(self.max_request_us)
+            .min(self.shutdown_deadline.saturating_sub(now))
             .saturating_sub(self.answer_ahead_us)
     }
 
     /// Sets the time by which all requests are answered, those that are open and those to come: the process may be
     /// killed a little later.
-    pub fn end_by(&mut self, at: Micros) {
-        self.ends_by = at;
-        for ticket in self.requests.keys() {
-            let Some(open) = self.requests.get_mut(ticket) else {
+    pub fn set_shutdown_deadline(&mut self, at: Micros) {
+        self.shutdown_deadline = at;
+        for key in self.requests.keys() {
+            let Some(open) = self.requests.get_mut(key) else {
                 continue;
             };
             if open.deadline > at {
                 open.deadline = at;
-                self.commands.push(Command::Wake(at, Wake::Request(ticket)));
+                self.commands.push(Command::Wake(at, Wake::Request(key)));
             }
         }
     }
 
     /// The client has gone: no answer is owed to it any more.
-    pub fn leave(&mut self, now: Micros, ticket: Ticket) {
-        let Some(open) = self.requests.unanswered_mut(ticket) else {
+    pub fn client_gone(&mut self, now: Micros, key: RequestKey) {
+        let Some(open) = self.requests.unanswered_mut(key) else {
             return;
         };
         open.answered = true;
-        self.counts.left += 1;
+        self.counters.abandoned += 1;
         let unsent = open
             .outstanding
             .as_ref()
-            .filter(|attempt| !attempt.begun)
+            .filter(|attempt| !attempt.started)
             .map(|attempt| attempt.number);
         if let Some(number) = unsent {
             // Whether or not the settings let attempts be cancelled: this one can still be kept from being made.
-            self.give_up(now, AttemptId { ticket, number }, Outcome::Moot);
+            self.give_up(
+                now,
+                AttemptId {
+                    request: key,
+                    number,
+                },
+                Outcome::Moot,
+            );
         }
-        self.forget_client(now, ticket);
+        self.forget_client(now, key);
     }
 
     /// Tells the decision module that no answer is owed to a request any more.
-    fn forget_client(&mut self, now: Micros, ticket: Ticket) {
-        let request = ticket.to_u64();
+    fn forget_client(&mut self, now: Micros, key: RequestKey) {
+        let request = key.to_u64();
         self.drive(now, Event::Left { request });
-        self.requests.release_if_finished(ticket);
+        self.requests.release_if_finished(key);
     }
 
     /// A request has reached its deadline: the attempt that is out has timed out, and the decision module has the last
     /// word, which can't be a further attempt.
-    pub(super) fn expire(&mut self, now: Micros, ticket: Ticket) {
-        let Some(open) = self.requests.unanswered(ticket) else {
+    pub(super) fn expire(&mut self, now: Micros, key: RequestKey) {
+        let Some(open) = self.requests.unanswered(key) else {
             return;
         };
         if let Some(out) = &open.outstanding {
             let number = out.number;
-            let attempt = AttemptId { ticket, number };
+            let attempt = AttemptId {
+                request: key,
+                number,
+            };
             if out.given_up.is_none() {
-                let server = out.sending.server;
+                let server = out.target.server;
                 self.commands.push(Command::GiveUp(attempt, server));
             }
-            let outcome = if out.begun {
+            let outcome = if out.started {
                 Outcome::Timeout
             } else {
                 Outcome::Moot
             };
-            self.ended(now, attempt, outcome.into());
+            self.attempt_finished(now, attempt, outcome.into());
         }
-        if self.requests.unanswered(ticket).is_some() {
+        if self.requests.unanswered(key).is_some() {
             // Guards the invariant of one answer against a decision module that holds a request past its end.
             log::warn!("a request was still unanswered at its deadline");
-            self.finish(now, ticket, Answer::Failed);
-            self.forget_client(now, ticket);
+            self.finish(now, key, Answer::Failed);
+            self.forget_client(now, key);
         }
     }
 
     /// Gives the final answer. No other place does: a request that has its answer gets no second one.
-    pub(super) fn finish(&mut self, now: Micros, ticket: Ticket, answer: Answer) {
-        let Some(open) = self.requests.unanswered_mut(ticket) else {
+    pub(super) fn finish(&mut self, now: Micros, key: RequestKey, answer: Answer) {
+        let Some(open) = self.requests.unanswered_mut(key) else {
             return;
         };
         open.answered = true;
@@ -127,16 +143,16 @@
             "a request is answered"
         );
         match answer {
-            Answer::Served(_) => self.counts.served += 1,
-            Answer::Refused { .. } => self.counts.refused += 1,
-            Answer::Failed => self.counts.failed += 1,
+            Answer::Served(_) => self.counters.served += 1,
+            Answer::Rejected { .. } => self.counters.rejected += 1,
+            Answer::Failed => self.counters.failed += 1,
         }
         self.commands.push(Command::Answer(open.client, answer));
     }
 }
 
 /// A request as the decision module takes it, its id still to be given.
-fn decision_request(request: &Asked) -> Request {
+fn decision_request(request: &ClientRequest) -> Request {
     Request {
         id: 0,
         class: request.class.clone(),
--- a/daemon/src/daemon/admin.rs
+++ b/daemon/src/daemon/admin.rs
@@ -277,7 +277,8 @@
             .map(|(e, _)| e.clone());
         if let Some(mut entry) = listed {
             entry.server.state = State::Gone;
-            self.core.list(now, ListMode::Delta, vec![entry]);
+            self.core
+                .update_endpoints(now, ListMode::Delta, vec![entry]);
         }
     }
 
@@ -289,7 +290,8 @@
             .find(|(e, _)| e.uid == id)
             .map(|(e, _)| e.clone());
         if let Some(entry) = listed.filter(|e| e.server.state != State::Gone) {
-            self.core.list(now, ListMode::Delta, vec![entry]);
+            self.core
+                .update_endpoints(now, ListMode::Delta, vec![entry]);
         }
     }
 
--- a/daemon/src/daemon/boxes.rs
+++ b/daemon/src/daemon/boxes.rs
@@ -10,17 +10,19 @@
     pub(super) fn tell(&mut self, now: Micros, server: ServerId, told: Vec<Told>) {
         for t in told {
             match t {
-                Told::Begun(attempt) => self.core.begun(attempt),
+                Told::Begun(attempt) => self.core.attempt_started(attempt),
                 // A box that answers on another connection is there: only this one did not come up.
                 Told::Ended(attempt, ended)
                     if ended.outcome == Outcome::Unreached && self.hears(now, server) =>
                 {
-                    self.core.ended(now, attempt, Outcome::Moot.into());
+                    self.core
+                        .attempt_finished(now, attempt, Outcome::Moot.into());
                 }
-                Told::Ended(attempt, ended) => self.core.ended(now, attempt, ended),
-                Told::Dated(made) => self.core.heard_date(now, made),
+                Told::Ended(attempt, ended) => self.core.attempt_finished(now, attempt, ended),
+                Told::Dated(made) => self.core.observe_origin_date(now, made),
                 Told::Probed(outcome, took_us, load) => {
-                    self.core.probed(now, server, outcome, took_us, load);
+                    self.core
+                        .health_check_finished(now, server, outcome, took_us, load);
                 }
             }
         }
@@ -62,12 +64,12 @@
     }
 
     pub(super) fn send(&mut self, now: Micros, attempt: AttemptId) {
-        let Some((asked, sending)) = self.core.sending(attempt) else {
+        let Some(dispatch) = self.core.dispatch(attempt) else {
             return;
         };
-        let (id, server) = (asked.id.as_str(), sending.server);
+        let (id, server) = (dispatch.request.id.as_str(), dispatch.target.server);
         let links = self.links.get(&server).map_or(&[][..], Vec::as_slice);
-        let endpoint = self.core.location(server).map(|(_, endpoint)| endpoint);
+        let endpoint = self.core.endpoint(server);
         let leads = |key: &Key| {
             self.peek(*key)
                 .filter(|(_, link)| link.endpoint == endpoint)
@@ -141,13 +143,18 @@
                 self.watch(now, key);
             }
             // Nothing was written: it never ran.
-            Err(NoCall::Refused) => self.core.ended(now, attempt, Outcome::ConnectFailed.into()),
+            Err(NoCall::Refused) => {
+                self.core
+                    .attempt_finished(now, attempt, Outcome::ConnectFailed.into());
+            }
             Err(NoCall::Late) => self.tell(
                 now,
                 server,
                 vec![Told::Ended(attempt, Outcome::Unreached.into())],
             ),
-            Err(NoCall::NoRoom) => self.core.ended(now, attempt, Outcome::Moot.into()),
+            Err(NoCall::NoRoom) => self
+                .core
+                .attempt_finished(now, attempt, Outcome::Moot.into()),
             Err(NoCall::Local) => self.send_later(now, attempt),
         }
     }
@@ -155,7 +162,7 @@
     /// Begins a connection to a box. The last places of the table are kept for others than boxes: were they taken too,
     /// the list of boxes could not be asked for any more. Connections that rest make room.
     fn dial(&mut self, now: Micros, server: ServerId) -> Result<Key, NoCall> {
-        let (_, endpoint) = self.core.location(server).ok_or(NoCall::NoRoom)?;
+        let endpoint = self.core.endpoint(server).ok_or(NoCall::NoRoom)?;
         if self.connections.room() <= self.limits.spare_connections {
             let rests = |key: &&Key| self.peek(**key).is_some_and(|(_, link)| link.is_idle());
             let used = |key: &Key| (self.peek(*key).map(|(_, link)| link.last_used()), *key);
@@ -168,7 +175,7 @@
         let key = self.call(now, endpoint, Kind::Box(link))?;
         let links = self.links.entry(server).or_default();
         links.push(key);
-        log::debug!(target: TRACE, "box" = self.core.uid(server), number = links.len(); "a connection is begun");
+        log::debug!(target: TRACE, cache = self.core.uid(server), number = links.len(); "a connection is begun");
         Ok(key)
     }
 
@@ -217,9 +224,9 @@
         // and where a machine has vanished nobody else would end them.
         let moved = self
             .core
-            .location(server)
-            .is_some_and(|(_, at)| link.endpoint != Some(at));
-        let done = link.is_idle() && (moved || !self.core.takes_work(server));
+            .endpoint(server)
+            .is_some_and(|at| link.endpoint != Some(at));
+        let done = link.is_idle() && (moved || !self.core.is_cache_ready(server));
         self.tell(now, server, told);
         sound && !done
     }
@@ -272,7 +279,7 @@
     }
 
     pub(super) fn probe(&mut self, now: Micros, server: ServerId) {
-        let endpoint = self.core.location(server).map(|(_, endpoint)| endpoint);
+        let endpoint = self.core.endpoint(server);
         let mut links = self.links.get(&server).into_iter().flatten().copied();
         let key = links.find(|key| {
             self.peek(*key)
@@ -287,7 +294,7 @@
             }
             None => self
                 .core
-                .probed(now, server, Outcome::ConnectFailed, 0, None),
+                .health_check_finished(now, server, Outcome::ConnectFailed, 0, None),
         }
     }
 }
--- a/daemon/src/daemon/budgets/mod.rs
+++ b/daemon/src/daemon/budgets/mod.rs
@@ -76,7 +76,7 @@
         })?;
         let delivered = vec![None; specs.len()];
         // A request that stayed open for longer than its class allows would settle later, too.
-        self.core.most_us = config.longest_open_us().unwrap_or(Micros::MAX);
+        self.core.max_request_us = config.longest_open_us().unwrap_or(Micros::MAX);
         self.shared_budgets = Some(SharedBudgets {
             member,
             delivered,
@@ -196,9 +196,9 @@
         let millionths =
             |share: Option<f64>| (share.unwrap_or(0.0) * Unit::Millionths.one() as f64) as Amount;
         Unsettled {
-            origin: self.core.asking() as Amount,
-            caches: millionths(self.core.cold_use(now, false)),
-            parents: millionths(self.core.cold_use(now, true)),
+            origin: self.core.origin_in_flight() as Amount,
+            caches: millionths(self.core.slow_start_use(now, false)),
+            parents: millionths(self.core.slow_start_use(now, true)),
         }
     }
 
--- a/daemon/src/daemon/clients.rs
+++ b/daemon/src/daemon/clients.rs
@@ -280,7 +280,7 @@
             };
             let stopping = self.term_at.is_some();
             match input {
-                Input::Leave(ticket) => self.core.leave(now, ticket),
+                Input::Leave(ticket) => self.core.client_gone(now, ticket),
                 Input::Health(stream) => {
                     let ready = self.core.is_ready() && !stopping && self.ops.in_service();
                     session.say(
@@ -302,7 +302,7 @@
                     };
                     let slow = self.waiting_answers > self.limits.waiting_answers;
                     // One client's flood must leave room for the requests of the others.
-                    let flood = !self.limits.admits(session.owed(), self.core.is_crowded());
+                    let flood = !self.limits.admits(session.owed(), self.core.is_half_full());
                     // (What is owed counts this request.) A connection that is to close takes no more while it is busy,
                     // or late in a drain or an end: it would never come to idle, and what it held would be cut when the
                     // process ends or the drain is over. The front sends what is turned away to another proxy.
@@ -313,14 +313,14 @@
                     let ticket = if slow || flood || leaving {
                         None
                     } else {
-                        self.core.ask(now, client, asked)
+                        self.core.admit(now, client, asked)
                     };
                     match ticket {
                         Some(ticket) => session.taken(stream, ticket),
                         None => session.answer(
                             stream,
-                            &Answer::Refused {
-                                wait_us: Some(self.limits.back_off_us),
+                            &Answer::Rejected {
+                                retry_after_us: Some(self.limits.back_off_us),
                             },
                         ),
                     }
--- a/daemon/src/daemon/feeds/bus.rs
+++ b/daemon/src/daemon/feeds/bus.rs
@@ -101,7 +101,9 @@
                 };
                 self.evidence(now, BUS, evidence);
             }
-            Some(News::Purge { object, group, at }) => self.core.purged(now, object, group, at),
+            Some(News::Purge { object, group, at }) => {
+                self.core.record_purge(now, object, group, at);
+            }
             None => log::debug!("event {} of the bus is of an unknown kind", event.offset),
         }
     }
@@ -118,8 +120,8 @@
         };
         let known = self.bus.starts.get(&id).filter(|(known, _)| *known == date);
         let started = known.map(|(_, started)| *started).unwrap_or_else(|| {
-            self.core.heard_date(now, date);
-            self.core.own_time(date).min(now)
+            self.core.observe_origin_date(now, date);
+            self.core.local_time(date).min(now)
         });
         entry.server.started = Some(started);
         if entry.server.state != Standing::Gone {
@@ -135,7 +137,7 @@
             }
         }
         if let Some(News::Purge { object, group, at }) = &event.news {
-            self.core.heard_date(now, *at);
+            self.core.observe_origin_date(now, *at);
             self.pass_on(now, object.as_deref(), *group);
         }
         self.news(now, event);
--- a/daemon/src/daemon/feeds/peers.rs
+++ b/daemon/src/daemon/feeds/peers.rs
@@ -60,7 +60,7 @@
             .as_ref()
             .and_then(|h| h.origin_share(now))
         {
-            self.core.heard(now, share, until);
+            self.core.receive_origin_health(now, share, until);
         }
     }
 
@@ -147,7 +147,7 @@
             let Some((object, group, at)) = ledger::purge(entry) else {
                 continue;
             };
-            self.core.purged(now, object, group, at);
+            self.core.record_purge(now, object, group, at);
         }
         for merged in &received.buckets {
             if let Err(e) = self.core.purges_mut().merge_bucket(
--- a/daemon/src/daemon/members.rs
+++ b/daemon/src/daemon/members.rs
@@ -41,7 +41,7 @@
     fn follow(&mut self, now: Micros, out: Output) {
         for (mode, entries) in out.events {
             let entries = self.without_bans(mode, entries);
-            self.core.list(now, mode, entries);
+            self.core.update_endpoints(now, mode, entries);
         }
         for c in out.changes {
             log::info!(
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -525,15 +525,15 @@
                 "the store is not closed, and the next start begins a new life of its log: {e}"
             );
         }
-        let c = self.core.counts;
+        let counters = self.core.counters;
         log::info!(
             "ended: {} taken, {} served, {} refused, {} failed, {} left, {} attempts",
-            c.taken,
-            c.served,
-            c.refused,
-            c.failed,
-            c.left,
-            c.attempts
+            counters.admitted,
+            counters.served,
+            counters.rejected,
+            counters.failed,
+            counters.abandoned,
+            counters.attempts
         );
         self.log_budgets();
         if self.peers.is_some() {
@@ -666,7 +666,8 @@
         self.term.clear();
         if !self.is_stopping() {
             self.term_at = Some(now);
-            self.core.end_by(now + self.limits.term_answer_us);
+            self.core
+                .set_shutdown_deadline(now + self.limits.term_answer_us);
             log::info!("SIGTERM: answering what is open");
             if self.inherited {
                 // The next process accepts on the same socket: whatever this one took now it would have to answer
@@ -768,7 +769,7 @@
         if next != *new {
             log::warn!("SIGHUP: 'settings' has changed beyond its classes and attempts, which takes effect with the next start only");
         }
-        match self.core.retune(next.clone()) {
+        match self.core.apply_settings(next.clone()) {
             Ok(()) => {
                 log::info!(classes = next.classes.len(), attempts = next.max_attempts; "SIGHUP: new settings are in force");
                 self.config.settings = next;
@@ -951,11 +952,11 @@
                 session
                     .tickets()
                     .into_iter()
-                    .for_each(|ticket| self.core.leave(now, ticket));
+                    .for_each(|ticket| self.core.client_gone(now, ticket));
             }
             Kind::Box(mut link) => {
                 let server = link.server;
-                log::debug!(target: TRACE, "box" = self.core.uid(server), up = c.conn.up; "a connection has ended");
+                log::debug!(target: TRACE, cache = self.core.uid(server), up = c.conn.up; "a connection has ended");
                 if let Entry::Occupied(mut links) = self.links.entry(server) {
                     links.get_mut().retain(|k| *k != key);
                     if links.get().is_empty() {
@@ -981,7 +982,7 @@
             Kind::Cdni(session) => {
                 self.clients -= 1;
                 if let Some(Waiting::Core(ticket)) = session.waiting {
-                    self.core.leave(now, ticket);
+                    self.core.client_gone(now, ticket);
                 }
             }
             Kind::Lingering => self.clients -= 1,
@@ -1002,7 +1003,7 @@
     /// Carries out what the core wants done, and what follows from that.
     fn settle(&mut self, now: Micros) {
         loop {
-            let commands = self.core.commands();
+            let commands = self.core.take_commands();
             if commands.is_empty() {
                 return;
             }
@@ -1021,7 +1022,7 @@
                         self.deadlines.set(at, Timer::Core(wake));
                     }
                     Command::Probe(server) => self.probe(now, server),
-                    Command::Found(share) => self.tell_found(now, share),
+                    Command::ShareOriginHealth(share) => self.tell_found(now, share),
                     Command::Withdraw(server) => self.withdraw(now, server),
                 }
             }
--- a/daemon/src/daemon/neighbours.rs
+++ b/daemon/src/daemon/neighbours.rs
@@ -161,11 +161,16 @@
                         connection: key,
                         stream: 0,
                     };
-                    match self.core.ask(now, client, asked) {
+                    match self.core.admit(now, client, asked) {
                         Some(ticket) => session.waiting = Some(Waiting::Core(ticket)),
                         None => {
                             let wait_us = Some(self.limits.back_off_us);
-                            session.respond(&cdni::response(Answer::Refused { wait_us }, false));
+                            session.respond(&cdni::response(
+                                Answer::Rejected {
+                                    retry_after_us: wait_us,
+                                },
+                                false,
+                            ));
                         }
                     }
                 }
--- a/daemon/src/daemon/plain_purges.rs
+++ b/daemon/src/daemon/plain_purges.rs
@@ -18,7 +18,7 @@
     /// Takes in a purge that a peer sent as a plain datagram: in force at once.
     pub(super) fn receive_plain_purge(&mut self, now: Micros, from: Option<usize>, purge: Purge) {
         let (object, group, at) = purge.clone();
-        self.core.purged(now, object, group, at);
+        self.core.record_purge(now, object, group, at);
         // Where nothing is replicated nobody can show that it does.
         let from = from.filter(|_| self.membership.is_some());
         let replicates = from.is_some_and(|place| replicates(self.membership.as_ref(), place));
--- a/daemon/src/daemon/promises.rs
+++ b/daemon/src/daemon/promises.rs
@@ -327,7 +327,7 @@
         object: Option<String>,
         group: u64,
     ) -> Result<Option<Index>, String> {
-        let at = self.core.purged_now(now, object.as_deref(), group);
+        let at = self.core.record_local_purge(now, object.as_deref(), group);
         let entry = self
             .ledger
             .as_mut()
--- a/daemon/src/daemon/recovery.rs
+++ b/daemon/src/daemon/recovery.rs
@@ -210,7 +210,7 @@
 
     /// The snapshot did not come in time. Which copies its purges concern can't be known, so all are taken as purged.
     fn give_up_snapshot(&mut self, now: Micros) {
-        let at = self.core.date_of_all(now);
+        let at = self.core.purge_all_date(now);
         self.core.purges_mut().raise_all(at);
         log::error!(
             "the peers' snapshot has not come in time: every copy from before now is taken as purged"
@@ -241,7 +241,7 @@
             log::info!(exact = purges.len(), compacted = compacted, table_bytes = bytes; "the store's purges are in force");
         }
         for (object, group, at) in purges {
-            self.core.purged(now, object, group, at);
+            self.core.record_purge(now, object, group, at);
         }
     }
 }
--- a/daemon/src/daemon/redial.rs
+++ b/daemon/src/daemon/redial.rs
@@ -22,8 +22,8 @@
 impl Daemon {
     /// Has an attempt wait until a connection can be begun.
     pub(super) fn send_later(&mut self, now: Micros, attempt: AttemptId) {
-        if let Some((_, sending)) = self.core.sending(attempt) {
-            self.redial.failed.insert(sending.server);
+        if let Some(dispatch) = self.core.dispatch(attempt) {
+            self.redial.failed.insert(dispatch.target.server);
             self.redial.attempts.push(attempt);
         }
         if !std::mem::replace(&mut self.redial.is_due, true) {
@@ -36,12 +36,13 @@
         self.redial.is_due = false;
         self.redial.failed.clear();
         for attempt in std::mem::take(&mut self.redial.attempts) {
-            let Some((_, sending)) = self.core.sending(attempt) else {
+            let Some(dispatch) = self.core.dispatch(attempt) else {
                 continue;
             };
-            let server = sending.server;
-            if self.core.beginning(now, attempt).is_none() {
-                self.core.ended(now, attempt, Outcome::Moot.into());
+            let server = dispatch.target.server;
+            if self.core.dispatch_now(now, attempt).is_none() {
+                self.core
+                    .attempt_finished(now, attempt, Outcome::Moot.into());
             } else if self.redial.failed.contains(&server) {
                 // One call a round tells: the others wait for the next.
                 self.send_later(now, attempt);
--- a/daemon/src/front/cdni/mod.rs
+++ b/daemon/src/front/cdni/mod.rs
@@ -10,7 +10,7 @@
 
 pub use session::{Session, Waiting};
 
-use crate::core::{Answer, Asked, Content};
+use crate::core::{Answer, ClientRequest, Content};
 use crate::wire::http::Head;
 use linnetknot::Micros;
 use serde_json::Value;
@@ -124,7 +124,7 @@
     /// Respond once these effects are kept; where they can't be, retract the trigger that was made and say so.
     Promise(Response, Option<Name>, Vec<Effect>),
     /// Ask the core.
-    Ask(Asked),
+    Ask(ClientRequest),
 }
 
 /// Whether a target is the status of one trigger.
@@ -316,7 +316,7 @@
         let id = self
             .seed
             .wrapping_add(self.asked.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        Reply::Ask(Asked {
+        Reply::Ask(ClientRequest {
             id: format!("{id:016x}"),
             class: class.clone(),
             object: object.to_owned(),
@@ -324,8 +324,8 @@
             group: value("lot").and_then(|v| v.parse().ok()).unwrap_or(0),
             size_kb: size_kb.unwrap_or(0.0),
             remaining_us: *wait,
-            have: have.filter(|v| tag(v)).map(str::to_owned),
-            ..Asked::default()
+            cached_tag: have.filter(|v| tag(v)).map(str::to_owned),
+            ..ClientRequest::default()
         })
     }
 }
@@ -346,9 +346,9 @@
             }
         }
         Answer::Served(Content::Unchanged) => Response::bare(304),
-        Answer::Refused { wait_us } => {
+        Answer::Rejected { retry_after_us } => {
             // The header counts whole seconds.
-            let wait = wait_us.unwrap_or(0).div_ceil(1_000_000).max(1);
+            let wait = retry_after_us.unwrap_or(0).div_ceil(1_000_000).max(1);
             Response::bare(503).with("Retry-After", wait.to_string())
         }
         Answer::Failed => Response::bare(if late { 504 } else { 502 }),
--- a/daemon/src/front/cdni/session.rs
+++ b/daemon/src/front/cdni/session.rs
@@ -1,7 +1,7 @@
 //! One HTTP connection of a neighbour or of a client that was redirected here.
 
 use super::Response;
-use crate::core::Ticket;
+use crate::core::RequestKey;
 use crate::net::Ring;
 use crate::wire::http::{self, Head, Messages, Piece};
 use crate::wire::{Parser, WireError};
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Waiting {
     /// The core has the request, under this ticket.
-    Core(Ticket),
+    Core(RequestKey),
     /// What it promises is on its way to the disks.
     Promise,
 }
--- a/daemon/src/front/fastcgi.rs
+++ b/daemon/src/front/fastcgi.rs
@@ -1,6 +1,6 @@
 //! The platform's front: FastCGI requests become the core's, and its answers CGI responses.
 
-use crate::core::{Answer, Asked, Content, Ticket};
+use crate::core::{Answer, ClientRequest, Content, RequestKey};
 use crate::limits::Limits;
 use crate::net::Ring;
 use crate::wire::fastcgi::{self as wire, kind, Record, Records};
@@ -11,9 +11,9 @@
 #[derive(Debug, PartialEq)]
 pub enum Input {
     /// A request: `Session::taken` or an answer must follow.
-    Ask(u16, Asked),
+    Ask(u16, ClientRequest),
     /// The client no longer waits for this.
-    Leave(Ticket),
+    Leave(RequestKey),
     /// Whether the daemon is ready.
     Health(u16),
 }
@@ -27,7 +27,7 @@
     },
     Waiting {
         keep: bool,
-        ticket: Option<Ticket>,
+        ticket: Option<RequestKey>,
     },
 }
 
@@ -74,7 +74,11 @@
 /// What a request's parameters ask for, or which of them can't be used. Nothing of it may be guessed or passed on
 /// unread: boxes close a connection on what they can't read, with all that others have open on it, and the
 /// decision module learns from the figures.
-fn ask(pairs: &[(String, String)], body: Vec<u8>, limits: &Limits) -> Result<Asked, &'static str> {
+fn ask(
+    pairs: &[(String, String)],
+    body: Vec<u8>,
+    limits: &Limits,
+) -> Result<ClientRequest, &'static str> {
     let get = |name: &str| {
         pairs
             .iter()
@@ -113,7 +117,7 @@
         return Err("CONTENT_LENGTH");
     }
     let left = number("HTTP_BUDGET_MS", limits.budget_us / 1000)?.filter(|ms| *ms > 0);
-    Ok(Asked {
+    Ok(ClientRequest {
         id: digits("HTTP_REQUEST_ID", 16)?.ok_or("HTTP_REQUEST_ID")?,
         class: class.ok_or("SCRIPT_NAME")?.to_owned(),
         object: digits("HTTP_RESOURCE_KEY", 16)?.ok_or("HTTP_RESOURCE_KEY")?,
@@ -121,8 +125,8 @@
         group: number("HTTP_X_LOT", MOST_GROUP)?.unwrap_or(0),
         size_kb: size,
         remaining_us: left.ok_or("HTTP_BUDGET_MS")? * 1000,
-        once: digits("HTTP_ONCE_KEY", 32)?,
-        have: digits("HTTP_X_VER", 16)?,
+        idempotency_key: digits("HTTP_ONCE_KEY", 32)?,
+        cached_tag: digits("HTTP_X_VER", 16)?,
         body,
     })
 }
@@ -139,9 +143,9 @@
         Answer::Served(Content::Unchanged) => {
             head("Status: 200 OK\r\nX-Unchanged: 1\r\nContent-Length: 0\r\n\r\n");
         }
-        Answer::Refused { wait_us } => {
+        Answer::Rejected { retry_after_us } => {
             head("Status: 503 Service Unavailable\r\n");
-            if let Some(wait) = wait_us {
+            if let Some(wait) = retry_after_us {
                 head(&format!("Back-Off-Ms: {}\r\n", wait.div_ceil(1000)));
             }
             head("Content-Length: 0\r\n\r\n");
@@ -248,7 +252,9 @@
         half.sort_unstable();
         for id in half {
             if let Some(Stream::Reading { keep, .. }) = self.open.remove(&id) {
-                let refusal = response(&Answer::Refused { wait_us });
+                let refusal = response(&Answer::Rejected {
+                    retry_after_us: wait_us,
+                });
                 self.push(id, refusal, wire::REQUEST_COMPLETE, keep);
             }
         }
@@ -260,7 +266,7 @@
     }
 
     /// Tickets of what the connection still waits for.
-    pub fn tickets(&self) -> Vec<Ticket> {
+    pub fn tickets(&self) -> Vec<RequestKey> {
         let ticket = |s: &Stream| {
             if let Stream::Waiting { ticket, .. } = s {
                 *ticket
@@ -455,7 +461,7 @@
     }
 
     /// The core has taken a request.
-    pub fn taken(&mut self, id: u16, ticket: Ticket) {
+    pub fn taken(&mut self, id: u16, ticket: RequestKey) {
         if let Some(Stream::Waiting { ticket: place, .. }) = self.open.get_mut(&id) {
             *place = Some(ticket);
         }
--- a/daemon/src/upstream/answers.rs
+++ b/daemon/src/upstream/answers.rs
@@ -123,7 +123,7 @@
         if old {
             log::warn!("a box gave a copy from before what was asked for");
         }
-        let asked = core.sending(attempt).map(|s| s.0);
+        let asked = core.dispatch(attempt).map(|d| d.request);
         let ended = if old {
             Outcome::Error.into()
         } else {
@@ -155,7 +155,7 @@
         let (at, Some(r)) = (*at, report.take()) else {
             return;
         };
-        let asked = core.sending(r.attempt).map(|s| s.0);
+        let asked = core.dispatch(r.attempt).map(|d| d.request);
         events.push(Told::Ended(r.attempt, ended(&word, &fields, body, asked)));
         if r.end_offset.is_none() {
             self.aborts.retain(|abort| *abort != id);
--- a/daemon/src/upstream/frames.rs
+++ b/daemon/src/upstream/frames.rs
@@ -1,6 +1,6 @@
 //! Attempts as frames, and answers as outcomes.
 
-use crate::core::{Asked, AttemptId, Content, Core, Ended};
+use crate::core::{AttemptId, AttemptResult, ClientRequest, Content, Core};
 use crate::wire::resp;
 use linnetknot::{Fill, Load, Micros, Note, Outcome};
 
@@ -44,7 +44,12 @@
 }
 
 /// How an attempt ended by this answer.
-pub(super) fn ended(word: &[u8], fields: &[u8], body: Vec<u8>, asked: Option<&Asked>) -> Ended {
+pub(super) fn ended(
+    word: &[u8],
+    fields: &[u8],
+    body: Vec<u8>,
+    asked: Option<&ClientRequest>,
+) -> AttemptResult {
     let (outcome, content) = match word {
         b"200" => (
             Outcome::Ok,
@@ -57,7 +62,7 @@
         // something else.
         b"304"
             if asked.is_some_and(|a| {
-                a.have.is_some() && a.have.as_deref() == resp::field(fields, "etag")
+                a.cached_tag.is_some() && a.cached_tag.as_deref() == resp::field(fields, "etag")
             }) =>
         {
             (Outcome::Ok, Some(Content::Unchanged))
@@ -71,7 +76,7 @@
     let waited = resp::field(fields, "ttfb")
         .and_then(|ms| ms.parse::<f64>().ok())
         .unwrap_or(0.0);
-    Ended {
+    AttemptResult {
         outcome,
         note: note(fields),
         waited_us: (waited.max(0.0) * 1e3) as Micros,
@@ -89,38 +94,39 @@
 
 /// The frame of an attempt; none where it must not begin any more.
 pub(super) fn frame(core: &Core, now: Micros, attempt: AttemptId) -> Option<Frame> {
-    let (asked, sending) = core.beginning(now, attempt)?;
+    let dispatch = core.dispatch_now(now, attempt)?;
+    let request = dispatch.request;
     let mut fields = format!(
         "class={},key={},part={}",
-        asked.class, asked.object, asked.part
+        request.class, request.object, request.part
     );
-    let wait_ms = (sending.until.saturating_sub(now) / 1000).max(1);
+    let wait_ms = (dispatch.target.deadline.saturating_sub(now) / 1000).max(1);
     add(&mut fields, "wait", &wait_ms.to_string());
-    if let Some(once) = &asked.once {
-        add(&mut fields, "once", once);
+    if let Some(key) = &request.idempotency_key {
+        add(&mut fields, "once", key);
     }
-    if let Some(fill) = &sending.fill {
-        if fill.source != sending.server {
-            add(&mut fields, "src", core.location(fill.source)?.0);
+    if let Some(fill) = &dispatch.target.fill {
+        if fill.source != dispatch.target.server {
+            add(&mut fields, "src", core.wire_id(fill.source)?);
         }
         add_fill(&mut fields, fill);
     }
-    if let Some(have) = &asked.have {
-        add(&mut fields, "have", have);
+    if let Some(tag) = &request.cached_tag {
+        add(&mut fields, "have", tag);
     }
-    let mut bytes = Vec::with_capacity(fields.len() + asked.body.len() + 80);
+    let mut bytes = Vec::with_capacity(fields.len() + request.body.len() + 80);
     resp::write_array(
         &mut bytes,
         &[
             b"fetch",
-            asked.id.as_bytes(),
+            request.id.as_bytes(),
             fields.as_bytes(),
-            &asked.body,
+            &request.body,
         ],
     );
     Some(Frame {
         bytes,
-        max_age_us: sending.fill.and_then(|f| f.max_age_us),
+        max_age_us: dispatch.target.fill.and_then(|f| f.max_age_us),
     })
 }
 
--- a/daemon/src/upstream/mod.rs
+++ b/daemon/src/upstream/mod.rs
@@ -9,7 +9,7 @@
 mod frames;
 mod stream;
 
-use crate::core::{AttemptId, Core, Ended};
+use crate::core::{AttemptId, AttemptResult, Core};
 use crate::limits::Limits;
 use crate::net::{Conn, Progress};
 use crate::wire::resp;
@@ -31,7 +31,7 @@
     /// The first byte of an attempt is written: from now on it can't be recalled.
     Begun(AttemptId),
     /// An attempt ended.
-    Ended(AttemptId, Ended),
+    Ended(AttemptId, AttemptResult),
     /// An answer has come, with the time at which the origin gave out its copy.
     Dated(Micros),
     /// A probe ended.
@@ -94,8 +94,8 @@
         // Two clients may give one id: a second attempt under it here would take the first one's answer, also
         // where both still wait for the connection.
         let queued = |q: &Queued| {
-            core.sending(q.attempt)
-                .is_some_and(|(asked, _)| asked.id == id)
+            core.dispatch(q.attempt)
+                .is_some_and(|dispatch| dispatch.request.id == id)
         };
         let free = self
             .open
@@ -301,7 +301,7 @@
     ) -> Progress {
         let frame =
             frame(core, now, attempt).filter(|frame| frame.bytes.len() <= limits.output_ring);
-        let Some((frame, (asked, _))) = frame.zip(core.sending(attempt)) else {
+        let Some((frame, dispatch)) = frame.zip(core.dispatch(attempt)) else {
             events.push(Told::Ended(attempt, Outcome::Moot.into()));
             self.queue.pop_front();
             return Progress::Moved;
@@ -309,7 +309,7 @@
         let progress = conn.begin(&frame.bytes);
         if progress == Progress::Moved {
             let end_offset = conn.written + conn.output.len() as u64;
-            let behind = self.gave_up(&asked.id);
+            let behind = self.gave_up(&dispatch.request.id);
             let sent = Sent {
                 attempt,
                 at: now,
@@ -318,7 +318,8 @@
                 max_age_us: frame.max_age_us,
                 behind,
             };
-            self.open.insert(asked.id.clone(), Stream::Attempt(sent));
+            self.open
+                .insert(dispatch.request.id.clone(), Stream::Attempt(sent));
             self.last_used = now;
             events.push(Told::Begun(attempt));
             self.queue.pop_front();
@@ -342,7 +343,7 @@
     }
 
     /// Has the box told that an attempt is given up; it is reported as ended in this way once that is on its way.
-    fn abort(&mut self, now: Micros, id: String, attempt: AttemptId, ended: Ended) {
+    fn abort(&mut self, now: Micros, id: String, attempt: AttemptId, ended: AttemptResult) {
         let report = Unreported {
             attempt,
             ended,
@@ -382,8 +383,8 @@
     pub fn withdraw(&mut self, server: ServerId, core: &Core, events: &mut Vec<Told>) {
         self.queue.retain(|q| {
             let source = core
-                .sending(q.attempt)
-                .and_then(|(_, s)| s.fill)
+                .dispatch(q.attempt)
+                .and_then(|dispatch| dispatch.target.fill)
                 .map(|f| f.source);
             let keep = self.server != server && source != Some(server);
             if !keep {
--- a/daemon/src/upstream/stream.rs
+++ b/daemon/src/upstream/stream.rs
@@ -1,6 +1,6 @@
 //! What is open on a link under an id.
 
-use crate::core::{AttemptId, Ended};
+use crate::core::{AttemptId, AttemptResult};
 use crate::wire::resp;
 use linnetknot::Micros;
 
@@ -62,7 +62,7 @@
 pub(super) struct Unreported {
     pub(super) attempt: AttemptId,
     /// How it will be reported.
-    pub(super) ended: Ended,
+    pub(super) ended: AttemptResult,
     /// So many bytes are written once its abort is; none: that has not begun.
     pub(super) end_offset: Option<u64>,
     /// When that was seen.
--- a/daemon/tests/core.rs
+++ b/daemon/tests/core.rs
@@ -2,7 +2,8 @@
 
 use linnetknot::{ListMode, Outcome, Repeat, Server, Settings, State};
 use linnetknot_daemon::core::{
-    server_id, Answer, Asked, AttemptId, Client, Command, Content, Core, Ended, Entry, Wake,
+    server_id, Answer, AttemptId, AttemptResult, Client, ClientRequest, Command, Content, Core,
+    Entry, Wake,
 };
 use linnetknot_daemon::limits::Limits;
 use linnetknot_daemon::net::Key;
@@ -44,8 +45,8 @@
         ("o", "hub", "origin"),
     ];
     let list = list.map(|(uid, zone, kind)| entry(uid, zone, kind, State::Ready));
-    core.list(NOW, ListMode::Full, list.to_vec());
-    core.commands();
+    core.update_endpoints(NOW, ListMode::Full, list.to_vec());
+    core.take_commands();
     core
 }
 
@@ -60,18 +61,18 @@
     }
 }
 
-fn asked(body: usize) -> Asked {
+fn client_request(body: usize) -> ClientRequest {
     let (class, object) = ("photo".to_owned(), "00000000000000a1".to_owned());
     static NEXT: AtomicU64 = AtomicU64::new(1);
     let id = format!("{:016x}", NEXT.fetch_add(1, Ordering::Relaxed));
-    Asked {
+    ClientRequest {
         id,
         class,
         object,
         size_kb: 40.0,
         remaining_us: 1_000_000,
         body: vec![0; body],
-        ..Asked::default()
+        ..ClientRequest::default()
     }
 }
 
@@ -96,12 +97,12 @@
     commands.iter().filter_map(answer).collect()
 }
 
-fn served() -> Ended {
+fn served() -> AttemptResult {
     let content = Content::Object {
         bytes: b"x".to_vec(),
         tag: None,
     };
-    Ended {
+    AttemptResult {
         content: Some(content),
         ..Outcome::Ok.into()
     }
@@ -110,20 +111,20 @@
 #[test]
 fn a_second_outcome_of_an_attempt_gives_no_second_answer() {
     let mut core = core(&limits());
-    core.ask(NOW, client(1), asked(0)).unwrap();
-    let attempt = sent(&core.commands()).unwrap();
-    core.ended(NOW + 10, attempt, served());
-    assert_eq!(answers(&core.commands()).len(), 1);
-    core.ended(NOW + 11, attempt, served());
-    core.wake(NOW + 2_000_000, Wake::Request(attempt.ticket));
-    assert_eq!((core.commands(), core.is_idle()), (vec![], true));
+    core.admit(NOW, client(1), client_request(0)).unwrap();
+    let attempt = sent(&core.take_commands()).unwrap();
+    core.attempt_finished(NOW + 10, attempt, served());
+    assert_eq!(answers(&core.take_commands()).len(), 1);
+    core.attempt_finished(NOW + 11, attempt, served());
+    core.wake(NOW + 2_000_000, Wake::Request(attempt.request));
+    assert_eq!((core.take_commands(), core.is_idle()), (vec![], true));
 }
 
 #[test]
 fn at_the_deadline_what_is_out_is_given_up_and_a_late_answer_changes_nothing() {
     let mut core = core(&limits());
-    core.ask(NOW, client(1), asked(0)).unwrap();
-    let commands = core.commands();
+    core.admit(NOW, client(1), client_request(0)).unwrap();
+    let commands = core.take_commands();
     let attempt = sent(&commands).unwrap();
     let due = commands.iter().find_map(|c| match c {
         Command::Wake(at, wake @ Wake::Request(_)) => Some((*at, *wake)),
@@ -136,76 +137,84 @@
         "the answer has a way to go"
     );
     core.wake(at, wake);
-    let commands = core.commands();
+    let commands = core.take_commands();
     assert!(
         commands.contains(&Command::GiveUp(attempt, server_id("a")))
             || commands.contains(&Command::GiveUp(attempt, server_id("b")))
     );
     assert!(matches!(
         answers(&commands)[..],
-        [Answer::Refused { wait_us: Some(_) }]
+        [Answer::Rejected {
+            retry_after_us: Some(_)
+        }]
     ));
-    core.ended(at + 1, attempt, served());
-    assert_eq!(answers(&core.commands()), []);
+    core.attempt_finished(at + 1, attempt, served());
+    assert_eq!(answers(&core.take_commands()), []);
 }
 
 #[test]
 fn a_further_attempt_waits_until_the_one_before_is_over() {
     let mut core = core(&limits());
-    core.ask(NOW, client(1), asked(0)).unwrap();
-    let first = sent(&core.commands()).unwrap();
-    core.begun(first);
+    core.admit(NOW, client(1), client_request(0)).unwrap();
+    let first = sent(&core.take_commands()).unwrap();
+    core.attempt_started(first);
     // Ticks until the module takes the attempt for stuck and calls it off.
     let (mut now, mut given_up) = (NOW, false);
     while !given_up && now < NOW + 900_000 {
         now += 50_000;
         core.wake(now, Wake::Router(0));
-        let commands = core.commands();
+        let commands = core.take_commands();
         assert_eq!(sent(&commands), None, "two attempts would be out at once");
         given_up = commands
             .iter()
             .any(|c| matches!(c, Command::GiveUp(a, _) if *a == first));
     }
     assert!(given_up);
-    core.ended(now, first, Outcome::Cancelled.into());
-    let commands = core.commands();
+    core.attempt_finished(now, first, Outcome::Cancelled.into());
+    let commands = core.take_commands();
     let second = sent(&commands).expect("a further attempt");
     assert_eq!((answers(&commands), second.number), (vec![], 1));
-    core.ended(now, second, served());
-    assert_eq!(answers(&core.commands()).len(), 1);
+    core.attempt_finished(now, second, served());
+    assert_eq!(answers(&core.take_commands()).len(), 1);
 }
 
 #[test]
 fn an_answer_that_crosses_its_abort_still_serves() {
     let mut core = core(&limits());
-    core.ask(NOW, client(1), asked(0)).unwrap();
-    let first = sent(&core.commands()).unwrap();
-    core.begun(first);
+    core.admit(NOW, client(1), client_request(0)).unwrap();
+    let first = sent(&core.take_commands()).unwrap();
+    core.attempt_started(first);
     let ticks = (1..18).map(|tick| NOW + 50_000 * tick);
     ticks.for_each(|now| core.wake(now, Wake::Router(0)));
     assert!(core
-        .commands()
+        .take_commands()
         .iter()
         .any(|c| matches!(c, Command::GiveUp(a, _) if *a == first)));
-    core.ended(NOW + 900_000, first, served());
-    assert!(matches!(answers(&core.commands())[..], [Answer::Served(_)]));
+    core.attempt_finished(NOW + 900_000, first, served());
+    assert!(matches!(
+        answers(&core.take_commands())[..],
+        [Answer::Served(_)]
+    ));
     assert!(core.is_idle());
 }
 
 #[test]
 fn a_client_that_left_is_owed_nothing_and_its_slot_is_free_once_nothing_is_out() {
     let mut core = core(&limits());
-    let ticket = core.ask(NOW, client(1), asked(0)).unwrap();
-    let attempt = sent(&core.commands()).unwrap();
-    core.begun(attempt);
-    core.leave(NOW, ticket);
+    let request = core.admit(NOW, client(1), client_request(0)).unwrap();
+    let attempt = sent(&core.take_commands()).unwrap();
+    core.attempt_started(attempt);
+    core.client_gone(NOW, request);
     assert!(core
-        .commands()
+        .take_commands()
         .iter()
         .any(|c| matches!(c, Command::GiveUp(a, _) if *a == attempt)));
     assert!(!core.is_idle());
-    core.ended(NOW, attempt, Outcome::Cancelled.into());
-    assert_eq!((answers(&core.commands()), core.is_idle()), (vec![], true));
+    core.attempt_finished(NOW, attempt, Outcome::Cancelled.into());
+    assert_eq!(
+        (answers(&core.take_commands()), core.is_idle()),
+        (vec![], true)
+    );
 }
 
 /// Whether or not the settings allow attempts to be cancelled: one whose first byte is not written can still be kept from
@@ -221,49 +230,57 @@
             .filter(|c| c.write)
             .for_each(|c| c.repeat = Repeat::Unsafe);
         let mut core = core_with(settings, &limits());
-        let ticket = core.ask(NOW, client(1), asked(0)).unwrap();
-        let attempt = sent(&core.commands()).unwrap();
-        core.leave(NOW, ticket);
-        let commands = core.commands();
+        let request = core.admit(NOW, client(1), client_request(0)).unwrap();
+        let attempt = sent(&core.take_commands()).unwrap();
+        core.client_gone(NOW, request);
+        let commands = core.take_commands();
         assert!(commands
             .iter()
             .any(|c| matches!(c, Command::GiveUp(a, _) if *a == attempt)));
         assert!(
-            core.sending(attempt).is_none() && core.is_idle(),
+            core.dispatch(attempt).is_none() && core.is_idle(),
             "cancel: {cancel}"
         );
         // A write that could not begin is refused, which tells its client that nothing ran; not failed.
-        let post = Asked {
+        let post = ClientRequest {
             class: "post".into(),
-            ..asked(0)
+            ..client_request(0)
         };
-        let ticket = core.ask(NOW, client(1), post).unwrap();
-        sent(&core.commands()).unwrap();
-        core.wake(NOW + 2_000_000, Wake::Request(ticket));
+        let request = core.admit(NOW, client(1), post).unwrap();
+        sent(&core.take_commands()).unwrap();
+        core.wake(NOW + 2_000_000, Wake::Request(request));
         assert!(
-            matches!(answers(&core.commands())[..], [Answer::Refused { .. }]),
+            matches!(
+                answers(&core.take_commands())[..],
+                [Answer::Rejected { .. }]
+            ),
             "cancel: {cancel}"
         );
     }
 }
 
-/// An attempt may wait for its connection, and what is told meanwhile binds it when it begins.
+/// An attempt may wait for its connection, and the purges that come meanwhile bind it when it begins.
 #[test]
-fn what_an_attempt_may_do_is_asked_when_it_begins() {
+fn what_an_attempt_may_do_is_checked_when_it_begins() {
     let mut core = core(&limits());
-    core.ask(NOW, client(1), asked(0)).unwrap();
-    let attempt = sent(&core.commands()).unwrap();
+    core.admit(NOW, client(1), client_request(0)).unwrap();
+    let attempt = sent(&core.take_commands()).unwrap();
     let age = |core: &Core, now| {
-        core.beginning(now, attempt)
-            .map(|(_, s)| s.fill.unwrap().max_age_us)
+        core.dispatch_now(now, attempt)
+            .map(|dispatch| dispatch.target.fill.unwrap().max_age_us)
     };
     assert_eq!(age(&core, NOW), Some(None));
-    core.purged(NOW + 100_000, Some(asked(0).object), 0, NOW + 90_000);
+    core.record_purge(
+        NOW + 100_000,
+        Some(client_request(0).object),
+        0,
+        NOW + 90_000,
+    );
     assert_eq!(age(&core, NOW + 150_000), Some(Some(60_000)));
     assert_eq!(age(&core, NOW + 1_000_000), None, "its client has given up");
-    let source = core.sending(attempt).unwrap().1.fill.unwrap().source;
+    let source = core.dispatch(attempt).unwrap().target.fill.unwrap().source;
     let uid = core.uid(source).to_owned();
-    core.list(
+    core.update_endpoints(
         NOW,
         ListMode::Delta,
         vec![entry(&uid, "hub", "origin", State::Draining)],
@@ -282,79 +299,79 @@
         bodies: 100,
         ..limits()
     });
-    let first = core.ask(NOW, client(1), asked(60)).unwrap();
+    let first = core.admit(NOW, client(1), client_request(60)).unwrap();
     assert_eq!(
-        core.ask(NOW, client(2), asked(60)),
+        core.admit(NOW, client(2), client_request(60)),
         None,
         "their bodies are too many bytes"
     );
-    core.ask(NOW, client(2), asked(0)).unwrap();
-    assert_eq!(core.ask(NOW, client(3), asked(0)), None);
-    let attempt = sent(&core.commands()).unwrap();
-    assert_eq!(attempt.ticket, first);
-    core.ended(NOW, attempt, served());
-    assert!(core.ask(NOW, client(3), asked(60)).is_some());
+    core.admit(NOW, client(2), client_request(0)).unwrap();
+    assert_eq!(core.admit(NOW, client(3), client_request(0)), None);
+    let attempt = sent(&core.take_commands()).unwrap();
+    assert_eq!(attempt.request, first);
+    core.attempt_finished(NOW, attempt, served());
+    assert!(core.admit(NOW, client(3), client_request(60)).is_some());
 }
 
 #[test]
 fn word_of_a_drain_takes_back_what_is_not_written_yet() {
     let mut core = core(&limits());
-    core.list(
+    core.update_endpoints(
         NOW,
         ListMode::Delta,
         vec![entry("a", "here", "box", State::Draining)],
     );
     assert_eq!(
-        core.commands().first(),
+        core.take_commands().first(),
         Some(&Command::Withdraw(server_id("a")))
     );
     // What a full list does not name any more is gone.
-    core.list(
+    core.update_endpoints(
         NOW,
         ListMode::Full,
         vec![entry("a", "here", "box", State::Draining)],
     );
-    let withdrawn = core.commands();
+    let withdrawn = core.take_commands();
     assert!(withdrawn.contains(&Command::Withdraw(server_id("b"))) && !core.is_ready());
     assert!(
-        core.location(server_id("a")).is_some(),
+        core.wire_id(server_id("a")).is_some(),
         "it finishes what it has"
     );
     assert_eq!(
-        core.location(server_id("b")),
+        core.wire_id(server_id("b")),
         None,
-        "new boxes come under new ids all day long"
+        "new caches come under new ids all day long"
     );
 }
 
 #[test]
-fn the_id_of_an_open_request_and_a_keyed_class_without_a_key_are_not_taken() {
+fn the_id_of_an_open_request_and_a_keyed_class_without_a_key_are_not_admitted() {
     let mut core = core(&limits());
-    let first = asked(0);
-    let other = Asked {
+    let first = client_request(0);
+    let other = ClientRequest {
         object: "00000000000000b2".into(),
         ..first.clone()
     };
-    core.ask(NOW, client(1), first).unwrap();
-    let attempt = sent(&core.commands()).unwrap();
+    core.admit(NOW, client(1), first).unwrap();
+    let attempt = sent(&core.take_commands()).unwrap();
     assert_eq!(
-        core.ask(NOW, client(2), other.clone()),
+        core.admit(NOW, client(2), other.clone()),
         None,
-        "a box would take the two for one"
+        "a cache would take the two for one"
     );
-    core.ended(NOW, attempt, served());
-    assert!(core.ask(NOW, client(2), other).is_some());
-    let post = Asked {
+    core.attempt_finished(NOW, attempt, served());
+    assert!(core.admit(NOW, client(2), other).is_some());
+    let post = ClientRequest {
         class: "post".into(),
-        ..asked(0)
+        ..client_request(0)
     };
-    assert_eq!(core.ask(NOW, client(3), post.clone()), None);
+    assert_eq!(core.admit(NOW, client(3), post.clone()), None);
     assert!(core
-        .ask(
+        .admit(
             NOW,
             client(3),
-            Asked {
-                once: Some("5c".into()),
+            ClientRequest {
+                idempotency_key: Some("5c".into()),
                 ..post
             }
         )
--- a/daemon/tests/upstream.rs
+++ b/daemon/tests/upstream.rs
@@ -1,7 +1,7 @@
 //! Links to boxes: what becomes of attempts when connections end, and of ids that were given up.
 
 use linnetknot::{ListMode, Outcome, Server, ServerId, State};
-use linnetknot_daemon::core::{server_id, Asked, AttemptId, Client, Command, Core, Entry};
+use linnetknot_daemon::core::{server_id, AttemptId, Client, ClientRequest, Command, Core, Entry};
 use linnetknot_daemon::limits::Limits;
 use linnetknot_daemon::net::{Conn, Key, Progress};
 use linnetknot_daemon::upstream::{Link, Told};
@@ -47,7 +47,7 @@
             uid: "a".into(),
             endpoint: ([127, 0, 0, 1], 9).into(),
         };
-        core.list(NOW, ListMode::Full, vec![entry]);
+        core.update_endpoints(NOW, ListMode::Full, vec![entry]);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let near = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         let (far, server) = (listener.accept().unwrap().0, server_id("a"));
@@ -68,25 +68,25 @@
     }
 
     fn send(&mut self, id: &str) -> AttemptId {
-        let asked = Asked {
+        let asked = ClientRequest {
             id: id.into(),
             class: "photo".into(),
             object: format!("{id}-object"),
             size_kb: 40.0,
             remaining_us: 2_000_000,
-            have: self.have.clone(),
+            cached_tag: self.have.clone(),
             body: vec![b'x'; self.body],
-            ..Asked::default()
+            ..ClientRequest::default()
         };
         // The core takes no two of one id: the one before is over by now.
         for (_, attempt) in self.last.iter().filter(|(last, _)| last == id) {
-            self.core.leave(self.now, attempt.ticket);
+            self.core.client_gone(self.now, attempt.request);
             self.core
-                .ended(self.now, *attempt, Outcome::Cancelled.into());
+                .attempt_finished(self.now, *attempt, Outcome::Cancelled.into());
         }
-        self.core.commands();
+        self.core.take_commands();
         self.core
-            .ask(
+            .admit(
                 self.now,
                 Client {
                     connection: Key::from_u64(0),
@@ -102,7 +102,12 @@
                 None
             }
         };
-        let attempt = self.core.commands().into_iter().find_map(sent).unwrap();
+        let attempt = self
+            .core
+            .take_commands()
+            .into_iter()
+            .find_map(sent)
+            .unwrap();
         self.last.push((id.to_owned(), attempt));
         self.link.send(self.now, attempt);
         self.pump();
@@ -184,8 +189,8 @@
     let mut rig = Rig::new(false);
     let (given_up, kept, withdrawn) = (rig.send("01"), rig.send("02"), rig.send("03"));
     // It is over at once, without a word of its connection, and never ran.
-    rig.core.leave(NOW, given_up.ticket);
-    assert!(rig.core.sending(given_up).is_none());
+    rig.core.client_gone(NOW, given_up.request);
+    assert!(rig.core.dispatch(given_up).is_none());
     rig.give_up(given_up);
     rig.conn.up = true;
     rig.pump();
@@ -230,7 +235,7 @@
 fn a_copy_from_before_a_purge_is_never_passed_on() {
     let mut rig = Rig::new(true);
     rig.core
-        .purged(NOW, Some("01-object".into()), 0, NOW - 2_000);
+        .record_purge(NOW, Some("01-object".into()), 0, NOW - 2_000);
     let answered = |rig: &mut Rig, made: u64| {
         let (mut answer, fields) = (Vec::new(), format!("how=local,made={made}"));
         resp::write_array(&mut answer, &[b"01", b"200", fields.as_bytes(), b"x"]);
@@ -519,7 +524,7 @@
     let mut rig = Rig::new(false);
     rig.send("01");
     rig.core
-        .purged(NOW + 1_000, Some("01-object".into()), 0, NOW);
+        .record_purge(NOW + 1_000, Some("01-object".into()), 0, NOW);
     rig.now = NOW + 200_000;
     rig.conn.up = true;
     rig.pump();
