--- a/daemon/src/daemon/connection_table.rs
+++ b/daemon/src/daemon/connection_table.rs
@@ -7,7 +7,7 @@
 use crate::front::cdni::{self, Waiting};
 use crate::front::fastcgi::Session;
 use crate::net::{connect, Conn, FailureKind, Key, Progress, Ready};
-use crate::upstream::Link;
+use crate::upstream::UpstreamConnection;
 use crate::wire::WireError;
 use linnetknot::Micros;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 /// What a connection is for.
 pub(super) enum Kind {
     Client(Session),
-    CacheServer(Link),
+    CacheServer(UpstreamConnection),
     Cdni(Box<cdni::Session>),
     /// A client's that this side has ended, with all answered: what still comes is thrown away.
     Lingering,
--- a/daemon/src/daemon/upstream_connections.rs
+++ b/daemon/src/daemon/upstream_connections.rs
@@ -3,25 +3,31 @@
 use super::{ConnectError, Connection, Daemon, Kind, Timer};
 use crate::core::{AttemptId, TRACE};
 use crate::net::{Conn, Failure, FailureKind, Key};
-use crate::upstream::{Link, Told};
+use crate::upstream::{UpstreamConnection, UpstreamEvent};
 use linnetknot::{Micros, Outcome, ServerId};
 use std::collections::btree_map::Entry;
 
 impl Daemon {
-    pub(super) fn apply_events(&mut self, now: Micros, server: ServerId, told: Vec<Told>) {
+    pub(super) fn apply_events(&mut self, now: Micros, server: ServerId, told: Vec<UpstreamEvent>) {
         for t in told {
             match t {
-                Told::Begun(attempt) => self.core.attempt_started(attempt),
+                UpstreamEvent::AttemptStarted(attempt) => self.core.attempt_started(attempt),
                 // A box that answers on another connection is there: only this one did not come up.
-                Told::Ended(attempt, ended)
+                UpstreamEvent::AttemptFinished(attempt, ended)
                     if ended.outcome == Outcome::Unreached && self.is_heard_from(now, server) =>
                 {
                     self.core
                         .attempt_finished(now, attempt, Outcome::Moot.into());
                 }
-                Told::Ended(attempt, ended) => self.core.attempt_finished(now, attempt, ended),
-                Told::Dated(made) => self.core.observe_origin_date(now, made),
-                Told::Probed(outcome, took_us, load) => {
+                UpstreamEvent::AttemptFinished(attempt, ended) => {
+                    self.core.attempt_finished(now, attempt, ended);
+                }
+                UpstreamEvent::OriginDate(made) => self.core.observe_origin_date(now, made),
+                UpstreamEvent::HealthCheckFinished {
+                    outcome,
+                    took_us,
+                    load,
+                } => {
                     self.core
                         .health_check_finished(now, server, outcome, took_us, load);
                 }
@@ -31,8 +37,8 @@
 
     /// Whether a connection to a box is up on which it has spoken a moment ago.
     fn is_heard_from(&self, now: Micros, server: ServerId) -> bool {
-        let fresh = |(conn, link): (&Conn, &Link)| {
-            conn.up && link.last_heard() + self.limits.suspect_us > now
+        let fresh = |(conn, link): (&Conn, &UpstreamConnection)| {
+            conn.up && link.last_received() + self.limits.suspect_us > now
         };
         self.cache_connections
             .get(&server)
@@ -41,7 +47,10 @@
             .any(|key| self.cache_connection(*key).is_some_and(fresh))
     }
 
-    pub(super) fn cache_connection_mut(&mut self, key: Key) -> Option<(&mut Conn, &mut Link)> {
+    pub(super) fn cache_connection_mut(
+        &mut self,
+        key: Key,
+    ) -> Option<(&mut Conn, &mut UpstreamConnection)> {
         match self.connections.get_mut(key)? {
             Connection {
                 conn,
@@ -53,7 +62,7 @@
     }
 
     /// A connection to a box, to look at.
-    fn cache_connection(&self, key: Key) -> Option<(&Conn, &Link)> {
+    fn cache_connection(&self, key: Key) -> Option<(&Conn, &UpstreamConnection)> {
         match self.connections.get(key)? {
             Connection {
                 conn,
@@ -80,13 +89,13 @@
         };
         let room = |key: &Key| {
             let (conn, link) = leads(key)?;
-            let waits =
-                !conn.up && link.is_late(now, &self.limits) || link.is_stale(now, &self.limits);
+            let waits = !conn.up && link.is_connect_overdue(now, &self.limits)
+                || link.is_stale(now, &self.limits);
             let live = link
-                .room_for(id, &self.core, &self.limits)
+                .streams_if_free(id, &self.core, &self.limits)
                 .filter(|_| !waits)?;
             Some((
-                !link.gave_up(id),
+                !link.has_aborted(id),
                 !conn.up,
                 link.is_held_up(now, &self.limits),
                 live,
@@ -135,7 +144,7 @@
                 let Some((conn, link)) = self.cache_connection_mut(key) else {
                     return;
                 };
-                link.send(now, attempt);
+                link.enqueue(now, attempt);
                 let up = conn.up;
                 if !up {
                     self.deadlines
@@ -154,7 +163,10 @@
             Err(ConnectError::Unreachable) => self.apply_events(
                 now,
                 server,
-                vec![Told::Ended(attempt, Outcome::Unreached.into())],
+                vec![UpstreamEvent::AttemptFinished(
+                    attempt,
+                    Outcome::Unreached.into(),
+                )],
             ),
             Err(ConnectError::NoCapacity) => {
                 self.core
@@ -190,7 +202,7 @@
             let (_, longest) = longest.ok_or(ConnectError::NoCapacity)?;
             self.close(now, longest);
         }
-        let mut link = Link::new(server, &self.limits, now);
+        let mut link = UpstreamConnection::new(server, &self.limits, now);
         link.endpoint = Some(endpoint);
         let key = self.connect_to(now, endpoint, Kind::CacheServer(link))?;
         let links = self.cache_connections.entry(server).or_default();
@@ -207,8 +219,8 @@
             return;
         };
         match &c.kind {
-            Kind::CacheServer(link) if link.given_up_at(&self.limits) > now => {
-                let at = link.given_up_at(&self.limits);
+            Kind::CacheServer(link) if link.connect_deadline(&self.limits) > now => {
+                let at = link.connect_deadline(&self.limits);
                 self.deadlines.set(at, Timer::Connect(key));
             }
             _ => self.close(now, key),
@@ -226,11 +238,11 @@
             return true;
         };
         let (server, mut told) = (link.server, Vec::new());
-        let sound = link.pump(now, conn, &self.core, &self.limits, &mut told);
-        let forgets = link.forget_at(now, &self.limits);
+        let sound = link.flush(now, conn, &self.core, &self.limits, &mut told);
+        let forgets = link.next_forget_at(now, &self.limits);
         let due = [
-            link.report_at(&self.limits),
-            link.half_at(&self.limits).filter(|_| sound),
+            link.next_report_at(&self.limits),
+            link.partial_answer_deadline(&self.limits).filter(|_| sound),
             forgets,
         ];
         for at in due.into_iter().flatten() {
@@ -257,7 +269,7 @@
             ..
         }) = self.connections.get_mut(key)
         {
-            link.prune(now, &self.limits);
+            link.forget_finished(now, &self.limits);
         }
         if !self.pump(now, key) {
             self.close(now, key);
@@ -271,7 +283,7 @@
         now: Micros,
         key: Key,
         conn: &Conn,
-        mut link: Link,
+        mut link: UpstreamConnection,
     ) {
         let server = link.server;
         log::debug!(target: TRACE, cache = self.core.uid(server), up = conn.up; "a connection has ended");
@@ -294,7 +306,7 @@
             Some(FailureKind::Refused) => Outcome::ConnectFailed,
             _ => Outcome::Unreached,
         };
-        link.broken(unsent, conn.written, &mut told);
+        link.connection_lost(unsent, conn.written, &mut told);
         self.apply_events(now, server, told);
     }
 
@@ -308,7 +320,7 @@
             let Some((_, link)) = self.cache_connection_mut(key) else {
                 continue;
             };
-            link.give_up(now, attempt);
+            link.abort(now, attempt);
             if !self.pump(now, key) {
                 self.close(now, key);
             }
@@ -356,7 +368,7 @@
         });
         let asked = key
             .and_then(|key| self.cache_connection_mut(key))
-            .is_some_and(|(conn, link)| link.probe(now, conn));
+            .is_some_and(|(conn, link)| link.send_health_check(now, conn));
         match key.filter(|_| asked) {
             Some(key) => {
                 self.write(now, key);
--- a/daemon/src/upstream/answers.rs
+++ b/daemon/src/upstream/answers.rs
@@ -1,61 +1,64 @@
-//! Reading the answers that come in on a link.
+//! Reading the answers that come in on a connection.
 
-use super::frames::{ended, load};
+use super::frames::{load_report, result_of};
 use super::stream::{made_ms, Stream};
-use super::{Link, Told};
-use crate::core::Core;
+use super::{UpstreamConnection, UpstreamEvent};
+use crate::core::{AttemptResult, Core};
 use crate::net::Conn;
 use crate::wire::{Parser, WireError};
 use linnetknot::{Micros, Outcome};
 
-/// An answer as it came.
-struct Answer {
+/// An answer as it was read.
+pub(super) struct Answer {
     id: String,
-    word: Vec<u8>,
-    fields: Vec<u8>,
-    body: Vec<u8>,
+    pub(super) status: Vec<u8>,
+    pub(super) fields: Vec<u8>,
+    pub(super) body: Vec<u8>,
 }
 
 impl Answer {
     /// An answer from the items of its frame; none where its id is no text.
     fn new(items: Vec<Vec<u8>>) -> Result<Option<Self>, WireError> {
         let mut items = items.into_iter();
-        let (Some(id), Some(word)) = (items.next(), items.next()) else {
+        let (Some(id), Some(status)) = (items.next(), items.next()) else {
             return Err(WireError::Malformed("a box's answer"));
         };
-        let (fields, body) = (
-            items.next().unwrap_or_default(),
-            items.next().unwrap_or_default(),
-        );
+        let fields = items.next().unwrap_or_default();
+        let body = items.next().unwrap_or_default();
         let Ok(id) = String::from_utf8(id) else {
             return Ok(None);
         };
         Ok(Some(Answer {
             id,
-            word,
+            status,
             fields,
             body,
         }))
     }
 }
 
-impl Link {
-    /// Reads what came in.
+impl UpstreamConnection {
+    /// Reads all that has come in.
+    ///
+    /// # Errors
+    /// What came can't be read: the connection must be closed.
     pub fn read(
         &mut self,
         now: Micros,
         conn: &mut Conn,
         core: &Core,
-        events: &mut Vec<Told>,
+        events: &mut Vec<UpstreamEvent>,
     ) -> Result<(), WireError> {
         while !conn.input.is_empty() {
-            let (taken, array) = self.arrays.parse(conn.input.front())?;
-            conn.input.consume(taken);
-            let since = self.half_since.filter(|_| array.is_none()).unwrap_or(now);
-            self.half_since = self.arrays.is_half().then_some(since);
-            (self.last_heard, self.last_used) = (now, now);
+            let (consumed, items) = self.arrays.parse(conn.input.front())?;
+            conn.input.consume(consumed);
+            let since = self.partial_since.filter(|_| items.is_none());
+            let is_partial = self.arrays.is_half();
+            self.partial_since = is_partial.then_some(since.unwrap_or(now));
+            self.last_received = now;
+            self.last_used = now;
             self.suspect = false;
-            let Some(items) = array else { continue };
+            let Some(items) = items else { continue };
             let Some(answer) = Answer::new(items)? else {
                 continue;
             };
@@ -71,28 +74,25 @@
         written: u64,
         core: &Core,
         answer: Answer,
-        events: &mut Vec<Told>,
+        events: &mut Vec<UpstreamEvent>,
     ) -> Result<(), WireError> {
-        match self.open.get(&answer.id) {
+        match self.streams.get(&answer.id) {
             Some(Stream::Attempt(sent)) if sent.end_offset > written => {
                 // Nobody can have read what it answers: whatever speaks there, it is not the protocol.
                 return Err(WireError::Malformed(
                     "a box's answer to what it has not been sent whole",
                 ));
             }
-            Some(Stream::Attempt(_)) => self.answered(now, core, answer, events),
-            Some(Stream::GivenUp(_, Some(_))) => self.answered_given_up(core, answer, events),
-            Some(Stream::Probe(sent)) => {
-                let alive = matches!(answer.word.as_slice(), b"alive" | b"status" | b"200");
-                let outcome = if alive { Outcome::Ok } else { Outcome::Error };
-                events.push(Told::Probed(
-                    outcome,
-                    now.saturating_sub(*sent),
-                    load(&answer.fields),
-                ));
-                self.open.remove(&answer.id);
+            Some(Stream::Attempt(_)) => self.answer_attempt(now, core, answer, events),
+            Some(Stream::Aborted {
+                pending: Some(_), ..
+            }) => self.answer_aborted(core, answer, events),
+            Some(Stream::HealthCheck { sent_at }) => {
+                let took_us = now.saturating_sub(*sent_at);
+                events.push(health_check_result(&answer, took_us));
+                self.streams.remove(&answer.id);
             }
-            Some(Stream::GivenUp(_, None) | Stream::Answered(_)) | None => {
+            Some(Stream::Aborted { pending: None, .. } | Stream::Answered { .. }) | None => {
                 log::debug!("a box answered what is not open");
             }
         }
@@ -100,66 +100,77 @@
     }
 
     /// Takes the answer to an attempt.
-    fn answered(&mut self, now: Micros, core: &Core, answer: Answer, events: &mut Vec<Told>) {
-        let Answer {
-            id,
-            word,
-            fields,
-            body,
-        } = answer;
-        let Some(Stream::Attempt(sent)) = self.open.get_mut(&id) else {
+    fn answer_attempt(
+        &mut self,
+        now: Micros,
+        core: &Core,
+        answer: Answer,
+        events: &mut Vec<UpstreamEvent>,
+    ) {
+        let Some(Stream::Attempt(sent)) = self.streams.get_mut(&answer.id) else {
             return;
         };
-        let (attempt, old) = (sent.attempt, sent.is_too_old(&fields));
-        if let Some(made) = made_ms(&fields).and_then(|ms| ms.checked_mul(1000)) {
-            events.push(Told::Dated(made));
+        let attempt = sent.attempt;
+        let is_too_old = sent.is_too_old(&answer.fields);
+        if let Some(made_us) = made_ms(&answer.fields).and_then(|ms| ms.checked_mul(1000)) {
+            events.push(UpstreamEvent::OriginDate(made_us));
         }
-        // The answer to the attempt before may have crossed its abort: which of the two this one ends is not known.
-        let unclear = std::mem::take(&mut sent.behind);
-        if old && unclear {
+        // The answer to the attempt before may have crossed its abort: which of the two this one ends is unknown.
+        let is_ambiguous = std::mem::take(&mut sent.follows_abort);
+        if is_too_old && is_ambiguous {
             log::info!("an answer from before the attempt that it would end was passed over");
             return;
         }
-        if old {
+        let id = answer.id.clone();
+        let result = if is_too_old {
             log::warn!("a box gave a copy from before what was asked for");
-        }
-        let asked = core.dispatch(attempt).map(|d| d.request);
-        let ended = if old {
-            Outcome::Error.into()
+            AttemptResult::from(Outcome::Error)
         } else {
-            ended(&word, &fields, body, asked)
+            let request = core.dispatch(attempt).map(|dispatch| dispatch.request);
+            result_of(answer, request)
         };
-        if ended.outcome == Outcome::Ok {
-            self.open.remove(&id);
-        } else if unclear {
+        if result.outcome == Outcome::Ok {
+            self.streams.remove(&id);
+        } else if is_ambiguous {
             // What is still out must be over before a further attempt begins.
-            self.abort(now, id, attempt, ended);
+            self.queue_abort(now, id, attempt, result);
             return;
         } else {
-            self.open.insert(id, Stream::Answered(now));
+            self.streams.insert(id, Stream::Answered { at: now });
         }
-        events.push(Told::Ended(attempt, ended));
+        events.push(UpstreamEvent::AttemptFinished(attempt, result));
     }
 
     /// Takes the answer to an attempt that was given up. It came before the attempt was over: then this is how it ended.
-    fn answered_given_up(&mut self, core: &Core, answer: Answer, events: &mut Vec<Told>) {
-        let Answer {
-            id,
-            word,
-            fields,
-            body,
-        } = answer;
-        let Some(Stream::GivenUp(at, report)) = self.open.get_mut(&id) else {
+    fn answer_aborted(&mut self, core: &Core, answer: Answer, events: &mut Vec<UpstreamEvent>) {
+        let Some(Stream::Aborted { at, pending }) = self.streams.get_mut(&answer.id) else {
             return;
         };
-        let (at, Some(r)) = (*at, report.take()) else {
+        let at = *at;
+        let Some(end) = pending.take() else {
             return;
         };
-        let asked = core.dispatch(r.attempt).map(|d| d.request);
-        events.push(Told::Ended(r.attempt, ended(&word, &fields, body, asked)));
-        if r.end_offset.is_none() {
+        let id = answer.id.clone();
+        let request = core.dispatch(end.attempt).map(|dispatch| dispatch.request);
+        let result = result_of(answer, request);
+        events.push(UpstreamEvent::AttemptFinished(end.attempt, result));
+        if end.end_offset.is_none() {
             self.aborts.retain(|abort| *abort != id);
-            self.open.insert(id, Stream::Answered(at));
+            self.streams.insert(id, Stream::Answered { at });
         }
     }
 }
+
+/// The end of a health check by its answer.
+fn health_check_result(answer: &Answer, took_us: Micros) -> UpstreamEvent {
+    let is_alive = matches!(answer.status.as_slice(), b"alive" | b"status" | b"200");
+    UpstreamEvent::HealthCheckFinished {
+        outcome: if is_alive {
+            Outcome::Ok
+        } else {
+            Outcome::Error
+        },
+        took_us,
+        load: load_report(&answer.fields),
+    }
+}
--- a/daemon/src/upstream/frames.rs
+++ b/daemon/src/upstream/frames.rs
@@ -1,10 +1,12 @@
-//! Attempts as frames, and answers as outcomes.
+//! The wire form: attempts, aborts and health checks as frames, and answers as outcomes.
 
+use super::answers::Answer;
 use crate::core::{AttemptId, AttemptResult, ClientRequest, Content, Core};
 use crate::wire::resp;
 use linnetknot::{Fill, Load, Micros, Note, Outcome};
+use std::str::FromStr;
 
-/// How an answer says that it was made.
+/// How the cache made the answer, by its own word.
 fn note(fields: &[u8]) -> Note {
     match resp::field(fields, "how") {
         Some("local") => Note::Hit,
@@ -22,78 +24,71 @@
 }
 
 /// The load report that an answer carries.
-pub(super) fn load(fields: &[u8]) -> Option<Load> {
+pub(super) fn load_report(fields: &[u8]) -> Option<Load> {
     let stats = resp::field(fields, "stats")?;
-    let value = |name: &str| {
-        let of = |pair: &str| {
-            pair.split_once(':')
-                .filter(|(n, _)| *n == name)?
-                .1
-                .parse()
-                .ok()
-        };
-        stats.split(';').find_map(of)
-    };
-    let (util, inflight) = (value("util"), value("inflight"));
     Some(Load {
-        util,
-        inflight,
-        hit_share: value("x0"),
-        link_use: value("x1"),
+        util: statistic(stats, "util"),
+        inflight: statistic(stats, "inflight"),
+        hit_share: statistic(stats, "x0"),
+        link_use: statistic(stats, "x1"),
     })
 }
 
+/// The value of a name in a list `name:value;name:value`.
+fn statistic<T: FromStr>(stats: &str, name: &str) -> Option<T> {
+    let pairs = stats.split(';').filter_map(|pair| pair.split_once(':'));
+    let mut values = pairs.filter(|(n, _)| *n == name);
+    values.find_map(|(_, value)| value.parse().ok())
+}
+
 /// How an attempt ended by this answer.
-pub(super) fn ended(
-    word: &[u8],
-    fields: &[u8],
-    body: Vec<u8>,
-    asked: Option<&ClientRequest>,
-) -> AttemptResult {
-    let (outcome, content) = match word {
-        b"200" => (
-            Outcome::Ok,
-            Some(Content::Object {
-                bytes: body,
-                tag: resp::field(fields, "etag").map(str::to_owned),
-            }),
-        ),
-        // A copy is only called current where the box names it: an answer that names none, or another, may belong to
-        // something else.
-        b"304"
-            if asked.is_some_and(|a| {
-                a.cached_tag.is_some() && a.cached_tag.as_deref() == resp::field(fields, "etag")
-            }) =>
-        {
-            (Outcome::Ok, Some(Content::Unchanged))
+pub(super) fn result_of(answer: Answer, request: Option<&ClientRequest>) -> AttemptResult {
+    let fields = &answer.fields;
+    let etag = resp::field(fields, "etag");
+    let (outcome, content) = match answer.status.as_slice() {
+        b"200" => {
+            let tag = etag.map(str::to_owned);
+            let bytes = answer.body;
+            (Outcome::Ok, Some(Content::Object { bytes, tag }))
         }
+        b"304" if is_current(request, etag) => (Outcome::Ok, Some(Content::Unchanged)),
         b"404" => (Outcome::Miss, None),
         b"503" => (Outcome::Full, None),
         b"504" => (Outcome::Moot, None),
-        // Also what this page does not know: it may have run.
+        // Also a status that is not known here: the attempt may have run.
         _ => (Outcome::Error, None),
     };
-    let waited = resp::field(fields, "ttfb")
-        .and_then(|ms| ms.parse::<f64>().ok())
-        .unwrap_or(0.0);
     AttemptResult {
         outcome,
         note: note(fields),
-        waited_us: (waited.max(0.0) * 1e3) as Micros,
-        load: load(fields),
+        waited_us: waited_us(fields),
+        load: load_report(fields),
         content,
     }
 }
 
-/// An attempt as it is written.
-pub(super) struct Frame {
+/// Whether the client's copy is current. It is only called so where the cache names it: an answer that names none, or
+/// another, may belong to something else.
+fn is_current(request: Option<&ClientRequest>, etag: Option<&str>) -> bool {
+    let cached_tag = request.and_then(|request| request.cached_tag.as_deref());
+    cached_tag.is_some() && cached_tag == etag
+}
+
+/// How long the fill waited for its first byte.
+fn waited_us(fields: &[u8]) -> Micros {
+    let waited_ms = resp::field(fields, "ttfb").and_then(|ms| ms.parse::<f64>().ok());
+    (waited_ms.unwrap_or(0.0).max(0.0) * 1e3) as Micros
+}
+
+/// The frame of an attempt.
+pub(super) struct AttemptFrame {
     pub(super) bytes: Vec<u8>,
-    /// The oldest copy that it lets pass.
+    /// The greatest age of a copy that it allows.
     pub(super) max_age_us: Option<Micros>,
 }
 
-/// The frame of an attempt; none where it must not begin any more.
-pub(super) fn frame(core: &Core, now: Micros, attempt: AttemptId) -> Option<Frame> {
+/// The frame of an attempt; none where it may not start any more.
+pub(super) fn attempt_frame(core: &Core, now: Micros, attempt: AttemptId) -> Option<AttemptFrame> {
     let dispatch = core.dispatch_now(now, attempt)?;
     let request = dispatch.request;
     let mut fields = format!(
@@ -124,17 +119,18 @@
             &request.body,
         ],
     );
-    Some(Frame {
+    Some(AttemptFrame {
         bytes,
         max_age_us: dispatch.target.fill.and_then(|f| f.max_age_us),
     })
 }
 
+/// Adds a name and its value.
 fn add(fields: &mut String, name: &str, value: &str) {
     fields.extend([",", name, "=", value]);
 }
 
-/// Adds how a miss is to be filled, its source left out.
+/// Adds how a miss is filled, without its source.
 fn add_fill(fields: &mut String, fill: &Fill) {
     if fill.keep > 0 {
         add(fields, "keep", &fill.keep.to_string());
@@ -158,3 +154,17 @@
         add(fields, "flags", &flags.join("+"));
     }
 }
+
+/// The frame that tells a cache that the attempt under an id is given up.
+pub(super) fn abort_frame(id: &str) -> Vec<u8> {
+    let mut frame = Vec::new();
+    resp::write_array(&mut frame, &[b"abort", id.as_bytes()]);
+    frame
+}
+
+/// The frame that asks a cache for its load report.
+pub(super) fn health_check_frame(id: &str) -> Vec<u8> {
+    let mut frame = Vec::new();
+    resp::write_array(&mut frame, &[b"stats", id.as_bytes()]);
+    frame
+}
--- /dev/null
+++ b/daemon/src/upstream/recall.rs
@@ -0,0 +1,97 @@
+//! Attempts that are taken back, streams that are forgotten, and the end of a connection.
+
+use super::connection::QueuedAttempt;
+use super::stream::Stream;
+use super::{UpstreamConnection, UpstreamEvent};
+use crate::core::{AttemptId, Core};
+use crate::limits::Limits;
+use linnetknot::{Micros, Outcome, ServerId};
+
+impl UpstreamConnection {
+    /// When the oldest finished stream is to be forgotten; none where that was reported before and is still to come, so
+    /// that a connection has one deadline for it, however many streams there are.
+    pub fn next_forget_at(&mut self, now: Micros, limits: &Limits) -> Option<Micros> {
+        if self.next_forget.is_some_and(|at| at > now) {
+            return None;
+        }
+        let finished = self.streams.values().filter_map(Stream::finished_at);
+        self.next_forget = finished.min().map(|at| at + limits.forget_us + 1);
+        self.next_forget
+    }
+
+    /// Forgets the streams that finished long enough ago.
+    pub fn forget_finished(&mut self, now: Micros, limits: &Limits) {
+        self.streams.retain(|_, stream| {
+            stream
+                .finished_at()
+                .is_none_or(|at| at + limits.forget_us >= now)
+        });
+    }
+
+    /// Takes back the attempts that have not started and would go to this cache or be filled from it.
+    pub fn withdraw(&mut self, server: ServerId, core: &Core, events: &mut Vec<UpstreamEvent>) {
+        let own_server = self.server;
+        let concerns = |queued: &QueuedAttempt| {
+            let source = core
+                .dispatch(queued.attempt)
+                .and_then(|dispatch| dispatch.target.fill)
+                .map(|fill| fill.source);
+            own_server == server || source == Some(server)
+        };
+        self.queue.retain(|queued| {
+            let is_withdrawn = concerns(queued);
+            if is_withdrawn {
+                let result = Outcome::Moot.into();
+                events.push(UpstreamEvent::AttemptFinished(queued.attempt, result));
+            }
+            !is_withdrawn
+        });
+    }
+
+    /// Takes out the attempts that have not started, to go on elsewhere.
+    pub fn take_queued(&mut self) -> Vec<AttemptId> {
+        self.queue.drain(..).map(|queued| queued.attempt).collect()
+    }
+
+    /// Ends all that is open, as the connection is lost after so many bytes were written. An attempt that did not arrive
+    /// in full can't have run, and ends as `unsent`; the others may have.
+    pub fn connection_lost(
+        &mut self,
+        unsent: Outcome,
+        written: u64,
+        events: &mut Vec<UpstreamEvent>,
+    ) {
+        for queued in self.queue.drain(..) {
+            events.push(UpstreamEvent::AttemptFinished(
+                queued.attempt,
+                unsent.into(),
+            ));
+        }
+        let mut streams: Vec<_> = self.streams.drain().collect();
+        streams.sort_by(|a, b| a.0.cmp(&b.0));
+        for (_, stream) in streams {
+            events.extend(lost_stream(stream, unsent, written));
+        }
+    }
+}
+
+/// How a stream ends with its connection; none where it was over before.
+fn lost_stream(stream: Stream, unsent: Outcome, written: u64) -> Option<UpstreamEvent> {
+    match stream {
+        Stream::Attempt(sent) => {
+            let is_unsent = sent.end_offset > written;
+            let outcome = if is_unsent { unsent } else { Outcome::Reset };
+            Some(UpstreamEvent::AttemptFinished(sent.attempt, outcome.into()))
+        }
+        Stream::Aborted { pending, .. } => {
+            let end = pending?;
+            Some(UpstreamEvent::AttemptFinished(end.attempt, end.result))
+        }
+        Stream::Answered { .. } => None,
+        Stream::HealthCheck { .. } => Some(UpstreamEvent::HealthCheckFinished {
+            outcome: Outcome::Reset,
+            took_us: 0,
+            load: None,
+        }),
+    }
+}
--- a/daemon/src/upstream/stream.rs
+++ b/daemon/src/upstream/stream.rs
@@ -1,41 +1,79 @@
-//! What is open on a link under an id.
+//! What is open on a connection under an id.
 
 use crate::core::{AttemptId, AttemptResult};
 use crate::wire::resp;
 use linnetknot::Micros;
 
-/// What is open on a link under an id.
+/// What is open on a connection under an id.
 pub(super) enum Stream {
-    Attempt(Sent),
-    /// Given up at this time. A further attempt of the request at this box must come behind the abort, so it takes this
-    /// connection: on another one the box might read it first and have two at once.
-    GivenUp(Micros, Option<Unreported>),
-    /// Answered without being served, at this time. A box may say it twice, and a further attempt of the request here
-    /// would take the repeat for its own answer: it goes by another connection.
-    Answered(Micros),
-    /// A probe, sent at this time.
-    Probe(Micros),
+    /// An attempt whose answer is awaited.
+    Attempt(SentAttempt),
+    /// An attempt that was given up. A further attempt of the request at this cache must come behind the abort, so it
+    /// takes this connection: on another one the cache might read it first and have two at once.
+    Aborted {
+        /// When it was given up.
+        at: Micros,
+        /// Its end, until that is reported.
+        pending: Option<PendingEnd>,
+    },
+    /// Answered without being served. A cache may say so twice, and a further attempt of the request here would take
+    /// the repeat for its own answer: it goes by another connection.
+    Answered {
+        /// When the answer came.
+        at: Micros,
+    },
+    /// A health check.
+    HealthCheck {
+        /// When it was sent.
+        sent_at: Micros,
+    },
 }
 
 impl Stream {
-    /// Whether something is out under its id.
+    /// Whether its answer is awaited.
     pub(super) fn is_live(&self) -> bool {
-        matches!(self, Stream::Attempt(_) | Stream::Probe(_))
+        matches!(self, Stream::Attempt(_) | Stream::HealthCheck { .. })
+    }
+
+    /// Whether it is over and only remembered.
+    pub(super) fn is_finished(&self) -> bool {
+        self.finished_at().is_some()
+    }
+
+    /// Whether a further attempt may take its id here.
+    pub(super) fn is_free(&self) -> bool {
+        matches!(self, Stream::Aborted { pending: None, .. })
+    }
+
+    /// When it ended, if it is over and only remembered.
+    pub(super) fn finished_at(&self) -> Option<Micros> {
+        match self {
+            Stream::Aborted { at, pending: None } | Stream::Answered { at } => Some(*at),
+            _ => None,
+        }
+    }
+
+    /// Its end that is still to be reported, if it was given up.
+    pub(super) fn pending_end(&self) -> Option<&PendingEnd> {
+        match self {
+            Stream::Aborted { pending, .. } => pending.as_ref(),
+            _ => None,
+        }
     }
 }
 
-/// An attempt on its way.
-pub(super) struct Sent {
+/// An attempt that was started and not answered.
+pub(super) struct SentAttempt {
     pub(super) attempt: AttemptId,
     pub(super) at: Micros,
     /// What the origin's clock had reached by then, as far as was known.
     pub(super) origin_at: Micros,
-    /// So many bytes are written once it is whole.
+    /// So many bytes are written once all of its frame is.
     pub(super) end_offset: u64,
-    /// The oldest copy that will do, as its box was told.
+    /// The greatest age of a copy that the request allows.
     pub(super) max_age_us: Option<Micros>,
     /// An attempt of the same request was given up here before it.
-    pub(super) behind: bool,
+    pub(super) follows_abort: bool,
 }
 
 /// When the origin gave out the copy that an answer brings, in Unix milliseconds.
@@ -43,28 +81,26 @@
     resp::field(fields, "made")?.parse().ok()
 }
 
-impl Sent {
-    /// Whether an answer brings a copy from before what the attempt asked for: no box may give one, so it is
-    /// not passed on.
+impl SentAttempt {
+    /// Whether an answer brings a copy that is older than the request allows: no cache may give one, so it is not
+    /// passed on.
     pub(super) fn is_too_old(&self, fields: &[u8]) -> bool {
-        made_ms(fields)
-            .zip(self.max_age_us)
-            .is_some_and(|(ms, age)| {
-                (ms.saturating_add(1))
-                    .saturating_mul(1000)
-                    .saturating_add(age)
-                    < self.origin_at
-            })
+        let Some((made_ms, max_age_us)) = made_ms(fields).zip(self.max_age_us) else {
+            return false;
+        };
+        // The date is rounded down to a millisecond.
+        let made_us = made_ms.saturating_add(1).saturating_mul(1000);
+        made_us.saturating_add(max_age_us) < self.origin_at
     }
 }
 
-/// An attempt that was given up and is not reported as ended yet.
-pub(super) struct Unreported {
+/// The end of an attempt that was given up, not reported yet.
+pub(super) struct PendingEnd {
     pub(super) attempt: AttemptId,
     /// How it will be reported.
-    pub(super) ended: AttemptResult,
-    /// So many bytes are written once its abort is; none: that has not begun.
+    pub(super) result: AttemptResult,
+    /// So many bytes are written once all of its abort is; none: the abort is still queued.
     pub(super) end_offset: Option<u64>,
-    /// When that was seen.
-    pub(super) written: Option<Micros>,
+    /// When the abort was seen to be written.
+    pub(super) written_at: Option<Micros>,
 }
--- a/daemon/tests/upstream.rs
+++ b/daemon/tests/upstream.rs
@@ -1,10 +1,10 @@
-//! Links to boxes: what becomes of attempts when connections end, and of ids that were given up.
+//! Connections to cache servers: what becomes of attempts when connections end, and of ids that were given up.
 
 use linnetknot::{ListMode, Outcome, Server, ServerId, State};
 use linnetknot_daemon::core::{server_id, AttemptId, Client, ClientRequest, Command, Core, Entry};
 use linnetknot_daemon::limits::Limits;
 use linnetknot_daemon::net::{Conn, Key, Progress};
-use linnetknot_daemon::upstream::{Link, Told};
+use linnetknot_daemon::upstream::{UpstreamConnection, UpstreamEvent};
 use linnetknot_daemon::wire::resp;
 use linnetknot_rehearse::settings;
 use std::io::{Read, Write};
@@ -14,12 +14,12 @@
 
 struct Rig {
     core: Core,
-    link: Link,
+    connection: UpstreamConnection,
     conn: Conn,
     far: TcpStream,
     limits: Limits,
     server: ServerId,
-    told: Vec<Told>,
+    events: Vec<UpstreamEvent>,
     now: u64,
     last: Vec<(String, AttemptId)>,
     /// The tag of the copy that the client holds.
@@ -54,12 +54,12 @@
         let conn = Conn::new(near, up, limits.input_ring, limits.output_ring).unwrap();
         Rig {
             core,
-            link: Link::new(server, &limits, NOW),
+            connection: UpstreamConnection::new(server, &limits, NOW),
             conn,
             far,
             limits,
             server,
-            told: Vec::new(),
+            events: Vec::new(),
             now: NOW,
             last: Vec::new(),
             have: None,
@@ -109,27 +109,28 @@
             .find_map(sent)
             .unwrap();
         self.last.push((id.to_owned(), attempt));
-        self.link.send(self.now, attempt);
+        self.connection.enqueue(self.now, attempt);
         self.pump();
         attempt
     }
 
-    fn room_for(&self, id: &str) -> Option<usize> {
-        self.link.room_for(id, &self.core, &self.limits)
+    fn streams_if_free(&self, id: &str) -> Option<usize> {
+        self.connection
+            .streams_if_free(id, &self.core, &self.limits)
     }
 
     fn pump(&mut self) -> bool {
-        self.link.pump(
+        self.connection.flush(
             self.now,
             &mut self.conn,
             &self.core,
             &self.limits,
-            &mut self.told,
+            &mut self.events,
         )
     }
 
     fn give_up(&mut self, attempt: AttemptId) {
-        self.link.give_up(self.now, attempt);
+        self.connection.abort(self.now, attempt);
         self.pump();
         self.now += self.limits.give_up_us;
         self.pump();
@@ -147,11 +148,11 @@
 
     fn ends(&mut self) -> Vec<(AttemptId, Outcome)> {
         let end = |t| match t {
-            Told::Ended(attempt, ended) => Some((attempt, ended.outcome)),
-            Told::Begun(_) | Told::Dated(_) => None,
-            Told::Probed(..) => panic!("{t:?}"),
+            UpstreamEvent::AttemptFinished(attempt, ended) => Some((attempt, ended.outcome)),
+            UpstreamEvent::AttemptStarted(_) | UpstreamEvent::OriginDate(_) => None,
+            UpstreamEvent::HealthCheckFinished { .. } => panic!("{t:?}"),
         };
-        self.told.drain(..).filter_map(end).collect()
+        self.events.drain(..).filter_map(end).collect()
     }
 }
 
@@ -167,17 +168,17 @@
     );
     rig.conn.up = false;
     let queued = rig.send("03");
-    let mut told = Vec::new();
-    rig.link
-        .broken(Outcome::ConnectFailed, rig.conn.written, &mut told);
-    let outcome = |t: &Told| {
-        if let Told::Ended(attempt, e) = t {
+    let mut events = Vec::new();
+    rig.connection
+        .connection_lost(Outcome::ConnectFailed, rig.conn.written, &mut events);
+    let outcome = |t: &UpstreamEvent| {
+        if let UpstreamEvent::AttemptFinished(attempt, e) = t {
             Some((*attempt, e.outcome))
         } else {
             None
         }
     };
-    let ends: Vec<_> = told.iter().filter_map(outcome).collect();
+    let ends: Vec<_> = events.iter().filter_map(outcome).collect();
     assert_eq!(
         ends,
         [(queued, Outcome::ConnectFailed), (written, Outcome::Reset)]
@@ -201,16 +202,17 @@
     // The list says that the box drains: what still waits for it comes back unsent.
     rig.conn.up = false;
     let waiting = rig.send("04");
-    rig.link.withdraw(rig.server, &rig.core, &mut rig.told);
+    rig.connection
+        .withdraw(rig.server, &rig.core, &mut rig.events);
     assert_eq!(rig.ends(), [(waiting, Outcome::Moot)]);
-    assert!(![kept, withdrawn].contains(&waiting) && !rig.link.is_idle());
+    assert!(![kept, withdrawn].contains(&waiting) && !rig.connection.is_idle());
 }
 
 #[test]
 fn what_was_given_up_is_over_only_once_its_abort_has_had_its_way() {
     let mut rig = Rig::new(true);
     let attempt = rig.send("01");
-    rig.link.give_up(NOW, attempt);
+    rig.connection.abort(NOW, attempt);
     rig.pump();
     assert_eq!(
         rig.ends(),
@@ -218,17 +220,18 @@
         "written, but a further attempt might overtake it"
     );
     assert_eq!(
-        rig.link.report_at(&rig.limits),
+        rig.connection.next_report_at(&rig.limits),
         Some(NOW + rig.limits.give_up_us)
     );
-    assert_eq!(rig.room_for("01"), None);
+    assert_eq!(rig.streams_if_free("01"), None);
     rig.now += rig.limits.give_up_us;
     rig.pump();
     assert_eq!(rig.ends(), [(attempt, Outcome::Cancelled)]);
     // A further attempt here comes behind the abort, on the same connection.
-    assert!(rig.link.gave_up("01") && rig.room_for("01").is_some());
-    rig.link.prune(NOW + rig.limits.forget_us + 1, &rig.limits);
-    assert!(!rig.link.gave_up("01"));
+    assert!(rig.connection.has_aborted("01") && rig.streams_if_free("01").is_some());
+    rig.connection
+        .forget_finished(NOW + rig.limits.forget_us + 1, &rig.limits);
+    assert!(!rig.connection.has_aborted("01"));
 }
 
 #[test]
@@ -241,15 +244,16 @@
         resp::write_array(&mut answer, &[b"01", b"200", fields.as_bytes(), b"x"]);
         rig.far.write_all(&answer).unwrap();
         while rig.conn.read(false) != Progress::Moved {}
-        rig.link
-            .read(NOW, &mut rig.conn, &rig.core, &mut rig.told)
+        rig.connection
+            .read(NOW, &mut rig.conn, &rig.core, &mut rig.events)
             .unwrap();
         rig.ends()
     };
     let (old, new) = (NOW / 1000 - 100, NOW / 1000);
     let attempt = rig.send("01");
     assert_eq!(answered(&mut rig, old), [(attempt, Outcome::Error)]);
-    rig.link.prune(NOW + rig.limits.forget_us + 1, &rig.limits);
+    rig.connection
+        .forget_finished(NOW + rig.limits.forget_us + 1, &rig.limits);
     let attempt = rig.send("01");
     assert_eq!(answered(&mut rig, new), [(attempt, Outcome::Ok)]);
     // Behind one that was given up, the answer may be that one's: the further attempt is still out.
@@ -265,17 +269,17 @@
 fn a_connection_that_nothing_comes_back_on_takes_no_further_attempts() {
     let mut rig = Rig::new(true);
     let attempt = rig.send("01");
-    assert_eq!(rig.room_for("02"), Some(1));
+    assert_eq!(rig.streams_if_free("02"), Some(1));
     // Heard last before the attempt was sent: a short silence is a pause, a long one may be the end.
     for (silent_us, room) in [
         (rig.limits.suspect_us, Some(0)),
         (rig.limits.suspect_us + 1, None),
     ] {
-        rig.link = Link::new(rig.server, &rig.limits, NOW - silent_us);
-        rig.link.send(NOW, attempt);
+        rig.connection = UpstreamConnection::new(rig.server, &rig.limits, NOW - silent_us);
+        rig.connection.enqueue(NOW, attempt);
         rig.pump();
         rig.give_up(attempt);
-        assert_eq!(rig.room_for("02"), room);
+        assert_eq!(rig.streams_if_free("02"), room);
     }
 }
 
@@ -285,7 +289,7 @@
         let mut rig = Rig::new(up);
         rig.send("01");
         assert_eq!(
-            (rig.room_for("01"), rig.room_for("02")),
+            (rig.streams_if_free("01"), rig.streams_if_free("02")),
             (None, Some(1)),
             "written: {up}"
         );
@@ -300,11 +304,11 @@
         .write_all(b"*4\r\n$2\r\n01\r\n$3\r\n200\r\n$0\r\n\r\n$9000\r\nbut no mo")
         .unwrap();
     while rig.conn.read(false) != Progress::Moved {}
-    rig.link
-        .read(NOW, &mut rig.conn, &rig.core, &mut rig.told)
+    rig.connection
+        .read(NOW, &mut rig.conn, &rig.core, &mut rig.events)
         .unwrap();
     assert_eq!(
-        rig.link.half_at(&rig.limits),
+        rig.connection.partial_answer_deadline(&rig.limits),
         Some(NOW + rig.limits.half_answer_us)
     );
     rig.now += rig.limits.half_answer_us - 1;
@@ -314,8 +318,8 @@
         !rig.pump(),
         "what comes now would be taken for the rest of it"
     );
-    rig.link
-        .broken(Outcome::Moot, rig.conn.written, &mut rig.told);
+    rig.connection
+        .connection_lost(Outcome::Moot, rig.conn.written, &mut rig.events);
     assert_eq!(rig.ends(), attempts.map(|a| (a, Outcome::Reset)));
 }
 
@@ -323,10 +327,10 @@
 fn a_connection_reset_when_it_has_just_come_up_is_no_sign_of_a_box_that_is_gone() {
     let mut rig = Rig::new(false);
     let queued = rig.send("01");
-    rig.link
-        .broken(Outcome::Moot, rig.conn.written, &mut rig.told);
+    rig.connection
+        .connection_lost(Outcome::Moot, rig.conn.written, &mut rig.events);
     assert!(
-        matches!(&rig.told[..], [Told::Ended(a, e)] if *a == queued && e.outcome == Outcome::Moot)
+        matches!(&rig.events[..], [UpstreamEvent::AttemptFinished(a, e)] if *a == queued && e.outcome == Outcome::Moot)
     );
 }
 
@@ -351,8 +355,8 @@
     }
     rig.far.write_all(&out).unwrap();
     while rig.conn.read(false) != Progress::Moved {}
-    rig.link
-        .read(rig.now, &mut rig.conn, &rig.core, &mut rig.told)
+    rig.connection
+        .read(rig.now, &mut rig.conn, &rig.core, &mut rig.events)
         .unwrap();
 }
 
@@ -362,9 +366,9 @@
     let mut rig = Rig::new(true);
     rustix::net::sockopt::set_socket_send_buffer_size(rig.conn.socket(), 4096).unwrap();
     let begun = |rig: &Rig, attempt| {
-        rig.told
+        rig.events
             .iter()
-            .any(|t| matches!(t, Told::Begun(a) if *a == attempt))
+            .any(|t| matches!(t, UpstreamEvent::AttemptStarted(a) if *a == attempt))
     };
     // Attempts until one can't begin.
     let mut sent = Vec::new();
@@ -382,8 +386,8 @@
         "the loop is to try again"
     );
     let last = *sent.last().unwrap();
-    rig.link.give_up(rig.now, waiting);
-    rig.link.give_up(rig.now, last);
+    rig.connection.abort(rig.now, waiting);
+    rig.connection.abort(rig.now, last);
     // The peer reads on.
     let (mut text, aborted) = (String::new(), format!("{:04}", sent.len() - 1));
     while !text.contains("abort") {
@@ -407,7 +411,7 @@
     rig.reached("fetch", 1);
     rig.conn.up = false;
     rig.send("02");
-    rig.link.give_up(rig.now, first);
+    rig.connection.abort(rig.now, first);
     rig.conn.up = true;
     rig.pump();
     let text = rig.reached("fetch", 1);
@@ -422,16 +426,16 @@
     answered(&mut rig, &[("01", "503", "-")]);
     assert_eq!(rig.ends(), [(attempt, Outcome::Full)]);
     assert_eq!(
-        rig.room_for("01"),
+        rig.streams_if_free("01"),
         None,
         "a further attempt goes by another connection"
     );
-    assert!(rig.room_for("02").is_some() && rig.link.is_idle());
+    assert!(rig.streams_if_free("02").is_some() && rig.connection.is_idle());
     answered(&mut rig, &[("01", "503", "-"), ("unknown", "200", "-")]);
     assert_eq!(rig.ends(), []);
-    rig.link
-        .prune(rig.now + rig.limits.forget_us + 1, &rig.limits);
-    assert!(rig.room_for("01").is_some());
+    rig.connection
+        .forget_finished(rig.now + rig.limits.forget_us + 1, &rig.limits);
+    assert!(rig.streams_if_free("01").is_some());
 }
 
 /// The answer to an attempt may cross its abort. A further attempt on the connection is not over by it: another one
@@ -487,12 +491,12 @@
     rig.far.write_all(&out).unwrap();
     while rig.conn.read(false) != Progress::Moved {}
     assert!(rig
-        .link
-        .read(rig.now, &mut rig.conn, &rig.core, &mut rig.told)
+        .connection
+        .read(rig.now, &mut rig.conn, &rig.core, &mut rig.events)
         .is_err());
-    rig.told.clear();
-    rig.link
-        .broken(Outcome::Moot, rig.conn.written, &mut rig.told);
+    rig.events.clear();
+    rig.connection
+        .connection_lost(Outcome::Moot, rig.conn.written, &mut rig.events);
     assert!(rig.ends().contains(&(attempt, Outcome::Moot)));
 }
 
@@ -518,7 +522,7 @@
     assert_eq!(rig.ends(), [(attempt, Outcome::Error)]);
 }
 
-/// While an attempt waits for its connection a purge may be told: it asks for a copy from behind that.
+/// While an attempt waits for its connection a purge may come: the attempt then asks for a copy from after it.
 #[test]
 fn an_attempt_that_waited_asks_for_the_age_that_will_do_when_it_begins() {
     let mut rig = Rig::new(false);
@@ -537,13 +541,13 @@
     rig.limits.box_idle_us = 5_000_000;
     let attempt = rig.send("01");
     assert!(
-        !rig.link.is_stale(NOW + 60_000_000, &rig.limits),
+        !rig.connection.is_stale(NOW + 60_000_000, &rig.limits),
         "it is in use"
     );
     answered(&mut rig, &[("01", "200", "made=1,etag=t1")]);
     assert_eq!(rig.ends(), [(attempt, Outcome::Ok)]);
-    assert!(!rig.link.is_stale(NOW + 4_999_999, &rig.limits));
-    assert!(rig.link.is_stale(NOW + 5_000_000, &rig.limits));
+    assert!(!rig.connection.is_stale(NOW + 4_999_999, &rig.limits));
+    assert!(rig.connection.is_stale(NOW + 5_000_000, &rig.limits));
 }
 
 /// An answer may trickle for good. Nobody waits longer for one than the longest deadline, and what is sent meanwhile
@@ -559,14 +563,14 @@
     let (start, mut steps) = (rig.now, 0);
     loop {
         while rig.conn.read(false) != Progress::Moved {}
-        rig.link
-            .read(rig.now, &mut rig.conn, &rig.core, &mut rig.told)
+        rig.connection
+            .read(rig.now, &mut rig.conn, &rig.core, &mut rig.events)
             .unwrap();
         if !rig.pump() {
             break;
         }
         assert_eq!(
-            rig.link.is_held_up(rig.now, &rig.limits),
+            rig.connection.is_held_up(rig.now, &rig.limits),
             steps > 1,
             "{steps}"
         );
@@ -595,8 +599,8 @@
         for part in [&out[..cut], &out[cut..]] {
             rig.far.write_all(part).unwrap();
             while rig.conn.read(false) != Progress::Moved {}
-            rig.link
-                .read(rig.now, &mut rig.conn, &rig.core, &mut rig.told)
+            rig.connection
+                .read(rig.now, &mut rig.conn, &rig.core, &mut rig.events)
                 .unwrap();
             assert!(rig.pump());
             rig.now += rig.limits.half_answer_us - 1;
@@ -612,24 +616,30 @@
 #[test]
 fn what_is_over_on_a_connection_is_forgotten_by_a_deadline_of_its_own() {
     let mut rig = Rig::new(true);
-    assert_eq!(rig.link.forget_at(NOW, &rig.limits), None);
+    assert_eq!(rig.connection.next_forget_at(NOW, &rig.limits), None);
     rig.send("01");
     answered(&mut rig, &[("01", "503", "-")]);
-    let at = rig.link.forget_at(NOW, &rig.limits).expect("a deadline");
+    let at = rig
+        .connection
+        .next_forget_at(NOW, &rig.limits)
+        .expect("a deadline");
     assert_eq!(at, NOW + rig.limits.forget_us + 1);
     rig.now += 1_000_000;
     rig.send("02");
     answered(&mut rig, &[("02", "503", "-")]);
     assert_eq!(
-        rig.link.forget_at(rig.now, &rig.limits),
+        rig.connection.next_forget_at(rig.now, &rig.limits),
         None,
         "it is set already"
     );
-    rig.link.prune(at, &rig.limits);
-    assert!(rig.room_for("01").is_some() && rig.room_for("02").is_none());
-    let then = rig.link.forget_at(at, &rig.limits).expect("the next one's");
+    rig.connection.forget_finished(at, &rig.limits);
+    assert!(rig.streams_if_free("01").is_some() && rig.streams_if_free("02").is_none());
+    let then = rig
+        .connection
+        .next_forget_at(at, &rig.limits)
+        .expect("the next one's");
     assert_eq!(then, at + 1_000_000);
-    rig.link.prune(then, &rig.limits);
-    assert!(rig.room_for("02").is_some());
-    assert_eq!(rig.link.forget_at(then, &rig.limits), None);
+    rig.connection.forget_finished(then, &rig.limits);
+    assert!(rig.streams_if_free("02").is_some());
+    assert_eq!(rig.connection.next_forget_at(then, &rig.limits), None);
 }
