--- a/daemon/src/daemon/admin.rs
+++ b/daemon/src/daemon/admin.rs
@@ -336,7 +336,7 @@
             // A connection that has asked nothing yet is let be for a sweep: its request may be on its way.
             let idle = self.connections.get(key).is_some_and(|c| match &c.kind {
                 Kind::Client(s) => {
-                    Self::is_quiet(c) && (s.has_asked() || c.since + SWEEP_US <= now)
+                    Self::is_quiet(c) && (s.has_received_request() || c.since + SWEEP_US <= now)
                 }
                 _ => false,
             });
--- a/daemon/src/daemon/clients.rs
+++ b/daemon/src/daemon/clients.rs
@@ -13,8 +13,12 @@
 impl Daemon {
     fn standing(c: &Connection) -> Option<Standing> {
         let (busy, half, asked) = match &c.kind {
-            Kind::Client(s) => (s.is_waiting(), s.is_half(), s.has_asked()),
-            Kind::Cdni(s) => (!s.is_idle(), s.is_half(), s.has_asked()),
+            Kind::Client(s) => (
+                s.has_pending_answers(),
+                s.is_partial(),
+                s.has_received_request(),
+            ),
+            Kind::Cdni(s) => (!s.is_idle(), s.is_partial(), s.has_received_request()),
             Kind::Lingering => return Some(Standing::Lingering),
             _ => return None,
         };
@@ -34,7 +38,7 @@
 
     fn owed(c: &Connection) -> usize {
         match &c.kind {
-            Kind::Client(s) => s.owed(),
+            Kind::Client(s) => s.unanswered(),
             Kind::Cdni(s) => usize::from(s.waiting.is_some()),
             _ => 0,
         }
@@ -88,7 +92,7 @@
         }
         c.half = half;
         let held = if let Kind::Client(session) = &c.kind {
-            session.held()
+            session.buffered_bytes()
         } else {
             0
         };
@@ -116,9 +120,9 @@
                 return;
             };
             if let Kind::Client(session) = &mut c.kind {
-                if session.owes_answers() {
-                    session.refuse_half(Some(self.limits.back_off_us));
-                    c.held = session.held();
+                if session.has_unanswered_requests() {
+                    session.reject_partial(Some(self.limits.back_off_us));
+                    c.held = session.buffered_bytes();
                     self.held = self.held + c.held - before;
                 }
             }
@@ -258,7 +262,7 @@
             };
             match c.conn.read(false) {
                 Progress::Moved => match session.read(&mut c.conn.input, &self.limits) {
-                    Err(e) if session.owes_answers() => {
+                    Err(e) if session.has_unanswered_requests() => {
                         log::debug!("a connection is read no further: {e}");
                         session.stop_reading();
                     }
@@ -280,10 +284,10 @@
             };
             let stopping = self.term_at.is_some();
             match input {
-                Input::Leave(ticket) => self.core.client_gone(now, ticket),
-                Input::Health(stream) => {
+                Input::ClientGone(ticket) => self.core.client_gone(now, ticket),
+                Input::HealthCheck(stream) => {
                     let ready = self.core.is_ready() && !stopping && self.ops.in_service();
-                    session.say(
+                    session.answer_status(
                         stream,
                         if ready {
                             "200 OK"
@@ -292,7 +296,7 @@
                         },
                     );
                 }
-                Input::Ask(stream, mut asked) => {
+                Input::Request(stream, mut asked) => {
                     // A client counts its time from when it sent the request.
                     let unread = self.turn.waited_unread(now);
                     asked.remaining_us = asked.remaining_us.saturating_sub(unread);
@@ -302,21 +306,24 @@
                     };
                     let slow = self.waiting_answers > self.limits.waiting_answers;
                     // One client's flood must leave room for the requests of the others.
-                    let flood = !self.limits.admits(session.owed(), self.core.is_half_full());
+                    let flood = !self
+                        .limits
+                        .admits(session.unanswered(), self.core.is_half_full());
                     // (What is owed counts this request.) A connection that is to close takes no more while it is busy,
                     // or late in a drain or an end: it would never come to idle, and what it held would be cut when the
                     // process ends or the drain is over. The front sends what is turned away to another proxy.
                     let late = stopping
                         || matches!(self.ops.drain(), Drain::Draining(since) if now > since + self.limits.drain_last_taken_us);
                     // The first request of a connection was sent before the front could know that this one ends.
-                    let leaving = session.is_closing() && (session.owed() > 1 || late && !first);
+                    let leaving =
+                        session.is_closing() && (session.unanswered() > 1 || late && !first);
                     let ticket = if slow || flood || leaving {
                         None
                     } else {
                         self.core.admit(now, client, asked)
                     };
                     match ticket {
-                        Some(ticket) => session.taken(stream, ticket),
+                        Some(ticket) => session.admitted(stream, ticket),
                         None => session.answer(
                             stream,
                             &Answer::Rejected {
@@ -368,7 +375,7 @@
                 break;
             }
         }
-        let before = std::mem::replace(&mut c.waiting, session.waiting());
+        let before = std::mem::replace(&mut c.waiting, session.pending_output());
         self.waiting_answers = self.waiting_answers + c.waiting - before;
     }
 }
--- a/daemon/src/daemon/connection_table.rs
+++ b/daemon/src/daemon/connection_table.rs
@@ -208,7 +208,7 @@
                 self.write_client(key);
                 self.connections.get(key).is_none_or(|c| match &c.kind {
                     Kind::Client(s) => {
-                        !(c.conn.is_broken() || s.is_over() && c.conn.output.is_empty())
+                        !(c.conn.is_broken() || s.is_finished() && c.conn.output.is_empty())
                     }
                     _ => true,
                 })
@@ -237,7 +237,7 @@
                 self.waiting_answers -= c.waiting;
                 self.held -= c.held;
                 session
-                    .tickets()
+                    .open_requests()
                     .into_iter()
                     .for_each(|ticket| self.core.client_gone(now, ticket));
             }
--- a/daemon/src/daemon/lifecycle.rs
+++ b/daemon/src/daemon/lifecycle.rs
@@ -31,8 +31,8 @@
     /// Whether nothing of a client's connection is open, half read or unwritten, as far as it was read.
     pub(super) fn is_quiet(c: &Connection) -> bool {
         let quiet = match &c.kind {
-            Kind::Client(s) => s.is_idle() && !s.is_half(),
-            Kind::Cdni(s) => s.is_idle() && !s.is_half(),
+            Kind::Client(s) => s.is_idle() && !s.is_partial(),
+            Kind::Cdni(s) => s.is_idle() && !s.is_partial(),
             _ => false,
         };
         quiet && c.conn.output.is_empty() && c.conn.input.is_empty()
@@ -40,7 +40,7 @@
 
     /// Whether a client's connection is to end, with all that it asked answered and written.
     pub(super) fn is_over(c: &Connection) -> bool {
-        matches!(&c.kind, Kind::Client(s) if s.is_over() && c.conn.output.is_empty())
+        matches!(&c.kind, Kind::Client(s) if s.is_finished() && c.conn.output.is_empty())
     }
 
     /// Has a client's connection looked at for its end, still in this turn of the loop: whoever asks for that may be in
@@ -56,7 +56,7 @@
     pub(super) fn end_if_over(&mut self, now: Micros, key: Key) {
         let over = self.connections.get(key).is_some_and(|c| match &c.kind {
             // One that has asked nothing yet was taken a moment ago, and its request is on its way.
-            Kind::Client(s) => s.is_over() && s.has_asked(),
+            Kind::Client(s) => s.is_finished() && s.has_received_request(),
             _ => false,
         });
         if over {
--- a/daemon/src/daemon/neighbours.rs
+++ b/daemon/src/daemon/neighbours.rs
@@ -212,7 +212,7 @@
             match conn.write() {
                 Progress::Moved => {}
                 Progress::Broken => return false,
-                _ => return !(session.is_over() && conn.output.is_empty()),
+                _ => return !(session.is_finished() && conn.output.is_empty()),
             }
         }
     }
--- a/daemon/src/front/cdni/session.rs
+++ b/daemon/src/front/cdni/session.rs
@@ -28,9 +28,9 @@
     out: Vec<u8>,
     at: usize,
     /// A whole request has come by now.
-    asked: bool,
+    has_received_request: bool,
     /// A request has come in part.
-    half: bool,
+    is_partial: bool,
 }
 
 fn reason(status: u16) -> &'static str {
@@ -63,8 +63,8 @@
             until: 0,
             out: Vec::new(),
             at: 0,
-            asked: false,
-            half: false,
+            has_received_request: false,
+            is_partial: false,
         }
     }
 
@@ -74,17 +74,17 @@
     }
 
     /// Whether a request has come in part.
-    pub fn is_half(&self) -> bool {
-        self.half
+    pub fn is_partial(&self) -> bool {
+        self.is_partial
     }
 
     /// Whether any whole request has come.
-    pub fn has_asked(&self) -> bool {
-        self.asked
+    pub fn has_received_request(&self) -> bool {
+        self.has_received_request
     }
 
     /// Whether the connection has done what it was for.
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         !self.keep && self.is_idle()
     }
 
@@ -98,7 +98,7 @@
         while self.keep && self.is_idle() {
             let (taken, piece) = self.messages.parse(input.front())?;
             input.consume(taken);
-            self.half |= taken > 0;
+            self.is_partial |= taken > 0;
             match piece {
                 Some(Piece::Head(head)) => self.head = Some(head),
                 Some(Piece::Body(bytes)) => self.body.extend(bytes),
@@ -106,7 +106,7 @@
                     let Some(head) = self.head.take() else {
                         continue;
                     };
-                    (self.asked, self.half) = (true, false);
+                    (self.has_received_request, self.is_partial) = (true, false);
                     self.keep = head.keeps_open();
                     return Ok(Some((head, std::mem::take(&mut self.body))));
                 }
--- /dev/null
+++ b/daemon/src/front/fastcgi/records.rs
@@ -0,0 +1,144 @@
+//! The records that come in on a connection.
+
+use super::request::Parameters;
+use super::session::{PartialRequest, Session, Stream};
+use super::Input;
+use crate::limits::Limits;
+use crate::wire::fastcgi::{self as wire, kind, Record};
+use crate::wire::WireError;
+
+/// The id of records that belong to the connection.
+const MANAGEMENT_ID: u16 = 0;
+
+impl Session {
+    /// Takes a record: the input that it completes, if any.
+    pub(super) fn take_record(
+        &mut self,
+        record: Record,
+        limits: &Limits,
+    ) -> Result<Option<Input>, WireError> {
+        if record.id == MANAGEMENT_ID {
+            self.take_management(&record)?;
+            return Ok(None);
+        }
+        match (record.kind, self.streams.get_mut(&record.id)) {
+            (kind::BEGIN, None) => self.begin(&record, limits)?,
+            (kind::BEGIN, Some(_)) => {
+                return Err(WireError::Malformed("a request id that is in use"))
+            }
+            (kind::ABORT, Some(_)) => return Ok(self.abort(record.id)),
+            (kind::PARAMS, Some(Stream::Receiving(request))) => {
+                request.add_params(&record.content, limits)?;
+            }
+            (kind::STDIN, Some(Stream::Receiving(request))) if request.params_done => {
+                request.add_body(&record.content, limits)?;
+                if record.content.is_empty() {
+                    return self.complete(record.id, limits);
+                }
+            }
+            // Streams of requests that are over, or that are not used here.
+            _ => {}
+        }
+        Ok(None)
+    }
+
+    /// Takes a record that belongs to the connection, and answers it.
+    fn take_management(&mut self, record: &Record) -> Result<(), WireError> {
+        let mut content = Vec::new();
+        let answer_kind = if record.kind == kind::GET_VALUES {
+            for (name, _) in wire::read_pairs(&record.content)? {
+                if name == "FCGI_MPXS_CONNS" {
+                    wire::write_pair(&mut content, &name, "1");
+                }
+            }
+            kind::GET_VALUES_RESULT
+        } else {
+            content.extend([record.kind, 0, 0, 0, 0, 0, 0, 0]);
+            kind::UNKNOWN_TYPE
+        };
+        let mut answer = Vec::new();
+        wire::write_record(&mut answer, answer_kind, MANAGEMENT_ID, &content);
+        self.output.push_management(answer);
+        Ok(())
+    }
+
+    /// Begins a request, or ends it at once where it can't be taken.
+    fn begin(&mut self, record: &Record, limits: &Limits) -> Result<(), WireError> {
+        let begin = wire::read_begin(&record.content)?;
+        let keep_open = begin.flags & wire::KEEP_CONN != 0;
+        let status = if begin.role != wire::RESPONDER {
+            wire::UNKNOWN_ROLE
+        } else if self.streams.len() >= limits.client_requests {
+            wire::OVERLOADED
+        } else {
+            let request = PartialRequest::new(keep_open);
+            self.streams.insert(record.id, Stream::Receiving(request));
+            return Ok(());
+        };
+        self.output
+            .push_response(record.id, Vec::new(), status, keep_open);
+        Ok(())
+    }
+
+    /// Takes a request that has arrived in full: the input that it is, unless it was answered here.
+    fn complete(&mut self, id: u16, limits: &Limits) -> Result<Option<Input>, WireError> {
+        let Some(Stream::Receiving(request)) = self.streams.remove(&id) else {
+            return Ok(None);
+        };
+        self.has_received_request = true;
+        let waiting = Stream::Waiting {
+            keep_open: request.keep_open,
+            key: None,
+        };
+        self.streams.insert(id, waiting);
+        let parameters = Parameters::new(wire::read_pairs(&request.params)?);
+        if parameters.path() == "/_health" {
+            return Ok(Some(Input::HealthCheck(id)));
+        }
+        match parameters.read(request.body, limits) {
+            Ok(request) => Ok(Some(Input::Request(id, request))),
+            Err(parameter) => {
+                log::info!("a request was turned away for {parameter}");
+                let status = if parameters.is_for_content() {
+                    "400 Bad Request"
+                } else {
+                    "404 Not Found"
+                };
+                self.answer_status(id, status);
+                Ok(None)
+            }
+        }
+    }
+
+    /// Ends a request whose client no longer waits: what the core is to hear, if it has the request.
+    fn abort(&mut self, id: u16) -> Option<Input> {
+        let stream = self.streams.remove(&id)?;
+        self.inputs.retain(|input| !input.is_for(id));
+        let keep_open = stream.keep_open();
+        self.output
+            .push_response(id, Vec::new(), wire::REQUEST_COMPLETE, keep_open);
+        match stream {
+            Stream::Waiting { key: Some(key), .. } => Some(Input::ClientGone(key)),
+            _ => None,
+        }
+    }
+}
+
+impl PartialRequest {
+    fn add_params(&mut self, content: &[u8], limits: &Limits) -> Result<(), WireError> {
+        if self.params.len() + content.len() > limits.params {
+            return Err(WireError::TooLong("a request's parameters"));
+        }
+        self.params_done = content.is_empty();
+        self.params.extend_from_slice(content);
+        Ok(())
+    }
+
+    fn add_body(&mut self, content: &[u8], limits: &Limits) -> Result<(), WireError> {
+        if self.body.len() + content.len() > limits.body {
+            return Err(WireError::TooLong("a request's body"));
+        }
+        self.body.extend_from_slice(content);
+        Ok(())
+    }
+}
--- /dev/null
+++ b/daemon/src/front/fastcgi/request.rs
@@ -0,0 +1,146 @@
+//! The CGI parameters of a request, read as the core's request.
+
+use crate::core::ClientRequest;
+use crate::limits::Limits;
+use std::fmt;
+
+/// Objects are in one of 256 groups.
+const MAX_GROUP: u64 = 255;
+/// Hexadecimal digits of an id, an object's key and a tag.
+const KEY_DIGITS: usize = 16;
+/// Hexadecimal digits of an idempotency key.
+const IDEMPOTENCY_KEY_DIGITS: usize = 32;
+/// Paths under which content is requested.
+const CONTENT_PREFIX: &str = "/invoke/";
+
+/// A parameter that is missing or can't be used.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct InvalidParameter(&'static str);
+
+impl fmt::Display for InvalidParameter {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(self.0)
+    }
+}
+
+/// The CGI parameters of a request.
+pub(super) struct Parameters(Vec<(String, String)>);
+
+impl Parameters {
+    /// Parameters from their names and values.
+    pub(super) fn new(pairs: Vec<(String, String)>) -> Self {
+        Parameters(pairs)
+    }
+
+    /// The path of the request; empty where none is given.
+    pub(super) fn path(&self) -> &str {
+        self.get("SCRIPT_NAME").unwrap_or("")
+    }
+
+    /// Whether the request is for content.
+    pub(super) fn is_for_content(&self) -> bool {
+        self.path().starts_with(CONTENT_PREFIX)
+    }
+
+    /// The core's request. No parameter may be guessed or passed on unread: caches close a connection on what they
+    /// can't read, with all that others have open on it, and the decision module learns from the figures.
+    ///
+    /// # Errors
+    /// The parameter that is missing or can't be used.
+    pub(super) fn read(
+        &self,
+        body: Vec<u8>,
+        limits: &Limits,
+    ) -> Result<ClientRequest, InvalidParameter> {
+        let size_kb = self.size_kb(limits)?;
+        self.check_content_length(body.len())?;
+        let remaining_ms = self
+            .number("HTTP_BUDGET_MS", limits.budget_us / 1000)?
+            .filter(|ms| *ms > 0);
+        Ok(ClientRequest {
+            id: self.required_digits("HTTP_REQUEST_ID")?,
+            class: self.class()?,
+            object: self.required_digits("HTTP_RESOURCE_KEY")?,
+            part: self.number("HTTP_X_PIECE", limits.part)?.unwrap_or(0),
+            group: self.number("HTTP_X_LOT", MAX_GROUP)?.unwrap_or(0),
+            size_kb,
+            remaining_us: remaining_ms.ok_or(InvalidParameter("HTTP_BUDGET_MS"))? * 1000,
+            idempotency_key: self.digits("HTTP_ONCE_KEY", IDEMPOTENCY_KEY_DIGITS)?,
+            cached_tag: self.digits("HTTP_X_VER", KEY_DIGITS)?,
+            body,
+        })
+    }
+
+    /// The value of a parameter; none where it is missing or empty.
+    fn get(&self, name: &str) -> Option<&str> {
+        self.0
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, value)| value.as_str())
+            .filter(|value| !value.is_empty())
+    }
+
+    /// A value of so many hexadecimal digits.
+    fn digits(&self, name: &'static str, count: usize) -> Result<Option<String>, InvalidParameter> {
+        match self.get(name) {
+            Some(value) if !is_hex(value, count) => Err(InvalidParameter(name)),
+            value => Ok(value.map(str::to_owned)),
+        }
+    }
+
+    /// A value of as many hexadecimal digits as a key has, which must be given.
+    fn required_digits(&self, name: &'static str) -> Result<String, InvalidParameter> {
+        self.digits(name, KEY_DIGITS)?.ok_or(InvalidParameter(name))
+    }
+
+    /// A decimal value up to this greatest one.
+    fn number(&self, name: &'static str, max: u64) -> Result<Option<u64>, InvalidParameter> {
+        let Some(value) = self.get(name) else {
+            return Ok(None);
+        };
+        if !value.bytes().all(|b| b.is_ascii_digit()) {
+            return Err(InvalidParameter(name));
+        }
+        let number = value.parse::<u64>().ok().filter(|number| *number <= max);
+        number.map(Some).ok_or(InvalidParameter(name))
+    }
+
+    /// The size of the part in KB; 0 where it is not given.
+    fn size_kb(&self, limits: &Limits) -> Result<f64, InvalidParameter> {
+        const NAME: &str = "HTTP_FOOTPRINT_KB";
+        match self.get(NAME).map(str::parse::<f64>) {
+            None => Ok(0.0),
+            Some(Ok(kb)) if kb >= 0.0 && kb <= limits.size_kb => Ok(kb),
+            Some(_) => Err(InvalidParameter(NAME)),
+        }
+    }
+
+    /// The class, by the path.
+    fn class(&self) -> Result<String, InvalidParameter> {
+        self.path()
+            .strip_prefix(CONTENT_PREFIX)
+            .filter(|class| is_class_name(class))
+            .map(str::to_owned)
+            .ok_or(InvalidParameter("SCRIPT_NAME"))
+    }
+
+    /// Checks that the body is as long as it was announced.
+    fn check_content_length(&self, length: usize) -> Result<(), InvalidParameter> {
+        const NAME: &str = "CONTENT_LENGTH";
+        match self.number(NAME, u64::MAX)? {
+            Some(announced) if announced != length as u64 => Err(InvalidParameter(NAME)),
+            _ => Ok(()),
+        }
+    }
+}
+
+/// Whether a text is so many hexadecimal digits, as ids, objects, keys and tags are.
+fn is_hex(text: &str, digits: usize) -> bool {
+    text.len() == digits && text.bytes().all(|b| b.is_ascii_hexdigit())
+}
+
+/// Whether a text may name a class.
+fn is_class_name(text: &str) -> bool {
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
+    !text.is_empty() && text.bytes().all(is_allowed)
+}
--- a/daemon/src/upstream/answers.rs
+++ b/daemon/src/upstream/answers.rs
@@ -53,7 +53,7 @@
             let (consumed, items) = self.arrays.parse(conn.input.front())?;
             conn.input.consume(consumed);
             let since = self.partial_since.filter(|_| items.is_none());
-            let is_partial = self.arrays.is_half();
+            let is_partial = self.arrays.is_partial();
             self.partial_since = is_partial.then_some(since.unwrap_or(now));
             self.last_received = now;
             self.last_used = now;
--- a/daemon/src/wire/fastcgi.rs
+++ b/daemon/src/wire/fastcgi.rs
@@ -4,22 +4,31 @@
 
 /// Kinds of records.
 pub mod kind {
-    #![allow(missing_docs)]
+    /// Begins a request.
     pub const BEGIN: u8 = 1;
+    /// The client of a request no longer waits.
     pub const ABORT: u8 = 2;
+    /// Ends a request.
     pub const END: u8 = 3;
+    /// Part of a request's parameters; an empty one ends them.
     pub const PARAMS: u8 = 4;
+    /// Part of a request's body; an empty one ends it.
     pub const STDIN: u8 = 5;
+    /// Part of a response; an empty one ends it.
     pub const STDOUT: u8 = 6;
+    /// A further stream into the application, which Responders do not use.
     pub const DATA: u8 = 8;
+    /// Asks for the application's capabilities.
     pub const GET_VALUES: u8 = 9;
+    /// The answer to `GET_VALUES`.
     pub const GET_VALUES_RESULT: u8 = 10;
+    /// The answer to a record of the connection whose kind is unknown.
     pub const UNKNOWN_TYPE: u8 = 11;
 }
 
 /// The protocol status of a request that is done.
 pub const REQUEST_COMPLETE: u8 = 0;
-/// The protocol status of a request that the connection has no place for.
+/// The protocol status of a request that exceeds the capacity of the connection.
 pub const OVERLOADED: u8 = 2;
 /// The protocol status of a request in an unknown role.
 pub const UNKNOWN_ROLE: u8 = 3;
@@ -29,9 +38,13 @@
 pub const KEEP_CONN: u8 = 1;
 
 const VERSION: u8 = 1;
-const HEADER: usize = 8;
+const BAD_PARAMETER: WireError = WireError::Malformed("a FastCGI parameter");
+/// The length of a record without its content.
+pub const HEADER_LENGTH: usize = 8;
+/// The length of the content of the record that ends a request.
+pub const END_LENGTH: usize = 8;
 /// The longest content of a record.
-pub const MOST_CONTENT: usize = 65_535;
+pub const MAX_CONTENT: usize = 65_535;
 
 /// One record.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -44,7 +57,7 @@
     pub content: Vec<u8>,
 }
 
-/// Reads records. One holds 65,535 bytes at most by its form, so no length needs a limit of its own.
+/// Reads records. A record has 65,535 bytes of content at most by its form, so that no length needs a limit of its own.
 #[derive(Default)]
 pub struct Records {
     header: Vec<u8>,
@@ -53,13 +66,13 @@
 }
 
 impl Records {
-    /// Bytes held of a record that has come in part.
-    pub fn held(&self) -> usize {
+    /// Bytes held of a record that has arrived in part.
+    pub fn buffered_bytes(&self) -> usize {
         self.header.len() + self.content.len()
     }
 
-    /// Whether a record has come in part.
-    pub fn is_half(&self) -> bool {
+    /// Whether a record has arrived in part.
+    pub fn is_partial(&self) -> bool {
         !self.header.is_empty()
     }
 }
@@ -75,7 +88,7 @@
             taken
         };
         self.header
-            .extend_from_slice(take(HEADER - self.header.len()));
+            .extend_from_slice(take(HEADER_LENGTH - self.header.len()));
         if self
             .header
             .first()
@@ -83,7 +96,7 @@
         {
             return Err(WireError::Malformed("the version of a FastCGI record"));
         }
-        if self.header.len() < HEADER {
+        if self.header.len() < HEADER_LENGTH {
             return Ok((input.len(), None));
         }
         let h = &self.header;
@@ -110,9 +123,9 @@
     }
 }
 
-/// Writes a record. Longer content is cut, which callers prevent by `MOST_CONTENT`.
+/// Writes a record. Longer content is cut, which callers prevent by `MAX_CONTENT`.
 pub fn write_record(out: &mut Vec<u8>, kind: u8, id: u16, content: &[u8]) {
-    let length = content.len().min(MOST_CONTENT);
+    let length = content.len().min(MAX_CONTENT);
     let (id, long) = (id.to_be_bytes(), (length as u16).to_be_bytes());
     out.extend([VERSION, kind, id[0], id[1], long[0], long[1], 0, 0]);
     out.extend_from_slice(&content[..length]);
@@ -123,42 +136,62 @@
     write_record(out, kind::END, id, &[0, 0, 0, 0, status, 0, 0, 0]);
 }
 
-/// Role and flags of a BEGIN_REQUEST record.
-pub fn read_begin(content: &[u8]) -> Result<(u16, u8), WireError> {
+/// The content of a BEGIN_REQUEST record.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct BeginRequest {
+    /// What the application is to do; [`RESPONDER`] answers requests.
+    pub role: u16,
+    /// Options of the request, such as [`KEEP_CONN`].
+    pub flags: u8,
+}
+
+/// Reads the content of a BEGIN_REQUEST record.
+///
+/// # Errors
+/// It has another length.
+pub fn read_begin(content: &[u8]) -> Result<BeginRequest, WireError> {
     match content {
-        [a, b, flags, _, _, _, _, _] => Ok((u16::from_be_bytes([*a, *b]), *flags)),
+        [a, b, flags, _, _, _, _, _] => Ok(BeginRequest {
+            role: u16::from_be_bytes([*a, *b]),
+            flags: *flags,
+        }),
         _ => Err(WireError::Malformed("a BEGIN_REQUEST record")),
     }
 }
 
-/// Names and values of a whole parameter stream.
+/// Reads the names and values of a complete parameter stream.
+///
+/// # Errors
+/// A length does not fit what is there, or a text is not UTF-8.
 pub fn read_pairs(mut bytes: &[u8]) -> Result<Vec<(String, String)>, WireError> {
-    const BAD: WireError = WireError::Malformed("a FastCGI parameter");
-    fn length(bytes: &mut &[u8]) -> Result<usize, WireError> {
-        let (n, size) = match **bytes {
-            [a, b, c, d, ..] if a >> 7 == 1 => {
-                (u32::from_be_bytes([a & 0x7f, b, c, d]) as usize, 4)
-            }
-            [a, ..] if a >> 7 == 0 => (usize::from(a), 1),
-            _ => return Err(BAD),
-        };
-        *bytes = &bytes[size..];
-        Ok(n)
-    }
     let mut pairs = Vec::new();
     while !bytes.is_empty() {
-        let (name, value) = (length(&mut bytes)?, length(&mut bytes)?);
-        let end = name
-            .checked_add(value)
+        let name_length = take_pair_length(&mut bytes)?;
+        let value_length = take_pair_length(&mut bytes)?;
+        let end = name_length
+            .checked_add(value_length)
             .filter(|end| *end <= bytes.len())
-            .ok_or(BAD)?;
-        let text = |b: &[u8]| String::from_utf8(b.to_vec()).map_err(|_| BAD);
-        pairs.push((text(&bytes[..name])?, text(&bytes[name..end])?));
+            .ok_or(BAD_PARAMETER)?;
+        let text = |b: &[u8]| String::from_utf8(b.to_vec()).map_err(|_| BAD_PARAMETER);
+        let name = text(&bytes[..name_length])?;
+        let value = text(&bytes[name_length..end])?;
+        pairs.push((name, value));
         bytes = &bytes[end..];
     }
     Ok(pairs)
 }
 
+/// Takes the length of a name or a value: one byte, or four with the highest bit set.
+fn take_pair_length(bytes: &mut &[u8]) -> Result<usize, WireError> {
+    let (length, size) = match **bytes {
+        [a, b, c, d, ..] if a >> 7 == 1 => (u32::from_be_bytes([a & 0x7f, b, c, d]) as usize, 4),
+        [a, ..] if a >> 7 == 0 => (usize::from(a), 1),
+        _ => return Err(BAD_PARAMETER),
+    };
+    *bytes = &bytes[size..];
+    Ok(length)
+}
+
 /// Writes a name and its value.
 pub fn write_pair(out: &mut Vec<u8>, name: &str, value: &str) {
     for n in [name.len(), value.len()] {
--- a/daemon/src/wire/http.rs
+++ b/daemon/src/wire/http.rs
@@ -2,6 +2,9 @@
 
 use super::{take_line, Parser, WireError};
 
+/// The greatest number of headers in a head.
+const MAX_HEADERS: usize = 64;
+
 /// A message's head.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Head {
@@ -53,26 +56,34 @@
     }
 }
 
-/// A piece of a message.
+/// Part of a message, in the order in which they arrive.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Piece {
     /// Its head.
     Head(Head),
     /// Bytes of its body.
     Body(Vec<u8>),
-    /// It is whole.
+    /// The message is complete.
     End,
 }
 
+/// What is read next.
 #[derive(Clone, Debug)]
-enum Place {
+enum State {
+    /// A line of a head.
     Head,
+    /// So many bytes of a body of known length.
     Length(usize),
+    /// The line with the size of a chunk.
     ChunkSize,
+    /// So many bytes of a chunk.
     Chunk(usize),
+    /// The end of the line behind a chunk.
     ChunkEnd,
+    /// A line of the trailers.
     Trailers,
-    ToTheEnd,
+    /// A body that goes on until the connection is closed.
+    UntilClosed,
 }
 
 /// Reads messages.
@@ -84,8 +95,10 @@
     max_headers: usize,
     line: Vec<u8>,
     head: Option<Head>,
-    place: Place,
+    state: State,
+    /// Bytes of the chunks of the body so far.
     body: usize,
+    /// The message is complete, and that is still to be told.
     done: bool,
 }
 
@@ -96,10 +109,10 @@
             responses: false,
             max_line,
             max_body,
-            max_headers: 64,
+            max_headers: MAX_HEADERS,
             line: Vec::new(),
             head: None,
-            place: Place::Head,
+            state: State::Head,
             body: 0,
             done: false,
         }
@@ -115,12 +128,12 @@
 
     /// Whether the connection's end now would also be the message's.
     pub fn may_end(&self) -> bool {
-        matches!(self.place, Place::ToTheEnd)
-            || matches!(self.place, Place::Head) && self.head.is_none()
+        matches!(self.state, State::UntilClosed)
+            || matches!(self.state, State::Head) && self.head.is_none()
     }
 
     /// How the body behind this head ends.
-    fn place_of_body(&self, head: &Head) -> Result<Place, WireError> {
+    fn body_state(&self, head: &Head) -> Result<State, WireError> {
         const BAD: WireError = WireError::Malformed("an HTTP body's length");
         let length = head.header("content-length");
         let coding = head.header("transfer-encoding");
@@ -137,7 +150,7 @@
         }
         if let Some(coding) = coding {
             return if coding.eq_ignore_ascii_case("chunked") {
-                Ok(Place::ChunkSize)
+                Ok(State::ChunkSize)
             } else {
                 Err(BAD)
             };
@@ -148,14 +161,14 @@
             return if length > self.max_body {
                 Err(WireError::TooLong("an HTTP body"))
             } else {
-                Ok(Place::Length(length))
+                Ok(State::Length(length))
             };
         }
         let empty = !self.responses || matches!(head.status(), Some(100..200 | 204 | 304));
         Ok(if empty {
-            Place::Length(0)
+            State::Length(0)
         } else {
-            Place::ToTheEnd
+            State::UntilClosed
         })
     }
 
@@ -197,48 +210,48 @@
 
     /// Takes what belongs to a body from the front of the input; none where a line comes next.
     fn take_body(&mut self, input: &[u8]) -> Option<Vec<u8>> {
-        let (left, is_chunk) = match self.place {
-            Place::Length(left) => (left, false),
-            Place::Chunk(left) => (left, true),
-            Place::ToTheEnd => return Some(input.to_vec()),
+        let (left, is_chunk) = match self.state {
+            State::Length(left) => (left, false),
+            State::Chunk(left) => (left, true),
+            State::UntilClosed => return Some(input.to_vec()),
             _ => return None,
         };
         let taken = left.min(input.len());
         self.done = !is_chunk && taken == left;
-        self.place = match (is_chunk, left - taken) {
-            (true, 0) => Place::ChunkEnd,
-            (true, left) => Place::Chunk(left),
-            (false, left) => Place::Length(left),
+        self.state = match (is_chunk, left - taken) {
+            (true, 0) => State::ChunkEnd,
+            (true, left) => State::Chunk(left),
+            (false, left) => State::Length(left),
         };
         Some(input[..taken].to_vec())
     }
 
     /// Takes a line of a head, of the frame of a chunk or of the trailers: the piece that it ends, if any.
-    fn take_whole_line(&mut self, line: Vec<u8>) -> Result<Option<Piece>, WireError> {
-        match self.place {
-            Place::Head => {
+    fn take_complete_line(&mut self, line: Vec<u8>) -> Result<Option<Piece>, WireError> {
+        match self.state {
+            State::Head => {
                 let Some(head) = self.head_line(line)? else {
                     return Ok(None);
                 };
-                self.place = self.place_of_body(&head)?;
-                self.done = matches!(self.place, Place::Length(0));
+                self.state = self.body_state(&head)?;
+                self.done = matches!(self.state, State::Length(0));
                 return Ok(Some(Piece::Head(head)));
             }
-            Place::ChunkSize => self.place = self.chunk(&line)?,
-            Place::ChunkEnd if line.is_empty() => self.place = Place::ChunkSize,
-            Place::Trailers if line.is_empty() => {
-                self.place = Place::Head;
+            State::ChunkSize => self.state = self.chunk(&line)?,
+            State::ChunkEnd if line.is_empty() => self.state = State::ChunkSize,
+            State::Trailers if line.is_empty() => {
+                self.state = State::Head;
                 self.body = 0;
                 return Ok(Some(Piece::End));
             }
-            Place::Trailers => {}
+            State::Trailers => {}
             _ => return Err(WireError::Malformed("an HTTP chunk's end")),
         }
         Ok(None)
     }
 
     /// What comes behind the line that gives a chunk's size.
-    fn chunk(&mut self, line: &[u8]) -> Result<Place, WireError> {
+    fn chunk(&mut self, line: &[u8]) -> Result<State, WireError> {
         let text = std::str::from_utf8(line)
             .unwrap_or("")
             .split(';')
@@ -254,9 +267,9 @@
             return Err(WireError::TooLong("an HTTP body"));
         }
         Ok(if size == 0 {
-            Place::Trailers
+            State::Trailers
         } else {
-            Place::Chunk(size)
+            State::Chunk(size)
         })
     }
 }
@@ -266,7 +279,7 @@
 
     fn parse(&mut self, input: &[u8]) -> Result<(usize, Option<Piece>), WireError> {
         if std::mem::take(&mut self.done) {
-            self.place = Place::Head;
+            self.state = State::Head;
             self.body = 0;
             return Ok((0, Some(Piece::End)));
         }
@@ -276,13 +289,13 @@
             if let Some(body) = self.take_body(rest) {
                 return Ok((at + body.len(), Some(Piece::Body(body))));
             }
-            let (taken, whole) = take_line(rest, &mut self.line, self.max_line)?;
+            let (taken, is_complete) = take_line(rest, &mut self.line, self.max_line)?;
             at += taken;
-            if !whole {
+            if !is_complete {
                 break;
             }
             let line = std::mem::take(&mut self.line);
-            if let Some(piece) = self.take_whole_line(line)? {
+            if let Some(piece) = self.take_complete_line(line)? {
                 return Ok((at, Some(piece)));
             }
         }
@@ -290,11 +303,30 @@
     }
 }
 
+/// A header that is to be written.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct HeaderField<'a> {
+    /// Its name.
+    pub name: &'a str,
+    /// Its value.
+    pub value: &'a str,
+}
+
+impl<'a> From<(&'a str, &'a str)> for HeaderField<'a> {
+    fn from((name, value): (&'a str, &'a str)) -> Self {
+        HeaderField { name, value }
+    }
+}
+
 /// Writes a message with a body of known length.
-pub fn write_message(out: &mut Vec<u8>, start: &str, headers: &[(&str, &str)], body: &[u8]) {
+pub fn write_message<'a, Header>(out: &mut Vec<u8>, start: &str, headers: &[Header], body: &[u8])
+where
+    Header: Copy + Into<HeaderField<'a>>,
+{
     out.extend_from_slice(start.as_bytes());
     out.extend_from_slice(b"\r\n");
-    for (name, value) in headers {
+    for header in headers {
+        let HeaderField { name, value } = (*header).into();
         out.extend_from_slice(format!("{name}: {value}\r\n").as_bytes());
     }
     out.extend_from_slice(format!("Content-Length: {}\r\n\r\n", body.len()).as_bytes());
--- a/daemon/src/wire/mod.rs
+++ b/daemon/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! The wires: incremental parsers and writers that know no sockets. Bad input is a typed error, never a panic.
+//! The wire forms: incremental parsers and writers that know no sockets. Bad input is a typed error, never a panic.
 
 pub mod fastcgi;
 pub mod http;
@@ -29,22 +29,26 @@
 
 /// A parser that takes bytes as they come.
 pub trait Parser {
-    /// What it gives.
+    /// What it reads.
     type Item;
-    /// Takes from the front of `input` what it needs for the next item at most: bytes taken, and the item if
-    /// it is whole. All input is taken where there is none.
+    /// Takes from the front of `input` what it needs for the next item at most. Gives the number of bytes taken, and the
+    /// item if it is complete; where it is not, all of the input is taken.
+    ///
+    /// # Errors
+    /// The input can't be read: the parser is of no further use.
     fn parse(&mut self, input: &[u8]) -> Result<(usize, Option<Self::Item>), WireError>;
 }
 
-/// Moves bytes up to the line's end into `line`: bytes taken, and whether the line is whole (without its end).
+/// Moves bytes up to the end of the line into `line`. Gives the number of bytes taken, and whether the line is complete;
+/// its end is left out.
 pub(crate) fn take_line(
     input: &[u8],
     line: &mut Vec<u8>,
-    most: usize,
+    max: usize,
 ) -> Result<(usize, bool), WireError> {
     let end = input.iter().position(|b| *b == b'\n');
     let taken = end.map_or(input.len(), |at| at + 1);
-    if line.len() + taken > most {
+    if line.len() + taken > max {
         return Err(WireError::TooLong("a line"));
     }
     line.extend_from_slice(&input[..end.unwrap_or(input.len())]);
--- a/daemon/src/wire/resp.rs
+++ b/daemon/src/wire/resp.rs
@@ -2,15 +2,17 @@
 
 use super::{take_line, Parser, WireError};
 
-const MOST_ITEMS: usize = 8;
-const LINE: usize = 32;
+/// The greatest number of strings in an array.
+const MAX_ITEMS: usize = 8;
+/// The greatest length of the line with a length.
+const MAX_LINE: usize = 32;
 
 /// Reads arrays of bulk strings.
 pub struct Arrays {
-    most: usize,
+    max_string: usize,
     line: Vec<u8>,
-    /// Strings that the array still lacks, the one being read with them; none: no array is begun.
-    lacking: Option<usize>,
+    /// How many strings of the array are still to come, the one being read included; none: no array has begun.
+    missing: Option<usize>,
     /// Length of the string being read.
     length: Option<usize>,
     items: Vec<Vec<u8>>,
@@ -19,23 +21,24 @@
 
 impl Arrays {
     /// A reader that takes strings of so many bytes at most.
-    pub fn new(most: usize) -> Self {
+    pub fn new(max_string: usize) -> Self {
         Arrays {
-            most,
+            max_string,
             line: Vec::new(),
-            lacking: None,
+            missing: None,
             length: None,
             items: Vec::new(),
             item: Vec::new(),
         }
     }
 
-    /// Whether an array has come in part.
-    pub fn is_half(&self) -> bool {
-        self.lacking.is_some() || !self.line.is_empty()
+    /// Whether an array has arrived in part.
+    pub fn is_partial(&self) -> bool {
+        self.missing.is_some() || !self.line.is_empty()
     }
 
-    fn number(&mut self, mark: u8, most: usize, what: &'static str) -> Result<usize, WireError> {
+    /// Reads the line as a number behind this first byte.
+    fn number(&mut self, mark: u8, max: usize, what: &'static str) -> Result<usize, WireError> {
         let line = std::mem::take(&mut self.line);
         let digits = line
             .strip_prefix(&[mark])
@@ -43,7 +46,7 @@
         let number = digits.and_then(|d| std::str::from_utf8(d).ok()?.parse().ok());
         let number = number.ok_or(WireError::Malformed(what))?;
         // Checked before anything is taken for it: a peer names any length it likes.
-        if number > most {
+        if number > max {
             return Err(WireError::TooLong(what));
         }
         Ok(number)
@@ -56,36 +59,36 @@
     fn parse(&mut self, input: &[u8]) -> Result<(usize, Option<Self::Item>), WireError> {
         let mut at = 0;
         loop {
-            if self.lacking == Some(0) {
-                self.lacking = None;
+            if self.missing == Some(0) {
+                self.missing = None;
                 return Ok((at, Some(std::mem::take(&mut self.items))));
             }
             if at == input.len() {
                 return Ok((at, None));
             }
             let Some(length) = self.length else {
-                let (taken, whole) = take_line(&input[at..], &mut self.line, LINE)?;
+                let (taken, is_complete) = take_line(&input[at..], &mut self.line, MAX_LINE)?;
                 at += taken;
-                if whole && self.lacking.is_none() {
-                    self.lacking = Some(self.number(b'*', MOST_ITEMS, "a RESP array")?);
-                } else if whole {
-                    self.length = Some(self.number(b'$', self.most, "a RESP string")?);
+                if is_complete && self.missing.is_none() {
+                    self.missing = Some(self.number(b'*', MAX_ITEMS, "a RESP array")?);
+                } else if is_complete {
+                    self.length = Some(self.number(b'$', self.max_string, "a RESP string")?);
                 }
                 continue;
             };
             // The string and the line end behind it.
-            let wanted = length + 2 - self.item.len();
-            let taken = wanted.min(input.len() - at);
+            let needed = length + 2 - self.item.len();
+            let taken = needed.min(input.len() - at);
             self.item.extend_from_slice(&input[at..at + taken]);
             at += taken;
-            if taken == wanted {
+            if taken == needed {
                 if !self.item.ends_with(b"\r\n") {
                     return Err(WireError::Malformed("the end of a RESP string"));
                 }
                 self.item.truncate(length);
                 self.items.push(std::mem::take(&mut self.item));
                 self.length = None;
-                self.lacking = self.lacking.map(|n| n - 1);
+                self.missing = self.missing.map(|n| n - 1);
             }
         }
     }
--- a/daemon/src/wire/sse.rs
+++ b/daemon/src/wire/sse.rs
@@ -13,7 +13,7 @@
 
 /// Reads events out of a stream's bytes.
 pub struct Events {
-    most: usize,
+    max_bytes: usize,
     line: Vec<u8>,
     id: String,
     data: Option<String>,
@@ -21,9 +21,9 @@
 
 impl Events {
     /// A reader of events of so many bytes at most.
-    pub fn new(most: usize) -> Self {
+    pub fn new(max_bytes: usize) -> Self {
         Events {
-            most,
+            max_bytes,
             line: Vec::new(),
             id: String::new(),
             data: None,
@@ -37,9 +37,9 @@
     fn parse(&mut self, input: &[u8]) -> Result<(usize, Option<Event>), WireError> {
         let mut at = 0;
         while at < input.len() {
-            let (taken, whole) = take_line(&input[at..], &mut self.line, self.most)?;
+            let (taken, is_complete) = take_line(&input[at..], &mut self.line, self.max_bytes)?;
             at += taken;
-            if !whole {
+            if !is_complete {
                 break;
             }
             let line = String::from_utf8(std::mem::take(&mut self.line))
@@ -62,7 +62,7 @@
                 "id" => self.id = value.to_owned(),
                 "data" => {
                     let data = self.data.get_or_insert_default();
-                    if data.len() + value.len() > self.most {
+                    if data.len() + value.len() > self.max_bytes {
                         return Err(WireError::TooLong("an event"));
                     }
                     if !data.is_empty() {
