--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::bus::{read_event, BusEvent, News};
 use crate::front::cdni::footprint::Network;
-use crate::front::cdni::{Identity, Neighbour};
+use crate::front::cdni::{Identity, PeerCdn};
 use crate::interconnect::{
     Budgets, CdniFile, Consul, Copies, CopiesFile, File, LogForm, NeighbourFile, State,
 };
@@ -111,7 +111,7 @@
         let network = Network::read(text);
         footprint.push(network.ok_or(format!("cdni.footprint[{n}]: '{text}' is no IPv4 network"))?);
     }
-    let neighbour = |n: &NeighbourFile| Neighbour {
+    let neighbour = |n: &NeighbourFile| PeerCdn {
         provider: n.provider.clone(),
         address: n.address,
         triggers: n.triggers.clone(),
@@ -123,7 +123,7 @@
         provider: said("provider", &file.provider)?,
         base: said("base", &file.base)?,
         footprint,
-        neighbours: file.neighbours.iter().map(neighbour).collect(),
+        peers: file.neighbours.iter().map(neighbour).collect(),
         classes: read.map(|c| (c.name.clone(), c.deadline_us)).collect(),
     };
     Ok(Some(Cdni {
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::config::{Config, Source};
 use crate::core::Core;
-use crate::front::cdni::Desk;
+use crate::front::cdni::TriggerApi;
 use crate::ledger::Ledger;
 use crate::limits::Limits;
 use crate::net::{Clock, Deadlines, Due, Key, Listener, Poll, Slots};
@@ -99,7 +99,7 @@
     origin_health: Option<OriginHealth>,
     /// Datagrams dropped: from nobody who is a peer, and of no known kind.
     dropped: (u64, u64),
-    desk: Option<(Listener, Desk)>,
+    desk: Option<(Listener, TriggerApi)>,
     ledger: Option<Ledger>,
     /// Its store, while that can't be opened.
     pending_store: Option<PendingStore>,
--- a/daemon/src/daemon/neighbours.rs
+++ b/daemon/src/daemon/neighbours.rs
@@ -123,29 +123,33 @@
                 Err(e) => {
                     // Said by a status before the connection ends: the sender is to learn what it did.
                     log::warn!("a neighbour sent what can't be read: {e}");
-                    session.refuse();
+                    session.reject_unreadable();
                     return Ok(());
                 }
             };
             let Some((_, desk)) = &mut self.desk else {
                 return Ok(());
             };
-            let reply = desk.take(now, ready, &head, &body);
+            let reply = desk.handle(now, ready, &head, &body);
             // What is not known may stand in the store.
-            let is_unknown = matches!(&reply, Reply::Now(response) if response.status == 404)
+            let is_unknown = matches!(&reply, Reply::Respond(response) if response.status == 404)
                 && head
                     .request()
                     .is_some_and(|(_, target)| cdni::is_trigger(target));
             let reply = match reply {
-                Reply::Now(_) if is_unknown && self.pending_store.is_some() => {
-                    Reply::Now(desk.retract(None))
+                Reply::Respond(_) if is_unknown && self.pending_store.is_some() => {
+                    Reply::Respond(desk.retract(None))
                 }
                 reply => reply,
             };
             match reply {
-                Reply::Now(response) => session.respond(&response),
-                Reply::Promise(response, trigger, effects) => {
-                    session.waiting = Some(Waiting::Promise);
+                Reply::Respond(response) => session.respond(&response),
+                Reply::RespondOnceCommitted {
+                    response,
+                    trigger,
+                    effects,
+                } => {
+                    session.waiting = Some(Waiting::Commit);
                     self.promise(now, (key, response, trigger), effects);
                     self.settle(now);
                     if !self.write_cdni(key) {
@@ -153,10 +157,10 @@
                     }
                     continue;
                 }
-                Reply::Ask(mut asked) => {
+                Reply::Forward(mut asked) => {
                     let unread = self.turn.waited_unread(now);
                     asked.remaining_us = asked.remaining_us.saturating_sub(unread);
-                    session.until = now + asked.remaining_us;
+                    session.deadline = now + asked.remaining_us;
                     let client = Client {
                         connection: key,
                         stream: 0,
@@ -190,7 +194,7 @@
         else {
             return;
         };
-        let late = now + self.limits.answer_ahead_us >= session.until;
+        let late = now + self.limits.answer_ahead_us >= session.deadline;
         session.respond(&cdni::response(answer, late));
         // The next request may have come meanwhile; reading it is left to the loop, so that a neighbour that
         // sends many at once can't nest them here.
@@ -228,7 +232,7 @@
         let posts = self
             .desk
             .as_ref()
-            .map(|(_, desk)| desk.notices(ready))
+            .map(|(_, desk)| desk.footprint_notices(ready))
             .unwrap_or_default();
         posts.into_iter().for_each(|post| self.send_out(now, post));
     }
@@ -238,7 +242,7 @@
         let posts = self
             .desk
             .as_ref()
-            .map(|(_, desk)| desk.pass_on(object, group))
+            .map(|(_, desk)| desk.purge_commands(object, group))
             .unwrap_or_default();
         posts.into_iter().for_each(|post| self.send_out(now, post));
     }
--- a/daemon/src/daemon/promises.rs
+++ b/daemon/src/daemon/promises.rs
@@ -3,7 +3,7 @@
 
 use super::recovery::SnapshotWait;
 use super::{Connection, Daemon, Kind, Timer};
-use crate::front::cdni::{Effect, Name, Response};
+use crate::front::cdni::{Effect, Response, TriggerId};
 use crate::ledger::{self, AppendError};
 use crate::net::{Due, Key};
 use linnetknot::Micros;
@@ -14,7 +14,7 @@
 use std::net::SocketAddr;
 
 /// An answer to a neighbour: its connection, itself, and the trigger that was made, if one was.
-type Neighbours = (Key, Response, Option<Name>);
+type Neighbours = (Key, Response, Option<TriggerId>);
 
 /// An answer that waits.
 enum Answer {
@@ -198,7 +198,12 @@
     }
 
     /// The status of a trigger as entries: the place of the last; none where there is no log.
-    fn say_status(&mut self, now: Micros, name: Name, text: &str) -> Result<Option<Index>, String> {
+    fn say_status(
+        &mut self,
+        now: Micros,
+        name: TriggerId,
+        text: &str,
+    ) -> Result<Option<Index>, String> {
         let Some(ledger) = &mut self.ledger else {
             return Ok(None);
         };
@@ -214,7 +219,7 @@
     fn say_gone(
         &mut self,
         now: Micros,
-        Name { writer, number }: Name,
+        TriggerId { writer, number }: TriggerId,
     ) -> Result<Option<Index>, String> {
         let Some(ledger) = &mut self.ledger else {
             return Ok(None);
@@ -232,13 +237,13 @@
         let (Some(ledger), Some((_, desk))) = (&self.ledger, &mut self.desk) else {
             return;
         };
-        let first = Name {
+        let first = TriggerId {
             writer: ledger.replica().own().writer,
             number: ledger.first_number(),
         };
-        desk.begin_triggers(first);
+        desk.start_ids_at(first);
         for (writer, number, text) in ledger.statuses() {
-            desk.admit(now, Name { writer, number }, &text);
+            desk.insert(now, TriggerId { writer, number }, &text);
         }
     }
 
@@ -248,14 +253,14 @@
             return;
         };
         let named = |entry: &Entry| match entry.subject {
-            Subject::Status { number, .. } => Some(Name {
+            Subject::Status { number, .. } => Some(TriggerId {
                 writer: entry.log.writer,
                 number,
             }),
-            Subject::Gone { writer, number } => Some(Name { writer, number }),
+            Subject::Gone { writer, number } => Some(TriggerId { writer, number }),
             _ => None,
         };
-        let mut names: Vec<Name> = entries.iter().filter_map(named).collect();
+        let mut names: Vec<TriggerId> = entries.iter().filter_map(named).collect();
         names.dedup();
         for name in names {
             match ledger
@@ -263,8 +268,8 @@
                 .log_store()
                 .status(name.writer, name.number)
             {
-                Some(text) => desk.admit(now, name, &text),
-                None => desk.forget(name),
+                Some(text) => desk.insert(now, name, &text),
+                None => desk.remove(name),
             }
         }
     }
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -19,7 +19,7 @@
 use super::Daemon;
 use crate::config::{Config, Source};
 use crate::core::Core;
-use crate::front::cdni::Desk;
+use crate::front::cdni::TriggerApi;
 use crate::ledger::{Bounds, Ledger};
 use crate::net::{Clock, Deadlines, Listener, Poll, Slots};
 use crate::plain_purges::PlainPurges;
@@ -129,7 +129,7 @@
 struct Parts {
     clock: Clock,
     sockets: Sockets,
-    desk: Option<(Listener, Desk)>,
+    desk: Option<(Listener, TriggerApi)>,
     store: StoreParts,
     peers: Option<(UdpSocket, Vec<SocketAddr>)>,
     core: Core,
--- a/daemon/src/daemon/startup/sockets.rs
+++ b/daemon/src/daemon/startup/sockets.rs
@@ -5,7 +5,7 @@
 use super::error::{kernel, watching};
 use super::StartError;
 use crate::config::Config;
-use crate::front::cdni::Desk;
+use crate::front::cdni::TriggerApi;
 use crate::net::{bind_shared_udp, Listener, Poll};
 use std::env::VarError;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -92,14 +92,14 @@
 pub(super) fn open_cdni(
     config: &Config,
     poll: &Poll,
-) -> Result<Option<(Listener, Desk)>, StartError> {
+) -> Result<Option<(Listener, TriggerApi)>, StartError> {
     let Some(cdni) = &config.cdni else {
         return Ok(None);
     };
     let listener = bind("cdni.listen", cdni.listen)?;
     let listener = Listener::watch(listener, CDNI, poll).map_err(kernel("cdni.listen"))?;
     let identity = cdni.identity.clone();
-    let desk = Desk::new(identity, config.seed, config.limits.triggers);
+    let desk = TriggerApi::new(identity, config.seed, config.limits.triggers);
     Ok(Some((listener, desk)))
 }
 
--- /dev/null
+++ b/daemon/src/front/cdni/api.rs
@@ -0,0 +1,198 @@
+//! The interfaces that need no cache: triggers, redirection, footprints and capabilities.
+
+use super::content::{content_request, path_of, ContentPath};
+use super::footprint::Network;
+use super::triggers::{self, TriggerTable};
+use super::{footprint, redirect, Identity, PeerCdn, Post, Reply, Response, TriggerId};
+use crate::wire::http::Head;
+use linnetknot::Micros;
+use serde_json::Value;
+
+/// Ids of content requests differ by multiples of this odd number, which never meet before 2^64 of them.
+const ID_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
+/// The path of the collection of triggers.
+const TRIGGERS: &str = "/cdni/triggers";
+/// Paths of the statuses of triggers.
+const TRIGGER_PREFIX: &str = "/cdni/triggers/";
+/// Paths that take the footprint notices of peer CDNs.
+const NOTICE_PREFIX: &str = "/cdni/footprint/";
+
+/// The networks that a peer CDN said it reaches.
+pub(super) struct PeerFootprint {
+    pub(super) provider: String,
+    pub(super) networks: Vec<Network>,
+}
+
+/// The state of the interconnection with peer CDNs.
+pub struct TriggerApi {
+    identity: Identity,
+    triggers: TriggerTable,
+    footprints: Vec<PeerFootprint>,
+    /// Requests for content so far.
+    content_requests: u64,
+    seed: u64,
+}
+
+impl TriggerApi {
+    /// An interconnection with so many triggers of this proxy at most.
+    pub fn new(identity: Identity, seed: u64, max_triggers: usize) -> Self {
+        TriggerApi {
+            identity,
+            triggers: TriggerTable::new(max_triggers),
+            footprints: Vec::new(),
+            content_requests: 0,
+            seed,
+        }
+    }
+
+    /// Handles a request. `ready` tells whether content can be served, and `now` is Unix time.
+    pub fn handle(&mut self, now: Micros, ready: bool, head: &Head, body: &[u8]) -> Reply {
+        let Some((method, target)) = head.request() else {
+            return Reply::Respond(Response::bare(400));
+        };
+        let path = path_of(target).split('?').next().unwrap_or("");
+        let json = || serde_json::from_slice::<Value>(body).ok();
+        let response = match (method, path) {
+            ("GET", "/health") => Response::bare(if ready { 200 } else { 503 }),
+            ("GET", path) if path.starts_with("/content/") => return self.content(head, target),
+            ("POST", TRIGGERS) => return self.trigger_command(now, json().as_ref()),
+            ("GET", TRIGGERS) => self.triggers.collection(&self.identity, None),
+            ("GET" | "DELETE", path) if path.starts_with(TRIGGER_PREFIX) => {
+                return self.trigger_status(method, &path[TRIGGER_PREFIX.len()..]);
+            }
+            ("POST", "/cdni/redirect") => match json() {
+                Some(request) => {
+                    redirect::answer(&self.identity, &self.footprints, ready, &request)
+                }
+                None => redirect::error(400, "the request is not JSON"),
+            },
+            ("GET", "/cdni/footprint") => footprint::advertise(&self.identity, ready),
+            ("POST", path) if path.starts_with(NOTICE_PREFIX) => {
+                self.take_notice(&path[NOTICE_PREFIX.len()..], json().as_ref())
+            }
+            (_, TRIGGERS | "/cdni/redirect" | "/cdni/footprint" | "/health") => Response::bare(405),
+            _ => Response::bare(404),
+        };
+        Reply::Respond(response)
+    }
+
+    /// Carries out a command of a peer CDN.
+    fn trigger_command(&mut self, now: Micros, command: Option<&Value>) -> Reply {
+        let Some(command) = command else {
+            return Reply::Respond(Response::bare(400));
+        };
+        let mut effects = Vec::new();
+        let result = self
+            .triggers
+            .command(&self.identity, seconds(now), command, &mut effects);
+        match result.trigger {
+            None => Reply::Respond(result.response),
+            trigger => Reply::RespondOnceCommitted {
+                response: result.response,
+                trigger,
+                effects,
+            },
+        }
+    }
+
+    /// Gives or deletes the status of a trigger.
+    fn trigger_status(&mut self, method: &str, name: &str) -> Reply {
+        let mut effects = Vec::new();
+        let response = self
+            .triggers
+            .resource(&self.identity, method, name, &mut effects);
+        if effects.is_empty() {
+            return Reply::Respond(response);
+        }
+        Reply::RespondOnceCommitted {
+            response,
+            trigger: None,
+            effects,
+        }
+    }
+
+    /// Sets the id of the next trigger that is made here.
+    pub fn start_ids_at(&mut self, first: TriggerId) {
+        self.triggers.start_ids_at(first);
+    }
+
+    /// Takes in the status of a trigger that another proxy made, or an earlier process of this one. One that is too old, or
+    /// not complete, is passed over.
+    pub fn insert(&mut self, now: Micros, id: TriggerId, payload: &str) {
+        self.triggers.insert(seconds(now), id, payload);
+    }
+
+    /// Removes a trigger that exists no more.
+    pub fn remove(&mut self, id: TriggerId) {
+        self.triggers.remove(id);
+    }
+
+    /// The effects of a message can't be committed: removes the trigger that was made, if one was. Gives the response, by
+    /// which the peer CDN is to come again.
+    pub fn retract(&mut self, trigger: Option<TriggerId>) -> Response {
+        if let Some(id) = trigger {
+            self.triggers.remove(id);
+        }
+        Response::bare(503).with("Retry-After", "1".to_owned())
+    }
+
+    /// Takes the footprint that a peer CDN reaches.
+    fn take_notice(&mut self, from: &str, payload: Option<&Value>) -> Response {
+        if !self.identity.peers.iter().any(|peer| peer.provider == from) {
+            return Response::bare(403);
+        }
+        let Some(networks) = payload.and_then(footprint::read) else {
+            return Response::bare(400);
+        };
+        self.footprints.retain(|known| known.provider != from);
+        self.footprints.push(PeerFootprint {
+            provider: from.to_owned(),
+            networks,
+        });
+        Response::bare(204)
+    }
+
+    /// The notices of our footprint, one to each peer CDN.
+    pub fn footprint_notices(&self, ready: bool) -> Vec<Post> {
+        let body = footprint::advertisement(&self.identity, ready).to_string();
+        let notice = |peer: &PeerCdn| Post {
+            address: peer.address,
+            path: peer.notices.clone(),
+            ptype: footprint::PTYPE,
+            body: body.clone(),
+        };
+        self.identity.peers.iter().map(notice).collect()
+    }
+
+    /// A purge that did not come from a peer CDN, as a command to each of them.
+    pub fn purge_commands(&self, object: Option<&str>, group: u64) -> Vec<Post> {
+        triggers::purge_commands(&self.identity, object, group)
+    }
+
+    /// Takes a request for content.
+    fn content(&mut self, head: &Head, target: &str) -> Reply {
+        let content = ContentPath::read(path_of(target));
+        let known = content.and_then(|content| {
+            let class = self
+                .identity
+                .classes
+                .iter()
+                .find(|c| c.0 == content.class)?;
+            Some((content, class.1))
+        });
+        let Some((content, timeout_us)) = known else {
+            return Reply::Respond(Response::bare(404));
+        };
+        self.content_requests += 1;
+        let id = self
+            .seed
+            .wrapping_add(self.content_requests.wrapping_mul(ID_STEP));
+        let id = format!("{id:016x}");
+        Reply::Forward(content_request(id, content, timeout_us, head, target))
+    }
+}
+
+/// A time in whole seconds.
+fn seconds(now: Micros) -> u64 {
+    now / 1_000_000
+}
--- a/daemon/src/front/cdni/footprint.rs
+++ b/daemon/src/front/cdni/footprint.rs
@@ -27,7 +27,7 @@
     }
 
     /// Whether an address lies in it.
-    pub fn holds(&self, address: Ipv4Addr) -> bool {
+    pub fn contains(&self, address: Ipv4Addr) -> bool {
         let mask = u32::MAX.checked_shl(32 - u32::from(self.bits)).unwrap_or(0);
         (u32::from(address) ^ self.address) & mask == 0
     }
@@ -39,7 +39,7 @@
     }
 }
 
-/// What we can reach and how; nothing while we can't serve.
+/// What we can reach and how, as a payload; nothing while we can't serve.
 pub(super) fn advertisement(id: &Identity, ready: bool) -> Value {
     let networks: Vec<_> = id.footprint.iter().map(Network::to_string).collect();
     let footprints = json!([{"footprint-type": "ipv4cidr", "footprint-value": networks}]);
@@ -57,11 +57,12 @@
     json!({"capabilities": if ready { &capabilities[..] } else { &[] }})
 }
 
+/// The response that advertises our footprint.
 pub(super) fn advertise(id: &Identity, ready: bool) -> Response {
     Response::payload(200, PTYPE, &advertisement(id, ready))
 }
 
-/// The networks for which a neighbour delivers by HTTP. Kinds of footprint that are not known here reach nobody.
+/// The networks for which a peer CDN delivers by HTTP. Kinds of footprint that are not known here reach nobody.
 pub(super) fn read(payload: &Value) -> Option<Vec<Network>> {
     let mut networks = Vec::new();
     for capability in payload["capabilities"].as_array()? {
--- a/daemon/src/front/cdni/redirect.rs
+++ b/daemon/src/front/cdni/redirect.rs
@@ -1,6 +1,8 @@
-//! Request Routing Redirection (RFC 7975): where a neighbour's clients are sent.
+//! Request Routing Redirection (RFC 7975): where the clients of a peer CDN are sent.
 
-use super::{content_path, footprint, looped, path_of, Identity, Response};
+use super::api::PeerFootprint;
+use super::content::{path_of, ContentPath};
+use super::{footprint, is_loop, Identity, Response};
 use serde_json::{json, Value};
 use std::net::Ipv4Addr;
 
@@ -24,76 +26,84 @@
     base: &'a str,
 }
 
-/// Where a client is sent: here if we are ready and reach it, else to the first neighbour not in the path that does.
+/// Where a client is sent: here if we are ready and reach it, else to the first peer CDN not in the path that does.
 fn target<'a>(
     id: &'a Identity,
-    heard: &[(String, Vec<footprint::Network>)],
+    footprints: &[PeerFootprint],
     ready: bool,
     cdn_path: &[Value],
     client: Ipv4Addr,
 ) -> Option<Target<'a>> {
     let within =
-        |networks: &[footprint::Network]| networks.iter().find(|n| n.holds(client)).copied();
+        |networks: &[footprint::Network]| networks.iter().find(|n| n.contains(client)).copied();
     if let Some(network) = within(&id.footprint).filter(|_| ready) {
         return Some(Target {
             network,
             base: &id.base,
         });
     }
-    let unseen = heard
+    let unseen = footprints
         .iter()
-        .filter(|(provider, _)| !cdn_path.iter().any(|p| p == provider));
-    let mut reached = unseen.filter_map(|(provider, networks)| Some((provider, within(networks)?)));
-    let (provider, network) = reached.next()?;
-    let neighbour = id.neighbours.iter().find(|n| n.provider == *provider)?;
+        .filter(|known| !cdn_path.iter().any(|provider| *provider == known.provider));
+    let mut reached = unseen.filter_map(|known| Some((known, within(&known.networks)?)));
+    let (known, network) = reached.next()?;
+    let peer = id
+        .peers
+        .iter()
+        .find(|peer| peer.provider == known.provider)?;
     Some(Target {
         network,
-        base: &neighbour.content,
+        base: &peer.content,
     })
 }
 
 /// Answers a redirection request: to our own content where the client lies in our footprint and we can serve,
-/// else to a neighbour that said it reaches the client.
+/// else to a peer CDN that said it reaches the client.
 pub(super) fn answer(
     id: &Identity,
-    heard: &[(String, Vec<footprint::Network>)],
+    footprints: &[PeerFootprint],
     ready: bool,
-    asked: &Value,
+    request: &Value,
 ) -> Response {
-    let Some(cdn_path) = asked["cdn-path"].as_array() else {
+    let Some(cdn_path) = request["cdn-path"].as_array() else {
         return error(400, "cdn-path is missing");
     };
-    if looped(&asked["cdn-path"], &id.provider) {
+    if is_loop(&request["cdn-path"], &id.provider) {
         return error(502, "a loop");
     }
-    if asked["max-hops"]
+    if request["max-hops"]
         .as_u64()
-        .is_some_and(|most| cdn_path.len() as u64 > most)
+        .is_some_and(|max_hops| cdn_path.len() as u64 > max_hops)
     {
         return error(503, "too many hops");
     }
-    if asked["dns"].is_object() {
+    if request["dns"].is_object() {
         return error(506, "redirection by DNS is not supported");
     }
-    let http = &asked["http"];
+    let http = &request["http"];
     let (Some(uri), Some(client)) = (http["cs-uri"].as_str(), http["c-ip"].as_str()) else {
         return error(400, "http, cs-uri or c-ip is missing");
     };
     if http["cs-method"].as_str().is_some_and(|m| m != "GET") || !uri.starts_with("http://") {
         return error(505, "content is delivered by GET over http");
     }
-    let Some((class, object, part)) =
-        content_path(path_of(uri)).filter(|c| id.classes.iter().any(|k| k.0 == c.0))
-    else {
+    let content = ContentPath::read(path_of(uri))
+        .filter(|content| id.classes.iter().any(|class| class.0 == content.class));
+    let Some(content) = content else {
         return error(500, "the URI names no content of ours");
     };
     let Ok(client) = client.parse::<Ipv4Addr>() else {
         return error(400, "c-ip is no IPv4 address");
     };
-    let Some(target) = target(id, heard, ready, cdn_path, client) else {
+    let Some(target) = target(id, footprints, ready, cdn_path, client) else {
         return error(504, "nothing here can serve this client");
     };
     let Target { network, base } = target;
+    let ContentPath {
+        class,
+        object,
+        part,
+    } = content;
     let query = uri
         .split_once('?')
         .map_or(String::new(), |(_, query)| format!("?{query}"));
--- a/daemon/src/front/cdni/session.rs
+++ b/daemon/src/front/cdni/session.rs
@@ -1,4 +1,4 @@
-//! One HTTP connection of a neighbour or of a client that was redirected here.
+//! One HTTP connection of a peer CDN or of a client that was redirected here.
 
 use super::Response;
 use crate::core::RequestKey;
@@ -9,10 +9,10 @@
 /// What an answer waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Waiting {
-    /// The core has the request, under this ticket.
+    /// The core has the request, under this key.
     Core(RequestKey),
-    /// What it promises is on its way to the disks.
-    Promise,
+    /// The effects of the request are being committed.
+    Commit,
 }
 
 /// A connection. Its requests are answered one after the other: while one waits, the next stays in the ring.
@@ -20,19 +20,21 @@
     messages: Messages,
     head: Option<Head>,
     body: Vec<u8>,
-    keep: bool,
+    keep_open: bool,
     /// What the answer to the last request waits for.
     pub waiting: Option<Waiting>,
     /// When its client gives up.
-    pub until: u64,
+    pub deadline: u64,
     out: Vec<u8>,
-    at: usize,
-    /// A whole request has come by now.
+    /// Bytes of `out` that are written.
+    written: usize,
+    /// A request has arrived in full by now.
     has_received_request: bool,
-    /// A request has come in part.
+    /// A request has arrived in part.
     is_partial: bool,
 }
 
+/// The reason phrase of a status.
 fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -53,16 +55,16 @@
 
 impl Session {
     /// A connection just accepted, for lines and bodies of so many bytes at most.
-    pub fn new(most_line: usize, most_body: usize) -> Self {
+    pub fn new(max_line: usize, max_body: usize) -> Self {
         Session {
-            messages: Messages::requests(most_line, most_body),
+            messages: Messages::requests(max_line, max_body),
             head: None,
             body: Vec::new(),
-            keep: true,
+            keep_open: true,
             waiting: None,
-            until: 0,
+            deadline: 0,
             out: Vec::new(),
-            at: 0,
+            written: 0,
             has_received_request: false,
             is_partial: false,
         }
@@ -73,29 +75,32 @@
         self.waiting.is_none() && self.out.is_empty()
     }
 
-    /// Whether a request has come in part.
+    /// Whether a request has arrived in part.
     pub fn is_partial(&self) -> bool {
         self.is_partial
     }
 
-    /// Whether any whole request has come.
+    /// Whether any request has arrived in full.
     pub fn has_received_request(&self) -> bool {
         self.has_received_request
     }
 
-    /// Whether the connection has done what it was for.
+    /// Whether the connection is to end and nothing is open on it any more.
     pub fn is_finished(&self) -> bool {
-        !self.keep && self.is_idle()
+        !self.keep_open && self.is_idle()
     }
 
     /// Bytes of the answer that wait to be written.
     pub fn pending(&self) -> usize {
-        self.out.len() - self.at
+        self.out.len() - self.written
     }
 
-    /// Reads up to the next whole request, once the one before has its response.
+    /// Reads up to the end of the next request, once the one before has its response: its head and its body.
+    ///
+    /// # Errors
+    /// What came can't be read, or breaks a limit.
     pub fn read(&mut self, input: &mut Ring) -> Result<Option<(Head, Vec<u8>)>, WireError> {
-        while self.keep && self.is_idle() {
+        while self.keep_open && self.is_idle() {
             let (taken, piece) = self.messages.parse(input.front())?;
             input.consume(taken);
             self.is_partial |= taken > 0;
@@ -107,7 +112,7 @@
                         continue;
                     };
                     (self.has_received_request, self.is_partial) = (true, false);
-                    self.keep = head.keeps_open();
+                    self.keep_open = head.keeps_open();
                     return Ok(Some((head, std::mem::take(&mut self.body))));
                 }
                 None if input.is_empty() => break,
@@ -120,7 +125,11 @@
     /// The response to the request that was read last.
     pub fn respond(&mut self, response: &Response) {
         self.waiting = None;
-        let connection = if self.keep { "keep-alive" } else { "close" };
+        let connection = if self.keep_open {
+            "keep-alive"
+        } else {
+            "close"
+        };
         let mut headers: Vec<_> = response
             .headers
             .iter()
@@ -132,17 +141,17 @@
     }
 
     /// What came can't be read: the last response says so.
-    pub fn refuse(&mut self) {
-        self.keep = false;
+    pub fn reject_unreadable(&mut self) {
+        self.keep_open = false;
         self.respond(&Response::bare(400));
     }
 
     /// Moves as much as fits into the ring.
     pub fn write(&mut self, output: &mut Ring) {
-        self.at += output.push(&self.out[self.at..]);
-        if self.at == self.out.len() {
+        self.written += output.push(&self.out[self.written..]);
+        if self.written == self.out.len() {
             self.out.clear();
-            self.at = 0;
+            self.written = 0;
         }
     }
 }
--- /dev/null
+++ b/daemon/src/front/cdni/triggers/mod.rs
@@ -0,0 +1,217 @@
+//! Control Interface / Triggers (RFC 8007): commands, status resources and their collection.
+
+mod command;
+mod forwarding;
+mod id;
+mod trigger;
+
+pub(super) use forwarding::purge_commands;
+pub use id::TriggerId;
+pub use trigger::STALE_S;
+
+use super::{is_loop, Effect, Identity, Response};
+use command::{plan, Kind};
+use forwarding::commands_to_peers;
+use serde_json::{json, Map, Value};
+use std::collections::BTreeMap;
+use trigger::{Trigger, COMPLETE, FAILED};
+
+const STATUS: &str = "ci-trigger-status";
+const COLLECTION: &str = "ci-trigger-collection";
+
+/// The triggers whose status can be asked for.
+pub(super) struct TriggerTable {
+    triggers: BTreeMap<TriggerId, Trigger>,
+    /// The id of the next trigger that is made here.
+    next: TriggerId,
+    /// The greatest number of triggers of this proxy.
+    max_own: usize,
+}
+
+/// What came of a command.
+pub(super) struct CommandResult {
+    pub(super) response: Response,
+    /// The trigger that was made, if one was.
+    pub(super) trigger: Option<TriggerId>,
+}
+
+impl From<Response> for CommandResult {
+    fn from(response: Response) -> Self {
+        CommandResult {
+            response,
+            trigger: None,
+        }
+    }
+}
+
+impl TriggerTable {
+    /// An empty table for so many triggers of this proxy at most.
+    pub(super) fn new(max_own: usize) -> Self {
+        TriggerTable {
+            triggers: BTreeMap::new(),
+            next: TriggerId {
+                writer: 0,
+                number: 1,
+            },
+            max_own,
+        }
+    }
+
+    /// The URL of a trigger's status.
+    fn url(id: &Identity, name: TriggerId) -> String {
+        format!("{}/cdni/triggers/{name}", id.base)
+    }
+
+    /// Sets the id of the next trigger, unless a later one was given already.
+    pub(super) fn start_ids_at(&mut self, first: TriggerId) {
+        self.next = first.max(self.next);
+    }
+
+    /// Takes in the status of a trigger that another proxy made, or an earlier process of this one; nothing where it is not
+    /// complete.
+    pub(super) fn insert(&mut self, now: u64, name: TriggerId, payload: &str) {
+        // Its pieces come one by one, and a long text is not to be read once for each of them.
+        let complete = Some(payload).filter(|payload| payload.ends_with('}'));
+        let trigger = complete
+            .and_then(|payload| Trigger::read(now, payload))
+            .filter(|trigger| !trigger.is_stale(now));
+        let Some(mut trigger) = trigger else { return };
+        self.triggers.retain(|_, trigger| !trigger.is_stale(now));
+        if let Some(known) = self.triggers.get(&name) {
+            trigger.known_since = known.known_since;
+        }
+        if name.writer == self.next.writer {
+            self.next.number = self.next.number.max(name.number + 1);
+        }
+        self.triggers.insert(name, trigger);
+    }
+
+    /// Carries a command out: a purge takes effect before its response is written.
+    pub(super) fn command(
+        &mut self,
+        id: &Identity,
+        now: u64,
+        command: &Value,
+        effects: &mut Vec<Effect>,
+    ) -> CommandResult {
+        let Some(cdn_path) = command["cdn-path"].as_array() else {
+            return Response::bare(400).into();
+        };
+        if is_loop(&command["cdn-path"], &id.provider) {
+            return Response::bare(403).into();
+        }
+        match (command["trigger"].as_object(), command["cancel"].as_array()) {
+            // All triggers are over before a cancellation can come: there is nothing to stop, which is no error.
+            (None, Some(urls)) if urls.iter().all(Value::is_string) => Response::bare(200).into(),
+            (Some(spec), None) => self.make_trigger(id, now, spec, cdn_path, effects),
+            _ => Response::bare(400).into(),
+        }
+    }
+
+    /// Makes a trigger, and carries it out as far as can be.
+    fn make_trigger(
+        &mut self,
+        id: &Identity,
+        now: u64,
+        spec: &Map<String, Value>,
+        cdn_path: &[Value],
+        effects: &mut Vec<Effect>,
+    ) -> CommandResult {
+        let (Some(kind), Some(plan)) = (spec.get("type").and_then(Value::as_str), plan(spec))
+        else {
+            return Response::bare(400).into();
+        };
+        if plan.purges.is_empty() && plan.rejected.is_empty() {
+            return Response::bare(400).into();
+        }
+        self.triggers.retain(|_, trigger| !trigger.is_stale(now));
+        if self.own_triggers() >= self.max_own {
+            return Response::bare(503).into();
+        }
+        let Some(kind) = Kind::read(kind) else {
+            return Response::bare(501).into();
+        };
+        let error = kind.error(spec, &plan);
+        if kind == Kind::Purge {
+            let purges = plan.purges.into_iter();
+            effects.extend(purges.map(|target| Effect::Purge(target.object, target.group)));
+            let commands = commands_to_peers(id, &Value::Object(spec.clone()), cdn_path);
+            effects.extend(commands.into_iter().map(Effect::Post));
+        }
+        let status = if error.is_some() { FAILED } else { COMPLETE };
+        let trigger = Trigger {
+            spec: Value::Object(spec.clone()),
+            made: now,
+            known_since: now,
+            status,
+            error,
+        };
+        let payload = trigger.payload();
+        let response = Response::payload(201, STATUS, &payload);
+        let name = self.next;
+        self.next.number += 1;
+        self.triggers.insert(name, trigger);
+        // Behind the purges, so that who has all of the status has them, too.
+        effects.push(Effect::Status(name, payload.to_string()));
+        CommandResult {
+            response: response.with("Location", Self::url(id, name)),
+            trigger: Some(name),
+        }
+    }
+
+    /// How many triggers of this proxy there are.
+    fn own_triggers(&self) -> usize {
+        let own = self
+            .triggers
+            .keys()
+            .filter(|id| id.writer == self.next.writer);
+        own.count()
+    }
+
+    /// Removes a trigger.
+    pub(super) fn remove(&mut self, name: TriggerId) {
+        self.triggers.remove(&name);
+    }
+
+    /// The collection of all triggers, or of those with this status.
+    pub(super) fn collection(&self, id: &Identity, status: Option<&str>) -> Response {
+        let listed = self
+            .triggers
+            .iter()
+            .filter(|(_, t)| status.is_none_or(|s| s == t.status));
+        let urls: Vec<_> = listed.map(|(name, _)| Self::url(id, *name)).collect();
+        let mut value =
+            json!({"triggers": urls, "staleresourcetime": STALE_S, "cdn-id": id.provider});
+        for (key, name) in [
+            ("coll-all", ""),
+            ("coll-complete", "/complete"),
+            ("coll-failed", "/failed"),
+        ] {
+            value[key] = format!("{}/cdni/triggers{name}", id.base).into();
+        }
+        Response::payload(200, COLLECTION, &value)
+    }
+
+    /// Gives or deletes the status of a trigger; a name may also be that of a collection.
+    pub(super) fn resource(
+        &mut self,
+        id: &Identity,
+        method: &str,
+        name: &str,
+        effects: &mut Vec<Effect>,
+    ) -> Response {
+        if let (Some(status), "GET") = ([COMPLETE, FAILED].iter().find(|s| **s == name), method) {
+            return self.collection(id, Some(status));
+        }
+        let name = TriggerId::read(name).filter(|name| self.triggers.contains_key(name));
+        match (name, method) {
+            (Some(name), "GET") => Response::payload(200, STATUS, &self.triggers[&name].payload()),
+            (Some(name), _) => {
+                self.triggers.remove(&name);
+                effects.push(Effect::Gone(name));
+                Response::bare(204)
+            }
+            (None, _) => Response::bare(404),
+        }
+    }
+}
