--- a/daemon/src/daemon/budgets/mod.rs
+++ b/daemon/src/daemon/budgets/mod.rs
@@ -258,7 +258,7 @@
         for (to, messages) in by_member {
             let peer = self.peer_index(to);
             for bytes in wire::write(self.config.budgets.fingerprint, process, &messages) {
-                self.send_to_place(peer, &bytes);
+                self.send_to_peer_at(peer, &bytes);
             }
         }
         if grants {
--- a/daemon/src/daemon/event_loop.rs
+++ b/daemon/src/daemon/event_loop.rs
@@ -110,7 +110,7 @@
             LISTENER => self.accept(now),
             SIGNAL => self.term(now),
             RELOAD => self.reload(now),
-            PEERS => self.hear_peers(now),
+            PEERS => self.receive_peer_datagrams(now),
             CDNI => self.accept_cdni(now),
             ADMIN => self.accept_admin(now),
             STORE => self.hear_store(now),
@@ -163,7 +163,7 @@
                         self.deadlines.set(at, Timer::Core(wake));
                     }
                     Command::Probe(server) => self.probe(now, server),
-                    Command::ShareOriginHealth(share) => self.tell_found(now, share),
+                    Command::ShareOriginHealth(share) => self.share_origin_health(now, share),
                     Command::Withdraw(server) => self.withdraw(now, server),
                 }
             }
--- a/daemon/src/daemon/fleet.rs
+++ b/daemon/src/daemon/fleet.rs
@@ -106,7 +106,7 @@
         let (outgoing, changes) = (membership.outgoing(), membership.changes());
         outgoing
             .iter()
-            .for_each(|out| self.send_to_place(out.peer, &out.datagram));
+            .for_each(|out| self.send_to_peer_at(out.peer, &out.datagram));
         changes
             .into_iter()
             .for_each(|change| self.say_member(change));
--- a/daemon/src/daemon/lifecycle.rs
+++ b/daemon/src/daemon/lifecycle.rs
@@ -71,7 +71,7 @@
         };
         let here = match &c.kind {
             Kind::Client(_) => self.read_client(now, key),
-            Kind::Cdni(_) if c.conn.input.room() > 0 => match c.conn.read(false) {
+            Kind::Cdni(_) if c.conn.input.free_bytes() > 0 => match c.conn.read(false) {
                 Progress::Moved => self.read_cdni(now, key).map(|()| true),
                 got => Ok(got == Progress::Blocked),
             },
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -30,7 +30,6 @@
 mod connection_table;
 mod event_loop;
 mod exchange;
-mod feeds;
 mod fleet;
 mod lifecycle;
 mod members;
@@ -45,6 +44,7 @@
 mod reload;
 mod shutdown;
 mod signals;
+mod sources;
 mod startup;
 mod store_opening;
 mod turn;
@@ -55,10 +55,10 @@
 
 use connection_table::{ConnectError, Connection, Kind};
 use event_loop::Timer;
-use feeds::{bus, consul};
 use members::Said;
 use peer_index::PeerIndex;
 use signals::Signal;
+use sources::{bus, consul};
 use store_opening::PendingStore;
 use turn::Turn;
 
@@ -89,7 +89,7 @@
     members_due: Option<Due>,
     said: Said,
     consul: Option<consul::State>,
-    keeper: Option<consul::Keeper>,
+    snapshots: Option<consul::SnapshotWriter>,
     peers: Option<(UdpSocket, Vec<SocketAddr>)>,
     /// The same peers by address.
     peer_index: PeerIndex,
--- a/daemon/src/daemon/promises.rs
+++ b/daemon/src/daemon/promises.rs
@@ -193,7 +193,7 @@
         let entry = ledger
             .append(what.clone(), now, lifted)
             .map_err(|e| e.to_string())?;
-        self.tell_entry(entry);
+        self.send_entry(entry);
         Ok(())
     }
 
@@ -211,7 +211,7 @@
             .append_status(name.number, text, now)
             .map_err(|e| e.to_string())?;
         let place = entries.last().map(|entry| entry.index);
-        entries.into_iter().for_each(|entry| self.tell_entry(entry));
+        entries.into_iter().for_each(|entry| self.send_entry(entry));
         Ok(place)
     }
 
@@ -228,7 +228,7 @@
             .append(Subject::Gone { writer, number }, now, false)
             .map_err(|e| e.to_string())?;
         let place = entry.index;
-        self.tell_entry(entry);
+        self.send_entry(entry);
         Ok(Some(place))
     }
 
@@ -340,7 +340,7 @@
             .transpose();
         fail::fail_point!("peers-tell");
         if let Ok(Some(entry)) = &entry {
-            self.tell_entry(entry.clone());
+            self.send_entry(entry.clone());
         }
         self.send_plain_purge(now, object.as_deref(), group, at);
         fail::fail_point!("peers-told");
@@ -363,7 +363,7 @@
         if !told.is_empty() {
             fail::fail_point!("holder-says");
         }
-        self.send_words(told);
+        self.send_datagrams(told);
         self.settle_promises(now);
     }
 
@@ -461,7 +461,7 @@
         if without_snapshot > before {
             log::warn!(peers = without_snapshot; "peers of an earlier version are behind what was compacted here, and know no snapshots");
         }
-        self.send_words(told);
+        self.send_datagrams(told);
         self.watch_snapshot(now);
         self.settle_promises(now);
         self.plan_copies(now);
--- a/daemon/src/daemon/recovery.rs
+++ b/daemon/src/daemon/recovery.rs
@@ -104,7 +104,7 @@
             peer,
             datagram: Datagram::DigestRequest,
         });
-        self.send_words(requests.collect());
+        self.send_datagrams(requests.collect());
     }
 
     fn recover(&mut self, now: Micros) {
--- a/daemon/src/daemon/shutdown.rs
+++ b/daemon/src/daemon/shutdown.rs
@@ -27,7 +27,7 @@
             }
             self.deadlines
                 .set(now + self.limits.term_grace_us, Timer::Term);
-            self.leave_consul(now);
+            self.deregister_from_consul(now);
             self.leave_fleet(now);
         }
     }
@@ -51,7 +51,7 @@
     pub(super) fn is_done(&self) -> bool {
         let now = self.clock.now();
         self.grace_over
-            && self.has_left_consul()
+            && self.is_deregistered_from_consul()
             && self.core.is_idle()
             && self.waiting_answers == 0
             && {
@@ -66,7 +66,7 @@
 
     /// Stores what the next process is to find, closes the store, and logs the sums of this process.
     pub(super) fn finish(&mut self) {
-        self.write_lists(self.clock.now());
+        self.write_pending_snapshots(self.clock.now());
         let replication = self.close_store();
         self.log_requests();
         self.log_budgets();
--- a/daemon/src/daemon/feeds/bus.rs
+++ b/daemon/src/daemon/sources/bus.rs
@@ -1,4 +1,4 @@
-//! The event bus: one connection that is read for good, and begun anew where it ends or falls silent.
+//! The event bus: one connection that is read for good, and made anew where it ends or falls silent.
 
 use crate::bus::{request, BusEvent, Feed, News};
 use crate::daemon::exchange::{Effect, End, Exchange, Flow};
@@ -7,28 +7,36 @@
 use crate::limits::Limits;
 use crate::net::{Due, Key};
 use crate::wire::WireError;
-use linnetknot::{ListMode, Micros, ServerId, State as Standing};
+use linnetknot::{ListMode, Micros, ServerId, State as ServerState};
 use linnetknot_consul::Backoff;
 use linnetknot_discovery::{Entry, Evidence, Report};
 use std::collections::BTreeMap;
 
-/// What the daemon knows of the bus.
+/// When a cache started.
+#[derive(Clone, Copy)]
+struct Start {
+    /// As the bus dated it, by the platform's clock.
+    date: Micros,
+    /// By the local clock.
+    local: Micros,
+}
+
+/// The state of the connection to the bus.
 pub(in crate::daemon) struct State {
     key: Option<Key>,
     timer: Option<Due>,
-    /// The last event heard.
+    /// The number of the last event.
     pub(in crate::daemon) last: u64,
     /// When something last came.
     read_at: Micros,
-    /// When boxes started, as the bus dated it and by the own clock. One date always has the same time by the own clock:
-    /// a box whose start changes has started again.
-    starts: BTreeMap<ServerId, (Micros, Micros)>,
-    /// How long to wait before it is called again. The longest wait is short against what its news may take.
+    /// When caches started. One date always has the same local time: a cache whose start changes has started again.
+    starts: BTreeMap<ServerId, Start>,
+    /// How long to wait before the next connection. The longest wait is short against the time that its events may take.
     backoff: Backoff,
 }
 
 impl State {
-    /// Nothing is heard yet.
+    /// No event has come yet.
     pub(in crate::daemon) fn new(seed: u64, limits: &Limits) -> Self {
         let backoff = Backoff::new(limits.bus_again_us, limits.bus_again_most_us, seed);
         State {
@@ -42,7 +50,7 @@
     }
 }
 
-/// One call.
+/// One connection to the bus.
 struct Call {
     host: String,
     last: u64,
@@ -62,7 +70,7 @@
             daemon.bus.backoff.reset();
             events
                 .into_iter()
-                .for_each(|event| daemon.heard(now, event));
+                .for_each(|event| daemon.receive_bus_event(now, event));
         }));
         Ok(Flow::More)
     }
@@ -73,21 +81,25 @@
         }
         Some(Box::new(|daemon, now| {
             daemon.bus.key = None;
-            daemon.call_bus_again(now);
+            daemon.reconnect_bus_later(now);
         }))
     }
 }
 
 impl Daemon {
-    pub(in crate::daemon) fn news(&mut self, now: Micros, event: BusEvent) {
+    /// Takes in what an event says, whether it has just come or was recorded by an earlier process.
+    pub(in crate::daemon) fn apply_bus_event(&mut self, now: Micros, event: BusEvent) {
         match event.news {
             // Unless told otherwise, one source has the list.
             Some(News::List(..)) if self.config.consul.as_ref().is_some_and(|c| !c.beside_bus) => {}
             Some(News::List(answer)) => {
                 for entry in &answer.entries {
                     if let Some(started) = entry.server.started {
-                        let dated = (started, started);
-                        self.bus.starts.entry(entry.server.id).or_insert(dated);
+                        let start = Start {
+                            date: started,
+                            local: started,
+                        };
+                        self.bus.starts.entry(entry.server.id).or_insert(start);
                     }
                 }
                 let list = self
@@ -110,29 +122,29 @@
         }
     }
 
-    /// When a box started is dated by the platform's clock: it is taken by the own one, which may be off. None has started
-    /// later than it is told.
+    /// Translates the start of a cache, which is dated by the platform's clock, to the local clock, which may be off. No
+    /// cache has started later than its event came.
     fn date_start(&mut self, now: Micros, entry: &mut Entry) {
         let id = entry.server.id;
-        if entry.server.state == Standing::Gone {
+        if entry.server.state == ServerState::Gone {
             self.bus.starts.remove(&id);
         }
         let Some(date) = entry.server.started else {
             return;
         };
-        let known = self.bus.starts.get(&id).filter(|(known, _)| *known == date);
-        let started = known.map(|(_, started)| *started).unwrap_or_else(|| {
+        let known = self.bus.starts.get(&id).filter(|start| start.date == date);
+        let local = known.map(|start| start.local).unwrap_or_else(|| {
             self.core.observe_origin_date(now, date);
             self.core.local_time(date).min(now)
         });
-        entry.server.started = Some(started);
-        if entry.server.state != Standing::Gone {
-            self.bus.starts.insert(id, (date, started));
+        entry.server.started = Some(local);
+        if entry.server.state != ServerState::Gone {
+            self.bus.starts.insert(id, Start { date, local });
         }
     }
 
-    /// An event that has just happened: neighbours hear of purges too.
-    fn heard(&mut self, now: Micros, mut event: BusEvent) {
+    /// Takes an event that has just come: purges go on to the peer CDNs too.
+    fn receive_bus_event(&mut self, now: Micros, mut event: BusEvent) {
         if let Some(News::List(answer)) = &mut event.news {
             for entry in &mut answer.entries {
                 self.date_start(now, entry);
@@ -142,10 +154,11 @@
             self.core.observe_origin_date(now, *at);
             self.pass_on(now, object.as_deref(), *group);
         }
-        self.news(now, event);
+        self.apply_bus_event(now, event);
     }
 
-    pub(in crate::daemon) fn call_bus(&mut self, now: Micros) {
+    /// Connects to the bus, behind the last event.
+    pub(in crate::daemon) fn connect_bus(&mut self, now: Micros) {
         let Some(bus) = self.config.bus else { return };
         let feed = Feed::new(&self.limits);
         let call = Call {
@@ -156,42 +169,45 @@
         self.bus.key = self.exchange(now, bus, Box::new(call), None);
         self.bus.read_at = now;
         match self.bus.key {
-            Some(_) => self.wake_bus(now + self.limits.bus_silence_us),
-            None => self.call_bus_again(now),
+            Some(_) => self.check_bus_at(now + self.limits.bus_silence_us),
+            None => self.reconnect_bus_later(now),
         }
     }
 
-    fn call_bus_again(&mut self, now: Micros) {
+    /// Connects again after the backoff.
+    fn reconnect_bus_later(&mut self, now: Micros) {
         let wait = self.bus.backoff.next_delay();
-        self.wake_bus(now + wait);
+        self.check_bus_at(now + wait);
     }
 
-    /// The bus is at another address: what it has to tell is asked for there at once, behind the last event.
+    /// The bus is at another address: connects there at once.
     pub(in crate::daemon) fn move_bus(&mut self, now: Micros) {
         if let Some(old) = self.bus.key.take() {
             self.connections.remove(old);
         }
         self.bus.backoff.reset();
-        self.call_bus(now);
+        self.connect_bus(now);
     }
 
-    fn wake_bus(&mut self, at: Micros) {
+    /// Checks the connection at this time, and no more at the time before.
+    fn check_bus_at(&mut self, at: Micros) {
         let due = self.later(at, Daemon::check_bus);
         if let Some(due) = self.bus.timer.replace(due) {
             self.deadlines.take_back(due);
         }
     }
 
-    /// A bus that has gone silent may have gone without a word: what it has to tell counts as told all the same.
+    /// Connects again where there is no connection or it has fallen silent: the bus may have gone without closing it, and
+    /// its events count as known all the same.
     fn check_bus(&mut self, now: Micros) {
         match self.bus.key {
-            None => self.call_bus(now),
+            None => self.connect_bus(now),
             Some(key) if self.bus.read_at + self.limits.bus_silence_us <= now => {
                 log::warn!("the event bus is silent and called again");
                 self.connections.remove(key);
-                self.call_bus(now);
+                self.connect_bus(now);
             }
-            Some(_) => self.wake_bus(self.bus.read_at + self.limits.bus_silence_us),
+            Some(_) => self.check_bus_at(self.bus.read_at + self.limits.bus_silence_us),
         }
     }
 }
--- a/daemon/src/daemon/feeds/consul/call.rs
+++ b/daemon/src/daemon/sources/consul/call.rs
@@ -7,9 +7,11 @@
 use linnetknot::Micros;
 use linnetknot_consul::TransportError;
 
-/// What came of a call: head and body of the response, or none.
+/// What came of a call: head and body of the response, or why there is none.
 pub(super) type Outcome = Result<(Head, Vec<u8>), TransportError>;
+/// Takes a part of a body, with the number of the watch.
 type Parts = fn(&mut Daemon, usize, &[u8]);
+/// Takes the outcome of a call.
 type Then = Box<dyn FnOnce(&mut Daemon, Micros, Outcome)>;
 
 /// One call.
@@ -28,11 +30,11 @@
     /// A call with this request, and what is to be done with its outcome.
     pub(super) fn new(
         request: Vec<u8>,
-        most_line: usize,
-        most_body: usize,
+        max_line: usize,
+        max_body: usize,
         then: impl FnOnce(&mut Daemon, Micros, Outcome) + 'static,
     ) -> Box<Self> {
-        let messages = Messages::responses(most_line, most_body);
+        let messages = Messages::responses(max_line, max_body);
         let then: Option<Then> = Some(Box::new(then));
         Box::new(Call {
             request,
--- a/daemon/src/daemon/feeds/consul/mod.rs
+++ b/daemon/src/daemon/sources/consul/mod.rs
@@ -1,5 +1,5 @@
-//! Consul in the daemon: the watches of its data centres, the proxy's own registration, and the list that is kept for
-//! the next start.
+//! Consul in the daemon: the watches of its data centres, the proxy's own registration, and the endpoint lists that are
+//! cached for the next start.
 
 mod cached_snapshot;
 mod call;
@@ -8,7 +8,7 @@
 use crate::daemon::Daemon;
 use crate::interconnect::Consul;
 use crate::net::{Due, Key};
-pub(in crate::daemon) use cached_snapshot::Keeper;
+pub(in crate::daemon) use cached_snapshot::SnapshotWriter;
 use call::{Call, Outcome};
 use linnetknot::Micros;
 use linnetknot_consul::{
@@ -16,9 +16,12 @@
     WatchUpdate,
 };
 use linnetknot_discovery::{Entry, Evidence, SourceId};
+use std::error::Error;
 use std::fs;
 use std::net::SocketAddr;
+use std::path::PathBuf;
 
+/// The watch of one data centre.
 struct Watched {
     watch: Watch,
     /// The call that is out.
@@ -26,6 +29,7 @@
     timer: Option<Due>,
 }
 
+/// The proxy's own registration.
 struct Registered {
     registration: Registration,
     timer: Option<Due>,
@@ -37,18 +41,28 @@
     watches: Vec<Watched>,
     registered: Option<Registered>,
     token: Option<Token>,
-    most_answer: usize,
+    max_answer: usize,
 }
 
-/// Reads the token's file. Its text shows in no message.
-fn token(consul: &Consul) -> Result<Option<Token>, String> {
+/// The file of the token can't be used. Its text shows in no message.
+#[derive(Debug, thiserror::Error)]
+#[error("consul.token_file: {}: {reason}", path.display())]
+pub(in crate::daemon) struct TokenError {
+    path: PathBuf,
+    reason: Box<dyn Error + Send + Sync>,
+}
+
+/// Reads the token's file.
+fn token(consul: &Consul) -> Result<Option<Token>, TokenError> {
     let Some(path) = &consul.token_file else {
         return Ok(None);
     };
-    let text = fs::read_to_string(path)
-        .map_err(|e| format!("consul.token_file: {}: {e}", path.display()))?;
-    let token =
-        Token::read(&text).map_err(|e| format!("consul.token_file: {}: {e}", path.display()))?;
+    let error = |reason| TokenError {
+        path: path.clone(),
+        reason,
+    };
+    let text = fs::read_to_string(path).map_err(|e| error(e.into()))?;
+    let token = Token::read(&text).map_err(|e| error(e.into()))?;
     Ok(Some(token))
 }
 
@@ -58,7 +72,7 @@
         consul: &Consul,
         seed: u64,
         listen: SocketAddr,
-    ) -> Result<Self, String> {
+    ) -> Result<Self, TokenError> {
         let watch = |(n, options)| {
             let watch = Watch::new(options, consul.mapping.clone(), seed ^ (n as u64 + 1));
             Watched {
@@ -82,7 +96,7 @@
                 .collect(),
             registered,
             token: token(consul)?,
-            most_answer: consul.most_answer,
+            max_answer: consul.most_answer,
         })
     }
 }
@@ -116,16 +130,17 @@
         };
         let to = state.agents[call.agent.min(state.agents.len() - 1)];
         let request = call.to_bytes(&to.to_string(), state.token.as_ref());
-        let then =
-            move |daemon: &mut Daemon, now, outcome: Outcome| daemon.watch_told(now, n, outcome);
-        let exchange = Call::new(request, self.limits.line, state.most_answer, then);
+        let then = move |daemon: &mut Daemon, now, outcome: Outcome| {
+            daemon.watch_finished(now, n, outcome);
+        };
+        let exchange = Call::new(request, self.limits.line, state.max_answer, then);
         let exchange = exchange.in_parts(n, Daemon::watch_reads);
         let key = self.exchange(now, to, exchange, Some(call.timeout_us));
         if let Some(w) = self.consul.as_mut().and_then(|c| c.watches.get_mut(n)) {
             w.key = key;
         }
         if key.is_none() {
-            self.watch_told(now, n, Err(TransportError::Unreachable));
+            self.watch_finished(now, n, Err(TransportError::Unreachable));
         }
     }
 
@@ -136,7 +151,7 @@
         }
     }
 
-    fn watch_told(&mut self, now: Micros, n: usize, outcome: Outcome) {
+    fn watch_finished(&mut self, now: Micros, n: usize, outcome: Outcome) {
         let Some(w) = self.consul.as_mut().and_then(|c| c.watches.get_mut(n)) else {
             return;
         };
@@ -177,7 +192,7 @@
             self.evidence(now, source, evidence);
         }
         if confirmed {
-            self.keep_list(now, n);
+            self.schedule_snapshot(now, n);
         }
         self.drive_watch(now, n);
         // Whether this proxy can serve may have changed with the list.
@@ -226,15 +241,15 @@
         let to = state.agents[call.agent.min(state.agents.len() - 1)];
         let request = call.to_bytes(&to.to_string(), state.token.as_ref());
         let then =
-            |daemon: &mut Daemon, now, outcome: Outcome| daemon.registration_told(now, outcome);
+            |daemon: &mut Daemon, now, outcome: Outcome| daemon.registration_finished(now, outcome);
         let exchange = Call::new(request, self.limits.line, self.limits.line, then);
         let key = self.exchange(now, to, exchange, Some(call.timeout_us));
         if key.is_none() {
-            self.registration_told(now, Err(TransportError::Unreachable));
+            self.registration_finished(now, Err(TransportError::Unreachable));
         }
     }
 
-    fn registration_told(&mut self, now: Micros, outcome: Outcome) {
+    fn registration_finished(&mut self, now: Micros, outcome: Outcome) {
         let Some(r) = self.consul.as_mut().and_then(|c| c.registered.as_mut()) else {
             return;
         };
@@ -261,8 +276,8 @@
         self.drive_registration(now);
     }
 
-    /// A kept list counts as what a watch was told last, so that an empty first answer can't wipe it out.
-    pub(super) fn remember_list(&mut self, n: usize, entries: &[Entry]) -> Option<Evidence> {
+    /// A cached snapshot counts as the last answer of a watch, so that an empty first answer can't wipe it out.
+    pub(super) fn seed_watch(&mut self, n: usize, entries: &[Entry]) -> Option<Evidence> {
         Some(
             self.consul
                 .as_mut()?
@@ -273,8 +288,8 @@
         )
     }
 
-    /// About to end: clients are to go elsewhere.
-    pub(in crate::daemon) fn leave_consul(&mut self, now: Micros) {
+    /// Ends the proxy's registration, as the process is about to end: clients are to go elsewhere.
+    pub(in crate::daemon) fn deregister_from_consul(&mut self, now: Micros) {
         if let Some(r) = self.consul.as_mut().and_then(|c| c.registered.as_mut()) {
             r.registration.deregister(now);
         }
@@ -282,12 +297,12 @@
     }
 
     /// Whether Consul needs nothing more of a proxy that ends.
-    pub(in crate::daemon) fn has_left_consul(&self) -> bool {
+    pub(in crate::daemon) fn is_deregistered_from_consul(&self) -> bool {
         let registered = self.consul.as_ref().and_then(|c| c.registered.as_ref());
         registered.is_none_or(|r| r.registration.is_finished())
     }
 
-    /// Another configuration of Consul. The list stays until an answer changes it. False: it needs a new start.
+    /// Takes another configuration of Consul. The list stays until an answer changes it. False: it needs a new start.
     pub(in crate::daemon) fn reload_consul(&mut self, now: Micros, new: Option<Consul>) -> bool {
         if self.config.consul == new {
             self.read_token();
@@ -314,7 +329,7 @@
             keys.extend(w.key.take());
             w.watch.reconfigure(options.clone(), new.mapping.clone());
         }
-        (state.agents, state.token, state.most_answer) =
+        (state.agents, state.token, state.max_answer) =
             (new.agents.clone(), token, new.most_answer);
         for key in keys {
             self.connections.remove(key);
--- a/daemon/src/daemon/feeds/peers.rs
+++ b/daemon/src/daemon/sources/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams of the peers.
+//! Datagrams from and to the other proxies.
 
 use crate::core::TRACE;
 use crate::daemon::Daemon;
@@ -9,14 +9,15 @@
 use linnetknot_replication::{Datagram, DecodeError, Entry, Outgoing, Received};
 use std::net::SocketAddr;
 
-/// Never: only a test has all chunks of snapshots lost.
+/// Whether all chunks of snapshots are lost, which only a test asks for.
 fn loses_chunks() -> bool {
     fail::fail_point!("snapshot-lost", |_| true);
     false
 }
 
 impl Daemon {
-    pub(in crate::daemon) fn hear_peers(&mut self, now: Micros) {
+    /// Receives all datagrams that have come in.
+    pub(in crate::daemon) fn receive_peer_datagrams(&mut self, now: Micros) {
         let mut bytes = [0; peers::MAX_DATAGRAM_BYTES + 1];
         while let Some((socket, _)) = &self.peers {
             let (length, from) = match receive_from(socket, &mut bytes) {
@@ -26,18 +27,18 @@
                 // epoll tells when there is more, or at once while there is.
                 Err(_) => return,
             };
-            // What does not come from a peer is not listened to.
+            // What does not come from a peer is dropped.
             let Some(peer) = self.peer_index.find(&from) else {
                 self.dropped.0 += 1;
                 continue;
             };
             let bytes = &bytes[..length];
-            let heard = |p| {
+            let is_taken = |p| {
                 self.hear_member(now, p, bytes)
                     || self.receive_budgets(now, p, bytes)
-                    || self.hear_copies(now, p, bytes)
+                    || self.receive_replication(now, p, bytes)
             };
-            if peer.place.is_some_and(heard) {
+            if peer.place.is_some_and(is_taken) {
                 continue;
             }
             if self
@@ -45,7 +46,7 @@
                 .as_mut()
                 .is_some_and(|h| h.receive(now, from, bytes))
             {
-                self.heed(now);
+                self.apply_origin_health(now);
             } else if let Some(purge) = peers::read(bytes) {
                 self.receive_plain_purge(now, peer.place, purge);
             } else {
@@ -54,8 +55,8 @@
         }
     }
 
-    /// What others find of the origin, as far as enough of them agree.
-    fn heed(&mut self, now: Micros) {
+    /// Hands the core what other proxies found of the origin, as far as enough of them agree.
+    fn apply_origin_health(&mut self, now: Micros) {
         let found = self
             .origin_health
             .as_ref()
@@ -65,26 +66,26 @@
         }
     }
 
-    /// The origin is late for this proxy.
-    pub(in crate::daemon) fn tell_found(&mut self, now: Micros, share: f64) {
-        let Some(word) = self
+    /// Tells the other proxies that the origin is slow for this one.
+    pub(in crate::daemon) fn share_origin_health(&mut self, now: Micros, share: f64) {
+        let Some(datagram) = self
             .origin_health
             .as_mut()
             .and_then(|h| h.observe(now, share))
         else {
             return;
         };
-        log::debug!(target: TRACE, share = share; "peers are told of a late origin");
-        self.send_to_peers(&word);
+        log::debug!(target: TRACE, share = share; "peers are notified of a slow origin");
+        self.send_to_peers(&datagram);
     }
 
-    /// Takes in a word of the peers' logs; false where it is none.
-    fn hear_copies(&mut self, now: Micros, peer: usize, bytes: &[u8]) -> bool {
+    /// Takes a datagram of replication; false where it is none.
+    fn receive_replication(&mut self, now: Micros, peer: usize, bytes: &[u8]) -> bool {
         let datagram = match Datagram::read(bytes) {
             Ok(datagram) => datagram,
             Err(DecodeError::Foreign) => return false,
             Err(e) => {
-                log::debug!(place = peer; "{e}");
+                log::debug!(peer = peer; "{e}");
                 self.dropped.1 += 1;
                 return true;
             }
@@ -93,7 +94,7 @@
             return true;
         };
         let own = ledger.replica().own().writer;
-        let told = match &datagram {
+        let peer_checksum = match &datagram {
             Datagram::Digest { checksum, .. } => Some(*checksum),
             _ => None,
         };
@@ -101,44 +102,44 @@
         if is_chunk && loses_chunks() {
             return true;
         }
-        let heard = ledger.receive(now, peer, datagram);
-        let same = told == Some(ledger.replica().log_store().checksum());
-        self.enforce(now, &heard);
+        let received = ledger.receive(now, peer, datagram);
+        let is_synced = peer_checksum == Some(ledger.replica().log_store().checksum());
+        self.apply_received_purges(now, &received);
         // What its operators decided, and not each purge of a long log that comes back.
-        if heard
+        if received
             .new
             .iter()
             .any(|entry| entry.log.writer == own && ledger::purge(entry).is_none())
         {
             self.recall_decided(now);
         }
-        self.hear_triggers(now, &heard.new);
+        self.hear_triggers(now, &received.new);
         if is_chunk {
             fail::fail_point!("snapshot-chunk");
         }
-        if is_chunk || !heard.new.is_empty() {
+        if is_chunk || !received.new.is_empty() {
             self.extend_recovery(now);
         }
         self.watch_snapshot(now);
-        if same {
+        if is_synced {
             self.same_as(now, peer);
         }
-        if !heard.new.is_empty() {
-            log::debug!(target: TRACE, place = peer, entries = heard.new.len(); "a peer told of purges");
+        if !received.new.is_empty() {
+            log::debug!(target: TRACE, peer = peer, entries = received.new.len(); "a peer sent purges");
         }
-        let replies = heard
+        let replies = received
             .replies
             .into_iter()
             .map(|datagram| Outgoing { peer, datagram });
-        self.send_words(replies.collect());
+        self.send_datagrams(replies.collect());
         self.settle_promises(now);
         // The next part of a snapshot, or of what is missing, may be due sooner now.
         self.plan_copies(now);
         true
     }
 
-    /// Puts in force what a peer told of purges. What there is no room to keep is in force all the same.
-    fn enforce(&mut self, now: Micros, received: &Received) {
+    /// Puts the purges of a peer in force, also those that there is no capacity to store.
+    fn apply_received_purges(&mut self, now: Micros, received: &Received) {
         for entry in received
             .new
             .iter()
@@ -161,8 +162,8 @@
         }
     }
 
-    /// Tells all peers of a new entry at once; those whom that misses get it with the logs.
-    pub(in crate::daemon) fn tell_entry(&mut self, entry: Entry) {
+    /// Sends a new entry to all peers at once; those that it does not reach get it by replication.
+    pub(in crate::daemon) fn send_entry(&mut self, entry: Entry) {
         if let Some(bytes) = Datagram::Entry(entry)
             .write()
             .filter(|_| self.config.copies.on)
@@ -171,18 +172,18 @@
         }
     }
 
-    /// Sends words of the logs to peers, by their places.
-    pub(in crate::daemon) fn send_words(&self, told: Vec<Outgoing>) {
-        for Outgoing { peer, datagram } in told {
+    /// Sends datagrams of replication to peers.
+    pub(in crate::daemon) fn send_datagrams(&self, outgoing: Vec<Outgoing>) {
+        for Outgoing { peer, datagram } in outgoing {
             if let Some(bytes) = datagram.write() {
-                self.send_to_place(peer, &bytes);
+                self.send_to_peer_at(peer, &bytes);
             }
         }
     }
 
-    /// Sends a datagram to the peer at a place of the list of those that copies are made with.
-    pub(in crate::daemon) fn send_to_place(&self, place: usize, datagram: &[u8]) {
-        if let Some((peer, _)) = self.config.copies.machines.get(place) {
+    /// Sends a datagram to a replication peer, by its index in the configuration.
+    pub(in crate::daemon) fn send_to_peer_at(&self, index: usize, datagram: &[u8]) {
+        if let Some((peer, _)) = self.config.copies.machines.get(index) {
             self.send_to_peer(*peer, datagram);
         }
     }
@@ -200,6 +201,7 @@
             .collect()
     }
 
+    /// Sends a datagram to a peer.
     pub(in crate::daemon) fn send_to_peer(&self, peer: SocketAddr, datagram: &[u8]) {
         if let Some((socket, _)) = &self.peers {
             // A datagram may be lost anyway: one that can't be sent is one of those.
@@ -207,6 +209,7 @@
         }
     }
 
+    /// Sends a datagram to all other peers.
     fn send_to_peers(&self, datagram: &[u8]) {
         self.other_peers()
             .into_iter()
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -94,7 +94,7 @@
 /// Consul, where the configuration names one, with what keeps its list for the next process.
 struct ConsulParts {
     state: Option<consul::State>,
-    keeper: Option<consul::Keeper>,
+    snapshots: Option<consul::SnapshotWriter>,
     damping: Damping,
 }
 
@@ -104,22 +104,22 @@
         let Some(consul) = &config.consul else {
             return Ok(ConsulParts {
                 state: None,
-                keeper: None,
+                snapshots: None,
                 damping: Damping::default(),
             });
         };
         let state = consul::State::start(consul, config.seed, address)
             .map_err(|e| StartError::Consul(e.into()))?;
-        let keeper = config
+        let snapshots = config
             .state
             .directory
             .as_ref()
-            .map(|folder| consul::Keeper::start(folder, consul.scopes()))
+            .map(|folder| consul::SnapshotWriter::start(folder, consul.scopes()))
             .transpose()
             .map_err(|e| StartError::Consul(e.into()))?;
         Ok(ConsulParts {
             state: Some(state),
-            keeper,
+            snapshots,
             damping: consul.damping,
         })
     }
@@ -173,7 +173,9 @@
         daemon.index_peers();
         let now = daemon.clock.now();
         daemon.restore_purges(now);
-        known.into_iter().for_each(|event| daemon.news(now, event));
+        known
+            .into_iter()
+            .for_each(|event| daemon.apply_bus_event(now, event));
         daemon.bus.last = last_event;
         daemon.know_machines();
         daemon.join_fleet(now);
@@ -186,8 +188,8 @@
         daemon.begin_reopening(now);
         daemon.plan_operator_state(now);
         daemon.copy_purges(now);
-        daemon.recall_lists(now);
-        daemon.call_bus(now);
+        daemon.load_snapshots(now);
+        daemon.connect_bus(now);
         daemon.drive_consul(now);
         daemon.settle(now);
         daemon.log_start();
@@ -228,7 +230,7 @@
             members_due: None,
             said: Said::default(),
             consul: parts.consul.state,
-            keeper: parts.consul.keeper,
+            snapshots: parts.consul.snapshots,
             peers: parts.peers,
             peer_index: PeerIndex::default(),
             plain_purges: PlainPurges::new(&config.limits),
--- a/daemon/src/daemon/upstream_connections.rs
+++ b/daemon/src/daemon/upstream_connections.rs
@@ -136,7 +136,7 @@
             None if late == 0 => Err(ConnectError::NoCapacity),
             None => Err(ConnectError::Unreachable),
         };
-        if ahead && self.connections.room() > self.limits.spare_connections {
+        if ahead && self.connections.free_slots() > self.limits.spare_connections {
             let _ = self.connect_cache(now, server);
         }
         match key {
@@ -180,7 +180,7 @@
     /// the list of boxes could not be asked for any more. Connections that rest make room.
     fn connect_cache(&mut self, now: Micros, server: ServerId) -> Result<Key, ConnectError> {
         let endpoint = self.core.endpoint(server).ok_or(ConnectError::NoCapacity)?;
-        if self.connections.room() <= self.limits.spare_connections {
+        if self.connections.free_slots() <= self.limits.spare_connections {
             let rests = |key: &&Key| {
                 self.cache_connection(**key)
                     .is_some_and(|(_, link)| link.is_idle())
--- a/daemon/src/front/fastcgi/output.rs
+++ b/daemon/src/front/fastcgi/output.rs
@@ -106,7 +106,7 @@
     fn write(&mut self, ring: &mut Ring) -> Written {
         match self {
             Message::Management(record) => {
-                if ring.room() < record.len() {
+                if ring.free_bytes() < record.len() {
                     return Written::Blocked;
                 }
                 ring.push(record);
@@ -129,7 +129,7 @@
                 keep_open,
                 ..
             } => {
-                if ring.room() < END_CAPACITY {
+                if ring.free_bytes() < END_CAPACITY {
                     return Written::Blocked;
                 }
                 ring.push(&end_records(*id, !bytes.is_empty(), *status));
@@ -143,7 +143,7 @@
 
 /// Writes the next record of a response's content: how many bytes of it; none where too few would fit.
 fn write_content(ring: &mut Ring, id: u16, content: &[u8]) -> Option<usize> {
-    let fits = ring.room().saturating_sub(wire::HEADER_LENGTH);
+    let fits = ring.free_bytes().saturating_sub(wire::HEADER_LENGTH);
     let length = fits.min(content.len()).min(wire::MAX_CONTENT);
     if length < content.len().min(MIN_RECORD) {
         return None;
--- a/daemon/src/net/conn.rs
+++ b/daemon/src/net/conn.rs
@@ -41,6 +41,7 @@
     Broken,
 }
 
+/// What a transfer came to; `none` where it moved no bytes.
 fn progress(result: Result<usize, Failure>, none: Progress) -> Progress {
     match result.map_err(|failure| failure.kind) {
         Ok(0) => none,
@@ -129,7 +130,7 @@
 
     /// Reads once. A full ring reads nothing, so the other side has to wait.
     pub fn read(&mut self, broken: bool) -> Progress {
-        if self.input.room() == 0 {
+        if self.input.free_bytes() == 0 {
             // epoll goes on telling of a broken connection whatever is watched: the loop would spin on it for
             // as long as the ring stays full, and nobody is left to answer.
             return if broken {
@@ -204,7 +205,7 @@
     /// What to watch for from now on, if that has changed.
     pub fn watch(&mut self) -> Option<Interest> {
         let wanted = Interest {
-            read: !self.ended && self.input.room() > 0,
+            read: !self.ended && self.input.free_bytes() > 0,
             write: !self.up || self.is_stuck(),
             hang_up: !self.ended,
         };
--- a/daemon/src/net/deadlines.rs
+++ b/daemon/src/net/deadlines.rs
@@ -44,22 +44,3 @@
         Some(first.remove())
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn deadlines_come_in_order_once_and_can_be_taken_back() {
-        let mut d = Deadlines::default();
-        let (_, late) = (d.set(20, 'a'), d.set(30, 'b'));
-        d.set(10, 'c');
-        d.set(20, 'd');
-        d.take_back(late);
-        assert_eq!((d.next(), d.pop(9)), (Some(10), None));
-        assert_eq!(
-            [d.pop(20), d.pop(20), d.pop(20), d.pop(99)],
-            [Some('c'), Some('a'), Some('d'), None]
-        );
-    }
-}
--- a/daemon/src/net/injection.rs
+++ b/daemon/src/net/injection.rs
@@ -6,7 +6,7 @@
 use std::net::TcpStream;
 
 #[cfg(feature = "points")]
-pub use armed::{arm, arm_process, disarm_all, errno_named, Plan};
+pub use armed::{arm, arm_process, disarm_all, errno_named, AlreadyArmed, Plan, PlanError};
 
 /// The errno with which this call is to fail, in the place of being made.
 #[cfg(not(feature = "points"))]
@@ -35,8 +35,36 @@
     use std::cell::RefCell;
     use std::collections::BTreeMap;
     use std::net::SocketAddr;
+    use std::num::ParseIntError;
     use std::sync::OnceLock;
 
+    /// Why a plan can't be read.
+    #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+    pub enum PlanError {
+        /// A part is not of the form `NAME(VALUE)`.
+        #[error("'{0}' is not NAME(VALUE)")]
+        Form(String),
+        /// A value is no number, or too great a one.
+        #[error("{part}: {source}")]
+        Number {
+            /// The part that it stands in.
+            part: String,
+            /// Why it can't be read.
+            source: ParseIntError,
+        },
+        /// A part has another name than those of a plan.
+        #[error("'{0}' is none of errno, every, after, times, port and short")]
+        UnknownPart(String),
+        /// No errno that the manual pages name for these calls has this name.
+        #[error("there is no errno '{0}'")]
+        UnknownErrno(String),
+    }
+
+    /// The system calls of this process are armed already.
+    #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+    #[error("the system calls of this process are armed already")]
+    pub struct AlreadyArmed;
+
     /// When a call fails, and with what.
     #[derive(Clone, Debug, Default, PartialEq, Eq)]
     pub struct Plan {
@@ -77,14 +105,18 @@
         ///
         /// # Errors
         /// The part that is not understood.
-        pub fn parse(text: &str) -> Result<Self, String> {
+        pub fn parse(text: &str) -> Result<Self, PlanError> {
             let mut plan = Plan::default();
             for part in text.split(':') {
                 let (name, argument) = part
                     .strip_suffix(')')
                     .and_then(|part| part.split_once('('))
-                    .ok_or_else(|| format!("'{part}' is not NAME(VALUE)"))?;
-                let number = || argument.parse::<u64>().map_err(|e| format!("{part}: {e}"));
+                    .ok_or_else(|| PlanError::Form(part.to_owned()))?;
+                let wrong_number = |source| PlanError::Number {
+                    part: part.to_owned(),
+                    source,
+                };
+                let number = || argument.parse::<u64>().map_err(wrong_number);
                 match name {
                     "errno" => {
                         plan.errnos = argument
@@ -95,13 +127,9 @@
                     "every" => plan.every = number()?,
                     "after" => plan.after = number()?,
                     "times" => plan.times = number()?,
-                    "port" => plan.port = argument.parse().map_err(|e| format!("{part}: {e}"))?,
-                    "short" => plan.short = argument.parse().map_err(|e| format!("{part}: {e}"))?,
-                    _ => {
-                        return Err(format!(
-                            "'{name}' is none of errno, every, after, times, port and short"
-                        ))
-                    }
+                    "port" => plan.port = argument.parse().map_err(wrong_number)?,
+                    "short" => plan.short = argument.parse().map_err(wrong_number)?,
+                    _ => return Err(PlanError::UnknownPart(name.to_owned())),
                 }
             }
             Ok(plan)
@@ -135,10 +163,10 @@
     ///
     /// # Errors
     /// The process is armed already.
-    pub fn arm_process(plans: Vec<(Call, Plan)>) -> Result<(), String> {
+    pub fn arm_process(plans: impl IntoIterator<Item = (Call, Plan)>) -> Result<(), AlreadyArmed> {
         PROCESS
             .set(plans.into_iter().collect())
-            .map_err(|_| "the system calls of this process are armed already".into())
+            .map_err(|_| AlreadyArmed)
     }
 
     /// Arms a call in this thread.
@@ -178,11 +206,11 @@
     ///
     /// # Errors
     /// No errno that the manual pages name for these calls has this name.
-    pub fn errno_named(name: &str) -> Result<Errno, String> {
+    pub fn errno_named(name: &str) -> Result<Errno, PlanError> {
         let found = ERRNOS.iter().find(|(known, _)| *known == name);
         found
             .map(|(_, errno)| *errno)
-            .ok_or_else(|| format!("there is no errno '{name}'"))
+            .ok_or_else(|| PlanError::UnknownErrno(name.to_owned()))
     }
 
     const ERRNOS: [(&str, Errno); 52] = [
--- a/daemon/src/net/listener.rs
+++ b/daemon/src/net/listener.rs
@@ -6,10 +6,10 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
 /// Connections that were lost before they were taken, and are passed over in one go.
-const MOST_LOST: usize = 64;
+const MAX_LOST: usize = 64;
 
 /// Attempts to take a listener out of an epoll set.
-const MOST_REMOVALS: usize = 8;
+const MAX_REMOVALS: usize = 8;
 
 /// A listener in an epoll set.
 pub struct Listener {
@@ -44,7 +44,7 @@
     /// # Errors
     /// What this process or machine lacks.
     pub fn accept(&self) -> Result<Option<TcpStream>, Failure> {
-        for _ in 0..MOST_LOST {
+        for _ in 0..MAX_LOST {
             match syscall::accept(&self.socket) {
                 Ok(socket) => return Ok(Some(socket)),
                 Err(failure) => match failure.kind {
@@ -87,7 +87,7 @@
     /// It could not be taken out of the set.
     pub fn close(self, poll: &Poll) -> Result<(), Failure> {
         let mut removed = poll.remove(&self.socket);
-        for _ in 0..MOST_REMOVALS {
+        for _ in 0..MAX_REMOVALS {
             if removed.is_ok() {
                 break;
             }
--- a/daemon/src/net/poll.rs
+++ b/daemon/src/net/poll.rs
@@ -120,13 +120,13 @@
     ///
     /// # Errors
     /// The set itself is unusable.
-    pub fn wait(&mut self, most_us: u64, out: &mut Vec<Ready>) -> Result<(), Failure> {
+    pub fn wait(&mut self, max_us: u64, out: &mut Vec<Ready>) -> Result<(), Failure> {
         self.events.clear();
-        let most = Timespec {
-            tv_sec: (most_us / 1_000_000) as i64,
-            tv_nsec: (most_us % 1_000_000 * 1_000) as i64,
+        let max = Timespec {
+            tv_sec: (max_us / 1_000_000) as i64,
+            tv_nsec: (max_us % 1_000_000 * 1_000) as i64,
         };
-        syscall::epoll_wait(&self.fd, most, &mut self.events)?;
+        syscall::epoll_wait(&self.fd, max, &mut self.events)?;
         let broken = epoll::EventFlags::ERR | epoll::EventFlags::HUP;
         out.extend(self.events.iter().map(|e| {
             let flags = e.flags;
--- a/daemon/src/net/ring.rs
+++ b/daemon/src/net/ring.rs
@@ -3,17 +3,17 @@
 /// A bounded ring of bytes. Memory is taken with the first byte, so a connection that never speaks costs none.
 pub struct Ring {
     bytes: Vec<u8>,
-    most: usize,
+    max: usize,
     head: usize,
     len: usize,
 }
 
 impl Ring {
     /// A ring for so many bytes at most.
-    pub fn new(most: usize) -> Self {
+    pub fn new(max: usize) -> Self {
         Ring {
             bytes: Vec::new(),
-            most: most.max(1),
+            max: max.max(1),
             head: 0,
             len: 0,
         }
@@ -38,8 +38,8 @@
     }
 
     /// Bytes that still fit.
-    pub fn room(&self) -> usize {
-        self.most - self.len
+    pub fn free_bytes(&self) -> usize {
+        self.max - self.len
     }
 
     /// The longest run of held bytes from the front.
@@ -54,19 +54,20 @@
         self.head = if self.len == 0 {
             0
         } else {
-            (self.head + n) % self.most
+            (self.head + n) % self.max
         };
     }
 
+    /// The free run behind the held bytes.
     fn gap(&mut self) -> &mut [u8] {
         if self.bytes.is_empty() {
-            self.bytes = vec![0; self.most];
+            self.bytes = vec![0; self.max];
         }
-        let tail = (self.head + self.len) % self.most;
+        let tail = (self.head + self.len) % self.max;
         let end = if self.len > 0 && tail <= self.head {
             self.head
         } else {
-            self.most
+            self.max
         };
         &mut self.bytes[tail..end]
     }
@@ -74,7 +75,7 @@
     /// Takes in as many bytes as fit; tells how many.
     pub fn push(&mut self, mut bytes: &[u8]) -> usize {
         let before = self.len;
-        while !bytes.is_empty() && self.room() > 0 {
+        while !bytes.is_empty() && self.free_bytes() > 0 {
             let gap = self.gap();
             let n = gap.len().min(bytes.len());
             gap[..n].copy_from_slice(&bytes[..n]);
@@ -92,7 +93,7 @@
         &mut self,
         read: impl FnOnce(&mut [u8]) -> Result<usize, E>,
     ) -> Result<usize, E> {
-        if self.room() == 0 {
+        if self.free_bytes() == 0 {
             return Ok(0);
         }
         let n = read(self.gap())?;
@@ -110,29 +111,3 @@
         Ok(n)
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn bytes_come_out_as_they_went_in_around_the_end() {
-        let mut ring = Ring::new(5);
-        let (mut sent, mut got) = (0u8, Vec::new());
-        let mut take = |bytes: &[u8]| {
-            got.extend_from_slice(bytes);
-            Ok::<_, std::convert::Infallible>(bytes.len())
-        };
-        for step in [3, 1, 4, 2, 5, 1, 3, 5] {
-            let bytes: Vec<u8> = (sent..sent + step).collect();
-            sent += ring.push(&bytes) as u8;
-            assert_eq!(ring.push(&[0; 9][..0]), 0);
-            ring.drain(&mut take).unwrap();
-        }
-        while !ring.is_empty() {
-            ring.drain(&mut take).unwrap();
-        }
-        assert_eq!(got, (0..sent).collect::<Vec<_>>());
-        assert_eq!((ring.push(&[7; 9]), ring.room()), (5, 0));
-    }
-}
--- a/daemon/src/net/slots.rs
+++ b/daemon/src/net/slots.rs
@@ -22,20 +22,26 @@
     }
 }
 
+/// A slot, and the generation of what stands in it or comes next.
+struct Slot<T> {
+    generation: u32,
+    value: Option<T>,
+}
+
 /// A bounded table of slots.
 pub struct Slots<T> {
-    slots: Vec<(u32, Option<T>)>,
+    slots: Vec<Slot<T>>,
     free: Vec<u32>,
-    most: usize,
+    max: usize,
 }
 
 impl<T> Slots<T> {
     /// A table for so many entries at most.
-    pub fn new(most: usize) -> Self {
+    pub fn new(max: usize) -> Self {
         Slots {
             slots: Vec::new(),
             free: Vec::new(),
-            most,
+            max,
         }
     }
 
@@ -51,93 +57,80 @@
 
     /// Whether no entry can be added.
     pub fn is_full(&self) -> bool {
-        self.len() >= self.most
+        self.len() >= self.max
     }
 
     /// How many entries can be added.
-    pub fn room(&self) -> usize {
-        self.most - self.len()
+    pub fn free_slots(&self) -> usize {
+        self.max - self.len()
     }
 
     /// Whether half of the places are taken.
     pub fn is_half_full(&self) -> bool {
-        self.len() * 2 >= self.most
+        self.len() * 2 >= self.max
     }
 
     /// Adds an entry; gives it back where the table is full.
+    ///
+    /// # Errors
+    /// The entry, as the table is full.
     pub fn insert(&mut self, value: T) -> Result<Key, T> {
-        if let Some(slot) = self.free.pop() {
-            let (generation, place) = &mut self.slots[slot as usize];
-            *place = Some(value);
+        if let Some(number) = self.free.pop() {
+            let slot = &mut self.slots[number as usize];
+            slot.value = Some(value);
             return Ok(Key {
-                slot,
-                generation: *generation,
+                slot: number,
+                generation: slot.generation,
             });
         }
-        if self.slots.len() >= self.most {
+        if self.slots.len() >= self.max {
             return Err(value);
         }
-        self.slots.push((0, Some(value)));
+        self.slots.push(Slot {
+            generation: 0,
+            value: Some(value),
+        });
         Ok(Key {
             slot: self.slots.len() as u32 - 1,
             generation: 0,
         })
     }
 
-    /// The entry of a key, unless it has left.
+    /// The entry of a key, unless it has been removed.
     pub fn get(&self, key: Key) -> Option<&T> {
-        self.slots
-            .get(key.slot as usize)
-            .filter(|s| s.0 == key.generation)?
-            .1
-            .as_ref()
+        let slot = self.slots.get(key.slot as usize)?;
+        let value = slot.value.as_ref();
+        value.filter(|_| slot.generation == key.generation)
     }
 
     /// As `get`, to change it.
     pub fn get_mut(&mut self, key: Key) -> Option<&mut T> {
-        self.slots
-            .get_mut(key.slot as usize)
-            .filter(|s| s.0 == key.generation)?
-            .1
-            .as_mut()
+        let slot = self.slots.get_mut(key.slot as usize)?;
+        let is_current = slot.generation == key.generation;
+        slot.value.as_mut().filter(|_| is_current)
     }
 
-    /// Takes an entry out; its slot may be used again under a new generation.
+    /// Removes an entry; its slot may be used again under a new generation.
     pub fn remove(&mut self, key: Key) -> Option<T> {
-        let place = self
-            .slots
-            .get_mut(key.slot as usize)
-            .filter(|s| s.0 == key.generation)?;
-        let value = place.1.take()?;
-        place.0 = place.0.wrapping_add(1);
+        let slot = self.slots.get_mut(key.slot as usize)?;
+        if slot.generation != key.generation {
+            return None;
+        }
+        let value = slot.value.take()?;
+        slot.generation = slot.generation.wrapping_add(1);
         self.free.push(key.slot);
         Some(value)
     }
 
     /// All keys, in the order of the slots.
     pub fn keys(&self) -> Vec<Key> {
-        let held = self.slots.iter().enumerate().filter(|(_, s)| s.1.is_some());
-        held.map(|(slot, s)| Key {
-            slot: slot as u32,
-            generation: s.0,
-        })
-        .collect()
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_stale_key_misses_the_slots_next_entry() {
-        let mut slots = Slots::new(1);
-        let old = slots.insert("old").unwrap();
-        assert_eq!(slots.insert("no room"), Err("no room"));
-        assert_eq!(slots.remove(old), Some("old"));
-        let new = slots.insert("new").unwrap();
-        assert_eq!((slots.get(old), slots.get(new)), (None, Some(&"new")));
-        assert_eq!(slots.remove(old), None);
-        assert_eq!(Key::from_u64(new.to_u64()), new);
+        let taken = self.slots.iter().enumerate();
+        let taken = taken.filter(|(_, slot)| slot.value.is_some());
+        taken
+            .map(|(number, slot)| Key {
+                slot: number as u32,
+                generation: slot.generation,
+            })
+            .collect()
     }
 }
--- a/daemon/src/net/syscall.rs
+++ b/daemon/src/net/syscall.rs
@@ -116,17 +116,17 @@
 
 /// Reads what a connection has; 0 at its end.
 pub(super) fn read(socket: &TcpStream, buffer: &mut [u8]) -> Result<usize, Failure> {
-    let most = injection::limit(Call::Read, buffer.len());
+    let max = injection::limit(Call::Read, buffer.len());
     make_on(Call::Read, socket, || {
-        net::recv(socket, &mut buffer[..most], RecvFlags::empty()).map(|(_, length)| length)
+        net::recv(socket, &mut buffer[..max], RecvFlags::empty()).map(|(_, length)| length)
     })
 }
 
 /// Writes what a connection takes.
 pub(super) fn write(socket: &TcpStream, bytes: &[u8]) -> Result<usize, Failure> {
-    let most = injection::limit(Call::Write, bytes.len());
+    let max = injection::limit(Call::Write, bytes.len());
     make_on(Call::Write, socket, || {
-        net::send(socket, &bytes[..most], SendFlags::NOSIGNAL)
+        net::send(socket, &bytes[..max], SendFlags::NOSIGNAL)
     })
 }
 
--- a/daemon/src/points.rs
+++ b/daemon/src/points.rs
@@ -184,12 +184,12 @@
         };
         armed.map_err(|e| format!("LINNETKNOT_POINTS: {e}"))?;
     }
-    injection::arm_process(plans)
+    injection::arm_process(plans).map_err(|e| e.to_string())
 }
 
 /// A system call by its name, and how it is to fail.
 fn system_call(name: &str, plan: &str) -> Result<(Call, Plan), String> {
     let call = Call::ALL.into_iter().find(|call| call.name() == name);
     let call = call.ok_or_else(|| format!("there is no system call '{name}'"))?;
-    Ok((call, Plan::parse(plan)?))
+    Ok((call, Plan::parse(plan).map_err(|e| e.to_string())?))
 }
--- a/daemon/tests/net.rs
+++ b/daemon/tests/net.rs
@@ -1,6 +1,6 @@
-//! Sockets: what becomes of bytes at the end of a connection.
+//! Sockets, what becomes of bytes at the end of a connection, rings, slots and deadlines.
 
-use linnetknot_daemon::net::{Conn, Interest, Poll, Progress};
+use linnetknot_daemon::net::{Conn, Deadlines, Interest, Key, Poll, Progress, Ring, Slots};
 use rustix::net::sockopt;
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -45,7 +45,7 @@
     let mut far = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let mut conn = Conn::new(listener.accept().unwrap().0, true, 4, 4).unwrap();
     far.write_all(b"123456").unwrap();
-    while conn.read(false) != Progress::Blocked || conn.input.room() > 0 {}
+    while conn.read(false) != Progress::Blocked || conn.input.free_bytes() > 0 {}
     let mut poll = Poll::new(4).unwrap();
     poll.add(conn.socket(), 7, Interest::NONE).unwrap();
     sockopt::set_socket_linger(&far, Some(std::time::Duration::ZERO)).unwrap();
@@ -73,7 +73,7 @@
     let mut poll = Poll::new(4).unwrap();
     poll.add(conn.socket(), 7, conn.watched()).unwrap();
     far.write_all(b"123456").unwrap();
-    while conn.read(false) != Progress::Blocked || conn.input.room() > 0 {}
+    while conn.read(false) != Progress::Blocked || conn.input.free_bytes() > 0 {}
     let interest = conn.watch().unwrap();
     assert!(!interest.read && interest.hang_up);
     poll.change(conn.socket(), 7, interest).unwrap();
@@ -122,3 +122,50 @@
     assert_eq!((conn.output.len(), conn.written), (0, before));
     assert!(conn.is_stuck(), "it is to be tried again");
 }
+
+#[test]
+fn a_stale_key_misses_the_slots_next_entry() {
+    let mut slots = Slots::new(1);
+    let old = slots.insert("old").unwrap();
+    assert_eq!(slots.insert("no room"), Err("no room"));
+    assert_eq!(slots.remove(old), Some("old"));
+    let new = slots.insert("new").unwrap();
+    assert_eq!((slots.get(old), slots.get(new)), (None, Some(&"new")));
+    assert_eq!(slots.remove(old), None);
+    assert_eq!(Key::from_u64(new.to_u64()), new);
+}
+
+#[test]
+fn bytes_come_out_as_they_went_in_around_the_end() {
+    let mut ring = Ring::new(5);
+    let (mut sent, mut got) = (0u8, Vec::new());
+    let mut take = |bytes: &[u8]| {
+        got.extend_from_slice(bytes);
+        Ok::<_, std::convert::Infallible>(bytes.len())
+    };
+    for step in [3, 1, 4, 2, 5, 1, 3, 5] {
+        let bytes: Vec<u8> = (sent..sent + step).collect();
+        sent += ring.push(&bytes) as u8;
+        assert_eq!(ring.push(&[0; 9][..0]), 0);
+        ring.drain(&mut take).unwrap();
+    }
+    while !ring.is_empty() {
+        ring.drain(&mut take).unwrap();
+    }
+    assert_eq!(got, (0..sent).collect::<Vec<_>>());
+    assert_eq!((ring.push(&[7; 9]), ring.free_bytes()), (5, 0));
+}
+
+#[test]
+fn deadlines_come_in_order_once_and_can_be_taken_back() {
+    let mut d = Deadlines::default();
+    let (_, late) = (d.set(20, 'a'), d.set(30, 'b'));
+    d.set(10, 'c');
+    d.set(20, 'd');
+    d.take_back(late);
+    assert_eq!((d.next(), d.pop(9)), (Some(10), None));
+    assert_eq!(
+        [d.pop(20), d.pop(20), d.pop(20), d.pop(99)],
+        [Some('c'), Some('a'), Some('d'), None]
+    );
+}
