--- a/daemon/src/core/purging.rs
+++ b/daemon/src/core/purging.rs
@@ -14,21 +14,21 @@
     /// Records a purge of an object, or with none of a whole group, by the date that came with it.
     pub fn record_purge(&mut self, now: Micros, object: Option<String>, group: u64, at: Micros) {
         let key = purge_key(object.as_deref(), group);
-        let date = self.origin_clock.bound(now, key, at);
+        let date = self.origin_clock.record_dated(now, key, at);
         self.router.purges_mut().record(key, date);
     }
 
     /// Records a purge that was requested from this proxy, as of now. Gives the date for the other proxies.
     pub fn record_local_purge(&mut self, now: Micros, object: Option<&str>, group: u64) -> Micros {
         let key = purge_key(object, group);
-        let date = self.origin_clock.date_own(now, key);
+        let date = self.origin_clock.record_local(now, key);
         self.router.purges_mut().record(key, date);
         self.origin_clock.date_for_peers(now)
     }
 
     /// Takes a date that the origin or the event bus has just given: a lower bound of the origin's clock.
     pub fn observe_origin_date(&mut self, now: Micros, date: Micros) {
-        for (key, date) in self.origin_clock.heard(now, date) {
+        for (key, date) in self.origin_clock.observe(now, date) {
             self.router.purges_mut().record(key, date);
         }
         self.router.set_origin_offset(self.origin_clock.offset_us());
@@ -42,7 +42,7 @@
     /// Translates a time of the origin's clock to the local clock, as far as its offset is known: never to an earlier
     /// time than it was.
     pub fn local_time(&self, date: Micros) -> Micros {
-        self.origin_clock.to_own(date)
+        self.origin_clock.to_local(date)
     }
 
     /// The time that the origin's clock has reached at least at a time of the local clock.
--- a/daemon/src/daemon/budgets/mod.rs
+++ b/daemon/src/daemon/budgets/mod.rs
@@ -91,7 +91,7 @@
     /// Joins them anew, as a later process of this member.
     pub(super) fn rejoin_budgets(&mut self, now: Micros) {
         if let Some(due) = self.shared_budgets.take().and_then(|shared| shared.due) {
-            self.deadlines.take_back(due);
+            self.deadlines.cancel(due);
         }
         if let Err(e) = self.join_budgets(now) {
             log::error!("{e}");
--- a/daemon/src/daemon/exchange.rs
+++ b/daemon/src/daemon/exchange.rs
@@ -69,7 +69,7 @@
         what: impl FnOnce(&mut Daemon, Micros) + 'static,
     ) -> Option<Due> {
         if let Some(old) = old {
-            self.deadlines.take_back(old);
+            self.deadlines.cancel(old);
         }
         at.map(|at| self.later(at, what))
     }
--- a/daemon/src/daemon/fleet.rs
+++ b/daemon/src/daemon/fleet.rs
@@ -142,7 +142,10 @@
             return;
         };
         let due = membership.due().max(now + 1);
-        if self.fleet_due.is_none_or(|(at, _)| at > due || at <= now) {
+        if self
+            .fleet_due
+            .is_none_or(|planned| planned.at > due || planned.at <= now)
+        {
             let old = self.fleet_due.take();
             self.fleet_due = self.instead(old, Some(due), |daemon, now| {
                 daemon.fleet_due = None;
--- a/daemon/src/daemon/members.rs
+++ b/daemon/src/daemon/members.rs
@@ -82,7 +82,7 @@
             }
         }
         let due = self.members.next_due(now);
-        if due != self.members_due.map(|d| d.0) {
+        if due != self.members_due.map(|planned| planned.at) {
             let old = self.members_due.take();
             self.members_due = self.instead(old, due, Daemon::review_members);
         }
--- a/daemon/src/daemon/operator_state.rs
+++ b/daemon/src/daemon/operator_state.rs
@@ -121,7 +121,7 @@
     /// Plans the next attempt, where one is owed.
     pub(super) fn plan_operator_state(&mut self, now: Micros) {
         let state = &mut self.operator_state;
-        let is_planned = state.due.is_some_and(|(at, _)| at > now);
+        let is_planned = state.due.is_some_and(|planned| planned.at > now);
         if is_planned || !(state.is_unread || state.is_stale) {
             return;
         }
--- a/daemon/src/daemon/promises.rs
+++ b/daemon/src/daemon/promises.rs
@@ -474,7 +474,7 @@
         if self
             .promised
             .due
-            .is_none_or(|(at, _)| at > due || at <= now)
+            .is_none_or(|planned| planned.at > due || planned.at <= now)
         {
             let old = self.promised.due.take();
             self.promised.due = self.instead(old, Some(due), |daemon, now| {
--- a/daemon/src/daemon/sources/bus.rs
+++ b/daemon/src/daemon/sources/bus.rs
@@ -193,7 +193,7 @@
     fn check_bus_at(&mut self, at: Micros) {
         let due = self.later(at, Daemon::check_bus);
         if let Some(due) = self.bus.timer.replace(due) {
-            self.deadlines.take_back(due);
+            self.deadlines.cancel(due);
         }
     }
 
--- a/daemon/src/daemon/sources/consul/cached_snapshot.rs
+++ b/daemon/src/daemon/sources/consul/cached_snapshot.rs
@@ -180,9 +180,9 @@
         } else {
             now + soon_us
         };
-        if snapshot.timer.is_none_or(|timer| timer.0 > at) {
+        if snapshot.timer.is_none_or(|timer| timer.at > at) {
             if let Some(old) = snapshot.timer.take() {
-                self.deadlines.take_back(old);
+                self.deadlines.cancel(old);
             }
             self.write_snapshot_at(at, number);
         }
--- a/daemon/src/daemon/sources/consul/mod.rs
+++ b/daemon/src/daemon/sources/consul/mod.rs
@@ -117,7 +117,7 @@
             return;
         };
         if let Some(timer) = w.timer.take() {
-            self.deadlines.take_back(timer);
+            self.deadlines.cancel(timer);
         }
         let Some(call) = w.watch.poll(now) else {
             if let Some(at) = w.watch.due() {
@@ -219,9 +219,9 @@
         };
         let Some(call) = r.registration.poll(now, ready) else {
             let due = r.registration.due(now, ready);
-            if due != r.timer.map(|t| t.0) {
+            if due != r.timer.map(|timer| timer.at) {
                 if let Some(timer) = r.timer.take() {
-                    self.deadlines.take_back(timer);
+                    self.deadlines.cancel(timer);
                 }
                 let timer = due.map(|at| {
                     self.later(at, |daemon, now| {
--- a/daemon/src/net/conn.rs
+++ b/daemon/src/net/conn.rs
@@ -204,12 +204,12 @@
 
     /// What to watch for from now on, if that has changed.
     pub fn watch(&mut self) -> Option<Interest> {
-        let wanted = Interest {
+        let interest = Interest {
             read: !self.ended && self.input.free_bytes() > 0,
             write: !self.up || self.is_stuck(),
             hang_up: !self.ended,
         };
-        (std::mem::replace(&mut self.watched, wanted) != wanted).then_some(wanted)
+        (std::mem::replace(&mut self.watched, interest) != interest).then_some(interest)
     }
 
     /// What is watched for now.
--- a/daemon/src/net/deadlines.rs
+++ b/daemon/src/net/deadlines.rs
@@ -1,21 +1,27 @@
-//! The one ordered structure that holds every deadline.
+//! Deadlines: the one ordered structure that has all of them.
 
 use std::collections::BTreeMap;
 
-/// Names a deadline, to take it back.
-pub type Due = (u64, u64);
+/// A deadline that is set, by which it can be cancelled.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Due {
+    /// Its time.
+    pub at: u64,
+    /// Its number among all that were set, which orders those of one time.
+    sequence: u64,
+}
 
 /// Deadlines by time, those of one time in the order in which they were set.
 pub struct Deadlines<T> {
     due: BTreeMap<Due, T>,
-    next: u64,
+    last_sequence: u64,
 }
 
 impl<T> Default for Deadlines<T> {
     fn default() -> Self {
         Deadlines {
             due: BTreeMap::new(),
-            next: 0,
+            last_sequence: 0,
         }
     }
 }
@@ -23,24 +29,28 @@
 impl<T> Deadlines<T> {
     /// Sets a deadline.
     pub fn set(&mut self, at: u64, what: T) -> Due {
-        self.next += 1;
-        self.due.insert((at, self.next), what);
-        (at, self.next)
+        self.last_sequence += 1;
+        let due = Due {
+            at,
+            sequence: self.last_sequence,
+        };
+        self.due.insert(due, what);
+        due
     }
 
-    /// Takes a deadline back, unless it has come due.
-    pub fn take_back(&mut self, due: Due) {
+    /// Cancels a deadline, unless it has come due.
+    pub fn cancel(&mut self, due: Due) {
         self.due.remove(&due);
     }
 
     /// The time of the earliest.
     pub fn next(&self) -> Option<u64> {
-        self.due.keys().next().map(|due| due.0)
+        self.due.keys().next().map(|due| due.at)
     }
 
-    /// The earliest that has come due by now.
+    /// Takes out the earliest that has come due by now.
     pub fn pop(&mut self, now: u64) -> Option<T> {
-        let first = self.due.first_entry().filter(|e| e.key().0 <= now)?;
+        let first = self.due.first_entry().filter(|e| e.key().at <= now)?;
         Some(first.remove())
     }
 }
--- a/daemon/src/net/injection.rs
+++ b/daemon/src/net/injection.rs
@@ -180,10 +180,10 @@
     }
 
     pub(in crate::net) fn failure_on(call: Call, socket: &TcpStream) -> Option<Errno> {
-        let wanted = PLANS.with_borrow(|plans| plans.get(&call).map_or(0, |plan| plan.port));
+        let port_of_plan = PLANS.with_borrow(|plans| plans.get(&call).map_or(0, |plan| plan.port));
         let ends = [socket.local_addr(), socket.peer_addr()];
         let mut ports = ends.iter().flatten().map(SocketAddr::port);
-        if wanted != 0 && !ports.any(|port| port == wanted) {
+        if port_of_plan != 0 && !ports.any(|port| port == port_of_plan) {
             return None;
         }
         failure(call)
--- a/daemon/src/net/syscall.rs
+++ b/daemon/src/net/syscall.rs
@@ -11,10 +11,10 @@
 use std::time::Duration;
 
 /// An interrupted call is made again at once, though not for ever.
-const MOST_INTERRUPTIONS: usize = 16;
+const MAX_INTERRUPTIONS: usize = 16;
 /// At the start a call that may succeed a moment later is made again after so long, this many times.
 const START_AGAIN: Duration = Duration::from_millis(10);
-const MOST_AT_START: usize = 200;
+const MAX_AT_START: usize = 200;
 
 /// Makes a call until it is no longer interrupted.
 fn make<T>(call: Call, system_call: impl FnMut() -> Result<T, Errno>) -> Result<T, Failure> {
@@ -44,7 +44,7 @@
             Err(errno) => Failure::new(call, errno),
         };
         interruptions += 1;
-        if failure.kind != FailureKind::RetryNow || interruptions >= MOST_INTERRUPTIONS {
+        if failure.kind != FailureKind::RetryNow || interruptions >= MAX_INTERRUPTIONS {
             spells::note(&failure);
             return Err(failure);
         }
@@ -53,7 +53,7 @@
 
 /// Makes a call again, for a while, where it may succeed a moment later: at the start nothing else waits.
 pub(super) fn patiently<T>(mut make: impl FnMut() -> Result<T, Failure>) -> Result<T, Failure> {
-    for _ in 1..MOST_AT_START {
+    for _ in 1..MAX_AT_START {
         match make() {
             Err(failure) if failure.kind == FailureKind::RetryLater => {
                 std::thread::sleep(START_AGAIN);
--- a/daemon/src/upstream/answers.rs
+++ b/daemon/src/upstream/answers.rs
@@ -21,7 +21,7 @@
     fn new(items: Vec<Vec<u8>>) -> Result<Option<Self>, WireError> {
         let mut items = items.into_iter();
         let (Some(id), Some(status)) = (items.next(), items.next()) else {
-            return Err(WireError::Malformed("a box's answer"));
+            return Err(WireError::Malformed("a cache's answer"));
         };
         let fields = items.next().unwrap_or_default();
         let body = items.next().unwrap_or_default();
@@ -80,7 +80,7 @@
             Some(Stream::Attempt(sent)) if sent.end_offset > written => {
                 // Nobody can have read what it answers: whatever speaks there, it is not the protocol.
                 return Err(WireError::Malformed(
-                    "a box's answer to what it has not been sent whole",
+                    "a cache's answer to what has not been sent in full",
                 ));
             }
             Some(Stream::Attempt(_)) => self.answer_attempt(now, core, answer, events),
@@ -93,7 +93,7 @@
                 self.streams.remove(&answer.id);
             }
             Some(Stream::Aborted { pending: None, .. } | Stream::Answered { .. }) | None => {
-                log::debug!("a box answered what is not open");
+                log::debug!("a cache answered what is not open");
             }
         }
         Ok(())
@@ -123,7 +123,7 @@
         }
         let id = answer.id.clone();
         let result = if is_too_old {
-            log::warn!("a box gave a copy from before what was asked for");
+            log::warn!("a cache gave a copy older than the request allows");
             AttemptResult::from(Outcome::Error)
         } else {
             let request = core.dispatch(attempt).map(|dispatch| dispatch.request);
--- a/daemon/src/wire/http.rs
+++ b/daemon/src/wire/http.rs
@@ -42,16 +42,16 @@
 
     /// Whether the sender keeps the connection open.
     pub fn keeps_open(&self) -> bool {
-        let says = |word: &str| {
+        let has_option = |word: &str| {
             let words = self.header("connection").unwrap_or("").split(',');
             words
                 .into_iter()
                 .any(|w| w.trim().eq_ignore_ascii_case(word))
         };
         if self.start.contains("HTTP/1.0") {
-            says("keep-alive")
+            has_option("keep-alive")
         } else {
-            !says("close")
+            !has_option("close")
         }
     }
 }
--- a/daemon/tests/net.rs
+++ b/daemon/tests/net.rs
@@ -157,12 +157,12 @@
 }
 
 #[test]
-fn deadlines_come_in_order_once_and_can_be_taken_back() {
+fn deadlines_come_in_order_once_and_can_be_cancelled() {
     let mut d = Deadlines::default();
     let (_, late) = (d.set(20, 'a'), d.set(30, 'b'));
     d.set(10, 'c');
     d.set(20, 'd');
-    d.take_back(late);
+    d.cancel(late);
     assert_eq!((d.next(), d.pop(9)), (Some(10), None));
     assert_eq!(
         [d.pop(20), d.pop(20), d.pop(20), d.pop(99)],
