--- a/daemon/src/daemon/clients/requests.rs
+++ b/daemon/src/daemon/clients/requests.rs
@@ -1,6 +1,6 @@
 //! What clients ask on the platform's front, and what they are answered.
 
-use crate::core::{Answer, Asked, Client};
+use crate::core::{Answer, Client, ClientRequest};
 use crate::daemon::{Connection, Daemon, Kind};
 use crate::front::fastcgi::{Input, Session};
 use crate::net::{Key, Progress};
@@ -37,7 +37,7 @@
             };
             match c.conn.read(false) {
                 Progress::Moved => match session.read(&mut c.conn.input, &self.limits) {
-                    Err(e) if session.owes_answers() => {
+                    Err(e) if session.has_unanswered_requests() => {
                         log::debug!("a connection is read no further: {e}");
                         session.stop_reading();
                     }
@@ -63,9 +63,11 @@
                 return true;
             };
             match input {
-                Input::Leave(ticket) => self.core.leave(now, ticket),
-                Input::Health(stream) => self.answer_health_check(key, stream),
-                Input::Ask(stream, asked) => self.take_request(now, key, stream, asked, is_first),
+                Input::ClientGone(ticket) => self.core.client_gone(now, ticket),
+                Input::HealthCheck(stream) => self.answer_health_check(key, stream),
+                Input::Request(stream, asked) => {
+                    self.take_request(now, key, stream, asked, is_first);
+                }
             }
             // Answers given at once belong to requests that are already known as taken.
             self.settle(now);
@@ -80,7 +82,7 @@
             "503 Service Unavailable"
         };
         if let Some(session) = self.client_session(key) {
-            session.say(stream, status);
+            session.answer_status(stream, status);
         }
     }
 
@@ -90,7 +92,7 @@
         now: Micros,
         key: Key,
         stream: u16,
-        mut asked: Asked,
+        mut asked: ClientRequest,
         is_first: bool,
     ) {
         // A client counts its time from when it sent the request.
@@ -103,15 +105,20 @@
         let ticket = if self.is_shed(now, key, is_first) {
             None
         } else {
-            self.core.ask(now, client, asked)
+            self.core.admit(now, client, asked)
         };
         let wait_us = Some(self.limits.back_off_us);
         let Some(session) = self.client_session(key) else {
             return;
         };
         match ticket {
-            Some(ticket) => session.taken(stream, ticket),
-            None => session.answer(stream, &Answer::Refused { wait_us }),
+            Some(ticket) => session.admitted(stream, ticket),
+            None => session.answer(
+                stream,
+                &Answer::Rejected {
+                    retry_after_us: wait_us,
+                },
+            ),
         }
     }
 
@@ -122,7 +129,9 @@
         };
         let is_slow = self.waiting_answers > self.limits.waiting_answers;
         // One client's flood must leave capacity for the requests of the others.
-        let is_flood = !self.limits.admits(session.owed(), self.core.is_crowded());
+        let is_flood = !self
+            .limits
+            .admits(session.unanswered(), self.core.is_half_full());
         is_slow || is_flood || self.is_too_late(now, session, is_first)
     }
 
@@ -135,7 +144,7 @@
             matches!(self.ops.drain(), Drain::Draining(since) if now > last_taken(since));
         let is_late = self.is_stopping() || is_late_drain;
         // What is owed counts this request.
-        let is_busy = session.owed() > 1;
+        let is_busy = session.unanswered() > 1;
         // The first request of a connection was sent before the front could know that this one ends.
         session.is_closing() && (is_busy || is_late && !is_first)
     }
@@ -178,7 +187,7 @@
                 break;
             }
         }
-        let before = std::mem::replace(&mut c.waiting, session.waiting());
+        let before = std::mem::replace(&mut c.waiting, session.pending_output());
         self.waiting_answers = self.waiting_answers + c.waiting - before;
     }
 }
--- a/daemon/src/daemon/connection_table.rs
+++ b/daemon/src/daemon/connection_table.rs
@@ -7,7 +7,7 @@
 use crate::front::cdni::{self, Waiting};
 use crate::front::fastcgi::Session;
 use crate::net::{connect, Conn, FailureKind, Key, Progress, Ready};
-use crate::upstream::Link;
+use crate::upstream::UpstreamConnection;
 use crate::wire::WireError;
 use linnetknot::Micros;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 /// What a connection is for.
 pub(super) enum Kind {
     Client(Session),
-    CacheServer(Link),
+    CacheServer(UpstreamConnection),
     Cdni(Box<cdni::Session>),
     /// A client's that this side has ended, with all answered: what still comes is thrown away.
     Lingering,
@@ -211,7 +211,7 @@
                 self.write_client(key);
                 self.connections.get(key).is_none_or(|c| match &c.kind {
                     Kind::Client(s) => {
-                        !(c.conn.is_broken() || s.is_over() && c.conn.output.is_empty())
+                        !(c.conn.is_broken() || s.is_finished() && c.conn.output.is_empty())
                     }
                     _ => true,
                 })
@@ -240,15 +240,15 @@
                 self.waiting_answers -= c.waiting;
                 self.held -= c.held;
                 session
-                    .tickets()
+                    .open_requests()
                     .into_iter()
-                    .for_each(|ticket| self.core.leave(now, ticket));
+                    .for_each(|ticket| self.core.client_gone(now, ticket));
             }
             Kind::CacheServer(link) => self.cache_connection_closed(now, key, &c.conn, link),
             Kind::Cdni(session) => {
                 self.clients -= 1;
                 if let Some(Waiting::Core(ticket)) = session.waiting {
-                    self.core.leave(now, ticket);
+                    self.core.client_gone(now, ticket);
                 }
             }
             Kind::Lingering => self.clients -= 1,
--- a/daemon/src/daemon/event_loop.rs
+++ b/daemon/src/daemon/event_loop.rs
@@ -107,7 +107,7 @@
             LISTENER => self.accept(now),
             SIGNAL => self.term(now),
             RELOAD => self.reload(now),
-            PEERS => self.hear_peers(now),
+            PEERS => self.receive_peer_datagrams(now),
             CDNI => self.accept_cdni(now),
             ADMIN => self.accept_admin(now),
             STORE => self.hear_store(now),
@@ -141,7 +141,7 @@
     /// Carries out what the core wants done, and what follows from that.
     pub(super) fn settle(&mut self, now: Micros) {
         loop {
-            let commands = self.core.commands();
+            let commands = self.core.take_commands();
             if commands.is_empty() {
                 return;
             }
@@ -160,7 +160,7 @@
                         self.deadlines.set(at, Timer::Core(wake));
                     }
                     Command::Probe(server) => self.probe(now, server),
-                    Command::Found(share) => self.tell_found(now, share),
+                    Command::ShareOriginHealth(share) => self.share_origin_health(now, share),
                     Command::Withdraw(server) => self.withdraw(now, server),
                 }
             }
--- a/daemon/src/daemon/members.rs
+++ b/daemon/src/daemon/members.rs
@@ -41,7 +41,7 @@
     fn follow(&mut self, now: Micros, out: TableUpdate) {
         for ListEvent { mode, entries } in out.events {
             let entries = self.without_bans(mode, entries);
-            self.core.list(now, mode, entries);
+            self.core.update_endpoints(now, mode, entries);
         }
         for c in out.changes {
             log::info!(
@@ -82,7 +82,7 @@
             }
         }
         let due = self.members.next_due(now);
-        if due != self.members_due.map(|d| d.0) {
+        if due != self.members_due.map(|planned| planned.at) {
             let old = self.members_due.take();
             self.members_due = self.instead(old, due, Daemon::review_members);
         }
--- a/daemon/src/daemon/reload.rs
+++ b/daemon/src/daemon/reload.rs
@@ -99,7 +99,7 @@
         if next != *new {
             log::warn!("SIGHUP: 'settings' has changed beyond its classes and attempts, which takes effect with the next start only");
         }
-        match self.core.retune(next.clone()) {
+        match self.core.apply_settings(next.clone()) {
             Ok(()) => {
                 log::info!(classes = next.classes.len(), attempts = next.max_attempts; "SIGHUP: new settings are in force");
                 self.config.settings = next;
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -19,7 +19,7 @@
 use super::Daemon;
 use crate::config::{Config, Source};
 use crate::core::Core;
-use crate::front::cdni::Desk;
+use crate::front::cdni::TriggerApi;
 use crate::ledger::{Bounds, Ledger};
 use crate::net::{Clock, Deadlines, Listener, Poll, Slots};
 use crate::plain_purges::PlainPurges;
@@ -94,7 +94,7 @@
 /// Consul, where the configuration names one, with what keeps its list for the next process.
 struct ConsulParts {
     state: Option<consul::State>,
-    keeper: Option<consul::Keeper>,
+    snapshots: Option<consul::SnapshotWriter>,
     damping: Damping,
 }
 
@@ -104,22 +104,22 @@
         let Some(consul) = &config.consul else {
             return Ok(ConsulParts {
                 state: None,
-                keeper: None,
+                snapshots: None,
                 damping: Damping::default(),
             });
         };
         let state = consul::State::start(consul, config.seed, address)
             .map_err(|e| StartError::Consul(e.into()))?;
-        let keeper = config
+        let snapshots = config
             .state
             .directory
             .as_ref()
-            .map(|folder| consul::Keeper::start(folder, consul.scopes()))
+            .map(|folder| consul::SnapshotWriter::start(folder, consul.scopes()))
             .transpose()
             .map_err(|e| StartError::Consul(e.into()))?;
         Ok(ConsulParts {
             state: Some(state),
-            keeper,
+            snapshots,
             damping: consul.damping,
         })
     }
@@ -129,7 +129,7 @@
 struct Parts {
     clock: Clock,
     sockets: Sockets,
-    trigger_api: Option<(Listener, Desk)>,
+    trigger_api: Option<(Listener, TriggerApi)>,
     store: StoreParts,
     peers: Option<(UdpSocket, Vec<SocketAddr>)>,
     core: Core,
@@ -176,7 +176,7 @@
         known
             .events
             .into_iter()
-            .for_each(|event| daemon.news(now, event));
+            .for_each(|event| daemon.apply_bus_event(now, event));
         daemon.bus.last = known.offset;
         daemon.know_machines();
         daemon.join_fleet(now);
@@ -189,8 +189,8 @@
         daemon.begin_reopening(now);
         daemon.plan_operator_state(now);
         daemon.copy_purges(now);
-        daemon.recall_lists(now);
-        daemon.call_bus(now);
+        daemon.load_snapshots(now);
+        daemon.connect_bus(now);
         daemon.drive_consul(now);
         daemon.settle(now);
         daemon.log_start();
@@ -231,7 +231,7 @@
             members_due: None,
             said: Said::default(),
             consul: parts.consul.state,
-            keeper: parts.consul.keeper,
+            snapshots: parts.consul.snapshots,
             peers: parts.peers,
             peer_index: PeerIndex::default(),
             plain_purges: PlainPurges::new(&config.limits),
--- a/daemon/src/daemon/upstream_connections/mod.rs
+++ b/daemon/src/daemon/upstream_connections/mod.rs
@@ -5,27 +5,35 @@
 use super::{ConnectError, Connection, Daemon, Kind, Timer};
 use crate::core::{AttemptId, TRACE};
 use crate::net::{Conn, Failure, FailureKind, Key};
-use crate::upstream::{Link, Told};
+use crate::upstream::{UpstreamConnection, UpstreamEvent};
 use linnetknot::{Micros, Outcome, ServerId};
 use selection::{CacheConnections, Selection};
 use std::collections::btree_map::Entry;
 
 impl Daemon {
     /// Applies to the core what happened on a connection to a cache server.
-    pub(super) fn apply_events(&mut self, now: Micros, server: ServerId, told: Vec<Told>) {
+    pub(super) fn apply_events(&mut self, now: Micros, server: ServerId, told: Vec<UpstreamEvent>) {
         for t in told {
             match t {
-                Told::Begun(attempt) => self.core.begun(attempt),
+                UpstreamEvent::AttemptStarted(attempt) => self.core.attempt_started(attempt),
                 // A cache server that answers on another connection is there: only this one did not come up.
-                Told::Ended(attempt, ended)
+                UpstreamEvent::AttemptFinished(attempt, ended)
                     if ended.outcome == Outcome::Unreached && self.is_heard_from(now, server) =>
                 {
-                    self.core.ended(now, attempt, Outcome::Moot.into());
+                    self.core
+                        .attempt_finished(now, attempt, Outcome::Moot.into());
                 }
-                Told::Ended(attempt, ended) => self.core.ended(now, attempt, ended),
-                Told::Dated(made) => self.core.heard_date(now, made),
-                Told::Probed(outcome, took_us, load) => {
-                    self.core.probed(now, server, outcome, took_us, load);
+                UpstreamEvent::AttemptFinished(attempt, ended) => {
+                    self.core.attempt_finished(now, attempt, ended);
+                }
+                UpstreamEvent::OriginDate(made) => self.core.observe_origin_date(now, made),
+                UpstreamEvent::HealthCheckFinished {
+                    outcome,
+                    took_us,
+                    load,
+                } => {
+                    self.core
+                        .health_check_finished(now, server, outcome, took_us, load);
                 }
             }
         }
@@ -33,8 +41,8 @@
 
     /// Whether a connection to a cache server is up on which something came from it a moment ago.
     fn is_heard_from(&self, now: Micros, server: ServerId) -> bool {
-        let fresh = |(conn, link): (&Conn, &Link)| {
-            conn.up && link.last_heard() + self.limits.suspect_us > now
+        let fresh = |(conn, link): (&Conn, &UpstreamConnection)| {
+            conn.up && link.last_received() + self.limits.suspect_us > now
         };
         self.cache_connections
             .get(&server)
@@ -44,7 +52,7 @@
     }
 
     /// A connection to a cache server.
-    fn cache_connection_mut(&mut self, key: Key) -> Option<(&mut Conn, &mut Link)> {
+    fn cache_connection_mut(&mut self, key: Key) -> Option<(&mut Conn, &mut UpstreamConnection)> {
         match self.connections.get_mut(key)? {
             Connection {
                 conn,
@@ -56,7 +64,7 @@
     }
 
     /// The same, to read.
-    fn cache_connection(&self, key: Key) -> Option<(&Conn, &Link)> {
+    fn cache_connection(&self, key: Key) -> Option<(&Conn, &UpstreamConnection)> {
         match self.connections.get(key)? {
             Connection {
                 conn,
@@ -69,11 +77,11 @@
 
     /// Sends an attempt on a connection to its cache server.
     pub(super) fn send(&mut self, now: Micros, attempt: AttemptId) {
-        let Some((asked, sending)) = self.core.sending(attempt) else {
+        let Some(dispatch) = self.core.dispatch(attempt) else {
             return;
         };
-        let server = sending.server;
-        let selection = CacheConnections::of(self, now, server).select(&asked.id);
+        let server = dispatch.target.server;
+        let selection = CacheConnections::of(self, now, server).select(&dispatch.request.id);
         match self.selected(now, server, selection) {
             Ok(key) => self.send_on(now, key, attempt),
             Err(error) => self.not_sent(now, server, attempt, error),
@@ -89,7 +97,7 @@
     ) -> Result<Key, ConnectError> {
         match selection {
             Selection::Use { key, connect_spare } => {
-                if connect_spare && self.connections.room() > self.limits.spare_connections {
+                if connect_spare && self.connections.free_slots() > self.limits.spare_connections {
                     // No attempt waits for it: where it fails, it is begun again with the next one.
                     let _ = self.connect_cache(now, server);
                 }
@@ -110,7 +118,7 @@
         let Some((conn, link)) = self.cache_connection_mut(key) else {
             return;
         };
-        link.send(now, attempt);
+        link.enqueue(now, attempt);
         if !conn.up {
             self.deadlines
                 .set(now + self.limits.connect_us, Timer::CacheConnection(key));
@@ -125,11 +133,11 @@
             ConnectError::NoCapacity => Outcome::Moot,
             ConnectError::LocalResources => return self.send_later(now, attempt),
             ConnectError::Unreachable => {
-                let ended = Told::Ended(attempt, Outcome::Unreached.into());
+                let ended = UpstreamEvent::AttemptFinished(attempt, Outcome::Unreached.into());
                 return self.apply_events(now, server, vec![ended]);
             }
         };
-        self.core.ended(now, attempt, outcome.into());
+        self.core.attempt_finished(now, attempt, outcome.into());
     }
 
     /// Goes on with a connection, and closes it if it is over.
@@ -143,17 +151,17 @@
     /// Begins a connection to a cache server. The last places of the table are reserved for other connections: were they
     /// taken too, the list of cache servers could not be asked for any more.
     fn connect_cache(&mut self, now: Micros, server: ServerId) -> Result<Key, ConnectError> {
-        let (_, endpoint) = self.core.location(server).ok_or(ConnectError::NoCapacity)?;
-        if self.connections.room() <= self.limits.spare_connections {
+        let endpoint = self.core.endpoint(server).ok_or(ConnectError::NoCapacity)?;
+        if self.connections.free_slots() <= self.limits.spare_connections {
             let idle = self.longest_idle().ok_or(ConnectError::NoCapacity)?;
             self.close(now, idle);
         }
-        let mut link = Link::new(server, &self.limits, now);
+        let mut link = UpstreamConnection::new(server, &self.limits, now);
         link.endpoint = Some(endpoint);
         let key = self.connect_to(now, endpoint, Kind::CacheServer(link))?;
         let connections = self.cache_connections.entry(server).or_default();
         connections.push(key);
-        log::debug!(target: TRACE, "box" = self.core.uid(server), number = connections.len(); "a connection is begun");
+        log::debug!(target: TRACE, cache = self.core.uid(server), number = connections.len(); "a connection is begun");
         Ok(key)
     }
 
@@ -177,8 +185,8 @@
             return;
         };
         match &c.kind {
-            Kind::CacheServer(link) if link.given_up_at(&self.limits) > now => {
-                let at = link.given_up_at(&self.limits);
+            Kind::CacheServer(link) if link.connect_deadline(&self.limits) > now => {
+                let at = link.connect_deadline(&self.limits);
                 self.deadlines.set(at, Timer::Connect(key));
             }
             _ => self.close(now, key),
@@ -196,11 +204,11 @@
             return true;
         };
         let (server, mut told) = (link.server, Vec::new());
-        let sound = link.pump(now, conn, &self.core, &self.limits, &mut told);
-        let forgets = link.forget_at(now, &self.limits);
+        let sound = link.flush(now, conn, &self.core, &self.limits, &mut told);
+        let forgets = link.next_forget_at(now, &self.limits);
         let due = [
-            link.report_at(&self.limits),
-            link.half_at(&self.limits).filter(|_| sound),
+            link.next_report_at(&self.limits),
+            link.partial_answer_deadline(&self.limits).filter(|_| sound),
             forgets,
         ];
         for at in due.into_iter().flatten() {
@@ -214,9 +222,9 @@
         // no use, and where a machine has vanished nobody else would end them.
         let moved = self
             .core
-            .location(server)
-            .is_some_and(|(_, at)| link.endpoint != Some(at));
-        let done = link.is_idle() && (moved || !self.core.takes_work(server));
+            .endpoint(server)
+            .is_some_and(|at| link.endpoint != Some(at));
+        let done = link.is_idle() && (moved || !self.core.is_cache_ready(server));
         self.apply_events(now, server, told);
         sound && !done
     }
@@ -228,7 +236,7 @@
             ..
         }) = self.connections.get_mut(key)
         {
-            link.prune(now, &self.limits);
+            link.forget_finished(now, &self.limits);
         }
         self.pump_or_close(now, key);
     }
@@ -239,10 +247,10 @@
         now: Micros,
         key: Key,
         conn: &Conn,
-        mut link: Link,
+        mut link: UpstreamConnection,
     ) {
         let server = link.server;
-        log::debug!(target: TRACE, "box" = self.core.uid(server), up = conn.up; "a connection has ended");
+        log::debug!(target: TRACE, cache = self.core.uid(server), up = conn.up; "a connection has ended");
         if let Entry::Occupied(mut connections) = self.cache_connections.entry(server) {
             connections.get_mut().retain(|k| *k != key);
             if connections.get().is_empty() {
@@ -262,7 +270,7 @@
             Some(FailureKind::Refused) => Outcome::ConnectFailed,
             _ => Outcome::Unreached,
         };
-        link.broken(unsent, conn.written, &mut told);
+        link.connection_lost(unsent, conn.written, &mut told);
         self.apply_events(now, server, told);
     }
 
@@ -277,7 +285,7 @@
             let Some((_, link)) = self.cache_connection_mut(key) else {
                 continue;
             };
-            link.give_up(now, attempt);
+            link.abort(now, attempt);
             self.pump_or_close(now, key);
         }
     }
@@ -311,7 +319,7 @@
 
     /// Sends a health check to a cache server.
     pub(super) fn probe(&mut self, now: Micros, server: ServerId) {
-        let endpoint = self.core.location(server).map(|(_, endpoint)| endpoint);
+        let endpoint = self.core.endpoint(server);
         let mut connections = self
             .cache_connections
             .get(&server)
@@ -324,14 +332,14 @@
         });
         let asked = key
             .and_then(|key| self.cache_connection_mut(key))
-            .is_some_and(|(conn, link)| link.probe(now, conn));
+            .is_some_and(|(conn, link)| link.send_health_check(now, conn));
         match key.filter(|_| asked) {
             Some(key) => {
                 self.write(now, key);
             }
             None => self
                 .core
-                .probed(now, server, Outcome::ConnectFailed, 0, None),
+                .health_check_finished(now, server, Outcome::ConnectFailed, 0, None),
         }
     }
 }
--- a/daemon/src/interconnect/cdni.rs
+++ b/daemon/src/interconnect/cdni.rs
@@ -2,7 +2,7 @@
 
 use super::{InterconnectError, Result};
 use crate::front::cdni::footprint::Network;
-use crate::front::cdni::{Identity, Neighbour};
+use crate::front::cdni::{Identity, PeerCdn};
 use linnetknot::Settings;
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -74,7 +74,7 @@
             provider: required("cdni.provider", &self.provider)?,
             base: required("cdni.base", &self.base)?,
             footprint,
-            neighbours: self.neighbours.iter().map(Neighbour::from).collect(),
+            peers: self.neighbours.iter().map(PeerCdn::from).collect(),
             classes: read_classes
                 .map(|class| (class.name.clone(), class.deadline_us))
                 .collect(),
@@ -99,9 +99,9 @@
     }
 }
 
-impl From<&NeighbourFile> for Neighbour {
+impl From<&NeighbourFile> for PeerCdn {
     fn from(file: &NeighbourFile) -> Self {
-        Neighbour {
+        PeerCdn {
             provider: file.provider.clone(),
             address: file.address,
             triggers: file.triggers.clone(),
--- a/daemon/tests/partial_io.rs
+++ b/daemon/tests/partial_io.rs
@@ -114,8 +114,7 @@
     let (address, cache) = (agent.address, FakeCache::start("s-0b").unwrap());
     agent.register(&[instance(cache.uid, cache.address, "passing")]);
     let armed = Armed::with(BYTE_BY_BYTE, |own| {
-        own["consul"] =
-            json!({"address": address.to_string(), "answer_ms": 5_000, "wait_s": 1});
+        own["consul"] = json!({"address": address.to_string(), "answer_ms": 5_000, "wait_s": 1});
     });
     assert!(becomes(TIMEOUT, || !agent.requests().is_empty()));
     assert!(
