--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! Reads the settings object that the drill and the daemon are both started with. Every message names the key.
+//! Reads the settings object that the simulator adapter and the daemon are both started with. Every message names the key.
 
 use linnetknot as w;
 use serde_json::{Map, Value};
--- a/drill/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -29,7 +29,7 @@
     match run(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("linnetknot-drill: {message}");
+            eprintln!("linnetknot-simulator-adapter: {message}");
             ExitCode::from(2)
         }
     }
--- a/drill/tests/wire.rs
+++ b/simulator-adapter/tests/wire.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output, Stdio};
 
 fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_linnetknot-drill"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_linnetknot-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
