--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -5,21 +5,32 @@
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
-fn run(input: impl BufRead, out: impl Write) -> Result<(), String> {
+/// Why the adapter ends before its input does.
+#[derive(Debug, thiserror::Error)]
+enum AdapterError {
+    #[error("line {line}: {source}")]
+    Read { line: usize, source: io::Error },
+    #[error("line {line}: {message}")]
+    Message { line: usize, message: String },
+    #[error(transparent)]
+    Write(#[from] io::Error),
+}
+
+fn run(input: impl BufRead, out: impl Write) -> Result<(), AdapterError> {
     let mut out = BufWriter::with_capacity(1 << 16, out);
     let mut host = wire::Host::default();
-    for (number, line) in input.lines().enumerate() {
-        let line = line.map_err(|e| format!("line {}: {e}", number + 1))?;
-        if line.trim().is_empty() {
+    for (index, text) in input.lines().enumerate() {
+        let line = index + 1;
+        let text = text.map_err(|source| AdapterError::Read { line, source })?;
+        if text.trim().is_empty() {
             continue;
         }
-        if let Some(reply) = host
-            .line(&line)
-            .map_err(|e| format!("line {}: {e}", number + 1))?
-        {
-            out.write_all(reply.as_bytes())
-                .and_then(|()| out.flush())
-                .map_err(|e| e.to_string())?;
+        let reply = host
+            .line(&text)
+            .map_err(|message| AdapterError::Message { line, message })?;
+        if let Some(reply) = reply {
+            out.write_all(reply.as_bytes())?;
+            out.flush()?;
         }
     }
     Ok(())
@@ -28,8 +39,8 @@
 fn main() -> ExitCode {
     match run(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("linnetknot-simulator-adapter: {message}");
+        Err(error) => {
+            eprintln!("linnetknot-simulator-adapter: {error}");
             ExitCode::from(2)
         }
     }
--- a/simulator-adapter/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -2,13 +2,16 @@
 
 use linnetknot as w;
 use linnetknot_settings::{
-    flag, get, int, int_or, list, name, num_or, object, settings, text, text_or, wrong, Fields,
-    Result,
+    flag, get, int, int_or, list, name, need, num_or, object, settings, text, text_or, wrong,
+    Fields, Result,
 };
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
+/// The bit of a request's marks that says that it was sent before.
+const REPEATED_MARK: u64 = 2;
+
 /// The instances, and the batch being read.
 #[derive(Default)]
 pub(crate) struct Host {
@@ -69,61 +72,78 @@
     Ok(servers)
 }
 
+/// What is left of a request's time, which may be told as a fraction.
+fn remaining_us(m: &Fields) -> Result<u64> {
+    let value = need(m, "remaining-us")?;
+    let remaining = value.as_f64().ok_or_else(|| wrong("remaining-us"))?;
+    Ok(remaining.max(0.0) as u64)
+}
+
+fn list_event(m: &Fields) -> Result<w::Event> {
+    let mode = match int(m, "mode")? {
+        1 | 3 => w::ListMode::Full,
+        2 => w::ListMode::Delta,
+        _ => w::ListMode::Failed,
+    };
+    Ok(w::Event::List {
+        mode,
+        servers: servers(m)?,
+    })
+}
+
+fn request_event(m: &Fields) -> Result<w::Event> {
+    Ok(w::Event::Request(w::Request {
+        id: int(m, "request-id")?,
+        class: text(m, "grade")?,
+        tenant: name(m, "owner")?,
+        object: name(m, "content-id")?.unwrap_or_default(),
+        part: int_or(m, "segment", 0)?,
+        group: int_or(m, "purge-group", 0)?,
+        size_kb: num_or(m, "length-kb", 0.0)?,
+        remaining_us: remaining_us(m)?,
+        repeated: int_or(m, "marks", 0)? & REPEATED_MARK != 0,
+    }))
+}
+
+fn note(m: &Fields) -> Result<w::Note> {
+    Ok(match int_or(m, "note", 0)? {
+        1 => w::Note::Hit,
+        2 => w::Note::Filled,
+        3 => w::Note::FilledByOrigin,
+        4 => w::Note::Joined,
+        5 => w::Note::Stale,
+        6 => w::Note::SourceRefused,
+        7 => w::Note::SourceLost,
+        8 => w::Note::SourceLacks,
+        9 => w::Note::NoFillPlace,
+        10 => w::Note::OriginFailed,
+        _ => w::Note::None,
+    })
+}
+
+fn outcome_event(m: &Fields) -> Result<w::Event> {
+    Ok(w::Event::Outcome {
+        request: int(m, "request-id")?,
+        attempt: int_or(m, "go", 0)? as u32,
+        server: int(m, "store")?,
+        outcome: outcome(m)?,
+        took_us: int_or(m, "took-us", 0)?,
+        settled: flag(m, "settled")?,
+        note: note(m)?,
+        waited_us: int_or(m, "first-byte-us", 0)?,
+        load: load(m)?,
+    })
+}
+
 fn event(kind: &str, m: &Fields) -> Result<Option<w::Event>> {
     Ok(Some(match kind {
-        "PeersKnown" => w::Event::List {
-            mode: match int(m, "mode")? {
-                1 | 3 => w::ListMode::Full,
-                2 => w::ListMode::Delta,
-                _ => w::ListMode::Failed,
-            },
-            servers: servers(m)?,
-        },
-        "Order" => w::Event::Request(w::Request {
-            id: int(m, "request-id")?,
-            class: text(m, "grade")?,
-            tenant: name(m, "owner")?,
-            object: name(m, "content-id")?.unwrap_or_default(),
-            part: int_or(m, "segment", 0)?,
-            group: int_or(m, "purge-group", 0)?,
-            size_kb: num_or(m, "length-kb", 0.0)?,
-            remaining_us: get(m, "remaining-us").map_or(
-                Err("field 'remaining-us' is missing".into()),
-                |v| {
-                    v.as_f64()
-                        .map(|f| f.max(0.0) as u64)
-                        .ok_or_else(|| wrong("remaining-us"))
-                },
-            )?,
-            repeated: int_or(m, "marks", 0)? & 2 != 0,
-        }),
+        "PeersKnown" => list_event(m)?,
+        "Order" => request_event(m)?,
         "Accepted" => w::Event::Begun {
             request: int(m, "request-id")?,
             attempt: int_or(m, "go", 0)? as u32,
         },
-        "Resolved" => w::Event::Outcome {
-            request: int(m, "request-id")?,
-            attempt: int_or(m, "go", 0)? as u32,
-            server: int(m, "store")?,
-            outcome: outcome(m)?,
-            took_us: int_or(m, "took-us", 0)?,
-            settled: flag(m, "settled")?,
-            note: match int_or(m, "note", 0)? {
-                1 => w::Note::Hit,
-                2 => w::Note::Filled,
-                3 => w::Note::FilledByOrigin,
-                4 => w::Note::Joined,
-                5 => w::Note::Stale,
-                6 => w::Note::SourceRefused,
-                7 => w::Note::SourceLost,
-                8 => w::Note::SourceLacks,
-                9 => w::Note::NoFillPlace,
-                10 => w::Note::OriginFailed,
-                _ => w::Note::None,
-            },
-            waited_us: int_or(m, "first-byte-us", 0)?,
-            load: load(m)?,
-        },
+        "Resolved" => outcome_event(m)?,
         "ClientLeft" => w::Event::Left {
             request: int(m, "request-id")?,
         },
