--- a/membership/src/swim/claims.rs
+++ b/membership/src/swim/claims.rs
@@ -79,9 +79,12 @@
         }
     }
 
-    /// Receives the report of a process with a greater id: this one's successor, or its predecessor if that is expected.
+    /// Receives the report of a process with a greater id: this one's successor, or its predecessor if that is expected. A
+    /// process id is the time at which the process started. One that this process's clock has not reached yet was given by a
+    /// clock that has been set back since; a successor started after this process, and so by a time that it has reached.
     fn receive_later_process(&mut self, now: Micros, process: ProcessId) {
-        let is_predecessor = now < self.predecessor_until && !self.is_replaced;
+        let is_expected = now < self.predecessor_until && !self.is_replaced;
+        let is_predecessor = is_expected && process > now;
         match process.checked_add(1) {
             Some(next) if is_predecessor => {
                 self.own.process = next;
--- /dev/null
+++ b/membership/tests/predecessor.rs
@@ -0,0 +1,91 @@
+//! A process that began without its disk, and a claim of a later process of its name: the clock may have been set back since
+//! that one ran, or that one has replaced it.
+
+use linnetknot_membership::*;
+
+const SECOND_US: Micros = 1_000_000;
+const START: Micros = 1_000_000 * SECOND_US;
+/// Until when the process expects its predecessor to be known.
+const WINDOW_US: Micros = 5 * SECOND_US;
+const OWN_ID: Id = 1;
+const PEER_ID: Id = 2;
+
+fn fresh_process() -> Membership {
+    let config = MembershipConfig {
+        id: OWN_ID,
+        process: START,
+        names: Names {
+            name: "p0".to_owned(),
+            machine: "m0".to_owned(),
+        },
+        peers: 1,
+        seed: 1,
+        options: Options::default(),
+    };
+    let mut membership = Membership::new(config, START);
+    membership.expect_predecessor(START + WINDOW_US);
+    membership
+}
+
+/// The peer's datagram that tells of a process of this name.
+fn report(process: ProcessId) -> Vec<u8> {
+    let claim = Claim {
+        process,
+        incarnation: 0,
+        state: MemberState::Alive,
+    };
+    Message {
+        from: Sender {
+            id: PEER_ID,
+            process: START,
+            incarnation: 0,
+        },
+        body: Body::Ping {
+            number: 1,
+            names: false,
+        },
+        updates: vec![Update {
+            id: OWN_ID,
+            by: PEER_ID,
+            claim,
+        }],
+    }
+    .write()
+}
+
+fn receive(membership: &mut Membership, now: Micros, process: ProcessId) {
+    membership
+        .receive(now, 0, &report(process))
+        .expect("it can be read");
+}
+
+#[test]
+fn a_process_of_a_later_clock_is_taken_for_the_predecessor() {
+    let mut membership = fresh_process();
+    let predecessor = START + 3_600 * SECOND_US;
+    receive(&mut membership, START + SECOND_US, predecessor);
+    assert!(!membership.is_replaced());
+    assert_eq!(membership.process(), predecessor + 1);
+}
+
+/// It began after this one, which may have stood still meanwhile, and so by a clock that this one has reached.
+#[test]
+fn a_process_that_began_meanwhile_has_replaced_this_one() {
+    for started in [1, SECOND_US, 4 * SECOND_US] {
+        let mut membership = fresh_process();
+        receive(&mut membership, START + 4 * SECOND_US, START + started);
+        assert!(membership.is_replaced(), "started {started} us later");
+        assert_eq!(membership.process(), START);
+    }
+}
+
+#[test]
+fn after_the_window_every_later_process_has_replaced_this_one() {
+    let mut membership = fresh_process();
+    receive(
+        &mut membership,
+        START + WINDOW_US,
+        START + 3_600 * SECOND_US,
+    );
+    assert!(membership.is_replaced());
+}
