--- a/daemon/src/ledger/codec.rs
+++ b/daemon/src/ledger/codec.rs
@@ -2,10 +2,10 @@
 //! place of the one before, and a value of index and time.
 
 use linnetknot_replication::{Entry, LogId, Subject};
-use linnetknot_store::{Fault, Pair, Space, Write};
+use linnetknot_store::{Keyspace, Pair, StoreError, Write};
 
 /// Entries in force.
-pub(super) const ENTRIES: Space = Space("entries");
+pub(super) const ENTRIES: Keyspace = Keyspace("entries");
 
 /// The log's writer and epoch, before the subject's kind.
 const LOG_BYTES: usize = 16;
@@ -120,7 +120,7 @@
 }
 
 /// All entries of the store's space.
-pub(super) fn read_all(pairs: &[Pair]) -> Result<Vec<Entry>, Fault> {
+pub(super) fn read_all(pairs: &[Pair]) -> Result<Vec<Entry>, StoreError> {
     let entries: Option<Vec<Entry>> = pairs.iter().map(read).collect();
-    entries.ok_or_else(|| Fault::Damaged("an entry can't be read".into()))
+    entries.ok_or_else(|| StoreError::Damaged("an entry can't be read".into()))
 }
--- a/daemon/src/ledger/compaction.rs
+++ b/daemon/src/ledger/compaction.rs
@@ -9,7 +9,7 @@
 use super::table;
 use linnetknot_purges::{BucketBits, BucketIndex, CompactTable};
 use linnetknot_replication::{CompactedLog, Compaction, Entry, Index, LogId};
-use linnetknot_store::{Done, Keeper, Ticket, Write};
+use linnetknot_store::{Completion, StoreWorker, Write, WriteId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// What a write is to do.
@@ -66,7 +66,7 @@
     next: Step,
     /// What of the stage is to be handed over.
     to_give: VecDeque<Item>,
-    in_flight: VecDeque<(Ticket, Item)>,
+    in_flight: VecDeque<(WriteId, Item)>,
     /// A write failed: nothing is handed over before `retry`.
     is_failing: bool,
 }
@@ -121,7 +121,7 @@
     /// on the disk by now.
     pub(super) fn give(
         &mut self,
-        keeper: &mut Keeper,
+        worker: &mut StoreWorker,
         reserve: usize,
         table: &CompactTable,
     ) -> Vec<CompactedLog> {
@@ -137,8 +137,10 @@
                 self.advance(table.bucket_bits(), &mut synced);
                 continue;
             };
-            let has_room = keeper.room() > reserve;
-            let ticket = has_room.then(|| keeper.give(write(item, table))).flatten();
+            let has_room = worker.capacity() > reserve;
+            let ticket = has_room
+                .then(|| worker.submit(write(item, table)))
+                .flatten();
             let Some(ticket) = ticket else { break };
             self.in_flight
                 .extend(self.to_give.pop_front().map(|item| (ticket, item)));
@@ -147,11 +149,11 @@
     }
 
     /// Takes in what became of writes.
-    pub(super) fn settle(&mut self, done: &Done) {
+    pub(super) fn settle(&mut self, done: &Completion) {
         while self
             .in_flight
             .front()
-            .is_some_and(|(ticket, _)| *ticket <= done.to)
+            .is_some_and(|(ticket, _)| *ticket <= done.through)
         {
             let Some((_, item)) = self.in_flight.pop_front() else {
                 break;
--- a/daemon/src/ledger/error.rs
+++ b/daemon/src/ledger/error.rs
@@ -1,7 +1,7 @@
 //! Why a ledger can't be opened, and why it does not take an entry.
 
 use linnetknot_replication::CapacityExceeded;
-use linnetknot_store::{is_lasting, Fault};
+use linnetknot_store::{is_lasting, StoreError};
 use std::io;
 use std::path::PathBuf;
 
@@ -10,7 +10,7 @@
 pub enum LedgerError {
     /// The store can't be used.
     #[error(transparent)]
-    Store(#[from] Fault),
+    Store(#[from] StoreError),
     /// Another version of the program wrote the compact table.
     #[error("its purge table has form {found}, this program knows form 1; start the program that wrote it")]
     TableForm {
--- a/daemon/src/ledger/identity.rs
+++ b/daemon/src/ledger/identity.rs
@@ -2,10 +2,10 @@
 
 use linnetknot::Micros;
 use linnetknot_replication::Epoch;
-use linnetknot_store::{Fault, Space, Store, Write};
+use linnetknot_store::{Keyspace, Store, StoreError, Write};
 
 /// What is said of this writer's log. The keys are those of the released form.
-const OWN: Space = Space("own");
+const OWN: Keyspace = Keyspace("own");
 /// The epoch of this writer's log.
 const EPOCH: &[u8] = b"life";
 /// The process ended in order: the log goes on in its epoch.
@@ -40,7 +40,7 @@
     /// entries may be missing here and known to others, and a place in a log must never be given twice. Nothing is lost
     /// with the old epoch. Nor does it go on in the epoch of a file that was put aside: that may be taken over twice, if
     /// a store is lost.
-    pub(super) fn of(store: &mut Store, now: Micros) -> Result<Self, Fault> {
+    pub(super) fn of(store: &mut Store, now: Micros) -> Result<Self, StoreError> {
         let is_closed = store.get(OWN, CLOSED)?.is_some();
         let known = number(store, EPOCH)?;
         // A later epoch is a greater one, also where the clock was set back between the two: what its operators decided
@@ -78,7 +78,7 @@
     Write::put(OWN, key.to_vec(), value.to_vec())
 }
 
-fn number(store: &mut Store, key: &[u8]) -> Result<Option<u64>, Fault> {
+fn number(store: &mut Store, key: &[u8]) -> Result<Option<u64>, StoreError> {
     Ok(store
         .get(OWN, key)?
         .and_then(|bytes| bytes.try_into().ok())
--- a/daemon/src/ledger/mod.rs
+++ b/daemon/src/ledger/mod.rs
@@ -22,7 +22,7 @@
     pieces, Capacity, CommitId, CommitOutcome, Datagram, Entry, Epoch, Index, LogId, LogStore,
     Options, Outgoing, Received, RejectReason, Replica, Subject, Writer,
 };
-use linnetknot_store::{Done, Fault, Keeper, Store, Ticket, Write};
+use linnetknot_store::{Completion, Store, StoreError, StoreWorker, Write, WriteId};
 use std::collections::{BTreeMap, VecDeque};
 use std::path::{Path, PathBuf};
 use table::StoredTable;
@@ -49,11 +49,11 @@
 /// The logs, and the store that has them.
 pub struct Ledger {
     /// None while the store can't be opened: what peers tell is known in memory alone, and nothing is acknowledged.
-    keeper: Option<Keeper>,
+    worker: Option<StoreWorker>,
     replica: Replica,
     identity: Identity,
     /// Entries on their way to the disk, in order.
-    in_flight: VecDeque<(Ticket, LogId, Index)>,
+    in_flight: VecDeque<(WriteId, LogId, Index)>,
     compaction: CompactionWriter,
     /// Writes of the queue that compaction leaves to entries.
     reserve: usize,
@@ -85,8 +85,8 @@
 
 /// The next entry of those that went to the disk up to a ticket.
 fn next_written(
-    in_flight: &mut VecDeque<(Ticket, LogId, Index)>,
-    through: Ticket,
+    in_flight: &mut VecDeque<(WriteId, LogId, Index)>,
+    through: WriteId,
 ) -> Option<(LogId, Index)> {
     in_flight
         .front()
@@ -137,7 +137,7 @@
     ) -> Result<Self, LedgerError> {
         let stored = StoredTable::load(&mut store, bounds.bucket_bits)?;
         let identity = Identity::of(&mut store, now)?;
-        let mut entries = codec::read_all(&store.all(codec::ENTRIES)?)?;
+        let mut entries = codec::read_all(&store.scan(codec::ENTRIES)?)?;
         let mut legacy = LegacyFile::default();
         if let Some(aside) = aside.filter(|_| identity.is_fresh) {
             legacy = LegacyFile::read(&aside)?;
@@ -146,7 +146,7 @@
         entries.append(&mut legacy.entries);
         let own = LogId::new(writer, identity.epoch);
         let mut log_store = LogStore::restore(stored.table, &stored.markers, entries)
-            .map_err(|e| Fault::Damaged(e.to_string()))?;
+            .map_err(|e| StoreError::Damaged(e.to_string()))?;
         log_store.restart_expiry(now);
         writes.extend(adopt(&mut log_store, own, legacy.purges)?);
         writes.extend(stored.resize);
@@ -154,10 +154,10 @@
         // All of this is there, or nothing and the old file still is.
         store.commit(&writes)?;
         let replica = Replica::new(own, log_store, identity.incarnation, bounds.replication);
-        let keeper =
-            Keeper::start("store", store, bounds.queue, wake).map_err(LedgerError::Worker)?;
+        let worker =
+            StoreWorker::start("store", store, bounds.queue, wake).map_err(LedgerError::Worker)?;
         let mut ledger = Self::new(replica, identity, bounds);
-        ledger.keeper = Some(keeper);
+        ledger.worker = Some(worker);
         ledger.compaction = CompactionWriter::new(stored.has_header);
         Ok(ledger)
     }
@@ -174,7 +174,7 @@
 
     fn new(replica: Replica, identity: Identity, bounds: Bounds) -> Self {
         Ledger {
-            keeper: None,
+            worker: None,
             replica,
             identity,
             in_flight: VecDeque::new(),
@@ -186,12 +186,12 @@
 
     /// Whether it has its store.
     pub fn has_store(&self) -> bool {
-        self.keeper.is_some()
+        self.worker.is_some()
     }
 
     /// Writes that the queue to the disk has room for.
     fn room(&self) -> usize {
-        self.keeper.as_ref().map_or(0, Keeper::room)
+        self.worker.as_ref().map_or(0, StoreWorker::capacity)
     }
 
     /// The purges that it holds one by one. Of one that several logs have, the latest counts for whoever takes them all.
@@ -223,8 +223,8 @@
         self.identity.incarnation = incarnation;
         self.replica.renumber(incarnation);
         // Where there is no room for it, the next start on this disk learns it as this one did.
-        if let Some(keeper) = &mut self.keeper {
-            keeper.give(identity::incarnation(incarnation));
+        if let Some(worker) = &mut self.worker {
+            worker.submit(identity::incarnation(incarnation));
         }
     }
 
@@ -252,7 +252,10 @@
 
     /// Hands an entry to the worker. What has no room there is given again later, as what the disk did not take.
     fn write(&mut self, entry: &Entry) {
-        let given = self.keeper.as_mut().map(|k| k.give(codec::put(entry)));
+        let given = self
+            .worker
+            .as_mut()
+            .map(|worker| worker.submit(codec::put(entry)));
         match given.flatten() {
             Some(ticket) => self.in_flight.push_back((ticket, entry.log, entry.index)),
             None => self.replica.sync_failed(entry.log, entry.index),
@@ -276,7 +279,7 @@
         at: Micros,
         revoked: bool,
     ) -> Result<Entry, AppendError> {
-        if self.keeper.is_none() {
+        if self.worker.is_none() {
             return Err(AppendError::NoStore);
         }
         if self.room() == 0 {
@@ -294,7 +297,7 @@
         text: &str,
         at: Micros,
     ) -> Result<Vec<Entry>, AppendError> {
-        if self.keeper.is_none() {
+        if self.worker.is_none() {
             return Err(AppendError::NoStore);
         }
         let pieces = pieces(text).filter(|pieces| pieces.len() <= self.room());
@@ -361,7 +364,7 @@
         };
         let received = self.replica.receive(now, from, datagram);
         received.new.iter().for_each(|entry| self.write(entry));
-        if self.keeper.is_none() {
+        if self.worker.is_none() {
             return received;
         }
         received
@@ -383,23 +386,23 @@
             if let Some(compaction) = self.replica.compact(now) {
                 log::debug!(entries = compaction.entries.len(), buckets = compaction.buckets.len(); "purges are compacted");
                 // Without a store there is nothing on the disk that it would be taken off.
-                if self.keeper.is_some() {
+                if self.worker.is_some() {
                     self.compaction.add(compaction);
                 }
             }
         }
-        let Some(keeper) = &mut self.keeper else {
+        let Some(worker) = &mut self.worker else {
             return Vec::new();
         };
         let table = self.replica.log_store().table();
-        let synced = self.compaction.give(keeper, self.reserve, table);
+        let synced = self.compaction.give(worker, self.reserve, table);
         self.replica.snapshot_synced(&synced)
     }
 
     /// Takes in the worker's word of what is on the disk: what peers are to be told of it.
     pub fn take_completions(&mut self, now: Micros) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
-        while let Some(done) = self.keeper.as_mut().and_then(Keeper::done) {
+        while let Some(done) = self.worker.as_mut().and_then(StoreWorker::completion) {
             outgoing.extend(self.settle(&done));
         }
         outgoing.extend(self.compact(now));
@@ -407,9 +410,9 @@
     }
 
     /// Takes in what became of writes.
-    fn settle(&mut self, done: &Done) -> Vec<Outgoing> {
+    fn settle(&mut self, done: &Completion) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
-        while let Some((log, index)) = next_written(&mut self.in_flight, done.to) {
+        while let Some((log, index)) = next_written(&mut self.in_flight, done.through) {
             match done.result {
                 Ok(()) => outgoing.extend(self.replica.synced(log, index)),
                 Err(_) => self.replica.sync_failed(log, index),
@@ -436,8 +439,8 @@
             self.expires = now + EXPIRE_PERIOD_US;
             for entry in self.replica.expire(now) {
                 // One that finds no room there is found by the next process.
-                if let Some(keeper) = &mut self.keeper {
-                    keeper.give(codec::remove(&entry));
+                if let Some(worker) = &mut self.worker {
+                    worker.submit(codec::remove(&entry));
                 }
             }
         }
@@ -450,15 +453,15 @@
     /// The process ends in order: the next one goes on with this life, if the disk has all of it. Waits for the disk.
     pub fn close(self) -> Result<(), LedgerError> {
         let Ledger {
-            keeper,
+            worker,
             mut replica,
             mut in_flight,
             ..
         } = self;
-        let Some(keeper) = keeper else { return Ok(()) };
-        let (mut store, last) = keeper.close().ok_or(LedgerError::WorkerEnded)?;
+        let Some(worker) = worker else { return Ok(()) };
+        let (mut store, last) = worker.close().ok_or(LedgerError::WorkerEnded)?;
         for done in last {
-            while let Some((log, index)) = next_written(&mut in_flight, done.to) {
+            while let Some((log, index)) = next_written(&mut in_flight, done.through) {
                 if done.result.is_ok() {
                     replica.synced(log, index);
                 }
@@ -473,6 +476,6 @@
     /// Ends the worker and leaves the store as a crash does, not closed: for tests.
     #[doc(hidden)]
     pub fn abandon(self) {
-        drop(self.keeper.map(Keeper::close));
+        drop(self.worker.map(StoreWorker::close));
     }
 }
--- a/daemon/src/ledger/table.rs
+++ b/daemon/src/ledger/table.rs
@@ -4,14 +4,14 @@
 use super::error::LedgerError;
 use linnetknot_purges::{Bucket, BucketBits, BucketIndex, CompactTable};
 use linnetknot_replication::{CompactedLog, LogId};
-use linnetknot_store::{Fault, Format, Pair, Space, Store, Write};
+use linnetknot_store::{Format, Keyspace, Pair, Store, StoreError, Write};
 
 /// Buckets that are not empty: the index, big endian, and the bucket's encoding.
-const BUCKETS: Space = Space("buckets");
+const BUCKETS: Keyspace = Keyspace("buckets");
 /// Markers: the log's writer and epoch, and the index through which it is compacted, all big endian.
-const MARKERS: Space = Space("compacted");
+const MARKERS: Keyspace = Keyspace("compacted");
 /// What is said of the table as a whole.
-const TABLE: Space = Space("table");
+const TABLE: Keyspace = Keyspace("table");
 /// The form of the three spaces and the binary logarithm of the number of buckets, a byte each.
 const HEADER: &[u8] = b"header";
 /// The form that this program reads and writes.
@@ -35,8 +35,8 @@
     /// Reads the table and gives it in the wanted size.
     pub(super) fn load(store: &mut Store, wanted: BucketBits) -> Result<Self, LedgerError> {
         let header = store.get(TABLE, HEADER)?;
-        let buckets = store.all(BUCKETS)?;
-        let markers = store.all(MARKERS)?;
+        let buckets = store.scan(BUCKETS)?;
+        let markers = store.scan(MARKERS)?;
         let Some(header) = header else {
             return match buckets.is_empty() && markers.is_empty() {
                 true => Ok(StoredTable::empty(wanted)),
@@ -154,5 +154,5 @@
 }
 
 fn damaged(why: impl ToString) -> LedgerError {
-    LedgerError::Store(Fault::Damaged(why.to_string()))
+    LedgerError::Store(StoreError::Damaged(why.to_string()))
 }
--- a/daemon/tests/common/ledger_on_medium.rs
+++ b/daemon/tests/common/ledger_on_medium.rs
@@ -6,7 +6,7 @@
 use linnetknot_daemon::ledger::{Bounds, Ledger, LedgerError};
 use linnetknot_purges::BucketBits;
 use linnetknot_replication::{Entry, Options, Outgoing, Subject};
-use linnetknot_store::{Pair, Space, Store};
+use linnetknot_store::{Keyspace, Pair, Store};
 use std::sync::mpsc::{channel, Receiver};
 use std::time::Duration;
 
@@ -42,17 +42,17 @@
 }
 
 /// All pairs of the spaces that a ledger writes.
-pub(crate) fn all_pairs(store: &mut Store) -> Vec<(Space, Vec<Pair>)> {
-    let spaces = ["head", "own", "entries", "buckets", "compacted", "table"].map(Space);
+pub(crate) fn all_pairs(store: &mut Store) -> Vec<(Keyspace, Vec<Pair>)> {
+    let spaces = ["head", "own", "entries", "buckets", "compacted", "table"].map(Keyspace);
     spaces
         .into_iter()
-        .map(|space| (space, store.all(space).unwrap()))
+        .map(|space| (space, store.scan(space).unwrap()))
         .collect()
 }
 
 pub(crate) fn open_store(medium: &Medium) -> Store {
     let clone = medium.clone();
-    Store::on(move || clone.clone()).unwrap()
+    Store::open_on(move || clone.clone()).unwrap()
 }
 
 /// A ledger and the word of its worker.
@@ -80,7 +80,7 @@
     ) -> Result<Running, LedgerError> {
         let (wake, woken) = channel();
         let clone = medium.clone();
-        let store = Store::on(move || clone.clone())?;
+        let store = Store::open_on(move || clone.clone())?;
         let wake = move || {
             let _ = wake.send(());
         };
--- a/daemon/tests/compaction.rs
+++ b/daemon/tests/compaction.rs
@@ -14,13 +14,13 @@
 use linnetknot_daemon::ledger::LedgerError;
 use linnetknot_purges::{BucketBits, Micros};
 use linnetknot_replication::{Datagram, LogId, Subject};
-use linnetknot_store::{Fault, Format, Space, Write};
+use linnetknot_store::{Format, Keyspace, StoreError, Write};
 use medium::Medium;
 
 const BITS: BucketBits = BucketBits::MIN;
 
 fn entries_on_disk(medium: &Medium) -> usize {
-    open_store(medium).all(Space("entries")).unwrap().len()
+    open_store(medium).scan(Keyspace("entries")).unwrap().len()
 }
 
 fn stop(medium: &Medium, left: Option<u64>) {
@@ -121,11 +121,11 @@
         ]
         .concat();
         let value = [(n + 1).to_be_bytes(), (1_000 * n).to_be_bytes()].concat();
-        Write::put(Space("entries"), key, value)
+        Write::put(Keyspace("entries"), key, value)
     };
     store.commit(&(0..30).map(put).collect::<Vec<_>>()).unwrap();
     let own = |key: &[u8], value: u64| {
-        Write::put(Space("own"), key.to_vec(), value.to_be_bytes().to_vec())
+        Write::put(Keyspace("own"), key.to_vec(), value.to_be_bytes().to_vec())
     };
     store
         .commit(&[own(b"life", 77), own(b"member", 77)])
@@ -149,18 +149,19 @@
 
 #[test]
 fn a_newer_form_and_damage_are_refused_by_name_and_nothing_is_changed() {
-    let bucket = |value: Vec<u8>| Write::put(Space("buckets"), 3u32.to_be_bytes().to_vec(), value);
-    let header = |value: &[u8]| Write::put(Space("table"), b"header".to_vec(), value.to_vec());
-    let format = |name: &str| Write::put(Space("head"), b"format".to_vec(), name.into());
+    let bucket =
+        |value: Vec<u8>| Write::put(Keyspace("buckets"), 3u32.to_be_bytes().to_vec(), value);
+    let header = |value: &[u8]| Write::put(Keyspace("table"), b"header".to_vec(), value.to_vec());
+    let format = |name: &str| Write::put(Keyspace("head"), b"format".to_vec(), name.into());
     let cases = [
         (bucket(vec![9; 5]), "it is damaged (bucket 3: "),
         (bucket(vec![]), "it is damaged (bucket 3: "),
         (
-            Write::put(Space("buckets"), vec![0, 0, 1, 0], vec![0; 9]),
+            Write::put(Keyspace("buckets"), vec![0, 0, 1, 0], vec![0; 9]),
             "it is damaged (bucket 256 of ",
         ),
         (
-            Write::put(Space("buckets"), vec![1], vec![0; 9]),
+            Write::put(Keyspace("buckets"), vec![1], vec![0; 9]),
             "it is damaged (a purge table's bucket",
         ),
         (
@@ -171,15 +172,15 @@
         (header(&[1]), "it is damaged (the purge table's header"),
         (header(&[]), "it is damaged (the purge table's header"),
         (
-            Write::remove(Space("table"), b"header".to_vec()),
+            Write::remove(Keyspace("table"), b"header".to_vec()),
             "it is damaged (the purge table has no header)",
         ),
         (
-            Write::put(Space("compacted"), vec![7; 9], vec![0; 8]),
+            Write::put(Keyspace("compacted"), vec![7; 9], vec![0; 8]),
             "it is damaged (through where a log",
         ),
         (
-            Write::put(Space("compacted"), vec![7; 16], vec![0; 7]),
+            Write::put(Keyspace("compacted"), vec![7; 16], vec![0; 7]),
             "it is damaged (through where a log",
         ),
         (
@@ -219,7 +220,7 @@
     let mut store = linnetknot_store::Store::open(&path).unwrap();
     store
         .commit(&[Write::put(
-            Space("head"),
+            Keyspace("head"),
             b"format".to_vec(),
             b"linnetknot state 3".to_vec(),
         )])
@@ -230,7 +231,7 @@
         || linnetknot_daemon::ledger::Ledger::open(&path, WRITER, 5, bounds(WINDOW, BITS), || {});
     assert!(matches!(
         open().err(),
-        Some(LedgerError::Store(Fault::Format(_)))
+        Some(LedgerError::Store(StoreError::Format(_)))
     ));
     assert!(
         std::fs::read(&path).unwrap() == before,
--- a/daemon/tests/ledger.rs
+++ b/daemon/tests/ledger.rs
@@ -5,7 +5,7 @@
 use linnetknot_daemon::ledger::{Bounds, Ledger, LedgerError};
 use linnetknot_purges::BucketBits;
 use linnetknot_replication::{CommitOutcome, Datagram, Entry, LogId, Options, Outgoing, Subject};
-use linnetknot_store::Fault;
+use linnetknot_store::StoreError;
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{channel, Receiver};
@@ -88,7 +88,7 @@
     );
     let second = open(&path, 80).err().unwrap();
     assert!(
-        matches!(second, LedgerError::Store(Fault::Busy)),
+        matches!(second, LedgerError::Store(StoreError::Busy)),
         "one process has it: {second}"
     );
     written(&mut again);
--- a/store/src/medium.rs
+++ b/store/src/backend.rs
@@ -1,4 +1,4 @@
-//! The file as the embedded store's medium.
+//! The file as a storage backend of redb.
 
 use crate::fault_points;
 use crate::unsynced::Unsynced;
@@ -8,34 +8,35 @@
 use std::io;
 use std::path::Path;
 
-/// Memory for pages of the file. By itself the embedded store keeps up to 1 GiB of them; and of pages that it drops from a
-/// cache which is never full it keeps the places, without a bound.
+/// Memory for cached pages of the file. redb's default is up to 1 GiB; and as long as its cache is not full, its list of
+/// evicted pages grows without a bound.
 const CACHE_BYTES: usize = 4 << 20;
 
-/// A medium whose new length is on the disk before anything that is written later, and that knows what is not synced.
+/// A backend that syncs a new length of the file before anything is written after it, and tracks which ranges are not
+/// synced.
 ///
-/// The embedded store lengthens its file and writes a header that tells of the new length, with one sync for both. A
-/// power failure before that sync may leave the header without the length, and such a file can't be opened.
+/// redb extends its file and writes a header with the new length, and syncs once for both. A power failure before that
+/// sync may leave the header without the length, and such a file can't be opened.
 #[derive(Debug)]
-struct Synced<B> {
-    medium: B,
+struct DurableLength<B> {
+    file: B,
     unsynced: Unsynced,
 }
 
-impl<B: StorageBackend> StorageBackend for Synced<B> {
+impl<B: StorageBackend> StorageBackend for DurableLength<B> {
     fn len(&self) -> io::Result<u64> {
-        self.medium.len()
+        self.file.len()
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
         fault_points::read()?;
-        self.medium.read(offset, out)
+        self.file.read(offset, out)
     }
 
     fn set_len(&self, len: u64) -> io::Result<()> {
         fault_points::truncate()?;
-        let grows = len > self.medium.len()?;
-        self.medium.set_len(len)?;
+        let grows = len > self.file.len()?;
+        self.file.set_len(len)?;
         if grows {
             self.sync_data()?;
         }
@@ -43,35 +44,35 @@
     }
 
     fn sync_data(&self) -> io::Result<()> {
-        let synced = fault_points::sync().and_then(|()| self.medium.sync_data());
-        self.unsynced.synced(synced)
+        let synced = fault_points::sync().and_then(|()| self.file.sync_data());
+        self.unsynced.record_sync(synced)
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
         fault_points::write()?;
-        // Also of a write that fails a part may have been taken.
-        self.unsynced.written(offset, data.len());
-        self.medium.write(offset, data)
+        // A part may be written also where the write fails.
+        self.unsynced.record_write(offset, data.len());
+        self.file.write(offset, data)
     }
 
     fn close(&self) -> io::Result<()> {
-        self.medium.close()
+        self.file.close()
     }
 }
 
-/// Opens a store on a medium, or begins it on an empty one.
+/// Opens a database on a backend, or creates it on an empty one.
 pub(crate) fn open_on(
-    medium: impl StorageBackend,
+    file: impl StorageBackend,
     unsynced: &Unsynced,
 ) -> Result<Database, DatabaseError> {
-    unsynced.restore(&medium)?;
+    unsynced.restore(&file)?;
     let unsynced = unsynced.clone();
     Database::builder()
         .set_cache_size(CACHE_BYTES)
-        .create_with_backend(Synced { medium, unsynced })
+        .create_with_backend(DurableLength { file, unsynced })
 }
 
-/// Begins a store in a file that is not there yet.
+/// Creates a database in a file that does not exist yet.
 pub(crate) fn create_file(path: &Path) -> Result<Database, DatabaseError> {
     fault_points::open()?;
     let file = OpenOptions::new()
@@ -82,7 +83,7 @@
     open_on(FileBackend::new(file)?, &Unsynced::default())
 }
 
-/// Opens the store in a file. An empty one is none: a store is never begun in its place.
+/// Opens the database in a file. An empty file is an error: no database is ever created in one that exists.
 pub(crate) fn open_file(path: &Path, unsynced: &Unsynced) -> Result<Database, DatabaseError> {
     fault_points::open()?;
     let file = OpenOptions::new().read(true).write(true).open(path)?;
--- a/store/src/fault_points.rs
+++ b/store/src/fault_points.rs
@@ -1,12 +1,12 @@
-//! Points at which tests have calls to the file system fail with an errno. Without the feature of the crate `fail` that
-//! no release build has, each of them is nothing at all.
+//! Fail points at which tests make calls to the file system fail with an errno. Without the `failpoints` feature of the
+//! `fail` crate, which no release build enables, they compile to nothing.
 
 use std::io;
 
-/// The errno of a test's fault by its name; EIO where it names none.
+/// The errnos that tests may name. The first is the default.
 const ERRNOS: [(&str, i32); 4] = [("EIO", 5), ("EACCES", 13), ("ENOSPC", 28), ("EROFS", 30)];
 
-/// The error with an errno of this name.
+/// Returns the error with the errno of this name, or EIO where the name is none of `ERRNOS`.
 #[doc(hidden)]
 pub fn error(name: Option<String>) -> io::Error {
     let name = name.unwrap_or_default();
@@ -14,42 +14,42 @@
     io::Error::from_raw_os_error(found.map_or(ERRNOS[0].1, |(_, errno)| *errno))
 }
 
-/// A file is opened or created.
+/// Fails where a test has files fail to open.
 #[doc(hidden)]
 pub fn open() -> io::Result<()> {
     fail::fail_point!("disk-open", |name| Err(error(name)));
     Ok(())
 }
 
-/// A file is read.
+/// Fails where a test has reads fail.
 #[doc(hidden)]
 pub fn read() -> io::Result<()> {
     fail::fail_point!("disk-read", |name| Err(error(name)));
     Ok(())
 }
 
-/// A file is written.
+/// Fails where a test has writes fail.
 #[doc(hidden)]
 pub fn write() -> io::Result<()> {
     fail::fail_point!("disk-write", |name| Err(error(name)));
     Ok(())
 }
 
-/// A file or a folder is synced.
+/// Fails where a test has syncs of files or folders fail.
 #[doc(hidden)]
 pub fn sync() -> io::Result<()> {
     fail::fail_point!("disk-sync", |name| Err(error(name)));
     Ok(())
 }
 
-/// A file's length is changed.
+/// Fails where a test has changes of a file's length fail.
 #[doc(hidden)]
 pub fn truncate() -> io::Result<()> {
     fail::fail_point!("disk-truncate", |name| Err(error(name)));
     Ok(())
 }
 
-/// A file is renamed or removed.
+/// Fails where a test has renames or removals fail.
 #[doc(hidden)]
 pub fn rename() -> io::Result<()> {
     fail::fail_point!("disk-rename", |name| Err(error(name)));
--- a/store/src/file.rs
+++ b/store/src/file.rs
@@ -1,8 +1,8 @@
-//! The file: spaces of keys and values, written in groups that are there whole or not at all.
+//! The store's file: keyspaces of keys and values, changed by atomic groups of writes.
 
-use crate::fault::{broken, fault, Fault};
+use crate::backend;
+use crate::error::{inconsistent, store_error, StoreError};
 use crate::fault_points;
-use crate::medium;
 use crate::unsynced::Unsynced;
 use redb::{
     AccessGuard, Database, DatabaseError, ReadOnlyDatabase, ReadOnlyTable, ReadableDatabase,
@@ -11,22 +11,22 @@
 use std::fmt;
 use std::io;
 use std::panic::{catch_unwind, AssertUnwindSafe};
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
-/// A version of the file's format. The file says which it is, and a program refuses one that it does not know by name.
+/// A version of the file's format, which the file names. A program does not open a file whose format it doesn't know.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Format {
-    /// Entries alone. New files have it.
+    /// Log entries alone: the format of new files.
     Entries,
-    /// Entries and the compact table of older purges, which a program that knows only entries must not pass over.
+    /// Log entries and the compact table of older purges, which a program that knows only entries must not ignore.
     Compacted,
 }
 
 impl Format {
-    /// All that this program knows, the oldest first.
+    /// All formats that this program knows, the oldest first.
     pub const KNOWN: [Format; 2] = [Format::Entries, Format::Compacted];
 
-    /// The format's name in the file.
+    /// Returns the format's name in the file.
     pub const fn name(self) -> &'static str {
         match self {
             Format::Entries => "linnetknot state 1",
@@ -34,85 +34,86 @@
         }
     }
 
-    /// The write that gives a file this format. Whoever gives a file an older one than it has loses what only the newer
-    /// one tells of.
+    /// Returns the write that gives a file this format. A file must never be given an older format than it has: programs
+    /// of that format would ignore what only the newer one holds.
     pub fn write(self) -> Write {
-        Write::put(HEAD, VERSION.to_vec(), self.name().into())
+        Write::put(HEAD, FORMAT_KEY.to_vec(), self.name().into())
     }
 
-    fn of(name: &[u8]) -> Option<Self> {
+    fn from_name(name: &[u8]) -> Option<Self> {
         Self::KNOWN
             .into_iter()
             .find(|format| format.name().as_bytes() == name)
     }
 }
 
-/// Where the version stands.
-const HEAD: Space = Space("head");
-const VERSION: &[u8] = b"format";
+/// The keyspace of the format.
+const HEAD: Keyspace = Keyspace("head");
+/// The key of the format's name.
+const FORMAT_KEY: &[u8] = b"format";
 
-/// A space of keys of its own in the file.
+/// A named set of keys in the file, apart from those of all other keyspaces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Space(pub &'static str);
+pub struct Keyspace(pub &'static str);
 
-impl Space {
+impl Keyspace {
     fn table(self) -> TableDefinition<'static, &'static [u8], &'static [u8]> {
         TableDefinition::new(self.0)
     }
 }
 
-/// What a write does to its key.
+/// What a write does with its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Gives it a value.
+    /// Sets its value.
     Put(Vec<u8>),
-    /// Takes it out.
+    /// Removes it.
     Remove,
-    /// Takes it out if this is its value when the write is carried out; another value stays.
+    /// Removes it if this is its value when the write is applied; another value stays.
     RemoveIf(Vec<u8>),
 }
 
-/// A change of one key.
+/// The change of one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Write {
-    /// The space.
-    pub space: Space,
+    /// The key's keyspace.
+    pub keyspace: Keyspace,
     /// The key.
     pub key: Vec<u8>,
-    /// What is done to it.
+    /// What is done with it.
     pub change: Change,
 }
 
 impl Write {
-    /// Gives a key a value.
-    pub fn put(space: Space, key: Vec<u8>, value: Vec<u8>) -> Self {
+    /// Sets the value of a key.
+    pub fn put(keyspace: Keyspace, key: Vec<u8>, value: Vec<u8>) -> Self {
         Write {
-            space,
+            keyspace,
             key,
             change: Change::Put(value),
         }
     }
 
-    /// Takes a key out.
-    pub fn remove(space: Space, key: Vec<u8>) -> Self {
+    /// Removes a key.
+    pub fn remove(keyspace: Keyspace, key: Vec<u8>) -> Self {
         Write {
-            space,
+            keyspace,
             key,
             change: Change::Remove,
         }
     }
 
-    /// Takes a key out if it has a value.
-    pub fn remove_if(space: Space, key: Vec<u8>, value: Vec<u8>) -> Self {
+    /// Removes a key if it has this value.
+    pub fn remove_if(keyspace: Keyspace, key: Vec<u8>, value: Vec<u8>) -> Self {
         Write {
-            space,
+            keyspace,
             key,
             change: Change::RemoveIf(value),
         }
     }
 }
 
-/// Carries out a write in its space.
+/// Applies a write to the table of its keyspace.
 fn apply(table: &mut WritableTable<'_>, write: &Write) -> Result<(), StorageError> {
     let key = write.key.as_slice();
     match &write.change {
@@ -137,134 +138,146 @@
 type Guard<'a> = AccessGuard<'a, &'static [u8]>;
 type Opener = Box<dyn FnMut() -> Result<Database, DatabaseError> + Send>;
 
-/// The file.
+/// The open file.
 pub struct Store {
-    /// None after a write failed, until it is opened again: the store takes no more once one did.
-    db: Option<Database>,
+    /// None after an operation failed, until the file is opened again: redb takes no further operation after a failed one.
+    database: Option<Database>,
     opener: Opener,
 }
 
 impl fmt::Debug for Store {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Store")
-            .field("sound", &self.db.is_some())
+            .field("is_open", &self.database.is_some())
             .finish()
     }
 }
 
 impl Store {
-    /// Opens the file at a path, or begins it. A damaged one is refused and left as it is.
-    pub fn open(path: &Path) -> Result<Self, Fault> {
+    /// Opens the file at a path, or creates it. A damaged one is an error, and is left as it is.
+    pub fn open(path: &Path) -> Result<Self, StoreError> {
         if !path.exists() {
-            Self::begin(path)?;
+            Self::create(path)?;
         }
-        Self::refuse_unknown(path)?;
+        Self::check_format(path)?;
         let path = path.to_owned();
         let unsynced = Unsynced::default();
-        Self::by(Box::new(move || medium::open_file(&path, &unsynced)))
+        Self::open_with(Box::new(move || backend::open_file(&path, &unsynced)))
     }
 
-    /// Refuses a file of an unknown format before it is opened for writing, which changes its bytes. What else is wrong
-    /// with a file, or what only a repair can tell of it, is left to the opening.
-    fn refuse_unknown(path: &Path) -> Result<(), Fault> {
+    /// Checks the file's format before it is opened for writing, which changes its bytes. All other faults of a file, and
+    /// a file whose format can't be read without a repair, are left to the opening.
+    fn check_format(path: &Path) -> Result<(), StoreError> {
         let format = || -> Result<Option<Vec<u8>>, redb::Error> {
             let table = ReadOnlyDatabase::open(path)?
                 .begin_read()?
                 .open_table(HEAD.table())?;
-            Ok(table.get(VERSION)?.map(|found| found.value().to_vec()))
+            Ok(table.get(FORMAT_KEY)?.map(|found| found.value().to_vec()))
         };
         match catch_unwind(AssertUnwindSafe(format)) {
-            Ok(Ok(Some(found))) => Self::known(&found).map(drop),
+            Ok(Ok(Some(found))) => Self::known_format(&found).map(drop),
             _ => Ok(()),
         }
     }
 
-    /// Begins a file beside its place and puts it there once it is whole: a file whose first words were cut off by a
+    /// Creates the file under another name and renames it once it is complete: a file whose first pages were cut off by a
     /// crash could not be told from a damaged one.
-    fn begin(path: &Path) -> Result<(), Fault> {
-        let disk = |e: io::Error| Fault::of(&e);
-        let mut beside = path.as_os_str().to_owned();
-        beside.push(".new");
-        match std::fs::remove_file(&beside) {
-            Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(disk(e)),
+    fn create(path: &Path) -> Result<(), StoreError> {
+        let io_error = |e: io::Error| StoreError::from_io(&e);
+        let mut temporary = path.as_os_str().to_owned();
+        temporary.push(".new");
+        let temporary = PathBuf::from(temporary);
+        match std::fs::remove_file(&temporary) {
+            Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(io_error(e)),
             _ => {}
         }
-        let made = std::path::PathBuf::from(&beside);
-        drop(Self::by(Box::new(move || medium::create_file(&made)))?);
+        let created = temporary.clone();
+        drop(Self::open_with(Box::new(move || {
+            backend::create_file(&created)
+        }))?);
         fault_points::rename()
-            .and_then(|()| std::fs::rename(&beside, path))
-            .map_err(disk)?;
+            .and_then(|()| std::fs::rename(&temporary, path))
+            .map_err(io_error)?;
         match path.parent().filter(|p| !p.as_os_str().is_empty()) {
             Some(folder) => fault_points::sync()
                 .and_then(|()| std::fs::File::open(folder))
                 .and_then(|f| f.sync_all())
-                .map_err(disk),
+                .map_err(io_error),
             None => Ok(()),
         }
     }
 
-    /// Opens a store on a medium of the caller's, as tests do that lose what was not synced.
-    pub fn on<B: StorageBackend>(
-        mut medium: impl FnMut() -> B + Send + 'static,
-    ) -> Result<Self, Fault> {
+    /// Opens a store on backends that the caller supplies, one for each time the file is opened: for tests that lose what
+    /// was not synced.
+    pub fn open_on<B: StorageBackend>(
+        mut backend: impl FnMut() -> B + Send + 'static,
+    ) -> Result<Self, StoreError> {
         let unsynced = Unsynced::default();
-        Self::by(Box::new(move || medium::open_on(medium(), &unsynced)))
+        Self::open_with(Box::new(move || backend::open_on(backend(), &unsynced)))
     }
 
-    fn by(opener: Opener) -> Result<Self, Fault> {
-        let mut store = Store { db: None, opener };
-        store.reopen()?;
-        match store.get(HEAD, VERSION)? {
+    fn open_with(opener: Opener) -> Result<Self, StoreError> {
+        let mut store = Store {
+            database: None,
+            opener,
+        };
+        store.database()?;
+        match store.get(HEAD, FORMAT_KEY)? {
             None if store.is_new()? => {
                 store.commit(&[Format::Entries.write()])?;
             }
-            None => return Err(Fault::Damaged("it names no format".into())),
-            Some(found) => drop(Self::known(&found)?),
+            None => return Err(StoreError::Damaged("it names no format".into())),
+            Some(found) => drop(Self::known_format(&found)?),
         }
         Ok(store)
     }
 
-    fn known(found: &[u8]) -> Result<Format, Fault> {
-        Format::of(found).ok_or_else(|| Fault::Format(String::from_utf8_lossy(found).into_owned()))
+    fn known_format(found: &[u8]) -> Result<Format, StoreError> {
+        Format::from_name(found)
+            .ok_or_else(|| StoreError::Format(String::from_utf8_lossy(found).into_owned()))
     }
 
-    /// The file's format.
-    pub fn format(&mut self) -> Result<Format, Fault> {
-        match self.get(HEAD, VERSION)? {
-            Some(found) => Self::known(&found),
-            None => Err(Fault::Damaged("it names no format".into())),
+    /// Returns the file's format.
+    pub fn format(&mut self) -> Result<Format, StoreError> {
+        match self.get(HEAD, FORMAT_KEY)? {
+            Some(found) => Self::known_format(&found),
+            None => Err(StoreError::Damaged("it names no format".into())),
         }
     }
 
-    /// Opens the file anew where it is not open.
-    fn reopen(&mut self) -> Result<&Database, Fault> {
-        let db = match self.db.take() {
-            Some(db) => db,
-            // A file that was changed from outside may have the store panic where it trusts what it wrote.
+    /// Returns the open database, and opens it first where it is not open.
+    fn database(&mut self) -> Result<&Database, StoreError> {
+        let database = match self.database.take() {
+            Some(database) => database,
+            // redb may panic on a file that was changed by another program, as it trusts what it wrote.
             None => catch_unwind(AssertUnwindSafe(&mut self.opener))
-                .map_err(|_| broken())?
-                .map_err(|e| fault(e.into()))?,
+                .map_err(|_| inconsistent())?
+                .map_err(|e| store_error(e.into()))?,
         };
-        Ok(self.db.insert(db))
+        Ok(self.database.insert(database))
     }
 
-    fn is_new(&mut self) -> Result<bool, Fault> {
-        let read = self.reopen()?.begin_read().map_err(|e| fault(e.into()))?;
-        let mut tables = read.list_tables().map_err(|e| fault(e.into()))?;
+    /// Whether nothing was ever written to the file.
+    fn is_new(&mut self) -> Result<bool, StoreError> {
+        let read = self
+            .database()?
+            .begin_read()
+            .map_err(|e| store_error(e.into()))?;
+        let mut tables = read.list_tables().map_err(|e| store_error(e.into()))?;
         Ok(tables.next().is_none())
     }
 
-    /// The value of a key.
-    pub fn get(&mut self, space: Space, key: &[u8]) -> Result<Option<Vec<u8>>, Fault> {
-        self.read(space, |table| {
+    /// Returns the value of a key; none where it has none.
+    pub fn get(&mut self, keyspace: Keyspace, key: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
+        self.read(keyspace, |table| {
             Ok(table.get(key)?.map(|value| value.value().to_vec()))
         })
         .map(Option::flatten)
     }
 
-    /// All keys of a space with their values, in the keys' order.
-    pub fn all(&mut self, space: Space) -> Result<Vec<Pair>, Fault> {
-        let all = self.read(space, |table| {
+    /// Returns all keys of a keyspace with their values, in the order of the keys.
+    pub fn scan(&mut self, keyspace: Keyspace) -> Result<Vec<Pair>, StoreError> {
+        let all = self.read(keyspace, |table| {
             let pair = |pair: Result<(Guard<'_>, Guard<'_>), StorageError>| {
                 pair.map(|(key, value)| (key.value().to_vec(), value.value().to_vec()))
             };
@@ -273,50 +286,50 @@
         Ok(all.unwrap_or_default())
     }
 
-    /// Reads a space; none where nothing was ever written to it.
+    /// Reads a keyspace; none where nothing was ever written to it.
     fn read<T>(
         &mut self,
-        space: Space,
+        keyspace: Keyspace,
         take: impl FnOnce(&ReadOnlyTable<&'static [u8], &'static [u8]>) -> Result<T, StorageError>,
-    ) -> Result<Option<T>, Fault> {
-        let db = self.reopen()?;
+    ) -> Result<Option<T>, StoreError> {
+        let database = self.database()?;
         let read = || -> Result<Option<T>, redb::Error> {
-            match db.begin_read()?.open_table(space.table()) {
+            match database.begin_read()?.open_table(keyspace.table()) {
                 Ok(table) => Ok(Some(take(&table)?)),
                 Err(TableError::TableDoesNotExist(_)) => Ok(None),
                 Err(e) => Err(e.into()),
             }
         };
         let found = catch_unwind(AssertUnwindSafe(read))
-            .map_err(|_| broken())
-            .and_then(|result| result.map_err(fault));
+            .map_err(|_| inconsistent())
+            .and_then(|result| result.map_err(store_error));
         if found.is_err() {
-            // After a failed read, too, the store refuses all others until it is opened again.
-            self.db = None;
+            // After a failed read, too, redb refuses all others until the file is opened again.
+            self.database = None;
         }
         found
     }
 
-    /// Writes a group: all of it is on the disk when this returns, or none of it ever is. After an error it may be
-    /// either, as the disk may have taken what it would not confirm.
-    pub fn commit(&mut self, group: &[Write]) -> Result<(), Fault> {
-        let db = self.reopen()?;
+    /// Commits a group atomically: once this returns without an error all of it is on the disk. After an error all of it
+    /// may be there or none, as the disk may have taken what it did not confirm.
+    pub fn commit(&mut self, group: &[Write]) -> Result<(), StoreError> {
+        let database = self.database()?;
         let write = || -> Result<(), redb::Error> {
-            // The store's default is to sync with each commit.
-            let transaction = db.begin_write()?;
-            // A table of a transaction is opened once for all that follow each other in it.
-            for run in group.chunk_by(|a, b| a.space == b.space) {
-                let mut table = transaction.open_table(run[0].space.table())?;
+            // redb syncs with each commit by default.
+            let transaction = database.begin_write()?;
+            // A table is opened once for all writes that follow each other in it.
+            for run in group.chunk_by(|a, b| a.keyspace == b.keyspace) {
+                let mut table = transaction.open_table(run[0].keyspace.table())?;
                 run.iter().try_for_each(|write| apply(&mut table, write))?;
             }
             Ok(transaction.commit()?)
         };
         let written = catch_unwind(AssertUnwindSafe(write))
-            .map_err(|_| broken())
-            .and_then(|result| result.map_err(fault));
+            .map_err(|_| inconsistent())
+            .and_then(|result| result.map_err(store_error));
         if written.is_err() {
-            // After a failed write the store refuses all others; opened again it stands as of its last whole group.
-            self.db = None;
+            // After a failed write redb refuses all others; opened again the file is as of its last complete group.
+            self.database = None;
         }
         written
     }
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -1,18 +1,18 @@
-//! What must outlive the process and the machine's power: spaces of keys and values in one file, on an embedded store
-//! (redb), written by a worker thread so that no loop ever waits for a disk.
+//! State that survives a crash of the process and a loss of power: keyspaces of keys and values in one file, on an
+//! embedded store (redb), written by a worker thread so that no event loop ever waits for a disk.
 //!
-//! [`Store`] owns the file: its format, its version and what is said of one that can't be read. [`Keeper`] owns the
-//! thread: a bounded queue before it, many writes to one sync (group commit), and a word for each write that tells
-//! whether it is on the disk. Only that word may be acknowledged to others.
+//! [`Store`] owns the file: its format version, and the errors of one that can't be used. [`StoreWorker`] owns the thread:
+//! a bounded queue, group commit, and a [`Completion`] for each group that says whether its writes are on the disk. Only
+//! what a completion confirms may be acknowledged to others.
 
-mod fault;
+mod backend;
+mod error;
 #[doc(hidden)]
 pub mod fault_points;
 mod file;
-mod keeper;
-mod medium;
 mod unsynced;
+mod worker;
 
-pub use fault::{is_lasting, Fault};
-pub use file::{Change, Format, Pair, Space, Store, Write};
-pub use keeper::{Done, Keeper, Ticket};
+pub use error::{is_lasting, StoreError};
+pub use file::{Change, Format, Keyspace, Pair, Store, Write};
+pub use worker::{Completion, StoreWorker, WriteId};
--- a/store/tests/crash.rs
+++ b/store/tests/crash.rs
@@ -1,13 +1,13 @@
 //! The store on a medium that stops at its n-th operation and then loses what was not synced: what was acknowledged is
 //! there, and of a group that was not acknowledged all is there or nothing.
 
-use linnetknot_store::{Done, Fault, Format, Keeper, Space, Store, Write};
+use linnetknot_store::{Completion, Format, Keyspace, Store, StoreError, StoreWorker, Write};
 use medium::Medium;
 
 #[path = "common/medium.rs"]
 mod medium;
 
-const SPACE: Space = Space("test");
+const SPACE: Keyspace = Keyspace("test");
 
 fn put(key: u64, value: u64) -> Write {
     Write::put(
@@ -17,9 +17,9 @@
     )
 }
 
-fn open(medium: &Medium) -> Result<Store, Fault> {
+fn open(medium: &Medium) -> Result<Store, StoreError> {
     let medium = medium.clone();
-    Store::on(move || medium.clone())
+    Store::open_on(move || medium.clone())
 }
 
 /// Groups of three keys, each overwriting one of an earlier group and taking one out; gives the groups that were
@@ -59,7 +59,7 @@
             medium.0.lock().unwrap().lose(n * 4 + seed);
             let mut store =
                 open(&medium).unwrap_or_else(|e| panic!("stopped at {n}, seed {seed}: {e}"));
-            let kept = store.all(SPACE).unwrap();
+            let kept = store.scan(SPACE).unwrap();
             let number = |key: u64| {
                 let found = kept.iter().find(|(k, _)| k[..] == key.to_be_bytes());
                 found.map_or(0, |(_, value)| {
@@ -94,14 +94,17 @@
     let mut store = open(&medium).unwrap();
     store.commit(&[put(1, 1)]).unwrap();
     medium.0.lock().unwrap().left = Some(1);
-    assert!(matches!(store.commit(&[put(1, 2)]), Err(Fault::Disk(_))));
+    assert!(matches!(
+        store.commit(&[put(1, 2)]),
+        Err(StoreError::Disk(_))
+    ));
     assert!(
         store.commit(&[put(1, 3)]).is_err(),
         "the disk is still away"
     );
     medium.0.lock().unwrap().left = None;
     store.commit(&[put(1, 4)]).unwrap();
-    let all = store.all(SPACE).unwrap();
+    let all = store.scan(SPACE).unwrap();
     assert_eq!(
         all,
         [(1u64.to_be_bytes().to_vec(), 4u64.to_be_bytes().to_vec())]
@@ -116,31 +119,32 @@
     let held = medium.0.lock().unwrap();
     let before = held.operations;
     let (wake, woken) = std::sync::mpsc::channel();
-    let mut keeper = Keeper::start("test", store, 100, move || wake.send(()).unwrap()).unwrap();
+    let mut worker =
+        StoreWorker::start("test", store, 100, move || wake.send(()).unwrap()).unwrap();
     let given = (1..=100)
-        .map(|n| keeper.give(put(n, n)))
+        .map(|n| worker.submit(put(n, n)))
         .collect::<Vec<_>>();
     assert_eq!(given, (1..=100).map(Some).collect::<Vec<_>>());
     assert_eq!(
-        (keeper.give(put(101, 1)), keeper.room()),
+        (worker.submit(put(101, 1)), worker.capacity()),
         (None, 0),
         "bounded"
     );
-    assert_eq!(keeper.done(), None);
+    assert_eq!(worker.completion(), None);
     drop(held);
     let mut words = Vec::new();
-    while words.last().is_none_or(|d: &Done| d.to < 100) {
+    while words.last().is_none_or(|d: &Completion| d.through < 100) {
         woken
             .recv_timeout(std::time::Duration::from_secs(10))
             .unwrap();
-        words.extend(std::iter::from_fn(|| keeper.done()));
+        words.extend(std::iter::from_fn(|| worker.completion()));
     }
     assert!(words.iter().all(|d| d.result.is_ok()));
     assert!(words.len() <= 3, "{} syncs for 100 writes", words.len());
-    assert!(medium.0.lock().unwrap().operations > before && keeper.room() == 100);
-    assert!(keeper.give(put(7, 8)).is_some(), "there is room again");
-    let (mut store, last) = keeper.close().unwrap();
-    assert_eq!((store.all(SPACE).unwrap().len(), last.len()), (100, 1));
+    assert!(medium.0.lock().unwrap().operations > before && worker.capacity() == 100);
+    assert!(worker.submit(put(7, 8)).is_some(), "there is room again");
+    let (mut store, last) = worker.close().unwrap();
+    assert_eq!((store.scan(SPACE).unwrap().len(), last.len()), (100, 1));
 }
 
 #[test]
@@ -150,7 +154,7 @@
     let path = folder.join("state");
     std::fs::write(&path, "purge object 0a 5\n").unwrap();
     let foreign = Store::open(&path).unwrap_err();
-    assert!(matches!(foreign, Fault::Damaged(_)), "{foreign:?}");
+    assert!(matches!(foreign, StoreError::Damaged(_)), "{foreign:?}");
     assert_eq!(
         std::fs::read(&path).unwrap(),
         b"purge object 0a 5\n",
@@ -164,17 +168,17 @@
     store
         .commit(&(0..200).map(|n| put(n, n)).collect::<Vec<_>>())
         .unwrap();
-    assert_eq!(Store::open(&path).unwrap_err(), Fault::Busy);
+    assert_eq!(Store::open(&path).unwrap_err(), StoreError::Busy);
     drop(store);
     assert_eq!(
-        Store::open(&path).unwrap().all(SPACE).unwrap().len(),
+        Store::open(&path).unwrap().scan(SPACE).unwrap().len(),
         200,
         "closed and opened"
     );
     // Another format.
     let mut store = Store::open(&path).unwrap();
     let other = Write::put(
-        Space("head"),
+        Keyspace("head"),
         b"format".to_vec(),
         b"linnetknot state 9".to_vec(),
     );
@@ -188,7 +192,7 @@
     assert!(Store::open(&path).is_err());
     std::fs::write(&path, vec![0x5a; bytes.len()]).unwrap();
     let said = Store::open(&path).unwrap_err();
-    assert!(matches!(said, Fault::Damaged(_)), "{said:?}");
+    assert!(matches!(said, StoreError::Damaged(_)), "{said:?}");
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
@@ -202,7 +206,7 @@
         .commit(&[put(1, 9), stale(1), stale(2), stale(3)])
         .unwrap();
     assert_eq!(
-        store.all(SPACE).unwrap(),
+        store.scan(SPACE).unwrap(),
         [(key(1), 9u64.to_be_bytes().to_vec())]
     );
 }
@@ -219,7 +223,7 @@
     let mut store = open(&medium).unwrap();
     assert_eq!(store.format().unwrap(), Format::Compacted);
     assert_eq!(
-        store.get(Space("head"), b"format").unwrap().unwrap(),
+        store.get(Keyspace("head"), b"format").unwrap().unwrap(),
         b"linnetknot state 2"
     );
 }
--- a/store/tests/failing_medium.rs
+++ b/store/tests/failing_medium.rs
@@ -2,7 +2,7 @@
 //! good, with losses of power and restarts in between. A sync that failed loses what it covered: another one succeeds
 //! without it. Whatever fails, what was acknowledged is there, and a group is there as a whole or not at all.
 
-use linnetknot_store::{Fault, Space, Store, Write};
+use linnetknot_store::{Keyspace, Store, StoreError, Write};
 use medium::{Calls, Medium, Spell};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -11,7 +11,7 @@
 #[path = "common/medium.rs"]
 mod medium;
 
-const SPACE: Space = Space("test");
+const SPACE: Keyspace = Keyspace("test");
 const PLAYS: u64 = 1_000;
 const STEPS: usize = 40;
 const KEYS: u64 = 12;
@@ -49,8 +49,8 @@
     (writes, next)
 }
 
-fn found(store: &mut Store) -> Result<State, Fault> {
-    let pairs = store.all(SPACE)?;
+fn found(store: &mut Store) -> Result<State, StoreError> {
+    let pairs = store.scan(SPACE)?;
     let key = |bytes: Vec<u8>| u64::from_be_bytes(bytes.try_into().unwrap());
     Ok(pairs.into_iter().map(|(k, v)| (key(k), v)).collect())
 }
@@ -75,7 +75,7 @@
         Play {
             seed,
             random: SmallRng::seed_from_u64(seed),
-            store: Some(Store::on(move || clone.clone()).unwrap()),
+            store: Some(Store::open_on(move || clone.clone()).unwrap()),
             medium,
             possible: vec![State::new()],
             failures: 0,
@@ -131,7 +131,7 @@
     /// Opens the store as a process does that starts. Where its medium fails, that is for a while.
     fn open(&mut self) {
         let clone = self.medium.clone();
-        match Store::on(move || clone.clone()) {
+        match Store::open_on(move || clone.clone()) {
             Ok(store) => self.store = Some(store),
             Err(e) => assert!(e.is_transient(), "seed {}, at a start: {e}", self.seed),
         }
@@ -207,7 +207,7 @@
     for syncs in 0..8 {
         let medium = Medium::default();
         let clone = medium.clone();
-        let mut store = Store::on(move || clone.clone()).unwrap();
+        let mut store = Store::open_on(move || clone.clone()).unwrap();
         let put = |n: u64| Write::put(SPACE, n.to_be_bytes().to_vec(), vec![n as u8; 2_000]);
         store.commit(&[put(0)]).unwrap();
         medium.fail(Some(Spell::nth(Calls::SYNC, syncs)));
@@ -220,7 +220,7 @@
         medium.fail(None);
         medium.0.lock().unwrap().lose(u64::MAX);
         let clone = medium.clone();
-        let mut store = Store::on(move || clone.clone())
+        let mut store = Store::open_on(move || clone.clone())
             .unwrap_or_else(|e| panic!("a sync failed after {syncs}: {e}"));
         let found = found(&mut store).unwrap();
         assert!(
@@ -238,7 +238,7 @@
             for times in [1, 5, u64::MAX] {
                 let medium = Medium::default();
                 let clone = medium.clone();
-                let mut store = Store::on(move || clone.clone()).unwrap();
+                let mut store = Store::open_on(move || clone.clone()).unwrap();
                 let put = |n: u64| Write::put(SPACE, vec![n as u8], vec![n as u8; 5_000]);
                 medium.fail(Some(Spell::new(calls, first, times)));
                 let mut last = None;
--- a/store/tests/memory.rs
+++ b/store/tests/memory.rs
@@ -1,10 +1,10 @@
 //! The memory of a process that writes for long to a file that is larger than the cache of its pages. Alone in its
 //! process, whose resident memory it reads.
 
-use linnetknot_store::{Space, Store, Write};
+use linnetknot_store::{Keyspace, Store, Write};
 use std::fs;
 
-const SPACE: Space = Space("test");
+const SPACE: Keyspace = Keyspace("test");
 /// Some 32 MiB of values.
 const KEYS: u64 = 64 << 10;
 const VALUE_BYTES: usize = 512;
