--- a/daemon/examples/purge_soak.rs
+++ b/daemon/examples/purge_soak.rs
@@ -63,7 +63,7 @@
             let _ = wake.send(());
         };
         let mut ledger = Ledger::open(path, u64::MAX, START_US, bounds, wake)?;
-        ledger.peers(1, vec![2]);
+        ledger.set_machines(1, vec![2]);
         let settings = linnetknot_rehearse::settings();
         let settings = linnetknot_settings::settings(settings.as_object().ok_or("no settings")?)?;
         let core = Core::new(settings, 1, limits)?;
--- a/daemon/src/daemon/budgets/mod.rs
+++ b/daemon/src/daemon/budgets/mod.rs
@@ -64,7 +64,7 @@
         }
         let own = MemberProcess {
             member: config.index,
-            process: ledger.member(),
+            process: ledger.incarnation(),
         };
         let options = Options::default().with_settling_time(settling_us);
         // The file was checked, by the same figures.
--- a/daemon/src/daemon/fleet.rs
+++ b/daemon/src/daemon/fleet.rs
@@ -26,7 +26,7 @@
         };
         let (name, machine) = (&self.config.name, &self.config.copies.machine);
         let (me, peers) = (
-            (server_id(name), ledger.member()),
+            (server_id(name), ledger.incarnation()),
             self.config.copies.machines.len(),
         );
         let mut membership = Membership::new(
@@ -78,9 +78,9 @@
             Ok(()) => {}
         }
         let process = membership.process();
-        if let Some(ledger) = self.ledger.as_mut().filter(|l| l.member() < process) {
+        if let Some(ledger) = self.ledger.as_mut().filter(|l| l.incarnation() < process) {
             log::warn!("a process of this name that a peer knows began by a later clock: this one is numbered behind it");
-            ledger.renumber(process);
+            ledger.raise_incarnation(process);
         }
         let after = (membership.is_replaced(), named(membership));
         if after.0 && !before.0 {
--- a/daemon/src/daemon/promises.rs
+++ b/daemon/src/daemon/promises.rs
@@ -234,11 +234,15 @@
         };
         let first = Name {
             writer: ledger.replica().own().writer,
-            number: ledger.first_number(),
+            number: ledger.first_trigger_number(),
         };
         desk.begin_triggers(first);
-        for (writer, number, text) in ledger.statuses() {
-            desk.admit(now, Name { writer, number }, &text);
+        for status in ledger.statuses() {
+            let name = Name {
+                writer: status.writer,
+                number: status.number,
+            };
+            desk.admit(now, name, &status.text);
         }
     }
 
@@ -276,7 +280,7 @@
         if self.lacks_store() {
             return;
         }
-        let Some(known) = self.ledger.as_ref().map(ledger::Ledger::decided) else {
+        let Some(known) = self.ledger.as_ref().map(ledger::Ledger::decisions) else {
             return;
         };
         let bans = self.ops.bans().map(|id| Subject::Ban(id.to_owned()));
@@ -292,7 +296,7 @@
 
     /// Puts in force what this proxy's log says that its operators decided: entries that came back, too.
     pub(super) fn recall_decided(&mut self, now: Micros) {
-        let Some(decided) = self.ledger.as_ref().map(ledger::Ledger::decided) else {
+        let Some(decided) = self.ledger.as_ref().map(ledger::Ledger::decisions) else {
             return;
         };
         let mut changed = false;
@@ -496,7 +500,7 @@
         };
         let machines = copies.machines.iter().enumerate().map(machine).collect();
         if let Some(ledger) = &mut self.ledger {
-            ledger.peers(server_id(&copies.machine), machines);
+            ledger.set_machines(server_id(&copies.machine), machines);
         }
     }
 }
--- a/daemon/src/daemon/store_opening.rs
+++ b/daemon/src/daemon/store_opening.rs
@@ -182,13 +182,13 @@
             return;
         };
         log::info!(attempts = pending.backoff.failures(), rejected = pending.rejected; "the store {} is open", pending.store.path.display());
-        let announced = self.ledger.as_ref().map_or(0, Ledger::member);
-        if announced > ledger.member() {
+        let announced = self.ledger.as_ref().map_or(0, Ledger::incarnation);
+        if announced > ledger.incarnation() {
             // Peers know this process by a later number than its store would give it.
-            ledger.renumber(announced);
+            ledger.raise_incarnation(announced);
         }
         let before = self.ledger.replace(ledger);
-        let incarnation = |ledger: &Option<Ledger>| ledger.as_ref().map(Ledger::member);
+        let incarnation = |ledger: &Option<Ledger>| ledger.as_ref().map(Ledger::incarnation);
         if incarnation(&before) != incarnation(&self.ledger) {
             // Its store knows of a process that began later, by a clock that went back: it is heard as that one's successor.
             self.join_fleet(now);
--- /dev/null
+++ b/daemon/src/ledger/append.rs
@@ -0,0 +1,92 @@
+//! Appending to this proxy's log: purges, operators' decisions and trigger statuses.
+
+use super::{purge_subject, AppendError, Ledger, TriggerStatus};
+use linnetknot::Micros;
+use linnetknot_replication::{pieces, Entry, Subject};
+
+impl Ledger {
+    /// Appends a purge and submits its write. Returns the entry, which is to be sent to the peers.
+    pub fn append_purge(
+        &mut self,
+        object: Option<&str>,
+        group: u64,
+        at: Micros,
+    ) -> Result<Entry, AppendError> {
+        self.append(purge_subject(object, group), at, false)
+    }
+
+    /// Appends an entry on a subject, as `append_purge` does. `revoked`: an operators' decision that is no longer in force.
+    pub fn append(
+        &mut self,
+        subject: Subject,
+        at: Micros,
+        revoked: bool,
+    ) -> Result<Entry, AppendError> {
+        if !self.has_store() {
+            return Err(AppendError::NoStore);
+        }
+        if self.capacity() == 0 {
+            return Err(AppendError::DiskBehind);
+        }
+        let entry = self.replica.append(subject, at, revoked)?;
+        self.write(&entry);
+        Ok(entry)
+    }
+
+    /// Appends the status of one of this proxy's triggers, as `append_purge` does, in as many entries as it takes.
+    pub fn append_status(
+        &mut self,
+        number: u64,
+        text: &str,
+        at: Micros,
+    ) -> Result<Vec<Entry>, AppendError> {
+        if !self.has_store() {
+            return Err(AppendError::NoStore);
+        }
+        let pieces = pieces(text).filter(|pieces| pieces.len() <= self.capacity());
+        let pieces = pieces.ok_or(AppendError::StatusTooLong)?;
+        let append = |(part, text)| self.append(Subject::Status { number, part, text }, at, false);
+        pieces.into_iter().map(append).collect()
+    }
+
+    /// Returns the status of each trigger whose entries are complete.
+    pub fn statuses(&self) -> Vec<TriggerStatus> {
+        let log_store = self.replica.log_store();
+        let status = |(writer, number)| {
+            log_store.status(writer, number).map(|text| TriggerStatus {
+                writer,
+                number,
+                text,
+            })
+        };
+        log_store
+            .triggers()
+            .into_iter()
+            .filter_map(status)
+            .collect()
+    }
+
+    /// Returns a number for this proxy's next trigger that none of its processes has used, as far as their entries tell.
+    /// It is at least this process's incarnation, as no process starts twice in less time than an answer takes.
+    pub fn first_trigger_number(&self) -> u64 {
+        let own = self.replica.own().writer;
+        // Triggers that are gone count, too: their numbers are known to be gone.
+        let last = self.replica.log_store().last_trigger(own);
+        let next = last.map_or(0, |number| number + 1);
+        next.max(self.identity.incarnation)
+    }
+
+    /// Appends a purge that a peer without logs sent, unless it is known.
+    pub fn learn_purge(
+        &mut self,
+        object: Option<&str>,
+        group: u64,
+        at: Micros,
+    ) -> Result<(), AppendError> {
+        let subject = purge_subject(object, group);
+        match self.replica.log_store().latest(&subject) {
+            Some(known) if known >= at => Ok(()),
+            _ => self.append(subject, at, false).map(drop),
+        }
+    }
+}
--- a/daemon/src/ledger/codec.rs
+++ b/daemon/src/ledger/codec.rs
@@ -1,17 +1,20 @@
-//! How entries stand in the store: as a key of log and subject, under which a later entry on the same subject takes the
-//! place of the one before, and a value of index and time.
+//! The encoding of log entries in the store. The key holds the log and the subject, so that a later entry on the same
+//! subject replaces the one before; the value holds the index and the time.
 
 use linnetknot_replication::{Entry, LogId, Subject};
-use linnetknot_store::{Keyspace, Pair, StoreError, Write};
+use linnetknot_store::{KeyValue, Keyspace, StoreError, Write};
 
-/// Entries in force.
+/// The keyspace of the entries that are in force.
 pub(super) const ENTRIES: Keyspace = Keyspace("entries");
 
-/// The log's writer and epoch, before the subject's kind.
+/// The length of a key's log, its writer and epoch, which stand before the subject's kind.
 const LOG_BYTES: usize = 16;
-/// Index and time of an entry.
+/// The length of a value's index and time.
 const VALUE_BYTES: usize = 16;
 
+/// Room for a usual key.
+const KEY_CAPACITY: usize = 40;
+
 const OBJECT: u8 = b'o';
 const GROUP: u8 = b'g';
 const BAN: u8 = b'b';
@@ -19,9 +22,9 @@
 const STATUS: u8 = b's';
 const GONE: u8 = b'x';
 
-/// An entry's key.
+/// Encodes an entry's key.
 fn key(entry: &Entry) -> Vec<u8> {
-    let mut key = Vec::with_capacity(40);
+    let mut key = Vec::with_capacity(KEY_CAPACITY);
     key.extend(entry.log.writer.to_be_bytes());
     key.extend(entry.log.epoch.to_be_bytes());
     match &entry.subject {
@@ -52,7 +55,7 @@
     key
 }
 
-/// An entry's value.
+/// Encodes an entry's value.
 fn value(entry: &Entry) -> Vec<u8> {
     let mut value = [entry.index.to_be_bytes(), entry.at.to_be_bytes()].concat();
     match &entry.subject {
@@ -62,18 +65,18 @@
     value
 }
 
-/// The write that puts an entry into the store.
+/// Returns the write that stores an entry.
 pub(super) fn put(entry: &Entry) -> Write {
     Write::put(ENTRIES, key(entry), value(entry))
 }
 
-/// The write that takes an entry out of the store, but no later one on the same subject, which has the same key.
+/// Returns the write that removes an entry, but not a later one on the same subject, which has the same key.
 pub(super) fn remove(entry: &Entry) -> Write {
     Write::remove_if(ENTRIES, key(entry), value(entry))
 }
 
-/// The entry of a key and its value. Which entry stands before it follows from the others.
-fn read((key, value): &Pair) -> Option<Entry> {
+/// Decodes an entry. The index of the entry before it is not stored, as it follows from the other entries.
+fn read(KeyValue { key, value }: &KeyValue) -> Option<Entry> {
     let log = LogId::new(number(key.get(..8)?)?, number(key.get(8..LOG_BYTES)?)?);
     let subject = subject(*key.get(LOG_BYTES)?, key.get(LOG_BYTES + 1..)?, value)?;
     let revoked = !subject.is_expiring() && value.len() > VALUE_BYTES;
@@ -91,7 +94,7 @@
     })
 }
 
-/// The subject of a kind, from what stands behind the kind in the key.
+/// Decodes a subject from its kind, the rest of the key, and the value.
 fn subject(kind: u8, name: &[u8], value: &[u8]) -> Option<Subject> {
     Some(match kind {
         OBJECT => Subject::Object(String::from_utf8(name.to_vec()).ok()?),
@@ -119,8 +122,8 @@
     Some(u64::from_be_bytes(bytes.try_into().ok()?))
 }
 
-/// All entries of the store's space.
-pub(super) fn read_all(pairs: &[Pair]) -> Result<Vec<Entry>, StoreError> {
+/// Decodes all entries of the store.
+pub(super) fn read_all(pairs: &[KeyValue]) -> Result<Vec<Entry>, StoreError> {
     let entries: Option<Vec<Entry>> = pairs.iter().map(read).collect();
     entries.ok_or_else(|| StoreError::Damaged("an entry can't be read".into()))
 }
--- a/daemon/src/ledger/compaction.rs
+++ b/daemon/src/ledger/compaction.rs
@@ -1,10 +1,10 @@
-//! The order in which a compaction comes to the disk: the store's header, the buckets, the logs' markers, and only then
-//! the removal of the entries that were moved to the buckets. A stage begins once all writes of the one before it are
-//! synced, so that at any moment each purge is on the disk as an entry or in a bucket.
+//! Writes compactions to the store in stages: the table's header, the buckets, the logs' markers, and only then the removal
+//! of the entries that were moved to the buckets. A stage begins once all writes of the stage before are synced, so that
+//! at any moment each purge is on the disk as an entry or in a bucket.
 //!
-//! Writes are handed to the worker as its queue has room; one that failed is handed over again in its stage. A bucket is
-//! written as it is when it is handed over, so that no earlier state of it comes behind a later one. What comes while a
-//! step is on its way makes the next step.
+//! Writes are submitted as the worker's queue has capacity; a failed one is submitted again in its stage. A bucket is
+//! encoded when it is submitted, so that no older state of it is written after a newer one. Compactions that are added
+//! while a step is being written make up the next step.
 
 use super::table;
 use linnetknot_purges::{BucketBits, BucketIndex, CompactTable};
@@ -12,20 +12,20 @@
 use linnetknot_store::{Completion, StoreWorker, Write, WriteId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// What a write is to do.
+/// What a write stores or removes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Item {
-    /// The store's format and the table's header.
-    Begin(Write),
+    /// A write of the store's format or of the table's header.
+    Header(Write),
     Bucket(BucketIndex),
     Marker(CompactedLog),
     Removal(Entry),
 }
 
-/// What is written next.
+/// The stage of the step that is being written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Stage {
-    /// Nothing is to be written.
+    /// There is nothing to write.
     #[default]
     Idle,
     Header,
@@ -34,13 +34,13 @@
     Removals,
 }
 
-/// What comes to the disk together.
+/// Compactions that are written together.
 #[derive(Debug, Default)]
 struct Step {
     buckets: BTreeSet<BucketIndex>,
     markers: BTreeMap<LogId, Index>,
     entries: Vec<Entry>,
-    /// Logs that a peer's snapshot brought further: the replica is told once their markers are synced.
+    /// Logs that a peer's snapshot advanced: the replica is notified once their markers are synced.
     snapshots: Vec<CompactedLog>,
 }
 
@@ -55,30 +55,38 @@
     }
 }
 
-/// Compactions on their way to the disk.
+/// A submitted write.
+#[derive(Debug)]
+struct InFlight {
+    write: WriteId,
+    item: Item,
+}
+
+/// Compactions that are not synced yet, and the stage of their writes.
 #[derive(Debug, Default)]
 pub(super) struct CompactionWriter {
     stage: Stage,
     has_header: bool,
-    /// The step that is written, less what was handed over.
+    /// The step that is being written, without the stages that were begun.
     step: Step,
-    /// What came since that began.
+    /// What was added since that step began.
     next: Step,
-    /// What of the stage is to be handed over.
-    to_give: VecDeque<Item>,
-    in_flight: VecDeque<(WriteId, Item)>,
-    /// A write failed: nothing is handed over before `retry`.
+    /// What the stage has still to submit.
+    unsubmitted: VecDeque<Item>,
+    /// What was submitted and is not completed, in order.
+    in_flight: VecDeque<InFlight>,
+    /// A write failed: nothing is submitted before `retry`.
     is_failing: bool,
 }
 
-/// Never: only a fault that tests plant takes entries off the disk before their buckets are synced.
+/// A planted fault of tests: entries are removed before their buckets are synced. Always false in an ordinary build.
 fn removes_early() -> bool {
     fail::fail_point!("plant-early-removal", |_| true);
     false
 }
 
 impl CompactionWriter {
-    /// Of a store that has the table's header, or not yet.
+    /// Creates a writer for a store that has the table's header, or does not have it yet.
     pub(super) fn new(has_header: bool) -> Self {
         CompactionWriter {
             has_header,
@@ -86,7 +94,7 @@
         }
     }
 
-    /// Whether all that was added is on the disk.
+    /// Whether all that was added is synced.
     pub(super) fn is_idle(&self) -> bool {
         self.stage == Stage::Idle && self.next.is_empty()
     }
@@ -101,25 +109,25 @@
         self.next.entries.extend(compaction.entries);
     }
 
-    /// Adds a bucket that a peer's was merged into.
+    /// Adds a bucket into which one of a peer was merged.
     pub(super) fn add_bucket(&mut self, index: BucketIndex) {
         self.next.buckets.insert(index);
     }
 
-    /// Adds a log that a peer's snapshot brought further, after all buckets of the snapshot.
+    /// Adds a log that a peer's snapshot advanced. To be called after all buckets of the snapshot were added.
     pub(super) fn add_snapshot(&mut self, marker: CompactedLog) {
         self.next.add_marker(marker);
         self.next.snapshots.push(marker);
     }
 
-    /// Lets writes that failed be handed over again.
+    /// Allows failed writes to be submitted again.
     pub(super) fn retry(&mut self) {
         self.is_failing = false;
     }
 
-    /// Hands over as much as the queue takes, less what it reserves for entries. Returns the logs of snapshots that are
-    /// on the disk by now.
-    pub(super) fn give(
+    /// Submits writes while the queue has more capacity than is reserved for entries. Returns the logs of snapshots that
+    /// are synced by now.
+    pub(super) fn submit(
         &mut self,
         worker: &mut StoreWorker,
         reserve: usize,
@@ -127,45 +135,46 @@
     ) -> Vec<CompactedLog> {
         let mut synced = Vec::new();
         while !self.is_failing {
-            if self.to_give.is_empty() && !self.in_flight.is_empty() {
+            if self.unsubmitted.is_empty() && !self.in_flight.is_empty() {
                 break;
             }
-            let Some(item) = self.to_give.front() else {
+            let Some(item) = self.unsubmitted.front() else {
                 if self.is_idle() {
                     break;
                 }
                 self.advance(table.bucket_bits(), &mut synced);
                 continue;
             };
-            let has_room = worker.capacity() > reserve;
-            let ticket = has_room
-                .then(|| worker.submit(write(item, table)))
-                .flatten();
-            let Some(ticket) = ticket else { break };
-            self.in_flight
-                .extend(self.to_give.pop_front().map(|item| (ticket, item)));
+            if worker.capacity() <= reserve {
+                break;
+            }
+            let Some(write) = worker.submit(write(item, table)) else {
+                break;
+            };
+            self.in_flight.extend(
+                self.unsubmitted
+                    .pop_front()
+                    .map(|item| InFlight { write, item }),
+            );
         }
         synced
     }
 
-    /// Takes in what became of writes.
-    pub(super) fn settle(&mut self, done: &Completion) {
-        while self
-            .in_flight
-            .front()
-            .is_some_and(|(ticket, _)| *ticket <= done.through)
-        {
-            let Some((_, item)) = self.in_flight.pop_front() else {
+    /// Processes the completion of writes.
+    pub(super) fn complete(&mut self, completion: &Completion) {
+        let is_completed = |in_flight: &InFlight| in_flight.write <= completion.through;
+        while self.in_flight.front().is_some_and(is_completed) {
+            let Some(InFlight { item, .. }) = self.in_flight.pop_front() else {
                 break;
             };
-            if done.result.is_err() {
+            if completion.result.is_err() {
                 self.is_failing = true;
-                self.to_give.push_back(item);
+                self.unsubmitted.push_back(item);
             }
         }
     }
 
-    /// All of the stage is on the disk: begins the next one.
+    /// Begins the next stage, as all writes of the current one are synced.
     fn advance(&mut self, bucket_bits: BucketBits, synced: &mut Vec<CompactedLog>) {
         match self.stage {
             Stage::Idle => self.step = std::mem::take(&mut self.next),
@@ -174,7 +183,7 @@
             Stage::Buckets | Stage::Removals => {}
         }
         self.stage = self.next_stage();
-        self.to_give = self.items(bucket_bits);
+        self.unsubmitted = self.take_items(bucket_bits);
     }
 
     fn next_stage(&self) -> Stage {
@@ -189,13 +198,13 @@
         }
     }
 
-    /// What the stage that begins is to write.
-    fn items(&mut self, bucket_bits: BucketBits) -> VecDeque<Item> {
+    /// Takes what the current stage writes out of the step.
+    fn take_items(&mut self, bucket_bits: BucketBits) -> VecDeque<Item> {
         let step = &mut self.step;
         match self.stage {
             Stage::Idle => VecDeque::new(),
             Stage::Header if self.has_header => VecDeque::new(),
-            Stage::Header => table::begin(bucket_bits).map(Item::Begin).into(),
+            Stage::Header => table::create(bucket_bits).map(Item::Header).into(),
             Stage::Buckets => std::mem::take(&mut step.buckets)
                 .into_iter()
                 .map(Item::Bucket)
@@ -214,9 +223,10 @@
     }
 }
 
+/// Encodes the write of an item, as the table is now.
 fn write(item: &Item, table: &CompactTable) -> Write {
     match item {
-        Item::Begin(write) => write.clone(),
+        Item::Header(write) => write.clone(),
         Item::Bucket(index) => table::put_bucket(table, *index),
         Item::Marker(marker) => table::put_marker(*marker),
         Item::Removal(entry) => super::codec::remove(entry),
--- a/daemon/src/ledger/error.rs
+++ b/daemon/src/ledger/error.rs
@@ -1,4 +1,4 @@
-//! Why a ledger can't be opened, and why it does not take an entry.
+//! The errors of opening and closing a ledger, and of appending to it.
 
 use linnetknot_replication::CapacityExceeded;
 use linnetknot_store::{is_lasting, StoreError};
@@ -22,7 +22,7 @@
     Legacy {
         /// Which file.
         path: PathBuf,
-        /// What the system says of it.
+        /// The system's error.
         source: io::Error,
     },
     /// The store's worker thread can't be started.
@@ -31,10 +31,10 @@
     /// The store's worker thread has ended before its time.
     #[error("the disk: the worker has ended")]
     WorkerEnded,
-    /// The process ends, and the disk has not taken all entries.
+    /// The process ends before all entries are on the disk.
     #[error("the disk: not all of the log is on it")]
     Unsynced,
-    /// Purges of an earlier version's file have no room in the log.
+    /// The purges of an earlier version's file exceed the log's capacity.
     #[error("the disk: {0}")]
     Capacity(#[from] CapacityExceeded),
 }
@@ -62,10 +62,10 @@
     /// The queue to the disk is full.
     #[error("the disk is too far behind")]
     DiskBehind,
-    /// The log has no room.
+    /// The log's capacity is exceeded.
     #[error(transparent)]
     Capacity(#[from] CapacityExceeded),
-    /// A trigger's status takes more entries than the queue to the disk has room for, or than can be numbered.
+    /// A trigger's status takes more entries than the queue to the disk has capacity for, or than can be numbered.
     #[error("its status has no room on the way to the disk")]
     StatusTooLong,
 }
--- a/daemon/src/ledger/identity.rs
+++ b/daemon/src/ledger/identity.rs
@@ -1,22 +1,22 @@
-//! What the store says of the process that writes it: the epoch of its log, and its incarnation among the members.
+//! The stored identity of the process: the epoch of the log that it writes, and its incarnation among the members.
 
 use linnetknot::Micros;
 use linnetknot_replication::Epoch;
 use linnetknot_store::{Keyspace, Store, StoreError, Write};
 
-/// What is said of this writer's log. The keys are those of the released form.
+/// The keyspace of the identity. The names of its keys are those of released versions.
 const OWN: Keyspace = Keyspace("own");
-/// The epoch of this writer's log.
+/// The key of the epoch of this writer's log.
 const EPOCH: &[u8] = b"life";
-/// The process ended in order: the log goes on in its epoch.
+/// The key that is there while the store is closed in order: the log may be continued in its epoch.
 const CLOSED: &[u8] = b"closed";
-/// The process's incarnation among the members: it grows with every start, also where the clock does not.
+/// The key of the incarnation among the members: it grows with every start, also where the clock does not.
 const INCARNATION: &[u8] = b"member";
 
-/// What the last process left, and what this one is.
+/// The identity of this process, which follows from that of the process before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Identity {
-    /// The store was begun by this process.
+    /// The store was created by this process.
     pub(super) is_fresh: bool,
     /// The epoch of the log that this process writes.
     pub(super) epoch: Epoch,
@@ -25,7 +25,7 @@
 }
 
 impl Identity {
-    /// Of a process whose store can't be read yet.
+    /// Returns the identity of a process whose store can't be read yet.
     pub(super) fn without_store(now: Micros) -> Self {
         Identity {
             is_fresh: true,
@@ -34,17 +34,17 @@
         }
     }
 
-    /// Reads what the last process left.
+    /// Derives the identity of this process from what the last one stored.
     ///
-    /// This writer's log goes on in the epoch of the store only where the store was closed: after a crash its last
-    /// entries may be missing here and known to others, and a place in a log must never be given twice. Nothing is lost
-    /// with the old epoch. Nor does it go on in the epoch of a file that was put aside: that may be taken over twice, if
-    /// a store is lost.
-    pub(super) fn of(store: &mut Store, now: Micros) -> Result<Self, StoreError> {
+    /// This writer's log is continued in the stored epoch only where the store was closed in order: after a crash its last
+    /// entries may be missing here and known to others, and an index must never be assigned twice. Nothing is lost with
+    /// the old epoch. Nor is the epoch of an earlier version's file continued: that file may be imported twice, if a store
+    /// is lost.
+    pub(super) fn load(store: &mut Store, now: Micros) -> Result<Self, StoreError> {
         let is_closed = store.get(OWN, CLOSED)?.is_some();
         let known = number(store, EPOCH)?;
-        // A later epoch is a greater one, also where the clock was set back between the two: what its operators decided
-        // last counts (`LogStore::decisions`).
+        // Epochs grow also where the clock was set back in between, as the operators' last decision is the one of the
+        // greatest epoch (`LogStore::decisions`).
         let next_epoch = known.map_or(now, |before| now.max(before + 1));
         let incarnation = number(store, INCARNATION)?.map_or(0, |before| before + 1);
         Ok(Identity {
@@ -54,8 +54,8 @@
         })
     }
 
-    /// The writes that begin this process: from then on the store counts as not closed.
-    pub(super) fn begin(&self) -> [Write; 3] {
+    /// Returns the writes that store this identity: from then on the store is not closed.
+    pub(super) fn writes(&self) -> [Write; 3] {
         [
             put(EPOCH, &self.epoch.to_be_bytes()),
             put(INCARNATION, &self.incarnation.to_be_bytes()),
@@ -64,13 +64,13 @@
     }
 }
 
-/// The write that keeps a process's incarnation.
-pub(super) fn incarnation(incarnation: Epoch) -> Write {
+/// Returns the write that stores an incarnation.
+pub(super) fn put_incarnation(incarnation: Epoch) -> Write {
     put(INCARNATION, &incarnation.to_be_bytes())
 }
 
-/// The write that ends a process in order.
-pub(super) fn closed() -> Write {
+/// Returns the write that marks the store as closed in order.
+pub(super) fn put_closed() -> Write {
     put(CLOSED, b"1")
 }
 
--- /dev/null
+++ b/daemon/src/ledger/in_flight.rs
@@ -0,0 +1,36 @@
+//! The entries that were submitted to the store's worker and whose completion was not taken yet.
+
+use linnetknot_replication::{Entry, Index, LogId};
+use linnetknot_store::WriteId;
+use std::collections::VecDeque;
+
+/// An entry that was submitted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct InFlightEntry {
+    write: WriteId,
+    /// The entry's log.
+    pub(super) log: LogId,
+    /// Its index in that log.
+    pub(super) index: Index,
+}
+
+/// The submitted entries, in the order of their writes.
+#[derive(Debug, Default)]
+pub(super) struct InFlightEntries(VecDeque<InFlightEntry>);
+
+impl InFlightEntries {
+    /// Adds an entry whose write was submitted after all others.
+    pub(super) fn push(&mut self, write: WriteId, entry: &Entry) {
+        self.0.push_back(InFlightEntry {
+            write,
+            log: entry.log,
+            index: entry.index,
+        });
+    }
+
+    /// Takes out all entries through a write, oldest first.
+    pub(super) fn take_through(&mut self, through: WriteId) -> Vec<InFlightEntry> {
+        let completed = self.0.partition_point(|entry| entry.write <= through);
+        self.0.drain(..completed).collect()
+    }
+}
--- a/daemon/src/ledger/legacy.rs
+++ b/daemon/src/ledger/legacy.rs
@@ -1,4 +1,5 @@
-//! Files of earlier versions, which were lines of text: each is put aside as `FILE.old` and taken over once.
+//! Import of the files of earlier versions, which were lines of text: such a file is renamed to `FILE.old` and imported
+//! once.
 
 use super::error::LedgerError;
 use crate::peers::{self, Purge};
@@ -8,17 +9,17 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// What the earlier versions began their files with.
-const FIRST_WORDS: [&[u8]; 3] = [b"life ", b"copies1", b"purge "];
+/// The first bytes of the earlier versions' files.
+const MAGICS: [&[u8]; 3] = [b"life ", b"copies1", b"purge "];
 /// The longest of them.
-const FIRST_BYTES: u64 = 8;
+const MAX_MAGIC_BYTES: u64 = 8;
 
-/// What a file of an earlier version holds.
+/// The content of an earlier version's file.
 #[derive(Debug, Default)]
 pub(super) struct LegacyFile {
-    /// Entries of logs.
+    /// Log entries.
     pub(super) entries: Vec<Entry>,
-    /// Purges of the version that had no logs.
+    /// Purges without a log, of the first version.
     pub(super) purges: Vec<Purge>,
 }
 
@@ -37,10 +38,11 @@
 
     fn parse(path: &Path, text: &str) -> Self {
         let mut file = LegacyFile::default();
-        // The log store sorts out what was superseded, and what a crash cut off or left without those before it.
+        // The log store drops superseded entries, and those that a crash left without their predecessors.
         let mut store = LogStore::default();
-        for whole in text.split_inclusive('\n') {
-            let line = whole.strip_suffix('\n').unwrap_or("");
+        for line in text.split_inclusive('\n') {
+            // A crash may have cut off the last line, which is skipped then.
+            let line = line.strip_suffix('\n').unwrap_or("");
             match (
                 Datagram::read(line.as_bytes()),
                 peers::read(line.as_bytes()),
@@ -53,7 +55,7 @@
                 _ => log::warn!("{}: a line that is no purge is passed over", path.display()),
             }
         }
-        // As the store has them: a later purge in place of the one before.
+        // The store has one entry a subject: the later one.
         let entries = store
             .entries()
             .map(|entry| ((entry.log, entry.subject.clone()), entry));
@@ -62,33 +64,34 @@
     }
 }
 
-/// Puts a file of an earlier version aside and gives where it is; none where there was none.
-pub(super) fn put_aside(path: &Path) -> Result<Option<PathBuf>, LedgerError> {
+/// Renames a file of an earlier version and returns the new path; none where there is no such file.
+pub(super) fn rename_legacy(path: &Path) -> Result<Option<PathBuf>, LedgerError> {
     let error = |source| LedgerError::Legacy {
         path: path.to_owned(),
         source,
     };
-    let mut aside = path.as_os_str().to_owned();
-    aside.push(".old");
-    let aside = PathBuf::from(aside);
+    let mut renamed = path.as_os_str().to_owned();
+    renamed.push(".old");
+    let renamed = PathBuf::from(renamed);
     match first_bytes(path) {
-        Ok(first) if is_legacy(&first) => fs::rename(path, &aside).map_err(error)?,
+        Ok(first) if is_legacy(&first) => fs::rename(path, &renamed).map_err(error)?,
         Ok(_) => {}
         Err(e) if e.kind() == io::ErrorKind::NotFound => {}
         Err(e) => return Err(error(e)),
     }
-    Ok(aside.exists().then_some(aside))
+    Ok(renamed.exists().then_some(renamed))
 }
 
-/// Whether an earlier version wrote a file that begins so. An empty one is theirs, too: the store writes none.
+/// Whether an earlier version wrote a file that starts with these bytes. An empty file is theirs, too: the store never
+/// leaves one.
 fn is_legacy(first: &[u8]) -> bool {
-    first.is_empty() || FIRST_WORDS.iter().any(|words| first.starts_with(words))
+    first.is_empty() || MAGICS.iter().any(|magic| first.starts_with(magic))
 }
 
 fn first_bytes(path: &Path) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
     io::Read::read_to_end(
-        &mut io::Read::take(fs::File::open(path)?, FIRST_BYTES),
+        &mut io::Read::take(fs::File::open(path)?, MAX_MAGIC_BYTES),
         &mut bytes,
     )?;
     Ok(bytes)
--- a/daemon/src/ledger/table.rs
+++ b/daemon/src/ledger/table.rs
@@ -1,38 +1,38 @@
-//! How the compact table of older purges stands in the store: its size, its buckets, and through which index each log
-//! is compacted (its marker).
+//! The encoding of the compact table of older purges in the store: its size, its buckets, and for each log the index
+//! through which it is compacted (its marker).
 
 use super::error::LedgerError;
 use linnetknot_purges::{Bucket, BucketBits, BucketIndex, CompactTable};
 use linnetknot_replication::{CompactedLog, LogId};
-use linnetknot_store::{Format, Keyspace, Pair, Store, StoreError, Write};
+use linnetknot_store::{Format, KeyValue, Keyspace, Store, StoreError, Write};
 
-/// Buckets that are not empty: the index, big endian, and the bucket's encoding.
+/// The keyspace of the buckets that are not empty: the index, big endian, and the bucket's encoding.
 const BUCKETS: Keyspace = Keyspace("buckets");
-/// Markers: the log's writer and epoch, and the index through which it is compacted, all big endian.
+/// The keyspace of the markers: the log's writer and epoch, and the index through which it is compacted, all big endian.
 const MARKERS: Keyspace = Keyspace("compacted");
-/// What is said of the table as a whole.
+/// The keyspace of the table's header.
 const TABLE: Keyspace = Keyspace("table");
-/// The form of the three spaces and the binary logarithm of the number of buckets, a byte each.
+/// The key of the header: the form of the three keyspaces and the binary logarithm of the number of buckets, a byte each.
 const HEADER: &[u8] = b"header";
 /// The form that this program reads and writes.
 const FORM: u8 = 1;
 
-/// What the store holds behind the entries.
+/// The stored table and markers.
 #[derive(Debug)]
 pub(super) struct StoredTable {
-    /// The table, in the size that was asked for.
+    /// The table, in the configured size.
     pub(super) table: CompactTable,
     /// The logs' markers.
     pub(super) markers: Vec<CompactedLog>,
-    /// What brings the store to that size. All of it is to be written in one group, so that a crash leaves the table of
-    /// one size or of the other.
+    /// The writes that bring the store to that size. They are to be committed as one group, so that a crash leaves the
+    /// table in one size or in the other.
     pub(super) resize: Vec<Write>,
-    /// Whether the store has its header, and with it the format that older programs refuse.
+    /// Whether the store has the header, and with it the format that older programs do not open.
     pub(super) has_header: bool,
 }
 
 impl StoredTable {
-    /// Reads the table and gives it in the wanted size.
+    /// Reads the table and converts it to the wanted size.
     pub(super) fn load(store: &mut Store, wanted: BucketBits) -> Result<Self, LedgerError> {
         let header = store.get(TABLE, HEADER)?;
         let buckets = store.scan(BUCKETS)?;
@@ -78,12 +78,12 @@
     }
 }
 
-/// The writes that begin a table of a size: from then on programs that know no table refuse the store.
-pub(super) fn begin(bucket_bits: BucketBits) -> [Write; 2] {
+/// Returns the writes that create a table of a size: from then on programs that know no table do not open the store.
+pub(super) fn create(bucket_bits: BucketBits) -> [Write; 2] {
     [Format::Compacted.write(), put_header(bucket_bits)]
 }
 
-/// The write that keeps a bucket. One that was never written to is empty.
+/// Returns the write that stores a bucket. One that was never changed is empty.
 pub(super) fn put_bucket(table: &CompactTable, index: BucketIndex) -> Write {
     let mut value = Vec::new();
     table
@@ -94,7 +94,7 @@
     Write::put(BUCKETS, index.value().to_be_bytes().to_vec(), value)
 }
 
-/// The write that keeps through which index a log is compacted.
+/// Returns the write that stores a log's marker.
 pub(super) fn put_marker(marker: CompactedLog) -> Write {
     let key = [
         marker.log.writer.to_be_bytes(),
@@ -108,11 +108,11 @@
     Write::put(TABLE, HEADER.to_vec(), vec![FORM, bucket_bits.value()])
 }
 
-/// What takes the place of the buckets of another size.
-fn resize(old: &[Pair], table: &CompactTable) -> Vec<Write> {
+/// Returns the writes that replace the buckets of another size.
+fn resize(old: &[KeyValue], table: &CompactTable) -> Vec<Write> {
     let mut writes: Vec<Write> = old
         .iter()
-        .map(|(key, _)| Write::remove(BUCKETS, key.clone()))
+        .map(|pair| Write::remove(BUCKETS, pair.key.clone()))
         .collect();
     writes.extend(
         table
@@ -131,9 +131,9 @@
     }
 }
 
-fn read_buckets(bucket_bits: BucketBits, pairs: &[Pair]) -> Result<CompactTable, LedgerError> {
+fn read_buckets(bucket_bits: BucketBits, pairs: &[KeyValue]) -> Result<CompactTable, LedgerError> {
     let mut table = CompactTable::new(bucket_bits);
-    for (key, value) in pairs {
+    for KeyValue { key, value } in pairs {
         let index = key.as_slice().try_into().map(u32::from_be_bytes);
         let index = index.map_err(|_| damaged("a purge table's bucket has no index"))?;
         let bucket = Bucket::decode(value).map_err(|e| damaged(format!("bucket {index}: {e}")))?;
@@ -144,7 +144,7 @@
     Ok(table)
 }
 
-fn read_marker((key, value): &Pair) -> Result<CompactedLog, LedgerError> {
+fn read_marker(KeyValue { key, value }: &KeyValue) -> Result<CompactedLog, LedgerError> {
     let number = |bytes: Option<&[u8]>| bytes?.try_into().ok().map(u64::from_be_bytes);
     let log = || Some(LogId::new(number(key.get(..8))?, number(key.get(8..))?));
     let marker = log().zip(number(Some(value)));
--- a/daemon/tests/common/ledger_on_medium.rs
+++ b/daemon/tests/common/ledger_on_medium.rs
@@ -6,7 +6,7 @@
 use linnetknot_daemon::ledger::{Bounds, Ledger, LedgerError};
 use linnetknot_purges::BucketBits;
 use linnetknot_replication::{Entry, Options, Outgoing, Subject};
-use linnetknot_store::{Keyspace, Pair, Store};
+use linnetknot_store::{KeyValue, Keyspace, Store};
 use std::sync::mpsc::{channel, Receiver};
 use std::time::Duration;
 
@@ -42,7 +42,7 @@
 }
 
 /// All pairs of the spaces that a ledger writes.
-pub(crate) fn all_pairs(store: &mut Store) -> Vec<(Keyspace, Vec<Pair>)> {
+pub(crate) fn all_pairs(store: &mut Store) -> Vec<(Keyspace, Vec<KeyValue>)> {
     let spaces = ["head", "own", "entries", "buckets", "compacted", "table"].map(Keyspace);
     spaces
         .into_iter()
--- a/daemon/tests/compaction.rs
+++ b/daemon/tests/compaction.rs
@@ -306,12 +306,12 @@
     let options = bounds(WINDOW, BITS);
     let (ours, theirs) = (Medium::default(), Medium::default());
     let mut sender = Running::open_as(1, &ours, 1_000_000, options).unwrap();
-    sender.ledger.peers(10, vec![20]);
+    sender.ledger.set_machines(10, vec![20]);
     let told: Vec<_> = (0..40).filter_map(|n| sender.purge(n)).collect();
     assert_eq!(told.len(), 40);
     let log = sender.ledger.replica().own();
     let mut receiver = Running::open_as(2, &theirs, 1_000_001, options).unwrap();
-    receiver.ledger.peers(20, vec![10]);
+    receiver.ledger.set_machines(20, vec![10]);
     let mut sides = [sender, receiver];
     let mut now = sides[0].now + 1_000_000;
     let mut acks = Vec::new();
--- a/daemon/tests/ledger.rs
+++ b/daemon/tests/ledger.rs
@@ -64,7 +64,7 @@
     // Dropped and not closed, as a crash leaves it.
     all.0.abandon();
     let mut again = open(&path, 78).unwrap();
-    assert_eq!(again.0.member(), 78);
+    assert_eq!(again.0.incarnation(), 78);
     let both = [(None, 7, 3), (Some("0a".into()), 0, 30)];
     assert_eq!(again.0.purges(), both);
     let next = again.0.append_purge(Some("0b"), 0, 9).unwrap();
@@ -76,7 +76,7 @@
     again.0.close().unwrap();
     let mut again = open(&path, 7).unwrap();
     assert_eq!(
-        again.0.member(),
+        again.0.incarnation(),
         79,
         "it grows though the clock was set back"
     );
@@ -158,7 +158,7 @@
 fn a_peer_is_told_what_is_on_the_disk_only_once_it_is() {
     let path = file("peer");
     let mut ledger = open(&path, 77).unwrap();
-    ledger.0.peers(10, vec![20, 30]);
+    ledger.0.set_machines(10, vec![20, 30]);
     let theirs = Entry {
         log: LogId::new(2, 5),
         index: 1,
@@ -203,7 +203,7 @@
     let new = ledger.0.append_purge(Some("0c"), 0, 9).unwrap();
     assert_eq!((new.log, new.index), (LogId::new(1, 77), 1));
     let ban = || Subject::Ban("pc-1".into());
-    assert!(ledger.0.is_fresh() && ledger.0.decided().is_empty());
+    assert!(ledger.0.is_fresh() && ledger.0.decisions().is_empty());
     ledger.0.open_commit(100, 1).unwrap();
     written(&mut ledger);
     assert_eq!(ledger.0.resolve_commits(100), [], "on this disk alone");
@@ -226,13 +226,16 @@
     ledger.0.append(Subject::Drain, 11, false).unwrap();
     ledger.0.append(Subject::Drain, 12, true).unwrap();
     let decided = [(ban(), false), (Subject::Drain, true)];
-    assert_eq!(ledger.0.decided().into_iter().collect::<Vec<_>>(), decided);
+    assert_eq!(
+        ledger.0.decisions().into_iter().collect::<Vec<_>>(),
+        decided
+    );
     written(&mut ledger);
     ledger.0.close().unwrap();
     let again = open(&path, 99).unwrap();
     assert_eq!(
         (
-            again.0.decided().into_iter().collect::<Vec<_>>(),
+            again.0.decisions().into_iter().collect::<Vec<_>>(),
             again.0.is_fresh()
         ),
         (decided.into(), false)
--- a/store/src/error.rs
+++ b/store/src/error.rs
@@ -1,21 +1,25 @@
 //! The errors of the store, and whether one may go away by itself.
 
 use crate::file::Format;
-use std::fmt;
 use std::io;
 
 /// Why the store's file can't be used.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
     /// It can't be opened, read or written for a while, with the system's message.
+    #[error("the disk: {0}")]
     Disk(String),
     /// It can't be used until somebody changes its path or its permissions, with the system's message.
+    #[error("the disk: {0}")]
     Unusable(String),
     /// Another process has it open.
+    #[error("another process has it open")]
     Busy,
     /// Its content is damaged, or it is no store at all.
+    #[error("it is damaged ({0}); move it away and start again: what was promised comes back from the peers")]
     Damaged(String),
     /// Another version of the program wrote it, in the format of this name.
+    #[error("its format is '{0}', this program's are '{known}'; start the program that wrote it", known = known_formats())]
     Format(String),
 }
 
@@ -35,6 +39,11 @@
     }
 }
 
+/// The names of all known formats, for an error's text.
+fn known_formats() -> String {
+    Format::KNOWN.map(Format::name).join("' and '")
+}
+
 /// The errno of a file name that is too long.
 const ENAMETOOLONG: i32 = 36;
 
@@ -48,25 +57,6 @@
     ) || error.raw_os_error() == Some(ENAMETOOLONG)
 }
 
-impl fmt::Display for StoreError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            StoreError::Disk(why) | StoreError::Unusable(why) => write!(f, "the disk: {why}"),
-            StoreError::Busy => f.write_str("another process has it open"),
-            StoreError::Damaged(why) => write!(
-                f,
-                "it is damaged ({why}); move it away and start again: what was promised comes back from the peers"
-            ),
-            StoreError::Format(found) => {
-                let known = Format::KNOWN.map(Format::name).join("' and '");
-                write!(f, "its format is '{found}', this program's are '{known}'; start the program that wrote it")
-            }
-        }
-    }
-}
-
-impl std::error::Error for StoreError {}
-
 /// Converts an error of redb.
 pub(crate) fn store_error(e: redb::Error) -> StoreError {
     match e {
--- a/store/src/file.rs
+++ b/store/src/file.rs
@@ -132,7 +132,22 @@
 }
 
 /// A key and its value.
-pub type Pair = (Vec<u8>, Vec<u8>);
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct KeyValue {
+    /// The key.
+    pub key: Vec<u8>,
+    /// Its value.
+    pub value: Vec<u8>,
+}
+
+/// Copies a key and its value out of the file's pages.
+fn key_value(pair: Result<(Guard<'_>, Guard<'_>), StorageError>) -> Result<KeyValue, StorageError> {
+    let (key, value) = pair?;
+    Ok(KeyValue {
+        key: key.value().to_vec(),
+        value: value.value().to_vec(),
+    })
+}
 
 type WritableTable<'a> = Table<'a, &'static [u8], &'static [u8]>;
 type Guard<'a> = AccessGuard<'a, &'static [u8]>;
@@ -276,13 +291,8 @@
     }
 
     /// Returns all keys of a keyspace with their values, in the order of the keys.
-    pub fn scan(&mut self, keyspace: Keyspace) -> Result<Vec<Pair>, StoreError> {
-        let all = self.read(keyspace, |table| {
-            let pair = |pair: Result<(Guard<'_>, Guard<'_>), StorageError>| {
-                pair.map(|(key, value)| (key.value().to_vec(), value.value().to_vec()))
-            };
-            table.iter()?.map(pair).collect()
-        })?;
+    pub fn scan(&mut self, keyspace: Keyspace) -> Result<Vec<KeyValue>, StoreError> {
+        let all = self.read(keyspace, |table| table.iter()?.map(key_value).collect())?;
         Ok(all.unwrap_or_default())
     }
 
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -14,5 +14,5 @@
 mod worker;
 
 pub use error::{is_lasting, StoreError};
-pub use file::{Change, Format, Keyspace, Pair, Store, Write};
+pub use file::{Change, Format, KeyValue, Keyspace, Store, Write};
 pub use worker::{Completion, StoreWorker, WriteId};
--- a/store/tests/crash.rs
+++ b/store/tests/crash.rs
@@ -1,7 +1,9 @@
 //! The store on a medium that stops at its n-th operation and then loses what was not synced: what was acknowledged is
 //! there, and of a group that was not acknowledged all is there or nothing.
 
-use linnetknot_store::{Completion, Format, Keyspace, Store, StoreError, StoreWorker, Write};
+use linnetknot_store::{
+    Completion, Format, KeyValue, Keyspace, Store, StoreError, StoreWorker, Write,
+};
 use medium::Medium;
 
 #[path = "common/medium.rs"]
@@ -61,9 +63,9 @@
                 open(&medium).unwrap_or_else(|e| panic!("stopped at {n}, seed {seed}: {e}"));
             let kept = store.scan(SPACE).unwrap();
             let number = |key: u64| {
-                let found = kept.iter().find(|(k, _)| k[..] == key.to_be_bytes());
-                found.map_or(0, |(_, value)| {
-                    u64::from_be_bytes(value[..].try_into().unwrap())
+                let found = kept.iter().find(|pair| pair.key == key.to_be_bytes());
+                found.map_or(0, |pair| {
+                    u64::from_be_bytes(pair.value[..].try_into().unwrap())
                 })
             };
             let group = number(1);
@@ -107,7 +109,10 @@
     let all = store.scan(SPACE).unwrap();
     assert_eq!(
         all,
-        [(1u64.to_be_bytes().to_vec(), 4u64.to_be_bytes().to_vec())]
+        [KeyValue {
+            key: 1u64.to_be_bytes().to_vec(),
+            value: 4u64.to_be_bytes().to_vec()
+        }]
     );
 }
 
@@ -207,7 +212,10 @@
         .unwrap();
     assert_eq!(
         store.scan(SPACE).unwrap(),
-        [(key(1), 9u64.to_be_bytes().to_vec())]
+        [KeyValue {
+            key: key(1),
+            value: 9u64.to_be_bytes().to_vec()
+        }]
     );
 }
 
--- a/store/tests/failing_medium.rs
+++ b/store/tests/failing_medium.rs
@@ -52,7 +52,10 @@
 fn found(store: &mut Store) -> Result<State, StoreError> {
     let pairs = store.scan(SPACE)?;
     let key = |bytes: Vec<u8>| u64::from_be_bytes(bytes.try_into().unwrap());
-    Ok(pairs.into_iter().map(|(k, v)| (key(k), v)).collect())
+    Ok(pairs
+        .into_iter()
+        .map(|pair| (key(pair.key), pair.value))
+        .collect())
 }
 
 /// A store in a medium, and the states that it may be in.
