--- a/daemon/src/daemon/admin.rs
+++ b/daemon/src/daemon/admin.rs
@@ -5,7 +5,7 @@
 //! The admin listener has slots of its own, so that callers that hold connections without a whole call, or a flood of
 //! clients, never keep an operator out: where its slots are full, the caller that came first leaves.
 
-use super::promises::Decided;
+use super::commits::OperatorDecision;
 use super::{Connection, Daemon, Kind, Timer};
 use crate::fleet;
 use crate::net::{Conn, FailureKind, Key};
@@ -195,7 +195,7 @@
 
     /// Whether the process could serve, the operators aside.
     pub(super) fn can_serve(&self) -> bool {
-        self.core.is_ready() && !self.is_stopping() && self.promised.has_recovered()
+        self.core.is_ready() && !self.is_stopping() && self.pending_commits.has_recovered()
     }
 
     /// Carries out a call. None where its answer waits for copies.
@@ -246,14 +246,14 @@
                 ));
             }
             log::info!(call = shown.as_str(), status = reply.status; "the admin listener: {}", reply.text);
-            let decided = Decided::of(&effect);
+            let decided = OperatorDecision::new(&effect);
             self.take_effect(now, effect);
             if kept {
-                return self.promise_operator(now, key, reply, Some(decided));
+                return self.commit_call(now, key, reply, Some(decided));
             }
         } else if kept && reply.status == 200 {
             // Nothing has changed; but what it says again may be on its way still.
-            return self.promise_operator(now, key, reply, None);
+            return self.commit_call(now, key, reply, None);
         }
         Some(reply)
     }
--- /dev/null
+++ b/daemon/src/daemon/commits/operators.rs
@@ -0,0 +1,232 @@
+//! Operators' decisions in the log: their commits, and putting in force what the log says.
+
+use super::{CommitError, PendingCommits, PendingResponse};
+use crate::daemon::Daemon;
+use crate::ledger::{AppendError, Ledger};
+use crate::net::Key;
+use linnetknot::Micros;
+use linnetknot_ops::{Effect, Reply};
+use linnetknot_replication::Subject;
+
+/// What an operator's call decided, as an entry of the log holds it.
+pub(in crate::daemon) struct OperatorDecision {
+    subject: Subject,
+    revoked: bool,
+    /// The value of `revoked` that was last committed, which is restored if this decision is rejected.
+    committed_revoked: bool,
+}
+
+impl OperatorDecision {
+    /// Converts the effect of a call that changed the operators' state.
+    pub(in crate::daemon) fn new(effect: &Effect) -> Self {
+        let (subject, revoked) = match effect {
+            Effect::Ban(id) => (Subject::Ban(id.clone()), false),
+            Effect::Unban(id) => (Subject::Ban(id.clone()), true),
+            Effect::Drain => (Subject::Drain, false),
+            Effect::Resume => (Subject::Drain, true),
+        };
+        OperatorDecision {
+            subject,
+            revoked,
+            // The call changed the state, so the state before was the opposite.
+            committed_revoked: !revoked,
+        }
+    }
+}
+
+/// The response to an operator's call.
+pub(super) struct OperatorResponse {
+    /// The connection on which it is awaited.
+    pub(super) connection: Key,
+    /// The response, if the call is committed.
+    reply: Reply,
+    /// What the call decided; none where it changed nothing.
+    decision: Option<OperatorDecision>,
+}
+
+impl PendingCommits {
+    /// Returns the pending decisions on a subject, oldest first.
+    fn decisions<'a>(
+        &'a mut self,
+        subject: &'a Subject,
+    ) -> impl Iterator<Item = &'a mut OperatorDecision> {
+        let decision = |response: &'a mut PendingResponse| match response {
+            PendingResponse::Operator(response) => response.decision.as_mut(),
+            PendingResponse::Cdni(_) => None,
+        };
+        self.responses
+            .values_mut()
+            .filter_map(decision)
+            .filter(|decision| decision.subject == *subject)
+    }
+}
+
+impl Daemon {
+    /// Commits an operator's call that was carried out. Returns the reply where it can be given at once; otherwise it is
+    /// sent once the call's decision is committed, and with it all decisions before. A call that changed nothing has no
+    /// decision of its own.
+    pub(in crate::daemon) fn commit_call(
+        &mut self,
+        now: Micros,
+        connection: Key,
+        reply: Reply,
+        mut decision: Option<OperatorDecision>,
+    ) -> Option<Reply> {
+        if let Some(decision) = &mut decision {
+            // The state that this call found is not committed while another decision on it is pending; what the oldest
+            // of them found is.
+            if let Some(oldest) = self.pending_commits.decisions(&decision.subject).next() {
+                decision.committed_revoked = oldest.committed_revoked;
+            }
+        }
+        if self.lacks_store() {
+            return Some(reply);
+        }
+        let appended = match (&decision, self.may_commit()) {
+            (Some(_), false) => Err(CommitError::Replaced),
+            (Some(decision), true) => self
+                .append_decision(now, &decision.subject, decision.revoked)
+                .map_err(CommitError::from),
+            (None, _) => Ok(()),
+        };
+        let last = self.ledger.as_ref().map_or(0, |ledger| {
+            let replica = ledger.replica();
+            replica.log_store().last_index(replica.own())
+        });
+        if appended.is_ok() && last == 0 {
+            return Some(reply);
+        }
+        let response = PendingResponse::Operator(OperatorResponse {
+            connection,
+            reply,
+            decision,
+        });
+        match appended {
+            Ok(()) => self.open_commit(now, last, response),
+            Err(e) => self.finish_commit(now, response, Err(e)),
+        }
+        None
+    }
+
+    /// Replies to an operator. A rejected decision is undone.
+    pub(super) fn finish_operator(
+        &mut self,
+        now: Micros,
+        response: OperatorResponse,
+        result: Result<(), CommitError>,
+    ) {
+        let OperatorResponse {
+            connection,
+            mut reply,
+            decision,
+        } = response;
+        match result {
+            Ok(()) => {
+                if let Some(committed) = &decision {
+                    // Later decisions that are rejected restore this one.
+                    for later in self.pending_commits.decisions(&committed.subject) {
+                        later.committed_revoked = committed.revoked;
+                    }
+                }
+            }
+            Err(error) => {
+                let reason = error.to_string();
+                log::warn!(call = reply.text.as_str(), reason = reason.as_str(); "an operator's call is rejected");
+                if let Some(decision) = decision {
+                    self.undo_decision(now, decision);
+                }
+                reply = Reply::unavailable(format!("nothing has changed: {reason}"));
+            }
+        }
+        self.answer_admin(connection, &reply);
+    }
+
+    /// Undoes a rejected decision, here and in the log, which peers may have. While a later decision on the same subject is
+    /// pending, that one is in force, and undoes this one too if it is rejected.
+    fn undo_decision(&mut self, now: Micros, decision: OperatorDecision) {
+        let OperatorDecision {
+            subject,
+            committed_revoked,
+            ..
+        } = decision;
+        if self.pending_commits.decisions(&subject).next().is_some()
+            || !self.apply_decision(now, &subject, committed_revoked)
+        {
+            return;
+        }
+        self.undo_ops(now);
+        if let Err(e) = self.append_decision(now, &subject, committed_revoked) {
+            log::error!("a rejected call stays in the log until the next one on its subject: {e}");
+        }
+    }
+
+    /// Appends a decision to the log and sends it to the peers.
+    fn append_decision(
+        &mut self,
+        now: Micros,
+        subject: &Subject,
+        revoked: bool,
+    ) -> Result<(), AppendError> {
+        let Some(ledger) = &mut self.ledger else {
+            return Ok(());
+        };
+        let entry = ledger.append(subject.clone(), now, revoked)?;
+        self.tell_entry(entry);
+        Ok(())
+    }
+
+    /// Restores the operators' decisions at the start: those of the log, and those of the operators' files that the log
+    /// does not know, which are appended to it.
+    pub(in crate::daemon) fn restore_decisions(&mut self, now: Micros) {
+        self.apply_decisions(now);
+        if self.lacks_store() {
+            return;
+        }
+        let Some(logged) = self.ledger.as_ref().map(Ledger::decisions) else {
+            return;
+        };
+        let bans = self.ops.bans().map(|id| Subject::Ban(id.to_owned()));
+        let drain = (!self.ops.in_service()).then_some(Subject::Drain);
+        let in_files: Vec<Subject> = bans.chain(drain).collect();
+        for subject in in_files {
+            if logged.contains_key(&subject) {
+                continue;
+            }
+            if let Err(e) = self.append_decision(now, &subject, false) {
+                log::error!("what the operators decided is not replicated yet: {e}");
+            }
+        }
+    }
+
+    /// Puts this proxy's decisions in the log in force, also those that have come back from peers.
+    pub(in crate::daemon) fn apply_decisions(&mut self, now: Micros) {
+        let Some(decisions) = self.ledger.as_ref().map(Ledger::decisions) else {
+            return;
+        };
+        let mut changed = false;
+        for (subject, revoked) in decisions {
+            changed |= self.apply_decision(now, &subject, revoked);
+        }
+        if changed {
+            self.keep_ops_in_time(now);
+        }
+    }
+
+    /// Puts a decision in force, or revokes it. Returns whether that changed anything.
+    fn apply_decision(&mut self, now: Micros, subject: &Subject, revoked: bool) -> bool {
+        let effect = match subject {
+            Subject::Ban(id) => self.ops.recall_ban(id, !revoked),
+            Subject::Drain => self.ops.recall_drain(now, !revoked),
+            Subject::Object(_)
+            | Subject::Group(_)
+            | Subject::Status { .. }
+            | Subject::Gone { .. } => None,
+        };
+        let Some(effect) = effect else {
+            return false;
+        };
+        log::warn!(revoked = revoked; "the operators' state is set by this proxy's log: {subject:?}");
+        self.take_effect(now, effect);
+        true
+    }
+}
--- a/daemon/src/daemon/feeds/peers.rs
+++ b/daemon/src/daemon/feeds/peers.rs
@@ -32,7 +32,7 @@
             };
             let bytes = &bytes[..length];
             let heard = |p| {
-                self.hear_member(now, p, bytes)
+                self.receive_membership(now, p, bytes)
                     || self.receive_budgets(now, p, bytes)
                     || self.hear_copies(now, p, bytes)
             };
@@ -109,9 +109,9 @@
             .iter()
             .any(|entry| entry.log.writer == own && ledger::purge(entry).is_none())
         {
-            self.recall_decided(now);
+            self.apply_decisions(now);
         }
-        self.hear_triggers(now, &heard.new);
+        self.receive_triggers(now, &heard.new);
         if is_chunk {
             fail::fail_point!("snapshot-chunk");
         }
@@ -120,7 +120,7 @@
         }
         self.watch_snapshot(now);
         if same {
-            self.same_as(now, peer);
+            self.receive_equal_logs(now, peer);
         }
         if !heard.new.is_empty() {
             log::debug!(target: TRACE, place = peer, entries = heard.new.len(); "a peer told of purges");
@@ -130,9 +130,9 @@
             .into_iter()
             .map(|datagram| Outgoing { peer, datagram });
         self.send_words(replies.collect());
-        self.settle_promises(now);
+        self.resolve_commits(now);
         // The next part of a snapshot, or of what is missing, may be due sooner now.
-        self.plan_copies(now);
+        self.schedule_replication(now);
         true
     }
 
--- a/daemon/src/daemon/fleet.rs
+++ b/daemon/src/daemon/membership.rs
@@ -20,7 +20,7 @@
 
 impl Daemon {
     /// Begins to look after the peers.
-    pub(super) fn join_fleet(&mut self, now: Micros) {
+    pub(super) fn join_membership(&mut self, now: Micros) {
         let Some(ledger) = self.ledger.as_ref().filter(|_| self.config.copies.on) else {
             return;
         };
@@ -51,13 +51,13 @@
     }
 
     /// Whether it may promise anything: one that was replaced leaves that to its successor.
-    pub(super) fn may_promise(&self) -> bool {
+    pub(super) fn may_commit(&self) -> bool {
         fail::fail_point!("plant-no-fence", |_| true);
         !self.is_replaced()
     }
 
     /// Takes in a word of a member; false where it is none.
-    pub(super) fn hear_member(&mut self, now: Micros, place: usize, bytes: &[u8]) -> bool {
+    pub(super) fn receive_membership(&mut self, now: Micros, place: usize, bytes: &[u8]) -> bool {
         let Some(membership) = &mut self.membership else {
             return false;
         };
@@ -89,7 +89,7 @@
             );
         }
         if after.1 != before.1 {
-            self.know_machines();
+            self.update_machines();
         }
         self.tend_membership(now);
         true
@@ -153,7 +153,7 @@
     }
 
     /// The process ends: the others need not find it out.
-    pub(super) fn leave_fleet(&mut self, now: Micros) {
+    pub(super) fn leave_membership(&mut self, now: Micros) {
         let Some(membership) = &mut self.membership else {
             return;
         };
@@ -219,7 +219,7 @@
                 .map(|pending| pending.reason().to_owned()),
             catching_up: ledger.is_catching_up(),
             digest: format!("{:016x}", ledger.log_store().checksum()),
-            waiting: self.promised.waiting(),
+            waiting: self.pending_commits.len(),
             short: ledger.under_replicated(),
             promised: counters.committed,
             refused: counters.commits_rejected,
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -26,19 +26,20 @@
 mod boxes;
 mod budgets;
 mod clients;
+mod commits;
 mod exchange;
 mod feeds;
-mod fleet;
 mod lifecycle;
 mod members;
+mod membership;
 mod neighbours;
 mod operator_state;
 mod peer_index;
 mod plain_purges;
-mod promises;
 mod recovery;
 mod redial;
 mod registration;
+mod replication;
 mod store_opening;
 mod turn;
 
@@ -252,7 +253,7 @@
     /// Its store, while that can't be opened.
     pending_store: Option<PendingStore>,
     /// The answers that wait for it, and when it is due to be looked at again.
-    promised: promises::Promised,
+    pending_commits: commits::PendingCommits,
     /// Who of the peers is there, and when that is due to be looked at again.
     membership: Option<linnetknot_membership::Membership>,
     /// What all proxies spend together.
@@ -418,7 +419,7 @@
             desk,
             ledger,
             pending_store,
-            promised: promises::Promised::default(),
+            pending_commits: commits::PendingCommits::default(),
             membership: None,
             shared_budgets: None,
             fleet_due: None,
@@ -445,15 +446,15 @@
         daemon.restore_purges(now);
         known.into_iter().for_each(|event| daemon.news(now, event));
         daemon.bus.last = last_event;
-        daemon.know_machines();
-        daemon.join_fleet(now);
+        daemon.update_machines();
+        daemon.join_membership(now);
         daemon.join_budgets(now)?;
-        daemon.begin_decided(now);
-        daemon.begin_triggers(now);
+        daemon.restore_decisions(now);
+        daemon.restore_triggers(now);
         daemon.begin_recovery(now);
         daemon.begin_reopening(now);
         daemon.plan_operator_state(now);
-        daemon.copy_purges(now);
+        daemon.tick_replication(now);
         daemon.recall_lists(now);
         daemon.call_bus(now);
         daemon.drive_consul(now);
@@ -632,7 +633,7 @@
             PEERS => self.hear_peers(now),
             CDNI => self.accept_cdni(now),
             ADMIN => self.accept_admin(now),
-            STORE => self.hear_store(now),
+            STORE => self.receive_store_completions(now),
             token => self.serve(now, Key::from_u64(token), event),
         }
         self.settle(now);
@@ -680,7 +681,7 @@
             self.deadlines
                 .set(now + self.limits.term_grace_us, Timer::Term);
             self.leave_consul(now);
-            self.leave_fleet(now);
+            self.leave_membership(now);
         }
     }
 
@@ -737,8 +738,8 @@
             self.membership
                 .iter_mut()
                 .for_each(|fleet| fleet.peers(peers));
-            self.know_machines();
-            if !self.promised.has_recovered() {
+            self.update_machines();
+            if !self.pending_commits.has_recovered() {
                 self.begin_recovery(now);
             }
         }
--- a/daemon/src/daemon/neighbours.rs
+++ b/daemon/src/daemon/neighbours.rs
@@ -1,5 +1,6 @@
 //! The second front's sockets: what neighbours and redirected clients ask, and what neighbours are sent.
 
+use super::commits::CdniResponse;
 use super::exchange::{Effect, End, Exchange, Flow};
 use super::{Connection, Daemon, Kind, Timer};
 use crate::core::{Answer, Client};
@@ -146,7 +147,15 @@
                 Reply::Now(response) => session.respond(&response),
                 Reply::Promise(response, trigger, effects) => {
                     session.waiting = Some(Waiting::Promise);
-                    self.promise(now, (key, response, trigger), effects);
+                    self.commit_command(
+                        now,
+                        CdniResponse {
+                            connection: key,
+                            response,
+                            trigger,
+                        },
+                        effects,
+                    );
                     self.settle(now);
                     if !self.write_cdni(key) {
                         return Ok(());
--- a/daemon/src/daemon/operator_state.rs
+++ b/daemon/src/daemon/operator_state.rs
@@ -156,7 +156,7 @@
         if is_drained {
             self.start_drain(now);
         }
-        self.begin_decided(now);
+        self.restore_decisions(now);
         self.settle(now);
     }
 }
--- a/daemon/src/daemon/recovery.rs
+++ b/daemon/src/daemon/recovery.rs
@@ -68,7 +68,7 @@
             self.limits.recovery_ask_us,
         );
         let recovery = Recovery::new(server_id(&copies.machine), machines, copies.wait, times);
-        self.promised.recovery = Some(recovery);
+        self.pending_commits.recovery = Some(recovery);
         self.recover(now);
     }
 
@@ -85,7 +85,7 @@
     /// The store has opened: what it lacks, the peers have. A proxy that was ready before stays so.
     pub(super) fn recover_with_store(&mut self, now: Micros) {
         if self
-            .promised
+            .pending_commits
             .recovery
             .as_ref()
             .is_none_or(Recovery::is_over)
@@ -94,7 +94,7 @@
         }
         let is_fresh = self.ledger.as_ref().is_some_and(Ledger::is_fresh);
         if !is_fresh {
-            self.promised.recovery = None;
+            self.pending_commits.recovery = None;
         }
         self.begin_recovery(now);
     }
@@ -108,7 +108,7 @@
     }
 
     fn recover(&mut self, now: Micros) {
-        let Some(recovery) = &mut self.promised.recovery else {
+        let Some(recovery) = &mut self.pending_commits.recovery else {
             return;
         };
         let (peers, missing) = recovery.tick(now);
@@ -123,9 +123,9 @@
         match due {
             Some(due) => {
                 let due = due.max(now + 1_000);
-                let old = self.promised.recovers.take();
-                self.promised.recovers = self.instead(old, Some(due), |daemon, now| {
-                    daemon.promised.recovers = None;
+                let old = self.pending_commits.recovery_due.take();
+                self.pending_commits.recovery_due = self.instead(old, Some(due), |daemon, now| {
+                    daemon.pending_commits.recovery_due = None;
                     daemon.recover(now);
                 });
             }
@@ -134,7 +134,7 @@
     }
 
     /// A peer has the same logs as this proxy.
-    pub(super) fn same_as(&mut self, now: Micros, peer: usize) {
+    pub(super) fn receive_equal_logs(&mut self, now: Micros, peer: usize) {
         // With a snapshot half taken in, equal logs do not tell that all their purges are here.
         if self
             .ledger
@@ -144,7 +144,7 @@
             return;
         }
         if self
-            .promised
+            .pending_commits
             .recovery
             .as_mut()
             .is_some_and(|recovery| recovery.settled(peer))
@@ -161,11 +161,11 @@
     /// A chunk of a snapshot has come, or entries behind it: the waits for them are extended.
     pub(super) fn extend_recovery(&mut self, now: Micros) {
         let timeout_us = self.limits.recovery_us;
-        let Some(wait) = &mut self.promised.snapshot else {
+        let Some(wait) = &mut self.pending_commits.snapshot else {
             return;
         };
         wait.extend(now, timeout_us);
-        if let Some(recovery) = &mut self.promised.recovery {
+        if let Some(recovery) = &mut self.pending_commits.recovery {
             recovery.extend(wait.until);
         }
     }
@@ -177,11 +177,11 @@
             .ledger
             .as_ref()
             .is_some_and(|ledger| ledger.replica().is_catching_up());
-        match &mut self.promised.snapshot {
+        match &mut self.pending_commits.snapshot {
             None if is_behind => {
                 let limits = &self.limits;
                 let wait = SnapshotWait::begin(now, limits.recovery_us, limits.recovery_max_us);
-                self.promised.snapshot = Some(wait);
+                self.pending_commits.snapshot = Some(wait);
                 self.extend_recovery(now);
                 log::warn!(
                     "behind what peers have compacted: not ready until their snapshot is here"
@@ -190,7 +190,7 @@
             }
             Some(wait) if !is_behind => {
                 let took_ms = now.saturating_sub(wait.since) / 1_000;
-                self.promised.snapshot = None;
+                self.pending_commits.snapshot = None;
                 let compacted = self
                     .ledger
                     .as_ref()
--- /dev/null
+++ b/daemon/src/daemon/replication.rs
@@ -0,0 +1,96 @@
+//! Drives the replica of the logs: completions of the store, ticks, and the machines of the peers.
+
+use super::Daemon;
+use linnetknot::Micros;
+use linnetknot_discovery::server_id;
+use std::net::SocketAddr;
+
+/// The shortest time to the next tick, so that the event loop always gets to its sockets.
+const MIN_TICK_US: Micros = 1_000;
+
+impl Daemon {
+    /// Processes completions of the store's worker, and the result of opening the store.
+    pub(super) fn receive_store_completions(&mut self, now: Micros) {
+        if let Some(word) = &mut self.store_word {
+            word.clear();
+        }
+        self.take_opened_store(now);
+        let outgoing = self
+            .ledger
+            .as_mut()
+            .map(|ledger| ledger.take_completions(now))
+            .unwrap_or_default();
+        if !outgoing.is_empty() {
+            fail::fail_point!("holder-says");
+        }
+        self.send_words(outgoing);
+        self.resolve_commits(now);
+    }
+
+    /// Sends what is due to the peers: acknowledgements, digests, requests and snapshot chunks. Schedules the next tick.
+    pub(super) fn tick_replication(&mut self, now: Micros) {
+        let Some(ledger) = &mut self.ledger else {
+            return;
+        };
+        let outgoing = ledger.tick(now);
+        self.log_replication();
+        self.send_words(outgoing);
+        self.watch_snapshot(now);
+        self.resolve_commits(now);
+        self.schedule_replication(now);
+    }
+
+    /// Logs changes of the number of under-replicated entries, and of peers that do not know snapshots.
+    fn log_replication(&mut self) {
+        let Some(ledger) = &self.ledger else {
+            return;
+        };
+        let under_replicated = ledger.replica().under_replicated();
+        let without_snapshot = ledger.replica().peers_without_snapshot().len();
+        let pending = &mut self.pending_commits;
+        let before = std::mem::replace(&mut pending.under_replicated, under_replicated);
+        if self.config.copies.on && (under_replicated == 0) != (before == 0) {
+            log::info!(under_replicated = under_replicated; "entries with fewer replicas than configured");
+        }
+        let before = std::mem::replace(&mut pending.without_snapshot, without_snapshot);
+        if without_snapshot > before {
+            log::warn!(peers = without_snapshot; "peers of an earlier version are behind what was compacted here, and know no snapshots");
+        }
+    }
+
+    /// Schedules the next tick, unless one is scheduled early enough.
+    pub(super) fn schedule_replication(&mut self, now: Micros) {
+        let Some(ledger) = &self.ledger else { return };
+        let due = ledger.due().max(now + MIN_TICK_US);
+        let scheduled = self.pending_commits.replication_due;
+        if scheduled.is_some_and(|(at, _)| at > now && at <= due) {
+            return;
+        }
+        let old = self.pending_commits.replication_due.take();
+        self.pending_commits.replication_due = self.instead(old, Some(due), |daemon, now| {
+            daemon.pending_commits.replication_due = None;
+            daemon.tick_replication(now);
+        });
+    }
+
+    /// Tells the replica on which machines the peers run: as each says itself, and until it has as the configuration says.
+    pub(super) fn update_machines(&mut self) {
+        let copies = &self.config.copies;
+        let members = self
+            .membership
+            .as_ref()
+            .map_or(&[][..], |membership| membership.members());
+        let machine = |(peer, (_, configured)): (usize, &(SocketAddr, String))| {
+            let announced = members
+                .get(peer)
+                .and_then(|member| member.names.as_ref())
+                .map(|(_, machine)| machine)
+                .filter(|machine| !machine.is_empty());
+            server_id(announced.unwrap_or(configured))
+        };
+        let machines = copies.machines.iter().enumerate().map(machine).collect();
+        if let Some(ledger) = &mut self.ledger {
+            ledger.set_machines(server_id(&copies.machine), machines);
+        }
+    }
+}
--- a/daemon/src/daemon/store_opening.rs
+++ b/daemon/src/daemon/store_opening.rs
@@ -191,18 +191,18 @@
         let incarnation = |ledger: &Option<Ledger>| ledger.as_ref().map(Ledger::incarnation);
         if incarnation(&before) != incarnation(&self.ledger) {
             // Its store knows of a process that began later, by a clock that went back: it is heard as that one's successor.
-            self.join_fleet(now);
+            self.join_membership(now);
             self.rejoin_budgets(now);
         }
         self.restore_purges(now);
-        self.know_machines();
-        self.begin_decided(now);
-        self.begin_triggers(now);
+        self.update_machines();
+        self.restore_decisions(now);
+        self.restore_triggers(now);
         self.recover_with_store(now);
         for purge in &pending.learned {
             self.write_plain_purge(purge);
         }
-        self.copy_purges(now);
+        self.tick_replication(now);
         self.notify(now);
     }
 }
