--- a/daemon/src/daemon/budgets/mod.rs
+++ b/daemon/src/daemon/budgets/mod.rs
@@ -9,7 +9,8 @@
 use linnetknot_budgets::kinds::Unit;
 use linnetknot_budgets::wire::{self, DecodeError};
 use linnetknot_budgets::{
-    Amount, Member, MemberIndex, MemberProcess, Message, Options, Outgoing, VoteResponse,
+    Amount, InvalidBudget, Member, MemberIndex, MemberProcess, Message, Options, Outgoing,
+    VoteResponse,
 };
 use std::collections::BTreeMap;
 
@@ -29,7 +30,15 @@
     detached: bool,
 }
 
-/// What this proxy has unsettled of each budget that the module knows.
+/// Why the budgets can't be shared.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("budgets: '{name}': {}", invalid.error)]
+pub(super) struct JoinBudgetsError {
+    name: String,
+    invalid: InvalidBudget,
+}
+
+/// What this proxy has unsettled of each budget that the decision module knows.
 struct Unsettled {
     origin: Amount,
     caches: Amount,
@@ -49,8 +58,8 @@
 }
 
 impl Daemon {
-    /// Joins the members that share the budgets of the operators' file.
-    pub(super) fn join_budgets(&mut self, now: Micros) -> Result<(), String> {
+    /// Joins the members that share the budgets of the configuration.
+    pub(super) fn join_budgets(&mut self, now: Micros) -> Result<(), JoinBudgetsError> {
         let config = &self.config.budgets;
         let Some(ledger) = self.ledger.as_ref().filter(|_| !config.list.is_empty()) else {
             return Ok(());
@@ -67,15 +76,15 @@
             process: ledger.incarnation(),
         };
         let options = Options::default().with_settling_time(settling_us);
-        // The file was checked, by the same figures.
+        // The configuration was validated with the same figures, so this does not fail.
         let member = Member::new(own, config.members, &specs, now, options).map_err(|invalid| {
-            format!(
-                "budgets: '{}': {}",
-                config.list[invalid.budget].name, invalid.error
-            )
+            JoinBudgetsError {
+                name: config.list[invalid.budget].name.clone(),
+                invalid,
+            }
         })?;
         let delivered = vec![None; specs.len()];
-        // A request that stayed open for longer than its class allows would settle later, too.
+        // A request that stayed open for longer than its class allows would settle after the settling time.
         self.core.most_us = config.longest_open_us().unwrap_or(Micros::MAX);
         self.shared_budgets = Some(SharedBudgets {
             member,
@@ -88,7 +97,7 @@
         Ok(())
     }
 
-    /// Joins them anew, as a later process of this member.
+    /// Joins again, as a later process of this member.
     pub(super) fn rejoin_budgets(&mut self, now: Micros) {
         if let Some(due) = self.shared_budgets.take().and_then(|shared| shared.due) {
             self.deadlines.take_back(due);
@@ -113,7 +122,7 @@
         let datagram = match wire::read(bytes) {
             Err(DecodeError::Foreign) => return false,
             Err(e) => {
-                log::debug!(place = peer; "{e}");
+                log::debug!(peer = peer; "{e}");
                 self.dropped.1 += 1;
                 return true;
             }
@@ -182,7 +191,7 @@
         };
         for (n, budget) in self.config.budgets.list.iter().enumerate() {
             let unsettled = all.of(budget.of);
-            // A process that ends gives up all that it has not spent.
+            // A process that ends returns all that it has not spent.
             let amount = if is_stopping {
                 unsettled
             } else {
@@ -203,10 +212,10 @@
     }
 
     fn update_up(&mut self) {
-        let Some(fleet) = &self.membership else {
+        let Some(membership) = &self.membership else {
             return;
         };
-        let members = fleet.members().iter().enumerate();
+        let members = membership.members().iter().enumerate();
         let up: Vec<(MemberIndex, bool)> = members
             .map(|(peer, member)| (self.member_index(peer), member.is_up()))
             .collect();
@@ -299,7 +308,7 @@
             .for_each(|lease| self.core.receive_lease(now, lease));
     }
 
-    /// Takes over the limits of a file that was read again; all else of budgets waits for the next start.
+    /// Applies changed limits of a reloaded configuration. All other changes of budgets need a restart.
     pub(super) fn reload_budgets(&mut self, new: &crate::interconnect::Budgets) {
         if new.fingerprint != self.config.budgets.fingerprint {
             return log::warn!(
@@ -330,8 +339,8 @@
         }
     }
 
-    /// The list of peers has changed, so that messages would be taken for another member's: only the reserved minimums are
-    /// spent until the next start.
+    /// Detaches from the members, as the list of peers has changed and messages would be taken for another member's: only
+    /// the reserved minimums are spent until the next start.
     pub(super) fn detach_budgets(&mut self) {
         if let Some(shared) = &mut self.shared_budgets {
             shared.detached = true;
@@ -342,7 +351,7 @@
     }
 }
 
-/// Answers each request for a vote with a vote, in its receiver's place.
+/// A planted fault: answers each request for a vote on behalf of its receiver.
 fn assume_votes(member: &mut Member, now: Micros, outgoing: &[Outgoing]) {
     for Outgoing { to, message } in outgoing {
         if let Message::VoteRequest(request) = message {
--- a/daemon/src/daemon/budgets/status.rs
+++ b/daemon/src/daemon/budgets/status.rs
@@ -87,7 +87,7 @@
         let member = self
             .membership
             .as_ref()
-            .and_then(|fleet| fleet.members().get(peer));
+            .and_then(|membership| membership.members().get(peer));
         let name = member
             .and_then(|member| member.names.as_ref())
             .map(|(name, _)| name.clone());
--- a/daemon/src/daemon/feeds/bus.rs
+++ b/daemon/src/daemon/feeds/bus.rs
@@ -1,8 +1,8 @@
 //! The event bus: one connection that is read for good, and begun anew where it ends or falls silent.
 
 use crate::bus::{request, BusEvent, Feed, News};
+use crate::daemon::discovery::BUS;
 use crate::daemon::exchange::{Effect, End, Exchange, Flow};
-use crate::daemon::members::BUS;
 use crate::daemon::Daemon;
 use crate::limits::Limits;
 use crate::net::{Due, Key};
@@ -99,7 +99,7 @@
                     ListMode::Full => Evidence::Full(reports),
                     _ => Evidence::Delta(reports),
                 };
-                self.evidence(now, BUS, evidence);
+                self.receive_evidence(now, BUS, evidence);
             }
             Some(News::Purge { object, group, at }) => self.core.purged(now, object, group, at),
             None => log::debug!("event {} of the bus is of an unknown kind", event.offset),
--- a/daemon/src/daemon/feeds/consul/kept.rs
+++ b/daemon/src/daemon/feeds/consul/kept.rs
@@ -1,6 +1,6 @@
 //! The last good list on disk, for a start without an agent. Written by a worker, so that the loop waits for no disk.
 
-use crate::daemon::members::CONSUL;
+use crate::daemon::discovery::CONSUL;
 use crate::daemon::Daemon;
 use crate::disk::{remove_leftovers, Disk, Job};
 use crate::net::Due;
@@ -95,7 +95,7 @@
                     let age_s = now.saturating_sub(kept.at) / 1_000_000;
                     log::info!(boxes = kept.entries.len(), age_s = age_s; "the kept list holds until an agent speaks");
                     if let Some(evidence) = self.remember_list(n, &kept.entries) {
-                        self.evidence(now, SourceId(CONSUL.0 + n), evidence);
+                        self.receive_evidence(now, SourceId(CONSUL.0 + n), evidence);
                     }
                 }
             }
--- a/daemon/src/daemon/feeds/consul/mod.rs
+++ b/daemon/src/daemon/feeds/consul/mod.rs
@@ -4,7 +4,7 @@
 mod call;
 mod kept;
 
-use crate::daemon::members::CONSUL;
+use crate::daemon::discovery::CONSUL;
 use crate::daemon::Daemon;
 use crate::interconnect::Consul;
 use crate::net::{Due, Key};
@@ -169,7 +169,7 @@
             self.read_token();
         }
         if let Some(evidence) = evidence {
-            self.evidence(now, source, evidence);
+            self.receive_evidence(now, source, evidence);
         }
         if confirmed {
             self.keep_list(now, n);
--- /dev/null
+++ b/daemon/src/daemon/fleet_status.rs
@@ -0,0 +1,93 @@
+//! The answer to `linnetknot fleet status`: where replication, commits and membership stand.
+
+use super::membership::state_name;
+use super::Daemon;
+use crate::fleet::{LogStatus, PeerStatus, Status, MOST_LOGS, MOST_PEERS};
+use linnetknot_membership::Membership;
+use linnetknot_replication::{Index, LogId, Replica};
+use std::net::SocketAddr;
+
+fn log_status(replica: &Replica, log: LogId, last_index: Index) -> LogStatus {
+    LogStatus {
+        writer: format!("{:016x}", log.writer),
+        life: format!("{:x}", log.epoch),
+        own: log.writer == replica.own().writer,
+        end: last_index,
+        on_disk: replica.durable_index(log),
+    }
+}
+
+impl Daemon {
+    /// Returns the status; none where logs are not replicated.
+    pub(super) fn fleet_status(&self) -> Option<Status> {
+        let copies = &self.config.copies;
+        let replica = self.ledger.as_ref().filter(|_| copies.on)?.replica();
+        let own = replica.own();
+        let log_store = replica.log_store();
+        let counters = replica.counters();
+        let logs = log_store.last_indexes();
+        let store_error = self.pending_store.as_ref();
+        let peers = copies.machines.iter().enumerate().take(MOST_PEERS);
+        Some(Status {
+            name: self.config.name.clone(),
+            machine: copies.machine.clone(),
+            life: format!("{:x}", own.epoch),
+            wait: copies.wait,
+            holders: copies.holders,
+            end: log_store.last_index(own),
+            on_disk: replica.durable_index(own),
+            entries: log_store.len(),
+            compacted: log_store.table().len(),
+            table_bytes: log_store.table().memory_bytes(),
+            store_error: store_error.map(|pending| pending.reason().to_owned()),
+            catching_up: replica.is_catching_up(),
+            digest: format!("{:016x}", log_store.checksum()),
+            waiting: self.pending_commits.len(),
+            short: replica.under_replicated(),
+            promised: counters.committed,
+            refused: counters.commits_rejected,
+            up: self.membership.as_ref().map_or(1, Membership::up),
+            replaced: self.is_replaced(),
+            peers: peers
+                .map(|(peer, (address, machine))| {
+                    self.peer_status(replica, peer, *address, machine)
+                })
+                .collect(),
+            peers_in_all: copies.machines.len(),
+            logs: logs
+                .iter()
+                .take(MOST_LOGS)
+                .map(|(log, last_index)| log_status(replica, *log, *last_index))
+                .collect(),
+            logs_in_all: logs.len(),
+        })
+    }
+
+    /// Returns the status of the peer with this index. Its machine is the configured one until it has announced its own.
+    fn peer_status(
+        &self,
+        replica: &Replica,
+        peer: usize,
+        address: SocketAddr,
+        configured_machine: &str,
+    ) -> PeerStatus {
+        let membership = self.membership.as_ref();
+        let member = membership.and_then(|membership| membership.members().get(peer));
+        let claim = member.and_then(|member| member.claim);
+        let names = member.and_then(|member| member.names.as_ref());
+        let (name, machine) = names.map_or(("", configured_machine), |(name, machine)| {
+            (name.as_str(), machine.as_str())
+        });
+        let acked = replica.acked_by(peer);
+        let last_index = replica.log_store().last_index(replica.own());
+        PeerStatus {
+            address,
+            machine: machine.to_owned(),
+            name: name.to_owned(),
+            standing: state_name(claim.map(|claim| claim.standing)).to_owned(),
+            life: claim.map_or_else(String::new, |claim| format!("{:x}", claim.process)),
+            held: acked,
+            behind: last_index.saturating_sub(acked),
+        }
+    }
+}
--- a/daemon/src/daemon/membership.rs
+++ b/daemon/src/daemon/membership.rs
@@ -1,15 +1,17 @@
-//! The other proxies: who of them is there (`linnetknot_membership`), and what the admin listener tells of them and of the copies.
+//! Membership of the proxies (`linnetknot_membership`) in the daemon: its datagrams, its timers, and its changes in the
+//! log.
 
 use super::Daemon;
-use crate::fleet::{LogStatus, PeerStatus, Status, MOST_LOGS, MOST_PEERS};
 use linnetknot::Micros;
 use linnetknot_discovery::server_id;
-use linnetknot_membership::{Change, DecodeError, Membership, Options, Standing};
-use linnetknot_replication::{Index, LogId};
-use std::net::SocketAddr;
+use linnetknot_membership::{Change, DecodeError, Member, Membership, Options, Standing};
 
-fn shown(standing: Option<Standing>) -> &'static str {
-    match standing {
+/// The shortest time to the next tick.
+const MIN_TICK_US: Micros = 1;
+
+/// Returns the name of a member's state; `unknown` where nothing was received of it.
+pub(super) fn state_name(state: Option<Standing>) -> &'static str {
+    match state {
         None => "unknown",
         Some(Standing::Alive) => "alive",
         Some(Standing::Suspect) => "suspect",
@@ -18,21 +20,33 @@
     }
 }
 
+/// Returns the level at which a member's new state is logged.
+fn log_level(state: Standing) -> log::Level {
+    match state {
+        Standing::Alive | Standing::Left => log::Level::Info,
+        Standing::Suspect => log::Level::Debug,
+        Standing::Dead => log::Level::Warn,
+    }
+}
+
+/// Whether the peer with this index is known to replicate logs: one that is up does.
+pub(super) fn replicates(membership: Option<&Membership>, peer: usize) -> bool {
+    let member = membership.and_then(|membership| membership.members().get(peer));
+    member.is_some_and(Member::is_up)
+}
+
 impl Daemon {
-    /// Begins to look after the peers.
+    /// Joins the members that replicate logs.
     pub(super) fn join_membership(&mut self, now: Micros) {
-        let Some(ledger) = self.ledger.as_ref().filter(|_| self.config.copies.on) else {
+        let copies = &self.config.copies;
+        let Some(ledger) = self.ledger.as_ref().filter(|_| copies.on) else {
             return;
         };
-        let (name, machine) = (&self.config.name, &self.config.copies.machine);
-        let (me, peers) = (
-            (server_id(name), ledger.incarnation()),
-            self.config.copies.machines.len(),
-        );
+        let name = &self.config.name;
         let mut membership = Membership::new(
-            me,
-            (name, machine),
-            peers,
+            (server_id(name), ledger.incarnation()),
+            (name, &copies.machine),
+            copies.machines.len(),
             (self.config.seed, now),
             Options::default(),
         );
@@ -40,7 +54,7 @@
             membership.expect_predecessor(now + self.limits.recovery_us);
         }
         self.membership = Some(membership);
-        self.plan_fleet(now);
+        self.schedule_membership(now);
     }
 
     /// Whether a later process of this name has begun.
@@ -50,191 +64,129 @@
             .is_some_and(Membership::is_replaced)
     }
 
-    /// Whether it may promise anything: one that was replaced leaves that to its successor.
+    /// Whether this process may commit anything: one that was replaced leaves that to its successor.
     pub(super) fn may_commit(&self) -> bool {
         fail::fail_point!("plant-no-fence", |_| true);
         !self.is_replaced()
     }
 
-    /// Takes in a word of a member; false where it is none.
-    pub(super) fn receive_membership(&mut self, now: Micros, place: usize, bytes: &[u8]) -> bool {
+    /// Receives a datagram of a peer; false where it is of another kind.
+    pub(super) fn receive_membership(&mut self, now: Micros, peer: usize, bytes: &[u8]) -> bool {
         let Some(membership) = &mut self.membership else {
             return false;
         };
-        let named = |membership: &Membership| {
-            membership
-                .members()
-                .get(place)
-                .and_then(|m| m.names.clone())
+        let names = |membership: &Membership| {
+            let member = membership.members().get(peer);
+            member.and_then(|member| member.names.clone())
         };
-        let before = (membership.is_replaced(), named(membership));
-        match membership.receive(now, place, bytes) {
+        let was_replaced = membership.is_replaced();
+        let names_before = names(membership);
+        match membership.receive(now, peer, bytes) {
             Err(DecodeError::Foreign) => return false,
             Err(e) => {
-                log::debug!(place = place; "{e}");
+                log::debug!(peer = peer; "{e}");
                 self.dropped.1 += 1;
                 return true;
             }
             Ok(()) => {}
         }
         let process = membership.process();
-        if let Some(ledger) = self.ledger.as_mut().filter(|l| l.incarnation() < process) {
-            log::warn!("a process of this name that a peer knows began by a later clock: this one is numbered behind it");
-            ledger.raise_incarnation(process);
-        }
-        let after = (membership.is_replaced(), named(membership));
-        if after.0 && !before.0 {
+        let is_replaced = membership.is_replaced();
+        let has_new_names = names(membership) != names_before;
+        self.follow_process(process);
+        if is_replaced && !was_replaced {
             log::error!(
-                "another process of this name has begun after this one: nothing more is promised here"
+                "another process of this name has begun after this one: nothing more is committed here"
             );
         }
-        if after.1 != before.1 {
+        if has_new_names {
             self.update_machines();
         }
-        self.tend_membership(now);
+        self.flush_membership(now);
         true
     }
 
-    /// Sends what is to be said, and says what has changed.
-    pub(super) fn tend_membership(&mut self, now: Micros) {
+    /// Raises the ledger's incarnation to that of membership, which grows where a peer knows of a process before this one
+    /// that has a later number.
+    fn follow_process(&mut self, process: u64) {
+        let behind = |ledger: &&mut crate::ledger::Ledger| ledger.incarnation() < process;
+        if let Some(ledger) = self.ledger.as_mut().filter(behind) {
+            log::warn!("a process of this name that a peer knows began by a later clock: this one is numbered behind it");
+            ledger.raise_incarnation(process);
+        }
+    }
+
+    /// Sends what membership has to send, and logs its changes.
+    pub(super) fn flush_membership(&mut self, now: Micros) {
         let Some(membership) = &mut self.membership else {
             return;
         };
-        let (outgoing, changes) = (membership.outgoing(), membership.changes());
-        outgoing
-            .iter()
-            .for_each(|(place, bytes)| self.send_to_place(*place, bytes));
-        changes
-            .into_iter()
-            .for_each(|change| self.say_member(change));
-        self.plan_fleet(now);
+        let outgoing = membership.outgoing();
+        let changes = membership.changes();
+        for (peer, bytes) in &outgoing {
+            self.send_to_place(*peer, bytes);
+        }
+        for change in &changes {
+            self.log_member_change(change);
+        }
+        self.schedule_membership(now);
     }
 
-    fn say_member(&self, Change { peer, old, new }: Change) {
+    fn log_member_change(&self, Change { peer, old, new }: &Change) {
         let membership = self.membership.as_ref();
-        let member = membership.and_then(|m| m.members().get(peer));
+        let member = membership.and_then(|membership| membership.members().get(*peer));
         let name = member
-            .and_then(|m| m.names.as_ref())
-            .map_or("", |names| names.0.as_str());
-        let address = self
-            .config
-            .copies
-            .machines
-            .get(peer)
-            .map_or_else(String::new, |(a, _)| a.to_string());
-        let level = match new.standing {
-            Standing::Alive | Standing::Left => log::Level::Info,
-            Standing::Suspect => log::Level::Debug,
-            Standing::Dead => log::Level::Warn,
-        };
+            .and_then(|member| member.names.as_ref())
+            .map_or("", |(name, _)| name.as_str());
+        let configured = self.config.copies.machines.get(*peer);
+        let address = configured.map_or_else(String::new, |(address, _)| address.to_string());
         log::log!(
-            level, peer = address.as_str(), member = name, old = shown(old.map(|c| c.standing)),
-            new = shown(Some(new.standing)), life = new.process, up = membership.map_or(0, Membership::up);
-            "a member's standing has changed"
+            log_level(new.standing),
+            peer = address.as_str(),
+            member = name,
+            old = state_name(old.map(|claim| claim.standing)),
+            new = state_name(Some(new.standing)),
+            incarnation = new.process,
+            up = membership.map_or(0, Membership::up);
+            "a member's state has changed"
         );
     }
 
-    fn plan_fleet(&mut self, now: Micros) {
+    /// Schedules the next tick, unless one is scheduled early enough.
+    fn schedule_membership(&mut self, now: Micros) {
         let Some(membership) = &self.membership else {
             return;
         };
-        let due = membership.due().max(now + 1);
-        if self.fleet_due.is_none_or(|(at, _)| at > due || at <= now) {
-            let old = self.fleet_due.take();
-            self.fleet_due = self.instead(old, Some(due), |daemon, now| {
-                daemon.fleet_due = None;
-                daemon
-                    .membership
-                    .iter_mut()
-                    .for_each(|membership| membership.tick(now));
-                daemon.tend_membership(now);
-            });
+        let due = membership.due().max(now + MIN_TICK_US);
+        let scheduled = self.fleet_due;
+        if scheduled.is_some_and(|(at, _)| at > now && at <= due) {
+            return;
         }
+        let old = self.fleet_due.take();
+        self.fleet_due = self.instead(old, Some(due), Daemon::tick_membership);
     }
 
-    /// The process ends: the others need not find it out.
+    fn tick_membership(&mut self, now: Micros) {
+        self.fleet_due = None;
+        if let Some(membership) = &mut self.membership {
+            membership.tick(now);
+        }
+        self.flush_membership(now);
+    }
+
+    /// Announces to the members that the process ends, so that they need not detect it.
     pub(super) fn leave_membership(&mut self, now: Micros) {
         let Some(membership) = &mut self.membership else {
             return;
         };
         membership.leave();
-        let t = membership.counters();
+        let counters = membership.counters();
         log::info!(
-            up = membership.up(), probes = t.probes, failed = t.failed, refuted = t.refuted, stalls = t.stalls,
-            unreadable = t.unreadable, health = membership.health();
+            up = membership.up(), probes = counters.probes, failed = counters.failed,
+            refuted = counters.refuted, stalls = counters.stalls,
+            unreadable = counters.unreadable, health = membership.health();
             "members of the fleet, as this one leaves"
         );
-        self.tend_membership(now);
-    }
-
-    /// Where this proxy's copies and promises stand; none where it makes no copies.
-    pub(super) fn fleet_status(&self) -> Option<Status> {
-        let copies = &self.config.copies;
-        let ledger = self.ledger.as_ref().filter(|_| copies.on)?.replica();
-        let (own, counters, ends) = (
-            ledger.own(),
-            ledger.counters(),
-            ledger.log_store().last_indexes(),
-        );
-        let end = ledger.log_store().last_index(own);
-        let membership = self.membership.as_ref();
-        let peer = |(place, (address, machine)): (usize, &(SocketAddr, String))| {
-            let held = ledger.acked_by(place);
-            let member = membership.and_then(|m| m.members().get(place));
-            let (claim, names) = (
-                member.and_then(|m| m.claim),
-                member.and_then(|m| m.names.as_ref()),
-            );
-            PeerStatus {
-                address: *address,
-                machine: names.map_or(machine, |(_, told)| told).clone(),
-                name: names.map_or_else(String::new, |(name, _)| name.clone()),
-                standing: shown(claim.map(|c| c.standing)).to_owned(),
-                life: claim.map_or_else(String::new, |c| format!("{:x}", c.process)),
-                held,
-                behind: end.saturating_sub(held),
-            }
-        };
-        let log = |(log, end): &(LogId, Index)| LogStatus {
-            writer: format!("{:016x}", log.writer),
-            life: format!("{:x}", log.epoch),
-            own: log.writer == own.writer,
-            end: *end,
-            on_disk: ledger.durable_index(*log),
-        };
-        Some(Status {
-            name: self.config.name.clone(),
-            machine: copies.machine.clone(),
-            life: format!("{:x}", own.epoch),
-            wait: copies.wait,
-            holders: copies.holders,
-            end,
-            on_disk: ledger.durable_index(own),
-            entries: ledger.log_store().len(),
-            compacted: ledger.log_store().table().len(),
-            table_bytes: ledger.log_store().table().memory_bytes(),
-            store_error: self
-                .pending_store
-                .as_ref()
-                .map(|pending| pending.reason().to_owned()),
-            catching_up: ledger.is_catching_up(),
-            digest: format!("{:016x}", ledger.log_store().checksum()),
-            waiting: self.pending_commits.len(),
-            short: ledger.under_replicated(),
-            promised: counters.committed,
-            refused: counters.commits_rejected,
-            up: membership.map_or(1, Membership::up),
-            replaced: self.is_replaced(),
-            peers: copies
-                .machines
-                .iter()
-                .enumerate()
-                .take(MOST_PEERS)
-                .map(peer)
-                .collect(),
-            peers_in_all: copies.machines.len(),
-            logs: ends.iter().take(MOST_LOGS).map(log).collect(),
-            logs_in_all: ends.len(),
-        })
+        self.flush_membership(now);
     }
 }
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -27,10 +27,11 @@
 mod budgets;
 mod clients;
 mod commits;
+mod discovery;
 mod exchange;
 mod feeds;
+mod fleet_status;
 mod lifecycle;
-mod members;
 mod membership;
 mod neighbours;
 mod operator_state;
@@ -43,9 +44,9 @@
 mod store_opening;
 mod turn;
 
+use discovery::LoggedLines;
 use exchange::{Effect, Exchange};
 use feeds::{bus, consul};
-use members::Said;
 use peer_index::PeerIndex;
 use registration::Registration;
 use store_opening::{PendingStore, StoreConfig};
@@ -236,7 +237,7 @@
     /// What of the bus's lists is believed.
     vetting: Vetting,
     members_due: Option<Due>,
-    said: Said,
+    logged: LoggedLines,
     consul: Option<consul::State>,
     keeper: Option<consul::Keeper>,
     peers: Option<(UdpSocket, Vec<SocketAddr>)>,
@@ -352,8 +353,10 @@
                     writer,
                     bounds,
                 };
-                let (opened, pending) = store.start(clock.now(), config.seed, wake)?;
-                (ledger, pending_store) = (Some(opened), pending);
+                let opened = store
+                    .start(clock.now(), config.seed, wake)
+                    .map_err(|e| e.to_string())?;
+                (ledger, pending_store) = (Some(opened.ledger), opened.pending);
                 store_word = Some(word);
             }
         }
@@ -407,7 +410,7 @@
             members: Discovery::new(sources(&config), damping, limits.members()),
             vetting: Vetting::default(),
             members_due: None,
-            said: Said::default(),
+            logged: LoggedLines::default(),
             consul,
             keeper,
             peers,
@@ -448,7 +451,7 @@
         daemon.bus.last = last_event;
         daemon.update_machines();
         daemon.join_membership(now);
-        daemon.join_budgets(now)?;
+        daemon.join_budgets(now).map_err(|e| e.to_string())?;
         daemon.restore_decisions(now);
         daemon.restore_triggers(now);
         daemon.begin_recovery(now);
--- a/daemon/src/daemon/plain_purges.rs
+++ b/daemon/src/daemon/plain_purges.rs
@@ -1,41 +1,34 @@
-//! Plain purges on the peers' socket: what `crate::plain_purges` decides is sent, greeted and written.
+//! Plain purges on the peers' socket: sends, greets and writes as `crate::plain_purges` decides.
 
+use super::membership::replicates;
 use super::peer_index::PeerIndex;
 use super::Daemon;
 use crate::peers::{self, Purge};
 use crate::plain_purges::Treatment;
 use linnetknot::Micros;
-use linnetknot_membership::{Member, Membership};
-
-/// Whether the peer at a place of the list of members is known to replicate logs: one that runs does, as far as membership
-/// tells.
-fn replicates(membership: Option<&Membership>, place: usize) -> bool {
-    let member = membership.and_then(|membership| membership.members().get(place));
-    member.is_some_and(Member::is_up)
-}
 
 impl Daemon {
-    /// Takes in a purge that a peer sent as a plain datagram: in force at once.
+    /// Puts a purge that a peer sent as a plain datagram in force, and writes it if it has to be.
     pub(super) fn receive_plain_purge(&mut self, now: Micros, from: Option<usize>, purge: Purge) {
         let (object, group, at) = purge.clone();
         self.core.purged(now, object, group, at);
-        // Where nothing is replicated nobody can show that it does.
+        // Where logs are not replicated, no sender can be known to replicate them.
         let from = from.filter(|_| self.membership.is_some());
-        let replicates = from.is_some_and(|place| replicates(self.membership.as_ref(), place));
+        let replicates = from.is_some_and(|peer| replicates(self.membership.as_ref(), peer));
         match self.plain_purges.receive(now, from, replicates, purge) {
             Treatment::Replicated => {}
             Treatment::Greet => {
-                if let (Some(membership), Some(place)) = (&mut self.membership, from) {
-                    membership.greet(place);
-                    self.tend_membership(now);
+                if let (Some(membership), Some(peer)) = (&mut self.membership, from) {
+                    membership.greet(peer);
+                    self.flush_membership(now);
                 }
-                self.plan_plain_purges();
+                self.schedule_plain_purges();
             }
             Treatment::Write(purge) => self.write_plain_purge(&purge),
         }
     }
 
-    /// Writes a purge of a peer that does not replicate logs, so that the next process knows it, too.
+    /// Appends a purge of a peer that does not replicate logs to this proxy's log, so that it outlives the process.
     pub(super) fn write_plain_purge(&mut self, (object, group, at): &Purge) {
         let Some(ledger) = &mut self.ledger else {
             return;
@@ -44,13 +37,11 @@
             return pending.learn((object.clone(), *group, *at));
         }
         if let Err(e) = ledger.learn_purge(object.as_deref(), *group, *at) {
-            log::error!(
-                "a purge that a peer told is in force but not kept for the next start: {e}"
-            );
+            log::error!("a peer's purge is in force but not stored for the next start: {e}");
         }
     }
 
-    /// Sends a purge as a plain datagram to the peers that are not known to replicate logs, now and again.
+    /// Sends a purge as a plain datagram to the peers that are not known to replicate logs, now and again later.
     pub(super) fn send_plain_purge(
         &mut self,
         now: Micros,
@@ -63,7 +54,7 @@
         };
         self.send_where_not_replicated(&text);
         self.plain_purges.sent(now, text);
-        self.plan_plain_purges();
+        self.schedule_plain_purges();
     }
 
     fn send_where_not_replicated(&self, text: &str) {
@@ -76,7 +67,7 @@
         }
     }
 
-    fn plan_plain_purges(&mut self) {
+    fn schedule_plain_purges(&mut self) {
         let due = self.plain_purges.due();
         let old = self.plain_purges_due.take();
         self.plain_purges_due = self.instead(old, due, |daemon, now| {
@@ -98,10 +89,10 @@
             .writes
             .iter()
             .for_each(|purge| self.write_plain_purge(purge));
-        self.plan_plain_purges();
+        self.schedule_plain_purges();
     }
 
-    /// Indexes the peers by their addresses; to be called after each change of theirs.
+    /// Indexes the peers by their addresses. To be called after each change of the configured peers.
     pub(super) fn index_peers(&mut self) {
         let peers = self
             .peers
--- a/daemon/src/daemon/recovery.rs
+++ b/daemon/src/daemon/recovery.rs
@@ -1,5 +1,5 @@
-//! Readiness of a proxy that lacks purges: one that began without its disk, until its peers have sent what it promised,
-//! and one that is behind what its peers have compacted, until it has their snapshot.
+//! Recovery of a proxy that lacks purges, and its readiness until then: one that began without its disk waits for what it
+//! committed before, and one that is behind what its peers have compacted waits for their snapshot.
 
 use super::Daemon;
 use crate::ledger::Ledger;
@@ -7,11 +7,14 @@
 use linnetknot_discovery::server_id;
 use linnetknot_replication::{Datagram, Outgoing, Recovery};
 
-/// A wait for a snapshot. It is extended while chunks or entries come, up to a bound.
+/// The shortest time to the next tick, so that the event loop always gets to its sockets.
+const MIN_TICK_US: Micros = 1_000;
+
+/// The wait for a snapshot. It is extended while chunks or entries are received, up to a bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct SnapshotWait {
     since: Micros,
-    /// When the wait ends if nothing more comes.
+    /// When the wait ends if nothing more is received.
     until: Micros,
     /// When it ends in any case.
     max_until: Micros,
@@ -28,27 +31,27 @@
         }
     }
 
-    /// Something has come.
+    /// Extends the wait, as something was received.
     fn extend(&mut self, now: Micros, timeout_us: Micros) {
         self.until = self.max_until.min(now + timeout_us);
     }
 
-    /// Ends a wait that has taken too long. True where it ends now.
+    /// Ends a wait that has taken too long. Returns whether it ends now.
     fn time_out(&mut self, now: Micros) -> bool {
         let ends = !self.has_ended && now >= self.until;
         self.has_ended |= ends;
         ends
     }
 
-    /// Whether readiness does not wait any more.
+    /// Whether readiness no longer waits for the snapshot.
     pub(super) fn has_ended(&self) -> bool {
         self.has_ended
     }
 }
 
 impl Daemon {
-    /// Waits for what it promised before, if it began without a disk. One with its disk asks its peers as well, so that
-    /// it soon knows whether it is behind what they have compacted.
+    /// Begins to recover what this proxy committed before, if it began without a disk. One with its disk requests its
+    /// peers' digests as well, so that it soon knows whether it is behind what they have compacted.
     pub(super) fn begin_recovery(&mut self, now: Micros) {
         let copies = &self.config.copies;
         let Some(ledger) = self.ledger.as_ref().filter(|_| copies.on) else {
@@ -69,10 +72,11 @@
         );
         let recovery = Recovery::new(server_id(&copies.machine), machines, copies.wait, times);
         self.pending_commits.recovery = Some(recovery);
-        self.recover(now);
+        self.tick_recovery(now);
     }
 
-    /// Without peers that could tell what the store has, every copy from before now is taken as purged until it opens.
+    /// Without peers nobody knows the purges of a store that is not open: every cached copy from before now is taken as
+    /// purged.
     fn begin_without_peers(&mut self, now: Micros) {
         if self.lacks_store() {
             log::warn!(
@@ -82,7 +86,7 @@
         }
     }
 
-    /// The store has opened: what it lacks, the peers have. A proxy that was ready before stays so.
+    /// Recovers from the peers what a store lacks that has just been opened. A proxy that was ready before stays ready.
     pub(super) fn recover_with_store(&mut self, now: Micros) {
         if self
             .pending_commits
@@ -107,13 +111,13 @@
         self.send_words(requests.collect());
     }
 
-    fn recover(&mut self, now: Micros) {
+    fn tick_recovery(&mut self, now: Micros) {
         let Some(recovery) = &mut self.pending_commits.recovery else {
             return;
         };
         let (peers, missing) = recovery.tick(now);
         if let Some(machines) = missing {
-            log::error!(machines = machines; "not all that this proxy promised may have come back, and it is ready all the same");
+            log::error!(machines = machines; "not all that this proxy committed may have been recovered, and it is ready all the same");
             if self.pending_store.is_some() {
                 self.core.purges_mut().raise_all(now);
             }
@@ -122,20 +126,20 @@
         self.request_digests(peers);
         match due {
             Some(due) => {
-                let due = due.max(now + 1_000);
+                let due = due.max(now + MIN_TICK_US);
                 let old = self.pending_commits.recovery_due.take();
                 self.pending_commits.recovery_due = self.instead(old, Some(due), |daemon, now| {
                     daemon.pending_commits.recovery_due = None;
-                    daemon.recover(now);
+                    daemon.tick_recovery(now);
                 });
             }
             None => self.notify(now),
         }
     }
 
-    /// A peer has the same logs as this proxy.
+    /// A peer's digest is equal to this proxy's: its logs are the same.
     pub(super) fn receive_equal_logs(&mut self, now: Micros, peer: usize) {
-        // With a snapshot half taken in, equal logs do not tell that all their purges are here.
+        // Equal logs do not imply that all their purges are here while a snapshot is being received.
         if self
             .ledger
             .as_ref()
@@ -153,12 +157,12 @@
                 .ledger
                 .as_ref()
                 .map_or(0, |ledger| ledger.replica().log_store().len());
-            log::info!(entries = entries; "what this proxy promised has come back");
+            log::info!(entries = entries; "what this proxy committed is recovered");
             self.notify(now);
         }
     }
 
-    /// A chunk of a snapshot has come, or entries behind it: the waits for them are extended.
+    /// Extends the waits, as a chunk of a snapshot was received, or entries after it.
     pub(super) fn extend_recovery(&mut self, now: Micros) {
         let timeout_us = self.limits.recovery_us;
         let Some(wait) = &mut self.pending_commits.snapshot else {
@@ -170,7 +174,7 @@
         }
     }
 
-    /// Looks whether the replica is behind its peers' snapshots: the proxy is not ready until it has them, or the wait is
+    /// Checks whether the replica is behind its peers' snapshots. The proxy is not ready until it has them, or the wait is
     /// over.
     pub(super) fn watch_snapshot(&mut self, now: Micros) {
         let is_behind = self
@@ -184,7 +188,7 @@
                 self.pending_commits.snapshot = Some(wait);
                 self.extend_recovery(now);
                 log::warn!(
-                    "behind what peers have compacted: not ready until their snapshot is here"
+                    "behind what peers have compacted: not ready until their snapshot is received"
                 );
                 self.notify(now);
             }
@@ -195,7 +199,7 @@
                     .ledger
                     .as_ref()
                     .map_or(0, |ledger| ledger.table().len());
-                log::info!(took_ms = took_ms, compacted = compacted; "the peers' snapshot is here");
+                log::info!(took_ms = took_ms, compacted = compacted; "the peers' snapshot is received");
                 self.notify(now);
             }
             Some(wait) => {
@@ -208,17 +212,17 @@
         }
     }
 
-    /// The snapshot did not come in time. Which copies its purges concern can't be known, so all are taken as purged.
+    /// Gives up waiting for the snapshot. Which cached copies its purges concern can't be known, so all are taken as purged.
     fn give_up_snapshot(&mut self, now: Micros) {
         let at = self.core.date_of_all(now);
         self.core.purges_mut().raise_all(at);
         log::error!(
-            "the peers' snapshot has not come in time: every copy from before now is taken as purged"
+            "the peers' snapshot was not received in time: every copy from before now is taken as purged"
         );
         self.notify(now);
     }
 
-    /// Puts in force what the store holds: the purges held one by one, and the table of older ones.
+    /// Puts the stored purges in force: those held one by one, and the table of older ones.
     pub(super) fn restore_purges(&mut self, now: Micros) {
         let Some(ledger) = &self.ledger else { return };
         let bucket_bits = ledger.table().bucket_bits();
--- a/daemon/src/daemon/store_opening.rs
+++ b/daemon/src/daemon/store_opening.rs
@@ -1,9 +1,9 @@
-//! The store of the ledger at the start, and again with a backoff while its folder fails.
+//! Opens the ledger's store at the start, and while that fails again with a backoff.
 //!
 //! A proxy whose store can't be opened for a while (EIO, ENOSPC) serves without it: it learns from its peers what it
 //! committed, as one that lost its disk does, acknowledges nothing, and rejects what would have to be committed. Once the
-//! store opens, all that it holds is in force and owed again. Files are opened on a thread of their own, as a failing
-//! disk may take long to say so.
+//! store opens, all that it holds is in force again. After the start the store is opened on a thread of its own, as a
+//! failing disk may block for long.
 
 use super::{Daemon, Signal};
 use crate::ledger::{Bounds, Ledger, LedgerError};
@@ -15,15 +15,15 @@
 use std::path::PathBuf;
 use std::thread;
 
-/// The first wait before the store is opened again.
+/// The first backoff.
 const MIN_RETRY_US: Micros = 100_000;
-/// About the longest wait between two attempts.
+/// About the longest backoff.
 const MAX_RETRY_US: Micros = 2_000_000;
 
-/// Purges of peers without logs that are remembered for the store.
+/// The most purges of peers without logs that are kept for the store.
 const MAX_LEARNED: usize = 4_096;
 
-/// Which store is opened, and for whom.
+/// What is needed to open a store.
 #[derive(Clone, Debug)]
 pub(super) struct StoreConfig {
     pub(super) path: PathBuf,
@@ -32,7 +32,7 @@
 }
 
 impl StoreConfig {
-    /// Opens the store of a process that began at this time.
+    /// Opens the store, for a process that began at `started`.
     fn open(
         &self,
         started: Micros,
@@ -41,16 +41,19 @@
         Ledger::open(&self.path, self.writer, started, self.bounds, wake)
     }
 
-    /// Opens the store at the start. Where it fails for a while, the ledger has none, and it is opened again later. What
-    /// stays wrong until somebody mends it is an error.
+    /// Opens the store at the start. Where that fails for a while, the ledger has no store, and it is opened again later.
+    /// A failure that stays until somebody repairs it is an error.
     pub(super) fn start(
         self,
         now: Micros,
         seed: u64,
         wake: impl Fn() + Send + 'static,
-    ) -> Result<(Ledger, Option<PendingStore>), String> {
+    ) -> Result<OpenedLedger, StoreOpenError> {
         match self.open(now, wake) {
-            Ok(ledger) => Ok((ledger, None)),
+            Ok(ledger) => Ok(OpenedLedger {
+                ledger,
+                pending: None,
+            }),
             Err(e) if e.is_transient() => {
                 log::error!("the store {} can't be opened, and is tried again: {e}; what must be committed is rejected until then", self.path.display());
                 let ledger = Ledger::without_store(self.writer, now, self.bounds);
@@ -63,49 +66,70 @@
                     rejected: 0,
                     learned: Vec::new(),
                 };
-                Ok((ledger, Some(pending)))
+                Ok(OpenedLedger {
+                    ledger,
+                    pending: Some(pending),
+                })
             }
-            Err(e) => Err(format!("cdni.purges: {}: {e}", self.path.display())),
+            Err(source) => Err(StoreOpenError {
+                path: self.path,
+                source,
+            }),
         }
     }
 }
 
+/// A ledger, with its store or without.
+pub(super) struct OpenedLedger {
+    pub(super) ledger: Ledger,
+    /// The store, if it has to be opened later.
+    pub(super) pending: Option<PendingStore>,
+}
+
+/// Why a store can't be used at all.
+#[derive(Debug, thiserror::Error)]
+#[error("cdni.purges: {}: {source}", path.display())]
+pub(super) struct StoreOpenError {
+    path: PathBuf,
+    source: LedgerError,
+}
+
 /// A store that can't be opened for a while.
 pub(super) struct PendingStore {
     store: StoreConfig,
-    /// When the process began: its incarnation stays that of its start.
+    /// When the process began, from which its incarnation is derived.
     started: Micros,
-    /// Why it was last not opened.
+    /// Why the last attempt failed.
     reason: String,
     backoff: Backoff,
-    /// The attempt that runs.
+    /// The running attempt.
     opening: Option<Receiver<Result<Ledger, LedgerError>>>,
-    /// Commands that were rejected for the lack of it.
+    /// How many commands were rejected for lack of the store.
     rejected: u64,
-    /// Purges that peers without logs told meanwhile: the store is to have them.
+    /// Purges that peers without logs sent meanwhile, which are to be stored.
     learned: Vec<Purge>,
 }
 
 impl PendingStore {
-    /// A peer without logs told of a purge, which is in force.
+    /// Keeps a purge of a peer without logs until the store is open.
     pub(super) fn learn(&mut self, purge: Purge) {
         if self.learned.len() < MAX_LEARNED {
             self.learned.push(purge);
         }
     }
 
-    /// Why it was last not opened.
+    /// Returns why the last attempt failed.
     pub(super) fn reason(&self) -> &str {
         &self.reason
     }
 
-    /// Begins an attempt on a thread of its own.
-    fn attempt(&mut self, word: &Signal) -> std::io::Result<()> {
-        let (synced, opened) = (word.raiser()?, word.raiser()?);
+    /// Starts an attempt on a thread of its own, which raises the signal when it is over.
+    fn attempt(&mut self, signal: &Signal) -> std::io::Result<()> {
+        let (synced, opened) = (signal.raiser()?, signal.raiser()?);
         let (store, started) = (self.store.clone(), self.started);
         let (sender, receiver) = bounded(1);
         let open = move || {
-            // Nobody listens any more where the process ends.
+            // The receiver is gone where the process ends.
             let _ = sender.send(store.open(started, synced));
             opened();
         };
@@ -116,9 +140,9 @@
         Ok(())
     }
 
-    /// An attempt has failed: when the next is due.
+    /// Records a failed attempt. Returns when the next is due.
     fn failed(&mut self, now: Micros, reason: String) -> Micros {
-        // Said once for each reason: a full disk stays full for long.
+        // Logged once for each reason, as a full disk stays full for long.
         if self.reason != reason {
             log::error!(attempts = self.backoff.failures() + 1; "the store still can't be opened: {reason}");
             self.reason = reason;
@@ -133,14 +157,14 @@
         self.pending_store.is_some()
     }
 
-    /// A command that must be committed is rejected for the lack of the store.
+    /// Counts a command that is rejected for lack of the store.
     pub(super) fn count_rejected(&mut self) {
         if let Some(pending) = &mut self.pending_store {
             pending.rejected += 1;
         }
     }
 
-    /// Plans the first attempt after the start.
+    /// Schedules the first attempt after the start.
     pub(super) fn begin_reopening(&mut self, now: Micros) {
         if let Some(pending) = &mut self.pending_store {
             let due = now + pending.backoff.failed();
@@ -149,22 +173,22 @@
     }
 
     fn reopen_store(&mut self, now: Micros) {
-        let (Some(pending), Some(word)) = (&mut self.pending_store, &self.store_word) else {
+        let (Some(pending), Some(signal)) = (&mut self.pending_store, &self.store_word) else {
             return;
         };
-        if let Err(e) = pending.attempt(word) {
+        if let Err(e) = pending.attempt(signal) {
             let due = pending.failed(now, e.to_string());
             self.later(due, Daemon::reopen_store);
         }
     }
 
-    /// Takes in what became of an attempt to open the store, if it is over.
+    /// Processes the result of an attempt to open the store, if it is over.
     pub(super) fn take_opened_store(&mut self, now: Micros) {
         let Some(pending) = &mut self.pending_store else {
             return;
         };
-        let over = pending.opening.as_ref().map(Receiver::try_recv);
-        match over {
+        let result = pending.opening.as_ref().map(Receiver::try_recv);
+        match result {
             Some(Ok(Ok(ledger))) => self.attach_store(now, ledger),
             Some(Ok(Err(e))) => {
                 pending.opening = None;
@@ -175,8 +199,7 @@
         }
     }
 
-    /// Puts the store in the place of what was known in memory: nothing of that was acknowledged, and the peers tell it
-    /// again.
+    /// Replaces the ledger without a store. Nothing that it held was acknowledged, so the peers send it again.
     fn attach_store(&mut self, now: Micros, mut ledger: Ledger) {
         let Some(pending) = self.pending_store.take() else {
             return;
@@ -184,13 +207,13 @@
         log::info!(attempts = pending.backoff.failures(), rejected = pending.rejected; "the store {} is open", pending.store.path.display());
         let announced = self.ledger.as_ref().map_or(0, Ledger::incarnation);
         if announced > ledger.incarnation() {
-            // Peers know this process by a later number than its store would give it.
+            // Peers know this process by a greater incarnation than follows from its store.
             ledger.raise_incarnation(announced);
         }
         let before = self.ledger.replace(ledger);
         let incarnation = |ledger: &Option<Ledger>| ledger.as_ref().map(Ledger::incarnation);
         if incarnation(&before) != incarnation(&self.ledger) {
-            // Its store knows of a process that began later, by a clock that went back: it is heard as that one's successor.
+            // Its store knows of a process that began later, by a clock that was set back: this one is its successor.
             self.join_membership(now);
             self.rejoin_budgets(now);
         }
--- a/daemon/src/plain_purges.rs
+++ b/daemon/src/plain_purges.rs
@@ -1,36 +1,37 @@
-//! Purges as plain datagrams: the form for peers that do not replicate logs, which are versions before replication and
-//! proxies that have it off. Sans-IO.
+//! Purges as plain datagrams, for peers that do not replicate logs: versions before replication, and proxies that have it
+//! switched off. Sans-IO.
 //!
-//! A peer that replicates has each purge as an entry of its writer's log. It is not sent plain datagrams, and one that
-//! comes from it is put in force and not written: written here as well, the same purge would stand in two logs, and the
-//! second would have an index that nobody else was sent. Whether a peer replicates is known from membership, which runs
-//! where replication does; a sender that was not met yet is greeted, and its purge written only if it does not answer.
+//! A peer that replicates logs has each purge as an entry of its writer's log. It is sent no plain datagrams, and one
+//! that is received from it is put in force and not written: otherwise the same purge would be in two logs, and the
+//! second entry would have an index that no other peer was sent. Whether a peer replicates is known from membership,
+//! which runs where replication does. A sender that membership does not know yet is greeted, and its purge is written
+//! only if it does not answer.
 
 use crate::limits::Limits;
 use crate::peers::Purge;
 use linnetknot::Micros;
 use std::collections::VecDeque;
 
-/// How often a purge is sent again: peers that do not replicate logs do not ask for what they miss.
+/// How often a purge is sent again, as peers that do not replicate logs do not request what they miss.
 const RESENDS: u8 = 2;
 
-/// What is to be done about a plain purge, besides that it is in force.
+/// What is to be done with a plain purge, besides putting it in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Treatment {
-    /// Nothing: it comes as an entry, too.
+    /// Nothing: it is received as an entry, too.
     Replicated,
-    /// Its sender is to be greeted. Whether it has to be written shows later.
+    /// Greet its sender. Whether it has to be written is known later.
     Greet,
-    /// It is to be written, so that the next process knows it.
+    /// Write it, so that it outlives the process.
     Write(Purge),
 }
 
-/// What time has brought.
+/// What is due at a tick.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Overdue {
-    /// To be sent to the peers that are not known to replicate logs.
+    /// Datagrams to send to the peers that are not known to replicate logs.
     pub resends: Vec<String>,
-    /// To be written: their senders did not show that they replicate logs.
+    /// Purges to write, as their senders are still not known to replicate logs.
     pub writes: Vec<Purge>,
 }
 
@@ -41,7 +42,7 @@
     left: u8,
 }
 
-/// A purge whose sender has still to show whether it replicates logs.
+/// A purge whose sender is not known to replicate logs yet.
 #[derive(Clone, Debug)]
 struct Unwritten {
     due: Micros,
@@ -60,7 +61,7 @@
 }
 
 impl PlainPurges {
-    /// None yet, within a daemon's bounds.
+    /// Creates an empty set, within the daemon's limits.
     pub fn new(limits: &Limits) -> Self {
         PlainPurges {
             resend_us: limits.repeat_us,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// A datagram is sent now to the peers that are not known to replicate logs, and is to be sent again.
+    /// Records a datagram that is sent now, and is to be sent again.
     pub fn sent(&mut self, now: Micros, text: String) {
         self.resends.push_back(Resend {
             at: now + self.resend_us,
@@ -80,8 +81,8 @@
         });
     }
 
-    /// What is to be done about a purge of the peer at this place, which is known to replicate logs or not. None: of a
-    /// peer that can't be greeted.
+    /// Decides what to do with a purge of the peer with this index, which is known to replicate logs or not. Without an
+    /// index its sender can't be greeted.
     pub fn receive(
         &mut self,
         now: Micros,
@@ -103,14 +104,14 @@
         }
     }
 
-    /// When `tick` has something to do.
+    /// Returns when the next tick is due.
     pub fn due(&self) -> Option<Micros> {
         let resend = self.resends.front().map(|resend| resend.at);
         let unwritten = self.unwritten.front().map(|unwritten| unwritten.due);
         resend.into_iter().chain(unwritten).min()
     }
 
-    /// What is due, by which peers are known to replicate logs by now.
+    /// Takes what is due. `replicates` says whether a peer is known to replicate logs by now.
     pub fn tick(&mut self, now: Micros, replicates: impl Fn(usize) -> bool) -> Overdue {
         let mut overdue = Overdue::default();
         while let Some(resend) = pop_if(&mut self.resends, |resend| resend.at <= now) {
@@ -132,7 +133,7 @@
         overdue
     }
 
-    /// Takes out all that may have to be written, as the peers' places are others from now on.
+    /// Takes all purges that may have to be written, as the peers' indices change now.
     pub fn take_unwritten(&mut self) -> Vec<Purge> {
         self.unwritten
             .drain(..)
@@ -141,7 +142,7 @@
     }
 }
 
-/// Takes the first of a queue, if it meets a condition.
+/// Removes the first element of a queue if it meets a condition.
 fn pop_if<T>(queue: &mut VecDeque<T>, condition: impl Fn(&T) -> bool) -> Option<T> {
     queue.front().filter(|first| condition(first))?;
     queue.pop_front()
