--- a/daemon/src/daemon/admin.rs
+++ b/daemon/src/daemon/admin.rs
@@ -11,7 +11,7 @@
 use crate::net::{Conn, FailureKind, Key};
 use linnetknot::{ListMode, Micros, State};
 use linnetknot_ops::state::SWEEP_US;
-use linnetknot_ops::{Call, Drain, Effect, Parser, Reply};
+use linnetknot_ops::{Call, Drain, Effect, Outcome, Parser, Reply};
 
 /// One caller's connection.
 pub(super) struct Caller {
@@ -165,10 +165,10 @@
                     return;
                 }
             },
-            Err(e) => Reply::refused(e),
+            Err(e) => Reply::rejected(e),
             Ok(None) if !ended => return,
             Ok(None) => match caller.parser.end() {
-                Some(e) => Reply::refused(e),
+                Some(e) => Reply::rejected(e),
                 None => {
                     // It said nothing and has gone: nothing is owed, and the connection ends.
                     caller.answered = true;
@@ -216,7 +216,7 @@
         let ready = self.can_serve();
         let before = self.ops.clone();
         let is_ready_call = matches!(call, Call::Ready);
-        let (mut reply, effect) = self.ops.call(now, call, known, ready);
+        let Outcome { mut reply, effect } = self.ops.call(now, call, known, ready);
         if let Some(pending) = self.pending_store.as_ref().filter(|_| is_ready_call) {
             let lacks = format!(
                 "; commands are rejected, as the store can't be opened: {}",
@@ -237,10 +237,10 @@
             ));
         }
         if let Some(effect) = effect {
-            if !self.keep_ops() {
+            if !self.save_operator_state() {
                 // A yes would promise what the next process does not know of. One copy may have been put in place.
                 self.ops = before;
-                self.undo_ops(now);
+                self.save_undone_state(now);
                 return Some(Reply::unavailable(
                     "it can't be kept for the next process, so nothing has changed",
                 ));
--- a/daemon/src/daemon/budgets/mod.rs
+++ b/daemon/src/daemon/budgets/mod.rs
@@ -1,4 +1,5 @@
-//! Budgets of the whole fleet (`linnetknot_budgets`): this proxy's demand, its datagrams, and its leases for the module.
+//! Budgets of the whole fleet (`linnetknot_budgets`): this proxy's demand, its datagrams, and its leases for the
+//! module.
 
 mod faults;
 mod status;
@@ -25,8 +26,8 @@
     due: Option<Due>,
     /// Whether it was logged that datagrams of another fingerprint were dropped.
     mismatch_logged: bool,
-    /// The list of peers has changed, and with it the members' indices: nothing is sent or received any more, and only the
-    /// reserved minimum is spent until the next start.
+    /// The list of peers has changed, and with it the members' indices: nothing is sent or received any more, and only
+    /// the reserved minimum is spent until the next start.
     detached: bool,
 }
 
@@ -339,8 +340,8 @@
         }
     }
 
-    /// Detaches from the members, as the list of peers has changed and messages would be taken for another member's: only
-    /// the reserved minimums are spent until the next start.
+    /// Detaches from the members, as the list of peers has changed and messages would be taken for another member's:
+    /// only the reserved minimums are spent until the next start.
     pub(super) fn detach_budgets(&mut self) {
         if let Some(shared) = &mut self.shared_budgets {
             shared.detached = true;
--- a/daemon/src/daemon/commits/mod.rs
+++ b/daemon/src/daemon/commits/mod.rs
@@ -224,8 +224,8 @@
         true
     }
 
-    /// Puts a purge that a peer CDN ordered in force, sends it to the peers and appends it to the log. Returns its index;
-    /// none where there is no log.
+    /// Puts a purge that a peer CDN ordered in force, sends it to the peers and appends it to the log. Returns its
+    /// index; none where there is no log.
     fn apply_purge(
         &mut self,
         now: Micros,
--- a/daemon/src/daemon/commits/operators.rs
+++ b/daemon/src/daemon/commits/operators.rs
@@ -62,9 +62,9 @@
 }
 
 impl Daemon {
-    /// Commits an operator's call that was carried out. Returns the reply where it can be given at once; otherwise it is
-    /// sent once the call's decision is committed, and with it all decisions before. A call that changed nothing has no
-    /// decision of its own.
+    /// Commits an operator's call that was carried out. Returns the reply where it can be given at once; otherwise it
+    /// is sent once the call's decision is committed, and with it all decisions before. A call that changed nothing has
+    /// no decision of its own.
     pub(in crate::daemon) fn commit_call(
         &mut self,
         now: Micros,
@@ -141,8 +141,8 @@
         self.answer_admin(connection, &reply);
     }
 
-    /// Undoes a rejected decision, here and in the log, which peers may have. While a later decision on the same subject is
-    /// pending, that one is in force, and undoes this one too if it is rejected.
+    /// Undoes a rejected decision, here and in the log, which peers may have. While a later decision on the same
+    /// subject is pending, that one is in force, and undoes this one too if it is rejected.
     fn undo_decision(&mut self, now: Micros, decision: OperatorDecision) {
         let OperatorDecision {
             subject,
@@ -154,7 +154,7 @@
         {
             return;
         }
-        self.undo_ops(now);
+        self.save_undone_state(now);
         if let Err(e) = self.append_decision(now, &subject, committed_revoked) {
             log::error!("a rejected call stays in the log until the next one on its subject: {e}");
         }
@@ -208,15 +208,15 @@
             changed |= self.apply_decision(now, &subject, revoked);
         }
         if changed {
-            self.keep_ops_in_time(now);
+            self.save_operator_state_in_time(now);
         }
     }
 
     /// Puts a decision in force, or revokes it. Returns whether that changed anything.
     fn apply_decision(&mut self, now: Micros, subject: &Subject, revoked: bool) -> bool {
         let effect = match subject {
-            Subject::Ban(id) => self.ops.recall_ban(id, !revoked),
-            Subject::Drain => self.ops.recall_drain(now, !revoked),
+            Subject::Ban(id) => self.ops.set_banned(id, !revoked),
+            Subject::Drain => self.ops.set_out_of_service(now, !revoked),
             Subject::Object(_)
             | Subject::Group(_)
             | Subject::Status { .. }
--- a/daemon/src/daemon/commits/triggers.rs
+++ b/daemon/src/daemon/commits/triggers.rs
@@ -53,7 +53,8 @@
         Ok(Some(index))
     }
 
-    /// Undoes a command that is not committed: its trigger is gone. Returns the response; none where no peer CDN is served.
+    /// Undoes a command that is not committed: its trigger is gone. Returns the response; none where no peer CDN is
+    /// served.
     pub(super) fn reject_trigger(
         &mut self,
         now: Micros,
--- a/daemon/src/daemon/feeds/peers.rs
+++ b/daemon/src/daemon/feeds/peers.rs
@@ -36,7 +36,7 @@
                     || self.receive_budgets(now, p, bytes)
                     || self.hear_copies(now, p, bytes)
             };
-            if peer.place.is_some_and(heard) {
+            if peer.index.is_some_and(heard) {
                 continue;
             }
             if self
@@ -46,7 +46,7 @@
             {
                 self.heed(now);
             } else if let Some(purge) = peers::read(bytes) {
-                self.receive_plain_purge(now, peer.place, purge);
+                self.receive_plain_purge(now, peer.index, purge);
             } else {
                 self.dropped.1 += 1;
             }
--- a/daemon/src/daemon/fleet_status.rs
+++ b/daemon/src/daemon/fleet_status.rs
@@ -63,7 +63,8 @@
         })
     }
 
-    /// Returns the status of the peer with this index. Its machine is the configured one until it has announced its own.
+    /// Returns the status of the peer with this index. Its machine is the configured one until it has announced its
+    /// own.
     fn peer_status(
         &self,
         replica: &Replica,
--- a/daemon/src/daemon/membership.rs
+++ b/daemon/src/daemon/membership.rs
@@ -106,8 +106,8 @@
         true
     }
 
-    /// Raises the ledger's incarnation to that of membership, which grows where a peer knows of a process before this one
-    /// that has a later number.
+    /// Raises the ledger's incarnation to that of membership, which grows where a peer knows of a process before this
+    /// one that has a later number.
     fn follow_process(&mut self, process: u64) {
         let behind = |ledger: &&mut crate::ledger::Ledger| ledger.incarnation() < process;
         if let Some(ledger) = self.ledger.as_mut().filter(behind) {
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -279,7 +279,7 @@
     ops: linnetknot_ops::Operations,
     /// Where that is kept for the next process: `$TMPDIR`.
     ops_folder: std::path::PathBuf,
-    operator_state: operator_state::OperatorState,
+    operator_state: operator_state::OperatorFiles,
     /// The clients' listener came from the process that started this one, and is shared with the next.
     inherited: bool,
 }
@@ -372,8 +372,7 @@
             peers = Some((socket, known));
         }
         let ops_folder = config.ops_folder.clone();
-        let (ops, operator_state) =
-            operator_state::OperatorState::load(&ops_folder, config.seed, clock.now());
+        let stored = operator_state::OperatorFiles::load(&ops_folder, config.seed, clock.now());
         let place = ZonePlace::of(&config.settings);
         let origin_health = config.tell.then(|| OriginHealth::new(place, clock.now()));
         let core =
@@ -436,9 +435,9 @@
             grace_over: false,
             admin,
             callers: 0,
-            ops,
+            ops: stored.operations,
             ops_folder,
-            operator_state,
+            operator_state: stored.files,
             inherited,
             limits,
             config,
@@ -456,7 +455,7 @@
         daemon.restore_triggers(now);
         daemon.begin_recovery(now);
         daemon.begin_reopening(now);
-        daemon.plan_operator_state(now);
+        daemon.schedule_operator_state(now);
         daemon.tick_replication(now);
         daemon.recall_lists(now);
         daemon.call_bus(now);
--- a/daemon/src/daemon/peer_index.rs
+++ b/daemon/src/daemon/peer_index.rs
@@ -1,14 +1,13 @@
-//! Finds a peer by the address that its datagrams come from, in one step for any number of peers.
+//! The configured peers by address: finds the sender of a datagram in constant time.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// What an address stands for.
+/// A configured peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct PeerEntry {
-    /// The peer's place in the list of those that logs are replicated with; none where it is not in that list, as this
-    /// proxy itself.
-    pub(super) place: Option<usize>,
+    /// The peer's index among those that logs are replicated with; none where it is not among them, as this proxy itself.
+    pub(super) index: Option<usize>,
 }
 
 /// The configured peers by their addresses.
@@ -18,25 +17,25 @@
 }
 
 impl PeerIndex {
-    /// The index of all peers, and of those among them that logs are replicated with, in their order.
+    /// Creates the index of all peers, and of those among them that logs are replicated with, in their order.
     pub(super) fn new(
         peers: impl IntoIterator<Item = SocketAddr>,
         replicating: impl IntoIterator<Item = SocketAddr>,
     ) -> Self {
-        let unplaced = peers
+        let unindexed = peers
             .into_iter()
-            .map(|address| (address, PeerEntry { place: None }));
-        let mut entries: HashMap<SocketAddr, PeerEntry> = unplaced.collect();
-        for (place, address) in replicating.into_iter().enumerate() {
+            .map(|address| (address, PeerEntry { index: None }));
+        let mut entries: HashMap<SocketAddr, PeerEntry> = unindexed.collect();
+        for (index, address) in replicating.into_iter().enumerate() {
             if let Some(entry) = entries.get_mut(&address) {
-                // Of an address that stands twice in the list, the first place counts.
-                entry.place.get_or_insert(place);
+                // Of an address that is listed twice, the first index counts.
+                entry.index.get_or_insert(index);
             }
         }
         PeerIndex { entries }
     }
 
-    /// The peer at an address; none where it is no peer's.
+    /// Returns the peer with an address; none where it is no peer's.
     pub(super) fn find(&self, address: &SocketAddr) -> Option<PeerEntry> {
         self.entries.get(address).copied()
     }
--- a/daemon/src/daemon/plain_purges.rs
+++ b/daemon/src/daemon/plain_purges.rs
@@ -60,8 +60,8 @@
     fn send_where_not_replicated(&self, text: &str) {
         let membership = self.membership.as_ref();
         for peer in self.other_peers() {
-            let place = self.peer_index.find(&peer).and_then(|entry| entry.place);
-            if !place.is_some_and(|place| replicates(membership, place)) {
+            let index = self.peer_index.find(&peer).and_then(|entry| entry.index);
+            if !index.is_some_and(|index| replicates(membership, index)) {
                 self.send_to_peer(peer, text.as_bytes());
             }
         }
@@ -80,7 +80,7 @@
         let membership = self.membership.as_ref();
         let overdue = self
             .plain_purges
-            .tick(now, |place| replicates(membership, place));
+            .tick(now, |peer| replicates(membership, peer));
         overdue
             .resends
             .iter()
--- a/daemon/src/daemon/recovery.rs
+++ b/daemon/src/daemon/recovery.rs
@@ -1,5 +1,5 @@
-//! Recovery of a proxy that lacks purges, and its readiness until then: one that began without its disk waits for what it
-//! committed before, and one that is behind what its peers have compacted waits for their snapshot.
+//! Recovery of a proxy that lacks purges, and its readiness until then: one that began without its disk waits for what
+//! it committed before, and one that is behind what its peers have compacted waits for their snapshot.
 
 use super::Daemon;
 use crate::ledger::Ledger;
@@ -174,8 +174,8 @@
         }
     }
 
-    /// Checks whether the replica is behind its peers' snapshots. The proxy is not ready until it has them, or the wait is
-    /// over.
+    /// Checks whether the replica is behind its peers' snapshots. The proxy is not ready until it has them, or the wait
+    /// is over.
     pub(super) fn watch_snapshot(&mut self, now: Micros) {
         let is_behind = self
             .ledger
@@ -212,7 +212,8 @@
         }
     }
 
-    /// Gives up waiting for the snapshot. Which cached copies its purges concern can't be known, so all are taken as purged.
+    /// Gives up waiting for the snapshot. Which cached copies its purges concern can't be known, so all are taken as
+    /// purged.
     fn give_up_snapshot(&mut self, now: Micros) {
         let at = self.core.date_of_all(now);
         self.core.purges_mut().raise_all(at);
--- a/daemon/src/daemon/replication.rs
+++ b/daemon/src/daemon/replication.rs
@@ -27,7 +27,8 @@
         self.resolve_commits(now);
     }
 
-    /// Sends what is due to the peers: acknowledgements, digests, requests and snapshot chunks. Schedules the next tick.
+    /// Sends what is due to the peers: acknowledgements, digests, requests and snapshot chunks. Schedules the next
+    /// tick.
     pub(super) fn tick_replication(&mut self, now: Micros) {
         let Some(ledger) = &mut self.ledger else {
             return;
@@ -73,7 +74,8 @@
         });
     }
 
-    /// Tells the replica on which machines the peers run: as each says itself, and until it has as the configuration says.
+    /// Tells the replica on which machines the peers run: as each says itself, and until it has as the configuration
+    /// says.
     pub(super) fn update_machines(&mut self) {
         let copies = &self.config.copies;
         let members = self
--- a/daemon/src/daemon/store_opening.rs
+++ b/daemon/src/daemon/store_opening.rs
@@ -1,9 +1,9 @@
 //! Opens the ledger's store at the start, and while that fails again with a backoff.
 //!
 //! A proxy whose store can't be opened for a while (EIO, ENOSPC) serves without it: it learns from its peers what it
-//! committed, as one that lost its disk does, acknowledges nothing, and rejects what would have to be committed. Once the
-//! store opens, all that it holds is in force again. After the start the store is opened on a thread of its own, as a
-//! failing disk may block for long.
+//! committed, as one that lost its disk does, acknowledges nothing, and rejects what would have to be committed. Once
+//! the store opens, all that it holds is in force again. After the start the store is opened on a thread of its own, as
+//! a failing disk may block for long.
 
 use super::{Daemon, Signal};
 use crate::ledger::{Bounds, Ledger, LedgerError};
@@ -41,8 +41,8 @@
         Ledger::open(&self.path, self.writer, started, self.bounds, wake)
     }
 
-    /// Opens the store at the start. Where that fails for a while, the ledger has no store, and it is opened again later.
-    /// A failure that stays until somebody repairs it is an error.
+    /// Opens the store at the start. Where that fails for a while, the ledger has no store, and it is opened again
+    /// later. A failure that stays until somebody repairs it is an error.
     pub(super) fn start(
         self,
         now: Micros,
--- a/daemon/src/ledger/append.rs
+++ b/daemon/src/ledger/append.rs
@@ -15,7 +15,8 @@
         self.append(purge_subject(object, group), at, false)
     }
 
-    /// Appends an entry on a subject, as `append_purge` does. `revoked`: an operators' decision that is no longer in force.
+    /// Appends an entry on a subject, as `append_purge` does. `revoked`: an operators' decision that is no longer in
+    /// force.
     pub fn append(
         &mut self,
         subject: Subject,
@@ -66,8 +67,8 @@
             .collect()
     }
 
-    /// Returns a number for this proxy's next trigger that none of its processes has used, as far as their entries tell.
-    /// It is at least this process's incarnation, as no process starts twice in less time than an answer takes.
+    /// Returns a number for this proxy's next trigger that none of its processes has used, as far as their entries
+    /// tell. It is at least this process's incarnation, as no process starts twice in less time than an answer takes.
     pub fn first_trigger_number(&self) -> u64 {
         let own = self.replica.own().writer;
         // Triggers that are gone count, too: their numbers are known to be gone.
--- a/daemon/src/ledger/compaction.rs
+++ b/daemon/src/ledger/compaction.rs
@@ -1,6 +1,6 @@
-//! Writes compactions to the store in stages: the table's header, the buckets, the logs' markers, and only then the removal
-//! of the entries that were moved to the buckets. A stage begins once all writes of the stage before are synced, so that
-//! at any moment each purge is on the disk as an entry or in a bucket.
+//! Writes compactions to the store in stages: the table's header, the buckets, the logs' markers, and only then the
+//! removal of the entries that were moved to the buckets. A stage begins once all writes of the stage before are
+//! synced, so that at any moment each purge is on the disk as an entry or in a bucket.
 //!
 //! Writes are submitted as the worker's queue has capacity; a failed one is submitted again in its stage. A bucket is
 //! encoded when it is submitted, so that no older state of it is written after a newer one. Compactions that are added
@@ -125,8 +125,8 @@
         self.is_failing = false;
     }
 
-    /// Submits writes while the queue has more capacity than is reserved for entries. Returns the logs of snapshots that
-    /// are synced by now.
+    /// Submits writes while the queue has more capacity than is reserved for entries. Returns the logs of snapshots
+    /// that are synced by now.
     pub(super) fn submit(
         &mut self,
         worker: &mut StoreWorker,
--- a/daemon/src/ledger/identity.rs
+++ b/daemon/src/ledger/identity.rs
@@ -36,10 +36,10 @@
 
     /// Derives the identity of this process from what the last one stored.
     ///
-    /// This writer's log is continued in the stored epoch only where the store was closed in order: after a crash its last
-    /// entries may be missing here and known to others, and an index must never be assigned twice. Nothing is lost with
-    /// the old epoch. Nor is the epoch of an earlier version's file continued: that file may be imported twice, if a store
-    /// is lost.
+    /// This writer's log is continued in the stored epoch only where the store was closed in order: after a crash its
+    /// last entries may be missing here and known to others, and an index must never be assigned twice. Nothing is lost
+    /// with the old epoch. Nor is the epoch of an earlier version's file continued: that file may be imported twice, if
+    /// a store is lost.
     pub(super) fn load(store: &mut Store, now: Micros) -> Result<Self, StoreError> {
         let is_closed = store.get(OWN, CLOSED)?.is_some();
         let known = number(store, EPOCH)?;
--- a/daemon/src/ledger/mod.rs
+++ b/daemon/src/ledger/mod.rs
@@ -87,8 +87,8 @@
     }
 }
 
-/// A planted fault of rehearsals: entries that are missing before a received one are skipped. Always false in an ordinary
-/// build.
+/// A planted fault of rehearsals: entries that are missing before a received one are skipped. Always false in an
+/// ordinary build.
 fn skips_missing() -> bool {
     fail::fail_point!("plant-skip", |_| true);
     false
@@ -105,7 +105,8 @@
         self.worker.as_ref().map_or(0, StoreWorker::capacity)
     }
 
-    /// Returns the purges that are held one by one, of all logs. Where several logs hold the same one, the latest counts.
+    /// Returns the purges that are held one by one, of all logs. Where several logs hold the same one, the latest
+    /// counts.
     pub fn purges(&self) -> Vec<Purge> {
         self.replica
             .log_store()
@@ -124,8 +125,8 @@
         self.compaction.is_idle()
     }
 
-    /// Returns this process's incarnation among the members, which is greater than that of any process before it on this
-    /// store.
+    /// Returns this process's incarnation among the members, which is greater than that of any process before it on
+    /// this store.
     pub fn incarnation(&self) -> Epoch {
         self.identity.incarnation
     }
@@ -207,8 +208,8 @@
         received
     }
 
-    /// Moves the oldest purges to the table where there are too many, and submits writes of compactions. Returns what is
-    /// to be sent to peers.
+    /// Moves the oldest purges to the table where there are too many, and submits writes of compactions. Returns what
+    /// is to be sent to peers.
     fn compact(&mut self, now: Micros) -> Vec<Outgoing> {
         // Entries must not leave memory faster than the disk, so one compaction is synced before the next begins.
         if self.compaction.is_idle() {
@@ -255,7 +256,8 @@
         self.replica.due()
     }
 
-    /// Does what is due: failed writes again, removal of expired entries, compaction. Returns what is to be sent to peers.
+    /// Does what is due: failed writes again, removal of expired entries, compaction. Returns what is to be sent to
+    /// peers.
     pub fn tick(&mut self, now: Micros) -> Vec<Outgoing> {
         if self.capacity() > 0 {
             for entry in self.replica.take_failed() {
--- a/daemon/src/ledger/opening.rs
+++ b/daemon/src/ledger/opening.rs
@@ -39,8 +39,8 @@
 }
 
 impl Ledger {
-    /// Opens the store, or creates it. A file of an earlier version is renamed to `FILE.old` and imported. `wake` is called
-    /// on the worker's thread for each completion (`take_completions`).
+    /// Opens the store, or creates it. A file of an earlier version is renamed to `FILE.old` and imported. `wake` is
+    /// called on the worker's thread for each completion (`take_completions`).
     pub fn open(
         path: &Path,
         writer: Writer,
--- a/daemon/src/ledger/table.rs
+++ b/daemon/src/ledger/table.rs
@@ -8,11 +8,13 @@
 
 /// The keyspace of the buckets that are not empty: the index, big endian, and the bucket's encoding.
 const BUCKETS: Keyspace = Keyspace("buckets");
-/// The keyspace of the markers: the log's writer and epoch, and the index through which it is compacted, all big endian.
+/// The keyspace of the markers: the log's writer and epoch, and the index through which it is compacted, all big
+/// endian.
 const MARKERS: Keyspace = Keyspace("compacted");
 /// The keyspace of the table's header.
 const TABLE: Keyspace = Keyspace("table");
-/// The key of the header: the form of the three keyspaces and the binary logarithm of the number of buckets, a byte each.
+/// The key of the header: the form of the three keyspaces and the binary logarithm of the number of buckets, a byte
+/// each.
 const HEADER: &[u8] = b"header";
 /// The form that this program reads and writes.
 const FORM: u8 = 1;
@@ -32,14 +34,14 @@
 }
 
 impl StoredTable {
-    /// Reads the table and converts it to the wanted size.
-    pub(super) fn load(store: &mut Store, wanted: BucketBits) -> Result<Self, LedgerError> {
+    /// Reads the table and converts it to the configured size.
+    pub(super) fn load(store: &mut Store, configured: BucketBits) -> Result<Self, LedgerError> {
         let header = store.get(TABLE, HEADER)?;
         let buckets = store.scan(BUCKETS)?;
         let markers = store.scan(MARKERS)?;
         let Some(header) = header else {
             return match buckets.is_empty() && markers.is_empty() {
-                true => Ok(StoredTable::empty(wanted)),
+                true => Ok(StoredTable::empty(configured)),
                 false => Err(damaged("the purge table has no header")),
             };
         };
@@ -49,7 +51,7 @@
         let bucket_bits = read_header(&header)?;
         let table = read_buckets(bucket_bits, &buckets)?;
         let markers = markers.iter().map(read_marker).collect::<Result<_, _>>()?;
-        if bucket_bits == wanted {
+        if bucket_bits == configured {
             return Ok(StoredTable {
                 table,
                 markers,
@@ -57,7 +59,7 @@
                 has_header: true,
             });
         }
-        let resized = table.resized(wanted);
+        let resized = table.resized(configured);
         log::info!(from = table.memory_bytes(), to = resized.memory_bytes(); "the purge table is given another size");
         let resize = resize(&buckets, &resized);
         Ok(StoredTable {
@@ -68,9 +70,9 @@
         })
     }
 
-    fn empty(wanted: BucketBits) -> Self {
+    fn empty(configured: BucketBits) -> Self {
         StoredTable {
-            table: CompactTable::new(wanted),
+            table: CompactTable::new(configured),
             markers: Vec::new(),
             resize: Vec::new(),
             has_header: false,
--- a/daemon/src/plain_purges.rs
+++ b/daemon/src/plain_purges.rs
@@ -1,5 +1,5 @@
-//! Purges as plain datagrams, for peers that do not replicate logs: versions before replication, and proxies that have it
-//! switched off. Sans-IO.
+//! Purges as plain datagrams, for peers that do not replicate logs: versions before replication, and proxies that have
+//! it switched off. Sans-IO.
 //!
 //! A peer that replicates logs has each purge as an entry of its writer's log. It is sent no plain datagrams, and one
 //! that is received from it is put in force and not written: otherwise the same purge would be in two logs, and the
--- /dev/null
+++ b/ops/src/admin/parser.rs
@@ -0,0 +1,138 @@
+//! The incremental parser of a request.
+
+use super::call::{route, Call, CallError};
+
+/// The longest request line, in bytes.
+pub const MAX_LINE: usize = 1024;
+/// The longest head, request line and headers together, in bytes.
+pub const MAX_HEAD: usize = 8192;
+/// The most headers of a request.
+pub const MAX_HEADERS: usize = 64;
+
+/// Parses one call from the bytes of a connection as they are received.
+#[derive(Debug, Default)]
+pub struct Parser {
+    head: Vec<u8>,
+    done: bool,
+}
+
+/// Returns the length of the head with its blank line; none where it is not complete.
+fn head_length(bytes: &[u8]) -> Option<usize> {
+    let after = |blank: &[u8]| {
+        let position = bytes.windows(blank.len()).position(|w| w == blank);
+        position.map(|at| at + blank.len())
+    };
+    [after(b"\r\n\r\n"), after(b"\n\n")]
+        .into_iter()
+        .flatten()
+        .min()
+}
+
+/// Parses a complete head that is followed by so many bytes.
+fn parse(head: &[u8], bytes_after: usize) -> Result<Call, CallError> {
+    let text = std::str::from_utf8(head).map_err(|_| CallError::Malformed)?;
+    let mut lines = text
+        .split('\n')
+        .map(|line| line.strip_suffix('\r').unwrap_or(line));
+    let request_line = lines.next().ok_or(CallError::Malformed)?;
+    let request = parse_request_line(request_line)?;
+    let headers = lines.filter(|line| !line.is_empty());
+    for (n, header) in headers.enumerate() {
+        if n == MAX_HEADERS {
+            return Err(CallError::HeadTooLarge);
+        }
+        check_header(header)?;
+    }
+    if bytes_after > 0 {
+        return Err(CallError::Body);
+    }
+    route(request.method, request.target)
+}
+
+struct RequestLine<'a> {
+    method: &'a str,
+    target: &'a str,
+}
+
+fn parse_request_line(line: &str) -> Result<RequestLine<'_>, CallError> {
+    let mut parts = line.split(' ');
+    let (Some(method), Some(target), Some(version), None) =
+        (parts.next(), parts.next(), parts.next(), parts.next())
+    else {
+        return Err(CallError::Malformed);
+    };
+    let is_method = !method.is_empty() && method.bytes().all(|byte| byte.is_ascii_uppercase());
+    if !is_method || !target.starts_with('/') || !version.starts_with("HTTP/") {
+        return Err(CallError::Malformed);
+    }
+    if version != "HTTP/1.1" && version != "HTTP/1.0" {
+        return Err(CallError::Version);
+    }
+    Ok(RequestLine { method, target })
+}
+
+/// Checks that a header is one, and that it announces no body.
+fn check_header(header: &str) -> Result<(), CallError> {
+    let (name, value) = header.split_once(':').ok_or(CallError::Malformed)?;
+    let is_forbidden = |byte: u8| byte.is_ascii_whitespace() || byte.is_ascii_control();
+    if name.is_empty() || name.bytes().any(is_forbidden) {
+        return Err(CallError::Malformed);
+    }
+    if name.eq_ignore_ascii_case("transfer-encoding") {
+        return Err(CallError::Body);
+    }
+    if name.eq_ignore_ascii_case("content-length") {
+        return match value.trim().parse::<u64>() {
+            Ok(0) => Ok(()),
+            Ok(_) => Err(CallError::Body),
+            Err(_) => Err(CallError::Malformed),
+        };
+    }
+    Ok(())
+}
+
+impl Parser {
+    /// Creates a parser that has received nothing.
+    pub fn new() -> Self {
+        Self::default()
+    }
+
+    /// Takes received bytes. A complete call, or an error, is returned once; bytes after that are ignored.
+    pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<Call>, CallError> {
+        if self.done {
+            return Ok(None);
+        }
+        // One byte over the bound shows that the head is too large.
+        let capacity = (MAX_HEAD + 1).saturating_sub(self.head.len());
+        self.head
+            .extend_from_slice(&bytes[..bytes.len().min(capacity)]);
+        let result = match head_length(&self.head) {
+            Some(length) => parse(&self.head[..length], self.head.len() - length).map(Some),
+            None => self.check_incomplete().map(|()| None),
+        };
+        self.done = !matches!(result, Ok(None));
+        result
+    }
+
+    /// Checks whether a head that is not complete may still become one.
+    fn check_incomplete(&self) -> Result<(), CallError> {
+        let line_end = self.head.iter().position(|byte| *byte == b'\n');
+        if line_end.unwrap_or(self.head.len()) > MAX_LINE {
+            return Err(CallError::LineTooLong);
+        }
+        if self.head.len() > MAX_HEAD {
+            return Err(CallError::HeadTooLarge);
+        }
+        // Methods begin with a capital letter.
+        match self.head.first() {
+            Some(first) if !first.is_ascii_uppercase() => Err(CallError::Malformed),
+            _ => Ok(()),
+        }
+    }
+
+    /// The connection has ended: returns the error to respond with where a part of a call was received.
+    pub fn end(&mut self) -> Option<CallError> {
+        let was_done = std::mem::replace(&mut self.done, true);
+        (!was_done && !self.head.is_empty()).then_some(CallError::Cut)
+    }
+}
--- /dev/null
+++ b/ops/src/admin/reply.rs
@@ -0,0 +1,71 @@
+//! The responses of the admin API.
+
+use super::CallError;
+
+/// The `Retry-After` of a call that can't be carried out for a while, in seconds.
+const RETRY_AFTER_S: u32 = 1;
+
+/// A response of the admin API.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Reply {
+    /// Its status: 2xx where the call was carried out, else 4xx or 5xx.
+    pub status: u16,
+    /// A line of text for the operator.
+    pub text: String,
+    /// The `Retry-After`, in seconds, if there is one.
+    pub retry_after_s: Option<u32>,
+}
+
+/// Returns the reason phrase of a status.
+fn reason_phrase(status: u16) -> &'static str {
+    match status {
+        200 => "OK",
+        400 => "Bad Request",
+        404 => "Not Found",
+        405 => "Method Not Allowed",
+        413 => "Payload Too Large",
+        414 => "URI Too Long",
+        431 => "Request Header Fields Too Large",
+        503 => "Service Unavailable",
+        _ => "Other",
+    }
+}
+
+impl Reply {
+    /// Creates a response with a status and a line of text.
+    pub fn new(status: u16, text: impl Into<String>) -> Self {
+        Reply {
+            status,
+            text: text.into(),
+            retry_after_s: None,
+        }
+    }
+
+    /// Creates the response to a call that can't be carried out for a while.
+    pub fn unavailable(text: impl Into<String>) -> Self {
+        Reply {
+            retry_after_s: Some(RETRY_AFTER_S),
+            ..Reply::new(503, text)
+        }
+    }
+
+    /// Creates the response to a rejected request.
+    pub fn rejected(error: CallError) -> Self {
+        Reply::new(error.status(), error.to_string())
+    }
+
+    /// Encodes the response. The connection is closed after it.
+    pub fn to_bytes(&self) -> Vec<u8> {
+        let reason = reason_phrase(self.status);
+        let body = format!("{}\n", self.text);
+        let retry = self
+            .retry_after_s
+            .map_or_else(String::new, |s| format!("Retry-After: {s}\r\n"));
+        format!(
+            "HTTP/1.1 {} {reason}\r\nContent-Type: text/plain\r\n{retry}Content-Length: {}\r\nConnection: close\r\n\r\n{body}",
+            self.status,
+            body.len()
+        )
+        .into_bytes()
+    }
+}
--- a/ops/src/lib.rs
+++ b/ops/src/lib.rs
@@ -1,14 +1,14 @@
-//! What operators do to a running edge proxy, without any I/O: the admin listener's wire (`admin`), what its calls decide
-//! (`state`: readiness, drains, pop-cache bans) and how that state is kept whole across an upgrade (`store`).
+//! What operators do to a running edge proxy, without I/O: the admin API's HTTP (`admin`), what its calls decide
+//! (`state`: readiness, draining, banned pop caches), and how that state is stored across restarts (`store`).
 //!
-//! Times are microseconds on the caller's clock, handed in with every call.
+//! Times are microseconds on the caller's clock, passed with each call.
 
 pub mod admin;
 pub mod state;
 pub mod store;
 
 pub use admin::{Call, CallError, Parser, Reply};
-pub use state::{Drain, Effect, Operations};
+pub use state::{Drain, Effect, Operations, Outcome};
 
 /// Microseconds.
 pub type Micros = u64;
--- a/ops/src/store.rs
+++ b/ops/src/store.rs
@@ -1,15 +1,15 @@
-//! Keeping [`Kept`] under `$TMPDIR` so that bans and drains outlive the process and carry over an upgrade.
+//! Stores the [`OperatorState`] under `$TMPDIR`, so that bans and draining outlive the process and an upgrade.
 //!
-//! Two copies are written in turn by the daemon, each put in place whole (a fresh file renamed over its name), so
-//! a copy is always whole or absent. A copy that can't be read (torn by a crash of the file system, or by hand) is passed over: the
-//! other one, whole, stands. A torn file never lifts a ban. A call is answered yes once both copies have it, so of two whole
-//! copies the one with the lower sequence stands: the other tells of a call that was answered no, or not at all.
+//! The daemon writes two copies in turn, each atomically (a new file renamed over its name), so a copy is complete or
+//! absent. A copy that can't be parsed (after a crash of the file system, or an edit by hand) is ignored, and the other
+//! one counts: a broken file never lifts a ban. A call succeeds once both copies have it. So of two complete copies the
+//! one with the lower sequence counts: the other holds a call that was rejected or never answered.
 
-use crate::state::Kept;
+use crate::state::OperatorState;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The two copies in a folder, in the order they are written.
+/// Returns the paths of the two copies in a folder, in the order in which they are written.
 pub fn copies(folder: &Path) -> [PathBuf; 2] {
     [
         folder.join("linnetknot-ops.json"),
@@ -17,13 +17,13 @@
     ]
 }
 
-/// The bytes of one copy.
-pub fn encode(kept: &Kept) -> Vec<u8> {
-    serde_json::to_vec(kept).expect("a set of strings, a number and a flag are JSON")
+/// Encodes a copy.
+pub fn encode(state: &OperatorState) -> Vec<u8> {
+    serde_json::to_vec(state).expect("a set of strings, a number and a flag are JSON")
 }
 
-/// Reads a copy: none where it is absent or not whole.
-fn read(path: &Path) -> io::Result<Option<Kept>> {
+/// Reads a copy; none where it is absent or can't be parsed.
+fn read(path: &Path) -> io::Result<Option<OperatorState>> {
     match std::fs::read(path) {
         Ok(bytes) => Ok(serde_json::from_slice(&bytes).ok()),
         Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(None),
@@ -31,27 +31,35 @@
     }
 }
 
-/// What was kept in a folder; nothing where no copy is whole. An error where a copy that can't be read may be.
-pub fn load(folder: &Path) -> io::Result<Kept> {
+/// Loads the state from a folder; the default where no copy is complete. It is an error if no copy is complete and one
+/// can't be read, as that one may be.
+pub fn load(folder: &Path) -> io::Result<OperatorState> {
     choose(copies(folder).iter().map(|path| read(path)))
 }
 
-/// Of two whole copies that differ the earlier stands: a call was answered yes only once both had it.
-fn choose(copies: impl Iterator<Item = io::Result<Option<Kept>>>) -> io::Result<Kept> {
-    let (mut whole, mut unread) = (None::<Kept>, None);
+/// Chooses the complete copy with the lower sequence, as a call succeeds only once both copies have it.
+fn choose(
+    copies: impl Iterator<Item = io::Result<Option<OperatorState>>>,
+) -> io::Result<OperatorState> {
+    let mut complete = None::<OperatorState>;
+    let mut unread = None;
     for copy in copies {
         match copy {
-            Ok(Some(kept)) if whole.as_ref().is_none_or(|w| kept.sequence < w.sequence) => {
-                whole = Some(kept);
+            Ok(Some(state))
+                if complete
+                    .as_ref()
+                    .is_none_or(|c| state.sequence < c.sequence) =>
+            {
+                complete = Some(state);
             }
             Ok(_) => {}
             Err(e) => unread = Some(e),
         }
     }
-    match (whole, unread) {
-        (Some(kept), _) => Ok(kept),
+    match (complete, unread) {
+        (Some(state), _) => Ok(state),
         (None, Some(e)) => Err(e),
-        (None, None) => Ok(Kept::default()),
+        (None, None) => Ok(OperatorState::default()),
     }
 }
 
--- a/ops/src/store/tests.rs
+++ b/ops/src/store/tests.rs
@@ -1,4 +1,4 @@
-//! What two copies tell that are torn, differ or can't be read.
+//! Loading two copies that are broken, differ or can't be read.
 
 use super::*;
 
@@ -12,60 +12,71 @@
 #[test]
 fn what_is_saved_is_loaded_and_a_torn_copy_lifts_no_ban() {
     let folder = folder("torn");
-    assert_eq!(load(&folder).unwrap(), Kept::default());
-    let mut kept = Kept {
+    assert_eq!(load(&folder).unwrap(), OperatorState::default());
+    let mut state = OperatorState {
         sequence: 1,
-        ..Kept::default()
+        ..OperatorState::default()
     };
-    kept.bans.insert("pc1".into());
-    let save = |kept: &Kept| {
+    state.bans.insert("pc1".into());
+    let save = |state: &OperatorState| {
         copies(&folder)
             .iter()
-            .for_each(|p| std::fs::write(p, encode(kept)).unwrap());
+            .for_each(|p| std::fs::write(p, encode(state)).unwrap());
     };
-    save(&kept);
-    assert_eq!(load(&folder).unwrap(), kept);
+    save(&state);
+    assert_eq!(load(&folder).unwrap(), state);
     let [first, second] = copies(&folder);
     std::fs::write(&first, b"{\"sequence\":2,\"bans\":[").unwrap();
-    assert_eq!(load(&folder).unwrap(), kept, "the whole copy stands");
+    assert_eq!(load(&folder).unwrap(), state, "the complete copy counts");
     std::fs::write(&second, b"").unwrap();
     assert_eq!(
         load(&folder).unwrap(),
-        Kept::default(),
-        "with no whole copy nothing is believed"
+        OperatorState::default(),
+        "with no complete copy nothing is loaded"
     );
-    let mut newer = kept.clone();
+    let mut newer = state.clone();
     newer.sequence = 5;
     newer.out_of_service = true;
     save(&newer);
-    std::fs::write(&second, serde_json::to_vec(&kept).unwrap()).unwrap();
+    std::fs::write(&second, serde_json::to_vec(&state).unwrap()).unwrap();
     assert_eq!(
         load(&folder).unwrap(),
-        kept,
-        "of two whole copies the earlier stands: the later was never answered yes"
+        state,
+        "of two complete copies the earlier counts: the later call has not succeeded"
     );
     std::fs::write(&second, b"").unwrap();
-    assert_eq!(
-        load(&folder).unwrap(),
-        newer,
-        "the one that is whole stands"
-    );
+    assert_eq!(load(&folder).unwrap(), newer, "the complete one counts");
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
 #[test]
 fn what_cannot_be_read_for_a_while_is_not_taken_for_absent() {
     let fails = || Err(io::Error::from_raw_os_error(5));
-    let kept = Kept {
+    let state = OperatorState {
         sequence: 3,
-        ..Kept::default()
+        ..OperatorState::default()
     };
     assert!(choose([fails(), fails()].into_iter()).is_err());
     assert!(choose([fails(), Ok(None)].into_iter()).is_err());
-    let found = choose([fails(), Ok(Some(kept.clone()))].into_iter());
-    assert_eq!(found.unwrap(), kept);
+    let found = choose([fails(), Ok(Some(state.clone()))].into_iter());
+    assert_eq!(found.unwrap(), state);
     assert_eq!(
         choose([Ok(None), Ok(None)].into_iter()).unwrap(),
-        Kept::default()
+        OperatorState::default()
     );
 }
+
+#[test]
+fn the_stored_form_is_that_of_released_versions() {
+    let state = OperatorState {
+        sequence: 3,
+        bans: ["pc1".to_owned(), "pc2".to_owned()].into(),
+        out_of_service: true,
+    };
+    let stored = br#"{"sequence":3,"bans":["pc1","pc2"],"out_of_service":true}"#;
+    assert_eq!(encode(&state), stored);
+    let folder = folder("released");
+    std::fs::write(&copies(&folder)[0], stored).unwrap();
+    assert_eq!(load(&folder).unwrap(), state);
+    std::fs::remove_dir_all(&folder).unwrap();
+}
--- /dev/null
+++ b/ops/tests/admin.rs
@@ -0,0 +1,147 @@
+//! The admin API's parser and responses.
+
+use linnetknot_ops::admin::{Call, CallError, Parser, Reply, MAX_HEAD, MAX_HEADERS, MAX_LINE};
+
+fn whole(text: &str) -> Result<Option<Call>, CallError> {
+    Parser::new().feed(text.as_bytes())
+}
+
+#[test]
+fn each_call_is_read_and_in_crumbs_too() {
+    assert_eq!(
+        whole("GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n"),
+        Ok(Some(Call::Ready))
+    );
+    assert_eq!(
+        whole("POST /control/out-of-service HTTP/1.1\r\n\r\n"),
+        Ok(Some(Call::OutOfService))
+    );
+    assert_eq!(
+        whole("GET /control/fleet HTTP/1.1\r\n\r\n"),
+        Ok(Some(Call::Fleet))
+    );
+    assert_eq!(
+        whole("GET /control/budgets HTTP/1.1\r\n\r\n"),
+        Ok(Some(Call::Budgets))
+    );
+    assert_eq!(
+        whole("POST /control/budgets HTTP/1.1\r\n\r\n"),
+        Err(CallError::Method)
+    );
+    assert_eq!(
+        whole("POST /control/in-service HTTP/1.0\r\nContent-Length: 0\r\n\r\n"),
+        Ok(Some(Call::InService))
+    );
+    let offline = "POST /control/pop-caches/pc-7.a/offline HTTP/1.1\r\n\r\n";
+    assert_eq!(whole(offline), Ok(Some(Call::Offline("pc-7.a".into()))));
+    let mut parser = Parser::new();
+    let bytes = b"POST /control/pop-caches/b2/online HTTP/1.1\r\nHost: y\r\n\r\n";
+    for (n, b) in bytes.iter().enumerate() {
+        let got = parser.feed(&[*b]);
+        let last = n + 1 == bytes.len();
+        assert_eq!(
+            got,
+            if last {
+                Ok(Some(Call::Online("b2".into())))
+            } else {
+                Ok(None)
+            },
+            "at {n}"
+        );
+    }
+    assert_eq!(
+        parser.end(),
+        None,
+        "nothing is owed for a call that was whole"
+    );
+}
+
+/// Requests that are no calls, and their errors.
+const BAD_CALLS: [(&str, CallError); 12] = [
+    ("DELETE /control/ready HTTP/1.1\r\n\r\n", CallError::Method),
+    (
+        "GET /control/out-of-service HTTP/1.1\r\n\r\n",
+        CallError::Method,
+    ),
+    ("GET /nothing HTTP/1.1\r\n\r\n", CallError::NotFound),
+    (
+        "POST /control/pop-caches/a b/offline HTTP/1.1\r\n\r\n",
+        CallError::Malformed,
+    ),
+    (
+        "POST /control/pop-caches/%2e/offline HTTP/1.1\r\n\r\n",
+        CallError::NotFound,
+    ),
+    (
+        "POST /control/pop-caches//offline HTTP/1.1\r\n\r\n",
+        CallError::NotFound,
+    ),
+    (
+        "POST /control/in-service HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc",
+        CallError::Body,
+    ),
+    (
+        "POST /control/in-service HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n",
+        CallError::Body,
+    ),
+    (
+        "POST /control/in-service HTTP/1.1\r\n\r\nextra",
+        CallError::Body,
+    ),
+    ("GET /control/ready HTTP/2.0\r\n\r\n", CallError::Version),
+    (
+        "GET /control/ready HTTP/1.1\r\nno colon\r\n\r\n",
+        CallError::Malformed,
+    ),
+    ("\x16\x03\x01\x02\x00", CallError::Malformed),
+];
+
+#[test]
+fn bad_calls_are_typed_errors_with_a_4xx() {
+    for (text, error) in BAD_CALLS {
+        assert_eq!(whole(text), Err(error), "{text:?}");
+        assert!((400..500).contains(&error.status()));
+    }
+}
+
+#[test]
+fn a_line_or_a_head_over_its_bound_is_an_error() {
+    let long = format!("GET /{} HTTP/1.1\r\n", "a".repeat(MAX_LINE + 10));
+    assert_eq!(whole(&long), Err(CallError::LineTooLong));
+    let mut parser = Parser::new();
+    assert_eq!(parser.feed(b"GET /control/ready HTTP/1.1\r\n"), Ok(None));
+    let header = b"X-Filler: aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\r\n";
+    let mut last = Ok(None);
+    for _ in 0..MAX_HEAD / header.len() + 2 {
+        last = parser.feed(header);
+        if last.is_err() {
+            break;
+        }
+    }
+    assert_eq!(last, Err(CallError::HeadTooLarge));
+    let many = format!(
+        "GET /control/ready HTTP/1.1\r\n{}\r\n",
+        "A: b\r\n".repeat(MAX_HEADERS + 1)
+    );
+    assert_eq!(whole(&many), Err(CallError::HeadTooLarge));
+}
+
+#[test]
+fn a_call_that_is_cut_off_is_an_error() {
+    let mut cut = Parser::new();
+    assert_eq!(cut.feed(b"POST /control/out-of"), Ok(None));
+    assert_eq!(cut.end(), Some(CallError::Cut));
+    assert_eq!(
+        Parser::new().end(),
+        None,
+        "a connection that said nothing is owed nothing"
+    );
+}
+
+#[test]
+fn a_reply_says_its_length_and_closes() {
+    let bytes = String::from_utf8(Reply::new(404, "no such pop cache").to_bytes()).unwrap();
+    assert!(bytes.starts_with("HTTP/1.1 404 Not Found\r\n"));
+    assert!(bytes.contains("Content-Length: 18\r\n") && bytes.contains("Connection: close\r\n"));
+    assert!(bytes.ends_with("\r\n\r\nno such pop cache\n"));
+}
--- a/store/src/backend.rs
+++ b/store/src/backend.rs
@@ -8,8 +8,8 @@
 use std::io;
 use std::path::Path;
 
-/// Memory for cached pages of the file. redb's default is up to 1 GiB; and as long as its cache is not full, its list of
-/// evicted pages grows without a bound.
+/// Memory for cached pages of the file. redb's default is up to 1 GiB; and as long as its cache is not full, its list
+/// of evicted pages grows without a bound.
 const CACHE_BYTES: usize = 4 << 20;
 
 /// A backend that syncs a new length of the file before anything is written after it, and tracks which ranges are not
--- a/store/src/file.rs
+++ b/store/src/file.rs
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Returns the write that gives a file this format. A file must never be given an older format than it has: programs
-    /// of that format would ignore what only the newer one holds.
+    /// Returns the write that gives a file this format. A file must never be given an older format than it has:
+    /// programs of that format would ignore what only the newer one holds.
     pub fn write(self) -> Write {
         Write::put(HEAD, FORMAT_KEY.to_vec(), self.name().into())
     }
@@ -155,7 +155,8 @@
 
 /// The open file.
 pub struct Store {
-    /// None after an operation failed, until the file is opened again: redb takes no further operation after a failed one.
+    /// None after an operation failed, until the file is opened again: redb takes no further operation after a failed
+    /// one.
     database: Option<Database>,
     opener: Opener,
 }
@@ -180,8 +181,8 @@
         Self::open_with(Box::new(move || backend::open_file(&path, &unsynced)))
     }
 
-    /// Checks the file's format before it is opened for writing, which changes its bytes. All other faults of a file, and
-    /// a file whose format can't be read without a repair, are left to the opening.
+    /// Checks the file's format before it is opened for writing, which changes its bytes. All other faults of a file,
+    /// and a file whose format can't be read without a repair, are left to the opening.
     fn check_format(path: &Path) -> Result<(), StoreError> {
         let format = || -> Result<Option<Vec<u8>>, redb::Error> {
             let table = ReadOnlyDatabase::open(path)?
@@ -195,8 +196,8 @@
         }
     }
 
-    /// Creates the file under another name and renames it once it is complete: a file whose first pages were cut off by a
-    /// crash could not be told from a damaged one.
+    /// Creates the file under another name and renames it once it is complete: a file whose first pages were cut off by
+    /// a crash could not be told from a damaged one.
     fn create(path: &Path) -> Result<(), StoreError> {
         let io_error = |e: io::Error| StoreError::from_io(&e);
         let mut temporary = path.as_os_str().to_owned();
@@ -222,8 +223,8 @@
         }
     }
 
-    /// Opens a store on backends that the caller supplies, one for each time the file is opened: for tests that lose what
-    /// was not synced.
+    /// Opens a store on backends that the caller supplies, one for each time the file is opened: for tests that lose
+    /// what was not synced.
     pub fn open_on<B: StorageBackend>(
         mut backend: impl FnMut() -> B + Send + 'static,
     ) -> Result<Self, StoreError> {
@@ -320,8 +321,8 @@
         found
     }
 
-    /// Commits a group atomically: once this returns without an error all of it is on the disk. After an error all of it
-    /// may be there or none, as the disk may have taken what it did not confirm.
+    /// Commits a group atomically: once this returns without an error all of it is on the disk. After an error all of
+    /// it may be there or none, as the disk may have taken what it did not confirm.
     pub fn commit(&mut self, group: &[Write]) -> Result<(), StoreError> {
         let database = self.database()?;
         let write = || -> Result<(), redb::Error> {
--- a/store/src/unsynced.rs
+++ b/store/src/unsynced.rs
@@ -1,4 +1,5 @@
-//! The ranges of a file that were written since it was last synced, so that they can be written again after a failed sync.
+//! The ranges of a file that were written since it was last synced, so that they can be written again after a failed
+//! sync.
 //!
 //! The kernel reports a failed write-back once and then marks the pages clean (fsync(2)): they are read as they were
 //! written, another sync succeeds without them, and the next loss of power loses them. So the ranges that a failed sync
--- a/store/src/worker.rs
+++ b/store/src/worker.rs
@@ -1,5 +1,5 @@
-//! The worker thread that writes the store: a bounded queue, group commit (many writes to one sync), and a completion for
-//! each group.
+//! The worker thread that writes the store: a bounded queue, group commit (many writes to one sync), and a completion
+//! for each group.
 
 use crate::{Store, StoreError, Write};
 use crossbeam_channel::{bounded, unbounded, Receiver, Sender};
@@ -17,7 +17,8 @@
 pub struct Completion {
     /// The last write of the group, which holds all writes since the completion before.
     pub through: WriteId,
-    /// Whether the writes are on the disk. After an error each of them may be there or not, and is to be submitted again.
+    /// Whether the writes are on the disk. After an error each of them may be there or not, and is to be submitted
+    /// again.
     pub result: Result<(), StoreError>,
 }
 
@@ -43,8 +44,8 @@
     Ok(())
 }
 
-/// Counts commits that failed in a row. They are logged when the first fails and when one succeeds again, as a full disk
-/// stays full for long.
+/// Counts commits that failed in a row. They are logged when the first fails and when one succeeds again, as a full
+/// disk stays full for long.
 #[derive(Default)]
 struct FailureLog {
     commits: u64,
@@ -98,8 +99,8 @@
 }
 
 impl StoreWorker {
-    /// Starts the thread under a name. At most `max_pending` writes may be submitted whose completion was not taken yet.
-    /// `wake` is called on the thread for each completion.
+    /// Starts the thread under a name. At most `max_pending` writes may be submitted whose completion was not taken
+    /// yet. `wake` is called on the thread for each completion.
     pub fn start(
         name: &str,
         store: Store,
--- a/store/tests/crash.rs
+++ b/store/tests/crash.rs
@@ -61,9 +61,9 @@
             medium.0.lock().unwrap().lose(n * 4 + seed);
             let mut store =
                 open(&medium).unwrap_or_else(|e| panic!("stopped at {n}, seed {seed}: {e}"));
-            let kept = store.scan(SPACE).unwrap();
+            let stored = store.scan(SPACE).unwrap();
             let number = |key: u64| {
-                let found = kept.iter().find(|pair| pair.key == key.to_be_bytes());
+                let found = stored.iter().find(|pair| pair.key == key.to_be_bytes());
                 found.map_or(0, |pair| {
                     u64::from_be_bytes(pair.value[..].try_into().unwrap())
                 })
@@ -79,7 +79,7 @@
                 "stopped at {n}: a group is there in part"
             );
             assert_eq!(
-                kept.len(),
+                stored.len(),
                 if group == 0 { 0 } else { 3 },
                 "stopped at {n}: what was taken out is back"
             );
@@ -120,9 +120,9 @@
 fn many_writes_share_a_sync_and_a_full_queue_takes_nothing() {
     let medium = Medium::default();
     let store = open(&medium).unwrap();
-    // The disk is held, so that the writes pile up behind it.
-    let held = medium.0.lock().unwrap();
-    let before = held.operations;
+    // The disk is blocked, so that the writes pile up behind it.
+    let blocked = medium.0.lock().unwrap();
+    let before = blocked.operations;
     let (wake, woken) = std::sync::mpsc::channel();
     let mut worker =
         StoreWorker::start("test", store, 100, move || wake.send(()).unwrap()).unwrap();
@@ -136,7 +136,7 @@
         "bounded"
     );
     assert_eq!(worker.completion(), None);
-    drop(held);
+    drop(blocked);
     let mut words = Vec::new();
     while words.last().is_none_or(|d: &Completion| d.through < 100) {
         woken
@@ -147,7 +147,10 @@
     assert!(words.iter().all(|d| d.result.is_ok()));
     assert!(words.len() <= 3, "{} syncs for 100 writes", words.len());
     assert!(medium.0.lock().unwrap().operations > before && worker.capacity() == 100);
-    assert!(worker.submit(put(7, 8)).is_some(), "there is room again");
+    assert!(
+        worker.submit(put(7, 8)).is_some(),
+        "there is capacity again"
+    );
     let (mut store, last) = worker.close().unwrap();
     assert_eq!((store.scan(SPACE).unwrap().len(), last.len()), (100, 1));
 }
@@ -189,15 +192,15 @@
     );
     store.commit(&[other]).unwrap();
     drop(store);
-    let said = Store::open(&path).unwrap_err().to_string();
-    assert!(said.contains("linnetknot state 9"), "{said}");
+    let error = Store::open(&path).unwrap_err().to_string();
+    assert!(error.contains("linnetknot state 9"), "{error}");
     // Cut off: nothing is read from half a file.
     let bytes = std::fs::read(&path).unwrap();
     std::fs::write(&path, &bytes[..bytes.len() / 2]).unwrap();
     assert!(Store::open(&path).is_err());
     std::fs::write(&path, vec![0x5a; bytes.len()]).unwrap();
-    let said = Store::open(&path).unwrap_err();
-    assert!(matches!(said, StoreError::Damaged(_)), "{said:?}");
+    let error = Store::open(&path).unwrap_err();
+    assert!(matches!(error, StoreError::Damaged(_)), "{error:?}");
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
