--- a/daemon/examples/purge_soak.rs
+++ b/daemon/examples/purge_soak.rs
@@ -12,6 +12,7 @@
 use linnetknot_daemon::interconnect::Copies;
 use linnetknot_daemon::ledger::{self, Bounds, Ledger};
 use linnetknot_daemon::limits::Limits;
+use linnetknot_daemon::peers::Purge;
 use linnetknot_replication::{Datagram, Entry, LogId, Subject};
 use std::error::Error;
 use std::path::{Path, PathBuf};
@@ -84,7 +85,7 @@
         if received.new.len() != 1 {
             return Err("an entry was not taken".into());
         }
-        for (object, group, at) in received.new.iter().filter_map(ledger::purge) {
+        for Purge { object, group, at } in received.new.iter().filter_map(ledger::purge) {
             self.core.purged(now, object, group, at);
         }
         Ok(())
--- a/daemon/src/daemon/feeds/peers.rs
+++ b/daemon/src/daemon/feeds/peers.rs
@@ -2,8 +2,9 @@
 
 use crate::core::TRACE;
 use crate::daemon::Daemon;
+use crate::ledger;
 use crate::net::{receive_from, send_to, FailureKind};
-use crate::{ledger, peers};
+use crate::peers::{self, Purge};
 use linnetknot::Micros;
 use linnetknot_replication::{Datagram, DecodeError, Entry, Outgoing, Received};
 use std::net::SocketAddr;
@@ -144,7 +145,7 @@
             .chain(&received.out_of_order)
             .chain(&received.rejected)
         {
-            let Some((object, group, at)) = ledger::purge(entry) else {
+            let Some(Purge { object, group, at }) = ledger::purge(entry) else {
                 continue;
             };
             self.core.purged(now, object, group, at);
--- a/daemon/src/daemon/plain_purges.rs
+++ b/daemon/src/daemon/plain_purges.rs
@@ -10,7 +10,7 @@
 impl Daemon {
     /// Puts a purge that a peer sent as a plain datagram in force, and writes it if it has to be.
     pub(super) fn receive_plain_purge(&mut self, now: Micros, from: Option<usize>, purge: Purge) {
-        let (object, group, at) = purge.clone();
+        let Purge { object, group, at } = purge.clone();
         self.core.purged(now, object, group, at);
         // Where logs are not replicated, no sender can be known to replicate them.
         let from = from.filter(|_| self.membership.is_some());
@@ -29,14 +29,14 @@
     }
 
     /// Appends a purge of a peer that does not replicate logs to this proxy's log, so that it outlives the process.
-    pub(super) fn write_plain_purge(&mut self, (object, group, at): &Purge) {
+    pub(super) fn write_plain_purge(&mut self, purge: &Purge) {
         let Some(ledger) = &mut self.ledger else {
             return;
         };
         if let Some(pending) = &mut self.pending_store {
-            return pending.learn((object.clone(), *group, *at));
+            return pending.learn(purge.clone());
         }
-        if let Err(e) = ledger.learn_purge(object.as_deref(), *group, *at) {
+        if let Err(e) = ledger.learn_purge(purge.object.as_deref(), purge.group, purge.at) {
             log::error!("a peer's purge is in force but not stored for the next start: {e}");
         }
     }
--- a/daemon/src/daemon/recovery.rs
+++ b/daemon/src/daemon/recovery.rs
@@ -3,6 +3,7 @@
 
 use super::Daemon;
 use crate::ledger::Ledger;
+use crate::peers::Purge;
 use linnetknot::Micros;
 use linnetknot_discovery::server_id;
 use linnetknot_replication::{Datagram, Outgoing, Recovery};
@@ -245,7 +246,7 @@
         if !purges.is_empty() || compacted > 0 {
             log::info!(exact = purges.len(), compacted = compacted, table_bytes = bytes; "the store's purges are in force");
         }
-        for (object, group, at) in purges {
+        for Purge { object, group, at } in purges {
             self.core.purged(now, object, group, at);
         }
     }
--- a/daemon/src/ledger/mod.rs
+++ b/daemon/src/ledger/mod.rs
@@ -81,8 +81,8 @@
 /// Converts an entry to a purge; none where it is of another kind.
 pub fn purge(entry: &Entry) -> Option<Purge> {
     match &entry.subject {
-        Subject::Object(object) => Some((Some(object.clone()), 0, entry.at)),
-        Subject::Group(group) => Some((None, *group, entry.at)),
+        Subject::Object(object) => Some(Purge::of_object(object, entry.at)),
+        Subject::Group(group) => Some(Purge::of_group(*group, entry.at)),
         Subject::Ban(_) | Subject::Drain | Subject::Status { .. } | Subject::Gone { .. } => None,
     }
 }
--- a/daemon/src/ledger/opening.rs
+++ b/daemon/src/ledger/opening.rs
@@ -23,7 +23,7 @@
     purges: Vec<Purge>,
 ) -> Result<Vec<Write>, LedgerError> {
     let mut latest = BTreeMap::<Subject, Micros>::new();
-    for (object, group, at) in purges {
+    for Purge { object, group, at } in purges {
         let subject = purge_subject(object.as_deref(), group);
         let known = latest.entry(subject).or_default();
         *known = at.max(*known);
--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -1,13 +1,41 @@
-//! Datagrams between the proxies of one installation: purges that only one of them was told of.
+//! Plain datagrams between the proxies of one installation: purges that only one of them was sent.
 
 use linnetknot::Micros;
 
 pub use linnetknot_datagram::MAX_DATAGRAM_BYTES;
 
-/// A purge: of an object, or with none of a group, and when.
-pub type Purge = (Option<String>, u64, Micros);
+/// A purge of an object, or without one of a group.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Purge {
+    /// The object; none where a group is purged.
+    pub object: Option<String>,
+    /// The group; without meaning where an object is purged.
+    pub group: u64,
+    /// When it was purged.
+    pub at: Micros,
+}
+
+impl Purge {
+    /// Creates a purge of an object.
+    pub fn of_object(object: impl Into<String>, at: Micros) -> Self {
+        Purge {
+            object: Some(object.into()),
+            group: 0,
+            at,
+        }
+    }
 
-/// A purge as a datagram.
+    /// Creates a purge of a group.
+    pub fn of_group(group: u64, at: Micros) -> Self {
+        Purge {
+            object: None,
+            group,
+            at,
+        }
+    }
+}
+
+/// Encodes a purge as a datagram; none where it would be too long.
 pub fn write(object: Option<&str>, group: u64, at: Micros) -> Option<String> {
     let text = match object {
         Some(object) => format!("purge object {object} {at}"),
@@ -16,49 +44,19 @@
     (text.len() <= MAX_DATAGRAM_BYTES).then_some(text)
 }
 
-/// Object, group and time of a purge, if the datagram is one.
+/// Decodes a purge; none where the datagram is no purge.
 pub fn read(bytes: &[u8]) -> Option<Purge> {
     let text = std::str::from_utf8(bytes)
         .ok()
-        .filter(|t| t.len() <= MAX_DATAGRAM_BYTES)?;
-    let mut words = text.split(' ');
-    let (Some("purge"), kind, what, at) =
-        (words.next(), words.next()?, words.next()?, words.next()?)
-    else {
+        .filter(|text| text.len() <= MAX_DATAGRAM_BYTES)?;
+    let words: Vec<&str> = text.split(' ').collect();
+    let ["purge", kind, subject, at] = words[..] else {
         return None;
     };
-    let at = at.parse().ok().filter(|_| words.next().is_none())?;
+    let at = at.parse().ok()?;
     match kind {
-        "object" => Some((Some(what.to_owned()), 0, at)),
-        "group" => Some((None, what.parse().ok()?, at)),
+        "object" => Some(Purge::of_object(subject, at)),
+        "group" => Some(Purge::of_group(subject.parse().ok()?, at)),
         _ => None,
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn datagrams_come_back_as_they_were_and_stay_short() {
-        assert_eq!(
-            read(write(Some("0a"), 0, 7).unwrap().as_bytes()),
-            Some((Some("0a".into()), 0, 7))
-        );
-        assert_eq!(
-            read(write(None, 9, 8).unwrap().as_bytes()),
-            Some((None, 9, 8))
-        );
-        assert_eq!(write(Some(&"a".repeat(250)), 0, 1), None);
-        for bad in [
-            "",
-            "purge",
-            "purge group x 1",
-            "purge group 1 1 1",
-            "purge object a -1",
-            "hello a b 1",
-        ] {
-            assert_eq!(read(bad.as_bytes()), None, "{bad}");
-        }
-    }
-}
--- a/daemon/tests/ledger.rs
+++ b/daemon/tests/ledger.rs
@@ -3,6 +3,7 @@
 
 use linnetknot::Micros;
 use linnetknot_daemon::ledger::{Bounds, Ledger, LedgerError};
+use linnetknot_daemon::peers::Purge;
 use linnetknot_purges::BucketBits;
 use linnetknot_replication::{CommitOutcome, Datagram, Entry, LogId, Options, Outgoing, Subject};
 use linnetknot_store::StoreError;
@@ -65,7 +66,7 @@
     all.0.abandon();
     let mut again = open(&path, 78).unwrap();
     assert_eq!(again.0.incarnation(), 78);
-    let both = [(None, 7, 3), (Some("0a".into()), 0, 30)];
+    let both = [Purge::of_group(7, 3), Purge::of_object("0a", 30)];
     assert_eq!(again.0.purges(), both);
     let next = again.0.append_purge(Some("0b"), 0, 9).unwrap();
     assert_eq!(
@@ -111,7 +112,11 @@
         let mut ledger = open(&path, 99).unwrap();
         let mut purges = ledger.0.purges();
         purges.sort();
-        assert_eq!(purges, [(None, 7, 6), (Some("0a".into()), 0, 9)], "{name}");
+        assert_eq!(
+            purges,
+            [Purge::of_group(7, 6), Purge::of_object("0a", 9)],
+            "{name}"
+        );
         assert_eq!(
             ledger.0.replica().own(),
             LogId::new(1, 99),
@@ -129,7 +134,7 @@
         ledger.0.close().unwrap();
         let again = open(&path, 120).unwrap();
         assert!(
-            again.0.purges().contains(&(Some("0a".into()), 0, 50)),
+            again.0.purges().contains(&Purge::of_object("0a", 50)),
             "{name}: it is not taken over again"
         );
         assert_eq!(
--- a/rehearse/src/scale/hollow/mod.rs
+++ b/rehearse/src/scale/hollow/mod.rs
@@ -218,7 +218,7 @@
         let Some(plain) = peers::read(bytes) else {
             return;
         };
-        if let Some(purge) = plain.0.as_deref().and_then(purge_of) {
+        if let Some(purge) = plain.object.as_deref().and_then(purge_of) {
             self.events.push(MemberEvent::InForce { purge });
         }
         let replicates = replicates(&self.membership, from);
@@ -235,10 +235,10 @@
         }
     }
 
-    fn write_plain_purge(&mut self, (object, _, at): &Purge, now: Micros) {
-        if let Some(purge) = object.as_deref().and_then(purge_of) {
+    fn write_plain_purge(&mut self, plain: &Purge, now: Micros) {
+        if let Some(purge) = plain.object.as_deref().and_then(purge_of) {
             self.purge_log
-                .write_plain(purge, *at, now, &mut self.events);
+                .write_plain(purge, plain.at, now, &mut self.events);
         }
     }
 
