--- a/store/src/error.rs
+++ b/store/src/error.rs
@@ -16,7 +16,7 @@
     #[error("another process has it open")]
     Busy,
     /// Its content is damaged, or it is no store at all.
-    #[error("it is damaged ({0}); move it away and start again: what was promised comes back from the peers")]
+    #[error("it is damaged ({0}); move it away and start again: what was committed comes back from the peers")]
     Damaged(String),
     /// Another version of the program wrote it, in the format of this name.
     #[error("its format is '{0}', this program's are '{known}'; start the program that wrote it", known = known_formats())]
