--- a/daemon/src/daemon/discovery.rs
+++ b/daemon/src/daemon/discovery.rs
@@ -3,7 +3,9 @@
 
 use super::Daemon;
 use linnetknot::Micros;
-use linnetknot_discovery::{Change, Discovery, Evidence, Notice, Output, SourceId};
+use linnetknot_discovery::{
+    Change, EndpointTable, Evidence, ListEvent, Notice, SourceId, TableUpdate,
+};
 use std::collections::BTreeSet;
 
 /// The event bus, which is the first source.
@@ -28,32 +30,32 @@
     }
 }
 
-fn log_change(discovery: &Discovery, change: &Change) {
+fn log_change(table: &EndpointTable, change: &Change) {
     log::info!(
         cache = change.uid.as_str(),
         old = change.old.name(),
         new = change.new.name(),
         reason = change.reason.to_string().as_str(),
-        source = discovery.source(change.source),
+        source = table.source(change.source),
         penalty = (change.penalty * PENALTY_SCALE).round() / PENALTY_SCALE;
         "a pop cache's state has changed"
     );
 }
 
 /// Returns the log line of a notice.
-fn notice_line(discovery: &Discovery, notice: Notice) -> String {
+fn notice_line(table: &EndpointTable, notice: Notice) -> String {
     match notice {
-        Notice::Full(uid) => format!("the table of pop caches is full: {uid} is not added"),
-        Notice::SameId {
+        Notice::TableFull(uid) => format!("the table of pop caches is full: {uid} is not added"),
+        Notice::DuplicateId {
             uid,
-            kept,
-            refused,
+            accepted,
+            rejected,
             source,
         } => {
-            let source = discovery.source(source);
-            format!("{source} names {uid} at {refused} too, which is ignored: it is at {kept}")
+            let source = table.source(source);
+            format!("{source} names {uid} at {rejected} too, which is ignored: it is at {accepted}")
         }
-        Notice::SameAddress {
+        Notice::DuplicateAddress {
             uid,
             other,
             endpoint,
@@ -65,7 +67,7 @@
 impl Daemon {
     /// Receives evidence of a source.
     pub(super) fn receive_evidence(&mut self, now: Micros, source: SourceId, evidence: Evidence) {
-        let output = self.members.tell(now, source, evidence);
+        let output = self.members.apply(now, source, evidence);
         self.apply_discovery(now, output);
     }
 
@@ -76,8 +78,8 @@
         self.apply_discovery(now, output);
     }
 
-    fn apply_discovery(&mut self, now: Micros, output: Output) {
-        for (mode, entries) in output.events {
+    fn apply_discovery(&mut self, now: Micros, output: TableUpdate) {
+        for ListEvent { mode, entries } in output.events {
             let entries = self.without_bans(mode, entries);
             self.core.list(now, mode, entries);
         }
--- a/daemon/src/daemon/feeds/bus.rs
+++ b/daemon/src/daemon/feeds/bus.rs
@@ -59,7 +59,7 @@
         let last = self.last;
         effects.push(Box::new(move |daemon, now| {
             (daemon.bus.last, daemon.bus.read_at) = (last, now);
-            daemon.bus.backoff.succeeded();
+            daemon.bus.backoff.reset();
             events
                 .into_iter()
                 .for_each(|event| daemon.heard(now, event));
@@ -90,12 +90,14 @@
                         self.bus.starts.entry(entry.server.id).or_insert(dated);
                     }
                 }
-                let (mode, entries, passed) = self.vetting.vet(answer, self.members.told_by(BUS));
-                for passed in passed {
-                    log::warn!("event {} of the bus: {passed}", event.offset);
+                let list = self
+                    .validator
+                    .validate(answer, self.members.reported_by(BUS));
+                for rejection in list.rejections {
+                    log::warn!("event {} of the bus: {rejection}", event.offset);
                 }
-                let reports = entries.into_iter().map(Report::from).collect();
-                let evidence = match mode {
+                let reports = list.entries.into_iter().map(Report::from).collect();
+                let evidence = match list.mode {
                     ListMode::Full => Evidence::Full(reports),
                     _ => Evidence::Delta(reports),
                 };
@@ -158,7 +160,7 @@
     }
 
     fn call_bus_again(&mut self, now: Micros) {
-        let wait = self.bus.backoff.failed();
+        let wait = self.bus.backoff.next_delay();
         self.wake_bus(now + wait);
     }
 
@@ -167,7 +169,7 @@
         if let Some(old) = self.bus.key.take() {
             self.connections.remove(old);
         }
-        self.bus.backoff.succeeded();
+        self.bus.backoff.reset();
         self.call_bus(now);
     }
 
--- a/daemon/src/daemon/fleet_status.rs
+++ b/daemon/src/daemon/fleet_status.rs
@@ -4,15 +4,15 @@
 use super::Daemon;
 use crate::fleet::{LogStatus, PeerStatus, Status, MOST_LOGS, MOST_PEERS};
 use linnetknot_membership::Membership;
-use linnetknot_replication::{Index, LogId, Replica};
+use linnetknot_replication::{LogPosition, Replica};
 use std::net::SocketAddr;
 
-fn log_status(replica: &Replica, log: LogId, last_index: Index) -> LogStatus {
+fn log_status(replica: &Replica, LogPosition { log, index }: LogPosition) -> LogStatus {
     LogStatus {
         writer: format!("{:016x}", log.writer),
         life: format!("{:x}", log.epoch),
         own: log.writer == replica.own().writer,
-        end: last_index,
+        end: index,
         on_disk: replica.durable_index(log),
     }
 }
@@ -57,7 +57,7 @@
             logs: logs
                 .iter()
                 .take(MOST_LOGS)
-                .map(|(log, last_index)| log_status(replica, *log, *last_index))
+                .map(|last| log_status(replica, *last))
                 .collect(),
             logs_in_all: logs.len(),
         })
@@ -76,8 +76,8 @@
         let member = membership.and_then(|membership| membership.members().get(peer));
         let claim = member.and_then(|member| member.claim);
         let names = member.and_then(|member| member.names.as_ref());
-        let (name, machine) = names.map_or(("", configured_machine), |(name, machine)| {
-            (name.as_str(), machine.as_str())
+        let (name, machine) = names.map_or(("", configured_machine), |names| {
+            (names.name.as_str(), names.machine.as_str())
         });
         let acked = replica.acked_by(peer);
         let last_index = replica.log_store().last_index(replica.own());
@@ -85,7 +85,7 @@
             address,
             machine: machine.to_owned(),
             name: name.to_owned(),
-            standing: state_name(claim.map(|claim| claim.standing)).to_owned(),
+            standing: state_name(claim.map(|claim| claim.state)).to_owned(),
             life: claim.map_or_else(String::new, |claim| format!("{:x}", claim.process)),
             held: acked,
             behind: last_index.saturating_sub(acked),
--- a/daemon/src/daemon/membership.rs
+++ b/daemon/src/daemon/membership.rs
@@ -4,28 +4,30 @@
 use super::Daemon;
 use linnetknot::Micros;
 use linnetknot_discovery::server_id;
-use linnetknot_membership::{Change, DecodeError, Member, Membership, Options, Standing};
+use linnetknot_membership::{
+    Change, DecodeError, Member, MemberState, Membership, MembershipConfig, Names, Options,
+};
 
 /// The shortest time to the next tick.
 const MIN_TICK_US: Micros = 1;
 
 /// Returns the name of a member's state; `unknown` where nothing was received of it.
-pub(super) fn state_name(state: Option<Standing>) -> &'static str {
+pub(super) fn state_name(state: Option<MemberState>) -> &'static str {
     match state {
         None => "unknown",
-        Some(Standing::Alive) => "alive",
-        Some(Standing::Suspect) => "suspect",
-        Some(Standing::Dead) => "dead",
-        Some(Standing::Left) => "left",
+        Some(MemberState::Alive) => "alive",
+        Some(MemberState::Suspect) => "suspect",
+        Some(MemberState::Dead) => "dead",
+        Some(MemberState::Left) => "left",
     }
 }
 
 /// Returns the level at which a member's new state is logged.
-fn log_level(state: Standing) -> log::Level {
+fn log_level(state: MemberState) -> log::Level {
     match state {
-        Standing::Alive | Standing::Left => log::Level::Info,
-        Standing::Suspect => log::Level::Debug,
-        Standing::Dead => log::Level::Warn,
+        MemberState::Alive | MemberState::Left => log::Level::Info,
+        MemberState::Suspect => log::Level::Debug,
+        MemberState::Dead => log::Level::Warn,
     }
 }
 
@@ -42,14 +44,18 @@
         let Some(ledger) = self.ledger.as_ref().filter(|_| copies.on) else {
             return;
         };
-        let name = &self.config.name;
-        let mut membership = Membership::new(
-            (server_id(name), ledger.incarnation()),
-            (name, &copies.machine),
-            copies.machines.len(),
-            (self.config.seed, now),
-            Options::default(),
-        );
+        let config = MembershipConfig {
+            id: server_id(&self.config.name),
+            process: ledger.incarnation(),
+            names: Names {
+                name: self.config.name.clone(),
+                machine: copies.machine.clone(),
+            },
+            peers: copies.machines.len(),
+            seed: self.config.seed,
+            options: Options::default(),
+        };
+        let mut membership = Membership::new(config, now);
         if ledger.is_fresh() {
             membership.expect_predecessor(now + self.limits.recovery_us);
         }
@@ -123,8 +129,8 @@
         };
         let outgoing = membership.outgoing();
         let changes = membership.changes();
-        for (peer, bytes) in &outgoing {
-            self.send_to_place(*peer, bytes);
+        for out in &outgoing {
+            self.send_to_place(out.peer, &out.datagram);
         }
         for change in &changes {
             self.log_member_change(change);
@@ -137,15 +143,15 @@
         let member = membership.and_then(|membership| membership.members().get(*peer));
         let name = member
             .and_then(|member| member.names.as_ref())
-            .map_or("", |(name, _)| name.as_str());
+            .map_or("", |names| names.name.as_str());
         let configured = self.config.copies.machines.get(*peer);
         let address = configured.map_or_else(String::new, |(address, _)| address.to_string());
         log::log!(
-            log_level(new.standing),
+            log_level(new.state),
             peer = address.as_str(),
             member = name,
-            old = state_name(old.map(|claim| claim.standing)),
-            new = state_name(Some(new.standing)),
+            old = state_name(old.map(|claim| claim.state)),
+            new = state_name(Some(new.state)),
             incarnation = new.process,
             up = membership.map_or(0, Membership::up);
             "a member's state has changed"
--- a/daemon/src/daemon/operator_state.rs
+++ b/daemon/src/daemon/operator_state.rs
@@ -104,7 +104,7 @@
         if written.is_err() {
             return false;
         }
-        self.operator_state.backoff.succeeded();
+        self.operator_state.backoff.reset();
         fail::fail_point!("admin-kept");
         true
     }
@@ -132,7 +132,7 @@
         if is_scheduled || !(files.is_unread || files.is_stale) {
             return;
         }
-        let at = now + files.backoff.failed();
+        let at = now + files.backoff.next_delay();
         let due = self.later(at, |daemon, now| {
             daemon.operator_state.due = None;
             daemon.retry_operator_state(now);
@@ -155,7 +155,7 @@
     fn apply_stored_state(&mut self, now: Micros, state: OperatorState) {
         log::info!(attempts = self.operator_state.backoff.failures(); "what the operators decided before is read");
         self.operator_state.is_unread = false;
-        self.operator_state.backoff.succeeded();
+        self.operator_state.backoff.reset();
         let is_drained = state.out_of_service;
         let bans: Vec<String> = state.bans.iter().cloned().collect();
         self.ops = Operations::new(state, now);
--- a/daemon/src/daemon/recovery.rs
+++ b/daemon/src/daemon/recovery.rs
@@ -6,7 +6,7 @@
 use crate::peers::Purge;
 use linnetknot::Micros;
 use linnetknot_discovery::server_id;
-use linnetknot_replication::{Datagram, Outgoing, Recovery};
+use linnetknot_replication::{Datagram, Outgoing, Recovery, RecoveryTimes};
 
 /// The shortest time to the next tick, so that the event loop always gets to its sockets.
 const MIN_TICK_US: Micros = 1_000;
@@ -66,11 +66,11 @@
             .iter()
             .map(|(_, machine)| server_id(machine))
             .collect();
-        let times = (
-            now,
-            now + self.limits.recovery_us,
-            self.limits.recovery_ask_us,
-        );
+        let times = RecoveryTimes {
+            start: now,
+            deadline: now + self.limits.recovery_us,
+            retry_us: self.limits.recovery_ask_us,
+        };
         let recovery = Recovery::new(server_id(&copies.machine), machines, copies.wait, times);
         self.pending_commits.recovery = Some(recovery);
         self.tick_recovery(now);
@@ -116,15 +116,15 @@
         let Some(recovery) = &mut self.pending_commits.recovery else {
             return;
         };
-        let (peers, missing) = recovery.tick(now);
-        if let Some(machines) = missing {
+        let step = recovery.tick(now);
+        if let Some(machines) = step.missing_machines {
             log::error!(machines = machines; "not all that this proxy committed may have been recovered, and it is ready all the same");
             if self.pending_store.is_some() {
                 self.core.purges_mut().raise_all(now);
             }
         }
         let due = recovery.due();
-        self.request_digests(peers);
+        self.request_digests(step.request_from);
         match due {
             Some(due) => {
                 let due = due.max(now + MIN_TICK_US);
--- a/daemon/src/daemon/replication.rs
+++ b/daemon/src/daemon/replication.rs
@@ -86,7 +86,7 @@
             let announced = members
                 .get(peer)
                 .and_then(|member| member.names.as_ref())
-                .map(|(_, machine)| machine)
+                .map(|names| &names.machine)
                 .filter(|machine| !machine.is_empty());
             server_id(announced.unwrap_or(configured))
         };
--- a/daemon/src/ledger/mod.rs
+++ b/daemon/src/ledger/mod.rs
@@ -158,9 +158,9 @@
         &self.replica
     }
 
-    /// Sets the machines of this proxy and of its peers (`Replica::peers`).
+    /// Sets the machines of this proxy and of its peers (`Replica::set_peers`).
     pub fn set_machines(&mut self, own: u64, machines: Vec<u64>) {
-        self.replica.peers(own, machines);
+        self.replica.set_peers(own, machines);
     }
 
     /// Submits an entry to the worker. One that the queue does not take is written later, as one whose write failed.
--- a/daemon/src/ledger/opening.rs
+++ b/daemon/src/ledger/opening.rs
@@ -8,7 +8,7 @@
 use super::{codec, purge_subject, Bounds, Ledger, LedgerError};
 use crate::peers::Purge;
 use linnetknot::Micros;
-use linnetknot_replication::{Capacity, LogId, LogStore, Replica, Subject, Writer};
+use linnetknot_replication::{Capacity, LogId, LogStore, Record, Replica, Subject, Writer};
 use linnetknot_store::{Store, StoreError, StoreWorker, Write};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -31,7 +31,12 @@
     let mut writes = Vec::new();
     for (subject, at) in latest {
         if store.latest(&subject).is_none_or(|known| known < at) {
-            let entry = store.append(own, (subject, at, false), Capacity::UNLIMITED)?;
+            let record = Record {
+                subject,
+                at,
+                revoked: false,
+            };
+            let entry = store.append(own, record, Capacity::UNLIMITED)?;
             writes.push(codec::put(&entry));
         }
     }
--- /dev/null
+++ b/discovery/src/endpoint_table/ingest.rs
@@ -0,0 +1,198 @@
+//! How reports enter the table.
+
+use super::{Batch, EndpointTable, SourceReport, TrackedCache};
+use crate::evidence::{EndpointStatus, Entry, Notice, Reason, Report, SourceId};
+use linnetknot::State;
+use std::collections::{btree_map, BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+
+impl EndpointTable {
+    /// One report per id. A list that has an id twice, at two addresses, means two caches, of which only one can have
+    /// it: the one that had it before, else the first.
+    pub(super) fn unique_reports(
+        &self,
+        source: SourceId,
+        reports: Vec<Report>,
+        batch: &mut Batch,
+    ) -> Vec<Report> {
+        let mut accepted: Vec<Report> = Vec::with_capacity(reports.len());
+        let mut positions: BTreeMap<String, usize> = BTreeMap::new();
+        for mut report in reports {
+            let position = match positions.entry(report.entry.uid.clone()) {
+                btree_map::Entry::Vacant(position) => {
+                    position.insert(accepted.len());
+                    accepted.push(report);
+                    continue;
+                }
+                btree_map::Entry::Occupied(position) => *position.get(),
+            };
+            if self.reported_endpoint(source, &report.entry.uid) == Some(report.entry.endpoint) {
+                std::mem::swap(&mut accepted[position], &mut report);
+            }
+            let first = &accepted[position].entry;
+            if first.endpoint != report.entry.endpoint {
+                batch.update.notices.push(Notice::DuplicateId {
+                    uid: first.uid.clone(),
+                    accepted: first.endpoint,
+                    rejected: report.entry.endpoint,
+                    source,
+                });
+            }
+        }
+        accepted
+    }
+
+    /// Where a source last reported a cache.
+    fn reported_endpoint(&self, source: SourceId, uid: &str) -> Option<SocketAddr> {
+        let report = self.caches.get(uid)?.reports.get(&source)?;
+        Some(report.entry.endpoint)
+    }
+
+    /// Unlists the caches that a source has listed and its new full list omits; gives the entries that follow.
+    pub(super) fn unlist_omitted(
+        &mut self,
+        source: SourceId,
+        reports: &[Report],
+        batch: &mut Batch,
+    ) -> Vec<Entry> {
+        let named: BTreeSet<&str> = reports
+            .iter()
+            .map(|report| report.entry.uid.as_str())
+            .collect();
+        let is_omitted = |uid: &str, cache: &TrackedCache| {
+            let report = cache.reports.get(&source);
+            report.is_some_and(SourceReport::is_listed) && !named.contains(uid)
+        };
+        let omitted: Vec<String> = self
+            .caches
+            .iter()
+            .filter(|(uid, cache)| is_omitted(uid, cache))
+            .map(|(uid, _)| uid.clone())
+            .collect();
+        for uid in &omitted {
+            self.unlist(source, uid, batch);
+        }
+        let mut removals = Vec::new();
+        for uid in &omitted {
+            self.settle(uid, &mut removals, batch);
+        }
+        if self.sources[source.0].relayed {
+            // A full list states by itself who is gone; what other sources list is added to it.
+            return self.published_besides(&named);
+        }
+        removals
+    }
+
+    /// The published entries of all caches but those named here.
+    fn published_besides(&self, named: &BTreeSet<&str>) -> Vec<Entry> {
+        self.caches
+            .iter()
+            .filter(|(uid, _)| !named.contains(uid.as_str()))
+            .filter_map(|(_, cache)| cache.published.as_ref())
+            .filter(|published| published.status != EndpointStatus::Gone)
+            .map(|published| published.entry.clone())
+            .collect()
+    }
+
+    /// Takes a report, and publishes what follows for its cache.
+    pub(super) fn ingest(
+        &mut self,
+        source: SourceId,
+        report: Report,
+        entries: &mut Vec<Entry>,
+        batch: &mut Batch,
+    ) {
+        let relayed = self.sources[source.0].relayed;
+        let reported = report.entry.clone();
+        if !self.record(source, report, batch) {
+            if relayed && reported.server.state == State::Gone {
+                // Nothing is known of the cache, but the event is relayed as it came.
+                entries.push(reported);
+            }
+            return;
+        }
+        let count_before = entries.len();
+        self.settle(&reported.uid, entries, batch);
+        if relayed && entries.len() == count_before {
+            // Relayed whether it changes anything or not, each report of the event in its turn.
+            let cache = self.caches.get(&reported.uid);
+            let published = cache.and_then(|cache| cache.published.as_ref());
+            entries.extend(published.map(|published| published.entry.clone()));
+        }
+    }
+
+    /// Records a source's report; false if it is not taken.
+    fn record(&mut self, source: SourceId, report: Report, batch: &mut Batch) -> bool {
+        let Report { entry, reason } = report;
+        let (uid, endpoint) = (entry.uid.clone(), entry.endpoint);
+        let is_gone = entry.server.state == State::Gone;
+        if !self.caches.contains_key(&uid) {
+            if is_gone {
+                return false;
+            }
+            if self.caches.len() - self.gone.len() >= self.limits.max_caches {
+                batch.update.notices.push(Notice::TableFull(uid));
+                return false;
+            }
+        }
+        let cache = self
+            .caches
+            .entry(uid.clone())
+            .or_insert_with(|| TrackedCache::new(batch.now));
+        let previous = cache.reports.get(&source);
+        let previous = previous.map(|report| report.entry.endpoint);
+        if previous != Some(endpoint) {
+            let conflict = cache.conflict(source, &uid, endpoint);
+            batch.update.notices.extend(conflict);
+            cache.joined = batch.now;
+        }
+        let report = SourceReport {
+            entry,
+            reason,
+            at: batch.now,
+        };
+        cache.reports.insert(source, report);
+        if let Some(from) = previous.filter(|previous| *previous != endpoint) {
+            batch.update.notices.push(Notice::Moved {
+                uid: uid.clone(),
+                from,
+                to: endpoint,
+            });
+            self.unclaim(from, &uid, batch);
+        }
+        if is_gone {
+            self.unclaim(endpoint, &uid, batch);
+        } else {
+            self.claim(endpoint, &uid, batch);
+        }
+        true
+    }
+
+    /// Records that a source's full list omits a cache.
+    fn unlist(&mut self, source: SourceId, uid: &str, batch: &mut Batch) {
+        let cache = self.caches.get_mut(uid);
+        let Some(report) = cache.and_then(|cache| cache.reports.get_mut(&source)) else {
+            return;
+        };
+        report.entry.server.state = State::Gone;
+        report.reason = Reason::Unlisted;
+        report.at = batch.now;
+        let endpoint = report.entry.endpoint;
+        self.unclaim(endpoint, uid, batch);
+    }
+}
+
+impl TrackedCache {
+    /// The notice that another source lists this cache at another address than `source` does.
+    fn conflict(&self, source: SourceId, uid: &str, endpoint: SocketAddr) -> Option<Notice> {
+        let (_, other) = self.reports.iter().find(|(id, report)| {
+            **id != source && report.is_listed() && report.entry.endpoint != endpoint
+        })?;
+        Some(Notice::DuplicateId {
+            uid: uid.to_owned(),
+            accepted: other.entry.endpoint,
+            rejected: endpoint,
+            source,
+        })
+    }
+}
--- a/src/checks.rs
+++ b/src/interface/validation.rs
@@ -1,16 +1,16 @@
-//! Whether settings can be used. No decisions.
+//! Whether settings can be used.
 
-use crate::interface::Settings;
+use super::Settings;
 use std::fmt;
 
-/// Why settings can't be used.
+/// Why a router can't use its settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
     /// There is no class of requests.
     NoClass,
     /// The router's zone, or a zone's hub, is not among the zones.
     ZoneOutOfRange,
-    /// A figure is zero, negative or not a number where that can't be.
+    /// The named figure is negative, not finite, or zero where that makes no sense.
     BadFigure(&'static str),
 }
 
@@ -27,7 +27,11 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Tells what, if anything, makes these settings unusable.
+    /// Checks that a router can use these settings.
+    ///
+    /// # Errors
+    ///
+    /// The first reason found why it can't.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClass);
@@ -39,20 +43,26 @@
         let r = &self.rules;
         let mut sound = vec![
             ("flow", self.flow_kb_per_s),
-            ("origin fall multiple", self.origin_fall_multiple),
-            ("cold share", r.cold_share),
-            ("parent cold share", r.parent_cold_share),
+            ("origin fall multiple", self.origin_overload_multiple),
+            ("cold share", r.slow_start_share),
+            ("parent cold share", r.parent_slow_start_share),
         ];
         let mut positive = vec![
             ("attempts", f64::from(self.max_attempts)),
-            ("fall multiple", r.fall_multiple),
+            ("fall multiple", r.overload_multiple),
             ("fall time", r.fall_us as f64),
-            ("parent fall multiple", r.parent_fall_multiple),
+            ("parent fall multiple", r.parent_overload_multiple),
         ];
         for c in &self.classes {
             positive.push(("deadline", c.deadline_us as f64));
-            sound.extend([("aim stretch", c.aim_stretch), ("worth", c.worth)]);
-            sound.extend([("late worth", c.late_worth), ("stale worth", c.stale_worth)]);
+            sound.extend([
+                ("aim stretch", c.objective_stretch),
+                ("worth", c.priority_weight),
+            ]);
+            sound.extend([
+                ("late worth", c.late_weight),
+                ("stale worth", c.stale_weight),
+            ]);
         }
         sound.extend(self.zones.iter().map(|z| ("zone link", z.link_kb_per_s)));
         let bad_sound = sound.iter().find(|(_, x)| !x.is_finite() || *x < 0.0);
--- /dev/null
+++ b/src/router/timers.rs
@@ -0,0 +1,113 @@
+//! What is done at each tick: averages move on, silent servers are ejected, and attempts that are overdue or stuck are
+//! cancelled.
+
+use super::state::{Endpoint, OpenRequest};
+use super::Router;
+use crate::interface::{Action, Micros, Repeat, ServerId};
+use std::collections::BTreeMap;
+
+/// How often overdue attempts are looked for.
+const TICK_US: Micros = 50_000;
+/// Tag of the recurring timer.
+pub(super) const TICK_TAG: u64 = 0;
+/// Own transfers are averaged over so many seconds to estimate the other routers'.
+const AVERAGING_S: f64 = 3.0;
+/// A server with so many overdue attempts and no answer since the first was sent is silent.
+const MIN_OVERDUE: usize = 2;
+
+/// Overdue attempts of one server.
+struct Overdue {
+    attempts: usize,
+    first_sent_at: Micros,
+}
+
+impl Router {
+    /// Asks for the next tick.
+    pub(super) fn schedule_tick(now: Micros, actions: &mut Vec<Action>) {
+        actions.push(Action::Timer {
+            at: now + TICK_US,
+            tag: TICK_TAG,
+        });
+    }
+
+    /// A tick: a server that hangs shows only in what does not come back. All that is overdue there is cancelled and
+    /// goes elsewhere.
+    pub(super) fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        Self::schedule_tick(now, actions);
+        let origin_now = self.origin_time(now);
+        self.purges
+            .compact(origin_now, self.settings.rules.purge_done_us);
+        self.update_averages(now, TICK_US as f64 / 1e6 / AVERAGING_S);
+        self.eject_silent(now);
+        self.cancel_hopeless(now, actions);
+    }
+
+    /// Ejects servers and sources that leave several attempts, or their trial, without an answer.
+    fn eject_silent(&mut self, now: Micros) {
+        for (id, overdue) in self.overdue_by_server(now) {
+            let Some(server) = self.endpoints.get_mut(&id) else {
+                continue;
+            };
+            let enough = overdue.attempts >= MIN_OVERDUE || server.trial_in_flight;
+            if enough && server.last_success < overdue.first_sent_at {
+                server.eject(now);
+            }
+        }
+    }
+
+    fn overdue_by_server(&self, now: Micros) -> BTreeMap<ServerId, Overdue> {
+        let mut by_server = BTreeMap::new();
+        let attempts = self.requests.values().filter_map(|o| o.in_flight.as_ref());
+        for attempt in attempts.filter(|attempt| attempt.overdue_at < now) {
+            for id in [Some(attempt.server), attempt.source].into_iter().flatten() {
+                let overdue = by_server.entry(id).or_insert(Overdue {
+                    attempts: 0,
+                    first_sent_at: attempt.sent_at,
+                });
+                overdue.attempts += 1;
+                overdue.first_sent_at = overdue.first_sent_at.min(attempt.sent_at);
+            }
+        }
+        by_server
+    }
+
+    /// Cancels attempts that may be repeated and hang at a silent server, or are stuck.
+    fn cancel_hopeless(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        if !self.settings.cancel {
+            return;
+        }
+        for (id, open) in &mut self.requests {
+            let repeat = self.settings.classes[open.class].repeat;
+            if repeat != Repeat::Safe || open.streaming {
+                continue;
+            }
+            if let Some(attempt) = Self::cancel_if_hopeless(now, open, &self.endpoints) {
+                actions.push(Action::Cancel {
+                    request: *id,
+                    attempt,
+                });
+            }
+        }
+    }
+
+    /// Marks a request's attempt as cancelled if it hangs or is stuck, and gives its number.
+    fn cancel_if_hopeless(
+        now: Micros,
+        open: &mut OpenRequest,
+        endpoints: &BTreeMap<ServerId, Endpoint>,
+    ) -> Option<u32> {
+        let attempt = open.in_flight.as_mut().filter(|a| !a.cancelled)?;
+        let is_silent = |id: ServerId| {
+            let server = endpoints.get(&id);
+            server.is_some_and(|s| now < s.ejected_until && s.last_success < attempt.sent_at)
+        };
+        let silent = is_silent(attempt.server) || attempt.source.is_some_and(is_silent);
+        let hangs = attempt.overdue_at < now && silent;
+        if !hangs && now <= attempt.stuck_after {
+            return None;
+        }
+        attempt.stuck = !hangs;
+        attempt.cancelled = true;
+        Some(attempt.number)
+    }
+}
