--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -105,7 +105,7 @@
     ledger: Option<Ledger>,
     /// Its store, while that can't be opened.
     pending_store: Option<PendingStore>,
-    /// The answers that wait for it, and when it is due to be looked at again.
+    /// The responses that wait for commits of it, and when replication is due.
     pending_commits: commits::PendingCommits,
     /// Who of the peers is there, and when that is due to be looked at again.
     membership: Option<linnetknot_membership::Membership>,
