--- a/daemon/src/daemon/admin.rs
+++ b/daemon/src/daemon/admin.rs
@@ -5,13 +5,13 @@
 //! The admin listener has slots of its own, so that callers that hold connections without a whole call, or a flood of
 //! clients, never keep an operator out: where its slots are full, the caller that came first leaves.
 
-use super::promises::Decided;
+use super::commits::OperatorDecision;
 use super::{Connection, Daemon, Kind, Timer};
 use crate::fleet;
 use crate::net::{Conn, FailureKind, Key};
 use linnetknot::{ListMode, Micros, State};
 use linnetknot_ops::state::SWEEP_US;
-use linnetknot_ops::{Call, Drain, Effect, Parser, Reply};
+use linnetknot_ops::{Call, Drain, Effect, Outcome, Parser, Reply};
 
 /// One caller's connection.
 pub(super) struct Caller {
@@ -165,10 +165,10 @@
                     return;
                 }
             },
-            Err(e) => Reply::refused(e),
+            Err(e) => Reply::rejected(e),
             Ok(None) if !ended => return,
             Ok(None) => match caller.parser.end() {
-                Some(e) => Reply::refused(e),
+                Some(e) => Reply::rejected(e),
                 None => {
                     // It said nothing and has gone: nothing is owed, and the connection ends.
                     caller.answered = true;
@@ -195,7 +195,7 @@
 
     /// Whether the process could serve, the operators aside.
     pub(super) fn can_serve(&self) -> bool {
-        self.core.is_ready() && !self.is_stopping() && self.promised.has_recovered()
+        self.core.is_ready() && !self.is_stopping() && self.pending_commits.has_recovered()
     }
 
     /// Carries out a call. None where its answer waits for copies.
@@ -216,7 +216,7 @@
         let ready = self.can_serve();
         let before = self.ops.clone();
         let is_ready_call = matches!(call, Call::Ready);
-        let (mut reply, effect) = self.ops.call(now, call, known, ready);
+        let Outcome { mut reply, effect } = self.ops.call(now, call, known, ready);
         if let Some(pending) = self.pending_store.as_ref().filter(|_| is_ready_call) {
             let lacks = format!(
                 "; commands are rejected, as the store can't be opened: {}",
@@ -237,23 +237,23 @@
             ));
         }
         if let Some(effect) = effect {
-            if !self.keep_ops() {
+            if !self.save_operator_state() {
                 // A yes would promise what the next process does not know of. One copy may have been put in place.
                 self.ops = before;
-                self.undo_ops(now);
+                self.save_undone_state(now);
                 return Some(Reply::unavailable(
                     "it can't be kept for the next process, so nothing has changed",
                 ));
             }
             log::info!(call = shown.as_str(), status = reply.status; "the admin listener: {}", reply.text);
-            let decided = Decided::of(&effect);
+            let decided = OperatorDecision::new(&effect);
             self.take_effect(now, effect);
             if kept {
-                return self.promise_operator(now, key, reply, Some(decided));
+                return self.commit_call(now, key, reply, Some(decided));
             }
         } else if kept && reply.status == 200 {
             // Nothing has changed; but what it says again may be on its way still.
-            return self.promise_operator(now, key, reply, None);
+            return self.commit_call(now, key, reply, None);
         }
         Some(reply)
     }
--- a/daemon/src/daemon/event_loop.rs
+++ b/daemon/src/daemon/event_loop.rs
@@ -110,7 +110,7 @@
             PEERS => self.receive_peer_datagrams(now),
             CDNI => self.accept_cdni(now),
             ADMIN => self.accept_admin(now),
-            STORE => self.hear_store(now),
+            STORE => self.receive_store_completions(now),
             token => self.serve(now, Key::from_u64(token), event),
         }
         self.settle(now);
--- a/daemon/src/daemon/shutdown.rs
+++ b/daemon/src/daemon/shutdown.rs
@@ -28,7 +28,7 @@
             self.deadlines
                 .set(now + self.limits.term_grace_us, Timer::Term);
             self.deregister_from_consul(now);
-            self.leave_fleet(now);
+            self.leave_membership(now);
         }
     }
 
--- a/daemon/src/daemon/sources/peers.rs
+++ b/daemon/src/daemon/sources/peers.rs
@@ -2,8 +2,9 @@
 
 use crate::core::TRACE;
 use crate::daemon::Daemon;
+use crate::ledger;
 use crate::net::{receive_from, send_to, FailureKind};
-use crate::{ledger, peers};
+use crate::peers::{self, Purge};
 use linnetknot::Micros;
 use linnetknot_origin_health::OriginShare;
 use linnetknot_replication::{Datagram, DecodeError, Entry, Outgoing, Received};
@@ -34,11 +35,11 @@
             };
             let bytes = &bytes[..length];
             let is_taken = |p| {
-                self.hear_member(now, p, bytes)
+                self.receive_membership(now, p, bytes)
                     || self.receive_budgets(now, p, bytes)
                     || self.receive_replication(now, p, bytes)
             };
-            if peer.place.is_some_and(is_taken) {
+            if peer.index.is_some_and(is_taken) {
                 continue;
             }
             if self
@@ -48,7 +49,7 @@
             {
                 self.apply_origin_health(now);
             } else if let Some(purge) = peers::read(bytes) {
-                self.receive_plain_purge(now, peer.place, purge);
+                self.receive_plain_purge(now, peer.index, purge);
             } else {
                 self.dropped.1 += 1;
             }
@@ -111,9 +112,9 @@
             .iter()
             .any(|entry| entry.log.writer == own && ledger::purge(entry).is_none())
         {
-            self.recall_decided(now);
+            self.apply_decisions(now);
         }
-        self.hear_triggers(now, &received.new);
+        self.receive_triggers(now, &received.new);
         if is_chunk {
             fail::fail_point!("snapshot-chunk");
         }
@@ -122,7 +123,7 @@
         }
         self.watch_snapshot(now);
         if is_synced {
-            self.same_as(now, peer);
+            self.receive_equal_logs(now, peer);
         }
         if !received.new.is_empty() {
             log::debug!(target: TRACE, peer = peer, entries = received.new.len(); "a peer sent purges");
@@ -132,9 +133,9 @@
             .into_iter()
             .map(|datagram| Outgoing { peer, datagram });
         self.send_datagrams(replies.collect());
-        self.settle_promises(now);
+        self.resolve_commits(now);
         // The next part of a snapshot, or of what is missing, may be due sooner now.
-        self.plan_copies(now);
+        self.schedule_replication(now);
         true
     }
 
@@ -146,7 +147,7 @@
             .chain(&received.out_of_order)
             .chain(&received.rejected)
         {
-            let Some((object, group, at)) = ledger::purge(entry) else {
+            let Some(Purge { object, group, at }) = ledger::purge(entry) else {
                 continue;
             };
             self.core.record_purge(now, object, group, at);
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -6,12 +6,12 @@
 pub use error::StartError;
 
 use super::bus;
+use super::commits::PendingCommits;
 use super::consul;
+use super::discovery::LoggedLines;
 use super::event_loop::STORE;
-use super::members::Said;
-use super::operator_state::OperatorState;
+use super::operator_state::OperatorFiles;
 use super::peer_index::PeerIndex;
-use super::promises::Promised;
 use super::redial;
 use super::signals::Signal;
 use super::store_opening::{PendingStore, StoreConfig};
@@ -58,12 +58,12 @@
                 bucket_bits: config.copies.purge_table.bucket_bits,
             },
         };
-        let (ledger, pending) = store
+        let opened = store
             .start(clock.now(), config.seed, wake)
             .map_err(|e| StartError::Store(e.into()))?;
         Ok(StoreParts {
-            ledger: Some(ledger),
-            pending,
+            ledger: Some(opened.ledger),
+            pending: opened.pending,
             word: Some(word),
         })
     }
@@ -178,17 +178,17 @@
             .into_iter()
             .for_each(|event| daemon.apply_bus_event(now, event));
         daemon.bus.last = known.offset;
-        daemon.know_machines();
-        daemon.join_fleet(now);
+        daemon.update_machines();
+        daemon.join_membership(now);
         daemon
             .join_budgets(now)
             .map_err(|e| StartError::Budgets(e.into()))?;
-        daemon.begin_decided(now);
-        daemon.begin_triggers(now);
+        daemon.restore_decisions(now);
+        daemon.restore_triggers(now);
         daemon.begin_recovery(now);
         daemon.begin_reopening(now);
-        daemon.plan_operator_state(now);
-        daemon.copy_purges(now);
+        daemon.schedule_operator_state(now);
+        daemon.tick_replication(now);
         daemon.load_snapshots(now);
         daemon.connect_bus(now);
         daemon.drive_consul(now);
@@ -204,7 +204,7 @@
     /// The daemon before anything was replayed.
     fn assemble(config: Config, source: Source, parts: Parts) -> Self {
         let now = parts.clock.now();
-        let (ops, operator_state) = OperatorState::load(&config.ops_folder, config.seed, now);
+        let stored = OperatorFiles::load(&config.ops_folder, config.seed, now);
         let origin_health = config
             .tell
             .then(|| OriginHealth::new(ZonePosition::of(&config.settings), now));
@@ -229,7 +229,7 @@
             ),
             validator: ListValidator::default(),
             members_due: None,
-            said: Said::default(),
+            logged: LoggedLines::default(),
             consul: parts.consul.state,
             snapshots: parts.consul.snapshots,
             peers: parts.peers,
@@ -241,7 +241,7 @@
             trigger_api: parts.trigger_api,
             ledger: parts.store.ledger,
             pending_store: parts.store.pending,
-            promised: Promised::default(),
+            pending_commits: PendingCommits::default(),
             membership: None,
             shared_budgets: None,
             fleet_due: None,
@@ -255,9 +255,9 @@
             grace_over: false,
             admin: parts.sockets.admin,
             callers: 0,
-            ops,
+            ops: stored.operations,
             ops_folder: config.ops_folder.clone(),
-            operator_state,
+            operator_state: stored.files,
             inherited: parts.sockets.inherited,
             limits: config.limits.clone(),
             config,
