--- a/daemon/src/daemon/admin.rs
+++ b/daemon/src/daemon/admin.rs
@@ -1,9 +1,9 @@
 //! The admin listener in the daemon: its listener and connections, and carrying out what its calls decide.
 //!
 //! Which calls are taken and what they change is `linnetknot_ops`'s; here bytes are moved, bans are laid over
-//! what the sources tell the core, drains close client connections, and the state is kept under `$TMPDIR`.
-//! The admin listener has slots of its own, so that callers that hold connections without a whole call, or a flood of
-//! clients, never keep an operator out: where its slots are full, the caller that came first leaves.
+//! what the sources tell the core, drains close client connections, and the state is stored under `$TMPDIR`.
+//! The admin listener has slots of its own, so that callers that hold connections without a complete call, or a flood of
+//! clients, never keep an operator out: where its slots are full, the caller that came first is evicted.
 
 use super::promises::Decided;
 use super::{Connection, Daemon, Kind, Timer};
@@ -17,27 +17,27 @@
 pub(super) struct Caller {
     parser: Parser,
     /// Its one answer is on its way: the connection ends once that is written.
-    answered: bool,
-    /// Its call is carried out, and its answer waits until that is kept.
-    waits: bool,
+    is_answered: bool,
+    /// Its call is carried out, and its answer waits until that is committed.
+    is_waiting: bool,
 }
 
 impl Caller {
     /// Whether its call is carried out and its answer still owed.
     pub(super) fn is_waiting(&self) -> bool {
-        self.waits
+        self.is_waiting
     }
 
-    /// Whether all is said.
+    /// Whether its answer is given.
     pub(super) fn is_over(&self) -> bool {
-        self.answered
+        self.is_answered
     }
 }
 
 impl Daemon {
-    /// Takes in the callers that wait.
+    /// Accepts the callers that wait.
     pub(super) fn accept_admin(&mut self, now: Micros) {
-        let mut made_room = false;
+        let mut has_evicted = false;
         loop {
             let Some(listener) = &mut self.admin else {
                 return;
@@ -53,10 +53,10 @@
                 Err(failure) if failure.kind != FailureKind::NoDescriptors => {
                     return self.pause_admin(now);
                 }
-                // Out of descriptors: make room by the oldest caller, or a client that rests, and take the next one then.
+                // Out of descriptors: the oldest caller is evicted, or an idle client, and the next one is accepted then.
                 Err(_) => {
-                    let again = std::mem::replace(&mut made_room, true);
-                    if !again && self.make_room_for_caller(now) {
+                    let again = std::mem::replace(&mut has_evicted, true);
+                    if !again && self.evict_oldest_caller(now) {
                         continue;
                     }
                     match self.eviction_candidate(now) {
@@ -67,9 +67,9 @@
                     continue;
                 }
             };
-            made_room = false;
+            has_evicted = false;
             if self.callers >= self.limits.admin_callers {
-                self.make_room_for_caller(now);
+                self.evict_oldest_caller(now);
             }
             let Ok(conn) = Conn::new(
                 socket,
@@ -81,8 +81,8 @@
             };
             let caller = Caller {
                 parser: Parser::new(),
-                answered: false,
-                waits: false,
+                is_answered: false,
+                is_waiting: false,
             };
             if let Some(key) = self.open(now, conn, Kind::Admin(Box::new(caller))) {
                 self.callers += 1;
@@ -99,19 +99,14 @@
         self.accept_later(now);
     }
 
-    /// Ends the caller that has been there longest; false where there is none.
-    fn make_room_for_caller(&mut self, now: Micros) -> bool {
+    /// Closes the connection of the caller that came first; false where there is none.
+    fn evict_oldest_caller(&mut self, now: Micros) -> bool {
         let keys = self.connections.keys();
-        let admin = |key: &Key| {
-            Some((
-                self.connections
-                    .get(*key)
-                    .filter(|c| matches!(c.kind, Kind::Admin(_)))?
-                    .since,
-                *key,
-            ))
+        let accepted = |key: &Key| {
+            let connection = self.connections.get(*key)?;
+            matches!(connection.kind, Kind::Admin(_)).then_some((connection.since, *key))
         };
-        let Some((_, oldest)) = keys.iter().filter_map(admin).min() else {
+        let Some((_, oldest)) = keys.iter().filter_map(accepted).min() else {
             return false;
         };
         self.close(now, oldest);
@@ -120,17 +115,17 @@
 
     /// A caller's time for its call is over.
     pub(super) fn admin_timeout(&mut self, now: Micros, key: Key) {
-        // One whose call is carried out has its answer when that is kept or can't be, which has a time of its own.
+        // One whose call is carried out has its answer when that is committed or rejected, which has a time of its own.
         if self
             .connections
             .get(key)
-            .is_some_and(|c| matches!(&c.kind, Kind::Admin(caller) if !caller.waits))
+            .is_some_and(|c| matches!(&c.kind, Kind::Admin(caller) if !caller.is_waiting))
         {
             self.close(now, key);
         }
     }
 
-    /// Reads what a caller sent, and answers once the call is whole or can't be.
+    /// Reads what a caller sent, and answers once the call is complete or can't be read.
     pub(super) fn read_admin(&mut self, now: Micros, key: Key, ended: bool) {
         let Some(c) = self.connections.get_mut(key) else {
             return;
@@ -138,8 +133,8 @@
         let Kind::Admin(caller) = &mut c.kind else {
             return;
         };
-        if caller.waits {
-            // Bytes behind a call are nobody's, and a caller may end its half.
+        if caller.is_waiting {
+            // Bytes after a call are ignored, and a caller may end its half.
             return c.conn.input.consume(c.conn.input.len());
         }
         let mut got = Ok(None);
@@ -149,10 +144,10 @@
             got = caller.parser.feed(front);
             c.conn.input.consume(n);
         }
-        // Bytes after the answer are nobody's.
+        // Bytes after the call are ignored.
         c.conn.input.consume(c.conn.input.len());
         let reply = match got {
-            Ok(Some(call)) => match self.called(now, key, call) {
+            Ok(Some(call)) => match self.carry_out(now, key, call) {
                 Some(reply) => reply,
                 None => {
                     if let Some(Connection {
@@ -160,7 +155,7 @@
                         ..
                     }) = self.connections.get_mut(key)
                     {
-                        caller.waits = true;
+                        caller.is_waiting = true;
                     }
                     return;
                 }
@@ -170,8 +165,8 @@
             Ok(None) => match caller.parser.end() {
                 Some(e) => Reply::refused(e),
                 None => {
-                    // It said nothing and has gone: nothing is owed, and the connection ends.
-                    caller.answered = true;
+                    // It sent nothing and has gone: no answer is due, and the connection ends.
+                    caller.is_answered = true;
                     return;
                 }
             },
@@ -187,8 +182,8 @@
         let Kind::Admin(caller) = &mut c.kind else {
             return;
         };
-        caller.waits = false;
-        if !std::mem::replace(&mut caller.answered, true) {
+        caller.is_waiting = false;
+        if !std::mem::replace(&mut caller.is_answered, true) {
             c.conn.output.push(&reply.to_bytes());
         }
     }
@@ -198,8 +193,8 @@
         self.core.is_ready() && !self.is_stopping() && self.promised.has_recovered()
     }
 
-    /// Carries out a call. None where its answer waits for copies.
-    fn called(&mut self, now: Micros, key: Key, call: Call) -> Option<Reply> {
+    /// Carries out a call. None where its answer waits until replicas have it.
+    fn carry_out(&mut self, now: Micros, key: Key, call: Call) -> Option<Reply> {
         let told = match &call {
             Call::Fleet => self.fleet_status().map(|status| fleet::to_json(&status)),
             Call::Budgets => self.budgets_status().map(|status| fleet::to_json(&status)),
--- a/daemon/src/daemon/event_loop.rs
+++ b/daemon/src/daemon/event_loop.rs
@@ -58,8 +58,8 @@
             self.turn
                 .wait_ended(now, wait, self.clock.now(), !ready.is_empty());
             ready.sort_by_key(|event| self.rank(event));
-            let broken_off = self.turn_over(&mut ready);
-            self.turn.over(broken_off);
+            let cut_short = self.turn_over(&mut ready);
+            self.turn.over(cut_short);
             spells::log_ended();
         }
         spells::log_rest();
@@ -67,7 +67,7 @@
         Ok(())
     }
 
-    /// One turn: events, and then what is due. True: it was broken off, as what is known of clients had become old.
+    /// One turn: events, and then what is due. True: it was cut short, as what is known of clients had become old.
     /// epoll tells of the events that are left once more.
     fn turn_over(&mut self, ready: &mut Vec<Ready>) -> bool {
         for event in ready.drain(..) {
--- a/daemon/src/daemon/exchange.rs
+++ b/daemon/src/daemon/exchange.rs
@@ -1,5 +1,5 @@
-//! The seam for protocols that this side begins: the loop connects, writes, reads and counts the time; what the bytes
-//! mean is the protocol's. What follows from them is handed back as effects, which run once the connection is no
+//! The interface of protocols in which this side is the client: the loop connects, writes, reads and keeps the time;
+//! what the bytes mean is up to the protocol. What follows from them is handed back as effects, which run once the connection is no
 //! longer borrowed.
 
 use super::{Daemon, Kind, Timer};
@@ -24,7 +24,7 @@
     Unreadable(WireError),
 }
 
-/// What an exchange wants next.
+/// What an exchange needs next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Flow {
     /// More bytes.
@@ -61,7 +61,7 @@
         Some(key)
     }
 
-    /// Has something done at a time, if at all, in the place of what was to be done at another.
+    /// Reschedules: cancels what was due, and has this done at a time, if at all.
     pub(super) fn instead(
         &mut self,
         old: Option<Due>,
--- a/daemon/src/daemon/lifecycle.rs
+++ b/daemon/src/daemon/lifecycle.rs
@@ -1,11 +1,11 @@
-//! How a client's connection ends, of either front: the one place where it goes from open to gone.
+//! The life cycle of a client's connection, of either front: the one place where it goes from open to gone.
 //!
 //! | state | what it is | goes on to |
 //! | --- | --- | --- |
 //! | open | requests are taken | draining, half-closed, gone |
 //! | draining | it ends once all that is open on it is answered | half-closed, gone |
 //! | half-closed (lingering) | this side has ended its half; what still comes is thrown away | gone |
-//! | gone | closed, and all that its client waited for is called off | |
+//! | gone | closed, and all that its client waited for is cancelled | |
 //!
 //! A close answers bytes that were not read with a reset, which takes along what the client has not read of its
 //! answers; and a request that was read behind this side's end would be answered nowhere. So only a connection on which
@@ -43,8 +43,8 @@
         matches!(&c.kind, Kind::Client(s) if s.is_over() && c.conn.output.is_empty())
     }
 
-    /// Has a client's connection looked at for its end, still in this turn of the loop: whoever asks for that may be in
-    /// the midst of reading it.
+    /// Plans the end of a client's connection for this turn of the loop: whoever asks for that may be in the midst of
+    /// reading it.
     pub(super) fn end_soon(&mut self, now: Micros, key: Key) {
         if self.connections.get(key).is_some_and(Self::is_quiet) {
             self.deadlines.set(now, Timer::End(key));
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Takes in what a client's connection has received up to this moment. False: it has gone.
+    /// Reads what a client's connection has received up to this moment. False: it has gone.
     pub(super) fn check_client(&mut self, now: Micros, key: Key) -> bool {
         let Some(c) = self.connections.get_mut(key) else {
             return false;
@@ -157,8 +157,8 @@
         });
     }
 
-    /// Whether a client's connection holds the process back that ends.
-    pub(super) fn holds_back(&self, now: Micros, c: &Connection) -> bool {
+    /// Whether a client's connection keeps a process that ends from exiting.
+    pub(super) fn delays_exit(&self, now: Micros, c: &Connection) -> bool {
         match &c.kind {
             Kind::Client(_) | Kind::Cdni(_) => true,
             Kind::Lingering => self
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -39,8 +39,8 @@
 mod peer_index;
 mod plain_purges;
 mod promises;
+mod reconnect;
 mod recovery;
-mod redial;
 mod registration;
 mod reload;
 mod shutdown;
@@ -71,7 +71,7 @@
     listener: Option<Listener>,
     accepts_later: bool,
     /// Attempts whose connection can't be begun from here for now.
-    redial: redial::Waiting,
+    reconnect: reconnect::WaitingAttempts,
     term: Signal,
     hup: Signal,
     /// The configuration that is in force, and where a new one is read from.
--- a/daemon/src/daemon/redial.rs
+++ b/daemon/src/daemon/reconnect.rs
@@ -1,4 +1,4 @@
-//! Attempts whose connection can't be begun from this machine for now.
+//! Reconnecting: attempts for which this machine can't begin a connection for now.
 //!
 //! Without a local port, a route, a descriptor or memory nothing is known of the cache, and nothing was sent to it. Such
 //! an attempt stays out, has not begun, and waits here until a connection can be begun or its time is over: the cache is
@@ -11,7 +11,7 @@
 
 /// The attempts that wait.
 #[derive(Default)]
-pub(super) struct Waiting {
+pub(super) struct WaitingAttempts {
     attempts: Vec<AttemptId>,
     /// Whether they are due to be looked at.
     is_due: bool,
@@ -23,27 +23,27 @@
     /// Has an attempt wait until a connection can be begun.
     pub(super) fn send_later(&mut self, now: Micros, attempt: AttemptId) {
         if let Some((_, sending)) = self.core.sending(attempt) {
-            self.redial.failed.insert(sending.server);
-            self.redial.attempts.push(attempt);
+            self.reconnect.failed.insert(sending.server);
+            self.reconnect.attempts.push(attempt);
         }
-        if !std::mem::replace(&mut self.redial.is_due, true) {
+        if !std::mem::replace(&mut self.reconnect.is_due, true) {
             self.later(now + self.limits.accept_again_us, Daemon::send_again);
         }
     }
 
     /// Sends the attempts that wait and may still begin.
     fn send_again(&mut self, now: Micros) {
-        self.redial.is_due = false;
-        self.redial.failed.clear();
-        for attempt in std::mem::take(&mut self.redial.attempts) {
+        self.reconnect.is_due = false;
+        self.reconnect.failed.clear();
+        for attempt in std::mem::take(&mut self.reconnect.attempts) {
             let Some((_, sending)) = self.core.sending(attempt) else {
                 continue;
             };
             let server = sending.server;
             if self.core.beginning(now, attempt).is_none() {
                 self.core.ended(now, attempt, Outcome::Moot.into());
-            } else if self.redial.failed.contains(&server) {
-                // One call a round tells: the others wait for the next.
+            } else if self.reconnect.failed.contains(&server) {
+                // One failure a round is enough to know of: the others wait for the next.
                 self.send_later(now, attempt);
             } else {
                 self.send(now, attempt);
--- a/daemon/src/daemon/registration.rs
+++ b/daemon/src/daemon/registration.rs
@@ -1,7 +1,7 @@
 //! Connections in the epoll set, also while the kernel has no memory or no watches left for them.
 //!
-//! A connection that can't be watched is not closed: its client may have sent requests, and what is open on it is owed.
-//! It is registered again a moment later, and until that succeeds it is served by looking at it each time.
+//! A connection that can't be watched is not closed: its client may have sent requests, and what is open on it must be answered.
+//! It is registered again a moment later, and until that succeeds it is polled.
 
 use super::{Daemon, Timer};
 use crate::net::{Failure, FailureKind, Key, Ready};
@@ -72,7 +72,7 @@
         true
     }
 
-    /// Tries again to register a connection; while that fails, it is looked at here.
+    /// Tries again to register a connection; while that fails, it is polled here.
     pub(super) fn register_again(&mut self, now: Micros, key: Key) {
         let Some(c) = self.connections.get_mut(key) else {
             return;
--- a/daemon/src/daemon/shutdown.rs
+++ b/daemon/src/daemon/shutdown.rs
@@ -57,7 +57,7 @@
                 let holds = |key: &Key| {
                     self.connections
                         .get(*key)
-                        .is_some_and(|c| self.holds_back(now, c))
+                        .is_some_and(|c| self.delays_exit(now, c))
                 };
                 !self.connections.keys().iter().any(holds)
             }
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -12,7 +12,7 @@
 use super::operator_state::OperatorState;
 use super::peer_index::PeerIndex;
 use super::promises::Promised;
-use super::redial;
+use super::reconnect;
 use super::signals::Signal;
 use super::store_opening::{PendingStore, StoreConfig};
 use super::turn::Turn;
@@ -211,7 +211,7 @@
             poll: parts.sockets.poll,
             listener: Some(parts.sockets.clients),
             accepts_later: false,
-            redial: redial::Waiting::default(),
+            reconnect: reconnect::WaitingAttempts::default(),
             term: parts.sockets.term,
             hup: parts.sockets.hup,
             connections: Slots::new(config.limits.connections),
--- a/daemon/src/daemon/turn.rs
+++ b/daemon/src/daemon/turn.rs
@@ -1,5 +1,5 @@
-//! What one turn of the loop knows of the time. A process may be stopped, or be kept by its own work, for a second and
-//! more: what clients sent meanwhile came long before it is read, and what is known of them is old by then.
+//! The time of one turn of the event loop. A process may be stopped, or be busy with its own work, for a second and
+//! more: what clients sent meanwhile arrived long before it is read, and what is known of them is out of date by then.
 
 use linnetknot::Micros;
 
@@ -10,64 +10,70 @@
 /// the wait could have lasted that long: so this and `USUAL_US` together stay under what a deadline may be passed on late.
 pub(super) const MAX_WAIT_US: Micros = 80_000;
 
-/// A step of a turn that takes longer than this was kept, or the process was stopped: the events of the turn that are
-/// left are asked for anew before anything follows from them.
-const KEPT_US: Micros = 50_000;
+/// A step of a turn that takes longer than this was delayed, or the process was stopped: the remaining events of the turn
+/// are polled for again before anything follows from them.
+const DELAYED_STEP_US: Micros = 50_000;
 /// The same for a turn of many steps.
-const LONG_TURN_US: Micros = 100_000;
-/// So many turns in a row are broken off for a step that was kept.
-const MAX_BROKEN_OFF: u32 = 3;
-/// Less than this is the loop's usual work, and counts as no time at all.
+const DELAYED_TURN_US: Micros = 100_000;
+/// At most so many turns in a row are cut short for a delayed step.
+const MAX_CUT_SHORT: u32 = 3;
+/// A delay below this is the loop's usual work, and counts as none.
 const USUAL_US: Micros = 60_000;
 
 /// The loop's latest wait for events, and what followed from it.
 #[derive(Default)]
 pub(super) struct Turn {
-    /// All that had come by then was told by the waits until then.
-    told_until: Micros,
-    /// What the latest wait told came at that time or later.
-    came_since: Micros,
+    /// The waits until now have reported all that had arrived by then.
+    reported_until: Micros,
+    /// What the latest wait reported arrived at that time or later.
+    arrived_since: Micros,
     /// When the latest wait ended.
     waited: Micros,
-    /// The same as `told_until`, once all that the latest wait told is taken up.
-    telling_until: Micros,
-    /// When its latest step ended.
+    /// What `reported_until` becomes once all that the latest wait reported is handled.
+    reporting_until: Micros,
+    /// When the latest step of the turn ended.
     stepped: Micros,
-    /// So many turns in a row were broken off, as their events had become old.
-    broken_off: u32,
+    /// So many turns in a row were cut short, as their events were out of date.
+    turns_cut_short: u32,
 }
 
 impl Turn {
     /// The loop begins.
     pub(super) fn start(now: Micros) -> Self {
         Turn {
-            told_until: now,
-            came_since: now,
+            reported_until: now,
+            arrived_since: now,
             waited: now,
-            telling_until: now,
+            reporting_until: now,
             stepped: now,
-            broken_off: 0,
+            turns_cut_short: 0,
         }
     }
 
-    /// A wait from `began` to `ended` that was to last for `wait` at the most; whether it told of anything.
-    pub(super) fn wait_ended(&mut self, began: Micros, wait: Micros, ended: Micros, told: bool) {
+    /// A wait from `began` to `ended`, of `wait` at the most, is over; `reported`: it reported events.
+    pub(super) fn wait_ended(
+        &mut self,
+        began: Micros,
+        wait: Micros,
+        ended: Micros,
+        reported: bool,
+    ) {
         let slept = ended.saturating_sub(began);
         let asleep = slept.min(wait);
-        self.told_until += asleep;
-        self.came_since = self.told_until.min(ended);
-        // A process that was stopped in its wait goes on with an interrupted one, which tells of nothing.
-        self.telling_until = if told || slept <= wait + USUAL_US {
+        self.reported_until += asleep;
+        self.arrived_since = self.reported_until.min(ended);
+        // A process that was stopped in its wait goes on with an interrupted one, which reports no events.
+        self.reporting_until = if reported || slept <= wait + USUAL_US {
             ended
         } else {
-            self.told_until
+            self.reported_until
         };
         (self.waited, self.stepped) = (ended, ended);
     }
 
-    /// For how long what is read now may have been there.
+    /// For how long what is read now may have waited to be read.
     pub(super) fn waited_unread(&self, now: Micros) -> Micros {
-        let unread = now.saturating_sub(self.came_since);
+        let unread = now.saturating_sub(self.arrived_since);
         if unread > USUAL_US {
             unread
         } else {
@@ -75,22 +81,22 @@
         }
     }
 
-    /// Whether the events of this turn have become old, after a step of it: then it is broken off, and they are asked for
-    /// anew, with those of clients that have gone meanwhile. Not for ever, so that all of them come to their turn.
+    /// Whether the events of this turn are out of date after a step of it: then the turn is cut short, and they are polled
+    /// for again, with those of clients that have gone meanwhile. Not without end, so that all events are handled in time.
     pub(super) fn is_old(&mut self, now: Micros) -> bool {
         let step = now.saturating_sub(std::mem::replace(&mut self.stepped, now));
         let turn = now.saturating_sub(self.waited);
-        step > KEPT_US && self.broken_off < MAX_BROKEN_OFF
-            || turn > LONG_TURN_US && self.broken_off == 0
+        step > DELAYED_STEP_US && self.turns_cut_short < MAX_CUT_SHORT
+            || turn > DELAYED_TURN_US && self.turns_cut_short == 0
     }
 
-    /// This turn is over; `broken_off`: with events left, which the next wait tells once more.
-    pub(super) fn over(&mut self, broken_off: bool) {
-        if broken_off {
-            self.broken_off += 1;
+    /// This turn is over; `cut_short`: with events left, which the next wait reports once more.
+    pub(super) fn over(&mut self, cut_short: bool) {
+        if cut_short {
+            self.turns_cut_short += 1;
         } else {
-            self.broken_off = 0;
-            self.told_until = self.telling_until;
+            self.turns_cut_short = 0;
+            self.reported_until = self.reporting_until;
         }
     }
 }
