--- a/daemon/src/daemon/admin.rs
+++ b/daemon/src/daemon/admin.rs
@@ -272,7 +272,8 @@
             .map(|(e, _)| e.clone());
         if let Some(mut entry) = listed {
             entry.server.state = State::Gone;
-            self.core.list(now, ListMode::Delta, vec![entry]);
+            self.core
+                .update_endpoints(now, ListMode::Delta, vec![entry]);
         }
     }
 
@@ -284,7 +285,8 @@
             .find(|(e, _)| e.uid == id)
             .map(|(e, _)| e.clone());
         if let Some(entry) = listed.filter(|e| e.server.state != State::Gone) {
-            self.core.list(now, ListMode::Delta, vec![entry]);
+            self.core
+                .update_endpoints(now, ListMode::Delta, vec![entry]);
         }
     }
 
@@ -331,7 +333,7 @@
             // A connection that has asked nothing yet is let be for a sweep: its request may be on its way.
             let idle = self.connections.get(key).is_some_and(|c| match &c.kind {
                 Kind::Client(s) => {
-                    Self::is_quiet(c) && (s.has_asked() || c.since + SWEEP_US <= now)
+                    Self::is_quiet(c) && (s.has_received_request() || c.since + SWEEP_US <= now)
                 }
                 _ => false,
             });
--- a/daemon/src/daemon/budgets/mod.rs
+++ b/daemon/src/daemon/budgets/mod.rs
@@ -76,7 +76,7 @@
         })?;
         let delivered = vec![None; specs.len()];
         // A request that stayed open for longer than its class allows would settle later, too.
-        self.core.most_us = config.longest_open_us().unwrap_or(Micros::MAX);
+        self.core.max_request_us = config.longest_open_us().unwrap_or(Micros::MAX);
         self.shared_budgets = Some(SharedBudgets {
             member,
             delivered,
@@ -91,7 +91,7 @@
     /// Joins them anew, as a later process of this member.
     pub(super) fn rejoin_budgets(&mut self, now: Micros) {
         if let Some(due) = self.shared_budgets.take().and_then(|shared| shared.due) {
-            self.deadlines.take_back(due);
+            self.deadlines.cancel(due);
         }
         if let Err(e) = self.join_budgets(now) {
             log::error!("{e}");
@@ -196,9 +196,9 @@
         let millionths =
             |share: Option<f64>| (share.unwrap_or(0.0) * Unit::Millionths.one() as f64) as Amount;
         Unsettled {
-            origin: self.core.asking() as Amount,
-            caches: millionths(self.core.cold_use(now, false)),
-            parents: millionths(self.core.cold_use(now, true)),
+            origin: self.core.origin_in_flight() as Amount,
+            caches: millionths(self.core.slow_start_use(now, false)),
+            parents: millionths(self.core.slow_start_use(now, true)),
         }
     }
 
@@ -258,7 +258,7 @@
         for (to, messages) in by_member {
             let peer = self.peer_index(to);
             for bytes in wire::write(self.config.budgets.fingerprint, process, &messages) {
-                self.send_to_place(peer, &bytes);
+                self.send_to_peer_at(peer, &bytes);
             }
         }
         if grants {
--- a/daemon/src/daemon/cdni_listener.rs
+++ b/daemon/src/daemon/cdni_listener.rs
@@ -2,7 +2,7 @@
 
 use super::exchange::{Effect, End, Exchange, Flow};
 use super::{Connection, Daemon, Kind, Timer};
-use crate::core::{Answer, Asked, Client};
+use crate::core::{Answer, Client, ClientRequest};
 use crate::front::cdni::{self, Post, Reply, Session, Waiting, MEDIA};
 use crate::net::{Conn, Key, Progress};
 use crate::wire::http::{self, Head, Messages, Piece};
@@ -143,7 +143,7 @@
             Err(e) => {
                 // Answered by a status before the connection ends: the sender is to learn what it did.
                 log::warn!("a peer CDN sent what can't be read: {e}");
-                session.refuse();
+                session.reject_unreadable();
                 None
             }
         }
@@ -153,14 +153,14 @@
     fn cdni_reply(&mut self, now: Micros, head: &Head, body: &[u8]) -> Option<Reply> {
         let ready = self.can_serve();
         let (_, trigger_api) = self.trigger_api.as_mut()?;
-        let reply = trigger_api.take(now, ready, head, body);
+        let reply = trigger_api.handle(now, ready, head, body);
         // A trigger that is not known may stand in the store.
-        let is_unknown = matches!(&reply, Reply::Now(response) if response.status == 404)
+        let is_unknown = matches!(&reply, Reply::Respond(response) if response.status == 404)
             && head
                 .request()
                 .is_some_and(|(_, target)| cdni::is_trigger(target));
         if is_unknown && self.pending_store.is_some() {
-            return Some(Reply::Now(trigger_api.retract(None)));
+            return Some(Reply::Respond(trigger_api.retract(None)));
         }
         Some(reply)
     }
@@ -168,39 +168,43 @@
     /// Answers a request, or has the answer wait for a commit or for the core.
     fn take_cdni_reply(&mut self, now: Micros, key: Key, reply: Reply) {
         match reply {
-            Reply::Now(response) => {
+            Reply::Respond(response) => {
                 if let Some((_, session)) = self.cdni_session(key) {
                     session.respond(&response);
                 }
             }
-            Reply::Promise(response, trigger, effects) => {
+            Reply::RespondOnceCommitted {
+                response,
+                trigger,
+                effects,
+            } => {
                 if let Some((_, session)) = self.cdni_session(key) {
-                    session.waiting = Some(Waiting::Promise);
+                    session.waiting = Some(Waiting::Commit);
                 }
                 self.promise(now, (key, response, trigger), effects);
             }
-            Reply::Ask(asked) => self.ask_for_cdni(now, key, asked),
+            Reply::Forward(request) => self.admit_for_cdni(now, key, request),
         }
     }
 
     /// Has the core take the request of a redirected client, or rejects it.
-    fn ask_for_cdni(&mut self, now: Micros, key: Key, mut asked: Asked) {
+    fn admit_for_cdni(&mut self, now: Micros, key: Key, mut request: ClientRequest) {
         let unread = self.turn.waited_unread(now);
-        asked.remaining_us = asked.remaining_us.saturating_sub(unread);
-        let until = now + asked.remaining_us;
+        request.remaining_us = request.remaining_us.saturating_sub(unread);
+        let deadline = now + request.remaining_us;
         let client = Client {
             connection: key,
             stream: 0,
         };
-        let ticket = self.core.ask(now, client, asked);
-        let wait_us = Some(self.limits.back_off_us);
+        let ticket = self.core.admit(now, client, request);
+        let retry_after_us = Some(self.limits.back_off_us);
         let Some((_, session)) = self.cdni_session(key) else {
             return;
         };
-        session.until = until;
+        session.deadline = deadline;
         match ticket {
             Some(ticket) => session.waiting = Some(Waiting::Core(ticket)),
-            None => session.respond(&cdni::response(Answer::Refused { wait_us }, false)),
+            None => session.respond(&cdni::response(Answer::Rejected { retry_after_us }, false)),
         }
     }
 
@@ -210,7 +214,7 @@
         let Some((_, session)) = self.cdni_session(key) else {
             return;
         };
-        let is_late = now + answer_ahead_us >= session.until;
+        let is_late = now + answer_ahead_us >= session.deadline;
         session.respond(&cdni::response(answer, is_late));
         // The next request may have come meanwhile; reading it is left to the loop, so that a peer CDN that
         // sends many at once can't nest them here.
@@ -227,7 +231,7 @@
             match conn.write() {
                 Progress::Moved => {}
                 Progress::Broken => return false,
-                _ => return !(session.is_over() && conn.output.is_empty()),
+                _ => return !(session.is_finished() && conn.output.is_empty()),
             }
         }
     }
@@ -241,7 +245,7 @@
         let posts = self
             .trigger_api
             .as_ref()
-            .map(|(_, trigger_api)| trigger_api.notices(ready))
+            .map(|(_, trigger_api)| trigger_api.footprint_notices(ready))
             .unwrap_or_default();
         posts.into_iter().for_each(|post| self.send_out(now, post));
     }
@@ -251,7 +255,7 @@
         let posts = self
             .trigger_api
             .as_ref()
-            .map(|(_, trigger_api)| trigger_api.pass_on(object, group))
+            .map(|(_, trigger_api)| trigger_api.purge_commands(object, group))
             .unwrap_or_default();
         posts.into_iter().for_each(|post| self.send_out(now, post));
     }
--- a/daemon/src/daemon/clients/mod.rs
+++ b/daemon/src/daemon/clients/mod.rs
@@ -12,8 +12,12 @@
     /// The state of a client's connection, of either front; none if it is no client's.
     fn client_state(c: &Connection) -> Option<Standing> {
         let (busy, half, asked) = match &c.kind {
-            Kind::Client(s) => (s.is_waiting(), s.is_half(), s.has_asked()),
-            Kind::Cdni(s) => (!s.is_idle(), s.is_half(), s.has_asked()),
+            Kind::Client(s) => (
+                s.has_pending_answers(),
+                s.is_partial(),
+                s.has_received_request(),
+            ),
+            Kind::Cdni(s) => (!s.is_idle(), s.is_partial(), s.has_received_request()),
             Kind::Lingering => return Some(Standing::Lingering),
             _ => return None,
         };
@@ -31,7 +35,7 @@
     /// How many answers a client is owed.
     fn owed(c: &Connection) -> usize {
         match &c.kind {
-            Kind::Client(s) => s.owed(),
+            Kind::Client(s) => s.unanswered(),
             Kind::Cdni(s) => usize::from(s.waiting.is_some()),
             _ => 0,
         }
@@ -52,7 +56,7 @@
         }
         c.half = half;
         let held = if let Kind::Client(session) = &c.kind {
-            session.held()
+            session.buffered_bytes()
         } else {
             0
         };
@@ -80,9 +84,9 @@
                 return;
             };
             if let Kind::Client(session) = &mut c.kind {
-                if session.owes_answers() {
-                    session.refuse_half(Some(self.limits.back_off_us));
-                    c.held = session.held();
+                if session.has_unanswered_requests() {
+                    session.reject_partial(Some(self.limits.back_off_us));
+                    c.held = session.buffered_bytes();
                     self.held = self.held + c.held - before;
                 }
             }
--- a/daemon/src/daemon/event_loop.rs
+++ b/daemon/src/daemon/event_loop.rs
@@ -55,8 +55,7 @@
                 .map_or(MAX_WAIT_US, |at| at.saturating_sub(now))
                 .min(MAX_WAIT_US);
             self.poll.wait(wait, &mut ready)?;
-            self.turn
-                .wait_ended(now, wait, self.clock.now(), !ready.is_empty());
+            self.turn.wait_ended(now, wait, self.clock.now());
             ready.sort_by_key(|event| self.rank(event));
             let cut_short = self.turn_over(&mut ready);
             self.turn.over(cut_short);
@@ -108,7 +107,7 @@
             LISTENER => self.accept(now),
             SIGNAL => self.term(now),
             RELOAD => self.reload(now),
-            PEERS => self.hear_peers(now),
+            PEERS => self.receive_peer_datagrams(now),
             CDNI => self.accept_cdni(now),
             ADMIN => self.accept_admin(now),
             STORE => self.hear_store(now),
@@ -142,7 +141,7 @@
     /// Carries out what the core wants done, and what follows from that.
     pub(super) fn settle(&mut self, now: Micros) {
         loop {
-            let commands = self.core.commands();
+            let commands = self.core.take_commands();
             if commands.is_empty() {
                 return;
             }
@@ -161,7 +160,7 @@
                         self.deadlines.set(at, Timer::Core(wake));
                     }
                     Command::Probe(server) => self.probe(now, server),
-                    Command::Found(share) => self.tell_found(now, share),
+                    Command::ShareOriginHealth(share) => self.share_origin_health(now, share),
                     Command::Withdraw(server) => self.withdraw(now, server),
                 }
             }
--- a/daemon/src/daemon/promises.rs
+++ b/daemon/src/daemon/promises.rs
@@ -3,7 +3,7 @@
 
 use super::recovery::SnapshotWait;
 use super::{Connection, Daemon, Kind, Timer};
-use crate::front::cdni::{Effect, Name, Response};
+use crate::front::cdni::{Effect, Response, TriggerId};
 use crate::ledger::{self, AppendError};
 use crate::net::{Due, Key};
 use linnetknot::Micros;
@@ -14,7 +14,7 @@
 use std::net::SocketAddr;
 
 /// An answer to a neighbour: its connection, itself, and the trigger that was made, if one was.
-type Neighbours = (Key, Response, Option<Name>);
+type Neighbours = (Key, Response, Option<TriggerId>);
 
 /// An answer that waits.
 enum Answer {
@@ -193,12 +193,17 @@
         let entry = ledger
             .append(what.clone(), now, lifted)
             .map_err(|e| e.to_string())?;
-        self.tell_entry(entry);
+        self.send_entry(entry);
         Ok(())
     }
 
     /// The status of a trigger as entries: the place of the last; none where there is no log.
-    fn say_status(&mut self, now: Micros, name: Name, text: &str) -> Result<Option<Index>, String> {
+    fn say_status(
+        &mut self,
+        now: Micros,
+        name: TriggerId,
+        text: &str,
+    ) -> Result<Option<Index>, String> {
         let Some(ledger) = &mut self.ledger else {
             return Ok(None);
         };
@@ -206,7 +211,7 @@
             .append_status(name.number, text, now)
             .map_err(|e| e.to_string())?;
         let place = entries.last().map(|entry| entry.index);
-        entries.into_iter().for_each(|entry| self.tell_entry(entry));
+        entries.into_iter().for_each(|entry| self.send_entry(entry));
         Ok(place)
     }
 
@@ -214,7 +219,7 @@
     fn say_gone(
         &mut self,
         now: Micros,
-        Name { writer, number }: Name,
+        TriggerId { writer, number }: TriggerId,
     ) -> Result<Option<Index>, String> {
         let Some(ledger) = &mut self.ledger else {
             return Ok(None);
@@ -223,7 +228,7 @@
             .append(Subject::Gone { writer, number }, now, false)
             .map_err(|e| e.to_string())?;
         let place = entry.index;
-        self.tell_entry(entry);
+        self.send_entry(entry);
         Ok(Some(place))
     }
 
@@ -232,13 +237,13 @@
         let (Some(ledger), Some((_, trigger_api))) = (&self.ledger, &mut self.trigger_api) else {
             return;
         };
-        let first = Name {
+        let first = TriggerId {
             writer: ledger.replica().own().writer,
             number: ledger.first_number(),
         };
-        trigger_api.begin_triggers(first);
+        trigger_api.start_ids_at(first);
         for (writer, number, text) in ledger.statuses() {
-            trigger_api.admit(now, Name { writer, number }, &text);
+            trigger_api.insert(now, TriggerId { writer, number }, &text);
         }
     }
 
@@ -248,14 +253,14 @@
             return;
         };
         let named = |entry: &Entry| match entry.subject {
-            Subject::Status { number, .. } => Some(Name {
+            Subject::Status { number, .. } => Some(TriggerId {
                 writer: entry.log.writer,
                 number,
             }),
-            Subject::Gone { writer, number } => Some(Name { writer, number }),
+            Subject::Gone { writer, number } => Some(TriggerId { writer, number }),
             _ => None,
         };
-        let mut names: Vec<Name> = entries.iter().filter_map(named).collect();
+        let mut names: Vec<TriggerId> = entries.iter().filter_map(named).collect();
         names.dedup();
         for name in names {
             match ledger
@@ -263,8 +268,8 @@
                 .log_store()
                 .status(name.writer, name.number)
             {
-                Some(text) => trigger_api.admit(now, name, &text),
-                None => trigger_api.forget(name),
+                Some(text) => trigger_api.insert(now, name, &text),
+                None => trigger_api.remove(name),
             }
         }
     }
@@ -327,7 +332,7 @@
         object: Option<String>,
         group: u64,
     ) -> Result<Option<Index>, String> {
-        let at = self.core.purged_now(now, object.as_deref(), group);
+        let at = self.core.record_local_purge(now, object.as_deref(), group);
         let entry = self
             .ledger
             .as_mut()
@@ -335,7 +340,7 @@
             .transpose();
         fail::fail_point!("peers-tell");
         if let Ok(Some(entry)) = &entry {
-            self.tell_entry(entry.clone());
+            self.send_entry(entry.clone());
         }
         self.send_plain_purge(now, object.as_deref(), group, at);
         fail::fail_point!("peers-told");
@@ -358,7 +363,7 @@
         if !told.is_empty() {
             fail::fail_point!("holder-says");
         }
-        self.send_words(told);
+        self.send_datagrams(told);
         self.settle_promises(now);
     }
 
@@ -456,7 +461,7 @@
         if without_snapshot > before {
             log::warn!(peers = without_snapshot; "peers of an earlier version are behind what was compacted here, and know no snapshots");
         }
-        self.send_words(told);
+        self.send_datagrams(told);
         self.watch_snapshot(now);
         self.settle_promises(now);
         self.plan_copies(now);
@@ -469,7 +474,7 @@
         if self
             .promised
             .due
-            .is_none_or(|(at, _)| at > due || at <= now)
+            .is_none_or(|planned| planned.at > due || planned.at <= now)
         {
             let old = self.promised.due.take();
             self.promised.due = self.instead(old, Some(due), |daemon, now| {
--- a/daemon/src/daemon/reconnect.rs
+++ b/daemon/src/daemon/reconnect.rs
@@ -22,8 +22,8 @@
 impl Daemon {
     /// Has an attempt wait until a connection can be begun.
     pub(super) fn send_later(&mut self, now: Micros, attempt: AttemptId) {
-        if let Some((_, sending)) = self.core.sending(attempt) {
-            self.reconnect.failed.insert(sending.server);
+        if let Some(dispatch) = self.core.dispatch(attempt) {
+            self.reconnect.failed.insert(dispatch.target.server);
             self.reconnect.attempts.push(attempt);
         }
         if !std::mem::replace(&mut self.reconnect.is_due, true) {
@@ -36,12 +36,13 @@
         self.reconnect.is_due = false;
         self.reconnect.failed.clear();
         for attempt in std::mem::take(&mut self.reconnect.attempts) {
-            let Some((_, sending)) = self.core.sending(attempt) else {
+            let Some(dispatch) = self.core.dispatch(attempt) else {
                 continue;
             };
-            let server = sending.server;
-            if self.core.beginning(now, attempt).is_none() {
-                self.core.ended(now, attempt, Outcome::Moot.into());
+            let server = dispatch.target.server;
+            if self.core.dispatch_now(now, attempt).is_none() {
+                self.core
+                    .attempt_finished(now, attempt, Outcome::Moot.into());
             } else if self.reconnect.failed.contains(&server) {
                 // One failure a round is enough to know of: the others wait for the next.
                 self.send_later(now, attempt);
--- a/daemon/src/daemon/reload.rs
+++ b/daemon/src/daemon/reload.rs
@@ -59,9 +59,10 @@
 
     /// Follows a changed list of peers.
     fn reload_peers(&mut self, new: &Config) {
-        let (Some((_, known)), Some((_, peers))) = (&mut self.peers, &new.peers) else {
+        let (Some((_, known)), Some(new)) = (&mut self.peers, &new.peers) else {
             return;
         };
+        let peers = &new.all;
         known.clone_from(peers);
         if let Some(health) = &mut self.origin_health {
             health.retain_peers(|peer| peers.contains(peer));
@@ -98,7 +99,7 @@
         if next != *new {
             log::warn!("SIGHUP: 'settings' has changed beyond its classes and attempts, which takes effect with the next start only");
         }
-        match self.core.retune(next.clone()) {
+        match self.core.apply_settings(next.clone()) {
             Ok(()) => {
                 log::info!(classes = next.classes.len(), attempts = next.max_attempts; "SIGHUP: new settings are in force");
                 self.config.settings = next;
--- a/daemon/src/daemon/turn.rs
+++ b/daemon/src/daemon/turn.rs
@@ -50,20 +50,15 @@
         }
     }
 
-    /// A wait from `began` to `ended`, of `wait` at the most, is over; `reported`: it reported events.
-    pub(super) fn wait_ended(
-        &mut self,
-        began: Micros,
-        wait: Micros,
-        ended: Micros,
-        reported: bool,
-    ) {
+    /// A wait from `began` to `ended` that was to last for `wait` at the most.
+    pub(super) fn wait_ended(&mut self, began: Micros, wait: Micros, ended: Micros) {
         let slept = ended.saturating_sub(began);
         let asleep = slept.min(wait);
         self.reported_until += asleep;
         self.arrived_since = self.reported_until.min(ended);
-        // A process that was stopped in its wait goes on with an interrupted one, which reports no events.
-        self.reporting_until = if reported || slept <= wait + USUAL_US {
+        // A process that is stopped at the end of its wait goes on with the events of before the stop, or with none: what
+        // arrived meanwhile is reported by the next wait.
+        self.reporting_until = if slept <= wait + USUAL_US {
             ended
         } else {
             self.reported_until
--- a/daemon/src/daemon/upstream_connections/selection.rs
+++ b/daemon/src/daemon/upstream_connections/selection.rs
@@ -4,7 +4,7 @@
 use crate::core::Core;
 use crate::limits::Limits;
 use crate::net::{Conn, Key};
-use crate::upstream::Link;
+use crate::upstream::UpstreamConnection;
 use linnetknot::{Micros, ServerId};
 use std::net::SocketAddr;
 
@@ -40,7 +40,7 @@
     limits: &'a Limits,
     /// Where the cache server is by now.
     endpoint: Option<SocketAddr>,
-    connections: Vec<(Key, &'a Conn, &'a Link)>,
+    connections: Vec<(Key, &'a Conn, &'a UpstreamConnection)>,
 }
 
 impl<'a> CacheConnections<'a> {
@@ -54,7 +54,7 @@
             now,
             core: &daemon.core,
             limits: &daemon.limits,
-            endpoint: daemon.core.location(server).map(|(_, at)| at),
+            endpoint: daemon.core.endpoint(server),
             connections: connections.collect(),
         }
     }
@@ -89,21 +89,21 @@
     }
 
     /// How well a connection fits; none if it takes no attempt of this request now.
-    fn preference(&self, id: &str, conn: &Conn, link: &Link) -> Option<Preference> {
-        let is_late = !conn.up && link.is_late(self.now, self.limits);
+    fn preference(&self, id: &str, conn: &Conn, link: &UpstreamConnection) -> Option<Preference> {
+        let is_late = !conn.up && link.is_connect_overdue(self.now, self.limits);
         if !self.leads_there(link) || is_late || link.is_stale(self.now, self.limits) {
             return None;
         }
         Some(Preference {
-            is_new_to_request: !link.gave_up(id),
+            is_new_to_request: !link.has_aborted(id),
             is_connecting: !conn.up,
             is_held_up: link.is_held_up(self.now, self.limits),
-            open_attempts: link.room_for(id, self.core, self.limits)?,
+            open_attempts: link.streams_if_free(id, self.core, self.limits)?,
         })
     }
 
     /// Whether a connection leads to where the cache server is by now.
-    fn leads_there(&self, link: &Link) -> bool {
+    fn leads_there(&self, link: &UpstreamConnection) -> bool {
         link.endpoint == self.endpoint
     }
 
@@ -118,7 +118,7 @@
     /// A connection that may lead nowhere gives its place up to the one that takes over from it: places at a cache server
     /// are scarce where many proxies hold some, and what is held in vain by all bars all.
     fn reclaimable(&self) -> Vec<Key> {
-        let is_reclaimable = |conn: &Conn, link: &Link| {
+        let is_reclaimable = |conn: &Conn, link: &UpstreamConnection| {
             let is_doubtful = link.is_suspect() || link.is_stale(self.now, self.limits);
             conn.up && link.is_idle() && is_doubtful
         };
--- a/daemon/tests/client_gone.rs
+++ b/daemon/tests/client_gone.rs
@@ -4,7 +4,7 @@
 mod rig;
 mod scripted;
 
-use linnetknot_rehearse::clients::WebServer;
+use linnetknot_harness::clients::WebServer;
 use rig::{object, one, Rig};
 use scripted::{
     abort, add_parents, fetches, full, next_of, pass, request, scripted, Fetch, Scripted,
--- a/rehearse/src/bus.rs
+++ b/harness/src/fakes/event_bus.rs
@@ -1,7 +1,7 @@
-//! A stand-in event bus.
+//! A fake of the platform's event bus.
 
-use crate::boxes::StandIn;
-use crate::{listen, Listening};
+use crate::fakes::cache::FakeCache;
+use crate::listener::{listen, Listening};
 use serde_json::{json, Value};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -27,10 +27,10 @@
     _listening: Option<Arc<Listening>>,
 }
 
-/// An entry of the list of boxes.
-pub fn entry(stand_in: &StandIn, zone: &str, kind: &str, state: &str) -> Value {
+/// An entry of the endpoint list.
+pub fn entry(cache: &FakeCache, zone: &str, kind: &str, state: &str) -> Value {
     json!({
-        "uid": stand_in.uid, "endpoint": stand_in.address.to_string(), "az": zone, "model": kind,
+        "uid": cache.uid, "endpoint": cache.address.to_string(), "az": zone, "model": kind,
         "pod_group": 0, "state": state, "capacity_hint": 8, "boot_ms": 0,
     })
 }
@@ -60,7 +60,7 @@
         self.state.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells the list of boxes, or changes to it.
+    /// Sends the endpoint list, or changes to it.
     pub fn list(&self, all: bool, entries: Vec<Value>) {
         self.push(json!({"topology": {"rev": 1, "all": all, "targets": entries}}));
     }
