--- a/daemon/src/front/cdni/redirect.rs
+++ b/daemon/src/front/cdni/redirect.rs
@@ -57,6 +57,71 @@
     })
 }
 
+/// Why there is no redirection, by the codes of the specification.
+struct Rejection {
+    code: u16,
+    reason: &'static str,
+}
+
+impl Rejection {
+    const fn new(code: u16, reason: &'static str) -> Self {
+        Rejection { code, reason }
+    }
+}
+
+/// A redirection request.
+struct RedirectRequest<'a> {
+    /// The CDNs that the request has passed.
+    cdn_path: &'a [Value],
+    uri: &'a str,
+    content: ContentPath<'a>,
+    client: Ipv4Addr,
+}
+
+impl<'a> RedirectRequest<'a> {
+    /// Reads a request; or why it can't be answered.
+    fn read(id: &Identity, request: &'a Value) -> Result<Self, Rejection> {
+        let cdn_path = read_cdn_path(id, request)?;
+        if request["dns"].is_object() {
+            return Err(Rejection::new(506, "redirection by DNS is not supported"));
+        }
+        let http = &request["http"];
+        let (Some(uri), Some(client)) = (http["cs-uri"].as_str(), http["c-ip"].as_str()) else {
+            return Err(Rejection::new(400, "http, cs-uri or c-ip is missing"));
+        };
+        if http["cs-method"].as_str().is_some_and(|m| m != "GET") || !uri.starts_with("http://") {
+            return Err(Rejection::new(505, "content is delivered by GET over http"));
+        }
+        let content = ContentPath::read(path_of(uri))
+            .filter(|content| id.classes.iter().any(|class| class.0 == content.class))
+            .ok_or(Rejection::new(500, "the URI names no content of ours"))?;
+        let client = client
+            .parse()
+            .map_err(|_| Rejection::new(400, "c-ip is no IPv4 address"))?;
+        Ok(RedirectRequest {
+            cdn_path,
+            uri,
+            content,
+            client,
+        })
+    }
+}
+
+/// The CDNs that a request has passed, unless it runs in a loop or has passed too many.
+fn read_cdn_path<'a>(id: &Identity, request: &'a Value) -> Result<&'a [Value], Rejection> {
+    let Some(cdn_path) = request["cdn-path"].as_array() else {
+        return Err(Rejection::new(400, "cdn-path is missing"));
+    };
+    if is_loop(&request["cdn-path"], &id.provider) {
+        return Err(Rejection::new(502, "a loop"));
+    }
+    let max_hops = request["max-hops"].as_u64();
+    if max_hops.is_some_and(|max_hops| cdn_path.len() as u64 > max_hops) {
+        return Err(Rejection::new(503, "too many hops"));
+    }
+    Ok(cdn_path)
+}
+
 /// Answers a redirection request: to our own content where the client lies in our footprint and we can serve,
 /// else to a peer CDN that said it reaches the client.
 pub(super) fn answer(
@@ -65,54 +130,37 @@
     ready: bool,
     request: &Value,
 ) -> Response {
-    let Some(cdn_path) = request["cdn-path"].as_array() else {
-        return error(400, "cdn-path is missing");
-    };
-    if is_loop(&request["cdn-path"], &id.provider) {
-        return error(502, "a loop");
-    }
-    if request["max-hops"]
-        .as_u64()
-        .is_some_and(|max_hops| cdn_path.len() as u64 > max_hops)
-    {
-        return error(503, "too many hops");
+    match redirection(id, footprints, ready, request) {
+        Ok(payload) => Response::payload(200, PTYPE, &payload),
+        Err(rejection) => error(rejection.code, rejection.reason),
     }
-    if request["dns"].is_object() {
-        return error(506, "redirection by DNS is not supported");
-    }
-    let http = &request["http"];
-    let (Some(uri), Some(client)) = (http["cs-uri"].as_str(), http["c-ip"].as_str()) else {
-        return error(400, "http, cs-uri or c-ip is missing");
-    };
-    if http["cs-method"].as_str().is_some_and(|m| m != "GET") || !uri.starts_with("http://") {
-        return error(505, "content is delivered by GET over http");
-    }
-    let content = ContentPath::read(path_of(uri))
-        .filter(|content| id.classes.iter().any(|class| class.0 == content.class));
-    let Some(content) = content else {
-        return error(500, "the URI names no content of ours");
-    };
-    let Ok(client) = client.parse::<Ipv4Addr>() else {
-        return error(400, "c-ip is no IPv4 address");
-    };
-    let Some(target) = target(id, footprints, ready, cdn_path, client) else {
-        return error(504, "nothing here can serve this client");
-    };
+}
+
+/// The payload of a redirection; or why there is none.
+fn redirection(
+    id: &Identity,
+    footprints: &[PeerFootprint],
+    ready: bool,
+    request: &Value,
+) -> Result<Value, Rejection> {
+    let request = RedirectRequest::read(id, request)?;
+    let target = target(id, footprints, ready, request.cdn_path, request.client)
+        .ok_or(Rejection::new(504, "nothing here can serve this client"))?;
     let Target { network, base } = target;
+    let uri = request.uri;
     let ContentPath {
         class,
         object,
         part,
-    } = content;
+    } = request.content;
     let query = uri
         .split_once('?')
         .map_or(String::new(), |(_, query)| format!("?{query}"));
-    let response = json!({
+    Ok(json!({
         "http": {
             "sc-status": 302, "sc-version": "HTTP/1.1", "sc-reason": "Found", "cs-uri": uri,
             "sc-(location)": format!("{base}/content/{class}/{object}/{part}{query}"),
         },
         "scope": {"iprange": network.to_string()},
-    });
-    Response::payload(200, PTYPE, &response)
+    }))
 }
