--- a/daemon/src/daemon/budgets/mod.rs
+++ b/daemon/src/daemon/budgets/mod.rs
@@ -104,7 +104,7 @@
             self.deadlines.cancel(due);
         }
         if let Err(e) = self.join_budgets(now) {
-            log::error!("{e}");
+            log::error!("the budgets are not shared: {e}");
         }
     }
 
--- a/daemon/src/daemon/cdni_listener.rs
+++ b/daemon/src/daemon/cdni_listener.rs
@@ -269,10 +269,8 @@
     /// Sends a payload to a peer CDN, as far as the bound on those under way lets it.
     pub(super) fn send_out(&mut self, now: Micros, post: Post) {
         if self.posts >= self.limits.posts {
-            log::warn!(
-                "a payload for {} is dropped: too many are on their way",
-                post.address
-            );
+            let address = post.address;
+            log::warn!("a payload for {address} is dropped: too many are on their way");
             return;
         }
         self.posts += 1;
@@ -301,11 +299,13 @@
             Some(200..=299) => self.posts -= 1,
             // Rejected: the same payload would get the same answer.
             Some(status @ 400..=499) => {
-                log::warn!("{}{} answered {status}", post.address, post.path);
+                let Post { address, path, .. } = &post;
+                log::warn!("a peer CDN rejected a payload: {address}{path} answered {status}");
                 self.posts -= 1;
             }
             _ if attempts >= self.limits.post_tries => {
-                log::warn!("{}{} takes no payload", post.address, post.path);
+                let Post { address, path, .. } = &post;
+                log::warn!("a peer CDN takes no payload: {address}{path}");
                 self.posts -= 1;
             }
             _ => {
--- a/daemon/src/daemon/discovery.rs
+++ b/daemon/src/daemon/discovery.rs
@@ -89,7 +89,7 @@
         for notice in output.notices {
             let line = notice_line(&self.members, notice);
             if self.logged.is_new(&line, self.limits.said) {
-                log::warn!("{line}");
+                log::warn!("the endpoint table: {line}");
             }
         }
         let due = self.members.next_due(now);
--- a/daemon/src/daemon/recovery.rs
+++ b/daemon/src/daemon/recovery.rs
@@ -238,7 +238,7 @@
                 .purges_mut()
                 .merge_bucket(bucket_bits, index, bucket)
             {
-                log::error!("{e}");
+                log::error!("purges of the store are not in force here: {e}");
             }
         }
         let purges = ledger.purges();
--- a/daemon/src/daemon/sources/consul/cached_snapshot.rs
+++ b/daemon/src/daemon/sources/consul/cached_snapshot.rs
@@ -97,7 +97,8 @@
             Ok(()) => None,
             Err(e) if is_lasting(&e) => return Err(error(e)),
             Err(e) => {
-                log::error!("{}; it is made once that is over", error(e));
+                let e = error(e);
+                log::error!("the folder of cached lists is made later: {e}");
                 Some(folder.to_owned())
             }
         };
--- a/daemon/src/daemon/sources/consul/mod.rs
+++ b/daemon/src/daemon/sources/consul/mod.rs
@@ -182,7 +182,7 @@
                 WatchEvent::MostlyUnusable { .. } => log::Level::Error,
                 _ => log::Level::Warn,
             };
-            log::log!(level, source = self.members.source(source); "Consul: {event}");
+            log::log!(level, source = self.members.source(source); "a watch of Consul: {event}");
         }
         if denied {
             // It may have been replaced since.
--- a/daemon/src/daemon/sources/peers.rs
+++ b/daemon/src/daemon/sources/peers.rs
@@ -158,7 +158,7 @@
                 merged.index,
                 &merged.bucket,
             ) {
-                log::error!("{e}");
+                log::error!("purges of a peer are not in force here: {e}");
             }
         }
     }
--- a/daemon/src/fail_points/transient.rs
+++ b/daemon/src/fail_points/transient.rs
@@ -51,7 +51,8 @@
             if is_late {
                 thread::sleep(LATE);
                 if let Err(e) = fail::cfg(&name, &action) {
-                    log::error!("{}", ArmError::Action(e));
+                    let e = ArmError::Action(e);
+                    log::error!("a fail point is not armed: {e}");
                 }
             }
             if let Some(duration) = duration {
