--- a/daemon/src/daemon/connection_table.rs
+++ b/daemon/src/daemon/connection_table.rs
@@ -7,7 +7,7 @@
 use crate::front::cdni::{self, Waiting};
 use crate::front::fastcgi::Session;
 use crate::net::{connect, Conn, FailureKind, Key, Progress, Ready};
-use crate::upstream::Link;
+use crate::upstream::UpstreamConnection;
 use crate::wire::WireError;
 use linnetknot::Micros;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 /// What a connection is for.
 pub(super) enum Kind {
     Client(Session),
-    CacheServer(Link),
+    CacheServer(UpstreamConnection),
     Cdni(Box<cdni::Session>),
     /// A client's that this side has ended, with all answered: what still comes is thrown away.
     Lingering,
@@ -135,7 +135,7 @@
             return self.close(now, key);
         }
         if matches!(c.kind, Kind::Client(_) | Kind::Lingering) {
-            if self.look(now, key) && self.connections.get(key).is_some_and(Self::is_over) {
+            if self.check_client(now, key) && self.connections.get(key).is_some_and(Self::is_over) {
                 self.half_close(now, key);
             }
             return;
@@ -177,9 +177,12 @@
             return Ok(());
         };
         match &mut c.kind {
-            // These are read by `look`.
+            // These are read by `check_client`.
             Kind::Client(_) | Kind::Lingering => Ok(()),
-            Kind::Cdni(_) => self.read_cdni(now, key),
+            Kind::Cdni(_) => {
+                self.read_cdni(now, key);
+                Ok(())
+            }
             Kind::Exchange(_) => {
                 self.read_exchange(now, key);
                 Ok(())
@@ -208,7 +211,7 @@
                 self.write_client(key);
                 self.connections.get(key).is_none_or(|c| match &c.kind {
                     Kind::Client(s) => {
-                        !(c.conn.is_broken() || s.is_over() && c.conn.output.is_empty())
+                        !(c.conn.is_broken() || s.is_finished() && c.conn.output.is_empty())
                     }
                     _ => true,
                 })
@@ -237,15 +240,15 @@
                 self.waiting_answers -= c.waiting;
                 self.held -= c.held;
                 session
-                    .tickets()
+                    .open_requests()
                     .into_iter()
-                    .for_each(|ticket| self.core.leave(now, ticket));
+                    .for_each(|ticket| self.core.client_gone(now, ticket));
             }
             Kind::CacheServer(link) => self.cache_connection_closed(now, key, &c.conn, link),
             Kind::Cdni(session) => {
                 self.clients -= 1;
                 if let Some(Waiting::Core(ticket)) = session.waiting {
-                    self.core.leave(now, ticket);
+                    self.core.client_gone(now, ticket);
                 }
             }
             Kind::Lingering => self.clients -= 1,
--- a/daemon/src/daemon/event_loop.rs
+++ b/daemon/src/daemon/event_loop.rs
@@ -2,6 +2,7 @@
 
 use super::connection_table::Kind;
 use super::exchange::Effect;
+use super::turn::MAX_WAIT_US;
 use super::Daemon;
 use crate::core::{Command, Wake};
 use crate::net::{spells, Key, Ready};
@@ -17,9 +18,6 @@
 pub(super) const ADMIN: u64 = u64::MAX - 5;
 pub(super) const STORE: u64 = u64::MAX - 6;
 
-/// The longest wait of the loop where no deadline is near.
-const IDLE_US: Micros = 1_000_000;
-
 /// What has a deadline.
 pub(super) enum Timer {
     Core(Wake),
@@ -54,11 +52,10 @@
             let wait = self
                 .deadlines
                 .next()
-                .map_or(IDLE_US, |at| at.saturating_sub(now))
-                .min(IDLE_US);
+                .map_or(MAX_WAIT_US, |at| at.saturating_sub(now))
+                .min(MAX_WAIT_US);
             self.poll.wait(wait, &mut ready)?;
-            self.turn
-                .wait_ended(now, wait, self.clock.now(), !ready.is_empty());
+            self.turn.wait_ended(now, wait, self.clock.now());
             ready.sort_by_key(|event| self.rank(event));
             let broken_off = self.turn_over(&mut ready);
             self.turn.over(broken_off);
@@ -110,7 +107,7 @@
             LISTENER => self.accept(now),
             SIGNAL => self.term(now),
             RELOAD => self.reload(now),
-            PEERS => self.hear_peers(now),
+            PEERS => self.receive_peer_datagrams(now),
             CDNI => self.accept_cdni(now),
             ADMIN => self.accept_admin(now),
             STORE => self.hear_store(now),
@@ -125,7 +122,7 @@
             Timer::Core(wake) => self.core.wake(now, wake),
             Timer::Connect(key) => self.check_connecting(now, key),
             Timer::CacheConnection(key) => self.check_cache_connection(now, key),
-            Timer::Client(key) => self.check_client(now, key),
+            Timer::Client(key) => self.client_timeout(now, key),
             Timer::End(key) => drop(self.half_close(now, key)),
             Timer::Task(task) => task(self, now),
             Timer::Serve(key) => self.serve_again(now, key),
@@ -144,7 +141,7 @@
     /// Carries out what the core wants done, and what follows from that.
     pub(super) fn settle(&mut self, now: Micros) {
         loop {
-            let commands = self.core.commands();
+            let commands = self.core.take_commands();
             if commands.is_empty() {
                 return;
             }
@@ -163,7 +160,7 @@
                         self.deadlines.set(at, Timer::Core(wake));
                     }
                     Command::Probe(server) => self.probe(now, server),
-                    Command::Found(share) => self.tell_found(now, share),
+                    Command::ShareOriginHealth(share) => self.share_origin_health(now, share),
                     Command::Withdraw(server) => self.withdraw(now, server),
                 }
             }
--- a/daemon/src/daemon/fleet.rs
+++ b/daemon/src/daemon/fleet.rs
@@ -1,7 +1,7 @@
 //! The other proxies: who of them is there (`linnetknot_membership`), and what the admin listener tells of them and of the copies.
 
 use super::Daemon;
-use crate::fleet::{LogStatus, PeerStatus, Status, MOST_LOGS, MOST_PEERS};
+use crate::fleet::{LogStatus, PeerStatus, Status, MAX_LOGS, MAX_PEERS};
 use linnetknot::Micros;
 use linnetknot_discovery::server_id;
 use linnetknot_membership::{
@@ -106,7 +106,7 @@
         let (outgoing, changes) = (membership.outgoing(), membership.changes());
         outgoing
             .iter()
-            .for_each(|out| self.send_to_place(out.peer, &out.datagram));
+            .for_each(|out| self.send_to_peer_at(out.peer, &out.datagram));
         changes
             .into_iter()
             .for_each(|change| self.say_member(change));
@@ -142,7 +142,10 @@
             return;
         };
         let due = membership.due().max(now + 1);
-        if self.fleet_due.is_none_or(|(at, _)| at > due || at <= now) {
+        if self
+            .fleet_due
+            .is_none_or(|planned| planned.at > due || planned.at <= now)
+        {
             let old = self.fleet_due.take();
             self.fleet_due = self.instead(old, Some(due), |daemon, now| {
                 daemon.fleet_due = None;
@@ -232,11 +235,11 @@
                 .machines
                 .iter()
                 .enumerate()
-                .take(MOST_PEERS)
+                .take(MAX_PEERS)
                 .map(peer)
                 .collect(),
             peers_in_all: copies.machines.len(),
-            logs: ends.iter().take(MOST_LOGS).map(log).collect(),
+            logs: ends.iter().take(MAX_LOGS).map(log).collect(),
             logs_in_all: ends.len(),
         })
     }
--- a/daemon/src/daemon/startup/sockets.rs
+++ b/daemon/src/daemon/startup/sockets.rs
@@ -5,7 +5,7 @@
 use super::error::{kernel, watching};
 use super::StartError;
 use crate::config::Config;
-use crate::front::cdni::Desk;
+use crate::front::cdni::TriggerApi;
 use crate::net::{bind_shared_udp, Listener, Poll};
 use std::env::VarError;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -92,15 +92,15 @@
 pub(super) fn open_cdni(
     config: &Config,
     poll: &Poll,
-) -> Result<Option<(Listener, Desk)>, StartError> {
+) -> Result<Option<(Listener, TriggerApi)>, StartError> {
     let Some(cdni) = &config.cdni else {
         return Ok(None);
     };
     let listener = bind("cdni.listen", cdni.listen)?;
     let listener = Listener::watch(listener, CDNI, poll).map_err(kernel("cdni.listen"))?;
     let identity = cdni.identity.clone();
-    let desk = Desk::new(identity, config.seed, config.limits.triggers);
-    Ok(Some((listener, desk)))
+    let trigger_api = TriggerApi::new(identity, config.seed, config.limits.triggers);
+    Ok(Some((listener, trigger_api)))
 }
 
 /// Binds the socket for the peers, where they are told anything: what the front for CDNI is told, and of an origin that
@@ -110,9 +110,10 @@
     poll: &Poll,
 ) -> Result<Option<(UdpSocket, Vec<SocketAddr>)>, StartError> {
     let talks = config.cdni.is_some() || config.tell;
-    let Some((address, peers)) = config.peers.clone().filter(|_| talks) else {
+    let Some(peers) = config.peers.as_ref().filter(|_| talks) else {
         return Ok(None);
     };
+    let address = peers.own;
     let socket = bind_shared_udp(address).map_err(|source| StartError::Bind {
         key: "peer_listen",
         address,
@@ -123,5 +124,5 @@
         .map_err(kernel("peer_listen"))?;
     poll.add_at_start(&socket, PEERS)
         .map_err(watching("peer_listen"))?;
-    Ok(Some((socket, peers)))
+    Ok(Some((socket, peers.all.clone())))
 }
--- a/daemon/src/daemon/turn.rs
+++ b/daemon/src/daemon/turn.rs
@@ -3,6 +3,13 @@
 
 use linnetknot::Micros;
 
+#[cfg(test)]
+mod tests;
+
+/// The longest wait of the loop. A process that is stopped while it waits can't tell that from a wait for events, as long as
+/// the wait could have lasted that long: so this and `USUAL_US` together stay under what a deadline may be passed on late.
+pub(super) const MAX_WAIT_US: Micros = 80_000;
+
 /// A step of a turn that takes longer than this was kept, or the process was stopped: the events of the turn that are
 /// left are asked for anew before anything follows from them.
 const KEPT_US: Micros = 50_000;
@@ -43,14 +50,15 @@
         }
     }
 
-    /// A wait from `began` to `ended` that was to last for `wait` at the most; whether it told of anything.
-    pub(super) fn wait_ended(&mut self, began: Micros, wait: Micros, ended: Micros, told: bool) {
+    /// A wait from `began` to `ended` that was to last for `wait` at the most.
+    pub(super) fn wait_ended(&mut self, began: Micros, wait: Micros, ended: Micros) {
         let slept = ended.saturating_sub(began);
         let asleep = slept.min(wait);
         self.told_until += asleep;
         self.came_since = self.told_until.min(ended);
-        // A process that was stopped in its wait goes on with an interrupted one, which tells of nothing.
-        self.telling_until = if told || slept <= wait + USUAL_US {
+        // A process that is stopped at the end of its wait goes on with the events of before the stop, or with none: what
+        // came meanwhile is told by the next wait.
+        self.telling_until = if slept <= wait + USUAL_US {
             ended
         } else {
             self.told_until
--- a/daemon/tests/closed_unanswered.rs
+++ b/daemon/tests/closed_unanswered.rs
@@ -4,8 +4,8 @@
 mod scripted;
 
 use linnetknot_daemon::wire::fastcgi::{self, kind};
-use linnetknot_rehearse::boxes::Manner;
-use linnetknot_rehearse::clients::WebServer;
+use linnetknot_harness::clients::WebServer;
+use linnetknot_harness::fakes::cache::Manner;
 use rig::{object, one, Rig};
 use scripted::{next_of, request, scripted};
 use serde_json::json;
--- a/daemon/tests/slow_folder.rs
+++ b/daemon/tests/slow_folder.rs
@@ -3,7 +3,7 @@
 
 mod rig;
 
-use linnetknot_rehearse::clients::call;
+use linnetknot_harness::clients::call;
 use rig::{object, one, Rig};
 use serde_json::json;
 use std::time::{Duration, Instant};
--- a/rehearse/src/moments/matrix.rs
+++ b/rehearse/src/fault_matrix/matrix.rs
@@ -1,8 +1,8 @@
-//! The matrix of all plays: a row for each moment and disk, and one for all.
+//! The matrix of all plays: a row for each fault point and disk, and one for all.
 
-use super::{Case, Played, AGREE, MOMENTS};
-use crate::fleet::Disk;
-use crate::rules::promises::Answer;
+use super::{Case, Played, AGREE, FAULT_POINTS};
+use crate::rules::commits::PurgeAnswer;
+use linnetknot_harness::fleet::Disk;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::io;
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Row {
     plays: usize,
-    /// Answers of yes, of no, and none.
+    /// Commits, rejections, and requests without an answer.
     answers: [usize; 3],
     lost: usize,
     broken: BTreeMap<&'static str, usize>,
@@ -25,13 +25,13 @@
     /// Takes a play in.
     fn add(&mut self, played: &Played) {
         self.plays += 1;
-        for told in &played.record.told {
-            let place = match told.answer {
-                Answer::Yes => 0,
-                Answer::No => 1,
-                Answer::Nothing => 2,
+        for purge in &played.record.purges {
+            let index = match purge.answer {
+                PurgeAnswer::Committed => 0,
+                PurgeAnswer::Rejected => 1,
+                PurgeAnswer::None => 2,
             };
-            self.answers[place] += 1;
+            self.answers[index] += 1;
         }
         self.lost += played
             .breaches
@@ -77,15 +77,15 @@
     fn agreed_ms(&self, percent: usize) -> String {
         let mut agreed = self.agreed.clone();
         agreed.sort_unstable();
-        let place = (agreed.len() * percent / 100).min(agreed.len().saturating_sub(1));
+        let index = (agreed.len() * percent / 100).min(agreed.len().saturating_sub(1));
         agreed
-            .get(place)
+            .get(index)
             .map_or_else(|| "-".to_owned(), |d| d.as_millis().to_string())
     }
 
     /// Writes the row under this name.
     fn write(&self, f: &mut fmt::Formatter<'_>, name: &str, disk: &str) -> fmt::Result {
-        let [yes, no, none] = self.answers;
+        let [committed, rejected, unanswered] = self.answers;
         let Row {
             plays,
             lost,
@@ -96,18 +96,18 @@
         let (broken, p50, p99) = (self.broken_rules(), self.agreed_ms(50), self.agreed_ms(99));
         write!(
             f,
-            "| {name} | {disk} | {plays} | {yes} | {no} | {none} | {lost} | {broken} | {apart} "
+            "| {name} | {disk} | {plays} | {committed} | {rejected} | {unanswered} | {lost} | {broken} | {apart} "
         )?;
         writeln!(f, "| {p50}, {p99} | {nothing} |")
     }
 }
 
-/// What all plays came to, by moment and disk.
+/// What all plays came to, by fault point and disk.
 #[derive(Clone, Debug, Default)]
 pub struct Matrix {
     rows: BTreeMap<(usize, bool), Row>,
     /// Why plays proved nothing, and each breach with its case.
-    pub said: Vec<String>,
+    pub notes: Vec<String>,
 }
 
 impl Matrix {
@@ -115,26 +115,26 @@
     pub fn add(&mut self, case: Case, played: io::Result<Played>) {
         let row = self
             .rows
-            .entry((case.moment, case.disk == Disk::Lost))
+            .entry((case.point, case.disk == Disk::Lost))
             .or_default();
         let name = format!(
             "{}, disk {:?}, seed {}",
-            MOMENTS[case.moment].1, case.disk, case.seed
+            FAULT_POINTS[case.point].name, case.disk, case.seed
         );
         match played {
             Err(e) => {
                 row.nothing += 1;
-                self.said.push(format!("{name}: proved nothing: {e}"));
+                self.notes.push(format!("{name}: proved nothing: {e}"));
             }
             Ok(played) => {
                 row.add(&played);
                 if played.agreed.is_none() {
-                    self.said.push(format!(
+                    self.notes.push(format!(
                         "{name}: not all agreed within {} s",
                         AGREE.as_secs()
                     ));
                 }
-                self.said.extend(
+                self.notes.extend(
                     played
                         .breaches
                         .iter()
@@ -165,7 +165,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "| moment | disk | plays | yes | no | no answer | promises lost | rules broken "
+            "| fault point | disk | plays | committed | rejected | no answer | commits lost | rules broken "
         )?;
         writeln!(f, "| did not agree | agree p50, p99 ms | proved nothing |")?;
         writeln!(
@@ -173,8 +173,12 @@
             "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"
         )?;
         let mut total = Row::default();
-        for ((moment, lost), row) in &self.rows {
-            row.write(f, MOMENTS[*moment].1, if *lost { "lost" } else { "kept" })?;
+        for ((point, lost), row) in &self.rows {
+            row.write(
+                f,
+                FAULT_POINTS[*point].name,
+                if *lost { "lost" } else { "kept" },
+            )?;
             total.merge(row);
         }
         total.write(f, "all", "")
