--- /dev/null
+++ b/daemon/src/daemon/membership.rs
@@ -0,0 +1,198 @@
+//! Membership of the proxies (`linnetknot_membership`) in the daemon: its datagrams, its timers, and its changes in the
+//! log.
+
+use super::Daemon;
+use linnetknot::Micros;
+use linnetknot_discovery::server_id;
+use linnetknot_membership::{
+    Change, DecodeError, Member, MemberState, Membership, MembershipConfig, Names, Options,
+};
+
+/// The shortest time to the next tick.
+const MIN_TICK_US: Micros = 1;
+
+/// Returns the name of a member's state; `unknown` where nothing was received of it.
+pub(super) fn state_name(state: Option<MemberState>) -> &'static str {
+    match state {
+        None => "unknown",
+        Some(MemberState::Alive) => "alive",
+        Some(MemberState::Suspect) => "suspect",
+        Some(MemberState::Dead) => "dead",
+        Some(MemberState::Left) => "left",
+    }
+}
+
+/// Returns the level at which a member's new state is logged.
+fn log_level(state: MemberState) -> log::Level {
+    match state {
+        MemberState::Alive | MemberState::Left => log::Level::Info,
+        MemberState::Suspect => log::Level::Debug,
+        MemberState::Dead => log::Level::Warn,
+    }
+}
+
+/// Whether the peer with this index is known to replicate logs: one that is up does.
+pub(super) fn replicates(membership: Option<&Membership>, peer: usize) -> bool {
+    let member = membership.and_then(|membership| membership.members().get(peer));
+    member.is_some_and(Member::is_up)
+}
+
+impl Daemon {
+    /// Joins the members that replicate logs.
+    pub(super) fn join_membership(&mut self, now: Micros) {
+        let copies = &self.config.copies;
+        let Some(ledger) = self.ledger.as_ref().filter(|_| copies.on) else {
+            return;
+        };
+        let config = MembershipConfig {
+            id: server_id(&self.config.name),
+            process: ledger.incarnation(),
+            names: Names {
+                name: self.config.name.clone(),
+                machine: copies.machine.clone(),
+            },
+            peers: copies.machines.len(),
+            seed: self.config.seed,
+            options: Options::default(),
+        };
+        let mut membership = Membership::new(config, now);
+        if ledger.is_fresh() {
+            membership.expect_predecessor(now + self.limits.recovery_us);
+        }
+        self.membership = Some(membership);
+        self.schedule_membership(now);
+    }
+
+    /// Whether a later process of this name has begun.
+    pub(super) fn is_replaced(&self) -> bool {
+        self.membership
+            .as_ref()
+            .is_some_and(Membership::is_replaced)
+    }
+
+    /// Whether this process may commit anything: one that was replaced leaves that to its successor.
+    pub(super) fn may_commit(&self) -> bool {
+        fail::fail_point!("plant-no-fence", |_| true);
+        !self.is_replaced()
+    }
+
+    /// Receives a datagram of a peer; false where it is of another kind.
+    pub(super) fn receive_membership(&mut self, now: Micros, peer: usize, bytes: &[u8]) -> bool {
+        let Some(membership) = &mut self.membership else {
+            return false;
+        };
+        let names = |membership: &Membership| {
+            let member = membership.members().get(peer);
+            member.and_then(|member| member.names.clone())
+        };
+        let was_replaced = membership.is_replaced();
+        let names_before = names(membership);
+        match membership.receive(now, peer, bytes) {
+            Err(DecodeError::Foreign) => return false,
+            Err(e) => {
+                log::debug!(peer = peer; "{e}");
+                self.dropped.1 += 1;
+                return true;
+            }
+            Ok(()) => {}
+        }
+        let process = membership.process();
+        let is_replaced = membership.is_replaced();
+        let has_new_names = names(membership) != names_before;
+        self.follow_process(process);
+        if is_replaced && !was_replaced {
+            log::error!(
+                "another process of this name has begun after this one: nothing more is committed here"
+            );
+        }
+        if has_new_names {
+            self.update_machines();
+        }
+        self.flush_membership(now);
+        true
+    }
+
+    /// Raises the ledger's incarnation to that of membership, which grows where a peer knows of a process before this
+    /// one that has a later number.
+    fn follow_process(&mut self, process: u64) {
+        let behind = |ledger: &&mut crate::ledger::Ledger| ledger.incarnation() < process;
+        if let Some(ledger) = self.ledger.as_mut().filter(behind) {
+            log::warn!("a process of this name that a peer knows began by a later clock: this one is numbered behind it");
+            ledger.raise_incarnation(process);
+        }
+    }
+
+    /// Sends what membership has to send, and logs its changes.
+    pub(super) fn flush_membership(&mut self, now: Micros) {
+        let Some(membership) = &mut self.membership else {
+            return;
+        };
+        let outgoing = membership.outgoing();
+        let changes = membership.changes();
+        for out in &outgoing {
+            self.send_to_peer_at(out.peer, &out.datagram);
+        }
+        for change in &changes {
+            self.log_member_change(change);
+        }
+        self.schedule_membership(now);
+    }
+
+    fn log_member_change(&self, Change { peer, old, new }: &Change) {
+        let membership = self.membership.as_ref();
+        let member = membership.and_then(|membership| membership.members().get(*peer));
+        let name = member
+            .and_then(|member| member.names.as_ref())
+            .map_or("", |names| names.name.as_str());
+        let configured = self.config.copies.machines.get(*peer);
+        let address = configured.map_or_else(String::new, |(address, _)| address.to_string());
+        log::log!(
+            log_level(new.state),
+            peer = address.as_str(),
+            member = name,
+            old = state_name(old.map(|claim| claim.state)),
+            new = state_name(Some(new.state)),
+            incarnation = new.process,
+            up = membership.map_or(0, Membership::up);
+            "a member's state has changed"
+        );
+    }
+
+    /// Schedules the next tick, unless one is scheduled early enough.
+    fn schedule_membership(&mut self, now: Micros) {
+        let Some(membership) = &self.membership else {
+            return;
+        };
+        let due = membership.due().max(now + MIN_TICK_US);
+        let scheduled = self.fleet_due;
+        if scheduled.is_some_and(|planned| planned.at > now && planned.at <= due) {
+            return;
+        }
+        let old = self.fleet_due.take();
+        self.fleet_due = self.instead(old, Some(due), Daemon::tick_membership);
+    }
+
+    fn tick_membership(&mut self, now: Micros) {
+        self.fleet_due = None;
+        if let Some(membership) = &mut self.membership {
+            membership.tick(now);
+        }
+        self.flush_membership(now);
+    }
+
+    /// Announces to the members that the process ends, so that they need not detect it.
+    pub(super) fn leave_membership(&mut self, now: Micros) {
+        let Some(membership) = &mut self.membership else {
+            return;
+        };
+        membership.leave();
+        let counters = membership.counters();
+        log::info!(
+            up = membership.up(), probes = counters.probes, failed = counters.failed,
+            refuted = counters.refuted, stalls = counters.stalls,
+            unreadable = counters.unreadable, health = membership.health();
+            "members of the fleet, as this one leaves"
+        );
+        self.flush_membership(now);
+    }
+}
--- a/daemon/src/daemon/sources/consul/cached_snapshot.rs
+++ b/daemon/src/daemon/sources/consul/cached_snapshot.rs
@@ -1,7 +1,7 @@
 //! The cached snapshots: the last good endpoint list of each data centre on disk, for a start without an agent. A worker
 //! writes them, so that the loop waits for no disk.
 
-use crate::daemon::members::CONSUL;
+use crate::daemon::discovery::CONSUL;
 use crate::daemon::Daemon;
 use crate::disk::{remove_leftovers, Disk, Job};
 use crate::net::Due;
@@ -155,7 +155,7 @@
                 let age_s = now.saturating_sub(cached.at) / 1_000_000;
                 log::info!(caches = cached.entries.len(), age_s = age_s; "the cached list holds until an agent speaks");
                 if let Some(evidence) = self.seed_watch(number, &cached.entries) {
-                    self.evidence(now, SourceId(CONSUL.0 + number), evidence);
+                    self.receive_evidence(now, SourceId(CONSUL.0 + number), evidence);
                 }
             }
         }
--- a/daemon/src/daemon/sources/consul/mod.rs
+++ b/daemon/src/daemon/sources/consul/mod.rs
@@ -4,7 +4,7 @@
 mod cached_snapshot;
 mod call;
 
-use crate::daemon::members::CONSUL;
+use crate::daemon::discovery::CONSUL;
 use crate::daemon::Daemon;
 use crate::interconnect::Consul;
 use crate::net::{Due, Key};
@@ -189,7 +189,7 @@
             self.read_token();
         }
         if let Some(evidence) = evidence {
-            self.evidence(now, source, evidence);
+            self.receive_evidence(now, source, evidence);
         }
         if confirmed {
             self.schedule_snapshot(now, n);
--- a/daemon/tests/ledger.rs
+++ b/daemon/tests/ledger.rs
@@ -3,11 +3,12 @@
 
 use linnetknot::Micros;
 use linnetknot_daemon::ledger::{Bounds, Ledger, LedgerError};
+use linnetknot_daemon::peers::Purge;
 use linnetknot_purges::BucketBits;
 use linnetknot_replication::{
     CommitOutcome, Datagram, Entry, LogId, LogPosition, Options, Outgoing, Subject,
 };
-use linnetknot_store::Fault;
+use linnetknot_store::StoreError;
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{channel, Receiver};
@@ -66,8 +67,8 @@
     // Dropped and not closed, as a crash leaves it.
     all.0.abandon();
     let mut again = open(&path, 78).unwrap();
-    assert_eq!(again.0.member(), 78);
-    let both = [(None, 7, 3), (Some("0a".into()), 0, 30)];
+    assert_eq!(again.0.incarnation(), 78);
+    let both = [Purge::of_group(7, 3), Purge::of_object("0a", 30)];
     assert_eq!(again.0.purges(), both);
     let next = again.0.append_purge(Some("0b"), 0, 9).unwrap();
     assert_eq!(
@@ -78,7 +79,7 @@
     again.0.close().unwrap();
     let mut again = open(&path, 7).unwrap();
     assert_eq!(
-        again.0.member(),
+        again.0.incarnation(),
         79,
         "it grows though the clock was set back"
     );
@@ -90,7 +91,7 @@
     );
     let second = open(&path, 80).err().unwrap();
     assert!(
-        matches!(second, LedgerError::Store(Fault::Busy)),
+        matches!(second, LedgerError::Store(StoreError::Busy)),
         "one process has it: {second}"
     );
     written(&mut again);
@@ -113,7 +114,11 @@
         let mut ledger = open(&path, 99).unwrap();
         let mut purges = ledger.0.purges();
         purges.sort();
-        assert_eq!(purges, [(None, 7, 6), (Some("0a".into()), 0, 9)], "{name}");
+        assert_eq!(
+            purges,
+            [Purge::of_group(7, 6), Purge::of_object("0a", 9)],
+            "{name}"
+        );
         assert_eq!(
             ledger.0.replica().own(),
             LogId::new(1, 99),
@@ -131,7 +136,7 @@
         ledger.0.close().unwrap();
         let again = open(&path, 120).unwrap();
         assert!(
-            again.0.purges().contains(&(Some("0a".into()), 0, 50)),
+            again.0.purges().contains(&Purge::of_object("0a", 50)),
             "{name}: it is not taken over again"
         );
         assert_eq!(
@@ -160,7 +165,7 @@
 fn a_peer_is_told_what_is_on_the_disk_only_once_it_is() {
     let path = file("peer");
     let mut ledger = open(&path, 77).unwrap();
-    ledger.0.peers(10, vec![20, 30]);
+    ledger.0.set_machines(10, vec![20, 30]);
     let theirs = Entry {
         log: LogId::new(2, 5),
         index: 1,
@@ -208,7 +213,7 @@
     let new = ledger.0.append_purge(Some("0c"), 0, 9).unwrap();
     assert_eq!((new.log, new.index), (LogId::new(1, 77), 1));
     let ban = || Subject::Ban("pc-1".into());
-    assert!(ledger.0.is_fresh() && ledger.0.decided().is_empty());
+    assert!(ledger.0.is_fresh() && ledger.0.decisions().is_empty());
     ledger.0.open_commit(100, 1).unwrap();
     written(&mut ledger);
     assert_eq!(ledger.0.resolve_commits(100), [], "on this disk alone");
@@ -234,13 +239,16 @@
     ledger.0.append(Subject::Drain, 11, false).unwrap();
     ledger.0.append(Subject::Drain, 12, true).unwrap();
     let decided = [(ban(), false), (Subject::Drain, true)];
-    assert_eq!(ledger.0.decided().into_iter().collect::<Vec<_>>(), decided);
+    assert_eq!(
+        ledger.0.decisions().into_iter().collect::<Vec<_>>(),
+        decided
+    );
     written(&mut ledger);
     ledger.0.close().unwrap();
     let again = open(&path, 99).unwrap();
     assert_eq!(
         (
-            again.0.decided().into_iter().collect::<Vec<_>>(),
+            again.0.decisions().into_iter().collect::<Vec<_>>(),
             again.0.is_fresh()
         ),
         (decided.into(), false)
