--- a/daemon/src/daemon/clients/accept.rs
+++ b/daemon/src/daemon/clients/accept.rs
@@ -44,7 +44,9 @@
     /// Accepts what waits at the clients' listener.
     pub(in crate::daemon) fn accept(&mut self, now: Micros) {
         let mut has_evicted = false;
-        while self.listener.is_some() {
+        // No more in one turn than the table holds: clients that are closed and connect again at once must not keep the loop.
+        let mut accepted = 0;
+        while self.listener.is_some() && accepted < self.limits.clients {
             // With no place left, connections wait in the kernel's queue: others end, and these are accepted then.
             let Ok(mut evicted) = self.room_for_client(now) else {
                 return self.pause_accepting(now);
@@ -73,6 +75,7 @@
                 Err(_) => return self.pause_accepting(now),
             };
             has_evicted = false;
+            accepted += 1;
             let conn = Conn::new(
                 socket,
                 true,
