--- /dev/null
+++ b/rehearse/examples/upgrade/checks.rs
@@ -0,0 +1,34 @@
+//! What was checked, and how much of it failed.
+
+use std::fmt;
+
+/// Counts checks and prints each.
+#[derive(Debug, Default)]
+pub(crate) struct Checks {
+    passed: usize,
+    failed: usize,
+}
+
+impl Checks {
+    /// Takes in whether something holds, and prints it with what was seen.
+    pub(crate) fn that(&mut self, what: &str, holds: bool, seen: impl FnOnce() -> String) {
+        let (counter, mark) = if holds {
+            (&mut self.passed, "ok  ")
+        } else {
+            (&mut self.failed, "FAIL")
+        };
+        *counter += 1;
+        println!("  {mark} {what}: {}", seen());
+    }
+
+    /// Whether any check failed.
+    pub(crate) fn has_failed(&self) -> bool {
+        self.failed > 0
+    }
+}
+
+impl fmt::Display for Checks {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{} checks passed, {} failed", self.passed, self.failed)
+    }
+}
--- a/rehearse/src/fleet.rs
+++ b/rehearse/src/fleet.rs
@@ -79,6 +79,8 @@
 /// One proxy of a fleet.
 struct Member {
     name: String,
+    /// The program that it is started with.
+    daemon: PathBuf,
     process: Option<Process>,
     /// A bus of its own: what one proxy is told by the platform, another need not be.
     _bus: Bus,
@@ -88,7 +90,6 @@
 
 /// Daemons with gates between them, and the boxes and origin that they share.
 pub struct Fleet {
-    daemon: PathBuf,
     members: Vec<Member>,
     /// Further machines that a promise waits for; none: no copies are made.
     copies: Option<usize>,
@@ -228,6 +229,7 @@
             });
             members.push(Member {
                 name: names[n].clone(),
+                daemon: daemon.to_owned(),
                 process: None,
                 _bus: bus,
                 disk,
@@ -235,7 +237,6 @@
             });
         }
         let mut fleet = Fleet {
-            daemon: daemon.to_owned(),
             copies,
             within_ms,
             budgets,
@@ -291,8 +292,7 @@
         let m = &mut self.members[n];
         std::fs::create_dir_all(&m.disk)?;
         let points = format!("{};{points}", self.planted);
-        let started =
-            Process::start_armed(&self.daemon, &m.disk, &m.name, (&m.config, &own), &points);
+        let started = Process::start_armed(&m.daemon, &m.disk, &m.name, (&m.config, &own), &points);
         m.process = Some(started?);
         Ok(())
     }
@@ -344,6 +344,11 @@
         self.restart_armed(n, disk, "")
     }
 
+    /// Starts a proxy with another program from its next start on, as an upgrade does.
+    pub fn set_daemon(&mut self, n: usize, daemon: &Path) {
+        self.members[n].daemon = daemon.to_owned();
+    }
+
     /// As `restart`, with points armed (`Process::start_armed`).
     pub fn restart_armed(&mut self, n: usize, disk: Disk, points: &str) -> io::Result<()> {
         if self.members[n].process.is_some() {
