--- a/daemon/examples/figures.rs
+++ b/daemon/examples/figures.rs
@@ -6,11 +6,11 @@
 
 use clap::{Parser, ValueEnum};
 use hdrhistogram::Histogram;
-use linnetknot_rehearse::boxes::{Arrival, StandIn};
-use linnetknot_rehearse::clients::WebServer;
-use linnetknot_rehearse::process::Process;
-use linnetknot_rehearse::stand_ins::consul::{instance, Agent, Manner};
-use linnetknot_rehearse::{settings, unix_ms};
+use linnetknot_harness::clients::WebServer;
+use linnetknot_harness::fakes::cache::{Arrival, FakeCache};
+use linnetknot_harness::fakes::consul::{instance, Agent, Manner};
+use linnetknot_harness::process::Process;
+use linnetknot_harness::{settings, unix_ms};
 use serde_json::{json, Value};
 use std::io;
 use std::net::SocketAddr;
@@ -141,12 +141,12 @@
     }
 }
 
-fn boxes(uids: &[&'static str]) -> io::Result<Vec<StandIn>> {
-    uids.iter().map(|uid| StandIn::start(uid)).collect()
+fn boxes(uids: &[&'static str]) -> io::Result<Vec<FakeCache>> {
+    uids.iter().map(|uid| FakeCache::start(uid)).collect()
 }
 
 /// What was fetched from a box since then, by what fits: how long after that, in ms.
-fn since(b: &StandIn, at: u64, fits: impl Fn(&Arrival) -> bool) -> Vec<u64> {
+fn since(b: &FakeCache, at: u64, fits: impl Fn(&Arrival) -> bool) -> Vec<u64> {
     let arrivals = b.arrivals();
     arrivals
         .iter()
@@ -155,7 +155,7 @@
         .collect()
 }
 
-fn fetches(b: &StandIn) -> usize {
+fn fetches(b: &FakeCache) -> usize {
     since(b, 0, |_| true).len()
 }
 
@@ -178,10 +178,10 @@
     );
     let status = |drains: bool| if drains { "critical" } else { READY };
     let list = |drained: Option<(usize, usize)>| -> Vec<Value> {
-        let one = |(n, b): (usize, &StandIn)| {
+        let one = |(n, b): (usize, &FakeCache)| {
             instance(b.uid, b.address, status(drained.is_some_and(|d| d.0 == n)))
         };
-        let hub = |(n, b): (usize, &StandIn)| {
+        let hub = |(n, b): (usize, &FakeCache)| {
             let mut hub = instance(b.uid, b.address, status(drained.is_some_and(|d| d.1 == n)));
             hub["Service"]["Meta"] = json!({"az": "hub", "model": "hub", "capacity_hint": "64"});
             hub
@@ -244,7 +244,7 @@
     let agent = Agent::start()?;
     let edge = boxes(&["e-0", "e-1", "e-2", "e-3"])?;
     let list = |status: &str| -> Vec<Value> {
-        let one = |(n, b): (usize, &StandIn)| {
+        let one = |(n, b): (usize, &FakeCache)| {
             instance(b.uid, b.address, if n == 0 { status } else { READY })
         };
         edge.iter().enumerate().map(one).collect()
@@ -384,7 +384,7 @@
         before.1, after.1, after.2
     );
     let _ = load.quantiles();
-    let (asked, begun, cpu) = (agent.asked().len(), Instant::now(), used(pid).0);
+    let (asked, begun, cpu) = (agent.requests().len(), Instant::now(), used(pid).0);
     let changes = rounds as usize * 10_000 / 60;
     for n in 0..changes {
         let at = n * 7 % FAR;
@@ -395,7 +395,7 @@
         thread::sleep(Duration::from_millis(6 * n as u64).saturating_sub(begun.elapsed()));
     }
     let (busy, s) = (load.quantiles(), begun.elapsed().as_secs_f64());
-    let queries = (agent.asked().len() - asked) as f64 / s;
+    let queries = (agent.requests().len() - asked) as f64 / s;
     println!(
         "| changes a second, queries a second | {:.0}, {queries:.1} |",
         changes as f64 / s
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::config::{Config, Source};
 use crate::core::Core;
-use crate::front::cdni::Desk;
+use crate::front::cdni::TriggerApi;
 use crate::ledger::Ledger;
 use crate::limits::Limits;
 use crate::net::{Clock, Deadlines, Due, Key, Listener, Poll, Slots};
@@ -26,15 +26,14 @@
 
 mod admin;
 mod budgets;
+mod cdni_listener;
 mod clients;
 mod connection_table;
 mod event_loop;
 mod exchange;
-mod feeds;
 mod fleet;
 mod lifecycle;
 mod members;
-mod neighbours;
 mod operator_state;
 mod peer_index;
 mod plain_purges;
@@ -45,6 +44,7 @@
 mod reload;
 mod shutdown;
 mod signals;
+mod sources;
 mod startup;
 mod store_opening;
 mod turn;
@@ -55,10 +55,10 @@
 
 use connection_table::{ConnectError, Connection, Kind};
 use event_loop::Timer;
-use feeds::{bus, consul};
 use members::Said;
 use peer_index::PeerIndex;
 use signals::Signal;
+use sources::{bus, consul};
 use store_opening::PendingStore;
 use turn::Turn;
 
@@ -89,7 +89,7 @@
     members_due: Option<Due>,
     said: Said,
     consul: Option<consul::State>,
-    keeper: Option<consul::Keeper>,
+    snapshots: Option<consul::SnapshotWriter>,
     peers: Option<(UdpSocket, Vec<SocketAddr>)>,
     /// The same peers by address.
     peer_index: PeerIndex,
@@ -99,7 +99,7 @@
     origin_health: Option<OriginHealth>,
     /// Datagrams dropped: from nobody who is a peer, and of no known kind.
     dropped: (u64, u64),
-    desk: Option<(Listener, Desk)>,
+    trigger_api: Option<(Listener, TriggerApi)>,
     ledger: Option<Ledger>,
     /// Its store, while that can't be opened.
     pending_store: Option<PendingStore>,
--- a/daemon/src/daemon/shutdown.rs
+++ b/daemon/src/daemon/shutdown.rs
@@ -13,7 +13,8 @@
         self.term.clear();
         if !self.is_stopping() {
             self.term_at = Some(now);
-            self.core.end_by(now + self.limits.term_answer_us);
+            self.core
+                .set_shutdown_deadline(now + self.limits.term_answer_us);
             log::info!("SIGTERM: answering what is open");
             if self.inherited {
                 // The next process accepts on the same socket: whatever this one took now it would have to answer
@@ -26,7 +27,7 @@
             }
             self.deadlines
                 .set(now + self.limits.term_grace_us, Timer::Term);
-            self.leave_consul(now);
+            self.deregister_from_consul(now);
             self.leave_fleet(now);
         }
     }
@@ -50,7 +51,7 @@
     pub(super) fn is_done(&self) -> bool {
         let now = self.clock.now();
         self.grace_over
-            && self.has_left_consul()
+            && self.is_deregistered_from_consul()
             && self.core.is_idle()
             && self.waiting_answers == 0
             && {
@@ -65,7 +66,7 @@
 
     /// Stores what the next process is to find, closes the store, and logs the sums of this process.
     pub(super) fn finish(&mut self) {
-        self.write_lists(self.clock.now());
+        self.write_pending_snapshots(self.clock.now());
         let replication = self.close_store();
         self.log_requests();
         self.log_budgets();
@@ -89,15 +90,15 @@
     }
 
     fn log_requests(&self) {
-        let c = self.core.counts;
+        let counters = self.core.counters;
         log::info!(
             "ended: {} taken, {} served, {} refused, {} failed, {} left, {} attempts",
-            c.taken,
-            c.served,
-            c.refused,
-            c.failed,
-            c.left,
-            c.attempts
+            counters.admitted,
+            counters.served,
+            counters.rejected,
+            counters.failed,
+            counters.abandoned,
+            counters.attempts
         );
     }
 
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -19,7 +19,7 @@
 use super::Daemon;
 use crate::config::{Config, Source};
 use crate::core::Core;
-use crate::front::cdni::Desk;
+use crate::front::cdni::TriggerApi;
 use crate::ledger::{Bounds, Ledger};
 use crate::net::{Clock, Deadlines, Listener, Poll, Slots};
 use crate::plain_purges::PlainPurges;
@@ -94,7 +94,7 @@
 /// Consul, where the configuration names one, with what keeps its list for the next process.
 struct ConsulParts {
     state: Option<consul::State>,
-    keeper: Option<consul::Keeper>,
+    snapshots: Option<consul::SnapshotWriter>,
     damping: Damping,
 }
 
@@ -104,22 +104,22 @@
         let Some(consul) = &config.consul else {
             return Ok(ConsulParts {
                 state: None,
-                keeper: None,
+                snapshots: None,
                 damping: Damping::default(),
             });
         };
         let state = consul::State::start(consul, config.seed, address)
             .map_err(|e| StartError::Consul(e.into()))?;
-        let keeper = config
+        let snapshots = config
             .state
             .directory
             .as_ref()
-            .map(|folder| consul::Keeper::start(folder, consul.scopes()))
+            .map(|folder| consul::SnapshotWriter::start(folder, consul.scopes()))
             .transpose()
             .map_err(|e| StartError::Consul(e.into()))?;
         Ok(ConsulParts {
             state: Some(state),
-            keeper,
+            snapshots,
             damping: consul.damping,
         })
     }
@@ -129,7 +129,7 @@
 struct Parts {
     clock: Clock,
     sockets: Sockets,
-    desk: Option<(Listener, Desk)>,
+    trigger_api: Option<(Listener, TriggerApi)>,
     store: StoreParts,
     peers: Option<(UdpSocket, Vec<SocketAddr>)>,
     core: Core,
@@ -140,7 +140,7 @@
     fn set_up(config: &Config) -> Result<Self, StartError> {
         let sockets = Sockets::open(config)?;
         let clock = Clock::start();
-        let desk = open_cdni(config, &sockets.poll)?;
+        let trigger_api = open_cdni(config, &sockets.poll)?;
         let store = StoreParts::open(config, &sockets.poll, &clock)?;
         if config.copies.on && config.peers.is_none() {
             return Err(StartError::NoPeers);
@@ -152,7 +152,7 @@
         Ok(Parts {
             clock,
             sockets,
-            desk,
+            trigger_api,
             store,
             peers,
             core,
@@ -168,13 +168,16 @@
     /// The configuration can't be followed on this machine.
     pub fn start(mut config: Config, source: Source) -> Result<Self, StartError> {
         let parts = Parts::set_up(&config)?;
-        let (last_event, known) = std::mem::take(&mut config.known);
+        let known = std::mem::take(&mut config.known);
         let mut daemon = Daemon::assemble(config, source, parts);
         daemon.index_peers();
         let now = daemon.clock.now();
         daemon.restore_purges(now);
-        known.into_iter().for_each(|event| daemon.news(now, event));
-        daemon.bus.last = last_event;
+        known
+            .events
+            .into_iter()
+            .for_each(|event| daemon.apply_bus_event(now, event));
+        daemon.bus.last = known.offset;
         daemon.know_machines();
         daemon.join_fleet(now);
         daemon
@@ -186,8 +189,8 @@
         daemon.begin_reopening(now);
         daemon.plan_operator_state(now);
         daemon.copy_purges(now);
-        daemon.recall_lists(now);
-        daemon.call_bus(now);
+        daemon.load_snapshots(now);
+        daemon.connect_bus(now);
         daemon.drive_consul(now);
         daemon.settle(now);
         daemon.log_start();
@@ -228,14 +231,14 @@
             members_due: None,
             said: Said::default(),
             consul: parts.consul.state,
-            keeper: parts.consul.keeper,
+            snapshots: parts.consul.snapshots,
             peers: parts.peers,
             peer_index: PeerIndex::default(),
             plain_purges: PlainPurges::new(&config.limits),
             plain_purges_due: None,
             origin_health,
             dropped: (0, 0),
-            desk: parts.desk,
+            trigger_api: parts.trigger_api,
             ledger: parts.store.ledger,
             pending_store: parts.store.pending,
             promised: Promised::default(),
--- a/daemon/tests/compacted_fleet.rs
+++ b/daemon/tests/compacted_fleet.rs
@@ -1,8 +1,8 @@
 //! Three processes of the daemon that hold few purges one by one: one that was away past that, or lost its disk, has
 //! the floors of all purges before it is ready, from its peers' snapshot.
 
-use linnetknot_rehearse::clients::{becomes, PATIENCE};
-use linnetknot_rehearse::fleet::{Disk, Fleet, Setup};
+use linnetknot_harness::clients::{becomes, TIMEOUT};
+use linnetknot_harness::fleet::{Disk, Fleet, Setup};
 use std::path::Path;
 
 const DAEMON: &str = env!("CARGO_BIN_EXE_linnetknot");
@@ -27,7 +27,7 @@
 }
 
 fn until(what: &str, so: impl FnMut() -> bool) {
-    assert!(becomes(3 * PATIENCE, so), "never: {what}");
+    assert!(becomes(3 * TIMEOUT, so), "never: {what}");
 }
 
 /// Tells proxies 0 and 1 of all purges in turn, and waits until both have compacted all beyond the window.
--- a/daemon/tests/failing_calls.rs
+++ b/daemon/tests/failing_calls.rs
@@ -3,8 +3,8 @@
 mod armed;
 
 use armed::{ask, Armed, Ports};
-use linnetknot_rehearse::boxes::Manner;
-use linnetknot_rehearse::clients::WebServer;
+use linnetknot_harness::clients::WebServer;
+use linnetknot_harness::fakes::cache::Manner;
 use serde_json::{json, Value};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
--- a/daemon/tests/scripted/mod.rs
+++ b/daemon/tests/scripted/mod.rs
@@ -3,7 +3,7 @@
 
 use crate::rig::Rig;
 use linnetknot_daemon::wire::{fastcgi, resp, Parser};
-use linnetknot_rehearse::clients::WebServer;
+use linnetknot_harness::clients::WebServer;
 use serde_json::Value;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
--- a/daemon/tests/shutdown_terms.rs
+++ b/daemon/tests/shutdown_terms.rs
@@ -4,8 +4,8 @@
 mod rig;
 mod scripted;
 
-use linnetknot_rehearse::boxes::Manner;
-use linnetknot_rehearse::clients::WebServer;
+use linnetknot_harness::clients::WebServer;
+use linnetknot_harness::fakes::cache::Manner;
 use rig::{object, Rig};
 use scripted::pass;
 use std::collections::HashSet;
--- a/rehearse/src/boxes.rs
+++ b/harness/src/fakes/cache.rs
@@ -1,7 +1,8 @@
-//! Stand-in boxes: they keep copies, honour the age that is asked for, and write down all that reaches them.
+//! Fake cache servers: they keep copies, honour the age that is asked for, and write down all that reaches them.
 
-use crate::rules::budgets::Span;
-use crate::{listen, read_commands, unix_ms, Listening};
+use crate::listener::{listen, read_commands, Listening};
+use crate::span::Span;
+use crate::unix_ms;
 use linnetknot_daemon::wire::resp;
 use std::collections::BTreeMap;
 use std::io::{self, Write};
@@ -10,14 +11,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How a box behaves from now on.
+/// How a cache behaves from now on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Manner {
     /// It waits so many milliseconds before it answers.
     pub hold_ms: u64,
     /// Bytes that its answers hold besides what they tell.
     pub padding: usize,
-    /// It says that what it fetched came from the origin, after so many milliseconds; 0: from a hub.
+    /// It says that what it fetched came from the origin, after so many milliseconds; 0: from a parent cache.
     pub origin_ms: u64,
     /// It answers nothing.
     pub mute: bool,
@@ -25,12 +26,12 @@
     pub any_age: bool,
 }
 
-/// Something that reached a box.
+/// Something that reached a cache.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
     /// When, in Unix milliseconds.
     pub at: u64,
-    /// `fetch`, `abort` or a probe's word.
+    /// `fetch`, `abort` or the command of a health check.
     pub word: String,
     /// The request.
     pub id: String,
@@ -41,15 +42,32 @@
 }
 
 impl Arrival {
+    /// Reads the words of a command.
+    fn of(words: &[Vec<u8>]) -> Self {
+        let text = |at: usize| {
+            words
+                .get(at)
+                .map(|b| String::from_utf8_lossy(b).into_owned())
+                .unwrap_or_default()
+        };
+        Arrival {
+            at: unix_ms(),
+            word: text(0),
+            id: text(1),
+            fields: text(2),
+            body: words.get(3).cloned().unwrap_or_default(),
+        }
+    }
+
     /// The value of a field.
     pub fn field(&self, name: &str) -> Option<&str> {
         resp::field(self.fields.as_bytes(), name)
     }
 }
 
-/// Something that a box held.
+/// A fetch that a cache works on, or has worked on.
 #[derive(Clone, Debug)]
-struct Held {
+struct ActiveFetch {
     connection: usize,
     id: String,
     from: Instant,
@@ -58,7 +76,7 @@
 
 #[derive(Default)]
 struct State {
-    held: Vec<Held>,
+    fetches: Vec<ActiveFetch>,
     manner: Manner,
     arrivals: Vec<Arrival>,
     made: BTreeMap<String, u64>,
@@ -68,9 +86,9 @@
 
 type Shared = Arc<(Mutex<State>, Condvar)>;
 
-/// A stand-in box.
+/// A fake cache server.
 #[derive(Clone)]
-pub struct StandIn {
+pub struct FakeCache {
     /// Its id.
     pub uid: &'static str,
     /// Where it listens.
@@ -80,35 +98,35 @@
     _listening: Option<Arc<Listening>>,
 }
 
-impl StandIn {
-    /// Starts a box on a port of its own.
+impl FakeCache {
+    /// Starts a cache on a port of its own.
     pub fn start(uid: &'static str) -> io::Result<Self> {
         Self::start_at(uid, "127.0.0.1:0")
     }
 
-    /// Starts a box at an address.
+    /// Starts a cache at an address.
     pub fn start_at(uid: &'static str, address: &str) -> io::Result<Self> {
         let state = Shared::default();
         let served = state.clone();
         let listening = listen(address, move |socket| {
-            let stand_in = StandIn {
+            let cache = FakeCache {
                 uid,
                 address: socket.local_addr().ok()?,
                 state: served.clone(),
                 _listening: None,
             };
             let connection = {
-                let mut state = stand_in.state();
+                let mut state = cache.state();
                 state.connections += 1;
                 state.connections
             };
-            let served = stand_in.serve(socket, connection);
-            stand_in.state().ended += 1;
-            // What was asked by it is wanted by nobody any more.
-            stand_in.let_go(|held| held.connection == connection);
+            let served = cache.serve(socket, connection);
+            cache.state().ended += 1;
+            // Nobody waits for what came on it any more.
+            cache.finish(|fetch| fetch.connection == connection);
             served
         })?;
-        Ok(StandIn {
+        Ok(FakeCache {
             uid,
             address: listening.address,
             state,
@@ -120,9 +138,9 @@
         self.state.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The same box under another id, as if it had taken over the address.
+    /// The same cache under another id, as if it had taken over the address.
     pub fn heir(&self, uid: &'static str) -> Self {
-        StandIn {
+        FakeCache {
             uid,
             ..self.clone()
         }
@@ -161,27 +179,31 @@
         state.arrivals.iter().find(|a| fits(a)).cloned()
     }
 
-    /// When it held what it was asked for, in microseconds from a moment on: until its answer, an abort, or the end of the
+    /// When it worked on fetches, in microseconds from a moment on: until the answer, an abort, or the end of the
     /// connection.
     pub fn spans(&self, begun: Instant) -> Vec<Span> {
         let at = |at: Instant| at.saturating_duration_since(begun).as_micros() as u64;
         let now = Instant::now();
-        let held = self.state().held.clone();
-        held.iter()
-            .map(|held| Span {
-                from: at(held.from),
-                until: at(held.until.unwrap_or(now)),
+        let fetches = self.state().fetches.clone();
+        fetches
+            .iter()
+            .map(|fetch| Span {
+                from: at(fetch.from),
+                until: at(fetch.until.unwrap_or(now)),
             })
             .collect()
     }
 
-    fn let_go(&self, which: impl Fn(&Held) -> bool) {
+    fn finish(&self, which: impl Fn(&ActiveFetch) -> bool) {
         let now = Instant::now();
         let mut state = self.state();
         // Each ends once; those that have ended long ago need not be looked at.
-        let open = state.held.iter_mut().filter(|held| held.until.is_none());
-        open.filter(|held| which(held))
-            .for_each(|held| held.until = Some(now));
+        let open = state
+            .fetches
+            .iter_mut()
+            .filter(|fetch| fetch.until.is_none());
+        open.filter(|fetch| which(fetch))
+            .for_each(|fetch| fetch.until = Some(now));
     }
 
     fn serve(&self, socket: TcpStream, connection: usize) -> Option<()> {
@@ -192,84 +214,38 @@
     }
 
     fn arrived(&self, array: &[Vec<u8>], socket: &TcpStream, connection: usize) {
-        let text = |at: usize| {
-            array
-                .get(at)
-                .map(|b| String::from_utf8_lossy(b).into_owned())
-                .unwrap_or_default()
-        };
-        let body = array.get(3).cloned().unwrap_or_default();
-        let arrival = Arrival {
-            at: unix_ms(),
-            word: text(0),
-            id: text(1),
-            fields: text(2),
-            body,
-        };
+        let arrival = Arrival::of(array);
         let mut state = self.state();
         state.arrivals.push(arrival.clone());
         self.state.1.notify_all();
         let manner = state.manner;
         if arrival.word == "abort" {
             drop(state);
-            return self.let_go(|held| held.connection == connection && held.id == arrival.id);
+            return self.finish(|fetch| fetch.connection == connection && fetch.id == arrival.id);
         }
         if arrival.word != "fetch" || manner.mute {
             return;
         }
-        let held = Held {
+        state.fetches.push(ActiveFetch {
             connection,
             id: arrival.id.clone(),
             from: Instant::now(),
             until: None,
-        };
-        state.held.push(held);
-        let name = format!(
-            "{}/{}",
-            arrival.field("key").unwrap_or(""),
-            arrival.field("part").unwrap_or("")
-        );
-        let oldest = arrival
-            .field("maxage")
-            .and_then(|v| v.parse::<u64>().ok())
-            .filter(|v| *v > 0);
-        let held = state.made.get(&name).copied();
-        let good =
-            held.filter(|made| manner.any_age || oldest.is_none_or(|age| made + age >= arrival.at));
-        let made = good.unwrap_or(arrival.at);
-        state.made.insert(name.clone(), made);
+        });
+        let copy = state.copy_for(&arrival);
         drop(state);
         let Ok(mut socket) = socket.try_clone() else {
             return;
         };
-        let me = StandIn {
+        let me = FakeCache {
             _listening: None,
             ..self.clone()
         };
         let mut answer = move || {
             thread::sleep(Duration::from_millis(manner.hold_ms));
-            let fetched = if manner.origin_ms > 0 {
-                "pulled_far"
-            } else {
-                "pulled"
-            };
-            let how = if good.is_some() { "local" } else { fetched };
-            let waited = manner.origin_ms.max(1);
-            let told = if manner.any_age { arrival.at } else { made };
-            let fields = format!("how={how},ttfb={waited},made={told},etag=t{made}");
-            let mut out = Vec::new();
-            let body = format!("{}{name}@{made}", ".".repeat(manner.padding));
-            resp::write_array(
-                &mut out,
-                &[
-                    arrival.id.as_bytes(),
-                    b"200",
-                    fields.as_bytes(),
-                    body.as_bytes(),
-                ],
-            );
+            let out = answer_bytes(&arrival, &copy, &manner);
             // Before its answer is on its way: whoever has that may send the next.
-            me.let_go(|held| held.connection == connection && held.id == arrival.id);
+            me.finish(|fetch| fetch.connection == connection && fetch.id == arrival.id);
             let _ = socket.write_all(&out);
         };
         if manner.hold_ms > 0 {
@@ -279,3 +255,63 @@
         }
     }
 }
+
+/// A copy that answers a fetch.
+struct Copied {
+    /// The object and part.
+    name: String,
+    /// When it left the origin, in Unix milliseconds.
+    made: u64,
+    /// Whether it was there before.
+    is_hit: bool,
+}
+
+impl State {
+    /// The copy for a fetch: the one that is there where it is new enough, or one that is made now.
+    fn copy_for(&mut self, arrival: &Arrival) -> Copied {
+        let name = format!(
+            "{}/{}",
+            arrival.field("key").unwrap_or(""),
+            arrival.field("part").unwrap_or("")
+        );
+        let max_age = arrival
+            .field("maxage")
+            .and_then(|age| age.parse::<u64>().ok())
+            .filter(|age| *age > 0);
+        let is_good =
+            |made: &u64| self.manner.any_age || max_age.is_none_or(|age| made + age >= arrival.at);
+        let good = self.made.get(&name).copied().filter(is_good);
+        let made = good.unwrap_or(arrival.at);
+        self.made.insert(name.clone(), made);
+        Copied {
+            name,
+            made,
+            is_hit: good.is_some(),
+        }
+    }
+}
+
+/// The bytes of the answer to a fetch.
+fn answer_bytes(arrival: &Arrival, copy: &Copied, manner: &Manner) -> Vec<u8> {
+    let Copied { name, made, is_hit } = copy;
+    let how = match (is_hit, manner.origin_ms) {
+        (true, _) => "local",
+        (false, 0) => "pulled",
+        (false, _) => "pulled_far",
+    };
+    let waited = manner.origin_ms.max(1);
+    let made_field = if manner.any_age { arrival.at } else { *made };
+    let fields = format!("how={how},ttfb={waited},made={made_field},etag=t{made}");
+    let body = format!("{}{name}@{made}", ".".repeat(manner.padding));
+    let mut out = Vec::new();
+    resp::write_array(
+        &mut out,
+        &[
+            arrival.id.as_bytes(),
+            b"200",
+            fields.as_bytes(),
+            body.as_bytes(),
+        ],
+    );
+    out
+}
--- a/rehearse/src/links/conditions.rs
+++ b/harness/src/links/conditions.rs
@@ -1,11 +1,12 @@
 //! What a link between two proxies does to what passes over it, decided without a socket: what is lost, what comes
 //! twice, and what comes when.
 
-use crate::record::Micros;
+use crate::time::Micros;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
 /// The state of one direction of a link. The default is a clear one: all passes at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
@@ -31,8 +32,33 @@
     pub half_open: bool,
 }
 
-/// How long a datagram that is held back waits at the least, in microseconds.
-const HELD_US: Micros = 20_000;
+/// How long a datagram that is reordered is delayed at the least, in microseconds.
+pub const REORDER_DELAY_US: Micros = 20_000;
+
+/// The longest delay and jitter, in milliseconds.
+const MAX_DELAY_MS: f64 = 60_000.0;
+
+/// A value of link conditions that can't be.
+#[derive(Clone, Copy, Debug, PartialEq, Error)]
+#[error("{key}: {value} is not from 0 to {max}")]
+pub struct ConditionOutOfRange {
+    /// Its key.
+    pub key: &'static str,
+    /// The value.
+    pub value: f64,
+    /// The largest that can be.
+    pub max: f64,
+}
+
+impl ConditionOutOfRange {
+    fn check(key: &'static str, value: f64, max: f64) -> Result<(), Self> {
+        if (0.0..=max).contains(&value) {
+            Ok(())
+        } else {
+            Err(ConditionOutOfRange { key, value, max })
+        }
+    }
+}
 
 impl LinkConditions {
     /// A link over which nothing passes.
@@ -50,29 +76,31 @@
 
     /// What concerns streams alone, by its key.
     pub fn of_streams(&self) -> Option<&'static str> {
-        let said = [
+        let flags = [
             ("trickle", self.trickle > 0),
             ("reset_after", self.reset_after > 0),
             ("half_open", self.half_open),
         ];
-        said.into_iter().find(|(_, said)| *said).map(|(key, _)| key)
+        flags
+            .into_iter()
+            .find(|(_, flags)| *flags)
+            .map(|(key, _)| key)
     }
 
-    /// What can't be, by its key.
-    pub fn check(&self) -> Result<(), String> {
+    /// Checks that all values can be.
+    ///
+    /// # Errors
+    /// Where one can't; it is named by its key.
+    pub fn check(&self) -> Result<(), ConditionOutOfRange> {
         for (key, share) in [
             ("drop", self.drop),
             ("duplicate", self.duplicate),
             ("reorder", self.reorder),
         ] {
-            if !(0.0..=1.0).contains(&share) {
-                return Err(format!("{key}: {share} is not from 0 to 1"));
-            }
+            ConditionOutOfRange::check(key, share, 1.0)?;
         }
         for (key, ms) in [("delay_ms", self.delay_ms), ("jitter_ms", self.jitter_ms)] {
-            if !(0.0..=60_000.0).contains(&ms) {
-                return Err(format!("{key}: {ms} is not from 0 to 60000"));
-            }
+            ConditionOutOfRange::check(key, ms, MAX_DELAY_MS)?;
         }
         Ok(())
     }
@@ -97,20 +125,21 @@
     /// After how many microseconds the next datagram comes, for each time that it comes: none where it is lost. As
     /// many draws are made whatever the conditions are, so that a change of conditions shifts no later fate.
     pub fn of(&mut self, conditions: &LinkConditions) -> Vec<Micros> {
-        let [lost, twice, held, late, later] = std::array::from_fn(|_| self.random.random::<f64>());
+        let [lost, twice, reordered, late, later] =
+            std::array::from_fn(|_| self.random.random::<f64>());
         if conditions.cut || lost < conditions.drop {
             return Vec::new();
         }
         let delay =
             |jitter: f64| ((conditions.delay_ms + jitter * conditions.jitter_ms) * 1e3) as Micros;
-        let held_back = if held < conditions.reorder {
-            HELD_US + delay(1.0)
+        let reorder_delay = if reordered < conditions.reorder {
+            REORDER_DELAY_US + delay(1.0)
         } else {
             0
         };
-        let mut comes = vec![delay(late) + held_back];
+        let mut comes = vec![delay(late) + reorder_delay];
         if twice < conditions.duplicate {
-            comes.push(delay(later) + held_back);
+            comes.push(delay(later) + reorder_delay);
         }
         comes
     }
@@ -172,125 +201,3 @@
         self.allowance = (self.allowance - bytes as f64).max(0.0);
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_clear_link_passes_each_datagram_once_and_at_once_and_a_cut_one_none() {
-        let mut fate = Fate::new(7, 0, 1);
-        assert!((0..100).all(|_| fate.of(&LinkConditions::default()) == [0]));
-        assert!((0..100).all(|_| fate.of(&LinkConditions::CUT).is_empty()));
-    }
-
-    #[test]
-    fn losses_doubles_and_delays_come_in_their_shares_and_alike_for_one_seed() {
-        let rough = LinkConditions {
-            drop: 0.3,
-            duplicate: 0.2,
-            reorder: 0.1,
-            delay_ms: 5.0,
-            jitter_ms: 2.0,
-            ..LinkConditions::default()
-        };
-        let all = |seed, to| {
-            let mut fate = Fate::new(seed, 0, to);
-            (0..10_000).map(|_| fate.of(&rough)).collect::<Vec<_>>()
-        };
-        let fates = all(7, 1);
-        let lost = fates.iter().filter(|f| f.is_empty()).count();
-        let twice = fates.iter().filter(|f| f.len() == 2).count();
-        let held = fates
-            .iter()
-            .filter(|f| f.first().is_some_and(|us| *us >= HELD_US))
-            .count();
-        assert!((2_800..3_200).contains(&lost), "{lost}");
-        assert!((1_250..1_550).contains(&twice), "{twice}");
-        assert!((600..800).contains(&held), "{held}");
-        let usual = |us: &u64| (5_000..=7_000).contains(us) || *us >= HELD_US + 12_000;
-        assert!(fates.iter().flatten().all(usual));
-        assert_eq!(fates, all(7, 1));
-        assert!(
-            fates != all(8, 1) && fates != all(7, 2),
-            "each direction and seed has fates of its own"
-        );
-    }
-
-    #[test]
-    fn a_change_of_conditions_shifts_no_later_fate() {
-        let (mut a, mut b) = (Fate::new(3, 1, 2), Fate::new(3, 1, 2));
-        let rough = LinkConditions {
-            drop: 0.5,
-            duplicate: 0.5,
-            jitter_ms: 9.0,
-            ..LinkConditions::default()
-        };
-        for _ in 0..50 {
-            a.of(&rough);
-            b.of(&LinkConditions::CUT);
-        }
-        assert!((0..50).all(|_| a.of(&rough) == b.of(&rough)));
-    }
-
-    #[test]
-    fn a_stream_trickles_breaks_in_the_midst_and_stands_still_while_cut() {
-        let slow = LinkConditions {
-            trickle: 1000,
-            ..LinkConditions::default()
-        };
-        let mut flow = Flow::default();
-        assert_eq!(
-            flow.may(0, &slow, 500),
-            Pass::Nothing,
-            "nothing is earned yet"
-        );
-        assert_eq!(flow.may(50_000, &slow, 500), Pass::Bytes(50));
-        flow.passed(50);
-        assert_eq!(flow.may(50_000, &slow, 500), Pass::Nothing);
-        assert_eq!(
-            flow.may(5_000_000, &slow, 500),
-            Pass::Bytes(100),
-            "not all of an idle time at once"
-        );
-        assert_eq!(
-            flow.may(5_000_000, &LinkConditions::CUT, 500),
-            Pass::Nothing
-        );
-        assert_eq!(
-            flow.may(9_000_000, &LinkConditions::default(), 500),
-            Pass::Bytes(500)
-        );
-        let breaks = LinkConditions {
-            reset_after: 70,
-            ..LinkConditions::default()
-        };
-        assert_eq!(
-            flow.may(9_000_000, &breaks, 500),
-            Pass::Bytes(20),
-            "50 have passed"
-        );
-        flow.passed(20);
-        assert_eq!(flow.may(9_000_000, &breaks, 1), Pass::Reset);
-        let deaf = LinkConditions {
-            half_open: true,
-            ..LinkConditions::default()
-        };
-        assert_eq!(Flow::default().may(0, &deaf, 9), Pass::Nothing);
-    }
-
-    #[test]
-    fn what_can_not_be_is_told_by_its_key() {
-        let bad = LinkConditions {
-            drop: 1.5,
-            ..LinkConditions::default()
-        };
-        assert_eq!(bad.check(), Err("drop: 1.5 is not from 0 to 1".into()));
-        let bad = LinkConditions {
-            delay_ms: f64::NAN,
-            ..LinkConditions::default()
-        };
-        assert!(bad.check().unwrap_err().starts_with("delay_ms"));
-        assert_eq!(LinkConditions::CUT.check(), Ok(()));
-    }
-}
--- a/rehearse/examples/upgrade/same_files.rs
+++ b/rehearse/examples/upgrade/same_files.rs
@@ -3,13 +3,13 @@
 
 use crate::checks::Checks;
 use crate::Program;
-use linnetknot_rehearse::boxes::StandIn;
-use linnetknot_rehearse::bus::Bus;
-use linnetknot_rehearse::clients::{becomes, call, WebServer, PATIENCE};
-use linnetknot_rehearse::fleet::{status_path, trigger_at};
-use linnetknot_rehearse::process::Process;
-use linnetknot_rehearse::settings;
-use linnetknot_rehearse::stand_ins::consul::{instance, Agent, Manner};
+use linnetknot_harness::clients::{becomes, call, WebServer, TIMEOUT};
+use linnetknot_harness::fakes::cache::FakeCache;
+use linnetknot_harness::fakes::consul::{instance, Agent, Manner};
+use linnetknot_harness::fakes::event_bus::Bus;
+use linnetknot_harness::fleet::{status_path, trigger_at};
+use linnetknot_harness::process::Process;
+use linnetknot_harness::settings;
 use rustix::process::Signal;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -50,7 +50,7 @@
     folder: PathBuf,
     _bus: Bus,
     agent: Agent,
-    caches: [StandIn; 3],
+    caches: [FakeCache; 3],
     config: Value,
     own: Value,
     /// The status of each trigger that was answered 201, by its path.
@@ -93,9 +93,9 @@
         fs::create_dir_all(&folder)?;
         let (bus, agent) = (Bus::start()?, Agent::start()?);
         let caches = [
-            StandIn::start("s-0a")?,
-            StandIn::start("s-0b")?,
-            StandIn::start("s-0c")?,
+            FakeCache::start("s-0a")?,
+            FakeCache::start("s-0b")?,
+            FakeCache::start("s-0c")?,
         ];
         let peer: SocketAddr = UdpSocket::bind("127.0.0.1:0")?.local_addr()?;
         let config = json!({
@@ -168,7 +168,7 @@
             .map(|(cache, status)| instance(cache.uid, cache.address, status))
             .collect();
         self.agent.register(&listed);
-        let is_read = self.agent.wait_until_read() && becomes(PATIENCE, || is_ready(process));
+        let is_read = self.agent.wait_until_read() && becomes(TIMEOUT, || is_ready(process));
         checks.that("it is ready with the agent's list", is_read, || {
             is_read.to_string()
         });
@@ -178,7 +178,7 @@
             format!("{used:?}")
         });
         let file = self.folder.join("lists").join("boxes-0.list");
-        let is_written = becomes(PATIENCE, || {
+        let is_written = becomes(TIMEOUT, || {
             fs::read_to_string(&file).is_ok_and(|text| {
                 self.caches
                     .iter()
@@ -198,7 +198,7 @@
             format!("ready within {} ms: {came_up}", DRAIN_WATCH.as_millis())
         });
         let status = operate(process, "POST", "/control/in-service")?;
-        let is_back = status == 200 && becomes(PATIENCE, || is_ready(process));
+        let is_back = status == 200 && becomes(TIMEOUT, || is_ready(process));
         checks.that("it is ready once in service", is_back, || {
             format!("the call was answered {status}")
         });
--- a/rehearse/examples/upgrade/side_by_side.rs
+++ b/rehearse/examples/upgrade/side_by_side.rs
@@ -4,10 +4,10 @@
 use crate::checks::Checks;
 use crate::Program;
 use linnetknot_daemon::fleet::Status;
-use linnetknot_rehearse::boxes::Manner;
-use linnetknot_rehearse::clients::{becomes, PATIENCE};
-use linnetknot_rehearse::fleet::{status_path, Disk, Fleet, Setup};
-use linnetknot_rehearse::pressure::Pressure;
+use linnetknot_harness::clients::{becomes, TIMEOUT};
+use linnetknot_harness::fakes::cache::Manner;
+use linnetknot_harness::fleet::{status_path, Disk, Fleet, Setup};
+use linnetknot_harness::pressure::Pressure;
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::io;
@@ -27,7 +27,7 @@
 const CLIENTS: usize = 12;
 const HOLD_MS: u64 = 100;
 /// Agreement on a busy machine.
-const AGREEMENT: Duration = PATIENCE.saturating_mul(3);
+const AGREEMENT: Duration = TIMEOUT.saturating_mul(3);
 
 /// A restart of one proxy, with a program and what is left of its disk.
 struct Restart<'a> {
--- /dev/null
+++ b/rehearse/src/play/mod.rs
@@ -0,0 +1,261 @@
+//! The cases, and what must hold in them.
+
+mod drain;
+
+use crate::Report;
+use linnetknot_harness::clients::{call, Answer, PeerCdn, PeerRequest, WebServer, TIMEOUT};
+use linnetknot_harness::fakes::cache::{Arrival, FakeCache, Manner};
+use linnetknot_harness::fakes::event_bus::{entry, Bus};
+use linnetknot_harness::process::Process;
+use linnetknot_harness::{settings, unix_ms};
+use serde_json::{json, Value};
+use std::collections::BTreeMap;
+use std::io;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::process::Command;
+use std::sync::mpsc;
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// A fault that the fakes are made to show, to see that it is reported.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Plant {
+    /// The caches serve copies of any age, also after a purge, and say that they are new.
+    StaleCopies,
+    /// The drain never reaches the daemon.
+    DrainHidden,
+}
+
+/// Time from the notice of a purge until nothing older is served, and what sockets add to every time limit.
+const PURGE_GRACE_MS: u64 = 300 + 50;
+const OBJECT: &str = "00000000000000a1";
+
+fn failed(what: impl Into<String>) -> io::Error {
+    io::Error::other(what.into())
+}
+
+fn start(daemon: &Path, bus: &Bus, peer: SocketAddr) -> io::Result<Process> {
+    // Named by the bus's port: rehearsals may run side by side in one process.
+    let folder = std::env::temp_dir().join(format!(
+        "linnetknot-rehearse-{}-{}",
+        std::process::id(),
+        bus.address.port()
+    ));
+    let config = json!({
+        "name": "rehearsed", "listen": "127.0.0.1:0", "seed": "1f", "bus": bus.address.to_string(),
+        "limits": {"memory_mb": 192, "sockets": 1024}, "settings": settings(),
+    });
+    let own = json!({"cdni": {
+        "listen": "127.0.0.1:0", "provider": "AS64500:0", "base": "http://cdn.example",
+        "footprint": ["127.0.0.0/8"],
+        "neighbours": [{"provider": "AS64501:0", "address": peer.to_string(), "notices": "/notices",
+            "triggers": "/triggers", "content": "http://neighbour.example"}],
+    }});
+    let process = Process::start(daemon, &folder, "rehearsed", &config, &own);
+    let _ = std::fs::remove_dir_all(&folder);
+    process
+}
+
+/// Plays both cases against a daemon's program and reports every breach. Errors are those of the play itself.
+pub fn rehearse(daemon: &Path, plant: Option<Plant>) -> io::Result<Report> {
+    let mut report = Report::default();
+    let caches = [
+        FakeCache::start("s-0000000a")?,
+        FakeCache::start("s-0000000b")?,
+    ];
+    let origin = FakeCache::start("s-0000000f")?;
+    let bus = Bus::start()?;
+    let mut list: Vec<Value> = caches
+        .iter()
+        .map(|cache| entry(cache, "here", "box", "ready"))
+        .collect();
+    list.push(entry(&origin, "hub", "origin", "ready"));
+    bus.list(true, list);
+    let peer = PeerCdn::start()?;
+    let mut running = start(daemon, &bus, peer.address)?;
+    let until = Instant::now() + TIMEOUT;
+    while call(running.cdni, "GET", "/health", "")?.status != 200 {
+        if Instant::now() > until {
+            return Err(failed("the daemon did not become ready"));
+        }
+        thread::sleep(Duration::from_millis(10));
+    }
+    if plant == Some(Plant::StaleCopies) {
+        caches.iter().for_each(|cache| {
+            cache.behave(Manner {
+                any_age: true,
+                ..Manner::default()
+            });
+        });
+    }
+    purge(&running, &caches, &mut report)?;
+    notices(&bus, &peer.requests, &mut report)?;
+    caches
+        .iter()
+        .for_each(|cache| cache.behave(Manner::default()));
+    drain::drain(&running, &bus, &caches, plant, &mut report)?;
+    attempts(&caches, &origin, &mut report);
+    end(&mut running, &caches, &mut report)?;
+    Ok(report)
+}
+
+fn content(to: SocketAddr, object: &str) -> io::Result<Answer> {
+    call(to, "GET", &format!("/content/photo/{object}/0?kb=40"), "")
+}
+
+/// A purge by the peer CDN: from its grace on, neither front serves an older copy.
+fn purge(running: &Process, caches: &[FakeCache], report: &mut Report) -> io::Result<()> {
+    let warm = content(running.cdni, OBJECT)?;
+    report.hold("one answer", warm.status == 200, || {
+        format!("the first copy was answered {}", warm.status)
+    });
+    // The purge must lie behind the copy by more than the clock's step.
+    thread::sleep(Duration::from_millis(5));
+    let purged_ms = unix_ms();
+    let url = format!("http://cdn.example/content/photo/{OBJECT}");
+    let command =
+        json!({"trigger": {"type": "purge", "content.urls": [url]}, "cdn-path": ["AS64501:0"]});
+    let made = call(running.cdni, "POST", "/cdni/triggers", &command.to_string())?;
+    let notified_ms = unix_ms();
+    report.hold("trigger", made.status == 201, || {
+        format!("the purge was answered {}", made.status)
+    });
+    check_status(running, &made, report)?;
+    let (mut server, mut requests) = (WebServer::connect(running.front)?, 0u16);
+    while unix_ms() < notified_ms + PURGE_GRACE_MS + 600 {
+        let sent = unix_ms();
+        requests += 1;
+        server.ask(requests, "photo", OBJECT, 2500)?;
+        let fronts = [
+            ("FastCGI", server.end()?.1),
+            ("CDNI", Some(content(running.cdni, OBJECT)?)),
+        ];
+        for (front, answer) in fronts {
+            let Some(answer) = answer else { continue };
+            let is_stale = sent > notified_ms + PURGE_GRACE_MS
+                && answer.made().is_some_and(|made| made < purged_ms);
+            report.hold("purge", !is_stale, || {
+                format!(
+                    "by {front}, {} ms after the notice of the purge, a copy from before it was served",
+                    sent - notified_ms
+                )
+            });
+            report.hold("one answer", !answer.surplus, || {
+                format!("bytes behind an answer by {front}")
+            });
+        }
+        thread::sleep(Duration::from_millis(20));
+    }
+    let reached: usize = caches.iter().map(|cache| cache.arrivals().len()).sum();
+    report.played.push(format!(
+        "a purge by CDNI, {requests} requests by each front, {reached} at the caches"
+    ));
+    Ok(())
+}
+
+/// The status that an answer to a trigger names says that the purge is complete.
+fn check_status(running: &Process, made: &Answer, report: &mut Report) -> io::Result<()> {
+    let path = made
+        .header("location")
+        .and_then(|l| l.strip_prefix("http://cdn.example"))
+        .unwrap_or("/");
+    let status = call(running.cdni, "GET", path, "")?;
+    let done =
+        serde_json::from_slice::<Value>(&status.body).is_ok_and(|v| v["status"] == "complete");
+    report.hold("trigger", done, || {
+        format!("the status resource {path} does not say that the purge is complete")
+    });
+    Ok(())
+}
+
+/// Our footprint and a purge of the bus reach the peer CDN.
+fn notices(
+    bus: &Bus,
+    requests: &mpsc::Receiver<PeerRequest>,
+    report: &mut Report,
+) -> io::Result<()> {
+    bus.push(json!({"ban": {"url": "00000000000000ff", "ts": unix_ms()}}));
+    let (mut footprint, mut purge) = (false, false);
+    while !(footprint && purge) {
+        let Ok(PeerRequest { target, body }) = requests.recv_timeout(TIMEOUT) else {
+            break;
+        };
+        let body: Value = serde_json::from_str(&body).map_err(|e| failed(e.to_string()))?;
+        footprint |= target == "/notices"
+            && body["capabilities"]
+                .as_array()
+                .is_some_and(|c| !c.is_empty());
+        let urls = body["trigger"]["content.urls"].to_string();
+        purge |= target == "/triggers"
+            && urls.contains("00000000000000ff")
+            && body["cdn-path"][0] == "AS64500:0";
+    }
+    report.hold("notice", footprint, || {
+        "our footprint did not reach the peer CDN".to_owned()
+    });
+    report.hold("notice", purge, || {
+        "a purge of the event bus did not reach the peer CDN".to_owned()
+    });
+    report
+        .played
+        .push("notices to the peer CDN: footprint and purge".to_owned());
+    Ok(())
+}
+
+/// No request had more than six attempts.
+fn attempts(caches: &[FakeCache], origin: &FakeCache, report: &mut Report) {
+    let mut counts: BTreeMap<String, u32> = BTreeMap::new();
+    let all = caches.iter().chain([origin]).flat_map(FakeCache::arrivals);
+    all.filter(|a| a.word == "fetch")
+        .for_each(|a| *counts.entry(a.id).or_default() += 1);
+    for (id, count) in counts.iter().filter(|c| *c.1 > 6) {
+        report.hold("attempts", false, || format!("{id} had {count} attempts"));
+    }
+}
+
+/// A planned end: what is open is answered, and the daemon ends well.
+fn end(running: &mut Process, caches: &[FakeCache], report: &mut Report) -> io::Result<()> {
+    let before: usize = caches.iter().map(|cache| cache.arrivals().len()).sum();
+    caches.iter().for_each(|cache| {
+        cache.behave(Manner {
+            hold_ms: 150,
+            ..Manner::default()
+        });
+    });
+    let mut server = WebServer::connect(running.front)?;
+    server.ask(1, "photo", "00000000000000e1", 2500)?;
+    let fits = |a: &Arrival| a.field("key") == Some("00000000000000e1");
+    let until = Instant::now() + TIMEOUT;
+    while caches
+        .iter()
+        .map(|cache| cache.arrivals().len())
+        .sum::<usize>()
+        == before
+        && Instant::now() < until
+    {
+        thread::sleep(Duration::from_millis(2));
+    }
+    report.hold(
+        "one answer",
+        caches.iter().any(|cache| cache.arrivals().iter().any(fits)),
+        || "the last request strayed".into(),
+    );
+    // The shell sends the signal: the standard library can't.
+    Command::new("sh")
+        .arg("-c")
+        .arg(format!("kill -TERM {}", running.child.id()))
+        .status()?;
+    let answer = server.end()?.1;
+    report.hold("end", answer.is_some(), || {
+        "an open request was not answered at the end".to_owned()
+    });
+    let status = running.child.wait()?;
+    report.hold("end", status.success(), || {
+        format!("the daemon ended with {status}")
+    });
+    report
+        .played
+        .push("a planned end with a request open".to_owned());
+    Ok(())
+}
--- a/rehearse/src/player/load_generator.rs
+++ b/rehearse/src/player/load_generator.rs
@@ -4,15 +4,15 @@
 use super::clients::{ClientRequest, Clients, OpenRequests, Retry};
 use super::environment::Environment;
 use super::proxies::Proxies;
+use super::schedule::{RetryQueue, Schedule};
 use super::Watch;
-use crate::clients::WebServer;
-use crate::load::{group, Arrival, Plan, Purge};
-use crate::record::{Asked, Micros};
+use crate::load::{group, Arrival};
+use crate::record::{Micros, Request};
 use crate::scenario::Scenario;
-use crate::stand_ins::served::unix_us;
 use crate::timetable::Step;
-use std::cmp::Reverse;
-use std::collections::{BinaryHeap, HashMap, HashSet};
+use linnetknot_harness::clients::WebServer;
+use linnetknot_harness::time::unix_us;
+use std::collections::HashSet;
 use std::io::{self, Write};
 use std::net::TcpStream;
 use std::sync::atomic::Ordering;
@@ -40,90 +40,6 @@
     used: Instant,
 }
 
-/// What is to be sent and done, in the order of time from the start; each part shrinks as it is carried out.
-pub(super) struct Schedule<'a> {
-    start: Micros,
-    end: Micros,
-    arrivals: &'a [Arrival],
-    purges: &'a [Purge],
-    steps: &'a [(Micros, Step)],
-}
-
-impl<'a> Schedule<'a> {
-    /// The schedule of a plan that begins at a time and is over once the last request has been waited for.
-    pub(super) fn new(
-        start: Micros,
-        seconds: f64,
-        plan: &'a Plan,
-        steps: &'a [(Micros, Step)],
-    ) -> Self {
-        let longest_wait = plan.arrivals.iter().map(|a| a.budget).max().unwrap_or(0);
-        let end = start + (seconds * 1e6) as Micros + longest_wait;
-        Schedule {
-            start,
-            end,
-            arrivals: &plan.arrivals,
-            purges: &plan.purges,
-            steps,
-        }
-    }
-
-    fn seconds_at(&self, now: Micros) -> f64 {
-        now.saturating_sub(self.start) as f64 / 1e6
-    }
-
-    fn next_arrival(&mut self, now: Micros) -> Option<&'a Arrival> {
-        let start = self.start;
-        take_first_if(&mut self.arrivals, |arrival| start + arrival.at <= now)
-    }
-
-    fn next_purge(&mut self, now: Micros) -> Option<&'a Purge> {
-        let start = self.start;
-        take_first_if(&mut self.purges, |purge| start + purge.at <= now)
-    }
-
-    fn next_step(&mut self, now: Micros) -> Option<&'a Step> {
-        let start = self.start;
-        take_first_if(&mut self.steps, |(at, _)| start + at <= now).map(|(_, step)| step)
-    }
-}
-
-fn take_first_if<'a, T>(items: &mut &'a [T], is_due: impl Fn(&T) -> bool) -> Option<&'a T> {
-    let (first, rest) = items.split_first()?;
-    if !is_due(first) {
-        return None;
-    }
-    *items = rest;
-    Some(first)
-}
-
-/// Requests that are to be retried, the earliest first.
-#[derive(Default)]
-struct RetryQueue {
-    due: BinaryHeap<Reverse<(Micros, u64)>>,
-    requests: HashMap<u64, ClientRequest>,
-    count: u64,
-}
-
-impl RetryQueue {
-    fn push(&mut self, retry: Retry) {
-        self.count += 1;
-        self.due.push(Reverse((retry.at, self.count)));
-        self.requests.insert(self.count, retry.request);
-    }
-
-    fn pop_due(&mut self, now: Micros) -> Option<Retry> {
-        let Reverse((at, number)) = self
-            .due
-            .peek()
-            .copied()
-            .filter(|Reverse((at, _))| *at <= now)?;
-        self.due.pop();
-        let request = self.requests.remove(&number)?;
-        Some(Retry { at, request })
-    }
-}
-
 /// A request as its fields are written.
 struct Fields {
     id: String,
@@ -180,7 +96,7 @@
 #[derive(Default)]
 pub(super) struct Sent {
     /// All requests that were sent.
-    pub(super) asked: Vec<Asked>,
+    pub(super) requests: Vec<Request>,
     /// How much later than planned each of them was sent.
     pub(super) lags: Vec<Micros>,
     /// Requests that no proxy took: all were down, or the connection broke as it was written.
@@ -229,7 +145,7 @@
                 .filter(|_| reported.elapsed() >= PROGRESS_INTERVAL)
             {
                 reported = Instant::now();
-                progress(schedule.seconds_at(now), self.sent.asked.len());
+                progress(schedule.seconds_at(now), self.sent.requests.len());
             }
             retries.try_iter().for_each(|retry| retry_queue.push(retry));
             if now >= schedule.end {
@@ -244,14 +160,7 @@
             }
             while let Some(arrival) = schedule.next_arrival(now) {
                 let due = schedule.start + arrival.at;
-                self.send(
-                    due,
-                    ClientRequest {
-                        arrival: arrival.clone(),
-                        first_id: String::new(),
-                        retry: 0,
-                    },
-                )?;
+                self.send(due, ClientRequest::first(arrival))?;
             }
             while let Some(Retry { at, request }) = retry_queue.pop_due(now) {
                 self.send(at, request)?;
@@ -323,8 +232,13 @@
         let open: HashSet<String> = connections
             .flat_map(|(_, c)| c.iter().flat_map(|c| c.open.ids()))
             .collect();
-        for asked in self.sent.asked.iter_mut().filter(|a| open.contains(&a.id)) {
-            asked.released.get_or_insert(now);
+        for request in self
+            .sent
+            .requests
+            .iter_mut()
+            .filter(|a| open.contains(&a.id))
+        {
+            request.released.get_or_insert(now);
         }
     }
 
@@ -369,7 +283,7 @@
         };
         let id = format!(
             "{:016x}",
-            (self.seed << 40) ^ (self.sent.asked.len() as u64 + 1)
+            (self.seed << 40) ^ (self.sent.requests.len() as u64 + 1)
         );
         let fields = Fields::new(id, &request.arrival);
         if !self.write(proxy, place, &fields, &request) {
@@ -380,8 +294,8 @@
         self.connections[proxy][place].used = Instant::now();
         let at = unix_us();
         self.sent.lags.push(at.saturating_sub(due));
-        let asked = self.asked(fields, &request, proxy, due, at);
-        self.sent.asked.push(asked);
+        let sent = self.sent_request(fields, &request, proxy, due, at);
+        self.sent.requests.push(sent);
         Ok(())
     }
 
@@ -412,16 +326,16 @@
     }
 
     /// A request as the record has it.
-    fn asked(
+    fn sent_request(
         &self,
         fields: Fields,
         request: &ClientRequest,
         proxy: usize,
         due: Micros,
         at: Micros,
-    ) -> Asked {
+    ) -> Request {
         let arrival = &request.arrival;
-        Asked {
+        Request {
             first: first_id(request, &fields.id),
             id: fields.id,
             class: arrival.class,
--- a/rehearse/src/player/mod.rs
+++ b/rehearse/src/player/mod.rs
@@ -1,10 +1,11 @@
-//! Plays a scenario's plan against real daemons and a served world, and judges the record that remains.
+//! Plays a scenario's plan against real daemons and a fake site, and judges the record that remains.
 
 mod clients;
 mod deployment;
 mod environment;
 mod load_generator;
 mod proxies;
+mod schedule;
 
 pub use deployment::{Deployment, Node};
 
@@ -14,23 +15,25 @@
 use crate::rules::{judge, Breach};
 use crate::scenario::Scenario;
 use crate::score::{score, Score};
-use crate::stand_ins::served::unix_us;
 use crate::timetable::timetable;
 use clients::Clients;
 use deployment::recorded_class;
 use environment::Environment;
-use load_generator::{LoadGenerator, Schedule, Sent};
+use linnetknot_harness::time::unix_us;
+use load_generator::{LoadGenerator, Sent};
 use proxies::Proxies;
+use schedule::Schedule;
 use std::io;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{mpsc, Arc};
+use thiserror::Error;
 
 /// What a rehearsal came to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
     /// Requests sent, retries with them.
-    pub asked: usize,
+    pub requests: usize,
     /// How much later than planned requests were sent, p99 and most, in microseconds.
     pub lag_us: (Micros, Micros),
     /// The score.
@@ -47,31 +50,50 @@
     pub interrupted: Option<f64>,
 }
 
+/// Why a rehearsal proves nothing.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum Unseen {
+    /// No request was sent.
+    #[error("nothing was asked")]
+    NothingAsked,
+    /// No request was answered.
+    #[error("nothing was answered")]
+    NothingAnswered,
+    /// The load generator did not keep its plan.
+    #[error("the load came {p99_ms} ms late (p99)")]
+    LateLoad {
+        /// How late, p99.
+        p99_ms: u64,
+    },
+}
+
 impl Outcome {
-    /// Whether it has seen anything, or why not: a rehearsal that could not see must not pass for a good one.
-    pub fn has_seen(&self) -> Result<(), String> {
-        if self.score.whole.score().is_none() {
-            return Err("nothing was asked".into());
+    /// Checks that it has seen anything: a rehearsal that could not see must not pass for a good one.
+    ///
+    /// # Errors
+    /// Where it proves nothing.
+    pub fn has_seen(&self) -> Result<(), Unseen> {
+        if self.score.total.score().is_none() {
+            return Err(Unseen::NothingAsked);
         }
-        if self.score.whole.unanswered >= self.score.whole.asked {
-            return Err("nothing was answered".into());
+        if self.score.total.unanswered >= self.score.total.offered {
+            return Err(Unseen::NothingAnswered);
         }
-        if self.lag_us.0 > MOST_LAG_US {
-            return Err(format!(
-                "the load came {} ms late (p99)",
-                self.lag_us.0 / 1000
-            ));
+        if self.lag_us.0 > MAX_LAG_US {
+            return Err(Unseen::LateLoad {
+                p99_ms: self.lag_us.0 / 1000,
+            });
         }
         Ok(())
     }
 }
 
 /// A load generator that is later than this has measured itself.
-pub const MOST_LAG_US: Micros = 50_000;
+pub const MAX_LAG_US: Micros = 50_000;
 /// The load begins this long after all has been started.
 const LEAD_US: Micros = 200_000;
 
-/// A fault of the stand-ins' own, to see that it is found.
+/// A fault of the fakes' own, to see that it is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Plant {
     /// Purges count as told, but neither proxies nor nodes hear of them.
@@ -193,38 +215,48 @@
     let interrupted = generator.play(schedule, &mut environment, &retries, &play.watch)?;
     let ended = environment.end()?;
     let Sent {
-        asked,
+        requests,
         mut lags,
         unsent,
     } = generator.end();
     let record = Record {
         classes: scenario.load.classes.iter().map(recorded_class).collect(),
-        asked,
+        requests,
         answered: std::mem::take(&mut clients.record().answered),
-        attempts: ended.world.attempts,
-        told: ended.told,
+        attempts: ended.site.attempts,
+        notices: ended.notices,
         cold: ended.started,
     };
     lags.sort_unstable();
-    let lag_us = (quantile(&lags, 0.99), quantile(&lags, 1.0));
-    let limits = Limits {
-        late_us: lag_us.0.min(MOST_LAG_US),
-        ..Limits::default()
-    };
     Ok(Outcome {
-        asked: record.asked.len(),
-        lag_us,
-        score: score(&record),
-        waits: waits(&record),
-        breaches: judge(&record, &limits),
-        writes: ended.world.writes,
+        writes: ended.site.writes,
         unsent,
         interrupted,
+        ..judged(&record, &lags)
     })
 }
 
+/// What a record shows, with the sorted lags of its load.
+fn judged(record: &Record, lags: &[Micros]) -> Outcome {
+    let lag_us = (quantile(lags, 0.99), quantile(lags, 1.0));
+    let limits = Limits {
+        late_us: lag_us.0.min(MAX_LAG_US),
+        ..Limits::default()
+    };
+    Outcome {
+        requests: record.requests.len(),
+        lag_us,
+        score: score(record),
+        waits: waits(record),
+        breaches: judge(record, &limits),
+        writes: (0, 0),
+        unsent: 0,
+        interrupted: None,
+    }
+}
+
 /// A quantile of sorted lags; 0 where there are none.
 fn quantile(lags: &[Micros], share: f64) -> Micros {
-    let place = (lags.len() as f64 * share) as usize;
-    lags.get(place).or(lags.last()).copied().unwrap_or(0)
+    let index = (lags.len() as f64 * share) as usize;
+    lags.get(index).or(lags.last()).copied().unwrap_or(0)
 }
--- a/rehearse/src/scale/daemons/real.rs
+++ b/rehearse/src/scale/daemons/real.rs
@@ -1,19 +1,20 @@
 //! The real daemons: their files, their processes and what is asked of them.
 
 use super::proc_stat::{self, ProcessStat};
-use crate::fleet::{free_ports, trigger_at};
-use crate::process::Process;
-use crate::scale::hollow::config::{MemberName, SharedBudget};
+use crate::scale::fleet_config::{MemberName, SharedBudget};
 use crate::scale::target::Target;
-use crate::settings;
 use linnetknot_daemon::config::Config;
 use linnetknot_daemon::fleet::{ask, Status};
 use linnetknot_daemon::interconnect::Budgets;
+use linnetknot_harness::fleet::{free_ports, trigger_at};
+use linnetknot_harness::process::Process;
+use linnetknot_harness::settings;
 use serde_json::{json, Map, Value};
 use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
+use thiserror::Error;
 
 /// The machine that each daemon is told it has. They decide on clients, and on nothing that control has.
 const MEMORY_MB: usize = 256;
@@ -168,7 +169,7 @@
     /// # Errors
     /// Where it can't be asked.
     pub fn status(&self, daemon: usize) -> io::Result<Status> {
-        ask(self.processes[daemon].admin)
+        Ok(ask(self.processes[daemon].admin)?)
     }
 
     /// The number of a daemon's process among those of its name. One that began without a disk has that of its log.
@@ -202,11 +203,24 @@
     }
 }
 
-/// Tells a daemon's second front of a purge: why it was refused, if it was.
-pub fn purge(cdni: SocketAddr, object: &str) -> Result<(), String> {
-    match trigger_at(cdni, &[object]) {
-        Ok(answer) if answer.status == 201 => Ok(()),
-        Ok(answer) => Err(format!("answered {}", answer.status)),
-        Err(error) => Err(error.to_string()),
+/// Why a daemon did not take a purge.
+#[derive(Debug, Error)]
+pub enum PurgeError {
+    /// It answered with another status than 201.
+    #[error("answered {0}")]
+    Status(u16),
+    /// It could not be told.
+    #[error("{0}")]
+    Connection(#[from] io::Error),
+}
+
+/// Tells a daemon's CDNI listener of a purge.
+///
+/// # Errors
+/// Where it did not take it.
+pub fn purge(cdni: SocketAddr, object: &str) -> Result<(), PurgeError> {
+    match trigger_at(cdni, &[object])?.status {
+        201 => Ok(()),
+        status => Err(PurgeError::Status(status)),
     }
 }
--- a/rehearse/src/series.rs
+++ b/rehearse/src/series.rs
@@ -9,33 +9,58 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
 use std::thread;
+use thiserror::Error;
 
 /// More plays than this in one series are refused: a slip of the keyboard must not take the machine for a day.
-const MOST: u64 = 10_000;
+const MAX_PLAYS: u64 = 10_000;
 
 /// Seeds from the first to the last, both played.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Seeds(pub RangeInclusive<u64>);
 
+/// Why a text is no range of seeds.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum InvalidSeeds {
+    /// A bound is no number.
+    #[error("'{0}' is no seed; seeds read as 1..20")]
+    NotANumber(String),
+    /// The last comes before the first.
+    #[error("{first}..{last} holds no seed")]
+    Empty {
+        /// The first.
+        first: u64,
+        /// The last.
+        last: u64,
+    },
+    /// More plays than one series may have.
+    #[error("{first}..{last} is more than {MAX_PLAYS} plays")]
+    TooMany {
+        /// The first.
+        first: u64,
+        /// The last.
+        last: u64,
+    },
+}
+
 impl FromStr for Seeds {
-    type Err = String;
+    type Err = InvalidSeeds;
 
     /// Reads `A..B`, or `A` alone.
-    fn from_str(text: &str) -> Result<Self, String> {
+    fn from_str(text: &str) -> Result<Self, InvalidSeeds> {
         let number = |t: &str| {
             t.trim()
                 .parse::<u64>()
-                .map_err(|_| format!("'{t}' is no seed; seeds read as 1..20"))
+                .map_err(|_| InvalidSeeds::NotANumber(t.to_owned()))
         };
         let (first, last) = match text.split_once("..") {
             Some((a, b)) => (number(a)?, number(b)?),
             None => (number(text)?, number(text)?),
         };
         if last < first {
-            return Err(format!("{first}..{last} holds no seed"));
+            return Err(InvalidSeeds::Empty { first, last });
         }
-        if last - first >= MOST {
-            return Err(format!("{first}..{last} is more than {MOST} plays"));
+        if last - first >= MAX_PLAYS {
+            return Err(InvalidSeeds::TooMany { first, last });
         }
         Ok(Seeds(first..=last))
     }
@@ -56,27 +81,21 @@
 }
 
 impl Verdict {
-    /// The verdict on a play that ran, or could not.
-    pub fn of(played: Result<Outcome, String>) -> Self {
-        let seen = played.and_then(|o| {
-            o.has_seen()?;
-            match o.interrupted {
-                Some(at) if o.breaches.is_empty() => Err(format!("ended by hand after {at:.1} s")),
-                _ => Ok(o),
-            }
-        });
-        match seen {
-            Err(why) => Verdict::Nothing(why),
-            Ok(o) => {
-                let mut broken = BTreeMap::new();
-                o.breaches
-                    .iter()
-                    .for_each(|b| *broken.entry(b.rule).or_insert(0) += 1);
-                Verdict::Played {
-                    broken,
-                    score: o.score.whole.score().unwrap_or(0.0),
-                }
-            }
+    /// The verdict on a play that ran.
+    pub fn of(outcome: &Outcome) -> Self {
+        if let Err(why) = outcome.has_seen() {
+            return Verdict::Nothing(why.to_string());
+        }
+        if let Some(at) = outcome.interrupted.filter(|_| outcome.breaches.is_empty()) {
+            return Verdict::Nothing(format!("ended by hand after {at:.1} s"));
+        }
+        let mut broken = BTreeMap::new();
+        for breach in &outcome.breaches {
+            *broken.entry(breach.rule).or_insert(0) += 1;
+        }
+        Verdict::Played {
+            broken,
+            score: outcome.score.total.score().unwrap_or(0.0),
         }
     }
 
@@ -180,84 +199,3 @@
         Ok(())
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn played(broken: &[(&'static str, usize)], score: f64) -> Verdict {
-        Verdict::Played {
-            broken: broken.iter().copied().collect(),
-            score,
-        }
-    }
-
-    #[test]
-    fn seeds_read_as_a_range_and_a_slip_is_told() {
-        assert_eq!("1..20".parse(), Ok(Seeds(1..=20)));
-        assert_eq!("7".parse(), Ok(Seeds(7..=7)));
-        assert_eq!("20..1".parse::<Seeds>(), Err("20..1 holds no seed".into()));
-        assert_eq!(
-            "1..x".parse::<Seeds>(),
-            Err("'x' is no seed; seeds read as 1..20".into())
-        );
-        assert!("0..10000".parse::<Seeds>().is_err() && "0..9999".parse::<Seeds>().is_ok());
-    }
-
-    #[test]
-    fn a_summary_names_rules_and_seeds_and_its_status_is_the_worst() {
-        let clean = played(&[], 0.9);
-        let mut all: Verdicts = [
-            (1, clean.clone()),
-            (2, played(&[("purges", 3), ("drains", 1)], 0.7)),
-        ]
-        .into();
-        let calm = Verdicts::from([(1, clean)]);
-        let summary = Summary(vec![
-            ("calm".into(), calm.clone()),
-            ("storm".into(), all.clone()),
-        ]);
-        assert_eq!(summary.status(), 1);
-        let text = summary.to_string();
-        assert!(
-            text.contains("| calm | 1 | 1 | none | none | 0.900 |"),
-            "{text}"
-        );
-        assert!(
-            text.contains("| storm | 2 | 1 | drains: 2 (1); purges: 2 (3) | none | 0.700 |"),
-            "{text}"
-        );
-        all.insert(3, Verdict::Nothing("no daemon".into()));
-        let worse = Summary(vec![("storm".into(), all)]);
-        assert_eq!(worse.status(), 2);
-        assert!(worse.to_string().contains("| 3: no daemon |"), "{worse}");
-        assert_eq!(Summary(vec![("calm".into(), calm)]).status(), 0);
-        assert_eq!(
-            Summary::default().status(),
-            2,
-            "nothing played proves nothing"
-        );
-    }
-
-    #[test]
-    fn jobs_run_side_by_side_and_no_more_at_once_than_asked() {
-        let (running, most) = (AtomicUsize::new(0), AtomicUsize::new(0));
-        let meet = std::sync::Barrier::new(3);
-        let jobs: Vec<u64> = (0..9).collect();
-        let doubled = all_at_once(&jobs, 3, |n| {
-            let now = running.fetch_add(1, Ordering::SeqCst) + 1;
-            most.fetch_max(now, Ordering::SeqCst);
-            // Three must be there together, or this never ends.
-            meet.wait();
-            running.fetch_sub(1, Ordering::SeqCst);
-            n * 2
-        });
-        assert_eq!(
-            doubled,
-            jobs.iter().map(|n| n * 2).collect::<Vec<_>>(),
-            "in the jobs' order"
-        );
-        assert_eq!(most.load(Ordering::SeqCst), 3);
-        assert!(all_at_once(&Vec::<u64>::new(), 3, |n| *n).is_empty());
-    }
-}
