--- a/daemon/src/daemon/cdni_listener.rs
+++ b/daemon/src/daemon/cdni_listener.rs
@@ -1,5 +1,6 @@
 //! The listener of the front for CDNI: what peer CDNs and redirected clients request, and what peer CDNs are sent.
 
+use super::commits::CdniResponse;
 use super::exchange::{Effect, End, Exchange, Flow};
 use super::{Connection, Daemon, Kind, Timer};
 use crate::core::{Answer, Client, ClientRequest};
@@ -181,7 +182,12 @@
                 if let Some((_, session)) = self.cdni_session(key) {
                     session.waiting = Some(Waiting::Commit);
                 }
-                self.promise(now, (key, response, trigger), effects);
+                let pending = CdniResponse {
+                    connection: key,
+                    response,
+                    trigger,
+                };
+                self.commit_command(now, pending, effects);
             }
             Reply::Forward(request) => self.admit_for_cdni(now, key, request),
         }
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -28,20 +28,22 @@
 mod budgets;
 mod cdni_listener;
 mod clients;
+mod commits;
 mod connection_table;
+mod discovery;
 mod event_loop;
 mod exchange;
-mod fleet;
+mod fleet_status;
 mod lifecycle;
-mod members;
+mod membership;
 mod operator_state;
 mod peer_index;
 mod plain_purges;
-mod promises;
+mod reconnect;
 mod recovery;
-mod redial;
 mod registration;
 mod reload;
+mod replication;
 mod shutdown;
 mod signals;
 mod sources;
@@ -54,8 +56,8 @@
 pub use startup::StartError;
 
 use connection_table::{ConnectError, Connection, Kind};
+use discovery::LoggedLines;
 use event_loop::Timer;
-use members::Said;
 use peer_index::PeerIndex;
 use signals::Signal;
 use sources::{bus, consul};
@@ -71,7 +73,7 @@
     listener: Option<Listener>,
     accepts_later: bool,
     /// Attempts whose connection can't be begun from here for now.
-    redial: redial::Waiting,
+    reconnect: reconnect::WaitingAttempts,
     term: Signal,
     hup: Signal,
     /// The configuration that is in force, and where a new one is read from.
@@ -87,7 +89,7 @@
     /// What of the bus's lists is believed.
     validator: ListValidator,
     members_due: Option<Due>,
-    said: Said,
+    logged: LoggedLines,
     consul: Option<consul::State>,
     snapshots: Option<consul::SnapshotWriter>,
     peers: Option<(UdpSocket, Vec<SocketAddr>)>,
@@ -103,8 +105,8 @@
     ledger: Option<Ledger>,
     /// Its store, while that can't be opened.
     pending_store: Option<PendingStore>,
-    /// The answers that wait for it, and when it is due to be looked at again.
-    promised: promises::Promised,
+    /// The responses that wait for commits of it, and when replication is due.
+    pending_commits: commits::PendingCommits,
     /// Who of the peers is there, and when that is due to be looked at again.
     membership: Option<linnetknot_membership::Membership>,
     /// What all proxies spend together.
@@ -129,7 +131,7 @@
     ops: linnetknot_ops::Operations,
     /// Where that is kept for the next process: `$TMPDIR`.
     ops_folder: std::path::PathBuf,
-    operator_state: operator_state::OperatorState,
+    operator_state: operator_state::OperatorFiles,
     /// The clients' listener came from the process that started this one, and is shared with the next.
     inherited: bool,
 }
--- a/daemon/src/daemon/reload.rs
+++ b/daemon/src/daemon/reload.rs
@@ -84,8 +84,8 @@
         if let Some(membership) = &mut self.membership {
             membership.reset_peers(peers);
         }
-        self.know_machines();
-        if !self.promised.has_recovered() {
+        self.update_machines();
+        if !self.pending_commits.has_recovered() {
             self.begin_recovery(now);
         }
     }
--- a/daemon/src/daemon/shutdown.rs
+++ b/daemon/src/daemon/shutdown.rs
@@ -28,7 +28,7 @@
             self.deadlines
                 .set(now + self.limits.term_grace_us, Timer::Term);
             self.deregister_from_consul(now);
-            self.leave_fleet(now);
+            self.leave_membership(now);
         }
     }
 
@@ -58,7 +58,7 @@
                 let holds = |key: &Key| {
                     self.connections
                         .get(*key)
-                        .is_some_and(|c| self.holds_back(now, c))
+                        .is_some_and(|c| self.delays_exit(now, c))
                 };
                 !self.connections.keys().iter().any(holds)
             }
