--- a/daemon/tests/stored_forms.rs
+++ b/daemon/tests/stored_forms.rs
@@ -2,14 +2,14 @@
 //! of caches, and a store of each format.
 
 use linnetknot::State;
-use linnetknot_daemon::ledger::{Bounds, Ledger};
-use linnetknot_daemon::peers;
+use linnetknot_daemon::ledger::{Bounds, Ledger, TriggerStatus};
+use linnetknot_daemon::peers::{self, Purge};
 use linnetknot_discovery::cached_snapshot;
-use linnetknot_ops::state::Kept;
+use linnetknot_ops::state::OperatorState;
 use linnetknot_ops::store;
 use linnetknot_purges::{BucketBits, Micros};
 use linnetknot_replication::{Entry, LogId, Options, Subject};
-use linnetknot_store::{Format, Pair, Space, Store};
+use linnetknot_store::{Format, KeyValue, Keyspace, Store};
 use std::collections::BTreeMap;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -96,18 +96,19 @@
     }
 }
 
-fn pairs(path: &Path) -> Vec<(&'static str, Vec<Pair>)> {
+fn pairs(path: &Path) -> Vec<(&'static str, Vec<KeyValue>)> {
     let mut store = Store::open(path).unwrap();
     SPACES
         .iter()
-        .map(|space| (*space, store.all(Space(space)).unwrap()))
+        .map(|space| (*space, store.scan(Keyspace(space)).unwrap()))
         .collect()
 }
 
 /// A space's pairs as text, a line each.
-fn shown((space, pairs): &(&str, Vec<Pair>)) -> Vec<String> {
-    let line =
-        |(key, value): &Pair| format!("{space} {}={}", key.escape_ascii(), value.escape_ascii());
+fn shown((space, pairs): &(&str, Vec<KeyValue>)) -> Vec<String> {
+    let line = |KeyValue { key, value }: &KeyValue| {
+        format!("{space} {}={}", key.escape_ascii(), value.escape_ascii())
+    };
     pairs.iter().map(line).collect()
 }
 
@@ -134,11 +135,15 @@
     assert!(!ledger.is_fresh());
     assert_eq!(ledger.replica().own(), LogId::new(WRITER, epoch));
     let expected: Vec<_> = (0..TRIGGERS)
-        .map(|n| (WRITER, epoch + n, status(n, second)))
+        .map(|n| TriggerStatus {
+            writer: WRITER,
+            number: epoch + n,
+            text: status(n, second),
+        })
         .collect();
     assert_eq!(ledger.statuses(), expected);
     let decided = BTreeMap::from([(ban(), false), (Subject::Drain, false)]);
-    assert_eq!(ledger.decided(), decided);
+    assert_eq!(ledger.decisions(), decided);
     let log_store = ledger.replica().log_store();
     for n in 0..OBJECTS {
         let at = log_store.effective(&object(n));
@@ -156,7 +161,7 @@
     // No purge of the table is later than the time of its compaction.
     let now = entries.iter().map(|entry| entry.at).max().unwrap();
     let mut running = Running::open(path, epoch, exact_purges);
-    for (number, text) in read.statuses().iter().map(|s| (s.1, &s.2)) {
+    for (number, text) in read.statuses().iter().map(|s| (s.number, &s.text)) {
         for n in [2 * (number - epoch), 2 * (number - epoch) + 1] {
             running
                 .ledger
@@ -203,7 +208,7 @@
     for (written, stored) in pairs(&again).iter().zip(&stored) {
         assert_eq!(shown(written), shown(stored), "written again");
     }
-    let kept = |pairs: Vec<(&'static str, Vec<Pair>)>| -> Vec<_> {
+    let kept = |pairs: Vec<(&'static str, Vec<KeyValue>)>| -> Vec<_> {
         pairs
             .into_iter()
             .filter(|(space, _)| *space != "own")
@@ -242,7 +247,7 @@
     let names = store::copies(&folder.0).map(|path| path.file_name().unwrap().to_owned());
     assert_eq!(names, ["linnetknot-ops.json", "linnetknot-ops.json.2"]);
     let kept = store::load(&folder.0).unwrap();
-    let expected = Kept {
+    let expected = OperatorState {
         sequence: 2,
         bans: ["s-0a".to_owned()].into(),
         out_of_service: true,
@@ -285,7 +290,7 @@
     ];
     for (text, object, group) in cases {
         let at = 1_796_210_293_000_000;
-        let purge = (object.map(str::to_owned), group, at);
+        let purge = object.map_or(Purge::of_group(group, at), |o| Purge::of_object(o, at));
         assert_eq!(peers::read(text.as_bytes()), Some(purge));
         assert_eq!(peers::write(object, group, at).as_deref(), Some(text));
     }
