--- a/harness/src/fleet/mod.rs
+++ b/harness/src/fleet/mod.rs
@@ -28,6 +28,8 @@
 /// One proxy of a fleet.
 struct Member {
     name: String,
+    /// The program that it is started with.
+    daemon: PathBuf,
     process: Option<Process>,
     /// A bus of its own: an event that one proxy gets, another need not get.
     _bus: Bus,
@@ -37,7 +39,6 @@
 
 /// Daemons with fault-injecting links between them, and the caches and origin that they share.
 pub struct Fleet {
-    daemon: PathBuf,
     members: Vec<Member>,
     /// Further machines that a commit waits for; none: nothing is replicated.
     copies: Option<usize>,
@@ -106,6 +107,7 @@
         });
         members.push(Member {
             name,
+            daemon: setup.daemon.to_owned(),
             process: None,
             _bus: bus,
             disk: folder.join(format!("machine-{n}")),
@@ -143,7 +145,6 @@
         let known = known_targets(&caches, &origin);
         let members = members(&setup, &folder, &ports, &links, &known)?;
         let mut fleet = Fleet {
-            daemon: setup.daemon.to_owned(),
             copies: setup.wait,
             within_ms: setup.within_ms,
             budgets: setup.budgets,
@@ -199,8 +200,7 @@
         let m = &mut self.members[n];
         std::fs::create_dir_all(&m.disk)?;
         let points = format!("{};{points}", self.planted);
-        let started =
-            Process::start_armed(&self.daemon, &m.disk, &m.name, (&m.config, &own), &points);
+        let started = Process::start_armed(&m.daemon, &m.disk, &m.name, (&m.config, &own), &points);
         m.process = Some(started?);
         Ok(())
     }
@@ -252,6 +252,11 @@
         self.restart_armed(n, disk, "")
     }
 
+    /// Starts a proxy with another program from its next start on, as an upgrade does.
+    pub fn set_daemon(&mut self, n: usize, daemon: &Path) {
+        self.members[n].daemon = daemon.to_owned();
+    }
+
     /// As `restart`, with points armed (`Process::start_armed`).
     pub fn restart_armed(&mut self, n: usize, disk: Disk, points: &str) -> io::Result<()> {
         if self.members[n].process.is_some() {
