--- a/daemon/src/daemon/cdni_listener.rs
+++ b/daemon/src/daemon/cdni_listener.rs
@@ -72,7 +72,9 @@
 
     /// Accepts what waits at the listener for CDNI.
     pub(super) fn accept_cdni(&mut self, now: Micros) {
-        while self.trigger_api.is_some() && !self.grace_over {
+        // No more in one turn than the table holds, as on the clients' listener.
+        let mut accepted = 0;
+        while self.trigger_api.is_some() && !self.grace_over && accepted < self.limits.clients {
             let Ok(evicted) = self.room_for_client(now) else {
                 return self.pause_accepting_cdni(now);
             };
@@ -84,6 +86,7 @@
                 Ok(None) => break,
                 Err(_) => return self.pause_accepting_cdni(now),
             };
+            accepted += 1;
             let session = Session::new(self.limits.line, self.limits.body);
             let conn = Conn::new(
                 socket,
