--- a/daemon/src/core/attempts.rs
+++ b/daemon/src/core/attempts.rs
@@ -27,7 +27,9 @@
         let mut dispatch = self.dispatch(attempt)?;
         let target = &mut dispatch.target;
         let named = [Some(target.server), target.fill.map(|fill| fill.source)];
-        let max_age_us = self.router.begins(now, attempt.request.to_u64())?;
+        let max_age_us = self
+            .router
+            .recheck_queued_attempt(now, attempt.request.to_u64())?;
         target.fill = target.fill.map(|fill| Fill { max_age_us, ..fill });
         let all_ready = named
             .into_iter()
@@ -122,8 +124,11 @@
             load: ended.load,
         };
         self.drive(now, event);
-        self.commands
-            .extend(self.router.found().map(Command::ShareOriginHealth));
+        self.commands.extend(
+            self.router
+                .take_origin_share_report()
+                .map(Command::ShareOriginHealth),
+        );
         self.requests.release_if_finished(attempt.request);
     }
 
--- a/daemon/src/core/mod.rs
+++ b/daemon/src/core/mod.rs
@@ -96,7 +96,7 @@
     /// The settings are not sound; nothing has changed then.
     pub fn apply_settings(&mut self, settings: Settings) -> Result<(), SettingsError> {
         let keyed_classes = keyed_classes(&settings);
-        self.router.retune(settings)?;
+        self.router.update_settings(settings)?;
         self.keyed_classes = keyed_classes;
         Ok(())
     }
@@ -170,13 +170,13 @@
 
     /// How many requests of this proxy the origin has, or may have, in flight.
     pub fn origin_in_flight(&self) -> usize {
-        self.router.asking()
+        self.router.origin_requests_in_flight()
     }
 
     /// The greatest recent use of the capacity that a cache (or parent cache) has while in slow start, as a share of it;
     /// none: no cache is in slow start.
     pub fn slow_start_use(&self, now: Micros, parents: bool) -> Option<f64> {
-        self.router.cold_use(now, parents)
+        self.router.max_slow_start_usage(now, parents)
     }
 
     /// Takes the end of a health check.
--- a/daemon/src/core/purging.rs
+++ b/daemon/src/core/purging.rs
@@ -31,7 +31,8 @@
         for (key, date) in self.origin_clock.observe(now, date) {
             self.router.purges_mut().record(key, date);
         }
-        self.router.set_origin_offset(self.origin_clock.offset_us());
+        self.router
+            .set_origin_clock_offset(self.origin_clock.offset_us());
     }
 
     /// The date of a purge of everything as of now: copies from before now are older than it.
--- a/origin-health/tests/fleet.rs
+++ b/origin-health/tests/fleet.rs
@@ -37,7 +37,7 @@
         Heed::Call(1) => world.origin_per_s = requests_per_s / 10.0,
         Heed::Call(_) => world.origin_per_s = 1e4,
         Heed::Outcome(n) => {
-            let (now, found) = (world.now, world.seats[n].router.found());
+            let (now, found) = (world.now, world.seats[n].router.take_origin_share_report());
             let Some(report) = found
                 .filter(|_| sends_reports)
                 .and_then(|share| members[n].observe(now, share))
--- a/src/router/leases.rs
+++ b/src/router/leases.rs
@@ -14,7 +14,7 @@
     }
 
     /// Requests from here that the origin holds, or may hold.
-    pub fn asking(&self) -> usize {
+    pub fn origin_requests_in_flight(&self) -> usize {
         let attempts = self.requests.values().filter_map(|o| o.in_flight.as_ref());
         attempts
             .filter(|attempt| attempt.may_reach_origin || self.is_origin(attempt.server))
@@ -31,7 +31,7 @@
         let Some(lease) = self.leases.get(&Budget::Origin) else {
             return true;
         };
-        self.asking() as f64 + 1.0 <= lease.amount_at(now)
+        self.origin_requests_in_flight() as f64 + 1.0 <= lease.amount_at(now)
     }
 }
 
--- a/src/router/origin.rs
+++ b/src/router/origin.rs
@@ -84,7 +84,7 @@
 impl Router {
     /// The share of its requests that this router lets ask the origin, if since the last call an answer was so late
     /// that others should know. It follows from the router's own answers alone: what is heard is not passed on.
-    pub fn found(&mut self) -> Option<f64> {
+    pub fn take_origin_share_report(&mut self) -> Option<f64> {
         self.origin_admission.finding.take()
     }
 
--- a/src/router/purges.rs
+++ b/src/router/purges.rs
@@ -18,7 +18,7 @@
     }
 
     /// Sets what is to be added to this router's clock for the one by which the purges of its table are dated.
-    pub fn set_origin_offset(&mut self, offset_us: i64) {
+    pub fn set_origin_clock_offset(&mut self, offset_us: i64) {
         self.origin_offset_us = offset_us;
     }
 
--- a/src/router/reload.rs
+++ b/src/router/reload.rs
@@ -16,7 +16,7 @@
 
 impl Router {
     /// Takes new settings. Where they are not sound the router stays as it was and the error tells why.
-    pub fn retune(&mut self, mut settings: Settings) -> Result<(), SettingsError> {
+    pub fn update_settings(&mut self, mut settings: Settings) -> Result<(), SettingsError> {
         settings.check()?;
         let old_classes = std::mem::take(&mut self.settings.classes);
         let old_statistics = std::mem::take(&mut self.class_statistics);
--- a/src/router/retries.rs
+++ b/src/router/retries.rs
@@ -54,7 +54,7 @@
     }
 
     /// Whether an attempt that waited for its connection may begin now, and the oldest copy that will do.
-    pub fn begins(&self, now: Micros, id: RequestId) -> Option<Option<Micros>> {
+    pub fn recheck_queued_attempt(&self, now: Micros, id: RequestId) -> Option<Option<Micros>> {
         let open = self.requests.get(&id)?;
         let may_begin = !open.client_left && !self.must_not_rerun(now, open);
         may_begin.then(|| self.max_age_us(now, open))
--- a/src/router/slow_start.rs
+++ b/src/router/slow_start.rs
@@ -43,7 +43,7 @@
     }
 
     /// The greatest share of what a warming cache, or parent, bears that was sent from here; none: none warms up.
-    pub fn cold_use(&self, now: Micros, parents: bool) -> Option<f64> {
+    pub fn max_slow_start_usage(&self, now: Micros, parents: bool) -> Option<f64> {
         let servers = self.endpoints.values();
         servers
             .filter(|server| (server.role == Role::Parent) == parents)
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -57,14 +57,18 @@
         for action in actions {
             self.action(action);
             if let Action::Attempt { request, .. } = action {
-                let begins = router.begins(now + 1_000, *request);
+                let begins = router.recheck_queued_attempt(now + 1_000, *request);
                 self.word(begins.map_or(u64::MAX - 1, optional));
             }
         }
-        self.word(router.asking() as u64);
-        self.word(router.found().map_or(0, f64::to_bits));
+        self.word(router.origin_requests_in_flight() as u64);
+        self.word(router.take_origin_share_report().map_or(0, f64::to_bits));
         for parents in [false, true] {
-            self.word(router.cold_use(now, parents).map_or(0, f64::to_bits));
+            self.word(
+                router
+                    .max_slow_start_usage(now, parents)
+                    .map_or(0, f64::to_bits),
+            );
         }
         self.word(router.purges().exact_len() as u64);
     }
--- a/tests/decision_trace/random_fleet.rs
+++ b/tests/decision_trace/random_fleet.rs
@@ -139,7 +139,7 @@
     }
 
     pub(crate) fn retune(&mut self, settings: Settings) {
-        let taken = self.router.retune(settings).is_ok();
+        let taken = self.router.update_settings(settings).is_ok();
         self.trace.word(u64::from(taken));
     }
 
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -21,7 +21,7 @@
         .map(|n| rig.send("order", &format!("/o/{n}")))
         .collect();
     assert!(first.iter().all(|s| s.server == 21));
-    assert_eq!(rig.router.asking(), 5);
+    assert_eq!(rig.router.origin_requests_in_flight(), 5);
     // A lease that is less than what is out calls nothing off, and lets nothing more out.
     assert!(rig
         .handle(lease(Budget::Origin, 3.0, rig.now + S, 1.0))
@@ -38,7 +38,7 @@
         );
         rig.end(sent.request, 0, 21, Outcome::Ok);
     }
-    assert_eq!(rig.router.asking(), 2);
+    assert_eq!(rig.router.origin_requests_in_flight(), 2);
     let third = rig.send("order", "/o/9");
     assert!(sent(&rig.ask("charge", "/o/10", 5 * S).1).is_none());
     // Its end needs no message: the reserved minimum is left.
@@ -108,7 +108,7 @@
         .filter_map(|actions| sent(&actions))
         .filter(|s| [s.server, s.fill.source].contains(&cold));
     let came = came.count();
-    (came, rig.router.cold_use(rig.now, parent))
+    (came, rig.router.max_slow_start_usage(rig.now, parent))
 }
 
 #[test]
@@ -165,8 +165,8 @@
     let warm = Rig::new(settings(), fleet());
     assert_eq!(
         (
-            warm.router.cold_use(T0, false),
-            warm.router.cold_use(T0, true)
+            warm.router.max_slow_start_usage(T0, false),
+            warm.router.max_slow_start_usage(T0, true)
         ),
         (None, None)
     );
--- a/tests/retune.rs
+++ b/tests/retune.rs
@@ -21,7 +21,7 @@
         deadline_us: 2 * S,
         ..class("poster")
     });
-    rig.router.retune(new).expect("sound settings");
+    rig.router.update_settings(new).expect("sound settings");
     let (_, actions) = rig.ask("poster", "/p/2", 5 * S);
     assert!(
         sent(&actions).is_some(),
@@ -41,7 +41,7 @@
     // A second reload forgets the class that no request holds any more, and the name can be used again.
     let mut back = settings();
     back.max_attempts = 1;
-    rig.router.retune(back).unwrap();
+    rig.router.update_settings(back).unwrap();
     let page = rig.send("page", "/o/3");
     let actions = rig.end(page.request, 0, page.server, Outcome::Error);
     assert!(sent(&actions).is_none(), "one attempt at most now");
@@ -68,7 +68,7 @@
             ..settings()
         },
     ] {
-        assert!(rig.router.retune(broken).is_err());
+        assert!(rig.router.update_settings(broken).is_err());
     }
     let (_, actions) = rig.ask("video", "/o/1", 5 * S);
     assert!(sent(&actions).is_some(), "the old classes stand");
@@ -93,7 +93,7 @@
             _ => {}
         }
     }
-    rig.router.retune(new).expect("sound settings");
+    rig.router.update_settings(new).expect("sound settings");
     let actions = rig.end(charge.request, 0, charge.server, Outcome::Reset);
     assert!(
         matches!(actions[..], [Action::Fail { .. }]),
@@ -124,7 +124,9 @@
         fleet(),
     );
     let under_way = rig.send("video", "/o/1");
-    rig.router.retune(settings()).expect("sound settings");
+    rig.router
+        .update_settings(settings())
+        .expect("sound settings");
     let actions = rig.end(under_way.request, 0, under_way.server, Outcome::Error);
     assert!(sent(&actions).is_some());
     assert!(sent(&rig.ask("video", "/o/2", 5 * S).1).is_some());
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -439,10 +439,13 @@
     s.classes[2].window_us = 350 * MS;
     let mut rig = Rig::new(s, fleet());
     let first = rig.send("order", "/o/1");
-    assert_eq!(rig.router.begins(rig.now, first.request), Some(None));
+    assert_eq!(
+        rig.router.recheck_queued_attempt(rig.now, first.request),
+        Some(None)
+    );
     assert!(
         rig.router
-            .begins(rig.now + 600 * MS, first.request)
+            .recheck_queued_attempt(rig.now + 600 * MS, first.request)
             .is_some(),
         "nothing may have run yet"
     );
@@ -454,10 +457,11 @@
     );
     assert!(rig
         .router
-        .begins(rig.now + 40 * MS, first.request)
+        .recheck_queued_attempt(rig.now + 40 * MS, first.request)
         .is_some());
     assert_eq!(
-        rig.router.begins(rig.now + 50 * MS, first.request),
+        rig.router
+            .recheck_queued_attempt(rig.now + 50 * MS, first.request),
         None,
         "the window is over"
     );
@@ -476,13 +480,17 @@
     };
     rig.handle(purge);
     assert_eq!(
-        rig.router.begins(rig.now + 90 * MS, read.request),
+        rig.router
+            .recheck_queued_attempt(rig.now + 90 * MS, read.request),
         Some(Some(100 * MS))
     );
     rig.handle(Event::Left {
         request: read.request,
     });
-    assert_eq!(rig.router.begins(rig.now, read.request), None);
+    assert_eq!(
+        rig.router.recheck_queued_attempt(rig.now, read.request),
+        None
+    );
 }
 
 /// A connection that did not come up says that nothing ran, and nothing of a process that has started anew.
@@ -500,7 +508,7 @@
         let again = sent(&rig.end(first.request, 0, first.server, outcome)).expect("elsewhere");
         assert_ne!(again.server, first.server);
         rig.end(again.request, 1, again.server, Outcome::Ok);
-        assert_eq!(rig.router.cold_use(rig.now, false), None);
+        assert_eq!(rig.router.max_slow_start_usage(rig.now, false), None);
         // Once its mark is over it is tried again, and answers.
         rig.now += 5 * S;
         let back = (0..200)
@@ -509,7 +517,7 @@
         let back = back.expect("tried again");
         rig.end(back.request, 0, back.server, Outcome::Ok);
         assert_eq!(
-            rig.router.cold_use(rig.now, false).is_some(),
+            rig.router.max_slow_start_usage(rig.now, false).is_some(),
             cold,
             "{outcome:?}"
         );
