--- a/daemon/src/core/attempts.rs
+++ b/daemon/src/core/attempts.rs
@@ -112,7 +112,7 @@
         if let Some(content) = ended.content.filter(|_| ended.outcome == Outcome::Ok) {
             self.finish(now, attempt.request, Answer::Served(content));
         }
-        let event = Event::Outcome {
+        let event = Event::AttemptEnded {
             request: attempt.request.to_u64(),
             attempt: attempt.number,
             server: out.target.server,
@@ -120,7 +120,7 @@
             took_us: now.saturating_sub(out.sent_at),
             settled: self.requests.unanswered(attempt.request).is_none(),
             note: ended.note,
-            waited_us: ended.waited_us,
+            first_byte_us: ended.waited_us,
             load: ended.load,
         };
         self.drive(now, event);
--- a/daemon/src/core/mod.rs
+++ b/daemon/src/core/mod.rs
@@ -153,12 +153,12 @@
     /// Takes what other proxies found: the origin is slow, and each may ask it for this share of its requests until
     /// this time.
     pub fn receive_origin_health(&mut self, now: Micros, origin_share: f64, until: Micros) {
-        let for_us = until.saturating_sub(now);
+        let valid_for_us = until.saturating_sub(now);
         self.drive(
             now,
-            Event::Heard {
+            Event::OriginShareLimit {
                 origin_share,
-                for_us,
+                valid_for_us,
             },
         );
     }
@@ -190,7 +190,7 @@
     ) {
         self.drive(
             now,
-            Event::Probed {
+            Event::ProbeEnded {
                 server,
                 outcome,
                 took_us,
--- a/daemon/src/core/requests.rs
+++ b/daemon/src/core/requests.rs
@@ -90,7 +90,7 @@
     /// Tells the decision module that no answer is owed to a request any more.
     fn forget_client(&mut self, now: Micros, key: RequestKey) {
         let request = key.to_u64();
-        self.drive(now, Event::Left { request });
+        self.drive(now, Event::ClientLeft { request });
         self.requests.release_if_finished(key);
     }
 
--- a/origin-health/tests/fleet.rs
+++ b/origin-health/tests/fleet.rs
@@ -53,9 +53,9 @@
                 if let Some(OriginShare { share, until }) = member.origin_share(now) {
                     world.feed(
                         other,
-                        Event::Heard {
+                        Event::OriginShareLimit {
                             origin_share: share,
-                            for_us: until - now,
+                            valid_for_us: until - now,
                         },
                     );
                 }
--- a/rehearse/tests/purges.rs
+++ b/rehearse/tests/purges.rs
@@ -147,7 +147,7 @@
         } else {
             Note::Filled
         };
-        let ended = Event::Outcome {
+        let ended = Event::AttemptEnded {
             request: id,
             attempt: 0,
             server,
@@ -155,7 +155,7 @@
             took_us: S / 5,
             settled: true,
             note,
-            waited_us: 0,
+            first_byte_us: 0,
             load: None,
         };
         self.router.handle(now + S / 5, ended, &mut Vec::new());
--- a/simulator-adapter/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -122,7 +122,7 @@
 }
 
 fn outcome_event(m: &Fields) -> Result<w::Event> {
-    Ok(w::Event::Outcome {
+    Ok(w::Event::AttemptEnded {
         request: int(m, "request-id")?,
         attempt: int_or(m, "go", 0)? as u32,
         server: int(m, "store")?,
@@ -130,7 +130,7 @@
         took_us: int_or(m, "took-us", 0)?,
         settled: flag(m, "settled")?,
         note: note(m)?,
-        waited_us: int_or(m, "first-byte-us", 0)?,
+        first_byte_us: int_or(m, "first-byte-us", 0)?,
         load: load(m)?,
     })
 }
@@ -139,18 +139,18 @@
     Ok(Some(match kind {
         "PeersKnown" => list_event(m)?,
         "Order" => request_event(m)?,
-        "Accepted" => w::Event::Begun {
+        "Accepted" => w::Event::StreamStarted {
             request: int(m, "request-id")?,
             attempt: int_or(m, "go", 0)? as u32,
         },
         "Resolved" => outcome_event(m)?,
-        "ClientLeft" => w::Event::Left {
+        "ClientLeft" => w::Event::ClientLeft {
             request: int(m, "request-id")?,
         },
         "Elapsed" => w::Event::Timer {
             tag: int(m, "ctx")?,
         },
-        "CheckResult" => w::Event::Probed {
+        "CheckResult" => w::Event::ProbeEnded {
             server: int(m, "store")?,
             outcome: outcome(m)?,
             took_us: int_or(m, "took-us", 0)?,
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -114,14 +114,14 @@
     /// A client's request; the router owes it one final answer.
     Request(Request),
     /// A streamed answer has begun.
-    Begun {
+    StreamStarted {
         /// The request.
         request: RequestId,
         /// Number of the attempt, counted from 0.
         attempt: u32,
     },
     /// An attempt ended.
-    Outcome {
+    AttemptEnded {
         /// The request.
         request: RequestId,
         /// Number of the attempt, counted from 0.
@@ -137,12 +137,12 @@
         /// How the answer was made.
         note: Note,
         /// Time to the first byte of the fill.
-        waited_us: Micros,
+        first_byte_us: Micros,
         /// The server's load report.
         load: Option<Load>,
     },
     /// The client closed or cancelled: no answer is owed any more.
-    Left {
+    ClientLeft {
         /// The request.
         request: RequestId,
     },
@@ -152,7 +152,7 @@
         tag: u64,
     },
     /// A health check ended.
-    Probed {
+    ProbeEnded {
         /// The server.
         server: ServerId,
         /// How it ended.
@@ -163,11 +163,11 @@
         load: Option<Load>,
     },
     /// Other routers find the origin late. That can only lower this router's share of requests that may reach it.
-    Heard {
+    OriginShareLimit {
         /// Greatest share of the requests that may reach the origin.
         origin_share: f64,
         /// How long that limit holds.
-        for_us: Micros,
+        valid_for_us: Micros,
     },
     /// A lease of a shared budget. It holds at once, also for what is in flight: nothing is cancelled for it, and
     /// nothing more is sent until enough of that has ended.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -47,9 +47,9 @@
 //!
 //! // Its outcome: the client has its answer, nothing is left to do.
 //! actions.clear();
-//! let outcome = Event::Outcome {
+//! let outcome = Event::AttemptEnded {
 //!     request: 7, attempt: 0, server: 1, outcome: Outcome::Ok, took_us: 240_000, settled: true,
-//!     note: Note::Filled, waited_us: 30_000, load: None,
+//!     note: Note::Filled, first_byte_us: 30_000, load: None,
 //! };
 //! router.handle(241_000, outcome, &mut actions);
 //! assert!(actions.is_empty());
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -115,8 +115,8 @@
         match event {
             Event::List { mode, servers } => self.update_endpoints(now, mode, servers, actions),
             Event::Request(request) => self.request(now, &request, actions),
-            Event::Begun { request, attempt } => self.streaming_began(request, attempt),
-            Event::Outcome {
+            Event::StreamStarted { request, attempt } => self.streaming_began(request, attempt),
+            Event::AttemptEnded {
                 request,
                 attempt,
                 server: _,
@@ -124,7 +124,7 @@
                 took_us,
                 settled,
                 note,
-                waited_us,
+                first_byte_us,
                 load: _,
             } => {
                 let report = AttemptReport {
@@ -134,18 +134,20 @@
                     took_us,
                     settled,
                     note,
-                    waited_us,
+                    first_byte_us,
                 };
                 self.attempt_ended(now, &report, actions);
             }
-            Event::Left { request } => self.client_left(request, actions),
+            Event::ClientLeft { request } => self.client_left(request, actions),
             Event::Timer { tag: TICK_TAG } => self.tick(now, actions),
             Event::Timer { tag: WATCH_TAG } => actions.push(Action::Watch),
-            Event::Timer { .. } | Event::Probed { .. } => {}
-            Event::Heard {
+            Event::Timer { .. } | Event::ProbeEnded { .. } => {}
+            Event::OriginShareLimit {
                 origin_share,
-                for_us,
-            } => self.origin_admission.limit(origin_share, now + for_us),
+                valid_for_us,
+            } => self
+                .origin_admission
+                .limit(origin_share, now + valid_for_us),
             Event::Lease(lease) => {
                 self.leases.insert(lease.budget, lease);
             }
--- a/src/router/origin.rs
+++ b/src/router/origin.rs
@@ -101,7 +101,7 @@
             let lateness = end.took_us as f64 / objective_us;
             admission.learn(end.now, Note::OriginFailed, lateness);
         } else if end.tells_of_origin {
-            let lateness = end.waited_us as f64 / objective_us;
+            let lateness = end.first_byte_us as f64 / objective_us;
             admission.learn(end.now, end.note, lateness);
             if end.note == Note::FilledByOrigin && lateness >= REPORTED_LATENESS {
                 admission.finding = Some(admission.share);
--- a/src/router/outcomes.rs
+++ b/src/router/outcomes.rs
@@ -15,7 +15,7 @@
     /// The request has its final answer.
     pub(super) settled: bool,
     pub(super) note: Note,
-    pub(super) waited_us: Micros,
+    pub(super) first_byte_us: Micros,
 }
 
 /// An attempt that has ended, with what follows from the state at that time.
@@ -26,7 +26,7 @@
     pub(super) outcome: Outcome,
     pub(super) note: Note,
     pub(super) took_us: Micros,
-    pub(super) waited_us: Micros,
+    pub(super) first_byte_us: Micros,
     /// The request's class, as a place in the settings.
     pub(super) class: usize,
     pub(super) transfer_s: f64,
@@ -132,7 +132,7 @@
             outcome: report.outcome,
             note: report.note,
             took_us: report.took_us,
-            waited_us: report.waited_us,
+            first_byte_us: report.first_byte_us,
             class: open.class,
             transfer_s: open.transfer_s,
             size_known: open.size_known,
--- a/src/router/statistics.rs
+++ b/src/router/statistics.rs
@@ -99,7 +99,7 @@
         if !end.size_known || end.attempt.source.is_none() || !(filled || end.slow) {
             return;
         }
-        let moving_s = end.took_us.saturating_sub(end.waited_us) as f64 / 1e6;
+        let moving_s = end.took_us.saturating_sub(end.first_byte_us) as f64 / 1e6;
         let fills = (end.attempt.link_fills + self.link_fills()) / 2.0;
         let transfer_s = end.transfer_s + ROUND_TRIP_S;
         self.link_pace.add(end.now, moving_s, transfer_s, fills);
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -99,7 +99,7 @@
                 }
                 // Answered at once, so that nothing but the budget holds the next one back.
                 let note = if self.parent { Note::Filled } else { Note::Hit };
-                let outcome = Event::Outcome {
+                let outcome = Event::AttemptEnded {
                     request: number,
                     attempt: 0,
                     server: sent.server,
@@ -107,7 +107,7 @@
                     took_us: 100 * MS,
                     settled: true,
                     note,
-                    waited_us: 0,
+                    first_byte_us: 0,
                     load: None,
                 };
                 router.handle(now, outcome, &mut actions);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -229,7 +229,7 @@
         outcome: Outcome,
         note: Note,
     ) -> Vec<Action> {
-        self.handle(Event::Outcome {
+        self.handle(Event::AttemptEnded {
             request,
             attempt,
             server,
@@ -237,7 +237,7 @@
             took_us: 100 * MS,
             settled: outcome == Outcome::Ok,
             note,
-            waited_us: 0,
+            first_byte_us: 0,
             load: None,
         })
     }
--- a/tests/common/world/attempts.rs
+++ b/tests/common/world/attempts.rs
@@ -117,7 +117,7 @@
         attempt: Option<u32>,
         outcome: Outcome,
         note: Note,
-        waited_us: Micros,
+        first_byte_us: Micros,
     ) {
         let Some(out) = self.seats[n].out.get_mut(&id) else {
             return;
@@ -156,7 +156,7 @@
             self.finish(n, id, outcome == Outcome::Ok);
         }
         let took_us = self.now - sent.at;
-        let event = Event::Outcome {
+        let event = Event::AttemptEnded {
             request: id,
             attempt: number,
             server: sent.server,
@@ -164,7 +164,7 @@
             took_us,
             settled,
             note,
-            waited_us,
+            first_byte_us,
             load: self.reports.then(|| self.load(sent.server)),
         };
         self.feed(n, event);
--- a/tests/decision_trace/answers.rs
+++ b/tests/decision_trace/answers.rs
@@ -44,7 +44,7 @@
 pub(crate) struct Answer {
     pub outcome: Outcome,
     pub note: Note,
-    pub waited_us: Micros,
+    pub first_byte_us: Micros,
 }
 
 impl Answer {
@@ -52,7 +52,7 @@
         Answer {
             outcome,
             note,
-            waited_us: 0,
+            first_byte_us: 0,
         }
     }
 }
@@ -121,9 +121,9 @@
 
     /// When and how a source gives what is not held; none: never.
     fn fill(&mut self, fill: &Fill, part: (u64, u64)) -> Option<(Micros, Answer)> {
-        let waited_us = 8 * MS + self.below(6 * MS);
+        let first_byte_us = 8 * MS + self.below(6 * MS);
         let luck = self.below(3);
-        let ended = |outcome, note| Some((waited_us, Answer::of(outcome, note)));
+        let ended = |outcome, note| Some((first_byte_us, Answer::of(outcome, note)));
         let origin = self.servers.get(&21).map_or(Fault::Down, |s| s.fault);
         if self.one_in(80) {
             return ended(Outcome::Full, Note::NoFillPlace);
@@ -142,16 +142,16 @@
         }
         let slowness = if source.fault == Fault::Slow { 20 } else { 1 };
         if source.holds.contains(&part) {
-            let waited_us = waited_us * slowness;
+            let first_byte_us = first_byte_us * slowness;
             let note = if self.one_in(12) {
                 Note::Joined
             } else {
                 Note::Filled
             };
             return Some((
-                waited_us,
+                first_byte_us,
                 Answer {
-                    waited_us,
+                    first_byte_us,
                     ..Answer::of(Outcome::Ok, note)
                 },
             ));
@@ -160,7 +160,7 @@
             return ended(Outcome::Miss, Note::SourceLacks);
         }
         source.holds.insert(part);
-        let waited_us = match origin {
+        let first_byte_us = match origin {
             Fault::Silent => return None,
             Fault::Down | Fault::Errors => return ended(Outcome::Error, Note::OriginFailed),
             Fault::Slow => 700 * MS + self.below(900 * MS),
@@ -168,9 +168,9 @@
         };
         let answer = Answer::of(Outcome::Ok, Note::FilledByOrigin);
         Some((
-            waited_us,
+            first_byte_us,
             Answer {
-                waited_us,
+                first_byte_us,
                 ..answer
             },
         ))
--- a/tests/decision_trace/disturbances.rs
+++ b/tests/decision_trace/disturbances.rs
@@ -121,16 +121,16 @@
 
     fn hear(&mut self) {
         let origin_share = self.share();
-        let for_us = self.below(2 * S);
-        self.feed(Event::Heard {
+        let valid_for_us = self.below(2 * S);
+        self.feed(Event::OriginShareLimit {
             origin_share,
-            for_us,
+            valid_for_us,
         });
     }
 
     fn probe(&mut self) {
         let server = self.any_server();
-        self.feed(Event::Probed {
+        self.feed(Event::ProbeEnded {
             server,
             outcome: Outcome::Ok,
             took_us: MS,
--- a/tests/decision_trace/random_fleet.rs
+++ b/tests/decision_trace/random_fleet.rs
@@ -235,7 +235,7 @@
     fn begun(&mut self, request: RequestId, attempt: u32) {
         let out = |c: &Client| c.out.is_some() && c.attempts == attempt + 1;
         if self.clients.get(&request).is_some_and(out) {
-            self.feed(Event::Begun { request, attempt });
+            self.feed(Event::StreamStarted { request, attempt });
         }
     }
 
@@ -260,7 +260,7 @@
             self.clients.remove(&request);
         }
         let util = self.share();
-        self.feed(Event::Outcome {
+        self.feed(Event::AttemptEnded {
             request,
             attempt,
             server: out.server,
@@ -268,7 +268,7 @@
             took_us: self.now - out.sent,
             settled,
             note: answer.note,
-            waited_us: answer.waited_us,
+            first_byte_us: answer.first_byte_us,
             load: Some(Load {
                 util: Some(util),
                 ..Load::default()
@@ -303,7 +303,7 @@
             return;
         };
         client.gone = true;
-        self.feed(Event::Left { request });
+        self.feed(Event::ClientLeft { request });
     }
 
     /// Gives the router an event, records what it does and carries that out.
--- a/tests/defences.rs
+++ b/tests/defences.rs
@@ -272,7 +272,7 @@
     let mut rig = Rig::new(settings(), fleet());
     let s = rig.send("video", "/o/a");
     assert_eq!(
-        rig.handle(Event::Left { request: s.request }),
+        rig.handle(Event::ClientLeft { request: s.request }),
         vec![Action::Cancel {
             request: s.request,
             attempt: 0
@@ -289,7 +289,7 @@
 fn a_begun_stream_is_left_alone() {
     let mut rig = Rig::new(settings(), fleet());
     let s = rig.send("stream", "/o/a");
-    rig.handle(Event::Begun {
+    rig.handle(Event::StreamStarted {
         request: s.request,
         attempt: 0,
     });
@@ -364,7 +364,7 @@
         rig.tick();
         rig.now += 600 * MS;
         for s in &fills {
-            rig.handle(Event::Outcome {
+            rig.handle(Event::AttemptEnded {
                 request: s.request,
                 attempt: 0,
                 server: s.server,
@@ -376,7 +376,7 @@
                 } else {
                     Note::None
                 },
-                waited_us: 20 * MS,
+                first_byte_us: 20 * MS,
                 load: None,
             });
         }
@@ -409,20 +409,20 @@
 fn while_the_origin_is_late_few_requests_may_have_it_asked() {
     let mut rig = Rig::new(settings(), fleet());
     let mut next = 0;
-    let mut asking = |rig: &mut Rig, waited_us: Micros, note: Note| {
+    let mut asking = |rig: &mut Rig, first_byte_us: Micros, note: Note| {
         let count = (0..100).filter(|_| {
             next += 1;
             let s = rig.send("video", &format!("/o/{next}"));
             rig.now += 10 * MS;
-            rig.handle(Event::Outcome {
+            rig.handle(Event::AttemptEnded {
                 request: s.request,
                 attempt: 0,
                 server: s.server,
                 outcome: Outcome::Ok,
-                took_us: waited_us + 100 * MS,
+                took_us: first_byte_us + 100 * MS,
                 settled: true,
                 note,
-                waited_us,
+                first_byte_us,
                 load: None,
             });
             rig.tick();
@@ -444,9 +444,9 @@
     );
     asking(&mut rig, 100 * MS, Note::FilledByOrigin);
     assert_eq!(asking(&mut rig, 100 * MS, Note::FilledByOrigin), 100);
-    let [little, much] = [600 * MS, 2 * S].map(|waited_us| {
+    let [little, much] = [600 * MS, 2 * S].map(|first_byte_us| {
         let mut rig = Rig::new(settings(), fleet());
-        asking(&mut rig, waited_us, Note::FilledByOrigin)
+        asking(&mut rig, first_byte_us, Note::FilledByOrigin)
     });
     assert!(
         much < little,
--- a/tests/ordinary.rs
+++ b/tests/ordinary.rs
@@ -126,7 +126,7 @@
     };
     router.handle(now, Event::Request(request), &mut actions);
     if let Some(s) = sent(&actions).filter(|_| step % 4 != 0) {
-        let event = Event::Outcome {
+        let event = Event::AttemptEnded {
             request: s.request,
             attempt: 0,
             server: s.server,
@@ -138,7 +138,7 @@
             took_us: 50 * MS,
             settled: step % 7 != 0,
             note: Note::Hit,
-            waited_us: 0,
+            first_byte_us: 0,
             load: None,
         };
         router.handle(now + MS, event, &mut actions);
@@ -180,16 +180,16 @@
     assert!(rig.end(999, 0, 1, Outcome::Error).is_empty());
     assert!(rig.end(999, 3, 777, Outcome::Ok).is_empty());
     assert!(rig.handle(Event::Timer { tag: 12_345 }).is_empty());
-    assert!(rig.handle(Event::Left { request: 999 }).is_empty());
+    assert!(rig.handle(Event::ClientLeft { request: 999 }).is_empty());
     assert!(rig
-        .handle(Event::Begun {
+        .handle(Event::StreamStarted {
             request: 999,
             attempt: 0
         })
         .is_empty());
     let outcome = Outcome::Ok;
     assert!(rig
-        .handle(Event::Probed {
+        .handle(Event::ProbeEnded {
             server: 777,
             outcome,
             took_us: 1,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -484,7 +484,7 @@
             .recheck_queued_attempt(rig.now + 90 * MS, read.request),
         Some(Some(100 * MS))
     );
-    rig.handle(Event::Left {
+    rig.handle(Event::ClientLeft {
         request: read.request,
     });
     assert_eq!(
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -118,7 +118,7 @@
                 150 * MS
             };
             rig.now += 20 * MS;
-            rig.handle(Event::Outcome {
+            rig.handle(Event::AttemptEnded {
                 request: s.request,
                 attempt: 0,
                 server: s.server,
@@ -126,7 +126,7 @@
                 took_us,
                 settled: true,
                 note: Note::Filled,
-                waited_us: 0,
+                first_byte_us: 0,
                 load: None,
             });
             later += usize::from(n >= 40 && s.fill.source == first);
@@ -167,7 +167,7 @@
             .map(|n| {
                 let s = rig.send("video", &format!("/o/{n}"));
                 rig.now += 10 * MS;
-                rig.handle(Event::Outcome {
+                rig.handle(Event::AttemptEnded {
                     request: s.request,
                     attempt: 0,
                     server: s.server,
@@ -175,7 +175,7 @@
                     took_us: 100 * MS,
                     settled: true,
                     note: Note::Hit,
-                    waited_us: 0,
+                    first_byte_us: 0,
                     load,
                 });
                 s
@@ -271,7 +271,7 @@
     for s in out {
         rig.now += 60 * MS;
         rig.tick();
-        rig.handle(Event::Outcome {
+        rig.handle(Event::AttemptEnded {
             request: s.request,
             attempt: 0,
             server: s.server,
@@ -279,7 +279,7 @@
             took_us: 480 * MS,
             settled: true,
             note: Note::Filled,
-            waited_us: 0,
+            first_byte_us: 0,
             load: None,
         });
     }
@@ -303,7 +303,7 @@
         settings.zones[1].link_kb_per_s = 1e9;
         let mut rig = Rig::new(settings, fleet());
         let end = |rig: &mut Rig, s: Sent, outcome, note, took_us| {
-            rig.handle(Event::Outcome {
+            rig.handle(Event::AttemptEnded {
                 request: s.request,
                 attempt: 0,
                 server: s.server,
@@ -311,7 +311,7 @@
                 took_us,
                 settled: outcome == Outcome::Ok,
                 note,
-                waited_us: 0,
+                first_byte_us: 0,
                 load: None,
             })
         };
@@ -361,27 +361,27 @@
     settings.zones[1].link_kb_per_s = 1e9;
     let mut rig = Rig::new(settings, fleet());
     let mut next = 0;
-    let mut end = |rig: &mut Rig, note: Note, waited_us: Micros| {
+    let mut end = |rig: &mut Rig, note: Note, first_byte_us: Micros| {
         next += 1;
         let s = rig.send("video", &format!("/o/{next}"));
-        rig.now += 110 * MS + waited_us;
-        rig.handle(Event::Outcome {
+        rig.now += 110 * MS + first_byte_us;
+        rig.handle(Event::AttemptEnded {
             request: s.request,
             attempt: 0,
             server: s.server,
             outcome: Outcome::Ok,
-            took_us: 110 * MS + waited_us,
+            took_us: 110 * MS + first_byte_us,
             settled: true,
             note,
-            waited_us,
+            first_byte_us,
             load: None,
         });
         !s.fill.only_held
     };
-    let mut follow = |waited_us: Micros| {
+    let mut follow = |first_byte_us: Micros| {
         for _ in 0..6 {
             rig.now += 500 * MS;
-            end(&mut rig, Note::FilledByOrigin, waited_us);
+            end(&mut rig, Note::FilledByOrigin, first_byte_us);
         }
         (0..100).filter(|_| end(&mut rig, Note::Hit, 0)).count()
     };
--- a/tests/slow_start_split.rs
+++ b/tests/slow_start_split.rs
@@ -59,7 +59,7 @@
             (false, true) => (Outcome::Ok, Note::Filled),
             (false, false) => (Outcome::Ok, Note::Hit),
         };
-        Event::Outcome {
+        Event::AttemptEnded {
             request: self.request,
             attempt: self.attempt,
             server: self.server,
@@ -67,7 +67,7 @@
             took_us: if self.rejected { 2 * MS } else { 20 * MS },
             settled: !self.rejected,
             note,
-            waited_us: 0,
+            first_byte_us: 0,
             load: None,
         }
     }
