--- a/daemon/src/upstream/frames.rs
+++ b/daemon/src/upstream/frames.rs
@@ -132,18 +132,18 @@
 
 /// Adds how a miss is filled, without its source.
 fn add_fill(fields: &mut String, fill: &Fill) {
-    if fill.keep > 0 {
-        add(fields, "keep", &fill.keep.to_string());
+    if fill.cache_rank > 0 {
+        add(fields, "keep", &fill.cache_rank.to_string());
     }
     if let Some(age) = fill.max_age_us {
         // Rounded down, so that no copy from before a purge passes; 0 would mean the class's fresh time.
         add(fields, "maxage", &(age / 1000).max(1).to_string());
     }
     let flags = [
-        (fill.join, "wait-for"),
-        (fill.only_held, "no-fetch"),
+        (fill.coalesce, "wait-for"),
+        (fill.only_if_cached, "no-fetch"),
         (fill.bypass_parent, "no-keep"),
-        (fill.renew, "background"),
+        (fill.background_refresh, "background"),
     ];
     let flags: Vec<&str> = flags
         .iter()
--- a/rehearse/tests/purges.rs
+++ b/rehearse/tests/purges.rs
@@ -172,9 +172,9 @@
         work_us: S / 10,
         kb: 400,
         source: (fill.source != server).then(|| name(fill.source).to_owned()),
-        keep: fill.keep,
+        keep: fill.cache_rank,
         max_age_us: fill.max_age_us.unwrap_or(u64::MAX),
-        join: fill.join,
+        join: fill.coalesce,
         ..Fetch::default()
     }
 }
@@ -294,11 +294,11 @@
 fn bare() -> Fill {
     Fill {
         source: 0,
-        keep: 1,
+        cache_rank: 1,
         max_age_us: None,
-        join: true,
-        only_held: false,
+        coalesce: true,
+        only_if_cached: false,
         bypass_parent: false,
-        renew: false,
+        background_refresh: false,
     }
 }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -140,7 +140,7 @@
         origin_kind: kind(family, kinds, "source-kind")?.unwrap_or_default(),
         polls_list: text_or(m, "discovery", "push")? == "ask",
         direct: flag(family, "may-pass-by")?,
-        joins_fills: flag(family, "can-join")?,
+        coalesces_fills: flag(family, "can-join")?,
         siblings: siblings(family)?,
         answer_detail: tells(family)?,
         reports: reports(telemetry)?,
--- a/simulator-adapter/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -184,9 +184,9 @@
             fill: Some(f),
         } => json!({
             "event_type": "ReadThrough", "i": i, "request-id": request, "store": server,
-            "allow-for-us": timeout_us, "feeder": f.source, "tier-rank": f.keep, "how-old-us": f.max_age_us,
-            "how": u8::from(f.join) + 2 * u8::from(f.only_held) + 4 * u8::from(f.bypass_parent)
-                + 8 * u8::from(f.renew),
+            "allow-for-us": timeout_us, "feeder": f.source, "tier-rank": f.cache_rank, "how-old-us": f.max_age_us,
+            "how": u8::from(f.coalesce) + 2 * u8::from(f.only_if_cached) + 4 * u8::from(f.bypass_parent)
+                + 8 * u8::from(f.background_refresh),
         }),
         w::Action::Cancel { request, attempt } => {
             json!({"event_type": "Retract", "i": i, "request-id": request, "go": attempt})
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -8,17 +8,17 @@
     /// The server to fill from; the target itself: no fill.
     pub source: ServerId,
     /// Rank at which the copy is cached, 1 to 3; 0: it is not cached.
-    pub keep: u8,
+    pub cache_rank: u8,
     /// Greatest age of a usable copy; `None`: the class's fresh time.
     pub max_age_us: Option<Micros>,
     /// A fill under way may be waited for.
-    pub join: bool,
+    pub coalesce: bool,
     /// The source must not fetch what it does not hold.
-    pub only_held: bool,
+    pub only_if_cached: bool,
     /// The parent is not to cache a copy.
     pub bypass_parent: bool,
     /// The cache may refresh an ageing copy after it has answered with it.
-    pub renew: bool,
+    pub background_refresh: bool,
 }
 
 /// An action to be carried out, in the order given.
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -163,7 +163,7 @@
     /// Parents and the origin may be the target of an attempt too.
     pub direct: bool,
     /// A request may wait for a fill that is under way.
-    pub joins_fills: bool,
+    pub coalesces_fills: bool,
     /// Which caches may fill others.
     pub siblings: Siblings,
     /// What answers tell of how they were made.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -16,7 +16,7 @@
 //! let mut settings = Settings {
 //!     classes: vec![class], tenants: vec![], zones: vec![zone("hub", 0, 0), zone("town", 1, 0)], zone: 1,
 //!     rank: Some(0),
-//!     parent_kind: None, origin_kind: "origin".into(), polls_list: false, direct: false, joins_fills: true,
+//!     parent_kind: None, origin_kind: "origin".into(), polls_list: false, direct: false, coalesces_fills: true,
 //!     siblings: Siblings::Off, answer_detail: AnswerDetail::All, reports: Reports::Off, weights_known: true,
 //!     flow_kb_per_s: 4_000.0, max_attempts: 4, hedged_requests: false, cancel: true, probes: false,
 //!     retry_after: true, max_retry_after_us: 1_000_000, origin_overload_multiple: 0.0,
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -66,12 +66,14 @@
         };
         Fill {
             source: target.source.unwrap_or(target.server),
-            keep: if held_by_cache { rank } else { 0 },
+            cache_rank: if held_by_cache { rank } else { 0 },
             max_age_us: self.max_age_us(now, open),
-            join: held_by_cache && self.settings.joins_fills && !class.write,
-            only_held: !class.write && target.source.is_some() && !self.may_reach_origin(now, open),
+            coalesce: held_by_cache && self.settings.coalesces_fills && !class.write,
+            only_if_cached: !class.write
+                && target.source.is_some()
+                && !self.may_reach_origin(now, open),
             bypass_parent: false,
-            renew: held_by_cache && class.fresh_us > 0 && retained,
+            background_refresh: held_by_cache && class.fresh_us > 0 && retained,
         }
     }
 
@@ -94,7 +96,7 @@
             stuck_after: now + (stuck_s * 1e6) as Micros,
             stuck: false,
             fills_from_upstream,
-            may_reach_origin: fills_from_upstream && !fill.only_held,
+            may_reach_origin: fills_from_upstream && !fill.only_if_cached,
         }
     }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -92,7 +92,7 @@
         origin_kind: "origin".into(),
         polls_list: false,
         direct: true,
-        joins_fills: true,
+        coalesces_fills: true,
         siblings: Siblings::Off,
         answer_detail: AnswerDetail::All,
         reports: Reports::Off,
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -106,13 +106,18 @@
         let Some(fill) = fill else {
             return self.word(0);
         };
-        let flags = [fill.join, fill.only_held, fill.bypass_parent, fill.renew];
+        let flags = [
+            fill.coalesce,
+            fill.only_if_cached,
+            fill.bypass_parent,
+            fill.background_refresh,
+        ];
         let flags = flags
             .iter()
             .fold(1, |bits, flag| bits << 1 | u64::from(*flag));
         self.words(&[
             fill.source,
-            u64::from(fill.keep),
+            u64::from(fill.cache_rank),
             optional(fill.max_age_us),
             flags,
         ]);
--- a/tests/common/world/attempts.rs
+++ b/tests/common/world/attempts.rs
@@ -46,7 +46,7 @@
             Some((self.sending(server, work_s), Outcome::Ok, Note::Hit, 0))
         } else if let Some(source) = source {
             let (took, outcome, note, waited) =
-                self.fill(source, (object, work_s), fill.only_held, zone);
+                self.fill(source, (object, work_s), fill.only_if_cached, zone);
             link = outcome == Outcome::Ok;
             Some((
                 took + if link {
@@ -81,7 +81,7 @@
         &mut self,
         source: ServerId,
         (object, work_s): (u64, f64),
-        only_held: bool,
+        only_if_cached: bool,
         zone: usize,
     ) -> (Micros, Outcome, Note, Micros) {
         self.push(source);
@@ -94,7 +94,7 @@
         if b.cached.contains(&object) && source != ORIGIN {
             return (10 * MS + moving, Outcome::Ok, Note::Filled, 10 * MS);
         }
-        if only_held {
+        if only_if_cached {
             return (10 * MS, Outcome::Miss, Note::SourceLacks, 10 * MS);
         }
         b.cached.insert(object);
--- a/tests/decision_trace/answers.rs
+++ b/tests/decision_trace/answers.rs
@@ -156,7 +156,7 @@
                 },
             ));
         }
-        if fill.only_held {
+        if fill.only_if_cached {
             return ended(Outcome::Miss, Note::SourceLacks);
         }
         source.holds.insert(part);
--- a/tests/decision_trace/main.rs
+++ b/tests/decision_trace/main.rs
@@ -121,7 +121,7 @@
         ..linked(1, 20_000.0)
     };
     let link_not_told = Settings {
-        joins_fills: false,
+        coalesces_fills: false,
         ..linked(2, 0.0)
     };
     let no_parents = Settings {
--- a/tests/defences.rs
+++ b/tests/defences.rs
@@ -133,7 +133,7 @@
     let s = rig.send("video", "/o/z");
     assert!(s.server == 11 || s.server == 12, "{s:?}");
     assert_eq!(
-        (s.fill.source, s.fill.keep, s.fill.join),
+        (s.fill.source, s.fill.cache_rank, s.fill.coalesce),
         (21, 0, false),
         "the parent fetches what it lacks"
     );
@@ -153,7 +153,7 @@
         .last()
         .expect("one");
     assert_eq!(last.fill.source, last.server, "only looked into");
-    assert!(last.fill.join, "a fill under way is waited for");
+    assert!(last.fill.coalesce, "a fill under way is waited for");
     let answer = rig.end(last.request, 0, last.server, Outcome::Miss);
     assert_eq!(
         answer,
@@ -427,7 +427,7 @@
             });
             rig.tick();
             assert_ne!(s.fill.source, s.server);
-            !s.fill.only_held
+            !s.fill.only_if_cached
         });
         count.count()
     };
@@ -569,7 +569,7 @@
         }
     }
     let held = (0..40)
-        .filter(|n| rig.send("video", &format!("/p/{n}")).fill.only_held)
+        .filter(|n| rig.send("video", &format!("/p/{n}")).fill.only_if_cached)
         .count();
     assert_eq!(
         held, 0,
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -65,7 +65,7 @@
     let fills: Vec<Sent> = (0..3)
         .map(|n| rig.send("video", &format!("/o/{n}")))
         .collect();
-    let asks: Vec<bool> = fills.iter().map(|s| !s.fill.only_held).collect();
+    let asks: Vec<bool> = fills.iter().map(|s| !s.fill.only_if_cached).collect();
     assert_eq!(
         asks,
         [true, true, false],
--- a/tests/ordinary.rs
+++ b/tests/ordinary.rs
@@ -107,7 +107,7 @@
 fn what_is_asked_for_again_is_kept_at_a_higher_rank() {
     let mut rig = Rig::new(settings(), fleet());
     let (a, b) = (rig.send("video", "/o/a"), rig.send("video", "/o/a"));
-    assert_eq!((a.fill.keep, b.fill.keep), (1, 2));
+    assert_eq!((a.fill.cache_rank, b.fill.cache_rank), (1, 2));
 }
 
 fn script(router: &mut Router, seed: u64, step: u64) -> Vec<Action> {
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -211,7 +211,9 @@
         let (id, actions) = rig.ask("page", &object, 5 * S);
         if let Some(s) = sent(&actions) {
             rig.end_with(id, 0, s.server, Outcome::Ok, Note::Hit);
-            last = last.filter(|_| !often).or(often.then_some(s.fill.keep));
+            last = last
+                .filter(|_| !often)
+                .or(often.then_some(s.fill.cache_rank));
         }
         rig.now += MS / 10;
     }
@@ -337,7 +339,7 @@
             rig.now += 110 * MS;
             end(&mut rig, s, Outcome::Ok, Note::Hit, 110 * MS);
             assert_ne!(s.fill.source, s.server, "the link has room");
-            !s.fill.only_held
+            !s.fill.only_if_cached
         });
         asks.count()
     };
@@ -376,7 +378,7 @@
             first_byte_us,
             load: None,
         });
-        !s.fill.only_held
+        !s.fill.only_if_cached
     };
     let mut follow = |first_byte_us: Micros| {
         for _ in 0..6 {
