--- a/daemon/src/config/read.rs
+++ b/daemon/src/config/read.rs
@@ -49,7 +49,7 @@
     let mut settings = settings(fields).map_err(ConfigError::Settings)?;
     // Caches drop what was purged by themselves, each time limit on sockets being that much longer: until then a
     // response of unknown age is not used.
-    settings.rules.purge_done_us += SOCKET_SLACK_US;
+    settings.rules.purge_completion_us += SOCKET_SLACK_US;
     settings.check()?;
     Ok(settings)
 }
--- a/daemon/src/core/requests.rs
+++ b/daemon/src/core/requests.rs
@@ -162,6 +162,6 @@
         group: request.group,
         size_kb: request.size_kb,
         remaining_us: request.remaining_us,
-        repeated: false,
+        is_retry: false,
     }
 }
--- a/daemon/src/interconnect/budgets.rs
+++ b/daemon/src/interconnect/budgets.rs
@@ -153,7 +153,7 @@
         let spec = BudgetSpec {
             limit,
             reserved: (self.cold_reserved * limit as f64 / members as f64) as u64,
-            settling_us: settings.rules.fall_us,
+            settling_us: settings.rules.overload_window_us,
         };
         let parents = settings
             .parent_kind
--- a/daemon/src/upstream/frames.rs
+++ b/daemon/src/upstream/frames.rs
@@ -27,10 +27,10 @@
 pub(super) fn load_report(fields: &[u8]) -> Option<Load> {
     let stats = resp::field(fields, "stats")?;
     Some(Load {
-        util: statistic(stats, "util"),
-        inflight: statistic(stats, "inflight"),
-        hit_share: statistic(stats, "x0"),
-        link_use: statistic(stats, "x1"),
+        cpu_utilisation: statistic(stats, "util"),
+        in_flight: statistic(stats, "inflight"),
+        hit_ratio: statistic(stats, "x0"),
+        link_utilisation: statistic(stats, "x1"),
     })
 }
 
--- a/daemon/tests/config.rs
+++ b/daemon/tests/config.rs
@@ -1,6 +1,6 @@
 //! Configuration: what is read, what is taken where nothing is said, and messages that name the faulty key.
 
-use linnetknot::{Repeat, Reports, Siblings};
+use linnetknot::{LoadReports, Repeat, Siblings};
 use linnetknot_daemon::config::Config;
 use linnetknot_daemon::interconnect;
 use linnetknot_harness::settings;
@@ -23,7 +23,7 @@
     );
     assert!(config.cdni.is_none() && config.consul.is_none() && config.peers.is_none());
     // Time limits are longer on sockets, that of the boxes' own dropping among them.
-    assert_eq!(config.settings.rules.purge_done_us, 6_050_000);
+    assert_eq!(config.settings.rules.purge_completion_us, 6_050_000);
 }
 
 /// The second deployment: no peers at all, loads in answers only, second copies allowed, writes that must never run
@@ -62,8 +62,8 @@
     assert!(read.peers.is_none());
     let s = &read.settings;
     assert_eq!(
-        (s.reports, s.siblings),
-        (Reports::Answers, Siblings::Location)
+        (s.load_reports, s.siblings),
+        (LoadReports::Answers, Siblings::Location)
     );
     assert_eq!(
         (s.classes[2].repeat, s.classes[2].write),
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -119,7 +119,7 @@
     let family = object_or_empty(m, "family-info", &empty)?;
     let limits = object_or_empty(m, "limits", &empty)?;
     let rule_fields = object_or_empty(m, "rules", &empty)?;
-    let rank = rank(m)?;
+    let router_index = rank(m)?;
     let classes = classes(m, family)?;
     let kinds = list(m, "kinds")?;
     let zones = zones(m, family)?;
@@ -131,7 +131,7 @@
     let tenants = tenants(m)?;
     let telemetry = object_or_empty(m, "telemetry", &empty)?;
     Ok(w::Settings {
-        rank,
+        router_index,
         classes,
         tenants,
         zones,
@@ -139,11 +139,11 @@
         parent_kind: kind(family, kinds, "mid-kind")?,
         origin_kind: kind(family, kinds, "source-kind")?.unwrap_or_default(),
         polls_list: text_or(m, "discovery", "push")? == "ask",
-        direct: flag(family, "may-pass-by")?,
+        direct_to_upstream: flag(family, "may-pass-by")?,
         coalesces_fills: flag(family, "can-join")?,
         siblings: siblings(family)?,
         answer_detail: tells(family)?,
-        reports: reports(telemetry)?,
+        load_reports: reports(telemetry)?,
         weights_known: matches!(text_or(m, "weights", "off")?.as_str(), "nominal" | "rough"),
         flow_kb_per_s: num_or(family, "one-flow-kb-per-s", 0.0)?,
         max_attempts: int_or(limits, "try-limit", 1)?.min(MAX_ATTEMPTS) as u32,
@@ -197,14 +197,14 @@
             "token" => w::Repeat::Keyed,
             _ => w::Repeat::Unsafe,
         },
-        scope: match text_or(c, "dedup-scope", "cell")?.as_str() {
+        dedup_scope: match text_or(c, "dedup-scope", "cell")?.as_str() {
             "all" => w::DedupScope::All,
             "zone" => w::DedupScope::Zone,
             _ => w::DedupScope::Cell,
         },
-        window_us: int_or(c, "window-us", 0)?,
+        dedup_window_us: int_or(c, "window-us", 0)?,
         streaming: flag(c, "streaming")?,
-        parts: at(family, "in-pieces", i, Value::as_bool)?.unwrap_or(false),
+        multipart: at(family, "in-pieces", i, Value::as_bool)?.unwrap_or(false),
         write: at(family, "never-kept", i, Value::as_bool)?.unwrap_or(false),
         fresh_us: at(family, "good-for-us", i, as_int)?.unwrap_or(0),
         grace_us: at(family, "usable-after-us", i, as_int)?.unwrap_or(0),
@@ -227,7 +227,7 @@
         zones.push(w::Zone {
             name: v.as_str().ok_or_else(|| wrong("localities"))?.to_owned(),
             routers: at(family, "seats-by-zone", i, as_int)?.unwrap_or(1) as u32,
-            hub: at(family, "attached-to", i, as_int)?.unwrap_or(0) as usize,
+            parent_zone: at(family, "attached-to", i, as_int)?.unwrap_or(0) as usize,
             link_kb_per_s: at(family, "zone-link-kb-per-s", i, Value::as_f64)?.unwrap_or(0.0),
         });
     }
@@ -266,11 +266,11 @@
 }
 
 /// Where load reports come from.
-fn reports(telemetry: &Fields) -> Result<w::Reports> {
+fn reports(telemetry: &Fields) -> Result<w::LoadReports> {
     Ok(match text_or(telemetry, "source", "off")?.as_str() {
-        "inline" => w::Reports::Answers,
-        "on_probe" => w::Reports::Probes,
-        _ => w::Reports::Off,
+        "inline" => w::LoadReports::Answers,
+        "on_probe" => w::LoadReports::Probes,
+        _ => w::LoadReports::Off,
     })
 }
 
@@ -281,12 +281,12 @@
         slow_start_share: num_or(rules, "cold-share", 1.0)?,
         slow_start_us: int_or(rules, "ramp-time-us", 0)?,
         overload_multiple: num_or(rules, "fall-multiple", 1.0)?,
-        fall_us: int_or(rules, "tip-after-us", 1)?,
+        overload_window_us: int_or(rules, "tip-after-us", 1)?,
         parent_slow_start_share: num_or(family, "parent-cold-from", 1.0)?,
         parent_slow_start_us: int_or(family, "upper-cold-us", 0)?,
         parent_overload_multiple: num_or(family, "upper-fall-multiple", 1.0)?,
         purge_grace_us: int_or(family, "purge-slack-us", 0)?,
-        purge_done_us: int_or(family, "purge-takes-us", 0)?,
-        ask_within_us: int_or(rules, "ask-within-us", 0)?,
+        purge_completion_us: int_or(family, "purge-takes-us", 0)?,
+        max_poll_age_us: int_or(rules, "ask-within-us", 0)?,
     })
 }
--- a/simulator-adapter/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -44,10 +44,10 @@
     let r = v.as_object().ok_or_else(|| wrong("usage"))?;
     let value = |key: &str| get(r, key).and_then(Value::as_f64);
     Ok(Some(w::Load {
-        util: value("cpu_share"),
-        inflight: value("busy_reqs"),
-        hit_share: value("x0"),
-        link_use: value("x1"),
+        cpu_utilisation: value("cpu_share"),
+        in_flight: value("busy_reqs"),
+        hit_ratio: value("x0"),
+        link_utilisation: value("x1"),
     }))
 }
 
@@ -101,7 +101,7 @@
         group: int_or(m, "purge-group", 0)?,
         size_kb: num_or(m, "length-kb", 0.0)?,
         remaining_us: remaining_us(m)?,
-        repeated: int_or(m, "marks", 0)? & REPEATED_MARK != 0,
+        is_retry: int_or(m, "marks", 0)? & REPEATED_MARK != 0,
     }))
 }
 
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -22,7 +22,7 @@
     /// Time until the client gives up.
     pub remaining_us: Micros,
     /// The client marked it as a retry.
-    pub repeated: bool,
+    pub is_retry: bool,
 }
 
 /// How an attempt or a health check ended.
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -11,7 +11,7 @@
 pub use events::{Budget, Event, Lease, Note, Outcome, Request};
 pub use servers::{ListMode, Load, Server, State};
 pub use settings::{
-    AnswerDetail, Class, DedupScope, Repeat, Reports, Rules, Settings, Siblings, Tenant, Zone,
+    AnswerDetail, Class, DedupScope, LoadReports, Repeat, Rules, Settings, Siblings, Tenant, Zone,
 };
 pub use validation::SettingsError;
 
--- a/src/interface/servers.rs
+++ b/src/interface/servers.rs
@@ -48,11 +48,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
     /// Share of its processor time in use.
-    pub util: Option<f64>,
+    pub cpu_utilisation: Option<f64>,
     /// Requests in flight.
-    pub inflight: Option<f64>,
+    pub in_flight: Option<f64>,
     /// Recent hit ratio.
-    pub hit_share: Option<f64>,
+    pub hit_ratio: Option<f64>,
     /// Of a cache: used share of its location's link. Of a parent: fetches in flight.
-    pub link_use: Option<f64>,
+    pub link_utilisation: Option<f64>,
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -42,13 +42,13 @@
     /// Whether a request may be sent again after it may have run.
     pub repeat: Repeat,
     /// For [`Repeat::Keyed`]: which servers recognise repeats.
-    pub scope: DedupScope,
+    pub dedup_scope: DedupScope,
     /// For [`Repeat::Keyed`]: for how long they do.
-    pub window_us: Micros,
+    pub dedup_window_us: Micros,
     /// The answer is a stream: once it has begun, no other attempt can serve the client.
     pub streaming: bool,
     /// Its objects have several parts.
-    pub parts: bool,
+    pub multipart: bool,
     /// It runs at the origin, and its answer is never cached.
     pub write: bool,
     /// How long a copy is fresh; 0: until it is purged.
@@ -76,7 +76,7 @@
     /// How many routers serve it.
     pub routers: u32,
     /// The zone with its parent caches, as a place in [`Settings::zones`].
-    pub hub: usize,
+    pub parent_zone: usize,
     /// Capacity of its link for fills in KB per second; 0: unknown.
     pub link_kb_per_s: f64,
 }
@@ -105,7 +105,7 @@
 
 /// Where load reports come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReports {
     /// Answers and health checks.
     Answers,
     /// Health checks only.
@@ -126,7 +126,7 @@
     /// A cache that is sent more than this multiple of its present capacity for `fall_us` fails.
     pub overload_multiple: f64,
     /// The window of `overload_multiple`, for caches and parents.
-    pub fall_us: Micros,
+    pub overload_window_us: Micros,
     /// As `slow_start_share`, for parents.
     pub parent_slow_start_share: f64,
     /// As `slow_start_us`, for parents.
@@ -136,9 +136,9 @@
     /// A purge must be respected from this long after the router heard of it.
     pub purge_grace_us: Micros,
     /// After this long, the servers have dropped older copies by themselves.
-    pub purge_done_us: Micros,
+    pub purge_completion_us: Micros,
     /// Where the list must be polled: a router that has not polled for this long counts as informed.
-    pub ask_within_us: Micros,
+    pub max_poll_age_us: Micros,
 }
 
 /// What a router is started with.
@@ -153,7 +153,7 @@
     /// The router's own zone, as a place in `zones`.
     pub zone: usize,
     /// The router's number among all that share these settings, from 0; `None`: unknown.
-    pub rank: Option<u32>,
+    pub router_index: Option<u32>,
     /// The kind of server that is a parent cache, if the deployment has any.
     pub parent_kind: Option<String>,
     /// The kind of server that is the origin.
@@ -161,7 +161,7 @@
     /// The list of servers must be polled; otherwise it is pushed.
     pub polls_list: bool,
     /// Parents and the origin may be the target of an attempt too.
-    pub direct: bool,
+    pub direct_to_upstream: bool,
     /// A request may wait for a fill that is under way.
     pub coalesces_fills: bool,
     /// Which caches may fill others.
@@ -169,7 +169,7 @@
     /// What answers tell of how they were made.
     pub answer_detail: AnswerDetail,
     /// Where load reports come from.
-    pub reports: Reports,
+    pub load_reports: LoadReports,
     /// Weights in the list are link capacities, in transfers at full pace.
     pub weights_known: bool,
     /// Greatest pace of one transfer to a client, in KB per second; 0: unknown.
--- a/src/interface/validation.rs
+++ b/src/interface/validation.rs
@@ -11,7 +11,7 @@
     /// The router's zone, or a zone's hub, is not among the zones.
     ZoneOutOfRange,
     /// The named figure is negative, not finite, or zero where that makes no sense.
-    BadFigure(&'static str),
+    InvalidValue(&'static str),
 }
 
 impl fmt::Display for SettingsError {
@@ -19,7 +19,7 @@
         match self {
             Self::NoClass => write!(f, "settings name no class of requests"),
             Self::ZoneOutOfRange => write!(f, "settings name a zone that is not among the zones"),
-            Self::BadFigure(name) => write!(f, "settings hold an unusable figure: {name}"),
+            Self::InvalidValue(name) => write!(f, "settings hold an unusable figure: {name}"),
         }
     }
 }
@@ -37,7 +37,7 @@
             return Err(SettingsError::NoClass);
         }
         let zones = self.zones.len();
-        if self.zone >= zones || self.zones.iter().any(|z| z.hub >= zones) {
+        if self.zone >= zones || self.zones.iter().any(|z| z.parent_zone >= zones) {
             return Err(SettingsError::ZoneOutOfRange);
         }
         let r = &self.rules;
@@ -50,7 +50,7 @@
         let mut positive = vec![
             ("attempts", f64::from(self.max_attempts)),
             ("fall multiple", r.overload_multiple),
-            ("fall time", r.fall_us as f64),
+            ("fall time", r.overload_window_us as f64),
             ("parent fall multiple", r.parent_overload_multiple),
         ];
         for c in &self.classes {
@@ -69,6 +69,6 @@
         let bad_positive = positive.iter().find(|(_, x)| !x.is_finite() || *x <= 0.0);
         bad_sound
             .or(bad_positive)
-            .map_or(Ok(()), |(name, _)| Err(SettingsError::BadFigure(name)))
+            .map_or(Ok(()), |(name, _)| Err(SettingsError::InvalidValue(name)))
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,21 +9,21 @@
 //!
 //! let class = Class {
 //!     name: "video".into(), objective_us: 500_000, objective_stretch: 1.5, deadline_us: 5_000_000, priority_weight: 2.0,
-//!     late_weight: 0.1, repeat: Repeat::Safe, scope: DedupScope::All, window_us: 0, streaming: false,
-//!     parts: true, write: false, fresh_us: 0, grace_us: 0, stale_weight: 0.0,
+//!     late_weight: 0.1, repeat: Repeat::Safe, dedup_scope: DedupScope::All, dedup_window_us: 0, streaming: false,
+//!     multipart: true, write: false, fresh_us: 0, grace_us: 0, stale_weight: 0.0,
 //! };
-//! let zone = |name: &str, routers, hub| Zone { name: name.into(), routers, hub, link_kb_per_s: 0.0 };
+//! let zone = |name: &str, routers, parent_zone| Zone { name: name.into(), routers, parent_zone, link_kb_per_s: 0.0 };
 //! let mut settings = Settings {
 //!     classes: vec![class], tenants: vec![], zones: vec![zone("hub", 0, 0), zone("town", 1, 0)], zone: 1,
-//!     rank: Some(0),
-//!     parent_kind: None, origin_kind: "origin".into(), polls_list: false, direct: false, coalesces_fills: true,
-//!     siblings: Siblings::Off, answer_detail: AnswerDetail::All, reports: Reports::Off, weights_known: true,
+//!     router_index: Some(0),
+//!     parent_kind: None, origin_kind: "origin".into(), polls_list: false, direct_to_upstream: false, coalesces_fills: true,
+//!     siblings: Siblings::Off, answer_detail: AnswerDetail::All, load_reports: LoadReports::Off, weights_known: true,
 //!     flow_kb_per_s: 4_000.0, max_attempts: 4, hedged_requests: false, cancel: true, probes: false,
 //!     retry_after: true, max_retry_after_us: 1_000_000, origin_overload_multiple: 0.0,
 //!     rules: Rules {
 //!         drain_grace_us: 1_000_000, slow_start_share: 0.2, slow_start_us: 10_000_000, overload_multiple: 3.0,
-//!         fall_us: 1_000_000, parent_slow_start_share: 0.1, parent_slow_start_us: 10_000_000, parent_overload_multiple: 2.0,
-//!         purge_grace_us: 500_000, purge_done_us: 5_000_000, ask_within_us: 0,
+//!         overload_window_us: 1_000_000, parent_slow_start_share: 0.1, parent_slow_start_us: 10_000_000, parent_overload_multiple: 2.0,
+//!         purge_grace_us: 500_000, purge_completion_us: 5_000_000, max_poll_age_us: 0,
 //!     },
 //! };
 //! let mut router = Router::new(settings.clone(), 42)?;
@@ -40,7 +40,7 @@
 //! actions.clear();
 //! let request = Request {
 //!     id: 7, class: "video".into(), tenant: None, object: "/o/film".into(), part: 0, group: 0,
-//!     size_kb: 900.0, remaining_us: 5_000_000, repeated: false,
+//!     size_kb: 900.0, remaining_us: 5_000_000, is_retry: false,
 //! };
 //! router.handle(1_000, Event::Request(request), &mut actions);
 //! assert!(matches!(actions[0], Action::Attempt { request: 7, server: 1, fill: Some(Fill { source: 9, .. }), .. }));
--- a/src/router/placement.rs
+++ b/src/router/placement.rs
@@ -173,7 +173,7 @@
     ) -> Option<Target> {
         // There is one origin, so its ejection leaves no other way: it is asked all the same.
         let origin = ranked.origin.filter(|_| self.origin_has_capacity(now))?;
-        if self.settings.direct && self.deduplicates(open, origin) {
+        if self.settings.direct_to_upstream && self.deduplicates(open, origin) {
             return Some(Target {
                 server: origin,
                 source: None,
@@ -195,7 +195,7 @@
         let (Some(run), Some(server)) = (open.may_have_run, self.endpoints.get(&id)) else {
             return true;
         };
-        match self.settings.classes[open.class].scope {
+        match self.settings.classes[open.class].dedup_scope {
             DedupScope::All => true,
             DedupScope::Zone => server.zone == run.zone,
             DedupScope::Cell => server.cell == run.cell,
@@ -214,10 +214,10 @@
         let is_free =
             |id: &&ServerId| !open.tried_servers.contains(id) && self.admits(**id, now, open);
         let is_healthy = |id: &ServerId| self.is_healthy(*id, now);
-        let direct = self.settings.direct
+        let may_skip_caches = self.settings.direct_to_upstream
             && !ranked.caches.iter().any(is_healthy)
             && !self.link_is_full(now, open);
-        if direct {
+        if may_skip_caches {
             let mut parents = ranked.parents.iter().filter(is_free);
             if let Some(parent) = parents.find(|id| is_healthy(id)) {
                 return Some(Target {
--- a/src/router/retries.rs
+++ b/src/router/retries.rs
@@ -48,7 +48,9 @@
         let class = &self.settings.classes[open.class];
         match class.repeat {
             Repeat::Safe => false,
-            Repeat::Keyed => now.saturating_sub(run.sent_at) + MIN_ATTEMPT_US >= class.window_us,
+            Repeat::Keyed => {
+                now.saturating_sub(run.sent_at) + MIN_ATTEMPT_US >= class.dedup_window_us
+            }
             Repeat::Unsafe => true,
         }
     }
@@ -102,7 +104,7 @@
         let class = &self.settings.classes[open.class];
         match class.repeat {
             Repeat::Safe => true,
-            Repeat::Keyed => open.may_have_run.is_none() || class.scope == DedupScope::All,
+            Repeat::Keyed => open.may_have_run.is_none() || class.dedup_scope == DedupScope::All,
             Repeat::Unsafe => open.may_have_run.is_none(),
         }
     }
--- a/src/router/slow_start.rs
+++ b/src/router/slow_start.rs
@@ -55,7 +55,7 @@
     /// What a server may be sent within the rule's window; none: it is warm.
     fn slow_start_budget(&self, server: &Endpoint, now: Micros) -> Option<SlowStartBudget> {
         let rules = &self.settings.rules;
-        let window_us = rules.fall_us;
+        let window_us = rules.overload_window_us;
         // What it can do in the window's mean: by the time this is judged it can do more.
         let warmth = self.warmth(server, now.saturating_sub(window_us / 2));
         if warmth >= 1.0 || server.role == Role::Origin || server.state != State::Ready {
@@ -118,13 +118,13 @@
     /// and has forgotten what it sent, finds its turns where they were, by its number.
     fn is_own_turn(&self, id: ServerId, server: &Endpoint, now: Micros, turns: f64) -> bool {
         let since = server.warming_since().unwrap_or(0);
-        let number = match self.settings.rank {
+        let number = match self.settings.router_index {
             None => share_of(mix(self.seed)),
             Some(rank) => GOLDEN * f64::from(rank),
         };
         let phase = share_of(mix(id ^ mix(since))) + number;
         let age = now.saturating_sub(since);
-        let window_us = self.settings.rules.fall_us;
+        let window_us = self.settings.rules.overload_window_us;
         self.ramp_of(server).is_turn(age, turns, window_us, phase)
     }
 }
--- a/src/router/statistics.rs
+++ b/src/router/statistics.rs
@@ -121,7 +121,7 @@
 
     /// Moves the averages over time on by a tick, and forgets charges that are older than the slow-start window.
     pub(super) fn update_averages(&mut self, now: Micros, step: f64) {
-        let window_us = self.settings.rules.fall_us;
+        let window_us = self.settings.rules.overload_window_us;
         for server in self.endpoints.values_mut() {
             server.mean_in_flight += step * (server.in_flight as f64 - server.mean_in_flight);
             server
--- a/src/router/timers.rs
+++ b/src/router/timers.rs
@@ -36,7 +36,7 @@
         Self::schedule_tick(now, actions);
         let origin_now = self.origin_time(now);
         self.purges
-            .compact(origin_now, self.settings.rules.purge_done_us);
+            .compact(origin_now, self.settings.rules.purge_completion_us);
         self.update_averages(now, TICK_US as f64 / 1e6 / AVERAGING_S);
         self.eject_silent(now);
         self.cancel_hopeless(now, actions);
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -25,7 +25,7 @@
 impl Play {
     fn settings(&self) -> Settings {
         let mut s = Settings {
-            direct: false,
+            direct_to_upstream: false,
             ..settings()
         };
         s.zones[1].routers = self.routers;
@@ -45,11 +45,11 @@
         servers[1 - cold].weight = 1e6;
         (servers[cold].id, servers[cold].started) = (self.id, Some(T0));
         let start = |n: u32, now: Micros, life: u64| {
-            let rank = Some(n * self.every);
+            let router_index = Some(n * self.every);
             let seed = self.seed ^ u64::from(n).wrapping_mul(0x9e37_79b9) ^ life << 40;
             let mut router = Router::new(
                 Settings {
-                    rank,
+                    router_index,
                     ..self.settings()
                 },
                 seed,
@@ -89,7 +89,7 @@
                     group: 1,
                     size_kb: WORK_S * 5_000.0,
                     remaining_us: 5 * S,
-                    repeated: false,
+                    is_retry: false,
                 };
                 actions.clear();
                 router.handle(now, Event::Request(request), &mut actions);
@@ -134,13 +134,13 @@
             ),
         };
         let warmth = (share + (1.0 - share) * age as f64 / cold as f64).min(1.0);
-        multiple * warmth * capacity * r.fall_us as f64 / 1e6 / WORK_S
+        multiple * warmth * capacity * r.overload_window_us as f64 / 1e6 / WORK_S
     }
 
     /// Plays it: the greatest excess of a window over what is allowed and chance, and the share of what is allowed that is
     /// used in all.
     fn play(&self) -> (f64, f64) {
-        let (window, length) = (self.settings().rules.fall_us, 6 * S);
+        let (window, length) = (self.settings().rules.overload_window_us, 6 * S);
         let sends = self.sends(length);
         let worst = sends.iter().enumerate().map(|(first, at)| {
             let within = sends[first..]
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -20,10 +20,10 @@
         priority_weight: 1.0,
         late_weight: 0.1,
         repeat: Repeat::Safe,
-        scope: DedupScope::All,
-        window_us: 2 * S,
+        dedup_scope: DedupScope::All,
+        dedup_window_us: 2 * S,
         streaming: false,
-        parts: true,
+        multipart: true,
         write: false,
         fresh_us: 0,
         grace_us: 0,
@@ -61,13 +61,13 @@
         slow_start_share: 0.2,
         slow_start_us: 10 * S,
         overload_multiple: 3.0,
-        fall_us: S,
+        overload_window_us: S,
         parent_slow_start_share: 0.1,
         parent_slow_start_us: 20 * S,
         parent_overload_multiple: 2.0,
         purge_grace_us: 500 * MS,
-        purge_done_us: 6 * S,
-        ask_within_us: 0,
+        purge_completion_us: 6 * S,
+        max_poll_age_us: 0,
     }
 }
 
@@ -75,7 +75,7 @@
     let zone = |name: &str, routers, link_kb_per_s| Zone {
         name: name.into(),
         routers,
-        hub: 0,
+        parent_zone: 0,
         link_kb_per_s,
     };
     Settings {
@@ -87,15 +87,15 @@
             zone("shore", 1, 100_000.0),
         ],
         zone: 1,
-        rank: None,
+        router_index: None,
         parent_kind: Some("parent".into()),
         origin_kind: "origin".into(),
         polls_list: false,
-        direct: true,
+        direct_to_upstream: true,
         coalesces_fills: true,
         siblings: Siblings::Off,
         answer_detail: AnswerDetail::All,
-        reports: Reports::Off,
+        load_reports: LoadReports::Off,
         weights_known: true,
         flow_kb_per_s: 5_000.0,
         max_attempts: 6,
@@ -189,7 +189,7 @@
         let id = self.next;
         self.next += 1;
         let (class, object) = (class.into(), object.into());
-        let (tenant, part, group, repeated) = (None, 0, 3, false);
+        let (tenant, part, group, is_retry) = (None, 0, 3, false);
         let request = Request {
             id,
             class,
@@ -199,7 +199,7 @@
             group,
             size_kb,
             remaining_us,
-            repeated,
+            is_retry,
         };
         let actions = self.handle(Event::Request(request));
         (id, actions)
--- a/tests/common/world/clients.rs
+++ b/tests/common/world/clients.rs
@@ -52,7 +52,7 @@
                 0.0
             },
             remaining_us: self.deadline_us,
-            repeated: false,
+            is_retry: false,
         };
         self.feed(n, Event::Request(request));
     }
--- a/tests/common/world/mod.rs
+++ b/tests/common/world/mod.rs
@@ -128,7 +128,7 @@
     fn new(n: usize, zone: usize, config: &Settings, seed: u64) -> Self {
         let settings = Settings {
             zone,
-            rank: Some(n as u32),
+            router_index: Some(n as u32),
             ..config.clone()
         };
         Proxy {
@@ -145,7 +145,7 @@
     let zone = |name: String, routers| Zone {
         name,
         routers,
-        hub: 0,
+        parent_zone: 0,
         link_kb_per_s: 0.0,
     };
     let mut list = vec![zone("hub".into(), 0)];
@@ -158,7 +158,7 @@
     let mut config = Settings {
         zones: list,
         classes: vec![video],
-        direct: false,
+        direct_to_upstream: false,
         ..settings()
     };
     shape(&mut config);
@@ -220,7 +220,7 @@
             fill_timeout_us: 5 * MS,
             writes: 0.0,
             ran: BTreeSet::new(),
-            reports: config.reports == Reports::Answers,
+            reports: config.load_reports == LoadReports::Answers,
             links: vec![0.0; config.zones.len()],
             origin_per_s: 1e6,
             origin_free: 0,
--- a/tests/common/world/servers.rs
+++ b/tests/common/world/servers.rs
@@ -51,8 +51,8 @@
         let b = &self.servers[&server];
         let link = self.links.get(b.zone).map(|l| l / self.link_fits);
         Load {
-            inflight: Some(b.active),
-            link_use: link,
+            in_flight: Some(b.active),
+            link_utilisation: link,
             ..Load::default()
         }
     }
@@ -76,8 +76,8 @@
         let warmth = self.warmth(&self.servers[&id]);
         let r = &self.rules;
         let (multiple, window) = match self.servers[&id].zone {
-            0 => (r.parent_overload_multiple, r.fall_us),
-            _ => (r.overload_multiple, r.fall_us),
+            0 => (r.parent_overload_multiple, r.overload_window_us),
+            _ => (r.overload_multiple, r.overload_window_us),
         };
         let b = self.servers.get_mut(&id).expect("a server of the list");
         if id == ORIGIN || warmth >= 1.0 {
--- a/tests/decision_trace/main.rs
+++ b/tests/decision_trace/main.rs
@@ -90,11 +90,11 @@
 }
 
 fn deduplicating() -> Settings {
-    let keyed = |name: &str, scope| Class {
+    let keyed = |name: &str, dedup_scope| Class {
         repeat: Repeat::Keyed,
         write: true,
-        window_us: 400 * MS,
-        scope,
+        dedup_window_us: 400 * MS,
+        dedup_scope,
         ..class(name)
     };
     let page = Class {
@@ -109,7 +109,7 @@
     ];
     Settings {
         classes,
-        direct: false,
+        direct_to_upstream: false,
         ..settings()
     }
 }
@@ -117,7 +117,7 @@
 /// Settings that differ in what is told and allowed.
 fn variants() -> Vec<(&'static str, Settings)> {
     let thin_link = Settings {
-        direct: false,
+        direct_to_upstream: false,
         ..linked(1, 20_000.0)
     };
     let link_not_told = Settings {
@@ -130,8 +130,8 @@
         ..settings()
     };
     let many_routers = Settings {
-        rank: Some(3),
-        direct: false,
+        router_index: Some(3),
+        direct_to_upstream: false,
         ..linked(40, 500_000.0)
     };
     let few_attempts = Settings {
--- a/tests/decision_trace/random_fleet.rs
+++ b/tests/decision_trace/random_fleet.rs
@@ -208,7 +208,7 @@
             group: object % GROUPS,
             size_kb: if sized { size_kb } else { 0.0 },
             remaining_us,
-            repeated: self.one_in(10),
+            is_retry: self.one_in(10),
         };
         let client = Client {
             part: (object, part),
@@ -259,7 +259,7 @@
         if settled {
             self.clients.remove(&request);
         }
-        let util = self.share();
+        let cpu_utilisation = self.share();
         self.feed(Event::AttemptEnded {
             request,
             attempt,
@@ -270,7 +270,7 @@
             note: answer.note,
             first_byte_us: answer.first_byte_us,
             load: Some(Load {
-                util: Some(util),
+                cpu_utilisation: Some(cpu_utilisation),
                 ..Load::default()
             }),
         });
--- a/tests/defences.rs
+++ b/tests/defences.rs
@@ -20,7 +20,7 @@
 fn a_cache_that_cannot_be_reached_comes_back_as_just_started() {
     let mut rig = Rig::new(
         Settings {
-            direct: false,
+            direct_to_upstream: false,
             ..settings()
         },
         fleet(),
@@ -89,7 +89,7 @@
 fn marks_that_would_leave_no_cache_are_passed_over() {
     let mut rig = Rig::new(
         Settings {
-            direct: false,
+            direct_to_upstream: false,
             ..settings()
         },
         fleet(),
@@ -462,7 +462,7 @@
     ] {
         let mut rig = Rig::new(
             Settings {
-                direct: false,
+                direct_to_upstream: false,
                 ..settings()
             },
             fleet(),
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -19,17 +19,17 @@
         s.classes.push(Class {
             repeat: Repeat::Unsafe,
             write: true,
-            parts: false,
+            multipart: false,
             ..class("activate")
         });
         s.siblings = Siblings::Location;
-        s.reports = Reports::Answers;
+        s.load_reports = LoadReports::Answers;
         s.hedged_requests = true;
-        s.direct = true;
+        s.direct_to_upstream = true;
         s.max_retry_after_us = 500 * MS;
         s.rules.drain_grace_us = 500 * MS;
         s.rules.overload_multiple = 4.0;
-        s.rules.fall_us = 2 * S;
+        s.rules.overload_window_us = 2 * S;
         s.rules.slow_start_share = 0.15;
         s.rules.slow_start_us = 18 * S;
     });
--- a/tests/large.rs
+++ b/tests/large.rs
@@ -99,7 +99,7 @@
             s.classes[0].deadline_us = site.deadline_us;
             s.siblings = site.siblings;
             s.answer_detail = site.answer_detail;
-            s.direct = true;
+            s.direct_to_upstream = true;
             let link = if site.links_told {
                 LINK * s.flow_kb_per_s
             } else {
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -85,7 +85,7 @@
 /// Requests of 0.1 s of work each that a cold cache, or parent, is sent within a window.
 fn sent_cold(parent: bool, lease: Option<Lease>) -> (usize, Option<f64>) {
     let mut s = Settings {
-        direct: false,
+        direct_to_upstream: false,
         ..settings()
     };
     s.zones[1].routers = 16;
--- a/tests/ordinary.rs
+++ b/tests/ordinary.rs
@@ -122,7 +122,7 @@
         group: 1,
         size_kb: 300.0,
         remaining_us: 3 * S,
-        repeated: false,
+        is_retry: false,
     };
     router.handle(now, Event::Request(request), &mut actions);
     if let Some(s) = sent(&actions).filter(|_| step % 4 != 0) {
@@ -239,24 +239,24 @@
     assert_eq!(error(&|s| s.classes.clear()), Some(SettingsError::NoClass));
     assert_eq!(error(&|s| s.zone = 3), Some(SettingsError::ZoneOutOfRange));
     assert_eq!(
-        error(&|s| s.zones[1].hub = 9),
+        error(&|s| s.zones[1].parent_zone = 9),
         Some(SettingsError::ZoneOutOfRange)
     );
     assert_eq!(
-        error(&|s| s.rules.fall_us = 0),
-        Some(SettingsError::BadFigure("fall time"))
+        error(&|s| s.rules.overload_window_us = 0),
+        Some(SettingsError::InvalidValue("fall time"))
     );
     assert_eq!(
         error(&|s| s.max_attempts = 0),
-        Some(SettingsError::BadFigure("attempts"))
+        Some(SettingsError::InvalidValue("attempts"))
     );
     assert_eq!(
         error(&|s| s.flow_kb_per_s = f64::NAN),
-        Some(SettingsError::BadFigure("flow"))
+        Some(SettingsError::InvalidValue("flow"))
     );
     assert_eq!(
         error(&|s| s.rules.slow_start_share = -1.0),
-        Some(SettingsError::BadFigure("cold share"))
+        Some(SettingsError::InvalidValue("cold share"))
     );
     assert_eq!(error(&|_| ()), None);
 }
--- a/tests/purge_cost.rs
+++ b/tests/purge_cost.rs
@@ -45,7 +45,7 @@
         group: 1_000 + number,
         size_kb: 500.0,
         remaining_us: 5 * S,
-        repeated: false,
+        is_retry: false,
     };
     let actions = rig.handle(Event::Request(request));
     let attempt = sent(&actions).expect("an attempt");
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -67,7 +67,7 @@
 fn an_unsafe_request_that_never_ran_may_be_resent() {
     let mut rig = Rig::new(
         Settings {
-            direct: false,
+            direct_to_upstream: false,
             ..settings()
         },
         fleet(),
@@ -93,10 +93,10 @@
 #[test]
 fn a_keyed_request_stays_in_the_group_that_drops_its_repeats() {
     let mut s = Settings {
-        direct: false,
+        direct_to_upstream: false,
         ..settings()
     };
-    s.classes[2].scope = DedupScope::Cell;
+    s.classes[2].dedup_scope = DedupScope::Cell;
     let mut rig = Rig::new(s, fleet());
     let first = rig.send("order", "/o/a");
     let again = sent(&rig.end(first.request, 0, first.server, Outcome::Error));
@@ -171,7 +171,7 @@
 fn a_cold_cache_gets_no_more_than_its_budget_in_a_window() {
     let cold = |routers| {
         let mut s = Settings {
-            direct: false,
+            direct_to_upstream: false,
             ..settings()
         };
         s.zones[1].routers = routers;
@@ -194,7 +194,7 @@
     servers[1].started = Some(T0);
     servers[0].weight = 1000.0;
     let s = Settings {
-        direct: false,
+        direct_to_upstream: false,
         ..settings()
     };
     let mut rig = Rig::new(s, servers);
@@ -378,7 +378,7 @@
         "0 would mean the default"
     );
     let mut s = settings();
-    s.rules.purge_done_us = 60 * S;
+    s.rules.purge_completion_us = 60 * S;
     let mut rig = Rig::new(s, fleet());
     rig.handle(Event::Purged {
         object: Some("/o/a".into()),
@@ -436,7 +436,7 @@
 #[test]
 fn what_waited_for_a_connection_begins_only_as_its_class_lets_it_by_then() {
     let mut s = settings();
-    s.classes[2].window_us = 350 * MS;
+    s.classes[2].dedup_window_us = 350 * MS;
     let mut rig = Rig::new(s, fleet());
     let first = rig.send("order", "/o/1");
     assert_eq!(
@@ -499,7 +499,7 @@
     for (outcome, cold) in [(Outcome::Unreached, false), (Outcome::ConnectFailed, true)] {
         let mut rig = Rig::new(
             Settings {
-                direct: false,
+                direct_to_upstream: false,
                 ..settings()
             },
             fleet(),
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -8,7 +8,7 @@
 /// Fills that `routers` routers of a location point at one cold server while each has `each` requests at once.
 fn sum_of_work(routers: u32, each: usize, cold: ServerId) -> f64 {
     let mut settings = Settings {
-        direct: false,
+        direct_to_upstream: false,
         ..settings()
     };
     settings.zones[1].routers = routers;
@@ -43,7 +43,7 @@
                 group: 1,
                 size_kb: 500.0,
                 remaining_us: 5 * S,
-                repeated: false,
+                is_retry: false,
             };
             router.handle(T0, Event::Request(request), &mut actions);
         }
@@ -187,10 +187,10 @@
         let all = Some(value);
         assert_eq!(
             run(Some(Load {
-                util: all,
-                inflight: all,
-                hit_share: all,
-                link_use: all
+                cpu_utilisation: all,
+                in_flight: all,
+                hit_ratio: all,
+                link_utilisation: all
             })),
             calm
         );
@@ -400,7 +400,7 @@
     servers.extend([server(13, "hub", "parent"), server(14, "hub", "parent")]);
     let mut rig = Rig::new(
         Settings {
-            direct: false,
+            direct_to_upstream: false,
             ..settings()
         },
         servers,
@@ -423,7 +423,7 @@
     servers[0].started = Some(T0 - 9 * S);
     let config = Settings {
         siblings: Siblings::Location,
-        direct: false,
+        direct_to_upstream: false,
         ..settings()
     };
     let mut rig = Rig::new(config, servers);
--- a/tests/slow_start_split.rs
+++ b/tests/slow_start_split.rs
@@ -91,15 +91,15 @@
 }
 
 impl Play {
-    fn settings(&self, rank: u32) -> Settings {
+    fn settings(&self, router_index: u32) -> Settings {
         let mut s = Settings {
-            direct: false,
+            direct_to_upstream: false,
             ..settings()
         };
         s.zones[1].routers = self.proxies;
         s.zones[2].routers = 0;
         s.zones[1].link_kb_per_s = 1e9;
-        s.rank = (self.knows == Knows::Rank).then_some(rank);
+        s.router_index = (self.knows == Knows::Rank).then_some(router_index);
         s
     }
 
@@ -165,7 +165,7 @@
             group: 1,
             size_kb: WORK_S * 5_000.0,
             remaining_us: 5 * S,
-            repeated: false,
+            is_retry: false,
         }
     }
 
@@ -188,12 +188,12 @@
             )
         };
         let warmth = (share + (1.0 - share) * age as f64 / cold as f64).min(1.0);
-        multiple * warmth * capacity * self.size * r.fall_us as f64 / 1e6 / WORK_S
+        multiple * warmth * capacity * self.size * r.overload_window_us as f64 / 1e6 / WORK_S
     }
 
     fn worst(&self) -> Excess {
         let calls = Run::new(self).calls();
-        let window = settings().rules.fall_us;
+        let window = settings().rules.overload_window_us;
         let excesses = calls.iter().enumerate().map(|(first, at)| {
             let within = calls[first..].partition_point(|t| *t < at + window);
             let bound = bound(self.allowed(*at));
