--- a/src/router/capacity.rs
+++ b/src/router/capacity.rs
@@ -2,10 +2,10 @@
 //! be in time.
 
 use super::state::{Endpoint, OpenRequest, Role};
-use super::statistics::MIN_PACE_SAMPLES;
+use super::statistics::MIN_SLOWDOWN_SAMPLES;
 use super::Router;
 use crate::interface::{Micros, ServerId, State};
-use crate::statistics::{decayed, PaceSample};
+use crate::statistics::{decayed, SlowdownSample};
 
 /// Share of the time left that a fill may need: what is late costs others too.
 const LINK_MARGIN: f64 = 0.4;
@@ -14,7 +14,7 @@
 /// Share of the time left that a transfer from a cache may be expected to take: more come while it runs.
 const CACHE_MARGIN: f64 = 0.75;
 /// Transfers that take so many times as long as at full pace show a link shared by too many.
-const CONGESTED_STRETCH: f64 = 1.3;
+const CONGESTED_SLOWDOWN: f64 = 1.3;
 /// With no fills at all the link is taken to fit twice as much after this.
 const LINK_RECOVERY_S: f64 = 1.0;
 /// Number of fills that tell of the link, however long ago they were.
@@ -72,11 +72,14 @@
     /// Capacity in transfers as recent hits showed it: where each took longer than its size explains, the link was
     /// shared by more transfers than it fits.
     fn observed_capacity(&self, now: Micros, server: &Endpoint) -> f64 {
-        match server.hit_pace.recent(now, MIN_PACE_SAMPLES) {
-            Some(pace) if pace.stretch >= CONGESTED_STRETCH => {
-                (pace.load / pace.stretch).max(MIN_OBSERVED_CAPACITY)
+        match server
+            .hit_slowdown
+            .recent_average(now, MIN_SLOWDOWN_SAMPLES)
+        {
+            Some(average) if average.slowdown >= CONGESTED_SLOWDOWN => {
+                (average.load / average.slowdown).max(MIN_OBSERVED_CAPACITY)
             }
-            Some(pace) => self.capacity(server).max(pace.load),
+            Some(average) => self.capacity(server).max(average.load),
             None => self.capacity(server),
         }
     }
@@ -89,14 +92,14 @@
         // Not told. A location's link carries only the misses of its caches, so its part for one cache is less than
         // that cache's own link; and a parent is built for more than one location.
         let link = self.mean_link_capacity();
-        let part = if server.role == Role::Cache {
+        let cache_share = if server.role == Role::Cache {
             let is_cache = |server: &&Endpoint| server.role == Role::Cache;
             let caches = self.endpoints.values().filter(is_cache).count();
             link / caches.max(1) as f64
         } else {
             link
         };
-        part.max(1.0)
+        cache_share.max(1.0)
     }
 
     /// What the links of the locations fit at full pace in the mean, in transfers.
@@ -130,10 +133,13 @@
         if link_kb_per_s > 0.0 {
             return Some(link_kb_per_s / self.settings.flow_kb_per_s.max(1.0));
         }
-        let is_congested = |pace: &PaceSample| pace.stretch >= CONGESTED_STRETCH;
-        let pace = self.link_pace.ever(MIN_LINK_SAMPLES).filter(is_congested)?;
-        let recovery = decayed(1.0, self.link_pace.updated_at, now, LINK_RECOVERY_S);
-        Some(pace.load / pace.stretch / recovery)
+        let is_congested = |average: &SlowdownSample| average.slowdown >= CONGESTED_SLOWDOWN;
+        let average = self
+            .link_slowdown
+            .last_average(MIN_LINK_SAMPLES)
+            .filter(is_congested)?;
+        let recovery = decayed(1.0, self.link_slowdown.updated_at, now, LINK_RECOVERY_S);
+        Some(average.load / average.slowdown / recovery)
     }
 
     /// Fills by the location's link: this router's own, and an estimate of the others'.
--- a/src/router/faults.rs
+++ b/src/router/faults.rs
@@ -40,20 +40,20 @@
     /// Whose fault a failure would be. Where reasons are not told, it is shared by what has failed of each so far, and
     /// the healthy one is cleared by its other answers.
     pub(super) fn assign_fault(&self, end: &AttemptEnd) -> Fault {
-        let told = self.settings.answer_detail == AnswerDetail::All
+        let reason_known = self.settings.answer_detail == AnswerDetail::All
             || !matches!(end.outcome, Outcome::Full | Outcome::Error);
-        match end.attempt.source.filter(|_| !told) {
-            None if end.source_blamed() => Fault::Source,
+        match end.attempt.source.filter(|_| !reason_known) {
+            None if end.is_source_failure() => Fault::Source,
             None => Fault::Server,
             Some(source) => {
-                let source = self.suspicion(source);
-                let source_share = source / (source + self.suspicion(end.attempt.server));
+                let source = self.fault_likelihood(source);
+                let source_share = source / (source + self.fault_likelihood(end.attempt.server));
                 Fault::Shared { source_share }
             }
         }
     }
 
-    fn suspicion(&self, id: ServerId) -> f64 {
+    fn fault_likelihood(&self, id: ServerId) -> f64 {
         let failure_rate = self.endpoints.get(&id).map_or(0.0, |s| s.failure_rate);
         failure_rate + FAILURE_WEIGHT / 4.0
     }
@@ -65,7 +65,7 @@
             Outcome::Ok => self.record_answer(end),
             Outcome::Cancelled if end.attempt.stuck => self.record_stuck(end),
             Outcome::Miss | Outcome::Moot | Outcome::Cancelled => {}
-            _ if end.source_blamed() => {
+            _ if end.is_source_failure() => {
                 if let Some(source) = end.attempt.source {
                     self.record_failure(now, source, 1.0);
                 }
@@ -109,7 +109,7 @@
             self.record_success(end.now, source);
             let source = self.endpoints.get_mut(&source);
             if let Some(source) = source.filter(|_| end.size_known) {
-                Self::learn_fill_pace(source, end);
+                Self::learn_fill_slowdown(source, end);
             }
         }
     }
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -25,7 +25,7 @@
 use crate::interface::{
     Action, Budget, Event, Lease, Micros, RequestId, ServerId, Settings, SettingsError,
 };
-use crate::statistics::{Pace, RequestCounts};
+use crate::statistics::{RequestCounts, SlowdownAverage};
 use endpoints::WATCH_TAG;
 use linnetknot_purges::hashing::mix;
 use linnetknot_purges::{BucketBits, PurgeTable};
@@ -43,14 +43,14 @@
 /// Purges held exactly, also once carried out: a fill across one may leave an older copy.
 const EXACT_PURGE_CAPACITY: usize = 16_384;
 /// Share of attempts taken to find no copy before anything is learned.
-const FIRST_MISS_RATE: f64 = 0.5;
+const INITIAL_MISS_RATE: f64 = 0.5;
 
 /// A router: one instance decides for one proxy.
 pub struct Router {
     settings: Settings,
     seed: u64,
     /// State of the random picks among copies.
-    random: u64,
+    random_state: u64,
     endpoints: BTreeMap<ServerId, Endpoint>,
     /// The ready servers of each role: all that a request ranks.
     ready_by_role: [Vec<ServerId>; 3],
@@ -66,7 +66,7 @@
     active_fills: f64,
     mean_active_fills: f64,
     /// Recent fills by the location's link, whoever gave them: what they took tells its size.
-    link_pace: Pace<LINK_HALF_LIFE_MS>,
+    link_slowdown: SlowdownAverage<LINK_HALF_LIFE_MS>,
     origin_admission: OriginAdmission,
     /// The latest purge of each object and of each group.
     purges: PurgeTable,
@@ -86,17 +86,17 @@
         Ok(Router {
             settings,
             seed,
-            random: mix(seed ^ 0x5bd1_e995),
+            random_state: mix(seed ^ 0x5bd1_e995),
             endpoints: BTreeMap::new(),
             ready_by_role: Default::default(),
             requests: BTreeMap::new(),
             object_counts: RequestCounts::new(COUNT_HALF_LIFE_S, COUNT_TABLE_SIZE),
             part_counts: RequestCounts::new(COUNT_HALF_LIFE_S, COUNT_TABLE_SIZE),
             class_statistics,
-            miss_rate: FIRST_MISS_RATE,
+            miss_rate: INITIAL_MISS_RATE,
             active_fills: 0.0,
             mean_active_fills: 0.0,
-            link_pace: Pace::default(),
+            link_slowdown: SlowdownAverage::default(),
             origin_admission: OriginAdmission::new(),
             purges: PurgeTable::new(EXACT_PURGE_CAPACITY, BucketBits::DEFAULT),
             origin_offset_us: 0,
@@ -114,8 +114,8 @@
         }
         match event {
             Event::List { mode, servers } => self.update_endpoints(now, mode, servers, actions),
-            Event::Request(request) => self.request(now, &request, actions),
-            Event::StreamStarted { request, attempt } => self.streaming_began(request, attempt),
+            Event::Request(request) => self.handle_request(now, &request, actions),
+            Event::StreamStarted { request, attempt } => self.stream_started(request, attempt),
             Event::AttemptEnded {
                 request,
                 attempt,
@@ -147,7 +147,7 @@
                 valid_for_us,
             } => self
                 .origin_admission
-                .limit(origin_share, now + valid_for_us),
+                .set_peer_limit(origin_share, now + valid_for_us),
             Event::Lease(lease) => {
                 self.leases.insert(lease.budget, lease);
             }
--- a/src/router/outcomes.rs
+++ b/src/router/outcomes.rs
@@ -41,7 +41,7 @@
     /// It was cancelled as stuck, and its source answered nobody meanwhile.
     pub(super) silent_source: Option<ServerId>,
     /// Whether the note tells of the origin. A parent that is lost does not: the others must go on asking it.
-    pub(super) tells_of_origin: bool,
+    pub(super) reflects_origin: bool,
     /// Nothing came back within the latency objective, though cache and source are healthy: an origin that is asked
     /// for more than it can do shows that first, and many routers see nothing else of it.
     pub(super) origin_unanswered: bool,
@@ -60,7 +60,7 @@
     }
 
     /// Whether the note blames the source.
-    pub(super) fn source_blamed(&self) -> bool {
+    pub(super) fn is_source_failure(&self) -> bool {
         matches!(
             self.note,
             Note::SourceRefused | Note::SourceLost | Note::OriginFailed
@@ -92,9 +92,9 @@
             return;
         };
         self.learn_unknown_size(&end);
-        self.learn_hit_pace(&end);
-        self.release(&end.attempt);
-        self.learn_link_pace(&end);
+        self.learn_hit_slowdown(&end);
+        self.release_attempt(&end.attempt);
+        self.learn_link_slowdown(&end);
         self.learn_of_origin(&end);
         let fault = self.assign_fault(&end);
         self.record_outcome(&mut end, &fault);
@@ -103,7 +103,7 @@
             self.requests.remove(&report.request);
             return;
         }
-        self.note_failure(&end, &fault);
+        self.record_failed_target(&end, &fault);
         self.route(now, report.request, actions);
     }
 
@@ -140,7 +140,7 @@
             slow,
             retry_same_server: slow && open.stuck == 1,
             silent_source: source.filter(|id| attempt.stuck && !answered(*id)),
-            tells_of_origin: source
+            reflects_origin: source
                 .is_some_and(|id| report.note != Note::SourceLost || answered(id)),
             origin_unanswered: attempt.may_reach_origin && unanswered && both_healthy,
             first_failed_server: open.first_failed_server.filter(|id| *id != server),
@@ -150,7 +150,7 @@
 
     /// An attempt is no longer in flight. However it ended, a trial is over: left open by what judges nobody, it would
     /// bar the server.
-    fn release(&mut self, attempt: &Attempt) {
+    fn release_attempt(&mut self, attempt: &Attempt) {
         if let Some(server) = self.endpoints.get_mut(&attempt.server) {
             server.in_flight = server.in_flight.saturating_sub(1);
         }
@@ -162,13 +162,13 @@
     }
 
     /// Notes on a request what must not be tried again.
-    fn note_failure(&mut self, end: &AttemptEnd, fault: &Fault) {
+    fn record_failed_target(&mut self, end: &AttemptEnd, fault: &Fault) {
         let source_ejected = end.outcome == Outcome::Cancelled
             && end
                 .attempt
                 .source
                 .is_some_and(|id| !self.is_healthy(id, end.now));
-        let by_source =
+        let source_failed =
             fault.is_source() || source_ejected && self.is_healthy(end.attempt.server, end.now);
         let server = self.endpoints.get(&end.attempt.server);
         let run = FirstRun {
@@ -191,13 +191,13 @@
         open.failed_fills += match fault {
             // It may be the origin's behind the source: another fill would only add to its load.
             Fault::Shared { .. } => 2,
-            _ => u32::from(by_source || end.silent_source.is_some()),
+            _ => u32::from(source_failed || end.silent_source.is_some()),
         };
-        let looked_into = end.outcome == Outcome::Miss;
-        if by_source || looked_into || end.note == Note::SourceLacks {
+        let lookup_missed = end.outcome == Outcome::Miss;
+        if source_failed || lookup_missed || end.note == Note::SourceLacks {
             // What two parents lack hardly any other holds, and the cache has just been looked into.
-            open.known_miss |= looked_into;
-            open.failed_fills += u32::from(looked_into && end.attempt.fills_from_upstream);
+            open.known_miss |= lookup_missed;
+            open.failed_fills += u32::from(lookup_missed && end.attempt.fills_from_upstream);
             open.excluded_sources.extend(end.attempt.source);
         } else if !write && !end.retry_same_server {
             open.tried_servers.push(end.attempt.server);
--- a/src/router/placement.rs
+++ b/src/router/placement.rs
@@ -2,7 +2,7 @@
 //! source of its fill.
 
 use super::state::{Endpoint, OpenRequest, Role, Target};
-use super::statistics::MIN_PACE_SAMPLES;
+use super::statistics::MIN_SLOWDOWN_SAMPLES;
 use super::Router;
 use crate::interface::{DedupScope, Micros, ServerId, Siblings};
 use linnetknot_purges::hashing::mix;
@@ -66,17 +66,17 @@
         let caches = &ranked.caches;
         let share = open.object_count / self.object_counts.total(now).max(MIN_TOTAL_COUNT);
         let copies = (share * caches.len() as f64).ceil().max(1.0) as usize;
-        let is_able = |id: &&ServerId| {
+        let is_eligible = |id: &&ServerId| {
             !open.tried_servers.contains(id)
                 && self.is_healthy(**id, now)
                 && self.admits(**id, now, open)
                 && self.responds_in_time(**id, now, open)
         };
         let first = caches.iter().take(copies);
-        let able: Vec<ServerId> = first.filter(is_able).copied().collect();
-        let server = match able.len() as u64 {
-            0 => *caches.iter().skip(copies).find(is_able)?,
-            number => able[(self.random % number) as usize],
+        let eligible: Vec<ServerId> = first.filter(is_eligible).copied().collect();
+        let server = match eligible.len() as u64 {
+            0 => *caches.iter().skip(copies).find(is_eligible)?,
+            count => eligible[(self.random_state % count) as usize],
         };
         let source = self
             .pick_sibling(now, open, ranked, server)
@@ -110,14 +110,14 @@
         let first = order.iter().copied().find(|id| *id != chosen)?;
         let allowed = self.settings.siblings != Siblings::Off;
         let lacks_copy = order.first() != Some(&chosen) || is_warming(chosen);
-        let is_able = allowed
+        let is_eligible = allowed
             && lacks_copy
             && !open.excluded_sources.contains(&first)
             && self.is_healthy(first, now)
             && !is_warming(first)
             && self.admits(first, now, open)
             && self.responds_in_time(first, now, open);
-        is_able.then_some(first)
+        is_eligible.then_some(first)
     }
 
     /// Fills come from the first hashed parent that takes work, the second while that is clearly slower; from the
@@ -132,33 +132,38 @@
         if open.failed_fills >= MAX_FAILED_FILLS || self.link_is_full(now, open) {
             return None;
         }
-        let is_able =
+        let is_eligible =
             |id: &ServerId| !open.excluded_sources.contains(id) && self.admits(*id, now, open);
-        let parents = ranked.parents.iter().copied().filter(is_able);
+        let parents = ranked.parents.iter().copied().filter(is_eligible);
         let mut healthy = parents.clone().filter(|id| self.is_healthy(*id, now));
         let (first, second) = (healthy.next(), healthy.next());
         let origin = || {
-            let origin = ranked.origin.filter(is_able);
+            let origin = ranked.origin.filter(is_eligible);
             origin.filter(|_| self.may_reach_origin(now, open))
         };
-        let reached = |id: &ServerId| {
+        let is_reachable = |id: &ServerId| {
             let server = self.endpoints.get(id);
             server.is_some_and(|server| !server.connect_failed)
         };
         first
-            .filter(|_| !self.fills_slower(now, first, second))
+            .filter(|_| !self.fills_are_slower(now, first, second))
             .or(second)
             .or_else(origin)
-            .or_else(|| parents.clone().find(reached))
+            .or_else(|| parents.clone().find(is_reachable))
     }
 
     /// Whether the first parent's fills take clearly longer than the second's.
-    fn fills_slower(&self, now: Micros, first: Option<ServerId>, second: Option<ServerId>) -> bool {
-        let stretch = |id: Option<ServerId>| {
-            let pace = &self.endpoints.get(&id?)?.fill_pace;
-            Some(pace.recent(now, MIN_PACE_SAMPLES)?.stretch)
+    fn fills_are_slower(
+        &self,
+        now: Micros,
+        first: Option<ServerId>,
+        second: Option<ServerId>,
+    ) -> bool {
+        let slowdown = |id: Option<ServerId>| {
+            let average = &self.endpoints.get(&id?)?.fill_slowdown;
+            Some(average.recent_average(now, MIN_SLOWDOWN_SAMPLES)?.slowdown)
         };
-        match (stretch(first), stretch(second)) {
+        match (slowdown(first), slowdown(second)) {
             (Some(first), Some(second)) => first > SLOWER_PARENT_FACTOR * second,
             _ => false,
         }
@@ -179,13 +184,13 @@
                 source: None,
             });
         }
-        let is_able = |id: &&ServerId| {
+        let is_eligible = |id: &&ServerId| {
             self.deduplicates(open, **id)
                 && self.is_healthy(**id, now)
                 && self.admits(**id, now, open)
         };
         Some(Target {
-            server: *ranked.caches.iter().find(is_able)?,
+            server: *ranked.caches.iter().find(is_eligible)?,
             source: Some(origin),
         })
     }
--- a/src/router/reload.rs
+++ b/src/router/reload.rs
@@ -26,10 +26,10 @@
             let old = old_classes.iter().position(|old| old.name == class.name);
             statistics.push(old.map_or_else(|| ClassStatistics::new(class), |i| old_statistics[i]));
         }
-        let mut moved = BTreeMap::new();
+        let mut new_indices = BTreeMap::new();
         for open in self.requests.values_mut() {
             let old = open.class;
-            open.class = *moved.entry(old).or_insert_with(|| {
+            open.class = *new_indices.entry(old).or_insert_with(|| {
                 let mut retained = old_classes[old].clone();
                 if !retained.name.starts_with(RETAINED_PREFIX) {
                     retained.name.insert(0, RETAINED_PREFIX);
--- a/src/router/requests.rs
+++ b/src/router/requests.rs
@@ -2,7 +2,7 @@
 
 use super::state::OpenRequest;
 use super::Router;
-use crate::hashing::share_of;
+use crate::hashing::hash_to_unit;
 use crate::interface::{Action, Micros, Request, RequestId};
 use linnetknot_purges::hashing::mix;
 use linnetknot_purges::KeyHash;
@@ -10,7 +10,12 @@
 
 impl Router {
     /// Takes a request in and sends its first attempt. An id that is open already changes nothing.
-    pub(super) fn request(&mut self, now: Micros, request: &Request, actions: &mut Vec<Action>) {
+    pub(super) fn handle_request(
+        &mut self,
+        now: Micros,
+        request: &Request,
+        actions: &mut Vec<Action>,
+    ) {
         let classes = &self.settings.classes;
         let Some(class) = classes.iter().position(|c| c.name == request.class) else {
             // Nothing is known of what it may do: it was not tried, so it may be refused.
@@ -61,13 +66,13 @@
             part_count,
             objective_at: now + settings.objective_us + stretch_us,
             deadline: now + request.remaining_us,
-            draw: share_of(mix(self.seed ^ mix(request.id))),
+            admission_draw: hash_to_unit(mix(self.seed ^ mix(request.id))),
             ..OpenRequest::default()
         }
     }
 
     /// A streamed answer has begun: from now on it belongs to the client.
-    pub(super) fn streaming_began(&mut self, id: RequestId, attempt: u32) {
+    pub(super) fn stream_started(&mut self, id: RequestId, attempt: u32) {
         if let Some(open) = self.requests.get_mut(&id) {
             let in_flight = open.in_flight.as_ref();
             open.streaming |= in_flight.is_some_and(|a| a.number == attempt);
--- a/src/router/retries.rs
+++ b/src/router/retries.rs
@@ -16,7 +16,7 @@
 impl Router {
     /// Sends an attempt of a request, or gives the request up.
     pub(super) fn route(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
-        self.random = mix(self.random.wrapping_add(0x9e37_79b9_7f4a_7c15));
+        self.random_state = mix(self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15));
         let Some(open) = self.requests.get(&id) else {
             return;
         };
@@ -36,7 +36,7 @@
         };
         match target {
             Some(target) => self.send(now, id, target, actions),
-            None => self.give_up(id, actions),
+            None => self.finish_unserved(id, actions),
         }
     }
 
@@ -83,7 +83,7 @@
 
     /// The final answer to a request that no server is to be tried for: at once, and a refusal if that is known to be
     /// safe.
-    fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    fn finish_unserved(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.remove(&id) else {
             return;
         };
--- a/src/router/slow_start.rs
+++ b/src/router/slow_start.rs
@@ -3,9 +3,9 @@
 
 use super::state::{Endpoint, Role};
 use super::Router;
-use crate::hashing::share_of;
+use crate::hashing::hash_to_unit;
 use crate::interface::{Budget, Micros, ServerId, State};
-use crate::ramp::{Ramp, GOLDEN};
+use crate::ramp::{Ramp, GOLDEN_RATIO_CONJUGATE};
 use linnetknot_purges::hashing::mix;
 
 /// Used share of a warming server's budget: the rest is slack for chance.
@@ -16,7 +16,7 @@
     /// By all routers together.
     limit_s: f64,
     /// What was sent from here.
-    spent_s: f64,
+    used_s: f64,
 }
 
 impl Router {
@@ -25,11 +25,11 @@
         let rules = &self.settings.rules;
         match server.role {
             Role::Parent => Ramp {
-                share: rules.parent_slow_start_share,
+                initial_share: rules.parent_slow_start_share,
                 duration_us: rules.parent_slow_start_us,
             },
             Role::Cache | Role::Origin => Ramp {
-                share: rules.slow_start_share,
+                initial_share: rules.slow_start_share,
                 duration_us: rules.slow_start_us,
             },
         }
@@ -38,7 +38,7 @@
     /// Share of its capacity that a server has at a time; 1: it is warm.
     pub(super) fn warmth(&self, server: &Endpoint, at: Micros) -> f64 {
         server.warming_since().map_or(1.0, |since| {
-            self.ramp_of(server).at(at.saturating_sub(since))
+            self.ramp_of(server).share_at(at.saturating_sub(since))
         })
     }
 
@@ -48,7 +48,7 @@
         servers
             .filter(|server| (server.role == Role::Parent) == parents)
             .filter_map(|server| self.slow_start_budget(server, now))
-            .map(|budget| budget.spent_s / budget.limit_s)
+            .map(|budget| budget.used_s / budget.limit_s)
             .reduce(f64::max)
     }
 
@@ -70,7 +70,7 @@
         let recent = server.slow_start_charges.iter();
         Some(SlowStartBudget {
             limit_s: SLOW_START_UTILISATION * overload * warmth * capacity * window_s,
-            spent_s: recent
+            used_s: recent
                 .filter(|charge| charge.at + window_us >= now)
                 .map(|charge| charge.transfer_s)
                 .sum(),
@@ -91,16 +91,16 @@
         let Some(budget) = self.slow_start_budget(server, now) else {
             return true;
         };
-        let own_limit_s = budget.limit_s * self.slow_start_share(server, now);
+        let own_limit_s = budget.limit_s * self.own_budget_share(server, now);
         let transfers = self.class_statistics.iter().map(|class| class.transfer_s);
-        let turn_s = transfers.fold(0.0, f64::max);
-        let is_turn =
-            own_limit_s < turn_s && self.is_own_turn(id, server, now, own_limit_s / turn_s);
-        budget.spent_s + transfer_s <= if is_turn { turn_s } else { own_limit_s }
+        let slot_s = transfers.fold(0.0, f64::max);
+        let in_slot =
+            own_limit_s < slot_s && self.in_own_send_slot(id, server, now, own_limit_s / slot_s);
+        budget.used_s + transfer_s <= if in_slot { slot_s } else { own_limit_s }
     }
 
     /// This router's share of a warming server's budget.
-    fn slow_start_share(&self, server: &Endpoint, now: Micros) -> f64 {
+    fn own_budget_share(&self, server: &Endpoint, now: Micros) -> f64 {
         let zones = &self.settings.zones;
         match server.role {
             Role::Parent => {
@@ -116,15 +116,22 @@
 
     /// Whether it is this router's turn at a server, of which it has so many in a window. A router that starts again,
     /// and has forgotten what it sent, finds its turns where they were, by its number.
-    fn is_own_turn(&self, id: ServerId, server: &Endpoint, now: Micros, turns: f64) -> bool {
+    fn in_own_send_slot(
+        &self,
+        id: ServerId,
+        server: &Endpoint,
+        now: Micros,
+        slots_per_window: f64,
+    ) -> bool {
         let since = server.warming_since().unwrap_or(0);
-        let number = match self.settings.router_index {
-            None => share_of(mix(self.seed)),
-            Some(rank) => GOLDEN * f64::from(rank),
+        let phase_offset = match self.settings.router_index {
+            None => hash_to_unit(mix(self.seed)),
+            Some(index) => GOLDEN_RATIO_CONJUGATE * f64::from(index),
         };
-        let phase = share_of(mix(id ^ mix(since))) + number;
+        let phase = hash_to_unit(mix(id ^ mix(since))) + phase_offset;
         let age = now.saturating_sub(since);
         let window_us = self.settings.rules.overload_window_us;
-        self.ramp_of(server).is_turn(age, turns, window_us, phase)
+        self.ramp_of(server)
+            .in_send_slot(age, slots_per_window, window_us, phase)
     }
 }
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -1,8 +1,8 @@
 //! What the router remembers of each server and of each request that it has not finished with.
 
-use super::statistics::PACE_HALF_LIFE_MS;
+use super::statistics::SLOWDOWN_HALF_LIFE_MS;
 use crate::interface::{Micros, RequestId, ServerId, State};
-use crate::statistics::Pace;
+use crate::statistics::SlowdownAverage;
 use std::collections::VecDeque;
 
 /// What a server is to this router.
@@ -60,9 +60,9 @@
     pub(super) in_flight: usize,
     pub(super) mean_in_flight: f64,
     /// Recent hits from it.
-    pub(super) hit_pace: Pace<PACE_HALF_LIFE_MS>,
+    pub(super) hit_slowdown: SlowdownAverage<SLOWDOWN_HALF_LIFE_MS>,
     /// Recent fills from it whose size was known.
-    pub(super) fill_pace: Pace<PACE_HALF_LIFE_MS>,
+    pub(super) fill_slowdown: SlowdownAverage<SLOWDOWN_HALF_LIFE_MS>,
     /// What was sent to it within the slow-start rule's window.
     pub(super) slow_start_charges: VecDeque<Charge>,
 }
@@ -126,7 +126,7 @@
     pub(super) objective_at: Micros,
     pub(super) deadline: Micros,
     /// Drawn from 0 to 1: below the origin's admitted share, the origin may be asked.
-    pub(super) draw: f64,
+    pub(super) admission_draw: f64,
     /// Attempts sent so far.
     pub(super) attempts: u32,
     pub(super) in_flight: Option<Attempt>,
--- a/src/router/statistics.rs
+++ b/src/router/statistics.rs
@@ -8,9 +8,9 @@
 /// Half-life of the samples that tell of the location's link: old ones would hide that it has capacity again.
 pub(super) const LINK_HALF_LIFE_MS: u64 = 1_000;
 /// Half-life of the samples of one server's hits and fills.
-pub(super) const PACE_HALF_LIFE_MS: u64 = 10_000;
+pub(super) const SLOWDOWN_HALF_LIFE_MS: u64 = 10_000;
 /// Decayed number of samples from which a pace is used.
-pub(super) const MIN_PACE_SAMPLES: f64 = 2.0;
+pub(super) const MIN_SLOWDOWN_SAMPLES: f64 = 2.0;
 /// Time of a hit besides its transfer.
 pub(super) const ROUND_TRIP_S: f64 = 0.02;
 /// Least transfer time learned from a hit.
@@ -24,7 +24,7 @@
 /// Weight of one answer in `tail_factor`.
 const TAIL_STEP: f64 = 0.2;
 /// `tail_factor` before anything is learned.
-const FIRST_TAIL_FACTOR: f64 = 4.0;
+const INITIAL_TAIL_FACTOR: f64 = 4.0;
 
 /// What is learned of a class of requests.
 #[derive(Clone, Copy)]
@@ -43,7 +43,7 @@
         ClassStatistics {
             transfer_s: class.objective_us as f64 / 1e6 / 2.0,
             samples: 0.0,
-            tail_factor: FIRST_TAIL_FACTOR,
+            tail_factor: INITIAL_TAIL_FACTOR,
         }
     }
 
@@ -54,9 +54,9 @@
     }
 
     /// Takes in whether an answer took longer than `tail_factor` says.
-    pub(super) fn learn_tail(&mut self, longer: bool) {
-        let longer = f64::from(u8::from(longer));
-        self.tail_factor *= 1.0 + TAIL_STEP * (longer - TAIL_SHARE);
+    pub(super) fn learn_tail(&mut self, slower: bool) {
+        let slower = f64::from(u8::from(slower));
+        self.tail_factor *= 1.0 + TAIL_STEP * (slower - TAIL_SHARE);
     }
 }
 
@@ -79,30 +79,32 @@
     }
 
     /// Learns the pace of a server's hits. The attempt still counts as in flight.
-    pub(super) fn learn_hit_pace(&mut self, end: &AttemptEnd) {
+    pub(super) fn learn_hit_slowdown(&mut self, end: &AttemptEnd) {
         let server = self.endpoints.get(&end.attempt.server);
         let load_now = server.map_or(0.0, |server| self.load(server));
         let load = (end.attempt.server_load + load_now) / 2.0;
         let sample = self.endpoints.get_mut(&end.attempt.server);
         if let Some(server) = sample.filter(|_| end.is_hit()) {
             let transfer_s = end.transfer_s + ROUND_TRIP_S;
-            server.hit_pace.add(end.now, end.took_s(), transfer_s, load);
+            server
+                .hit_slowdown
+                .add(end.now, end.took_s(), transfer_s, load);
         }
     }
 
     /// Learns the pace of fills by the location's link. What was cancelled as slow had its share of the link all the
     /// while. What timed out at the client's deadline may as well have waited for the origin, which says nothing of
     /// the link.
-    pub(super) fn learn_link_pace(&mut self, end: &AttemptEnd) {
+    pub(super) fn learn_link_slowdown(&mut self, end: &AttemptEnd) {
         let filled =
             end.outcome == Outcome::Ok && matches!(end.note, Note::Filled | Note::FilledByOrigin);
         if !end.size_known || end.attempt.source.is_none() || !(filled || end.slow) {
             return;
         }
-        let moving_s = end.took_us.saturating_sub(end.first_byte_us) as f64 / 1e6;
+        let body_s = end.took_us.saturating_sub(end.first_byte_us) as f64 / 1e6;
         let fills = (end.attempt.link_fills + self.link_fills()) / 2.0;
         let transfer_s = end.transfer_s + ROUND_TRIP_S;
-        self.link_pace.add(end.now, moving_s, transfer_s, fills);
+        self.link_slowdown.add(end.now, body_s, transfer_s, fills);
     }
 
     /// Learns from an answer how long answers take, and how many attempts find no copy.
@@ -114,9 +116,11 @@
     }
 
     /// Learns the pace of a source's fills.
-    pub(super) fn learn_fill_pace(source: &mut Endpoint, end: &AttemptEnd) {
+    pub(super) fn learn_fill_slowdown(source: &mut Endpoint, end: &AttemptEnd) {
         let transfer_s = end.transfer_s + ROUND_TRIP_S;
-        source.fill_pace.add(end.now, end.took_s(), transfer_s, 0.0);
+        source
+            .fill_slowdown
+            .add(end.now, end.took_s(), transfer_s, 0.0);
     }
 
     /// Moves the averages over time on by a tick, and forgets charges that are older than the slow-start window.
@@ -128,17 +132,17 @@
                 .slow_start_charges
                 .retain(|charge| charge.at + window_us >= now);
         }
-        let filling = |open: &&OpenRequest| self.is_filling(now, open);
-        self.active_fills = self.requests.values().filter(filling).count() as f64;
+        let is_filling_request = |open: &&OpenRequest| self.is_filling(now, open);
+        self.active_fills = self.requests.values().filter(is_filling_request).count() as f64;
         self.mean_active_fills += step * (self.active_fills - self.mean_active_fills);
     }
 
     /// Whether a request's attempt takes so long that it seems to be a fill. What is stuck is lost rather than filled.
     fn is_filling(&self, now: Micros, open: &OpenRequest) -> bool {
         open.in_flight.as_ref().is_some_and(|attempt| {
-            let since_s = now.saturating_sub(attempt.sent_at) as f64 / 1e6;
+            let elapsed_s = now.saturating_sub(attempt.sent_at) as f64 / 1e6;
             let hit_s = 1.5 * open.transfer_s + ROUND_TRIP_S;
-            since_s > hit_s && now <= attempt.stuck_after && self.is_healthy(attempt.server, now)
+            elapsed_s > hit_s && now <= attempt.stuck_after && self.is_healthy(attempt.server, now)
         })
     }
 }
--- a/src/router/timers.rs
+++ b/src/router/timers.rs
@@ -39,7 +39,7 @@
             .compact(origin_now, self.settings.rules.purge_completion_us);
         self.update_averages(now, TICK_US as f64 / 1e6 / AVERAGING_S);
         self.eject_silent(now);
-        self.cancel_hopeless(now, actions);
+        self.cancel_stalled_attempts(now, actions);
     }
 
     /// Ejects servers and sources that leave several attempts, or their trial, without an answer.
@@ -72,7 +72,7 @@
     }
 
     /// Cancels attempts that may be repeated and hang at a silent server, or are stuck.
-    fn cancel_hopeless(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn cancel_stalled_attempts(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if !self.settings.cancel {
             return;
         }
@@ -81,7 +81,7 @@
             if repeat != Repeat::Safe || open.streaming {
                 continue;
             }
-            if let Some(attempt) = Self::cancel_if_hopeless(now, open, &self.endpoints) {
+            if let Some(attempt) = Self::cancel_if_stalled(now, open, &self.endpoints) {
                 actions.push(Action::Cancel {
                     request: *id,
                     attempt,
@@ -91,7 +91,7 @@
     }
 
     /// Marks a request's attempt as cancelled if it hangs or is stuck, and gives its number.
-    fn cancel_if_hopeless(
+    fn cancel_if_stalled(
         now: Micros,
         open: &mut OpenRequest,
         endpoints: &BTreeMap<ServerId, Endpoint>,
@@ -102,11 +102,11 @@
             server.is_some_and(|s| now < s.ejected_until && s.last_success < attempt.sent_at)
         };
         let silent = is_silent(attempt.server) || attempt.source.is_some_and(is_silent);
-        let hangs = attempt.overdue_at < now && silent;
-        if !hangs && now <= attempt.stuck_after {
+        let is_hung = attempt.overdue_at < now && silent;
+        if !is_hung && now <= attempt.stuck_after {
             return None;
         }
-        attempt.stuck = !hangs;
+        attempt.stuck = !is_hung;
         attempt.cancelled = true;
         Some(attempt.number)
     }
--- a/src/statistics.rs
+++ b/src/statistics.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 
 /// Least count of the entries that stay when a table of counts overflows; doubled until it fits.
-const FIRST_FLOOR: f64 = 0.25;
+const INITIAL_EVICTION_FLOOR: f64 = 0.25;
 
 /// What is left of a figure that was right at a time and falls by half in so many seconds.
 pub(crate) fn decayed(figure: f64, at: Micros, now: Micros, half_life_s: f64) -> f64 {
@@ -64,7 +64,7 @@
         });
         entry.add_one(now, half_life_s);
         let count = entry.value;
-        let mut floor = FIRST_FLOOR;
+        let mut floor = INITIAL_EVICTION_FLOOR;
         while self.entries.len() > self.capacity {
             // What goes depends on each entry alone, never on the order of the table.
             self.entries
@@ -76,9 +76,9 @@
 }
 
 /// What recent transfers tell.
-pub(crate) struct PaceSample {
+pub(crate) struct SlowdownSample {
     /// Time taken, over transfer time at full pace.
-    pub(crate) stretch: f64,
+    pub(crate) slowdown: f64,
     /// Transfers that shared the server or link meanwhile.
     pub(crate) load: f64,
 }
@@ -86,45 +86,45 @@
 /// Decaying sums over hits or fills: time taken, transfer time at full pace, transfers that shared the server or link,
 /// and their number. They fall by half in so many milliseconds.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Pace<const HALF_LIFE_MS: u64> {
+pub(crate) struct SlowdownAverage<const HALF_LIFE_MS: u64> {
     took_s: f64,
     transfer_s: f64,
     load: f64,
-    number: f64,
+    samples: f64,
     /// When the last of them came.
     pub(crate) updated_at: Micros,
 }
 
-impl<const HALF_LIFE_MS: u64> Pace<HALF_LIFE_MS> {
+impl<const HALF_LIFE_MS: u64> SlowdownAverage<HALF_LIFE_MS> {
     const HALF_LIFE_S: f64 = HALF_LIFE_MS as f64 / 1e3;
 
     /// Takes one in.
     pub(crate) fn add(&mut self, now: Micros, took_s: f64, transfer_s: f64, load: f64) {
-        let left = self.share_left(now);
-        *self = Pace {
-            took_s: self.took_s * left + took_s,
-            transfer_s: self.transfer_s * left + transfer_s,
-            load: self.load * left + load,
-            number: self.number * left + 1.0,
+        let decay = self.decay_factor(now);
+        *self = SlowdownAverage {
+            took_s: self.took_s * decay + took_s,
+            transfer_s: self.transfer_s * decay + transfer_s,
+            load: self.load * decay + load,
+            samples: self.samples * decay + 1.0,
             updated_at: now,
         };
     }
 
     /// What they tell, while so many of them still count.
-    pub(crate) fn recent(&self, now: Micros, number: f64) -> Option<PaceSample> {
-        self.ever(number / self.share_left(now))
+    pub(crate) fn recent_average(&self, now: Micros, samples: f64) -> Option<SlowdownSample> {
+        self.last_average(samples / self.decay_factor(now))
     }
 
     /// What they tell once there were so many of them, however long ago.
-    pub(crate) fn ever(&self, number: f64) -> Option<PaceSample> {
-        (self.number >= number).then(|| PaceSample {
-            stretch: self.took_s / self.transfer_s.max(1e-9),
-            load: self.load / self.number,
+    pub(crate) fn last_average(&self, samples: f64) -> Option<SlowdownSample> {
+        (self.samples >= samples).then(|| SlowdownSample {
+            slowdown: self.took_s / self.transfer_s.max(1e-9),
+            load: self.load / self.samples,
         })
     }
 
     /// What is left now of sums that were right when the last one came.
-    fn share_left(&self, now: Micros) -> f64 {
+    fn decay_factor(&self, now: Micros) -> f64 {
         decayed(1.0, self.updated_at, now, Self::HALF_LIFE_S)
     }
 }
