--- a/rehearse/tests/purges.rs
+++ b/rehearse/tests/purges.rs
@@ -113,7 +113,7 @@
             group: GROUP,
             size_kb: 400.0,
             remaining_us: 5 * S,
-            repeated: false,
+            is_retry: false,
         };
         let mut actions = Vec::new();
         self.router
