--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -1,76 +1,76 @@
-//! The actions that a router asks its proxy to carry out.
+//! The actions that a router returns for its proxy to carry out.
 
 use super::{Micros, RequestId, ServerId};
 
-/// How a cache fills a miss, and how it keeps the copy.
+/// How a cache fills a miss and stores the copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fill {
-    /// The server to fill from; the target itself: no fill.
+    /// Server to fill from; the target server itself if the miss must not be filled.
     pub source: ServerId,
-    /// Rank at which the copy is cached, 1 to 3; 0: it is not cached.
+    /// Rank at which the copy is cached, from 1 to 3; 0 if it is not cached.
     pub cache_rank: u8,
-    /// Greatest age of a usable copy; `None`: the class's fresh time.
+    /// Maximum age of a usable copy; `None` for the class's freshness lifetime.
     pub max_age_us: Option<Micros>,
-    /// A fill under way may be waited for.
+    /// The request may wait for a fill of the same object that is already in progress.
     pub coalesce: bool,
-    /// The source must not fetch what it does not hold.
+    /// The source may serve the fill only from its own copy.
     pub only_if_cached: bool,
-    /// The parent is not to cache a copy.
+    /// The parent does not cache a copy.
     pub bypass_parent: bool,
-    /// The cache may refresh an ageing copy after it has answered with it.
+    /// The cache may serve an ageing copy and refresh it afterwards.
     pub background_refresh: bool,
 }
 
-/// An action to be carried out, in the order given.
+/// An action for the proxy; actions are carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt to a server.
+    /// Sends an attempt to a server.
     Attempt {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// The server.
+        /// Id of the server.
         server: ServerId,
-        /// Time-out of the attempt; `None`: the client's deadline.
+        /// Timeout of the attempt; `None` for the client's deadline.
         timeout_us: Option<Micros>,
-        /// How a miss is filled; `None`: it is not.
+        /// How the server fills a miss; `None` if it does not.
         fill: Option<Fill>,
     },
-    /// Cancel an attempt.
+    /// Cancels an attempt.
     Cancel {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// Number of the attempt, counted from 0.
+        /// Number of the attempt within its request, starting at 0.
         attempt: u32,
     },
-    /// Final answer: rejected; a retry by the client does no harm.
+    /// Answers the client that its request was rejected and is safe to retry.
     Refuse {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// Retry-After; `None`: none is sent.
+        /// Value of Retry-After; `None` if the header is not sent.
         retry_after_us: Option<Micros>,
     },
-    /// Final answer: failed; the request may have run.
+    /// Answers the client that its request failed; the request may have run.
     Fail {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
     },
-    /// Send a timer event at a time.
+    /// Schedules a timer event.
     Timer {
-        /// When the timer expires.
+        /// Time at which the timer expires.
         at: Micros,
-        /// The tag of the event.
+        /// Tag that the event returns.
         tag: u64,
     },
-    /// Send a health check to a server.
+    /// Sends a health check to a server.
     Probe {
-        /// The server.
+        /// Id of the server.
         server: ServerId,
     },
-    /// Poll the list of servers, or follow it from now on.
+    /// Polls the server list, or subscribes to it where it is pushed.
     Watch,
-    /// Write a log line for the operators.
+    /// Writes a log line for the operators.
     Report {
-        /// The line.
+        /// Text of the log line.
         line: String,
     },
 }
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,11 +1,11 @@
-//! The events that a router takes in: requests, the ends of attempts, changes of the list, purges, leases and timers.
+//! The events that a router handles: requests, ends of attempts, changes to the server list, purges, leases and timers.
 
 use super::{ListMode, Load, Micros, RequestId, Server, ServerId};
 
 /// A client's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
     /// Name of its class.
     pub class: String,
@@ -13,147 +13,148 @@
     pub tenant: Option<String>,
     /// The requested object.
     pub object: String,
-    /// The requested part of it.
+    /// Number of the requested part of the object.
     pub part: u64,
-    /// The object's group, by which purges may name it.
+    /// Purge group of the object.
     pub group: u64,
-    /// Size of this part in KB; 0: unknown.
+    /// Size of the requested part in KB; 0 if unknown.
     pub size_kb: f64,
-    /// Time until the client gives up.
+    /// Time until the client's deadline.
     pub remaining_us: Micros,
-    /// The client marked it as a retry.
+    /// The client marked the request as a retry.
     pub is_retry: bool,
 }
 
-/// How an attempt or a health check ended.
+/// Result of an attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was served.
+    /// The server answered successfully.
     Ok,
-    /// The server answered with an error; it may have run.
+    /// The server answered with an error; the request may have run.
     Error,
-    /// The server rejected it before it ran, or the source of its fill did.
+    /// The server, or the source of its fill, rejected the request before it ran.
     Full,
-    /// No answer in time; it may have run or still run.
+    /// No answer arrived in time; the request may have run or may still be running.
     Timeout,
-    /// The connection was refused; it never ran.
+    /// The connection was refused; the request did not run.
     ConnectFailed,
-    /// No connection came up in time, though none was refused: it never ran, and the server's process may be up.
+    /// No connection was established in time, although none was refused. The request did not run, and the server's
+    /// process may be running.
     Unreached,
-    /// The connection broke; it may have run.
+    /// The connection was reset; the request may have run.
     Reset,
-    /// The router cancelled it; it may have run.
+    /// The router cancelled the attempt; the request may have run.
     Cancelled,
-    /// It was never sent.
+    /// The attempt was not sent.
     Moot,
-    /// The cache has no usable copy, and none was filled.
+    /// The cache has no usable copy and did not fill one.
     Miss,
 }
 
-/// How an answer was made, or why a fill failed.
+/// How the answer was produced, or why a fill failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Note {
-    /// Unknown.
+    /// Not reported.
     None,
-    /// A hit.
+    /// A cache hit.
     Hit,
-    /// A miss, filled from the source's copy.
+    /// A miss that was filled from the source's copy.
     Filled,
-    /// A miss, filled from the origin, directly or by way of the source.
+    /// A miss that was filled from the origin, directly or through the source.
     FilledByOrigin,
-    /// A miss that waited for a fill under way.
+    /// A miss that was coalesced into a fill already in progress.
     Joined,
-    /// A hit on a stale copy.
+    /// A cache hit on a stale copy.
     Stale,
     /// The source rejected the fill.
     SourceRefused,
-    /// The source was not reached, broke the connection or was too slow.
+    /// The source could not be reached, closed the connection or was too slow.
     SourceLost,
-    /// The source has no copy and was not to fetch one.
+    /// The source has no copy and was asked not to fetch one.
     SourceLacks,
-    /// The cache has as many fills in flight as it can.
+    /// The cache has reached its limit of concurrent fills.
     NoFillPlace,
-    /// The origin failed behind the parent.
+    /// The parent's request to the origin failed.
     OriginFailed,
 }
 
-/// A budget that all routers of a fleet share.
+/// A budget shared by all routers of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Budget {
-    /// Requests in flight at the origin, of all classes: a number.
+    /// Number of requests of all classes in flight at the origin.
     Origin,
-    /// What each cache of the router's zone bears while it warms up: a share of it.
+    /// Fraction of the slow-start capacity of each cache in the router's zone.
     Caches,
-    /// What each parent bears while it warms up: a share of it.
+    /// Fraction of the slow-start capacity of each parent.
     Parents,
 }
 
-/// A router's lease of a budget. Without one, the router takes an equal share.
+/// A router's lease on a shared budget. A router without a lease uses an equal share.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lease {
     /// The leased budget.
     pub budget: Budget,
-    /// What may be spent before `until`, the reserved minimum included.
+    /// Amount that may be used before `until`, including the reserved minimum.
     pub amount: f64,
-    /// When the lease expires; from then on it is worth `reserved`, until another one is received.
+    /// Expiry time of the lease; after it, `reserved` applies until another lease is received.
     pub until: Micros,
-    /// The reserved minimum, which never expires.
+    /// Reserved minimum, which does not expire.
     pub reserved: f64,
 }
 
-/// An event that a router takes in.
+/// An event for a router to handle.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The list of servers, or changes to it.
+    /// A new server list or changes to it.
     List {
-        /// How much of the list.
+        /// Extent of the list.
         mode: ListMode,
-        /// The entries.
+        /// Entries of the list.
         servers: Vec<Server>,
     },
-    /// A client's request; the router owes it one final answer.
+    /// A client's request, to which the router gives exactly one final answer.
     Request(Request),
-    /// A streamed answer has begun.
+    /// The server has started to stream its answer.
     StreamStarted {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
         /// Number of the attempt, counted from 0.
         attempt: u32,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
         /// Number of the attempt, counted from 0.
         attempt: u32,
-        /// The server it was sent to.
+        /// Server to which the attempt was sent.
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
         /// Time since it was sent.
         took_us: Micros,
-        /// The request has its final answer.
+        /// The client has received its final answer.
         settled: bool,
-        /// How the answer was made.
+        /// How the answer was produced.
         note: Note,
         /// Time to the first byte of the fill.
         first_byte_us: Micros,
         /// The server's load report.
         load: Option<Load>,
     },
-    /// The client closed or cancelled: no answer is owed any more.
+    /// The client disconnected or cancelled its request; it needs no answer.
     ClientLeft {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
     },
     /// A timer expired.
     Timer {
-        /// The tag of the action.
+        /// Tag given in the timer action.
         tag: u64,
     },
     /// A health check ended.
     ProbeEnded {
-        /// The server.
+        /// Id of the server.
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
@@ -162,21 +163,22 @@
         /// The server's load report.
         load: Option<Load>,
     },
-    /// Other routers find the origin late. That can only lower this router's share of requests that may reach it.
+    /// Other routers measured a slow origin. The event can only lower this router's share of requests that may reach
+    /// the origin.
     OriginShareLimit {
-        /// Greatest share of the requests that may reach the origin.
+        /// Maximum share of the requests that may reach the origin.
         origin_share: f64,
-        /// How long that limit holds.
+        /// Validity of the limit.
         valid_for_us: Micros,
     },
-    /// A lease of a shared budget. It holds at once, also for what is in flight: nothing is cancelled for it, and
-    /// nothing more is sent until enough of that has ended.
+    /// A lease on a shared budget, which takes effect immediately. If more requests are in flight than it allows, none
+    /// are cancelled, and no new ones are sent until enough of them have ended.
     Lease(Lease),
-    /// An object, or without an object a whole group, was purged.
+    /// An object, or a whole group if no object is given, was purged.
     Purged {
         /// The purged object.
         object: Option<String>,
-        /// The object's group, or the purged one.
+        /// Group of the object, or the purged group.
         group: u64,
         /// Time since the purge.
         age_us: Micros,
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,5 +1,5 @@
-//! What goes into the decision module and what comes out: settings, events and actions. Plain data, but for the check
-//! of the settings.
+//! The interface of the decision module: settings, events and actions. All types are plain data; the only logic is the
+//! validation of settings.
 
 mod actions;
 mod events;
@@ -15,11 +15,11 @@
 };
 pub use validation::SettingsError;
 
-/// A time or duration in microseconds, on the clock of the caller.
+/// A time or duration in microseconds, on the caller's clock.
 pub type Micros = u64;
 
-/// Id of a cache, parent or origin in the list of servers.
+/// Id of a cache, parent or origin in the server list.
 pub type ServerId = u64;
 
-/// Id of a client's request; never used twice.
+/// Id of a client's request; ids are never reused.
 pub type RequestId = u64;
--- a/src/interface/servers.rs
+++ b/src/interface/servers.rs
@@ -1,58 +1,58 @@
-//! The list of servers, and what a server reports of itself.
+//! The server list and the load reports of servers.
 
 use super::{Micros, ServerId};
 
-/// Whether a server takes work.
+/// Whether a server accepts requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum State {
-    /// It takes new work.
+    /// The server accepts new requests.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// The server finishes its requests in flight and accepts no new ones.
     Draining,
-    /// It has left the list.
+    /// The server has been removed from the list.
     #[default]
     Gone,
 }
 
-/// An entry of the list of servers.
+/// An entry of the server list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
-    /// Its id.
+    /// Id of the server.
     pub id: ServerId,
     /// Name of its zone.
     pub zone: String,
-    /// Its cell: the servers that share the idempotency keys they have seen.
+    /// Cell of the server: servers in one cell share the idempotency keys that they have seen.
     pub cell: u64,
-    /// Its kind; see [`Settings::parent_kind`](super::Settings::parent_kind).
+    /// Kind of the server; see [`Settings::parent_kind`](super::Settings::parent_kind).
     pub kind: String,
-    /// Its capacity; see [`Settings::weights_known`](super::Settings::weights_known).
+    /// Capacity of the server; see [`Settings::weights_known`](super::Settings::weights_known).
     pub weight: f64,
     /// Whether it takes work.
     pub state: State,
-    /// When it last started; `None`: long ago.
+    /// Time of its last start; `None` if it started long ago.
     pub started: Option<Micros>,
 }
 
-/// How much of the list an event carries.
+/// Extent of the server list that an event carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListMode {
-    /// All of it; servers that are not named are gone.
+    /// The complete list; servers that are missing from it have been removed.
     Full,
-    /// Only the entries that changed.
+    /// Only the changed entries.
     Delta,
-    /// None: the poll failed.
+    /// No entries, because the poll failed.
     Failed,
 }
 
-/// A server's load report; values that it does not report are absent.
+/// A server's load report; values that the server does not report are absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Share of its processor time in use.
+    /// Fraction of the server's CPU time in use.
     pub cpu_utilisation: Option<f64>,
     /// Requests in flight.
     pub in_flight: Option<f64>,
-    /// Recent hit ratio.
+    /// Recent cache hit ratio.
     pub hit_ratio: Option<f64>,
-    /// Of a cache: used share of its location's link. Of a parent: fetches in flight.
+    /// For a cache, the utilisation of its location's link; for a parent, the number of fetches in flight.
     pub link_utilisation: Option<f64>,
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,193 +1,193 @@
-//! What a router is started with: classes of requests, zones, what the deployment offers, and the limits of its rules.
+//! Settings of a router: classes of requests, zones, features of the deployment, and the limits of its rules.
 
 use super::Micros;
 
-/// Whether a request may be sent again after it may have run.
+/// Whether a request that may have run can be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// Idempotent: it may be repeated at will.
+    /// The request is idempotent and can be repeated freely.
     Safe,
-    /// It carries an idempotency key: a group of servers drops repeats for a while.
+    /// The request carries an idempotency key; a group of servers drops repeats within a window.
     Keyed,
-    /// Not idempotent: it must not run twice.
+    /// The request is not idempotent and must not run twice.
     Unsafe,
 }
 
-/// Which servers recognise the repeat of a request with an idempotency key.
+/// The servers that recognise the repeat of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// All of them.
+    /// All servers.
     All,
-    /// Those in the zone of the server that was tried first.
+    /// The servers in the zone of the first server tried.
     Zone,
-    /// Those in the cell of the server that was tried first.
+    /// The servers in the cell of the first server tried.
     Cell,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name, as requests carry it.
+    /// Name, as requests carry it.
     pub name: String,
-    /// The latency objective: an answer within this time has the full weight.
+    /// Latency objective: an answer within this time has its full weight.
     pub objective_us: Micros,
-    /// The objective is extended by this multiple of the request's own transfer time.
+    /// Extension of the objective, as a multiple of the request's transfer time.
     pub objective_stretch: f64,
-    /// When clients give up at the latest.
+    /// Longest time that a client waits for an answer.
     pub deadline_us: Micros,
-    /// Priority weight of one request.
+    /// Priority weight of a request.
     pub priority_weight: f64,
-    /// Share of the weight that an answer after the objective has.
+    /// Fraction of the weight that an answer after the objective has.
     pub late_weight: f64,
-    /// Whether a request may be sent again after it may have run.
+    /// Whether a request that may have run can be sent again.
     pub repeat: Repeat,
-    /// For [`Repeat::Keyed`]: which servers recognise repeats.
+    /// For [`Repeat::Keyed`], the servers that recognise repeats.
     pub dedup_scope: DedupScope,
-    /// For [`Repeat::Keyed`]: for how long they do.
+    /// For [`Repeat::Keyed`], the time for which servers recognise repeats.
     pub dedup_window_us: Micros,
-    /// The answer is a stream: once it has begun, no other attempt can serve the client.
+    /// The answer is streamed; after it has started, no other attempt can serve the client.
     pub streaming: bool,
-    /// Its objects have several parts.
+    /// Objects of this class consist of several parts.
     pub multipart: bool,
-    /// It runs at the origin, and its answer is never cached.
+    /// Requests run at the origin, and their answers are never cached.
     pub write: bool,
-    /// How long a copy is fresh; 0: until it is purged.
+    /// Time for which a copy is fresh; 0 if it stays fresh until it is purged.
     pub fresh_us: Micros,
-    /// How long after that a stale copy may still be served.
+    /// Additional time for which a stale copy may be served.
     pub grace_us: Micros,
-    /// Share of the weight that a stale answer has.
+    /// Fraction of the weight that a stale answer has.
     pub stale_weight: f64,
 }
 
 /// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name, as requests carry it.
+    /// Name, as requests carry it.
     pub name: String,
-    /// Requests per second within its quota, over all routers.
+    /// Quota in requests per second over all routers.
     pub quota_rps: f64,
 }
 
 /// A zone: a location with caches and routers, or one with parent caches and the origin.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Zone {
-    /// Its name, as the list of servers carries it.
+    /// Name of the zone, as the server list gives it.
     pub name: String,
-    /// How many routers serve it.
+    /// Number of routers in the zone.
     pub routers: u32,
-    /// The zone with its parent caches, as a place in [`Settings::zones`].
+    /// Index in [`Settings::zones`] of the zone with its parent caches.
     pub parent_zone: usize,
-    /// Capacity of its link for fills in KB per second; 0: unknown.
+    /// Capacity of the zone's fill link in KB per second; 0 if unknown.
     pub link_kb_per_s: f64,
 }
 
-/// Which caches may be the source of another cache's fill.
+/// The caches that may be the source of another cache's fill.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Siblings {
-    /// None.
+    /// No caches.
     Off,
-    /// Those of the same location.
+    /// Caches in the same location.
     Location,
-    /// Any.
+    /// All caches.
     Any,
 }
 
-/// What answers tell of how they were made.
+/// Detail that answers give about how they were produced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerDetail {
-    /// How each answer was made, and why a fill failed.
+    /// How each answer was produced, and why a fill failed.
     All,
-    /// Only whether it was a hit or a fill.
+    /// Only whether the answer was a hit or a fill.
     Hit,
-    /// Nothing.
+    /// No detail.
     Off,
 }
 
-/// Where load reports come from.
+/// Source of load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReports {
     /// Answers and health checks.
     Answers,
     /// Health checks only.
     Probes,
-    /// There are none.
+    /// No load reports.
     Off,
 }
 
-/// The limits of the rules that the platform checks.
+/// Limits of the rules that the platform checks.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// A server gets nothing new later than this after the router heard that it drains or is gone.
+    /// Time after which a router must send no new requests to a server reported as draining or gone.
     pub drain_grace_us: Micros,
-    /// Share of its capacity that a cache has at least when it has just started.
+    /// Minimum share of its capacity that a cache has just after its start.
     pub slow_start_share: f64,
-    /// Time after its start at which a cache has its whole capacity at the latest.
+    /// Time after its start within which a cache reaches its full capacity.
     pub slow_start_us: Micros,
-    /// A cache that is sent more than this multiple of its present capacity for `fall_us` fails.
+    /// A cache that receives more than this multiple of its current capacity during `overload_window_us` fails.
     pub overload_multiple: f64,
-    /// The window of `overload_multiple`, for caches and parents.
+    /// Window of `overload_multiple`, for caches and parents.
     pub overload_window_us: Micros,
-    /// As `slow_start_share`, for parents.
+    /// Like `slow_start_share`, for parents.
     pub parent_slow_start_share: f64,
-    /// As `slow_start_us`, for parents.
+    /// Like `slow_start_us`, for parents.
     pub parent_slow_start_us: Micros,
-    /// As `overload_multiple`, for parents.
+    /// Like `overload_multiple`, for parents.
     pub parent_overload_multiple: f64,
-    /// A purge must be respected from this long after the router heard of it.
+    /// Time after which a router must respect a purge that it has received.
     pub purge_grace_us: Micros,
-    /// After this long, the servers have dropped older copies by themselves.
+    /// Time after which servers have dropped purged copies themselves.
     pub purge_completion_us: Micros,
-    /// Where the list must be polled: a router that has not polled for this long counts as informed.
+    /// For a polled server list, the age of the last poll from which a router counts as informed of a change.
     pub max_poll_age_us: Micros,
 }
 
-/// What a router is started with.
+/// Settings of a router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Classes of requests.
     pub classes: Vec<Class>,
-    /// Tenants; may be empty.
+    /// Tenants; the list may be empty.
     pub tenants: Vec<Tenant>,
     /// All zones.
     pub zones: Vec<Zone>,
-    /// The router's own zone, as a place in `zones`.
+    /// Index of the router's own zone in `zones`.
     pub zone: usize,
-    /// The router's number among all that share these settings, from 0; `None`: unknown.
+    /// Index of the router among all routers with these settings, starting at 0; `None` if unknown.
     pub router_index: Option<u32>,
-    /// The kind of server that is a parent cache, if the deployment has any.
+    /// Kind of the servers that are parent caches, if the deployment has any.
     pub parent_kind: Option<String>,
-    /// The kind of server that is the origin.
+    /// Kind of the server that is the origin.
     pub origin_kind: String,
-    /// The list of servers must be polled; otherwise it is pushed.
+    /// The server list is polled rather than pushed.
     pub polls_list: bool,
-    /// Parents and the origin may be the target of an attempt too.
+    /// Attempts may be sent directly to parents and the origin.
     pub direct_to_upstream: bool,
-    /// A request may wait for a fill that is under way.
+    /// A request may wait for a fill already in progress.
     pub coalesces_fills: bool,
-    /// Which caches may fill others.
+    /// The caches that may fill others.
     pub siblings: Siblings,
-    /// What answers tell of how they were made.
+    /// Detail that answers give about how they were produced.
     pub answer_detail: AnswerDetail,
-    /// Where load reports come from.
+    /// Source of load reports.
     pub load_reports: LoadReports,
-    /// Weights in the list are link capacities, in transfers at full pace.
+    /// Weights in the server list are link capacities, in transfers at full rate.
     pub weights_known: bool,
-    /// Greatest pace of one transfer to a client, in KB per second; 0: unknown.
+    /// Maximum rate of one transfer to a client in KB per second; 0 if unknown.
     pub flow_kb_per_s: f64,
-    /// Greatest number of attempts of a request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Two attempts of a request may be in flight together.
+    /// A request may have two attempts in flight at once.
     pub hedged_requests: bool,
     /// Attempts may be cancelled.
     pub cancel: bool,
-    /// Servers may be sent health checks.
+    /// Health checks may be sent to servers.
     pub probes: bool,
-    /// Refusals carry a Retry-After that clients follow.
+    /// Refusals carry a Retry-After header that clients follow.
     pub retry_after: bool,
-    /// The longest Retry-After that clients follow; 0: none is sent.
+    /// Longest Retry-After that clients follow; 0 if none is sent.
     pub max_retry_after_us: Micros,
-    /// The origin stops for a while when it is asked for this multiple of its capacity; 0: it does not.
+    /// Multiple of its capacity at which the origin stops for a while; 0 if it does not.
     pub origin_overload_multiple: f64,
-    /// The limits of the rules.
+    /// Limits of the rules.
     pub rules: Rules,
 }
