--- a/src/ramp.rs
+++ b/src/ramp.rs
@@ -1,37 +1,37 @@
-//! The arithmetic of slow start: what a server can do while it warms up, and whose turn it is to spend of that. What
-//! follows from it is decided in `crate::router`.
+//! The arithmetic of slow start: the capacity of a server while it warms up, and the send slots of routers that share
+//! it. The decisions based on it are in `crate::router`.
 //!
-//! Where many routers share a budget that allows each of them less than one request in a window, each may send one when
-//! its share has added up to one. These moments, its turns, are spread by a phase between 0 and 1 for each router:
-//! routers whose phases lie evenly take turns evenly. As a turn lasts for a quarter of a window only, those of n routers
-//! in a window are at most n times the share of each times 1.25, and the few by which their phases lie less than evenly:
-//! nothing adds up while there is nothing to send.
+//! If many routers share a budget that allows each of them less than one request per window, each router sends one
+//! request whenever its accumulated share reaches one. These send slots are offset by a phase between 0 and 1 per
+//! router, so routers with evenly distributed phases use their slots at evenly distributed times. A slot stays open for
+//! a quarter of a window, so n routers together send at most 1.25 times n times their share in one window, plus a few
+//! requests where their phases are uneven; an unused slot does not accumulate.
 
 use crate::interface::Micros;
 
-/// A turn lasts for one in so many parts of a window.
+/// Number of slot durations in a window.
 const SLOTS_PER_WINDOW: Micros = 4;
-/// The golden ratio less 1. Its multiples, less their whole parts, lie evenly between 0 and 1, however many there are.
+/// Conjugate of the golden ratio. The fractional parts of its multiples are evenly distributed between 0 and 1 for any
+/// number of multiples.
 pub(crate) const GOLDEN_RATIO_CONJUGATE: f64 = 0.618_033_988_749_894_9;
 
-/// A server's capacity from its start on, as a share of its whole capacity: a straight line.
+/// Capacity of a server after its start, as a share of its full capacity that grows linearly.
 #[derive(Clone, Copy)]
 pub(crate) struct Ramp {
-    /// At its start.
     pub(crate) initial_share: f64,
-    /// Time from its start until it is warm.
+    /// Time from the server's start until it reaches its full capacity.
     pub(crate) duration_us: Micros,
 }
 
 impl Ramp {
-    /// The share at an age.
+    /// Returns the share of its capacity that a server has at the given age.
     pub(crate) fn share_at(&self, age: Micros) -> f64 {
         (self.initial_share
             + (1.0 - self.initial_share) * age as f64 / self.duration_us.max(1) as f64)
             .min(1.0)
     }
 
-    /// Whether it is the turn of a router, at an age at which it has so many turns in a window: less than one.
+    /// Returns whether a send slot of a router is open at the given age. `slots_per_window` is below 1.
     pub(crate) fn in_send_slot(
         &self,
         age: Micros,
@@ -40,7 +40,7 @@
         phase: f64,
     ) -> bool {
         let window_us = window_us.max(1);
-        // In a line too: what has added up since the start is the mean share of that time.
+        // The share grows linearly, so its mean since the start is half the sum of both ends.
         let rate = slots_per_window / self.share_at(age.saturating_sub(window_us / 2)).max(1e-9);
         let slots_until = |age: Micros| {
             let mean = (self.share_at(0) + self.share_at(age)) / 2.0;
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -1,8 +1,8 @@
-//! The decisions of the router. Its interface - settings, events and actions - stands in `crate::interface`.
+//! The routing decisions. The interface (settings, events and actions) is in `crate::interface`.
 //!
-//! The way of a request: `requests` takes it in, `retries` decides whether an attempt is sent, `placement` picks its
-//! target by way of `outliers`, `slow_start`, `capacity`, `leases` and `origin`, `dispatch` sends it, and `outcomes`
-//! takes its end in, with `faults` and `statistics`. `timers` looks after what does not end.
+//! `requests` accepts a request, `retries` decides whether to send an attempt, and `placement` selects its target with
+//! the help of `outliers`, `slow_start`, `capacity`, `leases` and `origin`. `dispatch` sends the attempt, and
+//! `outcomes` processes its end with `faults` and `statistics`. `timers` handles attempts that do not end in time.
 
 mod capacity;
 mod dispatch;
@@ -36,50 +36,50 @@
 use std::collections::BTreeMap;
 use timers::TICK_TAG;
 
-/// Half-life of the request counts.
 const COUNT_HALF_LIFE_S: f64 = 10.0;
-/// Entries of a table of counts; the least counted go first when it is full.
+/// Maximum number of entries of a table of request counts.
 const COUNT_TABLE_SIZE: usize = 20_000;
-/// Purges held exactly, also once carried out: a fill across one may leave an older copy.
+/// Number of purges kept exactly. Completed purges are kept too, because a fill that overlaps a purge may store an
+/// older copy.
 const EXACT_PURGE_CAPACITY: usize = 16_384;
-/// Share of attempts taken to find no copy before anything is learned.
+/// Assumed cache miss rate before any answer has been received.
 const INITIAL_MISS_RATE: f64 = 0.5;
 
-/// A router: one instance decides for one proxy.
+/// An instance of the decision module, which makes the routing decisions of one proxy.
 pub struct Router {
     settings: Settings,
     seed: u64,
-    /// State of the random picks among copies.
+    /// State of the random number generator that selects among copies.
     random_state: u64,
     endpoints: BTreeMap<ServerId, Endpoint>,
-    /// The ready servers of each role: all that a request ranks.
+    /// Ready servers by role.
     ready_by_role: [Vec<ServerId>; 3],
     requests: BTreeMap<RequestId, OpenRequest>,
-    /// Recent requests for each object, and for each part.
+    /// Recent requests by object and by part.
     object_counts: RequestCounts,
     part_counts: RequestCounts,
-    /// By place of the class in the settings.
+    /// Indexed like the classes in the settings.
     class_statistics: Vec<ClassStatistics>,
-    /// Share of attempts that find no copy in the cache.
+    /// Cache miss rate of attempts.
     miss_rate: f64,
-    /// Fills that seem to be under way by the location's link from this router, now and on average.
+    /// Estimated fills of this router in progress on the location's link, currently and on average.
     active_fills: f64,
     mean_active_fills: f64,
-    /// Recent fills by the location's link, whoever gave them: what they took tells its size.
+    /// Slowdown of recent fills on the location's link, from all sources, from which its capacity is estimated.
     link_slowdown: SlowdownAverage<LINK_HALF_LIFE_MS>,
     origin_admission: OriginAdmission,
     /// The latest purge of each object and of each group.
     purges: PurgeTable,
-    /// What is to be added to this router's clock for the one by which purges are dated.
+    /// Offset from this router's clock to the clock by which purges are dated.
     origin_offset_us: i64,
-    /// What this router may spend of the budgets that all routers share.
+    /// This router's leases on shared budgets.
     leases: BTreeMap<Budget, Lease>,
-    /// The first event has been taken in.
+    /// The first event has been handled.
     started: bool,
 }
 
 impl Router {
-    /// A router for one proxy. Equal settings, seed and events give equal actions.
+    /// Returns a router for one proxy. Its actions depend only on the settings, the seed and the events.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let class_statistics = settings.classes.iter().map(ClassStatistics::new).collect();
@@ -105,7 +105,7 @@
         })
     }
 
-    /// Takes an event in and appends what is to be done, in order.
+    /// Handles an event and appends the resulting actions in order.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         if !self.started {
             self.started = true;
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -1,147 +1,146 @@
-//! What the router remembers of each server and of each request that it has not finished with.
+//! The router's state for each server and each open request.
 
 use super::statistics::SLOWDOWN_HALF_LIFE_MS;
 use crate::interface::{Micros, RequestId, ServerId, State};
 use crate::statistics::SlowdownAverage;
 use std::collections::VecDeque;
 
-/// What a server is to this router.
+/// Role of a server for this router.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 pub(super) enum Role {
-    /// A cache of the router's own zone.
+    /// A cache in the router's own zone.
     #[default]
     Cache,
-    /// A parent cache, from which the caches fill.
+    /// A parent cache from which caches are filled.
     Parent,
-    /// The origin.
     Origin,
 }
 
-/// A server to try, and the source of its fill.
+/// A server for an attempt and the source of its fill.
 #[derive(Clone, Copy)]
 pub(super) struct Target {
     pub(super) server: ServerId,
     pub(super) source: Option<ServerId>,
 }
 
-/// Work sent to a server while it warms up.
+/// A request charged to the slow-start budget of a server.
 pub(super) struct Charge {
     pub(super) at: Micros,
-    /// Usual transfer time of the request's class, in seconds.
+    /// Typical transfer time of the request's class, in seconds.
     pub(super) transfer_s: f64,
     pub(super) request: RequestId,
 }
 
-/// A server of the list, and what this router has learned of it.
+/// A server of the list with the state that this router keeps for it.
 #[derive(Default)]
 pub(super) struct Endpoint {
     pub(super) role: Role,
-    /// Place of its zone in the settings.
+    /// Index of its zone in the settings.
     pub(super) zone: usize,
     pub(super) cell: u64,
     pub(super) weight: f64,
     pub(super) state: State,
     pub(super) started: Option<Micros>,
-    /// It refused a connection; when it answers again, its process is taken to have just started.
+    /// The server refused a connection; its next answer is treated as a restart of its process.
     pub(super) connect_failed: bool,
-    /// When it answered again after that.
+    /// Time of that answer.
     pub(super) recovered_at: Option<Micros>,
-    /// Share of recent attempts that failed by this server's fault.
+    /// Rate of recent failures attributed to this server.
     pub(super) failure_rate: f64,
     pub(super) ejected_until: Micros,
-    /// Ejections in a row; above 0, the server is on trial once the latest has run out.
+    /// Number of consecutive ejections; if it is not 0 after the last ejection expires, the server is on trial.
     pub(super) ejections: u32,
-    /// The single attempt of its trial is out.
+    /// The single trial attempt is in flight.
     pub(super) trial_in_flight: bool,
     pub(super) last_success: Micros,
-    /// When a connection to it last broke.
+    /// Time of the last connection reset.
     pub(super) last_reset: Micros,
-    /// Attempts from this router that it holds, and their average over time.
+    /// Attempts of this router in flight at the server, currently and on average.
     pub(super) in_flight: usize,
     pub(super) mean_in_flight: f64,
-    /// Recent hits from it.
+    /// Slowdown of recent hits.
     pub(super) hit_slowdown: SlowdownAverage<SLOWDOWN_HALF_LIFE_MS>,
-    /// Recent fills from it whose size was known.
+    /// Slowdown of recent fills of known size.
     pub(super) fill_slowdown: SlowdownAverage<SLOWDOWN_HALF_LIFE_MS>,
-    /// What was sent to it within the slow-start rule's window.
+    /// Requests sent to the server within the window of the slow-start rule.
     pub(super) slow_start_charges: VecDeque<Charge>,
 }
 
 impl Endpoint {
-    /// When its process started, or is taken to have started; none: long ago.
+    /// Returns when the server's process started or is assumed to have started; `None` if it has long been warm.
     pub(super) fn warming_since(&self) -> Option<Micros> {
         self.started.max(self.recovered_at)
     }
 }
 
-/// An attempt that is out.
+/// An attempt in flight.
 pub(super) struct Attempt {
-    /// Counted from 0 for each request.
+    /// Number within its request, starting at 0.
     pub(super) number: u32,
     pub(super) server: ServerId,
     pub(super) source: Option<ServerId>,
     pub(super) sent_at: Micros,
-    /// Its server may be silent if there is no answer by then.
+    /// Time from which a missing answer counts as evidence that the server is silent.
     pub(super) overdue_at: Micros,
-    /// Estimated transfers of the server when it was sent, this one with them.
+    /// Estimated transfers at the server at the time of sending, including this one.
     pub(super) server_load: f64,
-    /// Estimated fills by the location's link when it was sent, this one with them.
+    /// Estimated fills on the location's link at the time of sending, including this one.
     pub(super) link_fills: f64,
     pub(super) cancelled: bool,
-    /// From then on, sharing no longer explains that it is still out.
+    /// Time from which the attempt takes longer than sharing of the link can explain.
     pub(super) stuck_after: Micros,
-    /// It was cancelled for that.
+    /// The attempt was cancelled because `stuck_after` had passed.
     pub(super) stuck: bool,
-    /// Its source is a parent or the origin.
+    /// The source of its fill is a parent or the origin.
     pub(super) fills_from_upstream: bool,
-    /// The origin may be asked for it.
+    /// The attempt may reach the origin.
     pub(super) may_reach_origin: bool,
 }
 
-/// The first attempt of a request that may have run.
+/// First attempt of a request that may have run.
 #[derive(Clone, Copy)]
 pub(super) struct FirstRun {
     pub(super) sent_at: Micros,
-    /// Its server's zone and cell.
+    /// Zone and cell of its server.
     pub(super) zone: usize,
     pub(super) cell: u64,
 }
 
-/// A request whose final answer is owed, or whose attempt is still out after the client left.
+/// A request without a final answer, or with an attempt still in flight after the client left.
 #[derive(Default)]
 pub(super) struct OpenRequest {
-    /// Place of its class in the settings.
+    /// Index of its class in the settings.
     pub(super) class: usize,
-    /// Hash of the object and its part: what the caches are ranked by.
+    /// Hash of the object and its part, by which caches are ranked.
     pub(super) part_key: u64,
     pub(super) object: u64,
     pub(super) group: u64,
-    /// Transfer time at full pace, in seconds; its class's usual one if the size is not known.
+    /// Transfer time at full rate in seconds; the typical one of its class if the size is unknown.
     pub(super) transfer_s: f64,
     pub(super) size_known: bool,
-    /// Recent requests for the object, and for this part of it.
+    /// Recent requests for the object and for this part.
     pub(super) object_count: f64,
     pub(super) part_count: f64,
-    /// End of its latency objective.
+    /// Time at which its latency objective ends.
     pub(super) objective_at: Micros,
     pub(super) deadline: Micros,
-    /// Drawn from 0 to 1: below the origin's admitted share, the origin may be asked.
+    /// Random number from 0 to 1; the origin may be asked if it is below the admitted share.
     pub(super) admission_draw: f64,
     /// Attempts sent so far.
     pub(super) attempts: u32,
     pub(super) in_flight: Option<Attempt>,
-    /// A streamed answer has begun.
+    /// A streamed answer has started.
     pub(super) streaming: bool,
     pub(super) client_left: bool,
-    /// Attempts that failed by their source, or may have, or that a parent lacked.
+    /// Attempts that failed, or may have failed, because of their source or that missed in a parent.
     pub(super) failed_fills: u32,
     /// Attempts cancelled as stuck.
     pub(super) stuck: u32,
-    /// Attempts that servers failed without a reason.
+    /// Attempts that servers answered with an error without a reason.
     pub(super) unexplained_errors: u32,
-    /// The server of the first of these: it is at fault once another one serves the request.
+    /// Server of the first such attempt; the error is attributed to it if another server serves the request.
     pub(super) first_failed_server: Option<ServerId>,
-    /// Its cache was only looked into and holds no copy: it must be filled.
+    /// A lookup without a fill missed in the cache, so the object must be filled.
     pub(super) known_miss: bool,
     pub(super) tried_servers: Vec<ServerId>,
     pub(super) excluded_sources: Vec<ServerId>,
--- a/src/statistics.rs
+++ b/src/statistics.rs
@@ -1,18 +1,18 @@
-//! Counts and sums that decay with time: what is remembered of requests and answers. Decides nothing; how fast things
-//! decay and how much is kept is handed in.
+//! Exponentially decaying counts and averages of requests and answers. Half-lives and table sizes are chosen by the
+//! callers.
 
 use crate::interface::Micros;
 use std::collections::HashMap;
 
-/// Least count of the entries that stay when a table of counts overflows; doubled until it fits.
+/// Lowest count of an entry that survives the first eviction pass of a full table; doubled with each further pass.
 const INITIAL_EVICTION_FLOOR: f64 = 0.25;
 
-/// What is left of a figure that was right at a time and falls by half in so many seconds.
+/// Returns a value that was recorded at `at`, decayed to `now`.
 pub(crate) fn decayed(figure: f64, at: Micros, now: Micros, half_life_s: f64) -> f64 {
     figure * (-(now.saturating_sub(at) as f64) / 1e6 / half_life_s).exp2()
 }
 
-/// A count, as it was when it was last added to.
+/// A decaying count, stored with the time of its last update.
 #[derive(Clone, Copy, Default)]
 struct Count {
     value: f64,
@@ -39,7 +39,7 @@
 }
 
 impl RequestCounts {
-    /// An empty table of at most so many entries; the least counted go first when it is full.
+    /// Returns an empty table. When it holds more than `capacity` entries, those with the lowest counts are evicted.
     pub(crate) fn new(half_life_s: f64, capacity: usize) -> Self {
         RequestCounts {
             entries: HashMap::new(),
@@ -49,12 +49,12 @@
         }
     }
 
-    /// All that was counted, also what the table holds no more.
+    /// Returns the decayed count of all requests, including those of evicted keys.
     pub(crate) fn total(&self, now: Micros) -> f64 {
         self.total.at(now, self.half_life_s)
     }
 
-    /// Counts a request; gives the key's count with it.
+    /// Counts a request and returns the updated count of its key.
     pub(crate) fn add(&mut self, key: u64, now: Micros) -> f64 {
         let half_life_s = self.half_life_s;
         self.total.add_one(now, half_life_s);
@@ -66,7 +66,7 @@
         let count = entry.value;
         let mut floor = INITIAL_EVICTION_FLOOR;
         while self.entries.len() > self.capacity {
-            // What goes depends on each entry alone, never on the order of the table.
+            // Eviction depends on the counts alone, not on the iteration order of the map.
             self.entries
                 .retain(|_, entry| entry.at(now, half_life_s) >= floor);
             floor *= 2.0;
@@ -75,30 +75,30 @@
     }
 }
 
-/// What recent transfers tell.
+/// Averages over recent transfers.
 pub(crate) struct SlowdownSample {
-    /// Time taken, over transfer time at full pace.
+    /// Duration of the transfers, as a multiple of their duration at full rate.
     pub(crate) slowdown: f64,
-    /// Transfers that shared the server or link meanwhile.
+    /// Concurrent transfers on the server or link.
     pub(crate) load: f64,
 }
 
-/// Decaying sums over hits or fills: time taken, transfer time at full pace, transfers that shared the server or link,
-/// and their number. They fall by half in so many milliseconds.
+/// Decaying sums over hits or fills: actual duration, duration at full rate, concurrent transfers on the server or
+/// link, and number of samples.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct SlowdownAverage<const HALF_LIFE_MS: u64> {
     took_s: f64,
     transfer_s: f64,
     load: f64,
     samples: f64,
-    /// When the last of them came.
+    /// Time of the last sample.
     pub(crate) updated_at: Micros,
 }
 
 impl<const HALF_LIFE_MS: u64> SlowdownAverage<HALF_LIFE_MS> {
     const HALF_LIFE_S: f64 = HALF_LIFE_MS as f64 / 1e3;
 
-    /// Takes one in.
+    /// Adds a sample.
     pub(crate) fn add(&mut self, now: Micros, took_s: f64, transfer_s: f64, load: f64) {
         let decay = self.decay_factor(now);
         *self = SlowdownAverage {
@@ -110,20 +110,20 @@
         };
     }
 
-    /// What they tell, while so many of them still count.
-    pub(crate) fn recent_average(&self, now: Micros, samples: f64) -> Option<SlowdownSample> {
-        self.last_average(samples / self.decay_factor(now))
+    /// Returns the averages if the decayed number of samples is at least `min_samples`.
+    pub(crate) fn recent_average(&self, now: Micros, min_samples: f64) -> Option<SlowdownSample> {
+        self.last_average(min_samples / self.decay_factor(now))
     }
 
-    /// What they tell once there were so many of them, however long ago.
-    pub(crate) fn last_average(&self, samples: f64) -> Option<SlowdownSample> {
-        (self.samples >= samples).then(|| SlowdownSample {
+    /// Returns the averages if the number of samples was at least `min_samples` at the last update, however long ago.
+    pub(crate) fn last_average(&self, min_samples: f64) -> Option<SlowdownSample> {
+        (self.samples >= min_samples).then(|| SlowdownSample {
             slowdown: self.took_s / self.transfer_s.max(1e-9),
             load: self.load / self.samples,
         })
     }
 
-    /// What is left now of sums that were right when the last one came.
+    /// Returns the factor by which the sums have decayed since the last sample.
     fn decay_factor(&self, now: Micros) -> f64 {
         decayed(1.0, self.updated_at, now, Self::HALF_LIFE_S)
     }
