--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! linnetknot makes the decisions of an edge proxy in front of caches of large objects behind thin links: which cache a
-//! request goes to, where a miss is filled from, what is cached, and what happens when things fail.
+//! linnetknot makes the decisions of an edge proxy in front of caches that hold large objects and have low-bandwidth
+//! links: which cache receives a request, where a miss is filled from, what is cached, and how failures are handled.
 //!
-//! The library is sans-IO. A proxy feeds a [`Router`] with events and carries out the actions that come back;
-//! time is the `now` of each call, and randomness comes from the seed alone.
+//! The library performs no I/O. A proxy passes events to a [`Router`] and carries out the actions that it returns. Time is
+//! the `now` of each call, and all random choices derive from the seed.
 //!
 //! ```
 //! use linnetknot::*;
@@ -16,27 +16,29 @@
 //! let mut settings = Settings {
 //!     classes: vec![class], tenants: vec![], zones: vec![zone("hub", 0, 0), zone("town", 1, 0)], zone: 1,
 //!     router_index: Some(0),
-//!     parent_kind: None, origin_kind: "origin".into(), polls_list: false, direct_to_upstream: false, coalesces_fills: true,
+//!     parent_kind: None, origin_kind: "origin".into(), polls_list: false,
+//!     direct_to_upstream: false, coalesces_fills: true,
 //!     siblings: Siblings::Off, answer_detail: AnswerDetail::All, load_reports: LoadReports::Off, weights_known: true,
 //!     flow_kb_per_s: 4_000.0, max_attempts: 4, hedged_requests: false, cancel: true, probes: false,
 //!     retry_after: true, max_retry_after_us: 1_000_000, origin_overload_multiple: 0.0,
 //!     rules: Rules {
 //!         drain_grace_us: 1_000_000, slow_start_share: 0.2, slow_start_us: 10_000_000, overload_multiple: 3.0,
-//!         overload_window_us: 1_000_000, parent_slow_start_share: 0.1, parent_slow_start_us: 10_000_000, parent_overload_multiple: 2.0,
+//!         overload_window_us: 1_000_000, parent_slow_start_share: 0.1, parent_slow_start_us: 10_000_000,
+//!         parent_overload_multiple: 2.0,
 //!         purge_grace_us: 500_000, purge_completion_us: 5_000_000, max_poll_age_us: 0,
 //!     },
 //! };
 //! let mut router = Router::new(settings.clone(), 42)?;
 //! let mut actions = Vec::new();
 //!
-//! // The list of servers: one cache here, and the origin at the hub.
+//! // The server list: one cache in the router's zone, and the origin.
 //! let server = |id, zone: &str, kind: &str| Server {
 //!     id, zone: zone.into(), cell: 0, kind: kind.into(), weight: 8.0, state: State::Ready, started: None,
 //! };
 //! let servers = vec![server(1, "town", "cache"), server(9, "hub", "origin")];
 //! router.handle(0, Event::List { mode: ListMode::Full, servers }, &mut actions);
 //!
-//! // A request: the router names the cache, and the origin as the source of a fill.
+//! // A request is sent to the cache, with the origin as the source of the fill.
 //! actions.clear();
 //! let request = Request {
 //!     id: 7, class: "video".into(), tenant: None, object: "/o/film".into(), part: 0, group: 0,
@@ -45,7 +47,7 @@
 //! router.handle(1_000, Event::Request(request), &mut actions);
 //! assert!(matches!(actions[0], Action::Attempt { request: 7, server: 1, fill: Some(Fill { source: 9, .. }), .. }));
 //!
-//! // Its outcome: the client has its answer, nothing is left to do.
+//! // After the attempt has ended with an answer, no action remains.
 //! actions.clear();
 //! let outcome = Event::AttemptEnded {
 //!     request: 7, attempt: 0, server: 1, outcome: Outcome::Ok, took_us: 240_000, settled: true,
@@ -54,7 +56,7 @@
 //! router.handle(241_000, outcome, &mut actions);
 //! assert!(actions.is_empty());
 //!
-//! // Unusable settings are told at the start.
+//! // Invalid settings are rejected.
 //! settings.classes.clear();
 //! assert_eq!(Router::new(settings, 42).err(), Some(SettingsError::NoClass));
 //! # Ok::<(), SettingsError>(())
