--- a/src/router/capacity.rs
+++ b/src/router/capacity.rs
@@ -1,5 +1,5 @@
-//! Capacity and load shedding: what a server and the location's link can carry, and whether a request sent there would
-//! be in time.
+//! Capacity and load shedding: estimates what a server and the location's link can carry, and whether a request would
+//! be answered in time.
 
 use super::state::{Endpoint, OpenRequest, Role};
 use super::statistics::MIN_SLOWDOWN_SAMPLES;
@@ -7,33 +7,34 @@
 use crate::interface::{Micros, ServerId, State};
 use crate::statistics::{decayed, SlowdownSample};
 
-/// Share of the time left that a fill may need: what is late costs others too.
+/// Maximum fraction of the remaining time that a fill may be expected to take.
 const LINK_MARGIN: f64 = 0.4;
-/// Of a link or cache where sizes are not known: what is large has to fit too.
+/// Maximum fraction for transfers of unknown size, which may be larger than typical.
 const UNKNOWN_SIZE_MARGIN: f64 = 0.5;
-/// Share of the time left that a transfer from a cache may be expected to take: more come while it runs.
+/// Maximum fraction of the remaining time that a transfer from a cache may be expected to take; further transfers may
+/// start during it.
 const CACHE_MARGIN: f64 = 0.75;
-/// Transfers that take so many times as long as at full pace show a link shared by too many.
+/// Slowdown from which a link counts as congested.
 const CONGESTED_SLOWDOWN: f64 = 1.3;
-/// With no fills at all the link is taken to fit twice as much after this.
+/// Time without fills after which the estimated capacity of the link doubles.
 const LINK_RECOVERY_S: f64 = 1.0;
-/// Number of fills that tell of the link, however long ago they were.
+/// Minimum number of fills, however long ago, for an estimate of the link's capacity.
 const MIN_LINK_SAMPLES: f64 = 1.5;
-/// Least capacity that congestion may show, in transfers.
+/// Minimum estimated capacity of a congested server, in transfers.
 const MIN_OBSERVED_CAPACITY: f64 = 0.2;
 
 impl Router {
-    /// Whether the rules let a server be given this request, as target or as source of its fill.
+    /// Returns whether a server may receive a request, as target or as source of its fill.
     pub(super) fn admits(&self, id: ServerId, now: Micros, open: &OpenRequest) -> bool {
-        // The slow-start rule weighs each request by its class's mean: what is large has the same chance.
+        // The slow-start budget charges the class's mean, so that large requests are not at a disadvantage.
         let transfer_s = self.class_statistics[open.class].transfer_s;
         self.endpoints.get(&id).is_some_and(|server| {
             server.state == State::Ready && self.admits_in_slow_start(id, server, now, transfer_s)
         })
     }
 
-    /// Whether a transfer that is slowed down so many times is in time: within the latency objective or, once that is
-    /// past, until the client gives up.
+    /// Returns whether a slowed-down transfer would finish in time: within the latency objective or, if that has
+    /// passed, before the client's deadline.
     fn fits_in_time(&self, now: Micros, open: &OpenRequest, slowdown: f64, margin: f64) -> bool {
         let until = if now < open.objective_at {
             open.objective_at.min(open.deadline)
@@ -43,7 +44,8 @@
         open.transfer_s * slowdown * 1e6 <= margin * until.saturating_sub(now) as f64
     }
 
-    /// Whether a cache is not full: by its transfers from here and the capacity that its answers showed.
+    /// Returns whether a cache has enough capacity to answer a request in time, given its load and the capacity
+    /// observed in its answers.
     pub(super) fn responds_in_time(&self, id: ServerId, now: Micros, open: &OpenRequest) -> bool {
         let Some(server) = self.endpoints.get(&id) else {
             return false;
@@ -58,19 +60,19 @@
         self.fits_in_time(now, open, sharing.max(1.0), margin)
     }
 
-    /// Transfers that a server holds: this router's own, and an estimate of the others'. Reported loads foretold less:
-    /// they count requests that wait for fills, and are old by the time they are used.
+    /// Estimates the transfers in progress at a server, of this router and of others. Reported loads are not used,
+    /// because they include requests that wait for fills and are outdated when they arrive.
     pub(super) fn load(&self, server: &Endpoint) -> f64 {
         server.in_flight as f64 + server.mean_in_flight * (self.local_routers() - 1.0)
     }
 
-    /// Routers of this location.
+    /// Returns the number of routers in this location.
     fn local_routers(&self) -> f64 {
         f64::from(self.settings.zones[self.settings.zone].routers.max(1))
     }
 
-    /// Capacity in transfers as recent hits showed it: where each took longer than its size explains, the link was
-    /// shared by more transfers than it fits.
+    /// Returns a server's capacity in transfers as observed in recent hits: if hits took longer than their size
+    /// explains, more transfers shared the link than it carries at full rate.
     fn observed_capacity(&self, now: Micros, server: &Endpoint) -> f64 {
         match server
             .hit_slowdown
@@ -84,13 +86,13 @@
         }
     }
 
-    /// What a server's link fits at full pace, in transfers.
+    /// Returns the capacity of a server's link at full rate, in transfers.
     pub(super) fn capacity(&self, server: &Endpoint) -> f64 {
         if self.settings.weights_known {
             return server.weight;
         }
-        // Not told. A location's link carries only the misses of its caches, so its part for one cache is less than
-        // that cache's own link; and a parent is built for more than one location.
+        // Weights are unknown, so the capacity is estimated from below: a location's link carries only the misses of
+        // its caches, so its share per cache is less than the cache's own link, and a parent serves several locations.
         let link = self.mean_link_capacity();
         let cache_share = if server.role == Role::Cache {
             let is_cache = |server: &&Endpoint| server.role == Role::Cache;
@@ -102,7 +104,7 @@
         cache_share.max(1.0)
     }
 
-    /// What the links of the locations fit at full pace in the mean, in transfers.
+    /// Returns the mean capacity of the locations' links at full rate, in transfers.
     fn mean_link_capacity(&self) -> f64 {
         let sizes = self.settings.zones.iter().map(|zone| zone.link_kb_per_s);
         let known = sizes.clone().filter(|size| *size > 0.0).count();
@@ -110,8 +112,8 @@
         sum / known.max(1) as f64 / self.settings.flow_kb_per_s.max(1.0)
     }
 
-    /// The location's link shares its pace among all fills: one that could not be in time would only make the others
-    /// late too, so the cache is just looked into.
+    /// Returns whether another fill would not finish in time on the location's link. Such a fill would only delay the
+    /// others, so the cache is asked for its own copy alone.
     pub(super) fn link_is_full(&self, now: Micros, open: &OpenRequest) -> bool {
         let Some(capacity) = self.link_capacity(now) else {
             return false;
@@ -125,9 +127,9 @@
         !self.fits_in_time(now, open, slowdown, margin)
     }
 
-    /// What the location's link fits at full pace, in fills; none: nothing shows that it is too small. Where its size
-    /// is not told, it is what its fills showed: without a bound, fills that come too late are begun anew and keep the
-    /// link jammed.
+    /// Returns the capacity of the location's link at full rate, in fills; `None` if nothing indicates congestion. A
+    /// capacity missing from the settings is estimated from recent fills. Without a limit, fills that miss their
+    /// deadline would be retried and keep the link congested.
     fn link_capacity(&self, now: Micros) -> Option<f64> {
         let link_kb_per_s = self.settings.zones[self.settings.zone].link_kb_per_s;
         if link_kb_per_s > 0.0 {
@@ -142,7 +144,7 @@
         Some(average.load / average.slowdown / recovery)
     }
 
-    /// Fills by the location's link: this router's own, and an estimate of the others'.
+    /// Estimates the fills in progress on the location's link, of this router and of others.
     pub(super) fn link_fills(&self) -> f64 {
         self.active_fills + self.mean_active_fills * (self.local_routers() - 1.0)
     }
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -1,16 +1,16 @@
-//! An attempt as it is sent: how its miss is filled, and what is remembered of it.
+//! Sends attempts: determines how a miss is filled and records the attempt.
 
 use super::state::{Attempt, Charge, OpenRequest, Role, Target};
 use super::Router;
 use crate::interface::{Action, Fill, Micros, RequestId, ServerId};
 
-/// A part with this count was asked for again while counted: it is kept at rank 2, so no scan pushes it out.
+/// Request count from which a part is cached at rank 2, where scans of other objects do not evict it.
 const RETAINED_PART_COUNT: f64 = 1.3;
-/// An attempt is stuck once it takes so many times as long as nearly all answers of its class.
+/// Multiple of the duration of nearly all answers of its class after which an attempt is stuck.
 const STUCK_FACTOR: f64 = 2.2;
-/// Attempts cancelled as stuck that double that time at most.
+/// Maximum number of times that a request's stuck attempts double that duration.
 const MAX_STUCK_DOUBLINGS: u32 = 4;
-/// An attempt is overdue after this, and `OVERDUE_FACTOR` times its transfer time.
+/// An attempt is overdue after this time plus `OVERDUE_FACTOR` times its transfer time.
 const OVERDUE_US: Micros = 250_000;
 /// See `OVERDUE_US`.
 const OVERDUE_FACTOR: f64 = 2.0;
@@ -54,7 +54,7 @@
         });
     }
 
-    /// How a miss is filled, and what is kept of it.
+    /// Returns how a miss is filled and cached.
     fn fill_for(&self, now: Micros, open: &OpenRequest, target: Target) -> Fill {
         let class = &self.settings.classes[open.class];
         let retained = open.part_count >= RETAINED_PART_COUNT;
@@ -100,13 +100,14 @@
         }
     }
 
-    /// Whether a server is a parent or the origin.
+    /// Returns whether a server is a parent or the origin.
     fn is_upstream(&self, id: ServerId) -> bool {
         let server = self.endpoints.get(&id);
         server.is_some_and(|server| server.role != Role::Cache)
     }
 
-    /// Charges a server for an attempt that it takes or fills. If it was ejected, this is its trial.
+    /// Charges the slow-start budget of a server for an attempt that it receives or fills. An attempt to a previously
+    /// ejected server is its trial.
     fn charge(&mut self, id: ServerId, charge: Charge) {
         if let Some(server) = self.endpoints.get_mut(&id) {
             server.slow_start_charges.push_back(charge);
--- a/src/router/endpoints.rs
+++ b/src/router/endpoints.rs
@@ -1,18 +1,18 @@
-//! The list of servers: who is there, in which role, and who takes work.
+//! The server list: the roles of servers and which of them accept requests.
 
 use super::state::{Endpoint, Role};
 use super::Router;
 use crate::interface::{Action, ListMode, Micros, Server, ServerId, State};
 
-/// Wait before the list is asked for again after a failed call.
+/// Delay before the server list is polled again after a failure.
 const WATCH_RETRY_US: Micros = 1_000_000;
-/// Tag of the timer to ask for the list again.
+/// Tag of the timer that polls the server list again.
 pub(super) const WATCH_TAG: u64 = 1;
-/// Weight of a server whose entry has no usable one.
+/// Weight of a server whose entry has no valid weight.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
 impl Router {
-    /// Takes the list in, or changes to it.
+    /// Applies a server list or changes to it.
     pub(super) fn update_endpoints(
         &mut self,
         now: Micros,
@@ -33,14 +33,14 @@
         for entry in entries {
             self.update_endpoint(&entry);
         }
-        // A server that is gone stays while it holds attempts; new ones come under new ids.
+        // A removed server is kept while it has attempts in flight; servers that are added later have new ids.
         self.endpoints
             .retain(|_, server| server.state != State::Gone || server.in_flight > 0);
         let roles = [Role::Cache, Role::Parent, Role::Origin];
         self.ready_by_role = roles.map(|role| self.ready_in(role));
     }
 
-    /// What a whole list does not name is gone.
+    /// Marks the servers that a complete list does not contain as gone.
     fn remove_unlisted(&mut self, entries: &[Server]) {
         let listed: Vec<ServerId> = entries.iter().map(|entry| entry.id).collect();
         for (id, server) in &mut self.endpoints {
@@ -75,7 +75,7 @@
             return;
         };
         if known.started != entry.started && entry.state == State::Ready {
-            // A new start clears what was held against the old process; what is out to it still counts.
+            // A restart clears the statistics of the previous process; requests in flight still count.
             *known = Endpoint {
                 in_flight: known.in_flight,
                 slow_start_charges: std::mem::take(&mut known.slow_start_charges),
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The role of a server; none: a cache of another location, which is never used.
+    /// Returns the role of a server; `None` for a cache of another location, which is never used.
     fn role_of(&self, entry: &Server, zone: Option<usize>) -> Option<Role> {
         if self.settings.parent_kind.as_ref() == Some(&entry.kind) {
             Some(Role::Parent)
--- a/src/router/faults.rs
+++ b/src/router/faults.rs
@@ -1,32 +1,32 @@
-//! Whose fault the end of an attempt was, and what is counted against whom.
+//! Attributes failed attempts to servers and sources, and records them in their failure rates.
 
 use super::outcomes::AttemptEnd;
 use super::outliers::FAILURE_WEIGHT;
 use super::Router;
 use crate::interface::{AnswerDetail, Note, Outcome, ServerId};
 
-/// A server that was not reached is ejected at once: its process is down whatever the list says.
+/// Weight of a failure to connect, which ejects a server immediately, whatever the list says.
 const CONNECT_FAILURE_WEIGHT: f64 = 2.0;
-/// A broken connection: if its process has ended, that shows with the next one.
+/// Weight of a connection reset; if the server's process has ended, the next connection fails too.
 const RESET_WEIGHT: f64 = 0.5;
-/// Against the server of a stuck attempt: it may be a large object or a slow source.
+/// Weight of a stuck attempt, which a large object or a slow source may explain.
 const STUCK_WEIGHT: f64 = 0.25;
 
-/// Whose fault a failure is taken to be.
+/// Attribution of a failure.
 pub(super) enum Fault {
-    /// The server's, or the request's own.
+    /// The server, or the request itself.
     Server,
-    /// The source's, or the origin's behind it, as the answer told.
+    /// The source or the origin behind it, according to the answer.
     Source,
-    /// The server's or the source's; answers do not tell whose.
+    /// The server or the source; the answer does not say which.
     Shared {
-        /// The source's part, from 0 to 1; the rest is the server's.
+        /// Share attributed to the source, from 0 to 1; the rest is attributed to the server.
         source_share: f64,
     },
 }
 
 impl Fault {
-    /// Whether it is the source's rather than the server's.
+    /// Returns whether the failure is attributed mainly to the source.
     pub(super) fn is_source(&self) -> bool {
         match self {
             Fault::Server => false,
@@ -37,8 +37,8 @@
 }
 
 impl Router {
-    /// Whose fault a failure would be. Where reasons are not told, it is shared by what has failed of each so far, and
-    /// the healthy one is cleared by its other answers.
+    /// Attributes a failure. If the answer gives no reason, the failure is divided in proportion to the failure rates
+    /// of both, so the healthy one is cleared by its other answers.
     pub(super) fn assign_fault(&self, end: &AttemptEnd) -> Fault {
         let reason_known = self.settings.answer_detail == AnswerDetail::All
             || !matches!(end.outcome, Outcome::Full | Outcome::Error);
@@ -58,7 +58,7 @@
         failure_rate + FAILURE_WEIGHT / 4.0
     }
 
-    /// Counts the end of an attempt for or against its server and source.
+    /// Records the end of an attempt in the failure rates of its server and source.
     pub(super) fn record_outcome(&mut self, end: &mut AttemptEnd, fault: &Fault) {
         let (now, server) = (end.now, end.attempt.server);
         match end.outcome {
@@ -81,14 +81,14 @@
                 (_, Outcome::Timeout) if now < end.attempt.overdue_at => {}
                 (_, Outcome::ConnectFailed | Outcome::Unreached) => self.record_unreached(end),
                 (_, Outcome::Reset) => self.record_reset(end),
-                // Whose fault it is, the server's or the request's, shows elsewhere.
+                // A later attempt shows whether the server or the request is at fault.
                 (_, Outcome::Error) => end.first_failed_server = Some(server),
                 _ => self.record_failure(now, server, 1.0),
             },
         }
     }
 
-    /// Counts an answer for its server, and for its source if that gave a copy.
+    /// Records an answer as a success of its server, and of its source if the source supplied the copy.
     fn record_answer(&mut self, end: &AttemptEnd) {
         if let Some(failed) = end.first_failed_server {
             self.record_failure(end.now, failed, 1.0);
@@ -99,7 +99,7 @@
             return;
         };
         if end.is_hit() {
-            // Found in the cache: the source was never asked.
+            // The cache had a copy, so the source received no request.
             if let Some(source) = self.endpoints.get_mut(&source) {
                 source
                     .slow_start_charges
@@ -114,10 +114,10 @@
         }
     }
 
-    /// Counts an attempt that was cancelled as stuck against those who did not answer.
+    /// Records an attempt cancelled as stuck against those that did not answer.
     fn record_stuck(&mut self, end: &AttemptEnd) {
-        // It counts as long as well: were only answers counted, cutting off their tail would lower the bound further,
-        // and a slow origin would have all its work cancelled and begun anew.
+        // Counts as a slow answer. Counting only completed answers would lower the bound with every cancellation, so a
+        // slow origin would have all its requests cancelled and repeated.
         if end.slow {
             self.class_statistics[end.class].learn_tail(true);
         }
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Counts a connection that did not come up against its server.
+    /// Records a failure to connect.
     fn record_unreached(&mut self, end: &AttemptEnd) {
         self.record_failure(end.now, end.attempt.server, CONNECT_FAILURE_WEIGHT);
         if let Some(server) = self.endpoints.get_mut(&end.attempt.server) {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Counts a broken connection against its server. One break ends all that is in flight on it: it counts once.
+    /// Records a connection reset. One reset may end several attempts and is counted once.
     fn record_reset(&mut self, end: &AttemptEnd) {
         let Some(server) = self.endpoints.get_mut(&end.attempt.server) else {
             return;
--- a/src/router/leases.rs
+++ b/src/router/leases.rs
@@ -1,11 +1,11 @@
-//! What this router may spend of the budgets that all routers share.
+//! This router's part of the budgets that all routers share.
 
 use super::state::Role;
 use super::Router;
 use crate::interface::{Budget, Lease, Micros, ServerId};
 
 impl Router {
-    /// What this router may spend of a shared budget: by its lease, else one of so many equal shares.
+    /// Returns this router's part of a shared budget: the leased amount, or an equal share without a lease.
     pub(super) fn budget_share(&self, budget: Budget, routers: u32, now: Micros) -> f64 {
         match self.leases.get(&budget) {
             None => 1.0 / f64::from(routers.max(1)),
@@ -13,7 +13,7 @@
         }
     }
 
-    /// Requests from here that the origin holds, or may hold.
+    /// Returns the number of this router's requests that are, or may be, in flight at the origin.
     pub fn origin_requests_in_flight(&self) -> usize {
         let attempts = self.requests.values().filter_map(|o| o.in_flight.as_ref());
         attempts
@@ -26,7 +26,7 @@
         server.is_some_and(|server| server.role == Role::Origin)
     }
 
-    /// Whether the origin may hold one more: without a lease of its capacity there is no bound.
+    /// Returns whether one more request may be sent to the origin. Without a lease there is no limit.
     pub(super) fn origin_has_capacity(&self, now: Micros) -> bool {
         let Some(lease) = self.leases.get(&Budget::Origin) else {
             return true;
@@ -36,7 +36,7 @@
 }
 
 impl Lease {
-    /// How much may be spent at a time.
+    /// Returns the amount that applies at a time.
     fn amount_at(&self, now: Micros) -> f64 {
         if now < self.until {
             self.amount
--- a/src/router/origin.rs
+++ b/src/router/origin.rs
@@ -1,33 +1,34 @@
-//! How much of its work this router lets reach the origin: less while the origin's answers come too late.
+//! Origin admission: limits the share of requests that may reach the origin while its answers are late.
 
 use super::outcomes::AttemptEnd;
 use super::state::OpenRequest;
 use super::Router;
 use crate::interface::{Micros, Note};
 
-/// Of the admitted share, with a late answer.
+/// Factor applied to the admitted share for a late answer.
 const ORIGIN_SHARE_DECREASE: f64 = 0.85;
-/// That many times at most, the later the answer: a long queue is slow to show.
+/// Maximum exponent of `ORIGIN_SHARE_DECREASE`. Later answers have larger exponents, because a long queue takes time to
+/// show.
 const MAX_ORIGIN_LATENESS: f64 = 3.0;
-/// Added to the admitted share with an answer in time.
+/// Increase of the admitted share for an answer in time.
 const ORIGIN_SHARE_INCREASE: f64 = 0.04;
-/// Least admitted share: so many find out whether the origin is well again.
+/// Minimum admitted share, so that a recovery of the origin is detected.
 const MIN_ORIGIN_SHARE: f64 = 0.05;
-/// An answer speaks for so many more for each second since the one before: a router among many sees few.
+/// Additional weight of an answer per second since the previous one, since one router of many sees few answers.
 const ANSWER_WEIGHT_PER_S: f64 = 10.0;
-/// An answer so many times its objective late is reported to other routers: less may be chance.
+/// Lateness, as a multiple of the latency objective, from which an answer is reported to other routers.
 const MIN_REPORTED_LATENESS: f64 = 2.0;
-/// Longest time since the last answer that counts.
+/// Maximum time since the previous answer that adds weight.
 const MAX_ANSWER_GAP_US: Micros = 1_000_000;
 
-/// How much of a router's work may reach the origin.
+/// Share of a router's requests that may reach the origin.
 pub(super) struct OriginAdmission {
-    /// Share of the requests that may have the origin asked.
+    /// Admitted share according to this router's own answers.
     share: f64,
     updated_at: Micros,
-    /// What the share fell to by an answer that other routers should know of.
+    /// Share after an answer that must be reported to other routers.
     pending_report: Option<f64>,
-    /// What the share may be at most by what other routers found, and until when.
+    /// Upper limit of the share reported by other routers, and its expiry time.
     peer_limit: f64,
     peer_limit_until: Micros,
 }
@@ -36,20 +37,21 @@
     pub(super) fn new() -> Self {
         OriginAdmission {
             share: 1.0,
-            updated_at: Micros::MAX, // The first answer speaks for itself alone.
+            updated_at: Micros::MAX, // The first answer has no additional weight.
             pending_report: None,
             peer_limit: 1.0,
             peer_limit_until: 0,
         }
     }
 
-    /// Takes in what other routers found.
+    /// Sets the limit reported by other routers.
     pub(super) fn set_peer_limit(&mut self, share: f64, until: Micros) {
         self.peer_limit = share;
         self.peer_limit_until = until;
     }
 
-    /// Whether a request of this draw may have the origin asked: further attempts are no further chances.
+    /// Returns whether a request may reach the origin. All attempts of a request have the same draw, so retries are no
+    /// additional chances.
     fn admits(&self, now: Micros, admission_draw: f64) -> bool {
         let limit = if now < self.peer_limit_until {
             self.peer_limit.max(MIN_ORIGIN_SHARE)
@@ -59,11 +61,12 @@
         admission_draw < self.share.min(limit)
     }
 
-    /// More fills than the origin can give in time wait for each other there, and what its askers no longer wait for
-    /// is worked off all the same: it would be late for all, long after its fault is over. So the fewer requests may
-    /// have it asked, the more of its answers are late; parents still give what they hold.
+    /// Updates the share with an answer. `lateness` is the time to its first byte as a multiple of its class's latency
+    /// objective.
     ///
-    /// `lateness`: the wait for the answer, over its class's latency objective.
+    /// Fills beyond the origin's capacity queue there, and the origin also processes those whose clients no longer
+    /// wait, so all answers would be late long after the overload ends. Admitting fewer requests drains the queue;
+    /// parents continue to serve what they hold.
     fn learn(&mut self, now: Micros, note: Note, lateness: f64) {
         let since_us = now.saturating_sub(self.updated_at).min(MAX_ANSWER_GAP_US);
         let weight = 1.0 + ANSWER_WEIGHT_PER_S * (since_us as f64 / 1e6);
@@ -82,18 +85,18 @@
 }
 
 impl Router {
-    /// The share of its requests that this router lets ask the origin, if since the last call an answer was so late
-    /// that others should know. It follows from the router's own answers alone: what is heard is not passed on.
+    /// Returns the admitted share if an answer since the last call was late enough to be reported to other routers. The
+    /// share reflects this router's own answers alone, so reports received from others are not forwarded.
     pub fn take_origin_share_report(&mut self) -> Option<f64> {
         self.origin_admission.pending_report.take()
     }
 
-    /// Whether the origin may be asked for a request.
+    /// Returns whether a request may reach the origin.
     pub(super) fn may_reach_origin(&self, now: Micros, open: &OpenRequest) -> bool {
         self.origin_admission.admits(now, open.admission_draw) && self.origin_has_capacity(now)
     }
 
-    /// Learns how late the origin is from the end of an attempt.
+    /// Updates the admitted share with the end of an attempt.
     pub(super) fn learn_of_origin(&mut self, end: &AttemptEnd) {
         let objective_us = self.settings.classes[end.class].objective_us.max(1) as f64;
         let admission = &mut self.origin_admission;
--- a/src/router/outcomes.rs
+++ b/src/router/outcomes.rs
@@ -1,24 +1,25 @@
-//! The end of an attempt: what it says of servers, source, link and origin, and what becomes of its request.
+//! Processes the end of an attempt: updates what is known of its servers, link and origin, and routes or closes its
+//! request.
 
 use super::faults::Fault;
 use super::state::{Attempt, FirstRun};
 use super::Router;
 use crate::interface::{Action, Micros, Note, Outcome, RequestId, ServerId};
 
-/// What a proxy tells of the end of an attempt.
+/// The proxy's report on the end of an attempt.
 pub(super) struct AttemptReport {
     pub(super) request: RequestId,
     /// Number of the attempt.
     pub(super) attempt: u32,
     pub(super) outcome: Outcome,
     pub(super) took_us: Micros,
-    /// The request has its final answer.
+    /// The client has received its final answer.
     pub(super) settled: bool,
     pub(super) note: Note,
     pub(super) first_byte_us: Micros,
 }
 
-/// An attempt that has ended, with what follows from the state at that time.
+/// An ended attempt and the facts derived from the router's state at that time.
 pub(super) struct AttemptEnd {
     pub(super) now: Micros,
     pub(super) request: RequestId,
@@ -27,25 +28,26 @@
     pub(super) note: Note,
     pub(super) took_us: Micros,
     pub(super) first_byte_us: Micros,
-    /// The request's class, as a place in the settings.
+    /// Index of the request's class in the settings.
     pub(super) class: usize,
     pub(super) transfer_s: f64,
     pub(super) size_known: bool,
-    /// What its time is compared with.
+    /// Expected duration of an answer, in seconds.
     pub(super) expected_s: f64,
-    /// It was cancelled as stuck though its server answered others meanwhile. Only this answer may be lost: the work
-    /// ran, and the copy is there by now.
+    /// The attempt was cancelled as stuck although its server answered other requests meanwhile. Only this answer may
+    /// be lost; the request has run, and the copy is in the cache by now.
     pub(super) slow: bool,
-    /// That happened for the first time, so the same server is asked again.
+    /// This is the request's first stuck attempt, so the same server is tried again.
     pub(super) retry_same_server: bool,
-    /// It was cancelled as stuck, and its source answered nobody meanwhile.
+    /// Source of an attempt that was cancelled as stuck, if it has answered no request since the attempt was sent.
     pub(super) silent_source: Option<ServerId>,
-    /// Whether the note tells of the origin. A parent that is lost does not: the others must go on asking it.
+    /// Whether the note says something about the origin. The loss of a single parent does not, because the other
+    /// parents must go on fetching from it.
     pub(super) reflects_origin: bool,
-    /// Nothing came back within the latency objective, though cache and source are healthy: an origin that is asked
-    /// for more than it can do shows that first, and many routers see nothing else of it.
+    /// No answer arrived within the latency objective although cache and source are healthy. This is the first sign of
+    /// an overloaded origin, and for many routers the only one.
     pub(super) origin_unanswered: bool,
-    /// The server that failed this request first without a reason, unless it is the one of this attempt.
+    /// First server that failed this request without a reason, unless it is the server of this attempt.
     pub(super) first_failed_server: Option<ServerId>,
 }
 
@@ -54,12 +56,12 @@
         self.took_us as f64 / 1e6
     }
 
-    /// Whether the cache answered from its own copy.
+    /// Returns whether the cache answered from its own copy.
     pub(super) fn is_hit(&self) -> bool {
         self.outcome == Outcome::Ok && matches!(self.note, Note::Hit | Note::Stale)
     }
 
-    /// Whether the note blames the source.
+    /// Returns whether the note attributes the failure to the source.
     pub(super) fn is_source_failure(&self) -> bool {
         matches!(
             self.note,
@@ -67,7 +69,7 @@
         )
     }
 
-    /// Whether the request may have run at the server.
+    /// Returns whether the request may have run at the server.
     fn may_have_run(&self) -> bool {
         !matches!(
             self.outcome,
@@ -81,7 +83,7 @@
 }
 
 impl Router {
-    /// Learns from the end of an attempt, and sends its request on if it has no final answer yet.
+    /// Updates all statistics with the end of an attempt, and routes its request again if it has no final answer.
     pub(super) fn attempt_ended(
         &mut self,
         now: Micros,
@@ -107,7 +109,7 @@
         self.route(now, report.request, actions);
     }
 
-    /// Takes an attempt out of its request; none if it is not the one in flight.
+    /// Removes an attempt from its request; returns `None` if the attempt is not in flight.
     fn take_attempt(&mut self, now: Micros, report: &AttemptReport) -> Option<AttemptEnd> {
         let expected_s = self.expected_s(self.requests.get(&report.request)?);
         let open = self.requests.get_mut(&report.request)?;
@@ -148,8 +150,8 @@
         })
     }
 
-    /// An attempt is no longer in flight. However it ended, a trial is over: left open by what judges nobody, it would
-    /// bar the server.
+    /// Removes an attempt from the servers' counts. This also ends a trial whatever the outcome, since an outcome that
+    /// is attributed to no server would otherwise leave the trial open and exclude the server.
     fn release_attempt(&mut self, attempt: &Attempt) {
         if let Some(server) = self.endpoints.get_mut(&attempt.server) {
             server.in_flight = server.in_flight.saturating_sub(1);
@@ -161,7 +163,7 @@
         }
     }
 
-    /// Notes on a request what must not be tried again.
+    /// Records on a request which servers and sources must not be tried again.
     fn record_failed_target(&mut self, end: &AttemptEnd, fault: &Fault) {
         let source_ejected = end.outcome == Outcome::Cancelled
             && end
@@ -189,13 +191,14 @@
             open.first_failed_server = open.first_failed_server.or(end.first_failed_server);
         }
         open.failed_fills += match fault {
-            // It may be the origin's behind the source: another fill would only add to its load.
+            // The origin behind the source may be at fault, and another fill would only add to its load.
             Fault::Shared { .. } => 2,
             _ => u32::from(source_failed || end.silent_source.is_some()),
         };
         let lookup_missed = end.outcome == Outcome::Miss;
         if source_failed || lookup_missed || end.note == Note::SourceLacks {
-            // What two parents lack hardly any other holds, and the cache has just been looked into.
+            // An upstream miss counts as a failed fill, because an object missing in two parents is unlikely to be in
+            // another. The cache stays eligible.
             open.known_miss |= lookup_missed;
             open.failed_fills += u32::from(lookup_missed && end.attempt.fills_from_upstream);
             open.excluded_sources.extend(end.attempt.source);
--- a/src/router/outliers.rs
+++ b/src/router/outliers.rs
@@ -1,29 +1,29 @@
-//! Outlier detection: a server that fails is ejected for a while and comes back by way of a single trial.
+//! Outlier detection: ejects failing servers for a time and readmits them after a single successful trial.
 
 use super::state::Endpoint;
 use super::Router;
 use crate::interface::{Micros, ServerId};
 
-/// First ejection of a server, doubled with each failed trial.
+/// Duration of the first ejection, doubled with each failed trial.
 const MIN_EJECTION_US: Micros = 1_500_000;
-/// Longest ejection: a server that came back is missed for no longer.
+/// Maximum duration of an ejection.
 const MAX_EJECTION_US: Micros = 4_000_000;
-/// Ejections in a row that double the time at most.
+/// Maximum number of doublings.
 const MAX_DOUBLINGS: u32 = 4;
 /// Weight of one outcome in a server's failure rate.
 pub(super) const FAILURE_WEIGHT: f64 = 0.3;
-/// Above this failure rate a server is ejected: two failures in a row, or a lasting third.
+/// Failure rate above which a server is ejected: two consecutive failures, or a third of its requests in the long run.
 const MAX_FAILURE_RATE: f64 = 0.45;
 
 impl Router {
-    /// Not ejected; once an ejection has run out, a single trial at a time.
+    /// Returns whether a server may be used: it is not ejected, or its ejection has expired and no trial is in flight.
     pub(super) fn is_healthy(&self, id: ServerId, now: Micros) -> bool {
         self.endpoints.get(&id).is_some_and(|server| {
             server.ejections == 0 || (now >= server.ejected_until && !server.trial_in_flight)
         })
     }
 
-    /// Counts a success of a server.
+    /// Records a success of a server.
     pub(super) fn record_success(&mut self, now: Micros, id: ServerId) {
         let Some(server) = self.endpoints.get_mut(&id) else {
             return;
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Counts a failure of a server, by its weight.
+    /// Records a failure of a server with a weight.
     pub(super) fn record_failure(&mut self, now: Micros, id: ServerId, weight: f64) {
         let Some(server) = self.endpoints.get_mut(&id) else {
             return;
@@ -53,7 +53,8 @@
 }
 
 impl Endpoint {
-    /// Ejects the server, for longer each time in a row; no change while it is ejected.
+    /// Ejects the server, with a duration that grows with consecutive ejections. Has no effect while the server is
+    /// ejected.
     pub(super) fn eject(&mut self, now: Micros) {
         if now < self.ejected_until {
             return;
--- a/src/router/placement.rs
+++ b/src/router/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: which cache a request goes to, by the shared hash order and the number of copies of its object, and the
+//! Placement: selects the cache for a request, by rendezvous hashing and the number of copies of the object, and the
 //! source of its fill.
 
 use super::state::{Endpoint, OpenRequest, Role, Target};
@@ -7,11 +7,12 @@
 use crate::interface::{DedupScope, Micros, ServerId, Siblings};
 use linnetknot_purges::hashing::mix;
 
-/// Requests taken as counted by a new table: its first objects are not hot yet.
+/// Lower bound of the total request count, so that the first objects of a new table do not appear popular.
 const MIN_TOTAL_COUNT: f64 = 50.0;
-/// Failed fills, those of unknown cause twice, until a request is only looked for in the caches.
+/// Number of failed fills after which a request is no longer filled; fills that failed for an unknown reason count
+/// twice.
 const MAX_FAILED_FILLS: u32 = 2;
-/// The second parent fills while the first's fills take so many times as long.
+/// Ratio of fill durations above which the second parent is preferred to the first.
 const SLOWER_PARENT_FACTOR: f64 = 2.0;
 
 /// The ready servers in the shared hash order of a part.
@@ -21,7 +22,7 @@
     origin: Option<ServerId>,
 }
 
-/// Place in the shared hash order (rendezvous hashing, by weight): lowest first.
+/// Returns the weighted rendezvous hashing score of a server; the lowest score ranks first.
 fn rendezvous_score(part_key: u64, server: ServerId, weight: f64) -> f64 {
     let hash = mix(part_key ^ mix(server.wrapping_add(0x9e37_79b9_7f4a_7c15)));
     let unit = ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
@@ -55,8 +56,8 @@
         scores.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// The object's share of the requests gives its number of copies; a uniform pick among those caches at the top of
-    /// the shared hash order that are not full, else the next in the order.
+    /// Selects a cache. The object's share of the requests determines its number of copies; the cache is chosen at
+    /// random among the eligible ones of that many top-ranked caches, or is the next eligible one in the ranking.
     pub(super) fn pick_cache(
         &self,
         now: Micros,
@@ -84,7 +85,7 @@
         Self::target_with_fill(open, server, source)
     }
 
-    /// A cache as target, unless it is known to need a fill and there is no source.
+    /// Returns a cache as target, unless the cache is known to need a fill and there is no source.
     fn target_with_fill(
         open: &OpenRequest,
         server: ServerId,
@@ -93,8 +94,8 @@
         (source.is_some() || !open.known_miss).then_some(Target { server, source })
     }
 
-    /// Where caches may fill each other: a cache that is not the first in the order, or the first just started, is
-    /// filled from the one that most likely holds a copy, which spares the location's link.
+    /// Selects another cache as the source if caches may fill each other. A cache that is not ranked first, or that is
+    /// warming up, is filled from the cache most likely to hold a copy, which saves traffic on the location's link.
     fn pick_sibling(
         &self,
         now: Micros,
@@ -120,9 +121,9 @@
         is_eligible.then_some(first)
     }
 
-    /// Fills come from the first hashed parent that takes work, the second while that is clearly slower; from the
-    /// origin while none does, by no more requests than may have it asked, as it may be slow or stopped; else from a
-    /// parent that is ejected but was reached.
+    /// Selects the source of a fill: the first eligible parent in the ranking, or the second while its fills are
+    /// clearly faster; the origin if no parent is healthy, within the admitted share of requests; otherwise an ejected
+    /// parent that accepted its last connection.
     fn pick_source(
         &self,
         now: Micros,
@@ -152,7 +153,7 @@
             .or_else(|| parents.clone().find(is_reachable))
     }
 
-    /// Whether the first parent's fills take clearly longer than the second's.
+    /// Returns whether the first parent's fills take clearly longer than the second's.
     fn fills_are_slower(
         &self,
         now: Micros,
@@ -169,14 +170,15 @@
         }
     }
 
-    /// A write runs at the origin: straight where that is allowed, else by way of a cache.
+    /// Selects the target of a write, which runs at the origin: directly where that is allowed, otherwise through a
+    /// cache.
     pub(super) fn pick_for_write(
         &self,
         now: Micros,
         open: &OpenRequest,
         ranked: &RankedServers,
     ) -> Option<Target> {
-        // There is one origin, so its ejection leaves no other way: it is asked all the same.
+        // The only origin is used even while it is ejected.
         let origin = ranked.origin.filter(|_| self.origin_has_capacity(now))?;
         if self.settings.direct_to_upstream && self.deduplicates(open, origin) {
             return Some(Target {
@@ -195,7 +197,7 @@
         })
     }
 
-    /// Whether a server would drop the repeat of a request that may have run.
+    /// Returns whether a server would recognise the repeat of a request that may have run.
     fn deduplicates(&self, open: &OpenRequest, id: ServerId) -> bool {
         let (Some(run), Some(server)) = (open.may_have_run, self.endpoints.get(&id)) else {
             return true;
@@ -207,9 +209,9 @@
         }
     }
 
-    /// No healthy cache would be in time. With none healthy, straight to the first hashed parent where that is
-    /// allowed; else the first in the order that would be in time, ejected or not: when ejections leave none, they
-    /// tell of overload rather than of single servers.
+    /// Selects a target when no healthy cache would answer in time. If all caches are ejected and direct attempts are
+    /// allowed, uses the first healthy parent in the ranking. Otherwise uses the first cache that would answer in time
+    /// even if it is ejected, because ejections of all caches indicate overload rather than failures of single servers.
     pub(super) fn pick_fallback(
         &self,
         now: Micros,
--- a/src/router/purges.rs
+++ b/src/router/purges.rs
@@ -1,4 +1,4 @@
-//! Purges: the latest one of each object and group, and the oldest copy that will do because of them.
+//! Purges: records the latest one of each object and group, and derives the maximum age of usable copies.
 
 use super::state::OpenRequest;
 use super::Router;
@@ -6,28 +6,28 @@
 use linnetknot_purges::{KeyHash, PurgeTable};
 
 impl Router {
-    /// The purge state.
+    /// Returns the purge table.
     pub fn purges(&self) -> &PurgeTable {
         &self.purges
     }
 
-    /// The purge state, to give it a size and to take in buckets of another router's. The times of both must have the
-    /// same start.
+    /// Returns the purge table for resizing it and for merging buckets of another router's table. The times in both
+    /// tables must use the same clock.
     pub fn purges_mut(&mut self) -> &mut PurgeTable {
         &mut self.purges
     }
 
-    /// Sets what is to be added to this router's clock for the one by which the purges of its table are dated.
+    /// Sets the offset from this router's clock to the clock by which purges are dated.
     pub fn set_origin_clock_offset(&mut self, offset_us: i64) {
         self.origin_offset_us = offset_us;
     }
 
-    /// A time on the clock by which purges are dated.
+    /// Converts a time to the clock by which purges are dated.
     pub(super) fn origin_time(&self, now: Micros) -> Micros {
         now.saturating_add_signed(self.origin_offset_us)
     }
 
-    /// Takes in a purge of an object, or with no object of a whole group.
+    /// Records a purge of an object, or of a whole group if no object is given.
     pub(super) fn record_purge(
         &mut self,
         now: Micros,
@@ -40,7 +40,7 @@
         self.purges.record(key, at);
     }
 
-    /// The oldest copy that will do; none: whatever the class allows.
+    /// Returns the maximum age of a usable copy; `None` if the class alone limits it.
     pub(super) fn max_age_us(&self, now: Micros, open: &OpenRequest) -> Option<Micros> {
         let keys = [KeyHash::from(open.object), KeyHash::of_group(open.group)];
         let purged = keys.into_iter().filter_map(|key| self.purges.latest(key));
--- a/src/router/reload.rs
+++ b/src/router/reload.rs
@@ -1,26 +1,25 @@
-//! New settings for a router that runs, as a reload brings them: checked as a whole, or nothing changes.
+//! Replacement of the settings of a running router. Invalid settings are rejected as a whole.
 //!
-//! Classes may appear and vanish, and attempts may be fewer. A request under way keeps the class it started with: its
-//! deadline, objectives and the figures learned of it. So the old classes that open requests still use stay behind the
-//! new ones, under a name that no request can carry, until a later reload finds none using them. New requests find the
-//! new classes by name. Fewer attempts bind at once, also for requests under way: that is never more than their class
-//! allowed when they began.
+//! A reload may add and remove classes and lower the number of attempts. A request in progress keeps the deadline,
+//! objectives and statistics of the class it started with. Old classes with open requests are therefore appended to the
+//! new classes under a name that no request can carry, until a later reload finds them unused. New requests find the
+//! new classes by name. The new number of attempts also applies to requests in progress.
 
 use super::statistics::ClassStatistics;
 use super::Router;
 use crate::interface::{Settings, SettingsError};
 use std::collections::BTreeMap;
 
-/// What a retained class's name begins with; names on the wire are printable, so none begins so.
+/// Prefix of a retained class's name; names on the wire are printable, so no request matches it.
 const RETAINED_PREFIX: char = '\u{0}';
 
 impl Router {
-    /// Takes new settings. Where they are not sound the router stays as it was and the error tells why.
+    /// Replaces the settings. Returns an error and changes nothing if the new settings are invalid.
     pub fn update_settings(&mut self, mut settings: Settings) -> Result<(), SettingsError> {
         settings.check()?;
         let old_classes = std::mem::take(&mut self.settings.classes);
         let old_statistics = std::mem::take(&mut self.class_statistics);
-        // What was learned of a class goes on where its name does.
+        // The statistics of a class are kept if its name stays.
         let mut statistics = Vec::with_capacity(settings.classes.len());
         for class in &settings.classes {
             let old = old_classes.iter().position(|old| old.name == class.name);
--- a/src/router/requests.rs
+++ b/src/router/requests.rs
@@ -1,4 +1,4 @@
-//! A client's request as it comes in.
+//! Processes client requests when they arrive.
 
 use super::state::OpenRequest;
 use super::Router;
@@ -9,7 +9,7 @@
 use std::collections::btree_map;
 
 impl Router {
-    /// Takes a request in and sends its first attempt. An id that is open already changes nothing.
+    /// Accepts a request and sends its first attempt. A request whose id is already open is ignored.
     pub(super) fn handle_request(
         &mut self,
         now: Micros,
@@ -18,7 +18,7 @@
     ) {
         let classes = &self.settings.classes;
         let Some(class) = classes.iter().position(|c| c.name == request.class) else {
-            // Nothing is known of what it may do: it was not tried, so it may be refused.
+            // The class is unknown, but no attempt was sent, so the request can be refused safely.
             actions.push(Action::Refuse {
                 request: request.id,
                 retry_after_us: None,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Counts a request, and learns from its size.
+    /// Counts a request and updates the typical transfer time of its class.
     fn open_request(&mut self, now: Micros, class: usize, request: &Request) -> OpenRequest {
         let object = KeyHash::of_object(&request.object).value();
         let part = request.part.wrapping_mul(0x9e37_79b9_7f4a_7c15);
@@ -44,7 +44,7 @@
             self.class_statistics[class].transfer_s
         };
         let settings = &self.settings.classes[class];
-        // What could never be sent in time is no usual size: a client may claim any.
+        // Sizes that could not be sent before the deadline are ignored, because a client may claim any size.
         if size_known && transfer_s * 1e6 <= settings.deadline_us as f64 {
             self.class_statistics[class].learn_transfer(transfer_s);
         }
@@ -71,7 +71,7 @@
         }
     }
 
-    /// A streamed answer has begun: from now on it belongs to the client.
+    /// Marks a request whose answer has started to stream, so that its attempt is no longer cancelled.
     pub(super) fn stream_started(&mut self, id: RequestId, attempt: u32) {
         if let Some(open) = self.requests.get_mut(&id) {
             let in_flight = open.in_flight.as_ref();
--- a/src/router/retries.rs
+++ b/src/router/retries.rs
@@ -1,20 +1,20 @@
-//! Retries: whether a request is forwarded, once more or not at all. What may have run is not run again unless its class
-//! allows it, and every request gets one final answer.
+//! Retries: decides whether a request is sent, sent again or answered without another attempt. A request that may have
+//! run is repeated only if its class allows it, and every request gets exactly one final answer.
 
 use super::state::OpenRequest;
 use super::Router;
 use crate::interface::{Action, DedupScope, Micros, Repeat, RequestId};
 use linnetknot_purges::hashing::mix;
 
-/// A request that so many servers fail without a reason is itself at fault.
+/// Number of errors without a reason after which the request itself is considered faulty.
 const MAX_UNEXPLAINED_ERRORS: u32 = 2;
-/// Least time in which an attempt can be answered.
+/// Minimum time that an attempt needs for an answer.
 const MIN_ATTEMPT_US: Micros = 5_000;
-/// Advice with a refusal: short, so that the client's next request can be in time.
+/// Retry-After of a refusal, short enough for the client's next request to be in time.
 const RETRY_AFTER_US: Micros = 200_000;
 
 impl Router {
-    /// Sends an attempt of a request, or gives the request up.
+    /// Sends an attempt of a request, or the final answer if no server can be tried.
     pub(super) fn route(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         self.random_state = mix(self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15));
         let Some(open) = self.requests.get(&id) else {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Whether a request may have run, and must not run again any more.
+    /// Returns whether a request may have run and must not be repeated.
     fn must_not_rerun(&self, now: Micros, open: &OpenRequest) -> bool {
         let Some(run) = open.may_have_run else {
             return false;
@@ -55,14 +55,15 @@
         }
     }
 
-    /// Whether an attempt that waited for its connection may begin now, and the oldest copy that will do.
+    /// Checks again an attempt that waited for its connection. Returns `None` if it must no longer be sent, otherwise
+    /// the maximum age of a usable copy.
     pub fn recheck_queued_attempt(&self, now: Micros, id: RequestId) -> Option<Option<Micros>> {
         let open = self.requests.get(&id)?;
         let may_begin = !open.client_left && !self.must_not_rerun(now, open);
         may_begin.then(|| self.max_age_us(now, open))
     }
 
-    /// The client left: what is in flight for it is cancelled, so that no link carries it in vain.
+    /// Cancels the attempt of a request whose client left, so that no link carries an unused transfer.
     pub(super) fn client_left(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.get_mut(&id) else {
             return;
@@ -81,8 +82,8 @@
         }
     }
 
-    /// The final answer to a request that no server is to be tried for: at once, and a refusal if that is known to be
-    /// safe.
+    /// Sends the final answer to a request that no server can serve: a refusal if the client can safely retry,
+    /// otherwise a failure.
     fn finish_unserved(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.requests.remove(&id) else {
             return;
@@ -91,7 +92,7 @@
             actions.push(Action::Fail { request: id });
             return;
         }
-        // Advice is given also where clients are not said to follow it: it does them no harm.
+        // Retry-After is also sent if clients may ignore it.
         let max_us = Some(self.settings.max_retry_after_us).filter(|us| *us > 0);
         actions.push(Action::Refuse {
             request: id,
@@ -99,7 +100,7 @@
         });
     }
 
-    /// Whether a client may be told that asking again does no harm.
+    /// Returns whether the client can safely retry the request.
     fn may_refuse(&self, open: &OpenRequest) -> bool {
         let class = &self.settings.classes[open.class];
         match class.repeat {
--- a/src/router/slow_start.rs
+++ b/src/router/slow_start.rs
@@ -1,5 +1,4 @@
-//! Slow start: a server that has just started gets no more than it can bear while it warms up, from all routers
-//! together.
+//! Slow start: limits the load that all routers together send to a server that has recently started.
 
 use super::state::{Endpoint, Role};
 use super::Router;
@@ -8,19 +7,19 @@
 use crate::ramp::{Ramp, GOLDEN_RATIO_CONJUGATE};
 use linnetknot_purges::hashing::mix;
 
-/// Used share of a warming server's budget: the rest is slack for chance.
+/// Usable fraction of a warming server's budget; the rest absorbs random variation.
 const SLOW_START_UTILISATION: f64 = 0.55;
 
-/// What a server may be sent within the rule's window while it warms up, in seconds of transfer.
+/// Slow-start budget of a server within the window of the overload rule, in seconds of transfer.
 pub(super) struct SlowStartBudget {
-    /// By all routers together.
+    /// Limit for all routers together.
     limit_s: f64,
-    /// What was sent from here.
+    /// Load sent by this router.
     used_s: f64,
 }
 
 impl Router {
-    /// Share of its capacity that a server is sure to have, in a line from its share at the start.
+    /// Returns the guaranteed growth of a server's capacity after its start.
     fn ramp_of(&self, server: &Endpoint) -> Ramp {
         let rules = &self.settings.rules;
         match server.role {
@@ -35,14 +34,15 @@
         }
     }
 
-    /// Share of its capacity that a server has at a time; 1: it is warm.
+    /// Returns the share of its capacity that a server has at a time; 1 once it is warm.
     pub(super) fn warmth(&self, server: &Endpoint, at: Micros) -> f64 {
         server.warming_since().map_or(1.0, |since| {
             self.ramp_of(server).share_at(at.saturating_sub(since))
         })
     }
 
-    /// The greatest share of what a warming cache, or parent, bears that was sent from here; none: none warms up.
+    /// Returns the highest fraction of its slow-start budget that this router has used at any warming cache, or parent
+    /// if `parents` is set; `None` if no such server is warming up.
     pub fn max_slow_start_usage(&self, now: Micros, parents: bool) -> Option<f64> {
         let servers = self.endpoints.values();
         servers
@@ -52,11 +52,11 @@
             .reduce(f64::max)
     }
 
-    /// What a server may be sent within the rule's window; none: it is warm.
+    /// Returns the slow-start budget of a server; `None` if it needs none.
     fn slow_start_budget(&self, server: &Endpoint, now: Micros) -> Option<SlowStartBudget> {
         let rules = &self.settings.rules;
         let window_us = rules.overload_window_us;
-        // What it can do in the window's mean: by the time this is judged it can do more.
+        // The capacity in the middle of the window, since the rule is evaluated over the whole window.
         let warmth = self.warmth(server, now.saturating_sub(window_us / 2));
         if warmth >= 1.0 || server.role == Role::Origin || server.state != State::Ready {
             return None;
@@ -77,10 +77,11 @@
         })
     }
 
-    /// Whether a server that warms up may be sent a request: this router's share of its budget, retries and fills
-    /// charged with the rest.
+    /// Returns whether a request fits into this router's share of a warming server's budget, to which retries and fills
+    /// are charged too.
     ///
-    /// A share below one request is spent by turns, each of the largest class's usual transfer.
+    /// If the share is below one request, the router sends one request per send slot, sized for the class with the
+    /// longest typical transfer.
     pub(super) fn admits_in_slow_start(
         &self,
         id: ServerId,
@@ -99,7 +100,7 @@
         budget.used_s + transfer_s <= if in_slot { slot_s } else { own_limit_s }
     }
 
-    /// This router's share of a warming server's budget.
+    /// Returns this router's share of a warming server's budget.
     fn own_budget_share(&self, server: &Endpoint, now: Micros) -> f64 {
         let zones = &self.settings.zones;
         match server.role {
@@ -114,8 +115,9 @@
         }
     }
 
-    /// Whether it is this router's turn at a server, of which it has so many in a window. A router that starts again,
-    /// and has forgotten what it sent, finds its turns where they were, by its number.
+    /// Returns whether a send slot of this router is open at a server. The slots depend on the router's index and the
+    /// server's start time only, so a restarted router keeps its slots although it has lost its record of sent
+    /// requests.
     fn in_own_send_slot(
         &self,
         id: ServerId,
--- a/src/router/statistics.rs
+++ b/src/router/statistics.rs
@@ -1,44 +1,41 @@
-//! What the router learns of the sizes and times of requests.
+//! Statistics of the sizes and durations of requests.
 
 use super::outcomes::AttemptEnd;
 use super::state::{Endpoint, OpenRequest};
 use super::Router;
 use crate::interface::{Class, Micros, Note, Outcome};
 
-/// Half-life of the samples that tell of the location's link: old ones would hide that it has capacity again.
+/// Half-life of the samples from the location's link, short so that regained capacity is noticed quickly.
 pub(super) const LINK_HALF_LIFE_MS: u64 = 1_000;
-/// Half-life of the samples of one server's hits and fills.
 pub(super) const SLOWDOWN_HALF_LIFE_MS: u64 = 10_000;
-/// Decayed number of samples from which a pace is used.
+/// Minimum decayed number of samples for a slowdown average to be used.
 pub(super) const MIN_SLOWDOWN_SAMPLES: f64 = 2.0;
-/// Time of a hit besides its transfer.
+/// Duration of a hit in addition to its transfer.
 pub(super) const ROUND_TRIP_S: f64 = 0.02;
-/// Least transfer time learned from a hit.
+/// Minimum transfer time derived from a hit.
 const MIN_TRANSFER_S: f64 = 0.001;
-/// Weight of one request in the usual transfer time of its class.
+/// Weight of one request in the typical transfer time of its class.
 const TRANSFER_STEP: f64 = 0.01;
-/// Weight of one answer in the share of misses.
+/// Weight of one answer in the miss rate.
 const MISS_STEP: f64 = 0.01;
-/// Share of the answers that may take longer than `tail_factor` says.
+/// Share of the answers that may exceed `tail_factor`.
 const TAIL_SHARE: f64 = 0.02;
-/// Weight of one answer in `tail_factor`.
 const TAIL_STEP: f64 = 0.2;
-/// `tail_factor` before anything is learned.
 const INITIAL_TAIL_FACTOR: f64 = 4.0;
 
-/// What is learned of a class of requests.
+/// Statistics of a class of requests.
 #[derive(Clone, Copy)]
 pub(super) struct ClassStatistics {
-    /// Usual transfer time at full pace, in seconds.
+    /// Typical transfer time at full rate, in seconds.
     pub(super) transfer_s: f64,
-    /// How many requests that was learned from.
+    /// Number of requests that `transfer_s` is derived from.
     samples: f64,
-    /// All but `TAIL_SHARE` of the answers take at most this many times as long as expected.
+    /// Multiple of the expected duration that all but `TAIL_SHARE` of the answers stay within.
     pub(super) tail_factor: f64,
 }
 
 impl ClassStatistics {
-    /// Of a class that nothing is known of but its latency objective.
+    /// Returns initial values derived from the class's latency objective.
     pub(super) fn new(class: &Class) -> Self {
         ClassStatistics {
             transfer_s: class.objective_us as f64 / 1e6 / 2.0,
@@ -47,13 +44,13 @@
         }
     }
 
-    /// Takes in the transfer time of one request.
+    /// Adds the transfer time of one request.
     pub(super) fn learn_transfer(&mut self, transfer_s: f64) {
         self.samples += 1.0;
         self.transfer_s += (transfer_s - self.transfer_s) * TRANSFER_STEP.max(1.0 / self.samples);
     }
 
-    /// Takes in whether an answer took longer than `tail_factor` says.
+    /// Adjusts `tail_factor` by an answer that took longer than it allows (`slower`) or not.
     pub(super) fn learn_tail(&mut self, slower: bool) {
         let slower = f64::from(u8::from(slower));
         self.tail_factor *= 1.0 + TAIL_STEP * (slower - TAIL_SHARE);
@@ -61,12 +58,13 @@
 }
 
 impl Router {
-    /// What an answer's time is compared with: its own transfer time and its class's.
+    /// Returns the expected duration of an answer, from the transfer times of the request and of its class.
     pub(super) fn expected_s(&self, open: &OpenRequest) -> f64 {
         open.transfer_s + self.class_statistics[open.class].transfer_s + ROUND_TRIP_S
     }
 
-    /// Learns from a hit whose size is not known: what it took, less the sharing that the server's capacity explains.
+    /// Estimates the transfer time of a hit of unknown size: its duration, less the slowdown explained by the server's
+    /// load.
     pub(super) fn learn_unknown_size(&mut self, end: &AttemptEnd) {
         if !end.is_hit() || end.size_known {
             return;
@@ -78,7 +76,7 @@
         self.class_statistics[end.class].learn_transfer(transfer_s / sharing);
     }
 
-    /// Learns the pace of a server's hits. The attempt still counts as in flight.
+    /// Adds a hit to its server's slowdown average. Must be called while the attempt still counts as in flight.
     pub(super) fn learn_hit_slowdown(&mut self, end: &AttemptEnd) {
         let server = self.endpoints.get(&end.attempt.server);
         let load_now = server.map_or(0.0, |server| self.load(server));
@@ -92,9 +90,9 @@
         }
     }
 
-    /// Learns the pace of fills by the location's link. What was cancelled as slow had its share of the link all the
-    /// while. What timed out at the client's deadline may as well have waited for the origin, which says nothing of
-    /// the link.
+    /// Adds a fill to the slowdown average of the location's link. Attempts cancelled as slow count because they used
+    /// the link throughout. Attempts that timed out at the client's deadline do not count, because they may have waited
+    /// for the origin.
     pub(super) fn learn_link_slowdown(&mut self, end: &AttemptEnd) {
         let filled =
             end.outcome == Outcome::Ok && matches!(end.note, Note::Filled | Note::FilledByOrigin);
@@ -107,7 +105,7 @@
         self.link_slowdown.add(end.now, body_s, transfer_s, fills);
     }
 
-    /// Learns from an answer how long answers take, and how many attempts find no copy.
+    /// Updates the tail factor of the class and the miss rate with an answer.
     pub(super) fn learn_answer(&mut self, end: &AttemptEnd) {
         let class = &mut self.class_statistics[end.class];
         class.learn_tail(end.took_s() > class.tail_factor * end.expected_s);
@@ -115,7 +113,7 @@
         self.miss_rate += MISS_STEP * (missed - self.miss_rate);
     }
 
-    /// Learns the pace of a source's fills.
+    /// Adds a fill to its source's slowdown average.
     pub(super) fn learn_fill_slowdown(source: &mut Endpoint, end: &AttemptEnd) {
         let transfer_s = end.transfer_s + ROUND_TRIP_S;
         source
@@ -123,7 +121,7 @@
             .add(end.now, end.took_s(), transfer_s, 0.0);
     }
 
-    /// Moves the averages over time on by a tick, and forgets charges that are older than the slow-start window.
+    /// Advances the time averages by one tick and drops charges older than the slow-start window.
     pub(super) fn update_averages(&mut self, now: Micros, step: f64) {
         let window_us = self.settings.rules.overload_window_us;
         for server in self.endpoints.values_mut() {
@@ -137,7 +135,7 @@
         self.mean_active_fills += step * (self.active_fills - self.mean_active_fills);
     }
 
-    /// Whether a request's attempt takes so long that it seems to be a fill. What is stuck is lost rather than filled.
+    /// Returns whether a request's attempt has lasted long enough to be a fill. Stuck attempts are assumed to be lost.
     fn is_filling(&self, now: Micros, open: &OpenRequest) -> bool {
         open.in_flight.as_ref().is_some_and(|attempt| {
             let elapsed_s = now.saturating_sub(attempt.sent_at) as f64 / 1e6;
--- a/src/router/timers.rs
+++ b/src/router/timers.rs
@@ -1,18 +1,17 @@
-//! What is done at each tick: averages move on, silent servers are ejected, and attempts that are overdue or stuck are
-//! cancelled.
+//! Periodic work: updates averages, ejects silent servers, and cancels attempts that are overdue or stuck.
 
 use super::state::{Endpoint, OpenRequest};
 use super::Router;
 use crate::interface::{Action, Micros, Repeat, ServerId};
 use std::collections::BTreeMap;
 
-/// How often overdue attempts are looked for.
+/// Interval between ticks.
 const TICK_US: Micros = 50_000;
 /// Tag of the recurring timer.
 pub(super) const TICK_TAG: u64 = 0;
-/// Own transfers are averaged over so many seconds to estimate the other routers'.
+/// Time over which this router's transfers are averaged to estimate those of other routers.
 const AVERAGING_S: f64 = 3.0;
-/// A server with so many overdue attempts and no answer since the first was sent is silent.
+/// Number of overdue attempts from which a server is silent, if it has not answered since the first of them was sent.
 const MIN_OVERDUE: usize = 2;
 
 /// Overdue attempts of one server.
@@ -22,7 +21,7 @@
 }
 
 impl Router {
-    /// Asks for the next tick.
+    /// Schedules the next tick.
     pub(super) fn schedule_tick(now: Micros, actions: &mut Vec<Action>) {
         actions.push(Action::Timer {
             at: now + TICK_US,
@@ -30,8 +29,8 @@
         });
     }
 
-    /// A tick: a server that hangs shows only in what does not come back. All that is overdue there is cancelled and
-    /// goes elsewhere.
+    /// Performs the periodic work. A hung server is detected by attempts that stay unanswered; those attempts are
+    /// cancelled and retried elsewhere.
     pub(super) fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
         Self::schedule_tick(now, actions);
         let origin_now = self.origin_time(now);
@@ -42,7 +41,7 @@
         self.cancel_stalled_attempts(now, actions);
     }
 
-    /// Ejects servers and sources that leave several attempts, or their trial, without an answer.
+    /// Ejects servers and sources that have not answered several attempts or their trial.
     fn eject_silent(&mut self, now: Micros) {
         for (id, overdue) in self.overdue_by_server(now) {
             let Some(server) = self.endpoints.get_mut(&id) else {
@@ -71,7 +70,7 @@
         by_server
     }
 
-    /// Cancels attempts that may be repeated and hang at a silent server, or are stuck.
+    /// Cancels repeatable attempts that are stuck or wait for a silent server.
     fn cancel_stalled_attempts(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if !self.settings.cancel {
             return;
@@ -90,7 +89,7 @@
         }
     }
 
-    /// Marks a request's attempt as cancelled if it hangs or is stuck, and gives its number.
+    /// Marks a request's attempt as cancelled if it is hung or stuck, and returns its number.
     fn cancel_if_stalled(
         now: Micros,
         open: &mut OpenRequest,
