--- a/src/router/slow_start.rs
+++ b/src/router/slow_start.rs
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Returns whether a send slot of this router is open at a server. The slots depend on the router's index and the
-    /// server's start time only, so a restarted router keeps its slots although it has lost its record of sent
+    /// Returns whether a send slot of this router is open at a server. The slots derive from the router's index and from
+    /// the server's id and start time, so a restarted router keeps its slots although it has lost its record of sent
     /// requests.
     fn in_own_send_slot(
         &self,
