--- a/origin-health/tests/fleet.rs
+++ b/origin-health/tests/fleet.rs
@@ -3,7 +3,7 @@
 #[path = "../../tests/common/mod.rs"]
 mod common;
 
-use common::world::{Heed, World};
+use common::world::{FleetSimulation, Notice};
 use common::S;
 use linnetknot::Event;
 use linnetknot_origin_health::{OriginHealth, OriginShare, ZonePosition};
@@ -19,25 +19,28 @@
     reports: u64,
 }
 
-fn slow_origin(seats: usize, sends_reports: bool) -> Outcome {
-    let mut world = World::new(ZONES, seats, 4, 8.0, 11);
-    (world.objects, world.origin_per_s) = (10_000.0, 1e4);
-    let requests_per_s = (ZONES * seats) as f64 * 8.0;
+fn slow_origin(proxies: usize, sends_reports: bool) -> Outcome {
+    let mut world = FleetSimulation::new(ZONES, proxies, 4, 8.0, 11);
+    (world.object_count, world.origin_requests_per_s) = (10_000.0, 1e4);
+    let requests_per_s = (ZONES * proxies) as f64 * 8.0;
     let zone = |n: usize| ZonePosition {
-        zone: (n / seats) as u16,
+        zone: (n / proxies) as u16,
         zones: ZONES as u16,
     };
     let address = |n: usize| ([10, 0, (n / 250) as u8, (n % 250) as u8], 7946).into();
-    let mut members: Vec<OriginHealth> = (0..ZONES * seats)
+    let mut members: Vec<OriginHealth> = (0..ZONES * proxies)
         .map(|n| OriginHealth::new(zone(n), 1))
         .collect();
-    world.call(6 * S, 1);
-    world.call(14 * S, 2);
+    world.schedule_callback(6 * S, 1);
+    world.schedule_callback(14 * S, 2);
     world.run(20 * S, |world, heed| match heed {
-        Heed::Call(1) => world.origin_per_s = requests_per_s / 10.0,
-        Heed::Call(_) => world.origin_per_s = 1e4,
-        Heed::Outcome(n) => {
-            let (now, found) = (world.now, world.seats[n].router.take_origin_share_report());
+        Notice::Call(1) => world.origin_requests_per_s = requests_per_s / 10.0,
+        Notice::Call(_) => world.origin_requests_per_s = 1e4,
+        Notice::Outcome(n) => {
+            let (now, found) = (
+                world.now,
+                world.proxies[n].router.take_origin_share_report(),
+            );
             let Some(report) = found
                 .filter(|_| sends_reports)
                 .and_then(|share| members[n].observe(now, share))
@@ -65,9 +68,9 @@
     let reports = members.iter().map(|e| e.counters().sent).sum();
     let slow_seconds = 6..16;
     Outcome {
-        requests: world.sum(slow_seconds.clone(), |s| s.asked),
+        requests: world.sum(slow_seconds.clone(), |s| s.requests),
         in_time: world.sum(slow_seconds, |s| s.in_time),
-        fills_in_second: world.seconds[7].origin,
+        fills_in_second: world.counts_by_second[7].origin_requests,
         reports,
     }
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -43,7 +43,7 @@
         ];
         let cold = usize::from(self.parent);
         servers[1 - cold].weight = 1e6;
-        (servers[cold].id, servers[cold].started) = (self.id, Some(T0));
+        (servers[cold].id, servers[cold].started) = (self.id, Some(START));
         let start = |n: u32, now: Micros, life: u64| {
             let router_index = Some(n * self.every);
             let seed = self.seed ^ u64::from(n).wrapping_mul(0x9e37_79b9) ^ life << 40;
@@ -65,13 +65,13 @@
             );
             router
         };
-        let mut routers: Vec<Router> = (0..self.routers).map(|n| start(n, T0, 0)).collect();
+        let mut routers: Vec<Router> = (0..self.routers).map(|n| start(n, START, 0)).collect();
         let (mut sends, mut number, mut actions) = (Vec::new(), 0, Vec::new());
         let mut restart = self.restart;
         let steps = 10;
         for step in 0..length / self.each * steps {
-            let now = T0 + step * self.each / steps;
-            if restart.take_if(|at| T0 + *at <= now).is_some() {
+            let now = START + step * self.each / steps;
+            if restart.take_if(|at| START + *at <= now).is_some() {
                 routers = (0..self.routers).map(|n| start(n, now, 1)).collect();
             }
             let due = routers
@@ -95,7 +95,7 @@
                 router.handle(now, Event::Request(request), &mut actions);
                 let Some(sent) = sent(&actions) else { continue };
                 if [sent.server, sent.fill.source].contains(&self.id) {
-                    sends.push(now - T0);
+                    sends.push(now - START);
                 }
                 // Answered at once, so that nothing but the budget holds the next one back.
                 let note = if self.parent { Note::Filled } else { Note::Hit };
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,7 +9,7 @@
 pub(crate) const MS: Micros = 1_000;
 pub(crate) const S: Micros = 1_000_000;
 /// Long after every server's start.
-pub(crate) const T0: Micros = 100 * S;
+pub(crate) const START: Micros = 100 * S;
 
 pub(crate) fn class(name: &str) -> Class {
     Class {
@@ -131,32 +131,32 @@
     all
 }
 
-pub(crate) struct Rig {
+pub(crate) struct RouterHarness {
     pub router: Router,
     pub now: Micros,
-    pub next: RequestId,
+    pub next_id: RequestId,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Sent {
+pub(crate) struct SentAttempt {
     pub request: RequestId,
     pub server: ServerId,
     pub fill: Fill,
     pub timeout_us: Option<Micros>,
 }
 
-impl Rig {
-    pub(crate) fn new(settings: Settings, fleet: Vec<Server>) -> Rig {
-        let mut rig = Rig {
+impl RouterHarness {
+    pub(crate) fn new(settings: Settings, fleet: Vec<Server>) -> RouterHarness {
+        let mut harness = RouterHarness {
             router: Router::new(settings, 7).expect("usable settings"),
-            now: T0,
-            next: 1,
+            now: START,
+            next_id: 1,
         };
-        rig.handle(Event::List {
+        harness.handle(Event::List {
             mode: ListMode::Full,
             servers: fleet,
         });
-        rig
+        harness
     }
 
     pub(crate) fn handle(&mut self, event: Event) -> Vec<Action> {
@@ -165,29 +165,29 @@
         actions
     }
 
-    pub(crate) fn ask(
+    pub(crate) fn request(
         &mut self,
         class: &str,
         object: &str,
         remaining_us: Micros,
     ) -> (RequestId, Vec<Action>) {
-        self.ask_for(class, object, remaining_us, 500.0)
+        self.request_of(class, object, remaining_us, 500.0)
     }
 
     /// Asks for a part of a class `video` of this size.
-    pub(crate) fn ask_sized(&mut self, object: &str, size_kb: f64) -> (RequestId, Vec<Action>) {
-        self.ask_for("video", object, 5 * S, size_kb)
+    pub(crate) fn request_sized(&mut self, object: &str, size_kb: f64) -> (RequestId, Vec<Action>) {
+        self.request_of("video", object, 5 * S, size_kb)
     }
 
-    fn ask_for(
+    fn request_of(
         &mut self,
         class: &str,
         object: &str,
         remaining_us: Micros,
         size_kb: f64,
     ) -> (RequestId, Vec<Action>) {
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         let (class, object) = (class.into(), object.into());
         let (tenant, part, group, is_retry) = (None, 0, 3, false);
         let request = Request {
@@ -206,22 +206,22 @@
     }
 
     /// Asks and expects an attempt.
-    pub(crate) fn send(&mut self, class: &str, object: &str) -> Sent {
-        let (_, actions) = self.ask(class, object, 5 * S);
+    pub(crate) fn send_request(&mut self, class: &str, object: &str) -> SentAttempt {
+        let (_, actions) = self.request(class, object, 5 * S);
         sent(&actions).unwrap_or_else(|| panic!("no attempt in {actions:?}"))
     }
 
-    pub(crate) fn end(
+    pub(crate) fn end_attempt(
         &mut self,
         request: RequestId,
         attempt: u32,
         server: ServerId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        self.end_with(request, attempt, server, outcome, Note::None)
+        self.end_attempt_with(request, attempt, server, outcome, Note::None)
     }
 
-    pub(crate) fn end_with(
+    pub(crate) fn end_attempt_with(
         &mut self,
         request: RequestId,
         attempt: u32,
@@ -247,14 +247,14 @@
     }
 }
 
-pub(crate) fn sent(actions: &[Action]) -> Option<Sent> {
+pub(crate) fn sent(actions: &[Action]) -> Option<SentAttempt> {
     actions.iter().find_map(|a| match a {
         Action::Attempt {
             request,
             server,
             timeout_us,
             fill: Some(fill),
-        } => Some(Sent {
+        } => Some(SentAttempt {
             request: *request,
             server: *server,
             fill: *fill,
@@ -264,7 +264,7 @@
     })
 }
 
-pub(crate) fn finals(actions: &[Action]) -> usize {
+pub(crate) fn final_answers(actions: &[Action]) -> usize {
     actions
         .iter()
         .filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. }))
--- a/tests/common/world/attempts.rs
+++ b/tests/common/world/attempts.rs
@@ -1,13 +1,13 @@
 //! Attempts on their way: how the servers of the world answer them.
 
-use super::{InFlight, Scheduled, World, ORIGIN};
+use super::{FleetSimulation, InFlight, Scheduled, ORIGIN};
 use crate::common::MS;
 use linnetknot::*;
 
-impl World {
+impl FleetSimulation {
     /// No server that a proxy was told is gone gets anything new from it.
-    fn assert_not_barred(&self, n: usize, server: ServerId) {
-        let told = self.seats[n].barred.get(&server);
+    fn assert_not_withdrawn(&self, n: usize, server: ServerId) {
+        let told = self.proxies[n].withdrawn_at.get(&server);
         assert!(
             told.is_none(),
             "{server} was told to be gone {} us ago",
@@ -16,40 +16,43 @@
     }
 
     pub(super) fn attempt(&mut self, n: usize, id: RequestId, server: ServerId, fill: Fill) {
-        let (now, zone) = (self.now, self.seats[n].zone);
+        let (now, zone) = (self.now, self.proxies[n].zone);
         let source = (fill.source != server).then_some(fill.source);
         for s in [Some(server), source].into_iter().flatten() {
-            self.assert_not_barred(n, s);
+            self.assert_not_withdrawn(n, s);
         }
-        let out = self.seats[n]
-            .out
+        let open = self.proxies[n]
+            .open_requests
             .get_mut(&id)
             .expect("a request that is open");
-        assert!(out.sent.is_none() && !out.answered && out.attempts < 6 && now < out.deadline);
-        let (attempt, object, work_s) = (out.attempts, out.object, out.work_s);
-        out.attempts += 1;
-        self.push(server);
+        assert!(open.sent.is_none() && !open.answered && open.attempts < 6 && now < open.deadline);
+        let (attempt, object, work_s) = (open.attempts, open.object, open.work_s);
+        open.attempts += 1;
+        self.record_slow_start_load(server);
         let (up, vanished, held) = {
             let b = self.servers.get_mut(&server).expect("a server of the list");
             b.active += 1.0;
             (b.up, b.vanished, b.cached.contains(&object))
         };
-        let mut link = false;
+        let mut uses_link = false;
         let end = if vanished {
             None
         } else if !up {
             Some((MS, Outcome::ConnectFailed, Note::None, 0))
         } else if server == ORIGIN {
-            assert!(self.ran.insert(id), "a write that must not run twice");
+            assert!(
+                self.executed_writes.insert(id),
+                "a write that must not run twice"
+            );
             Some((80 * MS, Outcome::Ok, Note::Hit, 0))
         } else if held {
             Some((self.sending(server, work_s), Outcome::Ok, Note::Hit, 0))
         } else if let Some(source) = source {
             let (took, outcome, note, waited) =
                 self.fill(source, (object, work_s), fill.only_if_cached, zone);
-            link = outcome == Outcome::Ok;
+            uses_link = outcome == Outcome::Ok;
             Some((
-                took + if link {
+                took + if uses_link {
                     self.sending(server, work_s)
                 } else {
                     0
@@ -62,17 +65,21 @@
             Some((5 * MS, Outcome::Miss, Note::None, 0))
         };
         if end.is_none_or(|e| e.1 == Outcome::ConnectFailed) {
-            self.second(now).in_vain += 1;
+            self.counts_at(now).wasted_attempts += 1;
         }
-        self.links[zone] += f64::from(u8::from(link));
+        self.transfers_by_link[zone] += f64::from(u8::from(uses_link));
         let sent = InFlight {
             server,
             at: now,
-            link,
+            uses_link,
         };
-        self.seats[n].out.get_mut(&id).expect("it is open").sent = Some(sent);
+        self.proxies[n]
+            .open_requests
+            .get_mut(&id)
+            .expect("it is open")
+            .sent = Some(sent);
         if let Some((took, outcome, note, waited)) = end {
-            self.later(took, Scheduled::End(n, id, attempt, outcome, note, waited));
+            self.schedule(took, Scheduled::End(n, id, attempt, outcome, note, waited));
         }
     }
 
@@ -84,8 +91,8 @@
         only_if_cached: bool,
         zone: usize,
     ) -> (Micros, Outcome, Note, Micros) {
-        self.push(source);
-        let shared = ((self.links[zone] + 1.0) / self.link_fits).max(1.0) - 1.0;
+        self.record_slow_start_load(source);
+        let shared = ((self.transfers_by_link[zone] + 1.0) / self.link_capacity).max(1.0) - 1.0;
         let moving = (work_s * shared * 1e6) as Micros;
         let b = self.servers.get_mut(&source).expect("a source of the list");
         if !b.up || b.vanished {
@@ -99,9 +106,10 @@
         }
         b.cached.insert(object);
         let now = self.now;
-        self.origin_free = self.origin_free.max(now) + (1e6 / self.origin_per_s) as Micros;
-        let waited = self.origin_free - now + 80 * MS;
-        self.second(now).origin += 1;
+        self.origin_free_at =
+            self.origin_free_at.max(now) + (1e6 / self.origin_requests_per_s) as Micros;
+        let waited = self.origin_free_at - now + 80 * MS;
+        self.counts_at(now).origin_requests += 1;
         (waited + moving, Outcome::Ok, Note::FilledByOrigin, waited)
     }
 
@@ -119,23 +127,23 @@
         note: Note,
         first_byte_us: Micros,
     ) {
-        let Some(out) = self.seats[n].out.get_mut(&id) else {
+        let Some(open) = self.proxies[n].open_requests.get_mut(&id) else {
             return;
         };
         let last = attempt.is_none();
         // An end that comes after the attempt was called off says nothing.
-        let live = out.sent.is_some() && attempt.is_none_or(|a| a + 1 == out.attempts);
+        let live = open.sent.is_some() && attempt.is_none_or(|a| a + 1 == open.attempts);
         if !live {
             if last {
                 self.finish(n, id, false);
             }
             return;
         }
-        let Some(sent) = out.sent.take() else { return };
-        let (number, object, at) = (out.attempts - 1, out.object, out.at);
+        let Some(sent) = open.sent.take() else { return };
+        let (number, object, at) = (open.attempts - 1, open.object, open.at);
         let settled = outcome == Outcome::Ok || last;
-        let zone = self.seats[n].zone;
-        self.links[zone] -= f64::from(u8::from(sent.link));
+        let zone = self.proxies[n].zone;
+        self.transfers_by_link[zone] -= f64::from(u8::from(sent.uses_link));
         if let Some(b) = self.servers.get_mut(&sent.server) {
             b.active = (b.active - 1.0).max(0.0);
             if outcome == Outcome::Ok {
@@ -145,7 +153,7 @@
         if outcome == Outcome::Ok {
             let now = self.now;
             let in_time = now - at <= 400 * MS + 150 * MS;
-            let second = self.second(at);
+            let second = self.counts_at(at);
             *(if in_time {
                 &mut second.in_time
             } else {
@@ -165,9 +173,9 @@
             settled,
             note,
             first_byte_us,
-            load: self.reports.then(|| self.load(sent.server)),
+            load: self.sends_load_reports.then(|| self.load(sent.server)),
         };
         self.feed(n, event);
-        self.tidy(n, id);
+        self.remove_if_finished(n, id);
     }
 }
--- a/tests/common/world/clients.rs
+++ b/tests/common/world/clients.rs
@@ -1,19 +1,19 @@
 //! Clients of the proxies: when they ask, for what, and what became of it.
 
-use super::{OpenRequest, Scheduled, World, KB_PER_S};
+use super::{FleetSimulation, OpenRequest, Scheduled, KB_PER_S};
 use linnetknot::*;
 
-impl World {
+impl FleetSimulation {
     pub(super) fn arrival(&mut self, n: usize) {
-        let wait = self.gap();
-        self.later(wait, Scheduled::Arrival(n));
-        let object = (self.unit().powi(4) * self.objects) as u64;
-        let tenant = match self.tenants.is_empty() {
+        let wait = self.random_interarrival();
+        self.schedule(wait, Scheduled::Arrival(n));
+        let object = (self.random_unit().powi(4) * self.object_count) as u64;
+        let tenant = match self.tenant_shares.is_empty() {
             true => 0,
             false => {
-                let mut draw = self.unit();
-                let last = self.tenants.len() - 1;
-                let place = self.tenants.iter().position(|share| {
+                let mut draw = self.random_unit();
+                let last = self.tenant_shares.len() - 1;
+                let place = self.tenant_shares.iter().position(|share| {
                     draw -= share;
                     draw < 0.0
                 });
@@ -23,10 +23,10 @@
         self.number += 1;
         let id = self.number;
         let (now, at) = (self.now, self.now);
-        self.second(now).asked += 1;
+        self.counts_at(now).requests += 1;
         let deadline = now + self.deadline_us;
-        let work_s = self.work_of(object);
-        let out = OpenRequest {
+        let work_s = self.work_of_object(object);
+        let open = OpenRequest {
             object,
             work_s,
             tenant,
@@ -36,17 +36,17 @@
             at,
             sent: None,
         };
-        self.seats[n].out.insert(id, out);
-        self.later(self.deadline_us, Scheduled::Deadline(n, id));
-        let write = self.writes > 0.0 && self.unit() < self.writes;
+        self.proxies[n].open_requests.insert(id, open);
+        self.schedule(self.deadline_us, Scheduled::Deadline(n, id));
+        let write = self.write_share > 0.0 && self.random_unit() < self.write_share;
         let request = Request {
             id,
             class: if write { "activate" } else { "video" }.into(),
-            tenant: self.tenants.get(tenant).map(f64::to_string),
+            tenant: self.tenant_shares.get(tenant).map(f64::to_string),
             object: format!("/o/{object}"),
             part: 0,
             group: 1,
-            size_kb: if self.sizes_told {
+            size_kb: if self.sizes_known {
                 work_s * KB_PER_S
             } else {
                 0.0
@@ -58,7 +58,7 @@
     }
 
     /// What an object takes at full pace: drawn once for each, by its number.
-    pub(super) fn work_of(&self, object: u64) -> f64 {
+    pub(super) fn work_of_object(&self, object: u64) -> f64 {
         // A sum of twelve even draws is close to a normal one.
         let draw = |n: u64| {
             let x = (object * 12 + n + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
@@ -69,7 +69,7 @@
     }
 
     /// The share that is answered: of all requests, and of the tenth that take longest.
-    pub(crate) fn answered(&self) -> (f64, f64) {
+    pub(crate) fn answered_shares(&self) -> (f64, f64) {
         let mut answers = self.answers.clone();
         answers.sort_by(|a, b| b.0.total_cmp(&a.0));
         let share =
@@ -78,26 +78,26 @@
     }
 
     pub(super) fn finish(&mut self, n: usize, id: RequestId, served: bool) {
-        let Some(out) = self.seats[n].out.get_mut(&id) else {
+        let Some(open) = self.proxies[n].open_requests.get_mut(&id) else {
             return;
         };
-        assert!(!out.answered, "two final answers");
-        out.answered = true;
-        let (at, answer) = (out.at, (out.work_s, out.tenant, served));
+        assert!(!open.answered, "two final answers");
+        open.answered = true;
+        let (at, answer) = (open.at, (open.work_s, open.tenant, served));
         self.answers.push(answer);
         if !served {
-            self.second(at).lost += 1;
+            self.counts_at(at).failed += 1;
         }
-        self.tidy(n, id);
+        self.remove_if_finished(n, id);
     }
 
-    pub(super) fn tidy(&mut self, n: usize, id: RequestId) {
-        if self.seats[n]
-            .out
+    pub(super) fn remove_if_finished(&mut self, n: usize, id: RequestId) {
+        if self.proxies[n]
+            .open_requests
             .get(&id)
             .is_some_and(|o| o.answered && o.sent.is_none())
         {
-            self.seats[n].out.remove(&id);
+            self.proxies[n].open_requests.remove(&id);
         }
     }
 }
--- a/tests/common/world/mod.rs
+++ b/tests/common/world/mod.rs
@@ -7,7 +7,7 @@
 mod servers;
 
 use super::trace::Trace;
-use super::{class, settings, MS, S, T0};
+use super::{class, settings, MS, S, START};
 use linnetknot::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -39,9 +39,9 @@
 pub(crate) struct Proxy {
     pub router: Router,
     pub zone: usize,
-    out: BTreeMap<RequestId, OpenRequest>,
+    open_requests: BTreeMap<RequestId, OpenRequest>,
     /// Since when a server must get nothing new.
-    barred: BTreeMap<ServerId, Micros>,
+    withdrawn_at: BTreeMap<ServerId, Micros>,
 }
 
 struct OpenRequest {
@@ -59,7 +59,7 @@
 struct InFlight {
     server: ServerId,
     at: Micros,
-    link: bool,
+    uses_link: bool,
 }
 
 enum Scheduled {
@@ -74,48 +74,48 @@
 
 /// What came of it, by second since the start.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Second {
-    pub asked: u32,
+pub(crate) struct SecondCounts {
+    pub requests: u32,
     pub in_time: u32,
     pub late: u32,
-    pub lost: u32,
+    pub failed: u32,
     /// Attempts sent to servers that were down or had vanished.
-    pub in_vain: u32,
+    pub wasted_attempts: u32,
     /// What the origin was asked for.
-    pub origin: u32,
+    pub origin_requests: u32,
 }
 
-pub(crate) struct World {
+pub(crate) struct FleetSimulation {
     pub now: Micros,
-    pub seats: Vec<Proxy>,
+    pub proxies: Vec<Proxy>,
     pub servers: BTreeMap<ServerId, FakeServer>,
-    pub seconds: Vec<Second>,
+    pub counts_by_second: Vec<SecondCounts>,
     /// What a location's link fits at full pace, in transfers.
-    pub link_fits: f64,
+    pub link_capacity: f64,
     /// How long a cache waits for a source that is not there before it says so.
     pub fill_timeout_us: Micros,
     /// Share of the requests that are writes, which must not run twice; and those that ran.
-    pub writes: f64,
-    ran: BTreeSet<RequestId>,
+    pub write_share: f64,
+    executed_writes: BTreeSet<RequestId>,
     /// Answers carry load reports.
-    reports: bool,
-    links: Vec<f64>,
+    sends_load_reports: bool,
+    transfers_by_link: Vec<f64>,
     /// What the origin can do a second.
-    pub origin_per_s: f64,
-    origin_free: Micros,
+    pub origin_requests_per_s: f64,
+    origin_free_at: Micros,
     pub rate_per_s: f64,
     /// What objects take at full pace in the mean, how unevenly (the sigma of their logarithms), and whether requests tell.
     pub work_s: f64,
     pub sigma: f64,
-    pub sizes_told: bool,
+    pub sizes_known: bool,
     /// When clients give up.
     pub deadline_us: Micros,
     /// The tenants' shares of the requests.
-    pub tenants: Vec<f64>,
+    pub tenant_shares: Vec<f64>,
     /// Of each request that has ended: what it takes, its tenant, and whether it was served.
     pub answers: Vec<(f64, usize, bool)>,
     /// Distinct objects; a few of them are asked for most.
-    pub objects: f64,
+    pub object_count: f64,
     /// Where all that the routers do is recorded, if it is.
     pub trace: Option<Trace>,
     queue: BTreeMap<(Micros, u64), Scheduled>,
@@ -134,8 +134,8 @@
         Proxy {
             router: Router::new(settings, seed ^ (n as u64) << 20).expect("usable"),
             zone,
-            out: BTreeMap::new(),
-            barred: BTreeMap::new(),
+            open_requests: BTreeMap::new(),
+            withdrawn_at: BTreeMap::new(),
         }
     }
 }
@@ -165,7 +165,7 @@
     config
 }
 
-impl World {
+impl FleetSimulation {
     /// A fleet of so many proxies and caches in so many locations; each proxy is asked at this rate.
     pub(crate) fn new(
         zones: usize,
@@ -187,51 +187,51 @@
         shape: impl FnOnce(&mut Settings),
     ) -> Self {
         let config = shaped_settings(zones, proxies, shape);
-        let mut world = World::empty(&config, rate_per_s, seed);
+        let mut world = FleetSimulation::empty(&config, rate_per_s, seed);
         for z in 1..=zones {
-            (0..caches).for_each(|n| world.put(z as u64 * 10 + n as u64, z, 8.0, None));
+            (0..caches).for_each(|n| world.add_server(z as u64 * 10 + n as u64, z, 8.0, None));
         }
         for parent in PARENTS {
-            world.put(parent, 0, 30.0, None);
+            world.add_server(parent, 0, 30.0, None);
         }
-        world.put(ORIGIN, 0, 1.0, None);
+        world.add_server(ORIGIN, 0, 1.0, None);
         for n in 0..zones * proxies {
             world
-                .seats
+                .proxies
                 .push(Proxy::new(n, n / proxies + 1, &config, seed));
         }
-        let all = world.listed();
-        for n in 0..world.seats.len() {
-            world.later(0, Scheduled::List(n, ListMode::Full, all.clone()));
-            let wait = world.gap();
-            world.later(wait, Scheduled::Arrival(n));
+        let all = world.server_list();
+        for n in 0..world.proxies.len() {
+            world.schedule(0, Scheduled::List(n, ListMode::Full, all.clone()));
+            let wait = world.random_interarrival();
+            world.schedule(wait, Scheduled::Arrival(n));
         }
         world
     }
 
     /// A world without servers and proxies.
     fn empty(config: &Settings, rate_per_s: f64, seed: u64) -> Self {
-        World {
-            now: T0,
-            seats: Vec::new(),
+        FleetSimulation {
+            now: START,
+            proxies: Vec::new(),
             servers: BTreeMap::new(),
-            seconds: Vec::new(),
-            link_fits: 30.0,
+            counts_by_second: Vec::new(),
+            link_capacity: 30.0,
             fill_timeout_us: 5 * MS,
-            writes: 0.0,
-            ran: BTreeSet::new(),
-            reports: config.load_reports == LoadReports::Answers,
-            links: vec![0.0; config.zones.len()],
-            origin_per_s: 1e6,
-            origin_free: 0,
+            write_share: 0.0,
+            executed_writes: BTreeSet::new(),
+            sends_load_reports: config.load_reports == LoadReports::Answers,
+            transfers_by_link: vec![0.0; config.zones.len()],
+            origin_requests_per_s: 1e6,
+            origin_free_at: 0,
             rate_per_s,
             work_s: WORK_S,
             sigma: 0.0,
-            sizes_told: true,
+            sizes_known: true,
             deadline_us: DEADLINE_US,
-            tenants: Vec::new(),
+            tenant_shares: Vec::new(),
             answers: Vec::new(),
-            objects: 4_000.0,
+            object_count: 4_000.0,
             trace: None,
             queue: BTreeMap::new(),
             number: 0,
@@ -241,9 +241,9 @@
     }
 
     /// All routers hear of the list after a wait, each a little later than the one before.
-    pub(crate) fn tell(&mut self, wait: Micros, mode: ListMode, entries: &[Server]) {
-        for n in 0..self.seats.len() {
-            self.later(
+    pub(crate) fn publish(&mut self, wait: Micros, mode: ListMode, entries: &[Server]) {
+        for n in 0..self.proxies.len() {
+            self.schedule(
                 wait + n as Micros,
                 Scheduled::List(n, mode, entries.to_vec()),
             );
@@ -251,38 +251,42 @@
     }
 
     /// `run` comes back with this number after a wait.
-    pub(crate) fn call(&mut self, wait: Micros, number: u64) {
-        self.later(wait, Scheduled::Call(number));
+    pub(crate) fn schedule_callback(&mut self, wait: Micros, number: u64) {
+        self.schedule(wait, Scheduled::Call(number));
     }
 
-    fn later(&mut self, wait: Micros, what: Scheduled) {
+    fn schedule(&mut self, wait: Micros, what: Scheduled) {
         self.number += 1;
         self.queue.insert((self.now + wait, self.number), what);
     }
 
-    fn unit(&mut self) -> f64 {
+    fn random_unit(&mut self) -> f64 {
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
         self.random ^= self.random << 17;
         (self.random >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn gap(&mut self) -> Micros {
+    fn random_interarrival(&mut self) -> Micros {
         let mean = 1e6 / self.rate_per_s;
-        (-(1.0 - self.unit()).ln() * mean) as Micros + 1
+        (-(1.0 - self.random_unit()).ln() * mean) as Micros + 1
     }
 
-    fn second(&mut self, at: Micros) -> &mut Second {
-        let n = ((at - T0) / S) as usize;
-        if self.seconds.len() <= n {
-            self.seconds.resize(n + 1, Second::default());
+    fn counts_at(&mut self, at: Micros) -> &mut SecondCounts {
+        let n = ((at - START) / S) as usize;
+        if self.counts_by_second.len() <= n {
+            self.counts_by_second.resize(n + 1, SecondCounts::default());
         }
-        &mut self.seconds[n]
+        &mut self.counts_by_second[n]
     }
 
     /// Goes on for so long; `notify` is called with the numbers that were to be called, and after each outcome at a
     /// proxy.
-    pub(crate) fn run(&mut self, for_us: Micros, mut notify: impl FnMut(&mut World, Heed)) {
+    pub(crate) fn run(
+        &mut self,
+        for_us: Micros,
+        mut notify: impl FnMut(&mut FleetSimulation, Notice),
+    ) {
         let end = self.now + for_us;
         while let Some(entry) = self.queue.first_entry().filter(|e| e.key().0 <= end) {
             self.now = entry.key().0;
@@ -290,13 +294,13 @@
                 Scheduled::Arrival(n) => self.arrival(n),
                 Scheduled::Timer(n, tag) => self.feed(n, Event::Timer { tag }),
                 Scheduled::List(n, mode, servers) => self.list(n, mode, servers),
-                Scheduled::Call(number) => notify(self, Heed::Call(number)),
+                Scheduled::Call(number) => notify(self, Notice::Call(number)),
                 Scheduled::Deadline(n, id) => {
                     self.ended(n, id, None, Outcome::Timeout, Note::None, 0);
                 }
                 Scheduled::End(n, id, attempt, outcome, note, waited) => {
                     self.ended(n, id, Some(attempt), outcome, note, waited);
-                    notify(self, Heed::Outcome(n));
+                    notify(self, Notice::Outcome(n));
                 }
             }
         }
@@ -304,15 +308,19 @@
     }
 
     /// A sum over seconds, the last not counted.
-    pub(crate) fn sum(&self, seconds: std::ops::Range<usize>, of: impl Fn(&Second) -> u32) -> u32 {
-        self.seconds[seconds].iter().map(of).sum()
+    pub(crate) fn sum(
+        &self,
+        seconds: std::ops::Range<usize>,
+        of: impl Fn(&SecondCounts) -> u32,
+    ) -> u32 {
+        self.counts_by_second[seconds].iter().map(of).sum()
     }
 
     fn list(&mut self, n: usize, mode: ListMode, servers: Vec<Server>) {
         for s in &servers {
             match s.state {
-                State::Ready => _ = self.seats[n].barred.remove(&s.id),
-                _ => _ = self.seats[n].barred.entry(s.id).or_insert(self.now),
+                State::Ready => _ = self.proxies[n].withdrawn_at.remove(&s.id),
+                _ => _ = self.proxies[n].withdrawn_at.entry(s.id).or_insert(self.now),
             }
         }
         self.feed(n, Event::List { mode, servers });
@@ -321,7 +329,7 @@
     /// Gives a router an event and carries out what follows.
     pub(crate) fn feed(&mut self, n: usize, event: Event) {
         let mut actions = Vec::new();
-        let router = &mut self.seats[n].router;
+        let router = &mut self.proxies[n].router;
         router.handle(self.now, event, &mut actions);
         if let Some(trace) = &mut self.trace {
             trace.record(self.now, router, &actions);
@@ -335,7 +343,7 @@
                     ..
                 } => self.attempt(n, request, server, fill),
                 Action::Cancel { request, attempt } => {
-                    self.later(
+                    self.schedule(
                         0,
                         Scheduled::End(n, request, attempt, Outcome::Cancelled, Note::None, 0),
                     );
@@ -343,7 +351,7 @@
                 Action::Refuse { request, .. } | Action::Fail { request } => {
                     self.finish(n, request, false);
                 }
-                Action::Timer { at, tag } => self.later(at - self.now, Scheduled::Timer(n, tag)),
+                Action::Timer { at, tag } => self.schedule(at - self.now, Scheduled::Timer(n, tag)),
                 other => panic!("{other:?} is not expected here"),
             }
         }
@@ -351,7 +359,7 @@
 }
 
 /// Why `run` calls back.
-pub(crate) enum Heed {
+pub(crate) enum Notice {
     /// This number was to be called.
     Call(u64),
     /// An attempt of this proxy has ended.
--- a/tests/common/world/servers.rs
+++ b/tests/common/world/servers.rs
@@ -1,13 +1,19 @@
 //! The servers of the world: what the list says of them, what they report, and what they are sent while cold.
 
-use super::{FakeServer, World, ORIGIN};
+use super::{FakeServer, FleetSimulation, ORIGIN};
 use crate::common::server;
 use linnetknot::*;
 use std::collections::{BTreeSet, VecDeque};
 
-impl World {
+impl FleetSimulation {
     /// A cache with nothing in it.
-    pub(crate) fn put(&mut self, id: ServerId, zone: usize, weight: f64, started: Option<Micros>) {
+    pub(crate) fn add_server(
+        &mut self,
+        id: ServerId,
+        zone: usize,
+        weight: f64,
+        started: Option<Micros>,
+    ) {
         let new = FakeServer {
             zone,
             weight,
@@ -39,7 +45,7 @@
         }
     }
 
-    pub(super) fn listed(&self) -> Vec<Server> {
+    pub(super) fn server_list(&self) -> Vec<Server> {
         self.servers
             .keys()
             .map(|id| self.entry(*id, State::Ready))
@@ -49,10 +55,13 @@
     /// What a server reports of itself: what it holds, and how full its location's link is.
     pub(super) fn load(&self, server: ServerId) -> Load {
         let b = &self.servers[&server];
-        let link = self.links.get(b.zone).map(|l| l / self.link_fits);
+        let utilisation = self
+            .transfers_by_link
+            .get(b.zone)
+            .map(|l| l / self.link_capacity);
         Load {
             in_flight: Some(b.active),
-            link_utilisation: link,
+            link_utilisation: utilisation,
             ..Load::default()
         }
     }
@@ -71,7 +80,7 @@
     }
 
     /// Notes work sent to a server while it is cold, against what it bears.
-    pub(super) fn push(&mut self, id: ServerId) {
+    pub(super) fn record_slow_start_load(&mut self, id: ServerId) {
         let now = self.now;
         let warmth = self.warmth(&self.servers[&id]);
         let r = &self.rules;
--- a/tests/decision_trace/disturbances.rs
+++ b/tests/decision_trace/disturbances.rs
@@ -76,7 +76,7 @@
         let mut new = server(id % 100 + 100 * (1 + self.below(50)), &old.zone, &old.kind);
         new.started = Some(self.now - self.below(S));
         new.weight = old.weight * (0.5 + self.share());
-        self.put(new);
+        self.add_server(new);
         self.list(ListMode::Full);
     }
 
--- a/tests/decision_trace/main.rs
+++ b/tests/decision_trace/main.rs
@@ -11,8 +11,8 @@
 mod random_fleet;
 
 use common::trace::Trace;
-use common::world::{Heed, World, ORIGIN, PARENTS};
-use common::{class, fleet, sent, settings, Rig, MS, S, T0};
+use common::world::{FleetSimulation, Notice, ORIGIN, PARENTS};
+use common::{class, fleet, sent, settings, RouterHarness, MS, S, START};
 use linnetknot::*;
 use random_fleet::{RandomFleet, Tempo};
 use std::path::Path;
@@ -24,7 +24,7 @@
     checkpoint_seconds: 1,
     gap_us: 6 * MS,
     calm_us: 120 * MS,
-    objects: 400,
+    object_count: 400,
 };
 /// Long enough that counts of requests fade, and warm servers stay warm.
 const SLOW: Tempo = Tempo {
@@ -32,7 +32,7 @@
     checkpoint_seconds: 10,
     gap_us: 50 * MS,
     calm_us: 3 * S,
-    objects: 400,
+    object_count: 400,
 };
 /// So few requests that hits and fills hardly tell of a pace.
 const SPARSE: Tempo = Tempo {
@@ -40,7 +40,7 @@
     checkpoint_seconds: 100,
     gap_us: 700 * MS,
     calm_us: 20 * S,
-    objects: 100,
+    object_count: 100,
 };
 /// Fills so far apart that one or two of them tell of the link.
 const IDLE_LINK: Tempo = Tempo {
@@ -48,7 +48,7 @@
     checkpoint_seconds: 50,
     gap_us: 500 * MS,
     calm_us: 600 * MS,
-    objects: 20_000,
+    object_count: 20_000,
 };
 /// Long enough that writes are sent again amid all kinds of faults.
 const LONG_BUSY: Tempo = Tempo {
@@ -58,7 +58,7 @@
 };
 /// Few objects, so that some are asked for often enough to have several copies.
 const HOT: Tempo = Tempo {
-    objects: 12,
+    object_count: 12,
     calm_us: 600 * MS,
     ..BUSY
 };
@@ -164,15 +164,15 @@
 
 /// A fleet whose first zone vanishes at 3 s and comes back cold, whose first parent restarts, and whose origin is slow
 /// from 7 s on.
-fn eventful_world(name: &str, seed: u64, shape: impl FnOnce(&mut Settings)) -> String {
-    let mut world = World::shaped(2, 3, 4, 30.0, seed, shape);
+fn eventful_simulation(name: &str, seed: u64, shape: impl FnOnce(&mut Settings)) -> String {
+    let mut world = FleetSimulation::shaped(2, 3, 4, 30.0, seed, shape);
     world.trace = Some(Trace::new(format!("{name}-{seed}")));
-    world.link_fits = 6.0;
+    world.link_capacity = 6.0;
     world.sigma = 1.0;
-    world.objects = 500.0;
-    (1..=WORLD_SECONDS).for_each(|second| world.call(second * S, second));
+    world.object_count = 500.0;
+    (1..=WORLD_SECONDS).for_each(|second| world.schedule_callback(second * S, second));
     world.run(WORLD_SECONDS * S, |world, notify| {
-        let Heed::Call(second) = notify else {
+        let Notice::Call(second) = notify else {
             return;
         };
         let trace = world.trace.as_mut().expect("it was set");
@@ -190,16 +190,17 @@
                     .iter()
                     .map(|id| world.entry(*id, State::Gone))
                     .collect();
-                world.tell(0, ListMode::Delta, &gone);
+                world.publish(0, ListMode::Delta, &gone);
             }
             5 => {
-                zone.iter().for_each(|id| world.put(*id, 1, 8.0, Some(now)));
-                world.put(PARENTS[0], 0, 30.0, Some(now));
+                zone.iter()
+                    .for_each(|id| world.add_server(*id, 1, 8.0, Some(now)));
+                world.add_server(PARENTS[0], 0, 30.0, Some(now));
                 let back = zone.iter().chain(&PARENTS[..1]);
                 let back: Vec<_> = back.map(|id| world.entry(*id, State::Ready)).collect();
-                world.tell(0, ListMode::Delta, &back);
+                world.publish(0, ListMode::Delta, &back);
             }
-            7 => world.origin_per_s = 5.0,
+            7 => world.origin_requests_per_s = 5.0,
             9 => world.servers.get_mut(&PARENTS[1]).expect("it is there").up = false,
             10 => world.servers.get_mut(&ORIGIN).expect("it is there").up = false,
             _ => {}
@@ -263,28 +264,28 @@
 /// More purges than are held exactly, with requests between: what is asked of copies tells which ones still are.
 #[test]
 fn every_decision_amid_many_purges_is_the_one_on_record() {
-    let mut rig = Rig::new(settings(), fleet());
+    let mut harness = RouterHarness::new(settings(), fleet());
     let mut trace = Trace::new("purges".into());
     for number in 0..40_000 {
-        rig.now += MS / 10;
-        rig.handle(Event::Purged {
+        harness.now += MS / 10;
+        harness.handle(Event::Purged {
             object: Some(format!("/o/{number}")),
             group: 0,
             age_us: 0,
         });
         if number % 500 == 0 {
-            let actions = rig.tick();
-            trace.record(rig.now, &mut rig.router, &actions);
+            let actions = harness.tick();
+            trace.record(harness.now, &mut harness.router, &actions);
         }
         if number % 20 == 0 {
-            let (request, actions) = rig.ask("video", &format!("/o/{}", number / 2), 5 * S);
-            trace.record(rig.now, &mut rig.router, &actions);
+            let (request, actions) = harness.request("video", &format!("/o/{}", number / 2), 5 * S);
+            trace.record(harness.now, &mut harness.router, &actions);
             if let Some(sent) = sent(&actions) {
-                rig.end_with(request, 0, sent.server, Outcome::Ok, Note::Hit);
+                harness.end_attempt_with(request, 0, sent.server, Outcome::Ok, Note::Hit);
             }
         }
         if number % 4_000 == 3_999 {
-            trace.checkpoint((rig.now - T0) / S);
+            trace.checkpoint((harness.now - START) / S);
         }
     }
     compare("purges.txt", &trace.into_report());
@@ -295,41 +296,41 @@
 #[test]
 fn every_decision_of_a_scan_that_overflows_the_counts_is_the_one_on_record() {
     const PARTS: u64 = 24_000;
-    let mut rig = Rig::new(settings(), fleet());
+    let mut harness = RouterHarness::new(settings(), fleet());
     let mut trace = Trace::new("scan".into());
     for number in 0..PARTS + 2_000 {
-        rig.now += MS / 10;
+        harness.now += MS / 10;
         let object = match number.checked_sub(PARTS) {
             None => number - u64::from(number % 7 == 1),
             Some(again) => again * 11,
         };
-        let (request, actions) = rig.ask("video", &format!("/o/{object}"), 5 * S);
-        trace.record(rig.now, &mut rig.router, &actions);
+        let (request, actions) = harness.request("video", &format!("/o/{object}"), 5 * S);
+        trace.record(harness.now, &mut harness.router, &actions);
         if let Some(sent) = sent(&actions) {
-            rig.end_with(request, 0, sent.server, Outcome::Ok, Note::Hit);
+            harness.end_attempt_with(request, 0, sent.server, Outcome::Ok, Note::Hit);
         }
         if number % 2_000 == 1_999 {
-            trace.checkpoint((rig.now - T0) / S);
+            trace.checkpoint((harness.now - START) / S);
         }
     }
     compare("scan.txt", &trace.into_report());
 }
 
 /// Ticks, with an answer to a new request in each; what is cancelled ends so.
-fn answer_others(rig: &mut Rig, trace: &mut Trace, ticks: u64) {
+fn answer_others(harness: &mut RouterHarness, trace: &mut Trace, ticks: u64) {
     for tick in 0..ticks {
-        let (request, actions) = rig.ask("video", &format!("/others/{tick}"), 5 * S);
-        rig.now += 50 * MS;
-        trace.record(rig.now, &mut rig.router, &actions);
+        let (request, actions) = harness.request("video", &format!("/others/{tick}"), 5 * S);
+        harness.now += 50 * MS;
+        trace.record(harness.now, &mut harness.router, &actions);
         if let Some(sent) = sent(&actions) {
-            rig.end_with(request, 0, sent.server, Outcome::Ok, Note::Hit);
+            harness.end_attempt_with(request, 0, sent.server, Outcome::Ok, Note::Hit);
         }
-        let actions = rig.tick();
-        trace.record(rig.now, &mut rig.router, &actions);
+        let actions = harness.tick();
+        trace.record(harness.now, &mut harness.router, &actions);
         for action in actions {
             if let Action::Cancel { request, attempt } = action {
-                let again = rig.end(request, attempt, 0, Outcome::Cancelled);
-                trace.record(rig.now, &mut rig.router, &again);
+                let again = harness.end_attempt(request, attempt, 0, Outcome::Cancelled);
+                trace.record(harness.now, &mut harness.router, &again);
             }
         }
     }
@@ -339,33 +340,33 @@
 /// moment of its last answer on.
 #[test]
 fn every_decision_on_answers_that_never_come_is_the_one_on_record() {
-    let mut rig = Rig::new(settings(), fleet());
+    let mut harness = RouterHarness::new(settings(), fleet());
     let mut trace = Trace::new("silence".into());
     for number in 0..8 {
-        let (_, actions) = rig.ask("video", &format!("/lost/{number}"), 60 * S);
-        trace.record(rig.now, &mut rig.router, &actions);
+        let (_, actions) = harness.request("video", &format!("/lost/{number}"), 60 * S);
+        trace.record(harness.now, &mut harness.router, &actions);
     }
     for second in [10, 20, 30] {
-        answer_others(&mut rig, &mut trace, 200);
+        answer_others(&mut harness, &mut trace, 200);
         trace.checkpoint(second);
     }
     let last: Vec<_> = (0..24)
-        .map(|number| rig.ask("video", &format!("/last/{number}"), 5 * S))
+        .map(|number| harness.request("video", &format!("/last/{number}"), 5 * S))
         .collect();
-    rig.now += 50 * MS;
+    harness.now += 50 * MS;
     for (request, actions) in last {
         if let Some(sent) = sent(&actions) {
-            rig.end_with(request, 0, sent.server, Outcome::Ok, Note::Hit);
+            harness.end_attempt_with(request, 0, sent.server, Outcome::Ok, Note::Hit);
         }
     }
     for number in 0..24 {
-        let (_, actions) = rig.ask("video", &format!("/silent/{number}"), 5 * S);
-        trace.record(rig.now, &mut rig.router, &actions);
+        let (_, actions) = harness.request("video", &format!("/silent/{number}"), 5 * S);
+        trace.record(harness.now, &mut harness.router, &actions);
     }
     for _ in 0..40 {
-        rig.now += 50 * MS;
-        let actions = rig.tick();
-        trace.record(rig.now, &mut rig.router, &actions);
+        harness.now += 50 * MS;
+        let actions = harness.tick();
+        trace.record(harness.now, &mut harness.router, &actions);
     }
     trace.checkpoint(32);
     compare("silence.txt", &trace.into_report());
@@ -373,7 +374,7 @@
 
 #[test]
 fn every_decision_in_an_eventful_world_is_the_one_on_record() {
-    let told = eventful_world("world-told", 11, |_| ());
-    let untold = eventful_world("world-untold", 13, tell_little);
+    let told = eventful_simulation("world-told", 11, |_| ());
+    let untold = eventful_simulation("world-untold", 13, tell_little);
     compare("worlds.txt", &(told + &untold));
 }
--- a/tests/decision_trace/random_fleet.rs
+++ b/tests/decision_trace/random_fleet.rs
@@ -3,7 +3,7 @@
 
 use crate::answers::{Answer, Fault, Simulated, FAULTS};
 use crate::common::trace::{scramble, Trace};
-use crate::common::{server, MS, S, T0};
+use crate::common::{server, MS, S, START};
 use linnetknot::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -47,7 +47,7 @@
     /// Mean time between disturbances.
     pub calm_us: Micros,
     /// Distinct objects; low numbers are asked for most.
-    pub objects: u64,
+    pub object_count: u64,
 }
 
 pub(crate) struct RandomFleet {
@@ -66,7 +66,7 @@
 impl RandomFleet {
     pub(crate) fn new(name: &str, settings: Settings, tempo: Tempo, seed: u64) -> RandomFleet {
         let mut fleet = RandomFleet {
-            now: T0,
+            now: START,
             router: Router::new(settings.clone(), seed).expect("usable settings"),
             settings,
             tempo,
@@ -77,17 +77,17 @@
             random: scramble(seed),
             trace: Trace::new(format!("{name}-{seed}")),
         };
-        (1..=5).for_each(|id| fleet.put(server(id, "town", "cache")));
-        fleet.put(server(6, "shore", "cache"));
-        (11..=13).for_each(|id| fleet.put(server(id, "hub", "parent")));
-        fleet.put(server(21, "hub", "origin"));
+        (1..=5).for_each(|id| fleet.add_server(server(id, "town", "cache")));
+        fleet.add_server(server(6, "shore", "cache"));
+        (11..=13).for_each(|id| fleet.add_server(server(id, "hub", "parent")));
+        fleet.add_server(server(21, "hub", "origin"));
         fleet.list(ListMode::Full);
-        fleet.later(0, Happening::Arrival);
-        fleet.later(0, Happening::Disturbance);
+        fleet.schedule(0, Happening::Arrival);
+        fleet.schedule(0, Happening::Disturbance);
         fleet
     }
 
-    pub(crate) fn put(&mut self, mut entry: Server) {
+    pub(crate) fn add_server(&mut self, mut entry: Server) {
         entry.cell = entry.id % 3;
         let new = Simulated {
             entry,
@@ -133,7 +133,7 @@
     }
 
     pub(crate) fn any_key(&mut self) -> (Option<String>, u64) {
-        let (object, group) = (self.below(self.tempo.objects), self.below(GROUPS));
+        let (object, group) = (self.below(self.tempo.object_count), self.below(GROUPS));
         let object = (!self.one_in(4)).then(|| format!("/o/{object}"));
         (object, group)
     }
@@ -143,7 +143,7 @@
         self.trace.word(u64::from(taken));
     }
 
-    fn later(&mut self, wait: Micros, what: Happening) {
+    fn schedule(&mut self, wait: Micros, what: Happening) {
         self.number += 1;
         self.queue.insert((self.now + wait, self.number), what);
     }
@@ -156,16 +156,16 @@
             ..
         } = self.tempo;
         for second in (1..=seconds).filter(|second| second % checkpoint_seconds == 0) {
-            self.later(second * S, Happening::Checkpoint(second));
+            self.schedule(second * S, Happening::Checkpoint(second));
         }
-        let end = T0 + seconds * S;
+        let end = START + seconds * S;
         while let Some(entry) = self.queue.first_entry().filter(|e| e.key().0 <= end) {
             self.now = entry.key().0;
             match entry.remove() {
                 Happening::Arrival => self.arrival(),
                 Happening::Disturbance => {
                     let wait = self.below(2 * self.tempo.calm_us) + 1;
-                    self.later(wait, Happening::Disturbance);
+                    self.schedule(wait, Happening::Disturbance);
                     self.disturb();
                 }
                 Happening::Checkpoint(second) => self.trace.checkpoint(second),
@@ -180,13 +180,13 @@
     }
 
     fn arrival(&mut self) {
-        let gap = self.below(2 * self.tempo.gap_us) + 1;
-        self.later(gap, Happening::Arrival);
+        let random_interarrival = self.below(2 * self.tempo.gap_us) + 1;
+        self.schedule(random_interarrival, Happening::Arrival);
         self.number += 1;
         let id = self.number;
         // The product of two draws: low numbers are asked for most.
-        let objects = self.tempo.objects;
-        let object = self.below(objects) * self.below(objects) / objects;
+        let object_count = self.tempo.object_count;
+        let object = self.below(object_count) * self.below(object_count) / object_count;
         let part = self.below(PARTS);
         let classes = [
             "video", "video", "page", "order", "charge", "stream", "other",
@@ -219,10 +219,10 @@
             out: None,
         };
         self.clients.insert(id, client);
-        self.later(remaining_us, Happening::Deadline(id));
+        self.schedule(remaining_us, Happening::Deadline(id));
         if self.one_in(25) {
             let wait = self.below(remaining_us + 1);
-            self.later(wait, Happening::Leaves(id));
+            self.schedule(wait, Happening::Leaves(id));
         }
         let again = self.one_in(100).then(|| request.clone());
         self.feed(Event::Request(request));
@@ -322,12 +322,12 @@
                 Action::Cancel { request, attempt } => {
                     let wait = self.below(2 * MS);
                     let answer = Answer::of(Outcome::Cancelled, Note::None);
-                    self.later(wait, Happening::End(request, attempt, answer));
+                    self.schedule(wait, Happening::End(request, attempt, answer));
                 }
                 Action::Refuse { request, .. } | Action::Fail { request } => {
                     self.clients.remove(&request);
                 }
-                Action::Timer { at, tag } => self.later(at - self.now, Happening::Timer(tag)),
+                Action::Timer { at, tag } => self.schedule(at - self.now, Happening::Timer(tag)),
                 Action::Watch | Action::Probe { .. } | Action::Report { .. } => {}
             }
         }
@@ -351,8 +351,8 @@
             ..answer
         };
         if streams {
-            self.later(wait / 2, Happening::Begun(request, number));
+            self.schedule(wait / 2, Happening::Begun(request, number));
         }
-        self.later(wait, Happening::End(request, number, answer));
+        self.schedule(wait, Happening::End(request, number, answer));
     }
 }
--- a/tests/defences.rs
+++ b/tests/defences.rs
@@ -5,12 +5,12 @@
 use linnetknot::*;
 
 /// Servers that get requests for `n` objects, each answered as a hit.
-fn used(rig: &mut Rig, n: usize) -> Vec<ServerId> {
+fn used(harness: &mut RouterHarness, n: usize) -> Vec<ServerId> {
     (0..n)
         .filter_map(|n| {
-            let (id, actions) = rig.ask("video", &format!("/o/{n}"), 5 * S);
+            let (id, actions) = harness.request("video", &format!("/o/{n}"), 5 * S);
             let s = sent(&actions)?;
-            rig.end_with(id, 0, s.server, Outcome::Ok, Note::Hit);
+            harness.end_attempt_with(id, 0, s.server, Outcome::Ok, Note::Hit);
             Some(s.server)
         })
         .collect()
@@ -18,29 +18,29 @@
 
 #[test]
 fn a_cache_that_cannot_be_reached_comes_back_as_just_started() {
-    let mut rig = Rig::new(
+    let mut harness = RouterHarness::new(
         Settings {
             direct_to_upstream: false,
             ..settings()
         },
         fleet(),
     );
-    let first = rig.send("video", "/o/a");
-    rig.end(first.request, 0, first.server, Outcome::ConnectFailed);
+    let first = harness.send_request("video", "/o/a");
+    harness.end_attempt(first.request, 0, first.server, Outcome::ConnectFailed);
     assert!(
-        !used(&mut rig, 40).contains(&first.server),
+        !used(&mut harness, 40).contains(&first.server),
         "marked at once"
     );
-    rig.now += 2 * S;
+    harness.now += 2 * S;
     assert!(
-        used(&mut rig, 40).contains(&first.server),
+        used(&mut harness, 40).contains(&first.server),
         "tried again once the mark has run out"
     );
-    rig.now += 2 * S;
+    harness.now += 2 * S;
     // All at once, unanswered: 3 x (0.2 + 0.16) x 8 transfers of 0.1 s for a second is what the rule allows.
     let mut got = 0;
     for n in 0..400 {
-        let (_, actions) = rig.ask("video", &format!("/o/x{n}"), 5 * S);
+        let (_, actions) = harness.request("video", &format!("/o/x{n}"), 5 * S);
         got += usize::from(sent(&actions).is_some_and(|s| s.server == first.server));
     }
     assert!(
@@ -51,19 +51,19 @@
 
 #[test]
 fn a_cache_that_answers_nothing_is_left_and_its_requests_go_elsewhere() {
-    let mut rig = Rig::new(settings(), fleet());
+    let mut harness = RouterHarness::new(settings(), fleet());
     let mut stuck = Vec::new();
     for n in 0..40 {
-        let s = rig.send("video", &format!("/o/{n}"));
+        let s = harness.send_request("video", &format!("/o/{n}"));
         if s.server == 2 {
             stuck.push(s);
         } else {
-            rig.end_with(s.request, 0, s.server, Outcome::Ok, Note::Hit);
+            harness.end_attempt_with(s.request, 0, s.server, Outcome::Ok, Note::Hit);
         }
     }
     assert!(stuck.len() >= 2);
-    rig.now += S;
-    let cancelled: Vec<RequestId> = rig
+    harness.now += S;
+    let cancelled: Vec<RequestId> = harness
         .tick()
         .iter()
         .filter_map(|a| match a {
@@ -79,15 +79,15 @@
         stuck.iter().map(|s| s.request).collect::<Vec<_>>()
     );
     for s in &stuck {
-        let again = rig.end(s.request, 0, 2, Outcome::Cancelled);
+        let again = harness.end_attempt(s.request, 0, 2, Outcome::Cancelled);
         assert_ne!(sent(&again).expect("another attempt").server, 2);
     }
-    assert!(!used(&mut rig, 40).contains(&2));
+    assert!(!used(&mut harness, 40).contains(&2));
 }
 
 #[test]
 fn marks_that_would_leave_no_cache_are_passed_over() {
-    let mut rig = Rig::new(
+    let mut harness = RouterHarness::new(
         Settings {
             direct_to_upstream: false,
             ..settings()
@@ -95,27 +95,27 @@
         fleet(),
     );
     for n in 0..60 {
-        let (id, actions) = rig.ask("video", &format!("/o/{n}"), 5 * S);
+        let (id, actions) = harness.request("video", &format!("/o/{n}"), 5 * S);
         let Some(s) = sent(&actions) else { break };
-        rig.now += 2 * MS;
+        harness.now += 2 * MS;
         let mut again = Some(s);
         for attempt in 0..4 {
             let Some(s) = again else { break };
-            again = sent(&rig.end(id, attempt, s.server, Outcome::Error));
+            again = sent(&harness.end_attempt(id, attempt, s.server, Outcome::Error));
         }
     }
-    assert!(sent(&rig.ask("video", "/o/last", 5 * S).1).is_some());
+    assert!(sent(&harness.request("video", "/o/last", 5 * S).1).is_some());
 }
 
 #[test]
 fn straight_to_a_parent_only_while_no_cache_is_well() {
-    let mut rig = Rig::new(settings(), fleet());
+    let mut harness = RouterHarness::new(settings(), fleet());
     for id in 1..=4 {
         let n = (0..100).find(|n| {
-            let (r, actions) = rig.ask("video", &format!("/o/{n}"), 5 * S);
+            let (r, actions) = harness.request("video", &format!("/o/{n}"), 5 * S);
             let s = sent(&actions).expect("an attempt");
             let hit = s.server == id;
-            rig.end_with(
+            harness.end_attempt_with(
                 r,
                 0,
                 s.server,
@@ -130,7 +130,7 @@
         });
         assert!(n.is_some(), "cache {id} was never picked");
     }
-    let s = rig.send("video", "/o/z");
+    let s = harness.send_request("video", "/o/z");
     assert!(s.server == 11 || s.server == 12, "{s:?}");
     assert_eq!(
         (s.fill.source, s.fill.cache_rank, s.fill.coalesce),
@@ -145,16 +145,16 @@
     s.zones[1].link_kb_per_s = 10_000.0;
     let mut fleet = fleet();
     fleet.iter_mut().for_each(|s| s.weight = 1000.0);
-    let mut rig = Rig::new(s, fleet);
-    let first = rig.send("video", "/o/0");
+    let mut harness = RouterHarness::new(s, fleet);
+    let first = harness.send_request("video", "/o/0");
     assert!(first.fill.source == 11 || first.fill.source == 12);
     let last = (1..400)
-        .map(|n| rig.send("video", &format!("/o/{n}")))
+        .map(|n| harness.send_request("video", &format!("/o/{n}")))
         .last()
         .expect("one");
     assert_eq!(last.fill.source, last.server, "only looked into");
     assert!(last.fill.coalesce, "a fill under way is waited for");
-    let answer = rig.end(last.request, 0, last.server, Outcome::Miss);
+    let answer = harness.end_attempt(last.request, 0, last.server, Outcome::Miss);
     assert_eq!(
         answer,
         vec![Action::Refuse {
@@ -166,27 +166,29 @@
 
 #[test]
 fn a_source_that_refuses_is_not_asked_again_for_the_same_request() {
-    let mut rig = Rig::new(settings(), fleet());
-    let s = rig.send("video", "/o/a");
-    let again = sent(&rig.end_with(s.request, 0, s.server, Outcome::Full, Note::SourceRefused))
-        .expect("again");
+    let mut harness = RouterHarness::new(settings(), fleet());
+    let s = harness.send_request("video", "/o/a");
+    let again =
+        sent(&harness.end_attempt_with(s.request, 0, s.server, Outcome::Full, Note::SourceRefused))
+            .expect("again");
     assert_eq!(again.server, s.server, "the cache is not to blame");
     assert_ne!(again.fill.source, s.fill.source);
 }
 
 #[test]
 fn an_answer_that_is_lost_is_asked_for_again_where_its_server_answers_others() {
-    let mut rig = Rig::new(settings(), fleet());
-    let stuck = rig.send("video", "/o/a");
+    let mut harness = RouterHarness::new(settings(), fleet());
+    let stuck = harness.send_request("video", "/o/a");
     let mut cancelled = Vec::new();
     for n in 0..40 {
-        rig.now += 100 * MS;
+        harness.now += 100 * MS;
         // The same cache goes on answering others.
-        let (id, actions) = rig.ask("page", &format!("/o/{n}"), 5 * S);
+        let (id, actions) = harness.request("page", &format!("/o/{n}"), 5 * S);
         let s = sent(&actions).expect("an attempt");
-        rig.end_with(id, 0, s.server, Outcome::Ok, Note::Hit);
+        harness.end_attempt_with(id, 0, s.server, Outcome::Ok, Note::Hit);
         cancelled.extend(
-            rig.tick()
+            harness
+                .tick()
                 .into_iter()
                 .filter(|a| matches!(a, Action::Cancel { .. })),
         );
@@ -198,7 +200,7 @@
             attempt: 0
         }]
     );
-    let again = sent(&rig.end(stuck.request, 0, stuck.server, Outcome::Cancelled))
+    let again = sent(&harness.end_attempt(stuck.request, 0, stuck.server, Outcome::Cancelled))
         .expect("another attempt");
     assert_eq!(
         again.server, stuck.server,
@@ -208,10 +210,11 @@
     let mut actions = Vec::new();
     let mut waited = 0;
     while actions.is_empty() && waited < 200 {
-        rig.now += 100 * MS;
+        harness.now += 100 * MS;
         waited += 1;
         actions.extend(
-            rig.tick()
+            harness
+                .tick()
                 .into_iter()
                 .filter(|a| matches!(a, Action::Cancel { .. })),
         );
@@ -228,7 +231,7 @@
 
 #[test]
 fn a_failing_parent_is_not_put_on_its_caches_where_reasons_are_not_told() {
-    let mut rig = Rig::new(
+    let mut harness = RouterHarness::new(
         Settings {
             answer_detail: AnswerDetail::Hit,
             ..settings()
@@ -237,21 +240,22 @@
     );
     let mut failing = None;
     for n in 0..30 {
-        let s = rig.send("video", &format!("/o/{n}"));
+        let s = harness.send_request("video", &format!("/o/{n}"));
         let bad = *failing.get_or_insert(s.fill.source);
         if s.fill.source != bad {
-            rig.end_with(s.request, 0, s.server, Outcome::Ok, Note::Filled);
+            harness.end_attempt_with(s.request, 0, s.server, Outcome::Ok, Note::Filled);
             continue;
         }
-        let again = sent(&rig.end(s.request, 0, s.server, Outcome::Error)).expect("another try");
+        let again = sent(&harness.end_attempt(s.request, 0, s.server, Outcome::Error))
+            .expect("another try");
         assert_ne!(
             again.fill.source, bad,
             "the parent is left out of the next try"
         );
-        rig.end_with(s.request, 1, again.server, Outcome::Ok, Note::Filled);
+        harness.end_attempt_with(s.request, 1, again.server, Outcome::Ok, Note::Filled);
     }
-    let later: Vec<Sent> = (0..40)
-        .map(|n| rig.send("page", &format!("/p/{n}")))
+    let later: Vec<SentAttempt> = (0..40)
+        .map(|n| harness.send_request("page", &format!("/p/{n}")))
         .collect();
     assert!(
         (1..=4).all(|id| later.iter().any(|s| s.server == id)),
@@ -269,17 +273,18 @@
 
 #[test]
 fn what_is_out_for_a_client_that_left_is_called_off() {
-    let mut rig = Rig::new(settings(), fleet());
-    let s = rig.send("video", "/o/a");
+    let mut harness = RouterHarness::new(settings(), fleet());
+    let s = harness.send_request("video", "/o/a");
     assert_eq!(
-        rig.handle(Event::ClientLeft { request: s.request }),
+        harness.handle(Event::ClientLeft { request: s.request }),
         vec![Action::Cancel {
             request: s.request,
             attempt: 0
         }]
     );
     assert!(
-        rig.end(s.request, 0, s.server, Outcome::Cancelled)
+        harness
+            .end_attempt(s.request, 0, s.server, Outcome::Cancelled)
             .is_empty(),
         "no answer is owed any more"
     );
@@ -287,14 +292,14 @@
 
 #[test]
 fn a_begun_stream_is_left_alone() {
-    let mut rig = Rig::new(settings(), fleet());
-    let s = rig.send("stream", "/o/a");
-    rig.handle(Event::StreamStarted {
+    let mut harness = RouterHarness::new(settings(), fleet());
+    let s = harness.send_request("stream", "/o/a");
+    harness.handle(Event::StreamStarted {
         request: s.request,
         attempt: 0,
     });
-    rig.now += 20 * S;
-    assert!(!rig
+    harness.now += 20 * S;
+    assert!(!harness
         .tick()
         .iter()
         .any(|a| matches!(a, Action::Cancel { .. })));
@@ -303,8 +308,8 @@
 #[test]
 fn a_sibling_fills_a_cache_that_has_just_started() {
     let mut servers = fleet();
-    servers[0].started = Some(T0 - 5 * S);
-    let mut rig = Rig::new(
+    servers[0].started = Some(START - 5 * S);
+    let mut harness = RouterHarness::new(
         Settings {
             siblings: Siblings::Location,
             ..settings()
@@ -312,7 +317,7 @@
         servers,
     );
     let filled = (0..40)
-        .map(|n| rig.send("video", &format!("/o/{n}")))
+        .map(|n| harness.send_request("video", &format!("/o/{n}")))
         .find(|s| s.server == 1);
     let source = filled.expect("its part of the objects").fill.source;
     assert!((2..=4).contains(&source), "{source}");
@@ -320,27 +325,27 @@
 
 #[test]
 fn what_is_called_off_as_slow_raises_the_bound_on_what_comes_after_it() {
-    let mut rig = Rig::new(settings(), fleet());
+    let mut harness = RouterHarness::new(settings(), fleet());
     let mut waits = Vec::new();
     for round in 0..4 {
         let object = format!("/o/{round}");
-        let slow = sent(&rig.ask("video", &object, 60 * S).1).expect("an attempt");
-        let start = rig.now;
+        let slow = sent(&harness.request("video", &object, 60 * S).1).expect("an attempt");
+        let start = harness.now;
         // Its server answers others meanwhile, so it is the work that is slow.
-        rig.now += 100 * MS;
-        let other = rig.send("video", &object);
+        harness.now += 100 * MS;
+        let other = harness.send_request("video", &object);
         assert_eq!(other.server, slow.server);
-        rig.end_with(other.request, 0, other.server, Outcome::Ok, Note::Hit);
-        while !rig.tick().contains(&Action::Cancel {
+        harness.end_attempt_with(other.request, 0, other.server, Outcome::Ok, Note::Hit);
+        while !harness.tick().contains(&Action::Cancel {
             request: slow.request,
             attempt: 0,
         }) {
-            rig.now += 50 * MS;
+            harness.now += 50 * MS;
         }
-        waits.push(rig.now - start);
-        let again = sent(&rig.end(slow.request, 0, slow.server, Outcome::Cancelled))
+        waits.push(harness.now - start);
+        let again = sent(&harness.end_attempt(slow.request, 0, slow.server, Outcome::Cancelled))
             .expect("another attempt");
-        rig.end_with(again.request, 1, again.server, Outcome::Ok, Note::Hit);
+        harness.end_attempt_with(again.request, 1, again.server, Outcome::Ok, Note::Hit);
     }
     assert!(
         waits.is_sorted() && waits[3] > waits[0] * 4 / 3,
@@ -355,16 +360,16 @@
         s.zones[1].link_kb_per_s = 0.0;
         let mut fleet = fleet();
         fleet.iter_mut().for_each(|s| s.weight = 1000.0);
-        let mut rig = Rig::new(s, fleet);
-        let fills: Vec<Sent> = (0..40)
-            .map(|n| rig.send("video", &format!("/o/{n}")))
+        let mut harness = RouterHarness::new(s, fleet);
+        let fills: Vec<SentAttempt> = (0..40)
+            .map(|n| harness.send_request("video", &format!("/o/{n}")))
             .collect();
-        rig.now += 200 * MS;
-        used(&mut rig, 8); // The caches answer others meanwhile.
-        rig.tick();
-        rig.now += 600 * MS;
+        harness.now += 200 * MS;
+        used(&mut harness, 8); // The caches answer others meanwhile.
+        harness.tick();
+        harness.now += 600 * MS;
         for s in &fills {
-            rig.handle(Event::AttemptEnded {
+            harness.handle(Event::AttemptEnded {
                 request: s.request,
                 attempt: 0,
                 server: s.server,
@@ -380,12 +385,12 @@
                 load: None,
             });
         }
-        let under_load = rig.send("video", "/o/next");
+        let under_load = harness.send_request("video", "/o/next");
         for _ in 0..2 {
-            rig.now += 2 * S;
-            rig.tick();
+            harness.now += 2 * S;
+            harness.tick();
         }
-        let calm = rig.send("video", "/o/last");
+        let calm = harness.send_request("video", "/o/last");
         [under_load, calm].map(|s| s.fill.source != s.server)
     };
     assert_eq!(
@@ -407,14 +412,14 @@
 
 #[test]
 fn while_the_origin_is_late_few_requests_may_have_it_asked() {
-    let mut rig = Rig::new(settings(), fleet());
+    let mut harness = RouterHarness::new(settings(), fleet());
     let mut next = 0;
-    let mut asking = |rig: &mut Rig, first_byte_us: Micros, note: Note| {
+    let mut asking = |harness: &mut RouterHarness, first_byte_us: Micros, note: Note| {
         let count = (0..100).filter(|_| {
             next += 1;
-            let s = rig.send("video", &format!("/o/{next}"));
-            rig.now += 10 * MS;
-            rig.handle(Event::AttemptEnded {
+            let s = harness.send_request("video", &format!("/o/{next}"));
+            harness.now += 10 * MS;
+            harness.handle(Event::AttemptEnded {
                 request: s.request,
                 attempt: 0,
                 server: s.server,
@@ -425,28 +430,28 @@
                 first_byte_us,
                 load: None,
             });
-            rig.tick();
+            harness.tick();
             assert_ne!(s.fill.source, s.server);
             !s.fill.only_if_cached
         });
         count.count()
     };
-    assert_eq!(asking(&mut rig, 100 * MS, Note::FilledByOrigin), 100);
-    asking(&mut rig, 900 * MS, Note::FilledByOrigin);
-    let late = asking(&mut rig, 900 * MS, Note::FilledByOrigin);
+    assert_eq!(asking(&mut harness, 100 * MS, Note::FilledByOrigin), 100);
+    asking(&mut harness, 900 * MS, Note::FilledByOrigin);
+    let late = asking(&mut harness, 900 * MS, Note::FilledByOrigin);
     assert!(
         (1..20).contains(&late),
         "{late}: a few find out whether it is well again"
     );
     assert!(
-        asking(&mut rig, 10 * MS, Note::Filled) < 20,
+        asking(&mut harness, 10 * MS, Note::Filled) < 20,
         "a parent's own copies tell nothing of the origin"
     );
-    asking(&mut rig, 100 * MS, Note::FilledByOrigin);
-    assert_eq!(asking(&mut rig, 100 * MS, Note::FilledByOrigin), 100);
+    asking(&mut harness, 100 * MS, Note::FilledByOrigin);
+    assert_eq!(asking(&mut harness, 100 * MS, Note::FilledByOrigin), 100);
     let [little, much] = [600 * MS, 2 * S].map(|first_byte_us| {
-        let mut rig = Rig::new(settings(), fleet());
-        asking(&mut rig, first_byte_us, Note::FilledByOrigin)
+        let mut harness = RouterHarness::new(settings(), fleet());
+        asking(&mut harness, first_byte_us, Note::FilledByOrigin)
     });
     assert!(
         much < little,
@@ -460,20 +465,20 @@
         (Outcome::Miss, Note::SourceLacks),
         (Outcome::Full, Note::NoFillPlace),
     ] {
-        let mut rig = Rig::new(
+        let mut harness = RouterHarness::new(
             Settings {
                 direct_to_upstream: false,
                 ..settings()
             },
             fleet(),
         );
-        let first = rig.send("video", "/o/a");
-        rig.end(first.request, 0, first.server, Outcome::Reset);
+        let first = harness.send_request("video", "/o/a");
+        harness.end_attempt(first.request, 0, first.server, Outcome::Reset);
         for _ in 0..3 {
-            rig.now += 10 * S;
+            harness.now += 10 * S;
             let mut tried = false;
             for n in 0..40 {
-                let s = rig.send("video", &format!("/o/{n}"));
+                let s = harness.send_request("video", &format!("/o/{n}"));
                 let trial = s.server == first.server;
                 tried |= trial;
                 let (outcome, note) = if trial {
@@ -483,7 +488,9 @@
                 };
                 let (mut attempt, mut out) = (0, Some(s));
                 while let Some(s) = out {
-                    out = sent(&rig.end_with(s.request, attempt, s.server, outcome, note));
+                    out = sent(
+                        &harness.end_attempt_with(s.request, attempt, s.server, outcome, note),
+                    );
                     attempt += 1;
                 }
             }
@@ -494,64 +501,64 @@
 
 #[test]
 fn a_request_that_every_server_fails_is_given_up_and_held_against_none() {
-    let mut rig = Rig::new(settings(), fleet());
+    let mut harness = RouterHarness::new(settings(), fleet());
     for n in 0..20 {
-        let s = rig.send("video", &format!("/o/unknown-{n}"));
-        let again =
-            sent(&rig.end(s.request, 0, s.server, Outcome::Error)).expect("another attempt");
-        let actions = rig.end(s.request, 1, again.server, Outcome::Error);
+        let s = harness.send_request("video", &format!("/o/unknown-{n}"));
+        let again = sent(&harness.end_attempt(s.request, 0, s.server, Outcome::Error))
+            .expect("another attempt");
+        let actions = harness.end_attempt(s.request, 1, again.server, Outcome::Error);
         assert!(
             matches!(actions[..], [Action::Refuse { .. }]),
             "{actions:?}"
         );
     }
-    let all = used(&mut rig, 60);
+    let all = used(&mut harness, 60);
     assert!((1..=4).all(|id| all.contains(&id)), "{all:?}");
 }
 
 #[test]
 fn one_broken_connection_counts_once_however_much_was_out_on_it() {
-    let mut rig = Rig::new(settings(), fleet());
+    let mut harness = RouterHarness::new(settings(), fleet());
     let sent: Vec<_> = (0..40)
-        .map(|n| rig.send("video", &format!("/o/{n}")))
+        .map(|n| harness.send_request("video", &format!("/o/{n}")))
         .filter(|s| s.server == 2)
         .collect();
     assert!(sent.len() >= 4);
     for s in &sent {
-        rig.end(s.request, 0, 2, Outcome::Reset);
+        harness.end_attempt(s.request, 0, 2, Outcome::Reset);
     }
     assert!(
-        used(&mut rig, 60).contains(&2),
+        used(&mut harness, 60).contains(&2),
         "an answer that could not be read is not the end of a process"
     );
 }
 
 #[test]
 fn sizes_that_could_never_be_sent_teach_nothing() {
-    let mut rig = Rig::new(settings(), fleet());
+    let mut harness = RouterHarness::new(settings(), fleet());
     for n in 0..200 {
-        rig.now += MS;
-        rig.ask_sized(&format!("/o/huge-{n}"), 1e9);
+        harness.now += MS;
+        harness.request_sized(&format!("/o/huge-{n}"), 1e9);
     }
     // A cache that has just started takes what its budget fits, judged by what is usual.
     let started = Server {
-        started: Some(rig.now - 2 * S),
+        started: Some(harness.now - 2 * S),
         ..server(2, "town", "cache")
     };
-    rig.handle(Event::List {
+    harness.handle(Event::List {
         mode: ListMode::Delta,
         servers: vec![started],
     });
-    let all = used(&mut rig, 60);
+    let all = used(&mut harness, 60);
     assert!(all.contains(&2), "{all:?}");
 }
 
 #[test]
 fn a_parent_that_is_lost_is_not_taken_for_an_origin_that_is_late() {
-    let mut rig = Rig::new(settings(), fleet());
+    let mut harness = RouterHarness::new(settings(), fleet());
     for n in 0..60 {
-        rig.now += 2 * MS;
-        let s = rig.send("video", &format!("/o/{n}"));
+        harness.now += 2 * MS;
+        let s = harness.send_request("video", &format!("/o/{n}"));
         let note = if s.fill.source == 11 {
             Note::SourceLost
         } else {
@@ -562,14 +569,25 @@
         } else {
             Outcome::Ok
         };
-        let mut again = sent(&rig.end_with(s.request, 0, s.server, outcome, note));
+        let mut again = sent(&harness.end_attempt_with(s.request, 0, s.server, outcome, note));
         for attempt in 1..6 {
             let Some(s) = again else { break };
-            again = sent(&rig.end_with(s.request, attempt, s.server, Outcome::Ok, Note::Filled));
+            again = sent(&harness.end_attempt_with(
+                s.request,
+                attempt,
+                s.server,
+                Outcome::Ok,
+                Note::Filled,
+            ));
         }
     }
     let held = (0..40)
-        .filter(|n| rig.send("video", &format!("/p/{n}")).fill.only_if_cached)
+        .filter(|n| {
+            harness
+                .send_request("video", &format!("/p/{n}"))
+                .fill
+                .only_if_cached
+        })
         .count();
     assert_eq!(
         held, 0,
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -10,8 +10,8 @@
 const LINK: f64 = 12.0;
 
 /// Two proxies in each of four locations, two hub caches, an origin; a hundred requests a second.
-fn second() -> World {
-    let mut w = World::shaped(4, 2, 4, 24.0, 5, |s| {
+fn constrained_deployment() -> FleetSimulation {
+    let mut w = FleetSimulation::shaped(4, 2, 4, 24.0, 5, |s| {
         s.zones
             .iter_mut()
             .skip(1)
@@ -33,46 +33,46 @@
         s.rules.slow_start_share = 0.15;
         s.rules.slow_start_us = 18 * S;
     });
-    w.link_fits = LINK;
+    w.link_capacity = LINK;
     w.fill_timeout_us = 1_500 * MS;
-    w.objects = 20_000.0;
-    w.writes = 0.04;
+    w.object_count = 20_000.0;
+    w.write_share = 0.04;
     w
 }
 
-fn lost(w: &World, seconds: std::ops::Range<usize>) -> (u32, u32) {
+fn lost(w: &FleetSimulation, seconds: std::ops::Range<usize>) -> (u32, u32) {
     (
-        w.sum(seconds.clone(), |s| s.lost),
-        w.sum(seconds, |s| s.asked),
+        w.sum(seconds.clone(), |s| s.failed),
+        w.sum(seconds, |s| s.requests),
     )
 }
 
 /// Once all is warm, one hub cache vanishes without a word at 16 s and the other at 20 s; the list says so seconds late;
 /// one is back cold and empty at 30 s. The origin could fill all that is missing throughout.
-fn parents_lost() -> World {
-    let mut w = second();
+fn parents_lost() -> FleetSimulation {
+    let mut w = constrained_deployment();
     [12, 16, 20, 23, 27, 30]
         .into_iter()
-        .for_each(|s| w.call(s * S, s));
+        .for_each(|s| w.schedule_callback(s * S, s));
     w.run(50 * S, |w, notify| {
         let now = w.now;
-        let vanish = |w: &mut World, n: usize| {
+        let vanish = |w: &mut FleetSimulation, n: usize| {
             w.servers
                 .get_mut(&PARENTS[n])
                 .expect("it is there")
                 .vanished = true;
         };
         match notify {
-            Heed::Call(12) => w.origin_per_s = 200.0,
-            Heed::Call(16) => vanish(w, 0),
-            Heed::Call(20) => vanish(w, 1),
-            Heed::Call(23) => w.tell(0, ListMode::Delta, &[w.entry(PARENTS[0], State::Gone)]),
-            Heed::Call(27) => w.tell(0, ListMode::Delta, &[w.entry(PARENTS[1], State::Gone)]),
-            Heed::Call(_) => {
-                w.put(PARENTS[0], 0, 30.0, Some(now));
-                w.tell(0, ListMode::Delta, &[w.entry(PARENTS[0], State::Ready)]);
+            Notice::Call(12) => w.origin_requests_per_s = 200.0,
+            Notice::Call(16) => vanish(w, 0),
+            Notice::Call(20) => vanish(w, 1),
+            Notice::Call(23) => w.publish(0, ListMode::Delta, &[w.entry(PARENTS[0], State::Gone)]),
+            Notice::Call(27) => w.publish(0, ListMode::Delta, &[w.entry(PARENTS[1], State::Gone)]),
+            Notice::Call(_) => {
+                w.add_server(PARENTS[0], 0, 30.0, Some(now));
+                w.publish(0, ListMode::Delta, &[w.entry(PARENTS[0], State::Ready)]);
             }
-            Heed::Outcome(_) => {}
+            Notice::Outcome(_) => {}
         }
     });
     w
@@ -95,7 +95,10 @@
         20 * late < all,
         "{late} of {all} lost beside a hub cache that is back cold"
     );
-    assert!(w.sum(23..30, |s| s.origin) > 0, "the origin was asked");
+    assert!(
+        w.sum(23..30, |s| s.origin_requests) > 0,
+        "the origin was asked"
+    );
     // Each loss is found out by attempts that wait in vain; what they cost is bounded too.
     let (late, all) = lost(&w, 16..23);
     assert!(
@@ -113,28 +116,31 @@
 /// away that its link could have brought.
 #[test]
 fn a_location_that_is_back_cold_refuses_nothing_five_seconds_later() {
-    let mut w = second();
-    [6, 10, 14].into_iter().for_each(|s| w.call(s * S, s));
+    let mut w = constrained_deployment();
+    [6, 10, 14]
+        .into_iter()
+        .for_each(|s| w.schedule_callback(s * S, s));
     w.run(40 * S, |w, notify| {
         let zone: Vec<ServerId> = (10..14).collect();
-        let word = |w: &World, state| {
+        let word = |w: &FleetSimulation, state| {
             zone.iter()
                 .map(|id| w.entry(*id, state))
                 .collect::<Vec<_>>()
         };
         match notify {
-            Heed::Call(6) => w
+            Notice::Call(6) => w
                 .servers
                 .values_mut()
                 .filter(|b| b.zone == 1)
                 .for_each(|b| b.vanished = true),
-            Heed::Call(10) => w.tell(0, ListMode::Delta, &word(w, State::Gone)),
-            Heed::Call(_) => {
+            Notice::Call(10) => w.publish(0, ListMode::Delta, &word(w, State::Gone)),
+            Notice::Call(_) => {
                 let now = w.now;
-                zone.iter().for_each(|id| w.put(*id, 1, 8.0, Some(now)));
-                w.tell(0, ListMode::Delta, &word(w, State::Ready));
+                zone.iter()
+                    .for_each(|id| w.add_server(*id, 1, 8.0, Some(now)));
+                w.publish(0, ListMode::Delta, &word(w, State::Ready));
             }
-            Heed::Outcome(_) => {}
+            Notice::Outcome(_) => {}
         }
     });
     let (refused, all) = lost(&w, 19..39);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -5,7 +5,7 @@
 use common::*;
 use linnetknot::*;
 
-fn caches(w: &World, zone: usize) -> Vec<ServerId> {
+fn caches(w: &FleetSimulation, zone: usize) -> Vec<ServerId> {
     let of_zone = w
         .servers
         .iter()
@@ -13,7 +13,7 @@
     of_zone.map(|(id, _)| *id).collect()
 }
 
-fn max_overload(w: &World) -> f64 {
+fn max_overload(w: &FleetSimulation) -> f64 {
     w.servers
         .values()
         .map(|b| b.max_overload)
@@ -21,41 +21,44 @@
 }
 
 /// A zone whose caches vanish without a word at 6 s, are told to be gone at 9 s and come back cold at 11 s.
-fn zone_lost(proxies: usize, link_fits: f64) -> World {
-    let mut w = World::new(6, proxies, 4, 16.0, 5);
-    w.link_fits = link_fits;
-    [6, 9, 11].into_iter().for_each(|s| w.call(s * S, s));
+fn zone_lost(proxies: usize, link_capacity: f64) -> FleetSimulation {
+    let mut w = FleetSimulation::new(6, proxies, 4, 16.0, 5);
+    w.link_capacity = link_capacity;
+    [6, 9, 11]
+        .into_iter()
+        .for_each(|s| w.schedule_callback(s * S, s));
     w.run(30 * S, |w, notify| {
         let zone = caches(w, 1);
-        let word = |w: &World, state| {
+        let word = |w: &FleetSimulation, state| {
             zone.iter()
                 .map(|id| w.entry(*id, state))
                 .collect::<Vec<_>>()
         };
         match notify {
-            Heed::Call(6) => w
+            Notice::Call(6) => w
                 .servers
                 .values_mut()
                 .filter(|b| b.zone == 1)
                 .for_each(|b| b.vanished = true),
-            Heed::Call(9) => w.tell(0, ListMode::Delta, &word(w, State::Gone)),
-            Heed::Call(_) => {
+            Notice::Call(9) => w.publish(0, ListMode::Delta, &word(w, State::Gone)),
+            Notice::Call(_) => {
                 let now = w.now;
-                zone.iter().for_each(|id| w.put(*id, 1, 8.0, Some(now)));
-                w.tell(0, ListMode::Delta, &word(w, State::Ready));
+                zone.iter()
+                    .for_each(|id| w.add_server(*id, 1, 8.0, Some(now)));
+                w.publish(0, ListMode::Delta, &word(w, State::Ready));
             }
-            Heed::Outcome(_) => {}
+            Notice::Outcome(_) => {}
         }
     });
     w
 }
 /// Three in five caches of each zone are replaced by cold ones within 7 s; the word comes this late.
-fn replaced(proxies: usize, late: Micros) -> World {
-    let mut w = World::new(6, proxies, 5, 8.0, 5);
-    w.link_fits = 1e3;
-    (0..7).for_each(|n| w.call((6 + n) * S, n));
+fn replaced(proxies: usize, late: Micros) -> FleetSimulation {
+    let mut w = FleetSimulation::new(6, proxies, 5, 8.0, 5);
+    w.link_capacity = 1e3;
+    (0..7).for_each(|n| w.schedule_callback((6 + n) * S, n));
     w.run(24 * S, |w, notify| {
-        let Heed::Call(n) = notify else { return };
+        let Notice::Call(n) = notify else { return };
         let now = w.now;
         let mut word = Vec::new();
         for zone in 1..=6 {
@@ -63,22 +66,22 @@
             for id in caches(w, zone).into_iter().filter(leaves) {
                 w.servers.get_mut(&id).expect("it is there").up = false;
                 word.push(w.entry(id, State::Gone));
-                w.put(id + 100, zone, 8.0, Some(now));
+                w.add_server(id + 100, zone, 8.0, Some(now));
                 word.push(w.entry(id + 100, State::Ready));
             }
         }
-        w.tell(late, ListMode::Delta, &word);
+        w.publish(late, ListMode::Delta, &word);
     });
     w
 }
 
 /// All copies in caches are void at 10 s, while a location's link fits this.
-fn void(zones: usize, proxies: usize, link_fits: f64) -> World {
-    let mut w = World::new(zones, proxies, 4, 8.0, 5);
-    w.link_fits = link_fits;
-    w.call(10 * S, 0);
+fn void(zones: usize, proxies: usize, link_capacity: f64) -> FleetSimulation {
+    let mut w = FleetSimulation::new(zones, proxies, 4, 8.0, 5);
+    w.link_capacity = link_capacity;
+    w.schedule_callback(10 * S, 0);
     w.run(24 * S, |w, notify| {
-        if let Heed::Call(_) = notify {
+        if let Notice::Call(_) = notify {
             w.servers
                 .values_mut()
                 .filter(|b| b.zone > 0)
@@ -89,8 +92,8 @@
 }
 
 /// Requests of these seconds that were not answered while they were wanted.
-fn missed(w: &World, seconds: std::ops::Range<usize>) -> u32 {
-    w.sum(seconds, |s| s.lost + s.late)
+fn missed(w: &FleetSimulation, seconds: std::ops::Range<usize>) -> u32 {
+    w.sum(seconds, |s| s.failed + s.late)
 }
 
 /// With a part of the budget that none of many may use up, a zone that is back stays half idle while it refuses.
@@ -102,19 +105,22 @@
         (0.4..0.8).contains(&most),
         "its caches were sent {most} of what makes them fall"
     );
-    let (lost, asked) = (w.sum(11..20, |s| s.lost), w.sum(11..20, |s| s.asked) / 6);
+    let (lost, asked) = (
+        w.sum(11..20, |s| s.failed),
+        w.sum(11..20, |s| s.requests) / 6,
+    );
     assert!(
         lost < 600,
         "{lost} of {asked} refused in the nine seconds after"
     );
-    let (late, asked) = (missed(&w, 20..29), w.sum(20..29, |s| s.asked));
+    let (late, asked) = (missed(&w, 20..29), w.sum(20..29, |s| s.requests));
     assert!(
         200 * late < asked,
         "then it is as before: {late} of {asked}"
     );
-    let vain = w.sum(6..11, |s| s.in_vain);
+    let vain = w.sum(6..11, |s| s.wasted_attempts);
     assert!(
-        vain < w.sum(6..9, |s| s.asked) / 3,
+        vain < w.sum(6..9, |s| s.requests) / 3,
         "{vain} attempts at caches that are not there"
     );
 }
@@ -123,11 +129,11 @@
 fn three_caches_in_five_replaced_within_seven_seconds_cost_less_than_one_request_in_a_hundred() {
     for proxies in [3, 8, 16] {
         let w = replaced(proxies, 300 * MS);
-        let (lost, asked) = (missed(&w, 6..18), w.sum(6..18, |s| s.asked));
+        let (lost, asked) = (missed(&w, 6..18), w.sum(6..18, |s| s.requests));
         assert!(100 * lost < asked, "{proxies}: {lost} of {asked}");
         assert!(max_overload(&w) < 0.8, "{proxies}: {}", max_overload(&w));
         // Eighteen caches, each known to the proxies of its own zone alone.
-        let vain = w.sum(6..18, |s| s.in_vain);
+        let vain = w.sum(6..18, |s| s.wasted_attempts);
         assert!(
             vain as usize <= 18 * proxies,
             "{proxies}: {vain} attempts at caches that had left"
@@ -141,9 +147,9 @@
     for (late, trials) in [(3 * S, 3), (100 * S, 8)] {
         for proxies in [3, 8, 16] {
             let w = replaced(proxies, late);
-            let (lost, asked) = (missed(&w, 6..18), w.sum(6..18, |s| s.asked));
+            let (lost, asked) = (missed(&w, 6..18), w.sum(6..18, |s| s.requests));
             assert!(50 * lost < asked, "{late} {proxies}: {lost} of {asked}");
-            let vain = w.sum(6..18, |s| s.in_vain);
+            let vain = w.sum(6..18, |s| s.wasted_attempts);
             assert!(
                 vain as usize <= trials * 18 * proxies,
                 "{late} {proxies}: {vain} attempts in vain"
@@ -156,24 +162,24 @@
 /// world sees to that), what it adds wrongly is tried and then left alone.
 #[test]
 fn discovery_that_is_wrong_costs_a_trial_for_each_box_that_is_not_there() {
-    let mut w = World::new(6, 16, 4, 8.0, 5);
-    w.link_fits = 1e3;
-    w.call(6 * S, 0);
+    let mut w = FleetSimulation::new(6, 16, 4, 8.0, 5);
+    w.link_capacity = 1e3;
+    w.schedule_callback(6 * S, 0);
     w.run(16 * S, |w, notify| {
-        let Heed::Call(_) = notify else { return };
+        let Notice::Call(_) = notify else { return };
         let mut word = Vec::new();
         for zone in 1..=6 {
             word.push(w.entry(caches(w, zone)[0], State::Gone));
             let ghost = 500 + zone as u64;
-            w.put(ghost, zone, 8.0, None);
+            w.add_server(ghost, zone, 8.0, None);
             w.servers.get_mut(&ghost).expect("just put").up = false;
             word.push(w.entry(ghost, State::Ready));
         }
-        w.tell(0, ListMode::Delta, &word);
+        w.publish(0, ListMode::Delta, &word);
     });
-    let (lost, asked) = (missed(&w, 6..15), w.sum(6..15, |s| s.asked));
+    let (lost, asked) = (missed(&w, 6..15), w.sum(6..15, |s| s.requests));
     assert!(100 * lost < asked, "{lost} of {asked}");
-    let vain = w.sum(6..15, |s| s.in_vain);
+    let vain = w.sum(6..15, |s| s.wasted_attempts);
     assert!(
         (96..=96 * 5).contains(&vain),
         "{vain} attempts of 96 proxies at six caches that are not there"
@@ -183,13 +189,13 @@
 /// All proxies fill at once. What a fill told of the crowd must not count for longer than the crowd lasts.
 #[test]
 fn a_link_crowded_by_the_void_of_all_copies_is_used_again_within_four_seconds() {
-    for (proxies, link_fits, most) in [(8, 6.0, 120), (16, 12.0, 90)] {
-        let w = void(6, proxies, link_fits);
+    for (proxies, link_capacity, most) in [(8, 6.0, 120), (16, 12.0, 90)] {
+        let w = void(6, proxies, link_capacity);
         let lost = missed(&w, 10..23);
         assert!(
             lost < most,
             "{proxies}: {lost} of {}",
-            w.sum(10..23, |s| s.asked)
+            w.sum(10..23, |s| s.requests)
         );
         assert!(
             missed(&w, 14..23) < 30,
--- a/tests/large.rs
+++ b/tests/large.rs
@@ -16,7 +16,7 @@
     deadline_us: Micros,
     siblings: Siblings,
     answer_detail: AnswerDetail,
-    sizes_told: bool,
+    sizes_known: bool,
     links_told: bool,
     tenants: &'static [f64],
 }
@@ -30,7 +30,7 @@
         deadline_us: 6 * S,
         siblings: Siblings::Any,
         answer_detail: AnswerDetail::All,
-        sizes_told: true,
+        sizes_known: true,
         links_told: false,
         tenants: &[],
     },
@@ -42,7 +42,7 @@
         deadline_us: 5 * S,
         siblings: Siblings::Location,
         answer_detail: AnswerDetail::All,
-        sizes_told: true,
+        sizes_known: true,
         links_told: true,
         tenants: &[],
     },
@@ -54,7 +54,7 @@
         deadline_us: 6 * S,
         siblings: Siblings::Off,
         answer_detail: AnswerDetail::All,
-        sizes_told: true,
+        sizes_known: true,
         links_told: false,
         tenants: &[],
     },
@@ -66,7 +66,7 @@
         deadline_us: 5 * S,
         siblings: Siblings::Location,
         answer_detail: AnswerDetail::Hit,
-        sizes_told: false,
+        sizes_known: false,
         links_told: false,
         tenants: &[],
     },
@@ -78,7 +78,7 @@
         deadline_us: 700 * MS,
         siblings: Siblings::Off,
         answer_detail: AnswerDetail::All,
-        sizes_told: true,
+        sizes_known: true,
         links_told: true,
         tenants: &[0.7, 0.2, 0.1],
     },
@@ -89,11 +89,11 @@
 
 impl Site {
     /// Two locations of three proxies and four caches each, asked for this share of what the caches can send.
-    fn world(&self, load: f64, seed: u64) -> World {
+    fn world(&self, load: f64, seed: u64) -> FleetSimulation {
         let site = *self;
         // Four caches of eight transfers, by three proxies.
         let rate = load * 32.0 / site.work_s / 3.0;
-        let mut w = World::shaped(2, 3, 4, rate, seed, |s| {
+        let mut w = FleetSimulation::shaped(2, 3, 4, rate, seed, |s| {
             s.classes[0].objective_us = site.aim.0;
             s.classes[0].objective_stretch = site.aim.1;
             s.classes[0].deadline_us = site.deadline_us;
@@ -118,15 +118,15 @@
                 })
                 .collect();
         });
-        (w.work_s, w.sigma, w.sizes_told) = (site.work_s, site.sigma, site.sizes_told);
-        (w.deadline_us, w.link_fits, w.origin_per_s) = (site.deadline_us, LINK, 400.0);
-        w.tenants = site.tenants.to_vec();
+        (w.work_s, w.sigma, w.sizes_known) = (site.work_s, site.sigma, site.sizes_known);
+        (w.deadline_us, w.link_capacity, w.origin_requests_per_s) = (site.deadline_us, LINK, 400.0);
+        w.tenant_shares = site.tenants.to_vec();
         w
     }
 }
 
-fn check(name: &str, w: &World, least: f64) {
-    let (all, largest) = w.answered();
+fn check(name: &str, w: &FleetSimulation, least: f64) {
+    let (all, largest) = w.answered_shares();
     assert!(
         all > 0.3,
         "{name}: only {all} answered: too little to compare"
@@ -144,7 +144,7 @@
             .collect();
         own.iter().filter(|served| **served).count() as f64 / own.len().max(1) as f64
     };
-    for tenant in 0..w.tenants.len() {
+    for tenant in 0..w.tenant_shares.len() {
         assert!(
             share(tenant) >= 0.9 * all,
             "{name}: {} of tenant {tenant}, {all} of all",
@@ -172,9 +172,9 @@
     for site in SITES {
         for (seed, load) in [(7, 0.6), (8, 0.6), (9, 0.6)] {
             let mut w = site.world(load, seed);
-            w.call(8 * S, 1);
+            w.schedule_callback(8 * S, 1);
             w.run(25 * S, |w, notify| {
-                let Heed::Call(_) = notify else { return };
+                let Notice::Call(_) = notify else { return };
                 let now = w.now;
                 let replaced: Vec<ServerId> = [10, 11, 20, 21]
                     .into_iter()
@@ -183,8 +183,8 @@
                     .collect();
                 for id in replaced {
                     let zone = w.servers[&id].zone;
-                    w.put(id, zone, if zone == 0 { 30.0 } else { 8.0 }, Some(now));
-                    w.tell(0, ListMode::Delta, &[w.entry(id, State::Ready)]);
+                    w.add_server(id, zone, if zone == 0 { 30.0 } else { 8.0 }, Some(now));
+                    w.publish(0, ListMode::Delta, &[w.entry(id, State::Ready)]);
                 }
             });
             check(&format!("{} at {load}", site.name), &w, 0.5);
--- a/tests/ordinary.rs
+++ b/tests/ordinary.rs
@@ -5,11 +5,11 @@
 use linnetknot::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn homes(rig: &mut Rig, n: usize) -> BTreeMap<usize, ServerId> {
+fn homes(harness: &mut RouterHarness, n: usize) -> BTreeMap<usize, ServerId> {
     (0..n)
         .map(|n| {
-            let s = rig.send("video", &format!("/o/{n}"));
-            rig.end_with(s.request, 0, s.server, Outcome::Ok, Note::Hit);
+            let s = harness.send_request("video", &format!("/o/{n}"));
+            harness.end_attempt_with(s.request, 0, s.server, Outcome::Ok, Note::Hit);
             (n, s.server)
         })
         .collect()
@@ -17,8 +17,8 @@
 
 #[test]
 fn every_object_has_its_cache_and_all_caches_of_the_location_have_some() {
-    let mut a = Rig::new(settings(), fleet());
-    let mut b = Rig::new(settings(), fleet());
+    let mut a = RouterHarness::new(settings(), fleet());
+    let mut b = RouterHarness::new(settings(), fleet());
     b.now += 60 * S;
     let (one, two) = (homes(&mut a, 300), homes(&mut b, 300));
     assert_eq!(one, two, "the order is shared");
@@ -30,9 +30,9 @@
 
 #[test]
 fn a_cache_that_goes_moves_only_its_own_objects() {
-    let before = homes(&mut Rig::new(settings(), fleet()), 300);
+    let before = homes(&mut RouterHarness::new(settings(), fleet()), 300);
     let fewer: Vec<Server> = fleet().into_iter().filter(|s| s.id != 3).collect();
-    let after = homes(&mut Rig::new(settings(), fewer), 300);
+    let after = homes(&mut RouterHarness::new(settings(), fewer), 300);
     for (n, home) in &before {
         if *home != 3 {
             assert_eq!(after[n], *home);
@@ -44,17 +44,17 @@
 fn copies_follow_the_share() {
     // A third of all requests, four caches: two copies; the whole of them: all four.
     for (others, copies) in [(2, 2), (0, 4)] {
-        let mut rig = Rig::new(settings(), fleet());
+        let mut harness = RouterHarness::new(settings(), fleet());
         let mut used = BTreeSet::new();
         for n in 0..600 {
-            let s = rig.send("video", "/o/hot");
-            rig.end_with(s.request, 0, s.server, Outcome::Ok, Note::Hit);
+            let s = harness.send_request("video", "/o/hot");
+            harness.end_attempt_with(s.request, 0, s.server, Outcome::Ok, Note::Hit);
             if n > 300 {
                 used.insert(s.server);
             }
             for k in 0..others {
-                let s = rig.send("video", &format!("/o/{n}-{k}"));
-                rig.end_with(s.request, 0, s.server, Outcome::Ok, Note::Hit);
+                let s = harness.send_request("video", &format!("/o/{n}-{k}"));
+                harness.end_attempt_with(s.request, 0, s.server, Outcome::Ok, Note::Hit);
             }
         }
         assert_eq!(used.len(), copies);
@@ -63,12 +63,12 @@
 
 #[test]
 fn counts_age() {
-    let mut rig = Rig::new(settings(), fleet());
+    let mut harness = RouterHarness::new(settings(), fleet());
     for _ in 0..200 {
-        let s = rig.send("video", "/o/hot");
-        rig.end_with(s.request, 0, s.server, Outcome::Ok, Note::Hit);
+        let s = harness.send_request("video", "/o/hot");
+        harness.end_attempt_with(s.request, 0, s.server, Outcome::Ok, Note::Hit);
     }
-    rig.now += 300 * S;
+    harness.now += 300 * S;
     let mut used = BTreeSet::new();
     for n in 0..200 {
         for object in [format!("/o/{n}"), format!("/o/b{n}"), "/o/hot".to_string()] {
@@ -76,8 +76,8 @@
             if hot && n % 20 != 0 {
                 continue;
             }
-            let s = rig.send("video", &object);
-            rig.end_with(s.request, 0, s.server, Outcome::Ok, Note::Hit);
+            let s = harness.send_request("video", &object);
+            harness.end_attempt_with(s.request, 0, s.server, Outcome::Ok, Note::Hit);
             if hot {
                 used.insert(s.server);
             }
@@ -88,31 +88,37 @@
 
 #[test]
 fn fills_come_from_one_parent_for_an_object_and_the_origin_without_parents() {
-    let mut rig = Rig::new(settings(), fleet());
-    let (a, b) = (rig.send("video", "/o/a"), rig.send("video", "/o/a"));
+    let mut harness = RouterHarness::new(settings(), fleet());
+    let (a, b) = (
+        harness.send_request("video", "/o/a"),
+        harness.send_request("video", "/o/a"),
+    );
     assert_eq!(a.fill.source, b.fill.source);
     assert!(a.fill.source == 11 || a.fill.source == 12);
     let few = fleet().into_iter().filter(|s| s.kind != "parent").collect();
-    let mut rig = Rig::new(
+    let mut harness = RouterHarness::new(
         Settings {
             parent_kind: None,
             ..settings()
         },
         few,
     );
-    assert_eq!(rig.send("video", "/o/a").fill.source, 21);
+    assert_eq!(harness.send_request("video", "/o/a").fill.source, 21);
 }
 
 #[test]
 fn what_is_asked_for_again_is_kept_at_a_higher_rank() {
-    let mut rig = Rig::new(settings(), fleet());
-    let (a, b) = (rig.send("video", "/o/a"), rig.send("video", "/o/a"));
+    let mut harness = RouterHarness::new(settings(), fleet());
+    let (a, b) = (
+        harness.send_request("video", "/o/a"),
+        harness.send_request("video", "/o/a"),
+    );
     assert_eq!((a.fill.cache_rank, b.fill.cache_rank), (1, 2));
 }
 
 fn script(router: &mut Router, seed: u64, step: u64) -> Vec<Action> {
     let mut actions = Vec::new();
-    let now = T0 + step * 7 * MS;
+    let now = START + step * 7 * MS;
     let request = Request {
         id: step + 1,
         class: if step % 3 == 0 { "page" } else { "video" }.into(),
@@ -152,7 +158,7 @@
 fn started(seed: u64) -> Router {
     let mut router = Router::new(settings(), seed).expect("usable settings");
     router.handle(
-        T0,
+        START,
         Event::List {
             mode: ListMode::Full,
             servers: fleet(),
@@ -176,19 +182,21 @@
 
 #[test]
 fn what_is_not_known_is_ignored() {
-    let mut rig = Rig::new(settings(), fleet());
-    assert!(rig.end(999, 0, 1, Outcome::Error).is_empty());
-    assert!(rig.end(999, 3, 777, Outcome::Ok).is_empty());
-    assert!(rig.handle(Event::Timer { tag: 12_345 }).is_empty());
-    assert!(rig.handle(Event::ClientLeft { request: 999 }).is_empty());
-    assert!(rig
+    let mut harness = RouterHarness::new(settings(), fleet());
+    assert!(harness.end_attempt(999, 0, 1, Outcome::Error).is_empty());
+    assert!(harness.end_attempt(999, 3, 777, Outcome::Ok).is_empty());
+    assert!(harness.handle(Event::Timer { tag: 12_345 }).is_empty());
+    assert!(harness
+        .handle(Event::ClientLeft { request: 999 })
+        .is_empty());
+    assert!(harness
         .handle(Event::StreamStarted {
             request: 999,
             attempt: 0
         })
         .is_empty());
     let outcome = Outcome::Ok;
-    assert!(rig
+    assert!(harness
         .handle(Event::ProbeEnded {
             server: 777,
             outcome,
@@ -200,18 +208,20 @@
         state: State::Gone,
         ..server(777, "nowhere", "thing")
     };
-    assert!(rig
+    assert!(harness
         .handle(Event::List {
             mode: ListMode::Delta,
             servers: vec![gone]
         })
         .is_empty());
-    let s = rig.send("video", "/o/a");
+    let s = harness.send_request("video", "/o/a");
     assert!(
-        rig.end(s.request, 5, s.server, Outcome::Error).is_empty(),
+        harness
+            .end_attempt(s.request, 5, s.server, Outcome::Error)
+            .is_empty(),
         "no such attempt"
     );
-    let (id, actions) = rig.ask("no such class", "/o/a", 5 * S);
+    let (id, actions) = harness.request("no such class", "/o/a", 5 * S);
     assert_eq!(
         actions,
         vec![Action::Refuse {
@@ -223,9 +233,9 @@
 
 #[test]
 fn without_servers_requests_are_refused_at_once() {
-    let mut rig = Rig::new(settings(), vec![]);
+    let mut harness = RouterHarness::new(settings(), vec![]);
     for class in ["video", "page", "order", "charge"] {
-        assert_eq!(finals(&rig.ask(class, "/o/a", 5 * S).1), 1);
+        assert_eq!(final_answers(&harness.request(class, "/o/a", 5 * S).1), 1);
     }
 }
 
--- a/tests/purge_cost.rs
+++ b/tests/purge_cost.rs
@@ -17,25 +17,25 @@
 const TOLERANCE: f64 = 0.012;
 
 /// Purges of a million objects, with ticks between.
-fn purged_rig() -> Rig {
-    let mut rig = Rig::new(settings(), fleet());
-    let start = rig.now;
+fn purged_rig() -> RouterHarness {
+    let mut harness = RouterHarness::new(settings(), fleet());
+    let start = harness.now;
     for number in 0..PURGES {
-        rig.now = start + number * S / PURGES_PER_SECOND;
-        rig.handle(Event::Purged {
+        harness.now = start + number * S / PURGES_PER_SECOND;
+        harness.handle(Event::Purged {
             object: Some(format!("/purged/{number}")),
             group: 0,
             age_us: 0,
         });
         if number % PURGES_PER_TICK == 0 {
-            rig.tick();
+            harness.tick();
         }
     }
-    rig
+    harness
 }
 
 /// How old a copy of an object that was never purged may be; none: of any age.
-fn allowed_age(rig: &mut Rig, number: u64) -> Option<Micros> {
+fn allowed_age(harness: &mut RouterHarness, number: u64) -> Option<Micros> {
     let request = Request {
         id: number,
         class: "video".into(),
@@ -47,23 +47,23 @@
         remaining_us: 5 * S,
         is_retry: false,
     };
-    let actions = rig.handle(Event::Request(request));
+    let actions = harness.handle(Event::Request(request));
     let attempt = sent(&actions).expect("an attempt");
-    rig.end_with(number, 0, attempt.server, Outcome::Ok, Note::Hit);
+    harness.end_attempt_with(number, 0, attempt.server, Outcome::Ok, Note::Hit);
     attempt.fill.max_age_us
 }
 
 #[test]
 fn a_router_loses_the_share_of_hits_that_the_formula_says() {
-    let mut rig = purged_rig();
-    let state = rig.router.purges();
+    let mut harness = purged_rig();
+    let state = harness.router.purges();
     let (exact, bits) = (
         state.exact_len() as f64,
         state.compact_table().bucket_bits(),
     );
     assert_eq!(state.compact_table().memory_bytes(), 4 << 20);
     let allowed: Vec<_> = (0..COPIES)
-        .map(|number| allowed_age(&mut rig, number))
+        .map(|number| allowed_age(&mut harness, number))
         .collect();
     for minutes in [5, 10, 20, 30, 45, 60, 75, 90, 120] {
         let age = minutes * 60 * S;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -15,8 +15,8 @@
 
 #[test]
 fn a_request_without_time_left_is_refused_at_once() {
-    let mut rig = Rig::new(settings(), fleet());
-    let (id, actions) = rig.ask("video", "/o/a", 0);
+    let mut harness = RouterHarness::new(settings(), fleet());
+    let (id, actions) = harness.request("video", "/o/a", 0);
     assert_eq!(
         actions,
         vec![Action::Refuse {
@@ -28,64 +28,68 @@
 
 #[test]
 fn a_timeout_at_the_deadline_still_gets_one_final_answer() {
-    let mut rig = Rig::new(settings(), fleet());
-    let s = rig.send("video", "/o/a");
-    rig.now += 5 * S;
-    let actions = rig.end(s.request, 0, s.server, Outcome::Timeout);
-    assert_eq!(finals(&actions), 1);
+    let mut harness = RouterHarness::new(settings(), fleet());
+    let s = harness.send_request("video", "/o/a");
+    harness.now += 5 * S;
+    let actions = harness.end_attempt(s.request, 0, s.server, Outcome::Timeout);
+    assert_eq!(final_answers(&actions), 1);
     assert!(sent(&actions).is_none());
     assert!(
-        rig.end(s.request, 0, s.server, Outcome::Timeout).is_empty(),
+        harness
+            .end_attempt(s.request, 0, s.server, Outcome::Timeout)
+            .is_empty(),
         "nothing after the final answer"
     );
 }
 
 #[test]
 fn no_more_attempts_than_allowed() {
-    let mut rig = Rig::new(
+    let mut harness = RouterHarness::new(
         Settings {
             max_attempts: 2,
             ..settings()
         },
         fleet(),
     );
-    let s = rig.send("video", "/o/a");
-    let again = sent(&rig.end(s.request, 0, s.server, Outcome::Error)).expect("a second attempt");
-    let actions = rig.end(s.request, 1, again.server, Outcome::Error);
-    assert_eq!(finals(&actions), 1);
+    let s = harness.send_request("video", "/o/a");
+    let again = sent(&harness.end_attempt(s.request, 0, s.server, Outcome::Error))
+        .expect("a second attempt");
+    let actions = harness.end_attempt(s.request, 1, again.server, Outcome::Error);
+    assert_eq!(final_answers(&actions), 1);
 }
 
 #[test]
 fn an_unsafe_request_that_may_have_run_fails_and_is_not_resent() {
-    let mut rig = Rig::new(settings(), fleet());
-    let s = rig.send("charge", "/o/a");
-    let actions = rig.end(s.request, 0, s.server, Outcome::Reset);
+    let mut harness = RouterHarness::new(settings(), fleet());
+    let s = harness.send_request("charge", "/o/a");
+    let actions = harness.end_attempt(s.request, 0, s.server, Outcome::Reset);
     assert_eq!(actions, vec![Action::Fail { request: s.request }]);
 }
 
 #[test]
 fn an_unsafe_request_that_never_ran_may_be_resent() {
-    let mut rig = Rig::new(
+    let mut harness = RouterHarness::new(
         Settings {
             direct_to_upstream: false,
             ..settings()
         },
         fleet(),
     );
-    let s = rig.send("charge", "/o/a");
-    let again = sent(&rig.end(s.request, 0, s.server, Outcome::Full)).expect("a second attempt");
-    let failed = rig.end(s.request, 1, again.server, Outcome::Error);
+    let s = harness.send_request("charge", "/o/a");
+    let again = sent(&harness.end_attempt(s.request, 0, s.server, Outcome::Full))
+        .expect("a second attempt");
+    let failed = harness.end_attempt(s.request, 1, again.server, Outcome::Error);
     assert_eq!(failed, vec![Action::Fail { request: s.request }]);
 }
 
 #[test]
 fn a_keyed_request_is_resent_only_within_its_window() {
     for (wait, resent) in [(1_900 * MS, true), (2_000 * MS, false)] {
-        let mut rig = Rig::new(settings(), fleet());
-        let s = rig.send("order", "/o/a");
+        let mut harness = RouterHarness::new(settings(), fleet());
+        let s = harness.send_request("order", "/o/a");
         assert_eq!(s.server, 21, "a write goes straight to the origin");
-        rig.now += wait;
-        let actions = rig.end(s.request, 0, s.server, Outcome::Error);
+        harness.now += wait;
+        let actions = harness.end_attempt(s.request, 0, s.server, Outcome::Error);
         assert_eq!(sent(&actions).is_some(), resent, "after {wait}");
     }
 }
@@ -97,9 +101,9 @@
         ..settings()
     };
     s.classes[2].dedup_scope = DedupScope::Cell;
-    let mut rig = Rig::new(s, fleet());
-    let first = rig.send("order", "/o/a");
-    let again = sent(&rig.end(first.request, 0, first.server, Outcome::Error));
+    let mut harness = RouterHarness::new(s, fleet());
+    let first = harness.send_request("order", "/o/a");
+    let again = sent(&harness.end_attempt(first.request, 0, first.server, Outcome::Error));
     assert_eq!(
         again.map(|a| a.server),
         Some(first.server),
@@ -107,11 +111,11 @@
     );
     let mut gone = server(first.server, "town", "cache");
     gone.state = State::Gone;
-    rig.handle(Event::List {
+    harness.handle(Event::List {
         mode: ListMode::Delta,
         servers: vec![gone],
     });
-    let last = rig.end(first.request, 1, first.server, Outcome::Error);
+    let last = harness.end_attempt(first.request, 1, first.server, Outcome::Error);
     assert_eq!(
         last,
         vec![Action::Fail {
@@ -124,44 +128,44 @@
 #[test]
 fn drained_and_gone_servers_get_nothing_new() {
     for state in [State::Draining, State::Gone] {
-        let mut rig = Rig::new(settings(), fleet());
+        let mut harness = RouterHarness::new(settings(), fleet());
         let change = |id, zone, kind| Server {
             state,
             ..server(id, zone, kind)
         };
         let servers = vec![change(1, "town", "cache"), change(11, "hub", "parent")];
-        rig.handle(Event::List {
+        harness.handle(Event::List {
             mode: ListMode::Delta,
             servers,
         });
         for n in 0..60 {
-            let s = rig.send("video", &format!("/o/{n}"));
+            let s = harness.send_request("video", &format!("/o/{n}"));
             assert_ne!(s.server, 1);
             assert_ne!(s.fill.source, 11, "nor as the source of a fill");
-            rig.end_with(s.request, 0, s.server, Outcome::Ok, Note::Hit);
+            harness.end_attempt_with(s.request, 0, s.server, Outcome::Ok, Note::Hit);
         }
     }
 }
 
 #[test]
 fn a_server_missing_from_a_full_list_gets_nothing_new() {
-    let mut rig = Rig::new(settings(), fleet());
-    rig.handle(Event::List {
+    let mut harness = RouterHarness::new(settings(), fleet());
+    harness.handle(Event::List {
         mode: ListMode::Full,
         servers: alone(3),
     });
     for n in 0..30 {
-        let s = rig.send("video", &format!("/o/{n}"));
+        let s = harness.send_request("video", &format!("/o/{n}"));
         assert_eq!(s.server, 3);
-        rig.end_with(s.request, 0, s.server, Outcome::Ok, Note::Hit);
+        harness.end_attempt_with(s.request, 0, s.server, Outcome::Ok, Note::Hit);
     }
 }
 
 fn accepted(settings: Settings, fleet: Vec<Server>, id: ServerId) -> usize {
-    let mut rig = Rig::new(settings, fleet);
+    let mut harness = RouterHarness::new(settings, fleet);
     (0..200)
         .filter(|n| {
-            let (_, actions) = rig.ask("video", &format!("/o/{n}"), 5 * S);
+            let (_, actions) = harness.request("video", &format!("/o/{n}"), 5 * S);
             sent(&actions).is_some_and(|s| s.server == id || s.fill.source == id)
         })
         .count()
@@ -176,7 +180,7 @@
         };
         s.zones[1].routers = routers;
         let mut servers = alone(1);
-        servers[0].started = Some(T0);
+        servers[0].started = Some(START);
         accepted(s, servers, 1)
     };
     // 0.1 s of work each; the rule allows 3 x 0.2 x 8 transfers for one second: 48 requests.
@@ -191,16 +195,16 @@
 #[test]
 fn a_cold_parent_gets_no_more_fills_than_its_budget() {
     let mut servers = alone(1);
-    servers[1].started = Some(T0);
+    servers[1].started = Some(START);
     servers[0].weight = 1000.0;
     let s = Settings {
         direct_to_upstream: false,
         ..settings()
     };
-    let mut rig = Rig::new(s, servers);
+    let mut harness = RouterHarness::new(s, servers);
     let fills = (0..300)
         .filter(|n| {
-            let (_, actions) = rig.ask("page", &format!("/o/{n}"), 5 * S);
+            let (_, actions) = harness.request("page", &format!("/o/{n}"), 5 * S);
             sent(&actions).is_some_and(|s| s.fill.source == 11)
         })
         .count();
@@ -210,55 +214,55 @@
 
 #[test]
 fn no_copy_from_before_a_purge_will_do_also_long_after_servers_have_dropped_theirs() {
-    let mut rig = Rig::new(settings(), fleet());
+    let mut harness = RouterHarness::new(settings(), fleet());
     let purge = |object: Option<&str>| Event::Purged {
         object: object.map(Into::into),
         group: 3,
         age_us: 200 * MS,
     };
     for (event, object) in [(purge(Some("/o/a")), "/o/a"), (purge(None), "/o/b")] {
-        rig.handle(event);
-        let start = rig.now;
+        harness.handle(event);
+        let start = harness.now;
         // A fill that ran across the purge may have left a copy behind after the six seconds that servers need.
         for wait in [0, 500 * MS, 5_800 * MS, 5_801 * MS, 3_600 * S] {
-            rig.now = start + wait;
-            rig.tick();
-            let s = rig.send("video", object);
+            harness.now = start + wait;
+            harness.tick();
+            let s = harness.send_request("video", object);
             assert_eq!(
                 s.fill.max_age_us,
                 Some(200 * MS + wait),
                 "to the purge and no further"
             );
-            rig.end_with(s.request, 0, s.server, Outcome::Ok, Note::Hit);
+            harness.end_attempt_with(s.request, 0, s.server, Outcome::Ok, Note::Hit);
         }
     }
 }
 
 #[test]
 fn a_router_that_starts_late_holds_the_purges_that_it_is_told_of() {
-    let mut rig = Rig::new(settings(), fleet());
-    rig.handle(Event::Purged {
+    let mut harness = RouterHarness::new(settings(), fleet());
+    harness.handle(Event::Purged {
         object: Some("/o/a".into()),
         group: 3,
         age_us: 13 * S,
     });
     assert_eq!(
-        rig.send("video", "/o/a").fill.max_age_us,
+        harness.send_request("video", "/o/a").fill.max_age_us,
         Some(13 * S),
         "older than servers need, and it holds"
     );
 }
 
 /// What is asked of a copy of an object.
-fn floor(rig: &mut Rig, object: &str) -> Option<Micros> {
-    let s = rig.send("video", object);
-    rig.end_with(s.request, 0, s.server, Outcome::Ok, Note::Hit);
+fn floor(harness: &mut RouterHarness, object: &str) -> Option<Micros> {
+    let s = harness.send_request("video", object);
+    harness.end_attempt_with(s.request, 0, s.server, Outcome::Ok, Note::Hit);
     s.fill.max_age_us
 }
 
 #[test]
 fn of_more_purges_than_are_held_exactly_none_is_forgotten_and_the_young_stay_exact() {
-    let mut rig = Rig::new(settings(), fleet());
+    let mut harness = RouterHarness::new(settings(), fleet());
     let purge = |n: u64, age_us| Event::Purged {
         object: Some(format!("/o/{n}")),
         group: 3,
@@ -266,17 +270,17 @@
     };
     // The rule's time for boxes to carry a purge out is below 10 s: no purge of the second half is that old.
     for n in 0..16_000 {
-        rig.handle(purge(n, 60 * S - n));
+        harness.handle(purge(n, 60 * S - n));
     }
     for n in 16_000..26_000 {
-        rig.handle(purge(n, S + n));
+        harness.handle(purge(n, S + n));
     }
-    rig.tick();
-    let exact = rig.router.purges().exact_len();
+    harness.tick();
+    let exact = harness.router.purges().exact_len();
     assert!((10_000..=16_384).contains(&exact), "{exact}");
     for n in 0..26_000 {
         let age_us = if n < 16_000 { 60 * S - n } else { S + n };
-        let told = floor(&mut rig, &format!("/o/{n}")).expect("none is forgotten");
+        let told = floor(&mut harness, &format!("/o/{n}")).expect("none is forgotten");
         let least = if n < 16_000 {
             age_us.saturating_sub(MS)
         } else {
@@ -285,7 +289,7 @@
         assert!((least..=age_us).contains(&told), "{n}: {told} for {age_us}");
     }
     assert_eq!(
-        floor(&mut rig, "/o/never"),
+        floor(&mut harness, "/o/never"),
         None,
         "what was not purged is not bound"
     );
@@ -294,28 +298,28 @@
 /// The module refuses no purge: each binds its object from then on, with as little memory as ever.
 #[test]
 fn every_one_of_forty_thousand_purges_binds_for_good_and_no_bound_is_eased() {
-    let mut rig = Rig::new(settings(), fleet());
-    let start = rig.now;
+    let mut harness = RouterHarness::new(settings(), fleet());
+    let start = harness.now;
     let name = |n: u64| format!("/o/{n}");
     let mut purged_at = Vec::new();
     for n in 0..40_000 {
-        rig.now = start + n * 9 * MS;
-        purged_at.push(rig.now);
-        rig.handle(Event::Purged {
+        harness.now = start + n * 9 * MS;
+        purged_at.push(harness.now);
+        harness.handle(Event::Purged {
             object: Some(name(n)),
             group: 3,
             age_us: 0,
         });
         if n % 500 == 0 {
-            rig.tick();
+            harness.tick();
         }
     }
     let mut told = vec![0; purged_at.len()];
     for round in 0..3 {
-        rig.now += 3_600 * S;
-        rig.tick();
+        harness.now += 3_600 * S;
+        harness.tick();
         for n in 0..40_000 {
-            let oldest = rig.now - floor(&mut rig, &name(n)).expect("it binds");
+            let oldest = harness.now - floor(&mut harness, &name(n)).expect("it binds");
             assert!(
                 oldest >= purged_at[n as usize],
                 "{n}: a copy from before its purge would do"
@@ -325,87 +329,100 @@
         }
         // Many more purges push the others out of their places.
         for n in 0..40_000 {
-            rig.handle(Event::Purged {
+            harness.handle(Event::Purged {
                 object: Some(format!("/{round}/{n}")),
                 group: 3,
                 age_us: n,
             });
         }
-        assert!(rig.router.purges().exact_len() <= 2 * 16_384);
-        assert_eq!(rig.router.purges().compact_table().memory_bytes(), 4 << 20);
+        assert!(harness.router.purges().exact_len() <= 2 * 16_384);
+        assert_eq!(
+            harness.router.purges().compact_table().memory_bytes(),
+            4 << 20
+        );
     }
 }
 
 #[test]
 fn a_router_takes_in_the_purges_that_another_knows() {
-    let mut rig = Rig::new(settings(), fleet());
-    let start = rig.now;
+    let mut harness = RouterHarness::new(settings(), fleet());
+    let start = harness.now;
     let mut known = CompactTable::new(BucketBits::new(10).unwrap());
     known.record(KeyHash::of_object("/o/a"), start - 3 * S);
     known.record(KeyHash::of_group(3), start - 8 * S);
     for (index, bucket) in known.occupied(BucketIndex::default()) {
-        assert!(!rig
+        assert!(!harness
             .router
             .purges_mut()
             .merge_bucket(known.bucket_bits(), index, bucket)
             .unwrap()
             .is_empty());
     }
-    assert_eq!(floor(&mut rig, "/o/a"), Some(3 * S));
-    assert_eq!(floor(&mut rig, "/o/b"), Some(8 * S), "by its group");
-    rig.router
+    assert_eq!(floor(&mut harness, "/o/a"), Some(3 * S));
+    assert_eq!(floor(&mut harness, "/o/b"), Some(8 * S), "by its group");
+    harness
+        .router
         .purges_mut()
         .set_capacity(0, BucketBits::new(6).unwrap());
-    assert_eq!(floor(&mut rig, "/o/a"), Some(3 * S));
-    rig.router.purges_mut().raise_all(start - S);
+    assert_eq!(floor(&mut harness, "/o/a"), Some(3 * S));
+    harness.router.purges_mut().raise_all(start - S);
     assert_eq!(
-        (floor(&mut rig, "/o/a"), floor(&mut rig, "/o/b")),
+        (floor(&mut harness, "/o/a"), floor(&mut harness, "/o/b")),
         (Some(S), Some(S))
     );
 }
 
 #[test]
 fn an_age_bound_is_never_zero_and_never_past_the_fresh_time() {
-    let mut rig = Rig::new(settings(), fleet());
-    rig.handle(Event::Purged {
+    let mut harness = RouterHarness::new(settings(), fleet());
+    harness.handle(Event::Purged {
         object: Some("/o/a".into()),
         group: 3,
         age_us: 0,
     });
     assert_eq!(
-        rig.send("page", "/o/a").fill.max_age_us,
+        harness.send_request("page", "/o/a").fill.max_age_us,
         Some(1),
         "0 would mean the default"
     );
     let mut s = settings();
     s.rules.purge_completion_us = 60 * S;
-    let mut rig = Rig::new(s, fleet());
-    rig.handle(Event::Purged {
+    let mut harness = RouterHarness::new(s, fleet());
+    harness.handle(Event::Purged {
         object: Some("/o/a".into()),
         group: 3,
         age_us: 30 * S,
     });
-    assert_eq!(rig.send("page", "/o/a").fill.max_age_us, Some(10 * S));
+    assert_eq!(
+        harness.send_request("page", "/o/a").fill.max_age_us,
+        Some(10 * S)
+    );
 }
 
 #[test]
 fn a_purge_holds_for_good() {
-    let mut rig = Rig::new(settings(), fleet());
+    let mut harness = RouterHarness::new(settings(), fleet());
     let purge = |object: Option<&str>| Event::Purged {
         object: object.map(Into::into),
         group: 3,
         age_us: 0,
     };
-    rig.handle(purge(None));
-    rig.now += 60 * S;
-    rig.tick();
-    assert_eq!(rig.send("video", "/o/a").fill.max_age_us, Some(60 * S));
-    rig.handle(purge(Some("/o/a")));
-    rig.now += S;
-    assert_eq!(rig.send("video", "/o/a").fill.max_age_us, Some(S));
-    rig.now += 9 * S;
+    harness.handle(purge(None));
+    harness.now += 60 * S;
+    harness.tick();
+    assert_eq!(
+        harness.send_request("video", "/o/a").fill.max_age_us,
+        Some(60 * S)
+    );
+    harness.handle(purge(Some("/o/a")));
+    harness.now += S;
+    assert_eq!(
+        harness.send_request("video", "/o/a").fill.max_age_us,
+        Some(S)
+    );
+    harness.now += 9 * S;
     assert_eq!(
-        rig.send("video", "/o/a").fill.max_age_us,
+        harness.send_request("video", "/o/a").fill.max_age_us,
         Some(10 * S),
         "the later one is the stricter"
     );
@@ -413,7 +430,7 @@
 
 #[test]
 fn a_refused_client_is_told_when_to_come_back_also_where_none_is_said_to_listen() {
-    let mut rig = Rig::new(
+    let mut harness = RouterHarness::new(
         Settings {
             retry_after: false,
             max_retry_after_us: 150 * MS,
@@ -421,7 +438,7 @@
         },
         vec![],
     );
-    let (request, actions) = rig.ask("video", "/o/a", S);
+    let (request, actions) = harness.request("video", "/o/a", S);
     assert_eq!(
         actions,
         vec![Action::Refuse {
@@ -437,58 +454,65 @@
 fn what_waited_for_a_connection_begins_only_as_its_class_lets_it_by_then() {
     let mut s = settings();
     s.classes[2].dedup_window_us = 350 * MS;
-    let mut rig = Rig::new(s, fleet());
-    let first = rig.send("order", "/o/1");
+    let mut harness = RouterHarness::new(s, fleet());
+    let first = harness.send_request("order", "/o/1");
     assert_eq!(
-        rig.router.recheck_queued_attempt(rig.now, first.request),
+        harness
+            .router
+            .recheck_queued_attempt(harness.now, first.request),
         Some(None)
     );
     assert!(
-        rig.router
-            .recheck_queued_attempt(rig.now + 600 * MS, first.request)
+        harness
+            .router
+            .recheck_queued_attempt(harness.now + 600 * MS, first.request)
             .is_some(),
         "nothing may have run yet"
     );
-    rig.now += 300 * MS;
-    let actions = rig.end(first.request, 0, first.server, Outcome::Reset);
+    harness.now += 300 * MS;
+    let actions = harness.end_attempt(first.request, 0, first.server, Outcome::Reset);
     assert!(
         sent(&actions).is_some(),
         "within the window it is sent again"
     );
-    assert!(rig
+    assert!(harness
         .router
-        .recheck_queued_attempt(rig.now + 40 * MS, first.request)
+        .recheck_queued_attempt(harness.now + 40 * MS, first.request)
         .is_some());
     assert_eq!(
-        rig.router
-            .recheck_queued_attempt(rig.now + 50 * MS, first.request),
+        harness
+            .router
+            .recheck_queued_attempt(harness.now + 50 * MS, first.request),
         None,
         "the window is over"
     );
     // It never began, so it ends as never sent: by now it is barred, and its keyed class lets it be refused.
-    rig.now += 50 * MS;
-    let actions = rig.end(first.request, 1, first.server, Outcome::Moot);
+    harness.now += 50 * MS;
+    let actions = harness.end_attempt(first.request, 1, first.server, Outcome::Moot);
     assert!(
         sent(&actions).is_none() && matches!(actions[..], [Action::Refuse { .. }]),
         "{actions:?}"
     );
-    let read = rig.send("video", "/o/2");
+    let read = harness.send_request("video", "/o/2");
     let purge = Event::Purged {
         object: Some("/o/2".into()),
         group: 0,
         age_us: 10 * MS,
     };
-    rig.handle(purge);
+    harness.handle(purge);
     assert_eq!(
-        rig.router
-            .recheck_queued_attempt(rig.now + 90 * MS, read.request),
+        harness
+            .router
+            .recheck_queued_attempt(harness.now + 90 * MS, read.request),
         Some(Some(100 * MS))
     );
-    rig.handle(Event::ClientLeft {
+    harness.handle(Event::ClientLeft {
         request: read.request,
     });
     assert_eq!(
-        rig.router.recheck_queued_attempt(rig.now, read.request),
+        harness
+            .router
+            .recheck_queued_attempt(harness.now, read.request),
         None
     );
 }
@@ -497,33 +521,40 @@
 #[test]
 fn a_box_that_was_not_reached_in_time_is_not_taken_for_a_cold_one() {
     for (outcome, cold) in [(Outcome::Unreached, false), (Outcome::ConnectFailed, true)] {
-        let mut rig = Rig::new(
+        let mut harness = RouterHarness::new(
             Settings {
                 direct_to_upstream: false,
                 ..settings()
             },
             fleet(),
         );
-        let first = rig.send("video", "/o/1");
-        let again = sent(&rig.end(first.request, 0, first.server, outcome)).expect("elsewhere");
+        let first = harness.send_request("video", "/o/1");
+        let again =
+            sent(&harness.end_attempt(first.request, 0, first.server, outcome)).expect("elsewhere");
         assert_ne!(again.server, first.server);
-        rig.end(again.request, 1, again.server, Outcome::Ok);
-        assert_eq!(rig.router.max_slow_start_usage(rig.now, false), None);
+        harness.end_attempt(again.request, 1, again.server, Outcome::Ok);
+        assert_eq!(
+            harness.router.max_slow_start_usage(harness.now, false),
+            None
+        );
         // Once its mark is over it is tried again, and answers.
-        rig.now += 5 * S;
+        harness.now += 5 * S;
         let back = (0..200)
-            .map(|n| rig.send("video", &format!("/o/{n}")))
+            .map(|n| harness.send_request("video", &format!("/o/{n}")))
             .find(|s| s.server == first.server);
         let back = back.expect("tried again");
-        rig.end(back.request, 0, back.server, Outcome::Ok);
+        harness.end_attempt(back.request, 0, back.server, Outcome::Ok);
         assert_eq!(
-            rig.router.max_slow_start_usage(rig.now, false).is_some(),
+            harness
+                .router
+                .max_slow_start_usage(harness.now, false)
+                .is_some(),
             cold,
             "{outcome:?}"
         );
         // A write that was not reached may be refused, whatever its class.
-        let charge = rig.send("charge", "/o/1");
-        let actions = rig.end(charge.request, 0, charge.server, outcome);
+        let charge = harness.send_request("charge", "/o/1");
+        let actions = harness.end_attempt(charge.request, 0, charge.server, outcome);
         assert!(
             !actions.iter().any(|a| matches!(a, Action::Fail { .. })),
             "{outcome:?}: {actions:?}"
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -19,14 +19,14 @@
         .iter()
         .position(|s| s.id == cold)
         .expect("in the fleet");
-    servers[place].started = Some(T0 - S);
+    servers[place].started = Some(START - S);
     let mut sum = 0.0;
     for seed in 0..u64::from(routers) {
         let mut router =
             Router::new(settings.clone(), seed.wrapping_mul(0x9e37_79b9)).expect("usable");
         let mut actions = Vec::new();
         router.handle(
-            T0,
+            START,
             Event::List {
                 mode: ListMode::Full,
                 servers: servers.clone(),
@@ -45,7 +45,7 @@
                 remaining_us: 5 * S,
                 is_retry: false,
             };
-            router.handle(T0, Event::Request(request), &mut actions);
+            router.handle(START, Event::Request(request), &mut actions);
         }
         let to_it = |a: &&Action| match a {
             Action::Attempt {
@@ -85,9 +85,9 @@
 fn one_own_transfer_among_hundreds_of_routers_does_not_make_a_cache_full() {
     let mut settings = settings();
     settings.zones[1].routers = 200;
-    let mut rig = Rig::new(settings, fleet());
+    let mut harness = RouterHarness::new(settings, fleet());
     let servers: BTreeSet<ServerId> = (0..3)
-        .map(|_| rig.send("video", "/o/same").server)
+        .map(|_| harness.send_request("video", "/o/same").server)
         .collect();
     assert_eq!(
         servers.len(),
@@ -98,27 +98,28 @@
 
 #[test]
 fn the_second_parent_fills_while_the_first_is_clearly_slower_for_the_size() {
-    let parent_of = |rig: &mut Rig, n: usize| rig.send("video", &format!("/o/{n}"));
+    let parent_of =
+        |harness: &mut RouterHarness, n: usize| harness.send_request("video", &format!("/o/{n}"));
     let run = |slow_ms: u64, size_told: bool| {
         let flow = if size_told { 5_000.0 } else { 0.0 };
-        let mut rig = Rig::new(
+        let mut harness = RouterHarness::new(
             Settings {
                 flow_kb_per_s: flow,
                 ..settings()
             },
             fleet(),
         );
-        let first = parent_of(&mut rig, 0).fill.source;
+        let first = parent_of(&mut harness, 0).fill.source;
         let mut later = 0;
         for n in 0..60 {
-            let s = parent_of(&mut rig, n % 6);
+            let s = parent_of(&mut harness, n % 6);
             let took_us = if s.fill.source == first {
                 slow_ms * MS
             } else {
                 150 * MS
             };
-            rig.now += 20 * MS;
-            rig.handle(Event::AttemptEnded {
+            harness.now += 20 * MS;
+            harness.handle(Event::AttemptEnded {
                 request: s.request,
                 attempt: 0,
                 server: s.server,
@@ -151,9 +152,9 @@
     let mut turned = list.clone();
     turned.reverse();
     let run = |servers: Vec<Server>| {
-        let mut rig = Rig::new(settings(), servers);
+        let mut harness = RouterHarness::new(settings(), servers);
         (0..200)
-            .map(|n| rig.ask("video", &format!("/o/{}", n % 50), 5 * S).1)
+            .map(|n| harness.request("video", &format!("/o/{}", n % 50), 5 * S).1)
             .collect::<Vec<_>>()
     };
     assert_eq!(run(list), run(turned));
@@ -162,12 +163,12 @@
 #[test]
 fn absurd_load_reports_do_no_harm() {
     let run = |load: Option<Load>| {
-        let mut rig = Rig::new(settings(), fleet());
+        let mut harness = RouterHarness::new(settings(), fleet());
         (0..50)
             .map(|n| {
-                let s = rig.send("video", &format!("/o/{n}"));
-                rig.now += 10 * MS;
-                rig.handle(Event::AttemptEnded {
+                let s = harness.send_request("video", &format!("/o/{n}"));
+                harness.now += 10 * MS;
+                harness.handle(Event::AttemptEnded {
                     request: s.request,
                     attempt: 0,
                     server: s.server,
@@ -199,7 +200,7 @@
 
 #[test]
 fn what_is_asked_for_often_stays_counted_when_the_table_is_full() {
-    let mut rig = Rig::new(settings(), fleet());
+    let mut harness = RouterHarness::new(settings(), fleet());
     let mut last = None;
     for n in 0..30_000u64 {
         let often = n % 3 == 0;
@@ -208,22 +209,22 @@
         } else {
             format!("/o/{n}")
         };
-        let (id, actions) = rig.ask("page", &object, 5 * S);
+        let (id, actions) = harness.request("page", &object, 5 * S);
         if let Some(s) = sent(&actions) {
-            rig.end_with(id, 0, s.server, Outcome::Ok, Note::Hit);
+            harness.end_attempt_with(id, 0, s.server, Outcome::Ok, Note::Hit);
             last = last
                 .filter(|_| !often)
                 .or(often.then_some(s.fill.cache_rank));
         }
-        rig.now += MS / 10;
+        harness.now += MS / 10;
     }
     assert_eq!(last, Some(2), "asked for again while counted");
 }
 
 #[test]
 fn unknown_classes_and_changes_for_unknown_servers_are_taken_in() {
-    let mut rig = Rig::new(settings(), fleet());
-    let (id, actions) = rig.ask("no-such-class", "/o/a", 5 * S);
+    let mut harness = RouterHarness::new(settings(), fleet());
+    let (id, actions) = harness.request("no-such-class", "/o/a", 5 * S);
     assert_eq!(
         actions,
         vec![Action::Refuse {
@@ -235,17 +236,17 @@
         state: State::Gone,
         ..server(77, "town", "cache")
     };
-    rig.handle(Event::List {
+    harness.handle(Event::List {
         mode: ListMode::Delta,
         servers: vec![gone],
     });
     let new = server(78, "town", "cache");
-    rig.handle(Event::List {
+    harness.handle(Event::List {
         mode: ListMode::Delta,
         servers: vec![new],
     });
     let servers: BTreeSet<ServerId> = (0..60)
-        .map(|n| rig.send("page", &format!("/o/{n}")).server)
+        .map(|n| harness.send_request("page", &format!("/o/{n}")).server)
         .collect();
     assert!(!servers.contains(&77), "it is gone");
     assert!(servers.contains(&78), "it is ready");
@@ -262,18 +263,18 @@
         .iter_mut()
         .for_each(|z| z.link_kb_per_s = 0.0);
     settings.zones[1].routers = 16;
-    let mut rig = Rig::new(settings, fleet());
-    let filled = |rig: &mut Rig, n: usize| {
-        let s = rig.send("video", &format!("/o/{n}"));
+    let mut harness = RouterHarness::new(settings, fleet());
+    let filled = |harness: &mut RouterHarness, n: usize| {
+        let s = harness.send_request("video", &format!("/o/{n}"));
         (s.fill.source != s.server).then_some(s)
     };
     // Parts of 0.1 s of sending: in a second of crowd eight fills take four times as long.
-    let out: Vec<Sent> = (0..8).filter_map(|n| filled(&mut rig, n)).collect();
+    let out: Vec<SentAttempt> = (0..8).filter_map(|n| filled(&mut harness, n)).collect();
     assert_eq!(out.len(), 8, "nothing is known of the link yet");
     for s in out {
-        rig.now += 60 * MS;
-        rig.tick();
-        rig.handle(Event::AttemptEnded {
+        harness.now += 60 * MS;
+        harness.tick();
+        harness.handle(Event::AttemptEnded {
             request: s.request,
             attempt: 0,
             server: s.server,
@@ -285,13 +286,13 @@
             load: None,
         });
     }
-    assert!(filled(&mut rig, 100).is_none(), "the link is crowded");
+    assert!(filled(&mut harness, 100).is_none(), "the link is crowded");
     for _ in 0..60 {
-        rig.now += 50 * MS;
-        rig.tick();
+        harness.now += 50 * MS;
+        harness.tick();
     }
     assert!(
-        filled(&mut rig, 101).is_some(),
+        filled(&mut harness, 101).is_some(),
         "nothing has come by the link for three seconds"
     );
 }
@@ -303,9 +304,9 @@
     let asked = |cache_answers: bool| {
         let mut settings = settings();
         settings.zones[1].link_kb_per_s = 1e9;
-        let mut rig = Rig::new(settings, fleet());
-        let end = |rig: &mut Rig, s: Sent, outcome, note, took_us| {
-            rig.handle(Event::AttemptEnded {
+        let mut harness = RouterHarness::new(settings, fleet());
+        let end = |harness: &mut RouterHarness, s: SentAttempt, outcome, note, took_us| {
+            harness.handle(Event::AttemptEnded {
                 request: s.request,
                 attempt: 0,
                 server: s.server,
@@ -318,26 +319,26 @@
             })
         };
         for n in 0..30 {
-            let fill = rig.send("video", &format!("/o/{n}"));
-            let others: Vec<Sent> = (0..12)
-                .map(|m| rig.send("video", &format!("/hit/{m}")))
+            let fill = harness.send_request("video", &format!("/o/{n}"));
+            let others: Vec<SentAttempt> = (0..12)
+                .map(|m| harness.send_request("video", &format!("/hit/{m}")))
                 .collect();
-            rig.now += 200 * MS;
+            harness.now += 200 * MS;
             for s in others {
                 let outcome = if cache_answers {
                     Outcome::Ok
                 } else {
                     Outcome::Miss
                 };
-                end(&mut rig, s, outcome, Note::Hit, 110 * MS);
+                end(&mut harness, s, outcome, Note::Hit, 110 * MS);
             }
-            rig.now += 800 * MS;
-            end(&mut rig, fill, Outcome::Timeout, Note::None, S);
+            harness.now += 800 * MS;
+            end(&mut harness, fill, Outcome::Timeout, Note::None, S);
         }
         let asks = (0..100).filter(|n| {
-            let s = rig.send("video", &format!("/p/{n}"));
-            rig.now += 110 * MS;
-            end(&mut rig, s, Outcome::Ok, Note::Hit, 110 * MS);
+            let s = harness.send_request("video", &format!("/p/{n}"));
+            harness.now += 110 * MS;
+            end(&mut harness, s, Outcome::Ok, Note::Hit, 110 * MS);
             assert_ne!(s.fill.source, s.server, "the link has room");
             !s.fill.only_if_cached
         });
@@ -361,13 +362,13 @@
 fn a_router_with_few_answers_of_the_origin_follows_it_down_and_up_within_six_of_them() {
     let mut settings = settings();
     settings.zones[1].link_kb_per_s = 1e9;
-    let mut rig = Rig::new(settings, fleet());
+    let mut harness = RouterHarness::new(settings, fleet());
     let mut next = 0;
-    let mut end = |rig: &mut Rig, note: Note, first_byte_us: Micros| {
+    let mut end = |harness: &mut RouterHarness, note: Note, first_byte_us: Micros| {
         next += 1;
-        let s = rig.send("video", &format!("/o/{next}"));
-        rig.now += 110 * MS + first_byte_us;
-        rig.handle(Event::AttemptEnded {
+        let s = harness.send_request("video", &format!("/o/{next}"));
+        harness.now += 110 * MS + first_byte_us;
+        harness.handle(Event::AttemptEnded {
             request: s.request,
             attempt: 0,
             server: s.server,
@@ -382,10 +383,10 @@
     };
     let mut follow = |first_byte_us: Micros| {
         for _ in 0..6 {
-            rig.now += 500 * MS;
-            end(&mut rig, Note::FilledByOrigin, first_byte_us);
+            harness.now += 500 * MS;
+            end(&mut harness, Note::FilledByOrigin, first_byte_us);
         }
-        (0..100).filter(|_| end(&mut rig, Note::Hit, 0)).count()
+        (0..100).filter(|_| end(&mut harness, Note::Hit, 0)).count()
     };
     assert_eq!(follow(100 * MS), 100);
     assert!(follow(900 * MS) < 15, "late answers");
@@ -398,21 +399,21 @@
 fn what_two_parents_lack_is_looked_for_in_no_third_and_not_in_the_cache_again() {
     let mut servers = fleet();
     servers.extend([server(13, "hub", "parent"), server(14, "hub", "parent")]);
-    let mut rig = Rig::new(
+    let mut harness = RouterHarness::new(
         Settings {
             direct_to_upstream: false,
             ..settings()
         },
         servers,
     );
-    let first = rig.send("video", "/o/a");
-    let lacks = |rig: &mut Rig, attempt| {
+    let first = harness.send_request("video", "/o/a");
+    let lacks = |harness: &mut RouterHarness, attempt| {
         let end = (Outcome::Miss, Note::SourceLacks);
-        rig.end_with(first.request, attempt, first.server, end.0, end.1)
+        harness.end_attempt_with(first.request, attempt, first.server, end.0, end.1)
     };
-    let second = sent(&lacks(&mut rig, 0)).expect("the second parent may hold it");
+    let second = sent(&lacks(&mut harness, 0)).expect("the second parent may hold it");
     assert!(second.server == first.server && second.fill.source != first.fill.source);
-    let last = lacks(&mut rig, 1);
+    let last = lacks(&mut harness, 1);
     assert!(matches!(last[..], [Action::Refuse { .. }]), "{last:?}");
 }
 
@@ -420,18 +421,18 @@
 #[test]
 fn what_a_sibling_lacks_is_still_looked_for_at_two_parents() {
     let mut servers = fleet();
-    servers[0].started = Some(T0 - 9 * S);
+    servers[0].started = Some(START - 9 * S);
     let config = Settings {
         siblings: Siblings::Location,
         direct_to_upstream: false,
         ..settings()
     };
-    let mut rig = Rig::new(config, servers);
+    let mut harness = RouterHarness::new(config, servers);
     let by_sibling = (0..40)
-        .map(|n| rig.send("video", &format!("/o/{n}")))
+        .map(|n| harness.send_request("video", &format!("/o/{n}")))
         .find(|s| s.fill.source <= 4);
     let first = by_sibling.expect("the cold cache is filled by another");
-    let lacks = rig.end_with(
+    let lacks = harness.end_attempt_with(
         first.request,
         0,
         first.server,
@@ -439,7 +440,7 @@
         Note::SourceLacks,
     );
     let second = sent(&lacks).expect("a parent is asked");
-    let refused = rig.end_with(
+    let refused = harness.end_attempt_with(
         second.request,
         1,
         second.server,
--- a/tests/slow_start_split.rs
+++ b/tests/slow_start_split.rs
@@ -115,7 +115,7 @@
             let cold = self.cold();
             // What is warm has room for all.
             if s.id == cold {
-                s.started = Some(T0);
+                s.started = Some(START);
                 s.weight *= self.size;
             } else if s.kind == if self.parent { "cache" } else { "parent" } {
                 s.weight = 1e6;
@@ -131,17 +131,17 @@
             mode: ListMode::Full,
             servers: self.servers(),
         };
-        router.handle(T0, list, &mut Vec::new());
+        router.handle(START, list, &mut Vec::new());
         if self.knows == Knows::Lease {
             for budget in [Budget::Caches, Budget::Parents] {
                 let amount = 1.0 / f64::from(self.proxies);
                 let lease = Lease {
                     budget,
                     amount,
-                    until: T0 + 100 * S,
+                    until: START + 100 * S,
                     reserved: 0.0,
                 };
-                router.handle(T0, Event::Lease(lease), &mut Vec::new());
+                router.handle(START, Event::Lease(lease), &mut Vec::new());
             }
         }
         router
@@ -239,7 +239,7 @@
         let each = (10 * MS * u64::from(self.play.proxies)).min(100 * MS);
         let mut next = 0;
         for step in 0..LENGTH / each * STEPS {
-            let now = T0 + step * each / STEPS;
+            let now = START + step * each / STEPS;
             let later = self.due.split_off(&(now + 1));
             for answer in std::mem::replace(&mut self.due, later)
                 .into_values()
@@ -270,7 +270,7 @@
                 continue;
             };
             if server == cold || fill.is_some_and(|fill| fill.source == cold) {
-                self.calls.push(now - T0);
+                self.calls.push(now - START);
             }
             let attempts = self.attempts.entry(request).or_insert(0);
             let attempt = std::mem::replace(attempts, *attempts + 1);
