--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -6,7 +6,7 @@
 use linnetknot::*;
 
 /// What the routers of a fleet send to a cold server, in order of time.
-struct Play {
+struct Scenario {
     routers: u32,
     /// The routers of the cold server's location are those with every so many-th number.
     every: u32,
@@ -22,7 +22,7 @@
 /// Each request's work at full pace.
 const WORK_S: f64 = 0.1;
 
-impl Play {
+impl Scenario {
     fn settings(&self) -> Settings {
         let mut s = Settings {
             direct_to_upstream: false,
@@ -139,7 +139,7 @@
 
     /// Plays it: the greatest excess of a window over what is allowed and chance, and the share of what is allowed that is
     /// used in all.
-    fn play(&self) -> (f64, f64) {
+    fn run(&self) -> (f64, f64) {
         let (window, length) = (self.settings().rules.overload_window_us, 6 * S);
         let sends = self.sends(length);
         let worst = sends.iter().enumerate().map(|(first, at)| {
@@ -156,7 +156,7 @@
 }
 
 /// Each with more to send than the server bears, all together.
-fn plays() -> impl Iterator<Item = Play> {
+fn scenarios() -> impl Iterator<Item = Scenario> {
     let sizes = [1, 2, 3, 5, 12, 20, 30, 48, 100, 300];
     let kinds = [(false, 1), (false, 3), (false, 8), (true, 1)];
     sizes.into_iter().flat_map(move |routers| {
@@ -164,7 +164,7 @@
             (0..2).map(move |seed| {
                 let id = 1000 + 7 * seed + u64::from(routers);
                 let each = (10 * MS * u64::from(routers)).min(100 * MS);
-                Play {
+                Scenario {
                     routers,
                     every,
                     each,
@@ -180,11 +180,11 @@
 
 #[test]
 fn no_window_holds_more_than_the_rule_allows_and_what_is_chance_from_1_to_300_routers() {
-    for play in plays() {
-        let (over, used) = play.play();
+    for scenario in scenarios() {
+        let (over, used) = scenario.run();
         let name = format!(
             "{} routers, every {}, parent: {}",
-            play.routers, play.every, play.parent
+            scenario.routers, scenario.every, scenario.parent
         );
         assert!(
             over <= 0.0,
@@ -201,17 +201,17 @@
 /// Routers that start again have forgotten what they sent; their turns are where they were.
 #[test]
 fn all_routers_that_start_again_at_once_push_no_cold_server_over() {
-    for play in plays() {
-        let play = Play {
+    for scenario in scenarios() {
+        let scenario = Scenario {
             restart: Some(1_500 * MS),
-            ..play
+            ..scenario
         };
-        let (over, _) = play.play();
+        let (over, _) = scenario.run();
         assert!(
             over <= 0.0,
             "{} routers, every {}: {over}",
-            play.routers,
-            play.every
+            scenario.routers,
+            scenario.every
         );
     }
 }
@@ -220,7 +220,7 @@
 #[test]
 fn turns_do_not_add_up_while_there_is_nothing_to_send() {
     for routers in [20, 30, 100, 300] {
-        let play = Play {
+        let scenario = Scenario {
             routers,
             every: 1,
             each: 3 * S,
@@ -229,7 +229,7 @@
             seed: 1,
             restart: None,
         };
-        let (over, _) = play.play();
+        let (over, _) = scenario.run();
         assert!(over <= 0.0, "{routers} routers: {over}");
     }
 }
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -45,43 +45,43 @@
     }
 
     /// Takes in a number.
-    pub(crate) fn word(&mut self, word: u64) {
-        self.digest = scramble(self.digest ^ word).rotate_left(1);
+    pub(crate) fn mix_in(&mut self, value: u64) {
+        self.digest = scramble(self.digest ^ value).rotate_left(1);
     }
 
     /// Takes in what a router did with an event, and what can be asked of it afterwards.
     pub(crate) fn record(&mut self, now: Micros, router: &mut Router, actions: &[Action]) {
         self.events += 1;
-        self.word(now);
-        self.word(actions.len() as u64);
+        self.mix_in(now);
+        self.mix_in(actions.len() as u64);
         for action in actions {
             self.action(action);
             if let Action::Attempt { request, .. } = action {
                 let begins = router.recheck_queued_attempt(now + 1_000, *request);
-                self.word(begins.map_or(u64::MAX - 1, optional));
+                self.mix_in(begins.map_or(u64::MAX - 1, optional));
             }
         }
-        self.word(router.origin_requests_in_flight() as u64);
-        self.word(router.take_origin_share_report().map_or(0, f64::to_bits));
+        self.mix_in(router.origin_requests_in_flight() as u64);
+        self.mix_in(router.take_origin_share_report().map_or(0, f64::to_bits));
         for parents in [false, true] {
-            self.word(
+            self.mix_in(
                 router
                     .max_slow_start_usage(now, parents)
                     .map_or(0, f64::to_bits),
             );
         }
-        self.word(router.purges().exact_len() as u64);
+        self.mix_in(router.purges().exact_len() as u64);
     }
 
     fn action(&mut self, action: &Action) {
-        let (counter, words) = match action {
+        let (counter, values) = match action {
             Action::Attempt {
                 request,
                 server,
                 timeout_us,
                 fill,
             } => {
-                self.words(&[*request, *server, optional(*timeout_us)]);
+                self.mix_in_all(&[*request, *server, optional(*timeout_us)]);
                 self.fill(fill.as_ref());
                 (&mut self.attempts, [1, 0, 0])
             }
@@ -99,12 +99,12 @@
             Action::Report { line } => (&mut 0, [8, line.len() as u64, 0]),
         };
         *counter += 1;
-        self.words(&words);
+        self.mix_in_all(&values);
     }
 
     fn fill(&mut self, fill: Option<&Fill>) {
         let Some(fill) = fill else {
-            return self.word(0);
+            return self.mix_in(0);
         };
         let flags = [
             fill.coalesce,
@@ -115,7 +115,7 @@
         let flags = flags
             .iter()
             .fold(1, |bits, flag| bits << 1 | u64::from(*flag));
-        self.words(&[
+        self.mix_in_all(&[
             fill.source,
             u64::from(fill.cache_rank),
             optional(fill.max_age_us),
@@ -123,8 +123,8 @@
         ]);
     }
 
-    fn words(&mut self, words: &[u64]) {
-        words.iter().for_each(|word| self.word(*word));
+    fn mix_in_all(&mut self, values: &[u64]) {
+        values.iter().for_each(|value| self.mix_in(*value));
     }
 
     /// A line of the report: all counts and the digest so far.
--- a/tests/decision_trace/answers.rs
+++ b/tests/decision_trace/answers.rs
@@ -32,10 +32,10 @@
     Fault::Flaky,
 ];
 
-pub(crate) struct Simulated {
+pub(crate) struct SimulatedServer {
     pub entry: Server,
     pub fault: Fault,
-    pub holds: BTreeSet<(u64, u64)>,
+    pub cached_parts: BTreeSet<(u64, u64)>,
     pub active: u64,
 }
 
@@ -59,7 +59,7 @@
 
 impl RandomFleet {
     /// What the settings let an answer tell.
-    pub(crate) fn told(&self, note: Note) -> Note {
+    pub(crate) fn visible_note(&self, note: Note) -> Note {
         match (self.settings.answer_detail, note) {
             (AnswerDetail::All, note) => note,
             (AnswerDetail::Hit, Note::Hit | Note::Stale) => Note::Hit,
@@ -74,10 +74,10 @@
         id: ServerId,
         fill: &Fill,
         part: (u64, u64),
-        work_us: Micros,
+        transfer_us: Micros,
     ) -> Option<(Micros, Answer)> {
         let jitter = self.below(4 * MS);
-        let luck = self.below(3);
+        let draw = self.below(3);
         let Some(target) = self.servers.get(&id) else {
             return Some((MS, Answer::of(Outcome::ConnectFailed, Note::None)));
         };
@@ -89,17 +89,17 @@
             Fault::Resets => return failed(20 * MS, Outcome::Reset),
             Fault::Errors => return failed(15 * MS, Outcome::Error),
             Fault::Full => return failed(2 * MS, Outcome::Full),
-            Fault::Flaky if luck == 0 => return None,
-            Fault::Flaky if luck == 1 => return failed(15 * MS, Outcome::Error),
+            Fault::Flaky if draw == 0 => return None,
+            Fault::Flaky if draw == 1 => return failed(15 * MS, Outcome::Error),
             Fault::None | Fault::Slow | Fault::Flaky => {}
         }
         let slowness = if target.fault == Fault::Slow { 12 } else { 1 };
-        let sending = work_us * (target.active / 8).max(1) * slowness + 10 * MS + jitter;
-        let held = target.holds.contains(&part) || target.entry.kind != "cache";
+        let sending = transfer_us * (target.active / 8).max(1) * slowness + 10 * MS + jitter;
+        let has_copy = target.cached_parts.contains(&part) || target.entry.kind != "cache";
         if self.one_in(200) {
             return failed(MS, Outcome::Moot);
         }
-        if held {
+        if has_copy {
             let note = if self.one_in(9) {
                 Note::Stale
             } else {
@@ -122,7 +122,7 @@
     /// When and how a source gives what is not held; none: never.
     fn fill(&mut self, fill: &Fill, part: (u64, u64)) -> Option<(Micros, Answer)> {
         let first_byte_us = 8 * MS + self.below(6 * MS);
-        let luck = self.below(3);
+        let draw = self.below(3);
         let ended = |outcome, note| Some((first_byte_us, Answer::of(outcome, note)));
         let origin = self.servers.get(&21).map_or(Fault::Down, |s| s.fault);
         if self.one_in(80) {
@@ -137,11 +137,11 @@
             Fault::Resets => return ended(Outcome::Error, Note::SourceLost),
             Fault::Errors => return ended(Outcome::Error, Note::OriginFailed),
             Fault::Full => return ended(Outcome::Full, Note::SourceRefused),
-            Fault::Flaky if luck == 0 => return None,
+            Fault::Flaky if draw == 0 => return None,
             Fault::None | Fault::Slow | Fault::Flaky => {}
         }
         let slowness = if source.fault == Fault::Slow { 20 } else { 1 };
-        if source.holds.contains(&part) {
+        if source.cached_parts.contains(&part) {
             let first_byte_us = first_byte_us * slowness;
             let note = if self.one_in(12) {
                 Note::Joined
@@ -159,7 +159,7 @@
         if fill.only_if_cached {
             return ended(Outcome::Miss, Note::SourceLacks);
         }
-        source.holds.insert(part);
+        source.cached_parts.insert(part);
         let first_byte_us = match origin {
             Fault::Silent => return None,
             Fault::Down | Fault::Errors => return ended(Outcome::Error, Note::OriginFailed),
--- a/tests/decision_trace/disturbances.rs
+++ b/tests/decision_trace/disturbances.rs
@@ -15,24 +15,24 @@
                 .servers
                 .values_mut()
                 .for_each(|s| s.fault = Fault::None),
-            5 | 6 => self.change_life(),
+            5 | 6 => self.change_server_state(),
             7 => self.replace(),
             8 => self.change_list(),
             9 | 10 => self.purge(),
             11 => self.lease(),
-            12 => self.hear(),
+            12 => self.limit_origin_share(),
             13 => self.probe(),
             14 => self.change_settings(),
             15 => self.origin_turns_slow(),
             _ => {
-                let id = self.any_server();
+                let id = self.random_server();
                 self.break_connections(id);
             }
         }
     }
 
     fn change_fault(&mut self) {
-        let (id, fault) = (self.any_server(), self.any_fault());
+        let (id, fault) = (self.random_server(), self.random_fault());
         self.servers.get_mut(&id).expect("it is there").fault = fault;
     }
 
@@ -45,8 +45,8 @@
     }
 
     /// A server drains, goes, comes back, or has started anew; the router is told at once.
-    fn change_life(&mut self) {
-        let id = self.any_server();
+    fn change_server_state(&mut self) {
+        let id = self.random_server();
         let started = self.now - self.below(4 * S);
         let fate = self.below(5);
         let server = self.servers.get_mut(&id).expect("it is there");
@@ -57,7 +57,7 @@
                 server.entry.state = State::Ready;
                 server.entry.started = Some(started);
                 server.fault = Fault::None;
-                server.holds.clear();
+                server.cached_parts.clear();
             }
             _ => server.entry.state = State::Ready,
         }
@@ -68,7 +68,7 @@
 
     /// A cache or parent goes for good and a new one comes under a new id.
     fn replace(&mut self) {
-        let id = self.any_server();
+        let id = self.random_server();
         if id == 21 {
             return;
         }
@@ -85,7 +85,7 @@
             0 => self.list(ListMode::Failed),
             1 => self.list(ListMode::Full),
             _ => {
-                let id = self.any_server();
+                let id = self.random_server();
                 let weight = [0.0, f64::NAN, 4.0, 9.5][self.below(4) as usize];
                 self.servers.get_mut(&id).expect("it is there").entry.weight = weight;
                 self.list(ListMode::Delta);
@@ -94,7 +94,7 @@
     }
 
     fn purge(&mut self) {
-        let (object, group) = self.any_key();
+        let (object, group) = self.random_key();
         let age_us = self.below(800 * MS);
         self.feed(Event::Purged {
             object,
@@ -119,7 +119,7 @@
         }));
     }
 
-    fn hear(&mut self) {
+    fn limit_origin_share(&mut self) {
         let origin_share = self.share();
         let valid_for_us = self.below(2 * S);
         self.feed(Event::OriginShareLimit {
@@ -129,7 +129,7 @@
     }
 
     fn probe(&mut self) {
-        let server = self.any_server();
+        let server = self.random_server();
         self.feed(Event::ProbeEnded {
             server,
             outcome: Outcome::Ok,
@@ -151,6 +151,6 @@
             4 => new.max_attempts = 1 + self.below(6) as u32,
             _ => {}
         }
-        self.retune(new);
+        self.update_settings(new);
     }
 }
--- a/tests/decision_trace/main.rs
+++ b/tests/decision_trace/main.rs
@@ -14,52 +14,52 @@
 use common::world::{FleetSimulation, Notice, ORIGIN, PARENTS};
 use common::{class, fleet, sent, settings, RouterHarness, MS, S, START};
 use linnetknot::*;
-use random_fleet::{RandomFleet, Tempo};
+use random_fleet::{RandomFleet, Workload};
 use std::path::Path;
 
 const WORLD_SECONDS: u64 = 10;
 /// Much happens in a short time.
-const BUSY: Tempo = Tempo {
+const BUSY: Workload = Workload {
     seconds: 10,
     checkpoint_seconds: 1,
-    gap_us: 6 * MS,
-    calm_us: 120 * MS,
+    arrival_interval_us: 6 * MS,
+    disturbance_interval_us: 120 * MS,
     object_count: 400,
 };
 /// Long enough that counts of requests fade, and warm servers stay warm.
-const SLOW: Tempo = Tempo {
+const SLOW: Workload = Workload {
     seconds: 120,
     checkpoint_seconds: 10,
-    gap_us: 50 * MS,
-    calm_us: 3 * S,
+    arrival_interval_us: 50 * MS,
+    disturbance_interval_us: 3 * S,
     object_count: 400,
 };
 /// So few requests that hits and fills hardly tell of a pace.
-const SPARSE: Tempo = Tempo {
+const SPARSE: Workload = Workload {
     seconds: 1_200,
     checkpoint_seconds: 100,
-    gap_us: 700 * MS,
-    calm_us: 20 * S,
+    arrival_interval_us: 700 * MS,
+    disturbance_interval_us: 20 * S,
     object_count: 100,
 };
 /// Fills so far apart that one or two of them tell of the link.
-const IDLE_LINK: Tempo = Tempo {
+const IDLE_LINK: Workload = Workload {
     seconds: 600,
     checkpoint_seconds: 50,
-    gap_us: 500 * MS,
-    calm_us: 600 * MS,
+    arrival_interval_us: 500 * MS,
+    disturbance_interval_us: 600 * MS,
     object_count: 20_000,
 };
 /// Long enough that writes are sent again amid all kinds of faults.
-const LONG_BUSY: Tempo = Tempo {
+const LONG_BUSY: Workload = Workload {
     seconds: 60,
     checkpoint_seconds: 5,
     ..BUSY
 };
 /// Few objects, so that some are asked for often enough to have several copies.
-const HOT: Tempo = Tempo {
+const HOT: Workload = Workload {
     object_count: 12,
-    calm_us: 600 * MS,
+    disturbance_interval_us: 600 * MS,
     ..BUSY
 };
 
@@ -71,7 +71,7 @@
     settings
 }
 
-fn untold() -> Settings {
+fn no_answer_detail() -> Settings {
     Settings {
         answer_detail: AnswerDetail::Off,
         weights_known: false,
@@ -142,7 +142,7 @@
     };
     vec![
         ("told", settings()),
-        ("untold", untold()),
+        ("untold", no_answer_detail()),
         ("siblings", siblings()),
         ("thin-link", thin_link),
         ("link-not-told", link_not_told),
@@ -210,7 +210,7 @@
 }
 
 /// What the routers are told of servers, answers and caches that fill each other: as little as there is.
-fn tell_little(settings: &mut Settings) {
+fn reduce_detail(settings: &mut Settings) {
     settings.answer_detail = AnswerDetail::Off;
     settings.weights_known = false;
     settings.siblings = Siblings::Location;
@@ -375,6 +375,6 @@
 #[test]
 fn every_decision_in_an_eventful_world_is_the_one_on_record() {
     let told = eventful_simulation("world-told", 11, |_| ());
-    let untold = eventful_simulation("world-untold", 13, tell_little);
+    let untold = eventful_simulation("world-untold", 13, reduce_detail);
     compare("worlds.txt", &(told + &untold));
 }
--- a/tests/decision_trace/random_fleet.rs
+++ b/tests/decision_trace/random_fleet.rs
@@ -1,7 +1,7 @@
 //! One router amid servers that do at random whatever the interface allows: the events are as varied as they can be
 //! rather than likely, and all follow from the seed and from what the router did before.
 
-use crate::answers::{Answer, Fault, Simulated, FAULTS};
+use crate::answers::{Answer, Fault, SimulatedServer, FAULTS};
 use crate::common::trace::{scramble, Trace};
 use crate::common::{server, MS, S, START};
 use linnetknot::*;
@@ -9,43 +9,43 @@
 
 const PARTS: u64 = 3;
 const GROUPS: u64 = 20;
-const PACE_KB_PER_S: f64 = 5_000.0;
+const RATE_KB_PER_S: f64 = 5_000.0;
 
 struct Client {
     part: (u64, u64),
-    work_us: Micros,
+    transfer_us: Micros,
     streams: bool,
-    gone: bool,
+    has_left: bool,
     attempts: u32,
-    out: Option<Out>,
+    in_flight: Option<InFlight>,
 }
 
-struct Out {
+struct InFlight {
     server: ServerId,
     sent: Micros,
 }
 
-enum Happening {
+enum Scheduled {
     Arrival,
     Disturbance,
     Checkpoint(u64),
     Timer(u64),
-    Begun(RequestId, u32),
+    StreamStarted(RequestId, u32),
     End(RequestId, u32, Answer),
     Deadline(RequestId),
-    Leaves(RequestId),
+    ClientLeaves(RequestId),
 }
 
 /// How much happens.
 #[derive(Clone, Copy)]
-pub(crate) struct Tempo {
+pub(crate) struct Workload {
     /// Time that is played, and between lines of the report.
     pub seconds: u64,
     pub checkpoint_seconds: u64,
     /// Mean time between requests.
-    pub gap_us: Micros,
+    pub arrival_interval_us: Micros,
     /// Mean time between disturbances.
-    pub calm_us: Micros,
+    pub disturbance_interval_us: Micros,
     /// Distinct objects; low numbers are asked for most.
     pub object_count: u64,
 }
@@ -53,23 +53,28 @@
 pub(crate) struct RandomFleet {
     pub now: Micros,
     pub settings: Settings,
-    tempo: Tempo,
-    pub servers: BTreeMap<ServerId, Simulated>,
+    workload: Workload,
+    pub servers: BTreeMap<ServerId, SimulatedServer>,
     router: Router,
     clients: BTreeMap<RequestId, Client>,
-    queue: BTreeMap<(Micros, u64), Happening>,
+    queue: BTreeMap<(Micros, u64), Scheduled>,
     number: u64,
     random: u64,
     trace: Trace,
 }
 
 impl RandomFleet {
-    pub(crate) fn new(name: &str, settings: Settings, tempo: Tempo, seed: u64) -> RandomFleet {
+    pub(crate) fn new(
+        name: &str,
+        settings: Settings,
+        workload: Workload,
+        seed: u64,
+    ) -> RandomFleet {
         let mut fleet = RandomFleet {
             now: START,
             router: Router::new(settings.clone(), seed).expect("usable settings"),
             settings,
-            tempo,
+            workload,
             servers: BTreeMap::new(),
             clients: BTreeMap::new(),
             queue: BTreeMap::new(),
@@ -82,17 +87,17 @@
         (11..=13).for_each(|id| fleet.add_server(server(id, "hub", "parent")));
         fleet.add_server(server(21, "hub", "origin"));
         fleet.list(ListMode::Full);
-        fleet.schedule(0, Happening::Arrival);
-        fleet.schedule(0, Happening::Disturbance);
+        fleet.schedule(0, Scheduled::Arrival);
+        fleet.schedule(0, Scheduled::Disturbance);
         fleet
     }
 
     pub(crate) fn add_server(&mut self, mut entry: Server) {
         entry.cell = entry.id % 3;
-        let new = Simulated {
+        let new = SimulatedServer {
             entry,
             fault: Fault::None,
-            holds: BTreeSet::new(),
+            cached_parts: BTreeSet::new(),
             active: 0,
         };
         self.servers.insert(new.entry.id, new);
@@ -119,73 +124,73 @@
         self.below(1_000) as f64 / 1_000.0
     }
 
-    pub(crate) fn any_server(&mut self) -> ServerId {
+    pub(crate) fn random_server(&mut self) -> ServerId {
         let nth = self.below(self.servers.len() as u64) as usize;
         *self.servers.keys().nth(nth).expect("a place of the table")
     }
 
     /// A fault at random; a healthy server is as likely as all faults together.
-    pub(crate) fn any_fault(&mut self) -> Fault {
+    pub(crate) fn random_fault(&mut self) -> Fault {
         if self.one_in(2) {
             return Fault::None;
         }
         FAULTS[self.below(FAULTS.len() as u64) as usize]
     }
 
-    pub(crate) fn any_key(&mut self) -> (Option<String>, u64) {
-        let (object, group) = (self.below(self.tempo.object_count), self.below(GROUPS));
+    pub(crate) fn random_key(&mut self) -> (Option<String>, u64) {
+        let (object, group) = (self.below(self.workload.object_count), self.below(GROUPS));
         let object = (!self.one_in(4)).then(|| format!("/o/{object}"));
         (object, group)
     }
 
-    pub(crate) fn retune(&mut self, settings: Settings) {
+    pub(crate) fn update_settings(&mut self, settings: Settings) {
         let taken = self.router.update_settings(settings).is_ok();
-        self.trace.word(u64::from(taken));
+        self.trace.mix_in(u64::from(taken));
     }
 
-    fn schedule(&mut self, wait: Micros, what: Happening) {
+    fn schedule(&mut self, wait: Micros, what: Scheduled) {
         self.number += 1;
         self.queue.insert((self.now + wait, self.number), what);
     }
 
     /// Plays to the end; the report has a line for each checkpoint.
     pub(crate) fn run(mut self) -> String {
-        let Tempo {
+        let Workload {
             seconds,
             checkpoint_seconds,
             ..
-        } = self.tempo;
+        } = self.workload;
         for second in (1..=seconds).filter(|second| second % checkpoint_seconds == 0) {
-            self.schedule(second * S, Happening::Checkpoint(second));
+            self.schedule(second * S, Scheduled::Checkpoint(second));
         }
         let end = START + seconds * S;
         while let Some(entry) = self.queue.first_entry().filter(|e| e.key().0 <= end) {
             self.now = entry.key().0;
             match entry.remove() {
-                Happening::Arrival => self.arrival(),
-                Happening::Disturbance => {
-                    let wait = self.below(2 * self.tempo.calm_us) + 1;
-                    self.schedule(wait, Happening::Disturbance);
+                Scheduled::Arrival => self.arrival(),
+                Scheduled::Disturbance => {
+                    let wait = self.below(2 * self.workload.disturbance_interval_us) + 1;
+                    self.schedule(wait, Scheduled::Disturbance);
                     self.disturb();
                 }
-                Happening::Checkpoint(second) => self.trace.checkpoint(second),
-                Happening::Timer(tag) => self.feed(Event::Timer { tag }),
-                Happening::Begun(request, attempt) => self.begun(request, attempt),
-                Happening::End(request, attempt, answer) => self.end(request, attempt, answer),
-                Happening::Deadline(request) => self.deadline(request),
-                Happening::Leaves(request) => self.leaves(request),
+                Scheduled::Checkpoint(second) => self.trace.checkpoint(second),
+                Scheduled::Timer(tag) => self.feed(Event::Timer { tag }),
+                Scheduled::StreamStarted(request, attempt) => self.start_stream(request, attempt),
+                Scheduled::End(request, attempt, answer) => self.end(request, attempt, answer),
+                Scheduled::Deadline(request) => self.deadline(request),
+                Scheduled::ClientLeaves(request) => self.client_leaves(request),
             }
         }
         self.trace.into_report()
     }
 
     fn arrival(&mut self) {
-        let random_interarrival = self.below(2 * self.tempo.gap_us) + 1;
-        self.schedule(random_interarrival, Happening::Arrival);
+        let random_interarrival = self.below(2 * self.workload.arrival_interval_us) + 1;
+        self.schedule(random_interarrival, Scheduled::Arrival);
         self.number += 1;
         let id = self.number;
         // The product of two draws: low numbers are asked for most.
-        let object_count = self.tempo.object_count;
+        let object_count = self.workload.object_count;
         let object = self.below(object_count) * self.below(object_count) / object_count;
         let part = self.below(PARTS);
         let classes = [
@@ -212,17 +217,17 @@
         };
         let client = Client {
             part: (object, part),
-            work_us: (size_kb / PACE_KB_PER_S * 1e6) as Micros,
+            transfer_us: (size_kb / RATE_KB_PER_S * 1e6) as Micros,
             streams: class == "stream",
-            gone: false,
+            has_left: false,
             attempts: 0,
-            out: None,
+            in_flight: None,
         };
         self.clients.insert(id, client);
-        self.schedule(remaining_us, Happening::Deadline(id));
+        self.schedule(remaining_us, Scheduled::Deadline(id));
         if self.one_in(25) {
             let wait = self.below(remaining_us + 1);
-            self.schedule(wait, Happening::Leaves(id));
+            self.schedule(wait, Scheduled::ClientLeaves(id));
         }
         let again = self.one_in(100).then(|| request.clone());
         self.feed(Event::Request(request));
@@ -232,8 +237,8 @@
         }
     }
 
-    fn begun(&mut self, request: RequestId, attempt: u32) {
-        let out = |c: &Client| c.out.is_some() && c.attempts == attempt + 1;
+    fn start_stream(&mut self, request: RequestId, attempt: u32) {
+        let out = |c: &Client| c.in_flight.is_some() && c.attempts == attempt + 1;
         if self.clients.get(&request).is_some_and(out) {
             self.feed(Event::StreamStarted { request, attempt });
         }
@@ -246,14 +251,15 @@
         if client.attempts != attempt + 1 {
             return;
         }
-        let (Some(out), gone, part) = (client.out.take(), client.gone, client.part) else {
+        let (Some(out), has_left, part) = (client.in_flight.take(), client.has_left, client.part)
+        else {
             return;
         };
-        let settled = answer.outcome == Outcome::Ok || gone;
+        let settled = answer.outcome == Outcome::Ok || has_left;
         if let Some(server) = self.servers.get_mut(&out.server) {
             server.active = server.active.saturating_sub(1);
             if answer.outcome == Outcome::Ok {
-                server.holds.insert(part);
+                server.cached_parts.insert(part);
             }
         }
         if settled {
@@ -278,7 +284,7 @@
 
     /// All attempts that are out at a server end at once, as its connections break.
     pub(crate) fn break_connections(&mut self, id: ServerId) {
-        let is_out = |c: &Client| c.out.as_ref().is_some_and(|out| out.server == id);
+        let is_out = |c: &Client| c.in_flight.as_ref().is_some_and(|out| out.server == id);
         let broken = self.clients.iter().filter(|(_, client)| is_out(client));
         let broken: Vec<_> = broken
             .map(|(id, client)| (*id, client.attempts - 1))
@@ -292,17 +298,17 @@
         let Some(client) = self.clients.get_mut(&request) else {
             return;
         };
-        client.gone = true;
+        client.has_left = true;
         let attempt = client.attempts.saturating_sub(1);
         self.end(request, attempt, Answer::of(Outcome::Timeout, Note::None));
         self.clients.remove(&request);
     }
 
-    fn leaves(&mut self, request: RequestId) {
+    fn client_leaves(&mut self, request: RequestId) {
         let Some(client) = self.clients.get_mut(&request) else {
             return;
         };
-        client.gone = true;
+        client.has_left = true;
         self.feed(Event::ClientLeft { request });
     }
 
@@ -322,12 +328,12 @@
                 Action::Cancel { request, attempt } => {
                     let wait = self.below(2 * MS);
                     let answer = Answer::of(Outcome::Cancelled, Note::None);
-                    self.schedule(wait, Happening::End(request, attempt, answer));
+                    self.schedule(wait, Scheduled::End(request, attempt, answer));
                 }
                 Action::Refuse { request, .. } | Action::Fail { request } => {
                     self.clients.remove(&request);
                 }
-                Action::Timer { at, tag } => self.schedule(at - self.now, Happening::Timer(tag)),
+                Action::Timer { at, tag } => self.schedule(at - self.now, Scheduled::Timer(tag)),
                 Action::Watch | Action::Probe { .. } | Action::Report { .. } => {}
             }
         }
@@ -338,21 +344,21 @@
         let client = self.clients.get_mut(&request).expect("an open request");
         let number = client.attempts;
         client.attempts += 1;
-        client.out = Some(Out { server, sent: now });
-        let (part, work_us, streams) = (client.part, client.work_us, client.streams);
+        client.in_flight = Some(InFlight { server, sent: now });
+        let (part, transfer_us, streams) = (client.part, client.transfer_us, client.streams);
         if let Some(target) = self.servers.get_mut(&server) {
             target.active += 1;
         }
-        let Some((wait, answer)) = self.answer(server, &fill, part, work_us) else {
+        let Some((wait, answer)) = self.answer(server, &fill, part, transfer_us) else {
             return;
         };
         let answer = Answer {
-            note: self.told(answer.note),
+            note: self.visible_note(answer.note),
             ..answer
         };
         if streams {
-            self.schedule(wait / 2, Happening::Begun(request, number));
+            self.schedule(wait / 2, Scheduled::StreamStarted(request, number));
         }
-        self.schedule(wait, Happening::End(request, number, answer));
+        self.schedule(wait, Scheduled::End(request, number, answer));
     }
 }
--- a/tests/slow_start_split.rs
+++ b/tests/slow_start_split.rs
@@ -9,11 +9,11 @@
 
 /// What a proxy knows of the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Knows {
+enum BudgetKnowledge {
     /// Its part of the budget by a lease.
     Lease,
     /// Its number among all proxies.
-    Rank,
+    Index,
     /// How many proxies there are, and nothing else.
     Count,
 }
@@ -32,9 +32,9 @@
 const STEPS: u64 = 10;
 
 /// One play: every proxy has more to send than the servers in slow start bear.
-struct Play {
+struct Scenario {
     proxies: u32,
-    knows: Knows,
+    knowledge: BudgetKnowledge,
     /// The parent is in slow start, or else the cache.
     parent: bool,
     /// Share of its usual size that it has: N is 48 or 60 at its start with 1.
@@ -90,7 +90,7 @@
     n + roots * n.sqrt() + calls
 }
 
-impl Play {
+impl Scenario {
     fn settings(&self, router_index: u32) -> Settings {
         let mut s = Settings {
             direct_to_upstream: false,
@@ -99,7 +99,7 @@
         s.zones[1].routers = self.proxies;
         s.zones[2].routers = 0;
         s.zones[1].link_kb_per_s = 1e9;
-        s.router_index = (self.knows == Knows::Rank).then_some(router_index);
+        s.router_index = (self.knowledge == BudgetKnowledge::Index).then_some(router_index);
         s
     }
 
@@ -132,7 +132,7 @@
             servers: self.servers(),
         };
         router.handle(START, list, &mut Vec::new());
-        if self.knows == Knows::Lease {
+        if self.knowledge == BudgetKnowledge::Lease {
             for budget in [Budget::Caches, Budget::Parents] {
                 let amount = 1.0 / f64::from(self.proxies);
                 let lease = Lease {
@@ -214,7 +214,7 @@
 
 /// A play under way.
 struct Run<'a> {
-    play: &'a Play,
+    scenario: &'a Scenario,
     proxies: Vec<Router>,
     /// Answers on their way, by when they come.
     due: BTreeMap<Micros, VecDeque<Answer>>,
@@ -225,10 +225,10 @@
 }
 
 impl<'a> Run<'a> {
-    fn new(play: &'a Play) -> Self {
+    fn new(scenario: &'a Scenario) -> Self {
         Run {
-            play,
-            proxies: (0..play.proxies).map(|n| play.proxy(n)).collect(),
+            scenario,
+            proxies: (0..scenario.proxies).map(|n| scenario.proxy(n)).collect(),
             due: BTreeMap::new(),
             attempts: BTreeMap::new(),
             calls: Vec::new(),
@@ -236,7 +236,7 @@
     }
 
     fn calls(mut self) -> Vec<Micros> {
-        let each = (10 * MS * u64::from(self.play.proxies)).min(100 * MS);
+        let each = (10 * MS * u64::from(self.scenario.proxies)).min(100 * MS);
         let mut next = 0;
         for step in 0..LENGTH / each * STEPS {
             let now = START + step * each / STEPS;
@@ -249,7 +249,7 @@
             }
             for proxy in (0..self.proxies.len()).filter(|n| *n as u64 % STEPS == step % STEPS) {
                 next += 1;
-                self.handle(now, proxy, Event::Request(self.play.request(next)));
+                self.handle(now, proxy, Event::Request(self.scenario.request(next)));
             }
         }
         self.calls
@@ -257,7 +257,7 @@
 
     /// Counts the calls of the server in slow start, and has every attempt answered; one in three is rejected.
     fn handle(&mut self, now: Micros, proxy: usize, event: Event) {
-        let (mut actions, cold) = (Vec::new(), self.play.cold());
+        let (mut actions, cold) = (Vec::new(), self.scenario.cold());
         self.proxies[proxy].handle(now, event, &mut actions);
         for action in actions {
             let Action::Attempt {
@@ -274,7 +274,8 @@
             }
             let attempts = self.attempts.entry(request).or_insert(0);
             let attempt = std::mem::replace(attempts, *attempts + 1);
-            let rejected = attempt < 2 && (request + u64::from(attempt) + self.play.seed) % 3 == 0;
+            let rejected =
+                attempt < 2 && (request + u64::from(attempt) + self.scenario.seed) % 3 == 0;
             let at = now + if rejected { 2 * MS } else { 20 * MS };
             self.due.entry(at).or_default().push_back(Answer {
                 proxy,
@@ -288,14 +289,14 @@
     }
 }
 
-fn plays(knows: Knows) -> Vec<Play> {
+fn scenarios(knowledge: BudgetKnowledge) -> Vec<Scenario> {
     let mut all = Vec::new();
     for proxies in FLEETS {
         for parent in [false, true] {
             for size in SIZES {
-                all.extend((0..SEEDS).map(|seed| Play {
+                all.extend((0..SEEDS).map(|seed| Scenario {
                     proxies,
-                    knows,
+                    knowledge,
                     parent,
                     size,
                     seed: 101 * seed + u64::from(proxies),
@@ -307,32 +308,42 @@
 }
 
 /// No window of the rule holds more calls than it allows; prints the largest excess of each fleet.
-fn holds(knows: Knows) {
+fn assert_within_bound(knowledge: BudgetKnowledge) {
     let mut over = Vec::new();
-    for play in plays(knows) {
-        let worst = play.worst();
+    for scenario in scenarios(knowledge) {
+        let worst = scenario.worst();
         println!(
-            "{knows:?}, {} proxies, parent: {}, N {:.1} at the start, seed {}: {} calls, bound {:.1}, excess {:.1}",
-            play.proxies, play.parent, play.allowed(0), play.seed, worst.calls, worst.bound, worst.over
+            "{knowledge:?}, {} proxies, parent: {}, N {:.1} at the start, seed {}: {} calls, bound {:.1}, excess {:.1}",
+            scenario.proxies, scenario.parent, scenario.allowed(0), scenario.seed, worst.calls, worst.bound, worst.over
         );
         if worst.over > 0.0 {
-            over.push((play.proxies, play.parent, play.size, play.seed, worst));
+            over.push((
+                scenario.proxies,
+                scenario.parent,
+                scenario.size,
+                scenario.seed,
+                worst,
+            ));
         }
     }
-    assert!(over.is_empty(), "{knows:?}: {} plays: {over:?}", over.len());
+    assert!(
+        over.is_empty(),
+        "{knowledge:?}: {} scenarios: {over:?}",
+        over.len()
+    );
 }
 
 #[test]
 fn proxies_with_leases_stay_within_the_bound() {
-    holds(Knows::Lease);
+    assert_within_bound(BudgetKnowledge::Lease);
 }
 
 #[test]
 fn proxies_that_know_their_number_stay_within_the_bound() {
-    holds(Knows::Rank);
+    assert_within_bound(BudgetKnowledge::Index);
 }
 
 #[test]
 fn proxies_that_only_know_how_many_they_are_stay_within_the_bound() {
-    holds(Knows::Count);
+    assert_within_bound(BudgetKnowledge::Count);
 }
