--- a/tests/decision_trace/main.rs
+++ b/tests/decision_trace/main.rs
@@ -234,22 +234,22 @@
 }
 
 #[test]
-fn every_decision_of_the_first_seed_is_the_one_on_record() {
+fn decisions_of_the_first_seed_match_the_record() {
     compare("fleets-1.txt", &random_fleets(1));
 }
 
 #[test]
-fn every_decision_of_the_second_seed_is_the_one_on_record() {
+fn decisions_of_the_second_seed_match_the_record() {
     compare("fleets-2.txt", &random_fleets(2));
 }
 
 #[test]
-fn every_decision_of_the_third_seed_is_the_one_on_record() {
+fn decisions_of_the_third_seed_match_the_record() {
     compare("fleets-3.txt", &random_fleets(3));
 }
 
 #[test]
-fn every_decision_of_a_slow_a_sparse_and_a_hot_fleet_is_the_one_on_record() {
+fn decisions_of_slow_sparse_and_hot_fleets_match_the_record() {
     let slow = RandomFleet::new("slow", settings(), SLOW, 4).run();
     let sparse = RandomFleet::new("sparse", linked(2, 0.0), SPARSE, 5).run();
     let idle_link = RandomFleet::new("idle-link", linked(3, 0.0), IDLE_LINK, 7).run();
@@ -263,7 +263,7 @@
 
 /// More purges than are held exactly, with requests between: what is asked of copies tells which ones still are.
 #[test]
-fn every_decision_amid_many_purges_is_the_one_on_record() {
+fn decisions_amid_many_purges_match_the_record() {
     let mut harness = RouterHarness::new(settings(), fleet());
     let mut trace = Trace::new("purges".into());
     for number in 0..40_000 {
@@ -294,7 +294,7 @@
 /// More distinct parts than the tables of counts hold, and then some of them once more: how each is kept tells what
 /// was counted of it.
 #[test]
-fn every_decision_of_a_scan_that_overflows_the_counts_is_the_one_on_record() {
+fn decisions_of_a_scan_that_overflows_the_request_counts_match_the_record() {
     const PARTS: u64 = 24_000;
     let mut harness = RouterHarness::new(settings(), fleet());
     let mut trace = Trace::new("scan".into());
@@ -339,7 +339,7 @@
 /// Some requests are never answered though their servers answer others, and then no server answers any more from the
 /// moment of its last answer on.
 #[test]
-fn every_decision_on_answers_that_never_come_is_the_one_on_record() {
+fn decisions_on_missing_answers_match_the_record() {
     let mut harness = RouterHarness::new(settings(), fleet());
     let mut trace = Trace::new("silence".into());
     for number in 0..8 {
@@ -373,7 +373,7 @@
 }
 
 #[test]
-fn every_decision_in_an_eventful_world_is_the_one_on_record() {
+fn decisions_of_an_eventful_simulation_match_the_record() {
     let told = eventful_simulation("world-told", 11, |_| ());
     let untold = eventful_simulation("world-untold", 13, reduce_detail);
     compare("worlds.txt", &(told + &untold));
--- a/tests/failure_handling.rs
+++ b/tests/failure_handling.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_cache_that_cannot_be_reached_comes_back_as_just_started() {
+fn a_cache_that_refused_a_connection_returns_in_slow_start() {
     let mut harness = RouterHarness::new(
         Settings {
             direct_to_upstream: false,
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_cache_that_answers_nothing_is_left_and_its_requests_go_elsewhere() {
+fn a_silent_cache_is_ejected_and_its_requests_are_retried_elsewhere() {
     let mut harness = RouterHarness::new(settings(), fleet());
     let mut stuck = Vec::new();
     for n in 0..40 {
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn marks_that_would_leave_no_cache_are_passed_over() {
+fn ejections_are_ignored_if_they_leave_no_cache() {
     let mut harness = RouterHarness::new(
         Settings {
             direct_to_upstream: false,
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn straight_to_a_parent_only_while_no_cache_is_well() {
+fn requests_go_directly_to_a_parent_only_if_no_cache_is_healthy() {
     let mut harness = RouterHarness::new(settings(), fleet());
     for id in 1..=4 {
         let n = (0..100).find(|n| {
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn no_fill_is_started_that_the_link_cannot_have_in_time() {
+fn no_fill_starts_that_the_link_cannot_finish_in_time() {
     let mut s = settings();
     s.zones[1].link_kb_per_s = 10_000.0;
     let mut fleet = fleet();
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_source_that_refuses_is_not_asked_again_for_the_same_request() {
+fn a_source_that_rejected_a_fill_is_not_retried_for_the_same_request() {
     let mut harness = RouterHarness::new(settings(), fleet());
     let s = harness.send_request("video", "/o/a");
     let again =
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn an_answer_that_is_lost_is_asked_for_again_where_its_server_answers_others() {
+fn a_lost_answer_is_requested_again_from_a_server_that_answers_others() {
     let mut harness = RouterHarness::new(settings(), fleet());
     let stuck = harness.send_request("video", "/o/a");
     let mut cancelled = Vec::new();
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn a_failing_parent_is_not_put_on_its_caches_where_reasons_are_not_told() {
+fn failures_of_a_parent_are_not_attributed_to_caches_if_answers_give_no_reason() {
     let mut harness = RouterHarness::new(
         Settings {
             answer_detail: AnswerDetail::Hit,
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn what_is_out_for_a_client_that_left_is_called_off() {
+fn attempts_for_a_client_that_left_are_cancelled() {
     let mut harness = RouterHarness::new(settings(), fleet());
     let s = harness.send_request("video", "/o/a");
     assert_eq!(
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn a_begun_stream_is_left_alone() {
+fn a_started_stream_is_not_cancelled() {
     let mut harness = RouterHarness::new(settings(), fleet());
     let s = harness.send_request("stream", "/o/a");
     harness.handle(Event::StreamStarted {
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn a_sibling_fills_a_cache_that_has_just_started() {
+fn a_sibling_fills_a_warming_cache() {
     let mut servers = fleet();
     servers[0].started = Some(START - 5 * S);
     let mut harness = RouterHarness::new(
@@ -324,7 +324,7 @@
 }
 
 #[test]
-fn what_is_called_off_as_slow_raises_the_bound_on_what_comes_after_it() {
+fn attempts_cancelled_as_slow_raise_the_limit_for_later_ones() {
     let mut harness = RouterHarness::new(settings(), fleet());
     let mut waits = Vec::new();
     for round in 0..4 {
@@ -354,7 +354,7 @@
 }
 
 #[test]
-fn what_a_link_of_untold_size_fits_is_learned_from_its_fills() {
+fn unknown_link_capacity_is_estimated_from_fills() {
     let run = |took_ms: u64, outcome: Outcome| {
         let mut s = settings();
         s.zones[1].link_kb_per_s = 0.0;
@@ -411,7 +411,7 @@
 }
 
 #[test]
-fn while_the_origin_is_late_few_requests_may_have_it_asked() {
+fn few_requests_may_reach_a_slow_origin() {
     let mut harness = RouterHarness::new(settings(), fleet());
     let mut next = 0;
     let mut asking = |harness: &mut RouterHarness, first_byte_us: Micros, note: Note| {
@@ -460,7 +460,7 @@
 }
 
 #[test]
-fn a_trial_that_ends_without_a_verdict_is_followed_by_another() {
+fn an_inconclusive_trial_is_followed_by_another() {
     for (outcome, note) in [
         (Outcome::Miss, Note::SourceLacks),
         (Outcome::Full, Note::NoFillPlace),
@@ -500,7 +500,7 @@
 }
 
 #[test]
-fn a_request_that_every_server_fails_is_given_up_and_held_against_none() {
+fn a_request_that_fails_at_every_server_is_refused_and_ejects_none() {
     let mut harness = RouterHarness::new(settings(), fleet());
     for n in 0..20 {
         let s = harness.send_request("video", &format!("/o/unknown-{n}"));
@@ -517,7 +517,7 @@
 }
 
 #[test]
-fn one_broken_connection_counts_once_however_much_was_out_on_it() {
+fn a_connection_reset_counts_once_for_all_its_attempts() {
     let mut harness = RouterHarness::new(settings(), fleet());
     let sent: Vec<_> = (0..40)
         .map(|n| harness.send_request("video", &format!("/o/{n}")))
@@ -534,7 +534,7 @@
 }
 
 #[test]
-fn sizes_that_could_never_be_sent_teach_nothing() {
+fn impossible_sizes_do_not_affect_the_typical_transfer_time() {
     let mut harness = RouterHarness::new(settings(), fleet());
     for n in 0..200 {
         harness.now += MS;
@@ -554,7 +554,7 @@
 }
 
 #[test]
-fn a_parent_that_is_lost_is_not_taken_for_an_origin_that_is_late() {
+fn loss_of_a_parent_does_not_reduce_origin_admission() {
     let mut harness = RouterHarness::new(settings(), fleet());
     for n in 0..60 {
         harness.now += 2 * MS;
--- a/tests/fairness.rs
+++ b/tests/fairness.rs
@@ -154,8 +154,7 @@
 }
 
 #[test]
-fn on_a_quiet_day_the_largest_objects_get_two_thirds_of_their_classs_answers_and_tenants_their_shares(
-) {
+fn large_objects_and_small_tenants_get_their_share_of_answers_under_moderate_load() {
     for site in SITES {
         for seed in [5, 6] {
             let mut w = site.world(0.45, seed);
@@ -168,7 +167,7 @@
 /// Half of the caches of each location, and the parents, are replaced by cold and empty ones at 8 s, at the load that the
 /// sites' bad days have in the middle of their ranges.
 #[test]
-fn on_other_days_the_largest_objects_get_half_of_their_classs_answers_and_tenants_their_shares() {
+fn large_objects_and_small_tenants_get_their_share_while_servers_are_replaced() {
     for site in SITES {
         for (seed, load) in [(7, 0.6), (8, 0.6), (9, 0.6)] {
             let mut w = site.world(load, seed);
--- a/tests/fleet_failures.rs
+++ b/tests/fleet_failures.rs
@@ -98,7 +98,7 @@
 
 /// With a part of the budget that none of many may use up, a zone that is back stays half idle while it refuses.
 #[test]
-fn a_zone_back_cold_is_worked_hard_and_never_pushed_over() {
+fn a_zone_restarted_cold_is_well_used_and_never_overloaded() {
     let w = zone_lost(12, 1e3);
     let most = max_overload(&w);
     assert!(
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn three_caches_in_five_replaced_within_seven_seconds_cost_less_than_one_request_in_a_hundred() {
+fn replacing_three_in_five_caches_in_seven_seconds_fails_less_than_one_percent() {
     for proxies in [3, 8, 16] {
         let w = replaced(proxies, 300 * MS);
         let (lost, asked) = (missed(&w, 6..18), w.sum(6..18, |s| s.requests));
@@ -143,7 +143,7 @@
 
 /// The list is 3 s late, or never comes: what a proxy finds out has to do. Its trials cost one attempt each.
 #[test]
-fn discovery_that_is_late_or_absent_during_a_release_costs_trials_and_hardly_a_request() {
+fn late_or_absent_discovery_during_a_release_costs_trials_but_few_requests() {
     for (late, trials) in [(3 * S, 3), (100 * S, 8)] {
         for proxies in [3, 8, 16] {
             let w = replaced(proxies, late);
@@ -161,7 +161,7 @@
 /// The list names caches that are not there, and takes others away that are: what it takes away is left alone (the
 /// world sees to that), what it adds wrongly is tried and then left alone.
 #[test]
-fn discovery_that_is_wrong_costs_a_trial_for_each_box_that_is_not_there() {
+fn wrong_discovery_costs_few_attempts_per_absent_cache() {
     let mut w = FleetSimulation::new(6, 16, 4, 8.0, 5);
     w.link_capacity = 1e3;
     w.schedule_callback(6 * S, 0);
@@ -188,7 +188,7 @@
 
 /// All proxies fill at once. What a fill told of the crowd must not count for longer than the crowd lasts.
 #[test]
-fn a_link_crowded_by_the_void_of_all_copies_is_used_again_within_four_seconds() {
+fn a_link_congested_by_clearing_all_caches_recovers_within_four_seconds() {
     for (proxies, link_capacity, most) in [(8, 6.0, 120), (16, 12.0, 90)] {
         let w = void(6, proxies, link_capacity);
         let lost = missed(&w, 10..23);
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn no_more_is_held_at_the_origin_than_its_lease_and_a_place_is_free_once_its_request_has_ended() {
+fn requests_at_the_origin_stay_within_the_lease_and_each_end_frees_capacity() {
     let mut harness = RouterHarness::new(settings(), fleet());
     // Without a lease there is no bound.
     let first: Vec<SentAttempt> = (0..5)
@@ -59,7 +59,7 @@
 
 /// A fill by way of a parent may have the origin asked, too.
 #[test]
-fn fills_that_may_have_the_origin_asked_hold_its_places() {
+fn fills_that_may_reach_the_origin_count_against_its_lease() {
     let mut harness = RouterHarness::new(settings(), fleet());
     harness.handle(lease(Budget::Origin, 2.0, harness.now + 100 * S, 0.0));
     let fills: Vec<SentAttempt> = (0..3)
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_cold_server_is_sent_what_this_routers_lease_of_it_says_and_by_its_own_guess_without_one() {
+fn load_on_a_warming_server_follows_the_lease_or_an_equal_share_without_one() {
     for (parent, budget) in [(false, Budget::Caches), (true, Budget::Parents)] {
         let lease = |amount| {
             Some(Lease {
--- a/tests/many_routers.rs
+++ b/tests/many_routers.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_cold_cache_is_used_within_its_budget_by_one_router_and_by_hundreds() {
+fn one_or_hundreds_of_routers_use_a_warming_cache_within_its_budget() {
     // Share 0.2 to 1 in 10 s, 8 transfers, 3 times that in 1 s: 0.2 x 8 x 3 x 1 s at its start.
     let limit = 0.2 * 8.0 * 3.0;
     for routers in [1, 8, 200] {
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_cold_parent_is_used_within_its_budget_by_one_router_and_by_hundreds() {
+fn one_or_hundreds_of_routers_use_a_warming_parent_within_its_budget() {
     let limit = 0.1 * 30.0 * 2.0;
     for routers in [1, 8, 200] {
         let sum = sum_of_work(routers, 60, 11);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn one_own_transfer_among_hundreds_of_routers_does_not_make_a_cache_full() {
+fn a_few_transfers_of_one_router_among_hundreds_do_not_fill_a_cache() {
     let mut settings = settings();
     settings.zones[1].routers = 200;
     let mut harness = RouterHarness::new(settings, fleet());
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn the_second_parent_fills_while_the_first_is_clearly_slower_for_the_size() {
+fn the_second_parent_fills_if_the_first_is_clearly_slower() {
     let parent_of =
         |harness: &mut RouterHarness, n: usize| harness.send_request("video", &format!("/o/{n}"));
     let run = |slow_ms: u64, size_told: bool| {
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn hundreds_of_servers_in_any_order_give_the_same_actions() {
+fn actions_do_not_depend_on_the_order_of_the_server_list() {
     let list: Vec<Server> = (1..=300)
         .map(|id| server(id, if id % 20 == 0 { "town" } else { "shore" }, "cache"))
         .chain([
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn absurd_load_reports_do_no_harm() {
+fn invalid_load_reports_are_ignored() {
     let run = |load: Option<Load>| {
         let mut harness = RouterHarness::new(settings(), fleet());
         (0..50)
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn what_is_asked_for_often_stays_counted_when_the_table_is_full() {
+fn popular_objects_stay_counted_if_the_table_is_full() {
     let mut harness = RouterHarness::new(settings(), fleet());
     let mut last = None;
     for n in 0..30_000u64 {
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn unknown_classes_and_changes_for_unknown_servers_are_taken_in() {
+fn unknown_classes_are_refused_and_unknown_servers_are_added() {
     let mut harness = RouterHarness::new(settings(), fleet());
     let (id, actions) = harness.request("no-such-class", "/o/a", 5 * S);
     assert_eq!(
@@ -256,7 +256,7 @@
 /// A router among sixteen sees few fills: what those told of a crowded link must not outlive the crowd, or all
 /// sixteen hold back from a link that lies idle.
 #[test]
-fn a_crowded_link_is_left_alone_and_used_again_within_seconds_by_a_router_with_few_fills() {
+fn a_router_with_few_fills_avoids_a_congested_link_and_uses_it_again_within_seconds() {
     let mut settings = settings();
     settings
         .zones
@@ -300,7 +300,7 @@
 /// One of a hundred routers sees hardly an answer of an origin that is asked for more than it can do: what does not
 /// come back has to tell it.
 #[test]
-fn an_origin_that_leaves_fills_unanswered_is_asked_for_less_where_the_caches_are_well() {
+fn unanswered_fills_reduce_origin_admission_if_the_caches_are_healthy() {
     let asked = |cache_answers: bool| {
         let mut settings = settings();
         settings.zones[1].link_kb_per_s = 1e9;
@@ -359,7 +359,7 @@
 /// One of a hundred routers has an answer of the origin every half second or so: a few of them have to do what dozens
 /// do among three, or the origin stays crowded for seconds and then idle for ten more.
 #[test]
-fn a_router_with_few_answers_of_the_origin_follows_it_down_and_up_within_six_of_them() {
+fn origin_admission_follows_the_origin_within_six_answers() {
     let mut settings = settings();
     settings.zones[1].link_kb_per_s = 1e9;
     let mut harness = RouterHarness::new(settings, fleet());
@@ -396,7 +396,7 @@
 /// While the origin is slow most fills may take what a parent holds only. Each parent that is asked for it keeps the
 /// client waiting and costs a way through the network, times a hundred routers.
 #[test]
-fn what_two_parents_lack_is_looked_for_in_no_third_and_not_in_the_cache_again() {
+fn a_miss_in_two_parents_is_not_retried_at_a_third_or_in_the_cache() {
     let mut servers = fleet();
     servers.extend([server(13, "hub", "parent"), server(14, "hub", "parent")]);
     let mut harness = RouterHarness::new(
@@ -419,7 +419,7 @@
 
 /// A sibling that lacks it is the ordinary case where caches fill each other: it must not use up the parents' tries.
 #[test]
-fn what_a_sibling_lacks_is_still_looked_for_at_two_parents() {
+fn a_miss_in_a_sibling_is_still_retried_at_two_parents() {
     let mut servers = fleet();
     servers[0].started = Some(START - 9 * S);
     let config = Settings {
--- a/tests/platform_rules.rs
+++ b/tests/platform_rules.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_request_without_time_left_is_refused_at_once() {
+fn a_request_without_remaining_time_is_refused_immediately() {
     let mut harness = RouterHarness::new(settings(), fleet());
     let (id, actions) = harness.request("video", "/o/a", 0);
     assert_eq!(
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_timeout_at_the_deadline_still_gets_one_final_answer() {
+fn a_timeout_at_the_deadline_gets_exactly_one_final_answer() {
     let mut harness = RouterHarness::new(settings(), fleet());
     let s = harness.send_request("video", "/o/a");
     harness.now += 5 * S;
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn no_more_attempts_than_allowed() {
+fn attempts_stay_within_the_limit() {
     let mut harness = RouterHarness::new(
         Settings {
             max_attempts: 2,
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn an_unsafe_request_that_never_ran_may_be_resent() {
+fn an_unsafe_request_that_did_not_run_may_be_resent() {
     let mut harness = RouterHarness::new(
         Settings {
             direct_to_upstream: false,
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_keyed_request_stays_in_the_group_that_drops_its_repeats() {
+fn a_keyed_request_is_resent_only_within_its_deduplication_cell() {
     let mut s = Settings {
         direct_to_upstream: false,
         ..settings()
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn drained_and_gone_servers_get_nothing_new() {
+fn draining_and_removed_servers_get_no_new_requests() {
     for state in [State::Draining, State::Gone] {
         let mut harness = RouterHarness::new(settings(), fleet());
         let change = |id, zone, kind| Server {
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_server_missing_from_a_full_list_gets_nothing_new() {
+fn a_server_missing_from_a_full_list_gets_no_new_requests() {
     let mut harness = RouterHarness::new(settings(), fleet());
     harness.handle(Event::List {
         mode: ListMode::Full,
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_cold_cache_gets_no_more_than_its_budget_in_a_window() {
+fn a_warming_cache_stays_within_its_budget_in_a_window() {
     let cold = |routers| {
         let mut s = Settings {
             direct_to_upstream: false,
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn a_cold_parent_gets_no_more_fills_than_its_budget() {
+fn a_warming_parent_stays_within_its_fill_budget() {
     let mut servers = alone(1);
     servers[1].started = Some(START);
     servers[0].weight = 1000.0;
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn no_copy_from_before_a_purge_will_do_also_long_after_servers_have_dropped_theirs() {
+fn copies_older_than_a_purge_stay_unusable_after_servers_have_dropped_theirs() {
     let mut harness = RouterHarness::new(settings(), fleet());
     let purge = |object: Option<&str>| Event::Purged {
         object: object.map(Into::into),
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn a_router_that_starts_late_holds_the_purges_that_it_is_told_of() {
+fn a_purge_older_than_the_completion_time_still_applies() {
     let mut harness = RouterHarness::new(settings(), fleet());
     harness.handle(Event::Purged {
         object: Some("/o/a".into()),
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn of_more_purges_than_are_held_exactly_none_is_forgotten_and_the_young_stay_exact() {
+fn purges_beyond_the_exact_capacity_are_compacted_and_recent_ones_stay_exact() {
     let mut harness = RouterHarness::new(settings(), fleet());
     let purge = |n: u64, age_us| Event::Purged {
         object: Some(format!("/o/{n}")),
@@ -297,7 +297,7 @@
 
 /// The module refuses no purge: each binds its object from then on, with as little memory as ever.
 #[test]
-fn every_one_of_forty_thousand_purges_binds_for_good_and_no_bound_is_eased() {
+fn forty_thousand_purges_apply_permanently_and_their_age_limits_never_relax() {
     let mut harness = RouterHarness::new(settings(), fleet());
     let start = harness.now;
     let name = |n: u64| format!("/o/{n}");
@@ -344,7 +344,7 @@
 }
 
 #[test]
-fn a_router_takes_in_the_purges_that_another_knows() {
+fn purges_of_another_router_can_be_merged() {
     let mut harness = RouterHarness::new(settings(), fleet());
     let start = harness.now;
     let mut known = CompactTable::new(BucketBits::new(10).unwrap());
@@ -373,7 +373,7 @@
 }
 
 #[test]
-fn an_age_bound_is_never_zero_and_never_past_the_fresh_time() {
+fn the_maximum_age_is_never_zero_and_never_above_the_freshness_lifetime() {
     let mut harness = RouterHarness::new(settings(), fleet());
     harness.handle(Event::Purged {
         object: Some("/o/a".into()),
@@ -400,7 +400,7 @@
 }
 
 #[test]
-fn a_purge_holds_for_good() {
+fn a_purge_applies_permanently() {
     let mut harness = RouterHarness::new(settings(), fleet());
     let purge = |object: Option<&str>| Event::Purged {
         object: object.map(Into::into),
@@ -429,7 +429,7 @@
 }
 
 #[test]
-fn a_refused_client_is_told_when_to_come_back_also_where_none_is_said_to_listen() {
+fn retry_after_is_sent_even_if_clients_may_ignore_it() {
     let mut harness = RouterHarness::new(
         Settings {
             retry_after: false,
@@ -451,7 +451,7 @@
 /// An attempt that had to wait for its connection is bound by the time at which it begins: the window for repeats may be
 /// over by then, a purge may have been told, and its client may have left.
 #[test]
-fn what_waited_for_a_connection_begins_only_as_its_class_lets_it_by_then() {
+fn a_queued_attempt_is_checked_again_before_it_is_sent() {
     let mut s = settings();
     s.classes[2].dedup_window_us = 350 * MS;
     let mut harness = RouterHarness::new(s, fleet());
@@ -519,7 +519,7 @@
 
 /// A connection that did not come up says that nothing ran, and nothing of a process that has started anew.
 #[test]
-fn a_box_that_was_not_reached_in_time_is_not_taken_for_a_cold_one() {
+fn an_unreachable_cache_is_not_treated_as_restarted() {
     for (outcome, cold) in [(Outcome::Unreached, false), (Outcome::ConnectFailed, true)] {
         let mut harness = RouterHarness::new(
             Settings {
--- a/tests/purge_cost.rs
+++ b/tests/purge_cost.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_router_loses_the_share_of_hits_that_the_formula_says() {
+fn hits_lost_to_compacted_purges_match_the_formula() {
     let mut harness = purged_rig();
     let state = harness.router.purges();
     let (exact, bits) = (
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn every_object_has_its_cache_and_all_caches_of_the_location_have_some() {
+fn each_object_maps_to_one_cache_and_all_caches_of_the_location_are_used() {
     let mut a = RouterHarness::new(settings(), fleet());
     let mut b = RouterHarness::new(settings(), fleet());
     b.now += 60 * S;
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_cache_that_goes_moves_only_its_own_objects() {
+fn removing_a_cache_moves_only_its_own_objects() {
     let before = homes(&mut RouterHarness::new(settings(), fleet()), 300);
     let fewer: Vec<Server> = fleet().into_iter().filter(|s| s.id != 3).collect();
     let after = homes(&mut RouterHarness::new(settings(), fewer), 300);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn copies_follow_the_share() {
+fn the_number_of_copies_follows_the_share_of_requests() {
     // A third of all requests, four caches: two copies; the whole of them: all four.
     for (others, copies) in [(2, 2), (0, 4)] {
         let mut harness = RouterHarness::new(settings(), fleet());
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn counts_age() {
+fn request_counts_decay() {
     let mut harness = RouterHarness::new(settings(), fleet());
     for _ in 0..200 {
         let s = harness.send_request("video", "/o/hot");
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn fills_come_from_one_parent_for_an_object_and_the_origin_without_parents() {
+fn fills_of_an_object_use_one_parent_or_the_origin_without_parents() {
     let mut harness = RouterHarness::new(settings(), fleet());
     let (a, b) = (
         harness.send_request("video", "/o/a"),
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn what_is_asked_for_again_is_kept_at_a_higher_rank() {
+fn a_part_requested_again_is_cached_at_a_higher_rank() {
     let mut harness = RouterHarness::new(settings(), fleet());
     let (a, b) = (
         harness.send_request("video", "/o/a"),
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn equal_events_give_equal_actions_and_instances_share_nothing() {
+fn equal_events_give_equal_actions_and_routers_share_no_state() {
     let (mut a, mut b) = (started(1), started(2));
     let apart: Vec<_> = (0..500).map(|n| script(&mut a, 1, n)).collect();
     let other: Vec<_> = (0..500).map(|n| script(&mut b, 2, n)).collect();
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn what_is_not_known_is_ignored() {
+fn events_for_unknown_requests_and_servers_are_ignored() {
     let mut harness = RouterHarness::new(settings(), fleet());
     assert!(harness.end_attempt(999, 0, 1, Outcome::Error).is_empty());
     assert!(harness.end_attempt(999, 3, 777, Outcome::Ok).is_empty());
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn without_servers_requests_are_refused_at_once() {
+fn requests_are_refused_immediately_without_servers() {
     let mut harness = RouterHarness::new(settings(), vec![]);
     for class in ["video", "page", "order", "charge"] {
         assert_eq!(final_answers(&harness.request(class, "/o/a", 5 * S).1), 1);
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn unusable_settings_give_an_error() {
+fn invalid_settings_are_rejected() {
     let error = |change: &dyn Fn(&mut Settings)| {
         let mut s = settings();
         change(&mut s);
--- a/tests/settings_reload.rs
+++ b/tests/settings_reload.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_new_class_is_taken_and_one_that_vanished_is_not_while_its_requests_go_on() {
+fn new_classes_are_accepted_and_open_requests_of_removed_ones_continue() {
     let mut harness = RouterHarness::new(settings(), fleet());
     let (_, actions) = harness.request("poster", "/p/1", 5 * S);
     assert!(refused(&actions), "no such class yet");
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn settings_that_are_not_sound_leave_the_router_as_it_was() {
+fn invalid_settings_change_nothing() {
     let mut harness = RouterHarness::new(settings(), fleet());
     for broken in [
         Settings {
@@ -79,7 +79,7 @@
 /// Classes that change their order, their names and their effect: what is under way keeps what it began as, and a new
 /// request is what its name says now.
 #[test]
-fn requests_under_way_keep_their_effect_while_classes_change_places_names_and_effects() {
+fn open_requests_keep_their_class_if_classes_are_reordered_renamed_or_changed() {
     let mut harness = RouterHarness::new(settings(), fleet());
     let (read, charge) = (
         harness.send_request("video", "/o/1"),
@@ -117,7 +117,7 @@
 
 /// Tenants that come and go leave nothing behind: requests of any are treated alike.
 #[test]
-fn a_tenant_that_goes_takes_no_request_with_it() {
+fn removing_a_tenant_affects_no_request() {
     let tenants = vec![Tenant {
         name: "harbour".into(),
         quota_rps: 5.0,
--- a/tests/slow_start_budget.rs
+++ b/tests/slow_start_budget.rs
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn no_window_holds_more_than_the_rule_allows_and_what_is_chance_from_1_to_300_routers() {
+fn any_window_stays_within_the_rule_and_random_variation_for_1_to_300_routers() {
     for scenario in scenarios() {
         let (over, used) = scenario.run();
         let name = format!(
@@ -200,7 +200,7 @@
 
 /// Routers that start again have forgotten what they sent; their turns are where they were.
 #[test]
-fn all_routers_that_start_again_at_once_push_no_cold_server_over() {
+fn a_simultaneous_restart_of_all_routers_overloads_no_warming_server() {
     for scenario in scenarios() {
         let scenario = Scenario {
             restart: Some(1_500 * MS),
@@ -218,7 +218,7 @@
 
 /// Where nothing was sent for long and then all have something at once, as when an object becomes hot.
 #[test]
-fn turns_do_not_add_up_while_there_is_nothing_to_send() {
+fn unused_send_slots_do_not_accumulate() {
     for routers in [20, 30, 100, 300] {
         let scenario = Scenario {
             routers,
--- a/tests/slow_start_sharing.rs
+++ b/tests/slow_start_sharing.rs
@@ -339,11 +339,11 @@
 }
 
 #[test]
-fn proxies_that_know_their_number_stay_within_the_bound() {
+fn proxies_that_know_their_index_stay_within_the_bound() {
     assert_within_bound(BudgetKnowledge::Index);
 }
 
 #[test]
-fn proxies_that_only_know_how_many_they_are_stay_within_the_bound() {
+fn proxies_that_know_only_the_number_of_proxies_stay_within_the_bound() {
     assert_within_bound(BudgetKnowledge::Count);
 }
--- a/tests/zone_and_parent_loss.rs
+++ b/tests/zone_and_parent_loss.rs
@@ -81,7 +81,7 @@
 /// With no hub cache that is well, a proxy that went on naming dead ones, or refused for want of room at one that is
 /// back cold, would turn away all that its caches lack, though the origin has places.
 #[test]
-fn with_all_hub_caches_lost_the_origin_fills_what_it_can_give_in_time() {
+fn the_origin_serves_fills_while_all_parents_are_lost() {
     let w = parents_lost();
     let (before, all) = lost(&w, 8..16);
     assert!(100 * before < all, "{before} of {all} lost on a calm day");
@@ -115,7 +115,7 @@
 /// A location's caches vanish at 6 s and are back, cold and empty, at 14 s. Five seconds after that nothing is turned
 /// away that its link could have brought.
 #[test]
-fn a_location_that_is_back_cold_refuses_nothing_five_seconds_later() {
+fn a_location_restarted_cold_refuses_almost_nothing_after_five_seconds() {
     let mut w = constrained_deployment();
     [6, 10, 14]
         .into_iter()
