--- a/daemon/examples/purge_soak.rs
+++ b/daemon/examples/purge_soak.rs
@@ -66,7 +66,8 @@
         let mut ledger = Ledger::open(path, u64::MAX, START_US, bounds, wake)?;
         ledger.set_machines(1, vec![2]);
         let settings = linnetknot_harness::settings();
-        let settings = linnetknot_settings::settings(settings.as_object().ok_or("no settings")?)?;
+        let settings =
+            linnetknot_settings::parse_settings(settings.as_object().ok_or("no settings")?)?;
         let core = Core::new(settings, 1, limits)?;
         Ok(Process {
             ledger,
--- a/daemon/src/bus.rs
+++ b/daemon/src/bus.rs
@@ -6,7 +6,7 @@
 use linnetknot::{ListMode, Micros, Server, State};
 use linnetknot_discovery::ReceivedList;
 use linnetknot_settings::{
-    flag, get, int, int_or, list, num_or, object, text, text_or, wrong, Fields, Result,
+    flag, get, int, int_or, list, number_or, object, text, text_or, wrong_type, Fields, Result,
 };
 use serde_json::Value;
 
@@ -43,21 +43,21 @@
         "ready" => State::Ready,
         "draining" => State::Draining,
         "gone" => State::Gone,
-        _ => return Err(wrong("state")),
+        _ => return Err(wrong_type("state")),
     };
     let server = Server {
         id: server_id(&uid),
         zone: text_or(m, "az", "")?,
         cell: int_or(m, "pod_group", 0)?,
         kind: text_or(m, "model", "")?,
-        weight: num_or(m, "capacity_hint", 1.0)?,
+        weight: number_or(m, "capacity_hint", 1.0)?,
         state,
         started: Some(int_or(m, "boot_ms", 0)? * 1000).filter(|at| *at > 0),
     };
     Ok(Entry {
         server,
         uid,
-        endpoint: endpoint.parse().map_err(|_| wrong("endpoint"))?,
+        endpoint: endpoint.parse().map_err(|_| wrong_type("endpoint"))?,
     })
 }
 
@@ -75,7 +75,7 @@
             .map(|_| int(topology, "rev"))
             .transpose()?;
         let targets = list(topology, "targets")?;
-        let read = |v: &Value| entry(v.as_object().ok_or_else(|| wrong("targets"))?);
+        let read = |v: &Value| entry(v.as_object().ok_or_else(|| wrong_type("targets"))?);
         // One that can't be read must not hide what the others say.
         let mut answer = ReceivedList {
             rev,
--- a/daemon/src/config/mod.rs
+++ b/daemon/src/config/mod.rs
@@ -14,7 +14,7 @@
 };
 use crate::limits::Limits;
 use linnetknot::Settings;
-use linnetknot_settings::{get, settings, Fields};
+use linnetknot_settings::{get, parse_settings, Fields};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -209,7 +209,7 @@
         Ok(Config::new(
             "linnetknot".to_owned(),
             ([127, 0, 0, 1], 0).into(),
-            settings(&fields)?,
+            parse_settings(&fields)?,
             Limits::for_machine(DEFAULT_DESCRIPTORS, DEFAULT_MEMORY_MB),
         ))
     }
--- a/daemon/src/config/read.rs
+++ b/daemon/src/config/read.rs
@@ -7,7 +7,8 @@
 use linnetknot::Settings;
 use linnetknot_discovery::ReceivedList;
 use linnetknot_settings::{
-    get, int_or, list, object, settings, text, text_or, wrong, Fields, Result as FieldResult,
+    get, int_or, list, object, parse_settings, text, text_or, wrong_type, Fields,
+    Result as FieldResult,
 };
 use std::net::SocketAddr;
 
@@ -36,7 +37,7 @@
         let own = address(fields, "peer_listen")?;
         Ok(Config {
             ops: address(fields, "ops")?,
-            seed: u64::from_str_radix(&seed, 16).map_err(|_| wrong("seed"))?,
+            seed: u64::from_str_radix(&seed, 16).map_err(|_| wrong_type("seed"))?,
             bus: address(fields, "bus")?,
             known: KnownEvents::read(fields).map_err(ConfigError::Known)?,
             peers: own.map(|own| PeerAddresses { own, all: peers }),
@@ -46,7 +47,7 @@
 }
 
 fn read_settings(fields: &Fields) -> Result<Settings, ConfigError> {
-    let mut settings = settings(fields).map_err(ConfigError::Settings)?;
+    let mut settings = parse_settings(fields).map_err(ConfigError::Settings)?;
     // Caches drop what was purged by themselves, each time limit on sockets being that much longer: until then a
     // response of unknown age is not used.
     settings.rules.purge_done_us += SOCKET_SLACK_US;
@@ -77,7 +78,7 @@
     match usize::try_from(limit) {
         Ok(0) => Err(ConfigError::ZeroLimit { key }),
         Ok(limit) => Ok(limit),
-        Err(_) => Err(wrong(&format!("limits.{key}")).into()),
+        Err(_) => Err(wrong_type(&format!("limits.{key}")).into()),
     }
 }
 
@@ -94,7 +95,7 @@
 
 fn address(fields: &Fields, key: &str) -> FieldResult<Option<SocketAddr>> {
     get(fields, key)
-        .map(|_| text(fields, key)?.parse().map_err(|_| wrong(key)))
+        .map(|_| text(fields, key)?.parse().map_err(|_| wrong_type(key)))
         .transpose()
 }
 
@@ -103,7 +104,7 @@
         .iter()
         .map(|value| value.as_str().and_then(|text| text.parse().ok()))
         .collect::<Option<_>>()
-        .ok_or_else(|| wrong(key))
+        .ok_or_else(|| wrong_type(key))
 }
 
 /// What the settings say of connections to cache servers; 0: nothing.
--- a/daemon/tests/core.rs
+++ b/daemon/tests/core.rs
@@ -32,7 +32,7 @@
 
 fn core(limits: &Limits) -> Core {
     core_with(
-        linnetknot_settings::settings(settings().as_object().unwrap()).unwrap(),
+        linnetknot_settings::parse_settings(settings().as_object().unwrap()).unwrap(),
         limits,
     )
 }
@@ -222,7 +222,8 @@
 #[test]
 fn an_attempt_that_has_not_begun_is_over_at_once_when_its_client_leaves_or_its_time_is_over() {
     for cancel in [true, false] {
-        let mut settings = linnetknot_settings::settings(settings().as_object().unwrap()).unwrap();
+        let mut settings =
+            linnetknot_settings::parse_settings(settings().as_object().unwrap()).unwrap();
         settings.cancel = cancel;
         settings
             .classes
--- a/daemon/tests/limits.rs
+++ b/daemon/tests/limits.rs
@@ -52,7 +52,7 @@
 /// sooner than our own wait for a connection.
 #[test]
 fn what_follows_from_the_settings_is_taken_from_them() {
-    let mut site = linnetknot_settings::settings(settings().as_object().unwrap()).unwrap();
+    let mut site = linnetknot_settings::parse_settings(settings().as_object().unwrap()).unwrap();
     let machine = || Limits::for_machine(1024, 192);
     for (longest, ends) in [
         (900_000, 1_600_000),
--- a/daemon/tests/upstream.rs
+++ b/daemon/tests/upstream.rs
@@ -31,7 +31,8 @@
 impl Rig {
     fn new(up: bool) -> Rig {
         let limits = Limits::for_machine(1024, 192);
-        let settings = linnetknot_settings::settings(settings().as_object().unwrap()).unwrap();
+        let settings =
+            linnetknot_settings::parse_settings(settings().as_object().unwrap()).unwrap();
         let mut core = Core::new(settings, 1, &limits).unwrap();
         let server = Server {
             id: server_id("a"),
--- a/rehearse/tests/purges.rs
+++ b/rehearse/tests/purges.rs
@@ -36,7 +36,7 @@
     // Good until purged.
     form["family-info"]["good-for-us"] = serde_json::json!([0, 0]);
     form["family-info"]["neighbours"] = if siblings { "any" } else { "off" }.into();
-    let read = linnetknot_settings::settings(form.as_object().unwrap()).unwrap();
+    let read = linnetknot_settings::parse_settings(form.as_object().unwrap()).unwrap();
     let mut router = Router::new(read, 7).unwrap();
     let servers = NODES.iter().map(|(id, _, _, kind)| Server {
         id: *id,
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -14,12 +14,12 @@
 }
 
 /// A value that must be there.
-pub fn need<'a>(m: &'a Fields, key: &str) -> Result<&'a Value> {
+pub fn required<'a>(m: &'a Fields, key: &str) -> Result<&'a Value> {
     get(m, key).ok_or_else(|| format!("field '{key}' is missing"))
 }
 
 /// The message on a value of the wrong type.
-pub fn wrong(key: &str) -> String {
+pub fn wrong_type(key: &str) -> String {
     format!("field '{key}' has the wrong type")
 }
 
@@ -34,63 +34,63 @@
 
 /// A whole number that must be there.
 pub fn int(m: &Fields, key: &str) -> Result<u64> {
-    as_int(need(m, key)?).ok_or_else(|| wrong(key))
+    as_int(required(m, key)?).ok_or_else(|| wrong_type(key))
 }
 
 /// A whole number or its default.
 pub fn int_or(m: &Fields, key: &str, default: u64) -> Result<u64> {
-    get(m, key).map_or(Ok(default), |v| as_int(v).ok_or_else(|| wrong(key)))
+    get(m, key).map_or(Ok(default), |v| as_int(v).ok_or_else(|| wrong_type(key)))
 }
 
 /// A number or its default.
-pub fn num_or(m: &Fields, key: &str, default: f64) -> Result<f64> {
-    get(m, key).map_or(Ok(default), |v| v.as_f64().ok_or_else(|| wrong(key)))
+pub fn number_or(m: &Fields, key: &str, default: f64) -> Result<f64> {
+    get(m, key).map_or(Ok(default), |v| v.as_f64().ok_or_else(|| wrong_type(key)))
 }
 
 /// A flag; false by default.
 pub fn flag(m: &Fields, key: &str) -> Result<bool> {
-    get(m, key).map_or(Ok(false), |v| v.as_bool().ok_or_else(|| wrong(key)))
+    get(m, key).map_or(Ok(false), |v| v.as_bool().ok_or_else(|| wrong_type(key)))
 }
 
 /// A text that must be there.
 pub fn text(m: &Fields, key: &str) -> Result<String> {
-    need(m, key)?
+    required(m, key)?
         .as_str()
         .map(str::to_owned)
-        .ok_or_else(|| wrong(key))
+        .ok_or_else(|| wrong_type(key))
 }
 
 /// A text or its default.
 pub fn text_or(m: &Fields, key: &str, default: &str) -> Result<String> {
     get(m, key).map_or(Ok(default.to_owned()), |v| {
-        v.as_str().map(str::to_owned).ok_or_else(|| wrong(key))
+        v.as_str().map(str::to_owned).ok_or_else(|| wrong_type(key))
     })
 }
 
 /// A name that is left out, null or 0 when there is none.
-pub fn name(m: &Fields, key: &str) -> Result<Option<String>> {
+pub fn optional_name(m: &Fields, key: &str) -> Result<Option<String>> {
     match get(m, key) {
         None => Ok(None),
         Some(Value::String(s)) => Ok(Some(s.clone())),
         Some(v) if v.as_f64() == Some(0.0) => Ok(None),
-        Some(_) => Err(wrong(key)),
+        Some(_) => Err(wrong_type(key)),
     }
 }
 
 /// A list; empty by default.
 pub fn list<'a>(m: &'a Fields, key: &str) -> Result<&'a [Value]> {
     get(m, key).map_or(Ok(&[][..]), |v| {
-        v.as_array().map(Vec::as_slice).ok_or_else(|| wrong(key))
+        v.as_array().map(Vec::as_slice).ok_or_else(|| wrong_type(key))
     })
 }
 
 /// An object that must be there.
 pub fn object<'a>(m: &'a Fields, key: &str) -> Result<&'a Fields> {
-    need(m, key)?.as_object().ok_or_else(|| wrong(key))
+    required(m, key)?.as_object().ok_or_else(|| wrong_type(key))
 }
 
 /// One place of a list.
-pub fn at<T>(
+pub fn list_item<T>(
     m: &Fields,
     key: &str,
     i: usize,
@@ -98,7 +98,7 @@
 ) -> Result<Option<T>> {
     list(m, key)?
         .get(i)
-        .map(|v| read(v).ok_or_else(|| wrong(key)))
+        .map(|v| read(v).ok_or_else(|| wrong_type(key)))
         .transpose()
 }
 
@@ -109,12 +109,12 @@
 fn object_or_empty<'a>(m: &'a Fields, key: &str, empty: &'a Fields) -> Result<&'a Fields> {
     match get(m, key) {
         None => Ok(empty),
-        Some(v) => v.as_object().ok_or_else(|| wrong(key)),
+        Some(v) => v.as_object().ok_or_else(|| wrong_type(key)),
     }
 }
 
 /// The settings, from the object that an instance is started with.
-pub fn settings(m: &Fields) -> Result<w::Settings> {
+pub fn parse_settings(m: &Fields) -> Result<w::Settings> {
     let empty = Fields::new();
     let family = object_or_empty(m, "family-info", &empty)?;
     let limits = object_or_empty(m, "limits", &empty)?;
@@ -145,14 +145,14 @@
         answer_detail: tells(family)?,
         reports: reports(telemetry)?,
         weights_known: matches!(text_or(m, "weights", "off")?.as_str(), "nominal" | "rough"),
-        flow_kb_per_s: num_or(family, "one-flow-kb-per-s", 0.0)?,
+        flow_kb_per_s: number_or(family, "one-flow-kb-per-s", 0.0)?,
         max_attempts: int_or(limits, "try-limit", 1)?.min(MAX_ATTEMPTS) as u32,
         hedged_requests: flag(limits, "second-copies")?,
         cancel: flag(limits, "cancel")?,
         probes: flag(limits, "probing")?,
         retry_after: flag(limits, "retry-after")?,
         max_retry_after_us: int_or(limits, "max-retry-after-us", 0)?,
-        origin_overload_multiple: num_or(family, "origin-fall-multiple", 0.0)?,
+        origin_overload_multiple: number_or(family, "origin-fall-multiple", 0.0)?,
         rules: rules(rule_fields, family)?,
     })
 }
@@ -177,7 +177,7 @@
 fn classes(m: &Fields, family: &Fields) -> Result<Vec<w::Class>> {
     let mut classes = Vec::new();
     for (i, v) in list(m, "categories")?.iter().enumerate() {
-        let c = v.as_object().ok_or_else(|| wrong("categories"))?;
+        let c = v.as_object().ok_or_else(|| wrong_type("categories"))?;
         classes.push(class(c, family, i)?);
     }
     Ok(classes)
@@ -188,10 +188,10 @@
     Ok(w::Class {
         name: text(c, "name")?,
         objective_us: int(c, "aim-us")?,
-        objective_stretch: num_or(c, "aim-stretch", 0.0)?,
+        objective_stretch: number_or(c, "aim-stretch", 0.0)?,
         deadline_us: int(c, "deadline-us")?,
-        priority_weight: num_or(c, "worth", 1.0)?,
-        late_weight: num_or(c, "late-worth", 0.0)?,
+        priority_weight: number_or(c, "worth", 1.0)?,
+        late_weight: number_or(c, "late-worth", 0.0)?,
         repeat: match text_or(c, "repeat", "side_effect")?.as_str() {
             "pure" => w::Repeat::Safe,
             "token" => w::Repeat::Keyed,
@@ -204,17 +204,17 @@
         },
         window_us: int_or(c, "window-us", 0)?,
         streaming: flag(c, "streaming")?,
-        parts: at(family, "in-pieces", i, Value::as_bool)?.unwrap_or(false),
-        write: at(family, "never-kept", i, Value::as_bool)?.unwrap_or(false),
-        fresh_us: at(family, "good-for-us", i, as_int)?.unwrap_or(0),
-        grace_us: at(family, "usable-after-us", i, as_int)?.unwrap_or(0),
-        stale_weight: at(family, "old-copy-worth", i, Value::as_f64)?.unwrap_or(0.0),
+        parts: list_item(family, "in-pieces", i, Value::as_bool)?.unwrap_or(false),
+        write: list_item(family, "never-kept", i, Value::as_bool)?.unwrap_or(false),
+        fresh_us: list_item(family, "good-for-us", i, as_int)?.unwrap_or(0),
+        grace_us: list_item(family, "usable-after-us", i, as_int)?.unwrap_or(0),
+        stale_weight: list_item(family, "old-copy-worth", i, Value::as_f64)?.unwrap_or(0.0),
     })
 }
 
 /// The name of the kind that a key of the family gives the place of; a negative place means none.
 fn kind(family: &Fields, kinds: &[Value], key: &str) -> Result<Option<String>> {
-    let place = num_or(family, key, -1.0)?;
+    let place = number_or(family, key, -1.0)?;
     Ok((place >= 0.0)
         .then(|| kinds.get(place as usize)?.as_str().map(str::to_owned))
         .flatten())
@@ -225,10 +225,11 @@
     let mut zones = Vec::new();
     for (i, v) in list(m, "localities")?.iter().enumerate() {
         zones.push(w::Zone {
-            name: v.as_str().ok_or_else(|| wrong("localities"))?.to_owned(),
-            routers: at(family, "seats-by-zone", i, as_int)?.unwrap_or(1) as u32,
-            hub: at(family, "attached-to", i, as_int)?.unwrap_or(0) as usize,
-            link_kb_per_s: at(family, "zone-link-kb-per-s", i, Value::as_f64)?.unwrap_or(0.0),
+            name: v.as_str().ok_or_else(|| wrong_type("localities"))?.to_owned(),
+            routers: list_item(family, "seats-by-zone", i, as_int)?.unwrap_or(1) as u32,
+            hub: list_item(family, "attached-to", i, as_int)?.unwrap_or(0) as usize,
+            link_kb_per_s: list_item(family, "zone-link-kb-per-s", i, Value::as_f64)?
+                .unwrap_or(0.0),
         });
     }
     Ok(zones)
@@ -238,10 +239,10 @@
 fn tenants(m: &Fields) -> Result<Vec<w::Tenant>> {
     let mut tenants = Vec::new();
     for v in list(m, "customers")? {
-        let t = v.as_object().ok_or_else(|| wrong("customers"))?;
+        let t = v.as_object().ok_or_else(|| wrong_type("customers"))?;
         tenants.push(w::Tenant {
             name: text(t, "name")?,
-            quota_rps: num_or(t, "quota-rps", 0.0)?,
+            quota_rps: number_or(t, "quota-rps", 0.0)?,
         });
     }
     Ok(tenants)
@@ -278,13 +279,13 @@
 fn rules(rules: &Fields, family: &Fields) -> Result<w::Rules> {
     Ok(w::Rules {
         drain_grace_us: int_or(rules, "drain-grace-us", 0)?,
-        slow_start_share: num_or(rules, "cold-share", 1.0)?,
+        slow_start_share: number_or(rules, "cold-share", 1.0)?,
         slow_start_us: int_or(rules, "ramp-time-us", 0)?,
-        overload_multiple: num_or(rules, "fall-multiple", 1.0)?,
+        overload_multiple: number_or(rules, "fall-multiple", 1.0)?,
         fall_us: int_or(rules, "tip-after-us", 1)?,
-        parent_slow_start_share: num_or(family, "parent-cold-from", 1.0)?,
+        parent_slow_start_share: number_or(family, "parent-cold-from", 1.0)?,
         parent_slow_start_us: int_or(family, "upper-cold-us", 0)?,
-        parent_overload_multiple: num_or(family, "upper-fall-multiple", 1.0)?,
+        parent_overload_multiple: number_or(family, "upper-fall-multiple", 1.0)?,
         purge_grace_us: int_or(family, "purge-slack-us", 0)?,
         purge_done_us: int_or(family, "purge-takes-us", 0)?,
         ask_within_us: int_or(rules, "ask-within-us", 0)?,
--- a/simulator-adapter/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -2,8 +2,8 @@
 
 use linnetknot as w;
 use linnetknot_settings::{
-    flag, get, int, int_or, list, name, need, num_or, object, settings, text, text_or, wrong,
-    Fields, Result,
+    flag, get, int, int_or, list, number_or, object, optional_name, parse_settings, required, text,
+    text_or, wrong_type, Fields, Result,
 };
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -41,7 +41,7 @@
     let Some(v) = get(m, "usage") else {
         return Ok(None);
     };
-    let r = v.as_object().ok_or_else(|| wrong("usage"))?;
+    let r = v.as_object().ok_or_else(|| wrong_type("usage"))?;
     let value = |key: &str| get(r, key).and_then(Value::as_f64);
     Ok(Some(w::Load {
         util: value("cpu_share"),
@@ -54,13 +54,13 @@
 fn servers(m: &Fields) -> Result<Vec<w::Server>> {
     let mut servers = Vec::new();
     for v in list(m, "items")? {
-        let e = v.as_object().ok_or_else(|| wrong("items"))?;
+        let e = v.as_object().ok_or_else(|| wrong_type("items"))?;
         servers.push(w::Server {
             id: int(e, "store")?,
             zone: text_or(e, "campus", "")?,
             cell: int_or(e, "group", 0)?,
             kind: text_or(e, "shape", "")?,
-            weight: num_or(e, "weight", 1.0)?,
+            weight: number_or(e, "weight", 1.0)?,
             state: match int(e, "state")? {
                 1 => w::State::Ready,
                 2 => w::State::Draining,
@@ -74,8 +74,8 @@
 
 /// What is left of a request's time, which may be told as a fraction.
 fn remaining_us(m: &Fields) -> Result<u64> {
-    let value = need(m, "remaining-us")?;
-    let remaining = value.as_f64().ok_or_else(|| wrong("remaining-us"))?;
+    let value = required(m, "remaining-us")?;
+    let remaining = value.as_f64().ok_or_else(|| wrong_type("remaining-us"))?;
     Ok(remaining.max(0.0) as u64)
 }
 
@@ -95,11 +95,11 @@
     Ok(w::Event::Request(w::Request {
         id: int(m, "request-id")?,
         class: text(m, "grade")?,
-        tenant: name(m, "owner")?,
-        object: name(m, "content-id")?.unwrap_or_default(),
+        tenant: optional_name(m, "owner")?,
+        object: optional_name(m, "content-id")?.unwrap_or_default(),
         part: int_or(m, "segment", 0)?,
         group: int_or(m, "purge-group", 0)?,
-        size_kb: num_or(m, "length-kb", 0.0)?,
+        size_kb: number_or(m, "length-kb", 0.0)?,
         remaining_us: remaining_us(m)?,
         repeated: int_or(m, "marks", 0)? & REPEATED_MARK != 0,
     }))
@@ -157,7 +157,7 @@
             load: load(m)?,
         },
         "Invalidated" => w::Event::Purged {
-            object: name(m, "content-id")?,
+            object: optional_name(m, "content-id")?,
             group: int_or(m, "batch-id", 0)?,
             age_us: int_or(m, "how-old-us", 0)?,
         },
@@ -235,7 +235,7 @@
         let i = int(m, "i")?;
         match kind {
             "Born" => {
-                let settings = settings(object(m, "setup")?)?;
+                let settings = parse_settings(object(m, "setup")?)?;
                 let router =
                     w::Router::new(settings, int(m, "nonce64")?).map_err(|e| e.to_string())?;
                 self.routers.insert(i, router);
