--- a/budgets/src/wire.rs
+++ b/budgets/src/wire.rs
@@ -25,10 +25,10 @@
 }
 
 /// Writes messages of a member's process as few datagrams.
-pub fn write(fingerprint: u64, process: ProcessId, messages: &[Message]) -> Vec<Vec<u8>> {
+pub fn encode(fingerprint: u64, process: ProcessId, messages: &[Message]) -> Vec<Vec<u8>> {
     let head = format!("{MARK} {fingerprint:x} {process:x}");
     let mut datagrams: Vec<String> = Vec::new();
-    for message in messages.iter().map(encode) {
+    for message in messages.iter().map(encode_message) {
         match datagrams
             .last_mut()
             .filter(|last| last.len() + message.len() <= MAX_DATAGRAM_BYTES)
@@ -45,7 +45,7 @@
 ///
 /// # Errors
 /// Fails where it is of another kind or version, or malformed; nothing of a malformed one is used.
-pub fn read(bytes: &[u8]) -> Result<Datagram, DecodeError> {
+pub fn decode(bytes: &[u8]) -> Result<Datagram, DecodeError> {
     let text = std::str::from_utf8(payload(bytes, MARK)?).map_err(|_| DecodeError::Malformed)?;
     let mut words = text
         .strip_prefix(' ')
@@ -54,7 +54,7 @@
     let mut number = || u64::from_str_radix(words.next()?, 16).ok();
     let (fingerprint, process) = number().zip(number()).ok_or(DecodeError::Malformed)?;
     let messages = words
-        .map(decode)
+        .map(decode_message)
         .collect::<Option<Vec<Message>>>()
         .ok_or(DecodeError::Malformed)?;
     Ok(Datagram {
@@ -66,7 +66,7 @@
 
 /// A message as text. Its first letter stands for its kind: `s` for a vote request, `v` for a vote response, `w` for a lease
 /// request, `p` for a lease grant.
-fn encode(message: &Message) -> String {
+fn encode_message(message: &Message) -> String {
     match *message {
         Message::VoteRequest(VoteRequest { group, number }) => format!(" s.{group:x}.{number:x}"),
         Message::VoteResponse(VoteResponse {
@@ -102,7 +102,7 @@
 }
 
 /// Reads a message; none where it is malformed.
-fn decode(text: &str) -> Option<Message> {
+fn decode_message(text: &str) -> Option<Message> {
     let mut fields = Fields(text.split('.'));
     let message = match fields.0.next()? {
         "s" => Message::VoteRequest(VoteRequest {
--- a/budgets/src/wire/tests.rs
+++ b/budgets/src/wire/tests.rs
@@ -34,7 +34,7 @@
             ]
         })
         .collect();
-    let datagrams = write(300, max, &messages);
+    let datagrams = encode(300, max, &messages);
     assert!(
         datagrams.iter().all(|d| d.len() <= MAX_DATAGRAM_BYTES) && datagrams.len() < 40,
         "{}",
@@ -42,12 +42,12 @@
     );
     let mut again = Vec::new();
     for datagram in &datagrams {
-        let datagram = read(datagram).unwrap();
+        let datagram = decode(datagram).unwrap();
         assert_eq!((datagram.fingerprint, datagram.process), (300, max));
         again.extend(datagram.messages);
     }
     assert_eq!(again, messages);
-    assert!(write(3, 1, &[]).is_empty(), "no message is no datagram");
+    assert!(encode(3, 1, &[]).is_empty(), "no message is no datagram");
 }
 
 #[test]
@@ -69,14 +69,14 @@
         (b"budgets1 3 1 \xff", DecodeError::Malformed),
     ] {
         assert_eq!(
-            read(bytes).err(),
+            decode(bytes).err(),
             Some(error),
             "{}",
             String::from_utf8_lossy(bytes)
         );
     }
     assert_eq!(
-        read(b"budgets1 3 1"),
+        decode(b"budgets1 3 1"),
         Ok(Datagram {
             fingerprint: 3,
             process: 1,
@@ -120,5 +120,5 @@
         }),
     ];
     let expected = b"budgets1 a b s.1.11 v.1.11.1.3 v.1.11.0.0 w.1.12.13.14.15 p.1.12.16.17";
-    assert_eq!(write(10, 11, &messages), [expected.to_vec()]);
+    assert_eq!(encode(10, 11, &messages), [expected.to_vec()]);
 }
--- a/budgets/tests/fleet.rs
+++ b/budgets/tests/fleet.rs
@@ -227,7 +227,7 @@
         });
         let datagrams = by_member
             .values()
-            .flat_map(|messages| wire::write(u64::MAX, process, messages));
+            .flat_map(|messages| wire::encode(u64::MAX, process, messages));
         self.bytes += datagrams.map(|datagram| datagram.len() as u64).sum::<u64>();
         for Outgoing { to, message } in outgoing {
             self.links.send(n, to, &(process, message));
--- a/daemon/src/daemon/budgets/mod.rs
+++ b/daemon/src/daemon/budgets/mod.rs
@@ -120,7 +120,7 @@
 
     /// Receives a datagram of a peer; false where it is of another kind.
     pub(super) fn receive_budgets(&mut self, now: Micros, peer: usize, bytes: &[u8]) -> bool {
-        let datagram = match wire::read(bytes) {
+        let datagram = match wire::decode(bytes) {
             Err(DecodeError::Foreign) => return false,
             Err(e) => {
                 log::debug!(peer = peer; "{e}");
@@ -267,7 +267,7 @@
         }
         for (to, messages) in by_member {
             let peer = self.peer_index(to);
-            for bytes in wire::write(self.config.budgets.fingerprint, process, &messages) {
+            for bytes in wire::encode(self.config.budgets.fingerprint, process, &messages) {
                 self.send_to_peer_at(peer, &bytes);
             }
         }
--- a/daemon/tests/loopback.rs
+++ b/daemon/tests/loopback.rs
@@ -508,7 +508,7 @@
     assert!(is_asked(1));
     let mut bytes = [0; 512];
     let (length, from) = peer.recv_from(&mut bytes).unwrap();
-    let told = Report::read(&bytes[..length]).unwrap();
+    let told = Report::decode(&bytes[..length]).unwrap();
     assert!(told.number == 1 && told.origin_share < 0.7, "{told:?}");
     rig.boxes[0].behave(Manner {
         origin_ms: 1,
@@ -531,7 +531,7 @@
         origin_share: 0.0,
         zone: told.zone,
     }
-    .write();
+    .encode();
     stranger.send_to(&late, from).unwrap();
     peer.send_to(&late[..20], from).unwrap();
     // Once this is in force, what came before it was heard.
@@ -557,7 +557,7 @@
             origin_share: 0.0,
             zone: told.zone,
         };
-        peer.send_to(&word.write(), from).unwrap();
+        peer.send_to(&word.encode(), from).unwrap();
         (number, next) = (number + 1, next + 1);
     }
     rig.stop();
--- a/membership/src/swim/exchange.rs
+++ b/membership/src/swim/exchange.rs
@@ -34,7 +34,7 @@
         };
         self.outgoing.push(Outgoing {
             peer,
-            datagram: message.write(),
+            datagram: message.encode(),
         });
     }
 
@@ -48,7 +48,7 @@
         peer: PeerIndex,
         bytes: &[u8],
     ) -> Result<(), DecodeError> {
-        let message = Message::read(bytes).inspect_err(|_| self.counters.unreadable += 1)?;
+        let message = Message::decode(bytes).inspect_err(|_| self.counters.unreadable += 1)?;
         if peer >= self.members.len() || self.has_left {
             return Ok(());
         }
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -91,7 +91,7 @@
 
 impl Message {
     /// Encodes the message with as many of its updates as fit.
-    pub fn write(mut self) -> Vec<u8> {
+    pub fn encode(mut self) -> Vec<u8> {
         loop {
             let mut bytes = MARK.as_bytes().to_vec();
             // Writing to a vector does not fail.
@@ -106,7 +106,7 @@
     ///
     /// # Errors
     /// Fails if the datagram is of another kind or version, or malformed.
-    pub fn read(bytes: &[u8]) -> Result<Self, DecodeError> {
+    pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         match postcard::take_from_bytes::<Message>(payload(bytes, MARK)?) {
             Ok((message, [])) => Ok(message),
             _ => Err(DecodeError::Malformed),
--- a/membership/tests/net.rs
+++ b/membership/tests/net.rs
@@ -483,7 +483,7 @@
         body,
         updates: vec![],
     }
-    .write()
+    .encode()
 }
 
 proptest! {
@@ -500,7 +500,7 @@
         let datagram = if marked { [b"fleet1".as_slice(), &bytes].concat() } else { bytes };
         let now = net.links.now;
         let membership = net.nodes[0].membership.as_mut().unwrap();
-        let read = Message::read(&datagram);
+        let read = Message::decode(&datagram);
         prop_assert_eq!(membership.receive(now, 0, &datagram).is_err(), read.is_err());
         prop_assert_eq!(membership.counters().unreadable, u64::from(read.is_err()));
         membership.tick(now + S);
@@ -521,16 +521,16 @@
             body: Body::Ack { number, of: None, names },
             updates: updates.collect(),
         };
-        let bytes = message.clone().write();
+        let bytes = message.clone().encode();
         prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
-        let read = Message::read(&bytes).unwrap();
+        let read = Message::decode(&bytes).unwrap();
         prop_assert_eq!(&read.body, &message.body);
         prop_assert!(
             message.updates.starts_with(&read.updates),
             "claims that do not fit are left out from the end"
         );
         for cut in 6..bytes.len() {
-            prop_assert!(Message::read(&bytes[..cut]).is_err());
+            prop_assert!(Message::decode(&bytes[..cut]).is_err());
         }
     }
 }
--- a/membership/tests/predecessor.rs
+++ b/membership/tests/predecessor.rs
@@ -50,7 +50,7 @@
             claim,
         }],
     }
-    .write()
+    .encode()
 }
 
 fn receive(membership: &mut Membership, now: Micros, process: ProcessId) {
--- a/membership/tests/wire.rs
+++ b/membership/tests/wire.rs
@@ -66,13 +66,13 @@
     // The mark, the sender, the body, and the four claims.
     let claims = "0401098080040200020980800402010309808004020204098080040203";
     for (body, expected) in cases {
-        let bytes = message(body.clone()).write();
+        let bytes = message(body.clone()).encode();
         let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
         assert_eq!(
             hex,
             format!("666c65657431b4240701{expected}{claims}"),
             "{body:?}"
         );
-        assert_eq!(Message::read(&bytes), Ok(message(body)));
+        assert_eq!(Message::decode(&bytes), Ok(message(body)));
     }
 }
--- a/origin-health/src/lib.rs
+++ b/origin-health/src/lib.rs
@@ -124,7 +124,7 @@
 
     /// Receives a datagram from a peer. Returns false if it is of another kind, and true if it is a report, used or not.
     pub fn receive(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) -> bool {
-        match Report::read(bytes) {
+        match Report::decode(bytes) {
             Ok(report) => self.receive_report(now, from, report),
             Err(DecodeError::Foreign) => return false,
             Err(DecodeError::TooLong) => self.counters.too_long += 1,
@@ -203,7 +203,7 @@
             origin_share,
             zone,
         };
-        Some(report.write())
+        Some(report.encode())
     }
 
     /// Returns the counters since the start.
--- a/origin-health/src/report.rs
+++ b/origin-health/src/report.rs
@@ -68,7 +68,7 @@
     }
 
     /// Encodes the report as a datagram.
-    pub fn write(&self) -> [u8; REPORT_BYTES] {
+    pub fn encode(&self) -> [u8; REPORT_BYTES] {
         let mut out = [0; REPORT_BYTES];
         out[..3].copy_from_slice(MAGIC);
         out[3] = VERSION;
@@ -86,7 +86,7 @@
     ///
     /// # Errors
     /// Fails if the datagram is of another kind or version, too long, or malformed.
-    pub fn read(bytes: &[u8]) -> Result<Self, DecodeError> {
+    pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(DecodeError::TooLong);
         }
--- a/origin-health/tests/reports.rs
+++ b/origin-health/tests/reports.rs
@@ -35,7 +35,7 @@
         origin_share: 0.25,
         zone: 11,
     };
-    let bytes = report.write();
+    let bytes = report.encode();
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     assert_eq!(hex, "4c4b57010102030405060708111213144000000b33d28bc4");
 }
@@ -43,7 +43,7 @@
 #[test]
 fn a_report_is_decoded_as_it_was_encoded() {
     let sent = report(7, 0.25, 11);
-    let read = Report::read(&sent.write()).unwrap();
+    let read = Report::decode(&sent.encode()).unwrap();
     assert_eq!(
         (read.start, read.number, read.zone),
         (sent.start, sent.number, sent.zone)
@@ -53,7 +53,7 @@
 
 #[test]
 fn datagrams_that_are_no_report_are_distinguished_counted_and_change_nothing() {
-    let good = report(1, 0.1, 2).write();
+    let good = report(1, 0.1, 2).encode();
     let mut damaged = good;
     damaged[17] ^= 1;
     let mut later = good;
@@ -71,7 +71,7 @@
         (b"purge group 7 1", DecodeError::Foreign, false),
         (b"", DecodeError::Foreign, false),
     ] {
-        assert_eq!(Report::read(bytes), Err(reason), "{bytes:?}");
+        assert_eq!(Report::decode(bytes), Err(reason), "{bytes:?}");
         assert_eq!(health.receive(T0, peer(1), bytes), is_report, "{bytes:?}");
     }
     assert_eq!(health.origin_share(T0), None);
@@ -87,7 +87,7 @@
 fn a_report_that_is_repeated_or_older_than_the_last_is_dropped() {
     let mut health = origin_health();
     for (number, origin) in [(2, 0.4), (2, 0.4), (1, 0.0)] {
-        health.receive(T0, peer(1), &report(number, origin, 2).write());
+        health.receive(T0, peer(1), &report(number, origin, 2).encode());
     }
     assert_eq!(
         (health.counters().received, health.counters().stale),
@@ -101,8 +101,8 @@
         start: T0 + 1,
         ..report(1, 0.9, 2)
     };
-    health.receive(T0, peer(1), &anew.write());
-    health.receive(T0, peer(1), &report(3, 0.0, 2).write());
+    health.receive(T0, peer(1), &anew.encode());
+    health.receive(T0, peer(1), &report(3, 0.0, 2).encode());
     assert_eq!(
         (health.counters().received, health.counters().stale),
         (2, 3)
@@ -113,22 +113,23 @@
 #[test]
 fn a_fault_of_one_zone_lowers_the_share_by_its_part_however_many_report_it() {
     let mut health = origin_health();
-    (0..16).for_each(|n| _ = health.receive(T0, peer(n), &report(1, 0.0, 3).write()));
+    (0..16).for_each(|n| _ = health.receive(T0, peer(n), &report(1, 0.0, 3).encode()));
     assert!((health.origin_share(T0).unwrap().share - 11.0 / 12.0).abs() < 1e-4);
-    (0..12).for_each(|zone| _ = health.receive(T0, peer(50 + zone), &report(1, 0.0, zone).write()));
+    (0..12)
+        .for_each(|zone| _ = health.receive(T0, peer(50 + zone), &report(1, 0.0, zone).encode()));
     assert!(
         health.origin_share(T0).unwrap().share < 1e-4,
         "all zones report it"
     );
     // Zones that do not exist: the share is never below zero.
-    (100..200).for_each(|zone| _ = health.receive(T0, peer(zone), &report(1, 0.0, zone).write()));
+    (100..200).for_each(|zone| _ = health.receive(T0, peer(zone), &report(1, 0.0, zone).encode()));
     assert_eq!(health.origin_share(T0).unwrap().share, 0.0);
 }
 
 #[test]
 fn reports_expire_and_those_of_former_peers_are_dropped() {
     let mut health = origin_health();
-    health.receive(T0, peer(1), &report(1, 0.0, 2).write());
+    health.receive(T0, peer(1), &report(1, 0.0, 2).encode());
     assert!(health.origin_share(T0 + 999 * MS).is_some());
     assert_eq!(health.origin_share(T0 + 1_000 * MS), None);
     health.retain_peers(|p| *p == peer(2));
@@ -139,18 +140,18 @@
 fn a_proxy_reports_a_slow_origin_seldom_and_not_when_its_zone_just_has() {
     let mut health = origin_health();
     assert_eq!(health.observe(T0, 0.9), None, "the origin is not slow");
-    let first = Report::read(&health.observe(T0, 0.2).unwrap()).unwrap();
+    let first = Report::decode(&health.observe(T0, 0.2).unwrap()).unwrap();
     assert_eq!((first.number, first.zone), (1, 1));
     assert_eq!(health.observe(T0 + 499 * MS, 0.1), None);
-    let second = Report::read(&health.observe(T0 + 500 * MS, 0.1).unwrap()).unwrap();
+    let second = Report::decode(&health.observe(T0 + 500 * MS, 0.1).unwrap()).unwrap();
     assert_eq!((second.number, second.start), (2, T0));
     let at = T0 + 2_000 * MS;
-    health.receive(at, peer(1), &report(1, 0.2, 2).write());
+    health.receive(at, peer(1), &report(1, 0.2, 2).encode());
     assert!(
         health.observe(at, 0.1).is_some(),
         "another zone's report does not stand for this one's"
     );
-    health.receive(at + 600 * MS, peer(2), &report(1, 0.2, 1).write());
+    health.receive(at + 600 * MS, peer(2), &report(1, 0.2, 1).encode());
     assert_eq!(health.observe(at + 600 * MS, 0.1), None, "its zone's does");
     assert_eq!(
         (health.counters().sent, health.counters().suppressed),
@@ -179,7 +180,7 @@
         datagrams in prop::collection::vec(
             (0u64..3_000, 0u16..6, prop_oneof![
                 prop::collection::vec(any::<u8>(), 0..300),
-                any_report().prop_map(|report| report.write().to_vec()),
+                any_report().prop_map(|report| report.encode().to_vec()),
             ]),
             0..60,
         )
@@ -209,15 +210,15 @@
         start,
         ..report(1, 0.2, 0)
     };
-    health.receive(0, peer(1), &before.write());
-    health.receive(REPORT_LIFETIME_US - 1, peer(1), &after.write());
+    health.receive(0, peer(1), &before.encode());
+    health.receive(REPORT_LIFETIME_US - 1, peer(1), &after.encode());
     assert_eq!(health.counters().stale, 1, "it may have been overtaken");
-    health.receive(REPORT_LIFETIME_US, peer(1), &after.write());
+    health.receive(REPORT_LIFETIME_US, peer(1), &after.encode());
     assert_eq!(
         (health.counters().stale, health.counters().received),
         (1, 2)
     );
     assert!(health.origin_share(REPORT_LIFETIME_US).is_some());
-    health.receive(2 * REPORT_LIFETIME_US, peer(1), &after.write());
+    health.receive(2 * REPORT_LIFETIME_US, peer(1), &after.encode());
     assert_eq!(health.counters().stale, 2, "the same report twice");
 }
--- a/rehearse/src/scale/daemons/kind.rs
+++ b/rehearse/src/scale/daemons/kind.rs
@@ -40,10 +40,10 @@
             Ok(_) => return Kind::Digests,
             Err(_) => {}
         }
-        if !matches!(Message::read(bytes), Err(DecodeError::Foreign)) {
+        if !matches!(Message::decode(bytes), Err(DecodeError::Foreign)) {
             return Kind::Membership;
         }
-        match budgets::read(bytes) {
+        match budgets::decode(bytes) {
             Err(budgets::DecodeError::Foreign) => Kind::Other,
             _ => Kind::Budgets,
         }
--- a/rehearse/src/scale/hollow/budget_share.rs
+++ b/rehearse/src/scale/hollow/budget_share.rs
@@ -108,7 +108,7 @@
         now: Micros,
         outbox: &mut Outbox,
     ) -> bool {
-        let datagram = match wire::read(bytes) {
+        let datagram = match wire::decode(bytes) {
             Err(wire::DecodeError::Foreign) => return false,
             Err(_) => return true,
             Ok(read) => read,
@@ -133,7 +133,7 @@
         }
         for (to, messages) in by_member {
             let peer = peer_index(to, self.index);
-            for bytes in wire::write(self.fingerprint, self.core.process(), &messages) {
+            for bytes in wire::encode(self.fingerprint, self.core.process(), &messages) {
                 outbox.send(peer, bytes);
             }
         }
--- a/rehearse/src/scale/hollow/mod.rs
+++ b/rehearse/src/scale/hollow/mod.rs
@@ -273,7 +273,7 @@
             },
             updates: Vec::new(),
         }
-        .write()
+        .encode()
     }
 
     /// When `tick` has something to do.
