--- a/daemon/src/daemon/membership.rs
+++ b/daemon/src/daemon/membership.rs
@@ -127,8 +127,8 @@
         let Some(membership) = &mut self.membership else {
             return;
         };
-        let outgoing = membership.outgoing();
-        let changes = membership.changes();
+        let outgoing = membership.take_outgoing();
+        let changes = membership.take_changes();
         for out in &outgoing {
             self.send_to_peer_at(out.peer, &out.datagram);
         }
--- a/daemon/src/daemon/plain_purges.rs
+++ b/daemon/src/daemon/plain_purges.rs
@@ -19,7 +19,7 @@
             Treatment::Replicated => {}
             Treatment::Greet => {
                 if let (Some(membership), Some(peer)) = (&mut self.membership, from) {
-                    membership.greet(peer);
+                    membership.send_discovery_ping(peer);
                     self.flush_membership(now);
                 }
                 self.schedule_plain_purges();
--- a/daemon/tests/plain_purges.rs
+++ b/daemon/tests/plain_purges.rs
@@ -74,7 +74,7 @@
             }
         }
         self.membership.tick(now_us());
-        for out in self.membership.outgoing() {
+        for out in self.membership.take_outgoing() {
             self.socket.send_to(&out.datagram, daemon).unwrap();
         }
     }
--- a/membership/src/options.rs
+++ b/membership/src/options.rs
@@ -6,9 +6,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
     /// The protocol period: one member is probed in each.
-    pub period_us: Micros,
+    pub protocol_period_us: Micros,
     /// The time after which a probe that was not answered is continued by indirect probes.
-    pub ack_us: Micros,
+    pub ack_timeout_us: Micros,
     /// How many other members are asked for an indirect probe.
     pub indirect_probes: usize,
     /// The greatest health score; see [`crate::Membership::health`].
@@ -16,21 +16,21 @@
     /// Members that are dead or have left are probed in one of so many rounds, as they may be back.
     pub dead_probe_interval: u64,
     /// The most pending pings on behalf of other members.
-    pub max_indirect: usize,
+    pub max_indirect_probes: usize,
     /// The most members never heard of that are greeted in one period, in addition to the probe.
-    pub greetings_per_period: usize,
+    pub discovery_pings_per_period: usize,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Options {
-            period_us: 500_000,
-            ack_us: 150_000,
+            protocol_period_us: 500_000,
+            ack_timeout_us: 150_000,
             indirect_probes: 3,
             max_health: 4,
             dead_probe_interval: 8,
-            max_indirect: 64,
-            greetings_per_period: 8,
+            max_indirect_probes: 64,
+            discovery_pings_per_period: 8,
         }
     }
 }
--- a/membership/src/swim/claims.rs
+++ b/membership/src/swim/claims.rs
@@ -38,7 +38,8 @@
         }
         self.suspicions.remove(&peer);
         if update.claim.state == MemberState::Suspect {
-            let suspicion = Suspicion::new(now, update.by, self.up(), self.options.period_us);
+            let suspicion =
+                Suspicion::new(now, update.by, self.up(), self.options.protocol_period_us);
             self.suspicions.insert(peer, suspicion);
         }
         // Each member finds out by itself that another is there, and ignores claims about those that it has not heard of.
--- a/membership/src/swim/mod.rs
+++ b/membership/src/swim/mod.rs
@@ -64,7 +64,7 @@
     /// The peers that are still to be probed in this round.
     round: Vec<PeerIndex>,
     /// The peers that were not greeted yet: a member that starts should know all soon, and not only after a whole round.
-    ungreeted: Vec<PeerIndex>,
+    undiscovered: Vec<PeerIndex>,
     probe: Option<Probe>,
     /// The pending pings on behalf of others, by their numbers.
     indirect: BTreeMap<u32, IndirectProbe>,
@@ -108,7 +108,7 @@
             suspicions: BTreeMap::new(),
             gossip: Gossip::default(),
             round: Vec::new(),
-            ungreeted: Vec::new(),
+            undiscovered: Vec::new(),
             probe: None,
             indirect: BTreeMap::new(),
             next_probe: now,
@@ -123,7 +123,7 @@
             counters: Counters::default(),
         };
         // Members that are started together must not probe in step.
-        membership.next_probe += membership.random.below(options.period_us);
+        membership.next_probe += membership.random.below(options.protocol_period_us);
         membership.reset_peers(peers);
         membership
     }
@@ -132,7 +132,7 @@
     /// this member knows of itself stays.
     pub fn reset_peers(&mut self, peers: usize) {
         self.members = vec![Member::default(); peers];
-        self.ungreeted = (0..peers).collect();
+        self.undiscovered = (0..peers).collect();
         self.by_id.clear();
         self.suspicions.clear();
         self.indirect.clear();
@@ -184,19 +184,19 @@
     }
 
     /// Takes the datagrams that are to be sent.
-    pub fn outgoing(&mut self) -> Vec<Outgoing> {
+    pub fn take_outgoing(&mut self) -> Vec<Outgoing> {
         std::mem::take(&mut self.outgoing)
     }
 
     /// Takes the changes since the last call.
-    pub fn changes(&mut self) -> Vec<Change> {
+    pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
     /// Returns when [`Membership::tick`] is to be called next.
     pub fn due(&self) -> Micros {
         let probe = self.probe.as_ref().filter(|probe| probe.is_direct());
-        let probe_timeout = probe.map(|probe| probe.started_at + self.ack_timeout_us());
+        let probe_timeout = probe.map(|probe| probe.started_at + self.scaled_ack_timeout_us());
         let suspicion = self.suspicions.values().map(Suspicion::deadline).min();
         let indirect = self.indirect.values().map(|probe| probe.deadline).min();
         [probe_timeout, suspicion, indirect]
@@ -205,8 +205,8 @@
             .fold(self.next_probe, Micros::min)
     }
 
-    fn ack_timeout_us(&self) -> Micros {
-        self.options.ack_us * Micros::from(1 + self.health)
+    fn scaled_ack_timeout_us(&self) -> Micros {
+        self.options.ack_timeout_us * Micros::from(1 + self.health)
     }
 
     fn degrade_health(&mut self, by: u32) {
@@ -232,7 +232,7 @@
     /// its socket.
     fn detect_stall(&mut self, now: Micros) {
         let late_us = now.saturating_sub(self.due());
-        if late_us <= MIN_STALL_FACTOR * self.options.ack_us {
+        if late_us <= MIN_STALL_FACTOR * self.options.ack_timeout_us {
             return;
         }
         self.counters.stalls += 1;
@@ -243,7 +243,7 @@
             .values_mut()
             .for_each(|suspicion| suspicion.extend(late_us));
         // What arrived meanwhile is read before any member is probed again.
-        self.next_probe = now + self.options.ack_us;
+        self.next_probe = now + self.options.ack_timeout_us;
     }
 
     fn expire_suspicions(&mut self, now: Micros) {
--- a/membership/src/swim/probes.rs
+++ b/membership/src/swim/probes.rs
@@ -7,7 +7,7 @@
 use crate::{Id, Micros, PeerIndex};
 
 /// The number of pings that greet a member and are no probes.
-const GREETING: u32 = 0;
+const DISCOVERY_PING_NUMBER: u32 = 0;
 
 /// The probe of this period.
 #[derive(Clone, Debug)]
@@ -40,8 +40,8 @@
 
 impl Membership {
     pub(super) fn begin_probe(&mut self, now: Micros) {
-        self.next_probe = now + self.options.period_us * Micros::from(1 + self.health);
-        self.greet_some();
+        self.next_probe = now + self.options.protocol_period_us * Micros::from(1 + self.health);
+        self.send_discovery_pings();
         if self.round.is_empty() {
             self.draw_round();
         }
@@ -65,36 +65,36 @@
 
     /// Pings a member that is not known to run, so that it is known soon. The ping is no probe: a member that does not
     /// answer it is not suspected.
-    pub fn greet(&mut self, peer: PeerIndex) {
+    pub fn send_discovery_ping(&mut self, peer: PeerIndex) {
         let member = self.members.get(peer);
         if !self.has_left && member.is_some_and(|member| !member.is_up()) {
-            self.ping(peer, GREETING);
+            self.ping(peer, DISCOVERY_PING_NUMBER);
         }
     }
 
     /// Greets members that were never heard of: many at first, and one in a period once each was greeted.
-    fn greet_some(&mut self) {
+    fn send_discovery_pings(&mut self) {
         let is_unknown =
             |membership: &Self, peer: &PeerIndex| membership.members[*peer].claim.is_none();
-        let is_first_time = !self.ungreeted.is_empty();
+        let is_first_time = !self.undiscovered.is_empty();
         if !is_first_time {
             let all = 0..self.members.len();
-            self.ungreeted = all.filter(|peer| is_unknown(self, peer)).collect();
+            self.undiscovered = all.filter(|peer| is_unknown(self, peer)).collect();
         }
-        let max_greetings = if is_first_time {
-            self.options.greetings_per_period
+        let max_pings = if is_first_time {
+            self.options.discovery_pings_per_period
         } else {
             1
         };
-        for _ in 0..max_greetings.min(self.ungreeted.len()) {
-            let drawn = self.random.below(self.ungreeted.len() as u64) as usize;
-            let peer = self.ungreeted.swap_remove(drawn);
+        for _ in 0..max_pings.min(self.undiscovered.len()) {
+            let drawn = self.random.below(self.undiscovered.len() as u64) as usize;
+            let peer = self.undiscovered.swap_remove(drawn);
             if is_unknown(self, &peer) {
-                self.ping(peer, GREETING);
+                self.ping(peer, DISCOVERY_PING_NUMBER);
             }
         }
-        if max_greetings == 1 {
-            self.ungreeted.clear();
+        if max_pings == 1 {
+            self.undiscovered.clear();
         }
     }
 
@@ -117,7 +117,7 @@
 
     /// Requests indirect probes if the direct one was not answered in time.
     pub(super) fn extend_probe(&mut self, now: Micros) {
-        let timeout_us = self.ack_timeout_us();
+        let timeout_us = self.scaled_ack_timeout_us();
         let has_timed_out =
             |probe: &Probe| probe.is_direct() && probe.started_at + timeout_us <= now;
         let Some(probe) = self.probe.clone().filter(has_timed_out) else {
@@ -213,7 +213,7 @@
         number: u32,
         target: Id,
     ) {
-        let has_capacity = self.indirect.len() < self.options.max_indirect;
+        let has_capacity = self.indirect.len() < self.options.max_indirect_probes;
         let peer = self.index_of(target).filter(|peer| *peer != requester);
         let Some(peer) = peer.filter(|_| has_capacity) else {
             self.send(requester, Body::Nack { number }, None);
@@ -224,7 +224,7 @@
             requester,
             number,
             target,
-            deadline: now + self.options.ack_us,
+            deadline: now + self.options.ack_timeout_us,
         };
         self.indirect.insert(own_number, probe);
         self.ping(peer, own_number);
--- a/membership/tests/net.rs
+++ b/membership/tests/net.rs
@@ -81,7 +81,7 @@
         let outgoing = self.nodes[n]
             .membership
             .as_mut()
-            .map(Membership::outgoing)
+            .map(Membership::take_outgoing)
             .unwrap_or_default();
         for Outgoing { peer, datagram } in outgoing {
             assert!(datagram.len() <= MAX_DATAGRAM_BYTES);
@@ -91,7 +91,7 @@
         let changes = self.nodes[n]
             .membership
             .as_mut()
-            .map(Membership::changes)
+            .map(Membership::take_changes)
             .unwrap_or_default();
         for change in changes.iter().filter(|c| c.new.state == MemberState::Dead) {
             self.deaths
@@ -460,14 +460,14 @@
     for _ in 0..500 {
         membership.receive(now, peer_index(1, 0), &asker).unwrap();
     }
-    let outgoing = membership.outgoing();
+    let outgoing = membership.take_outgoing();
     let pings = outgoing
         .iter()
         .filter(|out| out.peer == peer_index(2, 0))
         .count();
     assert_eq!(
         (pings, outgoing.len()),
-        (Options::default().max_indirect, 500),
+        (Options::default().max_indirect_probes, 500),
         "the others had a no at once"
     );
 }
--- a/rehearse/src/scale/hollow/mod.rs
+++ b/rehearse/src/scale/hollow/mod.rs
@@ -161,7 +161,7 @@
         {
             Treatment::Replicated => {}
             Treatment::Greet => {
-                self.membership.greet(from);
+                self.membership.send_discovery_ping(from);
                 self.tend_membership(now);
             }
             Treatment::Write(purge) => self.write_plain_purge(&purge, now),
@@ -220,10 +220,10 @@
     }
 
     fn tend_membership(&mut self, now: Micros) {
-        for out in self.membership.outgoing() {
+        for out in self.membership.take_outgoing() {
             self.outbox.send(out.peer, out.datagram);
         }
-        for change in self.membership.changes() {
+        for change in self.membership.take_changes() {
             if change.new.state == MemberState::Dead {
                 let started = change.new.process;
                 self.events.push(MemberEvent::Died {
@@ -250,8 +250,8 @@
                 .membership
                 .receive(now, peer_index(index, self.index), bytes);
         }
-        self.membership.outgoing();
-        self.membership.changes();
+        self.membership.take_outgoing();
+        self.membership.take_changes();
         self.know_machines();
     }
 
