--- a/budgets/src/kinds.rs
+++ b/budgets/src/kinds.rs
@@ -28,7 +28,7 @@
     }
 
     /// Returns the amount that stands for one request, or for all that a server can bear.
-    pub fn one(self) -> Amount {
+    pub fn scale(self) -> Amount {
         match self {
             Unit::Concurrent => 1,
             Unit::Millionths => 1_000_000,
@@ -39,7 +39,7 @@
     pub fn demand(self, unsettled: Amount) -> Amount {
         let spare = match self {
             Unit::Concurrent => SPARE_REQUESTS,
-            Unit::Millionths => self.one() / SPARE_DIVISOR,
+            Unit::Millionths => self.scale() / SPARE_DIVISOR,
         };
         if unsettled == 0 {
             0
--- a/budgets/src/member.rs
+++ b/budgets/src/member.rs
@@ -14,18 +14,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Change {
     /// This member leads a group from now on, or no longer.
-    Leads {
+    Leader {
         /// The group.
         group: usize,
         /// Whether it leads from now on.
-        begins: bool,
+        leads: bool,
     },
     /// This member may spend its reserved minimum of a budget alone, or has a lease again.
     ReservedOnly {
         /// The budget.
         budget: usize,
         /// Whether no lease is in force from now on.
-        begins: bool,
+        active: bool,
     },
 }
 
@@ -124,7 +124,7 @@
     }
 
     /// Sets whether another member is believed to run.
-    pub fn set_up(&mut self, member: MemberIndex, up: bool) {
+    pub fn set_member_up(&mut self, member: MemberIndex, up: bool) {
         if let Some(known) = self
             .up
             .get_mut(member)
@@ -220,12 +220,12 @@
     }
 
     /// Takes the messages that are to be sent.
-    pub fn outgoing(&mut self) -> Vec<Outgoing> {
+    pub fn take_outgoing(&mut self) -> Vec<Outgoing> {
         std::mem::take(&mut self.outgoing)
     }
 
     /// Takes the changes since the last call.
-    pub fn changes(&mut self) -> Vec<Change> {
+    pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
@@ -254,8 +254,8 @@
         } else {
             self.elections[group].withdraw();
         }
-        if let Some(begins) = self.elections[group].leadership_change(now) {
-            self.changes.push(Change::Leads { group, begins });
+        if let Some(leads) = self.elections[group].leadership_change(now) {
+            self.changes.push(Change::Leader { group, leads });
         }
     }
 
@@ -285,8 +285,8 @@
     }
 
     fn report_reserved_only(&mut self, now: Micros, budget: usize) {
-        if let Some(begins) = self.budgets[budget].holding.reserved_only_change(now) {
-            self.changes.push(Change::ReservedOnly { budget, begins });
+        if let Some(active) = self.budgets[budget].holding.reserved_only_change(now) {
+            self.changes.push(Change::ReservedOnly { budget, active });
         }
     }
 
--- a/budgets/tests/fleet.rs
+++ b/budgets/tests/fleet.rs
@@ -125,7 +125,7 @@
             self.options,
         )
         .expect("a valid spec");
-        (0..nodes).for_each(|m| member.set_up(m, true));
+        (0..nodes).for_each(|m| member.set_member_up(m, true));
         node.member = Some(member);
         self.set_up();
     }
@@ -155,7 +155,7 @@
         for member in self.nodes.iter_mut().filter_map(|n| n.member.as_mut()) {
             up.iter()
                 .enumerate()
-                .for_each(|(index, up)| member.set_up(index, *up));
+                .for_each(|(index, up)| member.set_member_up(index, *up));
         }
     }
 
@@ -216,7 +216,7 @@
         let outgoing = self.nodes[n]
             .member
             .as_mut()
-            .map(Member::outgoing)
+            .map(Member::take_outgoing)
             .unwrap_or_default();
         let mut by_member = std::collections::BTreeMap::<MemberIndex, Vec<Message>>::new();
         outgoing.iter().for_each(|outgoing| {
@@ -415,7 +415,7 @@
                     net.nodes[n]
                         .member
                         .iter_mut()
-                        .for_each(|m| m.set_up(of, up));
+                        .for_each(|m| m.set_member_up(of, up));
                 }
             }
             let pause = net.links.draw(1_500 * MS);
@@ -487,7 +487,7 @@
             beliefs
                 .iter()
                 .enumerate()
-                .for_each(|(m, up)| member.set_up(m, *up));
+                .for_each(|(m, up)| member.set_member_up(m, *up));
         }
         net.run(8 * S);
         for n in [allocator, other] {
@@ -506,11 +506,11 @@
             "seed {seed}: {}",
             net.in_force(0)
         );
-        let changes = net.nodes[other].member.as_mut().unwrap().changes();
+        let changes = net.nodes[other].member.as_mut().unwrap().take_changes();
         assert!(
             changes.contains(&Change::ReservedOnly {
                 budget: 0,
-                begins: true
+                active: true
             }),
             "and it says so"
         );
@@ -576,7 +576,7 @@
                     1 => m == (n + 1) % nodes,
                     _ => m == n || m == (n + 1) % nodes || m == (n + 2) % nodes,
                 };
-                (0..nodes).for_each(|m| member.set_up(m, alone(m)));
+                (0..nodes).for_each(|m| member.set_member_up(m, alone(m)));
             }
             // Started one after the other, so that each has votes for a moment.
             for n in 0..nodes {
@@ -594,7 +594,7 @@
                 beliefs
                     .iter()
                     .enumerate()
-                    .for_each(|(m, up)| member.set_up(m, *up));
+                    .for_each(|(m, up)| member.set_member_up(m, *up));
                 net.nodes[n].member = Some(member);
                 let pause = net.links.draw(3 * S);
                 net.run(pause);
@@ -639,7 +639,7 @@
             let member = net.nodes[n].member.as_mut().unwrap();
             [allocator, other]
                 .into_iter()
-                .for_each(|m| member.set_up(m, false));
+                .for_each(|m| member.set_member_up(m, false));
         }
         net.run(14 * S);
         assert!(
@@ -755,7 +755,7 @@
                 .member
                 .as_mut()
                 .unwrap()
-                .set_up(allocator, false);
+                .set_member_up(allocator, false);
             net.demand(n, 1_000_000);
         }
         net.run(8 * S);
--- a/budgets/tests/model.rs
+++ b/budgets/tests/model.rs
@@ -95,13 +95,13 @@
             member: n,
             process: self.nodes[n].process,
         };
-        let outgoing = self.nodes[n].member.outgoing();
+        let outgoing = self.nodes[n].member.take_outgoing();
         self.messages.extend(
             outgoing
                 .into_iter()
                 .map(|Outgoing { to, message }| Envelope { from, to, message }),
         );
-        self.nodes[n].member.changes();
+        self.nodes[n].member.take_changes();
         let over = self.messages.len().saturating_sub(MAX_IN_FLIGHT);
         self.messages.drain(..over);
     }
@@ -124,7 +124,7 @@
             options.with_settling_time(SPEC.settling_us),
         )
         .expect("it fits");
-        (0..ALL).for_each(|m| member.set_up(m, true));
+        (0..ALL).for_each(|m| member.set_member_up(m, true));
         member
     }
 
@@ -251,7 +251,7 @@
                     state.now
                 };
                 let mut member = self.member(n, process, now);
-                (0..ALL).for_each(|m| member.set_up(m, !alone));
+                (0..ALL).for_each(|m| member.set_member_up(m, !alone));
                 state.nodes[n] = Node {
                     member,
                     process,
--- a/daemon/src/daemon/budgets/mod.rs
+++ b/daemon/src/daemon/budgets/mod.rs
@@ -204,7 +204,7 @@
 
     fn unsettled(&self, now: Micros) -> Unsettled {
         let millionths =
-            |share: Option<f64>| (share.unwrap_or(0.0) * Unit::Millionths.one() as f64) as Amount;
+            |share: Option<f64>| (share.unwrap_or(0.0) * Unit::Millionths.scale() as f64) as Amount;
         Unsettled {
             origin: self.core.origin_in_flight() as Amount,
             caches: millionths(self.core.slow_start_use(now, false)),
@@ -224,7 +224,7 @@
             return;
         };
         up.into_iter()
-            .for_each(|(index, up)| shared.member.set_up(index, up));
+            .for_each(|(index, up)| shared.member.set_member_up(index, up));
     }
 
     /// Sends the member's messages, logs its changes, and passes its leases to the module.
@@ -232,8 +232,8 @@
         let Some(shared) = &mut self.shared_budgets else {
             return;
         };
-        let mut outgoing = shared.member.outgoing();
-        let changes = shared.member.changes();
+        let mut outgoing = shared.member.take_outgoing();
+        let changes = shared.member.take_changes();
         if shared.detached {
             outgoing.clear();
         }
@@ -286,7 +286,7 @@
             let (Some(of), Some(spec)) = (budget.of, shared.member.spec(n)) else {
                 continue;
             };
-            let unit = budget.unit.one() as f64;
+            let unit = budget.unit.scale() as f64;
             let lease = shared.member.lease(now, n);
             let mut lease = Lease {
                 budget: of,
--- a/daemon/src/daemon/budgets/status.rs
+++ b/daemon/src/daemon/budgets/status.rs
@@ -107,10 +107,10 @@
             return;
         };
         match change {
-            Change::Leads { group, begins } => self.log_leadership(&shared.member, group, begins),
+            Change::Leader { group, leads } => self.log_leadership(&shared.member, group, leads),
             Change::ReservedOnly {
                 budget,
-                begins: true,
+                active: true,
             } => {
                 let name = self.config.budgets.list[budget].name.as_str();
                 let reserved = shared.member.spec(budget).map_or(0, |spec| spec.reserved);
@@ -121,7 +121,7 @@
             }
             Change::ReservedOnly {
                 budget,
-                begins: false,
+                active: false,
             } => {
                 let name = self.config.budgets.list[budget].name.as_str();
                 log::info!(budget = name; "a lease is in force again");
--- a/daemon/src/interconnect/budgets.rs
+++ b/daemon/src/interconnect/budgets.rs
@@ -149,7 +149,7 @@
 
     /// What caches in slow start take: of the parents, and of the caches of each zone.
     fn slow_start_budgets(&self, settings: &Settings, members: usize) -> Vec<Shared> {
-        let limit = kinds::CACHES.unit.one();
+        let limit = kinds::CACHES.unit.scale();
         let spec = BudgetSpec {
             limit,
             reserved: (self.cold_reserved * limit as f64 / members as f64) as u64,
--- a/rehearse/src/scale/fleet_config.rs
+++ b/rehearse/src/scale/fleet_config.rs
@@ -72,7 +72,7 @@
 
 fn shared_budgets(members: usize, target: &Target) -> Vec<SharedBudget> {
     let figures = &target.budgets;
-    let all = kinds::CACHES.unit.one();
+    let all = kinds::CACHES.unit.scale();
     let reserved = (figures.cold_reserved_share * all as f64 / members as f64) as u64;
     let cold = BudgetSpec {
         limit: all,
--- a/rehearse/src/scale/hollow/budget_share.rs
+++ b/rehearse/src/scale/hollow/budget_share.rs
@@ -71,7 +71,7 @@
     ) {
         self.say_demand(now);
         for (peer, is_up) in is_up.enumerate() {
-            self.core.set_up(member_at(peer, self.index), is_up);
+            self.core.set_member_up(member_at(peer, self.index), is_up);
         }
         self.core.tick(now);
         self.send(outbox);
@@ -128,7 +128,7 @@
 
     fn send(&mut self, outbox: &mut Outbox) {
         let mut by_member = BTreeMap::<usize, Vec<Message>>::new();
-        for Outgoing { to, message } in self.core.outgoing() {
+        for Outgoing { to, message } in self.core.take_outgoing() {
             by_member.entry(to).or_default().push(message);
         }
         for (to, messages) in by_member {
@@ -137,6 +137,6 @@
                 outbox.send(peer, bytes);
             }
         }
-        self.core.changes();
+        self.core.take_changes();
     }
 }
