--- a/budgets/tests/fleet.rs
+++ b/budgets/tests/fleet.rs
@@ -400,10 +400,10 @@
                 1 if net.nodes[n].member.is_none() => net.start(n),
                 2 => net.nodes[n].stalled = Some(Vec::new()),
                 3 => net.go_on(n),
-                4 => net.links.split(net.nodes.len(), &[n]),
+                4 => net.links.partition(net.nodes.len(), &[n]),
                 5 => net
                     .links
-                    .split(net.nodes.len(), &(0..nodes / 2).collect::<Vec<_>>()),
+                    .partition(net.nodes.len(), &(0..nodes / 2).collect::<Vec<_>>()),
                 6 => net.links.cut(n, (n + 1) % nodes),
                 7 => net.links.restore(),
                 // Nobody knows who runs.
@@ -479,7 +479,7 @@
         let (mut net, allocator) = with_allocator(5, seed, &specs());
         // The allocator stands on the lesser side.
         let other = (allocator + 1) % 5;
-        net.links.split(net.nodes.len(), &[allocator, other]);
+        net.links.partition(net.nodes.len(), &[allocator, other]);
         for n in 0..5 {
             let lesser = |m: usize| m == allocator || m == other;
             let beliefs: Vec<bool> = (0..5).map(|m| lesser(m) == lesser(n)).collect();
@@ -633,7 +633,7 @@
             .filter(|n| *n != other && *n != allocator)
             .for_each(|n| net.demand(n, 0));
         net.run(4 * S);
-        net.links.split(5, &[allocator, other]);
+        net.links.partition(5, &[allocator, other]);
         for n in (0..5).filter(|n| *n != other && *n != allocator) {
             net.demand(n, 1_000_000);
             let member = net.nodes[n].member.as_mut().unwrap();
@@ -743,11 +743,11 @@
         let (voter, other) = ((allocator + 1) % 3, (allocator + 2) % 3);
         // The allocator alone wants anything, and has it by the voter's vote, as the other is away.
         [voter, other].into_iter().for_each(|n| net.demand(n, 0));
-        net.links.split(net.nodes.len(), &[other]);
+        net.links.partition(net.nodes.len(), &[other]);
         net.run(5 * S);
         assert_eq!(net.allocator(0), Some(allocator), "seed {seed}");
         net.links.restore();
-        net.links.split(net.nodes.len(), &[allocator]);
+        net.links.partition(net.nodes.len(), &[allocator]);
         net.kill(voter);
         net.start(voter);
         for n in [voter, other] {
--- a/membership/tests/net.rs
+++ b/membership/tests/net.rs
@@ -256,7 +256,7 @@
         net.links.cut(0, 1);
         net.links.cut(1, 2);
         net.links.cut(2, 1);
-        net.links.split(net.nodes.len(), &[4]);
+        net.links.partition(net.nodes.len(), &[4]);
         net.run(15 * S);
         let dead = |at, of| net.state(at, of) == Some(MemberState::Dead);
         assert!((0..4).all(|n| dead(n, 4)), "seed {seed}: {:?}", net.deaths);
@@ -304,7 +304,7 @@
     for seed in 0..150 {
         let mut net = Net::new(5, seed);
         net.until_agreed(20 * S).unwrap();
-        net.links.split(net.nodes.len(), &[0, 1]);
+        net.links.partition(net.nodes.len(), &[0, 1]);
         net.run(30 * S);
         for (at, of) in [(0, 2), (1, 4), (2, 0), (4, 1)] {
             assert_eq!(
--- a/rehearse/src/scale/simulation/mod.rs
+++ b/rehearse/src/scale/simulation/mod.rs
@@ -246,7 +246,7 @@
     // ---- Time ----
 
     fn run_until(&mut self, end: Micros) {
-        while let Some(Timed { at, event }) = self.queue.next_until(end) {
+        while let Some(Timed { at, event }) = self.queue.pop_due(end) {
             self.now = at;
             self.events += 1;
             self.handle(event);
--- a/replication/tests/compaction/main.rs
+++ b/replication/tests/compaction/main.rs
@@ -130,7 +130,7 @@
         let mut fleet = Fleet::new(6, 6, 150, seed);
         tell(&mut fleet, &[0, 1, 2, 3, 4, 5], 0..100, 5 * MS);
         fleet.run(S);
-        fleet.links.split(6, &[0, 1, 2]);
+        fleet.links.partition(6, &[0, 1, 2]);
         for n in (100..2_100).step_by(100) {
             tell(&mut fleet, &[0, 1, 2], n..n + 50, 5 * MS);
             tell(&mut fleet, &[3, 4, 5], n + 50..n + 100, 5 * MS);
--- a/simnet/src/events.rs
+++ b/simnet/src/events.rs
@@ -76,14 +76,14 @@
     }
 
     /// Removes the first event if it is due by `end`.
-    pub fn next_until(&mut self, end: Micros) -> Option<Timed<E>> {
-        self.next_at().filter(|at| *at <= end)?;
+    pub fn pop_due(&mut self, end: Micros) -> Option<Timed<E>> {
+        self.next_due_at().filter(|at| *at <= end)?;
         let Scheduled { at, event, .. } = self.heap.pop()?;
         Some(Timed { at, event })
     }
 
     /// Returns when the first event is due.
-    pub fn next_at(&self) -> Option<Micros> {
+    pub fn next_due_at(&self) -> Option<Micros> {
         self.heap.peek().map(|first| first.at)
     }
 
--- a/simnet/src/network.rs
+++ b/simnet/src/network.rs
@@ -111,7 +111,7 @@
     }
 
     /// Cuts all links, in both directions, between some of the members and the others.
-    pub fn split(&mut self, members: usize, side: &[usize]) {
+    pub fn partition(&mut self, members: usize, side: &[usize]) {
         for from in 0..members {
             let others = (0..members).filter(|to| side.contains(&from) != side.contains(to));
             self.cut.extend(others.map(|to| Link { from, to }));
@@ -126,7 +126,7 @@
     /// Advances the time to the next datagram or to the caller's next event, whichever is first, and at most to `end`. If
     /// both are due at once, the datagram is first.
     pub fn step<D>(&mut self, end: Micros, next: Option<Timed<D>>) -> Step<M, D> {
-        let delivery_at = self.in_flight.next_at();
+        let delivery_at = self.in_flight.next_due_at();
         let event_at = next.as_ref().map(|timed| timed.at);
         let first_at = delivery_at.into_iter().chain(event_at).min();
         let Some(at) = first_at.filter(|at| *at <= end) else {
@@ -134,7 +134,7 @@
             return Step::Finished;
         };
         self.now = at.max(self.now);
-        if let Some(delivery) = self.in_flight.next_until(at) {
+        if let Some(delivery) = self.in_flight.pop_due(at) {
             let InFlight { link, message } = delivery.event;
             return Step::Delivered {
                 from: link.from,
--- a/simnet/tests/links.rs
+++ b/simnet/tests/links.rs
@@ -10,7 +10,7 @@
         queue.schedule(at, event);
     }
     let mut taken = Vec::new();
-    while let Some(event) = queue.next_until(20) {
+    while let Some(event) = queue.pop_due(20) {
         taken.push((event.at, event.event));
     }
     assert_eq!(taken, [(10, "first"), (10, "second"), (20, "third")]);
--- a/simnet/tests/network.rs
+++ b/simnet/tests/network.rs
@@ -32,7 +32,7 @@
         (net.now, net.step(begin + 50, NOTHING)),
         (begin + 10, Step::Finished)
     );
-    net.split(3, &[0]);
+    net.partition(3, &[0]);
     net.send(0, 1, &"b");
     net.send(2, 0, &"b");
     assert_eq!(
