--- a/daemon/src/daemon/sources/peers.rs
+++ b/daemon/src/daemon/sources/peers.rs
@@ -72,7 +72,7 @@
         let Some(datagram) = self
             .origin_health
             .as_mut()
-            .and_then(|h| h.observe(now, share))
+            .and_then(|h| h.record_late_response(now, share))
         else {
             return;
         };
--- a/daemon/tests/loopback.rs
+++ b/daemon/tests/loopback.rs
@@ -526,7 +526,7 @@
         next += 1;
     }
     let late = Report {
-        start: told.start,
+        started_at: told.started_at,
         number: 1,
         origin_share: 0.0,
         zone: told.zone,
@@ -552,7 +552,7 @@
     while is_asked(next) {
         assert!(number < 5_000, "a peer's words change nothing");
         let word = Report {
-            start: told.start,
+            started_at: told.started_at,
             number,
             origin_share: 0.0,
             zone: told.zone,
--- a/origin-health/src/report.rs
+++ b/origin-health/src/report.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Report {
     /// The Unix time at which the sender started: of two of its reports, one of the later start is newer.
-    pub start: Micros,
+    pub started_at: Micros,
     /// The number of the report: of two reports of one start, the higher is newer.
     pub number: u32,
     /// The share of its requests that the sender sends to the origin, by the responses that it received itself.
@@ -64,7 +64,7 @@
 impl Report {
     /// Returns whether it is newer than another report of the same sender.
     pub(crate) fn is_newer_than(&self, other: &Report) -> bool {
-        (self.start, self.number) > (other.start, other.number)
+        (self.started_at, self.number) > (other.started_at, other.number)
     }
 
     /// Encodes the report as a datagram.
@@ -72,7 +72,7 @@
         let mut out = [0; REPORT_BYTES];
         out[..3].copy_from_slice(MAGIC);
         out[3] = VERSION;
-        out[4..12].copy_from_slice(&self.start.to_be_bytes());
+        out[4..12].copy_from_slice(&self.started_at.to_be_bytes());
         out[12..16].copy_from_slice(&self.number.to_be_bytes());
         let share = (self.origin_share.clamp(0.0, 1.0) * f64::from(u16::MAX)).round() as u16;
         out[16..18].copy_from_slice(&share.to_be_bytes());
@@ -99,12 +99,12 @@
             None => return Err(DecodeError::Malformed),
         }
         let report: &[u8; REPORT_BYTES] = bytes.try_into().map_err(|_| DecodeError::Malformed)?;
-        let [_, _, _, _, start @ .., n0, n1, n2, n3, o0, o1, z0, z1, c0, c1, c2, c3] = *report;
+        let [_, _, _, _, started_at @ .., n0, n1, n2, n3, o0, o1, z0, z1, c0, c1, c2, c3] = *report;
         if crc32fast::hash(&report[..CHECKSUM_AT]) != u32::from_be_bytes([c0, c1, c2, c3]) {
             return Err(DecodeError::Malformed);
         }
         Ok(Report {
-            start: Micros::from_be_bytes(start),
+            started_at: Micros::from_be_bytes(started_at),
             number: u32::from_be_bytes([n0, n1, n2, n3]),
             origin_share: f64::from(u16::from_be_bytes([o0, o1])) / f64::from(u16::MAX),
             zone: u16::from_be_bytes([z0, z1]),
--- a/origin-health/tests/fleet.rs
+++ b/origin-health/tests/fleet.rs
@@ -40,7 +40,7 @@
             let (now, found) = (world.now, world.seats[n].router.found());
             let Some(report) = found
                 .filter(|_| sends_reports)
-                .and_then(|share| members[n].observe(now, share))
+                .and_then(|share| members[n].record_late_response(now, share))
             else {
                 return;
             };
--- a/origin-health/tests/reports.rs
+++ b/origin-health/tests/reports.rs
@@ -19,7 +19,7 @@
 
 fn report(number: u32, origin_share: f64, zone: u16) -> Report {
     Report {
-        start: T0,
+        started_at: T0,
         number,
         origin_share,
         zone,
@@ -30,7 +30,7 @@
 #[test]
 fn a_report_stays_byte_for_byte() {
     let report = Report {
-        start: 0x0102_0304_0506_0708,
+        started_at: 0x0102_0304_0506_0708,
         number: 0x1112_1314,
         origin_share: 0.25,
         zone: 11,
@@ -45,8 +45,8 @@
     let sent = report(7, 0.25, 11);
     let read = Report::decode(&sent.encode()).unwrap();
     assert_eq!(
-        (read.start, read.number, read.zone),
-        (sent.start, sent.number, sent.zone)
+        (read.started_at, read.number, read.zone),
+        (sent.started_at, sent.number, sent.zone)
     );
     assert!((read.origin_share - sent.origin_share).abs() < 1e-4);
 }
@@ -98,7 +98,7 @@
     assert_eq!(until, T0 + 1_000 * MS);
     // Started anew, it counts from 1 again; a report of the process before it is stale.
     let anew = Report {
-        start: T0 + 1,
+        started_at: T0 + 1,
         ..report(1, 0.9, 2)
     };
     health.receive(T0, peer(1), &anew.encode());
@@ -139,20 +139,20 @@
 #[test]
 fn a_proxy_reports_a_slow_origin_seldom_and_not_when_its_zone_just_has() {
     let mut health = origin_health();
-    assert_eq!(health.observe(T0, 0.9), None, "the origin is not slow");
-    let first = Report::decode(&health.observe(T0, 0.2).unwrap()).unwrap();
+    assert_eq!(health.record_late_response(T0, 0.9), None, "the origin is not slow");
+    let first = Report::decode(&health.record_late_response(T0, 0.2).unwrap()).unwrap();
     assert_eq!((first.number, first.zone), (1, 1));
-    assert_eq!(health.observe(T0 + 499 * MS, 0.1), None);
-    let second = Report::decode(&health.observe(T0 + 500 * MS, 0.1).unwrap()).unwrap();
-    assert_eq!((second.number, second.start), (2, T0));
+    assert_eq!(health.record_late_response(T0 + 499 * MS, 0.1), None);
+    let second = Report::decode(&health.record_late_response(T0 + 500 * MS, 0.1).unwrap()).unwrap();
+    assert_eq!((second.number, second.started_at), (2, T0));
     let at = T0 + 2_000 * MS;
     health.receive(at, peer(1), &report(1, 0.2, 2).encode());
     assert!(
-        health.observe(at, 0.1).is_some(),
+        health.record_late_response(at, 0.1).is_some(),
         "another zone's report does not stand for this one's"
     );
     health.receive(at + 600 * MS, peer(2), &report(1, 0.2, 1).encode());
-    assert_eq!(health.observe(at + 600 * MS, 0.1), None, "its zone's does");
+    assert_eq!(health.record_late_response(at + 600 * MS, 0.1), None, "its zone's does");
     assert_eq!(
         (health.counters().sent, health.counters().suppressed),
         (3, 1)
@@ -162,8 +162,8 @@
 /// Any report, also of a zone that does not exist.
 fn any_report() -> impl Strategy<Value = Report> {
     (any::<u64>(), any::<u32>(), 0.0..1.0f64, 0u16..14).prop_map(
-        |(start, number, origin_share, zone)| Report {
-            start,
+        |(started_at, number, origin_share, zone)| Report {
+            started_at,
             number,
             origin_share,
             zone,
@@ -205,9 +205,9 @@
 fn a_sender_whose_clock_went_back_is_accepted_once_its_last_report_has_expired() {
     let mut health = origin_health();
     let before = report(1_000, 0.5, 0);
-    let start = before.start - 1;
+    let started_at = before.started_at - 1;
     let after = Report {
-        start,
+        started_at,
         ..report(1, 0.2, 0)
     };
     health.receive(0, peer(1), &before.encode());
--- a/rehearse/src/scale/hollow/mod.rs
+++ b/rehearse/src/scale/hollow/mod.rs
@@ -326,7 +326,7 @@
 
     /// An answer of the origin was late: this share of its requests may still ask it.
     pub fn find_origin_late(&mut self, share: f64, now: Micros) {
-        if let Some(bytes) = self.origin_health.observe(now, share) {
+        if let Some(bytes) = self.origin_health.record_late_response(now, share) {
             self.outbox.broadcast(&bytes);
         }
     }
