--- a/budgets/src/allocation.rs
+++ b/budgets/src/allocation.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Terms {
     /// What there is to share among all holders.
-    pub(crate) shared: Amount,
+    pub(crate) leasable: Amount,
     /// The most that this holder may have.
     pub(crate) max_amount: Amount,
     /// Until when what is spent of the lease may be unsettled.
@@ -40,12 +40,12 @@
             .set(now, from.member, request.demand, terms.demand_lifetime_us);
         let share = self
             .demands
-            .fair_share(from.member, terms.shared)
+            .fair_share(from.member, terms.leasable)
             .min(terms.max_amount);
         let target = self.next_amount(from.member, request.demand, share);
         Some(
             self.ledger
-                .grant(from, request, target, terms.shared, terms.until),
+                .grant(from, request, target, terms.leasable, terms.until),
         )
     }
 
--- a/budgets/src/fair_share.rs
+++ b/budgets/src/fair_share.rs
@@ -42,7 +42,7 @@
     }
 
     /// Returns a holder's fair share of so much.
-    pub(crate) fn fair_share(&self, holder: MemberIndex, shared: Amount) -> Amount {
+    pub(crate) fn fair_share(&self, holder: MemberIndex, leasable: Amount) -> Amount {
         let mut demands: Vec<(Amount, MemberIndex)> = self
             .0
             .iter()
@@ -50,7 +50,7 @@
             .collect();
         // The smallest first: what they leave goes to the others.
         demands.sort_unstable();
-        let mut left = shared - shared / NEWCOMER_DIVISOR;
+        let mut left = leasable - leasable / NEWCOMER_DIVISOR;
         let mut remaining = demands.len() as u64;
         for (demand, member) in demands {
             let share = demand.min(left / remaining);
--- a/budgets/src/ledger.rs
+++ b/budgets/src/ledger.rs
@@ -120,13 +120,13 @@
         self.0.iter().map(outstanding)
     }
 
-    /// Grants a recorded request up to `target`, as far as `shared` leaves; it may be unsettled until `until`.
+    /// Grants a recorded request up to `target`, as far as `leasable` leaves; it may be unsettled until `until`.
     pub(crate) fn grant(
         &mut self,
         from: MemberProcess,
         request: &LeaseRequest,
         target: Amount,
-        shared: Amount,
+        leasable: Amount,
         until: Micros,
     ) -> Amount {
         let total: Amount = self.outstanding_by_holder().map(|grant| grant.amount).sum();
@@ -134,7 +134,7 @@
             return 0;
         };
         let others = total - holder.largest_of(from.process);
-        let amount = target.min(shared.saturating_sub(others));
+        let amount = target.min(leasable.saturating_sub(others));
         // An empty lease is recorded, too: once it is in force, its holder has given up the one before.
         holder.grants.push(Grant {
             process: from.process,
--- a/budgets/src/member.rs
+++ b/budgets/src/member.rs
@@ -101,7 +101,7 @@
         options: Options,
     ) -> Result<Self, InvalidBudget> {
         for (budget, spec) in specs.iter().enumerate() {
-            spec.shared(members)
+            spec.leasable_amount(members)
                 .map_err(|error| InvalidBudget { budget, error })?;
         }
         let election = |group| Election::new(group, own, members, now, options);
@@ -155,7 +155,7 @@
             limit,
             ..budget.holding.spec
         };
-        spec.shared(self.up.len())?;
+        spec.leasable_amount(self.up.len())?;
         budget.holding.spec = spec;
         Ok(())
     }
@@ -342,10 +342,10 @@
             self.counters.misdirected += 1;
             return;
         }
-        let shared = spec.shared(self.up.len()).unwrap_or(0);
+        let leasable = spec.leasable_amount(self.up.len()).unwrap_or(0);
         let terms = Terms {
-            shared,
-            max_amount: self.max_grant(now, group, shared),
+            leasable,
+            max_amount: self.max_grant(now, group, leasable),
             until: until + settling_us,
             demand_lifetime_us: self.options.lease_us,
         };
@@ -366,11 +366,11 @@
 
     /// Returns the most that this allocator may grant to one holder. Until all holders have had the time to send it a
     /// request, the first ones must not receive what the others will demand.
-    fn max_grant(&mut self, now: Micros, group: usize, shared: Amount) -> Amount {
+    fn max_grant(&mut self, now: Micros, group: usize, leasable: Amount) -> Amount {
         let serving_since = self.elections[group].serve(now);
         let all_known_at = serving_since + 2 * self.options.request_interval_us;
         if now < all_known_at {
-            shared / self.up.len() as u64
+            leasable / self.up.len() as u64
         } else {
             Amount::MAX
         }
--- a/budgets/src/spec.rs
+++ b/budgets/src/spec.rs
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     /// Fails where the limit is less than the sum of the reserved minimums.
-    pub fn shared(self, members: usize) -> Result<Amount, LimitTooSmall> {
+    pub fn leasable_amount(self, members: usize) -> Result<Amount, LimitTooSmall> {
         let reserved_total = self.reserved.saturating_mul(members as u64);
         self.limit
             .checked_sub(reserved_total)
--- a/daemon/src/interconnect/budgets.rs
+++ b/daemon/src/interconnect/budgets.rs
@@ -176,7 +176,7 @@
             reserved: self.reserved,
             settling_us: deadlines.max().unwrap_or(0),
         };
-        spec.shared(members)
+        spec.leasable_amount(members)
             .map_err(|source| InterconnectError::OriginLimit {
                 limit: spec.limit,
                 source,
