--- a/budgets/src/lib.rs
+++ b/budgets/src/lib.rs
@@ -1,33 +1,37 @@
-//! Fleet-wide budgets, leased to the proxies so that what they may spend never sums to more than the limit.
+//! Fleet-wide budgets that are leased to the proxies, so that the sum of what they may spend never exceeds the limit.
 //!
-//! The package is sans-IO: callers deliver messages and the time, which is each member's own monotonic clock. A budget
-//! has a limit. A minimum is reserved for each configured member, which may always spend it, whichever members it can
-//! reach. The rest is leased: one elected member, the allocator, grants leases that expire by themselves.
+//! The package is sans-IO: callers deliver messages and pass the time, which is read from each member's own monotonic
+//! clock. A budget has a limit. A minimum is reserved for each configured member, which may always spend it, even if it can
+//! reach no other member. The rest is leased: one elected member, the allocator, grants leases that expire by themselves.
 //!
-//! # Why the sum holds
+//! # Safety
 //!
-//! A member votes for one allocator at a time, for a stated time by its own clock, and for none in that time after its
-//! start. An allocator grants only while more than half of all configured members vote for it, and none of its leases
-//! outlives those votes. Any two majorities share a member, so the leases of one allocator expire before the next one has
-//! its votes: through crashes, network partitions, stalled processes and two members that both believe to lead. A holder
-//! counts its lease from when it sent the request, the allocator from when it granted it, each corrected by what clocks
-//! may drift apart in that time; so no lease is in force for longer than its allocator counts it as granted.
+//! A member votes for one allocator at a time, for a fixed duration by its own clock. After it starts it gives no vote for
+//! that duration, because an earlier process of it may have voted. An allocator grants leases only while more than half of
+//! all configured members vote for it, and none of its leases outlives those votes. Any two majorities share a member, so
+//! all leases of one allocator have expired before the next allocator is elected. This holds through crashes, network
+//! partitions and stalled processes, and when two members both believe that they lead. A holder counts the duration of its
+//! lease from when it sent the request, the allocator from when it granted it, and both allow for clock drift. A lease
+//! therefore never remains in force for longer than its allocator counts it as granted.
 //!
-//! What is spent may occupy the resource for a while: a request in flight at the origin, or work that a cache that is
-//! warming up has not done yet. An allocator counts a lease as granted until that settling time is over, and its votes
-//! must last as long. Each request of a holder states what is unsettled and which lease is in force, so that what it gave
-//! up is free at once.
+//! Spent amounts may occupy the resource for a while, such as a request in flight at the origin, or work that a cache in
+//! slow start has not finished yet. This is the settling time. An allocator counts a lease as granted until the settling
+//! time after its end is over, and the allocator's votes must last as long. Each lease request states how much of the
+//! holder's spending is unsettled and which lease is in force, so that the amount that a holder gives up is available to
+//! others at once.
 //!
 //! # Modules
 //!
 //! - `kinds`: the kinds of budgets and their units.
 //! - `spec`: the limit, the reserved minimum and the settling time of a budget.
-//! - `options`: times and bounds that are the same at all members.
-//! - `message`, `wire`: what members send each other, and its form as datagrams.
-//! - `vote`, `election`: whom a member votes for, and who allocates a group of budgets.
+//! - `options`: the durations and bounds of the protocol, which are the same at all members.
+//! - `message`, `wire`: the messages between members and their encoding in datagrams.
+//! - `vote`, `election`: a member's vote, and the election of the allocator of a group of budgets.
 //! - `holding`: the holder's side of a budget.
-//! - `allocation`, `ledger`, `fair_share`: the allocator's side of a budget: what is granted, and what may be.
-//! - `member`: one member, which joins these.
+//! - `allocation`, `ledger`, `fair_share`: the allocator's side of a budget, which are the outstanding grants and the amount
+//!   of the next one.
+//! - `pending`: requests that await responses.
+//! - `member`: one member, which combines these parts.
 
 mod allocation;
 mod election;
@@ -53,16 +57,16 @@
 pub type Micros = u64;
 /// A member's index in the configured list, which is the same at all members.
 pub type MemberIndex = usize;
-/// Identifies one process of a member: each start has another one, higher than those before.
+/// Identifies one process of a member. Each start of the member has a higher id than those before.
 pub type ProcessId = u64;
 /// An amount of a budget, in the budget's unit.
 pub type Amount = u64;
 
-/// A member in one of its processes. A new process of a member knows nothing of what an earlier one granted, spent or voted.
+/// One process of a member. A new process does not know which votes and leases an earlier one gave, or what it spent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberProcess {
     /// The member.
     pub member: MemberIndex,
-    /// Its process.
+    /// The process of that member.
     pub process: ProcessId,
 }
--- a/budgets/src/options.rs
+++ b/budgets/src/options.rs
@@ -1,19 +1,19 @@
-//! Times and bounds of the protocol.
+//! Durations and bounds of the protocol.
 
 use crate::Micros;
 
-/// Times and bounds of the protocol, the same at all members.
+/// Durations and bounds of the protocol. All members must use the same ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Options {
-    /// How long a vote lasts.
+    /// The duration of a vote.
     pub vote_us: Micros,
-    /// How long a lease lasts at most.
+    /// The maximum duration of a lease.
     pub lease_us: Micros,
-    /// The interval between two requests for votes, and for leases.
+    /// The interval between two vote requests of a candidate, and between two lease requests for a budget.
     pub request_interval_us: Micros,
-    /// How far two clocks may drift apart, in millionths of the time that passes.
+    /// The maximum drift of one clock from true time, in parts per million.
     pub drift_ppm: u64,
-    /// The number of groups. Each group of budgets elects an allocator of its own.
+    /// The number of groups of budgets. Each group elects its own allocator.
     pub groups: usize,
 }
 
@@ -30,22 +30,23 @@
 }
 
 impl Options {
-    /// The most that two clocks drift apart in a time, rounded up. Each may drift in its own direction.
+    /// Returns the maximum difference that builds up between two clocks in a duration, rounded up. The factor of two allows
+    /// for clocks that drift in opposite directions.
     fn max_drift(&self, us: Micros) -> Micros {
         us.saturating_mul(2 * self.drift_ppm) / 1_000_000 + 1
     }
 
-    /// Shortens a time that another member counts too, so that it is over here first.
+    /// Shortens a duration that another member counts too, so that it ends here first.
     pub(crate) fn shortened_by_drift(&self, us: Micros) -> Micros {
         us.saturating_sub(self.max_drift(us))
     }
 
-    /// Extends a time that another member counts too, so that it is over there first.
+    /// Extends a duration that another member counts too, so that it ends there first.
     pub(crate) fn extended_by_drift(&self, us: Micros) -> Micros {
         us.saturating_add(self.max_drift(us))
     }
 
-    /// Returns these options for budgets with a settling time: votes outlast a lease and what is unsettled of it.
+    /// Returns these options with votes that outlast a lease and its settling time.
     pub fn with_settling_time(self, settling_us: Micros) -> Self {
         let vote_us = self
             .vote_us
