--- a/budgets/src/election.rs
+++ b/budgets/src/election.rs
@@ -60,7 +60,7 @@
             own,
             members,
             options,
-            vote: Vote::new(now, options.vote_us),
+            vote: Vote::new(now, options.vote_duration_us),
             known_leader: None,
             refusals: BTreeMap::new(),
             candidate_since: None,
@@ -116,7 +116,7 @@
             return true;
         }
         // The fewer votes it has the sooner it backs off, so that they come together.
-        let timeout_us = (2 + self.votes.count(now)) * self.options.vote_us;
+        let timeout_us = (2 + self.votes.count(now)) * self.options.vote_duration_us;
         if now < candidate_since + timeout_us {
             return true;
         }
@@ -125,11 +125,11 @@
     }
 
     fn back_off(&mut self, now: Micros, last_number: u64) {
-        let vote_us = self.options.vote_us;
+        let vote_duration_us = self.options.vote_duration_us;
         let spread =
             weight(self.own.member, self.group) ^ self.own.process.rotate_left(17) ^ last_number;
         self.candidate_since = None;
-        self.backoff_until = now + vote_us + spread % vote_us.max(1);
+        self.backoff_until = now + vote_duration_us + spread % vote_duration_us.max(1);
     }
 
     /// Returns the request for votes of this number, and records that it was sent.
@@ -148,12 +148,12 @@
         from: MemberProcess,
         request: VoteRequest,
     ) -> VoteResponse {
-        let vote_us = self.options.vote_us;
-        let granted = self.vote.request(now, from, vote_us);
+        let vote_duration_us = self.options.vote_duration_us;
+        let granted = self.vote.request(now, from, vote_duration_us);
         if granted || self.yields_to(now, from.member) {
             self.known_leader = Some(KnownLeader {
                 member: from.member,
-                until: now + vote_us,
+                until: now + vote_duration_us,
             });
         }
         VoteResponse {
@@ -188,7 +188,7 @@
             self.refusals.remove(&voter);
             self.votes.add(
                 voter,
-                sent_at + self.options.shortened_by_drift(self.options.vote_us),
+                sent_at + self.options.shortened_by_drift(self.options.vote_duration_us),
             );
             return;
         }
@@ -204,7 +204,7 @@
     fn receive_refusal(&mut self, now: Micros, voter: MemberIndex, leader: MemberIndex) {
         let known = KnownLeader {
             member: leader,
-            until: now + self.options.vote_us,
+            until: now + self.options.vote_duration_us,
         };
         self.refusals.insert(voter, known);
         let agreeing = self
--- a/budgets/src/holding.rs
+++ b/budgets/src/holding.rs
@@ -97,7 +97,7 @@
 
     /// Accepts a lease; false where it has expired, or a later one came before it.
     pub(crate) fn accept(&mut self, now: Micros, grant: LeaseGrant, options: &Options) -> bool {
-        let duration_us = options.shortened_by_drift(grant.duration_us.min(options.lease_us));
+        let duration_us = options.shortened_by_drift(grant.duration_us.min(options.max_lease_us));
         let until = self
             .requests
             .take(grant.number)
--- a/budgets/src/member.rs
+++ b/budgets/src/member.rs
@@ -336,7 +336,7 @@
         let settling_us = self.options.extended_by_drift(spec.settling_us);
         let votes_until = self.elections[group].majority_until();
         let last_end = votes_until.saturating_sub(settling_us);
-        let until = last_end.min(now + self.options.lease_us);
+        let until = last_end.min(now + self.options.max_lease_us);
         if until <= now {
             self.elections[group].stop_serving();
             self.counters.misdirected += 1;
@@ -347,7 +347,7 @@
             leasable,
             max_amount: self.max_grant(now, group, leasable),
             until: until + settling_us,
-            demand_lifetime_us: self.options.lease_us,
+            demand_lifetime_us: self.options.max_lease_us,
         };
         let allocation = &mut self.budgets[request.budget].allocation;
         let Some(amount) = allocation.grant(now, from, &request, terms) else {
--- a/budgets/src/message.rs
+++ b/budgets/src/message.rs
@@ -18,7 +18,8 @@
     pub group: usize,
     /// The number of the request.
     pub number: u64,
-    /// Whether the candidate has the vote, for [`Options::vote_us`](crate::Options::vote_us) from its request.
+    /// Whether the candidate has the vote, for [`Options::vote_duration_us`](crate::Options::vote_duration_us) from its
+    /// request.
     pub granted: bool,
     /// The member that has the vote.
     pub voted_for: Option<MemberIndex>,
--- a/budgets/src/options.rs
+++ b/budgets/src/options.rs
@@ -6,9 +6,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Options {
     /// The duration of a vote.
-    pub vote_us: Micros,
+    pub vote_duration_us: Micros,
     /// The maximum duration of a lease.
-    pub lease_us: Micros,
+    pub max_lease_us: Micros,
     /// The interval between two vote requests of a candidate, and between two lease requests for a budget.
     pub request_interval_us: Micros,
     /// The maximum drift of one clock from true time, in parts per million.
@@ -20,8 +20,8 @@
 impl Default for Options {
     fn default() -> Self {
         Options {
-            vote_us: 2_000_000,
-            lease_us: 1_000_000,
+            vote_duration_us: 2_000_000,
+            max_lease_us: 1_000_000,
             request_interval_us: 200_000,
             drift_ppm: 1_000,
             groups: 4,
@@ -32,25 +32,28 @@
 impl Options {
     /// Returns the maximum difference that builds up between two clocks in a duration, rounded up. The factor of two allows
     /// for clocks that drift in opposite directions.
-    fn max_drift(&self, us: Micros) -> Micros {
-        us.saturating_mul(2 * self.drift_ppm) / 1_000_000 + 1
+    fn max_drift(&self, duration_us: Micros) -> Micros {
+        duration_us.saturating_mul(2 * self.drift_ppm) / 1_000_000 + 1
     }
 
     /// Shortens a duration that another member counts too, so that it ends here first.
-    pub(crate) fn shortened_by_drift(&self, us: Micros) -> Micros {
-        us.saturating_sub(self.max_drift(us))
+    pub(crate) fn shortened_by_drift(&self, duration_us: Micros) -> Micros {
+        duration_us.saturating_sub(self.max_drift(duration_us))
     }
 
     /// Extends a duration that another member counts too, so that it ends there first.
-    pub(crate) fn extended_by_drift(&self, us: Micros) -> Micros {
-        us.saturating_add(self.max_drift(us))
+    pub(crate) fn extended_by_drift(&self, duration_us: Micros) -> Micros {
+        duration_us.saturating_add(self.max_drift(duration_us))
     }
 
     /// Returns these options with votes that outlast a lease and its settling time.
     pub fn with_settling_time(self, settling_us: Micros) -> Self {
-        let vote_us = self
-            .vote_us
+        let vote_duration_us = self
+            .vote_duration_us
             .saturating_add(self.extended_by_drift(settling_us));
-        Options { vote_us, ..self }
+        Options {
+            vote_duration_us,
+            ..self
+        }
     }
 }
--- a/budgets/src/vote.rs
+++ b/budgets/src/vote.rs
@@ -12,10 +12,10 @@
 
 impl Vote {
     /// The vote of a process that starts. An earlier process may have given it: it is free once that vote has expired.
-    pub(crate) fn new(now: Micros, vote_us: Micros) -> Self {
+    pub(crate) fn new(now: Micros, vote_duration_us: Micros) -> Self {
         Vote {
             candidate: None,
-            until: now + vote_us,
+            until: now + vote_duration_us,
         }
     }
 
@@ -26,18 +26,19 @@
             .map(|candidate| candidate.member)
     }
 
-    /// Gives the vote to a candidate for `vote_us`, unless another one has it. Returns whether the candidate has it.
+    /// Gives the vote to a candidate for `vote_duration_us`, unless another one has it. Returns whether the candidate has
+    /// it.
     pub(crate) fn request(
         &mut self,
         now: Micros,
         candidate: MemberProcess,
-        vote_us: Micros,
+        vote_duration_us: Micros,
     ) -> bool {
         if self.candidate != Some(candidate) && now < self.until {
             return false;
         }
         self.candidate = Some(candidate);
-        self.until = now + vote_us;
+        self.until = now + vote_duration_us;
         true
     }
 }
--- a/budgets/tests/fleet.rs
+++ b/budgets/tests/fleet.rs
@@ -7,8 +7,8 @@
 
 const MS: Micros = 1_000;
 const OPTIONS: Options = Options {
-    vote_us: 2_000_000,
-    lease_us: 1_000_000,
+    vote_duration_us: 2_000_000,
+    max_lease_us: 1_000_000,
     request_interval_us: 200_000,
     drift_ppm: 100_000,
     groups: 4,
--- a/budgets/tests/model.rs
+++ b/budgets/tests/model.rs
@@ -110,8 +110,8 @@
 impl Leases {
     fn member(&self, n: usize, process: ProcessId, now: Micros) -> Member {
         let options = Options {
-            vote_us: 10 * STEP,
-            lease_us: 8 * STEP,
+            vote_duration_us: 10 * STEP,
+            max_lease_us: 8 * STEP,
             request_interval_us: STEP,
             drift_ppm: 0,
             groups: 1,
