--- a/budgets/src/allocation.rs
+++ b/budgets/src/allocation.rs
@@ -13,13 +13,13 @@
 
 /// The bounds of a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Terms {
+pub(crate) struct GrantTerms {
     /// What there is to share among all holders.
     pub(crate) leasable: Amount,
     /// The most that this holder may have.
     pub(crate) max_amount: Amount,
     /// Until when what is spent of the lease may be unsettled.
-    pub(crate) until: Micros,
+    pub(crate) settled_at: Micros,
     /// How long a demand counts that is not repeated.
     pub(crate) demand_lifetime_us: Micros,
 }
@@ -31,7 +31,7 @@
         now: Micros,
         from: MemberProcess,
         request: &LeaseRequest,
-        terms: Terms,
+        terms: GrantTerms,
     ) -> Option<Amount> {
         if !self.ledger.record(now, from, request) {
             return None;
@@ -45,7 +45,7 @@
         let target = self.next_amount(from.member, request.demand, share);
         Some(
             self.ledger
-                .grant(from, request, target, terms.leasable, terms.until),
+                .grant(from, request, target, terms.leasable, terms.settled_at),
         )
     }
 
--- a/budgets/src/election.rs
+++ b/budgets/src/election.rs
@@ -16,7 +16,7 @@
 }
 
 impl KnownLeader {
-    fn is(&self, member: MemberIndex, now: Micros) -> bool {
+    fn is_current(&self, member: MemberIndex, now: Micros) -> bool {
         self.member == member && now < self.until
     }
 }
@@ -210,7 +210,7 @@
         let agreeing = self
             .refusals
             .values()
-            .filter(|refusal| refusal.is(leader, now))
+            .filter(|refusal| refusal.is_current(leader, now))
             .count();
         if agreeing > self.members / 2 && !self.leads(now) {
             self.known_leader = Some(known);
@@ -225,7 +225,7 @@
     }
 
     /// Returns since when this member serves lease requests: from now on, unless it did before.
-    pub(crate) fn serve(&mut self, now: Micros) -> Micros {
+    pub(crate) fn start_serving(&mut self, now: Micros) -> Micros {
         *self.serving_since.get_or_insert(now)
     }
 
@@ -239,8 +239,8 @@
 fn weight(member: MemberIndex, group: usize) -> u64 {
     let mut x = (member as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15)
         ^ (group as u64 + 1).rotate_left(32);
-    for by in [0xbf58_476d_1ce4_e5b9, 0x94d0_49bb_1331_11eb] {
-        x = (x ^ (x >> 30)).wrapping_mul(by);
+    for multiplier in [0xbf58_476d_1ce4_e5b9, 0x94d0_49bb_1331_11eb] {
+        x = (x ^ (x >> 30)).wrapping_mul(multiplier);
     }
     x ^ (x >> 31)
 }
--- a/budgets/src/fair_share.rs
+++ b/budgets/src/fair_share.rs
@@ -50,14 +50,14 @@
             .collect();
         // The smallest first: what they leave goes to the others.
         demands.sort_unstable();
-        let mut left = leasable - leasable / NEWCOMER_DIVISOR;
+        let mut available = leasable - leasable / NEWCOMER_DIVISOR;
         let mut remaining = demands.len() as u64;
         for (demand, member) in demands {
-            let share = demand.min(left / remaining);
+            let share = demand.min(available / remaining);
             if member == holder {
                 return share;
             }
-            left -= share;
+            available -= share;
             remaining -= 1;
         }
         0
--- a/budgets/src/ledger.rs
+++ b/budgets/src/ledger.rs
@@ -15,7 +15,7 @@
     number: u64,
     amount: Amount,
     /// Until when what was spent of it may be unsettled.
-    until: Micros,
+    settled_at: Micros,
 }
 
 /// The grants to one holder.
@@ -48,20 +48,20 @@
 
     /// Drops the grants that the holder gave up for a later one. It never returns to them, so that they need not be counted
     /// until they expire, except for what is unsettled of them.
-    fn drop_given_up(&mut self, process: ProcessId, request: &LeaseRequest) {
+    fn drop_replaced(&mut self, process: ProcessId, request: &LeaseRequest) {
         let is_current =
             |grant: &&Grant| grant.process == process && grant.number == request.current_lease;
         let Some(current) = self.grants.iter().find(is_current).copied() else {
             return;
         };
-        let is_given_up = |grant: &Grant| grant.process == process && grant.number < current.number;
-        let given_up = self.grants.iter().filter(|grant| is_given_up(grant));
-        let last_until = given_up.map(|grant| grant.until).max();
-        self.grants.retain(|grant| !is_given_up(grant));
-        if let Some(until) = last_until.filter(|_| request.unsettled > current.amount) {
+        let is_replaced = |grant: &Grant| grant.process == process && grant.number < current.number;
+        let replaced = self.grants.iter().filter(|grant| is_replaced(grant));
+        let settled_at = replaced.map(|grant| grant.settled_at).max();
+        self.grants.retain(|grant| !is_replaced(grant));
+        if let Some(settled_at) = settled_at.filter(|_| request.unsettled > current.amount) {
             self.grants.push(Grant {
                 amount: request.unsettled,
-                until,
+                settled_at,
                 ..current
             });
         }
@@ -96,13 +96,13 @@
         }
         holder.process = from.process;
         holder.last_number = request.number;
-        holder.drop_given_up(from.process, request);
+        holder.drop_replaced(from.process, request);
         true
     }
 
     fn drop_expired(&mut self, now: Micros) {
         for holder in self.0.values_mut() {
-            holder.grants.retain(|grant| grant.until > now);
+            holder.grants.retain(|grant| grant.settled_at > now);
         }
     }
 
@@ -120,14 +120,14 @@
         self.0.iter().map(outstanding)
     }
 
-    /// Grants a recorded request up to `target`, as far as `leasable` leaves; it may be unsettled until `until`.
+    /// Grants a recorded request up to `target`, as far as `leasable` leaves; it may be unsettled until `settled_at`.
     pub(crate) fn grant(
         &mut self,
         from: MemberProcess,
         request: &LeaseRequest,
         target: Amount,
         leasable: Amount,
-        until: Micros,
+        settled_at: Micros,
     ) -> Amount {
         let total: Amount = self.outstanding_by_holder().map(|grant| grant.amount).sum();
         let Some(holder) = self.0.get_mut(&from.member) else {
@@ -140,7 +140,7 @@
             process: from.process,
             number: request.number,
             amount,
-            until,
+            settled_at,
         });
         amount
     }
--- a/budgets/src/member.rs
+++ b/budgets/src/member.rs
@@ -1,6 +1,6 @@
 //! One member: what it may spend, whom it votes for and, where it is the allocator, what the others may spend.
 
-use crate::allocation::{Allocation, Terms};
+use crate::allocation::{Allocation, GrantTerms};
 use crate::election::Election;
 use crate::holding::{Demand, Holding, Lease};
 use crate::spec::{BudgetSpec, LimitTooSmall};
@@ -125,12 +125,12 @@
 
     /// Sets whether another member is believed to run.
     pub fn set_member_up(&mut self, member: MemberIndex, up: bool) {
-        if let Some(known) = self
+        if let Some(is_up) = self
             .up
             .get_mut(member)
             .filter(|_| member != self.own.member)
         {
-            *known = up;
+            *is_up = up;
         }
     }
 
@@ -335,18 +335,18 @@
         // What is spent at the end of a lease settles before the votes expire, too.
         let settling_us = self.options.extended_by_drift(spec.settling_us);
         let votes_until = self.elections[group].majority_until();
-        let last_end = votes_until.saturating_sub(settling_us);
-        let until = last_end.min(now + self.options.max_lease_us);
+        let max_until = votes_until.saturating_sub(settling_us);
+        let until = max_until.min(now + self.options.max_lease_us);
         if until <= now {
             self.elections[group].stop_serving();
             self.counters.misdirected += 1;
             return;
         }
         let leasable = spec.leasable_amount(self.up.len()).unwrap_or(0);
-        let terms = Terms {
+        let terms = GrantTerms {
             leasable,
             max_amount: self.max_grant(now, group, leasable),
-            until: until + settling_us,
+            settled_at: until + settling_us,
             demand_lifetime_us: self.options.max_lease_us,
         };
         let allocation = &mut self.budgets[request.budget].allocation;
@@ -367,7 +367,7 @@
     /// Returns the most that this allocator may grant to one holder. Until all holders have had the time to send it a
     /// request, the first ones must not receive what the others will demand.
     fn max_grant(&mut self, now: Micros, group: usize, leasable: Amount) -> Amount {
-        let serving_since = self.elections[group].serve(now);
+        let serving_since = self.elections[group].start_serving(now);
         let all_known_at = serving_since + 2 * self.options.request_interval_us;
         if now < all_known_at {
             leasable / self.up.len() as u64
