--- a/budgets/src/ledger.rs
+++ b/budgets/src/ledger.rs
@@ -133,8 +133,8 @@
         let Some(holder) = self.0.get_mut(&from.member) else {
             return 0;
         };
-        let others = total - holder.largest_of(from.process);
-        let amount = target.min(leasable.saturating_sub(others));
+        let other_grants = total - holder.largest_of(from.process);
+        let amount = target.min(leasable.saturating_sub(other_grants));
         // An empty lease is recorded, too: once it is in force, its holder has given up the one before.
         holder.grants.push(Grant {
             process: from.process,
--- a/budgets/src/vote.rs
+++ b/budgets/src/vote.rs
@@ -50,8 +50,8 @@
 impl Votes {
     /// Adds a vote, or extends it.
     pub(crate) fn add(&mut self, voter: MemberIndex, until: Micros) {
-        let known = self.0.entry(voter).or_insert(0);
-        *known = until.max(*known);
+        let current = self.0.entry(voter).or_insert(0);
+        *current = until.max(*current);
     }
 
     /// Counts the votes that have not expired.
--- a/budgets/src/wire.rs
+++ b/budgets/src/wire.rs
@@ -11,7 +11,7 @@
 mod tests;
 
 /// The first word of a datagram; the digit is the version of the form.
-const MARK: &str = "budgets1";
+const PREFIX: &str = "budgets1";
 
 /// A datagram that was read.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -26,7 +26,7 @@
 
 /// Writes messages of a member's process as few datagrams.
 pub fn encode(fingerprint: u64, process: ProcessId, messages: &[Message]) -> Vec<Vec<u8>> {
-    let head = format!("{MARK} {fingerprint:x} {process:x}");
+    let head = format!("{PREFIX} {fingerprint:x} {process:x}");
     let mut datagrams: Vec<String> = Vec::new();
     for message in messages.iter().map(encode_message) {
         match datagrams
@@ -46,7 +46,7 @@
 /// # Errors
 /// Fails where it is of another kind or version, or malformed; nothing of a malformed one is used.
 pub fn decode(bytes: &[u8]) -> Result<Datagram, DecodeError> {
-    let text = std::str::from_utf8(payload(bytes, MARK)?).map_err(|_| DecodeError::Malformed)?;
+    let text = std::str::from_utf8(payload(bytes, PREFIX)?).map_err(|_| DecodeError::Malformed)?;
     let mut words = text
         .strip_prefix(' ')
         .ok_or(DecodeError::Malformed)?
