--- a/budgets/src/allocation.rs
+++ b/budgets/src/allocation.rs
@@ -1,10 +1,10 @@
-//! The allocator's side of a budget: what it grants to whom.
+//! The allocator's side of a budget, which decides the amount of each lease.
 
 use crate::fair_share::Demands;
 use crate::ledger::{Ledger, OutstandingGrant};
 use crate::{Amount, LeaseRequest, MemberIndex, MemberProcess, Micros};
 
-/// What an allocator knows of one budget's demands and grants.
+/// An allocator's state of one budget: the holders' demands and the outstanding grants.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Allocation {
     ledger: Ledger,
@@ -14,18 +14,18 @@
 /// The bounds of a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct GrantTerms {
-    /// What there is to share among all holders.
+    /// The amount that can be leased to all holders together.
     pub(crate) leasable: Amount,
-    /// The most that this holder may have.
+    /// The maximum amount for this holder.
     pub(crate) max_amount: Amount,
-    /// Until when what is spent of the lease may be unsettled.
+    /// The time by which everything that is spent under the lease has settled.
     pub(crate) settled_at: Micros,
-    /// How long a demand counts that is not repeated.
+    /// The time after which a demand that is not repeated no longer counts.
     pub(crate) demand_lifetime_us: Micros,
 }
 
 impl Allocation {
-    /// Grants a lease; none where a later request came before this one.
+    /// Grants a lease. Returns its amount, or `None` if a later request of the holder has already been processed.
     pub(crate) fn grant(
         &mut self,
         now: Micros,
@@ -49,7 +49,8 @@
         )
     }
 
-    /// A lease grows at once and shrinks by halves, so that it does not swing with each request.
+    /// Returns the target amount of the next lease. It grows to the fair share at once, but halves the distance to a
+    /// smaller one with each request, so that leases do not oscillate.
     fn next_amount(&self, holder: MemberIndex, demand: Amount, share: Amount) -> Amount {
         let outstanding = self.ledger.outstanding(holder);
         if share < outstanding && demand > 0 {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Returns what each holder may spend or have unsettled.
+    /// Returns the outstanding amount of each holder that has one.
     pub(crate) fn outstanding(&self) -> impl Iterator<Item = OutstandingGrant> + '_ {
         self.ledger
             .outstanding_by_holder()
--- a/budgets/src/fair_share.rs
+++ b/budgets/src/fair_share.rs
@@ -1,5 +1,5 @@
-//! How much each holder should have: nobody gets more than its demand, what some do not demand goes to the others in equal
-//! shares, and a part is reserved for newcomers.
+//! The fair share of each holder (max-min fairness). No holder receives more than its demand, the amount that holders
+//! with a small demand leave is divided equally among the others, and a part is reserved for new holders.
 
 use crate::{Amount, MemberIndex, Micros};
 use std::collections::BTreeMap;
@@ -7,22 +7,22 @@
 #[cfg(test)]
 mod tests;
 
-/// One part in so many is reserved for newcomers.
+/// The fraction of the leasable amount that is reserved for new holders is one divided by this.
 const NEWCOMER_DIVISOR: Amount = 25;
 
-/// A holder's demand, and when it was received.
+/// A holder's demand and the time at which it was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct KnownDemand {
     amount: Amount,
     received_at: Micros,
 }
 
-/// The demands of all holders.
+/// The demands of all holders that have sent one recently.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Demands(BTreeMap<MemberIndex, KnownDemand>);
 
 impl Demands {
-    /// Sets a holder's demand, and forgets those that were not repeated within `lifetime_us`.
+    /// Sets a holder's demand, and removes demands that were not repeated within `lifetime_us`.
     pub(crate) fn set(
         &mut self,
         now: Micros,
@@ -41,14 +41,14 @@
         );
     }
 
-    /// Returns a holder's fair share of so much.
+    /// Returns a holder's fair share of the leasable amount.
     pub(crate) fn fair_share(&self, holder: MemberIndex, leasable: Amount) -> Amount {
         let mut demands: Vec<(Amount, MemberIndex)> = self
             .0
             .iter()
             .map(|(holder, demand)| (demand.amount, *holder))
             .collect();
-        // The smallest first: what they leave goes to the others.
+        // Holders with the smallest demands come first, as the others share the amount that these leave.
         demands.sort_unstable();
         let mut available = leasable - leasable / NEWCOMER_DIVISOR;
         let mut remaining = demands.len() as u64;
--- a/budgets/src/holding.rs
+++ b/budgets/src/holding.rs
@@ -1,45 +1,46 @@
-//! The holder's side of a budget: what a member may spend of it, and what it asks for.
+//! The holder's side of a budget: the lease in force, and the demand for the next one.
 
 use crate::pending::PendingRequests;
 use crate::spec::BudgetSpec;
 use crate::{Amount, LeaseGrant, LeaseRequest, Micros, Options};
 
-/// What a member may spend of a budget now.
+/// The amount of a budget that a member may currently spend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
-    /// How much, the reserved minimum included.
+    /// The amount, including the reserved minimum.
     pub amount: Amount,
-    /// Until when, unless it is renewed. [`Micros::MAX`] where it is the reserved minimum alone, which does not expire.
+    /// The time at which the lease expires unless it is renewed. [`Micros::MAX`] if the amount is the reserved minimum
+    /// alone, which does not expire.
     pub until: Micros,
 }
 
-/// What a member asks for of a budget, beyond its reserved minimum.
+/// A member's demand for a budget beyond its reserved minimum.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Demand {
-    /// What it would spend if it could.
+    /// The amount that it would spend if it were granted.
     pub amount: Amount,
-    /// What it spent and is not settled.
+    /// The amount that it has spent and that has not settled yet.
     pub unsettled: Amount,
 }
 
-/// The lease that was granted last.
+/// The latest accepted lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct GrantedLease {
-    /// How much, beyond the reserved minimum.
+    /// The amount beyond the reserved minimum.
     amount: Amount,
     until: Micros,
-    /// The number of the request that brought it; 0 where there was none.
+    /// The number of the request that it answers; 0 if there was none.
     number: u64,
 }
 
-/// A member's holding of one budget.
+/// A member's state as a holder of one budget.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Holding {
     pub(crate) spec: BudgetSpec,
     demand: Demand,
     granted: GrantedLease,
     requests: PendingRequests,
-    /// Whether no lease was in force when that was last reported.
+    /// Whether the last reported change was that no lease is in force.
     reported_reserved_only: bool,
 }
 
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Sets the demand; the reserved minimum is included in both amounts.
+    /// Sets the demand from amounts that include the reserved minimum.
     pub(crate) fn set_demand(&mut self, amount: Amount, unsettled: Amount) {
         let reserved = self.spec.reserved;
         self.demand = Demand {
@@ -67,7 +68,7 @@
         self.demand
     }
 
-    /// Returns what may be spent now.
+    /// Returns the lease in force, or the reserved minimum if there is none.
     pub(crate) fn lease(&self, now: Micros) -> Lease {
         let GrantedLease { amount, until, .. } = self.granted;
         if now < until {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Returns a request for a lease, and records that it was sent.
+    /// Creates a lease request, and records it as sent.
     pub(crate) fn request(&mut self, now: Micros, budget: usize, number: u64) -> LeaseRequest {
         self.requests.insert(number, now);
         LeaseRequest {
@@ -95,7 +96,8 @@
         }
     }
 
-    /// Accepts a lease; false where it has expired, or a later one came before it.
+    /// Accepts a lease. Returns false if it has expired or does not answer a pending request, or if a later lease has
+    /// already been accepted.
     pub(crate) fn accept(&mut self, now: Micros, grant: LeaseGrant, options: &Options) -> bool {
         let duration_us = options.shortened_by_drift(grant.duration_us.min(options.max_lease_us));
         let until = self
@@ -113,7 +115,7 @@
         true
     }
 
-    /// Returns whether no lease is in force, where that is another than when it was last reported.
+    /// Returns whether no lease is in force, if that has changed since the last call that returned a value.
     pub(crate) fn reserved_only_change(&mut self, now: Micros) -> Option<bool> {
         let reserved_only = now >= self.granted.until;
         let reported = std::mem::replace(&mut self.reported_reserved_only, reserved_only);
--- a/budgets/src/kinds.rs
+++ b/budgets/src/kinds.rs
@@ -2,11 +2,12 @@
 
 use crate::Amount;
 
-/// A demand is so many times what is unsettled, so that a lease is there before it is needed.
+/// The ratio of a member's demand to its unsettled amount. It exceeds one so that a larger lease arrives before it is
+/// needed.
 const DEMAND_FACTOR: Amount = 2;
-/// The requests demanded in addition.
+/// The number of requests that are demanded in addition.
 const SPARE_REQUESTS: Amount = 4;
-/// One part in so many of what a server can bear is demanded in addition.
+/// The fraction of a server's capacity that is demanded in addition is one divided by this.
 const SPARE_DIVISOR: Amount = 10;
 
 /// The unit of an amount.
@@ -14,12 +15,12 @@
 pub enum Unit {
     /// Concurrent requests.
     Concurrent,
-    /// Millionths of what a server can bear.
+    /// Millionths of a server's capacity.
     Millionths,
 }
 
 impl Unit {
-    /// Returns the name that `fleet budgets` shows. Tools read it, so that it must not change.
+    /// Returns the name that `fleet budgets` shows. Tools read it, so it must not change.
     pub fn name(self) -> &'static str {
         match self {
             Unit::Concurrent => "held at a time",
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Returns the amount that stands for one request, or for all that a server can bear.
+    /// Returns the amount that corresponds to one request or to the full capacity of one server.
     pub fn scale(self) -> Amount {
         match self {
             Unit::Concurrent => 1,
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Returns the demand of a member that has so much unsettled.
+    /// Returns the demand of a member with an unsettled amount.
     pub fn demand(self, unsettled: Amount) -> Amount {
         let spare = match self {
             Unit::Concurrent => SPARE_REQUESTS,
@@ -52,23 +53,23 @@
 /// A kind of budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Kind {
-    /// The name, as `fleet budgets` and the log show it.
+    /// The name that `fleet budgets` and the log show.
     pub name: &'static str,
     /// The unit of its amounts.
     pub unit: Unit,
 }
 
-/// Concurrent requests at the origin, whether they were made directly or for a fill.
+/// Concurrent requests at the origin, sent directly or for a fill.
 pub const ORIGIN: Kind = Kind {
     name: "origin",
     unit: Unit::Concurrent,
 };
-/// What each parent cache that is warming up can bear.
+/// The capacity of each parent cache in slow start.
 pub const PARENTS: Kind = Kind {
     name: "cold-parents",
     unit: Unit::Millionths,
 };
-/// What each cache of a zone that is warming up can bear; there is one budget for each zone.
+/// The capacity of each cache of a zone in slow start. There is one budget for each zone.
 pub const CACHES: Kind = Kind {
     name: "cold-caches",
     unit: Unit::Millionths,
--- a/budgets/src/ledger.rs
+++ b/budgets/src/ledger.rs
@@ -1,5 +1,5 @@
-//! What an allocator has granted of one budget, and what it may grant: the sum of all that may be spent or unsettled,
-//! whether the holders have received their leases or not, is never over what there is to share.
+//! An allocator's ledger of the outstanding grants of one budget. It keeps the sum of all amounts that may be spent or
+//! unsettled within the leasable amount, whether or not the holders have received their leases.
 
 use crate::{Amount, LeaseRequest, MemberIndex, MemberProcess, Micros, ProcessId};
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
     /// The number of the request that it answers.
     number: u64,
     amount: Amount,
-    /// Until when what was spent of it may be unsettled.
+    /// The time by which everything that is spent under it has settled.
     settled_at: Micros,
 }
 
@@ -29,8 +29,9 @@
 }
 
 impl HolderGrants {
-    /// Returns the most that the holder may spend or have unsettled. A process replaces one lease by the next and may not
-    /// have received the last one, so its largest counts; what its earlier processes spent comes on top.
+    /// Returns the maximum amount that the holder may spend or have unsettled. A process replaces one lease by the
+    /// next, and may not have received the latest one, so only its largest grant counts. The grants of earlier
+    /// processes are added.
     fn outstanding(&self) -> Amount {
         let mut by_process = BTreeMap::<ProcessId, Amount>::new();
         for grant in &self.grants {
@@ -40,14 +41,14 @@
         by_process.into_values().sum()
     }
 
-    /// Returns the largest grant to one process.
+    /// Returns the amount of the largest grant to a process.
     fn largest_of(&self, process: ProcessId) -> Amount {
         let own = self.grants.iter().filter(|grant| grant.process == process);
         own.map(|grant| grant.amount).max().unwrap_or(0)
     }
 
-    /// Drops the grants that the holder gave up for a later one. It never returns to them, so that they need not be counted
-    /// until they expire, except for what is unsettled of them.
+    /// Drops the grants that the holder has replaced by a later one. The holder never returns to them, so only its
+    /// unsettled spending under them still counts.
     fn drop_replaced(&mut self, process: ProcessId, request: &LeaseRequest) {
         let is_current =
             |grant: &&Grant| grant.process == process && grant.number == request.current_lease;
@@ -68,12 +69,12 @@
     }
 }
 
-/// What a holder may spend or have unsettled, beyond its reserved minimum.
+/// The amount that a holder may spend or have unsettled, beyond its reserved minimum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct OutstandingGrant {
     /// The holder.
     pub holder: MemberIndex,
-    /// How much.
+    /// The amount.
     pub amount: Amount,
 }
 
@@ -82,7 +83,7 @@
 pub(crate) struct Ledger(BTreeMap<MemberIndex, HolderGrants>);
 
 impl Ledger {
-    /// Records a holder's request. Returns false where a later request, or one of a later process, came before it.
+    /// Records a holder's request. Returns false if a later request of the holder has already been recorded.
     pub(crate) fn record(
         &mut self,
         now: Micros,
@@ -106,12 +107,12 @@
         }
     }
 
-    /// Returns the most that a holder may spend or have unsettled.
+    /// Returns the maximum amount that a holder may spend or have unsettled.
     pub(crate) fn outstanding(&self, holder: MemberIndex) -> Amount {
         self.0.get(&holder).map_or(0, HolderGrants::outstanding)
     }
 
-    /// Returns the same of each holder.
+    /// Returns the outstanding amount of each holder.
     pub(crate) fn outstanding_by_holder(&self) -> impl Iterator<Item = OutstandingGrant> + '_ {
         let outstanding = |(holder, grants): (&MemberIndex, &HolderGrants)| OutstandingGrant {
             holder: *holder,
@@ -120,7 +121,8 @@
         self.0.iter().map(outstanding)
     }
 
-    /// Grants a recorded request up to `target`, as far as `leasable` leaves; it may be unsettled until `settled_at`.
+    /// Grants a recorded request and returns the amount. It is `target`, or less if the other grants leave less of
+    /// `leasable`. The spending under the grant settles by `settled_at`.
     pub(crate) fn grant(
         &mut self,
         from: MemberProcess,
@@ -135,7 +137,7 @@
         };
         let other_grants = total - holder.largest_of(from.process);
         let amount = target.min(leasable.saturating_sub(other_grants));
-        // An empty lease is recorded, too: once it is in force, its holder has given up the one before.
+        // An empty lease is recorded too, because its holder replaces the previous lease by it.
         holder.grants.push(Grant {
             process: from.process,
             number: request.number,
--- a/budgets/src/lib.rs
+++ b/budgets/src/lib.rs
@@ -1,24 +1,25 @@
 //! Fleet-wide budgets that are leased to the proxies, so that the sum of what they may spend never exceeds the limit.
 //!
 //! The package is sans-IO: callers deliver messages and pass the time, which is read from each member's own monotonic
-//! clock. A budget has a limit. A minimum is reserved for each configured member, which may always spend it, even if it can
-//! reach no other member. The rest is leased: one elected member, the allocator, grants leases that expire by themselves.
+//! clock. A budget has a limit. A minimum is reserved for each configured member, which may always spend it, even if it
+//! can reach no other member. The rest is leased: one elected member, the allocator, grants leases that expire by
+//! themselves.
 //!
 //! # Safety
 //!
-//! A member votes for one allocator at a time, for a fixed duration by its own clock. After it starts it gives no vote for
-//! that duration, because an earlier process of it may have voted. An allocator grants leases only while more than half of
-//! all configured members vote for it, and none of its leases outlives those votes. Any two majorities share a member, so
-//! all leases of one allocator have expired before the next allocator is elected. This holds through crashes, network
-//! partitions and stalled processes, and when two members both believe that they lead. A holder counts the duration of its
-//! lease from when it sent the request, the allocator from when it granted it, and both allow for clock drift. A lease
-//! therefore never remains in force for longer than its allocator counts it as granted.
+//! A member votes for one allocator at a time, for a fixed duration by its own clock. After it starts it gives no vote
+//! for that duration, because an earlier process of it may have voted. An allocator grants leases only while more than
+//! half of all configured members vote for it, and none of its leases outlives those votes. Any two majorities share a
+//! member, so all leases of one allocator have expired before the next allocator is elected. This holds through
+//! crashes, network partitions and stalled processes, and when two members both believe that they lead. A holder counts
+//! the duration of its lease from when it sent the request, the allocator from when it granted it, and both allow for
+//! clock drift. A lease therefore never remains in force for longer than its allocator counts it as granted.
 //!
-//! Spent amounts may occupy the resource for a while, such as a request in flight at the origin, or work that a cache in
-//! slow start has not finished yet. This is the settling time. An allocator counts a lease as granted until the settling
-//! time after its end is over, and the allocator's votes must last as long. Each lease request states how much of the
-//! holder's spending is unsettled and which lease is in force, so that the amount that a holder gives up is available to
-//! others at once.
+//! Spent amounts may occupy the resource for a while, such as a request in flight at the origin, or work that a cache
+//! in slow start has not finished yet. This is the settling time. An allocator counts a lease as granted until the
+//! settling time after its end is over, and the allocator's votes must last as long. Each lease request states how much
+//! of the holder's spending is unsettled and which lease is in force, so that the amount that a holder gives up is
+//! available to others at once.
 //!
 //! # Modules
 //!
@@ -28,8 +29,8 @@
 //! - `message`, `wire`: the messages between members and their encoding in datagrams.
 //! - `vote`, `election`: a member's vote, and the election of the allocator of a group of budgets.
 //! - `holding`: the holder's side of a budget.
-//! - `allocation`, `ledger`, `fair_share`: the allocator's side of a budget, which are the outstanding grants and the amount
-//!   of the next one.
+//! - `allocation`, `ledger`, `fair_share`: the allocator's side of a budget, which are the outstanding grants and the
+//!   amount of the next one.
 //! - `pending`: requests that await responses.
 //! - `member`: one member, which combines these parts.
 
--- a/budgets/src/message.rs
+++ b/budgets/src/message.rs
@@ -2,12 +2,12 @@
 
 use crate::{Amount, MemberIndex, Micros};
 
-/// A candidate asks the receiver for its vote.
+/// A candidate's request for the receiver's vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VoteRequest {
-    /// The group of budgets to lead.
+    /// The group of budgets whose allocator is elected.
     pub group: usize,
-    /// The number of the request, which its response repeats.
+    /// The number of the request, which the response repeats.
     pub number: u64,
 }
 
@@ -18,25 +18,25 @@
     pub group: usize,
     /// The number of the request.
     pub number: u64,
-    /// Whether the candidate has the vote, for [`Options::vote_duration_us`](crate::Options::vote_duration_us) from its
-    /// request.
+    /// Whether the candidate has the vote. It then lasts for
+    /// [`Options::vote_duration_us`](crate::Options::vote_duration_us) from when the request was sent.
     pub granted: bool,
-    /// The member that has the vote.
+    /// The member that has the voter's current vote.
     pub voted_for: Option<MemberIndex>,
 }
 
-/// A holder asks the allocator for a lease.
+/// A holder's request to the allocator for a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseRequest {
     /// The budget.
     pub budget: usize,
-    /// The number of the request, which its response repeats.
+    /// The number of the request, which the response repeats.
     pub number: u64,
-    /// What the holder would spend beyond its reserved minimum.
+    /// The amount that the holder would spend beyond its reserved minimum.
     pub demand: Amount,
-    /// The number of the request that brought the lease in force at the holder; 0 where there was none.
+    /// The number of the request for which the holder's latest accepted lease was granted; 0 if there was none.
     pub current_lease: u64,
-    /// What the holder spent beyond its reserved minimum and is not settled.
+    /// The amount that the holder has spent beyond its reserved minimum and that has not settled yet.
     pub unsettled: Amount,
 }
 
@@ -47,26 +47,26 @@
     pub budget: usize,
     /// The number of the request.
     pub number: u64,
-    /// What the holder may spend beyond its reserved minimum.
+    /// The amount that the holder may spend beyond its reserved minimum.
     pub amount: Amount,
-    /// How long the lease lasts, from when the request was sent.
+    /// The duration of the lease, from when the request was sent.
     pub duration_us: Micros,
 }
 
-/// A message between members. Its sender is known by the address it comes from, and by its process id.
+/// A message between members. The sender is identified by its address and by the process id in the datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
-    /// Asks for a vote.
+    /// Requests a vote.
     VoteRequest(VoteRequest),
-    /// Gives or refuses a vote.
+    /// Grants or refuses a vote.
     VoteResponse(VoteResponse),
-    /// Asks for a lease.
+    /// Requests a lease.
     LeaseRequest(LeaseRequest),
     /// Grants a lease.
     LeaseGrant(LeaseGrant),
 }
 
-/// A message that is to be sent.
+/// A message to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Outgoing {
     /// The receiver.
--- a/budgets/src/options.rs
+++ b/budgets/src/options.rs
@@ -30,8 +30,8 @@
 }
 
 impl Options {
-    /// Returns the maximum difference that builds up between two clocks in a duration, rounded up. The factor of two allows
-    /// for clocks that drift in opposite directions.
+    /// Returns the maximum difference that builds up between two clocks in a duration, rounded up. The factor of two
+    /// allows for clocks that drift in opposite directions.
     fn max_drift(&self, duration_us: Micros) -> Micros {
         duration_us.saturating_mul(2 * self.drift_ppm) / 1_000_000 + 1
     }
--- a/budgets/src/pending.rs
+++ b/budgets/src/pending.rs
@@ -1,17 +1,18 @@
-//! Requests that wait for their responses.
+//! Requests that await responses.
 
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// The number of requests whose responses are still accepted; older ones have been repeated since.
+/// The maximum number of pending requests. Responses to older ones are ignored, because those requests have been
+/// repeated since.
 const MAX_PENDING_REQUESTS: usize = 8;
 
-/// When each of the last requests was sent, by its number.
+/// The times at which the latest requests were sent, by request number.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct PendingRequests(BTreeMap<u64, Micros>);
 
 impl PendingRequests {
-    /// Records that a request was sent; the oldest are forgotten.
+    /// Records that a request was sent. Evicts the oldest ones beyond the maximum.
     pub(crate) fn insert(&mut self, number: u64, now: Micros) {
         self.0.insert(number, now);
         while self.0.len() > MAX_PENDING_REQUESTS {
@@ -19,12 +20,12 @@
         }
     }
 
-    /// Returns when a request was sent that expects further responses.
+    /// Returns when a request was sent. It stays pending, because further responses to it may arrive.
     pub(crate) fn sent_at(&self, number: u64) -> Option<Micros> {
         self.0.get(&number).copied()
     }
 
-    /// Returns when a request was sent that expects no further response.
+    /// Returns when a request was sent, and removes it, because no further response to it is expected.
     pub(crate) fn take(&mut self, number: u64) -> Option<Micros> {
         self.0.remove(&number)
     }
--- a/budgets/src/vote.rs
+++ b/budgets/src/vote.rs
@@ -1,4 +1,4 @@
-//! A member's own vote, and the votes that a candidate has.
+//! The vote that a member gives, and the votes that a candidate receives.
 
 use crate::{MemberIndex, MemberProcess, Micros};
 use std::collections::BTreeMap;
@@ -11,7 +11,8 @@
 }
 
 impl Vote {
-    /// The vote of a process that starts. An earlier process may have given it: it is free once that vote has expired.
+    /// Creates the vote of a process that starts. An earlier process of the member may have given it, so it can be
+    /// given again only after that vote would have expired.
     pub(crate) fn new(now: Micros, vote_duration_us: Micros) -> Self {
         Vote {
             candidate: None,
@@ -19,15 +20,15 @@
         }
     }
 
-    /// Returns the member that has the vote.
+    /// Returns the member that currently has the vote.
     pub(crate) fn voted_for(&self, now: Micros) -> Option<MemberIndex> {
         self.candidate
             .filter(|_| now < self.until)
             .map(|candidate| candidate.member)
     }
 
-    /// Gives the vote to a candidate for `vote_duration_us`, unless another one has it. Returns whether the candidate has
-    /// it.
+    /// Gives the vote to a candidate, or renews it, for `vote_duration_us`, unless another process has it. Returns
+    /// whether the candidate has the vote.
     pub(crate) fn request(
         &mut self,
         now: Micros,
@@ -43,23 +44,23 @@
     }
 }
 
-/// The votes that a candidate has, by voter: until when each lasts, by the candidate's clock.
+/// The votes that a candidate has received: by voter, the time at which the vote expires by the candidate's clock.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Votes(BTreeMap<MemberIndex, Micros>);
 
 impl Votes {
-    /// Adds a vote, or extends it.
+    /// Adds a vote, or extends an existing one.
     pub(crate) fn add(&mut self, voter: MemberIndex, until: Micros) {
         let current = self.0.entry(voter).or_insert(0);
         *current = until.max(*current);
     }
 
-    /// Counts the votes that have not expired.
+    /// Returns the number of votes that have not expired.
     pub(crate) fn count(&self, now: Micros) -> u64 {
         self.0.values().filter(|until| now < **until).count() as u64
     }
 
-    /// Returns until when more than half of so many members vote for the candidate; 0 where they never did.
+    /// Returns the time until which more than half of `members` vote for the candidate; 0 if they never did.
     pub(crate) fn majority_until(&self, members: usize) -> Micros {
         let mut ends: Vec<Micros> = self.0.values().copied().collect();
         ends.sort_unstable_by(|a, b| b.cmp(a));
--- a/budgets/src/wire.rs
+++ b/budgets/src/wire.rs
@@ -1,5 +1,5 @@
-//! Messages as datagrams, in text: several messages of one sender, at most 256 bytes, the bound of what proxies may send
-//! each other on any installation.
+//! The text encoding of messages in datagrams. A datagram contains one or more messages of one sender and has at most
+//! [`MAX_DATAGRAM_BYTES`].
 
 use crate::{LeaseGrant, LeaseRequest, Message, ProcessId, VoteRequest, VoteResponse};
 pub use linnetknot_datagram::DecodeError;
@@ -10,21 +10,22 @@
 #[cfg(test)]
 mod tests;
 
-/// The first word of a datagram; the digit is the version of the form.
+/// The first word of a datagram. The digit is the version of the encoding.
 const PREFIX: &str = "budgets1";
 
-/// A datagram that was read.
+/// A decoded datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
-    /// Identifies what the sender shares with whom; members with another one must not share with it.
+    /// Identifies the sender's configuration of members and budgets. Messages of a member with another fingerprint must
+    /// not be processed.
     pub fingerprint: u64,
     /// The sender's process.
     pub process: ProcessId,
-    /// Its messages.
+    /// The messages.
     pub messages: Vec<Message>,
 }
 
-/// Writes messages of a member's process as few datagrams.
+/// Encodes messages of one process, in as few datagrams as they fit.
 pub fn encode(fingerprint: u64, process: ProcessId, messages: &[Message]) -> Vec<Vec<u8>> {
     let head = format!("{PREFIX} {fingerprint:x} {process:x}");
     let mut datagrams: Vec<String> = Vec::new();
@@ -33,7 +34,7 @@
             .last_mut()
             .filter(|last| last.len() + message.len() <= MAX_DATAGRAM_BYTES)
         {
-            // Writing to a string does not fail.
+            // Writing to a string never fails.
             Some(last) => drop(write!(last, "{message}")),
             None => datagrams.push(format!("{head}{message}")),
         }
@@ -41,10 +42,11 @@
     datagrams.into_iter().map(String::into_bytes).collect()
 }
 
-/// Reads a datagram.
+/// Decodes a datagram.
 ///
 /// # Errors
-/// Fails where it is of another kind or version, or malformed; nothing of a malformed one is used.
+/// Fails if the datagram belongs to another protocol, has another version, or is malformed. A datagram with one
+/// malformed message is rejected as a whole.
 pub fn decode(bytes: &[u8]) -> Result<Datagram, DecodeError> {
     let text = std::str::from_utf8(payload(bytes, PREFIX)?).map_err(|_| DecodeError::Malformed)?;
     let mut words = text
@@ -64,8 +66,8 @@
     })
 }
 
-/// A message as text. Its first letter stands for its kind: `s` for a vote request, `v` for a vote response, `w` for a lease
-/// request, `p` for a lease grant.
+/// Encodes a message, with a leading space. The first letter stands for the kind of message: `s` for a vote request,
+/// `v` for a vote response, `w` for a lease request, `p` for a lease grant.
 fn encode_message(message: &Message) -> String {
     match *message {
         Message::VoteRequest(VoteRequest { group, number }) => format!(" s.{group:x}.{number:x}"),
@@ -101,7 +103,7 @@
     }
 }
 
-/// Reads a message; none where it is malformed.
+/// Decodes a message. Returns `None` if it is malformed.
 fn decode_message(text: &str) -> Option<Message> {
     let mut fields = Fields(text.split('.'));
     let message = match fields.0.next()? {
@@ -133,13 +135,13 @@
     fields.0.next().is_none().then_some(message)
 }
 
-/// The fields of a message that are not read yet.
+/// The fields of a message that have not been decoded yet.
 struct Fields<'a>(Split<'a, char>);
 
 impl Fields<'_> {
     fn number(&mut self) -> Option<u64> {
         let field = self.0.next()?;
-        // `from_str_radix` would accept a sign.
+        // `from_str_radix` alone would accept a sign.
         let is_hexadecimal = !field.is_empty() && field.bytes().all(|b| b.is_ascii_hexdigit());
         is_hexadecimal.then(|| u64::from_str_radix(field, 16).ok())?
     }
