--- a/budgets/src/election.rs
+++ b/budgets/src/election.rs
@@ -1,14 +1,14 @@
-//! The election of the allocator of one group of budgets, as one member takes part in it.
+//! One member's part in the election of the allocator of a group of budgets.
 //!
-//! The candidate is the member with the highest weight among those that are believed to run. Beliefs decide who is a
-//! candidate and nothing else: an allocator leads by the votes of more than half of all configured members.
+//! The candidate is the member with the highest weight among those that are believed to be up. This belief only selects
+//! candidates. An allocator leads because more than half of all configured members vote for it.
 
 use crate::pending::PendingRequests;
 use crate::vote::{Vote, Votes};
 use crate::{MemberIndex, MemberProcess, Micros, Options, VoteRequest, VoteResponse};
 use std::collections::BTreeMap;
 
-/// A member that is known to have votes, and until when that knowledge counts.
+/// A member that is known to have votes, and the time at which this knowledge expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct KnownLeader {
     member: MemberIndex,
@@ -30,20 +30,20 @@
     members: usize,
     options: Options,
     vote: Vote,
-    /// The member that has this member's vote, or that more than half voted for by their refusals. It expires, and is
-    /// never passed on: members that believed each other's reports of a third would do so for ever.
+    /// The member that has this member's vote, or that more than half of the members named when they refused theirs. It
+    /// expires and is never passed on, because members could otherwise confirm each other's outdated knowledge forever.
     known_leader: Option<KnownLeader>,
-    /// The members that others voted for, by their refusals.
+    /// By voter, the member that it named when it refused its vote.
     refusals: BTreeMap<MemberIndex, KnownLeader>,
-    /// Since when this member asks for votes without having a majority.
+    /// Since when this member has been a candidate without a majority.
     candidate_since: Option<Micros>,
-    /// Until when it asks for none, so that another candidate may have them.
+    /// The time until which this member requests no votes, so that another candidate can get them.
     backoff_until: Micros,
     votes: Votes,
     requests: PendingRequests,
-    /// Whether it led when that was last reported.
+    /// Whether this member led when that was last reported.
     reported_leads: bool,
-    /// Since when it answers lease requests.
+    /// Since when this member has been granting leases.
     serving_since: Option<Micros>,
 }
 
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Returns until when more than half of all configured members vote for this member.
+    /// Returns the time until which more than half of all configured members vote for this member.
     pub(crate) fn majority_until(&self) -> Micros {
         self.votes.majority_until(self.members)
     }
@@ -82,12 +82,12 @@
         now < self.majority_until()
     }
 
-    /// Returns the allocator as far as this member knows, else the candidate among the members that are up.
+    /// Returns the allocator if this member knows it, else the candidate among the members that are up.
     pub(crate) fn leader(&self, now: Micros, up: &[bool]) -> MemberIndex {
         if self.leads(now) {
             return self.own.member;
         }
-        // A known leader keeps its votes: a member that comes back must not take them away.
+        // A known leader is preferred to the candidate, so that a member that comes back does not displace it.
         if let Some(leader) = self.known_leader.filter(|leader| now < leader.until) {
             return leader.member;
         }
@@ -102,10 +102,10 @@
         self.candidate_since = None;
     }
 
-    /// Decides whether this candidate asks for votes now; `last_number` is the number of its last request.
+    /// Decides whether this candidate requests votes now. `last_number` is the number of its last request.
     ///
-    /// Candidates that split the votes would renew them for ever, and none would have a majority: one that does not get
-    /// it backs off until those votes have expired, each for a time of its own.
+    /// Candidates that split the votes would otherwise renew them forever without a majority. A candidate that does not
+    /// get a majority in time backs off until its votes have expired, for a time that differs between members.
     pub(crate) fn may_request_votes(&mut self, now: Micros, last_number: u64) -> bool {
         if now < self.backoff_until {
             return false;
@@ -115,7 +115,7 @@
             self.candidate_since = Some(now);
             return true;
         }
-        // The fewer votes it has the sooner it backs off, so that they come together.
+        // Candidates with fewer votes back off sooner, so that the votes converge on one candidate.
         let timeout_us = (2 + self.votes.count(now)) * self.options.vote_duration_us;
         if now < candidate_since + timeout_us {
             return true;
@@ -132,7 +132,7 @@
         self.backoff_until = now + vote_duration_us + spread % vote_duration_us.max(1);
     }
 
-    /// Returns the request for votes of this number, and records that it was sent.
+    /// Creates a vote request with this number, and records it as sent.
     pub(crate) fn vote_request(&mut self, now: Micros, number: u64) -> VoteRequest {
         self.requests.insert(number, now);
         VoteRequest {
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Votes on a candidate's request.
+    /// Processes a candidate's vote request, and returns the response.
     pub(crate) fn receive_request(
         &mut self,
         now: Micros,
@@ -164,8 +164,7 @@
         }
     }
 
-    /// A candidate without a majority yields to one of a higher weight; should that one not get the votes either, it backs
-    /// off.
+    /// Returns whether this member, as a candidate without a majority, yields to a candidate with a higher weight.
     fn yields_to(&self, now: Micros, candidate: MemberIndex) -> bool {
         let own = self.own.member;
         let is_candidate = self
@@ -174,7 +173,7 @@
         !self.leads(now) && is_candidate && weight(candidate, self.group) > weight(own, self.group)
     }
 
-    /// Counts the response to a request for votes.
+    /// Processes the response to a vote request.
     pub(crate) fn receive_response(
         &mut self,
         now: Micros,
@@ -200,7 +199,8 @@
         }
     }
 
-    /// Where more than half voted for the same other member, that one is taken for the allocator.
+    /// Records a refused vote. If more than half of the members have named the same leader, this member takes
+    /// it for the allocator.
     fn receive_refusal(&mut self, now: Micros, voter: MemberIndex, leader: MemberIndex) {
         let known = KnownLeader {
             member: leader,
@@ -217,25 +217,25 @@
         }
     }
 
-    /// Returns whether this member leads, where that is another than when it was last reported.
+    /// Returns whether this member leads, if that has changed since the last call that returned a value.
     pub(crate) fn leadership_change(&mut self, now: Micros) -> Option<bool> {
         let leads = self.leads(now);
         let reported = std::mem::replace(&mut self.reported_leads, leads);
         (reported != leads).then_some(leads)
     }
 
-    /// Returns since when this member serves lease requests: from now on, unless it did before.
+    /// Marks this member as granting leases, if it was not already. Returns since when it has been.
     pub(crate) fn start_serving(&mut self, now: Micros) -> Micros {
         *self.serving_since.get_or_insert(now)
     }
 
-    /// This member serves no lease requests, as its votes don't last.
+    /// Marks this member as not granting leases, because its votes expire too soon.
     pub(crate) fn stop_serving(&mut self) {
         self.serving_since = None;
     }
 }
 
-/// A member's weight for a group, by rendezvous hashing.
+/// Returns a member's weight for a group by rendezvous hashing.
 fn weight(member: MemberIndex, group: usize) -> u64 {
     let mut x = (member as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15)
         ^ (group as u64 + 1).rotate_left(32);
--- a/budgets/src/member.rs
+++ b/budgets/src/member.rs
@@ -1,4 +1,4 @@
-//! One member: what it may spend, whom it votes for and, where it is the allocator, what the others may spend.
+//! One member: its leases, its votes and, if it is an allocator, its grants to others.
 
 use crate::allocation::{Allocation, GrantTerms};
 use crate::election::Election;
@@ -10,21 +10,21 @@
 };
 use std::fmt;
 
-/// A change that operators are told of.
+/// A change that is reported to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Change {
-    /// This member leads a group from now on, or no longer.
+    /// This member has started or stopped being the allocator of a group.
     Leader {
         /// The group.
         group: usize,
-        /// Whether it leads from now on.
+        /// Whether it is the allocator now.
         leads: bool,
     },
-    /// This member may spend its reserved minimum of a budget alone, or has a lease again.
+    /// This member's lease of a budget has expired, so that only the reserved minimum is left, or it has a lease again.
     ReservedOnly {
         /// The budget.
         budget: usize,
-        /// Whether no lease is in force from now on.
+        /// Whether only the reserved minimum is left now.
         active: bool,
     },
 }
@@ -32,22 +32,23 @@
 /// Counters for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Counters {
-    /// Leases granted, to others and to itself.
+    /// Leases granted, including those to itself.
     pub granted: u64,
     /// Leases accepted.
     pub accepted: u64,
-    /// Leases that came after their end or after a later one, and requests that came after a later one.
+    /// Leases that were received after they had expired or after a later one, and requests that were received after a
+    /// later one.
     pub stale: u64,
-    /// Lease requests that came while this member was not the allocator.
+    /// Lease requests that were received while this member was not the allocator.
     pub misdirected: u64,
 }
 
-/// The error of a budget that can't be shared among the members.
+/// The error for a budget whose limit is too small for the members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct InvalidBudget {
     /// The budget.
     pub budget: usize,
-    /// What is wrong with it.
+    /// The cause.
     pub error: LimitTooSmall,
 }
 
@@ -63,18 +64,18 @@
     }
 }
 
-/// Both sides of one budget.
+/// One budget: this member's state as a holder and as an allocator.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Budget {
     holding: Holding,
     allocation: Allocation,
 }
 
-/// A member.
+/// One member of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
     own: MemberProcess,
-    /// Which of the configured members are believed to run.
+    /// By member, whether it is believed to be up.
     up: Vec<bool>,
     options: Options,
     /// By group.
@@ -89,10 +90,10 @@
 }
 
 impl Member {
-    /// Creates a member, one of so many that are configured, of these budgets.
+    /// Creates a member with these budgets. `members` is the number of configured members.
     ///
     /// # Errors
-    /// Fails where a limit is less than the reserved minimums of all members.
+    /// Fails if a limit is less than the sum of the reserved minimums.
     pub fn new(
         own: MemberProcess,
         members: usize,
@@ -123,7 +124,7 @@
         })
     }
 
-    /// Sets whether another member is believed to run.
+    /// Sets whether another member is believed to be up.
     pub fn set_member_up(&mut self, member: MemberIndex, up: bool) {
         if let Some(is_up) = self
             .up
@@ -134,19 +135,20 @@
         }
     }
 
-    /// Sets what would be spent of a budget if it could be, and what was spent and is not settled. The reserved minimum is
-    /// included in both.
+    /// Sets the amount of a budget that this member would spend if it were granted, and the amount that it has spent
+    /// and that has not settled yet. Both include the reserved minimum.
     pub fn set_demand(&mut self, budget: usize, amount: Amount, unsettled: Amount) {
         if let Some(budget) = self.budgets.get_mut(budget) {
             budget.holding.set_demand(amount, unsettled);
         }
     }
 
-    /// Sets the limit of a budget. What was granted of the one before holds until it expires. Reserved minimums and settling
-    /// times do not change while a member runs, as votes are given for longer than a settling time.
+    /// Sets the limit of a budget. Leases that were granted under the previous limit remain valid until they expire.
+    /// Reserved minimums and settling times can't change while a member runs, because the duration of its votes depends
+    /// on the settling times.
     ///
     /// # Errors
-    /// Fails where the limit is less than the reserved minimums of all members; it stays as it was.
+    /// Fails if the limit is less than the sum of the reserved minimums. The limit is then unchanged.
     pub fn set_limit(&mut self, budget: usize, limit: Amount) -> Result<(), LimitTooSmall> {
         let Some(budget) = self.budgets.get_mut(budget) else {
             return Ok(());
@@ -160,7 +162,7 @@
         Ok(())
     }
 
-    /// Returns what may be spent of a budget now. It must be called for each spend.
+    /// Returns the amount of a budget that this member may currently spend. Callers must check it before each spending.
     pub fn lease(&self, now: Micros, budget: usize) -> Lease {
         let none = Lease {
             amount: 0,
@@ -171,38 +173,39 @@
             .map_or(none, |budget| budget.holding.lease(now))
     }
 
-    /// Returns whether this member is the allocator of a group, by the votes of more than half of all members.
+    /// Returns whether this member is the allocator of a group.
     pub fn leads(&self, now: Micros, group: usize) -> bool {
         self.elections
             .get(group)
             .is_some_and(|election| election.leads(now))
     }
 
-    /// Returns the allocator of a group as far as this member knows.
+    /// Returns the allocator of a group if this member knows it, else the member that is expected to become the
+    /// allocator.
     pub fn allocator(&self, now: Micros, group: usize) -> MemberIndex {
         self.elections
             .get(group)
             .map_or(self.own.member, |election| election.leader(now, &self.up))
     }
 
-    /// Returns this member's demand of a budget, beyond its reserved minimum.
+    /// Returns this member's demand for a budget beyond its reserved minimum.
     pub fn demand(&self, budget: usize) -> Demand {
         self.budgets
             .get(budget)
             .map_or_else(Demand::default, |budget| budget.holding.demand())
     }
 
-    /// Returns this process of the member.
+    /// Returns the id of this process.
     pub fn process(&self) -> ProcessId {
         self.own.process
     }
 
-    /// Returns a budget as it is configured here.
+    /// Returns the specification of a budget at this member.
     pub fn spec(&self, budget: usize) -> Option<BudgetSpec> {
         self.budgets.get(budget).map(|budget| budget.holding.spec)
     }
 
-    /// Returns what this member has granted of a budget and may be spent or unsettled, by holder.
+    /// Returns the grants of a budget by this member that may still be spent or unsettled, by holder.
     pub fn outstanding_grants(&self, budget: usize) -> Vec<OutstandingGrant> {
         self.budgets
             .get(budget)
@@ -219,7 +222,7 @@
         self.counters
     }
 
-    /// Takes the messages that are to be sent.
+    /// Takes the messages to send.
     pub fn take_outgoing(&mut self) -> Vec<Outgoing> {
         std::mem::take(&mut self.outgoing)
     }
@@ -229,12 +232,13 @@
         std::mem::take(&mut self.changes)
     }
 
-    /// Returns when [`Member::tick`] is to be called next.
+    /// Returns the time at which [`Member::tick`] must be called next.
     pub fn due(&self) -> Micros {
         self.due
     }
 
-    /// Asks for votes where this member is a candidate, and for leases of the allocators.
+    /// Requests votes in the groups in which this member is a candidate, and leases of all budgets, if requests are
+    /// due.
     pub fn tick(&mut self, now: Micros) {
         if now < self.due {
             return;
@@ -265,7 +269,7 @@
         }
         let number = self.next_number();
         let request = self.elections[group].vote_request(now, number);
-        // All configured members are asked, as more than half of them must vote; who runs is only a belief.
+        // All configured members are asked, including those that are believed to be down, as that belief may be wrong.
         for member in 0..self.up.len() {
             self.send(now, member, Message::VoteRequest(request));
         }
@@ -290,7 +294,7 @@
         }
     }
 
-    /// Sends a message; one to this member itself is received at once.
+    /// Queues a message. A message to this member itself is received at once.
     fn send(&mut self, now: Micros, to: MemberIndex, message: Message) {
         if to == self.own.member {
             self.receive(now, self.own, message);
@@ -299,8 +303,8 @@
         }
     }
 
-    /// Receives a message. `now` is when it was read: what is granted on a request counts from when that was sent, so that
-    /// a process which stalls before it sends the response grants nothing late.
+    /// Receives a message. `now` must be the time at which the message was read. A holder counts its lease from when it
+    /// sent the request, so a response that is sent late because of a stall extends no lease.
     pub fn receive(&mut self, now: Micros, from: MemberProcess, message: Message) {
         if from.member >= self.up.len() {
             return;
@@ -332,7 +336,7 @@
         let Some(spec) = self.spec(request.budget) else {
             return;
         };
-        // What is spent at the end of a lease settles before the votes expire, too.
+        // Amounts that are spent at the end of the lease must also settle before the votes expire.
         let settling_us = self.options.extended_by_drift(spec.settling_us);
         let votes_until = self.elections[group].majority_until();
         let max_until = votes_until.saturating_sub(settling_us);
@@ -364,8 +368,8 @@
         self.send(now, from.member, Message::LeaseGrant(grant));
     }
 
-    /// Returns the most that this allocator may grant to one holder. Until all holders have had the time to send it a
-    /// request, the first ones must not receive what the others will demand.
+    /// Returns the maximum amount that this allocator may grant to one holder. It is an equal share until all holders
+    /// have had the time to send a request, so that the first ones do not receive the share of the others.
     fn max_grant(&mut self, now: Micros, group: usize, leasable: Amount) -> Amount {
         let serving_since = self.elections[group].start_serving(now);
         let all_known_at = serving_since + 2 * self.options.request_interval_us;
