--- a/budgets/src/fair_share/tests.rs
+++ b/budgets/src/fair_share/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn the_modest_get_what_they_want_and_the_others_share_what_is_left() {
+fn small_demands_are_met_in_full_and_the_rest_is_shared_equally() {
     let mut demands = Demands::default();
     for (holder, demand) in [(0, 10), (1, 1_000), (2, 1_000), (3, 0)] {
         demands.set(5, holder, demand, 100);
--- a/budgets/src/ledger/tests.rs
+++ b/budgets/src/ledger/tests.rs
@@ -33,15 +33,15 @@
     now: Micros,
     Submission { from, request }: Submission,
     target: Amount,
-    until: Micros,
+    settled_at: Micros,
 ) -> Option<Amount> {
     ledger
         .record(now, from, &request)
-        .then(|| ledger.grant(from, &request, target, 100, until))
+        .then(|| ledger.grant(from, &request, target, 100, settled_at))
 }
 
 #[test]
-fn a_smaller_lease_counts_once_its_holder_has_taken_it_and_what_it_spent_before_as_long_as_it_is_unsettled(
+fn a_smaller_lease_counts_once_in_force_and_earlier_spending_until_it_settles(
 ) {
     let mut ledger = Ledger::default();
     assert_eq!(
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_request_that_was_overtaken_gives_nothing_up_and_gets_nothing() {
+fn an_outdated_request_is_ignored_and_changes_no_grant() {
     let mut ledger = Ledger::default();
     submit(&mut ledger, 0, request(1, 1, 1, 0, 0), 30, 100);
     submit(&mut ledger, 0, request(1, 1, 2, 1, 0), 60, 100);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn what_a_process_before_may_have_spent_comes_on_top() {
+fn grants_to_an_earlier_process_count_in_addition() {
     let mut ledger = Ledger::default();
     assert_eq!(
         submit(&mut ledger, 0, request(1, 1, 7, 0, 0), 60, 100),
--- a/budgets/src/wire/tests.rs
+++ b/budgets/src/wire/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn messages_are_read_as_they_were_written_in_datagrams_that_are_no_longer_than_they_may_be() {
+fn encoded_messages_decode_unchanged_and_datagrams_stay_within_the_size_limit() {
     let max = u64::MAX;
     let messages: Vec<Message> = (0..30)
         .flat_map(|n| {
@@ -40,18 +40,18 @@
         "{}",
         datagrams.len()
     );
-    let mut again = Vec::new();
+    let mut decoded = Vec::new();
     for datagram in &datagrams {
         let datagram = decode(datagram).unwrap();
         assert_eq!((datagram.fingerprint, datagram.process), (300, max));
-        again.extend(datagram.messages);
+        decoded.extend(datagram.messages);
     }
-    assert_eq!(again, messages);
+    assert_eq!(decoded, messages);
     assert!(encode(3, 1, &[]).is_empty(), "no message is no datagram");
 }
 
 #[test]
-fn what_is_no_datagram_of_this_kind_and_version_is_an_error() {
+fn datagrams_of_other_protocols_and_versions_and_malformed_ones_are_rejected() {
     for (bytes, error) in [
         (b"copies1 ask".as_slice(), DecodeError::Foreign),
         (b"budgets2 3 1", DecodeError::Version),
@@ -87,7 +87,7 @@
 
 /// Proxies of released versions read this form: it does not change.
 #[test]
-fn the_form_of_each_message_is_fixed() {
+fn the_encoding_of_each_message_is_stable() {
     let messages = [
         Message::VoteRequest(VoteRequest {
             group: 1,
--- a/budgets/tests/fleet.rs
+++ b/budgets/tests/fleet.rs
@@ -25,14 +25,14 @@
     member: Option<Member>,
     process: ProcessId,
     /// Its clock: how far it is ahead, and how much faster it runs, in millionths.
-    ahead: Micros,
-    faster: i64,
-    stalled: Option<Vec<Envelope>>,
+    clock_offset_us: Micros,
+    clock_drift_ppm: i64,
+    stalled_inbox: Option<Vec<Envelope>>,
     /// By budget, what it would spend if it could, and what was spent: how much, and until when it is unsettled.
     demand: Vec<Amount>,
     spent: Vec<Vec<(Amount, Micros)>>,
     /// What its processes before spent, which it knows nothing of.
-    before: Vec<Vec<(Amount, Micros)>>,
+    earlier_spent: Vec<Vec<(Amount, Micros)>>,
 }
 
 fn unsettled(spent: &[(Amount, Micros)], now: Micros) -> Amount {
@@ -45,7 +45,7 @@
 
 impl Node {
     fn clock(&self, now: Micros) -> Micros {
-        self.ahead + (now as i64 + now as i64 * self.faster / 1_000_000) as Micros
+        self.clock_offset_us + (now as i64 + now as i64 * self.clock_drift_ppm / 1_000_000) as Micros
     }
 
     /// What is unsettled of what it spent of a budget.
@@ -54,7 +54,7 @@
     }
 }
 
-struct Net {
+struct Fleet {
     links: simnet::Network<(ProcessId, Message)>,
     nodes: Vec<Node>,
     specs: Vec<BudgetSpec>,
@@ -65,8 +65,8 @@
     peak: Vec<(u64, u64)>,
 }
 
-impl Net {
-    fn new(nodes: usize, seed: u64, specs: &[BudgetSpec]) -> Net {
+impl Fleet {
+    fn new(nodes: usize, seed: u64, specs: &[BudgetSpec]) -> Fleet {
         let links = simnet::Network::new(
             seed,
             Delay {
@@ -77,7 +77,7 @@
         let settling_us = specs.iter().map(|spec| spec.settling_us).max().unwrap_or(0);
         let options = OPTIONS.with_settling_time(settling_us);
         let peak = vec![(0, 0); specs.len()];
-        let mut net = Net {
+        let mut fleet = Fleet {
             links,
             nodes: Vec::new(),
             specs: specs.to_vec(),
@@ -87,32 +87,32 @@
         };
         for _ in 0..nodes {
             // Clocks that are a hundred times worse than those of machines, so that what guards against them is seen.
-            let (ahead, faster) = (
-                net.links.draw(1_000 * S),
-                net.links.draw(100_001) as i64 - 50_000,
+            let (clock_offset_us, clock_drift_ppm) = (
+                fleet.links.draw(1_000 * S),
+                fleet.links.draw(100_001) as i64 - 50_000,
             );
             let demand = vec![0; specs.len()];
             let spent = vec![Vec::new(); specs.len()];
-            let before = spent.clone();
-            net.nodes.push(Node {
+            let earlier_spent = spent.clone();
+            fleet.nodes.push(Node {
                 member: None,
                 process: 0,
-                ahead,
-                faster,
-                stalled: None,
+                clock_offset_us,
+                clock_drift_ppm,
+                stalled_inbox: None,
                 demand,
                 spent,
-                before,
+                earlier_spent,
             });
         }
-        (0..nodes).for_each(|n| net.start(n));
-        net
+        (0..nodes).for_each(|n| fleet.start(n));
+        fleet
     }
 
     fn start(&mut self, n: usize) {
         let (nodes, now) = (self.nodes.len(), self.links.now);
         let node = &mut self.nodes[n];
-        (node.process, node.stalled) = (node.process + 1, None);
+        (node.process, node.stalled_inbox) = (node.process + 1, None);
         let clock = node.clock(now);
         let mut member = Member::new(
             MemberProcess {
@@ -127,12 +127,12 @@
         .expect("a valid spec");
         (0..nodes).for_each(|m| member.set_member_up(m, true));
         node.member = Some(member);
-        self.set_up();
+        self.update_beliefs();
     }
 
     fn kill(&mut self, n: usize) {
         let node = &mut self.nodes[n];
-        (node.member, node.stalled) = (None, None);
+        (node.member, node.stalled_inbox) = (None, None);
         node.demand.fill(0);
         // Its connections end with it, and what they held of its reserved minimum; the rest settles when it would have.
         for (spent, spec) in node.spent.iter_mut().zip(&self.specs) {
@@ -142,15 +142,15 @@
                 (*amount, reserved) = (*amount - less, reserved - less);
             }
         }
-        node.before
+        node.earlier_spent
             .iter_mut()
             .zip(&mut node.spent)
-            .for_each(|(before, spent)| before.append(spent));
-        self.set_up();
+            .for_each(|(earlier_spent, spent)| earlier_spent.append(spent));
+        self.update_beliefs();
     }
 
     /// Everybody knows who runs; whom a cut hides, and who stands still, is believed to run.
-    fn set_up(&mut self) {
+    fn update_beliefs(&mut self) {
         let up: Vec<bool> = self.nodes.iter().map(|n| n.member.is_some()).collect();
         for member in self.nodes.iter_mut().filter_map(|n| n.member.as_mut()) {
             up.iter()
@@ -181,9 +181,9 @@
     fn spend(&mut self, n: usize) {
         let now = self.links.now;
         for budget in (0..self.specs.len()).filter(|budget| self.specs[*budget].settling_us > 0) {
-            let max_us = self.specs[budget].settling_us;
+            let settling_us = self.specs[budget].settling_us;
             let node = &mut self.nodes[n];
-            let Some(member) = node.member.as_ref().filter(|_| node.stalled.is_none()) else {
+            let Some(member) = node.member.as_ref().filter(|_| node.stalled_inbox.is_none()) else {
                 return;
             };
             let lease = member
@@ -198,9 +198,9 @@
                 } else {
                     self.links.draw(available + 1)
                 };
-                let duration_us = max_us
+                let duration_us = settling_us
                     - if self.links.draw(3) == 0 {
-                        self.links.draw(max_us)
+                        self.links.draw(settling_us)
                     } else {
                         0
                     };
@@ -234,9 +234,9 @@
         }
     }
 
-    fn arrive(&mut self, envelope: Envelope, to: MemberIndex) {
-        if let Some(waiting) = &mut self.nodes[to].stalled {
-            return waiting.push(envelope);
+    fn deliver(&mut self, envelope: Envelope, to: MemberIndex) {
+        if let Some(inbox) = &mut self.nodes[to].stalled_inbox {
+            return inbox.push(envelope);
         }
         let clock = self.nodes[to].clock(self.links.now);
         if let Some(member) = &mut self.nodes[to].member {
@@ -250,7 +250,7 @@
     /// may spend when it goes on, until its clock says otherwise.
     fn in_force(&self, budget: usize) -> Amount {
         let reserved_total = self.specs[budget].reserved * self.nodes.len() as u64;
-        let beyond = |n: &Node| {
+        let beyond_reserved = |n: &Node| {
             let lease = n
                 .member
                 .as_ref()
@@ -258,10 +258,10 @@
             lease.map_or(0, |lease| lease - self.specs[budget].reserved)
         };
         // All reserved minimums count, whoever runs.
-        reserved_total + self.nodes.iter().map(beyond).sum::<Amount>()
+        reserved_total + self.nodes.iter().map(beyond_reserved).sum::<Amount>()
     }
 
-    fn check(&mut self) {
+    fn check_limits(&mut self) {
         for budget in 0..self.specs.len() {
             let (sum, limit) = (self.in_force(budget), self.specs[budget].limit);
             assert!(
@@ -270,8 +270,8 @@
                 self.links.now
             );
             let now = self.links.now;
-            let of = |n: &Node| n.unsettled(now, budget) + unsettled(&n.before[budget], now);
-            let unsettled: Amount = self.nodes.iter().map(of).sum();
+            let amount = |n: &Node| n.unsettled(now, budget) + unsettled(&n.earlier_spent[budget], now);
+            let unsettled: Amount = self.nodes.iter().map(amount).sum();
             assert!(
                 unsettled <= limit,
                 "{unsettled} of {limit} unsettled at {} us",
@@ -291,7 +291,7 @@
             let now = self.links.now;
             // When a member's clock will show what it is due.
             let due = |(n, node): (usize, &Node)| {
-                let member = node.member.as_ref().filter(|_| node.stalled.is_none())?;
+                let member = node.member.as_ref().filter(|_| node.stalled_inbox.is_none())?;
                 Some(Timed {
                     at: now + member.due().saturating_sub(node.clock(now)),
                     event: n,
@@ -308,7 +308,7 @@
                         member: from,
                         process,
                     };
-                    self.arrive(Envelope { from, message }, to);
+                    self.deliver(Envelope { from, message }, to);
                 }
                 Step::Due(n) => {
                     self.spend(n);
@@ -320,16 +320,16 @@
                         .for_each(|m| m.tick(clock.max(m.due())));
                     self.send(n);
                 }
-                Step::Finished => return self.check(),
+                Step::Finished => return self.check_limits(),
             }
-            self.check();
+            self.check_limits();
         }
     }
 
-    fn go_on(&mut self, n: usize) {
-        for envelope in self.nodes[n].stalled.take().unwrap_or_default() {
-            self.arrive(envelope, n);
-            self.check();
+    fn resume(&mut self, n: usize) {
+        for envelope in self.nodes[n].stalled_inbox.take().unwrap_or_default() {
+            self.deliver(envelope, n);
+            self.check_limits();
         }
     }
 
@@ -347,12 +347,12 @@
 }
 
 /// All want everything, for long enough that one leads.
-fn with_allocator(nodes: usize, seed: u64, specs: &[BudgetSpec]) -> (Net, MemberIndex) {
-    let mut net = Net::new(nodes, seed, specs);
-    (0..nodes).for_each(|n| net.demand(n, 1_000_000));
-    net.run(6 * S + 2 * specs.iter().map(|spec| spec.settling_us).max().unwrap_or(0));
-    let allocator = net.allocator(0).expect("one leads");
-    (net, allocator)
+fn fleet_with_allocator(nodes: usize, seed: u64, specs: &[BudgetSpec]) -> (Fleet, MemberIndex) {
+    let mut fleet = Fleet::new(nodes, seed, specs);
+    (0..nodes).for_each(|n| fleet.demand(n, 1_000_000));
+    fleet.run(6 * S + 2 * specs.iter().map(|spec| spec.settling_us).max().unwrap_or(0));
+    let allocator = fleet.allocator(0).expect("one leads");
+    (fleet, allocator)
 }
 
 fn specs() -> Vec<BudgetSpec> {
@@ -371,7 +371,7 @@
 }
 
 #[test]
-fn the_sum_holds_through_everything_that_can_happen() {
+fn the_limit_holds_through_random_faults() {
     let mut highest = (0, 0);
     for seed in 0..1_000 {
         let nodes = 3 + (seed % 6) as usize;
@@ -383,45 +383,45 @@
                 ..spec
             })
             .collect();
-        let mut net = Net::new(nodes, seed, &specs);
-        (net.links.loss_percent, net.links.duplicate_percent) = (seed % 4 * 10, seed % 4 * 10);
+        let mut fleet = Fleet::new(nodes, seed, &specs);
+        (fleet.links.loss_percent, fleet.links.duplicate_percent) = (seed % 4 * 10, seed % 4 * 10);
         for _ in 0..40 {
-            let n = net.links.draw(nodes as u64) as usize;
-            let demand = net.links.draw(200_000);
-            net.demand(n, demand);
-            match net.links.draw(11) {
+            let n = fleet.links.draw(nodes as u64) as usize;
+            let demand = fleet.links.draw(200_000);
+            fleet.demand(n, demand);
+            match fleet.links.draw(11) {
                 9 | 10 => {
-                    net.kill(n);
-                    let away = net.links.draw(300 * MS);
-                    net.run(away);
-                    net.start(n);
+                    fleet.kill(n);
+                    let downtime_us = fleet.links.draw(300 * MS);
+                    fleet.run(downtime_us);
+                    fleet.start(n);
                 }
-                0 => net.kill(n),
-                1 if net.nodes[n].member.is_none() => net.start(n),
-                2 => net.nodes[n].stalled = Some(Vec::new()),
-                3 => net.go_on(n),
-                4 => net.links.partition(net.nodes.len(), &[n]),
-                5 => net
+                0 => fleet.kill(n),
+                1 if fleet.nodes[n].member.is_none() => fleet.start(n),
+                2 => fleet.nodes[n].stalled_inbox = Some(Vec::new()),
+                3 => fleet.resume(n),
+                4 => fleet.links.partition(fleet.nodes.len(), &[n]),
+                5 => fleet
                     .links
-                    .partition(net.nodes.len(), &(0..nodes / 2).collect::<Vec<_>>()),
-                6 => net.links.cut(n, (n + 1) % nodes),
-                7 => net.links.restore(),
+                    .partition(fleet.nodes.len(), &(0..nodes / 2).collect::<Vec<_>>()),
+                6 => fleet.links.cut(n, (n + 1) % nodes),
+                7 => fleet.links.restore(),
                 // Nobody knows who runs.
                 _ => {
-                    let (of, up) = (
-                        net.links.draw(nodes as u64) as usize,
-                        net.links.draw(2) == 0,
+                    let (member, up) = (
+                        fleet.links.draw(nodes as u64) as usize,
+                        fleet.links.draw(2) == 0,
                     );
-                    net.nodes[n]
+                    fleet.nodes[n]
                         .member
                         .iter_mut()
-                        .for_each(|m| m.set_member_up(of, up));
+                        .for_each(|m| m.set_member_up(member, up));
                 }
             }
-            let pause = net.links.draw(1_500 * MS);
-            net.run(pause);
+            let pause = fleet.links.draw(1_500 * MS);
+            fleet.run(pause);
         }
-        highest = (net.peak[0].0.max(highest.0), net.peak[0].1.max(highest.1));
+        highest = (fleet.peak[0].0.max(highest.0), fleet.peak[0].1.max(highest.1));
     }
     assert!(
         highest.0 > 900 && highest.1 > 900,
@@ -430,21 +430,21 @@
 }
 
 #[test]
-fn leases_flow_in_calm_and_go_where_they_are_in_demand() {
+fn without_faults_leases_are_granted_and_follow_the_demand() {
     for nodes in [4, 16, 64] {
-        let mut net = Net::new(nodes, 3, &specs());
-        (0..nodes).for_each(|n| net.demand(n, 1_000_000));
-        net.run(6 * S);
+        let mut fleet = Fleet::new(nodes, 3, &specs());
+        (0..nodes).for_each(|n| fleet.demand(n, 1_000_000));
+        fleet.run(6 * S);
         assert!(
-            net.in_force(0) >= 95_000,
+            fleet.in_force(0) >= 95_000,
             "{nodes}: {} of 100,000",
-            net.in_force(0)
+            fleet.in_force(0)
         );
         // One alone wants anything: within two seconds it has what the others do not.
-        (1..nodes).for_each(|n| net.demand(n, 0));
-        net.run(2 * S);
-        let clock = net.nodes[0].clock(net.links.now);
-        let lease = net.nodes[0].member.as_ref().unwrap().lease(clock, 0).amount;
+        (1..nodes).for_each(|n| fleet.demand(n, 0));
+        fleet.run(2 * S);
+        let clock = fleet.nodes[0].clock(fleet.links.now);
+        let lease = fleet.nodes[0].member.as_ref().unwrap().lease(clock, 0).amount;
         let reserved_total = 100 * nodes as u64;
         assert!(
             lease >= (100_000 - reserved_total) * 94 / 100,
@@ -454,46 +454,46 @@
 }
 
 #[test]
-fn after_an_allocators_death_another_leads_once_its_votes_are_over() {
+fn another_allocator_is_elected_after_the_votes_of_a_dead_one_expire() {
     for seed in 0..50 {
-        let (mut net, allocator) = with_allocator(5, seed, &specs());
-        net.kill(allocator);
-        net.run(5 * S);
-        let next = net.allocator(0).expect("another leads");
-        assert_ne!(next, allocator, "seed {seed}");
+        let (mut fleet, allocator) = fleet_with_allocator(5, seed, &specs());
+        fleet.kill(allocator);
+        fleet.run(5 * S);
+        let successor = fleet.allocator(0).expect("another leads");
+        assert_ne!(successor, allocator, "seed {seed}");
         assert!(
-            net.in_force(0) >= 90_000,
+            fleet.in_force(0) >= 90_000,
             "seed {seed}: {}",
-            net.in_force(0)
+            fleet.in_force(0)
         );
         // The old one comes back, and takes nothing away.
-        net.start(allocator);
-        net.run(5 * S);
-        assert_eq!(net.allocator(0), Some(next), "seed {seed}");
+        fleet.start(allocator);
+        fleet.run(5 * S);
+        assert_eq!(fleet.allocator(0), Some(successor), "seed {seed}");
     }
 }
 
 #[test]
-fn the_lesser_side_of_a_split_lives_on_its_reserved_minimums_and_the_greater_goes_on() {
+fn in_a_partition_the_minority_has_its_reserved_minimums_and_the_majority_continues() {
     for seed in 0..50 {
-        let (mut net, allocator) = with_allocator(5, seed, &specs());
+        let (mut fleet, allocator) = fleet_with_allocator(5, seed, &specs());
         // The allocator stands on the lesser side.
         let other = (allocator + 1) % 5;
-        net.links.partition(net.nodes.len(), &[allocator, other]);
+        fleet.links.partition(fleet.nodes.len(), &[allocator, other]);
         for n in 0..5 {
-            let lesser = |m: usize| m == allocator || m == other;
-            let beliefs: Vec<bool> = (0..5).map(|m| lesser(m) == lesser(n)).collect();
-            let member = net.nodes[n].member.as_mut().unwrap();
+            let in_minority = |m: usize| m == allocator || m == other;
+            let beliefs: Vec<bool> = (0..5).map(|m| in_minority(m) == in_minority(n)).collect();
+            let member = fleet.nodes[n].member.as_mut().unwrap();
             beliefs
                 .iter()
                 .enumerate()
                 .for_each(|(m, up)| member.set_member_up(m, *up));
         }
-        net.run(8 * S);
+        fleet.run(8 * S);
         for n in [allocator, other] {
-            let clock = net.nodes[n].clock(net.links.now);
+            let clock = fleet.nodes[n].clock(fleet.links.now);
             assert_eq!(
-                net.nodes[n].member.as_ref().unwrap().lease(clock, 0),
+                fleet.nodes[n].member.as_ref().unwrap().lease(clock, 0),
                 Lease {
                     amount: 100,
                     until: Micros::MAX
@@ -502,11 +502,11 @@
             );
         }
         assert!(
-            net.in_force(0) >= 90_000,
+            fleet.in_force(0) >= 90_000,
             "seed {seed}: {}",
-            net.in_force(0)
+            fleet.in_force(0)
         );
-        let changes = net.nodes[other].member.as_mut().unwrap().take_changes();
+        let changes = fleet.nodes[other].member.as_mut().unwrap().take_changes();
         assert!(
             changes.contains(&Change::ReservedOnly {
                 budget: 0,
@@ -518,27 +518,27 @@
 }
 
 #[test]
-fn a_limit_that_is_lowered_is_kept_once_what_was_granted_has_ended() {
-    let (mut net, _) = with_allocator(4, 9, &specs());
-    let half = BudgetSpec {
+fn a_lowered_limit_holds_once_earlier_leases_have_expired() {
+    let (mut fleet, _) = fleet_with_allocator(4, 9, &specs());
+    let halved = BudgetSpec {
         limit: 50_000,
         reserved: 100,
         settling_us: 0,
     };
-    for node in &mut net.nodes {
+    for node in &mut fleet.nodes {
         node.member
             .as_mut()
             .unwrap()
-            .set_limit(0, half.limit)
+            .set_limit(0, halved.limit)
             .unwrap();
     }
-    net.run(S + 100 * MS);
-    net.specs[0] = half;
-    net.run(5 * S);
-    assert!(net.in_force(0) >= 47_000);
-    let less = net.nodes[0].member.as_mut().unwrap().set_limit(0, 399);
+    fleet.run(S + 100 * MS);
+    fleet.specs[0] = halved;
+    fleet.run(5 * S);
+    assert!(fleet.in_force(0) >= 47_000);
+    let error = fleet.nodes[0].member.as_mut().unwrap().set_limit(0, 399);
     assert_eq!(
-        less.unwrap_err().reserved_total,
+        error.unwrap_err().reserved_total,
         400,
         "a limit below its reserved minimums is refused"
     );
@@ -562,174 +562,174 @@
 /// Who is believed to run decides who stands and nothing else: where each believes itself alone, or all the others gone the
 /// round, one leads in the end, and all have leases.
 #[test]
-fn members_that_disagree_about_who_runs_agree_on_an_allocator_in_the_end() {
-    let mut longest = 0;
+fn members_with_different_beliefs_about_who_is_up_elect_one_allocator() {
+    let mut longest_us = 0;
     for nodes in [3, 5, 8] {
         for seed in 0..60 {
-            let mut net = Net::new(nodes, seed, &specs());
-            (0..nodes).for_each(|n| net.demand(n, 1_000_000));
+            let mut fleet = Fleet::new(nodes, seed, &specs());
+            (0..nodes).for_each(|n| fleet.demand(n, 1_000_000));
             for n in 0..nodes {
-                let member = net.nodes[n].member.as_mut().unwrap();
+                let member = fleet.nodes[n].member.as_mut().unwrap();
                 // By turns: itself alone; the next in a ring; itself and two others.
-                let alone = |m: usize| match seed % 3 {
+                let is_believed_up = |m: usize| match seed % 3 {
                     0 => m == n,
                     1 => m == (n + 1) % nodes,
                     _ => m == n || m == (n + 1) % nodes || m == (n + 2) % nodes,
                 };
-                (0..nodes).for_each(|m| member.set_member_up(m, alone(m)));
+                (0..nodes).for_each(|m| member.set_member_up(m, is_believed_up(m)));
             }
             // Started one after the other, so that each has votes for a moment.
             for n in 0..nodes {
                 let beliefs: Vec<bool> = (0..nodes).map(|m| m == n || seed % 3 == 1).collect();
-                net.nodes[n].process += 1;
-                let (process, clock) = (net.nodes[n].process, net.nodes[n].clock(net.links.now));
+                fleet.nodes[n].process += 1;
+                let (process, clock) = (fleet.nodes[n].process, fleet.nodes[n].clock(fleet.links.now));
                 let mut member = Member::new(
                     MemberProcess { member: n, process },
                     nodes,
-                    &net.specs,
+                    &fleet.specs,
                     clock,
-                    net.options,
+                    fleet.options,
                 )
                 .unwrap();
                 beliefs
                     .iter()
                     .enumerate()
                     .for_each(|(m, up)| member.set_member_up(m, *up));
-                net.nodes[n].member = Some(member);
-                let pause = net.links.draw(3 * S);
-                net.run(pause);
+                fleet.nodes[n].member = Some(member);
+                let pause = fleet.links.draw(3 * S);
+                fleet.run(pause);
             }
-            let begun = net.links.now;
-            while net.allocator(0).is_none() || net.in_force(0) < 90_000 {
+            let started_at = fleet.links.now;
+            while fleet.allocator(0).is_none() || fleet.in_force(0) < 90_000 {
                 assert!(
-                    net.links.now < begun + 60 * S,
+                    fleet.links.now < started_at + 60 * S,
                     "{nodes} members, seed {seed}: {}",
-                    net.in_force(0)
+                    fleet.in_force(0)
                 );
-                net.run(S);
+                fleet.run(S);
             }
-            let allocator = net.allocator(0);
-            longest = longest.max(net.links.now - begun);
-            net.run(10 * S);
-            assert_eq!(net.allocator(0), allocator, "{nodes} members, seed {seed}");
+            let allocator = fleet.allocator(0);
+            longest_us = longest_us.max(fleet.links.now - started_at);
+            fleet.run(10 * S);
+            assert_eq!(fleet.allocator(0), allocator, "{nodes} members, seed {seed}");
         }
     }
-    assert!(longest <= 10 * S, "{longest} us: not for long, either");
+    assert!(longest_us <= 10 * S, "{longest_us} us: not for long, either");
 }
 
 /// What was spent by the last votes of one allocator has settled when the next has its own.
 #[test]
-fn the_sum_of_what_is_unsettled_holds_from_one_allocator_to_the_next() {
+fn unsettled_amounts_stay_within_the_limit_across_a_change_of_allocator() {
     let specs = [BudgetSpec {
         limit: 100_000,
         reserved: 100,
         settling_us: 3 * S,
     }];
     for seed in 0..200 {
-        let (mut net, allocator) = with_allocator(5, seed, &specs);
+        let (mut fleet, allocator) = fleet_with_allocator(5, seed, &specs);
         // It goes on granting to one beside it for as long as it has votes, and those two alone want all.
         let other = (allocator + 1) % 5;
         (0..5)
             .filter(|n| *n != other && *n != allocator)
-            .for_each(|n| net.demand(n, 0));
-        net.run(4 * S);
-        net.links.partition(5, &[allocator, other]);
+            .for_each(|n| fleet.demand(n, 0));
+        fleet.run(4 * S);
+        fleet.links.partition(5, &[allocator, other]);
         for n in (0..5).filter(|n| *n != other && *n != allocator) {
-            net.demand(n, 1_000_000);
-            let member = net.nodes[n].member.as_mut().unwrap();
+            fleet.demand(n, 1_000_000);
+            let member = fleet.nodes[n].member.as_mut().unwrap();
             [allocator, other]
                 .into_iter()
                 .for_each(|m| member.set_member_up(m, false));
         }
-        net.run(14 * S);
+        fleet.run(14 * S);
         assert!(
-            net.allocator(0).is_some_and(|next| next != allocator),
+            fleet.allocator(0).is_some_and(|successor| successor != allocator),
             "seed {seed}"
         );
-        assert!(net.in_force(0) > 90_000, "seed {seed}: {}", net.in_force(0));
-        assert!(net.peak[0].1 > 900, "seed {seed}: {:?}", net.peak);
+        assert!(fleet.in_force(0) > 90_000, "seed {seed}: {}", fleet.in_force(0));
+        assert!(fleet.peak[0].1 > 900, "seed {seed}: {:?}", fleet.peak);
     }
 }
 
 /// A holder that starts again at once does not know what it spent before, and is granted nothing in its place.
 #[test]
-fn what_a_holder_spent_before_it_started_again_counts_beside_what_it_spends_now() {
+fn unsettled_amounts_of_a_holder_still_count_after_it_restarts() {
     let specs = [BudgetSpec {
         limit: 100_000,
         reserved: 100,
         settling_us: 3 * S,
     }];
     for seed in 0..100 {
-        let mut net = Net::new(4, seed, &specs);
-        net.run(8 * S);
-        let allocator = net.allocator(0).expect("one leads");
+        let mut fleet = Fleet::new(4, seed, &specs);
+        fleet.run(8 * S);
+        let allocator = fleet.allocator(0).expect("one leads");
         let holder = (allocator + 1) % 4;
-        net.demand(holder, 1_000_000);
-        net.run(3 * S);
+        fleet.demand(holder, 1_000_000);
+        fleet.run(3 * S);
         for _ in 0..4 {
-            net.kill(holder);
-            net.start(holder);
-            net.demand(holder, 1_000_000);
-            let pause = net.links.draw(1_500 * MS);
-            net.run(pause);
+            fleet.kill(holder);
+            fleet.start(holder);
+            fleet.demand(holder, 1_000_000);
+            let pause = fleet.links.draw(1_500 * MS);
+            fleet.run(pause);
         }
-        net.run(6 * S);
-        assert!(net.in_force(0) > 90_000, "seed {seed}: {}", net.in_force(0));
+        fleet.run(6 * S);
+        assert!(fleet.in_force(0) > 90_000, "seed {seed}: {}", fleet.in_force(0));
     }
 }
 
 /// What is spent settles in seconds: who wants less gives up what it does not have out at once, and not when all of it
 /// could be over.
 #[test]
-fn what_is_given_up_is_free_long_before_it_could_have_settled() {
+fn a_settled_amount_is_available_to_others_before_the_settling_time_ends() {
     let specs = [BudgetSpec {
         limit: 100_000,
         reserved: 100,
         settling_us: 5 * S,
     }];
-    let mut net = Net::new(4, 5, &specs);
-    net.demand(0, 1_000_000);
-    net.run(12 * S);
-    let lease = |net: &Net, n: usize| {
-        let node = &net.nodes[n];
+    let mut fleet = Fleet::new(4, 5, &specs);
+    fleet.demand(0, 1_000_000);
+    fleet.run(12 * S);
+    let lease = |fleet: &Fleet, n: usize| {
+        let node = &fleet.nodes[n];
         node.member
             .as_ref()
             .unwrap()
-            .lease(node.clock(net.links.now), 0)
+            .lease(node.clock(fleet.links.now), 0)
             .amount
     };
-    assert!(lease(&net, 0) > 90_000, "{}", lease(&net, 0));
+    assert!(lease(&fleet, 0) > 90_000, "{}", lease(&fleet, 0));
     // It has spent all of it, and wants no more; another does.
-    net.demand(0, 0);
-    net.demand(1, 1_000_000);
-    net.run(S);
+    fleet.demand(0, 0);
+    fleet.demand(1, 1_000_000);
+    fleet.run(S);
     assert!(
-        lease(&net, 1) < 10_000,
+        lease(&fleet, 1) < 10_000,
         "what is out is unsettled still: {}",
-        lease(&net, 1)
+        lease(&fleet, 1)
     );
-    net.nodes[0].spent[0].clear();
-    net.run(S);
-    assert!(lease(&net, 1) > 90_000, "{}", lease(&net, 1));
+    fleet.nodes[0].spent[0].clear();
+    fleet.run(S);
+    assert!(lease(&fleet, 1) > 90_000, "{}", lease(&fleet, 1));
 }
 
 /// An allocator that starts again at once has forgotten what it granted: it is another process, which has no votes before all
 /// that is over.
 #[test]
-fn an_allocator_that_starts_again_at_once_grants_nothing_beside_what_it_forgot() {
+fn a_restarted_allocator_grants_no_leases_beside_its_earlier_ones() {
     for seed in 0..100 {
-        let mut net = Net::new(5, seed, &specs());
-        net.run(3 * S);
-        let allocator = net.allocator(0).expect("one leads");
-        let (holder, next) = ((allocator + 1) % 5, (allocator + 2) % 5);
-        net.demand(holder, 1_000_000);
-        net.run(3 * S);
-        net.kill(allocator);
-        net.demand(next, 1_000_000);
-        net.start(allocator);
-        net.run(6 * S);
+        let mut fleet = Fleet::new(5, seed, &specs());
+        fleet.run(3 * S);
+        let allocator = fleet.allocator(0).expect("one leads");
+        let (holder, successor) = ((allocator + 1) % 5, (allocator + 2) % 5);
+        fleet.demand(holder, 1_000_000);
+        fleet.run(3 * S);
+        fleet.kill(allocator);
+        fleet.demand(successor, 1_000_000);
+        fleet.start(allocator);
+        fleet.run(6 * S);
         assert!(
-            net.in_force(0) >= 90_000,
+            fleet.in_force(0) >= 90_000,
             "seed {seed}: and then they share"
         );
     }
@@ -737,30 +737,30 @@
 
 /// A voter that starts again does not know whose its vote is: it gives none before that is over.
 #[test]
-fn a_voter_that_starts_again_makes_no_second_allocator() {
+fn a_restarted_voter_does_not_elect_a_second_allocator() {
     for seed in 0..100 {
-        let (mut net, allocator) = with_allocator(3, seed, &specs());
+        let (mut fleet, allocator) = fleet_with_allocator(3, seed, &specs());
         let (voter, other) = ((allocator + 1) % 3, (allocator + 2) % 3);
         // The allocator alone wants anything, and has it by the voter's vote, as the other is away.
-        [voter, other].into_iter().for_each(|n| net.demand(n, 0));
-        net.links.partition(net.nodes.len(), &[other]);
-        net.run(5 * S);
-        assert_eq!(net.allocator(0), Some(allocator), "seed {seed}");
-        net.links.restore();
-        net.links.partition(net.nodes.len(), &[allocator]);
-        net.kill(voter);
-        net.start(voter);
+        [voter, other].into_iter().for_each(|n| fleet.demand(n, 0));
+        fleet.links.partition(fleet.nodes.len(), &[other]);
+        fleet.run(5 * S);
+        assert_eq!(fleet.allocator(0), Some(allocator), "seed {seed}");
+        fleet.links.restore();
+        fleet.links.partition(fleet.nodes.len(), &[allocator]);
+        fleet.kill(voter);
+        fleet.start(voter);
         for n in [voter, other] {
-            net.nodes[n]
+            fleet.nodes[n]
                 .member
                 .as_mut()
                 .unwrap()
                 .set_member_up(allocator, false);
-            net.demand(n, 1_000_000);
+            fleet.demand(n, 1_000_000);
         }
-        net.run(8 * S);
+        fleet.run(8 * S);
         assert!(
-            net.in_force(0) >= 90_000,
+            fleet.in_force(0) >= 90_000,
             "seed {seed}: the two go on without it"
         );
     }
@@ -770,56 +770,56 @@
 const FIGURES_LIMIT: Amount = 1_000_000;
 
 /// A fleet all of whose members demand the limit, after 12 seconds.
-fn settled(nodes: usize) -> Net {
+fn settled_fleet(nodes: usize) -> Fleet {
     // A quarter set aside in reserved minimums: what the dead do not spend of theirs is lost to the others.
     let specs = [BudgetSpec {
         limit: FIGURES_LIMIT,
         reserved: FIGURES_LIMIT / 4 / nodes as u64,
         settling_us: S,
     }];
-    let mut net = Net::new(nodes, 9, &specs);
-    (0..nodes).for_each(|n| net.demand(n, FIGURES_LIMIT));
-    net.run(12 * S);
-    net
+    let mut fleet = Fleet::new(nodes, 9, &specs);
+    (0..nodes).for_each(|n| fleet.demand(n, FIGURES_LIMIT));
+    fleet.run(12 * S);
+    fleet
 }
 
 /// What a member may spend.
-fn leased(net: &Net, n: usize) -> Amount {
-    let node = &net.nodes[n];
+fn leased(fleet: &Fleet, n: usize) -> Amount {
+    let node = &fleet.nodes[n];
     let member = node.member.as_ref();
     member.map_or(0, |member| {
-        member.lease(node.clock(net.links.now), 0).amount
+        member.lease(node.clock(fleet.links.now), 0).amount
     })
 }
 
 /// What the living may spend, in percent of what their reserved minimums and what is shared come to.
-fn usable(net: &Net) -> Amount {
-    let leases: Amount = (0..net.nodes.len()).map(|n| leased(net, n)).sum();
+fn usable_percent(fleet: &Fleet) -> Amount {
+    let leases: Amount = (0..fleet.nodes.len()).map(|n| leased(fleet, n)).sum();
     leases * 100 / FIGURES_LIMIT
 }
 
 /// The members of a fleet that are not its allocator.
-fn others(net: &Net) -> Vec<usize> {
-    let allocator = net.allocator(0).expect("one leads");
-    (0..net.nodes.len()).filter(|n| *n != allocator).collect()
+fn others(fleet: &Fleet) -> Vec<usize> {
+    let allocator = fleet.allocator(0).expect("one leads");
+    (0..fleet.nodes.len()).filter(|n| *n != allocator).collect()
 }
 
 /// What is usable two seconds after so many members that are not the allocator died.
-fn usable_after_deaths(mut net: Net, deaths: usize) -> Amount {
-    let others = others(&net);
-    others.iter().take(deaths).for_each(|n| net.kill(*n));
-    net.run(2 * S);
-    usable(&net)
+fn usable_percent_after_deaths(mut fleet: Fleet, deaths: usize) -> Amount {
+    let others = others(&fleet);
+    others.iter().take(deaths).for_each(|n| fleet.kill(*n));
+    fleet.run(2 * S);
+    usable_percent(&fleet)
 }
 
 /// How long it takes, in milliseconds, until the one member that demands anything has nine tenths of what is shared.
-fn takeover_ms(mut net: Net) -> Micros {
-    (1..net.nodes.len()).for_each(|n| net.demand(n, 0));
-    let begun = net.links.now;
-    while leased(&net, 0) < FIGURES_LIMIT * 3 / 4 * 9 / 10 && net.links.now < begun + 20 * S {
-        net.run(50 * MS);
+fn takeover_ms(mut fleet: Fleet) -> Micros {
+    (1..fleet.nodes.len()).for_each(|n| fleet.demand(n, 0));
+    let started_at = fleet.links.now;
+    while leased(&fleet, 0) < FIGURES_LIMIT * 3 / 4 * 9 / 10 && fleet.links.now < started_at + 20 * S {
+        fleet.run(50 * MS);
     }
-    (net.links.now - begun) / MS
+    (fleet.links.now - started_at) / MS
 }
 
 /// `cargo test --release -p linnetknot-budgets -- --ignored --nocapture`
@@ -832,29 +832,29 @@
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for nodes in [4, 16, 64, 300] {
-        let mut net = settled(nodes);
-        let calm = usable(&net);
-        let before = net.bytes;
-        net.run(5 * S);
-        let bytes = (net.bytes - before) / 5 / nodes as u64;
-        let first_others = others(&net);
-        let tenth = usable_after_deaths(net, nodes.div_ceil(10));
-        let half = usable_after_deaths(settled(nodes), (nodes - 1) / 2);
-        let mut net = settled(nodes);
-        let allocator = net.allocator(0).expect("one leads");
-        net.kill(allocator);
+        let mut fleet = settled_fleet(nodes);
+        let usable = usable_percent(&fleet);
+        let bytes_before = fleet.bytes;
+        fleet.run(5 * S);
+        let bytes = (fleet.bytes - bytes_before) / 5 / nodes as u64;
+        let first_others = others(&fleet);
+        let tenth_dead = usable_percent_after_deaths(fleet, nodes.div_ceil(10));
+        let half_dead = usable_percent_after_deaths(settled_fleet(nodes), (nodes - 1) / 2);
+        let mut fleet = settled_fleet(nodes);
+        let allocator = fleet.allocator(0).expect("one leads");
+        fleet.kill(allocator);
         first_others
             .iter()
             .filter(|n| **n != allocator)
             .take((nodes - 1) / 2 - 1)
-            .for_each(|n| net.kill(*n));
-        net.run(2 * S);
-        let two = usable(&net);
-        net.run(3 * S);
-        let five = usable(&net);
-        let hot = takeover_ms(settled(nodes));
+            .for_each(|n| fleet.kill(*n));
+        fleet.run(2 * S);
+        let after_2_s = usable_percent(&fleet);
+        fleet.run(3 * S);
+        let after_5_s = usable_percent(&fleet);
+        let takeover = takeover_ms(settled_fleet(nodes));
         println!(
-            "| {nodes} | {calm}% | {bytes} | {tenth}% | {half}% | {two}%, {five}% | {hot} ms |"
+            "| {nodes} | {usable}% | {bytes} | {tenth_dead}% | {half_dead}% | {after_2_s}%, {after_5_s}% | {takeover} ms |"
         );
     }
 }
--- a/budgets/tests/model.rs
+++ b/budgets/tests/model.rs
@@ -5,28 +5,28 @@
 use linnetknot_budgets::*;
 use stateright::{Checker, HasDiscoveries, Model, Property, UniformChooser};
 
-const ALL: usize = 3;
+const MEMBERS: usize = 3;
 /// A step of time, which is how often members ask.
-const STEP: Micros = 10;
+const STEP_US: Micros = 10;
 const SPEC: BudgetSpec = BudgetSpec {
     limit: 100,
     reserved: 5,
-    settling_us: STEP,
+    settling_us: STEP_US,
 };
 /// Words under way at a time; the oldest is lost when there are more.
 const MAX_IN_FLIGHT: usize = 8;
 /// Who stands still does so for longer than votes last.
-const STALL: Micros = 13 * STEP;
+const STALL_US: Micros = 13 * STEP_US;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Planted {
-    Nothing,
+enum PlantedBug {
+    None,
     /// A member that starts votes at once, whomever it voted for before.
-    NoSilence,
+    VotesAtStart,
     /// It starts in the process that it had, and so still has the votes that it was given.
-    SameProcess,
+    ReusesProcessId,
     /// A holder is taken to go by the response to its last request, whether that came or not.
-    GivesUp,
+    AssumesDelivery,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -34,7 +34,7 @@
     member: Member,
     process: ProcessId,
     /// It stands still, and goes on at some moment behind this.
-    stalled: Option<Micros>,
+    stalled_until: Option<Micros>,
 }
 
 /// A message on its way.
@@ -52,38 +52,38 @@
     /// Those on their way.
     messages: Vec<Envelope>,
     /// The allocator in calm.
-    first: Option<MemberIndex>,
-    demanding: MemberIndex,
-    turns: u8,
-    crashes: u8,
+    initial_allocator: Option<MemberIndex>,
+    demander: MemberIndex,
+    demand_moves: u8,
+    restarts: u8,
     stalls: u8,
-    doubled: u8,
+    duplicates: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Action {
-    Pass,
+    AdvanceTime,
     Deliver(usize),
-    Double(usize),
+    DeliverDuplicate(usize),
     /// Whether it then believes that nobody else runs.
-    Crash(usize, bool),
+    Restart(usize, bool),
     Stall(usize),
-    GoOn(usize),
+    Resume(usize),
     /// From now on this one wants anything, and the others nothing.
     Demand(usize),
 }
 
-struct Leases {
-    planted: Planted,
+struct LeaseModel {
+    planted_bug: PlantedBug,
     /// So many of each.
-    faults: u8,
+    max_faults: u8,
 }
 
 impl State {
     /// In thousandths it would be more exact; nothing here is less than one.
     fn in_force(&self) -> Amount {
-        let beyond = |node: &Node| node.member.lease(self.now, 0).amount - SPEC.reserved;
-        ALL as Amount * SPEC.reserved + self.nodes.iter().map(beyond).sum::<Amount>()
+        let beyond_reserved = |node: &Node| node.member.lease(self.now, 0).amount - SPEC.reserved;
+        MEMBERS as Amount * SPEC.reserved + self.nodes.iter().map(beyond_reserved).sum::<Amount>()
     }
 
     fn leads(&self, n: usize) -> bool {
@@ -102,37 +102,37 @@
                 .map(|Outgoing { to, message }| Envelope { from, to, message }),
         );
         self.nodes[n].member.take_changes();
-        let over = self.messages.len().saturating_sub(MAX_IN_FLIGHT);
-        self.messages.drain(..over);
+        let excess = self.messages.len().saturating_sub(MAX_IN_FLIGHT);
+        self.messages.drain(..excess);
     }
 }
 
-impl Leases {
+impl LeaseModel {
     fn member(&self, n: usize, process: ProcessId, now: Micros) -> Member {
         let options = Options {
-            vote_duration_us: 10 * STEP,
-            max_lease_us: 8 * STEP,
-            request_interval_us: STEP,
+            vote_duration_us: 10 * STEP_US,
+            max_lease_us: 8 * STEP_US,
+            request_interval_us: STEP_US,
             drift_ppm: 0,
             groups: 1,
         };
         let mut member = Member::new(
             MemberProcess { member: n, process },
-            ALL,
+            MEMBERS,
             &[SPEC],
             now,
             options.with_settling_time(SPEC.settling_us),
         )
         .expect("it fits");
-        (0..ALL).for_each(|m| member.set_member_up(m, true));
+        (0..MEMBERS).for_each(|m| member.set_member_up(m, true));
         member
     }
 
-    fn pass(state: &mut State) {
-        state.now += STEP;
-        for n in 0..ALL {
-            if state.nodes[n].stalled.is_none() {
-                let demand = if n == state.demanding { 1_000 } else { 0 };
+    fn advance_time(state: &mut State) {
+        state.now += STEP_US;
+        for n in 0..MEMBERS {
+            if state.nodes[n].stalled_until.is_none() {
+                let demand = if n == state.demander { 1_000 } else { 0 };
                 state.nodes[n].member.set_demand(0, demand, 0);
                 state.nodes[n].member.tick(state.now);
                 state.send(n);
@@ -142,7 +142,7 @@
 
     fn deliver(&self, state: &mut State, Envelope { from, to, message }: Envelope) {
         let message = match message {
-            Message::LeaseRequest(request) if self.planted == Planted::GivesUp => {
+            Message::LeaseRequest(request) if self.planted_bug == PlantedBug::AssumesDelivery => {
                 Message::LeaseRequest(LeaseRequest {
                     current_lease: request.number - 1,
                     ..request
@@ -155,75 +155,75 @@
     }
 
     /// All have run in calm until leases are in force.
-    fn calm(&self) -> State {
+    fn steady_state(&self) -> State {
         let node = |n| Node {
             member: self.member(n, 1, 0),
             process: 1,
-            stalled: None,
+            stalled_until: None,
         };
-        let nodes = (0..ALL).map(node).collect();
+        let nodes = (0..MEMBERS).map(node).collect();
         let mut state = State {
             now: 0,
             nodes,
             messages: Vec::new(),
-            first: None,
-            demanding: 1,
-            turns: 0,
-            crashes: 0,
+            initial_allocator: None,
+            demander: 1,
+            demand_moves: 0,
+            restarts: 0,
             stalls: 0,
-            doubled: 0,
+            duplicates: 0,
         };
         for _ in 0..25 {
-            Self::pass(&mut state);
+            Self::advance_time(&mut state);
             while !state.messages.is_empty() {
                 let message = state.messages.remove(0);
                 self.deliver(&mut state, message);
             }
         }
-        state.first = (0..ALL).find(|n| state.leads(*n));
+        state.initial_allocator = (0..MEMBERS).find(|n| state.leads(*n));
         assert!(
-            state.first.is_some_and(|n| n != state.demanding) && state.in_force() > 90,
+            state.initial_allocator.is_some_and(|n| n != state.demander) && state.in_force() > 90,
             "{state:?}"
         );
         state
     }
 }
 
-impl Model for Leases {
+impl Model for LeaseModel {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        vec![self.calm()]
+        vec![self.steady_state()]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        actions.push(Action::Pass);
+        actions.push(Action::AdvanceTime);
         for (n, envelope) in state.messages.iter().enumerate() {
-            if state.nodes[envelope.to].stalled.is_none() {
+            if state.nodes[envelope.to].stalled_until.is_none() {
                 actions.push(Action::Deliver(n));
-                if state.doubled < self.faults {
-                    actions.push(Action::Double(n));
+                if state.duplicates < self.max_faults {
+                    actions.push(Action::DeliverDuplicate(n));
                 }
             }
         }
-        if state.turns < self.faults {
+        if state.demand_moves < self.max_faults {
             actions.extend(
-                (0..ALL)
-                    .filter(|n| *n != state.demanding)
+                (0..MEMBERS)
+                    .filter(|n| *n != state.demander)
                     .map(Action::Demand),
             );
         }
         for (n, node) in state.nodes.iter().enumerate() {
-            if let Some(until) = node.stalled {
-                actions.extend((state.now >= until).then_some(Action::GoOn(n)));
+            if let Some(until) = node.stalled_until {
+                actions.extend((state.now >= until).then_some(Action::Resume(n)));
                 continue;
             }
-            if state.stalls < self.faults {
+            if state.stalls < self.max_faults {
                 actions.push(Action::Stall(n));
             }
-            if state.crashes < self.faults {
-                actions.extend([true, false].map(|alone| Action::Crash(n, alone)));
+            if state.restarts < self.max_faults {
+                actions.extend([true, false].map(|believes_alone| Action::Restart(n, believes_alone)));
             }
         }
     }
@@ -231,39 +231,39 @@
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
         match action {
-            Action::Pass => Self::pass(&mut state),
+            Action::AdvanceTime => Self::advance_time(&mut state),
             Action::Deliver(n) => {
                 let message = state.messages.remove(n);
                 self.deliver(&mut state, message);
             }
-            Action::Double(n) => {
-                state.doubled += 1;
+            Action::DeliverDuplicate(n) => {
+                state.duplicates += 1;
                 let message = state.messages[n];
                 self.deliver(&mut state, message);
             }
-            Action::Crash(n, alone) => {
-                state.crashes += 1;
+            Action::Restart(n, believes_alone) => {
+                state.restarts += 1;
                 let process =
-                    state.nodes[n].process + u64::from(self.planted != Planted::SameProcess);
-                let now = if self.planted == Planted::NoSilence {
+                    state.nodes[n].process + u64::from(self.planted_bug != PlantedBug::ReusesProcessId);
+                let now = if self.planted_bug == PlantedBug::VotesAtStart {
                     0
                 } else {
                     state.now
                 };
                 let mut member = self.member(n, process, now);
-                (0..ALL).for_each(|m| member.set_member_up(m, !alone));
+                (0..MEMBERS).for_each(|m| member.set_member_up(m, !believes_alone));
                 state.nodes[n] = Node {
                     member,
                     process,
-                    stalled: None,
+                    stalled_until: None,
                 };
             }
             Action::Stall(n) => {
                 state.stalls += 1;
-                state.nodes[n].stalled = Some(state.now + STALL);
+                state.nodes[n].stalled_until = Some(state.now + STALL_US);
             }
-            Action::GoOn(n) => state.nodes[n].stalled = None,
-            Action::Demand(n) => (state.demanding, state.turns) = (n, state.turns + 1),
+            Action::Resume(n) => state.nodes[n].stalled_until = None,
+            Action::Demand(n) => (state.demander, state.demand_moves) = (n, state.demand_moves + 1),
         }
         Some(state)
     }
@@ -274,23 +274,23 @@
                 state.in_force() <= SPEC.limit
             }),
             Property::always("one leads at a time", |_, state: &State| {
-                (0..ALL).filter(|n| state.leads(*n)).count() <= 1
+                (0..MEMBERS).filter(|n| state.leads(*n)).count() <= 1
             }),
             Property::sometimes("leases flow again after a start", |_, state: &State| {
-                state.crashes > 0
+                state.restarts > 0
                     && state.in_force() >= 90
-                    && !state.nodes.iter().any(|node| node.stalled.is_some())
+                    && !state.nodes.iter().any(|node| node.stalled_until.is_some())
             }),
             Property::sometimes("another leads", |_, state: &State| {
-                (0..ALL).any(|n| state.leads(n) && Some(n) != state.first)
+                (0..MEMBERS).any(|n| state.leads(n) && Some(n) != state.initial_allocator)
             }),
         ]
     }
 }
 
-const FAILURES: [&str; 2] = ["the sum is never over the limit", "one leads at a time"];
+const SAFETY_PROPERTIES: [&str; 2] = ["the sum is never over the limit", "one leads at a time"];
 
-fn seen<C: Checker<Leases>>(name: &str, checker: &C) -> Vec<&'static str> {
+fn discoveries<C: Checker<LeaseModel>>(name: &str, checker: &C) -> Vec<&'static str> {
     let (unique, all) = (checker.unique_state_count(), checker.state_count());
     println!(
         "{name}: {unique} unique of {all} states, {} deep",
@@ -300,21 +300,21 @@
 }
 
 /// Long walks drawn from a seed.
-fn walk(planted: Planted, states: usize) -> Vec<&'static str> {
-    let checker = Leases { planted, faults: 3 }.checker().threads(1);
+fn random_walks(planted_bug: PlantedBug, states: usize) -> Vec<&'static str> {
+    let checker = LeaseModel { planted_bug, max_faults: 3 }.checker().threads(1);
     let checker = checker.target_max_depth(300).target_state_count(states);
     let checker = checker
         .finish_when(HasDiscoveries::AnyFailures)
         .spawn_simulation(7, UniformChooser)
         .join();
-    seen(&format!("{planted:?}, walks"), &checker)
+    discoveries(&format!("{planted_bug:?}, walks"), &checker)
 }
 
 #[test]
-fn no_state_within_reach_of_calm_has_more_in_force_than_the_limit() {
-    let checker = Leases {
-        planted: Planted::Nothing,
-        faults: 1,
+fn breadth_first_search_finds_no_violation() {
+    let checker = LeaseModel {
+        planted_bug: PlantedBug::None,
+        max_faults: 1,
     }
     .checker()
     .threads(2);
@@ -323,27 +323,27 @@
         .finish_when(HasDiscoveries::AnyFailures)
         .spawn_bfs()
         .join();
-    let seen = seen("all", &checker);
-    assert!(!seen.iter().any(|name| FAILURES.contains(name)), "{seen:?}");
+    let discoveries = discoveries("all", &checker);
+    assert!(!discoveries.iter().any(|name| SAFETY_PROPERTIES.contains(name)), "{discoveries:?}");
     assert!(checker.max_depth() >= 6, "{}", checker.max_depth());
 }
 
 #[test]
-fn nor_does_any_state_of_many_long_walks_and_leases_flow_again() {
-    let seen = walk(Planted::Nothing, 2_000_000);
-    assert!(!seen.iter().any(|name| FAILURES.contains(name)), "{seen:?}");
+fn random_walks_find_no_violation_and_leases_are_granted_after_a_restart() {
+    let discoveries = random_walks(PlantedBug::None, 2_000_000);
+    assert!(!discoveries.iter().any(|name| SAFETY_PROPERTIES.contains(name)), "{discoveries:?}");
     for expected in ["leases flow again after a start", "another leads"] {
-        assert!(seen.contains(&expected), "{expected}: {seen:?}");
+        assert!(discoveries.contains(&expected), "{expected}: {discoveries:?}");
     }
 }
 
 #[test]
-fn what_is_left_out_is_found() {
-    for planted in [Planted::NoSilence, Planted::SameProcess, Planted::GivesUp] {
-        let seen = walk(planted, 4_000_000);
+fn each_planted_bug_is_detected() {
+    for planted_bug in [PlantedBug::VotesAtStart, PlantedBug::ReusesProcessId, PlantedBug::AssumesDelivery] {
+        let discoveries = random_walks(planted_bug, 4_000_000);
         assert!(
-            seen.iter().any(|name| FAILURES.contains(name)),
-            "{planted:?}: {seen:?}"
+            discoveries.iter().any(|name| SAFETY_PROPERTIES.contains(name)),
+            "{planted_bug:?}: {discoveries:?}"
         );
     }
 }
