--- a/budgets/src/fair_share/tests.rs
+++ b/budgets/src/fair_share/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the fair shares.
+//! Tests of fair shares.
 
 use super::*;
 
@@ -14,12 +14,12 @@
     assert_eq!(
         shares,
         [10, 91, 91, 0, 0],
-        "a part in 25 is reserved for the next"
+        "one part in 25 is reserved for new holders"
     );
     demands.set(106, 1, 1_000, 100);
     assert_eq!(
         demands.fair_share(1, 200),
         192,
-        "those that sent nothing for long demand nothing"
+        "expired demands do not count"
     );
 }
--- a/budgets/src/ledger/tests.rs
+++ b/budgets/src/ledger/tests.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// Requests so much of a hundred, until a time.
+/// Records a request and grants `target` of a leasable amount of 100. Returns `None` if the request is outdated.
 fn submit(
     ledger: &mut Ledger,
     now: Micros,
@@ -48,7 +48,7 @@
         submit(&mut ledger, 0, request(1, 1, 1, 0, 0), 80, 100),
         Some(80)
     );
-    // It wants less and has 50 out; whether it has received the smaller lease is not known.
+    // Holder 1 demands less and has 50 unsettled. It is not known whether it has received the smaller lease.
     assert_eq!(
         submit(&mut ledger, 10, request(1, 1, 2, 1, 50), 10, 110),
         Some(10)
@@ -60,7 +60,7 @@
         ),
         (80, Some(20))
     );
-    // It has, and 50 are unsettled still, until the first lease would have been over.
+    // Holder 1 has received the smaller lease, but 50 are still unsettled under the first one.
     assert_eq!(
         submit(&mut ledger, 20, request(1, 1, 3, 2, 50), 10, 120),
         Some(10)
@@ -106,7 +106,7 @@
         submit(&mut ledger, 0, request(1, 1, 7, 0, 0), 60, 100),
         Some(60)
     );
-    // The next process gives the same numbers, and knows nothing of the one before.
+    // The next process names a lease of the previous process as its current one, which must be ignored.
     assert_eq!(
         submit(&mut ledger, 50, request(1, 2, 8, 7, 0), 60, 150),
         Some(40)
--- a/budgets/src/wire/tests.rs
+++ b/budgets/src/wire/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the datagrams.
+//! Tests of the encoding of messages in datagrams.
 
 use super::*;
 
@@ -47,7 +47,7 @@
         decoded.extend(datagram.messages);
     }
     assert_eq!(decoded, messages);
-    assert!(encode(3, 1, &[]).is_empty(), "no message is no datagram");
+    assert!(encode(3, 1, &[]).is_empty(), "no messages, no datagram");
 }
 
 #[test]
@@ -85,7 +85,7 @@
     );
 }
 
-/// Proxies of released versions read this form: it does not change.
+/// Guards against an encoding that proxies of released versions can't decode.
 #[test]
 fn the_encoding_of_each_message_is_stable() {
     let messages = [
--- a/budgets/tests/fleet.rs
+++ b/budgets/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! Many members on virtual time, each with a clock that drifts: the sum of all leases in force, by the clock of whoever
-//! holds them, is never over the limit, and leases flow where more than half can talk to each other.
+//! Simulated fleets on virtual time, each member with a clock that drifts. The sum of all leases in force, by the
+//! clocks of their holders, must never exceed the limit, and leases must be granted where more than half of the members
+//! can reach each other.
 
 use linnetknot_budgets::spec::BudgetSpec;
 use linnetknot_budgets::*;
@@ -15,7 +16,7 @@
 };
 const S: Micros = 1_000_000;
 
-/// A message on its way, and the process that sent it.
+/// A message and the process that sent it.
 struct Envelope {
     from: MemberProcess,
     message: Message,
@@ -24,14 +25,16 @@
 struct Node {
     member: Option<Member>,
     process: ProcessId,
-    /// Its clock: how far it is ahead, and how much faster it runs, in millionths.
+    /// The offset of its clock, and how much faster than real time the clock runs.
     clock_offset_us: Micros,
     clock_drift_ppm: i64,
+    /// The messages that were received during a stall; `None` if it is not stalled.
     stalled_inbox: Option<Vec<Envelope>>,
-    /// By budget, what it would spend if it could, and what was spent: how much, and until when it is unsettled.
+    /// By budget, the amount that it would spend if it were granted.
     demand: Vec<Amount>,
+    /// By budget, the amounts that were spent, and when each settles.
     spent: Vec<Vec<(Amount, Micros)>>,
-    /// What its processes before spent, which it knows nothing of.
+    /// The amounts that were spent by earlier processes, which the current one does not know.
     earlier_spent: Vec<Vec<(Amount, Micros)>>,
 }
 
@@ -48,7 +51,7 @@
         self.clock_offset_us + (now as i64 + now as i64 * self.clock_drift_ppm / 1_000_000) as Micros
     }
 
-    /// What is unsettled of what it spent of a budget.
+    /// Returns the unsettled amount of a budget.
     fn unsettled(&self, now: Micros, budget: usize) -> Amount {
         unsettled(&self.spent[budget], now)
     }
@@ -59,9 +62,9 @@
     nodes: Vec<Node>,
     specs: Vec<BudgetSpec>,
     options: Options,
-    /// Of all datagrams sent.
+    /// The total size of all datagrams sent.
     bytes: u64,
-    /// The most that was in force at once, and unsettled at once, of each budget, in thousandths of its limit.
+    /// By budget, the maximum amounts that were in force and unsettled at any time, in thousandths of the limit.
     peak: Vec<(u64, u64)>,
 }
 
@@ -86,7 +89,7 @@
             peak,
         };
         for _ in 0..nodes {
-            // Clocks that are a hundred times worse than those of machines, so that what guards against them is seen.
+            // Clocks drift far more than real ones, so that missing allowances for drift are detected.
             let (clock_offset_us, clock_drift_ppm) = (
                 fleet.links.draw(1_000 * S),
                 fleet.links.draw(100_001) as i64 - 50_000,
@@ -124,7 +127,7 @@
             clock,
             self.options,
         )
-        .expect("a valid spec");
+        .expect("the specification is valid");
         (0..nodes).for_each(|m| member.set_member_up(m, true));
         node.member = Some(member);
         self.update_beliefs();
@@ -134,7 +137,8 @@
         let node = &mut self.nodes[n];
         (node.member, node.stalled_inbox) = (None, None);
         node.demand.fill(0);
-        // Its connections end with it, and what they held of its reserved minimum; the rest settles when it would have.
+        // Its connections end with it, so spending up to its reserved minimum settles at once. The rest settles in
+        // time.
         for (spent, spec) in node.spent.iter_mut().zip(&self.specs) {
             let mut reserved = spec.reserved;
             for (amount, _) in spent.iter_mut() {
@@ -149,7 +153,8 @@
         self.update_beliefs();
     }
 
-    /// Everybody knows who runs; whom a cut hides, and who stands still, is believed to run.
+    /// Makes all members believe that exactly the running members are up. Stalled members and those behind a partition
+    /// are believed to be up.
     fn update_beliefs(&mut self) {
         let up: Vec<bool> = self.nodes.iter().map(|n| n.member.is_some()).collect();
         for member in self.nodes.iter_mut().filter_map(|n| n.member.as_mut()) {
@@ -163,7 +168,7 @@
         self.nodes[n].demand.fill(demand);
     }
 
-    /// Sets a member's demand and what it has unsettled.
+    /// Sets a member's demand and unsettled amount.
     fn report_demand(&mut self, n: usize) {
         let now = self.links.now;
         let unsettled: Vec<Amount> = (0..self.specs.len())
@@ -177,7 +182,7 @@
         }
     }
 
-    /// A member spends as much as it may and wants, which settles in time.
+    /// Spends some or all of what a member's lease and demand allow, to settle within the settling time.
     fn spend(&mut self, n: usize) {
         let now = self.links.now;
         for budget in (0..self.specs.len()).filter(|budget| self.specs[*budget].settling_us > 0) {
@@ -192,7 +197,7 @@
                 .min(node.demand[budget]);
             let available = lease.saturating_sub(node.unsettled(now, budget));
             if available > 0 {
-                // Often all of it, and mostly for as long as it can be.
+                // Half of the time the full amount, and mostly for the full settling time.
                 let amount = if self.links.draw(2) == 0 {
                     available
                 } else {
@@ -246,8 +251,8 @@
         }
     }
 
-    /// What is in force of a budget now, by the clocks of those that hold it. One that stands still holds its lease, as it
-    /// may spend when it goes on, until its clock says otherwise.
+    /// Returns the amount of a budget that is in force, by the clocks of the holders. A stalled holder still has its
+    /// lease until it expires by its clock, because it may spend when it resumes.
     fn in_force(&self, budget: usize) -> Amount {
         let reserved_total = self.specs[budget].reserved * self.nodes.len() as u64;
         let beyond_reserved = |n: &Node| {
@@ -257,7 +262,7 @@
                 .map(|m| m.lease(n.clock(self.links.now), budget).amount);
             lease.map_or(0, |lease| lease - self.specs[budget].reserved)
         };
-        // All reserved minimums count, whoever runs.
+        // The reserved minimums of all members count, including those that are down.
         reserved_total + self.nodes.iter().map(beyond_reserved).sum::<Amount>()
     }
 
@@ -289,7 +294,7 @@
         let end = self.links.now + duration_us;
         loop {
             let now = self.links.now;
-            // When a member's clock will show what it is due.
+            // The time at which a member's next tick is due.
             let due = |(n, node): (usize, &Node)| {
                 let member = node.member.as_ref().filter(|_| node.stalled_inbox.is_none())?;
                 Some(Timed {
@@ -333,7 +338,7 @@
         }
     }
 
-    /// The allocator of a budget, by its own belief and votes.
+    /// Returns the allocator of a budget.
     fn allocator(&self, budget: usize) -> Option<MemberIndex> {
         let group = budget % OPTIONS.groups;
         let leads = |n: &usize| {
@@ -346,12 +351,12 @@
     }
 }
 
-/// All want everything, for long enough that one leads.
+/// Returns a fleet in which all members demand everything, after an allocator has been elected.
 fn fleet_with_allocator(nodes: usize, seed: u64, specs: &[BudgetSpec]) -> (Fleet, MemberIndex) {
     let mut fleet = Fleet::new(nodes, seed, specs);
     (0..nodes).for_each(|n| fleet.demand(n, 1_000_000));
     fleet.run(6 * S + 2 * specs.iter().map(|spec| spec.settling_us).max().unwrap_or(0));
-    let allocator = fleet.allocator(0).expect("one leads");
+    let allocator = fleet.allocator(0).expect("an allocator is elected");
     (fleet, allocator)
 }
 
@@ -406,7 +411,7 @@
                     .partition(fleet.nodes.len(), &(0..nodes / 2).collect::<Vec<_>>()),
                 6 => fleet.links.cut(n, (n + 1) % nodes),
                 7 => fleet.links.restore(),
-                // Nobody knows who runs.
+                // A member gets a random belief about another.
                 _ => {
                     let (member, up) = (
                         fleet.links.draw(nodes as u64) as usize,
@@ -425,7 +430,7 @@
     }
     assert!(
         highest.0 > 900 && highest.1 > 900,
-        "else nothing much was ever granted and spent: {highest:?}"
+        "the limits must nearly be reached: {highest:?}"
     );
 }
 
@@ -440,7 +445,7 @@
             "{nodes}: {} of 100,000",
             fleet.in_force(0)
         );
-        // One alone wants anything: within two seconds it has what the others do not.
+        // One member alone has a demand. Within two seconds it has nearly the whole leasable amount.
         (1..nodes).for_each(|n| fleet.demand(n, 0));
         fleet.run(2 * S);
         let clock = fleet.nodes[0].clock(fleet.links.now);
@@ -448,7 +453,7 @@
         let reserved_total = 100 * nodes as u64;
         assert!(
             lease >= (100_000 - reserved_total) * 94 / 100,
-            "{nodes}: the only one has {lease}"
+            "{nodes}: the only member with a demand has {lease}"
         );
     }
 }
@@ -459,14 +464,14 @@
         let (mut fleet, allocator) = fleet_with_allocator(5, seed, &specs());
         fleet.kill(allocator);
         fleet.run(5 * S);
-        let successor = fleet.allocator(0).expect("another leads");
+        let successor = fleet.allocator(0).expect("another allocator is elected");
         assert_ne!(successor, allocator, "seed {seed}");
         assert!(
             fleet.in_force(0) >= 90_000,
             "seed {seed}: {}",
             fleet.in_force(0)
         );
-        // The old one comes back, and takes nothing away.
+        // The previous allocator comes back and does not displace the new one.
         fleet.start(allocator);
         fleet.run(5 * S);
         assert_eq!(fleet.allocator(0), Some(successor), "seed {seed}");
@@ -477,7 +482,7 @@
 fn in_a_partition_the_minority_has_its_reserved_minimums_and_the_majority_continues() {
     for seed in 0..50 {
         let (mut fleet, allocator) = fleet_with_allocator(5, seed, &specs());
-        // The allocator stands on the lesser side.
+        // The allocator is in the minority.
         let other = (allocator + 1) % 5;
         fleet.links.partition(fleet.nodes.len(), &[allocator, other]);
         for n in 0..5 {
@@ -512,7 +517,7 @@
                 budget: 0,
                 active: true
             }),
-            "and it says so"
+            "the change is reported"
         );
     }
 }
@@ -540,7 +545,7 @@
     assert_eq!(
         error.unwrap_err().reserved_total,
         400,
-        "a limit below its reserved minimums is refused"
+        "a limit below the sum of the reserved minimums is rejected"
     );
     assert!(Member::new(
         MemberProcess {
@@ -559,8 +564,7 @@
     .is_err());
 }
 
-/// Who is believed to run decides who stands and nothing else: where each believes itself alone, or all the others gone the
-/// round, one leads in the end, and all have leases.
+/// Guards against beliefs that prevent an election, such as members that each believe that they are alone.
 #[test]
 fn members_with_different_beliefs_about_who_is_up_elect_one_allocator() {
     let mut longest_us = 0;
@@ -570,7 +574,7 @@
             (0..nodes).for_each(|n| fleet.demand(n, 1_000_000));
             for n in 0..nodes {
                 let member = fleet.nodes[n].member.as_mut().unwrap();
-                // By turns: itself alone; the next in a ring; itself and two others.
+                // By seed: itself alone, the next member alone, or itself and the next two.
                 let is_believed_up = |m: usize| match seed % 3 {
                     0 => m == n,
                     1 => m == (n + 1) % nodes,
@@ -578,7 +582,7 @@
                 };
                 (0..nodes).for_each(|m| member.set_member_up(m, is_believed_up(m)));
             }
-            // Started one after the other, so that each has votes for a moment.
+            // Members start one after another, so that several of them have votes for a moment.
             for n in 0..nodes {
                 let beliefs: Vec<bool> = (0..nodes).map(|m| m == n || seed % 3 == 1).collect();
                 fleet.nodes[n].process += 1;
@@ -614,10 +618,10 @@
             assert_eq!(fleet.allocator(0), allocator, "{nodes} members, seed {seed}");
         }
     }
-    assert!(longest_us <= 10 * S, "{longest_us} us: not for long, either");
+    assert!(longest_us <= 10 * S, "the longest election took {longest_us} us");
 }
 
-/// What was spent by the last votes of one allocator has settled when the next has its own.
+/// Guards against an allocator that is elected before spending under the leases of its predecessor has settled.
 #[test]
 fn unsettled_amounts_stay_within_the_limit_across_a_change_of_allocator() {
     let specs = [BudgetSpec {
@@ -627,7 +631,8 @@
     }];
     for seed in 0..200 {
         let (mut fleet, allocator) = fleet_with_allocator(5, seed, &specs);
-        // It goes on granting to one beside it for as long as it has votes, and those two alone want all.
+        // The allocator and one other member are the only ones with a demand. After the partition the allocator
+        // continues to grant leases to that member until its votes expire.
         let other = (allocator + 1) % 5;
         (0..5)
             .filter(|n| *n != other && *n != allocator)
@@ -651,7 +656,7 @@
     }
 }
 
-/// A holder that starts again at once does not know what it spent before, and is granted nothing in its place.
+/// Guards against grants to a restarted holder that ignore what its earlier process may have spent.
 #[test]
 fn unsettled_amounts_of_a_holder_still_count_after_it_restarts() {
     let specs = [BudgetSpec {
@@ -662,7 +667,7 @@
     for seed in 0..100 {
         let mut fleet = Fleet::new(4, seed, &specs);
         fleet.run(8 * S);
-        let allocator = fleet.allocator(0).expect("one leads");
+        let allocator = fleet.allocator(0).expect("an allocator is elected");
         let holder = (allocator + 1) % 4;
         fleet.demand(holder, 1_000_000);
         fleet.run(3 * S);
@@ -678,8 +683,8 @@
     }
 }
 
-/// What is spent settles in seconds: who wants less gives up what it does not have out at once, and not when all of it
-/// could be over.
+/// Guards against replaced leases that block other holders until the settling time is over, although the spending under
+/// them has settled.
 #[test]
 fn a_settled_amount_is_available_to_others_before_the_settling_time_ends() {
     let specs = [BudgetSpec {
@@ -699,13 +704,13 @@
             .amount
     };
     assert!(lease(&fleet, 0) > 90_000, "{}", lease(&fleet, 0));
-    // It has spent all of it, and wants no more; another does.
+    // Member 0 has spent its whole lease and has no further demand, but member 1 has.
     fleet.demand(0, 0);
     fleet.demand(1, 1_000_000);
     fleet.run(S);
     assert!(
         lease(&fleet, 1) < 10_000,
-        "what is out is unsettled still: {}",
+        "the spending of member 0 has not settled yet: {}",
         lease(&fleet, 1)
     );
     fleet.nodes[0].spent[0].clear();
@@ -713,14 +718,13 @@
     assert!(lease(&fleet, 1) > 90_000, "{}", lease(&fleet, 1));
 }
 
-/// An allocator that starts again at once has forgotten what it granted: it is another process, which has no votes before all
-/// that is over.
+/// Guards against a restarted allocator, which has forgotten its grants, that keeps its votes.
 #[test]
 fn a_restarted_allocator_grants_no_leases_beside_its_earlier_ones() {
     for seed in 0..100 {
         let mut fleet = Fleet::new(5, seed, &specs());
         fleet.run(3 * S);
-        let allocator = fleet.allocator(0).expect("one leads");
+        let allocator = fleet.allocator(0).expect("an allocator is elected");
         let (holder, successor) = ((allocator + 1) % 5, (allocator + 2) % 5);
         fleet.demand(holder, 1_000_000);
         fleet.run(3 * S);
@@ -730,18 +734,19 @@
         fleet.run(6 * S);
         assert!(
             fleet.in_force(0) >= 90_000,
-            "seed {seed}: and then they share"
+            "seed {seed}: leases are granted again"
         );
     }
 }
 
-/// A voter that starts again does not know whose its vote is: it gives none before that is over.
+/// Guards against a restarted voter, which has forgotten its vote, that votes again before the vote has expired.
 #[test]
 fn a_restarted_voter_does_not_elect_a_second_allocator() {
     for seed in 0..100 {
         let (mut fleet, allocator) = fleet_with_allocator(3, seed, &specs());
         let (voter, other) = ((allocator + 1) % 3, (allocator + 2) % 3);
-        // The allocator alone wants anything, and has it by the voter's vote, as the other is away.
+        // The allocator is the only member with a demand. It needs the voter's vote, as the other member is
+        // unreachable.
         [voter, other].into_iter().for_each(|n| fleet.demand(n, 0));
         fleet.links.partition(fleet.nodes.len(), &[other]);
         fleet.run(5 * S);
@@ -761,17 +766,17 @@
         fleet.run(8 * S);
         assert!(
             fleet.in_force(0) >= 90_000,
-            "seed {seed}: the two go on without it"
+            "seed {seed}: the other two members elect an allocator"
         );
     }
 }
 
-/// The limit of the budget that the figures are of.
+/// The limit of the measured budget.
 const FIGURES_LIMIT: Amount = 1_000_000;
 
-/// A fleet all of whose members demand the limit, after 12 seconds.
+/// Returns a fleet in which all members demand the whole limit, after 12 seconds.
 fn settled_fleet(nodes: usize) -> Fleet {
-    // A quarter set aside in reserved minimums: what the dead do not spend of theirs is lost to the others.
+    // A quarter of the limit is reserved. The reserved minimums of dead members are not available to others.
     let specs = [BudgetSpec {
         limit: FIGURES_LIMIT,
         reserved: FIGURES_LIMIT / 4 / nodes as u64,
@@ -783,7 +788,7 @@
     fleet
 }
 
-/// What a member may spend.
+/// Returns the amount that a member may spend.
 fn leased(fleet: &Fleet, n: usize) -> Amount {
     let node = &fleet.nodes[n];
     let member = node.member.as_ref();
@@ -792,19 +797,19 @@
     })
 }
 
-/// What the living may spend, in percent of what their reserved minimums and what is shared come to.
+/// Returns the sum of what the running members may spend, in percent of the limit.
 fn usable_percent(fleet: &Fleet) -> Amount {
     let leases: Amount = (0..fleet.nodes.len()).map(|n| leased(fleet, n)).sum();
     leases * 100 / FIGURES_LIMIT
 }
 
-/// The members of a fleet that are not its allocator.
+/// Returns all members but the allocator.
 fn others(fleet: &Fleet) -> Vec<usize> {
-    let allocator = fleet.allocator(0).expect("one leads");
+    let allocator = fleet.allocator(0).expect("an allocator is elected");
     (0..fleet.nodes.len()).filter(|n| *n != allocator).collect()
 }
 
-/// What is usable two seconds after so many members that are not the allocator died.
+/// Returns the usable share of the limit two seconds after the death of `deaths` members, the allocator not among them.
 fn usable_percent_after_deaths(mut fleet: Fleet, deaths: usize) -> Amount {
     let others = others(&fleet);
     others.iter().take(deaths).for_each(|n| fleet.kill(*n));
@@ -812,7 +817,7 @@
     usable_percent(&fleet)
 }
 
-/// How long it takes, in milliseconds, until the one member that demands anything has nine tenths of what is shared.
+/// Returns the time until the only member with a demand has nine tenths of the leasable amount.
 fn takeover_ms(mut fleet: Fleet) -> Micros {
     (1..fleet.nodes.len()).for_each(|n| fleet.demand(n, 0));
     let started_at = fleet.links.now;
@@ -822,13 +827,14 @@
     (fleet.links.now - started_at) / MS
 }
 
+/// Prints a table of recovery times and traffic by the size of the fleet:
 /// `cargo test --release -p linnetknot-budgets -- --ignored --nocapture`
 #[test]
 #[ignore = "a measurement"]
 fn figures() {
     println!(
-        "| members | calm | bytes a member a second | a tenth away, 2 s after | half dead, 2 s after | \
-         the allocator among them, 2 s, 5 s | one alone wants: 90% after |"
+        "| members | usable | bytes per member and second | usable 2 s after a tenth died | 2 s after half died | \
+         2 s, 5 s after half died with the allocator | one demand: 90% after |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for nodes in [4, 16, 64, 300] {
@@ -841,7 +847,7 @@
         let tenth_dead = usable_percent_after_deaths(fleet, nodes.div_ceil(10));
         let half_dead = usable_percent_after_deaths(settled_fleet(nodes), (nodes - 1) / 2);
         let mut fleet = settled_fleet(nodes);
-        let allocator = fleet.allocator(0).expect("one leads");
+        let allocator = fleet.allocator(0).expect("an allocator is elected");
         fleet.kill(allocator);
         first_others
             .iter()
--- a/budgets/tests/model.rs
+++ b/budgets/tests/model.rs
@@ -1,31 +1,32 @@
-//! Model check of the leases, on the real types: three members, one budget, messages that are lost, duplicated, delayed and
-//! reordered, members that stall or restart at any step. The sum of all leases in force is never over the limit.
+//! Model check of the leases on the production types, with three members and one budget. Messages are lost, duplicated,
+//! delayed and reordered, and members stall or restart at any step. The sum of all leases in force must never exceed
+//! the limit.
 
 use linnetknot_budgets::spec::BudgetSpec;
 use linnetknot_budgets::*;
 use stateright::{Checker, HasDiscoveries, Model, Property, UniformChooser};
 
 const MEMBERS: usize = 3;
-/// A step of time, which is how often members ask.
+/// The step by which time advances, which is also the request interval.
 const STEP_US: Micros = 10;
 const SPEC: BudgetSpec = BudgetSpec {
     limit: 100,
     reserved: 5,
     settling_us: STEP_US,
 };
-/// Words under way at a time; the oldest is lost when there are more.
+/// The maximum number of messages in flight. The oldest ones beyond it are lost.
 const MAX_IN_FLIGHT: usize = 8;
-/// Who stands still does so for longer than votes last.
+/// The duration of a stall, which is longer than that of a vote.
 const STALL_US: Micros = 13 * STEP_US;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PlantedBug {
     None,
-    /// A member that starts votes at once, whomever it voted for before.
+    /// A restarted member votes at once, although its earlier vote may not have expired.
     VotesAtStart,
-    /// It starts in the process that it had, and so still has the votes that it was given.
+    /// A restarted member reuses its process id, so that it keeps its votes although it has forgotten its grants.
     ReusesProcessId,
-    /// A holder is taken to go by the response to its last request, whether that came or not.
+    /// The allocator assumes that each holder has received the response to its previous request.
     AssumesDelivery,
 }
 
@@ -33,11 +34,11 @@
 struct Node {
     member: Member,
     process: ProcessId,
-    /// It stands still, and goes on at some moment behind this.
+    /// The time from which a stalled member can resume.
     stalled_until: Option<Micros>,
 }
 
-/// A message on its way.
+/// A message in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Envelope {
     from: MemberProcess,
@@ -49,9 +50,9 @@
 struct State {
     now: Micros,
     nodes: Vec<Node>,
-    /// Those on their way.
+    /// The messages in flight, oldest first.
     messages: Vec<Envelope>,
-    /// The allocator in calm.
+    /// The allocator in the initial state.
     initial_allocator: Option<MemberIndex>,
     demander: MemberIndex,
     demand_moves: u8,
@@ -65,22 +66,22 @@
     AdvanceTime,
     Deliver(usize),
     DeliverDuplicate(usize),
-    /// Whether it then believes that nobody else runs.
+    /// Restarts a member. The flag is whether it then believes that no other member is up.
     Restart(usize, bool),
     Stall(usize),
     Resume(usize),
-    /// From now on this one wants anything, and the others nothing.
+    /// Makes this member the only one with a demand.
     Demand(usize),
 }
 
 struct LeaseModel {
     planted_bug: PlantedBug,
-    /// So many of each.
+    /// The maximum number of faults of each kind.
     max_faults: u8,
 }
 
 impl State {
-    /// In thousandths it would be more exact; nothing here is less than one.
+    /// Returns the sum of all reserved minimums and leases in force.
     fn in_force(&self) -> Amount {
         let beyond_reserved = |node: &Node| node.member.lease(self.now, 0).amount - SPEC.reserved;
         MEMBERS as Amount * SPEC.reserved + self.nodes.iter().map(beyond_reserved).sum::<Amount>()
@@ -123,7 +124,7 @@
             now,
             options.with_settling_time(SPEC.settling_us),
         )
-        .expect("it fits");
+        .expect("the limit covers the reserved minimums");
         (0..MEMBERS).for_each(|m| member.set_member_up(m, true));
         member
     }
@@ -154,7 +155,7 @@
         state.send(to);
     }
 
-    /// All have run in calm until leases are in force.
+    /// Returns the state after the members have run without faults until leases are in force.
     fn steady_state(&self) -> State {
         let node = |n| Node {
             member: self.member(n, 1, 0),
@@ -270,36 +271,36 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("the sum is never over the limit", |_, state: &State| {
+            Property::always("leases never exceed the limit", |_, state: &State| {
                 state.in_force() <= SPEC.limit
             }),
-            Property::always("one leads at a time", |_, state: &State| {
+            Property::always("at most one member leads", |_, state: &State| {
                 (0..MEMBERS).filter(|n| state.leads(*n)).count() <= 1
             }),
-            Property::sometimes("leases flow again after a start", |_, state: &State| {
+            Property::sometimes("leases are granted after a restart", |_, state: &State| {
                 state.restarts > 0
                     && state.in_force() >= 90
                     && !state.nodes.iter().any(|node| node.stalled_until.is_some())
             }),
-            Property::sometimes("another leads", |_, state: &State| {
+            Property::sometimes("the allocator changes", |_, state: &State| {
                 (0..MEMBERS).any(|n| state.leads(n) && Some(n) != state.initial_allocator)
             }),
         ]
     }
 }
 
-const SAFETY_PROPERTIES: [&str; 2] = ["the sum is never over the limit", "one leads at a time"];
+const SAFETY_PROPERTIES: [&str; 2] = ["leases never exceed the limit", "at most one member leads"];
 
 fn discoveries<C: Checker<LeaseModel>>(name: &str, checker: &C) -> Vec<&'static str> {
     let (unique, all) = (checker.unique_state_count(), checker.state_count());
     println!(
-        "{name}: {unique} unique of {all} states, {} deep",
+        "{name}: {unique} unique of {all} states, depth {}",
         checker.max_depth()
     );
     checker.discoveries().into_keys().collect()
 }
 
-/// Long walks drawn from a seed.
+/// Checks long random walks from a fixed seed.
 fn random_walks(planted_bug: PlantedBug, states: usize) -> Vec<&'static str> {
     let checker = LeaseModel { planted_bug, max_faults: 3 }.checker().threads(1);
     let checker = checker.target_max_depth(300).target_state_count(states);
@@ -307,7 +308,7 @@
         .finish_when(HasDiscoveries::AnyFailures)
         .spawn_simulation(7, UniformChooser)
         .join();
-    discoveries(&format!("{planted_bug:?}, walks"), &checker)
+    discoveries(&format!("{planted_bug:?}, random walks"), &checker)
 }
 
 #[test]
@@ -323,7 +324,7 @@
         .finish_when(HasDiscoveries::AnyFailures)
         .spawn_bfs()
         .join();
-    let discoveries = discoveries("all", &checker);
+    let discoveries = discoveries("breadth-first search", &checker);
     assert!(!discoveries.iter().any(|name| SAFETY_PROPERTIES.contains(name)), "{discoveries:?}");
     assert!(checker.max_depth() >= 6, "{}", checker.max_depth());
 }
@@ -332,7 +333,7 @@
 fn random_walks_find_no_violation_and_leases_are_granted_after_a_restart() {
     let discoveries = random_walks(PlantedBug::None, 2_000_000);
     assert!(!discoveries.iter().any(|name| SAFETY_PROPERTIES.contains(name)), "{discoveries:?}");
-    for expected in ["leases flow again after a start", "another leads"] {
+    for expected in ["leases are granted after a restart", "the allocator changes"] {
         assert!(discoveries.contains(&expected), "{expected}: {discoveries:?}");
     }
 }
