--- a/membership/src/gossip/tests.rs
+++ b/membership/src/gossip/tests.rs
@@ -6,7 +6,7 @@
 fn update(id: Id, incarnation: u32) -> Update {
     Update {
         id,
-        by: 1,
+        observer: 1,
         claim: Claim {
             process: 1,
             incarnation,
--- a/membership/src/swim/claims.rs
+++ b/membership/src/swim/claims.rs
@@ -13,7 +13,7 @@
         if let (Some(id), Some(claim)) = (member.id, member.claim) {
             let update = Update {
                 id,
-                by: self.own.id,
+                observer: self.own.id,
                 claim: Claim { state, ..claim },
             };
             self.receive_claim(now, update);
@@ -39,7 +39,7 @@
         self.suspicions.remove(&peer);
         if update.claim.state == MemberState::Suspect {
             let suspicion =
-                Suspicion::new(now, update.by, self.up(), self.options.protocol_period_us);
+                Suspicion::new(now, update.observer, self.up(), self.options.protocol_period_us);
             self.suspicions.insert(peer, suspicion);
         }
         // Each member finds out by itself that another is there, and ignores claims about those that it has not heard of.
@@ -60,7 +60,7 @@
             return;
         }
         let suspicion = self.suspicions.get_mut(&peer);
-        if suspicion.is_some_and(|suspicion| suspicion.confirm(update.by)) {
+        if suspicion.is_some_and(|suspicion| suspicion.confirm(update.observer)) {
             self.gossip.add(update);
         }
     }
@@ -108,6 +108,6 @@
             incarnation,
             state: MemberState::Alive,
         };
-        self.gossip.add(Update { id, by: id, claim });
+        self.gossip.add(Update { id, observer: id, claim });
     }
 }
--- a/membership/src/swim/exchange.rs
+++ b/membership/src/swim/exchange.rs
@@ -109,7 +109,7 @@
         let overriding = known.filter(|claim| *claim > alive(sender));
         overriding.map(|claim| Update {
             id: sender.id,
-            by: self.own.id,
+            observer: self.own.id,
             claim,
         })
     }
@@ -152,7 +152,7 @@
     fn receive_own_claim(&mut self, now: Micros, from: Sender, claim: Claim) {
         let update = Update {
             id: from.id,
-            by: from.id,
+            observer: from.id,
             claim,
         };
         self.receive_claim(now, update);
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -18,7 +18,7 @@
     /// The member.
     pub id: Id,
     /// The member that observed it: two that suspect a member confirm each other.
-    pub by: Id,
+    pub observer: Id,
     /// The claim.
     pub claim: Claim,
 }
--- a/membership/tests/net.rs
+++ b/membership/tests/net.rs
@@ -512,8 +512,8 @@
         process: u64,
         claims in proptest::collection::vec(any::<(u64, u64, u64, u32)>(), 0..20),
     ) {
-        let updates = claims.into_iter().map(|(id, by, process, incarnation)| {
-            Update { id, by, claim: Claim { process, incarnation, state: MemberState::Suspect } }
+        let updates = claims.into_iter().map(|(id, observer, process, incarnation)| {
+            Update { id, observer, claim: Claim { process, incarnation, state: MemberState::Suspect } }
         });
         let names = Some(Names { name: "n".repeat(40), machine: "m".repeat(40) });
         let message = Message {
--- a/membership/tests/predecessor.rs
+++ b/membership/tests/predecessor.rs
@@ -46,7 +46,7 @@
         },
         updates: vec![Update {
             id: OWN_ID,
-            by: PEER_ID,
+            observer: PEER_ID,
             claim,
         }],
     }
--- a/membership/tests/wire.rs
+++ b/membership/tests/wire.rs
@@ -13,7 +13,7 @@
     };
     let update = |id, state| Update {
         id,
-        by: 9,
+        observer: 9,
         claim: claim(state),
     };
     Message {
