--- a/membership/src/gossip.rs
+++ b/membership/src/gossip.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug)]
 struct QueuedUpdate {
     update: Update,
-    sent: u32,
+    times_sent: u32,
 }
 
 /// The updates that are still passed on, by their subject: a later one replaces an earlier one.
@@ -27,7 +27,7 @@
     /// Adds an update to be passed on.
     pub(crate) fn add(&mut self, update: Update) {
         self.updates
-            .insert(update.id, QueuedUpdate { update, sent: 0 });
+            .insert(update.id, QueuedUpdate { update, times_sent: 0 });
     }
 
     /// Returns up to `max_updates` updates for a datagram, and counts them as sent. One about the receiver itself goes
@@ -38,23 +38,23 @@
         members: usize,
         receiver: Option<Id>,
     ) -> Vec<Update> {
-        let max_sent = RETRANSMIT_MULTIPLIER * (usize::BITS - members.leading_zeros()).max(2);
-        let mut order: Vec<(bool, u32, Id)> = self
+        let max_times_sent = RETRANSMIT_MULTIPLIER * (usize::BITS - members.leading_zeros()).max(2);
+        let mut by_priority: Vec<(bool, u32, Id)> = self
             .updates
             .iter()
-            .map(|(id, queued)| (Some(*id) != receiver, queued.sent, *id))
+            .map(|(id, queued)| (Some(*id) != receiver, queued.times_sent, *id))
             .collect();
-        order.sort_unstable();
-        let mut taken = Vec::new();
-        for (_, _, id) in order.into_iter().take(max_updates) {
+        by_priority.sort_unstable();
+        let mut selected = Vec::new();
+        for (_, _, id) in by_priority.into_iter().take(max_updates) {
             if let Some(queued) = self.updates.get_mut(&id) {
-                taken.push(queued.update);
-                queued.sent += 1;
-                if queued.sent >= max_sent {
+                selected.push(queued.update);
+                queued.times_sent += 1;
+                if queued.times_sent >= max_times_sent {
                     self.updates.remove(&id);
                 }
             }
         }
-        taken
+        selected
     }
 }
--- a/membership/src/member.rs
+++ b/membership/src/member.rs
@@ -72,7 +72,7 @@
     }
 
     /// Believes a claim if it overrides the one before. Returns whether it did.
-    pub(crate) fn believe(&mut self, claim: Claim) -> bool {
+    pub(crate) fn apply_claim(&mut self, claim: Claim) -> bool {
         let overrides = Some(claim) > self.claim;
         if overrides {
             self.claim = Some(claim);
--- a/membership/src/suspicion.rs
+++ b/membership/src/suspicion.rs
@@ -14,51 +14,51 @@
 /// A suspicion that is pending.
 #[derive(Clone, Debug)]
 pub(crate) struct Suspicion {
-    since: Micros,
+    started_at: Micros,
     min_us: Micros,
     max_us: Micros,
     /// The number of confirmations at which the timeout is shortest.
     max_confirmations: usize,
     /// The members that suspect it. One that repeats itself confirms nothing.
-    by: BTreeSet<Id>,
+    accusers: BTreeSet<Id>,
 }
 
 impl Suspicion {
     /// A suspicion by one member. The more members there are, the longer a refutation takes to reach them all.
-    pub(crate) fn new(now: Micros, by: Id, members: usize, period_us: Micros) -> Self {
-        let rounds = (members.max(2) as f64).log10().max(1.0);
-        let min_us = (MIN_PERIODS * rounds * period_us as f64) as Micros;
+    pub(crate) fn new(now: Micros, accuser: Id, members: usize, period_us: Micros) -> Self {
+        let scale = (members.max(2) as f64).log10().max(1.0);
+        let min_us = (MIN_PERIODS * scale * period_us as f64) as Micros;
         // Neither the suspect nor the first accuser can confirm.
         let max_confirmations = MAX_CONFIRMATIONS.min(members.saturating_sub(2));
         Suspicion {
-            since: now,
+            started_at: now,
             min_us,
             max_us: min_us * MAX_TIMEOUT_FACTOR,
             max_confirmations,
-            by: BTreeSet::from([by]),
+            accusers: BTreeSet::from([accuser]),
         }
     }
 
     /// Records that another member suspects it too. Returns whether that was new.
-    pub(crate) fn confirm(&mut self, by: Id) -> bool {
-        self.by.len() <= self.max_confirmations && self.by.insert(by)
+    pub(crate) fn confirm(&mut self, accuser: Id) -> bool {
+        self.accusers.len() <= self.max_confirmations && self.accusers.insert(accuser)
     }
 
     /// Returns when the suspect is declared dead unless it refutes.
     pub(crate) fn deadline(&self) -> Micros {
-        let confirmations = (self.by.len() - 1).min(self.max_confirmations) as f64;
+        let confirmations = (self.accusers.len() - 1).min(self.max_confirmations) as f64;
         // With nobody to confirm it, there is no reason to wait.
         let share = if self.max_confirmations == 0 {
             1.0
         } else {
             (confirmations + 1.0).ln() / (self.max_confirmations as f64 + 1.0).ln()
         };
-        self.since + self.max_us - ((self.max_us - self.min_us) as f64 * share) as Micros
+        self.started_at + self.max_us - ((self.max_us - self.min_us) as f64 * share) as Micros
     }
 
     /// Extends the timeout by a time in which this process stalled: what it did not receive then says nothing of the
     /// suspect.
-    pub(crate) fn extend(&mut self, by: Micros) {
-        self.since += by;
+    pub(crate) fn extend(&mut self, stall_us: Micros) {
+        self.started_at += stall_us;
     }
 }
--- a/membership/src/swim/claims.rs
+++ b/membership/src/swim/claims.rs
@@ -8,7 +8,7 @@
 
 impl Membership {
     /// Makes a claim about a member from this failure detector's own observation.
-    pub(super) fn claim_own(&mut self, now: Micros, peer: PeerIndex, state: MemberState) {
+    pub(super) fn claim_observed(&mut self, now: Micros, peer: PeerIndex, state: MemberState) {
         let member = &self.members[peer];
         if let (Some(id), Some(claim)) = (member.id, member.claim) {
             let update = Update {
@@ -30,7 +30,7 @@
             return;
         };
         let old = self.members[peer].claim;
-        if !self.members[peer].believe(update.claim) {
+        if !self.members[peer].apply_claim(update.claim) {
             if old == Some(update.claim) {
                 self.confirm_suspicion(peer, update);
             }
--- a/membership/src/swim/mod.rs
+++ b/membership/src/swim/mod.rs
@@ -209,8 +209,8 @@
         self.options.ack_timeout_us * Micros::from(1 + self.health)
     }
 
-    fn degrade_health(&mut self, by: u32) {
-        self.health = (self.health + by).min(self.options.max_health);
+    fn degrade_health(&mut self, penalty: u32) {
+        self.health = (self.health + penalty).min(self.options.max_health);
     }
 
     /// Does what is due by now.
@@ -254,7 +254,7 @@
             .collect();
         for peer in expired {
             self.suspicions.remove(&peer);
-            self.claim_own(now, peer, MemberState::Dead);
+            self.claim_observed(now, peer, MemberState::Dead);
         }
     }
 }
--- a/membership/src/swim/probes.rs
+++ b/membership/src/swim/probes.rs
@@ -87,8 +87,8 @@
             1
         };
         for _ in 0..max_pings.min(self.undiscovered.len()) {
-            let drawn = self.random.below(self.undiscovered.len() as u64) as usize;
-            let peer = self.undiscovered.swap_remove(drawn);
+            let index = self.random.below(self.undiscovered.len() as u64) as usize;
+            let peer = self.undiscovered.swap_remove(index);
             if is_unknown(self, &peer) {
                 self.ping(peer, DISCOVERY_PING_NUMBER);
             }
@@ -139,8 +139,8 @@
             .collect();
         let mut helpers = 0;
         while helpers < self.options.indirect_probes && !candidates.is_empty() {
-            let drawn = self.random.below(candidates.len() as u64) as usize;
-            let helper = candidates.swap_remove(drawn);
+            let index = self.random.below(candidates.len() as u64) as usize;
+            let helper = candidates.swap_remove(index);
             let request = Body::PingRequest {
                 number: probe.number,
                 target,
@@ -163,13 +163,13 @@
         // Helpers report if the member does not answer them. If some report nothing at all, they were not reached or their
         // datagrams were not received, which speaks against this failure detector. The score does not grow with each of
         // them, as one of them may be gone itself and links cut: a detector that waits ever longer would not notice that.
-        let is_suspicious_of_itself = probe
+        let may_be_at_fault = probe
             .helpers
             .is_none_or(|helpers| helpers == 0 || probe.nacks < helpers);
-        if is_suspicious_of_itself {
+        if may_be_at_fault {
             self.degrade_health(1);
         }
-        self.claim_own(now, probe.peer, MemberState::Suspect);
+        self.claim_observed(now, probe.peer, MemberState::Suspect);
     }
 
     /// Receives the acknowledgement of a ping by a member.
@@ -179,9 +179,9 @@
             self.forward_ack(number);
             return;
         }
-        let is_of_probe =
+        let answers_probe =
             |probe: &Probe| probe.number == number && self.members[probe.peer].id == Some(from);
-        if self.probe.as_ref().is_some_and(is_of_probe) {
+        if self.probe.as_ref().is_some_and(answers_probe) {
             self.probe = None;
             self.health = self.health.saturating_sub(1);
         }
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The first bytes of a datagram; the digit is the version of the encoding.
-const MARK: &str = "fleet1";
+const PREFIX: &str = "fleet1";
 /// The most bytes of a name that are sent.
 const MAX_NAME_BYTES: usize = 40;
 
@@ -93,7 +93,7 @@
     /// Encodes the message with as many of its updates as fit.
     pub fn encode(mut self) -> Vec<u8> {
         loop {
-            let mut bytes = MARK.as_bytes().to_vec();
+            let mut bytes = PREFIX.as_bytes().to_vec();
             // Writing to a vector does not fail.
             bytes.extend(postcard::to_stdvec(&self).unwrap_or_default());
             if bytes.len() <= MAX_DATAGRAM_BYTES || self.updates.pop().is_none() {
@@ -107,7 +107,7 @@
     /// # Errors
     /// Fails if the datagram is of another kind or version, or malformed.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
-        match postcard::take_from_bytes::<Message>(payload(bytes, MARK)?) {
+        match postcard::take_from_bytes::<Message>(payload(bytes, PREFIX)?) {
             Ok((message, [])) => Ok(message),
             _ => Err(DecodeError::Malformed),
         }
