--- a/membership/src/gossip.rs
+++ b/membership/src/gossip.rs
@@ -1,4 +1,5 @@
-//! Which updates are sent along with the next datagram: each a bounded number of times, those sent least first.
+//! The selection of updates that are piggybacked on the next datagram. Each update is sent a bounded number of times,
+//! and those sent least often come first.
 
 use crate::wire::Update;
 use crate::Id;
@@ -7,31 +8,31 @@
 #[cfg(test)]
 mod tests;
 
-/// An update is sent this many times the binary logarithm of the number of members, so that few of them miss it.
+/// The number of times that an update is sent, as a multiple of the binary logarithm of the number of members.
 const RETRANSMIT_MULTIPLIER: u32 = 4;
 
-/// An update, and how often it was sent.
+/// An update and how often it was sent.
 #[derive(Clone, Copy, Debug)]
 struct QueuedUpdate {
     update: Update,
     times_sent: u32,
 }
 
-/// The updates that are still passed on, by their subject: a later one replaces an earlier one.
+/// The updates that are still sent, by the member that they are about. A later update replaces an earlier one.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Gossip {
     updates: BTreeMap<Id, QueuedUpdate>,
 }
 
 impl Gossip {
-    /// Adds an update to be passed on.
+    /// Adds an update.
     pub(crate) fn add(&mut self, update: Update) {
         self.updates
             .insert(update.id, QueuedUpdate { update, times_sent: 0 });
     }
 
-    /// Returns up to `max_updates` updates for a datagram, and counts them as sent. One about the receiver itself goes
-    /// first, as the receiver is the one that can refute it.
+    /// Selects up to `max_updates` updates for a datagram, and counts them as sent. An update about the receiver comes
+    /// first, because only the receiver can refute it.
     pub(crate) fn take(
         &mut self,
         max_updates: usize,
--- a/membership/src/gossip/tests.rs
+++ b/membership/src/gossip/tests.rs
@@ -1,4 +1,4 @@
-//! How often and in which order updates are passed on.
+//! Tests of the order in which updates are sent, and of how often.
 
 use super::*;
 use crate::{Claim, MemberState};
@@ -34,6 +34,6 @@
     assert_eq!(
         gossip.take(5, 16, None),
         [update(3, 1)],
-        "the later one alone"
+        "a later update replaces an earlier one"
     );
 }
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -1,22 +1,22 @@
-//! Membership between the proxies of an installation: which of them run.
+//! Membership of the proxies of an installation, and failure detection between them.
 //!
-//! The package is sans-IO. The configuration names the members and their addresses. Which of them run is found out by the
-//! SWIM protocol (probes in random rounds, indirect probes, suspicion that its subject can refute, updates sent along
-//! with the probes) with the extensions of Lifeguard (a suspicion timeout that shrinks as others confirm it, a failure
-//! detector that distrusts itself when it is slow, a suspect that is notified first).
+//! The package is sans-IO. The configuration names the members and their addresses. Failures are detected by the SWIM
+//! protocol: probes in rounds of random order, indirect probes, suspicions that the suspect can refute, and updates
+//! that are piggybacked on the probes. It has the extensions of Lifeguard: a suspicion timeout that shrinks with each
+//! confirmation, a failure detector that waits longer when it is slow itself, and prompt notification of the suspect.
 //!
-//! A process id identifies one run of a member. A later process overrides all claims about an earlier one, so a machine
-//! that comes back, with its disk or without, is not mistaken for the one that died, and an old process that is still
-//! there after its successor has started learns that it was replaced.
+//! A process id identifies one process of a member. Claims about a later process override all claims about an earlier
+//! one. A member that restarts, with its disk or without, is therefore not mistaken for its dead process, and an old
+//! process that still runs after its successor has started learns that it was replaced.
 //!
 //! # Modules
 //!
-//! - `member`: what is believed of each member, and which claim overrides which.
-//! - `suspicion`: how long a suspect has to refute.
-//! - `gossip`: which updates are sent along with the next datagram.
-//! - `swim`: the protocol: probes, datagrams, claims, and the failure detector's own health.
-//! - `options`: times and bounds of the protocol, and counters.
-//! - `wire`: the encoding of datagrams of at most 256 bytes.
+//! - `member`: the state of each member, and the order in which claims override each other.
+//! - `suspicion`: the time that a suspect has to refute.
+//! - `gossip`: the selection of updates that are piggybacked on the next datagram.
+//! - `swim`: the protocol, with probes, datagrams, claims, and the health score of the failure detector.
+//! - `options`: the durations and bounds of the protocol, and counters.
+//! - `wire`: the encoding of datagrams.
 
 mod gossip;
 mod member;
@@ -33,9 +33,9 @@
 
 /// A time or duration in microseconds.
 pub type Micros = u64;
-/// Identifies a member: a hash of its name.
+/// Identifies a member. It is a hash of the member's name.
 pub type Id = u64;
-/// Identifies one process of a member; later processes have greater ids.
+/// Identifies one process of a member. Later processes have greater ids.
 pub type ProcessId = u64;
-/// A member's index in the list of peers, which is each proxy's own.
+/// A member's index in the list of peers, which differs between proxies.
 pub type PeerIndex = usize;
--- a/membership/src/member.rs
+++ b/membership/src/member.rs
@@ -1,41 +1,41 @@
-//! What is believed of each member, and which claim overrides which.
+//! The state of each member, and the order in which claims override each other.
 
 use crate::{Id, PeerIndex, ProcessId};
 use serde::{Deserialize, Serialize};
 
-/// The state of a member, in the order in which claims of one process and incarnation override each other.
+/// The state of a member. Among claims about one process and incarnation, the greater state overrides the lesser.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It runs.
+    /// It is running.
     Alive,
-    /// It did not answer, and may still refute.
+    /// It did not answer a probe, and can still refute the suspicion.
     Suspect,
-    /// It did not refute in time.
+    /// It did not refute the suspicion in time.
     Dead,
     /// It announced its shutdown.
     Left,
 }
 
-/// A claim about a member. A claim on a later process overrides all others; in one process that of the higher incarnation,
-/// which the member alone may raise; in one incarnation the greater state.
+/// A claim about a member. A claim about a later process overrides those about earlier ones, then a higher incarnation
+/// overrides a lower one, then a greater state a lesser one. Only the member itself raises its incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Claim {
     /// The member's process.
     pub process: ProcessId,
-    /// How often the member has refuted in that process.
+    /// The number of refutations by that process.
     pub incarnation: u32,
-    /// The state that is claimed.
+    /// The claimed state.
     pub state: MemberState,
 }
 
-/// A change of what is believed of a member.
+/// A change of a member's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Change {
     /// The member.
     pub peer: PeerIndex,
-    /// The claim before; `None` if nothing was known of the member.
+    /// The previous claim; `None` if nothing was known of the member.
     pub old: Option<Claim>,
-    /// The claim that is believed now.
+    /// The current claim.
     pub new: Claim,
 }
 
@@ -48,19 +48,19 @@
     pub machine: String,
 }
 
-/// A member as this proxy sees it.
+/// A member as seen by this proxy.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Member {
-    /// Its id; `None` if nothing was ever received from it.
+    /// Its id; `None` if nothing has been received from it yet.
     pub id: Option<Id>,
-    /// Its names, as it reports them.
+    /// The names that it reports.
     pub names: Option<Names>,
-    /// The claim that is believed of it.
+    /// The current claim about it.
     pub claim: Option<Claim>,
 }
 
 impl Member {
-    /// Returns whether it is believed to run. A suspect is, until its suspicion times out.
+    /// Returns whether it is believed to be up. A suspect is until its suspicion times out.
     pub fn is_up(&self) -> bool {
         matches!(
             self.claim,
@@ -71,7 +71,7 @@
         )
     }
 
-    /// Believes a claim if it overrides the one before. Returns whether it did.
+    /// Replaces the current claim if the given one overrides it. Returns whether it did.
     pub(crate) fn apply_claim(&mut self, claim: Claim) -> bool {
         let overrides = Some(claim) > self.claim;
         if overrides {
--- a/membership/src/options.rs
+++ b/membership/src/options.rs
@@ -2,22 +2,22 @@
 
 use crate::Micros;
 
-/// Times and bounds of the protocol.
+/// Durations and bounds of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// The protocol period: one member is probed in each.
+    /// The protocol period. One member is probed in each period.
     pub protocol_period_us: Micros,
-    /// The time after which a probe that was not answered is continued by indirect probes.
+    /// The time after which indirect probes are requested for a probe that was not acknowledged.
     pub ack_timeout_us: Micros,
-    /// How many other members are asked for an indirect probe.
+    /// The number of members that are asked for an indirect probe.
     pub indirect_probes: usize,
-    /// The greatest health score; see [`crate::Membership::health`].
+    /// The maximum health score; see [`crate::Membership::health`].
     pub max_health: u32,
-    /// Members that are dead or have left are probed in one of so many rounds, as they may be back.
+    /// Members that are dead or have left are probed in one of this many rounds on average, to detect their return.
     pub dead_probe_interval: u64,
-    /// The most pending pings on behalf of other members.
+    /// The maximum number of pending pings on behalf of other members.
     pub max_indirect_probes: usize,
-    /// The most members never heard of that are greeted in one period, in addition to the probe.
+    /// The maximum number of discovery pings in one period while there are members that have not been sent one yet.
     pub discovery_pings_per_period: usize,
 }
 
@@ -38,13 +38,13 @@
 /// Counters for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Probes begun.
+    /// Probes started.
     pub probes: u64,
-    /// Probes that were not answered in any way.
+    /// Probes that were neither acknowledged directly nor indirectly.
     pub failed: u64,
-    /// Suspicions of itself that it refuted.
+    /// Claims about this member that it refuted.
     pub refuted: u64,
-    /// How often it detected that it had stalled.
+    /// Detected stalls of this process.
     pub stalls: u64,
     /// Datagrams that could not be decoded.
     pub unreadable: u64,
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -1,23 +1,23 @@
-//! The encoding of datagrams: a mark with the version, then a message by postcard. A datagram has at most 256 bytes, the
-//! bound of what proxies may send each other on any installation.
+//! The encoding of datagrams: a prefix with the version, then a message in postcard format. A datagram has at most
+//! [`MAX_DATAGRAM_BYTES`].
 //!
-//! Postcard encodes fields and variants by their order alone, so that the order of both must never change.
+//! Postcard encodes fields and variants by their order alone, so the order of both must never change.
 
 use crate::{Claim, Id, Names, ProcessId};
 use linnetknot_datagram::{payload, DecodeError, MAX_DATAGRAM_BYTES};
 use serde::{Deserialize, Serialize};
 
-/// The first bytes of a datagram; the digit is the version of the encoding.
+/// The first bytes of a datagram. The digit is the version of the encoding.
 const PREFIX: &str = "fleet1";
-/// The most bytes of a name that are sent.
+/// The maximum length of a name that is sent. Longer names are truncated.
 const MAX_NAME_BYTES: usize = 40;
 
-/// A claim about a member, and who makes it.
+/// A claim about a member and the member that makes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// The member.
+    /// The member that the claim is about.
     pub id: Id,
-    /// The member that observed it: two that suspect a member confirm each other.
+    /// The member that makes the claim. Suspicions by different observers confirm each other.
     pub observer: Id,
     /// The claim.
     pub claim: Claim,
@@ -41,14 +41,14 @@
     Ping {
         /// The number that the acknowledgement repeats.
         number: u32,
-        /// Whether the acknowledgement shall contain the receiver's names.
+        /// Whether the acknowledgement must contain the receiver's names.
         names: bool,
     },
     /// Acknowledges a ping, or forwards the acknowledgement of an indirect probe.
     Ack {
-        /// The number of the ping or of the request.
+        /// The number of the ping, or of the request for an indirect probe.
         number: u32,
-        /// The member that acknowledged, if that is not the sender.
+        /// The member that acknowledged the ping, if it is not the sender.
         of: Option<Id>,
         /// The sender's names, if they were requested.
         names: Option<Names>,
@@ -76,11 +76,11 @@
     pub from: Sender,
     /// The body.
     pub body: Body,
-    /// Updates sent along.
+    /// Piggybacked updates.
     pub updates: Vec<Update>,
 }
 
-/// Returns a name cut to the length that is sent.
+/// Returns a name, truncated to the maximum length at a character boundary.
 pub(crate) fn truncated(name: &str) -> String {
     let end = (0..=MAX_NAME_BYTES.min(name.len()))
         .rev()
@@ -94,7 +94,7 @@
     pub fn encode(mut self) -> Vec<u8> {
         loop {
             let mut bytes = PREFIX.as_bytes().to_vec();
-            // Writing to a vector does not fail.
+            // Encoding to a vector never fails.
             bytes.extend(postcard::to_stdvec(&self).unwrap_or_default());
             if bytes.len() <= MAX_DATAGRAM_BYTES || self.updates.pop().is_none() {
                 return bytes;
@@ -105,7 +105,7 @@
     /// Decodes a message.
     ///
     /// # Errors
-    /// Fails if the datagram is of another kind or version, or malformed.
+    /// Fails if the datagram belongs to another protocol, has another version, or is malformed.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         match postcard::take_from_bytes::<Message>(payload(bytes, PREFIX)?) {
             Ok((message, [])) => Ok(message),
