--- a/budgets/src/election.rs
+++ b/budgets/src/election.rs
@@ -187,7 +187,10 @@
             self.refusals.remove(&voter);
             self.votes.add(
                 voter,
-                sent_at + self.options.shortened_by_drift(self.options.vote_duration_us),
+                sent_at
+                    + self
+                        .options
+                        .shortened_by_drift(self.options.vote_duration_us),
             );
             return;
         }
--- a/budgets/src/ledger/tests.rs
+++ b/budgets/src/ledger/tests.rs
@@ -41,8 +41,7 @@
 }
 
 #[test]
-fn a_smaller_lease_counts_once_in_force_and_earlier_spending_until_it_settles(
-) {
+fn a_smaller_lease_counts_once_in_force_and_earlier_spending_until_it_settles() {
     let mut ledger = Ledger::default();
     assert_eq!(
         submit(&mut ledger, 0, request(1, 1, 1, 0, 0), 80, 100),
--- a/budgets/tests/fleet.rs
+++ b/budgets/tests/fleet.rs
@@ -48,7 +48,8 @@
 
 impl Node {
     fn clock(&self, now: Micros) -> Micros {
-        self.clock_offset_us + (now as i64 + now as i64 * self.clock_drift_ppm / 1_000_000) as Micros
+        self.clock_offset_us
+            + (now as i64 + now as i64 * self.clock_drift_ppm / 1_000_000) as Micros
     }
 
     /// Returns the unsettled amount of a budget.
@@ -188,7 +189,11 @@
         for budget in (0..self.specs.len()).filter(|budget| self.specs[*budget].settling_us > 0) {
             let settling_us = self.specs[budget].settling_us;
             let node = &mut self.nodes[n];
-            let Some(member) = node.member.as_ref().filter(|_| node.stalled_inbox.is_none()) else {
+            let Some(member) = node
+                .member
+                .as_ref()
+                .filter(|_| node.stalled_inbox.is_none())
+            else {
                 return;
             };
             let lease = member
@@ -275,7 +280,8 @@
                 self.links.now
             );
             let now = self.links.now;
-            let amount = |n: &Node| n.unsettled(now, budget) + unsettled(&n.earlier_spent[budget], now);
+            let amount =
+                |n: &Node| n.unsettled(now, budget) + unsettled(&n.earlier_spent[budget], now);
             let unsettled: Amount = self.nodes.iter().map(amount).sum();
             assert!(
                 unsettled <= limit,
@@ -296,7 +302,10 @@
             let now = self.links.now;
             // The time at which a member's next tick is due.
             let due = |(n, node): (usize, &Node)| {
-                let member = node.member.as_ref().filter(|_| node.stalled_inbox.is_none())?;
+                let member = node
+                    .member
+                    .as_ref()
+                    .filter(|_| node.stalled_inbox.is_none())?;
                 Some(Timed {
                     at: now + member.due().saturating_sub(node.clock(now)),
                     event: n,
@@ -426,7 +435,10 @@
             let pause = fleet.links.draw(1_500 * MS);
             fleet.run(pause);
         }
-        highest = (fleet.peak[0].0.max(highest.0), fleet.peak[0].1.max(highest.1));
+        highest = (
+            fleet.peak[0].0.max(highest.0),
+            fleet.peak[0].1.max(highest.1),
+        );
     }
     assert!(
         highest.0 > 900 && highest.1 > 900,
@@ -449,7 +461,12 @@
         (1..nodes).for_each(|n| fleet.demand(n, 0));
         fleet.run(2 * S);
         let clock = fleet.nodes[0].clock(fleet.links.now);
-        let lease = fleet.nodes[0].member.as_ref().unwrap().lease(clock, 0).amount;
+        let lease = fleet.nodes[0]
+            .member
+            .as_ref()
+            .unwrap()
+            .lease(clock, 0)
+            .amount;
         let reserved_total = 100 * nodes as u64;
         assert!(
             lease >= (100_000 - reserved_total) * 94 / 100,
@@ -484,7 +501,9 @@
         let (mut fleet, allocator) = fleet_with_allocator(5, seed, &specs());
         // The allocator is in the minority.
         let other = (allocator + 1) % 5;
-        fleet.links.partition(fleet.nodes.len(), &[allocator, other]);
+        fleet
+            .links
+            .partition(fleet.nodes.len(), &[allocator, other]);
         for n in 0..5 {
             let in_minority = |m: usize| m == allocator || m == other;
             let beliefs: Vec<bool> = (0..5).map(|m| in_minority(m) == in_minority(n)).collect();
@@ -586,7 +605,10 @@
             for n in 0..nodes {
                 let beliefs: Vec<bool> = (0..nodes).map(|m| m == n || seed % 3 == 1).collect();
                 fleet.nodes[n].process += 1;
-                let (process, clock) = (fleet.nodes[n].process, fleet.nodes[n].clock(fleet.links.now));
+                let (process, clock) = (
+                    fleet.nodes[n].process,
+                    fleet.nodes[n].clock(fleet.links.now),
+                );
                 let mut member = Member::new(
                     MemberProcess { member: n, process },
                     nodes,
@@ -615,10 +637,17 @@
             let allocator = fleet.allocator(0);
             longest_us = longest_us.max(fleet.links.now - started_at);
             fleet.run(10 * S);
-            assert_eq!(fleet.allocator(0), allocator, "{nodes} members, seed {seed}");
+            assert_eq!(
+                fleet.allocator(0),
+                allocator,
+                "{nodes} members, seed {seed}"
+            );
         }
     }
-    assert!(longest_us <= 10 * S, "the longest election took {longest_us} us");
+    assert!(
+        longest_us <= 10 * S,
+        "the longest election took {longest_us} us"
+    );
 }
 
 /// Guards against an allocator that is elected before spending under the leases of its predecessor has settled.
@@ -648,10 +677,16 @@
         }
         fleet.run(14 * S);
         assert!(
-            fleet.allocator(0).is_some_and(|successor| successor != allocator),
+            fleet
+                .allocator(0)
+                .is_some_and(|successor| successor != allocator),
             "seed {seed}"
         );
-        assert!(fleet.in_force(0) > 90_000, "seed {seed}: {}", fleet.in_force(0));
+        assert!(
+            fleet.in_force(0) > 90_000,
+            "seed {seed}: {}",
+            fleet.in_force(0)
+        );
         assert!(fleet.peak[0].1 > 900, "seed {seed}: {:?}", fleet.peak);
     }
 }
@@ -679,7 +714,11 @@
             fleet.run(pause);
         }
         fleet.run(6 * S);
-        assert!(fleet.in_force(0) > 90_000, "seed {seed}: {}", fleet.in_force(0));
+        assert!(
+            fleet.in_force(0) > 90_000,
+            "seed {seed}: {}",
+            fleet.in_force(0)
+        );
     }
 }
 
@@ -821,7 +860,9 @@
 fn takeover_ms(mut fleet: Fleet) -> Micros {
     (1..fleet.nodes.len()).for_each(|n| fleet.demand(n, 0));
     let started_at = fleet.links.now;
-    while leased(&fleet, 0) < FIGURES_LIMIT * 3 / 4 * 9 / 10 && fleet.links.now < started_at + 20 * S {
+    while leased(&fleet, 0) < FIGURES_LIMIT * 3 / 4 * 9 / 10
+        && fleet.links.now < started_at + 20 * S
+    {
         fleet.run(50 * MS);
     }
     (fleet.links.now - started_at) / MS
--- a/budgets/tests/model.rs
+++ b/budgets/tests/model.rs
@@ -224,7 +224,8 @@
                 actions.push(Action::Stall(n));
             }
             if state.restarts < self.max_faults {
-                actions.extend([true, false].map(|believes_alone| Action::Restart(n, believes_alone)));
+                actions
+                    .extend([true, false].map(|believes_alone| Action::Restart(n, believes_alone)));
             }
         }
     }
@@ -244,8 +245,8 @@
             }
             Action::Restart(n, believes_alone) => {
                 state.restarts += 1;
-                let process =
-                    state.nodes[n].process + u64::from(self.planted_bug != PlantedBug::ReusesProcessId);
+                let process = state.nodes[n].process
+                    + u64::from(self.planted_bug != PlantedBug::ReusesProcessId);
                 let now = if self.planted_bug == PlantedBug::VotesAtStart {
                     0
                 } else {
@@ -302,7 +303,12 @@
 
 /// Checks long random walks from a fixed seed.
 fn random_walks(planted_bug: PlantedBug, states: usize) -> Vec<&'static str> {
-    let checker = LeaseModel { planted_bug, max_faults: 3 }.checker().threads(1);
+    let checker = LeaseModel {
+        planted_bug,
+        max_faults: 3,
+    }
+    .checker()
+    .threads(1);
     let checker = checker.target_max_depth(300).target_state_count(states);
     let checker = checker
         .finish_when(HasDiscoveries::AnyFailures)
@@ -325,25 +331,47 @@
         .spawn_bfs()
         .join();
     let discoveries = discoveries("breadth-first search", &checker);
-    assert!(!discoveries.iter().any(|name| SAFETY_PROPERTIES.contains(name)), "{discoveries:?}");
+    assert!(
+        !discoveries
+            .iter()
+            .any(|name| SAFETY_PROPERTIES.contains(name)),
+        "{discoveries:?}"
+    );
     assert!(checker.max_depth() >= 6, "{}", checker.max_depth());
 }
 
 #[test]
 fn random_walks_find_no_violation_and_leases_are_granted_after_a_restart() {
     let discoveries = random_walks(PlantedBug::None, 2_000_000);
-    assert!(!discoveries.iter().any(|name| SAFETY_PROPERTIES.contains(name)), "{discoveries:?}");
-    for expected in ["leases are granted after a restart", "the allocator changes"] {
-        assert!(discoveries.contains(&expected), "{expected}: {discoveries:?}");
+    assert!(
+        !discoveries
+            .iter()
+            .any(|name| SAFETY_PROPERTIES.contains(name)),
+        "{discoveries:?}"
+    );
+    for expected in [
+        "leases are granted after a restart",
+        "the allocator changes",
+    ] {
+        assert!(
+            discoveries.contains(&expected),
+            "{expected}: {discoveries:?}"
+        );
     }
 }
 
 #[test]
 fn each_planted_bug_is_detected() {
-    for planted_bug in [PlantedBug::VotesAtStart, PlantedBug::ReusesProcessId, PlantedBug::AssumesDelivery] {
+    for planted_bug in [
+        PlantedBug::VotesAtStart,
+        PlantedBug::ReusesProcessId,
+        PlantedBug::AssumesDelivery,
+    ] {
         let discoveries = random_walks(planted_bug, 4_000_000);
         assert!(
-            discoveries.iter().any(|name| SAFETY_PROPERTIES.contains(name)),
+            discoveries
+                .iter()
+                .any(|name| SAFETY_PROPERTIES.contains(name)),
             "{planted_bug:?}: {discoveries:?}"
         );
     }
--- a/membership/src/gossip.rs
+++ b/membership/src/gossip.rs
@@ -27,8 +27,13 @@
 impl Gossip {
     /// Adds an update.
     pub(crate) fn add(&mut self, update: Update) {
-        self.updates
-            .insert(update.id, QueuedUpdate { update, times_sent: 0 });
+        self.updates.insert(
+            update.id,
+            QueuedUpdate {
+                update,
+                times_sent: 0,
+            },
+        );
     }
 
     /// Selects up to `max_updates` updates for a datagram, and counts them as sent. An update about the receiver comes
--- a/membership/src/gossip/tests.rs
+++ b/membership/src/gossip/tests.rs
@@ -28,7 +28,10 @@
             .for_each(|update| *times_sent.entry(update.id).or_insert(0) += 1);
     }
     assert_eq!(gossip.updates.len(), 0);
-    assert!(times_sent.values().all(|n| (17..=20).contains(n)), "{times_sent:?}");
+    assert!(
+        times_sent.values().all(|n| (17..=20).contains(n)),
+        "{times_sent:?}"
+    );
     gossip.add(update(3, 0));
     gossip.add(update(3, 1));
     assert_eq!(
--- a/membership/src/swim/claims.rs
+++ b/membership/src/swim/claims.rs
@@ -38,8 +38,12 @@
         }
         self.suspicions.remove(&peer);
         if update.claim.state == MemberState::Suspect {
-            let suspicion =
-                Suspicion::new(now, update.observer, self.up(), self.options.protocol_period_us);
+            let suspicion = Suspicion::new(
+                now,
+                update.observer,
+                self.up(),
+                self.options.protocol_period_us,
+            );
             self.suspicions.insert(peer, suspicion);
         }
         // Each member finds out by itself that another is there, and ignores claims about those that it has not heard of.
@@ -108,6 +112,10 @@
             incarnation,
             state: MemberState::Alive,
         };
-        self.gossip.add(Update { id, observer: id, claim });
+        self.gossip.add(Update {
+            id,
+            observer: id,
+            claim,
+        });
     }
 }
--- a/origin-health/src/lib.rs
+++ b/origin-health/src/lib.rs
@@ -137,7 +137,8 @@
     fn receive_report(&mut self, now: Micros, from: SocketAddr, report: Report) {
         // A sender whose clock was set back starts at an earlier time than its process before.
         let has_restarted = |last: &LastReport| {
-            last.report.started_at != report.started_at && now >= last.received_at + REPORT_LIFETIME_US
+            last.report.started_at != report.started_at
+                && now >= last.received_at + REPORT_LIFETIME_US
         };
         let is_news = |last: &LastReport| report.is_newer_than(&last.report) || has_restarted(last);
         if self.last.get(&from).is_some_and(|last| !is_news(last)) {
@@ -181,7 +182,11 @@
 
     /// Records that a response of the origin was late and which share of its requests this proxy still sends there.
     /// Returns the datagram for all peers, unless the share is not low or a report was sent from this zone just now.
-    pub fn record_late_response(&mut self, now: Micros, origin_share: f64) -> Option<[u8; REPORT_BYTES]> {
+    pub fn record_late_response(
+        &mut self,
+        now: Micros,
+        origin_share: f64,
+    ) -> Option<[u8; REPORT_BYTES]> {
         let next_at = self.sent_at.map_or(0, |at| at + MIN_REPORT_INTERVAL_US);
         if origin_share > MAX_REPORTED_SHARE || now < next_at {
             return None;
--- a/origin-health/tests/reports.rs
+++ b/origin-health/tests/reports.rs
@@ -139,7 +139,11 @@
 #[test]
 fn a_proxy_reports_a_slow_origin_seldom_and_not_when_its_zone_just_has() {
     let mut health = origin_health();
-    assert_eq!(health.record_late_response(T0, 0.9), None, "the origin is not slow");
+    assert_eq!(
+        health.record_late_response(T0, 0.9),
+        None,
+        "the origin is not slow"
+    );
     let first = Report::decode(&health.record_late_response(T0, 0.2).unwrap()).unwrap();
     assert_eq!((first.number, first.zone), (1, 1));
     assert_eq!(health.record_late_response(T0 + 499 * MS, 0.1), None);
@@ -152,7 +156,11 @@
         "another zone's report does not stand for this one's"
     );
     health.receive(at + 600 * MS, peer(2), &report(1, 0.2, 1).encode());
-    assert_eq!(health.record_late_response(at + 600 * MS, 0.1), None, "its zone's does");
+    assert_eq!(
+        health.record_late_response(at + 600 * MS, 0.1),
+        None,
+        "its zone's does"
+    );
     assert_eq!(
         (health.counters().sent, health.counters().suppressed),
         (3, 1)
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -80,7 +80,9 @@
 /// A list; empty by default.
 pub fn list<'a>(m: &'a Fields, key: &str) -> Result<&'a [Value]> {
     get(m, key).map_or(Ok(&[][..]), |v| {
-        v.as_array().map(Vec::as_slice).ok_or_else(|| wrong_type(key))
+        v.as_array()
+            .map(Vec::as_slice)
+            .ok_or_else(|| wrong_type(key))
     })
 }
 
@@ -225,7 +227,10 @@
     let mut zones = Vec::new();
     for (i, v) in list(m, "localities")?.iter().enumerate() {
         zones.push(w::Zone {
-            name: v.as_str().ok_or_else(|| wrong_type("localities"))?.to_owned(),
+            name: v
+                .as_str()
+                .ok_or_else(|| wrong_type("localities"))?
+                .to_owned(),
             routers: list_item(family, "seats-by-zone", i, as_int)?.unwrap_or(1) as u32,
             hub: list_item(family, "attached-to", i, as_int)?.unwrap_or(0) as usize,
             link_kb_per_s: list_item(family, "zone-link-kb-per-s", i, Value::as_f64)?
