--- a/budgets/src/ledger/tests.rs
+++ b/budgets/src/ledger/tests.rs
@@ -27,28 +27,27 @@
     }
 }
 
-/// Requests so much of a hundred, until a time.
+/// Records a request and grants `target` of a leasable amount of 100. Returns `None` if the request is outdated.
 fn submit(
     ledger: &mut Ledger,
     now: Micros,
     Submission { from, request }: Submission,
     target: Amount,
-    until: Micros,
+    settled_at: Micros,
 ) -> Option<Amount> {
     ledger
         .record(now, from, &request)
-        .then(|| ledger.grant(from, &request, target, 100, until))
+        .then(|| ledger.grant(from, &request, target, 100, settled_at))
 }
 
 #[test]
-fn a_smaller_lease_counts_once_its_holder_has_taken_it_and_what_it_spent_before_as_long_as_it_is_unsettled(
-) {
+fn a_smaller_lease_counts_once_in_force_and_earlier_spending_until_it_settles() {
     let mut ledger = Ledger::default();
     assert_eq!(
         submit(&mut ledger, 0, request(1, 1, 1, 0, 0), 80, 100),
         Some(80)
     );
-    // It wants less and has 50 out; whether it has received the smaller lease is not known.
+    // Holder 1 demands less and has 50 unsettled. It is not known whether it has received the smaller lease.
     assert_eq!(
         submit(&mut ledger, 10, request(1, 1, 2, 1, 50), 10, 110),
         Some(10)
@@ -60,7 +59,7 @@
         ),
         (80, Some(20))
     );
-    // It has, and 50 are unsettled still, until the first lease would have been over.
+    // Holder 1 has received the smaller lease, but 50 are still unsettled under the first one.
     assert_eq!(
         submit(&mut ledger, 20, request(1, 1, 3, 2, 50), 10, 120),
         Some(10)
@@ -86,7 +85,7 @@
 }
 
 #[test]
-fn a_request_that_was_overtaken_gives_nothing_up_and_gets_nothing() {
+fn an_outdated_request_is_ignored_and_changes_no_grant() {
     let mut ledger = Ledger::default();
     submit(&mut ledger, 0, request(1, 1, 1, 0, 0), 30, 100);
     submit(&mut ledger, 0, request(1, 1, 2, 1, 0), 60, 100);
@@ -100,13 +99,13 @@
 }
 
 #[test]
-fn what_a_process_before_may_have_spent_comes_on_top() {
+fn grants_to_an_earlier_process_count_in_addition() {
     let mut ledger = Ledger::default();
     assert_eq!(
         submit(&mut ledger, 0, request(1, 1, 7, 0, 0), 60, 100),
         Some(60)
     );
-    // The next process gives the same numbers, and knows nothing of the one before.
+    // The next process names a lease of the previous process as its current one, which must be ignored.
     assert_eq!(
         submit(&mut ledger, 50, request(1, 2, 8, 7, 0), 60, 150),
         Some(40)
--- a/budgets/src/options.rs
+++ b/budgets/src/options.rs
@@ -1,27 +1,27 @@
-//! Times and bounds of the protocol.
+//! Durations and bounds of the protocol.
 
 use crate::Micros;
 
-/// Times and bounds of the protocol, the same at all members.
+/// Durations and bounds of the protocol. All members must use the same ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Options {
-    /// How long a vote lasts.
-    pub vote_us: Micros,
-    /// How long a lease lasts at most.
-    pub lease_us: Micros,
-    /// The interval between two requests for votes, and for leases.
+    /// The duration of a vote.
+    pub vote_duration_us: Micros,
+    /// The maximum duration of a lease.
+    pub max_lease_us: Micros,
+    /// The interval between two vote requests of a candidate, and between two lease requests for a budget.
     pub request_interval_us: Micros,
-    /// How far two clocks may drift apart, in millionths of the time that passes.
+    /// The maximum drift of one clock from true time, in parts per million.
     pub drift_ppm: u64,
-    /// The number of groups. Each group of budgets elects an allocator of its own.
+    /// The number of groups of budgets. Each group elects its own allocator.
     pub groups: usize,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Options {
-            vote_us: 2_000_000,
-            lease_us: 1_000_000,
+            vote_duration_us: 2_000_000,
+            max_lease_us: 1_000_000,
             request_interval_us: 200_000,
             drift_ppm: 1_000,
             groups: 4,
@@ -30,26 +30,30 @@
 }
 
 impl Options {
-    /// The most that two clocks drift apart in a time, rounded up. Each may drift in its own direction.
-    fn max_drift(&self, us: Micros) -> Micros {
-        us.saturating_mul(2 * self.drift_ppm) / 1_000_000 + 1
+    /// Returns the maximum difference that builds up between two clocks in a duration, rounded up. The factor of two
+    /// allows for clocks that drift in opposite directions.
+    fn max_drift(&self, duration_us: Micros) -> Micros {
+        duration_us.saturating_mul(2 * self.drift_ppm) / 1_000_000 + 1
     }
 
-    /// Shortens a time that another member counts too, so that it is over here first.
-    pub(crate) fn shortened_by_drift(&self, us: Micros) -> Micros {
-        us.saturating_sub(self.max_drift(us))
+    /// Shortens a duration that another member counts too, so that it ends here first.
+    pub(crate) fn shortened_by_drift(&self, duration_us: Micros) -> Micros {
+        duration_us.saturating_sub(self.max_drift(duration_us))
     }
 
-    /// Extends a time that another member counts too, so that it is over there first.
-    pub(crate) fn extended_by_drift(&self, us: Micros) -> Micros {
-        us.saturating_add(self.max_drift(us))
+    /// Extends a duration that another member counts too, so that it ends there first.
+    pub(crate) fn extended_by_drift(&self, duration_us: Micros) -> Micros {
+        duration_us.saturating_add(self.max_drift(duration_us))
     }
 
-    /// Returns these options for budgets with a settling time: votes outlast a lease and what is unsettled of it.
+    /// Returns these options with votes that outlast a lease and its settling time.
     pub fn with_settling_time(self, settling_us: Micros) -> Self {
-        let vote_us = self
-            .vote_us
+        let vote_duration_us = self
+            .vote_duration_us
             .saturating_add(self.extended_by_drift(settling_us));
-        Options { vote_us, ..self }
+        Options {
+            vote_duration_us,
+            ..self
+        }
     }
 }
--- a/daemon/src/interconnect/budgets.rs
+++ b/daemon/src/interconnect/budgets.rs
@@ -149,7 +149,7 @@
 
     /// What caches in slow start take: of the parents, and of the caches of each zone.
     fn slow_start_budgets(&self, settings: &Settings, members: usize) -> Vec<Shared> {
-        let limit = kinds::CACHES.unit.one();
+        let limit = kinds::CACHES.unit.scale();
         let spec = BudgetSpec {
             limit,
             reserved: (self.cold_reserved * limit as f64 / members as f64) as u64,
@@ -176,7 +176,7 @@
             reserved: self.reserved,
             settling_us: deadlines.max().unwrap_or(0),
         };
-        spec.shared(members)
+        spec.leasable_amount(members)
             .map_err(|source| InterconnectError::OriginLimit {
                 limit: spec.limit,
                 source,
--- a/membership/src/swim/claims.rs
+++ b/membership/src/swim/claims.rs
@@ -8,12 +8,12 @@
 
 impl Membership {
     /// Makes a claim about a member from this failure detector's own observation.
-    pub(super) fn claim_own(&mut self, now: Micros, peer: PeerIndex, state: MemberState) {
+    pub(super) fn claim_observed(&mut self, now: Micros, peer: PeerIndex, state: MemberState) {
         let member = &self.members[peer];
         if let (Some(id), Some(claim)) = (member.id, member.claim) {
             let update = Update {
                 id,
-                by: self.own.id,
+                observer: self.own.id,
                 claim: Claim { state, ..claim },
             };
             self.receive_claim(now, update);
@@ -30,7 +30,7 @@
             return;
         };
         let old = self.members[peer].claim;
-        if !self.members[peer].believe(update.claim) {
+        if !self.members[peer].apply_claim(update.claim) {
             if old == Some(update.claim) {
                 self.confirm_suspicion(peer, update);
             }
@@ -38,7 +38,12 @@
         }
         self.suspicions.remove(&peer);
         if update.claim.state == MemberState::Suspect {
-            let suspicion = Suspicion::new(now, update.by, self.up(), self.options.period_us);
+            let suspicion = Suspicion::new(
+                now,
+                update.observer,
+                self.up(),
+                self.options.protocol_period_us,
+            );
             self.suspicions.insert(peer, suspicion);
         }
         // Each member finds out by itself that another is there, and ignores claims about those that it has not heard of.
@@ -59,7 +64,7 @@
             return;
         }
         let suspicion = self.suspicions.get_mut(&peer);
-        if suspicion.is_some_and(|suspicion| suspicion.confirm(update.by)) {
+        if suspicion.is_some_and(|suspicion| suspicion.confirm(update.observer)) {
             self.gossip.add(update);
         }
     }
@@ -107,6 +112,10 @@
             incarnation,
             state: MemberState::Alive,
         };
-        self.gossip.add(Update { id, by: id, claim });
+        self.gossip.add(Update {
+            id,
+            observer: id,
+            claim,
+        });
     }
 }
--- a/membership/tests/predecessor.rs
+++ b/membership/tests/predecessor.rs
@@ -46,11 +46,11 @@
         },
         updates: vec![Update {
             id: OWN_ID,
-            by: PEER_ID,
+            observer: PEER_ID,
             claim,
         }],
     }
-    .write()
+    .encode()
 }
 
 fn receive(membership: &mut Membership, now: Micros, process: ProcessId) {
