--- a/rehearse/tests/purges.rs
+++ b/rehearse/tests/purges.rs
@@ -113,7 +113,7 @@
             group: GROUP,
             size_kb: 400.0,
             remaining_us: 5 * S,
-            repeated: false,
+            is_retry: false,
         };
         let mut actions = Vec::new();
         self.router
@@ -147,7 +147,7 @@
         } else {
             Note::Filled
         };
-        let ended = Event::Outcome {
+        let ended = Event::AttemptEnded {
             request: id,
             attempt: 0,
             server,
@@ -155,7 +155,7 @@
             took_us: S / 5,
             settled: true,
             note,
-            waited_us: 0,
+            first_byte_us: 0,
             load: None,
         };
         self.router.handle(now + S / 5, ended, &mut Vec::new());
@@ -172,9 +172,9 @@
         work_us: S / 10,
         kb: 400,
         source: (fill.source != server).then(|| name(fill.source).to_owned()),
-        keep: fill.keep,
+        keep: fill.cache_rank,
         max_age_us: fill.max_age_us.unwrap_or(u64::MAX),
-        join: fill.join,
+        join: fill.coalesce,
         ..Fetch::default()
     }
 }
@@ -294,11 +294,11 @@
 fn bare() -> Fill {
     Fill {
         source: 0,
-        keep: 1,
+        cache_rank: 1,
         max_age_us: None,
-        join: true,
-        only_held: false,
+        coalesce: true,
+        only_if_cached: false,
         bypass_parent: false,
-        renew: false,
+        background_refresh: false,
     }
 }
--- a/src/router/slow_start.rs
+++ b/src/router/slow_start.rs
@@ -1,62 +1,62 @@
-//! Slow start: a server that has just started gets no more than it can bear while it warms up, from all routers
-//! together.
+//! Slow start: limits the load that all routers together send to a server that has recently started.
 
 use super::state::{Endpoint, Role};
 use super::Router;
-use crate::hashing::share_of;
+use crate::hashing::hash_to_unit;
 use crate::interface::{Budget, Micros, ServerId, State};
-use crate::ramp::{Ramp, GOLDEN};
+use crate::ramp::{Ramp, GOLDEN_RATIO_CONJUGATE};
 use linnetknot_purges::hashing::mix;
 
-/// Used share of a warming server's budget: the rest is slack for chance.
+/// Usable fraction of a warming server's budget; the rest absorbs random variation.
 const SLOW_START_UTILISATION: f64 = 0.55;
 
-/// What a server may be sent within the rule's window while it warms up, in seconds of transfer.
+/// Slow-start budget of a server within the window of the overload rule, in seconds of transfer.
 pub(super) struct SlowStartBudget {
-    /// By all routers together.
+    /// Limit for all routers together.
     limit_s: f64,
-    /// What was sent from here.
-    spent_s: f64,
+    /// Load sent by this router.
+    used_s: f64,
 }
 
 impl Router {
-    /// Share of its capacity that a server is sure to have, in a line from its share at the start.
+    /// Returns the guaranteed growth of a server's capacity after its start.
     fn ramp_of(&self, server: &Endpoint) -> Ramp {
         let rules = &self.settings.rules;
         match server.role {
             Role::Parent => Ramp {
-                share: rules.parent_slow_start_share,
+                initial_share: rules.parent_slow_start_share,
                 duration_us: rules.parent_slow_start_us,
             },
             Role::Cache | Role::Origin => Ramp {
-                share: rules.slow_start_share,
+                initial_share: rules.slow_start_share,
                 duration_us: rules.slow_start_us,
             },
         }
     }
 
-    /// Share of its capacity that a server has at a time; 1: it is warm.
+    /// Returns the share of its capacity that a server has at a time; 1 once it is warm.
     pub(super) fn warmth(&self, server: &Endpoint, at: Micros) -> f64 {
         server.warming_since().map_or(1.0, |since| {
-            self.ramp_of(server).at(at.saturating_sub(since))
+            self.ramp_of(server).share_at(at.saturating_sub(since))
         })
     }
 
-    /// The greatest share of what a warming cache, or parent, bears that was sent from here; none: none warms up.
-    pub fn cold_use(&self, now: Micros, parents: bool) -> Option<f64> {
+    /// Returns the highest fraction of its slow-start budget that this router has used at any warming cache, or parent
+    /// if `parents` is set; `None` if no such server is warming up.
+    pub fn max_slow_start_usage(&self, now: Micros, parents: bool) -> Option<f64> {
         let servers = self.endpoints.values();
         servers
             .filter(|server| (server.role == Role::Parent) == parents)
             .filter_map(|server| self.slow_start_budget(server, now))
-            .map(|budget| budget.spent_s / budget.limit_s)
+            .map(|budget| budget.used_s / budget.limit_s)
             .reduce(f64::max)
     }
 
-    /// What a server may be sent within the rule's window; none: it is warm.
+    /// Returns the slow-start budget of a server; `None` if it needs none.
     fn slow_start_budget(&self, server: &Endpoint, now: Micros) -> Option<SlowStartBudget> {
         let rules = &self.settings.rules;
-        let window_us = rules.fall_us;
-        // What it can do in the window's mean: by the time this is judged it can do more.
+        let window_us = rules.overload_window_us;
+        // The capacity in the middle of the window, since the rule is evaluated over the whole window.
         let warmth = self.warmth(server, now.saturating_sub(window_us / 2));
         if warmth >= 1.0 || server.role == Role::Origin || server.state != State::Ready {
             return None;
@@ -70,17 +70,18 @@
         let recent = server.slow_start_charges.iter();
         Some(SlowStartBudget {
             limit_s: SLOW_START_UTILISATION * overload * warmth * capacity * window_s,
-            spent_s: recent
+            used_s: recent
                 .filter(|charge| charge.at + window_us >= now)
                 .map(|charge| charge.transfer_s)
                 .sum(),
         })
     }
 
-    /// Whether a server that warms up may be sent a request: this router's share of its budget, retries and fills
-    /// charged with the rest.
+    /// Returns whether a request fits into this router's share of a warming server's budget, to which retries and fills
+    /// are charged too.
     ///
-    /// A share below one request is spent by turns, each of the largest class's usual transfer.
+    /// If the share is below one request, the router sends one request per send slot, sized for the class with the
+    /// longest typical transfer.
     pub(super) fn admits_in_slow_start(
         &self,
         id: ServerId,
@@ -91,16 +92,16 @@
         let Some(budget) = self.slow_start_budget(server, now) else {
             return true;
         };
-        let own_limit_s = budget.limit_s * self.slow_start_share(server, now);
+        let own_limit_s = budget.limit_s * self.own_budget_share(server, now);
         let transfers = self.class_statistics.iter().map(|class| class.transfer_s);
-        let turn_s = transfers.fold(0.0, f64::max);
-        let is_turn =
-            own_limit_s < turn_s && self.is_own_turn(id, server, now, own_limit_s / turn_s);
-        budget.spent_s + transfer_s <= if is_turn { turn_s } else { own_limit_s }
+        let slot_s = transfers.fold(0.0, f64::max);
+        let in_slot =
+            own_limit_s < slot_s && self.in_own_send_slot(id, server, now, own_limit_s / slot_s);
+        budget.used_s + transfer_s <= if in_slot { slot_s } else { own_limit_s }
     }
 
-    /// This router's share of a warming server's budget.
-    fn slow_start_share(&self, server: &Endpoint, now: Micros) -> f64 {
+    /// Returns this router's share of a warming server's budget.
+    fn own_budget_share(&self, server: &Endpoint, now: Micros) -> f64 {
         let zones = &self.settings.zones;
         match server.role {
             Role::Parent => {
@@ -114,17 +115,25 @@
         }
     }
 
-    /// Whether it is this router's turn at a server, of which it has so many in a window. A router that starts again,
-    /// and has forgotten what it sent, finds its turns where they were, by its number.
-    fn is_own_turn(&self, id: ServerId, server: &Endpoint, now: Micros, turns: f64) -> bool {
+    /// Returns whether a send slot of this router is open at a server. The slots derive from the router's index and from
+    /// the server's id and start time, so a restarted router keeps its slots although it has lost its record of sent
+    /// requests.
+    fn in_own_send_slot(
+        &self,
+        id: ServerId,
+        server: &Endpoint,
+        now: Micros,
+        slots_per_window: f64,
+    ) -> bool {
         let since = server.warming_since().unwrap_or(0);
-        let number = match self.settings.rank {
-            None => share_of(mix(self.seed)),
-            Some(rank) => GOLDEN * f64::from(rank),
+        let phase_offset = match self.settings.router_index {
+            None => hash_to_unit(mix(self.seed)),
+            Some(index) => GOLDEN_RATIO_CONJUGATE * f64::from(index),
         };
-        let phase = share_of(mix(id ^ mix(since))) + number;
+        let phase = hash_to_unit(mix(id ^ mix(since))) + phase_offset;
         let age = now.saturating_sub(since);
-        let window_us = self.settings.rules.fall_us;
-        self.ramp_of(server).is_turn(age, turns, window_us, phase)
+        let window_us = self.settings.rules.overload_window_us;
+        self.ramp_of(server)
+            .in_send_slot(age, slots_per_window, window_us, phase)
     }
 }
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -57,14 +57,18 @@
         for action in actions {
             self.action(action);
             if let Action::Attempt { request, .. } = action {
-                let begins = router.begins(now + 1_000, *request);
+                let begins = router.recheck_queued_attempt(now + 1_000, *request);
                 self.word(begins.map_or(u64::MAX - 1, optional));
             }
         }
-        self.word(router.asking() as u64);
-        self.word(router.found().map_or(0, f64::to_bits));
+        self.word(router.origin_requests_in_flight() as u64);
+        self.word(router.take_origin_share_report().map_or(0, f64::to_bits));
         for parents in [false, true] {
-            self.word(router.cold_use(now, parents).map_or(0, f64::to_bits));
+            self.word(
+                router
+                    .max_slow_start_usage(now, parents)
+                    .map_or(0, f64::to_bits),
+            );
         }
         self.word(router.purges().exact_len() as u64);
     }
@@ -102,13 +106,18 @@
         let Some(fill) = fill else {
             return self.word(0);
         };
-        let flags = [fill.join, fill.only_held, fill.bypass_parent, fill.renew];
+        let flags = [
+            fill.coalesce,
+            fill.only_if_cached,
+            fill.bypass_parent,
+            fill.background_refresh,
+        ];
         let flags = flags
             .iter()
             .fold(1, |bits, flag| bits << 1 | u64::from(*flag));
         self.words(&[
             fill.source,
-            u64::from(fill.keep),
+            u64::from(fill.cache_rank),
             optional(fill.max_age_us),
             flags,
         ]);
--- a/tests/decision_trace/random_fleet.rs
+++ b/tests/decision_trace/random_fleet.rs
@@ -139,7 +139,7 @@
     }
 
     pub(crate) fn retune(&mut self, settings: Settings) {
-        let taken = self.router.retune(settings).is_ok();
+        let taken = self.router.update_settings(settings).is_ok();
         self.trace.word(u64::from(taken));
     }
 
@@ -208,7 +208,7 @@
             group: object % GROUPS,
             size_kb: if sized { size_kb } else { 0.0 },
             remaining_us,
-            repeated: self.one_in(10),
+            is_retry: self.one_in(10),
         };
         let client = Client {
             part: (object, part),
@@ -235,7 +235,7 @@
     fn begun(&mut self, request: RequestId, attempt: u32) {
         let out = |c: &Client| c.out.is_some() && c.attempts == attempt + 1;
         if self.clients.get(&request).is_some_and(out) {
-            self.feed(Event::Begun { request, attempt });
+            self.feed(Event::StreamStarted { request, attempt });
         }
     }
 
@@ -259,8 +259,8 @@
         if settled {
             self.clients.remove(&request);
         }
-        let util = self.share();
-        self.feed(Event::Outcome {
+        let cpu_utilisation = self.share();
+        self.feed(Event::AttemptEnded {
             request,
             attempt,
             server: out.server,
@@ -268,9 +268,9 @@
             took_us: self.now - out.sent,
             settled,
             note: answer.note,
-            waited_us: answer.waited_us,
+            first_byte_us: answer.first_byte_us,
             load: Some(Load {
-                util: Some(util),
+                cpu_utilisation: Some(cpu_utilisation),
                 ..Load::default()
             }),
         });
@@ -303,7 +303,7 @@
             return;
         };
         client.gone = true;
-        self.feed(Event::Left { request });
+        self.feed(Event::ClientLeft { request });
     }
 
     /// Gives the router an event, records what it does and carries that out.
--- a/tests/ordinary.rs
+++ b/tests/ordinary.rs
@@ -107,7 +107,7 @@
 fn what_is_asked_for_again_is_kept_at_a_higher_rank() {
     let mut rig = Rig::new(settings(), fleet());
     let (a, b) = (rig.send("video", "/o/a"), rig.send("video", "/o/a"));
-    assert_eq!((a.fill.keep, b.fill.keep), (1, 2));
+    assert_eq!((a.fill.cache_rank, b.fill.cache_rank), (1, 2));
 }
 
 fn script(router: &mut Router, seed: u64, step: u64) -> Vec<Action> {
@@ -122,11 +122,11 @@
         group: 1,
         size_kb: 300.0,
         remaining_us: 3 * S,
-        repeated: false,
+        is_retry: false,
     };
     router.handle(now, Event::Request(request), &mut actions);
     if let Some(s) = sent(&actions).filter(|_| step % 4 != 0) {
-        let event = Event::Outcome {
+        let event = Event::AttemptEnded {
             request: s.request,
             attempt: 0,
             server: s.server,
@@ -138,7 +138,7 @@
             took_us: 50 * MS,
             settled: step % 7 != 0,
             note: Note::Hit,
-            waited_us: 0,
+            first_byte_us: 0,
             load: None,
         };
         router.handle(now + MS, event, &mut actions);
@@ -180,16 +180,16 @@
     assert!(rig.end(999, 0, 1, Outcome::Error).is_empty());
     assert!(rig.end(999, 3, 777, Outcome::Ok).is_empty());
     assert!(rig.handle(Event::Timer { tag: 12_345 }).is_empty());
-    assert!(rig.handle(Event::Left { request: 999 }).is_empty());
+    assert!(rig.handle(Event::ClientLeft { request: 999 }).is_empty());
     assert!(rig
-        .handle(Event::Begun {
+        .handle(Event::StreamStarted {
             request: 999,
             attempt: 0
         })
         .is_empty());
     let outcome = Outcome::Ok;
     assert!(rig
-        .handle(Event::Probed {
+        .handle(Event::ProbeEnded {
             server: 777,
             outcome,
             took_us: 1,
@@ -239,24 +239,24 @@
     assert_eq!(error(&|s| s.classes.clear()), Some(SettingsError::NoClass));
     assert_eq!(error(&|s| s.zone = 3), Some(SettingsError::ZoneOutOfRange));
     assert_eq!(
-        error(&|s| s.zones[1].hub = 9),
+        error(&|s| s.zones[1].parent_zone = 9),
         Some(SettingsError::ZoneOutOfRange)
     );
     assert_eq!(
-        error(&|s| s.rules.fall_us = 0),
-        Some(SettingsError::BadFigure("fall time"))
+        error(&|s| s.rules.overload_window_us = 0),
+        Some(SettingsError::InvalidValue("fall time"))
     );
     assert_eq!(
         error(&|s| s.max_attempts = 0),
-        Some(SettingsError::BadFigure("attempts"))
+        Some(SettingsError::InvalidValue("attempts"))
     );
     assert_eq!(
         error(&|s| s.flow_kb_per_s = f64::NAN),
-        Some(SettingsError::BadFigure("flow"))
+        Some(SettingsError::InvalidValue("flow"))
     );
     assert_eq!(
         error(&|s| s.rules.slow_start_share = -1.0),
-        Some(SettingsError::BadFigure("cold share"))
+        Some(SettingsError::InvalidValue("cold share"))
     );
     assert_eq!(error(&|_| ()), None);
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -8,7 +8,7 @@
 /// Fills that `routers` routers of a location point at one cold server while each has `each` requests at once.
 fn sum_of_work(routers: u32, each: usize, cold: ServerId) -> f64 {
     let mut settings = Settings {
-        direct: false,
+        direct_to_upstream: false,
         ..settings()
     };
     settings.zones[1].routers = routers;
@@ -43,7 +43,7 @@
                 group: 1,
                 size_kb: 500.0,
                 remaining_us: 5 * S,
-                repeated: false,
+                is_retry: false,
             };
             router.handle(T0, Event::Request(request), &mut actions);
         }
@@ -118,7 +118,7 @@
                 150 * MS
             };
             rig.now += 20 * MS;
-            rig.handle(Event::Outcome {
+            rig.handle(Event::AttemptEnded {
                 request: s.request,
                 attempt: 0,
                 server: s.server,
@@ -126,7 +126,7 @@
                 took_us,
                 settled: true,
                 note: Note::Filled,
-                waited_us: 0,
+                first_byte_us: 0,
                 load: None,
             });
             later += usize::from(n >= 40 && s.fill.source == first);
@@ -167,7 +167,7 @@
             .map(|n| {
                 let s = rig.send("video", &format!("/o/{n}"));
                 rig.now += 10 * MS;
-                rig.handle(Event::Outcome {
+                rig.handle(Event::AttemptEnded {
                     request: s.request,
                     attempt: 0,
                     server: s.server,
@@ -175,7 +175,7 @@
                     took_us: 100 * MS,
                     settled: true,
                     note: Note::Hit,
-                    waited_us: 0,
+                    first_byte_us: 0,
                     load,
                 });
                 s
@@ -187,10 +187,10 @@
         let all = Some(value);
         assert_eq!(
             run(Some(Load {
-                util: all,
-                inflight: all,
-                hit_share: all,
-                link_use: all
+                cpu_utilisation: all,
+                in_flight: all,
+                hit_ratio: all,
+                link_utilisation: all
             })),
             calm
         );
@@ -211,7 +211,9 @@
         let (id, actions) = rig.ask("page", &object, 5 * S);
         if let Some(s) = sent(&actions) {
             rig.end_with(id, 0, s.server, Outcome::Ok, Note::Hit);
-            last = last.filter(|_| !often).or(often.then_some(s.fill.keep));
+            last = last
+                .filter(|_| !often)
+                .or(often.then_some(s.fill.cache_rank));
         }
         rig.now += MS / 10;
     }
@@ -271,7 +273,7 @@
     for s in out {
         rig.now += 60 * MS;
         rig.tick();
-        rig.handle(Event::Outcome {
+        rig.handle(Event::AttemptEnded {
             request: s.request,
             attempt: 0,
             server: s.server,
@@ -279,7 +281,7 @@
             took_us: 480 * MS,
             settled: true,
             note: Note::Filled,
-            waited_us: 0,
+            first_byte_us: 0,
             load: None,
         });
     }
@@ -303,7 +305,7 @@
         settings.zones[1].link_kb_per_s = 1e9;
         let mut rig = Rig::new(settings, fleet());
         let end = |rig: &mut Rig, s: Sent, outcome, note, took_us| {
-            rig.handle(Event::Outcome {
+            rig.handle(Event::AttemptEnded {
                 request: s.request,
                 attempt: 0,
                 server: s.server,
@@ -311,7 +313,7 @@
                 took_us,
                 settled: outcome == Outcome::Ok,
                 note,
-                waited_us: 0,
+                first_byte_us: 0,
                 load: None,
             })
         };
@@ -337,7 +339,7 @@
             rig.now += 110 * MS;
             end(&mut rig, s, Outcome::Ok, Note::Hit, 110 * MS);
             assert_ne!(s.fill.source, s.server, "the link has room");
-            !s.fill.only_held
+            !s.fill.only_if_cached
         });
         asks.count()
     };
@@ -361,27 +363,27 @@
     settings.zones[1].link_kb_per_s = 1e9;
     let mut rig = Rig::new(settings, fleet());
     let mut next = 0;
-    let mut end = |rig: &mut Rig, note: Note, waited_us: Micros| {
+    let mut end = |rig: &mut Rig, note: Note, first_byte_us: Micros| {
         next += 1;
         let s = rig.send("video", &format!("/o/{next}"));
-        rig.now += 110 * MS + waited_us;
-        rig.handle(Event::Outcome {
+        rig.now += 110 * MS + first_byte_us;
+        rig.handle(Event::AttemptEnded {
             request: s.request,
             attempt: 0,
             server: s.server,
             outcome: Outcome::Ok,
-            took_us: 110 * MS + waited_us,
+            took_us: 110 * MS + first_byte_us,
             settled: true,
             note,
-            waited_us,
+            first_byte_us,
             load: None,
         });
-        !s.fill.only_held
+        !s.fill.only_if_cached
     };
-    let mut follow = |waited_us: Micros| {
+    let mut follow = |first_byte_us: Micros| {
         for _ in 0..6 {
             rig.now += 500 * MS;
-            end(&mut rig, Note::FilledByOrigin, waited_us);
+            end(&mut rig, Note::FilledByOrigin, first_byte_us);
         }
         (0..100).filter(|_| end(&mut rig, Note::Hit, 0)).count()
     };
@@ -398,7 +400,7 @@
     servers.extend([server(13, "hub", "parent"), server(14, "hub", "parent")]);
     let mut rig = Rig::new(
         Settings {
-            direct: false,
+            direct_to_upstream: false,
             ..settings()
         },
         servers,
@@ -421,7 +423,7 @@
     servers[0].started = Some(T0 - 9 * S);
     let config = Settings {
         siblings: Siblings::Location,
-        direct: false,
+        direct_to_upstream: false,
         ..settings()
     };
     let mut rig = Rig::new(config, servers);
