--- a/membership/src/swim/exchange.rs
+++ b/membership/src/swim/exchange.rs
@@ -34,7 +34,7 @@
         };
         self.outgoing.push(Outgoing {
             peer,
-            datagram: message.write(),
+            datagram: message.encode(),
         });
     }
 
@@ -48,7 +48,7 @@
         peer: PeerIndex,
         bytes: &[u8],
     ) -> Result<(), DecodeError> {
-        let message = Message::read(bytes).inspect_err(|_| self.counters.unreadable += 1)?;
+        let message = Message::decode(bytes).inspect_err(|_| self.counters.unreadable += 1)?;
         if peer >= self.members.len() || self.has_left {
             return Ok(());
         }
@@ -109,7 +109,7 @@
         let overriding = known.filter(|claim| *claim > alive(sender));
         overriding.map(|claim| Update {
             id: sender.id,
-            by: self.own.id,
+            observer: self.own.id,
             claim,
         })
     }
@@ -152,7 +152,7 @@
     fn receive_own_claim(&mut self, now: Micros, from: Sender, claim: Claim) {
         let update = Update {
             id: from.id,
-            by: from.id,
+            observer: from.id,
             claim,
         };
         self.receive_claim(now, update);
--- a/membership/tests/net.rs
+++ b/membership/tests/net.rs
@@ -81,7 +81,7 @@
         let outgoing = self.nodes[n]
             .membership
             .as_mut()
-            .map(Membership::outgoing)
+            .map(Membership::take_outgoing)
             .unwrap_or_default();
         for Outgoing { peer, datagram } in outgoing {
             assert!(datagram.len() <= MAX_DATAGRAM_BYTES);
@@ -91,7 +91,7 @@
         let changes = self.nodes[n]
             .membership
             .as_mut()
-            .map(Membership::changes)
+            .map(Membership::take_changes)
             .unwrap_or_default();
         for change in changes.iter().filter(|c| c.new.state == MemberState::Dead) {
             self.deaths
@@ -256,7 +256,7 @@
         net.links.cut(0, 1);
         net.links.cut(1, 2);
         net.links.cut(2, 1);
-        net.links.split(net.nodes.len(), &[4]);
+        net.links.partition(net.nodes.len(), &[4]);
         net.run(15 * S);
         let dead = |at, of| net.state(at, of) == Some(MemberState::Dead);
         assert!((0..4).all(|n| dead(n, 4)), "seed {seed}: {:?}", net.deaths);
@@ -304,7 +304,7 @@
     for seed in 0..150 {
         let mut net = Net::new(5, seed);
         net.until_agreed(20 * S).unwrap();
-        net.links.split(net.nodes.len(), &[0, 1]);
+        net.links.partition(net.nodes.len(), &[0, 1]);
         net.run(30 * S);
         for (at, of) in [(0, 2), (1, 4), (2, 0), (4, 1)] {
             assert_eq!(
@@ -460,14 +460,14 @@
     for _ in 0..500 {
         membership.receive(now, peer_index(1, 0), &asker).unwrap();
     }
-    let outgoing = membership.outgoing();
+    let outgoing = membership.take_outgoing();
     let pings = outgoing
         .iter()
         .filter(|out| out.peer == peer_index(2, 0))
         .count();
     assert_eq!(
         (pings, outgoing.len()),
-        (Options::default().max_indirect, 500),
+        (Options::default().max_indirect_probes, 500),
         "the others had a no at once"
     );
 }
@@ -483,7 +483,7 @@
         body,
         updates: vec![],
     }
-    .write()
+    .encode()
 }
 
 proptest! {
@@ -500,7 +500,7 @@
         let datagram = if marked { [b"fleet1".as_slice(), &bytes].concat() } else { bytes };
         let now = net.links.now;
         let membership = net.nodes[0].membership.as_mut().unwrap();
-        let read = Message::read(&datagram);
+        let read = Message::decode(&datagram);
         prop_assert_eq!(membership.receive(now, 0, &datagram).is_err(), read.is_err());
         prop_assert_eq!(membership.counters().unreadable, u64::from(read.is_err()));
         membership.tick(now + S);
@@ -512,8 +512,8 @@
         process: u64,
         claims in proptest::collection::vec(any::<(u64, u64, u64, u32)>(), 0..20),
     ) {
-        let updates = claims.into_iter().map(|(id, by, process, incarnation)| {
-            Update { id, by, claim: Claim { process, incarnation, state: MemberState::Suspect } }
+        let updates = claims.into_iter().map(|(id, observer, process, incarnation)| {
+            Update { id, observer, claim: Claim { process, incarnation, state: MemberState::Suspect } }
         });
         let names = Some(Names { name: "n".repeat(40), machine: "m".repeat(40) });
         let message = Message {
@@ -521,16 +521,16 @@
             body: Body::Ack { number, of: None, names },
             updates: updates.collect(),
         };
-        let bytes = message.clone().write();
+        let bytes = message.clone().encode();
         prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
-        let read = Message::read(&bytes).unwrap();
+        let read = Message::decode(&bytes).unwrap();
         prop_assert_eq!(&read.body, &message.body);
         prop_assert!(
             message.updates.starts_with(&read.updates),
             "claims that do not fit are left out from the end"
         );
         for cut in 6..bytes.len() {
-            prop_assert!(Message::read(&bytes[..cut]).is_err());
+            prop_assert!(Message::decode(&bytes[..cut]).is_err());
         }
     }
 }
--- a/origin-health/tests/fleet.rs
+++ b/origin-health/tests/fleet.rs
@@ -43,7 +43,7 @@
             );
             let Some(report) = found
                 .filter(|_| sends_reports)
-                .and_then(|share| members[n].observe(now, share))
+                .and_then(|share| members[n].record_late_response(now, share))
             else {
                 return;
             };
