--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings, lists and requests for the tests of the module.
+//! Settings, server lists and a router harness for the tests of the decision module.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 pub(crate) mod trace;
@@ -8,7 +8,7 @@
 
 pub(crate) const MS: Micros = 1_000;
 pub(crate) const S: Micros = 1_000_000;
-/// Long after every server's start.
+/// Start time of the tests, long after the start of every server.
 pub(crate) const START: Micros = 100 * S;
 
 pub(crate) fn class(name: &str) -> Class {
@@ -121,7 +121,7 @@
     }
 }
 
-/// Caches 1 to 4 of the router's location, one of another, two parents and the origin.
+/// Returns caches 1 to 4 in the router's location, one cache in another location, two parents and the origin.
 pub(crate) fn fleet() -> Vec<Server> {
     let mut all: Vec<Server> = (1..=4).map(|id| server(id, "town", "cache")).collect();
     all.push(server(5, "shore", "cache"));
@@ -148,7 +148,7 @@
 impl RouterHarness {
     pub(crate) fn new(settings: Settings, fleet: Vec<Server>) -> RouterHarness {
         let mut harness = RouterHarness {
-            router: Router::new(settings, 7).expect("usable settings"),
+            router: Router::new(settings, 7).expect("valid settings"),
             now: START,
             next_id: 1,
         };
@@ -174,7 +174,7 @@
         self.request_of(class, object, remaining_us, 500.0)
     }
 
-    /// Asks for a part of a class `video` of this size.
+    /// Sends a request of class `video` with this size.
     pub(crate) fn request_sized(&mut self, object: &str, size_kb: f64) -> (RequestId, Vec<Action>) {
         self.request_of("video", object, 5 * S, size_kb)
     }
@@ -205,7 +205,7 @@
         (id, actions)
     }
 
-    /// Asks and expects an attempt.
+    /// Sends a request and expects an attempt.
     pub(crate) fn send_request(&mut self, class: &str, object: &str) -> SentAttempt {
         let (_, actions) = self.request(class, object, 5 * S);
         sent(&actions).unwrap_or_else(|| panic!("no attempt in {actions:?}"))
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -1,12 +1,12 @@
-//! A record of all that a router answers, folded into one number: two records are equal only if every action was the
-//! same, at the same time and in the same order.
+//! Records the actions of a router and folds them into a digest. Two digests are equal only if all actions, their times
+//! and their order are equal.
 
 use linnetknot::*;
 use std::fmt::Write;
 
 /// Counts and a digest of the actions of one or more routers.
 pub(crate) struct Trace {
-    /// First word of each line of the report.
+    /// First word of each report line.
     name: String,
     digest: u64,
     events: u64,
@@ -17,7 +17,7 @@
     report: String,
 }
 
-/// The finaliser of splitmix64; written out here so that the digest depends on nothing of the module.
+/// The finaliser of splitmix64, repeated here so that the digest does not depend on the module.
 pub(crate) fn scramble(x: u64) -> u64 {
     let x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -25,7 +25,7 @@
     x ^ (x >> 31)
 }
 
-/// A number for an optional time that no time has.
+/// Maps an optional time to a number that no time has.
 fn optional(us: Option<Micros>) -> u64 {
     us.unwrap_or(u64::MAX)
 }
@@ -44,12 +44,12 @@
         }
     }
 
-    /// Takes in a number.
+    /// Adds a number to the digest.
     pub(crate) fn mix_in(&mut self, value: u64) {
         self.digest = scramble(self.digest ^ value).rotate_left(1);
     }
 
-    /// Takes in what a router did with an event, and what can be asked of it afterwards.
+    /// Adds the actions of a router for an event, and the results of its queries afterwards.
     pub(crate) fn record(&mut self, now: Micros, router: &mut Router, actions: &[Action]) {
         self.events += 1;
         self.mix_in(now);
@@ -57,8 +57,8 @@
         for action in actions {
             self.action(action);
             if let Action::Attempt { request, .. } = action {
-                let begins = router.recheck_queued_attempt(now + 1_000, *request);
-                self.mix_in(begins.map_or(u64::MAX - 1, optional));
+                let max_age = router.recheck_queued_attempt(now + 1_000, *request);
+                self.mix_in(max_age.map_or(u64::MAX - 1, optional));
             }
         }
         self.mix_in(router.origin_requests_in_flight() as u64);
@@ -127,7 +127,7 @@
         values.iter().for_each(|value| self.mix_in(*value));
     }
 
-    /// A line of the report: all counts and the digest so far.
+    /// Adds a report line with all counts and the current digest.
     pub(crate) fn checkpoint(&mut self, second: u64) {
         let Trace {
             name,
@@ -144,10 +144,10 @@
             "{name} {second}s events {events} attempts {attempts} cancels {cancels} refusals {refusals} \
              failures {failures} digest {digest:016x}"
         )
-        .expect("a string takes all that is written");
+        .expect("writing to a string cannot fail");
     }
 
-    /// The lines of all checkpoints.
+    /// Returns the lines of all checkpoints.
     pub(crate) fn into_report(self) -> String {
         self.report
     }
--- a/tests/common/world/attempts.rs
+++ b/tests/common/world/attempts.rs
@@ -1,17 +1,17 @@
-//! Attempts on their way: how the servers of the world answer them.
+//! Simulated attempts and the answers of the servers.
 
 use super::{FleetSimulation, InFlight, Scheduled, ORIGIN};
 use crate::common::MS;
 use linnetknot::*;
 
 impl FleetSimulation {
-    /// No server that a proxy was told is gone gets anything new from it.
+    /// Asserts that the proxy has not been told that a server is draining or gone.
     fn assert_not_withdrawn(&self, n: usize, server: ServerId) {
-        let told = self.proxies[n].withdrawn_at.get(&server);
+        let withdrawn_at = self.proxies[n].withdrawn_at.get(&server);
         assert!(
-            told.is_none(),
-            "{server} was told to be gone {} us ago",
-            self.now - told.unwrap_or(&self.now)
+            withdrawn_at.is_none(),
+            "{server} was reported as draining or gone {} us ago",
+            self.now - withdrawn_at.unwrap_or(&self.now)
         );
     }
 
@@ -24,15 +24,15 @@
         let open = self.proxies[n]
             .open_requests
             .get_mut(&id)
-            .expect("a request that is open");
+            .expect("an open request");
         assert!(open.sent.is_none() && !open.answered && open.attempts < 6 && now < open.deadline);
         let (attempt, object, work_s) = (open.attempts, open.object, open.work_s);
         open.attempts += 1;
         self.record_slow_start_load(server);
-        let (up, vanished, held) = {
-            let b = self.servers.get_mut(&server).expect("a server of the list");
-            b.active += 1.0;
-            (b.up, b.vanished, b.cached.contains(&object))
+        let (up, vanished, is_cached) = {
+            let fake = self.servers.get_mut(&server).expect("a listed server");
+            fake.active += 1.0;
+            (fake.up, fake.vanished, fake.cached.contains(&object))
         };
         let mut uses_link = false;
         let end = if vanished {
@@ -40,20 +40,22 @@
         } else if !up {
             Some((MS, Outcome::ConnectFailed, Note::None, 0))
         } else if server == ORIGIN {
-            assert!(
-                self.executed_writes.insert(id),
-                "a write that must not run twice"
-            );
+            assert!(self.executed_writes.insert(id), "a write ran twice");
             Some((80 * MS, Outcome::Ok, Note::Hit, 0))
-        } else if held {
-            Some((self.sending(server, work_s), Outcome::Ok, Note::Hit, 0))
+        } else if is_cached {
+            Some((
+                self.transfer_us_from(server, work_s),
+                Outcome::Ok,
+                Note::Hit,
+                0,
+            ))
         } else if let Some(source) = source {
             let (took, outcome, note, waited) =
                 self.fill(source, (object, work_s), fill.only_if_cached, zone);
             uses_link = outcome == Outcome::Ok;
             Some((
                 took + if uses_link {
-                    self.sending(server, work_s)
+                    self.transfer_us_from(server, work_s)
                 } else {
                     0
                 },
@@ -70,20 +72,20 @@
         self.transfers_by_link[zone] += f64::from(u8::from(uses_link));
         let sent = InFlight {
             server,
-            at: now,
+            sent_at: now,
             uses_link,
         };
         self.proxies[n]
             .open_requests
             .get_mut(&id)
-            .expect("it is open")
+            .expect("an open request")
             .sent = Some(sent);
         if let Some((took, outcome, note, waited)) = end {
             self.schedule(took, Scheduled::End(n, id, attempt, outcome, note, waited));
         }
     }
 
-    /// How long a fill from a source takes, and how it ends.
+    /// Returns the duration and the result of a fill from a source.
     pub(super) fn fill(
         &mut self,
         source: ServerId,
@@ -92,30 +94,36 @@
         zone: usize,
     ) -> (Micros, Outcome, Note, Micros) {
         self.record_slow_start_load(source);
-        let shared = ((self.transfers_by_link[zone] + 1.0) / self.link_capacity).max(1.0) - 1.0;
-        let moving = (work_s * shared * 1e6) as Micros;
-        let b = self.servers.get_mut(&source).expect("a source of the list");
-        if !b.up || b.vanished {
+        let extra_slowdown =
+            ((self.transfers_by_link[zone] + 1.0) / self.link_capacity).max(1.0) - 1.0;
+        let transfer_us = (work_s * extra_slowdown * 1e6) as Micros;
+        let fake = self.servers.get_mut(&source).expect("a listed source");
+        if !fake.up || fake.vanished {
             return (self.fill_timeout_us, Outcome::Full, Note::SourceLost, 0);
         }
-        if b.cached.contains(&object) && source != ORIGIN {
-            return (10 * MS + moving, Outcome::Ok, Note::Filled, 10 * MS);
+        if fake.cached.contains(&object) && source != ORIGIN {
+            return (10 * MS + transfer_us, Outcome::Ok, Note::Filled, 10 * MS);
         }
         if only_if_cached {
             return (10 * MS, Outcome::Miss, Note::SourceLacks, 10 * MS);
         }
-        b.cached.insert(object);
+        fake.cached.insert(object);
         let now = self.now;
         self.origin_free_at =
             self.origin_free_at.max(now) + (1e6 / self.origin_requests_per_s) as Micros;
         let waited = self.origin_free_at - now + 80 * MS;
         self.counts_at(now).origin_requests += 1;
-        (waited + moving, Outcome::Ok, Note::FilledByOrigin, waited)
+        (
+            waited + transfer_us,
+            Outcome::Ok,
+            Note::FilledByOrigin,
+            waited,
+        )
     }
 
-    pub(super) fn sending(&self, server: ServerId, work_s: f64) -> Micros {
-        let b = &self.servers[&server];
-        (work_s * (b.active / (b.weight * self.warmth(b))).max(1.0) * 1e6) as Micros
+    pub(super) fn transfer_us_from(&self, server: ServerId, work_s: f64) -> Micros {
+        let fake = &self.servers[&server];
+        (work_s * (fake.active / (fake.weight * self.warmth(fake))).max(1.0) * 1e6) as Micros
     }
 
     pub(super) fn ended(
@@ -130,40 +138,40 @@
         let Some(open) = self.proxies[n].open_requests.get_mut(&id) else {
             return;
         };
-        let last = attempt.is_none();
-        // An end that comes after the attempt was called off says nothing.
-        let live = open.sent.is_some() && attempt.is_none_or(|a| a + 1 == open.attempts);
-        if !live {
-            if last {
+        let is_deadline = attempt.is_none();
+        // The end of an attempt that was cancelled before is ignored.
+        let is_current = open.sent.is_some() && attempt.is_none_or(|a| a + 1 == open.attempts);
+        if !is_current {
+            if is_deadline {
                 self.finish(n, id, false);
             }
             return;
         }
         let Some(sent) = open.sent.take() else { return };
-        let (number, object, at) = (open.attempts - 1, open.object, open.at);
-        let settled = outcome == Outcome::Ok || last;
+        let (number, object, arrived_at) = (open.attempts - 1, open.object, open.arrived_at);
+        let settled = outcome == Outcome::Ok || is_deadline;
         let zone = self.proxies[n].zone;
         self.transfers_by_link[zone] -= f64::from(u8::from(sent.uses_link));
-        if let Some(b) = self.servers.get_mut(&sent.server) {
-            b.active = (b.active - 1.0).max(0.0);
+        if let Some(fake) = self.servers.get_mut(&sent.server) {
+            fake.active = (fake.active - 1.0).max(0.0);
             if outcome == Outcome::Ok {
-                b.cached.insert(object);
+                fake.cached.insert(object);
             }
         }
         if outcome == Outcome::Ok {
             let now = self.now;
-            let in_time = now - at <= 400 * MS + 150 * MS;
-            let second = self.counts_at(at);
+            let in_time = now - arrived_at <= 400 * MS + 150 * MS;
+            let counts = self.counts_at(arrived_at);
             *(if in_time {
-                &mut second.in_time
+                &mut counts.in_time
             } else {
-                &mut second.late
+                &mut counts.late
             }) += 1;
         }
         if settled {
             self.finish(n, id, outcome == Outcome::Ok);
         }
-        let took_us = self.now - sent.at;
+        let took_us = self.now - sent.sent_at;
         let event = Event::AttemptEnded {
             request: id,
             attempt: number,
--- a/tests/common/world/clients.rs
+++ b/tests/common/world/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of the proxies: when they ask, for what, and what became of it.
+//! Simulated clients: their requests and the results.
 
 use super::{FleetSimulation, OpenRequest, Scheduled, KB_PER_S};
 use linnetknot::*;
@@ -13,16 +13,16 @@
             false => {
                 let mut draw = self.random_unit();
                 let last = self.tenant_shares.len() - 1;
-                let place = self.tenant_shares.iter().position(|share| {
+                let index = self.tenant_shares.iter().position(|share| {
                     draw -= share;
                     draw < 0.0
                 });
-                place.unwrap_or(last)
+                index.unwrap_or(last)
             }
         };
         self.number += 1;
         let id = self.number;
-        let (now, at) = (self.now, self.now);
+        let (now, arrived_at) = (self.now, self.now);
         self.counts_at(now).requests += 1;
         let deadline = now + self.deadline_us;
         let work_s = self.work_of_object(object);
@@ -33,7 +33,7 @@
             attempts: 0,
             answered: false,
             deadline,
-            at,
+            arrived_at,
             sent: None,
         };
         self.proxies[n].open_requests.insert(id, open);
@@ -57,9 +57,9 @@
         self.feed(n, Event::Request(request));
     }
 
-    /// What an object takes at full pace: drawn once for each, by its number.
+    /// Returns the transfer time of an object at full rate, derived from its number.
     pub(super) fn work_of_object(&self, object: u64) -> f64 {
-        // A sum of twelve even draws is close to a normal one.
+        // The sum of twelve uniform numbers is approximately normally distributed.
         let draw = |n: u64| {
             let x = (object * 12 + n + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
             ((x ^ (x >> 31)).wrapping_mul(0xbf58_476d_1ce4_e5b9) >> 11) as f64 / (1u64 << 53) as f64
@@ -68,7 +68,8 @@
         self.work_s * (self.sigma * normal - self.sigma * self.sigma / 2.0).exp()
     }
 
-    /// The share that is answered: of all requests, and of the tenth that take longest.
+    /// Returns the fraction of requests that were served, of all requests and of the tenth with the longest transfer
+    /// times.
     pub(crate) fn answered_shares(&self) -> (f64, f64) {
         let mut answers = self.answers.clone();
         answers.sort_by(|a, b| b.0.total_cmp(&a.0));
@@ -83,10 +84,10 @@
         };
         assert!(!open.answered, "two final answers");
         open.answered = true;
-        let (at, answer) = (open.at, (open.work_s, open.tenant, served));
+        let (arrived_at, answer) = (open.arrived_at, (open.work_s, open.tenant, served));
         self.answers.push(answer);
         if !served {
-            self.counts_at(at).failed += 1;
+            self.counts_at(arrived_at).failed += 1;
         }
         self.remove_if_finished(n, id);
     }
--- a/tests/common/world/mod.rs
+++ b/tests/common/world/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet on virtual time: many routers, and around them caches, parents, links and an origin that answer by plain
-//! formulas. One thread, one queue of what happens when, one seed: the same verdict every time.
+//! Simulates a fleet in virtual time: routers, and servers, links and an origin that answer by simple formulas. The
+//! simulation is single-threaded and deterministic for a seed.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 mod attempts;
@@ -11,7 +11,7 @@
 use linnetknot::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Transfers to a client take this long at full pace, unless a test says otherwise: 500 KB at 5,000 KB a second.
+/// Transfer time of an object at full rate unless a test sets another: 500 KB at 5,000 KB per second.
 const WORK_S: f64 = 0.1;
 const KB_PER_S: f64 = 5_000.0;
 const DEADLINE_US: Micros = 2_500 * MS;
@@ -19,46 +19,47 @@
 pub(crate) const PARENTS: [ServerId; 2] = [901, 902];
 pub(crate) const ORIGIN: ServerId = 950;
 
-/// A cache, a parent, or the origin.
+/// A simulated cache, parent or origin.
 pub(crate) struct FakeServer {
     pub zone: usize,
     pub weight: f64,
     pub started: Option<Micros>,
-    /// It takes connections.
+    /// The server accepts connections.
     pub up: bool,
-    /// It is not there and nothing says so: what is sent is never answered.
+    /// The server does not answer, and connections to it are not refused.
     pub vanished: bool,
     pub cached: BTreeSet<u64>,
     active: f64,
-    /// Work sent to it while cold, and the most of what it bears in one window that ever was.
+    /// Recent load sent during slow start, and the highest load in one window as a fraction of what the overload rule
+    /// allows.
     recent_work: VecDeque<(Micros, f64)>,
     pub max_overload: f64,
 }
 
-/// One proxy.
+/// A simulated proxy.
 pub(crate) struct Proxy {
     pub router: Router,
     pub zone: usize,
     open_requests: BTreeMap<RequestId, OpenRequest>,
-    /// Since when a server must get nothing new.
+    /// Time at which the proxy learned that a server must get no new requests.
     withdrawn_at: BTreeMap<ServerId, Micros>,
 }
 
 struct OpenRequest {
     object: u64,
-    /// What it takes to send it at full pace, and which tenant's it is.
+    /// Transfer time at full rate, and index of the tenant.
     work_s: f64,
     tenant: usize,
     attempts: u32,
     answered: bool,
     deadline: Micros,
-    at: Micros,
+    arrived_at: Micros,
     sent: Option<InFlight>,
 }
 
 struct InFlight {
     server: ServerId,
-    at: Micros,
+    sent_at: Micros,
     uses_link: bool,
 }
 
@@ -68,20 +69,20 @@
     End(usize, RequestId, u32, Outcome, Note, Micros),
     Deadline(usize, RequestId),
     List(usize, ListMode, Vec<Server>),
-    /// What a test wants done at a time.
+    /// A callback to the test.
     Call(u64),
 }
 
-/// What came of it, by second since the start.
+/// Results of the requests that arrived in one second.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct SecondCounts {
     pub requests: u32,
     pub in_time: u32,
     pub late: u32,
     pub failed: u32,
-    /// Attempts sent to servers that were down or had vanished.
+    /// Attempts sent to servers that were down or silent.
     pub wasted_attempts: u32,
-    /// What the origin was asked for.
+    /// Requests that reached the origin.
     pub origin_requests: u32,
 }
 
@@ -90,33 +91,33 @@
     pub proxies: Vec<Proxy>,
     pub servers: BTreeMap<ServerId, FakeServer>,
     pub counts_by_second: Vec<SecondCounts>,
-    /// What a location's link fits at full pace, in transfers.
+    /// Capacity of a location's link, in transfers at full rate.
     pub link_capacity: f64,
-    /// How long a cache waits for a source that is not there before it says so.
+    /// Time after which a cache reports that the source of a fill does not answer.
     pub fill_timeout_us: Micros,
-    /// Share of the requests that are writes, which must not run twice; and those that ran.
+    /// Fraction of the requests that are writes, which must not run twice.
     pub write_share: f64,
     executed_writes: BTreeSet<RequestId>,
     /// Answers carry load reports.
     sends_load_reports: bool,
     transfers_by_link: Vec<f64>,
-    /// What the origin can do a second.
+    /// Capacity of the origin.
     pub origin_requests_per_s: f64,
     origin_free_at: Micros,
     pub rate_per_s: f64,
-    /// What objects take at full pace in the mean, how unevenly (the sigma of their logarithms), and whether requests tell.
+    /// Mean transfer time of objects at full rate, the sigma of its logarithm, and whether requests carry the size.
     pub work_s: f64,
     pub sigma: f64,
     pub sizes_known: bool,
-    /// When clients give up.
+    /// Time after which clients stop waiting.
     pub deadline_us: Micros,
-    /// The tenants' shares of the requests.
+    /// Shares of the requests by tenant.
     pub tenant_shares: Vec<f64>,
-    /// Of each request that has ended: what it takes, its tenant, and whether it was served.
+    /// Transfer time, tenant and success of each finished request.
     pub answers: Vec<(f64, usize, bool)>,
-    /// Distinct objects; a few of them are asked for most.
+    /// Number of objects; requests concentrate on a few of them.
     pub object_count: f64,
-    /// Where all that the routers do is recorded, if it is.
+    /// Trace of the routers' actions, if enabled.
     pub trace: Option<Trace>,
     queue: BTreeMap<(Micros, u64), Scheduled>,
     number: u64,
@@ -132,7 +133,7 @@
             ..config.clone()
         };
         Proxy {
-            router: Router::new(settings, seed ^ (n as u64) << 20).expect("usable"),
+            router: Router::new(settings, seed ^ (n as u64) << 20).expect("valid settings"),
             zone,
             open_requests: BTreeMap::new(),
             withdrawn_at: BTreeMap::new(),
@@ -140,7 +141,7 @@
     }
 }
 
-/// The settings of the tests with so many locations, and of another shape.
+/// Returns the test settings for a number of locations, modified by `shape`.
 fn shaped_settings(zones: usize, proxies: usize, shape: impl FnOnce(&mut Settings)) -> Settings {
     let zone = |name: String, routers| Zone {
         name,
@@ -166,7 +167,8 @@
 }
 
 impl FleetSimulation {
-    /// A fleet of so many proxies and caches in so many locations; each proxy is asked at this rate.
+    /// Returns a fleet with this number of locations, and of proxies and caches per location. Each proxy receives
+    /// requests at `rate_per_s`.
     pub(crate) fn new(
         zones: usize,
         proxies: usize,
@@ -177,7 +179,7 @@
         Self::shaped(zones, proxies, caches, rate_per_s, seed, |_| ())
     }
 
-    /// The same under settings of another shape.
+    /// Like [`FleetSimulation::new`], with settings modified by `shape`.
     pub(crate) fn shaped(
         zones: usize,
         proxies: usize,
@@ -209,7 +211,7 @@
         world
     }
 
-    /// A world without servers and proxies.
+    /// Returns a fleet without servers and proxies.
     fn empty(config: &Settings, rate_per_s: f64, seed: u64) -> Self {
         FleetSimulation {
             now: START,
@@ -240,7 +242,7 @@
         }
     }
 
-    /// All routers hear of the list after a wait, each a little later than the one before.
+    /// Delivers list entries to all routers after a delay, to each slightly later than to the previous one.
     pub(crate) fn publish(&mut self, wait: Micros, mode: ListMode, entries: &[Server]) {
         for n in 0..self.proxies.len() {
             self.schedule(
@@ -250,7 +252,7 @@
         }
     }
 
-    /// `run` comes back with this number after a wait.
+    /// Schedules a callback from `run` with this number after a delay.
     pub(crate) fn schedule_callback(&mut self, wait: Micros, number: u64) {
         self.schedule(wait, Scheduled::Call(number));
     }
@@ -280,8 +282,7 @@
         &mut self.counts_by_second[n]
     }
 
-    /// Goes on for so long; `notify` is called with the numbers that were to be called, and after each outcome at a
-    /// proxy.
+    /// Runs the simulation for a duration. `notify` is called for scheduled callbacks and after each attempt that ends.
     pub(crate) fn run(
         &mut self,
         for_us: Micros,
@@ -307,7 +308,7 @@
         self.now = end;
     }
 
-    /// A sum over seconds, the last not counted.
+    /// Sums a count over a range of seconds.
     pub(crate) fn sum(
         &self,
         seconds: std::ops::Range<usize>,
@@ -326,7 +327,7 @@
         self.feed(n, Event::List { mode, servers });
     }
 
-    /// Gives a router an event and carries out what follows.
+    /// Passes an event to a router and carries out its actions.
     pub(crate) fn feed(&mut self, n: usize, event: Event) {
         let mut actions = Vec::new();
         let router = &mut self.proxies[n].router;
@@ -352,15 +353,15 @@
                     self.finish(n, request, false);
                 }
                 Action::Timer { at, tag } => self.schedule(at - self.now, Scheduled::Timer(n, tag)),
-                other => panic!("{other:?} is not expected here"),
+                other => panic!("unexpected action: {other:?}"),
             }
         }
     }
 }
 
-/// Why `run` calls back.
+/// Reason why `run` calls back.
 pub(crate) enum Notice {
-    /// This number was to be called.
+    /// A scheduled callback with its number.
     Call(u64),
     /// An attempt of this proxy has ended.
     Outcome(usize),
--- a/tests/common/world/servers.rs
+++ b/tests/common/world/servers.rs
@@ -1,4 +1,4 @@
-//! The servers of the world: what the list says of them, what they report, and what they are sent while cold.
+//! Simulated servers: their list entries, load reports and load during slow start.
 
 use super::{FakeServer, FleetSimulation, ORIGIN};
 use crate::common::server;
@@ -6,7 +6,7 @@
 use std::collections::{BTreeSet, VecDeque};
 
 impl FleetSimulation {
-    /// A cache with nothing in it.
+    /// Adds a server without cached objects.
     pub(crate) fn add_server(
         &mut self,
         id: ServerId,
@@ -28,18 +28,18 @@
         self.servers.insert(id, new);
     }
 
-    /// An entry of the list for a cache.
+    /// Returns the list entry of a server.
     pub(crate) fn entry(&self, id: ServerId, state: State) -> Server {
-        let b = &self.servers[&id];
+        let fake = &self.servers[&id];
         let (zone, kind) = match id {
             ORIGIN => ("hub".to_owned(), "origin"),
-            _ if b.zone == 0 => ("hub".to_owned(), "parent"),
-            _ => (format!("zone-{}", b.zone), "cache"),
+            _ if fake.zone == 0 => ("hub".to_owned(), "parent"),
+            _ => (format!("zone-{}", fake.zone), "cache"),
         };
         Server {
             zone,
-            weight: b.weight,
-            started: b.started,
+            weight: fake.weight,
+            started: fake.started,
             state,
             ..server(id, "", kind)
         }
@@ -52,34 +52,34 @@
             .collect()
     }
 
-    /// What a server reports of itself: what it holds, and how full its location's link is.
+    /// Returns a server's load report: its requests in flight and the utilisation of its location's link.
     pub(super) fn load(&self, server: ServerId) -> Load {
-        let b = &self.servers[&server];
+        let fake = &self.servers[&server];
         let utilisation = self
             .transfers_by_link
-            .get(b.zone)
+            .get(fake.zone)
             .map(|l| l / self.link_capacity);
         Load {
-            in_flight: Some(b.active),
+            in_flight: Some(fake.active),
             link_utilisation: utilisation,
             ..Load::default()
         }
     }
 
-    pub(super) fn warmth(&self, b: &FakeServer) -> f64 {
+    pub(super) fn warmth(&self, fake: &FakeServer) -> f64 {
         let r = &self.rules;
-        let (share, cold_us) = if b.zone == 0 {
+        let (share, cold_us) = if fake.zone == 0 {
             (r.parent_slow_start_share, r.parent_slow_start_us)
         } else {
             (r.slow_start_share, r.slow_start_us)
         };
-        let age = b
+        let age = fake
             .started
             .map_or(Micros::MAX, |s| self.now.saturating_sub(s));
         (share + (1.0 - share) * age as f64 / cold_us as f64).min(1.0)
     }
 
-    /// Notes work sent to a server while it is cold, against what it bears.
+    /// Records load sent to a server during slow start, relative to what the overload rule allows.
     pub(super) fn record_slow_start_load(&mut self, id: ServerId) {
         let now = self.now;
         let warmth = self.warmth(&self.servers[&id]);
@@ -88,17 +88,17 @@
             0 => (r.parent_overload_multiple, r.overload_window_us),
             _ => (r.overload_multiple, r.overload_window_us),
         };
-        let b = self.servers.get_mut(&id).expect("a server of the list");
+        let fake = self.servers.get_mut(&id).expect("a listed server");
         if id == ORIGIN || warmth >= 1.0 {
             return;
         }
-        b.recent_work.push_back((now, self.work_s));
-        while b.recent_work.front().is_some_and(|p| p.0 + window < now) {
-            b.recent_work.pop_front();
+        fake.recent_work.push_back((now, self.work_s));
+        while fake.recent_work.front().is_some_and(|p| p.0 + window < now) {
+            fake.recent_work.pop_front();
         }
-        let sum: f64 = b.recent_work.iter().map(|p| p.1).sum();
-        b.max_overload = b
+        let sum: f64 = fake.recent_work.iter().map(|p| p.1).sum();
+        fake.max_overload = fake
             .max_overload
-            .max(sum / (multiple * warmth * b.weight * window as f64 / 1e6));
+            .max(sum / (multiple * warmth * fake.weight * window as f64 / 1e6));
     }
 }
