--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -1,4 +1,4 @@
-//! Leases of what all routers spend together: they go before the router's own guess, at the moment of each spend.
+//! Leases on shared budgets, which replace the router's equal share and are checked for each request.
 
 mod common;
 use common::*;
@@ -16,13 +16,13 @@
 #[test]
 fn requests_at_the_origin_stay_within_the_lease_and_each_end_frees_capacity() {
     let mut harness = RouterHarness::new(settings(), fleet());
-    // Without a lease there is no bound.
+    // Without a lease there is no limit.
     let first: Vec<SentAttempt> = (0..5)
         .map(|n| harness.send_request("order", &format!("/o/{n}")))
         .collect();
     assert!(first.iter().all(|s| s.server == 21));
     assert_eq!(harness.router.origin_requests_in_flight(), 5);
-    // A lease that is less than what is out calls nothing off, and lets nothing more out.
+    // A lease below the number of requests in flight cancels none of them and admits no new ones.
     assert!(harness
         .handle(lease(Budget::Origin, 3.0, harness.now + S, 1.0))
         .is_empty());
@@ -34,14 +34,14 @@
                 request: id,
                 retry_after_us: Some(200 * MS)
             }],
-            "at once"
+            "the request is refused immediately"
         );
         harness.end_attempt(sent.request, 0, 21, Outcome::Ok);
     }
     assert_eq!(harness.router.origin_requests_in_flight(), 2);
     let third = harness.send_request("order", "/o/9");
     assert!(sent(&harness.request("charge", "/o/10", 5 * S).1).is_none());
-    // Its end needs no message: the reserved minimum is left.
+    // The lease expires without an event, which leaves the reserved minimum.
     harness.now += S;
     for s in [first[3], first[4]] {
         harness.end_attempt(s.request, 0, 21, Outcome::Ok);
@@ -51,13 +51,13 @@
     harness.send_request("order", "/o/11");
     assert!(
         sent(&harness.request("order", "/o/12", 5 * S).1).is_none(),
-        "and one is reserved"
+        "the reserved minimum is one request"
     );
     harness.handle(lease(Budget::Origin, 2.0, harness.now + S, 1.0));
     harness.send_request("order", "/o/12");
 }
 
-/// A fill by way of a parent may have the origin asked, too.
+/// Fills through a parent may reach the origin too.
 #[test]
 fn fills_that_may_reach_the_origin_count_against_its_lease() {
     let mut harness = RouterHarness::new(settings(), fleet());
@@ -65,11 +65,11 @@
     let fills: Vec<SentAttempt> = (0..3)
         .map(|n| harness.send_request("video", &format!("/o/{n}")))
         .collect();
-    let asks: Vec<bool> = fills.iter().map(|s| !s.fill.only_if_cached).collect();
+    let may_reach_origin: Vec<bool> = fills.iter().map(|s| !s.fill.only_if_cached).collect();
     assert_eq!(
-        asks,
+        may_reach_origin,
         [true, true, false],
-        "the third is given only what a parent holds"
+        "the third fill may use only a parent's copy"
     );
     assert!(sent(&harness.request("order", "/o/9", 5 * S).1).is_none());
     harness.end_attempt_with(
@@ -82,8 +82,9 @@
     harness.send_request("order", "/o/9");
 }
 
-/// Requests of 0.1 s of work each that a cold cache, or parent, is sent within a window.
-fn sent_cold(parent: bool, lease: Option<Lease>) -> (usize, Option<f64>) {
+/// Returns the number of requests with 0.1 s of transfer each that a warming cache, or parent, receives in one window,
+/// and the reported usage.
+fn sent_to_warming_server(parent: bool, lease: Option<Lease>) -> (usize, Option<f64>) {
     let mut s = Settings {
         direct_to_upstream: false,
         ..settings()
@@ -95,21 +96,21 @@
         server(21, "hub", "origin"),
     ];
     servers[usize::from(parent)].started = Some(START);
-    // The other one has room for all.
+    // The other server has capacity for all requests.
     servers[usize::from(!parent)].weight = 1000.0;
     servers[usize::from(parent)].weight = 80.0;
     let mut harness = RouterHarness::new(s, servers);
     lease
         .into_iter()
         .for_each(|lease| drop(harness.handle(Event::Lease(lease))));
-    let cold = if parent { 11 } else { 1 };
+    let warming = if parent { 11 } else { 1 };
     let asked = (0..400).map(|n| harness.request("video", &format!("/o/{n}"), 5 * S).1);
-    let came = asked
+    let accepted = asked
         .filter_map(|actions| sent(&actions))
-        .filter(|s| [s.server, s.fill.source].contains(&cold));
-    let came = came.count();
+        .filter(|s| [s.server, s.fill.source].contains(&warming));
+    let accepted = accepted.count();
     (
-        came,
+        accepted,
         harness.router.max_slow_start_usage(harness.now, parent),
     )
 }
@@ -125,33 +126,37 @@
                 reserved: 0.05,
             })
         };
-        let (guess, by_guess) = sent_cold(parent, None);
+        let (equal_share, equal_share_usage) = sent_to_warming_server(parent, None);
         assert!(
-            guess >= 1 && by_guess.is_some(),
-            "{budget:?}: {guess}, {by_guess:?}"
+            equal_share >= 1 && equal_share_usage.is_some(),
+            "{budget:?}: {equal_share} requests, usage {equal_share_usage:?}"
         );
-        let (all, used) = sent_cold(parent, lease(1.0));
+        let (all, used) = sent_to_warming_server(parent, lease(1.0));
         assert!(
-            all > 3 * guess,
-            "{budget:?}: alone it may send what many would: {all}, {guess} by its guess"
+            all > 3 * equal_share,
+            "{budget:?}: {all} requests with the whole budget, {equal_share} with an equal share"
         );
         assert!(
-            used > by_guess && used <= Some(1.0),
-            "{budget:?}: {used:?}, {by_guess:?} by its guess"
+            used > equal_share_usage && used <= Some(1.0),
+            "{budget:?}: usage {used:?} with the whole budget, {equal_share_usage:?} with an equal share"
         );
-        assert_eq!(sent_cold(parent, lease(0.0)).0, 0, "{budget:?}");
-        let over = Lease {
+        assert_eq!(
+            sent_to_warming_server(parent, lease(0.0)).0,
+            0,
+            "{budget:?}"
+        );
+        let expired = Lease {
             budget,
             amount: 1.0,
             until: START,
             reserved: 0.05,
         };
-        let (reserved, _) = sent_cold(parent, Some(over));
+        let (reserved, _) = sent_to_warming_server(parent, Some(expired));
         assert!(
             reserved >= 1 && 3 * reserved < all,
-            "{budget:?}: {reserved} by the reserved minimum, {all} by the limit"
+            "{budget:?}: {reserved} requests with the reserved minimum, {all} with the whole budget"
         );
-        // A lease of the other kind says nothing of this one.
+        // A lease on the other budget has no effect.
         let other = if parent {
             Budget::Caches
         } else {
@@ -163,7 +168,11 @@
             until: START + S,
             reserved: 0.0,
         };
-        assert_eq!(sent_cold(parent, Some(other)).0, guess, "{budget:?}");
+        assert_eq!(
+            sent_to_warming_server(parent, Some(other)).0,
+            equal_share,
+            "{budget:?}"
+        );
     }
     let warm = RouterHarness::new(settings(), fleet());
     assert_eq!(
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -1,11 +1,11 @@
-//! The design's ordinary path, and that equal events give equal actions.
+//! Routing without failures, and determinism.
 
 mod common;
 use common::*;
 use linnetknot::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn homes(harness: &mut RouterHarness, n: usize) -> BTreeMap<usize, ServerId> {
+fn cache_by_object(harness: &mut RouterHarness, n: usize) -> BTreeMap<usize, ServerId> {
     (0..n)
         .map(|n| {
             let s = harness.send_request("video", &format!("/o/{n}"));
@@ -20,8 +20,8 @@
     let mut a = RouterHarness::new(settings(), fleet());
     let mut b = RouterHarness::new(settings(), fleet());
     b.now += 60 * S;
-    let (one, two) = (homes(&mut a, 300), homes(&mut b, 300));
-    assert_eq!(one, two, "the order is shared");
+    let (one, two) = (cache_by_object(&mut a, 300), cache_by_object(&mut b, 300));
+    assert_eq!(one, two, "all routers use the same ranking");
     assert_eq!(
         one.values().collect::<BTreeSet<_>>(),
         BTreeSet::from([&1, &2, &3, &4])
@@ -30,19 +30,19 @@
 
 #[test]
 fn removing_a_cache_moves_only_its_own_objects() {
-    let before = homes(&mut RouterHarness::new(settings(), fleet()), 300);
+    let before = cache_by_object(&mut RouterHarness::new(settings(), fleet()), 300);
     let fewer: Vec<Server> = fleet().into_iter().filter(|s| s.id != 3).collect();
-    let after = homes(&mut RouterHarness::new(settings(), fewer), 300);
-    for (n, home) in &before {
-        if *home != 3 {
-            assert_eq!(after[n], *home);
+    let after = cache_by_object(&mut RouterHarness::new(settings(), fewer), 300);
+    for (n, cache) in &before {
+        if *cache != 3 {
+            assert_eq!(after[n], *cache);
         }
     }
 }
 
 #[test]
 fn the_number_of_copies_follows_the_share_of_requests() {
-    // A third of all requests, four caches: two copies; the whole of them: all four.
+    // A third of all requests and four caches give two copies; all requests give four.
     for (others, copies) in [(2, 2), (0, 4)] {
         let mut harness = RouterHarness::new(settings(), fleet());
         let mut used = BTreeSet::new();
@@ -83,7 +83,11 @@
             }
         }
     }
-    assert_eq!(used.len(), 1, "what was hot long ago has one copy");
+    assert_eq!(
+        used.len(),
+        1,
+        "an object that was popular long ago has one copy"
+    );
 }
 
 #[test]
@@ -116,7 +120,7 @@
     assert_eq!((a.fill.cache_rank, b.fill.cache_rank), (1, 2));
 }
 
-fn script(router: &mut Router, seed: u64, step: u64) -> Vec<Action> {
+fn replay_step(router: &mut Router, seed: u64, step: u64) -> Vec<Action> {
     let mut actions = Vec::new();
     let now = START + step * 7 * MS;
     let request = Request {
@@ -155,8 +159,8 @@
     actions
 }
 
-fn started(seed: u64) -> Router {
-    let mut router = Router::new(settings(), seed).expect("usable settings");
+fn started_router(seed: u64) -> Router {
+    let mut router = Router::new(settings(), seed).expect("valid settings");
     router.handle(
         START,
         Event::List {
@@ -170,13 +174,13 @@
 
 #[test]
 fn equal_events_give_equal_actions_and_routers_share_no_state() {
-    let (mut a, mut b) = (started(1), started(2));
-    let apart: Vec<_> = (0..500).map(|n| script(&mut a, 1, n)).collect();
-    let other: Vec<_> = (0..500).map(|n| script(&mut b, 2, n)).collect();
-    let (mut a, mut b) = (started(1), started(2));
+    let (mut a, mut b) = (started_router(1), started_router(2));
+    let first_actions: Vec<_> = (0..500).map(|n| replay_step(&mut a, 1, n)).collect();
+    let second_actions: Vec<_> = (0..500).map(|n| replay_step(&mut b, 2, n)).collect();
+    let (mut a, mut b) = (started_router(1), started_router(2));
     for n in 0..500 {
-        assert_eq!(script(&mut a, 1, n), apart[n as usize]);
-        assert_eq!(script(&mut b, 2, n), other[n as usize]);
+        assert_eq!(replay_step(&mut a, 1, n), first_actions[n as usize]);
+        assert_eq!(replay_step(&mut b, 2, n), second_actions[n as usize]);
     }
 }
 
--- a/tests/slow_start_budget.rs
+++ b/tests/slow_start_budget.rs
@@ -1,25 +1,25 @@
-//! A cold server and all the routers that send to it, on one virtual time: what they send in any window of the rule is
-//! what the rule allows and what is chance beside it, however many they are, and it is not next to nothing.
+//! Simulates a warming server and all routers that send to it: in any window they stay within the slow-start rule plus
+//! random variation, and they use a reasonable part of the budget.
 
 mod common;
 use common::*;
 use linnetknot::*;
 
-/// What the routers of a fleet send to a cold server, in order of time.
+/// A fleet of routers that send to one warming server.
 struct Scenario {
     routers: u32,
-    /// The routers of the cold server's location are those with every so many-th number.
-    every: u32,
-    /// Each has a request so often.
-    each: Micros,
-    parent: bool,
+    /// Spacing of the router indices in the warming server's location.
+    index_step: u32,
+    /// Interval between the requests of one router.
+    request_interval: Micros,
+    is_parent: bool,
     id: ServerId,
     seed: u64,
-    /// All routers start again at this time since the server's start, and have forgotten all.
+    /// Time since the server's start at which all routers restart without their state.
     restart: Option<Micros>,
 }
 
-/// Each request's work at full pace.
+/// Transfer time of each request at full rate.
 const WORK_S: f64 = 0.1;
 
 impl Scenario {
@@ -34,19 +34,19 @@
         s
     }
 
-    /// Times of the sends since the server's start.
-    fn sends(&self, length: Micros) -> Vec<Micros> {
+    /// Returns the times of requests sent to the server, since its start.
+    fn sends(&self, duration: Micros) -> Vec<Micros> {
         let mut servers = vec![
             server(1, "town", "cache"),
             server(11, "hub", "parent"),
             server(21, "hub", "origin"),
         ];
-        let cold = usize::from(self.parent);
-        servers[1 - cold].weight = 1e6;
-        (servers[cold].id, servers[cold].started) = (self.id, Some(START));
-        let start = |n: u32, now: Micros, life: u64| {
-            let router_index = Some(n * self.every);
-            let seed = self.seed ^ u64::from(n).wrapping_mul(0x9e37_79b9) ^ life << 40;
+        let warming = usize::from(self.is_parent);
+        servers[1 - warming].weight = 1e6;
+        (servers[warming].id, servers[warming].started) = (self.id, Some(START));
+        let start = |n: u32, now: Micros, incarnation: u64| {
+            let router_index = Some(n * self.index_step);
+            let seed = self.seed ^ u64::from(n).wrapping_mul(0x9e37_79b9) ^ incarnation << 40;
             let mut router = Router::new(
                 Settings {
                     router_index,
@@ -54,7 +54,7 @@
                 },
                 seed,
             )
-            .expect("usable");
+            .expect("valid settings");
             router.handle(
                 now,
                 Event::List {
@@ -66,11 +66,11 @@
             router
         };
         let mut routers: Vec<Router> = (0..self.routers).map(|n| start(n, START, 0)).collect();
-        let (mut sends, mut number, mut actions) = (Vec::new(), 0, Vec::new());
+        let (mut sends, mut last_id, mut actions) = (Vec::new(), 0, Vec::new());
         let mut restart = self.restart;
         let steps = 10;
-        for step in 0..length / self.each * steps {
-            let now = START + step * self.each / steps;
+        for step in 0..duration / self.request_interval * steps {
+            let now = START + step * self.request_interval / steps;
             if restart.take_if(|at| START + *at <= now).is_some() {
                 routers = (0..self.routers).map(|n| start(n, now, 1)).collect();
             }
@@ -79,12 +79,12 @@
                 .enumerate()
                 .filter(|(n, _)| *n as u64 % steps == step % steps);
             for (_, router) in due {
-                number += 1;
+                last_id += 1;
                 let request = Request {
-                    id: number,
+                    id: last_id,
                     class: "video".into(),
                     tenant: None,
-                    object: format!("/o/{number}"),
+                    object: format!("/o/{last_id}"),
                     part: 0,
                     group: 1,
                     size_kb: WORK_S * 5_000.0,
@@ -97,10 +97,14 @@
                 if [sent.server, sent.fill.source].contains(&self.id) {
                     sends.push(now - START);
                 }
-                // Answered at once, so that nothing but the budget holds the next one back.
-                let note = if self.parent { Note::Filled } else { Note::Hit };
+                // Answered immediately, so that only the budget delays further requests.
+                let note = if self.is_parent {
+                    Note::Filled
+                } else {
+                    Note::Hit
+                };
                 let outcome = Event::AttemptEnded {
-                    request: number,
+                    request: last_id,
                     attempt: 0,
                     server: sent.server,
                     outcome: Outcome::Ok,
@@ -116,10 +120,10 @@
         sends
     }
 
-    /// What the rule allows in a window that begins at this age, in requests.
+    /// Returns the number of requests that the rule allows in a window starting at this age.
     fn allowed(&self, age: Micros) -> f64 {
         let r = self.settings().rules;
-        let (share, cold, multiple, capacity) = match self.parent {
+        let (share, warm_up_us, multiple, capacity) = match self.is_parent {
             true => (
                 r.parent_slow_start_share,
                 r.parent_slow_start_us,
@@ -133,42 +137,44 @@
                 8.0,
             ),
         };
-        let warmth = (share + (1.0 - share) * age as f64 / cold as f64).min(1.0);
+        let warmth = (share + (1.0 - share) * age as f64 / warm_up_us as f64).min(1.0);
         multiple * warmth * capacity * r.overload_window_us as f64 / 1e6 / WORK_S
     }
 
-    /// Plays it: the greatest excess of a window over what is allowed and chance, and the share of what is allowed that is
-    /// used in all.
+    /// Returns the largest excess of any window over the allowed requests plus random variation, and the used fraction
+    /// of the allowed requests.
     fn run(&self) -> (f64, f64) {
-        let (window, length) = (self.settings().rules.overload_window_us, 6 * S);
-        let sends = self.sends(length);
+        let (window, duration) = (self.settings().rules.overload_window_us, 6 * S);
+        let sends = self.sends(duration);
         let worst = sends.iter().enumerate().map(|(first, at)| {
             let within = sends[first..]
                 .iter()
                 .take_while(|t| **t < at + window)
                 .count();
-            let n = self.allowed(*at);
-            within as f64 - (n + 2.0 * n.sqrt() + 2.0)
+            let allowed = self.allowed(*at);
+            within as f64 - (allowed + 2.0 * allowed.sqrt() + 2.0)
         });
-        let all: f64 = (0..length / window).map(|w| self.allowed(w * window)).sum();
+        let all: f64 = (0..duration / window)
+            .map(|w| self.allowed(w * window))
+            .sum();
         (worst.fold(f64::MIN, f64::max), sends.len() as f64 / all)
     }
 }
 
-/// Each with more to send than the server bears, all together.
+/// Scenarios in which the routers together have more requests than the server may receive.
 fn scenarios() -> impl Iterator<Item = Scenario> {
     let sizes = [1, 2, 3, 5, 12, 20, 30, 48, 100, 300];
     let kinds = [(false, 1), (false, 3), (false, 8), (true, 1)];
     sizes.into_iter().flat_map(move |routers| {
-        kinds.into_iter().flat_map(move |(parent, every)| {
+        kinds.into_iter().flat_map(move |(is_parent, index_step)| {
             (0..2).map(move |seed| {
                 let id = 1000 + 7 * seed + u64::from(routers);
-                let each = (10 * MS * u64::from(routers)).min(100 * MS);
+                let request_interval = (10 * MS * u64::from(routers)).min(100 * MS);
                 Scenario {
                     routers,
-                    every,
-                    each,
-                    parent,
+                    index_step,
+                    request_interval,
+                    is_parent,
                     id,
                     seed,
                     restart: None,
@@ -181,24 +187,24 @@
 #[test]
 fn any_window_stays_within_the_rule_and_random_variation_for_1_to_300_routers() {
     for scenario in scenarios() {
-        let (over, used) = scenario.run();
+        let (excess, used_share) = scenario.run();
         let name = format!(
-            "{} routers, every {}, parent: {}",
-            scenario.routers, scenario.every, scenario.parent
+            "{} routers, index step {}, parent: {}",
+            scenario.routers, scenario.index_step, scenario.is_parent
         );
+        assert!(excess <= 0.0, "{name}: {excess} requests above the limit");
         assert!(
-            over <= 0.0,
-            "{name}: {over} beyond what is allowed and chance"
+            used_share >= 0.2,
+            "{name}: only {used_share} of the budget is used"
         );
         assert!(
-            used >= 0.2,
-            "{name}: only {used} of what is allowed is sent"
+            used_share <= 0.8,
+            "{name}: {used_share} of the budget is used"
         );
-        assert!(used <= 0.8, "{name}: {used}");
     }
 }
 
-/// Routers that start again have forgotten what they sent; their turns are where they were.
+/// Guards against restarted routers, which have no record of sent requests, exceeding the budget.
 #[test]
 fn a_simultaneous_restart_of_all_routers_overloads_no_warming_server() {
     for scenario in scenarios() {
@@ -206,30 +212,33 @@
             restart: Some(1_500 * MS),
             ..scenario
         };
-        let (over, _) = scenario.run();
+        let (excess, _) = scenario.run();
         assert!(
-            over <= 0.0,
-            "{} routers, every {}: {over}",
+            excess <= 0.0,
+            "{} routers, index step {}: {excess} requests above the limit",
             scenario.routers,
-            scenario.every
+            scenario.index_step
         );
     }
 }
 
-/// Where nothing was sent for long and then all have something at once, as when an object becomes hot.
+/// Guards against a burst after an idle period, as when an object becomes popular.
 #[test]
 fn unused_send_slots_do_not_accumulate() {
     for routers in [20, 30, 100, 300] {
         let scenario = Scenario {
             routers,
-            every: 1,
-            each: 3 * S,
-            parent: false,
+            index_step: 1,
+            request_interval: 3 * S,
+            is_parent: false,
             id: 77,
             seed: 1,
             restart: None,
         };
-        let (over, _) = scenario.run();
-        assert!(over <= 0.0, "{routers} routers: {over}");
+        let (excess, _) = scenario.run();
+        assert!(
+            excess <= 0.0,
+            "{routers} routers: {excess} requests above the limit"
+        );
     }
 }
