--- a/tests/failure_handling.rs
+++ b/tests/failure_handling.rs
@@ -1,11 +1,11 @@
-//! One test for each failure found.
+//! Regression tests for the handling of failures.
 
 mod common;
 use common::*;
 use linnetknot::*;
 
-/// Servers that get requests for `n` objects, each answered as a hit.
-fn used(harness: &mut RouterHarness, n: usize) -> Vec<ServerId> {
+/// Returns the servers that receive requests for `n` objects; each request is answered as a hit.
+fn servers_used(harness: &mut RouterHarness, n: usize) -> Vec<ServerId> {
     (0..n)
         .filter_map(|n| {
             let (id, actions) = harness.request("video", &format!("/o/{n}"), 5 * S);
@@ -28,24 +28,24 @@
     let first = harness.send_request("video", "/o/a");
     harness.end_attempt(first.request, 0, first.server, Outcome::ConnectFailed);
     assert!(
-        !used(&mut harness, 40).contains(&first.server),
-        "marked at once"
+        !servers_used(&mut harness, 40).contains(&first.server),
+        "the cache is ejected immediately"
     );
     harness.now += 2 * S;
     assert!(
-        used(&mut harness, 40).contains(&first.server),
-        "tried again once the mark has run out"
+        servers_used(&mut harness, 40).contains(&first.server),
+        "the cache is tried again after its ejection"
     );
     harness.now += 2 * S;
-    // All at once, unanswered: 3 x (0.2 + 0.16) x 8 transfers of 0.1 s for a second is what the rule allows.
-    let mut got = 0;
+    // Requests sent together without answers: the rule allows 3 x (0.2 + 0.16) x 8 transfers of 0.1 s in one second.
+    let mut accepted = 0;
     for n in 0..400 {
         let (_, actions) = harness.request("video", &format!("/o/x{n}"), 5 * S);
-        got += usize::from(sent(&actions).is_some_and(|s| s.server == first.server));
+        accepted += usize::from(sent(&actions).is_some_and(|s| s.server == first.server));
     }
     assert!(
-        (1..=86).contains(&got),
-        "{got} requests to a cache that may be cold"
+        (1..=86).contains(&accepted),
+        "{accepted} requests to a cache that may have restarted"
     );
 }
 
@@ -79,10 +79,10 @@
         stuck.iter().map(|s| s.request).collect::<Vec<_>>()
     );
     for s in &stuck {
-        let again = harness.end_attempt(s.request, 0, 2, Outcome::Cancelled);
-        assert_ne!(sent(&again).expect("another attempt").server, 2);
+        let retry = harness.end_attempt(s.request, 0, 2, Outcome::Cancelled);
+        assert_ne!(sent(&retry).expect("another attempt").server, 2);
     }
-    assert!(!used(&mut harness, 40).contains(&2));
+    assert!(!servers_used(&mut harness, 40).contains(&2));
 }
 
 #[test]
@@ -98,10 +98,10 @@
         let (id, actions) = harness.request("video", &format!("/o/{n}"), 5 * S);
         let Some(s) = sent(&actions) else { break };
         harness.now += 2 * MS;
-        let mut again = Some(s);
+        let mut retry = Some(s);
         for attempt in 0..4 {
-            let Some(s) = again else { break };
-            again = sent(&harness.end_attempt(id, attempt, s.server, Outcome::Error));
+            let Some(s) = retry else { break };
+            retry = sent(&harness.end_attempt(id, attempt, s.server, Outcome::Error));
         }
     }
     assert!(sent(&harness.request("video", "/o/last", 5 * S).1).is_some());
@@ -128,14 +128,14 @@
             );
             hit
         });
-        assert!(n.is_some(), "cache {id} was never picked");
+        assert!(n.is_some(), "cache {id} was never selected");
     }
     let s = harness.send_request("video", "/o/z");
     assert!(s.server == 11 || s.server == 12, "{s:?}");
     assert_eq!(
         (s.fill.source, s.fill.cache_rank, s.fill.coalesce),
         (21, 0, false),
-        "the parent fetches what it lacks"
+        "the parent fetches missing objects from the origin"
     );
 }
 
@@ -151,9 +151,15 @@
     let last = (1..400)
         .map(|n| harness.send_request("video", &format!("/o/{n}")))
         .last()
-        .expect("one");
-    assert_eq!(last.fill.source, last.server, "only looked into");
-    assert!(last.fill.coalesce, "a fill under way is waited for");
+        .expect("at least one attempt");
+    assert_eq!(
+        last.fill.source, last.server,
+        "only the cache's own copy is requested"
+    );
+    assert!(
+        last.fill.coalesce,
+        "the request may join a fill in progress"
+    );
     let answer = harness.end_attempt(last.request, 0, last.server, Outcome::Miss);
     assert_eq!(
         answer,
@@ -168,11 +174,14 @@
 fn a_source_that_rejected_a_fill_is_not_retried_for_the_same_request() {
     let mut harness = RouterHarness::new(settings(), fleet());
     let s = harness.send_request("video", "/o/a");
-    let again =
+    let retry =
         sent(&harness.end_attempt_with(s.request, 0, s.server, Outcome::Full, Note::SourceRefused))
-            .expect("again");
-    assert_eq!(again.server, s.server, "the cache is not to blame");
-    assert_ne!(again.fill.source, s.fill.source);
+            .expect("another attempt");
+    assert_eq!(
+        retry.server, s.server,
+        "the failure is not attributed to the cache"
+    );
+    assert_ne!(retry.fill.source, s.fill.source);
 }
 
 #[test]
@@ -182,7 +191,7 @@
     let mut cancelled = Vec::new();
     for n in 0..40 {
         harness.now += 100 * MS;
-        // The same cache goes on answering others.
+        // The same cache answers other requests.
         let (id, actions) = harness.request("page", &format!("/o/{n}"), 5 * S);
         let s = sent(&actions).expect("an attempt");
         harness.end_attempt_with(id, 0, s.server, Outcome::Ok, Note::Hit);
@@ -200,13 +209,13 @@
             attempt: 0
         }]
     );
-    let again = sent(&harness.end_attempt(stuck.request, 0, stuck.server, Outcome::Cancelled))
+    let retry = sent(&harness.end_attempt(stuck.request, 0, stuck.server, Outcome::Cancelled))
         .expect("another attempt");
     assert_eq!(
-        again.server, stuck.server,
-        "the work ran: the copy is there"
+        retry.server, stuck.server,
+        "the request ran, so the server has the copy"
     );
-    // Lost a second time, it is given more time, then asked for elsewhere.
+    // The second attempt gets more time before it is cancelled and retried elsewhere.
     let mut actions = Vec::new();
     let mut waited = 0;
     while actions.is_empty() && waited < 200 {
@@ -226,7 +235,10 @@
             attempt: 1
         }]
     );
-    assert!(waited > 20, "longer than the first: {waited}");
+    assert!(
+        waited > 20,
+        "the second attempt was cancelled after {waited} ticks"
+    );
 }
 
 #[test]
@@ -241,25 +253,25 @@
     let mut failing = None;
     for n in 0..30 {
         let s = harness.send_request("video", &format!("/o/{n}"));
-        let bad = *failing.get_or_insert(s.fill.source);
-        if s.fill.source != bad {
+        let failing_parent = *failing.get_or_insert(s.fill.source);
+        if s.fill.source != failing_parent {
             harness.end_attempt_with(s.request, 0, s.server, Outcome::Ok, Note::Filled);
             continue;
         }
-        let again = sent(&harness.end_attempt(s.request, 0, s.server, Outcome::Error))
-            .expect("another try");
+        let retry = sent(&harness.end_attempt(s.request, 0, s.server, Outcome::Error))
+            .expect("another attempt");
         assert_ne!(
-            again.fill.source, bad,
-            "the parent is left out of the next try"
+            retry.fill.source, failing_parent,
+            "the next attempt excludes the parent"
         );
-        harness.end_attempt_with(s.request, 1, again.server, Outcome::Ok, Note::Filled);
+        harness.end_attempt_with(s.request, 1, retry.server, Outcome::Ok, Note::Filled);
     }
     let later: Vec<SentAttempt> = (0..40)
         .map(|n| harness.send_request("page", &format!("/p/{n}")))
         .collect();
     assert!(
         (1..=4).all(|id| later.iter().any(|s| s.server == id)),
-        "no cache is marked"
+        "no cache is ejected"
     );
     assert!(
         later
@@ -267,7 +279,7 @@
             .filter(|s| Some(s.fill.source) == failing)
             .count()
             <= 1,
-        "the parent is"
+        "the parent is ejected"
     );
 }
 
@@ -286,7 +298,7 @@
         harness
             .end_attempt(s.request, 0, s.server, Outcome::Cancelled)
             .is_empty(),
-        "no answer is owed any more"
+        "the client needs no answer"
     );
 }
 
@@ -319,7 +331,7 @@
     let filled = (0..40)
         .map(|n| harness.send_request("video", &format!("/o/{n}")))
         .find(|s| s.server == 1);
-    let source = filled.expect("its part of the objects").fill.source;
+    let source = filled.expect("an attempt at cache 1").fill.source;
     assert!((2..=4).contains(&source), "{source}");
 }
 
@@ -331,7 +343,7 @@
         let object = format!("/o/{round}");
         let slow = sent(&harness.request("video", &object, 60 * S).1).expect("an attempt");
         let start = harness.now;
-        // Its server answers others meanwhile, so it is the work that is slow.
+        // The server answers another request, so the request itself is slow.
         harness.now += 100 * MS;
         let other = harness.send_request("video", &object);
         assert_eq!(other.server, slow.server);
@@ -343,9 +355,9 @@
             harness.now += 50 * MS;
         }
         waits.push(harness.now - start);
-        let again = sent(&harness.end_attempt(slow.request, 0, slow.server, Outcome::Cancelled))
+        let retry = sent(&harness.end_attempt(slow.request, 0, slow.server, Outcome::Cancelled))
             .expect("another attempt");
-        harness.end_attempt_with(again.request, 1, again.server, Outcome::Ok, Note::Hit);
+        harness.end_attempt_with(retry.request, 1, retry.server, Outcome::Ok, Note::Hit);
     }
     assert!(
         waits.is_sorted() && waits[3] > waits[0] * 4 / 3,
@@ -355,7 +367,7 @@
 
 #[test]
 fn unknown_link_capacity_is_estimated_from_fills() {
-    let run = |took_ms: u64, outcome: Outcome| {
+    let fills_start = |took_ms: u64, outcome: Outcome| {
         let mut s = settings();
         s.zones[1].link_kb_per_s = 0.0;
         let mut fleet = fleet();
@@ -365,7 +377,7 @@
             .map(|n| harness.send_request("video", &format!("/o/{n}")))
             .collect();
         harness.now += 200 * MS;
-        used(&mut harness, 8); // The caches answer others meanwhile.
+        servers_used(&mut harness, 8); // The caches answer other requests.
         harness.tick();
         harness.now += 600 * MS;
         for s in &fills {
@@ -390,34 +402,34 @@
             harness.now += 2 * S;
             harness.tick();
         }
-        let calm = harness.send_request("video", "/o/last");
-        [under_load, calm].map(|s| s.fill.source != s.server)
+        let after_recovery = harness.send_request("video", "/o/last");
+        [under_load, after_recovery].map(|s| s.fill.source != s.server)
     };
     assert_eq!(
-        run(800, Outcome::Ok),
+        fills_start(800, Outcome::Ok),
         [false, true],
-        "only looked into, and filled once the link is free"
+        "no fill while the link is congested, and fills again after that"
     );
     assert_eq!(
-        run(800, Outcome::Timeout),
+        fills_start(800, Outcome::Timeout),
         [true, true],
-        "what timed out may have waited for the origin"
+        "timeouts say nothing about the link, as they may have waited for the origin"
     );
     assert_eq!(
-        run(130, Outcome::Ok),
+        fills_start(130, Outcome::Ok),
         [true, true],
-        "quick ones set no bound"
+        "fast fills set no limit"
     );
 }
 
 #[test]
 fn few_requests_may_reach_a_slow_origin() {
     let mut harness = RouterHarness::new(settings(), fleet());
-    let mut next = 0;
-    let mut asking = |harness: &mut RouterHarness, first_byte_us: Micros, note: Note| {
+    let mut next_id = 0;
+    let mut count_admitted = |harness: &mut RouterHarness, first_byte_us: Micros, note: Note| {
         let count = (0..100).filter(|_| {
-            next += 1;
-            let s = harness.send_request("video", &format!("/o/{next}"));
+            next_id += 1;
+            let s = harness.send_request("video", &format!("/o/{next_id}"));
             harness.now += 10 * MS;
             harness.handle(Event::AttemptEnded {
                 request: s.request,
@@ -436,26 +448,32 @@
         });
         count.count()
     };
-    assert_eq!(asking(&mut harness, 100 * MS, Note::FilledByOrigin), 100);
-    asking(&mut harness, 900 * MS, Note::FilledByOrigin);
-    let late = asking(&mut harness, 900 * MS, Note::FilledByOrigin);
+    assert_eq!(
+        count_admitted(&mut harness, 100 * MS, Note::FilledByOrigin),
+        100
+    );
+    count_admitted(&mut harness, 900 * MS, Note::FilledByOrigin);
+    let late = count_admitted(&mut harness, 900 * MS, Note::FilledByOrigin);
     assert!(
         (1..20).contains(&late),
-        "{late}: a few find out whether it is well again"
+        "{late} of 100 requests may reach the origin to detect its recovery"
     );
     assert!(
-        asking(&mut harness, 10 * MS, Note::Filled) < 20,
-        "a parent's own copies tell nothing of the origin"
+        count_admitted(&mut harness, 10 * MS, Note::Filled) < 20,
+        "fills from a parent's copies say nothing about the origin"
     );
-    asking(&mut harness, 100 * MS, Note::FilledByOrigin);
-    assert_eq!(asking(&mut harness, 100 * MS, Note::FilledByOrigin), 100);
-    let [little, much] = [600 * MS, 2 * S].map(|first_byte_us| {
+    count_admitted(&mut harness, 100 * MS, Note::FilledByOrigin);
+    assert_eq!(
+        count_admitted(&mut harness, 100 * MS, Note::FilledByOrigin),
+        100
+    );
+    let [slightly_late, late_by_far] = [600 * MS, 2 * S].map(|first_byte_us| {
         let mut harness = RouterHarness::new(settings(), fleet());
-        asking(&mut harness, first_byte_us, Note::FilledByOrigin)
+        count_admitted(&mut harness, first_byte_us, Note::FilledByOrigin)
     });
     assert!(
-        much < little,
-        "{much}, {little}: the later, the further it falls"
+        late_by_far < slightly_late,
+        "{late_by_far} with very late answers, {slightly_late} with slightly late ones"
     );
 }
 
@@ -476,25 +494,25 @@
         harness.end_attempt(first.request, 0, first.server, Outcome::Reset);
         for _ in 0..3 {
             harness.now += 10 * S;
-            let mut tried = false;
+            let mut trial_seen = false;
             for n in 0..40 {
                 let s = harness.send_request("video", &format!("/o/{n}"));
                 let trial = s.server == first.server;
-                tried |= trial;
+                trial_seen |= trial;
                 let (outcome, note) = if trial {
                     (outcome, note)
                 } else {
                     (Outcome::Ok, Note::Hit)
                 };
-                let (mut attempt, mut out) = (0, Some(s));
-                while let Some(s) = out {
-                    out = sent(
+                let (mut attempt, mut next_attempt) = (0, Some(s));
+                while let Some(s) = next_attempt {
+                    next_attempt = sent(
                         &harness.end_attempt_with(s.request, attempt, s.server, outcome, note),
                     );
                     attempt += 1;
                 }
             }
-            assert!(tried, "tried once its mark has run out");
+            assert!(trial_seen, "the server is tried after its ejection");
         }
     }
 }
@@ -504,15 +522,15 @@
     let mut harness = RouterHarness::new(settings(), fleet());
     for n in 0..20 {
         let s = harness.send_request("video", &format!("/o/unknown-{n}"));
-        let again = sent(&harness.end_attempt(s.request, 0, s.server, Outcome::Error))
+        let retry = sent(&harness.end_attempt(s.request, 0, s.server, Outcome::Error))
             .expect("another attempt");
-        let actions = harness.end_attempt(s.request, 1, again.server, Outcome::Error);
+        let actions = harness.end_attempt(s.request, 1, retry.server, Outcome::Error);
         assert!(
             matches!(actions[..], [Action::Refuse { .. }]),
             "{actions:?}"
         );
     }
-    let all = used(&mut harness, 60);
+    let all = servers_used(&mut harness, 60);
     assert!((1..=4).all(|id| all.contains(&id)), "{all:?}");
 }
 
@@ -528,8 +546,8 @@
         harness.end_attempt(s.request, 0, 2, Outcome::Reset);
     }
     assert!(
-        used(&mut harness, 60).contains(&2),
-        "an answer that could not be read is not the end of a process"
+        servers_used(&mut harness, 60).contains(&2),
+        "one reset does not eject the server"
     );
 }
 
@@ -540,7 +558,7 @@
         harness.now += MS;
         harness.request_sized(&format!("/o/huge-{n}"), 1e9);
     }
-    // A cache that has just started takes what its budget fits, judged by what is usual.
+    // A warming cache accepts requests within its budget, which depends on the typical transfer time.
     let started = Server {
         started: Some(harness.now - 2 * S),
         ..server(2, "town", "cache")
@@ -549,7 +567,7 @@
         mode: ListMode::Delta,
         servers: vec![started],
     });
-    let all = used(&mut harness, 60);
+    let all = servers_used(&mut harness, 60);
     assert!(all.contains(&2), "{all:?}");
 }
 
@@ -569,10 +587,10 @@
         } else {
             Outcome::Ok
         };
-        let mut again = sent(&harness.end_attempt_with(s.request, 0, s.server, outcome, note));
+        let mut retry = sent(&harness.end_attempt_with(s.request, 0, s.server, outcome, note));
         for attempt in 1..6 {
-            let Some(s) = again else { break };
-            again = sent(&harness.end_attempt_with(
+            let Some(s) = retry else { break };
+            retry = sent(&harness.end_attempt_with(
                 s.request,
                 attempt,
                 s.server,
@@ -581,7 +599,7 @@
             ));
         }
     }
-    let held = (0..40)
+    let limited = (0..40)
         .filter(|n| {
             harness
                 .send_request("video", &format!("/p/{n}"))
@@ -589,8 +607,5 @@
                 .only_if_cached
         })
         .count();
-    assert_eq!(
-        held, 0,
-        "the parent that is left asks the origin for what it lacks"
-    );
+    assert_eq!(limited, 0, "the remaining parent may fetch from the origin");
 }
--- a/tests/purge_cost.rs
+++ b/tests/purge_cost.rs
@@ -1,5 +1,5 @@
-//! What a long stream of purges costs in cache hits, seen in what the router asks of copies, at the usual size of its
-//! purge state (4 MiB). The formula is that of `docs/design/purge-state.md`.
+//! Cache hits lost because of a long stream of purges, derived from the maximum ages that the router requests, with the
+//! default size of the purge table (4 MiB). The formula is documented in `docs/design/purge-state.md`.
 
 mod common;
 #[path = "../purges/tests/common/formula.rs"]
@@ -13,11 +13,11 @@
 const PURGES: u64 = 1_000_000;
 const PURGES_PER_TICK: u64 = 100;
 const COPIES: u64 = 20_000;
-/// Three times the chance deviation of 20,000 copies.
+/// Three standard deviations for 20,000 copies.
 const TOLERANCE: f64 = 0.012;
 
-/// Purges of a million objects, with ticks between.
-fn purged_rig() -> RouterHarness {
+/// Records purges of a million objects, with ticks in between.
+fn purged_harness() -> RouterHarness {
     let mut harness = RouterHarness::new(settings(), fleet());
     let start = harness.now;
     for number in 0..PURGES {
@@ -34,8 +34,8 @@
     harness
 }
 
-/// How old a copy of an object that was never purged may be; none: of any age.
-fn allowed_age(harness: &mut RouterHarness, number: u64) -> Option<Micros> {
+/// Returns the maximum age of a copy of an object that was never purged; `None` if it is unlimited.
+fn max_copy_age(harness: &mut RouterHarness, number: u64) -> Option<Micros> {
     let request = Request {
         id: number,
         class: "video".into(),
@@ -55,20 +55,24 @@
 
 #[test]
 fn hits_lost_to_compacted_purges_match_the_formula() {
-    let mut harness = purged_rig();
+    let mut harness = purged_harness();
     let state = harness.router.purges();
     let (exact, bits) = (
         state.exact_len() as f64,
         state.compact_table().bucket_bits(),
     );
     assert_eq!(state.compact_table().memory_bytes(), 4 << 20);
-    let allowed: Vec<_> = (0..COPIES)
-        .map(|number| allowed_age(&mut harness, number))
+    let max_ages: Vec<_> = (0..COPIES)
+        .map(|number| max_copy_age(&mut harness, number))
         .collect();
     for minutes in [5, 10, 20, 30, 45, 60, 75, 90, 120] {
         let age = minutes * 60 * S;
-        let lost = allowed.iter().flatten().filter(|most| age > **most).count();
-        let share = lost as f64 / COPIES as f64;
+        let lost_copies = max_ages
+            .iter()
+            .flatten()
+            .filter(|max_age_us| age > **max_age_us)
+            .count();
+        let share = lost_copies as f64 / COPIES as f64;
         let purges = (PURGES_PER_SECOND * minutes * 60) as f64 - exact;
         let expected = predicted_by_buckets(bits, purges);
         println!("| {minutes} | {share:.4} | {expected:.4} |");
--- a/tests/settings_reload.rs
+++ b/tests/settings_reload.rs
@@ -1,11 +1,11 @@
-//! New settings for a router that runs: classes appear and vanish, requests under way keep theirs, and settings
-//! that are not sound change nothing.
+//! Replacement of the settings of a running router: classes are added and removed, open requests keep theirs, and
+//! invalid settings change nothing.
 
 mod common;
 use common::*;
 use linnetknot::*;
 
-fn refused(actions: &[Action]) -> bool {
+fn is_refused(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
 }
 
@@ -13,45 +13,48 @@
 fn new_classes_are_accepted_and_open_requests_of_removed_ones_continue() {
     let mut harness = RouterHarness::new(settings(), fleet());
     let (_, actions) = harness.request("poster", "/p/1", 5 * S);
-    assert!(refused(&actions), "no such class yet");
-    let under_way = harness.send_request("page", "/o/1");
-    let mut new = settings();
-    new.classes.retain(|c| c.name != "page");
-    new.classes.push(Class {
+    assert!(is_refused(&actions), "the class does not exist yet");
+    let open = harness.send_request("page", "/o/1");
+    let mut new_settings = settings();
+    new_settings.classes.retain(|c| c.name != "page");
+    new_settings.classes.push(Class {
         deadline_us: 2 * S,
         ..class("poster")
     });
-    harness.router.update_settings(new).expect("sound settings");
+    harness
+        .router
+        .update_settings(new_settings)
+        .expect("valid settings");
     let (_, actions) = harness.request("poster", "/p/2", 5 * S);
     assert!(
         sent(&actions).is_some(),
-        "the new class is taken: {actions:?}"
+        "the new class is accepted: {actions:?}"
     );
     let (_, actions) = harness.request("page", "/o/2", 5 * S);
     assert!(
-        refused(&actions),
-        "a class that vanished takes no new request"
+        is_refused(&actions),
+        "a removed class accepts no new requests"
     );
-    // The page under way still ends as its class lets it: a failure is tried again elsewhere.
-    let actions = harness.end_attempt(under_way.request, 0, under_way.server, Outcome::Error);
-    let again = sent(&actions).expect("tried again, as its class allows");
-    assert_ne!(again.server, under_way.server);
-    let actions = harness.end_attempt_with(again.request, 1, again.server, Outcome::Ok, Note::Hit);
-    assert_eq!(final_answers(&actions), 0, "served, not refused or failed");
-    // A second reload forgets the class that no request holds any more, and the name can be used again.
-    let mut back = settings();
-    back.max_attempts = 1;
-    harness.router.update_settings(back).unwrap();
+    // The open page request keeps the rules of its class: it is retried elsewhere after a failure.
+    let actions = harness.end_attempt(open.request, 0, open.server, Outcome::Error);
+    let retry = sent(&actions).expect("a retry, which its class allows");
+    assert_ne!(retry.server, open.server);
+    let actions = harness.end_attempt_with(retry.request, 1, retry.server, Outcome::Ok, Note::Hit);
+    assert_eq!(final_answers(&actions), 0, "the client has been served");
+    // A second reload drops the unused class, and its name can be used again.
+    let mut restored = settings();
+    restored.max_attempts = 1;
+    harness.router.update_settings(restored).unwrap();
     let page = harness.send_request("page", "/o/3");
     let actions = harness.end_attempt(page.request, 0, page.server, Outcome::Error);
-    assert!(sent(&actions).is_none(), "one attempt at most now");
+    assert!(sent(&actions).is_none(), "only one attempt is allowed now");
     assert_eq!(final_answers(&actions), 1);
 }
 
 #[test]
 fn invalid_settings_change_nothing() {
     let mut harness = RouterHarness::new(settings(), fleet());
-    for broken in [
+    for invalid in [
         Settings {
             classes: vec![],
             ..settings()
@@ -68,16 +71,15 @@
             ..settings()
         },
     ] {
-        assert!(harness.router.update_settings(broken).is_err());
+        assert!(harness.router.update_settings(invalid).is_err());
     }
     let (_, actions) = harness.request("video", "/o/1", 5 * S);
-    assert!(sent(&actions).is_some(), "the old classes stand");
+    assert!(sent(&actions).is_some(), "the old classes are still in use");
     let (_, actions) = harness.request("nothing", "/o/2", 5 * S);
-    assert!(refused(&actions));
+    assert!(is_refused(&actions));
 }
 
-/// Classes that change their order, their names and their effect: what is under way keeps what it began as, and a new
-/// request is what its name says now.
+/// Open requests keep the class that they started with, and new requests use the current class of that name.
 #[test]
 fn open_requests_keep_their_class_if_classes_are_reordered_renamed_or_changed() {
     let mut harness = RouterHarness::new(settings(), fleet());
@@ -85,25 +87,28 @@
         harness.send_request("video", "/o/1"),
         harness.send_request("charge", "/o/2"),
     );
-    let mut new = settings();
-    new.classes.reverse();
-    for c in &mut new.classes {
+    let mut new_settings = settings();
+    new_settings.classes.reverse();
+    for c in &mut new_settings.classes {
         match c.name.as_str() {
-            // The read must not run twice from now on, and the charge may.
+            // New reads must not run twice, and new charges may.
             "video" => c.repeat = Repeat::Unsafe,
             "charge" => c.repeat = Repeat::Safe,
             "order" => c.name = "bill".into(),
             _ => {}
         }
     }
-    harness.router.update_settings(new).expect("sound settings");
+    harness
+        .router
+        .update_settings(new_settings)
+        .expect("valid settings");
     let actions = harness.end_attempt(charge.request, 0, charge.server, Outcome::Reset);
     assert!(
         matches!(actions[..], [Action::Fail { .. }]),
-        "it may have run, as it began: {actions:?}"
+        "not retried under its original class: {actions:?}"
     );
     let actions = harness.end_attempt(read.request, 0, read.server, Outcome::Reset);
-    assert!(sent(&actions).is_some(), "it may run again, as it began");
+    assert!(sent(&actions).is_some(), "retried under its original class");
     let (read, charge) = (
         harness.send_request("video", "/o/3"),
         harness.send_request("charge", "/o/4"),
@@ -111,11 +116,11 @@
     let actions = harness.end_attempt(read.request, 0, read.server, Outcome::Reset);
     assert!(matches!(actions[..], [Action::Fail { .. }]), "{actions:?}");
     assert!(sent(&harness.end_attempt(charge.request, 0, charge.server, Outcome::Reset)).is_some());
-    assert!(refused(&harness.request("order", "/o/5", 5 * S).1));
+    assert!(is_refused(&harness.request("order", "/o/5", 5 * S).1));
     assert!(sent(&harness.request("bill", "/o/5", 5 * S).1).is_some());
 }
 
-/// Tenants that come and go leave nothing behind: requests of any are treated alike.
+/// Requests of all tenants are treated alike, also after a tenant is removed.
 #[test]
 fn removing_a_tenant_affects_no_request() {
     let tenants = vec![Tenant {
@@ -129,12 +134,12 @@
         },
         fleet(),
     );
-    let under_way = harness.send_request("video", "/o/1");
+    let open = harness.send_request("video", "/o/1");
     harness
         .router
         .update_settings(settings())
-        .expect("sound settings");
-    let actions = harness.end_attempt(under_way.request, 0, under_way.server, Outcome::Error);
+        .expect("valid settings");
+    let actions = harness.end_attempt(open.request, 0, open.server, Outcome::Error);
     assert!(sent(&actions).is_some());
     assert!(sent(&harness.request("video", "/o/2", 5 * S).1).is_some());
 }
