--- a/tests/many_routers.rs
+++ b/tests/many_routers.rs
@@ -1,12 +1,14 @@
-//! One router against hundreds: what a router may do alone, summed over all of them.
+//! Behaviour of one router that must also hold for hundreds of routers together, and for many servers, objects and
+//! parents.
 
 mod common;
 use common::*;
 use linnetknot::*;
 use std::collections::BTreeSet;
 
-/// Fills that `routers` routers of a location point at one cold server while each has `each` requests at once.
-fn sum_of_work(routers: u32, each: usize, cold: ServerId) -> f64 {
+/// Returns the transfer seconds that `routers` routers of a location send to one warming server while each receives
+/// `requests_each` requests at once.
+fn transfer_s_sent(routers: u32, requests_each: usize, warming: ServerId) -> f64 {
     let mut settings = Settings {
         direct_to_upstream: false,
         ..settings()
@@ -15,15 +17,15 @@
     settings.zones[2].routers = 0;
     settings.zones[1].link_kb_per_s = 1e9;
     let mut servers = fleet();
-    let place = servers
+    let index = servers
         .iter()
-        .position(|s| s.id == cold)
-        .expect("in the fleet");
-    servers[place].started = Some(START - S);
+        .position(|s| s.id == warming)
+        .expect("a server of the fleet");
+    servers[index].started = Some(START - S);
     let mut sum = 0.0;
     for seed in 0..u64::from(routers) {
         let mut router =
-            Router::new(settings.clone(), seed.wrapping_mul(0x9e37_79b9)).expect("usable");
+            Router::new(settings.clone(), seed.wrapping_mul(0x9e37_79b9)).expect("valid settings");
         let mut actions = Vec::new();
         router.handle(
             START,
@@ -33,7 +35,7 @@
             },
             &mut actions,
         );
-        for n in 0..each {
+        for n in 0..requests_each {
             let request = Request {
                 id: n as u64 + 1,
                 class: "video".into(),
@@ -47,27 +49,30 @@
             };
             router.handle(START, Event::Request(request), &mut actions);
         }
-        let to_it = |a: &&Action| match a {
+        let is_to_warming = |a: &&Action| match a {
             Action::Attempt {
                 server,
                 fill: Some(fill),
                 ..
-            } => *server == cold || fill.source == cold,
+            } => *server == warming || fill.source == warming,
             _ => false,
         };
-        sum += 0.1 * actions.iter().filter(to_it).count() as f64;
+        sum += 0.1 * actions.iter().filter(is_to_warming).count() as f64;
     }
     sum
 }
 
 #[test]
 fn one_or_hundreds_of_routers_use_a_warming_cache_within_its_budget() {
-    // Share 0.2 to 1 in 10 s, 8 transfers, 3 times that in 1 s: 0.2 x 8 x 3 x 1 s at its start.
+    // The cache starts with a share of 0.2 of 8 transfers, and the rule allows 3 times its capacity in 1 s.
     let limit = 0.2 * 8.0 * 3.0;
     for routers in [1, 8, 200] {
-        let sum = sum_of_work(routers, 60, 1);
-        assert!(sum > 0.0, "{routers} routers leave it idle");
-        assert!(sum < limit, "{routers} routers send {sum} of {limit}");
+        let sum = transfer_s_sent(routers, 60, 1);
+        assert!(sum > 0.0, "{routers} routers send nothing");
+        assert!(
+            sum < limit,
+            "{routers} routers send {sum}, the limit is {limit}"
+        );
     }
 }
 
@@ -75,9 +80,12 @@
 fn one_or_hundreds_of_routers_use_a_warming_parent_within_its_budget() {
     let limit = 0.1 * 30.0 * 2.0;
     for routers in [1, 8, 200] {
-        let sum = sum_of_work(routers, 60, 11);
-        assert!(sum > 0.0, "{routers} routers leave it idle");
-        assert!(sum < limit, "{routers} routers send {sum} of {limit}");
+        let sum = transfer_s_sent(routers, 60, 11);
+        assert!(sum > 0.0, "{routers} routers send nothing");
+        assert!(
+            sum < limit,
+            "{routers} routers send {sum}, the limit is {limit}"
+        );
     }
 }
 
@@ -89,11 +97,7 @@
     let servers: BTreeSet<ServerId> = (0..3)
         .map(|_| harness.send_request("video", "/o/same").server)
         .collect();
-    assert_eq!(
-        servers.len(),
-        1,
-        "the object's cache is not full by this router's few transfers"
-    );
+    assert_eq!(servers.len(), 1, "all requests go to the object's cache");
 }
 
 #[test]
@@ -110,7 +114,7 @@
             fleet(),
         );
         let first = parent_of(&mut harness, 0).fill.source;
-        let mut later = 0;
+        let mut uses_of_first = 0;
         for n in 0..60 {
             let s = parent_of(&mut harness, n % 6);
             let took_us = if s.fill.source == first {
@@ -130,13 +134,16 @@
                 first_byte_us: 0,
                 load: None,
             });
-            later += usize::from(n >= 40 && s.fill.source == first);
+            uses_of_first += usize::from(n >= 40 && s.fill.source == first);
         }
-        later
+        uses_of_first
     };
-    assert_eq!(run(900, true), 0, "six times as slow: the second");
-    assert!(run(200, true) > 0, "a little slower: the first");
-    assert!(run(900, false) > 0, "sizes not told: the first");
+    assert_eq!(run(900, true), 0, "the first parent is six times slower");
+    assert!(
+        run(200, true) > 0,
+        "the first parent is only slightly slower"
+    );
+    assert!(run(900, false) > 0, "sizes are unknown");
 }
 
 #[test]
@@ -149,15 +156,15 @@
             server(1021, "hub", "origin"),
         ])
         .collect();
-    let mut turned = list.clone();
-    turned.reverse();
+    let mut reversed = list.clone();
+    reversed.reverse();
     let run = |servers: Vec<Server>| {
         let mut harness = RouterHarness::new(settings(), servers);
         (0..200)
             .map(|n| harness.request("video", &format!("/o/{}", n % 50), 5 * S).1)
             .collect::<Vec<_>>()
     };
-    assert_eq!(run(list), run(turned));
+    assert_eq!(run(list), run(reversed));
 }
 
 #[test]
@@ -201,10 +208,10 @@
 #[test]
 fn popular_objects_stay_counted_if_the_table_is_full() {
     let mut harness = RouterHarness::new(settings(), fleet());
-    let mut last = None;
+    let mut last_rank = None;
     for n in 0..30_000u64 {
-        let often = n % 3 == 0;
-        let object = if often {
+        let popular = n % 3 == 0;
+        let object = if popular {
             "/o/often".to_string()
         } else {
             format!("/o/{n}")
@@ -212,13 +219,13 @@
         let (id, actions) = harness.request("page", &object, 5 * S);
         if let Some(s) = sent(&actions) {
             harness.end_attempt_with(id, 0, s.server, Outcome::Ok, Note::Hit);
-            last = last
-                .filter(|_| !often)
-                .or(often.then_some(s.fill.cache_rank));
+            last_rank = last_rank
+                .filter(|_| !popular)
+                .or(popular.then_some(s.fill.cache_rank));
         }
         harness.now += MS / 10;
     }
-    assert_eq!(last, Some(2), "asked for again while counted");
+    assert_eq!(last_rank, Some(2), "the object is still counted");
 }
 
 #[test]
@@ -232,13 +239,13 @@
             retry_after_us: None
         }]
     );
-    let gone = Server {
+    let removed = Server {
         state: State::Gone,
         ..server(77, "town", "cache")
     };
     harness.handle(Event::List {
         mode: ListMode::Delta,
-        servers: vec![gone],
+        servers: vec![removed],
     });
     let new = server(78, "town", "cache");
     harness.handle(Event::List {
@@ -248,13 +255,15 @@
     let servers: BTreeSet<ServerId> = (0..60)
         .map(|n| harness.send_request("page", &format!("/o/{n}")).server)
         .collect();
-    assert!(!servers.contains(&77), "it is gone");
-    assert!(servers.contains(&78), "it is ready");
-    assert!(!servers.contains(&5), "a cache of another location");
+    assert!(!servers.contains(&77), "the removed server is not used");
+    assert!(servers.contains(&78), "the added server is used");
+    assert!(
+        !servers.contains(&5),
+        "a cache of another location is not used"
+    );
 }
 
-/// A router among sixteen sees few fills: what those told of a crowded link must not outlive the crowd, or all
-/// sixteen hold back from a link that lies idle.
+/// Guards against routers with few fills that avoid a link long after its congestion has ended.
 #[test]
 fn a_router_with_few_fills_avoids_a_congested_link_and_uses_it_again_within_seconds() {
     let mut settings = settings();
@@ -264,14 +273,14 @@
         .for_each(|z| z.link_kb_per_s = 0.0);
     settings.zones[1].routers = 16;
     let mut harness = RouterHarness::new(settings, fleet());
-    let filled = |harness: &mut RouterHarness, n: usize| {
+    let fill = |harness: &mut RouterHarness, n: usize| {
         let s = harness.send_request("video", &format!("/o/{n}"));
         (s.fill.source != s.server).then_some(s)
     };
-    // Parts of 0.1 s of sending: in a second of crowd eight fills take four times as long.
-    let out: Vec<SentAttempt> = (0..8).filter_map(|n| filled(&mut harness, n)).collect();
-    assert_eq!(out.len(), 8, "nothing is known of the link yet");
-    for s in out {
+    // Transfers of 0.1 s each: during one second of congestion, eight fills take four times as long.
+    let fills: Vec<SentAttempt> = (0..8).filter_map(|n| fill(&mut harness, n)).collect();
+    assert_eq!(fills.len(), 8, "the link's capacity is not known yet");
+    for s in fills {
         harness.now += 60 * MS;
         harness.tick();
         harness.handle(Event::AttemptEnded {
@@ -286,22 +295,21 @@
             load: None,
         });
     }
-    assert!(filled(&mut harness, 100).is_none(), "the link is crowded");
+    assert!(fill(&mut harness, 100).is_none(), "the link is congested");
     for _ in 0..60 {
         harness.now += 50 * MS;
         harness.tick();
     }
     assert!(
-        filled(&mut harness, 101).is_some(),
-        "nothing has come by the link for three seconds"
+        fill(&mut harness, 101).is_some(),
+        "the link has been idle for three seconds"
     );
 }
 
-/// One of a hundred routers sees hardly an answer of an origin that is asked for more than it can do: what does not
-/// come back has to tell it.
+/// Guards against an overloaded origin that goes unnoticed because one of a hundred routers sees few of its answers.
 #[test]
 fn unanswered_fills_reduce_origin_admission_if_the_caches_are_healthy() {
-    let asked = |cache_answers: bool| {
+    let admitted_if = |cache_answers: bool| {
         let mut settings = settings();
         settings.zones[1].link_kb_per_s = 1e9;
         let mut harness = RouterHarness::new(settings, fleet());
@@ -335,29 +343,29 @@
             harness.now += 800 * MS;
             end(&mut harness, fill, Outcome::Timeout, Note::None, S);
         }
-        let asks = (0..100).filter(|n| {
+        let admitted = (0..100).filter(|n| {
             let s = harness.send_request("video", &format!("/p/{n}"));
             harness.now += 110 * MS;
             end(&mut harness, s, Outcome::Ok, Note::Hit, 110 * MS);
-            assert_ne!(s.fill.source, s.server, "the link has room");
+            assert_ne!(s.fill.source, s.server, "the link has capacity");
             !s.fill.only_if_cached
         });
-        asks.count()
+        admitted.count()
     };
-    let share = asked(true);
+    let share = admitted_if(true);
     assert!(
         (1..20).contains(&share),
-        "{share} of 100 may have the origin asked"
+        "{share} of 100 requests may reach the origin"
     );
     assert_eq!(
-        asked(false),
+        admitted_if(false),
         100,
-        "caches that answer nothing tell nothing of the origin"
+        "silent caches say nothing about the origin"
     );
 }
 
-/// One of a hundred routers has an answer of the origin every half second or so: a few of them have to do what dozens
-/// do among three, or the origin stays crowded for seconds and then idle for ten more.
+/// One of a hundred routers receives an origin answer about every half second. Guards against reacting so slowly that
+/// the origin stays overloaded for seconds and then idle.
 #[test]
 fn origin_admission_follows_the_origin_within_six_answers() {
     let mut settings = settings();
@@ -381,20 +389,26 @@
         });
         !s.fill.only_if_cached
     };
-    let mut follow = |first_byte_us: Micros| {
+    let mut admitted_after_answers = |first_byte_us: Micros| {
         for _ in 0..6 {
             harness.now += 500 * MS;
             end(&mut harness, Note::FilledByOrigin, first_byte_us);
         }
         (0..100).filter(|_| end(&mut harness, Note::Hit, 0)).count()
     };
-    assert_eq!(follow(100 * MS), 100);
-    assert!(follow(900 * MS) < 15, "late answers");
-    assert!(follow(100 * MS) > 85, "it is well again");
+    assert_eq!(admitted_after_answers(100 * MS), 100);
+    assert!(
+        admitted_after_answers(900 * MS) < 15,
+        "the share falls with late answers"
+    );
+    assert!(
+        admitted_after_answers(100 * MS) > 85,
+        "the share rises with timely answers"
+    );
 }
 
-/// While the origin is slow most fills may take what a parent holds only. Each parent that is asked for it keeps the
-/// client waiting and costs a way through the network, times a hundred routers.
+/// While the origin is slow, most fills may use only a parent's copy. Guards against asking each parent in turn, which
+/// delays the client and adds load.
 #[test]
 fn a_miss_in_two_parents_is_not_retried_at_a_third_or_in_the_cache() {
     let mut servers = fleet();
@@ -407,17 +421,17 @@
         servers,
     );
     let first = harness.send_request("video", "/o/a");
-    let lacks = |harness: &mut RouterHarness, attempt| {
+    let miss = |harness: &mut RouterHarness, attempt| {
         let end = (Outcome::Miss, Note::SourceLacks);
         harness.end_attempt_with(first.request, attempt, first.server, end.0, end.1)
     };
-    let second = sent(&lacks(&mut harness, 0)).expect("the second parent may hold it");
+    let second = sent(&miss(&mut harness, 0)).expect("an attempt with the second parent");
     assert!(second.server == first.server && second.fill.source != first.fill.source);
-    let last = lacks(&mut harness, 1);
+    let last = miss(&mut harness, 1);
     assert!(matches!(last[..], [Action::Refuse { .. }]), "{last:?}");
 }
 
-/// A sibling that lacks it is the ordinary case where caches fill each other: it must not use up the parents' tries.
+/// Guards against misses in siblings that use up the attempts at parents.
 #[test]
 fn a_miss_in_a_sibling_is_still_retried_at_two_parents() {
     let mut servers = fleet();
@@ -431,15 +445,15 @@
     let by_sibling = (0..40)
         .map(|n| harness.send_request("video", &format!("/o/{n}")))
         .find(|s| s.fill.source <= 4);
-    let first = by_sibling.expect("the cold cache is filled by another");
-    let lacks = harness.end_attempt_with(
+    let first = by_sibling.expect("a fill of the warming cache from another cache");
+    let miss = harness.end_attempt_with(
         first.request,
         0,
         first.server,
         Outcome::Miss,
         Note::SourceLacks,
     );
-    let second = sent(&lacks).expect("a parent is asked");
+    let second = sent(&miss).expect("an attempt with a parent");
     let refused = harness.end_attempt_with(
         second.request,
         1,
@@ -447,7 +461,7 @@
         Outcome::Full,
         Note::SourceRefused,
     );
-    let third = sent(&refused).expect("so is the other");
+    let third = sent(&refused).expect("an attempt with the other parent");
     assert_eq!(
         [second.fill.source, third.fill.source]
             .iter()
--- a/tests/platform_rules.rs
+++ b/tests/platform_rules.rs
@@ -1,11 +1,11 @@
-//! The five rules at their edges.
+//! Boundary cases of the platform's rules: deadlines, retries, draining servers, slow start and purges.
 
 mod common;
 use common::*;
 use linnetknot::purges::{BucketBits, BucketIndex, CompactTable, KeyHash};
 use linnetknot::*;
 
-fn alone(id: ServerId) -> Vec<Server> {
+fn single_cache_fleet(id: ServerId) -> Vec<Server> {
     vec![
         server(id, "town", "cache"),
         server(11, "hub", "parent"),
@@ -38,7 +38,7 @@
         harness
             .end_attempt(s.request, 0, s.server, Outcome::Timeout)
             .is_empty(),
-        "nothing after the final answer"
+        "no action follows the final answer"
     );
 }
 
@@ -52,9 +52,9 @@
         fleet(),
     );
     let s = harness.send_request("video", "/o/a");
-    let again = sent(&harness.end_attempt(s.request, 0, s.server, Outcome::Error))
+    let retry = sent(&harness.end_attempt(s.request, 0, s.server, Outcome::Error))
         .expect("a second attempt");
-    let actions = harness.end_attempt(s.request, 1, again.server, Outcome::Error);
+    let actions = harness.end_attempt(s.request, 1, retry.server, Outcome::Error);
     assert_eq!(final_answers(&actions), 1);
 }
 
@@ -76,9 +76,9 @@
         fleet(),
     );
     let s = harness.send_request("charge", "/o/a");
-    let again = sent(&harness.end_attempt(s.request, 0, s.server, Outcome::Full))
+    let retry = sent(&harness.end_attempt(s.request, 0, s.server, Outcome::Full))
         .expect("a second attempt");
-    let failed = harness.end_attempt(s.request, 1, again.server, Outcome::Error);
+    let failed = harness.end_attempt(s.request, 1, retry.server, Outcome::Error);
     assert_eq!(failed, vec![Action::Fail { request: s.request }]);
 }
 
@@ -87,10 +87,14 @@
     for (wait, resent) in [(1_900 * MS, true), (2_000 * MS, false)] {
         let mut harness = RouterHarness::new(settings(), fleet());
         let s = harness.send_request("order", "/o/a");
-        assert_eq!(s.server, 21, "a write goes straight to the origin");
+        assert_eq!(s.server, 21, "a write goes directly to the origin");
         harness.now += wait;
         let actions = harness.end_attempt(s.request, 0, s.server, Outcome::Error);
-        assert_eq!(sent(&actions).is_some(), resent, "after {wait}");
+        assert_eq!(
+            sent(&actions).is_some(),
+            resent,
+            "the attempt failed after {wait} us"
+        );
     }
 }
 
@@ -103,17 +107,17 @@
     s.classes[2].dedup_scope = DedupScope::Cell;
     let mut harness = RouterHarness::new(s, fleet());
     let first = harness.send_request("order", "/o/a");
-    let again = sent(&harness.end_attempt(first.request, 0, first.server, Outcome::Error));
+    let retry = sent(&harness.end_attempt(first.request, 0, first.server, Outcome::Error));
     assert_eq!(
-        again.map(|a| a.server),
+        retry.map(|a| a.server),
         Some(first.server),
-        "each cache is a cell of its own"
+        "each cache is its own cell"
     );
-    let mut gone = server(first.server, "town", "cache");
-    gone.state = State::Gone;
+    let mut removed = server(first.server, "town", "cache");
+    removed.state = State::Gone;
     harness.handle(Event::List {
         mode: ListMode::Delta,
-        servers: vec![gone],
+        servers: vec![removed],
     });
     let last = harness.end_attempt(first.request, 1, first.server, Outcome::Error);
     assert_eq!(
@@ -121,7 +125,7 @@
         vec![Action::Fail {
             request: first.request
         }],
-        "nor may it be refused"
+        "the request must not be refused either"
     );
 }
 
@@ -141,7 +145,10 @@
         for n in 0..60 {
             let s = harness.send_request("video", &format!("/o/{n}"));
             assert_ne!(s.server, 1);
-            assert_ne!(s.fill.source, 11, "nor as the source of a fill");
+            assert_ne!(
+                s.fill.source, 11,
+                "the parent is not used as a source either"
+            );
             harness.end_attempt_with(s.request, 0, s.server, Outcome::Ok, Note::Hit);
         }
     }
@@ -152,7 +159,7 @@
     let mut harness = RouterHarness::new(settings(), fleet());
     harness.handle(Event::List {
         mode: ListMode::Full,
-        servers: alone(3),
+        servers: single_cache_fleet(3),
     });
     for n in 0..30 {
         let s = harness.send_request("video", &format!("/o/{n}"));
@@ -161,7 +168,7 @@
     }
 }
 
-fn accepted(settings: Settings, fleet: Vec<Server>, id: ServerId) -> usize {
+fn count_requests_to(settings: Settings, fleet: Vec<Server>, id: ServerId) -> usize {
     let mut harness = RouterHarness::new(settings, fleet);
     (0..200)
         .filter(|n| {
@@ -173,28 +180,32 @@
 
 #[test]
 fn a_warming_cache_stays_within_its_budget_in_a_window() {
-    let cold = |routers| {
+    let requests_to_warming_cache = |routers| {
         let mut s = Settings {
             direct_to_upstream: false,
             ..settings()
         };
         s.zones[1].routers = routers;
-        let mut servers = alone(1);
+        let mut servers = single_cache_fleet(1);
         servers[0].started = Some(START);
-        accepted(s, servers, 1)
+        count_requests_to(s, servers, 1)
     };
-    // 0.1 s of work each; the rule allows 3 x 0.2 x 8 transfers for one second: 48 requests.
-    assert!((1..=48).contains(&cold(1)), "{}", cold(1));
+    // Each request takes 0.1 s; the rule allows 3 x 0.2 x 8 transfers for one second: 48 requests.
     assert!(
-        (1..=24).contains(&cold(2)),
-        "two routers share the budget: {}",
-        cold(2)
+        (1..=48).contains(&requests_to_warming_cache(1)),
+        "{}",
+        requests_to_warming_cache(1)
+    );
+    assert!(
+        (1..=24).contains(&requests_to_warming_cache(2)),
+        "two routers share the budget, and one sent {}",
+        requests_to_warming_cache(2)
     );
 }
 
 #[test]
 fn a_warming_parent_stays_within_its_fill_budget() {
-    let mut servers = alone(1);
+    let mut servers = single_cache_fleet(1);
     servers[1].started = Some(START);
     servers[0].weight = 1000.0;
     let s = Settings {
@@ -208,7 +219,7 @@
             sent(&actions).is_some_and(|s| s.fill.source == 11)
         })
         .count();
-    // 2 x 0.1 x 30 transfers for one second, of which half is for the other location's router: 30 requests.
+    // 2 x 0.1 x 30 transfers for one second, of which half belongs to the other location's router: 30 requests.
     assert!((1..=30).contains(&fills), "{fills}");
 }
 
@@ -223,7 +234,7 @@
     for (event, object) in [(purge(Some("/o/a")), "/o/a"), (purge(None), "/o/b")] {
         harness.handle(event);
         let start = harness.now;
-        // A fill that ran across the purge may have left a copy behind after the six seconds that servers need.
+        // A fill that overlapped the purge may have stored an old copy after the six seconds that servers need.
         for wait in [0, 500 * MS, 5_800 * MS, 5_801 * MS, 3_600 * S] {
             harness.now = start + wait;
             harness.tick();
@@ -231,7 +242,7 @@
             assert_eq!(
                 s.fill.max_age_us,
                 Some(200 * MS + wait),
-                "to the purge and no further"
+                "the maximum age reaches back to the purge"
             );
             harness.end_attempt_with(s.request, 0, s.server, Outcome::Ok, Note::Hit);
         }
@@ -249,12 +260,12 @@
     assert_eq!(
         harness.send_request("video", "/o/a").fill.max_age_us,
         Some(13 * S),
-        "older than servers need, and it holds"
+        "the purge still applies after servers have completed it"
     );
 }
 
-/// What is asked of a copy of an object.
-fn floor(harness: &mut RouterHarness, object: &str) -> Option<Micros> {
+/// Returns the requested maximum age of a copy.
+fn max_age_of(harness: &mut RouterHarness, object: &str) -> Option<Micros> {
     let s = harness.send_request("video", object);
     harness.end_attempt_with(s.request, 0, s.server, Outcome::Ok, Note::Hit);
     s.fill.max_age_us
@@ -268,7 +279,7 @@
         group: 3,
         age_us,
     };
-    // The rule's time for boxes to carry a purge out is below 10 s: no purge of the second half is that old.
+    // Servers complete a purge in less than 10 s, so all purges of the second half are complete.
     for n in 0..16_000 {
         harness.handle(purge(n, 60 * S - n));
     }
@@ -280,22 +291,26 @@
     assert!((10_000..=16_384).contains(&exact), "{exact}");
     for n in 0..26_000 {
         let age_us = if n < 16_000 { 60 * S - n } else { S + n };
-        let told = floor(&mut harness, &format!("/o/{n}")).expect("none is forgotten");
-        let least = if n < 16_000 {
+        let max_age_us = max_age_of(&mut harness, &format!("/o/{n}"))
+            .expect("a maximum age because of the purge");
+        let min_expected = if n < 16_000 {
             age_us.saturating_sub(MS)
         } else {
             age_us
         };
-        assert!((least..=age_us).contains(&told), "{n}: {told} for {age_us}");
+        assert!(
+            (min_expected..=age_us).contains(&max_age_us),
+            "{n}: {max_age_us} for a purge {age_us} us ago"
+        );
     }
     assert_eq!(
-        floor(&mut harness, "/o/never"),
+        max_age_of(&mut harness, "/o/never"),
         None,
-        "what was not purged is not bound"
+        "objects that were not purged have no maximum age"
     );
 }
 
-/// The module refuses no purge: each binds its object from then on, with as little memory as ever.
+/// Guards against purges that are lost, relaxed or stored with growing memory.
 #[test]
 fn forty_thousand_purges_apply_permanently_and_their_age_limits_never_relax() {
     let mut harness = RouterHarness::new(settings(), fleet());
@@ -314,20 +329,24 @@
             harness.tick();
         }
     }
-    let mut told = vec![0; purged_at.len()];
+    let mut limits = vec![0; purged_at.len()];
     for round in 0..3 {
         harness.now += 3_600 * S;
         harness.tick();
         for n in 0..40_000 {
-            let oldest = harness.now - floor(&mut harness, &name(n)).expect("it binds");
+            let oldest_usable = harness.now
+                - max_age_of(&mut harness, &name(n)).expect("a maximum age because of the purge");
+            assert!(
+                oldest_usable >= purged_at[n as usize],
+                "{n}: a copy from before its purge is usable"
+            );
             assert!(
-                oldest >= purged_at[n as usize],
-                "{n}: a copy from before its purge would do"
+                oldest_usable >= limits[n as usize],
+                "{n}: the limit was relaxed in round {round}"
             );
-            assert!(oldest >= told[n as usize], "{n}: eased in round {round}");
-            told[n as usize] = oldest;
+            limits[n as usize] = oldest_usable;
         }
-        // Many more purges push the others out of their places.
+        // Further purges displace the earlier ones from the exact table.
         for n in 0..40_000 {
             harness.handle(Event::Purged {
                 object: Some(format!("/{round}/{n}")),
@@ -347,27 +366,34 @@
 fn purges_of_another_router_can_be_merged() {
     let mut harness = RouterHarness::new(settings(), fleet());
     let start = harness.now;
-    let mut known = CompactTable::new(BucketBits::new(10).unwrap());
-    known.record(KeyHash::of_object("/o/a"), start - 3 * S);
-    known.record(KeyHash::of_group(3), start - 8 * S);
-    for (index, bucket) in known.occupied(BucketIndex::default()) {
+    let mut other_table = CompactTable::new(BucketBits::new(10).unwrap());
+    other_table.record(KeyHash::of_object("/o/a"), start - 3 * S);
+    other_table.record(KeyHash::of_group(3), start - 8 * S);
+    for (index, bucket) in other_table.occupied(BucketIndex::default()) {
         assert!(!harness
             .router
             .purges_mut()
-            .merge_bucket(known.bucket_bits(), index, bucket)
+            .merge_bucket(other_table.bucket_bits(), index, bucket)
             .unwrap()
             .is_empty());
     }
-    assert_eq!(floor(&mut harness, "/o/a"), Some(3 * S));
-    assert_eq!(floor(&mut harness, "/o/b"), Some(8 * S), "by its group");
+    assert_eq!(max_age_of(&mut harness, "/o/a"), Some(3 * S));
+    assert_eq!(
+        max_age_of(&mut harness, "/o/b"),
+        Some(8 * S),
+        "the purge of the group applies"
+    );
     harness
         .router
         .purges_mut()
         .set_capacity(0, BucketBits::new(6).unwrap());
-    assert_eq!(floor(&mut harness, "/o/a"), Some(3 * S));
+    assert_eq!(max_age_of(&mut harness, "/o/a"), Some(3 * S));
     harness.router.purges_mut().raise_all(start - S);
     assert_eq!(
-        (floor(&mut harness, "/o/a"), floor(&mut harness, "/o/b")),
+        (
+            max_age_of(&mut harness, "/o/a"),
+            max_age_of(&mut harness, "/o/b")
+        ),
         (Some(S), Some(S))
     );
 }
@@ -383,7 +409,7 @@
     assert_eq!(
         harness.send_request("page", "/o/a").fill.max_age_us,
         Some(1),
-        "0 would mean the default"
+        "0 would mean the class's default"
     );
     let mut s = settings();
     s.rules.purge_completion_us = 60 * S;
@@ -424,7 +450,7 @@
     assert_eq!(
         harness.send_request("video", "/o/a").fill.max_age_us,
         Some(10 * S),
-        "the later one is the stricter"
+        "the later purge is stricter"
     );
 }
 
@@ -448,8 +474,8 @@
     );
 }
 
-/// An attempt that had to wait for its connection is bound by the time at which it begins: the window for repeats may be
-/// over by then, a purge may have been told, and its client may have left.
+/// While an attempt waits for its connection, the deduplication window may end, a purge may arrive and its client may
+/// leave.
 #[test]
 fn a_queued_attempt_is_checked_again_before_it_is_sent() {
     let mut s = settings();
@@ -467,13 +493,13 @@
             .router
             .recheck_queued_attempt(harness.now + 600 * MS, first.request)
             .is_some(),
-        "nothing may have run yet"
+        "the request has not run yet"
     );
     harness.now += 300 * MS;
     let actions = harness.end_attempt(first.request, 0, first.server, Outcome::Reset);
     assert!(
         sent(&actions).is_some(),
-        "within the window it is sent again"
+        "the request is retried within the window"
     );
     assert!(harness
         .router
@@ -484,9 +510,9 @@
             .router
             .recheck_queued_attempt(harness.now + 50 * MS, first.request),
         None,
-        "the window is over"
+        "the window has ended"
     );
-    // It never began, so it ends as never sent: by now it is barred, and its keyed class lets it be refused.
+    // The attempt was not sent. Its window has ended, so the request is not retried; its class allows a refusal.
     harness.now += 50 * MS;
     let actions = harness.end_attempt(first.request, 1, first.server, Outcome::Moot);
     assert!(
@@ -517,10 +543,10 @@
     );
 }
 
-/// A connection that did not come up says that nothing ran, and nothing of a process that has started anew.
+/// An unreachable server has not run the request, and its process has not necessarily restarted.
 #[test]
 fn an_unreachable_cache_is_not_treated_as_restarted() {
-    for (outcome, cold) in [(Outcome::Unreached, false), (Outcome::ConnectFailed, true)] {
+    for (outcome, restarted) in [(Outcome::Unreached, false), (Outcome::ConnectFailed, true)] {
         let mut harness = RouterHarness::new(
             Settings {
                 direct_to_upstream: false,
@@ -529,30 +555,35 @@
             fleet(),
         );
         let first = harness.send_request("video", "/o/1");
-        let again =
-            sent(&harness.end_attempt(first.request, 0, first.server, outcome)).expect("elsewhere");
-        assert_ne!(again.server, first.server);
-        harness.end_attempt(again.request, 1, again.server, Outcome::Ok);
+        let retry = sent(&harness.end_attempt(first.request, 0, first.server, outcome))
+            .expect("an attempt at another server");
+        assert_ne!(retry.server, first.server);
+        harness.end_attempt(retry.request, 1, retry.server, Outcome::Ok);
         assert_eq!(
             harness.router.max_slow_start_usage(harness.now, false),
             None
         );
-        // Once its mark is over it is tried again, and answers.
+        // The server is tried again after its ejection and answers.
         harness.now += 5 * S;
-        let back = (0..200)
+        let retry_after_ejection = (0..200)
             .map(|n| harness.send_request("video", &format!("/o/{n}")))
             .find(|s| s.server == first.server);
-        let back = back.expect("tried again");
-        harness.end_attempt(back.request, 0, back.server, Outcome::Ok);
+        let retry_after_ejection = retry_after_ejection.expect("an attempt after the ejection");
+        harness.end_attempt(
+            retry_after_ejection.request,
+            0,
+            retry_after_ejection.server,
+            Outcome::Ok,
+        );
         assert_eq!(
             harness
                 .router
                 .max_slow_start_usage(harness.now, false)
                 .is_some(),
-            cold,
+            restarted,
             "{outcome:?}"
         );
-        // A write that was not reached may be refused, whatever its class.
+        // A write that did not reach the server may be refused whatever its class.
         let charge = harness.send_request("charge", "/o/1");
         let actions = harness.end_attempt(charge.request, 0, charge.server, outcome);
         assert!(
