--- a/tests/slow_start_sharing.rs
+++ b/tests/slow_start_sharing.rs
@@ -1,48 +1,49 @@
-//! How all proxies together split what a server in slow start may be sent, on one virtual time and over seeds: proxies
-//! with leases from an allocator, proxies that know their number among the others, and proxies that only know how many
-//! there are. Attempts fail and are retried at other servers, and fills count at their source.
+//! Checks the load that all proxies together send to a server in slow start, in virtual time and for several seeds.
+//! Proxies have leases from an allocator, know their index, or know only the number of proxies. Attempts fail and are
+//! retried at other servers, and fills count at their source.
 
 mod common;
 use common::*;
 use linnetknot::*;
 use std::collections::{BTreeMap, VecDeque};
 
-/// What a proxy knows of the others.
+/// Knowledge of a proxy about the other proxies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BudgetKnowledge {
-    /// Its part of the budget by a lease.
+    /// Its part of the budget, by a lease.
     Lease,
-    /// Its number among all proxies.
+    /// Its index among all proxies.
     Index,
-    /// How many proxies there are, and nothing else.
+    /// Only the number of proxies.
     Count,
 }
 
-/// Plays of each kind.
+/// Scenarios of each kind.
 const SEEDS: u64 = 4;
-/// N is 48 or 60 at the server's start, 14 or 18, and 3 or 4.
-const SIZES: [f64; 3] = [1.0, 0.3, 0.06];
+/// Capacities relative to the default. The rule then allows N = 48 or 60 requests at the server's start, 14 or 18, and
+/// 3 or 4.
+const RELATIVE_CAPACITIES: [f64; 3] = [1.0, 0.3, 0.06];
 const FLEETS: [u32; 4] = [1, 3, 30, 300];
-/// Each request's work at full pace.
+/// Transfer time of each request at full rate.
 const WORK_S: f64 = 0.1;
 const CACHE: ServerId = 1;
 const PARENT: ServerId = 11;
-const LENGTH: Micros = 4 * S;
-/// A proxy's steps between two of its requests.
+const DURATION: Micros = 4 * S;
+/// Simulation steps between two requests of a proxy.
 const STEPS: u64 = 10;
 
-/// One play: every proxy has more to send than the servers in slow start bear.
+/// A scenario in which the proxies together have more requests than the server in slow start may receive.
 struct Scenario {
     proxies: u32,
     knowledge: BudgetKnowledge,
-    /// The parent is in slow start, or else the cache.
-    parent: bool,
-    /// Share of its usual size that it has: N is 48 or 60 at its start with 1.
-    size: f64,
+    /// The parent is in slow start; otherwise the cache is.
+    is_parent: bool,
+    /// Capacity relative to the default; with 1, N is 48 or 60 at the server's start.
+    relative_capacity: f64,
     seed: u64,
 }
 
-/// An answer on its way to a proxy.
+/// A scheduled answer to a proxy.
 struct Answer {
     proxy: usize,
     request: RequestId,
@@ -73,21 +74,21 @@
     }
 }
 
-/// How far the calls of any window went beyond the rule.
+/// Largest excess of requests in any window.
 #[derive(Clone, Copy, Debug)]
 struct Excess {
-    /// Calls over the bound; below 0: none.
-    over: f64,
-    /// The bound of that window.
-    bound: f64,
-    /// Calls in it.
-    calls: usize,
+    /// Requests above the limit; negative if the limit was not reached.
+    excess: f64,
+    /// Limit of that window.
+    limit: f64,
+    /// Requests in that window.
+    requests: usize,
 }
 
-/// What a window of N calls may hold.
-fn bound(n: f64) -> f64 {
-    let (roots, calls) = if n < 30.0 { (3.0, 3.0) } else { (2.0, 2.0) };
-    n + roots * n.sqrt() + calls
+/// Returns the accepted number of requests in a window for which the rule allows `n`, including random variation.
+fn limit(n: f64) -> f64 {
+    let (roots, requests) = if n < 30.0 { (3.0, 3.0) } else { (2.0, 2.0) };
+    n + roots * n.sqrt() + requests
 }
 
 impl Scenario {
@@ -112,21 +113,21 @@
             server(21, "hub", "origin"),
         ];
         for s in &mut all {
-            let cold = self.cold();
-            // What is warm has room for all.
-            if s.id == cold {
+            let warming = self.warming_server();
+            // Warm servers have capacity for all requests.
+            if s.id == warming {
                 s.started = Some(START);
-                s.weight *= self.size;
-            } else if s.kind == if self.parent { "cache" } else { "parent" } {
+                s.weight *= self.relative_capacity;
+            } else if s.kind == if self.is_parent { "cache" } else { "parent" } {
                 s.weight = 1e6;
             }
         }
         all
     }
 
-    fn proxy(&self, number: u32) -> Router {
-        let seed = self.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(number);
-        let mut router = Router::new(self.settings(number), seed).expect("usable");
+    fn proxy(&self, index: u32) -> Router {
+        let seed = self.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(index);
+        let mut router = Router::new(self.settings(index), seed).expect("valid settings");
         let list = Event::List {
             mode: ListMode::Full,
             servers: self.servers(),
@@ -147,8 +148,8 @@
         router
     }
 
-    fn cold(&self) -> ServerId {
-        if self.parent {
+    fn warming_server(&self) -> ServerId {
+        if self.is_parent {
             PARENT
         } else {
             CACHE
@@ -169,10 +170,10 @@
         }
     }
 
-    /// What the rule calls N in a window that begins at this age.
+    /// Returns the number of requests N that the rule allows in a window starting at this age.
     fn allowed(&self, age: Micros) -> f64 {
         let r = self.settings(0).rules;
-        let (share, cold, multiple, capacity) = if self.parent {
+        let (share, warm_up_us, multiple, capacity) = if self.is_parent {
             (
                 r.parent_slow_start_share,
                 r.parent_slow_start_us,
@@ -187,41 +188,43 @@
                 8.0,
             )
         };
-        let warmth = (share + (1.0 - share) * age as f64 / cold as f64).min(1.0);
-        multiple * warmth * capacity * self.size * r.overload_window_us as f64 / 1e6 / WORK_S
+        let warmth = (share + (1.0 - share) * age as f64 / warm_up_us as f64).min(1.0);
+        multiple * warmth * capacity * self.relative_capacity * r.overload_window_us as f64
+            / 1e6
+            / WORK_S
     }
 
-    fn worst(&self) -> Excess {
-        let calls = Run::new(self).calls();
+    fn worst_window(&self) -> Excess {
+        let requests = Run::new(self).requests();
         let window = settings().rules.overload_window_us;
-        let excesses = calls.iter().enumerate().map(|(first, at)| {
-            let within = calls[first..].partition_point(|t| *t < at + window);
-            let bound = bound(self.allowed(*at));
+        let excesses = requests.iter().enumerate().map(|(first, at)| {
+            let within = requests[first..].partition_point(|t| *t < at + window);
+            let limit = limit(self.allowed(*at));
             Excess {
-                over: within as f64 - bound,
-                bound,
-                calls: within,
+                excess: within as f64 - limit,
+                limit,
+                requests: within,
             }
         });
         let none = Excess {
-            over: -bound(self.allowed(0)),
-            bound: bound(self.allowed(0)),
-            calls: 0,
+            excess: -limit(self.allowed(0)),
+            limit: limit(self.allowed(0)),
+            requests: 0,
         };
-        excesses.fold(none, |a, b| if b.over > a.over { b } else { a })
+        excesses.fold(none, |a, b| if b.excess > a.excess { b } else { a })
     }
 }
 
-/// A play under way.
+/// A running scenario.
 struct Run<'a> {
     scenario: &'a Scenario,
     proxies: Vec<Router>,
-    /// Answers on their way, by when they come.
-    due: BTreeMap<Micros, VecDeque<Answer>>,
-    /// Attempts made of each request.
+    /// Scheduled answers by time.
+    scheduled_answers: BTreeMap<Micros, VecDeque<Answer>>,
+    /// Number of attempts by request.
     attempts: BTreeMap<RequestId, u32>,
-    /// Times of the calls that the server in slow start got, since its start.
-    calls: Vec<Micros>,
+    /// Times of the requests to the server in slow start, since its start.
+    requests: Vec<Micros>,
 }
 
 impl<'a> Run<'a> {
@@ -229,35 +232,35 @@
         Run {
             scenario,
             proxies: (0..scenario.proxies).map(|n| scenario.proxy(n)).collect(),
-            due: BTreeMap::new(),
+            scheduled_answers: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            calls: Vec::new(),
+            requests: Vec::new(),
         }
     }
 
-    fn calls(mut self) -> Vec<Micros> {
-        let each = (10 * MS * u64::from(self.scenario.proxies)).min(100 * MS);
-        let mut next = 0;
-        for step in 0..LENGTH / each * STEPS {
-            let now = START + step * each / STEPS;
-            let later = self.due.split_off(&(now + 1));
-            for answer in std::mem::replace(&mut self.due, later)
+    fn requests(mut self) -> Vec<Micros> {
+        let request_interval = (10 * MS * u64::from(self.scenario.proxies)).min(100 * MS);
+        let mut next_id = 0;
+        for step in 0..DURATION / request_interval * STEPS {
+            let now = START + step * request_interval / STEPS;
+            let remaining = self.scheduled_answers.split_off(&(now + 1));
+            for answer in std::mem::replace(&mut self.scheduled_answers, remaining)
                 .into_values()
                 .flatten()
             {
                 self.handle(now, answer.proxy, answer.event());
             }
             for proxy in (0..self.proxies.len()).filter(|n| *n as u64 % STEPS == step % STEPS) {
-                next += 1;
-                self.handle(now, proxy, Event::Request(self.scenario.request(next)));
+                next_id += 1;
+                self.handle(now, proxy, Event::Request(self.scenario.request(next_id)));
             }
         }
-        self.calls
+        self.requests
     }
 
-    /// Counts the calls of the server in slow start, and has every attempt answered; one in three is rejected.
+    /// Counts requests to the server in slow start and schedules an answer to every attempt; one in three is rejected.
     fn handle(&mut self, now: Micros, proxy: usize, event: Event) {
-        let (mut actions, cold) = (Vec::new(), self.scenario.cold());
+        let (mut actions, warming) = (Vec::new(), self.scenario.warming_server());
         self.proxies[proxy].handle(now, event, &mut actions);
         for action in actions {
             let Action::Attempt {
@@ -269,22 +272,25 @@
             else {
                 continue;
             };
-            if server == cold || fill.is_some_and(|fill| fill.source == cold) {
-                self.calls.push(now - START);
+            if server == warming || fill.is_some_and(|fill| fill.source == warming) {
+                self.requests.push(now - START);
             }
             let attempts = self.attempts.entry(request).or_insert(0);
             let attempt = std::mem::replace(attempts, *attempts + 1);
             let rejected =
                 attempt < 2 && (request + u64::from(attempt) + self.scenario.seed) % 3 == 0;
             let at = now + if rejected { 2 * MS } else { 20 * MS };
-            self.due.entry(at).or_default().push_back(Answer {
-                proxy,
-                request,
-                attempt,
-                server,
-                rejected,
-                filled: fill.is_some(),
-            });
+            self.scheduled_answers
+                .entry(at)
+                .or_default()
+                .push_back(Answer {
+                    proxy,
+                    request,
+                    attempt,
+                    server,
+                    rejected,
+                    filled: fill.is_some(),
+                });
         }
     }
 }
@@ -292,13 +298,13 @@
 fn scenarios(knowledge: BudgetKnowledge) -> Vec<Scenario> {
     let mut all = Vec::new();
     for proxies in FLEETS {
-        for parent in [false, true] {
-            for size in SIZES {
+        for is_parent in [false, true] {
+            for relative_capacity in RELATIVE_CAPACITIES {
                 all.extend((0..SEEDS).map(|seed| Scenario {
                     proxies,
                     knowledge,
-                    parent,
-                    size,
+                    is_parent,
+                    relative_capacity,
                     seed: 101 * seed + u64::from(proxies),
                 }));
             }
@@ -307,43 +313,43 @@
     all
 }
 
-/// No window of the rule holds more calls than it allows; prints the largest excess of each fleet.
-fn assert_within_bound(knowledge: BudgetKnowledge) {
-    let mut over = Vec::new();
+/// Asserts that no window exceeds its limit, and prints the largest excess of each scenario.
+fn assert_within_limit(knowledge: BudgetKnowledge) {
+    let mut violations = Vec::new();
     for scenario in scenarios(knowledge) {
-        let worst = scenario.worst();
+        let worst_window = scenario.worst_window();
         println!(
-            "{knowledge:?}, {} proxies, parent: {}, N {:.1} at the start, seed {}: {} calls, bound {:.1}, excess {:.1}",
-            scenario.proxies, scenario.parent, scenario.allowed(0), scenario.seed, worst.calls, worst.bound, worst.over
+            "{knowledge:?}, {} proxies, parent: {}, N {:.1} at the start, seed {}: {} requests, limit {:.1}, excess {:.1}",
+            scenario.proxies, scenario.is_parent, scenario.allowed(0), scenario.seed, worst_window.requests, worst_window.limit, worst_window.excess
         );
-        if worst.over > 0.0 {
-            over.push((
+        if worst_window.excess > 0.0 {
+            violations.push((
                 scenario.proxies,
-                scenario.parent,
-                scenario.size,
+                scenario.is_parent,
+                scenario.relative_capacity,
                 scenario.seed,
-                worst,
+                worst_window,
             ));
         }
     }
     assert!(
-        over.is_empty(),
-        "{knowledge:?}: {} scenarios: {over:?}",
-        over.len()
+        violations.is_empty(),
+        "{knowledge:?}: {} scenarios exceed the limit: {violations:?}",
+        violations.len()
     );
 }
 
 #[test]
-fn proxies_with_leases_stay_within_the_bound() {
-    assert_within_bound(BudgetKnowledge::Lease);
+fn proxies_with_leases_stay_within_the_limit() {
+    assert_within_limit(BudgetKnowledge::Lease);
 }
 
 #[test]
-fn proxies_that_know_their_index_stay_within_the_bound() {
-    assert_within_bound(BudgetKnowledge::Index);
+fn proxies_that_know_their_index_stay_within_the_limit() {
+    assert_within_limit(BudgetKnowledge::Index);
 }
 
 #[test]
-fn proxies_that_know_only_the_number_of_proxies_stay_within_the_bound() {
-    assert_within_bound(BudgetKnowledge::Count);
+fn proxies_that_know_only_the_number_of_proxies_stay_within_the_limit() {
+    assert_within_limit(BudgetKnowledge::Count);
 }
