--- a/tests/decision_trace/answers.rs
+++ b/tests/decision_trace/answers.rs
@@ -1,11 +1,12 @@
-//! How the servers of a random fleet answer: by their faults, what they hold and what the settings let them tell.
+//! Answers of the servers in a random fleet, which depend on their faults, their copies and the detail that the
+//! settings allow.
 
 use crate::common::MS;
 use crate::random_fleet::RandomFleet;
 use linnetknot::*;
 use std::collections::BTreeSet;
 
-/// What is wrong with a server.
+/// Fault of a server.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Fault {
     None,
@@ -16,7 +17,7 @@
     Resets,
     Errors,
     Full,
-    /// One answer in three is lost, and one in three is an error.
+    /// A third of the answers is lost and a third are errors.
     Flaky,
 }
 
@@ -39,7 +40,7 @@
     pub active: u64,
 }
 
-/// How an attempt ends.
+/// End of an attempt.
 #[derive(Clone, Copy)]
 pub(crate) struct Answer {
     pub outcome: Outcome,
@@ -58,7 +59,7 @@
 }
 
 impl RandomFleet {
-    /// What the settings let an answer tell.
+    /// Returns the part of a note that the settings allow.
     pub(crate) fn visible_note(&self, note: Note) -> Note {
         match (self.settings.answer_detail, note) {
             (AnswerDetail::All, note) => note,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// When and how a server answers; none: never.
+    /// Returns the delay and the answer of a server; `None` if it never answers.
     pub(crate) fn answer(
         &mut self,
         id: ServerId,
@@ -94,7 +95,7 @@
             Fault::None | Fault::Slow | Fault::Flaky => {}
         }
         let slowness = if target.fault == Fault::Slow { 12 } else { 1 };
-        let sending = transfer_us * (target.active / 8).max(1) * slowness + 10 * MS + jitter;
+        let duration_us = transfer_us * (target.active / 8).max(1) * slowness + 10 * MS + jitter;
         let has_copy = target.cached_parts.contains(&part) || target.entry.kind != "cache";
         if self.one_in(200) {
             return failed(MS, Outcome::Moot);
@@ -105,21 +106,21 @@
             } else {
                 Note::Hit
             };
-            return Some((sending, Answer::of(Outcome::Ok, note)));
+            return Some((duration_us, Answer::of(Outcome::Ok, note)));
         }
         if fill.source == id {
             return failed(5 * MS, Outcome::Miss);
         }
         let (wait, answer) = self.fill(fill, part)?;
-        let sending = if answer.outcome == Outcome::Ok {
-            sending
+        let duration_us = if answer.outcome == Outcome::Ok {
+            duration_us
         } else {
             0
         };
-        Some((wait + sending, answer))
+        Some((wait + duration_us, answer))
     }
 
-    /// When and how a source gives what is not held; none: never.
+    /// Returns the delay and the result of a fill from a source; `None` if it never answers.
     fn fill(&mut self, fill: &Fill, part: (u64, u64)) -> Option<(Micros, Answer)> {
         let first_byte_us = 8 * MS + self.below(6 * MS);
         let draw = self.below(3);
--- a/tests/decision_trace/disturbances.rs
+++ b/tests/decision_trace/disturbances.rs
@@ -1,5 +1,5 @@
-//! What happens to a random fleet besides requests: faults, changes of the list, purges, leases, word of other routers
-//! and new settings.
+//! Disturbances of a random fleet: faults, changes to the list, purges, leases, limits from other routers and new
+//! settings.
 
 use crate::answers::Fault;
 use crate::common::{server, MS, S};
@@ -7,8 +7,8 @@
 use linnetknot::*;
 
 impl RandomFleet {
-    /// One thing at random.
-    pub(crate) fn disturb(&mut self) {
+    /// Applies one random disturbance.
+    pub(crate) fn apply_disturbance(&mut self) {
         match self.below(18) {
             0..=3 => self.change_fault(),
             4 => self
@@ -16,14 +16,14 @@
                 .values_mut()
                 .for_each(|s| s.fault = Fault::None),
             5 | 6 => self.change_server_state(),
-            7 => self.replace(),
+            7 => self.replace_server(),
             8 => self.change_list(),
-            9 | 10 => self.purge(),
-            11 => self.lease(),
+            9 | 10 => self.send_purge(),
+            11 => self.send_lease(),
             12 => self.limit_origin_share(),
-            13 => self.probe(),
+            13 => self.end_probe(),
             14 => self.change_settings(),
-            15 => self.origin_turns_slow(),
+            15 => self.toggle_slow_origin(),
             _ => {
                 let id = self.random_server();
                 self.break_connections(id);
@@ -33,24 +33,28 @@
 
     fn change_fault(&mut self) {
         let (id, fault) = (self.random_server(), self.random_fault());
-        self.servers.get_mut(&id).expect("it is there").fault = fault;
+        self.servers.get_mut(&id).expect("a known server").fault = fault;
     }
 
-    fn origin_turns_slow(&mut self) {
-        let origin = self.servers.get_mut(&21).expect("it never goes");
+    fn toggle_slow_origin(&mut self) {
+        let origin = self
+            .servers
+            .get_mut(&21)
+            .expect("the origin, which is never removed");
         origin.fault = match origin.fault {
             Fault::None => Fault::Slow,
             _ => Fault::None,
         };
     }
 
-    /// A server drains, goes, comes back, or has started anew; the router is told at once.
+    /// Changes the state of a server, which drains, is removed, returns or restarts, and informs the router
+    /// immediately.
     fn change_server_state(&mut self) {
         let id = self.random_server();
         let started = self.now - self.below(4 * S);
-        let fate = self.below(5);
-        let server = self.servers.get_mut(&id).expect("it is there");
-        match fate {
+        let change = self.below(5);
+        let server = self.servers.get_mut(&id).expect("a known server");
+        match change {
             0 => server.entry.state = State::Draining,
             1 if id != 21 => server.entry.state = State::Gone,
             2 => {
@@ -66,34 +70,38 @@
         self.feed(Event::List { mode, servers });
     }
 
-    /// A cache or parent goes for good and a new one comes under a new id.
-    fn replace(&mut self) {
+    /// Replaces a cache or parent with a new one under a new id.
+    fn replace_server(&mut self) {
         let id = self.random_server();
         if id == 21 {
             return;
         }
-        let old = self.servers.remove(&id).expect("it is there").entry;
+        let old = self.servers.remove(&id).expect("a known server").entry;
         let mut new = server(id % 100 + 100 * (1 + self.below(50)), &old.zone, &old.kind);
         new.started = Some(self.now - self.below(S));
-        new.weight = old.weight * (0.5 + self.share());
+        new.weight = old.weight * (0.5 + self.random_share());
         self.add_server(new);
-        self.list(ListMode::Full);
+        self.send_list(ListMode::Full);
     }
 
     fn change_list(&mut self) {
         match self.below(3) {
-            0 => self.list(ListMode::Failed),
-            1 => self.list(ListMode::Full),
+            0 => self.send_list(ListMode::Failed),
+            1 => self.send_list(ListMode::Full),
             _ => {
                 let id = self.random_server();
                 let weight = [0.0, f64::NAN, 4.0, 9.5][self.below(4) as usize];
-                self.servers.get_mut(&id).expect("it is there").entry.weight = weight;
-                self.list(ListMode::Delta);
+                self.servers
+                    .get_mut(&id)
+                    .expect("a known server")
+                    .entry
+                    .weight = weight;
+                self.send_list(ListMode::Delta);
             }
         }
     }
 
-    fn purge(&mut self) {
+    fn send_purge(&mut self) {
         let (object, group) = self.random_key();
         let age_us = self.below(800 * MS);
         self.feed(Event::Purged {
@@ -103,13 +111,16 @@
         });
     }
 
-    fn lease(&mut self) {
+    fn send_lease(&mut self) {
         let (budget, limit) = match self.below(3) {
             0 => (Budget::Origin, 60.0),
             1 => (Budget::Caches, 0.7),
             _ => (Budget::Parents, 0.7),
         };
-        let (amount, reserved) = (limit * self.share(), limit * self.share() / 4.0);
+        let (amount, reserved) = (
+            limit * self.random_share(),
+            limit * self.random_share() / 4.0,
+        );
         let until = self.now + self.below(3 * S);
         self.feed(Event::Lease(Lease {
             budget,
@@ -120,7 +131,7 @@
     }
 
     fn limit_origin_share(&mut self) {
-        let origin_share = self.share();
+        let origin_share = self.random_share();
         let valid_for_us = self.below(2 * S);
         self.feed(Event::OriginShareLimit {
             origin_share,
@@ -128,7 +139,7 @@
         });
     }
 
-    fn probe(&mut self) {
+    fn end_probe(&mut self) {
         let server = self.random_server();
         self.feed(Event::ProbeEnded {
             server,
@@ -138,11 +149,11 @@
         });
     }
 
-    /// A reload: classes change places, names and figures, or fewer attempts are allowed; one in eight is not sound.
+    /// Reloads settings with reordered, removed or changed classes or fewer attempts; one in eight is invalid.
     fn change_settings(&mut self) {
         let mut new = self.settings.clone();
-        let places = self.below(new.classes.len() as u64) as usize;
-        new.classes.rotate_left(places);
+        let offset = self.below(new.classes.len() as u64) as usize;
+        new.classes.rotate_left(offset);
         match self.below(8) {
             0 => new.classes.clear(),
             1 => drop(new.classes.pop()),
--- a/tests/decision_trace/main.rs
+++ b/tests/decision_trace/main.rs
@@ -1,8 +1,8 @@
-//! The decisions of the module, action by action, over seeds and settings: any change of what it decides changes a
-//! digest in `expected/`. The digests were taken before the module was split (it was `src/decide.rs`); a change of code
-//! that should change no decision must leave them alone.
+//! Compares the decisions of the module, action by action, with recorded digests for several seeds and settings. A
+//! change that should not affect decisions must leave the files in `expected/` alone.
 //!
-//! A change that is meant to change decisions replaces the files by those that a failing run leaves, and says why.
+//! A change that is meant to affect decisions replaces the files with those that a failing run writes, and its commit
+//! gives the reason.
 
 mod answers;
 #[path = "../common/mod.rs"]
@@ -18,7 +18,7 @@
 use std::path::Path;
 
 const WORLD_SECONDS: u64 = 10;
-/// Much happens in a short time.
+/// Many events in a short time.
 const BUSY: Workload = Workload {
     seconds: 10,
     checkpoint_seconds: 1,
@@ -26,7 +26,7 @@
     disturbance_interval_us: 120 * MS,
     object_count: 400,
 };
-/// Long enough that counts of requests fade, and warm servers stay warm.
+/// Long enough for request counts to decay and servers to stay warm.
 const SLOW: Workload = Workload {
     seconds: 120,
     checkpoint_seconds: 10,
@@ -34,7 +34,7 @@
     disturbance_interval_us: 3 * S,
     object_count: 400,
 };
-/// So few requests that hits and fills hardly tell of a pace.
+/// Too few requests for reliable slowdown averages.
 const SPARSE: Workload = Workload {
     seconds: 1_200,
     checkpoint_seconds: 100,
@@ -42,7 +42,7 @@
     disturbance_interval_us: 20 * S,
     object_count: 100,
 };
-/// Fills so far apart that one or two of them tell of the link.
+/// Fills so rare that one or two of them determine the link's estimated capacity.
 const IDLE_LINK: Workload = Workload {
     seconds: 600,
     checkpoint_seconds: 50,
@@ -50,20 +50,20 @@
     disturbance_interval_us: 600 * MS,
     object_count: 20_000,
 };
-/// Long enough that writes are sent again amid all kinds of faults.
+/// Long enough for writes to be retried under all kinds of faults.
 const LONG_BUSY: Workload = Workload {
     seconds: 60,
     checkpoint_seconds: 5,
     ..BUSY
 };
-/// Few objects, so that some are asked for often enough to have several copies.
+/// Few objects, so that some are popular enough for several copies.
 const HOT: Workload = Workload {
     object_count: 12,
     disturbance_interval_us: 600 * MS,
     ..BUSY
 };
 
-/// The settings of the tests with a link of this size and so many routers in the router's own zone.
+/// Returns the test settings with a link of this capacity and this number of routers in the router's zone.
 fn linked(routers: u32, link_kb_per_s: f64) -> Settings {
     let mut settings = settings();
     settings.zones[1].routers = routers;
@@ -114,13 +114,13 @@
     }
 }
 
-/// Settings that differ in what is told and allowed.
+/// Settings that differ in the available information and features.
 fn variants() -> Vec<(&'static str, Settings)> {
     let thin_link = Settings {
         direct_to_upstream: false,
         ..linked(1, 20_000.0)
     };
-    let link_not_told = Settings {
+    let unknown_link = Settings {
         coalesces_fills: false,
         ..linked(2, 0.0)
     };
@@ -145,7 +145,7 @@
         ("untold", no_answer_detail()),
         ("siblings", siblings()),
         ("thin-link", thin_link),
-        ("link-not-told", link_not_told),
+        ("link-not-told", unknown_link),
         ("no-parents", no_parents),
         ("many-routers", many_routers),
         ("deduplicating", deduplicating()),
@@ -153,7 +153,7 @@
     ]
 }
 
-/// The reports of one seed under all settings.
+/// Returns the reports of one seed under all settings.
 fn random_fleets(seed: u64) -> String {
     let report = |(name, settings): (&str, Settings)| {
         let fleet = RandomFleet::new(name, settings, BUSY, seed);
@@ -162,8 +162,8 @@
     variants().into_iter().map(report).collect()
 }
 
-/// A fleet whose first zone vanishes at 3 s and comes back cold, whose first parent restarts, and whose origin is slow
-/// from 7 s on.
+/// Simulates a fleet whose first zone fails silently at 3 s and returns empty, whose first parent restarts, and whose
+/// origin is slow from 7 s on.
 fn eventful_simulation(name: &str, seed: u64, shape: impl FnOnce(&mut Settings)) -> String {
     let mut world = FleetSimulation::shaped(2, 3, 4, 30.0, seed, shape);
     world.trace = Some(Trace::new(format!("{name}-{seed}")));
@@ -175,7 +175,7 @@
         let Notice::Call(second) = notify else {
             return;
         };
-        let trace = world.trace.as_mut().expect("it was set");
+        let trace = world.trace.as_mut().expect("the trace is set");
         trace.checkpoint(second);
         let now = world.now;
         let zone: Vec<ServerId> = (10..14).collect();
@@ -201,15 +201,15 @@
                 world.publish(0, ListMode::Delta, &back);
             }
             7 => world.origin_requests_per_s = 5.0,
-            9 => world.servers.get_mut(&PARENTS[1]).expect("it is there").up = false,
-            10 => world.servers.get_mut(&ORIGIN).expect("it is there").up = false,
+            9 => world.servers.get_mut(&PARENTS[1]).expect("listed").up = false,
+            10 => world.servers.get_mut(&ORIGIN).expect("listed").up = false,
             _ => {}
         }
     });
-    world.trace.expect("it was set").into_report()
+    world.trace.expect("the trace is set").into_report()
 }
 
-/// What the routers are told of servers, answers and caches that fill each other: as little as there is.
+/// Reduces the information about servers and answers to the minimum, and allows caches to fill each other.
 fn reduce_detail(settings: &mut Settings) {
     settings.answer_detail = AnswerDetail::Off;
     settings.weights_known = false;
@@ -217,20 +217,20 @@
 }
 
 fn compare(name: &str, found: &str) {
-    let recorded = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/decision_trace/expected");
-    let expected = std::fs::read_to_string(recorded.join(name)).expect("a record");
-    let left = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&left, found).expect("a folder for tests");
+    let directory = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/decision_trace/expected");
+    let expected = std::fs::read_to_string(directory.join(name)).expect("a recorded digest");
+    let output = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+    std::fs::write(&output, found).expect("a writable test directory");
     let differs = |(a, b): &(&str, &str)| a != b;
     if let Some((found, expected)) = found.lines().zip(expected.lines()).find(differs) {
         panic!(
-            "a decision differs:\n   found {found}\nexpected {expected}\nall that was found: {}",
-            left.display()
+            "a decision differs:\n   found {found}\nexpected {expected}\nfull output: {}",
+            output.display()
         );
     }
     let lines = [found, &expected].map(|text| text.lines().count());
-    assert_eq!(lines[0], lines[1], "lines are missing or too many");
-    assert!(found == expected, "the ends of lines differ");
+    assert_eq!(lines[0], lines[1], "the number of lines differs");
+    assert!(found == expected, "the line endings differ");
 }
 
 #[test]
@@ -261,7 +261,8 @@
     );
 }
 
-/// More purges than are held exactly, with requests between: what is asked of copies tells which ones still are.
+/// Records more purges than are kept exactly, with requests in between, whose maximum ages show which purges are still
+/// exact.
 #[test]
 fn decisions_amid_many_purges_match_the_record() {
     let mut harness = RouterHarness::new(settings(), fleet());
@@ -291,8 +292,8 @@
     compare("purges.txt", &trace.into_report());
 }
 
-/// More distinct parts than the tables of counts hold, and then some of them once more: how each is kept tells what
-/// was counted of it.
+/// Requests more distinct parts than the count tables hold, and then some of them again. Their cache ranks show which
+/// counts were kept.
 #[test]
 fn decisions_of_a_scan_that_overflows_the_request_counts_match_the_record() {
     const PARTS: u64 = 24_000;
@@ -316,7 +317,7 @@
     compare("scan.txt", &trace.into_report());
 }
 
-/// Ticks, with an answer to a new request in each; what is cancelled ends so.
+/// Runs ticks with one answered request in each, and ends attempts that the router cancels.
 fn answer_others(harness: &mut RouterHarness, trace: &mut Trace, ticks: u64) {
     for tick in 0..ticks {
         let (request, actions) = harness.request("video", &format!("/others/{tick}"), 5 * S);
@@ -336,8 +337,7 @@
     }
 }
 
-/// Some requests are never answered though their servers answer others, and then no server answers any more from the
-/// moment of its last answer on.
+/// Some requests are never answered although their servers answer others; after that, all servers are silent.
 #[test]
 fn decisions_on_missing_answers_match_the_record() {
     let mut harness = RouterHarness::new(settings(), fleet());
@@ -374,7 +374,7 @@
 
 #[test]
 fn decisions_of_an_eventful_simulation_match_the_record() {
-    let told = eventful_simulation("world-told", 11, |_| ());
-    let untold = eventful_simulation("world-untold", 13, reduce_detail);
-    compare("worlds.txt", &(told + &untold));
+    let detailed = eventful_simulation("world-told", 11, |_| ());
+    let reduced = eventful_simulation("world-untold", 13, reduce_detail);
+    compare("worlds.txt", &(detailed + &reduced));
 }
--- a/tests/decision_trace/random_fleet.rs
+++ b/tests/decision_trace/random_fleet.rs
@@ -1,5 +1,5 @@
-//! One router amid servers that do at random whatever the interface allows: the events are as varied as they can be
-//! rather than likely, and all follow from the seed and from what the router did before.
+//! Simulates one router among servers that behave at random within what the interface allows. The events are varied
+//! rather than realistic, and they depend only on the seed and the router's actions.
 
 use crate::answers::{Answer, Fault, SimulatedServer, FAULTS};
 use crate::common::trace::{scramble, Trace};
@@ -36,17 +36,17 @@
     ClientLeaves(RequestId),
 }
 
-/// How much happens.
+/// Rates and duration of a simulation.
 #[derive(Clone, Copy)]
 pub(crate) struct Workload {
-    /// Time that is played, and between lines of the report.
+    /// Simulated time, and time between lines of the report.
     pub seconds: u64,
     pub checkpoint_seconds: u64,
     /// Mean time between requests.
     pub arrival_interval_us: Micros,
     /// Mean time between disturbances.
     pub disturbance_interval_us: Micros,
-    /// Distinct objects; low numbers are asked for most.
+    /// Number of objects; low numbers are requested most.
     pub object_count: u64,
 }
 
@@ -58,8 +58,8 @@
     router: Router,
     clients: BTreeMap<RequestId, Client>,
     queue: BTreeMap<(Micros, u64), Scheduled>,
-    number: u64,
-    random: u64,
+    sequence: u64,
+    random_state: u64,
     trace: Trace,
 }
 
@@ -72,21 +72,21 @@
     ) -> RandomFleet {
         let mut fleet = RandomFleet {
             now: START,
-            router: Router::new(settings.clone(), seed).expect("usable settings"),
+            router: Router::new(settings.clone(), seed).expect("valid settings"),
             settings,
             workload,
             servers: BTreeMap::new(),
             clients: BTreeMap::new(),
             queue: BTreeMap::new(),
-            number: 0,
-            random: scramble(seed),
+            sequence: 0,
+            random_state: scramble(seed),
             trace: Trace::new(format!("{name}-{seed}")),
         };
         (1..=5).for_each(|id| fleet.add_server(server(id, "town", "cache")));
         fleet.add_server(server(6, "shore", "cache"));
         (11..=13).for_each(|id| fleet.add_server(server(id, "hub", "parent")));
         fleet.add_server(server(21, "hub", "origin"));
-        fleet.list(ListMode::Full);
+        fleet.send_list(ListMode::Full);
         fleet.schedule(0, Scheduled::Arrival);
         fleet.schedule(0, Scheduled::Disturbance);
         fleet
@@ -103,33 +103,33 @@
         self.servers.insert(new.entry.id, new);
     }
 
-    /// AnswerDetail the router the whole list, or only what may have changed.
-    pub(crate) fn list(&mut self, mode: ListMode) {
+    /// Sends the router the complete list, or only the entries that may have changed.
+    pub(crate) fn send_list(&mut self, mode: ListMode) {
         let servers = self.servers.values().map(|s| s.entry.clone()).collect();
         self.feed(Event::List { mode, servers });
     }
 
-    /// A number below this one.
+    /// Returns a random number below `bound`.
     pub(crate) fn below(&mut self, bound: u64) -> u64 {
-        self.random = self.random.wrapping_add(1);
-        scramble(self.random) % bound
+        self.random_state = self.random_state.wrapping_add(1);
+        scramble(self.random_state) % bound
     }
 
-    /// One time in so many.
+    /// Returns true once in `times` calls on average.
     pub(crate) fn one_in(&mut self, times: u64) -> bool {
         self.below(times) == 0
     }
 
-    pub(crate) fn share(&mut self) -> f64 {
+    pub(crate) fn random_share(&mut self) -> f64 {
         self.below(1_000) as f64 / 1_000.0
     }
 
     pub(crate) fn random_server(&mut self) -> ServerId {
         let nth = self.below(self.servers.len() as u64) as usize;
-        *self.servers.keys().nth(nth).expect("a place of the table")
+        *self.servers.keys().nth(nth).expect("an index of the table")
     }
 
-    /// A fault at random; a healthy server is as likely as all faults together.
+    /// Returns a random fault; half of the results are `Fault::None`.
     pub(crate) fn random_fault(&mut self) -> Fault {
         if self.one_in(2) {
             return Fault::None;
@@ -149,11 +149,11 @@
     }
 
     fn schedule(&mut self, wait: Micros, what: Scheduled) {
-        self.number += 1;
-        self.queue.insert((self.now + wait, self.number), what);
+        self.sequence += 1;
+        self.queue.insert((self.now + wait, self.sequence), what);
     }
 
-    /// Plays to the end; the report has a line for each checkpoint.
+    /// Runs the simulation and returns the report with one line per checkpoint.
     pub(crate) fn run(mut self) -> String {
         let Workload {
             seconds,
@@ -171,7 +171,7 @@
                 Scheduled::Disturbance => {
                     let wait = self.below(2 * self.workload.disturbance_interval_us) + 1;
                     self.schedule(wait, Scheduled::Disturbance);
-                    self.disturb();
+                    self.apply_disturbance();
                 }
                 Scheduled::Checkpoint(second) => self.trace.checkpoint(second),
                 Scheduled::Timer(tag) => self.feed(Event::Timer { tag }),
@@ -187,9 +187,9 @@
     fn arrival(&mut self) {
         let random_interarrival = self.below(2 * self.workload.arrival_interval_us) + 1;
         self.schedule(random_interarrival, Scheduled::Arrival);
-        self.number += 1;
-        let id = self.number;
-        // The product of two draws: low numbers are asked for most.
+        self.sequence += 1;
+        let id = self.sequence;
+        // The product of two random numbers favours low numbers.
         let object_count = self.workload.object_count;
         let object = self.below(object_count) * self.below(object_count) / object_count;
         let part = self.below(PARTS);
@@ -231,7 +231,7 @@
         }
         let again = self.one_in(100).then(|| request.clone());
         self.feed(Event::Request(request));
-        // An id that is open already changes nothing.
+        // A request whose id is already open is ignored.
         if let Some(request) = again {
             self.feed(Event::Request(request));
         }
@@ -265,7 +265,7 @@
         if settled {
             self.clients.remove(&request);
         }
-        let cpu_utilisation = self.share();
+        let cpu_utilisation = self.random_share();
         self.feed(Event::AttemptEnded {
             request,
             attempt,
@@ -282,7 +282,7 @@
         });
     }
 
-    /// All attempts that are out at a server end at once, as its connections break.
+    /// Ends all attempts in flight at a server with a connection reset.
     pub(crate) fn break_connections(&mut self, id: ServerId) {
         let is_out = |c: &Client| c.in_flight.as_ref().is_some_and(|out| out.server == id);
         let broken = self.clients.iter().filter(|(_, client)| is_out(client));
@@ -312,7 +312,7 @@
         self.feed(Event::ClientLeft { request });
     }
 
-    /// Gives the router an event, records what it does and carries that out.
+    /// Passes an event to the router, and records and carries out its actions.
     pub(crate) fn feed(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
@@ -324,7 +324,11 @@
                     server,
                     fill,
                     ..
-                } => self.attempt(request, server, fill.expect("a fill is always named")),
+                } => self.attempt(
+                    request,
+                    server,
+                    fill.expect("a fill, which the router always gives"),
+                ),
                 Action::Cancel { request, attempt } => {
                     let wait = self.below(2 * MS);
                     let answer = Answer::of(Outcome::Cancelled, Note::None);
