--- a/membership/src/swim/claims.rs
+++ b/membership/src/swim/claims.rs
@@ -1,4 +1,4 @@
-//! Claims about members, and the refutation of those about this member itself.
+//! Claims about members, and the refutation of claims about this member.
 
 use super::Membership;
 use crate::member::{Change, Claim, MemberState};
@@ -7,7 +7,7 @@
 use crate::{Micros, PeerIndex, ProcessId};
 
 impl Membership {
-    /// Makes a claim about a member from this failure detector's own observation.
+    /// Makes a claim about a member that this failure detector has observed itself.
     pub(super) fn claim_observed(&mut self, now: Micros, peer: PeerIndex, state: MemberState) {
         let member = &self.members[peer];
         if let (Some(id), Some(claim)) = (member.id, member.claim) {
@@ -20,12 +20,12 @@
         }
     }
 
-    /// Receives a claim, its own or another's.
+    /// Processes a claim by this member or another.
     pub(super) fn receive_claim(&mut self, now: Micros, update: Update) {
         if update.id == self.own.id {
             return self.refute(now, update.claim);
         }
-        // Members come from the configuration, and their ids are known once something was received from them.
+        // Members are configured by address, and their ids are unknown until something has been received from them.
         let Some(peer) = self.index_of(update.id) else {
             return;
         };
@@ -46,8 +46,8 @@
             );
             self.suspicions.insert(peer, suspicion);
         }
-        // Each member finds out by itself that another is there, and ignores claims about those that it has not heard of.
-        // In a large fleet that starts, such claims would leave no capacity for refutations.
+        // Each member discovers the others by itself and ignores claims about unknown ones, so a first claim that a
+        // member is alive is not gossiped. When a large fleet starts, such claims would leave no room for refutations.
         if old.is_some() || update.claim.state != MemberState::Alive {
             self.gossip.add(update);
         }
@@ -58,7 +58,7 @@
         });
     }
 
-    /// Receives a suspicion that is believed already, and passes it on if it is another member's.
+    /// Processes a suspicion that is already the current claim, and gossips it if it is a new confirmation.
     fn confirm_suspicion(&mut self, peer: PeerIndex, update: Update) {
         if update.claim.state != MemberState::Suspect {
             return;
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Receives a claim about this member itself, and refutes it if it is not true.
+    /// Processes a claim about this member itself, and refutes it if it is false.
     fn refute(&mut self, now: Micros, claim: Claim) {
         if claim.process > self.own.process {
             self.receive_later_process(now, claim.process);
@@ -84,9 +84,10 @@
         }
     }
 
-    /// Receives the report of a process with a greater id: this one's successor, or its predecessor if that is expected. A
-    /// process id is the time at which the process started. One that this process's clock has not reached yet was given by a
-    /// clock that has been set back since; a successor started after this process, and so by a time that it has reached.
+    /// Processes the report of a process with a greater id, which is this one's successor, or its predecessor if that
+    /// is expected. A process id is the time at which the process started. An id in the future comes from a clock that
+    /// has been set back since, so it is the predecessor's. A successor has started at a time that this process's clock
+    /// has reached.
     fn receive_later_process(&mut self, now: Micros, process: ProcessId) {
         let is_expected = now < self.predecessor_until && !self.is_replaced;
         let is_predecessor = is_expected && process > now;
--- a/membership/src/swim/exchange.rs
+++ b/membership/src/swim/exchange.rs
@@ -1,14 +1,14 @@
-//! Datagrams sent and received.
+//! Sending and receiving datagrams.
 
 use super::{Membership, Outgoing};
 use crate::member::{Claim, Member, MemberState, Names};
 use crate::wire::{truncated, Body, Message, Sender, Update};
 use crate::{DecodeError, Micros, PeerIndex};
 
-/// The most updates sent along with a datagram.
+/// The maximum number of gossiped updates in a datagram.
 const MAX_UPDATES: usize = 6;
 
-/// The claim that a sender makes about itself by sending.
+/// Returns the claim that a sender implies about itself by sending a datagram.
 fn alive(sender: Sender) -> Claim {
     Claim {
         process: sender.process,
@@ -18,7 +18,7 @@
 }
 
 impl Membership {
-    /// Sends a datagram with updates, one of them about the receiver if it has to learn that.
+    /// Queues a datagram with piggybacked updates. `about_receiver` is an update that the receiver must get.
     pub(super) fn send(&mut self, peer: PeerIndex, body: Body, about_receiver: Option<Update>) {
         let (members, receiver) = (self.members.len() + 1, self.members[peer].id);
         let mut updates: Vec<Update> = about_receiver.into_iter().collect();
@@ -41,7 +41,7 @@
     /// Receives a datagram from a peer's address.
     ///
     /// # Errors
-    /// Fails if it can't be decoded. It then has no effect, and is counted.
+    /// Fails if the datagram can't be decoded. It then has no effect other than that it is counted.
     pub fn receive(
         &mut self,
         now: Micros,
@@ -54,7 +54,7 @@
         }
         let from = message.from;
         if from.id == self.own.id {
-            // Another process of this member.
+            // The sender is another process of this member.
             self.is_replaced |= from.process > self.own.process;
             return Ok(());
         }
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Returns the claim that is believed about a sender if it overrides the sender's own. The sender must learn of it: it
-    /// alone can refute it, or learn that it was replaced.
+    /// Returns the current claim about a sender if it overrides the one that the sender implies. The sender must
+    /// receive it, in order to refute it or to learn that it was replaced.
     fn overriding_claim(&self, sender: Sender) -> Option<Update> {
         let known = self
             .index_of(sender.id)
@@ -114,10 +114,10 @@
         })
     }
 
-    /// Learns which process of which member sends from a peer's address.
+    /// Records which process of which member sends from a peer's address.
     fn observe(&mut self, now: Micros, peer: PeerIndex, from: Sender) {
         if let Some(other) = self.index_of(from.id).filter(|other| *other != peer) {
-            // Two processes of one member: the later one counts, whichever its address.
+            // The same member was known at another address. The later process counts, whichever its address.
             let known = self.members[other].claim;
             if known.is_some_and(|claim| claim.process > from.process) {
                 return;
@@ -127,7 +127,7 @@
         }
         let known = &mut self.members[peer];
         if known.id != Some(from.id) {
-            // Another member has this address now.
+            // Another member has taken over this address.
             if let Some(old) = known.id {
                 self.by_id.remove(&old);
             }
@@ -148,7 +148,7 @@
         self.receive_own_claim(now, from, alive(from));
     }
 
-    /// Receives a claim that a sender makes about itself.
+    /// Processes a claim that a sender makes about itself.
     fn receive_own_claim(&mut self, now: Micros, from: Sender, claim: Claim) {
         let update = Update {
             id: from.id,
@@ -158,7 +158,7 @@
         self.receive_claim(now, update);
     }
 
-    /// Announces this member's shutdown to the others. It sends nothing more afterwards.
+    /// Announces this member's shutdown to the members that are up. No further datagrams are sent.
     pub fn leave(&mut self) {
         for peer in 0..self.members.len() {
             if self.members[peer].is_up() {
@@ -166,7 +166,7 @@
             }
         }
         self.has_left = true;
-        // Nothing is due any more.
+        // Disables all timers.
         self.next_probe = Micros::MAX;
         self.probe = None;
         self.suspicions.clear();
--- a/membership/src/swim/mod.rs
+++ b/membership/src/swim/mod.rs
@@ -1,11 +1,11 @@
-//! The SWIM protocol: the state of one member, and when it acts.
+//! The SWIM protocol: the state of one member and its timers.
 //!
-//! - `probes`: probes and their timeouts, direct and indirect, and greetings.
-//! - `exchange`: datagrams sent and received.
-//! - `claims`: claims about members, and the refutation of those about itself.
+//! - `probes`: direct and indirect probes, their timeouts, and discovery pings.
+//! - `exchange`: sending and receiving datagrams.
+//! - `claims`: claims about members, and the refutation of claims about this member.
 //!
-//! A failure detector that does not receive what it should is more often slow itself than all others are gone: it then
-//! waits longer before it suspects them. How much longer is its health score.
+//! A failure detector that misses many responses is more likely slow itself than surrounded by dead members. It then
+//! waits longer before it suspects them, by a multiple that its health score determines.
 
 mod claims;
 mod exchange;
@@ -20,25 +20,25 @@
 use probes::{IndirectProbe, Probe};
 use std::collections::BTreeMap;
 
-/// How much a stall adds to the health score.
+/// The amount that a stall adds to the health score.
 const STALL_PENALTY: u32 = 2;
-/// A tick that is late by more than this many times the probe timeout is a stall.
+/// A tick counts as a stall if it is late by more than this multiple of the acknowledgement timeout.
 const MIN_STALL_FACTOR: Micros = 2;
 
-/// How a member is set up.
+/// The configuration of a member.
 #[derive(Clone, Debug)]
 pub struct MembershipConfig {
-    /// Its id.
+    /// The member's id.
     pub id: Id,
-    /// Its process.
+    /// The id of its process.
     pub process: ProcessId,
-    /// Its names, which it reports to others.
+    /// The names that it reports to others.
     pub names: Names,
     /// The number of its peers.
     pub peers: usize,
-    /// The seed of its random numbers.
+    /// The seed of its random number generator.
     pub seed: u64,
-    /// Times and bounds.
+    /// The durations and bounds of the protocol.
     pub options: Options,
 }
 
@@ -51,7 +51,7 @@
     pub datagram: Vec<u8>,
 }
 
-/// The members of an installation, as one of them sees the others.
+/// The members of an installation as seen by one of them.
 #[derive(Clone, Debug)]
 pub struct Membership {
     own: Sender,
@@ -63,10 +63,11 @@
     gossip: Gossip,
     /// The peers that are still to be probed in this round.
     round: Vec<PeerIndex>,
-    /// The peers that were not greeted yet: a member that starts should know all soon, and not only after a whole round.
+    /// The peers that have not been sent a discovery ping yet. They let a member that starts discover all others sooner
+    /// than a whole round of probes would.
     undiscovered: Vec<PeerIndex>,
     probe: Option<Probe>,
-    /// The pending pings on behalf of others, by their numbers.
+    /// The pending pings on behalf of other members, by number.
     indirect: BTreeMap<u32, IndirectProbe>,
     next_probe: Micros,
     last_number: u32,
@@ -74,7 +75,8 @@
     random: Random,
     has_left: bool,
     is_replaced: bool,
-    /// Until then a later process of this member that peers know of is taken for an earlier one.
+    /// The time until which a process id above this process's own may be that of its predecessor; see
+    /// [`Membership::expect_predecessor`].
     predecessor_until: Micros,
     outgoing: Vec<Outgoing>,
     changes: Vec<Change>,
@@ -122,14 +124,14 @@
             changes: Vec::new(),
             counters: Counters::default(),
         };
-        // Members that are started together must not probe in step.
+        // A random offset keeps members that start together from probing at the same time.
         membership.next_probe += membership.random.below(options.protocol_period_us);
         membership.reset_peers(peers);
         membership
     }
 
-    /// Sets the number of peers after the list of peers has changed: which member has which index is learned anew. What
-    /// this member knows of itself stays.
+    /// Sets the number of peers after the list of peers has changed, and forgets which member has which index. The
+    /// state of this member itself is kept.
     pub fn reset_peers(&mut self, peers: usize) {
         self.members = vec![Member::default(); peers];
         self.undiscovered = (0..peers).collect();
@@ -140,24 +142,24 @@
         self.probe = None;
     }
 
-    /// Returns the members, by their indexes in the list of peers.
+    /// Returns the other members, by their indexes in the list of peers.
     pub fn members(&self) -> &[Member] {
         &self.members
     }
 
-    /// Returns a member's index, if anything was received from it.
+    /// Returns a member's index, if anything has been received from it.
     fn index_of(&self, id: Id) -> Option<PeerIndex> {
         self.by_id.get(&id).copied()
     }
 
-    /// Counts the members that are believed to run, itself included.
+    /// Returns the number of members that are believed to be up, including this one.
     pub fn up(&self) -> usize {
         1 + self.members.iter().filter(|m| m.is_up()).count()
     }
 
-    /// Declares that this process started without its disk, and can't know the id of the process before it. Until a time,
-    /// a greater process id that peers report is taken for that process, and this one takes the id after it: the wall
-    /// clock may have been set back between the two.
+    /// Declares that this process started without its disk, so that it does not know the id of its predecessor. The
+    /// wall clock may have been set back between the two. Until the given time, a greater process id that peers report
+    /// and that the clock has not reached is taken for the predecessor, and this process adopts the id after it.
     pub fn expect_predecessor(&mut self, until: Micros) {
         self.predecessor_until = until;
     }
@@ -172,8 +174,8 @@
         self.is_replaced
     }
 
-    /// Returns the health score of this failure detector: 0 if it is well, else by how many multiples of the usual time it
-    /// waits longer.
+    /// Returns the health score of this failure detector. It is 0 for a healthy one, and each point adds another
+    /// multiple of the usual time to its timeouts.
     pub fn health(&self) -> u32 {
         self.health
     }
@@ -183,7 +185,7 @@
         self.counters
     }
 
-    /// Takes the datagrams that are to be sent.
+    /// Takes the datagrams to send.
     pub fn take_outgoing(&mut self) -> Vec<Outgoing> {
         std::mem::take(&mut self.outgoing)
     }
@@ -193,7 +195,7 @@
         std::mem::take(&mut self.changes)
     }
 
-    /// Returns when [`Membership::tick`] is to be called next.
+    /// Returns the time at which [`Membership::tick`] must be called next.
     pub fn due(&self) -> Micros {
         let probe = self.probe.as_ref().filter(|probe| probe.is_direct());
         let probe_timeout = probe.map(|probe| probe.started_at + self.scaled_ack_timeout_us());
@@ -213,7 +215,7 @@
         self.health = (self.health + penalty).min(self.options.max_health);
     }
 
-    /// Does what is due by now.
+    /// Starts and ends probes and declares suspects dead, as far as that is due.
     pub fn tick(&mut self, now: Micros) {
         if self.has_left {
             return;
@@ -228,8 +230,8 @@
         }
     }
 
-    /// A process that was stopped, or short of CPU, finds all its timeouts expired at once, while the answers may wait in
-    /// its socket.
+    /// Detects a stall of this process, and then discards the probes in progress and extends the suspicions. After a
+    /// stall all timeouts appear to have expired, although the responses may be waiting in the socket.
     fn detect_stall(&mut self, now: Micros) {
         let late_us = now.saturating_sub(self.due());
         if late_us <= MIN_STALL_FACTOR * self.options.ack_timeout_us {
@@ -242,7 +244,7 @@
         self.suspicions
             .values_mut()
             .for_each(|suspicion| suspicion.extend(late_us));
-        // What arrived meanwhile is read before any member is probed again.
+        // Datagrams that arrived during the stall are received before the next probe.
         self.next_probe = now + self.options.ack_timeout_us;
     }
 
--- a/membership/src/swim/probes.rs
+++ b/membership/src/swim/probes.rs
@@ -1,28 +1,28 @@
-//! Probes and their timeouts. One member is probed in each period, in rounds of a random order. For one that does not
-//! answer in time others are asked for indirect probes; if it does not answer these either, it is suspected.
+//! Probes and their timeouts. One member is probed in each period, in rounds of random order. If it does not answer in
+//! time, other members are asked for indirect probes. If it does not answer these either, it is suspected.
 
 use super::Membership;
 use crate::member::MemberState;
 use crate::wire::Body;
 use crate::{Id, Micros, PeerIndex};
 
-/// The number of pings that greet a member and are no probes.
+/// The number that discovery pings carry. Probes are numbered from 1, so the acknowledgements match no probe.
 const DISCOVERY_PING_NUMBER: u32 = 0;
 
-/// The probe of this period.
+/// The probe of the current period.
 #[derive(Clone, Debug)]
 pub(super) struct Probe {
     pub(super) peer: PeerIndex,
     pub(super) number: u32,
     pub(super) started_at: Micros,
-    /// How many members were asked for indirect probes; `None` before that.
+    /// The number of members that were asked for indirect probes; `None` before that.
     pub(super) helpers: Option<usize>,
-    /// How many of them reported that they received no answer either.
+    /// The number of those members that reported that they received no answer either.
     pub(super) nacks: usize,
 }
 
 impl Probe {
-    /// Returns whether no indirect probes were requested yet.
+    /// Returns whether no indirect probes have been requested yet.
     pub(super) fn is_direct(&self) -> bool {
         self.helpers.is_none()
     }
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct IndirectProbe {
     pub(super) requester: PeerIndex,
-    /// The number of the request.
+    /// The number of the request, which the acknowledgement or nack repeats.
     pub(super) number: u32,
     pub(super) target: Id,
     pub(super) deadline: Micros,
@@ -63,8 +63,8 @@
         self.last_number
     }
 
-    /// Pings a member that is not known to run, so that it is known soon. The ping is no probe: a member that does not
-    /// answer it is not suspected.
+    /// Pings a member that is not known to be up, to discover it sooner. The ping is not a probe, and a member that
+    /// does not answer it is not suspected.
     pub fn send_discovery_ping(&mut self, peer: PeerIndex) {
         let member = self.members.get(peer);
         if !self.has_left && member.is_some_and(|member| !member.is_up()) {
@@ -72,7 +72,8 @@
         }
     }
 
-    /// Greets members that were never heard of: many at first, and one in a period once each was greeted.
+    /// Sends discovery pings to members from which nothing has been received: several per period until each has been
+    /// sent one, then one random member per period.
     fn send_discovery_pings(&mut self) {
         let is_unknown =
             |membership: &Self, peer: &PeerIndex| membership.members[*peer].claim.is_none();
@@ -98,7 +99,8 @@
         }
     }
 
-    /// Draws a round of probes in random order: all members that may run, and few of those that do not.
+    /// Draws the next round of probes in random order. It contains all members that may be up, and few of those that
+    /// are down.
     fn draw_round(&mut self) {
         for peer in 0..self.members.len() {
             let member = &self.members[peer];
@@ -115,7 +117,7 @@
         self.send(peer, Body::Ping { number, names }, None);
     }
 
-    /// Requests indirect probes if the direct one was not answered in time.
+    /// Requests indirect probes if the direct one was not acknowledged in time.
     pub(super) fn extend_probe(&mut self, now: Micros) {
         let timeout_us = self.scaled_ack_timeout_us();
         let has_timed_out =
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Requests indirect probes of random members. Returns of how many.
+    /// Requests indirect probes from random members, and returns their number.
     fn request_indirect_probes(&mut self, probe: &Probe) -> usize {
         let Some(target) = self.members[probe.peer].id else {
             return 0;
@@ -151,7 +153,7 @@
         helpers
     }
 
-    /// Ends the probe of the last period: a member that did not answer it in any way is suspected.
+    /// Ends the probe of the previous period. A member that did not answer it directly or indirectly is suspected.
     pub(super) fn end_probe(&mut self, now: Micros) {
         let Some(probe) = self.probe.take() else {
             return;
@@ -160,9 +162,9 @@
         if !self.members[probe.peer].is_up() {
             return;
         }
-        // Helpers report if the member does not answer them. If some report nothing at all, they were not reached or their
-        // datagrams were not received, which speaks against this failure detector. The score does not grow with each of
-        // them, as one of them may be gone itself and links cut: a detector that waits ever longer would not notice that.
+        // Helpers send a nack if the member does not answer them. A missing nack means that the exchange with the
+        // helper failed, so this failure detector may be at fault. The penalty is the same for any number of missing
+        // nacks, because helpers may be dead and links cut, and a large penalty would delay the detection of that.
         let may_be_at_fault = probe
             .helpers
             .is_none_or(|helpers| helpers == 0 || probe.nacks < helpers);
@@ -172,7 +174,7 @@
         self.claim_observed(now, probe.peer, MemberState::Suspect);
     }
 
-    /// Receives the acknowledgement of a ping by a member.
+    /// Processes a member's acknowledgement of a ping.
     pub(super) fn receive_ack(&mut self, number: u32, from: Id) {
         let indirect = self.indirect.get(&number);
         if indirect.is_some_and(|probe| probe.target == from) {
@@ -205,7 +207,7 @@
         }
     }
 
-    /// Pings a member on behalf of another.
+    /// Pings a member on behalf of another, or refuses with a nack.
     pub(super) fn receive_ping_request(
         &mut self,
         now: Micros,
@@ -230,7 +232,7 @@
         self.ping(peer, own_number);
     }
 
-    /// Reports the pings on behalf of others that were not answered in time.
+    /// Sends a nack for each ping on behalf of another member that was not acknowledged in time.
     pub(super) fn expire_indirect_probes(&mut self, now: Micros) {
         let indirect = self.indirect.iter();
         let expired: Vec<u32> = indirect
