--- a/membership/tests/predecessor.rs
+++ b/membership/tests/predecessor.rs
@@ -10,7 +10,7 @@
 const OWN_ID: Id = 1;
 const PEER_ID: Id = 2;
 
-fn fresh_process() -> Membership {
+fn process_without_disk() -> Membership {
     let config = MembershipConfig {
         id: OWN_ID,
         process: START,
@@ -60,8 +60,8 @@
 }
 
 #[test]
-fn a_process_of_a_later_clock_is_taken_for_the_predecessor() {
-    let mut membership = fresh_process();
+fn a_process_id_in_the_future_is_taken_for_the_predecessor() {
+    let mut membership = process_without_disk();
     let predecessor = START + 3_600 * SECOND_US;
     receive(&mut membership, START + SECOND_US, predecessor);
     assert!(!membership.is_replaced());
@@ -70,18 +70,25 @@
 
 /// It began after this one, which may have stood still meanwhile, and so by a clock that this one has reached.
 #[test]
-fn a_process_that_began_meanwhile_has_replaced_this_one() {
-    for started in [1, SECOND_US, 4 * SECOND_US] {
-        let mut membership = fresh_process();
-        receive(&mut membership, START + 4 * SECOND_US, START + started);
-        assert!(membership.is_replaced(), "started {started} us later");
+fn a_process_that_started_later_replaces_this_one() {
+    for started_after_us in [1, SECOND_US, 4 * SECOND_US] {
+        let mut membership = process_without_disk();
+        receive(
+            &mut membership,
+            START + 4 * SECOND_US,
+            START + started_after_us,
+        );
+        assert!(
+            membership.is_replaced(),
+            "started {started_after_us} us later"
+        );
         assert_eq!(membership.process(), START);
     }
 }
 
 #[test]
-fn after_the_window_every_later_process_has_replaced_this_one() {
-    let mut membership = fresh_process();
+fn after_the_window_every_later_process_replaces_this_one() {
+    let mut membership = process_without_disk();
     receive(
         &mut membership,
         START + WINDOW_US,
--- a/membership/tests/wire.rs
+++ b/membership/tests/wire.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn datagrams_of_released_versions_stay_byte_for_byte() {
+fn the_encoding_of_datagrams_is_stable() {
     let ack = |of, names| Body::Ack {
         number: NUMBER,
         of,
