--- a/budgets/tests/model.rs
+++ b/budgets/tests/model.rs
@@ -21,7 +21,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PlantedBug {
-    None,
+    NoBug,
     /// A restarted member votes at once, although its earlier vote may not have expired.
     VotesAtStart,
     /// A restarted member reuses its process id, so that it keeps its votes although it has forgotten its grants.
@@ -320,7 +320,7 @@
 #[test]
 fn breadth_first_search_finds_no_violation() {
     let checker = LeaseModel {
-        planted_bug: PlantedBug::None,
+        planted_bug: PlantedBug::NoBug,
         max_faults: 1,
     }
     .checker()
@@ -342,7 +342,7 @@
 
 #[test]
 fn random_walks_find_no_violation_and_leases_are_granted_after_a_restart() {
-    let discoveries = random_walks(PlantedBug::None, 2_000_000);
+    let discoveries = random_walks(PlantedBug::NoBug, 2_000_000);
     assert!(
         !discoveries
             .iter()
--- a/membership/tests/fleet.rs
+++ b/membership/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Many members on virtual time: deaths, half of all at once, one-way cuts, processes that stand still, splits,
-//! successors under an old name. All by seeds.
+//! Simulated fleets on virtual time with deaths, cut links, stalled processes, partitions and restarts. All random
+//! choices follow from a seed.
 
 use linnetknot_membership::*;
 use linnetknot_simnet::{self as simnet, member_at, peer_index, Delay, Step, Timed};
@@ -12,7 +12,7 @@
 struct Node {
     membership: Option<Membership>,
     process: ProcessId,
-    /// What came while it stood still.
+    /// The datagrams that were received during a stall; `None` if it is not stalled.
     stalled_inbox: Option<Vec<(usize, Vec<u8>)>>,
 }
 
@@ -20,7 +20,7 @@
     links: simnet::Network<Vec<u8>>,
     nodes: Vec<Node>,
     bytes: u64,
-    /// When members were first believed dead, and by whom.
+    /// Each declaration of a death: the time, the member that made it, and the member declared dead.
     deaths: Vec<(Micros, usize, usize)>,
 }
 
@@ -107,7 +107,7 @@
         if let Some(membership) = &mut self.nodes[to].membership {
             membership
                 .receive(now, peer_index(from, to), &bytes)
-                .expect("it is well formed");
+                .expect("the datagram is well-formed");
             self.send(to);
         }
     }
@@ -145,7 +145,7 @@
         self.nodes[n].stalled_inbox = Some(Vec::new());
     }
 
-    /// It goes on: its timers first, as a loop may do that wakes up late.
+    /// Ends a stall. Timers run before the waiting datagrams are received, as in an event loop that wakes up late.
     fn resume(&mut self, n: usize) {
         let inbox = self.nodes[n].stalled_inbox.take().unwrap_or_default();
         self.tick(n);
@@ -154,7 +154,7 @@
             .for_each(|(from, bytes)| self.deliver(from, n, bytes));
     }
 
-    /// What a node believes of another.
+    /// Returns the state of a member as seen by another.
     fn state(&self, observer: usize, subject: usize) -> Option<MemberState> {
         Some(
             self.nodes[observer].membership.as_ref()?.members()[peer_index(subject, observer)]
@@ -163,7 +163,7 @@
         )
     }
 
-    /// Whether all that run believe that exactly those run.
+    /// Returns whether all running members consider exactly the running members alive.
     fn all_agree(&self) -> bool {
         let runs = |n: usize| self.nodes[n].membership.is_some();
         let all = || 0..self.nodes.len();
@@ -177,7 +177,7 @@
             .all(|at| all().filter(|of| *of != at).all(|of| is_accurate(at, of)))
     }
 
-    /// Runs until all agree: how long it took, none where it took longer than so long.
+    /// Runs until all running members agree. Returns how long that took, or `None` after the timeout.
     fn run_until_agreed(&mut self, timeout_us: Micros) -> Option<Micros> {
         let started_at = self.links.now;
         while self.links.now < started_at + timeout_us {
@@ -198,12 +198,12 @@
             fleet.links.loss_percent = seed % 4;
             assert!(
                 fleet.run_until_agreed(20 * S).is_some(),
-                "{nodes}, seed {seed}: all are found"
+                "{nodes}, seed {seed}: all members are discovered"
             );
             fleet.kill(0);
             assert!(
                 fleet.run_until_agreed(timeout_us).is_some(),
-                "{nodes}, seed {seed}: its death is known"
+                "{nodes}, seed {seed}: the death is known to all"
             );
             assert!(
                 fleet.deaths.iter().all(|(_, _, subject)| *subject == 0),
@@ -222,7 +222,7 @@
         (0..8).for_each(|n| fleet.kill(n));
         assert!(
             fleet.run_until_agreed(40 * S).is_some(),
-            "seed {seed}: eight deaths are known"
+            "seed {seed}: the eight deaths are known to all"
         );
         assert!(
             fleet.deaths.iter().all(|(_, _, subject)| *subject < 8),
@@ -231,7 +231,7 @@
         (0..8).for_each(|n| fleet.start(n));
         assert!(
             fleet.run_until_agreed(20 * S).is_some(),
-            "seed {seed}: all are back"
+            "seed {seed}: all members are up again"
         );
     }
 }
@@ -244,7 +244,7 @@
         fleet.links.cut(0, 1);
         fleet.run(60 * S);
         assert_eq!(fleet.deaths, [], "seed {seed}");
-        // Both ways, between two of five: the others hear both.
+        // The link between two of the five members is cut in both directions. Indirect probes still reach both.
         fleet.links.cut(1, 0);
         fleet.run(60 * S);
         assert_eq!(fleet.deaths, [], "seed {seed}");
@@ -270,7 +270,7 @@
         fleet.run(15 * S);
         assert!(
             (0..4).all(|n| fleet.state(4, n) == Some(MemberState::Dead)),
-            "seed {seed}: and they to it"
+            "seed {seed}: the isolated member declares the others dead"
         );
         let false_deaths = fleet
             .deaths
@@ -294,7 +294,7 @@
         let agreed = fleet.run_until_agreed(30 * S);
         assert!(
             agreed.is_some(),
-            "seed {seed}: after {stall_ms} ms all know that it runs"
+            "seed {seed}: all know that the member is alive after a stall of {stall_ms} ms"
         );
         fleet.run(20 * S);
         assert!(
@@ -320,7 +320,7 @@
             assert_eq!(
                 fleet.state(observer, subject),
                 Some(MemberState::Dead),
-                "seed {seed}: {observer} of {subject}"
+                "seed {seed}: state of {subject} as seen by {observer}"
             );
         }
         assert_eq!(fleet.state(0, 1), Some(MemberState::Alive));
@@ -328,7 +328,7 @@
         fleet.links.restore();
         assert!(
             fleet.run_until_agreed(60 * S).is_some(),
-            "seed {seed}: dead members are asked for again, now and then"
+            "seed {seed}: dead members are probed occasionally"
         );
     }
 }
@@ -338,14 +338,14 @@
     for seed in 0..150 {
         let mut fleet = Fleet::new(4, seed);
         fleet.run_until_agreed(20 * S).unwrap();
-        // It stands still, and a successor begins under its name, by the same address.
+        // The old process stalls, and a successor starts under the same name and address.
         fleet.stall(0);
         fleet.run(2 * S);
         let old = fleet.nodes[0].membership.take();
         fleet.start(0);
         assert!(fleet.run_until_agreed(20 * S).is_some(), "seed {seed}");
         let process = fleet.nodes[0].process;
-        // The old process goes on: whoever hears it tells it of its successor, and does not believe it.
+        // The old process resumes. The others ignore its claims and notify it of its successor.
         let successor = std::mem::replace(&mut fleet.nodes[0].membership, old);
         fleet.resume(0);
         fleet.run(3 * S);
@@ -359,13 +359,13 @@
                 .unwrap();
             assert_eq!(
                 claim.process, process,
-                "seed {seed}: p{observer} keeps to the successor"
+                "seed {seed}: p{observer} still knows the successor"
             );
         }
         fleet.nodes[0].membership = successor;
         assert!(
             fleet.run_until_agreed(30 * S).is_some(),
-            "seed {seed}: it refutes what was said while it was not heard"
+            "seed {seed}: the successor refutes the claims about it"
         );
     }
 }
@@ -384,26 +384,22 @@
     let reported = fleet.nodes[1].membership.as_ref().unwrap().members()[1]
         .names
         .clone();
-    assert_eq!(
-        reported,
-        Some(names(2)),
-        "names are reported when they are requested"
-    );
+    assert_eq!(reported, Some(names(2)), "names are reported on request");
     fleet.start(0);
     assert!(
         fleet.run_until_agreed(10 * S).is_some(),
-        "and is back with its next process"
+        "the next process of the member is known to all"
     );
 }
 
-/// The figures of `docs/FIGURES.md`: how soon a death is known to one and to all, members taken for dead that were not,
-/// and bytes at rest. `cargo test --release -p linnetknot-membership -- --ignored --nocapture`
+/// Prints the figures of `docs/FIGURES.md`: detection times of a death by the first member and by all, false deaths,
+/// and idle traffic. `cargo test --release -p linnetknot-membership -- --ignored --nocapture`
 #[test]
 #[ignore = "a measurement of some minutes"]
 fn figures_by_fleet_size() {
     println!(
-        "members | seeds | first knows, p50 and most s | all know, p50 and most s | false deaths | \
-         bytes a member a second"
+        "members | seeds | first known, p50 and max s | known to all, p50 and max s | false deaths | \
+         bytes per member and second"
     );
     for (nodes, seeds) in [(4, 1000), (16, 300), (64, 40), (256, 6), (1024, 1)] {
         let (mut first_known_us, mut all_known_us, mut false_deaths, mut idle_bytes) =
@@ -411,13 +407,17 @@
         for seed in 0..seeds {
             let mut fleet = Fleet::new(nodes, seed);
             fleet.links.loss_percent = 1;
-            fleet.run_until_agreed(200 * S).expect("all are found");
+            fleet
+                .run_until_agreed(200 * S)
+                .expect("all members are discovered");
             let bytes_before = fleet.bytes;
             fleet.run(10 * S);
             idle_bytes += (fleet.bytes - bytes_before) / nodes as u64 / 10;
             fleet.kill(0);
             let started_at = fleet.links.now;
-            let agreed = fleet.run_until_agreed(120 * S).expect("its death is known");
+            let agreed = fleet
+                .run_until_agreed(120 * S)
+                .expect("the death is known to all");
             all_known_us.push(agreed);
             first_known_us.extend(
                 fleet
@@ -447,7 +447,7 @@
     }
 }
 
-/// What a member costs at rest, however many there are.
+/// Guards against idle traffic per member that grows with the number of members.
 #[test]
 fn traffic_per_member_does_not_grow_with_the_fleet() {
     for nodes in [4, 16, 64] {
@@ -458,7 +458,7 @@
         let bytes_per_second = (fleet.bytes - bytes_before) / nodes as u64 / 20;
         assert!(
             bytes_per_second < 400,
-            "{nodes}: {bytes_per_second} bytes a member a second"
+            "{nodes}: {bytes_per_second} bytes per member and second"
         );
     }
 }
@@ -487,7 +487,7 @@
     assert_eq!(
         (pings, outgoing.len()),
         (Options::default().max_indirect_probes, 500),
-        "the others had a no at once"
+        "excess requests are answered with a nack at once"
     );
 }
 
@@ -546,7 +546,7 @@
         prop_assert_eq!(&read.body, &message.body);
         prop_assert!(
             message.updates.starts_with(&read.updates),
-            "claims that do not fit are left out from the end"
+            "updates that do not fit are dropped from the end"
         );
         for cut in 6..bytes.len() {
             prop_assert!(Message::decode(&bytes[..cut]).is_err());
--- a/membership/tests/predecessor.rs
+++ b/membership/tests/predecessor.rs
@@ -1,11 +1,11 @@
-//! A process that began without its disk, and a claim of a later process of its name: the clock may have been set back since
-//! that one ran, or that one has replaced it.
+//! A process that started without its disk receives a claim about a process with a greater id. That process is either
+//! the predecessor, if the clock has been set back since, or a successor.
 
 use linnetknot_membership::*;
 
 const SECOND_US: Micros = 1_000_000;
 const START: Micros = 1_000_000 * SECOND_US;
-/// Until when the process expects its predecessor to be known.
+/// How long the process expects reports of its predecessor.
 const WINDOW_US: Micros = 5 * SECOND_US;
 const OWN_ID: Id = 1;
 const PEER_ID: Id = 2;
@@ -27,7 +27,7 @@
     membership
 }
 
-/// The peer's datagram that tells of a process of this name.
+/// Returns a peer's datagram that reports a process of this member.
 fn report(process: ProcessId) -> Vec<u8> {
     let claim = Claim {
         process,
@@ -56,7 +56,7 @@
 fn receive(membership: &mut Membership, now: Micros, process: ProcessId) {
     membership
         .receive(now, 0, &report(process))
-        .expect("it can be read");
+        .expect("the datagram can be decoded");
 }
 
 #[test]
@@ -68,7 +68,7 @@
     assert_eq!(membership.process(), predecessor + 1);
 }
 
-/// It began after this one, which may have stood still meanwhile, and so by a clock that this one has reached.
+/// Guards against a successor that is taken for the predecessor. A successor's id is a time that the clock has reached.
 #[test]
 fn a_process_that_started_later_replaces_this_one() {
     for started_after_us in [1, SECOND_US, 4 * SECOND_US] {
--- a/membership/tests/wire.rs
+++ b/membership/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Datagrams as bytes. They are pinned byte for byte: an older and a newer proxy stand beside each other while an
+//! Tests of the encoding of datagrams. It must stay stable, because proxies of different versions run together while an
 //! installation is upgraded.
 
 use linnetknot_membership::*;
@@ -63,7 +63,7 @@
         (Body::Nack { number: NUMBER }, "03ac02"),
         (Body::Leave, "04"),
     ];
-    // The mark, the sender, the body, and the four claims.
+    // Prefix and sender are followed by the body and the four claims.
     let claims = "0401098080040200020980800402010309808004020204098080040203";
     for (body, expected) in cases {
         let bytes = message(body.clone()).encode();
