--- a/origin-health/src/lib.rs
+++ b/origin-health/src/lib.rs
@@ -1,21 +1,24 @@
-//! Reports between the proxies of a fleet about a slow origin.
+//! Reports of a slow origin between the proxies of a fleet.
 //!
-//! A proxy among a hundred receives one response of the origin a second. Alone, each would find out by itself, seconds
-//! late, what the first of them observed at once. [`Report`] is what a proxy sends in a datagram; [`OriginHealth`] decides
-//! when to send one, and what follows from those received. The package is sans-IO: it has no sockets and no clock; time is
-//! the `now` of each call.
+//! In a large fleet each proxy receives only few responses of the origin. Without reports each proxy would detect a
+//! slow origin by itself, seconds after the first one. A proxy sends a [`Report`] to its peers in a datagram.
+//! [`OriginHealth`] decides when to send one, and derives the share of requests that may go to the origin from the
+//! reports of others. The package is sans-IO: it has no sockets and no clock, and the time is the `now` argument of
+//! each call.
 //!
-//! Whatever is received, and in whatever order (checked by `tests/reports.rs`, the last point by `tests/fleet.rs`):
+//! The following holds for any datagrams in any order:
 //!
-//! - Reports can only lower the share of requests that may go to the origin, never raise it, and say nothing about any
-//!   cache server.
-//! - Each zone counts by its last report, and a zone without a report counts as well. One zone of twelve, which may have
-//!   a fault of its own, lowers the share by a twelfth at most.
-//! - A report counts for `REPORT_LIFETIME_US` after it was received. Received twice it counts once, and one that is older
-//!   than the last of its sender is dropped.
-//! - Nothing received is passed on: a proxy reports its own responses only, so no report reinforces itself.
-//! - A proxy sends at most one report in `MIN_REPORT_INTERVAL_US`, and none while another of its zone has just sent one.
-//!   So the datagrams about a slow origin grow with the zones and the proxies, not with the square of the proxies.
+//! - Reports can only lower the share of requests that may go to the origin, never raise it, and do not affect the
+//!   state of any cache.
+//! - Each zone counts by its latest report, and a zone without a report counts as healthy. With twelve zones, one zone
+//!   lowers the share by at most a twelfth, because the fault may be in that zone.
+//! - A report counts for [`REPORT_LIFETIME_US`] after it was received. A duplicate of a sender's latest report, or an
+//!   older one, is dropped.
+//! - Reports are never forwarded. A proxy only reports responses that it received itself, so reports can't reinforce
+//!   each other.
+//! - A proxy sends at most one report in [`MIN_REPORT_INTERVAL_US`], and none while a fresh report of another proxy in
+//!   its zone counts. The number of datagrams therefore grows with the number of zones times the number of proxies, not
+//!   with the square of the number of proxies.
 
 mod report;
 
@@ -25,24 +28,24 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The greatest share that is reported; with a greater one the origin is not slow.
+/// The maximum share that is reported. With a greater share the origin is not considered slow.
 const MAX_REPORTED_SHARE: f64 = 0.7;
-/// How long a report counts.
+/// The time for which a report counts after it was received.
 pub const REPORT_LIFETIME_US: Micros = 1_000_000;
-/// The shortest time between two reports of one proxy.
+/// The minimum interval between two reports of one proxy.
 pub const MIN_REPORT_INTERVAL_US: Micros = 500_000;
 
-/// A proxy's zone among those of the fleet.
+/// A proxy's zone among the zones of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ZonePosition {
-    /// The zone's index in the list that all proxies have.
+    /// The zone's index in the list of zones, which is the same at all proxies.
     pub zone: u16,
     /// The number of zones with proxies.
     pub zones: u16,
 }
 
 impl ZonePosition {
-    /// The zone of a proxy with these settings.
+    /// Returns the zone of a proxy with these settings.
     pub fn of(settings: &Settings) -> Self {
         let zones = settings.zones.iter().filter(|z| z.routers > 0).count();
         let saturated = |n: usize| u16::try_from(n).unwrap_or(u16::MAX);
@@ -56,9 +59,9 @@
 /// The share of requests that may go to the origin.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OriginShare {
-    /// The share, from 0 to 1.
+    /// The share, between 0 and 1.
     pub share: f64,
-    /// Until when it applies.
+    /// The time until which it applies.
     pub until: Micros,
 }
 
@@ -67,17 +70,17 @@
 pub struct Counters {
     /// Reports sent, each to all peers.
     pub sent: u64,
-    /// Reports not sent because another proxy of the zone had just sent one.
+    /// Reports not sent because a fresh report of another proxy in the zone counted.
     pub suppressed: u64,
     /// Reports received and used.
     pub received: u64,
     /// Datagrams dropped because they were too long.
     pub too_long: u64,
-    /// Datagrams dropped because they were cut short or damaged.
+    /// Datagrams dropped because they were truncated or corrupt.
     pub malformed: u64,
-    /// Datagrams dropped because their version is not known.
+    /// Datagrams dropped because their version is unknown.
     pub unknown_version: u64,
-    /// Reports dropped because they were not newer than the last of their sender.
+    /// Reports dropped because they were not newer than the sender's latest one.
     pub stale: u64,
 }
 
@@ -88,29 +91,29 @@
     }
 }
 
-/// A peer's last report, and when it was received.
+/// A peer's latest report and the time at which it was received.
 #[derive(Clone, Copy, Debug)]
 struct LastReport {
     report: Report,
     received_at: Micros,
 }
 
-/// The reports that one proxy has received from the others, and those that it has sent.
+/// The state of one proxy: the reports that it has received from its peers, and its own latest report.
 #[derive(Clone, Debug)]
 pub struct OriginHealth {
     own: ZonePosition,
     started_at: Micros,
-    /// The number of the last report sent.
+    /// The number of the latest report sent.
     last_number: u32,
     sent_at: Option<Micros>,
-    /// By sender, which are peers only, so that there are no more than are configured.
+    /// The latest report by sender. Senders are configured peers, which bounds the size of the map.
     last: BTreeMap<SocketAddr, LastReport>,
     counters: Counters,
 }
 
 impl OriginHealth {
-    /// Creates the state of a proxy that started at a Unix time, by which its reports are distinguished from those of an
-    /// earlier process at the same address.
+    /// Creates the state of a proxy. `started_at` is the Unix time of its start, which distinguishes its reports from
+    /// those of an earlier process at the same address.
     pub fn new(own: ZonePosition, started_at: Micros) -> Self {
         OriginHealth {
             own,
@@ -122,7 +125,7 @@
         }
     }
 
-    /// Receives a datagram from a peer. Returns false if it is of another kind, and true if it is a report, used or not.
+    /// Receives a datagram from a peer. Returns whether it belongs to this protocol, even if it is dropped.
     pub fn receive(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) -> bool {
         match Report::decode(bytes) {
             Ok(report) => self.receive_report(now, from, report),
@@ -135,7 +138,7 @@
     }
 
     fn receive_report(&mut self, now: Micros, from: SocketAddr, report: Report) {
-        // A sender whose clock was set back starts at an earlier time than its process before.
+        // If the sender's clock was set back, its new process reports an earlier start time than the previous one.
         let has_restarted = |last: &LastReport| {
             last.report.started_at != report.started_at
                 && now >= last.received_at + REPORT_LIFETIME_US
@@ -153,13 +156,13 @@
         self.last.insert(from, last);
     }
 
-    /// Drops the reports of all senders that are not peers any more.
+    /// Drops the reports of all senders that are no longer peers.
     pub fn retain_peers(&mut self, is_peer: impl Fn(&SocketAddr) -> bool) {
         self.last.retain(|peer, _| is_peer(peer));
     }
 
-    /// Returns the greatest share of requests that may go to the origin by the reports of others: the mean over all zones,
-    /// each by its last report. Returns `None` if there is no report that counts.
+    /// Returns the maximum share of requests that may go to the origin according to the reports of others. It is the
+    /// mean over all zones, each by its latest report. Returns `None` if no report counts.
     pub fn origin_share(&self, now: Micros) -> Option<OriginShare> {
         let mut zones: BTreeMap<u16, &LastReport> = BTreeMap::new();
         for last in self.fresh(now) {
@@ -173,15 +176,16 @@
             .values()
             .map(|last| 1.0 - last.report.origin_share)
             .sum();
-        // A sender may name a zone that does not exist, hence the lower bound.
+        // The lower bound is needed because a sender may name a zone that does not exist.
         Some(OriginShare {
             share: (1.0 - missing / f64::from(self.own.zones)).max(0.0),
             until: last_received_at + REPORT_LIFETIME_US,
         })
     }
 
-    /// Records that a response of the origin was late and which share of its requests this proxy still sends there.
-    /// Returns the datagram for all peers, unless the share is not low or a report was sent from this zone just now.
+    /// Records a late response of the origin and the share of requests that this proxy still sends there. Returns a
+    /// datagram for all peers, unless the share is not low, or this proxy or another one in its zone has just sent a
+    /// report.
     pub fn record_late_response(
         &mut self,
         now: Micros,
--- a/origin-health/src/report.rs
+++ b/origin-health/src/report.rs
@@ -1,14 +1,14 @@
-//! The encoding of reports: 24 bytes, numbers in network order.
+//! The encoding of reports in 24 bytes, with numbers in network byte order.
 //!
 //! | bytes | |
 //! | --- | --- |
 //! | 0 to 2 | `LKW` |
 //! | 3 | version, 1 |
 //! | 4 to 11 | Unix time at which the sender started, in microseconds |
-//! | 12 to 15 | number of the report, counted from 1 at each start |
-//! | 16 to 17 | share of requests that go to the origin, of 65,535 |
-//! | 18 to 19 | index of the sender's zone in the list that all have |
-//! | 20 to 23 | CRC-32 of the bytes before |
+//! | 12 to 15 | number of the report, starting from 1 at each start of the sender |
+//! | 16 to 17 | share of requests that go to the origin, in units of 1/65,535 |
+//! | 18 to 19 | index of the sender's zone in the list of zones |
+//! | 20 to 23 | CRC-32 of bytes 0 to 19 |
 
 use linnetknot::Micros;
 use linnetknot_datagram::MAX_DATAGRAM_BYTES;
@@ -16,45 +16,45 @@
 
 /// The length of a report in bytes.
 pub const REPORT_BYTES: usize = 24;
-/// Where the checksum starts.
+/// The offset of the checksum.
 const CHECKSUM_AT: usize = REPORT_BYTES - 4;
 const MAGIC: &[u8; 3] = b"LKW";
 const VERSION: u8 = 1;
 
-/// A report of one proxy to the others.
+/// A report of one proxy to its peers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Report {
-    /// The Unix time at which the sender started: of two of its reports, one of the later start is newer.
+    /// The Unix time at which the sender started. A report with a later start time is newer.
     pub started_at: Micros,
-    /// The number of the report: of two reports of one start, the higher is newer.
+    /// The number of the report. Among reports with the same start time, a higher number is newer.
     pub number: u32,
-    /// The share of its requests that the sender sends to the origin, by the responses that it received itself.
+    /// The share of requests that the sender still sends to the origin, judged by its own responses alone.
     pub origin_share: f64,
-    /// The sender's zone: senders of one zone share a link and caches, and may observe the same without the origin's
-    /// fault.
+    /// The sender's zone. Proxies of one zone share a link and caches, so all of them may see slow responses although
+    /// the origin is not at fault.
     pub zone: u16,
 }
 
 /// Why a datagram can't be decoded as a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeError {
-    /// It is longer than any datagram between proxies.
+    /// The datagram is longer than any datagram between proxies.
     TooLong,
-    /// It is of another kind.
+    /// The datagram belongs to another protocol.
     Foreign,
-    /// Its version is not known here.
+    /// The version is unknown.
     Version(u8),
-    /// It is cut short, too long for its version, or damaged.
+    /// The datagram is truncated, too long for its version, or corrupt.
     Malformed,
 }
 
 impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TooLong => f.write_str("a datagram that is too long"),
-            Self::Foreign => f.write_str("a datagram of another kind"),
-            Self::Version(version) => write!(f, "a report of the unknown version {version}"),
-            Self::Malformed => f.write_str("a malformed report"),
+            Self::TooLong => f.write_str("the datagram is too long"),
+            Self::Foreign => f.write_str("the datagram belongs to another protocol"),
+            Self::Version(version) => write!(f, "the report has the unknown version {version}"),
+            Self::Malformed => f.write_str("the report is malformed"),
         }
     }
 }
@@ -62,7 +62,7 @@
 impl std::error::Error for DecodeError {}
 
 impl Report {
-    /// Returns whether it is newer than another report of the same sender.
+    /// Returns whether the report is newer than another one of the same sender.
     pub(crate) fn is_newer_than(&self, other: &Report) -> bool {
         (self.started_at, self.number) > (other.started_at, other.number)
     }
@@ -82,10 +82,10 @@
         out
     }
 
-    /// Decodes a datagram. The work is the same for all datagrams, whatever they contain.
+    /// Decodes a datagram. The work is bounded, whatever the datagram contains.
     ///
     /// # Errors
-    /// Fails if the datagram is of another kind or version, too long, or malformed.
+    /// Fails if the datagram is too long, belongs to another protocol, has an unknown version, or is malformed.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(DecodeError::TooLong);
