--- a/origin-health/src/lib.rs
+++ b/origin-health/src/lib.rs
@@ -93,7 +93,7 @@
 
 /// A peer's latest report and the time at which it was received.
 #[derive(Clone, Copy, Debug)]
-struct LastReport {
+struct PeerReport {
     report: Report,
     received_at: Micros,
 }
@@ -107,7 +107,7 @@
     last_number: u32,
     sent_at: Option<Micros>,
     /// The latest report by sender. Senders are configured peers, which bounds the size of the map.
-    last: BTreeMap<SocketAddr, LastReport>,
+    latest_reports: BTreeMap<SocketAddr, PeerReport>,
     counters: Counters,
 }
 
@@ -120,7 +120,7 @@
             started_at,
             last_number: 0,
             sent_at: None,
-            last: BTreeMap::new(),
+            latest_reports: BTreeMap::new(),
             counters: Counters::default(),
         }
     }
@@ -139,36 +139,41 @@
 
     fn receive_report(&mut self, now: Micros, from: SocketAddr, report: Report) {
         // If the sender's clock was set back, its new process reports an earlier start time than the previous one.
-        let has_restarted = |last: &LastReport| {
+        let has_restarted = |last: &PeerReport| {
             last.report.started_at != report.started_at
                 && now >= last.received_at + REPORT_LIFETIME_US
         };
-        let is_news = |last: &LastReport| report.is_newer_than(&last.report) || has_restarted(last);
-        if self.last.get(&from).is_some_and(|last| !is_news(last)) {
+        let is_newer =
+            |last: &PeerReport| report.is_newer_than(&last.report) || has_restarted(last);
+        if self
+            .latest_reports
+            .get(&from)
+            .is_some_and(|last| !is_newer(last))
+        {
             self.counters.stale += 1;
             return;
         }
         self.counters.received += 1;
-        let last = LastReport {
+        let last = PeerReport {
             report,
             received_at: now,
         };
-        self.last.insert(from, last);
+        self.latest_reports.insert(from, last);
     }
 
     /// Drops the reports of all senders that are no longer peers.
     pub fn retain_peers(&mut self, is_peer: impl Fn(&SocketAddr) -> bool) {
-        self.last.retain(|peer, _| is_peer(peer));
+        self.latest_reports.retain(|peer, _| is_peer(peer));
     }
 
     /// Returns the maximum share of requests that may go to the origin according to the reports of others. It is the
     /// mean over all zones, each by its latest report. Returns `None` if no report counts.
     pub fn origin_share(&self, now: Micros) -> Option<OriginShare> {
-        let mut zones: BTreeMap<u16, &LastReport> = BTreeMap::new();
-        for last in self.fresh(now) {
-            let known = zones.entry(last.report.zone).or_insert(last);
-            if last.received_at > known.received_at {
-                *known = last;
+        let mut zones: BTreeMap<u16, &PeerReport> = BTreeMap::new();
+        for last in self.valid_reports(now) {
+            let latest = zones.entry(last.report.zone).or_insert(last);
+            if last.received_at > latest.received_at {
+                *latest = last;
             }
         }
         let last_received_at = zones.values().map(|last| last.received_at).max()?;
@@ -196,10 +201,10 @@
             return None;
         }
         let zone = self.own.zone;
-        let is_of_zone = |last: &LastReport| {
+        let is_of_zone = |last: &PeerReport| {
             last.report.zone == zone && last.report.origin_share <= MAX_REPORTED_SHARE
         };
-        if self.fresh(now).any(is_of_zone) {
+        if self.valid_reports(now).any(is_of_zone) {
             self.counters.suppressed += 1;
             return None;
         }
@@ -221,8 +226,8 @@
     }
 
     /// Returns the reports that still count.
-    fn fresh(&self, now: Micros) -> impl Iterator<Item = &LastReport> {
-        self.last
+    fn valid_reports(&self, now: Micros) -> impl Iterator<Item = &PeerReport> {
+        self.latest_reports
             .values()
             .filter(move |last| now < last.received_at + REPORT_LIFETIME_US)
     }
--- a/origin-health/tests/fleet.rs
+++ b/origin-health/tests/fleet.rs
@@ -62,7 +62,7 @@
             }
         }
     });
-    let reports = members.iter().map(|e| e.counters().sent).sum();
+    let reports = members.iter().map(|member| member.counters().sent).sum();
     let slow_seconds = 6..16;
     Outcome {
         requests: world.sum(slow_seconds.clone(), |s| s.asked),
@@ -74,26 +74,30 @@
 
 /// Alone, each of 96 receives one response of the origin a second and continues until that one is late.
 #[test]
-fn a_slow_origin_is_spared_sooner_if_proxies_report_it() {
-    let (alone, sent) = (slow_origin(8, false), slow_origin(8, true));
-    assert_eq!((alone.reports, alone.requests), (0, sent.requests));
-    let ratio = f64::from(sent.fills_in_second) / f64::from(alone.fills_in_second);
+fn reports_reduce_the_load_on_a_slow_origin_sooner() {
+    let (without_reports, with_reports) = (slow_origin(8, false), slow_origin(8, true));
+    assert_eq!(
+        (without_reports.reports, without_reports.requests),
+        (0, with_reports.requests)
+    );
+    let ratio =
+        f64::from(with_reports.fills_in_second) / f64::from(without_reports.fills_in_second);
     assert!(
         ratio < 0.7,
         "in the second second it is sent {} fills of {}",
-        sent.fills_in_second,
-        alone.fills_in_second
+        with_reports.fills_in_second,
+        without_reports.fills_in_second
     );
     assert!(
-        sent.in_time > alone.in_time,
+        with_reports.in_time > without_reports.in_time,
         "{} of {} in time",
-        sent.in_time,
-        alone.in_time
+        with_reports.in_time,
+        without_reports.in_time
     );
 }
 
 #[test]
-fn reports_grow_with_the_zones_and_not_with_the_proxies() {
+fn the_number_of_reports_grows_with_zones_and_not_with_proxies() {
     let (small, large) = (slow_origin(4, true), slow_origin(20, true));
     assert!(
         small.reports > 0 && large.reports < 3 * small.reports,
--- a/origin-health/tests/reports.rs
+++ b/origin-health/tests/reports.rs
@@ -28,7 +28,7 @@
 
 /// An older and a newer proxy stand beside each other while an installation is upgraded.
 #[test]
-fn a_report_stays_byte_for_byte() {
+fn the_encoding_of_a_report_is_stable() {
     let report = Report {
         started_at: 0x0102_0304_0506_0708,
         number: 0x1112_1314,
@@ -41,33 +41,33 @@
 }
 
 #[test]
-fn a_report_is_decoded_as_it_was_encoded() {
+fn an_encoded_report_decodes_unchanged() {
     let sent = report(7, 0.25, 11);
-    let read = Report::decode(&sent.encode()).unwrap();
+    let decoded = Report::decode(&sent.encode()).unwrap();
     assert_eq!(
-        (read.started_at, read.number, read.zone),
+        (decoded.started_at, decoded.number, decoded.zone),
         (sent.started_at, sent.number, sent.zone)
     );
-    assert!((read.origin_share - sent.origin_share).abs() < 1e-4);
+    assert!((decoded.origin_share - sent.origin_share).abs() < 1e-4);
 }
 
 #[test]
-fn datagrams_that_are_no_report_are_distinguished_counted_and_change_nothing() {
-    let good = report(1, 0.1, 2).encode();
-    let mut damaged = good;
-    damaged[17] ^= 1;
-    let mut later = good;
-    later[3] = 9;
-    let mut long = good.to_vec();
-    long.extend([0; 257 - REPORT_BYTES]);
+fn datagrams_that_are_no_valid_report_are_rejected_and_counted_by_reason() {
+    let valid = report(1, 0.1, 2).encode();
+    let mut corrupt = valid;
+    corrupt[17] ^= 1;
+    let mut newer_version = valid;
+    newer_version[3] = 9;
+    let mut too_long = valid.to_vec();
+    too_long.extend([0; 257 - REPORT_BYTES]);
     let mut health = origin_health();
     for (bytes, reason, is_report) in [
-        (&good[..23], DecodeError::Malformed, true),
-        (&good[..3], DecodeError::Malformed, true),
-        (&damaged[..], DecodeError::Malformed, true),
-        (&later[..], DecodeError::Version(9), true),
-        (&long[..], DecodeError::TooLong, true),
-        (&long[..25], DecodeError::Malformed, true),
+        (&valid[..23], DecodeError::Malformed, true),
+        (&valid[..3], DecodeError::Malformed, true),
+        (&corrupt[..], DecodeError::Malformed, true),
+        (&newer_version[..], DecodeError::Version(9), true),
+        (&too_long[..], DecodeError::TooLong, true),
+        (&too_long[..25], DecodeError::Malformed, true),
         (b"purge group 7 1", DecodeError::Foreign, false),
         (b"", DecodeError::Foreign, false),
     ] {
@@ -75,19 +75,24 @@
         assert_eq!(health.receive(T0, peer(1), bytes), is_report, "{bytes:?}");
     }
     assert_eq!(health.origin_share(T0), None);
-    let t = health.counters();
+    let counters = health.counters();
     assert_eq!(
-        (t.malformed, t.unknown_version, t.too_long, t.received),
+        (
+            counters.malformed,
+            counters.unknown_version,
+            counters.too_long,
+            counters.received
+        ),
         (4, 1, 1, 0)
     );
-    assert_eq!(t.dropped(), 6);
+    assert_eq!(counters.dropped(), 6);
 }
 
 #[test]
-fn a_report_that_is_repeated_or_older_than_the_last_is_dropped() {
+fn duplicate_and_older_reports_are_dropped() {
     let mut health = origin_health();
-    for (number, origin) in [(2, 0.4), (2, 0.4), (1, 0.0)] {
-        health.receive(T0, peer(1), &report(number, origin, 2).encode());
+    for (number, origin_share) in [(2, 0.4), (2, 0.4), (1, 0.0)] {
+        health.receive(T0, peer(1), &report(number, origin_share, 2).encode());
     }
     assert_eq!(
         (health.counters().received, health.counters().stale),
@@ -97,11 +102,11 @@
     assert!((share - (1.0 - 0.6 / 12.0)).abs() < 1e-4, "{share}");
     assert_eq!(until, T0 + 1_000 * MS);
     // Started anew, it counts from 1 again; a report of the process before it is stale.
-    let anew = Report {
+    let restarted = Report {
         started_at: T0 + 1,
         ..report(1, 0.9, 2)
     };
-    health.receive(T0, peer(1), &anew.encode());
+    health.receive(T0, peer(1), &restarted.encode());
     health.receive(T0, peer(1), &report(3, 0.0, 2).encode());
     assert_eq!(
         (health.counters().received, health.counters().stale),
@@ -111,7 +116,7 @@
 }
 
 #[test]
-fn a_fault_of_one_zone_lowers_the_share_by_its_part_however_many_report_it() {
+fn one_zone_lowers_the_share_by_its_part_regardless_of_the_number_of_reports() {
     let mut health = origin_health();
     (0..16).for_each(|n| _ = health.receive(T0, peer(n), &report(1, 0.0, 3).encode()));
     assert!((health.origin_share(T0).unwrap().share - 11.0 / 12.0).abs() < 1e-4);
@@ -137,7 +142,7 @@
 }
 
 #[test]
-fn a_proxy_reports_a_slow_origin_seldom_and_not_when_its_zone_just_has() {
+fn reports_are_rate_limited_per_proxy_and_suppressed_within_a_zone() {
     let mut health = origin_health();
     assert_eq!(
         health.record_late_response(T0, 0.9),
@@ -184,7 +189,7 @@
 
     /// Any datagrams, from any senders and in any order.
     #[test]
-    fn whatever_is_received_gives_a_share_that_expires_and_each_report_is_counted_once(
+    fn any_datagrams_result_in_a_share_that_expires_and_are_counted_once_each(
         datagrams in prop::collection::vec(
             (0u64..3_000, 0u16..6, prop_oneof![
                 prop::collection::vec(any::<u8>(), 0..300),
@@ -203,14 +208,14 @@
                 prop_assert!(until > now);
             }
         }
-        let t = health.counters();
-        prop_assert_eq!(t.received + t.dropped(), count);
+        let counters = health.counters();
+        prop_assert_eq!(counters.received + counters.dropped(), count);
     }
 }
 
 /// A process that starts after its clock was set back reports an earlier start than the one before it.
 #[test]
-fn a_sender_whose_clock_went_back_is_accepted_once_its_last_report_has_expired() {
+fn a_sender_whose_clock_was_set_back_is_accepted_after_its_last_report_expired() {
     let mut health = origin_health();
     let before = report(1_000, 0.5, 0);
     let started_at = before.started_at - 1;
