--- a/origin-health/tests/fleet.rs
+++ b/origin-health/tests/fleet.rs
@@ -19,21 +19,21 @@
     reports: u64,
 }
 
-fn slow_origin(seats: usize, sends_reports: bool) -> Outcome {
-    let mut world = World::new(ZONES, seats, 4, 8.0, 11);
+fn slow_origin(proxies_per_zone: usize, sends_reports: bool) -> Outcome {
+    let mut world = World::new(ZONES, proxies_per_zone, 4, 8.0, 11);
     (world.objects, world.origin_per_s) = (10_000.0, 1e4);
-    let requests_per_s = (ZONES * seats) as f64 * 8.0;
+    let requests_per_s = (ZONES * proxies_per_zone) as f64 * 8.0;
     let zone = |n: usize| ZonePosition {
-        zone: (n / seats) as u16,
+        zone: (n / proxies_per_zone) as u16,
         zones: ZONES as u16,
     };
     let address = |n: usize| ([10, 0, (n / 250) as u8, (n % 250) as u8], 7946).into();
-    let mut members: Vec<OriginHealth> = (0..ZONES * seats)
+    let mut members: Vec<OriginHealth> = (0..ZONES * proxies_per_zone)
         .map(|n| OriginHealth::new(zone(n), 1))
         .collect();
     world.call(6 * S, 1);
     world.call(14 * S, 2);
-    world.run(20 * S, |world, heed| match heed {
+    world.run(20 * S, |world, event| match event {
         Heed::Call(1) => world.origin_per_s = requests_per_s / 10.0,
         Heed::Call(_) => world.origin_per_s = 1e4,
         Heed::Outcome(n) => {
