--- a/origin-health/tests/fleet.rs
+++ b/origin-health/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet whose origin turns slow, on virtual time, with and without reports between its proxies.
+//! Simulated fleets with an origin that becomes slow, with and without reports between the proxies.
 
 #[path = "../../tests/common/mod.rs"]
 mod common;
@@ -10,11 +10,11 @@
 
 const ZONES: usize = 12;
 
-/// The outcome of 20 s. From the sixth on the origin can serve a quarter of its load, for 8 s.
+/// The outcome of a run of 20 s, in which the origin is slow from 6 s to 14 s.
 struct Outcome {
     requests: u32,
     in_time: u32,
-    /// Fills requested from the origin in the second second of these.
+    /// Fills requested from the origin in the second second of the slow phase.
     fills_in_second: u32,
     reports: u64,
 }
@@ -72,7 +72,7 @@
     }
 }
 
-/// Alone, each of 96 receives one response of the origin a second and continues until that one is late.
+/// Guards against proxies that keep sending requests to a slow origin until each has received a late response itself.
 #[test]
 fn reports_reduce_the_load_on_a_slow_origin_sooner() {
     let (without_reports, with_reports) = (slow_origin(8, false), slow_origin(8, true));
@@ -84,13 +84,13 @@
         f64::from(with_reports.fills_in_second) / f64::from(without_reports.fills_in_second);
     assert!(
         ratio < 0.7,
-        "in the second second it is sent {} fills of {}",
+        "fills in the second second with reports: {}, without: {}",
         with_reports.fills_in_second,
         without_reports.fills_in_second
     );
     assert!(
         with_reports.in_time > without_reports.in_time,
-        "{} of {} in time",
+        "requests served in time with reports: {}, without: {}",
         with_reports.in_time,
         without_reports.in_time
     );
@@ -101,10 +101,10 @@
     let (small, large) = (slow_origin(4, true), slow_origin(20, true));
     assert!(
         small.reports > 0 && large.reports < 3 * small.reports,
-        "{} and {}",
+        "reports of a small fleet: {}, of a large one: {}",
         small.reports,
         large.reports
     );
-    // A zone sends at most two reports a second, give or take those in flight, for as long as the origin is slow.
+    // While the origin is slow, each zone sends at most two reports per second.
     assert!(large.reports <= 2 * 10 * ZONES as u64);
 }
--- a/origin-health/tests/reports.rs
+++ b/origin-health/tests/reports.rs
@@ -1,4 +1,4 @@
-//! Reports that are malformed, repeated, late or missing, and when a report is sent.
+//! Tests of malformed, duplicate, late and missing reports, and of when a report is sent.
 
 use linnetknot_origin_health::{
     DecodeError, OriginHealth, OriginShare, Report, ZonePosition, REPORT_BYTES, REPORT_LIFETIME_US,
@@ -26,7 +26,7 @@
     }
 }
 
-/// An older and a newer proxy stand beside each other while an installation is upgraded.
+/// Guards against an encoding that proxies of other versions can't decode during an upgrade.
 #[test]
 fn the_encoding_of_a_report_is_stable() {
     let report = Report {
@@ -101,7 +101,7 @@
     let OriginShare { share, until } = health.origin_share(T0).unwrap();
     assert!((share - (1.0 - 0.6 / 12.0)).abs() < 1e-4, "{share}");
     assert_eq!(until, T0 + 1_000 * MS);
-    // Started anew, it counts from 1 again; a report of the process before it is stale.
+    // A restarted sender counts from 1 again. Reports of its earlier process are then outdated.
     let restarted = Report {
         started_at: T0 + 1,
         ..report(1, 0.9, 2)
@@ -124,9 +124,9 @@
         .for_each(|zone| _ = health.receive(T0, peer(50 + zone), &report(1, 0.0, zone).encode()));
     assert!(
         health.origin_share(T0).unwrap().share < 1e-4,
-        "all zones report it"
+        "all zones report a slow origin"
     );
-    // Zones that do not exist: the share is never below zero.
+    // Reports of zones that do not exist do not lower the share below zero.
     (100..200).for_each(|zone| _ = health.receive(T0, peer(zone), &report(1, 0.0, zone).encode()));
     assert_eq!(health.origin_share(T0).unwrap().share, 0.0);
 }
@@ -158,13 +158,13 @@
     health.receive(at, peer(1), &report(1, 0.2, 2).encode());
     assert!(
         health.record_late_response(at, 0.1).is_some(),
-        "another zone's report does not stand for this one's"
+        "a report of another zone does not suppress this zone's"
     );
     health.receive(at + 600 * MS, peer(2), &report(1, 0.2, 1).encode());
     assert_eq!(
         health.record_late_response(at + 600 * MS, 0.1),
         None,
-        "its zone's does"
+        "a report of the same zone does"
     );
     assert_eq!(
         (health.counters().sent, health.counters().suppressed),
@@ -172,7 +172,7 @@
     );
 }
 
-/// Any report, also of a zone that does not exist.
+/// Returns arbitrary reports, including those of zones that do not exist.
 fn any_report() -> impl Strategy<Value = Report> {
     (any::<u64>(), any::<u32>(), 0.0..1.0f64, 0u16..14).prop_map(
         |(started_at, number, origin_share, zone)| Report {
@@ -187,7 +187,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
 
-    /// Any datagrams, from any senders and in any order.
+    /// Receives arbitrary datagrams from several senders in any order.
     #[test]
     fn any_datagrams_result_in_a_share_that_expires_and_are_counted_once_each(
         datagrams in prop::collection::vec(
@@ -213,7 +213,7 @@
     }
 }
 
-/// A process that starts after its clock was set back reports an earlier start than the one before it.
+/// Guards against a restarted sender that is ignored forever because its clock was set back.
 #[test]
 fn a_sender_whose_clock_was_set_back_is_accepted_after_its_last_report_expired() {
     let mut health = origin_health();
@@ -225,7 +225,11 @@
     };
     health.receive(0, peer(1), &before.encode());
     health.receive(REPORT_LIFETIME_US - 1, peer(1), &after.encode());
-    assert_eq!(health.counters().stale, 1, "it may have been overtaken");
+    assert_eq!(
+        health.counters().stale,
+        1,
+        "it may be a delayed report of an earlier process"
+    );
     health.receive(REPORT_LIFETIME_US, peer(1), &after.encode());
     assert_eq!(
         (health.counters().stale, health.counters().received),
@@ -233,5 +237,5 @@
     );
     assert!(health.origin_share(REPORT_LIFETIME_US).is_some());
     health.receive(2 * REPORT_LIFETIME_US, peer(1), &after.encode());
-    assert_eq!(health.counters().stale, 2, "the same report twice");
+    assert_eq!(health.counters().stale, 2, "the report is a duplicate");
 }
