--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,6 +1,6 @@
 //! Reads the settings object that the simulator adapter and the daemon are both started with. Every message names the key.
 
-use linnetknot as w;
+use linnetknot as router;
 use serde_json::{Map, Value};
 
 /// The fields of a JSON object.
@@ -9,13 +9,13 @@
 pub type Result<T> = std::result::Result<T, String>;
 
 /// A value that is there and not null.
-pub fn get<'a>(m: &'a Fields, key: &str) -> Option<&'a Value> {
-    m.get(key).filter(|v| !v.is_null())
+pub fn get<'a>(fields: &'a Fields, key: &str) -> Option<&'a Value> {
+    fields.get(key).filter(|v| !v.is_null())
 }
 
 /// A value that must be there.
-pub fn required<'a>(m: &'a Fields, key: &str) -> Result<&'a Value> {
-    get(m, key).ok_or_else(|| format!("field '{key}' is missing"))
+pub fn required<'a>(fields: &'a Fields, key: &str) -> Result<&'a Value> {
+    get(fields, key).ok_or_else(|| format!("field '{key}' is missing"))
 }
 
 /// The message on a value of the wrong type.
@@ -24,62 +24,63 @@
 }
 
 /// A whole number, also where it is written with a point.
-pub fn as_int(v: &Value) -> Option<u64> {
-    v.as_u64().or_else(|| {
-        v.as_f64()
-            .filter(|f| *f >= 0.0 && f.is_finite())
-            .map(|f| f as u64)
+pub fn as_int(value: &Value) -> Option<u64> {
+    value.as_u64().or_else(|| {
+        value
+            .as_f64()
+            .filter(|number| *number >= 0.0 && number.is_finite())
+            .map(|number| number as u64)
     })
 }
 
 /// A whole number that must be there.
-pub fn int(m: &Fields, key: &str) -> Result<u64> {
-    as_int(required(m, key)?).ok_or_else(|| wrong_type(key))
+pub fn int(fields: &Fields, key: &str) -> Result<u64> {
+    as_int(required(fields, key)?).ok_or_else(|| wrong_type(key))
 }
 
 /// A whole number or its default.
-pub fn int_or(m: &Fields, key: &str, default: u64) -> Result<u64> {
-    get(m, key).map_or(Ok(default), |v| as_int(v).ok_or_else(|| wrong_type(key)))
+pub fn int_or(fields: &Fields, key: &str, default: u64) -> Result<u64> {
+    get(fields, key).map_or(Ok(default), |v| as_int(v).ok_or_else(|| wrong_type(key)))
 }
 
 /// A number or its default.
-pub fn number_or(m: &Fields, key: &str, default: f64) -> Result<f64> {
-    get(m, key).map_or(Ok(default), |v| v.as_f64().ok_or_else(|| wrong_type(key)))
+pub fn number_or(fields: &Fields, key: &str, default: f64) -> Result<f64> {
+    get(fields, key).map_or(Ok(default), |v| v.as_f64().ok_or_else(|| wrong_type(key)))
 }
 
 /// A flag; false by default.
-pub fn flag(m: &Fields, key: &str) -> Result<bool> {
-    get(m, key).map_or(Ok(false), |v| v.as_bool().ok_or_else(|| wrong_type(key)))
+pub fn flag(fields: &Fields, key: &str) -> Result<bool> {
+    get(fields, key).map_or(Ok(false), |v| v.as_bool().ok_or_else(|| wrong_type(key)))
 }
 
 /// A text that must be there.
-pub fn text(m: &Fields, key: &str) -> Result<String> {
-    required(m, key)?
+pub fn text(fields: &Fields, key: &str) -> Result<String> {
+    required(fields, key)?
         .as_str()
         .map(str::to_owned)
         .ok_or_else(|| wrong_type(key))
 }
 
 /// A text or its default.
-pub fn text_or(m: &Fields, key: &str, default: &str) -> Result<String> {
-    get(m, key).map_or(Ok(default.to_owned()), |v| {
+pub fn text_or(fields: &Fields, key: &str, default: &str) -> Result<String> {
+    get(fields, key).map_or(Ok(default.to_owned()), |v| {
         v.as_str().map(str::to_owned).ok_or_else(|| wrong_type(key))
     })
 }
 
 /// A name that is left out, null or 0 when there is none.
-pub fn optional_name(m: &Fields, key: &str) -> Result<Option<String>> {
-    match get(m, key) {
+pub fn optional_name(fields: &Fields, key: &str) -> Result<Option<String>> {
+    match get(fields, key) {
         None => Ok(None),
-        Some(Value::String(s)) => Ok(Some(s.clone())),
-        Some(v) if v.as_f64() == Some(0.0) => Ok(None),
+        Some(Value::String(name)) => Ok(Some(name.clone())),
+        Some(value) if value.as_f64() == Some(0.0) => Ok(None),
         Some(_) => Err(wrong_type(key)),
     }
 }
 
 /// A list; empty by default.
-pub fn list<'a>(m: &'a Fields, key: &str) -> Result<&'a [Value]> {
-    get(m, key).map_or(Ok(&[][..]), |v| {
+pub fn list<'a>(fields: &'a Fields, key: &str) -> Result<&'a [Value]> {
+    get(fields, key).map_or(Ok(&[][..]), |v| {
         v.as_array()
             .map(Vec::as_slice)
             .ok_or_else(|| wrong_type(key))
@@ -87,20 +88,22 @@
 }
 
 /// An object that must be there.
-pub fn object<'a>(m: &'a Fields, key: &str) -> Result<&'a Fields> {
-    required(m, key)?.as_object().ok_or_else(|| wrong_type(key))
+pub fn object<'a>(fields: &'a Fields, key: &str) -> Result<&'a Fields> {
+    required(fields, key)?
+        .as_object()
+        .ok_or_else(|| wrong_type(key))
 }
 
 /// One place of a list.
 pub fn list_item<T>(
-    m: &Fields,
+    fields: &Fields,
     key: &str,
-    i: usize,
-    read: impl Fn(&Value) -> Option<T>,
+    index: usize,
+    convert: impl Fn(&Value) -> Option<T>,
 ) -> Result<Option<T>> {
-    list(m, key)?
-        .get(i)
-        .map(|v| read(v).ok_or_else(|| wrong_type(key)))
+    list(fields, key)?
+        .get(index)
+        .map(|value| convert(value).ok_or_else(|| wrong_type(key)))
         .transpose()
 }
 
@@ -108,45 +111,48 @@
 const MAX_ATTEMPTS: u64 = 6;
 
 /// An object that is empty by default.
-fn object_or_empty<'a>(m: &'a Fields, key: &str, empty: &'a Fields) -> Result<&'a Fields> {
-    match get(m, key) {
+fn object_or_empty<'a>(fields: &'a Fields, key: &str, empty: &'a Fields) -> Result<&'a Fields> {
+    match get(fields, key) {
         None => Ok(empty),
-        Some(v) => v.as_object().ok_or_else(|| wrong_type(key)),
+        Some(value) => value.as_object().ok_or_else(|| wrong_type(key)),
     }
 }
 
 /// The settings, from the object that an instance is started with.
-pub fn parse_settings(m: &Fields) -> Result<w::Settings> {
+pub fn parse_settings(fields: &Fields) -> Result<router::Settings> {
     let empty = Fields::new();
-    let family = object_or_empty(m, "family-info", &empty)?;
-    let limits = object_or_empty(m, "limits", &empty)?;
-    let rule_fields = object_or_empty(m, "rules", &empty)?;
-    let rank = rank(m)?;
-    let classes = classes(m, family)?;
-    let kinds = list(m, "kinds")?;
-    let zones = zones(m, family)?;
-    let own_zone = text(m, "zone")?;
+    let family = object_or_empty(fields, "family-info", &empty)?;
+    let limits = object_or_empty(fields, "limits", &empty)?;
+    let rule_fields = object_or_empty(fields, "rules", &empty)?;
+    let rank = rank(fields)?;
+    let classes = classes(fields, family)?;
+    let kinds = list(fields, "kinds")?;
+    let zones = zones(fields, family)?;
+    let own_zone = text(fields, "zone")?;
     let zone = zones
         .iter()
-        .position(|z| z.name == own_zone)
+        .position(|zone| zone.name == own_zone)
         .unwrap_or(usize::MAX);
-    let tenants = tenants(m)?;
-    let telemetry = object_or_empty(m, "telemetry", &empty)?;
-    Ok(w::Settings {
+    let tenants = tenants(fields)?;
+    let telemetry = object_or_empty(fields, "telemetry", &empty)?;
+    Ok(router::Settings {
         rank,
         classes,
         tenants,
         zones,
         zone,
-        parent_kind: kind(family, kinds, "mid-kind")?,
-        origin_kind: kind(family, kinds, "source-kind")?.unwrap_or_default(),
-        polls_list: text_or(m, "discovery", "push")? == "ask",
+        parent_kind: kind_name(family, kinds, "mid-kind")?,
+        origin_kind: kind_name(family, kinds, "source-kind")?.unwrap_or_default(),
+        polls_list: text_or(fields, "discovery", "push")? == "ask",
         direct: flag(family, "may-pass-by")?,
         joins_fills: flag(family, "can-join")?,
         siblings: siblings(family)?,
-        answer_detail: tells(family)?,
+        answer_detail: answer_detail(family)?,
         reports: reports(telemetry)?,
-        weights_known: matches!(text_or(m, "weights", "off")?.as_str(), "nominal" | "rough"),
+        weights_known: matches!(
+            text_or(fields, "weights", "off")?.as_str(),
+            "nominal" | "rough"
+        ),
         flow_kb_per_s: number_or(family, "one-flow-kb-per-s", 0.0)?,
         max_attempts: int_or(limits, "try-limit", 1)?.min(MAX_ATTEMPTS) as u32,
         hedged_requests: flag(limits, "second-copies")?,
@@ -160,80 +166,80 @@
 }
 
 /// The rank of this instance in its group, where one is given; both keys are checked in any case.
-fn rank(m: &Fields) -> Result<Option<u32>> {
+fn rank(fields: &Fields) -> Result<Option<u32>> {
     // Shares of what all proxies may do together are taken by these: nonsense here would be nonsense in all of them.
-    let group = int_or(m, "group-size", u64::MAX)?;
-    if group == 0 {
+    let group_size = int_or(fields, "group-size", u64::MAX)?;
+    if group_size == 0 {
         return Err("field 'group-size' is 0: a group has this proxy at least".into());
     }
-    let rank = int_or(m, "rank", 0)?;
-    if rank >= group {
+    let rank = int_or(fields, "rank", 0)?;
+    if rank >= group_size {
         return Err(format!(
-            "field 'rank' is {rank}, outside a 'group-size' of {group}"
+            "field 'rank' is {rank}, outside a 'group-size' of {group_size}"
         ));
     }
-    Ok(get(m, "rank").and(u32::try_from(rank).ok()))
+    Ok(get(fields, "rank").and(u32::try_from(rank).ok()))
 }
 
 /// The request classes, with what the family's lists say of each by its place.
-fn classes(m: &Fields, family: &Fields) -> Result<Vec<w::Class>> {
+fn classes(fields: &Fields, family: &Fields) -> Result<Vec<router::Class>> {
     let mut classes = Vec::new();
-    for (i, v) in list(m, "categories")?.iter().enumerate() {
-        let c = v.as_object().ok_or_else(|| wrong_type("categories"))?;
-        classes.push(class(c, family, i)?);
+    for (index, value) in list(fields, "categories")?.iter().enumerate() {
+        let class_fields = value.as_object().ok_or_else(|| wrong_type("categories"))?;
+        classes.push(class(class_fields, family, index)?);
     }
     Ok(classes)
 }
 
 /// The request class at place `i`.
-fn class(c: &Fields, family: &Fields, i: usize) -> Result<w::Class> {
-    Ok(w::Class {
-        name: text(c, "name")?,
-        objective_us: int(c, "aim-us")?,
-        objective_stretch: number_or(c, "aim-stretch", 0.0)?,
-        deadline_us: int(c, "deadline-us")?,
-        priority_weight: number_or(c, "worth", 1.0)?,
-        late_weight: number_or(c, "late-worth", 0.0)?,
-        repeat: match text_or(c, "repeat", "side_effect")?.as_str() {
-            "pure" => w::Repeat::Safe,
-            "token" => w::Repeat::Keyed,
-            _ => w::Repeat::Unsafe,
+fn class(class_fields: &Fields, family: &Fields, index: usize) -> Result<router::Class> {
+    Ok(router::Class {
+        name: text(class_fields, "name")?,
+        objective_us: int(class_fields, "aim-us")?,
+        objective_stretch: number_or(class_fields, "aim-stretch", 0.0)?,
+        deadline_us: int(class_fields, "deadline-us")?,
+        priority_weight: number_or(class_fields, "worth", 1.0)?,
+        late_weight: number_or(class_fields, "late-worth", 0.0)?,
+        repeat: match text_or(class_fields, "repeat", "side_effect")?.as_str() {
+            "pure" => router::Repeat::Safe,
+            "token" => router::Repeat::Keyed,
+            _ => router::Repeat::Unsafe,
         },
-        scope: match text_or(c, "dedup-scope", "cell")?.as_str() {
-            "all" => w::DedupScope::All,
-            "zone" => w::DedupScope::Zone,
-            _ => w::DedupScope::Cell,
+        scope: match text_or(class_fields, "dedup-scope", "cell")?.as_str() {
+            "all" => router::DedupScope::All,
+            "zone" => router::DedupScope::Zone,
+            _ => router::DedupScope::Cell,
         },
-        window_us: int_or(c, "window-us", 0)?,
-        streaming: flag(c, "streaming")?,
-        parts: list_item(family, "in-pieces", i, Value::as_bool)?.unwrap_or(false),
-        write: list_item(family, "never-kept", i, Value::as_bool)?.unwrap_or(false),
-        fresh_us: list_item(family, "good-for-us", i, as_int)?.unwrap_or(0),
-        grace_us: list_item(family, "usable-after-us", i, as_int)?.unwrap_or(0),
-        stale_weight: list_item(family, "old-copy-worth", i, Value::as_f64)?.unwrap_or(0.0),
+        window_us: int_or(class_fields, "window-us", 0)?,
+        streaming: flag(class_fields, "streaming")?,
+        parts: list_item(family, "in-pieces", index, Value::as_bool)?.unwrap_or(false),
+        write: list_item(family, "never-kept", index, Value::as_bool)?.unwrap_or(false),
+        fresh_us: list_item(family, "good-for-us", index, as_int)?.unwrap_or(0),
+        grace_us: list_item(family, "usable-after-us", index, as_int)?.unwrap_or(0),
+        stale_weight: list_item(family, "old-copy-worth", index, Value::as_f64)?.unwrap_or(0.0),
     })
 }
 
 /// The name of the kind that a key of the family gives the place of; a negative place means none.
-fn kind(family: &Fields, kinds: &[Value], key: &str) -> Result<Option<String>> {
-    let place = number_or(family, key, -1.0)?;
-    Ok((place >= 0.0)
-        .then(|| kinds.get(place as usize)?.as_str().map(str::to_owned))
+fn kind_name(family: &Fields, kinds: &[Value], key: &str) -> Result<Option<String>> {
+    let index = number_or(family, key, -1.0)?;
+    Ok((index >= 0.0)
+        .then(|| kinds.get(index as usize)?.as_str().map(str::to_owned))
         .flatten())
 }
 
 /// The zones, with what the family's lists say of each by its place.
-fn zones(m: &Fields, family: &Fields) -> Result<Vec<w::Zone>> {
+fn zones(fields: &Fields, family: &Fields) -> Result<Vec<router::Zone>> {
     let mut zones = Vec::new();
-    for (i, v) in list(m, "localities")?.iter().enumerate() {
-        zones.push(w::Zone {
-            name: v
+    for (index, value) in list(fields, "localities")?.iter().enumerate() {
+        zones.push(router::Zone {
+            name: value
                 .as_str()
                 .ok_or_else(|| wrong_type("localities"))?
                 .to_owned(),
-            routers: list_item(family, "seats-by-zone", i, as_int)?.unwrap_or(1) as u32,
-            hub: list_item(family, "attached-to", i, as_int)?.unwrap_or(0) as usize,
-            link_kb_per_s: list_item(family, "zone-link-kb-per-s", i, Value::as_f64)?
+            routers: list_item(family, "seats-by-zone", index, as_int)?.unwrap_or(1) as u32,
+            hub: list_item(family, "attached-to", index, as_int)?.unwrap_or(0) as usize,
+            link_kb_per_s: list_item(family, "zone-link-kb-per-s", index, Value::as_f64)?
                 .unwrap_or(0.0),
         });
     }
@@ -241,48 +247,48 @@
 }
 
 /// The tenants.
-fn tenants(m: &Fields) -> Result<Vec<w::Tenant>> {
+fn tenants(fields: &Fields) -> Result<Vec<router::Tenant>> {
     let mut tenants = Vec::new();
-    for v in list(m, "customers")? {
-        let t = v.as_object().ok_or_else(|| wrong_type("customers"))?;
-        tenants.push(w::Tenant {
-            name: text(t, "name")?,
-            quota_rps: number_or(t, "quota-rps", 0.0)?,
+    for value in list(fields, "customers")? {
+        let tenant = value.as_object().ok_or_else(|| wrong_type("customers"))?;
+        tenants.push(router::Tenant {
+            name: text(tenant, "name")?,
+            quota_rps: number_or(tenant, "quota-rps", 0.0)?,
         });
     }
     Ok(tenants)
 }
 
 /// Which caches may be filled from each other.
-fn siblings(family: &Fields) -> Result<w::Siblings> {
+fn siblings(family: &Fields) -> Result<router::Siblings> {
     Ok(match text_or(family, "neighbours", "off")?.as_str() {
-        "location" => w::Siblings::Location,
-        "any" => w::Siblings::Any,
-        _ => w::Siblings::Off,
+        "location" => router::Siblings::Location,
+        "any" => router::Siblings::Any,
+        _ => router::Siblings::Off,
     })
 }
 
 /// Which answers tell how they were made.
-fn tells(family: &Fields) -> Result<w::AnswerDetail> {
+fn answer_detail(family: &Fields) -> Result<router::AnswerDetail> {
     Ok(match text_or(family, "note-level", "off")?.as_str() {
-        "all" => w::AnswerDetail::All,
-        "hit" => w::AnswerDetail::Hit,
-        _ => w::AnswerDetail::Off,
+        "all" => router::AnswerDetail::All,
+        "hit" => router::AnswerDetail::Hit,
+        _ => router::AnswerDetail::Off,
     })
 }
 
 /// Where load reports come from.
-fn reports(telemetry: &Fields) -> Result<w::Reports> {
+fn reports(telemetry: &Fields) -> Result<router::Reports> {
     Ok(match text_or(telemetry, "source", "off")?.as_str() {
-        "inline" => w::Reports::Answers,
-        "on_probe" => w::Reports::Probes,
-        _ => w::Reports::Off,
+        "inline" => router::Reports::Answers,
+        "on_probe" => router::Reports::Probes,
+        _ => router::Reports::Off,
     })
 }
 
 /// The platform's rules for drains, cold starts and purges.
-fn rules(rules: &Fields, family: &Fields) -> Result<w::Rules> {
-    Ok(w::Rules {
+fn rules(rules: &Fields, family: &Fields) -> Result<router::Rules> {
+    Ok(router::Rules {
         drain_grace_us: int_or(rules, "drain-grace-us", 0)?,
         slow_start_share: number_or(rules, "cold-share", 1.0)?,
         slow_start_us: int_or(rules, "ramp-time-us", 0)?,
