--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,29 +1,30 @@
-//! Reads the settings object that the simulator adapter and the daemon are both started with. Every message names the key.
+//! Parses the settings of a router from JSON, for the simulator adapter and the daemon. Every error message names the
+//! key.
 
 use linnetknot as router;
 use serde_json::{Map, Value};
 
 /// The fields of a JSON object.
 pub type Fields = Map<String, Value>;
-/// What was read, or a message that names the faulty key.
+/// The result of a read. The error is a message that names the invalid key.
 pub type Result<T> = std::result::Result<T, String>;
 
-/// A value that is there and not null.
+/// Returns the value of a key, or `None` if it is missing or null.
 pub fn get<'a>(fields: &'a Fields, key: &str) -> Option<&'a Value> {
     fields.get(key).filter(|v| !v.is_null())
 }
 
-/// A value that must be there.
+/// Returns the value of a key that is required.
 pub fn required<'a>(fields: &'a Fields, key: &str) -> Result<&'a Value> {
     get(fields, key).ok_or_else(|| format!("field '{key}' is missing"))
 }
 
-/// The message on a value of the wrong type.
+/// Returns the error message for a value of the wrong type.
 pub fn wrong_type(key: &str) -> String {
     format!("field '{key}' has the wrong type")
 }
 
-/// A whole number, also where it is written with a point.
+/// Returns a non-negative integer. A number with a fraction is rounded down.
 pub fn as_int(value: &Value) -> Option<u64> {
     value.as_u64().or_else(|| {
         value
@@ -33,27 +34,27 @@
     })
 }
 
-/// A whole number that must be there.
+/// Returns a required integer.
 pub fn int(fields: &Fields, key: &str) -> Result<u64> {
     as_int(required(fields, key)?).ok_or_else(|| wrong_type(key))
 }
 
-/// A whole number or its default.
+/// Returns an integer, or the default if the key is missing.
 pub fn int_or(fields: &Fields, key: &str, default: u64) -> Result<u64> {
     get(fields, key).map_or(Ok(default), |v| as_int(v).ok_or_else(|| wrong_type(key)))
 }
 
-/// A number or its default.
+/// Returns a number, or the default if the key is missing.
 pub fn number_or(fields: &Fields, key: &str, default: f64) -> Result<f64> {
     get(fields, key).map_or(Ok(default), |v| v.as_f64().ok_or_else(|| wrong_type(key)))
 }
 
-/// A flag; false by default.
+/// Returns a flag, or false if the key is missing.
 pub fn flag(fields: &Fields, key: &str) -> Result<bool> {
     get(fields, key).map_or(Ok(false), |v| v.as_bool().ok_or_else(|| wrong_type(key)))
 }
 
-/// A text that must be there.
+/// Returns a required string.
 pub fn text(fields: &Fields, key: &str) -> Result<String> {
     required(fields, key)?
         .as_str()
@@ -61,14 +62,14 @@
         .ok_or_else(|| wrong_type(key))
 }
 
-/// A text or its default.
+/// Returns a string, or the default if the key is missing.
 pub fn text_or(fields: &Fields, key: &str, default: &str) -> Result<String> {
     get(fields, key).map_or(Ok(default.to_owned()), |v| {
         v.as_str().map(str::to_owned).ok_or_else(|| wrong_type(key))
     })
 }
 
-/// A name that is left out, null or 0 when there is none.
+/// Returns a name, or `None` if it is missing, null or 0.
 pub fn optional_name(fields: &Fields, key: &str) -> Result<Option<String>> {
     match get(fields, key) {
         None => Ok(None),
@@ -78,7 +79,7 @@
     }
 }
 
-/// A list; empty by default.
+/// Returns a list, or an empty one if the key is missing.
 pub fn list<'a>(fields: &'a Fields, key: &str) -> Result<&'a [Value]> {
     get(fields, key).map_or(Ok(&[][..]), |v| {
         v.as_array()
@@ -87,14 +88,14 @@
     })
 }
 
-/// An object that must be there.
+/// Returns a required object.
 pub fn object<'a>(fields: &'a Fields, key: &str) -> Result<&'a Fields> {
     required(fields, key)?
         .as_object()
         .ok_or_else(|| wrong_type(key))
 }
 
-/// One place of a list.
+/// Returns one item of a list, or `None` if the list is shorter.
 pub fn list_item<T>(
     fields: &Fields,
     key: &str,
@@ -107,10 +108,10 @@
         .transpose()
 }
 
-/// A request is tried no more often than this, however often a site would let it be.
+/// The upper bound of the attempts per request, whatever the settings allow.
 const MAX_ATTEMPTS: u64 = 6;
 
-/// An object that is empty by default.
+/// Returns an object, or the given empty one if the key is missing.
 fn object_or_empty<'a>(fields: &'a Fields, key: &str, empty: &'a Fields) -> Result<&'a Fields> {
     match get(fields, key) {
         None => Ok(empty),
@@ -118,7 +119,7 @@
     }
 }
 
-/// The settings, from the object that an instance is started with.
+/// Parses the settings of a router.
 pub fn parse_settings(fields: &Fields) -> Result<router::Settings> {
     let empty = Fields::new();
     let family = object_or_empty(fields, "family-info", &empty)?;
@@ -165,23 +166,23 @@
     })
 }
 
-/// The rank of this instance in its group, where one is given; both keys are checked in any case.
+/// Returns the rank of this router in its group, if one is given. Both keys are validated in any case.
 fn rank(fields: &Fields) -> Result<Option<u32>> {
-    // Shares of what all proxies may do together are taken by these: nonsense here would be nonsense in all of them.
+    // Shares of fleet-wide limits are computed from both values, so invalid ones must be rejected.
     let group_size = int_or(fields, "group-size", u64::MAX)?;
     if group_size == 0 {
-        return Err("field 'group-size' is 0: a group has this proxy at least".into());
+        return Err("field 'group-size' is 0, but a group contains at least this proxy".into());
     }
     let rank = int_or(fields, "rank", 0)?;
     if rank >= group_size {
         return Err(format!(
-            "field 'rank' is {rank}, outside a 'group-size' of {group_size}"
+            "field 'rank' is {rank}, which is not less than the 'group-size' of {group_size}"
         ));
     }
     Ok(get(fields, "rank").and(u32::try_from(rank).ok()))
 }
 
-/// The request classes, with what the family's lists say of each by its place.
+/// Returns the request classes. Some of their fields are in lists of the family, by the index of the class.
 fn classes(fields: &Fields, family: &Fields) -> Result<Vec<router::Class>> {
     let mut classes = Vec::new();
     for (index, value) in list(fields, "categories")?.iter().enumerate() {
@@ -191,7 +192,7 @@
     Ok(classes)
 }
 
-/// The request class at place `i`.
+/// Returns the request class with this index.
 fn class(class_fields: &Fields, family: &Fields, index: usize) -> Result<router::Class> {
     Ok(router::Class {
         name: text(class_fields, "name")?,
@@ -220,7 +221,7 @@
     })
 }
 
-/// The name of the kind that a key of the family gives the place of; a negative place means none.
+/// Returns the name of the kind to whose index a key of the family refers, or `None` if the index is negative.
 fn kind_name(family: &Fields, kinds: &[Value], key: &str) -> Result<Option<String>> {
     let index = number_or(family, key, -1.0)?;
     Ok((index >= 0.0)
@@ -228,7 +229,7 @@
         .flatten())
 }
 
-/// The zones, with what the family's lists say of each by its place.
+/// Returns the zones. Some of their fields are in lists of the family, by the index of the zone.
 fn zones(fields: &Fields, family: &Fields) -> Result<Vec<router::Zone>> {
     let mut zones = Vec::new();
     for (index, value) in list(fields, "localities")?.iter().enumerate() {
@@ -246,7 +247,7 @@
     Ok(zones)
 }
 
-/// The tenants.
+/// Returns the tenants.
 fn tenants(fields: &Fields) -> Result<Vec<router::Tenant>> {
     let mut tenants = Vec::new();
     for value in list(fields, "customers")? {
@@ -259,7 +260,7 @@
     Ok(tenants)
 }
 
-/// Which caches may be filled from each other.
+/// Returns which caches may be filled from each other.
 fn siblings(family: &Fields) -> Result<router::Siblings> {
     Ok(match text_or(family, "neighbours", "off")?.as_str() {
         "location" => router::Siblings::Location,
@@ -268,7 +269,7 @@
     })
 }
 
-/// Which answers tell how they were made.
+/// Returns which answers contain details of how they were produced.
 fn answer_detail(family: &Fields) -> Result<router::AnswerDetail> {
     Ok(match text_or(family, "note-level", "off")?.as_str() {
         "all" => router::AnswerDetail::All,
@@ -277,7 +278,7 @@
     })
 }
 
-/// Where load reports come from.
+/// Returns the source of load reports.
 fn reports(telemetry: &Fields) -> Result<router::Reports> {
     Ok(match text_or(telemetry, "source", "off")?.as_str() {
         "inline" => router::Reports::Answers,
@@ -286,7 +287,7 @@
     })
 }
 
-/// The platform's rules for drains, cold starts and purges.
+/// Returns the platform's rules for drains, slow start and purges.
 fn rules(rules: &Fields, family: &Fields) -> Result<router::Rules> {
     Ok(router::Rules {
         drain_grace_us: int_or(rules, "drain-grace-us", 0)?,
