--- a/datagram/src/lib.rs
+++ b/datagram/src/lib.rs
@@ -34,13 +34,13 @@
 ///
 /// # Errors
 /// Fails if the datagram has another mark or another version, or is too long.
-pub fn payload<'a>(bytes: &'a [u8], mark: &str) -> Result<&'a [u8], DecodeError> {
-    let mark = mark.as_bytes();
-    let kind = &mark[..mark.len().saturating_sub(1)];
-    match bytes.strip_prefix(mark) {
+pub fn payload<'a>(bytes: &'a [u8], prefix: &str) -> Result<&'a [u8], DecodeError> {
+    let prefix = prefix.as_bytes();
+    let protocol = &prefix[..prefix.len().saturating_sub(1)];
+    match bytes.strip_prefix(prefix) {
         Some(body) if bytes.len() <= MAX_DATAGRAM_BYTES => Ok(body),
         Some(_) => Err(DecodeError::Malformed),
-        None if bytes.starts_with(kind) => Err(DecodeError::Version),
+        None if bytes.starts_with(protocol) => Err(DecodeError::Version),
         None => Err(DecodeError::Foreign),
     }
 }
--- a/simnet/src/events.rs
+++ b/simnet/src/events.rs
@@ -17,13 +17,13 @@
 #[derive(Clone, Debug)]
 struct Scheduled<E> {
     at: Micros,
-    order: u64,
+    sequence_number: u64,
     event: E,
 }
 
 impl<E> Scheduled<E> {
     fn key(&self) -> (Micros, u64) {
-        (self.at, self.order)
+        (self.at, self.sequence_number)
     }
 }
 
@@ -52,14 +52,14 @@
 #[derive(Clone, Debug)]
 pub struct EventQueue<E> {
     heap: BinaryHeap<Scheduled<E>>,
-    order: u64,
+    last_sequence_number: u64,
 }
 
 impl<E> Default for EventQueue<E> {
     fn default() -> Self {
         EventQueue {
             heap: BinaryHeap::new(),
-            order: 0,
+            last_sequence_number: 0,
         }
     }
 }
@@ -67,10 +67,10 @@
 impl<E> EventQueue<E> {
     /// Schedules an event.
     pub fn schedule(&mut self, at: Micros, event: E) {
-        self.order += 1;
+        self.last_sequence_number += 1;
         self.heap.push(Scheduled {
             at,
-            order: self.order,
+            sequence_number: self.last_sequence_number,
             event,
         });
     }
--- a/simnet/src/links.rs
+++ b/simnet/src/links.rs
@@ -39,8 +39,8 @@
 /// Hashes three numbers evenly.
 fn hash(link: u64, interval: u64, salt: u64) -> u64 {
     let mut x = link.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ interval.rotate_left(32) ^ salt;
-    for by in [0xbf58_476d_1ce4_e5b9, 0x94d0_49bb_1331_11eb] {
-        x = (x ^ (x >> 30)).wrapping_mul(by);
+    for multiplier in [0xbf58_476d_1ce4_e5b9, 0x94d0_49bb_1331_11eb] {
+        x = (x ^ (x >> 30)).wrapping_mul(multiplier);
     }
     x ^ (x >> 31)
 }
@@ -64,8 +64,8 @@
     fn delay(&self, link: u64, now: Micros, random: &mut Random) -> Micros {
         let spread = hash(link, 0, 1) % (self.spread_us + 1);
         let jitter = hash(link, now / QUEUE_INTERVAL_US, 2) % (self.jitter_us + 1);
-        let is_overtaken = self.reordering_ppm > 0 && random.below(MILLION) < self.reordering_ppm;
-        let reordering = if is_overtaken { self.delay_us } else { 0 };
+        let is_reordered = self.reordering_ppm > 0 && random.below(MILLION) < self.reordering_ppm;
+        let reordering = if is_reordered { self.delay_us } else { 0 };
         self.delay_us + spread + jitter + reordering
     }
 }
--- a/simnet/tests/links.rs
+++ b/simnet/tests/links.rs
@@ -4,16 +4,16 @@
 use linnetknot_simnet::{EventQueue, LinkConditions};
 
 #[test]
-fn events_come_by_time_then_in_the_order_in_which_they_were_scheduled() {
+fn events_are_ordered_by_time_then_by_when_they_were_scheduled() {
     let mut queue = EventQueue::default();
     for (at, event) in [(30, "late"), (10, "first"), (10, "second"), (20, "third")] {
         queue.schedule(at, event);
     }
-    let mut taken = Vec::new();
+    let mut popped = Vec::new();
     while let Some(event) = queue.pop_due(20) {
-        taken.push((event.at, event.event));
+        popped.push((event.at, event.event));
     }
-    assert_eq!(taken, [(10, "first"), (10, "second"), (20, "third")]);
+    assert_eq!(popped, [(10, "first"), (10, "second"), (20, "third")]);
     assert_eq!((queue.len(), queue.is_empty()), (1, false));
 }
 
@@ -27,9 +27,9 @@
 };
 
 #[test]
-fn a_link_loses_duplicates_and_delays_as_often_as_its_conditions_say() {
+fn losses_duplicates_and_delays_match_the_link_conditions() {
     let mut random = Random::new(7);
-    let (mut lost, mut twice, mut overtaken) = (0, 0, 0);
+    let (mut lost, mut duplicated, mut reordered) = (0, 0, 0);
     for number in 0..100_000 {
         let now = number * 10;
         let arrivals = CONDITIONS.arrivals(3, now, &mut random);
@@ -38,25 +38,25 @@
             assert_eq!(arrivals.second, None, "what is lost does not come twice");
             continue;
         };
-        twice += u32::from(arrivals.second.is_some_and(|second| second > first));
+        duplicated += u32::from(arrivals.second.is_some_and(|second| second > first));
         assert!((1_000..=2_700).contains(&(first - now)));
-        overtaken += u32::from(first - now > 1_700);
+        reordered += u32::from(first - now > 1_700);
     }
     assert!((9_000..11_000).contains(&lost), "{lost}");
-    assert!((4_000..5_000).contains(&twice), "{twice}");
-    assert!((1_500..2_100).contains(&overtaken), "{overtaken}");
+    assert!((4_000..5_000).contains(&duplicated), "{duplicated}");
+    assert!((1_500..2_100).contains(&reordered), "{reordered}");
 }
 
 #[test]
-fn what_is_sent_at_once_on_one_link_stays_in_order_and_links_differ() {
-    let quiet = LinkConditions {
+fn simultaneous_datagrams_stay_in_order_and_links_have_different_delays() {
+    let reliable = LinkConditions {
         loss_ppm: 0,
         duplication_ppm: 0,
         reordering_ppm: 0,
         ..CONDITIONS
     };
     let mut random = Random::new(1);
-    let mut arrival = |link, now| quiet.arrivals(link, now, &mut random).first.unwrap();
+    let mut arrival = |link, now| reliable.arrivals(link, now, &mut random).first.unwrap();
     assert!((0..100).all(|burst| arrival(9, burst * 5_000) < arrival(9, burst * 5_000 + 1)));
     let delays: std::collections::BTreeSet<u64> = (0..50).map(|link| arrival(link, 0)).collect();
     assert!(delays.len() > 25, "{delays:?}");
--- a/simnet/tests/network.rs
+++ b/simnet/tests/network.rs
@@ -2,14 +2,14 @@
 
 use linnetknot_simnet::{member_at, peer_index, Delay, Micros, Network, Step, Timed};
 
-const NOTHING: Option<Timed<u8>> = None;
+const NO_EVENT: Option<Timed<u8>> = None;
 
 fn due(at: Micros) -> Option<Timed<u8>> {
     Some(Timed { at, event: 3 })
 }
 
 #[test]
-fn time_goes_from_one_thing_to_the_next_and_no_further_than_its_end() {
+fn time_advances_to_the_next_event_and_partitions_drop_datagrams() {
     let mut net = Network::new(
         1,
         Delay {
@@ -17,32 +17,32 @@
             jitter_us: 1,
         },
     );
-    let begin = net.now;
+    let start = net.now;
     net.send(0, 1, &"a");
-    let arrives = Step::Delivered {
+    let delivered = Step::Delivered {
         from: 0,
         to: 1,
         message: "a",
     };
-    assert_eq!(net.step(begin + 5, NOTHING), Step::Finished);
-    assert_eq!(net.now, begin + 5);
-    assert_eq!(net.step(begin + 50, due(begin + 7)), Step::Due(3));
-    assert_eq!(net.step(begin + 50, due(begin + 10)), arrives);
+    assert_eq!(net.step(start + 5, NO_EVENT), Step::Finished);
+    assert_eq!(net.now, start + 5);
+    assert_eq!(net.step(start + 50, due(start + 7)), Step::Due(3));
+    assert_eq!(net.step(start + 50, due(start + 10)), delivered);
     assert_eq!(
-        (net.now, net.step(begin + 50, NOTHING)),
-        (begin + 10, Step::Finished)
+        (net.now, net.step(start + 50, NO_EVENT)),
+        (start + 10, Step::Finished)
     );
     net.partition(3, &[0]);
     net.send(0, 1, &"b");
     net.send(2, 0, &"b");
     assert_eq!(
-        net.step(begin + 100, NOTHING),
+        net.step(start + 100, NO_EVENT),
         Step::Finished,
         "cut both ways"
     );
     net.send(1, 2, &"c");
     assert!(matches!(
-        net.step(begin + 200, NOTHING),
+        net.step(start + 200, NO_EVENT),
         Step::Delivered { .. }
     ));
     assert_eq!(
