--- a/datagram/tests/datagram.rs
+++ b/datagram/tests/datagram.rs
@@ -1,4 +1,4 @@
-//! The mark of a datagram, its bound, and the random numbers.
+//! Tests of the prefix and the maximum length of datagrams, and of random numbers.
 
 use linnetknot_datagram::{payload, DecodeError, Random, MAX_DATAGRAM_BYTES};
 
--- a/simnet/src/events.rs
+++ b/simnet/src/events.rs
@@ -1,19 +1,19 @@
-//! Events on virtual time, in the order in which they are due.
+//! A queue of events on virtual time.
 
 use crate::Micros;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// An event and the time at which it is due. Of two, the earlier one is less.
+/// An event and the time at which it is due. Earlier events compare less than later ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Timed<E> {
-    /// When it is due.
+    /// The time at which the event is due.
     pub at: Micros,
     /// The event.
     pub event: E,
 }
 
-/// An event in the queue. Of two that are due at once, the one that was scheduled first comes first.
+/// An event in the queue. Events that are due at the same time are ordered by when they were scheduled.
 #[derive(Clone, Debug)]
 struct Scheduled<E> {
     at: Micros,
@@ -42,13 +42,13 @@
 }
 
 impl<E> Ord for Scheduled<E> {
-    /// The heap pops its greatest element first, so the earliest event is the greatest.
+    /// Compares in reverse, so that the earliest event is the greatest, which the heap pops first.
     fn cmp(&self, other: &Self) -> Ordering {
         other.key().cmp(&self.key())
     }
 }
 
-/// A queue of scheduled events. Scheduling and removing one cost the logarithm of how many there are.
+/// A queue of scheduled events. Scheduling and removing an event take logarithmic time in the length of the queue.
 #[derive(Clone, Debug)]
 pub struct EventQueue<E> {
     heap: BinaryHeap<Scheduled<E>>,
@@ -65,7 +65,7 @@
 }
 
 impl<E> EventQueue<E> {
-    /// Schedules an event.
+    /// Schedules an event at a time.
     pub fn schedule(&mut self, at: Micros, event: E) {
         self.last_sequence_number += 1;
         self.heap.push(Scheduled {
@@ -75,14 +75,14 @@
         });
     }
 
-    /// Removes the first event if it is due by `end`.
+    /// Removes and returns the first event, if it is due by `end`.
     pub fn pop_due(&mut self, end: Micros) -> Option<Timed<E>> {
         self.next_due_at().filter(|at| *at <= end)?;
         let Scheduled { at, event, .. } = self.heap.pop()?;
         Some(Timed { at, event })
     }
 
-    /// Returns when the first event is due.
+    /// Returns the time at which the first event is due.
     pub fn next_due_at(&self) -> Option<Micros> {
         self.heap.peek().map(|first| first.at)
     }
--- a/simnet/src/lib.rs
+++ b/simnet/src/lib.rs
@@ -1,9 +1,9 @@
-//! Simulated networks for tests of sans-IO packages: virtual time, and links on it that lose, duplicate, delay and reorder
-//! datagrams, and that are cut in one or both directions. All random choices follow from a seed.
+//! Simulated networks for tests of sans-IO packages. On virtual time, links lose, duplicate, delay and reorder
+//! datagrams, and can be cut in one or both directions. All random choices follow from a seed.
 //!
-//! - `events`: a queue of events by their time.
-//! - `network`: a network of members with the same conditions on all links, which steps from one event to the next.
-//! - `links`: the conditions of one link, for simulations that keep their own time.
+//! - `events`: a queue of events, ordered by time.
+//! - `network`: a network with the same conditions on all links, which advances from one event to the next.
+//! - `links`: the conditions of a single link, for simulations that manage time themselves.
 
 mod events;
 mod links;
--- a/simnet/src/links.rs
+++ b/simnet/src/links.rs
@@ -1,42 +1,42 @@
-//! The conditions of one direction of a link: how long datagrams take, and how many are lost, duplicated or overtaken.
+//! The conditions of one direction of a link: the delay, and the shares of datagrams that are lost, duplicated or
+//! reordered.
 
 use crate::Micros;
 use linnetknot_datagram::Random;
 
-/// Shares are drawn out of so many.
+/// The parts in a whole, from which random shares are drawn.
 const MILLION: u64 = 1_000_000;
 
-/// Datagrams that are sent within one such interval meet the same queues, so that they take equally long and stay in
-/// order.
+/// Datagrams that are sent within one such interval get the same jitter, so that they stay in order.
 const QUEUE_INTERVAL_US: Micros = 5_000;
 
-/// How long datagrams take, and how many of a million are lost, duplicated or overtaken.
+/// The delay of datagrams, and the shares of them that are lost, duplicated or reordered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkConditions {
-    /// The shortest delay of any link of this kind.
+    /// The minimum delay.
     pub delay_us: Micros,
-    /// By how much links of this kind differ: each adds a share of this that never changes.
+    /// The maximum additional delay that is constant for each link and differs between links.
     pub spread_us: Micros,
-    /// By how much queues vary: every few milliseconds another share of this is added.
+    /// The maximum additional delay that changes every few milliseconds, as from queues.
     pub jitter_us: Micros,
-    /// How many datagrams in a million are lost.
+    /// The share of lost datagrams, in parts per million.
     pub loss_ppm: u64,
-    /// How many datagrams in a million are duplicated.
+    /// The share of duplicated datagrams, in parts per million.
     pub duplication_ppm: u64,
-    /// How many datagrams in a million take the delay twice, so that later ones overtake them.
+    /// The share of datagrams with twice the minimum delay, which later ones overtake, in parts per million.
     pub reordering_ppm: u64,
 }
 
-/// When one datagram arrives: not at all if it is lost, twice if it is duplicated.
+/// The times at which a datagram arrives. A lost datagram has none, a duplicated one has two.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Arrivals {
-    /// When it arrives first.
+    /// The time of the first arrival.
     pub first: Option<Micros>,
-    /// When its duplicate arrives.
+    /// The time at which the duplicate arrives.
     pub second: Option<Micros>,
 }
 
-/// Hashes three numbers evenly.
+/// Returns a uniformly distributed hash of three numbers.
 fn hash(link: u64, interval: u64, salt: u64) -> u64 {
     let mut x = link.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ interval.rotate_left(32) ^ salt;
     for multiplier in [0xbf58_476d_1ce4_e5b9, 0x94d0_49bb_1331_11eb] {
@@ -46,7 +46,7 @@
 }
 
 impl LinkConditions {
-    /// Returns when a datagram arrives that is sent now on the link of this number.
+    /// Returns the arrivals of a datagram that is sent now. `link` is the number of the link.
     pub fn arrivals(&self, link: u64, now: Micros, random: &mut Random) -> Arrivals {
         if random.below(MILLION) < self.loss_ppm {
             return Arrivals::default();
--- a/simnet/src/network.rs
+++ b/simnet/src/network.rs
@@ -1,20 +1,20 @@
-//! Links between members, and the virtual time that they share.
+//! A simulated network of members on virtual time.
 
 use crate::{EventQueue, Micros, Timed};
 use linnetknot_datagram::Random;
 use std::collections::BTreeSet;
 
-/// The time at which a network starts.
+/// The initial time of a network.
 const START: Micros = 1_000_000;
-/// Shares are drawn out of so many.
+/// The number of percent in a whole, from which random shares are drawn.
 const PERCENT: u64 = 100;
 
-/// How long datagrams take on each link.
+/// The delay of datagrams on each link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Delay {
-    /// The shortest delay.
+    /// The minimum delay.
     pub min_us: Micros,
-    /// The most that is added at random, exclusive.
+    /// The exclusive upper bound of the random delay that is added.
     pub jitter_us: Micros,
 }
 
@@ -32,7 +32,7 @@
     message: M,
 }
 
-/// What happens next.
+/// The result of a step of the simulation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step<M, D> {
     /// A datagram is delivered.
@@ -44,13 +44,13 @@
         /// The datagram.
         message: M,
     },
-    /// The event that the caller named is due.
+    /// The event that was passed to [`Network::step`] is due.
     Due(D),
-    /// Nothing until the end, which is now.
+    /// Nothing else happens until the end, which has been reached.
     Finished,
 }
 
-/// Links between members, and their time.
+/// A network of members, and its time.
 #[derive(Clone, Debug)]
 pub struct Network<M> {
     /// The current time.
@@ -59,16 +59,16 @@
     pub loss_percent: u64,
     /// The share of duplicated datagrams, in percent.
     pub duplicate_percent: u64,
-    /// How long datagrams take.
+    /// The delay of datagrams.
     pub delay: Delay,
-    /// The links on which nothing passes.
+    /// The links that are cut.
     cut: BTreeSet<Link>,
     in_flight: EventQueue<InFlight<M>>,
     random: Random,
 }
 
 impl<M: Clone> Network<M> {
-    /// A network without faults.
+    /// Creates a network without faults.
     pub fn new(seed: u64, delay: Delay) -> Self {
         Network {
             now: START,
@@ -81,12 +81,12 @@
         }
     }
 
-    /// Draws a number below another.
+    /// Returns a random number below a bound.
     pub fn draw(&mut self, below: u64) -> u64 {
         self.random.below(below)
     }
 
-    /// Sends a datagram, which the link may lose, duplicate and delay.
+    /// Sends a datagram, which the link may lose, duplicate or delay.
     pub fn send(&mut self, from: usize, to: usize, message: &M) {
         let link = Link { from, to };
         if self.cut.contains(&link) || self.draw(PERCENT) < self.loss_percent {
@@ -110,7 +110,7 @@
         self.cut.insert(Link { from, to });
     }
 
-    /// Cuts all links, in both directions, between some of the members and the others.
+    /// Cuts all links between the members on one side and the others, in both directions.
     pub fn partition(&mut self, members: usize, side: &[usize]) {
         for from in 0..members {
             let others = (0..members).filter(|to| side.contains(&from) != side.contains(to));
@@ -118,13 +118,13 @@
         }
     }
 
-    /// Restores all links.
+    /// Restores all links that were cut.
     pub fn restore(&mut self) {
         self.cut.clear();
     }
 
-    /// Advances the time to the next datagram or to the caller's next event, whichever is first, and at most to `end`. If
-    /// both are due at once, the datagram is first.
+    /// Advances the time to the next delivery or to the caller's next event, whichever is first, but not past `end`. If
+    /// both are due at the same time, the delivery comes first.
     pub fn step<D>(&mut self, end: Micros, next: Option<Timed<D>>) -> Step<M, D> {
         let delivery_at = self.in_flight.next_due_at();
         let event_at = next.as_ref().map(|timed| timed.at);
@@ -146,12 +146,12 @@
     }
 }
 
-/// Returns a member's index in another's list of peers, which leaves that one out.
+/// Returns a member's index in the observer's list of peers, which does not contain the observer.
 pub fn peer_index(member: usize, observer: usize) -> usize {
     member - usize::from(member > observer)
 }
 
-/// Returns the member at an index of another's list of peers.
+/// Returns the member at an index of the observer's list of peers.
 pub fn member_at(peer: usize, observer: usize) -> usize {
     peer + usize::from(peer >= observer)
 }
--- a/simnet/tests/links.rs
+++ b/simnet/tests/links.rs
@@ -1,4 +1,4 @@
-//! Events come in the order in which they are due, and links treat datagrams as their conditions say.
+//! Tests of the event queue and of link conditions.
 
 use linnetknot_datagram::Random;
 use linnetknot_simnet::{EventQueue, LinkConditions};
@@ -35,7 +35,7 @@
         let arrivals = CONDITIONS.arrivals(3, now, &mut random);
         let Some(first) = arrivals.first else {
             lost += 1;
-            assert_eq!(arrivals.second, None, "what is lost does not come twice");
+            assert_eq!(arrivals.second, None, "a lost datagram has no duplicate");
             continue;
         };
         duplicated += u32::from(arrivals.second.is_some_and(|second| second > first));
--- a/simnet/tests/network.rs
+++ b/simnet/tests/network.rs
@@ -1,4 +1,4 @@
-//! Time goes from one event to the next, and links are cut in both directions.
+//! Tests of the network's time and of partitions.
 
 use linnetknot_simnet::{member_at, peer_index, Delay, Micros, Network, Step, Timed};
 
@@ -38,7 +38,7 @@
     assert_eq!(
         net.step(start + 100, NO_EVENT),
         Step::Finished,
-        "cut both ways"
+        "both directions are cut"
     );
     net.send(1, 2, &"c");
     assert!(matches!(
