--- a/membership/src/swim/exchange.rs
+++ b/membership/src/swim/exchange.rs
@@ -71,20 +71,24 @@
             Body::Ping { number, names } => {
                 let ack = Body::Ack {
                     number,
-                    of: None,
+                    target: None,
                     names: names.then(|| self.names.clone()),
                 };
                 let about_sender = self.overriding_claim(from);
                 self.send(peer, ack, about_sender);
             }
-            Body::Ack { number, of, names } => {
-                if let Some(names) = names.filter(|_| of.is_none()) {
+            Body::Ack {
+                number,
+                target,
+                names,
+            } => {
+                if let Some(names) = names.filter(|_| target.is_none()) {
                     self.members[peer].names = Some(Names {
                         name: truncated(&names.name),
                         machine: truncated(&names.machine),
                     });
                 }
-                self.receive_ack(number, of.unwrap_or(from.id));
+                self.receive_ack(number, target.unwrap_or(from.id));
             }
             Body::PingRequest { number, target } => {
                 self.receive_ping_request(now, peer, number, target);
--- a/membership/src/swim/probes.rs
+++ b/membership/src/swim/probes.rs
@@ -193,7 +193,7 @@
         if let Some(probe) = self.indirect.remove(&number) {
             let ack = Body::Ack {
                 number: probe.number,
-                of: Some(probe.target),
+                target: Some(probe.target),
                 names: None,
             };
             self.send(probe.requester, ack, None);
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -49,7 +49,7 @@
         /// The number of the ping, or of the request for an indirect probe.
         number: u32,
         /// The member that acknowledged the ping, if it is not the sender.
-        of: Option<Id>,
+        target: Option<Id>,
         /// The sender's names, if they were requested.
         names: Option<Names>,
     },
--- a/membership/tests/fleet.rs
+++ b/membership/tests/fleet.rs
@@ -537,7 +537,7 @@
         let names = Some(Names { name: "n".repeat(40), machine: "m".repeat(40) });
         let message = Message {
             from: Sender { id: 1, process, incarnation: 3 },
-            body: Body::Ack { number, of: None, names },
+            body: Body::Ack { number, target: None, names },
             updates: updates.collect(),
         };
         let bytes = message.clone().encode();
--- a/membership/tests/wire.rs
+++ b/membership/tests/wire.rs
@@ -34,9 +34,9 @@
 
 #[test]
 fn the_encoding_of_datagrams_is_stable() {
-    let ack = |of, names| Body::Ack {
+    let ack = |target, names| Body::Ack {
         number: NUMBER,
-        of,
+        target,
         names,
     };
     let names = Names {
--- a/rehearse/src/scale/hollow/mod.rs
+++ b/rehearse/src/scale/hollow/mod.rs
@@ -268,7 +268,7 @@
             from,
             body: Body::Ack {
                 number: 0,
-                of: None,
+                target: None,
                 names,
             },
             updates: Vec::new(),
