--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -125,7 +125,7 @@
     let family = object_or_empty(fields, "family-info", &empty)?;
     let limits = object_or_empty(fields, "limits", &empty)?;
     let rule_fields = object_or_empty(fields, "rules", &empty)?;
-    let rank = rank(fields)?;
+    let router_index = rank(fields)?;
     let classes = classes(fields, family)?;
     let kinds = list(fields, "kinds")?;
     let zones = zones(fields, family)?;
@@ -137,7 +137,7 @@
     let tenants = tenants(fields)?;
     let telemetry = object_or_empty(fields, "telemetry", &empty)?;
     Ok(router::Settings {
-        rank,
+        router_index,
         classes,
         tenants,
         zones,
@@ -145,11 +145,11 @@
         parent_kind: kind_name(family, kinds, "mid-kind")?,
         origin_kind: kind_name(family, kinds, "source-kind")?.unwrap_or_default(),
         polls_list: text_or(fields, "discovery", "push")? == "ask",
-        direct: flag(family, "may-pass-by")?,
-        joins_fills: flag(family, "can-join")?,
+        direct_to_upstream: flag(family, "may-pass-by")?,
+        coalesces_fills: flag(family, "can-join")?,
         siblings: siblings(family)?,
         answer_detail: answer_detail(family)?,
-        reports: reports(telemetry)?,
+        load_reports: reports(telemetry)?,
         weights_known: matches!(
             text_or(fields, "weights", "off")?.as_str(),
             "nominal" | "rough"
@@ -206,14 +206,14 @@
             "token" => router::Repeat::Keyed,
             _ => router::Repeat::Unsafe,
         },
-        scope: match text_or(class_fields, "dedup-scope", "cell")?.as_str() {
+        dedup_scope: match text_or(class_fields, "dedup-scope", "cell")?.as_str() {
             "all" => router::DedupScope::All,
             "zone" => router::DedupScope::Zone,
             _ => router::DedupScope::Cell,
         },
-        window_us: int_or(class_fields, "window-us", 0)?,
+        dedup_window_us: int_or(class_fields, "window-us", 0)?,
         streaming: flag(class_fields, "streaming")?,
-        parts: list_item(family, "in-pieces", index, Value::as_bool)?.unwrap_or(false),
+        multipart: list_item(family, "in-pieces", index, Value::as_bool)?.unwrap_or(false),
         write: list_item(family, "never-kept", index, Value::as_bool)?.unwrap_or(false),
         fresh_us: list_item(family, "good-for-us", index, as_int)?.unwrap_or(0),
         grace_us: list_item(family, "usable-after-us", index, as_int)?.unwrap_or(0),
@@ -239,7 +239,7 @@
                 .ok_or_else(|| wrong_type("localities"))?
                 .to_owned(),
             routers: list_item(family, "seats-by-zone", index, as_int)?.unwrap_or(1) as u32,
-            hub: list_item(family, "attached-to", index, as_int)?.unwrap_or(0) as usize,
+            parent_zone: list_item(family, "attached-to", index, as_int)?.unwrap_or(0) as usize,
             link_kb_per_s: list_item(family, "zone-link-kb-per-s", index, Value::as_f64)?
                 .unwrap_or(0.0),
         });
@@ -279,11 +279,11 @@
 }
 
 /// Returns the source of load reports.
-fn reports(telemetry: &Fields) -> Result<router::Reports> {
+fn reports(telemetry: &Fields) -> Result<router::LoadReports> {
     Ok(match text_or(telemetry, "source", "off")?.as_str() {
-        "inline" => router::Reports::Answers,
-        "on_probe" => router::Reports::Probes,
-        _ => router::Reports::Off,
+        "inline" => router::LoadReports::Answers,
+        "on_probe" => router::LoadReports::Probes,
+        _ => router::LoadReports::Off,
     })
 }
 
@@ -294,12 +294,12 @@
         slow_start_share: number_or(rules, "cold-share", 1.0)?,
         slow_start_us: int_or(rules, "ramp-time-us", 0)?,
         overload_multiple: number_or(rules, "fall-multiple", 1.0)?,
-        fall_us: int_or(rules, "tip-after-us", 1)?,
+        overload_window_us: int_or(rules, "tip-after-us", 1)?,
         parent_slow_start_share: number_or(family, "parent-cold-from", 1.0)?,
         parent_slow_start_us: int_or(family, "upper-cold-us", 0)?,
         parent_overload_multiple: number_or(family, "upper-fall-multiple", 1.0)?,
         purge_grace_us: int_or(family, "purge-slack-us", 0)?,
-        purge_done_us: int_or(family, "purge-takes-us", 0)?,
-        ask_within_us: int_or(rules, "ask-within-us", 0)?,
+        purge_completion_us: int_or(family, "purge-takes-us", 0)?,
+        max_poll_age_us: int_or(rules, "ask-within-us", 0)?,
     })
 }
--- a/simulator-adapter/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -44,10 +44,10 @@
     let r = v.as_object().ok_or_else(|| wrong_type("usage"))?;
     let value = |key: &str| get(r, key).and_then(Value::as_f64);
     Ok(Some(w::Load {
-        util: value("cpu_share"),
-        inflight: value("busy_reqs"),
-        hit_share: value("x0"),
-        link_use: value("x1"),
+        cpu_utilisation: value("cpu_share"),
+        in_flight: value("busy_reqs"),
+        hit_ratio: value("x0"),
+        link_utilisation: value("x1"),
     }))
 }
 
@@ -101,7 +101,7 @@
         group: int_or(m, "purge-group", 0)?,
         size_kb: number_or(m, "length-kb", 0.0)?,
         remaining_us: remaining_us(m)?,
-        repeated: int_or(m, "marks", 0)? & REPEATED_MARK != 0,
+        is_retry: int_or(m, "marks", 0)? & REPEATED_MARK != 0,
     }))
 }
 
@@ -122,7 +122,7 @@
 }
 
 fn outcome_event(m: &Fields) -> Result<w::Event> {
-    Ok(w::Event::Outcome {
+    Ok(w::Event::AttemptEnded {
         request: int(m, "request-id")?,
         attempt: int_or(m, "go", 0)? as u32,
         server: int(m, "store")?,
@@ -130,7 +130,7 @@
         took_us: int_or(m, "took-us", 0)?,
         settled: flag(m, "settled")?,
         note: note(m)?,
-        waited_us: int_or(m, "first-byte-us", 0)?,
+        first_byte_us: int_or(m, "first-byte-us", 0)?,
         load: load(m)?,
     })
 }
@@ -139,18 +139,18 @@
     Ok(Some(match kind {
         "PeersKnown" => list_event(m)?,
         "Order" => request_event(m)?,
-        "Accepted" => w::Event::Begun {
+        "Accepted" => w::Event::StreamStarted {
             request: int(m, "request-id")?,
             attempt: int_or(m, "go", 0)? as u32,
         },
         "Resolved" => outcome_event(m)?,
-        "ClientLeft" => w::Event::Left {
+        "ClientLeft" => w::Event::ClientLeft {
             request: int(m, "request-id")?,
         },
         "Elapsed" => w::Event::Timer {
             tag: int(m, "ctx")?,
         },
-        "CheckResult" => w::Event::Probed {
+        "CheckResult" => w::Event::ProbeEnded {
             server: int(m, "store")?,
             outcome: outcome(m)?,
             took_us: int_or(m, "took-us", 0)?,
@@ -184,9 +184,9 @@
             fill: Some(f),
         } => json!({
             "event_type": "ReadThrough", "i": i, "request-id": request, "store": server,
-            "allow-for-us": timeout_us, "feeder": f.source, "tier-rank": f.keep, "how-old-us": f.max_age_us,
-            "how": u8::from(f.join) + 2 * u8::from(f.only_held) + 4 * u8::from(f.bypass_parent)
-                + 8 * u8::from(f.renew),
+            "allow-for-us": timeout_us, "feeder": f.source, "tier-rank": f.cache_rank, "how-old-us": f.max_age_us,
+            "how": u8::from(f.coalesce) + 2 * u8::from(f.only_if_cached) + 4 * u8::from(f.bypass_parent)
+                + 8 * u8::from(f.background_refresh),
         }),
         w::Action::Cancel { request, attempt } => {
             json!({"event_type": "Retract", "i": i, "request-id": request, "go": attempt})
--- a/tests/defences.rs
+++ b/tests/defences.rs
@@ -20,7 +20,7 @@
 fn a_cache_that_cannot_be_reached_comes_back_as_just_started() {
     let mut rig = Rig::new(
         Settings {
-            direct: false,
+            direct_to_upstream: false,
             ..settings()
         },
         fleet(),
@@ -89,7 +89,7 @@
 fn marks_that_would_leave_no_cache_are_passed_over() {
     let mut rig = Rig::new(
         Settings {
-            direct: false,
+            direct_to_upstream: false,
             ..settings()
         },
         fleet(),
@@ -133,7 +133,7 @@
     let s = rig.send("video", "/o/z");
     assert!(s.server == 11 || s.server == 12, "{s:?}");
     assert_eq!(
-        (s.fill.source, s.fill.keep, s.fill.join),
+        (s.fill.source, s.fill.cache_rank, s.fill.coalesce),
         (21, 0, false),
         "the parent fetches what it lacks"
     );
@@ -153,7 +153,7 @@
         .last()
         .expect("one");
     assert_eq!(last.fill.source, last.server, "only looked into");
-    assert!(last.fill.join, "a fill under way is waited for");
+    assert!(last.fill.coalesce, "a fill under way is waited for");
     let answer = rig.end(last.request, 0, last.server, Outcome::Miss);
     assert_eq!(
         answer,
@@ -272,7 +272,7 @@
     let mut rig = Rig::new(settings(), fleet());
     let s = rig.send("video", "/o/a");
     assert_eq!(
-        rig.handle(Event::Left { request: s.request }),
+        rig.handle(Event::ClientLeft { request: s.request }),
         vec![Action::Cancel {
             request: s.request,
             attempt: 0
@@ -289,7 +289,7 @@
 fn a_begun_stream_is_left_alone() {
     let mut rig = Rig::new(settings(), fleet());
     let s = rig.send("stream", "/o/a");
-    rig.handle(Event::Begun {
+    rig.handle(Event::StreamStarted {
         request: s.request,
         attempt: 0,
     });
@@ -364,7 +364,7 @@
         rig.tick();
         rig.now += 600 * MS;
         for s in &fills {
-            rig.handle(Event::Outcome {
+            rig.handle(Event::AttemptEnded {
                 request: s.request,
                 attempt: 0,
                 server: s.server,
@@ -376,7 +376,7 @@
                 } else {
                     Note::None
                 },
-                waited_us: 20 * MS,
+                first_byte_us: 20 * MS,
                 load: None,
             });
         }
@@ -409,25 +409,25 @@
 fn while_the_origin_is_late_few_requests_may_have_it_asked() {
     let mut rig = Rig::new(settings(), fleet());
     let mut next = 0;
-    let mut asking = |rig: &mut Rig, waited_us: Micros, note: Note| {
+    let mut asking = |rig: &mut Rig, first_byte_us: Micros, note: Note| {
         let count = (0..100).filter(|_| {
             next += 1;
             let s = rig.send("video", &format!("/o/{next}"));
             rig.now += 10 * MS;
-            rig.handle(Event::Outcome {
+            rig.handle(Event::AttemptEnded {
                 request: s.request,
                 attempt: 0,
                 server: s.server,
                 outcome: Outcome::Ok,
-                took_us: waited_us + 100 * MS,
+                took_us: first_byte_us + 100 * MS,
                 settled: true,
                 note,
-                waited_us,
+                first_byte_us,
                 load: None,
             });
             rig.tick();
             assert_ne!(s.fill.source, s.server);
-            !s.fill.only_held
+            !s.fill.only_if_cached
         });
         count.count()
     };
@@ -444,9 +444,9 @@
     );
     asking(&mut rig, 100 * MS, Note::FilledByOrigin);
     assert_eq!(asking(&mut rig, 100 * MS, Note::FilledByOrigin), 100);
-    let [little, much] = [600 * MS, 2 * S].map(|waited_us| {
+    let [little, much] = [600 * MS, 2 * S].map(|first_byte_us| {
         let mut rig = Rig::new(settings(), fleet());
-        asking(&mut rig, waited_us, Note::FilledByOrigin)
+        asking(&mut rig, first_byte_us, Note::FilledByOrigin)
     });
     assert!(
         much < little,
@@ -462,7 +462,7 @@
     ] {
         let mut rig = Rig::new(
             Settings {
-                direct: false,
+                direct_to_upstream: false,
                 ..settings()
             },
             fleet(),
@@ -569,7 +569,7 @@
         }
     }
     let held = (0..40)
-        .filter(|n| rig.send("video", &format!("/p/{n}")).fill.only_held)
+        .filter(|n| rig.send("video", &format!("/p/{n}")).fill.only_if_cached)
         .count();
     assert_eq!(
         held, 0,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -67,7 +67,7 @@
 fn an_unsafe_request_that_never_ran_may_be_resent() {
     let mut rig = Rig::new(
         Settings {
-            direct: false,
+            direct_to_upstream: false,
             ..settings()
         },
         fleet(),
@@ -93,10 +93,10 @@
 #[test]
 fn a_keyed_request_stays_in_the_group_that_drops_its_repeats() {
     let mut s = Settings {
-        direct: false,
+        direct_to_upstream: false,
         ..settings()
     };
-    s.classes[2].scope = DedupScope::Cell;
+    s.classes[2].dedup_scope = DedupScope::Cell;
     let mut rig = Rig::new(s, fleet());
     let first = rig.send("order", "/o/a");
     let again = sent(&rig.end(first.request, 0, first.server, Outcome::Error));
@@ -171,7 +171,7 @@
 fn a_cold_cache_gets_no_more_than_its_budget_in_a_window() {
     let cold = |routers| {
         let mut s = Settings {
-            direct: false,
+            direct_to_upstream: false,
             ..settings()
         };
         s.zones[1].routers = routers;
@@ -194,7 +194,7 @@
     servers[1].started = Some(T0);
     servers[0].weight = 1000.0;
     let s = Settings {
-        direct: false,
+        direct_to_upstream: false,
         ..settings()
     };
     let mut rig = Rig::new(s, servers);
@@ -378,7 +378,7 @@
         "0 would mean the default"
     );
     let mut s = settings();
-    s.rules.purge_done_us = 60 * S;
+    s.rules.purge_completion_us = 60 * S;
     let mut rig = Rig::new(s, fleet());
     rig.handle(Event::Purged {
         object: Some("/o/a".into()),
@@ -436,13 +436,16 @@
 #[test]
 fn what_waited_for_a_connection_begins_only_as_its_class_lets_it_by_then() {
     let mut s = settings();
-    s.classes[2].window_us = 350 * MS;
+    s.classes[2].dedup_window_us = 350 * MS;
     let mut rig = Rig::new(s, fleet());
     let first = rig.send("order", "/o/1");
-    assert_eq!(rig.router.begins(rig.now, first.request), Some(None));
+    assert_eq!(
+        rig.router.recheck_queued_attempt(rig.now, first.request),
+        Some(None)
+    );
     assert!(
         rig.router
-            .begins(rig.now + 600 * MS, first.request)
+            .recheck_queued_attempt(rig.now + 600 * MS, first.request)
             .is_some(),
         "nothing may have run yet"
     );
@@ -454,10 +457,11 @@
     );
     assert!(rig
         .router
-        .begins(rig.now + 40 * MS, first.request)
+        .recheck_queued_attempt(rig.now + 40 * MS, first.request)
         .is_some());
     assert_eq!(
-        rig.router.begins(rig.now + 50 * MS, first.request),
+        rig.router
+            .recheck_queued_attempt(rig.now + 50 * MS, first.request),
         None,
         "the window is over"
     );
@@ -476,13 +480,17 @@
     };
     rig.handle(purge);
     assert_eq!(
-        rig.router.begins(rig.now + 90 * MS, read.request),
+        rig.router
+            .recheck_queued_attempt(rig.now + 90 * MS, read.request),
         Some(Some(100 * MS))
     );
-    rig.handle(Event::Left {
+    rig.handle(Event::ClientLeft {
         request: read.request,
     });
-    assert_eq!(rig.router.begins(rig.now, read.request), None);
+    assert_eq!(
+        rig.router.recheck_queued_attempt(rig.now, read.request),
+        None
+    );
 }
 
 /// A connection that did not come up says that nothing ran, and nothing of a process that has started anew.
@@ -491,7 +499,7 @@
     for (outcome, cold) in [(Outcome::Unreached, false), (Outcome::ConnectFailed, true)] {
         let mut rig = Rig::new(
             Settings {
-                direct: false,
+                direct_to_upstream: false,
                 ..settings()
             },
             fleet(),
@@ -500,7 +508,7 @@
         let again = sent(&rig.end(first.request, 0, first.server, outcome)).expect("elsewhere");
         assert_ne!(again.server, first.server);
         rig.end(again.request, 1, again.server, Outcome::Ok);
-        assert_eq!(rig.router.cold_use(rig.now, false), None);
+        assert_eq!(rig.router.max_slow_start_usage(rig.now, false), None);
         // Once its mark is over it is tried again, and answers.
         rig.now += 5 * S;
         let back = (0..200)
@@ -509,7 +517,7 @@
         let back = back.expect("tried again");
         rig.end(back.request, 0, back.server, Outcome::Ok);
         assert_eq!(
-            rig.router.cold_use(rig.now, false).is_some(),
+            rig.router.max_slow_start_usage(rig.now, false).is_some(),
             cold,
             "{outcome:?}"
         );
