--- a/budgets/tests/fleet.rs
+++ b/budgets/tests/fleet.rs
@@ -41,7 +41,7 @@
 fn unsettled(spent: &[(Amount, Micros)], now: Micros) -> Amount {
     spent
         .iter()
-        .filter(|(_, until)| *until > now)
+        .filter(|(_, settled_at)| *settled_at > now)
         .map(|(amount, _)| amount)
         .sum()
 }
@@ -143,8 +143,8 @@
         for (spent, spec) in node.spent.iter_mut().zip(&self.specs) {
             let mut reserved = spec.reserved;
             for (amount, _) in spent.iter_mut() {
-                let less = reserved.min(*amount);
-                (*amount, reserved) = (*amount - less, reserved - less);
+                let settled = reserved.min(*amount);
+                (*amount, reserved) = (*amount - settled, reserved - settled);
             }
         }
         node.earlier_spent
@@ -215,7 +215,7 @@
                         0
                     };
                 let node = &mut self.nodes[n];
-                node.spent[budget].retain(|(_, until)| *until > now);
+                node.spent[budget].retain(|(_, settled_at)| *settled_at > now);
                 node.spent[budget].push((amount, now + duration_us));
             }
         }
--- a/budgets/tests/model.rs
+++ b/budgets/tests/model.rs
@@ -292,7 +292,7 @@
 
 const SAFETY_PROPERTIES: [&str; 2] = ["leases never exceed the limit", "at most one member leads"];
 
-fn discoveries<C: Checker<LeaseModel>>(name: &str, checker: &C) -> Vec<&'static str> {
+fn report_discoveries<C: Checker<LeaseModel>>(name: &str, checker: &C) -> Vec<&'static str> {
     let (unique, all) = (checker.unique_state_count(), checker.state_count());
     println!(
         "{name}: {unique} unique of {all} states, depth {}",
@@ -314,7 +314,7 @@
         .finish_when(HasDiscoveries::AnyFailures)
         .spawn_simulation(7, UniformChooser)
         .join();
-    discoveries(&format!("{planted_bug:?}, random walks"), &checker)
+    report_discoveries(&format!("{planted_bug:?}, random walks"), &checker)
 }
 
 #[test]
@@ -330,7 +330,7 @@
         .finish_when(HasDiscoveries::AnyFailures)
         .spawn_bfs()
         .join();
-    let discoveries = discoveries("breadth-first search", &checker);
+    let discoveries = report_discoveries("breadth-first search", &checker);
     assert!(
         !discoveries
             .iter()
--- a/membership/src/swim/probes.rs
+++ b/membership/src/swim/probes.rs
@@ -77,12 +77,12 @@
     fn send_discovery_pings(&mut self) {
         let is_unknown =
             |membership: &Self, peer: &PeerIndex| membership.members[*peer].claim.is_none();
-        let is_first_time = !self.undiscovered.is_empty();
-        if !is_first_time {
+        let is_first_pass = !self.undiscovered.is_empty();
+        if !is_first_pass {
             let all = 0..self.members.len();
             self.undiscovered = all.filter(|peer| is_unknown(self, peer)).collect();
         }
-        let max_pings = if is_first_time {
+        let max_pings = if is_first_pass {
             self.options.discovery_pings_per_period
         } else {
             1
--- a/origin-health/src/lib.rs
+++ b/origin-health/src/lib.rs
@@ -47,7 +47,11 @@
 impl ZonePosition {
     /// Returns the zone of a proxy with these settings.
     pub fn of(settings: &Settings) -> Self {
-        let zones = settings.zones.iter().filter(|z| z.routers > 0).count();
+        let zones = settings
+            .zones
+            .iter()
+            .filter(|zone| zone.routers > 0)
+            .count();
         let saturated = |n: usize| u16::try_from(n).unwrap_or(u16::MAX);
         ZonePosition {
             zone: saturated(settings.zone),
@@ -101,7 +105,7 @@
 /// The state of one proxy: the reports that it has received from its peers, and its own latest report.
 #[derive(Clone, Debug)]
 pub struct OriginHealth {
-    own: ZonePosition,
+    own_zone: ZonePosition,
     started_at: Micros,
     /// The number of the latest report sent.
     last_number: u32,
@@ -114,9 +118,9 @@
 impl OriginHealth {
     /// Creates the state of a proxy. `started_at` is the Unix time of its start, which distinguishes its reports from
     /// those of an earlier process at the same address.
-    pub fn new(own: ZonePosition, started_at: Micros) -> Self {
+    pub fn new(own_zone: ZonePosition, started_at: Micros) -> Self {
         OriginHealth {
-            own,
+            own_zone,
             started_at,
             last_number: 0,
             sent_at: None,
@@ -139,26 +143,26 @@
 
     fn receive_report(&mut self, now: Micros, from: SocketAddr, report: Report) {
         // If the sender's clock was set back, its new process reports an earlier start time than the previous one.
-        let has_restarted = |last: &PeerReport| {
-            last.report.started_at != report.started_at
-                && now >= last.received_at + REPORT_LIFETIME_US
+        let has_restarted = |latest: &PeerReport| {
+            latest.report.started_at != report.started_at
+                && now >= latest.received_at + REPORT_LIFETIME_US
         };
         let is_newer =
-            |last: &PeerReport| report.is_newer_than(&last.report) || has_restarted(last);
+            |latest: &PeerReport| report.is_newer_than(&latest.report) || has_restarted(latest);
         if self
             .latest_reports
             .get(&from)
-            .is_some_and(|last| !is_newer(last))
+            .is_some_and(|latest| !is_newer(latest))
         {
             self.counters.stale += 1;
             return;
         }
         self.counters.received += 1;
-        let last = PeerReport {
+        let latest = PeerReport {
             report,
             received_at: now,
         };
-        self.latest_reports.insert(from, last);
+        self.latest_reports.insert(from, latest);
     }
 
     /// Drops the reports of all senders that are no longer peers.
@@ -170,20 +174,20 @@
     /// mean over all zones, each by its latest report. Returns `None` if no report counts.
     pub fn origin_share(&self, now: Micros) -> Option<OriginShare> {
         let mut zones: BTreeMap<u16, &PeerReport> = BTreeMap::new();
-        for last in self.valid_reports(now) {
-            let latest = zones.entry(last.report.zone).or_insert(last);
-            if last.received_at > latest.received_at {
-                *latest = last;
+        for received in self.valid_reports(now) {
+            let latest = zones.entry(received.report.zone).or_insert(received);
+            if received.received_at > latest.received_at {
+                *latest = received;
             }
         }
-        let last_received_at = zones.values().map(|last| last.received_at).max()?;
+        let last_received_at = zones.values().map(|latest| latest.received_at).max()?;
         let missing: f64 = zones
             .values()
-            .map(|last| 1.0 - last.report.origin_share)
+            .map(|latest| 1.0 - latest.report.origin_share)
             .sum();
         // The lower bound is needed because a sender may name a zone that does not exist.
         Some(OriginShare {
-            share: (1.0 - missing / f64::from(self.own.zones)).max(0.0),
+            share: (1.0 - missing / f64::from(self.own_zone.zones)).max(0.0),
             until: last_received_at + REPORT_LIFETIME_US,
         })
     }
@@ -196,15 +200,15 @@
         now: Micros,
         origin_share: f64,
     ) -> Option<[u8; REPORT_BYTES]> {
-        let next_at = self.sent_at.map_or(0, |at| at + MIN_REPORT_INTERVAL_US);
-        if origin_share > MAX_REPORTED_SHARE || now < next_at {
+        let next_report_at = self.sent_at.map_or(0, |at| at + MIN_REPORT_INTERVAL_US);
+        if origin_share > MAX_REPORTED_SHARE || now < next_report_at {
             return None;
         }
-        let zone = self.own.zone;
-        let is_of_zone = |last: &PeerReport| {
-            last.report.zone == zone && last.report.origin_share <= MAX_REPORTED_SHARE
+        let zone = self.own_zone.zone;
+        let is_of_own_zone = |latest: &PeerReport| {
+            latest.report.zone == zone && latest.report.origin_share <= MAX_REPORTED_SHARE
         };
-        if self.valid_reports(now).any(is_of_zone) {
+        if self.valid_reports(now).any(is_of_own_zone) {
             self.counters.suppressed += 1;
             return None;
         }
@@ -229,6 +233,6 @@
     fn valid_reports(&self, now: Micros) -> impl Iterator<Item = &PeerReport> {
         self.latest_reports
             .values()
-            .filter(move |last| now < last.received_at + REPORT_LIFETIME_US)
+            .filter(move |latest| now < latest.received_at + REPORT_LIFETIME_US)
     }
 }
--- a/simnet/src/network.rs
+++ b/simnet/src/network.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 
 /// The initial time of a network.
-const START: Micros = 1_000_000;
+const START_US: Micros = 1_000_000;
 /// The number of percent in a whole, from which random shares are drawn.
 const PERCENT: u64 = 100;
 
@@ -71,7 +71,7 @@
     /// Creates a network without faults.
     pub fn new(seed: u64, delay: Delay) -> Self {
         Network {
-            now: START,
+            now: START_US,
             loss_percent: 0,
             duplicate_percent: 0,
             delay,
