--- a/budgets/src/election.rs
+++ b/budgets/src/election.rs
@@ -202,8 +202,8 @@
         }
     }
 
-    /// Records a refused vote. If more than half of the members have named the same leader, this member takes
-    /// it for the allocator.
+    /// Records a refused vote. If more than half of the members have named the same leader, this member
+    /// treats it as the allocator.
     fn receive_refusal(&mut self, now: Micros, voter: MemberIndex, leader: MemberIndex) {
         let known = KnownLeader {
             member: leader,
--- a/budgets/src/fair_share.rs
+++ b/budgets/src/fair_share.rs
@@ -1,5 +1,5 @@
-//! The fair share of each holder (max-min fairness). No holder receives more than its demand, the amount that holders
-//! with a small demand leave is divided equally among the others, and a part is reserved for new holders.
+//! The fair share of each holder, by max-min fairness. Small demands are met in full, and the rest is divided equally
+//! among the holders with larger demands. A part is reserved for new holders.
 
 use crate::{Amount, MemberIndex, Micros};
 use std::collections::BTreeMap;
@@ -7,7 +7,7 @@
 #[cfg(test)]
 mod tests;
 
-/// The fraction of the leasable amount that is reserved for new holders is one divided by this.
+/// The amount that is reserved for new holders is the leasable amount divided by this.
 const NEWCOMER_DIVISOR: Amount = 25;
 
 /// A holder's demand and the time at which it was received.
--- a/budgets/src/kinds.rs
+++ b/budgets/src/kinds.rs
@@ -7,7 +7,7 @@
 const DEMAND_FACTOR: Amount = 2;
 /// The number of requests that are demanded in addition.
 const SPARE_REQUESTS: Amount = 4;
-/// The fraction of a server's capacity that is demanded in addition is one divided by this.
+/// The amount that is demanded in addition is a server's capacity divided by this.
 const SPARE_DIVISOR: Amount = 10;
 
 /// The unit of an amount.
--- a/budgets/src/lib.rs
+++ b/budgets/src/lib.rs
@@ -7,7 +7,7 @@
 //!
 //! # Safety
 //!
-//! A member votes for one allocator at a time, for a fixed duration by its own clock. After it starts it gives no vote
+//! A member votes for one allocator at a time, for a fixed duration by its own clock. After it starts it casts no vote
 //! for that duration, because an earlier process of it may have voted. An allocator grants leases only while more than
 //! half of all configured members vote for it, and none of its leases outlives those votes. Any two majorities share a
 //! member, so all leases of one allocator have expired before the next allocator is elected. This holds through
@@ -18,8 +18,8 @@
 //! Spent amounts may occupy the resource for a while, such as a request in flight at the origin, or work that a cache
 //! in slow start has not finished yet. This is the settling time. An allocator counts a lease as granted until the
 //! settling time after its end is over, and the allocator's votes must last as long. Each lease request states how much
-//! of the holder's spending is unsettled and which lease is in force, so that the amount that a holder gives up is
-//! available to others at once.
+//! of the holder's spending is unsettled and which lease is in force, so that an amount that a holder releases
+//! is available to others at once.
 //!
 //! # Modules
 //!
--- a/budgets/src/member.rs
+++ b/budgets/src/member.rs
@@ -162,7 +162,7 @@
         Ok(())
     }
 
-    /// Returns the amount of a budget that this member may currently spend. Callers must check it before each spending.
+    /// Returns the lease of a budget that is in force. Callers must check it whenever they spend.
     pub fn lease(&self, now: Micros, budget: usize) -> Lease {
         let none = Lease {
             amount: 0,
@@ -205,7 +205,7 @@
         self.budgets.get(budget).map(|budget| budget.holding.spec)
     }
 
-    /// Returns the grants of a budget by this member that may still be spent or unsettled, by holder.
+    /// Returns the outstanding grants of a budget by this member.
     pub fn outstanding_grants(&self, budget: usize) -> Vec<OutstandingGrant> {
         self.budgets
             .get(budget)
--- a/budgets/src/vote.rs
+++ b/budgets/src/vote.rs
@@ -1,4 +1,4 @@
-//! The vote that a member gives, and the votes that a candidate receives.
+//! The vote that a member casts, and the votes that a candidate receives.
 
 use crate::{MemberIndex, MemberProcess, Micros};
 use std::collections::BTreeMap;
--- a/origin-health/src/lib.rs
+++ b/origin-health/src/lib.rs
@@ -16,8 +16,8 @@
 //!   older one, is dropped.
 //! - Reports are never forwarded. A proxy only reports responses that it received itself, so reports can't reinforce
 //!   each other.
-//! - A proxy sends at most one report in [`MIN_REPORT_INTERVAL_US`], and none while a fresh report of another proxy in
-//!   its zone counts. The number of datagrams therefore grows with the number of zones times the number of proxies, not
+//! - A proxy sends at most one report in [`MIN_REPORT_INTERVAL_US`], and none while a report of another proxy in its
+//!   zone counts. The number of datagrams therefore grows with the number of zones times the number of proxies, not
 //!   with the square of the number of proxies.
 
 mod report;
@@ -74,7 +74,7 @@
 pub struct Counters {
     /// Reports sent, each to all peers.
     pub sent: u64,
-    /// Reports not sent because a fresh report of another proxy in the zone counted.
+    /// Reports not sent because a report of another proxy in the zone still counted.
     pub suppressed: u64,
     /// Reports received and used.
     pub received: u64,
--- a/simnet/src/links.rs
+++ b/simnet/src/links.rs
@@ -4,7 +4,6 @@
 use crate::Micros;
 use linnetknot_datagram::Random;
 
-/// The parts in a whole, from which random shares are drawn.
 const MILLION: u64 = 1_000_000;
 
 /// Datagrams that are sent within one such interval get the same jitter, so that they stay in order.
--- a/simnet/src/network.rs
+++ b/simnet/src/network.rs
@@ -6,7 +6,6 @@
 
 /// The initial time of a network.
 const START_US: Micros = 1_000_000;
-/// The number of percent in a whole, from which random shares are drawn.
 const PERCENT: u64 = 100;
 
 /// The delay of datagrams on each link.
