--- a/daemon/src/daemon/commits/operators.rs
+++ b/daemon/src/daemon/commits/operators.rs
@@ -219,8 +219,8 @@
             Subject::Drain => self.ops.set_out_of_service(now, !revoked),
             Subject::Object(_)
             | Subject::Group(_)
-            | Subject::Status { .. }
-            | Subject::Gone { .. } => None,
+            | Subject::TriggerStatusPart { .. }
+            | Subject::TriggerDeleted { .. } => None,
         };
         let Some(effect) = effect else {
             return false;
--- a/daemon/src/daemon/commits/triggers.rs
+++ b/daemon/src/daemon/commits/triggers.rs
@@ -10,11 +10,11 @@
 /// Returns the trigger that an entry is about, if it is about one.
 fn trigger_name(entry: &Entry) -> Option<TriggerId> {
     match entry.subject {
-        Subject::Status { number, .. } => Some(TriggerId {
+        Subject::TriggerStatusPart { number, .. } => Some(TriggerId {
             writer: entry.log.writer,
             number,
         }),
-        Subject::Gone { writer, number } => Some(TriggerId { writer, number }),
+        Subject::TriggerDeleted { writer, number } => Some(TriggerId { writer, number }),
         Subject::Object(_) | Subject::Group(_) | Subject::Ban(_) | Subject::Drain => None,
     }
 }
@@ -47,7 +47,7 @@
         let Some(ledger) = &mut self.ledger else {
             return Ok(None);
         };
-        let entry = ledger.append(Subject::Gone { writer, number }, now, false)?;
+        let entry = ledger.append(Subject::TriggerDeleted { writer, number }, now, false)?;
         let index = entry.index;
         self.send_entry(entry);
         Ok(Some(index))
--- a/daemon/src/ledger/append.rs
+++ b/daemon/src/ledger/append.rs
@@ -46,7 +46,7 @@
         }
         let pieces = pieces(text).filter(|pieces| pieces.len() <= self.capacity());
         let pieces = pieces.ok_or(AppendError::StatusTooLong)?;
-        let append = |(part, text)| self.append(Subject::Status { number, part, text }, at, false);
+        let append = |(part, text)| self.append(Subject::TriggerStatusPart { number, part, text }, at, false);
         pieces.into_iter().map(append).collect()
     }
 
--- a/daemon/src/ledger/codec.rs
+++ b/daemon/src/ledger/codec.rs
@@ -41,12 +41,12 @@
             key.extend(id.as_bytes());
         }
         Subject::Drain => key.push(DRAIN),
-        Subject::Status { number, part, .. } => {
+        Subject::TriggerStatusPart { number, part, .. } => {
             key.push(STATUS);
             key.extend(number.to_be_bytes());
             key.extend(part.to_be_bytes());
         }
-        Subject::Gone { writer, number } => {
+        Subject::TriggerDeleted { writer, number } => {
             key.push(GONE);
             key.extend(writer.to_be_bytes());
             key.extend(number.to_be_bytes());
@@ -59,7 +59,7 @@
 fn value(entry: &Entry) -> Vec<u8> {
     let mut value = [entry.index.to_be_bytes(), entry.at.to_be_bytes()].concat();
     match &entry.subject {
-        Subject::Status { text, .. } => value.extend(text.as_bytes()),
+        Subject::TriggerStatusPart { text, .. } => value.extend(text.as_bytes()),
         _ => value.extend(entry.revoked.then_some(1)),
     }
     value
@@ -104,13 +104,13 @@
         STATUS => {
             let part = u16::from_be_bytes(name.get(8..)?.try_into().ok()?);
             let text = String::from_utf8(value.get(VALUE_BYTES..)?.to_vec()).ok()?;
-            Subject::Status {
+            Subject::TriggerStatusPart {
                 number: number(name.get(..8)?)?,
                 part,
                 text,
             }
         }
-        GONE => Subject::Gone {
+        GONE => Subject::TriggerDeleted {
             writer: number(name.get(..8)?)?,
             number: number(name.get(8..)?)?,
         },
--- a/daemon/tests/ledger_stored_form.rs
+++ b/daemon/tests/ledger_stored_form.rs
@@ -54,7 +54,7 @@
         .unwrap();
     ledger.append(Subject::Drain, 8, true).unwrap();
     ledger.append_status(9, "{}", 9).unwrap();
-    let gone = Subject::Gone {
+    let gone = Subject::TriggerDeleted {
         writer: 2,
         number: 3,
     };
--- a/daemon/tests/stored_forms.rs
+++ b/daemon/tests/stored_forms.rs
@@ -169,7 +169,7 @@
                 .unwrap();
         }
         let is_of_status =
-            |e: &&Entry| matches!(e.subject, Subject::Status { number: of, .. } if of == number);
+            |e: &&Entry| matches!(e.subject, Subject::TriggerStatusPart { number: of, .. } if of == number);
         let told_at = entries.iter().find(is_of_status).unwrap().at;
         running.ledger.append_status(number, text, told_at).unwrap();
         running.settle(now);
--- a/replication/src/entry.rs
+++ b/replication/src/entry.rs
@@ -50,7 +50,7 @@
     /// An operator's drain of the proxy.
     Drain,
     /// One of the pieces into which the status of a trigger is cut ([`crate::pieces`]). It never changes.
-    Status {
+    TriggerStatusPart {
         /// The trigger's number, which is unique for its writer.
         number: u64,
         /// The number of the piece, from 0.
@@ -59,7 +59,7 @@
         text: String,
     },
     /// A peer CDN has deleted a trigger, whose status another proxy may have written.
-    Gone {
+    TriggerDeleted {
         /// The writer of the trigger's status.
         writer: Writer,
         /// The trigger's number.
@@ -70,7 +70,7 @@
 impl Subject {
     /// Returns whether entries on this subject expire.
     pub fn is_expiring(&self) -> bool {
-        matches!(self, Subject::Status { .. } | Subject::Gone { .. })
+        matches!(self, Subject::TriggerStatusPart { .. } | Subject::TriggerDeleted { .. })
     }
 
     /// Returns the key of the purge in a compact table; `None` if this is no purge.
@@ -78,7 +78,7 @@
         match self {
             Subject::Object(object) => Some(KeyHash::of_object(object)),
             Subject::Group(group) => Some(KeyHash::of_group(*group)),
-            Subject::Ban(_) | Subject::Drain | Subject::Status { .. } | Subject::Gone { .. } => {
+            Subject::Ban(_) | Subject::Drain | Subject::TriggerStatusPart { .. } | Subject::TriggerDeleted { .. } => {
                 None
             }
         }
--- a/replication/src/log_store/statuses.rs
+++ b/replication/src/log_store/statuses.rs
@@ -39,7 +39,7 @@
     ///
     /// The deletion of a trigger is stored twice as long, for as long as any proxy may still have the status.
     pub fn expire(&mut self, now: Micros, keep: Micros) -> Vec<Entry> {
-        let first = SubjectKey::first(Subject::Status {
+        let first = SubjectKey::first(Subject::TriggerStatusPart {
             number: 0,
             part: 0,
             text: String::new(),
@@ -67,10 +67,10 @@
     /// Returns the status of a trigger as far as its pieces are stored without a gap; `None` if there is none, or the
     /// trigger was deleted. Whether the text is complete must follow from the text itself.
     pub fn status(&self, writer: Writer, number: u64) -> Option<String> {
-        if self.latest(&Subject::Gone { writer, number }).is_some() {
+        if self.latest(&Subject::TriggerDeleted { writer, number }).is_some() {
             return None;
         }
-        let first = SubjectKey::first(Subject::Status {
+        let first = SubjectKey::first(Subject::TriggerStatusPart {
             number,
             part: 0,
             text: String::new(),
@@ -78,7 +78,7 @@
         let mut epochs = BTreeMap::<Epoch, Vec<&str>>::new();
         for (key, _) in self.latest.range(first..) {
             match &key.subject {
-                Subject::Status {
+                Subject::TriggerStatusPart {
                     number: n,
                     part,
                     text,
@@ -98,14 +98,14 @@
 
     /// Returns the greatest number of a writer's triggers that is stored or known to be deleted.
     pub fn last_trigger(&self, writer: Writer) -> Option<u64> {
-        let first = SubjectKey::first(Subject::Status {
+        let first = SubjectKey::first(Subject::TriggerStatusPart {
             number: 0,
             part: 0,
             text: String::new(),
         });
         let number = |key: &SubjectKey| match key.subject {
-            Subject::Status { number, .. } if key.log.writer == writer => Some(number),
-            Subject::Gone { writer: of, number } if of == writer => Some(number),
+            Subject::TriggerStatusPart { number, .. } if key.log.writer == writer => Some(number),
+            Subject::TriggerDeleted { writer: of, number } if of == writer => Some(number),
             _ => None,
         };
         self.latest
@@ -116,13 +116,13 @@
 
     /// Returns the triggers of which at least a part of a status is stored.
     pub fn triggers(&self) -> BTreeSet<(Writer, u64)> {
-        let first = SubjectKey::first(Subject::Status {
+        let first = SubjectKey::first(Subject::TriggerStatusPart {
             number: 0,
             part: 0,
             text: String::new(),
         });
         let number = |(key, _): (&SubjectKey, &Index)| match key.subject {
-            Subject::Status { number, .. } => Some((key.log.writer, number)),
+            Subject::TriggerStatusPart { number, .. } => Some((key.log.writer, number)),
             _ => None,
         };
         self.latest.range(first..).map_while(number).collect()
@@ -131,7 +131,7 @@
 
 /// Returns whether a record has expired that is stored for `keep`.
 fn is_over(record: &Record, first_seen: Option<Micros>, now: Micros, keep: Micros) -> bool {
-    let keep = if matches!(record.subject, Subject::Gone { .. }) {
+    let keep = if matches!(record.subject, Subject::TriggerDeleted { .. }) {
         2 * keep
     } else {
         keep
--- a/replication/src/snapshot/encoding.rs
+++ b/replication/src/snapshot/encoding.rs
@@ -51,8 +51,8 @@
     let body = match subject {
         Subject::Ban(id) => id.len(),
         Subject::Drain => 0,
-        Subject::Status { text, .. } => 8 + 2 + text.len(),
-        Subject::Gone { .. } => 16,
+        Subject::TriggerStatusPart { text, .. } => 8 + 2 + text.len(),
+        Subject::TriggerDeleted { .. } => 16,
         Subject::Object(_) | Subject::Group(_) => return None,
     };
     // Its kind and its length.
@@ -139,13 +139,13 @@
             b'b'
         }
         Subject::Drain => b'd',
-        Subject::Status { number, part, text } => {
+        Subject::TriggerStatusPart { number, part, text } => {
             body.extend(number.to_be_bytes());
             body.extend(part.to_be_bytes());
             body.extend(text.as_bytes());
             b's'
         }
-        Subject::Gone { writer, number } => {
+        Subject::TriggerDeleted { writer, number } => {
             body.extend(writer.to_be_bytes());
             body.extend(number.to_be_bytes());
             b'x'
@@ -333,13 +333,13 @@
             b's' => {
                 let number = self.number()?;
                 let part = u16::from_be_bytes(self.take(2)?.try_into().ok()?);
-                Some(Subject::Status {
+                Some(Subject::TriggerStatusPart {
                     number,
                     part,
                     text: self.text()?,
                 })
             }
-            b'x' => Some(Subject::Gone {
+            b'x' => Some(Subject::TriggerDeleted {
                 writer: self.number()?,
                 number: self.number()?,
             }),
--- a/replication/src/wire.rs
+++ b/replication/src/wire.rs
@@ -207,11 +207,11 @@
         (Subject::Ban(id), false) => ("ban", id.clone()),
         (Subject::Ban(id), true) => ("unban", id.clone()),
         (Subject::Drain, revoked) => ("drain", if revoked { "over" } else { "on" }.to_owned()),
-        (Subject::Status { number, part, text }, _) => (
+        (Subject::TriggerStatusPart { number, part, text }, _) => (
             "status",
             format!("{number:x}.{part:x}.{}", status::escape(text)),
         ),
-        (Subject::Gone { writer, number }, _) => ("gone", format!("{writer:x}.{number:x}")),
+        (Subject::TriggerDeleted { writer, number }, _) => ("gone", format!("{writer:x}.{number:x}")),
     };
     let LogId { writer, epoch } = entry.log;
     let Entry {
@@ -327,7 +327,7 @@
             let (trigger, part) = (number(parts.next()?)?, number(parts.next()?)?);
             let text = status::unescape(parts.next()?)?;
             Some((
-                Subject::Status {
+                Subject::TriggerStatusPart {
                     number: trigger,
                     part: u16::try_from(part).ok()?,
                     text,
@@ -338,7 +338,7 @@
         ("gone", body) => {
             let (writer, trigger) = body.split_once('.')?;
             Some((
-                Subject::Gone {
+                Subject::TriggerDeleted {
                     writer: number(writer)?,
                     number: number(trigger)?,
                 },
--- a/replication/tests/compaction/main.rs
+++ b/replication/tests/compaction/main.rs
@@ -218,7 +218,7 @@
 #[test]
 fn what_operators_decided_and_statuses_come_with_a_snapshot() {
     let mut fleet = Fleet::new(3, 2, 100, 9);
-    let piece = |part, text: &str| Subject::Status {
+    let piece = |part, text: &str| Subject::TriggerStatusPart {
         number: 77,
         part,
         text: text.to_owned(),
@@ -230,7 +230,7 @@
     fleet.append(0, piece(1, "b"), false);
     fleet.append(
         1,
-        Subject::Gone {
+        Subject::TriggerDeleted {
             writer: 5,
             number: 6,
         },
@@ -251,7 +251,7 @@
         Some(format!("{}b", "a".repeat(112)))
     );
     assert!(store
-        .latest(&Subject::Gone {
+        .latest(&Subject::TriggerDeleted {
             writer: 5,
             number: 6
         })
--- a/replication/tests/fleet.rs
+++ b/replication/tests/fleet.rs
@@ -959,8 +959,8 @@
         let position = |(writer, epoch, index)| LogPosition { log: LogId::new(writer, epoch), index };
         let positions: Vec<LogPosition> = positions.into_iter().map(position).collect();
         let text = format!("{{\"a b\": \"{at}%\"}}");
-        let status = Subject::Status { number: group, part: (sum % 70_000) as u16, text };
-        let gone = Subject::Gone { writer: sum, number: group };
+        let status = Subject::TriggerStatusPart { number: group, part: (sum % 70_000) as u16, text };
+        let gone = Subject::TriggerDeleted { writer: sum, number: group };
         let ban = Subject::Ban(format!("pc-{group:x}"));
         let subjects = [Subject::Group(group), ban, Subject::Drain, object(group), status, gone];
         let revoked = matches!(group % 6, 1 | 2) && group % 12 > 5;
--- a/replication/tests/statuses.rs
+++ b/replication/tests/statuses.rs
@@ -27,7 +27,7 @@
 }
 
 fn piece(number: u64, part: u16, text: &str) -> Subject {
-    Subject::Status {
+    Subject::TriggerStatusPart {
         number,
         part,
         text: text.to_owned(),
@@ -54,7 +54,7 @@
     append(
         &mut log_store,
         LogId::new(2, 9),
-        Subject::Gone {
+        Subject::TriggerDeleted {
             writer: 1,
             number: 5,
         },
@@ -113,7 +113,7 @@
     let mut log_store = LogStore::default();
     append(&mut log_store, OWN, piece(5, 0, "x"), 10).unwrap();
     append(&mut log_store, OWN, piece(6, 0, "y"), 10).unwrap();
-    let gone = Subject::Gone {
+    let gone = Subject::TriggerDeleted {
         writer: 1,
         number: 5,
     };
@@ -189,7 +189,7 @@
         );
         for (part, text) in cut {
             // All numbers as long as they can be.
-            let subject = Subject::Status {
+            let subject = Subject::TriggerStatusPart {
                 number: u64::MAX,
                 part: u16::MAX - part,
                 text,
@@ -228,7 +228,7 @@
     let mut log_store = LogStore::default();
     assert_eq!(log_store.last_trigger(1), None);
     append(&mut log_store, OWN, piece(5, 0, "x"), 10).unwrap();
-    let gone = Subject::Gone {
+    let gone = Subject::TriggerDeleted {
         writer: 1,
         number: 5,
     };
--- a/replication/tests/wire.rs
+++ b/replication/tests/wire.rs
@@ -21,7 +21,7 @@
 
 #[test]
 fn datagrams_of_released_versions_stay_byte_for_byte() {
-    let status = Subject::Status {
+    let status = Subject::TriggerStatusPart {
         number: 0x4d,
         part: 3,
         text: "{\"a b\": 50%}".into(),
@@ -60,7 +60,7 @@
         ),
         (
             entry(
-                Subject::Gone {
+                Subject::TriggerDeleted {
                     writer: 9,
                     number: 0x4d,
                 },
@@ -258,12 +258,12 @@
     let subject = match kind % 4 {
         0 => Subject::Ban(format!("pc-{text}")),
         1 => Subject::Drain,
-        2 => Subject::Status {
+        2 => Subject::TriggerStatusPart {
             number: n,
             part: n as u16,
             text,
         },
-        _ => Subject::Gone {
+        _ => Subject::TriggerDeleted {
             writer: n,
             number: !n,
         },
