--- a/daemon/src/ledger/append.rs
+++ b/daemon/src/ledger/append.rs
@@ -2,7 +2,7 @@
 
 use super::{purge_subject, AppendError, Ledger, TriggerStatus};
 use linnetknot::Micros;
-use linnetknot_replication::{pieces, Entry, Subject};
+use linnetknot_replication::{split_status, Entry, Subject};
 
 impl Ledger {
     /// Appends a purge and submits its write. Returns the entry, which is to be sent to the peers.
@@ -44,7 +44,7 @@
         if !self.has_store() {
             return Err(AppendError::NoStore);
         }
-        let pieces = pieces(text).filter(|pieces| pieces.len() <= self.capacity());
+        let pieces = split_status(text).filter(|pieces| pieces.len() <= self.capacity());
         let pieces = pieces.ok_or(AppendError::StatusTooLong)?;
         let append = |(part, text)| self.append(Subject::TriggerStatusPart { number, part, text }, at, false);
         pieces.into_iter().map(append).collect()
--- a/replication/src/entry.rs
+++ b/replication/src/entry.rs
@@ -49,7 +49,7 @@
     Ban(String),
     /// An operator's drain of the proxy.
     Drain,
-    /// One of the pieces into which the status of a trigger is cut ([`crate::pieces`]). It never changes.
+    /// One of the pieces into which the status of a trigger is cut ([`crate::split_status`]). It never changes.
     TriggerStatusPart {
         /// The trigger's number, which is unique for its writer.
         number: u64,
--- a/replication/src/lib.rs
+++ b/replication/src/lib.rs
@@ -55,5 +55,5 @@
 pub use snapshot::{
     SnapshotChunk, SnapshotContent, SnapshotCursor, SnapshotOffer, SnapshotRequest,
 };
-pub use status::pieces;
+pub use status::split_status;
 pub use wire::Datagram;
--- a/replication/src/status.rs
+++ b/replication/src/status.rs
@@ -36,7 +36,7 @@
 }
 
 /// Cuts a text into numbered pieces that each fit into a datagram; `None` if there would be more than can be numbered.
-pub fn pieces(text: &str) -> Option<Vec<(u16, String)>> {
+pub fn split_status(text: &str) -> Option<Vec<(u16, String)>> {
     let mut pieces = vec![String::new()];
     let mut piece_bytes = 0;
     for c in text.chars() {
--- a/replication/tests/statuses.rs
+++ b/replication/tests/statuses.rs
@@ -180,7 +180,7 @@
         " ".repeat(113),
         "x".repeat(112),
     ] {
-        let cut = pieces(&text).unwrap();
+        let cut = split_status(&text).unwrap();
         assert_eq!(
             cut.iter()
                 .map(|(_, piece)| piece.as_str())
@@ -207,7 +207,7 @@
             assert_eq!(Datagram::read(&bytes), Ok(Datagram::Entry(entry)));
         }
     }
-    assert_eq!(pieces("").unwrap(), [(0, String::new())]);
+    assert_eq!(split_status("").unwrap(), [(0, String::new())]);
     for torn in ["%", "%4", "%zz", "%+1", "a%\u{e9}", "%41", "\u{1}", "%2A"] {
         let datagram = format!("copies1 entry 1 1 0 1 1 status 1.0.{torn}");
         assert_eq!(
@@ -217,8 +217,8 @@
         );
     }
     assert!(
-        pieces(&"x".repeat(112 * 65_536)).is_some()
-            && pieces(&"x".repeat(112 * 65_536 + 1)).is_none()
+        split_status(&"x".repeat(112 * 65_536)).is_some()
+            && split_status(&"x".repeat(112 * 65_536 + 1)).is_none()
     );
 }
 
