--- a/daemon/src/daemon/commits/operators.rs
+++ b/daemon/src/daemon/commits/operators.rs
@@ -91,7 +91,7 @@
         };
         let last = self.ledger.as_ref().map_or(0, |ledger| {
             let replica = ledger.replica();
-            replica.log_store().last_index(replica.own())
+            replica.log_store().last_index(replica.own_log())
         });
         if appended.is_ok() && last == 0 {
             return Some(reply);
--- a/daemon/src/daemon/commits/triggers.rs
+++ b/daemon/src/daemon/commits/triggers.rs
@@ -83,7 +83,7 @@
             return;
         };
         let first = TriggerId {
-            writer: ledger.replica().own().writer,
+            writer: ledger.replica().own_log().writer,
             number: ledger.first_trigger_number(),
         };
         trigger_api.start_ids_at(first);
--- a/daemon/src/daemon/fleet_status.rs
+++ b/daemon/src/daemon/fleet_status.rs
@@ -11,7 +11,7 @@
     LogStatus {
         writer: format!("{:016x}", log.writer),
         life: format!("{:x}", log.epoch),
-        own: log.writer == replica.own().writer,
+        own: log.writer == replica.own_log().writer,
         end: index,
         on_disk: replica.durable_index(log),
     }
@@ -22,7 +22,7 @@
     pub(super) fn fleet_status(&self) -> Option<Status> {
         let copies = &self.config.copies;
         let replica = self.ledger.as_ref().filter(|_| copies.on)?.replica();
-        let own = replica.own();
+        let own = replica.own_log();
         let log_store = replica.log_store();
         let counters = replica.counters();
         let logs = log_store.last_indexes();
@@ -80,7 +80,7 @@
             (names.name.as_str(), names.machine.as_str())
         });
         let acked = replica.acked_by(peer);
-        let last_index = replica.log_store().last_index(replica.own());
+        let last_index = replica.log_store().last_index(replica.own_log());
         PeerStatus {
             address,
             machine: machine.to_owned(),
--- a/daemon/src/daemon/sources/peers.rs
+++ b/daemon/src/daemon/sources/peers.rs
@@ -94,7 +94,7 @@
         let Some(ledger) = &mut self.ledger else {
             return true;
         };
-        let own = ledger.replica().own().writer;
+        let own = ledger.replica().own_log().writer;
         let peer_checksum = match &datagram {
             Datagram::Digest { checksum, .. } => Some(*checksum),
             _ => None,
--- a/daemon/src/ledger/append.rs
+++ b/daemon/src/ledger/append.rs
@@ -70,7 +70,7 @@
     /// Returns a number for this proxy's next trigger that none of its processes has used, as far as their entries
     /// tell. It is at least this process's incarnation, as no process starts twice in less time than an answer takes.
     pub fn first_trigger_number(&self) -> u64 {
-        let own = self.replica.own().writer;
+        let own = self.replica.own_log().writer;
         // Triggers that are gone count, too: their numbers are known to be gone.
         let last = self.replica.log_store().last_trigger(own);
         let next = last.map_or(0, |number| number + 1);
--- a/daemon/src/ledger/mod.rs
+++ b/daemon/src/ledger/mod.rs
@@ -134,7 +134,7 @@
     /// Raises this process's incarnation, as a peer knows of a process before it that its store does not know.
     pub fn raise_incarnation(&mut self, incarnation: Epoch) {
         self.identity.incarnation = incarnation;
-        self.replica.renumber(incarnation);
+        self.replica.set_process(incarnation);
         // If the queue is full, the next start on this store learns it from the peers, as this one did.
         if let Some(worker) = &mut self.worker {
             worker.submit(identity::put_incarnation(incarnation));
@@ -150,7 +150,7 @@
     pub fn decisions(&self) -> BTreeMap<Subject, bool> {
         self.replica
             .log_store()
-            .decisions(self.replica.own().writer)
+            .decisions(self.replica.own_log().writer)
     }
 
     /// Returns the replica.
@@ -168,7 +168,7 @@
         let worker = self.worker.as_mut();
         match worker.and_then(|worker| worker.submit(codec::put(entry))) {
             Some(write) => self.in_flight.push(write, entry),
-            None => self.replica.sync_failed(entry.log, entry.index),
+            None => self.replica.record_sync_failure(entry.log, entry.index),
         }
     }
 
@@ -226,7 +226,7 @@
         };
         let table = self.replica.log_store().table();
         let synced = self.compaction.submit(worker, self.reserve, table);
-        self.replica.snapshot_synced(&synced)
+        self.replica.record_snapshot_synced(&synced)
     }
 
     /// Processes the completions of writes. Returns what is to be sent to peers.
@@ -243,8 +243,8 @@
         let mut outgoing = Vec::new();
         for entry in self.in_flight.take_through(completion.through) {
             match completion.result {
-                Ok(()) => outgoing.extend(self.replica.synced(entry.log, entry.index)),
-                Err(_) => self.replica.sync_failed(entry.log, entry.index),
+                Ok(()) => outgoing.extend(self.replica.record_synced(entry.log, entry.index)),
+                Err(_) => self.replica.record_sync_failure(entry.log, entry.index),
             }
         }
         self.compaction.complete(completion);
@@ -260,7 +260,7 @@
     /// peers.
     pub fn tick(&mut self, now: Micros) -> Vec<Outgoing> {
         if self.capacity() > 0 {
-            for entry in self.replica.take_failed() {
+            for entry in self.replica.take_failed_syncs() {
                 self.write(&entry);
             }
         }
--- a/daemon/src/ledger/opening.rs
+++ b/daemon/src/ledger/opening.rs
@@ -130,7 +130,7 @@
         for completion in completions {
             for entry in in_flight.take_through(completion.through) {
                 if completion.result.is_ok() {
-                    replica.synced(entry.log, entry.index);
+                    replica.record_synced(entry.log, entry.index);
                 }
             }
         }
--- a/daemon/tests/compaction.rs
+++ b/daemon/tests/compaction.rs
@@ -309,7 +309,7 @@
     sender.ledger.set_machines(10, vec![20]);
     let told: Vec<_> = (0..40).filter_map(|n| sender.purge(n)).collect();
     assert_eq!(told.len(), 40);
-    let log = sender.ledger.replica().own();
+    let log = sender.ledger.replica().own_log();
     let mut receiver = Running::open_as(2, &theirs, 1_000_001, options).unwrap();
     receiver.ledger.set_machines(20, vec![10]);
     let mut sides = [sender, receiver];
--- a/daemon/tests/ledger.rs
+++ b/daemon/tests/ledger.rs
@@ -120,7 +120,7 @@
             "{name}"
         );
         assert_eq!(
-            ledger.0.replica().own(),
+            ledger.0.replica().own_log(),
             LogId::new(1, 99),
             "{name}: in a life of its own"
         );
@@ -140,7 +140,7 @@
             "{name}: it is not taken over again"
         );
         assert_eq!(
-            again.0.replica().own(),
+            again.0.replica().own_log(),
             LogId::new(1, 99),
             "{name}: and has its life from then on"
         );
@@ -151,7 +151,7 @@
         fs::remove_file(&path).unwrap();
         let twice = open(&path, 130).unwrap();
         assert_eq!(
-            (twice.0.replica().own(), twice.0.is_fresh()),
+            (twice.0.replica().own_log(), twice.0.is_fresh()),
             (LogId::new(1, 130), true),
             "{name}"
         );
@@ -254,7 +254,7 @@
         (decided.into(), false)
     );
     assert_eq!(
-        again.0.replica().own(),
+        again.0.replica().own_log(),
         LogId::new(1, 77),
         "the life of the store, not of the log that came back"
     );
--- a/daemon/tests/stored_forms.rs
+++ b/daemon/tests/stored_forms.rs
@@ -133,7 +133,7 @@
 /// All that a store tells: statuses, purges, ban and drain.
 fn check(ledger: &Ledger, epoch: Micros, second: u64) {
     assert!(!ledger.is_fresh());
-    assert_eq!(ledger.replica().own(), LogId::new(WRITER, epoch));
+    assert_eq!(ledger.replica().own_log(), LogId::new(WRITER, epoch));
     let expected: Vec<_> = (0..TRIGGERS)
         .map(|n| TriggerStatus {
             writer: WRITER,
--- a/rehearse/src/scale/hollow/purge_log.rs
+++ b/rehearse/src/scale/hollow/purge_log.rs
@@ -150,7 +150,7 @@
             return;
         }
         for Write { log, index } in synced {
-            let acknowledgements = self.replica.synced(log, index);
+            let acknowledgements = self.replica.record_synced(log, index);
             send_all(acknowledgements, outbox);
         }
         self.settle(now, events);
@@ -159,7 +159,7 @@
     fn exchange(&mut self, now: Micros, outbox: &mut Outbox, events: &mut Vec<MemberEvent>) {
         if !self.disk.is_full() {
             self.replica
-                .take_failed()
+                .take_failed_syncs()
                 .iter()
                 .for_each(|entry| self.write(entry, now));
         }
@@ -199,7 +199,7 @@
             index: entry.index,
         };
         if !self.disk.write(write, now) {
-            self.replica.sync_failed(entry.log, entry.index);
+            self.replica.record_sync_failure(entry.log, entry.index);
         }
     }
 
@@ -305,7 +305,7 @@
         });
         send_all(replies.collect(), outbox);
         if !received.compacted.is_empty() {
-            send_all(self.replica.snapshot_synced(&received.compacted), outbox);
+            send_all(self.replica.record_snapshot_synced(&received.compacted), outbox);
         }
         self.settle(now, events);
         // The next part of a snapshot, or of what is missing, may be due sooner now.
@@ -339,7 +339,7 @@
         if is_in_order && self.replica.is_synced() {
             return DiskContents {
                 logs: store.clone(),
-                own: Some(self.replica.own()),
+                own: Some(self.replica.own_log()),
             };
         }
         let is_durable = |entry: &Entry| entry.index <= self.replica.durable_index(entry.log);
--- a/replication/examples/memory.rs
+++ b/replication/examples/memory.rs
@@ -66,7 +66,7 @@
             let entry = replica
                 .append(object(purges), at, false)
                 .map_err(io::Error::other)?;
-            replica.synced(entry.log, entry.index);
+            replica.record_synced(entry.log, entry.index);
             replica.compact(at);
             purges += 1;
         }
@@ -94,7 +94,7 @@
             revoked: false,
         };
         replica.receive(Micros::MAX, 0, Datagram::Entry(entry));
-        replica.synced(log, index);
+        replica.record_synced(log, index);
     }
     let started = Instant::now();
     let moved = replica
--- a/replication/src/received.rs
+++ b/replication/src/received.rs
@@ -38,6 +38,6 @@
     /// Buckets of the compact table that changed, to be put in force at once and written to the disk.
     pub buckets: Vec<MergedBucket>,
     /// Logs that a complete snapshot advanced: to be written to the disk after all buckets returned before, and confirmed
-    /// by [`crate::Replica::snapshot_synced`].
+    /// by [`crate::Replica::record_snapshot_synced`].
     pub compacted: Vec<CompactedLog>,
 }
--- a/replication/src/replica/commits.rs
+++ b/replication/src/replica/commits.rs
@@ -52,15 +52,15 @@
     }
 
     /// Records that an entry is on the disk. Returns the acknowledgements to send.
-    pub fn synced(&mut self, log: LogId, index: Index) -> Vec<Outgoing> {
-        self.unsynced.synced(log, index);
+    pub fn record_synced(&mut self, log: LogId, index: Index) -> Vec<Outgoing> {
+        self.unsynced.record_synced(log, index);
         self.due_acks(log)
     }
 
     /// Records that a snapshot is on the disk: the indexes of these logs ([`crate::Received::compacted`]) and all buckets
     /// returned up to then. Returns the acknowledgements to send. Before that, nothing that the snapshot covers is
     /// acknowledged.
-    pub fn snapshot_synced(&mut self, logs: &[CompactedLog]) -> Vec<Outgoing> {
+    pub fn record_snapshot_synced(&mut self, logs: &[CompactedLog]) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
         for CompactedLog { log, through } in logs {
             let pending = self.pending_snapshots.get(log);
@@ -105,16 +105,16 @@
         *latest = (*latest).max(index);
     }
 
-    /// Records that the disk did not take an entry. It stays in force, and [`Replica::take_failed`] returns it.
-    pub fn sync_failed(&mut self, log: LogId, index: Index) {
-        self.unsynced.sync_failed(log, index);
+    /// Records that the disk did not take an entry. It stays in force, and [`Replica::take_failed_syncs`] returns it.
+    pub fn record_sync_failure(&mut self, log: LogId, index: Index) {
+        self.unsynced.record_sync_failure(log, index);
     }
 
     /// Takes the entries that must be written to the disk again. One that was superseded meanwhile need not be there once
     /// all after it are, among them the one that superseded it.
-    pub fn take_failed(&mut self) -> Vec<Entry> {
+    pub fn take_failed_syncs(&mut self) -> Vec<Entry> {
         let mut entries = Vec::new();
-        for (log, index) in self.unsynced.take_failed() {
+        for (log, index) in self.unsynced.take_failed_syncs() {
             let next = self.log_store.entries_after(log, index - 1).next();
             let is_in_force = |entry: &Entry| {
                 let key = EntryKey { log, index };
@@ -122,8 +122,8 @@
             };
             match next.filter(is_in_force) {
                 Some(entry) => entries.push(entry),
-                None if self.unsynced.is_last(log, index) => self.unsynced.synced(log, index),
-                None => self.unsynced.sync_failed(log, index),
+                None if self.unsynced.is_last(log, index) => self.unsynced.record_synced(log, index),
+                None => self.unsynced.record_sync_failure(log, index),
             }
         }
         entries
--- a/replication/src/replica/mod.rs
+++ b/replication/src/replica/mod.rs
@@ -113,12 +113,12 @@
     }
 
     /// Sets another process id than was assumed at the start.
-    pub fn renumber(&mut self, process: u64) {
+    pub fn set_process(&mut self, process: u64) {
         self.process = process;
     }
 
     /// Returns its own log.
-    pub fn own(&self) -> LogId {
+    pub fn own_log(&self) -> LogId {
         self.own
     }
 
--- a/replication/tests/compaction/fleet.rs
+++ b/replication/tests/compaction/fleet.rs
@@ -237,7 +237,7 @@
         let disk = &mut member.disk;
         let outgoing = match write {
             Write::Entry(entry) => {
-                let outgoing = replica.synced(entry.log, entry.index);
+                let outgoing = replica.record_synced(entry.log, entry.index);
                 disk.entries
                     .insert((entry.log, entry.subject.clone()), entry);
                 outgoing
@@ -263,7 +263,7 @@
             }
             Write::Snapshot(logs) => {
                 disk.set_compacted(&logs);
-                replica.snapshot_synced(&logs)
+                replica.record_snapshot_synced(&logs)
             }
             Write::Delete(entry) => {
                 let key = (entry.log, entry.subject);
--- a/replication/tests/compaction_model.rs
+++ b/replication/tests/compaction_model.rs
@@ -259,8 +259,8 @@
         proxy.disk.take(&write);
         let replica = proxy.replica.as_mut()?;
         match write {
-            Write::Entry(entry) => drop(replica.synced(entry.log, entry.index)),
-            Write::Snapshot(logs) => drop(replica.snapshot_synced(&logs)),
+            Write::Entry(entry) => drop(replica.record_synced(entry.log, entry.index)),
+            Write::Snapshot(logs) => drop(replica.record_snapshot_synced(&logs)),
             Write::Buckets(_) | Write::Compacted(_) | Write::Delete(_) => {}
         }
         Some(())
@@ -280,7 +280,7 @@
         let replica = proxy.replica.as_mut()?;
         let received = replica.receive(Micros::MAX, peer_index(from, to), datagram);
         if self.planted == Planted::AckedEarly {
-            replica.snapshot_synced(&received.compacted);
+            replica.record_snapshot_synced(&received.compacted);
         }
         if !received.buckets.is_empty() {
             let buckets = received
--- a/replication/tests/deferred_compaction.rs
+++ b/replication/tests/deferred_compaction.rs
@@ -19,7 +19,7 @@
 /// Appends a purge that is on the disk at once.
 fn purge(replica: &mut Replica, n: u64) {
     let entry = replica.append(Subject::Group(n), n, false).unwrap();
-    replica.synced(entry.log, entry.index);
+    replica.record_synced(entry.log, entry.index);
 }
 
 /// The sender's chunks for a request from the start.
--- a/replication/tests/fleet.rs
+++ b/replication/tests/fleet.rs
@@ -172,7 +172,7 @@
         let outgoing = m
             .replica
             .as_mut()
-            .map(|c| c.synced(entry.log, entry.index))
+            .map(|c| c.record_synced(entry.log, entry.index))
             .unwrap_or_default();
         outgoing
             .iter()
@@ -550,7 +550,7 @@
     );
     assert_eq!(replica.log_store().entries().count(), 4);
     // The disk is back.
-    (1..=4).for_each(|index| drop(replica.synced(OWN, index)));
+    (1..=4).for_each(|index| drop(replica.record_synced(OWN, index)));
     let now = 100 + S;
     let moved = replica.compact(now).expect("all but the last can be moved");
     assert_eq!(
@@ -593,7 +593,7 @@
         let entry = replica
             .append(object(n), n * MS, false)
             .expect("none is refused");
-        replica.synced(entry.log, entry.index);
+        replica.record_synced(entry.log, entry.index);
         replica.compact(n * MS);
         assert!(replica.log_store().len() <= 64, "{n}");
         assert_eq!(replica.log_store().last_index(entry.log), n);
@@ -734,7 +734,7 @@
     replica.set_peers(10, vec![20, 20, 10, 30]);
     let entry = replica.append(object(1), 5, false).unwrap();
     replica.open_commit(100, entry.index).unwrap();
-    assert!(replica.synced(entry.log, entry.index).is_empty());
+    assert!(replica.record_synced(entry.log, entry.index).is_empty());
     let ack = || ack_of(5, LogId::new(1, 7), 1);
     for peer in [0, 1, 2] {
         replica.receive(NOW, peer, ack());
@@ -774,7 +774,7 @@
     replica.set_peers(10, vec![20, 31]);
     let ack = ack_of(1, LogId::new(2, 9), 1);
     assert_eq!(
-        replica.synced(LogId::new(2, 9), 1),
+        replica.record_synced(LogId::new(2, 9), 1),
         [Outgoing {
             peer: 1,
             datagram: ack
@@ -791,7 +791,7 @@
     };
     replica.receive(NOW, 1, Datagram::Entry(entry));
     replica.set_peers(10, vec![20]);
-    assert_eq!(replica.synced(LogId::new(2, 9), 2), []);
+    assert_eq!(replica.record_synced(LogId::new(2, 9), 2), []);
 }
 
 /// The disk fails at the n-th write: that commit is refused at once, none behind it is given until it is there.
@@ -806,9 +806,9 @@
         replica.open_commit(100, e.index).unwrap();
     }
     replica.receive(NOW, 0, ack_of(5, LogId::new(1, 7), 3));
-    replica.synced(LogId::new(1, 7), 1);
-    replica.sync_failed(LogId::new(1, 7), 2);
-    replica.synced(LogId::new(1, 7), 3);
+    replica.record_synced(LogId::new(1, 7), 1);
+    replica.record_sync_failure(LogId::new(1, 7), 2);
+    replica.record_synced(LogId::new(1, 7), 3);
     let outcomes = replica.resolve_commits(100);
     assert_eq!(
         outcomes.iter().map(|s| s.result).collect::<Vec<_>>(),
@@ -818,9 +818,9 @@
         (replica.durable_index(LogId::new(1, 7)), replica.is_synced()),
         (1, false)
     );
-    assert_eq!(replica.take_failed(), [all[1].clone()]);
-    assert_eq!(replica.take_failed(), [], "it is on its way");
-    replica.synced(LogId::new(1, 7), 2);
+    assert_eq!(replica.take_failed_syncs(), [all[1].clone()]);
+    assert_eq!(replica.take_failed_syncs(), [], "it is on its way");
+    replica.record_synced(LogId::new(1, 7), 2);
     assert_eq!(
         (replica.durable_index(LogId::new(1, 7)), replica.is_synced()),
         (3, true)
@@ -836,12 +836,12 @@
     };
     (1..=2).for_each(|index| drop(replica.receive(NOW, 0, Datagram::Entry(theirs(index)))));
     assert_eq!(
-        replica.synced(LogId::new(2, 9), 2),
+        replica.record_synced(LogId::new(2, 9), 2),
         [],
         "the one before it is not there yet"
     );
     assert_eq!(
-        replica.synced(LogId::new(2, 9), 1),
+        replica.record_synced(LogId::new(2, 9), 1),
         [Outgoing {
             peer: 0,
             datagram: ack_of(1, LogId::new(2, 9), 2)
--- a/replication/tests/model.rs
+++ b/replication/tests/model.rs
@@ -110,7 +110,7 @@
             let outgoing = state.proxies[n]
                 .replica
                 .as_mut()
-                .map(|c| c.synced(entry.log, entry.index));
+                .map(|c| c.record_synced(entry.log, entry.index));
             self.tell(state, n, outgoing.unwrap_or_default());
         }
     }
@@ -202,7 +202,7 @@
                 let proxy = &mut state.proxies[n];
                 let entry = proxy.writes.pop_front()?;
                 proxy.disk.take(&entry, Capacity::UNLIMITED);
-                let outgoing = proxy.replica.as_mut()?.synced(entry.log, entry.index);
+                let outgoing = proxy.replica.as_mut()?.record_synced(entry.log, entry.index);
                 self.tell(&mut state, n, outgoing);
             }
             Action::Deliver(from, to, bytes) => {
--- a/replication/tests/snapshot.rs
+++ b/replication/tests/snapshot.rs
@@ -22,7 +22,7 @@
         let entry = replica
             .append(group(n), n * S, false)
             .expect("there is capacity");
-        replica.synced(entry.log, entry.index);
+        replica.record_synced(entry.log, entry.index);
         replica.compact(n * S);
     }
 }
@@ -108,13 +108,13 @@
         received
             .new
             .iter()
-            .for_each(|entry| assert_eq!(receiver.synced(entry.log, entry.index), []));
+            .for_each(|entry| assert_eq!(receiver.record_synced(entry.log, entry.index), []));
     }
     assert_eq!(
         (receiver.log_store().checksum(), receiver.durable_index(OWN)),
         (sender.log_store().checksum(), 0)
     );
-    let outgoing = receiver.snapshot_synced(&received.compacted);
+    let outgoing = receiver.record_snapshot_synced(&received.compacted);
     let end = sender.log_store().last_index(OWN);
     let ack = Datagram::Ack {
         process: 6,
@@ -277,7 +277,7 @@
         let entry = replica
             .append(group(3), n * S, false)
             .expect("there is capacity");
-        replica.synced(entry.log, entry.index);
+        replica.record_synced(entry.log, entry.index);
         replica.compact(n * S);
     }
     assert!(replica.log_store().table().is_empty());
--- a/replication/tests/statuses.rs
+++ b/replication/tests/statuses.rs
@@ -153,18 +153,18 @@
     };
     let mut replica = Replica::new(OWN, LogStore::default(), 1, options);
     let first = replica.append(piece(5, 0, "x"), 10, false).unwrap();
-    replica.sync_failed(first.log, first.index);
+    replica.record_sync_failure(first.log, first.index);
     let second = replica.append(Subject::Group(3), 200, false).unwrap();
     assert_eq!(replica.expire(200).len(), 1);
-    assert!(replica.take_failed().is_empty());
-    replica.synced(second.log, second.index);
+    assert!(replica.take_failed_syncs().is_empty());
+    replica.record_synced(second.log, second.index);
     assert_eq!(
         replica.durable_index(OWN),
         0,
         "what stands before it may have been superseded by something unsynced"
     );
     assert!(
-        replica.take_failed().is_empty(),
+        replica.take_failed_syncs().is_empty(),
         "it is known to be nothing that is in force"
     );
     assert_eq!((replica.durable_index(OWN), replica.is_synced()), (2, true));
