--- a/daemon/src/daemon/commits/triggers.rs
+++ b/daemon/src/daemon/commits/triggers.rs
@@ -105,7 +105,7 @@
         names.dedup();
         let log_store = ledger.replica().log_store();
         for name in names {
-            match log_store.status(name.writer, name.number) {
+            match log_store.trigger_status(name.writer, name.number) {
                 Some(text) => trigger_api.insert(now, name, &text),
                 None => trigger_api.remove(name),
             }
--- a/daemon/src/ledger/append.rs
+++ b/daemon/src/ledger/append.rs
@@ -54,7 +54,7 @@
     pub fn statuses(&self) -> Vec<TriggerStatus> {
         let log_store = self.replica.log_store();
         let status = |(writer, number)| {
-            log_store.status(writer, number).map(|text| TriggerStatus {
+            log_store.trigger_status(writer, number).map(|text| TriggerStatus {
                 writer,
                 number,
                 text,
@@ -72,7 +72,7 @@
     pub fn first_trigger_number(&self) -> u64 {
         let own = self.replica.own_log().writer;
         // Triggers that are gone count, too: their numbers are known to be gone.
-        let last = self.replica.log_store().last_trigger(own);
+        let last = self.replica.log_store().last_trigger_number(own);
         let next = last.map_or(0, |number| number + 1);
         next.max(self.identity.incarnation)
     }
@@ -85,7 +85,7 @@
         at: Micros,
     ) -> Result<(), AppendError> {
         let subject = purge_subject(object, group);
-        match self.replica.log_store().latest(&subject) {
+        match self.replica.log_store().latest_entry_time(&subject) {
             Some(known) if known >= at => Ok(()),
             _ => self.append(subject, at, false).map(drop),
         }
--- a/daemon/src/ledger/legacy.rs
+++ b/daemon/src/ledger/legacy.rs
@@ -48,7 +48,7 @@
                 peers::read(line.as_bytes()),
             ) {
                 (Ok(Datagram::Entry(entry)), _) => {
-                    store.take(&entry, Capacity::UNLIMITED);
+                    store.try_insert(&entry, Capacity::UNLIMITED);
                 }
                 (_, Some(purge)) => file.purges.push(purge),
                 _ if line == "closed" || line.starts_with("life ") => {}
--- a/daemon/src/ledger/mod.rs
+++ b/daemon/src/ledger/mod.rs
@@ -150,7 +150,7 @@
     pub fn decisions(&self) -> BTreeMap<Subject, bool> {
         self.replica
             .log_store()
-            .decisions(self.replica.own_log().writer)
+            .operator_decisions(self.replica.own_log().writer)
     }
 
     /// Returns the replica.
--- a/daemon/tests/compaction.rs
+++ b/daemon/tests/compaction.rs
@@ -97,9 +97,9 @@
     let crashed = Running::open(&copy, 1 << 50, bounds(WINDOW, BITS)).unwrap();
     let store = running.ledger.replica().log_store();
     let lost = (0..WINDOW as u64).filter(|n| {
-        let of = |store: &linnetknot_replication::LogStore| store.effective(&subject(*n));
+        let of = |store: &linnetknot_replication::LogStore| store.latest_purge(&subject(*n));
         of(crashed.ledger.replica().log_store())
-            .is_none_or(|at| Some(at) < store.latest(&subject(*n)))
+            .is_none_or(|at| Some(at) < store.latest_entry_time(&subject(*n)))
     });
     assert_eq!(lost.count(), 0);
     crashed.ledger.abandon();
@@ -137,7 +137,7 @@
     running.ledger.tick(running.now);
     running.settle();
     let is_held = |running: &Running, n: u64| {
-        running.ledger.replica().log_store().effective(&subject(n)) >= Some(1_000 * n)
+        running.ledger.replica().log_store().latest_purge(&subject(n)) >= Some(1_000 * n)
     };
     assert!((0..30).all(|n| is_held(&running, n)));
     running.ledger.abandon();
--- a/daemon/tests/stored_forms.rs
+++ b/daemon/tests/stored_forms.rs
@@ -146,10 +146,10 @@
     assert_eq!(ledger.decisions(), decided);
     let log_store = ledger.replica().log_store();
     for n in 0..OBJECTS {
-        let at = log_store.effective(&object(n));
+        let at = log_store.latest_purge(&object(n));
         assert!(at.is_some_and(|at| at > epoch), "object {n}: {at:?}");
     }
-    assert_eq!(log_store.effective(&object(OBJECTS)), None);
+    assert_eq!(log_store.latest_purge(&object(OBJECTS)), None);
 }
 
 /// Appends what the old program appended, in its order and with its times, to a new store, and ends in order.
@@ -157,7 +157,7 @@
     let log_store = read.replica().log_store();
     let mut entries: Vec<Entry> = log_store.entries().collect();
     entries.sort_by_key(|entry| entry.index);
-    let at = |subject: &Subject| log_store.effective(subject).unwrap();
+    let at = |subject: &Subject| log_store.latest_purge(subject).unwrap();
     // No purge of the table is later than the time of its compaction.
     let now = entries.iter().map(|entry| entry.at).max().unwrap();
     let mut running = Running::open(path, epoch, exact_purges);
--- a/rehearse/src/scale/hollow/purge_log.rs
+++ b/rehearse/src/scale/hollow/purge_log.rs
@@ -108,7 +108,7 @@
         let effective = self
             .replica
             .log_store()
-            .effective(&Subject::Object(object(purge)));
+            .latest_purge(&Subject::Object(object(purge)));
         effective.is_some_and(|effective| effective >= at)
     }
 
@@ -324,7 +324,7 @@
         let known = self
             .replica
             .log_store()
-            .latest(&Subject::Object(object(purge)));
+            .latest_entry_time(&Subject::Object(object(purge)));
         if known.is_some_and(|known| known >= at) {
             return;
         }
--- a/replication/examples/memory.rs
+++ b/replication/examples/memory.rs
@@ -43,7 +43,7 @@
             at: 1,
             revoked: false,
         };
-        store.take(&entry, Capacity::UNLIMITED);
+        store.try_insert(&entry, Capacity::UNLIMITED);
     }
     let bytes = (resident_kib()? - before) * 1_024 / LOGS;
     println!(
--- a/replication/src/log_store/capacity.rs
+++ b/replication/src/log_store/capacity.rs
@@ -63,7 +63,7 @@
     /// The entry was the next one of its log, and is in force.
     New,
     /// The entry is stored already, or was superseded.
-    Known,
+    Duplicate,
     /// Entries before it are missing.
     OutOfOrder,
     /// The capacity is exhausted.
--- a/replication/src/log_store/decisions.rs
+++ b/replication/src/log_store/decisions.rs
@@ -6,7 +6,7 @@
 
 impl LogStore {
     /// Returns the decisions of a writer's operators, each with whether it is revoked, by the latest entry of all epochs.
-    pub fn decisions(&self, writer: Writer) -> BTreeMap<Subject, bool> {
+    pub fn operator_decisions(&self, writer: Writer) -> BTreeMap<Subject, bool> {
         let mut latest = BTreeMap::<Subject, (Epoch, Index, bool)>::new();
         let first = EntryKey {
             log: LogId::new(writer, 0),
--- a/replication/src/log_store/mod.rs
+++ b/replication/src/log_store/mod.rs
@@ -196,17 +196,17 @@
             logs: usize::MAX,
             ..capacity
         };
-        match self.take(&entry, capacity) {
+        match self.try_insert(&entry, capacity) {
             Insertion::New => Ok(entry),
             _ => Err(CapacityExceeded),
         }
     }
 
     /// Stores an entry if it is the next one of its log.
-    pub fn take(&mut self, entry: &Entry, capacity: Capacity) -> Insertion {
+    pub fn try_insert(&mut self, entry: &Entry, capacity: Capacity) -> Insertion {
         let last_index = self.last_index(entry.log);
         if entry.index <= last_index {
-            return Insertion::Known;
+            return Insertion::Duplicate;
         }
         if entry.prev > last_index {
             return Insertion::OutOfOrder;
--- a/replication/src/log_store/queries.rs
+++ b/replication/src/log_store/queries.rs
@@ -142,7 +142,7 @@
     }
 
     /// Returns when a subject was last purged by any writer, as far as entries say.
-    pub fn latest(&self, subject: &Subject) -> Option<Micros> {
+    pub fn latest_entry_time(&self, subject: &Subject) -> Option<Micros> {
         let logs = self.latest.range(SubjectKey::first(subject.clone())..);
         let of_subject = logs.take_while(|(key, _)| key.subject == *subject);
         let keys = of_subject.map(|(key, index)| EntryKey {
@@ -156,9 +156,9 @@
 
     /// Returns the time before which no copy may be served: no earlier than any purge of the subject, whether it is an
     /// entry or in the table.
-    pub fn effective(&self, subject: &Subject) -> Option<Micros> {
+    pub fn latest_purge(&self, subject: &Subject) -> Option<Micros> {
         let compacted = subject.purge_key().and_then(|key| self.table.latest(key));
-        self.latest(subject).max(compacted)
+        self.latest_entry_time(subject).max(compacted)
     }
 
     /// Returns all entries in force, log by log, without the purges that a later one of their log supersedes.
--- a/replication/src/log_store/statuses.rs
+++ b/replication/src/log_store/statuses.rs
@@ -66,8 +66,8 @@
 
     /// Returns the status of a trigger as far as its pieces are stored without a gap; `None` if there is none, or the
     /// trigger was deleted. Whether the text is complete must follow from the text itself.
-    pub fn status(&self, writer: Writer, number: u64) -> Option<String> {
-        if self.latest(&Subject::TriggerDeleted { writer, number }).is_some() {
+    pub fn trigger_status(&self, writer: Writer, number: u64) -> Option<String> {
+        if self.latest_entry_time(&Subject::TriggerDeleted { writer, number }).is_some() {
             return None;
         }
         let first = SubjectKey::first(Subject::TriggerStatusPart {
@@ -97,7 +97,7 @@
     }
 
     /// Returns the greatest number of a writer's triggers that is stored or known to be deleted.
-    pub fn last_trigger(&self, writer: Writer) -> Option<u64> {
+    pub fn last_trigger_number(&self, writer: Writer) -> Option<u64> {
         let first = SubjectKey::first(Subject::TriggerStatusPart {
             number: 0,
             part: 0,
--- a/replication/src/replica/exchange.rs
+++ b/replication/src/replica/exchange.rs
@@ -127,7 +127,7 @@
 
     fn take_one(&mut self, from: usize, entry: Entry, received: &mut Received) {
         let (log, index) = (entry.log, entry.index);
-        match self.log_store.take(&entry, self.capacity()) {
+        match self.log_store.try_insert(&entry, self.capacity()) {
             Insertion::New => {
                 self.counters.learned += 1;
                 self.reset_gap_requests();
@@ -135,7 +135,7 @@
                 self.ack_once_synced(log, index, from);
                 received.new.push(entry);
             }
-            Insertion::Known => {
+            Insertion::Duplicate => {
                 self.counters.known += 1;
                 // A peer that sends a known entry also asks for its acknowledgement.
                 let durable_index = self.durable_index(log);
--- a/replication/tests/compaction/fleet.rs
+++ b/replication/tests/compaction/fleet.rs
@@ -385,7 +385,7 @@
     pub(crate) fn missing(&self, n: usize, until: Micros) -> usize {
         let store = self.replica(n).log_store();
         let has = |(subject, at): &(&Subject, &Micros)| {
-            **at > until || store.effective(subject) >= Some(**at)
+            **at > until || store.latest_purge(subject) >= Some(**at)
         };
         self.purged.iter().filter(|purge| !has(purge)).count()
     }
@@ -409,7 +409,7 @@
                 let lost = self
                     .purged
                     .iter()
-                    .filter(|(subject, at)| restored.effective(subject) < Some(**at));
+                    .filter(|(subject, at)| restored.latest_purge(subject) < Some(**at));
                 assert_eq!(lost.count(), 0, "on the disk of p{n}");
                 assert_eq!(
                     restored.checksum(),
@@ -427,7 +427,7 @@
                 continue;
             };
             for subject in self.purged.keys().step_by(step) {
-                let Some(now) = replica.log_store().effective(subject) else {
+                let Some(now) = replica.log_store().latest_purge(subject) else {
                     assert!(
                         !member.seen.contains_key(subject),
                         "p{n}: {subject:?} is gone"
--- a/replication/tests/compaction/main.rs
+++ b/replication/tests/compaction/main.rs
@@ -244,14 +244,14 @@
     fleet.run(S);
     fleet.check();
     let store = fleet.replica(2).log_store();
-    let decisions: Vec<_> = store.decisions(1_000).into_iter().collect();
+    let decisions: Vec<_> = store.operator_decisions(1_000).into_iter().collect();
     assert_eq!(decisions, [(ban(), false), (Subject::Drain, true)]);
     assert_eq!(
-        store.status(1_000, 77),
+        store.trigger_status(1_000, 77),
         Some(format!("{}b", "a".repeat(112)))
     );
     assert!(store
-        .latest(&Subject::TriggerDeleted {
+        .latest_entry_time(&Subject::TriggerDeleted {
             writer: 5,
             number: 6
         })
--- a/replication/tests/compaction_model.rs
+++ b/replication/tests/compaction_model.rs
@@ -151,7 +151,7 @@
     state
         .appended
         .values()
-        .map(|(subject, _)| (subject.clone(), store.effective(subject)))
+        .map(|(subject, _)| (subject.clone(), store.latest_purge(subject)))
         .collect()
 }
 
@@ -354,7 +354,7 @@
             let fell = |old: &LogStore, new: &LogStore| {
                 floors(old, before)
                     .iter()
-                    .any(|(subject, floor)| new.effective(subject) < *floor)
+                    .any(|(subject, floor)| new.latest_purge(subject) < *floor)
             };
             if was.disk != is.disk && fell(&was.disk.restore(), &restored) {
                 broken.insert(FALLEN);
@@ -363,7 +363,7 @@
                 state.appended.iter().any(|((log, index), (subject, at))| {
                     let is_covered = positions(*log) >= *index;
                     is_covered
-                        && store.effective(subject) < Some(*at)
+                        && store.latest_purge(subject) < Some(*at)
                         && !is_to_come(state, *log, *index)
                 })
             };
--- a/replication/tests/fleet.rs
+++ b/replication/tests/fleet.rs
@@ -163,7 +163,7 @@
         let Some((_, entry)) = m.writes.pop_front() else {
             return;
         };
-        let taken = m.disk.take(&entry, Capacity::UNLIMITED);
+        let taken = m.disk.try_insert(&entry, Capacity::UNLIMITED);
         assert_eq!(
             taken,
             Insertion::New,
@@ -573,9 +573,9 @@
     let times = [(1, 5), (2, 6), (3, 7), (4, 8)];
     assert!(times
         .iter()
-        .all(|(n, at)| replica.log_store().effective(&object(*n)) >= Some(*at)));
+        .all(|(n, at)| replica.log_store().latest_purge(&object(*n)) >= Some(*at)));
     assert_eq!(
-        replica.log_store().effective(&object(5)),
+        replica.log_store().latest_purge(&object(5)),
         None,
         "it was refused"
     );
@@ -598,7 +598,7 @@
         assert!(replica.log_store().len() <= 64, "{n}");
         assert_eq!(replica.log_store().last_index(entry.log), n);
     }
-    assert!((1..=2_560).all(|n| replica.log_store().effective(&object(n)) >= Some(n * MS)));
+    assert!((1..=2_560).all(|n| replica.log_store().latest_purge(&object(n)) >= Some(n * MS)));
     assert_eq!(
         replica.counters().compacted + replica.log_store().len() as u64,
         2_560
--- a/replication/tests/model.rs
+++ b/replication/tests/model.rs
@@ -201,7 +201,7 @@
             Action::Write(n) => {
                 let proxy = &mut state.proxies[n];
                 let entry = proxy.writes.pop_front()?;
-                proxy.disk.take(&entry, Capacity::UNLIMITED);
+                proxy.disk.try_insert(&entry, Capacity::UNLIMITED);
                 let outgoing = proxy.replica.as_mut()?.record_synced(entry.log, entry.index);
                 self.tell(&mut state, n, outgoing);
             }
@@ -267,7 +267,7 @@
                     state
                         .proxies
                         .iter()
-                        .any(|p| p.disk.latest(subject).is_some())
+                        .any(|p| p.disk.latest_entry_time(subject).is_some())
                 };
                 state.lost > 1
                     || state
--- a/replication/tests/snapshot.rs
+++ b/replication/tests/snapshot.rs
@@ -133,7 +133,7 @@
     assert!(receiver.is_synced());
     for n in 1..100 {
         assert!(
-            receiver.log_store().effective(&group(n)) >= Some(n * S),
+            receiver.log_store().latest_purge(&group(n)) >= Some(n * S),
             "{n}"
         );
     }
@@ -179,7 +179,7 @@
     let through = second.log_store().last_index(OWN);
     for n in 1..=through {
         assert!(
-            second.log_store().effective(&group(n)) >= Some(n * S),
+            second.log_store().latest_purge(&group(n)) >= Some(n * S),
             "{n}"
         );
     }
@@ -281,8 +281,8 @@
         replica.compact(n * S);
     }
     assert!(replica.log_store().table().is_empty());
-    assert_eq!(replica.log_store().effective(&group(3)), Some(999 * S));
-    assert_eq!(replica.log_store().effective(&group(4)), None);
+    assert_eq!(replica.log_store().latest_purge(&group(3)), Some(999 * S));
+    assert_eq!(replica.log_store().latest_purge(&group(4)), None);
 }
 
 /// A purge that is superseded is held for those who are behind both, and is not in force.
@@ -339,7 +339,7 @@
             Capacity::UNLIMITED,
         )
         .expect("there is capacity");
-    assert_eq!((entry.at, store.effective(&group(3))), (9 * S, Some(9 * S)));
+    assert_eq!((entry.at, store.latest_purge(&group(3))), (9 * S, Some(9 * S)));
 }
 
 /// On a disk a later purge takes the earlier one's place. A process that starts with it knows the later one alone, which
@@ -377,7 +377,7 @@
     complete(&mut receiver, &mut sender, 0);
     assert!((2..5).contains(&receiver.log_store().last_index(OWN)));
     assert!(
-        receiver.log_store().effective(&group(1)) >= Some(S),
+        receiver.log_store().latest_purge(&group(1)) >= Some(S),
         "the purge at index 1 was received"
     );
 }
@@ -427,7 +427,7 @@
     for n in 1..=80 {
         let floor = receiver
             .log_store()
-            .effective(&group(n))
+            .latest_purge(&group(n))
             .expect("the snapshot has it");
         assert!(floor >= NOW.min(n * S), "group {n}: {floor}");
         assert!(
--- a/replication/tests/statuses.rs
+++ b/replication/tests/statuses.rs
@@ -40,12 +40,12 @@
     for (number, part, text) in [(5, 0, "{a"), (6, 0, "{x}"), (5, 1, "b}"), (4, 1, "cut}")] {
         append(&mut log_store, OWN, piece(number, part, text), 10).unwrap();
     }
-    let outgoing = |log_store: &LogStore| [4, 5, 6].map(|number| log_store.status(1, number));
+    let outgoing = |log_store: &LogStore| [4, 5, 6].map(|number| log_store.trigger_status(1, number));
     assert_eq!(
         outgoing(&log_store),
         [None, Some("{ab}".into()), Some("{x}".into())]
     );
-    assert_eq!(log_store.status(2, 5), None, "another writer's");
+    assert_eq!(log_store.trigger_status(2, 5), None, "another writer's");
     assert_eq!(
         log_store.triggers().into_iter().collect::<Vec<_>>(),
         [(1, 4), (1, 5), (1, 6)]
@@ -100,7 +100,7 @@
     // One who was away passes over what has gone.
     let mut away = LogStore::default();
     for entry in log_store.entries_after(OWN, 0) {
-        assert_eq!(away.take(&entry, CAPACITY), Insertion::New);
+        assert_eq!(away.try_insert(&entry, CAPACITY), Insertion::New);
     }
     assert_eq!(
         (away.last_index(OWN), away.checksum(), away.len()),
@@ -130,7 +130,7 @@
         "6 is the last, and 5 may be had elsewhere still"
     );
     assert_eq!(
-        (log_store.last_index(OWN), log_store.latest(&gone)),
+        (log_store.last_index(OWN), log_store.latest_entry_time(&gone)),
         (2, Some(10))
     );
     let over: Vec<Index> = log_store.expire(210, 100).iter().map(|e| e.index).collect();
@@ -226,7 +226,7 @@
 #[test]
 fn the_last_trigger_of_a_writer_counts_also_where_only_its_end_is_known() {
     let mut log_store = LogStore::default();
-    assert_eq!(log_store.last_trigger(1), None);
+    assert_eq!(log_store.last_trigger_number(1), None);
     append(&mut log_store, OWN, piece(5, 0, "x"), 10).unwrap();
     let gone = Subject::TriggerDeleted {
         writer: 1,
@@ -236,8 +236,8 @@
     append(&mut log_store, OWN, Subject::Drain, 10).unwrap();
     assert_eq!(log_store.expire(110, 100).len(), 1, "the status alone");
     assert!(log_store.triggers().is_empty());
-    assert_eq!(log_store.last_trigger(1), Some(5));
-    assert_eq!(log_store.last_trigger(2), None);
+    assert_eq!(log_store.last_trigger_number(1), Some(5));
+    assert_eq!(log_store.last_trigger_number(2), None);
 }
 
 /// What a process finds on its disk counts from its start, whatever its clock says; by the stored time it goes only
