--- a/daemon/src/daemon/recovery.rs
+++ b/daemon/src/daemon/recovery.rs
@@ -152,7 +152,7 @@
             .pending_commits
             .recovery
             .as_mut()
-            .is_some_and(|recovery| recovery.settled(peer))
+            .is_some_and(|recovery| recovery.record_caught_up(peer))
         {
             let entries = self
                 .ledger
--- a/rehearse/src/scale/hollow/purge_log.rs
+++ b/rehearse/src/scale/hollow/purge_log.rs
@@ -297,7 +297,7 @@
             let _ = self
                 .recovery
                 .as_mut()
-                .map(|recovery| recovery.settled(from));
+                .map(|recovery| recovery.record_caught_up(from));
         }
         let replies = received.replies.into_iter().map(|datagram| Outgoing {
             peer: from,
--- a/replication/src/recovery.rs
+++ b/replication/src/recovery.rs
@@ -37,7 +37,7 @@
     /// How many further machines the proxy must be level with.
     needed: usize,
     /// Peers of which the proxy has all entries.
-    settled: BTreeSet<usize>,
+    caught_up: BTreeSet<usize>,
     deadline: Micros,
     next_request: Micros,
     retry_us: Micros,
@@ -60,7 +60,7 @@
             own,
             machines,
             needed,
-            settled: BTreeSet::new(),
+            caught_up: BTreeSet::new(),
             deadline: times.deadline,
             next_request: times.start,
             retry_us: times.retry_us,
@@ -86,7 +86,7 @@
         if now >= self.deadline {
             self.is_over = true;
             return RecoveryStep {
-                missing_machines: Some(self.needed - self.settled_machines()),
+                missing_machines: Some(self.needed - self.caught_up_machines()),
                 ..RecoveryStep::default()
             };
         }
@@ -94,9 +94,9 @@
             return RecoveryStep::default();
         }
         self.next_request = now + self.retry_us;
-        let unsettled = (0..self.machines.len()).filter(|peer| !self.settled.contains(peer));
+        let lagging = (0..self.machines.len()).filter(|peer| !self.caught_up.contains(peer));
         RecoveryStep {
-            request_from: unsettled.collect(),
+            request_from: lagging.collect(),
             missing_machines: None,
         }
     }
@@ -107,18 +107,18 @@
     }
 
     /// Records that the proxy has all entries that a peer has. Returns whether that ended the recovery.
-    pub fn settled(&mut self, peer: usize) -> bool {
+    pub fn record_caught_up(&mut self, peer: usize) -> bool {
         if self.is_over || peer >= self.machines.len() {
             return false;
         }
-        self.settled.insert(peer);
-        self.is_over = self.settled_machines() >= self.needed;
+        self.caught_up.insert(peer);
+        self.is_over = self.caught_up_machines() >= self.needed;
         self.is_over
     }
 
     /// Counts the further machines of which the proxy has all entries.
-    fn settled_machines(&self) -> usize {
-        let machines = self.settled.iter().map(|peer| self.machines[*peer]);
+    fn caught_up_machines(&self) -> usize {
+        let machines = self.caught_up.iter().map(|peer| self.machines[*peer]);
         let further: BTreeSet<Machine> = machines.filter(|machine| *machine != self.own).collect();
         further.len()
     }
--- a/replication/tests/recovery.rs
+++ b/replication/tests/recovery.rs
@@ -23,16 +23,16 @@
     let mut one = new(1);
     assert_eq!(one.tick(0), requests(&[0, 1, 2, 3]));
     assert!(
-        !one.settled(0) && !one.settled(1) && !one.settled(2),
+        !one.record_caught_up(0) && !one.record_caught_up(1) && !one.record_caught_up(2),
         "a commit may be on machine 30 alone"
     );
     assert_eq!((one.tick(5), one.tick(10)), (requests(&[]), requests(&[3])));
-    assert!(one.settled(3) && one.is_over() && one.due().is_none());
+    assert!(one.record_caught_up(3) && one.is_over() && one.due().is_none());
     // Commits that waited for both are on each.
     let mut both = new(2);
-    assert!(both.settled(3));
+    assert!(both.record_caught_up(3));
     let mut late = new(1);
-    late.settled(3);
+    late.record_caught_up(3);
     assert_eq!(
         (
             late.tick(99).missing_machines,
