--- a/daemon/examples/purge_soak.rs
+++ b/daemon/examples/purge_soak.rs
@@ -79,9 +79,9 @@
     /// Takes an entry as a datagram of a peer.
     fn receive(&mut self, now: Micros, entry: Entry) -> Result<(), Box<dyn Error>> {
         let bytes = Datagram::Entry(entry)
-            .write()
+            .encode()
             .ok_or("the entry fits no datagram")?;
-        let received = self.ledger.receive(now, 0, Datagram::read(&bytes)?);
+        let received = self.ledger.receive(now, 0, Datagram::decode(&bytes)?);
         if received.new.len() != 1 {
             return Err("an entry was not taken".into());
         }
--- a/daemon/src/daemon/sources/peers.rs
+++ b/daemon/src/daemon/sources/peers.rs
@@ -82,7 +82,7 @@
 
     /// Takes a datagram of replication; false where it is none.
     fn receive_replication(&mut self, now: Micros, peer: usize, bytes: &[u8]) -> bool {
-        let datagram = match Datagram::read(bytes) {
+        let datagram = match Datagram::decode(bytes) {
             Ok(datagram) => datagram,
             Err(DecodeError::Foreign) => return false,
             Err(e) => {
@@ -166,7 +166,7 @@
     /// Sends a new entry to all peers at once; those that it does not reach get it by replication.
     pub(in crate::daemon) fn send_entry(&mut self, entry: Entry) {
         if let Some(bytes) = Datagram::Entry(entry)
-            .write()
+            .encode()
             .filter(|_| self.config.copies.on)
         {
             self.send_to_peers(&bytes);
@@ -176,7 +176,7 @@
     /// Sends datagrams of replication to peers.
     pub(in crate::daemon) fn send_datagrams(&self, outgoing: Vec<Outgoing>) {
         for Outgoing { peer, datagram } in outgoing {
-            if let Some(bytes) = datagram.write() {
+            if let Some(bytes) = datagram.encode() {
                 self.send_to_peer_at(peer, &bytes);
             }
         }
--- a/daemon/src/ledger/legacy.rs
+++ b/daemon/src/ledger/legacy.rs
@@ -44,7 +44,7 @@
             // A crash may have cut off the last line, which is skipped then.
             let line = line.strip_suffix('\n').unwrap_or("");
             match (
-                Datagram::read(line.as_bytes()),
+                Datagram::decode(line.as_bytes()),
                 peers::read(line.as_bytes()),
             ) {
                 (Ok(Datagram::Entry(entry)), _) => {
--- a/daemon/tests/compaction.rs
+++ b/daemon/tests/compaction.rs
@@ -295,7 +295,7 @@
         if let (1, Datagram::Ack { positions, .. }) = (from, &datagram) {
             acks.extend(positions.iter().copied());
         }
-        let datagram = Datagram::read(&datagram.write().unwrap()).unwrap();
+        let datagram = Datagram::decode(&datagram.encode().unwrap()).unwrap();
         let received = sides[1 - from].ledger.receive(Micros::MAX, 0, datagram);
         pending.extend(received.replies.into_iter().map(|reply| (1 - from, reply)));
     }
--- a/rehearse/src/scale/daemons/host.rs
+++ b/rehearse/src/scale/daemons/host.rs
@@ -287,7 +287,7 @@
     }
 
     fn note_ack(&mut self, index: usize, daemon: usize, bytes: &[u8]) {
-        let Ok(Datagram::Ack { positions, .. }) = Datagram::read(bytes) else {
+        let Ok(Datagram::Ack { positions, .. }) = Datagram::decode(bytes) else {
             return;
         };
         let (own, now) = (self.config.members[index].id, self.clock.now());
@@ -357,7 +357,7 @@
 /// The index of the entry of this writer that goes to the first daemon.
 fn own_entry(outgoing: &[Outgoing], own: Writer) -> Option<Index> {
     let mut to_first = outgoing.iter().filter(|outgoing| outgoing.to == 0);
-    to_first.find_map(|outgoing| match Datagram::read(&outgoing.bytes) {
+    to_first.find_map(|outgoing| match Datagram::decode(&outgoing.bytes) {
         Ok(Datagram::Entry(entry)) if entry.log.writer == own => Some(entry.index),
         _ => None,
     })
--- a/rehearse/src/scale/daemons/kind.rs
+++ b/rehearse/src/scale/daemons/kind.rs
@@ -34,7 +34,7 @@
 
     /// Of a datagram.
     pub fn of(bytes: &[u8]) -> Self {
-        match Datagram::read(bytes) {
+        match Datagram::decode(bytes) {
             Ok(Datagram::Entry(_)) => return Kind::Entries,
             Ok(Datagram::Ack { .. }) => return Kind::Acks,
             Ok(_) => return Kind::Digests,
--- a/rehearse/src/scale/hollow/mod.rs
+++ b/rehearse/src/scale/hollow/mod.rs
@@ -363,10 +363,10 @@
 
 /// Whether a datagram is a part of a snapshot.
 fn is_snapshot(bytes: &[u8]) -> bool {
-    matches!(Datagram::read(bytes), Ok(Datagram::SnapshotChunk(_)))
+    matches!(Datagram::decode(bytes), Ok(Datagram::SnapshotChunk(_)))
 }
 
 /// Whether a datagram is an entry or a plain purge.
 fn is_purge(bytes: &[u8]) -> bool {
-    matches!(Datagram::read(bytes), Ok(Datagram::Entry(_))) || peers::read(bytes).is_some()
+    matches!(Datagram::decode(bytes), Ok(Datagram::Entry(_))) || peers::read(bytes).is_some()
 }
--- a/rehearse/src/scale/hollow/purge_log.rs
+++ b/rehearse/src/scale/hollow/purge_log.rs
@@ -228,7 +228,7 @@
         if let Some(bytes) = entry
             .as_ref()
             .ok()
-            .and_then(|entry| Datagram::Entry(entry.clone()).write())
+            .and_then(|entry| Datagram::Entry(entry.clone()).encode())
         {
             outbox.broadcast(&bytes);
         }
@@ -280,7 +280,7 @@
         outbox: &mut Outbox,
         events: &mut Vec<MemberEvent>,
     ) -> bool {
-        let datagram = match Datagram::read(bytes) {
+        let datagram = match Datagram::decode(bytes) {
             Ok(datagram) => datagram,
             Err(DecodeError::Foreign) => return false,
             Err(_) => return true,
@@ -385,7 +385,7 @@
 
 fn send_all(datagrams: Vec<Outgoing>, outbox: &mut Outbox) {
     for Outgoing { peer, datagram } in datagrams {
-        if let Some(bytes) = datagram.write() {
+        if let Some(bytes) = datagram.encode() {
             outbox.send(peer, bytes);
         }
     }
--- a/rehearse/tests/scale_daemons_parts.rs
+++ b/rehearse/tests/scale_daemons_parts.rs
@@ -34,7 +34,7 @@
 
 #[test]
 fn datagrams_are_known_by_their_own_decoders() {
-    let digest_request = Datagram::DigestRequest.write().expect("it is short");
+    let digest_request = Datagram::DigestRequest.encode().expect("it is short");
     assert_eq!(Kind::of(&digest_request), Kind::Digests);
     let ack = Datagram::Ack {
         process: 1,
@@ -43,7 +43,7 @@
             index: 3,
         }],
     };
-    assert_eq!(Kind::of(&ack.write().expect("it is short")), Kind::Acks);
+    assert_eq!(Kind::of(&ack.encode().expect("it is short")), Kind::Acks);
     assert_eq!(Kind::of(b"purge object a 1"), Kind::Other);
 }
 
--- a/replication/src/wire.rs
+++ b/replication/src/wire.rs
@@ -68,7 +68,7 @@
 
 impl Datagram {
     /// Encodes the datagram; `None` if it would be too long, as for an object of a very long name.
-    pub fn write(&self) -> Option<Vec<u8>> {
+    pub fn encode(&self) -> Option<Vec<u8>> {
         let bytes = match self {
             Datagram::SnapshotChunk(chunk) => {
                 let mut bytes = CHUNK_MARK.as_bytes().to_vec();
@@ -131,7 +131,7 @@
     ///
     /// # Errors
     /// Fails if it is of another kind or version, or malformed.
-    pub fn read(bytes: &[u8]) -> Result<Self, DecodeError> {
+    pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let body = payload(bytes, MARK)?;
         if let Some(chunk) = bytes.strip_prefix(CHUNK_MARK.as_bytes()) {
             return snapshot::read_chunk(chunk)
--- a/replication/tests/compaction/fleet.rs
+++ b/replication/tests/compaction/fleet.rs
@@ -178,10 +178,10 @@
 
     fn send(&mut self, from: usize, to: usize, datagram: &Datagram) {
         let bytes = datagram
-            .write()
+            .encode()
             .unwrap_or_else(|| panic!("too long: {datagram:?}"));
         assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
-        assert_eq!(Datagram::read(&bytes).as_ref(), Ok(datagram));
+        assert_eq!(Datagram::decode(&bytes).as_ref(), Ok(datagram));
         self.links.send(from, to, &bytes);
     }
 
@@ -288,7 +288,7 @@
         let Some(replica) = member.replica.as_mut() else {
             return;
         };
-        let datagram = Datagram::read(bytes).expect("it is well formed");
+        let datagram = Datagram::decode(bytes).expect("it is well formed");
         let is_of_snapshots = matches!(
             datagram,
             Datagram::SnapshotOffer(_) | Datagram::SnapshotRequest(_) | Datagram::SnapshotChunk(_)
--- a/replication/tests/compaction_model.rs
+++ b/replication/tests/compaction_model.rs
@@ -208,7 +208,7 @@
         }
         state
             .sent
-            .entry((from, to, datagram.write().expect("it fits")))
+            .entry((from, to, datagram.encode().expect("it fits")))
             .or_default();
     }
 
@@ -268,7 +268,7 @@
 
     fn deliver(&self, state: &mut State, (from, to): (usize, usize), bytes: &[u8]) -> Option<()> {
         *state.sent.get_mut(&(from, to, bytes.to_vec()))? += 1;
-        let mut datagram = Datagram::read(bytes).ok()?;
+        let mut datagram = Datagram::decode(bytes).ok()?;
         if let (Planted::RaisedEarly, Datagram::SnapshotChunk(chunk)) =
             (self.planted, &mut datagram)
         {
--- a/replication/tests/fleet.rs
+++ b/replication/tests/fleet.rs
@@ -119,7 +119,7 @@
     }
 
     fn send(&mut self, from: usize, to: usize, datagram: &Datagram) {
-        let Some(bytes) = datagram.write() else {
+        let Some(bytes) = datagram.encode() else {
             panic!("too long: {datagram:?}")
         };
         self.bytes += bytes.len() as u64;
@@ -233,7 +233,7 @@
         let received = replica.receive(
             now,
             simnet::peer_index(from, to),
-            Datagram::read(&bytes).expect("it is well formed"),
+            Datagram::decode(&bytes).expect("it is well formed"),
         );
         received.new.iter().for_each(|e| self.put(to, e));
         for e in &received.out_of_order {
@@ -938,11 +938,11 @@
 
     #[test]
     fn any_bytes_are_a_datagram_or_an_error(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-        let _ = Datagram::read(&bytes);
+        let _ = Datagram::decode(&bytes);
         let mut marked = b"copies1 entry ".to_vec();
         marked.extend(&bytes);
-        if let Ok(d) = Datagram::read(&marked) {
-            prop_assert!(d.write().is_some());
+        if let Ok(d) = Datagram::decode(&marked) {
+            prop_assert!(d.encode().is_some());
         }
     }
 
@@ -981,12 +981,12 @@
             Datagram::RangeRequest { positions },
         ];
         for d in datagrams {
-            let bytes = d.write().expect("it fits");
+            let bytes = d.encode().expect("it fits");
             prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
-            prop_assert_eq!(Datagram::read(&bytes), Ok(d));
+            prop_assert_eq!(Datagram::decode(&bytes), Ok(d));
             for cut in 1..bytes.len() {
                 // Cut off it is torn, or tells less; it never reads as what it was.
-                prop_assert_ne!(Datagram::read(&bytes[..cut]), Datagram::read(&bytes));
+                prop_assert_ne!(Datagram::decode(&bytes[..cut]), Datagram::decode(&bytes));
             }
         }
     }
--- a/replication/tests/model.rs
+++ b/replication/tests/model.rs
@@ -96,7 +96,7 @@
     fn send(state: &mut State, from: usize, to: usize, datagram: &Datagram) {
         state
             .sent
-            .insert((from, to, datagram.write().expect("it fits")));
+            .insert((from, to, datagram.encode().expect("it fits")));
     }
 
     fn take(&self, state: &mut State, n: usize, entry: &Entry) {
@@ -206,7 +206,7 @@
                 self.tell(&mut state, n, outgoing);
             }
             Action::Deliver(from, to, bytes) => {
-                let datagram = Datagram::read(&bytes).ok()?;
+                let datagram = Datagram::decode(&bytes).ok()?;
                 let received = state.proxies[to].replica.as_mut()?.receive(
                     Micros::MAX,
                     peer_index(from, to),
--- a/replication/tests/statuses.rs
+++ b/replication/tests/statuses.rs
@@ -203,15 +203,15 @@
                 at: most,
                 revoked: false,
             };
-            let bytes = Datagram::Entry(entry.clone()).write().expect("it fits");
-            assert_eq!(Datagram::read(&bytes), Ok(Datagram::Entry(entry)));
+            let bytes = Datagram::Entry(entry.clone()).encode().expect("it fits");
+            assert_eq!(Datagram::decode(&bytes), Ok(Datagram::Entry(entry)));
         }
     }
     assert_eq!(split_status("").unwrap(), [(0, String::new())]);
     for torn in ["%", "%4", "%zz", "%+1", "a%\u{e9}", "%41", "\u{1}", "%2A"] {
         let datagram = format!("copies1 entry 1 1 0 1 1 status 1.0.{torn}");
         assert_eq!(
-            Datagram::read(datagram.as_bytes()),
+            Datagram::decode(datagram.as_bytes()),
             Err(DecodeError::Malformed),
             "{torn}"
         );
--- a/replication/tests/wire.rs
+++ b/replication/tests/wire.rs
@@ -108,10 +108,10 @@
     ];
     for (datagram, bytes) in golden {
         assert_eq!(
-            String::from_utf8(datagram.write().expect("it fits")).as_deref(),
+            String::from_utf8(datagram.encode().expect("it fits")).as_deref(),
             Ok(bytes)
         );
-        assert_eq!(Datagram::read(bytes.as_bytes()), Ok(datagram));
+        assert_eq!(Datagram::decode(bytes.as_bytes()), Ok(datagram));
     }
 }
 
@@ -156,10 +156,10 @@
     ];
     for (datagram, bytes) in golden {
         assert_eq!(
-            String::from_utf8(datagram.write().expect("it fits")).as_deref(),
+            String::from_utf8(datagram.encode().expect("it fits")).as_deref(),
             Ok(bytes)
         );
-        assert_eq!(Datagram::read(bytes.as_bytes()), Ok(datagram));
+        assert_eq!(Datagram::decode(bytes.as_bytes()), Ok(datagram));
         assert!(!is_known_to_older(bytes.as_bytes()));
     }
     let mut bucket = Bucket::default();
@@ -180,14 +180,14 @@
         },
     };
     let bytes = Datagram::SnapshotChunk(chunk.clone())
-        .write()
+        .encode()
         .expect("it fits");
     let golden = [
         b"copies1 chunk \x81\0\0\0\0\0\0\0\x50\0\0\0\0\0\0\0\x03b\0\0\0\0E\x04".as_slice(),
         b"\0\0\0\x02\x01\0\0\0\0\0\0\0\0\0\0\0\0\x02\0\0\x05",
     ];
     assert_eq!(bytes, golden.concat());
-    assert_eq!(Datagram::read(&bytes), Ok(Datagram::SnapshotChunk(chunk)));
+    assert_eq!(Datagram::decode(&bytes), Ok(Datagram::SnapshotChunk(chunk)));
     assert!(!is_known_to_older(&bytes));
 }
 
@@ -214,7 +214,7 @@
             buckets: (0..3).map(placed).collect(),
         },
     };
-    let bytes = Datagram::SnapshotChunk(chunk).write().expect("it fits");
+    let bytes = Datagram::SnapshotChunk(chunk).encode().expect("it fits");
     assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
 }
 
@@ -234,7 +234,7 @@
             ends_window: false,
             content,
         };
-        Datagram::read(&Datagram::SnapshotChunk(chunk).write().expect("it fits")).is_ok()
+        Datagram::decode(&Datagram::SnapshotChunk(chunk).encode().expect("it fits")).is_ok()
     };
     let logs =
         |numbers: &[u64]| SnapshotContent::Logs(numbers.iter().map(|n| log(*n, 5)).collect());
@@ -295,10 +295,10 @@
             content: SnapshotContent::Entries(vec![retained(n, kind, text)]),
         };
         let datagram = Datagram::SnapshotChunk(chunk);
-        let bytes = datagram.write().expect("it fits");
-        prop_assert_eq!(Datagram::read(&bytes), Ok(datagram));
+        let bytes = datagram.encode().expect("it fits");
+        prop_assert_eq!(Datagram::decode(&bytes), Ok(datagram));
         for cut in 0..bytes.len() {
-            prop_assert_ne!(Datagram::read(&bytes[..cut]), Datagram::read(&bytes));
+            prop_assert_ne!(Datagram::decode(&bytes[..cut]), Datagram::decode(&bytes));
         }
     }
 
@@ -306,8 +306,8 @@
     fn any_bytes_behind_the_mark_of_a_chunk_are_one_or_an_error(bytes in proptest::collection::vec(any::<u8>(), 0..242)) {
         let mut marked = b"copies1 chunk ".to_vec();
         marked.extend(&bytes);
-        if let Ok(datagram) = Datagram::read(&marked) {
-            prop_assert_eq!(datagram.write(), Some(marked));
+        if let Ok(datagram) = Datagram::decode(&marked) {
+            prop_assert_eq!(datagram.encode(), Some(marked));
         }
     }
 }
