--- a/daemon/examples/purge_soak.rs
+++ b/daemon/examples/purge_soak.rs
@@ -198,7 +198,7 @@
     let counters = process.ledger.replica().counters();
     println!(
         "\nlearned {}, compacted {}, rejected {}",
-        counters.learned, counters.compacted, counters.rejected
+        counters.inserted, counters.compacted, counters.rejected
     );
     println!("peak RSS {:.1} MiB", status_mb("VmHWM")?);
     Ok(process.ledger.close()?)
--- a/daemon/src/daemon/shutdown.rs
+++ b/daemon/src/daemon/shutdown.rs
@@ -128,8 +128,8 @@
 fn log_replication(t: Counters) {
     log::info!(
         sent = t.sent,
-        learned = t.learned,
-        known = t.known,
+        learned = t.inserted,
+        known = t.duplicates,
         out_of_order = t.out_of_order,
         rejected = t.rejected,
         committed = t.committed,
--- a/daemon/src/ledger/append.rs
+++ b/daemon/src/ledger/append.rs
@@ -46,7 +46,9 @@
         }
         let pieces = split_status(text).filter(|pieces| pieces.len() <= self.capacity());
         let pieces = pieces.ok_or(AppendError::StatusTooLong)?;
-        let append = |(part, text)| self.append(Subject::TriggerStatusPart { number, part, text }, at, false);
+        let append = |(part, text)| {
+            self.append(Subject::TriggerStatusPart { number, part, text }, at, false)
+        };
         pieces.into_iter().map(append).collect()
     }
 
@@ -54,11 +56,13 @@
     pub fn statuses(&self) -> Vec<TriggerStatus> {
         let log_store = self.replica.log_store();
         let status = |(writer, number)| {
-            log_store.trigger_status(writer, number).map(|text| TriggerStatus {
-                writer,
-                number,
-                text,
-            })
+            log_store
+                .trigger_status(writer, number)
+                .map(|text| TriggerStatus {
+                    writer,
+                    number,
+                    text,
+                })
         };
         log_store
             .triggers()
--- a/daemon/src/ledger/mod.rs
+++ b/daemon/src/ledger/mod.rs
@@ -83,7 +83,10 @@
     match &entry.subject {
         Subject::Object(object) => Some(Purge::of_object(object, entry.at)),
         Subject::Group(group) => Some(Purge::of_group(*group, entry.at)),
-        Subject::Ban(_) | Subject::Drain | Subject::TriggerStatusPart { .. } | Subject::TriggerDeleted { .. } => None,
+        Subject::Ban(_)
+        | Subject::Drain
+        | Subject::TriggerStatusPart { .. }
+        | Subject::TriggerDeleted { .. } => None,
     }
 }
 
--- a/daemon/src/ledger/opening.rs
+++ b/daemon/src/ledger/opening.rs
@@ -30,7 +30,10 @@
     }
     let mut writes = Vec::new();
     for (subject, at) in latest {
-        if store.latest_entry_time(&subject).is_none_or(|known| known < at) {
+        if store
+            .latest_entry_time(&subject)
+            .is_none_or(|known| known < at)
+        {
             let record = Record {
                 subject,
                 at,
--- a/daemon/src/limits/mod.rs
+++ b/daemon/src/limits/mod.rs
@@ -251,9 +251,9 @@
         ReplicationOptions {
             max_exact_entries: copies.purge_table.exact.unwrap_or(self.purges),
             max_logs: self.purge_logs,
-            expiring: self.statuses,
+            expiring_entries: self.statuses,
             expiry_us: triggers::STALE_S * 1_000_000,
-            max_pending: self.promises,
+            max_pending_commits: self.promises,
             min_acks: copies.wait,
             replication_factor: copies.holders,
             commit_timeout_us: copies.within_us,
--- a/daemon/tests/common/ledger_on_medium.rs
+++ b/daemon/tests/common/ledger_on_medium.rs
@@ -154,7 +154,11 @@
 
     /// Whether a purge is in force: as an entry or in the table, no earlier than told.
     pub(crate) fn holds(&self, entry: &Entry) -> bool {
-        self.ledger.replica().log_store().latest_purge(&entry.subject) >= Some(entry.at)
+        self.ledger
+            .replica()
+            .log_store()
+            .latest_purge(&entry.subject)
+            >= Some(entry.at)
     }
 }
 
--- a/daemon/tests/compaction.rs
+++ b/daemon/tests/compaction.rs
@@ -137,7 +137,12 @@
     running.ledger.tick(running.now);
     running.settle();
     let is_held = |running: &Running, n: u64| {
-        running.ledger.replica().log_store().latest_purge(&subject(n)) >= Some(1_000 * n)
+        running
+            .ledger
+            .replica()
+            .log_store()
+            .latest_purge(&subject(n))
+            >= Some(1_000 * n)
     };
     assert!((0..30).all(|n| is_held(&running, n)));
     running.ledger.abandon();
--- a/daemon/tests/stored_forms.rs
+++ b/daemon/tests/stored_forms.rs
@@ -168,8 +168,7 @@
                 .append(object(n), at(&object(n)), false)
                 .unwrap();
         }
-        let is_of_status =
-            |e: &&Entry| matches!(e.subject, Subject::TriggerStatusPart { number: of, .. } if of == number);
+        let is_of_status = |e: &&Entry| matches!(e.subject, Subject::TriggerStatusPart { number: of, .. } if of == number);
         let told_at = entries.iter().find(is_of_status).unwrap().at;
         running.ledger.append_status(number, text, told_at).unwrap();
         running.settle(now);
--- a/rehearse/src/scale/hollow/purge_log.rs
+++ b/rehearse/src/scale/hollow/purge_log.rs
@@ -305,7 +305,10 @@
         });
         send_all(replies.collect(), outbox);
         if !received.compacted.is_empty() {
-            send_all(self.replica.record_snapshot_synced(&received.compacted), outbox);
+            send_all(
+                self.replica.record_snapshot_synced(&received.compacted),
+                outbox,
+            );
         }
         self.settle(now, events);
         // The next part of a snapshot, or of what is missing, may be due sooner now.
--- a/replication/src/entry.rs
+++ b/replication/src/entry.rs
@@ -70,7 +70,10 @@
 impl Subject {
     /// Returns whether entries on this subject expire.
     pub fn is_expiring(&self) -> bool {
-        matches!(self, Subject::TriggerStatusPart { .. } | Subject::TriggerDeleted { .. })
+        matches!(
+            self,
+            Subject::TriggerStatusPart { .. } | Subject::TriggerDeleted { .. }
+        )
     }
 
     /// Returns the key of the purge in a compact table; `None` if this is no purge.
@@ -78,9 +81,10 @@
         match self {
             Subject::Object(object) => Some(KeyHash::of_object(object)),
             Subject::Group(group) => Some(KeyHash::of_group(*group)),
-            Subject::Ban(_) | Subject::Drain | Subject::TriggerStatusPart { .. } | Subject::TriggerDeleted { .. } => {
-                None
-            }
+            Subject::Ban(_)
+            | Subject::Drain
+            | Subject::TriggerStatusPart { .. }
+            | Subject::TriggerDeleted { .. } => None,
         }
     }
 
--- a/replication/src/log_store/capacity.rs
+++ b/replication/src/log_store/capacity.rs
@@ -9,7 +9,7 @@
     /// The most entries that do not expire.
     pub entries: usize,
     /// The most entries that expire, which must not take the capacity of the others.
-    pub expiring: usize,
+    pub expiring_entries: usize,
     /// The most logs.
     pub logs: usize,
 }
@@ -18,7 +18,7 @@
     /// No bound.
     pub const UNLIMITED: Capacity = Capacity {
         entries: usize::MAX,
-        expiring: usize::MAX,
+        expiring_entries: usize::MAX,
         logs: usize::MAX,
     };
 }
--- a/replication/src/log_store/mod.rs
+++ b/replication/src/log_store/mod.rs
@@ -213,7 +213,7 @@
         }
         let replaces = !entry.subject.is_purge() && self.is_live(entry.log, &entry.subject);
         let is_full = if entry.subject.is_expiring() {
-            self.expiring >= capacity.expiring
+            self.expiring >= capacity.expiring_entries
         } else {
             self.exact_len() >= capacity.entries
         };
--- a/replication/src/log_store/statuses.rs
+++ b/replication/src/log_store/statuses.rs
@@ -67,7 +67,10 @@
     /// Returns the status of a trigger as far as its pieces are stored without a gap; `None` if there is none, or the
     /// trigger was deleted. Whether the text is complete must follow from the text itself.
     pub fn trigger_status(&self, writer: Writer, number: u64) -> Option<String> {
-        if self.latest_entry_time(&Subject::TriggerDeleted { writer, number }).is_some() {
+        if self
+            .latest_entry_time(&Subject::TriggerDeleted { writer, number })
+            .is_some()
+        {
             return None;
         }
         let first = SubjectKey::first(Subject::TriggerStatusPart {
--- a/replication/src/options.rs
+++ b/replication/src/options.rs
@@ -10,7 +10,7 @@
     /// that can't be moved because the disk does not take them.
     pub max_exact_entries: usize,
     /// The most entries of triggers' statuses, in addition.
-    pub expiring: usize,
+    pub expiring_entries: usize,
     /// How long those entries are of use.
     pub expiry_us: Micros,
     /// The most logs, which are writers by their epochs.
@@ -18,11 +18,11 @@
     /// The interval between two digests.
     pub digest_period_us: Micros,
     /// The most entries sent in answer to one message of a peer that has fewer.
-    pub batch: usize,
+    pub max_entries_per_reply: usize,
     /// The most entries sent in one digest period to all peers: replication must leave the event loop to requests.
     pub max_entries_per_period: usize,
     /// The most entries in the reorder buffer.
-    pub reorder: usize,
+    pub max_reordered_entries: usize,
     /// How long after the first entry out of order the gap before it is requested.
     pub gap_request_us: Micros,
     /// How many further machines must have a commit on their disks before it is given.
@@ -34,7 +34,7 @@
     /// The interval in which entries are sent again while a commit waits for peers.
     pub retry_us: Micros,
     /// The most pending commits.
-    pub max_pending: usize,
+    pub max_pending_commits: usize,
     /// The bytes of a snapshot per second that this replica requests.
     pub snapshot_bytes_per_s: usize,
     /// The most bytes of snapshots sent in one digest period to all peers.
@@ -62,19 +62,19 @@
     fn default() -> Self {
         Options {
             max_exact_entries: 65_536,
-            expiring: 20_000,
+            expiring_entries: 20_000,
             expiry_us: 3_600_000_000,
             max_logs: 16_384,
             digest_period_us: 500_000,
-            batch: 256,
+            max_entries_per_reply: 256,
             max_entries_per_period: 512,
-            reorder: 1_024,
+            max_reordered_entries: 1_024,
             gap_request_us: 10_000,
             min_acks: 1,
             replication_factor: 2,
             commit_timeout_us: 1_000_000,
             retry_us: 50_000,
-            max_pending: 1_024,
+            max_pending_commits: 1_024,
             snapshot_bytes_per_s: 262_144,
             max_snapshot_bytes_per_period: 524_288,
             snapshot_request_us: 50_000,
@@ -89,9 +89,9 @@
     /// Entries sent to peers.
     pub sent: u64,
     /// Entries that were new here.
-    pub learned: u64,
+    pub inserted: u64,
     /// Entries that were known.
-    pub known: u64,
+    pub duplicates: u64,
     /// Entries that arrived before others of their log.
     pub out_of_order: u64,
     /// Entries beyond the capacity.
--- a/replication/src/replica/catch_up.rs
+++ b/replication/src/replica/catch_up.rs
@@ -94,10 +94,10 @@
             };
         }
         self.counters.snapshots_offered += 1;
-        let total = self.log_store.compacted_logs(LogId::default()).count() as u64;
+        let compacted_log_count = self.log_store.compacted_logs(LogId::default()).count() as u64;
         Datagram::SnapshotOffer(SnapshotOffer {
             process: self.process,
-            total,
+            compacted_log_count,
             logs,
         })
     }
@@ -280,7 +280,7 @@
                 .get(&entry.log)
                 .is_some_and(|last| entry.index > *last);
             if is_missing && self.log_store.take_retained(&entry) {
-                self.counters.learned += 1;
+                self.counters.inserted += 1;
                 self.unsynced.add(entry.log, entry.index);
                 received.new.push(entry);
             }
--- a/replication/src/replica/commits.rs
+++ b/replication/src/replica/commits.rs
@@ -19,7 +19,9 @@
             // The entry was sent to the peers just now, and is sent again only after a while.
             self.next_retry = now + self.options.retry_us;
         }
-        let opened = self.pending.open(now, index, self.options.max_pending);
+        let opened = self
+            .pending
+            .open(now, index, self.options.max_pending_commits);
         self.counters.commits_rejected += u64::from(opened.is_err());
         opened
     }
@@ -122,7 +124,9 @@
             };
             match next.filter(is_in_force) {
                 Some(entry) => entries.push(entry),
-                None if self.unsynced.is_last(log, index) => self.unsynced.record_synced(log, index),
+                None if self.unsynced.is_last(log, index) => {
+                    self.unsynced.record_synced(log, index)
+                }
                 None => self.unsynced.record_sync_failure(log, index),
             }
         }
--- a/replication/src/replica/exchange.rs
+++ b/replication/src/replica/exchange.rs
@@ -129,14 +129,14 @@
         let (log, index) = (entry.log, entry.index);
         match self.log_store.try_insert(&entry, self.capacity()) {
             Insertion::New => {
-                self.counters.learned += 1;
+                self.counters.inserted += 1;
                 self.reset_gap_requests();
                 self.unsynced.add(log, index);
                 self.ack_once_synced(log, index, from);
                 received.new.push(entry);
             }
             Insertion::Duplicate => {
-                self.counters.known += 1;
+                self.counters.duplicates += 1;
                 // A peer that sends a known entry also asks for its acknowledgement.
                 let durable_index = self.durable_index(log);
                 if durable_index >= index {
@@ -147,7 +147,7 @@
             }
             Insertion::OutOfOrder => {
                 self.counters.out_of_order += 1;
-                if self.reorder.put(&entry, self.options.reorder) {
+                if self.reorder.put(&entry, self.options.max_reordered_entries) {
                     self.reset_gap_requests();
                 }
                 self.reorder_from = from;
@@ -216,7 +216,7 @@
 
     /// Sends the entries of a part of a log, as many as this period leaves.
     fn send(&mut self, range: Range, replies: &mut Vec<Datagram>) {
-        let capacity = self.options.batch.min(self.allowance);
+        let capacity = self.options.max_entries_per_reply.min(self.allowance);
         let before = replies.len();
         let entries = self.log_store.entries_after(range.log, range.gap.after);
         let entries = entries.take_while(|entry| entry.index <= range.gap.through);
--- a/replication/src/replica/mod.rs
+++ b/replication/src/replica/mod.rs
@@ -169,11 +169,13 @@
 
     fn capacity(&self) -> Capacity {
         let Options {
-            expiring, max_logs, ..
+            expiring_entries,
+            max_logs,
+            ..
         } = self.options;
         Capacity {
             entries: self.options.max_entries(),
-            expiring,
+            expiring_entries,
             logs: max_logs,
         }
     }
--- a/replication/src/snapshot/mod.rs
+++ b/replication/src/snapshot/mod.rs
@@ -55,7 +55,7 @@
     /// The sender's process.
     pub process: u64,
     /// The number of logs that the sender has compacted.
-    pub total: u64,
+    pub compacted_log_count: u64,
     /// Some of those that the receiver is behind in.
     pub logs: Vec<CompactedLog>,
 }
--- a/replication/src/wire.rs
+++ b/replication/src/wire.rs
@@ -108,7 +108,7 @@
             }
             Datagram::SnapshotOffer(SnapshotOffer {
                 process,
-                total,
+                compacted_log_count,
                 logs,
             }) => {
                 let position = |compacted: &CompactedLog| LogPosition {
@@ -117,7 +117,7 @@
                 };
                 let positions: Vec<LogPosition> = logs.iter().map(position).collect();
                 let positions = write_positions(&positions);
-                format!("{MARK} offer {process:x} {total:x}{positions}")
+                format!("{MARK} offer {process:x} {compacted_log_count:x}{positions}")
             }
             Datagram::SnapshotRequest(SnapshotRequest { process, from }) => {
                 format!("{MARK} fetch {process:x} {}", write_cursor(*from))
@@ -172,7 +172,7 @@
                 })
             }
             "offer" => {
-                let (process, total) = (read_number(words)?, read_number(words)?);
+                let (process, compacted_log_count) = (read_number(words)?, read_number(words)?);
                 let compacted = |position: LogPosition| CompactedLog {
                     log: position.log,
                     through: position.index,
@@ -180,7 +180,7 @@
                 let logs = read_positions(words)?.into_iter().map(compacted);
                 Some(Datagram::SnapshotOffer(SnapshotOffer {
                     process,
-                    total,
+                    compacted_log_count,
                     logs: logs.collect(),
                 }))
             }
@@ -211,7 +211,9 @@
             "status",
             format!("{number:x}.{part:x}.{}", status::escape(text)),
         ),
-        (Subject::TriggerDeleted { writer, number }, _) => ("gone", format!("{writer:x}.{number:x}")),
+        (Subject::TriggerDeleted { writer, number }, _) => {
+            ("gone", format!("{writer:x}.{number:x}"))
+        }
     };
     let LogId { writer, epoch } = entry.log;
     let Entry {
--- a/replication/tests/fleet.rs
+++ b/replication/tests/fleet.rs
@@ -902,7 +902,7 @@
         LogStore::default(),
         1,
         Options {
-            max_pending: 2,
+            max_pending_commits: 2,
             ..Options::default()
         },
     );
--- a/replication/tests/model.rs
+++ b/replication/tests/model.rs
@@ -202,7 +202,10 @@
                 let proxy = &mut state.proxies[n];
                 let entry = proxy.writes.pop_front()?;
                 proxy.disk.try_insert(&entry, Capacity::UNLIMITED);
-                let outgoing = proxy.replica.as_mut()?.record_synced(entry.log, entry.index);
+                let outgoing = proxy
+                    .replica
+                    .as_mut()?
+                    .record_synced(entry.log, entry.index);
                 self.tell(&mut state, n, outgoing);
             }
             Action::Deliver(from, to, bytes) => {
--- a/replication/tests/reorder.rs
+++ b/replication/tests/reorder.rs
@@ -17,9 +17,9 @@
 }
 
 /// A replica that has index 1 of the log, and keeps so many entries that come early.
-fn replica(reorder: usize) -> Replica {
+fn replica(max_reordered_entries: usize) -> Replica {
     let options = Options {
-        reorder,
+        max_reordered_entries,
         ..Options::default()
     };
     let mut replica = Replica::new(LogId::new(2, 2), LogStore::default(), 1, options);
--- a/replication/tests/snapshot.rs
+++ b/replication/tests/snapshot.rs
@@ -339,7 +339,10 @@
             Capacity::UNLIMITED,
         )
         .expect("there is capacity");
-    assert_eq!((entry.at, store.latest_purge(&group(3))), (9 * S, Some(9 * S)));
+    assert_eq!(
+        (entry.at, store.latest_purge(&group(3))),
+        (9 * S, Some(9 * S))
+    );
 }
 
 /// On a disk a later purge takes the earlier one's place. A process that starts with it knows the later one alone, which
--- a/replication/tests/statuses.rs
+++ b/replication/tests/statuses.rs
@@ -4,7 +4,7 @@
 
 const CAPACITY: Capacity = Capacity {
     entries: 3,
-    expiring: 6,
+    expiring_entries: 6,
     logs: 9,
 };
 const OWN: LogId = LogId::new(1, 7);
@@ -40,7 +40,8 @@
     for (number, part, text) in [(5, 0, "{a"), (6, 0, "{x}"), (5, 1, "b}"), (4, 1, "cut}")] {
         append(&mut log_store, OWN, piece(number, part, text), 10).unwrap();
     }
-    let outgoing = |log_store: &LogStore| [4, 5, 6].map(|number| log_store.trigger_status(1, number));
+    let outgoing =
+        |log_store: &LogStore| [4, 5, 6].map(|number| log_store.trigger_status(1, number));
     assert_eq!(
         outgoing(&log_store),
         [None, Some("{ab}".into()), Some("{x}".into())]
@@ -130,7 +131,10 @@
         "6 is the last, and 5 may be had elsewhere still"
     );
     assert_eq!(
-        (log_store.last_index(OWN), log_store.latest_entry_time(&gone)),
+        (
+            log_store.last_index(OWN),
+            log_store.latest_entry_time(&gone)
+        ),
         (2, Some(10))
     );
     let over: Vec<Index> = log_store.expire(210, 100).iter().map(|e| e.index).collect();
--- a/replication/tests/wire.rs
+++ b/replication/tests/wire.rs
@@ -128,7 +128,7 @@
 fn datagrams_of_snapshots_are_pinned_and_unknown_to_older_versions() {
     let offer = SnapshotOffer {
         process: 0x50,
-        total: 9,
+        compacted_log_count: 9,
         logs: vec![CompactedLog {
             log: LOG,
             through: 0x77,
