--- a/daemon/src/daemon/recovery.rs
+++ b/daemon/src/daemon/recovery.rs
@@ -83,7 +83,7 @@
             log::warn!(
                 "no peer knows what the store has: every copy from before now is taken as purged"
             );
-            self.core.purges_mut().raise_all(now);
+            self.core.purges_mut().purge_all(now);
         }
     }
 
@@ -120,7 +120,7 @@
         if let Some(machines) = step.missing_machines {
             log::error!(machines = machines; "not all that this proxy committed may have been recovered, and it is ready all the same");
             if self.pending_store.is_some() {
-                self.core.purges_mut().raise_all(now);
+                self.core.purges_mut().purge_all(now);
             }
         }
         let due = recovery.due();
@@ -217,7 +217,7 @@
     /// purged.
     fn give_up_snapshot(&mut self, now: Micros) {
         let at = self.core.purge_all_date(now);
-        self.core.purges_mut().raise_all(at);
+        self.core.purges_mut().purge_all(at);
         log::error!(
             "the peers' snapshot was not received in time: every copy from before now is taken as purged"
         );
--- a/purges/src/bucket.rs
+++ b/purges/src/bucket.rs
@@ -58,7 +58,7 @@
     }
 
     /// Raises the watermark to a time if it is lower. Returns whether the bucket changed.
-    pub fn raise(&mut self, at: Micros) -> bool {
+    pub fn raise_watermark(&mut self, at: Micros) -> bool {
         self.raise_to(Stamp::not_before(at))
     }
 
--- a/purges/src/compact.rs
+++ b/purges/src/compact.rs
@@ -151,9 +151,9 @@
     }
 
     /// Records a purge of every key at once, for a process that can't learn which purges it has missed.
-    pub fn raise_all(&mut self, at: Micros) {
+    pub fn purge_all(&mut self, at: Micros) {
         for index in 0..self.bucket_bits.buckets() as u32 {
-            self.change(BucketIndex(index), |bucket| bucket.raise(at));
+            self.change(BucketIndex(index), |bucket| bucket.raise_watermark(at));
         }
     }
 
--- a/purges/src/table.rs
+++ b/purges/src/table.rs
@@ -52,8 +52,8 @@
     }
 
     /// Records a purge of every key at once, for a process that can't learn which purges it has missed.
-    pub fn raise_all(&mut self, at: Micros) {
-        self.compact.raise_all(at);
+    pub fn purge_all(&mut self, at: Micros) {
+        self.compact.purge_all(at);
     }
 
     /// Merges a bucket of another proxy's compact table; see [`CompactTable::merge_bucket`].
--- a/purges/tests/bucket.rs
+++ b/purges/tests/bucket.rs
@@ -13,14 +13,14 @@
 #[derive(Clone, Debug)]
 enum Step {
     Record(u64, Micros),
-    Raise(Micros),
+    RaiseWatermark(Micros),
 }
 
 /// Few keys and times, so that equal ones and equal times of several keys are common.
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         12 => (0..12u64, 0..30 * MS).prop_map(|(key, at)| Step::Record(key, at)),
-        1 => (0..20 * MS).prop_map(Step::Raise),
+        1 => (0..20 * MS).prop_map(Step::RaiseWatermark),
     ]
 }
 
@@ -33,7 +33,7 @@
     for step in steps {
         match step {
             Step::Record(key, at) => bucket.record(fingerprint(*key), *at),
-            Step::Raise(at) => bucket.raise(*at),
+            Step::RaiseWatermark(at) => bucket.raise_watermark(*at),
         };
     }
     bucket
@@ -74,7 +74,7 @@
         let before = bucket;
         let reported = match more {
             Step::Record(key, at) => bucket.record(fingerprint(key), at),
-            Step::Raise(at) => bucket.raise(at),
+            Step::RaiseWatermark(at) => bucket.raise_watermark(at),
         };
         prop_assert_eq!(reported, bucket != before);
     }
@@ -162,7 +162,7 @@
 #[test]
 fn the_encoding_is_fixed() {
     let mut bucket = Bucket::default();
-    bucket.raise(4 * MS);
+    bucket.raise_watermark(4 * MS);
     bucket.record(fingerprint(9), 6 * MS);
     bucket.record(fingerprint(8), 7 * MS);
     let mut encoded = Vec::new();
@@ -215,7 +215,7 @@
             );
             let purges = all.iter().filter_map(|step| match step {
                 Step::Record(recorded, at) => (*recorded == key).then_some(*at),
-                Step::Raise(at) => Some(*at),
+                Step::RaiseWatermark(at) => Some(*at),
             });
             prop_assert!(latest >= purges.max().map(|at| at.min(bound)));
         }
--- a/purges/tests/floors.rs
+++ b/purges/tests/floors.rs
@@ -27,7 +27,7 @@
     fn resize(&mut self, bucket_bits: BucketBits);
     /// Writes everything to bytes and reads it into an empty table.
     fn restart(&mut self);
-    fn raise_all(&mut self, at: Micros);
+    fn purge_all(&mut self, at: Micros);
     fn compact(&mut self, now: Micros, keep_us: Micros);
 }
 
@@ -76,8 +76,8 @@
         *self = next;
     }
 
-    fn raise_all(&mut self, at: Micros) {
-        CompactTable::raise_all(self, at);
+    fn purge_all(&mut self, at: Micros) {
+        CompactTable::purge_all(self, at);
     }
 
     fn compact(&mut self, _: Micros, _: Micros) {}
@@ -119,8 +119,8 @@
         *self = next;
     }
 
-    fn raise_all(&mut self, at: Micros) {
-        PurgeTable::raise_all(self, at);
+    fn purge_all(&mut self, at: Micros) {
+        PurgeTable::purge_all(self, at);
     }
 
     fn compact(&mut self, now: Micros, keep_us: Micros) {
@@ -184,7 +184,7 @@
     fn merge(&mut self, _: &CompactTable) {}
     fn resize(&mut self, _: BucketBits) {}
     fn restart(&mut self) {}
-    fn raise_all(&mut self, _: Micros) {}
+    fn purge_all(&mut self, _: Micros) {}
     fn compact(&mut self, _: Micros, _: Micros) {}
 }
 
@@ -195,7 +195,7 @@
     Merge(u8, Vec<(KeyHash, Micros)>),
     Resize(u8),
     Restart,
-    RaiseAll(Micros),
+    PurgeAll(Micros),
     Compact(Micros, Micros),
 }
 
@@ -217,7 +217,7 @@
         2 => (4..8u8, prop::collection::vec(purge(), 0..40)).prop_map(|(bits, all)| Step::Merge(bits, all)),
         1 => (4..8u8).prop_map(Step::Resize),
         1 => Just(Step::Restart),
-        1 => (0..100 * MS).prop_map(Step::RaiseAll),
+        1 => (0..100 * MS).prop_map(Step::PurgeAll),
         3 => (0..500 * MS, 0..200 * MS).prop_map(|(now, keep_us)| Step::Compact(now, keep_us)),
     ]
 }
@@ -246,7 +246,7 @@
         }
         Step::Resize(size) => table.resize(bits(*size)),
         Step::Restart => table.restart(),
-        Step::RaiseAll(at) => table.raise_all(*at),
+        Step::PurgeAll(at) => table.purge_all(*at),
         Step::Compact(now, keep_us) => table.compact(*now, *keep_us),
     }
 }
--- a/purges/tests/tables.rs
+++ b/purges/tests/tables.rs
@@ -78,7 +78,7 @@
     let mut table = PurgeTable::new(100, bits(6));
     table.record(object(1), 30 * S);
     table.record(object(2), 10 * S);
-    table.raise_all(20 * S);
+    table.purge_all(20 * S);
     let latest = [1, 2, 3].map(|number| table.latest(object(number)));
     assert_eq!(latest, [Some(30 * S), Some(20 * S), Some(20 * S)]);
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -357,7 +357,7 @@
         .purges_mut()
         .set_capacity(0, BucketBits::new(6).unwrap());
     assert_eq!(floor(&mut rig, "/o/a"), Some(3 * S));
-    rig.router.purges_mut().raise_all(start - S);
+    rig.router.purges_mut().purge_all(start - S);
     assert_eq!(
         (floor(&mut rig, "/o/a"), floor(&mut rig, "/o/b")),
         (Some(S), Some(S))
