--- a/daemon/src/daemon/operator_state.rs
+++ b/daemon/src/daemon/operator_state.rs
@@ -8,7 +8,7 @@
 use linnetknot_consul::Backoff;
 use linnetknot_ops::state::OperatorState;
 use linnetknot_ops::{store, Operations};
-use linnetknot_store::{fault_points, is_lasting};
+use linnetknot_store::{fault_points, is_permanent};
 use std::io;
 use std::path::Path;
 
@@ -53,7 +53,7 @@
             due: None,
         };
         let state = load(folder).unwrap_or_else(|e| {
-            files.is_unread = !is_lasting(&e);
+            files.is_unread = !is_permanent(&e);
             log::error!(
                 "what the operators decided before can't be read in {}: {e}",
                 folder.display()
--- a/daemon/src/daemon/sources/consul/cached_snapshot.rs
+++ b/daemon/src/daemon/sources/consul/cached_snapshot.rs
@@ -7,7 +7,7 @@
 use crate::net::Due;
 use linnetknot::Micros;
 use linnetknot_discovery::{cached_snapshot, Entry, SourceId};
-use linnetknot_store::is_lasting;
+use linnetknot_store::is_permanent;
 use std::path::{Path, PathBuf};
 use std::{fs, io};
 
@@ -95,7 +95,7 @@
         };
         let missing_folder = match fs::create_dir_all(folder) {
             Ok(()) => None,
-            Err(e) if is_lasting(&e) => return Err(error(e)),
+            Err(e) if is_permanent(&e) => return Err(error(e)),
             Err(e) => {
                 let e = error(e);
                 log::error!("the folder of cached lists is made later: {e}");
--- a/daemon/src/ledger/error.rs
+++ b/daemon/src/ledger/error.rs
@@ -1,7 +1,7 @@
 //! The errors of opening and closing a ledger, and of appending to it.
 
 use linnetknot_replication::CapacityExceeded;
-use linnetknot_store::{is_lasting, StoreError};
+use linnetknot_store::{is_permanent, StoreError};
 use std::io;
 use std::path::PathBuf;
 
@@ -44,7 +44,9 @@
     pub fn is_transient(&self) -> bool {
         match self {
             LedgerError::Store(fault) => fault.is_transient(),
-            LedgerError::Legacy { source, .. } | LedgerError::Worker(source) => !is_lasting(source),
+            LedgerError::Legacy { source, .. } | LedgerError::Worker(source) => {
+                !is_permanent(source)
+            }
             LedgerError::TableForm { .. }
             | LedgerError::WorkerEnded
             | LedgerError::Unsynced
--- a/store/src/error.rs
+++ b/store/src/error.rs
@@ -26,7 +26,7 @@
 impl StoreError {
     /// Converts an I/O error of the file.
     pub fn from_io(error: &io::Error) -> Self {
-        if is_lasting(error) {
+        if is_permanent(error) {
             StoreError::Unusable(error.to_string())
         } else {
             StoreError::Disk(error.to_string())
@@ -49,7 +49,7 @@
 
 /// Whether an I/O error of a file stays until somebody changes the path or the permissions. All others (EIO, ENOSPC,
 /// EDQUOT, EROFS after a remount, a lack of descriptors or memory) may go away by themselves.
-pub fn is_lasting(error: &io::Error) -> bool {
+pub fn is_permanent(error: &io::Error) -> bool {
     use io::ErrorKind::{InvalidInput, IsADirectory, NotADirectory, NotFound, PermissionDenied};
     matches!(
         error.kind(),
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -13,6 +13,6 @@
 mod unsynced;
 mod worker;
 
-pub use error::{is_lasting, StoreError};
+pub use error::{is_permanent, StoreError};
 pub use file::{Change, Format, KeyValue, Keyspace, Store, Write};
 pub use worker::{Completion, StoreWorker, WriteId};
