--- a/replication/src/compaction.rs
+++ b/replication/src/compaction.rs
@@ -126,7 +126,7 @@
 
     /// Returns the index through which a log can be compacted.
     fn movable_through(&self, log: LogId, cutoff: Micros, durable: Index) -> Index {
-        let mut through = self.compacted(log);
+        let mut through = self.compacted_through(log);
         let last_index = self.last_index(log);
         for (key, record) in self.live_after(log, through) {
             if key.index > durable || key.index == last_index {
--- a/replication/src/log_store/mod.rs
+++ b/replication/src/log_store/mod.rs
@@ -320,7 +320,7 @@
 
     /// Records a purge in the table, too, if its log is compacted through its index.
     fn record_if_compacted(&mut self, entry: &Entry) {
-        if entry.index <= self.compacted(entry.log) {
+        if entry.index <= self.compacted_through(entry.log) {
             self.record(Micros::MAX, entry);
         }
     }
--- a/replication/src/log_store/queries.rs
+++ b/replication/src/log_store/queries.rs
@@ -22,7 +22,7 @@
     }
 
     /// Returns the index through which a log is compacted; 0 if it is not.
-    pub fn compacted(&self, log: LogId) -> Index {
+    pub fn compacted_through(&self, log: LogId) -> Index {
         self.progress
             .get(&log)
             .map_or(0, |progress| progress.compacted)
@@ -60,7 +60,7 @@
             index: index.saturating_add(1),
         };
         let mut live_before = self.live_before(next);
-        let compacted = self.compacted(log);
+        let compacted = self.compacted_through(log);
         self.live_after(log, index).map(move |(key, record)| {
             let prev = live_before.max(compacted.min(key.index - 1));
             live_before = key.index;
@@ -113,7 +113,7 @@
     /// Returns the index that a replica must have of a log to take the entry at a position next.
     pub(super) fn prev_of(&self, key: EntryKey) -> Index {
         self.live_before(key)
-            .max(self.compacted(key.log).min(key.index - 1))
+            .max(self.compacted_through(key.log).min(key.index - 1))
     }
 
     /// Returns the index of the last entry in force of a log on a subject.
--- a/replication/src/replica/catch_up.rs
+++ b/replication/src/replica/catch_up.rs
@@ -281,7 +281,7 @@
                 .is_some_and(|last| entry.index > *last);
             if is_missing && self.log_store.take_retained(&entry) {
                 self.counters.inserted += 1;
-                self.unsynced.add(entry.log, entry.index);
+                self.unsynced.insert(entry.log, entry.index);
                 received.new.push(entry);
             }
         }
--- a/replication/src/replica/commits.rs
+++ b/replication/src/replica/commits.rs
@@ -55,7 +55,7 @@
 
     /// Records that an entry is on the disk. Returns the acknowledgements to send.
     pub fn record_synced(&mut self, log: LogId, index: Index) -> Vec<Outgoing> {
-        self.unsynced.record_synced(log, index);
+        self.unsynced.remove(log, index);
         self.due_acks(log)
     }
 
@@ -109,14 +109,14 @@
 
     /// Records that the disk did not take an entry. It stays in force, and [`Replica::take_failed_syncs`] returns it.
     pub fn record_sync_failure(&mut self, log: LogId, index: Index) {
-        self.unsynced.record_sync_failure(log, index);
+        self.unsynced.mark_failed(log, index);
     }
 
     /// Takes the entries that must be written to the disk again. One that was superseded meanwhile need not be there once
     /// all after it are, among them the one that superseded it.
     pub fn take_failed_syncs(&mut self) -> Vec<Entry> {
         let mut entries = Vec::new();
-        for (log, index) in self.unsynced.take_failed_syncs() {
+        for (log, index) in self.unsynced.take_failed() {
             let next = self.log_store.entries_after(log, index - 1).next();
             let is_in_force = |entry: &Entry| {
                 let key = EntryKey { log, index };
@@ -124,10 +124,8 @@
             };
             match next.filter(is_in_force) {
                 Some(entry) => entries.push(entry),
-                None if self.unsynced.is_last(log, index) => {
-                    self.unsynced.record_synced(log, index)
-                }
-                None => self.unsynced.record_sync_failure(log, index),
+                None if self.unsynced.is_last(log, index) => self.unsynced.remove(log, index),
+                None => self.unsynced.mark_failed(log, index),
             }
         }
         entries
--- a/replication/src/replica/exchange.rs
+++ b/replication/src/replica/exchange.rs
@@ -131,7 +131,7 @@
             Insertion::New => {
                 self.counters.inserted += 1;
                 self.reset_gap_requests();
-                self.unsynced.add(log, index);
+                self.unsynced.insert(log, index);
                 self.ack_once_synced(log, index, from);
                 received.new.push(entry);
             }
@@ -198,7 +198,7 @@
         let mut received = Received::default();
         let mut compacted = Vec::new();
         for range in ranges {
-            let through = self.log_store.compacted(range.log);
+            let through = self.log_store.compacted_through(range.log);
             if range.gap.after >= through {
                 self.send(range, &mut received.replies);
             } else if compacted.len() < MAX_LOGS_PER_DATAGRAM {
--- a/replication/src/replica/mod.rs
+++ b/replication/src/replica/mod.rs
@@ -163,7 +163,7 @@
             revoked,
         };
         let entry = self.log_store.append(self.own, record, self.capacity())?;
-        self.unsynced.add(entry.log, entry.index);
+        self.unsynced.insert(entry.log, entry.index);
         Ok(entry)
     }
 
--- a/replication/src/unsynced.rs
+++ b/replication/src/unsynced.rs
@@ -14,12 +14,12 @@
 
 impl Unsynced {
     /// Records that an entry is on its way to the disk.
-    pub(crate) fn add(&mut self, log: LogId, index: Index) {
+    pub(crate) fn insert(&mut self, log: LogId, index: Index) {
         self.logs.entry(log).or_default().insert(index);
     }
 
     /// Records that an entry is on the disk.
-    pub(crate) fn record_synced(&mut self, log: LogId, index: Index) {
+    pub(crate) fn remove(&mut self, log: LogId, index: Index) {
         self.failed.remove(&(log, index));
         if let Some(indexes) = self.logs.get_mut(&log) {
             indexes.remove(&index);
@@ -30,7 +30,7 @@
     }
 
     /// Records that the disk did not take an entry.
-    pub(crate) fn record_sync_failure(&mut self, log: LogId, index: Index) {
+    pub(crate) fn mark_failed(&mut self, log: LogId, index: Index) {
         let indexes = self.logs.get(&log);
         if indexes.is_some_and(|indexes| indexes.contains(&index)) {
             self.failed.insert((log, index));
@@ -38,7 +38,7 @@
     }
 
     /// Takes the entries that the disk did not take; from here on they are on their way to it again.
-    pub(crate) fn take_failed_syncs(&mut self) -> BTreeSet<(LogId, Index)> {
+    pub(crate) fn take_failed(&mut self) -> BTreeSet<(LogId, Index)> {
         std::mem::take(&mut self.failed)
     }
 
--- a/replication/tests/snapshot.rs
+++ b/replication/tests/snapshot.rs
@@ -85,7 +85,7 @@
     offer(&mut receiver, &mut sender);
     assert!(receiver.is_catching_up());
     let received = complete(&mut receiver, &mut sender, 0);
-    let through = sender.log_store().compacted(OWN);
+    let through = sender.log_store().compacted_through(OWN);
     assert!(through > 80, "{through}");
     assert_eq!(received.compacted, [CompactedLog { log: OWN, through }]);
     assert_eq!(
