--- a/daemon/examples/purge_soak.rs
+++ b/daemon/examples/purge_soak.rs
@@ -80,9 +80,9 @@
     /// Takes an entry as a datagram of a peer.
     fn receive(&mut self, now: Micros, entry: Entry) -> Result<(), Box<dyn Error>> {
         let bytes = Datagram::Entry(entry)
-            .write()
+            .encode()
             .ok_or("the entry fits no datagram")?;
-        let received = self.ledger.receive(now, 0, Datagram::read(&bytes)?);
+        let received = self.ledger.receive(now, 0, Datagram::decode(&bytes)?);
         if received.new.len() != 1 {
             return Err("an entry was not taken".into());
         }
@@ -199,7 +199,7 @@
     let counters = process.ledger.replica().counters();
     println!(
         "\nlearned {}, compacted {}, rejected {}",
-        counters.learned, counters.compacted, counters.rejected
+        counters.inserted, counters.compacted, counters.rejected
     );
     println!("peak RSS {:.1} MiB", status_mb("VmHWM")?);
     Ok(process.ledger.close()?)
--- a/daemon/src/ledger/opening.rs
+++ b/daemon/src/ledger/opening.rs
@@ -30,7 +30,10 @@
     }
     let mut writes = Vec::new();
     for (subject, at) in latest {
-        if store.latest(&subject).is_none_or(|known| known < at) {
+        if store
+            .latest_entry_time(&subject)
+            .is_none_or(|known| known < at)
+        {
             let record = Record {
                 subject,
                 at,
@@ -130,7 +133,7 @@
         for completion in completions {
             for entry in in_flight.take_through(completion.through) {
                 if completion.result.is_ok() {
-                    replica.synced(entry.log, entry.index);
+                    replica.record_synced(entry.log, entry.index);
                 }
             }
         }
--- a/replication/src/wire.rs
+++ b/replication/src/wire.rs
@@ -68,7 +68,7 @@
 
 impl Datagram {
     /// Encodes the datagram; `None` if it would be too long, as for an object of a very long name.
-    pub fn write(&self) -> Option<Vec<u8>> {
+    pub fn encode(&self) -> Option<Vec<u8>> {
         let bytes = match self {
             Datagram::SnapshotChunk(chunk) => {
                 let mut bytes = CHUNK_MARK.as_bytes().to_vec();
@@ -108,7 +108,7 @@
             }
             Datagram::SnapshotOffer(SnapshotOffer {
                 process,
-                total,
+                compacted_log_count,
                 logs,
             }) => {
                 let position = |compacted: &CompactedLog| LogPosition {
@@ -117,7 +117,7 @@
                 };
                 let positions: Vec<LogPosition> = logs.iter().map(position).collect();
                 let positions = write_positions(&positions);
-                format!("{MARK} offer {process:x} {total:x}{positions}")
+                format!("{MARK} offer {process:x} {compacted_log_count:x}{positions}")
             }
             Datagram::SnapshotRequest(SnapshotRequest { process, from }) => {
                 format!("{MARK} fetch {process:x} {}", write_cursor(*from))
@@ -131,7 +131,7 @@
     ///
     /// # Errors
     /// Fails if it is of another kind or version, or malformed.
-    pub fn read(bytes: &[u8]) -> Result<Self, DecodeError> {
+    pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let body = payload(bytes, MARK)?;
         if let Some(chunk) = bytes.strip_prefix(CHUNK_MARK.as_bytes()) {
             return snapshot::read_chunk(chunk)
@@ -172,7 +172,7 @@
                 })
             }
             "offer" => {
-                let (process, total) = (read_number(words)?, read_number(words)?);
+                let (process, compacted_log_count) = (read_number(words)?, read_number(words)?);
                 let compacted = |position: LogPosition| CompactedLog {
                     log: position.log,
                     through: position.index,
@@ -180,7 +180,7 @@
                 let logs = read_positions(words)?.into_iter().map(compacted);
                 Some(Datagram::SnapshotOffer(SnapshotOffer {
                     process,
-                    total,
+                    compacted_log_count,
                     logs: logs.collect(),
                 }))
             }
@@ -207,11 +207,13 @@
         (Subject::Ban(id), false) => ("ban", id.clone()),
         (Subject::Ban(id), true) => ("unban", id.clone()),
         (Subject::Drain, revoked) => ("drain", if revoked { "over" } else { "on" }.to_owned()),
-        (Subject::Status { number, part, text }, _) => (
+        (Subject::TriggerStatusPart { number, part, text }, _) => (
             "status",
             format!("{number:x}.{part:x}.{}", status::escape(text)),
         ),
-        (Subject::Gone { writer, number }, _) => ("gone", format!("{writer:x}.{number:x}")),
+        (Subject::TriggerDeleted { writer, number }, _) => {
+            ("gone", format!("{writer:x}.{number:x}"))
+        }
     };
     let LogId { writer, epoch } = entry.log;
     let Entry {
@@ -327,7 +329,7 @@
             let (trigger, part) = (number(parts.next()?)?, number(parts.next()?)?);
             let text = status::unescape(parts.next()?)?;
             Some((
-                Subject::Status {
+                Subject::TriggerStatusPart {
                     number: trigger,
                     part: u16::try_from(part).ok()?,
                     text,
@@ -338,7 +340,7 @@
         ("gone", body) => {
             let (writer, trigger) = body.split_once('.')?;
             Some((
-                Subject::Gone {
+                Subject::TriggerDeleted {
                     writer: number(writer)?,
                     number: number(trigger)?,
                 },
--- a/replication/tests/compaction/main.rs
+++ b/replication/tests/compaction/main.rs
@@ -218,7 +218,7 @@
 #[test]
 fn what_operators_decided_and_statuses_come_with_a_snapshot() {
     let mut fleet = Fleet::new(3, 2, 100, 9);
-    let piece = |part, text: &str| Subject::Status {
+    let piece = |part, text: &str| Subject::TriggerStatusPart {
         number: 77,
         part,
         text: text.to_owned(),
@@ -230,7 +230,7 @@
     fleet.append(0, piece(1, "b"), false);
     fleet.append(
         1,
-        Subject::Gone {
+        Subject::TriggerDeleted {
             writer: 5,
             number: 6,
         },
@@ -244,14 +244,14 @@
     fleet.run(S);
     fleet.check();
     let store = fleet.replica(2).log_store();
-    let decisions: Vec<_> = store.decisions(1_000).into_iter().collect();
+    let decisions: Vec<_> = store.operator_decisions(1_000).into_iter().collect();
     assert_eq!(decisions, [(ban(), false), (Subject::Drain, true)]);
     assert_eq!(
-        store.status(1_000, 77),
+        store.trigger_status(1_000, 77),
         Some(format!("{}b", "a".repeat(112)))
     );
     assert!(store
-        .latest(&Subject::Gone {
+        .latest_entry_time(&Subject::TriggerDeleted {
             writer: 5,
             number: 6
         })
--- a/replication/tests/compaction_model.rs
+++ b/replication/tests/compaction_model.rs
@@ -151,7 +151,7 @@
     state
         .appended
         .values()
-        .map(|(subject, _)| (subject.clone(), store.effective(subject)))
+        .map(|(subject, _)| (subject.clone(), store.latest_purge(subject)))
         .collect()
 }
 
@@ -208,7 +208,7 @@
         }
         state
             .sent
-            .entry((from, to, datagram.write().expect("it fits")))
+            .entry((from, to, datagram.encode().expect("it fits")))
             .or_default();
     }
 
@@ -259,8 +259,8 @@
         proxy.disk.take(&write);
         let replica = proxy.replica.as_mut()?;
         match write {
-            Write::Entry(entry) => drop(replica.synced(entry.log, entry.index)),
-            Write::Snapshot(logs) => drop(replica.snapshot_synced(&logs)),
+            Write::Entry(entry) => drop(replica.record_synced(entry.log, entry.index)),
+            Write::Snapshot(logs) => drop(replica.record_snapshot_synced(&logs)),
             Write::Buckets(_) | Write::Compacted(_) | Write::Delete(_) => {}
         }
         Some(())
@@ -268,7 +268,7 @@
 
     fn deliver(&self, state: &mut State, (from, to): (usize, usize), bytes: &[u8]) -> Option<()> {
         *state.sent.get_mut(&(from, to, bytes.to_vec()))? += 1;
-        let mut datagram = Datagram::read(bytes).ok()?;
+        let mut datagram = Datagram::decode(bytes).ok()?;
         if let (Planted::RaisedEarly, Datagram::SnapshotChunk(chunk)) =
             (self.planted, &mut datagram)
         {
@@ -280,7 +280,7 @@
         let replica = proxy.replica.as_mut()?;
         let received = replica.receive(Micros::MAX, peer_index(from, to), datagram);
         if self.planted == Planted::AckedEarly {
-            replica.snapshot_synced(&received.compacted);
+            replica.record_snapshot_synced(&received.compacted);
         }
         if !received.buckets.is_empty() {
             let buckets = received
@@ -354,7 +354,7 @@
             let fell = |old: &LogStore, new: &LogStore| {
                 floors(old, before)
                     .iter()
-                    .any(|(subject, floor)| new.effective(subject) < *floor)
+                    .any(|(subject, floor)| new.latest_purge(subject) < *floor)
             };
             if was.disk != is.disk && fell(&was.disk.restore(), &restored) {
                 broken.insert(FALLEN);
@@ -363,7 +363,7 @@
                 state.appended.iter().any(|((log, index), (subject, at))| {
                     let is_covered = positions(*log) >= *index;
                     is_covered
-                        && store.effective(subject) < Some(*at)
+                        && store.latest_purge(subject) < Some(*at)
                         && !is_to_come(state, *log, *index)
                 })
             };
