--- a/daemon/src/daemon/admin.rs
+++ b/daemon/src/daemon/admin.rs
@@ -39,7 +39,7 @@
     pub(super) fn accept_admin(&mut self, now: Micros) {
         let mut has_evicted = false;
         loop {
-            let Some(listener) = &mut self.admin else {
+            let Some(listener) = &mut self.admin_listener else {
                 return;
             };
             let socket = match listener.accept() {
@@ -68,7 +68,7 @@
                 }
             };
             has_evicted = false;
-            if self.callers >= self.limits.admin_callers {
+            if self.admin_connection_count >= self.limits.admin_callers {
                 self.evict_oldest_caller(now);
             }
             let Ok(conn) = Conn::new(
@@ -85,7 +85,7 @@
                 is_waiting: false,
             };
             if let Some(key) = self.open(now, conn, Kind::Admin(Box::new(caller))) {
-                self.callers += 1;
+                self.admin_connection_count += 1;
                 self.deadlines
                     .set(now + self.limits.admin_call_us, Timer::Admin(key));
             }
@@ -93,7 +93,7 @@
     }
 
     fn pause_admin(&mut self, now: Micros) {
-        if let Some(listener) = &mut self.admin {
+        if let Some(listener) = &mut self.admin_listener {
             listener.pause(&self.poll);
         }
         self.accept_later(now);
@@ -104,7 +104,7 @@
         let keys = self.connections.keys();
         let accepted = |key: &Key| {
             let connection = self.connections.get(*key)?;
-            matches!(connection.kind, Kind::Admin(_)).then_some((connection.since, *key))
+            matches!(connection.kind, Kind::Admin(_)).then_some((connection.state_since, *key))
         };
         let Some((_, oldest)) = keys.iter().filter_map(accepted).min() else {
             return false;
@@ -206,12 +206,12 @@
         let kept =
             self.ledger.is_some() && !matches!(call, Call::Ready | Call::Fleet | Call::Budgets);
         let shown = format!("{call:?}");
-        let members = &self.members;
+        let members = &self.endpoint_table;
         let known = |id: &str| members.listed().any(|(e, _)| e.uid == id);
         let ready = self.can_serve();
-        let before = self.ops.clone();
+        let before = self.operations.clone();
         let is_ready_call = matches!(call, Call::Ready);
-        let Outcome { mut reply, effect } = self.ops.call(now, call, known, ready);
+        let Outcome { mut reply, effect } = self.operations.call(now, call, known, ready);
         if let Some(pending) = self.pending_store.as_ref().filter(|_| is_ready_call) {
             let lacks = format!(
                 "; commands are rejected, as the store can't be opened: {}",
@@ -219,13 +219,13 @@
             );
             reply.text.push_str(&lacks);
         }
-        if is_ready_call && self.operator_state.is_unread() {
+        if is_ready_call && self.operator_files.is_unread() {
             let lacks =
                 "; operators' calls are rejected, as what they decided before can't be read yet";
             reply.text.push_str(lacks);
         }
-        if effect.is_some() && (self.lacks_store() || self.operator_state.is_unread()) {
-            self.ops = before;
+        if effect.is_some() && (self.lacks_store() || self.operator_files.is_unread()) {
+            self.operations = before;
             self.count_rejected();
             return Some(Reply::unavailable(
                 "nothing has changed: what was kept before can't be read yet",
@@ -234,7 +234,7 @@
         if let Some(effect) = effect {
             if !self.save_operator_state() {
                 // A yes would promise what the next process does not know of. One copy may have been put in place.
-                self.ops = before;
+                self.operations = before;
                 self.save_undone_state(now);
                 return Some(Reply::unavailable(
                     "it can't be kept for the next process, so nothing has changed",
@@ -266,7 +266,7 @@
     /// Nothing new to a pop cache: to the core it is gone, whatever its sources say, until the call back.
     pub(super) fn ban(&mut self, now: Micros, id: &str) {
         let listed = self
-            .members
+            .endpoint_table
             .listed()
             .find(|(e, _)| e.uid == id)
             .map(|(e, _)| e.clone());
@@ -280,7 +280,7 @@
     /// The pop cache is back as its sources tell of it; the module takes it for a new one, cold.
     fn unban(&mut self, now: Micros, id: &str) {
         let listed = self
-            .members
+            .endpoint_table
             .listed()
             .find(|(e, _)| e.uid == id)
             .map(|(e, _)| e.clone());
@@ -296,7 +296,7 @@
         mode: ListMode,
         entries: Vec<linnetknot_discovery::Entry>,
     ) -> Vec<linnetknot_discovery::Entry> {
-        let banned = |e: &linnetknot_discovery::Entry| self.ops.is_banned(&e.uid);
+        let banned = |e: &linnetknot_discovery::Entry| self.operations.is_banned(&e.uid);
         match mode {
             ListMode::Full => entries.into_iter().filter(|e| !banned(e)).collect(),
             _ => entries
@@ -319,21 +319,22 @@
         // Idle connections are not closed at once: the front sends on them until it has heard the first no. That can't be
         // before the loop goes on, and writing the state to a slow disk may have kept it for longer than the sweep waits.
         let now = self.clock.now().max(now);
-        if let Some(at) = self.ops.next_sweep(now) {
+        if let Some(at) = self.operations.next_sweep(now) {
             self.later(at, Daemon::sweep);
         }
     }
 
     /// Closes the client connections that have nothing open, while the process drains, and looks again later.
     pub(super) fn sweep(&mut self, now: Micros) {
-        let Drain::Draining(_) = self.ops.drain() else {
+        let Drain::Draining(_) = self.operations.drain() else {
             return;
         };
         for key in self.connections.keys() {
             // A connection that has asked nothing yet is let be for a sweep: its request may be on its way.
             let idle = self.connections.get(key).is_some_and(|c| match &c.kind {
                 Kind::Client(s) => {
-                    Self::is_quiet(c) && (s.has_received_request() || c.since + SWEEP_US <= now)
+                    Self::is_quiet(c)
+                        && (s.has_received_request() || c.state_since + SWEEP_US <= now)
                 }
                 _ => false,
             });
@@ -341,7 +342,7 @@
                 self.half_close(now, key);
             }
         }
-        if let Some(at) = self.ops.next_sweep(now) {
+        if let Some(at) = self.operations.next_sweep(now) {
             self.later(at, Daemon::sweep);
         }
     }
--- a/daemon/src/daemon/budgets/mod.rs
+++ b/daemon/src/daemon/budgets/mod.rs
@@ -124,7 +124,7 @@
             Err(DecodeError::Foreign) => return false,
             Err(e) => {
                 log::debug!(peer = peer; "{e}");
-                self.dropped.1 += 1;
+                self.dropped_datagrams.1 += 1;
                 return true;
             }
             Ok(datagram) => datagram,
--- a/daemon/src/daemon/cdni_listener.rs
+++ b/daemon/src/daemon/cdni_listener.rs
@@ -74,7 +74,10 @@
     pub(super) fn accept_cdni(&mut self, now: Micros) {
         // No more in one turn than the table holds, as on the clients' listener.
         let mut accepted = 0;
-        while self.trigger_api.is_some() && !self.grace_over && accepted < self.limits.clients {
+        while self.trigger_api.is_some()
+            && !self.shutdown_grace_over
+            && accepted < self.limits.clients
+        {
             let Ok(evicted) = self.room_for_client(now) else {
                 return self.pause_accepting_cdni(now);
             };
@@ -248,7 +251,7 @@
     /// Notifies peer CDNs of the footprint when whether this proxy can serve has changed.
     pub(super) fn notify(&mut self, now: Micros) {
         let ready = self.can_serve();
-        if std::mem::replace(&mut self.told_ready, ready) == ready {
+        if std::mem::replace(&mut self.announced_ready, ready) == ready {
             return;
         }
         let posts = self
@@ -271,12 +274,12 @@
 
     /// Sends a payload to a peer CDN, as far as the bound on those under way lets it.
     pub(super) fn send_out(&mut self, now: Micros, post: Post) {
-        if self.posts >= self.limits.posts {
+        if self.pending_deliveries >= self.limits.posts {
             let address = post.address;
             log::warn!("a payload for {address} is dropped: too many are on their way");
             return;
         }
-        self.posts += 1;
+        self.pending_deliveries += 1;
         self.begin_delivery(now, post, 0);
     }
 
@@ -299,17 +302,17 @@
     fn delivery_finished(&mut self, now: Micros, post: Post, attempts: u32, status: Option<u16>) {
         let attempts = attempts + 1;
         match status {
-            Some(200..=299) => self.posts -= 1,
+            Some(200..=299) => self.pending_deliveries -= 1,
             // Rejected: the same payload would get the same answer.
             Some(status @ 400..=499) => {
                 let Post { address, path, .. } = &post;
                 log::warn!("a peer CDN rejected a payload: {address}{path} answered {status}");
-                self.posts -= 1;
+                self.pending_deliveries -= 1;
             }
             _ if attempts >= self.limits.post_tries => {
                 let Post { address, path, .. } = &post;
                 log::warn!("a peer CDN takes no payload: {address}{path}");
-                self.posts -= 1;
+                self.pending_deliveries -= 1;
             }
             _ => {
                 let wait = self.limits.repeat_us << attempts.min(6);
--- a/daemon/src/daemon/clients/accept.rs
+++ b/daemon/src/daemon/clients/accept.rs
@@ -29,13 +29,13 @@
     fn eviction_rank(&self, now: Micros, key: Key) -> Option<(Standing, Micros)> {
         let connection = self.connections.get(key)?;
         let state = Self::client_state(connection)?;
-        let is_settled = connection.since <= now.saturating_sub(self.limits.settle_us);
-        (state != Standing::Busy && is_settled).then_some((state, connection.since))
+        let is_settled = connection.state_since <= now.saturating_sub(self.limits.settle_us);
+        (state != Standing::Busy && is_settled).then_some((state, connection.state_since))
     }
 
     /// The connection that is evicted for one more client, or none where there is a place; an error where none can be.
     pub(in crate::daemon) fn room_for_client(&mut self, now: Micros) -> io::Result<Option<Key>> {
-        if self.clients < self.limits.clients && !self.connections.is_full() {
+        if self.client_count < self.limits.clients && !self.connections.is_full() {
             return Ok(None);
         }
         self.eviction_candidate(now).map(Some)
@@ -46,12 +46,12 @@
         let mut has_evicted = false;
         // No more in one turn than the table holds: clients that are closed and connect again at once must not keep the loop.
         let mut accepted = 0;
-        while self.listener.is_some() && accepted < self.limits.clients {
+        while self.client_listener.is_some() && accepted < self.limits.clients {
             // With no place left, connections wait in the kernel's queue: others end, and these are accepted then.
             let Ok(mut evicted) = self.room_for_client(now) else {
                 return self.pause_accepting(now);
             };
-            let Some(listener) = &self.listener else {
+            let Some(listener) = &self.client_listener else {
                 return;
             };
             let socket = match listener.accept() {
@@ -86,7 +86,10 @@
                 self.take_in(now, conn, Kind::Client(Default::default()), evicted);
             }
         }
-        let resumed = self.listener.as_mut().is_none_or(|l| l.resume(&self.poll));
+        let resumed = self
+            .client_listener
+            .as_mut()
+            .is_none_or(|l| l.resume(&self.poll));
         if !resumed {
             self.accept_later(now);
         }
@@ -94,7 +97,7 @@
 
     /// No place left: the listener would stay readable and the loop spin on it.
     fn pause_accepting(&mut self, now: Micros) {
-        if let Some(listener) = &mut self.listener {
+        if let Some(listener) = &mut self.client_listener {
             listener.pause(&self.poll);
         }
         self.accept_later(now);
@@ -103,7 +106,7 @@
     /// Accepts again in a moment. Both fronts may ask for it: were each to set a deadline of its own, every one
     /// of them would set two more while the table stays full.
     pub(in crate::daemon) fn accept_later(&mut self, now: Micros) {
-        if !std::mem::replace(&mut self.accepts_later, true) {
+        if !std::mem::replace(&mut self.accept_retry_scheduled, true) {
             self.deadlines
                 .set(now + self.limits.accept_again_us, Timer::Accept);
         }
@@ -121,10 +124,10 @@
             self.close(now, evicted);
         }
         if let Some(key) = self.open(now, conn, kind) {
-            if !self.ops.in_service() {
+            if !self.operations.in_service() {
                 self.close_when_answered(key);
             }
-            self.clients += 1;
+            self.client_count += 1;
             self.deadlines
                 .set(now + self.limits.client_half_us, Timer::Client(key));
             if self.turn.waited_unread(now) > 0 {
--- a/daemon/src/daemon/clients/mod.rs
+++ b/daemon/src/daemon/clients/mod.rs
@@ -51,21 +51,21 @@
         };
         let half = state == Standing::Half;
         // A request that comes a few bytes at a time stays the one that began with the first of them.
-        if state == Standing::Busy || half && !std::mem::replace(&mut c.half, half) {
-            c.since = now;
+        if state == Standing::Busy || half && !std::mem::replace(&mut c.has_partial_request, half) {
+            c.state_since = now;
         }
-        c.half = half;
+        c.has_partial_request = half;
         let held = if let Kind::Client(session) = &c.kind {
             session.buffered_bytes()
         } else {
             0
         };
-        let before = std::mem::replace(&mut c.held, held);
-        self.held = self.held + held - before;
+        let before = std::mem::replace(&mut c.partial_request_bytes, held);
+        self.total_partial_request_bytes = self.total_partial_request_bytes + held - before;
         if held > before {
             self.free_half_requests(now);
         }
-        if self.grace_over {
+        if self.shutdown_grace_over {
             self.end_soon(now, key);
         }
     }
@@ -73,9 +73,9 @@
     /// Holds the bytes of incomplete requests to their bound. The clients with most of them give way: one that is owed
     /// answers gets these, and a rejection of what is incomplete; the connections of the others are closed.
     fn free_half_requests(&mut self, now: Micros) {
-        while self.held > self.limits.bodies {
+        while self.total_partial_request_bytes > self.limits.bodies {
             let keys = self.connections.keys().into_iter();
-            let held = |key: Key| Some((self.connections.get(key)?.held, key));
+            let held = |key: Key| Some((self.connections.get(key)?.partial_request_bytes, key));
             let Some((before, key)) = keys.filter_map(held).max().filter(|(held, _)| *held > 0)
             else {
                 return;
@@ -86,11 +86,12 @@
             if let Kind::Client(session) = &mut c.kind {
                 if session.has_unanswered_requests() {
                     session.reject_partial(Some(self.limits.back_off_us));
-                    c.held = session.buffered_bytes();
-                    self.held = self.held + c.held - before;
+                    c.partial_request_bytes = session.buffered_bytes();
+                    self.total_partial_request_bytes =
+                        self.total_partial_request_bytes + c.partial_request_bytes - before;
                 }
             }
-            if c.held == before {
+            if c.partial_request_bytes == before {
                 log::debug!("a connection is closed: too many bytes of incomplete requests");
                 self.close(now, key);
             } else {
@@ -113,7 +114,7 @@
             c.conn.input.release();
             c.conn.output.release();
         }
-        let mut due = self.limits.leaves_at(state, Self::owed(c), c.since);
+        let mut due = self.limits.leaves_at(state, Self::owed(c), c.state_since);
         if due.is_some_and(|due| due <= now) {
             // What came in this very moment changes its state, and then it stays.
             if !self.check_client(now, key) {
@@ -123,7 +124,7 @@
                 return;
             };
             due = Self::client_state(c)
-                .and_then(|state| self.limits.leaves_at(state, Self::owed(c), c.since));
+                .and_then(|state| self.limits.leaves_at(state, Self::owed(c), c.state_since));
             if due.is_some_and(|due| due <= now) && !self.half_close(now, key) {
                 return self.close(now, key);
             }
--- a/daemon/src/daemon/clients/requests.rs
+++ b/daemon/src/daemon/clients/requests.rs
@@ -75,7 +75,7 @@
     }
 
     fn answer_health_check(&mut self, key: Key, stream: u16) {
-        let is_ready = self.core.is_ready() && !self.is_stopping() && self.ops.in_service();
+        let is_ready = self.core.is_ready() && !self.is_stopping() && self.operations.in_service();
         let status = if is_ready {
             "200 OK"
         } else {
@@ -127,7 +127,7 @@
         let Some(Kind::Client(session)) = self.connections.get(key).map(|c| &c.kind) else {
             return false;
         };
-        let is_slow = self.waiting_answers > self.limits.waiting_answers;
+        let is_slow = self.total_unsent_bytes > self.limits.waiting_answers;
         // One client's flood must leave capacity for the requests of the others.
         let is_flood = !self
             .limits
@@ -141,7 +141,7 @@
     fn is_too_late(&self, now: Micros, session: &Session, is_first: bool) -> bool {
         let last_taken = |since| since + self.limits.drain_last_taken_us;
         let is_late_drain =
-            matches!(self.ops.drain(), Drain::Draining(since) if now > last_taken(since));
+            matches!(self.operations.drain(), Drain::Draining(since) if now > last_taken(since));
         let is_late = self.is_stopping() || is_late_drain;
         // What is owed counts this request.
         let is_busy = session.unanswered() > 1;
@@ -155,7 +155,7 @@
             return;
         };
         // It may rest from now on: its next request may be on its way, so that it must not make room at once.
-        c.since = now;
+        c.state_since = now;
         match &mut c.kind {
             Kind::Client(session) => {
                 session.answer(client.stream as u16, &answer);
@@ -187,7 +187,7 @@
                 break;
             }
         }
-        let before = std::mem::replace(&mut c.waiting, session.pending_output());
-        self.waiting_answers = self.waiting_answers + c.waiting - before;
+        let before = std::mem::replace(&mut c.unsent_bytes, session.pending_output());
+        self.total_unsent_bytes = self.total_unsent_bytes + c.unsent_bytes - before;
     }
 }
--- a/daemon/src/daemon/commits/operators.rs
+++ b/daemon/src/daemon/commits/operators.rs
@@ -185,8 +185,8 @@
         let Some(logged) = self.ledger.as_ref().map(Ledger::decisions) else {
             return;
         };
-        let bans = self.ops.bans().map(|id| Subject::Ban(id.to_owned()));
-        let drain = (!self.ops.in_service()).then_some(Subject::Drain);
+        let bans = self.operations.bans().map(|id| Subject::Ban(id.to_owned()));
+        let drain = (!self.operations.in_service()).then_some(Subject::Drain);
         let in_files: Vec<Subject> = bans.chain(drain).collect();
         for subject in in_files {
             if logged.contains_key(&subject) {
@@ -215,8 +215,8 @@
     /// Puts a decision in force, or revokes it. Returns whether that changed anything.
     fn apply_decision(&mut self, now: Micros, subject: &Subject, revoked: bool) -> bool {
         let effect = match subject {
-            Subject::Ban(id) => self.ops.set_banned(id, !revoked),
-            Subject::Drain => self.ops.set_out_of_service(now, !revoked),
+            Subject::Ban(id) => self.operations.set_banned(id, !revoked),
+            Subject::Drain => self.operations.set_out_of_service(now, !revoked),
             Subject::Object(_)
             | Subject::Group(_)
             | Subject::Status { .. }
--- a/daemon/src/daemon/connection_table.rs
+++ b/daemon/src/daemon/connection_table.rs
@@ -50,16 +50,16 @@
     pub(super) conn: Conn,
     pub(super) kind: Kind,
     /// A client's: when it was last waited for here, or what it is now at began.
-    pub(super) since: Micros,
+    pub(super) state_since: Micros,
     /// A client's: a request had come in part when that was last looked at.
-    pub(super) half: bool,
+    pub(super) has_partial_request: bool,
     /// Bytes of waiting answers that the daemon's sum holds for it.
-    pub(super) waiting: usize,
+    pub(super) unsent_bytes: usize,
     /// Bytes of requests that have not come whole, the same.
-    pub(super) held: usize,
+    pub(super) partial_request_bytes: usize,
     /// How far it is known to the epoll set, and whether that is due to be tried again.
     pub(super) registration: Registration,
-    pub(super) registers_later: bool,
+    pub(super) registration_retry_scheduled: bool,
 }
 
 impl Daemon {
@@ -68,12 +68,12 @@
         let key = self.connections.insert(Connection {
             conn,
             kind,
-            since: now,
-            half: false,
-            waiting: 0,
-            held: 0,
+            state_since: now,
+            has_partial_request: false,
+            unsent_bytes: 0,
+            partial_request_bytes: 0,
             registration: Registration::Missing,
-            registers_later: false,
+            registration_retry_scheduled: false,
         });
         let key = key.ok()?;
         if !self.register(now, key) {
@@ -236,9 +236,9 @@
         };
         match c.kind {
             Kind::Client(session) => {
-                self.clients -= 1;
-                self.waiting_answers -= c.waiting;
-                self.held -= c.held;
+                self.client_count -= 1;
+                self.total_unsent_bytes -= c.unsent_bytes;
+                self.total_partial_request_bytes -= c.partial_request_bytes;
                 session
                     .open_requests()
                     .into_iter()
@@ -246,13 +246,13 @@
             }
             Kind::CacheServer(link) => self.cache_connection_closed(now, key, &c.conn, link),
             Kind::Cdni(session) => {
-                self.clients -= 1;
+                self.client_count -= 1;
                 if let Some(Waiting::Core(ticket)) = session.waiting {
                     self.core.client_gone(now, ticket);
                 }
             }
-            Kind::Lingering => self.clients -= 1,
-            Kind::Admin(_) => self.callers -= 1,
+            Kind::Lingering => self.client_count -= 1,
+            Kind::Admin(_) => self.admin_connection_count -= 1,
             Kind::Exchange(exchange) => {
                 let end = if c.conn.up {
                     exchange::End::Closed
--- a/daemon/src/daemon/discovery.rs
+++ b/daemon/src/daemon/discovery.rs
@@ -67,14 +67,14 @@
 impl Daemon {
     /// Receives evidence of a source.
     pub(super) fn receive_evidence(&mut self, now: Micros, source: SourceId, evidence: Evidence) {
-        let output = self.members.apply(now, source, evidence);
+        let output = self.endpoint_table.apply(now, source, evidence);
         self.apply_discovery(now, output);
     }
 
     /// Adds the caches again whose flap damping is over.
     fn poll_discovery(&mut self, now: Micros) {
-        self.members_due = None;
-        let output = self.members.poll(now);
+        self.endpoint_table_due = None;
+        let output = self.endpoint_table.poll(now);
         self.apply_discovery(now, output);
     }
 
@@ -84,18 +84,18 @@
             self.core.update_endpoints(now, mode, entries);
         }
         for change in &output.changes {
-            log_change(&self.members, change);
+            log_change(&self.endpoint_table, change);
         }
         for notice in output.notices {
-            let line = notice_line(&self.members, notice);
-            if self.logged.is_new(&line, self.limits.said) {
+            let line = notice_line(&self.endpoint_table, notice);
+            if self.logged_notices.is_new(&line, self.limits.said) {
                 log::warn!("the endpoint table: {line}");
             }
         }
-        let due = self.members.next_due(now);
-        if due != self.members_due.map(|planned| planned.at) {
-            let old = self.members_due.take();
-            self.members_due = self.instead(old, due, Daemon::poll_discovery);
+        let due = self.endpoint_table.next_due(now);
+        if due != self.endpoint_table_due.map(|planned| planned.at) {
+            let old = self.endpoint_table_due.take();
+            self.endpoint_table_due = self.instead(old, due, Daemon::poll_discovery);
         }
     }
 }
--- a/daemon/src/daemon/event_loop.rs
+++ b/daemon/src/daemon/event_loop.rs
@@ -128,7 +128,7 @@
             Timer::Serve(key) => self.serve_again(now, key),
             Timer::Register(key) => self.register_again(now, key),
             Timer::Accept => {
-                self.accepts_later = false;
+                self.accept_retry_scheduled = false;
                 self.accept(now);
                 self.accept_cdni(now);
                 self.accept_admin(now);
--- a/daemon/src/daemon/lifecycle.rs
+++ b/daemon/src/daemon/lifecycle.rs
@@ -108,9 +108,9 @@
             self.close(now, key);
             return true;
         }
-        self.waiting_answers -= std::mem::take(&mut c.waiting);
-        self.held -= std::mem::take(&mut c.held);
-        (c.kind, c.since) = (Kind::Lingering, now);
+        self.total_unsent_bytes -= std::mem::take(&mut c.unsent_bytes);
+        self.total_partial_request_bytes -= std::mem::take(&mut c.partial_request_bytes);
+        (c.kind, c.state_since) = (Kind::Lingering, now);
         self.watch(now, key);
         true
     }
@@ -135,14 +135,14 @@
     pub(super) fn end_clients(&mut self, now: Micros) {
         self.accept(now);
         self.accept_cdni(now);
-        self.grace_over = true;
+        self.shutdown_grace_over = true;
         self.drop_listener();
         for key in self.connections.keys() {
             self.close_when_answered(key);
             let silent = self
                 .connections
                 .get(key)
-                .is_some_and(|c| c.since + self.limits.settle_us > now);
+                .is_some_and(|c| c.state_since + self.limits.settle_us > now);
             if !silent {
                 self.end_soon(now, key);
             }
@@ -162,7 +162,7 @@
         match &c.kind {
             Kind::Client(_) | Kind::Cdni(_) => true,
             Kind::Lingering => self
-                .term_at
+                .sigterm_at
                 .is_some_and(|at| now < at + self.limits.term_linger_us),
             Kind::Admin(caller) => caller.is_waiting() || !c.conn.output.is_empty(),
             _ => false,
--- a/daemon/src/daemon/membership.rs
+++ b/daemon/src/daemon/membership.rs
@@ -91,7 +91,7 @@
             Err(DecodeError::Foreign) => return false,
             Err(e) => {
                 log::debug!(peer = peer; "{e}");
-                self.dropped.1 += 1;
+                self.dropped_datagrams.1 += 1;
                 return true;
             }
             Ok(()) => {}
@@ -164,16 +164,16 @@
             return;
         };
         let due = membership.due().max(now + MIN_TICK_US);
-        let scheduled = self.fleet_due;
+        let scheduled = self.membership_due;
         if scheduled.is_some_and(|planned| planned.at > now && planned.at <= due) {
             return;
         }
-        let old = self.fleet_due.take();
-        self.fleet_due = self.instead(old, Some(due), Daemon::tick_membership);
+        let old = self.membership_due.take();
+        self.membership_due = self.instead(old, Some(due), Daemon::tick_membership);
     }
 
     fn tick_membership(&mut self, now: Micros) {
-        self.fleet_due = None;
+        self.membership_due = None;
         if let Some(membership) = &mut self.membership {
             membership.tick(now);
         }
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -70,28 +70,28 @@
     limits: Limits,
     core: Core,
     poll: Poll,
-    listener: Option<Listener>,
-    accepts_later: bool,
+    client_listener: Option<Listener>,
+    accept_retry_scheduled: bool,
     /// Attempts whose connection can't be begun from here for now.
-    reconnect: reconnect::WaitingAttempts,
-    term: Signal,
-    hup: Signal,
+    deferred_attempts: reconnect::WaitingAttempts,
+    sigterm: Signal,
+    sighup: Signal,
     /// The configuration that is in force, and where a new one is read from.
     config: Config,
-    source: Source,
+    config_source: Source,
     connections: Slots<Connection>,
-    clients: usize,
+    client_count: usize,
     cache_connections: BTreeMap<ServerId, Vec<Key>>,
     deadlines: Deadlines<Timer>,
     bus: bus::State,
     /// What is believed of the boxes, and when it is due to be looked at again.
-    members: EndpointTable,
+    endpoint_table: EndpointTable,
     /// What of the bus's lists is believed.
-    validator: ListValidator,
-    members_due: Option<Due>,
-    logged: LoggedLines,
+    list_validator: ListValidator,
+    endpoint_table_due: Option<Due>,
+    logged_notices: LoggedLines,
     consul: Option<consul::State>,
-    snapshots: Option<consul::SnapshotWriter>,
+    snapshot_writer: Option<consul::SnapshotWriter>,
     peers: Option<(UdpSocket, Vec<SocketAddr>)>,
     /// The same peers by address.
     peer_index: PeerIndex,
@@ -100,7 +100,7 @@
     plain_purges_due: Option<Due>,
     origin_health: Option<OriginHealth>,
     /// Datagrams dropped: from nobody who is a peer, and of no known kind.
-    dropped: (u64, u64),
+    dropped_datagrams: (u64, u64),
     trigger_api: Option<(Listener, TriggerApi)>,
     ledger: Option<Ledger>,
     /// Its store, while that can't be opened.
@@ -111,47 +111,47 @@
     membership: Option<linnetknot_membership::Membership>,
     /// What all proxies spend together.
     shared_budgets: Option<budgets::SharedBudgets>,
-    fleet_due: Option<Due>,
+    membership_due: Option<Due>,
     /// Raised by the store's worker when there is word of what is on the disk.
-    store_word: Option<Signal>,
+    store_signal: Option<Signal>,
     /// Payloads to neighbours that are on their way or wait to be tried again.
-    posts: usize,
+    pending_deliveries: usize,
     /// What neighbours were last told of our being able to serve.
-    told_ready: bool,
-    waiting_answers: usize,
+    announced_ready: bool,
+    total_unsent_bytes: usize,
     /// Bytes of requests that have not come whole.
-    held: usize,
+    total_partial_request_bytes: usize,
     /// When SIGTERM came, if it has.
-    term_at: Option<Micros>,
+    sigterm_at: Option<Micros>,
     turn: Turn,
-    grace_over: bool,
+    shutdown_grace_over: bool,
     /// The admin listener, its callers, and what they decided.
-    admin: Option<Listener>,
-    callers: usize,
-    ops: linnetknot_ops::Operations,
+    admin_listener: Option<Listener>,
+    admin_connection_count: usize,
+    operations: linnetknot_ops::Operations,
     /// Where that is kept for the next process: `$TMPDIR`.
-    ops_folder: std::path::PathBuf,
-    operator_state: operator_state::OperatorFiles,
+    operator_state_folder: std::path::PathBuf,
+    operator_files: operator_state::OperatorFiles,
     /// The clients' listener came from the process that started this one, and is shared with the next.
-    inherited: bool,
+    listener_inherited: bool,
 }
 
 impl Daemon {
     /// Where clients connect.
     pub fn address(&self) -> Option<SocketAddr> {
-        self.listener.as_ref()?.address()
+        self.client_listener.as_ref()?.address()
     }
 
     /// Where operators call.
     pub fn admin_address(&self) -> Option<SocketAddr> {
-        self.admin.as_ref()?.address()
+        self.admin_listener.as_ref()?.address()
     }
 
     /// What does to it from another thread what signals do.
     pub fn control(&self) -> io::Result<Control> {
         Ok(Control {
-            term: self.term.raised.try_clone()?,
-            hup: self.hup.raised.try_clone()?,
+            sigterm: self.sigterm.raised.try_clone()?,
+            sighup: self.sighup.raised.try_clone()?,
         })
     }
 }
--- a/daemon/src/daemon/operator_state.rs
+++ b/daemon/src/daemon/operator_state.rs
@@ -92,19 +92,22 @@
     /// both have it. The event loop does this itself, before a call succeeds, and not the disk worker, whose queue may
     /// be full: a call that succeeded outlives the process. Calls that change something are few.
     pub(super) fn save_operator_state(&mut self) -> bool {
-        if self.operator_state.is_unread {
+        if self.operator_files.is_unread {
             // The stored state must not be overwritten by one that does not include it.
             return false;
         }
         fail::fail_point!("admin-keeps");
-        let written = write_copies(&self.ops_folder, &store::encode(self.ops.state()));
-        let [first, _] = store::copies(&self.ops_folder);
-        self.operator_state.failed.take(&first, &written);
-        self.operator_state.is_stale = written.is_err();
+        let written = write_copies(
+            &self.operator_state_folder,
+            &store::encode(self.operations.state()),
+        );
+        let [first, _] = store::copies(&self.operator_state_folder);
+        self.operator_files.failed.take(&first, &written);
+        self.operator_files.is_stale = written.is_err();
         if written.is_err() {
             return false;
         }
-        self.operator_state.backoff.reset();
+        self.operator_files.backoff.reset();
         fail::fail_point!("admin-kept");
         true
     }
@@ -112,8 +115,8 @@
     /// Stores the state again after a call was undone, which one copy or both may hold: the first copy at once, if the
     /// disk allows it, so that a process that starts before both are written finds the state without the call.
     pub(super) fn save_undone_state(&mut self, now: Micros) {
-        let [first, _] = store::copies(&self.ops_folder);
-        if let Err(e) = replace_unsynced(&first, &store::encode(self.ops.state())) {
+        let [first, _] = store::copies(&self.operator_state_folder);
+        if let Err(e) = replace_unsynced(&first, &store::encode(self.operations.state())) {
             log::debug!("{} may hold a call that was rejected: {e}", first.display());
         }
         self.save_operator_state_in_time(now);
@@ -127,25 +130,25 @@
 
     /// Schedules the next attempt to read or write the files, where one is needed.
     pub(super) fn schedule_operator_state(&mut self, now: Micros) {
-        let files = &mut self.operator_state;
+        let files = &mut self.operator_files;
         let is_scheduled = files.due.is_some_and(|planned| planned.at > now);
         if is_scheduled || !(files.is_unread || files.is_stale) {
             return;
         }
         let at = now + files.backoff.next_delay();
         let due = self.later(at, |daemon, now| {
-            daemon.operator_state.due = None;
+            daemon.operator_files.due = None;
             daemon.retry_operator_state(now);
         });
-        self.operator_state.due = Some(due);
+        self.operator_files.due = Some(due);
     }
 
     fn retry_operator_state(&mut self, now: Micros) {
-        if self.operator_state.is_unread {
-            if let Ok(state) = load(&self.ops_folder) {
+        if self.operator_files.is_unread {
+            if let Ok(state) = load(&self.operator_state_folder) {
                 self.apply_stored_state(now, state);
             }
-        } else if self.operator_state.is_stale {
+        } else if self.operator_files.is_stale {
             self.save_operator_state();
         }
         self.schedule_operator_state(now);
@@ -153,12 +156,12 @@
 
     /// Puts the stored state in force, as it can be read now, and then what this proxy's log says since.
     fn apply_stored_state(&mut self, now: Micros, state: OperatorState) {
-        log::info!(attempts = self.operator_state.backoff.failures(); "what the operators decided before is read");
-        self.operator_state.is_unread = false;
-        self.operator_state.backoff.reset();
+        log::info!(attempts = self.operator_files.backoff.failures(); "what the operators decided before is read");
+        self.operator_files.is_unread = false;
+        self.operator_files.backoff.reset();
         let is_drained = state.out_of_service;
         let bans: Vec<String> = state.bans.iter().cloned().collect();
-        self.ops = Operations::new(state, now);
+        self.operations = Operations::new(state, now);
         bans.iter().for_each(|id| self.ban(now, id));
         if is_drained {
             self.start_drain(now);
--- a/daemon/src/daemon/reconnect.rs
+++ b/daemon/src/daemon/reconnect.rs
@@ -23,19 +23,19 @@
     /// Has an attempt wait until a connection can be begun.
     pub(super) fn send_later(&mut self, now: Micros, attempt: AttemptId) {
         if let Some(dispatch) = self.core.dispatch(attempt) {
-            self.reconnect.failed.insert(dispatch.target.server);
-            self.reconnect.attempts.push(attempt);
+            self.deferred_attempts.failed.insert(dispatch.target.server);
+            self.deferred_attempts.attempts.push(attempt);
         }
-        if !std::mem::replace(&mut self.reconnect.is_due, true) {
+        if !std::mem::replace(&mut self.deferred_attempts.is_due, true) {
             self.later(now + self.limits.accept_again_us, Daemon::send_again);
         }
     }
 
     /// Sends the attempts that wait and may still begin.
     fn send_again(&mut self, now: Micros) {
-        self.reconnect.is_due = false;
-        self.reconnect.failed.clear();
-        for attempt in std::mem::take(&mut self.reconnect.attempts) {
+        self.deferred_attempts.is_due = false;
+        self.deferred_attempts.failed.clear();
+        for attempt in std::mem::take(&mut self.deferred_attempts.attempts) {
             let Some(dispatch) = self.core.dispatch(attempt) else {
                 continue;
             };
@@ -43,7 +43,7 @@
             if self.core.dispatch_now(now, attempt).is_none() {
                 self.core
                     .attempt_finished(now, attempt, Outcome::Moot.into());
-            } else if self.reconnect.failed.contains(&server) {
+            } else if self.deferred_attempts.failed.contains(&server) {
                 // One failure a round is enough to know of: the others wait for the next.
                 self.send_later(now, attempt);
             } else {
--- a/daemon/src/daemon/registration.rs
+++ b/daemon/src/daemon/registration.rs
@@ -65,7 +65,7 @@
         let Some(c) = self.connections.get_mut(key) else {
             return true;
         };
-        if !std::mem::replace(&mut c.registers_later, true) {
+        if !std::mem::replace(&mut c.registration_retry_scheduled, true) {
             let at = now + self.limits.accept_again_us;
             self.deadlines.set(at, Timer::Register(key));
         }
@@ -77,7 +77,7 @@
         let Some(c) = self.connections.get_mut(key) else {
             return;
         };
-        c.registers_later = false;
+        c.registration_retry_scheduled = false;
         let done = self.try_register(key);
         let is_watched = done.is_ok();
         if !self.register_later(now, key, done) {
--- a/daemon/src/daemon/reload.rs
+++ b/daemon/src/daemon/reload.rs
@@ -8,8 +8,8 @@
     /// Reads the configuration again. Nothing that is open is dropped for it, and a faulty file changes
     /// nothing: a daemon that ended over it would take all its clients with it.
     pub(super) fn reload(&mut self, now: Micros) {
-        self.hup.clear();
-        let mut new = match (self.source)() {
+        self.sighup.clear();
+        let mut new = match (self.config_source)() {
             Ok(new) => new,
             Err(e) => return log::error!("SIGHUP: the configuration stays as it was: {e}"),
         };
--- a/daemon/src/daemon/replication.rs
+++ b/daemon/src/daemon/replication.rs
@@ -11,7 +11,7 @@
 impl Daemon {
     /// Processes completions of the store's worker, and the result of opening the store.
     pub(super) fn receive_store_completions(&mut self, now: Micros) {
-        if let Some(word) = &mut self.store_word {
+        if let Some(word) = &mut self.store_signal {
             word.clear();
         }
         self.take_opened_store(now);
--- a/daemon/src/daemon/shutdown.rs
+++ b/daemon/src/daemon/shutdown.rs
@@ -10,13 +10,13 @@
 impl Daemon {
     /// SIGTERM has come: the grace begins, and what is open is answered.
     pub(super) fn term(&mut self, now: Micros) {
-        self.term.clear();
+        self.sigterm.clear();
         if !self.is_stopping() {
-            self.term_at = Some(now);
+            self.sigterm_at = Some(now);
             self.core
                 .set_shutdown_deadline(now + self.limits.term_answer_us);
             log::info!("SIGTERM: answering what is open");
-            if self.inherited {
+            if self.listener_inherited {
                 // The next process accepts on the same socket: whatever this one took now it would have to answer
                 // on its way out, and each kept connection ends after its next answer instead of being cut.
                 self.drop_listener();
@@ -35,7 +35,7 @@
     /// Accepts no more. The next process may hold the same socket: were it still watched here, each connection
     /// that comes would wake this one in vain.
     pub(super) fn drop_listener(&mut self) {
-        if let Some(listener) = self.listener.take() {
+        if let Some(listener) = self.client_listener.take() {
             if let Err(e) = listener.close(&self.poll) {
                 log::debug!("the listener was not watched: {e}");
             }
@@ -44,16 +44,16 @@
 
     /// Whether SIGTERM has come.
     pub(super) fn is_stopping(&self) -> bool {
-        self.term_at.is_some()
+        self.sigterm_at.is_some()
     }
 
     /// Whether the shutdown is complete: all is answered, and no connection holds the process back.
     pub(super) fn is_done(&self) -> bool {
         let now = self.clock.now();
-        self.grace_over
+        self.shutdown_grace_over
             && self.is_deregistered_from_consul()
             && self.core.is_idle()
-            && self.waiting_answers == 0
+            && self.total_unsent_bytes == 0
             && {
                 let holds = |key: &Key| {
                     self.connections
@@ -104,7 +104,7 @@
 
     fn log_dropped_datagrams(&self) {
         if self.peers.is_some() {
-            let (strangers, foreign) = self.dropped;
+            let (strangers, foreign) = self.dropped_datagrams;
             log::info!(strangers = strangers, foreign = foreign; "datagrams that were dropped");
         }
     }
--- a/daemon/src/daemon/signals.rs
+++ b/daemon/src/daemon/signals.rs
@@ -6,21 +6,21 @@
 
 /// Does to a daemon what the signals do.
 pub struct Control {
-    pub(super) term: OwnedFd,
-    pub(super) hup: OwnedFd,
+    pub(super) sigterm: OwnedFd,
+    pub(super) sighup: OwnedFd,
 }
 
 impl Control {
     /// Ends it as SIGTERM does, once all that it has taken is answered.
     pub fn stop(&mut self) -> io::Result<()> {
-        rustix::io::write(&self.term, b"t")
+        rustix::io::write(&self.sigterm, b"t")
             .map(drop)
             .map_err(io::Error::from)
     }
 
     /// Has it read its configuration again, as SIGHUP does.
     pub fn reload(&mut self) -> io::Result<()> {
-        rustix::io::write(&self.hup, b"h")
+        rustix::io::write(&self.sighup, b"h")
             .map(drop)
             .map_err(io::Error::from)
     }
--- a/daemon/src/daemon/sources/bus.rs
+++ b/daemon/src/daemon/sources/bus.rs
@@ -103,8 +103,8 @@
                     }
                 }
                 let list = self
-                    .validator
-                    .validate(answer, self.members.reported_by(BUS));
+                    .list_validator
+                    .validate(answer, self.endpoint_table.reported_by(BUS));
                 for rejection in list.rejections {
                     log::warn!("event {} of the bus: {rejection}", event.offset);
                 }
--- a/daemon/src/daemon/sources/consul/cached_snapshot.rs
+++ b/daemon/src/daemon/sources/consul/cached_snapshot.rs
@@ -131,12 +131,12 @@
     }
 
     fn snapshot_count(&self) -> usize {
-        let writer = self.snapshots.as_ref();
+        let writer = self.snapshot_writer.as_ref();
         writer.map_or(0, |writer| writer.snapshots.len())
     }
 
     fn snapshot_mut(&mut self, number: usize) -> Option<&mut Snapshot> {
-        self.snapshots.as_mut()?.snapshots.get_mut(number)
+        self.snapshot_writer.as_mut()?.snapshots.get_mut(number)
     }
 
     fn load_snapshot(&mut self, now: Micros, number: usize) {
@@ -167,13 +167,13 @@
     pub(in crate::daemon) fn schedule_snapshot(&mut self, now: Micros, number: usize) {
         let soon_us = self.limits.keep_soon_us;
         let seldom_us = self.limits.keep_seldom_us;
-        let writer = self.snapshots.as_mut();
+        let writer = self.snapshot_writer.as_mut();
         let Some(snapshot) = writer.and_then(|writer| writer.snapshots.get_mut(number)) else {
             return;
         };
         snapshot.good_at = now;
         let is_unchanged = self
-            .members
+            .endpoint_table
             .reported_by(SourceId(CONSUL.0 + number))
             .eq(snapshot.written.iter());
         let at = if is_unchanged {
@@ -197,7 +197,7 @@
     }
 
     fn write_snapshot(&mut self, now: Micros, number: usize) {
-        let Some(writer) = &mut self.snapshots else {
+        let Some(writer) = &mut self.snapshot_writer else {
             return;
         };
         writer.make_missing_folder();
@@ -206,7 +206,7 @@
         };
         snapshot.timer = None;
         let source = SourceId(CONSUL.0 + number);
-        let entries: Vec<Entry> = self.members.reported_by(source).cloned().collect();
+        let entries: Vec<Entry> = self.endpoint_table.reported_by(source).cloned().collect();
         let job = Job {
             path: snapshot.path.clone(),
             bytes: cached_snapshot::encode(&snapshot.scope, snapshot.good_at, entries.iter()),
--- a/daemon/src/daemon/sources/consul/mod.rs
+++ b/daemon/src/daemon/sources/consul/mod.rs
@@ -182,7 +182,7 @@
                 WatchEvent::MostlyUnusable { .. } => log::Level::Error,
                 _ => log::Level::Warn,
             };
-            log::log!(level, source = self.members.source(source); "a watch of Consul: {event}");
+            log::log!(level, source = self.endpoint_table.source(source); "a watch of Consul: {event}");
         }
         if denied {
             // It may have been replaced since.
@@ -334,7 +334,7 @@
         for key in keys {
             self.connections.remove(key);
         }
-        self.members.change_damping(new.damping);
+        self.endpoint_table.change_damping(new.damping);
         self.config.consul = Some(new);
         self.drive_consul(now);
         true
--- a/daemon/src/daemon/sources/peers.rs
+++ b/daemon/src/daemon/sources/peers.rs
@@ -30,7 +30,7 @@
             };
             // What does not come from a peer is dropped.
             let Some(peer) = self.peer_index.find(&from) else {
-                self.dropped.0 += 1;
+                self.dropped_datagrams.0 += 1;
                 continue;
             };
             let bytes = &bytes[..length];
@@ -51,7 +51,7 @@
             } else if let Some(purge) = peers::read(bytes) {
                 self.receive_plain_purge(now, peer.index, purge);
             } else {
-                self.dropped.1 += 1;
+                self.dropped_datagrams.1 += 1;
             }
         }
     }
@@ -87,7 +87,7 @@
             Err(DecodeError::Foreign) => return false,
             Err(e) => {
                 log::debug!(peer = peer; "{e}");
-                self.dropped.1 += 1;
+                self.dropped_datagrams.1 += 1;
                 return true;
             }
         };
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -194,7 +194,7 @@
         daemon.drive_consul(now);
         daemon.settle(now);
         daemon.log_start();
-        if !daemon.ops.in_service() {
+        if !daemon.operations.in_service() {
             let now = daemon.clock.now();
             daemon.start_drain(now);
         }
@@ -212,56 +212,56 @@
             clock: parts.clock,
             core: parts.core,
             poll: parts.sockets.poll,
-            listener: Some(parts.sockets.clients),
-            accepts_later: false,
-            reconnect: reconnect::WaitingAttempts::default(),
-            term: parts.sockets.term,
-            hup: parts.sockets.hup,
+            client_listener: Some(parts.sockets.clients),
+            accept_retry_scheduled: false,
+            deferred_attempts: reconnect::WaitingAttempts::default(),
+            sigterm: parts.sockets.sigterm,
+            sighup: parts.sockets.sighup,
             connections: Slots::new(config.limits.connections),
-            clients: 0,
+            client_count: 0,
             cache_connections: BTreeMap::new(),
             deadlines: Deadlines::default(),
             bus: bus::State::new(config.seed, &config.limits),
-            members: EndpointTable::new(
+            endpoint_table: EndpointTable::new(
                 list_sources(&config),
                 parts.consul.damping,
                 config.limits.members(),
             ),
-            validator: ListValidator::default(),
-            members_due: None,
-            logged: LoggedLines::default(),
+            list_validator: ListValidator::default(),
+            endpoint_table_due: None,
+            logged_notices: LoggedLines::default(),
             consul: parts.consul.state,
-            snapshots: parts.consul.snapshots,
+            snapshot_writer: parts.consul.snapshots,
             peers: parts.peers,
             peer_index: PeerIndex::default(),
             plain_purges: PlainPurges::new(&config.limits),
             plain_purges_due: None,
             origin_health,
-            dropped: (0, 0),
+            dropped_datagrams: (0, 0),
             trigger_api: parts.trigger_api,
             ledger: parts.store.ledger,
             pending_store: parts.store.pending,
             pending_commits: PendingCommits::default(),
             membership: None,
             shared_budgets: None,
-            fleet_due: None,
-            store_word: parts.store.word,
-            posts: 0,
-            told_ready: false,
-            waiting_answers: 0,
-            held: 0,
-            term_at: None,
+            membership_due: None,
+            store_signal: parts.store.word,
+            pending_deliveries: 0,
+            announced_ready: false,
+            total_unsent_bytes: 0,
+            total_partial_request_bytes: 0,
+            sigterm_at: None,
             turn: Turn::start(now),
-            grace_over: false,
-            admin: parts.sockets.admin,
-            callers: 0,
-            ops: stored.operations,
-            ops_folder: config.ops_folder.clone(),
-            operator_state: stored.files,
-            inherited: parts.sockets.inherited,
+            shutdown_grace_over: false,
+            admin_listener: parts.sockets.admin,
+            admin_connection_count: 0,
+            operations: stored.operations,
+            operator_state_folder: config.ops_folder.clone(),
+            operator_files: stored.files,
+            listener_inherited: parts.sockets.listener_inherited,
             limits: config.limits.clone(),
             config,
-            source,
+            config_source: source,
         }
     }
 
@@ -276,9 +276,9 @@
         if let Some(address) = self.admin_address() {
             log::info!("the admin listener is at {address}");
         }
-        let bans: Vec<&str> = self.ops.bans().collect();
-        if !bans.is_empty() || !self.ops.in_service() {
-            log::warn!(bans = bans.join(" ").as_str(), in_service = self.ops.in_service(); "kept by the operators");
+        let bans: Vec<&str> = self.operations.bans().collect();
+        if !bans.is_empty() || !self.operations.in_service() {
+            log::warn!(bans = bans.join(" ").as_str(), in_service = self.operations.in_service(); "kept by the operators");
         }
     }
 }
--- a/daemon/src/daemon/startup/sockets.rs
+++ b/daemon/src/daemon/startup/sockets.rs
@@ -52,23 +52,23 @@
 pub(super) struct Sockets {
     pub(super) poll: Poll,
     pub(super) clients: Listener,
-    pub(super) inherited: bool,
-    pub(super) term: Signal,
-    pub(super) hup: Signal,
+    pub(super) listener_inherited: bool,
+    pub(super) sigterm: Signal,
+    pub(super) sighup: Signal,
     pub(super) admin: Option<Listener>,
 }
 
 impl Sockets {
     pub(super) fn open(config: &Config) -> Result<Self, StartError> {
-        let (clients, inherited) = client_listener(config)?;
-        let term = Signal::register(signal_hook::consts::SIGTERM).map_err(kernel("SIGTERM"))?;
-        let hup = Signal::register(signal_hook::consts::SIGHUP).map_err(kernel("SIGHUP"))?;
+        let (clients, listener_inherited) = client_listener(config)?;
+        let sigterm = Signal::register(signal_hook::consts::SIGTERM).map_err(kernel("SIGTERM"))?;
+        let sighup = Signal::register(signal_hook::consts::SIGHUP).map_err(kernel("SIGHUP"))?;
         // As many as there can be: what is known at all is known before anything is done about a part of it.
         let poll = Poll::new(config.limits.descriptors).map_err(kernel("epoll"))?;
         let clients = Listener::watch(clients, LISTENER, &poll).map_err(kernel("listen"))?;
-        poll.add_at_start(&term.heard, SIGNAL)
+        poll.add_at_start(&sigterm.heard, SIGNAL)
             .map_err(watching("SIGTERM"))?;
-        poll.add_at_start(&hup.heard, RELOAD)
+        poll.add_at_start(&sighup.heard, RELOAD)
             .map_err(watching("SIGHUP"))?;
         let admin = match config.ops {
             Some(address) => {
@@ -80,9 +80,9 @@
         Ok(Sockets {
             poll,
             clients,
-            inherited,
-            term,
-            hup,
+            listener_inherited,
+            sigterm,
+            sighup,
             admin,
         })
     }
--- a/daemon/src/daemon/store_opening.rs
+++ b/daemon/src/daemon/store_opening.rs
@@ -173,7 +173,7 @@
     }
 
     fn reopen_store(&mut self, now: Micros) {
-        let (Some(pending), Some(signal)) = (&mut self.pending_store, &self.store_word) else {
+        let (Some(pending), Some(signal)) = (&mut self.pending_store, &self.store_signal) else {
             return;
         };
         if let Err(e) = pending.attempt(signal) {
