--- a/daemon/src/daemon/admin.rs
+++ b/daemon/src/daemon/admin.rs
@@ -6,7 +6,7 @@
 //! clients, never keep an operator out: where its slots are full, the caller that came first is evicted.
 
 use super::commits::OperatorDecision;
-use super::{Connection, Daemon, Kind, Timer};
+use super::{Connection, ConnectionKind, Daemon, Timer};
 use crate::fleet;
 use crate::net::{Conn, FailureKind, Key};
 use linnetknot::{ListMode, Micros, State};
@@ -14,22 +14,22 @@
 use linnetknot_ops::{Call, Drain, Effect, Outcome, Parser, Reply};
 
 /// One caller's connection.
-pub(super) struct Caller {
+pub(super) struct AdminSession {
     parser: Parser,
     /// Its one answer is on its way: the connection ends once that is written.
     is_answered: bool,
     /// Its call is carried out, and its answer waits until that is committed.
-    is_waiting: bool,
+    awaits_commit: bool,
 }
 
-impl Caller {
+impl AdminSession {
     /// Whether its call is carried out and its answer still owed.
-    pub(super) fn is_waiting(&self) -> bool {
-        self.is_waiting
+    pub(super) fn awaits_commit(&self) -> bool {
+        self.awaits_commit
     }
 
     /// Whether its answer is given.
-    pub(super) fn is_over(&self) -> bool {
+    pub(super) fn is_answered(&self) -> bool {
         self.is_answered
     }
 }
@@ -46,7 +46,7 @@
                 Ok(Some(socket)) => socket,
                 Ok(None) => {
                     if !listener.resume(&self.poll) {
-                        self.accept_later(now);
+                        self.schedule_accept_retry(now);
                     }
                     return;
                 }
@@ -55,12 +55,12 @@
                 }
                 // Out of descriptors: the oldest caller is evicted, or an idle client, and the next one is accepted then.
                 Err(_) => {
-                    let again = std::mem::replace(&mut has_evicted, true);
-                    if !again && self.evict_oldest_caller(now) {
+                    let already_evicted = std::mem::replace(&mut has_evicted, true);
+                    if !already_evicted && self.evict_oldest_admin_connection(now) {
                         continue;
                     }
                     match self.eviction_candidate(now) {
-                        Ok(key) if !again => self.close(now, key),
+                        Ok(key) if !already_evicted => self.close(now, key),
                         // Left readable, it would keep the loop awake.
                         _ => return self.pause_admin(now),
                     }
@@ -69,7 +69,7 @@
             };
             has_evicted = false;
             if self.admin_connection_count >= self.limits.admin_callers {
-                self.evict_oldest_caller(now);
+                self.evict_oldest_admin_connection(now);
             }
             let Ok(conn) = Conn::new(
                 socket,
@@ -79,15 +79,17 @@
             ) else {
                 continue;
             };
-            let caller = Caller {
+            let session = AdminSession {
                 parser: Parser::new(),
                 is_answered: false,
-                is_waiting: false,
+                awaits_commit: false,
             };
-            if let Some(key) = self.open(now, conn, Kind::Admin(Box::new(caller))) {
+            if let Some(key) =
+                self.add_connection(now, conn, ConnectionKind::Admin(Box::new(session)))
+            {
                 self.admin_connection_count += 1;
                 self.deadlines
-                    .set(now + self.limits.admin_call_us, Timer::Admin(key));
+                    .set(now + self.limits.admin_call_us, Timer::AdminTimeout(key));
             }
         }
     }
@@ -96,15 +98,16 @@
         if let Some(listener) = &mut self.admin_listener {
             listener.pause(&self.poll);
         }
-        self.accept_later(now);
+        self.schedule_accept_retry(now);
     }
 
     /// Closes the connection of the caller that came first; false where there is none.
-    fn evict_oldest_caller(&mut self, now: Micros) -> bool {
+    fn evict_oldest_admin_connection(&mut self, now: Micros) -> bool {
         let keys = self.connections.keys();
         let accepted = |key: &Key| {
             let connection = self.connections.get(*key)?;
-            matches!(connection.kind, Kind::Admin(_)).then_some((connection.state_since, *key))
+            matches!(connection.kind, ConnectionKind::Admin(_))
+                .then_some((connection.state_since, *key))
         };
         let Some((_, oldest)) = keys.iter().filter_map(accepted).min() else {
             return false;
@@ -116,75 +119,73 @@
     /// A caller's time for its call is over.
     pub(super) fn admin_timeout(&mut self, now: Micros, key: Key) {
         // One whose call is carried out has its answer when that is committed or rejected, which has a time of its own.
-        if self
-            .connections
-            .get(key)
-            .is_some_and(|c| matches!(&c.kind, Kind::Admin(caller) if !caller.is_waiting))
-        {
+        if self.connections.get(key).is_some_and(
+            |connection| matches!(&connection.kind, ConnectionKind::Admin(session) if !session.awaits_commit),
+        ) {
             self.close(now, key);
         }
     }
 
     /// Reads what a caller sent, and answers once the call is complete or can't be read.
     pub(super) fn read_admin(&mut self, now: Micros, key: Key, ended: bool) {
-        let Some(c) = self.connections.get_mut(key) else {
+        let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let Kind::Admin(caller) = &mut c.kind else {
+        let ConnectionKind::Admin(session) = &mut connection.kind else {
             return;
         };
-        if caller.is_waiting {
+        if session.awaits_commit {
             // Bytes after a call are ignored, and a caller may end its half.
-            return c.conn.input.consume(c.conn.input.len());
+            return connection.conn.input.consume(connection.conn.input.len());
         }
-        let mut got = Ok(None);
-        while !c.conn.input.is_empty() && matches!(got, Ok(None)) {
-            let front = c.conn.input.front();
+        let mut parsed = Ok(None);
+        while !connection.conn.input.is_empty() && matches!(parsed, Ok(None)) {
+            let front = connection.conn.input.front();
             let n = front.len();
-            got = caller.parser.feed(front);
-            c.conn.input.consume(n);
+            parsed = session.parser.feed(front);
+            connection.conn.input.consume(n);
         }
         // Bytes after the call are ignored.
-        c.conn.input.consume(c.conn.input.len());
-        let reply = match got {
-            Ok(Some(call)) => match self.carry_out(now, key, call) {
+        connection.conn.input.consume(connection.conn.input.len());
+        let reply = match parsed {
+            Ok(Some(call)) => match self.execute_call(now, key, call) {
                 Some(reply) => reply,
                 None => {
                     if let Some(Connection {
-                        kind: Kind::Admin(caller),
+                        kind: ConnectionKind::Admin(session),
                         ..
                     }) = self.connections.get_mut(key)
                     {
-                        caller.is_waiting = true;
+                        session.awaits_commit = true;
                     }
                     return;
                 }
             },
             Err(e) => Reply::rejected(e),
             Ok(None) if !ended => return,
-            Ok(None) => match caller.parser.end() {
+            Ok(None) => match session.parser.end() {
                 Some(e) => Reply::rejected(e),
                 None => {
                     // It sent nothing and has gone: no answer is due, and the connection ends.
-                    caller.is_answered = true;
+                    session.is_answered = true;
                     return;
                 }
             },
         };
-        self.answer_admin(key, &reply);
+        self.send_admin_reply(key, &reply);
     }
 
     /// Gives a caller its one answer; it is written by whoever serves the connection next.
-    pub(super) fn answer_admin(&mut self, key: Key, reply: &Reply) {
-        let Some(c) = self.connections.get_mut(key) else {
+    pub(super) fn send_admin_reply(&mut self, key: Key, reply: &Reply) {
+        let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let Kind::Admin(caller) = &mut c.kind else {
+        let ConnectionKind::Admin(session) = &mut connection.kind else {
             return;
         };
-        caller.is_waiting = false;
-        if !std::mem::replace(&mut caller.is_answered, true) {
-            c.conn.output.push(&reply.to_bytes());
+        session.awaits_commit = false;
+        if !std::mem::replace(&mut session.is_answered, true) {
+            connection.conn.output.push(&reply.to_bytes());
         }
     }
 
@@ -194,38 +195,38 @@
     }
 
     /// Carries out a call. None where its answer waits until replicas have it.
-    fn carry_out(&mut self, now: Micros, key: Key, call: Call) -> Option<Reply> {
-        let told = match &call {
+    fn execute_call(&mut self, now: Micros, key: Key, call: Call) -> Option<Reply> {
+        let status = match &call {
             Call::Fleet => self.fleet_status().map(|status| fleet::to_json(&status)),
             Call::Budgets => self.budgets_status().map(|status| fleet::to_json(&status)),
             _ => None,
         };
-        if let Some(told) = told {
-            return Some(Reply::new(200, told));
+        if let Some(status) = status {
+            return Some(Reply::new(200, status));
         }
-        let kept =
+        let is_replicated =
             self.ledger.is_some() && !matches!(call, Call::Ready | Call::Fleet | Call::Budgets);
-        let shown = format!("{call:?}");
+        let call_text = format!("{call:?}");
         let members = &self.endpoint_table;
-        let known = |id: &str| members.listed().any(|(e, _)| e.uid == id);
-        let ready = self.can_serve();
-        let before = self.operations.clone();
+        let is_listed = |id: &str| members.listed().any(|(entry, _)| entry.uid == id);
+        let can_serve = self.can_serve();
+        let previous = self.operations.clone();
         let is_ready_call = matches!(call, Call::Ready);
-        let Outcome { mut reply, effect } = self.operations.call(now, call, known, ready);
+        let Outcome { mut reply, effect } = self.operations.call(now, call, is_listed, can_serve);
         if let Some(pending) = self.pending_store.as_ref().filter(|_| is_ready_call) {
-            let lacks = format!(
+            let note = format!(
                 "; commands are rejected, as the store can't be opened: {}",
                 pending.reason()
             );
-            reply.text.push_str(&lacks);
+            reply.text.push_str(&note);
         }
-        if is_ready_call && self.operator_files.is_unread() {
-            let lacks =
+        if is_ready_call && self.operator_files.is_load_pending() {
+            let note =
                 "; operators' calls are rejected, as what they decided before can't be read yet";
-            reply.text.push_str(lacks);
+            reply.text.push_str(note);
         }
-        if effect.is_some() && (self.lacks_store() || self.operator_files.is_unread()) {
-            self.operations = before;
+        if effect.is_some() && (self.lacks_store() || self.operator_files.is_load_pending()) {
+            self.operations = previous;
             self.count_rejected();
             return Some(Reply::unavailable(
                 "nothing has changed: what was kept before can't be read yet",
@@ -234,19 +235,19 @@
         if let Some(effect) = effect {
             if !self.save_operator_state() {
                 // A yes would promise what the next process does not know of. One copy may have been put in place.
-                self.operations = before;
+                self.operations = previous;
                 self.save_undone_state(now);
                 return Some(Reply::unavailable(
                     "it can't be kept for the next process, so nothing has changed",
                 ));
             }
-            log::info!(call = shown.as_str(), status = reply.status; "the admin listener: {}", reply.text);
-            let decided = OperatorDecision::new(&effect);
-            self.take_effect(now, effect);
-            if kept {
-                return self.commit_call(now, key, reply, Some(decided));
+            log::info!(call = call_text.as_str(), status = reply.status; "the admin listener: {}", reply.text);
+            let decision = OperatorDecision::new(&effect);
+            self.apply_operator_effect(now, effect);
+            if is_replicated {
+                return self.commit_call(now, key, reply, Some(decision));
             }
-        } else if kept && reply.status == 200 {
+        } else if is_replicated && reply.status == 200 {
             // Nothing has changed; but what it says again may be on its way still.
             return self.commit_call(now, key, reply, None);
         }
@@ -254,7 +255,7 @@
     }
 
     /// Does what a call, or an entry that came back, decides.
-    pub(super) fn take_effect(&mut self, now: Micros, effect: Effect) {
+    pub(super) fn apply_operator_effect(&mut self, now: Micros, effect: Effect) {
         match effect {
             Effect::Ban(id) => self.ban(now, &id),
             Effect::Unban(id) => self.unban(now, &id),
@@ -268,8 +269,8 @@
         let listed = self
             .endpoint_table
             .listed()
-            .find(|(e, _)| e.uid == id)
-            .map(|(e, _)| e.clone());
+            .find(|(entry, _)| entry.uid == id)
+            .map(|(entry, _)| entry.clone());
         if let Some(mut entry) = listed {
             entry.server.state = State::Gone;
             self.core
@@ -282,9 +283,9 @@
         let listed = self
             .endpoint_table
             .listed()
-            .find(|(e, _)| e.uid == id)
-            .map(|(e, _)| e.clone());
-        if let Some(entry) = listed.filter(|e| e.server.state != State::Gone) {
+            .find(|(entry, _)| entry.uid == id)
+            .map(|(entry, _)| entry.clone());
+        if let Some(entry) = listed.filter(|entry| entry.server.state != State::Gone) {
             self.core
                 .update_endpoints(now, ListMode::Delta, vec![entry]);
         }
@@ -296,16 +297,19 @@
         mode: ListMode,
         entries: Vec<linnetknot_discovery::Entry>,
     ) -> Vec<linnetknot_discovery::Entry> {
-        let banned = |e: &linnetknot_discovery::Entry| self.operations.is_banned(&e.uid);
+        let is_banned = |entry: &linnetknot_discovery::Entry| self.operations.is_banned(&entry.uid);
         match mode {
-            ListMode::Full => entries.into_iter().filter(|e| !banned(e)).collect(),
+            ListMode::Full => entries
+                .into_iter()
+                .filter(|entry| !is_banned(entry))
+                .collect(),
             _ => entries
                 .into_iter()
-                .map(|mut e| {
-                    if banned(&e) {
-                        e.server.state = State::Gone;
+                .map(|mut entry| {
+                    if is_banned(&entry) {
+                        entry.server.state = State::Gone;
                     }
-                    e
+                    entry
                 })
                 .collect(),
         }
@@ -320,30 +324,34 @@
         // before the loop goes on, and writing the state to a slow disk may have kept it for longer than the sweep waits.
         let now = self.clock.now().max(now);
         if let Some(at) = self.operations.next_sweep(now) {
-            self.later(at, Daemon::sweep);
+            self.schedule(at, Daemon::close_idle_clients);
         }
     }
 
     /// Closes the client connections that have nothing open, while the process drains, and looks again later.
-    pub(super) fn sweep(&mut self, now: Micros) {
+    pub(super) fn close_idle_clients(&mut self, now: Micros) {
         let Drain::Draining(_) = self.operations.drain() else {
             return;
         };
         for key in self.connections.keys() {
             // A connection that has asked nothing yet is let be for a sweep: its request may be on its way.
-            let idle = self.connections.get(key).is_some_and(|c| match &c.kind {
-                Kind::Client(s) => {
-                    Self::is_quiet(c)
-                        && (s.has_received_request() || c.state_since + SWEEP_US <= now)
-                }
-                _ => false,
-            });
-            if idle {
+            let is_idle =
+                self.connections
+                    .get(key)
+                    .is_some_and(|connection| match &connection.kind {
+                        ConnectionKind::Client(session) => {
+                            Self::is_idle(connection)
+                                && (session.has_received_request()
+                                    || connection.state_since + SWEEP_US <= now)
+                        }
+                        _ => false,
+                    });
+            if is_idle {
                 self.half_close(now, key);
             }
         }
         if let Some(at) = self.operations.next_sweep(now) {
-            self.later(at, Daemon::sweep);
+            self.schedule(at, Daemon::close_idle_clients);
         }
     }
 }
--- a/daemon/src/daemon/budgets/mod.rs
+++ b/daemon/src/daemon/budgets/mod.rs
@@ -16,7 +16,7 @@
 use std::collections::BTreeMap;
 
 /// The shortest time between two ticks.
-const MIN_TICK_US: Micros = 1_000;
+const MIN_TICK_INTERVAL_US: Micros = 1_000;
 
 /// This proxy's member, and what goes with it.
 pub(super) struct SharedBudgets {
@@ -40,13 +40,13 @@
 }
 
 /// What this proxy has unsettled of each budget that the decision module knows.
-struct Unsettled {
+struct UnsettledAmounts {
     origin: Amount,
     caches: Amount,
     parents: Amount,
 }
 
-impl Unsettled {
+impl UnsettledAmounts {
     fn of(&self, budget: Option<Budget>) -> Amount {
         match budget {
             Some(Budget::Origin) => self.origin,
@@ -158,7 +158,7 @@
 
     /// Passes the member what changed here and the time, and schedules the next tick.
     fn tick_budgets(&mut self, now: Micros) {
-        self.update_up();
+        self.update_members_up();
         self.update_demand(now);
         if let Some(shared) = &mut self.shared_budgets {
             shared.member.tick(now);
@@ -167,12 +167,12 @@
         let due = self
             .shared_budgets
             .as_ref()
-            .map(|shared| shared.member.due().max(now + MIN_TICK_US));
+            .map(|shared| shared.member.due().max(now + MIN_TICK_INTERVAL_US));
         let old = self
             .shared_budgets
             .as_mut()
             .and_then(|shared| shared.due.take());
-        let new = self.instead(old, due, |daemon, now| {
+        let new = self.reschedule(old, due, |daemon, now| {
             daemon
                 .shared_budgets
                 .iter_mut()
@@ -186,12 +186,12 @@
 
     fn update_demand(&mut self, now: Micros) {
         let is_stopping = self.is_stopping();
-        let all = self.unsettled(now);
+        let unsettled_amounts = self.unsettled(now);
         let Some(shared) = &mut self.shared_budgets else {
             return;
         };
         for (n, budget) in self.config.budgets.list.iter().enumerate() {
-            let unsettled = all.of(budget.of);
+            let unsettled = unsettled_amounts.of(budget.of);
             // A process that ends returns all that it has not spent.
             let amount = if is_stopping {
                 unsettled
@@ -202,17 +202,17 @@
         }
     }
 
-    fn unsettled(&self, now: Micros) -> Unsettled {
+    fn unsettled(&self, now: Micros) -> UnsettledAmounts {
         let millionths =
             |share: Option<f64>| (share.unwrap_or(0.0) * Unit::Millionths.one() as f64) as Amount;
-        Unsettled {
+        UnsettledAmounts {
             origin: self.core.origin_in_flight() as Amount,
             caches: millionths(self.core.slow_start_use(now, false)),
             parents: millionths(self.core.slow_start_use(now, true)),
         }
     }
 
-    fn update_up(&mut self) {
+    fn update_members_up(&mut self) {
         let Some(membership) = &self.membership else {
             return;
         };
--- a/daemon/src/daemon/cdni_listener.rs
+++ b/daemon/src/daemon/cdni_listener.rs
@@ -1,8 +1,8 @@
 //! The listener of the front for CDNI: what peer CDNs and redirected clients request, and what peer CDNs are sent.
 
 use super::commits::CdniResponse;
-use super::exchange::{Effect, End, Exchange, Flow};
-use super::{Connection, Daemon, Kind, Timer};
+use super::exchange::{Exchange, ExchangeEnd, Flow, Task};
+use super::{Connection, ConnectionKind, Daemon, Timer};
 use crate::core::{Answer, Client, ClientRequest};
 use crate::front::cdni::{self, Post, Reply, Session, Waiting, MEDIA};
 use crate::net::{Conn, Key, Progress};
@@ -28,7 +28,7 @@
 }
 
 impl Exchange for Delivery {
-    fn opening(&self) -> Vec<u8> {
+    fn initial_bytes(&self) -> Vec<u8> {
         let mut out = Vec::new();
         let (host, media) = (
             self.post.address.to_string(),
@@ -45,9 +45,9 @@
     }
 
     /// Only the status of the peer CDN's answer counts.
-    fn read(&mut self, input: &[u8], effects: &mut Vec<Effect>) -> Result<Flow, WireError> {
+    fn read(&mut self, input: &[u8], effects: &mut Vec<Task>) -> Result<Flow, WireError> {
         let (_, Some(Piece::Head(head))) = self.messages.parse(input)? else {
-            return Ok(Flow::More);
+            return Ok(Flow::NeedsInput);
         };
         let (post, attempts, status) = (self.post.clone(), self.attempts, head.status());
         effects.push(Box::new(move |daemon, now| {
@@ -56,7 +56,7 @@
         Ok(Flow::Done)
     }
 
-    fn ended(self: Box<Self>, _: End) -> Option<Effect> {
+    fn on_ended(self: Box<Self>, _: ExchangeEnd) -> Option<Task> {
         let (post, attempts) = (self.post, self.attempts);
         Some(Box::new(move |daemon, now| {
             daemon.delivery_finished(now, post, attempts, None);
@@ -78,7 +78,7 @@
             && !self.shutdown_grace_over
             && accepted < self.limits.clients
         {
-            let Ok(evicted) = self.room_for_client(now) else {
+            let Ok(evicted) = self.required_eviction(now) else {
                 return self.pause_accepting_cdni(now);
             };
             let Some((listener, _)) = &self.trigger_api else {
@@ -98,15 +98,15 @@
                 self.limits.output_ring,
             );
             if let Ok(conn) = conn {
-                self.take_in(now, conn, Kind::Cdni(Box::new(session)), evicted);
+                self.add_client(now, conn, ConnectionKind::Cdni(Box::new(session)), evicted);
             }
         }
         let resumed = self
             .trigger_api
             .as_mut()
-            .is_none_or(|(l, _)| l.resume(&self.poll));
+            .is_none_or(|(listener, _)| listener.resume(&self.poll));
         if !resumed {
-            self.accept_later(now);
+            self.schedule_accept_retry(now);
         }
     }
 
@@ -114,7 +114,7 @@
         if let Some((listener, _)) = &mut self.trigger_api {
             listener.pause(&self.poll);
         }
-        self.accept_later(now);
+        self.schedule_accept_retry(now);
     }
 
     /// Takes up the requests that have come whole.
@@ -123,8 +123,8 @@
             let Some(reply) = self.cdni_reply(now, &head, &body) else {
                 return;
             };
-            self.take_cdni_reply(now, key, reply);
-            self.settle(now);
+            self.handle_cdni_reply(now, key, reply);
+            self.execute_commands(now);
             if !self.write_cdni(key) {
                 return;
             }
@@ -135,7 +135,7 @@
         match self.connections.get_mut(key)? {
             Connection {
                 conn,
-                kind: Kind::Cdni(session),
+                kind: ConnectionKind::Cdni(session),
                 ..
             } => Some((conn, session)),
             _ => None,
@@ -173,7 +173,7 @@
     }
 
     /// Answers a request, or has the answer wait for a commit or for the core.
-    fn take_cdni_reply(&mut self, now: Micros, key: Key, reply: Reply) {
+    fn handle_cdni_reply(&mut self, now: Micros, key: Key, reply: Reply) {
         match reply {
             Reply::Respond(response) => {
                 if let Some((_, session)) = self.cdni_session(key) {
@@ -201,7 +201,7 @@
 
     /// Has the core take the request of a redirected client, or rejects it.
     fn admit_for_cdni(&mut self, now: Micros, key: Key, mut request: ClientRequest) {
-        let unread = self.turn.waited_unread(now);
+        let unread = self.turn.unread_delay(now);
         request.remaining_us = request.remaining_us.saturating_sub(unread);
         let deadline = now + request.remaining_us;
         let client = Client {
@@ -230,7 +230,7 @@
         session.respond(&cdni::response(answer, is_late));
         // The next request may have come meanwhile; reading it is left to the loop, so that a peer CDN that
         // sends many at once can't nest them here.
-        self.deadlines.set(now, Timer::Serve(key));
+        self.deadlines.set(now, Timer::ResumeConnection(key));
     }
 
     /// Writes what is waiting; false where the connection is over.
@@ -249,7 +249,7 @@
     }
 
     /// Notifies peer CDNs of the footprint when whether this proxy can serve has changed.
-    pub(super) fn notify(&mut self, now: Micros) {
+    pub(super) fn announce_readiness(&mut self, now: Micros) {
         let ready = self.can_serve();
         if std::mem::replace(&mut self.announced_ready, ready) == ready {
             return;
@@ -259,21 +259,21 @@
             .as_ref()
             .map(|(_, trigger_api)| trigger_api.footprint_notices(ready))
             .unwrap_or_default();
-        posts.into_iter().for_each(|post| self.send_out(now, post));
+        posts.into_iter().for_each(|post| self.deliver(now, post));
     }
 
     /// Forwards a purge that came by the event bus to peer CDNs.
-    pub(super) fn pass_on(&mut self, now: Micros, object: Option<&str>, group: u64) {
+    pub(super) fn forward_purge(&mut self, now: Micros, object: Option<&str>, group: u64) {
         let posts = self
             .trigger_api
             .as_ref()
             .map(|(_, trigger_api)| trigger_api.purge_commands(object, group))
             .unwrap_or_default();
-        posts.into_iter().for_each(|post| self.send_out(now, post));
+        posts.into_iter().for_each(|post| self.deliver(now, post));
     }
 
     /// Sends a payload to a peer CDN, as far as the bound on those under way lets it.
-    pub(super) fn send_out(&mut self, now: Micros, post: Post) {
+    pub(super) fn deliver(&mut self, now: Micros, post: Post) {
         if self.pending_deliveries >= self.limits.posts {
             let address = post.address;
             log::warn!("a payload for {address} is dropped: too many are on their way");
@@ -286,7 +286,7 @@
     fn begin_delivery(&mut self, now: Micros, post: Post, attempts: u32) {
         let delivery = Delivery::new(post.clone(), attempts, self.limits.line);
         if self
-            .exchange(
+            .start_exchange(
                 now,
                 post.address,
                 Box::new(delivery),
@@ -315,8 +315,8 @@
                 self.pending_deliveries -= 1;
             }
             _ => {
-                let wait = self.limits.repeat_us << attempts.min(6);
-                self.later(now + wait, move |daemon, now| {
+                let retry_delay = self.limits.repeat_us << attempts.min(6);
+                self.schedule(now + retry_delay, move |daemon, now| {
                     daemon.begin_delivery(now, post, attempts);
                 });
             }
@@ -324,7 +324,7 @@
     }
 
     /// Writes an answer that waited, and reads on behind it.
-    pub(super) fn serve_again(&mut self, now: Micros, key: Key) {
+    pub(super) fn resume_connection(&mut self, now: Micros, key: Key) {
         self.read_cdni(now, key);
         if !self.write(now, key) {
             self.close(now, key);
--- a/daemon/src/daemon/cdni_listener/tests.rs
+++ b/daemon/src/daemon/cdni_listener/tests.rs
@@ -11,14 +11,14 @@
         body: "{}".into(),
     };
     let mut delivery = Delivery::new(post, 0, 512);
-    let text = String::from_utf8(delivery.opening()).unwrap();
+    let text = String::from_utf8(delivery.initial_bytes()).unwrap();
     assert!(
         text.starts_with("POST /t HTTP/1.1\r\n") && text.ends_with("Content-Length: 2\r\n\r\n{}")
     );
     let mut effects = Vec::new();
     assert_eq!(
         delivery.read(b"HTTP/1.1 201 Cre", &mut effects),
-        Ok(Flow::More)
+        Ok(Flow::NeedsInput)
     );
     assert!(effects.is_empty());
     assert_eq!(
--- a/daemon/src/daemon/clients/accept.rs
+++ b/daemon/src/daemon/clients/accept.rs
@@ -1,6 +1,6 @@
 //! New connections of clients, and which other connection is closed where there is no place for one more.
 
-use crate::daemon::{Daemon, Kind, Timer};
+use crate::daemon::{ConnectionKind, Daemon, Timer};
 use crate::limits::Standing;
 use crate::net::{Conn, FailureKind, Key};
 use linnetknot::Micros;
@@ -19,7 +19,7 @@
                 .filter_map(|key| Some((self.eviction_rank(now, *key)?, *key)));
             let (rank, key) = candidates.min().ok_or(io::ErrorKind::OutOfMemory)?;
             // Bytes that came meanwhile give it another rank: then it is not the one to evict.
-            if !self.check_client(now, key) || self.eviction_rank(now, key) == Some(rank) {
+            if !self.poll_client(now, key) || self.eviction_rank(now, key) == Some(rank) {
                 return Ok(key);
             }
         }
@@ -34,7 +34,7 @@
     }
 
     /// The connection that is evicted for one more client, or none where there is a place; an error where none can be.
-    pub(in crate::daemon) fn room_for_client(&mut self, now: Micros) -> io::Result<Option<Key>> {
+    pub(in crate::daemon) fn required_eviction(&mut self, now: Micros) -> io::Result<Option<Key>> {
         if self.client_count < self.limits.clients && !self.connections.is_full() {
             return Ok(None);
         }
@@ -42,14 +42,14 @@
     }
 
     /// Accepts what waits at the clients' listener.
-    pub(in crate::daemon) fn accept(&mut self, now: Micros) {
+    pub(in crate::daemon) fn accept_clients(&mut self, now: Micros) {
         let mut has_evicted = false;
         // No more in one turn than the table holds: clients that are closed and connect again at once must not keep the loop.
         let mut accepted = 0;
         while self.client_listener.is_some() && accepted < self.limits.clients {
             // With no place left, connections wait in the kernel's queue: others end, and these are accepted then.
-            let Ok(mut evicted) = self.room_for_client(now) else {
-                return self.pause_accepting(now);
+            let Ok(mut evicted) = self.required_eviction(now) else {
+                return self.pause_accepting_clients(now);
             };
             let Some(listener) = &self.client_listener else {
                 return;
@@ -64,15 +64,15 @@
                         Some(key) => Ok(key),
                         None => self.eviction_candidate(now),
                     };
-                    let was_tried = std::mem::replace(&mut has_evicted, true);
-                    let Some(key) = candidate.ok().filter(|_| !was_tried) else {
-                        return self.pause_accepting(now);
+                    let already_evicted = std::mem::replace(&mut has_evicted, true);
+                    let Some(key) = candidate.ok().filter(|_| !already_evicted) else {
+                        return self.pause_accepting_clients(now);
                     };
                     self.close(now, key);
                     continue;
                 }
                 // Short of memory, say, which no eviction would mend.
-                Err(_) => return self.pause_accepting(now),
+                Err(_) => return self.pause_accepting_clients(now),
             };
             has_evicted = false;
             accepted += 1;
@@ -83,56 +83,61 @@
                 self.limits.output_ring,
             );
             if let Ok(conn) = conn {
-                self.take_in(now, conn, Kind::Client(Default::default()), evicted);
+                self.add_client(
+                    now,
+                    conn,
+                    ConnectionKind::Client(Default::default()),
+                    evicted,
+                );
             }
         }
         let resumed = self
             .client_listener
             .as_mut()
-            .is_none_or(|l| l.resume(&self.poll));
+            .is_none_or(|listener| listener.resume(&self.poll));
         if !resumed {
-            self.accept_later(now);
+            self.schedule_accept_retry(now);
         }
     }
 
     /// No place left: the listener would stay readable and the loop spin on it.
-    fn pause_accepting(&mut self, now: Micros) {
+    fn pause_accepting_clients(&mut self, now: Micros) {
         if let Some(listener) = &mut self.client_listener {
             listener.pause(&self.poll);
         }
-        self.accept_later(now);
+        self.schedule_accept_retry(now);
     }
 
     /// Accepts again in a moment. Both fronts may ask for it: were each to set a deadline of its own, every one
     /// of them would set two more while the table stays full.
-    pub(in crate::daemon) fn accept_later(&mut self, now: Micros) {
+    pub(in crate::daemon) fn schedule_accept_retry(&mut self, now: Micros) {
         if !std::mem::replace(&mut self.accept_retry_scheduled, true) {
             self.deadlines
-                .set(now + self.limits.accept_again_us, Timer::Accept);
+                .set(now + self.limits.accept_again_us, Timer::RetryAccept);
         }
     }
 
     /// Puts a client's new connection, of either front, into the table, after closing the one that is evicted for it.
-    pub(in crate::daemon) fn take_in(
+    pub(in crate::daemon) fn add_client(
         &mut self,
         now: Micros,
         conn: Conn,
-        kind: Kind,
+        kind: ConnectionKind,
         evicted: Option<Key>,
     ) {
         if let Some(evicted) = evicted {
             self.close(now, evicted);
         }
-        if let Some(key) = self.open(now, conn, kind) {
+        if let Some(key) = self.add_connection(now, conn, kind) {
             if !self.operations.in_service() {
                 self.close_when_answered(key);
             }
             self.client_count += 1;
             self.deadlines
-                .set(now + self.limits.client_half_us, Timer::Client(key));
-            if self.turn.waited_unread(now) > 0 {
+                .set(now + self.limits.client_half_us, Timer::CheckClient(key));
+            if self.turn.unread_delay(now) > 0 {
                 // Its requests have been there since before the loop was delayed: in the next turn they would seem new.
-                self.check_client(now, key);
+                self.poll_client(now, key);
             }
         }
     }
--- a/daemon/src/daemon/clients/mod.rs
+++ b/daemon/src/daemon/clients/mod.rs
@@ -3,29 +3,33 @@
 mod accept;
 mod requests;
 
-use super::{Connection, Daemon, Kind, Timer};
+use super::{Connection, ConnectionKind, Daemon, Timer};
 use crate::limits::Standing;
 use crate::net::Key;
 use linnetknot::Micros;
 
 impl Daemon {
     /// The state of a client's connection, of either front; none if it is no client's.
-    fn client_state(c: &Connection) -> Option<Standing> {
-        let (busy, half, asked) = match &c.kind {
-            Kind::Client(s) => (
-                s.has_pending_answers(),
-                s.is_partial(),
-                s.has_received_request(),
+    fn client_state(connection: &Connection) -> Option<Standing> {
+        let (is_busy, is_partial, has_request) = match &connection.kind {
+            ConnectionKind::Client(session) => (
+                session.has_pending_answers(),
+                session.is_partial(),
+                session.has_received_request(),
             ),
-            Kind::Cdni(s) => (!s.is_idle(), s.is_partial(), s.has_received_request()),
-            Kind::Lingering => return Some(Standing::Lingering),
+            ConnectionKind::Cdni(session) => (
+                !session.is_idle(),
+                session.is_partial(),
+                session.has_received_request(),
+            ),
+            ConnectionKind::Lingering => return Some(Standing::Lingering),
             _ => return None,
         };
-        Some(if busy || !c.conn.output.is_empty() {
+        Some(if is_busy || !connection.conn.output.is_empty() {
             Standing::Busy
-        } else if half || !c.conn.input.is_empty() {
+        } else if is_partial || !connection.conn.input.is_empty() {
             Standing::Half
-        } else if asked {
+        } else if has_request {
             Standing::Idle
         } else {
             Standing::Silent
@@ -33,98 +37,110 @@
     }
 
     /// How many answers a client is owed.
-    fn owed(c: &Connection) -> usize {
-        match &c.kind {
-            Kind::Client(s) => s.unanswered(),
-            Kind::Cdni(s) => usize::from(s.waiting.is_some()),
+    fn unanswered(connection: &Connection) -> usize {
+        match &connection.kind {
+            ConnectionKind::Client(session) => session.unanswered(),
+            ConnectionKind::Cdni(session) => usize::from(session.waiting.is_some()),
             _ => 0,
         }
     }
 
     /// Notes a client's state and since when it is in it, after something was read or written there.
-    pub(in crate::daemon) fn note_client(&mut self, now: Micros, key: Key) {
-        let Some(c) = self.connections.get_mut(key) else {
+    pub(in crate::daemon) fn update_client_state(&mut self, now: Micros, key: Key) {
+        let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let Some(state) = Self::client_state(c) else {
+        let Some(state) = Self::client_state(connection) else {
             return;
         };
-        let half = state == Standing::Half;
+        let is_partial = state == Standing::Half;
         // A request that comes a few bytes at a time stays the one that began with the first of them.
-        if state == Standing::Busy || half && !std::mem::replace(&mut c.has_partial_request, half) {
-            c.state_since = now;
+        if state == Standing::Busy
+            || is_partial && !std::mem::replace(&mut connection.has_partial_request, is_partial)
+        {
+            connection.state_since = now;
         }
-        c.has_partial_request = half;
-        let held = if let Kind::Client(session) = &c.kind {
+        connection.has_partial_request = is_partial;
+        let partial_bytes = if let ConnectionKind::Client(session) = &connection.kind {
             session.buffered_bytes()
         } else {
             0
         };
-        let before = std::mem::replace(&mut c.partial_request_bytes, held);
-        self.total_partial_request_bytes = self.total_partial_request_bytes + held - before;
-        if held > before {
-            self.free_half_requests(now);
+        let before = std::mem::replace(&mut connection.partial_request_bytes, partial_bytes);
+        self.total_partial_request_bytes =
+            self.total_partial_request_bytes + partial_bytes - before;
+        if partial_bytes > before {
+            self.limit_partial_requests(now);
         }
         if self.shutdown_grace_over {
-            self.end_soon(now, key);
+            self.schedule_half_close(now, key);
         }
     }
 
     /// Holds the bytes of incomplete requests to their bound. The clients with most of them give way: one that is owed
     /// answers gets these, and a rejection of what is incomplete; the connections of the others are closed.
-    fn free_half_requests(&mut self, now: Micros) {
+    fn limit_partial_requests(&mut self, now: Micros) {
         while self.total_partial_request_bytes > self.limits.bodies {
             let keys = self.connections.keys().into_iter();
-            let held = |key: Key| Some((self.connections.get(key)?.partial_request_bytes, key));
-            let Some((before, key)) = keys.filter_map(held).max().filter(|(held, _)| *held > 0)
+            let partial_bytes =
+                |key: Key| Some((self.connections.get(key)?.partial_request_bytes, key));
+            let Some((before, key)) = keys
+                .filter_map(partial_bytes)
+                .max()
+                .filter(|(partial_bytes, _)| *partial_bytes > 0)
             else {
                 return;
             };
-            let Some(c) = self.connections.get_mut(key) else {
+            let Some(connection) = self.connections.get_mut(key) else {
                 return;
             };
-            if let Kind::Client(session) = &mut c.kind {
+            if let ConnectionKind::Client(session) = &mut connection.kind {
                 if session.has_unanswered_requests() {
                     session.reject_partial(Some(self.limits.back_off_us));
-                    c.partial_request_bytes = session.buffered_bytes();
-                    self.total_partial_request_bytes =
-                        self.total_partial_request_bytes + c.partial_request_bytes - before;
+                    connection.partial_request_bytes = session.buffered_bytes();
+                    self.total_partial_request_bytes = self.total_partial_request_bytes
+                        + connection.partial_request_bytes
+                        - before;
                 }
             }
-            if c.partial_request_bytes == before {
+            if connection.partial_request_bytes == before {
                 log::debug!("a connection is closed: too many bytes of incomplete requests");
                 self.close(now, key);
             } else {
                 self.write_client(key);
-                self.watch(now, key);
+                self.update_interest(now, key);
             }
         }
     }
 
     /// Closes a client's connection that has been in its state for too long. Usual clients close theirs sooner, so none of
     /// their requests can cross this.
-    pub(in crate::daemon) fn client_timeout(&mut self, now: Micros, key: Key) {
-        let Some(c) = self.connections.get_mut(key) else {
+    pub(in crate::daemon) fn check_client_timeout(&mut self, now: Micros, key: Key) {
+        let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let Some(state) = Self::client_state(c) else {
+        let Some(state) = Self::client_state(connection) else {
             return;
         };
         if state == Standing::Idle {
-            c.conn.input.release();
-            c.conn.output.release();
+            connection.conn.input.release();
+            connection.conn.output.release();
         }
-        let mut due = self.limits.leaves_at(state, Self::owed(c), c.state_since);
+        let mut due =
+            self.limits
+                .leaves_at(state, Self::unanswered(connection), connection.state_since);
         if due.is_some_and(|due| due <= now) {
             // What came in this very moment changes its state, and then it stays.
-            if !self.check_client(now, key) {
+            if !self.poll_client(now, key) {
                 return;
             }
-            let Some(c) = self.connections.get(key) else {
+            let Some(connection) = self.connections.get(key) else {
                 return;
             };
-            due = Self::client_state(c)
-                .and_then(|state| self.limits.leaves_at(state, Self::owed(c), c.state_since));
+            due = Self::client_state(connection).and_then(|state| {
+                self.limits
+                    .leaves_at(state, Self::unanswered(connection), connection.state_since)
+            });
             if due.is_some_and(|due| due <= now) && !self.half_close(now, key) {
                 return self.close(now, key);
             }
@@ -134,6 +150,6 @@
             Some(due) if due > now => due.min(next_check),
             _ => next_check,
         };
-        self.deadlines.set(at, Timer::Client(key));
+        self.deadlines.set(at, Timer::CheckClient(key));
     }
 }
--- a/daemon/src/daemon/commits/mod.rs
+++ b/daemon/src/daemon/commits/mod.rs
@@ -6,7 +6,7 @@
 mod triggers;
 
 use super::recovery::SnapshotWait;
-use super::{Connection, Daemon, Kind, Timer};
+use super::{Connection, ConnectionKind, Daemon, Timer};
 use crate::front::cdni::{Effect, Response, TriggerId};
 use crate::ledger::AppendError;
 use crate::net::{Due, Key};
@@ -59,7 +59,7 @@
     /// The wait of a proxy that is behind what its peers have compacted.
     pub(super) snapshot: Option<SnapshotWait>,
     /// How many peers were offered a snapshot and did not answer, at the last tick.
-    pub(super) without_snapshot: usize,
+    pub(super) peers_without_snapshot: usize,
     /// When replication is due.
     pub(super) replication_due: Option<Due>,
     /// How many entries were under-replicated at the last tick.
@@ -128,7 +128,7 @@
                 Effect::Status(..) => Ok(None),
                 Effect::Gone(name) => self.append_gone(now, name),
                 Effect::Post(post) => {
-                    self.send_out(now, post);
+                    self.deliver(now, post);
                     Ok(None)
                 }
             };
@@ -193,7 +193,7 @@
             }
         };
         // The event loop writes it, and reads what the client sent after its request.
-        self.deadlines.set(now, Timer::Serve(connection));
+        self.deadlines.set(now, Timer::ResumeConnection(connection));
     }
 
     /// Responds to a peer CDN; false where its connection has gone.
@@ -214,7 +214,7 @@
             }
         }
         let Some(Connection {
-            kind: Kind::Cdni(session),
+            kind: ConnectionKind::Cdni(session),
             ..
         }) = self.connections.get_mut(connection)
         else {
--- a/daemon/src/daemon/commits/operators.rs
+++ b/daemon/src/daemon/commits/operators.rs
@@ -138,7 +138,7 @@
                 reply = Reply::unavailable(format!("nothing has changed: {reason}"));
             }
         }
-        self.answer_admin(connection, &reply);
+        self.send_admin_reply(connection, &reply);
     }
 
     /// Undoes a rejected decision, here and in the log, which peers may have. While a later decision on the same
@@ -182,14 +182,14 @@
         if self.lacks_store() {
             return;
         }
-        let Some(logged) = self.ledger.as_ref().map(Ledger::decisions) else {
+        let Some(logged_decisions) = self.ledger.as_ref().map(Ledger::decisions) else {
             return;
         };
         let bans = self.operations.bans().map(|id| Subject::Ban(id.to_owned()));
         let drain = (!self.operations.in_service()).then_some(Subject::Drain);
         let in_files: Vec<Subject> = bans.chain(drain).collect();
         for subject in in_files {
-            if logged.contains_key(&subject) {
+            if logged_decisions.contains_key(&subject) {
                 continue;
             }
             if let Err(e) = self.append_decision(now, &subject, false) {
@@ -226,7 +226,7 @@
             return false;
         };
         log::warn!(revoked = revoked; "the operators' state is set by this proxy's log: {subject:?}");
-        self.take_effect(now, effect);
+        self.apply_operator_effect(now, effect);
         true
     }
 }
--- a/daemon/src/daemon/connection_table.rs
+++ b/daemon/src/daemon/connection_table.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 
 /// What a connection is for.
-pub(super) enum Kind {
+pub(super) enum ConnectionKind {
     Client(Session),
     CacheServer(UpstreamConnection),
     Cdni(Box<cdni::Session>),
@@ -22,13 +22,16 @@
     /// What this side has begun.
     Exchange(Box<dyn Exchange>),
     /// An operator's call at the admin listener.
-    Admin(Box<admin::Caller>),
+    Admin(Box<admin::AdminSession>),
 }
 
-impl Kind {
+impl ConnectionKind {
     /// Whether it is a client's, of either front.
     pub(super) fn is_client(&self) -> bool {
-        matches!(self, Kind::Client(_) | Kind::Cdni(_) | Kind::Lingering)
+        matches!(
+            self,
+            ConnectionKind::Client(_) | ConnectionKind::Cdni(_) | ConnectionKind::Lingering
+        )
     }
 }
 
@@ -48,7 +51,7 @@
 /// A connection and what the daemon knows of it.
 pub(super) struct Connection {
     pub(super) conn: Conn,
-    pub(super) kind: Kind,
+    pub(super) kind: ConnectionKind,
     /// A client's: when it was last waited for here, or what it is now at began.
     pub(super) state_since: Micros,
     /// A client's: a request had come in part when that was last looked at.
@@ -64,7 +67,12 @@
 
 impl Daemon {
     /// Puts a connection into the table and has it watched. None: there is no place, or it can't be watched.
-    pub(super) fn open(&mut self, now: Micros, conn: Conn, kind: Kind) -> Option<Key> {
+    pub(super) fn add_connection(
+        &mut self,
+        now: Micros,
+        conn: Conn,
+        kind: ConnectionKind,
+    ) -> Option<Key> {
         let key = self.connections.insert(Connection {
             conn,
             kind,
@@ -88,7 +96,7 @@
         &mut self,
         now: Micros,
         to: SocketAddr,
-        kind: Kind,
+        kind: ConnectionKind,
     ) -> Result<Key, ConnectError> {
         let socket = connect(to).map_err(|failure| {
             log::debug!("no connection to {to}: {failure}");
@@ -109,93 +117,104 @@
             self.limits.output_ring,
         );
         let key = self
-            .open(now, conn.map_err(|_| ConnectError::NoCapacity)?, kind)
+            .add_connection(now, conn.map_err(|_| ConnectError::NoCapacity)?, kind)
             .ok_or(ConnectError::NoCapacity)?;
         self.deadlines
-            .set(now + self.limits.connect_us, Timer::Connect(key));
+            .set(now + self.limits.connect_us, Timer::ConnectTimeout(key));
         Ok(key)
     }
 
     /// Serves a connection of which the epoll set has told.
-    pub(super) fn serve(&mut self, now: Micros, key: Key, ready: Ready) {
+    pub(super) fn handle_ready(&mut self, now: Micros, key: Key, ready: Ready) {
         // A stale event, of a connection that ended earlier in the same round, misses by its generation.
-        let Some(c) = self.connections.get_mut(key) else {
+        let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        if ready.write && !c.conn.up {
-            if c.conn.finish_connect().is_err() {
+        if ready.write && !connection.conn.up {
+            if connection.conn.finish_connect().is_err() {
                 return self.close(now, key);
             }
-            if let Kind::Exchange(exchange) = &c.kind {
-                c.conn.output.push(&exchange.opening());
+            if let ConnectionKind::Exchange(exchange) = &connection.kind {
+                connection.conn.output.push(&exchange.initial_bytes());
             }
         }
-        if matches!(c.kind, Kind::Client(_) | Kind::Cdni(_)) && ready.hung_up {
+        if matches!(
+            connection.kind,
+            ConnectionKind::Client(_) | ConnectionKind::Cdni(_)
+        ) && ready.hung_up
+        {
             // Whatever it sent before, nobody is left to take the answers.
             return self.close(now, key);
         }
-        if matches!(c.kind, Kind::Client(_) | Kind::Lingering) {
-            if self.check_client(now, key) && self.connections.get(key).is_some_and(Self::is_over) {
+        if matches!(
+            connection.kind,
+            ConnectionKind::Client(_) | ConnectionKind::Lingering
+        ) {
+            if self.poll_client(now, key)
+                && self.connections.get(key).is_some_and(Self::is_finished)
+            {
                 self.half_close(now, key);
             }
             return;
         }
-        let mut over = false;
-        if ready.read && c.conn.up {
-            let got = c.conn.read(ready.broken);
-            let ended = matches!(got, Progress::Ended | Progress::Broken);
+        let mut is_over = false;
+        if ready.read && connection.conn.up {
+            let progress = connection.conn.read(ready.broken);
+            let ended = matches!(progress, Progress::Ended | Progress::Broken);
             // A caller at the admin listener may end its half once its call is sent: its answer is still owed.
-            over = ended && !(matches!(c.kind, Kind::Admin(_)) && got == Progress::Ended);
-            if let Err(e) = self.read(now, key, ended) {
+            is_over = ended
+                && !(matches!(connection.kind, ConnectionKind::Admin(_))
+                    && progress == Progress::Ended);
+            if let Err(e) = self.read_input(now, key, ended) {
                 // Whoever sends garbage must not fill the log with it.
-                let client = self
+                let is_client = self
                     .connections
                     .get(key)
-                    .is_some_and(|c| c.kind.is_client());
+                    .is_some_and(|connection| connection.kind.is_client());
                 log::log!(
-                    if client {
+                    if is_client {
                         log::Level::Debug
                     } else {
                         log::Level::Warn
                     },
                     "a connection is ended: {e}"
                 );
-                over = true;
+                is_over = true;
             }
         }
-        if over {
+        if is_over {
             return self.close(now, key);
         }
         if !self.write(now, key) && !self.half_close(now, key) {
             return self.close(now, key);
         }
-        self.note_client(now, key);
+        self.update_client_state(now, key);
     }
 
-    fn read(&mut self, now: Micros, key: Key, ended: bool) -> Result<(), WireError> {
-        let Some(c) = self.connections.get_mut(key) else {
+    fn read_input(&mut self, now: Micros, key: Key, ended: bool) -> Result<(), WireError> {
+        let Some(connection) = self.connections.get_mut(key) else {
             return Ok(());
         };
-        match &mut c.kind {
+        match &mut connection.kind {
             // These are read by `check_client`.
-            Kind::Client(_) | Kind::Lingering => Ok(()),
-            Kind::Cdni(_) => {
+            ConnectionKind::Client(_) | ConnectionKind::Lingering => Ok(()),
+            ConnectionKind::Cdni(_) => {
                 self.read_cdni(now, key);
                 Ok(())
             }
-            Kind::Exchange(_) => {
+            ConnectionKind::Exchange(_) => {
                 self.read_exchange(now, key);
                 Ok(())
             }
-            Kind::Admin(_) => {
+            ConnectionKind::Admin(_) => {
                 self.read_admin(now, key, ended);
                 Ok(())
             }
-            Kind::CacheServer(link) => {
-                let mut told = Vec::new();
-                let result = link.read(now, &mut c.conn, &self.core, &mut told);
-                let server = link.server;
-                self.apply_events(now, server, told);
+            ConnectionKind::CacheServer(upstream) => {
+                let mut events = Vec::new();
+                let result = upstream.read(now, &mut connection.conn, &self.core, &mut events);
+                let server = upstream.server;
+                self.apply_upstream_events(now, server, events);
                 result
             }
         }
@@ -203,64 +222,70 @@
 
     /// Writes what is waiting; false where the connection is over.
     pub(super) fn write(&mut self, now: Micros, key: Key) -> bool {
-        let Some(c) = self.connections.get_mut(key) else {
+        let Some(connection) = self.connections.get_mut(key) else {
             return true;
         };
-        let sound = match &mut c.kind {
-            Kind::Client(_) => {
+        let is_open = match &mut connection.kind {
+            ConnectionKind::Client(_) => {
                 self.write_client(key);
-                self.connections.get(key).is_none_or(|c| match &c.kind {
-                    Kind::Client(s) => {
-                        !(c.conn.is_broken() || s.is_finished() && c.conn.output.is_empty())
-                    }
-                    _ => true,
-                })
+                self.connections
+                    .get(key)
+                    .is_none_or(|connection| match &connection.kind {
+                        ConnectionKind::Client(session) => {
+                            !(connection.conn.is_broken()
+                                || session.is_finished() && connection.conn.output.is_empty())
+                        }
+                        _ => true,
+                    })
             }
-            Kind::CacheServer(_) => self.pump(now, key),
-            Kind::Cdni(_) => self.write_cdni(key),
-            Kind::Exchange(_) => c.conn.write() != Progress::Broken,
-            Kind::Lingering => true,
-            Kind::Admin(caller) => {
-                let over = caller.is_over();
-                c.conn.write() != Progress::Broken && !(over && c.conn.output.is_empty())
+            ConnectionKind::CacheServer(_) => self.flush_upstream(now, key),
+            ConnectionKind::Cdni(_) => self.write_cdni(key),
+            ConnectionKind::Exchange(_) => connection.conn.write() != Progress::Broken,
+            ConnectionKind::Lingering => true,
+            ConnectionKind::Admin(session) => {
+                let is_over = session.is_answered();
+                connection.conn.write() != Progress::Broken
+                    && !(is_over && connection.conn.output.is_empty())
             }
         };
-        self.watch(now, key);
-        sound
+        self.update_interest(now, key);
+        is_open
     }
 
     /// Closes a connection and takes it out of the table; what was open on it ends in the way of its kind.
     pub(super) fn close(&mut self, now: Micros, key: Key) {
-        let Some(c) = self.connections.remove(key) else {
+        let Some(connection) = self.connections.remove(key) else {
             return;
         };
-        match c.kind {
-            Kind::Client(session) => {
+        match connection.kind {
+            ConnectionKind::Client(session) => {
                 self.client_count -= 1;
-                self.total_unsent_bytes -= c.unsent_bytes;
-                self.total_partial_request_bytes -= c.partial_request_bytes;
+                self.total_unsent_bytes -= connection.unsent_bytes;
+                self.total_partial_request_bytes -= connection.partial_request_bytes;
                 session
                     .open_requests()
                     .into_iter()
                     .for_each(|ticket| self.core.client_gone(now, ticket));
             }
-            Kind::CacheServer(link) => self.cache_connection_closed(now, key, &c.conn, link),
-            Kind::Cdni(session) => {
+            ConnectionKind::CacheServer(upstream) => {
+                self.upstream_closed(now, key, &connection.conn, upstream)
+            }
+            ConnectionKind::Cdni(session) => {
                 self.client_count -= 1;
                 if let Some(Waiting::Core(ticket)) = session.waiting {
                     self.core.client_gone(now, ticket);
                 }
             }
-            Kind::Lingering => self.client_count -= 1,
-            Kind::Admin(_) => self.admin_connection_count -= 1,
-            Kind::Exchange(exchange) => {
-                let end = if c.conn.up {
-                    exchange::End::Closed
+            ConnectionKind::Lingering => self.client_count -= 1,
+            ConnectionKind::Admin(_) => self.admin_connection_count -= 1,
+            ConnectionKind::Exchange(exchange) => {
+                let end = if connection.conn.up {
+                    exchange::ExchangeEnd::Closed
                 } else {
-                    exchange::End::Unreachable
+                    exchange::ExchangeEnd::Unreachable
                 };
-                if let Some(effect) = exchange.ended(end) {
-                    effect(self, now);
+                if let Some(task) = exchange.on_ended(end) {
+                    task(self, now);
                 }
             }
         }
--- a/daemon/src/daemon/discovery.rs
+++ b/daemon/src/daemon/discovery.rs
@@ -18,9 +18,9 @@
 
 /// The lines that were logged, so that an answer that a source repeats is not logged each time.
 #[derive(Default)]
-pub(super) struct LoggedLines(BTreeSet<String>);
+pub(super) struct LoggedNotices(BTreeSet<String>);
 
-impl LoggedLines {
+impl LoggedNotices {
     /// Whether a line was not logged yet. Once `max` lines are known all are forgotten, and may be logged again.
     pub(super) fn is_new(&mut self, line: &str, max: usize) -> bool {
         if self.0.len() >= max {
@@ -95,7 +95,7 @@
         let due = self.endpoint_table.next_due(now);
         if due != self.endpoint_table_due.map(|planned| planned.at) {
             let old = self.endpoint_table_due.take();
-            self.endpoint_table_due = self.instead(old, due, Daemon::poll_discovery);
+            self.endpoint_table_due = self.reschedule(old, due, Daemon::poll_discovery);
         }
     }
 }
--- a/daemon/src/daemon/exchange.rs
+++ b/daemon/src/daemon/exchange.rs
@@ -2,18 +2,18 @@
 //! what the bytes mean is up to the protocol. What follows from them is handed back as effects, which run once the connection is no
 //! longer borrowed.
 
-use super::{Daemon, Kind, Timer};
+use super::{ConnectionKind, Daemon, Timer};
 use crate::net::{Due, Key};
 use crate::wire::WireError;
 use linnetknot::Micros;
 use std::net::SocketAddr;
 
 /// Something to be done by the daemon.
-pub(super) type Effect = Box<dyn FnOnce(&mut Daemon, Micros)>;
+pub(super) type Task = Box<dyn FnOnce(&mut Daemon, Micros)>;
 
 /// How a connection ended before its exchange was done.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum End {
+pub(super) enum ExchangeEnd {
     /// It never came up.
     Unreachable,
     /// The other side ended it, or it broke.
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Flow {
     /// More bytes.
-    More,
+    NeedsInput,
     /// Nothing: the connection is of no further use.
     Done,
 }
@@ -36,87 +36,94 @@
 /// One connection's worth of a protocol that this side begins.
 pub(super) trait Exchange {
     /// What is written once the connection is up.
-    fn opening(&self) -> Vec<u8>;
+    fn initial_bytes(&self) -> Vec<u8>;
     /// Takes in all of `input`.
-    fn read(&mut self, input: &[u8], effects: &mut Vec<Effect>) -> Result<Flow, WireError>;
+    fn read(&mut self, input: &[u8], tasks: &mut Vec<Task>) -> Result<Flow, WireError>;
     /// The connection has ended before `Flow::Done`.
-    fn ended(self: Box<Self>, end: End) -> Option<Effect>;
+    fn on_ended(self: Box<Self>, end: ExchangeEnd) -> Option<Task>;
 }
 
 impl Daemon {
     /// Begins an exchange; none if there is no connection to be had, and `ended` is not called then.
-    pub(super) fn exchange(
+    pub(super) fn start_exchange(
         &mut self,
         now: Micros,
         to: SocketAddr,
         exchange: Box<dyn Exchange>,
         timeout_us: Option<Micros>,
     ) -> Option<Key> {
-        let key = self.connect_to(now, to, Kind::Exchange(exchange)).ok()?;
-        if let Some(us) = timeout_us {
-            self.later(now + us, move |daemon, now| {
-                daemon.end(now, key, End::TimedOut);
+        let key = self
+            .connect_to(now, to, ConnectionKind::Exchange(exchange))
+            .ok()?;
+        if let Some(timeout_us) = timeout_us {
+            self.schedule(now + timeout_us, move |daemon, now| {
+                daemon.end_exchange(now, key, ExchangeEnd::TimedOut);
             });
         }
         Some(key)
     }
 
     /// Reschedules: cancels what was due, and has this done at a time, if at all.
-    pub(super) fn instead(
+    pub(super) fn reschedule(
         &mut self,
         old: Option<Due>,
         at: Option<Micros>,
-        what: impl FnOnce(&mut Daemon, Micros) + 'static,
+        task: impl FnOnce(&mut Daemon, Micros) + 'static,
     ) -> Option<Due> {
         if let Some(old) = old {
             self.deadlines.cancel(old);
         }
-        at.map(|at| self.later(at, what))
+        at.map(|at| self.schedule(at, task))
     }
 
     /// Does something later.
-    pub(super) fn later(
+    pub(super) fn schedule(
         &mut self,
         at: Micros,
-        what: impl FnOnce(&mut Daemon, Micros) + 'static,
+        task: impl FnOnce(&mut Daemon, Micros) + 'static,
     ) -> Due {
-        self.deadlines.set(at, Timer::Task(Box::new(what)))
+        self.deadlines.set(at, Timer::Run(Box::new(task)))
     }
 
     pub(super) fn read_exchange(&mut self, now: Micros, key: Key) {
-        let mut effects = Vec::new();
-        let mut result = Ok(Flow::More);
-        let Some(c) = self.connections.get_mut(key) else {
+        let mut tasks = Vec::new();
+        let mut result = Ok(Flow::NeedsInput);
+        let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let Kind::Exchange(exchange) = &mut c.kind else {
+        let ConnectionKind::Exchange(exchange) = &mut connection.kind else {
             return;
         };
-        while !c.conn.input.is_empty() && result == Ok(Flow::More) {
-            let front = c.conn.input.front();
-            let taken = front.len();
-            result = exchange.read(front, &mut effects);
-            c.conn.input.consume(taken);
+        while !connection.conn.input.is_empty() && result == Ok(Flow::NeedsInput) {
+            let front = connection.conn.input.front();
+            let consumed = front.len();
+            result = exchange.read(front, &mut tasks);
+            connection.conn.input.consume(consumed);
         }
         if result == Ok(Flow::Done) {
             self.connections.remove(key);
         }
-        effects.into_iter().for_each(|effect| effect(self, now));
+        tasks.into_iter().for_each(|task| task(self, now));
         if let Err(e) = result {
-            self.end(now, key, End::Unreadable(e));
+            self.end_exchange(now, key, ExchangeEnd::Unreadable(e));
         }
     }
 
     /// Ends an exchange's connection, if it is still there.
-    pub(super) fn end(&mut self, now: Micros, key: Key, end: End) {
-        if !matches!(self.connections.get(key), Some(c) if matches!(c.kind, Kind::Exchange(_))) {
+    pub(super) fn end_exchange(&mut self, now: Micros, key: Key, end: ExchangeEnd) {
+        if !matches!(self.connections.get(key), Some(connection) if matches!(connection.kind, ConnectionKind::Exchange(_)))
+        {
             return;
         }
-        let Some(Kind::Exchange(exchange)) = self.connections.remove(key).map(|c| c.kind) else {
+        let Some(ConnectionKind::Exchange(exchange)) = self
+            .connections
+            .remove(key)
+            .map(|connection| connection.kind)
+        else {
             return;
         };
-        if let Some(effect) = exchange.ended(end) {
-            effect(self, now);
+        if let Some(task) = exchange.on_ended(end) {
+            task(self, now);
         }
     }
 }
--- a/daemon/src/daemon/membership.rs
+++ b/daemon/src/daemon/membership.rs
@@ -9,7 +9,7 @@
 };
 
 /// The shortest time to the next tick.
-const MIN_TICK_US: Micros = 1;
+const MIN_TICK_INTERVAL_US: Micros = 1;
 
 /// Returns the name of a member's state; `unknown` where nothing was received of it.
 pub(super) fn state_name(state: Option<MemberState>) -> &'static str {
@@ -99,7 +99,7 @@
         let process = membership.process();
         let is_replaced = membership.is_replaced();
         let has_new_names = names(membership) != names_before;
-        self.follow_process(process);
+        self.raise_ledger_incarnation(process);
         if is_replaced && !was_replaced {
             log::error!(
                 "another process of this name has begun after this one: nothing more is committed here"
@@ -114,9 +114,9 @@
 
     /// Raises the ledger's incarnation to that of membership, which grows where a peer knows of a process before this
     /// one that has a later number.
-    fn follow_process(&mut self, process: u64) {
-        let behind = |ledger: &&mut crate::ledger::Ledger| ledger.incarnation() < process;
-        if let Some(ledger) = self.ledger.as_mut().filter(behind) {
+    fn raise_ledger_incarnation(&mut self, process: u64) {
+        let is_behind = |ledger: &&mut crate::ledger::Ledger| ledger.incarnation() < process;
+        if let Some(ledger) = self.ledger.as_mut().filter(is_behind) {
             log::warn!("a process of this name that a peer knows began by a later clock: this one is numbered behind it");
             ledger.raise_incarnation(process);
         }
@@ -163,13 +163,13 @@
         let Some(membership) = &self.membership else {
             return;
         };
-        let due = membership.due().max(now + MIN_TICK_US);
+        let due = membership.due().max(now + MIN_TICK_INTERVAL_US);
         let scheduled = self.membership_due;
         if scheduled.is_some_and(|planned| planned.at > now && planned.at <= due) {
             return;
         }
         let old = self.membership_due.take();
-        self.membership_due = self.instead(old, Some(due), Daemon::tick_membership);
+        self.membership_due = self.reschedule(old, Some(due), Daemon::tick_membership);
     }
 
     fn tick_membership(&mut self, now: Micros) {
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -55,8 +55,8 @@
 pub use signals::Control;
 pub use startup::StartError;
 
-use connection_table::{ConnectError, Connection, Kind};
-use discovery::LoggedLines;
+use connection_table::{ConnectError, Connection, ConnectionKind};
+use discovery::LoggedNotices;
 use event_loop::Timer;
 use peer_index::PeerIndex;
 use signals::Signal;
@@ -73,7 +73,7 @@
     client_listener: Option<Listener>,
     accept_retry_scheduled: bool,
     /// Attempts whose connection can't be begun from here for now.
-    deferred_attempts: reconnect::WaitingAttempts,
+    deferred_attempts: reconnect::DeferredAttempts,
     sigterm: Signal,
     sighup: Signal,
     /// The configuration that is in force, and where a new one is read from.
@@ -89,7 +89,7 @@
     /// What of the bus's lists is believed.
     list_validator: ListValidator,
     endpoint_table_due: Option<Due>,
-    logged_notices: LoggedLines,
+    logged_notices: LoggedNotices,
     consul: Option<consul::State>,
     snapshot_writer: Option<consul::SnapshotWriter>,
     peers: Option<(UdpSocket, Vec<SocketAddr>)>,
@@ -150,8 +150,8 @@
     /// What does to it from another thread what signals do.
     pub fn control(&self) -> io::Result<Control> {
         Ok(Control {
-            sigterm: self.sigterm.raised.try_clone()?,
-            sighup: self.sighup.raised.try_clone()?,
+            sigterm: self.sigterm.writer.try_clone()?,
+            sighup: self.sighup.writer.try_clone()?,
         })
     }
 }
--- a/daemon/src/daemon/operator_state.rs
+++ b/daemon/src/daemon/operator_state.rs
@@ -22,9 +22,9 @@
     backoff: Backoff,
     failed: FailedAttempts,
     /// The stored state can't be read yet.
-    is_unread: bool,
+    load_pending: bool,
     /// The files may differ from the state in force.
-    is_stale: bool,
+    write_pending: bool,
     due: Option<Due>,
 }
 
@@ -48,12 +48,12 @@
         let mut files = OperatorFiles {
             backoff: Backoff::new(MIN_RETRY_US, MAX_RETRY_US, seed),
             failed: FailedAttempts::default(),
-            is_unread: false,
-            is_stale: false,
+            load_pending: false,
+            write_pending: false,
             due: None,
         };
         let state = load(folder).unwrap_or_else(|e| {
-            files.is_unread = !is_lasting(&e);
+            files.load_pending = !is_lasting(&e);
             log::error!(
                 "what the operators decided before can't be read in {}: {e}",
                 folder.display()
@@ -67,8 +67,8 @@
     }
 
     /// Whether the stored state can't be read yet. No call may change it until then.
-    pub(super) fn is_unread(&self) -> bool {
-        self.is_unread
+    pub(super) fn is_load_pending(&self) -> bool {
+        self.load_pending
     }
 }
 
@@ -92,7 +92,7 @@
     /// both have it. The event loop does this itself, before a call succeeds, and not the disk worker, whose queue may
     /// be full: a call that succeeded outlives the process. Calls that change something are few.
     pub(super) fn save_operator_state(&mut self) -> bool {
-        if self.operator_files.is_unread {
+        if self.operator_files.load_pending {
             // The stored state must not be overwritten by one that does not include it.
             return false;
         }
@@ -103,7 +103,7 @@
         );
         let [first, _] = store::copies(&self.operator_state_folder);
         self.operator_files.failed.take(&first, &written);
-        self.operator_files.is_stale = written.is_err();
+        self.operator_files.write_pending = written.is_err();
         if written.is_err() {
             return false;
         }
@@ -132,11 +132,11 @@
     pub(super) fn schedule_operator_state(&mut self, now: Micros) {
         let files = &mut self.operator_files;
         let is_scheduled = files.due.is_some_and(|planned| planned.at > now);
-        if is_scheduled || !(files.is_unread || files.is_stale) {
+        if is_scheduled || !(files.load_pending || files.write_pending) {
             return;
         }
         let at = now + files.backoff.next_delay();
-        let due = self.later(at, |daemon, now| {
+        let due = self.schedule(at, |daemon, now| {
             daemon.operator_files.due = None;
             daemon.retry_operator_state(now);
         });
@@ -144,11 +144,11 @@
     }
 
     fn retry_operator_state(&mut self, now: Micros) {
-        if self.operator_files.is_unread {
+        if self.operator_files.load_pending {
             if let Ok(state) = load(&self.operator_state_folder) {
                 self.apply_stored_state(now, state);
             }
-        } else if self.operator_files.is_stale {
+        } else if self.operator_files.write_pending {
             self.save_operator_state();
         }
         self.schedule_operator_state(now);
@@ -157,7 +157,7 @@
     /// Puts the stored state in force, as it can be read now, and then what this proxy's log says since.
     fn apply_stored_state(&mut self, now: Micros, state: OperatorState) {
         log::info!(attempts = self.operator_files.backoff.failures(); "what the operators decided before is read");
-        self.operator_files.is_unread = false;
+        self.operator_files.load_pending = false;
         self.operator_files.backoff.reset();
         let is_drained = state.out_of_service;
         let bans: Vec<String> = state.bans.iter().cloned().collect();
@@ -167,6 +167,6 @@
             self.start_drain(now);
         }
         self.restore_decisions(now);
-        self.settle(now);
+        self.execute_commands(now);
     }
 }
--- a/daemon/src/daemon/plain_purges.rs
+++ b/daemon/src/daemon/plain_purges.rs
@@ -34,7 +34,7 @@
             return;
         };
         if let Some(pending) = &mut self.pending_store {
-            return pending.learn(purge.clone());
+            return pending.buffer_purge(purge.clone());
         }
         if let Err(e) = ledger.learn_purge(purge.object.as_deref(), purge.group, purge.at) {
             log::error!("a peer's purge is in force but not stored for the next start: {e}");
@@ -70,7 +70,7 @@
     fn schedule_plain_purges(&mut self) {
         let due = self.plain_purges.due();
         let old = self.plain_purges_due.take();
-        self.plain_purges_due = self.instead(old, due, |daemon, now| {
+        self.plain_purges_due = self.reschedule(old, due, |daemon, now| {
             daemon.plain_purges_due = None;
             daemon.tick_plain_purges(now);
         });
--- a/daemon/src/daemon/reconnect.rs
+++ b/daemon/src/daemon/reconnect.rs
@@ -11,7 +11,7 @@
 
 /// The attempts that wait.
 #[derive(Default)]
-pub(super) struct WaitingAttempts {
+pub(super) struct DeferredAttempts {
     attempts: Vec<AttemptId>,
     /// Whether they are due to be looked at.
     is_due: bool,
@@ -21,18 +21,21 @@
 
 impl Daemon {
     /// Has an attempt wait until a connection can be begun.
-    pub(super) fn send_later(&mut self, now: Micros, attempt: AttemptId) {
+    pub(super) fn defer_attempt(&mut self, now: Micros, attempt: AttemptId) {
         if let Some(dispatch) = self.core.dispatch(attempt) {
             self.deferred_attempts.failed.insert(dispatch.target.server);
             self.deferred_attempts.attempts.push(attempt);
         }
         if !std::mem::replace(&mut self.deferred_attempts.is_due, true) {
-            self.later(now + self.limits.accept_again_us, Daemon::send_again);
+            self.schedule(
+                now + self.limits.accept_again_us,
+                Daemon::retry_deferred_attempts,
+            );
         }
     }
 
     /// Sends the attempts that wait and may still begin.
-    fn send_again(&mut self, now: Micros) {
+    fn retry_deferred_attempts(&mut self, now: Micros) {
         self.deferred_attempts.is_due = false;
         self.deferred_attempts.failed.clear();
         for attempt in std::mem::take(&mut self.deferred_attempts.attempts) {
@@ -45,9 +48,9 @@
                     .attempt_finished(now, attempt, Outcome::Moot.into());
             } else if self.deferred_attempts.failed.contains(&server) {
                 // One failure a round is enough to know of: the others wait for the next.
-                self.send_later(now, attempt);
+                self.defer_attempt(now, attempt);
             } else {
-                self.send(now, attempt);
+                self.send_attempt(now, attempt);
             }
         }
     }
--- a/daemon/src/daemon/recovery.rs
+++ b/daemon/src/daemon/recovery.rs
@@ -9,7 +9,7 @@
 use linnetknot_replication::{Datagram, Outgoing, Recovery, RecoveryTimes};
 
 /// The shortest time to the next tick, so that the event loop always gets to its sockets.
-const MIN_TICK_US: Micros = 1_000;
+const MIN_TICK_INTERVAL_US: Micros = 1_000;
 
 /// The wait for a snapshot. It is extended while chunks or entries are received, up to a bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,10 +53,10 @@
 impl Daemon {
     /// Begins to recover what this proxy committed before, if it began without a disk. One with its disk requests its
     /// peers' digests as well, so that it soon knows whether it is behind what they have compacted.
-    pub(super) fn begin_recovery(&mut self, now: Micros) {
+    pub(super) fn start_recovery(&mut self, now: Micros) {
         let copies = &self.config.copies;
         let Some(ledger) = self.ledger.as_ref().filter(|_| copies.on) else {
-            return self.begin_without_peers(now);
+            return self.start_without_peers(now);
         };
         if !ledger.is_fresh() {
             return self.request_digests((0..copies.machines.len()).collect());
@@ -78,7 +78,7 @@
 
     /// Without peers nobody knows the purges of a store that is not open: every cached copy from before now is taken as
     /// purged.
-    fn begin_without_peers(&mut self, now: Micros) {
+    fn start_without_peers(&mut self, now: Micros) {
         if self.lacks_store() {
             log::warn!(
                 "no peer knows what the store has: every copy from before now is taken as purged"
@@ -101,7 +101,7 @@
         if !is_fresh {
             self.pending_commits.recovery = None;
         }
-        self.begin_recovery(now);
+        self.start_recovery(now);
     }
 
     fn request_digests(&self, peers: Vec<usize>) {
@@ -127,14 +127,15 @@
         self.request_digests(step.request_from);
         match due {
             Some(due) => {
-                let due = due.max(now + MIN_TICK_US);
+                let due = due.max(now + MIN_TICK_INTERVAL_US);
                 let old = self.pending_commits.recovery_due.take();
-                self.pending_commits.recovery_due = self.instead(old, Some(due), |daemon, now| {
-                    daemon.pending_commits.recovery_due = None;
-                    daemon.tick_recovery(now);
-                });
+                self.pending_commits.recovery_due =
+                    self.reschedule(old, Some(due), |daemon, now| {
+                        daemon.pending_commits.recovery_due = None;
+                        daemon.tick_recovery(now);
+                    });
             }
-            None => self.notify(now),
+            None => self.announce_readiness(now),
         }
     }
 
@@ -159,7 +160,7 @@
                 .as_ref()
                 .map_or(0, |ledger| ledger.replica().log_store().len());
             log::info!(entries = entries; "what this proxy committed is recovered");
-            self.notify(now);
+            self.announce_readiness(now);
         }
     }
 
@@ -177,7 +178,7 @@
 
     /// Checks whether the replica is behind its peers' snapshots. The proxy is not ready until it has them, or the wait
     /// is over.
-    pub(super) fn watch_snapshot(&mut self, now: Micros) {
+    pub(super) fn check_snapshot_wait(&mut self, now: Micros) {
         let is_behind = self
             .ledger
             .as_ref()
@@ -191,7 +192,7 @@
                 log::warn!(
                     "behind what peers have compacted: not ready until their snapshot is received"
                 );
-                self.notify(now);
+                self.announce_readiness(now);
             }
             Some(wait) if !is_behind => {
                 let took_ms = now.saturating_sub(wait.since) / 1_000;
@@ -201,12 +202,12 @@
                     .as_ref()
                     .map_or(0, |ledger| ledger.table().len());
                 log::info!(took_ms = took_ms, compacted = compacted; "the peers' snapshot is received");
-                self.notify(now);
+                self.announce_readiness(now);
             }
             Some(wait) => {
                 let ends = wait.time_out(now);
                 if ends {
-                    self.give_up_snapshot(now);
+                    self.end_snapshot_wait(now);
                 }
             }
             None => {}
@@ -215,13 +216,13 @@
 
     /// Gives up waiting for the snapshot. Which cached copies its purges concern can't be known, so all are taken as
     /// purged.
-    fn give_up_snapshot(&mut self, now: Micros) {
+    fn end_snapshot_wait(&mut self, now: Micros) {
         let at = self.core.purge_all_date(now);
         self.core.purges_mut().raise_all(at);
         log::error!(
             "the peers' snapshot was not received in time: every copy from before now is taken as purged"
         );
-        self.notify(now);
+        self.announce_readiness(now);
     }
 
     /// Puts the stored purges in force: those held one by one, and the table of older ones.
--- a/daemon/src/daemon/registration.rs
+++ b/daemon/src/daemon/registration.rs
@@ -22,70 +22,82 @@
     /// Registers a new connection. False: it can't ever be watched.
     pub(super) fn register(&mut self, now: Micros, key: Key) -> bool {
         let done = self.try_register(key);
-        self.register_later(now, key, done)
+        self.schedule_registration_retry(now, key, done)
     }
 
     /// Has a connection watched for what it waits for by now.
-    pub(super) fn watch(&mut self, now: Micros, key: Key) {
-        let Some(c) = self.connections.get_mut(key) else {
+    pub(super) fn update_interest(&mut self, now: Micros, key: Key) {
+        let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        if c.conn.watch().is_none() || c.registration == Registration::Missing {
+        if connection.conn.watch().is_none() || connection.registration == Registration::Missing {
             return;
         }
-        c.registration = Registration::Outdated;
+        connection.registration = Registration::Outdated;
         let done = self.try_register(key);
-        if !self.register_later(now, key, done) {
+        if !self.schedule_registration_retry(now, key, done) {
             // Whoever asks may be in the midst of it: it ends in this turn of the loop, unless it works by then.
-            self.deadlines.set(now, Timer::Register(key));
+            self.deadlines.set(now, Timer::RetryRegistration(key));
         }
     }
 
     fn try_register(&mut self, key: Key) -> Result<(), Failure> {
-        let Some(c) = self.connections.get_mut(key) else {
+        let Some(connection) = self.connections.get_mut(key) else {
             return Ok(());
         };
-        let (socket, token, interest) = (c.conn.socket(), key.to_u64(), c.conn.watched());
-        match c.registration {
+        let (socket, token, interest) = (
+            connection.conn.socket(),
+            key.to_u64(),
+            connection.conn.watched(),
+        );
+        match connection.registration {
             Registration::Current => return Ok(()),
             Registration::Outdated => self.poll.change(socket, token, interest)?,
             Registration::Missing => self.poll.add(socket, token, interest)?,
         }
-        c.registration = Registration::Current;
+        connection.registration = Registration::Current;
         Ok(())
     }
 
     /// Tries a registration that failed again in a moment. False: it failed for good.
-    fn register_later(&mut self, now: Micros, key: Key, done: Result<(), Failure>) -> bool {
+    fn schedule_registration_retry(
+        &mut self,
+        now: Micros,
+        key: Key,
+        done: Result<(), Failure>,
+    ) -> bool {
         let Err(failure) = done else { return true };
         if failure.kind == FailureKind::ProgramFault {
             log::debug!("a connection can't be watched: {failure}");
             return false;
         }
-        let Some(c) = self.connections.get_mut(key) else {
+        let Some(connection) = self.connections.get_mut(key) else {
             return true;
         };
-        if !std::mem::replace(&mut c.registration_retry_scheduled, true) {
+        if !std::mem::replace(&mut connection.registration_retry_scheduled, true) {
             let at = now + self.limits.accept_again_us;
-            self.deadlines.set(at, Timer::Register(key));
+            self.deadlines.set(at, Timer::RetryRegistration(key));
         }
         true
     }
 
     /// Tries again to register a connection; while that fails, it is polled here.
-    pub(super) fn register_again(&mut self, now: Micros, key: Key) {
-        let Some(c) = self.connections.get_mut(key) else {
+    pub(super) fn retry_registration(&mut self, now: Micros, key: Key) {
+        let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        c.registration_retry_scheduled = false;
+        connection.registration_retry_scheduled = false;
         let done = self.try_register(key);
         let is_watched = done.is_ok();
-        if !self.register_later(now, key, done) {
+        if !self.schedule_registration_retry(now, key, done) {
             return self.close(now, key);
         }
-        let is_up = self.connections.get(key).is_some_and(|c| c.conn.up);
+        let is_up = self
+            .connections
+            .get(key)
+            .is_some_and(|connection| connection.conn.up);
         if is_up && !is_watched {
-            self.serve(now, key, Ready::unwatched(key.to_u64()));
+            self.handle_ready(now, key, Ready::unwatched(key.to_u64()));
         }
     }
 }
--- a/daemon/src/daemon/reload.rs
+++ b/daemon/src/daemon/reload.rs
@@ -8,7 +8,7 @@
     /// Reads the configuration again. Nothing that is open is dropped for it, and a faulty file changes
     /// nothing: a daemon that ended over it would take all its clients with it.
     pub(super) fn reload(&mut self, now: Micros) {
-        self.sighup.clear();
+        self.sighup.drain();
         let mut new = match (self.config_source)() {
             Ok(new) => new,
             Err(e) => return log::error!("SIGHUP: the configuration stays as it was: {e}"),
@@ -31,7 +31,7 @@
         log::info!("SIGHUP: the configuration is read again{bus_note}");
         self.index_peers();
         if bus_moved {
-            self.move_bus(now);
+            self.reconnect_moved_bus(now);
         }
         if !self.reload_consul(now, new.consul.take()) {
             log::warn!("SIGHUP: 'consul' has changed, which takes effect with the next start only");
@@ -40,7 +40,7 @@
 
     /// Puts the settings and the limits that follow from them in force, where they have changed.
     fn reload_settings(&mut self, new: &Config) {
-        if self.config.settings != new.settings && self.retune(&new.settings) {
+        if self.config.settings != new.settings && self.apply_settings(&new.settings) {
             self.limits.follow(&new.limits);
             self.config.limits.follow(&new.limits);
         }
@@ -59,11 +59,11 @@
 
     /// Follows a changed list of peers.
     fn reload_peers(&mut self, new: &Config) {
-        let (Some((_, known)), Some(new)) = (&mut self.peers, &new.peers) else {
+        let (Some((_, peers)), Some(new)) = (&mut self.peers, &new.peers) else {
             return;
         };
         let peers = &new.all;
-        known.clone_from(peers);
+        peers.clone_from(peers);
         if let Some(health) = &mut self.origin_health {
             health.retain_peers(|peer| peers.contains(peer));
         }
@@ -86,13 +86,13 @@
         }
         self.update_machines();
         if !self.pending_commits.has_recovered() {
-            self.begin_recovery(now);
+            self.start_recovery(now);
         }
     }
 
     /// Puts new settings in force where a running router can follow them: its classes and its attempts. The rest
     /// of `settings` was built into the router's tables at the start. False: they can't be used.
-    fn retune(&mut self, new: &Settings) -> bool {
+    fn apply_settings(&mut self, new: &Settings) -> bool {
         let mut next = self.config.settings.clone();
         next.classes.clone_from(&new.classes);
         next.max_attempts = new.max_attempts;
--- a/daemon/src/daemon/replication.rs
+++ b/daemon/src/daemon/replication.rs
@@ -6,15 +6,15 @@
 use std::net::SocketAddr;
 
 /// The shortest time to the next tick, so that the event loop always gets to its sockets.
-const MIN_TICK_US: Micros = 1_000;
+const MIN_TICK_INTERVAL_US: Micros = 1_000;
 
 impl Daemon {
     /// Processes completions of the store's worker, and the result of opening the store.
     pub(super) fn receive_store_completions(&mut self, now: Micros) {
-        if let Some(word) = &mut self.store_signal {
-            word.clear();
+        if let Some(signal) = &mut self.store_signal {
+            signal.drain();
         }
-        self.take_opened_store(now);
+        self.finish_store_opening(now);
         let outgoing = self
             .ledger
             .as_mut()
@@ -36,7 +36,7 @@
         let outgoing = ledger.tick(now);
         self.log_replication();
         self.send_datagrams(outgoing);
-        self.watch_snapshot(now);
+        self.check_snapshot_wait(now);
         self.resolve_commits(now);
         self.schedule_replication(now);
     }
@@ -53,7 +53,7 @@
         if self.config.copies.on && (under_replicated == 0) != (before == 0) {
             log::info!(under_replicated = under_replicated; "entries with fewer replicas than configured");
         }
-        let before = std::mem::replace(&mut pending.without_snapshot, without_snapshot);
+        let before = std::mem::replace(&mut pending.peers_without_snapshot, without_snapshot);
         if without_snapshot > before {
             log::warn!(peers = without_snapshot; "peers of an earlier version are behind what was compacted here, and know no snapshots");
         }
@@ -62,13 +62,13 @@
     /// Schedules the next tick, unless one is scheduled early enough.
     pub(super) fn schedule_replication(&mut self, now: Micros) {
         let Some(ledger) = &self.ledger else { return };
-        let due = ledger.due().max(now + MIN_TICK_US);
+        let due = ledger.due().max(now + MIN_TICK_INTERVAL_US);
         let scheduled = self.pending_commits.replication_due;
         if scheduled.is_some_and(|planned| planned.at > now && planned.at <= due) {
             return;
         }
         let old = self.pending_commits.replication_due.take();
-        self.pending_commits.replication_due = self.instead(old, Some(due), |daemon, now| {
+        self.pending_commits.replication_due = self.reschedule(old, Some(due), |daemon, now| {
             daemon.pending_commits.replication_due = None;
             daemon.tick_replication(now);
         });
--- a/daemon/src/daemon/shutdown.rs
+++ b/daemon/src/daemon/shutdown.rs
@@ -9,8 +9,8 @@
 
 impl Daemon {
     /// SIGTERM has come: the grace begins, and what is open is answered.
-    pub(super) fn term(&mut self, now: Micros) {
-        self.sigterm.clear();
+    pub(super) fn handle_sigterm(&mut self, now: Micros) {
+        self.sigterm.drain();
         if !self.is_stopping() {
             self.sigterm_at = Some(now);
             self.core
@@ -19,14 +19,14 @@
             if self.listener_inherited {
                 // The next process accepts on the same socket: whatever this one took now it would have to answer
                 // on its way out, and each kept connection ends after its next answer instead of being cut.
-                self.drop_listener();
+                self.close_client_listener();
                 for key in self.connections.keys() {
                     self.close_when_answered(key);
-                    self.end_if_over(now, key);
+                    self.half_close_if_finished(now, key);
                 }
             }
             self.deadlines
-                .set(now + self.limits.term_grace_us, Timer::Term);
+                .set(now + self.limits.term_grace_us, Timer::ShutdownGrace);
             self.deregister_from_consul(now);
             self.leave_membership(now);
         }
@@ -34,7 +34,7 @@
 
     /// Accepts no more. The next process may hold the same socket: were it still watched here, each connection
     /// that comes would wake this one in vain.
-    pub(super) fn drop_listener(&mut self) {
+    pub(super) fn close_client_listener(&mut self) {
         if let Some(listener) = self.client_listener.take() {
             if let Err(e) = listener.close(&self.poll) {
                 log::debug!("the listener was not watched: {e}");
@@ -48,19 +48,19 @@
     }
 
     /// Whether the shutdown is complete: all is answered, and no connection holds the process back.
-    pub(super) fn is_done(&self) -> bool {
+    pub(super) fn is_shutdown_complete(&self) -> bool {
         let now = self.clock.now();
         self.shutdown_grace_over
             && self.is_deregistered_from_consul()
             && self.core.is_idle()
             && self.total_unsent_bytes == 0
             && {
-                let holds = |key: &Key| {
+                let delays_exit = |key: &Key| {
                     self.connections
                         .get(*key)
-                        .is_some_and(|c| self.delays_exit(now, c))
+                        .is_some_and(|connection| self.delays_exit(now, connection))
                 };
-                !self.connections.keys().iter().any(holds)
+                !self.connections.keys().iter().any(delays_exit)
             }
     }
 
@@ -110,30 +110,30 @@
     }
 
     fn log_origin_health(&self) {
-        if let Some(t) = self.origin_health.as_ref().map(OriginHealth::counters) {
+        if let Some(counters) = self.origin_health.as_ref().map(OriginHealth::counters) {
             log::info!(
-                sent = t.sent,
-                suppressed = t.suppressed,
-                received = t.received,
-                old = t.stale,
-                torn = t.malformed,
-                version = t.unknown_version,
-                too_long = t.too_long;
+                sent = counters.sent,
+                suppressed = counters.suppressed,
+                received = counters.received,
+                old = counters.stale,
+                torn = counters.malformed,
+                version = counters.unknown_version,
+                too_long = counters.too_long;
                 "reports of a late origin to and from peers"
             );
         }
     }
 }
 
-fn log_replication(t: Counters) {
+fn log_replication(counters: Counters) {
     log::info!(
-        sent = t.sent,
-        learned = t.learned,
-        known = t.known,
-        out_of_order = t.out_of_order,
-        rejected = t.rejected,
-        committed = t.committed,
-        commits_rejected = t.commits_rejected;
+        sent = counters.sent,
+        learned = counters.learned,
+        known = counters.known,
+        out_of_order = counters.out_of_order,
+        rejected = counters.rejected,
+        committed = counters.committed,
+        commits_rejected = counters.commits_rejected;
         "entries of logs copied to and from peers, and promises of them"
     );
 }
--- a/daemon/src/daemon/signals.rs
+++ b/daemon/src/daemon/signals.rs
@@ -30,35 +30,35 @@
 /// A pipe and not a pair of Unix sockets: some platforms that run the daemon allow sockets of TCP and UDP alone.
 pub(super) struct Signal {
     /// The end that the event loop reads.
-    pub(super) heard: OwnedFd,
+    pub(super) reader: OwnedFd,
     /// The end that is written to.
-    pub(super) raised: OwnedFd,
+    pub(super) writer: OwnedFd,
 }
 
 impl Signal {
     pub(super) fn new() -> io::Result<Self> {
-        let (heard, raised) = pipe_with(PipeFlags::NONBLOCK | PipeFlags::CLOEXEC)?;
-        Ok(Signal { heard, raised })
+        let (reader, writer) = pipe_with(PipeFlags::NONBLOCK | PipeFlags::CLOEXEC)?;
+        Ok(Signal { reader, writer })
     }
 
     pub(super) fn register(signal: i32) -> io::Result<Self> {
         let new = Self::new()?;
-        signal_hook::low_level::pipe::register(signal, new.raised.try_clone()?)?;
+        signal_hook::low_level::pipe::register(signal, new.writer.try_clone()?)?;
         Ok(new)
     }
 
     /// What raises it from another thread.
-    pub(super) fn raiser(&self) -> io::Result<impl Fn() + Send + 'static> {
-        let raised = self.raised.try_clone()?;
+    pub(super) fn waker(&self) -> io::Result<impl Fn() + Send + 'static> {
+        let writer = self.writer.try_clone()?;
         Ok(move || {
             // A full pipe is raised already.
-            let _ = rustix::io::write(&raised, b"w");
+            let _ = rustix::io::write(&writer, b"w");
         })
     }
 
     /// Takes in what was raised: signals that come close together count as one.
-    pub(super) fn clear(&mut self) {
+    pub(super) fn drain(&mut self) {
         let mut bytes = [0; 16];
-        while rustix::io::read(&self.heard, &mut bytes).is_ok_and(|n| n > 0) {}
+        while rustix::io::read(&self.reader, &mut bytes).is_ok_and(|n| n > 0) {}
     }
 }
--- a/daemon/src/daemon/sources/bus.rs
+++ b/daemon/src/daemon/sources/bus.rs
@@ -2,7 +2,7 @@
 
 use crate::bus::{request, BusEvent, Feed, News};
 use crate::daemon::discovery::BUS;
-use crate::daemon::exchange::{Effect, End, Exchange, Flow};
+use crate::daemon::exchange::{Exchange, ExchangeEnd, Flow, Task};
 use crate::daemon::Daemon;
 use crate::limits::Limits;
 use crate::net::{Due, Key};
@@ -26,9 +26,9 @@
     key: Option<Key>,
     timer: Option<Due>,
     /// The number of the last event.
-    pub(in crate::daemon) last: u64,
+    pub(in crate::daemon) last_offset: u64,
     /// When something last came.
-    read_at: Micros,
+    last_read_at: Micros,
     /// When caches started. One date always has the same local time: a cache whose start changes has started again.
     starts: BTreeMap<ServerId, Start>,
     /// How long to wait before the next connection. The longest wait is short against the time that its events may take.
@@ -42,8 +42,8 @@
         State {
             key: None,
             timer: None,
-            last: 0,
-            read_at: 0,
+            last_offset: 0,
+            last_read_at: 0,
             starts: BTreeMap::new(),
             backoff,
         }
@@ -51,37 +51,37 @@
 }
 
 /// One connection to the bus.
-struct Call {
+struct BusExchange {
     host: String,
-    last: u64,
+    last_offset: u64,
     feed: Feed,
 }
 
-impl Exchange for Call {
-    fn opening(&self) -> Vec<u8> {
-        request(&self.host, self.last)
+impl Exchange for BusExchange {
+    fn initial_bytes(&self) -> Vec<u8> {
+        request(&self.host, self.last_offset)
     }
 
-    fn read(&mut self, input: &[u8], effects: &mut Vec<Effect>) -> Result<Flow, WireError> {
-        let events = self.feed.read(input, &mut self.last)?;
-        let last = self.last;
-        effects.push(Box::new(move |daemon, now| {
-            (daemon.bus.last, daemon.bus.read_at) = (last, now);
+    fn read(&mut self, input: &[u8], tasks: &mut Vec<Task>) -> Result<Flow, WireError> {
+        let events = self.feed.read(input, &mut self.last_offset)?;
+        let last_offset = self.last_offset;
+        tasks.push(Box::new(move |daemon, now| {
+            (daemon.bus.last_offset, daemon.bus.last_read_at) = (last_offset, now);
             daemon.bus.backoff.reset();
             events
                 .into_iter()
                 .for_each(|event| daemon.receive_bus_event(now, event));
         }));
-        Ok(Flow::More)
+        Ok(Flow::NeedsInput)
     }
 
-    fn ended(self: Box<Self>, end: End) -> Option<Effect> {
-        if let End::Unreadable(e) = end {
+    fn on_ended(self: Box<Self>, end: ExchangeEnd) -> Option<Task> {
+        if let ExchangeEnd::Unreadable(e) = end {
             log::warn!("the event bus's connection is ended: {e}");
         }
         Some(Box::new(|daemon, now| {
             daemon.bus.key = None;
-            daemon.reconnect_bus_later(now);
+            daemon.schedule_bus_reconnect(now);
         }))
     }
 }
@@ -124,7 +124,7 @@
 
     /// Translates the start of a cache, which is dated by the platform's clock, to the local clock, which may be off. No
     /// cache has started later than its event came.
-    fn date_start(&mut self, now: Micros, entry: &mut Entry) {
+    fn localize_start_time(&mut self, now: Micros, entry: &mut Entry) {
         let id = entry.server.id;
         if entry.server.state == ServerState::Gone {
             self.bus.starts.remove(&id);
@@ -147,12 +147,12 @@
     fn receive_bus_event(&mut self, now: Micros, mut event: BusEvent) {
         if let Some(News::List(answer)) = &mut event.news {
             for entry in &mut answer.entries {
-                self.date_start(now, entry);
+                self.localize_start_time(now, entry);
             }
         }
         if let Some(News::Purge { object, group, at }) = &event.news {
             self.core.observe_origin_date(now, *at);
-            self.pass_on(now, object.as_deref(), *group);
+            self.forward_purge(now, object.as_deref(), *group);
         }
         self.apply_bus_event(now, event);
     }
@@ -161,27 +161,27 @@
     pub(in crate::daemon) fn connect_bus(&mut self, now: Micros) {
         let Some(bus) = self.config.bus else { return };
         let feed = Feed::new(&self.limits);
-        let call = Call {
+        let exchange = BusExchange {
             host: bus.to_string(),
-            last: self.bus.last,
+            last_offset: self.bus.last_offset,
             feed,
         };
-        self.bus.key = self.exchange(now, bus, Box::new(call), None);
-        self.bus.read_at = now;
+        self.bus.key = self.start_exchange(now, bus, Box::new(exchange), None);
+        self.bus.last_read_at = now;
         match self.bus.key {
-            Some(_) => self.check_bus_at(now + self.limits.bus_silence_us),
-            None => self.reconnect_bus_later(now),
+            Some(_) => self.schedule_bus_check(now + self.limits.bus_silence_us),
+            None => self.schedule_bus_reconnect(now),
         }
     }
 
     /// Connects again after the backoff.
-    fn reconnect_bus_later(&mut self, now: Micros) {
-        let wait = self.bus.backoff.next_delay();
-        self.check_bus_at(now + wait);
+    fn schedule_bus_reconnect(&mut self, now: Micros) {
+        let delay = self.bus.backoff.next_delay();
+        self.schedule_bus_check(now + delay);
     }
 
     /// The bus is at another address: connects there at once.
-    pub(in crate::daemon) fn move_bus(&mut self, now: Micros) {
+    pub(in crate::daemon) fn reconnect_moved_bus(&mut self, now: Micros) {
         if let Some(old) = self.bus.key.take() {
             self.connections.remove(old);
         }
@@ -190,8 +190,8 @@
     }
 
     /// Checks the connection at this time, and no more at the time before.
-    fn check_bus_at(&mut self, at: Micros) {
-        let due = self.later(at, Daemon::check_bus);
+    fn schedule_bus_check(&mut self, at: Micros) {
+        let due = self.schedule(at, Daemon::check_bus);
         if let Some(due) = self.bus.timer.replace(due) {
             self.deadlines.cancel(due);
         }
@@ -202,12 +202,12 @@
     fn check_bus(&mut self, now: Micros) {
         match self.bus.key {
             None => self.connect_bus(now),
-            Some(key) if self.bus.read_at + self.limits.bus_silence_us <= now => {
+            Some(key) if self.bus.last_read_at + self.limits.bus_silence_us <= now => {
                 log::warn!("the event bus is silent and called again");
                 self.connections.remove(key);
                 self.connect_bus(now);
             }
-            Some(_) => self.check_bus_at(self.bus.read_at + self.limits.bus_silence_us),
+            Some(_) => self.schedule_bus_check(self.bus.last_read_at + self.limits.bus_silence_us),
         }
     }
 }
--- a/daemon/src/daemon/sources/consul/cached_snapshot.rs
+++ b/daemon/src/daemon/sources/consul/cached_snapshot.rs
@@ -46,7 +46,7 @@
     /// When it is written next, if it is to be.
     timer: Option<Due>,
     /// When the list was last confirmed.
-    good_at: Micros,
+    confirmed_at: Micros,
     written_at: Micros,
     /// The list as it was last written, without its time.
     written: Vec<Entry>,
@@ -58,7 +58,7 @@
             path,
             scope,
             timer: None,
-            good_at: 0,
+            confirmed_at: 0,
             written_at: 0,
             written: Vec::new(),
         }
@@ -103,7 +103,7 @@
             }
         };
         let disk = Disk::start("linnetknot-disk").map_err(error)?;
-        let snapshot = |(number, scope)| {
+        let snapshot = |(index, scope)| {
             let path = folder.join(format!("boxes-{number}.list"));
             remove_leftovers(&path);
             Snapshot::new(path, scope)
@@ -125,8 +125,8 @@
 impl Daemon {
     /// Takes up the snapshots of an earlier run, if they can be trusted.
     pub(in crate::daemon) fn load_snapshots(&mut self, now: Micros) {
-        for number in 0..self.snapshot_count() {
-            self.load_snapshot(now, number);
+        for index in 0..self.snapshot_count() {
+            self.load_snapshot(now, index);
         }
     }
 
@@ -135,14 +135,14 @@
         writer.map_or(0, |writer| writer.snapshots.len())
     }
 
-    fn snapshot_mut(&mut self, number: usize) -> Option<&mut Snapshot> {
-        self.snapshot_writer.as_mut()?.snapshots.get_mut(number)
+    fn snapshot_mut(&mut self, index: usize) -> Option<&mut Snapshot> {
+        self.snapshot_writer.as_mut()?.snapshots.get_mut(index)
     }
 
-    fn load_snapshot(&mut self, now: Micros, number: usize) {
+    fn load_snapshot(&mut self, now: Micros, index: usize) {
         let max_bytes = self.limits.list;
         let max_age_us = self.config.state.most_age_us;
-        let Some(snapshot) = self.snapshot_mut(number) else {
+        let Some(snapshot) = self.snapshot_mut(index) else {
             return;
         };
         let path = snapshot.path.display();
@@ -155,8 +155,8 @@
             Ok(cached) => {
                 let age_s = now.saturating_sub(cached.at) / 1_000_000;
                 log::info!(caches = cached.entries.len(), age_s = age_s; "the cached list holds until an agent speaks");
-                if let Some(evidence) = self.seed_watch(number, &cached.entries) {
-                    self.receive_evidence(now, SourceId(CONSUL.0 + number), evidence);
+                if let Some(evidence) = self.restore_watch(index, &cached.entries) {
+                    self.receive_evidence(now, SourceId(CONSUL.0 + index), evidence);
                 }
             }
         }
@@ -164,17 +164,17 @@
 
     /// The list of a data centre is confirmed as it stands now: its snapshot is written soon if it has changed, else before
     /// its time grows old.
-    pub(in crate::daemon) fn schedule_snapshot(&mut self, now: Micros, number: usize) {
+    pub(in crate::daemon) fn schedule_snapshot(&mut self, now: Micros, index: usize) {
         let soon_us = self.limits.keep_soon_us;
         let seldom_us = self.limits.keep_seldom_us;
         let writer = self.snapshot_writer.as_mut();
-        let Some(snapshot) = writer.and_then(|writer| writer.snapshots.get_mut(number)) else {
+        let Some(snapshot) = writer.and_then(|writer| writer.snapshots.get_mut(index)) else {
             return;
         };
-        snapshot.good_at = now;
+        snapshot.confirmed_at = now;
         let is_unchanged = self
             .endpoint_table
-            .reported_by(SourceId(CONSUL.0 + number))
+            .reported_by(SourceId(CONSUL.0 + index))
             .eq(snapshot.written.iter());
         let at = if is_unchanged {
             (snapshot.written_at + seldom_us).max(now)
@@ -185,47 +185,47 @@
             if let Some(old) = snapshot.timer.take() {
                 self.deadlines.cancel(old);
             }
-            self.write_snapshot_at(at, number);
+            self.write_snapshot_at(at, index);
         }
     }
 
-    fn write_snapshot_at(&mut self, at: Micros, number: usize) {
-        let timer = self.later(at, move |daemon, now| daemon.write_snapshot(now, number));
-        if let Some(snapshot) = self.snapshot_mut(number) {
+    fn write_snapshot_at(&mut self, at: Micros, index: usize) {
+        let timer = self.schedule(at, move |daemon, now| daemon.write_snapshot(now, index));
+        if let Some(snapshot) = self.snapshot_mut(index) {
             snapshot.timer = Some(timer);
         }
     }
 
-    fn write_snapshot(&mut self, now: Micros, number: usize) {
+    fn write_snapshot(&mut self, now: Micros, index: usize) {
         let Some(writer) = &mut self.snapshot_writer else {
             return;
         };
         writer.make_missing_folder();
-        let Some(snapshot) = writer.snapshots.get_mut(number) else {
+        let Some(snapshot) = writer.snapshots.get_mut(index) else {
             return;
         };
         snapshot.timer = None;
-        let source = SourceId(CONSUL.0 + number);
+        let source = SourceId(CONSUL.0 + index);
         let entries: Vec<Entry> = self.endpoint_table.reported_by(source).cloned().collect();
         let job = Job {
             path: snapshot.path.clone(),
-            bytes: cached_snapshot::encode(&snapshot.scope, snapshot.good_at, entries.iter()),
+            bytes: cached_snapshot::encode(&snapshot.scope, snapshot.confirmed_at, entries.iter()),
         };
         if writer.disk.give(job) {
             snapshot.written = entries;
             snapshot.written_at = now;
         } else {
             // The disk has not yet taken the one before. What is written then is the list of then.
-            self.write_snapshot_at(now + self.limits.keep_soon_us, number);
+            self.write_snapshot_at(now + self.limits.keep_soon_us, index);
         }
     }
 
     /// At the end of the process: writes what has changed since it was last written, without waiting for more changes.
     pub(in crate::daemon) fn write_pending_snapshots(&mut self, now: Micros) {
-        for number in 0..self.snapshot_count() {
-            let snapshot = self.snapshot_mut(number);
+        for index in 0..self.snapshot_count() {
+            let snapshot = self.snapshot_mut(index);
             if snapshot.is_some_and(|snapshot| snapshot.timer.is_some()) {
-                self.write_snapshot(now, number);
+                self.write_snapshot(now, index);
             }
         }
     }
--- a/daemon/src/daemon/sources/consul/call.rs
+++ b/daemon/src/daemon/sources/consul/call.rs
@@ -1,6 +1,6 @@
 //! One call to an agent: a request, and its whole response.
 
-use crate::daemon::exchange::{Effect, End, Exchange, Flow};
+use crate::daemon::exchange::{Exchange, ExchangeEnd, Flow, Task};
 use crate::daemon::Daemon;
 use crate::wire::http::{Head, Messages, Piece};
 use crate::wire::{Parser, WireError};
@@ -10,9 +10,9 @@
 /// What came of a call: head and body of the response, or why there is none.
 pub(super) type Outcome = Result<(Head, Vec<u8>), TransportError>;
 /// Takes a part of a body, with the number of the watch.
-type Parts = fn(&mut Daemon, usize, &[u8]);
+type BodyHandler = fn(&mut Daemon, usize, &[u8]);
 /// Takes the outcome of a call.
-type Then = Box<dyn FnOnce(&mut Daemon, Micros, Outcome)>;
+type CompletionHandler = Box<dyn FnOnce(&mut Daemon, Micros, Outcome)>;
 
 /// One call.
 pub(super) struct Call {
@@ -21,9 +21,9 @@
     head: Option<Head>,
     body: Vec<u8>,
     /// Who takes the parts of a body with status 200 as they come.
-    parts: Option<Parts>,
-    number: usize,
-    then: Option<Then>,
+    on_body: Option<BodyHandler>,
+    watch_index: usize,
+    done: Option<CompletionHandler>,
 }
 
 impl Call {
@@ -32,54 +32,60 @@
         request: Vec<u8>,
         max_line: usize,
         max_body: usize,
-        then: impl FnOnce(&mut Daemon, Micros, Outcome) + 'static,
+        done: impl FnOnce(&mut Daemon, Micros, Outcome) + 'static,
     ) -> Box<Self> {
         let messages = Messages::responses(max_line, max_body);
-        let then: Option<Then> = Some(Box::new(then));
+        let done: Option<CompletionHandler> = Some(Box::new(done));
         Box::new(Call {
             request,
             messages,
             head: None,
             body: Vec::new(),
-            parts: None,
-            number: 0,
-            then,
+            on_body: None,
+            watch_index: 0,
+            done,
         })
     }
 
     /// Hands the parts of a body with status 200 on as they come, with the number given here.
-    pub(super) fn in_parts(mut self: Box<Self>, number: usize, parts: Parts) -> Box<Self> {
-        (self.number, self.parts) = (number, Some(parts));
+    pub(super) fn with_body_handler(
+        mut self: Box<Self>,
+        watch_index: usize,
+        on_body: BodyHandler,
+    ) -> Box<Self> {
+        (self.watch_index, self.on_body) = (watch_index, Some(on_body));
         self
     }
 }
 
 impl Exchange for Call {
-    fn opening(&self) -> Vec<u8> {
+    fn initial_bytes(&self) -> Vec<u8> {
         self.request.clone()
     }
 
-    fn read(&mut self, mut input: &[u8], effects: &mut Vec<Effect>) -> Result<Flow, WireError> {
+    fn read(&mut self, mut input: &[u8], tasks: &mut Vec<Task>) -> Result<Flow, WireError> {
         loop {
-            let (taken, piece) = self.messages.parse(input)?;
-            input = &input[taken..];
+            let (consumed, piece) = self.messages.parse(input)?;
+            input = &input[consumed..];
             match piece {
-                None => return Ok(Flow::More),
+                None => return Ok(Flow::NeedsInput),
                 Some(Piece::Head(head)) => self.head = Some(head),
                 Some(Piece::Body(bytes)) => {
-                    match (self.parts, self.head.as_ref().and_then(Head::status)) {
-                        (Some(parts), Some(200)) => {
-                            let number = self.number;
-                            effects.push(Box::new(move |daemon, _| parts(daemon, number, &bytes)));
+                    match (self.on_body, self.head.as_ref().and_then(Head::status)) {
+                        (Some(on_body), Some(200)) => {
+                            let watch_index = self.watch_index;
+                            tasks.push(Box::new(move |daemon, _| {
+                                on_body(daemon, watch_index, &bytes)
+                            }));
                         }
                         _ => self.body.extend(bytes),
                     }
                 }
                 Some(Piece::End) => {
                     let body = std::mem::take(&mut self.body);
-                    if let Some((head, then)) = self.head.take().zip(self.then.take()) {
-                        effects.push(Box::new(move |daemon, now| {
-                            then(daemon, now, Ok((head, body)));
+                    if let Some((head, done)) = self.head.take().zip(self.done.take()) {
+                        tasks.push(Box::new(move |daemon, now| {
+                            done(daemon, now, Ok((head, body)));
                         }));
                     }
                     return Ok(Flow::Done);
@@ -88,22 +94,22 @@
         }
     }
 
-    fn ended(mut self: Box<Self>, end: End) -> Option<Effect> {
-        let then = self.then.take()?;
+    fn on_ended(mut self: Box<Self>, end: ExchangeEnd) -> Option<Task> {
+        let done = self.done.take()?;
         let failure = match end {
             // A body without a length goes on to the connection's end.
-            End::Closed if self.head.is_some() && self.messages.may_end() => {
+            ExchangeEnd::Closed if self.head.is_some() && self.messages.may_end() => {
                 let (head, body) = (self.head.take()?, self.body);
                 return Some(Box::new(move |daemon, now| {
-                    then(daemon, now, Ok((head, body)));
+                    done(daemon, now, Ok((head, body)));
                 }));
             }
-            End::Unreachable => TransportError::Unreachable,
-            End::Closed => TransportError::Truncated,
-            End::TimedOut => TransportError::TimedOut,
-            End::Unreadable(WireError::TooLong(_)) => TransportError::TooLong,
-            End::Unreadable(WireError::Malformed(_)) => TransportError::Malformed,
+            ExchangeEnd::Unreachable => TransportError::Unreachable,
+            ExchangeEnd::Closed => TransportError::Truncated,
+            ExchangeEnd::TimedOut => TransportError::TimedOut,
+            ExchangeEnd::Unreadable(WireError::TooLong(_)) => TransportError::TooLong,
+            ExchangeEnd::Unreadable(WireError::Malformed(_)) => TransportError::Malformed,
         };
-        Some(Box::new(move |daemon, now| then(daemon, now, Err(failure))))
+        Some(Box::new(move |daemon, now| done(daemon, now, Err(failure))))
     }
 }
--- a/daemon/src/daemon/sources/consul/mod.rs
+++ b/daemon/src/daemon/sources/consul/mod.rs
@@ -22,7 +22,7 @@
 use std::path::PathBuf;
 
 /// The watch of one data centre.
-struct Watched {
+struct WatchState {
     watch: Watch,
     /// The call that is out.
     key: Option<Key>,
@@ -30,7 +30,7 @@
 }
 
 /// The proxy's own registration.
-struct Registered {
+struct RegistrationState {
     registration: Registration,
     timer: Option<Due>,
 }
@@ -38,8 +38,8 @@
 /// What the daemon knows of Consul.
 pub(in crate::daemon) struct State {
     agents: Vec<SocketAddr>,
-    watches: Vec<Watched>,
-    registered: Option<Registered>,
+    watches: Vec<WatchState>,
+    registration_state: Option<RegistrationState>,
     token: Option<Token>,
     max_answer: usize,
 }
@@ -73,18 +73,20 @@
         seed: u64,
         listen: SocketAddr,
     ) -> Result<Self, TokenError> {
-        let watch = |(n, options)| {
-            let watch = Watch::new(options, consul.mapping.clone(), seed ^ (n as u64 + 1));
-            Watched {
+        let watch = |(index, options)| {
+            let watch = Watch::new(options, consul.mapping.clone(), seed ^ (index as u64 + 1));
+            WatchState {
                 watch,
                 key: None,
                 timer: None,
             }
         };
-        let registered = consul.registrant(listen).map(|r| Registered {
-            registration: Registration::new(r, seed),
-            timer: None,
-        });
+        let registration_state = consul
+            .registrant(listen)
+            .map(|registrant| RegistrationState {
+                registration: Registration::new(registrant, seed),
+                timer: None,
+            });
         Ok(State {
             agents: consul.agents.clone(),
             watches: consul
@@ -94,7 +96,7 @@
                 .enumerate()
                 .map(watch)
                 .collect(),
-            registered,
+            registration_state,
             token: token(consul)?,
             max_answer: consul.most_answer,
         })
@@ -105,57 +107,59 @@
     /// Begins whatever of Consul is due, and sees to it that the rest is begun in time.
     pub(in crate::daemon) fn drive_consul(&mut self, now: Micros) {
         let watches = self.consul.as_ref().map_or(0, |c| c.watches.len());
-        (0..watches).for_each(|n| self.drive_watch(now, n));
+        (0..watches).for_each(|index| self.drive_watch(now, index));
         self.drive_registration(now);
     }
 
-    fn drive_watch(&mut self, now: Micros, n: usize) {
+    fn drive_watch(&mut self, now: Micros, index: usize) {
         let Some(state) = &mut self.consul else {
             return;
         };
-        let Some(w) = state.watches.get_mut(n) else {
+        let Some(watch_state) = state.watches.get_mut(index) else {
             return;
         };
-        if let Some(timer) = w.timer.take() {
+        if let Some(timer) = watch_state.timer.take() {
             self.deadlines.cancel(timer);
         }
-        let Some(call) = w.watch.poll(now) else {
-            if let Some(at) = w.watch.due() {
-                let timer = self.later(at, move |daemon, now| daemon.drive_watch(now, n));
-                if let Some(w) = self.consul.as_mut().and_then(|c| c.watches.get_mut(n)) {
-                    w.timer = Some(timer);
+        let Some(call) = watch_state.watch.poll(now) else {
+            if let Some(at) = watch_state.watch.due() {
+                let timer = self.schedule(at, move |daemon, now| daemon.drive_watch(now, index));
+                if let Some(watch_state) =
+                    self.consul.as_mut().and_then(|c| c.watches.get_mut(index))
+                {
+                    watch_state.timer = Some(timer);
                 }
             }
             return;
         };
         let to = state.agents[call.agent.min(state.agents.len() - 1)];
         let request = call.to_bytes(&to.to_string(), state.token.as_ref());
-        let then = move |daemon: &mut Daemon, now, outcome: Outcome| {
-            daemon.watch_finished(now, n, outcome);
+        let done = move |daemon: &mut Daemon, now, outcome: Outcome| {
+            daemon.watch_finished(now, index, outcome);
         };
-        let exchange = Call::new(request, self.limits.line, state.max_answer, then);
-        let exchange = exchange.in_parts(n, Daemon::watch_reads);
-        let key = self.exchange(now, to, exchange, Some(call.timeout_us));
-        if let Some(w) = self.consul.as_mut().and_then(|c| c.watches.get_mut(n)) {
-            w.key = key;
+        let exchange = Call::new(request, self.limits.line, state.max_answer, done);
+        let exchange = exchange.with_body_handler(index, Daemon::receive_watch_body);
+        let key = self.start_exchange(now, to, exchange, Some(call.timeout_us));
+        if let Some(watch_state) = self.consul.as_mut().and_then(|c| c.watches.get_mut(index)) {
+            watch_state.key = key;
         }
         if key.is_none() {
-            self.watch_finished(now, n, Err(TransportError::Unreachable));
+            self.watch_finished(now, index, Err(TransportError::Unreachable));
         }
     }
 
     /// A part of an answer: read as it comes, so that a long one takes the loop's time in small steps.
-    fn watch_reads(&mut self, n: usize, bytes: &[u8]) {
-        if let Some(w) = self.consul.as_mut().and_then(|c| c.watches.get_mut(n)) {
-            w.watch.on_body(bytes);
+    fn receive_watch_body(&mut self, index: usize, bytes: &[u8]) {
+        if let Some(watch_state) = self.consul.as_mut().and_then(|c| c.watches.get_mut(index)) {
+            watch_state.watch.on_body(bytes);
         }
     }
 
-    fn watch_finished(&mut self, now: Micros, n: usize, outcome: Outcome) {
-        let Some(w) = self.consul.as_mut().and_then(|c| c.watches.get_mut(n)) else {
+    fn watch_finished(&mut self, now: Micros, index: usize, outcome: Outcome) {
+        let Some(watch_state) = self.consul.as_mut().and_then(|c| c.watches.get_mut(index)) else {
             return;
         };
-        w.key = None;
+        watch_state.key = None;
         let WatchUpdate {
             evidence,
             events,
@@ -167,11 +171,11 @@
                     headers: &head.headers,
                     body,
                 };
-                w.watch.on_response(now, &response)
+                watch_state.watch.on_response(now, &response)
             }
-            Err(failure) => w.watch.on_failure(now, *failure),
+            Err(failure) => watch_state.watch.on_failure(now, *failure),
         };
-        let source = SourceId(CONSUL.0 + n);
+        let source = SourceId(CONSUL.0 + index);
         let mut denied = false;
         for event in events {
             denied |= matches!(event, WatchEvent::PermissionDenied { .. });
@@ -192,9 +196,9 @@
             self.receive_evidence(now, source, evidence);
         }
         if confirmed {
-            self.schedule_snapshot(now, n);
+            self.schedule_snapshot(now, index);
         }
-        self.drive_watch(now, n);
+        self.drive_watch(now, index);
         // Whether this proxy can serve may have changed with the list.
         self.drive_registration(now);
     }
@@ -214,43 +218,54 @@
         let Some(state) = &mut self.consul else {
             return;
         };
-        let Some(r) = &mut state.registered else {
+        let Some(registration_state) = &mut state.registration_state else {
             return;
         };
-        let Some(call) = r.registration.poll(now, ready) else {
-            let due = r.registration.due(now, ready);
-            if due != r.timer.map(|timer| timer.at) {
-                if let Some(timer) = r.timer.take() {
+        let Some(call) = registration_state.registration.poll(now, ready) else {
+            let due = registration_state.registration.due(now, ready);
+            if due != registration_state.timer.map(|timer| timer.at) {
+                if let Some(timer) = registration_state.timer.take() {
                     self.deadlines.cancel(timer);
                 }
                 let timer = due.map(|at| {
-                    self.later(at, |daemon, now| {
-                        if let Some(r) = daemon.consul.as_mut().and_then(|c| c.registered.as_mut())
+                    self.schedule(at, |daemon, now| {
+                        if let Some(registration_state) = daemon
+                            .consul
+                            .as_mut()
+                            .and_then(|c| c.registration_state.as_mut())
                         {
-                            r.timer = None;
+                            registration_state.timer = None;
                         }
                         daemon.drive_registration(now);
                     })
                 });
-                if let Some(r) = self.consul.as_mut().and_then(|c| c.registered.as_mut()) {
-                    r.timer = timer;
+                if let Some(registration_state) = self
+                    .consul
+                    .as_mut()
+                    .and_then(|c| c.registration_state.as_mut())
+                {
+                    registration_state.timer = timer;
                 }
             }
             return;
         };
         let to = state.agents[call.agent.min(state.agents.len() - 1)];
         let request = call.to_bytes(&to.to_string(), state.token.as_ref());
-        let then =
+        let done =
             |daemon: &mut Daemon, now, outcome: Outcome| daemon.registration_finished(now, outcome);
-        let exchange = Call::new(request, self.limits.line, self.limits.line, then);
-        let key = self.exchange(now, to, exchange, Some(call.timeout_us));
+        let exchange = Call::new(request, self.limits.line, self.limits.line, done);
+        let key = self.start_exchange(now, to, exchange, Some(call.timeout_us));
         if key.is_none() {
             self.registration_finished(now, Err(TransportError::Unreachable));
         }
     }
 
     fn registration_finished(&mut self, now: Micros, outcome: Outcome) {
-        let Some(r) = self.consul.as_mut().and_then(|c| c.registered.as_mut()) else {
+        let Some(registration_state) = self
+            .consul
+            .as_mut()
+            .and_then(|c| c.registration_state.as_mut())
+        else {
             return;
         };
         let step = match &outcome {
@@ -260,9 +275,9 @@
                     headers: &head.headers,
                     body,
                 };
-                r.registration.on_response(now, &response)
+                registration_state.registration.on_response(now, &response)
             }
-            Err(failure) => r.registration.on_failure(now, *failure),
+            Err(failure) => registration_state.registration.on_failure(now, *failure),
         };
         match step {
             Some(RegistrationEvent::Registered) => log::info!("registered in Consul"),
@@ -277,12 +292,12 @@
     }
 
     /// A cached snapshot counts as the last answer of a watch, so that an empty first answer can't wipe it out.
-    pub(super) fn seed_watch(&mut self, n: usize, entries: &[Entry]) -> Option<Evidence> {
+    pub(super) fn restore_watch(&mut self, index: usize, entries: &[Entry]) -> Option<Evidence> {
         Some(
             self.consul
                 .as_mut()?
                 .watches
-                .get_mut(n)?
+                .get_mut(index)?
                 .watch
                 .restore(entries),
         )
@@ -290,16 +305,24 @@
 
     /// Ends the proxy's registration, as the process is about to end: clients are to go elsewhere.
     pub(in crate::daemon) fn deregister_from_consul(&mut self, now: Micros) {
-        if let Some(r) = self.consul.as_mut().and_then(|c| c.registered.as_mut()) {
-            r.registration.deregister(now);
+        if let Some(registration_state) = self
+            .consul
+            .as_mut()
+            .and_then(|c| c.registration_state.as_mut())
+        {
+            registration_state.registration.deregister(now);
         }
         self.drive_registration(now);
     }
 
     /// Whether Consul needs nothing more of a proxy that ends.
     pub(in crate::daemon) fn is_deregistered_from_consul(&self) -> bool {
-        let registered = self.consul.as_ref().and_then(|c| c.registered.as_ref());
-        registered.is_none_or(|r| r.registration.is_finished())
+        let registration_state = self
+            .consul
+            .as_ref()
+            .and_then(|c| c.registration_state.as_ref());
+        registration_state
+            .is_none_or(|registration_state| registration_state.registration.is_finished())
     }
 
     /// Takes another configuration of Consul. The list stays until an answer changes it. False: it needs a new start.
@@ -325,9 +348,11 @@
             return false;
         };
         let mut keys = Vec::new();
-        for (w, options) in state.watches.iter_mut().zip(&new.options) {
-            keys.extend(w.key.take());
-            w.watch.reconfigure(options.clone(), new.mapping.clone());
+        for (watch_state, options) in state.watches.iter_mut().zip(&new.options) {
+            keys.extend(watch_state.key.take());
+            watch_state
+                .watch
+                .reconfigure(options.clone(), new.mapping.clone());
         }
         (state.agents, state.token, state.max_answer) =
             (new.agents.clone(), token, new.most_answer);
--- a/daemon/src/daemon/sources/peers.rs
+++ b/daemon/src/daemon/sources/peers.rs
@@ -34,12 +34,12 @@
                 continue;
             };
             let bytes = &bytes[..length];
-            let is_taken = |p| {
+            let is_handled = |p| {
                 self.receive_membership(now, p, bytes)
                     || self.receive_budgets(now, p, bytes)
                     || self.receive_replication(now, p, bytes)
             };
-            if peer.index.is_some_and(is_taken) {
+            if peer.index.is_some_and(is_handled) {
                 continue;
             }
             if self
@@ -58,11 +58,11 @@
 
     /// Hands the core what other proxies found of the origin, as far as enough of them agree.
     fn apply_origin_health(&mut self, now: Micros) {
-        let found = self
+        let shared = self
             .origin_health
             .as_ref()
             .and_then(|h| h.origin_share(now));
-        if let Some(OriginShare { share, until }) = found {
+        if let Some(OriginShare { share, until }) = shared {
             self.core.receive_origin_health(now, share, until);
         }
     }
@@ -121,7 +121,7 @@
         if is_chunk || !received.new.is_empty() {
             self.extend_recovery(now);
         }
-        self.watch_snapshot(now);
+        self.check_snapshot_wait(now);
         if is_synced {
             self.receive_equal_logs(now, peer);
         }
@@ -191,11 +191,11 @@
 
     /// The peers besides this proxy itself.
     pub(in crate::daemon) fn other_peers(&self) -> Vec<SocketAddr> {
-        let Some((socket, known)) = &self.peers else {
+        let Some((socket, peers)) = &self.peers else {
             return Vec::new();
         };
         let own = socket.local_addr().ok();
-        known
+        peers
             .iter()
             .filter(|peer| Some(**peer) != own)
             .copied()
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -8,8 +8,8 @@
 use super::bus;
 use super::commits::PendingCommits;
 use super::consul;
-use super::discovery::LoggedLines;
-use super::event_loop::STORE;
+use super::discovery::LoggedNotices;
+use super::event_loop::STORE_TOKEN;
 use super::operator_state::OperatorFiles;
 use super::peer_index::PeerIndex;
 use super::reconnect;
@@ -35,7 +35,7 @@
 struct StoreParts {
     ledger: Option<Ledger>,
     pending: Option<PendingStore>,
-    word: Option<Signal>,
+    signal: Option<Signal>,
 }
 
 impl StoreParts {
@@ -45,10 +45,10 @@
         let Some(path) = path else {
             return Ok(StoreParts::default());
         };
-        let word = Signal::new().map_err(kernel("cdni.purges"))?;
-        poll.add_at_start(&word.heard, STORE)
+        let signal = Signal::new().map_err(kernel("cdni.purges"))?;
+        poll.add_at_start(&signal.reader, STORE_TOKEN)
             .map_err(watching("cdni.purges"))?;
-        let wake = word.raiser().map_err(kernel("cdni.purges"))?;
+        let wake = signal.waker().map_err(kernel("cdni.purges"))?;
         let store = StoreConfig {
             path,
             writer: linnetknot_discovery::server_id(&config.name),
@@ -64,7 +64,7 @@
         Ok(StoreParts {
             ledger: Some(opened.ledger),
             pending: opened.pending,
-            word: Some(word),
+            signal: Some(signal),
         })
     }
 }
@@ -126,7 +126,7 @@
 }
 
 /// All that can fail to be set up.
-struct Parts {
+struct PreparedParts {
     clock: Clock,
     sockets: Sockets,
     trigger_api: Option<(Listener, TriggerApi)>,
@@ -136,7 +136,7 @@
     consul: ConsulParts,
 }
 
-impl Parts {
+impl PreparedParts {
     fn set_up(config: &Config) -> Result<Self, StartError> {
         let sockets = Sockets::open(config)?;
         let clock = Clock::start();
@@ -149,7 +149,7 @@
         let core = Core::new(config.settings.clone(), config.seed, &config.limits)?;
         let address = sockets.clients.address().unwrap_or(config.listen);
         let consul = ConsulParts::start(config, address)?;
-        Ok(Parts {
+        Ok(PreparedParts {
             clock,
             sockets,
             trigger_api,
@@ -167,7 +167,7 @@
     /// # Errors
     /// The configuration can't be followed on this machine.
     pub fn start(mut config: Config, source: Source) -> Result<Self, StartError> {
-        let parts = Parts::set_up(&config)?;
+        let parts = PreparedParts::set_up(&config)?;
         let known = std::mem::take(&mut config.known);
         let mut daemon = Daemon::assemble(config, source, parts);
         daemon.index_peers();
@@ -177,7 +177,7 @@
             .events
             .into_iter()
             .for_each(|event| daemon.apply_bus_event(now, event));
-        daemon.bus.last = known.offset;
+        daemon.bus.last_offset = known.offset;
         daemon.update_machines();
         daemon.join_membership(now);
         daemon
@@ -185,14 +185,14 @@
             .map_err(|e| StartError::Budgets(e.into()))?;
         daemon.restore_decisions(now);
         daemon.restore_triggers(now);
-        daemon.begin_recovery(now);
-        daemon.begin_reopening(now);
+        daemon.start_recovery(now);
+        daemon.schedule_store_opening(now);
         daemon.schedule_operator_state(now);
         daemon.tick_replication(now);
         daemon.load_snapshots(now);
         daemon.connect_bus(now);
         daemon.drive_consul(now);
-        daemon.settle(now);
+        daemon.execute_commands(now);
         daemon.log_start();
         if !daemon.operations.in_service() {
             let now = daemon.clock.now();
@@ -202,7 +202,7 @@
     }
 
     /// The daemon before anything was replayed.
-    fn assemble(config: Config, source: Source, parts: Parts) -> Self {
+    fn assemble(config: Config, source: Source, parts: PreparedParts) -> Self {
         let now = parts.clock.now();
         let stored = OperatorFiles::load(&config.ops_folder, config.seed, now);
         let origin_health = config
@@ -214,7 +214,7 @@
             poll: parts.sockets.poll,
             client_listener: Some(parts.sockets.clients),
             accept_retry_scheduled: false,
-            deferred_attempts: reconnect::WaitingAttempts::default(),
+            deferred_attempts: reconnect::DeferredAttempts::default(),
             sigterm: parts.sockets.sigterm,
             sighup: parts.sockets.sighup,
             connections: Slots::new(config.limits.connections),
@@ -229,7 +229,7 @@
             ),
             list_validator: ListValidator::default(),
             endpoint_table_due: None,
-            logged_notices: LoggedLines::default(),
+            logged_notices: LoggedNotices::default(),
             consul: parts.consul.state,
             snapshot_writer: parts.consul.snapshots,
             peers: parts.peers,
@@ -245,7 +245,7 @@
             membership: None,
             shared_budgets: None,
             membership_due: None,
-            store_signal: parts.store.word,
+            store_signal: parts.store.signal,
             pending_deliveries: 0,
             announced_ready: false,
             total_unsent_bytes: 0,
--- a/daemon/src/daemon/startup/sockets.rs
+++ b/daemon/src/daemon/startup/sockets.rs
@@ -1,6 +1,9 @@
 //! The sockets that the daemon is reached by, bound and watched at the start.
 
-use super::super::event_loop::{ADMIN, CDNI, LISTENER, PEERS, RELOAD, SIGNAL};
+use super::super::event_loop::{
+    ADMIN_LISTENER_TOKEN, CDNI_LISTENER_TOKEN, CLIENT_LISTENER_TOKEN, PEERS_TOKEN, SIGHUP_TOKEN,
+    SIGTERM_TOKEN,
+};
 use super::super::signals::Signal;
 use super::error::{kernel, watching};
 use super::StartError;
@@ -65,15 +68,19 @@
         let sighup = Signal::register(signal_hook::consts::SIGHUP).map_err(kernel("SIGHUP"))?;
         // As many as there can be: what is known at all is known before anything is done about a part of it.
         let poll = Poll::new(config.limits.descriptors).map_err(kernel("epoll"))?;
-        let clients = Listener::watch(clients, LISTENER, &poll).map_err(kernel("listen"))?;
-        poll.add_at_start(&sigterm.heard, SIGNAL)
+        let clients =
+            Listener::watch(clients, CLIENT_LISTENER_TOKEN, &poll).map_err(kernel("listen"))?;
+        poll.add_at_start(&sigterm.reader, SIGTERM_TOKEN)
             .map_err(watching("SIGTERM"))?;
-        poll.add_at_start(&sighup.heard, RELOAD)
+        poll.add_at_start(&sighup.reader, SIGHUP_TOKEN)
             .map_err(watching("SIGHUP"))?;
         let admin = match config.ops {
             Some(address) => {
                 let listener = bind("ops", address)?;
-                Some(Listener::watch(listener, ADMIN, &poll).map_err(kernel("ops"))?)
+                Some(
+                    Listener::watch(listener, ADMIN_LISTENER_TOKEN, &poll)
+                        .map_err(kernel("ops"))?,
+                )
             }
             None => None,
         };
@@ -97,7 +104,8 @@
         return Ok(None);
     };
     let listener = bind("cdni.listen", cdni.listen)?;
-    let listener = Listener::watch(listener, CDNI, poll).map_err(kernel("cdni.listen"))?;
+    let listener =
+        Listener::watch(listener, CDNI_LISTENER_TOKEN, poll).map_err(kernel("cdni.listen"))?;
     let identity = cdni.identity.clone();
     let trigger_api = TriggerApi::new(identity, config.seed, config.limits.triggers);
     Ok(Some((listener, trigger_api)))
@@ -109,8 +117,8 @@
     config: &Config,
     poll: &Poll,
 ) -> Result<Option<(UdpSocket, Vec<SocketAddr>)>, StartError> {
-    let talks = config.cdni.is_some() || config.tell;
-    let Some(peers) = config.peers.as_ref().filter(|_| talks) else {
+    let sends_datagrams = config.cdni.is_some() || config.tell;
+    let Some(peers) = config.peers.as_ref().filter(|_| sends_datagrams) else {
         return Ok(None);
     };
     let address = peers.own;
@@ -122,7 +130,7 @@
     socket
         .set_nonblocking(true)
         .map_err(kernel("peer_listen"))?;
-    poll.add_at_start(&socket, PEERS)
+    poll.add_at_start(&socket, PEERS_TOKEN)
         .map_err(watching("peer_listen"))?;
     Ok(Some((socket, peers.all.clone())))
 }
--- a/daemon/src/daemon/store_opening.rs
+++ b/daemon/src/daemon/store_opening.rs
@@ -21,7 +21,7 @@
 const MAX_RETRY_US: Micros = 2_000_000;
 
 /// The most purges of peers without logs that are kept for the store.
-const MAX_LEARNED: usize = 4_096;
+const MAX_BUFFERED_PURGES: usize = 4_096;
 
 /// What is needed to open a store.
 #[derive(Clone, Debug)]
@@ -64,7 +64,7 @@
                     backoff: Backoff::new(MIN_RETRY_US, MAX_RETRY_US, seed),
                     opening: None,
                     rejected: 0,
-                    learned: Vec::new(),
+                    buffered_purges: Vec::new(),
                 };
                 Ok(OpenedLedger {
                     ledger,
@@ -107,14 +107,14 @@
     /// How many commands were rejected for lack of the store.
     rejected: u64,
     /// Purges that peers without logs sent meanwhile, which are to be stored.
-    learned: Vec<Purge>,
+    buffered_purges: Vec<Purge>,
 }
 
 impl PendingStore {
     /// Keeps a purge of a peer without logs until the store is open.
-    pub(super) fn learn(&mut self, purge: Purge) {
-        if self.learned.len() < MAX_LEARNED {
-            self.learned.push(purge);
+    pub(super) fn buffer_purge(&mut self, purge: Purge) {
+        if self.buffered_purges.len() < MAX_BUFFERED_PURGES {
+            self.buffered_purges.push(purge);
         }
     }
 
@@ -124,8 +124,8 @@
     }
 
     /// Starts an attempt on a thread of its own, which raises the signal when it is over.
-    fn attempt(&mut self, signal: &Signal) -> std::io::Result<()> {
-        let (synced, opened) = (signal.raiser()?, signal.raiser()?);
+    fn start_attempt(&mut self, signal: &Signal) -> std::io::Result<()> {
+        let (synced, opened) = (signal.waker()?, signal.waker()?);
         let (store, started) = (self.store.clone(), self.started);
         let (sender, receiver) = bounded(1);
         let open = move || {
@@ -141,7 +141,7 @@
     }
 
     /// Records a failed attempt. Returns when the next is due.
-    fn failed(&mut self, now: Micros, reason: String) -> Micros {
+    fn record_failure(&mut self, now: Micros, reason: String) -> Micros {
         // Logged once for each reason, as a full disk stays full for long.
         if self.reason != reason {
             log::error!(attempts = self.backoff.failures() + 1; "the store still can't be opened: {reason}");
@@ -165,25 +165,25 @@
     }
 
     /// Schedules the first attempt after the start.
-    pub(super) fn begin_reopening(&mut self, now: Micros) {
+    pub(super) fn schedule_store_opening(&mut self, now: Micros) {
         if let Some(pending) = &mut self.pending_store {
             let due = now + pending.backoff.next_delay();
-            self.later(due, Daemon::reopen_store);
+            self.schedule(due, Daemon::start_store_opening);
         }
     }
 
-    fn reopen_store(&mut self, now: Micros) {
+    fn start_store_opening(&mut self, now: Micros) {
         let (Some(pending), Some(signal)) = (&mut self.pending_store, &self.store_signal) else {
             return;
         };
-        if let Err(e) = pending.attempt(signal) {
-            let due = pending.failed(now, e.to_string());
-            self.later(due, Daemon::reopen_store);
+        if let Err(e) = pending.start_attempt(signal) {
+            let due = pending.record_failure(now, e.to_string());
+            self.schedule(due, Daemon::start_store_opening);
         }
     }
 
     /// Processes the result of an attempt to open the store, if it is over.
-    pub(super) fn take_opened_store(&mut self, now: Micros) {
+    pub(super) fn finish_store_opening(&mut self, now: Micros) {
         let Some(pending) = &mut self.pending_store else {
             return;
         };
@@ -192,8 +192,8 @@
             Some(Ok(Ok(ledger))) => self.attach_store(now, ledger),
             Some(Ok(Err(e))) => {
                 pending.opening = None;
-                let due = pending.failed(now, e.to_string());
-                self.later(due, Daemon::reopen_store);
+                let due = pending.record_failure(now, e.to_string());
+                self.schedule(due, Daemon::start_store_opening);
             }
             Some(Err(_)) | None => {}
         }
@@ -222,10 +222,10 @@
         self.restore_decisions(now);
         self.restore_triggers(now);
         self.recover_with_store(now);
-        for purge in &pending.learned {
+        for purge in &pending.buffered_purges {
             self.write_plain_purge(purge);
         }
         self.tick_replication(now);
-        self.notify(now);
+        self.announce_readiness(now);
     }
 }
--- a/daemon/src/daemon/turn.rs
+++ b/daemon/src/daemon/turn.rs
@@ -16,9 +16,9 @@
 /// The same for a turn of many steps.
 const DELAYED_TURN_US: Micros = 100_000;
 /// At most so many turns in a row are cut short for a delayed step.
-const MAX_CUT_SHORT: u32 = 3;
+const MAX_CONSECUTIVE_INTERRUPTED_TURNS: u32 = 3;
 /// A delay below this is the loop's usual work, and counts as none.
-const USUAL_US: Micros = 60_000;
+const MAX_NORMAL_DELAY_US: Micros = 60_000;
 
 /// The loop's latest wait for events, and what followed from it.
 #[derive(Default)]
@@ -28,13 +28,13 @@
     /// What the latest wait reported arrived at that time or later.
     arrived_since: Micros,
     /// When the latest wait ended.
-    waited: Micros,
+    wait_ended_at: Micros,
     /// What `reported_until` becomes once all that the latest wait reported is handled.
-    reporting_until: Micros,
+    reported_until_after_turn: Micros,
     /// When the latest step of the turn ended.
-    stepped: Micros,
+    last_step_ended_at: Micros,
     /// So many turns in a row were cut short, as their events were out of date.
-    turns_cut_short: u32,
+    consecutive_interrupted_turns: u32,
 }
 
 impl Turn {
@@ -43,33 +43,33 @@
         Turn {
             reported_until: now,
             arrived_since: now,
-            waited: now,
-            reporting_until: now,
-            stepped: now,
-            turns_cut_short: 0,
+            wait_ended_at: now,
+            reported_until_after_turn: now,
+            last_step_ended_at: now,
+            consecutive_interrupted_turns: 0,
         }
     }
 
     /// A wait from `began` to `ended` that was to last for `wait` at the most.
-    pub(super) fn wait_ended(&mut self, began: Micros, wait: Micros, ended: Micros) {
+    pub(super) fn end_wait(&mut self, began: Micros, wait: Micros, ended: Micros) {
         let slept = ended.saturating_sub(began);
         let asleep = slept.min(wait);
         self.reported_until += asleep;
         self.arrived_since = self.reported_until.min(ended);
         // A process that is stopped at the end of its wait goes on with the events of before the stop, or with none: what
         // arrived meanwhile is reported by the next wait.
-        self.reporting_until = if slept <= wait + USUAL_US {
+        self.reported_until_after_turn = if slept <= wait + MAX_NORMAL_DELAY_US {
             ended
         } else {
             self.reported_until
         };
-        (self.waited, self.stepped) = (ended, ended);
+        (self.wait_ended_at, self.last_step_ended_at) = (ended, ended);
     }
 
     /// For how long what is read now may have waited to be read.
-    pub(super) fn waited_unread(&self, now: Micros) -> Micros {
+    pub(super) fn unread_delay(&self, now: Micros) -> Micros {
         let unread = now.saturating_sub(self.arrived_since);
-        if unread > USUAL_US {
+        if unread > MAX_NORMAL_DELAY_US {
             unread
         } else {
             0
@@ -78,20 +78,21 @@
 
     /// Whether the events of this turn are out of date after a step of it: then the turn is cut short, and they are polled
     /// for again, with those of clients that have gone meanwhile. Not without end, so that all events are handled in time.
-    pub(super) fn is_old(&mut self, now: Micros) -> bool {
-        let step = now.saturating_sub(std::mem::replace(&mut self.stepped, now));
-        let turn = now.saturating_sub(self.waited);
-        step > DELAYED_STEP_US && self.turns_cut_short < MAX_CUT_SHORT
-            || turn > DELAYED_TURN_US && self.turns_cut_short == 0
+    pub(super) fn is_stale(&mut self, now: Micros) -> bool {
+        let step = now.saturating_sub(std::mem::replace(&mut self.last_step_ended_at, now));
+        let turn = now.saturating_sub(self.wait_ended_at);
+        step > DELAYED_STEP_US
+            && self.consecutive_interrupted_turns < MAX_CONSECUTIVE_INTERRUPTED_TURNS
+            || turn > DELAYED_TURN_US && self.consecutive_interrupted_turns == 0
     }
 
     /// This turn is over; `cut_short`: with events left, which the next wait reports once more.
-    pub(super) fn over(&mut self, cut_short: bool) {
-        if cut_short {
-            self.turns_cut_short += 1;
+    pub(super) fn end_turn(&mut self, interrupted: bool) {
+        if interrupted {
+            self.consecutive_interrupted_turns += 1;
         } else {
-            self.turns_cut_short = 0;
-            self.reported_until = self.reporting_until;
+            self.consecutive_interrupted_turns = 0;
+            self.reported_until = self.reported_until_after_turn;
         }
     }
 }
--- a/daemon/src/daemon/turn/tests.rs
+++ b/daemon/src/daemon/turn/tests.rs
@@ -15,8 +15,8 @@
         for slept in (0..3_000 * MS).step_by(MS as usize) {
             let mut turn = Turn::start(START);
             let ended = START + slept;
-            turn.wait_ended(START, wait, ended);
-            let missed = slept - turn.waited_unread(ended);
+            turn.end_wait(START, wait, ended);
+            let missed = slept - turn.unread_delay(ended);
             assert!(
                 missed <= SLACK_US,
                 "{missed} us of {slept} us, in a wait of {wait} us"
@@ -33,10 +33,10 @@
         for slept in (0..3_000 * MS).step_by(MS as usize) {
             let mut turn = Turn::start(START);
             let ended = START + slept;
-            turn.wait_ended(START, wait, ended);
-            turn.over(false);
-            turn.wait_ended(ended, MAX_WAIT_US, ended);
-            let missed = slept - turn.waited_unread(ended);
+            turn.end_wait(START, wait, ended);
+            turn.end_turn(false);
+            turn.end_wait(ended, MAX_WAIT_US, ended);
+            let missed = slept - turn.unread_delay(ended);
             assert!(
                 missed <= SLACK_US,
                 "{missed} us of {slept} us, in a wait of {wait} us"
@@ -50,9 +50,9 @@
     let mut turn = Turn::start(START);
     let mut now = START;
     for _ in 0..100 {
-        turn.wait_ended(now, MAX_WAIT_US, now + MAX_WAIT_US);
+        turn.end_wait(now, MAX_WAIT_US, now + MAX_WAIT_US);
         now += MAX_WAIT_US;
-        assert_eq!(turn.waited_unread(now), 0);
-        turn.over(false);
+        assert_eq!(turn.unread_delay(now), 0);
+        turn.end_turn(false);
     }
 }
--- a/daemon/src/daemon/upstream_connections/mod.rs
+++ b/daemon/src/daemon/upstream_connections/mod.rs
@@ -2,7 +2,7 @@
 
 mod selection;
 
-use super::{ConnectError, Connection, Daemon, Kind, Timer};
+use super::{ConnectError, Connection, ConnectionKind, Daemon, Timer};
 use crate::core::{AttemptId, TRACE};
 use crate::net::{Conn, Failure, FailureKind, Key};
 use crate::upstream::{UpstreamConnection, UpstreamEvent};
@@ -12,13 +12,19 @@
 
 impl Daemon {
     /// Applies to the core what happened on a connection to a cache server.
-    pub(super) fn apply_events(&mut self, now: Micros, server: ServerId, told: Vec<UpstreamEvent>) {
-        for t in told {
-            match t {
+    pub(super) fn apply_upstream_events(
+        &mut self,
+        now: Micros,
+        server: ServerId,
+        events: Vec<UpstreamEvent>,
+    ) {
+        for event in events {
+            match event {
                 UpstreamEvent::AttemptStarted(attempt) => self.core.attempt_started(attempt),
                 // A cache server that answers on another connection is there: only this one did not come up.
                 UpstreamEvent::AttemptFinished(attempt, ended)
-                    if ended.outcome == Outcome::Unreached && self.is_heard_from(now, server) =>
+                    if ended.outcome == Outcome::Unreached
+                        && self.has_recent_traffic(now, server) =>
                 {
                     self.core
                         .attempt_finished(now, attempt, Outcome::Moot.into());
@@ -40,15 +46,15 @@
     }
 
     /// Whether a connection to a cache server is up on which something came from it a moment ago.
-    fn is_heard_from(&self, now: Micros, server: ServerId) -> bool {
-        let fresh = |(conn, link): (&Conn, &UpstreamConnection)| {
-            conn.up && link.last_received() + self.limits.suspect_us > now
+    fn has_recent_traffic(&self, now: Micros, server: ServerId) -> bool {
+        let is_recent = |(conn, upstream): (&Conn, &UpstreamConnection)| {
+            conn.up && upstream.last_received() + self.limits.suspect_us > now
         };
         self.cache_connections
             .get(&server)
             .into_iter()
             .flatten()
-            .any(|key| self.cache_connection(*key).is_some_and(fresh))
+            .any(|key| self.cache_connection(*key).is_some_and(is_recent))
     }
 
     /// A connection to a cache server.
@@ -56,9 +62,9 @@
         match self.connections.get_mut(key)? {
             Connection {
                 conn,
-                kind: Kind::CacheServer(link),
+                kind: ConnectionKind::CacheServer(upstream),
                 ..
-            } => Some((conn, link)),
+            } => Some((conn, upstream)),
             _ => None,
         }
     }
@@ -68,28 +74,28 @@
         match self.connections.get(key)? {
             Connection {
                 conn,
-                kind: Kind::CacheServer(link),
+                kind: ConnectionKind::CacheServer(upstream),
                 ..
-            } => Some((conn, link)),
+            } => Some((conn, upstream)),
             _ => None,
         }
     }
 
     /// Sends an attempt on a connection to its cache server.
-    pub(super) fn send(&mut self, now: Micros, attempt: AttemptId) {
+    pub(super) fn send_attempt(&mut self, now: Micros, attempt: AttemptId) {
         let Some(dispatch) = self.core.dispatch(attempt) else {
             return;
         };
         let server = dispatch.target.server;
         let selection = CacheConnections::of(self, now, server).select(&dispatch.request.id);
-        match self.selected(now, server, selection) {
-            Ok(key) => self.send_on(now, key, attempt),
-            Err(error) => self.not_sent(now, server, attempt, error),
+        match self.use_selection(now, server, selection) {
+            Ok(key) => self.send_attempt_on(now, key, attempt),
+            Err(error) => self.finish_unsent_attempt(now, server, attempt, error),
         }
     }
 
     /// The connection that was selected, begun now where that was selected.
-    fn selected(
+    fn use_selection(
         &mut self,
         now: Micros,
         server: ServerId,
@@ -114,38 +120,46 @@
     }
 
     /// Sends an attempt on this connection, at once or when it is up.
-    fn send_on(&mut self, now: Micros, key: Key, attempt: AttemptId) {
-        let Some((conn, link)) = self.cache_connection_mut(key) else {
+    fn send_attempt_on(&mut self, now: Micros, key: Key, attempt: AttemptId) {
+        let Some((conn, upstream)) = self.cache_connection_mut(key) else {
             return;
         };
-        link.enqueue(now, attempt);
+        upstream.enqueue(now, attempt);
         if !conn.up {
-            self.deadlines
-                .set(now + self.limits.connect_us, Timer::CacheConnection(key));
+            self.deadlines.set(
+                now + self.limits.connect_us,
+                Timer::CheckCacheConnection(key),
+            );
         }
-        self.pump_or_close(now, key);
+        self.flush_or_close(now, key);
     }
 
     /// An attempt has no connection. Nothing was written: it never ran.
-    fn not_sent(&mut self, now: Micros, server: ServerId, attempt: AttemptId, error: ConnectError) {
+    fn finish_unsent_attempt(
+        &mut self,
+        now: Micros,
+        server: ServerId,
+        attempt: AttemptId,
+        error: ConnectError,
+    ) {
         let outcome = match error {
             ConnectError::Refused => Outcome::ConnectFailed,
             ConnectError::NoCapacity => Outcome::Moot,
-            ConnectError::LocalResources => return self.send_later(now, attempt),
+            ConnectError::LocalResources => return self.defer_attempt(now, attempt),
             ConnectError::Unreachable => {
                 let ended = UpstreamEvent::AttemptFinished(attempt, Outcome::Unreached.into());
-                return self.apply_events(now, server, vec![ended]);
+                return self.apply_upstream_events(now, server, vec![ended]);
             }
         };
         self.core.attempt_finished(now, attempt, outcome.into());
     }
 
     /// Goes on with a connection, and closes it if it is over.
-    fn pump_or_close(&mut self, now: Micros, key: Key) {
-        if !self.pump(now, key) {
+    fn flush_or_close(&mut self, now: Micros, key: Key) {
+        if !self.flush_upstream(now, key) {
             self.close(now, key);
         }
-        self.watch(now, key);
+        self.update_interest(now, key);
     }
 
     /// Begins a connection to a cache server. The last places of the table are reserved for other connections: were they
@@ -156,9 +170,9 @@
             let idle = self.longest_idle().ok_or(ConnectError::NoCapacity)?;
             self.close(now, idle);
         }
-        let mut link = UpstreamConnection::new(server, &self.limits, now);
-        link.endpoint = Some(endpoint);
-        let key = self.connect_to(now, endpoint, Kind::CacheServer(link))?;
+        let mut upstream = UpstreamConnection::new(server, &self.limits, now);
+        upstream.endpoint = Some(endpoint);
+        let key = self.connect_to(now, endpoint, ConnectionKind::CacheServer(upstream))?;
         let connections = self.cache_connections.entry(server).or_default();
         connections.push(key);
         log::debug!(target: TRACE, cache = self.core.uid(server), number = connections.len(); "a connection is begun");
@@ -171,8 +185,8 @@
             .values()
             .flatten()
             .filter_map(|key| Some((self.cache_connection(*key)?.1, *key)))
-            .filter(|(link, _)| link.is_idle())
-            .map(|(link, key)| (link.last_used(), key))
+            .filter(|(upstream, _)| upstream.is_idle())
+            .map(|(upstream, key)| (upstream.last_used(), key))
             .min()
             .map(|(_, key)| key)
     }
@@ -180,76 +194,86 @@
     /// A connection is not up in time. The attempts that wait for one to a cache server go on elsewhere; the connection
     /// itself is left for longer, as it may come up yet: closed each time, a cache server that is slow to accept would get
     /// one after another and never be reached.
-    pub(super) fn check_connecting(&mut self, now: Micros, key: Key) {
-        let Some(c) = self.connections.get(key).filter(|c| !c.conn.up) else {
+    pub(super) fn check_connect_timeout(&mut self, now: Micros, key: Key) {
+        let Some(connection) = self
+            .connections
+            .get(key)
+            .filter(|connection| !connection.conn.up)
+        else {
             return;
         };
-        match &c.kind {
-            Kind::CacheServer(link) if link.connect_deadline(&self.limits) > now => {
-                let at = link.connect_deadline(&self.limits);
-                self.deadlines.set(at, Timer::Connect(key));
+        match &connection.kind {
+            ConnectionKind::CacheServer(upstream)
+                if upstream.connect_deadline(&self.limits) > now =>
+            {
+                let at = upstream.connect_deadline(&self.limits);
+                self.deadlines.set(at, Timer::ConnectTimeout(key));
             }
             _ => self.close(now, key),
         }
     }
 
     /// Sends what a connection takes, and applies what has ended on it. False: it is to be closed.
-    pub(super) fn pump(&mut self, now: Micros, key: Key) -> bool {
+    pub(super) fn flush_upstream(&mut self, now: Micros, key: Key) -> bool {
         let Some(Connection {
             conn,
-            kind: Kind::CacheServer(link),
+            kind: ConnectionKind::CacheServer(upstream),
             ..
         }) = self.connections.get_mut(key)
         else {
             return true;
         };
-        let (server, mut told) = (link.server, Vec::new());
-        let sound = link.flush(now, conn, &self.core, &self.limits, &mut told);
-        let forgets = link.next_forget_at(now, &self.limits);
+        let (server, mut events) = (upstream.server, Vec::new());
+        let is_open = upstream.flush(now, conn, &self.core, &self.limits, &mut events);
+        let forget_at = upstream.next_forget_at(now, &self.limits);
         let due = [
-            link.next_report_at(&self.limits),
-            link.partial_answer_deadline(&self.limits).filter(|_| sound),
-            forgets,
+            upstream.next_report_at(&self.limits),
+            upstream
+                .partial_answer_deadline(&self.limits)
+                .filter(|_| is_open),
+            forget_at,
         ];
         for at in due.into_iter().flatten() {
-            self.deadlines.set(at, Timer::CacheConnection(key));
+            self.deadlines.set(at, Timer::CheckCacheConnection(key));
         }
         if conn.is_stuck() {
-            self.deadlines
-                .set(now + self.limits.stalled_us, Timer::CacheConnection(key));
+            self.deadlines.set(
+                now + self.limits.stalled_us,
+                Timer::CheckCacheConnection(key),
+            );
         }
         // A cache server that drains or is gone gets nothing new: once all that it owed has come, its connections are of
         // no use, and where a machine has vanished nobody else would end them.
-        let moved = self
+        let has_moved = self
             .core
             .endpoint(server)
-            .is_some_and(|at| link.endpoint != Some(at));
-        let done = link.is_idle() && (moved || !self.core.is_cache_ready(server));
-        self.apply_events(now, server, told);
-        sound && !done
+            .is_some_and(|at| upstream.endpoint != Some(at));
+        let is_done = upstream.is_idle() && (has_moved || !self.core.is_cache_ready(server));
+        self.apply_upstream_events(now, server, events);
+        is_open && !is_done
     }
 
     /// Checks a connection to a cache server when that is due: forgets old ids, and sends what waits.
     pub(super) fn check_cache_connection(&mut self, now: Micros, key: Key) {
         if let Some(Connection {
-            kind: Kind::CacheServer(link),
+            kind: ConnectionKind::CacheServer(upstream),
             ..
         }) = self.connections.get_mut(key)
         {
-            link.forget_finished(now, &self.limits);
+            upstream.forget_finished(now, &self.limits);
         }
-        self.pump_or_close(now, key);
+        self.flush_or_close(now, key);
     }
 
     /// A connection to a cache server was closed, and with it all that was open on it.
-    pub(super) fn cache_connection_closed(
+    pub(super) fn upstream_closed(
         &mut self,
         now: Micros,
         key: Key,
         conn: &Conn,
-        mut link: UpstreamConnection,
+        mut upstream: UpstreamConnection,
     ) {
-        let server = link.server;
+        let server = upstream.server;
         log::debug!(target: TRACE, cache = self.core.uid(server), up = conn.up; "a connection has ended");
         if let Entry::Occupied(mut connections) = self.cache_connections.entry(server) {
             connections.get_mut().retain(|k| *k != key);
@@ -257,12 +281,12 @@
                 connections.remove();
             }
         }
-        let mut told = Vec::new();
+        let mut events = Vec::new();
         let failure = conn.connect_failure();
         if failure.is_some_and(Failure::is_local) {
             // Nothing was heard of the cache server: what waited for it goes on waiting.
-            for attempt in link.take_queued() {
-                self.send_later(now, attempt);
+            for attempt in upstream.take_queued() {
+                self.defer_attempt(now, attempt);
             }
         }
         let unsent = match failure.map(|failure| failure.kind) {
@@ -270,28 +294,28 @@
             Some(FailureKind::Refused) => Outcome::ConnectFailed,
             _ => Outcome::Unreached,
         };
-        link.connection_lost(unsent, conn.written, &mut told);
-        self.apply_events(now, server, told);
+        upstream.connection_lost(unsent, conn.written, &mut events);
+        self.apply_upstream_events(now, server, events);
     }
 
     /// Cancels an attempt at a cache server.
-    pub(super) fn give_up(&mut self, now: Micros, attempt: AttemptId, server: ServerId) {
+    pub(super) fn cancel_attempt(&mut self, now: Micros, attempt: AttemptId, server: ServerId) {
         for key in self
             .cache_connections
             .get(&server)
             .cloned()
             .unwrap_or_default()
         {
-            let Some((_, link)) = self.cache_connection_mut(key) else {
+            let Some((_, upstream)) = self.cache_connection_mut(key) else {
                 continue;
             };
-            link.abort(now, attempt);
-            self.pump_or_close(now, key);
+            upstream.abort(now, attempt);
+            self.flush_or_close(now, key);
         }
     }
 
     /// Withdraws a cache server: nothing that is open anywhere is to be filled from it any more.
-    pub(super) fn withdraw(&mut self, now: Micros, server: ServerId) {
+    pub(super) fn withdraw_server(&mut self, now: Micros, server: ServerId) {
         for key in self
             .cache_connections
             .values()
@@ -300,17 +324,17 @@
             .collect::<Vec<_>>()
         {
             let Some(Connection {
-                kind: Kind::CacheServer(link),
+                kind: ConnectionKind::CacheServer(upstream),
                 ..
             }) = self.connections.get_mut(key)
             else {
                 continue;
             };
-            let (to, mut told) = (link.server, Vec::new());
-            link.withdraw(server, &self.core, &mut told);
-            let over = to == server && link.is_idle();
-            self.apply_events(now, to, told);
-            if over {
+            let (to, mut events) = (upstream.server, Vec::new());
+            upstream.withdraw(server, &self.core, &mut events);
+            let should_close = to == server && upstream.is_idle();
+            self.apply_upstream_events(now, to, events);
+            if should_close {
                 // Its address may be given to another cache server.
                 self.close(now, key);
             }
@@ -318,7 +342,7 @@
     }
 
     /// Sends a health check to a cache server.
-    pub(super) fn probe(&mut self, now: Micros, server: ServerId) {
+    pub(super) fn send_health_check(&mut self, now: Micros, server: ServerId) {
         let endpoint = self.core.endpoint(server);
         let mut connections = self
             .cache_connections
@@ -328,12 +352,12 @@
             .copied();
         let key = connections.find(|key| {
             self.cache_connection(*key)
-                .is_some_and(|(_, link)| link.endpoint == endpoint)
+                .is_some_and(|(_, upstream)| upstream.endpoint == endpoint)
         });
-        let asked = key
+        let is_sent = key
             .and_then(|key| self.cache_connection_mut(key))
-            .is_some_and(|(conn, link)| link.send_health_check(now, conn));
-        match key.filter(|_| asked) {
+            .is_some_and(|(conn, upstream)| upstream.send_health_check(now, conn));
+        match key.filter(|_| is_sent) {
             Some(key) => {
                 self.write(now, key);
             }
--- a/daemon/src/daemon/upstream_connections/selection.rs
+++ b/daemon/src/daemon/upstream_connections/selection.rs
@@ -47,8 +47,8 @@
     pub(super) fn of(daemon: &'a Daemon, now: Micros, server: ServerId) -> Self {
         let keys = daemon.cache_connections.get(&server).into_iter().flatten();
         let connections = keys.filter_map(|key| {
-            let (conn, link) = daemon.cache_connection(*key)?;
-            Some((*key, conn, link))
+            let (conn, upstream) = daemon.cache_connection(*key)?;
+            Some((*key, conn, upstream))
         });
         CacheConnections {
             now,
@@ -61,16 +61,16 @@
 
     /// Selects a connection for an attempt of the request with this id.
     pub(super) fn select(&self, id: &str) -> Selection {
-        if let Some((preference, key)) = self.best_for(id) {
+        if let Some((preference, key)) = self.best_connection(id) {
             return Selection::Use {
                 key,
                 connect_spare: self.wants_spare(preference.open_attempts),
             };
         }
         let reclaim = self.reclaimable();
-        let connecting = self.connecting();
-        let has_place = self.connections.len() - reclaim.len() < self.limits.box_connections;
-        if has_place && connecting < self.limits.box_dials {
+        let connecting = self.connecting_count();
+        let has_capacity = self.connections.len() - reclaim.len() < self.limits.box_connections;
+        if has_capacity && connecting < self.limits.box_dials {
             return Selection::Connect { reclaim };
         }
         Selection::Unavailable(if connecting == 0 {
@@ -81,30 +81,38 @@
         })
     }
 
-    fn best_for(&self, id: &str) -> Option<(Preference, Key)> {
+    fn best_connection(&self, id: &str) -> Option<(Preference, Key)> {
         self.connections
             .iter()
-            .filter_map(|(key, conn, link)| Some((self.preference(id, conn, link)?, *key)))
+            .filter_map(|(key, conn, upstream)| Some((self.preference(id, conn, upstream)?, *key)))
             .min()
     }
 
     /// How well a connection fits; none if it takes no attempt of this request now.
-    fn preference(&self, id: &str, conn: &Conn, link: &UpstreamConnection) -> Option<Preference> {
-        let is_late = !conn.up && link.is_connect_overdue(self.now, self.limits);
-        if !self.leads_there(link) || is_late || link.is_stale(self.now, self.limits) {
+    fn preference(
+        &self,
+        id: &str,
+        conn: &Conn,
+        upstream: &UpstreamConnection,
+    ) -> Option<Preference> {
+        let is_overdue = !conn.up && upstream.is_connect_overdue(self.now, self.limits);
+        if !self.has_current_endpoint(upstream)
+            || is_overdue
+            || upstream.is_stale(self.now, self.limits)
+        {
             return None;
         }
         Some(Preference {
-            is_new_to_request: !link.has_aborted(id),
+            is_new_to_request: !upstream.has_aborted(id),
             is_connecting: !conn.up,
-            is_held_up: link.is_held_up(self.now, self.limits),
-            open_attempts: link.streams_if_free(id, self.core, self.limits)?,
+            is_held_up: upstream.is_held_up(self.now, self.limits),
+            open_attempts: upstream.streams_if_free(id, self.core, self.limits)?,
         })
     }
 
     /// Whether a connection leads to where the cache server is by now.
-    fn leads_there(&self, link: &UpstreamConnection) -> bool {
-        link.endpoint == self.endpoint
+    fn has_current_endpoint(&self, upstream: &UpstreamConnection) -> bool {
+        upstream.endpoint == self.endpoint
     }
 
     /// One answer that can't be read ends all that is open on its connection: the more connections, the less is lost at
@@ -118,23 +126,23 @@
     /// A connection that may lead nowhere gives its place up to the one that takes over from it: places at a cache server
     /// are scarce where many proxies hold some, and what is held in vain by all bars all.
     fn reclaimable(&self) -> Vec<Key> {
-        let is_reclaimable = |conn: &Conn, link: &UpstreamConnection| {
-            let is_doubtful = link.is_suspect() || link.is_stale(self.now, self.limits);
-            conn.up && link.is_idle() && is_doubtful
+        let is_reclaimable = |conn: &Conn, upstream: &UpstreamConnection| {
+            let is_doubtful = upstream.is_suspect() || upstream.is_stale(self.now, self.limits);
+            conn.up && upstream.is_idle() && is_doubtful
         };
         self.connections
             .iter()
-            .filter(|(_, conn, link)| is_reclaimable(conn, link))
+            .filter(|(_, conn, upstream)| is_reclaimable(conn, upstream))
             .map(|(key, _, _)| *key)
             .collect()
     }
 
     /// How many connections have not come up. They may come up late all the same: more of them would only add to whatever
     /// keeps them.
-    fn connecting(&self) -> usize {
+    fn connecting_count(&self) -> usize {
         self.connections
             .iter()
-            .filter(|(_, conn, link)| self.leads_there(link) && !conn.up)
+            .filter(|(_, conn, upstream)| self.has_current_endpoint(upstream) && !conn.up)
             .count()
     }
 }
