--- a/daemon/src/daemon/clients/accept.rs
+++ b/daemon/src/daemon/clients/accept.rs
@@ -1,4 +1,4 @@
-//! New connections of clients, and which other connection is closed where there is no place for one more.
+//! Accepts client connections, and evicts others when the table is full.
 
 use crate::daemon::{ConnectionKind, Daemon, Timer};
 use crate::limits::Standing;
@@ -7,10 +7,9 @@
 use std::io;
 
 impl Daemon {
-    /// The connection that is evicted for one more client; an error where none can be. The one that is likeliest to be of
-    /// no use any more goes: a crowd that says nothing, or clients that ask once and keep their connection for good, must
-    /// not shut all others out. One that came a moment ago stays, as its request is on its way, and so does one that a
-    /// last check shows to have asked after all.
+    /// Returns the client connection to evict for a new one; an error if none may be evicted. Prefers connections
+    /// that are least likely to be used again, so that idle clients can't exhaust the table. Connections that have
+    /// just changed state are exempt, and so are those that turn out to have received input.
     pub(in crate::daemon) fn eviction_candidate(&mut self, now: Micros) -> io::Result<Key> {
         loop {
             let keys = self.connections.keys();
@@ -18,14 +17,14 @@
                 .iter()
                 .filter_map(|key| Some((self.eviction_rank(now, *key)?, *key)));
             let (rank, key) = candidates.min().ok_or(io::ErrorKind::OutOfMemory)?;
-            // Bytes that came meanwhile give it another rank: then it is not the one to evict.
+            // Input that has arrived meanwhile changes the rank.
             if !self.poll_client(now, key) || self.eviction_rank(now, key) == Some(rank) {
                 return Ok(key);
             }
         }
     }
 
-    /// When a client's connection is evicted: the smallest first; none if it stays.
+    /// Returns the eviction rank of a connection; the lowest is evicted first. `None` if it must not be evicted.
     fn eviction_rank(&self, now: Micros, key: Key) -> Option<(Standing, Micros)> {
         let connection = self.connections.get(key)?;
         let state = Self::client_state(connection)?;
@@ -33,7 +32,8 @@
         (state != Standing::Busy && is_settled).then_some((state, connection.state_since))
     }
 
-    /// The connection that is evicted for one more client, or none where there is a place; an error where none can be.
+    /// Returns the connection to evict for a new client, `None` if there is a free slot, and an error if there is
+    /// neither.
     pub(in crate::daemon) fn required_eviction(&mut self, now: Micros) -> io::Result<Option<Key>> {
         if self.client_count < self.limits.clients && !self.connections.is_full() {
             return Ok(None);
@@ -41,13 +41,13 @@
         self.eviction_candidate(now).map(Some)
     }
 
-    /// Accepts what waits at the clients' listener.
+    /// Accepts pending connections of the client listener.
     pub(in crate::daemon) fn accept_clients(&mut self, now: Micros) {
         let mut has_evicted = false;
-        // No more in one turn than the table holds: clients that are closed and connect again at once must not keep the loop.
+        // Bounded per turn, so that clients that reconnect immediately can't occupy the loop.
         let mut accepted = 0;
         while self.client_listener.is_some() && accepted < self.limits.clients {
-            // With no place left, connections wait in the kernel's queue: others end, and these are accepted then.
+            // While the table is full, new connections wait in the kernel's queue.
             let Ok(mut evicted) = self.required_eviction(now) else {
                 return self.pause_accepting_clients(now);
             };
@@ -57,8 +57,8 @@
             let socket = match listener.accept() {
                 Ok(Some(socket)) => socket,
                 Ok(None) => break,
-                // No descriptor is left though the table has places: one idle connection is evicted for that too. More than
-                // one would be closed for something else than descriptors.
+                // Out of descriptors: one idle connection is evicted. If that does not help, further evictions would
+                // not either.
                 Err(failure) if failure.kind == FailureKind::NoDescriptors => {
                     let candidate = match evicted.take() {
                         Some(key) => Ok(key),
@@ -71,7 +71,7 @@
                     self.close(now, key);
                     continue;
                 }
-                // Short of memory, say, which no eviction would mend.
+                // Other failures, such as lack of memory, are not resolved by an eviction.
                 Err(_) => return self.pause_accepting_clients(now),
             };
             has_evicted = false;
@@ -100,7 +100,7 @@
         }
     }
 
-    /// No place left: the listener would stay readable and the loop spin on it.
+    /// Stops watching the listener, which would otherwise stay readable and keep the loop busy.
     fn pause_accepting_clients(&mut self, now: Micros) {
         if let Some(listener) = &mut self.client_listener {
             listener.pause(&self.poll);
@@ -108,8 +108,8 @@
         self.schedule_accept_retry(now);
     }
 
-    /// Accepts again in a moment. Both fronts may ask for it: were each to set a deadline of its own, every one
-    /// of them would set two more while the table stays full.
+    /// Schedules another attempt to accept. Both fronts share one timer, so that timers do not multiply while the
+    /// table is full.
     pub(in crate::daemon) fn schedule_accept_retry(&mut self, now: Micros) {
         if !std::mem::replace(&mut self.accept_retry_scheduled, true) {
             self.deadlines
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Puts a client's new connection, of either front, into the table, after closing the one that is evicted for it.
+    /// Adds an accepted connection of either front to the table, after closing the evicted one.
     pub(in crate::daemon) fn add_client(
         &mut self,
         now: Micros,
@@ -136,7 +136,8 @@
             self.deadlines
                 .set(now + self.limits.client_half_us, Timer::CheckClient(key));
             if self.turn.unread_delay(now) > 0 {
-                // Its requests have been there since before the loop was delayed: in the next turn they would seem new.
+                // Its requests arrived before the loop was delayed; read in the next turn they would be dated too
+                // late.
                 self.poll_client(now, key);
             }
         }
--- a/daemon/src/daemon/clients/mod.rs
+++ b/daemon/src/daemon/clients/mod.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: what state each is in, and when it has been in that for too long.
+//! Client connections: their states and timeouts.
 
 mod accept;
 mod requests;
@@ -9,7 +9,7 @@
 use linnetknot::Micros;
 
 impl Daemon {
-    /// The state of a client's connection, of either front; none if it is no client's.
+    /// Returns the state of a client connection of either front; `None` for other connections.
     fn client_state(connection: &Connection) -> Option<Standing> {
         let (is_busy, is_partial, has_request) = match &connection.kind {
             ConnectionKind::Client(session) => (
@@ -36,7 +36,7 @@
         })
     }
 
-    /// How many answers a client is owed.
+    /// Returns the number of requests on a connection that have no response yet.
     fn unanswered(connection: &Connection) -> usize {
         match &connection.kind {
             ConnectionKind::Client(session) => session.unanswered(),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Notes a client's state and since when it is in it, after something was read or written there.
+    /// Updates the state of a client connection and its start after input or output.
     pub(in crate::daemon) fn update_client_state(&mut self, now: Micros, key: Key) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -54,7 +54,7 @@
             return;
         };
         let is_partial = state == Standing::Half;
-        // A request that comes a few bytes at a time stays the one that began with the first of them.
+        // A request that arrives in pieces keeps the start of its first piece.
         if state == Standing::Busy
             || is_partial && !std::mem::replace(&mut connection.has_partial_request, is_partial)
         {
@@ -77,8 +77,9 @@
         }
     }
 
-    /// Holds the bytes of incomplete requests to their bound. The clients with most of them give way: one that is owed
-    /// answers gets these, and a rejection of what is incomplete; the connections of the others are closed.
+    /// Enforces the limit on buffered bytes of incomplete requests, beginning with the client that holds the most. A
+    /// client that has unanswered requests has only its incomplete requests rejected; the connections of others are
+    /// closed.
     fn limit_partial_requests(&mut self, now: Micros) {
         while self.total_partial_request_bytes > self.limits.bodies {
             let keys = self.connections.keys().into_iter();
@@ -113,8 +114,8 @@
         }
     }
 
-    /// Closes a client's connection that has been in its state for too long. Usual clients close theirs sooner, so none of
-    /// their requests can cross this.
+    /// Closes a client connection that has exceeded the timeout of its state. The timeouts are longer than those of
+    /// usual clients, so that no request races with the close.
     pub(in crate::daemon) fn check_client_timeout(&mut self, now: Micros, key: Key) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -130,7 +131,7 @@
             self.limits
                 .leaves_at(state, Self::unanswered(connection), connection.state_since);
         if due.is_some_and(|due| due <= now) {
-            // What came in this very moment changes its state, and then it stays.
+            // Input that has just arrived changes the state and keeps the connection open.
             if !self.poll_client(now, key) {
                 return;
             }
--- a/daemon/src/daemon/clients/requests.rs
+++ b/daemon/src/daemon/clients/requests.rs
@@ -1,4 +1,4 @@
-//! What clients ask on the platform's front, and what they are answered.
+//! Requests of clients on the FastCGI front and their responses.
 
 use crate::core::{Answer, Client, ClientRequest};
 use crate::daemon::{Connection, ConnectionKind, Daemon};
@@ -9,7 +9,6 @@
 use linnetknot_ops::Drain;
 
 impl Daemon {
-    /// The session of a client's connection.
     fn client_session(&mut self, key: Key) -> Option<&mut Session> {
         match &mut self.connections.get_mut(key)?.kind {
             ConnectionKind::Client(session) => Some(session),
@@ -17,7 +16,8 @@
         }
     }
 
-    /// Takes in what a client's connection asks. False: its client has gone, and of what it sent before nothing begins.
+    /// Reads and processes the input of a client connection. Returns false if the client has disconnected; its
+    /// buffered requests are dropped then.
     pub(in crate::daemon) fn read_client(
         &mut self,
         now: Micros,
@@ -26,7 +26,7 @@
         Ok(self.receive_requests(key)? && self.process_inputs(now, key))
     }
 
-    /// Reads what has come. False: the client has gone.
+    /// Reads the available input. Returns false if the client has disconnected.
     fn receive_requests(&mut self, key: Key) -> Result<bool, WireError> {
         for _ in 0..self.limits.client_reads {
             let Some(connection) = self.connections.get_mut(key) else {
@@ -50,7 +50,7 @@
         Ok(true)
     }
 
-    /// Takes up what was read. False: the connection was closed meanwhile.
+    /// Processes the parsed input. Returns false if the connection was closed meanwhile.
     fn process_inputs(&mut self, now: Micros, key: Key) -> bool {
         loop {
             let Some(connection) = self.connections.get_mut(key) else {
@@ -69,7 +69,7 @@
                     self.admit_request(now, key, stream, request, is_first);
                 }
             }
-            // Answers given at once belong to requests that are already known as taken.
+            // Executed after each input, so that immediate responses refer to requests that the session knows.
             self.execute_commands(now);
         }
     }
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Has the core take a request, or rejects it.
+    /// Admits a request to the core, or rejects it.
     fn admit_request(
         &mut self,
         now: Micros,
@@ -95,7 +95,7 @@
         mut request: ClientRequest,
         is_first: bool,
     ) {
-        // A client counts its time from when it sent the request.
+        // The client measures its time budget from when it sent the request.
         let unread = self.turn.unread_delay(now);
         request.remaining_us = request.remaining_us.saturating_sub(unread);
         let client = Client {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Whether a request that was just read is rejected before the core sees it.
+    /// Returns whether a request is rejected before it reaches the core.
     fn is_shed(&self, now: Micros, key: Key, is_first: bool) -> bool {
         let Some(ConnectionKind::Client(session)) =
             self.connections.get(key).map(|connection| &connection.kind)
@@ -130,33 +130,34 @@
             return false;
         };
         let is_output_full = self.total_unsent_bytes > self.limits.waiting_answers;
-        // One client's flood must leave capacity for the requests of the others.
+        // One client must not take the capacity of all others.
         let is_over_limit = !self
             .limits
             .admits(session.unanswered(), self.core.is_half_full());
         is_output_full || is_over_limit || self.refuses_while_closing(now, session, is_first)
     }
 
-    /// Whether a connection that is to close takes no further request. It takes none while it is busy, or late in a drain
-    /// or an end: it would never come to idle, and what it held would be cut when the process ends or the drain is over.
-    /// The front sends what is rejected to another proxy.
+    /// Returns whether a closing connection rejects a new request. It does if it has other open requests, or late in
+    /// a drain or shutdown, as it would not become idle in time and its requests would be cut off. The platform
+    /// retries rejected requests at another proxy.
     fn refuses_while_closing(&self, now: Micros, session: &Session, is_first: bool) -> bool {
         let last_accepted = |since| since + self.limits.drain_last_taken_us;
         let is_late_drain =
             matches!(self.operations.drain(), Drain::Draining(since) if now > last_accepted(since));
         let is_late = self.is_stopping() || is_late_drain;
-        // What is owed counts this request.
+        // The count includes this request.
         let is_busy = session.unanswered() > 1;
-        // The first request of a connection was sent before the front could know that this one ends.
+        // The first request of a connection may have been sent before the client learned that the proxy is closing
+        // it.
         session.is_closing() && (is_busy || is_late && !is_first)
     }
 
-    /// Gives a client the answer to one of its requests.
+    /// Sends the response to a request of a client.
     pub(in crate::daemon) fn respond(&mut self, now: Micros, client: Client, answer: Answer) {
         let Some(connection) = self.connections.get_mut(client.connection) else {
             return;
         };
-        // It may rest from now on: its next request may be on its way, so that it must not make room at once.
+        // The next request may be on its way, so the connection must not be evicted immediately.
         connection.state_since = now;
         match &mut connection.kind {
             ConnectionKind::Client(session) => {
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Ends a client's connection that writing has shown to be broken: its client has gone.
+    /// Closes a client connection whose output has failed.
     pub(in crate::daemon) fn close_if_broken(&mut self, now: Micros, key: Key) {
         let client =
             |connection: &Connection| connection.kind.is_client() && connection.conn.is_broken();
--- a/daemon/src/daemon/connection_table.rs
+++ b/daemon/src/daemon/connection_table.rs
@@ -1,4 +1,4 @@
-//! The table of connections: what each is for, and how it is opened, read, written and closed.
+//! The table of connections: opens, reads, writes and closes them according to their kind.
 
 use super::admin;
 use super::exchange::{self, Exchange};
@@ -12,21 +12,21 @@
 use linnetknot::Micros;
 use std::net::SocketAddr;
 
-/// What a connection is for.
+/// The kind of a connection, with its protocol state.
 pub(super) enum ConnectionKind {
     Client(Session),
     CacheServer(UpstreamConnection),
     Cdni(Box<cdni::Session>),
-    /// A client's that this side has ended, with all answered: what still comes is thrown away.
+    /// A client connection that this side has half-closed. Further input is discarded.
     Lingering,
-    /// What this side has begun.
+    /// An outgoing connection of a client-side protocol.
     Exchange(Box<dyn Exchange>),
-    /// An operator's call at the admin listener.
+    /// A connection to the admin listener.
     Admin(Box<admin::AdminSession>),
 }
 
 impl ConnectionKind {
-    /// Whether it is a client's, of either front.
+    /// Returns whether this is a connection of a client or a peer CDN.
     pub(super) fn is_client(&self) -> bool {
         matches!(
             self,
@@ -35,38 +35,39 @@
     }
 }
 
-/// Why a connection was not begun.
+/// Why no connection could be started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectError {
-    /// The other side refused it: nobody listens there.
+    /// The remote side refused the connection.
     Refused,
-    /// Others that were begun before have not come up, or this one can't.
+    /// The remote side can't be reached, or earlier connections to it are still not established.
     Unreachable,
-    /// No place in the table is left here, which says nothing of the other side.
+    /// The table has no free slot, or a connection limit is reached. This says nothing about the remote side.
     NoCapacity,
-    /// No descriptor, port, route or memory is left here for now, which says nothing of the other side.
+    /// Descriptors, ports, routes or memory are temporarily exhausted. This says nothing about the remote side.
     LocalResources,
 }
 
-/// A connection and what the daemon knows of it.
+/// An entry of the connection table.
 pub(super) struct Connection {
     pub(super) conn: Conn,
     pub(super) kind: ConnectionKind,
-    /// A client's: when it was last waited for here, or what it is now at began.
+    /// For clients: when the current state began, or the last response was sent.
     pub(super) state_since: Micros,
-    /// A client's: a request had come in part when that was last looked at.
+    /// For clients: an incomplete request was buffered at the last check.
     pub(super) has_partial_request: bool,
-    /// Bytes of waiting answers that the daemon's sum holds for it.
+    /// Bytes of unsent responses, as counted in `Daemon::total_unsent_bytes`.
     pub(super) unsent_bytes: usize,
-    /// Bytes of requests that have not come whole, the same.
+    /// Bytes of incomplete requests, as counted in `Daemon::total_partial_request_bytes`.
     pub(super) partial_request_bytes: usize,
-    /// How far it is known to the epoll set, and whether that is due to be tried again.
+    /// The state of the epoll registration, and whether a retry is scheduled.
     pub(super) registration: Registration,
     pub(super) registration_retry_scheduled: bool,
 }
 
 impl Daemon {
-    /// Puts a connection into the table and has it watched. None: there is no place, or it can't be watched.
+    /// Adds a connection to the table and registers it with epoll. Returns `None` if the table is full or the
+    /// registration fails permanently.
     pub(super) fn add_connection(
         &mut self,
         now: Micros,
@@ -91,7 +92,7 @@
         Some(key)
     }
 
-    /// Begins a connection. An error tells whether the other side refused it, or none could be begun from here.
+    /// Starts a connection to a remote address.
     pub(super) fn connect_to(
         &mut self,
         now: Micros,
@@ -124,9 +125,9 @@
         Ok(key)
     }
 
-    /// Serves a connection of which the epoll set has told.
+    /// Handles a readiness event of a connection.
     pub(super) fn handle_ready(&mut self, now: Micros, key: Key, ready: Ready) {
-        // A stale event, of a connection that ended earlier in the same round, misses by its generation.
+        // The key of a connection that was closed earlier in this turn is stale, so its events are ignored.
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
@@ -143,7 +144,7 @@
             ConnectionKind::Client(_) | ConnectionKind::Cdni(_)
         ) && ready.hung_up
         {
-            // Whatever it sent before, nobody is left to take the answers.
+            // The client can't receive responses any more.
             return self.close(now, key);
         }
         if matches!(
@@ -161,12 +162,13 @@
         if ready.read && connection.conn.up {
             let progress = connection.conn.read(ready.broken);
             let ended = matches!(progress, Progress::Ended | Progress::Broken);
-            // A caller at the admin listener may end its half once its call is sent: its answer is still owed.
+            // A client of the admin listener may half-close its connection after the call and still receives its
+            // reply.
             is_over = ended
                 && !(matches!(connection.kind, ConnectionKind::Admin(_))
                     && progress == Progress::Ended);
             if let Err(e) = self.read_input(now, key, ended) {
-                // Whoever sends garbage must not fill the log with it.
+                // Malformed input of clients is logged at debug, so that it can't flood the log.
                 let is_client = self
                     .connections
                     .get(key)
@@ -196,7 +198,7 @@
             return Ok(());
         };
         match &mut connection.kind {
-            // These are read by `check_client`.
+            // Read by `poll_client`.
             ConnectionKind::Client(_) | ConnectionKind::Lingering => Ok(()),
             ConnectionKind::Cdni(_) => {
                 self.read_cdni(now, key);
@@ -220,7 +222,7 @@
         }
     }
 
-    /// Writes what is waiting; false where the connection is over.
+    /// Writes pending output. Returns false if the connection has to be closed.
     pub(super) fn write(&mut self, now: Micros, key: Key) -> bool {
         let Some(connection) = self.connections.get_mut(key) else {
             return true;
@@ -252,7 +254,7 @@
         is_open
     }
 
-    /// Closes a connection and takes it out of the table; what was open on it ends in the way of its kind.
+    /// Removes a connection from the table and closes it. Its open requests and attempts end.
     pub(super) fn close(&mut self, now: Micros, key: Key) {
         let Some(connection) = self.connections.remove(key) else {
             return;
--- a/daemon/src/daemon/event_loop.rs
+++ b/daemon/src/daemon/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: waits for events and deadlines, and carries out what the core wants done.
+//! The event loop: waits for epoll events and deadlines, dispatches them, and executes the commands of the core.
 
 use super::connection_table::ConnectionKind;
 use super::exchange::Task;
@@ -9,7 +9,7 @@
 use linnetknot::Micros;
 use std::io;
 
-// The tokens of what is watched beside the connections, whose own tokens are their keys in the table.
+// Epoll tokens of the sources other than connections. The token of a connection is its key in the table.
 pub(super) const CLIENT_LISTENER_TOKEN: u64 = u64::MAX;
 pub(super) const SIGTERM_TOKEN: u64 = u64::MAX - 1;
 pub(super) const PEERS_TOKEN: u64 = u64::MAX - 2;
@@ -18,33 +18,36 @@
 pub(super) const ADMIN_LISTENER_TOKEN: u64 = u64::MAX - 5;
 pub(super) const STORE_TOKEN: u64 = u64::MAX - 6;
 
-/// What has a deadline.
+/// An action that is scheduled for a deadline.
 pub(super) enum Timer {
     Core(Wake),
-    /// A connection begun from here must be up.
+    /// Closes a connection that is not established by now, or extends its deadline.
     ConnectTimeout(Key),
-    /// A connection to a cache server is checked: barred ids, stalled writing.
+    /// Checks a connection to a cache server: forgets finished requests and flushes the output.
     CheckCacheConnection(Key),
-    /// Something else is to be done.
+    /// Runs a task.
     Run(Task),
-    /// A connection's next request, which waited for the answer to the one before.
+    /// Writes a deferred response and reads the next request of the connection.
     ResumeConnection(Key),
-    /// A client's connection is looked at: it may hold its place for nothing.
+    /// Checks whether a client connection has exceeded the timeout of its state.
     CheckClient(Key),
-    /// A client's connection ends if nothing is open on it.
+    /// Half-closes a client connection if it is idle.
     HalfClose(Key),
-    /// A connection that could not be watched is tried again.
+    /// Retries the epoll registration of a connection.
     RetryRegistration(Key),
-    /// Accepting goes on.
+    /// Resumes accepting on all listeners.
     RetryAccept,
-    /// The grace after SIGTERM is over.
+    /// The grace period after SIGTERM has expired.
     ShutdownGrace,
-    /// A caller at the admin listener has had its time.
+    /// The time limit of a connection to the admin listener has expired.
     AdminTimeout(Key),
 }
 
 impl Daemon {
-    /// Serves until SIGTERM, and then until all is answered.
+    /// Runs until SIGTERM is received and the shutdown is complete.
+    ///
+    /// # Errors
+    /// Waiting for events fails.
     pub fn run(&mut self) -> io::Result<()> {
         let mut ready = Vec::new();
         while !self.is_shutdown_complete() {
@@ -66,8 +69,8 @@
         Ok(())
     }
 
-    /// One turn: events, and then what is due. True: it was cut short, as what is known of clients had become old.
-    /// epoll tells of the events that are left once more.
+    /// Runs one turn: handles the ready events, then the timers that are due. Returns true if the turn was
+    /// interrupted because its events are stale; epoll reports the unhandled ones again.
     fn run_turn(&mut self, ready: &mut Vec<Ready>) -> bool {
         for event in ready.drain(..) {
             if self.turn.is_stale(self.clock.now()) {
@@ -86,8 +89,9 @@
         false
     }
 
-    /// What is taken up first of all that is known at once. Clients that have gone come first, then what is told of the
-    /// boxes, then what clients ask and take back, and only then what lets a further attempt begin.
+    /// Returns the priority of an event; lower values are handled first. Closed client connections come first, then
+    /// updates from operators, peers and other exchanges, then client input, then new connections, and last the
+    /// responses of cache servers, which may start further attempts.
     fn event_priority(&self, event: &Ready) -> u8 {
         match event.token {
             SIGTERM_TOKEN | SIGHUP_TOKEN | PEERS_TOKEN | ADMIN_LISTENER_TOKEN | STORE_TOKEN => 1,
@@ -144,7 +148,7 @@
         }
     }
 
-    /// Carries out what the core wants done, and what follows from that.
+    /// Executes the commands of the core until it has none left.
     pub(super) fn execute_commands(&mut self, now: Micros) {
         loop {
             let commands = self.core.take_commands();
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -1,14 +1,14 @@
-//! The daemon: sockets and deadlines on one side, the core on the other, and one thread that turns between them.
+//! The daemon: connects sockets and deadlines with the core in a single-threaded event loop.
 //!
-//! | module | its job |
+//! | module | purpose |
 //! | --- | --- |
 //! | `startup` | sockets, store and state at the start |
 //! | `event_loop` | waits for events and deadlines, and dispatches them |
 //! | `connection_table` | opens, reads, writes and closes connections |
-//! | `signals`, `reload` | SIGTERM and SIGHUP, and a new configuration |
+//! | `signals`, `reload` | SIGTERM and SIGHUP, and reloading the configuration |
 //! | `shutdown` | the graceful shutdown |
 //!
-//! The other modules add to `Daemon` what belongs to one front, one upstream or one duty each.
+//! Each of the other modules implements one front, one upstream or one function of [`Daemon`].
 
 use crate::config::{Config, Source};
 use crate::core::Core;
@@ -64,7 +64,7 @@
 use store_opening::PendingStore;
 use turn::Turn;
 
-/// The daemon.
+/// A running daemon.
 pub struct Daemon {
     clock: Clock,
     limits: Limits,
@@ -72,11 +72,11 @@
     poll: Poll,
     client_listener: Option<Listener>,
     accept_retry_scheduled: bool,
-    /// Attempts whose connection can't be begun from here for now.
+    /// Attempts that wait because no connection can be opened from this machine for now.
     deferred_attempts: reconnect::DeferredAttempts,
     sigterm: Signal,
     sighup: Signal,
-    /// The configuration that is in force, and where a new one is read from.
+    /// The configuration in force, and the source of a new one.
     config: Config,
     config_source: Source,
     connections: Slots<Connection>,
@@ -84,70 +84,72 @@
     cache_connections: BTreeMap<ServerId, Vec<Key>>,
     deadlines: Deadlines<Timer>,
     bus: bus::State,
-    /// What is believed of the boxes, and when it is due to be looked at again.
+    /// The merged endpoint list of all sources, and the deadline of its next update.
     endpoint_table: EndpointTable,
-    /// What of the bus's lists is believed.
+    /// Validates the endpoint lists of the event bus.
     list_validator: ListValidator,
     endpoint_table_due: Option<Due>,
     logged_notices: LoggedNotices,
     consul: Option<consul::State>,
     snapshot_writer: Option<consul::SnapshotWriter>,
     peers: Option<(UdpSocket, Vec<SocketAddr>)>,
-    /// The same peers by address.
     peer_index: PeerIndex,
     plain_purges: PlainPurges,
-    /// When those are looked at again.
+    /// The deadline of the next step of `plain_purges`.
     plain_purges_due: Option<Due>,
     origin_health: Option<OriginHealth>,
-    /// Datagrams dropped: from nobody who is a peer, and of no known kind.
+    /// Dropped datagrams: from unknown senders, and malformed ones.
     dropped_datagrams: (u64, u64),
     trigger_api: Option<(Listener, TriggerApi)>,
     ledger: Option<Ledger>,
-    /// Its store, while that can't be opened.
+    /// The store of the ledger, while it can't be opened.
     pending_store: Option<PendingStore>,
-    /// The responses that wait for commits of it, and when replication is due.
+    /// Responses that wait for commits, recovery, and the deadline of replication.
     pending_commits: commits::PendingCommits,
-    /// Who of the peers is there, and when that is due to be looked at again.
+    /// The membership of the proxies, and the deadline of its next tick.
     membership: Option<linnetknot_membership::Membership>,
-    /// What all proxies spend together.
+    /// The budgets that all proxies share.
     shared_budgets: Option<budgets::SharedBudgets>,
     membership_due: Option<Due>,
-    /// Raised by the store's worker when there is word of what is on the disk.
+    /// Raised by the store's worker when writes have completed.
     store_signal: Option<Signal>,
-    /// Payloads to neighbours that are on their way or wait to be tried again.
+    /// Deliveries to peer CDNs that are in progress or wait for a retry.
     pending_deliveries: usize,
-    /// What neighbours were last told of our being able to serve.
+    /// The readiness that was last announced to peer CDNs.
     announced_ready: bool,
     total_unsent_bytes: usize,
-    /// Bytes of requests that have not come whole.
+    /// Bytes of incomplete requests of all clients.
     total_partial_request_bytes: usize,
-    /// When SIGTERM came, if it has.
+    /// When SIGTERM was received.
     sigterm_at: Option<Micros>,
     turn: Turn,
     shutdown_grace_over: bool,
-    /// The admin listener, its callers, and what they decided.
+    /// The admin listener, its connections, and the operators' state.
     admin_listener: Option<Listener>,
     admin_connection_count: usize,
     operations: linnetknot_ops::Operations,
-    /// Where that is kept for the next process: `$TMPDIR`.
+    /// The directory that stores the operators' state for the next process.
     operator_state_folder: std::path::PathBuf,
     operator_files: operator_state::OperatorFiles,
-    /// The clients' listener came from the process that started this one, and is shared with the next.
+    /// The client listener was inherited from the parent process and is shared with the next one.
     listener_inherited: bool,
 }
 
 impl Daemon {
-    /// Where clients connect.
+    /// Returns the address of the client listener.
     pub fn address(&self) -> Option<SocketAddr> {
         self.client_listener.as_ref()?.address()
     }
 
-    /// Where operators call.
+    /// Returns the address of the admin listener.
     pub fn admin_address(&self) -> Option<SocketAddr> {
         self.admin_listener.as_ref()?.address()
     }
 
-    /// What does to it from another thread what signals do.
+    /// Returns a handle that triggers shutdown and reload from another thread.
+    ///
+    /// # Errors
+    /// The descriptors of the signal pipes can't be duplicated.
     pub fn control(&self) -> io::Result<Control> {
         Ok(Control {
             sigterm: self.sigterm.writer.try_clone()?,
--- a/daemon/src/daemon/turn/tests.rs
+++ b/daemon/src/daemon/turn/tests.rs
@@ -1,14 +1,14 @@
-//! Tests of what a turn of the loop knows of the time.
+//! Tests of the timing of a turn.
 
 use super::{Turn, MAX_WAIT_US};
 use linnetknot::Micros;
 
 const MS: Micros = 1_000;
 const START: Micros = 1_000 * MS;
-/// How much more than a client has left may be passed on.
+/// The largest delay that may go undetected.
 const SLACK_US: Micros = 150 * MS;
 
-/// A process that waits may be stopped at once, and what a client sends may come at once as well.
+/// The process may be stopped at any time during a wait, and input may arrive right after the stop begins.
 #[test]
 fn of_a_stop_within_a_wait_no_more_than_the_slack_is_missed() {
     for wait in [0, 1, MS, 40 * MS, MAX_WAIT_US] {
@@ -25,8 +25,8 @@
     }
 }
 
-/// Stopped at the end of a wait, it goes on with the events of before the stop, or with none where a signal interrupted
-/// the wait, and the next wait tells of all others.
+/// A process that is stopped at the end of a wait resumes with the events from before the stop, or with none if a
+/// signal interrupted the wait.
 #[test]
 fn of_a_stop_at_the_end_of_a_wait_no_more_than_the_slack_is_missed() {
     for wait in [0, 1, MS, 40 * MS, MAX_WAIT_US] {
