--- a/daemon/src/daemon/budgets/faults.rs
+++ b/daemon/src/daemon/budgets/faults.rs
@@ -1,18 +1,18 @@
-//! Faults that rehearsals plant; in an ordinary build none of them is there.
+//! Fault injection for rehearsals. All functions return false in a release build.
 
-/// A holder that goes by a lease after its end.
+/// Whether leases are used after they have expired.
 pub(super) fn ignores_lease_ends() -> bool {
     fail::fail_point!("plant-lease", |_| true);
     false
 }
 
-/// A candidate that counts a vote of each member that it asks.
+/// Whether a candidate counts a vote of each member that it asks, without a response.
 pub(super) fn assumes_votes() -> bool {
     fail::fail_point!("plant-votes", |_| true);
     false
 }
 
-/// Reserved minimums that are not counted against the limit.
+/// Whether reserved minimums are not counted against the limit.
 pub(super) fn forgets_reserved() -> bool {
     fail::fail_point!("plant-floors", |_| true);
     false
--- a/daemon/src/daemon/budgets/mod.rs
+++ b/daemon/src/daemon/budgets/mod.rs
@@ -1,5 +1,5 @@
-//! Budgets of the whole fleet (`linnetknot_budgets`): this proxy's demand, its datagrams, and its leases for the
-//! module.
+//! Budgets shared by all proxies (`linnetknot_budgets`): reports this proxy's demand, exchanges datagrams with the
+//! other members, and passes leases to the decision module.
 
 mod faults;
 mod status;
@@ -15,19 +15,18 @@
 };
 use std::collections::BTreeMap;
 
-/// The shortest time between two ticks.
 const MIN_TICK_INTERVAL_US: Micros = 1_000;
 
-/// This proxy's member, and what goes with it.
+/// This proxy's member of the shared budgets.
 pub(super) struct SharedBudgets {
     member: Member,
-    /// The leases that the module received last, by budget.
+    /// The lease of each budget that the decision module received last.
     delivered: Vec<Option<Lease>>,
     due: Option<Due>,
-    /// Whether it was logged that datagrams of another fingerprint were dropped.
+    /// Whether a fingerprint mismatch has been logged.
     mismatch_logged: bool,
-    /// The list of peers has changed, and with it the members' indices: nothing is sent or received any more, and only
-    /// the reserved minimum is spent until the next start.
+    /// The list of peers has changed, and with it the indices of the members. Nothing is sent or received any more,
+    /// and only the reserved minimum may be spent until the next start.
     detached: bool,
 }
 
@@ -39,7 +38,7 @@
     invalid: InvalidBudget,
 }
 
-/// What this proxy has unsettled of each budget that the decision module knows.
+/// The unsettled amount of each budget of the decision module.
 struct UnsettledAmounts {
     origin: Amount,
     caches: Amount,
@@ -52,14 +51,14 @@
             Some(Budget::Origin) => self.origin,
             Some(Budget::Caches) => self.caches,
             Some(Budget::Parents) => self.parents,
-            // Another zone's.
+            // A budget of another zone.
             None => 0,
         }
     }
 }
 
 impl Daemon {
-    /// Joins the members that share the budgets of the configuration.
+    /// Joins the members that share the configured budgets.
     pub(super) fn join_budgets(&mut self, now: Micros) -> Result<(), JoinBudgetsError> {
         let config = &self.config.budgets;
         let Some(ledger) = self.ledger.as_ref().filter(|_| !config.list.is_empty()) else {
@@ -77,7 +76,7 @@
             process: ledger.incarnation(),
         };
         let options = Options::default().with_settling_time(settling_us);
-        // The configuration was validated with the same figures, so this does not fail.
+        // Does not fail, as the configuration was validated with the same values.
         let member = Member::new(own, config.members, &specs, now, options).map_err(|invalid| {
             JoinBudgetsError {
                 name: config.list[invalid.budget].name.clone(),
@@ -85,7 +84,7 @@
             }
         })?;
         let delivered = vec![None; specs.len()];
-        // A request that stayed open for longer than its class allows would settle after the settling time.
+        // A request that stayed open longer would not be settled within the settling time.
         self.core.max_request_us = config.longest_open_us().unwrap_or(Micros::MAX);
         self.shared_budgets = Some(SharedBudgets {
             member,
@@ -98,7 +97,7 @@
         Ok(())
     }
 
-    /// Joins again, as a later process of this member.
+    /// Joins again as a later process of this member.
     pub(super) fn rejoin_budgets(&mut self, now: Micros) {
         if let Some(due) = self.shared_budgets.take().and_then(|shared| shared.due) {
             self.deadlines.cancel(due);
@@ -108,17 +107,17 @@
         }
     }
 
-    /// Returns a peer's index among all configured members.
+    /// Converts the index of a peer to its index among all members.
     fn member_index(&self, peer: usize) -> MemberIndex {
         peer + usize::from(peer >= self.config.budgets.index)
     }
 
-    /// Returns the index among the peers of a member other than this one.
+    /// Converts the index of another member to its index among the peers.
     fn peer_index(&self, member: MemberIndex) -> usize {
         member - usize::from(member > self.config.budgets.index)
     }
 
-    /// Receives a datagram of a peer; false where it is of another kind.
+    /// Receives a datagram of a peer. Returns false if it belongs to another protocol.
     pub(super) fn receive_budgets(&mut self, now: Micros, peer: usize, bytes: &[u8]) -> bool {
         let datagram = match wire::read(bytes) {
             Err(DecodeError::Foreign) => return false,
@@ -156,7 +155,7 @@
         true
     }
 
-    /// Passes the member what changed here and the time, and schedules the next tick.
+    /// Updates the state of the member, sends its messages and schedules the next tick.
     fn tick_budgets(&mut self, now: Micros) {
         self.update_members_up();
         self.update_demand(now);
@@ -192,7 +191,7 @@
         };
         for (n, budget) in self.config.budgets.list.iter().enumerate() {
             let unsettled = unsettled_amounts.of(budget.of);
-            // A process that ends returns all that it has not spent.
+            // A process that is shutting down returns all that it has not spent.
             let amount = if is_stopping {
                 unsettled
             } else {
@@ -227,7 +226,7 @@
             .for_each(|(index, up)| shared.member.set_up(index, up));
     }
 
-    /// Sends the member's messages, logs its changes, and passes its leases to the module.
+    /// Sends the member's messages, logs its changes and delivers its leases.
     fn flush_budgets(&mut self, now: Micros) {
         let Some(shared) = &mut self.shared_budgets else {
             return;
@@ -276,7 +275,7 @@
         }
     }
 
-    /// Passes the leases that have changed to the module.
+    /// Passes leases that have changed to the decision module.
     fn deliver_leases(&mut self, now: Micros) {
         let Some(shared) = &mut self.shared_budgets else {
             return;
@@ -309,7 +308,7 @@
             .for_each(|lease| self.core.receive_lease(now, lease));
     }
 
-    /// Applies changed limits of a reloaded configuration. All other changes of budgets need a restart.
+    /// Applies changed limits of a reloaded configuration. Other changes of the budgets need a restart.
     pub(super) fn reload_budgets(&mut self, new: &crate::interconnect::Budgets) {
         if new.fingerprint != self.config.budgets.fingerprint {
             return log::warn!(
@@ -340,8 +339,8 @@
         }
     }
 
-    /// Detaches from the members, as the list of peers has changed and messages would be taken for another member's:
-    /// only the reserved minimums are spent until the next start.
+    /// Stops sharing with the other members, as their indices have changed and messages would be attributed to the
+    /// wrong member. Only the reserved minimums may be spent until the next start.
     pub(super) fn detach_budgets(&mut self) {
         if let Some(shared) = &mut self.shared_budgets {
             shared.detached = true;
@@ -352,7 +351,7 @@
     }
 }
 
-/// A planted fault: answers each request for a vote on behalf of its receiver.
+/// Fault injection: answers each vote request on behalf of its receiver.
 fn assume_votes(member: &mut Member, now: Micros, outgoing: &[Outgoing]) {
     for Outgoing { to, message } in outgoing {
         if let Message::VoteRequest(request) = message {
--- a/daemon/src/daemon/budgets/status.rs
+++ b/daemon/src/daemon/budgets/status.rs
@@ -1,4 +1,4 @@
-//! The answer to `linnetknot fleet budgets`, and what the log says of budgets.
+//! The status of the budgets for `linnetknot fleet budgets`, and log lines about them.
 
 use crate::budgets::{BudgetStatus, GrantStatus, Status, MAX_BUDGETS, MAX_GRANTS};
 use crate::daemon::Daemon;
@@ -8,7 +8,7 @@
 use std::cmp::Ordering;
 
 impl Daemon {
-    /// Returns the status of the budgets; none where nothing is shared.
+    /// Returns the status of the budgets; `None` if none are shared.
     pub(in crate::daemon) fn budgets_status(&self) -> Option<Status> {
         let member = &self.shared_budgets.as_ref()?.member;
         let config = &self.config.budgets;
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Returns a member's name, or its address until the name is known.
+    /// Returns the name of a member, or its address until the name is known.
     fn member_name(&self, index: MemberIndex) -> String {
         let own = self.config.budgets.index;
         let peer = match index.cmp(&own) {
@@ -101,7 +101,6 @@
         name.or_else(address).unwrap_or_default()
     }
 
-    /// Logs a change.
     pub(super) fn log_change(&self, change: Change) {
         let Some(shared) = &self.shared_budgets else {
             return;
@@ -138,7 +137,7 @@
         }
     }
 
-    /// Logs the counters at the end of the process.
+    /// Logs the counters of the leases at shutdown.
     pub(in crate::daemon) fn log_budgets(&self) {
         let Some(shared) = &self.shared_budgets else {
             return;
--- a/daemon/src/daemon/commits/mod.rs
+++ b/daemon/src/daemon/commits/mod.rs
@@ -1,6 +1,8 @@
-//! Commits of commands. What a peer CDN or an operator orders is in force at once; its response waits until the entries
-//! that the command appended to this proxy's log are committed, which means durable here and on the disks of enough
-//! peers (`linnetknot_replication`). A command that can't be committed in time is rejected.
+//! Commits of commands.
+//!
+//! The effects of a command of a peer CDN or an operator apply immediately. The response is sent once the log entries
+//! of the command are committed: durable here and on enough peers (`linnetknot_replication`). A command that is not
+//! committed in time is rejected.
 
 mod operators;
 mod triggers;
@@ -19,15 +21,14 @@
 
 /// The response to a command of a peer CDN.
 pub(super) struct CdniResponse {
-    /// The connection on which it is awaited.
+    /// The connection that waits for the response.
     pub(super) connection: Key,
-    /// The response, if the command is committed.
+    /// The response if the command is committed.
     pub(super) response: Response,
     /// The trigger that the command created, if any.
     pub(super) trigger: Option<TriggerId>,
 }
 
-/// A response that waits for a commit.
 enum PendingResponse {
     Cdni(CdniResponse),
     Operator(OperatorResponse),
@@ -39,46 +40,44 @@
     /// Its entries can't be appended to the log.
     #[error(transparent)]
     Append(#[from] AppendError),
-    /// They were not replicated in time.
+    /// Its entries were not replicated in time.
     #[error("{0}")]
     Rejected(RejectReason),
-    /// A later process of this name writes the log.
+    /// A later process with the same name writes the log.
     #[error("another process of this name has begun after this one")]
     Replaced,
 }
 
-/// The pending commits, and the recovery of what was committed before.
+/// Pending commits and the state of the recovery.
 #[derive(Default)]
 pub(super) struct PendingCommits {
-    /// By their commits, oldest first.
+    /// Ordered by commit, oldest first.
     responses: BTreeMap<CommitId, PendingResponse>,
-    /// The recovery of a proxy that began without its disk.
+    /// The recovery of a proxy that started without its store.
     pub(super) recovery: Option<Recovery>,
-    /// When the recovery is due.
     pub(super) recovery_due: Option<Due>,
-    /// The wait of a proxy that is behind what its peers have compacted.
+    /// The wait for a snapshot, if this proxy is behind what its peers have compacted.
     pub(super) snapshot: Option<SnapshotWait>,
-    /// How many peers were offered a snapshot and did not answer, at the last tick.
+    /// The number of peers that did not answer the offer of a snapshot, at the last tick.
     pub(super) peers_without_snapshot: usize,
-    /// When replication is due.
     pub(super) replication_due: Option<Due>,
-    /// How many entries were under-replicated at the last tick.
+    /// The number of under-replicated entries at the last tick.
     pub(super) under_replicated: usize,
 }
 
-/// A planted fault of rehearsals: commands are answered before they are committed. Always false in an ordinary build.
+/// Fault injection: commands are answered before they are committed. Always false in a release build.
 fn answers_early() -> bool {
     fail::fail_point!("plant-credit", |_| true);
     false
 }
 
 impl PendingCommits {
-    /// Returns how many responses wait.
+    /// Returns the number of pending responses.
     pub(super) fn len(&self) -> usize {
         self.responses.len()
     }
 
-    /// Whether the proxy has all that it ever committed and what its peers have compacted, or waits for it no longer.
+    /// Returns whether all recovery is complete or has timed out.
     pub(super) fn has_recovered(&self) -> bool {
         self.recovery.as_ref().is_none_or(Recovery::is_over)
             && self.snapshot.as_ref().is_none_or(SnapshotWait::has_ended)
@@ -86,7 +85,7 @@
 }
 
 impl Daemon {
-    /// Applies the effects of a peer CDN's command, and responds once they are committed.
+    /// Applies the effects of a command of a peer CDN, and responds once they are committed.
     pub(super) fn commit_command(
         &mut self,
         now: Micros,
@@ -98,7 +97,7 @@
             return self.finish_commit(now, response, Err(AppendError::NoStore.into()));
         }
         if !self.may_commit() {
-            // Peers turn to the later process for what this name has committed.
+            // Peers recognize only the later process as the writer of this log.
             return self.finish_commit(now, response, Err(CommitError::Replaced));
         }
         let last = self.apply_effects(now, effects);
@@ -113,7 +112,7 @@
         }
     }
 
-    /// Applies all effects. Returns the index of the last entry that was appended, or the first error.
+    /// Applies all effects. Returns the index of the last appended entry, or the first error.
     fn apply_effects(
         &mut self,
         now: Micros,
@@ -124,7 +123,7 @@
             let appended = match effect {
                 Effect::Purge(object, group) => self.apply_purge(now, object, group),
                 Effect::Status(name, text) if last.is_ok() => self.append_status(now, name, &text),
-                // The command fails as a whole, so its trigger has no status.
+                // The command fails as a whole, so its trigger gets no status.
                 Effect::Status(..) => Ok(None),
                 Effect::Gone(name) => self.append_gone(now, name),
                 Effect::Post(post) => {
@@ -137,7 +136,7 @@
         last
     }
 
-    /// Opens a commit of this proxy's log through an index. The response is sent when it is resolved.
+    /// Opens a commit of this proxy's log up to an index. The response is sent when the commit is resolved.
     fn open_commit(&mut self, now: Micros, index: Index, response: PendingResponse) {
         let opened = self
             .ledger
@@ -148,14 +147,14 @@
             Some(Err(reason)) => {
                 self.finish_commit(now, response, Err(CommitError::Rejected(reason)));
             }
-            // Without a log nothing has an index.
+            // Without a log there is nothing to commit.
             None => self.finish_commit(now, response, Ok(())),
         }
         self.resolve_commits(now);
         self.schedule_replication(now);
     }
 
-    /// Sends the responses whose commits are committed, or rejected.
+    /// Sends the responses of commits that have been resolved.
     pub(super) fn resolve_commits(&mut self, now: Micros) {
         let Some(ledger) = &mut self.ledger else {
             return;
@@ -171,7 +170,7 @@
         }
     }
 
-    /// Sends a response, or the rejection in its place.
+    /// Sends a response, or a rejection if the commit failed.
     fn finish_commit(
         &mut self,
         now: Micros,
@@ -192,11 +191,11 @@
                 connection
             }
         };
-        // The event loop writes it, and reads what the client sent after its request.
+        // The event loop writes the response and then reads the next request.
         self.deadlines.set(now, Timer::ResumeConnection(connection));
     }
 
-    /// Responds to a peer CDN; false where its connection has gone.
+    /// Responds to a peer CDN. Returns false if its connection is closed.
     fn finish_cdni(
         &mut self,
         now: Micros,
@@ -224,8 +223,8 @@
         true
     }
 
-    /// Puts a purge that a peer CDN ordered in force, sends it to the peers and appends it to the log. Returns its
-    /// index; none where there is no log.
+    /// Applies a purge of a peer CDN, appends it to the log and sends it to the peers. Returns the index of its
+    /// entry; `None` without a log.
     fn apply_purge(
         &mut self,
         now: Micros,
@@ -242,7 +241,7 @@
         if let Ok(Some(entry)) = &appended {
             self.send_entry(entry.clone());
         }
-        // Also where it was not appended: it is in force.
+        // Sent even if it was not appended, as it is in effect here.
         self.send_plain_purge(now, object.as_deref(), group, at);
         fail::fail_point!("peers-told");
         Ok(appended?.map(|entry| entry.index))
--- a/daemon/src/daemon/commits/operators.rs
+++ b/daemon/src/daemon/commits/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' decisions in the log: their commits, and putting in force what the log says.
+//! Commits of operators' decisions, and their restoration from the log.
 
 use super::{CommitError, PendingCommits, PendingResponse};
 use crate::daemon::Daemon;
@@ -8,11 +8,11 @@
 use linnetknot_ops::{Effect, Reply};
 use linnetknot_replication::Subject;
 
-/// What an operator's call decided, as an entry of the log holds it.
+/// The decision of an operator's call, as stored in the log.
 pub(in crate::daemon) struct OperatorDecision {
     subject: Subject,
     revoked: bool,
-    /// The value of `revoked` that was last committed, which is restored if this decision is rejected.
+    /// The last committed value of `revoked`, which is restored if this decision is rejected.
     committed_revoked: bool,
 }
 
@@ -28,7 +28,7 @@
         OperatorDecision {
             subject,
             revoked,
-            // The call changed the state, so the state before was the opposite.
+            // The call changed the state, so the previous value was the opposite.
             committed_revoked: !revoked,
         }
     }
@@ -36,11 +36,11 @@
 
 /// The response to an operator's call.
 pub(super) struct OperatorResponse {
-    /// The connection on which it is awaited.
+    /// The connection that waits for the response.
     pub(super) connection: Key,
-    /// The response, if the call is committed.
+    /// The reply if the call is committed.
     reply: Reply,
-    /// What the call decided; none where it changed nothing.
+    /// The decision; `None` if the call changed nothing.
     decision: Option<OperatorDecision>,
 }
 
@@ -62,9 +62,9 @@
 }
 
 impl Daemon {
-    /// Commits an operator's call that was carried out. Returns the reply where it can be given at once; otherwise it
-    /// is sent once the call's decision is committed, and with it all decisions before. A call that changed nothing has
-    /// no decision of its own.
+    /// Commits an operator's call that was executed. Returns the reply if it can be sent immediately. Otherwise the
+    /// reply is sent once this decision and all earlier ones are committed. A call that changed nothing has no
+    /// decision of its own.
     pub(in crate::daemon) fn commit_call(
         &mut self,
         now: Micros,
@@ -73,8 +73,8 @@
         mut decision: Option<OperatorDecision>,
     ) -> Option<Reply> {
         if let Some(decision) = &mut decision {
-            // The state that this call found is not committed while another decision on it is pending; what the oldest
-            // of them found is.
+            // While another decision on the subject is pending, the committed value is the one that preceded the
+            // oldest pending decision.
             if let Some(oldest) = self.pending_commits.decisions(&decision.subject).next() {
                 decision.committed_revoked = oldest.committed_revoked;
             }
@@ -108,7 +108,7 @@
         None
     }
 
-    /// Replies to an operator. A rejected decision is undone.
+    /// Replies to an operator, and undoes the decision if it was rejected.
     pub(super) fn finish_operator(
         &mut self,
         now: Micros,
@@ -123,7 +123,7 @@
         match result {
             Ok(()) => {
                 if let Some(committed) = &decision {
-                    // Later decisions that are rejected restore this one.
+                    // Later decisions restore this value if they are rejected.
                     for later in self.pending_commits.decisions(&committed.subject) {
                         later.committed_revoked = committed.revoked;
                     }
@@ -141,8 +141,8 @@
         self.send_admin_reply(connection, &reply);
     }
 
-    /// Undoes a rejected decision, here and in the log, which peers may have. While a later decision on the same
-    /// subject is pending, that one is in force, and undoes this one too if it is rejected.
+    /// Undoes a rejected decision in effect and in the log, as peers may have its entry. If a later decision on the
+    /// subject is pending, that one stays in effect; if it is rejected too, it restores the last committed value.
     fn undo_decision(&mut self, now: Micros, decision: OperatorDecision) {
         let OperatorDecision {
             subject,
@@ -175,8 +175,7 @@
         Ok(())
     }
 
-    /// Restores the operators' decisions at the start: those of the log, and those of the operators' files that the log
-    /// does not know, which are appended to it.
+    /// Restores the operators' decisions of the log, and appends those that are only in the operators' files.
     pub(in crate::daemon) fn restore_decisions(&mut self, now: Micros) {
         self.apply_decisions(now);
         if self.lacks_store() {
@@ -198,7 +197,7 @@
         }
     }
 
-    /// Puts this proxy's decisions in the log in force, also those that have come back from peers.
+    /// Applies this proxy's decisions in the log, including those that peers have returned.
     pub(in crate::daemon) fn apply_decisions(&mut self, now: Micros) {
         let Some(decisions) = self.ledger.as_ref().map(Ledger::decisions) else {
             return;
@@ -212,7 +211,7 @@
         }
     }
 
-    /// Puts a decision in force, or revokes it. Returns whether that changed anything.
+    /// Applies or revokes a decision. Returns whether that changed anything.
     fn apply_decision(&mut self, now: Micros, subject: &Subject, revoked: bool) -> bool {
         let effect = match subject {
             Subject::Ban(id) => self.operations.set_banned(id, !revoked),
--- a/daemon/src/daemon/commits/triggers.rs
+++ b/daemon/src/daemon/commits/triggers.rs
@@ -1,4 +1,4 @@
-//! The triggers of peer CDNs in the log: the entries of their statuses, here and from peers.
+//! The triggers of peer CDNs in the log: appends their statuses, and applies the entries of peers.
 
 use super::CommitError;
 use crate::daemon::Daemon;
@@ -7,7 +7,7 @@
 use linnetknot::Micros;
 use linnetknot_replication::{Entry, Index, Subject};
 
-/// Returns the trigger that an entry is about, if it is about one.
+/// Returns the trigger that an entry refers to, if any.
 fn trigger_name(entry: &Entry) -> Option<TriggerId> {
     match entry.subject {
         Subject::Status { number, .. } => Some(TriggerId {
@@ -20,7 +20,7 @@
 }
 
 impl Daemon {
-    /// Appends the status of a trigger. Returns the index of its last entry; none where there is no log.
+    /// Appends the status of a trigger. Returns the index of its last entry; `None` without a log.
     pub(super) fn append_status(
         &mut self,
         now: Micros,
@@ -38,7 +38,7 @@
         Ok(last)
     }
 
-    /// Appends that a trigger is gone. Returns the entry's index; none where there is no log.
+    /// Appends the deletion of a trigger. Returns the index of the entry; `None` without a log.
     pub(super) fn append_gone(
         &mut self,
         now: Micros,
@@ -53,8 +53,7 @@
         Ok(Some(index))
     }
 
-    /// Undoes a command that is not committed: its trigger is gone. Returns the response; none where no peer CDN is
-    /// served.
+    /// Deletes the trigger of a command that is not committed. Returns the response; `None` without a CDNI front.
     pub(super) fn reject_trigger(
         &mut self,
         now: Micros,
@@ -69,7 +68,7 @@
             return Some(response);
         }
         log::warn!(trigger = name.as_str(), reason = error.to_string().as_str(); "a command of a peer CDN is rejected");
-        // A process that was replaced has appended nothing that would have to be undone.
+        // A replaced process has appended nothing, so there is nothing to undo.
         let appended = trigger.filter(|_| self.may_commit());
         if let Some(Err(e)) = appended.map(|name| self.append_gone(now, name)) {
             log::warn!(trigger = name.as_str(); "that the command is rejected can't be appended to the log, and its peers do not know it: {e}");
@@ -77,7 +76,7 @@
         Some(response)
     }
 
-    /// Restores the triggers of the log, of this proxy and of others, and the numbering of those to come.
+    /// Restores the triggers of all logs, and the next trigger number of this proxy.
     pub(in crate::daemon) fn restore_triggers(&mut self, now: Micros) {
         let (Some(ledger), Some((_, trigger_api))) = (&self.ledger, &mut self.trigger_api) else {
             return;
@@ -96,7 +95,7 @@
         }
     }
 
-    /// Updates the triggers that new entries of a peer are about.
+    /// Updates the triggers that new entries of a peer refer to.
     pub(in crate::daemon) fn receive_triggers(&mut self, now: Micros, entries: &[Entry]) {
         let (Some(ledger), Some((_, trigger_api))) = (&self.ledger, &mut self.trigger_api) else {
             return;
--- a/daemon/src/daemon/exchange.rs
+++ b/daemon/src/daemon/exchange.rs
@@ -1,6 +1,7 @@
-//! The interface of protocols in which this side is the client: the loop connects, writes, reads and keeps the time;
-//! what the bytes mean is up to the protocol. What follows from them is handed back as effects, which run once the connection is no
-//! longer borrowed.
+//! Client-side protocols.
+//!
+//! The event loop connects, writes, reads and enforces timeouts; an [`Exchange`] interprets the bytes. It returns its
+//! effects as tasks, which run once the connection is no longer borrowed.
 
 use super::{ConnectionKind, Daemon, Timer};
 use crate::net::{Due, Key};
@@ -8,43 +9,43 @@
 use linnetknot::Micros;
 use std::net::SocketAddr;
 
-/// Something to be done by the daemon.
+/// A deferred action on the daemon.
 pub(super) type Task = Box<dyn FnOnce(&mut Daemon, Micros)>;
 
-/// How a connection ended before its exchange was done.
+/// Why an exchange ended before it was complete.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum ExchangeEnd {
-    /// It never came up.
+    /// The connection was never established.
     Unreachable,
-    /// The other side ended it, or it broke.
+    /// The remote side closed the connection, or it failed.
     Closed,
-    /// Its time was over.
+    /// The exchange exceeded its timeout.
     TimedOut,
-    /// What came can't be read.
+    /// The received bytes are malformed.
     Unreadable(WireError),
 }
 
-/// What an exchange needs next.
+/// The state of an exchange after it has read input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Flow {
-    /// More bytes.
+    /// The exchange needs more input.
     NeedsInput,
-    /// Nothing: the connection is of no further use.
+    /// The exchange is complete, and its connection is closed.
     Done,
 }
 
-/// One connection's worth of a protocol that this side begins.
+/// A protocol on one outgoing connection.
 pub(super) trait Exchange {
-    /// What is written once the connection is up.
+    /// Returns the bytes to write once the connection is established.
     fn initial_bytes(&self) -> Vec<u8>;
-    /// Takes in all of `input`.
+    /// Consumes all of `input`.
     fn read(&mut self, input: &[u8], tasks: &mut Vec<Task>) -> Result<Flow, WireError>;
-    /// The connection has ended before `Flow::Done`.
+    /// The connection has ended before `Flow::Done`. Returns a task to run, if any.
     fn on_ended(self: Box<Self>, end: ExchangeEnd) -> Option<Task>;
 }
 
 impl Daemon {
-    /// Begins an exchange; none if there is no connection to be had, and `ended` is not called then.
+    /// Starts an exchange. Returns `None`, without calling `on_ended`, if no connection can be opened.
     pub(super) fn start_exchange(
         &mut self,
         now: Micros,
@@ -63,7 +64,7 @@
         Some(key)
     }
 
-    /// Reschedules: cancels what was due, and has this done at a time, if at all.
+    /// Cancels the previous deadline, if any, and schedules the task for the new one, if any.
     pub(super) fn reschedule(
         &mut self,
         old: Option<Due>,
@@ -76,7 +77,7 @@
         at.map(|at| self.schedule(at, task))
     }
 
-    /// Does something later.
+    /// Schedules a task.
     pub(super) fn schedule(
         &mut self,
         at: Micros,
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Ends an exchange's connection, if it is still there.
+    /// Ends an exchange and closes its connection, if it is still open.
     pub(super) fn end_exchange(&mut self, now: Micros, key: Key, end: ExchangeEnd) {
         if !matches!(self.connections.get(key), Some(connection) if matches!(connection.kind, ConnectionKind::Exchange(_)))
         {
--- a/daemon/src/daemon/membership.rs
+++ b/daemon/src/daemon/membership.rs
@@ -1,5 +1,4 @@
-//! Membership of the proxies (`linnetknot_membership`) in the daemon: its datagrams, its timers, and its changes in the
-//! log.
+//! Membership of the proxies (`linnetknot_membership`): datagrams, timers and logging.
 
 use super::Daemon;
 use linnetknot::Micros;
@@ -8,10 +7,9 @@
     Change, DecodeError, Member, MemberState, Membership, MembershipConfig, Names, Options,
 };
 
-/// The shortest time to the next tick.
 const MIN_TICK_INTERVAL_US: Micros = 1;
 
-/// Returns the name of a member's state; `unknown` where nothing was received of it.
+/// Returns the name of a member's state; `unknown` if nothing was received about it.
 pub(super) fn state_name(state: Option<MemberState>) -> &'static str {
     match state {
         None => "unknown",
@@ -31,7 +29,7 @@
     }
 }
 
-/// Whether the peer with this index is known to replicate logs: one that is up does.
+/// Returns whether a peer is known to replicate logs, which all members that are up do.
 pub(super) fn replicates(membership: Option<&Membership>, peer: usize) -> bool {
     let member = membership.and_then(|membership| membership.members().get(peer));
     member.is_some_and(Member::is_up)
@@ -63,20 +61,20 @@
         self.schedule_membership(now);
     }
 
-    /// Whether a later process of this name has begun.
+    /// Returns whether a later process with the same name has started.
     pub(super) fn is_replaced(&self) -> bool {
         self.membership
             .as_ref()
             .is_some_and(Membership::is_replaced)
     }
 
-    /// Whether this process may commit anything: one that was replaced leaves that to its successor.
+    /// Returns whether this process may commit entries. A replaced process leaves that to its successor.
     pub(super) fn may_commit(&self) -> bool {
         fail::fail_point!("plant-no-fence", |_| true);
         !self.is_replaced()
     }
 
-    /// Receives a datagram of a peer; false where it is of another kind.
+    /// Receives a datagram of a peer. Returns false if it belongs to another protocol.
     pub(super) fn receive_membership(&mut self, now: Micros, peer: usize, bytes: &[u8]) -> bool {
         let Some(membership) = &mut self.membership else {
             return false;
@@ -112,8 +110,8 @@
         true
     }
 
-    /// Raises the ledger's incarnation to that of membership, which grows where a peer knows of a process before this
-    /// one that has a later number.
+    /// Raises the ledger's incarnation to that of membership, which grows if a peer knows an earlier process of this
+    /// name with a later incarnation.
     fn raise_ledger_incarnation(&mut self, process: u64) {
         let is_behind = |ledger: &&mut crate::ledger::Ledger| ledger.incarnation() < process;
         if let Some(ledger) = self.ledger.as_mut().filter(is_behind) {
@@ -122,7 +120,7 @@
         }
     }
 
-    /// Sends what membership has to send, and logs its changes.
+    /// Sends pending datagrams of membership and logs its changes.
     pub(super) fn flush_membership(&mut self, now: Micros) {
         let Some(membership) = &mut self.membership else {
             return;
@@ -158,7 +156,7 @@
         );
     }
 
-    /// Schedules the next tick, unless one is scheduled early enough.
+    /// Schedules the next tick, unless one is already scheduled early enough.
     fn schedule_membership(&mut self, now: Micros) {
         let Some(membership) = &self.membership else {
             return;
@@ -180,7 +178,7 @@
         self.flush_membership(now);
     }
 
-    /// Announces to the members that the process ends, so that they need not detect it.
+    /// Announces to the members that the process is leaving, so that they need not detect it.
     pub(super) fn leave_membership(&mut self, now: Micros) {
         let Some(membership) = &mut self.membership else {
             return;
--- a/daemon/src/daemon/plain_purges.rs
+++ b/daemon/src/daemon/plain_purges.rs
@@ -1,4 +1,4 @@
-//! Plain purges on the peers' socket: sends, greets and writes as `crate::plain_purges` decides.
+//! Purges as plain datagrams, for peers that do not replicate logs. The decisions are made by `crate::plain_purges`.
 
 use super::membership::replicates;
 use super::peer_index::PeerIndex;
@@ -8,11 +8,11 @@
 use linnetknot::Micros;
 
 impl Daemon {
-    /// Puts a purge that a peer sent as a plain datagram in force, and writes it if it has to be.
+    /// Applies a purge that was received as a plain datagram, and stores it if necessary.
     pub(super) fn receive_plain_purge(&mut self, now: Micros, from: Option<usize>, purge: Purge) {
         let Purge { object, group, at } = purge.clone();
         self.core.record_purge(now, object, group, at);
-        // Where logs are not replicated, no sender can be known to replicate them.
+        // Without replicated logs, no sender can be known to replicate them.
         let from = from.filter(|_| self.membership.is_some());
         let replicates = from.is_some_and(|peer| replicates(self.membership.as_ref(), peer));
         match self.plain_purges.receive(now, from, replicates, purge) {
@@ -28,7 +28,8 @@
         }
     }
 
-    /// Appends a purge of a peer that does not replicate logs to this proxy's log, so that it outlives the process.
+    /// Appends a purge of a peer that does not replicate logs to this proxy's log, so that it persists across
+    /// restarts.
     pub(super) fn write_plain_purge(&mut self, purge: &Purge) {
         let Some(ledger) = &mut self.ledger else {
             return;
@@ -41,7 +42,8 @@
         }
     }
 
-    /// Sends a purge as a plain datagram to the peers that are not known to replicate logs, now and again later.
+    /// Sends a purge as a plain datagram to the peers that are not known to replicate logs, and schedules its
+    /// repetitions.
     pub(super) fn send_plain_purge(
         &mut self,
         now: Micros,
@@ -92,7 +94,7 @@
         self.schedule_plain_purges();
     }
 
-    /// Indexes the peers by their addresses. To be called after each change of the configured peers.
+    /// Rebuilds the index of the peers by address. Has to be called after each change of the configured peers.
     pub(super) fn index_peers(&mut self) {
         let peers = self
             .peers
--- a/daemon/src/daemon/replication.rs
+++ b/daemon/src/daemon/replication.rs
@@ -5,11 +5,11 @@
 use linnetknot_discovery::server_id;
 use std::net::SocketAddr;
 
-/// The shortest time to the next tick, so that the event loop always gets to its sockets.
+/// Leaves the event loop time for its sockets between ticks.
 const MIN_TICK_INTERVAL_US: Micros = 1_000;
 
 impl Daemon {
-    /// Processes completions of the store's worker, and the result of opening the store.
+    /// Processes completions of the store's worker and the result of opening the store.
     pub(super) fn receive_store_completions(&mut self, now: Micros) {
         if let Some(signal) = &mut self.store_signal {
             signal.drain();
@@ -27,7 +27,7 @@
         self.resolve_commits(now);
     }
 
-    /// Sends what is due to the peers: acknowledgements, digests, requests and snapshot chunks. Schedules the next
+    /// Sends the datagrams that are due: acknowledgements, digests, requests and snapshot chunks. Schedules the next
     /// tick.
     pub(super) fn tick_replication(&mut self, now: Micros) {
         let Some(ledger) = &mut self.ledger else {
@@ -41,7 +41,7 @@
         self.schedule_replication(now);
     }
 
-    /// Logs changes of the number of under-replicated entries, and of peers that do not know snapshots.
+    /// Logs changes in the number of under-replicated entries and of peers that do not support snapshots.
     fn log_replication(&mut self) {
         let Some(ledger) = &self.ledger else {
             return;
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Schedules the next tick, unless one is scheduled early enough.
+    /// Schedules the next tick, unless one is already scheduled early enough.
     pub(super) fn schedule_replication(&mut self, now: Micros) {
         let Some(ledger) = &self.ledger else { return };
         let due = ledger.due().max(now + MIN_TICK_INTERVAL_US);
@@ -74,8 +74,7 @@
         });
     }
 
-    /// Tells the replica on which machines the peers run: as each says itself, and until it has as the configuration
-    /// says.
+    /// Updates the machines of the peers in the replica: as announced by each peer, or else as configured.
     pub(super) fn update_machines(&mut self) {
         let copies = &self.config.copies;
         let members = self
--- a/daemon/src/daemon/sources/bus.rs
+++ b/daemon/src/daemon/sources/bus.rs
@@ -1,4 +1,4 @@
-//! The event bus: one connection that is read for good, and made anew where it ends or falls silent.
+//! The event bus: a long-lived connection that is opened again if it ends or becomes silent.
 
 use crate::bus::{request, BusEvent, Feed, News};
 use crate::daemon::discovery::BUS;
@@ -12,10 +12,10 @@
 use linnetknot_discovery::{Entry, Evidence, Report};
 use std::collections::BTreeMap;
 
-/// When a cache started.
+/// The start time of a cache.
 #[derive(Clone, Copy)]
 struct Start {
-    /// As the bus dated it, by the platform's clock.
+    /// By the platform's clock, as reported by the bus.
     date: Micros,
     /// By the local clock.
     local: Micros,
@@ -25,18 +25,18 @@
 pub(in crate::daemon) struct State {
     key: Option<Key>,
     timer: Option<Due>,
-    /// The number of the last event.
+    /// The offset of the last event.
     pub(in crate::daemon) last_offset: u64,
-    /// When something last came.
+    /// When data was last received, or the connection was opened.
     last_read_at: Micros,
-    /// When caches started. One date always has the same local time: a cache whose start changes has started again.
+    /// The start times of caches. The local time of a date never changes, as a changed start time means a restart.
     starts: BTreeMap<ServerId, Start>,
-    /// How long to wait before the next connection. The longest wait is short against the time that its events may take.
+    /// The backoff between connections.
     backoff: Backoff,
 }
 
 impl State {
-    /// No event has come yet.
+    /// Creates the state before the first event.
     pub(in crate::daemon) fn new(seed: u64, limits: &Limits) -> Self {
         let backoff = Backoff::new(limits.bus_again_us, limits.bus_again_most_us, seed);
         State {
@@ -50,7 +50,7 @@
     }
 }
 
-/// One connection to the bus.
+/// The protocol of one connection to the bus.
 struct BusExchange {
     host: String,
     last_offset: u64,
@@ -87,10 +87,10 @@
 }
 
 impl Daemon {
-    /// Takes in what an event says, whether it has just come or was recorded by an earlier process.
+    /// Applies an event that was just received or recorded by an earlier process.
     pub(in crate::daemon) fn apply_bus_event(&mut self, now: Micros, event: BusEvent) {
         match event.news {
-            // Unless told otherwise, one source has the list.
+            // Unless the configuration combines them, Consul replaces the bus as the source of the endpoint list.
             Some(News::List(..)) if self.config.consul.as_ref().is_some_and(|c| !c.beside_bus) => {}
             Some(News::List(answer)) => {
                 for entry in &answer.entries {
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Translates the start of a cache, which is dated by the platform's clock, to the local clock, which may be off. No
-    /// cache has started later than its event came.
+    /// Converts the start time of a cache from the platform's clock to the local clock. The result is never later
+    /// than the arrival of the event.
     fn localize_start_time(&mut self, now: Micros, entry: &mut Entry) {
         let id = entry.server.id;
         if entry.server.state == ServerState::Gone {
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Takes an event that has just come: purges go on to the peer CDNs too.
+    /// Handles a received event. Purges are also forwarded to peer CDNs.
     fn receive_bus_event(&mut self, now: Micros, mut event: BusEvent) {
         if let Some(News::List(answer)) = &mut event.news {
             for entry in &mut answer.entries {
@@ -157,7 +157,7 @@
         self.apply_bus_event(now, event);
     }
 
-    /// Connects to the bus, behind the last event.
+    /// Connects to the bus and resumes after the last event.
     pub(in crate::daemon) fn connect_bus(&mut self, now: Micros) {
         let Some(bus) = self.config.bus else { return };
         let feed = Feed::new(&self.limits);
@@ -174,13 +174,13 @@
         }
     }
 
-    /// Connects again after the backoff.
+    /// Schedules a connection to the bus after the backoff.
     fn schedule_bus_reconnect(&mut self, now: Micros) {
         let delay = self.bus.backoff.next_delay();
         self.schedule_bus_check(now + delay);
     }
 
-    /// The bus is at another address: connects there at once.
+    /// Connects to the new address of the bus immediately.
     pub(in crate::daemon) fn reconnect_moved_bus(&mut self, now: Micros) {
         if let Some(old) = self.bus.key.take() {
             self.connections.remove(old);
@@ -189,7 +189,7 @@
         self.connect_bus(now);
     }
 
-    /// Checks the connection at this time, and no more at the time before.
+    /// Schedules the next check of the connection, replacing an earlier one.
     fn schedule_bus_check(&mut self, at: Micros) {
         let due = self.schedule(at, Daemon::check_bus);
         if let Some(due) = self.bus.timer.replace(due) {
@@ -197,8 +197,7 @@
         }
     }
 
-    /// Connects again where there is no connection or it has fallen silent: the bus may have gone without closing it, and
-    /// its events count as known all the same.
+    /// Reconnects if the connection has ended or is silent, as a lost connection may not be closed explicitly.
     fn check_bus(&mut self, now: Micros) {
         match self.bus.key {
             None => self.connect_bus(now),
--- a/daemon/src/daemon/sources/consul/cached_snapshot.rs
+++ b/daemon/src/daemon/sources/consul/cached_snapshot.rs
@@ -1,5 +1,5 @@
-//! The cached snapshots: the last good endpoint list of each data centre on disk, for a start without an agent. A worker
-//! writes them, so that the loop waits for no disk.
+//! Cached snapshots: stores the last good endpoint list of each data centre, for a start without an agent. A worker
+//! thread writes them, so that the event loop does not wait for the disk.
 
 use crate::daemon::discovery::CONSUL;
 use crate::daemon::Daemon;
@@ -11,7 +11,7 @@
 use std::path::{Path, PathBuf};
 use std::{fs, io};
 
-/// The folder of the cached snapshots can't be used.
+/// The directory of the cached snapshots can't be used.
 #[derive(Debug, thiserror::Error)]
 #[error("state.directory: {}: {source}", folder.display())]
 pub(in crate::daemon) struct FolderError {
@@ -22,33 +22,33 @@
 /// Why a cached snapshot is not used.
 #[derive(Debug, thiserror::Error)]
 enum LoadError {
-    /// Its file can't be read.
+    /// The file can't be read.
     #[error(transparent)]
     Read(#[from] io::Error),
-    /// It is not sound.
+    /// The content is invalid.
     #[error(transparent)]
     Decode(#[from] cached_snapshot::SnapshotError),
 }
 
-/// Writes the snapshots, one of each data centre.
+/// Writes the snapshot of each data centre.
 pub(in crate::daemon) struct SnapshotWriter {
     disk: Disk,
     snapshots: Vec<Snapshot>,
-    /// The folder, where it could not be made at the start.
+    /// The directory, if it could not be created at startup.
     missing_folder: Option<PathBuf>,
 }
 
 /// The snapshot of one data centre.
 struct Snapshot {
     path: PathBuf,
-    /// What it is the list of.
+    /// Identifies the data centre and query that the list belongs to.
     scope: String,
-    /// When it is written next, if it is to be.
+    /// The deadline of the next write, if one is scheduled.
     timer: Option<Due>,
     /// When the list was last confirmed.
     confirmed_at: Micros,
     written_at: Micros,
-    /// The list as it was last written, without its time.
+    /// The entries of the last write.
     written: Vec<Entry>,
 }
 
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Reads it from its file, whose length is checked before any of it is read.
+    /// Loads the snapshot from its file, after checking the length of the file.
     fn load(
         &self,
         now: Micros,
@@ -81,10 +81,10 @@
 }
 
 impl SnapshotWriter {
-    /// Writes snapshots in a folder. The scopes say what each is the list of.
+    /// Creates a writer of snapshots in a directory, with one snapshot for each scope.
     ///
     /// # Errors
-    /// The folder can't be made for a reason that lasts, or there is no thread for the worker.
+    /// The directory can't be created for a permanent reason, or the worker thread can't be started.
     pub(in crate::daemon) fn start(
         folder: &Path,
         scopes: Vec<String>,
@@ -115,7 +115,7 @@
         })
     }
 
-    /// Makes the folder, where that could not be done at the start.
+    /// Creates the directory if that failed at startup.
     fn make_missing_folder(&mut self) {
         self.missing_folder
             .take_if(|folder| fs::create_dir_all(folder).is_ok());
@@ -123,7 +123,7 @@
 }
 
 impl Daemon {
-    /// Takes up the snapshots of an earlier run, if they can be trusted.
+    /// Loads the snapshots of an earlier process.
     pub(in crate::daemon) fn load_snapshots(&mut self, now: Micros) {
         for index in 0..self.snapshot_count() {
             self.load_snapshot(now, index);
@@ -162,8 +162,8 @@
         }
     }
 
-    /// The list of a data centre is confirmed as it stands now: its snapshot is written soon if it has changed, else before
-    /// its time grows old.
+    /// Schedules the write of a confirmed list: soon if it has changed, otherwise in time to keep its timestamp
+    /// recent.
     pub(in crate::daemon) fn schedule_snapshot(&mut self, now: Micros, index: usize) {
         let soon_us = self.limits.keep_soon_us;
         let seldom_us = self.limits.keep_seldom_us;
@@ -215,12 +215,12 @@
             snapshot.written = entries;
             snapshot.written_at = now;
         } else {
-            // The disk has not yet taken the one before. What is written then is the list of then.
+            // The worker has not started the previous write yet. The list is written as it is at the retry.
             self.write_snapshot_at(now + self.limits.keep_soon_us, index);
         }
     }
 
-    /// At the end of the process: writes what has changed since it was last written, without waiting for more changes.
+    /// Writes the snapshots with scheduled writes immediately, at shutdown.
     pub(in crate::daemon) fn write_pending_snapshots(&mut self, now: Micros) {
         for index in 0..self.snapshot_count() {
             let snapshot = self.snapshot_mut(index);
--- a/daemon/src/daemon/sources/consul/call.rs
+++ b/daemon/src/daemon/sources/consul/call.rs
@@ -1,4 +1,4 @@
-//! One call to an agent: a request, and its whole response.
+//! An HTTP call to a Consul agent: one request and its response.
 
 use crate::daemon::exchange::{Exchange, ExchangeEnd, Flow, Task};
 use crate::daemon::Daemon;
@@ -7,27 +7,26 @@
 use linnetknot::Micros;
 use linnetknot_consul::TransportError;
 
-/// What came of a call: head and body of the response, or why there is none.
+/// The head and body of the response, or the failure of the call.
 pub(super) type Outcome = Result<(Head, Vec<u8>), TransportError>;
-/// Takes a part of a body, with the number of the watch.
+/// Receives a part of a body, with the index of the watch.
 type BodyHandler = fn(&mut Daemon, usize, &[u8]);
-/// Takes the outcome of a call.
+/// Receives the outcome of a call.
 type CompletionHandler = Box<dyn FnOnce(&mut Daemon, Micros, Outcome)>;
 
-/// One call.
 pub(super) struct Call {
     request: Vec<u8>,
     messages: Messages,
     head: Option<Head>,
     body: Vec<u8>,
-    /// Who takes the parts of a body with status 200 as they come.
+    /// Receives the parts of a body with status 200 as they arrive.
     on_body: Option<BodyHandler>,
     watch_index: usize,
     done: Option<CompletionHandler>,
 }
 
 impl Call {
-    /// A call with this request, and what is to be done with its outcome.
+    /// Creates a call with a request and a handler of its outcome.
     pub(super) fn new(
         request: Vec<u8>,
         max_line: usize,
@@ -47,7 +46,7 @@
         })
     }
 
-    /// Hands the parts of a body with status 200 on as they come, with the number given here.
+    /// Passes parts of a body with status 200 to a handler as they arrive, with the index of the watch.
     pub(super) fn with_body_handler(
         mut self: Box<Self>,
         watch_index: usize,
@@ -97,7 +96,7 @@
     fn on_ended(mut self: Box<Self>, end: ExchangeEnd) -> Option<Task> {
         let done = self.done.take()?;
         let failure = match end {
-            // A body without a length goes on to the connection's end.
+            // A body without a length extends to the end of the connection.
             ExchangeEnd::Closed if self.head.is_some() && self.messages.may_end() => {
                 let (head, body) = (self.head.take()?, self.body);
                 return Some(Box::new(move |daemon, now| {
--- a/daemon/src/daemon/sources/consul/mod.rs
+++ b/daemon/src/daemon/sources/consul/mod.rs
@@ -1,5 +1,5 @@
-//! Consul in the daemon: the watches of its data centres, the proxy's own registration, and the endpoint lists that are
-//! cached for the next start.
+//! Consul: watches the services of each data centre, registers this proxy, and caches the endpoint lists for the next
+//! start.
 
 mod cached_snapshot;
 mod call;
@@ -24,18 +24,18 @@
 /// The watch of one data centre.
 struct WatchState {
     watch: Watch,
-    /// The call that is out.
+    /// The connection of the current call.
     key: Option<Key>,
     timer: Option<Due>,
 }
 
-/// The proxy's own registration.
+/// The registration of this proxy.
 struct RegistrationState {
     registration: Registration,
     timer: Option<Due>,
 }
 
-/// What the daemon knows of Consul.
+/// The state of all connections to Consul.
 pub(in crate::daemon) struct State {
     agents: Vec<SocketAddr>,
     watches: Vec<WatchState>,
@@ -44,7 +44,7 @@
     max_answer: usize,
 }
 
-/// The file of the token can't be used. Its text shows in no message.
+/// The token file can't be used. The message does not include the token.
 #[derive(Debug, thiserror::Error)]
 #[error("consul.token_file: {}: {reason}", path.display())]
 pub(in crate::daemon) struct TokenError {
@@ -52,7 +52,7 @@
     reason: Box<dyn Error + Send + Sync>,
 }
 
-/// Reads the token's file.
+/// Reads the token file.
 fn token(consul: &Consul) -> Result<Option<Token>, TokenError> {
     let Some(path) = &consul.token_file else {
         return Ok(None);
@@ -67,7 +67,7 @@
 }
 
 impl State {
-    /// The state at the start. `listen` is where clients connect, which is what is registered.
+    /// Creates the state at startup. The address that clients connect to, `listen`, is registered.
     pub(in crate::daemon) fn start(
         consul: &Consul,
         seed: u64,
@@ -104,7 +104,7 @@
 }
 
 impl Daemon {
-    /// Begins whatever of Consul is due, and sees to it that the rest is begun in time.
+    /// Starts all calls that are due, and schedules the others.
     pub(in crate::daemon) fn drive_consul(&mut self, now: Micros) {
         let watches = self.consul.as_ref().map_or(0, |c| c.watches.len());
         (0..watches).for_each(|index| self.drive_watch(now, index));
@@ -148,7 +148,8 @@
         }
     }
 
-    /// A part of an answer: read as it comes, so that a long one takes the loop's time in small steps.
+    /// Passes a part of a response body to its watch. Parsing long responses incrementally keeps the turns of the
+    /// event loop short.
     fn receive_watch_body(&mut self, index: usize, bytes: &[u8]) {
         if let Some(watch_state) = self.consul.as_mut().and_then(|c| c.watches.get_mut(index)) {
             watch_state.watch.on_body(bytes);
@@ -189,7 +190,7 @@
             log::log!(level, source = self.endpoint_table.source(source); "a watch of Consul: {event}");
         }
         if denied {
-            // It may have been replaced since.
+            // The token may have been replaced since it was read.
             self.read_token();
         }
         if let Some(evidence) = evidence {
@@ -199,7 +200,7 @@
             self.schedule_snapshot(now, index);
         }
         self.drive_watch(now, index);
-        // Whether this proxy can serve may have changed with the list.
+        // The list may have changed the readiness of this proxy.
         self.drive_registration(now);
     }
 
@@ -291,7 +292,8 @@
         self.drive_registration(now);
     }
 
-    /// A cached snapshot counts as the last answer of a watch, so that an empty first answer can't wipe it out.
+    /// Restores a watch from a cached snapshot as its last response, so that an empty first response can't remove all
+    /// endpoints.
     pub(super) fn restore_watch(&mut self, index: usize, entries: &[Entry]) -> Option<Evidence> {
         Some(
             self.consul
@@ -303,7 +305,7 @@
         )
     }
 
-    /// Ends the proxy's registration, as the process is about to end: clients are to go elsewhere.
+    /// Deregisters the proxy at shutdown, so that clients use others.
     pub(in crate::daemon) fn deregister_from_consul(&mut self, now: Micros) {
         if let Some(registration_state) = self
             .consul
@@ -315,7 +317,7 @@
         self.drive_registration(now);
     }
 
-    /// Whether Consul needs nothing more of a proxy that ends.
+    /// Returns whether the deregistration is finished, or there is no registration.
     pub(in crate::daemon) fn is_deregistered_from_consul(&self) -> bool {
         let registration_state = self
             .consul
@@ -325,7 +327,8 @@
             .is_none_or(|registration_state| registration_state.registration.is_finished())
     }
 
-    /// Takes another configuration of Consul. The list stays until an answer changes it. False: it needs a new start.
+    /// Applies a changed configuration of Consul. The endpoint list stays until a response changes it. Returns false
+    /// if the change requires a restart.
     pub(in crate::daemon) fn reload_consul(&mut self, now: Micros, new: Option<Consul>) -> bool {
         if self.config.consul == new {
             self.read_token();
--- a/daemon/src/daemon/sources/peers.rs
+++ b/daemon/src/daemon/sources/peers.rs
@@ -10,25 +10,25 @@
 use linnetknot_replication::{Datagram, DecodeError, Entry, Outgoing, Received};
 use std::net::SocketAddr;
 
-/// Whether all chunks of snapshots are lost, which only a test asks for.
+/// Fault injection: all snapshot chunks are lost.
 fn loses_chunks() -> bool {
     fail::fail_point!("snapshot-lost", |_| true);
     false
 }
 
 impl Daemon {
-    /// Receives all datagrams that have come in.
+    /// Receives all available datagrams.
     pub(in crate::daemon) fn receive_peer_datagrams(&mut self, now: Micros) {
         let mut bytes = [0; peers::MAX_DATAGRAM_BYTES + 1];
         while let Some((socket, _)) = &self.peers {
             let (length, from) = match receive_from(socket, &mut bytes) {
                 Ok(received) => received,
-                // What an earlier datagram met costs no other.
+                // The failure was caused by an earlier datagram, so receiving continues.
                 Err(failure) if failure.kind == FailureKind::Broken => continue,
-                // epoll tells when there is more, or at once while there is.
+                // epoll reports the socket again when more datagrams arrive.
                 Err(_) => return,
             };
-            // What does not come from a peer is dropped.
+            // Datagrams of unknown senders are dropped.
             let Some(peer) = self.peer_index.find(&from) else {
                 self.dropped_datagrams.0 += 1;
                 continue;
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Hands the core what other proxies found of the origin, as far as enough of them agree.
+    /// Passes the health of the origin to the core, if enough proxies agree on it.
     fn apply_origin_health(&mut self, now: Micros) {
         let shared = self
             .origin_health
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Tells the other proxies that the origin is slow for this one.
+    /// Reports to the other proxies that the origin is slow for this one.
     pub(in crate::daemon) fn share_origin_health(&mut self, now: Micros, share: f64) {
         let Some(datagram) = self
             .origin_health
@@ -80,7 +80,7 @@
         self.send_to_peers(&datagram);
     }
 
-    /// Takes a datagram of replication; false where it is none.
+    /// Receives a datagram of replication. Returns false if it belongs to another protocol.
     fn receive_replication(&mut self, now: Micros, peer: usize, bytes: &[u8]) -> bool {
         let datagram = match Datagram::read(bytes) {
             Ok(datagram) => datagram,
@@ -106,7 +106,7 @@
         let received = ledger.receive(now, peer, datagram);
         let is_synced = peer_checksum == Some(ledger.replica().log_store().checksum());
         self.apply_received_purges(now, &received);
-        // What its operators decided, and not each purge of a long log that comes back.
+        // Only operators' decisions are applied again, not the purges of a long log that is recovered.
         if received
             .new
             .iter()
@@ -134,12 +134,12 @@
             .map(|datagram| Outgoing { peer, datagram });
         self.send_datagrams(replies.collect());
         self.resolve_commits(now);
-        // The next part of a snapshot, or of what is missing, may be due sooner now.
+        // The next snapshot chunk or request may be due earlier now.
         self.schedule_replication(now);
         true
     }
 
-    /// Puts the purges of a peer in force, also those that there is no capacity to store.
+    /// Applies the purges of a peer, including those that exceed the capacity of the store.
     fn apply_received_purges(&mut self, now: Micros, received: &Received) {
         for entry in received
             .new
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Sends a new entry to all peers at once; those that it does not reach get it by replication.
+    /// Sends a new entry to all peers immediately. Peers that do not receive it get it by replication.
     pub(in crate::daemon) fn send_entry(&mut self, entry: Entry) {
         if let Some(bytes) = Datagram::Entry(entry)
             .write()
@@ -182,14 +182,14 @@
         }
     }
 
-    /// Sends a datagram to a replication peer, by its index in the configuration.
+    /// Sends a datagram to a peer, by its index among the configured peers that replicate logs.
     pub(in crate::daemon) fn send_to_peer_at(&self, index: usize, datagram: &[u8]) {
         if let Some((peer, _)) = self.config.copies.machines.get(index) {
             self.send_to_peer(*peer, datagram);
         }
     }
 
-    /// The peers besides this proxy itself.
+    /// Returns the peers other than this proxy itself.
     pub(in crate::daemon) fn other_peers(&self) -> Vec<SocketAddr> {
         let Some((socket, peers)) = &self.peers else {
             return Vec::new();
@@ -205,7 +205,7 @@
     /// Sends a datagram to a peer.
     pub(in crate::daemon) fn send_to_peer(&self, peer: SocketAddr, datagram: &[u8]) {
         if let Some((socket, _)) = &self.peers {
-            // A datagram may be lost anyway: one that can't be sent is one of those.
+            // The protocols tolerate lost datagrams, so failures are ignored.
             let _ = send_to(socket, datagram, peer);
         }
     }
--- a/daemon/src/daemon/upstream_connections/mod.rs
+++ b/daemon/src/daemon/upstream_connections/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to cache servers: which one an attempt takes, and what becomes of it.
+//! Connections to cache servers: assigns attempts to connections and reports their outcomes to the core.
 
 mod selection;
 
@@ -11,7 +11,7 @@
 use std::collections::btree_map::Entry;
 
 impl Daemon {
-    /// Applies to the core what happened on a connection to a cache server.
+    /// Applies the events of a connection to a cache server to the core.
     pub(super) fn apply_upstream_events(
         &mut self,
         now: Micros,
@@ -21,7 +21,8 @@
         for event in events {
             match event {
                 UpstreamEvent::AttemptStarted(attempt) => self.core.attempt_started(attempt),
-                // A cache server that answers on another connection is there: only this one did not come up.
+                // If the server responds on another connection, only this connection attempt has failed, not the
+                // server.
                 UpstreamEvent::AttemptFinished(attempt, ended)
                     if ended.outcome == Outcome::Unreached
                         && self.has_recent_traffic(now, server) =>
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Whether a connection to a cache server is up on which something came from it a moment ago.
+    /// Returns whether an established connection to a cache server has received data recently.
     fn has_recent_traffic(&self, now: Micros, server: ServerId) -> bool {
         let is_recent = |(conn, upstream): (&Conn, &UpstreamConnection)| {
             conn.up && upstream.last_received() + self.limits.suspect_us > now
@@ -57,7 +58,6 @@
             .any(|key| self.cache_connection(*key).is_some_and(is_recent))
     }
 
-    /// A connection to a cache server.
     fn cache_connection_mut(&mut self, key: Key) -> Option<(&mut Conn, &mut UpstreamConnection)> {
         match self.connections.get_mut(key)? {
             Connection {
@@ -69,7 +69,6 @@
         }
     }
 
-    /// The same, to read.
     fn cache_connection(&self, key: Key) -> Option<(&Conn, &UpstreamConnection)> {
         match self.connections.get(key)? {
             Connection {
@@ -94,7 +93,7 @@
         }
     }
 
-    /// The connection that was selected, begun now where that was selected.
+    /// Returns the selected connection, after opening it if necessary.
     fn use_selection(
         &mut self,
         now: Micros,
@@ -104,7 +103,7 @@
         match selection {
             Selection::Use { key, connect_spare } => {
                 if connect_spare && self.connections.free_slots() > self.limits.spare_connections {
-                    // No attempt waits for it: where it fails, it is begun again with the next one.
+                    // No attempt depends on the spare connection; if it fails, the next attempt starts another.
                     let _ = self.connect_cache(now, server);
                 }
                 Ok(key)
@@ -119,7 +118,7 @@
         }
     }
 
-    /// Sends an attempt on this connection, at once or when it is up.
+    /// Sends an attempt on a connection, or queues it until the connection is established.
     fn send_attempt_on(&mut self, now: Micros, key: Key, attempt: AttemptId) {
         let Some((conn, upstream)) = self.cache_connection_mut(key) else {
             return;
@@ -134,7 +133,7 @@
         self.flush_or_close(now, key);
     }
 
-    /// An attempt has no connection. Nothing was written: it never ran.
+    /// Finishes an attempt for which there is no connection. Nothing of it was sent.
     fn finish_unsent_attempt(
         &mut self,
         now: Micros,
@@ -154,7 +153,7 @@
         self.core.attempt_finished(now, attempt, outcome.into());
     }
 
-    /// Goes on with a connection, and closes it if it is over.
+    /// Flushes a connection, and closes it if it is finished.
     fn flush_or_close(&mut self, now: Micros, key: Key) {
         if !self.flush_upstream(now, key) {
             self.close(now, key);
@@ -162,8 +161,8 @@
         self.update_interest(now, key);
     }
 
-    /// Begins a connection to a cache server. The last places of the table are reserved for other connections: were they
-    /// taken too, the list of cache servers could not be asked for any more.
+    /// Opens a connection to a cache server. The last slots of the table are reserved for other connections, such as
+    /// those to the sources of the endpoint list.
     fn connect_cache(&mut self, now: Micros, server: ServerId) -> Result<Key, ConnectError> {
         let endpoint = self.core.endpoint(server).ok_or(ConnectError::NoCapacity)?;
         if self.connections.free_slots() <= self.limits.spare_connections {
@@ -179,7 +178,7 @@
         Ok(key)
     }
 
-    /// The connection to any cache server that has been idle for longest.
+    /// Returns the connection to any cache server that has been idle the longest.
     fn longest_idle(&self) -> Option<Key> {
         self.cache_connections
             .values()
@@ -191,9 +190,9 @@
             .map(|(_, key)| key)
     }
 
-    /// A connection is not up in time. The attempts that wait for one to a cache server go on elsewhere; the connection
-    /// itself is left for longer, as it may come up yet: closed each time, a cache server that is slow to accept would get
-    /// one after another and never be reached.
+    /// Handles a connection that is not established in time. The attempts that wait for one to a cache server
+    /// continue elsewhere. The connection itself gets more time: if it were closed each time, a server that accepts
+    /// slowly could never be reached.
     pub(super) fn check_connect_timeout(&mut self, now: Micros, key: Key) {
         let Some(connection) = self
             .connections
@@ -213,7 +212,8 @@
         }
     }
 
-    /// Sends what a connection takes, and applies what has ended on it. False: it is to be closed.
+    /// Sends queued attempts and applies the events of a connection. Returns false if the connection has to be
+    /// closed.
     pub(super) fn flush_upstream(&mut self, now: Micros, key: Key) -> bool {
         let Some(Connection {
             conn,
@@ -242,8 +242,8 @@
                 Timer::CheckCacheConnection(key),
             );
         }
-        // A cache server that drains or is gone gets nothing new: once all that it owed has come, its connections are of
-        // no use, and where a machine has vanished nobody else would end them.
+        // A server that is draining, gone or moved gets no new attempts, so its idle connections are closed. If its
+        // machine has vanished, nothing else would close them.
         let has_moved = self
             .core
             .endpoint(server)
@@ -253,7 +253,7 @@
         is_open && !is_done
     }
 
-    /// Checks a connection to a cache server when that is due: forgets old ids, and sends what waits.
+    /// Forgets the finished requests of a connection to a cache server, and flushes it.
     pub(super) fn check_cache_connection(&mut self, now: Micros, key: Key) {
         if let Some(Connection {
             kind: ConnectionKind::CacheServer(upstream),
@@ -265,7 +265,7 @@
         self.flush_or_close(now, key);
     }
 
-    /// A connection to a cache server was closed, and with it all that was open on it.
+    /// Finishes the attempts of a connection to a cache server that was closed.
     pub(super) fn upstream_closed(
         &mut self,
         now: Micros,
@@ -284,7 +284,7 @@
         let mut events = Vec::new();
         let failure = conn.connect_failure();
         if failure.is_some_and(Failure::is_local) {
-            // Nothing was heard of the cache server: what waited for it goes on waiting.
+            // The failure says nothing about the server, so queued attempts are deferred.
             for attempt in upstream.take_queued() {
                 self.defer_attempt(now, attempt);
             }
@@ -298,7 +298,6 @@
         self.apply_upstream_events(now, server, events);
     }
 
-    /// Cancels an attempt at a cache server.
     pub(super) fn cancel_attempt(&mut self, now: Micros, attempt: AttemptId, server: ServerId) {
         for key in self
             .cache_connections
@@ -314,7 +313,8 @@
         }
     }
 
-    /// Withdraws a cache server: nothing that is open anywhere is to be filled from it any more.
+    /// Withdraws a cache server: it is not used as the source of any open request any more, and its idle connections
+    /// are closed.
     pub(super) fn withdraw_server(&mut self, now: Micros, server: ServerId) {
         for key in self
             .cache_connections
@@ -335,7 +335,7 @@
             let should_close = to == server && upstream.is_idle();
             self.apply_upstream_events(now, to, events);
             if should_close {
-                // Its address may be given to another cache server.
+                // The address may be reassigned to another cache server.
                 self.close(now, key);
             }
         }
--- a/daemon/src/daemon/upstream_connections/selection.rs
+++ b/daemon/src/daemon/upstream_connections/selection.rs
@@ -1,4 +1,4 @@
-//! Which of the connections to a cache server an attempt takes, or whether another is begun for it.
+//! Selects the connection to a cache server for an attempt.
 
 use super::super::{ConnectError, Daemon};
 use crate::core::Core;
@@ -8,37 +8,37 @@
 use linnetknot::{Micros, ServerId};
 use std::net::SocketAddr;
 
-/// What is to be done for an attempt.
+/// How an attempt gets its connection.
 pub(super) enum Selection {
-    /// It takes this connection.
+    /// On an existing connection.
     Use {
         key: Key,
-        /// A further connection is begun, which no attempt waits for yet.
+        /// Open a spare connection, for which no attempt waits yet.
         connect_spare: bool,
     },
-    /// It waits for a new connection; those that are reclaimed are closed first.
+    /// On a new connection, after closing the reclaimed ones.
     Connect { reclaim: Vec<Key> },
-    /// It can't be sent for now.
+    /// The attempt can't be sent for now.
     Unavailable(ConnectError),
 }
 
-/// How well a connection fits an attempt: the smallest fits best.
+/// How well a connection suits an attempt; lower values are better.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Preference {
-    /// An attempt of the same request was not cancelled on it.
-    is_new_to_request: bool,
+    /// No attempt of the same request was aborted on it. Connections with an aborted attempt of the request are
+    /// preferred.
+    has_no_aborted_attempt: bool,
     is_connecting: bool,
     is_held_up: bool,
-    /// How many attempts are open on it.
     open_attempts: usize,
 }
 
-/// The connections to one cache server, as an attempt finds them.
+/// The connections to one cache server, with the context of a selection.
 pub(super) struct CacheConnections<'a> {
     now: Micros,
     core: &'a Core,
     limits: &'a Limits,
-    /// Where the cache server is by now.
+    /// The current address of the cache server.
     endpoint: Option<SocketAddr>,
     connections: Vec<(Key, &'a Conn, &'a UpstreamConnection)>,
 }
@@ -74,7 +74,7 @@
             return Selection::Connect { reclaim };
         }
         Selection::Unavailable(if connecting == 0 {
-            // All that lead there are taken, which says nothing of the cache server.
+            // All connections are busy, which says nothing about the cache server.
             ConnectError::NoCapacity
         } else {
             ConnectError::Unreachable
@@ -88,7 +88,7 @@
             .min()
     }
 
-    /// How well a connection fits; none if it takes no attempt of this request now.
+    /// Returns how well a connection suits an attempt; `None` if it accepts no attempt of this request now.
     fn preference(
         &self,
         id: &str,
@@ -103,28 +103,28 @@
             return None;
         }
         Some(Preference {
-            is_new_to_request: !upstream.has_aborted(id),
+            has_no_aborted_attempt: !upstream.has_aborted(id),
             is_connecting: !conn.up,
             is_held_up: upstream.is_held_up(self.now, self.limits),
             open_attempts: upstream.streams_if_free(id, self.core, self.limits)?,
         })
     }
 
-    /// Whether a connection leads to where the cache server is by now.
+    /// Returns whether a connection leads to the current address of the cache server.
     fn has_current_endpoint(&self, upstream: &UpstreamConnection) -> bool {
         upstream.endpoint == self.endpoint
     }
 
-    /// One answer that can't be read ends all that is open on its connection: the more connections, the less is lost at
-    /// once. The next one is begun ahead, so that no attempt waits for it.
+    /// Returns whether to open a spare connection. A malformed response ends all attempts on its connection, so
+    /// attempts are spread over several connections, and the next one is opened before it is needed.
     fn wants_spare(&self, open_attempts: usize) -> bool {
         open_attempts >= self.limits.box_shared
             && self.connections.len() < self.limits.box_connections
             && self.connections.iter().all(|(_, conn, _)| conn.up)
     }
 
-    /// A connection that may lead nowhere gives its place up to the one that takes over from it: places at a cache server
-    /// are scarce where many proxies hold some, and what is held in vain by all bars all.
+    /// Returns the connections to close in favour of a new one: idle ones that may be dead. Cache servers limit their
+    /// connections, so dead ones must not keep the capacity.
     fn reclaimable(&self) -> Vec<Key> {
         let is_reclaimable = |conn: &Conn, upstream: &UpstreamConnection| {
             let is_doubtful = upstream.is_suspect() || upstream.is_stale(self.now, self.limits);
@@ -137,8 +137,8 @@
             .collect()
     }
 
-    /// How many connections have not come up. They may come up late all the same: more of them would only add to whatever
-    /// keeps them.
+    /// Returns the number of connections that are not established yet. They may still be established; further ones
+    /// would only add load.
     fn connecting_count(&self) -> usize {
         self.connections
             .iter()
