--- a/daemon/src/daemon/budgets/faults.rs
+++ b/daemon/src/daemon/budgets/faults.rs
@@ -1,4 +1,4 @@
-//! Fault injection for rehearsals. All functions return false in a release build.
+//! Fault injection for rehearsals. All functions return false unless fail points are compiled in.
 
 /// Whether leases are used after they have expired.
 pub(super) fn ignores_lease_ends() -> bool {
--- a/daemon/src/daemon/commits/mod.rs
+++ b/daemon/src/daemon/commits/mod.rs
@@ -65,7 +65,7 @@
     pub(super) under_replicated: usize,
 }
 
-/// Fault injection: commands are answered before they are committed. Always false in a release build.
+/// Fault injection: commands are answered before they are committed. Always false unless fail points are compiled in.
 fn answers_early() -> bool {
     fail::fail_point!("plant-credit", |_| true);
     false
--- a/daemon/src/daemon/discovery.rs
+++ b/daemon/src/daemon/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery of the pop caches in the daemon: evidence of the sources goes to the endpoint table
-//! (`linnetknot_discovery`), its list events to the core, and its changes to the log.
+//! Discovery of the pop caches: passes evidence of the sources to the endpoint table (`linnetknot_discovery`), its
+//! list events to the core, and its changes to the log.
 
 use super::Daemon;
 use linnetknot::Micros;
@@ -8,20 +8,21 @@
 };
 use std::collections::BTreeSet;
 
-/// The event bus, which is the first source.
+/// The event bus.
 pub(super) const BUS: SourceId = SourceId(0);
-/// Consul; each further data centre is the next source.
+/// The first data centre of Consul. Further data centres have the ids that follow.
 pub(super) const CONSUL: SourceId = SourceId(1);
 
-/// Penalties are logged with two decimals.
+/// Rounds logged penalties to two decimals.
 const PENALTY_SCALE: f64 = 100.0;
 
-/// The lines that were logged, so that an answer that a source repeats is not logged each time.
+/// Lines that were logged already, so that a repeated response of a source does not log them again.
 #[derive(Default)]
 pub(super) struct LoggedNotices(BTreeSet<String>);
 
 impl LoggedNotices {
-    /// Whether a line was not logged yet. Once `max` lines are known all are forgotten, and may be logged again.
+    /// Returns whether a line was not logged yet. Once `max` lines are stored they are all forgotten, and may be
+    /// logged again.
     pub(super) fn is_new(&mut self, line: &str, max: usize) -> bool {
         if self.0.len() >= max {
             self.0.clear();
@@ -65,13 +66,13 @@
 }
 
 impl Daemon {
-    /// Receives evidence of a source.
+    /// Applies evidence of a source.
     pub(super) fn receive_evidence(&mut self, now: Micros, source: SourceId, evidence: Evidence) {
         let output = self.endpoint_table.apply(now, source, evidence);
         self.apply_discovery(now, output);
     }
 
-    /// Adds the caches again whose flap damping is over.
+    /// Updates the endpoint table, which adds the caches again whose flap damping has ended.
     fn poll_discovery(&mut self, now: Micros) {
         self.endpoint_table_due = None;
         let output = self.endpoint_table.poll(now);
--- a/daemon/src/daemon/fleet_status.rs
+++ b/daemon/src/daemon/fleet_status.rs
@@ -1,4 +1,4 @@
-//! The answer to `linnetknot fleet status`: where replication, commits and membership stand.
+//! The status of replication, commits and membership for `linnetknot fleet status`.
 
 use super::membership::state_name;
 use super::Daemon;
@@ -18,7 +18,7 @@
 }
 
 impl Daemon {
-    /// Returns the status; none where logs are not replicated.
+    /// Returns the status; `None` if logs are not replicated.
     pub(super) fn fleet_status(&self) -> Option<Status> {
         let copies = &self.config.copies;
         let replica = self.ledger.as_ref().filter(|_| copies.on)?.replica();
@@ -63,8 +63,7 @@
         })
     }
 
-    /// Returns the status of the peer with this index. Its machine is the configured one until it has announced its
-    /// own.
+    /// Returns the status of a peer. Its machine is the configured one until the peer has announced its own.
     fn peer_status(
         &self,
         replica: &Replica,
--- a/daemon/src/daemon/lifecycle.rs
+++ b/daemon/src/daemon/lifecycle.rs
@@ -1,23 +1,23 @@
-//! The life cycle of a client's connection, of either front: the one place where it goes from open to gone.
+//! The life cycle of a client connection of either front.
 //!
-//! | state | what it is | goes on to |
+//! | state | meaning | next states |
 //! | --- | --- | --- |
-//! | open | requests are taken | draining, half-closed, gone |
-//! | draining | it ends once all that is open on it is answered | half-closed, gone |
-//! | half-closed (lingering) | this side has ended its half; what still comes is thrown away | gone |
-//! | gone | closed, and all that its client waited for is cancelled | |
+//! | open | requests are accepted | draining, half-closed, closed |
+//! | draining | the connection is closed once all its requests are answered | half-closed, closed |
+//! | half-closed (lingering) | the output is shut down, and further input is discarded | closed |
+//! | closed | the connection is closed, and its open requests are cancelled | |
 //!
-//! A close answers bytes that were not read with a reset, which takes along what the client has not read of its
-//! answers; and a request that was read behind this side's end would be answered nowhere. So only a connection on which
-//! nothing is left to read, after a last look, ends its half, and from then on nothing of it is passed on. The rest ends
-//! when the client ends its own half, or after a while.
+//! Closing a socket with unread input resets the connection, and the client may lose responses that it has not read
+//! yet. Requests that arrive after the output is shut down can't be answered. So the input is read once more before a
+//! half-close, which happens only if the connection is idle then. The socket is closed when the client closes its
+//! side or after a timeout.
 
 use super::{Connection, ConnectionKind, Daemon, Timer};
 use crate::net::{Key, Progress};
 use linnetknot::Micros;
 
 impl Daemon {
-    /// A client's connection is to end once all that it asked is answered.
+    /// Marks a client connection to be closed once its requests are answered.
     pub(super) fn close_when_answered(&mut self, key: Key) {
         if let Some(Connection {
             kind: ConnectionKind::Client(session),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Whether nothing of a client's connection is open, half read or unwritten, as far as it was read.
+    /// Returns whether a client connection has no open request, no partial input and no pending output.
     pub(super) fn is_idle(connection: &Connection) -> bool {
         let is_idle = match &connection.kind {
             ConnectionKind::Client(session) => session.is_idle() && !session.is_partial(),
@@ -38,27 +38,27 @@
         is_idle && connection.conn.output.is_empty() && connection.conn.input.is_empty()
     }
 
-    /// Whether a client's connection is to end, with all that it asked answered and written.
+    /// Returns whether a connection that is to be closed has sent all its responses.
     pub(super) fn is_finished(connection: &Connection) -> bool {
         matches!(&connection.kind, ConnectionKind::Client(session) if session.is_finished() && connection.conn.output.is_empty())
     }
 
-    /// Plans the end of a client's connection for this turn of the loop: whoever asks for that may be in the midst of
-    /// reading it.
+    /// Schedules a half-close in this turn of the loop. The caller may be reading the connection, so it is not closed
+    /// directly.
     pub(super) fn schedule_half_close(&mut self, now: Micros, key: Key) {
         if self.connections.get(key).is_some_and(Self::is_idle) {
             self.deadlines.set(now, Timer::HalfClose(key));
         }
     }
 
-    /// Ends a client's connection that is to end once answered, as soon as its last answer is written: were it
-    /// left open until its next event, that could be the next request, which would then be taken and never answered.
+    /// Schedules the half-close of a connection that is to be closed, as soon as its last response is written. Until
+    /// its next event, another request could arrive that would be accepted but never answered.
     pub(super) fn half_close_if_finished(&mut self, now: Micros, key: Key) {
         let is_finished =
             self.connections
                 .get(key)
                 .is_some_and(|connection| match &connection.kind {
-                    // One that has asked nothing yet was taken a moment ago, and its request is on its way.
+                    // The first request of a connection that was just accepted may be on its way.
                     ConnectionKind::Client(session) => {
                         session.is_finished() && session.has_received_request()
                     }
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Reads what a client's connection has received up to this moment. False: it has gone.
+    /// Reads and processes the available input of a client connection. Returns false if the connection is closed.
     pub(super) fn poll_client(&mut self, now: Micros, key: Key) -> bool {
         let Some(connection) = self.connections.get_mut(key) else {
             return false;
@@ -85,7 +85,7 @@
                     progress => Ok(progress == Progress::Blocked),
                 }
             }
-            // Its client may have ended its half meanwhile.
+            // The client may have closed its side meanwhile.
             ConnectionKind::Lingering => Ok(self.drain_lingering(key)),
             _ => return true,
         };
@@ -99,8 +99,7 @@
         self.connections.get(key).is_some()
     }
 
-    /// Ends a client's connection if nothing is open on it and nothing has come in this very moment. False: it does not
-    /// end in this way, as something is open on it, or it has ended before.
+    /// Half-closes a client connection if it is idle after its input was read. Returns false if it is not idle.
     pub(super) fn half_close(&mut self, now: Micros, key: Key) -> bool {
         if !self.poll_client(now, key) {
             return true;
@@ -122,7 +121,7 @@
         true
     }
 
-    /// Throws away what still comes on a connection that this side has ended. False: its client has ended it too.
+    /// Discards the input of a half-closed connection. Returns false if the client has closed its side.
     pub(super) fn drain_lingering(&mut self, key: Key) -> bool {
         let Some(connection) = self.connections.get_mut(key) else {
             return false;
@@ -137,8 +136,8 @@
         true
     }
 
-    /// The process ends: accepts what waits in the kernel's queue and nothing after that, and ends each client's
-    /// connection as soon as all is answered there.
+    /// Ends the grace period of a shutdown: accepts the connections in the kernel's queue and no more, and
+    /// half-closes each client connection once its requests are answered.
     pub(super) fn close_clients(&mut self, now: Micros) {
         self.accept_clients(now);
         self.accept_cdni(now);
@@ -154,7 +153,7 @@
                 self.schedule_half_close(now, key);
             }
         }
-        // Those that came a moment ago: their requests are on their way.
+        // Recently accepted connections are closed later, as their requests may be on their way.
         self.schedule(now + self.limits.settle_us, |daemon, now| {
             daemon
                 .connections
@@ -164,7 +163,7 @@
         });
     }
 
-    /// Whether a client's connection keeps a process that ends from exiting.
+    /// Returns whether a connection delays the exit of a process that is shutting down.
     pub(super) fn delays_exit(&self, now: Micros, connection: &Connection) -> bool {
         match &connection.kind {
             ConnectionKind::Client(_) | ConnectionKind::Cdni(_) => true,
--- a/daemon/src/daemon/operator_state.rs
+++ b/daemon/src/daemon/operator_state.rs
@@ -1,5 +1,7 @@
-//! The operators' state on the disk. It is read at the start, and again with a backoff while that fails. Both copies
-//! are written before a call succeeds, and again with a backoff while they differ from the state in force.
+//! Stores the operators' state on disk.
+//!
+//! The state is read at startup, with retries if that fails. Both copies are written before a call succeeds, and
+//! writing is retried while they may differ from the state in effect.
 
 use super::Daemon;
 use crate::disk::{remove_leftovers, replace_unsynced, FailedAttempts, Staged};
@@ -12,9 +14,8 @@
 use std::io;
 use std::path::Path;
 
-/// The first backoff.
 const MIN_RETRY_US: Micros = 100_000;
-/// About the longest backoff.
+/// The longest backoff, before jitter.
 const MAX_RETRY_US: Micros = 2_000_000;
 
 /// The files, and whether they have to be read or written again.
@@ -23,12 +24,12 @@
     failed: FailedAttempts,
     /// The stored state can't be read yet.
     load_pending: bool,
-    /// The files may differ from the state in force.
+    /// The files may differ from the state in effect.
     write_pending: bool,
     due: Option<Due>,
 }
 
-/// The operators' state at the start, and its files.
+/// The operators' state at startup, and its files.
 pub(super) struct LoadedState {
     pub(super) operations: Operations,
     pub(super) files: OperatorFiles,
@@ -66,14 +67,14 @@
         }
     }
 
-    /// Whether the stored state can't be read yet. No call may change it until then.
+    /// Returns whether the stored state can't be read yet. Calls can't change the state until then.
     pub(super) fn is_load_pending(&self) -> bool {
         self.load_pending
     }
 }
 
-/// Writes both copies under temporary names and then renames them in turn, so that a full disk leaves both as they
-/// were.
+/// Writes both copies under temporary names and renames them one after the other, so that a full disk leaves both
+/// unchanged.
 fn write_copies(folder: &Path, bytes: &[u8]) -> io::Result<()> {
     let [first, second] = store::copies(folder);
     let staged = [
@@ -88,12 +89,12 @@
 }
 
 impl Daemon {
-    /// Stores the operators' state for the next process: both copies in turn, each replaced atomically. Returns whether
-    /// both have it. The event loop does this itself, before a call succeeds, and not the disk worker, whose queue may
-    /// be full: a call that succeeded outlives the process. Calls that change something are few.
+    /// Stores the operators' state for the next process. Each copy is replaced atomically. Returns whether both were
+    /// written. The event loop writes them itself rather than through the disk worker, whose queue may be full, as a
+    /// call must be stored before it succeeds. Calls that change the state are rare.
     pub(super) fn save_operator_state(&mut self) -> bool {
         if self.operator_files.load_pending {
-            // The stored state must not be overwritten by one that does not include it.
+            // The stored state is unknown, so it must not be overwritten.
             return false;
         }
         fail::fail_point!("admin-keeps");
@@ -112,8 +113,8 @@
         true
     }
 
-    /// Stores the state again after a call was undone, which one copy or both may hold: the first copy at once, if the
-    /// disk allows it, so that a process that starts before both are written finds the state without the call.
+    /// Stores the state again after a call was undone that the files may already include. The first copy is written
+    /// immediately, if possible, so that a process that starts now does not find the undone call.
     pub(super) fn save_undone_state(&mut self, now: Micros) {
         let [first, _] = store::copies(&self.operator_state_folder);
         if let Err(e) = replace_unsynced(&first, &store::encode(self.operations.state())) {
@@ -122,13 +123,13 @@
         self.save_operator_state_in_time(now);
     }
 
-    /// Stores the state in force, and where that fails again with a backoff.
+    /// Stores the state in effect, with retries if that fails.
     pub(super) fn save_operator_state_in_time(&mut self, now: Micros) {
         self.save_operator_state();
         self.schedule_operator_state(now);
     }
 
-    /// Schedules the next attempt to read or write the files, where one is needed.
+    /// Schedules the next attempt to read or write the files, if necessary.
     pub(super) fn schedule_operator_state(&mut self, now: Micros) {
         let files = &mut self.operator_files;
         let is_scheduled = files.due.is_some_and(|planned| planned.at > now);
@@ -154,7 +155,7 @@
         self.schedule_operator_state(now);
     }
 
-    /// Puts the stored state in force, as it can be read now, and then what this proxy's log says since.
+    /// Applies the stored state once it can be read, and then the later decisions in this proxy's log.
     fn apply_stored_state(&mut self, now: Micros, state: OperatorState) {
         log::info!(attempts = self.operator_files.backoff.failures(); "what the operators decided before is read");
         self.operator_files.load_pending = false;
--- a/daemon/src/daemon/reconnect.rs
+++ b/daemon/src/daemon/reconnect.rs
@@ -1,26 +1,26 @@
-//! Reconnecting: attempts for which this machine can't begin a connection for now.
+//! Defers attempts while this machine can't open a connection.
 //!
-//! Without a local port, a route, a descriptor or memory nothing is known of the cache, and nothing was sent to it. Such
-//! an attempt stays out, has not begun, and waits here until a connection can be begun or its time is over: the cache is
-//! not judged by it, and the request has not spent an attempt.
+//! If a local port, route, descriptor or memory is lacking, nothing was sent to the cache and nothing is known about
+//! it. The attempt waits here until a connection can be opened or its time is over. It counts neither as a failure of
+//! the cache nor as an attempt of the request.
 
 use super::Daemon;
 use crate::core::AttemptId;
 use linnetknot::{Micros, Outcome, ServerId};
 use std::collections::BTreeSet;
 
-/// The attempts that wait.
+/// The deferred attempts.
 #[derive(Default)]
 pub(super) struct DeferredAttempts {
     attempts: Vec<AttemptId>,
-    /// Whether they are due to be looked at.
+    /// Whether a retry is scheduled.
     is_due: bool,
-    /// Caches to which no connection could be begun in this round.
+    /// Caches to which no connection could be opened in this round.
     failed: BTreeSet<ServerId>,
 }
 
 impl Daemon {
-    /// Has an attempt wait until a connection can be begun.
+    /// Defers an attempt until a connection can be opened.
     pub(super) fn defer_attempt(&mut self, now: Micros, attempt: AttemptId) {
         if let Some(dispatch) = self.core.dispatch(attempt) {
             self.deferred_attempts.failed.insert(dispatch.target.server);
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Sends the attempts that wait and may still begin.
+    /// Retries the deferred attempts that may still start.
     fn retry_deferred_attempts(&mut self, now: Micros) {
         self.deferred_attempts.is_due = false;
         self.deferred_attempts.failed.clear();
@@ -47,7 +47,7 @@
                 self.core
                     .attempt_finished(now, attempt, Outcome::Moot.into());
             } else if self.deferred_attempts.failed.contains(&server) {
-                // One failure a round is enough to know of: the others wait for the next.
+                // After one failure in a round, the other attempts at the same cache wait for the next round.
                 self.defer_attempt(now, attempt);
             } else {
                 self.send_attempt(now, attempt);
--- a/daemon/src/daemon/recovery.rs
+++ b/daemon/src/daemon/recovery.rs
@@ -1,5 +1,6 @@
-//! Recovery of a proxy that lacks purges, and its readiness until then: one that began without its disk waits for what
-//! it committed before, and one that is behind what its peers have compacted waits for their snapshot.
+//! Recovery of a proxy that lacks purges. Until it is complete or has timed out, the proxy is not ready: one that
+//! started without its store waits for the entries that it committed before, and one that is behind what its peers
+//! have compacted waits for their snapshot.
 
 use super::Daemon;
 use crate::ledger::Ledger;
@@ -8,7 +9,7 @@
 use linnetknot_discovery::server_id;
 use linnetknot_replication::{Datagram, Outgoing, Recovery, RecoveryTimes};
 
-/// The shortest time to the next tick, so that the event loop always gets to its sockets.
+/// Leaves the event loop time for its sockets between ticks.
 const MIN_TICK_INTERVAL_US: Micros = 1_000;
 
 /// The wait for a snapshot. It is extended while chunks or entries are received, up to a bound.
@@ -17,7 +18,7 @@
     since: Micros,
     /// When the wait ends if nothing more is received.
     until: Micros,
-    /// When it ends in any case.
+    /// When the wait ends at the latest.
     max_until: Micros,
     has_ended: bool,
 }
@@ -32,27 +33,27 @@
         }
     }
 
-    /// Extends the wait, as something was received.
+    /// Extends the wait after something was received.
     fn extend(&mut self, now: Micros, timeout_us: Micros) {
         self.until = self.max_until.min(now + timeout_us);
     }
 
-    /// Ends a wait that has taken too long. Returns whether it ends now.
+    /// Ends the wait if it has timed out. Returns whether it ended now.
     fn time_out(&mut self, now: Micros) -> bool {
         let ends = !self.has_ended && now >= self.until;
         self.has_ended |= ends;
         ends
     }
 
-    /// Whether readiness no longer waits for the snapshot.
+    /// Returns whether the wait has timed out.
     pub(super) fn has_ended(&self) -> bool {
         self.has_ended
     }
 }
 
 impl Daemon {
-    /// Begins to recover what this proxy committed before, if it began without a disk. One with its disk requests its
-    /// peers' digests as well, so that it soon knows whether it is behind what they have compacted.
+    /// Starts the recovery of what this proxy committed before, if its store is new. A proxy that has its store only
+    /// requests the digests of its peers, to detect soon whether it is behind what they have compacted.
     pub(super) fn start_recovery(&mut self, now: Micros) {
         let copies = &self.config.copies;
         let Some(ledger) = self.ledger.as_ref().filter(|_| copies.on) else {
@@ -76,8 +77,8 @@
         self.tick_recovery(now);
     }
 
-    /// Without peers nobody knows the purges of a store that is not open: every cached copy from before now is taken as
-    /// purged.
+    /// Without peers, the purges of a store that is not open are unknown, so every cached copy from before now is
+    /// treated as purged.
     fn start_without_peers(&mut self, now: Micros) {
         if self.lacks_store() {
             log::warn!(
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Recovers from the peers what a store lacks that has just been opened. A proxy that was ready before stays ready.
+    /// Recovers from the peers what a store that has just been opened lacks. A proxy that was ready stays ready.
     pub(super) fn recover_with_store(&mut self, now: Micros) {
         if self
             .pending_commits
@@ -139,9 +140,9 @@
         }
     }
 
-    /// A peer's digest is equal to this proxy's: its logs are the same.
+    /// Handles a digest of a peer that equals this proxy's, which means that their logs are equal.
     pub(super) fn receive_equal_logs(&mut self, now: Micros, peer: usize) {
-        // Equal logs do not imply that all their purges are here while a snapshot is being received.
+        // While a snapshot is being received, equal logs do not imply that all purges have been received.
         if self
             .ledger
             .as_ref()
@@ -164,7 +165,7 @@
         }
     }
 
-    /// Extends the waits, as a chunk of a snapshot was received, or entries after it.
+    /// Extends the timeouts after a chunk of a snapshot, or later entries, were received.
     pub(super) fn extend_recovery(&mut self, now: Micros) {
         let timeout_us = self.limits.recovery_us;
         let Some(wait) = &mut self.pending_commits.snapshot else {
@@ -176,8 +177,8 @@
         }
     }
 
-    /// Checks whether the replica is behind its peers' snapshots. The proxy is not ready until it has them, or the wait
-    /// is over.
+    /// Checks whether the replica is behind the snapshots of its peers. If so, the proxy is not ready until it has
+    /// received them or the wait has timed out.
     pub(super) fn check_snapshot_wait(&mut self, now: Micros) {
         let is_behind = self
             .ledger
@@ -214,8 +215,7 @@
         }
     }
 
-    /// Gives up waiting for the snapshot. Which cached copies its purges concern can't be known, so all are taken as
-    /// purged.
+    /// Ends the wait for the snapshot. As its purges are unknown, all cached copies are treated as purged.
     fn end_snapshot_wait(&mut self, now: Micros) {
         let at = self.core.purge_all_date(now);
         self.core.purges_mut().raise_all(at);
@@ -225,7 +225,7 @@
         self.announce_readiness(now);
     }
 
-    /// Puts the stored purges in force: those held one by one, and the table of older ones.
+    /// Applies the stored purges: the individual ones and the table of compacted ones.
     pub(super) fn restore_purges(&mut self, now: Micros) {
         let Some(ledger) = &self.ledger else { return };
         let bucket_bits = ledger.table().bucket_bits();
--- a/daemon/src/daemon/registration.rs
+++ b/daemon/src/daemon/registration.rs
@@ -1,31 +1,31 @@
-//! Connections in the epoll set, also while the kernel has no memory or no watches left for them.
+//! Registers connections with epoll, including retries when the kernel lacks memory or watches.
 //!
-//! A connection that can't be watched is not closed: its client may have sent requests, and what is open on it must be answered.
-//! It is registered again a moment later, and until that succeeds it is polled.
+//! A connection that can't be registered is not closed, as its open requests must be answered. The registration is
+//! retried, and until it succeeds the connection is polled at each retry.
 
 use super::{Daemon, Timer};
 use crate::net::{Failure, FailureKind, Key, Ready};
 use linnetknot::Micros;
 
-/// How far a connection is known to the epoll set.
+/// The state of the epoll registration of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Registration {
-    /// It is watched for what it is to be watched for.
+    /// The registered interest is current.
     Current,
-    /// It is watched for something else.
+    /// The registered interest is outdated.
     Outdated,
-    /// It is not watched.
+    /// The connection is not registered.
     Missing,
 }
 
 impl Daemon {
-    /// Registers a new connection. False: it can't ever be watched.
+    /// Registers a new connection. Returns false if the registration failed permanently.
     pub(super) fn register(&mut self, now: Micros, key: Key) -> bool {
         let done = self.try_register(key);
         self.schedule_registration_retry(now, key, done)
     }
 
-    /// Has a connection watched for what it waits for by now.
+    /// Updates the registered interest of a connection.
     pub(super) fn update_interest(&mut self, now: Micros, key: Key) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -36,7 +36,8 @@
         connection.registration = Registration::Outdated;
         let done = self.try_register(key);
         if !self.schedule_registration_retry(now, key, done) {
-            // Whoever asks may be in the midst of it: it ends in this turn of the loop, unless it works by then.
+            // The caller may be using the connection, so it is not closed here. The timer closes it in this turn of
+            // the loop if the registration fails again.
             self.deadlines.set(now, Timer::RetryRegistration(key));
         }
     }
@@ -59,7 +60,7 @@
         Ok(())
     }
 
-    /// Tries a registration that failed again in a moment. False: it failed for good.
+    /// Schedules a retry of a failed registration. Returns false if the failure is permanent.
     fn schedule_registration_retry(
         &mut self,
         now: Micros,
@@ -81,7 +82,7 @@
         true
     }
 
-    /// Tries again to register a connection; while that fails, it is polled here.
+    /// Retries the registration of a connection, and polls the connection if that fails.
     pub(super) fn retry_registration(&mut self, now: Micros, key: Key) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
--- a/daemon/src/daemon/reload.rs
+++ b/daemon/src/daemon/reload.rs
@@ -1,12 +1,12 @@
-//! SIGHUP: a new configuration is read and put in force, as far as a running daemon can follow it.
+//! Reloads the configuration on SIGHUP, as far as a running daemon can apply it.
 
 use super::Daemon;
 use crate::config::Config;
 use linnetknot::{Micros, Settings};
 
 impl Daemon {
-    /// Reads the configuration again. Nothing that is open is dropped for it, and a faulty file changes
-    /// nothing: a daemon that ended over it would take all its clients with it.
+    /// Reloads the configuration. Open connections and requests are kept, and an invalid configuration changes
+    /// nothing.
     pub(super) fn reload(&mut self, now: Micros) {
         self.sighup.drain();
         let mut new = match (self.config_source)() {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Puts the settings and the limits that follow from them in force, where they have changed.
+    /// Applies changed settings and the limits derived from them.
     fn reload_settings(&mut self, new: &Config) {
         if self.config.settings != new.settings && self.apply_settings(&new.settings) {
             self.limits.follow(&new.limits);
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Warns of each changed key that the running daemon can't follow.
+    /// Warns about each changed key that requires a restart.
     fn warn_of_fixed_changes(&self, new: &Config) {
         for key in self.config.fixed_changes(new) {
             if key != "settings" {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Follows a changed list of peers.
+    /// Applies a changed list of peers.
     fn reload_peers(&mut self, new: &Config) {
         let (Some((_, peers)), Some(new)) = (&mut self.peers, &new.peers) else {
             return;
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Follows a change of which peers share a machine, which counts for the replicas of a log.
+    /// Applies a change in which peers share a machine, which affects the replicas of a log.
     fn reload_machines(&mut self, now: Micros) {
         let before = self.config.copies.machines.clone();
         match self.config.check_copies(self.config.peers.as_ref()) {
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Puts new settings in force where a running router can follow them: its classes and its attempts. The rest
-    /// of `settings` was built into the router's tables at the start. False: they can't be used.
+    /// Applies the settings that a running router can change: its classes and attempts. Others require a restart.
+    /// Returns false if the settings are invalid.
     fn apply_settings(&mut self, new: &Settings) -> bool {
         let mut next = self.config.settings.clone();
         next.classes.clone_from(&new.classes);
--- a/daemon/src/daemon/shutdown.rs
+++ b/daemon/src/daemon/shutdown.rs
@@ -1,4 +1,4 @@
-//! The graceful shutdown: from SIGTERM to the last answer, and what is logged at the end.
+//! The graceful shutdown, from SIGTERM to the last response, and the log lines at its end.
 
 use super::{Daemon, Timer};
 use crate::ledger::Ledger;
@@ -8,7 +8,7 @@
 use linnetknot_replication::Counters;
 
 impl Daemon {
-    /// SIGTERM has come: the grace begins, and what is open is answered.
+    /// Handles SIGTERM: starts the grace period, in which open requests are answered.
     pub(super) fn handle_sigterm(&mut self, now: Micros) {
         self.sigterm.drain();
         if !self.is_stopping() {
@@ -17,8 +17,9 @@
                 .set_shutdown_deadline(now + self.limits.term_answer_us);
             log::info!("SIGTERM: answering what is open");
             if self.listener_inherited {
-                // The next process accepts on the same socket: whatever this one took now it would have to answer
-                // on its way out, and each kept connection ends after its next answer instead of being cut.
+                // The next process accepts on the same socket. This process would have to answer newly accepted
+                // connections during its shutdown, so it accepts no more, and closes existing connections after their
+                // next response.
                 self.close_client_listener();
                 for key in self.connections.keys() {
                     self.close_when_answered(key);
@@ -32,8 +33,8 @@
         }
     }
 
-    /// Accepts no more. The next process may hold the same socket: were it still watched here, each connection
-    /// that comes would wake this one in vain.
+    /// Stops accepting clients. The next process may share the socket, so watching it any longer would wake this
+    /// process for the other's connections.
     pub(super) fn close_client_listener(&mut self) {
         if let Some(listener) = self.client_listener.take() {
             if let Err(e) = listener.close(&self.poll) {
@@ -42,12 +43,12 @@
         }
     }
 
-    /// Whether SIGTERM has come.
+    /// Returns whether SIGTERM was received.
     pub(super) fn is_stopping(&self) -> bool {
         self.sigterm_at.is_some()
     }
 
-    /// Whether the shutdown is complete: all is answered, and no connection holds the process back.
+    /// Returns whether the shutdown is complete: all requests are answered, and no connection delays the exit.
     pub(super) fn is_shutdown_complete(&self) -> bool {
         let now = self.clock.now();
         self.shutdown_grace_over
@@ -64,7 +65,7 @@
             }
     }
 
-    /// Stores what the next process is to find, closes the store, and logs the sums of this process.
+    /// Writes pending state, closes the store, and logs the counters of this process.
     pub(super) fn finish(&mut self) {
         self.write_pending_snapshots(self.clock.now());
         let replication = self.close_store();
@@ -77,7 +78,7 @@
         self.log_origin_health();
     }
 
-    /// Closes the store; the counters of its replication, where there is one.
+    /// Closes the store. Returns the counters of its replication, if there is one.
     fn close_store(&mut self) -> Option<Counters> {
         let ledger = self.ledger.take()?;
         let counters = ledger.replica().counters();
--- a/daemon/src/daemon/signals.rs
+++ b/daemon/src/daemon/signals.rs
@@ -1,24 +1,30 @@
-//! The signals that the daemon follows, and the same from another thread.
+//! Signals of the daemon, and a handle that triggers them from another thread.
 
 use rustix::fd::OwnedFd;
 use rustix::pipe::{pipe_with, PipeFlags};
 use std::io;
 
-/// Does to a daemon what the signals do.
+/// A handle that controls a running daemon from another thread.
 pub struct Control {
     pub(super) sigterm: OwnedFd,
     pub(super) sighup: OwnedFd,
 }
 
 impl Control {
-    /// Ends it as SIGTERM does, once all that it has taken is answered.
+    /// Starts the graceful shutdown, as SIGTERM does.
+    ///
+    /// # Errors
+    /// The signal pipe can't be written.
     pub fn stop(&mut self) -> io::Result<()> {
         rustix::io::write(&self.sigterm, b"t")
             .map(drop)
             .map_err(io::Error::from)
     }
 
-    /// Has it read its configuration again, as SIGHUP does.
+    /// Reloads the configuration, as SIGHUP does.
+    ///
+    /// # Errors
+    /// The signal pipe can't be written.
     pub fn reload(&mut self) -> io::Result<()> {
         rustix::io::write(&self.sighup, b"h")
             .map(drop)
@@ -26,12 +32,11 @@
     }
 }
 
-/// A self-pipe: a signal handler or another thread writes to it, and the event loop watches its reading end.
-/// A pipe and not a pair of Unix sockets: some platforms that run the daemon allow sockets of TCP and UDP alone.
+/// A self-pipe that a signal handler or another thread writes to and the event loop watches. It is not a pair of Unix
+/// sockets, as some platforms only allow TCP and UDP sockets.
 pub(super) struct Signal {
-    /// The end that the event loop reads.
+    /// The end that the event loop watches.
     pub(super) reader: OwnedFd,
-    /// The end that is written to.
     pub(super) writer: OwnedFd,
 }
 
@@ -47,16 +52,16 @@
         Ok(new)
     }
 
-    /// What raises it from another thread.
+    /// Returns a function that raises the signal from another thread.
     pub(super) fn waker(&self) -> io::Result<impl Fn() + Send + 'static> {
         let writer = self.writer.try_clone()?;
         Ok(move || {
-            // A full pipe is raised already.
+            // If the pipe is full, the signal is already raised.
             let _ = rustix::io::write(&writer, b"w");
         })
     }
 
-    /// Takes in what was raised: signals that come close together count as one.
+    /// Clears the signal. Several raises may be handled as one.
     pub(super) fn drain(&mut self) {
         let mut bytes = [0; 16];
         while rustix::io::read(&self.reader, &mut bytes).is_ok_and(|n| n > 0) {}
--- a/daemon/src/daemon/startup/error.rs
+++ b/daemon/src/daemon/startup/error.rs
@@ -1,4 +1,4 @@
-//! Why the daemon can't start.
+//! Errors of the start of the daemon.
 
 use crate::net::Failure;
 use linnetknot::SettingsError;
@@ -13,58 +13,58 @@
     /// An address of the configuration can't be bound.
     #[error("{key}: {address}: {source}")]
     Bind {
-        /// The key of the configuration.
+        /// The key in the configuration.
         key: &'static str,
-        /// The address that stands there.
+        /// The configured address.
         address: SocketAddr,
         /// Why it can't be bound.
         source: io::Error,
     },
-    /// The environment names an inherited listener by what is no number.
+    /// The environment variable for an inherited listener is not a number.
     #[error("ROUTER_SOCKET_FD: '{text}' is no descriptor")]
     InheritedNumber {
-        /// What stands there.
+        /// The value of the variable.
         text: String,
-        /// Why it is no number.
+        /// Why it can't be parsed.
         source: ParseIntError,
     },
     /// The inherited listener can't be taken over.
     #[error("ROUTER_SOCKET_FD: descriptor {descriptor}: {source}")]
     Inherited {
-        /// The descriptor that the environment names.
+        /// The descriptor from the environment.
         descriptor: u32,
         /// Why it can't be taken over.
         source: io::Error,
     },
-    /// The inherited descriptor is something else.
+    /// The inherited descriptor is not a listening TCP socket.
     #[error("ROUTER_SOCKET_FD: descriptor {0} is no listening TCP socket")]
     NoListener(u32),
-    /// A signal, a socket or the epoll set can't be had from the kernel.
+    /// A system call that sets up a signal, a socket or epoll has failed.
     #[error("{what}: {source}")]
     Kernel {
-        /// What was to be set up.
+        /// What was being set up.
         what: &'static str,
-        /// Why it can't be had.
+        /// Why the call failed.
         source: io::Error,
     },
-    /// Something can't be added to the epoll set.
+    /// A descriptor can't be registered with epoll.
     #[error("{what} can't be watched: {failure}")]
     Watch {
-        /// What was to be watched.
+        /// What was being registered.
         what: &'static str,
-        /// Why it can't be.
+        /// Why the registration failed.
         failure: Failure,
     },
-    /// The store of purges stays unreadable until somebody mends it.
+    /// The store of purges can't be opened because of a permanent failure.
     #[error(transparent)]
     Store(Box<dyn Error + Send + Sync>),
-    /// Copies are asked for without anybody to copy to.
+    /// Replication is configured without peers.
     #[error("peers.copies: the configuration names no 'peers' to copy to")]
     NoPeers,
-    /// The settings of the decision module are faulty.
+    /// The settings of the decision module are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The connection to Consul, or the folder of its cached list, can't be set up.
+    /// Consul, or the directory of its cached lists, can't be set up.
     #[error(transparent)]
     Consul(Box<dyn Error + Send + Sync>),
     /// The shared budgets can't be set up.
@@ -72,12 +72,12 @@
     Budgets(Box<dyn Error + Send + Sync>),
 }
 
-/// The error of a call to the kernel that sets up `what`.
+/// Returns the error of a system call that sets up `what`.
 pub(super) fn kernel(what: &'static str) -> impl FnOnce(io::Error) -> StartError {
     move |source| StartError::Kernel { what, source }
 }
 
-/// The error of adding `what` to the epoll set.
+/// Returns the error of registering `what` with epoll.
 pub(super) fn watching(what: &'static str) -> impl FnOnce(Failure) -> StartError {
     move |failure| StartError::Watch { what, failure }
 }
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -1,4 +1,4 @@
-//! The start of the daemon: binds the sockets, opens the store, and replays what earlier processes left behind.
+//! Starts the daemon: binds the sockets, opens the store, and restores the state of earlier processes.
 
 mod error;
 mod sockets;
@@ -30,7 +30,7 @@
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
 
-/// The ledger of purges with what belongs to it, where the front for CDNI has a store.
+/// The ledger and its store, if the CDNI front has one.
 #[derive(Default)]
 struct StoreParts {
     ledger: Option<Ledger>,
@@ -39,7 +39,7 @@
 }
 
 impl StoreParts {
-    /// Opens the store that the configuration names, if it names one.
+    /// Opens the configured store, if any.
     fn open(config: &Config, poll: &Poll, clock: &Clock) -> Result<Self, StartError> {
         let path = config.cdni.as_ref().and_then(|cdni| cdni.purges.clone());
         let Some(path) = path else {
@@ -69,8 +69,7 @@
     }
 }
 
-/// The sources of the list of cache servers. The bus alone is relayed: on the platform the module hears it event by
-/// event.
+/// Returns the sources of the endpoint list. Only the events of the bus are passed on one by one, as on the platform.
 fn list_sources(config: &Config) -> Vec<ListSource> {
     let mut sources = vec![ListSource {
         name: "bus".into(),
@@ -91,7 +90,7 @@
     sources
 }
 
-/// Consul, where the configuration names one, with what keeps its list for the next process.
+/// The state of Consul, if configured, and the writer of its cached lists.
 struct ConsulParts {
     state: Option<consul::State>,
     snapshots: Option<consul::SnapshotWriter>,
@@ -99,7 +98,7 @@
 }
 
 impl ConsulParts {
-    /// `address` is where clients connect, which is what is registered.
+    /// Starts the state of Consul. The address that clients connect to is registered.
     fn start(config: &Config, address: SocketAddr) -> Result<Self, StartError> {
         let Some(consul) = &config.consul else {
             return Ok(ConsulParts {
@@ -125,7 +124,7 @@
     }
 }
 
-/// All that can fail to be set up.
+/// The parts whose setup can fail.
 struct PreparedParts {
     clock: Clock,
     sockets: Sockets,
@@ -162,10 +161,10 @@
 }
 
 impl Daemon {
-    /// Binds the sockets and replays the known events. On SIGHUP a new configuration is read from `source`.
+    /// Binds the sockets and replays the known events. On SIGHUP, a new configuration is read from `source`.
     ///
     /// # Errors
-    /// The configuration can't be followed on this machine.
+    /// The configuration can't be applied on this machine.
     pub fn start(mut config: Config, source: Source) -> Result<Self, StartError> {
         let parts = PreparedParts::set_up(&config)?;
         let known = std::mem::take(&mut config.known);
@@ -201,7 +200,7 @@
         Ok(daemon)
     }
 
-    /// The daemon before anything was replayed.
+    /// Creates the daemon before the stored state is restored.
     fn assemble(config: Config, source: Source, parts: PreparedParts) -> Self {
         let now = parts.clock.now();
         let stored = OperatorFiles::load(&config.ops_folder, config.seed, now);
@@ -265,7 +264,7 @@
         }
     }
 
-    /// Logs where the daemon listens, and what the operators decided before.
+    /// Logs the addresses of the listeners and the restored decisions of operators.
     fn log_start(&self) {
         if let Some(address) = self.address() {
             log::info!("{} listens on {address}", self.config.name);
--- a/daemon/src/daemon/startup/sockets.rs
+++ b/daemon/src/daemon/startup/sockets.rs
@@ -1,4 +1,4 @@
-//! The sockets that the daemon is reached by, bound and watched at the start.
+//! Binds the sockets of the daemon and registers them with epoll at startup.
 
 use super::super::event_loop::{
     ADMIN_LISTENER_TOKEN, CDNI_LISTENER_TOKEN, CLIENT_LISTENER_TOKEN, PEERS_TOKEN, SIGHUP_TOKEN,
@@ -13,10 +13,10 @@
 use std::env::VarError;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 
-/// Names the descriptor of an inherited listener.
+/// The environment variable with the descriptor of an inherited listener.
 const INHERITED_LISTENER: &str = "ROUTER_SOCKET_FD";
 
-/// Binds a listener to the address that `key` of the configuration names.
+/// Binds a listener to the address of the configuration key `key`.
 fn bind(key: &'static str, address: SocketAddr) -> Result<TcpListener, StartError> {
     TcpListener::bind(address).map_err(|source| StartError::Bind {
         key,
@@ -25,7 +25,7 @@
     })
 }
 
-/// The clients' listener, and whether it was inherited from the platform by `$ROUTER_SOCKET_FD`.
+/// Returns the client listener, and whether it was inherited through `$ROUTER_SOCKET_FD`.
 fn client_listener(config: &Config) -> Result<(TcpListener, bool), StartError> {
     let text = match std::env::var(INHERITED_LISTENER) {
         Ok(text) => text,
@@ -39,9 +39,10 @@
     Ok((inherited_listener(descriptor)?, true))
 }
 
-/// Takes over a listener that the platform has opened.
+/// Takes over a listener that the parent process has opened.
 fn inherited_listener(descriptor: u32) -> Result<TcpListener, StartError> {
-    // listenfd takes descriptors as systemd hands them over; this is told before any thread is started.
+    // listenfd expects the variables of systemd's socket activation. Setting them is safe, as no other thread runs
+    // yet.
     std::env::set_var("LISTEN_FDS", "1");
     std::env::set_var("LISTEN_FDS_FIRST_FD", descriptor.to_string());
     std::env::remove_var("LISTEN_PID");
@@ -51,7 +52,7 @@
         .ok_or(StartError::NoListener(descriptor))
 }
 
-/// What clients, signals and operators reach the daemon by.
+/// The listeners and signals of the daemon.
 pub(super) struct Sockets {
     pub(super) poll: Poll,
     pub(super) clients: Listener,
@@ -66,7 +67,7 @@
         let (clients, listener_inherited) = client_listener(config)?;
         let sigterm = Signal::register(signal_hook::consts::SIGTERM).map_err(kernel("SIGTERM"))?;
         let sighup = Signal::register(signal_hook::consts::SIGHUP).map_err(kernel("SIGHUP"))?;
-        // As many as there can be: what is known at all is known before anything is done about a part of it.
+        // One wait returns all ready events, so that they can be handled by priority.
         let poll = Poll::new(config.limits.descriptors).map_err(kernel("epoll"))?;
         let clients =
             Listener::watch(clients, CLIENT_LISTENER_TOKEN, &poll).map_err(kernel("listen"))?;
@@ -95,7 +96,7 @@
     }
 }
 
-/// Binds the listener of the front for CDNI, where there is one.
+/// Binds the listener of the CDNI front, if configured.
 pub(super) fn open_cdni(
     config: &Config,
     poll: &Poll,
@@ -111,8 +112,7 @@
     Ok(Some((listener, trigger_api)))
 }
 
-/// Binds the socket for the peers, where they are told anything: what the front for CDNI is told, and of an origin that
-/// is late.
+/// Binds the socket for datagrams of peers, if purges of the CDNI front or the health of the origin are shared.
 pub(super) fn open_peers(
     config: &Config,
     poll: &Poll,
--- a/daemon/src/daemon/store_opening.rs
+++ b/daemon/src/daemon/store_opening.rs
@@ -1,9 +1,9 @@
-//! Opens the ledger's store at the start, and while that fails again with a backoff.
+//! Opens the store of the ledger at startup, and retries with a backoff if that fails temporarily.
 //!
-//! A proxy whose store can't be opened for a while (EIO, ENOSPC) serves without it: it learns from its peers what it
-//! committed, as one that lost its disk does, acknowledges nothing, and rejects what would have to be committed. Once
-//! the store opens, all that it holds is in force again. After the start the store is opened on a thread of its own, as
-//! a failing disk may block for long.
+//! A proxy whose store can't be opened temporarily (EIO, ENOSPC) runs without it: it recovers its committed entries
+//! from its peers as if it had lost its disk, acknowledges nothing, and rejects commands that would have to be
+//! committed. Once the store is open, its content is applied again. Retries run on a separate thread, as a failing
+//! disk may block.
 
 use super::{Daemon, Signal};
 use crate::ledger::{Bounds, Ledger, LedgerError};
@@ -15,15 +15,14 @@
 use std::path::PathBuf;
 use std::thread;
 
-/// The first backoff.
 const MIN_RETRY_US: Micros = 100_000;
-/// About the longest backoff.
+/// The longest backoff, before jitter.
 const MAX_RETRY_US: Micros = 2_000_000;
 
-/// The most purges of peers without logs that are kept for the store.
+/// Bounds the purges of peers without logs that are buffered until the store is open.
 const MAX_BUFFERED_PURGES: usize = 4_096;
 
-/// What is needed to open a store.
+/// The parameters for opening a store.
 #[derive(Clone, Debug)]
 pub(super) struct StoreConfig {
     pub(super) path: PathBuf,
@@ -32,7 +31,7 @@
 }
 
 impl StoreConfig {
-    /// Opens the store, for a process that began at `started`.
+    /// Opens the store for a process that started at `started`.
     fn open(
         &self,
         started: Micros,
@@ -41,8 +40,8 @@
         Ledger::open(&self.path, self.writer, started, self.bounds, wake)
     }
 
-    /// Opens the store at the start. Where that fails for a while, the ledger has no store, and it is opened again
-    /// later. A failure that stays until somebody repairs it is an error.
+    /// Opens the store at startup. After a temporary failure the ledger has no store, and opening it is retried
+    /// later. A permanent failure is an error.
     pub(super) fn start(
         self,
         now: Micros,
@@ -79,14 +78,14 @@
     }
 }
 
-/// A ledger, with its store or without.
+/// A ledger, with or without its store.
 pub(super) struct OpenedLedger {
     pub(super) ledger: Ledger,
     /// The store, if it has to be opened later.
     pub(super) pending: Option<PendingStore>,
 }
 
-/// Why a store can't be used at all.
+/// A store failed to open permanently.
 #[derive(Debug, thiserror::Error)]
 #[error("cdni.purges: {}: {source}", path.display())]
 pub(super) struct StoreOpenError {
@@ -94,24 +93,24 @@
     source: LedgerError,
 }
 
-/// A store that can't be opened for a while.
+/// A store that can't be opened yet.
 pub(super) struct PendingStore {
     store: StoreConfig,
-    /// When the process began, from which its incarnation is derived.
+    /// When the process started, from which its incarnation is derived.
     started: Micros,
     /// Why the last attempt failed.
     reason: String,
     backoff: Backoff,
-    /// The running attempt.
+    /// Receives the result of the current attempt.
     opening: Option<Receiver<Result<Ledger, LedgerError>>>,
-    /// How many commands were rejected for lack of the store.
+    /// The number of commands that were rejected because the store is not open.
     rejected: u64,
-    /// Purges that peers without logs sent meanwhile, which are to be stored.
+    /// Purges that peers without logs have sent meanwhile, to be stored later.
     buffered_purges: Vec<Purge>,
 }
 
 impl PendingStore {
-    /// Keeps a purge of a peer without logs until the store is open.
+    /// Buffers a purge of a peer without logs until the store is open.
     pub(super) fn buffer_purge(&mut self, purge: Purge) {
         if self.buffered_purges.len() < MAX_BUFFERED_PURGES {
             self.buffered_purges.push(purge);
@@ -123,13 +122,13 @@
         &self.reason
     }
 
-    /// Starts an attempt on a thread of its own, which raises the signal when it is over.
+    /// Starts an attempt on a separate thread, which raises the signal when it is done.
     fn start_attempt(&mut self, signal: &Signal) -> std::io::Result<()> {
         let (synced, opened) = (signal.waker()?, signal.waker()?);
         let (store, started) = (self.store.clone(), self.started);
         let (sender, receiver) = bounded(1);
         let open = move || {
-            // The receiver is gone where the process ends.
+            // The receiver is dropped if the process ends first.
             let _ = sender.send(store.open(started, synced));
             opened();
         };
@@ -140,9 +139,9 @@
         Ok(())
     }
 
-    /// Records a failed attempt. Returns when the next is due.
+    /// Records a failed attempt. Returns when the next one is due.
     fn record_failure(&mut self, now: Micros, reason: String) -> Micros {
-        // Logged once for each reason, as a full disk stays full for long.
+        // Each reason is logged once, as a full disk may stay full for long.
         if self.reason != reason {
             log::error!(attempts = self.backoff.failures() + 1; "the store still can't be opened: {reason}");
             self.reason = reason;
@@ -152,19 +151,19 @@
 }
 
 impl Daemon {
-    /// Whether there is a store that can't be opened yet.
+    /// Returns whether there is a store that can't be opened yet.
     pub(super) fn lacks_store(&self) -> bool {
         self.pending_store.is_some()
     }
 
-    /// Counts a command that is rejected for lack of the store.
+    /// Counts a command that is rejected because the store is not open.
     pub(super) fn count_rejected(&mut self) {
         if let Some(pending) = &mut self.pending_store {
             pending.rejected += 1;
         }
     }
 
-    /// Schedules the first attempt after the start.
+    /// Schedules the first attempt after startup.
     pub(super) fn schedule_store_opening(&mut self, now: Micros) {
         if let Some(pending) = &mut self.pending_store {
             let due = now + pending.backoff.next_delay();
@@ -182,7 +181,7 @@
         }
     }
 
-    /// Processes the result of an attempt to open the store, if it is over.
+    /// Processes the result of an attempt to open the store, if it is done.
     pub(super) fn finish_store_opening(&mut self, now: Micros) {
         let Some(pending) = &mut self.pending_store else {
             return;
@@ -199,7 +198,7 @@
         }
     }
 
-    /// Replaces the ledger without a store. Nothing that it held was acknowledged, so the peers send it again.
+    /// Replaces the ledger that has no store. Nothing that it held was acknowledged, so the peers send it again.
     fn attach_store(&mut self, now: Micros, mut ledger: Ledger) {
         let Some(pending) = self.pending_store.take() else {
             return;
@@ -207,13 +206,14 @@
         log::info!(attempts = pending.backoff.failures(), rejected = pending.rejected; "the store {} is open", pending.store.path.display());
         let announced = self.ledger.as_ref().map_or(0, Ledger::incarnation);
         if announced > ledger.incarnation() {
-            // Peers know this process by a greater incarnation than follows from its store.
+            // Peers know this process by a greater incarnation than the one derived from its store.
             ledger.raise_incarnation(announced);
         }
         let before = self.ledger.replace(ledger);
         let incarnation = |ledger: &Option<Ledger>| ledger.as_ref().map(Ledger::incarnation);
         if incarnation(&before) != incarnation(&self.ledger) {
-            // Its store knows of a process that began later, by a clock that was set back: this one is its successor.
+            // The store knows a process that started later by a clock that has since been set back. This process is
+            // its successor.
             self.join_membership(now);
             self.rejoin_budgets(now);
         }
