--- a/daemon/src/daemon/admin.rs
+++ b/daemon/src/daemon/admin.rs
@@ -223,14 +223,14 @@
         }
         if is_ready_call && self.operator_files.is_load_pending() {
             let note =
-                "; operators' calls are rejected, as what they decided before can't be read yet";
+                "; calls that change the state are rejected, as the stored operator state can't be read yet";
             reply.text.push_str(note);
         }
         if effect.is_some() && (self.lacks_store() || self.operator_files.is_load_pending()) {
             self.operations = previous;
             self.count_rejected();
             return Some(Reply::unavailable(
-                "nothing has changed: what was kept before can't be read yet",
+                "nothing changed: the stored state can't be read yet",
             ));
         }
         if let Some(effect) = effect {
@@ -240,10 +240,10 @@
                 self.operations = previous;
                 self.save_undone_state(now);
                 return Some(Reply::unavailable(
-                    "it can't be kept for the next process, so nothing has changed",
+                    "nothing changed: the state can't be stored for the next process",
                 ));
             }
-            log::info!(call = call_text.as_str(), status = reply.status; "the admin listener: {}", reply.text);
+            log::info!(call = call_text.as_str(), status = reply.status; "call to the admin listener: {}", reply.text);
             let decision = OperatorDecision::new(&effect);
             self.apply_operator_effect(now, effect);
             if is_replicated {
--- a/daemon/src/daemon/budgets/mod.rs
+++ b/daemon/src/daemon/budgets/mod.rs
@@ -330,7 +330,7 @@
                 Ok(()) => {
                     log::info!(
                         budget = new.name.as_str(), limit = new.spec.limit;
-                        "SIGHUP: the limit has changed"
+                        "SIGHUP: limit of a budget changed"
                     );
                     old.spec = new.spec;
                 }
--- a/daemon/src/daemon/budgets/status.rs
+++ b/daemon/src/daemon/budgets/status.rs
@@ -123,7 +123,7 @@
                 begins: false,
             } => {
                 let name = self.config.budgets.list[budget].name.as_str();
-                log::info!(budget = name; "a lease is in force again");
+                log::info!(budget = name; "budget has a valid lease again");
             }
         }
     }
@@ -133,7 +133,7 @@
         let of_group = budgets.filter(|(n, _)| member.group(*n) == group);
         let names: Vec<&str> = of_group.map(|(_, budget)| budget.name.as_str()).collect();
         if !names.is_empty() {
-            log::info!(budgets = names.join(" ").as_str(), leads = leads; "the allocator has changed");
+            log::info!(budgets = names.join(" ").as_str(), leads = leads; "allocator of budgets changed");
         }
     }
 
@@ -146,7 +146,7 @@
         log::info!(
             granted = counters.granted, accepted = counters.accepted, stale = counters.stale,
             misdirected = counters.misdirected;
-            "leases of what all proxies spend"
+            "leases of shared budgets"
         );
     }
 }
--- a/daemon/src/daemon/clients/mod.rs
+++ b/daemon/src/daemon/clients/mod.rs
@@ -105,7 +105,7 @@
                 }
             }
             if connection.partial_request_bytes == before {
-                log::debug!("a connection is closed: too many bytes of incomplete requests");
+                log::debug!("closing a client connection: too many bytes of incomplete requests");
                 self.close(now, key);
             } else {
                 self.write_client(key);
--- a/daemon/src/daemon/clients/requests.rs
+++ b/daemon/src/daemon/clients/requests.rs
@@ -38,7 +38,7 @@
             match connection.conn.read(false) {
                 Progress::Moved => match session.read(&mut connection.conn.input, &self.limits) {
                     Err(e) if session.has_unanswered_requests() => {
-                        log::debug!("a connection is read no further: {e}");
+                        log::debug!("no longer reading a client connection: {e}");
                         session.stop_reading();
                     }
                     read => read?,
--- a/daemon/src/daemon/commits/mod.rs
+++ b/daemon/src/daemon/commits/mod.rs
@@ -44,7 +44,7 @@
     #[error("{0}")]
     Rejected(RejectReason),
     /// A later process with the same name writes the log.
-    #[error("another process of this name has begun after this one")]
+    #[error("a later process with the same name has started")]
     Replaced,
 }
 
--- a/daemon/src/daemon/commits/operators.rs
+++ b/daemon/src/daemon/commits/operators.rs
@@ -135,7 +135,7 @@
                 if let Some(decision) = decision {
                     self.undo_decision(now, decision);
                 }
-                reply = Reply::unavailable(format!("nothing has changed: {reason}"));
+                reply = Reply::unavailable(format!("nothing changed: {reason}"));
             }
         }
         self.send_admin_reply(connection, &reply);
--- a/daemon/src/daemon/connection_table.rs
+++ b/daemon/src/daemon/connection_table.rs
@@ -100,7 +100,7 @@
         kind: ConnectionKind,
     ) -> Result<Key, ConnectError> {
         let socket = connect(to).map_err(|failure| {
-            log::debug!("no connection to {to}: {failure}");
+            log::debug!("failed to connect to {to}: {failure}");
             match failure.kind {
                 FailureKind::Refused => ConnectError::Refused,
                 FailureKind::Broken => ConnectError::Unreachable,
--- a/daemon/src/daemon/discovery.rs
+++ b/daemon/src/daemon/discovery.rs
@@ -46,7 +46,7 @@
 /// Returns the log line of a notice.
 fn notice_line(table: &EndpointTable, notice: Notice) -> String {
     match notice {
-        Notice::TableFull(uid) => format!("the table of pop caches is full: {uid} is not added"),
+        Notice::TableFull(uid) => format!("the table of pop caches is full: {uid} was not added"),
         Notice::DuplicateId {
             uid,
             accepted,
@@ -54,13 +54,15 @@
             source,
         } => {
             let source = table.source(source);
-            format!("{source} names {uid} at {rejected} too, which is ignored: it is at {accepted}")
+            format!(
+                "{source} also lists {uid} at {rejected}, which is ignored: it is at {accepted}"
+            )
         }
         Notice::DuplicateAddress {
             uid,
             other,
             endpoint,
-        } => format!("{uid} has taken the address {endpoint} over from {other}"),
+        } => format!("{uid} has taken over the address {endpoint} from {other}"),
         Notice::Moved { uid, from, to } => format!("{uid} has moved from {from} to {to}"),
     }
 }
--- a/daemon/src/daemon/operator_state.rs
+++ b/daemon/src/daemon/operator_state.rs
@@ -118,7 +118,7 @@
     pub(super) fn save_undone_state(&mut self, now: Micros) {
         let [first, _] = store::copies(&self.operator_state_folder);
         if let Err(e) = replace_unsynced(&first, &store::encode(self.operations.state())) {
-            log::debug!("{} may hold a call that was rejected: {e}", first.display());
+            log::debug!("{} may include a rejected call: {e}", first.display());
         }
         self.save_operator_state_in_time(now);
     }
@@ -157,7 +157,7 @@
 
     /// Applies the stored state once it can be read, and then the later decisions in this proxy's log.
     fn apply_stored_state(&mut self, now: Micros, state: OperatorState) {
-        log::info!(attempts = self.operator_files.backoff.failures(); "what the operators decided before is read");
+        log::info!(attempts = self.operator_files.backoff.failures(); "loaded the stored state of the operators");
         self.operator_files.load_pending = false;
         self.operator_files.backoff.reset();
         let is_drained = state.out_of_service;
--- a/daemon/src/daemon/recovery.rs
+++ b/daemon/src/daemon/recovery.rs
@@ -160,7 +160,7 @@
                 .ledger
                 .as_ref()
                 .map_or(0, |ledger| ledger.replica().log_store().len());
-            log::info!(entries = entries; "what this proxy committed is recovered");
+            log::info!(entries = entries; "recovered the committed entries of this proxy");
             self.announce_readiness(now);
         }
     }
@@ -202,7 +202,7 @@
                     .ledger
                     .as_ref()
                     .map_or(0, |ledger| ledger.table().len());
-                log::info!(took_ms = took_ms, compacted = compacted; "the peers' snapshot is received");
+                log::info!(took_ms = took_ms, compacted = compacted; "received the snapshot of the peers");
                 self.announce_readiness(now);
             }
             Some(wait) => {
@@ -245,7 +245,7 @@
         let purges = ledger.purges();
         let (compacted, bytes) = (ledger.table().len(), ledger.table().memory_bytes());
         if !purges.is_empty() || compacted > 0 {
-            log::info!(exact = purges.len(), compacted = compacted, table_bytes = bytes; "the store's purges are in force");
+            log::info!(exact = purges.len(), compacted = compacted, table_bytes = bytes; "restored the purges of the store");
         }
         for Purge { object, group, at } in purges {
             self.core.record_purge(now, object, group, at);
--- a/daemon/src/daemon/registration.rs
+++ b/daemon/src/daemon/registration.rs
@@ -69,7 +69,7 @@
     ) -> bool {
         let Err(failure) = done else { return true };
         if failure.kind == FailureKind::ProgramFault {
-            log::debug!("a connection can't be watched: {failure}");
+            log::debug!("epoll registration failed permanently: {failure}");
             return false;
         }
         let Some(connection) = self.connections.get_mut(key) else {
--- a/daemon/src/daemon/reload.rs
+++ b/daemon/src/daemon/reload.rs
@@ -24,11 +24,11 @@
         self.config.peers = new.peers.take().or(self.config.peers.take());
         self.reload_machines(now);
         let bus_note = if bus_moved {
-            "; the event bus has moved"
+            "; the address of the event bus changed"
         } else {
             ""
         };
-        log::info!("SIGHUP: the configuration is read again{bus_note}");
+        log::info!("SIGHUP: reloaded the configuration{bus_note}");
         self.index_peers();
         if bus_moved {
             self.reconnect_moved_bus(now);
@@ -101,7 +101,7 @@
         }
         match self.core.apply_settings(next.clone()) {
             Ok(()) => {
-                log::info!(classes = next.classes.len(), attempts = next.max_attempts; "SIGHUP: new settings are in force");
+                log::info!(classes = next.classes.len(), attempts = next.max_attempts; "SIGHUP: applied new settings");
                 self.config.settings = next;
                 true
             }
--- a/daemon/src/daemon/replication.rs
+++ b/daemon/src/daemon/replication.rs
@@ -51,7 +51,7 @@
         let pending = &mut self.pending_commits;
         let before = std::mem::replace(&mut pending.under_replicated, under_replicated);
         if self.config.copies.on && (under_replicated == 0) != (before == 0) {
-            log::info!(under_replicated = under_replicated; "entries with fewer replicas than configured");
+            log::info!(under_replicated = under_replicated; "number of under-replicated log entries changed");
         }
         let before = std::mem::replace(&mut pending.peers_without_snapshot, without_snapshot);
         if without_snapshot > before {
--- a/daemon/src/daemon/shutdown.rs
+++ b/daemon/src/daemon/shutdown.rs
@@ -15,7 +15,7 @@
             self.sigterm_at = Some(now);
             self.core
                 .set_shutdown_deadline(now + self.limits.term_answer_us);
-            log::info!("SIGTERM: answering what is open");
+            log::info!("SIGTERM received: answering open requests before exit");
             if self.listener_inherited {
                 // The next process accepts on the same socket. This process would have to answer newly accepted
                 // connections during its shutdown, so it accepts no more, and closes existing connections after their
@@ -38,7 +38,7 @@
     pub(super) fn close_client_listener(&mut self) {
         if let Some(listener) = self.client_listener.take() {
             if let Err(e) = listener.close(&self.poll) {
-                log::debug!("the listener was not watched: {e}");
+                log::debug!("client listener was not registered with epoll: {e}");
             }
         }
     }
@@ -93,7 +93,7 @@
     fn log_requests(&self) {
         let counters = self.core.counters;
         log::info!(
-            "ended: {} taken, {} served, {} refused, {} failed, {} left, {} attempts",
+            "exiting: {} admitted, {} served, {} rejected, {} failed, {} abandoned, {} attempts",
             counters.admitted,
             counters.served,
             counters.rejected,
@@ -106,7 +106,7 @@
     fn log_dropped_datagrams(&self) {
         if self.peers.is_some() {
             let (strangers, foreign) = self.dropped_datagrams;
-            log::info!(strangers = strangers, foreign = foreign; "datagrams that were dropped");
+            log::info!(strangers = strangers, foreign = foreign; "dropped datagrams");
         }
     }
 
@@ -120,7 +120,7 @@
                 torn = counters.malformed,
                 version = counters.unknown_version,
                 too_long = counters.too_long;
-                "reports of a late origin to and from peers"
+                "origin health reports exchanged with peers"
             );
         }
     }
@@ -135,6 +135,6 @@
         rejected = counters.rejected,
         committed = counters.committed,
         commits_rejected = counters.commits_rejected;
-        "entries of logs copied to and from peers, and promises of them"
+        "log entries replicated to and from peers, and commits"
     );
 }
--- a/daemon/src/daemon/sources/bus.rs
+++ b/daemon/src/daemon/sources/bus.rs
@@ -118,7 +118,7 @@
             Some(News::Purge { object, group, at }) => {
                 self.core.record_purge(now, object, group, at);
             }
-            None => log::debug!("event {} of the bus is of an unknown kind", event.offset),
+            None => log::debug!("ignored event {} of the bus: unknown kind", event.offset),
         }
     }
 
--- a/daemon/src/daemon/sources/consul/cached_snapshot.rs
+++ b/daemon/src/daemon/sources/consul/cached_snapshot.rs
@@ -147,14 +147,14 @@
         };
         let path = snapshot.path.display();
         if !snapshot.path.exists() {
-            log::info!("there is no cached list {path}");
+            log::info!("no cached endpoint list at {path}");
             return;
         }
         match snapshot.load(now, max_bytes, max_age_us) {
             Err(e) => log::warn!("the cached list {path} is not used: {e}"),
             Ok(cached) => {
                 let age_s = now.saturating_sub(cached.at) / 1_000_000;
-                log::info!(caches = cached.entries.len(), age_s = age_s; "the cached list holds until an agent speaks");
+                log::info!(caches = cached.entries.len(), age_s = age_s; "using the cached endpoint list until a Consul agent responds");
                 if let Some(evidence) = self.restore_watch(index, &cached.entries) {
                     self.receive_evidence(now, SourceId(CONSUL.0 + index), evidence);
                 }
--- a/daemon/src/daemon/sources/peers.rs
+++ b/daemon/src/daemon/sources/peers.rs
@@ -76,7 +76,7 @@
         else {
             return;
         };
-        log::debug!(target: TRACE, share = share; "peers are notified of a slow origin");
+        log::debug!(target: TRACE, share = share; "notifying peers of a slow origin");
         self.send_to_peers(&datagram);
     }
 
@@ -126,7 +126,7 @@
             self.receive_equal_logs(now, peer);
         }
         if !received.new.is_empty() {
-            log::debug!(target: TRACE, peer = peer, entries = received.new.len(); "a peer sent purges");
+            log::debug!(target: TRACE, peer = peer, entries = received.new.len(); "received log entries from a peer");
         }
         let replies = received
             .replies
--- a/daemon/src/daemon/startup/error.rs
+++ b/daemon/src/daemon/startup/error.rs
@@ -21,7 +21,7 @@
         source: io::Error,
     },
     /// The environment variable for an inherited listener is not a number.
-    #[error("ROUTER_SOCKET_FD: '{text}' is no descriptor")]
+    #[error("ROUTER_SOCKET_FD: '{text}' is not a file descriptor")]
     InheritedNumber {
         /// The value of the variable.
         text: String,
@@ -37,7 +37,7 @@
         source: io::Error,
     },
     /// The inherited descriptor is not a listening TCP socket.
-    #[error("ROUTER_SOCKET_FD: descriptor {0} is no listening TCP socket")]
+    #[error("ROUTER_SOCKET_FD: descriptor {0} is not a listening TCP socket")]
     NoListener(u32),
     /// A system call that sets up a signal, a socket or epoll has failed.
     #[error("{what}: {source}")]
@@ -48,7 +48,7 @@
         source: io::Error,
     },
     /// A descriptor can't be registered with epoll.
-    #[error("{what} can't be watched: {failure}")]
+    #[error("{what}: epoll registration failed: {failure}")]
     Watch {
         /// What was being registered.
         what: &'static str,
@@ -59,7 +59,7 @@
     #[error(transparent)]
     Store(Box<dyn Error + Send + Sync>),
     /// Replication is configured without peers.
-    #[error("peers.copies: the configuration names no 'peers' to copy to")]
+    #[error("peers.copies: replication needs 'peers' in the configuration")]
     NoPeers,
     /// The settings of the decision module are invalid.
     #[error(transparent)]
--- a/daemon/src/daemon/store_opening.rs
+++ b/daemon/src/daemon/store_opening.rs
@@ -203,7 +203,7 @@
         let Some(pending) = self.pending_store.take() else {
             return;
         };
-        log::info!(attempts = pending.backoff.failures(), rejected = pending.rejected; "the store {} is open", pending.store.path.display());
+        log::info!(attempts = pending.backoff.failures(), rejected = pending.rejected; "opened the store {}", pending.store.path.display());
         let announced = self.ledger.as_ref().map_or(0, Ledger::incarnation);
         if announced > ledger.incarnation() {
             // Peers know this process by a greater incarnation than the one derived from its store.
--- a/daemon/src/daemon/upstream_connections/mod.rs
+++ b/daemon/src/daemon/upstream_connections/mod.rs
@@ -174,7 +174,7 @@
         let key = self.connect_to(now, endpoint, ConnectionKind::CacheServer(upstream))?;
         let connections = self.cache_connections.entry(server).or_default();
         connections.push(key);
-        log::debug!(target: TRACE, cache = self.core.uid(server), number = connections.len(); "a connection is begun");
+        log::debug!(target: TRACE, cache = self.core.uid(server), number = connections.len(); "connecting to cache server");
         Ok(key)
     }
 
@@ -274,7 +274,7 @@
         mut upstream: UpstreamConnection,
     ) {
         let server = upstream.server;
-        log::debug!(target: TRACE, cache = self.core.uid(server), up = conn.up; "a connection has ended");
+        log::debug!(target: TRACE, cache = self.core.uid(server), up = conn.up; "connection to cache server closed");
         if let Entry::Occupied(mut connections) = self.cache_connections.entry(server) {
             connections.get_mut().retain(|k| *k != key);
             if connections.get().is_empty() {
