--- a/daemon/src/daemon/admin.rs
+++ b/daemon/src/daemon/admin.rs
@@ -128,7 +128,7 @@
     }
 
     /// Reads a call, and replies once it is complete or malformed.
-    pub(super) fn read_admin(&mut self, now: Micros, key: Key, ended: bool) {
+    pub(super) fn read_admin(&mut self, now: Micros, key: Key, input_ended: bool) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
@@ -163,7 +163,7 @@
                 }
             },
             Err(e) => Reply::rejected(e),
-            Ok(None) if !ended => return,
+            Ok(None) if !input_ended => return,
             Ok(None) => match session.parser.end() {
                 Some(e) => Reply::rejected(e),
                 None => {
--- a/daemon/src/daemon/budgets/mod.rs
+++ b/daemon/src/daemon/budgets/mod.rs
@@ -189,7 +189,7 @@
         let Some(shared) = &mut self.shared_budgets else {
             return;
         };
-        for (n, budget) in self.config.budgets.list.iter().enumerate() {
+        for (index, budget) in self.config.budgets.list.iter().enumerate() {
             let unsettled = unsettled_amounts.of(budget.of);
             // A process that is shutting down returns all that it has not spent.
             let amount = if is_stopping {
@@ -197,7 +197,7 @@
             } else {
                 budget.unit.demand(unsettled)
             };
-            shared.member.set_demand(n, amount, unsettled);
+            shared.member.set_demand(index, amount, unsettled);
         }
     }
 
@@ -281,12 +281,12 @@
             return;
         };
         let mut changed = Vec::new();
-        for (n, budget) in self.config.budgets.list.iter().enumerate() {
-            let (Some(of), Some(spec)) = (budget.of, shared.member.spec(n)) else {
+        for (index, budget) in self.config.budgets.list.iter().enumerate() {
+            let (Some(of), Some(spec)) = (budget.of, shared.member.spec(index)) else {
                 continue;
             };
             let unit = budget.unit.one() as f64;
-            let lease = shared.member.lease(now, n);
+            let lease = shared.member.lease(now, index);
             let mut lease = Lease {
                 budget: of,
                 amount: lease.amount as f64 / unit,
@@ -294,12 +294,13 @@
                 reserved: spec.reserved as f64 / unit,
             };
             if faults::ignores_lease_ends() {
-                if shared.delivered[n].is_some_and(|delivered| delivered.amount > lease.amount) {
+                if shared.delivered[index].is_some_and(|delivered| delivered.amount > lease.amount)
+                {
                     continue;
                 }
                 lease.until = Micros::MAX;
             }
-            if shared.delivered[n].replace(lease) != Some(lease) {
+            if shared.delivered[index].replace(lease) != Some(lease) {
                 changed.push(lease);
             }
         }
@@ -325,8 +326,8 @@
             .iter_mut()
             .zip(&new.list)
             .enumerate();
-        for (n, (old, new)) in budgets.filter(|(_, (old, new))| old.spec != new.spec) {
-            match shared.member.set_limit(n, new.spec.limit) {
+        for (index, (old, new)) in budgets.filter(|(_, (old, new))| old.spec != new.spec) {
+            match shared.member.set_limit(index, new.spec.limit) {
                 Ok(()) => {
                     log::info!(
                         budget = new.name.as_str(), limit = new.spec.limit;
--- a/daemon/src/daemon/budgets/status.rs
+++ b/daemon/src/daemon/budgets/status.rs
@@ -18,7 +18,7 @@
             name: self.config.name.clone(),
             members: config.members,
             budgets: listed
-                .map(|(n, budget)| self.budget_status(member, now, n, budget))
+                .map(|(index, budget)| self.budget_status(member, now, index, budget))
                 .collect(),
             budgets_total: config.list.len(),
         })
@@ -28,22 +28,22 @@
         &self,
         member: &Member,
         now: Micros,
-        n: usize,
+        index: usize,
         budget: &Shared,
     ) -> BudgetStatus {
-        let spec = member.spec(n).unwrap_or(budget.spec);
+        let spec = member.spec(index).unwrap_or(budget.spec);
         let Lease {
             amount: lease,
             until,
-        } = member.lease(now, n);
+        } = member.lease(now, index);
         let Demand {
             amount: demand,
             unsettled,
-        } = member.demand(n);
-        let group = member.group(n);
+        } = member.demand(index);
+        let group = member.group(index);
         let leads = member.leads(now, group);
         let grants = if leads {
-            member.outstanding_grants(n)
+            member.outstanding_grants(index)
         } else {
             Vec::new()
         };
@@ -130,7 +130,7 @@
 
     fn log_leadership(&self, member: &Member, group: usize, leads: bool) {
         let budgets = self.config.budgets.list.iter().enumerate();
-        let of_group = budgets.filter(|(n, _)| member.group(*n) == group);
+        let of_group = budgets.filter(|(index, _)| member.group(*index) == group);
         let names: Vec<&str> = of_group.map(|(_, budget)| budget.name.as_str()).collect();
         if !names.is_empty() {
             log::info!(budgets = names.join(" ").as_str(), leads = leads; "allocator of budgets changed");
--- a/daemon/src/daemon/cdni_listener.rs
+++ b/daemon/src/daemon/cdni_listener.rs
@@ -18,11 +18,11 @@
 }
 
 impl Delivery {
-    fn new(post: Post, attempts: u32, most_line: usize) -> Self {
+    fn new(post: Post, attempts: u32, max_line_bytes: usize) -> Self {
         Delivery {
             post,
             attempts,
-            messages: Messages::responses(most_line, usize::MAX),
+            messages: Messages::responses(max_line_bytes, usize::MAX),
         }
     }
 }
@@ -201,21 +201,21 @@
 
     /// Admits the request of a redirected client to the core, or rejects it.
     fn admit_for_cdni(&mut self, now: Micros, key: Key, mut request: ClientRequest) {
-        let unread = self.turn.unread_delay(now);
-        request.remaining_us = request.remaining_us.saturating_sub(unread);
+        let unread_delay_us = self.turn.unread_delay(now);
+        request.remaining_us = request.remaining_us.saturating_sub(unread_delay_us);
         let deadline = now + request.remaining_us;
         let client = Client {
             connection: key,
             stream: 0,
         };
-        let ticket = self.core.admit(now, client, request);
+        let request_key = self.core.admit(now, client, request);
         let retry_after_us = Some(self.limits.back_off_us);
         let Some((_, session)) = self.cdni_session(key) else {
             return;
         };
         session.deadline = deadline;
-        match ticket {
-            Some(ticket) => session.waiting = Some(Waiting::Core(ticket)),
+        match request_key {
+            Some(request_key) => session.waiting = Some(Waiting::Core(request_key)),
             None => session.respond(&cdni::response(Answer::Rejected { retry_after_us }, false)),
         }
     }
--- a/daemon/src/daemon/cdni_listener/tests.rs
+++ b/daemon/src/daemon/cdni_listener/tests.rs
@@ -15,15 +15,15 @@
     assert!(
         text.starts_with("POST /t HTTP/1.1\r\n") && text.ends_with("Content-Length: 2\r\n\r\n{}")
     );
-    let mut effects = Vec::new();
+    let mut tasks = Vec::new();
     assert_eq!(
-        delivery.read(b"HTTP/1.1 201 Cre", &mut effects),
+        delivery.read(b"HTTP/1.1 201 Cre", &mut tasks),
         Ok(Flow::NeedsInput)
     );
-    assert!(effects.is_empty());
+    assert!(tasks.is_empty());
     assert_eq!(
-        delivery.read(b"ated\r\nContent-Length: 0\r\n\r\n", &mut effects),
+        delivery.read(b"ated\r\nContent-Length: 0\r\n\r\n", &mut tasks),
         Ok(Flow::Done)
     );
-    assert_eq!(effects.len(), 1);
+    assert_eq!(tasks.len(), 1);
 }
--- a/daemon/src/daemon/clients/mod.rs
+++ b/daemon/src/daemon/clients/mod.rs
@@ -83,12 +83,12 @@
     fn limit_partial_requests(&mut self, now: Micros) {
         while self.total_partial_request_bytes > self.limits.bodies {
             let keys = self.connections.keys().into_iter();
-            let partial_bytes =
+            let bytes_and_key =
                 |key: Key| Some((self.connections.get(key)?.partial_request_bytes, key));
             let Some((before, key)) = keys
-                .filter_map(partial_bytes)
+                .filter_map(bytes_and_key)
                 .max()
-                .filter(|(partial_bytes, _)| *partial_bytes > 0)
+                .filter(|(bytes, _)| *bytes > 0)
             else {
                 return;
             };
--- a/daemon/src/daemon/clients/requests.rs
+++ b/daemon/src/daemon/clients/requests.rs
@@ -63,7 +63,7 @@
                 return true;
             };
             match input {
-                Input::ClientGone(ticket) => self.core.client_gone(now, ticket),
+                Input::ClientGone(request_key) => self.core.client_gone(now, request_key),
                 Input::HealthCheck(stream) => self.answer_health_check(key, stream),
                 Input::Request(stream, request) => {
                     self.admit_request(now, key, stream, request, is_first);
@@ -96,13 +96,13 @@
         is_first: bool,
     ) {
         // The client measures its time budget from when it sent the request.
-        let unread = self.turn.unread_delay(now);
-        request.remaining_us = request.remaining_us.saturating_sub(unread);
+        let unread_delay_us = self.turn.unread_delay(now);
+        request.remaining_us = request.remaining_us.saturating_sub(unread_delay_us);
         let client = Client {
             connection: key,
             stream: u32::from(stream),
         };
-        let ticket = if self.is_shed(now, key, is_first) {
+        let request_key = if self.is_shed(now, key, is_first) {
             None
         } else {
             self.core.admit(now, client, request)
@@ -111,14 +111,9 @@
         let Some(session) = self.client_session(key) else {
             return;
         };
-        match ticket {
-            Some(ticket) => session.admitted(stream, ticket),
-            None => session.answer(
-                stream,
-                &Answer::Rejected {
-                    retry_after_us: retry_after_us,
-                },
-            ),
+        match request_key {
+            Some(request_key) => session.admitted(stream, request_key),
+            None => session.answer(stream, &Answer::Rejected { retry_after_us }),
         }
     }
 
@@ -171,9 +166,9 @@
 
     /// Closes a client connection whose output has failed.
     pub(in crate::daemon) fn close_if_broken(&mut self, now: Micros, key: Key) {
-        let client =
+        let is_broken_client =
             |connection: &Connection| connection.kind.is_client() && connection.conn.is_broken();
-        if self.connections.get(key).is_some_and(client) {
+        if self.connections.get(key).is_some_and(is_broken_client) {
             self.close(now, key);
         }
     }
--- a/daemon/src/daemon/commits/mod.rs
+++ b/daemon/src/daemon/commits/mod.rs
@@ -122,10 +122,10 @@
         for effect in effects {
             let appended = match effect {
                 Effect::Purge(object, group) => self.apply_purge(now, object, group),
-                Effect::Status(name, text) if last.is_ok() => self.append_status(now, name, &text),
+                Effect::Status(id, text) if last.is_ok() => self.append_status(now, id, &text),
                 // The command fails as a whole, so its trigger gets no status.
                 Effect::Status(..) => Ok(None),
-                Effect::Gone(name) => self.append_gone(now, name),
+                Effect::Gone(id) => self.append_gone(now, id),
                 Effect::Post(post) => {
                     self.deliver(now, post);
                     Ok(None)
--- a/daemon/src/daemon/commits/triggers.rs
+++ b/daemon/src/daemon/commits/triggers.rs
@@ -8,7 +8,7 @@
 use linnetknot_replication::{Entry, Index, Subject};
 
 /// Returns the trigger that an entry refers to, if any.
-fn trigger_name(entry: &Entry) -> Option<TriggerId> {
+fn entry_trigger_id(entry: &Entry) -> Option<TriggerId> {
     match entry.subject {
         Subject::Status { number, .. } => Some(TriggerId {
             writer: entry.log.writer,
@@ -24,13 +24,13 @@
     pub(super) fn append_status(
         &mut self,
         now: Micros,
-        name: TriggerId,
+        trigger_id: TriggerId,
         text: &str,
     ) -> Result<Option<Index>, AppendError> {
         let Some(ledger) = &mut self.ledger else {
             return Ok(None);
         };
-        let entries = ledger.append_status(name.number, text, now)?;
+        let entries = ledger.append_status(trigger_id.number, text, now)?;
         let last = entries.last().map(|entry| entry.index);
         for entry in entries {
             self.send_entry(entry);
@@ -62,16 +62,16 @@
     ) -> Option<Response> {
         let (_, trigger_api) = self.trigger_api.as_mut()?;
         let response = trigger_api.retract(trigger);
-        let name = trigger.map_or_else(String::new, |name| name.to_string());
+        let trigger_id = trigger.map_or_else(String::new, |trigger_id| trigger_id.to_string());
         if self.lacks_store() {
             self.count_rejected();
             return Some(response);
         }
-        log::warn!(trigger = name.as_str(), reason = error.to_string().as_str(); "a command of a peer CDN is rejected");
+        log::warn!(trigger = trigger_id.as_str(), reason = error.to_string().as_str(); "a command of a peer CDN is rejected");
         // A replaced process has appended nothing, so there is nothing to undo.
         let appended = trigger.filter(|_| self.may_commit());
-        if let Some(Err(e)) = appended.map(|name| self.append_gone(now, name)) {
-            log::warn!(trigger = name.as_str(); "that the command is rejected can't be appended to the log, and its peers do not know it: {e}");
+        if let Some(Err(e)) = appended.map(|trigger_id| self.append_gone(now, trigger_id)) {
+            log::warn!(trigger = trigger_id.as_str(); "that the command is rejected can't be appended to the log, and its peers do not know it: {e}");
         }
         Some(response)
     }
@@ -87,11 +87,11 @@
         };
         trigger_api.start_ids_at(first);
         for status in ledger.statuses() {
-            let name = TriggerId {
+            let trigger_id = TriggerId {
                 writer: status.writer,
                 number: status.number,
             };
-            trigger_api.insert(now, name, &status.text);
+            trigger_api.insert(now, trigger_id, &status.text);
         }
     }
 
@@ -100,13 +100,13 @@
         let (Some(ledger), Some((_, trigger_api))) = (&self.ledger, &mut self.trigger_api) else {
             return;
         };
-        let mut names: Vec<TriggerId> = entries.iter().filter_map(trigger_name).collect();
-        names.dedup();
+        let mut trigger_ids: Vec<TriggerId> = entries.iter().filter_map(entry_trigger_id).collect();
+        trigger_ids.dedup();
         let log_store = ledger.replica().log_store();
-        for name in names {
-            match log_store.status(name.writer, name.number) {
-                Some(text) => trigger_api.insert(now, name, &text),
-                None => trigger_api.remove(name),
+        for trigger_id in trigger_ids {
+            match log_store.status(trigger_id.writer, trigger_id.number) {
+                Some(text) => trigger_api.insert(now, trigger_id, &text),
+                None => trigger_api.remove(trigger_id),
             }
         }
     }
--- a/daemon/src/daemon/connection_table.rs
+++ b/daemon/src/daemon/connection_table.rs
@@ -161,13 +161,13 @@
         let mut is_over = false;
         if ready.read && connection.conn.up {
             let progress = connection.conn.read(ready.broken);
-            let ended = matches!(progress, Progress::Ended | Progress::Broken);
+            let input_ended = matches!(progress, Progress::Ended | Progress::Broken);
             // A client of the admin listener may half-close its connection after the call and still receives its
             // reply.
-            is_over = ended
+            is_over = input_ended
                 && !(matches!(connection.kind, ConnectionKind::Admin(_))
                     && progress == Progress::Ended);
-            if let Err(e) = self.read_input(now, key, ended) {
+            if let Err(e) = self.read_input(now, key, input_ended) {
                 // Malformed input of clients is logged at debug, so that it can't flood the log.
                 let is_client = self
                     .connections
@@ -193,7 +193,7 @@
         self.update_client_state(now, key);
     }
 
-    fn read_input(&mut self, now: Micros, key: Key, ended: bool) -> Result<(), WireError> {
+    fn read_input(&mut self, now: Micros, key: Key, input_ended: bool) -> Result<(), WireError> {
         let Some(connection) = self.connections.get_mut(key) else {
             return Ok(());
         };
@@ -209,7 +209,7 @@
                 Ok(())
             }
             ConnectionKind::Admin(_) => {
-                self.read_admin(now, key, ended);
+                self.read_admin(now, key, input_ended);
                 Ok(())
             }
             ConnectionKind::CacheServer(upstream) => {
@@ -267,15 +267,15 @@
                 session
                     .open_requests()
                     .into_iter()
-                    .for_each(|ticket| self.core.client_gone(now, ticket));
+                    .for_each(|request_key| self.core.client_gone(now, request_key));
             }
             ConnectionKind::CacheServer(upstream) => {
                 self.upstream_closed(now, key, &connection.conn, upstream)
             }
             ConnectionKind::Cdni(session) => {
                 self.client_count -= 1;
-                if let Some(Waiting::Core(ticket)) = session.waiting {
-                    self.core.client_gone(now, ticket);
+                if let Some(Waiting::Core(request_key)) = session.waiting {
+                    self.core.client_gone(now, request_key);
                 }
             }
             ConnectionKind::Lingering => self.client_count -= 1,
--- a/daemon/src/daemon/membership.rs
+++ b/daemon/src/daemon/membership.rs
@@ -127,8 +127,8 @@
         };
         let outgoing = membership.outgoing();
         let changes = membership.changes();
-        for out in &outgoing {
-            self.send_to_peer_at(out.peer, &out.datagram);
+        for message in &outgoing {
+            self.send_to_peer_at(message.peer, &message.datagram);
         }
         for change in &changes {
             self.log_member_change(change);
--- a/daemon/src/daemon/registration.rs
+++ b/daemon/src/daemon/registration.rs
@@ -21,8 +21,8 @@
 impl Daemon {
     /// Registers a new connection. Returns false if the registration failed permanently.
     pub(super) fn register(&mut self, now: Micros, key: Key) -> bool {
-        let done = self.try_register(key);
-        self.schedule_registration_retry(now, key, done)
+        let result = self.try_register(key);
+        self.schedule_registration_retry(now, key, result)
     }
 
     /// Updates the registered interest of a connection.
@@ -34,8 +34,8 @@
             return;
         }
         connection.registration = Registration::Outdated;
-        let done = self.try_register(key);
-        if !self.schedule_registration_retry(now, key, done) {
+        let result = self.try_register(key);
+        if !self.schedule_registration_retry(now, key, result) {
             // The caller may be using the connection, so it is not closed here. The timer closes it in this turn of
             // the loop if the registration fails again.
             self.deadlines.set(now, Timer::RetryRegistration(key));
@@ -65,9 +65,9 @@
         &mut self,
         now: Micros,
         key: Key,
-        done: Result<(), Failure>,
+        result: Result<(), Failure>,
     ) -> bool {
-        let Err(failure) = done else { return true };
+        let Err(failure) = result else { return true };
         if failure.kind == FailureKind::ProgramFault {
             log::debug!("epoll registration failed permanently: {failure}");
             return false;
@@ -88,9 +88,9 @@
             return;
         };
         connection.registration_retry_scheduled = false;
-        let done = self.try_register(key);
-        let is_watched = done.is_ok();
-        if !self.schedule_registration_retry(now, key, done) {
+        let result = self.try_register(key);
+        let is_watched = result.is_ok();
+        if !self.schedule_registration_retry(now, key, result) {
             return self.close(now, key);
         }
         let is_up = self
--- a/daemon/src/daemon/sources/consul/cached_snapshot.rs
+++ b/daemon/src/daemon/sources/consul/cached_snapshot.rs
@@ -104,7 +104,7 @@
         };
         let disk = Disk::start("linnetknot-disk").map_err(error)?;
         let snapshot = |(index, scope)| {
-            let path = folder.join(format!("boxes-{number}.list"));
+            let path = folder.join(format!("boxes-{index}.list"));
             remove_leftovers(&path);
             Snapshot::new(path, scope)
         };
@@ -165,8 +165,8 @@
     /// Schedules the write of a confirmed list: soon if it has changed, otherwise in time to keep its timestamp
     /// recent.
     pub(in crate::daemon) fn schedule_snapshot(&mut self, now: Micros, index: usize) {
-        let soon_us = self.limits.keep_soon_us;
-        let seldom_us = self.limits.keep_seldom_us;
+        let change_delay_us = self.limits.keep_soon_us;
+        let refresh_interval_us = self.limits.keep_seldom_us;
         let writer = self.snapshot_writer.as_mut();
         let Some(snapshot) = writer.and_then(|writer| writer.snapshots.get_mut(index)) else {
             return;
@@ -177,9 +177,9 @@
             .reported_by(SourceId(CONSUL.0 + index))
             .eq(snapshot.written.iter());
         let at = if is_unchanged {
-            (snapshot.written_at + seldom_us).max(now)
+            (snapshot.written_at + refresh_interval_us).max(now)
         } else {
-            now + soon_us
+            now + change_delay_us
         };
         if snapshot.timer.is_none_or(|timer| timer.at > at) {
             if let Some(old) = snapshot.timer.take() {
--- a/daemon/src/daemon/startup/error.rs
+++ b/daemon/src/daemon/startup/error.rs
@@ -22,7 +22,7 @@
     },
     /// The environment variable for an inherited listener is not a number.
     #[error("ROUTER_SOCKET_FD: '{text}' is not a file descriptor")]
-    InheritedNumber {
+    InvalidDescriptor {
         /// The value of the variable.
         text: String,
         /// Why it can't be parsed.
@@ -30,7 +30,7 @@
     },
     /// The inherited listener can't be taken over.
     #[error("ROUTER_SOCKET_FD: descriptor {descriptor}: {source}")]
-    Inherited {
+    InheritListener {
         /// The descriptor from the environment.
         descriptor: u32,
         /// Why it can't be taken over.
@@ -38,10 +38,10 @@
     },
     /// The inherited descriptor is not a listening TCP socket.
     #[error("ROUTER_SOCKET_FD: descriptor {0} is not a listening TCP socket")]
-    NoListener(u32),
+    NotAListener(u32),
     /// A system call that sets up a signal, a socket or epoll has failed.
     #[error("{what}: {source}")]
-    Kernel {
+    SystemCall {
         /// What was being set up.
         what: &'static str,
         /// Why the call failed.
@@ -49,7 +49,7 @@
     },
     /// A descriptor can't be registered with epoll.
     #[error("{what}: epoll registration failed: {failure}")]
-    Watch {
+    EpollRegistration {
         /// What was being registered.
         what: &'static str,
         /// Why the registration failed.
@@ -73,11 +73,11 @@
 }
 
 /// Returns the error of a system call that sets up `what`.
-pub(super) fn kernel(what: &'static str) -> impl FnOnce(io::Error) -> StartError {
-    move |source| StartError::Kernel { what, source }
+pub(super) fn system_error(what: &'static str) -> impl FnOnce(io::Error) -> StartError {
+    move |source| StartError::SystemCall { what, source }
 }
 
 /// Returns the error of registering `what` with epoll.
-pub(super) fn watching(what: &'static str) -> impl FnOnce(Failure) -> StartError {
-    move |failure| StartError::Watch { what, failure }
+pub(super) fn registration_error(what: &'static str) -> impl FnOnce(Failure) -> StartError {
+    move |failure| StartError::EpollRegistration { what, failure }
 }
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -23,7 +23,7 @@
 use crate::ledger::{Bounds, Ledger};
 use crate::net::{Clock, Deadlines, Listener, Poll, Slots};
 use crate::plain_purges::PlainPurges;
-use error::{kernel, watching};
+use error::{registration_error, system_error};
 use linnetknot_discovery::{Damping, EndpointTable, ListValidator, Source as ListSource};
 use linnetknot_origin_health::{OriginHealth, ZonePosition};
 use sockets::{open_cdni, open_peers, Sockets};
@@ -45,10 +45,10 @@
         let Some(path) = path else {
             return Ok(StoreParts::default());
         };
-        let signal = Signal::new().map_err(kernel("cdni.purges"))?;
+        let signal = Signal::new().map_err(system_error("cdni.purges"))?;
         poll.add_at_start(&signal.reader, STORE_TOKEN)
-            .map_err(watching("cdni.purges"))?;
-        let wake = signal.waker().map_err(kernel("cdni.purges"))?;
+            .map_err(registration_error("cdni.purges"))?;
+        let wake = signal.waker().map_err(system_error("cdni.purges"))?;
         let store = StoreConfig {
             path,
             writer: linnetknot_discovery::server_id(&config.name),
@@ -93,7 +93,7 @@
 /// The state of Consul, if configured, and the writer of its cached lists.
 struct ConsulParts {
     state: Option<consul::State>,
-    snapshots: Option<consul::SnapshotWriter>,
+    snapshot_writer: Option<consul::SnapshotWriter>,
     damping: Damping,
 }
 
@@ -103,13 +103,13 @@
         let Some(consul) = &config.consul else {
             return Ok(ConsulParts {
                 state: None,
-                snapshots: None,
+                snapshot_writer: None,
                 damping: Damping::default(),
             });
         };
         let state = consul::State::start(consul, config.seed, address)
             .map_err(|e| StartError::Consul(e.into()))?;
-        let snapshots = config
+        let snapshot_writer = config
             .state
             .directory
             .as_ref()
@@ -118,7 +118,7 @@
             .map_err(|e| StartError::Consul(e.into()))?;
         Ok(ConsulParts {
             state: Some(state),
-            snapshots,
+            snapshot_writer,
             damping: consul.damping,
         })
     }
@@ -146,7 +146,7 @@
         }
         let peers = open_peers(config, &sockets.poll)?;
         let core = Core::new(config.settings.clone(), config.seed, &config.limits)?;
-        let address = sockets.clients.address().unwrap_or(config.listen);
+        let address = sockets.client_listener.address().unwrap_or(config.listen);
         let consul = ConsulParts::start(config, address)?;
         Ok(PreparedParts {
             clock,
@@ -167,16 +167,16 @@
     /// The configuration can't be applied on this machine.
     pub fn start(mut config: Config, source: Source) -> Result<Self, StartError> {
         let parts = PreparedParts::set_up(&config)?;
-        let known = std::mem::take(&mut config.known);
+        let recorded = std::mem::take(&mut config.known);
         let mut daemon = Daemon::assemble(config, source, parts);
         daemon.index_peers();
         let now = daemon.clock.now();
         daemon.restore_purges(now);
-        known
+        recorded
             .events
             .into_iter()
             .for_each(|event| daemon.apply_bus_event(now, event));
-        daemon.bus.last_offset = known.offset;
+        daemon.bus.last_offset = recorded.offset;
         daemon.update_machines();
         daemon.join_membership(now);
         daemon
@@ -211,7 +211,7 @@
             clock: parts.clock,
             core: parts.core,
             poll: parts.sockets.poll,
-            client_listener: Some(parts.sockets.clients),
+            client_listener: Some(parts.sockets.client_listener),
             accept_retry_scheduled: false,
             deferred_attempts: reconnect::DeferredAttempts::default(),
             sigterm: parts.sockets.sigterm,
@@ -230,7 +230,7 @@
             endpoint_table_due: None,
             logged_notices: LoggedNotices::default(),
             consul: parts.consul.state,
-            snapshot_writer: parts.consul.snapshots,
+            snapshot_writer: parts.consul.snapshot_writer,
             peers: parts.peers,
             peer_index: PeerIndex::default(),
             plain_purges: PlainPurges::new(&config.limits),
@@ -252,7 +252,7 @@
             sigterm_at: None,
             turn: Turn::start(now),
             shutdown_grace_over: false,
-            admin_listener: parts.sockets.admin,
+            admin_listener: parts.sockets.admin_listener,
             admin_connection_count: 0,
             operations: stored.operations,
             operator_state_folder: config.ops_folder.clone(),
--- a/daemon/src/daemon/startup/sockets.rs
+++ b/daemon/src/daemon/startup/sockets.rs
@@ -5,7 +5,7 @@
     SIGTERM_TOKEN,
 };
 use super::super::signals::Signal;
-use super::error::{kernel, watching};
+use super::error::{registration_error, system_error};
 use super::StartError;
 use crate::config::Config;
 use crate::front::cdni::TriggerApi;
@@ -26,7 +26,7 @@
 }
 
 /// Returns the client listener, and whether it was inherited through `$ROUTER_SOCKET_FD`.
-fn client_listener(config: &Config) -> Result<(TcpListener, bool), StartError> {
+fn open_client_listener(config: &Config) -> Result<(TcpListener, bool), StartError> {
     let text = match std::env::var(INHERITED_LISTENER) {
         Ok(text) => text,
         Err(VarError::NotPresent | VarError::NotUnicode(_)) => {
@@ -35,7 +35,7 @@
     };
     let descriptor = text
         .parse()
-        .map_err(|source| StartError::InheritedNumber { text, source })?;
+        .map_err(|source| StartError::InvalidDescriptor { text, source })?;
     Ok((inherited_listener(descriptor)?, true))
 }
 
@@ -48,50 +48,52 @@
     std::env::remove_var("LISTEN_PID");
     listenfd::ListenFd::from_env()
         .take_tcp_listener(0)
-        .map_err(|source| StartError::Inherited { descriptor, source })?
-        .ok_or(StartError::NoListener(descriptor))
+        .map_err(|source| StartError::InheritListener { descriptor, source })?
+        .ok_or(StartError::NotAListener(descriptor))
 }
 
 /// The listeners and signals of the daemon.
 pub(super) struct Sockets {
     pub(super) poll: Poll,
-    pub(super) clients: Listener,
+    pub(super) client_listener: Listener,
     pub(super) listener_inherited: bool,
     pub(super) sigterm: Signal,
     pub(super) sighup: Signal,
-    pub(super) admin: Option<Listener>,
+    pub(super) admin_listener: Option<Listener>,
 }
 
 impl Sockets {
     pub(super) fn open(config: &Config) -> Result<Self, StartError> {
-        let (clients, listener_inherited) = client_listener(config)?;
-        let sigterm = Signal::register(signal_hook::consts::SIGTERM).map_err(kernel("SIGTERM"))?;
-        let sighup = Signal::register(signal_hook::consts::SIGHUP).map_err(kernel("SIGHUP"))?;
+        let (client_listener, listener_inherited) = open_client_listener(config)?;
+        let sigterm =
+            Signal::register(signal_hook::consts::SIGTERM).map_err(system_error("SIGTERM"))?;
+        let sighup =
+            Signal::register(signal_hook::consts::SIGHUP).map_err(system_error("SIGHUP"))?;
         // One wait returns all ready events, so that they can be handled by priority.
-        let poll = Poll::new(config.limits.descriptors).map_err(kernel("epoll"))?;
-        let clients =
-            Listener::watch(clients, CLIENT_LISTENER_TOKEN, &poll).map_err(kernel("listen"))?;
+        let poll = Poll::new(config.limits.descriptors).map_err(system_error("epoll"))?;
+        let client_listener = Listener::watch(client_listener, CLIENT_LISTENER_TOKEN, &poll)
+            .map_err(system_error("listen"))?;
         poll.add_at_start(&sigterm.reader, SIGTERM_TOKEN)
-            .map_err(watching("SIGTERM"))?;
+            .map_err(registration_error("SIGTERM"))?;
         poll.add_at_start(&sighup.reader, SIGHUP_TOKEN)
-            .map_err(watching("SIGHUP"))?;
-        let admin = match config.ops {
+            .map_err(registration_error("SIGHUP"))?;
+        let admin_listener = match config.ops {
             Some(address) => {
                 let listener = bind("ops", address)?;
                 Some(
                     Listener::watch(listener, ADMIN_LISTENER_TOKEN, &poll)
-                        .map_err(kernel("ops"))?,
+                        .map_err(system_error("ops"))?,
                 )
             }
             None => None,
         };
         Ok(Sockets {
             poll,
-            clients,
+            client_listener,
             listener_inherited,
             sigterm,
             sighup,
-            admin,
+            admin_listener,
         })
     }
 }
@@ -105,8 +107,8 @@
         return Ok(None);
     };
     let listener = bind("cdni.listen", cdni.listen)?;
-    let listener =
-        Listener::watch(listener, CDNI_LISTENER_TOKEN, poll).map_err(kernel("cdni.listen"))?;
+    let listener = Listener::watch(listener, CDNI_LISTENER_TOKEN, poll)
+        .map_err(system_error("cdni.listen"))?;
     let identity = cdni.identity.clone();
     let trigger_api = TriggerApi::new(identity, config.seed, config.limits.triggers);
     Ok(Some((listener, trigger_api)))
@@ -129,8 +131,8 @@
     })?;
     socket
         .set_nonblocking(true)
-        .map_err(kernel("peer_listen"))?;
+        .map_err(system_error("peer_listen"))?;
     poll.add_at_start(&socket, PEERS_TOKEN)
-        .map_err(watching("peer_listen"))?;
+        .map_err(registration_error("peer_listen"))?;
     Ok(Some((socket, peers.all.clone())))
 }
--- a/daemon/src/daemon/upstream_connections/mod.rs
+++ b/daemon/src/daemon/upstream_connections/mod.rs
@@ -289,12 +289,12 @@
                 self.defer_attempt(now, attempt);
             }
         }
-        let unsent = match failure.map(|failure| failure.kind) {
+        let queued_outcome = match failure.map(|failure| failure.kind) {
             _ if conn.up => Outcome::Moot,
             Some(FailureKind::Refused) => Outcome::ConnectFailed,
             _ => Outcome::Unreached,
         };
-        upstream.connection_lost(unsent, conn.written, &mut events);
+        upstream.connection_lost(queued_outcome, conn.written, &mut events);
         self.apply_upstream_events(now, server, events);
     }
 
