--- a/daemon/src/daemon/connection_table.rs
+++ b/daemon/src/daemon/connection_table.rs
@@ -270,7 +270,7 @@
                     .for_each(|request_key| self.core.client_gone(now, request_key));
             }
             ConnectionKind::CacheServer(upstream) => {
-                self.upstream_closed(now, key, &connection.conn, upstream)
+                self.upstream_closed(now, key, &connection.conn, upstream);
             }
             ConnectionKind::Cdni(session) => {
                 self.client_count -= 1;
--- a/daemon/src/daemon/reload.rs
+++ b/daemon/src/daemon/reload.rs
@@ -59,11 +59,11 @@
 
     /// Applies a changed list of peers.
     fn reload_peers(&mut self, new: &Config) {
-        let (Some((_, peers)), Some(new)) = (&mut self.peers, &new.peers) else {
+        let (Some((_, current)), Some(new)) = (&mut self.peers, &new.peers) else {
             return;
         };
         let peers = &new.all;
-        peers.clone_from(peers);
+        current.clone_from(peers);
         if let Some(health) = &mut self.origin_health {
             health.retain_peers(|peer| peers.contains(peer));
         }
--- a/daemon/src/daemon/sources/consul/call.rs
+++ b/daemon/src/daemon/sources/consul/call.rs
@@ -72,10 +72,8 @@
                 Some(Piece::Body(bytes)) => {
                     match (self.on_body, self.head.as_ref().and_then(Head::status)) {
                         (Some(on_body), Some(200)) => {
-                            let watch_index = self.watch_index;
-                            tasks.push(Box::new(move |daemon, _| {
-                                on_body(daemon, watch_index, &bytes)
-                            }));
+                            let index = self.watch_index;
+                            tasks.push(Box::new(move |daemon, _| on_body(daemon, index, &bytes)));
                         }
                         _ => self.body.extend(bytes),
                     }
