--- a/daemon/src/daemon/clients/accept.rs
+++ b/daemon/src/daemon/clients/accept.rs
@@ -1,16 +1,15 @@
-//! New connections of clients, and which other connection is closed where there is no place for one more.
+//! Accepts client connections, and evicts others when the table is full.
 
-use crate::daemon::{Daemon, Kind, Timer};
+use crate::daemon::{ConnectionKind, Daemon, Timer};
 use crate::limits::Standing;
 use crate::net::{Conn, FailureKind, Key};
 use linnetknot::Micros;
 use std::io;
 
 impl Daemon {
-    /// The connection that is evicted for one more client; an error where none can be. The one that is likeliest to be of
-    /// no use any more goes: a crowd that says nothing, or clients that ask once and keep their connection for good, must
-    /// not shut all others out. One that came a moment ago stays, as its request is on its way, and so does one that a
-    /// last check shows to have asked after all.
+    /// Returns the client connection to evict for a new one; an error if none may be evicted. Prefers connections
+    /// that are least likely to be used again, so that idle clients can't exhaust the table. Connections that have
+    /// just changed state are exempt, and so are those that turn out to have received input.
     pub(in crate::daemon) fn eviction_candidate(&mut self, now: Micros) -> io::Result<Key> {
         loop {
             let keys = self.connections.keys();
@@ -18,61 +17,62 @@
                 .iter()
                 .filter_map(|key| Some((self.eviction_rank(now, *key)?, *key)));
             let (rank, key) = candidates.min().ok_or(io::ErrorKind::OutOfMemory)?;
-            // Bytes that came meanwhile give it another rank: then it is not the one to evict.
-            if !self.check_client(now, key) || self.eviction_rank(now, key) == Some(rank) {
+            // Input that has arrived meanwhile changes the rank.
+            if !self.poll_client(now, key) || self.eviction_rank(now, key) == Some(rank) {
                 return Ok(key);
             }
         }
     }
 
-    /// When a client's connection is evicted: the smallest first; none if it stays.
+    /// Returns the eviction rank of a connection; the lowest is evicted first. `None` if it must not be evicted.
     fn eviction_rank(&self, now: Micros, key: Key) -> Option<(Standing, Micros)> {
         let connection = self.connections.get(key)?;
         let state = Self::client_state(connection)?;
-        let is_settled = connection.since <= now.saturating_sub(self.limits.settle_us);
-        (state != Standing::Busy && is_settled).then_some((state, connection.since))
+        let is_settled = connection.state_since <= now.saturating_sub(self.limits.settle_us);
+        (state != Standing::Busy && is_settled).then_some((state, connection.state_since))
     }
 
-    /// The connection that is evicted for one more client, or none where there is a place; an error where none can be.
-    pub(in crate::daemon) fn room_for_client(&mut self, now: Micros) -> io::Result<Option<Key>> {
-        if self.clients < self.limits.clients && !self.connections.is_full() {
+    /// Returns the connection to evict for a new client, `None` if there is a free slot, and an error if there is
+    /// neither.
+    pub(in crate::daemon) fn required_eviction(&mut self, now: Micros) -> io::Result<Option<Key>> {
+        if self.client_count < self.limits.clients && !self.connections.is_full() {
             return Ok(None);
         }
         self.eviction_candidate(now).map(Some)
     }
 
-    /// Accepts what waits at the clients' listener.
-    pub(in crate::daemon) fn accept(&mut self, now: Micros) {
+    /// Accepts pending connections of the client listener.
+    pub(in crate::daemon) fn accept_clients(&mut self, now: Micros) {
         let mut has_evicted = false;
-        // No more in one turn than the table holds: clients that are closed and connect again at once must not keep the loop.
+        // Bounded per turn, so that clients that reconnect immediately can't occupy the loop.
         let mut accepted = 0;
-        while self.listener.is_some() && accepted < self.limits.clients {
-            // With no place left, connections wait in the kernel's queue: others end, and these are accepted then.
-            let Ok(mut evicted) = self.room_for_client(now) else {
-                return self.pause_accepting(now);
+        while self.client_listener.is_some() && accepted < self.limits.clients {
+            // While the table is full, new connections wait in the kernel's queue.
+            let Ok(mut evicted) = self.required_eviction(now) else {
+                return self.pause_accepting_clients(now);
             };
-            let Some(listener) = &self.listener else {
+            let Some(listener) = &self.client_listener else {
                 return;
             };
             let socket = match listener.accept() {
                 Ok(Some(socket)) => socket,
                 Ok(None) => break,
-                // No descriptor is left though the table has places: one idle connection is evicted for that too. More than
-                // one would be closed for something else than descriptors.
+                // Out of descriptors: one idle connection is evicted. If that does not help, further evictions would
+                // not either.
                 Err(failure) if failure.kind == FailureKind::NoDescriptors => {
                     let candidate = match evicted.take() {
                         Some(key) => Ok(key),
                         None => self.eviction_candidate(now),
                     };
-                    let was_tried = std::mem::replace(&mut has_evicted, true);
-                    let Some(key) = candidate.ok().filter(|_| !was_tried) else {
-                        return self.pause_accepting(now);
+                    let already_evicted = std::mem::replace(&mut has_evicted, true);
+                    let Some(key) = candidate.ok().filter(|_| !already_evicted) else {
+                        return self.pause_accepting_clients(now);
                     };
                     self.close(now, key);
                     continue;
                 }
-                // Short of memory, say, which no eviction would mend.
-                Err(_) => return self.pause_accepting(now),
+                // Other failures, such as lack of memory, are not resolved by an eviction.
+                Err(_) => return self.pause_accepting_clients(now),
             };
             has_evicted = false;
             accepted += 1;
@@ -83,53 +83,62 @@
                 self.limits.output_ring,
             );
             if let Ok(conn) = conn {
-                self.take_in(now, conn, Kind::Client(Default::default()), evicted);
+                self.add_client(
+                    now,
+                    conn,
+                    ConnectionKind::Client(Default::default()),
+                    evicted,
+                );
             }
         }
-        let resumed = self.listener.as_mut().is_none_or(|l| l.resume(&self.poll));
+        let resumed = self
+            .client_listener
+            .as_mut()
+            .is_none_or(|listener| listener.resume(&self.poll));
         if !resumed {
-            self.accept_later(now);
+            self.schedule_accept_retry(now);
         }
     }
 
-    /// No place left: the listener would stay readable and the loop spin on it.
-    fn pause_accepting(&mut self, now: Micros) {
-        if let Some(listener) = &mut self.listener {
+    /// Stops watching the listener, which would otherwise stay readable and keep the loop busy.
+    fn pause_accepting_clients(&mut self, now: Micros) {
+        if let Some(listener) = &mut self.client_listener {
             listener.pause(&self.poll);
         }
-        self.accept_later(now);
+        self.schedule_accept_retry(now);
     }
 
-    /// Accepts again in a moment. Both fronts may ask for it: were each to set a deadline of its own, every one
-    /// of them would set two more while the table stays full.
-    pub(in crate::daemon) fn accept_later(&mut self, now: Micros) {
-        if !std::mem::replace(&mut self.accepts_later, true) {
+    /// Schedules another attempt to accept. Both fronts share one timer, so that timers do not multiply while the
+    /// table is full.
+    pub(in crate::daemon) fn schedule_accept_retry(&mut self, now: Micros) {
+        if !std::mem::replace(&mut self.accept_retry_scheduled, true) {
             self.deadlines
-                .set(now + self.limits.accept_again_us, Timer::Accept);
+                .set(now + self.limits.accept_again_us, Timer::RetryAccept);
         }
     }
 
-    /// Puts a client's new connection, of either front, into the table, after closing the one that is evicted for it.
-    pub(in crate::daemon) fn take_in(
+    /// Adds an accepted connection of either front to the table, after closing the evicted one.
+    pub(in crate::daemon) fn add_client(
         &mut self,
         now: Micros,
         conn: Conn,
-        kind: Kind,
+        kind: ConnectionKind,
         evicted: Option<Key>,
     ) {
         if let Some(evicted) = evicted {
             self.close(now, evicted);
         }
-        if let Some(key) = self.open(now, conn, kind) {
-            if !self.ops.in_service() {
+        if let Some(key) = self.add_connection(now, conn, kind) {
+            if !self.operations.in_service() {
                 self.close_when_answered(key);
             }
-            self.clients += 1;
+            self.client_count += 1;
             self.deadlines
-                .set(now + self.limits.client_half_us, Timer::Client(key));
-            if self.turn.waited_unread(now) > 0 {
-                // Its requests have been there since before the loop was delayed: in the next turn they would seem new.
-                self.check_client(now, key);
+                .set(now + self.limits.client_half_us, Timer::CheckClient(key));
+            if self.turn.unread_delay(now) > 0 {
+                // Its requests arrived before the loop was delayed; read in the next turn they would be dated too
+                // late.
+                self.poll_client(now, key);
             }
         }
     }
--- a/daemon/src/daemon/clients/mod.rs
+++ b/daemon/src/daemon/clients/mod.rs
@@ -1,129 +1,147 @@
-//! Clients' connections: what state each is in, and when it has been in that for too long.
+//! Client connections: their states and timeouts.
 
 mod accept;
 mod requests;
 
-use super::{Connection, Daemon, Kind, Timer};
+use super::{Connection, ConnectionKind, Daemon, Timer};
 use crate::limits::Standing;
 use crate::net::Key;
 use linnetknot::Micros;
 
 impl Daemon {
-    /// The state of a client's connection, of either front; none if it is no client's.
-    fn client_state(c: &Connection) -> Option<Standing> {
-        let (busy, half, asked) = match &c.kind {
-            Kind::Client(s) => (
-                s.has_pending_answers(),
-                s.is_partial(),
-                s.has_received_request(),
+    /// Returns the state of a client connection of either front; `None` for other connections.
+    fn client_state(connection: &Connection) -> Option<Standing> {
+        let (is_busy, is_partial, has_request) = match &connection.kind {
+            ConnectionKind::Client(session) => (
+                session.has_pending_answers(),
+                session.is_partial(),
+                session.has_received_request(),
             ),
-            Kind::Cdni(s) => (!s.is_idle(), s.is_partial(), s.has_received_request()),
-            Kind::Lingering => return Some(Standing::Lingering),
+            ConnectionKind::Cdni(session) => (
+                !session.is_idle(),
+                session.is_partial(),
+                session.has_received_request(),
+            ),
+            ConnectionKind::Lingering => return Some(Standing::Lingering),
             _ => return None,
         };
-        Some(if busy || !c.conn.output.is_empty() {
+        Some(if is_busy || !connection.conn.output.is_empty() {
             Standing::Busy
-        } else if half || !c.conn.input.is_empty() {
+        } else if is_partial || !connection.conn.input.is_empty() {
             Standing::Half
-        } else if asked {
+        } else if has_request {
             Standing::Idle
         } else {
             Standing::Silent
         })
     }
 
-    /// How many answers a client is owed.
-    fn owed(c: &Connection) -> usize {
-        match &c.kind {
-            Kind::Client(s) => s.unanswered(),
-            Kind::Cdni(s) => usize::from(s.waiting.is_some()),
+    /// Returns the number of requests on a connection that have no response yet.
+    fn unanswered(connection: &Connection) -> usize {
+        match &connection.kind {
+            ConnectionKind::Client(session) => session.unanswered(),
+            ConnectionKind::Cdni(session) => usize::from(session.waiting.is_some()),
             _ => 0,
         }
     }
 
-    /// Notes a client's state and since when it is in it, after something was read or written there.
-    pub(in crate::daemon) fn note_client(&mut self, now: Micros, key: Key) {
-        let Some(c) = self.connections.get_mut(key) else {
+    /// Updates the state of a client connection and its start after input or output.
+    pub(in crate::daemon) fn update_client_state(&mut self, now: Micros, key: Key) {
+        let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let Some(state) = Self::client_state(c) else {
+        let Some(state) = Self::client_state(connection) else {
             return;
         };
-        let half = state == Standing::Half;
-        // A request that comes a few bytes at a time stays the one that began with the first of them.
-        if state == Standing::Busy || half && !std::mem::replace(&mut c.half, half) {
-            c.since = now;
+        let is_partial = state == Standing::Half;
+        // A request that arrives in pieces keeps the start of its first piece.
+        if state == Standing::Busy
+            || is_partial && !std::mem::replace(&mut connection.has_partial_request, is_partial)
+        {
+            connection.state_since = now;
         }
-        c.half = half;
-        let held = if let Kind::Client(session) = &c.kind {
+        connection.has_partial_request = is_partial;
+        let partial_bytes = if let ConnectionKind::Client(session) = &connection.kind {
             session.buffered_bytes()
         } else {
             0
         };
-        let before = std::mem::replace(&mut c.held, held);
-        self.held = self.held + held - before;
-        if held > before {
-            self.free_half_requests(now);
+        let before = std::mem::replace(&mut connection.partial_request_bytes, partial_bytes);
+        self.total_partial_request_bytes =
+            self.total_partial_request_bytes + partial_bytes - before;
+        if partial_bytes > before {
+            self.limit_partial_requests(now);
         }
-        if self.grace_over {
-            self.end_soon(now, key);
+        if self.shutdown_grace_over {
+            self.schedule_half_close(now, key);
         }
     }
 
-    /// Holds the bytes of incomplete requests to their bound. The clients with most of them give way: one that is owed
-    /// answers gets these, and a rejection of what is incomplete; the connections of the others are closed.
-    fn free_half_requests(&mut self, now: Micros) {
-        while self.held > self.limits.bodies {
+    /// Enforces the limit on buffered bytes of incomplete requests, beginning with the client that holds the most. A
+    /// client that has unanswered requests has only its incomplete requests rejected; the connections of others are
+    /// closed.
+    fn limit_partial_requests(&mut self, now: Micros) {
+        while self.total_partial_request_bytes > self.limits.bodies {
             let keys = self.connections.keys().into_iter();
-            let held = |key: Key| Some((self.connections.get(key)?.held, key));
-            let Some((before, key)) = keys.filter_map(held).max().filter(|(held, _)| *held > 0)
+            let bytes_and_key =
+                |key: Key| Some((self.connections.get(key)?.partial_request_bytes, key));
+            let Some((before, key)) = keys
+                .filter_map(bytes_and_key)
+                .max()
+                .filter(|(bytes, _)| *bytes > 0)
             else {
                 return;
             };
-            let Some(c) = self.connections.get_mut(key) else {
+            let Some(connection) = self.connections.get_mut(key) else {
                 return;
             };
-            if let Kind::Client(session) = &mut c.kind {
+            if let ConnectionKind::Client(session) = &mut connection.kind {
                 if session.has_unanswered_requests() {
                     session.reject_partial(Some(self.limits.back_off_us));
-                    c.held = session.buffered_bytes();
-                    self.held = self.held + c.held - before;
+                    connection.partial_request_bytes = session.buffered_bytes();
+                    self.total_partial_request_bytes = self.total_partial_request_bytes
+                        + connection.partial_request_bytes
+                        - before;
                 }
             }
-            if c.held == before {
-                log::debug!("a connection is closed: too many bytes of incomplete requests");
+            if connection.partial_request_bytes == before {
+                log::debug!("closing a client connection: too many bytes of incomplete requests");
                 self.close(now, key);
             } else {
                 self.write_client(key);
-                self.watch(now, key);
+                self.update_interest(now, key);
             }
         }
     }
 
-    /// Closes a client's connection that has been in its state for too long. Usual clients close theirs sooner, so none of
-    /// their requests can cross this.
-    pub(in crate::daemon) fn client_timeout(&mut self, now: Micros, key: Key) {
-        let Some(c) = self.connections.get_mut(key) else {
+    /// Closes a client connection that has exceeded the timeout of its state. The timeouts are longer than those of
+    /// usual clients, so that no request races with the close.
+    pub(in crate::daemon) fn check_client_timeout(&mut self, now: Micros, key: Key) {
+        let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let Some(state) = Self::client_state(c) else {
+        let Some(state) = Self::client_state(connection) else {
             return;
         };
         if state == Standing::Idle {
-            c.conn.input.release();
-            c.conn.output.release();
+            connection.conn.input.release();
+            connection.conn.output.release();
         }
-        let mut due = self.limits.leaves_at(state, Self::owed(c), c.since);
+        let mut due =
+            self.limits
+                .leaves_at(state, Self::unanswered(connection), connection.state_since);
         if due.is_some_and(|due| due <= now) {
-            // What came in this very moment changes its state, and then it stays.
-            if !self.check_client(now, key) {
+            // Input that has just arrived changes the state and keeps the connection open.
+            if !self.poll_client(now, key) {
                 return;
             }
-            let Some(c) = self.connections.get(key) else {
+            let Some(connection) = self.connections.get(key) else {
                 return;
             };
-            due = Self::client_state(c)
-                .and_then(|state| self.limits.leaves_at(state, Self::owed(c), c.since));
+            due = Self::client_state(connection).and_then(|state| {
+                self.limits
+                    .leaves_at(state, Self::unanswered(connection), connection.state_since)
+            });
             if due.is_some_and(|due| due <= now) && !self.half_close(now, key) {
                 return self.close(now, key);
             }
@@ -133,6 +151,6 @@
             Some(due) if due > now => due.min(next_check),
             _ => next_check,
         };
-        self.deadlines.set(at, Timer::Client(key));
+        self.deadlines.set(at, Timer::CheckClient(key));
     }
 }
--- a/daemon/src/daemon/commits/triggers.rs
+++ b/daemon/src/daemon/commits/triggers.rs
@@ -1,4 +1,4 @@
-//! The triggers of peer CDNs in the log: the entries of their statuses, here and from peers.
+//! The triggers of peer CDNs in the log: appends their statuses, and applies the entries of peers.
 
 use super::CommitError;
 use crate::daemon::Daemon;
@@ -7,8 +7,8 @@
 use linnetknot::Micros;
 use linnetknot_replication::{Entry, Index, Subject};
 
-/// Returns the trigger that an entry is about, if it is about one.
-fn trigger_name(entry: &Entry) -> Option<TriggerId> {
+/// Returns the trigger that an entry refers to, if any.
+fn entry_trigger_id(entry: &Entry) -> Option<TriggerId> {
     match entry.subject {
         Subject::TriggerStatusPart { number, .. } => Some(TriggerId {
             writer: entry.log.writer,
@@ -20,17 +20,17 @@
 }
 
 impl Daemon {
-    /// Appends the status of a trigger. Returns the index of its last entry; none where there is no log.
+    /// Appends the status of a trigger. Returns the index of its last entry; `None` without a log.
     pub(super) fn append_status(
         &mut self,
         now: Micros,
-        name: TriggerId,
+        trigger_id: TriggerId,
         text: &str,
     ) -> Result<Option<Index>, AppendError> {
         let Some(ledger) = &mut self.ledger else {
             return Ok(None);
         };
-        let entries = ledger.append_status(name.number, text, now)?;
+        let entries = ledger.append_status(trigger_id.number, text, now)?;
         let last = entries.last().map(|entry| entry.index);
         for entry in entries {
             self.send_entry(entry);
@@ -38,7 +38,7 @@
         Ok(last)
     }
 
-    /// Appends that a trigger is gone. Returns the entry's index; none where there is no log.
+    /// Appends the deletion of a trigger. Returns the index of the entry; `None` without a log.
     pub(super) fn append_gone(
         &mut self,
         now: Micros,
@@ -53,8 +53,7 @@
         Ok(Some(index))
     }
 
-    /// Undoes a command that is not committed: its trigger is gone. Returns the response; none where no peer CDN is
-    /// served.
+    /// Deletes the trigger of a command that is not committed. Returns the response; `None` without a CDNI front.
     pub(super) fn reject_trigger(
         &mut self,
         now: Micros,
@@ -63,21 +62,21 @@
     ) -> Option<Response> {
         let (_, trigger_api) = self.trigger_api.as_mut()?;
         let response = trigger_api.retract(trigger);
-        let name = trigger.map_or_else(String::new, |name| name.to_string());
+        let trigger_id = trigger.map_or_else(String::new, |trigger_id| trigger_id.to_string());
         if self.lacks_store() {
             self.count_rejected();
             return Some(response);
         }
-        log::warn!(trigger = name.as_str(), reason = error.to_string().as_str(); "a command of a peer CDN is rejected");
-        // A process that was replaced has appended nothing that would have to be undone.
+        log::warn!(trigger = trigger_id.as_str(), reason = error.to_string().as_str(); "a command of a peer CDN is rejected");
+        // A replaced process has appended nothing, so there is nothing to undo.
         let appended = trigger.filter(|_| self.may_commit());
-        if let Some(Err(e)) = appended.map(|name| self.append_gone(now, name)) {
-            log::warn!(trigger = name.as_str(); "that the command is rejected can't be appended to the log, and its peers do not know it: {e}");
+        if let Some(Err(e)) = appended.map(|trigger_id| self.append_gone(now, trigger_id)) {
+            log::warn!(trigger = trigger_id.as_str(); "that the command is rejected can't be appended to the log, and its peers do not know it: {e}");
         }
         Some(response)
     }
 
-    /// Restores the triggers of the log, of this proxy and of others, and the numbering of those to come.
+    /// Restores the triggers of all logs, and the next trigger number of this proxy.
     pub(in crate::daemon) fn restore_triggers(&mut self, now: Micros) {
         let (Some(ledger), Some((_, trigger_api))) = (&self.ledger, &mut self.trigger_api) else {
             return;
@@ -88,26 +87,26 @@
         };
         trigger_api.start_ids_at(first);
         for status in ledger.statuses() {
-            let name = TriggerId {
+            let trigger_id = TriggerId {
                 writer: status.writer,
                 number: status.number,
             };
-            trigger_api.insert(now, name, &status.text);
+            trigger_api.insert(now, trigger_id, &status.text);
         }
     }
 
-    /// Updates the triggers that new entries of a peer are about.
+    /// Updates the triggers that new entries of a peer refer to.
     pub(in crate::daemon) fn receive_triggers(&mut self, now: Micros, entries: &[Entry]) {
         let (Some(ledger), Some((_, trigger_api))) = (&self.ledger, &mut self.trigger_api) else {
             return;
         };
-        let mut names: Vec<TriggerId> = entries.iter().filter_map(trigger_name).collect();
-        names.dedup();
+        let mut trigger_ids: Vec<TriggerId> = entries.iter().filter_map(entry_trigger_id).collect();
+        trigger_ids.dedup();
         let log_store = ledger.replica().log_store();
-        for name in names {
-            match log_store.trigger_status(name.writer, name.number) {
-                Some(text) => trigger_api.insert(now, name, &text),
-                None => trigger_api.remove(name),
+        for trigger_id in trigger_ids {
+            match log_store.trigger_status(trigger_id.writer, trigger_id.number) {
+                Some(text) => trigger_api.insert(now, trigger_id, &text),
+                None => trigger_api.remove(trigger_id),
             }
         }
     }
--- a/daemon/src/daemon/sources/bus.rs
+++ b/daemon/src/daemon/sources/bus.rs
@@ -1,8 +1,8 @@
-//! The event bus: one connection that is read for good, and made anew where it ends or falls silent.
+//! The event bus: a long-lived connection that is opened again if it ends or becomes silent.
 
 use crate::bus::{request, BusEvent, Feed, News};
 use crate::daemon::discovery::BUS;
-use crate::daemon::exchange::{Effect, End, Exchange, Flow};
+use crate::daemon::exchange::{Exchange, ExchangeEnd, Flow, Task};
 use crate::daemon::Daemon;
 use crate::limits::Limits;
 use crate::net::{Due, Key};
@@ -12,10 +12,10 @@
 use linnetknot_discovery::{Entry, Evidence, Report};
 use std::collections::BTreeMap;
 
-/// When a cache started.
+/// The start time of a cache.
 #[derive(Clone, Copy)]
 struct Start {
-    /// As the bus dated it, by the platform's clock.
+    /// By the platform's clock, as reported by the bus.
     date: Micros,
     /// By the local clock.
     local: Micros,
@@ -25,72 +25,72 @@
 pub(in crate::daemon) struct State {
     key: Option<Key>,
     timer: Option<Due>,
-    /// The number of the last event.
-    pub(in crate::daemon) last: u64,
-    /// When something last came.
-    read_at: Micros,
-    /// When caches started. One date always has the same local time: a cache whose start changes has started again.
+    /// The offset of the last event.
+    pub(in crate::daemon) last_offset: u64,
+    /// When data was last received, or the connection was opened.
+    last_read_at: Micros,
+    /// The start times of caches. The local time of a date never changes, as a changed start time means a restart.
     starts: BTreeMap<ServerId, Start>,
-    /// How long to wait before the next connection. The longest wait is short against the time that its events may take.
+    /// The backoff between connections.
     backoff: Backoff,
 }
 
 impl State {
-    /// No event has come yet.
+    /// Creates the state before the first event.
     pub(in crate::daemon) fn new(seed: u64, limits: &Limits) -> Self {
         let backoff = Backoff::new(limits.bus_again_us, limits.bus_again_most_us, seed);
         State {
             key: None,
             timer: None,
-            last: 0,
-            read_at: 0,
+            last_offset: 0,
+            last_read_at: 0,
             starts: BTreeMap::new(),
             backoff,
         }
     }
 }
 
-/// One connection to the bus.
-struct Call {
+/// The protocol of one connection to the bus.
+struct BusExchange {
     host: String,
-    last: u64,
+    last_offset: u64,
     feed: Feed,
 }
 
-impl Exchange for Call {
-    fn opening(&self) -> Vec<u8> {
-        request(&self.host, self.last)
+impl Exchange for BusExchange {
+    fn initial_bytes(&self) -> Vec<u8> {
+        request(&self.host, self.last_offset)
     }
 
-    fn read(&mut self, input: &[u8], effects: &mut Vec<Effect>) -> Result<Flow, WireError> {
-        let events = self.feed.read(input, &mut self.last)?;
-        let last = self.last;
-        effects.push(Box::new(move |daemon, now| {
-            (daemon.bus.last, daemon.bus.read_at) = (last, now);
+    fn read(&mut self, input: &[u8], tasks: &mut Vec<Task>) -> Result<Flow, WireError> {
+        let events = self.feed.read(input, &mut self.last_offset)?;
+        let last_offset = self.last_offset;
+        tasks.push(Box::new(move |daemon, now| {
+            (daemon.bus.last_offset, daemon.bus.last_read_at) = (last_offset, now);
             daemon.bus.backoff.reset();
             events
                 .into_iter()
                 .for_each(|event| daemon.receive_bus_event(now, event));
         }));
-        Ok(Flow::More)
+        Ok(Flow::NeedsInput)
     }
 
-    fn ended(self: Box<Self>, end: End) -> Option<Effect> {
-        if let End::Unreadable(e) = end {
+    fn on_ended(self: Box<Self>, end: ExchangeEnd) -> Option<Task> {
+        if let ExchangeEnd::Unreadable(e) = end {
             log::warn!("the event bus's connection is ended: {e}");
         }
         Some(Box::new(|daemon, now| {
             daemon.bus.key = None;
-            daemon.reconnect_bus_later(now);
+            daemon.schedule_bus_reconnect(now);
         }))
     }
 }
 
 impl Daemon {
-    /// Takes in what an event says, whether it has just come or was recorded by an earlier process.
+    /// Applies an event that was just received or recorded by an earlier process.
     pub(in crate::daemon) fn apply_bus_event(&mut self, now: Micros, event: BusEvent) {
         match event.news {
-            // Unless told otherwise, one source has the list.
+            // Unless the configuration combines them, Consul replaces the bus as the source of the endpoint list.
             Some(News::List(..)) if self.config.consul.as_ref().is_some_and(|c| !c.beside_bus) => {}
             Some(News::List(answer)) => {
                 for entry in &answer.entries {
@@ -103,8 +103,8 @@
                     }
                 }
                 let list = self
-                    .validator
-                    .validate(answer, self.members.reported_by(BUS));
+                    .list_validator
+                    .validate(answer, self.endpoint_table.reported_by(BUS));
                 for rejection in list.rejections {
                     log::warn!("event {} of the bus: {rejection}", event.offset);
                 }
@@ -118,13 +118,13 @@
             Some(News::Purge { object, group, at }) => {
                 self.core.record_purge(now, object, group, at);
             }
-            None => log::debug!("event {} of the bus is of an unknown kind", event.offset),
+            None => log::debug!("ignored event {} of the bus: unknown kind", event.offset),
         }
     }
 
-    /// Translates the start of a cache, which is dated by the platform's clock, to the local clock, which may be off. No
-    /// cache has started later than its event came.
-    fn date_start(&mut self, now: Micros, entry: &mut Entry) {
+    /// Converts the start time of a cache from the platform's clock to the local clock. The result is never later
+    /// than the arrival of the event.
+    fn localize_start_time(&mut self, now: Micros, entry: &mut Entry) {
         let id = entry.server.id;
         if entry.server.state == ServerState::Gone {
             self.bus.starts.remove(&id);
@@ -143,45 +143,45 @@
         }
     }
 
-    /// Takes an event that has just come: purges go on to the peer CDNs too.
+    /// Handles a received event. Purges are also forwarded to peer CDNs.
     fn receive_bus_event(&mut self, now: Micros, mut event: BusEvent) {
         if let Some(News::List(answer)) = &mut event.news {
             for entry in &mut answer.entries {
-                self.date_start(now, entry);
+                self.localize_start_time(now, entry);
             }
         }
         if let Some(News::Purge { object, group, at }) = &event.news {
             self.core.observe_origin_date(now, *at);
-            self.pass_on(now, object.as_deref(), *group);
+            self.forward_purge(now, object.as_deref(), *group);
         }
         self.apply_bus_event(now, event);
     }
 
-    /// Connects to the bus, behind the last event.
+    /// Connects to the bus and resumes after the last event.
     pub(in crate::daemon) fn connect_bus(&mut self, now: Micros) {
         let Some(bus) = self.config.bus else { return };
         let feed = Feed::new(&self.limits);
-        let call = Call {
+        let exchange = BusExchange {
             host: bus.to_string(),
-            last: self.bus.last,
+            last_offset: self.bus.last_offset,
             feed,
         };
-        self.bus.key = self.exchange(now, bus, Box::new(call), None);
-        self.bus.read_at = now;
+        self.bus.key = self.start_exchange(now, bus, Box::new(exchange), None);
+        self.bus.last_read_at = now;
         match self.bus.key {
-            Some(_) => self.check_bus_at(now + self.limits.bus_silence_us),
-            None => self.reconnect_bus_later(now),
+            Some(_) => self.schedule_bus_check(now + self.limits.bus_silence_us),
+            None => self.schedule_bus_reconnect(now),
         }
     }
 
-    /// Connects again after the backoff.
-    fn reconnect_bus_later(&mut self, now: Micros) {
-        let wait = self.bus.backoff.next_delay();
-        self.check_bus_at(now + wait);
+    /// Schedules a connection to the bus after the backoff.
+    fn schedule_bus_reconnect(&mut self, now: Micros) {
+        let delay = self.bus.backoff.next_delay();
+        self.schedule_bus_check(now + delay);
     }
 
-    /// The bus is at another address: connects there at once.
-    pub(in crate::daemon) fn move_bus(&mut self, now: Micros) {
+    /// Connects to the new address of the bus immediately.
+    pub(in crate::daemon) fn reconnect_moved_bus(&mut self, now: Micros) {
         if let Some(old) = self.bus.key.take() {
             self.connections.remove(old);
         }
@@ -189,25 +189,24 @@
         self.connect_bus(now);
     }
 
-    /// Checks the connection at this time, and no more at the time before.
-    fn check_bus_at(&mut self, at: Micros) {
-        let due = self.later(at, Daemon::check_bus);
+    /// Schedules the next check of the connection, replacing an earlier one.
+    fn schedule_bus_check(&mut self, at: Micros) {
+        let due = self.schedule(at, Daemon::check_bus);
         if let Some(due) = self.bus.timer.replace(due) {
             self.deadlines.cancel(due);
         }
     }
 
-    /// Connects again where there is no connection or it has fallen silent: the bus may have gone without closing it, and
-    /// its events count as known all the same.
+    /// Reconnects if the connection has ended or is silent, as a lost connection may not be closed explicitly.
     fn check_bus(&mut self, now: Micros) {
         match self.bus.key {
             None => self.connect_bus(now),
-            Some(key) if self.bus.read_at + self.limits.bus_silence_us <= now => {
+            Some(key) if self.bus.last_read_at + self.limits.bus_silence_us <= now => {
                 log::warn!("the event bus is silent and called again");
                 self.connections.remove(key);
                 self.connect_bus(now);
             }
-            Some(_) => self.check_bus_at(self.bus.read_at + self.limits.bus_silence_us),
+            Some(_) => self.schedule_bus_check(self.bus.last_read_at + self.limits.bus_silence_us),
         }
     }
 }
