--- a/daemon/examples/purge_soak.rs
+++ b/daemon/examples/purge_soak.rs
@@ -56,7 +56,7 @@
         };
         let bounds = Bounds {
             replication: limits.replication(&copies),
-            queue: limits.store_writes,
+            queue: limits.max_store_writes,
             bucket_bits: copies.purge_table.bucket_bits,
         };
         let (wake, woken) = channel();
--- a/daemon/src/bus.rs
+++ b/daemon/src/bus.rs
@@ -130,10 +130,10 @@
 impl Feed {
     /// A call just begun.
     pub fn new(limits: &Limits) -> Self {
-        let http = http::Messages::responses(limits.line, usize::MAX);
+        let http = http::Messages::responses(limits.max_line_bytes, usize::MAX);
         Feed {
             http,
-            events: sse::Events::new(limits.line),
+            events: sse::Events::new(limits.max_line_bytes),
         }
     }
 
--- a/daemon/src/core/mod.rs
+++ b/daemon/src/core/mod.rs
@@ -51,7 +51,7 @@
     /// Classes whose requests must carry an idempotency key.
     keyed_classes: Vec<String>,
     /// How long before its deadline a request is answered, so that the answer still reaches the client.
-    answer_ahead_us: Micros,
+    response_margin_us: Micros,
     /// The decision module's actions, empty between two events: kept for its allocation.
     actions: Vec<Action>,
     commands: Vec<Command>,
@@ -83,7 +83,7 @@
             shutdown_deadline: Micros::MAX,
             requests: RequestTable::new(limits),
             caches: CacheTable::default(),
-            answer_ahead_us: limits.answer_ahead_us,
+            response_margin_us: limits.response_margin_us,
             actions: Vec::new(),
             commands: Vec::new(),
             counters: Counters::default(),
--- a/daemon/src/core/request_table.rs
+++ b/daemon/src/core/request_table.rs
@@ -35,10 +35,10 @@
     /// An empty table within the limits of the process.
     pub(super) fn new(limits: &Limits) -> Self {
         RequestTable {
-            requests: Slots::new(limits.requests),
+            requests: Slots::new(limits.max_requests),
             ids: HashSet::new(),
             body_bytes: 0,
-            max_body_bytes: limits.bodies,
+            max_body_bytes: limits.max_total_body_bytes,
         }
     }
 
--- a/daemon/src/core/requests.rs
+++ b/daemon/src/core/requests.rs
@@ -43,7 +43,7 @@
             .remaining_us
             .min(self.max_request_us)
             .min(self.shutdown_deadline.saturating_sub(now))
-            .saturating_sub(self.answer_ahead_us)
+            .saturating_sub(self.response_margin_us)
     }
 
     /// Sets the time by which all requests are answered, those that are open and those to come: the process may be
--- a/daemon/src/daemon/admin.rs
+++ b/daemon/src/daemon/admin.rs
@@ -68,14 +68,14 @@
                 }
             };
             has_evicted = false;
-            if self.callers >= self.limits.admin_callers {
+            if self.callers >= self.limits.max_admin_connections {
                 self.evict_oldest_caller(now);
             }
             let Ok(conn) = Conn::new(
                 socket,
                 true,
-                self.limits.admin_input,
-                self.limits.admin_output,
+                self.limits.admin_input_buffer_bytes,
+                self.limits.admin_output_buffer_bytes,
             ) else {
                 continue;
             };
@@ -87,7 +87,7 @@
             if let Some(key) = self.open(now, conn, Kind::Admin(Box::new(caller))) {
                 self.callers += 1;
                 self.deadlines
-                    .set(now + self.limits.admin_call_us, Timer::Admin(key));
+                    .set(now + self.limits.admin_timeout_us, Timer::Admin(key));
             }
         }
     }
--- a/daemon/src/daemon/cdni_listener.rs
+++ b/daemon/src/daemon/cdni_listener.rs
@@ -74,7 +74,7 @@
     pub(super) fn accept_cdni(&mut self, now: Micros) {
         // No more in one turn than the table holds, as on the clients' listener.
         let mut accepted = 0;
-        while self.trigger_api.is_some() && !self.grace_over && accepted < self.limits.clients {
+        while self.trigger_api.is_some() && !self.grace_over && accepted < self.limits.max_client_connections {
             let Ok(evicted) = self.room_for_client(now) else {
                 return self.pause_accepting_cdni(now);
             };
@@ -87,12 +87,12 @@
                 Err(_) => return self.pause_accepting_cdni(now),
             };
             accepted += 1;
-            let session = Session::new(self.limits.line, self.limits.body);
+            let session = Session::new(self.limits.max_line_bytes, self.limits.max_body_bytes);
             let conn = Conn::new(
                 socket,
                 true,
-                self.limits.input_ring,
-                self.limits.output_ring,
+                self.limits.input_buffer_bytes,
+                self.limits.output_buffer_bytes,
             );
             if let Ok(conn) = conn {
                 self.take_in(now, conn, Kind::Cdni(Box::new(session)), evicted);
@@ -206,7 +206,7 @@
             stream: 0,
         };
         let ticket = self.core.admit(now, client, request);
-        let retry_after_us = Some(self.limits.back_off_us);
+        let retry_after_us = Some(self.limits.overload_retry_after_us);
         let Some((_, session)) = self.cdni_session(key) else {
             return;
         };
@@ -219,11 +219,11 @@
 
     /// Gives a connection the core's answer to its request.
     pub(super) fn answer_cdni(&mut self, now: Micros, key: Key, answer: Answer) {
-        let answer_ahead_us = self.limits.answer_ahead_us;
+        let response_margin_us = self.limits.response_margin_us;
         let Some((_, session)) = self.cdni_session(key) else {
             return;
         };
-        let is_late = now + answer_ahead_us >= session.deadline;
+        let is_late = now + response_margin_us >= session.deadline;
         session.respond(&cdni::response(answer, is_late));
         // The next request may have come meanwhile; reading it is left to the loop, so that a peer CDN that
         // sends many at once can't nest them here.
@@ -271,7 +271,7 @@
 
     /// Sends a payload to a peer CDN, as far as the bound on those under way lets it.
     pub(super) fn send_out(&mut self, now: Micros, post: Post) {
-        if self.posts >= self.limits.posts {
+        if self.posts >= self.limits.max_posts {
             let address = post.address;
             log::warn!("a payload for {address} is dropped: too many are on their way");
             return;
@@ -281,13 +281,13 @@
     }
 
     fn begin_delivery(&mut self, now: Micros, post: Post, attempts: u32) {
-        let delivery = Delivery::new(post.clone(), attempts, self.limits.line);
+        let delivery = Delivery::new(post.clone(), attempts, self.limits.max_line_bytes);
         if self
             .exchange(
                 now,
                 post.address,
                 Box::new(delivery),
-                Some(self.limits.post_us),
+                Some(self.limits.post_timeout_us),
             )
             .is_none()
         {
@@ -306,13 +306,13 @@
                 log::warn!("a peer CDN rejected a payload: {address}{path} answered {status}");
                 self.posts -= 1;
             }
-            _ if attempts >= self.limits.post_tries => {
+            _ if attempts >= self.limits.max_post_attempts => {
                 let Post { address, path, .. } = &post;
                 log::warn!("a peer CDN takes no payload: {address}{path}");
                 self.posts -= 1;
             }
             _ => {
-                let wait = self.limits.repeat_us << attempts.min(6);
+                let wait = self.limits.purge_resend_interval_us << attempts.min(6);
                 self.later(now + wait, move |daemon, now| {
                     daemon.begin_delivery(now, post, attempts);
                 });
--- a/daemon/src/daemon/clients/accept.rs
+++ b/daemon/src/daemon/clients/accept.rs
@@ -29,13 +29,13 @@
     fn eviction_rank(&self, now: Micros, key: Key) -> Option<(Standing, Micros)> {
         let connection = self.connections.get(key)?;
         let state = Self::client_state(connection)?;
-        let is_settled = connection.since <= now.saturating_sub(self.limits.settle_us);
+        let is_settled = connection.since <= now.saturating_sub(self.limits.client_eviction_grace_us);
         (state != Standing::Busy && is_settled).then_some((state, connection.since))
     }
 
     /// The connection that is evicted for one more client, or none where there is a place; an error where none can be.
     pub(in crate::daemon) fn room_for_client(&mut self, now: Micros) -> io::Result<Option<Key>> {
-        if self.clients < self.limits.clients && !self.connections.is_full() {
+        if self.clients < self.limits.max_client_connections && !self.connections.is_full() {
             return Ok(None);
         }
         self.eviction_candidate(now).map(Some)
@@ -46,7 +46,7 @@
         let mut has_evicted = false;
         // No more in one turn than the table holds: clients that are closed and connect again at once must not keep the loop.
         let mut accepted = 0;
-        while self.listener.is_some() && accepted < self.limits.clients {
+        while self.listener.is_some() && accepted < self.limits.max_client_connections {
             // With no place left, connections wait in the kernel's queue: others end, and these are accepted then.
             let Ok(mut evicted) = self.room_for_client(now) else {
                 return self.pause_accepting(now);
@@ -79,8 +79,8 @@
             let conn = Conn::new(
                 socket,
                 true,
-                self.limits.input_ring,
-                self.limits.output_ring,
+                self.limits.input_buffer_bytes,
+                self.limits.output_buffer_bytes,
             );
             if let Ok(conn) = conn {
                 self.take_in(now, conn, Kind::Client(Default::default()), evicted);
@@ -105,7 +105,7 @@
     pub(in crate::daemon) fn accept_later(&mut self, now: Micros) {
         if !std::mem::replace(&mut self.accepts_later, true) {
             self.deadlines
-                .set(now + self.limits.accept_again_us, Timer::Accept);
+                .set(now + self.limits.accept_backoff_us, Timer::Accept);
         }
     }
 
@@ -126,7 +126,7 @@
             }
             self.clients += 1;
             self.deadlines
-                .set(now + self.limits.client_half_us, Timer::Client(key));
+                .set(now + self.limits.partial_request_timeout_us, Timer::Client(key));
             if self.turn.waited_unread(now) > 0 {
                 // Its requests have been there since before the loop was delayed: in the next turn they would seem new.
                 self.check_client(now, key);
--- a/daemon/src/daemon/clients/mod.rs
+++ b/daemon/src/daemon/clients/mod.rs
@@ -73,7 +73,7 @@
     /// Holds the bytes of incomplete requests to their bound. The clients with most of them give way: one that is owed
     /// answers gets these, and a rejection of what is incomplete; the connections of the others are closed.
     fn free_half_requests(&mut self, now: Micros) {
-        while self.held > self.limits.bodies {
+        while self.held > self.limits.max_total_body_bytes {
             let keys = self.connections.keys().into_iter();
             let held = |key: Key| Some((self.connections.get(key)?.held, key));
             let Some((before, key)) = keys.filter_map(held).max().filter(|(held, _)| *held > 0)
@@ -85,7 +85,7 @@
             };
             if let Kind::Client(session) = &mut c.kind {
                 if session.has_unanswered_requests() {
-                    session.reject_partial(Some(self.limits.back_off_us));
+                    session.reject_partial(Some(self.limits.overload_retry_after_us));
                     c.held = session.buffered_bytes();
                     self.held = self.held + c.held - before;
                 }
@@ -128,7 +128,7 @@
                 return self.close(now, key);
             }
         }
-        let next_check = now + self.limits.client_look_us;
+        let next_check = now + self.limits.client_check_interval_us;
         let at = match due {
             Some(due) if due > now => due.min(next_check),
             _ => next_check,
--- a/daemon/src/daemon/clients/requests.rs
+++ b/daemon/src/daemon/clients/requests.rs
@@ -28,7 +28,7 @@
 
     /// Reads what has come. False: the client has gone.
     fn receive_requests(&mut self, key: Key) -> Result<bool, WireError> {
-        for _ in 0..self.limits.client_reads {
+        for _ in 0..self.limits.max_reads_per_client {
             let Some(c) = self.connections.get_mut(key) else {
                 return Ok(false);
             };
@@ -107,7 +107,7 @@
         } else {
             self.core.admit(now, client, asked)
         };
-        let wait_us = Some(self.limits.back_off_us);
+        let wait_us = Some(self.limits.overload_retry_after_us);
         let Some(session) = self.client_session(key) else {
             return;
         };
@@ -127,7 +127,7 @@
         let Some(Kind::Client(session)) = self.connections.get(key).map(|c| &c.kind) else {
             return false;
         };
-        let is_slow = self.waiting_answers > self.limits.waiting_answers;
+        let is_slow = self.waiting_answers > self.limits.max_pending_response_bytes;
         // One client's flood must leave capacity for the requests of the others.
         let is_flood = !self
             .limits
@@ -139,7 +139,7 @@
     /// or an end: it would never come to idle, and what it held would be cut when the process ends or the drain is over.
     /// The front sends what is rejected to another proxy.
     fn is_too_late(&self, now: Micros, session: &Session, is_first: bool) -> bool {
-        let last_taken = |since| since + self.limits.drain_last_taken_us;
+        let last_taken = |since| since + self.limits.drain_accept_us;
         let is_late_drain =
             matches!(self.ops.drain(), Drain::Draining(since) if now > last_taken(since));
         let is_late = self.is_stopping() || is_late_drain;
--- a/daemon/src/daemon/connection_table.rs
+++ b/daemon/src/daemon/connection_table.rs
@@ -105,14 +105,14 @@
         let conn = Conn::new(
             socket,
             false,
-            self.limits.input_ring,
-            self.limits.output_ring,
+            self.limits.input_buffer_bytes,
+            self.limits.output_buffer_bytes,
         );
         let key = self
             .open(now, conn.map_err(|_| ConnectError::NoCapacity)?, kind)
             .ok_or(ConnectError::NoCapacity)?;
         self.deadlines
-            .set(now + self.limits.connect_us, Timer::Connect(key));
+            .set(now + self.limits.connect_timeout_us, Timer::Connect(key));
         Ok(key)
     }
 
--- a/daemon/src/daemon/lifecycle.rs
+++ b/daemon/src/daemon/lifecycle.rs
@@ -120,7 +120,7 @@
         let Some(c) = self.connections.get_mut(key) else {
             return false;
         };
-        for _ in 0..self.limits.client_reads {
+        for _ in 0..self.limits.max_reads_per_client {
             match c.conn.read(false) {
                 Progress::Moved => c.conn.input.consume(c.conn.input.len()),
                 Progress::Blocked => return true,
@@ -142,13 +142,13 @@
             let silent = self
                 .connections
                 .get(key)
-                .is_some_and(|c| c.since + self.limits.settle_us > now);
+                .is_some_and(|c| c.since + self.limits.client_eviction_grace_us > now);
             if !silent {
                 self.end_soon(now, key);
             }
         }
         // Those that came a moment ago: their requests are on their way.
-        self.later(now + self.limits.settle_us, |daemon, now| {
+        self.later(now + self.limits.client_eviction_grace_us, |daemon, now| {
             daemon
                 .connections
                 .keys()
@@ -163,7 +163,7 @@
             Kind::Client(_) | Kind::Cdni(_) => true,
             Kind::Lingering => self
                 .term_at
-                .is_some_and(|at| now < at + self.limits.term_linger_us),
+                .is_some_and(|at| now < at + self.limits.shutdown_linger_us),
             Kind::Admin(caller) => caller.is_waiting() || !c.conn.output.is_empty(),
             _ => false,
         }
--- a/daemon/src/daemon/membership.rs
+++ b/daemon/src/daemon/membership.rs
@@ -57,7 +57,7 @@
         };
         let mut membership = Membership::new(config, now);
         if ledger.is_fresh() {
-            membership.expect_predecessor(now + self.limits.recovery_us);
+            membership.expect_predecessor(now + self.limits.recovery_timeout_us);
         }
         self.membership = Some(membership);
         self.schedule_membership(now);
--- a/daemon/src/daemon/reconnect.rs
+++ b/daemon/src/daemon/reconnect.rs
@@ -27,7 +27,7 @@
             self.reconnect.attempts.push(attempt);
         }
         if !std::mem::replace(&mut self.reconnect.is_due, true) {
-            self.later(now + self.limits.accept_again_us, Daemon::send_again);
+            self.later(now + self.limits.accept_backoff_us, Daemon::send_again);
         }
     }
 
--- a/daemon/src/daemon/recovery.rs
+++ b/daemon/src/daemon/recovery.rs
@@ -68,8 +68,8 @@
             .collect();
         let times = RecoveryTimes {
             start: now,
-            deadline: now + self.limits.recovery_us,
-            retry_us: self.limits.recovery_ask_us,
+            deadline: now + self.limits.recovery_timeout_us,
+            retry_us: self.limits.recovery_poll_interval_us,
         };
         let recovery = Recovery::new(server_id(&copies.machine), machines, copies.wait, times);
         self.pending_commits.recovery = Some(recovery);
@@ -165,7 +165,7 @@
 
     /// Extends the waits, as a chunk of a snapshot was received, or entries after it.
     pub(super) fn extend_recovery(&mut self, now: Micros) {
-        let timeout_us = self.limits.recovery_us;
+        let timeout_us = self.limits.recovery_timeout_us;
         let Some(wait) = &mut self.pending_commits.snapshot else {
             return;
         };
@@ -185,7 +185,7 @@
         match &mut self.pending_commits.snapshot {
             None if is_behind => {
                 let limits = &self.limits;
-                let wait = SnapshotWait::begin(now, limits.recovery_us, limits.recovery_max_us);
+                let wait = SnapshotWait::begin(now, limits.recovery_timeout_us, limits.recovery_total_timeout_us);
                 self.pending_commits.snapshot = Some(wait);
                 self.extend_recovery(now);
                 log::warn!(
--- a/daemon/src/daemon/registration.rs
+++ b/daemon/src/daemon/registration.rs
@@ -66,7 +66,7 @@
             return true;
         };
         if !std::mem::replace(&mut c.registers_later, true) {
-            let at = now + self.limits.accept_again_us;
+            let at = now + self.limits.accept_backoff_us;
             self.deadlines.set(at, Timer::Register(key));
         }
         true
--- a/daemon/src/daemon/shutdown.rs
+++ b/daemon/src/daemon/shutdown.rs
@@ -14,7 +14,7 @@
         if !self.is_stopping() {
             self.term_at = Some(now);
             self.core
-                .set_shutdown_deadline(now + self.limits.term_answer_us);
+                .set_shutdown_deadline(now + self.limits.shutdown_response_us);
             log::info!("SIGTERM: answering what is open");
             if self.inherited {
                 // The next process accepts on the same socket: whatever this one took now it would have to answer
@@ -26,7 +26,7 @@
                 }
             }
             self.deadlines
-                .set(now + self.limits.term_grace_us, Timer::Term);
+                .set(now + self.limits.shutdown_accept_us, Timer::Term);
             self.deregister_from_consul(now);
             self.leave_membership(now);
         }
--- a/daemon/src/daemon/sources/bus.rs
+++ b/daemon/src/daemon/sources/bus.rs
@@ -38,7 +38,7 @@
 impl State {
     /// No event has come yet.
     pub(in crate::daemon) fn new(seed: u64, limits: &Limits) -> Self {
-        let backoff = Backoff::new(limits.bus_again_us, limits.bus_again_most_us, seed);
+        let backoff = Backoff::new(limits.bus_min_backoff_us, limits.bus_max_backoff_us, seed);
         State {
             key: None,
             timer: None,
@@ -169,7 +169,7 @@
         self.bus.key = self.exchange(now, bus, Box::new(call), None);
         self.bus.read_at = now;
         match self.bus.key {
-            Some(_) => self.check_bus_at(now + self.limits.bus_silence_us),
+            Some(_) => self.check_bus_at(now + self.limits.bus_read_timeout_us),
             None => self.reconnect_bus_later(now),
         }
     }
@@ -202,12 +202,12 @@
     fn check_bus(&mut self, now: Micros) {
         match self.bus.key {
             None => self.connect_bus(now),
-            Some(key) if self.bus.read_at + self.limits.bus_silence_us <= now => {
+            Some(key) if self.bus.read_at + self.limits.bus_read_timeout_us <= now => {
                 log::warn!("the event bus is silent and called again");
                 self.connections.remove(key);
                 self.connect_bus(now);
             }
-            Some(_) => self.check_bus_at(self.bus.read_at + self.limits.bus_silence_us),
+            Some(_) => self.check_bus_at(self.bus.read_at + self.limits.bus_read_timeout_us),
         }
     }
 }
--- a/daemon/src/daemon/sources/consul/cached_snapshot.rs
+++ b/daemon/src/daemon/sources/consul/cached_snapshot.rs
@@ -140,7 +140,7 @@
     }
 
     fn load_snapshot(&mut self, now: Micros, number: usize) {
-        let max_bytes = self.limits.list;
+        let max_bytes = self.limits.max_cached_list_bytes;
         let max_age_us = self.config.state.most_age_us;
         let Some(snapshot) = self.snapshot_mut(number) else {
             return;
@@ -165,8 +165,8 @@
     /// The list of a data centre is confirmed as it stands now: its snapshot is written soon if it has changed, else before
     /// its time grows old.
     pub(in crate::daemon) fn schedule_snapshot(&mut self, now: Micros, number: usize) {
-        let soon_us = self.limits.keep_soon_us;
-        let seldom_us = self.limits.keep_seldom_us;
+        let soon_us = self.limits.list_store_delay_us;
+        let seldom_us = self.limits.list_store_interval_us;
         let writer = self.snapshots.as_mut();
         let Some(snapshot) = writer.and_then(|writer| writer.snapshots.get_mut(number)) else {
             return;
@@ -216,7 +216,7 @@
             snapshot.written_at = now;
         } else {
             // The disk has not yet taken the one before. What is written then is the list of then.
-            self.write_snapshot_at(now + self.limits.keep_soon_us, number);
+            self.write_snapshot_at(now + self.limits.list_store_delay_us, number);
         }
     }
 
--- a/daemon/src/daemon/sources/consul/mod.rs
+++ b/daemon/src/daemon/sources/consul/mod.rs
@@ -133,7 +133,7 @@
         let then = move |daemon: &mut Daemon, now, outcome: Outcome| {
             daemon.watch_finished(now, n, outcome);
         };
-        let exchange = Call::new(request, self.limits.line, state.max_answer, then);
+        let exchange = Call::new(request, self.limits.max_line_bytes, state.max_answer, then);
         let exchange = exchange.in_parts(n, Daemon::watch_reads);
         let key = self.exchange(now, to, exchange, Some(call.timeout_us));
         if let Some(w) = self.consul.as_mut().and_then(|c| c.watches.get_mut(n)) {
@@ -242,7 +242,7 @@
         let request = call.to_bytes(&to.to_string(), state.token.as_ref());
         let then =
             |daemon: &mut Daemon, now, outcome: Outcome| daemon.registration_finished(now, outcome);
-        let exchange = Call::new(request, self.limits.line, self.limits.line, then);
+        let exchange = Call::new(request, self.limits.max_line_bytes, self.limits.max_line_bytes, then);
         let key = self.exchange(now, to, exchange, Some(call.timeout_us));
         if key.is_none() {
             self.registration_finished(now, Err(TransportError::Unreachable));
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -54,7 +54,7 @@
             writer: linnetknot_discovery::server_id(&config.name),
             bounds: Bounds {
                 replication: config.limits.replication(&config.copies),
-                queue: config.limits.store_writes,
+                queue: config.limits.max_store_writes,
                 bucket_bits: config.copies.purge_table.bucket_bits,
             },
         };
@@ -217,7 +217,7 @@
             reconnect: reconnect::WaitingAttempts::default(),
             term: parts.sockets.term,
             hup: parts.sockets.hup,
-            connections: Slots::new(config.limits.connections),
+            connections: Slots::new(config.limits.max_connections),
             clients: 0,
             cache_connections: BTreeMap::new(),
             deadlines: Deadlines::default(),
--- a/daemon/src/daemon/startup/sockets.rs
+++ b/daemon/src/daemon/startup/sockets.rs
@@ -64,7 +64,7 @@
         let term = Signal::register(signal_hook::consts::SIGTERM).map_err(kernel("SIGTERM"))?;
         let hup = Signal::register(signal_hook::consts::SIGHUP).map_err(kernel("SIGHUP"))?;
         // As many as there can be: what is known at all is known before anything is done about a part of it.
-        let poll = Poll::new(config.limits.descriptors).map_err(kernel("epoll"))?;
+        let poll = Poll::new(config.limits.max_descriptors).map_err(kernel("epoll"))?;
         let clients = Listener::watch(clients, LISTENER, &poll).map_err(kernel("listen"))?;
         poll.add_at_start(&term.heard, SIGNAL)
             .map_err(watching("SIGTERM"))?;
@@ -99,7 +99,7 @@
     let listener = bind("cdni.listen", cdni.listen)?;
     let listener = Listener::watch(listener, CDNI, poll).map_err(kernel("cdni.listen"))?;
     let identity = cdni.identity.clone();
-    let trigger_api = TriggerApi::new(identity, config.seed, config.limits.triggers);
+    let trigger_api = TriggerApi::new(identity, config.seed, config.limits.max_triggers);
     Ok(Some((listener, trigger_api)))
 }
 
--- a/daemon/src/daemon/upstream_connections/mod.rs
+++ b/daemon/src/daemon/upstream_connections/mod.rs
@@ -42,7 +42,7 @@
     /// Whether a connection to a cache server is up on which something came from it a moment ago.
     fn is_heard_from(&self, now: Micros, server: ServerId) -> bool {
         let fresh = |(conn, link): (&Conn, &UpstreamConnection)| {
-            conn.up && link.last_received() + self.limits.suspect_us > now
+            conn.up && link.last_received() + self.limits.suspect_timeout_us > now
         };
         self.cache_connections
             .get(&server)
@@ -97,7 +97,7 @@
     ) -> Result<Key, ConnectError> {
         match selection {
             Selection::Use { key, connect_spare } => {
-                if connect_spare && self.connections.free_slots() > self.limits.spare_connections {
+                if connect_spare && self.connections.free_slots() > self.limits.reserved_connections {
                     // No attempt waits for it: where it fails, it is begun again with the next one.
                     let _ = self.connect_cache(now, server);
                 }
@@ -121,7 +121,7 @@
         link.enqueue(now, attempt);
         if !conn.up {
             self.deadlines
-                .set(now + self.limits.connect_us, Timer::CacheConnection(key));
+                .set(now + self.limits.connect_timeout_us, Timer::CacheConnection(key));
         }
         self.pump_or_close(now, key);
     }
@@ -152,7 +152,7 @@
     /// taken too, the list of cache servers could not be asked for any more.
     fn connect_cache(&mut self, now: Micros, server: ServerId) -> Result<Key, ConnectError> {
         let endpoint = self.core.endpoint(server).ok_or(ConnectError::NoCapacity)?;
-        if self.connections.free_slots() <= self.limits.spare_connections {
+        if self.connections.free_slots() <= self.limits.reserved_connections {
             let idle = self.longest_idle().ok_or(ConnectError::NoCapacity)?;
             self.close(now, idle);
         }
@@ -216,7 +216,7 @@
         }
         if conn.is_stuck() {
             self.deadlines
-                .set(now + self.limits.stalled_us, Timer::CacheConnection(key));
+                .set(now + self.limits.write_stall_timeout_us, Timer::CacheConnection(key));
         }
         // A cache server that drains or is gone gets nothing new: once all that it owed has come, its connections are of
         // no use, and where a machine has vanished nobody else would end them.
--- a/daemon/src/daemon/upstream_connections/selection.rs
+++ b/daemon/src/daemon/upstream_connections/selection.rs
@@ -69,8 +69,8 @@
         }
         let reclaim = self.reclaimable();
         let connecting = self.connecting();
-        let has_place = self.connections.len() - reclaim.len() < self.limits.box_connections;
-        if has_place && connecting < self.limits.box_dials {
+        let has_place = self.connections.len() - reclaim.len() < self.limits.max_connections_per_cache;
+        if has_place && connecting < self.limits.max_connects_per_cache {
             return Selection::Connect { reclaim };
         }
         Selection::Unavailable(if connecting == 0 {
@@ -110,8 +110,8 @@
     /// One answer that can't be read ends all that is open on its connection: the more connections, the less is lost at
     /// once. The next one is begun ahead, so that no attempt waits for it.
     fn wants_spare(&self, open_attempts: usize) -> bool {
-        open_attempts >= self.limits.box_shared
-            && self.connections.len() < self.limits.box_connections
+        open_attempts >= self.limits.attempts_before_new_connection
+            && self.connections.len() < self.limits.max_connections_per_cache
             && self.connections.iter().all(|(_, conn, _)| conn.up)
     }
 
--- a/daemon/src/front/fastcgi/records.rs
+++ b/daemon/src/front/fastcgi/records.rs
@@ -68,7 +68,7 @@
         let keep_open = begin.flags & wire::KEEP_CONN != 0;
         let status = if begin.role != wire::RESPONDER {
             wire::UNKNOWN_ROLE
-        } else if self.streams.len() >= limits.client_requests {
+        } else if self.streams.len() >= limits.max_requests_per_client {
             wire::OVERLOADED
         } else {
             let request = PartialRequest::new(keep_open);
@@ -126,7 +126,7 @@
 
 impl PartialRequest {
     fn add_params(&mut self, content: &[u8], limits: &Limits) -> Result<(), WireError> {
-        if self.params.len() + content.len() > limits.params {
+        if self.params.len() + content.len() > limits.max_params_bytes {
             return Err(WireError::TooLong("a request's parameters"));
         }
         self.params_done = content.is_empty();
@@ -135,7 +135,7 @@
     }
 
     fn add_body(&mut self, content: &[u8], limits: &Limits) -> Result<(), WireError> {
-        if self.body.len() + content.len() > limits.body {
+        if self.body.len() + content.len() > limits.max_body_bytes {
             return Err(WireError::TooLong("a request's body"));
         }
         self.body.extend_from_slice(content);
--- a/daemon/src/front/fastcgi/request.rs
+++ b/daemon/src/front/fastcgi/request.rs
@@ -55,13 +55,13 @@
         let size_kb = self.size_kb(limits)?;
         self.check_content_length(body.len())?;
         let remaining_ms = self
-            .number("HTTP_BUDGET_MS", limits.budget_us / 1000)?
+            .number("HTTP_BUDGET_MS", limits.max_request_budget_us / 1000)?
             .filter(|ms| *ms > 0);
         Ok(ClientRequest {
             id: self.required_digits("HTTP_REQUEST_ID")?,
             class: self.class()?,
             object: self.required_digits("HTTP_RESOURCE_KEY")?,
-            part: self.number("HTTP_X_PIECE", limits.part)?.unwrap_or(0),
+            part: self.number("HTTP_X_PIECE", limits.max_part)?.unwrap_or(0),
             group: self.number("HTTP_X_LOT", MAX_GROUP)?.unwrap_or(0),
             size_kb,
             remaining_us: remaining_ms.ok_or(InvalidParameter("HTTP_BUDGET_MS"))? * 1000,
@@ -110,7 +110,7 @@
         const NAME: &str = "HTTP_FOOTPRINT_KB";
         match self.get(NAME).map(str::parse::<f64>) {
             None => Ok(0.0),
-            Some(Ok(kb)) if kb >= 0.0 && kb <= limits.size_kb => Ok(kb),
+            Some(Ok(kb)) if kb >= 0.0 && kb <= limits.max_size_kb => Ok(kb),
             Some(_) => Err(InvalidParameter(NAME)),
         }
     }
--- a/daemon/src/front/fastcgi/session.rs
+++ b/daemon/src/front/fastcgi/session.rs
@@ -204,7 +204,7 @@
                 None => {}
             }
             // A client that sends on and takes no answers must not pile them up here.
-            if self.output.len() > limits.client_answers {
+            if self.output.len() > limits.max_pending_responses_per_client {
                 return Err(WireError::TooLong("the row of answers that are not taken"));
             }
         }
--- a/daemon/src/limits/machine.rs
+++ b/daemon/src/limits/machine.rs
@@ -24,98 +24,98 @@
 /// The bounds that are the same on all machines, and those of the smallest.
 const ON_ANY_MACHINE: Limits = Limits {
     // Descriptors and connections.
-    descriptors: 1,
-    clients: 1,
-    connections: MIN_OTHER_CONNECTIONS + 1,
-    spare_connections: MIN_SPARE_CONNECTIONS,
-    accept_again_us: 20_000,
+    max_descriptors: 1,
+    max_client_connections: 1,
+    max_connections: MIN_OTHER_CONNECTIONS + 1,
+    reserved_connections: MIN_SPARE_CONNECTIONS,
+    accept_backoff_us: 20_000,
 
     // Requests.
-    requests: MIN_MEMORY_BYTES / REQUEST_BYTES,
-    client_requests: 32,
-    crowded_requests: 4,
-    client_answers: 256,
-    client_reads: 16,
-    params: 16 << 10,
-    bodies: MIN_MEMORY_BYTES / 4,
-    body: 48_000,
-    budget_us: 120_000_000,
-    part: 65_535,
-    size_kb: 1e6,
-    object: 512 << 10,
-    waiting_answers: MIN_MEMORY_BYTES / 4,
-    answer_ahead_us: 10_000,
-    back_off_us: 200_000,
+    max_requests: MIN_MEMORY_BYTES / REQUEST_BYTES,
+    max_requests_per_client: 32,
+    max_requests_per_client_under_load: 4,
+    max_pending_responses_per_client: 256,
+    max_reads_per_client: 16,
+    max_params_bytes: 16 << 10,
+    max_total_body_bytes: MIN_MEMORY_BYTES / 4,
+    max_body_bytes: 48_000,
+    max_request_budget_us: 120_000_000,
+    max_part: 65_535,
+    max_size_kb: 1e6,
+    max_object_bytes: 512 << 10,
+    max_pending_response_bytes: MIN_MEMORY_BYTES / 4,
+    response_margin_us: 10_000,
+    overload_retry_after_us: 200_000,
 
     // Buffers.
-    input_ring: 16 << 10,
-    output_ring: 64 << 10,
-    line: 64 << 10,
+    input_buffer_bytes: 16 << 10,
+    output_buffer_bytes: 64 << 10,
+    max_line_bytes: 64 << 10,
 
     // Client connections.
-    client_half_us: 2_000_000,
-    client_idle_us: 5_000_000,
-    client_linger_us: 1_000_000,
-    client_stalled_us: 10_000_000,
-    client_look_us: 500_000,
-    settle_us: 150_000,
+    partial_request_timeout_us: 2_000_000,
+    client_idle_timeout_us: 5_000_000,
+    client_linger_timeout_us: 1_000_000,
+    client_write_timeout_us: 10_000_000,
+    client_check_interval_us: 500_000,
+    client_eviction_grace_us: 150_000,
 
     // Connections to cache servers.
-    box_connections: 8,
-    box_shared: 2,
-    box_streams: 100,
-    box_dials: 2,
-    box_idle_us: 0,
-    connect_us: 400_000,
-    dial_us: 2_000_000,
-    give_up_us: 5_000,
-    half_answer_us: 150_000,
-    answer_us: 10_000_000,
-    forget_us: 5_000_000,
-    suspect_us: 1_000_000,
-    stalled_us: 500_000,
+    max_connections_per_cache: 8,
+    attempts_before_new_connection: 2,
+    max_attempts_per_connection: 100,
+    max_connects_per_cache: 2,
+    cache_idle_timeout_us: 0,
+    connect_timeout_us: 400_000,
+    connect_abort_us: 2_000_000,
+    abort_transit_us: 5_000,
+    response_stall_timeout_us: 150_000,
+    response_timeout_us: 10_000_000,
+    finished_stream_retention_us: 5_000_000,
+    suspect_timeout_us: 1_000_000,
+    write_stall_timeout_us: 500_000,
 
     // The endpoint list and the event bus.
-    list: 16 << 20,
-    boxes: 20_000,
-    gone_boxes: 2_000,
-    keep_soon_us: 500_000,
-    keep_seldom_us: 60_000_000,
-    bus_silence_us: 2_000_000,
-    bus_again_us: 100_000,
-    bus_again_most_us: 800_000,
+    max_cached_list_bytes: 16 << 20,
+    max_caches: 20_000,
+    max_remembered_caches: 2_000,
+    list_store_delay_us: 500_000,
+    list_store_interval_us: 60_000_000,
+    bus_read_timeout_us: 2_000_000,
+    bus_min_backoff_us: 100_000,
+    bus_max_backoff_us: 800_000,
 
     // Purges, their logs and the store.
-    purges: 65_536,
-    statuses: 20_000,
-    purge_logs: 16_384,
-    promises: 1_024,
-    recovery_us: 5_000_000,
-    recovery_max_us: 25_000_000,
-    recovery_ask_us: 100_000,
-    store_writes: 4_096,
-    repeat_us: 40_000,
+    max_exact_purges: 65_536,
+    max_status_entries: 20_000,
+    max_purge_logs: 16_384,
+    max_pending_commits: 1_024,
+    recovery_timeout_us: 5_000_000,
+    recovery_total_timeout_us: 25_000_000,
+    recovery_poll_interval_us: 100_000,
+    max_store_writes: 4_096,
+    purge_resend_interval_us: 40_000,
     plain_purge_grace_us: 1_000_000,
-    unwritten_purges: 1_024,
+    max_unwritten_purges: 1_024,
 
     // Peer CDNs.
-    triggers: 1024,
-    posts: 64,
-    post_tries: 3,
-    post_us: 1_000_000,
+    max_triggers: 1024,
+    max_posts: 64,
+    max_post_attempts: 3,
+    post_timeout_us: 1_000_000,
 
     // The admin listener and the log.
-    admin_callers: 1,
-    admin_call_us: 5_000_000,
-    admin_input: 9 << 10,
-    admin_output: 16 << 10,
-    said: 1_000,
+    max_admin_connections: 1,
+    admin_timeout_us: 5_000_000,
+    admin_input_buffer_bytes: 9 << 10,
+    admin_output_buffer_bytes: 16 << 10,
+    max_remembered_log_lines: 1_000,
 
     // Shutdown and draining.
-    term_grace_us: 900_000,
-    term_linger_us: 3_400_000,
-    term_answer_us: 3_500_000,
-    drain_last_taken_us: 1_500_000,
+    shutdown_accept_us: 900_000,
+    shutdown_linger_us: 3_400_000,
+    shutdown_response_us: 3_500_000,
+    drain_accept_us: 1_500_000,
 };
 
 impl Limits {
@@ -131,24 +131,24 @@
     fn bound_connections(&mut self, descriptors: usize) {
         // The rest is for cache servers, the bus and what the process itself has open.
         let share = (descriptors * 3 / 5).max(1);
-        self.descriptors = descriptors;
-        self.clients = if descriptors >= USUAL_DESCRIPTORS {
+        self.max_descriptors = descriptors;
+        self.max_client_connections = if descriptors >= USUAL_DESCRIPTORS {
             share.min(descriptors - CLIENTS_LEAVE)
         } else {
             share
         };
-        self.connections = descriptors
+        self.max_connections = descriptors
             .saturating_sub(OTHER_DESCRIPTORS)
-            .max(self.clients + MIN_OTHER_CONNECTIONS);
-        self.spare_connections =
-            (self.connections / 8).clamp(MIN_SPARE_CONNECTIONS, MAX_SPARE_CONNECTIONS);
-        self.admin_callers = (self.spare_connections * 2 / 3).max(1);
+            .max(self.max_client_connections + MIN_OTHER_CONNECTIONS);
+        self.reserved_connections =
+            (self.max_connections / 8).clamp(MIN_SPARE_CONNECTIONS, MAX_SPARE_CONNECTIONS);
+        self.max_admin_connections = (self.reserved_connections * 2 / 3).max(1);
     }
 
     /// The bounds that follow from the bytes of memory.
     fn bound_memory(&mut self, memory: usize) {
-        self.requests = MAX_REQUESTS.min(memory / REQUEST_BYTES);
-        self.bodies = memory / 4;
-        self.waiting_answers = memory / 4;
+        self.max_requests = MAX_REQUESTS.min(memory / REQUEST_BYTES);
+        self.max_total_body_bytes = memory / 4;
+        self.max_pending_response_bytes = memory / 4;
     }
 }
--- a/daemon/src/plain_purges.rs
+++ b/daemon/src/plain_purges.rs
@@ -64,9 +64,9 @@
     /// Creates an empty set, within the daemon's limits.
     pub fn new(limits: &Limits) -> Self {
         PlainPurges {
-            resend_us: limits.repeat_us,
+            resend_us: limits.purge_resend_interval_us,
             grace_us: limits.plain_purge_grace_us,
-            capacity: limits.unwritten_purges,
+            capacity: limits.max_unwritten_purges,
             resends: VecDeque::new(),
             unwritten: VecDeque::new(),
         }
--- a/daemon/src/upstream/connection.rs
+++ b/daemon/src/upstream/connection.rs
@@ -56,7 +56,7 @@
         UpstreamConnection {
             server,
             endpoint: None,
-            arrays: resp::Arrays::new(limits.object),
+            arrays: resp::Arrays::new(limits.max_object_bytes),
             queue: VecDeque::new(),
             aborts: VecDeque::new(),
             streams: HashMap::new(),
@@ -66,7 +66,7 @@
             last_used: now,
             next_forget: None,
             partial_since: None,
-            suspect_us: limits.suspect_us,
+            suspect_us: limits.suspect_timeout_us,
             suspect: false,
             stall: None,
         }
@@ -78,7 +78,7 @@
         // Two clients may give one id: a second attempt under it here would take the first one's answer, also
         // where both still wait for the connection.
         let is_free = self.streams.get(id).is_none_or(Stream::is_free) && !self.is_queued(id, core);
-        (!self.suspect && live < limits.box_streams && is_free).then_some(live)
+        (!self.suspect && live < limits.max_attempts_per_connection && is_free).then_some(live)
     }
 
     fn live_streams(&self) -> usize {
@@ -98,13 +98,13 @@
     /// some never end.
     pub fn partial_answer_deadline(&self, limits: &Limits) -> Option<Micros> {
         let since = self.partial_since?;
-        Some((self.last_received + limits.half_answer_us).min(since + limits.answer_us))
+        Some((self.last_received + limits.response_stall_timeout_us).min(since + limits.response_timeout_us))
     }
 
     /// Whether an answer that arrives slowly would hold up the answer to a further attempt.
     pub fn is_held_up(&self, now: Micros, limits: &Limits) -> bool {
         self.partial_since
-            .is_some_and(|since| since + limits.half_answer_us <= now)
+            .is_some_and(|since| since + limits.response_stall_timeout_us <= now)
     }
 
     /// Whether an attempt under this id was given up here not long ago.
@@ -120,17 +120,17 @@
     /// Whether nothing has gone either way for so long that the cache may be about to close it: an attempt that is sent
     /// now may cross that.
     pub fn is_stale(&self, now: Micros, limits: &Limits) -> bool {
-        limits.box_idle_us > 0 && self.is_idle() && self.last_used + limits.box_idle_us <= now
+        limits.cache_idle_timeout_us > 0 && self.is_idle() && self.last_used + limits.cache_idle_timeout_us <= now
     }
 
     /// Whether it should be up by now: it may yet come up, but no further attempt is to wait for it.
     pub fn is_connect_overdue(&self, now: Micros, limits: &Limits) -> bool {
-        self.connecting_since + limits.connect_us <= now
+        self.connecting_since + limits.connect_timeout_us <= now
     }
 
     /// When it is given up if it is not up by then.
     pub fn connect_deadline(&self, limits: &Limits) -> Micros {
-        self.connecting_since + limits.dial_us
+        self.connecting_since + limits.connect_abort_us
     }
 
     /// When bytes last went either way.
--- a/daemon/src/upstream/recall.rs
+++ b/daemon/src/upstream/recall.rs
@@ -15,7 +15,7 @@
             return None;
         }
         let finished = self.streams.values().filter_map(Stream::finished_at);
-        self.next_forget = finished.min().map(|at| at + limits.forget_us + 1);
+        self.next_forget = finished.min().map(|at| at + limits.finished_stream_retention_us + 1);
         self.next_forget
     }
 
@@ -24,7 +24,7 @@
         self.streams.retain(|_, stream| {
             stream
                 .finished_at()
-                .is_none_or(|at| at + limits.forget_us >= now)
+                .is_none_or(|at| at + limits.finished_stream_retention_us >= now)
         });
     }
 
--- a/daemon/src/upstream/sending.rs
+++ b/daemon/src/upstream/sending.rs
@@ -61,7 +61,7 @@
     /// Ends the attempts that have waited too long for the connection: they go on elsewhere in time, whether or not it
     /// comes up after all.
     fn end_overdue(&mut self, now: Micros, limits: &Limits, events: &mut Vec<UpstreamEvent>) {
-        let is_overdue = |queued: &&QueuedAttempt| queued.since + limits.connect_us <= now;
+        let is_overdue = |queued: &&QueuedAttempt| queued.since + limits.connect_timeout_us <= now;
         let overdue = self.queue.iter().take_while(is_overdue).count();
         for queued in self.queue.drain(..overdue) {
             let result = Outcome::Unreached.into();
@@ -80,7 +80,7 @@
     ) {
         let is_due = |end: &mut PendingEnd| {
             let is_written = end.end_offset.is_some_and(|offset| offset <= written);
-            is_written && *end.written_at.get_or_insert(now) + limits.give_up_us <= now
+            is_written && *end.written_at.get_or_insert(now) + limits.abort_transit_us <= now
         };
         for stream in self.streams.values_mut() {
             let Stream::Aborted { pending, .. } = stream else {
@@ -96,7 +96,7 @@
     pub fn next_report_at(&self, limits: &Limits) -> Option<Micros> {
         let ends = self.streams.values().filter_map(Stream::pending_end);
         let earliest = ends.filter_map(|end| end.written_at).min();
-        earliest.map(|at| at + limits.give_up_us)
+        earliest.map(|at| at + limits.abort_transit_us)
     }
 
     /// Whether the other side has taken no bytes for too long: it would keep what is given up here from ever being over.
@@ -111,7 +111,7 @@
             since: now,
         });
         self.stall = Some(stall);
-        now - stall.since >= limits.stalled_us
+        now - stall.since >= limits.write_stall_timeout_us
     }
 
     /// Starts one frame after the other while the socket takes all of each. False: the connection is broken.
@@ -168,7 +168,7 @@
         events: &mut Vec<UpstreamEvent>,
     ) -> Progress {
         let frame = attempt_frame(core, now, attempt);
-        let frame = frame.filter(|frame| frame.bytes.len() <= limits.output_ring);
+        let frame = frame.filter(|frame| frame.bytes.len() <= limits.output_buffer_bytes);
         let Some((frame, dispatch)) = frame.zip(core.dispatch(attempt)) else {
             let result = Outcome::Moot.into();
             events.push(UpstreamEvent::AttemptFinished(attempt, result));
--- a/daemon/tests/closed_unanswered.rs
+++ b/daemon/tests/closed_unanswered.rs
@@ -94,7 +94,7 @@
     const HALVES: u16 = 30;
     let rig = Rig::with(&["s-0a"], |config| {
         config["limits"]["memory_mb"] = json!(16);
-        config["bounds"] = json!({"client_half_us": 60_000_000});
+        config["bounds"] = json!({"partial_request_timeout_us": 60_000_000});
     });
     rig.boxes[0].behave(Manner {
         hold_ms: 1_000,
@@ -139,7 +139,7 @@
 fn who_holds_most_of_requests_in_part_makes_room_and_not_who_comes_last() {
     let rig = Rig::with(&["s-0a"], |config| {
         config["limits"]["memory_mb"] = json!(16);
-        config["bounds"] = json!({"client_half_us": 60_000_000});
+        config["bounds"] = json!({"partial_request_timeout_us": 60_000_000});
     });
     let mut crowd: Vec<WebServer> = (0..4).map(|_| rig.web()).collect();
     // All but 2 KB of the 4 MB that may be held.
--- a/daemon/tests/config.rs
+++ b/daemon/tests/config.rs
@@ -18,7 +18,7 @@
 fn what_is_not_said_has_a_default() {
     let config = read(&good()).unwrap();
     assert_eq!(
-        (config.bus, config.known.offset, config.limits.descriptors),
+        (config.bus, config.known.offset, config.limits.max_descriptors),
         (None, 0, 1024)
     );
     assert!(config.cdni.is_none() && config.consul.is_none() && config.peers.is_none());
--- a/daemon/tests/core.rs
+++ b/daemon/tests/core.rs
@@ -133,7 +133,7 @@
     let (at, wake) = due.unwrap();
     assert_eq!(
         at,
-        NOW + 1_000_000 - limits().answer_ahead_us,
+        NOW + 1_000_000 - limits().response_margin_us,
         "the answer has a way to go"
     );
     core.wake(at, wake);
@@ -295,8 +295,8 @@
 #[test]
 fn full_tables_turn_requests_away_until_there_is_room() {
     let mut core = core(&Limits {
-        requests: 2,
-        bodies: 100,
+        max_requests: 2,
+        max_total_body_bytes: 100,
         ..limits()
     });
     let first = core.admit(NOW, client(1), client_request(60)).unwrap();
--- a/daemon/tests/fleet_status.rs
+++ b/daemon/tests/fleet_status.rs
@@ -102,7 +102,7 @@
 #[test]
 fn the_longest_answer_fits_the_admins_ring_and_is_read_again() {
     let longest = status(MAX_PEERS, MAX_LOGS);
-    let ring = Limits::for_machine(256, 32).admin_output;
+    let ring = Limits::for_machine(256, 32).admin_output_buffer_bytes;
     assert!(
         to_json(&longest).len() + 256 < ring,
         "{}",
@@ -149,7 +149,7 @@
         budgets,
         budgets_total: MAX_BUDGETS + 2,
     };
-    let ring = Limits::for_machine(256, 32).admin_output;
+    let ring = Limits::for_machine(256, 32).admin_output_buffer_bytes;
     assert!(
         to_json(&status).len() + 256 < ring,
         "{}",
--- a/daemon/tests/races.rs
+++ b/daemon/tests/races.rs
@@ -121,7 +121,7 @@
 #[test]
 fn a_request_that_comes_in_the_moment_of_an_idle_end_is_served() {
     let idle = Duration::from_millis(200);
-    let bounds = json!({"client_idle_us": 200_000, "client_half_us": 150_000});
+    let bounds = json!({"client_idle_timeout_us": 200_000, "partial_request_timeout_us": 150_000});
     let mut rig = Rig::with(&["s-0a"], |config| config["bounds"] = bounds.clone());
     let mut web = rig.web();
     assert_eq!(one(&mut web, "photo", &object(1)).status, 200);
@@ -138,7 +138,7 @@
 
 #[test]
 fn a_client_that_never_ends_its_half_does_not_keep_its_place() {
-    let bounds = json!({"client_idle_us": 50_000, "client_linger_us": 50_000});
+    let bounds = json!({"client_idle_timeout_us": 50_000, "client_linger_timeout_us": 50_000});
     let rig = Rig::with(&["s-0a"], |config| config["bounds"] = bounds.clone());
     let mut web = rig.web();
     assert_eq!(one(&mut web, "photo", &object(1)).status, 200);
@@ -159,7 +159,7 @@
 fn at_the_end_of_the_grace(change: impl Fn(&mut Value)) -> (Rig, Held, WebServer) {
     let grace = Duration::from_millis(300);
     let mut rig = Rig::with(&["s-0a"], |config| {
-        config["bounds"] = json!({"term_grace_us": 300_000});
+        config["bounds"] = json!({"shutdown_accept_us": 300_000});
         change(config);
     });
     let mut web = rig.web();
@@ -228,7 +228,7 @@
 #[test]
 fn signals_that_come_twice_or_while_the_process_ends_cost_no_answer() {
     let (mut rig, mut boxes) =
-        scripted::<1>(|config| config["bounds"] = json!({"term_grace_us": 100_000}));
+        scripted::<1>(|config| config["bounds"] = json!({"shutdown_accept_us": 100_000}));
     let mut web = rig.web();
     web.send(&request(1, &object(1), 0)).unwrap();
     let (_, place, fetch) = next_of(&mut boxes);
@@ -256,7 +256,7 @@
 fn sigterm_before_there_are_boxes_ends_the_process() {
     let mut rig = Rig::with(&[], |config| {
         config["known"] = Value::Null;
-        config["bounds"] = json!({"term_grace_us": 50_000});
+        config["bounds"] = json!({"shutdown_accept_us": 50_000});
     });
     let mut web = rig.web();
     assert_eq!(health(&mut web), 503);
@@ -363,7 +363,7 @@
     let address = bus.address();
     let rig = Rig::with(&["s-0a", "s-0b"], |config| {
         config["bus"] = address.clone();
-        config["bounds"] = json!({"bus_silence_us": 150_000});
+        config["bounds"] = json!({"bus_read_timeout_us": 150_000});
     });
     // Silent before the first event, with and without a head.
     let (_silent, last) = bus.call();
@@ -473,7 +473,7 @@
     let rig = Rig::with(&["s-0a"], |config| {
         config["limits"]["memory_mb"] = json!(16);
         // Not ended for its time.
-        config["bounds"] = json!({"client_half_us": 60_000_000});
+        config["bounds"] = json!({"partial_request_timeout_us": 60_000_000});
     });
     let whole = WebServer::request(
         1,
--- a/daemon/tests/rig/mod.rs
+++ b/daemon/tests/rig/mod.rs
@@ -105,12 +105,12 @@
             for (name, us) in bounds.as_object().into_iter().flatten() {
                 let limits = &mut config.limits;
                 let bound = match name.as_str() {
-                    "client_half_us" => &mut limits.client_half_us,
-                    "client_idle_us" => &mut limits.client_idle_us,
-                    "client_linger_us" => &mut limits.client_linger_us,
-                    "term_grace_us" => &mut limits.term_grace_us,
-                    "term_linger_us" => &mut limits.term_linger_us,
-                    "bus_silence_us" => &mut limits.bus_silence_us,
+                    "partial_request_timeout_us" => &mut limits.partial_request_timeout_us,
+                    "client_idle_timeout_us" => &mut limits.client_idle_timeout_us,
+                    "client_linger_timeout_us" => &mut limits.client_linger_timeout_us,
+                    "shutdown_accept_us" => &mut limits.shutdown_accept_us,
+                    "shutdown_linger_us" => &mut limits.shutdown_linger_us,
+                    "bus_read_timeout_us" => &mut limits.bus_read_timeout_us,
                     _ => panic!("no bound is called {name}"),
                 };
                 *bound = us.as_u64().unwrap();
--- a/daemon/tests/upstream.rs
+++ b/daemon/tests/upstream.rs
@@ -51,7 +51,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let near = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         let (far, server) = (listener.accept().unwrap().0, server_id("a"));
-        let conn = Conn::new(near, up, limits.input_ring, limits.output_ring).unwrap();
+        let conn = Conn::new(near, up, limits.input_buffer_bytes, limits.output_buffer_bytes).unwrap();
         Rig {
             core,
             connection: UpstreamConnection::new(server, &limits, NOW),
@@ -132,7 +132,7 @@
     fn give_up(&mut self, attempt: AttemptId) {
         self.connection.abort(self.now, attempt);
         self.pump();
-        self.now += self.limits.give_up_us;
+        self.now += self.limits.abort_transit_us;
         self.pump();
     }
 
@@ -221,16 +221,16 @@
     );
     assert_eq!(
         rig.connection.next_report_at(&rig.limits),
-        Some(NOW + rig.limits.give_up_us)
+        Some(NOW + rig.limits.abort_transit_us)
     );
     assert_eq!(rig.streams_if_free("01"), None);
-    rig.now += rig.limits.give_up_us;
+    rig.now += rig.limits.abort_transit_us;
     rig.pump();
     assert_eq!(rig.ends(), [(attempt, Outcome::Cancelled)]);
     // A further attempt here comes behind the abort, on the same connection.
     assert!(rig.connection.has_aborted("01") && rig.streams_if_free("01").is_some());
     rig.connection
-        .forget_finished(NOW + rig.limits.forget_us + 1, &rig.limits);
+        .forget_finished(NOW + rig.limits.finished_stream_retention_us + 1, &rig.limits);
     assert!(!rig.connection.has_aborted("01"));
 }
 
@@ -253,7 +253,7 @@
     let attempt = rig.send("01");
     assert_eq!(answered(&mut rig, old), [(attempt, Outcome::Error)]);
     rig.connection
-        .forget_finished(NOW + rig.limits.forget_us + 1, &rig.limits);
+        .forget_finished(NOW + rig.limits.finished_stream_retention_us + 1, &rig.limits);
     let attempt = rig.send("01");
     assert_eq!(answered(&mut rig, new), [(attempt, Outcome::Ok)]);
     // Behind one that was given up, the answer may be that one's: the further attempt is still out.
@@ -272,8 +272,8 @@
     assert_eq!(rig.streams_if_free("02"), Some(1));
     // Heard last before the attempt was sent: a short silence is a pause, a long one may be the end.
     for (silent_us, room) in [
-        (rig.limits.suspect_us, Some(0)),
-        (rig.limits.suspect_us + 1, None),
+        (rig.limits.suspect_timeout_us, Some(0)),
+        (rig.limits.suspect_timeout_us + 1, None),
     ] {
         rig.connection = UpstreamConnection::new(rig.server, &rig.limits, NOW - silent_us);
         rig.connection.enqueue(NOW, attempt);
@@ -309,9 +309,9 @@
         .unwrap();
     assert_eq!(
         rig.connection.partial_answer_deadline(&rig.limits),
-        Some(NOW + rig.limits.half_answer_us)
+        Some(NOW + rig.limits.response_stall_timeout_us)
     );
-    rig.now += rig.limits.half_answer_us - 1;
+    rig.now += rig.limits.response_stall_timeout_us - 1;
     assert!(rig.pump(), "the rest may come yet");
     rig.now += 1;
     assert!(
@@ -434,7 +434,7 @@
     answered(&mut rig, &[("01", "503", "-"), ("unknown", "200", "-")]);
     assert_eq!(rig.ends(), []);
     rig.connection
-        .forget_finished(rig.now + rig.limits.forget_us + 1, &rig.limits);
+        .forget_finished(rig.now + rig.limits.finished_stream_retention_us + 1, &rig.limits);
     assert!(rig.streams_if_free("01").is_some());
 }
 
@@ -451,7 +451,7 @@
     rig.pump();
     assert_eq!(rig.ends(), [], "it may still be out");
     assert_eq!(rig.reached("abort", 2).matches("fetch").count(), 2);
-    rig.now += rig.limits.give_up_us;
+    rig.now += rig.limits.abort_transit_us;
     rig.pump();
     assert_eq!(rig.ends(), [(further, Outcome::Full)]);
     // Where its own answer comes in that time, that is how it ends.
@@ -538,7 +538,7 @@
 #[test]
 fn a_connection_that_rested_for_nearly_as_long_as_its_box_lets_it_is_not_used_again() {
     let mut rig = Rig::new(true);
-    rig.limits.box_idle_us = 5_000_000;
+    rig.limits.cache_idle_timeout_us = 5_000_000;
     let attempt = rig.send("01");
     assert!(
         !rig.connection.is_stale(NOW + 60_000_000, &rig.limits),
@@ -559,7 +559,7 @@
     rig.far
         .write_all(b"*4\r\n$2\r\n01\r\n$3\r\n200\r\n$0\r\n\r\n$400000\r\n")
         .unwrap();
-    let step = rig.limits.half_answer_us - 1;
+    let step = rig.limits.response_stall_timeout_us - 1;
     let (start, mut steps) = (rig.now, 0);
     loop {
         while rig.conn.read(false) != Progress::Moved {}
@@ -577,12 +577,12 @@
         rig.now += step;
         steps += 1;
         assert!(
-            rig.now <= start + rig.limits.answer_us + step,
+            rig.now <= start + rig.limits.response_timeout_us + step,
             "it goes on for good"
         );
         rig.far.write_all(b".").unwrap();
     }
-    assert!(rig.now >= start + rig.limits.answer_us && steps > 2);
+    assert!(rig.now >= start + rig.limits.response_timeout_us && steps > 2);
 }
 
 /// One that is whole in time ends nothing, and the next one has its own time.
@@ -603,7 +603,7 @@
                 .read(rig.now, &mut rig.conn, &rig.core, &mut rig.events)
                 .unwrap();
             assert!(rig.pump());
-            rig.now += rig.limits.half_answer_us - 1;
+            rig.now += rig.limits.response_stall_timeout_us - 1;
         }
     }
     assert_eq!(
@@ -623,7 +623,7 @@
         .connection
         .next_forget_at(NOW, &rig.limits)
         .expect("a deadline");
-    assert_eq!(at, NOW + rig.limits.forget_us + 1);
+    assert_eq!(at, NOW + rig.limits.finished_stream_retention_us + 1);
     rig.now += 1_000_000;
     rig.send("02");
     answered(&mut rig, &[("02", "503", "-")]);
--- a/rehearse/src/scale/hollow/purge_log.rs
+++ b/rehearse/src/scale/hollow/purge_log.rs
@@ -74,8 +74,8 @@
         let machines: Vec<u64> = config.peers_of(index).map(|peer| peer.machine_id).collect();
         let times = RecoveryTimes {
             start: now,
-            deadline: now + config.limits.recovery_us,
-            retry_us: config.limits.recovery_ask_us,
+            deadline: now + config.limits.recovery_timeout_us,
+            retry_us: config.limits.recovery_poll_interval_us,
         };
         let min_acks = config.replication.min_acks;
         let recovery =
@@ -83,7 +83,7 @@
         replica.set_peers(me.machine_id, machines);
         PurgeLog {
             replica,
-            disk: SimulatedDisk::new(config.limits.store_writes),
+            disk: SimulatedDisk::new(config.limits.max_store_writes),
             due: now,
             expires: now,
             commits: BTreeMap::new(),
