--- a/daemon/src/daemon/fleet_status.rs
+++ b/daemon/src/daemon/fleet_status.rs
@@ -10,10 +10,10 @@
 fn log_status(replica: &Replica, LogPosition { log, index }: LogPosition) -> LogStatus {
     LogStatus {
         writer: format!("{:016x}", log.writer),
-        life: format!("{:x}", log.epoch),
+        epoch: format!("{:x}", log.epoch),
         own: log.writer == replica.own().writer,
-        end: index,
-        on_disk: replica.durable_index(log),
+        last_index: index,
+        durable_index: replica.durable_index(log),
     }
 }
 
@@ -31,35 +31,35 @@
         Some(Status {
             name: self.config.name.clone(),
             machine: copies.machine.clone(),
-            life: format!("{:x}", own.epoch),
-            wait: copies.wait,
-            holders: copies.holders,
-            end: log_store.last_index(own),
-            on_disk: replica.durable_index(own),
+            epoch: format!("{:x}", own.epoch),
+            min_acks: copies.wait,
+            replication_factor: copies.holders,
+            last_index: log_store.last_index(own),
+            durable_index: replica.durable_index(own),
             entries: log_store.len(),
             compacted: log_store.table().len(),
             table_bytes: log_store.table().memory_bytes(),
             store_error: store_error.map(|pending| pending.reason().to_owned()),
             catching_up: replica.is_catching_up(),
             digest: format!("{:016x}", log_store.checksum()),
-            waiting: self.pending_commits.len(),
-            short: replica.under_replicated(),
-            promised: counters.committed,
-            refused: counters.commits_rejected,
-            up: self.membership.as_ref().map_or(1, Membership::up),
+            pending_commits: self.pending_commits.len(),
+            under_replicated: replica.under_replicated(),
+            committed: counters.committed,
+            rejected: counters.commits_rejected,
+            alive_members: self.membership.as_ref().map_or(1, Membership::up),
             replaced: self.is_replaced(),
             peers: peers
                 .map(|(peer, (address, machine))| {
                     self.peer_status(replica, peer, *address, machine)
                 })
                 .collect(),
-            peers_in_all: copies.machines.len(),
+            peers_total: copies.machines.len(),
             logs: logs
                 .iter()
                 .take(MAX_LOGS)
                 .map(|last| log_status(replica, *last))
                 .collect(),
-            logs_in_all: logs.len(),
+            logs_total: logs.len(),
         })
     }
 
@@ -85,10 +85,10 @@
             address,
             machine: machine.to_owned(),
             name: name.to_owned(),
-            standing: state_name(claim.map(|claim| claim.state)).to_owned(),
-            life: claim.map_or_else(String::new, |claim| format!("{:x}", claim.process)),
-            held: acked,
-            behind: last_index.saturating_sub(acked),
+            state: state_name(claim.map(|claim| claim.state)).to_owned(),
+            incarnation: claim.map_or_else(String::new, |claim| format!("{:x}", claim.process)),
+            acked_index: acked,
+            lag: last_index.saturating_sub(acked),
         }
     }
 }
--- a/daemon/src/fleet/mod.rs
+++ b/daemon/src/fleet/mod.rs
@@ -21,15 +21,20 @@
     /// The machine that it runs on, by its configuration.
     pub machine: String,
     /// The epoch of its log.
-    pub life: String,
+    #[serde(rename = "life")]
+    pub epoch: String,
     /// The minimum of further machines that acknowledge a purge before it is committed.
-    pub wait: usize,
+    #[serde(rename = "wait")]
+    pub min_acks: usize,
     /// The replication factor: further machines that have each purge in the end.
-    pub holders: usize,
+    #[serde(rename = "holders")]
+    pub replication_factor: usize,
     /// The last index of its log.
-    pub end: u64,
+    #[serde(rename = "end")]
+    pub last_index: u64,
     /// The durable index of its log on its own disk.
-    pub on_disk: u64,
+    #[serde(rename = "on_disk")]
+    pub durable_index: u64,
     /// Entries in force, of all logs.
     pub entries: usize,
     /// Older purges that have a slot of their own in the compact table.
@@ -47,25 +52,32 @@
     /// A checksum of all logs: proxies with the same entries have the same.
     pub digest: String,
     /// Pending commits.
-    pub waiting: usize,
+    #[serde(rename = "waiting")]
+    pub pending_commits: usize,
     /// Under-replicated entries: 0 once all peers have caught up.
-    pub short: usize,
+    #[serde(rename = "short")]
+    pub under_replicated: usize,
     /// Commits of this process.
-    pub promised: u64,
+    #[serde(rename = "promised")]
+    pub committed: u64,
     /// Rejected commits of this process.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     /// Members that it believes to be alive, itself among them.
-    pub up: usize,
+    #[serde(rename = "up")]
+    pub alive_members: usize,
     /// A later process of its name has started: this one commits nothing any more.
     pub replaced: bool,
     /// Its peers, the first of them.
     pub peers: Vec<PeerStatus>,
     /// The number of all peers.
-    pub peers_in_all: usize,
+    #[serde(rename = "peers_in_all")]
+    pub peers_total: usize,
     /// The logs of which it has entries, the first of them.
     pub logs: Vec<LogStatus>,
     /// The number of all logs.
-    pub logs_in_all: usize,
+    #[serde(rename = "logs_in_all")]
+    pub logs_total: usize,
 }
 
 /// What a proxy knows of a peer.
@@ -78,13 +90,17 @@
     /// Its name; empty until that is known.
     pub name: String,
     /// Its state by the membership: `unknown`, `alive`, `suspect`, `dead` or `left`.
-    pub standing: String,
+    #[serde(rename = "standing")]
+    pub state: String,
     /// Its incarnation.
-    pub life: String,
+    #[serde(rename = "life")]
+    pub incarnation: String,
     /// Its acknowledged index in the log of the proxy.
-    pub held: u64,
+    #[serde(rename = "held")]
+    pub acked_index: u64,
     /// Entries of that log that it has not acknowledged.
-    pub behind: u64,
+    #[serde(rename = "behind")]
+    pub lag: u64,
 }
 
 /// A log of which a proxy has entries.
@@ -93,13 +109,16 @@
     /// The hash of its writer's name.
     pub writer: String,
     /// The epoch of the log.
-    pub life: String,
+    #[serde(rename = "life")]
+    pub epoch: String,
     /// Whether the proxy wrote it, in this process or an earlier one.
     pub own: bool,
     /// The last index that the proxy has.
-    pub end: u64,
+    #[serde(rename = "end")]
+    pub last_index: u64,
     /// The durable index on the disk of the proxy.
-    pub on_disk: u64,
+    #[serde(rename = "on_disk")]
+    pub durable_index: u64,
 }
 
 /// A status as JSON in one line.
--- a/daemon/src/fleet/table.rs
+++ b/daemon/src/fleet/table.rs
@@ -15,8 +15,8 @@
         write_peers(&mut table, &self.peers);
         let _ = writeln!(table);
         write_logs(&mut table, &self.logs);
-        let more_peers = self.peers_in_all - self.peers.len();
-        let more_logs = self.logs_in_all - self.logs.len();
+        let more_peers = self.peers_total - self.peers.len();
+        let more_logs = self.logs_total - self.logs.len();
         if more_peers > 0 || more_logs > 0 {
             let _ = writeln!(table, "\nand {more_peers} peers and {more_logs} logs more");
         }
@@ -28,14 +28,14 @@
         [
             (
                 "proxy",
-                format!("{} on {}, life {}", self.name, self.machine, self.life),
+                format!("{} on {}, life {}", self.name, self.machine, self.epoch),
             ),
             ("log", self.log_summary()),
             (
                 "entries",
                 format!(
                     "{} in force of {} logs, digest {}",
-                    self.entries, self.logs_in_all, self.digest
+                    self.entries, self.logs_total, self.digest
                 ),
             ),
             ("compacted", self.table_summary()),
@@ -43,20 +43,20 @@
                 "promises",
                 format!(
                     "{} given, {} refused, {} waiting for {} further machines",
-                    self.promised, self.refused, self.waiting, self.wait
+                    self.committed, self.rejected, self.pending_commits, self.min_acks
                 ),
             ),
             ("members", self.members_summary()),
             (
                 "short",
-                format!("{} with fewer copies than {}", self.short, self.holders),
+                format!("{} with fewer copies than {}", self.under_replicated, self.replication_factor),
             ),
         ]
     }
 
     fn log_summary(&self) -> String {
         match &self.store_error {
-            None => format!("{} places, {} on disk", self.end, self.on_disk),
+            None => format!("{} places, {} on disk", self.last_index, self.durable_index),
             Some(reason) => format!("the store can't be opened: {reason}"),
         }
     }
@@ -79,7 +79,7 @@
         } else {
             ""
         };
-        format!("{} up{replaced}", self.up)
+        format!("{} up{replaced}", self.alive_members)
     }
 }
 
@@ -90,9 +90,9 @@
             peer.address.to_string(),
             peer.name.clone(),
             peer.machine.clone(),
-            peer.standing.clone(),
-            peer.held.to_string(),
-            peer.behind.to_string(),
+            peer.state.clone(),
+            peer.acked_index.to_string(),
+            peer.lag.to_string(),
         ]
     });
     for [address, name, machine, standing, held, behind] in std::iter::once(head).chain(rows) {
@@ -114,7 +114,7 @@
         let _ = writeln!(
             table,
             "{:<18} {:<14} {:>10} {:>10}{own}",
-            log.writer, log.life, log.end, log.on_disk
+            log.writer, log.epoch, log.last_index, log.durable_index
         );
     }
 }
--- a/daemon/tests/between.rs
+++ b/daemon/tests/between.rs
@@ -225,7 +225,7 @@
     });
     for n in 0..4 {
         let status = fleet.status(n).unwrap();
-        assert_eq!((status.logs.len(), status.promised), (4, 5), "p{n}");
+        assert_eq!((status.logs.len(), status.committed), (4, 5), "p{n}");
         // Each purge is an entry, and the status of its trigger is two pieces.
         assert_eq!(status.entries, 3 * all.len(), "p{n}");
         assert_eq!(fleet.triggers(n).unwrap().len(), all.len(), "p{n}");
@@ -359,8 +359,8 @@
     assert_eq!(fleet.purge(0, &object(502)).unwrap(), 503);
     assert!(fleet.hears(1, &object(502)).unwrap());
     let status = fleet.status(0).unwrap();
-    assert_eq!((status.promised, status.refused, status.waiting), (0, 2, 0));
-    assert!(status.short > 0, "and they are known to be short of copies");
+    assert_eq!((status.committed, status.rejected, status.pending_commits), (0, 2, 0));
+    assert!(status.under_replicated > 0, "and they are known to be short of copies");
     fleet.links.split(&[0], LinkConditions::default());
     assert_eq!(fleet.purge(0, &object(503)).unwrap(), 201);
     agree("all agree, none short", &fleet);
@@ -465,7 +465,7 @@
     assert_eq!(fleet.purge(0, &object(541)).unwrap(), 503);
     assert!(floor(&fleet, 0, &object(541)), "in force all the same");
     let status = fleet.status(0).unwrap();
-    assert!(status.on_disk < status.end && status.refused == 1);
+    assert!(status.durable_index < status.last_index && status.rejected == 1);
     // Its word is no copy for others either.
     fleet.stall(2).unwrap();
     assert_eq!(fleet.purge(1, &object(542)).unwrap(), 503);
@@ -543,12 +543,12 @@
     );
     let told = std::thread::spawn(move || purge_at(front, &object(560)));
     until("the neighbour waits", || {
-        fleet.status(0).unwrap().waiting == 1
+        fleet.status(0).unwrap().pending_commits == 1
     });
     let called =
         std::thread::spawn(move || call(admin, "POST", "/control/pop-caches/s-0a/offline", ""));
     until("the operator waits", || {
-        fleet.status(0).unwrap().waiting == 2
+        fleet.status(0).unwrap().pending_commits == 2
     });
     assert!(fleet.end(0).unwrap());
     assert_eq!(told.join().unwrap().unwrap(), 503);
@@ -579,7 +579,7 @@
         .enumerate()
     {
         calls.push(operate(verb));
-        until("it waits", || fleet.status(0).unwrap().waiting == n + 1);
+        until("it waits", || fleet.status(0).unwrap().pending_commits == n + 1);
     }
     assert!(calls.into_iter().all(|call| call.join().unwrap() == 503));
     comes_to_use(&fleet, 0, 0, 1500);
@@ -602,7 +602,7 @@
         .peers
         .iter()
         .find(|p| p.name == name)
-        .map_or_else(|| "unknown".into(), |p| p.standing.clone())
+        .map_or_else(|| "unknown".into(), |p| p.state.clone())
 }
 
 fn lives(fleet: &Fleet, at: usize, of: &str) -> Vec<String> {
@@ -612,7 +612,7 @@
         .peers
         .iter()
         .filter(|p| p.name == of)
-        .map(|p| p.life.clone())
+        .map(|p| p.incarnation.clone())
         .collect()
 }
 
@@ -636,7 +636,7 @@
     let before = lives(&fleet, 0, "p3");
     fleet.kill(3).unwrap();
     believe(&fleet, &[0, 1, 2], 3, "dead");
-    assert_eq!(fleet.status(0).unwrap().up, 3);
+    assert_eq!(fleet.status(0).unwrap().alive_members, 3);
     fleet.restart(3, Disk::Kept).unwrap();
     believe(&fleet, &[0, 1, 2], 3, "alive");
     assert!(lives(&fleet, 0, "p3") > before, "in a later life");
--- a/daemon/tests/clock_steps.rs
+++ b/daemon/tests/clock_steps.rs
@@ -185,7 +185,7 @@
         let is_settled = || {
             let status = fleet.status(0).unwrap();
             fleet.operate(0, "GET", "/control/ready").unwrap() == 200
-                && status.peers.iter().any(|peer| peer.standing == "alive")
+                && status.peers.iter().any(|peer| peer.state == "alive")
         };
         assert!(becomes(TIMEOUT, is_settled), "life {life}");
         // Long enough for peers to tell of the process before.
--- a/daemon/tests/plain_purges.rs
+++ b/daemon/tests/plain_purges.rs
@@ -138,7 +138,7 @@
                 .unwrap()
                 .peers
                 .iter()
-                .any(|peer| peer.standing == "alive")
+                .any(|peer| peer.state == "alive")
         });
         assert!(met, "the daemon never met the member");
     }
--- a/rehearse/examples/upgrade/side_by_side.rs
+++ b/rehearse/examples/upgrade/side_by_side.rs
@@ -123,7 +123,7 @@
                 .operate(n, "GET", "/control/ready")
                 .is_ok_and(|s| s == 200)
         };
-        let up = |n| self.fleet.status(n).map_or(0, |status| status.up);
+        let up = |n| self.fleet.status(n).map_or(0, |status| status.alive_members);
         let all = becomes(AGREEMENT, || {
             (0..PROXIES).all(|n| is_ready(n) && up(n) == PROXIES)
         });
@@ -168,8 +168,8 @@
             all.iter().all(|status| {
                 status.digest == all[0].digest
                     && !status.catching_up
-                    && (status.short, status.waiting) == (0, 0)
-                    && status.logs.iter().all(|log| log.end == log.on_disk)
+                    && (status.under_replicated, status.pending_commits) == (0, 0)
+                    && status.logs.iter().all(|log| log.last_index == log.durable_index)
             })
         });
         checks.that("all have the same on their disks", agree, || {
@@ -277,7 +277,7 @@
 fn shown(status: &Status) -> String {
     format!(
         "{} entries, {} compacted, digest {}, {} short",
-        status.entries, status.compacted, status.digest, status.short
+        status.entries, status.compacted, status.digest, status.under_replicated
     )
 }
 
--- a/rehearse/src/fault_matrix/mod.rs
+++ b/rehearse/src/fault_matrix/mod.rs
@@ -338,7 +338,7 @@
                 }
             }
             let under_replicated = if has_agreed {
-                self.fleet.status(proxy)?.short
+                self.fleet.status(proxy)?.under_replicated
             } else {
                 0
             };
--- a/rehearse/src/scale/daemons/real.rs
+++ b/rehearse/src/scale/daemons/real.rs
@@ -177,7 +177,7 @@
     /// # Errors
     /// Where it can't be asked, or says what can't be read.
     pub fn process_id(&self, daemon: usize) -> io::Result<u64> {
-        u64::from_str_radix(&self.status(daemon)?.life, 16).map_err(io::Error::other)
+        u64::from_str_radix(&self.status(daemon)?.epoch, 16).map_err(io::Error::other)
     }
 
     /// What the system tells of each process.
--- a/rehearse/src/scale/daemons/run.rs
+++ b/rehearse/src/scale/daemons/run.rs
@@ -206,7 +206,7 @@
     fn is_acquainted(&self) -> io::Result<bool> {
         let total = self.run.daemons + self.run.members;
         for daemon in 0..self.daemons.len() {
-            if self.daemons.status(daemon)?.up < total {
+            if self.daemons.status(daemon)?.alive_members < total {
                 return Ok(false);
             }
         }
@@ -341,7 +341,7 @@
             unacknowledged: self.host.acks().missing(daemon),
             triggers,
             entries: status.entries,
-            logs: status.logs_in_all,
+            logs: status.logs_total,
             is_settled: digest.as_ref() == Some(&status.digest),
         })
     }
