--- a/daemon/src/daemon/clients/accept.rs
+++ b/daemon/src/daemon/clients/accept.rs
@@ -1,7 +1,7 @@
 //! New connections of clients, and which other connection is closed where there is no place for one more.
 
 use crate::daemon::{Daemon, Kind, Timer};
-use crate::limits::Standing;
+use crate::limits::ClientState;
 use crate::net::{Conn, FailureKind, Key};
 use linnetknot::Micros;
 use std::io;
@@ -26,11 +26,11 @@
     }
 
     /// When a client's connection is evicted: the smallest first; none if it stays.
-    fn eviction_rank(&self, now: Micros, key: Key) -> Option<(Standing, Micros)> {
+    fn eviction_rank(&self, now: Micros, key: Key) -> Option<(ClientState, Micros)> {
         let connection = self.connections.get(key)?;
         let state = Self::client_state(connection)?;
         let is_settled = connection.since <= now.saturating_sub(self.limits.client_eviction_grace_us);
-        (state != Standing::Busy && is_settled).then_some((state, connection.since))
+        (state != ClientState::Busy && is_settled).then_some((state, connection.since))
     }
 
     /// The connection that is evicted for one more client, or none where there is a place; an error where none can be.
--- a/daemon/src/daemon/clients/mod.rs
+++ b/daemon/src/daemon/clients/mod.rs
@@ -4,13 +4,13 @@
 mod requests;
 
 use super::{Connection, Daemon, Kind, Timer};
-use crate::limits::Standing;
+use crate::limits::ClientState;
 use crate::net::Key;
 use linnetknot::Micros;
 
 impl Daemon {
     /// The state of a client's connection, of either front; none if it is no client's.
-    fn client_state(c: &Connection) -> Option<Standing> {
+    fn client_state(c: &Connection) -> Option<ClientState> {
         let (busy, half, asked) = match &c.kind {
             Kind::Client(s) => (
                 s.has_pending_answers(),
@@ -18,17 +18,17 @@
                 s.has_received_request(),
             ),
             Kind::Cdni(s) => (!s.is_idle(), s.is_partial(), s.has_received_request()),
-            Kind::Lingering => return Some(Standing::Lingering),
+            Kind::Lingering => return Some(ClientState::Lingering),
             _ => return None,
         };
         Some(if busy || !c.conn.output.is_empty() {
-            Standing::Busy
+            ClientState::Busy
         } else if half || !c.conn.input.is_empty() {
-            Standing::Half
+            ClientState::Partial
         } else if asked {
-            Standing::Idle
+            ClientState::Idle
         } else {
-            Standing::Silent
+            ClientState::Silent
         })
     }
 
@@ -49,9 +49,9 @@
         let Some(state) = Self::client_state(c) else {
             return;
         };
-        let half = state == Standing::Half;
+        let half = state == ClientState::Partial;
         // A request that comes a few bytes at a time stays the one that began with the first of them.
-        if state == Standing::Busy || half && !std::mem::replace(&mut c.half, half) {
+        if state == ClientState::Busy || half && !std::mem::replace(&mut c.half, half) {
             c.since = now;
         }
         c.half = half;
@@ -109,11 +109,11 @@
         let Some(state) = Self::client_state(c) else {
             return;
         };
-        if state == Standing::Idle {
+        if state == ClientState::Idle {
             c.conn.input.release();
             c.conn.output.release();
         }
-        let mut due = self.limits.leaves_at(state, Self::owed(c), c.since);
+        let mut due = self.limits.close_at(state, Self::owed(c), c.since);
         if due.is_some_and(|due| due <= now) {
             // What came in this very moment changes its state, and then it stays.
             if !self.check_client(now, key) {
@@ -123,7 +123,7 @@
                 return;
             };
             due = Self::client_state(c)
-                .and_then(|state| self.limits.leaves_at(state, Self::owed(c), c.since));
+                .and_then(|state| self.limits.close_at(state, Self::owed(c), c.since));
             if due.is_some_and(|due| due <= now) && !self.half_close(now, key) {
                 return self.close(now, key);
             }
--- a/daemon/src/daemon/reload.rs
+++ b/daemon/src/daemon/reload.rs
@@ -41,8 +41,8 @@
     /// Puts the settings and the limits that follow from them in force, where they have changed.
     fn reload_settings(&mut self, new: &Config) {
         if self.config.settings != new.settings && self.retune(&new.settings) {
-            self.limits.follow(&new.limits);
-            self.config.limits.follow(&new.limits);
+            self.limits.apply_settings_from(&new.limits);
+            self.config.limits.apply_settings_from(&new.limits);
         }
     }
 
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -225,7 +225,7 @@
             members: EndpointTable::new(
                 list_sources(&config),
                 parts.consul.damping,
-                config.limits.members(),
+                config.limits.discovery(),
             ),
             validator: ListValidator::default(),
             members_due: None,
--- a/daemon/src/limits/mod.rs
+++ b/daemon/src/limits/mod.rs
@@ -193,13 +193,13 @@
 
 /// The state of a client's connection. Where there are too many, those first in this order are closed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum ClientState {
     /// It was closed here, and its client may still read.
     Lingering,
     /// It has sent no request yet.
     Silent,
     /// Part of a request has been received.
-    Half,
+    Partial,
     /// All its requests are answered.
     Idle,
     /// A request is in flight, or a response is being written.
@@ -215,22 +215,22 @@
 
 impl Limits {
     /// When a client's connection is closed that has stayed in its state `since` then; none while responses are pending.
-    pub fn leaves_at(&self, standing: Standing, pending: usize, since: u64) -> Option<u64> {
-        let after = match standing {
-            Standing::Silent | Standing::Half => self.partial_request_timeout_us,
-            Standing::Idle => self.client_idle_timeout_us,
-            Standing::Lingering => self.client_linger_timeout_us,
-            Standing::Busy if pending > 0 => return None,
+    pub fn close_at(&self, state: ClientState, pending: usize, since: u64) -> Option<u64> {
+        let after = match state {
+            ClientState::Silent | ClientState::Partial => self.partial_request_timeout_us,
+            ClientState::Idle => self.client_idle_timeout_us,
+            ClientState::Lingering => self.client_linger_timeout_us,
+            ClientState::Busy if pending > 0 => return None,
             // All responses are made, and the client reads none of them.
-            Standing::Busy => self.client_write_timeout_us,
+            ClientState::Busy => self.client_write_timeout_us,
         };
         Some(since + after)
     }
 
     /// Whether a client connection with so many pending responses, that to its new request among them, may send one
     /// request more: a flood by one client must leave capacity for the others.
-    pub fn admits(&self, pending: usize, crowded: bool) -> bool {
-        let limit = if crowded {
+    pub fn admits(&self, pending: usize, under_load: bool) -> bool {
+        let limit = if under_load {
             self.max_requests_per_client_under_load
         } else {
             self.max_requests_per_client
@@ -239,7 +239,7 @@
     }
 
     /// The bounds of the table of endpoints.
-    pub fn members(&self) -> DiscoveryLimits {
+    pub fn discovery(&self) -> DiscoveryLimits {
         DiscoveryLimits {
             max_caches: self.max_caches,
             max_remembered: self.max_remembered_caches,
@@ -292,7 +292,7 @@
     }
 
     /// Takes over from other bounds what follows from the settings, after these have changed.
-    pub fn follow(&mut self, other: &Limits) {
+    pub fn apply_settings_from(&mut self, other: &Limits) {
         self.overload_retry_after_us = other.overload_retry_after_us;
         self.response_timeout_us = other.response_timeout_us;
         self.shutdown_linger_us = other.shutdown_linger_us;
--- a/daemon/tests/limits.rs
+++ b/daemon/tests/limits.rs
@@ -1,6 +1,6 @@
 //! Bounds: that they fit the machines they are made for, and each other.
 
-use linnetknot_daemon::limits::{Limits, Standing};
+use linnetknot_daemon::limits::{Limits, ClientState};
 use linnetknot_harness::settings;
 
 #[test]
@@ -29,23 +29,23 @@
 #[test]
 fn who_holds_a_place_for_nothing_leaves_and_who_is_owed_an_answer_does_not() {
     let limits = Limits::for_machine(256, 32);
-    let at = |standing, owed| limits.leaves_at(standing, owed, 7);
-    assert_eq!(at(Standing::Busy, 1), None);
+    let at = |state, owed| limits.close_at(state, owed, 7);
+    assert_eq!(at(ClientState::Busy, 1), None);
     assert_eq!(
-        at(Standing::Busy, 0),
+        at(ClientState::Busy, 0),
         Some(7 + limits.client_write_timeout_us),
         "it takes no answer"
     );
     // What is owed within three seconds of connecting, and what usual clients end by themselves after four.
-    assert!([Standing::Silent, Standing::Half]
+    assert!([ClientState::Silent, ClientState::Partial]
         .iter()
         .all(|s| at(*s, 0) < Some(7 + 3_000_000)));
-    assert!(at(Standing::Idle, 0) > Some(7 + 4_000_000));
+    assert!(at(ClientState::Idle, 0) > Some(7 + 4_000_000));
     assert!(
-        Standing::Lingering < Standing::Silent,
+        ClientState::Lingering < ClientState::Silent,
         "the first to make room"
     );
-    assert!(Standing::Silent < Standing::Half && Standing::Half < Standing::Idle);
+    assert!(ClientState::Silent < ClientState::Partial && ClientState::Partial < ClientState::Idle);
 }
 
 /// Figures of the site go before our own: SIGKILL may come 0.7 s after the longest deadline, and a request may be given up
