--- a/daemon/src/daemon/event_loop.rs
+++ b/daemon/src/daemon/event_loop.rs
@@ -5,7 +5,7 @@
 use super::turn::MAX_WAIT_US;
 use super::Daemon;
 use crate::core::{Command, Wake};
-use crate::net::{spells, Key, Ready};
+use crate::net::{failure_log, Key, Ready};
 use linnetknot::Micros;
 use std::io;
 
@@ -59,9 +59,9 @@
             ready.sort_by_key(|event| self.rank(event));
             let cut_short = self.turn_over(&mut ready);
             self.turn.over(cut_short);
-            spells::log_ended();
+            failure_log::log_ended();
         }
-        spells::log_rest();
+        failure_log::log_all();
         self.finish();
         Ok(())
     }
--- a/daemon/src/front/cdni/session.rs
+++ b/daemon/src/front/cdni/session.rs
@@ -2,7 +2,7 @@
 
 use super::Response;
 use crate::core::RequestKey;
-use crate::net::Ring;
+use crate::net::RingBuffer;
 use crate::wire::http::{self, Head, Messages, Piece};
 use crate::wire::{Parser, WireError};
 
@@ -99,7 +99,7 @@
     ///
     /// # Errors
     /// What came can't be read, or breaks a limit.
-    pub fn read(&mut self, input: &mut Ring) -> Result<Option<(Head, Vec<u8>)>, WireError> {
+    pub fn read(&mut self, input: &mut RingBuffer) -> Result<Option<(Head, Vec<u8>)>, WireError> {
         while self.keep_open && self.is_idle() {
             let (taken, piece) = self.messages.parse(input.front())?;
             input.consume(taken);
@@ -147,7 +147,7 @@
     }
 
     /// Moves as much as fits into the ring.
-    pub fn write(&mut self, output: &mut Ring) {
+    pub fn write(&mut self, output: &mut RingBuffer) {
         self.written += output.push(&self.out[self.written..]);
         if self.written == self.out.len() {
             self.out.clear();
--- a/daemon/src/front/fastcgi/output.rs
+++ b/daemon/src/front/fastcgi/output.rs
@@ -1,6 +1,6 @@
 //! Responses on their way out, as records that fit into the connection's ring.
 
-use crate::net::Ring;
+use crate::net::RingBuffer;
 use crate::wire::fastcgi::{self as wire, kind};
 use std::collections::VecDeque;
 
@@ -76,7 +76,7 @@
     }
 
     /// Moves as much as fits into the ring. False: a message after which the connection is to close is written.
-    pub(super) fn write(&mut self, ring: &mut Ring) -> bool {
+    pub(super) fn write(&mut self, ring: &mut RingBuffer) -> bool {
         let mut all_keep_open = true;
         while let Some(message) = self.messages.front_mut() {
             let before = message.pending_bytes();
@@ -103,7 +103,7 @@
         }
     }
 
-    fn write(&mut self, ring: &mut Ring) -> Written {
+    fn write(&mut self, ring: &mut RingBuffer) -> Written {
         match self {
             Message::Management(record) => {
                 if ring.free_bytes() < record.len() {
@@ -142,7 +142,7 @@
 }
 
 /// Writes the next record of a response's content: how many bytes of it; none where too few would fit.
-fn write_content(ring: &mut Ring, id: u16, content: &[u8]) -> Option<usize> {
+fn write_content(ring: &mut RingBuffer, id: u16, content: &[u8]) -> Option<usize> {
     let fits = ring.free_bytes().saturating_sub(wire::HEADER_LENGTH);
     let length = fits.min(content.len()).min(wire::MAX_CONTENT);
     if length < content.len().min(MIN_RECORD) {
--- a/daemon/src/front/fastcgi/session.rs
+++ b/daemon/src/front/fastcgi/session.rs
@@ -5,7 +5,7 @@
 use super::Input;
 use crate::core::{Answer, RequestKey};
 use crate::limits::Limits;
-use crate::net::Ring;
+use crate::net::RingBuffer;
 use crate::wire::fastcgi::{self as wire, Records};
 use crate::wire::{Parser, WireError};
 use std::collections::{HashMap, VecDeque};
@@ -186,7 +186,7 @@
     ///
     /// # Errors
     /// What came can't be read, or breaks a limit.
-    pub fn read(&mut self, ring: &mut Ring, limits: &Limits) -> Result<(), WireError> {
+    pub fn read(&mut self, ring: &mut RingBuffer, limits: &Limits) -> Result<(), WireError> {
         if self.unreadable {
             ring.consume(ring.len());
         }
@@ -244,7 +244,7 @@
     }
 
     /// Moves as much of the answers as fits into the ring.
-    pub fn write(&mut self, ring: &mut Ring) {
+    pub fn write(&mut self, ring: &mut RingBuffer) {
         self.closing |= !self.output.write(ring);
     }
 }
--- a/daemon/src/net/conn.rs
+++ b/daemon/src/net/conn.rs
@@ -1,7 +1,7 @@
 //! A TCP connection with its two rings.
 
 use super::errno::{Failure, FailureKind};
-use super::{syscall, Interest, Ring};
+use super::{syscall, Interest, RingBuffer};
 use rustix::net::{self, SocketType};
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -10,9 +10,9 @@
 pub struct Conn {
     socket: TcpStream,
     /// What came in and is not consumed yet.
-    pub input: Ring,
+    pub input: RingBuffer,
     /// What is to go out.
-    pub output: Ring,
+    pub output: RingBuffer,
     /// Bytes written to the socket so far.
     pub written: u64,
     /// False until a connection begun from here is up.
@@ -82,7 +82,7 @@
         // Small answers must not wait for the acknowledgement of earlier ones.
         // Where that can't be had, they wait, and nothing is lost.
         let _ = syscall::set_nodelay(&socket);
-        let (input, output) = (Ring::new(input), Ring::new(output));
+        let (input, output) = (RingBuffer::new(input), RingBuffer::new(output));
         let watched = Interest {
             read: true,
             write: !up,
--- a/daemon/src/net/spells.rs
+++ b/daemon/src/net/failure_log.rs
@@ -10,7 +10,7 @@
 const QUIET: Duration = Duration::from_secs(2);
 
 #[derive(Debug)]
-struct Spell {
+struct Episode {
     failures: u64,
     begun: Instant,
     last: Instant,
@@ -18,13 +18,13 @@
 
 /// The spells that go on, by the call that fails.
 #[derive(Debug, Default)]
-pub struct Spells {
-    open: BTreeMap<Call, Spell>,
+pub struct FailureLog {
+    open: BTreeMap<Call, Episode>,
 }
 
 /// A spell that is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ended {
+pub struct EndedEpisode {
     /// The call that failed.
     pub call: Call,
     /// How often it failed.
@@ -33,33 +33,33 @@
     pub lasted: Duration,
 }
 
-impl Spells {
+impl FailureLog {
     /// Counts a failure. True: a spell has begun with it.
-    pub fn note(&mut self, now: Instant, call: Call) -> bool {
-        let spell = self.open.entry(call).or_insert(Spell {
+    pub fn record(&mut self, now: Instant, call: Call) -> bool {
+        let episode = self.open.entry(call).or_insert(Episode {
             failures: 0,
             begun: now,
             last: now,
         });
-        spell.failures += 1;
-        spell.last = now;
-        spell.failures == 1
+        episode.failures += 1;
+        episode.last = now;
+        episode.failures == 1
     }
 
     /// Takes out the spells that are over.
-    pub fn end_quiet(&mut self, now: Instant) -> Vec<Ended> {
-        self.take(|spell| now.duration_since(spell.last) >= QUIET)
+    pub fn take_ended(&mut self, now: Instant) -> Vec<EndedEpisode> {
+        self.take(|episode| now.duration_since(episode.last) >= QUIET)
     }
 
-    fn take(&mut self, is_over: impl Fn(&Spell) -> bool) -> Vec<Ended> {
+    fn take(&mut self, is_over: impl Fn(&Episode) -> bool) -> Vec<EndedEpisode> {
         let mut ended = Vec::new();
-        self.open.retain(|call, spell| {
-            let over = is_over(spell);
+        self.open.retain(|call, episode| {
+            let over = is_over(episode);
             if over {
-                ended.push(Ended {
+                ended.push(EndedEpisode {
                     call: *call,
-                    failures: spell.failures,
-                    lasted: spell.last.duration_since(spell.begun),
+                    failures: episode.failures,
+                    lasted: episode.last.duration_since(episode.begun),
                 });
             }
             !over
@@ -70,40 +70,40 @@
 
 thread_local! {
     /// The event loop is one thread, which makes all of the calls.
-    static SPELLS: RefCell<Spells> = RefCell::new(Spells::default());
+    static FAILURE_LOG: RefCell<FailureLog> = RefCell::new(FailureLog::default());
 }
 
 /// Counts a failure that lies with this machine or process, or a connection lost before it was accepted; what ends one
 /// connection is everyday and not logged.
-pub(super) fn note(failure: &Failure) {
-    let is_told = failure.is_local() || failure.call == Call::Accept;
-    if is_told && SPELLS.with_borrow_mut(|spells| spells.note(Instant::now(), failure.call)) {
+pub(super) fn record(failure: &Failure) {
+    let is_logged = failure.is_local() || failure.call == Call::Accept;
+    if is_logged && FAILURE_LOG.with_borrow_mut(|failure_log| failure_log.record(Instant::now(), failure.call)) {
         log::warn!(call = failure.call.name(), kind:? = failure.kind; "system calls fail: {failure}");
     }
 }
 
 /// Logs the spells that have ended; called in each turn of the loop.
 pub fn log_ended() {
-    log_all(SPELLS.with_borrow_mut(|spells| {
-        if spells.open.is_empty() {
+    write_all(FAILURE_LOG.with_borrow_mut(|failure_log| {
+        if failure_log.open.is_empty() {
             Vec::new()
         } else {
-            spells.end_quiet(Instant::now())
+            failure_log.take_ended(Instant::now())
         }
     }));
 }
 
 /// Logs all spells, also those that go on: the process ends.
-pub fn log_rest() {
-    log_all(SPELLS.with_borrow_mut(|spells| spells.take(|_| true)));
+pub fn log_all() {
+    write_all(FAILURE_LOG.with_borrow_mut(|failure_log| failure_log.take(|_| true)));
 }
 
-fn log_all(ended: Vec<Ended>) {
-    for spell in ended {
+fn write_all(ended: Vec<EndedEpisode>) {
+    for episode in ended {
         log::warn!(
-            call = spell.call.name(),
-            failures = spell.failures,
-            lasted_ms = spell.lasted.as_millis() as u64;
+            call = episode.call.name(),
+            failures = episode.failures,
+            lasted_ms = episode.lasted.as_millis() as u64;
             "system calls have stopped failing"
         );
     }
--- a/daemon/src/net/ring.rs
+++ b/daemon/src/net/ring_buffer.rs
@@ -1,17 +1,17 @@
 //! A ring buffer of bytes: one for each direction of a connection.
 
 /// A bounded ring of bytes. Memory is taken with the first byte, so a connection that never speaks costs none.
-pub struct Ring {
+pub struct RingBuffer {
     bytes: Vec<u8>,
     max: usize,
     head: usize,
     len: usize,
 }
 
-impl Ring {
+impl RingBuffer {
     /// A ring for so many bytes at most.
     pub fn new(max: usize) -> Self {
-        Ring {
+        RingBuffer {
             bytes: Vec::new(),
             max: max.max(1),
             head: 0,
--- a/daemon/src/net/syscall.rs
+++ b/daemon/src/net/syscall.rs
@@ -2,7 +2,7 @@
 //! leaves this one (`errno`).
 
 use super::errno::{Call, Failure, FailureKind};
-use super::{injection, spells};
+use super::{injection, failure_log};
 use rustix::event::{epoll, Timespec};
 use rustix::fd::{AsFd, OwnedFd};
 use rustix::io::Errno;
@@ -45,7 +45,7 @@
         };
         interruptions += 1;
         if failure.kind != FailureKind::RetryNow || interruptions >= MAX_INTERRUPTIONS {
-            spells::note(&failure);
+            failure_log::record(&failure);
             return Err(failure);
         }
     }
@@ -100,7 +100,7 @@
     };
     match result.map_err(|errno| Failure::new(Call::Connect, errno)) {
         Err(failure) if failure.kind != FailureKind::WouldBlock => {
-            spells::note(&failure);
+            failure_log::record(&failure);
             Err(failure)
         }
         _ => Ok(TcpStream::from(socket)),
@@ -216,7 +216,7 @@
     };
     match waited.map_err(|errno| Failure::new(Call::EpollWait, errno)) {
         Err(failure) if failure.kind != FailureKind::RetryNow => {
-            spells::note(&failure);
+            failure_log::record(&failure);
             Err(failure)
         }
         _ => Ok(()),
--- a/daemon/tests/net.rs
+++ b/daemon/tests/net.rs
@@ -1,6 +1,6 @@
 //! Sockets, what becomes of bytes at the end of a connection, rings, slots and deadlines.
 
-use linnetknot_daemon::net::{Conn, Deadlines, Interest, Key, Poll, Progress, Ring, Slots};
+use linnetknot_daemon::net::{Conn, Deadlines, Interest, Key, Poll, Progress, RingBuffer, Slots};
 use rustix::net::sockopt;
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -137,7 +137,7 @@
 
 #[test]
 fn bytes_come_out_as_they_went_in_around_the_end() {
-    let mut ring = Ring::new(5);
+    let mut ring = RingBuffer::new(5);
     let (mut sent, mut got) = (0u8, Vec::new());
     let mut take = |bytes: &[u8]| {
         got.extend_from_slice(bytes);
--- a/daemon/tests/syscalls.rs
+++ b/daemon/tests/syscalls.rs
@@ -2,7 +2,7 @@
 //! then.
 
 use linnetknot_daemon::net::injection::{arm, disarm_all, errno_named, Plan};
-use linnetknot_daemon::net::spells::{self, Spells};
+use linnetknot_daemon::net::failure_log::{self, FailureLog};
 use linnetknot_daemon::net::{
     classify, connect, Call, Conn, Failure, FailureKind, Interest, Listener, Poll, Progress,
 };
@@ -306,14 +306,14 @@
 
 #[test]
 fn a_spell_is_told_at_its_begin_and_counted_at_its_end() {
-    let (mut spells, begun) = (Spells::default(), Instant::now());
+    let (mut failure_log, begun) = (FailureLog::default(), Instant::now());
     let after = |ms| begun + Duration::from_millis(ms);
     let begins: Vec<bool> = (0..100)
-        .map(|n| spells.note(after(n * 30), Accept))
+        .map(|n| failure_log.record(after(n * 30), Accept))
         .collect();
     assert!(begins[0] && !begins[1..].contains(&true));
-    assert_eq!(spells.end_quiet(after(4_000)), [], "it goes on");
-    let ended = spells.end_quiet(after(4_970));
+    assert_eq!(failure_log.take_ended(after(4_000)), [], "it goes on");
+    let ended = failure_log.take_ended(after(4_970));
     assert_eq!(ended.len(), 1);
     assert_eq!(
         (
@@ -324,7 +324,7 @@
         (Accept, 100, 2_970)
     );
     assert!(
-        spells.note(after(5_000), Accept),
+        failure_log.record(after(5_000), Accept),
         "the next one is told anew"
     );
 }
@@ -342,7 +342,7 @@
     }
 
     fn log(&self, record: &log::Record<'_>) {
-        if record.target().ends_with("spells") {
+        if record.target().ends_with("failure_log") {
             LINES.with_borrow_mut(|lines| lines.push(record.args().to_string()));
         }
     }
@@ -358,12 +358,12 @@
     arm(Accept, Plan::always(&[errno_named("ENOBUFS").unwrap()]));
     for _ in 0..1_000 {
         assert!(listener.accept().is_err());
-        spells::log_ended();
+        failure_log::log_ended();
     }
     disarm_all();
     assert_eq!(LINES.with_borrow(Vec::len), 1, "its begin");
     sleep(Duration::from_millis(2_100));
-    spells::log_ended();
-    spells::log_rest();
+    failure_log::log_ended();
+    failure_log::log_all();
     assert_eq!(LINES.with_borrow(Vec::len), 2, "and its end");
 }
