--- a/daemon/src/core/request_table.rs
+++ b/daemon/src/core/request_table.rs
@@ -3,7 +3,7 @@
 use super::attempt::OutstandingAttempt;
 use super::{Client, ClientRequest, RequestKey};
 use crate::limits::Limits;
-use crate::net::Slots;
+use crate::net::SlotTable;
 use linnetknot::Micros;
 use std::collections::HashSet;
 
@@ -23,7 +23,7 @@
 
 /// The open requests by their keys.
 pub(super) struct RequestTable {
-    requests: Slots<OpenRequest>,
+    requests: SlotTable<OpenRequest>,
     /// Ids of the open requests: a cache takes two requests of one id for one.
     ids: HashSet<String>,
     /// Bytes of the bodies of all open requests.
@@ -35,7 +35,7 @@
     /// An empty table within the limits of the process.
     pub(super) fn new(limits: &Limits) -> Self {
         RequestTable {
-            requests: Slots::new(limits.max_requests),
+            requests: SlotTable::new(limits.max_requests),
             ids: HashSet::new(),
             body_bytes: 0,
             max_body_bytes: limits.max_total_body_bytes,
--- a/daemon/src/daemon/admin.rs
+++ b/daemon/src/daemon/admin.rs
@@ -8,7 +8,7 @@
 use super::commits::OperatorDecision;
 use super::{Connection, Daemon, Kind, Timer};
 use crate::fleet;
-use crate::net::{Conn, FailureKind, Key};
+use crate::net::{TcpConnection, FailureKind, Key};
 use linnetknot::{ListMode, Micros, State};
 use linnetknot_ops::state::SWEEP_US;
 use linnetknot_ops::{Call, Drain, Effect, Outcome, Parser, Reply};
@@ -71,7 +71,7 @@
             if self.callers >= self.limits.max_admin_connections {
                 self.evict_oldest_caller(now);
             }
-            let Ok(conn) = Conn::new(
+            let Ok(conn) = TcpConnection::new(
                 socket,
                 true,
                 self.limits.admin_input_buffer_bytes,
--- a/daemon/src/daemon/cdni_listener.rs
+++ b/daemon/src/daemon/cdni_listener.rs
@@ -5,7 +5,7 @@
 use super::{Connection, Daemon, Kind, Timer};
 use crate::core::{Answer, Client, ClientRequest};
 use crate::front::cdni::{self, Post, Reply, Session, Waiting, MEDIA};
-use crate::net::{Conn, Key, Progress};
+use crate::net::{TcpConnection, Key, Progress};
 use crate::wire::http::{self, Head, Messages, Piece};
 use crate::wire::{Parser, WireError};
 use linnetknot::Micros;
@@ -88,7 +88,7 @@
             };
             accepted += 1;
             let session = Session::new(self.limits.max_line_bytes, self.limits.max_body_bytes);
-            let conn = Conn::new(
+            let conn = TcpConnection::new(
                 socket,
                 true,
                 self.limits.input_buffer_bytes,
@@ -128,7 +128,7 @@
         }
     }
 
-    fn cdni_session(&mut self, key: Key) -> Option<(&mut Conn, &mut Session)> {
+    fn cdni_session(&mut self, key: Key) -> Option<(&mut TcpConnection, &mut Session)> {
         match self.connections.get_mut(key)? {
             Connection {
                 conn,
--- a/daemon/src/daemon/clients/accept.rs
+++ b/daemon/src/daemon/clients/accept.rs
@@ -2,7 +2,7 @@
 
 use crate::daemon::{Daemon, Kind, Timer};
 use crate::limits::ClientState;
-use crate::net::{Conn, FailureKind, Key};
+use crate::net::{TcpConnection, FailureKind, Key};
 use linnetknot::Micros;
 use std::io;
 
@@ -76,7 +76,7 @@
             };
             has_evicted = false;
             accepted += 1;
-            let conn = Conn::new(
+            let conn = TcpConnection::new(
                 socket,
                 true,
                 self.limits.input_buffer_bytes,
@@ -113,7 +113,7 @@
     pub(in crate::daemon) fn take_in(
         &mut self,
         now: Micros,
-        conn: Conn,
+        conn: TcpConnection,
         kind: Kind,
         evicted: Option<Key>,
     ) {
--- a/daemon/src/daemon/connection_table.rs
+++ b/daemon/src/daemon/connection_table.rs
@@ -6,7 +6,7 @@
 use super::{Daemon, Timer};
 use crate::front::cdni::{self, Waiting};
 use crate::front::fastcgi::Session;
-use crate::net::{connect, Conn, FailureKind, Key, Progress, Ready};
+use crate::net::{connect, TcpConnection, FailureKind, Key, Progress, ReadyEvent};
 use crate::upstream::UpstreamConnection;
 use crate::wire::WireError;
 use linnetknot::Micros;
@@ -47,7 +47,7 @@
 
 /// A connection and what the daemon knows of it.
 pub(super) struct Connection {
-    pub(super) conn: Conn,
+    pub(super) conn: TcpConnection,
     pub(super) kind: Kind,
     /// A client's: when it was last waited for here, or what it is now at began.
     pub(super) since: Micros,
@@ -64,7 +64,7 @@
 
 impl Daemon {
     /// Puts a connection into the table and has it watched. None: there is no place, or it can't be watched.
-    pub(super) fn open(&mut self, now: Micros, conn: Conn, kind: Kind) -> Option<Key> {
+    pub(super) fn open(&mut self, now: Micros, conn: TcpConnection, kind: Kind) -> Option<Key> {
         let key = self.connections.insert(Connection {
             conn,
             kind,
@@ -102,7 +102,7 @@
                 | FailureKind::NoDescriptors => ConnectError::LocalResources,
             }
         })?;
-        let conn = Conn::new(
+        let conn = TcpConnection::new(
             socket,
             false,
             self.limits.input_buffer_bytes,
@@ -117,7 +117,7 @@
     }
 
     /// Serves a connection of which the epoll set has told.
-    pub(super) fn serve(&mut self, now: Micros, key: Key, ready: Ready) {
+    pub(super) fn serve(&mut self, now: Micros, key: Key, ready: ReadyEvent) {
         // A stale event, of a connection that ended earlier in the same round, misses by its generation.
         let Some(c) = self.connections.get_mut(key) else {
             return;
--- a/daemon/src/daemon/event_loop.rs
+++ b/daemon/src/daemon/event_loop.rs
@@ -5,7 +5,7 @@
 use super::turn::MAX_WAIT_US;
 use super::Daemon;
 use crate::core::{Command, Wake};
-use crate::net::{failure_log, Key, Ready};
+use crate::net::{failure_log, Key, ReadyEvent};
 use linnetknot::Micros;
 use std::io;
 
@@ -68,7 +68,7 @@
 
     /// One turn: events, and then what is due. True: it was cut short, as what is known of clients had become old.
     /// epoll tells of the events that are left once more.
-    fn turn_over(&mut self, ready: &mut Vec<Ready>) -> bool {
+    fn turn_over(&mut self, ready: &mut Vec<ReadyEvent>) -> bool {
         for event in ready.drain(..) {
             if self.turn.is_old(self.clock.now()) {
                 return true;
@@ -88,7 +88,7 @@
 
     /// What is taken up first of all that is known at once. Clients that have gone come first, then what is told of the
     /// boxes, then what clients ask and take back, and only then what lets a further attempt begin.
-    fn rank(&self, event: &Ready) -> u8 {
+    fn rank(&self, event: &ReadyEvent) -> u8 {
         match event.token {
             SIGNAL | RELOAD | PEERS | ADMIN | STORE => 1,
             LISTENER | CDNI => 3,
@@ -101,7 +101,7 @@
         }
     }
 
-    fn event(&mut self, event: Ready) {
+    fn event(&mut self, event: ReadyEvent) {
         let now = self.clock.now();
         match event.token {
             LISTENER => self.accept(now),
--- a/daemon/src/daemon/lifecycle.rs
+++ b/daemon/src/daemon/lifecycle.rs
@@ -104,7 +104,7 @@
         if !Self::is_quiet(c) {
             return false;
         }
-        if c.conn.end_output().is_err() {
+        if c.conn.shutdown_write().is_err() {
             self.close(now, key);
             return true;
         }
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -15,7 +15,7 @@
 use crate::front::cdni::TriggerApi;
 use crate::ledger::Ledger;
 use crate::limits::Limits;
-use crate::net::{Clock, Deadlines, Due, Key, Listener, Poll, Slots};
+use crate::net::{Clock, Deadlines, Due, Key, Listener, Poll, SlotTable};
 use crate::plain_purges::PlainPurges;
 use linnetknot::{Micros, ServerId};
 use linnetknot_discovery::{EndpointTable, ListValidator};
@@ -79,7 +79,7 @@
     /// The configuration that is in force, and where a new one is read from.
     config: Config,
     source: Source,
-    connections: Slots<Connection>,
+    connections: SlotTable<Connection>,
     clients: usize,
     cache_connections: BTreeMap<ServerId, Vec<Key>>,
     deadlines: Deadlines<Timer>,
--- a/daemon/src/daemon/registration.rs
+++ b/daemon/src/daemon/registration.rs
@@ -4,7 +4,7 @@
 //! It is registered again a moment later, and until that succeeds it is polled.
 
 use super::{Daemon, Timer};
-use crate::net::{Failure, FailureKind, Key, Ready};
+use crate::net::{Failure, FailureKind, Key, ReadyEvent};
 use linnetknot::Micros;
 
 /// How far a connection is known to the epoll set.
@@ -85,7 +85,7 @@
         }
         let is_up = self.connections.get(key).is_some_and(|c| c.conn.up);
         if is_up && !is_watched {
-            self.serve(now, key, Ready::unwatched(key.to_u64()));
+            self.serve(now, key, ReadyEvent::unwatched(key.to_u64()));
         }
     }
 }
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -21,7 +21,7 @@
 use crate::core::Core;
 use crate::front::cdni::TriggerApi;
 use crate::ledger::{Bounds, Ledger};
-use crate::net::{Clock, Deadlines, Listener, Poll, Slots};
+use crate::net::{Clock, Deadlines, Listener, Poll, SlotTable};
 use crate::plain_purges::PlainPurges;
 use error::{kernel, watching};
 use linnetknot_discovery::{Damping, EndpointTable, ListValidator, Source as ListSource};
@@ -217,7 +217,7 @@
             reconnect: reconnect::WaitingAttempts::default(),
             term: parts.sockets.term,
             hup: parts.sockets.hup,
-            connections: Slots::new(config.limits.max_connections),
+            connections: SlotTable::new(config.limits.max_connections),
             clients: 0,
             cache_connections: BTreeMap::new(),
             deadlines: Deadlines::default(),
--- a/daemon/src/daemon/upstream_connections/mod.rs
+++ b/daemon/src/daemon/upstream_connections/mod.rs
@@ -4,7 +4,7 @@
 
 use super::{ConnectError, Connection, Daemon, Kind, Timer};
 use crate::core::{AttemptId, TRACE};
-use crate::net::{Conn, Failure, FailureKind, Key};
+use crate::net::{TcpConnection, Failure, FailureKind, Key};
 use crate::upstream::{UpstreamConnection, UpstreamEvent};
 use linnetknot::{Micros, Outcome, ServerId};
 use selection::{CacheConnections, Selection};
@@ -41,7 +41,7 @@
 
     /// Whether a connection to a cache server is up on which something came from it a moment ago.
     fn is_heard_from(&self, now: Micros, server: ServerId) -> bool {
-        let fresh = |(conn, link): (&Conn, &UpstreamConnection)| {
+        let fresh = |(conn, link): (&TcpConnection, &UpstreamConnection)| {
             conn.up && link.last_received() + self.limits.suspect_timeout_us > now
         };
         self.cache_connections
@@ -52,7 +52,7 @@
     }
 
     /// A connection to a cache server.
-    fn cache_connection_mut(&mut self, key: Key) -> Option<(&mut Conn, &mut UpstreamConnection)> {
+    fn cache_connection_mut(&mut self, key: Key) -> Option<(&mut TcpConnection, &mut UpstreamConnection)> {
         match self.connections.get_mut(key)? {
             Connection {
                 conn,
@@ -64,7 +64,7 @@
     }
 
     /// The same, to read.
-    fn cache_connection(&self, key: Key) -> Option<(&Conn, &UpstreamConnection)> {
+    fn cache_connection(&self, key: Key) -> Option<(&TcpConnection, &UpstreamConnection)> {
         match self.connections.get(key)? {
             Connection {
                 conn,
@@ -214,7 +214,7 @@
         for at in due.into_iter().flatten() {
             self.deadlines.set(at, Timer::CacheConnection(key));
         }
-        if conn.is_stuck() {
+        if conn.is_waiting_to_write() {
             self.deadlines
                 .set(now + self.limits.write_stall_timeout_us, Timer::CacheConnection(key));
         }
@@ -246,7 +246,7 @@
         &mut self,
         now: Micros,
         key: Key,
-        conn: &Conn,
+        conn: &TcpConnection,
         mut link: UpstreamConnection,
     ) {
         let server = link.server;
--- a/daemon/src/daemon/upstream_connections/selection.rs
+++ b/daemon/src/daemon/upstream_connections/selection.rs
@@ -3,7 +3,7 @@
 use super::super::{ConnectError, Daemon};
 use crate::core::Core;
 use crate::limits::Limits;
-use crate::net::{Conn, Key};
+use crate::net::{TcpConnection, Key};
 use crate::upstream::UpstreamConnection;
 use linnetknot::{Micros, ServerId};
 use std::net::SocketAddr;
@@ -40,7 +40,7 @@
     limits: &'a Limits,
     /// Where the cache server is by now.
     endpoint: Option<SocketAddr>,
-    connections: Vec<(Key, &'a Conn, &'a UpstreamConnection)>,
+    connections: Vec<(Key, &'a TcpConnection, &'a UpstreamConnection)>,
 }
 
 impl<'a> CacheConnections<'a> {
@@ -89,7 +89,7 @@
     }
 
     /// How well a connection fits; none if it takes no attempt of this request now.
-    fn preference(&self, id: &str, conn: &Conn, link: &UpstreamConnection) -> Option<Preference> {
+    fn preference(&self, id: &str, conn: &TcpConnection, link: &UpstreamConnection) -> Option<Preference> {
         let is_late = !conn.up && link.is_connect_overdue(self.now, self.limits);
         if !self.leads_there(link) || is_late || link.is_stale(self.now, self.limits) {
             return None;
@@ -118,7 +118,7 @@
     /// A connection that may lead nowhere gives its place up to the one that takes over from it: places at a cache server
     /// are scarce where many proxies hold some, and what is held in vain by all bars all.
     fn reclaimable(&self) -> Vec<Key> {
-        let is_reclaimable = |conn: &Conn, link: &UpstreamConnection| {
+        let is_reclaimable = |conn: &TcpConnection, link: &UpstreamConnection| {
             let is_doubtful = link.is_suspect() || link.is_stale(self.now, self.limits);
             conn.up && link.is_idle() && is_doubtful
         };
--- a/daemon/src/net/conn.rs
+++ b/daemon/src/net/conn.rs
@@ -7,7 +7,7 @@
 use std::net::{SocketAddr, TcpStream};
 
 /// A connection: a non-blocking socket, what came in and what is to go out.
-pub struct Conn {
+pub struct TcpConnection {
     socket: TcpStream,
     /// What came in and is not consumed yet.
     pub input: RingBuffer,
@@ -61,7 +61,7 @@
 /// A UDP socket bound so that the next process of an upgrade can bind the same address while this one still runs:
 /// both set `SO_REUSEPORT`, and the kernel shares the datagrams out between them until the old one ends.
 pub fn bind_shared_udp(at: SocketAddr) -> io::Result<std::net::UdpSocket> {
-    let socket = syscall::patiently(|| syscall::socket(at, SocketType::DGRAM))?;
+    let socket = syscall::retry_at_startup(|| syscall::socket(at, SocketType::DGRAM))?;
     syscall::share_address(&socket)?;
     net::bind(&socket, &at)?;
     Ok(std::net::UdpSocket::from(socket))
@@ -75,7 +75,7 @@
     syscall::connect(to)
 }
 
-impl Conn {
+impl TcpConnection {
     /// Takes over a socket. One that `connect` began is not `up` yet.
     pub fn new(socket: TcpStream, up: bool, input: usize, output: usize) -> io::Result<Self> {
         socket.set_nonblocking(true)?;
@@ -88,7 +88,7 @@
             write: !up,
             hang_up: true,
         };
-        Ok(Conn {
+        Ok(TcpConnection {
             socket,
             input,
             output,
@@ -168,12 +168,12 @@
     }
 
     /// Nothing waits to begin any more.
-    pub fn unblock(&mut self) {
+    pub fn clear_blocked(&mut self) {
         self.blocked = false;
     }
 
     /// Whether bytes, or a frame that could not begin, wait for the socket to take them.
-    pub fn is_stuck(&self) -> bool {
+    pub fn is_waiting_to_write(&self) -> bool {
         self.up && (self.blocked || !self.output.is_empty())
     }
 
@@ -198,7 +198,7 @@
 
     /// Ends this side's half: the other side reads all that was written and then the end. Unlike closing, that
     /// sends no reset when more comes in, and a reset would strike from the kernel what is still on its way out.
-    pub fn end_output(&self) -> Result<(), Failure> {
+    pub fn shutdown_write(&self) -> Result<(), Failure> {
         syscall::shutdown_write(&self.socket)
     }
 
@@ -206,7 +206,7 @@
     pub fn watch(&mut self) -> Option<Interest> {
         let interest = Interest {
             read: !self.ended && self.input.free_bytes() > 0,
-            write: !self.up || self.is_stuck(),
+            write: !self.up || self.is_waiting_to_write(),
             hang_up: !self.ended,
         };
         (std::mem::replace(&mut self.watched, interest) != interest).then_some(interest)
--- a/daemon/src/net/mod.rs
+++ b/daemon/src/net/mod.rs
@@ -13,11 +13,11 @@
 mod syscall;
 
 pub use clock::Clock;
-pub use conn::{bind_shared_udp, connect, Conn, Progress};
+pub use conn::{bind_shared_udp, connect, TcpConnection, Progress};
 pub use deadlines::{Deadlines, Due};
 pub use errno::{classify, Call, Failure, FailureKind};
 pub use listener::Listener;
-pub use poll::{Interest, Poll, Ready};
+pub use poll::{Interest, Poll, ReadyEvent};
 pub use ring_buffer::RingBuffer;
-pub use slots::{Key, Slots};
+pub use slots::{Key, SlotTable};
 pub use syscall::{receive_from, send_to};
--- a/daemon/src/net/poll.rs
+++ b/daemon/src/net/poll.rs
@@ -8,7 +8,7 @@
 
 /// What epoll tells of one socket.
 #[derive(Clone, Copy, Debug)]
-pub struct Ready {
+pub struct ReadyEvent {
     /// The number given with it.
     pub token: u64,
     /// It can be read, has ended or is broken.
@@ -21,10 +21,10 @@
     pub hung_up: bool,
 }
 
-impl Ready {
+impl ReadyEvent {
     /// What may be so of a socket that the kernel does not watch: it is found out by reading and writing.
     pub fn unwatched(token: u64) -> Self {
-        Ready {
+        ReadyEvent {
             token,
             read: true,
             write: true,
@@ -78,7 +78,7 @@
     /// A set that gives so many events at a time.
     pub fn new(events: usize) -> io::Result<Self> {
         Ok(Poll {
-            fd: syscall::patiently(syscall::epoll_create)?,
+            fd: syscall::retry_at_startup(syscall::epoll_create)?,
             events: Vec::with_capacity(events),
         })
     }
@@ -97,7 +97,7 @@
     /// The failure that stays.
     pub fn add_at_start(&self, socket: impl AsFd, token: u64) -> Result<(), Failure> {
         let flags = flags(Interest::READ);
-        syscall::patiently(|| syscall::epoll_add(&self.fd, &socket, token, flags))
+        syscall::retry_at_startup(|| syscall::epoll_add(&self.fd, &socket, token, flags))
     }
 
     /// Changes what is watched for.
@@ -120,7 +120,7 @@
     ///
     /// # Errors
     /// The set itself is unusable.
-    pub fn wait(&mut self, max_us: u64, out: &mut Vec<Ready>) -> Result<(), Failure> {
+    pub fn wait(&mut self, max_us: u64, out: &mut Vec<ReadyEvent>) -> Result<(), Failure> {
         self.events.clear();
         let max = Timespec {
             tv_sec: (max_us / 1_000_000) as i64,
@@ -131,7 +131,7 @@
         out.extend(self.events.iter().map(|e| {
             let flags = e.flags;
             let has = |bits| flags.intersects(bits);
-            Ready {
+            ReadyEvent {
                 token: e.data.u64(),
                 read: has(epoll::EventFlags::IN | epoll::EventFlags::RDHUP | broken),
                 write: has(epoll::EventFlags::OUT | broken),
--- a/daemon/src/net/slots.rs
+++ b/daemon/src/net/slots.rs
@@ -29,16 +29,16 @@
 }
 
 /// A bounded table of slots.
-pub struct Slots<T> {
+pub struct SlotTable<T> {
     slots: Vec<Slot<T>>,
     free: Vec<u32>,
     max: usize,
 }
 
-impl<T> Slots<T> {
+impl<T> SlotTable<T> {
     /// A table for so many entries at most.
     pub fn new(max: usize) -> Self {
-        Slots {
+        SlotTable {
             slots: Vec::new(),
             free: Vec::new(),
             max,
--- a/daemon/src/upstream/answers.rs
+++ b/daemon/src/upstream/answers.rs
@@ -4,7 +4,7 @@
 use super::stream::{made_ms, Stream};
 use super::{UpstreamConnection, UpstreamEvent};
 use crate::core::{AttemptResult, Core};
-use crate::net::Conn;
+use crate::net::TcpConnection;
 use crate::wire::{Parser, WireError};
 use linnetknot::{Micros, Outcome};
 
@@ -45,7 +45,7 @@
     pub fn read(
         &mut self,
         now: Micros,
-        conn: &mut Conn,
+        conn: &mut TcpConnection,
         core: &Core,
         events: &mut Vec<UpstreamEvent>,
     ) -> Result<(), WireError> {
--- a/daemon/src/upstream/sending.rs
+++ b/daemon/src/upstream/sending.rs
@@ -6,7 +6,7 @@
 use super::{UpstreamConnection, UpstreamEvent};
 use crate::core::{AttemptId, AttemptResult, Core};
 use crate::limits::Limits;
-use crate::net::{Conn, Progress};
+use crate::net::{TcpConnection, Progress};
 use linnetknot::{Micros, Outcome};
 
 impl UpstreamConnection {
@@ -20,10 +20,10 @@
     }
 
     /// Writes a health check. False: the connection is not up or takes nothing now.
-    pub fn send_health_check(&mut self, now: Micros, conn: &mut Conn) -> bool {
+    pub fn send_health_check(&mut self, now: Micros, conn: &mut TcpConnection) -> bool {
         let id = format!("probe-{}", self.health_checks);
         let frame = health_check_frame(&id);
-        if !conn.up || conn.is_stuck() || conn.begin(&frame) != Progress::Moved {
+        if !conn.up || conn.is_waiting_to_write() || conn.begin(&frame) != Progress::Moved {
             return false;
         }
         self.health_checks += 1;
@@ -37,7 +37,7 @@
     pub fn flush(
         &mut self,
         now: Micros,
-        conn: &mut Conn,
+        conn: &mut TcpConnection,
         core: &Core,
         limits: &Limits,
         events: &mut Vec<UpstreamEvent>,
@@ -100,8 +100,8 @@
     }
 
     /// Whether the other side has taken no bytes for too long: it would keep what is given up here from ever being over.
-    fn is_stalled_for_long(&mut self, now: Micros, conn: &Conn, limits: &Limits) -> bool {
-        if !conn.is_stuck() {
+    fn is_stalled_for_long(&mut self, now: Micros, conn: &TcpConnection, limits: &Limits) -> bool {
+        if !conn.is_waiting_to_write() {
             self.stall = None;
             return false;
         }
@@ -118,12 +118,12 @@
     fn start_frames(
         &mut self,
         now: Micros,
-        conn: &mut Conn,
+        conn: &mut TcpConnection,
         core: &Core,
         limits: &Limits,
         events: &mut Vec<UpstreamEvent>,
     ) -> bool {
-        conn.unblock();
+        conn.clear_blocked();
         while conn.up && conn.output.is_empty() {
             let progress = if let Some(id) = self.aborts.front().cloned() {
                 self.start_abort(conn, &id)
@@ -141,7 +141,7 @@
     }
 
     /// Starts the abort at the head of its queue, and takes it out there if the socket takes it.
-    fn start_abort(&mut self, conn: &mut Conn, id: &str) -> Progress {
+    fn start_abort(&mut self, conn: &mut TcpConnection, id: &str) -> Progress {
         let progress = conn.begin(&abort_frame(id));
         if progress == Progress::Moved {
             let end_offset = end_of_output(conn);
@@ -161,7 +161,7 @@
     fn start_attempt(
         &mut self,
         now: Micros,
-        conn: &mut Conn,
+        conn: &mut TcpConnection,
         core: &Core,
         limits: &Limits,
         attempt: AttemptId,
@@ -235,6 +235,6 @@
 }
 
 /// How many bytes are written once all of the output is.
-fn end_of_output(conn: &Conn) -> u64 {
+fn end_of_output(conn: &TcpConnection) -> u64 {
     conn.written + conn.output.len() as u64
 }
--- a/daemon/tests/net.rs
+++ b/daemon/tests/net.rs
@@ -1,6 +1,6 @@
 //! Sockets, what becomes of bytes at the end of a connection, rings, slots and deadlines.
 
-use linnetknot_daemon::net::{Conn, Deadlines, Interest, Key, Poll, Progress, RingBuffer, Slots};
+use linnetknot_daemon::net::{TcpConnection, Deadlines, Interest, Key, Poll, Progress, RingBuffer, SlotTable};
 use rustix::net::sockopt;
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -9,10 +9,10 @@
 fn an_ended_half_delivers_all_though_more_comes_in_where_a_close_would_not() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let whole = vec![7; 1 << 20];
-    let read = |ends: fn(Conn) -> Option<Conn>| {
+    let read = |ends: fn(TcpConnection) -> Option<TcpConnection>| {
         let mut far = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         sockopt::set_socket_recv_buffer_size(&far, 64 << 10).unwrap();
-        let mut conn = Conn::new(listener.accept().unwrap().0, true, 4096, 2 << 20).unwrap();
+        let mut conn = TcpConnection::new(listener.accept().unwrap().0, true, 4096, 2 << 20).unwrap();
         conn.output.push(&whole);
         conn.write();
         let written = conn.written;
@@ -25,7 +25,7 @@
         (got.len() as u64, written, end.is_ok())
     };
     let (got, written, ended) = read(|conn| {
-        conn.end_output().unwrap();
+        conn.shutdown_write().unwrap();
         Some(conn)
     });
     assert!(
@@ -43,7 +43,7 @@
 fn a_full_ring_makes_the_other_side_wait_but_not_where_that_is_gone() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut far = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    let mut conn = Conn::new(listener.accept().unwrap().0, true, 4, 4).unwrap();
+    let mut conn = TcpConnection::new(listener.accept().unwrap().0, true, 4, 4).unwrap();
     far.write_all(b"123456").unwrap();
     while conn.read(false) != Progress::Blocked || conn.input.free_bytes() > 0 {}
     let mut poll = Poll::new(4).unwrap();
@@ -69,7 +69,7 @@
 fn an_end_is_told_of_though_a_full_ring_bars_the_bytes_before_it() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut far = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    let mut conn = Conn::new(listener.accept().unwrap().0, true, 4, 4).unwrap();
+    let mut conn = TcpConnection::new(listener.accept().unwrap().0, true, 4, 4).unwrap();
     let mut poll = Poll::new(4).unwrap();
     poll.add(conn.socket(), 7, conn.watched()).unwrap();
     far.write_all(b"123456").unwrap();
@@ -102,7 +102,7 @@
 fn a_frame_begins_with_its_first_byte_or_not_at_all() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let _far = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    let mut conn = Conn::new(listener.accept().unwrap().0, true, 4096, 1 << 20).unwrap();
+    let mut conn = TcpConnection::new(listener.accept().unwrap().0, true, 4096, 1 << 20).unwrap();
     sockopt::set_socket_send_buffer_size(conn.socket(), 4096).unwrap();
     let frame = vec![7; 500_000];
     while conn.output.is_empty() {
@@ -110,7 +110,7 @@
     }
     let kept = conn.output.len() as u64;
     assert!(kept < frame.len() as u64 && (conn.written + kept) % frame.len() as u64 == 0);
-    assert!(conn.is_stuck());
+    assert!(conn.is_waiting_to_write());
     // The rest of each is dropped until the socket takes nothing at all.
     let before = loop {
         conn.output.consume(conn.output.len());
@@ -120,12 +120,12 @@
         }
     };
     assert_eq!((conn.output.len(), conn.written), (0, before));
-    assert!(conn.is_stuck(), "it is to be tried again");
+    assert!(conn.is_waiting_to_write(), "it is to be tried again");
 }
 
 #[test]
 fn a_stale_key_misses_the_slots_next_entry() {
-    let mut slots = Slots::new(1);
+    let mut slots = SlotTable::new(1);
     let old = slots.insert("old").unwrap();
     assert_eq!(slots.insert("no room"), Err("no room"));
     assert_eq!(slots.remove(old), Some("old"));
--- a/daemon/tests/syscalls.rs
+++ b/daemon/tests/syscalls.rs
@@ -4,7 +4,7 @@
 use linnetknot_daemon::net::injection::{arm, disarm_all, errno_named, Plan};
 use linnetknot_daemon::net::failure_log::{self, FailureLog};
 use linnetknot_daemon::net::{
-    classify, connect, Call, Conn, Failure, FailureKind, Interest, Listener, Poll, Progress,
+    classify, connect, Call, TcpConnection, Failure, FailureKind, Interest, Listener, Poll, Progress,
 };
 use std::cell::RefCell;
 use std::io::{Read, Write};
@@ -173,8 +173,8 @@
 }
 
 /// Waits until a connection that was begun has come out.
-fn finish(socket: TcpStream) -> (Conn, Result<(), Failure>) {
-    let mut conn = Conn::new(socket, false, 64, 64).unwrap();
+fn finish(socket: TcpStream) -> (TcpConnection, Result<(), Failure>) {
+    let mut conn = TcpConnection::new(socket, false, 64, 64).unwrap();
     let mut poll = Poll::new(4).unwrap();
     poll.add(conn.socket(), 1, conn.watched()).unwrap();
     let mut ready = Vec::new();
@@ -234,7 +234,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let pair = || {
         let far = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-        let conn = Conn::new(listener.accept().unwrap().0, true, 64, 64).unwrap();
+        let conn = TcpConnection::new(listener.accept().unwrap().0, true, 64, 64).unwrap();
         (far, conn)
     };
     for kind in [WouldBlock, RetryLater, RetryNow, Broken, ProgramFault] {
@@ -262,7 +262,7 @@
                 assert_eq!(&got, b"answer", "{name}");
                 arm(Call::Write, once(name));
                 assert_eq!(conn.begin(b"frame"), expected, "{name}");
-                assert_eq!(conn.is_stuck(), expected == Progress::Blocked, "{name}");
+                assert_eq!(conn.is_waiting_to_write(), expected == Progress::Blocked, "{name}");
             }
         }
         for name in documented(Call::Read, kind) {
--- a/daemon/tests/upstream.rs
+++ b/daemon/tests/upstream.rs
@@ -3,7 +3,7 @@
 use linnetknot::{ListMode, Outcome, Server, ServerId, State};
 use linnetknot_daemon::core::{server_id, AttemptId, Client, ClientRequest, Command, Core, Entry};
 use linnetknot_daemon::limits::Limits;
-use linnetknot_daemon::net::{Conn, Key, Progress};
+use linnetknot_daemon::net::{TcpConnection, Key, Progress};
 use linnetknot_daemon::upstream::{UpstreamConnection, UpstreamEvent};
 use linnetknot_daemon::wire::resp;
 use linnetknot_harness::settings;
@@ -15,7 +15,7 @@
 struct Rig {
     core: Core,
     connection: UpstreamConnection,
-    conn: Conn,
+    conn: TcpConnection,
     far: TcpStream,
     limits: Limits,
     server: ServerId,
@@ -51,7 +51,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let near = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         let (far, server) = (listener.accept().unwrap().0, server_id("a"));
-        let conn = Conn::new(near, up, limits.input_buffer_bytes, limits.output_buffer_bytes).unwrap();
+        let conn = TcpConnection::new(near, up, limits.input_buffer_bytes, limits.output_buffer_bytes).unwrap();
         Rig {
             core,
             connection: UpstreamConnection::new(server, &limits, NOW),
@@ -478,7 +478,7 @@
         rig.send(&format!("{n:04}"));
         n += 1;
         assert!(n < 500, "no frame is cut");
-        while rig.conn.is_stuck() && rig.conn.output.is_empty() {
+        while rig.conn.is_waiting_to_write() && rig.conn.output.is_empty() {
             // It could not begin at all: with some room it does.
             drain(&mut rig);
             rig.pump();
--- a/rehearse/src/scale/daemons/sockets.rs
+++ b/rehearse/src/scale/daemons/sockets.rs
@@ -1,6 +1,6 @@
 //! The UDP sockets of all hollow members: each has an address of its own on loopback, and one poll waits for them all.
 
-use linnetknot_daemon::net::{Interest, Poll, Ready};
+use linnetknot_daemon::net::{Interest, Poll, ReadyEvent};
 use linnetknot_harness::fleet::free_ports;
 use rustix::process::{getrlimit, Resource};
 use std::collections::HashMap;
@@ -51,7 +51,7 @@
     sockets: Vec<UdpSocket>,
     addresses: Vec<SocketAddr>,
     poll: Poll,
-    ready: Vec<Ready>,
+    ready: Vec<ReadyEvent>,
     /// The daemons, by their addresses.
     daemons: HashMap<SocketAddr, usize>,
 }
