--- a/daemon/src/bus.rs
+++ b/daemon/src/bus.rs
@@ -12,7 +12,7 @@
 
 /// What an event tells.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum BusUpdate {
     /// The list of boxes, or changes to it.
     List(ReceivedList),
     /// An object, or with none a whole group, was purged at this Unix time.
@@ -32,11 +32,11 @@
     /// Its number.
     pub offset: u64,
     /// What it tells; none: a kind that is not known here.
-    pub news: Option<News>,
+    pub update: Option<BusUpdate>,
 }
 
 /// Reads an entry of the list of boxes.
-pub(crate) fn entry(m: &Fields) -> Result<Entry> {
+pub(crate) fn read_entry(m: &Fields) -> Result<Entry> {
     let uid = text(m, "uid")?;
     let endpoint = text(m, "endpoint")?;
     let state = match text(m, "state")?.as_str() {
@@ -64,7 +64,7 @@
 /// Reads an event.
 pub fn read_event(value: &Value) -> Result<BusEvent> {
     let m = value.as_object().ok_or("an event is not an object")?;
-    let news = if get(m, "topology").is_some() {
+    let update = if get(m, "topology").is_some() {
         let topology = object(m, "topology")?;
         let mode = if flag(topology, "all")? {
             ListMode::Full
@@ -75,7 +75,7 @@
             .map(|_| int(topology, "rev"))
             .transpose()?;
         let targets = list(topology, "targets")?;
-        let read = |v: &Value| entry(v.as_object().ok_or_else(|| wrong("targets"))?);
+        let read = |v: &Value| read_entry(v.as_object().ok_or_else(|| wrong("targets"))?);
         // One that can't be read must not hide what the others say.
         let mut answer = ReceivedList {
             rev,
@@ -89,7 +89,7 @@
                 Err(fault) => answer.unreadable.push(fault),
             }
         }
-        Some(News::List(answer))
+        Some(BusUpdate::List(answer))
     } else if get(m, "ban").is_some() {
         let ban = object(m, "ban")?;
         let object = get(ban, "url").map(|_| text(ban, "url")).transpose()?;
@@ -98,7 +98,7 @@
         } else {
             int(ban, "tag")?
         };
-        Some(News::Purge {
+        Some(BusUpdate::Purge {
             object,
             group,
             at: int(ban, "ts")? * 1000,
@@ -108,12 +108,12 @@
     };
     Ok(BusEvent {
         offset: int(m, "offset")?,
-        news,
+        update,
     })
 }
 
 /// One call to the bus.
-pub struct Feed {
+pub struct BusStream {
     http: http::Messages,
     events: sse::Events,
 }
@@ -127,11 +127,11 @@
     .into_bytes()
 }
 
-impl Feed {
+impl BusStream {
     /// A call just begun.
     pub fn new(limits: &Limits) -> Self {
         let http = http::Messages::responses(limits.max_line_bytes, usize::MAX);
-        Feed {
+        BusStream {
             http,
             events: sse::Events::new(limits.max_line_bytes),
         }
--- a/daemon/src/config/read.rs
+++ b/daemon/src/config/read.rs
@@ -1,7 +1,7 @@
 //! Reads the configuration from its JSON object.
 
 use super::{Config, ConfigError, KnownEvents, DEFAULT_DESCRIPTORS, DEFAULT_MEMORY_MB};
-use crate::bus::{read_event, BusEvent, News};
+use crate::bus::{read_event, BusEvent, BusUpdate};
 use crate::interconnect::PeerAddresses;
 use crate::limits::Limits;
 use linnetknot::Settings;
@@ -137,7 +137,7 @@
             .collect::<FieldResult<_>>()?;
         // From the bus, an event that can't be read is skipped; here it is a fault of the configuration.
         for event in &events {
-            if let Some(News::List(ReceivedList { unreadable, .. })) = &event.news {
+            if let Some(BusUpdate::List(ReceivedList { unreadable, .. })) = &event.update {
                 if let Some(fault) = unreadable.first() {
                     return Err(fault.clone());
                 }
--- a/daemon/src/daemon/sources/bus.rs
+++ b/daemon/src/daemon/sources/bus.rs
@@ -1,6 +1,6 @@
 //! The event bus: one connection that is read for good, and made anew where it ends or falls silent.
 
-use crate::bus::{request, BusEvent, Feed, News};
+use crate::bus::{request, BusEvent, BusStream, BusUpdate};
 use crate::daemon::discovery::BUS;
 use crate::daemon::exchange::{Effect, End, Exchange, Flow};
 use crate::daemon::Daemon;
@@ -54,7 +54,7 @@
 struct Call {
     host: String,
     last: u64,
-    feed: Feed,
+    feed: BusStream,
 }
 
 impl Exchange for Call {
@@ -89,10 +89,10 @@
 impl Daemon {
     /// Takes in what an event says, whether it has just come or was recorded by an earlier process.
     pub(in crate::daemon) fn apply_bus_event(&mut self, now: Micros, event: BusEvent) {
-        match event.news {
+        match event.update {
             // Unless told otherwise, one source has the list.
-            Some(News::List(..)) if self.config.consul.as_ref().is_some_and(|c| !c.beside_bus) => {}
-            Some(News::List(answer)) => {
+            Some(BusUpdate::List(..)) if self.config.consul.as_ref().is_some_and(|c| !c.beside_bus) => {}
+            Some(BusUpdate::List(answer)) => {
                 for entry in &answer.entries {
                     if let Some(started) = entry.server.started {
                         let start = Start {
@@ -115,7 +115,7 @@
                 };
                 self.receive_evidence(now, BUS, evidence);
             }
-            Some(News::Purge { object, group, at }) => {
+            Some(BusUpdate::Purge { object, group, at }) => {
                 self.core.record_purge(now, object, group, at);
             }
             None => log::debug!("event {} of the bus is of an unknown kind", event.offset),
@@ -145,12 +145,12 @@
 
     /// Takes an event that has just come: purges go on to the peer CDNs too.
     fn receive_bus_event(&mut self, now: Micros, mut event: BusEvent) {
-        if let Some(News::List(answer)) = &mut event.news {
+        if let Some(BusUpdate::List(answer)) = &mut event.update {
             for entry in &mut answer.entries {
                 self.date_start(now, entry);
             }
         }
-        if let Some(News::Purge { object, group, at }) = &event.news {
+        if let Some(BusUpdate::Purge { object, group, at }) = &event.update {
             self.core.observe_origin_date(now, *at);
             self.pass_on(now, object.as_deref(), *group);
         }
@@ -160,7 +160,7 @@
     /// Connects to the bus, behind the last event.
     pub(in crate::daemon) fn connect_bus(&mut self, now: Micros) {
         let Some(bus) = self.config.bus else { return };
-        let feed = Feed::new(&self.limits);
+        let feed = BusStream::new(&self.limits);
         let call = Call {
             host: bus.to_string(),
             last: self.bus.last,
