--- a/daemon/examples/purge_soak.rs
+++ b/daemon/examples/purge_soak.rs
@@ -9,7 +9,7 @@
 use linnetknot::purges::hashing::mix;
 use linnetknot::Micros;
 use linnetknot_daemon::core::{Command, Core, Wake};
-use linnetknot_daemon::interconnect::Copies;
+use linnetknot_daemon::interconnect::Replication;
 use linnetknot_daemon::ledger::{self, Bounds, Ledger};
 use linnetknot_daemon::limits::Limits;
 use linnetknot_daemon::peers::Purge;
@@ -50,14 +50,14 @@
 
 impl Process {
     fn start(path: &Path, limits: &Limits) -> Result<Self, Box<dyn Error>> {
-        let copies = Copies {
-            on: true,
-            ..Copies::default()
+        let replication = Replication {
+            enabled: true,
+            ..Replication::default()
         };
         let bounds = Bounds {
-            replication: limits.replication(&copies),
+            replication: limits.replication(&replication),
             queue: limits.max_store_writes,
-            bucket_bits: copies.purge_table.bucket_bits,
+            bucket_bits: replication.purge_table.bucket_bits,
         };
         let (wake, woken) = channel();
         let wake = move || {
--- a/daemon/src/config/mod.rs
+++ b/daemon/src/config/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::bus::BusEvent;
 use crate::interconnect::{
-    Budgets, Cdni, Consul, Copies, CopiesFile, File, InterconnectError, LogForm, PeerAddresses,
+    Budgets, Cdni, Consul, Replication, CopiesFile, File, InterconnectError, LogForm, PeerAddresses,
     State,
 };
 use crate::limits::Limits;
@@ -54,9 +54,9 @@
     /// Peers are notified of an origin that is late, and listened to.
     pub tell: bool,
     /// To how many machines purges by peer CDNs are replicated before they are committed.
-    pub copies: Copies,
+    pub replication: Replication,
     /// The same as the file has it, for peers that change.
-    copies_file: ReplicationFile,
+    replication_file: ReplicationFile,
     /// The limits that all proxies share.
     pub budgets: Budgets,
     /// The listener for peer CDNs; none: it is off.
@@ -150,18 +150,18 @@
             None => None,
         };
         self.tell = file.peers.tell;
-        self.copies_file = ReplicationFile {
+        self.replication_file = ReplicationFile {
             is_on: file.peers.copies,
             copies: file.copies,
         };
-        self.copies = self.check_copies(self.peers.as_ref())?;
+        self.replication = self.check_replication(self.peers.as_ref())?;
         let has_purge_file = self.cdni.as_ref().is_some_and(|cdni| cdni.purges.is_some());
-        if self.copies.on && !has_purge_file {
+        if self.replication.enabled && !has_purge_file {
             return Err(InterconnectError::NoPurgeFile.into());
         }
         self.budgets = file
             .budgets
-            .check(&self.settings, self.copies.on, self.peers.as_ref())?;
+            .check(&self.settings, self.replication.enabled, self.peers.as_ref())?;
         self.state = file.state.check()?;
         self.log = file.log.form;
         Ok(())
@@ -171,8 +171,8 @@
     ///
     /// # Errors
     /// Fails where they stand on too few machines.
-    pub fn check_copies(&self, peers: Option<&PeerAddresses>) -> Result<Copies, InterconnectError> {
-        let ReplicationFile { is_on, copies } = &self.copies_file;
+    pub fn check_replication(&self, peers: Option<&PeerAddresses>) -> Result<Replication, InterconnectError> {
+        let ReplicationFile { is_on, copies } = &self.replication_file;
         copies.check(*is_on, peers)
     }
 
@@ -190,8 +190,8 @@
             settings,
             peers: None,
             tell: false,
-            copies: Copies::default(),
-            copies_file: ReplicationFile::default(),
+            replication: Replication::default(),
+            replication_file: ReplicationFile::default(),
             budgets: Budgets::default(),
             cdni: None,
             consul: None,
@@ -227,7 +227,7 @@
             ("settings", self.settings != new.settings),
             ("peer_listen", own(self) != own(new)),
             ("peers.tell", self.tell != new.tell),
-            ("copies", self.copies_file != new.copies_file),
+            ("copies", self.replication_file != new.replication_file),
             ("cdni", self.cdni != new.cdni),
             ("state", self.state != new.state),
             ("log", self.log != new.log),
--- a/daemon/src/daemon/budgets/status.rs
+++ b/daemon/src/daemon/budgets/status.rs
@@ -93,7 +93,7 @@
             .map(|names| names.name.clone());
         let address = || {
             self.config
-                .copies
+                .replication
                 .machines
                 .get(peer)
                 .map(|(address, _)| address.to_string())
--- a/daemon/src/daemon/fleet_status.rs
+++ b/daemon/src/daemon/fleet_status.rs
@@ -20,20 +20,20 @@
 impl Daemon {
     /// Returns the status; none where logs are not replicated.
     pub(super) fn fleet_status(&self) -> Option<Status> {
-        let copies = &self.config.copies;
-        let replica = self.ledger.as_ref().filter(|_| copies.on)?.replica();
+        let replication = &self.config.replication;
+        let replica = self.ledger.as_ref().filter(|_| replication.enabled)?.replica();
         let own = replica.own();
         let log_store = replica.log_store();
         let counters = replica.counters();
         let logs = log_store.last_indexes();
         let store_error = self.pending_store.as_ref();
-        let peers = copies.machines.iter().enumerate().take(MAX_PEERS);
+        let peers = replication.machines.iter().enumerate().take(MAX_PEERS);
         Some(Status {
             name: self.config.name.clone(),
-            machine: copies.machine.clone(),
+            machine: replication.machine.clone(),
             epoch: format!("{:x}", own.epoch),
-            min_acks: copies.wait,
-            replication_factor: copies.holders,
+            min_acks: replication.min_acks,
+            replication_factor: replication.replication_factor,
             last_index: log_store.last_index(own),
             durable_index: replica.durable_index(own),
             entries: log_store.len(),
@@ -53,7 +53,7 @@
                     self.peer_status(replica, peer, *address, machine)
                 })
                 .collect(),
-            peers_total: copies.machines.len(),
+            peers_total: replication.machines.len(),
             logs: logs
                 .iter()
                 .take(MAX_LOGS)
--- a/daemon/src/daemon/membership.rs
+++ b/daemon/src/daemon/membership.rs
@@ -40,8 +40,8 @@
 impl Daemon {
     /// Joins the members that replicate logs.
     pub(super) fn join_membership(&mut self, now: Micros) {
-        let copies = &self.config.copies;
-        let Some(ledger) = self.ledger.as_ref().filter(|_| copies.on) else {
+        let replication = &self.config.replication;
+        let Some(ledger) = self.ledger.as_ref().filter(|_| replication.enabled) else {
             return;
         };
         let config = MembershipConfig {
@@ -49,9 +49,9 @@
             process: ledger.incarnation(),
             names: Names {
                 name: self.config.name.clone(),
-                machine: copies.machine.clone(),
+                machine: replication.machine.clone(),
             },
-            peers: copies.machines.len(),
+            peers: replication.machines.len(),
             seed: self.config.seed,
             options: Options::default(),
         };
@@ -144,7 +144,7 @@
         let name = member
             .and_then(|member| member.names.as_ref())
             .map_or("", |names| names.name.as_str());
-        let configured = self.config.copies.machines.get(*peer);
+        let configured = self.config.replication.machines.get(*peer);
         let address = configured.map_or_else(String::new, |(address, _)| address.to_string());
         log::log!(
             log_level(new.state),
--- a/daemon/src/daemon/plain_purges.rs
+++ b/daemon/src/daemon/plain_purges.rs
@@ -100,7 +100,7 @@
             .flat_map(|(_, peers)| peers.iter().copied());
         let members = self
             .config
-            .copies
+            .replication
             .machines
             .iter()
             .map(|(address, _)| *address);
--- a/daemon/src/daemon/recovery.rs
+++ b/daemon/src/daemon/recovery.rs
@@ -54,14 +54,14 @@
     /// Begins to recover what this proxy committed before, if it began without a disk. One with its disk requests its
     /// peers' digests as well, so that it soon knows whether it is behind what they have compacted.
     pub(super) fn begin_recovery(&mut self, now: Micros) {
-        let copies = &self.config.copies;
-        let Some(ledger) = self.ledger.as_ref().filter(|_| copies.on) else {
+        let replication = &self.config.replication;
+        let Some(ledger) = self.ledger.as_ref().filter(|_| replication.enabled) else {
             return self.begin_without_peers(now);
         };
         if !ledger.is_fresh() {
-            return self.request_digests((0..copies.machines.len()).collect());
+            return self.request_digests((0..replication.machines.len()).collect());
         }
-        let machines = copies
+        let machines = replication
             .machines
             .iter()
             .map(|(_, machine)| server_id(machine))
@@ -71,7 +71,7 @@
             deadline: now + self.limits.recovery_timeout_us,
             retry_us: self.limits.recovery_poll_interval_us,
         };
-        let recovery = Recovery::new(server_id(&copies.machine), machines, copies.wait, times);
+        let recovery = Recovery::new(server_id(&replication.machine), machines, replication.min_acks, times);
         self.pending_commits.recovery = Some(recovery);
         self.tick_recovery(now);
     }
@@ -95,7 +95,7 @@
             .as_ref()
             .is_none_or(Recovery::is_over)
         {
-            return self.request_digests((0..self.config.copies.machines.len()).collect());
+            return self.request_digests((0..self.config.replication.machines.len()).collect());
         }
         let is_fresh = self.ledger.as_ref().is_some_and(Ledger::is_fresh);
         if !is_fresh {
--- a/daemon/src/daemon/reload.rs
+++ b/daemon/src/daemon/reload.rs
@@ -71,16 +71,16 @@
 
     /// Follows a change of which peers share a machine, which counts for the replicas of a log.
     fn reload_machines(&mut self, now: Micros) {
-        let before = self.config.copies.machines.clone();
-        match self.config.check_copies(self.config.peers.as_ref()) {
-            Ok(copies) => self.config.copies.machines = copies.machines,
+        let before = self.config.replication.machines.clone();
+        match self.config.check_replication(self.config.peers.as_ref()) {
+            Ok(replication) => self.config.replication.machines = replication.machines,
             Err(e) => log::error!("SIGHUP: the machines of the peers stay as they were: {e}"),
         }
-        if before == self.config.copies.machines {
+        if before == self.config.replication.machines {
             return;
         }
         self.detach_budgets();
-        let peers = self.config.copies.machines.len();
+        let peers = self.config.replication.machines.len();
         if let Some(membership) = &mut self.membership {
             membership.reset_peers(peers);
         }
--- a/daemon/src/daemon/replication.rs
+++ b/daemon/src/daemon/replication.rs
@@ -50,7 +50,7 @@
         let without_snapshot = ledger.replica().peers_without_snapshot().len();
         let pending = &mut self.pending_commits;
         let before = std::mem::replace(&mut pending.under_replicated, under_replicated);
-        if self.config.copies.on && (under_replicated == 0) != (before == 0) {
+        if self.config.replication.enabled && (under_replicated == 0) != (before == 0) {
             log::info!(under_replicated = under_replicated; "entries with fewer replicas than configured");
         }
         let before = std::mem::replace(&mut pending.without_snapshot, without_snapshot);
@@ -77,7 +77,7 @@
     /// Tells the replica on which machines the peers run: as each says itself, and until it has as the configuration
     /// says.
     pub(super) fn update_machines(&mut self) {
-        let copies = &self.config.copies;
+        let replication = &self.config.replication;
         let members = self
             .membership
             .as_ref()
@@ -90,9 +90,9 @@
                 .filter(|machine| !machine.is_empty());
             server_id(announced.unwrap_or(configured))
         };
-        let machines = copies.machines.iter().enumerate().map(machine).collect();
+        let machines = replication.machines.iter().enumerate().map(machine).collect();
         if let Some(ledger) = &mut self.ledger {
-            ledger.set_machines(server_id(&copies.machine), machines);
+            ledger.set_machines(server_id(&replication.machine), machines);
         }
     }
 }
--- a/daemon/src/daemon/sources/peers.rs
+++ b/daemon/src/daemon/sources/peers.rs
@@ -167,7 +167,7 @@
     pub(in crate::daemon) fn send_entry(&mut self, entry: Entry) {
         if let Some(bytes) = Datagram::Entry(entry)
             .write()
-            .filter(|_| self.config.copies.on)
+            .filter(|_| self.config.replication.enabled)
         {
             self.send_to_peers(&bytes);
         }
@@ -184,7 +184,7 @@
 
     /// Sends a datagram to a replication peer, by its index in the configuration.
     pub(in crate::daemon) fn send_to_peer_at(&self, index: usize, datagram: &[u8]) {
-        if let Some((peer, _)) = self.config.copies.machines.get(index) {
+        if let Some((peer, _)) = self.config.replication.machines.get(index) {
             self.send_to_peer(*peer, datagram);
         }
     }
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -53,9 +53,9 @@
             path,
             writer: linnetknot_discovery::server_id(&config.name),
             bounds: Bounds {
-                replication: config.limits.replication(&config.copies),
+                replication: config.limits.replication(&config.replication),
                 queue: config.limits.max_store_writes,
-                bucket_bits: config.copies.purge_table.bucket_bits,
+                bucket_bits: config.replication.purge_table.bucket_bits,
             },
         };
         let opened = store
@@ -142,7 +142,7 @@
         let clock = Clock::start();
         let trigger_api = open_cdni(config, &sockets.poll)?;
         let store = StoreParts::open(config, &sockets.poll, &clock)?;
-        if config.copies.on && config.peers.is_none() {
+        if config.replication.enabled && config.peers.is_none() {
             return Err(StartError::NoPeers);
         }
         let peers = open_peers(config, &sockets.poll)?;
--- a/daemon/src/interconnect/mod.rs
+++ b/daemon/src/interconnect/mod.rs
@@ -5,7 +5,7 @@
 mod budgets;
 mod cdni;
 mod consul;
-mod copies;
+mod replication;
 mod error;
 mod log;
 mod peers;
@@ -17,7 +17,7 @@
 pub use consul::{
     ConsistencyFile, Consul, ConsulFile, DampingFile, IdentityFile, MetaFile, RegisterFile,
 };
-pub use copies::{Copies, CopiesFile, PurgeTableSize};
+pub use replication::{Replication, CopiesFile, PurgeTableSize};
 pub use error::InterconnectError;
 pub use log::{LogFile, LogForm};
 pub use peers::{PeerAddresses, PeersFile};
--- a/daemon/src/interconnect/copies.rs
+++ b/daemon/src/interconnect/replication.rs
@@ -15,12 +15,15 @@
 pub struct CopiesFile {
     /// Further machines that must have what a neighbour told on their disks before it is answered yes. 0: this proxy's
     /// disk is enough, and what a machine promised may be lost with it.
-    pub wait: usize,
+    #[serde(rename = "wait")]
+    pub min_acks: usize,
     /// Further machines that are to have it in the end; null: 2, or as many as there are.
-    pub holders: Option<usize>,
+    #[serde(rename = "holders")]
+    pub replication_factor: Option<usize>,
     /// A yes that can't be given within this is a no (503), in milliseconds.
     #[schemars(range(min = 50, max = 30_000))]
-    pub within_ms: u64,
+    #[serde(rename = "within_ms")]
+    pub commit_timeout_ms: u64,
     /// The machine that this proxy stands on, as the unit that is lost at once; null: the address of its `peer_listen`.
     pub machine: Option<String>,
     /// The machines of peers, by their addresses in `peers`; of those not named here, the address is the machine.
@@ -38,9 +41,9 @@
 impl Default for CopiesFile {
     fn default() -> Self {
         CopiesFile {
-            wait: 1,
-            holders: None,
-            within_ms: 1_000,
+            min_acks: 1,
+            replication_factor: None,
+            commit_timeout_ms: 1_000,
             machine: None,
             machines: BTreeMap::new(),
             purge_table_mb: PurgeTableSize::DEFAULT_MB,
@@ -51,15 +54,15 @@
 
 /// What is promised of copies, checked.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Copies {
+pub struct Replication {
     /// They are made.
-    pub on: bool,
+    pub enabled: bool,
     /// Further machines to wait for.
-    pub wait: usize,
+    pub min_acks: usize,
     /// Further machines that are to have them.
-    pub holders: usize,
+    pub replication_factor: usize,
     /// How long a yes may take.
-    pub within_us: Micros,
+    pub commit_timeout_us: Micros,
     /// This proxy's machine.
     pub machine: String,
     /// Those of its peers, in the order of their list; itself left out.
@@ -113,15 +116,15 @@
     ///
     /// # Errors
     /// Fails on a number out of range, and where the peers stand on too few machines.
-    pub fn check(&self, on: bool, peers: Option<&PeerAddresses>) -> Result<Copies> {
-        let within_us = range("copies.within_ms", self.within_ms, 50, 30_000)? * 1000;
+    pub fn check(&self, enabled: bool, peers: Option<&PeerAddresses>) -> Result<Replication> {
+        let commit_timeout_us = range("copies.within_ms", self.commit_timeout_ms, 50, 30_000)? * 1000;
         let purge_table = PurgeTableSize::check(self)?;
-        if !on {
+        if !enabled {
             // A purge is committed once it is on this proxy's own disk.
-            return Ok(Copies {
-                within_us,
+            return Ok(Replication {
+                commit_timeout_us,
                 purge_table,
-                ..Copies::default()
+                ..Replication::default()
             });
         }
         let machine = self.own_machine(peers);
@@ -135,12 +138,12 @@
         if peers.is_some() {
             self.check_machines(further.len())?;
         }
-        let holders = self.replication_factor(further.len())?;
-        Ok(Copies {
-            on,
-            wait: self.wait,
-            holders,
-            within_us,
+        let replication_factor = self.checked_replication_factor(further.len())?;
+        Ok(Replication {
+            enabled,
+            min_acks: self.min_acks,
+            replication_factor,
+            commit_timeout_us,
             machine,
             machines,
             purge_table,
@@ -165,8 +168,8 @@
 
     /// Checks that as many further machines are available as each key requires.
     fn check_machines(&self, available: usize) -> Result<()> {
-        let holders = self.holders.unwrap_or(self.wait);
-        for (key, required) in [("wait", self.wait), ("holders", holders)] {
+        let replication_factor = self.replication_factor.unwrap_or(self.min_acks);
+        for (key, required) in [("wait", self.min_acks), ("holders", replication_factor)] {
             if required > available {
                 return Err(InterconnectError::TooFewMachines {
                     key,
@@ -179,15 +182,15 @@
     }
 
     /// How many further machines have each purge in the end, where so many are available.
-    fn replication_factor(&self, available: usize) -> Result<usize> {
-        match self.holders {
-            Some(holders) if holders < self.wait => {
+    fn checked_replication_factor(&self, available: usize) -> Result<usize> {
+        match self.replication_factor {
+            Some(replication_factor) if replication_factor < self.min_acks => {
                 Err(InterconnectError::ReplicationFactorTooSmall {
-                    min_acks: self.wait,
+                    min_acks: self.min_acks,
                 })
             }
-            Some(holders) => Ok(holders),
-            None => Ok(available.min(USUAL_FURTHER_REPLICAS).max(self.wait)),
+            Some(replication_factor) => Ok(replication_factor),
+            None => Ok(available.min(USUAL_FURTHER_REPLICAS).max(self.min_acks)),
         }
     }
 }
--- a/daemon/src/limits/mod.rs
+++ b/daemon/src/limits/mod.rs
@@ -3,7 +3,7 @@
 mod machine;
 
 use crate::front::cdni::triggers;
-use crate::interconnect::Copies;
+use crate::interconnect::Replication;
 use linnetknot::Settings;
 use linnetknot_discovery::Limits as DiscoveryLimits;
 use linnetknot_replication::Options as ReplicationOptions;
@@ -247,16 +247,16 @@
     }
 
     /// The bounds of the logs of purges, and how they are replicated.
-    pub fn replication(&self, copies: &Copies) -> ReplicationOptions {
+    pub fn replication(&self, replication: &Replication) -> ReplicationOptions {
         ReplicationOptions {
-            max_exact_entries: copies.purge_table.exact.unwrap_or(self.max_exact_purges),
+            max_exact_entries: replication.purge_table.exact.unwrap_or(self.max_exact_purges),
             max_logs: self.max_purge_logs,
             expiring: self.max_status_entries,
             expiry_us: triggers::STALE_S * 1_000_000,
             max_pending: self.max_pending_commits,
-            min_acks: copies.wait,
-            replication_factor: copies.holders,
-            commit_timeout_us: copies.within_us,
+            min_acks: replication.min_acks,
+            replication_factor: replication.replication_factor,
+            commit_timeout_us: replication.commit_timeout_us,
             ..ReplicationOptions::default()
         }
     }
--- a/daemon/tests/config.rs
+++ b/daemon/tests/config.rs
@@ -230,7 +230,7 @@
         let mut config = read(&good).unwrap();
         config
             .interconnect(file.as_object().unwrap())
-            .map(|()| config.copies)
+            .map(|()| config.replication)
             .map_err(|e| e.to_string())
     };
     for (file, path) in [
@@ -277,12 +277,12 @@
     }
     let checked = with_peers(&copies(json!({"machine": "a", "machines": named}))).unwrap();
     assert_eq!(
-        (checked.wait, checked.holders, checked.machines.len()),
+        (checked.min_acks, checked.replication_factor, checked.machines.len()),
         (1, 2, 2),
         "itself left out"
     );
     assert_eq!(
-        with_peers(&copies(json!({"wait": 0}))).unwrap().holders,
+        with_peers(&copies(json!({"wait": 0}))).unwrap().replication_factor,
         0,
         "nobody is further away"
     );
--- a/rehearse/src/scale/fleet_config.rs
+++ b/rehearse/src/scale/fleet_config.rs
@@ -5,7 +5,7 @@
 use linnetknot_budgets::kinds::{self, Unit};
 use linnetknot_budgets::spec::BudgetSpec;
 use linnetknot_budgets::Options as BudgetOptions;
-use linnetknot_daemon::interconnect::{Copies, CopiesFile};
+use linnetknot_daemon::interconnect::{Replication, CopiesFile};
 use linnetknot_daemon::limits::Limits;
 use linnetknot_discovery::server_id;
 use linnetknot_replication::Options as ReplicationOptions;
@@ -56,17 +56,19 @@
 }
 
 /// What a commit waits for, where an operator's file says nothing of it.
-fn commitments() -> Copies {
+fn commitments() -> Replication {
     let CopiesFile {
-        wait, within_ms, ..
+        min_acks,
+        commit_timeout_ms,
+        ..
     } = CopiesFile::default();
-    let holders = ReplicationOptions::default().replication_factor;
-    Copies {
-        on: true,
-        wait,
-        holders,
-        within_us: within_ms * 1_000,
-        ..Copies::default()
+    let replication_factor = ReplicationOptions::default().replication_factor;
+    Replication {
+        enabled: true,
+        min_acks,
+        replication_factor,
+        commit_timeout_us: commit_timeout_ms * 1_000,
+        ..Replication::default()
     }
 }
 
