--- a/daemon/src/daemon/operator_state.rs
+++ b/daemon/src/daemon/operator_state.rs
@@ -2,7 +2,7 @@
 //! are written before a call succeeds, and again with a backoff while they differ from the state in force.
 
 use super::Daemon;
-use crate::disk::{remove_leftovers, replace_unsynced, FailedAttempts, Staged};
+use crate::disk::{remove_leftovers, replace_unsynced, FailedAttempts, StagedFile};
 use crate::net::Due;
 use linnetknot::Micros;
 use linnetknot_consul::Backoff;
@@ -77,11 +77,11 @@
 fn write_copies(folder: &Path, bytes: &[u8]) -> io::Result<()> {
     let [first, second] = store::copies(folder);
     let staged = [
-        Staged::write(&first, bytes)?,
-        Staged::write(&second, bytes)?,
+        StagedFile::write(&first, bytes)?,
+        StagedFile::write(&second, bytes)?,
     ];
     for copy in staged {
-        copy.place()?;
+        copy.install()?;
         fail::fail_point!("admin-kept-once");
     }
     Ok(())
@@ -99,7 +99,7 @@
         fail::fail_point!("admin-keeps");
         let written = write_copies(&self.ops_folder, &store::encode(self.ops.state()));
         let [first, _] = store::copies(&self.ops_folder);
-        self.operator_state.failed.take(&first, &written);
+        self.operator_state.failed.record(&first, &written);
         self.operator_state.is_stale = written.is_err();
         if written.is_err() {
             return false;
--- a/daemon/src/daemon/sources/consul/cached_snapshot.rs
+++ b/daemon/src/daemon/sources/consul/cached_snapshot.rs
@@ -3,7 +3,7 @@
 
 use crate::daemon::discovery::CONSUL;
 use crate::daemon::Daemon;
-use crate::disk::{remove_leftovers, Disk, Job};
+use crate::disk::{remove_leftovers, FileWriter, WriteJob};
 use crate::net::Due;
 use linnetknot::Micros;
 use linnetknot_discovery::{cached_snapshot, Entry, SourceId};
@@ -32,7 +32,7 @@
 
 /// Writes the snapshots, one of each data centre.
 pub(in crate::daemon) struct SnapshotWriter {
-    disk: Disk,
+    disk: FileWriter,
     snapshots: Vec<Snapshot>,
     /// The folder, where it could not be made at the start.
     missing_folder: Option<PathBuf>,
@@ -102,7 +102,7 @@
                 Some(folder.to_owned())
             }
         };
-        let disk = Disk::start("linnetknot-disk").map_err(error)?;
+        let disk = FileWriter::start("linnetknot-disk").map_err(error)?;
         let snapshot = |(number, scope)| {
             let path = folder.join(format!("boxes-{number}.list"));
             remove_leftovers(&path);
@@ -207,11 +207,11 @@
         snapshot.timer = None;
         let source = SourceId(CONSUL.0 + number);
         let entries: Vec<Entry> = self.members.reported_by(source).cloned().collect();
-        let job = Job {
+        let job = WriteJob {
             path: snapshot.path.clone(),
             bytes: cached_snapshot::encode(&snapshot.scope, snapshot.good_at, entries.iter()),
         };
-        if writer.disk.give(job) {
+        if writer.disk.try_enqueue(job) {
             snapshot.written = entries;
             snapshot.written_at = now;
         } else {
--- a/daemon/src/disk.rs
+++ b/daemon/src/disk.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 /// A file to be replaced.
-pub struct Job {
+pub struct WriteJob {
     /// Its path.
     pub path: PathBuf,
     /// Its new content.
@@ -22,8 +22,8 @@
 
 /// The worker. Before it is dropped, all its jobs are done. A job that fails is retried until it succeeds or is superseded
 /// by a later one for the same file.
-pub struct Disk {
-    jobs: Option<Sender<Job>>,
+pub struct FileWriter {
+    jobs: Option<Sender<WriteJob>>,
     worker: Option<JoinHandle<()>>,
 }
 
@@ -37,30 +37,30 @@
 
 /// A complete file beside the one that it is to replace. Dropped before that, it is removed: what a full disk took in part
 /// must not fill it further.
-pub struct Staged {
-    beside: PathBuf,
+pub struct StagedFile {
+    temporary_path: PathBuf,
     path: PathBuf,
-    is_placed: bool,
+    is_installed: bool,
 }
 
-impl Staged {
+impl StagedFile {
     fn new(path: &Path) -> Self {
         // Named by the process: the old and the new one of an upgrade may put the same file in place at once, and one
         // must not write into the other's half-written file.
-        let mut beside = path.as_os_str().to_owned();
-        beside.push(format!(".{}.new", std::process::id()));
-        Staged {
-            beside: beside.into(),
+        let mut temporary_path = path.as_os_str().to_owned();
+        temporary_path.push(format!(".{}.new", std::process::id()));
+        StagedFile {
+            temporary_path: temporary_path.into(),
             path: path.to_owned(),
-            is_placed: false,
+            is_installed: false,
         }
     }
 
     /// Writes a file beside its place and syncs it.
     pub fn write(path: &Path, bytes: &[u8]) -> io::Result<Self> {
-        let staged = Staged::new(path);
+        let staged = StagedFile::new(path);
         fault_points::open()?;
-        let mut file = File::create(&staged.beside)?;
+        let mut file = File::create(&staged.temporary_path)?;
         fault_points::write()?;
         file.write_all(bytes)?;
         fault_points::sync()?;
@@ -70,42 +70,42 @@
 
     fn rename(mut self) -> io::Result<Self> {
         fault_points::rename()?;
-        fs::rename(&self.beside, &self.path)?;
-        self.is_placed = true;
+        fs::rename(&self.temporary_path, &self.path)?;
+        self.is_installed = true;
         Ok(self)
     }
 
     /// Replaces the file, and syncs the folder.
-    pub fn place(self) -> io::Result<()> {
-        let placed = self.rename()?;
+    pub fn install(self) -> io::Result<()> {
+        let renamed = self.rename()?;
         // The new name is durable only once its folder is synced too.
         fault_points::sync()?;
-        match placed.path.parent().filter(|p| !p.as_os_str().is_empty()) {
+        match renamed.path.parent().filter(|p| !p.as_os_str().is_empty()) {
             Some(folder) => File::open(folder)?.sync_all(),
             None => Ok(()),
         }
     }
 }
 
-impl Drop for Staged {
+impl Drop for StagedFile {
     fn drop(&mut self) {
-        if !self.is_placed {
+        if !self.is_installed {
             // It may not exist.
-            let _ = fs::remove_file(&self.beside);
+            let _ = fs::remove_file(&self.temporary_path);
         }
     }
 }
 
 /// Replaces a file atomically and durably: after a power failure it is complete, or as it was before.
 pub fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
-    Staged::write(path, bytes)?.place()
+    StagedFile::write(path, bytes)?.install()
 }
 
 /// Replaces a file atomically without waiting until it is durable: for one of which there is another copy.
 pub fn replace_unsynced(path: &Path, bytes: &[u8]) -> io::Result<()> {
-    let staged = Staged::new(path);
+    let staged = StagedFile::new(path);
     fault_points::write()?;
-    fs::write(&staged.beside, bytes)?;
+    fs::write(&staged.temporary_path, bytes)?;
     staged.rename().map(drop)
 }
 
@@ -124,8 +124,8 @@
         });
         let is_process = |p: &str| !p.is_empty() && p.bytes().all(|b| b.is_ascii_digit());
         // The old process of an upgrade may be writing still.
-        let is_left = |p: &str| is_process(p) && !Path::new("/proc").join(p).exists();
-        if process.is_some_and(is_left) {
+        let is_leftover = |p: &str| is_process(p) && !Path::new("/proc").join(p).exists();
+        if process.is_some_and(is_leftover) {
             if let Err(e) = fs::remove_file(entry.path()) {
                 log::warn!("{} is left over and stays: {e}", entry.path().display());
             }
@@ -139,7 +139,7 @@
 
 impl FailedAttempts {
     /// Records the result of an attempt.
-    pub fn take(&mut self, path: &Path, result: &io::Result<()>) {
+    pub fn record(&mut self, path: &Path, result: &io::Result<()>) {
         match result {
             Ok(()) if self.0 > 0 => {
                 log::info!(failed_attempts = self.0; "{} is written again", path.display());
@@ -166,7 +166,7 @@
 
 /// The worker's side: each file is written as the last job for it has it, until that succeeds.
 struct Work {
-    jobs: Receiver<Job>,
+    jobs: Receiver<WriteJob>,
     /// The content of files that could not be replaced yet.
     pending: BTreeMap<PathBuf, Vec<u8>>,
     failed: BTreeMap<PathBuf, FailedAttempts>,
@@ -183,7 +183,7 @@
                 None => self.jobs.recv().map_err(|_| RecvTimeoutError::Disconnected),
             };
             match next {
-                Ok(Job { path, bytes }) => {
+                Ok(WriteJob { path, bytes }) => {
                     self.pending.remove(&path);
                     self.write(path, bytes);
                 }
@@ -203,7 +203,7 @@
     fn write(&mut self, path: PathBuf, bytes: Vec<u8>) {
         let result = replace(&path, &bytes);
         let failed = self.failed.entry(path.clone()).or_default();
-        failed.take(&path, &result);
+        failed.record(&path, &result);
         match result {
             Ok(()) => self.backoff.reset(),
             Err(_) => drop(self.pending.insert(path, bytes)),
@@ -211,10 +211,10 @@
     }
 }
 
-impl Disk {
+impl FileWriter {
     /// Starts the worker, a thread of this name.
     pub fn start(name: &str) -> io::Result<Self> {
-        let (jobs, queue) = bounded::<Job>(MAX_QUEUED_JOBS);
+        let (jobs, queue) = bounded::<WriteJob>(MAX_QUEUED_JOBS);
         let work = Work {
             jobs: queue,
             pending: BTreeMap::new(),
@@ -224,21 +224,21 @@
         let worker = thread::Builder::new()
             .name(name.to_owned())
             .spawn(move || work.run())?;
-        Ok(Disk {
+        Ok(FileWriter {
             jobs: Some(jobs),
             worker: Some(worker),
         })
     }
 
     /// Enqueues a job; false where the queue is full.
-    pub fn give(&self, job: Job) -> bool {
+    pub fn try_enqueue(&self, job: WriteJob) -> bool {
         self.jobs
             .as_ref()
             .is_some_and(|jobs| jobs.try_send(job).is_ok())
     }
 }
 
-impl Drop for Disk {
+impl Drop for FileWriter {
     fn drop(&mut self) {
         self.jobs = None;
         if let Some(worker) = self.worker.take() {
--- a/daemon/tests/disk.rs
+++ b/daemon/tests/disk.rs
@@ -1,6 +1,6 @@
 //! Files that are put in place as a whole, and what is left of those that are not.
 
-use linnetknot_daemon::disk::{remove_leftovers, replace, Disk, Job};
+use linnetknot_daemon::disk::{remove_leftovers, replace, FileWriter, WriteJob};
 use std::fs;
 use std::thread;
 use std::time::Duration;
@@ -9,14 +9,14 @@
 fn a_file_that_could_not_be_written_is_written_once_the_folder_is_back() {
     let folder = std::env::temp_dir().join(format!("linnetknot-disk-away-{}", std::process::id()));
     let path = folder.join("list");
-    let disk = Disk::start("test").unwrap();
-    let job = |byte| Job {
+    let disk = FileWriter::start("test").unwrap();
+    let job = |byte| WriteJob {
         path: path.clone(),
         bytes: vec![byte],
     };
-    assert!(disk.give(job(1)));
+    assert!(disk.try_enqueue(job(1)));
     thread::sleep(Duration::from_millis(300));
-    assert!(disk.give(job(2)), "a later one takes its place");
+    assert!(disk.try_enqueue(job(2)), "a later one takes its place");
     thread::sleep(Duration::from_millis(300));
     fs::create_dir_all(&folder).unwrap();
     let begun = std::time::Instant::now();
@@ -61,10 +61,10 @@
     let folder = std::env::temp_dir().join(format!("linnetknot-disk-{}", std::process::id()));
     fs::create_dir_all(&folder).unwrap();
     let path = folder.join("list");
-    let disk = Disk::start("test").unwrap();
+    let disk = FileWriter::start("test").unwrap();
     let mut taken = 0;
     while taken < 20 {
-        taken += usize::from(disk.give(Job {
+        taken += usize::from(disk.try_enqueue(WriteJob {
             path: path.clone(),
             bytes: vec![taken as u8; 1000],
         }));
@@ -85,16 +85,16 @@
     );
     // The folder is gone: the worker goes on, and what it is given later is written once the folder is back.
     fs::remove_dir_all(&folder).unwrap();
-    let disk = Disk::start("test").unwrap();
-    assert!(disk.give(Job {
+    let disk = FileWriter::start("test").unwrap();
+    assert!(disk.try_enqueue(WriteJob {
         path: path.clone(),
         bytes: vec![1]
     }));
     assert!(replace(&path, b"x").is_err());
     drop(disk);
     fs::create_dir_all(&folder).unwrap();
-    let disk = Disk::start("test").unwrap();
-    assert!(disk.give(Job {
+    let disk = FileWriter::start("test").unwrap();
+    assert!(disk.try_enqueue(WriteJob {
         path: path.clone(),
         bytes: vec![2]
     }));
