--- a/daemon/src/core/attempt.rs
+++ b/daemon/src/core/attempt.rs
@@ -68,5 +68,5 @@
     /// Its first byte is written. Until then no cache can know of it, and it is recalled without a trace.
     pub(super) started: bool,
     /// Given up, with the outcome to report once that is done.
-    pub(super) given_up: Option<Outcome>,
+    pub(super) cancelled: Option<Outcome>,
 }
--- a/daemon/src/core/attempts.rs
+++ b/daemon/src/core/attempts.rs
@@ -79,7 +79,7 @@
                 deadline,
             },
             started: false,
-            given_up: None,
+            cancelled: None,
         });
         self.counters.attempts += 1;
         let attempt = AttemptId {
@@ -104,7 +104,7 @@
         };
         // An answer that was in transit when its attempt was given up is how the attempt ended, all the same.
         if ended.outcome == Outcome::Cancelled {
-            ended.outcome = out.given_up.unwrap_or(ended.outcome);
+            ended.outcome = out.cancelled.unwrap_or(ended.outcome);
         }
         self.trace_end(now, attempt, &out, &ended);
         if let Some(content) = ended.content.filter(|_| ended.outcome == Outcome::Ok) {
@@ -143,8 +143,8 @@
             target: TRACE,
             request = open.request.id.as_str(),
             number = id.number,
-            cache = self.uid(out.target.server),
-            source = source.map_or("-", |source| self.uid(source)),
+            cache = self.wire_id_or_dash(out.target.server),
+            source = source.map_or("-", |source| self.wire_id_or_dash(source)),
             outcome:? = ended.outcome,
             note:? = ended.note,
             waited_us = ended.waited_us,
@@ -154,18 +154,18 @@
     }
 
     /// Gives an attempt up. One that has not begun is over at once, and never ran.
-    pub(super) fn give_up(&mut self, now: Micros, attempt: AttemptId, outcome: Outcome) {
+    pub(super) fn cancel(&mut self, now: Micros, attempt: AttemptId, outcome: Outcome) {
         let open = self.requests.get_mut(attempt.request);
         let out = open
             .and_then(|open| open.outstanding.as_mut())
-            .filter(|out| out.number == attempt.number && out.given_up.is_none());
+            .filter(|out| out.number == attempt.number && out.cancelled.is_none());
         let Some(out) = out else {
             return;
         };
-        out.given_up = Some(outcome);
+        out.cancelled = Some(outcome);
         let started = out.started;
         self.commands
-            .push(Command::GiveUp(attempt, out.target.server));
+            .push(Command::Cancel(attempt, out.target.server));
         if !started {
             self.attempt_finished(now, attempt, Outcome::Moot.into());
         }
--- a/daemon/src/core/command.rs
+++ b/daemon/src/core/command.rs
@@ -20,7 +20,7 @@
     /// Send an attempt; [`super::Core::dispatch`] tells where.
     Send(AttemptId),
     /// Give an attempt up, and report its end once its cache can no longer take it for one that is out.
-    GiveUp(AttemptId, ServerId),
+    Cancel(AttemptId, ServerId),
     /// Give a client its final answer.
     Answer(Client, Answer),
     /// Wake the core at this time.
--- a/daemon/src/core/mod.rs
+++ b/daemon/src/core/mod.rs
@@ -137,7 +137,7 @@
     }
 
     /// Id on the wire of a cache, for the log; `-` where it is gone.
-    pub fn uid(&self, id: ServerId) -> &str {
+    pub fn wire_id_or_dash(&self, id: ServerId) -> &str {
         self.wire_id(id).unwrap_or("-")
     }
 
@@ -203,7 +203,7 @@
     pub fn wake(&mut self, now: Micros, wake: Wake) {
         match wake {
             Wake::Router(tag) => self.drive(now, Event::Timer { tag }),
-            Wake::Attempt(attempt) => self.give_up(now, attempt, Outcome::Timeout),
+            Wake::Attempt(attempt) => self.cancel(now, attempt, Outcome::Timeout),
             Wake::Request(key) => self.expire(now, key),
         }
     }
@@ -232,7 +232,7 @@
                     request: Key::from_u64(request),
                     number: attempt,
                 };
-                self.give_up(now, attempt, Outcome::Cancelled);
+                self.cancel(now, attempt, Outcome::Cancelled);
             }
             Action::Refuse {
                 request,
--- a/daemon/src/core/requests.rs
+++ b/daemon/src/core/requests.rs
@@ -75,7 +75,7 @@
             .map(|attempt| attempt.number);
         if let Some(number) = unsent {
             // Whether or not the settings let attempts be cancelled: this one can still be kept from being made.
-            self.give_up(
+            self.cancel(
                 now,
                 AttemptId {
                     request: key,
@@ -106,9 +106,9 @@
                 request: key,
                 number,
             };
-            if out.given_up.is_none() {
+            if out.cancelled.is_none() {
                 let server = out.target.server;
-                self.commands.push(Command::GiveUp(attempt, server));
+                self.commands.push(Command::Cancel(attempt, server));
             }
             let outcome = if out.started {
                 Outcome::Timeout
--- a/daemon/src/daemon/event_loop.rs
+++ b/daemon/src/daemon/event_loop.rs
@@ -148,7 +148,7 @@
             for command in commands {
                 match command {
                     Command::Send(attempt) => self.send(now, attempt),
-                    Command::GiveUp(attempt, server) => self.give_up(now, attempt, server),
+                    Command::Cancel(attempt, server) => self.give_up(now, attempt, server),
                     Command::Answer(client, answer) => {
                         self.answer(now, client, answer);
                         self.watch(now, client.connection);
--- a/daemon/src/daemon/upstream_connections/mod.rs
+++ b/daemon/src/daemon/upstream_connections/mod.rs
@@ -161,7 +161,7 @@
         let key = self.connect_to(now, endpoint, Kind::CacheServer(link))?;
         let connections = self.cache_connections.entry(server).or_default();
         connections.push(key);
-        log::debug!(target: TRACE, cache = self.core.uid(server), number = connections.len(); "a connection is begun");
+        log::debug!(target: TRACE, cache = self.core.wire_id_or_dash(server), number = connections.len(); "a connection is begun");
         Ok(key)
     }
 
@@ -250,7 +250,7 @@
         mut link: UpstreamConnection,
     ) {
         let server = link.server;
-        log::debug!(target: TRACE, cache = self.core.uid(server), up = conn.up; "a connection has ended");
+        log::debug!(target: TRACE, cache = self.core.wire_id_or_dash(server), up = conn.up; "a connection has ended");
         if let Entry::Occupied(mut connections) = self.cache_connections.entry(server) {
             connections.get_mut().retain(|k| *k != key);
             if connections.get().is_empty() {
--- a/daemon/tests/core.rs
+++ b/daemon/tests/core.rs
@@ -139,8 +139,8 @@
     core.wake(at, wake);
     let commands = core.take_commands();
     assert!(
-        commands.contains(&Command::GiveUp(attempt, server_id("a")))
-            || commands.contains(&Command::GiveUp(attempt, server_id("b")))
+        commands.contains(&Command::Cancel(attempt, server_id("a")))
+            || commands.contains(&Command::Cancel(attempt, server_id("b")))
     );
     assert!(matches!(
         answers(&commands)[..],
@@ -167,7 +167,7 @@
         assert_eq!(sent(&commands), None, "two attempts would be out at once");
         given_up = commands
             .iter()
-            .any(|c| matches!(c, Command::GiveUp(a, _) if *a == first));
+            .any(|c| matches!(c, Command::Cancel(a, _) if *a == first));
     }
     assert!(given_up);
     core.attempt_finished(now, first, Outcome::Cancelled.into());
@@ -189,7 +189,7 @@
     assert!(core
         .take_commands()
         .iter()
-        .any(|c| matches!(c, Command::GiveUp(a, _) if *a == first)));
+        .any(|c| matches!(c, Command::Cancel(a, _) if *a == first)));
     core.attempt_finished(NOW + 900_000, first, served());
     assert!(matches!(
         answers(&core.take_commands())[..],
@@ -208,7 +208,7 @@
     assert!(core
         .take_commands()
         .iter()
-        .any(|c| matches!(c, Command::GiveUp(a, _) if *a == attempt)));
+        .any(|c| matches!(c, Command::Cancel(a, _) if *a == attempt)));
     assert!(!core.is_idle());
     core.attempt_finished(NOW, attempt, Outcome::Cancelled.into());
     assert_eq!(
@@ -236,7 +236,7 @@
         let commands = core.take_commands();
         assert!(commands
             .iter()
-            .any(|c| matches!(c, Command::GiveUp(a, _) if *a == attempt)));
+            .any(|c| matches!(c, Command::Cancel(a, _) if *a == attempt)));
         assert!(
             core.dispatch(attempt).is_none() && core.is_idle(),
             "cancel: {cancel}"
@@ -279,7 +279,7 @@
     assert_eq!(age(&core, NOW + 150_000), Some(Some(60_000)));
     assert_eq!(age(&core, NOW + 1_000_000), None, "its client has given up");
     let source = core.dispatch(attempt).unwrap().target.fill.unwrap().source;
-    let uid = core.uid(source).to_owned();
+    let uid = core.wire_id_or_dash(source).to_owned();
     core.update_endpoints(
         NOW,
         ListMode::Delta,
