--- a/daemon/src/daemon/upstream_connections/mod.rs
+++ b/daemon/src/daemon/upstream_connections/mod.rs
@@ -205,10 +205,10 @@
         };
         let (server, mut told) = (link.server, Vec::new());
         let sound = link.flush(now, conn, &self.core, &self.limits, &mut told);
-        let forgets = link.next_forget_at(now, &self.limits);
+        let forgets = link.next_removal_at(now, &self.limits);
         let due = [
             link.next_report_at(&self.limits),
-            link.partial_answer_deadline(&self.limits).filter(|_| sound),
+            link.partial_response_deadline(&self.limits).filter(|_| sound),
             forgets,
         ];
         for at in due.into_iter().flatten() {
@@ -236,7 +236,7 @@
             ..
         }) = self.connections.get_mut(key)
         {
-            link.forget_finished(now, &self.limits);
+            link.remove_finished(now, &self.limits);
         }
         self.pump_or_close(now, key);
     }
@@ -261,7 +261,7 @@
         let failure = conn.connect_failure();
         if failure.is_some_and(Failure::is_local) {
             // Nothing was heard of the cache server: what waited for it goes on waiting.
-            for attempt in link.take_queued() {
+            for attempt in link.drain_queue() {
                 self.send_later(now, attempt);
             }
         }
--- a/daemon/src/daemon/upstream_connections/selection.rs
+++ b/daemon/src/daemon/upstream_connections/selection.rs
@@ -28,7 +28,7 @@
     /// An attempt of the same request was not cancelled on it.
     is_new_to_request: bool,
     is_connecting: bool,
-    is_held_up: bool,
+    is_blocked_by_response: bool,
     /// How many attempts are open on it.
     open_attempts: usize,
 }
@@ -97,8 +97,8 @@
         Some(Preference {
             is_new_to_request: !link.has_aborted(id),
             is_connecting: !conn.up,
-            is_held_up: link.is_held_up(self.now, self.limits),
-            open_attempts: link.streams_if_free(id, self.core, self.limits)?,
+            is_blocked_by_response: link.is_blocked_by_response(self.now, self.limits),
+            open_attempts: link.live_streams_if_available(id, self.core, self.limits)?,
         })
     }
 
--- a/daemon/src/upstream/connection.rs
+++ b/daemon/src/upstream/connection.rs
@@ -40,7 +40,7 @@
     /// When bytes last went either way.
     pub(super) last_used: Micros,
     /// When the oldest finished stream is to be forgotten, as last reported.
-    pub(super) next_forget: Option<Micros>,
+    pub(super) next_removal: Option<Micros>,
     /// When the answer began that has arrived in part.
     pub(super) partial_since: Option<Micros>,
     /// A connection becomes suspect once it has been silent for so long.
@@ -64,7 +64,7 @@
             connecting_since: now,
             last_received: now,
             last_used: now,
-            next_forget: None,
+            next_removal: None,
             partial_since: None,
             suspect_us: limits.suspect_timeout_us,
             suspect: false,
@@ -73,7 +73,7 @@
     }
 
     /// How many streams are live on it, if it can take one more attempt under this id.
-    pub fn streams_if_free(&self, id: &str, core: &Core, limits: &Limits) -> Option<usize> {
+    pub fn live_streams_if_available(&self, id: &str, core: &Core, limits: &Limits) -> Option<usize> {
         let live = self.live_streams();
         // Two clients may give one id: a second attempt under it here would take the first one's answer, also
         // where both still wait for the connection.
@@ -96,13 +96,13 @@
 
     /// When the answer that has arrived in part counts as stopped short, or as taking longer than anybody waits for one:
     /// some never end.
-    pub fn partial_answer_deadline(&self, limits: &Limits) -> Option<Micros> {
+    pub fn partial_response_deadline(&self, limits: &Limits) -> Option<Micros> {
         let since = self.partial_since?;
         Some((self.last_received + limits.response_stall_timeout_us).min(since + limits.response_timeout_us))
     }
 
     /// Whether an answer that arrives slowly would hold up the answer to a further attempt.
-    pub fn is_held_up(&self, now: Micros, limits: &Limits) -> bool {
+    pub fn is_blocked_by_response(&self, now: Micros, limits: &Limits) -> bool {
         self.partial_since
             .is_some_and(|since| since + limits.response_stall_timeout_us <= now)
     }
--- a/daemon/src/upstream/recall.rs
+++ b/daemon/src/upstream/recall.rs
@@ -10,17 +10,17 @@
 impl UpstreamConnection {
     /// When the oldest finished stream is to be forgotten; none where that was reported before and is still to come, so
     /// that a connection has one deadline for it, however many streams there are.
-    pub fn next_forget_at(&mut self, now: Micros, limits: &Limits) -> Option<Micros> {
-        if self.next_forget.is_some_and(|at| at > now) {
+    pub fn next_removal_at(&mut self, now: Micros, limits: &Limits) -> Option<Micros> {
+        if self.next_removal.is_some_and(|at| at > now) {
             return None;
         }
         let finished = self.streams.values().filter_map(Stream::finished_at);
-        self.next_forget = finished.min().map(|at| at + limits.finished_stream_retention_us + 1);
-        self.next_forget
+        self.next_removal = finished.min().map(|at| at + limits.finished_stream_retention_us + 1);
+        self.next_removal
     }
 
     /// Forgets the streams that finished long enough ago.
-    pub fn forget_finished(&mut self, now: Micros, limits: &Limits) {
+    pub fn remove_finished(&mut self, now: Micros, limits: &Limits) {
         self.streams.retain(|_, stream| {
             stream
                 .finished_at()
@@ -49,7 +49,7 @@
     }
 
     /// Takes out the attempts that have not started, to go on elsewhere.
-    pub fn take_queued(&mut self) -> Vec<AttemptId> {
+    pub fn drain_queue(&mut self) -> Vec<AttemptId> {
         self.queue.drain(..).map(|queued| queued.attempt).collect()
     }
 
--- a/daemon/src/upstream/sending.rs
+++ b/daemon/src/upstream/sending.rs
@@ -51,7 +51,7 @@
         self.report_aborted(now, conn.written, limits, events);
         // What comes behind an answer that stopped short would be taken for the rest of it: the connection is of no
         // further use, also for all else that is open on it.
-        let deadline = self.partial_answer_deadline(limits);
+        let deadline = self.partial_response_deadline(limits);
         if deadline.is_some_and(|at| at <= now) {
             return false;
         }
--- a/daemon/tests/upstream.rs
+++ b/daemon/tests/upstream.rs
@@ -114,9 +114,9 @@
         attempt
     }
 
-    fn streams_if_free(&self, id: &str) -> Option<usize> {
+    fn live_streams_if_available(&self, id: &str) -> Option<usize> {
         self.connection
-            .streams_if_free(id, &self.core, &self.limits)
+            .live_streams_if_available(id, &self.core, &self.limits)
     }
 
     fn pump(&mut self) -> bool {
@@ -223,14 +223,14 @@
         rig.connection.next_report_at(&rig.limits),
         Some(NOW + rig.limits.abort_transit_us)
     );
-    assert_eq!(rig.streams_if_free("01"), None);
+    assert_eq!(rig.live_streams_if_available("01"), None);
     rig.now += rig.limits.abort_transit_us;
     rig.pump();
     assert_eq!(rig.ends(), [(attempt, Outcome::Cancelled)]);
     // A further attempt here comes behind the abort, on the same connection.
-    assert!(rig.connection.has_aborted("01") && rig.streams_if_free("01").is_some());
+    assert!(rig.connection.has_aborted("01") && rig.live_streams_if_available("01").is_some());
     rig.connection
-        .forget_finished(NOW + rig.limits.finished_stream_retention_us + 1, &rig.limits);
+        .remove_finished(NOW + rig.limits.finished_stream_retention_us + 1, &rig.limits);
     assert!(!rig.connection.has_aborted("01"));
 }
 
@@ -253,7 +253,7 @@
     let attempt = rig.send("01");
     assert_eq!(answered(&mut rig, old), [(attempt, Outcome::Error)]);
     rig.connection
-        .forget_finished(NOW + rig.limits.finished_stream_retention_us + 1, &rig.limits);
+        .remove_finished(NOW + rig.limits.finished_stream_retention_us + 1, &rig.limits);
     let attempt = rig.send("01");
     assert_eq!(answered(&mut rig, new), [(attempt, Outcome::Ok)]);
     // Behind one that was given up, the answer may be that one's: the further attempt is still out.
@@ -269,7 +269,7 @@
 fn a_connection_that_nothing_comes_back_on_takes_no_further_attempts() {
     let mut rig = Rig::new(true);
     let attempt = rig.send("01");
-    assert_eq!(rig.streams_if_free("02"), Some(1));
+    assert_eq!(rig.live_streams_if_available("02"), Some(1));
     // Heard last before the attempt was sent: a short silence is a pause, a long one may be the end.
     for (silent_us, room) in [
         (rig.limits.suspect_timeout_us, Some(0)),
@@ -279,7 +279,7 @@
         rig.connection.enqueue(NOW, attempt);
         rig.pump();
         rig.give_up(attempt);
-        assert_eq!(rig.streams_if_free("02"), room);
+        assert_eq!(rig.live_streams_if_available("02"), room);
     }
 }
 
@@ -289,7 +289,7 @@
         let mut rig = Rig::new(up);
         rig.send("01");
         assert_eq!(
-            (rig.streams_if_free("01"), rig.streams_if_free("02")),
+            (rig.live_streams_if_available("01"), rig.live_streams_if_available("02")),
             (None, Some(1)),
             "written: {up}"
         );
@@ -308,7 +308,7 @@
         .read(NOW, &mut rig.conn, &rig.core, &mut rig.events)
         .unwrap();
     assert_eq!(
-        rig.connection.partial_answer_deadline(&rig.limits),
+        rig.connection.partial_response_deadline(&rig.limits),
         Some(NOW + rig.limits.response_stall_timeout_us)
     );
     rig.now += rig.limits.response_stall_timeout_us - 1;
@@ -426,16 +426,16 @@
     answered(&mut rig, &[("01", "503", "-")]);
     assert_eq!(rig.ends(), [(attempt, Outcome::Full)]);
     assert_eq!(
-        rig.streams_if_free("01"),
+        rig.live_streams_if_available("01"),
         None,
         "a further attempt goes by another connection"
     );
-    assert!(rig.streams_if_free("02").is_some() && rig.connection.is_idle());
+    assert!(rig.live_streams_if_available("02").is_some() && rig.connection.is_idle());
     answered(&mut rig, &[("01", "503", "-"), ("unknown", "200", "-")]);
     assert_eq!(rig.ends(), []);
     rig.connection
-        .forget_finished(rig.now + rig.limits.finished_stream_retention_us + 1, &rig.limits);
-    assert!(rig.streams_if_free("01").is_some());
+        .remove_finished(rig.now + rig.limits.finished_stream_retention_us + 1, &rig.limits);
+    assert!(rig.live_streams_if_available("01").is_some());
 }
 
 /// The answer to an attempt may cross its abort. A further attempt on the connection is not over by it: another one
@@ -570,7 +570,7 @@
             break;
         }
         assert_eq!(
-            rig.connection.is_held_up(rig.now, &rig.limits),
+            rig.connection.is_blocked_by_response(rig.now, &rig.limits),
             steps > 1,
             "{steps}"
         );
@@ -616,30 +616,30 @@
 #[test]
 fn what_is_over_on_a_connection_is_forgotten_by_a_deadline_of_its_own() {
     let mut rig = Rig::new(true);
-    assert_eq!(rig.connection.next_forget_at(NOW, &rig.limits), None);
+    assert_eq!(rig.connection.next_removal_at(NOW, &rig.limits), None);
     rig.send("01");
     answered(&mut rig, &[("01", "503", "-")]);
     let at = rig
         .connection
-        .next_forget_at(NOW, &rig.limits)
+        .next_removal_at(NOW, &rig.limits)
         .expect("a deadline");
     assert_eq!(at, NOW + rig.limits.finished_stream_retention_us + 1);
     rig.now += 1_000_000;
     rig.send("02");
     answered(&mut rig, &[("02", "503", "-")]);
     assert_eq!(
-        rig.connection.next_forget_at(rig.now, &rig.limits),
+        rig.connection.next_removal_at(rig.now, &rig.limits),
         None,
         "it is set already"
     );
-    rig.connection.forget_finished(at, &rig.limits);
-    assert!(rig.streams_if_free("01").is_some() && rig.streams_if_free("02").is_none());
+    rig.connection.remove_finished(at, &rig.limits);
+    assert!(rig.live_streams_if_available("01").is_some() && rig.live_streams_if_available("02").is_none());
     let then = rig
         .connection
-        .next_forget_at(at, &rig.limits)
+        .next_removal_at(at, &rig.limits)
         .expect("the next one's");
     assert_eq!(then, at + 1_000_000);
-    rig.connection.forget_finished(then, &rig.limits);
-    assert!(rig.streams_if_free("02").is_some());
-    assert_eq!(rig.connection.next_forget_at(then, &rig.limits), None);
+    rig.connection.remove_finished(then, &rig.limits);
+    assert!(rig.live_streams_if_available("02").is_some());
+    assert_eq!(rig.connection.next_removal_at(then, &rig.limits), None);
 }
