--- a/daemon/src/config/mod.rs
+++ b/daemon/src/config/mod.rs
@@ -9,8 +9,8 @@
 
 use crate::bus::BusEvent;
 use crate::interconnect::{
-    Budgets, Cdni, Consul, Replication, CopiesFile, File, InterconnectError, LogForm, PeerAddresses,
-    State,
+    Budgets, Cdni, Consul, CopiesFile, File, InterconnectError, LogForm, PeerAddresses,
+    Replication, State,
 };
 use crate::limits::Limits;
 use linnetknot::Settings;
@@ -159,9 +159,11 @@
         if self.replication.enabled && !has_purge_file {
             return Err(InterconnectError::NoPurgeFile.into());
         }
-        self.budgets = file
-            .budgets
-            .check(&self.settings, self.replication.enabled, self.peers.as_ref())?;
+        self.budgets = file.budgets.check(
+            &self.settings,
+            self.replication.enabled,
+            self.peers.as_ref(),
+        )?;
         self.state = file.state.check()?;
         self.log = file.log.form;
         Ok(())
@@ -171,7 +173,10 @@
     ///
     /// # Errors
     /// Fails where they stand on too few machines.
-    pub fn check_replication(&self, peers: Option<&PeerAddresses>) -> Result<Replication, InterconnectError> {
+    pub fn check_replication(
+        &self,
+        peers: Option<&PeerAddresses>,
+    ) -> Result<Replication, InterconnectError> {
         let ReplicationFile { is_on, copies } = &self.replication_file;
         copies.check(*is_on, peers)
     }
--- a/daemon/src/daemon/admin.rs
+++ b/daemon/src/daemon/admin.rs
@@ -8,7 +8,7 @@
 use super::commits::OperatorDecision;
 use super::{Connection, Daemon, Kind, Timer};
 use crate::fleet;
-use crate::net::{TcpConnection, FailureKind, Key};
+use crate::net::{FailureKind, Key, TcpConnection};
 use linnetknot::{ListMode, Micros, State};
 use linnetknot_ops::state::SWEEP_US;
 use linnetknot_ops::{Call, Drain, Effect, Outcome, Parser, Reply};
--- a/daemon/src/daemon/cdni_listener.rs
+++ b/daemon/src/daemon/cdni_listener.rs
@@ -5,7 +5,7 @@
 use super::{Connection, Daemon, Kind, Timer};
 use crate::core::{Answer, Client, ClientRequest};
 use crate::front::cdni::{self, Post, Reply, Session, Waiting, MEDIA};
-use crate::net::{TcpConnection, Key, Progress};
+use crate::net::{Key, Progress, TcpConnection};
 use crate::wire::http::{self, Head, Messages, Piece};
 use crate::wire::{Parser, WireError};
 use linnetknot::Micros;
@@ -74,7 +74,10 @@
     pub(super) fn accept_cdni(&mut self, now: Micros) {
         // No more in one turn than the table holds, as on the clients' listener.
         let mut accepted = 0;
-        while self.trigger_api.is_some() && !self.grace_over && accepted < self.limits.max_client_connections {
+        while self.trigger_api.is_some()
+            && !self.grace_over
+            && accepted < self.limits.max_client_connections
+        {
             let Ok(evicted) = self.room_for_client(now) else {
                 return self.pause_accepting_cdni(now);
             };
--- a/daemon/src/daemon/clients/accept.rs
+++ b/daemon/src/daemon/clients/accept.rs
@@ -2,7 +2,7 @@
 
 use crate::daemon::{Daemon, Kind, Timer};
 use crate::limits::ClientState;
-use crate::net::{TcpConnection, FailureKind, Key};
+use crate::net::{FailureKind, Key, TcpConnection};
 use linnetknot::Micros;
 use std::io;
 
@@ -29,7 +29,8 @@
     fn eviction_rank(&self, now: Micros, key: Key) -> Option<(ClientState, Micros)> {
         let connection = self.connections.get(key)?;
         let state = Self::client_state(connection)?;
-        let is_settled = connection.since <= now.saturating_sub(self.limits.client_eviction_grace_us);
+        let is_settled =
+            connection.since <= now.saturating_sub(self.limits.client_eviction_grace_us);
         (state != ClientState::Busy && is_settled).then_some((state, connection.since))
     }
 
@@ -125,8 +126,10 @@
                 self.close_when_answered(key);
             }
             self.clients += 1;
-            self.deadlines
-                .set(now + self.limits.partial_request_timeout_us, Timer::Client(key));
+            self.deadlines.set(
+                now + self.limits.partial_request_timeout_us,
+                Timer::Client(key),
+            );
             if self.turn.waited_unread(now) > 0 {
                 // Its requests have been there since before the loop was delayed: in the next turn they would seem new.
                 self.check_client(now, key);
--- a/daemon/src/daemon/connection_table.rs
+++ b/daemon/src/daemon/connection_table.rs
@@ -6,7 +6,7 @@
 use super::{Daemon, Timer};
 use crate::front::cdni::{self, Waiting};
 use crate::front::fastcgi::Session;
-use crate::net::{connect, TcpConnection, FailureKind, Key, Progress, ReadyEvent};
+use crate::net::{connect, FailureKind, Key, Progress, ReadyEvent, TcpConnection};
 use crate::upstream::UpstreamConnection;
 use crate::wire::WireError;
 use linnetknot::Micros;
--- a/daemon/src/daemon/discovery.rs
+++ b/daemon/src/daemon/discovery.rs
@@ -88,7 +88,10 @@
         }
         for notice in output.notices {
             let line = notice_line(&self.members, notice);
-            if self.logged.is_new(&line, self.limits.max_remembered_log_lines) {
+            if self
+                .logged
+                .is_new(&line, self.limits.max_remembered_log_lines)
+            {
                 log::warn!("the endpoint table: {line}");
             }
         }
--- a/daemon/src/daemon/fleet_status.rs
+++ b/daemon/src/daemon/fleet_status.rs
@@ -21,7 +21,11 @@
     /// Returns the status; none where logs are not replicated.
     pub(super) fn fleet_status(&self) -> Option<Status> {
         let replication = &self.config.replication;
-        let replica = self.ledger.as_ref().filter(|_| replication.enabled)?.replica();
+        let replica = self
+            .ledger
+            .as_ref()
+            .filter(|_| replication.enabled)?
+            .replica();
         let own = replica.own();
         let log_store = replica.log_store();
         let counters = replica.counters();
--- a/daemon/src/daemon/recovery.rs
+++ b/daemon/src/daemon/recovery.rs
@@ -71,7 +71,12 @@
             deadline: now + self.limits.recovery_timeout_us,
             retry_us: self.limits.recovery_poll_interval_us,
         };
-        let recovery = Recovery::new(server_id(&replication.machine), machines, replication.min_acks, times);
+        let recovery = Recovery::new(
+            server_id(&replication.machine),
+            machines,
+            replication.min_acks,
+            times,
+        );
         self.pending_commits.recovery = Some(recovery);
         self.tick_recovery(now);
     }
@@ -185,7 +190,11 @@
         match &mut self.pending_commits.snapshot {
             None if is_behind => {
                 let limits = &self.limits;
-                let wait = SnapshotWait::begin(now, limits.recovery_timeout_us, limits.recovery_total_timeout_us);
+                let wait = SnapshotWait::begin(
+                    now,
+                    limits.recovery_timeout_us,
+                    limits.recovery_total_timeout_us,
+                );
                 self.pending_commits.snapshot = Some(wait);
                 self.extend_recovery(now);
                 log::warn!(
--- a/daemon/src/daemon/replication.rs
+++ b/daemon/src/daemon/replication.rs
@@ -90,7 +90,12 @@
                 .filter(|machine| !machine.is_empty());
             server_id(announced.unwrap_or(configured))
         };
-        let machines = replication.machines.iter().enumerate().map(machine).collect();
+        let machines = replication
+            .machines
+            .iter()
+            .enumerate()
+            .map(machine)
+            .collect();
         if let Some(ledger) = &mut self.ledger {
             ledger.set_machines(server_id(&replication.machine), machines);
         }
--- a/daemon/src/daemon/sources/bus.rs
+++ b/daemon/src/daemon/sources/bus.rs
@@ -91,7 +91,8 @@
     pub(in crate::daemon) fn apply_bus_event(&mut self, now: Micros, event: BusEvent) {
         match event.update {
             // Unless told otherwise, one source has the list.
-            Some(BusUpdate::List(..)) if self.config.consul.as_ref().is_some_and(|c| !c.beside_bus) => {}
+            Some(BusUpdate::List(..))
+                if self.config.consul.as_ref().is_some_and(|c| !c.beside_bus) => {}
             Some(BusUpdate::List(answer)) => {
                 for entry in &answer.entries {
                     if let Some(started) = entry.server.started {
--- a/daemon/src/daemon/sources/consul/mod.rs
+++ b/daemon/src/daemon/sources/consul/mod.rs
@@ -242,7 +242,12 @@
         let request = call.to_bytes(&to.to_string(), state.token.as_ref());
         let then =
             |daemon: &mut Daemon, now, outcome: Outcome| daemon.registration_finished(now, outcome);
-        let exchange = Call::new(request, self.limits.max_line_bytes, self.limits.max_line_bytes, then);
+        let exchange = Call::new(
+            request,
+            self.limits.max_line_bytes,
+            self.limits.max_line_bytes,
+            then,
+        );
         let key = self.exchange(now, to, exchange, Some(call.timeout_us));
         if key.is_none() {
             self.registration_finished(now, Err(TransportError::Unreachable));
--- a/daemon/src/daemon/upstream_connections/mod.rs
+++ b/daemon/src/daemon/upstream_connections/mod.rs
@@ -4,7 +4,7 @@
 
 use super::{ConnectError, Connection, Daemon, Kind, Timer};
 use crate::core::{AttemptId, TRACE};
-use crate::net::{TcpConnection, Failure, FailureKind, Key};
+use crate::net::{Failure, FailureKind, Key, TcpConnection};
 use crate::upstream::{UpstreamConnection, UpstreamEvent};
 use linnetknot::{Micros, Outcome, ServerId};
 use selection::{CacheConnections, Selection};
@@ -52,7 +52,10 @@
     }
 
     /// A connection to a cache server.
-    fn cache_connection_mut(&mut self, key: Key) -> Option<(&mut TcpConnection, &mut UpstreamConnection)> {
+    fn cache_connection_mut(
+        &mut self,
+        key: Key,
+    ) -> Option<(&mut TcpConnection, &mut UpstreamConnection)> {
         match self.connections.get_mut(key)? {
             Connection {
                 conn,
@@ -97,7 +100,8 @@
     ) -> Result<Key, ConnectError> {
         match selection {
             Selection::Use { key, connect_spare } => {
-                if connect_spare && self.connections.free_slots() > self.limits.reserved_connections {
+                if connect_spare && self.connections.free_slots() > self.limits.reserved_connections
+                {
                     // No attempt waits for it: where it fails, it is begun again with the next one.
                     let _ = self.connect_cache(now, server);
                 }
@@ -120,8 +124,10 @@
         };
         link.enqueue(now, attempt);
         if !conn.up {
-            self.deadlines
-                .set(now + self.limits.connect_timeout_us, Timer::CacheConnection(key));
+            self.deadlines.set(
+                now + self.limits.connect_timeout_us,
+                Timer::CacheConnection(key),
+            );
         }
         self.pump_or_close(now, key);
     }
@@ -208,15 +214,18 @@
         let forgets = link.next_removal_at(now, &self.limits);
         let due = [
             link.next_report_at(&self.limits),
-            link.partial_response_deadline(&self.limits).filter(|_| sound),
+            link.partial_response_deadline(&self.limits)
+                .filter(|_| sound),
             forgets,
         ];
         for at in due.into_iter().flatten() {
             self.deadlines.set(at, Timer::CacheConnection(key));
         }
         if conn.is_waiting_to_write() {
-            self.deadlines
-                .set(now + self.limits.write_stall_timeout_us, Timer::CacheConnection(key));
+            self.deadlines.set(
+                now + self.limits.write_stall_timeout_us,
+                Timer::CacheConnection(key),
+            );
         }
         // A cache server that drains or is gone gets nothing new: once all that it owed has come, its connections are of
         // no use, and where a machine has vanished nobody else would end them.
--- a/daemon/src/daemon/upstream_connections/selection.rs
+++ b/daemon/src/daemon/upstream_connections/selection.rs
@@ -3,7 +3,7 @@
 use super::super::{ConnectError, Daemon};
 use crate::core::Core;
 use crate::limits::Limits;
-use crate::net::{TcpConnection, Key};
+use crate::net::{Key, TcpConnection};
 use crate::upstream::UpstreamConnection;
 use linnetknot::{Micros, ServerId};
 use std::net::SocketAddr;
@@ -69,7 +69,8 @@
         }
         let reclaim = self.reclaimable();
         let connecting = self.connecting();
-        let has_place = self.connections.len() - reclaim.len() < self.limits.max_connections_per_cache;
+        let has_place =
+            self.connections.len() - reclaim.len() < self.limits.max_connections_per_cache;
         if has_place && connecting < self.limits.max_connects_per_cache {
             return Selection::Connect { reclaim };
         }
@@ -89,7 +90,12 @@
     }
 
     /// How well a connection fits; none if it takes no attempt of this request now.
-    fn preference(&self, id: &str, conn: &TcpConnection, link: &UpstreamConnection) -> Option<Preference> {
+    fn preference(
+        &self,
+        id: &str,
+        conn: &TcpConnection,
+        link: &UpstreamConnection,
+    ) -> Option<Preference> {
         let is_late = !conn.up && link.is_connect_overdue(self.now, self.limits);
         if !self.leads_there(link) || is_late || link.is_stale(self.now, self.limits) {
             return None;
--- a/daemon/src/fleet/table.rs
+++ b/daemon/src/fleet/table.rs
@@ -49,7 +49,10 @@
             ("members", self.members_summary()),
             (
                 "short",
-                format!("{} with fewer copies than {}", self.under_replicated, self.replication_factor),
+                format!(
+                    "{} with fewer copies than {}",
+                    self.under_replicated, self.replication_factor
+                ),
             ),
         ]
     }
--- a/daemon/src/interconnect/mod.rs
+++ b/daemon/src/interconnect/mod.rs
@@ -5,10 +5,10 @@
 mod budgets;
 mod cdni;
 mod consul;
-mod replication;
 mod error;
 mod log;
 mod peers;
+mod replication;
 mod state;
 mod validation;
 
@@ -17,10 +17,10 @@
 pub use consul::{
     ConsistencyFile, Consul, ConsulFile, DampingFile, IdentityFile, MetaFile, RegisterFile,
 };
-pub use replication::{Replication, CopiesFile, PurgeTableSize};
 pub use error::InterconnectError;
 pub use log::{LogFile, LogForm};
 pub use peers::{PeerAddresses, PeersFile};
+pub use replication::{CopiesFile, PurgeTableSize, Replication};
 pub use state::{State, StateFile};
 
 use schemars::JsonSchema;
--- a/daemon/src/interconnect/replication.rs
+++ b/daemon/src/interconnect/replication.rs
@@ -117,7 +117,8 @@
     /// # Errors
     /// Fails on a number out of range, and where the peers stand on too few machines.
     pub fn check(&self, enabled: bool, peers: Option<&PeerAddresses>) -> Result<Replication> {
-        let commit_timeout_us = range("copies.within_ms", self.commit_timeout_ms, 50, 30_000)? * 1000;
+        let commit_timeout_us =
+            range("copies.within_ms", self.commit_timeout_ms, 50, 30_000)? * 1000;
         let purge_table = PurgeTableSize::check(self)?;
         if !enabled {
             // A purge is committed once it is on this proxy's own disk.
--- a/daemon/src/limits/mod.rs
+++ b/daemon/src/limits/mod.rs
@@ -249,7 +249,10 @@
     /// The bounds of the logs of purges, and how they are replicated.
     pub fn replication(&self, replication: &Replication) -> ReplicationOptions {
         ReplicationOptions {
-            max_exact_entries: replication.purge_table.exact.unwrap_or(self.max_exact_purges),
+            max_exact_entries: replication
+                .purge_table
+                .exact
+                .unwrap_or(self.max_exact_purges),
             max_logs: self.max_purge_logs,
             expiring: self.max_status_entries,
             expiry_us: triggers::STALE_S * 1_000_000,
@@ -269,7 +272,9 @@
         let term_us = longest_us.min(MAX_TERM_DEADLINE_US);
         let shutdown_linger_us = term_us + TERM_LINGER_AFTER_US;
         Limits {
-            overload_retry_after_us: settings.max_retry_after_us.min(self.overload_retry_after_us),
+            overload_retry_after_us: settings
+                .max_retry_after_us
+                .min(self.overload_retry_after_us),
             connect_timeout_us: if connect_us > 0 {
                 connect_us
             } else {
--- a/daemon/src/net/failure_log.rs
+++ b/daemon/src/net/failure_log.rs
@@ -77,7 +77,10 @@
 /// connection is everyday and not logged.
 pub(super) fn record(failure: &Failure) {
     let is_logged = failure.is_local() || failure.call == Call::Accept;
-    if is_logged && FAILURE_LOG.with_borrow_mut(|failure_log| failure_log.record(Instant::now(), failure.call)) {
+    if is_logged
+        && FAILURE_LOG
+            .with_borrow_mut(|failure_log| failure_log.record(Instant::now(), failure.call))
+    {
         log::warn!(call = failure.call.name(), kind:? = failure.kind; "system calls fail: {failure}");
     }
 }
--- a/daemon/src/net/mod.rs
+++ b/daemon/src/net/mod.rs
@@ -4,16 +4,16 @@
 mod conn;
 mod deadlines;
 mod errno;
+pub mod failure_log;
 pub mod injection;
 mod listener;
 mod poll;
 mod ring_buffer;
 mod slots;
-pub mod failure_log;
 mod syscall;
 
 pub use clock::Clock;
-pub use conn::{bind_shared_udp, connect, TcpConnection, Progress};
+pub use conn::{bind_shared_udp, connect, Progress, TcpConnection};
 pub use deadlines::{Deadlines, Due};
 pub use errno::{classify, Call, Failure, FailureKind};
 pub use listener::Listener;
--- a/daemon/src/net/syscall.rs
+++ b/daemon/src/net/syscall.rs
@@ -2,7 +2,7 @@
 //! leaves this one (`errno`).
 
 use super::errno::{Call, Failure, FailureKind};
-use super::{injection, failure_log};
+use super::{failure_log, injection};
 use rustix::event::{epoll, Timespec};
 use rustix::fd::{AsFd, OwnedFd};
 use rustix::io::Errno;
@@ -52,7 +52,9 @@
 }
 
 /// Makes a call again, for a while, where it may succeed a moment later: at the start nothing else waits.
-pub(super) fn retry_at_startup<T>(mut make: impl FnMut() -> Result<T, Failure>) -> Result<T, Failure> {
+pub(super) fn retry_at_startup<T>(
+    mut make: impl FnMut() -> Result<T, Failure>,
+) -> Result<T, Failure> {
     for _ in 1..MAX_AT_START {
         match make() {
             Err(failure) if failure.kind == FailureKind::RetryLater => {
--- a/daemon/src/upstream/connection.rs
+++ b/daemon/src/upstream/connection.rs
@@ -73,7 +73,12 @@
     }
 
     /// How many streams are live on it, if it can take one more attempt under this id.
-    pub fn live_streams_if_available(&self, id: &str, core: &Core, limits: &Limits) -> Option<usize> {
+    pub fn live_streams_if_available(
+        &self,
+        id: &str,
+        core: &Core,
+        limits: &Limits,
+    ) -> Option<usize> {
         let live = self.live_streams();
         // Two clients may give one id: a second attempt under it here would take the first one's answer, also
         // where both still wait for the connection.
@@ -98,7 +103,10 @@
     /// some never end.
     pub fn partial_response_deadline(&self, limits: &Limits) -> Option<Micros> {
         let since = self.partial_since?;
-        Some((self.last_received + limits.response_stall_timeout_us).min(since + limits.response_timeout_us))
+        Some(
+            (self.last_received + limits.response_stall_timeout_us)
+                .min(since + limits.response_timeout_us),
+        )
     }
 
     /// Whether an answer that arrives slowly would hold up the answer to a further attempt.
@@ -120,7 +128,9 @@
     /// Whether nothing has gone either way for so long that the cache may be about to close it: an attempt that is sent
     /// now may cross that.
     pub fn is_stale(&self, now: Micros, limits: &Limits) -> bool {
-        limits.cache_idle_timeout_us > 0 && self.is_idle() && self.last_used + limits.cache_idle_timeout_us <= now
+        limits.cache_idle_timeout_us > 0
+            && self.is_idle()
+            && self.last_used + limits.cache_idle_timeout_us <= now
     }
 
     /// Whether it should be up by now: it may yet come up, but no further attempt is to wait for it.
--- a/daemon/src/upstream/recall.rs
+++ b/daemon/src/upstream/recall.rs
@@ -15,7 +15,9 @@
             return None;
         }
         let finished = self.streams.values().filter_map(Stream::finished_at);
-        self.next_removal = finished.min().map(|at| at + limits.finished_stream_retention_us + 1);
+        self.next_removal = finished
+            .min()
+            .map(|at| at + limits.finished_stream_retention_us + 1);
         self.next_removal
     }
 
--- a/daemon/src/upstream/sending.rs
+++ b/daemon/src/upstream/sending.rs
@@ -6,7 +6,7 @@
 use super::{UpstreamConnection, UpstreamEvent};
 use crate::core::{AttemptId, AttemptResult, Core};
 use crate::limits::Limits;
-use crate::net::{TcpConnection, Progress};
+use crate::net::{Progress, TcpConnection};
 use linnetknot::{Micros, Outcome};
 
 impl UpstreamConnection {
--- a/daemon/tests/between.rs
+++ b/daemon/tests/between.rs
@@ -359,8 +359,14 @@
     assert_eq!(fleet.purge(0, &object(502)).unwrap(), 503);
     assert!(fleet.hears(1, &object(502)).unwrap());
     let status = fleet.status(0).unwrap();
-    assert_eq!((status.committed, status.rejected, status.pending_commits), (0, 2, 0));
-    assert!(status.under_replicated > 0, "and they are known to be short of copies");
+    assert_eq!(
+        (status.committed, status.rejected, status.pending_commits),
+        (0, 2, 0)
+    );
+    assert!(
+        status.under_replicated > 0,
+        "and they are known to be short of copies"
+    );
     fleet.links.split(&[0], LinkConditions::default());
     assert_eq!(fleet.purge(0, &object(503)).unwrap(), 201);
     agree("all agree, none short", &fleet);
@@ -579,7 +585,9 @@
         .enumerate()
     {
         calls.push(operate(verb));
-        until("it waits", || fleet.status(0).unwrap().pending_commits == n + 1);
+        until("it waits", || {
+            fleet.status(0).unwrap().pending_commits == n + 1
+        });
     }
     assert!(calls.into_iter().all(|call| call.join().unwrap() == 503));
     comes_to_use(&fleet, 0, 0, 1500);
--- a/daemon/tests/compacted_fleet.rs
+++ b/daemon/tests/compacted_fleet.rs
@@ -52,7 +52,10 @@
 /// Whether a proxy has what another has, on its disk.
 fn has_all_of(fleet: &Fleet, n: usize, other: usize) -> bool {
     let (own, other) = (fleet.status(n).unwrap(), fleet.status(other).unwrap());
-    let is_on_disk = own.logs.iter().all(|log| log.last_index == log.durable_index);
+    let is_on_disk = own
+        .logs
+        .iter()
+        .all(|log| log.last_index == log.durable_index);
     !own.catching_up && is_on_disk && own.digest == other.digest
 }
 
@@ -66,7 +69,9 @@
 #[test]
 fn a_proxy_that_was_away_past_the_window_has_all_floors_by_a_snapshot() {
     let mut fleet = fleet(51);
-    until("all know each other", || fleet.status(0).unwrap().alive_members == 3);
+    until("all know each other", || {
+        fleet.status(0).unwrap().alive_members == 3
+    });
     fleet.kill(2).unwrap();
     purge_all(&fleet);
     fleet.restart(2, Disk::Kept).unwrap();
--- a/daemon/tests/config.rs
+++ b/daemon/tests/config.rs
@@ -18,7 +18,11 @@
 fn what_is_not_said_has_a_default() {
     let config = read(&good()).unwrap();
     assert_eq!(
-        (config.bus, config.known.offset, config.limits.max_descriptors),
+        (
+            config.bus,
+            config.known.offset,
+            config.limits.max_descriptors
+        ),
         (None, 0, 1024)
     );
     assert!(config.cdni.is_none() && config.consul.is_none() && config.peers.is_none());
@@ -277,12 +281,18 @@
     }
     let checked = with_peers(&copies(json!({"machine": "a", "machines": named}))).unwrap();
     assert_eq!(
-        (checked.min_acks, checked.replication_factor, checked.machines.len()),
+        (
+            checked.min_acks,
+            checked.replication_factor,
+            checked.machines.len()
+        ),
         (1, 2, 2),
         "itself left out"
     );
     assert_eq!(
-        with_peers(&copies(json!({"wait": 0}))).unwrap().replication_factor,
+        with_peers(&copies(json!({"wait": 0})))
+            .unwrap()
+            .replication_factor,
         0,
         "nobody is further away"
     );
--- a/daemon/tests/limits.rs
+++ b/daemon/tests/limits.rs
@@ -1,6 +1,6 @@
 //! Bounds: that they fit the machines they are made for, and each other.
 
-use linnetknot_daemon::limits::{Limits, ClientState};
+use linnetknot_daemon::limits::{ClientState, Limits};
 use linnetknot_harness::settings;
 
 #[test]
@@ -8,7 +8,10 @@
     for (descriptors, memory_mb) in [(256, 32), (1024, 192)] {
         let limits = Limits::for_machine(descriptors, memory_mb);
         // Boxes, with parents, the origin and some that go, and the bus.
-        assert!(limits.max_connections - limits.max_client_connections >= 64 && limits.max_connections < descriptors);
+        assert!(
+            limits.max_connections - limits.max_client_connections >= 64
+                && limits.max_connections < descriptors
+        );
         assert!(
             limits.max_client_connections >= descriptors / 3,
             "what the front's web servers may hold"
@@ -22,7 +25,10 @@
             "the admin listener reads its longest head whole"
         );
         assert!(limits.drain_accept_us + 2_000_000 < 4_000_000);
-        assert!(limits.shutdown_linger_us < 3_700_000, "SIGKILL may come then");
+        assert!(
+            limits.shutdown_linger_us < 3_700_000,
+            "SIGKILL may come then"
+        );
     }
 }
 
@@ -69,7 +75,10 @@
         );
     }
     let limits = machine().for_site(&site, 250_000, 6_000_000);
-    assert_eq!((limits.connect_timeout_us, limits.connect_abort_us), (250_000, 2_000_000));
+    assert_eq!(
+        (limits.connect_timeout_us, limits.connect_abort_us),
+        (250_000, 2_000_000)
+    );
     assert!(limits.cache_idle_timeout_us > 5_000_000 && limits.cache_idle_timeout_us < 6_000_000);
     let slow = machine().for_site(&site, 5_000_000, 0);
     assert!(slow.connect_abort_us >= slow.connect_timeout_us && slow.cache_idle_timeout_us == 0);
--- a/daemon/tests/net.rs
+++ b/daemon/tests/net.rs
@@ -1,6 +1,8 @@
 //! Sockets, what becomes of bytes at the end of a connection, rings, slots and deadlines.
 
-use linnetknot_daemon::net::{TcpConnection, Deadlines, Interest, Key, Poll, Progress, RingBuffer, SlotTable};
+use linnetknot_daemon::net::{
+    Deadlines, Interest, Key, Poll, Progress, RingBuffer, SlotTable, TcpConnection,
+};
 use rustix::net::sockopt;
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -12,7 +14,8 @@
     let read = |ends: fn(TcpConnection) -> Option<TcpConnection>| {
         let mut far = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         sockopt::set_socket_recv_buffer_size(&far, 64 << 10).unwrap();
-        let mut conn = TcpConnection::new(listener.accept().unwrap().0, true, 4096, 2 << 20).unwrap();
+        let mut conn =
+            TcpConnection::new(listener.accept().unwrap().0, true, 4096, 2 << 20).unwrap();
         conn.output.push(&whole);
         conn.write();
         let written = conn.written;
--- a/daemon/tests/syscalls.rs
+++ b/daemon/tests/syscalls.rs
@@ -1,10 +1,11 @@
 //! System calls that fail in the ways that the manual pages document: what each errno is taken for, and what sockets do
 //! then.
 
-use linnetknot_daemon::net::injection::{arm, disarm_all, errno_named, Plan};
 use linnetknot_daemon::net::failure_log::{self, FailureLog};
+use linnetknot_daemon::net::injection::{arm, disarm_all, errno_named, Plan};
 use linnetknot_daemon::net::{
-    classify, connect, Call, TcpConnection, Failure, FailureKind, Interest, Listener, Poll, Progress,
+    classify, connect, Call, Failure, FailureKind, Interest, Listener, Poll, Progress,
+    TcpConnection,
 };
 use std::cell::RefCell;
 use std::io::{Read, Write};
@@ -262,7 +263,11 @@
                 assert_eq!(&got, b"answer", "{name}");
                 arm(Call::Write, once(name));
                 assert_eq!(conn.begin(b"frame"), expected, "{name}");
-                assert_eq!(conn.is_waiting_to_write(), expected == Progress::Blocked, "{name}");
+                assert_eq!(
+                    conn.is_waiting_to_write(),
+                    expected == Progress::Blocked,
+                    "{name}"
+                );
             }
         }
         for name in documented(Call::Read, kind) {
--- a/daemon/tests/upstream.rs
+++ b/daemon/tests/upstream.rs
@@ -3,7 +3,7 @@
 use linnetknot::{ListMode, Outcome, Server, ServerId, State};
 use linnetknot_daemon::core::{server_id, AttemptId, Client, ClientRequest, Command, Core, Entry};
 use linnetknot_daemon::limits::Limits;
-use linnetknot_daemon::net::{TcpConnection, Key, Progress};
+use linnetknot_daemon::net::{Key, Progress, TcpConnection};
 use linnetknot_daemon::upstream::{UpstreamConnection, UpstreamEvent};
 use linnetknot_daemon::wire::resp;
 use linnetknot_harness::settings;
@@ -51,7 +51,13 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let near = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         let (far, server) = (listener.accept().unwrap().0, server_id("a"));
-        let conn = TcpConnection::new(near, up, limits.input_buffer_bytes, limits.output_buffer_bytes).unwrap();
+        let conn = TcpConnection::new(
+            near,
+            up,
+            limits.input_buffer_bytes,
+            limits.output_buffer_bytes,
+        )
+        .unwrap();
         Rig {
             core,
             connection: UpstreamConnection::new(server, &limits, NOW),
@@ -229,8 +235,10 @@
     assert_eq!(rig.ends(), [(attempt, Outcome::Cancelled)]);
     // A further attempt here comes behind the abort, on the same connection.
     assert!(rig.connection.has_aborted("01") && rig.live_streams_if_available("01").is_some());
-    rig.connection
-        .remove_finished(NOW + rig.limits.finished_stream_retention_us + 1, &rig.limits);
+    rig.connection.remove_finished(
+        NOW + rig.limits.finished_stream_retention_us + 1,
+        &rig.limits,
+    );
     assert!(!rig.connection.has_aborted("01"));
 }
 
@@ -252,8 +260,10 @@
     let (old, new) = (NOW / 1000 - 100, NOW / 1000);
     let attempt = rig.send("01");
     assert_eq!(answered(&mut rig, old), [(attempt, Outcome::Error)]);
-    rig.connection
-        .remove_finished(NOW + rig.limits.finished_stream_retention_us + 1, &rig.limits);
+    rig.connection.remove_finished(
+        NOW + rig.limits.finished_stream_retention_us + 1,
+        &rig.limits,
+    );
     let attempt = rig.send("01");
     assert_eq!(answered(&mut rig, new), [(attempt, Outcome::Ok)]);
     // Behind one that was given up, the answer may be that one's: the further attempt is still out.
@@ -289,7 +299,10 @@
         let mut rig = Rig::new(up);
         rig.send("01");
         assert_eq!(
-            (rig.live_streams_if_available("01"), rig.live_streams_if_available("02")),
+            (
+                rig.live_streams_if_available("01"),
+                rig.live_streams_if_available("02")
+            ),
             (None, Some(1)),
             "written: {up}"
         );
@@ -433,8 +446,10 @@
     assert!(rig.live_streams_if_available("02").is_some() && rig.connection.is_idle());
     answered(&mut rig, &[("01", "503", "-"), ("unknown", "200", "-")]);
     assert_eq!(rig.ends(), []);
-    rig.connection
-        .remove_finished(rig.now + rig.limits.finished_stream_retention_us + 1, &rig.limits);
+    rig.connection.remove_finished(
+        rig.now + rig.limits.finished_stream_retention_us + 1,
+        &rig.limits,
+    );
     assert!(rig.live_streams_if_available("01").is_some());
 }
 
@@ -633,7 +648,10 @@
         "it is set already"
     );
     rig.connection.remove_finished(at, &rig.limits);
-    assert!(rig.live_streams_if_available("01").is_some() && rig.live_streams_if_available("02").is_none());
+    assert!(
+        rig.live_streams_if_available("01").is_some()
+            && rig.live_streams_if_available("02").is_none()
+    );
     let then = rig
         .connection
         .next_removal_at(at, &rig.limits)
--- a/harness/src/fleet/queries.rs
+++ b/harness/src/fleet/queries.rs
@@ -36,7 +36,9 @@
             .map(|n| self.status(n))
             .collect::<io::Result<Vec<_>>>()?;
         let settled = |s: &Status| {
-            s.under_replicated == 0 && s.pending_commits == 0 && s.logs.iter().all(|l| l.last_index == l.durable_index)
+            s.under_replicated == 0
+                && s.pending_commits == 0
+                && s.logs.iter().all(|l| l.last_index == l.durable_index)
         };
         Ok(all
             .iter()
--- a/rehearse/examples/upgrade/side_by_side.rs
+++ b/rehearse/examples/upgrade/side_by_side.rs
@@ -123,7 +123,11 @@
                 .operate(n, "GET", "/control/ready")
                 .is_ok_and(|s| s == 200)
         };
-        let up = |n| self.fleet.status(n).map_or(0, |status| status.alive_members);
+        let up = |n| {
+            self.fleet
+                .status(n)
+                .map_or(0, |status| status.alive_members)
+        };
         let all = becomes(AGREEMENT, || {
             (0..PROXIES).all(|n| is_ready(n) && up(n) == PROXIES)
         });
@@ -169,7 +173,10 @@
                 status.digest == all[0].digest
                     && !status.catching_up
                     && (status.under_replicated, status.pending_commits) == (0, 0)
-                    && status.logs.iter().all(|log| log.last_index == log.durable_index)
+                    && status
+                        .logs
+                        .iter()
+                        .all(|log| log.last_index == log.durable_index)
             })
         });
         checks.that("all have the same on their disks", agree, || {
--- a/rehearse/src/scale/fleet_config.rs
+++ b/rehearse/src/scale/fleet_config.rs
@@ -5,7 +5,7 @@
 use linnetknot_budgets::kinds::{self, Unit};
 use linnetknot_budgets::spec::BudgetSpec;
 use linnetknot_budgets::Options as BudgetOptions;
-use linnetknot_daemon::interconnect::{Replication, CopiesFile};
+use linnetknot_daemon::interconnect::{CopiesFile, Replication};
 use linnetknot_daemon::limits::Limits;
 use linnetknot_discovery::server_id;
 use linnetknot_replication::Options as ReplicationOptions;
