--- a/daemon/src/config/mod.rs
+++ b/daemon/src/config/mod.rs
@@ -36,9 +36,9 @@
     /// Where clients connect.
     pub listen: SocketAddr,
     /// The admin listener; none: there is none.
-    pub ops: Option<SocketAddr>,
+    pub admin: Option<SocketAddr>,
     /// The folder in which the operators' bans and drains are stored for the next process: `$TMPDIR`.
-    pub ops_folder: PathBuf,
+    pub operator_state_folder: PathBuf,
     /// The seed of its random numbers.
     pub seed: u64,
     /// The bounds that follow from the machine.
@@ -52,7 +52,7 @@
     /// The addresses at which the proxies of the fleet exchange datagrams; none: it is alone.
     pub peers: Option<PeerAddresses>,
     /// Peers are notified of an origin that is late, and listened to.
-    pub tell: bool,
+    pub share_origin_health: bool,
     /// To how many machines purges by peer CDNs are replicated before they are committed.
     pub replication: Replication,
     /// The same as the file has it, for peers that change.
@@ -149,7 +149,7 @@
             Some(consul) => consul.check(&self.settings, &self.name)?,
             None => None,
         };
-        self.tell = file.peers.tell;
+        self.share_origin_health = file.peers.tell;
         self.replication_file = ReplicationFile {
             is_on: file.peers.copies,
             copies: file.copies,
@@ -186,15 +186,15 @@
         Config {
             name,
             listen,
-            ops: None,
-            ops_folder: std::env::temp_dir(),
+            admin: None,
+            operator_state_folder: std::env::temp_dir(),
             seed: 0,
             limits,
             bus: None,
             known: KnownEvents::default(),
             settings,
             peers: None,
-            tell: false,
+            share_origin_health: false,
             replication: Replication::default(),
             replication_file: ReplicationFile::default(),
             budgets: Budgets::default(),
@@ -227,11 +227,14 @@
         let changes = [
             ("name", self.name != new.name),
             ("listen", self.listen != new.listen),
-            ("ops", self.ops != new.ops),
+            ("ops", self.admin != new.admin),
             ("limits", self.limits != new.limits),
             ("settings", self.settings != new.settings),
             ("peer_listen", own(self) != own(new)),
-            ("peers.tell", self.tell != new.tell),
+            (
+                "peers.tell",
+                self.share_origin_health != new.share_origin_health,
+            ),
             ("copies", self.replication_file != new.replication_file),
             ("cdni", self.cdni != new.cdni),
             ("state", self.state != new.state),
--- a/daemon/src/config/read.rs
+++ b/daemon/src/config/read.rs
@@ -35,7 +35,7 @@
             .ok_or_else(|| ConfigError::Field("field 'listen' is missing".to_owned()))?;
         let own = address(fields, "peer_listen")?;
         Ok(Config {
-            ops: address(fields, "ops")?,
+            admin: address(fields, "ops")?,
             seed: u64::from_str_radix(&seed, 16).map_err(|_| wrong("seed"))?,
             bus: address(fields, "bus")?,
             known: KnownEvents::read(fields).map_err(ConfigError::Known)?,
--- a/daemon/src/daemon/budgets/mod.rs
+++ b/daemon/src/daemon/budgets/mod.rs
@@ -86,7 +86,7 @@
         })?;
         let delivered = vec![None; specs.len()];
         // A request that stayed open for longer than its class allows would settle after the settling time.
-        self.core.max_request_us = config.longest_open_us().unwrap_or(Micros::MAX);
+        self.core.max_request_us = config.max_request_us().unwrap_or(Micros::MAX);
         self.shared_budgets = Some(SharedBudgets {
             member,
             delivered,
@@ -191,7 +191,7 @@
             return;
         };
         for (n, budget) in self.config.budgets.list.iter().enumerate() {
-            let unsettled = all.of(budget.of);
+            let unsettled = all.of(budget.module_budget);
             // A process that ends returns all that it has not spent.
             let amount = if is_stopping {
                 unsettled
@@ -283,7 +283,7 @@
         };
         let mut changed = Vec::new();
         for (n, budget) in self.config.budgets.list.iter().enumerate() {
-            let (Some(of), Some(spec)) = (budget.of, shared.member.spec(n)) else {
+            let (Some(of), Some(spec)) = (budget.module_budget, shared.member.spec(n)) else {
                 continue;
             };
             let unit = budget.unit.one() as f64;
--- a/daemon/src/daemon/budgets/status.rs
+++ b/daemon/src/daemon/budgets/status.rs
@@ -2,7 +2,7 @@
 
 use crate::budgets::{BudgetStatus, GrantStatus, Status, MAX_BUDGETS, MAX_GRANTS};
 use crate::daemon::Daemon;
-use crate::interconnect::Shared;
+use crate::interconnect::SharedBudget;
 use linnetknot::Micros;
 use linnetknot_budgets::{Change, Demand, Lease, Member, MemberIndex, OutstandingGrant};
 use std::cmp::Ordering;
@@ -29,7 +29,7 @@
         member: &Member,
         now: Micros,
         n: usize,
-        budget: &Shared,
+        budget: &SharedBudget,
     ) -> BudgetStatus {
         let spec = member.spec(n).unwrap_or(budget.spec);
         let Lease {
--- a/daemon/src/daemon/sources/consul/cached_snapshot.rs
+++ b/daemon/src/daemon/sources/consul/cached_snapshot.rs
@@ -141,7 +141,7 @@
 
     fn load_snapshot(&mut self, now: Micros, number: usize) {
         let max_bytes = self.limits.max_cached_list_bytes;
-        let max_age_us = self.config.state.most_age_us;
+        let max_age_us = self.config.state.max_age_us;
         let Some(snapshot) = self.snapshot_mut(number) else {
             return;
         };
--- a/daemon/src/daemon/sources/consul/mod.rs
+++ b/daemon/src/daemon/sources/consul/mod.rs
@@ -96,7 +96,7 @@
                 .collect(),
             registered,
             token: token(consul)?,
-            max_answer: consul.most_answer,
+            max_answer: consul.max_response_bytes,
         })
     }
 }
@@ -316,7 +316,7 @@
         let (Some(old), Some(new)) = (&self.config.consul, new) else {
             return false;
         };
-        if !old.can_become(&new) {
+        if !old.can_reload_as(&new) {
             return false;
         }
         let token = match token(&new) {
@@ -335,7 +335,7 @@
             w.watch.reconfigure(options.clone(), new.mapping.clone());
         }
         (state.agents, state.token, state.max_answer) =
-            (new.agents.clone(), token, new.most_answer);
+            (new.agents.clone(), token, new.max_response_bytes);
         for key in keys {
             self.connections.remove(key);
         }
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -204,9 +204,9 @@
     /// The daemon before anything was replayed.
     fn assemble(config: Config, source: Source, parts: Parts) -> Self {
         let now = parts.clock.now();
-        let stored = OperatorFiles::load(&config.ops_folder, config.seed, now);
+        let stored = OperatorFiles::load(&config.operator_state_folder, config.seed, now);
         let origin_health = config
-            .tell
+            .share_origin_health
             .then(|| OriginHealth::new(ZonePosition::of(&config.settings), now));
         Daemon {
             clock: parts.clock,
@@ -256,7 +256,7 @@
             admin: parts.sockets.admin,
             callers: 0,
             ops: stored.operations,
-            ops_folder: config.ops_folder.clone(),
+            ops_folder: config.operator_state_folder.clone(),
             operator_state: stored.files,
             inherited: parts.sockets.inherited,
             limits: config.limits.clone(),
--- a/daemon/src/daemon/startup/sockets.rs
+++ b/daemon/src/daemon/startup/sockets.rs
@@ -70,7 +70,7 @@
             .map_err(watching("SIGTERM"))?;
         poll.add_at_start(&hup.heard, RELOAD)
             .map_err(watching("SIGHUP"))?;
-        let admin = match config.ops {
+        let admin = match config.admin {
             Some(address) => {
                 let listener = bind("ops", address)?;
                 Some(Listener::watch(listener, ADMIN, &poll).map_err(kernel("ops"))?)
@@ -109,7 +109,7 @@
     config: &Config,
     poll: &Poll,
 ) -> Result<Option<(UdpSocket, Vec<SocketAddr>)>, StartError> {
-    let talks = config.cdni.is_some() || config.tell;
+    let talks = config.cdni.is_some() || config.share_origin_health;
     let Some(peers) = config.peers.as_ref().filter(|_| talks) else {
         return Ok(None);
     };
--- a/daemon/src/fleet/mod.rs
+++ b/daemon/src/fleet/mod.rs
@@ -3,7 +3,7 @@
 mod query;
 mod table;
 
-pub use query::{ask, ask_budgets, StatusError};
+pub use query::{query_budgets, query_status, StatusError};
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
--- a/daemon/src/fleet/query.rs
+++ b/daemon/src/fleet/query.rs
@@ -56,7 +56,7 @@
 ///
 /// # Errors
 /// Where the admin listener can't be reached, replicates nothing, or its response can't be read.
-pub fn ask(admin: SocketAddr) -> Result<Status, StatusError> {
+pub fn query_status(admin: SocketAddr) -> Result<Status, StatusError> {
     query(
         admin,
         "/control/fleet",
@@ -68,7 +68,7 @@
 ///
 /// # Errors
 /// As `ask`; the admin listener has no status where no budget is shared.
-pub fn ask_budgets(admin: SocketAddr) -> Result<budgets::Status, StatusError> {
+pub fn query_budgets(admin: SocketAddr) -> Result<budgets::Status, StatusError> {
     query(
         admin,
         "/control/budgets",
--- a/daemon/src/interconnect/budgets.rs
+++ b/daemon/src/interconnect/budgets.rs
@@ -58,13 +58,13 @@
 
 /// One thing that is shared.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Shared {
+pub struct SharedBudget {
     /// Its name.
     pub name: String,
     /// What its amounts count.
     pub unit: kinds::Unit,
     /// What the module knows it as; none: it is another zone's.
-    pub of: Option<linnetknot::Budget>,
+    pub module_budget: Option<linnetknot::Budget>,
     /// Its limit and reserved minimum.
     pub spec: BudgetSpec,
 }
@@ -79,17 +79,17 @@
     /// Stands for what is shared among how many: whose is another does not share with this proxy.
     pub fingerprint: u64,
     /// What is shared.
-    pub list: Vec<Shared>,
+    pub list: Vec<SharedBudget>,
 }
 
 impl Budgets {
     /// How long a request may be open at most, whatever its client says; none: places at the origin are not shared, so
     /// that it need not be bounded.
-    pub fn longest_open_us(&self) -> Option<Micros> {
+    pub fn max_request_us(&self) -> Option<Micros> {
         let origin = self
             .list
             .iter()
-            .find(|shared| shared.of == Some(Budget::Origin));
+            .find(|shared| shared.module_budget == Some(Budget::Origin));
         origin.map(|shared| shared.spec.settling_us)
     }
 }
@@ -148,7 +148,7 @@
     }
 
     /// What caches in slow start take: of the parents, and of the caches of each zone.
-    fn slow_start_budgets(&self, settings: &Settings, members: usize) -> Vec<Shared> {
+    fn slow_start_budgets(&self, settings: &Settings, members: usize) -> Vec<SharedBudget> {
         let limit = kinds::CACHES.unit.one();
         let spec = BudgetSpec {
             limit,
@@ -158,10 +158,10 @@
         let parents = settings
             .parent_kind
             .as_ref()
-            .map(|_| Shared::new(kinds::PARENTS, "", Some(Budget::Parents), spec));
+            .map(|_| SharedBudget::new(kinds::PARENTS, "", Some(Budget::Parents), spec));
         let caches = settings.zones.iter().enumerate().map(|(index, zone)| {
-            let of = (index == settings.zone).then_some(Budget::Caches);
-            Shared::new(kinds::CACHES, &zone.name, of, spec)
+            let module_budget = (index == settings.zone).then_some(Budget::Caches);
+            SharedBudget::new(kinds::CACHES, &zone.name, module_budget, spec)
         });
         parents.into_iter().chain(caches).collect()
     }
@@ -169,7 +169,7 @@
 
 impl OriginFile {
     /// The origin's requests as a budget of so many members.
-    fn shared(&self, settings: &Settings, members: usize) -> Result<Shared> {
+    fn shared(&self, settings: &Settings, members: usize) -> Result<SharedBudget> {
         let deadlines = settings.classes.iter().map(|class| class.deadline_us);
         let spec = BudgetSpec {
             limit: self.limit,
@@ -181,21 +181,26 @@
                 limit: spec.limit,
                 source,
             })?;
-        Ok(Shared::new(kinds::ORIGIN, "", Some(Budget::Origin), spec))
+        Ok(SharedBudget::new(
+            kinds::ORIGIN,
+            "",
+            Some(Budget::Origin),
+            spec,
+        ))
     }
 }
 
-impl Shared {
-    fn new(kind: kinds::Kind, zone: &str, of: Option<Budget>, spec: BudgetSpec) -> Self {
+impl SharedBudget {
+    fn new(kind: kinds::Kind, zone: &str, module_budget: Option<Budget>, spec: BudgetSpec) -> Self {
         let name = if zone.is_empty() {
             kind.name.to_owned()
         } else {
             format!("{}:{zone}", kind.name)
         };
-        Shared {
+        SharedBudget {
             name,
             unit: kind.unit,
-            of,
+            module_budget,
             spec,
         }
     }
@@ -203,9 +208,9 @@
 
 /// Stands for what is shared among how many. A limit may differ for a while, as it is changed at one proxy after the
 /// other: it is left out.
-fn fingerprint(members: usize, list: &[Shared]) -> u64 {
+fn fingerprint(members: usize, list: &[SharedBudget]) -> u64 {
     let mut text = members.to_string();
-    for Shared { name, spec, .. } in list {
+    for SharedBudget { name, spec, .. } in list {
         text += &format!("\n{name} {} {}", spec.reserved, spec.settling_us);
     }
     linnetknot_discovery::server_id(&text)
--- a/daemon/src/interconnect/consul/mod.rs
+++ b/daemon/src/interconnect/consul/mod.rs
@@ -22,7 +22,7 @@
     /// The file with the token.
     pub token_file: Option<PathBuf>,
     /// The longest answer that is read.
-    pub most_answer: usize,
+    pub max_response_bytes: usize,
     /// The bus's list counts too.
     pub beside_bus: bool,
     /// Damping.
@@ -69,7 +69,7 @@
 
     /// Whether a running daemon can follow a change to this: the sources of its list and its own registration are
     /// those of its start.
-    pub fn can_become(&self, new: &Consul) -> bool {
+    pub fn can_reload_as(&self, new: &Consul) -> bool {
         let has_same_registration = match (&self.register, &new.register) {
             (Some(own), Some(new)) => own.is_same(new),
             (own, new) => own.is_none() && new.is_none(),
--- a/daemon/src/interconnect/consul/validation.rs
+++ b/daemon/src/interconnect/consul/validation.rs
@@ -42,7 +42,7 @@
             options,
             mapping,
             token_file: self.token_file.clone(),
-            most_answer: max_megabytes << 20,
+            max_response_bytes: max_megabytes << 20,
             beside_bus: self.beside_bus,
             damping,
             register,
--- a/daemon/src/interconnect/mod.rs
+++ b/daemon/src/interconnect/mod.rs
@@ -12,7 +12,7 @@
 mod state;
 mod validation;
 
-pub use budgets::{Budgets, BudgetsFile, OriginFile, Shared};
+pub use budgets::{Budgets, BudgetsFile, OriginFile, SharedBudget};
 pub use cdni::{Cdni, CdniFile, NeighbourFile};
 pub use consul::{
     ConsistencyFile, Consul, ConsulFile, DampingFile, IdentityFile, MetaFile, RegisterFile,
--- a/daemon/src/interconnect/state.rs
+++ b/daemon/src/interconnect/state.rs
@@ -32,16 +32,16 @@
     /// The folder for it.
     pub directory: Option<PathBuf>,
     /// The greatest age of a kept list.
-    pub most_age_us: Micros,
+    pub max_age_us: Micros,
 }
 
 impl StateFile {
     /// What the daemon uses.
     pub fn check(&self) -> Result<State> {
-        let most_age_us = range("state.most_age_s", self.most_age_s, 1, 1 << 32)? * 1_000_000;
+        let max_age_us = range("state.most_age_s", self.most_age_s, 1, 1 << 32)? * 1_000_000;
         Ok(State {
             directory: self.directory.clone(),
-            most_age_us,
+            max_age_us,
         })
     }
 }
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -141,11 +141,14 @@
 
 fn query_fleet(command: &FleetCommand) -> ExitCode {
     match *command {
-        FleetCommand::Status { admin, json } => {
-            print_status(admin, fleet::ask(admin), json, fleet::Status::to_table)
-        }
+        FleetCommand::Status { admin, json } => print_status(
+            admin,
+            fleet::query_status(admin),
+            json,
+            fleet::Status::to_table,
+        ),
         FleetCommand::Budgets { admin, json } => {
-            let status = fleet::ask_budgets(admin);
+            let status = fleet::query_budgets(admin);
             print_status(admin, status, json, budgets::Status::to_table)
         }
     }
--- a/daemon/tests/config.rs
+++ b/daemon/tests/config.rs
@@ -371,15 +371,15 @@
     let names: Vec<&str> = a.list.iter().map(|b| b.name.as_str()).collect();
     assert_eq!(names, ["origin", "cold-caches:hub", "cold-caches:here"]);
     // Work for cold caches settles in less time than requests may take, and bounds none.
-    assert_eq!(a.longest_open_us(), Some(a.list[0].spec.settling_us));
+    assert_eq!(a.max_request_us(), Some(a.list[0].spec.settling_us));
     assert_eq!(
-        budgets("127.0.0.1:2", json!({"cold": true})).longest_open_us(),
+        budgets("127.0.0.1:2", json!({"cold": true})).max_request_us(),
         None
     );
     assert_eq!(
         (
             a.list[0].spec.reserved,
-            a.list[1].of,
+            a.list[1].module_budget,
             a.list[2].spec.reserved
         ),
         (1, None, 83_333)
--- a/daemon/tests/failing_folder.rs
+++ b/daemon/tests/failing_folder.rs
@@ -1,7 +1,7 @@
 //! Daemons whose folder fails for a while (EIO, ENOSPC) or for good, at their start and in the middle of their work, as
 //! processes of their own that are killed in between.
 
-use linnetknot_daemon::fleet::ask as ask_status;
+use linnetknot_daemon::fleet::query_status;
 use linnetknot_harness::clients::{becomes, call, Answer};
 use linnetknot_harness::fleet::{status_path, Disk, Fleet, Setup};
 use std::path::Path;
@@ -145,7 +145,7 @@
         .restart_armed(0, Disk::Kept, "disk-open=EIO@6000")
         .unwrap();
     assert!(becomes(TIMEOUT, || is_ready(&fleet, 0)));
-    let status = ask_status(fleet.process(0).unwrap().admin).unwrap();
+    let status = query_status(fleet.process(0).unwrap().admin).unwrap();
     let why = status.store_error.expect("it says so");
     assert!(why.contains("os error 5"), "{why}");
     assert!(fleet.holds_floor(0, &object(1)).unwrap(), "by its peers");
--- a/daemon/tests/fleet_status.rs
+++ b/daemon/tests/fleet_status.rs
@@ -2,7 +2,7 @@
 
 use linnetknot_daemon::budgets::{self, BudgetStatus, GrantStatus, MAX_BUDGETS, MAX_GRANTS};
 use linnetknot_daemon::fleet::{
-    ask, to_json, LogStatus, PeerStatus, Status, StatusError, MAX_LOGS, MAX_PEERS,
+    query_status, to_json, LogStatus, PeerStatus, Status, StatusError, MAX_LOGS, MAX_PEERS,
 };
 use linnetknot_daemon::limits::Limits;
 use std::io::Write;
@@ -65,7 +65,7 @@
             std::thread::sleep(Duration::from_millis(100));
         }
     });
-    assert!(matches!(ask(admin), Err(StatusError::Endless)));
+    assert!(matches!(query_status(admin), Err(StatusError::Endless)));
 }
 
 /// Tools of operators read these keys.
--- a/daemon/tests/plain_purges.rs
+++ b/daemon/tests/plain_purges.rs
@@ -1,6 +1,6 @@
 //! A daemon between a peer that replicates logs and one that does not: who is sent plain purges, and whose are written.
 
-use linnetknot_daemon::fleet::ask as ask_status;
+use linnetknot_daemon::fleet::query_status;
 use linnetknot_datagram::MAX_DATAGRAM_BYTES;
 use linnetknot_harness::clients::{becomes, TIMEOUT};
 use linnetknot_harness::fleet::purge_at;
@@ -134,7 +134,7 @@
         let (admin, address, member) = (self.daemon.admin, self.address, &mut self.member);
         let met = becomes(TIMEOUT, || {
             member.take_turn(address);
-            ask_status(admin)
+            query_status(admin)
                 .unwrap()
                 .peers
                 .iter()
--- a/daemon/tests/rig/mod.rs
+++ b/daemon/tests/rig/mod.rs
@@ -100,7 +100,7 @@
             let mut config = Config::read(file.as_object().unwrap())?;
             config.interconnect(own.as_object().unwrap())?;
             if let Some(folder) = folder.as_str() {
-                config.ops_folder = folder.into();
+                config.operator_state_folder = folder.into();
             }
             for (name, us) in bounds.as_object().into_iter().flatten() {
                 let limits = &mut config.limits;
--- a/harness/src/fleet/queries.rs
+++ b/harness/src/fleet/queries.rs
@@ -3,7 +3,7 @@
 use super::Fleet;
 use crate::clients::{call, Answer, WebServer, TIMEOUT};
 use linnetknot_daemon::budgets;
-use linnetknot_daemon::fleet::{ask as ask_status, ask_budgets, Status};
+use linnetknot_daemon::fleet::{query_budgets, query_status, Status};
 use std::io;
 use std::path::PathBuf;
 use std::time::Instant;
@@ -11,7 +11,7 @@
 impl Fleet {
     /// A proxy's status of the budgets that all share.
     pub fn budgets(&self, n: usize) -> io::Result<budgets::Status> {
-        Ok(ask_budgets(self.process(n)?.admin)?)
+        Ok(query_budgets(self.process(n)?.admin)?)
     }
 
     /// The file in which a proxy stores the purges of peer CDNs.
@@ -26,7 +26,7 @@
 
     /// A proxy's status of its replication.
     pub fn status(&self, n: usize) -> io::Result<Status> {
-        Ok(ask_status(self.process(n)?.admin)?)
+        Ok(query_status(self.process(n)?.admin)?)
     }
 
     /// Whether all proxies that run have the same entries, all of them on their disks and none short of copies.
--- a/rehearse/src/scale/daemons/real.rs
+++ b/rehearse/src/scale/daemons/real.rs
@@ -4,7 +4,7 @@
 use crate::scale::fleet_config::{MemberName, SharedBudget};
 use crate::scale::target::Target;
 use linnetknot_daemon::config::Config;
-use linnetknot_daemon::fleet::{ask, Status};
+use linnetknot_daemon::fleet::{query_status, Status};
 use linnetknot_daemon::interconnect::Budgets;
 use linnetknot_harness::fleet::{free_ports, trigger_at};
 use linnetknot_harness::process::Process;
@@ -92,7 +92,7 @@
     let shared = budgets.list.iter().map(|shared| SharedBudget {
         unit: shared.unit,
         spec: shared.spec,
-        zone: shared.of.is_none().then_some(zones),
+        zone: shared.module_budget.is_none().then_some(zones),
     });
     shared.collect()
 }
@@ -169,7 +169,7 @@
     /// # Errors
     /// Where it can't be asked.
     pub fn status(&self, daemon: usize) -> io::Result<Status> {
-        Ok(ask(self.processes[daemon].admin)?)
+        Ok(query_status(self.processes[daemon].admin)?)
     }
 
     /// The number of a daemon's process among those of its name. One that began without a disk has that of its log.
