--- a/daemon/src/bus.rs
+++ b/daemon/src/bus.rs
@@ -114,8 +114,8 @@
 
 /// One call to the bus.
 pub struct BusStream {
-    http: http::Messages,
-    events: sse::Events,
+    http: http::MessageParser,
+    events: sse::EventParser,
 }
 
 /// The request that reads on behind an event.
@@ -130,10 +130,10 @@
 impl BusStream {
     /// A call just begun.
     pub fn new(limits: &Limits) -> Self {
-        let http = http::Messages::responses(limits.max_line_bytes, usize::MAX);
+        let http = http::MessageParser::responses(limits.max_line_bytes, usize::MAX);
         BusStream {
             http,
-            events: sse::Events::new(limits.max_line_bytes),
+            events: sse::EventParser::new(limits.max_line_bytes),
         }
     }
 
--- a/daemon/src/daemon/budgets/mod.rs
+++ b/daemon/src/daemon/budgets/mod.rs
@@ -5,7 +5,7 @@
 mod status;
 
 use super::Daemon;
-use crate::net::Due;
+use crate::net::DeadlineId;
 use linnetknot::{Budget, Lease, Micros};
 use linnetknot_budgets::kinds::Unit;
 use linnetknot_budgets::wire::{self, DecodeError};
@@ -23,7 +23,7 @@
     member: Member,
     /// The leases that the module received last, by budget.
     delivered: Vec<Option<Lease>>,
-    due: Option<Due>,
+    due: Option<DeadlineId>,
     /// Whether it was logged that datagrams of another fingerprint were dropped.
     mismatch_logged: bool,
     /// The list of peers has changed, and with it the members' indices: nothing is sent or received any more, and only
--- a/daemon/src/daemon/cdni_listener.rs
+++ b/daemon/src/daemon/cdni_listener.rs
@@ -6,7 +6,7 @@
 use crate::core::{Answer, Client, ClientRequest};
 use crate::front::cdni::{self, Post, Reply, Session, Waiting, MEDIA};
 use crate::net::{Key, Progress, TcpConnection};
-use crate::wire::http::{self, Head, Messages, Piece};
+use crate::wire::http::{self, Head, MessageParser, Piece};
 use crate::wire::{Parser, WireError};
 use linnetknot::Micros;
 
@@ -14,7 +14,7 @@
 struct Delivery {
     post: Post,
     attempts: u32,
-    messages: Messages,
+    messages: MessageParser,
 }
 
 impl Delivery {
@@ -22,7 +22,7 @@
         Delivery {
             post,
             attempts,
-            messages: Messages::responses(most_line, usize::MAX),
+            messages: MessageParser::responses(most_line, usize::MAX),
         }
     }
 }
--- a/daemon/src/daemon/commits/mod.rs
+++ b/daemon/src/daemon/commits/mod.rs
@@ -9,7 +9,7 @@
 use super::{Connection, Daemon, Kind, Timer};
 use crate::front::cdni::{Effect, Response, TriggerId};
 use crate::ledger::AppendError;
-use crate::net::{Due, Key};
+use crate::net::{DeadlineId, Key};
 use linnetknot::Micros;
 use linnetknot_replication::{CommitId, Index, Recovery, RejectReason};
 use operators::OperatorResponse;
@@ -55,13 +55,13 @@
     /// The recovery of a proxy that began without its disk.
     pub(super) recovery: Option<Recovery>,
     /// When the recovery is due.
-    pub(super) recovery_due: Option<Due>,
+    pub(super) recovery_due: Option<DeadlineId>,
     /// The wait of a proxy that is behind what its peers have compacted.
     pub(super) snapshot: Option<SnapshotWait>,
     /// How many peers were offered a snapshot and did not answer, at the last tick.
     pub(super) without_snapshot: usize,
     /// When replication is due.
-    pub(super) replication_due: Option<Due>,
+    pub(super) replication_due: Option<DeadlineId>,
     /// How many entries were under-replicated at the last tick.
     pub(super) under_replicated: usize,
 }
--- a/daemon/src/daemon/exchange.rs
+++ b/daemon/src/daemon/exchange.rs
@@ -3,7 +3,7 @@
 //! longer borrowed.
 
 use super::{Daemon, Kind, Timer};
-use crate::net::{Due, Key};
+use crate::net::{DeadlineId, Key};
 use crate::wire::WireError;
 use linnetknot::Micros;
 use std::net::SocketAddr;
@@ -64,10 +64,10 @@
     /// Reschedules: cancels what was due, and has this done at a time, if at all.
     pub(super) fn instead(
         &mut self,
-        old: Option<Due>,
+        old: Option<DeadlineId>,
         at: Option<Micros>,
         what: impl FnOnce(&mut Daemon, Micros) + 'static,
-    ) -> Option<Due> {
+    ) -> Option<DeadlineId> {
         if let Some(old) = old {
             self.deadlines.cancel(old);
         }
@@ -79,7 +79,7 @@
         &mut self,
         at: Micros,
         what: impl FnOnce(&mut Daemon, Micros) + 'static,
-    ) -> Due {
+    ) -> DeadlineId {
         self.deadlines.set(at, Timer::Task(Box::new(what)))
     }
 
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -15,7 +15,7 @@
 use crate::front::cdni::TriggerApi;
 use crate::ledger::Ledger;
 use crate::limits::Limits;
-use crate::net::{Clock, Deadlines, Due, Key, Listener, Poll, SlotTable};
+use crate::net::{Clock, DeadlineId, Deadlines, Key, Listener, Poll, SlotTable};
 use crate::plain_purges::PlainPurges;
 use linnetknot::{Micros, ServerId};
 use linnetknot_discovery::{EndpointTable, ListValidator};
@@ -88,7 +88,7 @@
     members: EndpointTable,
     /// What of the bus's lists is believed.
     validator: ListValidator,
-    members_due: Option<Due>,
+    members_due: Option<DeadlineId>,
     logged: LoggedLines,
     consul: Option<consul::State>,
     snapshots: Option<consul::SnapshotWriter>,
@@ -97,7 +97,7 @@
     peer_index: PeerIndex,
     plain_purges: PlainPurges,
     /// When those are looked at again.
-    plain_purges_due: Option<Due>,
+    plain_purges_due: Option<DeadlineId>,
     origin_health: Option<OriginHealth>,
     /// Datagrams dropped: from nobody who is a peer, and of no known kind.
     dropped: (u64, u64),
@@ -111,7 +111,7 @@
     membership: Option<linnetknot_membership::Membership>,
     /// What all proxies spend together.
     shared_budgets: Option<budgets::SharedBudgets>,
-    fleet_due: Option<Due>,
+    fleet_due: Option<DeadlineId>,
     /// Raised by the store's worker when there is word of what is on the disk.
     store_word: Option<Signal>,
     /// Payloads to neighbours that are on their way or wait to be tried again.
--- a/daemon/src/daemon/operator_state.rs
+++ b/daemon/src/daemon/operator_state.rs
@@ -3,7 +3,7 @@
 
 use super::Daemon;
 use crate::disk::{remove_leftovers, replace_unsynced, FailedAttempts, StagedFile};
-use crate::net::Due;
+use crate::net::DeadlineId;
 use linnetknot::Micros;
 use linnetknot_consul::Backoff;
 use linnetknot_ops::state::OperatorState;
@@ -25,7 +25,7 @@
     is_unread: bool,
     /// The files may differ from the state in force.
     is_stale: bool,
-    due: Option<Due>,
+    due: Option<DeadlineId>,
 }
 
 /// The operators' state at the start, and its files.
--- a/daemon/src/daemon/plain_purges.rs
+++ b/daemon/src/daemon/plain_purges.rs
@@ -36,7 +36,7 @@
         if let Some(pending) = &mut self.pending_store {
             return pending.learn(purge.clone());
         }
-        if let Err(e) = ledger.learn_purge(purge.object.as_deref(), purge.group, purge.at) {
+        if let Err(e) = ledger.append_if_newer(purge.object.as_deref(), purge.group, purge.at) {
             log::error!("a peer's purge is in force but not stored for the next start: {e}");
         }
     }
--- a/daemon/src/daemon/sources/bus.rs
+++ b/daemon/src/daemon/sources/bus.rs
@@ -5,7 +5,7 @@
 use crate::daemon::exchange::{Effect, End, Exchange, Flow};
 use crate::daemon::Daemon;
 use crate::limits::Limits;
-use crate::net::{Due, Key};
+use crate::net::{DeadlineId, Key};
 use crate::wire::WireError;
 use linnetknot::{ListMode, Micros, ServerId, State as ServerState};
 use linnetknot_consul::Backoff;
@@ -24,7 +24,7 @@
 /// The state of the connection to the bus.
 pub(in crate::daemon) struct State {
     key: Option<Key>,
-    timer: Option<Due>,
+    timer: Option<DeadlineId>,
     /// The number of the last event.
     pub(in crate::daemon) last: u64,
     /// When something last came.
--- a/daemon/src/daemon/sources/consul/cached_snapshot.rs
+++ b/daemon/src/daemon/sources/consul/cached_snapshot.rs
@@ -4,7 +4,7 @@
 use crate::daemon::discovery::CONSUL;
 use crate::daemon::Daemon;
 use crate::disk::{remove_leftovers, FileWriter, WriteJob};
-use crate::net::Due;
+use crate::net::DeadlineId;
 use linnetknot::Micros;
 use linnetknot_discovery::{cached_snapshot, Entry, SourceId};
 use linnetknot_store::is_lasting;
@@ -44,7 +44,7 @@
     /// What it is the list of.
     scope: String,
     /// When it is written next, if it is to be.
-    timer: Option<Due>,
+    timer: Option<DeadlineId>,
     /// When the list was last confirmed.
     good_at: Micros,
     written_at: Micros,
--- a/daemon/src/daemon/sources/consul/call.rs
+++ b/daemon/src/daemon/sources/consul/call.rs
@@ -2,7 +2,7 @@
 
 use crate::daemon::exchange::{Effect, End, Exchange, Flow};
 use crate::daemon::Daemon;
-use crate::wire::http::{Head, Messages, Piece};
+use crate::wire::http::{Head, MessageParser, Piece};
 use crate::wire::{Parser, WireError};
 use linnetknot::Micros;
 use linnetknot_consul::TransportError;
@@ -17,7 +17,7 @@
 /// One call.
 pub(super) struct Call {
     request: Vec<u8>,
-    messages: Messages,
+    messages: MessageParser,
     head: Option<Head>,
     body: Vec<u8>,
     /// Who takes the parts of a body with status 200 as they come.
@@ -34,7 +34,7 @@
         max_body: usize,
         then: impl FnOnce(&mut Daemon, Micros, Outcome) + 'static,
     ) -> Box<Self> {
-        let messages = Messages::responses(max_line, max_body);
+        let messages = MessageParser::responses(max_line, max_body);
         let then: Option<Then> = Some(Box::new(then));
         Box::new(Call {
             request,
--- a/daemon/src/daemon/sources/consul/mod.rs
+++ b/daemon/src/daemon/sources/consul/mod.rs
@@ -7,7 +7,7 @@
 use crate::daemon::discovery::CONSUL;
 use crate::daemon::Daemon;
 use crate::interconnect::Consul;
-use crate::net::{Due, Key};
+use crate::net::{DeadlineId, Key};
 pub(in crate::daemon) use cached_snapshot::SnapshotWriter;
 use call::{Call, Outcome};
 use linnetknot::Micros;
@@ -26,13 +26,13 @@
     watch: Watch,
     /// The call that is out.
     key: Option<Key>,
-    timer: Option<Due>,
+    timer: Option<DeadlineId>,
 }
 
 /// The proxy's own registration.
 struct Registered {
     registration: Registration,
-    timer: Option<Due>,
+    timer: Option<DeadlineId>,
 }
 
 /// What the daemon knows of Consul.
--- a/daemon/src/fleet/query.rs
+++ b/daemon/src/fleet/query.rs
@@ -2,7 +2,7 @@
 
 use super::Status;
 use crate::budgets;
-use crate::wire::http::{write_message, Messages, Piece};
+use crate::wire::http::{write_message, MessageParser, Piece};
 use crate::wire::Parser;
 use serde::de::DeserializeOwned;
 use std::io::{self, Read, Write};
@@ -102,7 +102,7 @@
 }
 
 fn read_response(socket: &mut TcpStream) -> Result<Response, StatusError> {
-    let mut messages = Messages::responses(MAX_RESPONSE_BYTES, MAX_RESPONSE_BYTES);
+    let mut messages = MessageParser::responses(MAX_RESPONSE_BYTES, MAX_RESPONSE_BYTES);
     let mut input = Vec::new();
     let mut response = Response {
         status: None,
--- a/daemon/src/front/cdni/session.rs
+++ b/daemon/src/front/cdni/session.rs
@@ -3,7 +3,7 @@
 use super::Response;
 use crate::core::RequestKey;
 use crate::net::RingBuffer;
-use crate::wire::http::{self, Head, Messages, Piece};
+use crate::wire::http::{self, Head, MessageParser, Piece};
 use crate::wire::{Parser, WireError};
 
 /// What an answer waits for.
@@ -17,7 +17,7 @@
 
 /// A connection. Its requests are answered one after the other: while one waits, the next stays in the ring.
 pub struct Session {
-    messages: Messages,
+    messages: MessageParser,
     head: Option<Head>,
     body: Vec<u8>,
     keep_open: bool,
@@ -57,7 +57,7 @@
     /// A connection just accepted, for lines and bodies of so many bytes at most.
     pub fn new(max_line: usize, max_body: usize) -> Self {
         Session {
-            messages: Messages::requests(max_line, max_body),
+            messages: MessageParser::requests(max_line, max_body),
             head: None,
             body: Vec::new(),
             keep_open: true,
--- a/daemon/src/front/fastcgi/session.rs
+++ b/daemon/src/front/fastcgi/session.rs
@@ -6,7 +6,7 @@
 use crate::core::{Answer, RequestKey};
 use crate::limits::Limits;
 use crate::net::RingBuffer;
-use crate::wire::fastcgi::{self as wire, Records};
+use crate::wire::fastcgi::{self as wire, RecordParser};
 use crate::wire::{Parser, WireError};
 use std::collections::{HashMap, VecDeque};
 
@@ -58,7 +58,7 @@
 /// One connection of a web server.
 #[derive(Default)]
 pub struct Session {
-    pub(super) records: Records,
+    pub(super) records: RecordParser,
     pub(super) streams: HashMap<u16, Stream>,
     /// Inputs that have not been taken out yet.
     pub(super) inputs: VecDeque<Input>,
@@ -135,7 +135,7 @@
     pub fn stop_reading(&mut self) {
         self.unreadable = true;
         self.closing = true;
-        self.records = Records::default();
+        self.records = RecordParser::default();
         self.streams.retain(|_, stream| stream.is_waiting());
         let is_unread = |(id, stream): (&u16, &Stream)| {
             let is_input = self.inputs.iter().any(|input| input.is_for(*id));
--- a/daemon/src/ledger/append.rs
+++ b/daemon/src/ledger/append.rs
@@ -78,7 +78,7 @@
     }
 
     /// Appends a purge that a peer without logs sent, unless it is known.
-    pub fn learn_purge(
+    pub fn append_if_newer(
         &mut self,
         object: Option<&str>,
         group: u64,
--- a/daemon/src/ledger/opening.rs
+++ b/daemon/src/ledger/opening.rs
@@ -54,12 +54,12 @@
         wake: impl Fn() + Send + 'static,
     ) -> Result<Self, LedgerError> {
         let legacy = legacy::rename_legacy(path)?;
-        Self::on_store(Store::open(path)?, legacy, writer, now, bounds, wake)
+        Self::open_on(Store::open(path)?, legacy, writer, now, bounds, wake)
     }
 
     /// Does what `open` does with a store that is open, and an earlier version's file where there is one: for tests.
     #[doc(hidden)]
-    pub fn on_store(
+    pub fn open_on(
         mut store: Store,
         legacy: Option<PathBuf>,
         writer: Writer,
@@ -142,7 +142,7 @@
 
     /// Ends the worker and leaves the store as a crash does, not closed: for tests.
     #[doc(hidden)]
-    pub fn abandon(self) {
+    pub fn simulate_crash(self) {
         drop(self.worker.map(StoreWorker::close));
     }
 }
--- a/daemon/src/net/deadlines.rs
+++ b/daemon/src/net/deadlines.rs
@@ -4,7 +4,7 @@
 
 /// A deadline that is set, by which it can be cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Due {
+pub struct DeadlineId {
     /// Its time.
     pub at: u64,
     /// Its number among all that were set, which orders those of one time.
@@ -13,7 +13,7 @@
 
 /// Deadlines by time, those of one time in the order in which they were set.
 pub struct Deadlines<T> {
-    due: BTreeMap<Due, T>,
+    due: BTreeMap<DeadlineId, T>,
     last_sequence: u64,
 }
 
@@ -28,9 +28,9 @@
 
 impl<T> Deadlines<T> {
     /// Sets a deadline.
-    pub fn set(&mut self, at: u64, what: T) -> Due {
+    pub fn set(&mut self, at: u64, what: T) -> DeadlineId {
         self.last_sequence += 1;
-        let due = Due {
+        let due = DeadlineId {
             at,
             sequence: self.last_sequence,
         };
@@ -39,7 +39,7 @@
     }
 
     /// Cancels a deadline, unless it has come due.
-    pub fn cancel(&mut self, due: Due) {
+    pub fn cancel(&mut self, due: DeadlineId) {
         self.due.remove(&due);
     }
 
--- a/daemon/src/net/mod.rs
+++ b/daemon/src/net/mod.rs
@@ -14,7 +14,7 @@
 
 pub use clock::Clock;
 pub use conn::{bind_shared_udp, connect, Progress, TcpConnection};
-pub use deadlines::{Deadlines, Due};
+pub use deadlines::{DeadlineId, Deadlines};
 pub use errno::{classify, Call, Failure, FailureKind};
 pub use listener::Listener;
 pub use poll::{Interest, Poll, ReadyEvent};
--- a/daemon/src/plain_purges.rs
+++ b/daemon/src/plain_purges.rs
@@ -28,7 +28,7 @@
 
 /// What is due at a tick.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Overdue {
+pub struct DueWork {
     /// Datagrams to send to the peers that are not known to replicate logs.
     pub resends: Vec<String>,
     /// Purges to write, as their senders are still not known to replicate logs.
@@ -112,8 +112,8 @@
     }
 
     /// Takes what is due. `replicates` says whether a peer is known to replicate logs by now.
-    pub fn tick(&mut self, now: Micros, replicates: impl Fn(usize) -> bool) -> Overdue {
-        let mut overdue = Overdue::default();
+    pub fn tick(&mut self, now: Micros, replicates: impl Fn(usize) -> bool) -> DueWork {
+        let mut overdue = DueWork::default();
         while let Some(resend) = pop_if(&mut self.resends, |resend| resend.at <= now) {
             overdue.resends.push(resend.text.clone());
             if resend.left > 0 {
--- a/daemon/src/upstream/connection.rs
+++ b/daemon/src/upstream/connection.rs
@@ -28,7 +28,7 @@
     pub server: ServerId,
     /// Where the connection leads: a cache may move, and its older connections then lead to what was there before.
     pub endpoint: Option<SocketAddr>,
-    pub(super) arrays: resp::Arrays,
+    pub(super) arrays: resp::ArrayParser,
     pub(super) queue: VecDeque<QueuedAttempt>,
     /// Ids whose abort is not written yet.
     pub(super) aborts: VecDeque<String>,
@@ -56,7 +56,7 @@
         UpstreamConnection {
             server,
             endpoint: None,
-            arrays: resp::Arrays::new(limits.max_object_bytes),
+            arrays: resp::ArrayParser::new(limits.max_object_bytes),
             queue: VecDeque::new(),
             aborts: VecDeque::new(),
             streams: HashMap::new(),
--- a/daemon/src/wire/fastcgi.rs
+++ b/daemon/src/wire/fastcgi.rs
@@ -59,13 +59,13 @@
 
 /// Reads records. A record has 65,535 bytes of content at most by its form, so that no length needs a limit of its own.
 #[derive(Default)]
-pub struct Records {
+pub struct RecordParser {
     header: Vec<u8>,
     content: Vec<u8>,
     skipped: usize,
 }
 
-impl Records {
+impl RecordParser {
     /// Bytes held of a record that has arrived in part.
     pub fn buffered_bytes(&self) -> usize {
         self.header.len() + self.content.len()
@@ -77,7 +77,7 @@
     }
 }
 
-impl Parser for Records {
+impl Parser for RecordParser {
     type Item = Record;
 
     fn parse(&mut self, input: &[u8]) -> Result<(usize, Option<Record>), WireError> {
--- a/daemon/src/wire/http.rs
+++ b/daemon/src/wire/http.rs
@@ -88,7 +88,7 @@
 
 /// Reads messages.
 #[derive(Clone, Debug)]
-pub struct Messages {
+pub struct MessageParser {
     responses: bool,
     max_line: usize,
     max_body: usize,
@@ -102,10 +102,10 @@
     done: bool,
 }
 
-impl Messages {
+impl MessageParser {
     /// A reader of requests.
     pub fn requests(max_line: usize, max_body: usize) -> Self {
-        Messages {
+        MessageParser {
             responses: false,
             max_line,
             max_body,
@@ -120,7 +120,7 @@
 
     /// A reader of responses; `max_body` is `usize::MAX` for streams.
     pub fn responses(max_line: usize, max_body: usize) -> Self {
-        Messages {
+        MessageParser {
             responses: true,
             ..Self::requests(max_line, max_body)
         }
@@ -274,7 +274,7 @@
     }
 }
 
-impl Parser for Messages {
+impl Parser for MessageParser {
     type Item = Piece;
 
     fn parse(&mut self, input: &[u8]) -> Result<(usize, Option<Piece>), WireError> {
--- a/daemon/src/wire/resp.rs
+++ b/daemon/src/wire/resp.rs
@@ -8,7 +8,7 @@
 const MAX_LINE: usize = 32;
 
 /// Reads arrays of bulk strings.
-pub struct Arrays {
+pub struct ArrayParser {
     max_string: usize,
     line: Vec<u8>,
     /// How many strings of the array are still to come, the one being read included; none: no array has begun.
@@ -19,10 +19,10 @@
     item: Vec<u8>,
 }
 
-impl Arrays {
+impl ArrayParser {
     /// A reader that takes strings of so many bytes at most.
     pub fn new(max_string: usize) -> Self {
-        Arrays {
+        ArrayParser {
             max_string,
             line: Vec::new(),
             missing: None,
@@ -53,7 +53,7 @@
     }
 }
 
-impl Parser for Arrays {
+impl Parser for ArrayParser {
     type Item = Vec<Vec<u8>>;
 
     fn parse(&mut self, input: &[u8]) -> Result<(usize, Option<Self::Item>), WireError> {
--- a/daemon/src/wire/sse.rs
+++ b/daemon/src/wire/sse.rs
@@ -12,17 +12,17 @@
 }
 
 /// Reads events out of a stream's bytes.
-pub struct Events {
+pub struct EventParser {
     max_bytes: usize,
     line: Vec<u8>,
     id: String,
     data: Option<String>,
 }
 
-impl Events {
+impl EventParser {
     /// A reader of events of so many bytes at most.
     pub fn new(max_bytes: usize) -> Self {
-        Events {
+        EventParser {
             max_bytes,
             line: Vec::new(),
             id: String::new(),
@@ -31,7 +31,7 @@
     }
 }
 
-impl Parser for Events {
+impl Parser for EventParser {
     type Item = Event;
 
     fn parse(&mut self, input: &[u8]) -> Result<(usize, Option<Event>), WireError> {
--- a/daemon/tests/common/ledger_on_medium.rs
+++ b/daemon/tests/common/ledger_on_medium.rs
@@ -84,7 +84,7 @@
         let wake = move || {
             let _ = wake.send(());
         };
-        let ledger = Ledger::on_store(store, None, writer, now, bounds, wake)?;
+        let ledger = Ledger::open_on(store, None, writer, now, bounds, wake)?;
         Ok(Running {
             ledger,
             medium: medium.clone(),
@@ -172,7 +172,7 @@
             break;
         }
     }
-    running.ledger.abandon();
+    running.ledger.simulate_crash();
     acknowledged
 }
 
@@ -208,7 +208,7 @@
                 .filter(|entry| !again.holds(entry))
                 .map(|entry| (n, entry)),
         );
-        again.ledger.abandon();
+        again.ledger.simulate_crash();
     }
     lost
 }
--- a/daemon/tests/compaction.rs
+++ b/daemon/tests/compaction.rs
@@ -77,7 +77,7 @@
         stop(&medium, None);
         running.settle_in_time();
         assert!(!running.ledger.table().is_empty());
-        running.ledger.abandon();
+        running.ledger.simulate_crash();
         let again = Running::open(&medium, 1 << 50, bounds(WINDOW, BITS)).unwrap();
         assert!(
             acknowledged.iter().all(|entry| again.holds(entry)),
@@ -102,7 +102,7 @@
             .is_none_or(|at| Some(at) < store.latest(&subject(*n)))
     });
     assert_eq!(lost.count(), 0);
-    crashed.ledger.abandon();
+    crashed.ledger.simulate_crash();
     entries_on_disk(&copy)
 }
 
@@ -140,7 +140,7 @@
         running.ledger.replica().log_store().effective(&subject(n)) >= Some(1_000 * n)
     };
     assert!((0..30).all(|n| is_held(&running, n)));
-    running.ledger.abandon();
+    running.ledger.simulate_crash();
     assert_eq!(open_store(&medium).format(), Ok(Format::Compacted));
     assert!(entries_on_disk(&medium) <= WINDOW);
     let again = Running::open(&medium, 2_000_000, bounds(WINDOW, BITS)).unwrap();
@@ -251,13 +251,13 @@
         Running::open(&start, 1 << 50, bounds(WINDOW, bits))
             .unwrap()
             .ledger
-            .abandon();
+            .simulate_crash();
         let operations = start.0.lock().unwrap().operations - before;
         for n in 0..operations {
             let medium = copy(&full);
             stop(&medium, Some(n));
             if let Ok(running) = Running::open(&medium, 1 << 50, bounds(WINDOW, bits)) {
-                running.ledger.abandon();
+                running.ledger.simulate_crash();
             }
             medium.0.lock().unwrap().lose(n);
             // Whichever size is on the disk, both settings open it.
@@ -268,7 +268,7 @@
                     acknowledged.iter().all(|entry| again.holds(entry)),
                     "stopped at {n}"
                 );
-                again.ledger.abandon();
+                again.ledger.simulate_crash();
             }
         }
     }
@@ -345,7 +345,7 @@
     }
     assert_eq!(sides[0].ledger.replica().acked_by(0), 40);
     let [_, receiver] = sides;
-    receiver.ledger.abandon();
+    receiver.ledger.simulate_crash();
     let again = Running::open_as(2, &theirs, now, options).unwrap();
     assert!(told.iter().all(|entry| again.holds(entry)));
     assert_eq!(again.ledger.replica().log_store().last_index(log), 40);
--- a/daemon/tests/ledger.rs
+++ b/daemon/tests/ledger.rs
@@ -56,16 +56,16 @@
     let mut all = open(&path, 77).unwrap();
     for at in 1..=30 {
         all.0.append_purge(Some("0a"), 0, at).unwrap();
-        all.0.learn_purge(None, 7, 3).unwrap();
+        all.0.append_if_newer(None, 7, 3).unwrap();
     }
     written(&mut all);
-    all.0.learn_purge(Some("0a"), 0, 4).unwrap();
+    all.0.append_if_newer(Some("0a"), 0, 4).unwrap();
     assert!(
         all.0.replica().is_synced(),
         "what is known is not written again"
     );
     // Dropped and not closed, as a crash leaves it.
-    all.0.abandon();
+    all.0.simulate_crash();
     let mut again = open(&path, 78).unwrap();
     assert_eq!(again.0.incarnation(), 78);
     let both = [Purge::of_group(7, 3), Purge::of_object("0a", 30)];
@@ -95,7 +95,7 @@
         "one process has it: {second}"
     );
     written(&mut again);
-    again.0.abandon();
+    again.0.simulate_crash();
     assert_eq!(open(&path, 81).unwrap().0.purges().len(), 4);
     fs::remove_file(&path).unwrap();
     assert!(open(&path.join("below"), 82).is_err());
--- a/daemon/tests/scripted/mod.rs
+++ b/daemon/tests/scripted/mod.rs
@@ -18,7 +18,7 @@
 /// One connection of a scripted box.
 pub(crate) struct Wire {
     pub(crate) socket: TcpStream,
-    pub(crate) arrays: resp::Arrays,
+    pub(crate) arrays: resp::ArrayParser,
     pub(crate) input: Vec<u8>,
     pub(crate) ended: bool,
 }
@@ -41,7 +41,7 @@
     pub(crate) fn arrived(&mut self) -> Vec<(usize, Vec<String>)> {
         while let Ok((socket, _)) = self.listener.accept() {
             socket.set_nonblocking(true).unwrap();
-            let arrays = resp::Arrays::new(1 << 20);
+            let arrays = resp::ArrayParser::new(1 << 20);
             self.wires.push(Wire {
                 socket,
                 arrays,
--- a/daemon/tests/stored_forms.rs
+++ b/daemon/tests/stored_forms.rs
@@ -204,7 +204,7 @@
     check(&running.ledger, epoch, second);
     let again = folder.0.join("again");
     write_again(&again, epoch, &running.ledger, exact_purges);
-    running.ledger.abandon();
+    running.ledger.simulate_crash();
     for (written, stored) in pairs(&again).iter().zip(&stored) {
         assert_eq!(shown(written), shown(stored), "written again");
     }
--- a/daemon/tests/wire.rs
+++ b/daemon/tests/wire.rs
@@ -39,8 +39,8 @@
             valid[start + 6] = *padding;
             valid.extend(vec![0; usize::from(*padding)]);
         }
-        check(fastcgi::Records::default, &valid, &cuts, &garbage, |r| r);
-        let read = items(fastcgi::Records::default(), &valid, &cuts).unwrap();
+        check(fastcgi::RecordParser::default, &valid, &cuts, &garbage, |r| r);
+        let read = items(fastcgi::RecordParser::default(), &valid, &cuts).unwrap();
         let wrote: Vec<_> = records.into_iter().map(|(kind, id, content, _)| fastcgi::Record { kind, id, content }).collect();
         prop_assert_eq!(read, wrote);
     }
@@ -60,8 +60,8 @@
         for array in &arrays {
             resp::write_array(&mut valid, &array.iter().map(Vec::as_slice).collect::<Vec<_>>());
         }
-        check(|| resp::Arrays::new(200), &valid, &cuts, &garbage, |a| a);
-        prop_assert_eq!(items(resp::Arrays::new(200), &valid, &cuts).unwrap(), arrays);
+        check(|| resp::ArrayParser::new(200), &valid, &cuts, &garbage, |a| a);
+        prop_assert_eq!(items(resp::ArrayParser::new(200), &valid, &cuts).unwrap(), arrays);
         let _ = resp::field(&garbage, "a");
     }
 
@@ -79,8 +79,8 @@
         } else {
             http::write_message(&mut valid, "POST /a HTTP/1.1", &[("Host", "a")], &body);
         }
-        check(|| http::Messages::requests(512, 512), &valid, &cuts, &garbage, joined);
-        let read = joined(items(http::Messages::requests(512, 512), &valid, &cuts).unwrap());
+        check(|| http::MessageParser::requests(512, 512), &valid, &cuts, &garbage, joined);
+        let read = joined(items(http::MessageParser::requests(512, 512), &valid, &cuts).unwrap());
         let bodies: Vec<u8> = read.iter().filter_map(|p| if let http::Piece::Body(b) = p { Some(b.clone()) } else { None }).flatten().collect();
         prop_assert_eq!((bodies, read.last()), (body, Some(&http::Piece::End)));
     }
@@ -88,8 +88,8 @@
     #[test]
     fn sse_events(events in vec((any::<u16>(), "[ -~]{1,80}"), 1..5), cuts in cuts(), garbage in bytes(99)) {
         let text: String = events.iter().map(|(id, data)| format!(": comment\nid: {id}\r\ndata: {data}\n\n")).collect();
-        check(|| sse::Events::new(128), text.as_bytes(), &cuts, &garbage, |e| e);
-        let read = items(sse::Events::new(128), text.as_bytes(), &cuts).unwrap();
+        check(|| sse::EventParser::new(128), text.as_bytes(), &cuts, &garbage, |e| e);
+        let read = items(sse::EventParser::new(128), text.as_bytes(), &cuts).unwrap();
         let wrote: Vec<_> = events.into_iter().map(|(id, data)| sse::Event { id: id.to_string(), data }).collect();
         prop_assert_eq!(read, wrote);
     }
@@ -98,20 +98,20 @@
 #[test]
 fn lengths_are_checked_before_anything_is_taken_for_them() {
     assert_eq!(
-        items(resp::Arrays::new(9), b"*1\r\n$10\r\n", &[]),
+        items(resp::ArrayParser::new(9), b"*1\r\n$10\r\n", &[]),
         Err(WireError::TooLong("a RESP string"))
     );
     assert_eq!(
-        items(resp::Arrays::new(9), b"*99999999999999\r\n", &[]),
+        items(resp::ArrayParser::new(9), b"*99999999999999\r\n", &[]),
         Err(WireError::TooLong("a RESP array"))
     );
     let head = b"POST / HTTP/1.1\r\nContent-Length: 99999999999\r\n\r\n";
     assert_eq!(
-        items(http::Messages::requests(99, 99), head, &[]),
+        items(http::MessageParser::requests(99, 99), head, &[]),
         Err(WireError::TooLong("an HTTP body"))
     );
     assert_eq!(
-        items(sse::Events::new(9), b"data: 0123456789\n\n", &[]),
+        items(sse::EventParser::new(9), b"data: 0123456789\n\n", &[]),
         Err(WireError::TooLong("a line"))
     );
 }
@@ -120,7 +120,7 @@
 fn a_body_whose_end_is_told_twice_is_not_read() {
     for second in ["Content-Length: 1", "Transfer-Encoding: chunked"] {
         let text = format!("POST / HTTP/1.1\r\nContent-Length: 2\r\n{second}\r\n\r\n");
-        let read = items(http::Messages::requests(99, 99), text.as_bytes(), &[]);
+        let read = items(http::MessageParser::requests(99, 99), text.as_bytes(), &[]);
         assert_eq!(read, Err(WireError::Malformed("an HTTP body's length")));
     }
 }
--- a/harness/src/clients.rs
+++ b/harness/src/clients.rs
@@ -1,7 +1,7 @@
 //! Clients: a web server that speaks FastCGI, and callers and takers of HTTP.
 
-use linnetknot_daemon::wire::fastcgi::{self, kind, Records};
-use linnetknot_daemon::wire::http::{write_message, Head, Messages, Piece};
+use linnetknot_daemon::wire::fastcgi::{self, kind, RecordParser};
+use linnetknot_daemon::wire::http::{write_message, Head, MessageParser, Piece};
 use linnetknot_daemon::wire::Parser;
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
@@ -54,7 +54,7 @@
 /// A web server's connection.
 pub struct WebServer {
     socket: TcpStream,
-    records: Records,
+    records: RecordParser,
     input: Vec<u8>,
     answers: HashMap<u16, Vec<u8>>,
 }
@@ -66,7 +66,7 @@
         socket.set_read_timeout(Some(TIMEOUT))?;
         Ok(WebServer {
             socket,
-            records: Records::default(),
+            records: RecordParser::default(),
             input: Vec::new(),
             answers: HashMap::new(),
         })
@@ -205,7 +205,7 @@
 /// Reads one message and, where the other side closes behind it, whether anything else came.
 fn receive(
     socket: &mut TcpStream,
-    messages: &mut Messages,
+    messages: &mut MessageParser,
     to_the_end: bool,
 ) -> io::Result<Received> {
     let (mut input, mut head, mut body) = (Vec::new(), None, Vec::new());
@@ -275,7 +275,7 @@
     let mut socket = TcpStream::connect(to)?;
     socket.set_read_timeout(Some(TIMEOUT))?;
     socket.write_all(bytes)?;
-    let mut messages = Messages::responses(1 << 16, 1 << 20);
+    let mut messages = MessageParser::responses(1 << 16, 1 << 20);
     let Received {
         head,
         body,
@@ -331,7 +331,7 @@
 
 /// Reads one request and answers it with 201.
 fn serve_peer(mut socket: TcpStream) -> io::Result<PeerRequest> {
-    let mut messages = Messages::requests(1 << 16, 1 << 20);
+    let mut messages = MessageParser::requests(1 << 16, 1 << 20);
     let Received { head, body, .. } = receive(&mut socket, &mut messages, false)?;
     let _ = socket.write_all(b"HTTP/1.1 201 Created\r\nContent-Length: 0\r\n\r\n");
     let target = head.request().map(|(_, target)| target.to_owned());
--- a/harness/src/listener.rs
+++ b/harness/src/listener.rs
@@ -60,7 +60,7 @@
     mut socket: impl Read,
     mut each: impl FnMut(Vec<Vec<u8>>) -> Option<()>,
 ) -> Option<()> {
-    let mut arrays = resp::Arrays::new(1 << 20);
+    let mut arrays = resp::ArrayParser::new(1 << 20);
     let mut bytes = [0; 4096];
     loop {
         let got = socket.read(&mut bytes).ok().filter(|n| *n > 0)?;
