--- a/daemon/src/config/mod.rs
+++ b/daemon/src/config/mod.rs
@@ -9,8 +9,8 @@
 
 use crate::bus::BusEvent;
 use crate::interconnect::{
-    Budgets, Cdni, Consul, Copies, CopiesFile, File, InterconnectError, LogForm, PeerAddresses,
-    State,
+    Budgets, Cdni, Consul, CopiesFile, File, InterconnectError, LogForm, PeerAddresses,
+    Replication, State,
 };
 use crate::limits::Limits;
 use linnetknot::Settings;
@@ -36,9 +36,9 @@
     /// Where clients connect.
     pub listen: SocketAddr,
     /// The admin listener; none: there is none.
-    pub ops: Option<SocketAddr>,
+    pub admin: Option<SocketAddr>,
     /// The folder in which the operators' bans and drains are stored for the next process: `$TMPDIR`.
-    pub ops_folder: PathBuf,
+    pub operator_state_folder: PathBuf,
     /// The seed of its random numbers.
     pub seed: u64,
     /// The bounds that follow from the machine.
@@ -52,11 +52,11 @@
     /// The addresses at which the proxies of the fleet exchange datagrams; none: it is alone.
     pub peers: Option<PeerAddresses>,
     /// Peers are notified of an origin that is late, and listened to.
-    pub tell: bool,
+    pub share_origin_health: bool,
     /// To how many machines purges by peer CDNs are replicated before they are committed.
-    pub copies: Copies,
+    pub replication: Replication,
     /// The same as the file has it, for peers that change.
-    copies_file: ReplicationFile,
+    replication_file: ReplicationFile,
     /// The limits that all proxies share.
     pub budgets: Budgets,
     /// The listener for peer CDNs; none: it is off.
@@ -149,19 +149,21 @@
             Some(consul) => consul.check(&self.settings, &self.name)?,
             None => None,
         };
-        self.tell = file.peers.tell;
-        self.copies_file = ReplicationFile {
+        self.share_origin_health = file.peers.tell;
+        self.replication_file = ReplicationFile {
             is_on: file.peers.copies,
             copies: file.copies,
         };
-        self.copies = self.check_copies(self.peers.as_ref())?;
+        self.replication = self.check_replication(self.peers.as_ref())?;
         let has_purge_file = self.cdni.as_ref().is_some_and(|cdni| cdni.purges.is_some());
-        if self.copies.on && !has_purge_file {
+        if self.replication.enabled && !has_purge_file {
             return Err(InterconnectError::NoPurgeFile.into());
         }
-        self.budgets = file
-            .budgets
-            .check(&self.settings, self.copies.on, self.peers.as_ref())?;
+        self.budgets = file.budgets.check(
+            &self.settings,
+            self.replication.enabled,
+            self.peers.as_ref(),
+        )?;
         self.state = file.state.check()?;
         self.log = file.log.form;
         Ok(())
@@ -171,8 +173,11 @@
     ///
     /// # Errors
     /// Fails where they stand on too few machines.
-    pub fn check_copies(&self, peers: Option<&PeerAddresses>) -> Result<Copies, InterconnectError> {
-        let ReplicationFile { is_on, copies } = &self.copies_file;
+    pub fn check_replication(
+        &self,
+        peers: Option<&PeerAddresses>,
+    ) -> Result<Replication, InterconnectError> {
+        let ReplicationFile { is_on, copies } = &self.replication_file;
         copies.check(*is_on, peers)
     }
 
@@ -181,17 +186,17 @@
         Config {
             name,
             listen,
-            ops: None,
-            ops_folder: std::env::temp_dir(),
+            admin: None,
+            operator_state_folder: std::env::temp_dir(),
             seed: 0,
             limits,
             bus: None,
             known: KnownEvents::default(),
             settings,
             peers: None,
-            tell: false,
-            copies: Copies::default(),
-            copies_file: ReplicationFile::default(),
+            share_origin_health: false,
+            replication: Replication::default(),
+            replication_file: ReplicationFile::default(),
             budgets: Budgets::default(),
             cdni: None,
             consul: None,
@@ -222,12 +227,15 @@
         let changes = [
             ("name", self.name != new.name),
             ("listen", self.listen != new.listen),
-            ("ops", self.ops != new.ops),
+            ("ops", self.admin != new.admin),
             ("limits", self.limits != new.limits),
             ("settings", self.settings != new.settings),
             ("peer_listen", own(self) != own(new)),
-            ("peers.tell", self.tell != new.tell),
-            ("copies", self.copies_file != new.copies_file),
+            (
+                "peers.tell",
+                self.share_origin_health != new.share_origin_health,
+            ),
+            ("copies", self.replication_file != new.replication_file),
             ("cdni", self.cdni != new.cdni),
             ("state", self.state != new.state),
             ("log", self.log != new.log),
--- a/daemon/src/daemon/clients/mod.rs
+++ b/daemon/src/daemon/clients/mod.rs
@@ -4,13 +4,13 @@
 mod requests;
 
 use super::{Connection, ConnectionKind, Daemon, Timer};
-use crate::limits::Standing;
+use crate::limits::ClientState;
 use crate::net::Key;
 use linnetknot::Micros;
 
 impl Daemon {
     /// Returns the state of a client connection of either front; `None` for other connections.
-    fn client_state(connection: &Connection) -> Option<Standing> {
+    fn client_state(connection: &Connection) -> Option<ClientState> {
         let (is_busy, is_partial, has_request) = match &connection.kind {
             ConnectionKind::Client(session) => (
                 session.has_pending_answers(),
@@ -22,17 +22,17 @@
                 session.is_partial(),
                 session.has_received_request(),
             ),
-            ConnectionKind::Lingering => return Some(Standing::Lingering),
+            ConnectionKind::Lingering => return Some(ClientState::Lingering),
             _ => return None,
         };
         Some(if is_busy || !connection.conn.output.is_empty() {
-            Standing::Busy
+            ClientState::Busy
         } else if is_partial || !connection.conn.input.is_empty() {
-            Standing::Half
+            ClientState::Partial
         } else if has_request {
-            Standing::Idle
+            ClientState::Idle
         } else {
-            Standing::Silent
+            ClientState::Silent
         })
     }
 
@@ -53,9 +53,9 @@
         let Some(state) = Self::client_state(connection) else {
             return;
         };
-        let is_partial = state == Standing::Half;
+        let is_partial = state == ClientState::Partial;
         // A request that arrives in pieces keeps the start of its first piece.
-        if state == Standing::Busy
+        if state == ClientState::Busy
             || is_partial && !std::mem::replace(&mut connection.has_partial_request, is_partial)
         {
             connection.state_since = now;
@@ -81,7 +81,7 @@
     /// client that has unanswered requests has only its incomplete requests rejected; the connections of others are
     /// closed.
     fn limit_partial_requests(&mut self, now: Micros) {
-        while self.total_partial_request_bytes > self.limits.bodies {
+        while self.total_partial_request_bytes > self.limits.max_total_body_bytes {
             let keys = self.connections.keys().into_iter();
             let bytes_and_key =
                 |key: Key| Some((self.connections.get(key)?.partial_request_bytes, key));
@@ -97,7 +97,7 @@
             };
             if let ConnectionKind::Client(session) = &mut connection.kind {
                 if session.has_unanswered_requests() {
-                    session.reject_partial(Some(self.limits.back_off_us));
+                    session.reject_partial(Some(self.limits.overload_retry_after_us));
                     connection.partial_request_bytes = session.buffered_bytes();
                     self.total_partial_request_bytes = self.total_partial_request_bytes
                         + connection.partial_request_bytes
@@ -123,13 +123,13 @@
         let Some(state) = Self::client_state(connection) else {
             return;
         };
-        if state == Standing::Idle {
+        if state == ClientState::Idle {
             connection.conn.input.release();
             connection.conn.output.release();
         }
         let mut due =
             self.limits
-                .leaves_at(state, Self::unanswered(connection), connection.state_since);
+                .close_at(state, Self::unanswered(connection), connection.state_since);
         if due.is_some_and(|due| due <= now) {
             // Input that has just arrived changes the state and keeps the connection open.
             if !self.poll_client(now, key) {
@@ -140,13 +140,13 @@
             };
             due = Self::client_state(connection).and_then(|state| {
                 self.limits
-                    .leaves_at(state, Self::unanswered(connection), connection.state_since)
+                    .close_at(state, Self::unanswered(connection), connection.state_since)
             });
             if due.is_some_and(|due| due <= now) && !self.half_close(now, key) {
                 return self.close(now, key);
             }
         }
-        let next_check = now + self.limits.client_look_us;
+        let next_check = now + self.limits.client_check_interval_us;
         let at = match due {
             Some(due) if due > now => due.min(next_check),
             _ => next_check,
--- a/daemon/src/daemon/clients/requests.rs
+++ b/daemon/src/daemon/clients/requests.rs
@@ -28,7 +28,7 @@
 
     /// Reads the available input. Returns false if the client has disconnected.
     fn receive_requests(&mut self, key: Key) -> Result<bool, WireError> {
-        for _ in 0..self.limits.client_reads {
+        for _ in 0..self.limits.max_reads_per_client {
             let Some(connection) = self.connections.get_mut(key) else {
                 return Ok(false);
             };
@@ -107,7 +107,7 @@
         } else {
             self.core.admit(now, client, request)
         };
-        let retry_after_us = Some(self.limits.back_off_us);
+        let retry_after_us = Some(self.limits.overload_retry_after_us);
         let Some(session) = self.client_session(key) else {
             return;
         };
@@ -124,7 +124,7 @@
         else {
             return false;
         };
-        let is_output_full = self.total_unsent_bytes > self.limits.waiting_answers;
+        let is_output_full = self.total_unsent_bytes > self.limits.max_pending_response_bytes;
         // One client must not take the capacity of all others.
         let is_over_limit = !self
             .limits
@@ -136,7 +136,7 @@
     /// a drain or shutdown, as it would not become idle in time and its requests would be cut off. The platform
     /// retries rejected requests at another proxy.
     fn refuses_while_closing(&self, now: Micros, session: &Session, is_first: bool) -> bool {
-        let last_accepted = |since| since + self.limits.drain_last_taken_us;
+        let last_accepted = |since| since + self.limits.drain_accept_us;
         let is_late_drain =
             matches!(self.operations.drain(), Drain::Draining(since) if now > last_accepted(since));
         let is_late = self.is_stopping() || is_late_drain;
--- a/daemon/src/daemon/connection_table.rs
+++ b/daemon/src/daemon/connection_table.rs
@@ -6,7 +6,7 @@
 use super::{Daemon, Timer};
 use crate::front::cdni::{self, Waiting};
 use crate::front::fastcgi::Session;
-use crate::net::{connect, Conn, FailureKind, Key, Progress, Ready};
+use crate::net::{connect, FailureKind, Key, Progress, ReadyEvent, TcpConnection};
 use crate::upstream::UpstreamConnection;
 use crate::wire::WireError;
 use linnetknot::Micros;
@@ -50,7 +50,7 @@
 
 /// An entry of the connection table.
 pub(super) struct Connection {
-    pub(super) conn: Conn,
+    pub(super) conn: TcpConnection,
     pub(super) kind: ConnectionKind,
     /// For clients: when the current state began, or the last response was sent.
     pub(super) state_since: Micros,
@@ -71,7 +71,7 @@
     pub(super) fn add_connection(
         &mut self,
         now: Micros,
-        conn: Conn,
+        conn: TcpConnection,
         kind: ConnectionKind,
     ) -> Option<Key> {
         let key = self.connections.insert(Connection {
@@ -111,22 +111,22 @@
                 | FailureKind::NoDescriptors => ConnectError::LocalResources,
             }
         })?;
-        let conn = Conn::new(
+        let conn = TcpConnection::new(
             socket,
             false,
-            self.limits.input_ring,
-            self.limits.output_ring,
+            self.limits.input_buffer_bytes,
+            self.limits.output_buffer_bytes,
         );
         let key = self
             .add_connection(now, conn.map_err(|_| ConnectError::NoCapacity)?, kind)
             .ok_or(ConnectError::NoCapacity)?;
         self.deadlines
-            .set(now + self.limits.connect_us, Timer::ConnectTimeout(key));
+            .set(now + self.limits.connect_timeout_us, Timer::ConnectTimeout(key));
         Ok(key)
     }
 
     /// Handles a readiness event of a connection.
-    pub(super) fn handle_ready(&mut self, now: Micros, key: Key, ready: Ready) {
+    pub(super) fn handle_ready(&mut self, now: Micros, key: Key, ready: ReadyEvent) {
         // The key of a connection that was closed earlier in this turn is stale, so its events are ignored.
         let Some(connection) = self.connections.get_mut(key) else {
             return;
--- a/daemon/src/daemon/exchange.rs
+++ b/daemon/src/daemon/exchange.rs
@@ -4,7 +4,7 @@
 //! effects as tasks, which run once the connection is no longer borrowed.
 
 use super::{ConnectionKind, Daemon, Timer};
-use crate::net::{Due, Key};
+use crate::net::{DeadlineId, Key};
 use crate::wire::WireError;
 use linnetknot::Micros;
 use std::net::SocketAddr;
@@ -67,10 +67,10 @@
     /// Cancels the previous deadline, if any, and schedules the task for the new one, if any.
     pub(super) fn reschedule(
         &mut self,
-        old: Option<Due>,
+        old: Option<DeadlineId>,
         at: Option<Micros>,
         task: impl FnOnce(&mut Daemon, Micros) + 'static,
-    ) -> Option<Due> {
+    ) -> Option<DeadlineId> {
         if let Some(old) = old {
             self.deadlines.cancel(old);
         }
@@ -82,7 +82,7 @@
         &mut self,
         at: Micros,
         task: impl FnOnce(&mut Daemon, Micros) + 'static,
-    ) -> Due {
+    ) -> DeadlineId {
         self.deadlines.set(at, Timer::Run(Box::new(task)))
     }
 
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -15,7 +15,7 @@
 use crate::front::cdni::TriggerApi;
 use crate::ledger::Ledger;
 use crate::limits::Limits;
-use crate::net::{Clock, Deadlines, Due, Key, Listener, Poll, Slots};
+use crate::net::{Clock, DeadlineId, Deadlines, Key, Listener, Poll, SlotTable};
 use crate::plain_purges::PlainPurges;
 use linnetknot::{Micros, ServerId};
 use linnetknot_discovery::{EndpointTable, ListValidator};
@@ -79,7 +79,7 @@
     /// The configuration in force, and the source of a new one.
     config: Config,
     config_source: Source,
-    connections: Slots<Connection>,
+    connections: SlotTable<Connection>,
     client_count: usize,
     cache_connections: BTreeMap<ServerId, Vec<Key>>,
     deadlines: Deadlines<Timer>,
@@ -88,7 +88,7 @@
     endpoint_table: EndpointTable,
     /// Validates the endpoint lists of the event bus.
     list_validator: ListValidator,
-    endpoint_table_due: Option<Due>,
+    endpoint_table_due: Option<DeadlineId>,
     logged_notices: LoggedNotices,
     consul: Option<consul::State>,
     snapshot_writer: Option<consul::SnapshotWriter>,
@@ -96,7 +96,7 @@
     peer_index: PeerIndex,
     plain_purges: PlainPurges,
     /// The deadline of the next step of `plain_purges`.
-    plain_purges_due: Option<Due>,
+    plain_purges_due: Option<DeadlineId>,
     origin_health: Option<OriginHealth>,
     /// Dropped datagrams: from unknown senders, and malformed ones.
     dropped_datagrams: (u64, u64),
@@ -110,7 +110,7 @@
     membership: Option<linnetknot_membership::Membership>,
     /// The budgets that all proxies share.
     shared_budgets: Option<budgets::SharedBudgets>,
-    membership_due: Option<Due>,
+    membership_due: Option<DeadlineId>,
     /// Raised by the store's worker when writes have completed.
     store_signal: Option<Signal>,
     /// Deliveries to peer CDNs that are in progress or wait for a retry.
--- a/daemon/src/daemon/operator_state.rs
+++ b/daemon/src/daemon/operator_state.rs
@@ -4,8 +4,8 @@
 //! writing is retried while they may differ from the state in effect.
 
 use super::Daemon;
-use crate::disk::{remove_leftovers, replace_unsynced, FailedAttempts, Staged};
-use crate::net::Due;
+use crate::disk::{remove_leftovers, replace_unsynced, FailedAttempts, StagedFile};
+use crate::net::DeadlineId;
 use linnetknot::Micros;
 use linnetknot_consul::Backoff;
 use linnetknot_ops::state::OperatorState;
@@ -26,7 +26,7 @@
     load_pending: bool,
     /// The files may differ from the state in effect.
     write_pending: bool,
-    due: Option<Due>,
+    due: Option<DeadlineId>,
 }
 
 /// The operators' state at startup, and its files.
@@ -78,11 +78,11 @@
 fn write_copies(folder: &Path, bytes: &[u8]) -> io::Result<()> {
     let [first, second] = store::copies(folder);
     let staged = [
-        Staged::write(&first, bytes)?,
-        Staged::write(&second, bytes)?,
+        StagedFile::write(&first, bytes)?,
+        StagedFile::write(&second, bytes)?,
     ];
     for copy in staged {
-        copy.place()?;
+        copy.install()?;
         fail::fail_point!("admin-kept-once");
     }
     Ok(())
@@ -103,7 +103,7 @@
             &store::encode(self.operations.state()),
         );
         let [first, _] = store::copies(&self.operator_state_folder);
-        self.operator_files.failed.take(&first, &written);
+        self.operator_files.failed.record(&first, &written);
         self.operator_files.write_pending = written.is_err();
         if written.is_err() {
             return false;
--- a/daemon/src/daemon/reconnect.rs
+++ b/daemon/src/daemon/reconnect.rs
@@ -28,7 +28,7 @@
         }
         if !std::mem::replace(&mut self.deferred_attempts.is_due, true) {
             self.schedule(
-                now + self.limits.accept_again_us,
+                now + self.limits.accept_backoff_us,
                 Daemon::retry_deferred_attempts,
             );
         }
--- a/daemon/src/daemon/registration.rs
+++ b/daemon/src/daemon/registration.rs
@@ -4,7 +4,7 @@
 //! retried, and until it succeeds the connection is polled at each retry.
 
 use super::{Daemon, Timer};
-use crate::net::{Failure, FailureKind, Key, Ready};
+use crate::net::{Failure, FailureKind, Key, ReadyEvent};
 use linnetknot::Micros;
 
 /// The state of the epoll registration of a connection.
@@ -76,7 +76,7 @@
             return true;
         };
         if !std::mem::replace(&mut connection.registration_retry_scheduled, true) {
-            let at = now + self.limits.accept_again_us;
+            let at = now + self.limits.accept_backoff_us;
             self.deadlines.set(at, Timer::RetryRegistration(key));
         }
         true
@@ -98,7 +98,7 @@
             .get(key)
             .is_some_and(|connection| connection.conn.up);
         if is_up && !is_watched {
-            self.handle_ready(now, key, Ready::unwatched(key.to_u64()));
+            self.handle_ready(now, key, ReadyEvent::unwatched(key.to_u64()));
         }
     }
 }
--- a/daemon/src/daemon/shutdown.rs
+++ b/daemon/src/daemon/shutdown.rs
@@ -14,7 +14,7 @@
         if !self.is_stopping() {
             self.sigterm_at = Some(now);
             self.core
-                .set_shutdown_deadline(now + self.limits.term_answer_us);
+                .set_shutdown_deadline(now + self.limits.shutdown_response_us);
             log::info!("SIGTERM received: answering open requests before exit");
             if self.listener_inherited {
                 // The next process accepts on the same socket. This process would have to answer newly accepted
@@ -27,7 +27,7 @@
                 }
             }
             self.deadlines
-                .set(now + self.limits.term_grace_us, Timer::ShutdownGrace);
+                .set(now + self.limits.shutdown_accept_us, Timer::ShutdownGrace);
             self.deregister_from_consul(now);
             self.leave_membership(now);
         }
--- a/daemon/src/daemon/sources/bus.rs
+++ b/daemon/src/daemon/sources/bus.rs
@@ -1,11 +1,11 @@
 //! The event bus: a long-lived connection that is opened again if it ends or becomes silent.
 
-use crate::bus::{request, BusEvent, Feed, News};
+use crate::bus::{request, BusEvent, BusStream, BusUpdate};
 use crate::daemon::discovery::BUS;
 use crate::daemon::exchange::{Exchange, ExchangeEnd, Flow, Task};
 use crate::daemon::Daemon;
 use crate::limits::Limits;
-use crate::net::{Due, Key};
+use crate::net::{DeadlineId, Key};
 use crate::wire::WireError;
 use linnetknot::{ListMode, Micros, ServerId, State as ServerState};
 use linnetknot_consul::Backoff;
@@ -24,7 +24,7 @@
 /// The state of the connection to the bus.
 pub(in crate::daemon) struct State {
     key: Option<Key>,
-    timer: Option<Due>,
+    timer: Option<DeadlineId>,
     /// The offset of the last event.
     pub(in crate::daemon) last_offset: u64,
     /// When data was last received, or the connection was opened.
@@ -38,7 +38,7 @@
 impl State {
     /// Creates the state before the first event.
     pub(in crate::daemon) fn new(seed: u64, limits: &Limits) -> Self {
-        let backoff = Backoff::new(limits.bus_again_us, limits.bus_again_most_us, seed);
+        let backoff = Backoff::new(limits.bus_min_backoff_us, limits.bus_max_backoff_us, seed);
         State {
             key: None,
             timer: None,
@@ -54,7 +54,7 @@
 struct BusExchange {
     host: String,
     last_offset: u64,
-    feed: Feed,
+    feed: BusStream,
 }
 
 impl Exchange for BusExchange {
@@ -89,10 +89,11 @@
 impl Daemon {
     /// Applies an event that was just received or recorded by an earlier process.
     pub(in crate::daemon) fn apply_bus_event(&mut self, now: Micros, event: BusEvent) {
-        match event.news {
+        match event.update {
             // Unless the configuration combines them, Consul replaces the bus as the source of the endpoint list.
-            Some(News::List(..)) if self.config.consul.as_ref().is_some_and(|c| !c.beside_bus) => {}
-            Some(News::List(answer)) => {
+            Some(BusUpdate::List(..))
+                if self.config.consul.as_ref().is_some_and(|c| !c.beside_bus) => {}
+            Some(BusUpdate::List(answer)) => {
                 for entry in &answer.entries {
                     if let Some(started) = entry.server.started {
                         let start = Start {
@@ -115,7 +116,7 @@
                 };
                 self.receive_evidence(now, BUS, evidence);
             }
-            Some(News::Purge { object, group, at }) => {
+            Some(BusUpdate::Purge { object, group, at }) => {
                 self.core.record_purge(now, object, group, at);
             }
             None => log::debug!("ignored event {} of the bus: unknown kind", event.offset),
@@ -145,12 +146,12 @@
 
     /// Handles a received event. Purges are also forwarded to peer CDNs.
     fn receive_bus_event(&mut self, now: Micros, mut event: BusEvent) {
-        if let Some(News::List(answer)) = &mut event.news {
+        if let Some(BusUpdate::List(answer)) = &mut event.update {
             for entry in &mut answer.entries {
                 self.localize_start_time(now, entry);
             }
         }
-        if let Some(News::Purge { object, group, at }) = &event.news {
+        if let Some(BusUpdate::Purge { object, group, at }) = &event.update {
             self.core.observe_origin_date(now, *at);
             self.forward_purge(now, object.as_deref(), *group);
         }
@@ -160,7 +161,7 @@
     /// Connects to the bus and resumes after the last event.
     pub(in crate::daemon) fn connect_bus(&mut self, now: Micros) {
         let Some(bus) = self.config.bus else { return };
-        let feed = Feed::new(&self.limits);
+        let feed = BusStream::new(&self.limits);
         let exchange = BusExchange {
             host: bus.to_string(),
             last_offset: self.bus.last_offset,
@@ -169,7 +170,7 @@
         self.bus.key = self.start_exchange(now, bus, Box::new(exchange), None);
         self.bus.last_read_at = now;
         match self.bus.key {
-            Some(_) => self.schedule_bus_check(now + self.limits.bus_silence_us),
+            Some(_) => self.schedule_bus_check(now + self.limits.bus_read_timeout_us),
             None => self.schedule_bus_reconnect(now),
         }
     }
@@ -201,12 +202,12 @@
     fn check_bus(&mut self, now: Micros) {
         match self.bus.key {
             None => self.connect_bus(now),
-            Some(key) if self.bus.last_read_at + self.limits.bus_silence_us <= now => {
+            Some(key) if self.bus.last_read_at + self.limits.bus_read_timeout_us <= now => {
                 log::warn!("the event bus is silent and called again");
                 self.connections.remove(key);
                 self.connect_bus(now);
             }
-            Some(_) => self.schedule_bus_check(self.bus.last_read_at + self.limits.bus_silence_us),
+            Some(_) => self.schedule_bus_check(self.bus.last_read_at + self.limits.bus_read_timeout_us),
         }
     }
 }
--- a/daemon/src/daemon/sources/consul/call.rs
+++ b/daemon/src/daemon/sources/consul/call.rs
@@ -2,7 +2,7 @@
 
 use crate::daemon::exchange::{Exchange, ExchangeEnd, Flow, Task};
 use crate::daemon::Daemon;
-use crate::wire::http::{Head, Messages, Piece};
+use crate::wire::http::{Head, MessageParser, Piece};
 use crate::wire::{Parser, WireError};
 use linnetknot::Micros;
 use linnetknot_consul::TransportError;
@@ -16,7 +16,7 @@
 
 pub(super) struct Call {
     request: Vec<u8>,
-    messages: Messages,
+    messages: MessageParser,
     head: Option<Head>,
     body: Vec<u8>,
     /// Receives the parts of a body with status 200 as they arrive.
@@ -33,7 +33,7 @@
         max_body: usize,
         done: impl FnOnce(&mut Daemon, Micros, Outcome) + 'static,
     ) -> Box<Self> {
-        let messages = Messages::responses(max_line, max_body);
+        let messages = MessageParser::responses(max_line, max_body);
         let done: Option<CompletionHandler> = Some(Box::new(done));
         Box::new(Call {
             request,
--- a/daemon/src/interconnect/mod.rs
+++ b/daemon/src/interconnect/mod.rs
@@ -5,22 +5,22 @@
 mod budgets;
 mod cdni;
 mod consul;
-mod copies;
 mod error;
 mod log;
 mod peers;
+mod replication;
 mod state;
 mod validation;
 
-pub use budgets::{Budgets, BudgetsFile, OriginFile, Shared};
+pub use budgets::{Budgets, BudgetsFile, OriginFile, SharedBudget};
 pub use cdni::{Cdni, CdniFile, NeighbourFile};
 pub use consul::{
     ConsistencyFile, Consul, ConsulFile, DampingFile, IdentityFile, MetaFile, RegisterFile,
 };
-pub use copies::{Copies, CopiesFile, PurgeTableSize};
 pub use error::InterconnectError;
 pub use log::{LogFile, LogForm};
 pub use peers::{PeerAddresses, PeersFile};
+pub use replication::{CopiesFile, PurgeTableSize, Replication};
 pub use state::{State, StateFile};
 
 use schemars::JsonSchema;
