--- a/budgets/tests/model.rs
+++ b/budgets/tests/model.rs
@@ -21,7 +21,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PlantedBug {
-    None,
+    NoBug,
     /// A restarted member votes at once, although its earlier vote may not have expired.
     VotesAtStart,
     /// A restarted member reuses its process id, so that it keeps its votes although it has forgotten its grants.
@@ -292,7 +292,7 @@
 
 const SAFETY_PROPERTIES: [&str; 2] = ["leases never exceed the limit", "at most one member leads"];
 
-fn discoveries<C: Checker<LeaseModel>>(name: &str, checker: &C) -> Vec<&'static str> {
+fn report_discoveries<C: Checker<LeaseModel>>(name: &str, checker: &C) -> Vec<&'static str> {
     let (unique, all) = (checker.unique_state_count(), checker.state_count());
     println!(
         "{name}: {unique} unique of {all} states, depth {}",
@@ -314,13 +314,13 @@
         .finish_when(HasDiscoveries::AnyFailures)
         .spawn_simulation(7, UniformChooser)
         .join();
-    discoveries(&format!("{planted_bug:?}, random walks"), &checker)
+    report_discoveries(&format!("{planted_bug:?}, random walks"), &checker)
 }
 
 #[test]
 fn breadth_first_search_finds_no_violation() {
     let checker = LeaseModel {
-        planted_bug: PlantedBug::None,
+        planted_bug: PlantedBug::NoBug,
         max_faults: 1,
     }
     .checker()
@@ -330,7 +330,7 @@
         .finish_when(HasDiscoveries::AnyFailures)
         .spawn_bfs()
         .join();
-    let discoveries = discoveries("breadth-first search", &checker);
+    let discoveries = report_discoveries("breadth-first search", &checker);
     assert!(
         !discoveries
             .iter()
@@ -342,7 +342,7 @@
 
 #[test]
 fn random_walks_find_no_violation_and_leases_are_granted_after_a_restart() {
-    let discoveries = random_walks(PlantedBug::None, 2_000_000);
+    let discoveries = random_walks(PlantedBug::NoBug, 2_000_000);
     assert!(
         !discoveries
             .iter()
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -1,21 +1,21 @@
-//! The daemon: sockets and deadlines on one side, the core on the other, and one thread that turns between them.
+//! The daemon: connects sockets and deadlines with the core in a single-threaded event loop.
 //!
-//! | module | its job |
+//! | module | purpose |
 //! | --- | --- |
 //! | `startup` | sockets, store and state at the start |
 //! | `event_loop` | waits for events and deadlines, and dispatches them |
 //! | `connection_table` | opens, reads, writes and closes connections |
-//! | `signals`, `reload` | SIGTERM and SIGHUP, and a new configuration |
+//! | `signals`, `reload` | SIGTERM and SIGHUP, and reloading the configuration |
 //! | `shutdown` | the graceful shutdown |
 //!
-//! The other modules add to `Daemon` what belongs to one front, one upstream or one duty each.
+//! Each of the other modules implements one front, one upstream or one function of [`Daemon`].
 
 use crate::config::{Config, Source};
 use crate::core::Core;
 use crate::front::cdni::TriggerApi;
 use crate::ledger::Ledger;
 use crate::limits::Limits;
-use crate::net::{Clock, Deadlines, Due, Key, Listener, Poll, Slots};
+use crate::net::{Clock, DeadlineId, Deadlines, Key, Listener, Poll, SlotTable};
 use crate::plain_purges::PlainPurges;
 use linnetknot::{Micros, ServerId};
 use linnetknot_discovery::{EndpointTable, ListValidator};
@@ -55,8 +55,8 @@
 pub use signals::Control;
 pub use startup::StartError;
 
-use connection_table::{ConnectError, Connection, Kind};
-use discovery::LoggedLines;
+use connection_table::{ConnectError, Connection, ConnectionKind};
+use discovery::LoggedNotices;
 use event_loop::Timer;
 use peer_index::PeerIndex;
 use signals::Signal;
@@ -64,94 +64,96 @@
 use store_opening::PendingStore;
 use turn::Turn;
 
-/// The daemon.
+/// A running daemon.
 pub struct Daemon {
     clock: Clock,
     limits: Limits,
     core: Core,
     poll: Poll,
-    listener: Option<Listener>,
-    accepts_later: bool,
-    /// Attempts whose connection can't be begun from here for now.
-    reconnect: reconnect::WaitingAttempts,
-    term: Signal,
-    hup: Signal,
-    /// The configuration that is in force, and where a new one is read from.
+    client_listener: Option<Listener>,
+    accept_retry_scheduled: bool,
+    /// Attempts that wait because no connection can be opened from this machine for now.
+    deferred_attempts: reconnect::DeferredAttempts,
+    sigterm: Signal,
+    sighup: Signal,
+    /// The configuration in force, and the source of a new one.
     config: Config,
-    source: Source,
-    connections: Slots<Connection>,
-    clients: usize,
+    config_source: Source,
+    connections: SlotTable<Connection>,
+    client_count: usize,
     cache_connections: BTreeMap<ServerId, Vec<Key>>,
     deadlines: Deadlines<Timer>,
     bus: bus::State,
-    /// What is believed of the boxes, and when it is due to be looked at again.
-    members: EndpointTable,
-    /// What of the bus's lists is believed.
-    validator: ListValidator,
-    members_due: Option<Due>,
-    logged: LoggedLines,
+    /// The merged endpoint list of all sources, and the deadline of its next update.
+    endpoint_table: EndpointTable,
+    /// Validates the endpoint lists of the event bus.
+    list_validator: ListValidator,
+    endpoint_table_due: Option<DeadlineId>,
+    logged_notices: LoggedNotices,
     consul: Option<consul::State>,
-    snapshots: Option<consul::SnapshotWriter>,
+    snapshot_writer: Option<consul::SnapshotWriter>,
     peers: Option<(UdpSocket, Vec<SocketAddr>)>,
-    /// The same peers by address.
     peer_index: PeerIndex,
     plain_purges: PlainPurges,
-    /// When those are looked at again.
-    plain_purges_due: Option<Due>,
+    /// The deadline of the next step of `plain_purges`.
+    plain_purges_due: Option<DeadlineId>,
     origin_health: Option<OriginHealth>,
-    /// Datagrams dropped: from nobody who is a peer, and of no known kind.
-    dropped: (u64, u64),
+    /// Dropped datagrams: from unknown senders, and malformed ones.
+    dropped_datagrams: (u64, u64),
     trigger_api: Option<(Listener, TriggerApi)>,
     ledger: Option<Ledger>,
-    /// Its store, while that can't be opened.
+    /// The store of the ledger, while it can't be opened.
     pending_store: Option<PendingStore>,
-    /// The responses that wait for commits of it, and when replication is due.
+    /// Responses that wait for commits, recovery, and the deadline of replication.
     pending_commits: commits::PendingCommits,
-    /// Who of the peers is there, and when that is due to be looked at again.
+    /// The membership of the proxies, and the deadline of its next tick.
     membership: Option<linnetknot_membership::Membership>,
-    /// What all proxies spend together.
+    /// The budgets that all proxies share.
     shared_budgets: Option<budgets::SharedBudgets>,
-    fleet_due: Option<Due>,
-    /// Raised by the store's worker when there is word of what is on the disk.
-    store_word: Option<Signal>,
-    /// Payloads to neighbours that are on their way or wait to be tried again.
-    posts: usize,
-    /// What neighbours were last told of our being able to serve.
-    told_ready: bool,
-    waiting_answers: usize,
-    /// Bytes of requests that have not come whole.
-    held: usize,
-    /// When SIGTERM came, if it has.
-    term_at: Option<Micros>,
+    membership_due: Option<DeadlineId>,
+    /// Raised by the store's worker when writes have completed.
+    store_signal: Option<Signal>,
+    /// Deliveries to peer CDNs that are in progress or wait for a retry.
+    pending_deliveries: usize,
+    /// The readiness that was last announced to peer CDNs.
+    announced_ready: bool,
+    total_unsent_bytes: usize,
+    /// Bytes of incomplete requests of all clients.
+    total_partial_request_bytes: usize,
+    /// When SIGTERM was received.
+    sigterm_at: Option<Micros>,
     turn: Turn,
-    grace_over: bool,
-    /// The admin listener, its callers, and what they decided.
-    admin: Option<Listener>,
-    callers: usize,
-    ops: linnetknot_ops::Operations,
-    /// Where that is kept for the next process: `$TMPDIR`.
-    ops_folder: std::path::PathBuf,
-    operator_state: operator_state::OperatorFiles,
-    /// The clients' listener came from the process that started this one, and is shared with the next.
-    inherited: bool,
+    shutdown_grace_over: bool,
+    /// The admin listener, its connections, and the operators' state.
+    admin_listener: Option<Listener>,
+    admin_connection_count: usize,
+    operations: linnetknot_ops::Operations,
+    /// The directory that stores the operators' state for the next process.
+    operator_state_folder: std::path::PathBuf,
+    operator_files: operator_state::OperatorFiles,
+    /// The client listener was inherited from the parent process and is shared with the next one.
+    listener_inherited: bool,
 }
 
 impl Daemon {
-    /// Where clients connect.
+    /// Returns the address of the client listener.
     pub fn address(&self) -> Option<SocketAddr> {
-        self.listener.as_ref()?.address()
+        self.client_listener.as_ref()?.address()
     }
 
-    /// Where operators call.
+    /// Returns the address of the admin listener.
     pub fn admin_address(&self) -> Option<SocketAddr> {
-        self.admin.as_ref()?.address()
+        self.admin_listener.as_ref()?.address()
     }
 
-    /// What does to it from another thread what signals do.
+    /// Returns a handle that triggers shutdown and reload from another thread.
+    ///
+    /// # Errors
+    /// The descriptors of the signal pipes can't be duplicated.
     pub fn control(&self) -> io::Result<Control> {
         Ok(Control {
-            term: self.term.raised.try_clone()?,
-            hup: self.hup.raised.try_clone()?,
+            sigterm: self.sigterm.writer.try_clone()?,
+            sighup: self.sighup.writer.try_clone()?,
         })
     }
 }
--- a/daemon/tests/config.rs
+++ b/daemon/tests/config.rs
@@ -18,7 +18,11 @@
 fn what_is_not_said_has_a_default() {
     let config = read(&good()).unwrap();
     assert_eq!(
-        (config.bus, config.known.offset, config.limits.descriptors),
+        (
+            config.bus,
+            config.known.offset,
+            config.limits.max_descriptors
+        ),
         (None, 0, 1024)
     );
     assert!(config.cdni.is_none() && config.consul.is_none() && config.peers.is_none());
@@ -230,7 +234,7 @@
         let mut config = read(&good).unwrap();
         config
             .interconnect(file.as_object().unwrap())
-            .map(|()| config.copies)
+            .map(|()| config.replication)
             .map_err(|e| e.to_string())
     };
     for (file, path) in [
@@ -277,12 +281,18 @@
     }
     let checked = with_peers(&copies(json!({"machine": "a", "machines": named}))).unwrap();
     assert_eq!(
-        (checked.wait, checked.holders, checked.machines.len()),
+        (
+            checked.min_acks,
+            checked.replication_factor,
+            checked.machines.len()
+        ),
         (1, 2, 2),
         "itself left out"
     );
     assert_eq!(
-        with_peers(&copies(json!({"wait": 0}))).unwrap().holders,
+        with_peers(&copies(json!({"wait": 0})))
+            .unwrap()
+            .replication_factor,
         0,
         "nobody is further away"
     );
@@ -361,15 +371,15 @@
     let names: Vec<&str> = a.list.iter().map(|b| b.name.as_str()).collect();
     assert_eq!(names, ["origin", "cold-caches:hub", "cold-caches:here"]);
     // Work for cold caches settles in less time than requests may take, and bounds none.
-    assert_eq!(a.longest_open_us(), Some(a.list[0].spec.settling_us));
+    assert_eq!(a.max_request_us(), Some(a.list[0].spec.settling_us));
     assert_eq!(
-        budgets("127.0.0.1:2", json!({"cold": true})).longest_open_us(),
+        budgets("127.0.0.1:2", json!({"cold": true})).max_request_us(),
         None
     );
     assert_eq!(
         (
             a.list[0].spec.reserved,
-            a.list[1].of,
+            a.list[1].module_budget,
             a.list[2].spec.reserved
         ),
         (1, None, 83_333)
--- a/daemon/tests/ledger.rs
+++ b/daemon/tests/ledger.rs
@@ -56,16 +56,16 @@
     let mut all = open(&path, 77).unwrap();
     for at in 1..=30 {
         all.0.append_purge(Some("0a"), 0, at).unwrap();
-        all.0.learn_purge(None, 7, 3).unwrap();
+        all.0.append_if_newer(None, 7, 3).unwrap();
     }
     written(&mut all);
-    all.0.learn_purge(Some("0a"), 0, 4).unwrap();
+    all.0.append_if_newer(Some("0a"), 0, 4).unwrap();
     assert!(
         all.0.replica().is_synced(),
         "what is known is not written again"
     );
     // Dropped and not closed, as a crash leaves it.
-    all.0.abandon();
+    all.0.simulate_crash();
     let mut again = open(&path, 78).unwrap();
     assert_eq!(again.0.incarnation(), 78);
     let both = [Purge::of_group(7, 3), Purge::of_object("0a", 30)];
@@ -95,7 +95,7 @@
         "one process has it: {second}"
     );
     written(&mut again);
-    again.0.abandon();
+    again.0.simulate_crash();
     assert_eq!(open(&path, 81).unwrap().0.purges().len(), 4);
     fs::remove_file(&path).unwrap();
     assert!(open(&path.join("below"), 82).is_err());
@@ -120,7 +120,7 @@
             "{name}"
         );
         assert_eq!(
-            ledger.0.replica().own(),
+            ledger.0.replica().own_log(),
             LogId::new(1, 99),
             "{name}: in a life of its own"
         );
@@ -140,7 +140,7 @@
             "{name}: it is not taken over again"
         );
         assert_eq!(
-            again.0.replica().own(),
+            again.0.replica().own_log(),
             LogId::new(1, 99),
             "{name}: and has its life from then on"
         );
@@ -151,7 +151,7 @@
         fs::remove_file(&path).unwrap();
         let twice = open(&path, 130).unwrap();
         assert_eq!(
-            (twice.0.replica().own(), twice.0.is_fresh()),
+            (twice.0.replica().own_log(), twice.0.is_fresh()),
             (LogId::new(1, 130), true),
             "{name}"
         );
@@ -254,7 +254,7 @@
         (decided.into(), false)
     );
     assert_eq!(
-        again.0.replica().own(),
+        again.0.replica().own_log(),
         LogId::new(1, 77),
         "the life of the store, not of the log that came back"
     );
--- a/membership/tests/predecessor.rs
+++ b/membership/tests/predecessor.rs
@@ -1,16 +1,16 @@
-//! A process that began without its disk, and a claim of a later process of its name: the clock may have been set back since
-//! that one ran, or that one has replaced it.
+//! A process that started without its disk receives a claim about a process with a greater id. That process is either
+//! the predecessor, if the clock has been set back since, or a successor.
 
 use linnetknot_membership::*;
 
 const SECOND_US: Micros = 1_000_000;
 const START: Micros = 1_000_000 * SECOND_US;
-/// Until when the process expects its predecessor to be known.
+/// How long the process expects reports of its predecessor.
 const WINDOW_US: Micros = 5 * SECOND_US;
 const OWN_ID: Id = 1;
 const PEER_ID: Id = 2;
 
-fn fresh_process() -> Membership {
+fn process_without_disk() -> Membership {
     let config = MembershipConfig {
         id: OWN_ID,
         process: START,
@@ -27,7 +27,7 @@
     membership
 }
 
-/// The peer's datagram that tells of a process of this name.
+/// Returns a peer's datagram that reports a process of this member.
 fn report(process: ProcessId) -> Vec<u8> {
     let claim = Claim {
         process,
@@ -56,32 +56,39 @@
 fn receive(membership: &mut Membership, now: Micros, process: ProcessId) {
     membership
         .receive(now, 0, &report(process))
-        .expect("it can be read");
+        .expect("the datagram can be decoded");
 }
 
 #[test]
-fn a_process_of_a_later_clock_is_taken_for_the_predecessor() {
-    let mut membership = fresh_process();
+fn a_process_id_in_the_future_is_taken_for_the_predecessor() {
+    let mut membership = process_without_disk();
     let predecessor = START + 3_600 * SECOND_US;
     receive(&mut membership, START + SECOND_US, predecessor);
     assert!(!membership.is_replaced());
     assert_eq!(membership.process(), predecessor + 1);
 }
 
-/// It began after this one, which may have stood still meanwhile, and so by a clock that this one has reached.
+/// Guards against a successor that is taken for the predecessor. A successor's id is a time that the clock has reached.
 #[test]
-fn a_process_that_began_meanwhile_has_replaced_this_one() {
-    for started in [1, SECOND_US, 4 * SECOND_US] {
-        let mut membership = fresh_process();
-        receive(&mut membership, START + 4 * SECOND_US, START + started);
-        assert!(membership.is_replaced(), "started {started} us later");
+fn a_process_that_started_later_replaces_this_one() {
+    for started_after_us in [1, SECOND_US, 4 * SECOND_US] {
+        let mut membership = process_without_disk();
+        receive(
+            &mut membership,
+            START + 4 * SECOND_US,
+            START + started_after_us,
+        );
+        assert!(
+            membership.is_replaced(),
+            "started {started_after_us} us later"
+        );
         assert_eq!(membership.process(), START);
     }
 }
 
 #[test]
-fn after_the_window_every_later_process_has_replaced_this_one() {
-    let mut membership = fresh_process();
+fn after_the_window_every_later_process_replaces_this_one() {
+    let mut membership = process_without_disk();
     receive(
         &mut membership,
         START + WINDOW_US,
--- a/rehearse/src/scale/hollow/purge_log.rs
+++ b/rehearse/src/scale/hollow/purge_log.rs
@@ -74,8 +74,8 @@
         let machines: Vec<u64> = config.peers_of(index).map(|peer| peer.machine_id).collect();
         let times = RecoveryTimes {
             start: now,
-            deadline: now + config.limits.recovery_us,
-            retry_us: config.limits.recovery_ask_us,
+            deadline: now + config.limits.recovery_timeout_us,
+            retry_us: config.limits.recovery_poll_interval_us,
         };
         let min_acks = config.replication.min_acks;
         let recovery =
@@ -83,7 +83,7 @@
         replica.set_peers(me.machine_id, machines);
         PurgeLog {
             replica,
-            disk: SimulatedDisk::new(config.limits.store_writes),
+            disk: SimulatedDisk::new(config.limits.max_store_writes),
             due: now,
             expires: now,
             commits: BTreeMap::new(),
@@ -108,7 +108,7 @@
         let effective = self
             .replica
             .log_store()
-            .effective(&Subject::Object(object(purge)));
+            .latest_purge(&Subject::Object(object(purge)));
         effective.is_some_and(|effective| effective >= at)
     }
 
@@ -150,7 +150,7 @@
             return;
         }
         for Write { log, index } in synced {
-            let acknowledgements = self.replica.synced(log, index);
+            let acknowledgements = self.replica.record_synced(log, index);
             send_all(acknowledgements, outbox);
         }
         self.settle(now, events);
@@ -159,7 +159,7 @@
     fn exchange(&mut self, now: Micros, outbox: &mut Outbox, events: &mut Vec<MemberEvent>) {
         if !self.disk.is_full() {
             self.replica
-                .take_failed()
+                .take_failed_syncs()
                 .iter()
                 .for_each(|entry| self.write(entry, now));
         }
@@ -199,7 +199,7 @@
             index: entry.index,
         };
         if !self.disk.write(write, now) {
-            self.replica.sync_failed(entry.log, entry.index);
+            self.replica.record_sync_failure(entry.log, entry.index);
         }
     }
 
@@ -228,7 +228,7 @@
         if let Some(bytes) = entry
             .as_ref()
             .ok()
-            .and_then(|entry| Datagram::Entry(entry.clone()).write())
+            .and_then(|entry| Datagram::Entry(entry.clone()).encode())
         {
             outbox.broadcast(&bytes);
         }
@@ -280,7 +280,7 @@
         outbox: &mut Outbox,
         events: &mut Vec<MemberEvent>,
     ) -> bool {
-        let datagram = match Datagram::read(bytes) {
+        let datagram = match Datagram::decode(bytes) {
             Ok(datagram) => datagram,
             Err(DecodeError::Foreign) => return false,
             Err(_) => return true,
@@ -297,7 +297,7 @@
             let _ = self
                 .recovery
                 .as_mut()
-                .map(|recovery| recovery.settled(from));
+                .map(|recovery| recovery.record_caught_up(from));
         }
         let replies = received.replies.into_iter().map(|datagram| Outgoing {
             peer: from,
@@ -305,7 +305,10 @@
         });
         send_all(replies.collect(), outbox);
         if !received.compacted.is_empty() {
-            send_all(self.replica.snapshot_synced(&received.compacted), outbox);
+            send_all(
+                self.replica.record_snapshot_synced(&received.compacted),
+                outbox,
+            );
         }
         self.settle(now, events);
         // The next part of a snapshot, or of what is missing, may be due sooner now.
@@ -324,7 +327,7 @@
         let known = self
             .replica
             .log_store()
-            .latest(&Subject::Object(object(purge)));
+            .latest_entry_time(&Subject::Object(object(purge)));
         if known.is_some_and(|known| known >= at) {
             return;
         }
@@ -339,7 +342,7 @@
         if is_in_order && self.replica.is_synced() {
             return DiskContents {
                 logs: store.clone(),
-                own: Some(self.replica.own()),
+                own: Some(self.replica.own_log()),
             };
         }
         let is_durable = |entry: &Entry| entry.index <= self.replica.durable_index(entry.log);
@@ -385,7 +388,7 @@
 
 fn send_all(datagrams: Vec<Outgoing>, outbox: &mut Outbox) {
     for Outgoing { peer, datagram } in datagrams {
-        if let Some(bytes) = datagram.write() {
+        if let Some(bytes) = datagram.encode() {
             outbox.send(peer, bytes);
         }
     }
--- a/replication/src/log_store/queries.rs
+++ b/replication/src/log_store/queries.rs
@@ -22,7 +22,7 @@
     }
 
     /// Returns the index through which a log is compacted; 0 if it is not.
-    pub fn compacted(&self, log: LogId) -> Index {
+    pub fn compacted_through(&self, log: LogId) -> Index {
         self.progress
             .get(&log)
             .map_or(0, |progress| progress.compacted)
@@ -60,7 +60,7 @@
             index: index.saturating_add(1),
         };
         let mut live_before = self.live_before(next);
-        let compacted = self.compacted(log);
+        let compacted = self.compacted_through(log);
         self.live_after(log, index).map(move |(key, record)| {
             let prev = live_before.max(compacted.min(key.index - 1));
             live_before = key.index;
@@ -113,7 +113,7 @@
     /// Returns the index that a replica must have of a log to take the entry at a position next.
     pub(super) fn prev_of(&self, key: EntryKey) -> Index {
         self.live_before(key)
-            .max(self.compacted(key.log).min(key.index - 1))
+            .max(self.compacted_through(key.log).min(key.index - 1))
     }
 
     /// Returns the index of the last entry in force of a log on a subject.
@@ -142,7 +142,7 @@
     }
 
     /// Returns when a subject was last purged by any writer, as far as entries say.
-    pub fn latest(&self, subject: &Subject) -> Option<Micros> {
+    pub fn latest_entry_time(&self, subject: &Subject) -> Option<Micros> {
         let logs = self.latest.range(SubjectKey::first(subject.clone())..);
         let of_subject = logs.take_while(|(key, _)| key.subject == *subject);
         let keys = of_subject.map(|(key, index)| EntryKey {
@@ -156,9 +156,9 @@
 
     /// Returns the time before which no copy may be served: no earlier than any purge of the subject, whether it is an
     /// entry or in the table.
-    pub fn effective(&self, subject: &Subject) -> Option<Micros> {
+    pub fn latest_purge(&self, subject: &Subject) -> Option<Micros> {
         let compacted = subject.purge_key().and_then(|key| self.table.latest(key));
-        self.latest(subject).max(compacted)
+        self.latest_entry_time(subject).max(compacted)
     }
 
     /// Returns all entries in force, log by log, without the purges that a later one of their log supersedes.
--- a/tests/platform_rules.rs
+++ b/tests/platform_rules.rs
@@ -388,7 +388,7 @@
         .purges_mut()
         .set_capacity(0, BucketBits::new(6).unwrap());
     assert_eq!(max_age_of(&mut harness, "/o/a"), Some(3 * S));
-    harness.router.purges_mut().raise_all(start - S);
+    harness.router.purges_mut().purge_all(start - S);
     assert_eq!(
         (
             max_age_of(&mut harness, "/o/a"),
