--- a/src/ramp.rs
+++ b/src/ramp.rs
@@ -10,7 +10,7 @@
 use crate::interface::Micros;
 
 /// Number of slot durations in a window.
-const SLOTS_PER_WINDOW: Micros = 4;
+const SLOT_DURATIONS_PER_WINDOW: Micros = 4;
 /// Conjugate of the golden ratio. The fractional parts of its multiples are evenly distributed between 0 and 1 for any
 /// number of multiples.
 pub(crate) const GOLDEN_RATIO_CONJUGATE: f64 = 0.618_033_988_749_894_9;
@@ -46,6 +46,6 @@
             let mean = (self.share_at(0) + self.share_at(age)) / 2.0;
             (phase + rate * mean * age as f64 / window_us as f64).floor()
         };
-        slots_until(age) > slots_until(age.saturating_sub(window_us / SLOTS_PER_WINDOW))
+        slots_until(age) > slots_until(age.saturating_sub(window_us / SLOT_DURATIONS_PER_WINDOW))
     }
 }
--- a/src/router/capacity.rs
+++ b/src/router/capacity.rs
@@ -5,7 +5,7 @@
 use super::statistics::MIN_SLOWDOWN_SAMPLES;
 use super::Router;
 use crate::interface::{Micros, ServerId, State};
-use crate::statistics::{decayed, SlowdownSample};
+use crate::statistics::{decayed, SlowdownEstimate};
 
 /// Maximum fraction of the remaining time that a fill may be expected to take.
 const LINK_MARGIN: f64 = 0.4;
@@ -135,7 +135,7 @@
         if link_kb_per_s > 0.0 {
             return Some(link_kb_per_s / self.settings.flow_kb_per_s.max(1.0));
         }
-        let is_congested = |average: &SlowdownSample| average.slowdown >= CONGESTED_SLOWDOWN;
+        let is_congested = |average: &SlowdownEstimate| average.slowdown >= CONGESTED_SLOWDOWN;
         let average = self
             .link_slowdown
             .last_average(MIN_LINK_SAMPLES)
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -58,7 +58,7 @@
     fn fill_for(&self, now: Micros, open: &OpenRequest, target: Target) -> Fill {
         let class = &self.settings.classes[open.class];
         let retained = open.part_count >= RETAINED_PART_COUNT;
-        let held_by_cache = !self.is_upstream(target.server);
+        let target_is_cache = !self.is_upstream(target.server);
         let rank = if class.write {
             0
         } else {
@@ -66,14 +66,14 @@
         };
         Fill {
             source: target.source.unwrap_or(target.server),
-            cache_rank: if held_by_cache { rank } else { 0 },
+            cache_rank: if target_is_cache { rank } else { 0 },
             max_age_us: self.max_age_us(now, open),
-            coalesce: held_by_cache && self.settings.coalesces_fills && !class.write,
+            coalesce: target_is_cache && self.settings.coalesces_fills && !class.write,
             only_if_cached: !class.write
                 && target.source.is_some()
                 && !self.may_reach_origin(now, open),
             bypass_parent: false,
-            background_refresh: held_by_cache && class.fresh_us > 0 && retained,
+            background_refresh: target_is_cache && class.fresh_us > 0 && retained,
         }
     }
 
--- a/src/router/faults.rs
+++ b/src/router/faults.rs
@@ -94,7 +94,7 @@
             self.record_failure(end.now, failed, 1.0);
         }
         self.record_success(end.now, end.attempt.server);
-        self.learn_answer(end);
+        self.record_answer_statistics(end);
         let Some(source) = end.attempt.source else {
             return;
         };
@@ -109,7 +109,7 @@
             self.record_success(end.now, source);
             let source = self.endpoints.get_mut(&source);
             if let Some(source) = source.filter(|_| end.size_known) {
-                Self::learn_fill_slowdown(source, end);
+                Self::record_fill_slowdown(source, end);
             }
         }
     }
@@ -119,7 +119,7 @@
         // Counts as a slow answer. Counting only completed answers would lower the bound with every cancellation, so a
         // slow origin would have all its requests cancelled and repeated.
         if end.slow {
-            self.class_statistics[end.class].learn_tail(true);
+            self.class_statistics[end.class].adjust_tail_factor(true);
         }
         let server = Some(end.attempt.server).filter(|_| !end.retry_same_server);
         for id in [server, end.silent_source].into_iter().flatten() {
--- a/src/router/origin.rs
+++ b/src/router/origin.rs
@@ -7,7 +7,7 @@
 
 /// Factor applied to the admitted share for a late answer.
 const ORIGIN_SHARE_DECREASE: f64 = 0.85;
-/// Maximum exponent of `ORIGIN_SHARE_DECREASE`. Later answers have larger exponents, because a long queue takes time to
+/// Maximum lateness that counts. The share falls faster the later an answer is, because a long queue takes time to
 /// show.
 const MAX_ORIGIN_LATENESS: f64 = 3.0;
 /// Increase of the admitted share for an answer in time.
@@ -26,7 +26,7 @@
     /// Admitted share according to this router's own answers.
     share: f64,
     updated_at: Micros,
-    /// Share after an answer that must be reported to other routers.
+    /// Admitted share after an answer that was late enough to be reported to other routers.
     pending_report: Option<f64>,
     /// Upper limit of the share reported by other routers, and its expiry time.
     peer_limit: f64,
@@ -67,7 +67,7 @@
     /// Fills beyond the origin's capacity queue there, and the origin also processes those whose clients no longer
     /// wait, so all answers would be late long after the overload ends. Admitting fewer requests drains the queue;
     /// parents continue to serve what they hold.
-    fn learn(&mut self, now: Micros, note: Note, lateness: f64) {
+    fn update(&mut self, now: Micros, note: Note, lateness: f64) {
         let since_us = now.saturating_sub(self.updated_at).min(MAX_ANSWER_GAP_US);
         let weight = 1.0 + ANSWER_WEIGHT_PER_S * (since_us as f64 / 1e6);
         self.share = match note {
@@ -97,15 +97,15 @@
     }
 
     /// Updates the admitted share with the end of an attempt.
-    pub(super) fn learn_of_origin(&mut self, end: &AttemptEnd) {
+    pub(super) fn update_origin_admission(&mut self, end: &AttemptEnd) {
         let objective_us = self.settings.classes[end.class].objective_us.max(1) as f64;
         let admission = &mut self.origin_admission;
         if end.origin_unanswered {
             let lateness = end.took_us as f64 / objective_us;
-            admission.learn(end.now, Note::OriginFailed, lateness);
+            admission.update(end.now, Note::OriginFailed, lateness);
         } else if end.reflects_origin {
             let lateness = end.first_byte_us as f64 / objective_us;
-            admission.learn(end.now, end.note, lateness);
+            admission.update(end.now, end.note, lateness);
             if end.note == Note::FilledByOrigin && lateness >= MIN_REPORTED_LATENESS {
                 admission.pending_report = Some(admission.share);
             }
--- a/src/router/outcomes.rs
+++ b/src/router/outcomes.rs
@@ -1,4 +1,4 @@
-//! Processes the end of an attempt: updates what is known of its servers, link and origin, and routes or closes its
+//! Processes the end of an attempt: updates the state of its servers, link and origin, and routes or closes its
 //! request.
 
 use super::faults::Fault;
@@ -41,8 +41,8 @@
     pub(super) retry_same_server: bool,
     /// Source of an attempt that was cancelled as stuck, if it has answered no request since the attempt was sent.
     pub(super) silent_source: Option<ServerId>,
-    /// Whether the note says something about the origin. The loss of a single parent does not, because the other
-    /// parents must go on fetching from it.
+    /// The note reflects the state of the origin. The loss of a single parent does not, because the other parents must
+    /// continue to fetch from it.
     pub(super) reflects_origin: bool,
     /// No answer arrived within the latency objective although cache and source are healthy. This is the first sign of
     /// an overloaded origin, and for many routers the only one.
@@ -93,11 +93,11 @@
         let Some(mut end) = self.take_attempt(now, report) else {
             return;
         };
-        self.learn_unknown_size(&end);
-        self.learn_hit_slowdown(&end);
+        self.estimate_unknown_size(&end);
+        self.record_hit_slowdown(&end);
         self.release_attempt(&end.attempt);
-        self.learn_link_slowdown(&end);
-        self.learn_of_origin(&end);
+        self.record_link_slowdown(&end);
+        self.update_origin_admission(&end);
         let fault = self.assign_fault(&end);
         self.record_outcome(&mut end, &fault);
         let open = self.requests.get(&report.request);
--- a/src/router/placement.rs
+++ b/src/router/placement.rs
@@ -15,7 +15,7 @@
 /// Ratio of fill durations above which the second parent is preferred to the first.
 const SLOWER_PARENT_FACTOR: f64 = 2.0;
 
-/// The ready servers in the shared hash order of a part.
+/// Ready servers by role, ranked for a part by rendezvous hashing.
 pub(super) struct RankedServers {
     caches: Vec<ServerId>,
     parents: Vec<ServerId>,
@@ -30,7 +30,7 @@
 }
 
 impl Router {
-    /// The ready servers in the shared hash order of a part.
+    /// Returns the ready servers ranked for a part. All routers compute the same ranking.
     pub(super) fn rank(&self, part_key: u64) -> RankedServers {
         RankedServers {
             caches: self.rank_role(Role::Cache, part_key),
@@ -210,8 +210,8 @@
     }
 
     /// Selects a target when no healthy cache would answer in time. If all caches are ejected and direct attempts are
-    /// allowed, uses the first healthy parent in the ranking. Otherwise uses the first cache that would answer in time
-    /// even if it is ejected, because ejections of all caches indicate overload rather than failures of single servers.
+    /// allowed, it is the first healthy parent in the ranking. Otherwise it is the first cache that would answer in
+    /// time, ejected or not, because ejections of all caches indicate overload rather than failures of single servers.
     pub(super) fn pick_fallback(
         &self,
         now: Micros,
--- a/src/router/requests.rs
+++ b/src/router/requests.rs
@@ -46,7 +46,7 @@
         let settings = &self.settings.classes[class];
         // Sizes that could not be sent before the deadline are ignored, because a client may claim any size.
         if size_known && transfer_s * 1e6 <= settings.deadline_us as f64 {
-            self.class_statistics[class].learn_transfer(transfer_s);
+            self.class_statistics[class].add_transfer(transfer_s);
         }
         let stretch_us = (settings.objective_stretch * transfer_s * 1e6) as Micros;
         let (object_count, part_count) = if settings.write {
--- a/src/router/slow_start.rs
+++ b/src/router/slow_start.rs
@@ -56,7 +56,7 @@
     fn slow_start_budget(&self, server: &Endpoint, now: Micros) -> Option<SlowStartBudget> {
         let rules = &self.settings.rules;
         let window_us = rules.overload_window_us;
-        // The capacity in the middle of the window, since the rule is evaluated over the whole window.
+        // Uses the capacity in the middle of the window, because the rule considers the whole window.
         let warmth = self.warmth(server, now.saturating_sub(window_us / 2));
         if warmth >= 1.0 || server.role == Role::Origin || server.state != State::Ready {
             return None;
--- a/src/router/statistics.rs
+++ b/src/router/statistics.rs
@@ -7,6 +7,7 @@
 
 /// Half-life of the samples from the location's link, short so that regained capacity is noticed quickly.
 pub(super) const LINK_HALF_LIFE_MS: u64 = 1_000;
+/// Half-life of the samples of one server.
 pub(super) const SLOWDOWN_HALF_LIFE_MS: u64 = 10_000;
 /// Minimum decayed number of samples for a slowdown average to be used.
 pub(super) const MIN_SLOWDOWN_SAMPLES: f64 = 2.0;
@@ -20,6 +21,7 @@
 const MISS_STEP: f64 = 0.01;
 /// Share of the answers that may exceed `tail_factor`.
 const TAIL_SHARE: f64 = 0.02;
+/// Weight of one answer in `tail_factor`.
 const TAIL_STEP: f64 = 0.2;
 const INITIAL_TAIL_FACTOR: f64 = 4.0;
 
@@ -45,13 +47,13 @@
     }
 
     /// Adds the transfer time of one request.
-    pub(super) fn learn_transfer(&mut self, transfer_s: f64) {
+    pub(super) fn add_transfer(&mut self, transfer_s: f64) {
         self.samples += 1.0;
         self.transfer_s += (transfer_s - self.transfer_s) * TRANSFER_STEP.max(1.0 / self.samples);
     }
 
     /// Adjusts `tail_factor` by an answer that took longer than it allows (`slower`) or not.
-    pub(super) fn learn_tail(&mut self, slower: bool) {
+    pub(super) fn adjust_tail_factor(&mut self, slower: bool) {
         let slower = f64::from(u8::from(slower));
         self.tail_factor *= 1.0 + TAIL_STEP * (slower - TAIL_SHARE);
     }
@@ -65,7 +67,7 @@
 
     /// Estimates the transfer time of a hit of unknown size: its duration, less the slowdown explained by the server's
     /// load.
-    pub(super) fn learn_unknown_size(&mut self, end: &AttemptEnd) {
+    pub(super) fn estimate_unknown_size(&mut self, end: &AttemptEnd) {
         if !end.is_hit() || end.size_known {
             return;
         }
@@ -73,11 +75,11 @@
         let capacity = server.map_or(0.0, |server| self.capacity(server));
         let sharing = (end.attempt.server_load / capacity.max(0.1)).max(1.0);
         let transfer_s = (end.took_s() - ROUND_TRIP_S).max(MIN_TRANSFER_S);
-        self.class_statistics[end.class].learn_transfer(transfer_s / sharing);
+        self.class_statistics[end.class].add_transfer(transfer_s / sharing);
     }
 
     /// Adds a hit to its server's slowdown average. Must be called while the attempt still counts as in flight.
-    pub(super) fn learn_hit_slowdown(&mut self, end: &AttemptEnd) {
+    pub(super) fn record_hit_slowdown(&mut self, end: &AttemptEnd) {
         let server = self.endpoints.get(&end.attempt.server);
         let load_now = server.map_or(0.0, |server| self.load(server));
         let load = (end.attempt.server_load + load_now) / 2.0;
@@ -93,7 +95,7 @@
     /// Adds a fill to the slowdown average of the location's link. Attempts cancelled as slow count because they used
     /// the link throughout. Attempts that timed out at the client's deadline do not count, because they may have waited
     /// for the origin.
-    pub(super) fn learn_link_slowdown(&mut self, end: &AttemptEnd) {
+    pub(super) fn record_link_slowdown(&mut self, end: &AttemptEnd) {
         let filled =
             end.outcome == Outcome::Ok && matches!(end.note, Note::Filled | Note::FilledByOrigin);
         if !end.size_known || end.attempt.source.is_none() || !(filled || end.slow) {
@@ -106,15 +108,15 @@
     }
 
     /// Updates the tail factor of the class and the miss rate with an answer.
-    pub(super) fn learn_answer(&mut self, end: &AttemptEnd) {
+    pub(super) fn record_answer_statistics(&mut self, end: &AttemptEnd) {
         let class = &mut self.class_statistics[end.class];
-        class.learn_tail(end.took_s() > class.tail_factor * end.expected_s);
+        class.adjust_tail_factor(end.took_s() > class.tail_factor * end.expected_s);
         let missed = f64::from(u8::from(!end.is_hit()));
         self.miss_rate += MISS_STEP * (missed - self.miss_rate);
     }
 
     /// Adds a fill to its source's slowdown average.
-    pub(super) fn learn_fill_slowdown(source: &mut Endpoint, end: &AttemptEnd) {
+    pub(super) fn record_fill_slowdown(source: &mut Endpoint, end: &AttemptEnd) {
         let transfer_s = end.transfer_s + ROUND_TRIP_S;
         source
             .fill_slowdown
--- a/src/statistics.rs
+++ b/src/statistics.rs
@@ -8,8 +8,8 @@
 const INITIAL_EVICTION_FLOOR: f64 = 0.25;
 
 /// Returns a value that was recorded at `at`, decayed to `now`.
-pub(crate) fn decayed(figure: f64, at: Micros, now: Micros, half_life_s: f64) -> f64 {
-    figure * (-(now.saturating_sub(at) as f64) / 1e6 / half_life_s).exp2()
+pub(crate) fn decayed(value: f64, at: Micros, now: Micros, half_life_s: f64) -> f64 {
+    value * (-(now.saturating_sub(at) as f64) / 1e6 / half_life_s).exp2()
 }
 
 /// A decaying count, stored with the time of its last update.
@@ -76,7 +76,7 @@
 }
 
 /// Averages over recent transfers.
-pub(crate) struct SlowdownSample {
+pub(crate) struct SlowdownEstimate {
     /// Duration of the transfers, as a multiple of their duration at full rate.
     pub(crate) slowdown: f64,
     /// Concurrent transfers on the server or link.
@@ -111,13 +111,13 @@
     }
 
     /// Returns the averages if the decayed number of samples is at least `min_samples`.
-    pub(crate) fn recent_average(&self, now: Micros, min_samples: f64) -> Option<SlowdownSample> {
+    pub(crate) fn recent_average(&self, now: Micros, min_samples: f64) -> Option<SlowdownEstimate> {
         self.last_average(min_samples / self.decay_factor(now))
     }
 
     /// Returns the averages if the number of samples was at least `min_samples` at the last update, however long ago.
-    pub(crate) fn last_average(&self, min_samples: f64) -> Option<SlowdownSample> {
-        (self.samples >= min_samples).then(|| SlowdownSample {
+    pub(crate) fn last_average(&self, min_samples: f64) -> Option<SlowdownEstimate> {
+        (self.samples >= min_samples).then(|| SlowdownEstimate {
             slowdown: self.took_s / self.transfer_s.max(1e-9),
             load: self.load / self.samples,
         })
