--- a/ops/tests/admin.rs
+++ b/admin-api/tests/admin.rs
@@ -1,6 +1,8 @@
 //! The admin API's parser and responses.
 
-use linnetknot_ops::admin::{Call, CallError, Parser, Reply, MAX_HEAD, MAX_HEADERS, MAX_LINE};
+use linnetknot_admin_api::admin::{
+    Call, CallError, Parser, Reply, MAX_HEAD, MAX_HEADERS, MAX_LINE,
+};
 
 fn whole(text: &str) -> Result<Option<Call>, CallError> {
     Parser::new().feed(text.as_bytes())
--- a/ops/tests/state.rs
+++ b/admin-api/tests/state.rs
@@ -1,7 +1,7 @@
 //! What calls change, and what follows from it.
 
-use linnetknot_ops::state::{OperatorState, SWEEP_US};
-use linnetknot_ops::{Call, Drain, Effect, Operations, Outcome};
+use linnetknot_admin_api::state::{OperatorState, SWEEP_US};
+use linnetknot_admin_api::{Call, Drain, Effect, Operations, Outcome};
 
 fn known(id: &str) -> bool {
     id.starts_with("pc")
--- a/daemon/src/daemon/admin.rs
+++ b/daemon/src/daemon/admin.rs
@@ -1,6 +1,6 @@
 //! The admin listener in the daemon: its listener and connections, and carrying out what its calls decide.
 //!
-//! Which calls are taken and what they change is `linnetknot_ops`'s; here bytes are moved, bans are laid over
+//! Which calls are taken and what they change is `linnetknot_admin_api`'s; here bytes are moved, bans are laid over
 //! what the sources tell the core, drains close client connections, and the state is stored under `$TMPDIR`.
 //! The admin listener has slots of its own, so that callers that hold connections without a complete call, or a flood of
 //! clients, never keep an operator out: where its slots are full, the caller that came first is evicted.
@@ -10,8 +10,8 @@
 use crate::fleet;
 use crate::net::{Conn, FailureKind, Key};
 use linnetknot::{ListMode, Micros, State};
-use linnetknot_ops::state::SWEEP_US;
-use linnetknot_ops::{Call, Drain, Effect, Outcome, Parser, Reply};
+use linnetknot_admin_api::state::SWEEP_US;
+use linnetknot_admin_api::{Call, Drain, Effect, Outcome, Parser, Reply};
 
 /// One caller's connection.
 pub(super) struct Caller {
--- a/daemon/src/daemon/clients/requests.rs
+++ b/daemon/src/daemon/clients/requests.rs
@@ -6,7 +6,7 @@
 use crate::net::{Key, Progress};
 use crate::wire::WireError;
 use linnetknot::Micros;
-use linnetknot_ops::Drain;
+use linnetknot_admin_api::Drain;
 
 impl Daemon {
     /// The session of a client's connection.
--- a/daemon/src/daemon/commits/operators.rs
+++ b/daemon/src/daemon/commits/operators.rs
@@ -5,7 +5,7 @@
 use crate::ledger::{AppendError, Ledger};
 use crate::net::Key;
 use linnetknot::Micros;
-use linnetknot_ops::{Effect, Reply};
+use linnetknot_admin_api::{Effect, Reply};
 use linnetknot_replication::Subject;
 
 /// What an operator's call decided, as an entry of the log holds it.
--- a/daemon/tests/admin.rs
+++ b/daemon/tests/admin.rs
@@ -173,7 +173,9 @@
     assert_eq!(one(&mut late, "photo", &object(4)).status, 200);
     assert!(late.end().is_err());
     assert!(
-        linnetknot_ops::store::load(&folder).unwrap().out_of_service,
+        linnetknot_admin_api::store::load(&folder)
+            .unwrap()
+            .out_of_service,
         "the drain is kept"
     );
     assert_eq!(status(admin, "POST", "/control/in-service"), 200);
--- a/daemon/tests/stored_forms.rs
+++ b/daemon/tests/stored_forms.rs
@@ -2,11 +2,11 @@
 //! of caches, and a store of each format.
 
 use linnetknot::State;
+use linnetknot_admin_api::state::OperatorState;
+use linnetknot_admin_api::store;
 use linnetknot_daemon::ledger::{Bounds, Ledger, TriggerStatus};
 use linnetknot_daemon::peers::{self, Purge};
 use linnetknot_discovery::cached_snapshot;
-use linnetknot_ops::state::OperatorState;
-use linnetknot_ops::store;
 use linnetknot_purges::{BucketBits, Micros};
 use linnetknot_replication::{Entry, LogId, Options, Subject};
 use linnetknot_store::{Format, KeyValue, Keyspace, Store};
