--- a/admin-api/src/admin/call.rs
+++ b/admin-api/src/admin/call.rs
@@ -1,7 +1,7 @@
 //! The calls of the admin API, and why a request is none.
 
 /// The longest id of a pop cache, in bytes.
-pub const MAX_ID: usize = 128;
+pub const MAX_POP_CACHE_ID_BYTES: usize = 128;
 
 /// The path under which pop caches are named.
 const POP_CACHES: &str = "/control/pop-caches/";
@@ -28,10 +28,10 @@
 /// Why a request is rejected. Its connection ends after a response with the status of [`CallError::status`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// The request line is over [`MAX_LINE`](super::MAX_LINE).
+    /// The request line is over [`MAX_REQUEST_LINE_BYTES`](super::MAX_REQUEST_LINE_BYTES).
     #[error("the request line is too long")]
     LineTooLong,
-    /// The head is over [`MAX_HEAD`](super::MAX_HEAD), or has more than [`MAX_HEADERS`](super::MAX_HEADERS) headers.
+    /// The head is over [`MAX_HEAD_BYTES`](super::MAX_HEAD_BYTES), or has more than [`MAX_HEADERS`](super::MAX_HEADERS) headers.
     #[error("the head is too large")]
     HeadTooLarge,
     /// The bytes are no HTTP/1.x request.
@@ -39,19 +39,19 @@
     Malformed,
     /// The version is neither HTTP/1.0 nor HTTP/1.1.
     #[error("not HTTP/1.0 or HTTP/1.1")]
-    Version,
+    UnsupportedVersion,
     /// The path does not take this method.
     #[error("the method does not fit the path")]
-    Method,
+    MethodNotAllowed,
     /// The path is no call, or the id can't be one.
     #[error("no such call")]
     NotFound,
     /// There is a body, or a header that announces one: no call has any.
     #[error("a call has no body")]
-    Body,
+    UnexpectedBody,
     /// The connection ended before the request was complete.
     #[error("the call was cut off")]
-    Cut,
+    Truncated,
 }
 
 impl CallError {
@@ -60,10 +60,10 @@
         match self {
             CallError::LineTooLong => 414,
             CallError::HeadTooLarge => 431,
-            CallError::Method => 405,
+            CallError::MethodNotAllowed => 405,
             CallError::NotFound => 404,
-            CallError::Body => 413,
-            CallError::Malformed | CallError::Version | CallError::Cut => 400,
+            CallError::UnexpectedBody => 413,
+            CallError::Malformed | CallError::UnsupportedVersion | CallError::Truncated => 400,
         }
     }
 }
@@ -71,7 +71,7 @@
 /// Whether an id can name a pop cache: letters, digits and `-._:`.
 fn is_id(id: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-._:".contains(&byte);
-    !id.is_empty() && id.len() <= MAX_ID && id.bytes().all(is_allowed)
+    !id.is_empty() && id.len() <= MAX_POP_CACHE_ID_BYTES && id.bytes().all(is_allowed)
 }
 
 /// Returns the call of a method and a path.
@@ -88,7 +88,7 @@
     if method == expected || (expected == "GET" && method == "HEAD") {
         Ok(call)
     } else {
-        Err(CallError::Method)
+        Err(CallError::MethodNotAllowed)
     }
 }
 
--- a/admin-api/src/admin/mod.rs
+++ b/admin-api/src/admin/mod.rs
@@ -8,6 +8,6 @@
 mod parser;
 mod reply;
 
-pub use call::{Call, CallError, MAX_ID};
-pub use parser::{Parser, MAX_HEAD, MAX_HEADERS, MAX_LINE};
+pub use call::{Call, CallError, MAX_POP_CACHE_ID_BYTES};
+pub use parser::{Parser, MAX_HEADERS, MAX_HEAD_BYTES, MAX_REQUEST_LINE_BYTES};
 pub use reply::Reply;
--- a/admin-api/src/admin/parser.rs
+++ b/admin-api/src/admin/parser.rs
@@ -3,9 +3,9 @@
 use super::call::{route, Call, CallError};
 
 /// The longest request line, in bytes.
-pub const MAX_LINE: usize = 1024;
+pub const MAX_REQUEST_LINE_BYTES: usize = 1024;
 /// The longest head, request line and headers together, in bytes.
-pub const MAX_HEAD: usize = 8192;
+pub const MAX_HEAD_BYTES: usize = 8192;
 /// The most headers of a request.
 pub const MAX_HEADERS: usize = 64;
 
@@ -44,7 +44,7 @@
         check_header(header)?;
     }
     if bytes_after > 0 {
-        return Err(CallError::Body);
+        return Err(CallError::UnexpectedBody);
     }
     route(request.method, request.target)
 }
@@ -66,7 +66,7 @@
         return Err(CallError::Malformed);
     }
     if version != "HTTP/1.1" && version != "HTTP/1.0" {
-        return Err(CallError::Version);
+        return Err(CallError::UnsupportedVersion);
     }
     Ok(RequestLine { method, target })
 }
@@ -79,12 +79,12 @@
         return Err(CallError::Malformed);
     }
     if name.eq_ignore_ascii_case("transfer-encoding") {
-        return Err(CallError::Body);
+        return Err(CallError::UnexpectedBody);
     }
     if name.eq_ignore_ascii_case("content-length") {
         return match value.trim().parse::<u64>() {
             Ok(0) => Ok(()),
-            Ok(_) => Err(CallError::Body),
+            Ok(_) => Err(CallError::UnexpectedBody),
             Err(_) => Err(CallError::Malformed),
         };
     }
@@ -103,7 +103,7 @@
             return Ok(None);
         }
         // One byte over the bound shows that the head is too large.
-        let capacity = (MAX_HEAD + 1).saturating_sub(self.head.len());
+        let capacity = (MAX_HEAD_BYTES + 1).saturating_sub(self.head.len());
         self.head
             .extend_from_slice(&bytes[..bytes.len().min(capacity)]);
         let result = match head_length(&self.head) {
@@ -117,10 +117,10 @@
     /// Checks whether a head that is not complete may still become one.
     fn check_incomplete(&self) -> Result<(), CallError> {
         let line_end = self.head.iter().position(|byte| *byte == b'\n');
-        if line_end.unwrap_or(self.head.len()) > MAX_LINE {
+        if line_end.unwrap_or(self.head.len()) > MAX_REQUEST_LINE_BYTES {
             return Err(CallError::LineTooLong);
         }
-        if self.head.len() > MAX_HEAD {
+        if self.head.len() > MAX_HEAD_BYTES {
             return Err(CallError::HeadTooLarge);
         }
         // Methods begin with a capital letter.
@@ -133,6 +133,6 @@
     /// The connection has ended: returns the error to respond with where a part of a call was received.
     pub fn end(&mut self) -> Option<CallError> {
         let was_done = std::mem::replace(&mut self.done, true);
-        (!was_done && !self.head.is_empty()).then_some(CallError::Cut)
+        (!was_done && !self.head.is_empty()).then_some(CallError::Truncated)
     }
 }
--- a/admin-api/src/lib.rs
+++ b/admin-api/src/lib.rs
@@ -8,7 +8,7 @@
 pub mod store;
 
 pub use admin::{Call, CallError, Parser, Reply};
-pub use state::{Drain, Effect, Operations, Outcome};
+pub use state::{AdminController, CallOutcome, DrainState, Effect};
 
 /// Microseconds.
 pub type Micros = u64;
--- a/admin-api/src/state.rs
+++ b/admin-api/src/state.rs
@@ -9,11 +9,11 @@
 /// How often idle client connections are closed while the process drains. The front sends no new connections from 0.2 s
 /// after its first negative health check, and by 4 s none may be idle or recently used: a sweep every half second
 /// closes each one within that, however late it became idle.
-pub const SWEEP_US: Micros = 500_000;
+pub const IDLE_SWEEP_INTERVAL_US: Micros = 500_000;
 
 /// Whether the process drains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Drain {
+pub enum DrainState {
     /// It serves.
     Serving,
     /// It has been draining since then: the readiness check is negative, each client connection is closed once its
@@ -37,16 +37,16 @@
 
 /// The result of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Outcome {
+pub struct CallOutcome {
     /// The response.
     pub reply: Reply,
     /// What has to be done; none where the call changed nothing.
     pub effect: Option<Effect>,
 }
 
-impl Outcome {
+impl CallOutcome {
     fn unchanged(reply: Reply) -> Self {
-        Outcome {
+        CallOutcome {
             reply,
             effect: None,
         }
@@ -66,18 +66,18 @@
 
 /// The operators' state in a running process.
 #[derive(Clone, Debug)]
-pub struct Operations {
+pub struct AdminController {
     state: OperatorState,
     /// When the current drain began; without meaning while in service.
-    drained_at: Micros,
+    draining_since: Micros,
 }
 
-impl Operations {
+impl AdminController {
     /// Creates the state of a process from what an earlier one stored. A stored drain continues from `now`.
     pub fn new(state: OperatorState, now: Micros) -> Self {
-        Operations {
+        AdminController {
             state,
-            drained_at: now,
+            draining_since: now,
         }
     }
 
@@ -97,11 +97,11 @@
     }
 
     /// Returns whether the process drains, and since when.
-    pub fn drain(&self) -> Drain {
+    pub fn drain_state(&self) -> DrainState {
         if self.state.out_of_service {
-            Drain::Draining(self.drained_at)
+            DrainState::Draining(self.draining_since)
         } else {
-            Drain::Serving
+            DrainState::Serving
         }
     }
 
@@ -111,10 +111,10 @@
     }
 
     /// Returns when idle client connections are to be closed next, if the process drains.
-    pub fn next_sweep(&self, now: Micros) -> Option<Micros> {
-        match self.drain() {
-            Drain::Serving => None,
-            Drain::Draining(since) => Some(now.max(since) + SWEEP_US),
+    pub fn next_idle_sweep(&self, now: Micros) -> Option<Micros> {
+        match self.drain_state() {
+            DrainState::Serving => None,
+            DrainState::Draining(since) => Some(now.max(since) + IDLE_SWEEP_INTERVAL_US),
         }
     }
 
@@ -142,7 +142,7 @@
         self.state.sequence += 1;
         self.state.out_of_service = out_of_service;
         if out_of_service {
-            self.drained_at = now;
+            self.draining_since = now;
             Some(Effect::Drain)
         } else {
             Some(Effect::Resume)
@@ -151,28 +151,30 @@
 
     /// Carries out a call. `known` says whether a source lists a pop cache; `ready` says whether the process could
     /// serve, the operators aside: it has its list of pop caches, and is not stopping.
-    pub fn call(
+    pub fn handle_call(
         &mut self,
         now: Micros,
         call: Call,
         known: impl Fn(&str) -> bool,
         ready: bool,
-    ) -> Outcome {
+    ) -> CallOutcome {
         match call {
-            Call::Ready => Outcome::unchanged(self.readiness(ready)),
+            Call::Ready => CallOutcome::unchanged(self.readiness(ready)),
             Call::Offline(id) => self.call_pop_cache(&id, true, known),
             Call::Online(id) => self.call_pop_cache(&id, false, known),
-            Call::OutOfService => Outcome {
+            Call::OutOfService => CallOutcome {
                 reply: Reply::new(200, "out of service"),
                 effect: self.set_out_of_service(now, true),
             },
-            Call::InService => Outcome {
+            Call::InService => CallOutcome {
                 reply: Reply::new(200, "in service"),
                 effect: self.set_out_of_service(now, false),
             },
             // The daemon answers these itself where logs are replicated or budgets are shared; elsewhere they don't
             // exist.
-            Call::Fleet | Call::Budgets => Outcome::unchanged(Reply::rejected(CallError::NotFound)),
+            Call::Fleet | Call::Budgets => {
+                CallOutcome::unchanged(Reply::rejected(CallError::NotFound))
+            }
         }
     }
 
@@ -186,12 +188,17 @@
 
     /// Bans a pop cache or lifts its ban by a call. A ban stays, and can be lifted, when no source lists the cache any
     /// more.
-    fn call_pop_cache(&mut self, id: &str, banned: bool, known: impl Fn(&str) -> bool) -> Outcome {
+    fn call_pop_cache(
+        &mut self,
+        id: &str,
+        banned: bool,
+        known: impl Fn(&str) -> bool,
+    ) -> CallOutcome {
         if !self.is_banned(id) && !known(id) {
-            return Outcome::unchanged(Reply::new(404, format!("no pop cache is called {id}")));
+            return CallOutcome::unchanged(Reply::new(404, format!("no pop cache is called {id}")));
         }
         let state = if banned { "offline" } else { "online" };
-        Outcome {
+        CallOutcome {
             reply: Reply::new(200, format!("{id} is {state}")),
             effect: self.set_banned(id, banned),
         }
--- a/admin-api/src/store.rs
+++ b/admin-api/src/store.rs
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 
 /// Returns the paths of the two copies in a folder, in the order in which they are written.
-pub fn copies(folder: &Path) -> [PathBuf; 2] {
+pub fn copy_paths(folder: &Path) -> [PathBuf; 2] {
     [
         folder.join("linnetknot-ops.json"),
         folder.join("linnetknot-ops.json.2"),
@@ -34,7 +34,7 @@
 /// Loads the state from a folder; the default where no copy is complete. It is an error if no copy is complete and one
 /// can't be read, as that one may be.
 pub fn load(folder: &Path) -> io::Result<OperatorState> {
-    choose(copies(folder).iter().map(|path| read(path)))
+    choose(copy_paths(folder).iter().map(|path| read(path)))
 }
 
 /// Chooses the complete copy with the lower sequence, as a call succeeds only once both copies have it.
--- a/admin-api/src/store/tests.rs
+++ b/admin-api/src/store/tests.rs
@@ -19,13 +19,13 @@
     };
     state.bans.insert("pc1".into());
     let save = |state: &OperatorState| {
-        copies(&folder)
+        copy_paths(&folder)
             .iter()
             .for_each(|p| std::fs::write(p, encode(state)).unwrap());
     };
     save(&state);
     assert_eq!(load(&folder).unwrap(), state);
-    let [first, second] = copies(&folder);
+    let [first, second] = copy_paths(&folder);
     std::fs::write(&first, b"{\"sequence\":2,\"bans\":[").unwrap();
     assert_eq!(load(&folder).unwrap(), state, "the complete copy counts");
     std::fs::write(&second, b"").unwrap();
@@ -76,7 +76,7 @@
     let stored = br#"{"sequence":3,"bans":["pc1","pc2"],"out_of_service":true}"#;
     assert_eq!(encode(&state), stored);
     let folder = folder("released");
-    std::fs::write(&copies(&folder)[0], stored).unwrap();
+    std::fs::write(&copy_paths(&folder)[0], stored).unwrap();
     assert_eq!(load(&folder).unwrap(), state);
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/admin-api/tests/admin.rs
+++ b/admin-api/tests/admin.rs
@@ -1,7 +1,7 @@
 //! The admin API's parser and responses.
 
 use linnetknot_admin_api::admin::{
-    Call, CallError, Parser, Reply, MAX_HEAD, MAX_HEADERS, MAX_LINE,
+    Call, CallError, Parser, Reply, MAX_HEADERS, MAX_HEAD_BYTES, MAX_REQUEST_LINE_BYTES,
 };
 
 fn whole(text: &str) -> Result<Option<Call>, CallError> {
@@ -28,7 +28,7 @@
     );
     assert_eq!(
         whole("POST /control/budgets HTTP/1.1\r\n\r\n"),
-        Err(CallError::Method)
+        Err(CallError::MethodNotAllowed)
     );
     assert_eq!(
         whole("POST /control/in-service HTTP/1.0\r\nContent-Length: 0\r\n\r\n"),
@@ -60,10 +60,13 @@
 
 /// Requests that are no calls, and their errors.
 const BAD_CALLS: [(&str, CallError); 12] = [
-    ("DELETE /control/ready HTTP/1.1\r\n\r\n", CallError::Method),
+    (
+        "DELETE /control/ready HTTP/1.1\r\n\r\n",
+        CallError::MethodNotAllowed,
+    ),
     (
         "GET /control/out-of-service HTTP/1.1\r\n\r\n",
-        CallError::Method,
+        CallError::MethodNotAllowed,
     ),
     ("GET /nothing HTTP/1.1\r\n\r\n", CallError::NotFound),
     (
@@ -80,17 +83,20 @@
     ),
     (
         "POST /control/in-service HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc",
-        CallError::Body,
+        CallError::UnexpectedBody,
     ),
     (
         "POST /control/in-service HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n",
-        CallError::Body,
+        CallError::UnexpectedBody,
     ),
     (
         "POST /control/in-service HTTP/1.1\r\n\r\nextra",
-        CallError::Body,
+        CallError::UnexpectedBody,
+    ),
+    (
+        "GET /control/ready HTTP/2.0\r\n\r\n",
+        CallError::UnsupportedVersion,
     ),
-    ("GET /control/ready HTTP/2.0\r\n\r\n", CallError::Version),
     (
         "GET /control/ready HTTP/1.1\r\nno colon\r\n\r\n",
         CallError::Malformed,
@@ -108,13 +114,16 @@
 
 #[test]
 fn a_line_or_a_head_over_its_bound_is_an_error() {
-    let long = format!("GET /{} HTTP/1.1\r\n", "a".repeat(MAX_LINE + 10));
+    let long = format!(
+        "GET /{} HTTP/1.1\r\n",
+        "a".repeat(MAX_REQUEST_LINE_BYTES + 10)
+    );
     assert_eq!(whole(&long), Err(CallError::LineTooLong));
     let mut parser = Parser::new();
     assert_eq!(parser.feed(b"GET /control/ready HTTP/1.1\r\n"), Ok(None));
     let header = b"X-Filler: aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\r\n";
     let mut last = Ok(None);
-    for _ in 0..MAX_HEAD / header.len() + 2 {
+    for _ in 0..MAX_HEAD_BYTES / header.len() + 2 {
         last = parser.feed(header);
         if last.is_err() {
             break;
@@ -132,7 +141,7 @@
 fn a_call_that_is_cut_off_is_an_error() {
     let mut cut = Parser::new();
     assert_eq!(cut.feed(b"POST /control/out-of"), Ok(None));
-    assert_eq!(cut.end(), Some(CallError::Cut));
+    assert_eq!(cut.end(), Some(CallError::Truncated));
     assert_eq!(
         Parser::new().end(),
         None,
--- a/daemon/src/daemon/admin.rs
+++ b/daemon/src/daemon/admin.rs
@@ -10,8 +10,8 @@
 use crate::fleet;
 use crate::net::{Conn, FailureKind, Key};
 use linnetknot::{ListMode, Micros, State};
-use linnetknot_admin_api::state::SWEEP_US;
-use linnetknot_admin_api::{Call, Drain, Effect, Outcome, Parser, Reply};
+use linnetknot_admin_api::state::IDLE_SWEEP_INTERVAL_US;
+use linnetknot_admin_api::{Call, CallOutcome, DrainState, Effect, Parser, Reply};
 
 /// One caller's connection.
 pub(super) struct Caller {
@@ -211,7 +211,7 @@
         let ready = self.can_serve();
         let before = self.ops.clone();
         let is_ready_call = matches!(call, Call::Ready);
-        let Outcome { mut reply, effect } = self.ops.call(now, call, known, ready);
+        let CallOutcome { mut reply, effect } = self.ops.handle_call(now, call, known, ready);
         if let Some(pending) = self.pending_store.as_ref().filter(|_| is_ready_call) {
             let lacks = format!(
                 "; commands are rejected, as the store can't be opened: {}",
@@ -319,21 +319,22 @@
         // Idle connections are not closed at once: the front sends on them until it has heard the first no. That can't be
         // before the loop goes on, and writing the state to a slow disk may have kept it for longer than the sweep waits.
         let now = self.clock.now().max(now);
-        if let Some(at) = self.ops.next_sweep(now) {
+        if let Some(at) = self.ops.next_idle_sweep(now) {
             self.later(at, Daemon::sweep);
         }
     }
 
     /// Closes the client connections that have nothing open, while the process drains, and looks again later.
     pub(super) fn sweep(&mut self, now: Micros) {
-        let Drain::Draining(_) = self.ops.drain() else {
+        let DrainState::Draining(_) = self.ops.drain_state() else {
             return;
         };
         for key in self.connections.keys() {
             // A connection that has asked nothing yet is let be for a sweep: its request may be on its way.
             let idle = self.connections.get(key).is_some_and(|c| match &c.kind {
                 Kind::Client(s) => {
-                    Self::is_quiet(c) && (s.has_received_request() || c.since + SWEEP_US <= now)
+                    Self::is_quiet(c)
+                        && (s.has_received_request() || c.since + IDLE_SWEEP_INTERVAL_US <= now)
                 }
                 _ => false,
             });
@@ -341,7 +342,7 @@
                 self.half_close(now, key);
             }
         }
-        if let Some(at) = self.ops.next_sweep(now) {
+        if let Some(at) = self.ops.next_idle_sweep(now) {
             self.later(at, Daemon::sweep);
         }
     }
--- a/daemon/src/daemon/clients/requests.rs
+++ b/daemon/src/daemon/clients/requests.rs
@@ -6,7 +6,7 @@
 use crate::net::{Key, Progress};
 use crate::wire::WireError;
 use linnetknot::Micros;
-use linnetknot_admin_api::Drain;
+use linnetknot_admin_api::DrainState;
 
 impl Daemon {
     /// The session of a client's connection.
@@ -140,8 +140,7 @@
     /// The front sends what is rejected to another proxy.
     fn is_too_late(&self, now: Micros, session: &Session, is_first: bool) -> bool {
         let last_taken = |since| since + self.limits.drain_last_taken_us;
-        let is_late_drain =
-            matches!(self.ops.drain(), Drain::Draining(since) if now > last_taken(since));
+        let is_late_drain = matches!(self.ops.drain_state(), DrainState::Draining(since) if now > last_taken(since));
         let is_late = self.is_stopping() || is_late_drain;
         // What is owed counts this request.
         let is_busy = session.unanswered() > 1;
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -128,7 +128,7 @@
     /// The admin listener, its callers, and what they decided.
     admin: Option<Listener>,
     callers: usize,
-    ops: linnetknot_admin_api::Operations,
+    ops: linnetknot_admin_api::AdminController,
     /// Where that is kept for the next process: `$TMPDIR`.
     ops_folder: std::path::PathBuf,
     operator_state: operator_state::OperatorFiles,
--- a/daemon/src/daemon/operator_state.rs
+++ b/daemon/src/daemon/operator_state.rs
@@ -6,7 +6,7 @@
 use crate::net::Due;
 use linnetknot::Micros;
 use linnetknot_admin_api::state::OperatorState;
-use linnetknot_admin_api::{store, Operations};
+use linnetknot_admin_api::{store, AdminController};
 use linnetknot_consul::Backoff;
 use linnetknot_store::{fault_points, is_lasting};
 use std::io;
@@ -30,7 +30,7 @@
 
 /// The operators' state at the start, and its files.
 pub(super) struct LoadedState {
-    pub(super) operations: Operations,
+    pub(super) operations: AdminController,
     pub(super) files: OperatorFiles,
 }
 
@@ -42,7 +42,7 @@
 impl OperatorFiles {
     /// Loads the state that an earlier process stored.
     pub(super) fn load(folder: &Path, seed: u64, now: Micros) -> LoadedState {
-        store::copies(folder)
+        store::copy_paths(folder)
             .iter()
             .for_each(|path| remove_leftovers(path));
         let mut files = OperatorFiles {
@@ -61,7 +61,7 @@
             OperatorState::default()
         });
         LoadedState {
-            operations: Operations::new(state, now),
+            operations: AdminController::new(state, now),
             files,
         }
     }
@@ -75,7 +75,7 @@
 /// Writes both copies under temporary names and then renames them in turn, so that a full disk leaves both as they
 /// were.
 fn write_copies(folder: &Path, bytes: &[u8]) -> io::Result<()> {
-    let [first, second] = store::copies(folder);
+    let [first, second] = store::copy_paths(folder);
     let staged = [
         Staged::write(&first, bytes)?,
         Staged::write(&second, bytes)?,
@@ -98,7 +98,7 @@
         }
         fail::fail_point!("admin-keeps");
         let written = write_copies(&self.ops_folder, &store::encode(self.ops.state()));
-        let [first, _] = store::copies(&self.ops_folder);
+        let [first, _] = store::copy_paths(&self.ops_folder);
         self.operator_state.failed.take(&first, &written);
         self.operator_state.is_stale = written.is_err();
         if written.is_err() {
@@ -112,7 +112,7 @@
     /// Stores the state again after a call was undone, which one copy or both may hold: the first copy at once, if the
     /// disk allows it, so that a process that starts before both are written finds the state without the call.
     pub(super) fn save_undone_state(&mut self, now: Micros) {
-        let [first, _] = store::copies(&self.ops_folder);
+        let [first, _] = store::copy_paths(&self.ops_folder);
         if let Err(e) = replace_unsynced(&first, &store::encode(self.ops.state())) {
             log::debug!("{} may hold a call that was rejected: {e}", first.display());
         }
@@ -158,7 +158,7 @@
         self.operator_state.backoff.reset();
         let is_drained = state.out_of_service;
         let bans: Vec<String> = state.bans.iter().cloned().collect();
-        self.ops = Operations::new(state, now);
+        self.ops = AdminController::new(state, now);
         bans.iter().for_each(|id| self.ban(now, id));
         if is_drained {
             self.start_drain(now);
--- a/daemon/tests/handover.rs
+++ b/daemon/tests/handover.rs
@@ -258,7 +258,7 @@
     let site = Site::new("full");
     let (mut only, admin) = site.start();
     // A folder stands where each of its two files would have to: nothing can be put in their place.
-    let files: Vec<_> = linnetknot_admin_api::store::copies(&site.folder)
+    let files: Vec<_> = linnetknot_admin_api::store::copy_paths(&site.folder)
         .into_iter()
         .collect();
     for file in &files {
--- a/daemon/tests/limits.rs
+++ b/daemon/tests/limits.rs
@@ -18,7 +18,7 @@
         assert!(limits.admits(whole, false) && !limits.admits(whole + 1, false));
         assert!(limits.admits(1, true) && !limits.admits(whole, true));
         assert!(
-            limits.admin_input > linnetknot_admin_api::admin::MAX_HEAD,
+            limits.admin_input > linnetknot_admin_api::admin::MAX_HEAD_BYTES,
             "the admin listener reads its longest head whole"
         );
         assert!(limits.drain_last_taken_us + 2_000_000 < 4_000_000);
--- a/daemon/tests/stored_forms.rs
+++ b/daemon/tests/stored_forms.rs
@@ -241,10 +241,10 @@
 #[test]
 fn the_operators_state_is_read_and_written_again() {
     let folder = Folder::new("operators");
-    for copy in store::copies(&folder.0) {
+    for copy in store::copy_paths(&folder.0) {
         fs::write(copy, OPERATORS).unwrap();
     }
-    let names = store::copies(&folder.0).map(|path| path.file_name().unwrap().to_owned());
+    let names = store::copy_paths(&folder.0).map(|path| path.file_name().unwrap().to_owned());
     assert_eq!(names, ["linnetknot-ops.json", "linnetknot-ops.json.2"]);
     let kept = store::load(&folder.0).unwrap();
     let expected = OperatorState {
