--- a/consul/src/checks.rs
+++ b/consul/src/checks.rs
@@ -54,7 +54,7 @@
             return Some(Reason::ServiceMaintenance(check.notes.to_owned()));
         }
         if find(&|id| id == NODE_HEALTH).is_some() {
-            return Some(Reason::NodeLost);
+            return Some(Reason::NodeFailed);
         }
         let check = failing.first()?;
         Some(Reason::Check(check.id.to_owned()))
--- a/consul/src/http.rs
+++ b/consul/src/http.rs
@@ -36,7 +36,7 @@
 
 impl Token {
     /// Parses the text of a token file; white space around the token, such as the end of line, is ignored.
-    pub fn read(text: &str) -> Result<Self, TokenError> {
+    pub fn parse(text: &str) -> Result<Self, TokenError> {
         let text = text.trim();
         if text.is_empty() {
             return Err(TokenError::Empty);
--- a/consul/src/http/tests.rs
+++ b/consul/src/http/tests.rs
@@ -17,7 +17,7 @@
         target,
         "/v1/health/service/pop%20cache%2F%C3%A4?index=7&stale&filter=Service.Meta.az+%3D%3D+%22a+b%22"
     );
-    let token = Token::read("b1gs33cr3t\n").unwrap();
+    let token = Token::parse("b1gs33cr3t\n").unwrap();
     assert!(!format!("{token:?}").contains("b1g"));
     let call = Call {
         agent: 0,
@@ -33,6 +33,6 @@
         ("a\r\nX-Other: b", TokenError::Malformed),
         (&"x".repeat(600), TokenError::TooLong),
     ] {
-        assert_eq!(Token::read(bad), Err(why));
+        assert_eq!(Token::parse(bad), Err(why));
     }
 }
--- a/consul/src/registration.rs
+++ b/consul/src/registration.rs
@@ -56,7 +56,7 @@
     /// The agent has taken the registration.
     Registered,
     /// The agent has lost the registration; the proxy registers again.
-    Forgotten,
+    RegistrationLost,
     /// The agent has removed the registration.
     Deregistered,
     /// A call failed, the first in a row.
@@ -192,7 +192,7 @@
                     self.stage = Stage::Unregistered;
                 }
                 self.next_at = now;
-                Some(RegistrationEvent::Forgotten)
+                Some(RegistrationEvent::RegistrationLost)
             }
             (PendingCall::Deregister, 200 | 404) => {
                 self.stage = Stage::Deregistered;
--- a/consul/src/watch/reconcile.rs
+++ b/consul/src/watch/reconcile.rs
@@ -37,7 +37,7 @@
         for (uid, skipped) in &content.skipped {
             // It is still registered, but its present properties are unknown.
             if let Some(known) = self.endpoints.get(uid).filter(|_| !named.contains_key(uid)) {
-                let reason = Reason::Unusable(skipped.fault.key.clone());
+                let reason = Reason::InvalidRegistration(skipped.fault.key.clone());
                 named.insert(uid.clone(), draining(known, reason));
             }
         }
--- a/consul/tests/mapping.rs
+++ b/consul/tests/mapping.rs
@@ -62,7 +62,7 @@
         rig.reason("node"),
         &Reason::NodeMaintenance("by hand".into())
     );
-    assert_eq!(rig.reason("lost"), &Reason::NodeLost);
+    assert_eq!(rig.reason("lost"), &Reason::NodeFailed);
     assert_eq!(rig.reason("odd"), &Reason::Check("c1".into()));
     let weight = |uid: &str| rig.list[uid].entry.server.weight;
     assert_eq!(
@@ -213,7 +213,10 @@
     list[1]["Service"]["Port"] = 0.into();
     rig.round(6, &list);
     assert_eq!(rig.states(), [("a", State::Ready), ("b", State::Draining)]);
-    assert_eq!(rig.reason("b"), &Reason::Unusable("Service.Port".into()));
+    assert_eq!(
+        rig.reason("b"),
+        &Reason::InvalidRegistration("Service.Port".into())
+    );
 }
 
 type Change = Box<dyn Fn(&mut Value)>;
--- a/consul/tests/registration.rs
+++ b/consul/tests/registration.rs
@@ -110,7 +110,7 @@
         r.poll(now, true).unwrap();
         assert_eq!(
             r.on_response(now, &forgot),
-            Some(RegistrationEvent::Forgotten)
+            Some(RegistrationEvent::RegistrationLost)
         );
         let call = r.poll(now, true).unwrap();
         assert_eq!(
--- a/daemon/src/daemon/discovery.rs
+++ b/daemon/src/daemon/discovery.rs
@@ -4,7 +4,7 @@
 use super::Daemon;
 use linnetknot::Micros;
 use linnetknot_discovery::{
-    Change, EndpointTable, Evidence, ListEvent, Notice, SourceId, TableUpdate,
+    EndpointTable, Evidence, ListEvent, Notice, SourceId, StatusChange, TableUpdate,
 };
 use std::collections::BTreeSet;
 
@@ -30,13 +30,13 @@
     }
 }
 
-fn log_change(table: &EndpointTable, change: &Change) {
+fn log_change(table: &EndpointTable, change: &StatusChange) {
     log::info!(
         cache = change.uid.as_str(),
         old = change.old.name(),
         new = change.new.name(),
         reason = change.reason.to_string().as_str(),
-        source = table.source(change.source),
+        source = table.source_name(change.source),
         penalty = (change.penalty * PENALTY_SCALE).round() / PENALTY_SCALE;
         "a pop cache's state has changed"
     );
@@ -52,7 +52,7 @@
             rejected,
             source,
         } => {
-            let source = table.source(source);
+            let source = table.source_name(source);
             format!("{source} names {uid} at {rejected} too, which is ignored: it is at {accepted}")
         }
         Notice::DuplicateAddress {
--- a/daemon/src/daemon/sources/consul/cached_snapshot.rs
+++ b/daemon/src/daemon/sources/consul/cached_snapshot.rs
@@ -153,7 +153,7 @@
         match snapshot.load(now, max_bytes, max_age_us) {
             Err(e) => log::warn!("the cached list {path} is not used: {e}"),
             Ok(cached) => {
-                let age_s = now.saturating_sub(cached.at) / 1_000_000;
+                let age_s = now.saturating_sub(cached.confirmed_at) / 1_000_000;
                 log::info!(caches = cached.entries.len(), age_s = age_s; "the cached list holds until an agent speaks");
                 if let Some(evidence) = self.seed_watch(number, &cached.entries) {
                     self.receive_evidence(now, SourceId(CONSUL.0 + number), evidence);
--- a/daemon/src/daemon/sources/consul/mod.rs
+++ b/daemon/src/daemon/sources/consul/mod.rs
@@ -62,7 +62,7 @@
         reason,
     };
     let text = fs::read_to_string(path).map_err(|e| error(e.into()))?;
-    let token = Token::read(&text).map_err(|e| error(e.into()))?;
+    let token = Token::parse(&text).map_err(|e| error(e.into()))?;
     Ok(Some(token))
 }
 
@@ -182,7 +182,7 @@
                 WatchEvent::MostlyUnusable { .. } => log::Level::Error,
                 _ => log::Level::Warn,
             };
-            log::log!(level, source = self.members.source(source); "a watch of Consul: {event}");
+            log::log!(level, source = self.members.source_name(source); "a watch of Consul: {event}");
         }
         if denied {
             // It may have been replaced since.
@@ -266,7 +266,7 @@
         };
         match step {
             Some(RegistrationEvent::Registered) => log::info!("registered in Consul"),
-            Some(RegistrationEvent::Forgotten) => {
+            Some(RegistrationEvent::RegistrationLost) => {
                 log::warn!("the agent has forgotten the registration: it is taken up again");
             }
             Some(RegistrationEvent::Deregistered) => log::info!("deregistered in Consul"),
@@ -334,7 +334,7 @@
         for key in keys {
             self.connections.remove(key);
         }
-        self.members.change_damping(new.damping);
+        self.members.set_damping(new.damping);
         self.config.consul = Some(new);
         self.drive_consul(now);
         true
--- a/daemon/src/interconnect/consul/validation.rs
+++ b/daemon/src/interconnect/consul/validation.rs
@@ -160,7 +160,7 @@
             max_suppressed_share: self.most_share,
         };
         damping
-            .check()
+            .validate()
             .map_err(|source| InterconnectError::Damping {
                 key: Self::key(source.key()),
                 source,
--- a/daemon/tests/stored_forms.rs
+++ b/daemon/tests/stored_forms.rs
@@ -261,7 +261,7 @@
     const AT: Micros = 1_796_210_294_500_659;
     const SCOPE: &str = "consul   pop-cache";
     let list = cached_snapshot::decode(CACHES, SCOPE, AT + 1, CACHES.len(), 1).unwrap();
-    assert_eq!(list.at, AT);
+    assert_eq!(list.confirmed_at, AT);
     let seen = list.entries.iter().map(|entry| {
         let server = &entry.server;
         let address = entry.endpoint.to_string();
@@ -273,7 +273,7 @@
         ("s-0c", "127.0.0.1:46555".to_owned(), 8.0, State::Draining),
     ];
     assert!(seen.eq(expected), "{:?}", list.entries);
-    let again = cached_snapshot::encode(SCOPE, list.at, list.entries.iter());
+    let again = cached_snapshot::encode(SCOPE, list.confirmed_at, list.entries.iter());
     assert_eq!(again, CACHES);
 }
 
--- a/discovery/src/cached_snapshot.rs
+++ b/discovery/src/cached_snapshot.rs
@@ -11,7 +11,7 @@
 
 const MAGIC: &str = "linnetknot-list";
 /// Version of the format that is written.
-pub const FORMAT: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 /// Longest first line, in bytes.
 const MAX_HEAD: usize = 80;
 /// How far from the future a list may seem: the clock may have been an hour ahead when it was written, and an hour behind
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct CachedSnapshot {
     /// When it was last confirmed, as Unix time in microseconds.
-    pub at: Micros,
+    pub confirmed_at: Micros,
     /// Its entries.
     pub entries: Vec<Entry>,
 }
@@ -32,13 +32,13 @@
 pub enum SnapshotError {
     /// The file is no cached list.
     #[error("it is no cached snapshot")]
-    Foreign,
+    NotASnapshot,
     /// Its format is of a later version of the program.
-    #[error("its format is {0}, and this program reads up to {FORMAT}")]
-    Format(u32),
+    #[error("its format is {0}, and this program reads up to {FORMAT_VERSION}")]
+    UnsupportedFormat(u32),
     /// It is truncated, or longer than its head states.
     #[error("it is torn: {actual} bytes of {stored}")]
-    Torn {
+    LengthMismatch {
         /// Length that its head states, in bytes.
         stored: usize,
         /// Its length, in bytes.
@@ -46,13 +46,13 @@
     },
     /// Its checksum does not match.
     #[error("its checksum does not match")]
-    Damaged,
+    ChecksumMismatch,
     /// Its body can't be parsed; the text is the parser's.
     #[error("it can't be read: {0}")]
-    Unreadable(String),
+    InvalidBody(String),
     /// It is the list of another scope.
     #[error("it is the list of '{stored}', not of '{expected}'")]
-    Scope {
+    WrongScope {
         /// The scope that it states.
         stored: String,
         /// The scope of this proxy.
@@ -60,10 +60,10 @@
     },
     /// Its time is this far in the future, in microseconds.
     #[error("it is from the future, by {} s", .0 / 1_000_000)]
-    Future(Micros),
+    FromFuture(Micros),
     /// Its age, in microseconds, is above the limit.
     #[error("it is too old: {} s", .0 / 1_000_000)]
-    Old(Micros),
+    Expired(Micros),
     /// It is longer than the limit.
     #[error("it is too long")]
     TooLong,
@@ -109,7 +109,7 @@
     // It consists of strings and numbers only, which can always be encoded.
     let body = serde_json::to_vec(&body).unwrap_or_default();
     let mut out = format!(
-        "{MAGIC} {FORMAT} {:08x} {}\n",
+        "{MAGIC} {FORMAT_VERSION} {:08x} {}\n",
         crc32fast::hash(&body),
         body.len()
     )
@@ -131,22 +131,22 @@
     }
     let body = verified_body(bytes)?;
     let body: Body =
-        serde_json::from_slice(body).map_err(|e| SnapshotError::Unreadable(e.to_string()))?;
+        serde_json::from_slice(body).map_err(|e| SnapshotError::InvalidBody(e.to_string()))?;
     if body.scope != scope {
-        return Err(SnapshotError::Scope {
+        return Err(SnapshotError::WrongScope {
             stored: body.scope,
             expected: scope.to_owned(),
         });
     }
     if body.at_us > now + FUTURE_US {
-        return Err(SnapshotError::Future(body.at_us - now));
+        return Err(SnapshotError::FromFuture(body.at_us - now));
     }
     let age = now.saturating_sub(body.at_us);
     if age > max_age {
-        return Err(SnapshotError::Old(age));
+        return Err(SnapshotError::Expired(age));
     }
     Ok(CachedSnapshot {
-        at: body.at_us,
+        confirmed_at: body.at_us,
         entries: body.entries.into_iter().map(Entry::from).collect(),
     })
 }
@@ -157,36 +157,36 @@
         .iter()
         .take(MAX_HEAD)
         .position(|b| *b == b'\n')
-        .ok_or(SnapshotError::Foreign)?;
-    let head = std::str::from_utf8(&bytes[..end]).map_err(|_| SnapshotError::Foreign)?;
+        .ok_or(SnapshotError::NotASnapshot)?;
+    let head = std::str::from_utf8(&bytes[..end]).map_err(|_| SnapshotError::NotASnapshot)?;
     let body = &bytes[end + 1..];
     let mut fields = head.split(' ');
     if fields.next() != Some(MAGIC) {
-        return Err(SnapshotError::Foreign);
+        return Err(SnapshotError::NotASnapshot);
     }
     let format = fields
         .next()
         .and_then(|w| w.parse().ok())
-        .ok_or(SnapshotError::Foreign)?;
-    if format != FORMAT {
-        return Err(SnapshotError::Format(format));
+        .ok_or(SnapshotError::NotASnapshot)?;
+    if format != FORMAT_VERSION {
+        return Err(SnapshotError::UnsupportedFormat(format));
     }
     let checksum = fields
         .next()
         .and_then(|w| u32::from_str_radix(w, 16).ok())
-        .ok_or(SnapshotError::Foreign)?;
+        .ok_or(SnapshotError::NotASnapshot)?;
     let length: usize = fields
         .next()
         .and_then(|w| w.parse().ok())
-        .ok_or(SnapshotError::Foreign)?;
+        .ok_or(SnapshotError::NotASnapshot)?;
     if length != body.len() {
-        return Err(SnapshotError::Torn {
+        return Err(SnapshotError::LengthMismatch {
             stored: length,
             actual: body.len(),
         });
     }
     if crc32fast::hash(body) != checksum {
-        return Err(SnapshotError::Damaged);
+        return Err(SnapshotError::ChecksumMismatch);
     }
     Ok(body)
 }
--- a/discovery/src/damping.rs
+++ b/discovery/src/damping.rs
@@ -68,7 +68,7 @@
 
 impl Damping {
     /// Validates the parameters.
-    pub fn check(&self) -> Result<(), DampingError> {
+    pub fn validate(&self) -> Result<(), DampingError> {
         let is_positive = |x: f64| x.is_finite() && x > 0.0;
         if self.half_life_us == 0 {
             return Err(DampingError::HalfLife);
@@ -82,14 +82,14 @@
         if !(0.0..=1.0).contains(&self.max_suppressed_share) {
             return Err(DampingError::Share);
         }
-        if self.ceiling() < self.suppress {
+        if self.max_penalty() < self.suppress {
             return Err(DampingError::MaxSuppressed);
         }
         Ok(())
     }
 
     /// The highest penalty: from here it decays to `reuse` within `max_suppressed_us`.
-    pub fn ceiling(&self) -> f64 {
+    pub fn max_penalty(&self) -> f64 {
         self.reuse * (self.max_suppressed_us as f64 / self.half_life_us as f64).exp2()
     }
 }
@@ -97,7 +97,7 @@
 /// The penalty of a cache for its losses.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Penalty {
-    figure: f64,
+    value: f64,
     at: Micros,
 }
 
@@ -106,31 +106,31 @@
 
 impl Penalty {
     /// The penalty as it has decayed by now.
-    pub fn figure(&self, d: &Damping, now: Micros) -> f64 {
+    pub fn value(&self, d: &Damping, now: Micros) -> f64 {
         let half_lives = now.saturating_sub(self.at) as f64 / d.half_life_us as f64;
-        self.figure * (-half_lives).exp2()
+        self.value * (-half_lives).exp2()
     }
 
     /// Counts a loss.
     pub fn add(&mut self, d: &Damping, now: Micros) {
         *self = Penalty {
-            figure: (self.figure(d, now) + 1.0).min(d.ceiling()),
+            value: (self.value(d, now) + 1.0).min(d.max_penalty()),
             at: now,
         };
     }
 
     /// When the penalty will have decayed below `level`; now, if it has.
-    pub fn below(&self, d: &Damping, level: f64, now: Micros) -> Micros {
-        let figure = self.figure(d, now);
-        if figure < level {
+    pub fn decays_below_at(&self, d: &Damping, level: f64, now: Micros) -> Micros {
+        let value = self.value(d, now);
+        if value < level {
             return now;
         }
-        let wait = (figure / level).log2() * d.half_life_us as f64;
+        let wait = (value / level).log2() * d.half_life_us as f64;
         now + wait as Micros + 1
     }
 
     /// Whether the penalty no longer matters.
-    pub fn is_forgotten(&self, d: &Damping, now: Micros) -> bool {
-        self.figure(d, now) < FORGOTTEN
+    pub fn is_negligible(&self, d: &Damping, now: Micros) -> bool {
+        self.value(d, now) < FORGOTTEN
     }
 }
--- a/discovery/src/endpoint_table/eviction.rs
+++ b/discovery/src/endpoint_table/eviction.rs
@@ -26,11 +26,11 @@
                 // Another cache has its address for now.
                 continue;
             }
-            if cache.penalty.is_forgotten(&self.damping, now) {
+            if cache.penalty.is_negligible(&self.damping, now) {
                 evicted.push(uid.clone());
             } else {
                 remembered.push(Remembered {
-                    penalty: cache.penalty.figure(&self.damping, now),
+                    penalty: cache.penalty.value(&self.damping, now),
                     uid: uid.clone(),
                 });
             }
--- a/discovery/src/endpoint_table/mod.rs
+++ b/discovery/src/endpoint_table/mod.rs
@@ -10,7 +10,8 @@
 
 use crate::damping::{Damping, Penalty};
 use crate::evidence::{
-    Change, EndpointStatus, Entry, Evidence, Explanation, Notice, Reason, Report, Source, SourceId,
+    EndpointStatus, Entry, Evidence, Explanation, Notice, Reason, Report, Source, SourceId,
+    StatusChange,
 };
 use linnetknot::{ListMode, Micros, State};
 use std::collections::{BTreeMap, BTreeSet};
@@ -40,7 +41,7 @@
     /// Events for the decision module, in this order.
     pub events: Vec<ListEvent>,
     /// Changes of status, for the log.
-    pub changes: Vec<Change>,
+    pub changes: Vec<StatusChange>,
     /// What operators should know besides.
     pub notices: Vec<Notice>,
 }
@@ -191,7 +192,7 @@
     }
 
     /// Name of a source.
-    pub fn source(&self, id: SourceId) -> &str {
+    pub fn source_name(&self, id: SourceId) -> &str {
         self.sources.get(id.0).map_or("?", |source| &source.name)
     }
 
@@ -268,7 +269,7 @@
         let damping = &self.damping;
         let damped = self.damped.iter().filter_map(|uid| self.caches.get(uid));
         damped
-            .map(|cache| cache.penalty.below(damping, damping.reuse, now))
+            .map(|cache| cache.penalty.decays_below_at(damping, damping.reuse, now))
             .min()
     }
 
@@ -291,7 +292,7 @@
     }
 
     /// Changes the damping parameters from here on.
-    pub fn change_damping(&mut self, damping: Damping) {
+    pub fn set_damping(&mut self, damping: Damping) {
         self.damping = damping;
     }
 
@@ -314,8 +315,9 @@
             since: published.since,
             reason: published.reason.clone(),
             source: published.source,
-            penalty: cache.penalty.figure(damping, now),
-            until: is_suppressed.then(|| cache.penalty.below(damping, damping.reuse, now)),
+            penalty: cache.penalty.value(damping, now),
+            suppressed_until: is_suppressed
+                .then(|| cache.penalty.decays_below_at(damping, damping.reuse, now)),
         })
     }
 
--- a/discovery/src/endpoint_table/publish.rs
+++ b/discovery/src/endpoint_table/publish.rs
@@ -2,7 +2,7 @@
 
 use super::verdict::Verdict;
 use super::{Batch, EndpointTable, Group, Published, TrackedCache};
-use crate::evidence::{Change, EndpointStatus, Entry};
+use crate::evidence::{EndpointStatus, Entry, StatusChange};
 use linnetknot::{Micros, State};
 use std::collections::btree_map;
 
@@ -96,13 +96,13 @@
             entries.push(entry.clone());
         }
         if status != old {
-            batch.update.changes.push(Change {
+            batch.update.changes.push(StatusChange {
                 uid: uid.to_owned(),
                 old,
                 new: status,
                 reason: reason.clone(),
                 source,
-                penalty: cache.penalty.figure(&self.damping, batch.now),
+                penalty: cache.penalty.value(&self.damping, batch.now),
             });
         }
         let since = cache.status_since(status).unwrap_or(batch.now);
--- a/discovery/src/endpoint_table/suppression.rs
+++ b/discovery/src/endpoint_table/suppression.rs
@@ -38,7 +38,7 @@
             let Some(cache) = caches.get_mut(uid) else {
                 return false;
             };
-            cache.damped = cache.penalty.figure(&damping, now) >= damping.reuse;
+            cache.damped = cache.penalty.value(&damping, now) >= damping.reuse;
             if !cache.damped {
                 steady.push(uid.clone());
             }
@@ -55,7 +55,7 @@
                 continue;
             };
             if let Some(group) = &cache.counted {
-                let penalty = cache.penalty.figure(&self.damping, now);
+                let penalty = cache.penalty.value(&self.damping, now);
                 let candidates = groups.entry(group).or_default();
                 candidates.push(Candidate { penalty, uid });
             }
@@ -84,7 +84,7 @@
         damping: &Damping,
         is_initialized: bool,
     ) -> bool {
-        let exceeds = self.penalty.figure(damping, now) >= damping.suppress;
+        let exceeds = self.penalty.value(damping, now) >= damping.suppress;
         let begins_damping = exceeds && !self.damped;
         self.damped |= exceeds;
         // A cache that appears after its source's first full list has just started, for all that is known.
@@ -103,7 +103,7 @@
         match (old, new) {
             (_, EndpointStatus::Suppressed) => Some(Reason::Flapping),
             (_, EndpointStatus::Ready) if self.damped => Some(Reason::DampingLimit),
-            (EndpointStatus::Suppressed, EndpointStatus::Ready) => Some(Reason::Steady),
+            (EndpointStatus::Suppressed, EndpointStatus::Ready) => Some(Reason::PenaltyDecayed),
             _ => None,
         }
     }
--- a/discovery/src/endpoint_table/verdict.rs
+++ b/discovery/src/endpoint_table/verdict.rs
@@ -67,7 +67,7 @@
             .unwrap_or(0);
         let is_removed = |report: &SourceReport| !report.is_listed() && report.at >= listed_at;
         if let Some((id, _)) = same_cache().find(|(_, report)| is_removed(report)) {
-            let reason = Reason::GoneElsewhere(self.source(*id).to_owned());
+            let reason = Reason::RemovedBySource(self.source_name(*id).to_owned());
             return verdict(State::Draining, reason, id);
         }
         verdict(State::Ready, base.reason.clone(), base_id)
--- a/discovery/src/evidence.rs
+++ b/discovery/src/evidence.rs
@@ -49,17 +49,17 @@
     /// Its node was put in maintenance, with the note given there.
     NodeMaintenance(String),
     /// The node's own check is critical: its agent has failed.
-    NodeLost,
+    NodeFailed,
     /// It is registered, but the source reports no health for it.
     NoHealth,
     /// Its registration can't be used, because of the value under this key.
-    Unusable(String),
+    InvalidRegistration(String),
     /// The source's full list no longer contains it.
     Unlisted,
     /// It is from a list cached before a restart.
     Cached,
     /// One source has removed it while another still lists it.
-    GoneElsewhere(String),
+    RemovedBySource(String),
     /// Another cache has taken over its address.
     AddressTaken(String),
     /// It was lost and came back too often; it is reused once its penalty has decayed.
@@ -67,7 +67,7 @@
     /// It flaps, but too many of its group are suppressed already.
     DampingLimit,
     /// Its penalty has decayed.
-    Steady,
+    PenaltyDecayed,
 }
 
 impl fmt::Display for Reason {
@@ -77,16 +77,16 @@
             Self::Check(id) => write!(f, "check '{id}' is critical"),
             Self::ServiceMaintenance(note) => write!(f, "service in maintenance: {note}"),
             Self::NodeMaintenance(note) => write!(f, "node in maintenance: {note}"),
-            Self::NodeLost => write!(f, "its node's agent has failed"),
+            Self::NodeFailed => write!(f, "its node's agent has failed"),
             Self::NoHealth => write!(f, "registered without health"),
-            Self::Unusable(key) => write!(f, "its registration can't be used: {key}"),
+            Self::InvalidRegistration(key) => write!(f, "its registration can't be used: {key}"),
             Self::Unlisted => write!(f, "not listed any more"),
             Self::Cached => write!(f, "from the cached snapshot"),
-            Self::GoneElsewhere(source) => write!(f, "removed by {source}"),
+            Self::RemovedBySource(source) => write!(f, "removed by {source}"),
             Self::AddressTaken(uid) => write!(f, "its address belongs to {uid} now"),
             Self::Flapping => write!(f, "flapping"),
             Self::DampingLimit => write!(f, "flapping, but too many are suppressed already"),
-            Self::Steady => write!(f, "steady again"),
+            Self::PenaltyDecayed => write!(f, "steady again"),
         }
     }
 }
@@ -154,7 +154,7 @@
 
 /// A change of a cache's status.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Change {
+pub struct StatusChange {
     /// Id of the cache.
     pub uid: String,
     /// Status before; `Gone` for an unknown cache.
@@ -221,5 +221,5 @@
     /// Its penalty for flaps, as decayed by now.
     pub penalty: f64,
     /// When a suppressed cache is reused, if it stays steady.
-    pub until: Option<Micros>,
+    pub suppressed_until: Option<Micros>,
 }
--- a/discovery/src/lib.rs
+++ b/discovery/src/lib.rs
@@ -21,7 +21,7 @@
 pub use damping::{Damping, DampingError, Penalty};
 pub use endpoint_table::{EndpointTable, Limits, ListEvent, TableUpdate};
 pub use evidence::{
-    server_id, Change, EndpointStatus, Entry, Evidence, Explanation, Notice, Reason, Report,
-    Source, SourceId,
+    server_id, EndpointStatus, Entry, Evidence, Explanation, Notice, Reason, Report, Source,
+    SourceId, StatusChange,
 };
 pub use validation::{ListValidator, ReceivedList, Rejection, ValidatedList};
--- a/discovery/tests/damping.rs
+++ b/discovery/tests/damping.rs
@@ -10,23 +10,23 @@
     let d = Damping::default();
     let mut p = Penalty::default();
     p.add(&d, 0);
-    assert!((p.figure(&d, 15 * S) - 0.5).abs() < 1e-9);
+    assert!((p.value(&d, 15 * S) - 0.5).abs() < 1e-9);
     for n in 0..1000 {
         p.add(&d, n * S);
     }
-    let end = p.below(&d, d.reuse, 999 * S);
+    let end = p.decays_below_at(&d, d.reuse, 999 * S);
     assert!(
         end <= 999 * S + d.max_suppressed_us + 1,
         "however long it flapped"
     );
-    assert!(p.figure(&d, end) < d.reuse && p.figure(&d, end - 2) >= d.reuse);
-    assert!(!p.is_forgotten(&d, end) && p.is_forgotten(&d, end + 75 * S));
+    assert!(p.value(&d, end) < d.reuse && p.value(&d, end - 2) >= d.reuse);
+    assert!(!p.is_negligible(&d, end) && p.is_negligible(&d, end + 75 * S));
 }
 
 #[test]
 fn figures_that_can_not_work_are_refused_by_name() {
     let good = Damping::default();
-    assert_eq!(good.check(), Ok(()));
+    assert_eq!(good.validate(), Ok(()));
     for (bad, name) in [
         (
             Damping {
@@ -64,6 +64,6 @@
             "most_suppressed",
         ),
     ] {
-        assert_eq!(bad.check().unwrap_err().key(), name);
+        assert_eq!(bad.validate().unwrap_err().key(), name);
     }
 }
--- a/discovery/tests/endpoint_table.rs
+++ b/discovery/tests/endpoint_table.rs
@@ -61,7 +61,7 @@
     assert!(why.penalty > 2.0);
     // From here it stays passing.
     let due = table.next_due(now).unwrap();
-    assert_eq!(Some(due), why.until);
+    assert_eq!(Some(due), why.suppressed_until);
     assert!(
         due <= now + Damping::default().max_suppressed_us,
         "not punished for long"
@@ -76,7 +76,7 @@
     );
     assert_eq!(
         (out.changes[0].new, &out.changes[0].reason),
-        (EndpointStatus::Ready, &Reason::Steady)
+        (EndpointStatus::Ready, &Reason::PenaltyDecayed)
     );
     assert_eq!(table.next_due(due), None);
 }
@@ -292,7 +292,7 @@
     );
     assert_eq!(
         table.explain("a", 4 * S).unwrap().reason,
-        Reason::GoneElsewhere("consul".into())
+        Reason::RemovedBySource("consul".into())
     );
     mirror.apply(&table.apply(
         5 * S,
@@ -346,7 +346,7 @@
     assert_eq!(
         read(&bytes, "pop-cache", 130 * S).unwrap(),
         cached_snapshot::CachedSnapshot {
-            at: 100 * S,
+            confirmed_at: 100 * S,
             entries: list.to_vec()
         }
     );
@@ -365,21 +365,28 @@
         );
     }
     use cached_snapshot::SnapshotError::*;
-    assert_eq!(read(&bytes, "pop-cache", 161 * S), Err(Old(61 * S)));
+    assert_eq!(read(&bytes, "pop-cache", 161 * S), Err(Expired(61 * S)));
     // An hour's step back of the clock, twice, loses no list; what is further from the future is refused.
     let stepped = |seconds: u64| {
         cached_snapshot::encode("pop-cache", (7_300 + seconds) * S, std::iter::empty())
     };
-    let read_stepped =
-        |seconds: u64| read(&stepped(seconds), "pop-cache", 100 * S).map(|snapshot| snapshot.at);
+    let read_stepped = |seconds: u64| {
+        read(&stepped(seconds), "pop-cache", 100 * S).map(|snapshot| snapshot.confirmed_at)
+    };
     assert_eq!(read_stepped(0), Ok(7_300 * S));
-    assert_eq!(read_stepped(10), Err(Future(7_210 * S)));
-    assert!(matches!(read(&bytes, "other", 130 * S), Err(Scope { .. })));
-    assert_eq!(read(b"{}", "pop-cache", 0), Err(Foreign));
+    assert_eq!(read_stepped(10), Err(FromFuture(7_210 * S)));
+    assert!(matches!(
+        read(&bytes, "other", 130 * S),
+        Err(WrongScope { .. })
+    ));
+    assert_eq!(read(b"{}", "pop-cache", 0), Err(NotASnapshot));
     let later = String::from_utf8(bytes.clone())
         .unwrap()
         .replacen("list 1 ", "list 2 ", 1);
-    assert_eq!(read(later.as_bytes(), "pop-cache", 130 * S), Err(Format(2)));
+    assert_eq!(
+        read(later.as_bytes(), "pop-cache", 130 * S),
+        Err(UnsupportedFormat(2))
+    );
     assert_eq!(
         cached_snapshot::decode(&bytes, "pop-cache", 130 * S, 20, S),
         Err(TooLong)
