--- a/discovery/src/cached_snapshot.rs
+++ b/discovery/src/cached_snapshot.rs
@@ -13,10 +13,10 @@
 /// Version of the format that is written.
 pub const FORMAT_VERSION: u32 = 1;
 /// Longest first line, in bytes.
-const MAX_HEAD: usize = 80;
+const MAX_HEADER_BYTES: usize = 80;
 /// How far from the future a list may seem: the clock may have been an hour ahead when it was written, and an hour behind
 /// when it is read. Beyond that the time says nothing of how old it is.
-const FUTURE_US: Micros = 2 * 60 * 60 * 1_000_000;
+const MAX_FUTURE_US: Micros = 2 * 60 * 60 * 1_000_000;
 
 /// A cached list.
 #[derive(Clone, Debug, PartialEq)]
@@ -138,7 +138,7 @@
             expected: scope.to_owned(),
         });
     }
-    if body.at_us > now + FUTURE_US {
+    if body.at_us > now + MAX_FUTURE_US {
         return Err(SnapshotError::FromFuture(body.at_us - now));
     }
     let age = now.saturating_sub(body.at_us);
@@ -155,7 +155,7 @@
 fn verified_body(bytes: &[u8]) -> Result<&[u8], SnapshotError> {
     let end = bytes
         .iter()
-        .take(MAX_HEAD)
+        .take(MAX_HEADER_BYTES)
         .position(|b| *b == b'\n')
         .ok_or(SnapshotError::NotASnapshot)?;
     let head = std::str::from_utf8(&bytes[..end]).map_err(|_| SnapshotError::NotASnapshot)?;
--- a/discovery/src/damping.rs
+++ b/discovery/src/damping.rs
@@ -98,39 +98,39 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Penalty {
     value: f64,
-    at: Micros,
+    updated_at: Micros,
 }
 
 /// Below this a penalty no longer matters.
-const FORGOTTEN: f64 = 0.05;
+const NEGLIGIBLE_PENALTY: f64 = 0.05;
 
 impl Penalty {
     /// The penalty as it has decayed by now.
-    pub fn value(&self, d: &Damping, now: Micros) -> f64 {
-        let half_lives = now.saturating_sub(self.at) as f64 / d.half_life_us as f64;
+    pub fn value(&self, damping: &Damping, now: Micros) -> f64 {
+        let half_lives = now.saturating_sub(self.updated_at) as f64 / damping.half_life_us as f64;
         self.value * (-half_lives).exp2()
     }
 
     /// Counts a loss.
-    pub fn add(&mut self, d: &Damping, now: Micros) {
+    pub fn add(&mut self, damping: &Damping, now: Micros) {
         *self = Penalty {
-            value: (self.value(d, now) + 1.0).min(d.max_penalty()),
-            at: now,
+            value: (self.value(damping, now) + 1.0).min(damping.max_penalty()),
+            updated_at: now,
         };
     }
 
     /// When the penalty will have decayed below `level`; now, if it has.
-    pub fn decays_below_at(&self, d: &Damping, level: f64, now: Micros) -> Micros {
-        let value = self.value(d, now);
+    pub fn decays_below_at(&self, damping: &Damping, level: f64, now: Micros) -> Micros {
+        let value = self.value(damping, now);
         if value < level {
             return now;
         }
-        let wait = (value / level).log2() * d.half_life_us as f64;
+        let wait = (value / level).log2() * damping.half_life_us as f64;
         now + wait as Micros + 1
     }
 
     /// Whether the penalty no longer matters.
-    pub fn is_negligible(&self, d: &Damping, now: Micros) -> bool {
-        self.value(d, now) < FORGOTTEN
+    pub fn is_negligible(&self, damping: &Damping, now: Micros) -> bool {
+        self.value(damping, now) < NEGLIGIBLE_PENALTY
     }
 }
--- a/discovery/src/endpoint_table/claims.rs
+++ b/discovery/src/endpoint_table/claims.rs
@@ -8,9 +8,9 @@
 impl EndpointTable {
     /// Records that a cache is reported to listen at an address.
     pub(super) fn claim(&mut self, endpoint: SocketAddr, uid: &str, batch: &mut Batch) {
-        let claims = self.claims.entry(endpoint).or_default();
-        let is_new = claims.insert(uid.to_owned());
-        for other in claims.iter().filter(|other| *other != uid) {
+        let claimants = self.address_claims.entry(endpoint).or_default();
+        let is_new = claimants.insert(uid.to_owned());
+        for other in claimants.iter().filter(|other| *other != uid) {
             batch.affected.insert(other.clone());
             if is_new {
                 batch.update.notices.push(Notice::DuplicateAddress {
@@ -28,15 +28,15 @@
             let mut reports = cache.reports.values();
             reports.any(|report| report.entry.endpoint == endpoint && report.is_listed())
         });
-        let btree_map::Entry::Occupied(mut claims) = self.claims.entry(endpoint) else {
+        let btree_map::Entry::Occupied(mut claimants) = self.address_claims.entry(endpoint) else {
             return;
         };
         if !is_still_reported {
-            claims.get_mut().remove(uid);
-            batch.affected.extend(claims.get().iter().cloned());
+            claimants.get_mut().remove(uid);
+            batch.affected.extend(claimants.get().iter().cloned());
         }
-        if claims.get().is_empty() {
-            claims.remove();
+        if claimants.get().is_empty() {
+            claimants.remove();
         }
     }
 }
--- a/discovery/src/endpoint_table/eviction.rs
+++ b/discovery/src/endpoint_table/eviction.rs
@@ -35,7 +35,7 @@
                 });
             }
         }
-        evicted.extend(self.excess(remembered));
+        evicted.extend(self.excess_remembered(remembered));
         for uid in evicted {
             self.gone.remove(&uid);
             self.damped.remove(&uid);
@@ -44,7 +44,7 @@
     }
 
     /// The remembered caches beyond the limit, those with the lowest penalties.
-    fn excess(&self, mut remembered: Vec<Remembered>) -> impl Iterator<Item = String> {
+    fn excess_remembered(&self, mut remembered: Vec<Remembered>) -> impl Iterator<Item = String> {
         let count = remembered.len().saturating_sub(self.limits.max_remembered);
         if count > 0 {
             remembered.sort_by(|a, b| {
--- a/discovery/src/endpoint_table/ingest.rs
+++ b/discovery/src/endpoint_table/ingest.rs
@@ -74,17 +74,17 @@
         }
         let mut removals = Vec::new();
         for uid in &omitted {
-            self.settle(uid, &mut removals, batch);
+            self.update_cache(uid, &mut removals, batch);
         }
         if self.sources[source.0].relayed {
             // A full list states by itself who is gone; what other sources list is added to it.
-            return self.published_besides(&named);
+            return self.published_except(&named);
         }
         removals
     }
 
     /// The published entries of all caches but those named here.
-    fn published_besides(&self, named: &BTreeSet<&str>) -> Vec<Entry> {
+    fn published_except(&self, named: &BTreeSet<&str>) -> Vec<Entry> {
         self.caches
             .iter()
             .filter(|(uid, _)| !named.contains(uid.as_str()))
@@ -112,7 +112,7 @@
             return;
         }
         let count_before = entries.len();
-        self.settle(&reported.uid, entries, batch);
+        self.update_cache(&reported.uid, entries, batch);
         if relayed && entries.len() == count_before {
             // Relayed whether it changes anything or not, each report of the event in its turn.
             let cache = self.caches.get(&reported.uid);
@@ -142,14 +142,14 @@
         let previous = cache.reports.get(&source);
         let previous = previous.map(|report| report.entry.endpoint);
         if previous != Some(endpoint) {
-            let conflict = cache.conflict(source, &uid, endpoint);
-            batch.update.notices.extend(conflict);
-            cache.joined = batch.now;
+            let duplicate_id_notice = cache.duplicate_id_notice(source, &uid, endpoint);
+            batch.update.notices.extend(duplicate_id_notice);
+            cache.address_since = batch.now;
         }
         let report = SourceReport {
             entry,
             reason,
-            at: batch.now,
+            received_at: batch.now,
         };
         cache.reports.insert(source, report);
         if let Some(from) = previous.filter(|previous| *previous != endpoint) {
@@ -176,7 +176,7 @@
         };
         report.entry.server.state = State::Gone;
         report.reason = Reason::Unlisted;
-        report.at = batch.now;
+        report.received_at = batch.now;
         let endpoint = report.entry.endpoint;
         self.unclaim(endpoint, uid, batch);
     }
@@ -184,7 +184,12 @@
 
 impl TrackedCache {
     /// The notice that another source lists this cache at another address than `source` does.
-    fn conflict(&self, source: SourceId, uid: &str, endpoint: SocketAddr) -> Option<Notice> {
+    fn duplicate_id_notice(
+        &self,
+        source: SourceId,
+        uid: &str,
+        endpoint: SocketAddr,
+    ) -> Option<Notice> {
         let (_, other) = self.reports.iter().find(|(id, report)| {
             **id != source && report.is_listed() && report.entry.endpoint != endpoint
         })?;
--- a/discovery/src/endpoint_table/mod.rs
+++ b/discovery/src/endpoint_table/mod.rs
@@ -58,7 +58,7 @@
 struct SourceReport {
     entry: Entry,
     reason: Reason,
-    at: Micros,
+    received_at: Micros,
 }
 
 impl SourceReport {
@@ -99,14 +99,14 @@
 struct TrackedCache {
     reports: BTreeMap<SourceId, SourceReport>,
     /// When it was first reported at its present address.
-    joined: Micros,
+    address_since: Micros,
     penalty: Penalty,
     /// It came back with too high a penalty, which has not decayed yet.
     damped: bool,
     /// The group in which it is counted as reported ready.
-    counted: Option<Group>,
+    ready_group: Option<Group>,
     /// When it last came back; the decision module starts it slowly from then, as one that has just started.
-    returned: Option<Micros>,
+    returned_at: Option<Micros>,
     published: Option<Published>,
 }
 
@@ -115,11 +115,11 @@
     fn new(now: Micros) -> Self {
         TrackedCache {
             reports: BTreeMap::new(),
-            joined: now,
+            address_since: now,
             penalty: Penalty::default(),
             damped: false,
-            counted: None,
-            returned: None,
+            ready_group: None,
+            returned_at: None,
             published: None,
         }
     }
@@ -163,13 +163,13 @@
     limits: Limits,
     caches: BTreeMap<String, TrackedCache>,
     /// The caches that are reported to listen at an address.
-    claims: BTreeMap<SocketAddr, BTreeSet<String>>,
+    address_claims: BTreeMap<SocketAddr, BTreeSet<String>>,
     /// Sources that have given a full list: a cache that they list for the first time from then on has just started.
     initialized: BTreeSet<SourceId>,
     /// Caches under damping.
     damped: BTreeSet<String>,
     /// Number of caches reported ready, by group.
-    ready: BTreeMap<Group, usize>,
+    ready_counts: BTreeMap<Group, usize>,
     /// Caches that no source lists.
     gone: BTreeSet<String>,
 }
@@ -183,10 +183,10 @@
             damping,
             limits,
             caches: BTreeMap::new(),
-            claims: BTreeMap::new(),
+            address_claims: BTreeMap::new(),
             initialized: BTreeSet::new(),
             damped: BTreeSet::new(),
-            ready: BTreeMap::new(),
+            ready_counts: BTreeMap::new(),
             gone: BTreeSet::new(),
         }
     }
@@ -214,7 +214,7 @@
         };
         let mut follow_ups = Vec::new();
         for uid in std::mem::take(&mut batch.affected) {
-            self.settle(&uid, &mut follow_ups, &mut batch);
+            self.update_cache(&uid, &mut follow_ups, &mut batch);
         }
         self.rebalance_suppression(&mut follow_ups, &mut batch);
         let events = &mut batch.update.events;
--- a/discovery/src/endpoint_table/publish.rs
+++ b/discovery/src/endpoint_table/publish.rs
@@ -8,7 +8,7 @@
 
 impl EndpointTable {
     /// Settles a cache after a report on it: counts a loss or a return, and publishes what has changed.
-    pub(super) fn settle(&mut self, uid: &str, entries: &mut Vec<Entry>, batch: &mut Batch) {
+    pub(super) fn update_cache(&mut self, uid: &str, entries: &mut Vec<Entry>, batch: &mut Batch) {
         let cache = self.caches.get(uid);
         let Some(verdict) = cache.and_then(|cache| self.verdict(uid, cache)) else {
             return;
@@ -20,7 +20,7 @@
             return;
         };
         let group = is_ready.then(|| Group::of(&verdict.entry));
-        let previous_group = std::mem::replace(&mut cache.counted, group.clone());
+        let previous_group = std::mem::replace(&mut cache.ready_group, group.clone());
         if counts_flaps {
             let was_ready = previous_group.is_some();
             if was_ready && !is_ready {
@@ -34,7 +34,7 @@
             }
         }
         let is_under_damping = cache.damped && is_ready;
-        self.recount(previous_group, group);
+        self.move_ready_count(previous_group, group);
         if verdict.state == State::Gone {
             self.gone.insert(uid.to_owned());
         } else {
@@ -47,12 +47,12 @@
     }
 
     /// Moves a cache that is reported ready from one group's count to another's.
-    fn recount(&mut self, from: Option<Group>, to: Option<Group>) {
+    fn move_ready_count(&mut self, from: Option<Group>, to: Option<Group>) {
         if from == to {
             return;
         }
         if let Some(btree_map::Entry::Occupied(mut count)) =
-            from.map(|group| self.ready.entry(group))
+            from.map(|group| self.ready_counts.entry(group))
         {
             *count.get_mut() -= 1;
             if *count.get() == 0 {
@@ -60,7 +60,7 @@
             }
         }
         if let Some(group) = to {
-            *self.ready.entry(group).or_insert(0) += 1;
+            *self.ready_counts.entry(group).or_insert(0) += 1;
         }
     }
 
@@ -84,12 +84,12 @@
         let damping_reason = cache.damping_reason(old, status);
         let reason = damping_reason.unwrap_or(verdict.reason);
         if status == EndpointStatus::Ready && old == EndpointStatus::Suppressed {
-            cache.returned = Some(batch.now);
+            cache.returned_at = Some(batch.now);
         }
         entry.server.state = status.state();
         if !relayed {
-            entries.extend(cache.replace(batch.now, status, &entry));
-            entry.server.started = entry.server.started.max(cache.returned);
+            entries.extend(cache.replace_identity(batch.now, status, &entry));
+            entry.server.started = entry.server.started.max(cache.returned_at);
         }
         let is_known = cache.published.is_some() || status != EndpointStatus::Gone;
         if is_known && !cache.is_published(&entry) {
@@ -130,7 +130,12 @@
 
     /// The removal that must precede an entry which is another cache for the decision module: the module keeps the
     /// address, zone, kind and cell of a cache that it knows, so the cache has to be removed and added anew.
-    fn replace(&mut self, now: Micros, status: EndpointStatus, entry: &Entry) -> Option<Entry> {
+    fn replace_identity(
+        &mut self,
+        now: Micros,
+        status: EndpointStatus,
+        entry: &Entry,
+    ) -> Option<Entry> {
         let published = self.published.as_ref()?;
         let is_gone = |status| status == EndpointStatus::Gone;
         if is_gone(published.status)
@@ -141,7 +146,7 @@
         }
         let mut removal = published.entry.clone();
         removal.server.state = State::Gone;
-        self.returned = Some(now);
+        self.returned_at = Some(now);
         Some(removal)
     }
 }
--- a/discovery/src/endpoint_table/suppression.rs
+++ b/discovery/src/endpoint_table/suppression.rs
@@ -54,7 +54,7 @@
             let Some(cache) = self.caches.get(uid) else {
                 continue;
             };
-            if let Some(group) = &cache.counted {
+            if let Some(group) = &cache.ready_group {
                 let penalty = cache.penalty.value(&self.damping, now);
                 let candidates = groups.entry(group).or_default();
                 candidates.push(Candidate { penalty, uid });
@@ -62,8 +62,8 @@
         }
         let mut suppressed = BTreeSet::new();
         for (group, mut candidates) in groups {
-            let ready = self.ready.get(group).copied().unwrap_or(0);
-            let quota = (self.damping.max_suppressed_share * ready as f64) as usize;
+            let ready_count = self.ready_counts.get(group).copied().unwrap_or(0);
+            let quota = (self.damping.max_suppressed_share * ready_count as f64) as usize;
             candidates.sort_by(|a, b| {
                 let by_penalty = b.penalty.total_cmp(&a.penalty);
                 by_penalty.then_with(|| a.uid.cmp(b.uid))
@@ -89,7 +89,7 @@
         self.damped |= exceeds;
         // A cache that appears after its source's first full list has just started, for all that is known.
         if self.published.is_some() || is_initialized {
-            self.returned = Some(now);
+            self.returned_at = Some(now);
         }
         begins_damping
     }
--- a/discovery/src/endpoint_table/verdict.rs
+++ b/discovery/src/endpoint_table/verdict.rs
@@ -62,10 +62,11 @@
         // A source that reports it gone is believed until another reports it anew.
         let listed_at = same_cache()
             .filter(|(_, report)| report.is_listed())
-            .map(|(_, report)| report.at)
+            .map(|(_, report)| report.received_at)
             .max()
             .unwrap_or(0);
-        let is_removed = |report: &SourceReport| !report.is_listed() && report.at >= listed_at;
+        let is_removed =
+            |report: &SourceReport| !report.is_listed() && report.received_at >= listed_at;
         if let Some((id, _)) = same_cache().find(|(_, report)| is_removed(report)) {
             let reason = Reason::RemovedBySource(self.source_name(*id).to_owned());
             return verdict(State::Draining, reason, id);
@@ -85,18 +86,21 @@
                 return false;
             };
             let mut reports = other.reports.values();
-            (other.joined, other_uid.as_str()) > (cache.joined, uid)
+            (other.address_since, other_uid.as_str()) > (cache.address_since, uid)
                 && reports.any(|report| report.is_listed() && report.entry.endpoint == endpoint)
         };
-        let claims = self.claims.get(&endpoint)?;
-        claims.iter().find(|other| is_newer(other))
+        let claimants = self.address_claims.get(&endpoint)?;
+        claimants.iter().find(|other| is_newer(other))
     }
 }
 
 impl TrackedCache {
     /// The verdict on a cache that no source lists, by the last report: the one that removed it.
     fn verdict_gone(&self) -> Option<Verdict> {
-        let (source, report) = self.reports.iter().max_by_key(|(_, report)| report.at)?;
+        let (source, report) = self
+            .reports
+            .iter()
+            .max_by_key(|(_, report)| report.received_at)?;
         Some(Verdict {
             entry: report.entry.clone(),
             state: State::Gone,
