--- a/discovery/src/cached_snapshot.rs
+++ b/discovery/src/cached_snapshot.rs
@@ -1,8 +1,8 @@
-//! The last confirmed endpoint list as a file stores it: one line with format, checksum and length, then JSON.
+//! File format of the last confirmed endpoint list: a header line with format, checksum and length, followed by JSON.
 //!
-//! A list is only taken from a file that is complete, of a known format, of the same scope and recent: a wrong list sends
-//! work to caches that are long gone, which is worse than no list. This module deals with bytes only; whoever writes them
-//! must replace the file atomically (write beside, sync, rename).
+//! A list is used only if the file is complete, has the supported format and the expected scope, and is recent: an
+//! outdated list directs work to caches that no longer exist, which is worse than no list. This module only encodes and
+//! decodes; the caller must replace the file atomically (write to a temporary file, sync, rename).
 
 use crate::evidence::{server_id, Entry};
 use linnetknot::{Micros, Server, State};
@@ -10,62 +10,61 @@
 use std::net::SocketAddr;
 
 const MAGIC: &str = "linnetknot-list";
-/// Version of the format that is written.
+/// Version of the file format.
 pub const FORMAT_VERSION: u32 = 1;
-/// Longest first line, in bytes.
 const MAX_HEADER_BYTES: usize = 80;
-/// How far from the future a list may seem: the clock may have been an hour ahead when it was written, and an hour behind
-/// when it is read. Beyond that the time says nothing of how old it is.
+/// Maximum distance of a list's time into the future. The clock may have been an hour ahead when the list was written,
+/// and an hour behind when it is read. A list with a later time has an unknown age.
 const MAX_FUTURE_US: Micros = 2 * 60 * 60 * 1_000_000;
 
-/// A cached list.
+/// A cached endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CachedSnapshot {
-    /// When it was last confirmed, as Unix time in microseconds.
+    /// Time at which the list was last confirmed, as Unix time in microseconds.
     pub confirmed_at: Micros,
-    /// Its entries.
+    /// The entries of the list.
     pub entries: Vec<Entry>,
 }
 
-/// Why a cached list is not used.
+/// An error that prevents the use of a cached list.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    /// The file is no cached list.
-    #[error("it is no cached snapshot")]
+    /// The file does not begin with the header of a cached snapshot.
+    #[error("not a cached snapshot")]
     NotASnapshot,
-    /// Its format is of a later version of the program.
-    #[error("its format is {0}, and this program reads up to {FORMAT_VERSION}")]
+    /// The file has an unsupported format.
+    #[error("unsupported format {0}, expected {FORMAT_VERSION}")]
     UnsupportedFormat(u32),
-    /// It is truncated, or longer than its head states.
-    #[error("it is torn: {actual} bytes of {stored}")]
+    /// The body is truncated, or longer than the header states.
+    #[error("the body has {actual} bytes, but the header states {stored}")]
     LengthMismatch {
-        /// Length that its head states, in bytes.
+        /// Length that the header states, in bytes.
         stored: usize,
-        /// Its length, in bytes.
+        /// Length of the body, in bytes.
         actual: usize,
     },
-    /// Its checksum does not match.
-    #[error("its checksum does not match")]
+    /// The checksum of the body does not match the header.
+    #[error("checksum mismatch")]
     ChecksumMismatch,
-    /// Its body can't be parsed; the text is the parser's.
-    #[error("it can't be read: {0}")]
+    /// The body can't be parsed; the text is the error of the JSON parser.
+    #[error("invalid body: {0}")]
     InvalidBody(String),
-    /// It is the list of another scope.
-    #[error("it is the list of '{stored}', not of '{expected}'")]
+    /// The list belongs to another scope.
+    #[error("the list is of scope '{stored}', expected '{expected}'")]
     WrongScope {
-        /// The scope that it states.
+        /// The scope in the file.
         stored: String,
         /// The scope of this proxy.
         expected: String,
     },
-    /// Its time is this far in the future, in microseconds.
-    #[error("it is from the future, by {} s", .0 / 1_000_000)]
+    /// The time of the list is this many microseconds in the future.
+    #[error("the time of the list is {} s in the future", .0 / 1_000_000)]
     FromFuture(Micros),
-    /// Its age, in microseconds, is above the limit.
-    #[error("it is too old: {} s", .0 / 1_000_000)]
+    /// The age of the list, in microseconds, exceeds the limit.
+    #[error("the list is too old: {} s", .0 / 1_000_000)]
     Expired(Micros),
-    /// It is longer than the limit.
-    #[error("it is too long")]
+    /// The file exceeds the size limit.
+    #[error("the file exceeds the size limit")]
     TooLong,
 }
 
@@ -89,7 +88,7 @@
     started_us: Option<Micros>,
 }
 
-/// Encodes a list. `scope` identifies what it is the list of, so that one deployment's is never used by another.
+/// Encodes a list. `scope` identifies the deployment that the list belongs to, so that no other deployment uses it.
 pub fn encode<'a>(scope: &str, at: Micros, entries: impl Iterator<Item = &'a Entry>) -> Vec<u8> {
     let entry = |e: &Entry| SnapshotEntry {
         uid: e.uid.clone(),
@@ -106,7 +105,7 @@
         at_us: at,
         entries: entries.map(entry).collect(),
     };
-    // It consists of strings and numbers only, which can always be encoded.
+    // Serialization can't fail, as the body consists of strings and numbers only.
     let body = serde_json::to_vec(&body).unwrap_or_default();
     let mut out = format!(
         "{MAGIC} {FORMAT_VERSION} {:08x} {}\n",
@@ -118,7 +117,7 @@
     out
 }
 
-/// Decodes a list of at most `max_bytes` that was confirmed at most `max_age` ago.
+/// Decodes a list of at most `max_bytes` bytes that was confirmed at most `max_age` microseconds before `now`.
 pub fn decode(
     bytes: &[u8],
     scope: &str,
@@ -151,7 +150,7 @@
     })
 }
 
-/// The body, if the head's format is known and its length and checksum match.
+/// Returns the body, after checking its header, length and checksum.
 fn verified_body(bytes: &[u8]) -> Result<&[u8], SnapshotError> {
     let end = bytes
         .iter()
--- a/discovery/src/damping.rs
+++ b/discovery/src/damping.rs
@@ -1,23 +1,24 @@
 //! Route flap damping (RFC 2439) for caches: a penalty that grows with each loss and decays exponentially.
 //!
-//! A cache is suppressed when it comes back with a penalty over `suppress`, and reused once the penalty has decayed below
-//! `reuse`. The penalty has a ceiling, so that however long a cache has flapped, it is reused `max_suppressed_us` after
-//! its last loss at the latest (section 4.2 of the RFC: 'max hold-down time').
+//! A cache is suppressed when it returns with a penalty of at least `suppress`, and reused once the penalty has decayed
+//! below `reuse`. The penalty is bounded, so that a cache is reused at the latest `max_suppressed_us` after its last
+//! loss, however often it has flapped (section 4.2 of the RFC: 'max hold-down time').
 
 use linnetknot::Micros;
 
-/// Parameters of damping.
+/// Parameters of flap damping.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Damping {
-    /// Time in which a penalty halves, in microseconds.
+    /// Half-life of a penalty, in microseconds.
     pub half_life_us: Micros,
-    /// A cache that comes back with this penalty is suppressed. Each loss adds 1.
+    /// Suppression threshold: a cache that returns with at least this penalty is suppressed. Each loss adds 1.
     pub suppress: f64,
-    /// A suppressed cache is reused below this penalty.
+    /// Reuse threshold: a suppressed cache is reused once its penalty is below this value.
     pub reuse: f64,
-    /// Longest suppression after the last loss, in microseconds.
+    /// Maximum duration of a suppression after the last loss, in microseconds.
     pub max_suppressed_us: Micros,
-    /// Share of the caches of one zone and kind that may be suppressed at once, rounded down.
+    /// Maximum share of the caches of one zone and kind that are suppressed at the same time; the number of caches is
+    /// rounded down.
     pub max_suppressed_share: f64,
 }
 
@@ -33,7 +34,8 @@
     }
 }
 
-/// Why damping parameters can't be used. The text follows the parameter's name: `suppress must be above 'reuse'`.
+/// An invalid damping parameter. The message completes a sentence that begins with the name of the parameter, such as
+/// `suppress must be above 'reuse'`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DampingError {
     /// The half-life is 0.
@@ -45,16 +47,16 @@
     /// The suppress threshold is not a finite number above the reuse threshold.
     #[error("must be above 'reuse'")]
     Suppress,
-    /// The share is not from 0 to 1.
+    /// The share is not between 0 and 1.
     #[error("must be from 0 to 1")]
     Share,
-    /// The penalty's ceiling is below the suppress threshold, so no cache would ever be suppressed.
+    /// The maximum penalty is below the suppression threshold, so no cache would ever be suppressed.
     #[error("is too short for 'suppress' to be reached")]
     MaxSuppressed,
 }
 
 impl DampingError {
-    /// The parameter at fault, by its key in the settings, without a unit.
+    /// Returns the settings key of the invalid parameter, without its unit.
     pub fn key(self) -> &'static str {
         match self {
             Self::HalfLife => "half_life",
@@ -88,30 +90,30 @@
         Ok(())
     }
 
-    /// The highest penalty: from here it decays to `reuse` within `max_suppressed_us`.
+    /// Returns the maximum penalty, which decays to `reuse` within `max_suppressed_us`.
     pub fn max_penalty(&self) -> f64 {
         self.reuse * (self.max_suppressed_us as f64 / self.half_life_us as f64).exp2()
     }
 }
 
-/// The penalty of a cache for its losses.
+/// The flap penalty of a cache.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Penalty {
     value: f64,
     updated_at: Micros,
 }
 
-/// Below this a penalty no longer matters.
+/// A penalty below this value is treated as 0.
 const NEGLIGIBLE_PENALTY: f64 = 0.05;
 
 impl Penalty {
-    /// The penalty as it has decayed by now.
+    /// Returns the penalty, decayed to its value at `now`.
     pub fn value(&self, damping: &Damping, now: Micros) -> f64 {
         let half_lives = now.saturating_sub(self.updated_at) as f64 / damping.half_life_us as f64;
         self.value * (-half_lives).exp2()
     }
 
-    /// Counts a loss.
+    /// Adds the penalty for one loss.
     pub fn add(&mut self, damping: &Damping, now: Micros) {
         *self = Penalty {
             value: (self.value(damping, now) + 1.0).min(damping.max_penalty()),
@@ -119,7 +121,7 @@
         };
     }
 
-    /// When the penalty will have decayed below `level`; now, if it has.
+    /// Returns the time at which the penalty is below `level`, or `now` if it already is.
     pub fn decays_below_at(&self, damping: &Damping, level: f64, now: Micros) -> Micros {
         let value = self.value(damping, now);
         if value < level {
@@ -129,7 +131,7 @@
         now + wait as Micros + 1
     }
 
-    /// Whether the penalty no longer matters.
+    /// Returns whether the penalty is so low that it is treated as 0.
     pub fn is_negligible(&self, damping: &Damping, now: Micros) -> bool {
         self.value(damping, now) < NEGLIGIBLE_PENALTY
     }
--- a/discovery/src/endpoint_table/claims.rs
+++ b/discovery/src/endpoint_table/claims.rs
@@ -1,4 +1,4 @@
-//! Which caches are reported to listen at which address.
+//! Tracks which caches are reported at which address.
 
 use super::{Batch, EndpointTable};
 use crate::evidence::Notice;
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 impl EndpointTable {
-    /// Records that a cache is reported to listen at an address.
+    /// Records that a cache is reported at an address.
     pub(super) fn claim(&mut self, endpoint: SocketAddr, uid: &str, batch: &mut Batch) {
         let claimants = self.address_claims.entry(endpoint).or_default();
         let is_new = claimants.insert(uid.to_owned());
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Ends a cache's claim to an address, unless a source still reports it there.
+    /// Removes the record of a cache at an address, unless a source still reports it there.
     pub(super) fn unclaim(&mut self, endpoint: SocketAddr, uid: &str, batch: &mut Batch) {
         let is_still_reported = self.caches.get(uid).is_some_and(|cache| {
             let mut reports = cache.reports.values();
--- a/discovery/src/endpoint_table/eviction.rs
+++ b/discovery/src/endpoint_table/eviction.rs
@@ -1,17 +1,17 @@
-//! When a cache that is gone is forgotten.
+//! Evicts caches that are gone from the table.
 
 use super::EndpointTable;
 use linnetknot::Micros;
 
-/// A cache that is gone and whose penalty still matters.
+/// A cache that is gone but has a penalty that is not negligible.
 struct Remembered {
     penalty: f64,
     uid: String,
 }
 
 impl EndpointTable {
-    /// Forgets caches that are gone, once their penalty no longer matters or too many are remembered. A cache that never
-    /// flapped is forgotten at once, however many come and go in a day.
+    /// Evicts caches that are gone and whose penalty is negligible, or that exceed the limit of remembered caches. A
+    /// cache that has never flapped is evicted at once.
     pub(super) fn evict_gone(&mut self, now: Micros) {
         if self.gone.is_empty() {
             return;
@@ -23,7 +23,7 @@
                 continue;
             };
             if cache.is_listed() {
-                // Another cache has its address for now.
+                // The cache counts as gone only while another cache has its address.
                 continue;
             }
             if cache.penalty.is_negligible(&self.damping, now) {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The remembered caches beyond the limit, those with the lowest penalties.
+    /// Returns the remembered caches that exceed the limit, which are those with the lowest penalties.
     fn excess_remembered(&self, mut remembered: Vec<Remembered>) -> impl Iterator<Item = String> {
         let count = remembered.len().saturating_sub(self.limits.max_remembered);
         if count > 0 {
--- a/discovery/src/endpoint_table/ingest.rs
+++ b/discovery/src/endpoint_table/ingest.rs
@@ -1,4 +1,4 @@
-//! How reports enter the table.
+//! Records reports of the sources in the table.
 
 use super::{Batch, EndpointTable, SourceReport, TrackedCache};
 use crate::evidence::{EndpointStatus, Entry, Notice, Reason, Report, SourceId};
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 
 impl EndpointTable {
-    /// One report per id. A list that has an id twice, at two addresses, means two caches, of which only one can have
-    /// it: the one that had it before, else the first.
+    /// Returns one report per id. If a list contains an id at two addresses, the id belongs to the cache at the address
+    /// that the source reported before, or else to the first one.
     pub(super) fn unique_reports(
         &self,
         source: SourceId,
@@ -42,13 +42,13 @@
         accepted
     }
 
-    /// Where a source last reported a cache.
+    /// Returns the address at which a source last reported a cache.
     fn reported_endpoint(&self, source: SourceId, uid: &str) -> Option<SocketAddr> {
         let report = self.caches.get(uid)?.reports.get(&source)?;
         Some(report.entry.endpoint)
     }
 
-    /// Unlists the caches that a source has listed and its new full list omits; gives the entries that follow.
+    /// Unlists the caches that a source has listed and its new full list omits, and returns the resulting entries.
     pub(super) fn unlist_omitted(
         &mut self,
         source: SourceId,
@@ -77,13 +77,13 @@
             self.update_cache(uid, &mut removals, batch);
         }
         if self.sources[source.0].relayed {
-            // A full list states by itself who is gone; what other sources list is added to it.
+            // The relayed full list implies the removals; it is completed with the caches that only other sources list.
             return self.published_except(&named);
         }
         removals
     }
 
-    /// The published entries of all caches but those named here.
+    /// Returns the published entries of all caches that are not gone, except those in `named`.
     fn published_except(&self, named: &BTreeSet<&str>) -> Vec<Entry> {
         self.caches
             .iter()
@@ -94,7 +94,7 @@
             .collect()
     }
 
-    /// Takes a report, and publishes what follows for its cache.
+    /// Records a report and publishes the resulting changes of its cache.
     pub(super) fn ingest(
         &mut self,
         source: SourceId,
@@ -106,7 +106,7 @@
         let reported = report.entry.clone();
         if !self.record(source, report, batch) {
             if relayed && reported.server.state == State::Gone {
-                // Nothing is known of the cache, but the event is relayed as it came.
+                // The cache is unknown, but events of a relayed source are published unchanged.
                 entries.push(reported);
             }
             return;
@@ -114,14 +114,14 @@
         let count_before = entries.len();
         self.update_cache(&reported.uid, entries, batch);
         if relayed && entries.len() == count_before {
-            // Relayed whether it changes anything or not, each report of the event in its turn.
+            // Every report of a relayed event is published in order, even if it changes nothing.
             let cache = self.caches.get(&reported.uid);
             let published = cache.and_then(|cache| cache.published.as_ref());
             entries.extend(published.map(|published| published.entry.clone()));
         }
     }
 
-    /// Records a source's report; false if it is not taken.
+    /// Records a report of a source. Returns false if the report is ignored.
     fn record(&mut self, source: SourceId, report: Report, batch: &mut Batch) -> bool {
         let Report { entry, reason } = report;
         let (uid, endpoint) = (entry.uid.clone(), entry.endpoint);
@@ -168,7 +168,7 @@
         true
     }
 
-    /// Records that a source's full list omits a cache.
+    /// Records that the full list of a source omits a cache.
     fn unlist(&mut self, source: SourceId, uid: &str, batch: &mut Batch) {
         let cache = self.caches.get_mut(uid);
         let Some(report) = cache.and_then(|cache| cache.reports.get_mut(&source)) else {
@@ -183,7 +183,7 @@
 }
 
 impl TrackedCache {
-    /// The notice that another source lists this cache at another address than `source` does.
+    /// Returns a notice if another source lists this id at an address other than `endpoint`, which `source` reports.
     fn duplicate_id_notice(
         &self,
         source: SourceId,
--- a/discovery/src/endpoint_table/mod.rs
+++ b/discovery/src/endpoint_table/mod.rs
@@ -1,5 +1,4 @@
-//! The endpoint table: the last report of every source on each cache, what follows from them, and what of that was
-//! published.
+//! The endpoint table: the last report of every source on each cache, and the entries and statuses that are published.
 
 mod claims;
 mod eviction;
@@ -17,43 +16,43 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Bounds of the table's size.
+/// Size limits of the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Caches that any source lists.
+    /// Maximum number of caches that at least one source lists.
     pub max_caches: usize,
-    /// Caches that are gone, whose penalties are remembered in case they return.
+    /// Maximum number of caches that are gone and whose penalties are retained in case they return.
     pub max_remembered: usize,
 }
 
-/// A change of the endpoint list, for the decision module.
+/// An update of the endpoint list, for the decision module.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListEvent {
-    /// Whether the entries are the full list or what has changed.
+    /// Whether the entries are the full list or a delta.
     pub mode: ListMode,
-    /// The entries, in this order.
+    /// The entries, in the order in which they are applied.
     pub entries: Vec<Entry>,
 }
 
-/// What follows from evidence, or from the passing of time.
+/// The results of applying evidence or of the passing of time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TableUpdate {
-    /// Events for the decision module, in this order.
+    /// Events for the decision module, in the order in which they are applied.
     pub events: Vec<ListEvent>,
-    /// Changes of status, for the log.
+    /// Status changes, for the log.
     pub changes: Vec<StatusChange>,
-    /// What operators should know besides.
+    /// Other conditions, for the log.
     pub notices: Vec<Notice>,
 }
 
 impl TableUpdate {
-    /// Whether nothing follows.
+    /// Returns whether there are no events, changes or notices.
     pub fn is_empty(&self) -> bool {
         self.events.is_empty() && self.changes.is_empty() && self.notices.is_empty()
     }
 }
 
-/// A source's last report on a cache; the state is part of the entry.
+/// The last report of a source on a cache. The state is part of the entry.
 #[derive(Clone, Debug)]
 struct SourceReport {
     entry: Entry,
@@ -62,13 +61,12 @@
 }
 
 impl SourceReport {
-    /// Whether the source lists the cache.
     fn is_listed(&self) -> bool {
         self.entry.server.state != State::Gone
     }
 }
 
-/// What was last published of a cache.
+/// The last published entry and status of a cache.
 #[derive(Clone, Debug)]
 struct Published {
     entry: Entry,
@@ -78,7 +76,7 @@
     since: Micros,
 }
 
-/// Zone and kind: caches that can stand in for each other.
+/// The zone and kind of a cache. Caches of the same group can replace each other.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Group {
     zone: String,
@@ -94,24 +92,23 @@
     }
 }
 
-/// All that is known of one cache.
+/// The reports on a cache and its published state.
 #[derive(Clone, Debug)]
 struct TrackedCache {
     reports: BTreeMap<SourceId, SourceReport>,
-    /// When it was first reported at its present address.
+    /// Time at which the cache was first reported at its current address.
     address_since: Micros,
     penalty: Penalty,
-    /// It came back with too high a penalty, which has not decayed yet.
+    /// Whether the cache returned with a penalty above the suppression threshold that has not decayed yet.
     damped: bool,
-    /// The group in which it is counted as reported ready.
+    /// The group in which the cache is counted as reported ready.
     ready_group: Option<Group>,
-    /// When it last came back; the decision module starts it slowly from then, as one that has just started.
+    /// Time at which the cache last returned. It is published as the start time, so that the cache gets a slow start.
     returned_at: Option<Micros>,
     published: Option<Published>,
 }
 
 impl TrackedCache {
-    /// A cache without reports.
     fn new(now: Micros) -> Self {
         TrackedCache {
             reports: BTreeMap::new(),
@@ -124,23 +121,23 @@
         }
     }
 
-    /// The status that was last published.
+    /// Returns the last published status.
     fn status(&self) -> EndpointStatus {
         self.published
             .as_ref()
             .map_or(EndpointStatus::Gone, |published| published.status)
     }
 
-    /// Whether any source lists it.
+    /// Returns whether any source lists the cache.
     fn is_listed(&self) -> bool {
         self.reports.values().any(SourceReport::is_listed)
     }
 }
 
-/// The effects of one call as they accumulate.
+/// The accumulated effects of one call.
 struct Batch {
     now: Micros,
-    /// Other caches whose verdict may have changed with a report.
+    /// Other caches whose verdict a report may have changed.
     affected: BTreeSet<String>,
     update: TableUpdate,
 }
@@ -155,28 +152,28 @@
     }
 }
 
-/// The endpoint table.
+/// Combines the reports of all sources into the published endpoint list.
 #[derive(Clone, Debug)]
 pub struct EndpointTable {
     sources: Vec<Source>,
     damping: Damping,
     limits: Limits,
     caches: BTreeMap<String, TrackedCache>,
-    /// The caches that are reported to listen at an address.
+    /// The ids of the caches that are reported at each address.
     address_claims: BTreeMap<SocketAddr, BTreeSet<String>>,
-    /// Sources that have given a full list: a cache that they list for the first time from then on has just started.
+    /// Sources that have reported a full list. A cache that they list for the first time after that has just started.
     initialized: BTreeSet<SourceId>,
-    /// Caches under damping.
+    /// Ids of the caches under damping.
     damped: BTreeSet<String>,
     /// Number of caches reported ready, by group.
     ready_counts: BTreeMap<Group, usize>,
-    /// Caches that no source lists.
+    /// Ids of the caches whose verdict is `Gone`.
     gone: BTreeSet<String>,
 }
 
 impl EndpointTable {
-    /// An empty table. The sources are in order of precedence: where two differ on anything but the state of a cache,
-    /// the first one counts.
+    /// Creates an empty table. The sources are in order of precedence: if two sources differ on an attribute of a cache
+    /// other than its state, the first source decides.
     pub fn new(sources: Vec<Source>, damping: Damping, limits: Limits) -> Self {
         EndpointTable {
             sources,
@@ -191,12 +188,12 @@
         }
     }
 
-    /// Name of a source.
+    /// Returns the name of a source, or `?` for an unknown one.
     pub fn source_name(&self, id: SourceId) -> &str {
         self.sources.get(id.0).map_or("?", |source| &source.name)
     }
 
-    /// Takes evidence of a source. That of an unknown source is ignored.
+    /// Applies evidence of a source. Evidence of an unknown source is ignored.
     pub fn apply(&mut self, now: Micros, source: SourceId, evidence: Evidence) -> TableUpdate {
         let mut batch = Batch::new(now);
         let Some(relayed) = self.sources.get(source.0).map(|source| source.relayed) else {
@@ -228,8 +225,8 @@
         batch.update
     }
 
-    /// Takes in a source's reports; gives the entries that follow. What a full list omits is removed first, which frees
-    /// capacity and addresses, but published last.
+    /// Applies the reports of a source and returns the resulting entries. Caches that a full list omits are removed
+    /// first, which frees capacity and addresses, but their entries come last.
     fn ingest_list(
         &mut self,
         source: SourceId,
@@ -254,7 +251,7 @@
         entries
     }
 
-    /// Ends the suppression of caches that have been steady for long enough.
+    /// Ends the suppression of caches whose penalty has decayed.
     pub fn poll(&mut self, now: Micros) -> TableUpdate {
         let mut batch = Batch::new(now);
         let mut entries = Vec::new();
@@ -264,7 +261,7 @@
         batch.update
     }
 
-    /// When [`poll`](Self::poll) has something to do at the latest.
+    /// Returns the time at which [`poll`](Self::poll) has to be called next, if any cache is under damping.
     pub fn next_due(&self, now: Micros) -> Option<Micros> {
         let damping = &self.damping;
         let damped = self.damped.iter().filter_map(|uid| self.caches.get(uid));
@@ -273,7 +270,7 @@
             .min()
     }
 
-    /// Caches that some source lists, as they are published.
+    /// Returns the published entry and status of each cache that is not gone.
     pub fn listed(&self) -> impl Iterator<Item = (&Entry, EndpointStatus)> {
         self.caches
             .values()
@@ -282,7 +279,7 @@
             .map(|published| (&published.entry, published.status))
     }
 
-    /// The caches that a source itself lists, as it reports them.
+    /// Returns the entries of the caches that a source lists, as the source reports them.
     pub fn reported_by(&self, source: SourceId) -> impl Iterator<Item = &Entry> {
         self.caches
             .values()
@@ -291,19 +288,19 @@
             .map(|report| &report.entry)
     }
 
-    /// Changes the damping parameters from here on.
+    /// Replaces the damping parameters.
     pub fn set_damping(&mut self, damping: Damping) {
         self.damping = damping;
     }
 
-    /// The published status of a cache; `Gone` for an unknown one.
+    /// Returns the published status of a cache, or `Gone` for an unknown one.
     pub fn status(&self, uid: &str) -> EndpointStatus {
         self.caches
             .get(uid)
             .map_or(EndpointStatus::Gone, TrackedCache::status)
     }
 
-    /// Why a cache has its status; none for an unknown one.
+    /// Explains the status of a cache. Returns `None` for an unknown cache.
     pub fn explain(&self, uid: &str, now: Micros) -> Option<Explanation> {
         let damping = &self.damping;
         let cache = self.caches.get(uid)?;
@@ -321,7 +318,7 @@
         })
     }
 
-    /// Explanations of all known caches, in the order of their ids.
+    /// Explains the status of all known caches, in the order of their ids.
     pub fn explain_all(&self, now: Micros) -> impl Iterator<Item = Explanation> + '_ {
         self.caches
             .keys()
@@ -329,8 +326,8 @@
     }
 }
 
-/// Adds an event of what has changed, if anything. Removals come first: an address may pass from one cache to another
-/// within one event.
+/// Appends a delta event with the entries, if there are any. Removals come first, as an address may move from one cache
+/// to another within an event.
 fn push_changes(events: &mut Vec<ListEvent>, mut entries: Vec<Entry>) {
     if entries.is_empty() {
         return;
--- a/discovery/src/endpoint_table/publish.rs
+++ b/discovery/src/endpoint_table/publish.rs
@@ -1,4 +1,4 @@
-//! How verdicts are published: what changes for the decision module.
+//! Publishes verdicts as list entries and status changes.
 
 use super::verdict::Verdict;
 use super::{Batch, EndpointTable, Group, Published, TrackedCache};
@@ -7,7 +7,8 @@
 use std::collections::btree_map;
 
 impl EndpointTable {
-    /// Settles a cache after a report on it: counts a loss or a return, and publishes what has changed.
+    /// Updates a cache after a report on it: records a loss or a return, and publishes what has changed. A cache under
+    /// damping is published by [`rebalance_suppression`](Self::rebalance_suppression) instead.
     pub(super) fn update_cache(&mut self, uid: &str, entries: &mut Vec<Entry>, batch: &mut Batch) {
         let cache = self.caches.get(uid);
         let Some(verdict) = cache.and_then(|cache| self.verdict(uid, cache)) else {
@@ -40,13 +41,13 @@
         } else {
             self.gone.remove(uid);
         }
-        // Which of the caches under damping are suppressed depends on all of them: that is settled once, at the end.
+        // Which caches under damping are suppressed depends on all of them, so it is decided once per call, at the end.
         if !is_under_damping {
             self.publish(uid, verdict, false, entries, batch);
         }
     }
 
-    /// Moves a cache that is reported ready from one group's count to another's.
+    /// Moves a cache that is reported ready from the count of one group to that of another.
     fn move_ready_count(&mut self, from: Option<Group>, to: Option<Group>) {
         if from == to {
             return;
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Publishes what a verdict changes for the decision module.
+    /// Publishes a verdict: appends the entries that differ from the published ones, and records a change of status.
     pub(super) fn publish(
         &mut self,
         uid: &str,
@@ -122,14 +123,14 @@
         published.is_some_and(|published| published.entry == *entry)
     }
 
-    /// Since when the cache is published with this status; none if it is not.
+    /// Returns the time since which the cache is published with this status, or `None` if it has another status.
     fn status_since(&self, status: EndpointStatus) -> Option<Micros> {
         let published = self.published.as_ref()?;
         (published.status == status).then_some(published.since)
     }
 
-    /// The removal that must precede an entry which is another cache for the decision module: the module keeps the
-    /// address, zone, kind and cell of a cache that it knows, so the cache has to be removed and added anew.
+    /// Returns the removal that must precede an entry with another address, zone, kind or cell. The decision module
+    /// does not update these attributes of a known cache, so the cache has to be removed and added again.
     fn replace_identity(
         &mut self,
         now: Micros,
@@ -151,7 +152,7 @@
     }
 }
 
-/// Whether two entries can't be one cache for the decision module.
+/// Returns whether two entries differ in an attribute that the decision module does not update.
 fn changes_identity(old: &Entry, new: &Entry) -> bool {
     old.endpoint != new.endpoint
         || old.server.cell != new.server.cell
--- a/discovery/src/endpoint_table/suppression.rs
+++ b/discovery/src/endpoint_table/suppression.rs
@@ -1,4 +1,4 @@
-//! Flap damping: which caches are under damping, and which of those are suppressed.
+//! Selects the caches that flap damping suppresses.
 
 use super::{Batch, EndpointTable, Group, TrackedCache};
 use crate::damping::Damping;
@@ -6,14 +6,15 @@
 use linnetknot::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A cache under damping.
+/// A cache under damping that may be suppressed.
 struct Candidate<'a> {
     penalty: f64,
     uid: &'a str,
 }
 
 impl EndpointTable {
-    /// Ends the damping of caches that have been steady, and publishes which of the others are suppressed.
+    /// Ends the damping of caches whose penalty has decayed, selects which of the others are suppressed, and publishes
+    /// the resulting statuses.
     pub(super) fn rebalance_suppression(&mut self, entries: &mut Vec<Entry>, batch: &mut Batch) {
         if self.damped.is_empty() {
             return;
@@ -29,7 +30,7 @@
         }
     }
 
-    /// Ends the damping of caches whose penalty has decayed; gives their ids.
+    /// Ends the damping of caches whose penalty has decayed, and returns their ids.
     fn end_damping(&mut self, now: Micros) -> Vec<String> {
         let damping = self.damping;
         let caches = &mut self.caches;
@@ -47,7 +48,8 @@
         steady
     }
 
-    /// The caches to suppress: those with the highest penalties, and of each group no more than its share.
+    /// Selects the caches to suppress: in each group those with the highest penalties, up to the maximum share of the
+    /// group.
     fn select_suppressed(&self, now: Micros) -> BTreeSet<String> {
         let mut groups: BTreeMap<&Group, Vec<Candidate<'_>>> = BTreeMap::new();
         for uid in &self.damped {
@@ -76,8 +78,8 @@
 }
 
 impl TrackedCache {
-    /// Counts the return of the cache; true if that puts it under damping. `is_initialized`: its source had given a
-    /// full list before.
+    /// Records that the cache returned, and returns whether this puts it under damping. `is_initialized` states whether
+    /// its source has reported a full list before.
     pub(super) fn count_return(
         &mut self,
         now: Micros,
@@ -87,14 +89,14 @@
         let exceeds = self.penalty.value(damping, now) >= damping.suppress;
         let begins_damping = exceeds && !self.damped;
         self.damped |= exceeds;
-        // A cache that appears after its source's first full list has just started, for all that is known.
+        // A cache that appears after the first full list of its source is assumed to have just started.
         if self.published.is_some() || is_initialized {
             self.returned_at = Some(now);
         }
         begins_damping
     }
 
-    /// The reason of a new status, where damping has a part in it.
+    /// Returns the reason for a new status if damping causes or affects it.
     pub(super) fn damping_reason(
         &self,
         old: EndpointStatus,
--- a/discovery/src/endpoint_table/verdict.rs
+++ b/discovery/src/endpoint_table/verdict.rs
@@ -1,21 +1,21 @@
-//! What the reports of all sources on a cache amount to, before damping.
+//! Combines the reports of all sources on a cache into a verdict, before damping.
 
 use super::{EndpointTable, SourceReport, TrackedCache};
 use crate::evidence::{EndpointStatus, Entry, Reason, SourceId};
 use linnetknot::State;
 use std::net::SocketAddr;
 
-/// What the reports on a cache amount to, before damping.
+/// The combined state of a cache according to all sources, before damping.
 pub(super) struct Verdict {
     pub(super) entry: Entry,
     pub(super) state: State,
     pub(super) reason: Reason,
-    /// The source whose report decides.
+    /// The source whose report determines the state.
     pub(super) source: SourceId,
 }
 
 impl Verdict {
-    /// The status that follows, once it is settled whether damping suppresses the cache.
+    /// Returns the resulting status, given whether damping suppresses the cache.
     pub(super) fn status(&self, is_suppressed: bool) -> EndpointStatus {
         match self.state {
             State::Ready if is_suppressed => EndpointStatus::Suppressed,
@@ -27,7 +27,7 @@
 }
 
 impl EndpointTable {
-    /// What the reports on a cache amount to; none without reports.
+    /// Combines the reports on a cache. Returns `None` if there are no reports.
     pub(super) fn verdict(&self, uid: &str, cache: &TrackedCache) -> Option<Verdict> {
         let mut reports = cache.reports.iter();
         let Some((base_id, base)) = reports.find(|(_, report)| report.is_listed()) else {
@@ -50,7 +50,7 @@
                 return verdict(State::Gone, reason, base_id);
             }
         }
-        // A report of another address is about another cache, which only has the same id.
+        // A report with another address is about another cache that has the same id.
         let same_cache = || {
             let reports = cache.reports.iter();
             reports.filter(|(_, report)| report.entry.endpoint == endpoint)
@@ -59,7 +59,7 @@
         if let Some((id, report)) = same_cache().find(|(_, report)| is_draining(report)) {
             return verdict(State::Draining, report.reason.clone(), id);
         }
-        // A source that reports it gone is believed until another reports it anew.
+        // A removal by one source takes effect until another source lists the cache again.
         let listed_at = same_cache()
             .filter(|(_, report)| report.is_listed())
             .map(|(_, report)| report.received_at)
@@ -74,7 +74,7 @@
         verdict(State::Ready, base.reason.clone(), base_id)
     }
 
-    /// Another cache that is listed at the address and was first reported there later than this one.
+    /// Returns another cache that is listed at the address and was first reported there later than this one.
     fn newer_claimant(
         &self,
         endpoint: SocketAddr,
@@ -95,7 +95,7 @@
 }
 
 impl TrackedCache {
-    /// The verdict on a cache that no source lists, by the last report: the one that removed it.
+    /// Returns the verdict on a cache that no source lists, according to its last report.
     fn verdict_gone(&self) -> Option<Verdict> {
         let (source, report) = self
             .reports
--- a/discovery/src/evidence.rs
+++ b/discovery/src/evidence.rs
@@ -1,4 +1,4 @@
-//! What sources report of caches, and what the table tells of them: entries, reasons, changes and notices.
+//! The data types of discovery: list entries, reports of the sources, reasons, status changes and notices.
 
 use linnetknot::{Micros, Server, ServerId, State};
 use std::fmt;
@@ -7,66 +7,67 @@
 /// An entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// The cache as the decision module knows it.
+    /// The attributes of the cache that the decision module uses.
     pub server: Server,
     /// Id of the cache on the wire.
     pub uid: String,
-    /// Where it listens.
+    /// Address at which the cache listens.
     pub endpoint: SocketAddr,
 }
 
-/// The number of a cache's id (64-bit FNV-1a), the same at every proxy: the decision module ranks caches by it.
+/// Returns the numeric id of a cache: the 64-bit FNV-1a hash of its id on the wire. The decision module ranks caches by
+/// this number, so it has to be the same at every proxy.
 pub fn server_id(uid: &str) -> ServerId {
     uid.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
         (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)
     })
 }
 
-/// A source's position in the order of precedence: 0 comes first.
+/// Position of a source in the order of precedence, where 0 is the highest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SourceId(pub usize);
 
-/// The properties of a source.
+/// Properties of a source of evidence.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Source {
-    /// Its name, for logs and explanations.
+    /// Name of the source, for logs and explanations.
     pub name: String,
-    /// Each of its events is published as it came, in its mode and order, whether it changes anything or not.
+    /// Each event of the source is published unchanged, with its mode and order, even if it changes nothing.
     pub relayed: bool,
-    /// Its reports on health may flap, so they are damped, and a cache that returns is started slowly.
+    /// The health that the source reports may flap, so flap damping applies, and a returning cache gets a slow start.
     pub damped: bool,
 }
 
-/// Why a cache has its state or status.
+/// The reason for the state or status of a cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reason {
     /// The source states no reason.
     Reported,
-    /// This check is critical.
+    /// The check with this id is critical.
     Check(String),
-    /// The service was put in maintenance, with the note given there.
+    /// The service is in maintenance mode, with this note of the operator.
     ServiceMaintenance(String),
-    /// Its node was put in maintenance, with the note given there.
+    /// The node is in maintenance mode, with this note of the operator.
     NodeMaintenance(String),
-    /// The node's own check is critical: its agent has failed.
+    /// The check of the node itself is critical, so its agent has failed.
     NodeFailed,
-    /// It is registered, but the source reports no health for it.
+    /// The cache is registered, but the source reports no health for it.
     NoHealth,
-    /// Its registration can't be used, because of the value under this key.
+    /// The registration of the cache has an invalid value under this key.
     InvalidRegistration(String),
-    /// The source's full list no longer contains it.
+    /// The full list of the source no longer contains the cache.
     Unlisted,
-    /// It is from a list cached before a restart.
+    /// The cache was loaded from a snapshot that was stored before a restart.
     Cached,
-    /// One source has removed it while another still lists it.
+    /// The source with this name has removed the cache, while another source still lists it.
     RemovedBySource(String),
-    /// Another cache has taken over its address.
+    /// The cache with this id has taken over the address.
     AddressTaken(String),
-    /// It was lost and came back too often; it is reused once its penalty has decayed.
+    /// The cache was lost and returned too often; it is reused once its penalty has decayed.
     Flapping,
-    /// It flaps, but too many of its group are suppressed already.
+    /// The cache flaps, but the maximum share of its zone and kind is already suppressed.
     DampingLimit,
-    /// Its penalty has decayed.
+    /// The penalty of the cache has decayed, so it is no longer suppressed.
     PenaltyDecayed,
 }
 
@@ -77,26 +78,30 @@
             Self::Check(id) => write!(f, "check '{id}' is critical"),
             Self::ServiceMaintenance(note) => write!(f, "service in maintenance: {note}"),
             Self::NodeMaintenance(note) => write!(f, "node in maintenance: {note}"),
-            Self::NodeFailed => write!(f, "its node's agent has failed"),
-            Self::NoHealth => write!(f, "registered without health"),
-            Self::InvalidRegistration(key) => write!(f, "its registration can't be used: {key}"),
-            Self::Unlisted => write!(f, "not listed any more"),
+            Self::NodeFailed => write!(f, "the agent of its node has failed"),
+            Self::NoHealth => write!(f, "registered, but no health is reported"),
+            Self::InvalidRegistration(key) => {
+                write!(f, "its registration has an invalid value: {key}")
+            }
+            Self::Unlisted => write!(f, "no longer listed"),
             Self::Cached => write!(f, "from the cached snapshot"),
             Self::RemovedBySource(source) => write!(f, "removed by {source}"),
-            Self::AddressTaken(uid) => write!(f, "its address belongs to {uid} now"),
+            Self::AddressTaken(uid) => write!(f, "its address was taken over by {uid}"),
             Self::Flapping => write!(f, "flapping"),
-            Self::DampingLimit => write!(f, "flapping, but too many are suppressed already"),
-            Self::PenaltyDecayed => write!(f, "steady again"),
+            Self::DampingLimit => {
+                write!(f, "flapping, but the maximum share is already suppressed")
+            }
+            Self::PenaltyDecayed => write!(f, "its penalty has decayed"),
         }
     }
 }
 
-/// A source's report on one cache.
+/// The report of a source on one cache.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
-    /// The cache, with its state according to the source.
+    /// The entry of the cache, with the state that the source reports.
     pub entry: Entry,
-    /// Why it has that state.
+    /// The reason for that state.
     pub reason: Reason,
 }
 
@@ -109,30 +114,30 @@
     }
 }
 
-/// What a source reports at one moment.
+/// The reports that a source provides at one time.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Evidence {
-    /// Its full list: what it listed before and does not list now is gone, as far as it knows.
+    /// The full list of the source: a cache that it listed before and that is absent now is gone according to it.
     Full(Vec<Report>),
-    /// What has changed.
+    /// The reports that have changed.
     Delta(Vec<Report>),
 }
 
 /// The published status of a cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EndpointStatus {
-    /// Takes new work, as target or as source of a fill.
+    /// The cache takes new work, as a target or as the source of a fill.
     Ready,
-    /// Reported ready, but suppressed by damping.
+    /// The cache is reported ready but suppressed by damping.
     Suppressed,
-    /// Finishes its work and takes no more.
+    /// The cache finishes its work and takes no new work.
     Draining,
-    /// Not listed by any source.
+    /// No source lists the cache.
     Gone,
 }
 
 impl EndpointStatus {
-    /// The state for the decision module.
+    /// Returns the state that is sent to the decision module.
     pub fn state(self) -> State {
         match self {
             Self::Ready => State::Ready,
@@ -141,7 +146,7 @@
         }
     }
 
-    /// Its name in logs.
+    /// Returns the name of the status in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Ready => "ready",
@@ -152,74 +157,75 @@
     }
 }
 
-/// A change of a cache's status.
+/// A change of the status of a cache.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StatusChange {
     /// Id of the cache.
     pub uid: String,
-    /// Status before; `Gone` for an unknown cache.
+    /// The previous status; `Gone` for an unknown cache.
     pub old: EndpointStatus,
-    /// Status from now on.
+    /// The new status.
     pub new: EndpointStatus,
-    /// Why the status is new.
+    /// The reason for the new status.
     pub reason: Reason,
-    /// The source whose report decides.
+    /// The source whose report determines the status.
     pub source: SourceId,
-    /// Its penalty for flaps.
+    /// The flap penalty of the cache.
     pub penalty: f64,
 }
 
-/// Something that operators should know besides the changes.
+/// A condition other than a status change that is logged for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
-    /// The table is full: the cache with this id is not added.
+    /// The table is full, so the cache with this id is not added.
     TableFull(String),
-    /// Two sources, or two entries of one, use one id for different caches: the first keeps it.
+    /// Two sources, or two entries of one source, use the same id for different caches. The first cache keeps the id.
     DuplicateId {
         /// The id.
         uid: String,
         /// Address of the cache that keeps the id.
         accepted: SocketAddr,
-        /// Address of the other one, which is skipped.
+        /// Address of the other cache, which is skipped.
         rejected: SocketAddr,
-        /// The source of the other one.
+        /// The source that reports the other cache.
         source: SourceId,
     },
-    /// Two caches are reported at one address: the one that was first reported there last has it.
+    /// Two caches are reported at the same address. The address belongs to the cache that was first reported there most
+    /// recently.
     DuplicateAddress {
-        /// Id of the one that has it.
+        /// Id of the newly reported cache.
         uid: String,
-        /// Id of the other one.
+        /// Id of the other cache.
         other: String,
         /// The address.
         endpoint: SocketAddr,
     },
-    /// A cache is reported at another address.
+    /// A cache is reported at a new address.
     Moved {
         /// Id of the cache.
         uid: String,
-        /// Its address before.
+        /// The previous address.
         from: SocketAddr,
-        /// Its address now.
+        /// The new address.
         to: SocketAddr,
     },
 }
 
-/// Why a cache has its status.
+/// An explanation of the status of a cache.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Explanation {
-    /// The cache as it is published.
+    /// The published entry.
     pub entry: Entry,
-    /// Its status.
+    /// The published status.
     pub status: EndpointStatus,
-    /// Since when it has that status.
+    /// Time since which the cache has that status.
     pub since: Micros,
-    /// Why it has that status.
+    /// The reason for the status.
     pub reason: Reason,
-    /// The source whose report decides.
+    /// The source whose report determines the status.
     pub source: SourceId,
-    /// Its penalty for flaps, as decayed by now.
+    /// The flap penalty of the cache, decayed to the current time.
     pub penalty: f64,
-    /// When a suppressed cache is reused, if it stays steady.
+    /// Time at which a suppressed cache is reused if it is not lost again.
     pub suppressed_until: Option<Micros>,
 }
--- a/discovery/src/lib.rs
+++ b/discovery/src/lib.rs
@@ -1,16 +1,17 @@
-//! The endpoint list of a proxy: which caches exist, and which of them may take work.
+//! Endpoint discovery: maintains the list of caches and the status of each.
 //!
-//! Sources (the event bus, Consul, a cached snapshot) give [`Evidence`] with the time of its arrival. An
-//! [`EndpointTable`] weighs it and gives out list events for the decision module, with the reason for each cache's
-//! status. A [`ListValidator`] checks pushed lists before they become evidence. The package is sans-IO: it has no
-//! sockets and no clock; time is the `now` of each call.
+//! Sources (the event bus, Consul, a cached snapshot) report [`Evidence`]. An [`EndpointTable`] combines the evidence
+//! of all sources and returns list events for the decision module, together with the reason for the status of each
+//! cache. A [`ListValidator`] checks pushed lists before they are applied as evidence. The package is sans-IO: it opens
+//! no sockets and reads no clock; each call is passed the current time as `now`.
 //!
-//! Invariants, whatever the sources report and in whatever order (checked by `tests/model.rs`, the last one by
-//! `tests/endpoint_table.rs`):
+//! The following invariants hold for any sequence of reports. `tests/model.rs` checks the first two, and
+//! `tests/endpoint_table.rs` checks the last one.
 //!
-//! - A cache that any source reports as draining, failing or gone is published as not ready by the same call.
-//! - Damping alone suppresses at most a stated share of the caches of a zone and kind, and none for ever.
-//! - The events of a relayed source that is the only one are published exactly as they came.
+//! - If any source reports a cache as draining, failing or gone, the same call publishes the cache as not ready.
+//! - Damping suppresses at most a configured share of the caches of a zone and kind, and each of them for a limited
+//!   time.
+//! - If a relayed source is the only source, its events are published unchanged.
 
 pub mod cached_snapshot;
 mod damping;
--- a/discovery/src/validation.rs
+++ b/discovery/src/validation.rs
@@ -1,37 +1,38 @@
-//! What of a pushed list is believed, before it becomes evidence.
+//! Validation of pushed lists before they are applied as evidence.
 //!
-//! A proxy that takes every list at its word loses all its caches by one that came out empty, and a hundred proxies that
-//! do so send all their work to the few caches that are left. A list may always remove single caches by naming them. What
-//! it may not do is remove most of a zone's caches by leaving them out, bring caches back by a revision older than the
-//! known one, or report a cache both ready and gone.
+//! A wrong list, such as an empty one, must not make all proxies drop their caches at the same time and overload the
+//! caches that are left. A list may always remove caches that it names. It may not remove more than half of the caches
+//! of a zone and kind by omitting them, restore caches with a revision older than the highest one received, or report a
+//! cache as both ready and gone.
 
 use crate::evidence::Entry;
 use linnetknot::{ListMode, State};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A part of a list that was not believed, for the log.
+/// A part of a list that was rejected, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// The list is older than one received before: only what it removes counts.
+    /// The list is older than one received before, so only its removals and drains are applied.
     Stale {
-        /// Its revision.
+        /// The revision of the list.
         rev: u64,
         /// The highest revision received.
         known: u64,
     },
-    /// The cache with this id is listed more than once; the more cautious entry counts.
+    /// The cache with this id is listed more than once; the entry with the less available state is applied.
     Contradiction(String),
-    /// More than half of the ready caches of a zone and kind are left out; they are retained.
+    /// More than half of the ready caches of a zone and kind are omitted; they are retained.
     Omission {
-        /// The zone.
+        /// Zone of the caches.
         zone: String,
-        /// The kind.
+        /// Kind of the caches.
         kind: String,
         /// Number of caches retained.
         retained: usize,
     },
-    /// Entries that could not be read, by their faults. What the list leaves out may be among them.
+    /// Entries that could not be parsed, with the error of each. As any omitted cache may be among them, the list
+    /// removes only caches that it names.
     Unreadable(Vec<String>),
 }
 
@@ -40,10 +41,13 @@
         match self {
             Self::Stale { rev, known } => write!(
                 f,
-                "a list of revision {rev} is older than {known}: only its removals count"
+                "a list of revision {rev} is older than revision {known}: only its removals and drains are applied"
             ),
             Self::Contradiction(uid) => {
-                write!(f, "a list has {uid} twice: the more cautious entry counts")
+                write!(
+                    f,
+                    "a list contains {uid} twice: the entry with the less available state is applied"
+                )
             }
             Self::Omission {
                 zone,
@@ -51,7 +55,7 @@
                 retained,
             } => write!(
                 f,
-                "a list leaves out more than half of zone '{zone}', kind '{kind}': \
+                "a list omits more than half of the caches of zone '{zone}', kind '{kind}': \
                  {retained} caches are retained"
             ),
             Self::Unreadable(faults) => {
@@ -59,7 +63,8 @@
                 let first = faults.first().map_or("", String::as_str);
                 write!(
                     f,
-                    "{count} entries of a list can't be read ({first}): it removes only what it names"
+                    "{count} entries of a list can't be read ({first}): \
+                     the list removes only caches that it names"
                 )
             }
         }
@@ -69,36 +74,36 @@
 /// A list as it was received.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedList {
-    /// Its revision, where the source numbers them.
+    /// Revision of the list, if the source numbers its lists.
     pub rev: Option<u64>,
-    /// Whether it claims to be the full list.
+    /// Whether the list is a full list or a delta.
     pub mode: ListMode,
-    /// The entries that could be read.
+    /// The entries that could be parsed.
     pub entries: Vec<Entry>,
-    /// The fault of each entry that could not be read.
+    /// The error of each entry that could not be parsed.
     pub unreadable: Vec<String>,
 }
 
-/// What of a received list is believed.
+/// A list after validation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ValidatedList {
-    /// Whether the entries are the full list.
+    /// Whether the entries are a full list or a delta.
     pub mode: ListMode,
-    /// The entries to believe.
+    /// The entries to apply, including those that are retained.
     pub entries: Vec<Entry>,
-    /// What was not believed.
+    /// The parts of the list that were rejected.
     pub rejections: Vec<Rejection>,
 }
 
-/// Validates the lists of one source.
+/// Validates the lists of a source.
 #[derive(Clone, Debug, Default)]
 pub struct ListValidator {
-    /// The highest revision received.
+    /// The highest revision that was accepted.
     rev: Option<u64>,
 }
 
 impl ListValidator {
-    /// Validates a list. `listed`: the entries that the source is believed to list so far.
+    /// Validates a list. `listed` holds the entries that the source lists so far.
     pub fn validate<'a>(
         &mut self,
         list: ReceivedList,
@@ -131,8 +136,8 @@
     }
 }
 
-/// One entry per cache, at the position of its first. Of two, the more cautious counts, or the second if the cache has
-/// started since the first.
+/// Returns one entry per cache, at the position of its first entry. Of two entries, the one with the less available
+/// state is used, or the second one if it reports a later start of the cache.
 fn unique_entries(entries: Vec<Entry>, rejections: &mut Vec<Rejection>) -> Vec<Entry> {
     let mut accepted: Vec<Entry> = Vec::with_capacity(entries.len());
     let mut positions: BTreeMap<String, usize> = BTreeMap::new();
@@ -153,7 +158,7 @@
     accepted
 }
 
-/// Lower is more cautious.
+/// Returns the rank of a state by availability: a lower rank is less available.
 fn readiness(state: State) -> u8 {
     match state {
         State::Gone => 0,
@@ -169,7 +174,7 @@
     omitted: Vec<&'a Entry>,
 }
 
-/// Ready caches of the zones and kinds of which a full list leaves out more than half.
+/// Returns the omitted ready caches of each zone and kind of which a full list omits more than half.
 fn retain_omitted<'a>(
     entries: &[Entry],
     listed: impl Iterator<Item = &'a Entry>,
