--- a/discovery/tests/common/mod.rs
+++ b/discovery/tests/common/mod.rs
@@ -8,7 +8,7 @@
 };
 use std::collections::BTreeMap;
 
-pub(crate) const S: Micros = 1_000_000;
+pub(crate) const SECOND_US: Micros = 1_000_000;
 pub(crate) const BUS: SourceId = SourceId(0);
 pub(crate) const CONSUL: SourceId = SourceId(1);
 
@@ -65,27 +65,29 @@
 
 /// The list as the module has it, from the events alone.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Mirror(pub BTreeMap<String, Entry>);
+pub(crate) struct PublishedList(pub BTreeMap<String, Entry>);
 
-impl Mirror {
-    pub(crate) fn apply(&mut self, out: &TableUpdate) {
-        for ListEvent { mode, entries } in &out.events {
+impl PublishedList {
+    pub(crate) fn apply(&mut self, update: &TableUpdate) {
+        for ListEvent { mode, entries } in &update.events {
             if *mode == ListMode::Full {
                 self.0
-                    .retain(|uid, _| entries.iter().any(|e| e.uid == *uid));
+                    .retain(|uid, _| entries.iter().any(|entry| entry.uid == *uid));
             }
-            for e in entries {
-                self.0.insert(e.uid.clone(), e.clone());
+            for entry in entries {
+                self.0.insert(entry.uid.clone(), entry.clone());
             }
-            self.0.retain(|_, e| e.server.state != State::Gone);
+            self.0.retain(|_, entry| entry.server.state != State::Gone);
         }
     }
 
     pub(crate) fn state(&self, uid: &str) -> State {
-        self.0.get(uid).map_or(State::Gone, |e| e.server.state)
+        self.0
+            .get(uid)
+            .map_or(State::Gone, |entry| entry.server.state)
     }
 }
 
-pub(crate) fn full(reports: Vec<Report>) -> Evidence {
+pub(crate) fn full_list(reports: Vec<Report>) -> Evidence {
     Evidence::Full(reports)
 }
--- a/discovery/tests/damping.rs
+++ b/discovery/tests/damping.rs
@@ -3,67 +3,73 @@
 use linnetknot::Micros;
 use linnetknot_discovery::{Damping, Penalty};
 
-const S: Micros = 1_000_000;
+const SECOND_US: Micros = 1_000_000;
 
 #[test]
-fn a_penalty_halves_and_its_end_is_foretold_and_bounded() {
-    let d = Damping::default();
-    let mut p = Penalty::default();
-    p.add(&d, 0);
-    assert!((p.value(&d, 15 * S) - 0.5).abs() < 1e-9);
+fn a_penalty_decays_by_its_half_life_and_is_bounded() {
+    let damping = Damping::default();
+    let mut penalty = Penalty::default();
+    penalty.add(&damping, 0);
+    assert!((penalty.value(&damping, 15 * SECOND_US) - 0.5).abs() < 1e-9);
     for n in 0..1000 {
-        p.add(&d, n * S);
+        penalty.add(&damping, n * SECOND_US);
     }
-    let end = p.decays_below_at(&d, d.reuse, 999 * S);
+    let end = penalty.decays_below_at(&damping, damping.reuse, 999 * SECOND_US);
     assert!(
-        end <= 999 * S + d.max_suppressed_us + 1,
+        end <= 999 * SECOND_US + damping.max_suppressed_us + 1,
         "however long it flapped"
     );
-    assert!(p.value(&d, end) < d.reuse && p.value(&d, end - 2) >= d.reuse);
-    assert!(!p.is_negligible(&d, end) && p.is_negligible(&d, end + 75 * S));
+    assert!(
+        penalty.value(&damping, end) < damping.reuse
+            && penalty.value(&damping, end - 2) >= damping.reuse
+    );
+    assert!(
+        !penalty.is_negligible(&damping, end)
+            && penalty.is_negligible(&damping, end + 75 * SECOND_US)
+    );
 }
 
 #[test]
-fn figures_that_can_not_work_are_refused_by_name() {
-    let good = Damping::default();
-    assert_eq!(good.validate(), Ok(()));
-    for (bad, name) in [
+fn invalid_parameters_are_rejected_with_their_key() {
+    let valid = Damping::default();
+    assert_eq!(valid.validate(), Ok(()));
+    for (invalid, key) in [
         (
             Damping {
                 half_life_us: 0,
-                ..good
+                ..valid
             },
             "half_life",
         ),
         (
             Damping {
                 reuse: f64::NAN,
-                ..good
+                ..valid
             },
             "reuse",
         ),
         (
             Damping {
                 suppress: 1.0,
-                ..good
+                ..valid
             },
             "suppress",
         ),
         (
             Damping {
                 max_suppressed_share: 1.5,
-                ..good
+                ..valid
             },
             "most_share",
         ),
         (
             Damping {
-                max_suppressed_us: S,
-                ..good
+                max_suppressed_us: SECOND_US,
+                ..valid
             },
             "most_suppressed",
         ),
     ] {
-        assert_eq!(bad.validate().unwrap_err().key(), name);
+        assert_eq!(invalid.validate().unwrap_err().key(), key);
     }
 }
--- a/discovery/tests/model.rs
+++ b/discovery/tests/model.rs
@@ -14,35 +14,35 @@
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 
-const NAMES: [&str; 3] = ["a", "b", "c"];
+const UIDS: [&str; 3] = ["a", "b", "c"];
 
 #[derive(Clone, Debug)]
-struct Seen {
+struct ModelState {
     table: EndpointTable,
-    mirror: Mirror,
+    published: PublishedList,
     reported: [BTreeMap<usize, State>; 2],
     now: u64,
     /// All that the future depends on, in words.
     key: String,
 }
 
-impl Seen {
-    fn keyed(mut self) -> Self {
+impl ModelState {
+    fn with_key(mut self) -> Self {
         self.key = format!(
             "{:?}{:?}{:?}{}",
-            self.table, self.mirror, self.reported, self.now
+            self.table, self.published, self.reported, self.now
         );
         self
     }
 }
 
-impl PartialEq for Seen {
+impl PartialEq for ModelState {
     fn eq(&self, other: &Self) -> bool {
         self.key == other.key
     }
 }
 
-impl Hash for Seen {
+impl Hash for ModelState {
     fn hash<H: Hasher>(&self, h: &mut H) {
         self.key.hash(h);
     }
@@ -51,9 +51,9 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     /// One source says of one box.
-    Say(usize, usize, State),
+    Delta(usize, usize, State),
     /// One source's whole list names only this box, ready.
-    Only(usize, usize),
+    FullList(usize, usize),
     /// Time passes, and the book is polled.
     Wait(u64),
 }
@@ -63,10 +63,10 @@
 }
 
 impl Model for Interleavings {
-    type State = Seen;
+    type State = ModelState;
     type Action = Step;
 
-    fn init_states(&self) -> Vec<Seen> {
+    fn init_states(&self) -> Vec<ModelState> {
         let damping = Damping {
             suppress: 0.85,
             reuse: 0.5,
@@ -82,53 +82,53 @@
                 max_remembered: 2,
             },
         );
-        let mut mirror = Mirror::default();
+        let mut published = PublishedList::default();
         let all = (0..3)
-            .map(|n| report(NAMES[n], n as u16, State::Ready))
+            .map(|n| report(UIDS[n], n as u16, State::Ready))
             .collect();
-        mirror.apply(&table.apply(S, SourceId(1), full(all)));
+        published.apply(&table.apply(SECOND_US, SourceId(1), full_list(all)));
         let reported = [BTreeMap::new(), (0..3).map(|n| (n, State::Ready)).collect()];
-        vec![Seen {
+        vec![ModelState {
             table,
-            mirror,
+            published,
             reported,
-            now: S,
+            now: SECOND_US,
             key: String::new(),
         }
-        .keyed()]
+        .with_key()]
     }
 
-    fn actions(&self, seen: &Seen, actions: &mut Vec<Step>) {
-        if seen.now >= self.depth_us {
+    fn actions(&self, state: &ModelState, actions: &mut Vec<Step>) {
+        if state.now >= self.depth_us {
             return;
         }
         for n in 0..2 {
-            for state in [State::Ready, State::Draining, State::Gone] {
-                actions.push(Step::Say(1, n, state));
+            for reported in [State::Ready, State::Draining, State::Gone] {
+                actions.push(Step::Delta(1, n, reported));
             }
-            actions.push(Step::Say(0, n, State::Draining));
-            actions.push(Step::Say(0, n, State::Ready));
+            actions.push(Step::Delta(0, n, State::Draining));
+            actions.push(Step::Delta(0, n, State::Ready));
         }
-        actions.push(Step::Only(1, 0));
-        actions.push(Step::Only(0, 1));
-        actions.push(Step::Wait(9 * S));
+        actions.push(Step::FullList(1, 0));
+        actions.push(Step::FullList(0, 1));
+        actions.push(Step::Wait(9 * SECOND_US));
     }
 
-    fn next_state(&self, seen: &Seen, step: Step) -> Option<Seen> {
-        let mut next = seen.clone();
-        next.now += S;
-        let out = match step {
-            Step::Say(source, n, state) => {
-                next.reported[source].insert(n, state);
-                let evidence = Evidence::Delta(vec![report(NAMES[n], n as u16, state)]);
+    fn next_state(&self, state: &ModelState, step: Step) -> Option<ModelState> {
+        let mut next = state.clone();
+        next.now += SECOND_US;
+        let update = match step {
+            Step::Delta(source, n, reported) => {
+                next.reported[source].insert(n, reported);
+                let evidence = Evidence::Delta(vec![report(UIDS[n], n as u16, reported)]);
                 next.table.apply(next.now, SourceId(source), evidence)
             }
-            Step::Only(source, n) => {
+            Step::FullList(source, n) => {
                 next.reported[source] = [(n, State::Ready)].into();
                 next.table.apply(
                     next.now,
                     SourceId(source),
-                    full(vec![report(NAMES[n], n as u16, State::Ready)]),
+                    full_list(vec![report(UIDS[n], n as u16, State::Ready)]),
                 )
             }
             Step::Wait(us) => {
@@ -136,37 +136,43 @@
                 next.table.poll(next.now)
             }
         };
-        next.mirror.apply(&out);
-        Some(next.keyed())
+        next.published.apply(&update);
+        Some(next.with_key())
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no fresh work where a drain is told", |_, s: &Seen| {
-                (0..3).all(|n| {
-                    let drains = s
+            Property::always(
+                "no fresh work where a drain is told",
+                |_, state: &ModelState| {
+                    (0..3).all(|n| {
+                        let is_draining = state
+                            .reported
+                            .iter()
+                            .any(|reports| reports.get(&n) == Some(&State::Draining));
+                        !is_draining || state.published.state(UIDS[n]) != State::Ready
+                    })
+                },
+            ),
+            Property::always(
+                "no empty list while a box is named",
+                |_, state: &ModelState| {
+                    let is_listed = state
                         .reported
                         .iter()
-                        .any(|t| t.get(&n) == Some(&State::Draining));
-                    !drains || s.mirror.state(NAMES[n]) != State::Ready
-                })
-            }),
-            Property::always("no empty list while a box is named", |_, s: &Seen| {
-                let named = s
-                    .reported
-                    .iter()
-                    .any(|t| t.values().any(|state| *state != State::Gone));
-                !named || !s.mirror.0.is_empty()
-            }),
-            Property::always("damping stays within its share", |_, s: &Seen| {
-                let suppressed = s
+                        .any(|reports| reports.values().any(|reported| *reported != State::Gone));
+                    !is_listed || !state.published.0.is_empty()
+                },
+            ),
+            Property::always("damping stays within its share", |_, state: &ModelState| {
+                let suppressed = state
                     .table
                     .listed()
                     .filter(|(_, status)| *status == EndpointStatus::Suppressed);
                 suppressed.count() <= 1
             }),
-            Property::always("no box is suppressed for ever", |_, s: &Seen| {
-                let (mut table, mut now) = (s.table.clone(), s.now);
+            Property::always("no box is suppressed for ever", |_, state: &ModelState| {
+                let (mut table, mut now) = (state.table.clone(), state.now);
                 let end = now + Damping::default().max_suppressed_us + 2;
                 // Three boxes have three releases at most; a book that never lets go must not hang the check.
                 for _ in 0..4 {
@@ -178,20 +184,22 @@
                 }
                 let mut suppressed = table
                     .listed()
-                    .filter(|(_, s)| *s == EndpointStatus::Suppressed);
+                    .filter(|(_, status)| *status == EndpointStatus::Suppressed);
                 suppressed.next().is_none()
             }),
             // That the checker reaches what the properties are about at all.
-            Property::sometimes("a box is suppressed", |_, s: &Seen| {
-                s.table
+            Property::sometimes("a box is suppressed", |_, state: &ModelState| {
+                state
+                    .table
                     .listed()
                     .any(|(_, status)| status == EndpointStatus::Suppressed)
             }),
             Property::sometimes(
                 "a box flaps but is one too many to be held back",
-                |_, s: &Seen| {
-                    s.table
-                        .explain_all(s.now)
+                |_, state: &ModelState| {
+                    state
+                        .table
+                        .explain_all(state.now)
                         .any(|e| e.reason == Reason::DampingLimit)
                 },
             ),
@@ -199,25 +207,27 @@
     }
 }
 
-fn check(depth: usize) -> usize {
-    let checker = Interleavings { depth_us: 100 * S }
-        .checker()
-        .threads(4)
-        .target_max_depth(depth);
+fn check_interleavings(depth: usize) -> usize {
+    let checker = Interleavings {
+        depth_us: 100 * SECOND_US,
+    }
+    .checker()
+    .threads(4)
+    .target_max_depth(depth);
     let checker = checker.spawn_bfs().join();
     checker.assert_properties();
     checker.unique_state_count()
 }
 
 #[test]
-fn all_interleavings_of_five_words_keep_the_promises() {
-    let states = check(6);
+fn all_interleavings_of_five_steps_satisfy_the_properties() {
+    let states = check_interleavings(6);
     assert!(states > 20_000, "{states} states were seen");
 }
 
 /// Some minutes: `cargo test --release -p linnetknot-discovery --test model -- --ignored`.
 #[test]
 #[ignore = "long"]
-fn all_interleavings_of_seven_words_keep_the_promises() {
-    check(8);
+fn all_interleavings_of_seven_steps_satisfy_the_properties() {
+    check_interleavings(8);
 }
--- a/discovery/tests/validation.rs
+++ b/discovery/tests/validation.rs
@@ -28,7 +28,7 @@
         .collect()
 }
 
-fn answer(rev: u64, mode: ListMode, entries: Vec<Entry>) -> ReceivedList {
+fn received_list(rev: u64, mode: ListMode, entries: Vec<Entry>) -> ReceivedList {
     ReceivedList {
         rev: Some(rev),
         mode,
@@ -47,23 +47,23 @@
 }
 
 #[test]
-fn an_empty_whole_list_empties_nothing() {
+fn an_empty_full_list_removes_nothing() {
     let (listed, mut validator) = (listed(), ListValidator::default());
     let ValidatedList {
         mode,
         entries: retained,
         rejections,
-    } = validator.validate(answer(2, ListMode::Full, vec![]), listed.iter());
+    } = validator.validate(received_list(2, ListMode::Full, vec![]), listed.iter());
     assert_eq!(
         (mode, uids(&retained)),
         (ListMode::Full, vec!["a1", "a2", "a3", "a4", "b1"])
     );
-    let left = |zone: &str, retained| Rejection::Omission {
+    let omission = |zone: &str, retained| Rejection::Omission {
         zone: zone.into(),
         kind: "box".into(),
         retained,
     };
-    assert_eq!(rejections, [left("a", 4), left("b", 1)]);
+    assert_eq!(rejections, [omission("a", 4), omission("b", 1)]);
     assert!(
         rejections[0].to_string().contains("zone 'a'")
             && rejections[0].to_string().contains("4 caches are retained")
@@ -71,14 +71,14 @@
 }
 
 #[test]
-fn what_leaves_out_more_than_half_of_a_zone_is_partial_and_what_leaves_out_less_is_not() {
+fn caches_are_retained_only_if_more_than_half_of_a_zone_is_omitted() {
     let (listed, mut validator) = (listed(), ListValidator::default());
     let ValidatedList {
         entries: retained,
         rejections,
         ..
     } = validator.validate(
-        answer(2, ListMode::Full, ready(&["a1", "b1"])),
+        received_list(2, ListMode::Full, ready(&["a1", "b1"])),
         listed.iter(),
     );
     assert_eq!(
@@ -90,7 +90,7 @@
         entries: retained,
         rejections,
     } = validator.validate(
-        answer(3, ListMode::Full, ready(&["a1", "a2", "b1"])),
+        received_list(3, ListMode::Full, ready(&["a1", "a2", "b1"])),
         listed.iter(),
     );
     assert_eq!(
@@ -100,9 +100,9 @@
 }
 
 #[test]
-fn what_is_named_as_gone_is_gone_however_much_that_is() {
+fn explicit_removals_are_applied_whatever_their_number() {
     let (listed, mut validator) = (listed(), ListValidator::default());
-    let gone: Vec<Entry> = listed
+    let removals: Vec<Entry> = listed
         .iter()
         .map(|e| entry(&e.uid, &e.server.zone, State::Gone))
         .collect();
@@ -111,10 +111,10 @@
             mode: validated_mode,
             entries: retained,
             rejections,
-        } = validator.validate(answer(2, mode, gone.clone()), listed.iter());
+        } = validator.validate(received_list(2, mode, removals.clone()), listed.iter());
         assert_eq!(
             (validated_mode, retained, rejections),
-            (mode, gone.clone(), vec![])
+            (mode, removals.clone(), vec![])
         );
     }
     // Caches that drain are no loss to a zone: nothing is retained for them.
@@ -126,15 +126,15 @@
         entries: retained,
         rejections,
         ..
-    } = validator.validate(answer(3, ListMode::Full, vec![]), drained.iter());
+    } = validator.validate(received_list(3, ListMode::Full, vec![]), drained.iter());
     assert_eq!((retained, rejections), (vec![], vec![]));
 }
 
 #[test]
-fn older_news_takes_away_and_brings_nothing_back() {
+fn a_stale_list_only_removes_and_drains() {
     let (listed, mut validator) = (listed(), ListValidator::default());
-    validator.validate(answer(7, ListMode::Delta, vec![]), listed.iter());
-    let old = vec![
+    validator.validate(received_list(7, ListMode::Delta, vec![]), listed.iter());
+    let stale_entries = vec![
         entry("a1", "a", State::Gone),
         entry("a9", "a", State::Ready),
         entry("a2", "a", State::Draining),
@@ -143,43 +143,55 @@
         mode,
         entries: retained,
         rejections,
-    } = validator.validate(answer(6, ListMode::Full, old), listed.iter());
+    } = validator.validate(
+        received_list(6, ListMode::Full, stale_entries),
+        listed.iter(),
+    );
     assert_eq!((mode, uids(&retained)), (ListMode::Delta, vec!["a1", "a2"]));
     assert_eq!(rejections, [Rejection::Stale { rev: 6, known: 7 }]);
     // The same revision again is a repeat and no older, and a source may number nothing at all.
     for rev in [Some(7), None] {
-        let again = ReceivedList {
+        let repeated = ReceivedList {
             rev,
-            ..answer(0, ListMode::Delta, ready(&["a9"]))
+            ..received_list(0, ListMode::Delta, ready(&["a9"]))
         };
-        assert_eq!(validator.validate(again, listed.iter()).rejections, []);
+        assert_eq!(validator.validate(repeated, listed.iter()).rejections, []);
     }
 }
 
 #[test]
-fn a_box_both_ready_and_gone_is_gone_unless_it_has_started_since() {
-    let (gone, back) = (
+fn a_cache_listed_as_ready_and_gone_is_gone_unless_it_restarted() {
+    let (gone_entry, ready_entry) = (
         entry("a1", "a", State::Gone),
         entry("a1", "a", State::Ready),
     );
-    let started = Entry {
+    let restarted = Entry {
         server: Server {
             started: Some(5),
-            ..back.server.clone()
+            ..ready_entry.server.clone()
         },
-        ..back.clone()
+        ..ready_entry.clone()
     };
     for (changes, state, contradicts) in [
-        (vec![gone.clone(), back.clone()], State::Gone, true),
-        (vec![back.clone(), gone.clone()], State::Gone, false),
-        (vec![gone.clone(), started], State::Ready, false),
-        (vec![back.clone(), back], State::Ready, false),
+        (
+            vec![gone_entry.clone(), ready_entry.clone()],
+            State::Gone,
+            true,
+        ),
+        (
+            vec![ready_entry.clone(), gone_entry.clone()],
+            State::Gone,
+            false,
+        ),
+        (vec![gone_entry.clone(), restarted], State::Ready, false),
+        (vec![ready_entry.clone(), ready_entry], State::Ready, false),
     ] {
         let ValidatedList {
             entries: retained,
             rejections,
             ..
-        } = ListValidator::default().validate(answer(1, ListMode::Delta, changes), [].iter());
+        } = ListValidator::default()
+            .validate(received_list(1, ListMode::Delta, changes), [].iter());
         assert_eq!((retained.len(), retained[0].server.state), (1, state));
         assert_eq!(
             rejections == [Rejection::Contradiction("a1".into())],
@@ -189,17 +201,17 @@
 }
 
 #[test]
-fn what_can_not_be_read_may_be_what_is_left_out() {
+fn a_list_with_unreadable_entries_removes_only_what_it_names() {
     let listed = listed();
-    let torn = ReceivedList {
+    let partial_list = ReceivedList {
         unreadable: vec!["field 'state' is wrong".into(), "?".into()],
-        ..answer(2, ListMode::Full, ready(&["a1", "a2"]))
+        ..received_list(2, ListMode::Full, ready(&["a1", "a2"]))
     };
     let ValidatedList {
         mode,
         entries: retained,
         rejections,
-    } = ListValidator::default().validate(torn, listed.iter());
+    } = ListValidator::default().validate(partial_list, listed.iter());
     assert_eq!((mode, uids(&retained)), (ListMode::Delta, vec!["a1", "a2"]));
     assert_eq!(
         rejections,
