--- a/discovery/tests/common/mod.rs
+++ b/discovery/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the endpoint table share: caches, and the list as the decision module comes to see it.
+//! Fixtures for the tests of the endpoint table: caches, sources, and the published list.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use linnetknot::{ListMode, Micros, Server, State};
@@ -50,7 +50,7 @@
     }
 }
 
-/// A table with a relayed bus and a damped Consul.
+/// Returns a table with a relayed bus and a damped Consul source.
 pub(crate) fn table() -> EndpointTable {
     let sources = vec![source("bus", true), source("consul", false)];
     EndpointTable::new(
@@ -63,7 +63,7 @@
     )
 }
 
-/// The list as the module has it, from the events alone.
+/// The endpoint list that the decision module derives from the published events.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PublishedList(pub BTreeMap<String, Entry>);
 
--- a/discovery/tests/damping.rs
+++ b/discovery/tests/damping.rs
@@ -17,7 +17,7 @@
     let end = penalty.decays_below_at(&damping, damping.reuse, 999 * SECOND_US);
     assert!(
         end <= 999 * SECOND_US + damping.max_suppressed_us + 1,
-        "however long it flapped"
+        "the penalty is bounded"
     );
     assert!(
         penalty.value(&damping, end) < damping.reuse
--- a/discovery/tests/endpoint_table.rs
+++ b/discovery/tests/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The endpoint table by scripts: flaps, conflicts, limits; and a relayed source, event by event.
+//! The endpoint table: flap damping, conflicting reports, size limits, cached snapshots and relayed sources.
 
 mod common;
 
@@ -40,7 +40,7 @@
     apply_with_state(&mut table, &mut published, now, State::Ready);
     assert_eq!(
         published.0["a"].server.started, None,
-        "of the first list nobody is known to have just started"
+        "caches of the first list get no start time"
     );
     let mut returns = 0;
     for _ in 0..20 {
@@ -54,23 +54,26 @@
             assert_eq!(
                 published.0["a"].server.started,
                 Some(now),
-                "each return is taken in step by step"
+                "a returning cache gets a new start time"
             );
         }
     }
-    assert_eq!(returns, 2, "the third return is one too many");
+    assert_eq!(
+        returns, 2,
+        "the third return exceeds the suppression threshold"
+    );
     let explanation = table.explain("a", now).unwrap();
     assert_eq!(
         (explanation.status, explanation.reason),
         (EndpointStatus::Suppressed, Reason::Flapping)
     );
     assert!(explanation.penalty > 2.0);
-    // From here it stays passing.
+    // The cache stays ready from now on.
     let due = table.next_due(now).unwrap();
     assert_eq!(Some(due), explanation.suppressed_until);
     assert!(
         due <= now + Damping::default().max_suppressed_us,
-        "not punished for long"
+        "the suppression is bounded"
     );
     published.apply(&table.poll(due - 2));
     assert_eq!(published.state("a"), State::Draining);
@@ -106,9 +109,9 @@
                 .0
                 .values()
                 .all(|entry| entry.server.state == State::Draining),
-            "a reported drain always counts"
+            "a reported drain takes effect at once"
         );
-        assert_eq!(published.0.len(), 9, "but the list is not emptied");
+        assert_eq!(published.0.len(), 9, "draining caches stay in the list");
         now += SECOND_US;
         apply_states(&mut table, &mut published, now, &all(State::Ready));
         let suppressed = published
@@ -116,10 +119,7 @@
             .values()
             .filter(|entry| entry.server.state != State::Ready)
             .count();
-        assert!(
-            suppressed <= 3,
-            "{suppressed} of 9 suppressed, and a third may be"
-        );
+        assert!(suppressed <= 3, "{suppressed} of 9 caches are suppressed");
     }
     let suppressed: Vec<_> = table
         .explain_all(now)
@@ -134,7 +134,7 @@
             .count(),
         6
     );
-    // An only box of its kind is never held back by damping.
+    // The only cache of its kind is never suppressed.
     let mut single_published = PublishedList::default();
     let mut table = common::table();
     for n in 0..9 {
@@ -178,11 +178,11 @@
     );
     assert!(
         update.is_empty(),
-        "nothing is published where nothing has changed: {out:?}"
+        "an unchanged list publishes nothing: {update:?}"
     );
 }
 
-/// Applies a full list of ready caches at these ports.
+/// Applies a full list of ready caches with their ports.
 fn apply_ready_list(
     table: &mut EndpointTable,
     published: &mut PublishedList,
@@ -222,15 +222,15 @@
         table.explain("old", 2 * SECOND_US).unwrap().reason,
         Reason::AddressTaken("new".into())
     );
-    // Told again and again, and it stays so.
+    // Repeating the list changes nothing.
     let update = apply_ready_list(
         table,
         published,
         3 * SECOND_US,
         &[("old", 1), ("new", 1), ("b", 2)],
     );
-    assert!(update.is_empty(), "{out:?}");
-    // The old one moves away: it leaves and comes anew, at the new address.
+    assert!(update.is_empty(), "{update:?}");
+    // The previous cache moves to another address: it is removed and added again.
     let update = apply_ready_list(
         table,
         published,
@@ -245,7 +245,7 @@
 }
 
 fn check_address_swap_and_return(table: &mut EndpointTable, published: &mut PublishedList) {
-    // Two swap their addresses in one list.
+    // Two caches swap their addresses in one list.
     let update = apply_ready_list(
         table,
         published,
@@ -267,9 +267,9 @@
     assert_eq!(
         states,
         [State::Gone, State::Gone, State::Ready, State::Ready],
-        "who leaves comes first"
+        "removals come first"
     );
-    // The one that holds an address leaves: the one that waits for it has it back.
+    // When the cache that holds an address is removed, the other cache at that address is published again.
     apply_ready_list(
         table,
         published,
@@ -303,9 +303,9 @@
     assert_eq!(
         published.0["a"].endpoint.port(),
         1,
-        "whatever the order of the list"
+        "independent of the order of the list"
     );
-    // By another source the id names another box, whose drain is none of this one's.
+    // Another source uses the id for another cache, whose drain does not apply to this one.
     let mut table = common::table();
     published.apply(&table.apply(
         SECOND_US,
@@ -352,7 +352,7 @@
     assert_eq!(
         published.state("a"),
         State::Draining,
-        "gone by one, still named by the other"
+        "removed by one source, still listed by the other"
     );
     assert_eq!(
         table.explain("a", 4 * SECOND_US).unwrap().reason,
@@ -363,7 +363,7 @@
         BUS,
         Evidence::Delta(vec![report("a", 1, State::Ready)]),
     ));
-    assert_eq!(published.state("a"), State::Ready, "named anew");
+    assert_eq!(published.state("a"), State::Ready, "listed again");
     published.apply(&table.apply(
         6 * SECOND_US,
         BUS,
@@ -386,7 +386,7 @@
     let update = table.apply(SECOND_US, CONSUL, full_list(reports.clone()));
     assert_eq!(update.notices, [Notice::TableFull("s-2".into())]);
     assert_eq!(table.listed().count(), 2);
-    // Who is gone leaves room, and no more than so many of them are remembered.
+    // Removed caches free capacity, and at most `max_remembered` of them are remembered.
     table.apply(2 * SECOND_US, CONSUL, full_list(reports[2..].to_vec()));
     assert_eq!(
         table
@@ -398,7 +398,7 @@
     assert_eq!(
         table.explain_all(2 * SECOND_US).count(),
         2,
-        "one that is listed, one that is remembered"
+        "one listed cache and one remembered cache"
     );
 }
 
@@ -426,7 +426,7 @@
         corrupted[position] ^= 1;
         assert!(
             read(&corrupted, "pop-cache", 130 * SECOND_US).is_err(),
-            "a flipped bit at {position}"
+            "bit flipped at {position}"
         );
     }
     use cached_snapshot::SnapshotError::*;
@@ -434,7 +434,7 @@
         read(&bytes, "pop-cache", 161 * SECOND_US),
         Err(Expired(61 * SECOND_US))
     );
-    // An hour's step back of the clock, twice, loses no list; what is further from the future is refused.
+    // Two clock steps of one hour are tolerated; a list with a later time is rejected.
     let stepped = |seconds: u64| {
         cached_snapshot::encode(
             "pop-cache",
@@ -465,7 +465,7 @@
     );
 }
 
-/// Files that earlier versions have written must stay readable.
+/// Files that earlier versions wrote must stay readable.
 #[test]
 fn the_snapshot_format_is_unchanged() {
     let list = [entry("a", 1, State::Ready), entry("b", 2, State::Draining)];
@@ -500,7 +500,7 @@
         cases: 256, rng_seed: RngSeed::Fixed(0x11ae), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// Where the bus is the only source, the module must receive its events as they came.
+    /// If the bus is the only source, the decision module must receive its events unchanged.
     #[test]
     fn events_of_a_single_relayed_source_are_published_unchanged(events in proptest::collection::vec(any_event(), 1..12)) {
         let mut table = table();
@@ -515,8 +515,8 @@
         }
     }
 
-    /// Whatever two sources report in whatever order: what one of them reports as draining is not published as ready, no list
-    /// is emptied while a cache is listed, and what is reported ready and steady is ready in the end.
+    /// For any reports of two sources: a cache that one of them reports as draining is not published as ready, a listed
+    /// cache is published, and every suppression ends.
     #[test]
     fn random_reports_of_two_sources_preserve_the_invariants(steps in proptest::collection::vec(
         (any::<bool>(), any::<bool>(), 0u64..4000, proptest::collection::vec((0u8..4, any_state()), 0..5)), 1..30)) {
--- a/discovery/tests/model.rs
+++ b/discovery/tests/model.rs
@@ -1,9 +1,8 @@
-//! The endpoint table under a model checker: all interleavings of evidence of two sources on three caches, up to a depth.
+//! Model checking of the endpoint table: all interleavings of reports of two sources on three caches, up to a depth.
 //!
-//! A state is the table itself beside the list as the module has it and what each source last reported. Checked in
-//! every state: nothing that a source reports as draining is published as ready; the list is not empty while a source lists
-//! a cache; damping suppresses no more than its share; and from here on, if nothing more is reported, no cache stays
-//! suppressed.
+//! The properties hold in every state: a cache that a source reports as draining is not published as ready, the
+//! published list is not empty while a source lists a cache, damping suppresses at most its share, and each suppression
+//! ends if no further report arrives.
 
 mod common;
 
@@ -22,7 +21,7 @@
     published: PublishedList,
     reported: [BTreeMap<usize, State>; 2],
     now: u64,
-    /// All that the future depends on, in words.
+    /// Debug text of the other fields, by which states are compared and hashed.
     key: String,
 }
 
@@ -50,11 +49,11 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
-    /// One source says of one box.
+    /// A source reports a state of one cache.
     Delta(usize, usize, State),
-    /// One source's whole list names only this box, ready.
+    /// A source reports a full list that contains only this cache, as ready.
     FullList(usize, usize),
-    /// Time passes, and the book is polled.
+    /// Time passes, and the table is polled.
     Wait(u64),
 }
 
@@ -143,7 +142,7 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "no fresh work where a drain is told",
+                "a cache that is reported as draining is not ready",
                 |_, state: &ModelState| {
                     (0..3).all(|n| {
                         let is_draining = state
@@ -155,7 +154,7 @@
                 },
             ),
             Property::always(
-                "no empty list while a box is named",
+                "the list is not empty while a cache is listed",
                 |_, state: &ModelState| {
                     let is_listed = state
                         .reported
@@ -164,17 +163,21 @@
                     !is_listed || !state.published.0.is_empty()
                 },
             ),
-            Property::always("damping stays within its share", |_, state: &ModelState| {
-                let suppressed = state
-                    .table
-                    .listed()
-                    .filter(|(_, status)| *status == EndpointStatus::Suppressed);
-                suppressed.count() <= 1
-            }),
-            Property::always("no box is suppressed for ever", |_, state: &ModelState| {
+            Property::always(
+                "damping suppresses at most its share",
+                |_, state: &ModelState| {
+                    let suppressed = state
+                        .table
+                        .listed()
+                        .filter(|(_, status)| *status == EndpointStatus::Suppressed);
+                    suppressed.count() <= 1
+                },
+            ),
+            Property::always("each suppression ends", |_, state: &ModelState| {
                 let (mut table, mut now) = (state.table.clone(), state.now);
                 let end = now + Damping::default().max_suppressed_us + 2;
-                // Three boxes have three releases at most; a book that never lets go must not hang the check.
+                // Three caches can be reused at most three times, so the loop is bounded in case suppression never
+                // ends.
                 for _ in 0..4 {
                     let Some(due) = table.next_due(now).filter(|due| *due <= end) else {
                         break;
@@ -187,15 +190,15 @@
                     .filter(|(_, status)| *status == EndpointStatus::Suppressed);
                 suppressed.next().is_none()
             }),
-            // That the checker reaches what the properties are about at all.
-            Property::sometimes("a box is suppressed", |_, state: &ModelState| {
+            // The checker has to reach states in which caches flap.
+            Property::sometimes("a cache is suppressed", |_, state: &ModelState| {
                 state
                     .table
                     .listed()
                     .any(|(_, status)| status == EndpointStatus::Suppressed)
             }),
             Property::sometimes(
-                "a box flaps but is one too many to be held back",
+                "a cache flaps but the maximum share is already suppressed",
                 |_, state: &ModelState| {
                     state
                         .table
@@ -222,10 +225,10 @@
 #[test]
 fn all_interleavings_of_five_steps_satisfy_the_properties() {
     let states = check_interleavings(6);
-    assert!(states > 20_000, "{states} states were seen");
+    assert!(states > 20_000, "only {states} states were reached");
 }
 
-/// Some minutes: `cargo test --release -p linnetknot-discovery --test model -- --ignored`.
+/// Takes some minutes: `cargo test --release -p linnetknot-discovery --test model -- --ignored`.
 #[test]
 #[ignore = "long"]
 fn all_interleavings_of_seven_steps_satisfy_the_properties() {
--- a/discovery/tests/validation.rs
+++ b/discovery/tests/validation.rs
@@ -1,4 +1,4 @@
-//! Received lists that are empty, partial, stale, torn or contradict themselves.
+//! Validation of received lists that are empty, partial, stale, unreadable in part or contradictory.
 
 use linnetknot::{ListMode, Server, State};
 use linnetknot_discovery::{
@@ -117,7 +117,7 @@
             (mode, removals.clone(), vec![])
         );
     }
-    // Caches that drain are no loss to a zone: nothing is retained for them.
+    // Draining caches are not retained.
     let drained: Vec<Entry> = listed
         .iter()
         .map(|e| entry(&e.uid, "a", State::Draining))
@@ -149,7 +149,7 @@
     );
     assert_eq!((mode, uids(&retained)), (ListMode::Delta, vec!["a1", "a2"]));
     assert_eq!(rejections, [Rejection::Stale { rev: 6, known: 7 }]);
-    // The same revision again is a repeat and no older, and a source may number nothing at all.
+    // A list with the known revision, or without a revision, is not stale.
     for rev in [Some(7), None] {
         let repeated = ReceivedList {
             rev,
