--- a/consul/src/checks.rs
+++ b/consul/src/checks.rs
@@ -24,7 +24,7 @@
 
 impl<'a> Checks<'a> {
     /// Reads an instance's checks. Each status is required; ids and notes only improve the stated reason.
-    pub(crate) fn of(instance: &'a Instance) -> Result<Self, KeyError> {
+    pub(crate) fn parse(instance: &'a Instance) -> Result<Self, KeyError> {
         let checks = instance
             .checks
             .value()
@@ -40,7 +40,7 @@
 
     /// Why the instance must get no new work, if a check forbids it. What operators did by hand is stated first, as
     /// the most specific reason.
-    pub(crate) fn fault(&self) -> Option<Reason> {
+    pub(crate) fn failure_reason(&self) -> Option<Reason> {
         let failing: Vec<_> = self
             .0
             .iter()
@@ -61,7 +61,7 @@
     }
 
     /// Id of the first check with a warning.
-    pub(crate) fn warning(&self) -> Option<&'a str> {
+    pub(crate) fn first_warning(&self) -> Option<&'a str> {
         let warning = self.0.iter().find(|check| check.status == WARNING)?;
         Some(warning.id)
     }
@@ -77,8 +77,8 @@
         .required()
         .map_err(|error| KeyError::new(format!("Checks[{n}].Status"), error))?;
     Ok(CheckStatus {
-        id: check.id.if_readable().map_or("", String::as_str),
+        id: check.id.valid().map_or("", String::as_str),
         status,
-        notes: check.notes.if_readable().map_or("", String::as_str),
+        notes: check.notes.valid().map_or("", String::as_str),
     })
 }
--- a/consul/src/http.rs
+++ b/consul/src/http.rs
@@ -12,9 +12,9 @@
     .remove(b'~');
 
 /// Longest token, in bytes.
-const MAX_TOKEN: usize = 512;
+const MAX_TOKEN_BYTES: usize = 512;
 /// Bytes of an error response's body that are quoted at most.
-const MAX_SUMMARY: usize = 160;
+const MAX_SUMMARY_BYTES: usize = 160;
 
 /// An ACL token. Its `Debug` output hides the secret.
 #[derive(Clone, PartialEq, Eq)]
@@ -41,7 +41,7 @@
         if text.is_empty() {
             return Err(TokenError::Empty);
         }
-        if text.len() > MAX_TOKEN {
+        if text.len() > MAX_TOKEN_BYTES {
             return Err(TokenError::TooLong);
         }
         if !text.bytes().all(|b| b.is_ascii_graphic()) {
@@ -115,7 +115,7 @@
 
     /// The first line of the body of an error response, shortened, without control characters.
     pub fn error_summary(&self) -> String {
-        let start = &self.body[..self.body.len().min(MAX_SUMMARY)];
+        let start = &self.body[..self.body.len().min(MAX_SUMMARY_BYTES)];
         let text = String::from_utf8_lossy(start);
         let line = text.lines().next().unwrap_or("");
         line.chars().filter(|c| !c.is_control()).collect()
@@ -150,12 +150,12 @@
 }
 
 /// A path segment, percent-encoded.
-pub(crate) fn segment(text: &str) -> String {
+pub(crate) fn encode_segment(text: &str) -> String {
     utf8_percent_encode(text, SEGMENT).to_string()
 }
 
 /// A request target of path and query. A parameter with an empty value is a flag, such as `stale`.
-pub(crate) fn target(path: String, query: &[(&str, &str)]) -> String {
+pub(crate) fn request_target(path: String, query: &[(&str, &str)]) -> String {
     if query.is_empty() {
         return path;
     }
--- a/consul/src/http/tests.rs
+++ b/consul/src/http/tests.rs
@@ -9,8 +9,8 @@
         ("stale", ""),
         ("filter", "Service.Meta.az == \"a b\""),
     ];
-    let target = target(
-        format!("/v1/health/service/{}", segment("pop cache/ä")),
+    let target = request_target(
+        format!("/v1/health/service/{}", encode_segment("pop cache/ä")),
         &query,
     );
     assert_eq!(
--- a/consul/src/mapping/endpoint.rs
+++ b/consul/src/mapping/endpoint.rs
@@ -20,7 +20,7 @@
 
 /// What an instance registers under the tag that is asked for.
 #[derive(Default)]
-struct Tagged<'a> {
+struct TaggedEndpoint<'a> {
     address: Option<AddressText<'a>>,
     port: Option<PortField<'a>>,
 }
@@ -29,8 +29,8 @@
     /// The address of an instance.
     pub(super) fn endpoint(&self, node: &Node, service: &Service) -> Result<SocketAddr, KeyError> {
         let tagged = match self.tagged_address.as_deref() {
-            Some(tag) => Tagged::of(tag, node, service)?,
-            None => Tagged::default(),
+            Some(tag) => TaggedEndpoint::find(tag, node, service)?,
+            None => TaggedEndpoint::default(),
         };
         let address = match tagged.address {
             Some(address) => address,
@@ -45,12 +45,12 @@
     }
 }
 
-impl<'a> Tagged<'a> {
+impl<'a> TaggedEndpoint<'a> {
     /// The service's tagged address, else its node's.
-    fn of(tag: &str, node: &'a Node, service: &'a Service) -> Result<Self, KeyError> {
+    fn find(tag: &str, node: &'a Node, service: &'a Service) -> Result<Self, KeyError> {
         match service_tagged(tag, service)? {
-            Some(tagged) => Tagged::of_service(tag, tagged),
-            None => Tagged::of_node(tag, node),
+            Some(tagged) => TaggedEndpoint::of_service(tag, tagged),
+            None => TaggedEndpoint::of_node(tag, node),
         }
     }
 
@@ -60,7 +60,7 @@
             key: format!("Service.TaggedAddresses.{tag}.Port"),
             field: &tagged.port,
         };
-        Ok(Tagged {
+        Ok(TaggedEndpoint {
             address: address_text(key, &tagged.address)?,
             port: Some(port),
         })
@@ -73,9 +73,9 @@
             Err(error) => return Err(KeyError::new(key, error)),
         };
         let Some(field) = addresses.and_then(|addresses| addresses.get(tag)) else {
-            return Ok(Tagged::default());
+            return Ok(TaggedEndpoint::default());
         };
-        Ok(Tagged {
+        Ok(TaggedEndpoint {
             address: address_text(key, field)?,
             port: None,
         })
--- a/consul/src/mapping/instance.rs
+++ b/consul/src/mapping/instance.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// Longest id of a cache, in bytes.
-const MAX_ID: usize = 128;
+const MAX_ID_BYTES: usize = 128;
 /// Weight of a service that states none.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
@@ -17,8 +17,8 @@
     /// The report that an instance amounts to. Only keys that this mapping uses can be at fault.
     pub(crate) fn report(&self, instance: &Instance) -> Result<Report, SkippedInstance> {
         let (no_node, no_service) = (Node::default(), Service::default());
-        let node = instance.node.if_readable().unwrap_or(&no_node);
-        let service = instance.service.if_readable().unwrap_or(&no_service);
+        let node = instance.node.valid().unwrap_or(&no_node);
+        let service = instance.service.valid().unwrap_or(&no_service);
         let uid = self.instance_uid(instance, node, service)?;
         match self.identified_report(instance, node, service, &uid) {
             Ok(report) => Ok(report),
@@ -34,15 +34,15 @@
         service: &Service,
         uid: &str,
     ) -> Result<Report, KeyError> {
-        let meta = Meta::of(service)?;
+        let meta = Meta::parse(service)?;
         let zone = meta.text(&self.keys.zone)?.unwrap_or(&self.zone);
         let kind = meta.text(&self.keys.kind)?.unwrap_or(&self.kind);
         self.check_zone(zone)?;
         let endpoint = self.endpoint(node, service)?;
-        let checks = Checks::of(instance)?;
+        let checks = Checks::parse(instance)?;
         let capacity = meta.number(&self.keys.capacity)?;
         let capacity = capacity.filter(|capacity| *capacity > 0.0);
-        let weight = weight(service, capacity, checks.warning().is_some());
+        let weight = weight(service, capacity, checks.first_warning().is_some());
         let (state, reason) = health(&checks, weight);
         let started_ms = meta.number(&self.keys.started_ms)?;
         let started = started_ms.map(|ms| (ms * 1000.0) as Micros);
@@ -114,14 +114,14 @@
 /// Whether an id can stand in the list fields that caches are sent, where `,`, `=` and `+` are separators.
 fn is_valid_id(uid: &str) -> bool {
     let is_valid = |byte: u8| byte.is_ascii_graphic() && !matches!(byte, b',' | b'=' | b'+');
-    !uid.is_empty() && uid.len() <= MAX_ID && uid.bytes().all(is_valid)
+    !uid.is_empty() && uid.len() <= MAX_ID_BYTES && uid.bytes().all(is_valid)
 }
 
 /// The metadata of a service.
 struct Meta<'a>(Option<&'a BTreeMap<String, Field<String>>>);
 
 impl<'a> Meta<'a> {
-    fn of(service: &'a Service) -> Result<Self, KeyError> {
+    fn parse(service: &'a Service) -> Result<Self, KeyError> {
         match service.meta.value() {
             Ok(values) => Ok(Meta(values)),
             Err(error) => Err(KeyError::new("Service.Meta", error)),
@@ -158,13 +158,13 @@
 /// the weights are.
 fn weight(service: &Service, capacity: Option<f64>, in_warning: bool) -> f64 {
     // Weights that can't be read count as absent: a cache with an inaccurate share is better than none.
-    let stated = |select: fn(&Weights) -> &Field<f64>| {
-        let weights = service.weights.if_readable()?;
-        select(weights).if_readable().copied()
+    let weight_field = |select: fn(&Weights) -> &Field<f64>| {
+        let weights = service.weights.valid()?;
+        select(weights).valid().copied()
     };
-    let passing = stated(|weights| &weights.passing).unwrap_or(DEFAULT_WEIGHT);
+    let passing = weight_field(|weights| &weights.passing).unwrap_or(DEFAULT_WEIGHT);
     let passing = passing.max(0.0);
-    let warning = stated(|weights| &weights.warning).unwrap_or(DEFAULT_WEIGHT);
+    let warning = weight_field(|weights| &weights.warning).unwrap_or(DEFAULT_WEIGHT);
     match capacity {
         None if in_warning => warning,
         None => passing,
@@ -175,10 +175,10 @@
 
 /// Whether a service of this weight takes work, by its checks, and why.
 fn health(checks: &Checks<'_>, weight: f64) -> (State, Reason) {
-    if let Some(reason) = checks.fault() {
+    if let Some(reason) = checks.failure_reason() {
         return (State::Draining, reason);
     }
-    match checks.warning() {
+    match checks.first_warning() {
         // A weight of nothing in a warning means that no work is wanted then.
         Some(check) if weight.is_nan() || weight <= 0.0 => {
             (State::Draining, Reason::Check(check.to_owned()))
--- a/consul/src/registration.rs
+++ b/consul/src/registration.rs
@@ -7,7 +7,7 @@
 
 use crate::backoff::Backoff;
 use crate::error::CallError;
-use crate::http::{segment, Call, Response, TransportError};
+use crate::http::{encode_segment, Call, Response, TransportError};
 use linnetknot::Micros;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -148,12 +148,12 @@
                 payload::register(registrant, ready),
             ),
             PendingCall::Update { ready } => {
-                let check_id = segment(&registrant.check_id());
+                let check_id = encode_segment(&registrant.check_id());
                 let target = format!("/v1/agent/check/update/{check_id}");
                 (target, payload::check_update(ready))
             }
             PendingCall::Deregister => {
-                let id = segment(&registrant.id);
+                let id = encode_segment(&registrant.id);
                 let target = format!("/v1/agent/service/deregister/{id}");
                 (target, Vec::new())
             }
@@ -180,11 +180,11 @@
                 if self.stage == Stage::Unregistered {
                     self.stage = Stage::Registered;
                 }
-                self.on_reported(heartbeat_at, ready);
+                self.on_acknowledged(heartbeat_at, ready);
                 Some(RegistrationEvent::Registered)
             }
             (PendingCall::Update { ready }, 200) => {
-                self.on_reported(heartbeat_at, ready);
+                self.on_acknowledged(heartbeat_at, ready);
                 None
             }
             (PendingCall::Update { .. }, _) if is_unknown_check(response) => {
@@ -200,7 +200,7 @@
             }
             (pending, status) => {
                 let summary = response.error_summary();
-                self.fail(now, pending, CallError::Status { status, summary })
+                self.handle_failure(now, pending, CallError::Status { status, summary })
             }
         }
     }
@@ -208,11 +208,11 @@
     /// Takes the failure of the call in flight.
     pub fn on_failure(&mut self, now: Micros, error: TransportError) -> Option<RegistrationEvent> {
         let pending = self.pending.take()?;
-        self.fail(now, pending, error.into())
+        self.handle_failure(now, pending, error.into())
     }
 
     /// The agent has taken a report of the proxy's readiness.
-    fn on_reported(&mut self, heartbeat_at: Micros, ready: bool) {
+    fn on_acknowledged(&mut self, heartbeat_at: Micros, ready: bool) {
         self.backoff.reset();
         self.reported_ready = Some(ready);
         if self.stage != Stage::Deregistering {
@@ -220,7 +220,7 @@
         }
     }
 
-    fn fail(
+    fn handle_failure(
         &mut self,
         now: Micros,
         pending: PendingCall,
--- a/consul/src/schema.rs
+++ b/consul/src/schema.rs
@@ -52,7 +52,7 @@
     }
 
     /// The value where it is useful but optional: a wrong type counts as absent.
-    pub(crate) fn if_readable(&self) -> Option<&T> {
+    pub(crate) fn valid(&self) -> Option<&T> {
         match self {
             Field::Present(value) => Some(value),
             Field::Absent | Field::WrongType(_) => None,
--- a/consul/src/splitter.rs
+++ b/consul/src/splitter.rs
@@ -3,7 +3,7 @@
 use crate::error::ListError;
 
 /// Longest element, in bytes: an instance with its checks takes some KB.
-const MAX_ELEMENT: usize = 1 << 20;
+const MAX_ELEMENT_BYTES: usize = 1 << 20;
 
 /// Splits a JSON list into its elements as its bytes arrive, so that a long response is parsed in small steps and never
 /// held in memory as a whole. It follows strings and nesting only; whether an element is valid JSON is for its parser
@@ -40,7 +40,7 @@
         let mut start = 0;
         for (at, &byte) in bytes.iter().enumerate() {
             if self.position != Position::InElement {
-                self.position = self.advance_between(byte)?;
+                self.position = self.advance_outside_element(byte)?;
                 start = at;
                 continue;
             }
@@ -59,7 +59,7 @@
             return Ok(());
         }
         self.partial.extend_from_slice(&bytes[start..]);
-        if self.partial.len() > MAX_ELEMENT {
+        if self.partial.len() > MAX_ELEMENT_BYTES {
             return Err(ListError::ElementTooLong);
         }
         Ok(())
@@ -87,7 +87,7 @@
     }
 
     /// Takes a byte outside of elements; gives the position behind it.
-    fn advance_between(&mut self, byte: u8) -> Result<Position, ListError> {
+    fn advance_outside_element(&mut self, byte: u8) -> Result<Position, ListError> {
         use Position::{AfterList, BeforeList, FirstElement, InElement, NextElement};
         match (self.position, byte) {
             (position, b' ' | b'\t' | b'\r' | b'\n') => Ok(position),
--- a/consul/src/watch/event.rs
+++ b/consul/src/watch/event.rs
@@ -52,7 +52,7 @@
     /// A health response leaves out so many known caches that the catalog has to confirm it.
     ConfirmationPending {
         /// How many of the known caches it lists.
-        named: usize,
+        listed: usize,
         /// Number of known caches.
         known: usize,
     },
@@ -103,9 +103,9 @@
                 "id '{uid}' is registered at {accepted} and {rejected}: \
                  the latter is skipped (see 'identity')",
             ),
-            Self::ConfirmationPending { named, known } => write!(
+            Self::ConfirmationPending { listed, known } => write!(
                 f,
-                "a response lists {named} of {known} known caches: \
+                "a response lists {listed} of {known} known caches: \
                  the others stay until the catalog confirms it",
             ),
             Self::Confirmed => f.write_str("the catalog confirms the shrunken list"),
--- a/consul/src/watch/mod.rs
+++ b/consul/src/watch/mod.rs
@@ -51,7 +51,7 @@
 #[derive(Clone, Copy, Debug)]
 struct UnconfirmedShrink {
     /// How many of the known caches it lists.
-    named: usize,
+    listed: usize,
     /// How many were known.
     known: usize,
 }
@@ -98,7 +98,7 @@
     /// Ids that the last response had twice.
     duplicates: BTreeSet<String>,
     /// Until then no stale reads, since one was too stale.
-    leader_until: Micros,
+    leader_reads_until: Micros,
     reader: ResponseReader,
     /// The reports of the last response by the hash of their elements' text: most return unchanged in the next one.
     reports_by_hash: HashMap<u64, Arc<Report>>,
@@ -127,7 +127,7 @@
             skipped: BTreeSet::new(),
             mostly_unusable: false,
             duplicates: BTreeSet::new(),
-            leader_until: 0,
+            leader_reads_until: 0,
             reader: ResponseReader::default(),
             reports_by_hash: HashMap::new(),
         }
--- a/consul/src/watch/query.rs
+++ b/consul/src/watch/query.rs
@@ -1,7 +1,7 @@
 //! The next query: its agent, target, consistency and timeout.
 
 use super::{Consistency, ResponseReader, Watch};
-use crate::http::{segment, target, Call};
+use crate::http::{encode_segment, request_target, Call};
 use linnetknot::Micros;
 
 /// A flag of the query string, which has no value.
@@ -79,15 +79,15 @@
         if let (Query::Health, Some(filter)) = (self.query, &options.filter) {
             query.push(("filter", filter));
         }
-        let service = segment(&options.service);
-        target(format!("/v1/{api}/service/{service}"), &query)
+        let service = encode_segment(&options.service);
+        request_target(format!("/v1/{api}/service/{service}"), &query)
     }
 
     /// The consistency of the next call.
     fn consistency(&self, now: Micros) -> Consistency {
         match self.options.consistency {
             _ if self.unconfirmed.is_some() => Consistency::Consistent,
-            Consistency::Stale if now < self.leader_until => Consistency::Default,
+            Consistency::Stale if now < self.leader_reads_until => Consistency::Default,
             consistency => consistency,
         }
     }
--- a/consul/src/watch/reader.rs
+++ b/consul/src/watch/reader.rs
@@ -35,9 +35,9 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct ListContent {
     /// All reports, by the hash of their element's text.
-    pub(super) reports: HashMap<u64, Arc<Report>>,
+    pub(super) reports_by_hash: HashMap<u64, Arc<Report>>,
     /// The report that counts, by id.
-    pub(super) named: BTreeMap<String, Arc<Report>>,
+    pub(super) reports_by_uid: BTreeMap<String, Arc<Report>>,
     /// Ids that are registered twice.
     pub(super) duplicates: BTreeMap<String, DuplicateId>,
     /// Unusable instances, by id.
@@ -56,7 +56,7 @@
     /// The endpoint list as it was last reported.
     pub(super) endpoints: &'a BTreeMap<String, Arc<Report>>,
     /// The reports of the response before, by the hash of their element's text.
-    pub(super) reports_by_hash: &'a HashMap<u64, Arc<Report>>,
+    pub(super) previous_reports: &'a HashMap<u64, Arc<Report>>,
 }
 
 impl ResponseReader {
@@ -104,7 +104,7 @@
         let mut hasher = DefaultHasher::new();
         hasher.write(element);
         let hash = hasher.finish();
-        let report = match context.reports_by_hash.get(&hash) {
+        let report = match context.previous_reports.get(&hash) {
             Some(report) => report.clone(),
             None => match parse_report(element, context.mapping) {
                 Ok(report) => Arc::new(report),
@@ -116,7 +116,7 @@
                 }
             },
         };
-        self.reports.insert(hash, report.clone());
+        self.reports_by_hash.insert(hash, report.clone());
         self.add_report(report, context);
         Ok(())
     }
@@ -125,8 +125,8 @@
     /// the first.
     fn add_report(&mut self, report: Arc<Report>, context: &ReaderContext<'_>) {
         let uid = report.entry.uid.clone();
-        let Some(first) = self.named.get_mut(&uid) else {
-            self.named.insert(uid, report);
+        let Some(first) = self.reports_by_uid.get_mut(&uid) else {
+            self.reports_by_uid.insert(uid, report);
             return;
         };
         let known = context.endpoints.get(&uid);
--- a/consul/src/watch/reconcile.rs
+++ b/consul/src/watch/reconcile.rs
@@ -32,25 +32,29 @@
         update: &mut WatchUpdate,
     ) -> Vec<Report> {
         self.report_faults(&content, update);
-        self.reports_by_hash = std::mem::take(&mut content.reports);
-        let mut named = content.named;
+        self.reports_by_hash = std::mem::take(&mut content.reports_by_hash);
+        let mut reports_by_uid = content.reports_by_uid;
         for (uid, skipped) in &content.skipped {
             // It is still registered, but its present properties are unknown.
-            if let Some(known) = self.endpoints.get(uid).filter(|_| !named.contains_key(uid)) {
+            if let Some(known) = self
+                .endpoints
+                .get(uid)
+                .filter(|_| !reports_by_uid.contains_key(uid))
+            {
                 let reason = Reason::InvalidRegistration(skipped.fault.key.clone());
-                named.insert(uid.clone(), draining(known, reason));
+                reports_by_uid.insert(uid.clone(), draining_report(known, reason));
             }
         }
         self.missing = self
             .endpoints
             .keys()
-            .filter(|uid| !named.contains_key(*uid))
+            .filter(|uid| !reports_by_uid.contains_key(*uid))
             .cloned()
             .collect();
         if !self.await_confirmation(update) {
             for uid in &self.missing {
                 if let Some(report) = self.endpoints.get(uid) {
-                    named.insert(uid.clone(), draining(report, Reason::NoHealth));
+                    reports_by_uid.insert(uid.clone(), draining_report(report, Reason::NoHealth));
                 }
             }
         }
@@ -59,13 +63,13 @@
         } else {
             Query::Catalog
         };
-        self.merge(named)
+        self.merge(reports_by_uid)
     }
 
     /// Puts reports into the endpoint list; gives those that differ from what was there.
-    fn merge(&mut self, named: BTreeMap<String, Arc<Report>>) -> Vec<Report> {
+    fn merge(&mut self, reports_by_uid: BTreeMap<String, Arc<Report>>) -> Vec<Report> {
         let mut changes = Vec::new();
-        for (uid, report) in named {
+        for (uid, report) in reports_by_uid {
             let is_same = self
                 .endpoints
                 .get(&uid)
@@ -82,7 +86,7 @@
     fn report_faults(&mut self, content: &ListContent, update: &mut WatchUpdate) {
         let events = &mut update.events;
         let unusable = content.unusable;
-        let total = unusable + content.named.len() + content.duplicates.len();
+        let total = unusable + content.reports_by_uid.len() + content.duplicates.len();
         let mostly_unusable = 2 * unusable > total;
         if let Some(first) = content.skipped.values().next() {
             if mostly_unusable && !self.mostly_unusable {
@@ -118,24 +122,24 @@
     /// Whether the omissions of a health response have to be confirmed by the catalog, since they are too many.
     fn await_confirmation(&mut self, update: &mut WatchUpdate) -> bool {
         let known = self.endpoints.len();
-        let named = known - self.missing.len();
-        let is_shrunk = known > 0 && (named == 0 || !self.is_enough(named, known));
+        let listed = known - self.missing.len();
+        let is_shrunk = known > 0 && (listed == 0 || !self.meets_min_share(listed, known));
         if !is_shrunk || self.contradictions >= MAX_CONTRADICTIONS {
             self.contradictions = 0;
             update.confirmed = true;
             return false;
         }
         if self.unconfirmed.is_none() && self.contradictions == 0 {
-            let event = WatchEvent::ConfirmationPending { named, known };
+            let event = WatchEvent::ConfirmationPending { listed, known };
             update.events.push(event);
         }
-        self.unconfirmed = Some(UnconfirmedShrink { named, known });
+        self.unconfirmed = Some(UnconfirmedShrink { listed, known });
         self.rotate_agent();
         true
     }
 
     /// Whether `count` of the known caches are enough for a list to be believed.
-    fn is_enough(&self, count: usize, known: usize) -> bool {
+    fn meets_min_share(&self, count: usize, known: usize) -> bool {
         count as f64 >= self.options.min_share * known as f64
     }
 
@@ -148,10 +152,10 @@
     ) -> Vec<Report> {
         self.query = Query::Health;
         let missing = std::mem::take(&mut self.missing);
-        if let Some(UnconfirmedShrink { named, known }) = self.unconfirmed.take() {
+        if let Some(UnconfirmedShrink { listed, known }) = self.unconfirmed.take() {
             let still_registered = missing.iter().filter(|uid| registered.contains(*uid));
-            let count = named + still_registered.count();
-            if count > 0 && self.is_enough(count, known) {
+            let count = listed + still_registered.count();
+            if count > 0 && self.meets_min_share(count, known) {
                 self.on_contradiction(count, update);
                 return Vec::new();
             }
@@ -163,7 +167,7 @@
             .into_iter()
             .filter_map(|uid| {
                 let is_registered = registered.contains(&uid);
-                self.settle_missing(uid, is_registered)
+                self.resolve_missing(uid, is_registered)
             })
             .collect()
     }
@@ -178,7 +182,7 @@
     }
 
     /// Settles a cache that the last health response left out; gives its report if that changes.
-    fn settle_missing(&mut self, uid: String, is_registered: bool) -> Option<Report> {
+    fn resolve_missing(&mut self, uid: String, is_registered: bool) -> Option<Report> {
         let known = self.endpoints.get(&uid)?;
         if !is_registered {
             let mut report = Report::clone(known);
@@ -188,7 +192,7 @@
             return Some(report);
         }
         // Registered without health: its agent is shutting down, or a filter excludes it.
-        let report = draining(known, Reason::NoHealth);
+        let report = draining_report(known, Reason::NoHealth);
         if *known == report {
             return None;
         }
@@ -198,7 +202,7 @@
 }
 
 /// The same cache, draining for this reason.
-fn draining(report: &Report, reason: Reason) -> Arc<Report> {
+fn draining_report(report: &Report, reason: Reason) -> Arc<Report> {
     let mut report = report.clone();
     report.entry.server.state = State::Draining;
     report.reason = reason;
--- a/consul/src/watch/response.rs
+++ b/consul/src/watch/response.rs
@@ -11,11 +11,11 @@
 use linnetknot_discovery::Evidence;
 
 /// Parsing a response takes time from requests: at most so many bytes per microsecond, on average.
-const READ_BYTES_PER_US: u64 = 40;
+const MAX_PARSE_BYTES_PER_US: u64 = 40;
 /// Longest `Retry-After` that is followed.
 const MAX_RETRY_AFTER_US: Micros = 60_000_000;
 /// After a response that was too stale, queries go to the leader for this long.
-const LEADER_READS_US: Micros = 30_000_000;
+const LEADER_READ_PERIOD_US: Micros = 30_000_000;
 /// Doublings of the gap between queries, after which it stands at its maximum.
 const MAX_GAP_DOUBLINGS: u32 = 6;
 const US_PER_S: Micros = 1_000_000;
@@ -33,7 +33,7 @@
 impl Watch {
     /// Takes the failure of the call in flight.
     pub fn on_failure(&mut self, now: Micros, error: TransportError) -> WatchUpdate {
-        self.fail(now, error.into(), 0)
+        self.handle_failure(now, error.into(), 0)
     }
 
     /// Takes a part of the body of a response with status 200. It counts once the response is complete.
@@ -46,7 +46,7 @@
             query: self.query,
             mapping: &self.mapping,
             endpoints: &self.endpoints,
-            reports_by_hash: &self.reports_by_hash,
+            previous_reports: &self.reports_by_hash,
         };
         self.reader.push(bytes, &context);
     }
@@ -60,9 +60,9 @@
             return self.on_error_status(now, response);
         }
         let stale_allowed =
-            self.options.consistency == Consistency::Stale && now >= self.leader_until;
+            self.options.consistency == Consistency::Stale && now >= self.leader_reads_until;
         if !stale_allowed && response.header("x-consul-knownleader") == Some("false") {
-            return self.fail(now, CallError::NoLeader, 0);
+            return self.handle_failure(now, CallError::NoLeader, 0);
         }
         let last_contact_ms = response.header_number("x-consul-lastcontact").unwrap_or(0);
         let staleness_us = last_contact_ms.saturating_mul(US_PER_MS);
@@ -83,7 +83,7 @@
                     content,
                 },
             ),
-            Err(error) => self.fail(now, error.into(), 0),
+            Err(error) => self.handle_failure(now, error.into(), 0),
         }
     }
 
@@ -97,13 +97,13 @@
             0 => 0,
             us => us.min(MAX_RETRY_AFTER_US) + self.backoff.jitter(self.options.min_backoff_us),
         };
-        self.fail(now, CallError::Status { status, summary }, min_delay)
+        self.handle_failure(now, CallError::Status { status, summary }, min_delay)
     }
 
     fn on_permission_denied(&mut self, now: Micros, status: u16, message: String) -> WatchUpdate {
         let agent = self.agent;
         let is_first = self.last_failure.is_none();
-        let mut update = self.fail(now, CallError::PermissionDenied { status }, 0);
+        let mut update = self.handle_failure(now, CallError::PermissionDenied { status }, 0);
         if is_first {
             let event = WatchEvent::PermissionDenied { agent, message };
             update.events.push(event);
@@ -114,7 +114,7 @@
     /// The server is too far behind the leader: the leader is queried instead for a while.
     fn on_stale_response(&mut self, now: Micros, staleness_us: Micros) -> WatchUpdate {
         self.pending_since = None;
-        self.leader_until = now + LEADER_READS_US;
+        self.leader_reads_until = now + LEADER_READ_PERIOD_US;
         self.next_at = now + MIN_QUERY_GAP_US;
         WatchUpdate {
             events: vec![WatchEvent::StaleResponse(staleness_us)],
@@ -123,7 +123,7 @@
     }
 
     /// The call had no usable result. The endpoint list stays; the next response is read as a full list.
-    fn fail(&mut self, now: Micros, error: CallError, min_delay: Micros) -> WatchUpdate {
+    fn handle_failure(&mut self, now: Micros, error: CallError, min_delay: Micros) -> WatchUpdate {
         let mut update = WatchUpdate::default();
         self.pending_since = None;
         self.restart();
@@ -188,7 +188,7 @@
         };
         let doublings = self.unchanged.saturating_sub(1).min(MAX_GAP_DOUBLINGS);
         let gap = (MIN_QUERY_GAP_US << doublings).min(MAX_QUERY_GAP_US);
-        let gap = gap.max(bytes / READ_BYTES_PER_US);
+        let gap = gap.max(bytes / MAX_PARSE_BYTES_PER_US);
         self.next_at = match self.query {
             Query::Catalog => now,
             // The gap counts from when the query was sent: a response that took long may be followed at once.
--- a/consul/tests/watch.rs
+++ b/consul/tests/watch.rs
@@ -116,7 +116,10 @@
     );
     assert!(matches!(
         rig.events[..],
-        [WatchEvent::ConfirmationPending { named: 0, known: 5 }]
+        [WatchEvent::ConfirmationPending {
+            listed: 0,
+            known: 5
+        }]
     ));
     let call = rig.call();
     assert_eq!(
