--- a/consul/src/http/tests.rs
+++ b/consul/src/http/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn requests_are_escaped_and_tokens_stay_out_of_sight() {
+fn request_targets_are_escaped_and_tokens_are_redacted() {
     let query = [
         ("index", "7"),
         ("stale", ""),
@@ -26,13 +26,15 @@
         body: Vec::new(),
         timeout_us: 1,
     };
-    let text = String::from_utf8(call.to_bytes("c:8500", Some(&token))).unwrap();
-    assert!(text.contains("\r\nX-Consul-Token: b1gs33cr3t\r\n") && text.ends_with("\r\n\r\n"));
-    for (bad, why) in [
+    let request = String::from_utf8(call.to_bytes("c:8500", Some(&token))).unwrap();
+    assert!(
+        request.contains("\r\nX-Consul-Token: b1gs33cr3t\r\n") && request.ends_with("\r\n\r\n")
+    );
+    for (text, error) in [
         (" \n", TokenError::Empty),
         ("a\r\nX-Other: b", TokenError::Malformed),
         (&"x".repeat(600), TokenError::TooLong),
     ] {
-        assert_eq!(Token::parse(bad), Err(why));
+        assert_eq!(Token::parse(text), Err(error));
     }
 }
