--- a/consul/tests/backoff.rs
+++ b/consul/tests/backoff.rs
@@ -3,29 +3,32 @@
 use linnetknot_consul::Backoff;
 
 #[test]
-fn waits_double_up_to_their_most_and_differ_from_proxy_to_proxy() {
-    let waits = |seed| {
-        let mut b = Backoff::new(100, 5_000, seed);
-        (0..12).map(|_| b.next_delay()).collect::<Vec<_>>()
+fn delays_double_up_to_the_maximum_with_different_jitter_per_proxy() {
+    let delays = |seed| {
+        let mut backoff = Backoff::new(100, 5_000, seed);
+        (0..12).map(|_| backoff.next_delay()).collect::<Vec<_>>()
     };
     for seed in 0..20 {
-        for (n, wait) in waits(seed).into_iter().enumerate() {
-            let middle = (100u64 << n).min(5_000);
-            assert!((middle / 2..=middle * 3 / 2).contains(&wait), "{n}: {wait}");
+        for (n, delay) in delays(seed).into_iter().enumerate() {
+            let base_delay = (100u64 << n).min(5_000);
+            assert!(
+                (base_delay / 2..=base_delay * 3 / 2).contains(&delay),
+                "{n}: {delay}"
+            );
         }
     }
     // A hundred that failed at one moment come back spread over the whole time.
-    let mut last: Vec<u64> = (0..100).map(|seed| waits(seed)[11]).collect();
-    last.sort_unstable();
-    let gap = last.windows(2).map(|w| w[1] - w[0]).max();
+    let mut last_delays: Vec<u64> = (0..100).map(|seed| delays(seed)[11]).collect();
+    last_delays.sort_unstable();
+    let max_gap = last_delays.windows(2).map(|w| w[1] - w[0]).max();
     assert!(
-        last[0] < 3_000 && last[99] > 7_000 && gap < Some(600),
-        "{last:?}"
+        last_delays[0] < 3_000 && last_delays[99] > 7_000 && max_gap < Some(600),
+        "{last_delays:?}"
     );
-    let mut b = Backoff::new(100, 5_000, 1);
+    let mut backoff = Backoff::new(100, 5_000, 1);
     (0..9).for_each(|_| {
-        b.next_delay();
+        backoff.next_delay();
     });
-    b.reset();
-    assert!(b.failures() == 0 && b.next_delay() <= 150);
+    backoff.reset();
+    assert!(backoff.failures() == 0 && backoff.next_delay() <= 150);
 }
--- a/consul/tests/common/mod.rs
+++ b/consul/tests/common/mod.rs
@@ -7,10 +7,10 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-pub(crate) const MS: Micros = 1000;
+pub(crate) const MILLISECOND_US: Micros = 1000;
 
 pub(crate) fn mapping() -> Mapping {
-    let names = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect();
+    let names = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect();
     let zones = names(&["hub", "here"]);
     Mapping {
         zone: "here".into(),
@@ -39,30 +39,31 @@
     })
 }
 
-pub(crate) fn ready(ids: &[&str]) -> Vec<Value> {
-    let one = |(n, id): (usize, &&str)| instance(id, 7000 + n as u16, &[("serfHealth", "passing")]);
+pub(crate) fn ready_instances(ids: &[&str]) -> Vec<Value> {
+    let one =
+        |(name, id): (usize, &&str)| instance(id, 7000 + name as u16, &[("serfHealth", "passing")]);
     ids.iter().enumerate().map(one).collect()
 }
 
-pub(crate) fn catalogue(ids: &[&str]) -> Vec<Value> {
+pub(crate) fn catalog(ids: &[&str]) -> Vec<Value> {
     ids.iter()
         .map(|id| json!({"Node": "n1", "ServiceID": id, "ServiceName": "pop-cache"}))
         .collect()
 }
 
 /// A watch, a clock, and the list as its evidence makes it.
-pub(crate) struct Rig {
+pub(crate) struct WatchFixture {
     pub(crate) watch: Watch,
     pub(crate) now: Micros,
     pub(crate) list: BTreeMap<String, Report>,
     pub(crate) events: Vec<WatchEvent>,
 }
 
-impl Rig {
-    pub(crate) fn new(change: impl Fn(&mut Options)) -> Rig {
+impl WatchFixture {
+    pub(crate) fn new(change: impl Fn(&mut Options)) -> WatchFixture {
         let mut options = Options::default();
         change(&mut options);
-        Rig {
+        WatchFixture {
             watch: Watch::new(options, mapping(), 7),
             now: 1_000_000,
             list: BTreeMap::new(),
@@ -71,7 +72,7 @@
     }
 
     /// Waits until the next call is due, and gives it.
-    pub(crate) fn call(&mut self) -> Call {
+    pub(crate) fn next_call(&mut self) -> Call {
         self.now = self.now.max(self.watch.due().expect("no call is out"));
         self.watch.poll(self.now).expect("it is due")
     }
@@ -87,17 +88,18 @@
         if is_full {
             self.list.clear();
         }
-        for r in reports {
-            self.list.insert(r.entry.uid.clone(), r);
+        for report in reports {
+            self.list.insert(report.entry.uid.clone(), report);
         }
-        self.list.retain(|_, r| r.entry.server.state != State::Gone);
+        self.list
+            .retain(|_, report| report.entry.server.state != State::Gone);
         changed
     }
 
-    pub(crate) fn answer(&mut self, status: u16, headers: &[(&str, &str)], body: &[u8]) -> bool {
+    pub(crate) fn respond(&mut self, status: u16, headers: &[(&str, &str)], body: &[u8]) -> bool {
         let headers: Vec<_> = headers
             .iter()
-            .map(|(n, v)| ((*n).to_owned(), (*v).to_owned()))
+            .map(|(name, value)| ((*name).to_owned(), (*value).to_owned()))
             .collect();
         let update = self.watch.on_response(
             self.now,
@@ -111,9 +113,9 @@
     }
 
     /// Asks, and answers with a list under this index. Gives the target that was asked for.
-    pub(crate) fn round(&mut self, index: u64, list: &[Value]) -> String {
-        let call = self.call();
-        self.answer(
+    pub(crate) fn exchange(&mut self, index: u64, list: &[Value]) -> String {
+        let call = self.next_call();
+        self.respond(
             200,
             &[("x-consul-index", &index.to_string())],
             Value::from(list).to_string().as_bytes(),
@@ -124,7 +126,7 @@
     pub(crate) fn states(&self) -> Vec<(&str, State)> {
         self.list
             .iter()
-            .map(|(uid, r)| (uid.as_str(), r.entry.server.state))
+            .map(|(uid, report)| (uid.as_str(), report.entry.server.state))
             .collect()
     }
 
@@ -133,5 +135,5 @@
     }
 }
 
-pub(crate) const HEALTH: &str = "/v1/health/service/pop-cache";
-pub(crate) const CATALOGUE: &str = "/v1/catalog/service/pop-cache";
+pub(crate) const HEALTH_PATH: &str = "/v1/health/service/pop-cache";
+pub(crate) const CATALOG_PATH: &str = "/v1/catalog/service/pop-cache";
--- a/consul/tests/mapping.rs
+++ b/consul/tests/mapping.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{instance, mapping, ready, Rig};
+use common::{instance, mapping, ready_instances, WatchFixture};
 use linnetknot::State;
 use linnetknot_consul::{Identity, Mapping, Options, Watch, WatchEvent};
 use linnetknot_discovery::Reason;
@@ -11,10 +11,10 @@
 use serde_json::{json, Value};
 
 #[test]
-fn checks_maintenance_and_nodes_tell_who_drains_and_why() {
-    let mut rig = Rig::new(|_| {});
+fn health_checks_and_maintenance_modes_determine_state_and_reason() {
+    let mut fixture = WatchFixture::new(|_| {});
     let with = |id: &str, checks: &[(&str, &str)]| instance(id, 7000, checks);
-    rig.round(
+    fixture.exchange(
         5,
         &[
             with("ok", &[("serfHealth", "passing"), ("c1", "passing")]),
@@ -46,25 +46,25 @@
             with("bare", &[]),
         ],
     );
-    let drains: Vec<_> = rig
+    let draining: Vec<_> = fixture
         .states()
         .into_iter()
         .filter(|s| s.1 == State::Draining)
         .map(|s| s.0)
         .collect();
-    assert_eq!(drains, ["fails", "lost", "node", "odd", "service"]);
-    assert_eq!(rig.reason("fails"), &Reason::Check("c2".into()));
+    assert_eq!(draining, ["fails", "lost", "node", "odd", "service"]);
+    assert_eq!(fixture.reason("fails"), &Reason::Check("c2".into()));
     assert_eq!(
-        rig.reason("service"),
+        fixture.reason("service"),
         &Reason::ServiceMaintenance("by hand".into())
     );
     assert_eq!(
-        rig.reason("node"),
+        fixture.reason("node"),
         &Reason::NodeMaintenance("by hand".into())
     );
-    assert_eq!(rig.reason("lost"), &Reason::NodeFailed);
-    assert_eq!(rig.reason("odd"), &Reason::Check("c1".into()));
-    let weight = |uid: &str| rig.list[uid].entry.server.weight;
+    assert_eq!(fixture.reason("lost"), &Reason::NodeFailed);
+    assert_eq!(fixture.reason("odd"), &Reason::Check("c1".into()));
+    let weight = |uid: &str| fixture.list[uid].entry.server.weight;
     assert_eq!(
         (weight("ok"), weight("warns")),
         (8.0, 2.0),
@@ -73,44 +73,51 @@
 }
 
 #[test]
-fn a_catalogue_made_by_others_is_read_by_its_own_keys_and_defaults() {
-    let mut theirs = instance("x", 7000, &[]);
-    theirs["Service"]["Meta"] =
+fn configured_keys_defaults_and_tagged_addresses_are_used() {
+    let mut foreign = instance("x", 7000, &[]);
+    foreign["Service"]["Meta"] =
         json!({"rack": "hub", "role": "origin", "slots": "40", "version": "3.1"});
-    let mut bare = instance("y", 7001, &[("c", "warning")]);
-    bare["Service"]["Meta"] = Value::Null;
-    bare["Service"]["Weights"] = json!({"Passing": 4, "Warning": 0});
-    let mut m = mapping();
-    (m.keys.zone, m.keys.kind, m.keys.capacity) = ("rack".into(), "role".into(), "slots".into());
-    let mut rig = Rig {
-        watch: Watch::new(Options::default(), m, 7),
-        ..Rig::new(|_| {})
+    let mut without_meta = instance("y", 7001, &[("c", "warning")]);
+    without_meta["Service"]["Meta"] = Value::Null;
+    without_meta["Service"]["Weights"] = json!({"Passing": 4, "Warning": 0});
+    let mut mapping_config = mapping();
+    (
+        mapping_config.keys.zone,
+        mapping_config.keys.kind,
+        mapping_config.keys.capacity,
+    ) = ("rack".into(), "role".into(), "slots".into());
+    let mut fixture = WatchFixture {
+        watch: Watch::new(Options::default(), mapping_config, 7),
+        ..WatchFixture::new(|_| {})
     };
-    rig.round(5, &[theirs.clone(), bare.clone()]);
-    let server = |rig: &Rig, uid: &str| rig.list[uid].entry.server.clone();
-    let x = server(&rig, "x");
+    fixture.exchange(5, &[foreign.clone(), without_meta.clone()]);
+    let server = |fixture: &WatchFixture, uid: &str| fixture.list[uid].entry.server.clone();
+    let x = server(&fixture, "x");
     assert_eq!(
         (x.zone.as_str(), x.kind.as_str(), x.weight),
         ("hub", "origin", 40.0)
     );
-    let y = server(&rig, "y");
+    let y = server(&fixture, "y");
     assert_eq!(
         (y.zone.as_str(), y.kind.as_str(), y.state),
         ("here", "box", State::Draining),
         "weighed with nothing"
     );
     // By the default keys nothing of theirs says anything: all boxes are ones of this place.
-    let mut rig = Rig::new(|_| {});
-    rig.round(5, &[theirs.clone()]);
+    let mut fixture = WatchFixture::new(|_| {});
+    fixture.exchange(5, &[foreign.clone()]);
     assert_eq!(
-        (server(&rig, "x").zone.as_str(), server(&rig, "x").weight),
+        (
+            server(&fixture, "x").zone.as_str(),
+            server(&fixture, "x").weight
+        ),
         ("here", 8.0)
     );
     // Addresses: the service's own, the node's, or a tagged one.
-    let endpoint = |tag: Option<&str>, one: &Value| {
+    let endpoint = |tag: Option<&str>, instance_json: &Value| {
         let tagged_address = tag.map(str::to_owned);
-        let mut rig = Rig::new(|_| {});
-        rig.watch = Watch::new(
+        let mut fixture = WatchFixture::new(|_| {});
+        fixture.watch = Watch::new(
             Options::default(),
             Mapping {
                 tagged_address,
@@ -118,37 +125,41 @@
             },
             7,
         );
-        rig.round(5, std::slice::from_ref(one));
-        rig.list["x"].entry.endpoint.to_string()
+        fixture.exchange(5, std::slice::from_ref(instance_json));
+        fixture.list["x"].entry.endpoint.to_string()
     };
-    assert_eq!(endpoint(None, &theirs), "10.1.10.12:7000");
-    assert_eq!(endpoint(Some("wan"), &theirs), "192.0.2.77:9000");
+    assert_eq!(endpoint(None, &foreign), "10.1.10.12:7000");
+    assert_eq!(endpoint(Some("wan"), &foreign), "192.0.2.77:9000");
     assert_eq!(
-        endpoint(Some("lan"), &theirs),
+        endpoint(Some("lan"), &foreign),
         "10.1.10.12:7000",
         "the node's where the service has none"
     );
-    theirs["Service"]["Address"] = "2001:db8::1".into();
-    assert_eq!(endpoint(Some("lan_ipv6"), &theirs), "[2001:db8::1]:7000");
+    foreign["Service"]["Address"] = "2001:db8::1".into();
+    assert_eq!(endpoint(Some("lan_ipv6"), &foreign), "[2001:db8::1]:7000");
 }
 
 /// An instance with one value that can't be used.
 fn malformed(change: impl Fn(&mut Value)) -> Value {
-    let mut one = instance("bad", 7009, &[]);
-    change(&mut one);
-    one
+    let mut instance_json = instance("bad", 7009, &[]);
+    change(&mut instance_json);
+    instance_json
 }
 
 /// The key at fault, and an instance that has it.
-fn malformed_instances() -> Vec<(&'static str, Value)> {
+fn malformed_instances_by_key() -> Vec<(&'static str, Value)> {
     let meta = |key: &'static str, value: &'static str| {
-        malformed(move |i| i["Service"]["Meta"][key] = value.into())
+        malformed(move |instance_json| instance_json["Service"]["Meta"][key] = value.into())
+    };
+    let port = |value: Value| {
+        malformed(move |instance_json| instance_json["Service"]["Port"] = value.clone())
     };
-    let port = |value: Value| malformed(move |i| i["Service"]["Port"] = value.clone());
     let address = |part: &'static str, text: &'static str| {
-        malformed(move |i| i[part]["Address"] = text.into())
+        malformed(move |instance_json| instance_json[part]["Address"] = text.into())
+    };
+    let id = |value: Value| {
+        malformed(move |instance_json| instance_json["Service"]["ID"] = value.clone())
     };
-    let id = |value: Value| malformed(move |i| i["Service"]["ID"] = value.clone());
     let check = json!([{"CheckID": "c", "Status": 1}]);
     vec![
         ("Node.Address", address("Node", "cache-9.example")),
@@ -161,36 +172,38 @@
         ("Service.Meta.capacity_hint", meta("capacity_hint", "-1")),
         (
             "Service.Meta",
-            malformed(|i| i["Service"]["Meta"] = 3.into()),
+            malformed(|instance_json| instance_json["Service"]["Meta"] = 3.into()),
         ),
         (
             "Checks[0].Status",
-            malformed(move |i| i["Checks"] = check.clone()),
+            malformed(move |instance_json| instance_json["Checks"] = check.clone()),
         ),
         ("Service.ID", id("a,b=c".into())),
         ("Service.ID", id(Value::Null)),
         (
             "Service",
-            malformed(|i| drop(i.as_object_mut().unwrap().remove("Service"))),
+            malformed(|instance_json| {
+                drop(instance_json.as_object_mut().unwrap().remove("Service"))
+            }),
         ),
         (".", json!(17)),
     ]
 }
 
 #[test]
-fn one_bad_instance_costs_itself_only_and_is_named_with_its_key_once() {
-    for (key, one) in malformed_instances() {
-        let mut rig = Rig::new(|_| {});
-        let mut list = ready(&["a", "b"]);
-        list.insert(1, one);
-        rig.round(5, &list);
+fn an_invalid_instance_is_skipped_and_reported_once_with_its_key() {
+    for (key, instance_json) in malformed_instances_by_key() {
+        let mut fixture = WatchFixture::new(|_| {});
+        let mut list = ready_instances(&["a", "b"]);
+        list.insert(1, instance_json);
+        fixture.exchange(5, &list);
         assert_eq!(
-            rig.states(),
+            fixture.states(),
             [("a", State::Ready), ("b", State::Ready)],
             "{key}"
         );
-        let [WatchEvent::InstanceSkipped(s)] = &rig.events[..] else {
-            panic!("{key}: {:?}", rig.events)
+        let [WatchEvent::InstanceSkipped(s)] = &fixture.events[..] else {
+            panic!("{key}: {:?}", fixture.events)
         };
         assert!(
             s.fault.key == key || key == "Service" && s.fault.error.to_string().contains("Service"),
@@ -198,23 +211,26 @@
         );
         // Another one goes critical meanwhile: that counts, and nothing is said twice.
         list[0]["Checks"] = json!([{"CheckID": "c", "Status": "critical"}]);
-        rig.round(6, &list);
+        fixture.exchange(6, &list);
         assert_eq!(
-            rig.states(),
+            fixture.states(),
             [("a", State::Draining), ("b", State::Ready)],
             "{key}"
         );
-        assert_eq!(rig.events.len(), 1, "{key}: {:?}", rig.events);
+        assert_eq!(fixture.events.len(), 1, "{key}: {:?}", fixture.events);
     }
     // One that ran and can't be used any more gets no fresh work.
-    let mut rig = Rig::new(|_| {});
-    rig.round(5, &ready(&["a", "b"]));
-    let mut list = ready(&["a", "b"]);
+    let mut fixture = WatchFixture::new(|_| {});
+    fixture.exchange(5, &ready_instances(&["a", "b"]));
+    let mut list = ready_instances(&["a", "b"]);
     list[1]["Service"]["Port"] = 0.into();
-    rig.round(6, &list);
-    assert_eq!(rig.states(), [("a", State::Ready), ("b", State::Draining)]);
+    fixture.exchange(6, &list);
+    assert_eq!(
+        fixture.states(),
+        [("a", State::Ready), ("b", State::Draining)]
+    );
     assert_eq!(
-        rig.reason("b"),
+        fixture.reason("b"),
         &Reason::InvalidRegistration("Service.Port".into())
     );
 }
@@ -223,118 +239,128 @@
 
 /// The forms of the API's public pages, and whatever else may stand where the mapping looks for nothing: addresses,
 /// weights and metadata.
-fn foreign_addresses_and_metadata() -> Vec<(&'static str, Change)> {
+fn changes_of_unused_addresses_and_metadata() -> Vec<(&'static str, Change)> {
     vec![
         (
             "tagged addresses in small letters",
-            Box::new(|i| {
-                i["Service"]["TaggedAddresses"] = json!({"lan": {"address": "10.1.10.12", "port": 8000},
+            Box::new(|instance_json| {
+                instance_json["Service"]["TaggedAddresses"] = json!({"lan": {"address": "10.1.10.12", "port": 8000},
                     "wan": {"address": "198.18.1.2", "port": 80}});
             }),
         ),
         (
             "no tagged addresses",
-            Box::new(|i| i["Service"]["TaggedAddresses"] = Value::Null),
+            Box::new(|instance_json| instance_json["Service"]["TaggedAddresses"] = Value::Null),
         ),
         (
             "tagged by text",
-            Box::new(|i| i["Service"]["TaggedAddresses"] = json!("10.1.10.12")),
+            Box::new(|instance_json| {
+                instance_json["Service"]["TaggedAddresses"] = json!("10.1.10.12")
+            }),
         ),
         (
             "the node's, as a list",
-            Box::new(|i| i["Node"]["TaggedAddresses"] = json!(["10.1.10.12"])),
+            Box::new(|instance_json| {
+                instance_json["Node"]["TaggedAddresses"] = json!(["10.1.10.12"])
+            }),
         ),
         (
             "weights as text",
-            Box::new(|i| i["Service"]["Weights"] = json!({"Passing": "8", "Warning": "1"})),
+            Box::new(|instance_json| {
+                instance_json["Service"]["Weights"] = json!({"Passing": "8", "Warning": "1"})
+            }),
         ),
         (
             "no weights",
-            Box::new(|i| i["Service"]["Weights"] = json!(false)),
+            Box::new(|instance_json| instance_json["Service"]["Weights"] = json!(false)),
         ),
         (
             "foreign metadata",
-            Box::new(|i| i["Service"]["Meta"]["rack"] = json!({"row": 7})),
+            Box::new(|instance_json| instance_json["Service"]["Meta"]["rack"] = json!({"row": 7})),
         ),
         (
             "the node's metadata",
-            Box::new(|i| i["Node"]["Meta"] = json!([1, 2])),
+            Box::new(|instance_json| instance_json["Node"]["Meta"] = json!([1, 2])),
         ),
     ]
 }
 
 /// The same of checks, nodes and other parts.
-fn foreign_checks_and_parts() -> Vec<(&'static str, Change)> {
+fn changes_of_unused_checks_and_parts() -> Vec<(&'static str, Change)> {
     vec![
         (
             "a check's notes",
-            Box::new(|i| i["Checks"][0]["Notes"] = json!({"en": "fine"})),
+            Box::new(|instance_json| instance_json["Checks"][0]["Notes"] = json!({"en": "fine"})),
         ),
         (
             "a check's id",
-            Box::new(|i| i["Checks"][0]["CheckID"] = json!(17)),
+            Box::new(|instance_json| instance_json["Checks"][0]["CheckID"] = json!(17)),
         ),
         (
             "a check's definition",
-            Box::new(|i| i["Checks"][0]["Definition"] = json!({"Interval": "10s"})),
+            Box::new(|instance_json| {
+                instance_json["Checks"][0]["Definition"] = json!({"Interval": "10s"})
+            }),
         ),
         (
             "a node's name, where the service names the box",
-            Box::new(|i| i["Node"]["Node"] = json!(4)),
+            Box::new(|instance_json| instance_json["Node"]["Node"] = json!(4)),
         ),
         (
             "a proxy's part",
-            Box::new(|i| i["Service"]["Proxy"] = json!({"MeshGateway": {}, "Expose": {}})),
+            Box::new(|instance_json| {
+                instance_json["Service"]["Proxy"] = json!({"MeshGateway": {}, "Expose": {}})
+            }),
         ),
         (
             "a socket",
-            Box::new(|i| i["Service"]["SocketPath"] = json!("")),
+            Box::new(|instance_json| instance_json["Service"]["SocketPath"] = json!("")),
         ),
         ("a node without an address, where the service has one", {
-            Box::new(|i| {
-                i["Service"]["Address"] = "10.1.10.13".into();
-                i["Node"] = json!("n1");
+            Box::new(|instance_json| {
+                instance_json["Service"]["Address"] = "10.1.10.13".into();
+                instance_json["Node"] = json!("n1");
             })
         }),
     ]
 }
 
 #[test]
-fn what_the_mapping_does_not_need_hides_no_box_in_whatever_form_it_is() {
-    let cases = foreign_addresses_and_metadata()
+fn malformed_values_of_unused_keys_are_ignored() {
+    let cases = changes_of_unused_addresses_and_metadata()
         .into_iter()
-        .chain(foreign_checks_and_parts());
+        .chain(changes_of_unused_checks_and_parts());
     for (name, change) in cases {
-        let mut rig = Rig::new(|_| {});
-        let mut one = instance("a", 7000, &[("c", "passing")]);
-        change(&mut one);
-        rig.round(5, &[one]);
+        let mut fixture = WatchFixture::new(|_| {});
+        let mut instance_json = instance("a", 7000, &[("c", "passing")]);
+        change(&mut instance_json);
+        fixture.exchange(5, &[instance_json]);
         assert_eq!(
-            rig.states(),
+            fixture.states(),
             [("a", State::Ready)],
             "{name}: {:?}",
-            rig.events
+            fixture.events
         );
-        assert!(rig.events.is_empty(), "{name}: {:?}", rig.events);
+        assert!(fixture.events.is_empty(), "{name}: {:?}", fixture.events);
     }
 }
 
 /// Where a tagged address is configured, both spellings are read, and what is wrong there is told by its path.
 #[test]
-fn a_tagged_address_is_read_in_both_spellings_and_its_fault_is_named_by_its_path() {
+fn tagged_addresses_are_read_in_both_spellings_and_errors_state_their_path() {
     let endpoint = |tagged: Value| {
-        let mut rig = Rig::new(|_| {});
-        let m = Mapping {
+        let mut fixture = WatchFixture::new(|_| {});
+        let mapping_config = Mapping {
             tagged_address: Some("wan".into()),
             ..mapping()
         };
-        rig.watch = Watch::new(Options::default(), m, 7);
-        let mut one = instance("a", 7000, &[]);
-        one["Service"]["TaggedAddresses"] = tagged;
-        rig.round(5, &[one]);
-        match &rig.events[..] {
+        fixture.watch = Watch::new(Options::default(), mapping_config, 7);
+        let mut instance_json = instance("a", 7000, &[]);
+        instance_json["Service"]["TaggedAddresses"] = tagged;
+        fixture.exchange(5, &[instance_json]);
+        match &fixture.events[..] {
             [.., WatchEvent::InstanceSkipped(s)] => s.fault.key.clone(),
-            _ => rig.list["a"].entry.endpoint.to_string(),
+            _ => fixture.list["a"].entry.endpoint.to_string(),
         }
     };
     assert_eq!(
@@ -361,32 +387,33 @@
 }
 
 #[test]
-fn more_than_half_that_can_not_be_used_is_said_once_and_loudly() {
-    let mut rig = Rig::new(|_| {});
-    let mut list = ready(&["a", "b", "c"]);
+fn a_mostly_unusable_response_is_reported_once() {
+    let mut fixture = WatchFixture::new(|_| {});
+    let mut list = ready_instances(&["a", "b", "c"]);
     list[0]["Service"]["Port"] = 0.into();
-    rig.round(5, &list);
-    let loud = |rig: &Rig| {
-        rig.events
+    fixture.exchange(5, &list);
+    let mostly_unusable_count = |fixture: &WatchFixture| {
+        fixture
+            .events
             .iter()
             .filter(|n| matches!(n, WatchEvent::MostlyUnusable { .. }))
             .count()
     };
-    assert_eq!(loud(&rig), 0, "one of three");
+    assert_eq!(mostly_unusable_count(&fixture), 0, "one of three");
     (1..3).for_each(|n| list[n]["Service"]["Port"] = json!("none"));
     for index in 6..9 {
-        rig.round(index, &list);
-        assert_eq!(loud(&rig), 1);
+        fixture.exchange(index, &list);
+        assert_eq!(mostly_unusable_count(&fixture), 1);
     }
-    rig.round(9, &ready(&["a", "b", "c"]));
-    rig.round(10, &list);
-    assert_eq!(loud(&rig), 2, "it was well between");
+    fixture.exchange(9, &ready_instances(&["a", "b", "c"]));
+    fixture.exchange(10, &list);
+    assert_eq!(mostly_unusable_count(&fixture), 2, "it was well between");
     // Without an id they can't be told apart, and count each all the same.
-    let mut rig = Rig::new(|_| {});
+    let mut fixture = WatchFixture::new(|_| {});
     list.iter_mut()
-        .for_each(|i| i["Service"]["ID"] = Value::Null);
-    rig.round(5, &list);
-    let note = rig.events.iter().find(|n| {
+        .for_each(|instance_json| instance_json["Service"]["ID"] = Value::Null);
+    fixture.exchange(5, &list);
+    let event = fixture.events.iter().find(|n| {
         matches!(
             n,
             WatchEvent::MostlyUnusable {
@@ -397,35 +424,36 @@
         )
     });
     assert!(
-        note.is_some_and(|n| n.to_string().contains("Service.ID")),
+        event.is_some_and(|n| n.to_string().contains("Service.ID")),
         "{:?}",
-        rig.events
+        fixture.events
     );
 }
 
 #[test]
-fn one_id_at_two_nodes_stays_with_the_one_that_had_it() {
-    let mut rig = Rig::new(|_| {});
-    let two = |first: u16, second: u16| [instance("a", first, &[]), instance("a", second, &[])];
-    rig.round(5, &two(1, 2));
-    rig.round(6, &two(2, 1));
-    assert_eq!(rig.list["a"].entry.endpoint.port(), 1);
+fn a_duplicate_id_stays_with_the_known_address() {
+    let mut fixture = WatchFixture::new(|_| {});
+    let duplicate_instances =
+        |first: u16, second: u16| [instance("a", first, &[]), instance("a", second, &[])];
+    fixture.exchange(5, &duplicate_instances(1, 2));
+    fixture.exchange(6, &duplicate_instances(2, 1));
+    assert_eq!(fixture.list["a"].entry.endpoint.port(), 1);
     assert!(
-        matches!(&rig.events[..], [WatchEvent::DuplicateId { .. }]),
+        matches!(&fixture.events[..], [WatchEvent::DuplicateId { .. }]),
         "reported once: {:?}",
-        rig.events
+        fixture.events
     );
-    let mut m = mapping();
-    m.identity = Identity::NodeAndService;
-    let mut rig = Rig {
-        watch: Watch::new(Options::default(), m, 7),
-        ..Rig::new(|_| {})
+    let mut mapping_config = mapping();
+    mapping_config.identity = Identity::NodeAndService;
+    let mut fixture = WatchFixture {
+        watch: Watch::new(Options::default(), mapping_config, 7),
+        ..WatchFixture::new(|_| {})
     };
-    let mut list = two(1, 2);
+    let mut list = duplicate_instances(1, 2);
     list[1]["Node"]["Node"] = "n2".into();
-    rig.round(5, &list);
+    fixture.exchange(5, &list);
     assert_eq!(
-        rig.states().iter().map(|s| s.0).collect::<Vec<_>>(),
+        fixture.states().iter().map(|s| s.0).collect::<Vec<_>>(),
         ["n1/a", "n2/a"]
     );
 }
@@ -448,13 +476,13 @@
         prop_oneof![
             proptest::collection::vec(inner.clone(), 0..4).prop_map(Value::from),
             proptest::collection::btree_map(key, inner, 0..4)
-                .prop_map(|m| Value::Object(m.into_iter().collect())),
+                .prop_map(|mapping_config| Value::Object(mapping_config.into_iter().collect())),
         ]
     })
 }
 
 /// Places that the default mapping does not need, of an instance whose service has its own address.
-const NOT_NEEDED: [&[&str]; 14] = [
+const UNUSED_PATHS: [&[&str]; 14] = [
     &["Node"],
     &["Node", "Node"],
     &["Node", "Address"],
@@ -478,25 +506,25 @@
 
     /// Whatever stands where nothing is needed, the box stays, and its state is its checks'.
     #[test]
-    fn any_json_where_nothing_is_needed_leaves_the_box(
-        position in 0..NOT_NEEDED.len(),
-        put in any_json(),
+    fn any_json_under_an_unused_key_is_ignored(
+        position in 0..UNUSED_PATHS.len(),
+        value in any_json(),
         fails in any::<bool>(),
     ) {
-        let mut one = instance("a", 7000, &[("c", if fails { "critical" } else { "passing" })]);
-        one["Service"]["Address"] = "10.1.10.13".into();
-        let mut at = &mut one;
-        for key in NOT_NEEDED[position] {
-            at = match key.parse::<usize>() {
-                Ok(n) => &mut at[n],
-                Err(_) => &mut at[*key],
+        let mut instance_json = instance("a", 7000, &[("c", if fails { "critical" } else { "passing" })]);
+        instance_json["Service"]["Address"] = "10.1.10.13".into();
+        let mut target = &mut instance_json;
+        for key in UNUSED_PATHS[position] {
+            target = match key.parse::<usize>() {
+                Ok(n) => &mut target[n],
+                Err(_) => &mut target[*key],
             };
         }
-        *at = put;
-        let mut rig = Rig::new(|_| {});
-        rig.round(5, &[one]);
+        *target = value;
+        let mut fixture = WatchFixture::new(|_| {});
+        fixture.exchange(5, &[instance_json]);
         let state = if fails { State::Draining } else { State::Ready };
-        prop_assert_eq!(rig.states(), [("a", state)], "{:?}", rig.events);
-        prop_assert_eq!(rig.list["a"].entry.endpoint.to_string(), "10.1.10.13:7000");
+        prop_assert_eq!(fixture.states(), [("a", state)], "{:?}", fixture.events);
+        prop_assert_eq!(fixture.list["a"].entry.endpoint.to_string(), "10.1.10.13:7000");
     }
 }
--- a/consul/tests/registration.rs
+++ b/consul/tests/registration.rs
@@ -34,25 +34,25 @@
 }
 
 #[test]
-fn the_proxys_own_registration_follows_its_state_and_an_agent_that_forgot() {
-    let mut r = Registration::new(registrant(), 3);
-    let now = register_at_second_agent(&mut r);
-    let now = report_readiness_through_failures(&mut r, now);
-    let now = register_again_where_forgotten(&mut r, now);
-    deregister_or_give_up(r, now);
+fn the_registration_follows_readiness_failures_and_shutdown() {
+    let mut registration = Registration::new(registrant(), 3);
+    let now = register_at_second_agent(&mut registration);
+    let now = report_readiness_during_failures(&mut registration, now);
+    let now = register_again_after_loss(&mut registration, now);
+    deregister_at_shutdown(registration, now);
 }
 
 /// Registers; gives the time of it.
-fn register_at_second_agent(r: &mut Registration) -> Micros {
+fn register_at_second_agent(registration: &mut Registration) -> Micros {
     let mut now = 1_000_000;
     // Nobody answers at the first agent: the next one is asked.
-    assert_eq!(r.poll(now, false).unwrap().agent, 0);
+    assert_eq!(registration.poll(now, false).unwrap().agent, 0);
     assert!(matches!(
-        r.on_failure(now, TransportError::Unreachable),
+        registration.on_failure(now, TransportError::Unreachable),
         Some(RegistrationEvent::Failed(_))
     ));
-    now = r.due(now, false).unwrap();
-    let call = r.poll(now, false).unwrap();
+    now = registration.due(now, false).unwrap();
+    let call = registration.poll(now, false).unwrap();
     assert_eq!(
         (call.method, call.target.as_str(), call.agent),
         ("PUT", "/v1/agent/service/register", 1)
@@ -68,57 +68,61 @@
         "Status": "critical", "DeregisterCriticalServiceAfter": "60000ms"})
     );
     assert_eq!(
-        r.on_response(now, &response(200, "")),
+        registration.on_response(now, &response(200, "")),
         Some(RegistrationEvent::Registered)
     );
     now
 }
 
 /// Keeps the check up to date; gives the time of the last failure.
-fn report_readiness_through_failures(r: &mut Registration, mut now: Micros) -> Micros {
+fn report_readiness_during_failures(registration: &mut Registration, mut now: Micros) -> Micros {
     // It is kept within its TTL, and a change is told at once.
-    assert!((now + 1..now + 4_500_000).contains(&r.due(now, false).unwrap()));
-    assert_eq!(r.due(now, true), Some(now));
-    let call = r.poll(now, true).unwrap();
+    assert!((now + 1..now + 4_500_000).contains(&registration.due(now, false).unwrap()));
+    assert_eq!(registration.due(now, true), Some(now));
+    let call = registration.poll(now, true).unwrap();
     assert_eq!(call.target, "/v1/agent/check/update/service%3Aedge%2F1");
     assert_eq!(json(&call)["Status"], "passing");
-    assert_eq!(r.on_response(now, &response(200, "")), None);
+    assert_eq!(registration.on_response(now, &response(200, "")), None);
     // Failures in a row are said once, and do not use up the TTL.
     let mut reported = 0;
     for _ in 0..5 {
-        let due = r.due(now, true).unwrap();
+        let due = registration.due(now, true).unwrap();
         assert!(due <= now + 4_500_000);
         now = due;
         assert_eq!(
-            r.poll(now, true).unwrap().agent,
+            registration.poll(now, true).unwrap().agent,
             1,
             "the service belongs to the agent that took it"
         );
-        reported += usize::from(r.on_failure(now, TransportError::TimedOut).is_some());
+        reported += usize::from(
+            registration
+                .on_failure(now, TransportError::TimedOut)
+                .is_some(),
+        );
     }
     assert_eq!(reported, 1);
     now
 }
 
 /// Answers updates as an agent does that has lost the registration; gives the time of the last call.
-fn register_again_where_forgotten(r: &mut Registration, mut now: Micros) -> Micros {
-    for forgot in [
+fn register_again_after_loss(registration: &mut Registration, mut now: Micros) -> Micros {
+    for loss_response in [
         response(404, "Unknown check ID \"service:edge/1\""),
         response(500, "Unknown check \"service:edge/1\""),
     ] {
-        now = r.due(now, true).unwrap();
-        r.poll(now, true).unwrap();
+        now = registration.due(now, true).unwrap();
+        registration.poll(now, true).unwrap();
         assert_eq!(
-            r.on_response(now, &forgot),
+            registration.on_response(now, &loss_response),
             Some(RegistrationEvent::RegistrationLost)
         );
-        let call = r.poll(now, true).unwrap();
+        let call = registration.poll(now, true).unwrap();
         assert_eq!(
             (call.target.as_str(), &json(&call)["Check"]["Status"]),
             ("/v1/agent/service/register", &"passing".into())
         );
         assert_eq!(
-            r.on_response(now, &response(200, "")),
+            registration.on_response(now, &response(200, "")),
             Some(RegistrationEvent::Registered)
         );
     }
@@ -126,27 +130,27 @@
 }
 
 /// At the end it deregisters, also where a call is out, and gives up in time where nobody answers.
-fn deregister_or_give_up(mut r: Registration, mut now: Micros) {
-    let mut again = r.clone();
-    now = r.due(now, true).unwrap();
-    r.poll(now, true).unwrap();
-    r.deregister(now);
-    assert_eq!(r.on_response(now, &response(200, "")), None);
+fn deregister_at_shutdown(mut registration: Registration, mut now: Micros) {
+    let mut without_agent = registration.clone();
+    now = registration.due(now, true).unwrap();
+    registration.poll(now, true).unwrap();
+    registration.deregister(now);
+    assert_eq!(registration.on_response(now, &response(200, "")), None);
     assert_eq!(
-        r.poll(now, false).unwrap().target,
+        registration.poll(now, false).unwrap().target,
         "/v1/agent/service/deregister/edge%2F1"
     );
     assert_eq!(
-        r.on_response(now, &response(200, "")),
+        registration.on_response(now, &response(200, "")),
         Some(RegistrationEvent::Deregistered)
     );
-    assert!(r.is_finished() && r.due(now, false).is_none());
+    assert!(registration.is_finished() && registration.due(now, false).is_none());
     let start = now;
-    again.deregister(now);
-    while !again.is_finished() {
-        now = again.due(now, false).unwrap();
-        again.poll(now, false).unwrap();
-        again.on_failure(now, TransportError::Unreachable);
+    without_agent.deregister(now);
+    while !without_agent.is_finished() {
+        now = without_agent.due(now, false).unwrap();
+        without_agent.poll(now, false).unwrap();
+        without_agent.on_failure(now, TransportError::Unreachable);
     }
     assert!(now - start < 500_000);
 }
--- a/consul/tests/watch.rs
+++ b/consul/tests/watch.rs
@@ -2,7 +2,9 @@
 
 mod common;
 
-use common::{catalogue, instance, ready, Rig, CATALOGUE, HEALTH, MS};
+use common::{
+    catalog, instance, ready_instances, WatchFixture, CATALOG_PATH, HEALTH_PATH, MILLISECOND_US,
+};
 use linnetknot::State;
 use linnetknot_consul::{Consistency, TransportError, WatchEvent};
 use linnetknot_discovery::{Evidence, Reason};
@@ -11,23 +13,28 @@
 use serde_json::{json, Value};
 
 #[test]
-fn queries_block_behind_the_index_and_start_anew_where_it_can_not_be_trusted() {
-    let mut rig = Rig::new(|_| {});
-    assert_eq!(rig.round(9, &ready(&["a"])), HEALTH);
+fn queries_block_after_the_index_and_restart_if_it_goes_backwards() {
+    let mut fixture = WatchFixture::new(|_| {});
+    assert_eq!(fixture.exchange(9, &ready_instances(&["a"])), HEALTH_PATH);
     for (to, next) in [
         (9, "?index=9&wait=10000ms"),
         (3, ""),
         (4, "?index=4&wait=10000ms"),
         (0, "?index=1&wait=10000ms"),
     ] {
-        rig.round(to, &ready(&["a"]));
+        fixture.exchange(to, &ready_instances(&["a"]));
         assert_eq!(
-            rig.watch.clone().poll(rig.now + 10_000_000).unwrap().target,
-            format!("{HEALTH}{next}")
+            fixture
+                .watch
+                .clone()
+                .poll(fixture.now + 10_000_000)
+                .unwrap()
+                .target,
+            format!("{HEALTH_PATH}{next}")
         );
     }
     assert!(matches!(
-        rig.events[..],
+        fixture.events[..],
         [
             WatchEvent::IndexReset { from: 9, to: 3 },
             WatchEvent::IndexReset { from: 4, to: 0 }
@@ -35,267 +42,300 @@
     ));
     // A header that is missing, or no number, is as good as 0: the next query still waits.
     for headers in [&[][..], &[("x-consul-index", "soon")]] {
-        rig.call();
-        rig.answer(
+        fixture.next_call();
+        fixture.respond(
             200,
             headers,
-            Value::from(ready(&["a"])).to_string().as_bytes(),
+            Value::from(ready_instances(&["a"])).to_string().as_bytes(),
         );
-        let next = rig.watch.clone().poll(rig.now + 10_000_000).unwrap().target;
-        assert_eq!(next, format!("{HEALTH}?index=1&wait=10000ms"));
+        let next = fixture
+            .watch
+            .clone()
+            .poll(fixture.now + 10_000_000)
+            .unwrap()
+            .target;
+        assert_eq!(next, format!("{HEALTH_PATH}?index=1&wait=10000ms"));
     }
 }
 
 #[test]
-fn options_stand_in_the_query_and_the_filter_in_that_of_the_health_api_only() {
-    let mut rig = Rig::new(|o| {
-        (o.datacenter, o.namespace) = (Some("dc2".into()), Some("media".into()));
-        (o.tags, o.filter) = (vec!["v 1".into()], Some("Service.Port != 1".into()));
-        o.consistency = Consistency::Stale;
+fn options_are_query_parameters_and_the_filter_is_sent_only_to_the_health_api() {
+    let mut fixture = WatchFixture::new(|options| {
+        (options.datacenter, options.namespace) = (Some("dc2".into()), Some("media".into()));
+        (options.tags, options.filter) = (vec!["v 1".into()], Some("Service.Port != 1".into()));
+        options.consistency = Consistency::Stale;
     });
-    let target = rig.round(5, &ready(&["a", "b", "c"]));
+    let target = fixture.exchange(5, &ready_instances(&["a", "b", "c"]));
     assert_eq!(
         target,
-        format!("{HEALTH}?stale&dc=dc2&ns=media&tag=v+1&filter=Service.Port+%21%3D+1")
+        format!("{HEALTH_PATH}?stale&dc=dc2&ns=media&tag=v+1&filter=Service.Port+%21%3D+1")
     );
-    rig.round(6, &ready(&["a", "b"]));
+    fixture.exchange(6, &ready_instances(&["a", "b"]));
     assert_eq!(
-        rig.round(6, &catalogue(&["a", "b"])),
-        format!("{CATALOGUE}?stale&dc=dc2&ns=media&tag=v+1")
+        fixture.exchange(6, &catalog(&["a", "b"])),
+        format!("{CATALOG_PATH}?stale&dc=dc2&ns=media&tag=v+1")
     );
 }
 
 #[test]
-fn a_catalogue_answer_that_can_not_name_a_box_does_not_make_it_gone() {
-    let mut rig = Rig::new(|_| {});
-    rig.round(5, &ready(&["a", "b"]));
-    rig.round(6, &ready(&["a"]));
-    let mut all = catalogue(&["a", "b"]);
+fn a_catalog_response_with_an_unidentified_entry_removes_nothing() {
+    let mut fixture = WatchFixture::new(|_| {});
+    fixture.exchange(5, &ready_instances(&["a", "b"]));
+    fixture.exchange(6, &ready_instances(&["a"]));
+    let mut all = catalog(&["a", "b"]);
     all[1]["ServiceID"] = json!(7);
-    rig.round(7, &all);
-    assert_eq!(rig.states(), [("a", State::Ready), ("b", State::Draining)]);
-    let mut foreign = catalogue(&["a", "b"]);
+    fixture.exchange(7, &all);
+    assert_eq!(
+        fixture.states(),
+        [("a", State::Ready), ("b", State::Draining)]
+    );
+    let mut foreign = catalog(&["a", "b"]);
     (foreign[0]["Node"], foreign[1]["ServiceTags"]) = (json!(3), json!("x"));
-    rig.round(8, &foreign);
-    assert_eq!(rig.states(), [("a", State::Ready), ("b", State::Draining)]);
+    fixture.exchange(8, &foreign);
+    assert_eq!(
+        fixture.states(),
+        [("a", State::Ready), ("b", State::Draining)]
+    );
 }
 
 #[test]
-fn who_is_left_out_drains_at_once_and_is_gone_once_the_catalogue_says_so() {
-    let mut rig = Rig::new(|_| {});
-    rig.round(5, &ready(&["a", "b", "c"]));
-    rig.round(6, &ready(&["a", "b"]));
-    assert_eq!(rig.states()[2], ("c", State::Draining));
-    assert_eq!(rig.reason("c"), &Reason::NoHealth);
-    assert_eq!(rig.round(1, &catalogue(&["a", "b", "c"])), CATALOGUE);
+fn an_omitted_cache_drains_and_is_removed_once_the_catalog_confirms_it() {
+    let mut fixture = WatchFixture::new(|_| {});
+    fixture.exchange(5, &ready_instances(&["a", "b", "c"]));
+    fixture.exchange(6, &ready_instances(&["a", "b"]));
+    assert_eq!(fixture.states()[2], ("c", State::Draining));
+    assert_eq!(fixture.reason("c"), &Reason::NoHealth);
     assert_eq!(
-        rig.states()[2],
+        fixture.exchange(1, &catalog(&["a", "b", "c"])),
+        CATALOG_PATH
+    );
+    assert_eq!(
+        fixture.states()[2],
         ("c", State::Draining),
         "registered without health"
     );
-    rig.round(7, &ready(&["a", "b"]));
-    rig.round(1, &catalogue(&["a", "b"]));
-    assert_eq!(rig.states(), [("a", State::Ready), ("b", State::Ready)]);
+    fixture.exchange(7, &ready_instances(&["a", "b"]));
+    fixture.exchange(1, &catalog(&["a", "b"]));
+    assert_eq!(fixture.states(), [("a", State::Ready), ("b", State::Ready)]);
     // With none left out, the catalogue is not asked.
-    assert!(rig.round(8, &ready(&["a", "b"])).starts_with(HEALTH));
-    assert!(rig.round(9, &ready(&["a", "b"])).starts_with(HEALTH));
+    assert!(fixture
+        .exchange(8, &ready_instances(&["a", "b"]))
+        .starts_with(HEALTH_PATH));
+    assert!(fixture
+        .exchange(9, &ready_instances(&["a", "b"]))
+        .starts_with(HEALTH_PATH));
 }
 
-const ALL: [&str; 5] = ["a", "b", "c", "d", "e"];
+const ALL_IDS: [&str; 5] = ["a", "b", "c", "d", "e"];
 
 /// Empty, and true.
 #[test]
-fn an_answer_that_leaves_out_too_many_is_held_until_it_is_confirmed() {
-    let mut rig = Rig::new(|o| o.agents = 2);
-    rig.round(5, &ready(&ALL));
-    rig.round(6, &[]);
+fn too_many_omissions_are_applied_only_after_confirmation() {
+    let mut fixture = WatchFixture::new(|options| options.agents = 2);
+    fixture.exchange(5, &ready_instances(&ALL_IDS));
+    fixture.exchange(6, &[]);
     assert_eq!(
-        rig.states().iter().filter(|s| s.1 == State::Ready).count(),
+        fixture
+            .states()
+            .iter()
+            .filter(|s| s.1 == State::Ready)
+            .count(),
         5,
         "nothing is lost yet"
     );
     assert!(matches!(
-        rig.events[..],
+        fixture.events[..],
         [WatchEvent::ConfirmationPending {
             listed: 0,
             known: 5
         }]
     ));
-    let call = rig.call();
+    let call = fixture.next_call();
     assert_eq!(
         (call.target, call.agent),
-        (format!("{CATALOGUE}?consistent"), 1),
+        (format!("{CATALOG_PATH}?consistent"), 1),
         "from the other agent"
     );
-    rig.answer(200, &[("x-consul-index", "6")], b"[]");
-    assert!(rig.list.is_empty() && rig.events.last() == Some(&WatchEvent::Confirmed));
+    fixture.respond(200, &[("x-consul-index", "6")], b"[]");
+    assert!(fixture.list.is_empty() && fixture.events.last() == Some(&WatchEvent::Confirmed));
 }
 
 /// Empty, and not true: a server that was restored from nothing.
 #[test]
-fn an_answer_that_the_catalog_contradicts_removes_nobody() {
-    let mut rig = Rig::new(|_| {});
-    rig.round(5, &ready(&ALL));
+fn omissions_that_the_catalog_contradicts_remove_no_cache() {
+    let mut fixture = WatchFixture::new(|_| {});
+    fixture.exchange(5, &ready_instances(&ALL_IDS));
     for _ in 0..2 {
-        rig.round(6, &[]);
-        rig.round(6, &catalogue(&ALL));
+        fixture.exchange(6, &[]);
+        fixture.exchange(6, &catalog(&ALL_IDS));
         assert_eq!(
-            rig.states().iter().filter(|s| s.1 == State::Ready).count(),
+            fixture
+                .states()
+                .iter()
+                .filter(|s| s.1 == State::Ready)
+                .count(),
             5
         );
     }
     assert!(
         matches!(
-            rig.events[..],
+            fixture.events[..],
             [
                 WatchEvent::ConfirmationPending { .. },
                 WatchEvent::Contradicted { registered: 5 }
             ]
         ),
         "{:?}",
-        rig.events
+        fixture.events
     );
     // Where it is said again and again, the catalogue is the one that errs; still nobody is gone by it.
-    rig.round(6, &[]);
-    rig.round(6, &catalogue(&ALL));
-    rig.round(6, &[]);
+    fixture.exchange(6, &[]);
+    fixture.exchange(6, &catalog(&ALL_IDS));
+    fixture.exchange(6, &[]);
     assert!(
-        rig.states().iter().all(|s| s.1 == State::Draining),
+        fixture.states().iter().all(|s| s.1 == State::Draining),
         "{:?}",
-        rig.states()
+        fixture.states()
     );
 }
 
 /// What a held answer says of those that it names counts at once.
 #[test]
-fn a_held_answer_counts_for_those_that_it_names_and_a_cached_list_is_defended() {
-    let mut rig = Rig::new(|_| {});
-    rig.round(5, &ready(&ALL));
-    rig.round(6, &[instance("a", 7000, &[("c", "critical")])]);
+fn an_unconfirmed_response_updates_listed_caches_and_retains_a_restored_list() {
+    let mut fixture = WatchFixture::new(|_| {});
+    fixture.exchange(5, &ready_instances(&ALL_IDS));
+    fixture.exchange(6, &[instance("a", 7000, &[("c", "critical")])]);
     assert_eq!(
-        rig.states()[..2],
+        fixture.states()[..2],
         [("a", State::Draining), ("b", State::Ready)]
     );
     // The confirmation fails: the list holds.
-    rig.call();
-    rig.answer(500, &[], b"No cluster leader");
-    assert_eq!(rig.states().len(), 5);
-    assert_eq!(rig.round(7, &ready(&ALL)), HEALTH);
-    assert_eq!(rig.states()[0], ("a", State::Ready));
+    fixture.next_call();
+    fixture.respond(500, &[], b"No cluster leader");
+    assert_eq!(fixture.states().len(), 5);
+    assert_eq!(fixture.exchange(7, &ready_instances(&ALL_IDS)), HEALTH_PATH);
+    assert_eq!(fixture.states()[0], ("a", State::Ready));
     // A list that was kept over a restart is defended in the same way.
-    let cached: Vec<_> = rig.list.values().map(|r| r.entry.clone()).collect();
-    let mut rig = Rig::new(|_| {});
-    let Evidence::Full(reports) = rig.watch.restore(&cached) else {
+    let cached: Vec<_> = fixture.list.values().map(|r| r.entry.clone()).collect();
+    let mut fixture = WatchFixture::new(|_| {});
+    let Evidence::Full(reports) = fixture.watch.restore(&cached) else {
         panic!("a full list")
     };
     assert_eq!((reports.len(), &reports[0].reason), (5, &Reason::Cached));
-    rig.list = reports
+    fixture.list = reports
         .into_iter()
         .map(|r| (r.entry.uid.clone(), r))
         .collect();
-    rig.round(1, &[]);
-    assert_eq!(rig.states().len(), 5);
+    fixture.exchange(1, &[]);
+    assert_eq!(fixture.states().len(), 5);
 }
 
 #[test]
-fn failures_change_nothing_and_are_followed_by_the_next_agent_and_growing_waits() {
-    let list = Value::from(ready(&["a"])).to_string();
-    let cut = &list.as_bytes()[..list.len() - 9];
-    let mut rig = Rig::new(|o| o.agents = 3);
-    rig.round(5, &ready(&["a"]));
-    let start = rig.now;
+fn failures_keep_the_list_and_lead_to_the_next_agent_with_backoff() {
+    let list = Value::from(ready_instances(&["a"])).to_string();
+    let truncated = &list.as_bytes()[..list.len() - 9];
+    let mut fixture = WatchFixture::new(|options| options.agents = 3);
+    fixture.exchange(5, &ready_instances(&["a"]));
+    let start = fixture.now;
     let mut agents = Vec::new();
     for n in 0..12 {
-        agents.push(rig.call().agent);
+        agents.push(fixture.next_call().agent);
         match n % 6 {
-            0 => rig.answer(500, &[], b"No cluster leader"),
-            1 => rig.answer(200, &[], cut),
-            2 => rig.answer(200, &[], b"{}"),
-            3 => rig.answer(
+            0 => fixture.respond(500, &[], b"No cluster leader"),
+            1 => fixture.respond(200, &[], truncated),
+            2 => fixture.respond(200, &[], b"{}"),
+            3 => fixture.respond(
                 403,
                 &[],
                 b"Permission denied: token with AccessorID '' lacks permission",
             ),
-            4 => rig.answer(200, &[("x-consul-knownleader", "false")], list.as_bytes()),
+            4 => fixture.respond(200, &[("x-consul-knownleader", "false")], list.as_bytes()),
             _ => {
-                let update = rig.watch.on_failure(rig.now, TransportError::TimedOut);
-                rig.apply(update)
+                let update = fixture
+                    .watch
+                    .on_failure(fixture.now, TransportError::TimedOut);
+                fixture.apply(update)
             }
         };
-        assert_eq!(rig.states(), [("a", State::Ready)]);
+        assert_eq!(fixture.states(), [("a", State::Ready)]);
         if n == 1 {
             assert!(
-                rig.now - start < 100 * MS,
+                fixture.now - start < 100 * MILLISECOND_US,
                 "the other agents are queried at once"
             );
         }
     }
     assert_eq!(agents, [0, 1, 2, 0, 1, 2, 0, 1, 2, 0, 1, 2]);
-    let waited = rig.now - start;
-    assert!((5_000_000..25_000_000).contains(&waited), "{waited}");
-    assert!(rig
+    let elapsed_us = fixture.now - start;
+    assert!(
+        (5_000_000..25_000_000).contains(&elapsed_us),
+        "{elapsed_us}"
+    );
+    assert!(fixture
         .events
         .iter()
         .any(|n| matches!(n, WatchEvent::QueryFailed { error, .. } if error.to_string().contains("No cluster leader"))));
-    rig.round(9, &ready(&["a", "b"]));
+    fixture.exchange(9, &ready_instances(&["a", "b"]));
     assert!(matches!(
-        rig.events.last(),
+        fixture.events.last(),
         Some(WatchEvent::Recovered { failures: 12, .. })
     ));
-    assert_eq!(rig.list.len(), 2);
+    assert_eq!(fixture.list.len(), 2);
     // The first agent is the one that was wanted: after a while it is tried again.
-    let mut rig = Rig::new(|o| o.agents = 2);
-    rig.call();
-    let update = rig.watch.on_failure(rig.now, TransportError::Unreachable);
-    rig.apply(update);
-    rig.round(5, &ready(&["a"]));
-    assert_eq!(rig.call().agent, 1);
-    rig.now += 100_000_000;
-    rig.answer(200, &[("x-consul-index", "5")], list.as_bytes());
-    assert_eq!(rig.call().agent, 0);
+    let mut fixture = WatchFixture::new(|options| options.agents = 2);
+    fixture.next_call();
+    let update = fixture
+        .watch
+        .on_failure(fixture.now, TransportError::Unreachable);
+    fixture.apply(update);
+    fixture.exchange(5, &ready_instances(&["a"]));
+    assert_eq!(fixture.next_call().agent, 1);
+    fixture.now += 100_000_000;
+    fixture.respond(200, &[("x-consul-index", "5")], list.as_bytes());
+    assert_eq!(fixture.next_call().agent, 0);
 }
 
 #[test]
-fn an_agent_that_says_when_to_come_back_is_left_alone_until_then() {
-    let mut rig = Rig::new(|_| {});
-    rig.call();
-    rig.answer(
+fn retry_after_delays_the_next_query_up_to_a_limit() {
+    let mut fixture = WatchFixture::new(|_| {});
+    fixture.next_call();
+    fixture.respond(
         429,
         &[("retry-after", "7")],
         b"Your IP is issuing too many concurrent connections",
     );
-    let wait = rig.watch.due().unwrap() - rig.now;
-    assert!((7_000_000..8_000_000).contains(&wait), "{wait}");
-    rig.call();
-    rig.answer(503, &[("retry-after", "99999999")], b"");
+    let delay = fixture.watch.due().unwrap() - fixture.now;
+    assert!((7_000_000..8_000_000).contains(&delay), "{delay}");
+    fixture.next_call();
+    fixture.respond(503, &[("retry-after", "99999999")], b"");
     assert!(
-        rig.watch.due().unwrap() - rig.now < 61_000_000,
+        fixture.watch.due().unwrap() - fixture.now < 61_000_000,
         "but not for as long as it likes"
     );
 }
 
 #[test]
-fn a_stale_answer_counts_only_within_its_bound() {
-    let mut rig = Rig::new(|o| o.consistency = Consistency::Stale);
-    let list = Value::from(ready(&["a"])).to_string();
-    rig.call();
-    rig.answer(
+fn a_stale_response_is_used_only_within_the_limit() {
+    let mut fixture = WatchFixture::new(|options| options.consistency = Consistency::Stale);
+    let list = Value::from(ready_instances(&["a"])).to_string();
+    fixture.next_call();
+    fixture.respond(
         200,
         &[("x-consul-lastcontact", "400"), ("x-consul-index", "5")],
         list.as_bytes(),
     );
-    assert_eq!(rig.list.len(), 1);
-    assert!(rig.call().target.contains("stale"));
-    rig.answer(
+    assert_eq!(fixture.list.len(), 1);
+    assert!(fixture.next_call().target.contains("stale"));
+    fixture.respond(
         200,
         &[("x-consul-lastcontact", "1001"), ("x-consul-index", "6")],
         b"[]",
     );
     assert_eq!(
-        (rig.list.len(), rig.events.last()),
+        (fixture.list.len(), fixture.events.last()),
         (1, Some(&WatchEvent::StaleResponse(1_001_000)))
     );
-    let call = rig.call();
+    let call = fixture.next_call();
     assert!(
         !call.target.contains("stale"),
         "the leader is queried: {}",
@@ -304,41 +344,43 @@
 }
 
 #[test]
-fn answers_without_news_are_paced_and_long_ones_too() {
-    let mut rig = Rig::new(|_| {});
-    rig.round(5, &ready(&["a"]));
-    let start = rig.now;
+fn queries_are_rate_limited_after_unchanged_and_long_responses() {
+    let mut fixture = WatchFixture::new(|_| {});
+    fixture.exchange(5, &ready_instances(&["a"]));
+    let start = fixture.now;
     for n in 0..60 {
         // An index that moves all the time without a change.
-        rig.round(6 + n, &ready(&["a"]));
+        fixture.exchange(6 + n, &ready_instances(&["a"]));
     }
     assert!(
-        rig.now - start > 20_000_000,
+        fixture.now - start > 20_000_000,
         "{} ms for 60 answers",
-        (rig.now - start) / MS
+        (fixture.now - start) / MILLISECOND_US
     );
     // A change is followed at once all the same.
-    rig.round(99, &ready(&["a", "b"]));
-    assert!(rig.watch.due().unwrap() - rig.now <= 10 * MS);
+    fixture.exchange(99, &ready_instances(&["a", "b"]));
+    assert!(fixture.watch.due().unwrap() - fixture.now <= 10 * MILLISECOND_US);
     // An agent that cuts the wait short to a second is asked again as soon as it has answered.
-    let call = rig.call();
+    let call = fixture.next_call();
     assert!(call.timeout_us > 10_000_000);
-    rig.now += 1_000_000;
-    rig.answer(
+    fixture.now += 1_000_000;
+    fixture.respond(
         200,
         &[("x-consul-index", "99")],
-        Value::from(ready(&["a", "b"])).to_string().as_bytes(),
+        Value::from(ready_instances(&["a", "b"]))
+            .to_string()
+            .as_bytes(),
     );
-    assert_eq!(rig.watch.due(), Some(rig.now));
-    rig.call();
-    let long = format!(
+    assert_eq!(fixture.watch.due(), Some(fixture.now));
+    fixture.next_call();
+    let long_body = format!(
         "{}{}",
-        Value::from(ready(&["a", "b"])),
+        Value::from(ready_instances(&["a", "b"])),
         " ".repeat(5_000_000)
     );
-    rig.answer(200, &[("x-consul-index", "99")], long.as_bytes());
+    fixture.respond(200, &[("x-consul-index", "99")], long_body.as_bytes());
     assert!(
-        rig.watch.due().unwrap() >= rig.now + 50 * MS,
+        fixture.watch.due().unwrap() >= fixture.now + 50 * MILLISECOND_US,
         "reading it took time from requests"
     );
 }
@@ -351,19 +393,19 @@
     /// Any bytes in a valid answer's place, or in its midst, are an answer or a failure, never a panic, and a failure
     /// changes nothing.
     #[test]
-    fn garbage_is_no_list(
+    fn arbitrary_bytes_in_a_body_never_panic_or_empty_the_list(
         garbage in proptest::collection::vec(any::<u8>(), 0..64),
-        at in any::<usize>(),
+        position in any::<usize>(),
         status in 100u16..600,
     ) {
-        let mut rig = Rig::new(|_| {});
-        rig.round(5, &ready(&["a", "b", "c"]));
-        let valid = Value::from(ready(&["a", "b", "c"])).to_string().into_bytes();
-        let at = at % valid.len();
-        for body in [garbage.clone(), [&valid[..at], &garbage[..], &valid[at..]].concat()] {
-            rig.call();
-            rig.answer(if at % 2 == 0 { 200 } else { status }, &[("x-consul-index", "6")], &body);
-            prop_assert!(!rig.list.is_empty());
+        let mut fixture = WatchFixture::new(|_| {});
+        fixture.exchange(5, &ready_instances(&["a", "b", "c"]));
+        let valid = Value::from(ready_instances(&["a", "b", "c"])).to_string().into_bytes();
+        let position = position % valid.len();
+        for body in [garbage.clone(), [&valid[..position], &garbage[..], &valid[position..]].concat()] {
+            fixture.next_call();
+            fixture.respond(if position % 2 == 0 { 200 } else { status }, &[("x-consul-index", "6")], &body);
+            prop_assert!(!fixture.list.is_empty());
         }
     }
 }
