--- a/consul/tests/mapping.rs
+++ b/consul/tests/mapping.rs
@@ -114,7 +114,7 @@
         ("here", 8.0)
     );
     // Addresses: the service's own, the node's, or a tagged one.
-    let endpoint = |tag: Option<&str>, instance_json: &Value| {
+    let endpoint = |tag: Option<&str>, entry: &Value| {
         let tagged_address = tag.map(str::to_owned);
         let mut fixture = WatchFixture::new(|_| {});
         fixture.watch = Watch::new(
@@ -125,7 +125,7 @@
             },
             7,
         );
-        fixture.exchange(5, std::slice::from_ref(instance_json));
+        fixture.exchange(5, std::slice::from_ref(entry));
         fixture.list["x"].entry.endpoint.to_string()
     };
     assert_eq!(endpoint(None, &foreign), "10.1.10.12:7000");
@@ -141,25 +141,21 @@
 
 /// An instance with one value that can't be used.
 fn malformed(change: impl Fn(&mut Value)) -> Value {
-    let mut instance_json = instance("bad", 7009, &[]);
-    change(&mut instance_json);
-    instance_json
+    let mut entry = instance("bad", 7009, &[]);
+    change(&mut entry);
+    entry
 }
 
 /// The key at fault, and an instance that has it.
 fn malformed_instances_by_key() -> Vec<(&'static str, Value)> {
     let meta = |key: &'static str, value: &'static str| {
-        malformed(move |instance_json| instance_json["Service"]["Meta"][key] = value.into())
-    };
-    let port = |value: Value| {
-        malformed(move |instance_json| instance_json["Service"]["Port"] = value.clone())
+        malformed(move |entry| entry["Service"]["Meta"][key] = value.into())
     };
+    let port = |value: Value| malformed(move |entry| entry["Service"]["Port"] = value.clone());
     let address = |part: &'static str, text: &'static str| {
-        malformed(move |instance_json| instance_json[part]["Address"] = text.into())
-    };
-    let id = |value: Value| {
-        malformed(move |instance_json| instance_json["Service"]["ID"] = value.clone())
+        malformed(move |entry| entry[part]["Address"] = text.into())
     };
+    let id = |value: Value| malformed(move |entry| entry["Service"]["ID"] = value.clone());
     let check = json!([{"CheckID": "c", "Status": 1}]);
     vec![
         ("Node.Address", address("Node", "cache-9.example")),
@@ -172,19 +168,17 @@
         ("Service.Meta.capacity_hint", meta("capacity_hint", "-1")),
         (
             "Service.Meta",
-            malformed(|instance_json| instance_json["Service"]["Meta"] = 3.into()),
+            malformed(|entry| entry["Service"]["Meta"] = 3.into()),
         ),
         (
             "Checks[0].Status",
-            malformed(move |instance_json| instance_json["Checks"] = check.clone()),
+            malformed(move |entry| entry["Checks"] = check.clone()),
         ),
         ("Service.ID", id("a,b=c".into())),
         ("Service.ID", id(Value::Null)),
         (
             "Service",
-            malformed(|instance_json| {
-                drop(instance_json.as_object_mut().unwrap().remove("Service"))
-            }),
+            malformed(|entry| drop(entry.as_object_mut().unwrap().remove("Service"))),
         ),
         (".", json!(17)),
     ]
@@ -192,10 +186,10 @@
 
 #[test]
 fn an_invalid_instance_is_skipped_and_reported_once_with_its_key() {
-    for (key, instance_json) in malformed_instances_by_key() {
+    for (key, entry) in malformed_instances_by_key() {
         let mut fixture = WatchFixture::new(|_| {});
         let mut list = ready_instances(&["a", "b"]);
-        list.insert(1, instance_json);
+        list.insert(1, entry);
         fixture.exchange(5, &list);
         assert_eq!(
             fixture.states(),
@@ -243,44 +237,38 @@
     vec![
         (
             "tagged addresses in small letters",
-            Box::new(|instance_json| {
-                instance_json["Service"]["TaggedAddresses"] = json!({"lan": {"address": "10.1.10.12", "port": 8000},
+            Box::new(|entry| {
+                entry["Service"]["TaggedAddresses"] = json!({"lan": {"address": "10.1.10.12", "port": 8000},
                     "wan": {"address": "198.18.1.2", "port": 80}});
             }),
         ),
         (
             "no tagged addresses",
-            Box::new(|instance_json| instance_json["Service"]["TaggedAddresses"] = Value::Null),
+            Box::new(|entry| entry["Service"]["TaggedAddresses"] = Value::Null),
         ),
         (
             "tagged by text",
-            Box::new(|instance_json| {
-                instance_json["Service"]["TaggedAddresses"] = json!("10.1.10.12")
-            }),
+            Box::new(|entry| entry["Service"]["TaggedAddresses"] = json!("10.1.10.12")),
         ),
         (
             "the node's, as a list",
-            Box::new(|instance_json| {
-                instance_json["Node"]["TaggedAddresses"] = json!(["10.1.10.12"])
-            }),
+            Box::new(|entry| entry["Node"]["TaggedAddresses"] = json!(["10.1.10.12"])),
         ),
         (
             "weights as text",
-            Box::new(|instance_json| {
-                instance_json["Service"]["Weights"] = json!({"Passing": "8", "Warning": "1"})
-            }),
+            Box::new(|entry| entry["Service"]["Weights"] = json!({"Passing": "8", "Warning": "1"})),
         ),
         (
             "no weights",
-            Box::new(|instance_json| instance_json["Service"]["Weights"] = json!(false)),
+            Box::new(|entry| entry["Service"]["Weights"] = json!(false)),
         ),
         (
             "foreign metadata",
-            Box::new(|instance_json| instance_json["Service"]["Meta"]["rack"] = json!({"row": 7})),
+            Box::new(|entry| entry["Service"]["Meta"]["rack"] = json!({"row": 7})),
         ),
         (
             "the node's metadata",
-            Box::new(|instance_json| instance_json["Node"]["Meta"] = json!([1, 2])),
+            Box::new(|entry| entry["Node"]["Meta"] = json!([1, 2])),
         ),
     ]
 }
@@ -290,36 +278,32 @@
     vec![
         (
             "a check's notes",
-            Box::new(|instance_json| instance_json["Checks"][0]["Notes"] = json!({"en": "fine"})),
+            Box::new(|entry| entry["Checks"][0]["Notes"] = json!({"en": "fine"})),
         ),
         (
             "a check's id",
-            Box::new(|instance_json| instance_json["Checks"][0]["CheckID"] = json!(17)),
+            Box::new(|entry| entry["Checks"][0]["CheckID"] = json!(17)),
         ),
         (
             "a check's definition",
-            Box::new(|instance_json| {
-                instance_json["Checks"][0]["Definition"] = json!({"Interval": "10s"})
-            }),
+            Box::new(|entry| entry["Checks"][0]["Definition"] = json!({"Interval": "10s"})),
         ),
         (
             "a node's name, where the service names the box",
-            Box::new(|instance_json| instance_json["Node"]["Node"] = json!(4)),
+            Box::new(|entry| entry["Node"]["Node"] = json!(4)),
         ),
         (
             "a proxy's part",
-            Box::new(|instance_json| {
-                instance_json["Service"]["Proxy"] = json!({"MeshGateway": {}, "Expose": {}})
-            }),
+            Box::new(|entry| entry["Service"]["Proxy"] = json!({"MeshGateway": {}, "Expose": {}})),
         ),
         (
             "a socket",
-            Box::new(|instance_json| instance_json["Service"]["SocketPath"] = json!("")),
+            Box::new(|entry| entry["Service"]["SocketPath"] = json!("")),
         ),
         ("a node without an address, where the service has one", {
-            Box::new(|instance_json| {
-                instance_json["Service"]["Address"] = "10.1.10.13".into();
-                instance_json["Node"] = json!("n1");
+            Box::new(|entry| {
+                entry["Service"]["Address"] = "10.1.10.13".into();
+                entry["Node"] = json!("n1");
             })
         }),
     ]
@@ -332,9 +316,9 @@
         .chain(changes_of_unused_checks_and_parts());
     for (name, change) in cases {
         let mut fixture = WatchFixture::new(|_| {});
-        let mut instance_json = instance("a", 7000, &[("c", "passing")]);
-        change(&mut instance_json);
-        fixture.exchange(5, &[instance_json]);
+        let mut entry = instance("a", 7000, &[("c", "passing")]);
+        change(&mut entry);
+        fixture.exchange(5, &[entry]);
         assert_eq!(
             fixture.states(),
             [("a", State::Ready)],
@@ -355,9 +339,9 @@
             ..mapping()
         };
         fixture.watch = Watch::new(Options::default(), mapping_config, 7);
-        let mut instance_json = instance("a", 7000, &[]);
-        instance_json["Service"]["TaggedAddresses"] = tagged;
-        fixture.exchange(5, &[instance_json]);
+        let mut entry = instance("a", 7000, &[]);
+        entry["Service"]["TaggedAddresses"] = tagged;
+        fixture.exchange(5, &[entry]);
         match &fixture.events[..] {
             [.., WatchEvent::InstanceSkipped(s)] => s.fault.key.clone(),
             _ => fixture.list["a"].entry.endpoint.to_string(),
@@ -411,7 +395,7 @@
     // Without an id they can't be told apart, and count each all the same.
     let mut fixture = WatchFixture::new(|_| {});
     list.iter_mut()
-        .for_each(|instance_json| instance_json["Service"]["ID"] = Value::Null);
+        .for_each(|entry| entry["Service"]["ID"] = Value::Null);
     fixture.exchange(5, &list);
     let event = fixture.events.iter().find(|n| {
         matches!(
@@ -511,9 +495,9 @@
         value in any_json(),
         fails in any::<bool>(),
     ) {
-        let mut instance_json = instance("a", 7000, &[("c", if fails { "critical" } else { "passing" })]);
-        instance_json["Service"]["Address"] = "10.1.10.13".into();
-        let mut target = &mut instance_json;
+        let mut entry = instance("a", 7000, &[("c", if fails { "critical" } else { "passing" })]);
+        entry["Service"]["Address"] = "10.1.10.13".into();
+        let mut target = &mut entry;
         for key in UNUSED_PATHS[position] {
             target = match key.parse::<usize>() {
                 Ok(n) => &mut target[n],
@@ -522,7 +506,7 @@
         }
         *target = value;
         let mut fixture = WatchFixture::new(|_| {});
-        fixture.exchange(5, &[instance_json]);
+        fixture.exchange(5, &[entry]);
         let state = if fails { State::Draining } else { State::Ready };
         prop_assert_eq!(fixture.states(), [("a", state)], "{:?}", fixture.events);
         prop_assert_eq!(fixture.list["a"].entry.endpoint.to_string(), "10.1.10.13:7000");
