--- a/consul/tests/backoff.rs
+++ b/consul/tests/backoff.rs
@@ -17,7 +17,7 @@
             );
         }
     }
-    // A hundred that failed at one moment come back spread over the whole time.
+    // The retries of 100 proxies are spread over the whole range of the jitter.
     let mut last_delays: Vec<u64> = (0..100).map(|seed| delays(seed)[11]).collect();
     last_delays.sort_unstable();
     let max_gap = last_delays.windows(2).map(|w| w[1] - w[0]).max();
--- a/consul/tests/common/mod.rs
+++ b/consul/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: instances in the API's shapes, and a watch that is driven by scripts of responses.
+//! Fixtures: instances in the JSON structure of the API, and a watch that receives scripted responses.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use linnetknot::{Micros, State};
@@ -20,7 +20,7 @@
     }
 }
 
-/// An instance as the health API gives it.
+/// Returns an instance in the form of the health API.
 pub(crate) fn instance(id: &str, port: u16, checks: &[(&str, &str)]) -> Value {
     let checks: Vec<Value> = checks
         .iter()
@@ -51,7 +51,7 @@
         .collect()
 }
 
-/// A watch, a clock, and the list as its evidence makes it.
+/// A watch with a clock, and the endpoint list that results from its evidence.
 pub(crate) struct WatchFixture {
     pub(crate) watch: Watch,
     pub(crate) now: Micros,
@@ -71,10 +71,12 @@
         }
     }
 
-    /// Waits until the next call is due, and gives it.
+    /// Advances the clock until the next call is due, and returns the call.
     pub(crate) fn next_call(&mut self) -> Call {
-        self.now = self.now.max(self.watch.due().expect("no call is out"));
-        self.watch.poll(self.now).expect("it is due")
+        self.now = self
+            .now
+            .max(self.watch.due().expect("no call is in flight"));
+        self.watch.poll(self.now).expect("a call is due")
     }
 
     pub(crate) fn apply(&mut self, update: WatchUpdate) -> bool {
@@ -112,7 +114,7 @@
         self.apply(update)
     }
 
-    /// Asks, and answers with a list under this index. Gives the target that was asked for.
+    /// Sends the next call and responds with a list and this index. Returns the target of the call.
     pub(crate) fn exchange(&mut self, index: u64, list: &[Value]) -> String {
         let call = self.next_call();
         self.respond(
--- a/consul/tests/mapping.rs
+++ b/consul/tests/mapping.rs
@@ -1,4 +1,4 @@
-//! The mapping of instances: health checks, foreign catalogs, malformed values, and ids that are registered twice.
+//! The mapping of instances: health checks, custom keys, malformed values, and duplicate ids.
 
 mod common;
 
@@ -68,7 +68,7 @@
     assert_eq!(
         (weight("ok"), weight("warns")),
         (8.0, 2.0),
-        "the weights in Consul"
+        "weights of the passing and the warning state"
     );
 }
 
@@ -101,9 +101,9 @@
     assert_eq!(
         (y.zone.as_str(), y.kind.as_str(), y.state),
         ("here", "box", State::Draining),
-        "weighed with nothing"
+        "the warning weight is 0"
     );
-    // By the default keys nothing of theirs says anything: all boxes are ones of this place.
+    // With the default keys the custom metadata is ignored, and the defaults apply.
     let mut fixture = WatchFixture::new(|_| {});
     fixture.exchange(5, &[foreign.clone()]);
     assert_eq!(
@@ -113,7 +113,7 @@
         ),
         ("here", 8.0)
     );
-    // Addresses: the service's own, the node's, or a tagged one.
+    // The address is that of the service, that of the node, or a tagged address.
     let endpoint = |tag: Option<&str>, entry: &Value| {
         let tagged_address = tag.map(str::to_owned);
         let mut fixture = WatchFixture::new(|_| {});
@@ -133,20 +133,20 @@
     assert_eq!(
         endpoint(Some("lan"), &foreign),
         "10.1.10.12:7000",
-        "the node's where the service has none"
+        "the address of the node, as the service has none"
     );
     foreign["Service"]["Address"] = "2001:db8::1".into();
     assert_eq!(endpoint(Some("lan_ipv6"), &foreign), "[2001:db8::1]:7000");
 }
 
-/// An instance with one value that can't be used.
+/// Returns an instance with one invalid value.
 fn malformed(change: impl Fn(&mut Value)) -> Value {
     let mut entry = instance("bad", 7009, &[]);
     change(&mut entry);
     entry
 }
 
-/// The key at fault, and an instance that has it.
+/// Returns malformed instances, each with its invalid key.
 fn malformed_instances_by_key() -> Vec<(&'static str, Value)> {
     let meta = |key: &'static str, value: &'static str| {
         malformed(move |entry| entry["Service"]["Meta"][key] = value.into())
@@ -203,7 +203,7 @@
             s.fault.key == key || key == "Service" && s.fault.error.to_string().contains("Service"),
             "{key}: {s}"
         );
-        // Another one goes critical meanwhile: that counts, and nothing is said twice.
+        // Changes of other instances are applied, and the invalid instance is not reported again.
         list[0]["Checks"] = json!([{"CheckID": "c", "Status": "critical"}]);
         fixture.exchange(6, &list);
         assert_eq!(
@@ -213,7 +213,7 @@
         );
         assert_eq!(fixture.events.len(), 1, "{key}: {:?}", fixture.events);
     }
-    // One that ran and can't be used any more gets no fresh work.
+    // A known cache whose registration becomes invalid drains.
     let mut fixture = WatchFixture::new(|_| {});
     fixture.exchange(5, &ready_instances(&["a", "b"]));
     let mut list = ready_instances(&["a", "b"]);
@@ -231,12 +231,12 @@
 
 type Change = Box<dyn Fn(&mut Value)>;
 
-/// The forms of the API's public pages, and whatever else may stand where the mapping looks for nothing: addresses,
-/// weights and metadata.
+/// Returns changes of addresses, weights and metadata that the default mapping does not use, including the forms of
+/// Consul's API documentation.
 fn changes_of_unused_addresses_and_metadata() -> Vec<(&'static str, Change)> {
     vec![
         (
-            "tagged addresses in small letters",
+            "tagged addresses in lower case",
             Box::new(|entry| {
                 entry["Service"]["TaggedAddresses"] = json!({"lan": {"address": "10.1.10.12", "port": 8000},
                     "wan": {"address": "198.18.1.2", "port": 80}});
@@ -247,11 +247,11 @@
             Box::new(|entry| entry["Service"]["TaggedAddresses"] = Value::Null),
         ),
         (
-            "tagged by text",
+            "tagged addresses as text",
             Box::new(|entry| entry["Service"]["TaggedAddresses"] = json!("10.1.10.12")),
         ),
         (
-            "the node's, as a list",
+            "tagged addresses of the node as a list",
             Box::new(|entry| entry["Node"]["TaggedAddresses"] = json!(["10.1.10.12"])),
         ),
         (
@@ -263,44 +263,44 @@
             Box::new(|entry| entry["Service"]["Weights"] = json!(false)),
         ),
         (
-            "foreign metadata",
+            "unused metadata of another type",
             Box::new(|entry| entry["Service"]["Meta"]["rack"] = json!({"row": 7})),
         ),
         (
-            "the node's metadata",
+            "metadata of the node",
             Box::new(|entry| entry["Node"]["Meta"] = json!([1, 2])),
         ),
     ]
 }
 
-/// The same of checks, nodes and other parts.
+/// Returns changes of checks, nodes and other parts that the default mapping does not use.
 fn changes_of_unused_checks_and_parts() -> Vec<(&'static str, Change)> {
     vec![
         (
-            "a check's notes",
+            "notes of a check",
             Box::new(|entry| entry["Checks"][0]["Notes"] = json!({"en": "fine"})),
         ),
         (
-            "a check's id",
+            "id of a check",
             Box::new(|entry| entry["Checks"][0]["CheckID"] = json!(17)),
         ),
         (
-            "a check's definition",
+            "definition of a check",
             Box::new(|entry| entry["Checks"][0]["Definition"] = json!({"Interval": "10s"})),
         ),
         (
-            "a node's name, where the service names the box",
+            "name of the node, with the service as the identity",
             Box::new(|entry| entry["Node"]["Node"] = json!(4)),
         ),
         (
-            "a proxy's part",
+            "proxy configuration",
             Box::new(|entry| entry["Service"]["Proxy"] = json!({"MeshGateway": {}, "Expose": {}})),
         ),
         (
-            "a socket",
+            "socket path",
             Box::new(|entry| entry["Service"]["SocketPath"] = json!("")),
         ),
-        ("a node without an address, where the service has one", {
+        ("node without an address, with an address of the service", {
             Box::new(|entry| {
                 entry["Service"]["Address"] = "10.1.10.13".into();
                 entry["Node"] = json!("n1");
@@ -329,7 +329,7 @@
     }
 }
 
-/// Where a tagged address is configured, both spellings are read, and what is wrong there is told by its path.
+/// If a tagged address is configured, both spellings of its keys are read, and errors state the path of the key.
 #[test]
 fn tagged_addresses_are_read_in_both_spellings_and_errors_state_their_path() {
     let endpoint = |tagged: Value| {
@@ -367,7 +367,11 @@
         endpoint(json!({"wan": "192.0.2.9"})),
         "Service.TaggedAddresses.wan"
     );
-    assert_eq!(endpoint(json!({})), "192.0.2.12:7000", "the node's");
+    assert_eq!(
+        endpoint(json!({})),
+        "192.0.2.12:7000",
+        "the tagged address of the node"
+    );
 }
 
 #[test]
@@ -391,8 +395,12 @@
     }
     fixture.exchange(9, &ready_instances(&["a", "b", "c"]));
     fixture.exchange(10, &list);
-    assert_eq!(mostly_unusable_count(&fixture), 2, "it was well between");
-    // Without an id they can't be told apart, and count each all the same.
+    assert_eq!(
+        mostly_unusable_count(&fixture),
+        2,
+        "the condition is reported again after it has ended"
+    );
+    // Instances without an id are counted separately.
     let mut fixture = WatchFixture::new(|_| {});
     list.iter_mut()
         .for_each(|entry| entry["Service"]["ID"] = Value::Null);
@@ -442,7 +450,7 @@
     );
 }
 
-/// Any JSON.
+/// Generates arbitrary JSON values.
 fn any_json() -> impl Strategy<Value = Value> {
     let leaf = prop_oneof![
         Just(Value::Null),
@@ -465,7 +473,7 @@
     })
 }
 
-/// Places that the default mapping does not need, of an instance whose service has its own address.
+/// Paths that the default mapping does not use if the service has an address.
 const UNUSED_PATHS: [&[&str]; 14] = [
     &["Node"],
     &["Node", "Node"],
@@ -480,7 +488,7 @@
     &["Checks", "0", "CheckID"],
     &["Checks", "0", "Notes"],
     &["Checks", "0", "Definition"],
-    &["Unheard"],
+    &["Unknown"],
 ];
 
 proptest! {
@@ -488,7 +496,7 @@
         cases: 256, rng_seed: RngSeed::Fixed(0x11ae), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// Whatever stands where nothing is needed, the box stays, and its state is its checks'.
+    /// An arbitrary value at an unused path changes neither the presence nor the state of the cache.
     #[test]
     fn any_json_under_an_unused_key_is_ignored(
         position in 0..UNUSED_PATHS.len(),
--- a/consul/tests/registration.rs
+++ b/consul/tests/registration.rs
@@ -1,4 +1,4 @@
-//! The proxy's own registration: readiness, heartbeats, failures, an agent that has lost it, and the shutdown.
+//! The registration of the proxy: readiness, heartbeats, failures, loss of the registration by the agent, and shutdown.
 
 use linnetknot::Micros;
 use linnetknot_consul::{
@@ -42,10 +42,10 @@
     deregister_at_shutdown(registration, now);
 }
 
-/// Registers; gives the time of it.
+/// Registers at the second agent after the first one fails. Returns the time of the registration.
 fn register_at_second_agent(registration: &mut Registration) -> Micros {
     let mut now = 1_000_000;
-    // Nobody answers at the first agent: the next one is asked.
+    // The first agent is unreachable, so the next one is called.
     assert_eq!(registration.poll(now, false).unwrap().agent, 0);
     assert!(matches!(
         registration.on_failure(now, TransportError::Unreachable),
@@ -74,16 +74,16 @@
     now
 }
 
-/// Keeps the check up to date; gives the time of the last failure.
+/// Updates the check, and then fails all updates. Returns the time of the last failure.
 fn report_readiness_during_failures(registration: &mut Registration, mut now: Micros) -> Micros {
-    // It is kept within its TTL, and a change is told at once.
+    // The check is updated within its TTL, and a change of readiness is reported immediately.
     assert!((now + 1..now + 4_500_000).contains(&registration.due(now, false).unwrap()));
     assert_eq!(registration.due(now, true), Some(now));
     let call = registration.poll(now, true).unwrap();
     assert_eq!(call.target, "/v1/agent/check/update/service%3Aedge%2F1");
     assert_eq!(json(&call)["Status"], "passing");
     assert_eq!(registration.on_response(now, &response(200, "")), None);
-    // Failures in a row are said once, and do not use up the TTL.
+    // Consecutive failures are reported once, and are retried within the TTL.
     let mut reported = 0;
     for _ in 0..5 {
         let due = registration.due(now, true).unwrap();
@@ -92,7 +92,7 @@
         assert_eq!(
             registration.poll(now, true).unwrap().agent,
             1,
-            "the service belongs to the agent that took it"
+            "the service belongs to the agent that registered it"
         );
         reported += usize::from(
             registration
@@ -104,7 +104,7 @@
     now
 }
 
-/// Answers updates as an agent does that has lost the registration; gives the time of the last call.
+/// Responds to updates like an agent that has lost the registration. Returns the time of the last call.
 fn register_again_after_loss(registration: &mut Registration, mut now: Micros) -> Micros {
     for loss_response in [
         response(404, "Unknown check ID \"service:edge/1\""),
@@ -129,7 +129,7 @@
     now
 }
 
-/// At the end it deregisters, also where a call is out, and gives up in time where nobody answers.
+/// Deregisters at shutdown, including while a call is in flight, and ends within 0.5 s if the agent is unreachable.
 fn deregister_at_shutdown(mut registration: Registration, mut now: Micros) {
     let mut without_agent = registration.clone();
     now = registration.due(now, true).unwrap();
--- a/consul/tests/watch.rs
+++ b/consul/tests/watch.rs
@@ -1,4 +1,4 @@
-//! The watch by scripts of responses: blocking queries, lists that shrink, failures, staleness and rate limits.
+//! The watch with scripted responses: blocking queries, omissions, failures, staleness and rate limits.
 
 mod common;
 
@@ -40,7 +40,7 @@
             WatchEvent::IndexReset { from: 4, to: 0 }
         ]
     ));
-    // A header that is missing, or no number, is as good as 0: the next query still waits.
+    // A missing or malformed index counts as 0, and the next query still blocks.
     for headers in [&[][..], &[("x-consul-index", "soon")]] {
         fixture.next_call();
         fixture.respond(
@@ -112,12 +112,12 @@
     assert_eq!(
         fixture.states()[2],
         ("c", State::Draining),
-        "registered without health"
+        "registered, but not listed with its health"
     );
     fixture.exchange(7, &ready_instances(&["a", "b"]));
     fixture.exchange(1, &catalog(&["a", "b"]));
     assert_eq!(fixture.states(), [("a", State::Ready), ("b", State::Ready)]);
-    // With none left out, the catalogue is not asked.
+    // Without omissions, the catalog is not queried.
     assert!(fixture
         .exchange(8, &ready_instances(&["a", "b"]))
         .starts_with(HEALTH_PATH));
@@ -128,7 +128,7 @@
 
 const ALL_IDS: [&str; 5] = ["a", "b", "c", "d", "e"];
 
-/// Empty, and true.
+/// The empty list is correct: the catalog confirms it.
 #[test]
 fn too_many_omissions_are_applied_only_after_confirmation() {
     let mut fixture = WatchFixture::new(|options| options.agents = 2);
@@ -141,7 +141,7 @@
             .filter(|s| s.1 == State::Ready)
             .count(),
         5,
-        "nothing is lost yet"
+        "no cache is removed before the confirmation"
     );
     assert!(matches!(
         fixture.events[..],
@@ -154,13 +154,13 @@
     assert_eq!(
         (call.target, call.agent),
         (format!("{CATALOG_PATH}?consistent"), 1),
-        "from the other agent"
+        "the confirmation comes from the other agent"
     );
     fixture.respond(200, &[("x-consul-index", "6")], b"[]");
     assert!(fixture.list.is_empty() && fixture.events.last() == Some(&WatchEvent::Confirmed));
 }
 
-/// Empty, and not true: a server that was restored from nothing.
+/// The empty list is wrong, such as that of a server that was restored without its data.
 #[test]
 fn omissions_that_the_catalog_contradicts_remove_no_cache() {
     let mut fixture = WatchFixture::new(|_| {});
@@ -188,7 +188,7 @@
         "{:?}",
         fixture.events
     );
-    // Where it is said again and again, the catalogue is the one that errs; still nobody is gone by it.
+    // After repeated contradictions the health response is applied: the omitted caches drain, but are not removed.
     fixture.exchange(6, &[]);
     fixture.exchange(6, &catalog(&ALL_IDS));
     fixture.exchange(6, &[]);
@@ -199,7 +199,7 @@
     );
 }
 
-/// What a held answer says of those that it names counts at once.
+/// An unconfirmed response is applied to the caches that it lists.
 #[test]
 fn an_unconfirmed_response_updates_listed_caches_and_retains_a_restored_list() {
     let mut fixture = WatchFixture::new(|_| {});
@@ -209,13 +209,13 @@
         fixture.states()[..2],
         [("a", State::Draining), ("b", State::Ready)]
     );
-    // The confirmation fails: the list holds.
+    // The confirmation fails, and the list is retained.
     fixture.next_call();
     fixture.respond(500, &[], b"No cluster leader");
     assert_eq!(fixture.states().len(), 5);
     assert_eq!(fixture.exchange(7, &ready_instances(&ALL_IDS)), HEALTH_PATH);
     assert_eq!(fixture.states()[0], ("a", State::Ready));
-    // A list that was kept over a restart is defended in the same way.
+    // A restored list is retained in the same way.
     let cached: Vec<_> = fixture.list.values().map(|r| r.entry.clone()).collect();
     let mut fixture = WatchFixture::new(|_| {});
     let Evidence::Full(reports) = fixture.watch.restore(&cached) else {
@@ -281,7 +281,7 @@
         Some(WatchEvent::Recovered { failures: 12, .. })
     ));
     assert_eq!(fixture.list.len(), 2);
-    // The first agent is the one that was wanted: after a while it is tried again.
+    // After a failover the first agent is tried again.
     let mut fixture = WatchFixture::new(|options| options.agents = 2);
     fixture.next_call();
     let update = fixture
@@ -310,7 +310,7 @@
     fixture.respond(503, &[("retry-after", "99999999")], b"");
     assert!(
         fixture.watch.due().unwrap() - fixture.now < 61_000_000,
-        "but not for as long as it likes"
+        "Retry-After is limited"
     );
 }
 
@@ -349,18 +349,18 @@
     fixture.exchange(5, &ready_instances(&["a"]));
     let start = fixture.now;
     for n in 0..60 {
-        // An index that moves all the time without a change.
+        // The index changes with each response, but the list does not.
         fixture.exchange(6 + n, &ready_instances(&["a"]));
     }
     assert!(
         fixture.now - start > 20_000_000,
-        "{} ms for 60 answers",
+        "{} ms for 60 responses",
         (fixture.now - start) / MILLISECOND_US
     );
-    // A change is followed at once all the same.
+    // After a change the next query is due immediately.
     fixture.exchange(99, &ready_instances(&["a", "b"]));
     assert!(fixture.watch.due().unwrap() - fixture.now <= 10 * MILLISECOND_US);
-    // An agent that cuts the wait short to a second is asked again as soon as it has answered.
+    // If an agent shortens the wait to 1 s, the next query is due with its response.
     let call = fixture.next_call();
     assert!(call.timeout_us > 10_000_000);
     fixture.now += 1_000_000;
@@ -381,7 +381,7 @@
     fixture.respond(200, &[("x-consul-index", "99")], long_body.as_bytes());
     assert!(
         fixture.watch.due().unwrap() >= fixture.now + 50 * MILLISECOND_US,
-        "reading it took time from requests"
+        "the next query is delayed by the size of the body"
     );
 }
 
@@ -390,8 +390,7 @@
         cases: 256, rng_seed: RngSeed::Fixed(0x11ae), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// Any bytes in a valid answer's place, or in its midst, are an answer or a failure, never a panic, and a failure
-    /// changes nothing.
+    /// Arbitrary bytes as the body, or inserted into a valid body, must not cause a panic or empty the list.
     #[test]
     fn arbitrary_bytes_in_a_body_never_panic_or_empty_the_list(
         garbage in proptest::collection::vec(any::<u8>(), 0..64),
