--- a/admin-api/src/admin/parser.rs
+++ b/admin-api/src/admin/parser.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Default)]
 pub struct Parser {
     head: Vec<u8>,
-    done: bool,
+    is_done: bool,
 }
 
 /// Returns the length of the head with its blank line; none where it is not complete.
@@ -29,7 +29,7 @@
 }
 
 /// Parses a complete head that is followed by so many bytes.
-fn parse(head: &[u8], bytes_after: usize) -> Result<Call, CallError> {
+fn parse_head(head: &[u8], bytes_after: usize) -> Result<Call, CallError> {
     let text = std::str::from_utf8(head).map_err(|_| CallError::Malformed)?;
     let mut lines = text
         .split('\n')
@@ -99,7 +99,7 @@
 
     /// Takes received bytes. A complete call, or an error, is returned once; bytes after that are ignored.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<Call>, CallError> {
-        if self.done {
+        if self.is_done {
             return Ok(None);
         }
         // One byte over the bound shows that the head is too large.
@@ -107,10 +107,10 @@
         self.head
             .extend_from_slice(&bytes[..bytes.len().min(capacity)]);
         let result = match head_length(&self.head) {
-            Some(length) => parse(&self.head[..length], self.head.len() - length).map(Some),
+            Some(length) => parse_head(&self.head[..length], self.head.len() - length).map(Some),
             None => self.check_incomplete().map(|()| None),
         };
-        self.done = !matches!(result, Ok(None));
+        self.is_done = !matches!(result, Ok(None));
         result
     }
 
@@ -132,7 +132,7 @@
 
     /// The connection has ended: returns the error to respond with where a part of a call was received.
     pub fn end(&mut self) -> Option<CallError> {
-        let was_done = std::mem::replace(&mut self.done, true);
-        (!was_done && !self.head.is_empty()).then_some(CallError::Truncated)
+        let was_complete = std::mem::replace(&mut self.is_done, true);
+        (!was_complete && !self.head.is_empty()).then_some(CallError::Truncated)
     }
 }
--- a/admin-api/src/state.rs
+++ b/admin-api/src/state.rs
@@ -155,13 +155,13 @@
         &mut self,
         now: Micros,
         call: Call,
-        known: impl Fn(&str) -> bool,
+        is_known: impl Fn(&str) -> bool,
         ready: bool,
     ) -> CallOutcome {
         match call {
-            Call::Ready => CallOutcome::unchanged(self.readiness(ready)),
-            Call::Offline(id) => self.call_pop_cache(&id, true, known),
-            Call::Online(id) => self.call_pop_cache(&id, false, known),
+            Call::Ready => CallOutcome::unchanged(self.readiness_reply(ready)),
+            Call::Offline(id) => self.set_pop_cache_state(&id, true, is_known),
+            Call::Online(id) => self.set_pop_cache_state(&id, false, is_known),
             Call::OutOfService => CallOutcome {
                 reply: Reply::new(200, "out of service"),
                 effect: self.set_out_of_service(now, true),
@@ -178,7 +178,7 @@
         }
     }
 
-    fn readiness(&self, ready: bool) -> Reply {
+    fn readiness_reply(&self, ready: bool) -> Reply {
         match (self.in_service(), ready) {
             (false, _) => Reply::new(503, "out of service"),
             (true, true) => Reply::new(200, "ready"),
@@ -188,13 +188,13 @@
 
     /// Bans a pop cache or lifts its ban by a call. A ban stays, and can be lifted, when no source lists the cache any
     /// more.
-    fn call_pop_cache(
+    fn set_pop_cache_state(
         &mut self,
         id: &str,
         banned: bool,
-        known: impl Fn(&str) -> bool,
+        is_known: impl Fn(&str) -> bool,
     ) -> CallOutcome {
-        if !self.is_banned(id) && !known(id) {
+        if !self.is_banned(id) && !is_known(id) {
             return CallOutcome::unchanged(Reply::new(404, format!("no pop cache is called {id}")));
         }
         let state = if banned { "offline" } else { "online" };
--- a/admin-api/src/store.rs
+++ b/admin-api/src/store.rs
@@ -23,7 +23,7 @@
 }
 
 /// Reads a copy; none where it is absent or can't be parsed.
-fn read(path: &Path) -> io::Result<Option<OperatorState>> {
+fn read_copy(path: &Path) -> io::Result<Option<OperatorState>> {
     match std::fs::read(path) {
         Ok(bytes) => Ok(serde_json::from_slice(&bytes).ok()),
         Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(None),
@@ -34,15 +34,15 @@
 /// Loads the state from a folder; the default where no copy is complete. It is an error if no copy is complete and one
 /// can't be read, as that one may be.
 pub fn load(folder: &Path) -> io::Result<OperatorState> {
-    choose(copy_paths(folder).iter().map(|path| read(path)))
+    select_copy(copy_paths(folder).iter().map(|path| read_copy(path)))
 }
 
 /// Chooses the complete copy with the lower sequence, as a call succeeds only once both copies have it.
-fn choose(
+fn select_copy(
     copies: impl Iterator<Item = io::Result<Option<OperatorState>>>,
 ) -> io::Result<OperatorState> {
     let mut complete = None::<OperatorState>;
-    let mut unread = None;
+    let mut read_error = None;
     for copy in copies {
         match copy {
             Ok(Some(state))
@@ -53,10 +53,10 @@
                 complete = Some(state);
             }
             Ok(_) => {}
-            Err(e) => unread = Some(e),
+            Err(e) => read_error = Some(e),
         }
     }
-    match (complete, unread) {
+    match (complete, read_error) {
         (Some(state), _) => Ok(state),
         (None, Some(e)) => Err(e),
         (None, None) => Ok(OperatorState::default()),
--- a/admin-api/src/store/tests.rs
+++ b/admin-api/src/store/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn what_is_saved_is_loaded_and_a_torn_copy_lifts_no_ban() {
+fn stored_state_is_loaded_and_an_incomplete_copy_lifts_no_ban() {
     let folder = folder("torn");
     assert_eq!(load(&folder).unwrap(), OperatorState::default());
     let mut state = OperatorState {
@@ -50,24 +50,24 @@
 }
 
 #[test]
-fn what_cannot_be_read_for_a_while_is_not_taken_for_absent() {
-    let fails = || Err(io::Error::from_raw_os_error(5));
+fn an_unreadable_copy_is_not_treated_as_absent() {
+    let read_failure = || Err(io::Error::from_raw_os_error(5));
     let state = OperatorState {
         sequence: 3,
         ..OperatorState::default()
     };
-    assert!(choose([fails(), fails()].into_iter()).is_err());
-    assert!(choose([fails(), Ok(None)].into_iter()).is_err());
-    let found = choose([fails(), Ok(Some(state.clone()))].into_iter());
+    assert!(select_copy([read_failure(), read_failure()].into_iter()).is_err());
+    assert!(select_copy([read_failure(), Ok(None)].into_iter()).is_err());
+    let found = select_copy([read_failure(), Ok(Some(state.clone()))].into_iter());
     assert_eq!(found.unwrap(), state);
     assert_eq!(
-        choose([Ok(None), Ok(None)].into_iter()).unwrap(),
+        select_copy([Ok(None), Ok(None)].into_iter()).unwrap(),
         OperatorState::default()
     );
 }
 
 #[test]
-fn the_stored_form_is_that_of_released_versions() {
+fn the_stored_format_is_unchanged() {
     let state = OperatorState {
         sequence: 3,
         bans: ["pc1".to_owned(), "pc2".to_owned()].into(),
--- a/admin-api/tests/admin.rs
+++ b/admin-api/tests/admin.rs
@@ -4,46 +4,49 @@
     Call, CallError, Parser, Reply, MAX_HEADERS, MAX_HEAD_BYTES, MAX_REQUEST_LINE_BYTES,
 };
 
-fn whole(text: &str) -> Result<Option<Call>, CallError> {
+fn parse_request(text: &str) -> Result<Option<Call>, CallError> {
     Parser::new().feed(text.as_bytes())
 }
 
 #[test]
-fn each_call_is_read_and_in_crumbs_too() {
+fn calls_are_parsed_at_once_and_byte_by_byte() {
     assert_eq!(
-        whole("GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n"),
+        parse_request("GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n"),
         Ok(Some(Call::Ready))
     );
     assert_eq!(
-        whole("POST /control/out-of-service HTTP/1.1\r\n\r\n"),
+        parse_request("POST /control/out-of-service HTTP/1.1\r\n\r\n"),
         Ok(Some(Call::OutOfService))
     );
     assert_eq!(
-        whole("GET /control/fleet HTTP/1.1\r\n\r\n"),
+        parse_request("GET /control/fleet HTTP/1.1\r\n\r\n"),
         Ok(Some(Call::Fleet))
     );
     assert_eq!(
-        whole("GET /control/budgets HTTP/1.1\r\n\r\n"),
+        parse_request("GET /control/budgets HTTP/1.1\r\n\r\n"),
         Ok(Some(Call::Budgets))
     );
     assert_eq!(
-        whole("POST /control/budgets HTTP/1.1\r\n\r\n"),
+        parse_request("POST /control/budgets HTTP/1.1\r\n\r\n"),
         Err(CallError::MethodNotAllowed)
     );
     assert_eq!(
-        whole("POST /control/in-service HTTP/1.0\r\nContent-Length: 0\r\n\r\n"),
+        parse_request("POST /control/in-service HTTP/1.0\r\nContent-Length: 0\r\n\r\n"),
         Ok(Some(Call::InService))
     );
     let offline = "POST /control/pop-caches/pc-7.a/offline HTTP/1.1\r\n\r\n";
-    assert_eq!(whole(offline), Ok(Some(Call::Offline("pc-7.a".into()))));
+    assert_eq!(
+        parse_request(offline),
+        Ok(Some(Call::Offline("pc-7.a".into())))
+    );
     let mut parser = Parser::new();
     let bytes = b"POST /control/pop-caches/b2/online HTTP/1.1\r\nHost: y\r\n\r\n";
-    for (n, b) in bytes.iter().enumerate() {
-        let got = parser.feed(&[*b]);
-        let last = n + 1 == bytes.len();
+    for (n, byte) in bytes.iter().enumerate() {
+        let result = parser.feed(&[*byte]);
+        let is_last = n + 1 == bytes.len();
         assert_eq!(
-            got,
-            if last {
+            result,
+            if is_last {
                 Ok(Some(Call::Online("b2".into())))
             } else {
                 Ok(None)
@@ -59,7 +62,7 @@
 }
 
 /// Requests that are no calls, and their errors.
-const BAD_CALLS: [(&str, CallError); 12] = [
+const INVALID_REQUESTS: [(&str, CallError); 12] = [
     (
         "DELETE /control/ready HTTP/1.1\r\n\r\n",
         CallError::MethodNotAllowed,
@@ -105,43 +108,43 @@
 ];
 
 #[test]
-fn bad_calls_are_typed_errors_with_a_4xx() {
-    for (text, error) in BAD_CALLS {
-        assert_eq!(whole(text), Err(error), "{text:?}");
+fn invalid_requests_are_errors_with_a_4xx_status() {
+    for (text, error) in INVALID_REQUESTS {
+        assert_eq!(parse_request(text), Err(error), "{text:?}");
         assert!((400..500).contains(&error.status()));
     }
 }
 
 #[test]
-fn a_line_or_a_head_over_its_bound_is_an_error() {
-    let long = format!(
+fn an_oversized_request_line_or_head_is_an_error() {
+    let long_line = format!(
         "GET /{} HTTP/1.1\r\n",
         "a".repeat(MAX_REQUEST_LINE_BYTES + 10)
     );
-    assert_eq!(whole(&long), Err(CallError::LineTooLong));
+    assert_eq!(parse_request(&long_line), Err(CallError::LineTooLong));
     let mut parser = Parser::new();
     assert_eq!(parser.feed(b"GET /control/ready HTTP/1.1\r\n"), Ok(None));
     let header = b"X-Filler: aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\r\n";
-    let mut last = Ok(None);
+    let mut last_result = Ok(None);
     for _ in 0..MAX_HEAD_BYTES / header.len() + 2 {
-        last = parser.feed(header);
-        if last.is_err() {
+        last_result = parser.feed(header);
+        if last_result.is_err() {
             break;
         }
     }
-    assert_eq!(last, Err(CallError::HeadTooLarge));
-    let many = format!(
+    assert_eq!(last_result, Err(CallError::HeadTooLarge));
+    let many_headers = format!(
         "GET /control/ready HTTP/1.1\r\n{}\r\n",
         "A: b\r\n".repeat(MAX_HEADERS + 1)
     );
-    assert_eq!(whole(&many), Err(CallError::HeadTooLarge));
+    assert_eq!(parse_request(&many_headers), Err(CallError::HeadTooLarge));
 }
 
 #[test]
-fn a_call_that_is_cut_off_is_an_error() {
-    let mut cut = Parser::new();
-    assert_eq!(cut.feed(b"POST /control/out-of"), Ok(None));
-    assert_eq!(cut.end(), Some(CallError::Truncated));
+fn a_truncated_request_is_an_error() {
+    let mut truncated = Parser::new();
+    assert_eq!(truncated.feed(b"POST /control/out-of"), Ok(None));
+    assert_eq!(truncated.end(), Some(CallError::Truncated));
     assert_eq!(
         Parser::new().end(),
         None,
@@ -150,7 +153,7 @@
 }
 
 #[test]
-fn a_reply_says_its_length_and_closes() {
+fn a_reply_states_its_length_and_closes_the_connection() {
     let bytes = String::from_utf8(Reply::new(404, "no such pop cache").to_bytes()).unwrap();
     assert!(bytes.starts_with("HTTP/1.1 404 Not Found\r\n"));
     assert!(bytes.contains("Content-Length: 18\r\n") && bytes.contains("Connection: close\r\n"));
