--- a/admin-api/src/admin/call.rs
+++ b/admin-api/src/admin/call.rs
@@ -1,61 +1,62 @@
-//! The calls of the admin API, and why a request is none.
+//! The calls of the admin API, and the errors of rejected requests.
 
-/// The longest id of a pop cache, in bytes.
+/// Maximum length of the id of a pop cache.
 pub const MAX_POP_CACHE_ID_BYTES: usize = 128;
 
-/// The path under which pop caches are named.
+/// Path prefix of the calls on a pop cache.
 const POP_CACHES: &str = "/control/pop-caches/";
 
-/// A call of an operator.
+/// A call to the admin API.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// `GET /control/ready`: whether the process is ready to serve.
+    /// `GET /control/ready`: returns whether the process is ready to serve.
     Ready,
-    /// `POST /control/pop-caches/ID/offline`: send nothing more to that pop cache.
+    /// `POST /control/pop-caches/ID/offline`: bans a pop cache.
     Offline(String),
-    /// `POST /control/pop-caches/ID/online`: use it again.
+    /// `POST /control/pop-caches/ID/online`: lifts the ban of a pop cache.
     Online(String),
-    /// `POST /control/out-of-service`: drain.
+    /// `POST /control/out-of-service`: begins to drain the process.
     OutOfService,
-    /// `POST /control/in-service`: end draining.
+    /// `POST /control/in-service`: ends the drain.
     InService,
-    /// `GET /control/fleet`: the status of replication, commits and membership.
+    /// `GET /control/fleet`: returns the status of replication, commits and membership.
     Fleet,
-    /// `GET /control/budgets`: the status of this proxy's leases of the shared budgets.
+    /// `GET /control/budgets`: returns the status of the leases of the shared budgets that this proxy has.
     Budgets,
 }
 
-/// Why a request is rejected. Its connection ends after a response with the status of [`CallError::status`].
+/// The error of a rejected request. The connection is closed after a response with the status of [`CallError::status`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// The request line is over [`MAX_REQUEST_LINE_BYTES`](super::MAX_REQUEST_LINE_BYTES).
+    /// The request line exceeds [`MAX_REQUEST_LINE_BYTES`](super::MAX_REQUEST_LINE_BYTES).
     #[error("the request line is too long")]
     LineTooLong,
-    /// The head is over [`MAX_HEAD_BYTES`](super::MAX_HEAD_BYTES), or has more than [`MAX_HEADERS`](super::MAX_HEADERS) headers.
+    /// The head exceeds [`MAX_HEAD_BYTES`](super::MAX_HEAD_BYTES), or has more than [`MAX_HEADERS`](super::MAX_HEADERS)
+    /// headers.
     #[error("the head is too large")]
     HeadTooLarge,
-    /// The bytes are no HTTP/1.x request.
+    /// The bytes are not an HTTP/1.x request.
     #[error("not an HTTP request")]
     Malformed,
     /// The version is neither HTTP/1.0 nor HTTP/1.1.
     #[error("not HTTP/1.0 or HTTP/1.1")]
     UnsupportedVersion,
-    /// The path does not take this method.
+    /// The path does not support the method.
     #[error("the method does not fit the path")]
     MethodNotAllowed,
-    /// The path is no call, or the id can't be one.
+    /// The path is unknown, or the id of the pop cache is invalid.
     #[error("no such call")]
     NotFound,
-    /// There is a body, or a header that announces one: no call has any.
+    /// The request has a body, or a header that announces one. No call has a body.
     #[error("a call has no body")]
     UnexpectedBody,
-    /// The connection ended before the request was complete.
+    /// The connection was closed before the request was complete.
     #[error("the call was cut off")]
     Truncated,
 }
 
 impl CallError {
-    /// Returns the status of the response.
+    /// Returns the HTTP status of the response.
     pub fn status(self) -> u16 {
         match self {
             CallError::LineTooLong => 414,
@@ -68,7 +69,7 @@
     }
 }
 
-/// Whether an id can name a pop cache: letters, digits and `-._:`.
+/// Returns whether the id of a pop cache is valid: it consists of letters, digits and `-._:`.
 fn is_id(id: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-._:".contains(&byte);
     !id.is_empty() && id.len() <= MAX_POP_CACHE_ID_BYTES && id.bytes().all(is_allowed)
@@ -84,7 +85,7 @@
         "/control/budgets" => ("GET", Call::Budgets),
         _ => ("POST", pop_cache_call(path)?),
     };
-    // As HTTP has it, HEAD is allowed wherever GET is.
+    // HTTP requires HEAD to be allowed for each resource that allows GET.
     if method == expected || (expected == "GET" && method == "HEAD") {
         Ok(call)
     } else {
@@ -92,7 +93,7 @@
     }
 }
 
-/// Returns the call of a path that names a pop cache.
+/// Returns the call of a path with the id of a pop cache.
 fn pop_cache_call(path: &str) -> Result<Call, CallError> {
     let rest = path.strip_prefix(POP_CACHES).ok_or(CallError::NotFound)?;
     let (id, verb) = rest.rsplit_once('/').ok_or(CallError::NotFound)?;
--- a/admin-api/src/admin/mod.rs
+++ b/admin-api/src/admin/mod.rs
@@ -1,8 +1,8 @@
-//! The admin API's HTTP/1.1: one call a connection, parsed incrementally and within bounds.
+//! The HTTP/1.1 protocol of the admin API, with one call per connection.
 //!
-//! The parser owns no socket: bytes go in as they are received, and out comes a complete [`Call`], a typed
-//! [`CallError`] that ends the connection with a 4xx, or nothing yet. It protects against clients that send a line or a
-//! head of any length, bodies where none belongs, bytes that are no HTTP, and incomplete calls.
+//! The [`Parser`] is sans-IO: it is fed bytes as they are received, and returns a complete [`Call`], or a [`CallError`]
+//! after which the connection is closed with a 4xx response. It limits the length of the request line and the head, and
+//! rejects bodies, invalid HTTP and incomplete calls.
 
 mod call;
 mod parser;
--- a/admin-api/src/admin/parser.rs
+++ b/admin-api/src/admin/parser.rs
@@ -1,22 +1,22 @@
-//! The incremental parser of a request.
+//! The incremental parser of requests.
 
 use super::call::{route, Call, CallError};
 
-/// The longest request line, in bytes.
+/// Maximum length of the request line.
 pub const MAX_REQUEST_LINE_BYTES: usize = 1024;
-/// The longest head, request line and headers together, in bytes.
+/// Maximum length of the head, which consists of the request line and the headers.
 pub const MAX_HEAD_BYTES: usize = 8192;
-/// The most headers of a request.
+/// Maximum number of headers of a request.
 pub const MAX_HEADERS: usize = 64;
 
-/// Parses one call from the bytes of a connection as they are received.
+/// Parses a call from the bytes of a connection as they are received.
 #[derive(Debug, Default)]
 pub struct Parser {
     head: Vec<u8>,
     is_done: bool,
 }
 
-/// Returns the length of the head with its blank line; none where it is not complete.
+/// Returns the length of the head including its blank line, or `None` if the head is incomplete.
 fn head_length(bytes: &[u8]) -> Option<usize> {
     let after = |blank: &[u8]| {
         let position = bytes.windows(blank.len()).position(|w| w == blank);
@@ -28,7 +28,7 @@
         .min()
 }
 
-/// Parses a complete head that is followed by so many bytes.
+/// Parses a complete head that is followed by `bytes_after` bytes.
 fn parse_head(head: &[u8], bytes_after: usize) -> Result<Call, CallError> {
     let text = std::str::from_utf8(head).map_err(|_| CallError::Malformed)?;
     let mut lines = text
@@ -71,7 +71,7 @@
     Ok(RequestLine { method, target })
 }
 
-/// Checks that a header is one, and that it announces no body.
+/// Checks that a header is valid and does not announce a body.
 fn check_header(header: &str) -> Result<(), CallError> {
     let (name, value) = header.split_once(':').ok_or(CallError::Malformed)?;
     let is_forbidden = |byte: u8| byte.is_ascii_whitespace() || byte.is_ascii_control();
@@ -92,17 +92,17 @@
 }
 
 impl Parser {
-    /// Creates a parser that has received nothing.
+    /// Creates a parser for a new connection.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes received bytes. A complete call, or an error, is returned once; bytes after that are ignored.
+    /// Processes received bytes. Returns a complete call or an error once, and ignores all bytes after that.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<Call>, CallError> {
         if self.is_done {
             return Ok(None);
         }
-        // One byte over the bound shows that the head is too large.
+        // One byte more than the limit is buffered, to detect that the head is too large.
         let capacity = (MAX_HEAD_BYTES + 1).saturating_sub(self.head.len());
         self.head
             .extend_from_slice(&bytes[..bytes.len().min(capacity)]);
@@ -114,7 +114,7 @@
         result
     }
 
-    /// Checks whether a head that is not complete may still become one.
+    /// Returns an error if an incomplete head can't become a valid one.
     fn check_incomplete(&self) -> Result<(), CallError> {
         let line_end = self.head.iter().position(|byte| *byte == b'\n');
         if line_end.unwrap_or(self.head.len()) > MAX_REQUEST_LINE_BYTES {
@@ -130,7 +130,7 @@
         }
     }
 
-    /// The connection has ended: returns the error to respond with where a part of a call was received.
+    /// Handles the end of the connection. Returns an error if only a part of a call was received.
     pub fn end(&mut self) -> Option<CallError> {
         let was_complete = std::mem::replace(&mut self.is_done, true);
         (!was_complete && !self.head.is_empty()).then_some(CallError::Truncated)
--- a/admin-api/src/admin/reply.rs
+++ b/admin-api/src/admin/reply.rs
@@ -2,17 +2,17 @@
 
 use super::CallError;
 
-/// The `Retry-After` of a call that can't be carried out for a while, in seconds.
+/// The `Retry-After` of a call that temporarily can't be executed.
 const RETRY_AFTER_S: u32 = 1;
 
 /// A response of the admin API.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// Its status: 2xx where the call was carried out, else 4xx or 5xx.
+    /// HTTP status: 2xx if the call was executed, otherwise 4xx or 5xx.
     pub status: u16,
-    /// A line of text for the operator.
+    /// Body of the response: a line of text for the operator.
     pub text: String,
-    /// The `Retry-After`, in seconds, if there is one.
+    /// Value of the `Retry-After` header, in seconds.
     pub retry_after_s: Option<u32>,
 }
 
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Creates the response to a call that can't be carried out for a while.
+    /// Creates the response to a call that temporarily can't be executed.
     pub fn unavailable(text: impl Into<String>) -> Self {
         Reply {
             retry_after_s: Some(RETRY_AFTER_S),
@@ -54,7 +54,7 @@
         Reply::new(error.status(), error.to_string())
     }
 
-    /// Encodes the response. The connection is closed after it.
+    /// Encodes the response as HTTP, with `Connection: close`.
     pub fn to_bytes(&self) -> Vec<u8> {
         let reason = reason_phrase(self.status);
         let body = format!("{}\n", self.text);
--- a/admin-api/src/lib.rs
+++ b/admin-api/src/lib.rs
@@ -1,7 +1,7 @@
-//! What operators do to a running edge proxy, without I/O: the admin API's HTTP (`admin`), what its calls decide
-//! (`state`: readiness, draining, banned pop caches), and how that state is stored across restarts (`store`).
+//! The admin API of an edge proxy: its HTTP protocol ([`admin`]), the state that operators set ([`state`]: readiness,
+//! draining and banned pop caches), and the storage of that state across restarts ([`store`]).
 //!
-//! Times are microseconds on the caller's clock, passed with each call.
+//! The package opens no sockets and reads no clock: the caller passes the current time in microseconds.
 
 pub mod admin;
 pub mod state;
@@ -10,5 +10,5 @@
 pub use admin::{Call, CallError, Parser, Reply};
 pub use state::{AdminController, CallOutcome, DrainState, Effect};
 
-/// Microseconds.
+/// A time or duration in microseconds.
 pub type Micros = u64;
--- a/admin-api/src/state.rs
+++ b/admin-api/src/state.rs
@@ -1,37 +1,36 @@
-//! What the admin API's calls decide: whether the process is in service, how it drains, and which pop caches are
-//! banned. Sans-IO: times are passed in, and the daemon carries out the [`Effect`] of each call.
+//! The state that operators set: whether the process is in service or drains, and which pop caches are banned. The
+//! daemon executes the [`Effect`] of each call.
 
 use crate::admin::{Call, CallError, Reply};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// How often idle client connections are closed while the process drains. The front sends no new connections from 0.2 s
-/// after its first negative health check, and by 4 s none may be idle or recently used: a sweep every half second
-/// closes each one within that, however late it became idle.
+/// Interval at which idle client connections are closed while the process drains. All connections must be closed within
+/// 4 s after the first negative health check, including those that become idle late.
 pub const IDLE_SWEEP_INTERVAL_US: Micros = 500_000;
 
-/// Whether the process drains.
+/// Whether the process serves or drains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainState {
-    /// It serves.
+    /// The process serves.
     Serving,
-    /// It has been draining since then: the readiness check is negative, each client connection is closed once its
-    /// responses are sent, and idle ones at the next sweep. New connections are accepted and treated the same, as the
-    /// front sends some after its first negative check, whose requests would be lost otherwise.
+    /// The process has been draining since this time: the readiness check fails, each client connection is closed once
+    /// its responses are sent, and idle connections are closed at the next sweep. New connections are still accepted,
+    /// as the front opens some after its first failed check, and their requests would be lost otherwise.
     Draining(Micros),
 }
 
-/// What the daemon has to do after a call.
+/// The action that the daemon has to execute after a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Send nothing more to this pop cache, neither as target nor as fill source.
+    /// Stop using this pop cache, both as a target and as a source of fills.
     Ban(String),
-    /// Use the pop cache again, from slow start.
+    /// Use this pop cache again, with a slow start.
     Unban(String),
     /// Begin to drain.
     Drain,
-    /// End draining.
+    /// End the drain.
     Resume,
 }
 
@@ -40,7 +39,7 @@
 pub struct CallOutcome {
     /// The response.
     pub reply: Reply,
-    /// What has to be done; none where the call changed nothing.
+    /// The action to execute, or `None` if the call changed nothing.
     pub effect: Option<Effect>,
 }
 
@@ -53,27 +52,27 @@
     }
 }
 
-/// The state that outlives the process. The names of its fields are those of the stored JSON.
+/// The state that is stored across restarts. The names of its fields are those of the stored JSON.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OperatorState {
-    /// Raised with every change: of two complete copies, the lower one counts.
+    /// Number of changes. Of two complete copies, the one with the lower sequence is loaded.
     pub sequence: u64,
-    /// The ids of the banned pop caches.
+    /// Ids of the banned pop caches.
     pub bans: BTreeSet<String>,
     /// Whether the process was taken out of service.
     pub out_of_service: bool,
 }
 
-/// The operators' state in a running process.
+/// Executes the calls of operators and holds the resulting state.
 #[derive(Clone, Debug)]
 pub struct AdminController {
     state: OperatorState,
-    /// When the current drain began; without meaning while in service.
+    /// Start of the current drain. The value is meaningless while the process is in service.
     draining_since: Micros,
 }
 
 impl AdminController {
-    /// Creates the state of a process from what an earlier one stored. A stored drain continues from `now`.
+    /// Creates a controller from the state that an earlier process stored. A stored drain restarts at `now`.
     pub fn new(state: OperatorState, now: Micros) -> Self {
         AdminController {
             state,
@@ -81,12 +80,12 @@
         }
     }
 
-    /// Returns the state, which is to be stored after each change.
+    /// Returns the state, which the caller has to store after each change.
     pub fn state(&self) -> &OperatorState {
         &self.state
     }
 
-    /// Whether a pop cache is banned.
+    /// Returns whether a pop cache is banned.
     pub fn is_banned(&self, id: &str) -> bool {
         self.state.bans.contains(id)
     }
@@ -96,7 +95,7 @@
         self.state.bans.iter().map(String::as_str)
     }
 
-    /// Returns whether the process drains, and since when.
+    /// Returns whether the process drains, and the start of the drain.
     pub fn drain_state(&self) -> DrainState {
         if self.state.out_of_service {
             DrainState::Draining(self.draining_since)
@@ -105,12 +104,12 @@
         }
     }
 
-    /// Whether the operators have the process in service.
+    /// Returns whether the process is in service according to the operators.
     pub fn in_service(&self) -> bool {
         !self.state.out_of_service
     }
 
-    /// Returns when idle client connections are to be closed next, if the process drains.
+    /// Returns the time of the next sweep of idle client connections, or `None` if the process does not drain.
     pub fn next_idle_sweep(&self, now: Micros) -> Option<Micros> {
         match self.drain_state() {
             DrainState::Serving => None,
@@ -118,8 +117,8 @@
         }
     }
 
-    /// Bans a pop cache or lifts its ban, as this proxy's log has it, or to undo a rejected call. Returns what has to
-    /// be done; none where that changes nothing.
+    /// Bans a pop cache or lifts its ban. This applies an entry of the replicated log, or reverts a rejected call.
+    /// Returns the action to execute, or `None` if nothing changes.
     pub fn set_banned(&mut self, id: &str, banned: bool) -> Option<Effect> {
         if self.is_banned(id) == banned {
             return None;
@@ -134,7 +133,8 @@
         }
     }
 
-    /// Takes the process out of service or back into service, as `set_banned` does with bans.
+    /// Takes the process out of service or back into service, with the same uses and result as
+    /// [`set_banned`](Self::set_banned).
     pub fn set_out_of_service(&mut self, now: Micros, out_of_service: bool) -> Option<Effect> {
         if self.state.out_of_service == out_of_service {
             return None;
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Carries out a call. `known` says whether a source lists a pop cache; `ready` says whether the process could
-    /// serve, the operators aside: it has its list of pop caches, and is not stopping.
+    /// Executes a call. `is_known` returns whether a source lists a pop cache. `ready` states whether the process could
+    /// serve apart from the state set by operators: it has a list of pop caches and is not stopping.
     pub fn handle_call(
         &mut self,
         now: Micros,
@@ -170,8 +170,7 @@
                 reply: Reply::new(200, "in service"),
                 effect: self.set_out_of_service(now, false),
             },
-            // The daemon answers these itself where logs are replicated or budgets are shared; elsewhere they don't
-            // exist.
+            // The daemon handles these calls if logs are replicated or budgets are shared; otherwise they do not exist.
             Call::Fleet | Call::Budgets => {
                 CallOutcome::unchanged(Reply::rejected(CallError::NotFound))
             }
@@ -186,8 +185,8 @@
         }
     }
 
-    /// Bans a pop cache or lifts its ban by a call. A ban stays, and can be lifted, when no source lists the cache any
-    /// more.
+    /// Executes a call that bans a pop cache or lifts its ban. A ban persists, and can be lifted, if no source lists
+    /// the pop cache any more.
     fn set_pop_cache_state(
         &mut self,
         id: &str,
--- a/admin-api/src/store.rs
+++ b/admin-api/src/store.rs
@@ -1,9 +1,10 @@
-//! Stores the [`OperatorState`] under `$TMPDIR`, so that bans and draining outlive the process and an upgrade.
+//! Stores the [`OperatorState`] under `$TMPDIR`, so that bans and drains persist across restarts and upgrades.
 //!
-//! The daemon writes two copies in turn, each atomically (a new file renamed over its name), so a copy is complete or
-//! absent. A copy that can't be parsed (after a crash of the file system, or an edit by hand) is ignored, and the other
-//! one counts: a broken file never lifts a ban. A call succeeds once both copies have it. So of two complete copies the
-//! one with the lower sequence counts: the other holds a call that was rejected or never answered.
+//! The daemon writes two copies in order, each atomically (a temporary file is renamed over it), so that a copy is
+//! either complete or absent. A copy that can't be parsed, such as after a file system failure or a manual edit, is
+//! ignored, and the other copy is used, so that a corrupt file never lifts a ban. A call succeeds once both copies
+//! contain its change. Of two complete copies the one with the lower sequence is used, as the other one contains a call
+//! that was rejected or not answered.
 
 use crate::state::OperatorState;
 use std::io;
@@ -17,12 +18,12 @@
     ]
 }
 
-/// Encodes a copy.
+/// Encodes the state for storage.
 pub fn encode(state: &OperatorState) -> Vec<u8> {
-    serde_json::to_vec(state).expect("a set of strings, a number and a flag are JSON")
+    serde_json::to_vec(state).expect("strings, a number and a flag can be encoded as JSON")
 }
 
-/// Reads a copy; none where it is absent or can't be parsed.
+/// Reads a copy. Returns `None` if it is absent or can't be parsed.
 fn read_copy(path: &Path) -> io::Result<Option<OperatorState>> {
     match std::fs::read(path) {
         Ok(bytes) => Ok(serde_json::from_slice(&bytes).ok()),
@@ -31,13 +32,13 @@
     }
 }
 
-/// Loads the state from a folder; the default where no copy is complete. It is an error if no copy is complete and one
-/// can't be read, as that one may be.
+/// Loads the state from a folder, or the default state if no copy is complete. Returns an error if no copy is complete
+/// and reading one failed, as that copy may be complete.
 pub fn load(folder: &Path) -> io::Result<OperatorState> {
     select_copy(copy_paths(folder).iter().map(|path| read_copy(path)))
 }
 
-/// Chooses the complete copy with the lower sequence, as a call succeeds only once both copies have it.
+/// Selects the complete copy with the lower sequence, as a call succeeds only once both copies contain its change.
 fn select_copy(
     copies: impl Iterator<Item = io::Result<Option<OperatorState>>>,
 ) -> io::Result<OperatorState> {
--- a/admin-api/src/store/tests.rs
+++ b/admin-api/src/store/tests.rs
@@ -1,9 +1,12 @@
-//! Loading two copies that are broken, differ or can't be read.
+//! Loading of two copies that are corrupt, differ or can't be read.
 
 use super::*;
 
 fn folder(name: &str) -> PathBuf {
-    let folder = std::env::temp_dir().join(format!("linnetknot-ops-{name}-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!(
+        "linnetknot-admin-api-{name}-{}",
+        std::process::id()
+    ));
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).unwrap();
     folder
@@ -27,12 +30,12 @@
     assert_eq!(load(&folder).unwrap(), state);
     let [first, second] = copy_paths(&folder);
     std::fs::write(&first, b"{\"sequence\":2,\"bans\":[").unwrap();
-    assert_eq!(load(&folder).unwrap(), state, "the complete copy counts");
+    assert_eq!(load(&folder).unwrap(), state, "the complete copy is loaded");
     std::fs::write(&second, b"").unwrap();
     assert_eq!(
         load(&folder).unwrap(),
         OperatorState::default(),
-        "with no complete copy nothing is loaded"
+        "without a complete copy the default is loaded"
     );
     let mut newer = state.clone();
     newer.sequence = 5;
@@ -42,10 +45,14 @@
     assert_eq!(
         load(&folder).unwrap(),
         state,
-        "of two complete copies the earlier counts: the later call has not succeeded"
+        "of two complete copies the earlier one is loaded, as the later call has not succeeded"
     );
     std::fs::write(&second, b"").unwrap();
-    assert_eq!(load(&folder).unwrap(), newer, "the complete one counts");
+    assert_eq!(
+        load(&folder).unwrap(),
+        newer,
+        "the only complete copy is loaded"
+    );
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
--- a/admin-api/tests/admin.rs
+++ b/admin-api/tests/admin.rs
@@ -54,14 +54,10 @@
             "at {n}"
         );
     }
-    assert_eq!(
-        parser.end(),
-        None,
-        "nothing is owed for a call that was whole"
-    );
+    assert_eq!(parser.end(), None, "a complete call is not truncated");
 }
 
-/// Requests that are no calls, and their errors.
+/// Invalid requests and their errors.
 const INVALID_REQUESTS: [(&str, CallError); 12] = [
     (
         "DELETE /control/ready HTTP/1.1\r\n\r\n",
@@ -148,7 +144,7 @@
     assert_eq!(
         Parser::new().end(),
         None,
-        "a connection that said nothing is owed nothing"
+        "a connection without any bytes is not an error"
     );
 }
 
--- a/admin-api/tests/state.rs
+++ b/admin-api/tests/state.rs
@@ -1,4 +1,4 @@
-//! What calls change, and what follows from it.
+//! The state changes and effects of calls.
 
 use linnetknot_admin_api::state::{OperatorState, IDLE_SWEEP_INTERVAL_US};
 use linnetknot_admin_api::{AdminController, Call, CallOutcome, DrainState, Effect};
@@ -21,7 +21,7 @@
     assert_eq!(
         (reply.status, effect),
         (200, None),
-        "the second call out changes nothing"
+        "a repeated offline call changes nothing"
     );
     assert!(controller.is_banned("pc1"));
     let CallOutcome { reply, effect } =
@@ -30,7 +30,10 @@
         (reply.status, effect),
         (200, Some(Effect::Unban("pc1".into())))
     );
-    assert!(!controller.is_banned("pc1"), "one call back lifts it");
+    assert!(
+        !controller.is_banned("pc1"),
+        "one online call lifts the ban"
+    );
     assert_eq!(
         controller
             .handle_call(4, Call::Offline("other9".into()), is_known, true)
@@ -48,7 +51,7 @@
     assert_eq!(
         controller.state().sequence,
         2,
-        "each change, and only a change, is counted"
+        "the sequence counts only changes"
     );
 }
 
@@ -83,7 +86,7 @@
             .reply
             .status,
         503,
-        "no list yet"
+        "there is no list yet"
     );
     assert_eq!(
         controller
@@ -138,6 +141,6 @@
     assert_eq!(
         AdminController::new(stored_state, 5).drain_state(),
         DrainState::Draining(5),
-        "a drain carries over an upgrade"
+        "a drain continues after an upgrade"
     );
 }
