--- a/admin-api/src/store/tests.rs
+++ b/admin-api/src/store/tests.rs
@@ -14,7 +14,7 @@
 
 #[test]
 fn stored_state_is_loaded_and_an_incomplete_copy_lifts_no_ban() {
-    let folder = folder("torn");
+    let folder = folder("incomplete");
     assert_eq!(load(&folder).unwrap(), OperatorState::default());
     let mut state = OperatorState {
         sequence: 1,
--- a/discovery/tests/endpoint_table.rs
+++ b/discovery/tests/endpoint_table.rs
@@ -525,29 +525,29 @@
         let mut published = PublishedList::default();
         let mut reported = [std::collections::BTreeMap::new(), std::collections::BTreeMap::new()];
         let mut now = SECOND_US;
-        for (first, is_full, wait_ms, changes) in steps {
+        for (is_first, is_full, wait_ms, changes) in steps {
             now += wait_ms * 1000;
-            let at = usize::from(!first);
+            let source_index = usize::from(!is_first);
             let mut seen = std::collections::BTreeSet::new();
             let changes: Vec<_> = changes.into_iter().filter(|(n, _)| seen.insert(*n)).collect();
             if is_full {
-                reported[at].clear();
+                reported[source_index].clear();
             }
             for (n, state) in &changes {
-                reported[at].insert(*n, *state);
+                reported[source_index].insert(*n, *state);
             }
-            let reports = changes.iter().map(|(n, s)| report(&format!("s-{n}"), u16::from(*n), *s)).collect();
+            let reports = changes.iter().map(|(n, state)| report(&format!("s-{n}"), u16::from(*n), *state)).collect();
             let evidence = if is_full { Evidence::Full(reports) } else { Evidence::Delta(reports) };
             published.apply(&table.poll(now));
-            published.apply(&table.apply(now, SourceId(at), evidence));
+            published.apply(&table.apply(now, SourceId(source_index), evidence));
             for n in 0..4u8 {
-                let state_by = |at: usize| reported[at].get(&n).copied().unwrap_or(State::Gone);
+                let state_by = |index: usize| reported[index].get(&n).copied().unwrap_or(State::Gone);
                 let (a, b) = (state_by(0), state_by(1));
-                let published = published.state(&format!("s-{n}"));
+                let published_state = published.state(&format!("s-{n}"));
                 if a == State::Draining || b == State::Draining {
-                    prop_assert!(published != State::Ready, "s-{} is reported as draining", n);
+                    prop_assert!(published_state != State::Ready, "s-{} is reported as draining", n);
                 }
-                prop_assert_eq!(published == State::Gone, a == State::Gone && b == State::Gone, "s-{}: {:?}", n, (a, b));
+                prop_assert_eq!(published_state == State::Gone, a == State::Gone && b == State::Gone, "s-{}: {:?}", n, (a, b));
             }
         }
         while let Some(due) = table.next_due(now) {
--- a/discovery/tests/model.rs
+++ b/discovery/tests/model.rs
@@ -102,8 +102,8 @@
             return;
         }
         for n in 0..2 {
-            for reported in [State::Ready, State::Draining, State::Gone] {
-                actions.push(Step::Delta(1, n, reported));
+            for reported_state in [State::Ready, State::Draining, State::Gone] {
+                actions.push(Step::Delta(1, n, reported_state));
             }
             actions.push(Step::Delta(0, n, State::Draining));
             actions.push(Step::Delta(0, n, State::Ready));
@@ -117,9 +117,9 @@
         let mut next = state.clone();
         next.now += SECOND_US;
         let update = match step {
-            Step::Delta(source, n, reported) => {
-                next.reported[source].insert(n, reported);
-                let evidence = Evidence::Delta(vec![report(UIDS[n], n as u16, reported)]);
+            Step::Delta(source, n, reported_state) => {
+                next.reported[source].insert(n, reported_state);
+                let evidence = Evidence::Delta(vec![report(UIDS[n], n as u16, reported_state)]);
                 next.table.apply(next.now, SourceId(source), evidence)
             }
             Step::FullList(source, n) => {
@@ -156,10 +156,11 @@
             Property::always(
                 "the list is not empty while a cache is listed",
                 |_, state: &ModelState| {
-                    let is_listed = state
-                        .reported
-                        .iter()
-                        .any(|reports| reports.values().any(|reported| *reported != State::Gone));
+                    let is_listed = state.reported.iter().any(|reports| {
+                        reports
+                            .values()
+                            .any(|reported_state| *reported_state != State::Gone)
+                    });
                     !is_listed || !state.published.0.is_empty()
                 },
             ),
