--- a/consul/src/schema.rs
+++ b/consul/src/schema.rs
@@ -126,7 +126,7 @@
     pub(crate) service_id: Field<String>,
 }
 
-/// The error of an element, by what it invalidates.
+/// The error of an element, which invalidates either the instance or the whole response.
 pub(crate) enum ElementError {
     /// Only the instance is skipped.
     Instance(SkippedInstance),
--- a/discovery/src/endpoint_table/mod.rs
+++ b/discovery/src/endpoint_table/mod.rs
@@ -99,7 +99,7 @@
     /// Time at which the cache was first reported at its current address.
     address_since: Micros,
     penalty: Penalty,
-    /// Whether the cache returned with a penalty above the suppression threshold that has not decayed yet.
+    /// Whether the cache returned with a penalty at or above the suppression threshold, which has not decayed yet.
     damped: bool,
     /// The group in which the cache is counted as reported ready.
     ready_group: Option<Group>,
--- a/discovery/src/endpoint_table/publish.rs
+++ b/discovery/src/endpoint_table/publish.rs
@@ -129,8 +129,9 @@
         (published.status == status).then_some(published.since)
     }
 
-    /// Returns the removal that must precede an entry with another address, zone, kind or cell. The decision module
-    /// does not update these attributes of a known cache, so the cache has to be removed and added again.
+    /// Returns the removal that must precede an entry with another address, zone, kind or cell, and records the return
+    /// of the cache. The decision module does not update these attributes of a known cache, so the cache has to be
+    /// removed and added again.
     fn replace_identity(
         &mut self,
         now: Micros,
--- a/discovery/src/validation.rs
+++ b/discovery/src/validation.rs
@@ -1,9 +1,9 @@
 //! Validation of pushed lists before they are applied as evidence.
 //!
 //! A wrong list, such as an empty one, must not make all proxies drop their caches at the same time and overload the
-//! caches that are left. A list may always remove caches that it names. It may not remove more than half of the caches
-//! of a zone and kind by omitting them, restore caches with a revision older than the highest one received, or report a
-//! cache as both ready and gone.
+//! caches that are left. A list may always remove caches that it names. It may not remove more than half of the ready
+//! caches of a zone and kind by omitting them, restore caches with a revision older than the highest one received, or
+//! report a cache as both ready and gone.
 
 use crate::evidence::Entry;
 use linnetknot::{ListMode, State};
@@ -98,7 +98,7 @@
 /// Validates the lists of a source.
 #[derive(Clone, Debug, Default)]
 pub struct ListValidator {
-    /// The highest revision that was accepted.
+    /// The highest revision received.
     rev: Option<u64>,
 }
 
