--- a/replication/src/commit.rs
+++ b/replication/src/commit.rs
@@ -59,7 +59,7 @@
     id: CommitId,
     /// In the log of this epoch.
     index: Index,
-    since: Micros,
+    opened_at: Micros,
 }
 
 /// This proxy's own log, as far as its disk has it.
@@ -76,7 +76,7 @@
     /// The durable index of each peer, by epoch of this writer.
     durable: BTreeMap<Epoch, BTreeMap<usize, Index>>,
     /// The process of each peer that reported it.
-    process: BTreeMap<usize, u64>,
+    processes: BTreeMap<usize, u64>,
     /// The machine of each peer, the failure domain of its replica.
     machines: Vec<Machine>,
     own: Machine,
@@ -91,7 +91,7 @@
         if (self.own, &self.machines) != (own, &machines) {
             (self.own, self.machines) = (own, machines);
             self.durable.clear();
-            self.process.clear();
+            self.processes.clear();
         }
     }
 
@@ -103,12 +103,12 @@
     /// Records a peer's durable index of an epoch. Within one process it only grows, so that a delayed message takes
     /// nothing back; the next process may have lost the disk and starts anew.
     pub(crate) fn record_ack(&mut self, peer: usize, process: u64, epoch: Epoch, index: Index) {
-        let known = self.process.get(&peer).copied().unwrap_or(0);
+        let known = self.processes.get(&peer).copied().unwrap_or(0);
         if peer >= self.machines.len() || process < known {
             return;
         }
         if process > known {
-            self.process.insert(peer, process);
+            self.processes.insert(peer, process);
             for durable in self.durable.values_mut() {
                 durable.remove(&peer);
             }
@@ -168,13 +168,13 @@
         self.pending.push_back(PendingCommit {
             id: self.last_id,
             index,
-            since: now,
+            opened_at: now,
         });
         Ok(self.last_id)
     }
 
     /// Returns whether any commit is pending.
-    pub(crate) fn is_waiting(&self) -> bool {
+    pub(crate) fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
@@ -182,7 +182,7 @@
     pub(crate) fn next_timeout(&self, timeout_us: Micros) -> Option<Micros> {
         self.pending
             .front()
-            .map(|pending| pending.since + timeout_us)
+            .map(|pending| pending.opened_at + timeout_us)
     }
 
     /// Takes out the commits that are given or rejected by now.
@@ -220,11 +220,13 @@
         replicated: Index,
         options: &Options,
     ) -> Option<Result<Micros, RejectReason>> {
-        let PendingCommit { index, since, .. } = pending;
+        let PendingCommit {
+            index, opened_at, ..
+        } = pending;
         let is_durable = own.durable_index >= index;
-        let has_timed_out = since + options.commit_timeout_us <= now;
+        let has_timed_out = opened_at + options.commit_timeout_us <= now;
         if is_durable && replicated >= index {
-            return Some(Ok(now.saturating_sub(since)));
+            return Some(Ok(now.saturating_sub(opened_at)));
         }
         if own.unsynced.is_failed(own.log, index) || !is_durable && has_timed_out {
             return Some(Err(RejectReason::Disk));
--- a/replication/src/compaction.rs
+++ b/replication/src/compaction.rs
@@ -117,7 +117,7 @@
             let unsuperseded = entries
                 .iter()
                 .filter(|entry| !superseded.contains(&entry.index));
-            buckets.extend(unsuperseded.filter_map(|entry| self.record(now, entry)));
+            buckets.extend(unsuperseded.filter_map(|entry| self.record_in_table(now, entry)));
             compaction.entries.extend(entries);
         }
         compaction.buckets = buckets.into_iter().collect();
@@ -175,7 +175,7 @@
 
     /// Records a purge in the table, no later than now: a copy that is made from now on is younger than the purge,
     /// whichever clock gave the purge its time.
-    pub(crate) fn record(&mut self, now: Micros, entry: &Entry) -> Option<BucketIndex> {
+    pub(crate) fn record_in_table(&mut self, now: Micros, entry: &Entry) -> Option<BucketIndex> {
         let key = entry.subject.purge_key()?;
         Some(self.table.record(key, entry.at.min(now)))
     }
--- a/replication/src/log_store/mod.rs
+++ b/replication/src/log_store/mod.rs
@@ -228,7 +228,7 @@
 
     /// Stores an entry that came with a snapshot, within the index to which the snapshot raised its log. Returns whether
     /// the entry is newly in force.
-    pub(crate) fn take_retained(&mut self, entry: &Entry) -> bool {
+    pub(crate) fn insert_retained(&mut self, entry: &Entry) -> bool {
         let key = SubjectKey {
             subject: entry.subject.clone(),
             log: entry.log,
@@ -321,7 +321,7 @@
     /// Records a purge in the table, too, if its log is compacted through its index.
     fn record_if_compacted(&mut self, entry: &Entry) {
         if entry.index <= self.compacted_through(entry.log) {
-            self.record(Micros::MAX, entry);
+            self.record_in_table(Micros::MAX, entry);
         }
     }
 
--- a/replication/src/log_store/statuses.rs
+++ b/replication/src/log_store/statuses.rs
@@ -19,7 +19,7 @@
     }
 
     /// Starts the expiry of an entry that another process wrote: it is stored as long as one that is written now.
-    pub(crate) fn begin_expiry(&mut self, now: Micros, entry: &Entry) {
+    pub(crate) fn start_expiry(&mut self, now: Micros, entry: &Entry) {
         let key = EntryKey {
             log: entry.log,
             index: entry.index,
@@ -38,7 +38,7 @@
     /// again and again.
     ///
     /// The deletion of a trigger is stored twice as long, for as long as any proxy may still have the status.
-    pub fn expire(&mut self, now: Micros, keep: Micros) -> Vec<Entry> {
+    pub fn expire(&mut self, now: Micros, retention_us: Micros) -> Vec<Entry> {
         let first = SubjectKey::first(Subject::TriggerStatusPart {
             number: 0,
             part: 0,
@@ -49,17 +49,18 @@
             log: key.log,
             index: *index,
         });
-        let is_over = |key: &EntryKey| {
+        let is_removable = |key: &EntryKey| {
             let record = self.live.get(key);
             key.index != self.last_index(key.log)
                 && record.is_some_and(|record| {
                     let first_seen = self.first_seen.get(key).copied();
-                    is_over(record, first_seen, now, keep)
+                    has_expired(record, first_seen, now, retention_us)
                 })
         };
-        let mut over: Vec<EntryKey> = keys.filter(is_over).collect();
-        over.sort_unstable();
-        over.into_iter()
+        let mut expired: Vec<EntryKey> = keys.filter(is_removable).collect();
+        expired.sort_unstable();
+        expired
+            .into_iter()
             .filter_map(|key| self.remove(key))
             .collect()
     }
@@ -133,13 +134,19 @@
 }
 
 /// Returns whether a record has expired that is stored for `keep`.
-fn is_over(record: &Record, first_seen: Option<Micros>, now: Micros, keep: Micros) -> bool {
-    let keep = if matches!(record.subject, Subject::TriggerDeleted { .. }) {
-        2 * keep
+fn has_expired(
+    record: &Record,
+    first_seen: Option<Micros>,
+    now: Micros,
+    retention_us: Micros,
+) -> bool {
+    let retention_us = if matches!(record.subject, Subject::TriggerDeleted { .. }) {
+        2 * retention_us
     } else {
-        keep
+        retention_us
     };
     // A record that was not first seen was written by this process, by the clock of `now`.
     let since = first_seen.unwrap_or(record.at);
-    since.saturating_add(keep) <= now || record.at.saturating_add(keep + MAX_CLOCK_SKEW_US) <= now
+    since.saturating_add(retention_us) <= now
+        || record.at.saturating_add(retention_us + MAX_CLOCK_SKEW_US) <= now
 }
--- a/replication/src/reorder.rs
+++ b/replication/src/reorder.rs
@@ -13,7 +13,7 @@
 
 impl ReorderBuffer {
     /// Stores an entry unless there are `max_len` already. Returns whether it was new.
-    pub(crate) fn put(&mut self, entry: &Entry, max_len: usize) -> bool {
+    pub(crate) fn insert(&mut self, entry: &Entry, max_len: usize) -> bool {
         if self.len >= max_len {
             return false;
         }
@@ -25,7 +25,7 @@
 
     /// Takes out the entry that follows `last_index` in a log, if it is here. Entries that the replica has received
     /// otherwise by now are dropped.
-    pub(crate) fn next(&mut self, log: LogId, last_index: Index) -> Option<Entry> {
+    pub(crate) fn take_next(&mut self, log: LogId, last_index: Index) -> Option<Entry> {
         let out_of_order = self.logs.get_mut(&log)?;
         let mut next = None;
         while let Some(first) = out_of_order.first_entry() {
--- a/replication/src/replica/catch_up.rs
+++ b/replication/src/replica/catch_up.rs
@@ -15,7 +15,7 @@
 /// A peer that was offered a snapshot in so many digest periods and never answered has a version without snapshots.
 const MIN_UNANSWERED_PERIODS: u32 = 64;
 /// An image that was not read for so many digest periods is dropped.
-const MAX_IMAGE_PERIODS: u64 = 64;
+const MAX_IMAGE_IDLE_PERIODS: u64 = 64;
 /// The most datagrams that request from the sender of a snapshot the entries after it.
 const MAX_REQUESTS_AFTER_SNAPSHOT: usize = 16;
 /// While a peer reads a snapshot, compaction is deferred until one part in so many is stored beyond the usual bound: the
@@ -33,11 +33,11 @@
 
 /// Offers to a peer since it last answered one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub(super) struct Offers {
+pub(super) struct UnansweredOffers {
     /// The number of digest periods with an offer.
     periods: u32,
     /// The last of them.
-    last: u64,
+    last_period: u64,
 }
 
 impl Replica {
@@ -71,7 +71,8 @@
     /// Returns whether this replica knows that it is behind what peers have compacted. Until it has that, purges may be
     /// missing here that no log will bring.
     pub fn is_catching_up(&self) -> bool {
-        self.catch_up.is_open(|log| self.log_store.last_index(log))
+        self.catch_up
+            .is_behind(|log| self.log_store.last_index(log))
     }
 
     /// Returns the peers that were offered a snapshot again and again and did not answer, as those of a version without
@@ -87,10 +88,10 @@
     /// Returns the offer of a snapshot to a peer.
     pub(super) fn offer(&mut self, peer: usize, logs: Vec<CompactedLog>) -> Datagram {
         let offers = self.offers.entry(peer).or_default();
-        if offers.last != self.period || offers.periods == 0 {
-            *offers = Offers {
+        if offers.last_period != self.period || offers.periods == 0 {
+            *offers = UnansweredOffers {
                 periods: offers.periods + 1,
-                last: self.period,
+                last_period: self.period,
             };
         }
         self.counters.snapshots_offered += 1;
@@ -105,7 +106,7 @@
     /// Requests the next part of a snapshot from its sender, or the missing logs from any peer.
     pub(super) fn request_snapshot(&mut self, now: Micros, outgoing: &mut Vec<Outgoing>) {
         let store = &self.log_store;
-        let peers = self.pending.peer_count();
+        let peers = self.pending_commits.peer_count();
         let last_index = |log| store.last_index(log);
         match self.catch_up.tick(now, &self.options, last_index) {
             None => {}
@@ -132,16 +133,20 @@
         }
     }
 
-    pub(super) fn take_offer(&mut self, from: usize, offer: &SnapshotOffer) -> Received {
+    pub(super) fn receive_offer(&mut self, from: usize, offer: &SnapshotOffer) -> Received {
         self.offers.remove(&from);
         let store = &self.log_store;
         self.catch_up
-            .offer(from, offer, |log| store.last_index(log));
+            .receive_offer(from, offer, |log| store.last_index(log));
         Received::default()
     }
 
     /// Replies with a part of a snapshot. A request to an earlier process is answered by an offer of this one.
-    pub(super) fn take_request(&mut self, from: usize, request: SnapshotRequest) -> Received {
+    pub(super) fn receive_snapshot_request(
+        &mut self,
+        from: usize,
+        request: SnapshotRequest,
+    ) -> Received {
         self.offers.remove(&from);
         let mut received = Received::default();
         if request.process == self.process {
@@ -165,14 +170,14 @@
             .take()
             .filter(|image| !is_start || image.compactions == self.compactions);
         current.unwrap_or_else(|| {
-            self.images += 1;
-            Image::new(&self.log_store, self.images, self.compactions)
+            self.image_count += 1;
+            Image::new(&self.log_store, self.image_count, self.compactions)
         })
     }
 
     /// Drops the image if no peer has read it lately.
     pub(super) fn drop_unread_image(&mut self) {
-        if self.period - self.image_period > MAX_IMAGE_PERIODS {
+        if self.period - self.image_period > MAX_IMAGE_IDLE_PERIODS {
             self.image = None;
         }
     }
@@ -209,7 +214,7 @@
         self.counters.snapshot_chunks_sent += chunks as u64;
     }
 
-    pub(super) fn take_chunk(
+    pub(super) fn receive_chunk(
         &mut self,
         now: Micros,
         from: usize,
@@ -218,7 +223,9 @@
         self.offers.remove(&from);
         let mut received = Received::default();
         self.merge_buckets(now, &chunk.content, &mut received);
-        if let Progress::Complete(complete) = self.catch_up.chunk(from, chunk, &self.options) {
+        if let Progress::Complete(complete) =
+            self.catch_up.receive_chunk(from, chunk, &self.options)
+        {
             self.complete_snapshot(from, complete, &mut received);
         }
         received
@@ -235,11 +242,11 @@
             return;
         };
         let table = &mut self.log_store.table;
-        for placed in buckets {
-            let bucket = placed.bucket.no_later_than(now);
+        for indexed in buckets {
+            let bucket = indexed.bucket.no_later_than(now);
             // Decoding has checked the index, so that the merge does not fail.
             let changed = table
-                .merge_bucket(*bucket_bits, placed.index, &bucket)
+                .merge_bucket(*bucket_bits, indexed.index, &bucket)
                 .unwrap_or_default();
             let bucket_bits = table.bucket_bits();
             let merged = changed.into_iter().filter_map(|index| {
@@ -279,7 +286,7 @@
             let is_missing = last_indexes
                 .get(&entry.log)
                 .is_some_and(|last| entry.index > *last);
-            if is_missing && self.log_store.take_retained(&entry) {
+            if is_missing && self.log_store.insert_retained(&entry) {
                 self.counters.inserted += 1;
                 self.unsynced.insert(entry.log, entry.index);
                 received.new.push(entry);
@@ -290,7 +297,7 @@
         self.request_after_snapshot(&received.compacted, &mut received.replies);
         last_indexes
             .into_keys()
-            .for_each(|log| self.take_reordered(from, log, received));
+            .for_each(|log| self.insert_reordered(from, log, received));
     }
 
     /// Requests the entries after a snapshot from its sender, as other peers may have compacted more by then.
--- a/replication/src/replica/commits.rs
+++ b/replication/src/replica/commits.rs
@@ -15,12 +15,12 @@
     /// # Errors
     /// Fails if too many commits are pending.
     pub fn open_commit(&mut self, now: Micros, index: Index) -> Result<CommitId, RejectReason> {
-        if !self.pending.is_waiting() {
+        if !self.pending_commits.has_pending() {
             // The entry was sent to the peers just now, and is sent again only after a while.
             self.next_retry = now + self.options.retry_us;
         }
         let opened = self
-            .pending
+            .pending_commits
             .open(now, index, self.options.max_pending_commits);
         self.counters.commits_rejected += u64::from(opened.is_err());
         opened
@@ -33,7 +33,7 @@
             durable_index: self.durable_index(self.own),
             unsynced: &self.unsynced,
         };
-        let outcomes = self.pending.resolve(now, own, &self.options);
+        let outcomes = self.pending_commits.resolve(now, own, &self.options);
         let given = outcomes.iter().filter(|o| o.result.is_ok()).count() as u64;
         self.counters.committed += given;
         self.counters.commits_rejected += outcomes.len() as u64 - given;
@@ -136,7 +136,7 @@
         let replicas = self.options.replication_factor;
         let under_replicated = |position: LogPosition| {
             let log = position.log;
-            let replicated = self.pending.replicated_through(log.epoch, replicas);
+            let replicated = self.pending_commits.replicated_through(log.epoch, replicas);
             self.log_store.live_after(log, replicated).count()
         };
         self.own_epochs().into_iter().map(under_replicated).sum()
@@ -151,6 +151,6 @@
 
     /// Returns a peer's durable index of the log of this epoch, as far as it is known.
     pub fn acked_by(&self, peer: usize) -> Index {
-        self.pending.acked_by(peer, self.own.epoch)
+        self.pending_commits.acked_by(peer, self.own.epoch)
     }
 }
--- a/replication/src/replica/exchange.rs
+++ b/replication/src/replica/exchange.rs
@@ -37,14 +37,14 @@
     pub fn receive(&mut self, now: Micros, from: usize, datagram: Datagram) -> Received {
         let received = self.receive_datagram(now, from, datagram);
         for entry in &received.new {
-            self.log_store.begin_expiry(now, entry);
+            self.log_store.start_expiry(now, entry);
         }
         received
     }
 
     fn receive_datagram(&mut self, now: Micros, from: usize, datagram: Datagram) -> Received {
         match datagram {
-            Datagram::Entry(entry) => self.take(from, entry),
+            Datagram::Entry(entry) => self.receive_entry(from, entry),
             Datagram::RangeRequest { positions } => self.compare(from, &positions).received,
             Datagram::GapRequest { log, gaps } => {
                 let ranges = gaps.into_iter().map(|gap| Range { log, gap });
@@ -55,30 +55,31 @@
                 ..Received::default()
             },
             Datagram::Ack { process, positions } => {
-                self.take_ack(from, process, &positions);
+                self.receive_ack(from, process, &positions);
                 Received::default()
             }
             Datagram::Digest {
                 positions,
                 log_count,
                 checksum,
-            } => self.take_digest(from, &positions, log_count, checksum),
-            Datagram::SnapshotOffer(offer) => self.take_offer(from, &offer),
-            Datagram::SnapshotRequest(request) => self.take_request(from, request),
-            Datagram::SnapshotChunk(chunk) => self.take_chunk(now, from, &chunk),
+            } => self.receive_digest(from, &positions, log_count, checksum),
+            Datagram::SnapshotOffer(offer) => self.receive_offer(from, &offer),
+            Datagram::SnapshotRequest(request) => self.receive_snapshot_request(from, request),
+            Datagram::SnapshotChunk(chunk) => self.receive_chunk(now, from, &chunk),
         }
     }
 
     /// Records what a peer has of this proxy's own logs; only their writer needs to know.
-    fn take_ack(&mut self, from: usize, process: u64, positions: &[LogPosition]) {
+    fn receive_ack(&mut self, from: usize, process: u64, positions: &[LogPosition]) {
         for LogPosition { log, index } in positions {
             if log.writer == self.own.writer {
-                self.pending.record_ack(from, process, log.epoch, *index);
+                self.pending_commits
+                    .record_ack(from, process, log.epoch, *index);
             }
         }
     }
 
-    fn take_digest(
+    fn receive_digest(
         &mut self,
         from: usize,
         positions: &[LogPosition],
@@ -104,28 +105,31 @@
         } else if is_equal {
             // The logs that it named are the same here: the difference is in others.
             received.replies.push(Datagram::RangeRequest {
-                positions: self.some_positions(),
+                positions: self.next_positions(),
             });
         }
         received
     }
 
-    fn take(&mut self, from: usize, entry: Entry) -> Received {
+    fn receive_entry(&mut self, from: usize, entry: Entry) -> Received {
         let mut received = Received::default();
         let log = entry.log;
-        self.take_one(from, entry, &mut received);
-        self.take_reordered(from, log, &mut received);
+        self.insert_entry(from, entry, &mut received);
+        self.insert_reordered(from, log, &mut received);
         received
     }
 
     /// Takes the entries of a log from the reorder buffer that follow now.
-    pub(super) fn take_reordered(&mut self, from: usize, log: LogId, received: &mut Received) {
-        while let Some(next) = self.reorder.next(log, self.log_store.last_index(log)) {
-            self.take_one(from, next, received);
+    pub(super) fn insert_reordered(&mut self, from: usize, log: LogId, received: &mut Received) {
+        while let Some(next) = self
+            .reorder_buffer
+            .take_next(log, self.log_store.last_index(log))
+        {
+            self.insert_entry(from, next, received);
         }
     }
 
-    fn take_one(&mut self, from: usize, entry: Entry, received: &mut Received) {
+    fn insert_entry(&mut self, from: usize, entry: Entry, received: &mut Received) {
         let (log, index) = (entry.log, entry.index);
         match self.log_store.try_insert(&entry, self.capacity()) {
             Insertion::New => {
@@ -147,10 +151,13 @@
             }
             Insertion::OutOfOrder => {
                 self.counters.out_of_order += 1;
-                if self.reorder.put(&entry, self.options.max_reordered_entries) {
+                if self
+                    .reorder_buffer
+                    .insert(&entry, self.options.max_reordered_entries)
+                {
                     self.reset_gap_requests();
                 }
-                self.reorder_from = from;
+                self.reorder_sender = from;
                 received.out_of_order.push(entry);
             }
             Insertion::Rejected(CapacityExceeded) => {
@@ -200,7 +207,7 @@
         for range in ranges {
             let through = self.log_store.compacted_through(range.log);
             if range.gap.after >= through {
-                self.send(range, &mut received.replies);
+                self.send_range(range, &mut received.replies);
             } else if compacted.len() < MAX_LOGS_PER_DATAGRAM {
                 compacted.push(CompactedLog {
                     log: range.log,
@@ -215,7 +222,7 @@
     }
 
     /// Sends the entries of a part of a log, as many as this period leaves.
-    fn send(&mut self, range: Range, replies: &mut Vec<Datagram>) {
+    fn send_range(&mut self, range: Range, replies: &mut Vec<Datagram>) {
         let capacity = self.options.max_entries_per_reply.min(self.allowance);
         let before = replies.len();
         let entries = self.log_store.entries_after(range.log, range.gap.after);
--- a/replication/src/replica/mod.rs
+++ b/replication/src/replica/mod.rs
@@ -13,7 +13,7 @@
     Capacity, CapacityExceeded, Counters, Datagram, Entry, Index, LogId, LogPosition, LogStore,
     Machine, Micros, Options, Outgoing, Record, Subject,
 };
-use catch_up::{Offers, PendingSnapshot};
+use catch_up::{PendingSnapshot, UnansweredOffers};
 use linnetknot_datagram::Random;
 use std::collections::BTreeMap;
 
@@ -38,9 +38,9 @@
     /// This process; later processes of the proxy have greater ids.
     process: u64,
     log_store: LogStore,
-    reorder: ReorderBuffer,
+    reorder_buffer: ReorderBuffer,
     /// The peer that sent the last entry out of order.
-    reorder_from: usize,
+    reorder_sender: usize,
     /// Set while entries are out of order.
     gap_request: Option<GapRequestTimer>,
     options: Options,
@@ -53,27 +53,27 @@
     /// The bytes of snapshots that may still be sent in this period.
     snapshot_allowance: usize,
     /// The log with which the next digest begins, if not all fit into one.
-    next: Option<LogId>,
+    next_digest_log: Option<LogId>,
     /// Entries that are not on this proxy's disk.
     unsynced: Unsynced,
     /// Logs that a snapshot raised, until that is on the disk.
     pending_snapshots: BTreeMap<LogId, PendingSnapshot>,
     /// The peers that wait for an acknowledgement, by log, and the index that they wait for.
     pending_acks: BTreeMap<(LogId, usize), Index>,
-    pending: PendingCommits,
+    pending_commits: PendingCommits,
     /// When unacknowledged entries are sent again.
     next_retry: Micros,
     /// How often anything was compacted here, or came with a snapshot.
     compactions: u64,
     /// The number of images so far, the last image, and the period in which it was last read.
-    images: u64,
+    image_count: u64,
     image: Option<Image>,
     image_period: u64,
     /// When compaction is tried again after it could move nothing.
     next_compaction: Micros,
     catch_up: CatchUp,
     /// Snapshots offered to peers that have not answered yet.
-    offers: BTreeMap<usize, Offers>,
+    offers: BTreeMap<usize, UnansweredOffers>,
     counters: Counters,
 }
 
@@ -86,8 +86,8 @@
             own,
             process,
             log_store,
-            reorder: ReorderBuffer::default(),
-            reorder_from: 0,
+            reorder_buffer: ReorderBuffer::default(),
+            reorder_sender: 0,
             gap_request: None,
             options,
             random,
@@ -95,14 +95,14 @@
             period: 0,
             allowance: options.max_entries_per_period,
             snapshot_allowance: options.max_snapshot_bytes_per_period,
-            next: None,
+            next_digest_log: None,
             unsynced: Unsynced::default(),
             pending_snapshots: BTreeMap::new(),
             pending_acks: BTreeMap::new(),
-            pending: PendingCommits::default(),
+            pending_commits: PendingCommits::default(),
             next_retry: 0,
             compactions: 0,
-            images: 0,
+            image_count: 0,
             image: None,
             image_period: 0,
             next_compaction: 0,
@@ -138,7 +138,7 @@
     /// Sets the machines of this proxy and of its peers. From here on peers are identified by their indexes in this list.
     pub fn set_peers(&mut self, own: Machine, peers: Vec<Machine>) {
         let count = peers.len();
-        self.pending.set_peers(own, peers);
+        self.pending_commits.set_peers(own, peers);
         // Pending acknowledgements and a snapshot in progress are kept: acknowledgements are true whoever receives them,
         // and a writer whose peer's machine becomes known between an entry and its sync would have to request them.
         self.pending_acks.retain(|(_, peer), _| *peer < count);
@@ -187,10 +187,12 @@
 
     /// Returns when [`Replica::tick`] or [`Replica::resolve_commits`] is to be called next.
     pub fn due(&self) -> Micros {
-        let timeout = self.pending.next_timeout(self.options.commit_timeout_us);
+        let timeout = self
+            .pending_commits
+            .next_timeout(self.options.commit_timeout_us);
         let commit = timeout.map(|timeout| timeout.min(self.next_retry));
-        let gap_request =
-            (!self.reorder.is_empty()).then_some(self.gap_request.map_or(0, |timer| timer.due));
+        let gap_request = (!self.reorder_buffer.is_empty())
+            .then_some(self.gap_request.map_or(0, |timer| timer.due));
         let catch_up = self.catch_up.due();
         [commit, gap_request, catch_up]
             .into_iter()
@@ -204,10 +206,10 @@
         let mut outgoing = Vec::new();
         self.request_gaps(now, &mut outgoing);
         self.request_snapshot(now, &mut outgoing);
-        let (is_waiting, is_due) = (self.pending.is_waiting(), now >= self.due);
+        let (has_pending, is_due) = (self.pending_commits.has_pending(), now >= self.due);
         if is_due {
             self.begin_period(now, &mut outgoing);
-        } else if !is_waiting || now < self.next_retry {
+        } else if !has_pending || now < self.next_retry {
             return outgoing;
         }
         self.next_retry = now + self.options.retry_us;
@@ -225,7 +227,7 @@
         self.drop_unread_image();
         self.allowance = self.options.max_entries_per_period;
         self.snapshot_allowance = self.options.max_snapshot_bytes_per_period;
-        let peers = self.pending.peer_count();
+        let peers = self.pending_commits.peer_count();
         if peers > 0 {
             let peer = self.random.below(peers as u64) as usize;
             let datagram = self.digest();
@@ -235,8 +237,8 @@
 
     /// Requests the gaps before entries that arrived out of order, when it is time.
     fn request_gaps(&mut self, now: Micros, outgoing: &mut Vec<Outgoing>) {
-        let peers = self.pending.peer_count();
-        if self.reorder.is_empty() || peers == 0 {
+        let peers = self.pending_commits.peer_count();
+        if self.reorder_buffer.is_empty() || peers == 0 {
             self.gap_request = None;
             return;
         }
@@ -260,8 +262,10 @@
             unanswered: unanswered + 1,
         });
         let peer = self.gap_request_target(peers);
-        for log in self.reorder.logs().take(MAX_GAP_LOGS) {
-            let gaps = self.reorder.gaps(log, self.log_store.last_index(log));
+        for log in self.reorder_buffer.logs().take(MAX_GAP_LOGS) {
+            let gaps = self
+                .reorder_buffer
+                .gaps(log, self.log_store.last_index(log));
             let messages = gaps.chunks(MAX_GAPS_PER_DATAGRAM).take(MAX_GAP_LOGS);
             outgoing.extend(messages.map(|gaps| {
                 let datagram = Datagram::GapRequest {
@@ -280,7 +284,7 @@
         if drawn < peers {
             drawn
         } else {
-            self.reorder_from
+            self.reorder_sender
         }
     }
 
@@ -291,8 +295,9 @@
             let Some(entry) = self.log_store.entries_after(log, last - 1).next() else {
                 continue;
             };
-            let peers = 0..self.pending.peer_count();
-            for peer in peers.filter(|peer| self.pending.acked_by(*peer, log.epoch) < last) {
+            let peers = 0..self.pending_commits.peer_count();
+            for peer in peers.filter(|peer| self.pending_commits.acked_by(*peer, log.epoch) < last)
+            {
                 if self.allowance == 0 {
                     return;
                 }
@@ -308,24 +313,24 @@
     /// Returns a digest of its logs. A replica without any sends one too, as that is how it receives them.
     fn digest(&mut self) -> Datagram {
         Datagram::Digest {
-            positions: self.some_positions(),
+            positions: self.next_positions(),
             log_count: self.log_store.log_count() as u64,
             checksum: self.log_store.checksum(),
         }
     }
 
     /// Returns the positions of as many logs as fit into a datagram, of different ones each time.
-    fn some_positions(&mut self) -> Vec<LogPosition> {
+    fn next_positions(&mut self) -> Vec<LogPosition> {
         let all = self.log_store.last_indexes();
         let first = self
-            .next
+            .next_digest_log
             .and_then(|next| all.iter().position(|position| position.log >= next))
             .unwrap_or(0);
         let count = all.len().min(MAX_LOGS_PER_DATAGRAM);
         let cyclic = all.iter().cycle().skip(first);
         let some: Vec<LogPosition> = cyclic.take(count).copied().collect();
         let next = all.get((first + some.len()) % all.len().max(1));
-        self.next = next.map(|position| position.log);
+        self.next_digest_log = next.map(|position| position.log);
         some
     }
 }
--- a/replication/src/snapshot/encoding.rs
+++ b/replication/src/snapshot/encoding.rs
@@ -6,7 +6,7 @@
 
 /// The most bytes that the items of a chunk may take.
 pub(crate) const MAX_CONTENT_BYTES: usize =
-    MAX_DATAGRAM_BYTES - wire::CHUNK_MARK.len() - encoded_len::HEAD;
+    MAX_DATAGRAM_BYTES - wire::CHUNK_PREFIX.len() - encoded_len::HEAD;
 /// Bytes of an entry besides its subject.
 const ENTRY_HEAD_BYTES: usize = 33;
 /// Bytes of a bucket besides its encoding.
@@ -18,7 +18,7 @@
 const BUCKETS: u8 = 1;
 const ENTRIES: u8 = 2;
 /// Added to the kind of a chunk that ends a window.
-const ENDS_WINDOW: u8 = 0x80;
+const ENDS_WINDOW_FLAG: u8 = 0x80;
 
 /// Returns whether an entry on a subject can be sent in a chunk.
 pub(crate) fn fits(subject: &Subject) -> bool {
@@ -67,7 +67,7 @@
         SnapshotContent::Entries(_) => ENTRIES,
     };
     bytes.push(if chunk.ends_window {
-        kind | ENDS_WINDOW
+        kind | ENDS_WINDOW_FLAG
     } else {
         kind
     });
@@ -164,8 +164,8 @@
     let kind = reader.byte()?;
     let (process, image) = (reader.number()?, reader.number()?);
     let (from, next) = (reader.cursor()?, reader.cursor()?);
-    let content = reader.content(kind & !ENDS_WINDOW)?;
-    let ends_window = kind & ENDS_WINDOW != 0;
+    let content = reader.content(kind & !ENDS_WINDOW_FLAG)?;
+    let ends_window = kind & ENDS_WINDOW_FLAG != 0;
     let chunk = SnapshotChunk {
         process,
         image,
@@ -258,10 +258,10 @@
 
     fn content(&mut self, kind: u8) -> Option<SnapshotContent> {
         match kind {
-            LOGS => self.all(Self::compacted).map(SnapshotContent::Logs),
+            LOGS => self.read_all(Self::compacted).map(SnapshotContent::Logs),
             BUCKETS => {
                 let bucket_bits = BucketBits::new(self.byte()?).ok()?;
-                let buckets = self.all(Self::bucket)?;
+                let buckets = self.read_all(Self::bucket)?;
                 let exist = buckets
                     .iter()
                     .all(|indexed| (indexed.index.value() as usize) < bucket_bits.buckets());
@@ -270,13 +270,13 @@
                     buckets,
                 })
             }
-            ENTRIES => self.all(Self::entry).map(SnapshotContent::Entries),
+            ENTRIES => self.read_all(Self::entry).map(SnapshotContent::Entries),
             _ => None,
         }
     }
 
     /// Reads all items up to the end.
-    fn all<T>(&mut self, read: impl Fn(&mut Self) -> Option<T>) -> Option<Vec<T>> {
+    fn read_all<T>(&mut self, read: impl Fn(&mut Self) -> Option<T>) -> Option<Vec<T>> {
         let mut items = Vec::new();
         while !self.bytes.is_empty() {
             items.push(read(self)?);
--- a/replication/src/snapshot/receiver.rs
+++ b/replication/src/snapshot/receiver.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// How often, once a digest period, peers are asked for the logs that a snapshot which was given up would have brought.
-const MAX_ROUNDS: u32 = 120;
+const MAX_REQUEST_ROUNDS: u32 = 120;
 /// After a snapshot no other one is received for so many digest periods: peers compact at different times, and most of
 /// what another snapshot would bring arrives as entries meanwhile.
 const SETTLING_PERIODS: u64 = 20;
@@ -67,7 +67,7 @@
 
 impl CatchUp {
     /// Receives a peer's offer of a snapshot.
-    pub(crate) fn offer(
+    pub(crate) fn receive_offer(
         &mut self,
         peer: usize,
         offer: &SnapshotOffer,
@@ -101,16 +101,16 @@
 
     /// Receives a chunk, whose buckets are merged whoever sent it. The rest is used only if it is of the snapshot that is
     /// being received.
-    pub(crate) fn chunk(
+    pub(crate) fn receive_chunk(
         &mut self,
         peer: usize,
         chunk: &SnapshotChunk,
         options: &Options,
     ) -> Progress {
-        let is_its_own =
+        let is_from_sender =
             |transfer: &&mut Transfer| transfer.peer == peer && transfer.process == chunk.process;
-        let transfer = self.transfer.as_mut().filter(is_its_own);
-        if !transfer.is_some_and(|transfer| transfer.take(chunk, options)) {
+        let transfer = self.transfer.as_mut().filter(is_from_sender);
+        if !transfer.is_some_and(|transfer| transfer.receive(chunk, options)) {
             return Progress::Incomplete;
         }
         let transfer = self.transfer.take();
@@ -166,7 +166,7 @@
         if self.missing.is_empty() || now < self.next_round {
             return None;
         }
-        if self.rounds >= MAX_ROUNDS {
+        if self.rounds >= MAX_REQUEST_ROUNDS {
             // No peer has any more what was offered.
             self.missing.clear();
             return None;
@@ -187,7 +187,7 @@
     }
 
     /// Returns whether a snapshot is missing.
-    pub(crate) fn is_open(&self, last_index: impl Fn(LogId) -> Index) -> bool {
+    pub(crate) fn is_behind(&self, last_index: impl Fn(LogId) -> Index) -> bool {
         let is_behind = |(log, through): (&LogId, &Index)| last_index(*log) < *through;
         self.transfer.is_some() || self.missing.iter().any(is_behind)
     }
--- a/replication/src/snapshot/transfer.rs
+++ b/replication/src/snapshot/transfer.rs
@@ -16,7 +16,7 @@
     /// The peer's process.
     pub(super) process: u64,
     /// Everything before this cursor has arrived.
-    covered: SnapshotCursor,
+    received_through: SnapshotCursor,
     /// The parts after it that have arrived, by their start, and their ends.
     out_of_order: BTreeMap<SnapshotCursor, SnapshotCursor>,
     /// The indexes through which the logs are compacted.
@@ -49,7 +49,7 @@
         Transfer {
             peer,
             process,
-            covered: SnapshotCursor::START,
+            received_through: SnapshotCursor::START,
             out_of_order: BTreeMap::new(),
             logs: BTreeMap::new(),
             image: 0,
@@ -77,12 +77,12 @@
         self.due = now + options.snapshot_timeout_us;
         Some(SnapshotRequest {
             process: self.process,
-            from: self.covered,
+            from: self.received_through,
         })
     }
 
     /// Takes a chunk of this transfer. Returns whether the snapshot is complete.
-    pub(super) fn take(&mut self, chunk: &SnapshotChunk, options: &Options) -> bool {
+    pub(super) fn receive(&mut self, chunk: &SnapshotChunk, options: &Options) -> bool {
         if !self.is_current(chunk) {
             return false;
         }
@@ -90,20 +90,20 @@
             let next_request = self.requested_at.map(|at| at + options.snapshot_request_us);
             self.due = next_request.unwrap_or(self.due).min(self.due);
         }
-        let is_new =
-            chunk.next > self.covered && self.out_of_order.get(&chunk.from) < Some(&chunk.next);
-        if is_new && self.cover(chunk.from, chunk.next) {
+        let is_new = chunk.next > self.received_through
+            && self.out_of_order.get(&chunk.from) < Some(&chunk.next);
+        if is_new && self.record_range(chunk.from, chunk.next) {
             self.has_progressed = true;
-            self.store(chunk);
+            self.store_content(chunk);
         }
-        self.covered >= SnapshotCursor::End
+        self.received_through >= SnapshotCursor::End
     }
 
     /// Returns whether a chunk belongs to the part that is being received. Buckets and entries must be of the image that
     /// the logs' indexes were read from, or of a later one.
     fn is_current(&self, chunk: &SnapshotChunk) -> bool {
         let is_of_logs = matches!(chunk.content, SnapshotContent::Logs(_));
-        if self.covered < SnapshotCursor::BUCKETS {
+        if self.received_through < SnapshotCursor::BUCKETS {
             is_of_logs
         } else {
             !is_of_logs && chunk.image >= self.image
@@ -111,7 +111,7 @@
     }
 
     /// Stores what is needed once the snapshot is complete. Buckets have been merged already.
-    fn store(&mut self, chunk: &SnapshotChunk) {
+    fn store_content(&mut self, chunk: &SnapshotChunk) {
         match &chunk.content {
             SnapshotContent::Logs(logs) => {
                 self.image = self.image.max(chunk.image);
@@ -126,8 +126,8 @@
     }
 
     /// Records that the part between two cursors has arrived. Returns false if it can't be remembered.
-    fn cover(&mut self, from: SnapshotCursor, next: SnapshotCursor) -> bool {
-        if from > self.covered {
+    fn record_range(&mut self, from: SnapshotCursor, next: SnapshotCursor) -> bool {
+        if from > self.received_through {
             if self.out_of_order.len() >= MAX_OUT_OF_ORDER {
                 return false;
             }
@@ -135,12 +135,12 @@
             *end = next.max(*end);
             return true;
         }
-        self.covered = next.max(self.covered);
+        self.received_through = next.max(self.received_through);
         while let Some(first) = self.out_of_order.first_entry() {
-            if *first.key() > self.covered {
+            if *first.key() > self.received_through {
                 break;
             }
-            self.covered = first.remove().max(self.covered);
+            self.received_through = first.remove().max(self.received_through);
         }
         true
     }
--- a/replication/src/wire.rs
+++ b/replication/src/wire.rs
@@ -14,9 +14,9 @@
 /// The most gaps that one datagram can name: two numbers each behind a head and a log.
 pub(crate) const MAX_GAPS_PER_DATAGRAM: usize = 6;
 /// The first word of a datagram; the digit is the version of the encoding.
-const MARK: &str = "copies1";
+const PROTOCOL: &str = "copies1";
 /// The text before the bytes of a chunk.
-pub(crate) const CHUNK_MARK: &str = "copies1 chunk ";
+pub(crate) const CHUNK_PREFIX: &str = "copies1 chunk ";
 
 /// A message between replicas.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -71,16 +71,16 @@
     pub fn encode(&self) -> Option<Vec<u8>> {
         let bytes = match self {
             Datagram::SnapshotChunk(chunk) => {
-                let mut bytes = CHUNK_MARK.as_bytes().to_vec();
+                let mut bytes = CHUNK_PREFIX.as_bytes().to_vec();
                 snapshot::write_chunk(chunk, &mut bytes);
                 bytes
             }
-            text => text.write_text().into_bytes(),
+            text => text.encode_text().into_bytes(),
         };
         (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
-    fn write_text(&self) -> String {
+    fn encode_text(&self) -> String {
         match self {
             Datagram::Entry(entry) => write_entry(entry),
             Datagram::Digest {
@@ -89,10 +89,10 @@
                 checksum,
             } => {
                 let positions = write_positions(positions);
-                format!("{MARK} have {log_count:x} {checksum:x}{positions}")
+                format!("{PROTOCOL} have {log_count:x} {checksum:x}{positions}")
             }
             Datagram::RangeRequest { positions } => {
-                format!("{MARK} want{}", write_positions(positions))
+                format!("{PROTOCOL} want{}", write_positions(positions))
             }
             Datagram::GapRequest {
                 log: LogId { writer, epoch },
@@ -100,11 +100,11 @@
             } => {
                 let write_gap = |Gap { after, through }: &Gap| format!(" {after:x} {through:x}");
                 let gaps: String = gaps.iter().map(write_gap).collect();
-                format!("{MARK} lack {writer:x} {epoch:x}{gaps}")
+                format!("{PROTOCOL} lack {writer:x} {epoch:x}{gaps}")
             }
-            Datagram::DigestRequest => format!("{MARK} ask"),
+            Datagram::DigestRequest => format!("{PROTOCOL} ask"),
             Datagram::Ack { process, positions } => {
-                format!("{MARK} held {process:x}{}", write_positions(positions))
+                format!("{PROTOCOL} held {process:x}{}", write_positions(positions))
             }
             Datagram::SnapshotOffer(SnapshotOffer {
                 process,
@@ -117,13 +117,13 @@
                 };
                 let positions: Vec<LogPosition> = logs.iter().map(position).collect();
                 let positions = write_positions(&positions);
-                format!("{MARK} offer {process:x} {compacted_log_count:x}{positions}")
+                format!("{PROTOCOL} offer {process:x} {compacted_log_count:x}{positions}")
             }
             Datagram::SnapshotRequest(SnapshotRequest { process, from }) => {
-                format!("{MARK} fetch {process:x} {}", write_cursor(*from))
+                format!("{PROTOCOL} fetch {process:x} {}", write_cursor(*from))
             }
             // Written as bytes.
-            Datagram::SnapshotChunk(_) => CHUNK_MARK.to_owned(),
+            Datagram::SnapshotChunk(_) => CHUNK_PREFIX.to_owned(),
         }
     }
 
@@ -132,8 +132,8 @@
     /// # Errors
     /// Fails if it is of another kind or version, or malformed.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
-        let body = payload(bytes, MARK)?;
-        if let Some(chunk) = bytes.strip_prefix(CHUNK_MARK.as_bytes()) {
+        let body = payload(bytes, PROTOCOL)?;
+        if let Some(chunk) = bytes.strip_prefix(CHUNK_PREFIX.as_bytes()) {
             return snapshot::read_chunk(chunk)
                 .map(Datagram::SnapshotChunk)
                 .ok_or(DecodeError::Malformed);
@@ -143,12 +143,12 @@
             .strip_prefix(' ')
             .ok_or(DecodeError::Malformed)?
             .split(' ');
-        Self::read_words(&mut words)
+        Self::decode_words(&mut words)
             .filter(|_| words.next().is_none())
             .ok_or(DecodeError::Malformed)
     }
 
-    fn read_words(words: &mut Words) -> Option<Self> {
+    fn decode_words(words: &mut Words) -> Option<Self> {
         match words.next()? {
             "entry" => read_entry(words).map(Datagram::Entry),
             "have" => {
@@ -219,7 +219,7 @@
     let Entry {
         prev, index, at, ..
     } = entry;
-    format!("{MARK} entry {writer:x} {epoch:x} {prev:x} {index:x} {at:x} {kind} {subject}")
+    format!("{PROTOCOL} entry {writer:x} {epoch:x} {prev:x} {index:x} {at:x} {kind} {subject}")
 }
 
 fn write_cursor(cursor: SnapshotCursor) -> String {
