--- a/replication/src/commit.rs
+++ b/replication/src/commit.rs
@@ -1,28 +1,28 @@
-//! Commits: which entries of this proxy's own logs are on its disk and on those of enough peers.
+//! Commits: track which entries of this proxy's own logs are durable locally and on enough peers.
 //!
-//! A peer reports for a log its durable index: through which index it has all entries in force on its disk. So a commit
-//! is an index. It is given once this proxy's own durable index and those of enough peers, on machines that are neither
-//! this one nor each other's, have reached it. One that does not get there in time is rejected, never given on credit; the
-//! entry stays in the log all the same, as others may have it by then.
+//! A peer reports its durable index of a log, through which all live entries are on its disk. A commit therefore waits for
+//! an index. It is confirmed once the durable indexes of this proxy and of `min_acks` other machines have reached the
+//! index; several peers on one machine count once. A commit that does not reach this within the timeout is rejected. The
+//! entry stays in the log, as peers may have received it.
 
 use crate::unsynced::Unsynced;
 use crate::{Epoch, Index, LogId, Micros, Options};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
 
-/// A machine, the domain that fails as one: a hash of its name.
+/// The id of a machine, which is a failure domain. It is a hash of the machine's name.
 pub type Machine = u64;
 
-/// Why a commit is rejected.
+/// The reason for the rejection of a commit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// This proxy's own disk did not take the entry.
+    /// The entry could not be written to the local disk.
     Disk,
-    /// Too few further machines have acknowledged the entry.
+    /// Too few other machines have acknowledged the entry.
     TooFewReplicas {
-        /// How many have.
+        /// The number of machines that have acknowledged it.
         have: usize,
-        /// How many are required.
+        /// The required number of machines.
         wanted: usize,
     },
     /// Too many commits are pending.
@@ -41,28 +41,28 @@
     }
 }
 
-/// The number of a commit, in the order in which they were opened.
+/// The id of a commit. Commits are numbered in the order in which they are opened.
 pub type CommitId = u64;
 
 /// The outcome of a commit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CommitOutcome {
-    /// The commit.
+    /// The id of the commit.
     pub commit: CommitId,
-    /// How long it took, or why it was rejected.
+    /// The time until the confirmation, or the reason for the rejection.
     pub result: Result<Micros, RejectReason>,
 }
 
-/// A commit that waits for the disk and for acknowledgements.
+/// A commit that waits for the local disk and for acknowledgements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct PendingCommit {
     id: CommitId,
-    /// In the log of this epoch.
+    /// The index that must become durable, in the log of the current epoch.
     index: Index,
     opened_at: Micros,
 }
 
-/// This proxy's own log, as far as its disk has it.
+/// The durability of this proxy's own log on the local disk.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OwnLog<'a> {
     pub(crate) log: LogId,
@@ -70,23 +70,23 @@
     pub(crate) unsynced: &'a Unsynced,
 }
 
-/// The durable indexes that peers reported of this proxy's own logs, and the commits that wait for them.
+/// Pending commits, and the durable indexes of this proxy's own logs that peers have reported.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct PendingCommits {
-    /// The durable index of each peer, by epoch of this writer.
+    /// The durable index of each peer, by epoch of the own log.
     durable: BTreeMap<Epoch, BTreeMap<usize, Index>>,
-    /// The process of each peer that reported it.
+    /// The process id of each peer that sent the reports.
     processes: BTreeMap<usize, u64>,
-    /// The machine of each peer, the failure domain of its replica.
+    /// The machine of each peer.
     machines: Vec<Machine>,
     own: Machine,
-    /// In the order of their indexes, which is that of their times.
+    /// Ordered by index, and thereby by `opened_at`.
     pending: VecDeque<PendingCommit>,
     last_id: CommitId,
 }
 
 impl PendingCommits {
-    /// Sets the machines of this proxy and of its peers. If any differs, all durable indexes are learned anew.
+    /// Sets the machines of this proxy and of its peers. If any of them changes, the reported durable indexes are discarded.
     pub(crate) fn set_peers(&mut self, own: Machine, machines: Vec<Machine>) {
         if (self.own, &self.machines) != (own, &machines) {
             (self.own, self.machines) = (own, machines);
@@ -95,13 +95,12 @@
         }
     }
 
-    /// Returns the number of peers.
     pub(crate) fn peer_count(&self) -> usize {
         self.machines.len()
     }
 
-    /// Records a peer's durable index of an epoch. Within one process it only grows, so that a delayed message takes
-    /// nothing back; the next process may have lost the disk and starts anew.
+    /// Records a peer's durable index of an epoch. It never decreases within one process of the peer, so a delayed datagram
+    /// has no effect. A later process may have lost its disk, so its reports replace those of the process before.
     pub(crate) fn record_ack(&mut self, peer: usize, process: u64, epoch: Epoch, index: Index) {
         let known = self.processes.get(&peer).copied().unwrap_or(0);
         if peer >= self.machines.len() || process < known {
@@ -118,7 +117,7 @@
         *durable_index = index.max(*durable_index);
     }
 
-    /// Returns a peer's durable index of an epoch, as far as it is known.
+    /// Returns a peer's last reported durable index of an epoch, or 0.
     pub(crate) fn acked_by(&self, peer: usize, epoch: Epoch) -> Index {
         let durable = self.durable.get(&epoch);
         durable
@@ -127,7 +126,7 @@
             .unwrap_or(0)
     }
 
-    /// Returns the durable index of each machine besides this one, the highest first.
+    /// Returns the highest durable index of each other machine, in descending order.
     fn durable_by_machine(&self, epoch: Epoch) -> Vec<Index> {
         let mut by_machine = BTreeMap::<Machine, Index>::new();
         for (peer, durable_index) in self.durable.get(&epoch).into_iter().flatten() {
@@ -142,7 +141,7 @@
         durable
     }
 
-    /// Returns the index through which at least `replicas` further machines have an epoch.
+    /// Returns the index through which an epoch is durable on at least `replicas` other machines.
     pub(crate) fn replicated_through(&self, epoch: Epoch, replicas: usize) -> Index {
         match replicas.checked_sub(1) {
             None => Index::MAX,
@@ -154,7 +153,7 @@
         }
     }
 
-    /// Opens a commit of this epoch's log through an index, unless `max_pending` are open.
+    /// Opens a commit of the current epoch's log through an index, unless `max_pending` commits are pending.
     pub(crate) fn open(
         &mut self,
         now: Micros,
@@ -173,19 +172,18 @@
         Ok(self.last_id)
     }
 
-    /// Returns whether any commit is pending.
     pub(crate) fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Returns when the oldest pending commit times out.
+    /// Returns the time at which the oldest pending commit times out.
     pub(crate) fn next_timeout(&self, timeout_us: Micros) -> Option<Micros> {
         self.pending
             .front()
             .map(|pending| pending.opened_at + timeout_us)
     }
 
-    /// Takes out the commits that are given or rejected by now.
+    /// Removes the commits that are confirmed or rejected by now, and returns their outcomes.
     pub(crate) fn resolve(
         &mut self,
         now: Micros,
@@ -194,7 +192,7 @@
     ) -> Vec<CommitOutcome> {
         let mut outcomes = Vec::new();
         if self.pending.is_empty() {
-            // This is called after each datagram: the machines' durable indexes are computed only if needed.
+            // This method is called after each datagram, so it skips the computation below if no commit is pending.
             return outcomes;
         }
         let replicated = self.replicated_through(own.log.epoch, options.min_acks);
@@ -211,7 +209,7 @@
         outcomes
     }
 
-    /// Returns the result of a commit; `None` while it waits.
+    /// Returns the result of a commit, or `None` while it is pending.
     fn result(
         &self,
         now: Micros,
--- a/replication/src/compaction.rs
+++ b/replication/src/compaction.rs
@@ -1,45 +1,46 @@
-//! Compaction: the oldest purges of the logs are moved to a table of fixed size.
+//! Compaction moves the oldest purges of the logs to a table of fixed size.
 //!
-//! Every log has an index, `compacted`, through which every purge that no later entry supersedes is in the table; other
-//! entries stay. So a replica whose position in the log is before that index can't receive the log entry by entry any
-//! more, and receives a snapshot of the table first.
+//! Every log has a compacted index. Each purge through this index is in the table, unless a later entry of the log
+//! supersedes it. Entries that are not purges stay in the log. A replica whose position is before the compacted index can't
+//! catch up entry by entry, and receives a snapshot of the table first.
 
 use crate::log_store::EntryKey;
 use crate::{snapshot, Entry, Index, LogId, LogStore, Micros};
 use linnetknot_purges::BucketIndex;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The index through which a log is compacted.
+/// A log and its compacted index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CompactedLog {
     /// The log.
     pub log: LogId,
-    /// Every purge through this index is in the table, or superseded.
+    /// The compacted index. Each purge through it is in the table or superseded.
     pub through: Index,
 }
 
-/// One step of compaction, for the disk.
+/// The changes of one compaction step, which the caller must write to the disk.
 ///
-/// First the buckets and the logs' indexes must be written, at once or in this order. Only when these are synced may the
-/// entries be deleted, except those that [`LogStore::is_live`] reports, as their key has a later entry by then. A process
-/// that ends in between finds the entries again, and moves them again.
+/// The buckets must be written before the compacted indexes, or atomically with them. Only after both are synced may the
+/// entries be deleted. An entry whose subject is live again ([`LogStore::is_live`]) must not be deleted, because the disk
+/// stores the later entry under the same key. After a crash between these writes the entries are restored and compacted
+/// again.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Compaction {
-    /// The buckets of the moved entries, to be read from [`LogStore::table`].
+    /// The changed buckets, whose content is in [`LogStore::table`].
     pub buckets: Vec<BucketIndex>,
-    /// The indexes through which these logs are compacted now.
+    /// The new compacted indexes.
     pub logs: Vec<CompactedLog>,
     /// The moved entries.
     pub entries: Vec<Entry>,
 }
 
-/// A step moves one part in so many of the entries that may be stored.
+/// The fraction of the maximum number of entries that a step moves, as a divisor.
 const STEP_DIVISOR: usize = 8;
 
 impl LogStore {
-    /// Moves the oldest purges to the table, of each log those through some index, so that about seven eighths of
-    /// `max_entries` are left. Nothing after a log's index in `durable`, through which the log is on the disk, is moved,
-    /// nor is the last entry of a log. Returns `None` if nothing could be moved.
+    /// Moves the oldest purges of each log to the table, so that about seven eighths of `max_entries` are left. Entries
+    /// after a log's durable index, which `durable` contains, are not moved, and neither is the last entry of a log. Returns
+    /// `None` if nothing could be moved.
     pub(crate) fn compact(
         &mut self,
         now: Micros,
@@ -56,7 +57,7 @@
             if !compaction.entries.is_empty() {
                 return Some(compaction);
             }
-            // Each log has a younger entry before those that are old enough.
+            // In each log a newer entry precedes those before the cutoff: retry with a later cutoff.
             if step >= times.len() {
                 return None;
             }
@@ -65,10 +66,10 @@
         None
     }
 
-    /// Returns the times of the purges that may be moved.
+    /// Returns the times of all purges that may be moved.
     fn movable_times(&self, durable: &BTreeMap<LogId, Index>) -> Vec<Micros> {
         let mut times = Vec::with_capacity(self.live.len());
-        // Entries are in the order of their logs: the bound of each log is looked up once.
+        // Entries are ordered by log, so the bound is looked up once per log.
         let mut bound = EntryKey {
             log: LogId::default(),
             index: 0,
@@ -92,7 +93,7 @@
         times
     }
 
-    /// Moves the purges of each log before the first one that is later than `cutoff`.
+    /// Moves the purges of each log that precede its first purge after `cutoff`.
     fn move_until(
         &mut self,
         now: Micros,
@@ -112,7 +113,7 @@
                 .into_iter()
                 .filter_map(|key| self.remove(key))
                 .collect();
-            self.set_compacted(*log, through);
+            self.raise_compacted_index(*log, through);
             compaction.logs.push(CompactedLog { log: *log, through });
             let unsuperseded = entries
                 .iter()
@@ -124,7 +125,7 @@
         compaction
     }
 
-    /// Returns the index through which a log can be compacted.
+    /// Returns the index through which a log can be compacted for a cutoff time.
     fn movable_through(&self, log: LogId, cutoff: Micros, durable: Index) -> Index {
         let mut through = self.compacted_through(log);
         let last_index = self.last_index(log);
@@ -144,7 +145,7 @@
         through
     }
 
-    /// Returns the purges of a log through an index.
+    /// Returns the keys of the purges of a log through an index.
     fn purges_through(&self, log: LogId, through: Index) -> Vec<EntryKey> {
         let keys = EntryKey { log, index: 0 }..=EntryKey {
             log,
@@ -157,8 +158,8 @@
         purges.map(|(key, _)| *key).collect()
     }
 
-    /// Returns which of these purges of a log a later one on the disk supersedes. They need not be in the table: an object
-    /// that is purged again and again must not fill a bucket.
+    /// Returns which of these purges are superseded by a later, durable purge of the same log. They are not recorded in the
+    /// table, so that an object that is purged repeatedly does not fill a bucket.
     fn superseded(&self, keys: &[EntryKey], durable: Index) -> BTreeSet<Index> {
         let is_superseded = |key: &&EntryKey| {
             let at = |key: EntryKey| self.live.get(&key).map(|record| record.at);
@@ -173,8 +174,8 @@
             .collect()
     }
 
-    /// Records a purge in the table, no later than now: a copy that is made from now on is younger than the purge,
-    /// whichever clock gave the purge its time.
+    /// Records a purge in the table with a time of at most `now`. Copies fetched from now on are newer than the purge, even
+    /// if the clock that gave the purge its time is ahead.
     pub(crate) fn record_in_table(&mut self, now: Micros, entry: &Entry) -> Option<BucketIndex> {
         let key = entry.subject.purge_key()?;
         Some(self.table.record(key, entry.at.min(now)))
--- a/replication/src/entry.rs
+++ b/replication/src/entry.rs
@@ -4,29 +4,29 @@
 
 /// Time or duration in microseconds, Unix time where it is a time of day.
 pub type Micros = u64;
-/// A writer: a hash of the proxy's name.
+/// The id of a writer, which is a hash of the proxy's name.
 pub type Writer = u64;
-/// An epoch of a writer's log: the time of its beginning.
+/// An epoch of a writer's log, identified by its start time.
 pub type Epoch = u64;
-/// An index in a log, from 1.
+/// The index of an entry in a log. Indexes start at 1.
 pub type Index = u64;
 
-/// A log: what one writer appends within one epoch.
+/// Identifies a log, which contains the entries that one writer appends within one epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LogId {
-    /// Whose log it is.
+    /// The writer of the log.
     pub writer: Writer,
-    /// In which of the writer's epochs.
+    /// The epoch of the writer.
     pub epoch: Epoch,
 }
 
 impl LogId {
-    /// The log of a writer's epoch.
+    /// Creates the id of the log of a writer's epoch.
     pub const fn new(writer: Writer, epoch: Epoch) -> Self {
         LogId { writer, epoch }
     }
 
-    /// Returns the least log that is greater than this one; `None` if this is the greatest.
+    /// Returns the next log id in sort order, or `None` if this is the greatest one.
     pub(crate) fn successor(self) -> Option<Self> {
         match self.epoch.checked_add(1) {
             Some(epoch) => Some(LogId { epoch, ..self }),
@@ -38,27 +38,28 @@
     }
 }
 
-/// The subject of an entry: what was purged, what the operators of its writer decided, or a trigger's status.
+/// The subject of an entry: a purged key, an operator decision, or the status or deletion of a trigger.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Subject {
-    /// An object.
+    /// A purge of one object, by its name.
     Object(String),
-    /// All objects of a group.
+    /// A purge of all objects of a group.
     Group(u64),
     /// An operator's ban of a pop cache, by its id.
     Ban(String),
     /// An operator's drain of the proxy.
     Drain,
-    /// One of the pieces into which the status of a trigger is cut ([`crate::split_status`]). It never changes.
+    /// One part of a trigger's status, which is split to fit into datagrams ([`crate::split_status`]). A part never
+    /// changes.
     TriggerStatusPart {
-        /// The trigger's number, which is unique for its writer.
+        /// The trigger's number, which is unique per writer.
         number: u64,
-        /// The number of the piece, from 0.
+        /// The number of the part, starting at 0.
         part: u16,
-        /// The text of the piece.
+        /// The text of the part.
         text: String,
     },
-    /// A peer CDN has deleted a trigger, whose status another proxy may have written.
+    /// The deletion of a trigger by a peer CDN. The status may have been written by another proxy.
     TriggerDeleted {
         /// The writer of the trigger's status.
         writer: Writer,
@@ -68,7 +69,7 @@
 }
 
 impl Subject {
-    /// Returns whether entries on this subject expire.
+    /// Returns whether entries with this subject expire.
     pub fn is_expiring(&self) -> bool {
         matches!(
             self,
@@ -76,7 +77,7 @@
         )
     }
 
-    /// Returns the key of the purge in a compact table; `None` if this is no purge.
+    /// Returns the key of the purge in a compact table, or `None` if the subject is not a purge.
     pub fn purge_key(&self) -> Option<KeyHash> {
         match self {
             Subject::Object(object) => Some(KeyHash::of_object(object)),
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Returns whether entries on this subject are purges.
+    /// Returns whether entries with this subject are purges.
     pub fn is_purge(&self) -> bool {
         matches!(self, Subject::Object(_) | Subject::Group(_))
     }
@@ -97,17 +98,18 @@
 /// An entry of a log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Entry {
-    /// Its log.
+    /// The log that contains the entry.
     pub log: LogId,
-    /// Its index there.
+    /// The index of the entry in its log.
     pub index: Index,
-    /// The index before it that a replica must have to take the entry next, or 0: that of the last entry before it that is
-    /// in force, or that through which its sender has compacted the log. All entries between were superseded.
+    /// The index that a replica must have reached in the log before it can insert this entry, or 0. It is the index of the
+    /// preceding live entry or the sender's compacted index, whichever is greater. All entries between `prev` and `index`
+    /// were superseded.
     pub prev: Index,
-    /// Its subject.
+    /// The subject of the entry.
     pub subject: Subject,
-    /// When it was purged, decided or reported.
+    /// The time of the purge, decision or status report.
     pub at: Micros,
-    /// Whether an operators' decision is revoked; a purge never is.
+    /// Whether the entry revokes an operator decision. Always false for purges.
     pub revoked: bool,
 }
--- a/replication/src/lib.rs
+++ b/replication/src/lib.rs
@@ -1,29 +1,29 @@
-//! Replicated logs of what one proxy received and all proxies must have: purges, the statuses of the triggers that they
-//! belong to, and operators' decisions.
+//! Replication of logs between proxies. The logs contain purges, the statuses of the triggers that requested them, and
+//! operator decisions.
 //!
-//! The package is sans-IO. Each proxy is the only writer of its own log, so no agreement is needed: an entry is identified
-//! by writer, epoch and index, and never changes. Proxies send each other digests of how far they have each log, and
-//! whoever has more sends the missing entries, its own and those of others alike. So an entry reaches a proxy that was
-//! away, that is cut off from the writer alone, or whose disk is lost, by way of any other that has it.
+//! The package is sans-IO. Each proxy is the only writer of its own log, so no consensus is needed: an entry is
+//! identified by writer, epoch and index, and never changes. Proxies exchange digests of their positions in each log, and
+//! a proxy that is ahead sends the missing entries, both its own and those of other writers. A proxy that was down, that
+//! is partitioned from the writer, or that lost its disk therefore receives an entry from any peer that has it.
 //!
-//! An epoch is one run of a log. A proxy that starts with its disk continues its epoch. One that lost its disk begins a
-//! new epoch, and receives the entries of the old one from the others as any entry.
+//! An epoch is one incarnation of a writer's log. A proxy that restarts with its disk continues its epoch. A proxy that
+//! lost its disk starts a new epoch and receives the entries of the old one from its peers.
 //!
-//! Memory is bounded: the oldest purges are moved to a compact table ([`compaction`]), which a proxy that is behind them
-//! receives as a snapshot ([`snapshot`]).
+//! Memory is bounded: the oldest purges are moved to a compact table ([`compaction`]). A proxy that is behind the
+//! compacted index of a log receives the table as a snapshot ([`snapshot`]).
 //!
-//! What a proxy committed must outlive its machine. So its disk and its peers acknowledge what they have stored, and a
-//! commit is given only once enough of them have ([`commit`]).
+//! A commit must survive the loss of the proxy's machine. It is confirmed only after the local disk and enough peers have
+//! acknowledged that they stored the entry ([`commit`]).
 //!
 //! # Modules
 //!
 //! - `entry`, `position`: logs, entries, and positions in logs.
-//! - `log_store`: the logs that a proxy has; `compaction`: the move of old purges to the compact table.
-//! - `replica`: one proxy's replica, which joins the others; `options`: its bounds, times and counters.
-//! - `commit`, `unsynced`: which entries are on which disks, and which commits may be given.
-//! - `reorder`: entries that arrived before others of their log.
-//! - `snapshot`: the compact table for replicas that are behind it.
-//! - `recovery`: when a proxy that lost its disk has its own commits back.
+//! - `log_store`: the logs that a proxy stores; `compaction`: moves old purges to the compact table.
+//! - `replica`: the replica of one proxy, which combines the other modules; `options`: its limits, intervals and counters.
+//! - `commit`, `unsynced`: track which entries are durable on which machines, and resolve commits.
+//! - `reorder`: buffers entries that arrived out of order.
+//! - `snapshot`: transfers the compact table to replicas that are behind it.
+//! - `recovery`: determines when a proxy that lost its disk has recovered its own commits.
 //! - `wire`, `status`: the encoding of datagrams, and of the texts in them.
 
 pub mod commit;
--- a/replication/src/log_store/capacity.rs
+++ b/replication/src/log_store/capacity.rs
@@ -3,19 +3,19 @@
 use crate::{Index, LogId};
 use std::fmt;
 
-/// The capacity of a log store.
+/// The limits of a log store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capacity {
-    /// The most entries that do not expire.
+    /// The maximum number of entries that do not expire.
     pub entries: usize,
-    /// The most entries that expire, which must not take the capacity of the others.
+    /// The maximum number of entries that expire. It is separate so that they do not displace the others.
     pub expiring_entries: usize,
-    /// The most logs.
+    /// The maximum number of logs.
     pub logs: usize,
 }
 
 impl Capacity {
-    /// No bound.
+    /// A capacity without limits.
     pub const UNLIMITED: Capacity = Capacity {
         entries: usize::MAX,
         expiring_entries: usize::MAX,
@@ -23,7 +23,7 @@
     };
 }
 
-/// The error of an entry or log beyond the capacity.
+/// The error of an insertion that exceeds the capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CapacityExceeded;
 
@@ -35,7 +35,7 @@
 
 impl std::error::Error for CapacityExceeded {}
 
-/// The error of two entries at the same position.
+/// The error of two entries with the same index in a log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DuplicateIndex {
     /// The log.
@@ -60,12 +60,12 @@
 /// The outcome of an insertion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Insertion {
-    /// The entry was the next one of its log, and is in force.
+    /// The entry was inserted as the next one of its log.
     New,
-    /// The entry is stored already, or was superseded.
+    /// The index is not after the last index of the log: the entry is already stored or was superseded.
     Duplicate,
-    /// Entries before it are missing.
+    /// Entries before this one are missing.
     OutOfOrder,
-    /// The capacity is exhausted.
+    /// The capacity is exceeded.
     Rejected(CapacityExceeded),
 }
--- a/replication/src/log_store/decisions.rs
+++ b/replication/src/log_store/decisions.rs
@@ -1,11 +1,11 @@
-//! Operators' decisions in the logs of a writer.
+//! Operator decisions in the logs of a writer.
 
 use super::{EntryKey, LogStore};
 use crate::{Epoch, Index, LogId, Subject, Writer};
 use std::collections::BTreeMap;
 
 impl LogStore {
-    /// Returns the decisions of a writer's operators, each with whether it is revoked, by the latest entry of all epochs.
+    /// Returns the operator decisions of a writer and whether each is revoked, according to its latest entry in any epoch.
     pub fn operator_decisions(&self, writer: Writer) -> BTreeMap<Subject, bool> {
         let mut latest = BTreeMap::<Subject, (Epoch, Index, bool)>::new();
         let first = EntryKey {
@@ -18,7 +18,7 @@
         };
         for (key, record) in self.live.range(first..=last) {
             if matches!(record.subject, Subject::Ban(_) | Subject::Drain) {
-                // The entry of a later epoch counts, also if the clock was set back in between.
+                // Entries are compared by epoch and index, as the clock may have been set back.
                 let entry = (key.log.epoch, key.index, record.revoked);
                 let known = latest.entry(record.subject.clone()).or_insert(entry);
                 *known = entry.max(*known);
--- a/replication/src/log_store/mod.rs
+++ b/replication/src/log_store/mod.rs
@@ -1,5 +1,5 @@
-//! The logs that a proxy has: each complete through some index, less the entries that later ones superseded and those
-//! that were compacted.
+//! The logs that a proxy stores. Each log is complete through its last index, except for entries that were superseded,
+//! expired or compacted.
 
 mod capacity;
 mod decisions;
@@ -12,16 +12,16 @@
 use linnetknot_purges::{BucketBits, CompactTable};
 use std::collections::BTreeMap;
 
-/// How far a log is stored and compacted.
+/// The last and compacted indexes of a log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-struct Progress {
-    /// All entries through this index are stored, were superseded or are in the table.
-    through: Index,
-    /// All purges through this index that were not superseded are in the table.
+struct LogProgress {
+    /// The last index. All entries through it are stored, superseded, expired or compacted.
+    last_index: Index,
+    /// The compacted index. All purges through it that were not superseded are in the table.
     compacted: Index,
 }
 
-/// The position of an entry.
+/// The log and index of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct EntryKey {
     pub(crate) log: LogId,
@@ -31,11 +31,11 @@
 /// The content of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Record {
-    /// The subject.
+    /// The subject of the entry.
     pub subject: Subject,
-    /// When it was purged, decided or reported.
+    /// The time of the purge, decision or status report.
     pub at: Micros,
-    /// Whether an operators' decision is revoked; a purge never is.
+    /// Whether the entry revokes an operator decision. Always false for purges.
     pub revoked: bool,
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// A subject in a log. Ordered by the subject first, so that all logs' entries on one subject are adjacent.
+/// A subject in a log. Ordered by subject first, so that the entries of all logs for one subject are adjacent.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct SubjectKey {
     subject: Subject,
@@ -65,7 +65,7 @@
 }
 
 impl SubjectKey {
-    /// The first key of a subject, whichever log it is in.
+    /// Returns the least key of a subject in any log.
     fn first(subject: Subject) -> Self {
         SubjectKey {
             subject,
@@ -77,14 +77,14 @@
 /// Logs by writer and epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LogStore {
-    progress: BTreeMap<LogId, Progress>,
-    /// Entries in force, and purges that were superseded and are not compacted yet.
+    progress: BTreeMap<LogId, LogProgress>,
+    /// Live entries, and superseded purges that are not compacted yet.
     pub(crate) live: BTreeMap<EntryKey, Record>,
-    /// The index of the last entry in force of each log on each subject.
+    /// The index of the latest entry of each log for each subject.
     latest: BTreeMap<SubjectKey, Index>,
     /// The number of entries that expire.
     expiring: usize,
-    /// When the entries that expire and that another process wrote were first seen by this one, by its own clock.
+    /// The times at which this process first saw expiring entries of other processes, by its own clock.
     first_seen: BTreeMap<EntryKey, Micros>,
     /// The compacted purges.
     pub(crate) table: CompactTable,
@@ -97,7 +97,7 @@
     }
 }
 
-/// Returns a log's part of the checksum by which two log stores are compared.
+/// Returns the contribution of a log to the checksum of a log store.
 fn checksum_part(log: LogId, through: Index) -> u64 {
     let mut x = log.writer.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ log.epoch.rotate_left(31);
     for by in [through, 0x94d0_49bb_1331_11eb] {
@@ -108,7 +108,7 @@
 }
 
 impl LogStore {
-    /// No logs, and an empty table of a size.
+    /// Creates a store without logs, and with an empty table of the given size.
     pub fn new(bucket_bits: BucketBits) -> Self {
         LogStore {
             progress: BTreeMap::new(),
@@ -121,12 +121,11 @@
         }
     }
 
-    /// Restores the logs that a process finds on its disk: the table, through which indexes the logs were compacted, and
-    /// the entries, in any order and with any `prev`. Purges that were compacted and are still on the disk are stored
-    /// until they are compacted again.
+    /// Restores a store from the table, the compacted indexes and the entries on the disk. The entries may be in any order,
+    /// and their `prev` is ignored. Compacted purges that are still on the disk are stored until they are compacted again.
     ///
     /// # Errors
-    /// Fails if two entries have the same position.
+    /// Fails if two entries have the same index in a log.
     pub fn restore(
         table: CompactTable,
         compacted: &[CompactedLog],
@@ -137,7 +136,7 @@
             ..LogStore::default()
         };
         for CompactedLog { log, through } in compacted {
-            store.set_compacted(*log, *through);
+            store.raise_compacted_index(*log, *through);
             store.raise_last_index(*log, *through);
         }
         entries.sort_unstable_by_key(|entry| EntryKey {
@@ -162,10 +161,11 @@
         Ok(store)
     }
 
-    /// Appends an entry to a log that is written here. A purge is never earlier than the one that it supersedes.
+    /// Appends an entry to a log of this writer. The time of a purge is raised to that of the purge that it supersedes, if
+    /// that is later.
     ///
     /// # Errors
-    /// Fails if the capacity for entries of this kind is exhausted.
+    /// Fails if the capacity for entries of this kind is exceeded.
     pub fn append(
         &mut self,
         log: LogId,
@@ -191,7 +191,7 @@
             at,
             revoked,
         };
-        // The bound of logs is for those of others.
+        // The limit of logs does not apply to a writer's own log.
         let capacity = Capacity {
             logs: usize::MAX,
             ..capacity
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Stores an entry if it is the next one of its log.
+    /// Inserts an entry if it is the next one of its log and the capacity is not exceeded.
     pub fn try_insert(&mut self, entry: &Entry, capacity: Capacity) -> Insertion {
         let last_index = self.last_index(entry.log);
         if entry.index <= last_index {
@@ -226,8 +226,8 @@
         Insertion::New
     }
 
-    /// Stores an entry that came with a snapshot, within the index to which the snapshot raised its log. Returns whether
-    /// the entry is newly in force.
+    /// Inserts an entry of a snapshot if its index is within the log, which the snapshot has advanced, and if it is not
+    /// superseded. Returns whether the entry was inserted.
     pub(crate) fn insert_retained(&mut self, entry: &Entry) -> bool {
         let key = SubjectKey {
             subject: entry.subject.clone(),
@@ -244,8 +244,8 @@
         true
     }
 
-    /// Puts an entry in force, in place of the one that it supersedes. A superseded purge stays until it is compacted: a
-    /// peer that is behind both receives both, so that it has the purge whichever of them arrives.
+    /// Inserts an entry and removes the one that it supersedes. A superseded purge is retained until it is compacted, so that
+    /// a peer that is missing both receives the purge even if only one of them arrives.
     fn insert(&mut self, entry: Entry) {
         let Entry {
             log,
@@ -282,7 +282,7 @@
         );
     }
 
-    /// Removes an entry from those in force.
+    /// Removes an entry.
     pub(crate) fn remove(&mut self, key: EntryKey) -> Option<Entry> {
         let record = self.live.remove(&key)?;
         self.first_seen.remove(&key);
@@ -297,39 +297,38 @@
         Some(record.into_entry(key, 0))
     }
 
-    /// Raises a log's last index.
+    /// Raises the last index of a log.
     pub(crate) fn raise_last_index(&mut self, log: LogId, through: Index) {
         let progress = self.progress.entry(log).or_default();
-        if through <= progress.through {
+        if through <= progress.last_index {
             return;
         }
-        if progress.through > 0 {
+        if progress.last_index > 0 {
             self.checksum = self
                 .checksum
-                .wrapping_sub(checksum_part(log, progress.through));
+                .wrapping_sub(checksum_part(log, progress.last_index));
         }
         self.checksum = self.checksum.wrapping_add(checksum_part(log, through));
-        progress.through = through;
+        progress.last_index = through;
     }
 
     /// Raises the index through which a log is compacted.
-    pub(crate) fn set_compacted(&mut self, log: LogId, through: Index) {
+    pub(crate) fn raise_compacted_index(&mut self, log: LogId, through: Index) {
         let progress = self.progress.entry(log).or_default();
         progress.compacted = progress.compacted.max(through);
     }
 
-    /// Records a purge in the table, too, if its log is compacted through its index.
+    /// Records a purge in the table if its index is within the compacted index of its log.
     fn record_if_compacted(&mut self, entry: &Entry) {
         if entry.index <= self.compacted_through(entry.log) {
             self.record_in_table(Micros::MAX, entry);
         }
     }
 
-    /// Raises a log to the index through which a snapshot covers it. The purges of it that are stored so far are recorded
-    /// in the table, too.
-    pub(crate) fn raise_to_snapshot(&mut self, log: LogId, through: Index) {
+    /// Advances a log to the compacted index of a snapshot, and records its stored purges through that index in the table.
+    pub(crate) fn advance_to_snapshot(&mut self, log: LogId, through: Index) {
         self.raise_last_index(log, through);
-        self.set_compacted(log, through);
+        self.raise_compacted_index(log, through);
         let stored: Vec<Entry> = self.live_through(log, through).collect();
         stored
             .iter()
--- a/replication/src/log_store/queries.rs
+++ b/replication/src/log_store/queries.rs
@@ -1,34 +1,34 @@
-//! What a log store answers: how far it has each log, and which entries and purges are in force.
+//! Queries of a log store: positions in logs, live entries and effective purges.
 
 use super::{EntryKey, LogStore, Record, SubjectKey};
 use crate::{CompactedLog, Entry, Index, LogId, LogPosition, Micros, Subject};
 use linnetknot_purges::CompactTable;
 
 impl LogStore {
-    /// Returns a log's last index; 0 if there is no such log.
+    /// Returns the last index of a log, or 0 if there is no such log.
     pub fn last_index(&self, log: LogId) -> Index {
         self.progress
             .get(&log)
-            .map_or(0, |progress| progress.through)
+            .map_or(0, |progress| progress.last_index)
     }
 
-    /// Returns all logs and their last indexes.
+    /// Returns the last indexes of all logs.
     pub fn last_indexes(&self) -> Vec<LogPosition> {
-        let position = |(log, progress): (&LogId, &super::Progress)| LogPosition {
+        let position = |(log, progress): (&LogId, &super::LogProgress)| LogPosition {
             log: *log,
-            index: progress.through,
+            index: progress.last_index,
         };
         self.progress.iter().map(position).collect()
     }
 
-    /// Returns the index through which a log is compacted; 0 if it is not.
+    /// Returns the index through which a log is compacted, or 0 if it is not.
     pub fn compacted_through(&self, log: LogId) -> Index {
         self.progress
             .get(&log)
             .map_or(0, |progress| progress.compacted)
     }
 
-    /// Returns the logs that are compacted, from one on.
+    /// Returns the compacted logs, starting with `from`.
     pub fn compacted_logs(&self, from: LogId) -> impl Iterator<Item = CompactedLog> + '_ {
         let logs = self.progress.range(from..);
         let compacted = logs.filter(|(_, progress)| progress.compacted > 0);
@@ -38,7 +38,7 @@
         })
     }
 
-    /// Returns the table of all compacted purges.
+    /// Returns the table of compacted purges.
     pub fn table(&self) -> &CompactTable {
         &self.table
     }
@@ -48,12 +48,12 @@
         self.progress.len()
     }
 
-    /// Returns a checksum over all logs and their last indexes: equal log stores have equal ones, and others hardly ever.
+    /// Returns a checksum over all logs and their last indexes.
     pub fn checksum(&self) -> u64 {
         self.checksum
     }
 
-    /// Returns the entries in force of a log after an index, in order.
+    /// Returns the live entries of a log after an index, in order.
     pub fn entries_after(&self, log: LogId, index: Index) -> impl Iterator<Item = Entry> + '_ {
         let next = EntryKey {
             log,
@@ -68,7 +68,7 @@
         })
     }
 
-    /// Returns the records in force of a log after an index, in order.
+    /// Returns the live records of a log after an index, in order.
     pub(crate) fn live_after(
         &self,
         log: LogId,
@@ -87,7 +87,7 @@
             .filter(move |_| index < Index::MAX)
     }
 
-    /// Returns the entries in force of a log through an index, without their `prev`.
+    /// Returns the live entries of a log through an index. Their `prev` is not set.
     pub(super) fn live_through(
         &self,
         log: LogId,
@@ -103,20 +103,20 @@
             .map(|(key, record)| record.clone().into_entry(*key, 0))
     }
 
-    /// Returns the index of the last entry in force before a position of its log; 0 if there is none.
+    /// Returns the index of the last live entry before a position in its log, or 0 if there is none.
     fn live_before(&self, key: EntryKey) -> Index {
         let first = EntryKey { index: 0, ..key };
         let before = self.live.range(first..key).next_back();
         before.map_or(0, |(key, _)| key.index)
     }
 
-    /// Returns the index that a replica must have of a log to take the entry at a position next.
+    /// Returns the value of `prev` for an entry at a position.
     pub(super) fn prev_of(&self, key: EntryKey) -> Index {
         self.live_before(key)
             .max(self.compacted_through(key.log).min(key.index - 1))
     }
 
-    /// Returns the index of the last entry in force of a log on a subject.
+    /// Returns the index of the latest entry of a log for a subject.
     pub(crate) fn latest_index(&self, log: LogId, subject: &Subject) -> Option<Index> {
         let key = SubjectKey {
             subject: subject.clone(),
@@ -125,23 +125,23 @@
         self.latest.get(&key).copied()
     }
 
-    /// Returns the last record in force of a log on a subject.
+    /// Returns the latest record of a log for a subject.
     pub(super) fn latest_in(&self, log: LogId, subject: &Subject) -> Option<&Record> {
         let index = self.latest_index(log, subject)?;
         self.live.get(&EntryKey { log, index })
     }
 
-    /// Returns whether no later entry of its log supersedes the one at a position.
+    /// Returns whether the entry at a position is the latest one of its log for the subject.
     pub(crate) fn is_latest(&self, key: EntryKey, subject: &Subject) -> bool {
         self.latest_index(key.log, subject) == Some(key.index)
     }
 
-    /// Returns whether an entry of a log on a subject is in force.
+    /// Returns whether a log has a live entry for a subject.
     pub fn is_live(&self, log: LogId, subject: &Subject) -> bool {
         self.latest_in(log, subject).is_some()
     }
 
-    /// Returns when a subject was last purged by any writer, as far as entries say.
+    /// Returns the time of the latest entry for a subject in any log. Compacted purges are not included.
     pub fn latest_entry_time(&self, subject: &Subject) -> Option<Micros> {
         let logs = self.latest.range(SubjectKey::first(subject.clone())..);
         let of_subject = logs.take_while(|(key, _)| key.subject == *subject);
@@ -154,14 +154,14 @@
             .max()
     }
 
-    /// Returns the time before which no copy may be served: no earlier than any purge of the subject, whether it is an
-    /// entry or in the table.
+    /// Returns the time of the latest purge of a subject, from entries and the compact table. Copies that are older must not
+    /// be served. The time may be later than that of the actual purge, and is never earlier.
     pub fn latest_purge(&self, subject: &Subject) -> Option<Micros> {
         let compacted = subject.purge_key().and_then(|key| self.table.latest(key));
         self.latest_entry_time(subject).max(compacted)
     }
 
-    /// Returns all entries in force, log by log, without the purges that a later one of their log supersedes.
+    /// Returns all live entries by log, without purges that a later entry of the same log supersedes.
     pub fn entries(&self) -> impl Iterator<Item = Entry> + '_ {
         let logs = self.progress.keys();
         let entries = logs.flat_map(|log| self.entries_after(*log, 0));
@@ -174,7 +174,7 @@
         })
     }
 
-    /// Returns the number of stored entries, including purges that are superseded and not compacted yet.
+    /// Returns the number of stored entries, including superseded purges that are not compacted yet.
     pub fn len(&self) -> usize {
         self.live.len()
     }
@@ -184,7 +184,7 @@
         self.live.len() - self.expiring
     }
 
-    /// Returns whether no entry is stored.
+    /// Returns whether the store contains no entries.
     pub fn is_empty(&self) -> bool {
         self.live.is_empty()
     }
--- a/replication/src/log_store/statuses.rs
+++ b/replication/src/log_store/statuses.rs
@@ -1,15 +1,15 @@
-//! The statuses of triggers in a log store, and their expiry.
+//! Trigger statuses in a log store, and their expiry.
 
 use super::{EntryKey, LogStore, Record, SubjectKey};
 use crate::{Entry, Epoch, Index, Micros, Subject, Writer};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How far two wall clocks, or one before and after a restart, may be apart: each may be off by an hour in either direction.
+/// The maximum difference between two wall clocks, or one before and after a restart: each may be off by an hour either way.
 const MAX_CLOCK_SKEW_US: Micros = 2 * 60 * 60 * 1_000_000;
 
 impl LogStore {
-    /// Restarts the expiry of all entries that expire. To be called when a process starts, which can't tell by its wall
-    /// clock how long ago its predecessor, or a peer, wrote them.
+    /// Restarts the expiry of all expiring entries. Must be called at the start of a process, whose wall clock does not tell
+    /// how long ago its predecessor or a peer wrote them.
     pub fn restart_expiry(&mut self, now: Micros) {
         let expiring = self
             .live
@@ -18,7 +18,7 @@
         self.first_seen = expiring.map(|(key, _)| (*key, now)).collect();
     }
 
-    /// Starts the expiry of an entry that another process wrote: it is stored as long as one that is written now.
+    /// Starts the expiry of an entry of another process, which is retained as long as an entry that is written now.
     pub(crate) fn start_expiry(&mut self, now: Micros, entry: &Entry) {
         let key = EntryKey {
             log: entry.log,
@@ -29,15 +29,15 @@
         }
     }
 
-    /// Removes the entries that have expired, and returns them. The last entry of a log stays in any case, as others learn
-    /// from it how far the log goes.
+    /// Removes the entries that have expired, and returns them. The last entry of a log is never removed, as replicas learn
+    /// the log's last index from it.
     ///
-    /// An entry expires when `keep` has passed since it was first seen. For an entry of another process that is when it
-    /// arrived here, as its time is that of another clock; by its own time it expires only once that is past whatever the
-    /// two clocks say. So a status outlives any step of a clock, and yet does not stay for ever in a proxy that restarts
-    /// again and again.
+    /// An entry expires when `retention_us` has passed since it was first seen. An entry of another process is first seen
+    /// when it arrives, as its time was given by another clock. In addition, it expires once its time is so long ago that
+    /// not even the maximum clock skew can explain it. So clock steps do not remove statuses early, and a proxy that
+    /// restarts repeatedly does not retain them forever.
     ///
-    /// The deletion of a trigger is stored twice as long, for as long as any proxy may still have the status.
+    /// The deletion of a trigger is retained twice as long, because a proxy may still have the status until then.
     pub fn expire(&mut self, now: Micros, retention_us: Micros) -> Vec<Entry> {
         let first = SubjectKey::first(Subject::TriggerStatusPart {
             number: 0,
@@ -65,8 +65,8 @@
             .collect()
     }
 
-    /// Returns the status of a trigger as far as its pieces are stored without a gap; `None` if there is none, or the
-    /// trigger was deleted. Whether the text is complete must follow from the text itself.
+    /// Returns the text of a trigger's status up to its first missing part, or `None` if there is none or the trigger was
+    /// deleted. The caller must determine from the text whether it is complete.
     pub fn trigger_status(&self, writer: Writer, number: u64) -> Option<String> {
         if self
             .latest_entry_time(&Subject::TriggerDeleted { writer, number })
@@ -87,20 +87,20 @@
                     part,
                     text,
                 } if *n == number => {
-                    let pieces = epochs.entry(key.log.epoch).or_default();
-                    // Ordered by part: those after a missing one are left out.
-                    if key.log.writer == writer && pieces.len() == usize::from(*part) {
-                        pieces.push(text);
+                    let parts = epochs.entry(key.log.epoch).or_default();
+                    // Parts are ordered, so those after a missing one are left out.
+                    if key.log.writer == writer && parts.len() == usize::from(*part) {
+                        parts.push(text);
                     }
                 }
                 _ => break,
             }
         }
-        let mut texts = epochs.into_values().rev().map(|pieces| pieces.concat());
+        let mut texts = epochs.into_values().rev().map(|parts| parts.concat());
         texts.find(|text| !text.is_empty())
     }
 
-    /// Returns the greatest number of a writer's triggers that is stored or known to be deleted.
+    /// Returns the greatest trigger number of a writer, including deleted triggers.
     pub fn last_trigger_number(&self, writer: Writer) -> Option<u64> {
         let first = SubjectKey::first(Subject::TriggerStatusPart {
             number: 0,
@@ -118,7 +118,7 @@
             .max()
     }
 
-    /// Returns the triggers of which at least a part of a status is stored.
+    /// Returns the triggers with at least one stored part of a status.
     pub fn triggers(&self) -> BTreeSet<(Writer, u64)> {
         let first = SubjectKey::first(Subject::TriggerStatusPart {
             number: 0,
@@ -133,7 +133,7 @@
     }
 }
 
-/// Returns whether a record has expired that is stored for `keep`.
+/// Returns whether a record with this retention time has expired.
 fn has_expired(
     record: &Record,
     first_seen: Option<Micros>,
@@ -145,7 +145,7 @@
     } else {
         retention_us
     };
-    // A record that was not first seen was written by this process, by the clock of `now`.
+    // A record without a first-seen time was written by this process, with the clock of `now`.
     let since = first_seen.unwrap_or(record.at);
     since.saturating_add(retention_us) <= now
         || record.at.saturating_add(retention_us + MAX_CLOCK_SKEW_US) <= now
--- a/replication/src/options.rs
+++ b/replication/src/options.rs
@@ -1,58 +1,59 @@
-//! The options of a replica, and its counters.
+//! The options and counters of a replica.
 
 use crate::Micros;
 
-/// Bounds and times of a replica.
+/// The limits and intervals of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Options {
-    /// The most purges and operators' decisions of all logs together that are stored as entries. Above it the oldest
-    /// purges are moved to the compact table ([`crate::Replica::compact`]). The hard bound is twice as many, for entries
-    /// that can't be moved because the disk does not take them.
+    /// The maximum number of purges and operator decisions, over all logs, that are stored as entries. Beyond it the oldest
+    /// purges are moved to the compact table ([`crate::Replica::compact`]). Purges that are not yet on the disk can't be
+    /// moved, so the hard limit is twice this number.
     pub max_exact_entries: usize,
-    /// The most entries of triggers' statuses, in addition.
+    /// The maximum number of entries of trigger statuses and deletions, in addition to `max_exact_entries`.
     pub expiring_entries: usize,
-    /// How long those entries are of use.
+    /// The time after which the status of a trigger expires. Its deletion expires after twice this time.
     pub expiry_us: Micros,
-    /// The most logs, which are writers by their epochs.
+    /// The maximum number of logs. Each epoch of a writer is a log.
     pub max_logs: usize,
-    /// The interval between two digests.
+    /// The interval between digests.
     pub digest_period_us: Micros,
-    /// The most entries sent in answer to one message of a peer that has fewer.
-    pub max_entries_per_reply: usize,
-    /// The most entries sent in one digest period to all peers: replication must leave the event loop to requests.
+    /// The maximum number of entries sent for one range that a peer is missing.
+    pub max_entries_per_range: usize,
+    /// The maximum number of entries sent to all peers in one digest period, so that replication does not delay client
+    /// requests in the event loop.
     pub max_entries_per_period: usize,
-    /// The most entries in the reorder buffer.
+    /// The capacity of the reorder buffer, in entries.
     pub max_reordered_entries: usize,
-    /// How long after the first entry out of order the gap before it is requested.
+    /// The delay before a gap in a log is requested, in which reordered datagrams may still arrive.
     pub gap_request_us: Micros,
-    /// How many further machines must have a commit on their disks before it is given.
+    /// The number of other machines that must acknowledge an entry before its commit is confirmed.
     pub min_acks: usize,
-    /// How many further machines are to have each entry in the end.
+    /// The number of other machines that each entry is eventually replicated to.
     pub replication_factor: usize,
-    /// The time after which a commit is rejected.
+    /// The time after which a pending commit is rejected.
     pub commit_timeout_us: Micros,
-    /// The interval in which entries are sent again while a commit waits for peers.
+    /// The interval at which unacknowledged entries are sent again while a commit is pending.
     pub retry_us: Micros,
-    /// The most pending commits.
+    /// The maximum number of pending commits.
     pub max_pending_commits: usize,
-    /// The bytes of a snapshot per second that this replica requests.
+    /// The rate at which this replica requests a snapshot, in bytes per second.
     pub snapshot_bytes_per_s: usize,
-    /// The most bytes of snapshots sent in one digest period to all peers.
+    /// The maximum number of snapshot bytes sent to all peers in one digest period.
     pub max_snapshot_bytes_per_period: usize,
-    /// The shortest interval between two requests for parts of a snapshot.
+    /// The minimum interval between requests for parts of a snapshot.
     pub snapshot_request_us: Micros,
-    /// The time after which an incomplete part of a snapshot is requested again.
+    /// The time after which an incompletely received part of a snapshot is requested again.
     pub snapshot_timeout_us: Micros,
 }
 
 impl Options {
-    /// Returns how many bytes of a snapshot one request is answered with.
+    /// Returns the number of snapshot bytes sent in reply to one request.
     pub(crate) fn snapshot_window_bytes(&self) -> usize {
         let window = self.snapshot_bytes_per_s as u64 * self.snapshot_request_us / 1_000_000;
         window as usize
     }
 
-    /// Returns the hard bound of entries that do not expire.
+    /// Returns the hard limit of entries that do not expire.
     pub(crate) fn max_entries(&self) -> usize {
         self.max_exact_entries.saturating_mul(2)
     }
@@ -66,7 +67,7 @@
             expiry_us: 3_600_000_000,
             max_logs: 16_384,
             digest_period_us: 500_000,
-            max_entries_per_reply: 256,
+            max_entries_per_range: 256,
             max_entries_per_period: 512,
             max_reordered_entries: 1_024,
             gap_request_us: 10_000,
@@ -83,31 +84,31 @@
     }
 }
 
-/// Counters for operators.
+/// Counters of a replica since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Counters {
     /// Entries sent to peers.
     pub sent: u64,
-    /// Entries that were new here.
+    /// Entries received from peers and inserted.
     pub inserted: u64,
-    /// Entries that were known.
+    /// Entries received that were already stored or superseded.
     pub duplicates: u64,
-    /// Entries that arrived before others of their log.
+    /// Entries received out of order.
     pub out_of_order: u64,
-    /// Entries beyond the capacity.
+    /// Entries and logs rejected because the capacity is exceeded.
     pub rejected: u64,
-    /// Commits given.
+    /// Commits confirmed.
     pub committed: u64,
     /// Commits rejected.
     pub commits_rejected: u64,
     /// Purges moved to the compact table.
     pub compacted: u64,
-    /// Snapshots offered to peers that are behind what was compacted here.
+    /// Snapshots offered to peers that are behind a compacted index.
     pub snapshots_offered: u64,
-    /// Datagrams of snapshots sent to peers.
+    /// Snapshot chunks sent to peers.
     pub snapshot_chunks_sent: u64,
-    /// Snapshots received in full.
+    /// Snapshots received completely.
     pub snapshots_received: u64,
-    /// Snapshots abandoned because their sender did not answer.
+    /// Snapshot transfers abandoned because the sender did not answer.
     pub snapshots_abandoned: u64,
 }
--- a/replication/src/position.rs
+++ b/replication/src/position.rs
@@ -1,21 +1,21 @@
-//! Positions in logs, as replicas report and request them.
+//! Positions in logs that replicas report, and gaps that they request.
 
 use crate::{Index, LogId};
 
-/// How far a replica has a log.
+/// The position of a replica in a log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LogPosition {
     /// The log.
     pub log: LogId,
-    /// The replica has all entries in force through this index; 0 if it has none.
+    /// The replica has all live entries through this index. 0 if it has none.
     pub index: Index,
 }
 
-/// A part of a log that a replica is missing.
+/// A range of a log that a replica is missing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Gap {
-    /// The replica has what is at this index.
+    /// The index before the first missing one. The replica has the log through this index.
     pub after: Index,
-    /// The last index that it is missing.
+    /// The last missing index.
     pub through: Index,
 }
--- a/replication/src/received.rs
+++ b/replication/src/received.rs
@@ -1,4 +1,4 @@
-//! The results of receiving a datagram, and datagrams to send.
+//! The effects of a received datagram, and datagrams to send.
 
 use crate::{CompactedLog, Datagram, Entry};
 use linnetknot_purges::{Bucket, BucketBits, BucketIndex};
@@ -19,25 +19,25 @@
     pub bucket_bits: BucketBits,
     /// The bucket's index in that table.
     pub index: BucketIndex,
-    /// Its content.
+    /// The merged bucket.
     pub bucket: Bucket,
 }
 
-/// The effects of a datagram.
+/// The effects of a received datagram, which the caller must carry out.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Received {
-    /// New entries, to be put in force and written to the disk.
+    /// New entries. The caller must apply them and write them to the disk.
     pub new: Vec<Entry>,
-    /// Entries that arrived before others of their log, to be put in force: a purge does not wait for those before it.
-    /// They are returned again as new ones later.
+    /// Entries that arrived out of order. The caller must apply them at once, as a purge does not depend on those before
+    /// it. They are returned again in `new` once the gap before them is filled.
     pub out_of_order: Vec<Entry>,
-    /// Datagrams to send to the sender.
+    /// Datagrams to send back to the sender.
     pub replies: Vec<Datagram>,
-    /// Entries beyond the capacity, to be put in force all the same. They are requested again.
+    /// Entries that exceed the capacity. The caller must apply them all the same. They are requested again later.
     pub rejected: Vec<Entry>,
-    /// Buckets of the compact table that changed, to be put in force at once and written to the disk.
+    /// Buckets of the compact table that changed. The caller must apply them at once and write them to the disk.
     pub buckets: Vec<MergedBucket>,
-    /// Logs that a complete snapshot advanced: to be written to the disk after all buckets returned before, and confirmed
-    /// by [`crate::Replica::record_snapshot_synced`].
+    /// Logs that a complete snapshot advanced. The caller must write them to the disk after all buckets that were returned
+    /// before, and then call [`crate::Replica::record_snapshot_synced`].
     pub compacted: Vec<CompactedLog>,
 }
--- a/replication/src/recovery.rs
+++ b/replication/src/recovery.rs
@@ -1,30 +1,29 @@
-//! When a proxy that started without a disk has its own commits back.
+//! Determines when a proxy that lost its disk has recovered its own commits from its peers.
 //!
-//! Each commit is on the disks of at least `min_acks` further machines. So once the proxy has all entries that all but
-//! `min_acks - 1` of the further machines have, it has every entry that it ever committed, whichever machines those were
-//! on. Until then it is not ready. A machine that is lost as well must not keep it from service for ever, so the
-//! recovery ends at a deadline.
+//! Each commit is on the disks of at least `min_acks` other machines. Once the proxy has caught up with all but
+//! `min_acks - 1` of the other machines, it has every entry that it ever committed. Until then it is not ready to serve.
+//! The recovery ends at a deadline, so that another lost machine does not block the proxy forever.
 
 use crate::{Machine, Micros};
 use std::collections::BTreeSet;
 
-/// The times of a recovery.
+/// The schedule of a recovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecoveryTimes {
-    /// When the peers are asked first.
+    /// The time of the first digest requests.
     pub start: Micros,
-    /// The recovery ends then, whatever is missing.
+    /// The time at which the recovery ends even if it is incomplete.
     pub deadline: Micros,
-    /// The interval in which peers are asked again.
+    /// The interval between digest requests to a peer.
     pub retry_us: Micros,
 }
 
-/// What a recovery requires at a tick.
+/// The actions that a recovery requires at a tick.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecoveryStep {
-    /// The peers to request digests from now.
+    /// The peers to request digests from.
     pub request_from: Vec<usize>,
-    /// Set when the deadline passes: how many more machines would have been needed.
+    /// The number of machines that the proxy has not caught up with. Set once, when the deadline passes.
     pub missing_machines: Option<usize>,
 }
 
@@ -34,9 +33,9 @@
     own: Machine,
     /// The machine of each peer.
     machines: Vec<Machine>,
-    /// How many further machines the proxy must be level with.
+    /// The number of other machines that the proxy must catch up with.
     needed: usize,
-    /// Peers of which the proxy has all entries.
+    /// Peers that the proxy has caught up with.
     caught_up: BTreeSet<usize>,
     deadline: Micros,
     next_request: Micros,
@@ -45,8 +44,8 @@
 }
 
 impl Recovery {
-    /// The recovery of a proxy on the machine `own`, whose peers are on `machines` and whose commits waited for
-    /// `min_acks` further machines.
+    /// Creates the recovery of a proxy on the machine `own`, whose peers run on `machines` and whose commits waited for
+    /// `min_acks` other machines.
     pub fn new(
         own: Machine,
         machines: Vec<Machine>,
@@ -54,7 +53,7 @@
         times: RecoveryTimes,
     ) -> Self {
         let further: BTreeSet<Machine> = machines.iter().copied().filter(|m| *m != own).collect();
-        // With no acknowledgements required nothing was committed elsewhere; the peers are asked all the same.
+        // Without required acknowledgements any machine may have the only copy of an entry, so all are needed.
         let needed = (further.len() + 1).saturating_sub(min_acks.max(1));
         Recovery {
             own,
@@ -73,12 +72,12 @@
         self.is_over
     }
 
-    /// Returns when [`Recovery::tick`] is to be called next; `None` once the recovery is over.
+    /// Returns the time at which [`Recovery::tick`] must be called next, or `None` once the recovery is over.
     pub fn due(&self) -> Option<Micros> {
         (!self.is_over).then_some(self.next_request.min(self.deadline))
     }
 
-    /// Returns the peers to ask now, and ends the recovery at its deadline.
+    /// Returns the peers to request digests from, and ends the recovery at its deadline.
     pub fn tick(&mut self, now: Micros) -> RecoveryStep {
         if self.is_over {
             return RecoveryStep::default();
@@ -101,12 +100,12 @@
         }
     }
 
-    /// Extends the deadline to at least this time: entries are on their way.
+    /// Extends the deadline to at least this time, because entries are still arriving.
     pub fn extend(&mut self, deadline: Micros) {
         self.deadline = self.deadline.max(deadline);
     }
 
-    /// Records that the proxy has all entries that a peer has. Returns whether that ended the recovery.
+    /// Records that the proxy has all entries of a peer. Returns whether this ended the recovery.
     pub fn record_caught_up(&mut self, peer: usize) -> bool {
         if self.is_over || peer >= self.machines.len() {
             return false;
@@ -116,7 +115,7 @@
         self.is_over
     }
 
-    /// Counts the further machines of which the proxy has all entries.
+    /// Counts the other machines that the proxy has caught up with.
     fn caught_up_machines(&self) -> usize {
         let machines = self.caught_up.iter().map(|peer| self.machines[*peer]);
         let further: BTreeSet<Machine> = machines.filter(|machine| *machine != self.own).collect();
--- a/replication/src/reorder.rs
+++ b/replication/src/reorder.rs
@@ -1,10 +1,9 @@
-//! A buffer for entries that arrived before others of their log, so that a lost datagram costs only itself and not all
-//! that were sent after it.
+//! A buffer for entries that arrived out of order. Only the lost entries have to be sent again, and not those after them.
 
 use crate::{Entry, Gap, Index, LogId};
 use std::collections::BTreeMap;
 
-/// Entries that arrived out of order, bounded in total.
+/// Entries that arrived out of order. The total number of entries is bounded.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct ReorderBuffer {
     logs: BTreeMap<LogId, BTreeMap<Index, Entry>>,
@@ -12,7 +11,7 @@
 }
 
 impl ReorderBuffer {
-    /// Stores an entry unless there are `max_len` already. Returns whether it was new.
+    /// Inserts an entry unless the buffer contains `max_len` entries. Returns whether the entry was new.
     pub(crate) fn insert(&mut self, entry: &Entry, max_len: usize) -> bool {
         if self.len >= max_len {
             return false;
@@ -23,8 +22,8 @@
         is_new
     }
 
-    /// Takes out the entry that follows `last_index` in a log, if it is here. Entries that the replica has received
-    /// otherwise by now are dropped.
+    /// Removes and returns the entry that can be inserted after `last_index` of a log, if it is buffered. Drops entries up
+    /// to `last_index`, which the replica has received in the meantime.
     pub(crate) fn take_next(&mut self, log: LogId, last_index: Index) -> Option<Entry> {
         let out_of_order = self.logs.get_mut(&log)?;
         let mut next = None;
@@ -45,7 +44,7 @@
         next
     }
 
-    /// Returns what is missing of a log between `last_index` and the entries of it that are here.
+    /// Returns the gaps between `last_index` of a log and its buffered entries.
     pub(crate) fn gaps(&self, log: LogId, last_index: Index) -> Vec<Gap> {
         let mut gaps = Vec::new();
         let mut through = last_index;
@@ -61,7 +60,7 @@
         gaps
     }
 
-    /// Returns the logs of which entries are here.
+    /// Returns the logs with buffered entries.
     pub(crate) fn logs(&self) -> impl Iterator<Item = LogId> + '_ {
         self.logs.keys().copied()
     }
--- a/replication/src/replica/catch_up.rs
+++ b/replication/src/replica/catch_up.rs
@@ -1,4 +1,4 @@
-//! Compaction, and snapshots to and from peers.
+//! Compaction, and the exchange of snapshots with peers.
 
 use super::Replica;
 use crate::snapshot::{CatchUpRequest, CompleteSnapshot, Image, ImageReader, Progress};
@@ -10,40 +10,40 @@
 };
 use std::collections::BTreeMap;
 
-/// The interval after which compaction is tried again if it could move nothing.
+/// The interval after which compaction is retried if it could move nothing.
 const COMPACTION_RETRY_US: Micros = 1_000_000;
-/// A peer that was offered a snapshot in so many digest periods and never answered has a version without snapshots.
+/// The number of digest periods with unanswered offers after which a peer is assumed not to support snapshots.
 const MIN_UNANSWERED_PERIODS: u32 = 64;
-/// An image that was not read for so many digest periods is dropped.
+/// The number of digest periods after which an image that was not read is dropped.
 const MAX_IMAGE_IDLE_PERIODS: u64 = 64;
-/// The most datagrams that request from the sender of a snapshot the entries after it.
+/// The maximum number of datagrams that request the entries after a snapshot from its sender.
 const MAX_REQUESTS_AFTER_SNAPSHOT: usize = 16;
-/// While a peer reads a snapshot, compaction is deferred until one part in so many is stored beyond the usual bound: the
-/// peer then receives the entries after the snapshot as such, and not by another snapshot.
+/// While a peer reads a snapshot, compaction is deferred until the maximum number of entries is exceeded by this fraction,
+/// given as a divisor. The peer can then receive the entries after the snapshot without another snapshot.
 const MAX_DEFERRED_DIVISOR: usize = 2;
 
-/// A log that a snapshot raised.
+/// A log that a snapshot advanced to a higher index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PendingSnapshot {
-    /// The log's durable index before.
+    /// The log's durable index before the snapshot.
     pub(super) durable: Index,
-    /// The index to which the log was raised.
+    /// The index to which the snapshot advanced the log.
     pub(super) through: Index,
 }
 
-/// Offers to a peer since it last answered one.
+/// Offers to a peer since its last answer to one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct UnansweredOffers {
     /// The number of digest periods with an offer.
     periods: u32,
-    /// The last of them.
+    /// The last period with an offer.
     last_period: u64,
 }
 
 impl Replica {
-    /// Moves the oldest purges to the compact table if there are more entries than the bound. It waits a while for a
-    /// snapshot that is being read. To be called after each change, or often: it is cheap while there is nothing to move.
-    /// The moved purges are in force as before; the caller must update the disk as [`Compaction`] says.
+    /// Moves the oldest purges to the compact table if the maximum number of entries is exceeded. Compaction is deferred, up
+    /// to a limit, while a peer reads a snapshot. The method should be called after each change; it is cheap if there is
+    /// nothing to move. The moved purges stay effective. The caller must update the disk as described at [`Compaction`].
     pub fn compact(&mut self, now: Micros) -> Option<Compaction> {
         let max_entries = self.options.max_exact_entries;
         let exact_len = self.log_store.exact_len();
@@ -68,15 +68,15 @@
         compaction
     }
 
-    /// Returns whether this replica knows that it is behind what peers have compacted. Until it has that, purges may be
-    /// missing here that no log will bring.
+    /// Returns whether this replica is known to be behind the compacted index of a peer. Until it has received a snapshot,
+    /// it may be missing purges that are no longer replicated as entries.
     pub fn is_catching_up(&self) -> bool {
         self.catch_up
             .is_behind(|log| self.log_store.last_index(log))
     }
 
-    /// Returns the peers that were offered a snapshot again and again and did not answer, as those of a version without
-    /// snapshots do: they do not receive what they missed while they were away.
+    /// Returns the peers that repeatedly did not answer the offer of a snapshot, as versions without snapshots do. They do not
+    /// receive the purges that were compacted while they were unreachable.
     pub fn peers_without_snapshot(&self) -> Vec<usize> {
         let unanswered = self
             .offers
@@ -85,7 +85,7 @@
         unanswered.map(|(peer, _)| *peer).collect()
     }
 
-    /// Returns the offer of a snapshot to a peer.
+    /// Creates the offer of a snapshot to a peer.
     pub(super) fn offer(&mut self, peer: usize, logs: Vec<CompactedLog>) -> Datagram {
         let offers = self.offers.entry(peer).or_default();
         if offers.last_period != self.period || offers.periods == 0 {
@@ -103,7 +103,7 @@
         })
     }
 
-    /// Requests the next part of a snapshot from its sender, or the missing logs from any peer.
+    /// Requests the next part of a snapshot from its sender, or the missing logs from a random peer, if a request is due.
     pub(super) fn request_snapshot(&mut self, now: Micros, outgoing: &mut Vec<Outgoing>) {
         let store = &self.log_store;
         let peers = self.pending_commits.peer_count();
@@ -141,7 +141,7 @@
         Received::default()
     }
 
-    /// Replies with a part of a snapshot. A request to an earlier process is answered by an offer of this one.
+    /// Replies with a part of a snapshot. If the request is to an earlier process, replies with a new offer.
     pub(super) fn receive_snapshot_request(
         &mut self,
         from: usize,
@@ -161,7 +161,8 @@
         received
     }
 
-    /// Returns the image to read from a cursor on. A snapshot that starts is read from an image of the last compaction.
+    /// Returns the image to read from a cursor on. The start of a snapshot is read from an image that includes the last
+    /// compaction.
     fn image_for(&mut self, from: SnapshotCursor) -> Image {
         self.image_period = self.period;
         let is_start = from == SnapshotCursor::START;
@@ -175,15 +176,15 @@
         })
     }
 
-    /// Drops the image if no peer has read it lately.
+    /// Drops the image if no peer has read it recently.
     pub(super) fn drop_unread_image(&mut self) {
         if self.period - self.image_period > MAX_IMAGE_IDLE_PERIODS {
             self.image = None;
         }
     }
 
-    /// Sends one window of a snapshot, as much as this period leaves. A window that starts with the logs' indexes ends
-    /// with them, as the receiver does not use what is read together with them.
+    /// Sends one window of a snapshot, within the limit of this period. A window of log indexes contains nothing else, as the
+    /// receiver needs all of them before it accepts buckets and entries.
     fn send_snapshot(&mut self, from: SnapshotCursor, replies: &mut Vec<Datagram>) {
         let image = self.image_for(from);
         let reader = ImageReader {
@@ -231,8 +232,8 @@
         received
     }
 
-    /// Merges a chunk's buckets into the table, which is right whoever sent them and whenever. Their times are bounded by
-    /// now, as the sender's clock may be ahead.
+    /// Merges the buckets of a chunk into the table, which is valid for any sender and at any time. Their times are limited to
+    /// `now`, as the sender's clock may be ahead.
     fn merge_buckets(&mut self, now: Micros, content: &SnapshotContent, received: &mut Received) {
         let SnapshotContent::Buckets {
             bucket_bits,
@@ -244,7 +245,7 @@
         let table = &mut self.log_store.table;
         for indexed in buckets {
             let bucket = indexed.bucket.no_later_than(now);
-            // Decoding has checked the index, so that the merge does not fail.
+            // The merge does not fail, as decoding has checked the index.
             let changed = table
                 .merge_bucket(*bucket_bits, indexed.index, &bucket)
                 .unwrap_or_default();
@@ -261,7 +262,7 @@
         }
     }
 
-    /// Takes a complete snapshot: the logs continue after the indexes to which it raises them.
+    /// Applies a complete snapshot: advances the logs to its indexes and inserts its entries.
     fn complete_snapshot(
         &mut self,
         from: usize,
@@ -278,7 +279,7 @@
                 self.counters.rejected += 1;
                 continue;
             }
-            self.raise_to_snapshot(CompactedLog { log, through });
+            self.advance_to_snapshot(CompactedLog { log, through });
             last_indexes.insert(log, last_index);
             received.compacted.push(CompactedLog { log, through });
         }
@@ -300,7 +301,7 @@
             .for_each(|log| self.insert_reordered(from, log, received));
     }
 
-    /// Requests the entries after a snapshot from its sender, as other peers may have compacted more by then.
+    /// Requests the entries after a snapshot from its sender, as other peers may have compacted them.
     fn request_after_snapshot(&self, logs: &[CompactedLog], replies: &mut Vec<Datagram>) {
         let position = |compacted: &CompactedLog| LogPosition {
             log: compacted.log,
@@ -314,13 +315,13 @@
         }));
     }
 
-    fn raise_to_snapshot(&mut self, CompactedLog { log, through }: CompactedLog) {
+    fn advance_to_snapshot(&mut self, CompactedLog { log, through }: CompactedLog) {
         let durable = self.durable_index(log);
         let pending = self
             .pending_snapshots
             .entry(log)
             .or_insert(PendingSnapshot { durable, through });
         pending.through = through;
-        self.log_store.raise_to_snapshot(log, through);
+        self.log_store.advance_to_snapshot(log, through);
     }
 }
--- a/replication/src/replica/commits.rs
+++ b/replication/src/replica/commits.rs
@@ -1,4 +1,4 @@
-//! Commits and acknowledgements: which entries are on which disks.
+//! Commits, and the acknowledgements of durable entries.
 
 use super::Replica;
 use crate::commit::OwnLog;
@@ -9,14 +9,14 @@
 };
 
 impl Replica {
-    /// Opens a commit of this epoch's log through an index, which [`Replica::resolve_commits`] gives or rejects later.
-    /// The index must not be lower than that of any commit before.
+    /// Opens a commit of the current epoch's log through an index, which [`Replica::resolve_commits`] confirms or rejects
+    /// later. The index must not be lower than that of an earlier commit.
     ///
     /// # Errors
     /// Fails if too many commits are pending.
     pub fn open_commit(&mut self, now: Micros, index: Index) -> Result<CommitId, RejectReason> {
         if !self.pending_commits.has_pending() {
-            // The entry was sent to the peers just now, and is sent again only after a while.
+            // The entry has just been sent to the peers, so the first retry waits for a whole interval.
             self.next_retry = now + self.options.retry_us;
         }
         let opened = self
@@ -26,7 +26,7 @@
         opened
     }
 
-    /// Takes the commits that are given or rejected by now.
+    /// Returns the outcomes of the commits that are confirmed or rejected by now.
     pub fn resolve_commits(&mut self, now: Micros) -> Vec<CommitOutcome> {
         let own = OwnLog {
             log: self.own,
@@ -34,13 +34,13 @@
             unsynced: &self.unsynced,
         };
         let outcomes = self.pending_commits.resolve(now, own, &self.options);
-        let given = outcomes.iter().filter(|o| o.result.is_ok()).count() as u64;
-        self.counters.committed += given;
-        self.counters.commits_rejected += outcomes.len() as u64 - given;
+        let confirmed = outcomes.iter().filter(|o| o.result.is_ok()).count() as u64;
+        self.counters.committed += confirmed;
+        self.counters.commits_rejected += outcomes.len() as u64 - confirmed;
         outcomes
     }
 
-    /// Returns the index through which all entries in force of a log are on this proxy's disk.
+    /// Returns the index through which all live entries of a log are on the local disk.
     pub fn durable_index(&self, log: LogId) -> Index {
         let last_index = self.log_store.last_index(log);
         let durable = self.unsynced.synced_through(log, last_index);
@@ -48,7 +48,7 @@
         pending.map_or(durable, |pending| durable.min(pending.durable))
     }
 
-    /// Returns whether all that the log store has is on the disk.
+    /// Returns whether the whole log store is on the disk.
     pub fn is_synced(&self) -> bool {
         self.unsynced.is_empty() && self.pending_snapshots.is_empty()
     }
@@ -59,9 +59,9 @@
         self.due_acks(log)
     }
 
-    /// Records that a snapshot is on the disk: the indexes of these logs ([`crate::Received::compacted`]) and all buckets
-    /// returned up to then. Returns the acknowledgements to send. Before that, nothing that the snapshot covers is
-    /// acknowledged.
+    /// Records that a snapshot is on the disk: the compacted indexes of these logs ([`crate::Received::compacted`]) and all
+    /// buckets that were returned up to then. Returns the acknowledgements to send. Until this call nothing that the
+    /// snapshot covers is acknowledged.
     pub fn record_snapshot_synced(&mut self, logs: &[CompactedLog]) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
         for CompactedLog { log, through } in logs {
@@ -74,7 +74,7 @@
         outgoing
     }
 
-    /// Returns the acknowledgements to the peers that wait for a log to be on the disk, as far as it is.
+    /// Removes the pending acknowledgements of a log that are now durable, and returns them to be sent.
     fn due_acks(&mut self, log: LogId) -> Vec<Outgoing> {
         let durable_index = self.durable_index(log);
         let waiting = self.pending_acks.range((log, 0)..=(log, usize::MAX));
@@ -101,28 +101,28 @@
         }
     }
 
-    /// Records that a peer waits for this index to be on the disk.
+    /// Records that a peer must be sent an acknowledgement once this index is durable.
     pub(super) fn ack_once_synced(&mut self, log: LogId, index: Index, peer: usize) {
         let latest = self.pending_acks.entry((log, peer)).or_insert(index);
         *latest = (*latest).max(index);
     }
 
-    /// Records that the disk did not take an entry. It stays in force, and [`Replica::take_failed_syncs`] returns it.
+    /// Records that an entry could not be written to the disk. It stays live, and [`Replica::take_failed_syncs`] returns it.
     pub fn record_sync_failure(&mut self, log: LogId, index: Index) {
         self.unsynced.mark_failed(log, index);
     }
 
-    /// Takes the entries that must be written to the disk again. One that was superseded meanwhile need not be there once
-    /// all after it are, among them the one that superseded it.
+    /// Takes the entries that must be written to the disk again. An entry that was superseded in the meantime is not
+    /// written again, and counts as synced once all later entries of its log are on the disk.
     pub fn take_failed_syncs(&mut self) -> Vec<Entry> {
         let mut entries = Vec::new();
         for (log, index) in self.unsynced.take_failed() {
             let next = self.log_store.entries_after(log, index - 1).next();
-            let is_in_force = |entry: &Entry| {
+            let is_latest_entry = |entry: &Entry| {
                 let key = EntryKey { log, index };
                 entry.index == index && self.log_store.is_latest(key, &entry.subject)
             };
-            match next.filter(is_in_force) {
+            match next.filter(is_latest_entry) {
                 Some(entry) => entries.push(entry),
                 None if self.unsynced.is_last(log, index) => self.unsynced.remove(log, index),
                 None => self.unsynced.mark_failed(log, index),
@@ -131,7 +131,7 @@
         entries
     }
 
-    /// Counts the entries of its own logs that fewer further machines have acknowledged than the replication factor.
+    /// Returns the number of entries of the replica's own logs that are below the replication factor.
     pub fn under_replicated(&self) -> usize {
         let replicas = self.options.replication_factor;
         let under_replicated = |position: LogPosition| {
@@ -142,14 +142,14 @@
         self.own_epochs().into_iter().map(under_replicated).sum()
     }
 
-    /// Returns the logs of all its own epochs.
+    /// Returns the positions in the logs of all of the writer's own epochs.
     pub(super) fn own_epochs(&self) -> Vec<LogPosition> {
         let mut logs = self.log_store.last_indexes();
         logs.retain(|position| position.log.writer == self.own.writer);
         logs
     }
 
-    /// Returns a peer's durable index of the log of this epoch, as far as it is known.
+    /// Returns a peer's last reported durable index of the current epoch's log, or 0.
     pub fn acked_by(&self, peer: usize) -> Index {
         self.pending_commits.acked_by(peer, self.own.epoch)
     }
--- a/replication/src/replica/exchange.rs
+++ b/replication/src/replica/exchange.rs
@@ -1,4 +1,4 @@
-//! Datagrams from peers, and the replies to them.
+//! Handling of datagrams from peers.
 
 use super::Replica;
 use crate::wire::MAX_LOGS_PER_DATAGRAM;
@@ -7,7 +7,7 @@
     Micros, Received,
 };
 
-/// A part of a log that a peer is missing.
+/// A range of a log that a peer is missing.
 #[derive(Clone, Copy, Debug)]
 struct Range {
     log: LogId,
@@ -15,7 +15,7 @@
 }
 
 impl Range {
-    /// All of a log after an index.
+    /// Creates the range of a log after an index.
     fn after(log: LogId, after: Index) -> Self {
         let gap = Gap {
             after,
@@ -25,10 +25,10 @@
     }
 }
 
-/// The replies to a peer's positions.
+/// The result of the comparison with a peer's positions.
 struct Comparison {
     received: Received,
-    /// Whether both have the same of these logs.
+    /// Whether both sides have the same positions in these logs.
     is_equal: bool,
 }
 
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Records what a peer has of this proxy's own logs; only their writer needs to know.
+    /// Records a peer's durable indexes of this proxy's own logs. Those of other writers are ignored.
     fn receive_ack(&mut self, from: usize, process: u64, positions: &[LogPosition]) {
         for LogPosition { log, index } in positions {
             if log.writer == self.own.writer {
@@ -95,7 +95,7 @@
             return received;
         }
         if positions.len() as u64 == log_count {
-            // The peer named all its logs: it has no other.
+            // The digest lists all of the peer's logs, so the peer is missing every other log completely.
             let is_named = |log: &LogId| positions.iter().any(|named| named.log == *log);
             let logs = self.log_store.last_indexes().into_iter();
             let unknown = logs.map(|position| position.log).filter(|l| !is_named(l));
@@ -103,7 +103,7 @@
             let answer = self.answer(from, ranges.into_iter());
             received.replies.extend(answer.replies);
         } else if is_equal {
-            // The logs that it named are the same here: the difference is in others.
+            // The listed logs are equal on both sides, so the difference is in other logs.
             received.replies.push(Datagram::RangeRequest {
                 positions: self.next_positions(),
             });
@@ -119,7 +119,7 @@
         received
     }
 
-    /// Takes the entries of a log from the reorder buffer that follow now.
+    /// Inserts the buffered entries of a log that now follow its last index.
     pub(super) fn insert_reordered(&mut self, from: usize, log: LogId, received: &mut Received) {
         while let Some(next) = self
             .reorder_buffer
@@ -141,7 +141,7 @@
             }
             Insertion::Duplicate => {
                 self.counters.duplicates += 1;
-                // A peer that sends a known entry also asks for its acknowledgement.
+                // A peer that sends an entry again has not received its acknowledgement.
                 let durable_index = self.durable_index(log);
                 if durable_index >= index {
                     received.replies.push(self.ack(log, durable_index));
@@ -167,14 +167,15 @@
         }
     }
 
-    /// Something new arrived: the remaining gaps are requested at the retry interval again.
+    /// Resets the interval of gap requests to the retry interval, after a new entry has arrived.
     fn reset_gap_requests(&mut self) {
         if let Some(timer) = &mut self.gap_request {
             timer.unanswered = 0;
         }
     }
 
-    /// Sends the entries that a peer is missing, and requests those that it has beyond.
+    /// Compares positions with a peer: replies with the entries that it is missing, and requests those that it has in
+    /// addition.
     fn compare(&mut self, from: usize, positions: &[LogPosition]) -> Comparison {
         let mut behind = Vec::new();
         let mut ranges = Vec::new();
@@ -199,8 +200,8 @@
         Comparison { received, is_equal }
     }
 
-    /// Sends the entries that a peer is missing, as many as this period leaves. A peer that is missing compacted entries
-    /// of a log is offered a snapshot, and sent no later entries, which it could not take.
+    /// Replies with the entries that a peer is missing, within the limit of this period. A peer that is missing compacted
+    /// entries of a log is offered a snapshot instead, as it could not insert the later entries.
     fn answer(&mut self, peer: usize, ranges: impl Iterator<Item = Range>) -> Received {
         let mut received = Received::default();
         let mut compacted = Vec::new();
@@ -221,9 +222,9 @@
         received
     }
 
-    /// Sends the entries of a part of a log, as many as this period leaves.
+    /// Adds the entries of a range to the replies, within the limits per range and per period.
     fn send_range(&mut self, range: Range, replies: &mut Vec<Datagram>) {
-        let capacity = self.options.max_entries_per_reply.min(self.allowance);
+        let capacity = self.options.max_entries_per_range.min(self.allowance);
         let before = replies.len();
         let entries = self.log_store.entries_after(range.log, range.gap.after);
         let entries = entries.take_while(|entry| entry.index <= range.gap.through);
--- a/replication/src/replica/mod.rs
+++ b/replication/src/replica/mod.rs
@@ -1,4 +1,4 @@
-//! One proxy's replica of all logs, and the digests and requests that it sends to its peers.
+//! The replica of one proxy, and the digests and requests that it sends to its peers.
 
 mod catch_up;
 mod commits;
@@ -17,69 +17,71 @@
 use linnetknot_datagram::Random;
 use std::collections::BTreeMap;
 
-/// The most logs whose gaps are requested at a time, and the most datagrams for the gaps of one.
+/// The maximum number of logs whose gaps are requested at a time, and of datagrams for the gaps of one log.
 const MAX_GAP_LOGS: usize = 8;
 
-/// How many requests for gaps follow each other at the retry interval while none of them brings anything.
+/// The number of gap requests without any result after which the retry interval becomes longer.
 const MAX_FAST_GAP_REQUESTS: u32 = 16;
 
-/// When gaps are requested next.
+/// The schedule of gap requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct GapRequestTimer {
     due: Micros,
-    /// Requests since any of them brought something.
+    /// The number of requests since an entry was last inserted or buffered.
     unanswered: u32,
 }
 
-/// One proxy's replica of all logs.
+/// The replica of one proxy, which contains its own log and those of its peers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Replica {
     own: LogId,
-    /// This process; later processes of the proxy have greater ids.
+    /// The id of this process. Later processes of the proxy have greater ids.
     process: u64,
     log_store: LogStore,
     reorder_buffer: ReorderBuffer,
-    /// The peer that sent the last entry out of order.
+    /// The peer that sent the last out-of-order entry.
     reorder_sender: usize,
-    /// Set while entries are out of order.
+    /// Set while the reorder buffer contains entries.
     gap_request: Option<GapRequestTimer>,
     options: Options,
     random: Random,
     due: Micros,
-    /// The number of digest periods so far.
+    /// The number of the current digest period.
     period: u64,
-    /// The entries that may still be sent in this period.
+    /// The number of entries that may still be sent in this period.
     allowance: usize,
-    /// The bytes of snapshots that may still be sent in this period.
+    /// The number of snapshot bytes that may still be sent in this period.
     snapshot_allowance: usize,
-    /// The log with which the next digest begins, if not all fit into one.
+    /// The first log of the next digest, as not all logs fit into one digest.
     next_digest_log: Option<LogId>,
-    /// Entries that are not on this proxy's disk.
+    /// Entries that are not on the local disk.
     unsynced: Unsynced,
-    /// Logs that a snapshot raised, until that is on the disk.
+    /// Logs that a snapshot advanced and whose new index is not on the disk yet.
     pending_snapshots: BTreeMap<LogId, PendingSnapshot>,
-    /// The peers that wait for an acknowledgement, by log, and the index that they wait for.
+    /// The index that each peer waits to be acknowledged, by log and peer.
     pending_acks: BTreeMap<(LogId, usize), Index>,
     pending_commits: PendingCommits,
-    /// When unacknowledged entries are sent again.
+    /// The time at which unacknowledged entries are sent again.
     next_retry: Micros,
-    /// How often anything was compacted here, or came with a snapshot.
+    /// The number of compactions and received snapshots.
     compactions: u64,
-    /// The number of images so far, the last image, and the period in which it was last read.
+    /// The number of images created so far.
     image_count: u64,
+    /// The current image, from which snapshots are sent.
     image: Option<Image>,
+    /// The digest period in which the image was last read.
     image_period: u64,
-    /// When compaction is tried again after it could move nothing.
+    /// The earliest time of the next compaction, after one that could move nothing.
     next_compaction: Micros,
     catch_up: CatchUp,
-    /// Snapshots offered to peers that have not answered yet.
+    /// Peers that have not answered an offer of a snapshot.
     offers: BTreeMap<usize, UnansweredOffers>,
     counters: Counters,
 }
 
 impl Replica {
-    /// The replica of a proxy. Its own log continues in this epoch after what `log_store` has of it. `process` grows with
-    /// each process of the proxy, and seeds the random numbers.
+    /// Creates the replica of a proxy. Its own log continues after the last index that `log_store` has of it. `process` must
+    /// be greater than that of all earlier processes of the proxy. It also seeds the random number generator.
     pub fn new(own: LogId, log_store: LogStore, process: u64, options: Options) -> Self {
         let random = Random::new(process ^ own.writer.rotate_left(17) ^ own.epoch);
         Replica {
@@ -112,17 +114,17 @@
         }
     }
 
-    /// Sets another process id than was assumed at the start.
+    /// Replaces the process id that was assumed at the start.
     pub fn set_process(&mut self, process: u64) {
         self.process = process;
     }
 
-    /// Returns its own log.
+    /// Returns the id of the replica's own log.
     pub fn own_log(&self) -> LogId {
         self.own
     }
 
-    /// Returns the logs that it has.
+    /// Returns the store of all logs.
     pub fn log_store(&self) -> &LogStore {
         &self.log_store
     }
@@ -135,22 +137,22 @@
         }
     }
 
-    /// Sets the machines of this proxy and of its peers. From here on peers are identified by their indexes in this list.
+    /// Sets the machines of this proxy and of its peers. From then on peers are identified by their index in this list.
     pub fn set_peers(&mut self, own: Machine, peers: Vec<Machine>) {
         let count = peers.len();
         self.pending_commits.set_peers(own, peers);
-        // Pending acknowledgements and a snapshot in progress are kept: acknowledgements are true whoever receives them,
-        // and a writer whose peer's machine becomes known between an entry and its sync would have to request them.
+        // Pending acknowledgements and a snapshot transfer are retained when the machine of a peer becomes known.
+        // Otherwise a writer would have to request acknowledgements that were pending at that time.
         self.pending_acks.retain(|(_, peer), _| *peer < count);
         self.offers.retain(|peer, _| *peer < count);
         self.catch_up.retain_peers(count);
     }
 
-    /// Appends an entry to its own log. The caller must write it to the disk and send it to all peers at once; those that
-    /// miss it receive it later.
+    /// Appends an entry to the replica's own log. The caller must write it to the disk and send it to all peers at once.
+    /// Peers that do not receive it request it later.
     ///
     /// # Errors
-    /// Fails if the capacity for entries of this kind is exhausted.
+    /// Fails if the capacity for entries of this kind is exceeded.
     pub fn append(
         &mut self,
         subject: Subject,
@@ -180,12 +182,12 @@
         }
     }
 
-    /// Removes the entries that have expired, and returns them to be deleted from the disk.
+    /// Removes the entries that have expired and returns them. The caller must delete them from the disk.
     pub fn expire(&mut self, now: Micros) -> Vec<Entry> {
         self.log_store.expire(now, self.options.expiry_us)
     }
 
-    /// Returns when [`Replica::tick`] or [`Replica::resolve_commits`] is to be called next.
+    /// Returns the time at which [`Replica::tick`] and [`Replica::resolve_commits`] must be called next.
     pub fn due(&self) -> Micros {
         let timeout = self
             .pending_commits
@@ -200,8 +202,8 @@
             .fold(self.due, Micros::min)
     }
 
-    /// Returns the datagrams to send now: a digest once a period, requests for what is missing, and unacknowledged
-    /// entries, which are sent more often while a commit waits.
+    /// Returns the datagrams to send now: a digest once per period, requests for gaps and snapshots, and unacknowledged
+    /// entries, which are sent more often while a commit is pending.
     pub fn tick(&mut self, now: Micros) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
         self.request_gaps(now, &mut outgoing);
@@ -217,9 +219,9 @@
         outgoing
     }
 
-    /// Begins a digest period: renews what may be sent in it, and sends a digest to a random peer.
+    /// Starts a digest period: resets the limits per period, and sends a digest to a random peer.
     fn begin_period(&mut self, now: Micros, outgoing: &mut Vec<Outgoing>) {
-        // Spread by up to a quarter, so that the digests of many proxies do not coincide.
+        // A jitter of up to a quarter of the period spreads the digests of the proxies.
         self.due = now
             + self.options.digest_period_us
             + self.random.below(self.options.digest_period_us / 4);
@@ -235,14 +237,14 @@
         }
     }
 
-    /// Requests the gaps before entries that arrived out of order, when it is time.
+    /// Requests the gaps before buffered out-of-order entries, if the request is due.
     fn request_gaps(&mut self, now: Micros, outgoing: &mut Vec<Outgoing>) {
         let peers = self.pending_commits.peer_count();
         if self.reorder_buffer.is_empty() || peers == 0 {
             self.gap_request = None;
             return;
         }
-        // Most of what is missing at first was overtaken on its way, and arrives by itself.
+        // Datagrams that were only reordered in the network arrive before the first request.
         let GapRequestTimer { due, unanswered } =
             *self.gap_request.get_or_insert(GapRequestTimer {
                 due: now + self.options.gap_request_us,
@@ -251,7 +253,7 @@
         if now < due {
             return;
         }
-        // Entries that nobody has any more, as their writer was lost with them, are requested as seldom as digests.
+        // No peer may have the missing entries if their writer was lost, so the request rate falls to that of digests.
         let interval_us = if unanswered < MAX_FAST_GAP_REQUESTS {
             self.options.retry_us
         } else {
@@ -277,8 +279,8 @@
         }
     }
 
-    /// Draws the peer to request gaps from: half of the time the one that sent what is after them, which mostly has them;
-    /// else any, should the link to that one be cut.
+    /// Selects the peer to request gaps from. Half of the requests go to the sender of the last out-of-order entry, which
+    /// probably has the missing ones. The others go to a random peer, in case that sender is unreachable.
     fn gap_request_target(&mut self, peers: usize) -> usize {
         let drawn = self.random.below(2 * peers as u64) as usize;
         if drawn < peers {
@@ -288,8 +290,8 @@
         }
     }
 
-    /// Sends the last entry of each of its own epochs to the peers that have not acknowledged it: a peer that has it
-    /// acknowledges it again, and one that is missing entries before it requests them.
+    /// Sends the last entry of each of the replica's own epochs to the peers that have not acknowledged it. A peer that has
+    /// the entry acknowledges it again, and a peer that is missing entries before it requests them.
     fn resend_unacked(&mut self, outgoing: &mut Vec<Outgoing>) {
         for LogPosition { log, index: last } in self.own_epochs() {
             let Some(entry) = self.log_store.entries_after(log, last - 1).next() else {
@@ -310,7 +312,7 @@
         }
     }
 
-    /// Returns a digest of its logs. A replica without any sends one too, as that is how it receives them.
+    /// Returns a digest of the logs. An empty replica also sends digests, to which peers reply with their logs.
     fn digest(&mut self) -> Datagram {
         Datagram::Digest {
             positions: self.next_positions(),
@@ -319,7 +321,7 @@
         }
     }
 
-    /// Returns the positions of as many logs as fit into a datagram, of different ones each time.
+    /// Returns the positions in as many logs as fit into a datagram, cycling through all logs over successive calls.
     fn next_positions(&mut self) -> Vec<LogPosition> {
         let all = self.log_store.last_indexes();
         let first = self
--- a/replication/src/snapshot/encoding.rs
+++ b/replication/src/snapshot/encoding.rs
@@ -1,26 +1,26 @@
-//! The encoding of chunks as bytes. Numbers are big endian.
+//! The binary encoding of snapshot chunks. Numbers are big-endian.
 
 use super::{IndexedBucket, SnapshotChunk, SnapshotContent, SnapshotCursor};
 use crate::{wire, CompactedLog, Entry, LogId, Subject, MAX_DATAGRAM_BYTES};
 use linnetknot_purges::{Bucket, BucketBits, BucketIndex};
 
-/// The most bytes that the items of a chunk may take.
+/// The maximum length of the items of a chunk, in bytes.
 pub(crate) const MAX_CONTENT_BYTES: usize =
     MAX_DATAGRAM_BYTES - wire::CHUNK_PREFIX.len() - encoded_len::HEAD;
-/// Bytes of an entry besides its subject.
+/// The encoded length of an entry without its subject, in bytes.
 const ENTRY_HEAD_BYTES: usize = 33;
-/// Bytes of a bucket besides its encoding.
+/// The encoded length of a bucket's index, in bytes.
 const BUCKET_HEAD_BYTES: usize = 4;
-/// Bytes of a log and its index.
+/// The encoded length of a log id and an index, in bytes.
 const LOG_BYTES: usize = 24;
 
 const LOGS: u8 = 0;
 const BUCKETS: u8 = 1;
 const ENTRIES: u8 = 2;
-/// Added to the kind of a chunk that ends a window.
+/// The flag in the kind byte that marks the last chunk of a window.
 const ENDS_WINDOW_FLAG: u8 = 0x80;
 
-/// Returns whether an entry on a subject can be sent in a chunk.
+/// Returns whether an entry with this subject fits into a chunk.
 pub(crate) fn fits(subject: &Subject) -> bool {
     subject_len(subject).is_some_and(|len| ENTRY_HEAD_BYTES + len <= MAX_CONTENT_BYTES)
 }
@@ -29,24 +29,24 @@
 pub(crate) mod encoded_len {
     use super::{subject_len, Bucket, Entry, BUCKET_HEAD_BYTES, ENTRY_HEAD_BYTES, LOG_BYTES};
 
-    /// Of a log and its index.
+    /// The length of a log id and an index.
     pub(crate) const LOG: usize = LOG_BYTES;
 
-    /// Of a bucket.
+    /// Returns the length of an indexed bucket.
     pub(crate) fn bucket(bucket: &Bucket) -> usize {
         BUCKET_HEAD_BYTES + bucket.encoded_len()
     }
 
-    /// Of an entry.
+    /// Returns the length of an entry.
     pub(crate) fn entry(entry: &Entry) -> usize {
         ENTRY_HEAD_BYTES + subject_len(&entry.subject).unwrap_or(usize::MAX / 2)
     }
 
-    /// Of a chunk without its items, with the longest cursors.
+    /// The maximum length of a chunk without its items.
     pub(crate) const HEAD: usize = 1 + 8 + 8 + 2 * 25 + 1;
 }
 
-/// Returns the encoded length of a subject; `None` if it is a purge, which no chunk contains.
+/// Returns the encoded length of a subject, or `None` for a purge, which is not sent in chunks.
 fn subject_len(subject: &Subject) -> Option<usize> {
     let body = match subject {
         Subject::Ban(id) => id.len(),
@@ -55,7 +55,7 @@
         Subject::TriggerDeleted { .. } => 16,
         Subject::Object(_) | Subject::Group(_) => return None,
     };
-    // Its kind and its length.
+    // One byte each for the kind and the length.
     Some(2 + body)
 }
 
@@ -150,7 +150,7 @@
             body.extend(number.to_be_bytes());
             b'x'
         }
-        // The sender reads no purges as entries.
+        // Chunks of entries do not contain purges.
         Subject::Object(_) | Subject::Group(_) => return,
     };
     bytes.push(kind);
@@ -158,7 +158,7 @@
     bytes.extend(body);
 }
 
-/// Decodes a chunk, which has to fill `bytes`.
+/// Decodes a chunk that occupies all of `bytes`.
 pub(crate) fn read_chunk(bytes: &[u8]) -> Option<SnapshotChunk> {
     let mut reader = Reader { bytes };
     let kind = reader.byte()?;
@@ -195,7 +195,7 @@
     }
 }
 
-/// Returns whether a chunk's items are between its cursors and in order.
+/// Returns whether the items of a chunk are in order and between its cursors.
 fn is_valid(chunk: &SnapshotChunk) -> bool {
     let cursors = item_cursors(&chunk.content);
     let (first, last) = match chunk.content {
@@ -210,7 +210,7 @@
     is_in_section && is_between && cursors.windows(2).all(|pair| pair[0] < pair[1])
 }
 
-/// Reads bytes from the front.
+/// Decodes values from the front of a byte slice.
 struct Reader<'a> {
     bytes: &'a [u8],
 }
@@ -262,10 +262,10 @@
             BUCKETS => {
                 let bucket_bits = BucketBits::new(self.byte()?).ok()?;
                 let buckets = self.read_all(Self::bucket)?;
-                let exist = buckets
+                let in_range = buckets
                     .iter()
                     .all(|indexed| (indexed.index.value() as usize) < bucket_bits.buckets());
-                exist.then_some(SnapshotContent::Buckets {
+                in_range.then_some(SnapshotContent::Buckets {
                     bucket_bits,
                     buckets,
                 })
@@ -275,7 +275,7 @@
         }
     }
 
-    /// Reads all items up to the end.
+    /// Reads items up to the end of the bytes.
     fn read_all<T>(&mut self, read: impl Fn(&mut Self) -> Option<T>) -> Option<Vec<T>> {
         let mut items = Vec::new();
         while !self.bytes.is_empty() {
@@ -347,7 +347,7 @@
         }
     }
 
-    /// Reads the rest as text.
+    /// Reads the remaining bytes as text.
     fn text(&mut self) -> Option<String> {
         let bytes = self.take(self.bytes.len())?;
         String::from_utf8(bytes.to_vec()).ok()
--- a/replication/src/snapshot/mod.rs
+++ b/replication/src/snapshot/mod.rs
@@ -1,10 +1,10 @@
-//! Snapshots, by which a replica that is behind what its peers compacted receives it.
+//! Snapshots, which bring a replica up to date that is behind the compacted indexes of its peers.
 //!
-//! A snapshot is read in the order of its cursors: the index through which each log is compacted, the buckets of all
-//! purges, and the entries within those indexes that are no purges. The receiver requests it part by part. The sender
-//! answers from an image of one point in time, or from a later one: since buckets only grow, what was compacted through
-//! the indexes of one image is in the buckets of each later one. A chunk names the sender's process and the image's
-//! number, by which a delayed chunk of an earlier one is recognised.
+//! A snapshot is read in the order of its cursors: the compacted indexes of the logs, the buckets of all purges, and the
+//! entries within the compacted indexes that are not purges. The receiver requests it in parts. The sender replies from an
+//! image, which is the state at one point in time. It may continue from a later image: buckets only grow, so the buckets
+//! of a later image contain every purge within the compacted indexes of an earlier one. Each chunk contains the sender's
+//! process id and the number of the image, by which the receiver recognises delayed chunks of an earlier image.
 
 mod encoding;
 mod receiver;
@@ -22,7 +22,7 @@
 /// A position in a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum SnapshotCursor {
-    /// Before the index of this log.
+    /// Before the compacted index of this log.
     Log(LogId),
     /// Before this bucket.
     Bucket(BucketIndex),
@@ -33,7 +33,7 @@
         /// The index.
         index: Index,
     },
-    /// After everything.
+    /// The end of the snapshot.
     End,
 }
 
@@ -49,64 +49,64 @@
     };
 }
 
-/// An offer of a snapshot to a receiver that is behind what the sender compacted.
+/// An offer of a snapshot to a receiver that is behind the sender's compacted indexes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SnapshotOffer {
-    /// The sender's process.
+    /// The sender's process id.
     pub process: u64,
-    /// The number of logs that the sender has compacted.
+    /// The number of the sender's compacted logs.
     pub compacted_log_count: u64,
-    /// Some of those that the receiver is behind in.
+    /// Some of the compacted logs in which the receiver is behind.
     pub logs: Vec<CompactedLog>,
 }
 
 /// A request for the part of a snapshot that starts at a cursor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SnapshotRequest {
-    /// The process that offered the snapshot.
+    /// The id of the process that offered the snapshot.
     pub process: u64,
-    /// The sender of the request has everything before this cursor.
+    /// The start of the requested part. The sender of the request has received everything before it.
     pub from: SnapshotCursor,
 }
 
 /// A bucket and its index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IndexedBucket {
-    /// The index.
+    /// The index of the bucket in the sender's table.
     pub index: BucketIndex,
-    /// The bucket.
+    /// The content of the bucket.
     pub bucket: Bucket,
 }
 
 /// The content of a chunk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SnapshotContent {
-    /// All compacted logs between its cursors.
+    /// All compacted logs between the chunk's cursors.
     Logs(Vec<CompactedLog>),
-    /// All buckets between its cursors that are not empty.
+    /// All non-empty buckets between the chunk's cursors.
     Buckets {
         /// The size of the sender's table.
         bucket_bits: BucketBits,
         /// The buckets.
         buckets: Vec<IndexedBucket>,
     },
-    /// All entries between its cursors that are no purges, each within the index through which its log is compacted.
+    /// All entries between the chunk's cursors that are not purges and are within the compacted index of their log.
     Entries(Vec<Entry>),
 }
 
 /// A part of a snapshot that fits into a datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SnapshotChunk {
-    /// The sender's process.
+    /// The sender's process id.
     pub process: u64,
-    /// The number of the sender's image that the chunk was read from.
+    /// The number of the image that the chunk was read from.
     pub image: u64,
-    /// Where the chunk starts.
+    /// The start of the chunk.
     pub from: SnapshotCursor,
-    /// Where the next chunk starts.
+    /// The start of the next chunk.
     pub next: SnapshotCursor,
-    /// Whether the chunk is the last one in reply to a request.
+    /// Whether this is the last chunk in reply to a request.
     pub ends_window: bool,
-    /// Everything between the two cursors.
+    /// The content between the two cursors.
     pub content: SnapshotContent,
 }
--- a/replication/src/snapshot/receiver.rs
+++ b/replication/src/snapshot/receiver.rs
@@ -1,65 +1,65 @@
-//! The receiver of snapshots: which logs are behind, from whom a snapshot is received, and what is requested next.
+//! The receiver of snapshots. Tracks the logs that are behind, the current transfer and the next request.
 //!
-//! One snapshot is received at a time, of one process of one peer. Chunks may be lost, duplicated and out of order. A
-//! sender that does not answer is given up, and other peers are asked.
+//! One snapshot is received at a time, from one process of a peer. Chunks may be lost, duplicated or reordered. If the
+//! sender does not answer, the transfer is abandoned and other peers are asked.
 
 use super::transfer::{CompleteSnapshot, Transfer};
 use super::{SnapshotChunk, SnapshotOffer, SnapshotRequest};
 use crate::{Index, LogId, Micros, Options};
 use std::collections::BTreeMap;
 
-/// How often, once a digest period, peers are asked for the logs that a snapshot which was given up would have brought.
+/// The maximum number of requests to random peers, one per digest period, for logs that no transfer has delivered.
 const MAX_REQUEST_ROUNDS: u32 = 120;
-/// After a snapshot no other one is received for so many digest periods: peers compact at different times, and most of
-/// what another snapshot would bring arrives as entries meanwhile.
+/// The number of digest periods after a snapshot in which no other one is received. Peers compact at different times, and
+/// most of what another snapshot contains arrives as entries in that time.
 const SETTLING_PERIODS: u64 = 20;
-/// The most logs that are remembered as behind.
+/// The maximum number of logs that are tracked as behind.
 const MAX_MISSING: usize = 1_024;
 
-/// The effect of a chunk.
+/// The state of a snapshot after a chunk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Progress {
-    /// The snapshot is not complete yet.
+    /// Parts of the snapshot are missing.
     Incomplete,
-    /// The snapshot is complete.
+    /// All parts of the snapshot have been received.
     Complete(CompleteSnapshot),
 }
 
 /// A request to send now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum CatchUpRequest {
-    /// To the sender of the snapshot, for its next part.
+    /// Requests the next part of the snapshot from its sender.
     Sender {
-        /// The sender.
+        /// The sender of the snapshot.
         peer: usize,
-        /// The request.
+        /// The request to send.
         request: SnapshotRequest,
     },
-    /// To any peer, for entries of these logs or the offer of a snapshot.
+    /// Requests entries of these logs, or the offer of a snapshot, from any peer.
     Any(Vec<LogId>),
 }
 
-/// The time after a snapshot in which no other one is received.
+/// The state of the settling time after a snapshot, in which no other snapshot is received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 enum Settling {
-    /// It is over.
+    /// There was no snapshot, or its settling time is over.
     #[default]
     Over,
-    /// It starts with the next tick.
+    /// The settling time starts with the next tick.
     Starting,
-    /// It lasts until this time.
+    /// The settling time lasts until this time.
     Until(Micros),
 }
 
-/// What a replica is missing of its peers' snapshots.
+/// The state of a replica that catches up with the compacted indexes of its peers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct CatchUp {
     transfer: Option<Transfer>,
-    /// The logs that are behind, and the indexes through which peers offered them.
+    /// The logs that are behind, with the greatest compacted index that a peer has offered.
     missing: BTreeMap<LogId, Index>,
-    /// How often peers were asked since the last offer.
+    /// The number of requests to random peers since the last offer.
     rounds: u32,
-    /// When peers are asked again.
+    /// The time of the next request to a random peer.
     next_round: Micros,
     settling: Settling,
     abandoned: u64,
@@ -99,8 +99,7 @@
         }
     }
 
-    /// Receives a chunk, whose buckets are merged whoever sent it. The rest is used only if it is of the snapshot that is
-    /// being received.
+    /// Receives a chunk. It is used only if it belongs to the current transfer; the caller merges its buckets in any case.
     pub(crate) fn receive_chunk(
         &mut self,
         peer: usize,
@@ -147,7 +146,7 @@
         self.request_from_any(now, options)
     }
 
-    /// Starts the settling time if it is due, and returns whether it lasts.
+    /// Starts or ends the settling time if due. Returns whether it is running.
     fn is_settling(&mut self, now: Micros, options: &Options) -> bool {
         let until = match self.settling {
             Settling::Over => return false,
@@ -167,7 +166,7 @@
             return None;
         }
         if self.rounds >= MAX_REQUEST_ROUNDS {
-            // No peer has any more what was offered.
+            // The peer that offered these logs is gone, and no other peer has them.
             self.missing.clear();
             return None;
         }
@@ -176,7 +175,7 @@
         Some(CatchUpRequest::Any(self.missing.keys().copied().collect()))
     }
 
-    /// Returns when [`CatchUp::tick`] is to be called next.
+    /// Returns the time at which [`CatchUp::tick`] must be called next, if it has anything to do.
     pub(crate) fn due(&self) -> Option<Micros> {
         match (self.settling, &self.transfer) {
             (Settling::Starting, _) => Some(0),
@@ -186,18 +185,18 @@
         }
     }
 
-    /// Returns whether a snapshot is missing.
+    /// Returns whether a transfer is running or any log is behind.
     pub(crate) fn is_behind(&self, last_index: impl Fn(LogId) -> Index) -> bool {
         let is_behind = |(log, through): (&LogId, &Index)| last_index(*log) < *through;
         self.transfer.is_some() || self.missing.iter().any(is_behind)
     }
 
-    /// Reduces the peers to the first `count`. A transfer from any other is given up.
+    /// Reduces the peers to the first `count`. Abandons a transfer from any other peer.
     pub(crate) fn retain_peers(&mut self, count: usize) {
         self.transfer.take_if(|transfer| transfer.peer >= count);
     }
 
-    /// Returns the number of snapshots that were given up because their sender did not answer.
+    /// Returns the number of transfers that were abandoned because the sender did not answer.
     pub(crate) fn abandoned(&self) -> u64 {
         self.abandoned
     }
--- a/replication/src/snapshot/sender.rs
+++ b/replication/src/snapshot/sender.rs
@@ -1,7 +1,7 @@
-//! The sender of a snapshot: an image of what is in force at one point in time, read chunk by chunk.
+//! The sender of a snapshot, which reads chunks from an image of the log store at one point in time.
 //!
-//! An image's buckets also contain the purges that are still entries. So the image alone covers every purge of a log
-//! through the index to which the log is compacted: also one that was superseded by an entry after that index, which the
+//! The buckets of an image also contain the purges that are still stored as entries. The image therefore covers every purge
+//! within the compacted indexes, including purges that were superseded by an entry after the compacted index, which the
 //! receiver does not have yet.
 
 use super::encoding::{encoded_len, MAX_CONTENT_BYTES};
@@ -10,21 +10,21 @@
 use linnetknot_purges::{BucketIndex, CompactTable};
 use std::collections::BTreeMap;
 
-/// What was in force at one point in time.
+/// The compacted indexes and all purges of a log store at one point in time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Image {
     /// The number of the image within the process.
     pub(crate) number: u64,
-    /// How many compactions the process had made.
+    /// The number of compactions and received snapshots before the image was created.
     pub(crate) compactions: u64,
-    /// The indexes through which the logs were compacted.
+    /// The compacted indexes of the logs.
     logs: BTreeMap<LogId, Index>,
-    /// All purges.
+    /// All purges, both compacted ones and those stored as entries.
     table: CompactTable,
 }
 
 impl Image {
-    /// An image of what is in force now.
+    /// Creates an image of the current state.
     pub(crate) fn new(store: &LogStore, number: u64, compactions: u64) -> Self {
         let mut table = store.table().clone();
         for record in store.live.values() {
@@ -44,18 +44,18 @@
     }
 }
 
-/// Reads chunks of a snapshot.
+/// Reads the chunks of a snapshot.
 pub(crate) struct ImageReader<'a> {
-    /// The source of the logs and of all purges.
+    /// The source of the compacted indexes and of the buckets.
     pub(crate) image: &'a Image,
-    /// The source of the entries that are no purges.
+    /// The source of the entries that are not purges.
     pub(crate) store: &'a LogStore,
-    /// This process.
+    /// The id of this process.
     pub(crate) process: u64,
 }
 
 impl ImageReader<'_> {
-    /// Returns the chunk that starts at a cursor; `None` at the end.
+    /// Returns the chunk that starts at a cursor, or `None` at the end.
     pub(crate) fn chunk(&self, from: SnapshotCursor) -> Option<SnapshotChunk> {
         let (content, next) = match from {
             SnapshotCursor::Log(log) => self.logs(log),
@@ -89,7 +89,7 @@
     }
 
     fn buckets(&self, from: BucketIndex) -> (SnapshotContent, SnapshotCursor) {
-        // By so much the two cursors of buckets are shorter than the longest ones.
+        // The two cursors of a chunk of buckets are this much shorter than the maximum, in bytes.
         const SHORTER_CURSORS: usize = 2 * 20;
         let mut remaining = MAX_CONTENT_BYTES + SHORTER_CURSORS;
         let mut buckets = Vec::new();
@@ -138,8 +138,7 @@
 }
 
 impl LogStore {
-    /// Returns the entries from a position on that are no purges and are within the index through which their log is
-    /// compacted.
+    /// Returns the entries from a position on that are not purges and are within the compacted index of their log.
     pub(crate) fn retained(&self, log: LogId, index: Index) -> impl Iterator<Item = Entry> + '_ {
         let first = self
             .compacted_logs(log)
--- a/replication/src/snapshot/transfer.rs
+++ b/replication/src/snapshot/transfer.rs
@@ -1,46 +1,46 @@
-//! The transfer of one snapshot: which parts have arrived, and what is requested next.
+//! The transfer of one snapshot. Tracks the received parts and the next request.
 
 use super::{SnapshotChunk, SnapshotContent, SnapshotCursor, SnapshotRequest};
 use crate::{Entry, Index, LogId, Micros, Options};
 use std::collections::BTreeMap;
 
-/// A sender is given up after so many requests in a row without progress.
+/// The number of consecutive requests without progress after which a transfer is abandoned.
 const MAX_UNANSWERED_REQUESTS: u32 = 16;
-/// The most parts that are remembered while parts before them are missing.
+/// The maximum number of out-of-order parts that are tracked.
 const MAX_OUT_OF_ORDER: usize = 1_024;
 
-/// A snapshot that is being received from one process of one peer.
+/// The transfer of a snapshot from one process of a peer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Transfer {
     pub(super) peer: usize,
-    /// The peer's process.
+    /// The peer's process id.
     pub(super) process: u64,
-    /// Everything before this cursor has arrived.
+    /// Everything before this cursor has been received.
     received_through: SnapshotCursor,
-    /// The parts after it that have arrived, by their start, and their ends.
+    /// The end of each received part after `received_through`, by its start.
     out_of_order: BTreeMap<SnapshotCursor, SnapshotCursor>,
-    /// The indexes through which the logs are compacted.
+    /// The compacted indexes of the logs.
     logs: BTreeMap<LogId, Index>,
-    /// The sender's image that they were read from. Nothing read from an earlier image is used.
+    /// The latest image that the compacted indexes were read from. Buckets and entries of earlier images are not used.
     image: u64,
-    /// The entries to take once the snapshot is complete.
+    /// The entries to insert once the snapshot is complete.
     entries: Vec<Entry>,
-    /// When the last request was sent.
+    /// The time of the last request.
     requested_at: Option<Micros>,
-    /// When the next request is to be sent.
+    /// The time at which the next request is due.
     pub(super) due: Micros,
-    /// Whether the last request brought anything new.
+    /// Whether a new part has been received since the last request.
     has_progressed: bool,
-    /// The number of requests in a row without progress.
+    /// The number of consecutive requests without progress.
     unanswered: u32,
 }
 
-/// A snapshot that has arrived completely.
+/// A completely received snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct CompleteSnapshot {
-    /// The indexes through which the logs are compacted.
+    /// The compacted indexes of the logs.
     pub(crate) logs: BTreeMap<LogId, Index>,
-    /// The entries within those indexes that are no purges.
+    /// The entries within the compacted indexes that are not purges.
     pub(crate) entries: Vec<Entry>,
 }
 
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Returns the next request; `None` if the sender does not answer.
+    /// Returns the next request, or `None` if the sender does not answer.
     pub(super) fn request(&mut self, now: Micros, options: &Options) -> Option<SnapshotRequest> {
         let is_unanswered = self.requested_at.is_some() && !self.has_progressed;
         self.unanswered = if is_unanswered {
@@ -81,7 +81,7 @@
         })
     }
 
-    /// Takes a chunk of this transfer. Returns whether the snapshot is complete.
+    /// Receives a chunk of this transfer. Returns whether the snapshot is complete.
     pub(super) fn receive(&mut self, chunk: &SnapshotChunk, options: &Options) -> bool {
         if !self.is_current(chunk) {
             return false;
@@ -99,8 +99,8 @@
         self.received_through >= SnapshotCursor::End
     }
 
-    /// Returns whether a chunk belongs to the part that is being received. Buckets and entries must be of the image that
-    /// the logs' indexes were read from, or of a later one.
+    /// Returns whether a chunk belongs to the section that is being received. Buckets and entries must be from the image of
+    /// the compacted indexes or a later one.
     fn is_current(&self, chunk: &SnapshotChunk) -> bool {
         let is_of_logs = matches!(chunk.content, SnapshotContent::Logs(_));
         if self.received_through < SnapshotCursor::BUCKETS {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Stores what is needed once the snapshot is complete. Buckets have been merged already.
+    /// Stores the content that is applied once the snapshot is complete. Buckets have already been merged.
     fn store_content(&mut self, chunk: &SnapshotChunk) {
         match &chunk.content {
             SnapshotContent::Logs(logs) => {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Records that the part between two cursors has arrived. Returns false if it can't be remembered.
+    /// Records that the part between two cursors was received. Returns false if too many parts are out of order.
     fn record_range(&mut self, from: SnapshotCursor, next: SnapshotCursor) -> bool {
         if from > self.received_through {
             if self.out_of_order.len() >= MAX_OUT_OF_ORDER {
@@ -145,7 +145,7 @@
         true
     }
 
-    /// Returns the snapshot. Entries of a later image may be beyond the logs' indexes, and are dropped.
+    /// Returns the complete snapshot. Drops entries after the compacted indexes, which may come from a later image.
     pub(super) fn complete(self) -> CompleteSnapshot {
         let Transfer {
             logs, mut entries, ..
--- a/replication/src/status.rs
+++ b/replication/src/status.rs
@@ -1,9 +1,10 @@
-//! The status of a trigger as text, cut into pieces that each fit into a datagram with the rest of an entry.
+//! The text of a trigger's status, split into parts that each fit into a datagram together with the other fields of an
+//! entry.
 
-/// The most bytes of an escaped piece. The head of an entry takes 98 at most, its kind, number and part 29.
-const MAX_PIECE_BYTES: usize = 112;
+/// The maximum length of an escaped part. The other fields of an entry take at most 98 + 29 bytes of a datagram.
+const MAX_PART_BYTES: usize = 112;
 
-/// Returns the escape sequence of a character that can't be in a word of a datagram; `None` if it can.
+/// Returns the escape sequence of a character that is not allowed in a word of a datagram, or `None` if it is allowed.
 fn escaped(c: char) -> Option<String> {
     (c <= ' ' || c == '%' || c == '\u{7f}').then(|| format!("%{:02x}", u32::from(c)))
 }
@@ -31,26 +32,27 @@
         rest = &behind[2..];
     }
     out.push_str(rest);
-    // Each text has exactly one escaped form, so that a text that was received is never too long to be passed on.
+    // Only the canonical escaping is accepted, so that a received text never gets too long to be forwarded.
     Some(out).filter(|text| escape(text) == word)
 }
 
-/// Cuts a text into numbered pieces that each fit into a datagram; `None` if there would be more than can be numbered.
+/// Splits a text into numbered parts that each fit into a datagram. Returns `None` if there are more parts than `u16` can
+/// number.
 pub fn split_status(text: &str) -> Option<Vec<(u16, String)>> {
-    let mut pieces = vec![String::new()];
-    let mut piece_bytes = 0;
+    let mut parts = vec![String::new()];
+    let mut part_bytes = 0;
     for c in text.chars() {
         let bytes = escaped(c).map_or(c.len_utf8(), |word| word.len());
-        if piece_bytes + bytes > MAX_PIECE_BYTES {
-            pieces.push(String::new());
-            piece_bytes = 0;
+        if part_bytes + bytes > MAX_PART_BYTES {
+            parts.push(String::new());
+            part_bytes = 0;
         }
-        piece_bytes += bytes;
-        if let Some(last) = pieces.last_mut() {
+        part_bytes += bytes;
+        if let Some(last) = parts.last_mut() {
             last.push(c);
         }
     }
-    pieces
+    parts
         .into_iter()
         .enumerate()
         .map(|(part, text)| Some((u16::try_from(part).ok()?, text)))
--- a/replication/src/unsynced.rs
+++ b/replication/src/unsynced.rs
@@ -1,24 +1,24 @@
-//! Entries that are not, or not surely, on this proxy's disk.
+//! The set of entries that are not yet known to be on the local disk.
 
 use crate::{Index, LogId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Entries that are in the log store and not, or not surely, on this proxy's disk.
+/// Entries in the log store that are not yet known to be on the local disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Unsynced {
-    /// Those on their way to the disk, and those that it did not take.
+    /// Entries with a pending or failed write.
     logs: BTreeMap<LogId, BTreeSet<Index>>,
-    /// Those that it did not take.
+    /// Entries with a failed write.
     failed: BTreeSet<(LogId, Index)>,
 }
 
 impl Unsynced {
-    /// Records that an entry is on its way to the disk.
+    /// Adds an entry whose write is pending.
     pub(crate) fn insert(&mut self, log: LogId, index: Index) {
         self.logs.entry(log).or_default().insert(index);
     }
 
-    /// Records that an entry is on the disk.
+    /// Removes an entry that is on the disk.
     pub(crate) fn remove(&mut self, log: LogId, index: Index) {
         self.failed.remove(&(log, index));
         if let Some(indexes) = self.logs.get_mut(&log) {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Records that the disk did not take an entry.
+    /// Records that the write of an entry failed.
     pub(crate) fn mark_failed(&mut self, log: LogId, index: Index) {
         let indexes = self.logs.get(&log);
         if indexes.is_some_and(|indexes| indexes.contains(&index)) {
@@ -37,23 +37,23 @@
         }
     }
 
-    /// Takes the entries that the disk did not take; from here on they are on their way to it again.
+    /// Takes the entries with a failed write. From then on their write counts as pending again.
     pub(crate) fn take_failed(&mut self) -> BTreeSet<(LogId, Index)> {
         std::mem::take(&mut self.failed)
     }
 
-    /// Returns whether an entry is the last of its log that is not on the disk.
+    /// Returns whether an entry is the last unsynced entry of its log.
     pub(crate) fn is_last(&self, log: LogId, index: Index) -> bool {
         self.logs.get(&log).and_then(|indexes| indexes.last()) == Some(&index)
     }
 
-    /// Returns the index through which all of a log that ends at `last_index` is on the disk.
+    /// Returns the index through which a log that ends at `last_index` is on the disk without a gap.
     pub(crate) fn synced_through(&self, log: LogId, last_index: Index) -> Index {
         let first = self.logs.get(&log).and_then(|indexes| indexes.first());
         first.map_or(last_index, |first| (first - 1).min(last_index))
     }
 
-    /// Returns whether the disk did not take an entry of a log through an index.
+    /// Returns whether the write of any entry of a log through an index has failed.
     pub(crate) fn is_failed(&self, log: LogId, index: Index) -> bool {
         self.failed.range((log, 0)..=(log, index)).next().is_some()
     }
--- a/replication/src/wire.rs
+++ b/replication/src/wire.rs
@@ -1,44 +1,44 @@
-//! The encoding of datagrams: an entry or positions in logs as text, a part of a snapshot as bytes. A datagram has at most
-//! 256 bytes, the bound of what proxies may send each other on any installation.
+//! The encoding of datagrams. Snapshot chunks are encoded as bytes, all other datagrams as text. A datagram has at most 256
+//! bytes, which is the limit for datagrams between proxies.
 //!
-//! The keywords of released versions never change: `have` is a digest, `want` a range request, `lack` a gap request, `ask`
-//! a digest request and `held` an acknowledgement. A version before snapshots drops `offer`, `fetch` and `chunk`.
+//! Released keywords never change: `have` is a digest, `want` a range request, `lack` a gap request, `ask` a digest request
+//! and `held` an acknowledgement. Versions without support for snapshots drop `offer`, `fetch` and `chunk`.
 
 use crate::snapshot::{self, SnapshotChunk, SnapshotCursor, SnapshotOffer, SnapshotRequest};
 use crate::{status, CompactedLog, Entry, Gap, LogId, LogPosition, Subject};
 use linnetknot_datagram::{payload, DecodeError, MAX_DATAGRAM_BYTES};
 use linnetknot_purges::BucketIndex;
 
-/// The most logs that one datagram can name: three numbers of up to 17 bytes each behind a head.
+/// The maximum number of logs in a datagram. Each takes three numbers of up to 17 bytes, after the header.
 pub(crate) const MAX_LOGS_PER_DATAGRAM: usize = 4;
-/// The most gaps that one datagram can name: two numbers each behind a head and a log.
+/// The maximum number of gaps in a datagram. Each takes two numbers, after the header and the log.
 pub(crate) const MAX_GAPS_PER_DATAGRAM: usize = 6;
-/// The first word of a datagram; the digit is the version of the encoding.
+/// The first word of a datagram. The digit is the version of the encoding.
 const PROTOCOL: &str = "copies1";
-/// The text before the bytes of a chunk.
+/// The text that precedes the bytes of a snapshot chunk.
 pub(crate) const CHUNK_PREFIX: &str = "copies1 chunk ";
 
-/// A message between replicas.
+/// A datagram between replicas.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Datagram {
     /// An entry.
     Entry(Entry),
-    /// How far the sender has its logs, sent periodically.
+    /// The sender's positions in its logs, sent periodically.
     Digest {
-        /// Some of its logs.
+        /// The positions in some of the sender's logs.
         positions: Vec<LogPosition>,
-        /// How many logs it has.
+        /// The total number of the sender's logs.
         log_count: u64,
-        /// The checksum over all its logs.
+        /// The checksum over all of the sender's logs.
         checksum: u64,
     },
-    /// How far the sender has these logs. It requests what the receiver has beyond, and may have more itself.
+    /// Requests all entries after the sender's positions in these logs. The sender may also be ahead of the receiver.
     RangeRequest {
-        /// The logs.
+        /// The sender's positions.
         positions: Vec<LogPosition>,
     },
-    /// Requests the entries in force in these gaps of a log, whose later entries the sender has. A version without gap
-    /// requests drops it, and is sent a `RangeRequest` in time.
+    /// Requests the live entries in these gaps of a log, after which the sender has entries. Versions without gap requests
+    /// drop it and receive a `RangeRequest` later.
     GapRequest {
         /// The log.
         log: LogId,
@@ -47,27 +47,28 @@
     },
     /// Requests a digest.
     DigestRequest,
-    /// The sender's durable indexes: through which index it has all that is in force of these logs on its disk. A version
-    /// without acknowledgements drops it.
+    /// The sender's durable indexes, through which all live entries of these logs are on its disk. Versions without
+    /// acknowledgements drop it.
     Ack {
-        /// The sender's process, by which a delayed message of an earlier one is recognised.
+        /// The sender's process id, by which a delayed datagram of an earlier process is recognised.
         process: u64,
-        /// The logs.
+        /// The durable indexes.
         positions: Vec<LogPosition>,
     },
-    /// The receiver is behind what the sender compacted. A version without snapshots drops it, as the next two.
+    /// Offers a snapshot to a receiver that is behind the sender's compacted indexes. Versions without snapshots drop this
+    /// and the following two.
     SnapshotOffer(SnapshotOffer),
-    /// Requests a part of a snapshot.
+    /// Requests a window of chunks of a snapshot.
     SnapshotRequest(SnapshotRequest),
-    /// A part of a snapshot.
+    /// A chunk of a snapshot.
     SnapshotChunk(SnapshotChunk),
 }
 
-/// The words of a datagram after its mark.
+/// The words of a datagram after the protocol name.
 type Words<'a> = std::str::Split<'a, char>;
 
 impl Datagram {
-    /// Encodes the datagram; `None` if it would be too long, as for an object of a very long name.
+    /// Encodes the datagram. Returns `None` if it exceeds the maximum length, as with a very long object name.
     pub fn encode(&self) -> Option<Vec<u8>> {
         let bytes = match self {
             Datagram::SnapshotChunk(chunk) => {
@@ -122,7 +123,7 @@
             Datagram::SnapshotRequest(SnapshotRequest { process, from }) => {
                 format!("{PROTOCOL} fetch {process:x} {}", write_cursor(*from))
             }
-            // Written as bytes.
+            // `encode` handles chunks, which are not text.
             Datagram::SnapshotChunk(_) => CHUNK_PREFIX.to_owned(),
         }
     }
@@ -130,7 +131,7 @@
     /// Decodes a datagram.
     ///
     /// # Errors
-    /// Fails if it is of another kind or version, or malformed.
+    /// Fails if the datagram is of another protocol or version, or malformed.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let body = payload(bytes, PROTOCOL)?;
         if let Some(chunk) = bytes.strip_prefix(CHUNK_PREFIX.as_bytes()) {
@@ -237,7 +238,7 @@
 }
 
 fn number(word: &str) -> Option<u64> {
-    // `from_str_radix` would take a sign.
+    // `from_str_radix` would accept a sign.
     let digits = !word.is_empty() && word.bytes().all(|b| b.is_ascii_hexdigit());
     digits.then(|| u64::from_str_radix(word, 16).ok()).flatten()
 }
