--- a/replication/src/commit.rs
+++ b/replication/src/commit.rs
@@ -32,9 +32,9 @@
 impl fmt::Display for RejectReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RejectReason::Disk => f.write_str("it is not on this proxy's disk"),
+            RejectReason::Disk => f.write_str("the entry is not on this proxy's disk"),
             RejectReason::TooFewReplicas { have, wanted } => {
-                write!(f, "{have} of {wanted} further machines have it")
+                write!(f, "{have} of {wanted} other machines have acknowledged the entry")
             }
             RejectReason::TooManyPending => f.write_str("too many commits are pending"),
         }
