--- a/purges/src/bucket.rs
+++ b/purges/src/bucket.rs
@@ -1,17 +1,18 @@
-//! One cache line of the compact table: the latest purges of the keys that fall into it.
+//! A bucket of the compact table, which occupies one cache line and contains the latest purges of the keys that hash to
+//! it.
 //!
-//! A bucket is determined by the set of all (time, fingerprint) pairs that were ever put into it. Its watermark is the
-//! time of the 8th greatest of them, or what it was raised to if that is later; its slots are the pairs later than the
-//! watermark, so there are at most seven. Hence [`Bucket::merge`] is commutative, associative and idempotent, and a
-//! pair that is put in again changes nothing: buckets form a join semilattice.
+//! The content of a bucket depends only on the set of (time, fingerprint) pairs that were recorded, and not on their
+//! order. The watermark is the time of the 8th greatest pair, or the time that it was explicitly raised to if that is
+//! later. The slots contain the pairs later than the watermark, of which there are at most seven. [`Bucket::merge`] is
+//! therefore commutative, associative and idempotent, and buckets form a join semilattice.
 
 use crate::hashing::KeyHash;
 use crate::time::{Micros, Stamp};
 use std::fmt;
 
-/// Slots of a bucket.
+/// The number of slots of a bucket.
 pub const SLOTS: usize = 7;
-/// Width of a fingerprint.
+/// The width of a fingerprint in bits.
 pub const FINGERPRINT_BITS: u32 = 22;
 
 const WORD_BYTES: usize = 8;
@@ -25,28 +26,29 @@
 impl Fingerprint {
     const MASK: u64 = (1 << FINGERPRINT_BITS) - 1;
 
-    /// The fingerprint of a key.
+    /// Returns the fingerprint of a key.
     pub const fn of(key: KeyHash) -> Self {
         Fingerprint(key.value() & Self::MASK)
     }
 }
 
-/// A slot holds a stamp in its high bits and a fingerprint in its low ones, so that slots are ordered by time first.
+/// Packs a stamp into the high bits and a fingerprint into the low bits of a slot, so that slots are ordered by time
+/// first.
 fn pack(stamp: Stamp, fingerprint: Fingerprint) -> u64 {
     stamp.bits() << FINGERPRINT_BITS | fingerprint.0
 }
 
-/// The stamp of a slot.
+/// Returns the stamp of a slot.
 fn stamp_of(slot: u64) -> Stamp {
     Stamp::from_bits(slot >> FINGERPRINT_BITS).unwrap_or_default()
 }
 
-/// Seven slots and a watermark: no purge of a key of this bucket is later than the latest of the watermark and the
-/// slots with the key's fingerprint.
+/// A bucket of seven slots and a watermark. The latest purge of a key is not later than the maximum of the watermark
+/// and the slots with the key's fingerprint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 #[repr(align(64))]
 pub struct Bucket {
-    /// Latest first, empty ones last, all later than the watermark.
+    /// Occupied slots in descending order, all later than the watermark, followed by empty slots.
     slots: [u64; SLOTS],
     watermark: Stamp,
 }
@@ -57,12 +59,12 @@
         self.insert(pack(Stamp::not_before(at), fingerprint))
     }
 
-    /// Raises the watermark to a time if it is lower. Returns whether the bucket changed.
+    /// Raises the watermark to a time if it is earlier. Returns whether the bucket changed.
     pub fn raise_watermark(&mut self, at: Micros) -> bool {
         self.raise_to(Stamp::not_before(at))
     }
 
-    /// Merges another bucket into this one. Returns whether this one changed.
+    /// Merges another bucket into this one. Returns whether this bucket changed.
     pub fn merge(&mut self, other: &Bucket) -> bool {
         let mut changed = self.raise_to(other.watermark);
         for slot in other.occupied_slots() {
@@ -71,10 +73,10 @@
         changed
     }
 
-    /// Returns a bucket with the same purges, each no later than a time.
+    /// Returns a bucket with the same purges, whose times are limited to `at`.
     ///
-    /// Callers pass the current time: a purge that is known was made by now, so a later time comes from a clock that is
-    /// ahead, and would invalidate every cached copy of its keys until that time has come.
+    /// Callers pass the current time. A later time can only come from a clock that is ahead, and would invalidate all
+    /// cached copies of the keys until that time.
     pub fn no_later_than(&self, at: Micros) -> Bucket {
         let latest = Stamp::not_before(at);
         let mut bucket = Bucket::default();
@@ -86,8 +88,8 @@
         bucket
     }
 
-    /// Returns a time no earlier than any recorded purge of a key with this fingerprint, or `None` if there is no such
-    /// purge. It is less than a millisecond later than the latest such purge if that one still has its slot.
+    /// Returns an upper bound of the time of the latest purge of a key with this fingerprint, or `None` if there is no
+    /// such purge. The bound is less than a millisecond later than the purge if the purge still has a slot.
     pub fn latest(&self, fingerprint: Fingerprint) -> Option<Micros> {
         let matching = self
             .slots
@@ -97,7 +99,7 @@
         stamp.max(self.watermark).time()
     }
 
-    /// Returns the watermark: the earliest time that [`Bucket::latest`] gives for any key of this bucket.
+    /// Returns the watermark, which is the earliest time that [`Bucket::latest`] returns for any key of this bucket.
     pub fn watermark(&self) -> Option<Micros> {
         self.watermark.time()
     }
@@ -107,12 +109,12 @@
         self.slots.partition_point(|slot| *slot != EMPTY_SLOT)
     }
 
-    /// Returns whether nothing was ever recorded.
+    /// Returns whether nothing was recorded.
     pub fn is_empty(&self) -> bool {
         *self == Bucket::default()
     }
 
-    /// Returns the seven slots and the watermark as words, for digests.
+    /// Returns the slots and the watermark as words, from which digests are computed.
     pub(crate) fn words(&self) -> impl Iterator<Item = u64> + '_ {
         self.slots.iter().copied().chain([self.watermark.bits()])
     }
@@ -129,7 +131,7 @@
         if self.slots.get(position) == Some(&slot) {
             return false;
         }
-        // Shifts the slots behind the position by one; the one that is left over is the smallest of the eight.
+        // Shifts the slots from the position on by one, so that `displaced` becomes the smallest of the eight values.
         let mut displaced = slot;
         for other in &mut self.slots[position..] {
             std::mem::swap(other, &mut displaced);
@@ -150,8 +152,8 @@
 }
 
 impl Bucket {
-    /// Appends the bucket's encoding: the number of occupied slots in one byte, the watermark and these slots, latest
-    /// first, as big endian words.
+    /// Appends the encoding of the bucket: the number of occupied slots as one byte, then the watermark and the
+    /// occupied slots in descending order as big-endian words.
     pub fn encode(&self, bytes: &mut Vec<u8>) {
         let slots = self.occupied_slots();
         bytes.push(slots.len() as u8);
@@ -166,7 +168,7 @@
         HEADER_BYTES + WORD_BYTES * self.len()
     }
 
-    /// Decodes one bucket, which has to fill `bytes`.
+    /// Decodes a bucket that occupies all of `bytes`.
     ///
     /// # Errors
     /// Fails if the bytes are not the encoding of a bucket.
@@ -178,7 +180,7 @@
         if bytes.len() != HEADER_BYTES + WORD_BYTES * count {
             return Err(DecodeError::Length { bytes: bytes.len() });
         }
-        let mut words = bytes[1..].chunks_exact(WORD_BYTES).map(word);
+        let mut words = bytes[1..].chunks_exact(WORD_BYTES).map(decode_word);
         let watermark = words.next().unwrap_or_default();
         let watermark = Stamp::from_bits(watermark).ok_or(DecodeError::Watermark)?;
         let mut slots = [EMPTY_SLOT; SLOTS];
@@ -190,7 +192,7 @@
         Ok(Bucket { slots, watermark })
     }
 
-    /// Checks that occupied slots are in order and later than the watermark.
+    /// Checks that the occupied slots are in descending order and later than the watermark.
     fn check(slots: &[u64], watermark: Stamp) -> Result<(), DecodeError> {
         if !slots.windows(2).all(|pair| pair[0] > pair[1]) {
             return Err(DecodeError::Order);
@@ -203,31 +205,31 @@
     }
 }
 
-/// Reads a big endian word from as many bytes as it has.
-fn word(bytes: &[u8]) -> u64 {
+/// Decodes a big-endian word.
+fn decode_word(bytes: &[u8]) -> u64 {
     bytes
         .iter()
         .fold(0, |word, byte| word << 8 | u64::from(*byte))
 }
 
-/// The error of bytes that are not the encoding of a bucket.
+/// The error of decoding bytes that are not the encoding of a bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeError {
-    /// There are more or fewer bytes than the number of slots needs.
+    /// The number of bytes does not match the number of slots.
     Length {
         /// The number of bytes.
         bytes: usize,
     },
-    /// There are more occupied slots than a bucket has.
+    /// The number of occupied slots exceeds the size of a bucket.
     TooManySlots {
         /// The number of occupied slots.
         slots: usize,
     },
-    /// The slots are not in descending order.
+    /// The occupied slots are not in descending order.
     Order,
     /// An occupied slot has no time.
     EmptySlot,
-    /// The watermark is too large for a time, or not before the earliest slot.
+    /// The watermark is out of range, or not earlier than all slots.
     Watermark,
 }
 
@@ -235,14 +237,20 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Length { bytes } => {
-                write!(f, "{bytes} bytes don't fit the bucket's number of slots")
+                write!(
+                    f,
+                    "the length of {bytes} bytes does not match the bucket's number of slots"
+                )
             }
             Self::TooManySlots { slots } => {
-                write!(f, "a bucket of {slots} slots; it has at most {SLOTS}")
+                write!(f, "a bucket has {slots} occupied slots of at most {SLOTS}")
             }
-            Self::Order => write!(f, "a bucket's slots are not in descending order"),
-            Self::EmptySlot => write!(f, "a bucket's occupied slot has no time"),
-            Self::Watermark => write!(f, "a bucket's watermark is no time before its slots"),
+            Self::Order => write!(f, "the slots of a bucket are not in descending order"),
+            Self::EmptySlot => write!(f, "an occupied slot of a bucket has no time"),
+            Self::Watermark => write!(
+                f,
+                "the watermark of a bucket is out of range or not earlier than its slots"
+            ),
         }
     }
 }
--- a/purges/src/compact.rs
+++ b/purges/src/compact.rs
@@ -1,12 +1,12 @@
-//! A table of buckets: the purges of any number of keys in memory of fixed size. Purges that do not fit make the answers
-//! for other keys later than need be; no purge is ever lost.
+//! The compact table, which stores the purges of any number of keys in a fixed number of buckets. When a bucket
+//! overflows, the times returned for other keys of the bucket become later than necessary. No purge is lost.
 
 use crate::bucket::{Bucket, Fingerprint};
 use crate::hashing::{mix, KeyHash};
 use crate::time::Micros;
 use std::fmt;
 
-/// The size of a table: the binary logarithm of its number of buckets.
+/// The size of a table, as the binary logarithm of its number of buckets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BucketBits(u8);
 
@@ -15,13 +15,13 @@
     pub const MIN: BucketBits = BucketBits(4);
     /// The largest table: 16,777,216 buckets, 1 GiB.
     pub const MAX: BucketBits = BucketBits(24);
-    /// The usual table: 65,536 buckets, 4 MiB.
+    /// The default table: 65,536 buckets, 4 MiB.
     pub const DEFAULT: BucketBits = BucketBits(16);
 
-    /// The size of a number of bits.
+    /// Creates a size from the binary logarithm of the number of buckets.
     ///
     /// # Errors
-    /// Fails if the number is not between [`BucketBits::MIN`] and [`BucketBits::MAX`].
+    /// Fails if `bits` is not between [`BucketBits::MIN`] and [`BucketBits::MAX`].
     pub fn new(bits: u8) -> Result<Self, BucketBitsError> {
         let allowed = Self::MIN.0..=Self::MAX.0;
         allowed
@@ -30,12 +30,12 @@
             .ok_or(BucketBitsError { bits })
     }
 
-    /// Returns the number of bits.
+    /// Returns the binary logarithm of the number of buckets.
     pub const fn value(self) -> u8 {
         self.0
     }
 
-    /// Returns the number of buckets of such a table.
+    /// Returns the number of buckets of a table of this size.
     pub const fn buckets(self) -> usize {
         1 << self.0
     }
@@ -47,10 +47,10 @@
     }
 }
 
-/// The error of a number of bits that no table can have.
+/// The error of a table size that is out of range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BucketBitsError {
-    /// The number of bits.
+    /// The binary logarithm of the number of buckets.
     pub bits: u8,
 }
 
@@ -59,7 +59,7 @@
         let (min, max) = (BucketBits::MIN.0, BucketBits::MAX.0);
         write!(
             f,
-            "a purge table of 2^{} buckets; from 2^{min} to 2^{max} are possible",
+            "a purge table of 2^{} buckets is out of range; it must have from 2^{min} to 2^{max}",
             self.bits
         )
     }
@@ -67,7 +67,7 @@
 
 impl std::error::Error for BucketBitsError {}
 
-/// The index of a bucket in its table. It has a meaning only with the table's [`BucketBits`].
+/// The index of a bucket in a table. It depends on the table's [`BucketBits`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BucketIndex(u32);
 
@@ -75,7 +75,7 @@
     /// The first bucket of any table.
     pub const FIRST: BucketIndex = BucketIndex(0);
 
-    /// The bucket of a key: the top bits of its hash.
+    /// Returns the index of the bucket of a key, which is the top bits of its hash.
     pub const fn of(key: KeyHash, bits: BucketBits) -> Self {
         BucketIndex((key.value() >> (u64::BITS - bits.0 as u32)) as u32)
     }
@@ -87,18 +87,18 @@
 }
 
 impl From<u32> for BucketIndex {
-    /// The index of a number that [`BucketIndex::value`] returned.
+    /// Converts a number that was returned by [`BucketIndex::value`].
     fn from(value: u32) -> Self {
         BucketIndex(value)
     }
 }
 
-/// The error of a bucket index that is out of range for a table's size.
+/// The error of a bucket index that is out of range for the size of a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BucketIndexError {
-    /// The table's size.
+    /// The size of the table.
     pub bucket_bits: BucketBits,
-    /// The bucket's index.
+    /// The index of the bucket.
     pub index: BucketIndex,
 }
 
@@ -106,7 +106,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "bucket {} of a purge table of 2^{} buckets",
+            "bucket {} is out of range for a purge table of 2^{} buckets",
             self.index.0, self.bucket_bits.0
         )
     }
@@ -114,20 +114,20 @@
 
 impl std::error::Error for BucketIndexError {}
 
-/// A table of `2^bucket_bits` buckets, for which memory is allocated with the first purge.
+/// A table of `2^bucket_bits` buckets, whose memory is allocated when the first purge is recorded.
 ///
-/// Two tables of one size into which the same purges were recorded, in any order, are equal.
+/// Two tables of the same size are equal if the same purges were recorded, in any order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CompactTable {
     bucket_bits: BucketBits,
-    /// All buckets, or none before the first purge.
+    /// Empty until the first purge is recorded.
     buckets: Vec<Bucket>,
     occupied_slots: usize,
     digest: u64,
 }
 
 impl CompactTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(bucket_bits: BucketBits) -> Self {
         CompactTable {
             bucket_bits,
@@ -137,30 +137,31 @@
         }
     }
 
-    /// Records a purge. Returns the index of the bucket that the key belongs to.
+    /// Records a purge. Returns the index of the key's bucket.
     pub fn record(&mut self, key: KeyHash, at: Micros) -> BucketIndex {
         let index = BucketIndex::of(key, self.bucket_bits);
         self.change(index, |bucket| bucket.record(Fingerprint::of(key), at));
         index
     }
 
-    /// Returns a time no earlier than any recorded purge of the key, or `None` if there is no such purge.
+    /// Returns an upper bound of the time of the key's latest purge, or `None` if there is no such purge.
     pub fn latest(&self, key: KeyHash) -> Option<Micros> {
         let bucket = self.bucket(BucketIndex::of(key, self.bucket_bits))?;
         bucket.latest(Fingerprint::of(key))
     }
 
-    /// Records a purge of every key at once, for a process that can't learn which purges it has missed.
+    /// Records a purge of every key, for a process that cannot determine which purges it has missed.
     pub fn purge_all(&mut self, at: Micros) {
         for index in 0..self.bucket_bits.buckets() as u32 {
             self.change(BucketIndex(index), |bucket| bucket.raise_watermark(at));
         }
     }
 
-    /// Merges a bucket of another table, which may be of another size. Returns the buckets of this table that changed.
+    /// Merges a bucket of another table, which may have another size. Returns the buckets of this table that changed.
     ///
-    /// A bucket of a smaller table covers several buckets of this one and is merged into each of them, which makes their
-    /// answers later than need be. A bucket of a larger table is merged into the one that covers it.
+    /// A bucket of a smaller table overlaps several buckets of this table and is merged into each of them, which makes
+    /// the times returned for their keys later than necessary. A bucket of a larger table is merged into the one that
+    /// contains it.
     ///
     /// # Errors
     /// Fails if a table of `bucket_bits` has no bucket of this index.
@@ -177,17 +178,21 @@
             return Ok(Vec::new());
         }
         let mut changed = Vec::new();
-        for own in self.covered(bucket_bits, index) {
-            let own = BucketIndex(own);
-            if self.change(own, |mine| mine.merge(bucket)) {
-                changed.push(own);
+        for target_index in self.overlapping_buckets(bucket_bits, index) {
+            let target_index = BucketIndex(target_index);
+            if self.change(target_index, |target| target.merge(bucket)) {
+                changed.push(target_index);
             }
         }
         Ok(changed)
     }
 
-    /// Returns the buckets of this table that share keys with a bucket of a table of another size.
-    fn covered(&self, bucket_bits: BucketBits, index: BucketIndex) -> std::ops::Range<u32> {
+    /// Returns the indexes of the buckets of this table that share keys with a bucket of a table of another size.
+    fn overlapping_buckets(
+        &self,
+        bucket_bits: BucketBits,
+        index: BucketIndex,
+    ) -> std::ops::Range<u32> {
         if bucket_bits >= self.bucket_bits {
             let parent = index.0 >> (bucket_bits.0 - self.bucket_bits.0);
             return parent..parent + 1;
@@ -203,19 +208,19 @@
         }
         let mut table = CompactTable::new(bucket_bits);
         for (index, bucket) in self.occupied(BucketIndex(0)) {
-            for own in table.covered(self.bucket_bits, index) {
-                table.change(BucketIndex(own), |mine| mine.merge(bucket));
+            for target_index in table.overlapping_buckets(self.bucket_bits, index) {
+                table.change(BucketIndex(target_index), |target| target.merge(bucket));
             }
         }
         table
     }
 
-    /// Returns a bucket, or `None` if nothing was recorded yet or the index is out of range.
+    /// Returns a bucket, or `None` if nothing was recorded or the index is out of range.
     pub fn bucket(&self, index: BucketIndex) -> Option<&Bucket> {
         self.buckets.get(index.0 as usize)
     }
 
-    /// Returns all buckets from an index on that are not empty, in order.
+    /// Returns all non-empty buckets from an index on, in order.
     pub fn occupied(&self, from: BucketIndex) -> impl Iterator<Item = (BucketIndex, &Bucket)> {
         let buckets = self.buckets.iter().enumerate().skip(from.0 as usize);
         let occupied = buckets.filter(|(_, bucket)| !bucket.is_empty());
@@ -232,23 +237,23 @@
         self.occupied_slots
     }
 
-    /// Returns whether nothing was recorded yet.
+    /// Returns whether nothing was recorded.
     pub fn is_empty(&self) -> bool {
         self.buckets.is_empty()
     }
 
-    /// Returns the memory that the buckets take, in bytes.
+    /// Returns the memory used by the buckets, in bytes.
     pub fn memory_bytes(&self) -> usize {
         self.buckets.capacity() * size_of::<Bucket>()
     }
 
-    /// Returns a digest: equal tables of one size have the same one, others with a chance of 2^-64. It is maintained
-    /// with each change, so that reading it costs nothing.
+    /// Returns a 64-bit digest of the table. Equal tables of the same size have the same digest. It is updated
+    /// incrementally, so this call is cheap.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Changes a bucket, and updates the number of slots and the digest. Returns whether the bucket changed.
+    /// Changes a bucket, and updates the slot count and the digest. Returns whether the bucket changed.
     fn change(&mut self, index: BucketIndex, change: impl FnOnce(&mut Bucket) -> bool) -> bool {
         if self.buckets.is_empty() {
             self.buckets = vec![Bucket::default(); self.bucket_bits.buckets()];
@@ -259,13 +264,13 @@
             return false;
         }
         self.occupied_slots = self.occupied_slots - before.len() + bucket.len();
-        self.digest ^= digest_of(index, &before) ^ digest_of(index, bucket);
+        self.digest ^= bucket_digest(index, &before) ^ bucket_digest(index, bucket);
         true
     }
 }
 
-/// Returns a bucket's part of the digest; 0 if it is empty.
-fn digest_of(index: BucketIndex, bucket: &Bucket) -> u64 {
+/// Returns the contribution of a bucket to the digest, or 0 if it is empty.
+fn bucket_digest(index: BucketIndex, bucket: &Bucket) -> u64 {
     if bucket.is_empty() {
         return 0;
     }
--- a/purges/src/lib.rs
+++ b/purges/src/lib.rs
@@ -1,13 +1,13 @@
-//! The latest purge of every object and group, in bounded memory for any number of purges. Sans-IO.
+//! Tracks the latest purge of every object and group, in bounded memory for any number of purges. The package is
+//! sans-IO.
 //!
-//! A cached copy may be served only if it was made after the latest purge of its object and of its group. A proxy
-//! therefore asks for copies no older than that purge. The answer given here is never earlier than the true latest
-//! purge, whatever was recorded: an answer that is too late costs a cache hit, one that is too early serves a purged
-//! copy.
+//! A cached copy may be served only if it was created after the latest purge of its object and of its group. A proxy
+//! therefore requests copies that are newer than these purges. The returned time is never earlier than the actual
+//! latest purge. A time that is too late costs a cache hit, whereas one that is too early would serve a purged copy.
 //!
-//! [`PurgeTable`] holds recent purges exactly, by the hash of their key ([`KeyHash`]). Older ones move to a
-//! [`CompactTable`] of fixed size, which consists of [`Bucket`]s. A bucket is a join semilattice, so that proxies can
-//! exchange buckets in any order, any number of times, and end with the same table.
+//! [`PurgeTable`] stores recent purges exactly, by the hash of their key ([`KeyHash`]). Older purges are moved to a
+//! [`CompactTable`] of fixed size, which consists of [`Bucket`]s. Buckets form a join semilattice, so proxies can
+//! exchange them in any order and any number of times, and end with the same table.
 //!
 //! ```
 //! use linnetknot_purges::{BucketBits, KeyHash, PurgeTable};
--- a/purges/src/time.rs
+++ b/purges/src/time.rs
@@ -1,32 +1,32 @@
-//! Times of purges, and the form in which buckets hold them.
+//! Times of purges, and their representation in buckets.
 
-/// Microseconds since a fixed start, in the daemon the Unix epoch.
+/// A time in microseconds since a fixed start, which is the Unix epoch in the daemon.
 pub type Micros = u64;
 
-/// Microseconds in one unit of a bucket's stamps.
+/// The resolution of the stamps in a bucket, in microseconds.
 pub const STAMP_UNIT_US: Micros = 1_000;
 
-/// A time in milliseconds, rounded up, in 42 bits; 0 is the absence of a time, so time 0 is stamp 1.
+/// A time in milliseconds, rounded up, in 42 bits. Stamp 0 is the absence of a time, so time 0 has stamp 1.
 ///
-/// The last stamp stands for every time that is too late for the field (139 years after the start) and is read as
-/// [`Micros::MAX`], so that no time is ever read as an earlier one.
+/// The last stamp represents all times that exceed the range (139 years after the start) and is converted to
+/// [`Micros::MAX`], so that no time is converted to an earlier one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct Stamp(u64);
 
 impl Stamp {
-    /// Width of a stamp.
+    /// The width of a stamp in bits.
     pub(crate) const BITS: u32 = 42;
     /// The absence of a time.
     pub(crate) const NONE: Stamp = Stamp(0);
-    /// The stamp of all times that are too late for the field.
+    /// The stamp of all times that exceed the range.
     const LAST: Stamp = Stamp((1 << Self::BITS) - 1);
 
-    /// The stamp of the first millisecond that is not before `at`.
+    /// Returns the stamp of the first millisecond that is not before `at`.
     pub(crate) fn not_before(at: Micros) -> Self {
         Stamp(at.div_ceil(STAMP_UNIT_US) + 1).min(Self::LAST)
     }
 
-    /// The stamp of these bits; `None` if they are too many.
+    /// Creates a stamp from its bits, or returns `None` if they are out of range.
     pub(crate) fn from_bits(bits: u64) -> Option<Self> {
         Some(Stamp(bits)).filter(|stamp| *stamp <= Self::LAST)
     }
@@ -36,7 +36,7 @@
         self.0
     }
 
-    /// Returns the time that the stamp stands for.
+    /// Returns the time of the stamp.
     pub(crate) fn time(self) -> Option<Micros> {
         match self {
             Self::NONE => None,
--- a/replication/src/commit.rs
+++ b/replication/src/commit.rs
@@ -1,9 +1,9 @@
 //! Commits: track which entries of this proxy's own logs are durable locally and on enough peers.
 //!
-//! A peer reports its durable index of a log, through which all live entries are on its disk. A commit therefore waits for
-//! an index. It is confirmed once the durable indexes of this proxy and of `min_acks` other machines have reached the
-//! index; several peers on one machine count once. A commit that does not reach this within the timeout is rejected. The
-//! entry stays in the log, as peers may have received it.
+//! A peer reports its durable index of a log, through which all live entries are on its disk. A commit therefore waits
+//! for an index. It is confirmed once the durable indexes of this proxy and of `min_acks` other machines have reached
+//! the index; several peers on one machine count once. A commit that does not reach this within the timeout is
+//! rejected. The entry stays in the log, as peers may have received it.
 
 use crate::unsynced::Unsynced;
 use crate::{Epoch, Index, LogId, Micros, Options};
@@ -34,7 +34,10 @@
         match self {
             RejectReason::Disk => f.write_str("the entry is not on this proxy's disk"),
             RejectReason::TooFewReplicas { have, wanted } => {
-                write!(f, "{have} of {wanted} other machines have acknowledged the entry")
+                write!(
+                    f,
+                    "{have} of {wanted} other machines have acknowledged the entry"
+                )
             }
             RejectReason::TooManyPending => f.write_str("too many commits are pending"),
         }
@@ -86,7 +89,8 @@
 }
 
 impl PendingCommits {
-    /// Sets the machines of this proxy and of its peers. If any of them changes, the reported durable indexes are discarded.
+    /// Sets the machines of this proxy and of its peers. If any of them changes, the reported durable indexes are
+    /// discarded.
     pub(crate) fn set_peers(&mut self, own: Machine, machines: Vec<Machine>) {
         if (self.own, &self.machines) != (own, &machines) {
             (self.own, self.machines) = (own, machines);
@@ -99,8 +103,9 @@
         self.machines.len()
     }
 
-    /// Records a peer's durable index of an epoch. It never decreases within one process of the peer, so a delayed datagram
-    /// has no effect. A later process may have lost its disk, so its reports replace those of the process before.
+    /// Records a peer's durable index of an epoch. It never decreases within one process of the peer, so a delayed
+    /// datagram has no effect. A later process may have lost its disk, so its reports replace those of the process
+    /// before.
     pub(crate) fn record_ack(&mut self, peer: usize, process: u64, epoch: Epoch, index: Index) {
         let known = self.processes.get(&peer).copied().unwrap_or(0);
         if peer >= self.machines.len() || process < known {
--- a/replication/src/compaction.rs
+++ b/replication/src/compaction.rs
@@ -1,8 +1,8 @@
 //! Compaction moves the oldest purges of the logs to a table of fixed size.
 //!
 //! Every log has a compacted index. Each purge through this index is in the table, unless a later entry of the log
-//! supersedes it. Entries that are not purges stay in the log. A replica whose position is before the compacted index can't
-//! catch up entry by entry, and receives a snapshot of the table first.
+//! supersedes it. Entries that are not purges stay in the log. A replica whose position is before the compacted index
+//! can't catch up entry by entry, and receives a snapshot of the table first.
 
 use crate::log_store::EntryKey;
 use crate::{snapshot, Entry, Index, LogId, LogStore, Micros};
@@ -20,10 +20,10 @@
 
 /// The changes of one compaction step, which the caller must write to the disk.
 ///
-/// The buckets must be written before the compacted indexes, or atomically with them. Only after both are synced may the
-/// entries be deleted. An entry whose subject is live again ([`LogStore::is_live`]) must not be deleted, because the disk
-/// stores the later entry under the same key. After a crash between these writes the entries are restored and compacted
-/// again.
+/// The buckets must be written before the compacted indexes, or atomically with them. Only after both are synced may
+/// the entries be deleted. An entry whose subject is live again ([`LogStore::is_live`]) must not be deleted, because
+/// the disk stores the later entry under the same key. After a crash between these writes the entries are restored and
+/// compacted again.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Compaction {
     /// The changed buckets, whose content is in [`LogStore::table`].
@@ -39,8 +39,8 @@
 
 impl LogStore {
     /// Moves the oldest purges of each log to the table, so that about seven eighths of `max_entries` are left. Entries
-    /// after a log's durable index, which `durable` contains, are not moved, and neither is the last entry of a log. Returns
-    /// `None` if nothing could be moved.
+    /// after a log's durable index, which `durable` contains, are not moved, and neither is the last entry of a log.
+    /// Returns `None` if nothing could be moved.
     pub(crate) fn compact(
         &mut self,
         now: Micros,
@@ -158,8 +158,8 @@
         purges.map(|(key, _)| *key).collect()
     }
 
-    /// Returns which of these purges are superseded by a later, durable purge of the same log. They are not recorded in the
-    /// table, so that an object that is purged repeatedly does not fill a bucket.
+    /// Returns which of these purges are superseded by a later, durable purge of the same log. They are not recorded in
+    /// the table, so that an object that is purged repeatedly does not fill a bucket.
     fn superseded(&self, keys: &[EntryKey], durable: Index) -> BTreeSet<Index> {
         let is_superseded = |key: &&EntryKey| {
             let at = |key: EntryKey| self.live.get(&key).map(|record| record.at);
@@ -174,8 +174,8 @@
             .collect()
     }
 
-    /// Records a purge in the table with a time of at most `now`. Copies fetched from now on are newer than the purge, even
-    /// if the clock that gave the purge its time is ahead.
+    /// Records a purge in the table with a time of at most `now`. Copies fetched from now on are newer than the purge,
+    /// even if the clock that gave the purge its time is ahead.
     pub(crate) fn record_in_table(&mut self, now: Micros, entry: &Entry) -> Option<BucketIndex> {
         let key = entry.subject.purge_key()?;
         Some(self.table.record(key, entry.at.min(now)))
--- a/replication/src/entry.rs
+++ b/replication/src/entry.rs
@@ -102,9 +102,9 @@
     pub log: LogId,
     /// The index of the entry in its log.
     pub index: Index,
-    /// The index that a replica must have reached in the log before it can insert this entry, or 0. It is the index of the
-    /// preceding live entry or the sender's compacted index, whichever is greater. All entries between `prev` and `index`
-    /// were superseded.
+    /// The index that a replica must have reached in the log before it can insert this entry, or 0. It is the index of
+    /// the preceding live entry or the sender's compacted index, whichever is greater. All entries between `prev` and
+    /// `index` were superseded.
     pub prev: Index,
     /// The subject of the entry.
     pub subject: Subject,
--- a/replication/src/lib.rs
+++ b/replication/src/lib.rs
@@ -2,9 +2,9 @@
 //! operator decisions.
 //!
 //! The package is sans-IO. Each proxy is the only writer of its own log, so no consensus is needed: an entry is
-//! identified by writer, epoch and index, and never changes. Proxies exchange digests of their positions in each log, and
-//! a proxy that is ahead sends the missing entries, both its own and those of other writers. A proxy that was down, that
-//! is partitioned from the writer, or that lost its disk therefore receives an entry from any peer that has it.
+//! identified by writer, epoch and index, and never changes. Proxies exchange digests of their positions in each log,
+//! and a proxy that is ahead sends the missing entries, both its own and those of other writers. A proxy that was down,
+//! that is partitioned from the writer, or that lost its disk therefore receives an entry from any peer that has it.
 //!
 //! An epoch is one incarnation of a writer's log. A proxy that restarts with its disk continues its epoch. A proxy that
 //! lost its disk starts a new epoch and receives the entries of the old one from its peers.
@@ -12,14 +12,15 @@
 //! Memory is bounded: the oldest purges are moved to a compact table ([`compaction`]). A proxy that is behind the
 //! compacted index of a log receives the table as a snapshot ([`snapshot`]).
 //!
-//! A commit must survive the loss of the proxy's machine. It is confirmed only after the local disk and enough peers have
-//! acknowledged that they stored the entry ([`commit`]).
+//! A commit must survive the loss of the proxy's machine. It is confirmed only after the local disk and enough peers
+//! have acknowledged that they stored the entry ([`commit`]).
 //!
 //! # Modules
 //!
 //! - `entry`, `position`: logs, entries, and positions in logs.
 //! - `log_store`: the logs that a proxy stores; `compaction`: moves old purges to the compact table.
-//! - `replica`: the replica of one proxy, which combines the other modules; `options`: its limits, intervals and counters.
+//! - `replica`: the replica of one proxy, which combines the other modules; `options`: its limits, intervals and
+//!   counters.
 //! - `commit`, `unsynced`: track which entries are durable on which machines, and resolve commits.
 //! - `reorder`: buffers entries that arrived out of order.
 //! - `snapshot`: transfers the compact table to replicas that are behind it.
--- a/replication/src/log_store/decisions.rs
+++ b/replication/src/log_store/decisions.rs
@@ -5,7 +5,8 @@
 use std::collections::BTreeMap;
 
 impl LogStore {
-    /// Returns the operator decisions of a writer and whether each is revoked, according to its latest entry in any epoch.
+    /// Returns the operator decisions of a writer and whether each is revoked, according to its latest entry in any
+    /// epoch.
     pub fn operator_decisions(&self, writer: Writer) -> BTreeMap<Subject, bool> {
         let mut latest = BTreeMap::<Subject, (Epoch, Index, bool)>::new();
         let first = EntryKey {
--- a/replication/src/log_store/mod.rs
+++ b/replication/src/log_store/mod.rs
@@ -121,8 +121,9 @@
         }
     }
 
-    /// Restores a store from the table, the compacted indexes and the entries on the disk. The entries may be in any order,
-    /// and their `prev` is ignored. Compacted purges that are still on the disk are stored until they are compacted again.
+    /// Restores a store from the table, the compacted indexes and the entries on the disk. The entries may be in any
+    /// order, and their `prev` is ignored. Compacted purges that are still on the disk are stored until they are
+    /// compacted again.
     ///
     /// # Errors
     /// Fails if two entries have the same index in a log.
@@ -161,8 +162,8 @@
         Ok(store)
     }
 
-    /// Appends an entry to a log of this writer. The time of a purge is raised to that of the purge that it supersedes, if
-    /// that is later.
+    /// Appends an entry to a log of this writer. The time of a purge is raised to that of the purge that it supersedes,
+    /// if that is later.
     ///
     /// # Errors
     /// Fails if the capacity for entries of this kind is exceeded.
@@ -244,8 +245,8 @@
         true
     }
 
-    /// Inserts an entry and removes the one that it supersedes. A superseded purge is retained until it is compacted, so that
-    /// a peer that is missing both receives the purge even if only one of them arrives.
+    /// Inserts an entry and removes the one that it supersedes. A superseded purge is retained until it is compacted,
+    /// so that a peer that is missing both receives the purge even if only one of them arrives.
     fn insert(&mut self, entry: Entry) {
         let Entry {
             log,
@@ -325,7 +326,8 @@
         }
     }
 
-    /// Advances a log to the compacted index of a snapshot, and records its stored purges through that index in the table.
+    /// Advances a log to the compacted index of a snapshot, and records its stored purges through that index in the
+    /// table.
     pub(crate) fn advance_to_snapshot(&mut self, log: LogId, through: Index) {
         self.raise_last_index(log, through);
         self.raise_compacted_index(log, through);
--- a/replication/src/log_store/queries.rs
+++ b/replication/src/log_store/queries.rs
@@ -154,8 +154,8 @@
             .max()
     }
 
-    /// Returns the time of the latest purge of a subject, from entries and the compact table. Copies that are older must not
-    /// be served. The time may be later than that of the actual purge, and is never earlier.
+    /// Returns the time of the latest purge of a subject, from entries and the compact table. Copies that are older
+    /// must not be served. The time may be later than that of the actual purge, and is never earlier.
     pub fn latest_purge(&self, subject: &Subject) -> Option<Micros> {
         let compacted = subject.purge_key().and_then(|key| self.table.latest(key));
         self.latest_entry_time(subject).max(compacted)
--- a/replication/src/log_store/statuses.rs
+++ b/replication/src/log_store/statuses.rs
@@ -4,12 +4,13 @@
 use crate::{Entry, Epoch, Index, Micros, Subject, Writer};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The maximum difference between two wall clocks, or one before and after a restart: each may be off by an hour either way.
+/// The maximum difference between two wall clocks, or one before and after a restart: each may be off by an hour either
+/// way.
 const MAX_CLOCK_SKEW_US: Micros = 2 * 60 * 60 * 1_000_000;
 
 impl LogStore {
-    /// Restarts the expiry of all expiring entries. Must be called at the start of a process, whose wall clock does not tell
-    /// how long ago its predecessor or a peer wrote them.
+    /// Restarts the expiry of all expiring entries. Must be called at the start of a process, whose wall clock does not
+    /// tell how long ago its predecessor or a peer wrote them.
     pub fn restart_expiry(&mut self, now: Micros) {
         let expiring = self
             .live
@@ -29,13 +30,13 @@
         }
     }
 
-    /// Removes the entries that have expired, and returns them. The last entry of a log is never removed, as replicas learn
-    /// the log's last index from it.
+    /// Removes the entries that have expired, and returns them. The last entry of a log is never removed, as replicas
+    /// learn the log's last index from it.
     ///
-    /// An entry expires when `retention_us` has passed since it was first seen. An entry of another process is first seen
-    /// when it arrives, as its time was given by another clock. In addition, it expires once its time is so long ago that
-    /// not even the maximum clock skew can explain it. So clock steps do not remove statuses early, and a proxy that
-    /// restarts repeatedly does not retain them forever.
+    /// An entry expires when `retention_us` has passed since it was first seen. An entry of another process is first
+    /// seen when it arrives, as its time was given by another clock. In addition, it expires once its time is so long
+    /// ago that not even the maximum clock skew can explain it. So clock steps do not remove statuses early, and a
+    /// proxy that restarts repeatedly does not retain them forever.
     ///
     /// The deletion of a trigger is retained twice as long, because a proxy may still have the status until then.
     pub fn expire(&mut self, now: Micros, retention_us: Micros) -> Vec<Entry> {
@@ -65,8 +66,8 @@
             .collect()
     }
 
-    /// Returns the text of a trigger's status up to its first missing part, or `None` if there is none or the trigger was
-    /// deleted. The caller must determine from the text whether it is complete.
+    /// Returns the text of a trigger's status up to its first missing part, or `None` if there is none or the trigger
+    /// was deleted. The caller must determine from the text whether it is complete.
     pub fn trigger_status(&self, writer: Writer, number: u64) -> Option<String> {
         if self
             .latest_entry_time(&Subject::TriggerDeleted { writer, number })
--- a/replication/src/options.rs
+++ b/replication/src/options.rs
@@ -5,9 +5,9 @@
 /// The limits and intervals of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Options {
-    /// The maximum number of purges and operator decisions, over all logs, that are stored as entries. Beyond it the oldest
-    /// purges are moved to the compact table ([`crate::Replica::compact`]). Purges that are not yet on the disk can't be
-    /// moved, so the hard limit is twice this number.
+    /// The maximum number of purges and operator decisions, over all logs, that are stored as entries. Beyond it the
+    /// oldest purges are moved to the compact table ([`crate::Replica::compact`]). Purges that are not yet on the disk
+    /// can't be moved, so the hard limit is twice this number.
     pub max_exact_entries: usize,
     /// The maximum number of entries of trigger statuses and deletions, in addition to `max_exact_entries`.
     pub expiring_entries: usize,
--- a/replication/src/received.rs
+++ b/replication/src/received.rs
@@ -28,8 +28,8 @@
 pub struct Received {
     /// New entries. The caller must apply them and write them to the disk.
     pub new: Vec<Entry>,
-    /// Entries that arrived out of order. The caller must apply them at once, as a purge does not depend on those before
-    /// it. They are returned again in `new` once the gap before them is filled.
+    /// Entries that arrived out of order. The caller must apply them at once, as a purge does not depend on those
+    /// before it. They are returned again in `new` once the gap before them is filled.
     pub out_of_order: Vec<Entry>,
     /// Datagrams to send back to the sender.
     pub replies: Vec<Datagram>,
@@ -37,7 +37,7 @@
     pub rejected: Vec<Entry>,
     /// Buckets of the compact table that changed. The caller must apply them at once and write them to the disk.
     pub buckets: Vec<MergedBucket>,
-    /// Logs that a complete snapshot advanced. The caller must write them to the disk after all buckets that were returned
-    /// before, and then call [`crate::Replica::record_snapshot_synced`].
+    /// Logs that a complete snapshot advanced. The caller must write them to the disk after all buckets that were
+    /// returned before, and then call [`crate::Replica::record_snapshot_synced`].
     pub compacted: Vec<CompactedLog>,
 }
--- a/replication/src/recovery.rs
+++ b/replication/src/recovery.rs
@@ -1,8 +1,8 @@
 //! Determines when a proxy that lost its disk has recovered its own commits from its peers.
 //!
 //! Each commit is on the disks of at least `min_acks` other machines. Once the proxy has caught up with all but
-//! `min_acks - 1` of the other machines, it has every entry that it ever committed. Until then it is not ready to serve.
-//! The recovery ends at a deadline, so that another lost machine does not block the proxy forever.
+//! `min_acks - 1` of the other machines, it has every entry that it ever committed. Until then it is not ready to
+//! serve. The recovery ends at a deadline, so that another lost machine does not block the proxy forever.
 
 use crate::{Machine, Micros};
 use std::collections::BTreeSet;
--- a/replication/src/replica/catch_up.rs
+++ b/replication/src/replica/catch_up.rs
@@ -18,8 +18,8 @@
 const MAX_IMAGE_IDLE_PERIODS: u64 = 64;
 /// The maximum number of datagrams that request the entries after a snapshot from its sender.
 const MAX_REQUESTS_AFTER_SNAPSHOT: usize = 16;
-/// While a peer reads a snapshot, compaction is deferred until the maximum number of entries is exceeded by this fraction,
-/// given as a divisor. The peer can then receive the entries after the snapshot without another snapshot.
+/// While a peer reads a snapshot, compaction is deferred until the maximum number of entries is exceeded by this
+/// fraction, given as a divisor. The peer can then receive the entries after the snapshot without another snapshot.
 const MAX_DEFERRED_DIVISOR: usize = 2;
 
 /// A log that a snapshot advanced to a higher index.
@@ -41,9 +41,10 @@
 }
 
 impl Replica {
-    /// Moves the oldest purges to the compact table if the maximum number of entries is exceeded. Compaction is deferred, up
-    /// to a limit, while a peer reads a snapshot. The method should be called after each change; it is cheap if there is
-    /// nothing to move. The moved purges stay effective. The caller must update the disk as described at [`Compaction`].
+    /// Moves the oldest purges to the compact table if the maximum number of entries is exceeded. Compaction is
+    /// deferred, up to a limit, while a peer reads a snapshot. The method should be called after each change; it is
+    /// cheap if there is nothing to move. The moved purges stay effective. The caller must update the disk as described
+    /// at [`Compaction`].
     pub fn compact(&mut self, now: Micros) -> Option<Compaction> {
         let max_entries = self.options.max_exact_entries;
         let exact_len = self.log_store.exact_len();
@@ -68,15 +69,15 @@
         compaction
     }
 
-    /// Returns whether this replica is known to be behind the compacted index of a peer. Until it has received a snapshot,
-    /// it may be missing purges that are no longer replicated as entries.
+    /// Returns whether this replica is known to be behind the compacted index of a peer. Until it has received a
+    /// snapshot, it may be missing purges that are no longer replicated as entries.
     pub fn is_catching_up(&self) -> bool {
         self.catch_up
             .is_behind(|log| self.log_store.last_index(log))
     }
 
-    /// Returns the peers that repeatedly did not answer the offer of a snapshot, as versions without snapshots do. They do not
-    /// receive the purges that were compacted while they were unreachable.
+    /// Returns the peers that repeatedly did not answer the offer of a snapshot, as versions without snapshots do. They
+    /// do not receive the purges that were compacted while they were unreachable.
     pub fn peers_without_snapshot(&self) -> Vec<usize> {
         let unanswered = self
             .offers
@@ -103,7 +104,8 @@
         })
     }
 
-    /// Requests the next part of a snapshot from its sender, or the missing logs from a random peer, if a request is due.
+    /// Requests the next part of a snapshot from its sender, or the missing logs from a random peer, if a request is
+    /// due.
     pub(super) fn request_snapshot(&mut self, now: Micros, outgoing: &mut Vec<Outgoing>) {
         let store = &self.log_store;
         let peers = self.pending_commits.peer_count();
@@ -183,8 +185,8 @@
         }
     }
 
-    /// Sends one window of a snapshot, within the limit of this period. A window of log indexes contains nothing else, as the
-    /// receiver needs all of them before it accepts buckets and entries.
+    /// Sends one window of a snapshot, within the limit of this period. A window of log indexes contains nothing else,
+    /// as the receiver needs all of them before it accepts buckets and entries.
     fn send_snapshot(&mut self, from: SnapshotCursor, replies: &mut Vec<Datagram>) {
         let image = self.image_for(from);
         let reader = ImageReader {
@@ -232,8 +234,8 @@
         received
     }
 
-    /// Merges the buckets of a chunk into the table, which is valid for any sender and at any time. Their times are limited to
-    /// `now`, as the sender's clock may be ahead.
+    /// Merges the buckets of a chunk into the table, which is valid for any sender and at any time. Their times are
+    /// limited to `now`, as the sender's clock may be ahead.
     fn merge_buckets(&mut self, now: Micros, content: &SnapshotContent, received: &mut Received) {
         let SnapshotContent::Buckets {
             bucket_bits,
--- a/replication/src/replica/commits.rs
+++ b/replication/src/replica/commits.rs
@@ -9,8 +9,8 @@
 };
 
 impl Replica {
-    /// Opens a commit of the current epoch's log through an index, which [`Replica::resolve_commits`] confirms or rejects
-    /// later. The index must not be lower than that of an earlier commit.
+    /// Opens a commit of the current epoch's log through an index, which [`Replica::resolve_commits`] confirms or
+    /// rejects later. The index must not be lower than that of an earlier commit.
     ///
     /// # Errors
     /// Fails if too many commits are pending.
@@ -59,9 +59,9 @@
         self.due_acks(log)
     }
 
-    /// Records that a snapshot is on the disk: the compacted indexes of these logs ([`crate::Received::compacted`]) and all
-    /// buckets that were returned up to then. Returns the acknowledgements to send. Until this call nothing that the
-    /// snapshot covers is acknowledged.
+    /// Records that a snapshot is on the disk: the compacted indexes of these logs ([`crate::Received::compacted`]) and
+    /// all buckets that were returned up to then. Returns the acknowledgements to send. Until this call nothing that
+    /// the snapshot covers is acknowledged.
     pub fn record_snapshot_synced(&mut self, logs: &[CompactedLog]) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
         for CompactedLog { log, through } in logs {
@@ -107,7 +107,8 @@
         *latest = (*latest).max(index);
     }
 
-    /// Records that an entry could not be written to the disk. It stays live, and [`Replica::take_failed_syncs`] returns it.
+    /// Records that an entry could not be written to the disk. It stays live, and [`Replica::take_failed_syncs`]
+    /// returns it.
     pub fn record_sync_failure(&mut self, log: LogId, index: Index) {
         self.unsynced.mark_failed(log, index);
     }
--- a/replication/src/replica/exchange.rs
+++ b/replication/src/replica/exchange.rs
@@ -200,8 +200,8 @@
         Comparison { received, is_equal }
     }
 
-    /// Replies with the entries that a peer is missing, within the limit of this period. A peer that is missing compacted
-    /// entries of a log is offered a snapshot instead, as it could not insert the later entries.
+    /// Replies with the entries that a peer is missing, within the limit of this period. A peer that is missing
+    /// compacted entries of a log is offered a snapshot instead, as it could not insert the later entries.
     fn answer(&mut self, peer: usize, ranges: impl Iterator<Item = Range>) -> Received {
         let mut received = Received::default();
         let mut compacted = Vec::new();
--- a/replication/src/replica/mod.rs
+++ b/replication/src/replica/mod.rs
@@ -80,8 +80,8 @@
 }
 
 impl Replica {
-    /// Creates the replica of a proxy. Its own log continues after the last index that `log_store` has of it. `process` must
-    /// be greater than that of all earlier processes of the proxy. It also seeds the random number generator.
+    /// Creates the replica of a proxy. Its own log continues after the last index that `log_store` has of it. `process`
+    /// must be greater than that of all earlier processes of the proxy. It also seeds the random number generator.
     pub fn new(own: LogId, log_store: LogStore, process: u64, options: Options) -> Self {
         let random = Random::new(process ^ own.writer.rotate_left(17) ^ own.epoch);
         Replica {
@@ -148,8 +148,8 @@
         self.catch_up.retain_peers(count);
     }
 
-    /// Appends an entry to the replica's own log. The caller must write it to the disk and send it to all peers at once.
-    /// Peers that do not receive it request it later.
+    /// Appends an entry to the replica's own log. The caller must write it to the disk and send it to all peers at
+    /// once. Peers that do not receive it request it later.
     ///
     /// # Errors
     /// Fails if the capacity for entries of this kind is exceeded.
@@ -279,8 +279,8 @@
         }
     }
 
-    /// Selects the peer to request gaps from. Half of the requests go to the sender of the last out-of-order entry, which
-    /// probably has the missing ones. The others go to a random peer, in case that sender is unreachable.
+    /// Selects the peer to request gaps from. Half of the requests go to the sender of the last out-of-order entry,
+    /// which probably has the missing ones. The others go to a random peer, in case that sender is unreachable.
     fn gap_request_target(&mut self, peers: usize) -> usize {
         let drawn = self.random.below(2 * peers as u64) as usize;
         if drawn < peers {
@@ -290,8 +290,8 @@
         }
     }
 
-    /// Sends the last entry of each of the replica's own epochs to the peers that have not acknowledged it. A peer that has
-    /// the entry acknowledges it again, and a peer that is missing entries before it requests them.
+    /// Sends the last entry of each of the replica's own epochs to the peers that have not acknowledged it. A peer that
+    /// has the entry acknowledges it again, and a peer that is missing entries before it requests them.
     fn resend_unacked(&mut self, outgoing: &mut Vec<Outgoing>) {
         for LogPosition { log, index: last } in self.own_epochs() {
             let Some(entry) = self.log_store.entries_after(log, last - 1).next() else {
--- a/replication/src/snapshot/receiver.rs
+++ b/replication/src/snapshot/receiver.rs
@@ -10,8 +10,8 @@
 
 /// The maximum number of requests to random peers, one per digest period, for logs that no transfer has delivered.
 const MAX_REQUEST_ROUNDS: u32 = 120;
-/// The number of digest periods after a snapshot in which no other one is received. Peers compact at different times, and
-/// most of what another snapshot contains arrives as entries in that time.
+/// The number of digest periods after a snapshot in which no other one is received. Peers compact at different times,
+/// and most of what another snapshot contains arrives as entries in that time.
 const SETTLING_PERIODS: u64 = 20;
 /// The maximum number of logs that are tracked as behind.
 const MAX_MISSING: usize = 1_024;
@@ -99,7 +99,8 @@
         }
     }
 
-    /// Receives a chunk. It is used only if it belongs to the current transfer; the caller merges its buckets in any case.
+    /// Receives a chunk. It is used only if it belongs to the current transfer; the caller merges its buckets in any
+    /// case.
     pub(crate) fn receive_chunk(
         &mut self,
         peer: usize,
--- a/replication/src/snapshot/sender.rs
+++ b/replication/src/snapshot/sender.rs
@@ -1,8 +1,8 @@
 //! The sender of a snapshot, which reads chunks from an image of the log store at one point in time.
 //!
-//! The buckets of an image also contain the purges that are still stored as entries. The image therefore covers every purge
-//! within the compacted indexes, including purges that were superseded by an entry after the compacted index, which the
-//! receiver does not have yet.
+//! The buckets of an image also contain the purges that are still stored as entries. The image therefore covers every
+//! purge within the compacted indexes, including purges that were superseded by an entry after the compacted index,
+//! which the receiver does not have yet.
 
 use super::encoding::{encoded_len, MAX_CONTENT_BYTES};
 use super::{IndexedBucket, SnapshotChunk, SnapshotContent, SnapshotCursor};
--- a/replication/src/snapshot/transfer.rs
+++ b/replication/src/snapshot/transfer.rs
@@ -99,8 +99,8 @@
         self.received_through >= SnapshotCursor::End
     }
 
-    /// Returns whether a chunk belongs to the section that is being received. Buckets and entries must be from the image of
-    /// the compacted indexes or a later one.
+    /// Returns whether a chunk belongs to the section that is being received. Buckets and entries must be from the
+    /// image of the compacted indexes or a later one.
     fn is_current(&self, chunk: &SnapshotChunk) -> bool {
         let is_of_logs = matches!(chunk.content, SnapshotContent::Logs(_));
         if self.received_through < SnapshotCursor::BUCKETS {
--- a/replication/src/status.rs
+++ b/replication/src/status.rs
@@ -36,8 +36,8 @@
     Some(out).filter(|text| escape(text) == word)
 }
 
-/// Splits a text into numbered parts that each fit into a datagram. Returns `None` if there are more parts than `u16` can
-/// number.
+/// Splits a text into numbered parts that each fit into a datagram. Returns `None` if there are more parts than `u16`
+/// can number.
 pub fn split_status(text: &str) -> Option<Vec<(u16, String)>> {
     let mut parts = vec![String::new()];
     let mut part_bytes = 0;
--- a/replication/src/wire.rs
+++ b/replication/src/wire.rs
@@ -1,8 +1,8 @@
-//! The encoding of datagrams. Snapshot chunks are encoded as bytes, all other datagrams as text. A datagram has at most 256
-//! bytes, which is the limit for datagrams between proxies.
+//! The encoding of datagrams. Snapshot chunks are encoded as bytes, all other datagrams as text. A datagram has at most
+//! 256 bytes, which is the limit for datagrams between proxies.
 //!
-//! Released keywords never change: `have` is a digest, `want` a range request, `lack` a gap request, `ask` a digest request
-//! and `held` an acknowledgement. Versions without support for snapshots drop `offer`, `fetch` and `chunk`.
+//! Released keywords never change: `have` is a digest, `want` a range request, `lack` a gap request, `ask` a digest
+//! request and `held` an acknowledgement. Versions without support for snapshots drop `offer`, `fetch` and `chunk`.
 
 use crate::snapshot::{self, SnapshotChunk, SnapshotCursor, SnapshotOffer, SnapshotRequest};
 use crate::{status, CompactedLog, Entry, Gap, LogId, LogPosition, Subject};
@@ -37,8 +37,8 @@
         /// The sender's positions.
         positions: Vec<LogPosition>,
     },
-    /// Requests the live entries in these gaps of a log, after which the sender has entries. Versions without gap requests
-    /// drop it and receive a `RangeRequest` later.
+    /// Requests the live entries in these gaps of a log, after which the sender has entries. Versions without gap
+    /// requests drop it and receive a `RangeRequest` later.
     GapRequest {
         /// The log.
         log: LogId,
@@ -55,8 +55,8 @@
         /// The durable indexes.
         positions: Vec<LogPosition>,
     },
-    /// Offers a snapshot to a receiver that is behind the sender's compacted indexes. Versions without snapshots drop this
-    /// and the following two.
+    /// Offers a snapshot to a receiver that is behind the sender's compacted indexes. Versions without snapshots drop
+    /// this and the following two.
     SnapshotOffer(SnapshotOffer),
     /// Requests a window of chunks of a snapshot.
     SnapshotRequest(SnapshotRequest),
