--- a/store/src/backend.rs
+++ b/store/src/backend.rs
@@ -1,26 +1,25 @@
-//! The file as a storage backend of redb.
+//! The storage backend of redb on the store's file.
 
 use crate::fault_points;
-use crate::unsynced::Unsynced;
+use crate::unsynced::UnsyncedRanges;
 use redb::backends::FileBackend;
 use redb::{Database, DatabaseError, StorageBackend};
 use std::fs::OpenOptions;
 use std::io;
 use std::path::Path;
 
-/// Memory for cached pages of the file. redb's default is up to 1 GiB; and as long as its cache is not full, its list
-/// of evicted pages grows without a bound.
+/// The size of redb's page cache. The default is up to 1 GiB, and redb's list of evicted pages grows without limit
+/// until the cache is full.
 const CACHE_BYTES: usize = 4 << 20;
 
-/// A backend that syncs a new length of the file before anything is written after it, and tracks which ranges are not
-/// synced.
+/// A backend that syncs each extension of the file before later writes, and tracks the unsynced ranges.
 ///
-/// redb extends its file and writes a header with the new length, and syncs once for both. A power failure before that
-/// sync may leave the header without the length, and such a file can't be opened.
+/// redb extends its file, writes a header with the new length, and syncs once for both. A power failure before that
+/// sync may leave the new header in a file of the old length, and redb cannot open such a file.
 #[derive(Debug)]
 struct DurableLength<B> {
     file: B,
-    unsynced: Unsynced,
+    unsynced: UnsyncedRanges,
 }
 
 impl<B: StorageBackend> StorageBackend for DurableLength<B> {
@@ -50,7 +49,7 @@
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
         fault_points::write()?;
-        // A part may be written also where the write fails.
+        // A failed write may have written a part of the range.
         self.unsynced.record_write(offset, data.len());
         self.file.write(offset, data)
     }
@@ -60,19 +59,19 @@
     }
 }
 
-/// Opens a database on a backend, or creates it on an empty one.
+/// Opens the database on a backend, or creates it if the backend is empty.
 pub(crate) fn open_on(
     file: impl StorageBackend,
-    unsynced: &Unsynced,
+    unsynced: &UnsyncedRanges,
 ) -> Result<Database, DatabaseError> {
-    unsynced.restore(&file)?;
+    unsynced.rewrite_if_needed(&file)?;
     let unsynced = unsynced.clone();
     Database::builder()
         .set_cache_size(CACHE_BYTES)
         .create_with_backend(DurableLength { file, unsynced })
 }
 
-/// Creates a database in a file that does not exist yet.
+/// Creates a database in a new file.
 pub(crate) fn create_file(path: &Path) -> Result<Database, DatabaseError> {
     fault_points::open()?;
     let file = OpenOptions::new()
@@ -80,11 +79,11 @@
         .write(true)
         .create_new(true)
         .open(path)?;
-    open_on(FileBackend::new(file)?, &Unsynced::default())
+    open_on(FileBackend::new(file)?, &UnsyncedRanges::default())
 }
 
-/// Opens the database in a file. An empty file is an error: no database is ever created in one that exists.
-pub(crate) fn open_file(path: &Path, unsynced: &Unsynced) -> Result<Database, DatabaseError> {
+/// Opens the database in a file. Fails if the file is empty, as databases are only created in new files.
+pub(crate) fn open_file(path: &Path, unsynced: &UnsyncedRanges) -> Result<Database, DatabaseError> {
     fault_points::open()?;
     let file = OpenOptions::new().read(true).write(true).open(path)?;
     if file.metadata()?.len() == 0 {
--- a/store/src/error.rs
+++ b/store/src/error.rs
@@ -1,24 +1,24 @@
-//! The errors of the store, and whether one may go away by itself.
+//! The errors of the store, classified into transient and permanent ones.
 
 use crate::file::Format;
 use std::io;
 
-/// Why the store's file can't be used.
+/// The reason why the file of the store cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
-    /// It can't be opened, read or written for a while, with the system's message.
+    /// A transient I/O error on opening, reading or writing, with the system's message.
     #[error("the disk: {0}")]
     Disk(String),
-    /// It can't be used until somebody changes its path or its permissions, with the system's message.
+    /// A permanent I/O error, which persists until the path or its permissions are changed, with the system's message.
     #[error("the disk: {0}")]
     Unusable(String),
-    /// Another process has it open.
+    /// Another process has the file open.
     #[error("another process has it open")]
     Busy,
-    /// Its content is damaged, or it is no store at all.
+    /// The content is damaged, or the file is not a store.
     #[error("it is damaged ({0}); move it away and start again: what was committed comes back from the peers")]
     Damaged(String),
-    /// Another version of the program wrote it, in the format of this name.
+    /// The file has a format that this version of the program does not know, with the name of the format.
     #[error("its format is '{0}', this program's are '{known}'; start the program that wrote it", known = known_formats())]
     Format(String),
 }
@@ -33,22 +33,21 @@
         }
     }
 
-    /// Whether the error may go away by itself, as that of a full or failing disk does.
+    /// Returns whether the error may disappear without intervention, as that of a full or failing disk may.
     pub fn is_transient(&self) -> bool {
         matches!(self, StoreError::Disk(_))
     }
 }
 
-/// The names of all known formats, for an error's text.
+/// Returns the names of all known formats for an error message.
 fn known_formats() -> String {
     Format::KNOWN.map(Format::name).join("' and '")
 }
 
-/// The errno of a file name that is too long.
 const ENAMETOOLONG: i32 = 36;
 
-/// Whether an I/O error of a file stays until somebody changes the path or the permissions. All others (EIO, ENOSPC,
-/// EDQUOT, EROFS after a remount, a lack of descriptors or memory) may go away by themselves.
+/// Returns whether an I/O error of a file persists until the path or its permissions are changed. All other errors
+/// (EIO, ENOSPC, EDQUOT, EROFS after a remount, a lack of file descriptors or memory) may be transient.
 pub fn is_permanent(error: &io::Error) -> bool {
     use io::ErrorKind::{InvalidInput, IsADirectory, NotADirectory, NotFound, PermissionDenied};
     matches!(
@@ -63,8 +62,8 @@
         redb::Error::Corrupted(why) => StoreError::Damaged(why),
         redb::Error::DatabaseAlreadyOpen => StoreError::Busy,
         redb::Error::UpgradeRequired(version) => StoreError::Format(format!("redb file {version}")),
-        redb::Error::RepairAborted => StoreError::Damaged("its repair was broken off".into()),
-        // redb returns invalid data for a file that is no store at all.
+        redb::Error::RepairAborted => StoreError::Damaged("its repair was aborted".into()),
+        // redb reports invalid data for a file that is not a database.
         redb::Error::Io(e) if e.kind() == io::ErrorKind::InvalidData => {
             StoreError::Damaged(e.to_string())
         }
@@ -73,7 +72,7 @@
     }
 }
 
-/// The error of a file on which redb panicked: one of its own checks failed.
-pub(crate) fn inconsistent() -> StoreError {
-    StoreError::Damaged("its structure does not hold".into())
+/// Returns the error for a file on which redb panicked because one of its consistency checks failed.
+pub(crate) fn panicked() -> StoreError {
+    StoreError::Damaged("its structure is inconsistent".into())
 }
--- a/store/src/file.rs
+++ b/store/src/file.rs
@@ -1,9 +1,9 @@
-//! The store's file: keyspaces of keys and values, changed by atomic groups of writes.
+//! The file of the store, which contains keyspaces and is changed by atomic groups of writes.
 
 use crate::backend;
-use crate::error::{inconsistent, store_error, StoreError};
+use crate::error::{panicked, store_error, StoreError};
 use crate::fault_points;
-use crate::unsynced::Unsynced;
+use crate::unsynced::UnsyncedRanges;
 use redb::{
     AccessGuard, Database, DatabaseError, ReadOnlyDatabase, ReadOnlyTable, ReadableDatabase,
     ReadableTable, StorageBackend, StorageError, Table, TableDefinition, TableError,
@@ -13,20 +13,20 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::{Path, PathBuf};
 
-/// A version of the file's format, which the file names. A program does not open a file whose format it doesn't know.
+/// A version of the file format, whose name is stored in the file. Files with an unknown format are not opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Format {
-    /// Log entries alone: the format of new files.
+    /// Log entries only. This is the format of new files.
     Entries,
-    /// Log entries and the compact table of older purges, which a program that knows only entries must not ignore.
+    /// Log entries and the compact table of older purges, which programs that only know `Entries` must not ignore.
     Compacted,
 }
 
 impl Format {
-    /// All formats that this program knows, the oldest first.
+    /// All supported formats, the oldest first.
     pub const KNOWN: [Format; 2] = [Format::Entries, Format::Compacted];
 
-    /// Returns the format's name in the file.
+    /// Returns the name of the format that is stored in the file.
     pub const fn name(self) -> &'static str {
         match self {
             Format::Entries => "linnetknot state 1",
@@ -34,10 +34,10 @@
         }
     }
 
-    /// Returns the write that gives a file this format. A file must never be given an older format than it has:
-    /// programs of that format would ignore what only the newer one holds.
+    /// Returns the write that sets this format. A file must never be set to an older format, as programs that support
+    /// only that format would ignore the rest of the file.
     pub fn write(self) -> Write {
-        Write::put(HEAD, FORMAT_KEY.to_vec(), self.name().into())
+        Write::put(HEADER, FORMAT_KEY.to_vec(), self.name().into())
     }
 
     fn from_name(name: &[u8]) -> Option<Self> {
@@ -47,12 +47,12 @@
     }
 }
 
-/// The keyspace of the format.
-const HEAD: Keyspace = Keyspace("head");
-/// The key of the format's name.
+/// The keyspace that contains the name of the format.
+const HEADER: Keyspace = Keyspace("head");
+/// The key of the name of the format.
 const FORMAT_KEY: &[u8] = b"format";
 
-/// A named set of keys in the file, apart from those of all other keyspaces.
+/// A named set of keys in the file, which is separate from all other keyspaces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Keyspace(pub &'static str);
 
@@ -62,30 +62,30 @@
     }
 }
 
-/// What a write does with its key.
+/// The operation of a write on its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Sets its value.
+    /// Sets the value.
     Put(Vec<u8>),
-    /// Removes it.
+    /// Removes the key.
     Remove,
-    /// Removes it if this is its value when the write is applied; another value stays.
+    /// Removes the key if it has this value when the write is applied.
     RemoveIf(Vec<u8>),
 }
 
-/// The change of one key.
+/// A write to one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Write {
-    /// The key's keyspace.
+    /// The keyspace of the key.
     pub keyspace: Keyspace,
     /// The key.
     pub key: Vec<u8>,
-    /// What is done with it.
+    /// The operation on the key.
     pub change: Change,
 }
 
 impl Write {
-    /// Sets the value of a key.
+    /// Creates a write that sets the value of a key.
     pub fn put(keyspace: Keyspace, key: Vec<u8>, value: Vec<u8>) -> Self {
         Write {
             keyspace,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Removes a key.
+    /// Creates a write that removes a key.
     pub fn remove(keyspace: Keyspace, key: Vec<u8>) -> Self {
         Write {
             keyspace,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Removes a key if it has this value.
+    /// Creates a write that removes a key if it has this value.
     pub fn remove_if(keyspace: Keyspace, key: Vec<u8>, value: Vec<u8>) -> Self {
         Write {
             keyspace,
@@ -136,11 +136,11 @@
 pub struct KeyValue {
     /// The key.
     pub key: Vec<u8>,
-    /// Its value.
+    /// The value.
     pub value: Vec<u8>,
 }
 
-/// Copies a key and its value out of the file's pages.
+/// Copies a key and its value out of the pages of the file.
 fn key_value(pair: Result<(Guard<'_>, Guard<'_>), StorageError>) -> Result<KeyValue, StorageError> {
     let (key, value) = pair?;
     Ok(KeyValue {
@@ -153,10 +153,9 @@
 type Guard<'a> = AccessGuard<'a, &'static [u8]>;
 type Opener = Box<dyn FnMut() -> Result<Database, DatabaseError> + Send>;
 
-/// The open file.
+/// A store in an open file.
 pub struct Store {
-    /// None after an operation failed, until the file is opened again: redb takes no further operation after a failed
-    /// one.
+    /// `None` after a failed operation, as redb rejects further operations until the file is opened again.
     database: Option<Database>,
     opener: Opener,
 }
@@ -170,24 +169,24 @@
 }
 
 impl Store {
-    /// Opens the file at a path, or creates it. A damaged one is an error, and is left as it is.
+    /// Opens the file at a path, or creates it. Fails if the file is damaged, and does not change it then.
     pub fn open(path: &Path) -> Result<Self, StoreError> {
         if !path.exists() {
             Self::create(path)?;
         }
         Self::check_format(path)?;
         let path = path.to_owned();
-        let unsynced = Unsynced::default();
+        let unsynced = UnsyncedRanges::default();
         Self::open_with(Box::new(move || backend::open_file(&path, &unsynced)))
     }
 
-    /// Checks the file's format before it is opened for writing, which changes its bytes. All other faults of a file,
-    /// and a file whose format can't be read without a repair, are left to the opening.
+    /// Checks the format of the file before it is opened for writing, which changes the file. Ignores all other errors,
+    /// and files whose format cannot be read without a repair, as they are detected when the file is opened.
     fn check_format(path: &Path) -> Result<(), StoreError> {
         let format = || -> Result<Option<Vec<u8>>, redb::Error> {
             let table = ReadOnlyDatabase::open(path)?
                 .begin_read()?
-                .open_table(HEAD.table())?;
+                .open_table(HEADER.table())?;
             Ok(table.get(FORMAT_KEY)?.map(|found| found.value().to_vec()))
         };
         match catch_unwind(AssertUnwindSafe(format)) {
@@ -196,8 +195,8 @@
         }
     }
 
-    /// Creates the file under another name and renames it once it is complete: a file whose first pages were cut off by
-    /// a crash could not be told from a damaged one.
+    /// Creates the file under a temporary name and renames it once it is complete. A file that a crash left incomplete
+    /// could not be distinguished from a damaged one.
     fn create(path: &Path) -> Result<(), StoreError> {
         let io_error = |e: io::Error| StoreError::from_io(&e);
         let mut temporary = path.as_os_str().to_owned();
@@ -223,12 +222,12 @@
         }
     }
 
-    /// Opens a store on backends that the caller supplies, one for each time the file is opened: for tests that lose
-    /// what was not synced.
+    /// Opens a store on custom backends, of which `backend` creates one each time the file is opened. Tests use it to
+    /// simulate the loss of unsynced writes.
     pub fn open_on<B: StorageBackend>(
         mut backend: impl FnMut() -> B + Send + 'static,
     ) -> Result<Self, StoreError> {
-        let unsynced = Unsynced::default();
+        let unsynced = UnsyncedRanges::default();
         Self::open_with(Box::new(move || backend::open_on(backend(), &unsynced)))
     }
 
@@ -238,11 +237,11 @@
             opener,
         };
         store.database()?;
-        match store.get(HEAD, FORMAT_KEY)? {
-            None if store.is_new()? => {
+        match store.get(HEADER, FORMAT_KEY)? {
+            None if store.has_no_tables()? => {
                 store.commit(&[Format::Entries.write()])?;
             }
-            None => return Err(StoreError::Damaged("it names no format".into())),
+            None => return Err(StoreError::Damaged("it contains no format name".into())),
             Some(found) => drop(Self::known_format(&found)?),
         }
         Ok(store)
@@ -255,9 +254,9 @@
 
     /// Returns the file's format.
     pub fn format(&mut self) -> Result<Format, StoreError> {
-        match self.get(HEAD, FORMAT_KEY)? {
+        match self.get(HEADER, FORMAT_KEY)? {
             Some(found) => Self::known_format(&found),
-            None => Err(StoreError::Damaged("it names no format".into())),
+            None => Err(StoreError::Damaged("it contains no format name".into())),
         }
     }
 
@@ -265,16 +264,16 @@
     fn database(&mut self) -> Result<&Database, StoreError> {
         let database = match self.database.take() {
             Some(database) => database,
-            // redb may panic on a file that was changed by another program, as it trusts what it wrote.
+            // redb may panic on a file that another program has changed.
             None => catch_unwind(AssertUnwindSafe(&mut self.opener))
-                .map_err(|_| inconsistent())?
+                .map_err(|_| panicked())?
                 .map_err(|e| store_error(e.into()))?,
         };
         Ok(self.database.insert(database))
     }
 
-    /// Whether nothing was ever written to the file.
-    fn is_new(&mut self) -> Result<bool, StoreError> {
+    /// Returns whether nothing has been written to the file.
+    fn has_no_tables(&mut self) -> Result<bool, StoreError> {
         let read = self
             .database()?
             .begin_read()
@@ -283,7 +282,7 @@
         Ok(tables.next().is_none())
     }
 
-    /// Returns the value of a key; none where it has none.
+    /// Returns the value of a key, or `None` if the key does not exist.
     pub fn get(&mut self, keyspace: Keyspace, key: &[u8]) -> Result<Option<Vec<u8>>, StoreError> {
         self.read(keyspace, |table| {
             Ok(table.get(key)?.map(|value| value.value().to_vec()))
@@ -291,13 +290,13 @@
         .map(Option::flatten)
     }
 
-    /// Returns all keys of a keyspace with their values, in the order of the keys.
+    /// Returns all keys and values of a keyspace, ordered by key.
     pub fn scan(&mut self, keyspace: Keyspace) -> Result<Vec<KeyValue>, StoreError> {
         let all = self.read(keyspace, |table| table.iter()?.map(key_value).collect())?;
         Ok(all.unwrap_or_default())
     }
 
-    /// Reads a keyspace; none where nothing was ever written to it.
+    /// Reads from a keyspace. Returns `None` if nothing has been written to the keyspace.
     fn read<T>(
         &mut self,
         keyspace: Keyspace,
@@ -312,23 +311,23 @@
             }
         };
         let found = catch_unwind(AssertUnwindSafe(read))
-            .map_err(|_| inconsistent())
+            .map_err(|_| panicked())
             .and_then(|result| result.map_err(store_error));
         if found.is_err() {
-            // After a failed read, too, redb refuses all others until the file is opened again.
+            // redb also rejects all operations after a failed read until the file is opened again.
             self.database = None;
         }
         found
     }
 
-    /// Commits a group atomically: once this returns without an error all of it is on the disk. After an error all of
-    /// it may be there or none, as the disk may have taken what it did not confirm.
+    /// Commits a group of writes atomically. If this succeeds, the whole group is on the disk. If it fails, either the
+    /// whole group or none of it is on the disk.
     pub fn commit(&mut self, group: &[Write]) -> Result<(), StoreError> {
         let database = self.database()?;
         let write = || -> Result<(), redb::Error> {
-            // redb syncs with each commit by default.
+            // By default redb syncs on each commit.
             let transaction = database.begin_write()?;
-            // A table is opened once for all writes that follow each other in it.
+            // A table is opened once for consecutive writes to it.
             for run in group.chunk_by(|a, b| a.keyspace == b.keyspace) {
                 let mut table = transaction.open_table(run[0].keyspace.table())?;
                 run.iter().try_for_each(|write| apply(&mut table, write))?;
@@ -336,10 +335,11 @@
             Ok(transaction.commit()?)
         };
         let written = catch_unwind(AssertUnwindSafe(write))
-            .map_err(|_| inconsistent())
+            .map_err(|_| panicked())
             .and_then(|result| result.map_err(store_error));
         if written.is_err() {
-            // After a failed write redb refuses all others; opened again the file is as of its last complete group.
+            // redb rejects all operations after a failed write. When opened again, the file has the state of the last
+            // complete group.
             self.database = None;
         }
         written
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -1,9 +1,9 @@
-//! State that survives a crash of the process and a loss of power: keyspaces of keys and values in one file, on an
-//! embedded store (redb), written by a worker thread so that no event loop ever waits for a disk.
+//! A durable key-value store that survives process crashes and power failures. It consists of keyspaces in one file of
+//! the embedded database redb, which a worker thread writes so that event loops do not block on the disk.
 //!
-//! [`Store`] owns the file: its format version, and the errors of one that can't be used. [`StoreWorker`] owns the
-//! thread: a bounded queue, group commit, and a [`Completion`] for each group that says whether its writes are on the
-//! disk. Only what a completion confirms may be acknowledged to others.
+//! [`Store`] manages the file, its format version and its errors. [`StoreWorker`] manages the thread, with a bounded
+//! queue and group commit. It returns a [`Completion`] for each group of writes. Only writes that a completion confirms
+//! may be acknowledged to others.
 
 mod backend;
 mod error;
--- a/store/src/unsynced.rs
+++ b/store/src/unsynced.rs
@@ -1,43 +1,43 @@
-//! The ranges of a file that were written since it was last synced, so that they can be written again after a failed
+//! Tracks the ranges of a file that were written since its last sync, so that they can be written again after a failed
 //! sync.
 //!
-//! The kernel reports a failed write-back once and then marks the pages clean (fsync(2)): they are read as they were
-//! written, another sync succeeds without them, and the next loss of power loses them. So the ranges that a failed sync
-//! covered are read and written again before the file is used. A process that opens a file that the process before did
-//! not close can't know whether a sync failed there, and writes all of it again.
+//! The kernel reports a failed write-back once and then marks the pages clean (fsync(2)). They can still be read, but a
+//! later sync succeeds without writing them, and a power failure loses them. The ranges that a failed sync covered are
+//! therefore read and written again before the file is used. If the previous process did not close the file, it is
+//! unknown whether one of its syncs failed, so the whole file is written again.
 
 use redb::StorageBackend;
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The first bytes of a redb file.
+/// The magic number at the start of a redb file.
 const MAGIC: &[u8] = b"redb\x1A\x0A\xA9\x0D\x0A";
-/// The bit of the byte after them that is set while the file is open.
+/// The flag in the byte after the magic number that is set while the file is open.
 const RECOVERY_REQUIRED: u8 = 2;
-/// Bytes that are rewritten with one call.
+/// The number of bytes that are rewritten with one call.
 const CHUNK_BYTES: u64 = 1 << 20;
-/// The most ranges that are kept apart. Beyond that, all from the first to the last becomes one range.
+/// The maximum number of separate ranges. Beyond it they are merged into a single range.
 const MAX_RANGES: usize = 4_096;
 
-/// The unsynced ranges of one file. Clones share them.
+/// The unsynced ranges of a file. Clones share the same state.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Unsynced(Arc<Mutex<State>>);
+pub(crate) struct UnsyncedRanges(Arc<Mutex<State>>);
 
 #[derive(Debug, Default)]
 struct State {
-    /// The end of each range by its start, in bytes.
+    /// The end of each range by its start, as offsets in bytes.
     ranges: BTreeMap<u64, u64>,
-    /// A sync failed: all ranges have to be written again.
+    /// Whether a sync has failed, so that all ranges must be written again.
     has_failed_sync: bool,
-    /// This process has opened the file before.
+    /// Whether this process has opened the file before.
     was_opened: bool,
 }
 
 impl State {
     fn add(&mut self, start: u64, end: u64) {
-        let known = self.ranges.entry(start).or_default();
-        *known = end.max(*known);
+        let range_end = self.ranges.entry(start).or_default();
+        *range_end = end.max(*range_end);
         if self.ranges.len() > MAX_RANGES {
             let first = self.ranges.first_key_value().map_or(0, |(start, _)| *start);
             let last = self.ranges.values().copied().max().unwrap_or(0);
@@ -46,7 +46,7 @@
     }
 }
 
-impl Unsynced {
+impl UnsyncedRanges {
     fn state(&self) -> MutexGuard<'_, State> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -60,7 +60,7 @@
     pub(crate) fn record_sync<T>(&self, result: io::Result<T>) -> io::Result<T> {
         let mut state = self.state();
         match &result {
-            // A sync after a failed one does not write what that one lost.
+            // A sync after a failed one does not write the pages that the failed one lost.
             Ok(_) if !state.has_failed_sync => state.ranges.clear(),
             Ok(_) => {}
             Err(_) => state.has_failed_sync = true,
@@ -68,8 +68,8 @@
         result
     }
 
-    /// Writes the ranges that a failed sync covered again, before the file is used.
-    pub(crate) fn restore(&self, backend: &impl StorageBackend) -> io::Result<()> {
+    /// Writes the ranges of a failed sync again. Must be called before the file is used.
+    pub(crate) fn rewrite_if_needed(&self, backend: &impl StorageBackend) -> io::Result<()> {
         let length = backend.len()?;
         let mut state = self.state();
         if !state.was_opened && was_left_open(backend, length)? {
@@ -81,7 +81,7 @@
             return Ok(());
         }
         for (start, end) in &state.ranges {
-            rewrite(backend, *start, length.min(*end))?;
+            rewrite_range(backend, *start, length.min(*end))?;
         }
         backend.set_len(length)?;
         backend.sync_data()?;
@@ -91,18 +91,18 @@
     }
 }
 
-/// Whether the process that had the file open before did not close it.
+/// Returns whether the previous process did not close the file.
 fn was_left_open(backend: &impl StorageBackend, length: u64) -> io::Result<bool> {
-    let mut head = [0; MAGIC.len() + 1];
-    if length < head.len() as u64 {
+    let mut header = [0; MAGIC.len() + 1];
+    if length < header.len() as u64 {
         return Ok(false);
     }
-    backend.read(0, &mut head)?;
-    Ok(head.starts_with(MAGIC) && head[MAGIC.len()] & RECOVERY_REQUIRED != 0)
+    backend.read(0, &mut header)?;
+    Ok(header.starts_with(MAGIC) && header[MAGIC.len()] & RECOVERY_REQUIRED != 0)
 }
 
 /// Reads a range and writes it back unchanged.
-fn rewrite(backend: &impl StorageBackend, start: u64, end: u64) -> io::Result<()> {
+fn rewrite_range(backend: &impl StorageBackend, start: u64, end: u64) -> io::Result<()> {
     let mut offset = start;
     while offset < end {
         let mut bytes = vec![0; CHUNK_BYTES.min(end - offset) as usize];
--- a/store/src/worker.rs
+++ b/store/src/worker.rs
@@ -1,28 +1,27 @@
-//! The worker thread that writes the store: a bounded queue, group commit (many writes to one sync), and a completion
-//! for each group.
+//! The worker thread that writes the store, with a bounded queue and group commit (one sync for many writes).
 
 use crate::{Store, StoreError, Write};
 use crossbeam_channel::{bounded, unbounded, Receiver, Sender};
 use std::io;
 use std::thread::{self, JoinHandle};
 
-/// Identifies a write: writes are numbered in the order in which they are submitted, from 1.
+/// The id of a write. Writes are numbered in the order in which they are submitted, starting at 1.
 pub type WriteId = u64;
 
-/// The most writes that are committed with one sync.
+/// The maximum number of writes that are committed with one sync.
 const MAX_GROUP_WRITES: usize = 1_024;
 
-/// The result of writes that were committed together.
+/// The result of a group of writes that were committed together.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Completion {
-    /// The last write of the group, which holds all writes since the completion before.
+    /// The last write of the group. The group contains all writes since the previous completion.
     pub through: WriteId,
-    /// Whether the writes are on the disk. After an error each of them may be there or not, and is to be submitted
+    /// Success if the writes are on the disk. After an error it is unknown whether they are, and they must be submitted
     /// again.
     pub result: Result<(), StoreError>,
 }
 
-/// Writes a store from a thread of its own, so that the caller never waits for the disk.
+/// Writes to a store on a separate thread, so that the caller does not block on the disk.
 #[derive(Debug)]
 pub struct StoreWorker {
     writes: Sender<(WriteId, Write)>,
@@ -33,7 +32,7 @@
     max_pending: usize,
 }
 
-/// Commits a group, with the fail points at which tests end the process or have the disk fail.
+/// Commits a group. Contains fail points at which tests end the process or make the disk fail.
 fn commit(store: &mut Store, group: &[Write]) -> Result<(), StoreError> {
     fail::fail_point!("store-commits");
     fail::fail_point!("store-fails", |_| Err(StoreError::Disk(
@@ -44,8 +43,8 @@
     Ok(())
 }
 
-/// Counts commits that failed in a row. They are logged when the first fails and when one succeeds again, as a full
-/// disk stays full for long.
+/// Counts consecutive failed commits. Logs only the first failure and the next success, as a disk may stay full for a
+/// long time.
 #[derive(Default)]
 struct FailureLog {
     commits: u64,
@@ -71,8 +70,8 @@
     }
 }
 
-/// The body of the thread: commits what is submitted until the queue is closed, and returns the store.
-fn run(
+/// Commits the submitted writes until the queue is closed, and returns the store.
+fn run_worker(
     mut store: Store,
     writes: &Receiver<(WriteId, Write)>,
     completions: &Sender<Completion>,
@@ -80,7 +79,7 @@
 ) -> Store {
     let mut failures = FailureLog::default();
     while let Ok((mut through, first)) = writes.recv() {
-        // All that was submitted while the disk was busy is committed with the next sync.
+        // Writes that were submitted during the previous commit are committed together.
         let mut group = vec![first];
         while group.len() < MAX_GROUP_WRITES {
             let Ok((id, next)) = writes.try_recv() else {
@@ -91,7 +90,7 @@
         }
         let result = commit(&mut store, &group);
         failures.record(&result, group.len());
-        // The receiver is gone once the worker is being closed.
+        // Sending fails only if the worker was dropped, and then nobody needs the completion.
         let _ = completions.send(Completion { through, result });
         wake();
     }
@@ -99,8 +98,8 @@
 }
 
 impl StoreWorker {
-    /// Starts the thread under a name. At most `max_pending` writes may be submitted whose completion was not taken
-    /// yet. `wake` is called on the thread for each completion.
+    /// Starts the thread with a name. At most `max_pending` writes may be pending, which are those whose completion has
+    /// not been taken. `wake` is called on the thread for each completion.
     pub fn start(
         name: &str,
         store: Store,
@@ -109,9 +108,9 @@
     ) -> io::Result<Self> {
         let max_pending = max_pending.max(1);
         let (writes, submitted) = bounded(max_pending);
-        // Never longer than the number of pending writes, which is bounded.
+        // The number of completions is bounded by that of the pending writes.
         let (completed, completions) = unbounded();
-        let body = move || run(store, &submitted, &completed, &wake);
+        let body = move || run_worker(store, &submitted, &completed, &wake);
         let thread = thread::Builder::new().name(name.to_owned()).spawn(body)?;
         Ok(StoreWorker {
             writes,
@@ -123,14 +122,14 @@
         })
     }
 
-    /// Returns how many writes may be submitted now.
+    /// Returns the number of writes that can be submitted now.
     pub fn capacity(&self) -> usize {
         let pending = self.last_submitted - self.last_completed;
         let pending = usize::try_from(pending).unwrap_or(usize::MAX);
         self.max_pending.saturating_sub(pending)
     }
 
-    /// Submits a write. Returns none where the queue is full: nothing was taken then.
+    /// Submits a write. Returns its id, or `None` if the queue is full and the write was not submitted.
     pub fn submit(&mut self, write: Write) -> Option<WriteId> {
         if self.capacity() == 0 {
             return None;
@@ -141,15 +140,15 @@
         Some(id)
     }
 
-    /// Takes the oldest completion, if there is one.
+    /// Removes and returns the oldest completion, if any.
     pub fn completion(&mut self) -> Option<Completion> {
         let completion = self.completions.try_recv().ok()?;
         self.last_completed = completion.through;
         Some(completion)
     }
 
-    /// Ends the thread once all that was submitted is written, and returns the store with the remaining completions, or
-    /// none if the thread has panicked. Blocks until the disk is done.
+    /// Waits until all submitted writes are committed and the thread has ended. Returns the store and the remaining
+    /// completions, or `None` if the thread has panicked.
     pub fn close(self) -> Option<(Store, Vec<Completion>)> {
         drop(self.writes);
         let store = self.thread.join().ok()?;
