--- a/budgets/src/wire/tests.rs
+++ b/budgets/src/wire/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the datagrams.
+//! Tests of the encoding of messages in datagrams.
 
 use super::*;
 
 #[test]
-fn messages_are_read_as_they_were_written_in_datagrams_that_are_no_longer_than_they_may_be() {
+fn encoded_messages_decode_unchanged_and_datagrams_stay_within_the_size_limit() {
     let max = u64::MAX;
     let messages: Vec<Message> = (0..30)
         .flat_map(|n| {
@@ -34,24 +34,24 @@
             ]
         })
         .collect();
-    let datagrams = write(300, max, &messages);
+    let datagrams = encode(300, max, &messages);
     assert!(
         datagrams.iter().all(|d| d.len() <= MAX_DATAGRAM_BYTES) && datagrams.len() < 40,
         "{}",
         datagrams.len()
     );
-    let mut again = Vec::new();
+    let mut decoded = Vec::new();
     for datagram in &datagrams {
-        let datagram = read(datagram).unwrap();
+        let datagram = decode(datagram).unwrap();
         assert_eq!((datagram.fingerprint, datagram.process), (300, max));
-        again.extend(datagram.messages);
+        decoded.extend(datagram.messages);
     }
-    assert_eq!(again, messages);
-    assert!(write(3, 1, &[]).is_empty(), "no message is no datagram");
+    assert_eq!(decoded, messages);
+    assert!(encode(3, 1, &[]).is_empty(), "no messages, no datagram");
 }
 
 #[test]
-fn what_is_no_datagram_of_this_kind_and_version_is_an_error() {
+fn datagrams_of_other_protocols_and_versions_and_malformed_ones_are_rejected() {
     for (bytes, error) in [
         (b"copies1 ask".as_slice(), DecodeError::Foreign),
         (b"budgets2 3 1", DecodeError::Version),
@@ -69,14 +69,14 @@
         (b"budgets1 3 1 \xff", DecodeError::Malformed),
     ] {
         assert_eq!(
-            read(bytes).err(),
+            decode(bytes).err(),
             Some(error),
             "{}",
             String::from_utf8_lossy(bytes)
         );
     }
     assert_eq!(
-        read(b"budgets1 3 1"),
+        decode(b"budgets1 3 1"),
         Ok(Datagram {
             fingerprint: 3,
             process: 1,
@@ -85,9 +85,9 @@
     );
 }
 
-/// Proxies of released versions read this form: it does not change.
+/// Guards against an encoding that proxies of released versions can't decode.
 #[test]
-fn the_form_of_each_message_is_fixed() {
+fn the_encoding_of_each_message_is_stable() {
     let messages = [
         Message::VoteRequest(VoteRequest {
             group: 1,
@@ -120,5 +120,5 @@
         }),
     ];
     let expected = b"budgets1 a b s.1.11 v.1.11.1.3 v.1.11.0.0 w.1.12.13.14.15 p.1.12.16.17";
-    assert_eq!(write(10, 11, &messages), [expected.to_vec()]);
+    assert_eq!(encode(10, 11, &messages), [expected.to_vec()]);
 }
--- a/daemon/src/daemon/budgets/status.rs
+++ b/daemon/src/daemon/budgets/status.rs
@@ -1,4 +1,4 @@
-//! The answer to `linnetknot fleet budgets`, and what the log says of budgets.
+//! The status of the budgets for `linnetknot fleet budgets`, and log lines about them.
 
 use crate::budgets::{BudgetStatus, GrantStatus, Status, MAX_BUDGETS, MAX_GRANTS};
 use crate::daemon::Daemon;
@@ -8,7 +8,7 @@
 use std::cmp::Ordering;
 
 impl Daemon {
-    /// Returns the status of the budgets; none where nothing is shared.
+    /// Returns the status of the budgets; `None` if none are shared.
     pub(in crate::daemon) fn budgets_status(&self) -> Option<Status> {
         let member = &self.shared_budgets.as_ref()?.member;
         let config = &self.config.budgets;
@@ -18,7 +18,7 @@
             name: self.config.name.clone(),
             members: config.members,
             budgets: listed
-                .map(|(n, budget)| self.budget_status(member, now, n, budget))
+                .map(|(index, budget)| self.budget_status(member, now, index, budget))
                 .collect(),
             budgets_total: config.list.len(),
         })
@@ -28,22 +28,22 @@
         &self,
         member: &Member,
         now: Micros,
-        n: usize,
+        index: usize,
         budget: &Shared,
     ) -> BudgetStatus {
-        let spec = member.spec(n).unwrap_or(budget.spec);
+        let spec = member.spec(index).unwrap_or(budget.spec);
         let Lease {
             amount: lease,
             until,
-        } = member.lease(now, n);
+        } = member.lease(now, index);
         let Demand {
             amount: demand,
             unsettled,
-        } = member.demand(n);
-        let group = member.group(n);
+        } = member.demand(index);
+        let group = member.group(index);
         let leads = member.leads(now, group);
         let grants = if leads {
-            member.outstanding_grants(n)
+            member.outstanding_grants(index)
         } else {
             Vec::new()
         };
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Returns a member's name, or its address until the name is known.
+    /// Returns the name of a member, or its address until the name is known.
     fn member_name(&self, index: MemberIndex) -> String {
         let own = self.config.budgets.index;
         let peer = match index.cmp(&own) {
@@ -101,16 +101,15 @@
         name.or_else(address).unwrap_or_default()
     }
 
-    /// Logs a change.
     pub(super) fn log_change(&self, change: Change) {
         let Some(shared) = &self.shared_budgets else {
             return;
         };
         match change {
-            Change::Leads { group, begins } => self.log_leadership(&shared.member, group, begins),
+            Change::Leader { group, leads } => self.log_leadership(&shared.member, group, leads),
             Change::ReservedOnly {
                 budget,
-                begins: true,
+                active: true,
             } => {
                 let name = self.config.budgets.list[budget].name.as_str();
                 let reserved = shared.member.spec(budget).map_or(0, |spec| spec.reserved);
@@ -121,24 +120,24 @@
             }
             Change::ReservedOnly {
                 budget,
-                begins: false,
+                active: false,
             } => {
                 let name = self.config.budgets.list[budget].name.as_str();
-                log::info!(budget = name; "a lease is in force again");
+                log::info!(budget = name; "budget has a valid lease again");
             }
         }
     }
 
     fn log_leadership(&self, member: &Member, group: usize, leads: bool) {
         let budgets = self.config.budgets.list.iter().enumerate();
-        let of_group = budgets.filter(|(n, _)| member.group(*n) == group);
+        let of_group = budgets.filter(|(index, _)| member.group(*index) == group);
         let names: Vec<&str> = of_group.map(|(_, budget)| budget.name.as_str()).collect();
         if !names.is_empty() {
-            log::info!(budgets = names.join(" ").as_str(), leads = leads; "the allocator has changed");
+            log::info!(budgets = names.join(" ").as_str(), leads = leads; "allocator of budgets changed");
         }
     }
 
-    /// Logs the counters at the end of the process.
+    /// Logs the counters of the leases at shutdown.
     pub(in crate::daemon) fn log_budgets(&self) {
         let Some(shared) = &self.shared_budgets else {
             return;
@@ -147,7 +146,7 @@
         log::info!(
             granted = counters.granted, accepted = counters.accepted, stale = counters.stale,
             misdirected = counters.misdirected;
-            "leases of what all proxies spend"
+            "leases of shared budgets"
         );
     }
 }
--- a/daemon/src/daemon/reload.rs
+++ b/daemon/src/daemon/reload.rs
@@ -1,15 +1,15 @@
-//! SIGHUP: a new configuration is read and put in force, as far as a running daemon can follow it.
+//! Reloads the configuration on SIGHUP, as far as a running daemon can apply it.
 
 use super::Daemon;
 use crate::config::Config;
 use linnetknot::{Micros, Settings};
 
 impl Daemon {
-    /// Reads the configuration again. Nothing that is open is dropped for it, and a faulty file changes
-    /// nothing: a daemon that ended over it would take all its clients with it.
+    /// Reloads the configuration. Open connections and requests are kept, and an invalid configuration changes
+    /// nothing.
     pub(super) fn reload(&mut self, now: Micros) {
-        self.hup.clear();
-        let mut new = match (self.source)() {
+        self.sighup.drain();
+        let mut new = match (self.config_source)() {
             Ok(new) => new,
             Err(e) => return log::error!("SIGHUP: the configuration stays as it was: {e}"),
         };
@@ -24,29 +24,29 @@
         self.config.peers = new.peers.take().or(self.config.peers.take());
         self.reload_machines(now);
         let bus_note = if bus_moved {
-            "; the event bus has moved"
+            "; the address of the event bus changed"
         } else {
             ""
         };
-        log::info!("SIGHUP: the configuration is read again{bus_note}");
+        log::info!("SIGHUP: reloaded the configuration{bus_note}");
         self.index_peers();
         if bus_moved {
-            self.move_bus(now);
+            self.reconnect_moved_bus(now);
         }
         if !self.reload_consul(now, new.consul.take()) {
             log::warn!("SIGHUP: 'consul' has changed, which takes effect with the next start only");
         }
     }
 
-    /// Puts the settings and the limits that follow from them in force, where they have changed.
+    /// Applies changed settings and the limits derived from them.
     fn reload_settings(&mut self, new: &Config) {
-        if self.config.settings != new.settings && self.retune(&new.settings) {
+        if self.config.settings != new.settings && self.apply_settings(&new.settings) {
             self.limits.follow(&new.limits);
             self.config.limits.follow(&new.limits);
         }
     }
 
-    /// Warns of each changed key that the running daemon can't follow.
+    /// Warns about each changed key that requires a restart.
     fn warn_of_fixed_changes(&self, new: &Config) {
         for key in self.config.fixed_changes(new) {
             if key != "settings" {
@@ -57,19 +57,19 @@
         }
     }
 
-    /// Follows a changed list of peers.
+    /// Applies a changed list of peers.
     fn reload_peers(&mut self, new: &Config) {
-        let (Some((_, known)), Some(new)) = (&mut self.peers, &new.peers) else {
+        let (Some((_, current)), Some(new)) = (&mut self.peers, &new.peers) else {
             return;
         };
         let peers = &new.all;
-        known.clone_from(peers);
+        current.clone_from(peers);
         if let Some(health) = &mut self.origin_health {
             health.retain_peers(|peer| peers.contains(peer));
         }
     }
 
-    /// Follows a change of which peers share a machine, which counts for the replicas of a log.
+    /// Applies a change in which peers share a machine, which affects the replicas of a log.
     fn reload_machines(&mut self, now: Micros) {
         let before = self.config.copies.machines.clone();
         match self.config.check_copies(self.config.peers.as_ref()) {
@@ -86,13 +86,13 @@
         }
         self.update_machines();
         if !self.pending_commits.has_recovered() {
-            self.begin_recovery(now);
+            self.start_recovery(now);
         }
     }
 
-    /// Puts new settings in force where a running router can follow them: its classes and its attempts. The rest
-    /// of `settings` was built into the router's tables at the start. False: they can't be used.
-    fn retune(&mut self, new: &Settings) -> bool {
+    /// Applies the settings that a running router can change: its classes and attempts. Others require a restart.
+    /// Returns false if the settings are invalid.
+    fn apply_settings(&mut self, new: &Settings) -> bool {
         let mut next = self.config.settings.clone();
         next.classes.clone_from(&new.classes);
         next.max_attempts = new.max_attempts;
@@ -101,7 +101,7 @@
         }
         match self.core.apply_settings(next.clone()) {
             Ok(()) => {
-                log::info!(classes = next.classes.len(), attempts = next.max_attempts; "SIGHUP: new settings are in force");
+                log::info!(classes = next.classes.len(), attempts = next.max_attempts; "SIGHUP: applied new settings");
                 self.config.settings = next;
                 true
             }
--- a/daemon/src/daemon/replication.rs
+++ b/daemon/src/daemon/replication.rs
@@ -5,16 +5,16 @@
 use linnetknot_discovery::server_id;
 use std::net::SocketAddr;
 
-/// The shortest time to the next tick, so that the event loop always gets to its sockets.
-const MIN_TICK_US: Micros = 1_000;
+/// Leaves the event loop time for its sockets between ticks.
+const MIN_TICK_INTERVAL_US: Micros = 1_000;
 
 impl Daemon {
-    /// Processes completions of the store's worker, and the result of opening the store.
+    /// Processes completions of the store's worker and the result of opening the store.
     pub(super) fn receive_store_completions(&mut self, now: Micros) {
-        if let Some(word) = &mut self.store_word {
-            word.clear();
+        if let Some(signal) = &mut self.store_signal {
+            signal.drain();
         }
-        self.take_opened_store(now);
+        self.finish_store_opening(now);
         let outgoing = self
             .ledger
             .as_mut()
@@ -27,7 +27,7 @@
         self.resolve_commits(now);
     }
 
-    /// Sends what is due to the peers: acknowledgements, digests, requests and snapshot chunks. Schedules the next
+    /// Sends the datagrams that are due: acknowledgements, digests, requests and snapshot chunks. Schedules the next
     /// tick.
     pub(super) fn tick_replication(&mut self, now: Micros) {
         let Some(ledger) = &mut self.ledger else {
@@ -36,12 +36,12 @@
         let outgoing = ledger.tick(now);
         self.log_replication();
         self.send_datagrams(outgoing);
-        self.watch_snapshot(now);
+        self.check_snapshot_wait(now);
         self.resolve_commits(now);
         self.schedule_replication(now);
     }
 
-    /// Logs changes of the number of under-replicated entries, and of peers that do not know snapshots.
+    /// Logs changes in the number of under-replicated entries and of peers that do not support snapshots.
     fn log_replication(&mut self) {
         let Some(ledger) = &self.ledger else {
             return;
@@ -51,31 +51,30 @@
         let pending = &mut self.pending_commits;
         let before = std::mem::replace(&mut pending.under_replicated, under_replicated);
         if self.config.copies.on && (under_replicated == 0) != (before == 0) {
-            log::info!(under_replicated = under_replicated; "entries with fewer replicas than configured");
+            log::info!(under_replicated = under_replicated; "number of under-replicated log entries changed");
         }
-        let before = std::mem::replace(&mut pending.without_snapshot, without_snapshot);
+        let before = std::mem::replace(&mut pending.peers_without_snapshot, without_snapshot);
         if without_snapshot > before {
             log::warn!(peers = without_snapshot; "peers of an earlier version are behind what was compacted here, and know no snapshots");
         }
     }
 
-    /// Schedules the next tick, unless one is scheduled early enough.
+    /// Schedules the next tick, unless one is already scheduled early enough.
     pub(super) fn schedule_replication(&mut self, now: Micros) {
         let Some(ledger) = &self.ledger else { return };
-        let due = ledger.due().max(now + MIN_TICK_US);
+        let due = ledger.due().max(now + MIN_TICK_INTERVAL_US);
         let scheduled = self.pending_commits.replication_due;
         if scheduled.is_some_and(|planned| planned.at > now && planned.at <= due) {
             return;
         }
         let old = self.pending_commits.replication_due.take();
-        self.pending_commits.replication_due = self.instead(old, Some(due), |daemon, now| {
+        self.pending_commits.replication_due = self.reschedule(old, Some(due), |daemon, now| {
             daemon.pending_commits.replication_due = None;
             daemon.tick_replication(now);
         });
     }
 
-    /// Tells the replica on which machines the peers run: as each says itself, and until it has as the configuration
-    /// says.
+    /// Updates the machines of the peers in the replica: as announced by each peer, or else as configured.
     pub(super) fn update_machines(&mut self) {
         let copies = &self.config.copies;
         let members = self
--- a/daemon/src/daemon/startup/sockets.rs
+++ b/daemon/src/daemon/startup/sockets.rs
@@ -1,8 +1,11 @@
-//! The sockets that the daemon is reached by, bound and watched at the start.
+//! Binds the sockets of the daemon and registers them with epoll at startup.
 
-use super::super::event_loop::{ADMIN, CDNI, LISTENER, PEERS, RELOAD, SIGNAL};
+use super::super::event_loop::{
+    ADMIN_LISTENER_TOKEN, CDNI_LISTENER_TOKEN, CLIENT_LISTENER_TOKEN, PEERS_TOKEN, SIGHUP_TOKEN,
+    SIGTERM_TOKEN,
+};
 use super::super::signals::Signal;
-use super::error::{kernel, watching};
+use super::error::{registration_error, system_error};
 use super::StartError;
 use crate::config::Config;
 use crate::front::cdni::TriggerApi;
@@ -10,10 +13,10 @@
 use std::env::VarError;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 
-/// Names the descriptor of an inherited listener.
+/// The environment variable with the descriptor of an inherited listener.
 const INHERITED_LISTENER: &str = "ROUTER_SOCKET_FD";
 
-/// Binds a listener to the address that `key` of the configuration names.
+/// Binds a listener to the address of the configuration key `key`.
 fn bind(key: &'static str, address: SocketAddr) -> Result<TcpListener, StartError> {
     TcpListener::bind(address).map_err(|source| StartError::Bind {
         key,
@@ -22,8 +25,8 @@
     })
 }
 
-/// The clients' listener, and whether it was inherited from the platform by `$ROUTER_SOCKET_FD`.
-fn client_listener(config: &Config) -> Result<(TcpListener, bool), StartError> {
+/// Returns the client listener, and whether it was inherited through `$ROUTER_SOCKET_FD`.
+fn open_client_listener(config: &Config) -> Result<(TcpListener, bool), StartError> {
     let text = match std::env::var(INHERITED_LISTENER) {
         Ok(text) => text,
         Err(VarError::NotPresent | VarError::NotUnicode(_)) => {
@@ -32,63 +35,70 @@
     };
     let descriptor = text
         .parse()
-        .map_err(|source| StartError::InheritedNumber { text, source })?;
+        .map_err(|source| StartError::InvalidDescriptor { text, source })?;
     Ok((inherited_listener(descriptor)?, true))
 }
 
-/// Takes over a listener that the platform has opened.
+/// Takes over a listener that the parent process has opened.
 fn inherited_listener(descriptor: u32) -> Result<TcpListener, StartError> {
-    // listenfd takes descriptors as systemd hands them over; this is told before any thread is started.
+    // listenfd expects the variables of systemd's socket activation. Setting them is safe, as no other thread runs
+    // yet.
     std::env::set_var("LISTEN_FDS", "1");
     std::env::set_var("LISTEN_FDS_FIRST_FD", descriptor.to_string());
     std::env::remove_var("LISTEN_PID");
     listenfd::ListenFd::from_env()
         .take_tcp_listener(0)
-        .map_err(|source| StartError::Inherited { descriptor, source })?
-        .ok_or(StartError::NoListener(descriptor))
+        .map_err(|source| StartError::InheritListener { descriptor, source })?
+        .ok_or(StartError::NotAListener(descriptor))
 }
 
-/// What clients, signals and operators reach the daemon by.
+/// The listeners and signals of the daemon.
 pub(super) struct Sockets {
     pub(super) poll: Poll,
-    pub(super) clients: Listener,
-    pub(super) inherited: bool,
-    pub(super) term: Signal,
-    pub(super) hup: Signal,
-    pub(super) admin: Option<Listener>,
+    pub(super) client_listener: Listener,
+    pub(super) listener_inherited: bool,
+    pub(super) sigterm: Signal,
+    pub(super) sighup: Signal,
+    pub(super) admin_listener: Option<Listener>,
 }
 
 impl Sockets {
     pub(super) fn open(config: &Config) -> Result<Self, StartError> {
-        let (clients, inherited) = client_listener(config)?;
-        let term = Signal::register(signal_hook::consts::SIGTERM).map_err(kernel("SIGTERM"))?;
-        let hup = Signal::register(signal_hook::consts::SIGHUP).map_err(kernel("SIGHUP"))?;
-        // As many as there can be: what is known at all is known before anything is done about a part of it.
-        let poll = Poll::new(config.limits.descriptors).map_err(kernel("epoll"))?;
-        let clients = Listener::watch(clients, LISTENER, &poll).map_err(kernel("listen"))?;
-        poll.add_at_start(&term.heard, SIGNAL)
-            .map_err(watching("SIGTERM"))?;
-        poll.add_at_start(&hup.heard, RELOAD)
-            .map_err(watching("SIGHUP"))?;
-        let admin = match config.ops {
+        let (client_listener, listener_inherited) = open_client_listener(config)?;
+        let sigterm =
+            Signal::register(signal_hook::consts::SIGTERM).map_err(system_error("SIGTERM"))?;
+        let sighup =
+            Signal::register(signal_hook::consts::SIGHUP).map_err(system_error("SIGHUP"))?;
+        // One wait returns all ready events, so that they can be handled by priority.
+        let poll = Poll::new(config.limits.descriptors).map_err(system_error("epoll"))?;
+        let client_listener = Listener::watch(client_listener, CLIENT_LISTENER_TOKEN, &poll)
+            .map_err(system_error("listen"))?;
+        poll.add_at_start(&sigterm.reader, SIGTERM_TOKEN)
+            .map_err(registration_error("SIGTERM"))?;
+        poll.add_at_start(&sighup.reader, SIGHUP_TOKEN)
+            .map_err(registration_error("SIGHUP"))?;
+        let admin_listener = match config.ops {
             Some(address) => {
                 let listener = bind("ops", address)?;
-                Some(Listener::watch(listener, ADMIN, &poll).map_err(kernel("ops"))?)
+                Some(
+                    Listener::watch(listener, ADMIN_LISTENER_TOKEN, &poll)
+                        .map_err(system_error("ops"))?,
+                )
             }
             None => None,
         };
         Ok(Sockets {
             poll,
-            clients,
-            inherited,
-            term,
-            hup,
-            admin,
+            client_listener,
+            listener_inherited,
+            sigterm,
+            sighup,
+            admin_listener,
         })
     }
 }
 
-/// Binds the listener of the front for CDNI, where there is one.
+/// Binds the listener of the CDNI front, if configured.
 pub(super) fn open_cdni(
     config: &Config,
     poll: &Poll,
@@ -97,20 +107,20 @@
         return Ok(None);
     };
     let listener = bind("cdni.listen", cdni.listen)?;
-    let listener = Listener::watch(listener, CDNI, poll).map_err(kernel("cdni.listen"))?;
+    let listener = Listener::watch(listener, CDNI_LISTENER_TOKEN, poll)
+        .map_err(system_error("cdni.listen"))?;
     let identity = cdni.identity.clone();
     let trigger_api = TriggerApi::new(identity, config.seed, config.limits.triggers);
     Ok(Some((listener, trigger_api)))
 }
 
-/// Binds the socket for the peers, where they are told anything: what the front for CDNI is told, and of an origin that
-/// is late.
+/// Binds the socket for datagrams of peers, if purges of the CDNI front or the health of the origin are shared.
 pub(super) fn open_peers(
     config: &Config,
     poll: &Poll,
 ) -> Result<Option<(UdpSocket, Vec<SocketAddr>)>, StartError> {
-    let talks = config.cdni.is_some() || config.tell;
-    let Some(peers) = config.peers.as_ref().filter(|_| talks) else {
+    let sends_datagrams = config.cdni.is_some() || config.tell;
+    let Some(peers) = config.peers.as_ref().filter(|_| sends_datagrams) else {
         return Ok(None);
     };
     let address = peers.own;
@@ -121,8 +131,8 @@
     })?;
     socket
         .set_nonblocking(true)
-        .map_err(kernel("peer_listen"))?;
-    poll.add_at_start(&socket, PEERS)
-        .map_err(watching("peer_listen"))?;
+        .map_err(system_error("peer_listen"))?;
+    poll.add_at_start(&socket, PEERS_TOKEN)
+        .map_err(registration_error("peer_listen"))?;
     Ok(Some((socket, peers.all.clone())))
 }
--- a/rehearse/src/scale/hollow/budget_share.rs
+++ b/rehearse/src/scale/hollow/budget_share.rs
@@ -71,7 +71,7 @@
     ) {
         self.say_demand(now);
         for (peer, is_up) in is_up.enumerate() {
-            self.core.set_up(member_at(peer, self.index), is_up);
+            self.core.set_member_up(member_at(peer, self.index), is_up);
         }
         self.core.tick(now);
         self.send(outbox);
@@ -108,7 +108,7 @@
         now: Micros,
         outbox: &mut Outbox,
     ) -> bool {
-        let datagram = match wire::read(bytes) {
+        let datagram = match wire::decode(bytes) {
             Err(wire::DecodeError::Foreign) => return false,
             Err(_) => return true,
             Ok(read) => read,
@@ -128,15 +128,15 @@
 
     fn send(&mut self, outbox: &mut Outbox) {
         let mut by_member = BTreeMap::<usize, Vec<Message>>::new();
-        for Outgoing { to, message } in self.core.outgoing() {
+        for Outgoing { to, message } in self.core.take_outgoing() {
             by_member.entry(to).or_default().push(message);
         }
         for (to, messages) in by_member {
             let peer = peer_index(to, self.index);
-            for bytes in wire::write(self.fingerprint, self.core.process(), &messages) {
+            for bytes in wire::encode(self.fingerprint, self.core.process(), &messages) {
                 outbox.send(peer, bytes);
             }
         }
-        self.core.changes();
+        self.core.take_changes();
     }
 }
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -1,8 +1,8 @@
-//! The decisions of the router. Its interface - settings, events and actions - stands in `crate::interface`.
+//! The routing decisions. The interface (settings, events and actions) is in `crate::interface`.
 //!
-//! The way of a request: `requests` takes it in, `retries` decides whether an attempt is sent, `placement` picks its
-//! target by way of `outliers`, `slow_start`, `capacity`, `leases` and `origin`, `dispatch` sends it, and `outcomes`
-//! takes its end in, with `faults` and `statistics`. `timers` looks after what does not end.
+//! `requests` accepts a request, `retries` decides whether to send an attempt, and `placement` selects its target with
+//! the help of `outliers`, `slow_start`, `capacity`, `leases` and `origin`. `dispatch` sends the attempt, and
+//! `outcomes` processes its end with `faults` and `statistics`. `timers` handles attempts that do not end in time.
 
 mod capacity;
 mod dispatch;
@@ -25,7 +25,7 @@
 use crate::interface::{
     Action, Budget, Event, Lease, Micros, RequestId, ServerId, Settings, SettingsError,
 };
-use crate::statistics::{Pace, RequestCounts};
+use crate::statistics::{RequestCounts, SlowdownAverage};
 use endpoints::WATCH_TAG;
 use linnetknot_purges::hashing::mix;
 use linnetknot_purges::{BucketBits, PurgeTable};
@@ -36,67 +36,67 @@
 use std::collections::BTreeMap;
 use timers::TICK_TAG;
 
-/// Half-life of the request counts.
 const COUNT_HALF_LIFE_S: f64 = 10.0;
-/// Entries of a table of counts; the least counted go first when it is full.
+/// Maximum number of entries of a table of request counts.
 const COUNT_TABLE_SIZE: usize = 20_000;
-/// Purges held exactly, also once carried out: a fill across one may leave an older copy.
+/// Number of purges kept exactly. Completed purges are kept too, because a fill that overlaps a purge may store an
+/// older copy.
 const EXACT_PURGE_CAPACITY: usize = 16_384;
-/// Share of attempts taken to find no copy before anything is learned.
-const FIRST_MISS_RATE: f64 = 0.5;
+/// Assumed cache miss rate before any answer has been received.
+const INITIAL_MISS_RATE: f64 = 0.5;
 
-/// A router: one instance decides for one proxy.
+/// An instance of the decision module, which makes the routing decisions of one proxy.
 pub struct Router {
     settings: Settings,
     seed: u64,
-    /// State of the random picks among copies.
-    random: u64,
+    /// State of the random number generator that selects among copies.
+    random_state: u64,
     endpoints: BTreeMap<ServerId, Endpoint>,
-    /// The ready servers of each role: all that a request ranks.
+    /// Ready servers by role.
     ready_by_role: [Vec<ServerId>; 3],
     requests: BTreeMap<RequestId, OpenRequest>,
-    /// Recent requests for each object, and for each part.
+    /// Recent requests by object and by part.
     object_counts: RequestCounts,
     part_counts: RequestCounts,
-    /// By place of the class in the settings.
+    /// Indexed like the classes in the settings.
     class_statistics: Vec<ClassStatistics>,
-    /// Share of attempts that find no copy in the cache.
+    /// Cache miss rate of attempts.
     miss_rate: f64,
-    /// Fills that seem to be under way by the location's link from this router, now and on average.
+    /// Estimated fills of this router in progress on the location's link, currently and on average.
     active_fills: f64,
     mean_active_fills: f64,
-    /// Recent fills by the location's link, whoever gave them: what they took tells its size.
-    link_pace: Pace<LINK_HALF_LIFE_MS>,
+    /// Slowdown of recent fills on the location's link, from all sources, from which its capacity is estimated.
+    link_slowdown: SlowdownAverage<LINK_HALF_LIFE_MS>,
     origin_admission: OriginAdmission,
     /// The latest purge of each object and of each group.
     purges: PurgeTable,
-    /// What is to be added to this router's clock for the one by which purges are dated.
+    /// Offset from this router's clock to the clock by which purges are dated.
     origin_offset_us: i64,
-    /// What this router may spend of the budgets that all routers share.
+    /// This router's leases on shared budgets.
     leases: BTreeMap<Budget, Lease>,
-    /// The first event has been taken in.
+    /// The first event has been handled.
     started: bool,
 }
 
 impl Router {
-    /// A router for one proxy. Equal settings, seed and events give equal actions.
+    /// Returns a router for one proxy. Its actions depend only on the settings, the seed and the events.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let class_statistics = settings.classes.iter().map(ClassStatistics::new).collect();
         Ok(Router {
             settings,
             seed,
-            random: mix(seed ^ 0x5bd1_e995),
+            random_state: mix(seed ^ 0x5bd1_e995),
             endpoints: BTreeMap::new(),
             ready_by_role: Default::default(),
             requests: BTreeMap::new(),
             object_counts: RequestCounts::new(COUNT_HALF_LIFE_S, COUNT_TABLE_SIZE),
             part_counts: RequestCounts::new(COUNT_HALF_LIFE_S, COUNT_TABLE_SIZE),
             class_statistics,
-            miss_rate: FIRST_MISS_RATE,
+            miss_rate: INITIAL_MISS_RATE,
             active_fills: 0.0,
             mean_active_fills: 0.0,
-            link_pace: Pace::default(),
+            link_slowdown: SlowdownAverage::default(),
             origin_admission: OriginAdmission::new(),
             purges: PurgeTable::new(EXACT_PURGE_CAPACITY, BucketBits::DEFAULT),
             origin_offset_us: 0,
@@ -105,7 +105,7 @@
         })
     }
 
-    /// Takes an event in and appends what is to be done, in order.
+    /// Handles an event and appends the resulting actions in order.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         if !self.started {
             self.started = true;
@@ -114,9 +114,9 @@
         }
         match event {
             Event::List { mode, servers } => self.update_endpoints(now, mode, servers, actions),
-            Event::Request(request) => self.request(now, &request, actions),
-            Event::Begun { request, attempt } => self.streaming_began(request, attempt),
-            Event::Outcome {
+            Event::Request(request) => self.handle_request(now, &request, actions),
+            Event::StreamStarted { request, attempt } => self.stream_started(request, attempt),
+            Event::AttemptEnded {
                 request,
                 attempt,
                 server: _,
@@ -124,7 +124,7 @@
                 took_us,
                 settled,
                 note,
-                waited_us,
+                first_byte_us,
                 load: _,
             } => {
                 let report = AttemptReport {
@@ -134,18 +134,20 @@
                     took_us,
                     settled,
                     note,
-                    waited_us,
+                    first_byte_us,
                 };
                 self.attempt_ended(now, &report, actions);
             }
-            Event::Left { request } => self.client_left(request, actions),
+            Event::ClientLeft { request } => self.client_left(request, actions),
             Event::Timer { tag: TICK_TAG } => self.tick(now, actions),
             Event::Timer { tag: WATCH_TAG } => actions.push(Action::Watch),
-            Event::Timer { .. } | Event::Probed { .. } => {}
-            Event::Heard {
+            Event::Timer { .. } | Event::ProbeEnded { .. } => {}
+            Event::OriginShareLimit {
                 origin_share,
-                for_us,
-            } => self.origin_admission.limit(origin_share, now + for_us),
+                valid_for_us,
+            } => self
+                .origin_admission
+                .set_peer_limit(origin_share, now + valid_for_us),
             Event::Lease(lease) => {
                 self.leases.insert(lease.budget, lease);
             }
--- /dev/null
+++ b/tests/platform_rules.rs
@@ -0,0 +1,563 @@
+//! The five rules at their edges.
+
+mod common;
+use common::*;
+use linnetknot::purges::{BucketBits, BucketIndex, CompactTable, KeyHash};
+use linnetknot::*;
+
+fn alone(id: ServerId) -> Vec<Server> {
+    vec![
+        server(id, "town", "cache"),
+        server(11, "hub", "parent"),
+        server(21, "hub", "origin"),
+    ]
+}
+
+#[test]
+fn a_request_without_remaining_time_is_refused_immediately() {
+    let mut harness = RouterHarness::new(settings(), fleet());
+    let (id, actions) = harness.request("video", "/o/a", 0);
+    assert_eq!(
+        actions,
+        vec![Action::Refuse {
+            request: id,
+            retry_after_us: Some(200 * MS)
+        }]
+    );
+}
+
+#[test]
+fn a_timeout_at_the_deadline_gets_exactly_one_final_answer() {
+    let mut harness = RouterHarness::new(settings(), fleet());
+    let s = harness.send_request("video", "/o/a");
+    harness.now += 5 * S;
+    let actions = harness.end_attempt(s.request, 0, s.server, Outcome::Timeout);
+    assert_eq!(final_answers(&actions), 1);
+    assert!(sent(&actions).is_none());
+    assert!(
+        harness
+            .end_attempt(s.request, 0, s.server, Outcome::Timeout)
+            .is_empty(),
+        "nothing after the final answer"
+    );
+}
+
+#[test]
+fn attempts_stay_within_the_limit() {
+    let mut harness = RouterHarness::new(
+        Settings {
+            max_attempts: 2,
+            ..settings()
+        },
+        fleet(),
+    );
+    let s = harness.send_request("video", "/o/a");
+    let again = sent(&harness.end_attempt(s.request, 0, s.server, Outcome::Error))
+        .expect("a second attempt");
+    let actions = harness.end_attempt(s.request, 1, again.server, Outcome::Error);
+    assert_eq!(final_answers(&actions), 1);
+}
+
+#[test]
+fn an_unsafe_request_that_may_have_run_fails_and_is_not_resent() {
+    let mut harness = RouterHarness::new(settings(), fleet());
+    let s = harness.send_request("charge", "/o/a");
+    let actions = harness.end_attempt(s.request, 0, s.server, Outcome::Reset);
+    assert_eq!(actions, vec![Action::Fail { request: s.request }]);
+}
+
+#[test]
+fn an_unsafe_request_that_did_not_run_may_be_resent() {
+    let mut harness = RouterHarness::new(
+        Settings {
+            direct_to_upstream: false,
+            ..settings()
+        },
+        fleet(),
+    );
+    let s = harness.send_request("charge", "/o/a");
+    let again = sent(&harness.end_attempt(s.request, 0, s.server, Outcome::Full))
+        .expect("a second attempt");
+    let failed = harness.end_attempt(s.request, 1, again.server, Outcome::Error);
+    assert_eq!(failed, vec![Action::Fail { request: s.request }]);
+}
+
+#[test]
+fn a_keyed_request_is_resent_only_within_its_window() {
+    for (wait, resent) in [(1_900 * MS, true), (2_000 * MS, false)] {
+        let mut harness = RouterHarness::new(settings(), fleet());
+        let s = harness.send_request("order", "/o/a");
+        assert_eq!(s.server, 21, "a write goes straight to the origin");
+        harness.now += wait;
+        let actions = harness.end_attempt(s.request, 0, s.server, Outcome::Error);
+        assert_eq!(sent(&actions).is_some(), resent, "after {wait}");
+    }
+}
+
+#[test]
+fn a_keyed_request_is_resent_only_within_its_deduplication_cell() {
+    let mut s = Settings {
+        direct_to_upstream: false,
+        ..settings()
+    };
+    s.classes[2].dedup_scope = DedupScope::Cell;
+    let mut harness = RouterHarness::new(s, fleet());
+    let first = harness.send_request("order", "/o/a");
+    let again = sent(&harness.end_attempt(first.request, 0, first.server, Outcome::Error));
+    assert_eq!(
+        again.map(|a| a.server),
+        Some(first.server),
+        "each cache is a cell of its own"
+    );
+    let mut gone = server(first.server, "town", "cache");
+    gone.state = State::Gone;
+    harness.handle(Event::List {
+        mode: ListMode::Delta,
+        servers: vec![gone],
+    });
+    let last = harness.end_attempt(first.request, 1, first.server, Outcome::Error);
+    assert_eq!(
+        last,
+        vec![Action::Fail {
+            request: first.request
+        }],
+        "nor may it be refused"
+    );
+}
+
+#[test]
+fn draining_and_removed_servers_get_no_new_requests() {
+    for state in [State::Draining, State::Gone] {
+        let mut harness = RouterHarness::new(settings(), fleet());
+        let change = |id, zone, kind| Server {
+            state,
+            ..server(id, zone, kind)
+        };
+        let servers = vec![change(1, "town", "cache"), change(11, "hub", "parent")];
+        harness.handle(Event::List {
+            mode: ListMode::Delta,
+            servers,
+        });
+        for n in 0..60 {
+            let s = harness.send_request("video", &format!("/o/{n}"));
+            assert_ne!(s.server, 1);
+            assert_ne!(s.fill.source, 11, "nor as the source of a fill");
+            harness.end_attempt_with(s.request, 0, s.server, Outcome::Ok, Note::Hit);
+        }
+    }
+}
+
+#[test]
+fn a_server_missing_from_a_full_list_gets_no_new_requests() {
+    let mut harness = RouterHarness::new(settings(), fleet());
+    harness.handle(Event::List {
+        mode: ListMode::Full,
+        servers: alone(3),
+    });
+    for n in 0..30 {
+        let s = harness.send_request("video", &format!("/o/{n}"));
+        assert_eq!(s.server, 3);
+        harness.end_attempt_with(s.request, 0, s.server, Outcome::Ok, Note::Hit);
+    }
+}
+
+fn accepted(settings: Settings, fleet: Vec<Server>, id: ServerId) -> usize {
+    let mut harness = RouterHarness::new(settings, fleet);
+    (0..200)
+        .filter(|n| {
+            let (_, actions) = harness.request("video", &format!("/o/{n}"), 5 * S);
+            sent(&actions).is_some_and(|s| s.server == id || s.fill.source == id)
+        })
+        .count()
+}
+
+#[test]
+fn a_warming_cache_stays_within_its_budget_in_a_window() {
+    let cold = |routers| {
+        let mut s = Settings {
+            direct_to_upstream: false,
+            ..settings()
+        };
+        s.zones[1].routers = routers;
+        let mut servers = alone(1);
+        servers[0].started = Some(START);
+        accepted(s, servers, 1)
+    };
+    // 0.1 s of work each; the rule allows 3 x 0.2 x 8 transfers for one second: 48 requests.
+    assert!((1..=48).contains(&cold(1)), "{}", cold(1));
+    assert!(
+        (1..=24).contains(&cold(2)),
+        "two routers share the budget: {}",
+        cold(2)
+    );
+}
+
+#[test]
+fn a_warming_parent_stays_within_its_fill_budget() {
+    let mut servers = alone(1);
+    servers[1].started = Some(START);
+    servers[0].weight = 1000.0;
+    let s = Settings {
+        direct_to_upstream: false,
+        ..settings()
+    };
+    let mut harness = RouterHarness::new(s, servers);
+    let fills = (0..300)
+        .filter(|n| {
+            let (_, actions) = harness.request("page", &format!("/o/{n}"), 5 * S);
+            sent(&actions).is_some_and(|s| s.fill.source == 11)
+        })
+        .count();
+    // 2 x 0.1 x 30 transfers for one second, of which half is for the other location's router: 30 requests.
+    assert!((1..=30).contains(&fills), "{fills}");
+}
+
+#[test]
+fn copies_older_than_a_purge_stay_unusable_after_servers_have_dropped_theirs() {
+    let mut harness = RouterHarness::new(settings(), fleet());
+    let purge = |object: Option<&str>| Event::Purged {
+        object: object.map(Into::into),
+        group: 3,
+        age_us: 200 * MS,
+    };
+    for (event, object) in [(purge(Some("/o/a")), "/o/a"), (purge(None), "/o/b")] {
+        harness.handle(event);
+        let start = harness.now;
+        // A fill that ran across the purge may have left a copy behind after the six seconds that servers need.
+        for wait in [0, 500 * MS, 5_800 * MS, 5_801 * MS, 3_600 * S] {
+            harness.now = start + wait;
+            harness.tick();
+            let s = harness.send_request("video", object);
+            assert_eq!(
+                s.fill.max_age_us,
+                Some(200 * MS + wait),
+                "to the purge and no further"
+            );
+            harness.end_attempt_with(s.request, 0, s.server, Outcome::Ok, Note::Hit);
+        }
+    }
+}
+
+#[test]
+fn a_purge_older_than_the_completion_time_still_applies() {
+    let mut harness = RouterHarness::new(settings(), fleet());
+    harness.handle(Event::Purged {
+        object: Some("/o/a".into()),
+        group: 3,
+        age_us: 13 * S,
+    });
+    assert_eq!(
+        harness.send_request("video", "/o/a").fill.max_age_us,
+        Some(13 * S),
+        "older than servers need, and it holds"
+    );
+}
+
+/// What is asked of a copy of an object.
+fn floor(harness: &mut RouterHarness, object: &str) -> Option<Micros> {
+    let s = harness.send_request("video", object);
+    harness.end_attempt_with(s.request, 0, s.server, Outcome::Ok, Note::Hit);
+    s.fill.max_age_us
+}
+
+#[test]
+fn purges_beyond_the_exact_capacity_are_compacted_and_recent_ones_stay_exact() {
+    let mut harness = RouterHarness::new(settings(), fleet());
+    let purge = |n: u64, age_us| Event::Purged {
+        object: Some(format!("/o/{n}")),
+        group: 3,
+        age_us,
+    };
+    // The rule's time for boxes to carry a purge out is below 10 s: no purge of the second half is that old.
+    for n in 0..16_000 {
+        harness.handle(purge(n, 60 * S - n));
+    }
+    for n in 16_000..26_000 {
+        harness.handle(purge(n, S + n));
+    }
+    harness.tick();
+    let exact = harness.router.purges().exact_len();
+    assert!((10_000..=16_384).contains(&exact), "{exact}");
+    for n in 0..26_000 {
+        let age_us = if n < 16_000 { 60 * S - n } else { S + n };
+        let told = floor(&mut harness, &format!("/o/{n}")).expect("none is forgotten");
+        let least = if n < 16_000 {
+            age_us.saturating_sub(MS)
+        } else {
+            age_us
+        };
+        assert!((least..=age_us).contains(&told), "{n}: {told} for {age_us}");
+    }
+    assert_eq!(
+        floor(&mut harness, "/o/never"),
+        None,
+        "what was not purged is not bound"
+    );
+}
+
+/// The module refuses no purge: each binds its object from then on, with as little memory as ever.
+#[test]
+fn forty_thousand_purges_apply_permanently_and_their_age_limits_never_relax() {
+    let mut harness = RouterHarness::new(settings(), fleet());
+    let start = harness.now;
+    let name = |n: u64| format!("/o/{n}");
+    let mut purged_at = Vec::new();
+    for n in 0..40_000 {
+        harness.now = start + n * 9 * MS;
+        purged_at.push(harness.now);
+        harness.handle(Event::Purged {
+            object: Some(name(n)),
+            group: 3,
+            age_us: 0,
+        });
+        if n % 500 == 0 {
+            harness.tick();
+        }
+    }
+    let mut told = vec![0; purged_at.len()];
+    for round in 0..3 {
+        harness.now += 3_600 * S;
+        harness.tick();
+        for n in 0..40_000 {
+            let oldest = harness.now - floor(&mut harness, &name(n)).expect("it binds");
+            assert!(
+                oldest >= purged_at[n as usize],
+                "{n}: a copy from before its purge would do"
+            );
+            assert!(oldest >= told[n as usize], "{n}: eased in round {round}");
+            told[n as usize] = oldest;
+        }
+        // Many more purges push the others out of their places.
+        for n in 0..40_000 {
+            harness.handle(Event::Purged {
+                object: Some(format!("/{round}/{n}")),
+                group: 3,
+                age_us: n,
+            });
+        }
+        assert!(harness.router.purges().exact_len() <= 2 * 16_384);
+        assert_eq!(
+            harness.router.purges().compact_table().memory_bytes(),
+            4 << 20
+        );
+    }
+}
+
+#[test]
+fn purges_of_another_router_can_be_merged() {
+    let mut harness = RouterHarness::new(settings(), fleet());
+    let start = harness.now;
+    let mut known = CompactTable::new(BucketBits::new(10).unwrap());
+    known.record(KeyHash::of_object("/o/a"), start - 3 * S);
+    known.record(KeyHash::of_group(3), start - 8 * S);
+    for (index, bucket) in known.occupied(BucketIndex::default()) {
+        assert!(!harness
+            .router
+            .purges_mut()
+            .merge_bucket(known.bucket_bits(), index, bucket)
+            .unwrap()
+            .is_empty());
+    }
+    assert_eq!(floor(&mut harness, "/o/a"), Some(3 * S));
+    assert_eq!(floor(&mut harness, "/o/b"), Some(8 * S), "by its group");
+    harness
+        .router
+        .purges_mut()
+        .set_capacity(0, BucketBits::new(6).unwrap());
+    assert_eq!(floor(&mut harness, "/o/a"), Some(3 * S));
+    harness.router.purges_mut().purge_all(start - S);
+    assert_eq!(
+        (floor(&mut harness, "/o/a"), floor(&mut harness, "/o/b")),
+        (Some(S), Some(S))
+    );
+}
+
+#[test]
+fn the_maximum_age_is_never_zero_and_never_above_the_freshness_lifetime() {
+    let mut harness = RouterHarness::new(settings(), fleet());
+    harness.handle(Event::Purged {
+        object: Some("/o/a".into()),
+        group: 3,
+        age_us: 0,
+    });
+    assert_eq!(
+        harness.send_request("page", "/o/a").fill.max_age_us,
+        Some(1),
+        "0 would mean the default"
+    );
+    let mut s = settings();
+    s.rules.purge_completion_us = 60 * S;
+    let mut harness = RouterHarness::new(s, fleet());
+    harness.handle(Event::Purged {
+        object: Some("/o/a".into()),
+        group: 3,
+        age_us: 30 * S,
+    });
+    assert_eq!(
+        harness.send_request("page", "/o/a").fill.max_age_us,
+        Some(10 * S)
+    );
+}
+
+#[test]
+fn a_purge_applies_permanently() {
+    let mut harness = RouterHarness::new(settings(), fleet());
+    let purge = |object: Option<&str>| Event::Purged {
+        object: object.map(Into::into),
+        group: 3,
+        age_us: 0,
+    };
+    harness.handle(purge(None));
+    harness.now += 60 * S;
+    harness.tick();
+    assert_eq!(
+        harness.send_request("video", "/o/a").fill.max_age_us,
+        Some(60 * S)
+    );
+    harness.handle(purge(Some("/o/a")));
+    harness.now += S;
+    assert_eq!(
+        harness.send_request("video", "/o/a").fill.max_age_us,
+        Some(S)
+    );
+    harness.now += 9 * S;
+    assert_eq!(
+        harness.send_request("video", "/o/a").fill.max_age_us,
+        Some(10 * S),
+        "the later one is the stricter"
+    );
+}
+
+#[test]
+fn retry_after_is_sent_even_if_clients_may_ignore_it() {
+    let mut harness = RouterHarness::new(
+        Settings {
+            retry_after: false,
+            max_retry_after_us: 150 * MS,
+            ..settings()
+        },
+        vec![],
+    );
+    let (request, actions) = harness.request("video", "/o/a", S);
+    assert_eq!(
+        actions,
+        vec![Action::Refuse {
+            request,
+            retry_after_us: Some(150 * MS)
+        }]
+    );
+}
+
+/// An attempt that had to wait for its connection is bound by the time at which it begins: the window for repeats may be
+/// over by then, a purge may have been told, and its client may have left.
+#[test]
+fn a_queued_attempt_is_checked_again_before_it_is_sent() {
+    let mut s = settings();
+    s.classes[2].dedup_window_us = 350 * MS;
+    let mut harness = RouterHarness::new(s, fleet());
+    let first = harness.send_request("order", "/o/1");
+    assert_eq!(
+        harness
+            .router
+            .recheck_queued_attempt(harness.now, first.request),
+        Some(None)
+    );
+    assert!(
+        harness
+            .router
+            .recheck_queued_attempt(harness.now + 600 * MS, first.request)
+            .is_some(),
+        "nothing may have run yet"
+    );
+    harness.now += 300 * MS;
+    let actions = harness.end_attempt(first.request, 0, first.server, Outcome::Reset);
+    assert!(
+        sent(&actions).is_some(),
+        "within the window it is sent again"
+    );
+    assert!(harness
+        .router
+        .recheck_queued_attempt(harness.now + 40 * MS, first.request)
+        .is_some());
+    assert_eq!(
+        harness
+            .router
+            .recheck_queued_attempt(harness.now + 50 * MS, first.request),
+        None,
+        "the window is over"
+    );
+    // It never began, so it ends as never sent: by now it is barred, and its keyed class lets it be refused.
+    harness.now += 50 * MS;
+    let actions = harness.end_attempt(first.request, 1, first.server, Outcome::Moot);
+    assert!(
+        sent(&actions).is_none() && matches!(actions[..], [Action::Refuse { .. }]),
+        "{actions:?}"
+    );
+    let read = harness.send_request("video", "/o/2");
+    let purge = Event::Purged {
+        object: Some("/o/2".into()),
+        group: 0,
+        age_us: 10 * MS,
+    };
+    harness.handle(purge);
+    assert_eq!(
+        harness
+            .router
+            .recheck_queued_attempt(harness.now + 90 * MS, read.request),
+        Some(Some(100 * MS))
+    );
+    harness.handle(Event::ClientLeft {
+        request: read.request,
+    });
+    assert_eq!(
+        harness
+            .router
+            .recheck_queued_attempt(harness.now, read.request),
+        None
+    );
+}
+
+/// A connection that did not come up says that nothing ran, and nothing of a process that has started anew.
+#[test]
+fn an_unreachable_cache_is_not_treated_as_restarted() {
+    for (outcome, cold) in [(Outcome::Unreached, false), (Outcome::ConnectFailed, true)] {
+        let mut harness = RouterHarness::new(
+            Settings {
+                direct_to_upstream: false,
+                ..settings()
+            },
+            fleet(),
+        );
+        let first = harness.send_request("video", "/o/1");
+        let again =
+            sent(&harness.end_attempt(first.request, 0, first.server, outcome)).expect("elsewhere");
+        assert_ne!(again.server, first.server);
+        harness.end_attempt(again.request, 1, again.server, Outcome::Ok);
+        assert_eq!(
+            harness.router.max_slow_start_usage(harness.now, false),
+            None
+        );
+        // Once its mark is over it is tried again, and answers.
+        harness.now += 5 * S;
+        let back = (0..200)
+            .map(|n| harness.send_request("video", &format!("/o/{n}")))
+            .find(|s| s.server == first.server);
+        let back = back.expect("tried again");
+        harness.end_attempt(back.request, 0, back.server, Outcome::Ok);
+        assert_eq!(
+            harness
+                .router
+                .max_slow_start_usage(harness.now, false)
+                .is_some(),
+            cold,
+            "{outcome:?}"
+        );
+        // A write that was not reached may be refused, whatever its class.
+        let charge = harness.send_request("charge", "/o/1");
+        let actions = harness.end_attempt(charge.request, 0, charge.server, outcome);
+        assert!(
+            !actions.iter().any(|a| matches!(a, Action::Fail { .. })),
+            "{outcome:?}: {actions:?}"
+        );
+    }
+}
