--- a/purges/examples/hit_loss.rs
+++ b/purges/examples/hit_loss.rs
@@ -1,5 +1,6 @@
-//! Prints the share of cache hits that the purge state costs, by the age of the copy: a day of 110 purges a second on
-//! virtual time, for three sizes, beside the formula and a plain table in the same memory.
+//! Prints the share of cache hits that the purge state loses, by the age of the copy. It simulates a day of 110 purges
+//! per second for three table sizes, and compares the result with the prediction and with a plain table of the same
+//! memory.
 //!
 //!     cargo run --release -p linnetknot-purges --example hit_loss
 
@@ -17,7 +18,7 @@
 const AGES_MIN: [u64; 17] = [
     5, 10, 20, 30, 45, 60, 75, 90, 120, 180, 240, 300, 360, 480, 600, 720, 1_080,
 ];
-/// 4, 16 and 32 MiB.
+/// The table sizes: 4, 16 and 32 MiB.
 const SIZES: [u8; 3] = [16, 18, 19];
 
 /// Measures one size and prints its rows.
--- a/purges/tests/bucket.rs
+++ b/purges/tests/bucket.rs
@@ -1,4 +1,4 @@
-//! Buckets: the laws of a join semilattice, and their encoding.
+//! The semilattice laws and the encoding of buckets.
 
 use linnetknot_purges::{Bucket, DecodeError, Fingerprint, KeyHash, Micros};
 use proptest::prelude::*;
@@ -9,14 +9,14 @@
     Fingerprint::of(KeyHash::from(number))
 }
 
-/// What can be done to a bucket.
+/// A change of a bucket.
 #[derive(Clone, Debug)]
 enum Step {
     Record(u64, Micros),
     RaiseWatermark(Micros),
 }
 
-/// Few keys and times, so that equal ones and equal times of several keys are common.
+/// Steps with few keys and times, so that equal keys and equal times are common.
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         12 => (0..12u64, 0..30 * MS).prop_map(|(key, at)| Step::Record(key, at)),
@@ -28,7 +28,7 @@
     prop::collection::vec(step(), 0..24)
 }
 
-fn filled(steps: &[Step]) -> Bucket {
+fn bucket_of(steps: &[Step]) -> Bucket {
     let mut bucket = Bucket::default();
     for step in steps {
         match step {
@@ -48,7 +48,7 @@
 proptest! {
     #[test]
     fn merge_is_commutative_associative_and_idempotent(a in steps(), b in steps(), c in steps()) {
-        let (a, b, c) = (filled(&a), filled(&b), filled(&c));
+        let (a, b, c) = (bucket_of(&a), bucket_of(&b), bucket_of(&c));
         prop_assert_eq!(merged(&a, &b), merged(&b, &a));
         prop_assert_eq!(merged(&merged(&a, &b), &c), merged(&a, &merged(&b, &c)));
         prop_assert_eq!(merged(&a, &a), a);
@@ -56,21 +56,21 @@
     }
 
     #[test]
-    fn merge_is_the_bucket_of_all_that_was_put_in(a in steps(), b in steps()) {
+    fn a_merged_bucket_equals_one_with_all_steps_of_both(a in steps(), b in steps()) {
         let both: Vec<Step> = a.iter().chain(&b).cloned().collect();
-        prop_assert_eq!(merged(&filled(&a), &filled(&b)), filled(&both));
+        prop_assert_eq!(merged(&bucket_of(&a), &bucket_of(&b)), bucket_of(&both));
     }
 
     #[test]
-    fn the_order_in_which_purges_come_does_not_matter(
+    fn buckets_do_not_depend_on_the_order_of_steps(
         (steps, shuffled) in steps().prop_flat_map(|s| (Just(s.clone()), Just(s).prop_shuffle())),
     ) {
-        prop_assert_eq!(filled(&steps), filled(&shuffled));
+        prop_assert_eq!(bucket_of(&steps), bucket_of(&shuffled));
     }
 
     #[test]
-    fn a_change_is_reported(steps in steps(), more in step()) {
-        let mut bucket = filled(&steps);
+    fn changes_are_reported(steps in steps(), more in step()) {
+        let mut bucket = bucket_of(&steps);
         let before = bucket;
         let reported = match more {
             Step::Record(key, at) => bucket.record(fingerprint(key), at),
@@ -80,17 +80,16 @@
     }
 
     #[test]
-    fn decoding_gives_what_was_encoded(steps in steps()) {
-        let bucket = filled(&steps);
+    fn encoded_buckets_are_decoded(steps in steps()) {
+        let bucket = bucket_of(&steps);
         let mut bytes = Vec::new();
         bucket.encode(&mut bytes);
         prop_assert_eq!(bytes.len(), bucket.encoded_len());
         prop_assert_eq!(Bucket::decode(&bytes), Ok(bucket));
     }
 
-    /// Also no bytes make a bucket that breaks the laws.
     #[test]
-    fn what_is_decoded_is_encoded_alike(bytes in prop::collection::vec(any::<u8>(), 0..80)) {
+    fn decoded_buckets_are_valid_and_encoded_to_the_same_bytes(bytes in prop::collection::vec(any::<u8>(), 0..80)) {
         if let Ok(bucket) = Bucket::decode(&bytes) {
             let mut again = Vec::new();
             bucket.encode(&mut again);
@@ -101,7 +100,7 @@
 }
 
 #[test]
-fn seven_purges_are_told_apart_and_an_eighth_raises_the_watermark() {
+fn an_eighth_purge_raises_the_watermark() {
     let mut bucket = Bucket::default();
     assert!(bucket.is_empty());
     for key in 0..7 {
@@ -115,13 +114,13 @@
     assert_eq!(
         bucket.latest(fingerprint(99)),
         Some(10 * MS),
-        "it could be the key of the purge that went"
+        "the dropped purge may have been of this key"
     );
     assert_eq!(bucket.latest(fingerprint(1)), Some(11 * MS));
 }
 
 #[test]
-fn times_are_rounded_up_and_those_at_the_ends_are_times_too() {
+fn times_are_rounded_up_within_the_whole_range() {
     let latest = |at| {
         let mut bucket = Bucket::default();
         bucket.record(fingerprint(5), at);
@@ -146,8 +145,8 @@
     assert_eq!((size_of::<Bucket>(), align_of::<Bucket>()), (64, 64));
 }
 
-/// The encoding of a bucket with these words.
-fn bytes(count: u8, watermark: u64, slots: &[u64]) -> Vec<u8> {
+/// Returns the encoding of a bucket with these words.
+fn encoding(count: u8, watermark: u64, slots: &[u64]) -> Vec<u8> {
     let words = [watermark].into_iter().chain(slots.iter().copied());
     [count]
         .into_iter()
@@ -160,38 +159,47 @@
 }
 
 #[test]
-fn the_encoding_is_fixed() {
+fn the_encoding_is_stable() {
     let mut bucket = Bucket::default();
     bucket.raise_watermark(4 * MS);
     bucket.record(fingerprint(9), 6 * MS);
     bucket.record(fingerprint(8), 7 * MS);
     let mut encoded = Vec::new();
     bucket.encode(&mut encoded);
-    assert_eq!(encoded, bytes(2, 5, &[slot(8, 8), slot(7, 9)]));
+    assert_eq!(encoded, encoding(2, 5, &[slot(8, 8), slot(7, 9)]));
 }
 
 #[test]
-fn malformed_encodings_are_told_by_what_is_wrong() {
+fn malformed_encodings_are_rejected_with_the_reason() {
     let eight: Vec<u64> = (0..8).map(|n| slot(20 - n, 1)).collect();
     let cases = [
         (vec![], DecodeError::Length { bytes: 0 }),
         (vec![0], DecodeError::Length { bytes: 1 }),
-        (bytes(1, 0, &[]), DecodeError::Length { bytes: 9 }),
+        (encoding(1, 0, &[]), DecodeError::Length { bytes: 9 }),
         (
-            bytes(0, 0, &[slot(1, 1)]),
+            encoding(0, 0, &[slot(1, 1)]),
             DecodeError::Length { bytes: 17 },
         ),
-        (bytes(8, 0, &eight), DecodeError::TooManySlots { slots: 8 }),
-        (bytes(2, 0, &[slot(1, 1), slot(2, 1)]), DecodeError::Order),
-        (bytes(2, 0, &[slot(1, 1), slot(1, 1)]), DecodeError::Order),
-        (bytes(1, 0, &[slot(0, 1)]), DecodeError::EmptySlot),
-        (bytes(1, 0, &[0]), DecodeError::EmptySlot),
-        (bytes(1, 3, &[slot(3, 1)]), DecodeError::Watermark),
         (
-            bytes(2, 3, &[slot(4, 1), slot(2, 1)]),
+            encoding(8, 0, &eight),
+            DecodeError::TooManySlots { slots: 8 },
+        ),
+        (
+            encoding(2, 0, &[slot(1, 1), slot(2, 1)]),
+            DecodeError::Order,
+        ),
+        (
+            encoding(2, 0, &[slot(1, 1), slot(1, 1)]),
+            DecodeError::Order,
+        ),
+        (encoding(1, 0, &[slot(0, 1)]), DecodeError::EmptySlot),
+        (encoding(1, 0, &[0]), DecodeError::EmptySlot),
+        (encoding(1, 3, &[slot(3, 1)]), DecodeError::Watermark),
+        (
+            encoding(2, 3, &[slot(4, 1), slot(2, 1)]),
             DecodeError::Watermark,
         ),
-        (bytes(0, 1 << 42, &[]), DecodeError::Watermark),
+        (encoding(0, 1 << 42, &[]), DecodeError::Watermark),
     ];
     for (encoded, error) in cases {
         assert_eq!(Bucket::decode(&encoded), Err(error), "{encoded:?}");
@@ -200,29 +208,29 @@
 }
 
 proptest! {
-    /// The clock of whoever sent a bucket may be ahead.
+    /// Guards against buckets from a sender whose clock is ahead.
     #[test]
-    fn no_purge_of_a_bounded_bucket_is_later_than_the_bound_and_none_is_lost(
+    fn limited_buckets_have_no_purge_after_the_limit_and_lose_none(
         all in steps(),
-        bound in 0..30 * MS,
+        limit in 0..30 * MS,
     ) {
-        let bounded = filled(&all).no_later_than(bound);
+        let limited = bucket_of(&all).no_later_than(limit);
         for key in 0..12 {
-            let latest = bounded.latest(fingerprint(key));
+            let latest = limited.latest(fingerprint(key));
             prop_assert!(
-                latest < Some(bound + MS),
-                "{latest:?}, a stamp is rounded up by less than a millisecond"
+                latest < Some(limit + MS),
+                "{latest:?} is after the limit, beyond the rounding to milliseconds"
             );
             let purges = all.iter().filter_map(|step| match step {
                 Step::Record(recorded, at) => (*recorded == key).then_some(*at),
                 Step::RaiseWatermark(at) => Some(*at),
             });
-            prop_assert!(latest >= purges.max().map(|at| at.min(bound)));
+            prop_assert!(latest >= purges.max().map(|at| at.min(limit)));
         }
     }
 
     #[test]
-    fn a_bucket_without_later_purges_is_bounded_to_itself(all in steps()) {
-        prop_assert_eq!(filled(&all).no_later_than(30 * MS), filled(&all));
+    fn limiting_a_bucket_without_later_purges_does_not_change_it(all in steps()) {
+        prop_assert_eq!(bucket_of(&all).no_later_than(30 * MS), bucket_of(&all));
     }
 }
--- a/purges/tests/common/formula.rs
+++ b/purges/tests/common/formula.rs
@@ -1,15 +1,15 @@
-//! The share of cache hits that the buckets of the purge state lose, as `docs/design/purge-state.md` derives it.
+//! The predicted share of cache hits that buckets lose, as derived in `docs/design/purge-state.md`.
 
 use linnetknot_purges::BucketBits;
 
-/// A copy is looked up by its object and by its group.
+/// Lookups per copy: one of its object and one of its group.
 pub(crate) const LOOKUPS: u64 = 2;
-/// Purges that a bucket holds before its watermark rises.
+/// The number of purges in a bucket before its watermark rises.
 const BUCKET_SLOTS: u32 = 7;
-/// Chance that two keys of a bucket have one fingerprint.
+/// The probability that two keys of a bucket have the same fingerprint.
 const COLLISION: f64 = 1.0 / (1 << 22) as f64;
 
-/// Chance of at least `least` events where `mean` are expected, by Poisson's law.
+/// Returns the probability of at least `least` events of a Poisson distribution with this mean.
 pub(crate) fn poisson_at_least(least: u32, mean: f64) -> f64 {
     let mut term = (-mean).exp();
     let mut below = 0.0;
@@ -20,7 +20,7 @@
     (1.0 - below).max(0.0)
 }
 
-/// The share that buckets lose, `purges` after the copy was made.
+/// Returns the share of hits that buckets lose if `purges` purges have followed the creation of the copy.
 pub(crate) fn predicted_by_buckets(bucket_bits: BucketBits, purges: f64) -> f64 {
     let mean = purges.max(0.0) / bucket_bits.buckets() as f64;
     let collided = mean.min(f64::from(BUCKET_SLOTS)) * COLLISION;
--- a/purges/tests/common/mod.rs
+++ b/purges/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What the purge state costs: the share of cache hits lost by the age of the copy, measured on virtual time, and the
-//! formula of a plain table beside that of buckets.
+//! The share of cache hits that the purge state loses by the age of the copy, measured on virtual time, and the
+//! predictions for buckets and for a plain table.
 
 use linnetknot_purges::hashing::mix;
 use linnetknot_purges::{BucketBits, CompactTable, KeyHash, Micros, PurgeTable};
@@ -8,10 +8,10 @@
 pub(crate) use formula::*;
 
 pub(crate) const SECOND_US: Micros = 1_000_000;
-/// Keeps the keys that are looked up apart from those that were purged.
+/// The salt that keeps the looked-up keys distinct from the purged ones.
 const LOOKUP_SALT: u64 = 0x5851_f42d_4c95_7f2d;
 
-/// A steady stream of purges, each of a new key.
+/// A stream of purges at a constant rate, each of a new key.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Stream {
     pub seed: u64,
@@ -20,28 +20,28 @@
 }
 
 impl Stream {
-    /// The time of a purge.
+    /// Returns the time of a purge.
     pub(crate) fn time(&self, number: u64) -> Micros {
         (number as f64 * 1e6 / self.per_second) as Micros
     }
 
-    /// The time of the last purge.
+    /// Returns the time of the last purge.
     pub(crate) fn end(&self) -> Micros {
         self.time(self.purges)
     }
 
-    /// The key of a purge.
+    /// Returns the key of a purge.
     pub(crate) fn key(&self, number: u64) -> KeyHash {
         KeyHash::from(mix(self.seed ^ mix(number + 1)))
     }
 
-    /// How many purges there were on average since a copy of this age was made.
+    /// Returns the expected number of purges since the creation of a copy of this age.
     pub(crate) fn since(&self, age: Micros) -> f64 {
         self.per_second * age as f64 / 1e6
     }
 }
 
-/// What answers when a key was purged last.
+/// A table that returns the time of a key's latest purge.
 pub(crate) trait Lookup {
     fn latest(&self, key: KeyHash) -> Option<Micros>;
 }
@@ -58,15 +58,15 @@
     }
 }
 
-/// The plain alternative: the latest purge of all keys with the same top bits, one word each.
+/// The table for comparison: one time per row, for all keys whose hashes have the same top bits.
 pub(crate) struct PlainTable {
     rows: Vec<Option<Micros>>,
     shift: u32,
 }
 
 impl PlainTable {
-    /// A plain table in the memory of a compact one: eight rows in place of each bucket, of the 8 bytes that a packed
-    /// time needs there.
+    /// Creates a plain table with the memory of a compact one: eight rows of 8 bytes, the length of a packed time, per
+    /// bucket.
     pub(crate) fn in_memory_of(bucket_bits: BucketBits) -> Self {
         let rows = bucket_bits.buckets() * 8;
         PlainTable {
@@ -87,8 +87,8 @@
     }
 }
 
-/// The share of copies that were never purged and are lost all the same, for each age. One look-up of a copy answers for
-/// all ages: the copy is lost from the age on at which it was made before the time that the table gives for its keys.
+/// Returns the share of never purged copies that the table invalidates, for each age. A copy is invalidated if it was
+/// created before the time that the table returns for its keys, so one lookup per copy covers all ages.
 pub(crate) fn lost_shares(
     table: &impl Lookup,
     now: Micros,
@@ -110,7 +110,7 @@
         .collect()
 }
 
-/// The share that a plain table in the same memory loses.
+/// Returns the share of hits that a plain table of the same memory loses.
 pub(crate) fn predicted_by_plain_rows(bucket_bits: BucketBits, purges: f64) -> f64 {
     let mean = purges / (bucket_bits.buckets() * 8) as f64;
     1.0 - (-mean * LOOKUPS as f64).exp()
--- a/purges/tests/hashing.rs
+++ b/purges/tests/hashing.rs
@@ -1,10 +1,10 @@
-//! The hashes are exchanged and stored on disk: their values never change.
+//! Purge hashes must not change, as they are exchanged between proxies and stored on disk.
 
 use linnetknot_purges::hashing::mix;
 use linnetknot_purges::KeyHash;
 
 #[test]
-fn known_values_of_objects() {
+fn object_hashes_are_stable() {
     let known = [
         ("", 0xf52a_15e9_a9b5_e89b),
         ("/o/a", 0x7f81_3f6e_2f9a_4559),
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn known_values_of_groups() {
+fn group_hashes_are_stable() {
     for (group, hash) in [
         (0, 0x2848_d6a4_a7b2_8bc1),
         (3, 0xf71b_4c13_1e78_e23d),
@@ -27,6 +27,6 @@
 }
 
 #[test]
-fn known_values_of_mix() {
+fn mix_is_stable() {
     assert_eq!((mix(0), mix(1)), (0, 0x5692_161d_100b_05e5));
 }
--- a/purges/tests/hit_loss.rs
+++ b/purges/tests/hit_loss.rs
@@ -1,6 +1,6 @@
-//! The share of hits that the purge state costs is the one that `docs/design/purge-state.md` gives.
+//! The share of cache hits that the purge state loses is the one derived in `docs/design/purge-state.md`.
 //!
-//! A short form of the example `hit_loss`: a table of 1 MiB and two and a half times the purges that fill it.
+//! A short version of the example `hit_loss`, with a table of 1 MiB and two and a half times the purges that fill it.
 
 mod common;
 use common::*;
@@ -8,7 +8,7 @@
 
 const PURGES: u64 = 300_000;
 const COPIES: u64 = 40_000;
-/// Above the chance deviation of 16,384 buckets and 40,000 copies, some 0.008, by a half.
+/// The random deviation with 16,384 buckets and 40,000 copies is about 0.008.
 const TOLERANCE: f64 = 0.012;
 
 fn stream() -> Stream {
@@ -27,7 +27,7 @@
     (1..=26).map(|step| step * 100 * SECOND_US).collect()
 }
 
-/// Checks a measured curve against a predicted one: near it everywhere, and rising.
+/// Checks that the measured shares are close to the predicted ones and increase with the age.
 fn check(measured: &[f64], predicted: impl Fn(Micros) -> f64) {
     for (age, share) in ages().into_iter().zip(measured) {
         let expected = predicted(age);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn buckets_lose_what_the_formula_says_and_a_plain_table_many_times_that() {
+fn lost_hits_match_the_formulas_of_buckets_and_of_a_plain_table() {
     let (mut compact, mut plain) = (CompactTable::new(bits()), PlainTable::in_memory_of(bits()));
     for number in 0..PURGES {
         compact.record(stream().key(number), stream().time(number));
@@ -55,13 +55,13 @@
     check(&by_plain, |age| {
         predicted_by_plain_rows(bits(), stream().since(age))
     });
-    // 33,000 purges since: two for each bucket, or one for every four rows.
+    // 33,000 purges have followed: two per bucket, or one per four rows.
     let (buckets, rows) = (measured[2], by_plain[2]);
     assert!(buckets < 0.01 && rows > 0.35, "{buckets} and {rows}");
 }
 
 #[test]
-fn purges_that_are_held_exactly_cost_nothing() {
+fn exact_purges_lose_no_hits() {
     let mut table = PurgeTable::new(20_000, bits());
     for number in 0..PURGES {
         table.record(stream().key(number), stream().time(number));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn poissons_law_is_computed_as_tables_have_it() {
+fn poisson_tail_probabilities_match_published_values() {
     for (least, mean, share) in [(1, 1.0, 0.632_12), (8, 3.0, 0.011_90), (8, 8.0, 0.547_04)] {
         assert!(
             (poisson_at_least(least, mean) - share).abs() < 1e-5,
--- a/purges/tests/floors.rs
+++ b/purges/tests/latest_purge.rs
@@ -1,7 +1,6 @@
-//! The one rule of all tables: the time given for a key is never earlier than its true latest purge, and never falls,
-//! whatever is recorded, merged, resized, encoded and decoded.
-//!
-//! The rule is written over [`Floors`], so that it also runs on tables with a planted fault and must find it.
+//! The time that a table returns for a key is never earlier than the key's latest purge, and never decreases, for any
+//! sequence of records, merges, resizes and restarts. The check also runs on a model with an injected fault, which it
+//! must detect.
 
 use linnetknot_purges::bucket::FINGERPRINT_BITS;
 use linnetknot_purges::{
@@ -18,21 +17,21 @@
     BucketBits::new(bits).unwrap()
 }
 
-/// A store of purges under test.
-trait Floors {
+/// The common interface of the tables and the model.
+trait PurgeStore {
     fn record(&mut self, key: KeyHash, at: Micros);
     fn latest(&self, key: KeyHash) -> Option<Micros>;
     /// Merges all buckets of a table of another size.
     fn merge(&mut self, other: &CompactTable);
     fn resize(&mut self, bucket_bits: BucketBits);
-    /// Writes everything to bytes and reads it into an empty table.
+    /// Encodes everything and decodes it into an empty table.
     fn restart(&mut self);
     fn purge_all(&mut self, at: Micros);
     fn compact(&mut self, now: Micros, keep_us: Micros);
 }
 
-/// Sends every bucket as bytes.
-fn send(from: &CompactTable, mut receive: impl FnMut(BucketIndex, &Bucket)) {
+/// Encodes and decodes each bucket of a table, as on a transfer.
+fn send_buckets(from: &CompactTable, mut receive: impl FnMut(BucketIndex, &Bucket)) {
     for (index, bucket) in from.occupied(BucketIndex::default()) {
         let mut bytes = Vec::new();
         bucket.encode(&mut bytes);
@@ -40,7 +39,7 @@
     }
 }
 
-impl Floors for CompactTable {
+impl PurgeStore for CompactTable {
     fn record(&mut self, key: KeyHash, at: Micros) {
         let index = CompactTable::record(self, key, at);
         assert_eq!(index, BucketIndex::of(key, self.bucket_bits()));
@@ -51,7 +50,7 @@
     }
 
     fn merge(&mut self, other: &CompactTable) {
-        send(other, |index, bucket| {
+        send_buckets(other, |index, bucket| {
             let before = self.clone();
             let changed = self
                 .merge_bucket(other.bucket_bits(), index, bucket)
@@ -68,7 +67,7 @@
 
     fn restart(&mut self) {
         let mut next = CompactTable::new(self.bucket_bits());
-        send(self, |index, bucket| {
+        send_buckets(self, |index, bucket| {
             next.merge_bucket(self.bucket_bits(), index, bucket)
                 .unwrap();
         });
@@ -88,7 +87,7 @@
     bucket(before) != bucket(after)
 }
 
-impl Floors for PurgeTable {
+impl PurgeStore for PurgeTable {
     fn record(&mut self, key: KeyHash, at: Micros) {
         PurgeTable::record(self, key, at);
         assert!(self.exact_len() <= 2 * EXACT);
@@ -99,7 +98,7 @@
     }
 
     fn merge(&mut self, other: &CompactTable) {
-        send(other, |index, bucket| {
+        send_buckets(other, |index, bucket| {
             self.merge_bucket(other.bucket_bits(), index, bucket)
                 .unwrap();
         });
@@ -112,7 +111,7 @@
     fn restart(&mut self) {
         let bucket_bits = self.compact_table().bucket_bits();
         let mut next = PurgeTable::new(EXACT, bucket_bits);
-        Floors::merge(&mut next, self.compact_table());
+        PurgeStore::merge(&mut next, self.compact_table());
         for (key, at) in self.exact_purges() {
             next.record(key, at);
         }
@@ -128,25 +127,25 @@
     }
 }
 
-/// A plain model of a compact table: sets of (time in ms, fingerprint) pairs.
+/// A bucket of the model, as a set of (time in ms, fingerprint) pairs.
 #[derive(Clone, Default)]
 struct ModelBucket {
     pairs: BTreeSet<(u64, u64)>,
     watermark: Option<u64>,
 }
 
-/// Sixteen model buckets; sizes are not modelled, merged tables are recorded pair by pair.
+/// A simple model of a compact table of 16 buckets. Only `record` and `latest` are modelled.
 struct Model {
     buckets: Vec<ModelBucket>,
-    /// The planted fault: a pair that is dropped does not raise the watermark.
-    forgets_dropped: bool,
+    /// The injected fault: a dropped pair does not raise the watermark.
+    omits_watermark_update: bool,
 }
 
 impl Model {
-    fn new(forgets_dropped: bool) -> Self {
+    fn new(omits_watermark_update: bool) -> Self {
         Model {
             buckets: vec![ModelBucket::default(); 16],
-            forgets_dropped,
+            omits_watermark_update,
         }
     }
 }
@@ -155,17 +154,19 @@
     (key.value() >> 60) as usize
 }
 
-fn low_bits(key: KeyHash) -> u64 {
+fn fingerprint_bits(key: KeyHash) -> u64 {
     key.value() % (1 << FINGERPRINT_BITS)
 }
 
-impl Floors for Model {
+impl PurgeStore for Model {
     fn record(&mut self, key: KeyHash, at: Micros) {
         let bucket = &mut self.buckets[bucket_of(key)];
-        bucket.pairs.insert((at.div_ceil(MS), low_bits(key)));
+        bucket
+            .pairs
+            .insert((at.div_ceil(MS), fingerprint_bits(key)));
         if bucket.pairs.len() > 7 {
             let dropped = bucket.pairs.pop_first().map(|pair| pair.0);
-            if !self.forgets_dropped {
+            if !self.omits_watermark_update {
                 bucket.watermark = bucket.watermark.max(dropped);
             }
         }
@@ -176,7 +177,7 @@
         let matching = bucket
             .pairs
             .iter()
-            .filter(|pair| pair.1 == low_bits(key))
+            .filter(|pair| pair.1 == fingerprint_bits(key))
             .map(|pair| pair.0);
         matching.max().max(bucket.watermark).map(|ms| ms * MS)
     }
@@ -199,10 +200,10 @@
     Compact(Micros, Micros),
 }
 
-/// Keys that fill few buckets and differ in all parts of their hashes.
+/// Keys of few buckets that differ in all parts of their hashes.
 fn key() -> impl Strategy<Value = KeyHash> {
     (0..4u64, 0..4u64, 0..24u64).prop_map(|(top, middle, low)| {
-        // The last bit of a bucket's number for tables of 5 to 7 bits comes from `middle`.
+        // For tables of 5 to 7 bits, the last bit of the bucket index comes from `middle`.
         KeyHash::from(top << 62 | middle << 57 | low)
     })
 }
@@ -226,9 +227,9 @@
     prop::collection::vec(step(), 1..120)
 }
 
-fn carry_out(table: &mut impl Floors, truth: &mut BTreeMap<KeyHash, Micros>, step: &Step) {
+fn apply(table: &mut impl PurgeStore, actual: &mut BTreeMap<KeyHash, Micros>, step: &Step) {
     let mut purged = |key: KeyHash, at: Micros| {
-        let latest = truth.entry(key).or_insert(at);
+        let latest = actual.entry(key).or_insert(at);
         *latest = at.max(*latest);
     };
     match step {
@@ -251,25 +252,22 @@
     }
 }
 
-/// The rule, for any table.
-fn never_early_and_never_falling(
-    table: &mut impl Floors,
-    steps: &[Step],
-) -> Result<(), TestCaseError> {
-    let mut truth = BTreeMap::new();
-    let mut answers: BTreeMap<KeyHash, Option<Micros>> = BTreeMap::new();
+/// Applies the steps and checks the returned times after each of them.
+fn check_latest_times(table: &mut impl PurgeStore, steps: &[Step]) -> Result<(), TestCaseError> {
+    let mut actual = BTreeMap::new();
+    let mut previous: BTreeMap<KeyHash, Option<Micros>> = BTreeMap::new();
     for step in steps {
-        carry_out(table, &mut truth, step);
-        for (key, at) in &truth {
+        apply(table, &mut actual, step);
+        for (key, at) in &actual {
             let latest = table.latest(*key);
             prop_assert!(
                 latest >= Some(*at),
-                "{key:?} purged at {at}, answered {latest:?} after {step:?}"
+                "{key:?} was purged at {at}, but the table returns {latest:?} after {step:?}"
             );
-            let before = answers.insert(*key, latest).flatten();
+            let before = previous.insert(*key, latest).flatten();
             prop_assert!(
                 latest >= before,
-                "{key:?} fell from {before:?} to {latest:?} by {step:?}"
+                "the time of {key:?} decreased from {before:?} to {latest:?} on {step:?}"
             );
         }
     }
@@ -278,18 +276,18 @@
 
 proptest! {
     #[test]
-    fn compact_tables_are_never_early(steps in steps()) {
-        never_early_and_never_falling(&mut CompactTable::new(bits(4)), &steps)?;
+    fn compact_tables_never_return_an_early_or_decreasing_time(steps in steps()) {
+        check_latest_times(&mut CompactTable::new(bits(4)), &steps)?;
     }
 
     #[test]
-    fn purge_tables_are_never_early(steps in steps()) {
-        never_early_and_never_falling(&mut PurgeTable::new(EXACT, bits(4)), &steps)?;
+    fn purge_tables_never_return_an_early_or_decreasing_time(steps in steps()) {
+        check_latest_times(&mut PurgeTable::new(EXACT, bits(4)), &steps)?;
     }
 
-    /// With no purge but those recorded, tables are as strict as the plain model and no stricter.
+    /// The times match exactly if purges are recorded and nothing else is done.
     #[test]
-    fn compact_tables_are_like_the_model(purges in prop::collection::vec(purge(), 0..200)) {
+    fn compact_tables_return_the_same_times_as_the_model(purges in prop::collection::vec(purge(), 0..200)) {
         let (mut table, mut model) = (CompactTable::new(bits(4)), Model::new(false));
         for (key, at) in &purges {
             table.record(*key, *at);
@@ -301,7 +299,7 @@
     }
 
     #[test]
-    fn the_same_purges_in_any_order_give_equal_tables(
+    fn tables_do_not_depend_on_the_order_of_purges(
         (purges, shuffled) in prop::collection::vec(purge(), 0..200)
             .prop_flat_map(|p| (Just(p.clone()), Just(p).prop_shuffle())),
         size in 4..8u8,
@@ -320,9 +318,8 @@
         prop_assert_eq!(table, other);
     }
 
-    /// A table that is made smaller is the one that was small from the start.
     #[test]
-    fn a_smaller_table_loses_no_more_than_its_size(purges in prop::collection::vec(purge(), 0..200)) {
+    fn a_shrunk_table_equals_one_created_with_the_smaller_size(purges in prop::collection::vec(purge(), 0..200)) {
         let (mut large, mut small) = (CompactTable::new(bits(7)), CompactTable::new(bits(4)));
         for (key, at) in &purges {
             large.record(*key, *at);
@@ -332,9 +329,9 @@
     }
 }
 
-/// Runs the rule on model tables, with the same cases each time. A runner counts its cases over all its runs, so each
-/// run has its own.
-fn rule_on_models(forgets_dropped: bool) -> Result<(), TestError<Vec<Step>>> {
+/// Runs the check on models, with the same cases each time. Each run needs its own runner, as a runner counts its cases
+/// over all runs.
+fn check_models(omits_watermark_update: bool) -> Result<(), TestError<Vec<Step>>> {
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let config = ProptestConfig {
         failure_persistence: None,
@@ -343,16 +340,15 @@
     let records =
         prop::collection::vec(purge().prop_map(|(key, at)| Step::Record(key, at)), 1..120);
     TestRunner::new_with_rng(config, rng).run(&records, |steps| {
-        let mut model = Model::new(forgets_dropped);
-        never_early_and_never_falling(&mut model, &steps)
+        let mut model = Model::new(omits_watermark_update);
+        check_latest_times(&mut model, &steps)
     })
 }
 
-/// The planted fault: the rule must find a bucket that drops its smallest slot and does not raise its watermark.
 #[test]
-fn a_bucket_that_forgets_what_it_drops_is_found() {
-    let sound = rule_on_models(false);
-    assert!(sound.is_ok(), "{sound:?}");
-    let faulty = rule_on_models(true);
+fn the_check_detects_a_watermark_that_does_not_rise() {
+    let correct = check_models(false);
+    assert!(correct.is_ok(), "{correct:?}");
+    let faulty = check_models(true);
     assert!(matches!(faulty, Err(TestError::Fail(..))), "{faulty:?}");
 }
--- a/purges/tests/tables.rs
+++ b/purges/tests/tables.rs
@@ -1,4 +1,4 @@
-//! Bounds and edges of the tables.
+//! Limits and edge cases of the tables.
 
 use linnetknot_purges::{
     Bucket, BucketBits, BucketBitsError, BucketIndex, BucketIndexError, Fingerprint,
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn sizes_have_bounds() {
+fn table_sizes_are_limited() {
     for allowed in [4, 16, 24] {
         assert_eq!(BucketBits::new(allowed).map(BucketBits::value), Ok(allowed));
     }
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn memory_is_taken_with_the_first_purge() {
+fn memory_is_allocated_by_the_first_purge_and_stays_constant() {
     let mut table = CompactTable::new(BucketBits::DEFAULT);
     assert_eq!(
         table.merge_bucket(bits(4), BucketIndex::from(3), &Bucket::default()),
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_bucket_of_no_table_is_an_error() {
+fn merging_a_bucket_with_an_index_out_of_range_fails() {
     let mut table = CompactTable::new(bits(10));
     for (size, index) in [(4, 16), (10, 1_024), (24, 1 << 24)] {
         let (bucket_bits, index) = (bits(size), BucketIndex::from(index));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn buckets_of_other_sizes_go_to_those_that_share_their_keys() {
+fn buckets_of_tables_of_other_sizes_are_merged_into_the_overlapping_ones() {
     let key = object(5);
     let mut bucket = Bucket::default();
     bucket.record(Fingerprint::of(key), 7 * S);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_raised_table_takes_every_key_as_purged() {
+fn purge_all_purges_every_key() {
     let mut table = PurgeTable::new(100, bits(6));
     table.record(object(1), 30 * S);
     table.record(object(2), 10 * S);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn exact_purges_stay_exact_while_there_are_few() {
+fn purges_within_the_exact_capacity_stay_exact() {
     let mut table = PurgeTable::new(1_000, BucketBits::DEFAULT);
     for number in 0..1_000 {
         table.record(object(number), number * S + 1);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn the_older_half_becomes_compact_but_none_that_is_young() {
+fn compaction_moves_the_older_half_except_recent_purges() {
     let mut table = PurgeTable::new(100, BucketBits::DEFAULT);
     for number in 0..150 {
         table.record(object(number), number * S + 1);
@@ -108,12 +108,12 @@
     assert_eq!(
         (table.exact_len(), table.compact_table().len()),
         (130, 20),
-        "the others are young"
+        "the other purges are recent"
     );
     table.compact(150 * S, 0);
     assert_eq!((table.exact_len(), table.compact_table().len()), (64, 86));
     table.compact(150 * S, 0);
-    assert_eq!(table.exact_len(), 64, "they are few now");
+    assert_eq!(table.exact_len(), 64, "the capacity is no longer exceeded");
     for number in 0..150 {
         let at = number * S + 1;
         let latest = table.latest(object(number)).unwrap();
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_flood_of_young_purges_is_bounded_too() {
+fn the_exact_purges_are_limited_even_if_all_are_recent() {
     let mut table = PurgeTable::new(100, bits(10));
     for number in 0..100_000 {
         table.record(object(number), number);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn capacities_change_without_loss() {
+fn changing_the_capacity_loses_no_purge() {
     let mut table = PurgeTable::new(1_000, bits(12));
     for number in 0..1_500 {
         table.record(object(number), number * S);
--- a/replication/examples/memory.rs
+++ b/replication/examples/memory.rs
@@ -1,5 +1,5 @@
-//! Prints the memory of a log store (Linux): logs of one entry each, purges up to the bound, and purges without end; and
-//! how long a step of compaction and an image of a snapshot take.
+//! Prints the memory of a log store (Linux) with many logs of one entry, and with purges far beyond the maximum number
+//! of entries. Also prints the duration of a compaction step and of creating a snapshot image.
 //!
 //!     cargo run --release -p linnetknot-replication --example memory
 
@@ -11,11 +11,11 @@
 use std::time::Instant;
 
 const LOGS: u64 = 16_384;
-const PER_SECOND: u64 = 110;
+const PURGES_PER_S: u64 = 110;
 const DAY_S: u64 = 86_400;
 const SECOND_US: Micros = 1_000_000;
 
-/// Resident memory of this process in KiB.
+/// Returns the resident memory of this process in KiB.
 fn resident_kib() -> io::Result<u64> {
     let status = std::fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -29,7 +29,7 @@
     Subject::Object(format!("/v/{n:016x}/master.m3u8"))
 }
 
-/// Logs of one entry each: bytes a log.
+/// Prints the memory per log of logs with one entry each.
 fn print_logs() -> io::Result<()> {
     let before = resident_kib()?;
     let mut store = LogStore::default();
@@ -53,16 +53,16 @@
     Ok(())
 }
 
-/// Purges of one log, as many as a day brings.
+/// Prints the memory while one log receives the purges of a day.
 fn print_purges() -> io::Result<()> {
     let before = resident_kib()?;
     let own = LogId::new(1, 1);
     let mut replica = Replica::new(own, LogStore::default(), 1, Options::default());
-    let marks = [0, 20_000, 65_536, 131_072, 1_000_000, PER_SECOND * DAY_S];
+    let checkpoints = [0, 20_000, 65_536, 131_072, 1_000_000, PURGES_PER_S * DAY_S];
     let mut purges = 0;
-    for mark in marks {
-        while purges < mark {
-            let at = purges * SECOND_US / PER_SECOND;
+    for checkpoint in checkpoints {
+        while purges < checkpoint {
+            let at = purges * SECOND_US / PURGES_PER_S;
             let entry = replica
                 .append(object(purges), at, false)
                 .map_err(io::Error::other)?;
@@ -79,7 +79,7 @@
     Ok(())
 }
 
-/// How long the loop is held up by a step of compaction and by the image of a snapshot, at the bound.
+/// Prints the durations of a compaction step and of creating and reading an image, at the maximum number of entries.
 fn print_times() {
     let mut replica = Replica::new(LogId::new(0, 1), LogStore::default(), 1, Options::default());
     for n in 0..65_537 {
