--- a/daemon/tests/common/ledger_on_medium.rs
+++ b/daemon/tests/common/ledger_on_medium.rs
@@ -94,7 +94,7 @@
     }
 
     pub(crate) fn is_stopped(&self) -> bool {
-        self.medium.0.lock().unwrap().left == Some(0)
+        self.medium.0.lock().unwrap().remaining_operations == Some(0)
     }
 
     pub(crate) fn is_synced(&self) -> bool {
@@ -197,13 +197,13 @@
     for n in begun..operations {
         let medium = Medium::default();
         drop(open_store(&medium));
-        medium.0.lock().unwrap().left = Some(n - begun);
+        medium.0.lock().unwrap().remaining_operations = Some(n - begun);
         let mut acknowledged = run_until_stopped(&medium, bounds);
-        medium.0.lock().unwrap().lose(n);
+        medium.0.lock().unwrap().lose_power(n);
         // The next process stops, too, a little later: in the midst of what it moves again.
-        medium.0.lock().unwrap().left = Some(20 + n % 40);
+        medium.0.lock().unwrap().remaining_operations = Some(20 + n % 40);
         acknowledged.extend(run_until_stopped(&medium, bounds));
-        medium.0.lock().unwrap().lose(n + 1);
+        medium.0.lock().unwrap().lose_power(n + 1);
         let again = Running::open(&medium, u64::MAX / 2, bounds);
         let again = again.unwrap_or_else(|e| panic!("stopped at {n}: {e}"));
         lost.extend(
--- a/daemon/tests/compaction.rs
+++ b/daemon/tests/compaction.rs
@@ -24,7 +24,7 @@
 }
 
 fn stop(medium: &Medium, left: Option<u64>) {
-    medium.0.lock().unwrap().left = left;
+    medium.0.lock().unwrap().remaining_operations = left;
 }
 
 #[test]
@@ -91,8 +91,8 @@
     let copy = Medium::default();
     {
         let (from, mut to) = (medium.0.lock().unwrap(), copy.0.lock().unwrap());
-        to.seen.clone_from(&from.lasting);
-        to.lasting.clone_from(&from.lasting);
+        to.visible.clone_from(&from.durable);
+        to.durable.clone_from(&from.durable);
     }
     let crashed = Running::open(&copy, 1 << 50, bounds(WINDOW, BITS)).unwrap();
     let store = running.ledger.replica().log_store();
@@ -264,7 +264,7 @@
             if let Ok(running) = Running::open(&medium, 1 << 50, bounds(WINDOW, bits)) {
                 running.ledger.abandon();
             }
-            medium.0.lock().unwrap().lose(n);
+            medium.0.lock().unwrap().lose_power(n);
             // Whichever size is on the disk, both settings open it.
             for bits in [BITS, bits, BITS] {
                 let again = Running::open(&medium, 1 << 51, bounds(WINDOW, bits)).unwrap();
@@ -281,9 +281,9 @@
 
 fn copy(medium: &Medium) -> Medium {
     let copy = Medium::default();
-    let bytes = medium.0.lock().unwrap().lasting.clone();
-    copy.0.lock().unwrap().seen.clone_from(&bytes);
-    copy.0.lock().unwrap().lasting = bytes;
+    let bytes = medium.0.lock().unwrap().durable.clone();
+    copy.0.lock().unwrap().visible.clone_from(&bytes);
+    copy.0.lock().unwrap().durable = bytes;
     copy
 }
 
--- a/store/tests/common/medium.rs
+++ b/store/tests/common/medium.rs
@@ -97,12 +97,12 @@
 #[derive(Debug, Default)]
 pub(crate) struct Disk {
     /// What a reader sees while the power is on.
-    pub seen: Vec<u8>,
+    pub visible: Vec<u8>,
     /// What is there for good.
-    pub lasting: Vec<u8>,
+    pub durable: Vec<u8>,
     unsynced: Vec<Change>,
     /// Operations until it stops; none: it goes on.
-    pub left: Option<u64>,
+    pub remaining_operations: Option<u64>,
     /// Calls that fail.
     spell: Option<Spell>,
     /// Operations so far.
@@ -129,49 +129,49 @@
     fn lose_unsynced(&mut self) {
         self.unsynced.clear();
         if self.spell.is_some_and(|spell| spell.evicts) {
-            let length = self.seen.len();
-            self.seen.clone_from(&self.lasting);
-            self.seen.resize(length, 0);
+            let length = self.visible.len();
+            self.visible.clone_from(&self.durable);
+            self.visible.resize(length, 0);
         }
     }
 
     fn operate(&mut self) -> Result<(), std::io::Error> {
-        if self.left == Some(0) {
+        if self.remaining_operations == Some(0) {
             return Err(std::io::Error::other("the medium has stopped"));
         }
-        self.left = self.left.map(|left| left - 1);
+        self.remaining_operations = self.remaining_operations.map(|left| left - 1);
         self.operations += 1;
         Ok(())
     }
 
     fn change(&mut self, change: Change) -> Result<(), std::io::Error> {
         self.operate()?;
-        apply(&mut self.seen, &change);
+        apply(&mut self.visible, &change);
         self.unsynced.push(change);
         Ok(())
     }
 
     /// The power goes: of what was not synced some is there, by the seed, one of them in part.
-    pub(crate) fn lose(&mut self, mut seed: u64) {
+    pub(crate) fn lose_power(&mut self, mut seed: u64) {
         for change in std::mem::take(&mut self.unsynced) {
             seed = seed
                 .wrapping_mul(6_364_136_223_846_793_005)
                 .wrapping_add(1_442_695_040_888_963_407);
             match (seed >> 60, change) {
-                (0..=6, change) => apply(&mut self.lasting, &change),
+                (0..=6, change) => apply(&mut self.durable, &change),
                 (7..=8, Change::Bytes(at, bytes)) => {
                     // Torn at a sector, which a disk writes whole.
                     let part = (bytes.len() / 2) & !511;
                     apply(
-                        &mut self.lasting,
+                        &mut self.durable,
                         &Change::Bytes(at, bytes[..part].to_vec()),
                     );
                 }
                 _ => {}
             }
         }
-        self.seen.clone_from(&self.lasting);
-        self.left = None;
+        self.visible.clone_from(&self.durable);
+        self.remaining_operations = None;
     }
 }
 
@@ -181,13 +181,15 @@
 
 impl StorageBackend for Medium {
     fn len(&self) -> Result<u64, std::io::Error> {
-        Ok(self.0.lock().unwrap().seen.len() as u64)
+        Ok(self.0.lock().unwrap().visible.len() as u64)
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> Result<(), std::io::Error> {
         let mut disk = self.0.lock().unwrap();
         disk.fails(Calls::READ)?;
-        let part = disk.seen.get(offset as usize..offset as usize + out.len());
+        let part = disk
+            .visible
+            .get(offset as usize..offset as usize + out.len());
         out.copy_from_slice(
             part.ok_or_else(|| std::io::Error::from(std::io::ErrorKind::UnexpectedEof))?,
         );
@@ -208,7 +210,7 @@
         }
         disk.operate()?;
         for change in std::mem::take(&mut disk.unsynced) {
-            apply(&mut disk.lasting, &change);
+            apply(&mut disk.durable, &change);
         }
         Ok(())
     }
--- a/store/tests/crash.rs
+++ b/store/tests/crash.rs
@@ -56,9 +56,9 @@
     for n in begun..all {
         for seed in 0..4 {
             let medium = Medium::default();
-            medium.0.lock().unwrap().left = Some(n);
+            medium.0.lock().unwrap().remaining_operations = Some(n);
             let acknowledged = run(&medium);
-            medium.0.lock().unwrap().lose(n * 4 + seed);
+            medium.0.lock().unwrap().lose_power(n * 4 + seed);
             let mut store =
                 open(&medium).unwrap_or_else(|e| panic!("stopped at {n}, seed {seed}: {e}"));
             let stored = store.scan(SPACE).unwrap();
@@ -95,7 +95,7 @@
     let medium = Medium::default();
     let mut store = open(&medium).unwrap();
     store.commit(&[put(1, 1)]).unwrap();
-    medium.0.lock().unwrap().left = Some(1);
+    medium.0.lock().unwrap().remaining_operations = Some(1);
     assert!(matches!(
         store.commit(&[put(1, 2)]),
         Err(StoreError::Disk(_))
@@ -104,7 +104,7 @@
         store.commit(&[put(1, 3)]).is_err(),
         "the disk is still away"
     );
-    medium.0.lock().unwrap().left = None;
+    medium.0.lock().unwrap().remaining_operations = None;
     store.commit(&[put(1, 4)]).unwrap();
     let all = store.scan(SPACE).unwrap();
     assert_eq!(
--- a/store/tests/failing_medium.rs
+++ b/store/tests/failing_medium.rs
@@ -152,7 +152,7 @@
         self.kill();
         self.losses += 1;
         let seed = self.random.random();
-        self.medium.0.lock().unwrap().lose(seed);
+        self.medium.0.lock().unwrap().lose_power(seed);
     }
 
     fn step(&mut self) {
@@ -221,7 +221,7 @@
         medium.fail(Some(Spell::for_good(Calls::ALL)));
         drop(store);
         medium.fail(None);
-        medium.0.lock().unwrap().lose(u64::MAX);
+        medium.0.lock().unwrap().lose_power(u64::MAX);
         let clone = medium.clone();
         let mut store = Store::open_on(move || clone.clone())
             .unwrap_or_else(|e| panic!("a sync failed after {syncs}: {e}"));
