--- a/store/tests/common/medium.rs
+++ b/store/tests/common/medium.rs
@@ -1,5 +1,6 @@
-//! A medium that stops at its n-th operation and then loses what was not synced, or whose calls fail for a while.
-#![allow(dead_code, reason = "each test has its own use of it")]
+//! A simulated storage medium. It can stop at its n-th operation, lose unsynced changes in a power failure, and return
+//! errors from calls during an outage.
+#![allow(dead_code, reason = "each test uses a different part")]
 
 use redb::StorageBackend;
 use std::io;
@@ -8,7 +9,7 @@
 const EIO: i32 = 5;
 const ENOSPC: i32 = 28;
 
-/// Kinds of calls.
+/// A set of kinds of calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Calls(u8);
 
@@ -18,7 +19,7 @@
     pub(crate) const SYNC: Calls = Calls(4);
     pub(crate) const LENGTH: Calls = Calls(8);
     pub(crate) const ALL: Calls = Calls(15);
-    /// Each kind, and all that change something.
+    /// Each single kind, and the set of all kinds that change the medium.
     pub(crate) const EACH: [Calls; 5] = [
         Calls::READ,
         Calls::WRITE,
@@ -28,84 +29,85 @@
     ];
 }
 
-/// Calls that fail.
+/// A period in which calls fail.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Spell {
+pub(crate) struct Outage {
     calls: Calls,
-    /// Calls of this kind before it begins.
-    before: u64,
-    /// Calls that fail then.
-    times: u64,
+    /// The number of successful calls before the outage.
+    skipped_calls: u64,
+    /// The number of calls that fail.
+    failing_calls: u64,
     errno: i32,
-    /// What a failed sync covered is read as it was before (some file systems), and not as it was written (others).
-    evicts: bool,
+    /// Whether a failed sync evicts the written pages, so that the old content is read, as on some file systems. On
+    /// others the new content is read.
+    evicts_pages: bool,
 }
 
-impl Spell {
-    pub(crate) fn new(calls: Calls, before: u64, times: u64) -> Self {
-        let errno = if before % 2 == 0 { EIO } else { ENOSPC };
-        Spell {
+impl Outage {
+    pub(crate) fn new(calls: Calls, skipped_calls: u64, failing_calls: u64) -> Self {
+        let errno = if skipped_calls % 2 == 0 { EIO } else { ENOSPC };
+        Outage {
             calls,
-            before,
-            times,
+            skipped_calls,
+            failing_calls,
             errno,
-            evicts: false,
+            evicts_pages: false,
         }
     }
 
-    pub(crate) fn for_good(calls: Calls) -> Self {
-        Spell::new(calls, 0, u64::MAX)
+    pub(crate) fn permanent(calls: Calls) -> Self {
+        Outage::new(calls, 0, u64::MAX)
     }
 
-    /// The one call of this kind after so many.
-    pub(crate) fn nth(calls: Calls, before: u64) -> Self {
-        Spell::new(calls, before, 1)
+    /// A single call fails, after `skipped_calls` successful ones.
+    pub(crate) fn single(calls: Calls, skipped_calls: u64) -> Self {
+        Outage::new(calls, skipped_calls, 1)
     }
 
-    /// The pages of a sync that fails are let go, and read as they are on the medium.
-    pub(crate) fn evicting(self) -> Self {
-        Spell {
-            evicts: true,
+    /// Makes failed syncs evict the written pages.
+    pub(crate) fn evicting_pages(self) -> Self {
+        Outage {
+            evicts_pages: true,
             ..self
         }
     }
 
-    fn call(&mut self, call: Calls) -> io::Result<()> {
+    fn check(&mut self, call: Calls) -> io::Result<()> {
         if self.calls.0 & call.0 == 0 {
             return Ok(());
         }
-        if self.before > 0 {
-            self.before -= 1;
+        if self.skipped_calls > 0 {
+            self.skipped_calls -= 1;
             return Ok(());
         }
-        if self.times == 0 {
+        if self.failing_calls == 0 {
             return Ok(());
         }
-        self.times -= 1;
+        self.failing_calls -= 1;
         Err(io::Error::from_raw_os_error(self.errno))
     }
 }
 
-/// A change that the medium was told of and that is not synced.
+/// A change that has not been synced.
 #[derive(Clone, Debug)]
 enum Change {
     Length(usize),
     Bytes(usize, Vec<u8>),
 }
 
-/// What a medium holds.
+/// The content and state of a medium.
 #[derive(Debug, Default)]
 pub(crate) struct Disk {
-    /// What a reader sees while the power is on.
+    /// The content that reads return, including unsynced changes.
     pub visible: Vec<u8>,
-    /// What is there for good.
+    /// The content that survives a power failure.
     pub durable: Vec<u8>,
     unsynced: Vec<Change>,
-    /// Operations until it stops; none: it goes on.
+    /// The number of operations until the medium stops, or `None` if it does not stop.
     pub remaining_operations: Option<u64>,
-    /// Calls that fail.
-    spell: Option<Spell>,
-    /// Operations so far.
+    /// The current outage.
+    outage: Option<Outage>,
+    /// The number of operations so far.
     pub operations: u64,
 }
 
@@ -120,22 +122,24 @@
 }
 
 impl Disk {
-    fn fails(&mut self, call: Calls) -> io::Result<()> {
-        self.spell.as_mut().map_or(Ok(()), |spell| spell.call(call))
+    fn check_outage(&mut self, call: Calls) -> io::Result<()> {
+        self.outage
+            .as_mut()
+            .map_or(Ok(()), |outage| outage.check(call))
     }
 
-    /// What was not synced is clean to the system from now on, and no sync takes it to the medium: only the loss of power
-    /// shows it.
-    fn lose_unsynced(&mut self) {
+    /// Discards the unsynced changes, as the kernel marks the pages of a failed sync clean. Later syncs do not write
+    /// them.
+    fn discard_unsynced(&mut self) {
         self.unsynced.clear();
-        if self.spell.is_some_and(|spell| spell.evicts) {
+        if self.outage.is_some_and(|outage| outage.evicts_pages) {
             let length = self.visible.len();
             self.visible.clone_from(&self.durable);
             self.visible.resize(length, 0);
         }
     }
 
-    fn operate(&mut self) -> Result<(), std::io::Error> {
+    fn count_operation(&mut self) -> Result<(), std::io::Error> {
         if self.remaining_operations == Some(0) {
             return Err(std::io::Error::other("the medium has stopped"));
         }
@@ -145,13 +149,13 @@
     }
 
     fn change(&mut self, change: Change) -> Result<(), std::io::Error> {
-        self.operate()?;
+        self.count_operation()?;
         apply(&mut self.visible, &change);
         self.unsynced.push(change);
         Ok(())
     }
 
-    /// The power goes: of what was not synced some is there, by the seed, one of them in part.
+    /// Simulates a power failure. Each unsynced change is applied, torn or lost, depending on the seed.
     pub(crate) fn lose_power(&mut self, mut seed: u64) {
         for change in std::mem::take(&mut self.unsynced) {
             seed = seed
@@ -160,7 +164,7 @@
             match (seed >> 60, change) {
                 (0..=6, change) => apply(&mut self.durable, &change),
                 (7..=8, Change::Bytes(at, bytes)) => {
-                    // Torn at a sector, which a disk writes whole.
+                    // Torn at a sector boundary, as disks write sectors atomically.
                     let part = (bytes.len() / 2) & !511;
                     apply(
                         &mut self.durable,
@@ -175,7 +179,7 @@
     }
 }
 
-/// A disk in memory, of which all clones are the same one.
+/// An in-memory disk. Clones share the same disk.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Medium(pub Arc<Mutex<Disk>>);
 
@@ -186,7 +190,7 @@
 
     fn read(&self, offset: u64, out: &mut [u8]) -> Result<(), std::io::Error> {
         let mut disk = self.0.lock().unwrap();
-        disk.fails(Calls::READ)?;
+        disk.check_outage(Calls::READ)?;
         let part = disk
             .visible
             .get(offset as usize..offset as usize + out.len());
@@ -198,17 +202,17 @@
 
     fn set_len(&self, length: u64) -> Result<(), std::io::Error> {
         let mut disk = self.0.lock().unwrap();
-        disk.fails(Calls::LENGTH)?;
+        disk.check_outage(Calls::LENGTH)?;
         disk.change(Change::Length(length as usize))
     }
 
     fn sync_data(&self) -> Result<(), std::io::Error> {
         let mut disk = self.0.lock().unwrap();
-        if let Err(e) = disk.fails(Calls::SYNC) {
-            disk.lose_unsynced();
+        if let Err(e) = disk.check_outage(Calls::SYNC) {
+            disk.discard_unsynced();
             return Err(e);
         }
-        disk.operate()?;
+        disk.count_operation()?;
         for change in std::mem::take(&mut disk.unsynced) {
             apply(&mut disk.durable, &change);
         }
@@ -217,8 +221,8 @@
 
     fn write(&self, offset: u64, data: &[u8]) -> Result<(), std::io::Error> {
         let mut disk = self.0.lock().unwrap();
-        if let Err(e) = disk.fails(Calls::WRITE) {
-            // A part of it was taken.
+        if let Err(e) = disk.check_outage(Calls::WRITE) {
+            // A failed write has written a part of the data.
             let part = data[..data.len() / 2].to_vec();
             disk.change(Change::Bytes(offset as usize, part))?;
             return Err(e);
@@ -228,8 +232,8 @@
 }
 
 impl Medium {
-    /// Has calls fail from now on, or none; gives what failed before.
-    pub(crate) fn fail(&self, spell: Option<Spell>) -> Option<Spell> {
-        std::mem::replace(&mut self.0.lock().unwrap().spell, spell)
+    /// Starts or ends an outage. Returns the previous one.
+    pub(crate) fn set_outage(&self, outage: Option<Outage>) -> Option<Outage> {
+        std::mem::replace(&mut self.0.lock().unwrap().outage, outage)
     }
 }
--- a/store/tests/crash.rs
+++ b/store/tests/crash.rs
@@ -1,5 +1,5 @@
-//! The store on a medium that stops at its n-th operation and then loses what was not synced: what was acknowledged is
-//! there, and of a group that was not acknowledged all is there or nothing.
+//! Crashes at every operation of the medium. Acknowledged groups must survive, and a group that was not acknowledged
+//! must be stored completely or not at all.
 
 use linnetknot_store::{
     Completion, Format, KeyValue, Keyspace, Store, StoreError, StoreWorker, Write,
@@ -24,16 +24,21 @@
     Store::open_on(move || medium.clone())
 }
 
-/// Groups of three keys, each overwriting one of an earlier group and taking one out; gives the groups that were
-/// acknowledged.
-fn run(medium: &Medium) -> u64 {
+/// Commits groups that each overwrite a key of the previous group and remove another one. Returns the number of
+/// acknowledged groups.
+fn commit_groups(medium: &Medium) -> u64 {
     let Ok(mut store) = open(medium) else {
         return 0;
     };
     for group in 1..=12u64 {
-        let gone = Write::remove(SPACE, (1000 + group - 1).to_be_bytes().to_vec());
+        let removal = Write::remove(SPACE, (1000 + group - 1).to_be_bytes().to_vec());
         if store
-            .commit(&[put(1, group), put(1000 + group, group), put(2, group), gone])
+            .commit(&[
+                put(1, group),
+                put(1000 + group, group),
+                put(2, group),
+                removal,
+            ])
             .is_err()
         {
             return group - 1;
@@ -43,21 +48,21 @@
 }
 
 #[test]
-fn stopped_at_every_operation_the_acknowledged_is_present_and_no_group_is_half() {
-    let calm = Medium::default();
-    assert_eq!(run(&calm), 12);
-    let all = calm.0.lock().unwrap().operations;
+fn acknowledged_groups_survive_a_crash_at_any_operation_and_no_group_is_partial() {
+    let uninterrupted = Medium::default();
+    assert_eq!(commit_groups(&uninterrupted), 12);
+    let all = uninterrupted.0.lock().unwrap().operations;
     assert!(all > 50, "{all} operations");
-    // A crash while a file is begun leaves none in its place (`a_file_of_another_kind..`).
-    let begun = Medium::default();
-    drop(open(&begun).unwrap());
-    let begun = begun.0.lock().unwrap().operations;
-    let mut kept_on = 0;
-    for n in begun..all {
+    // The creation of the file is skipped, as an incomplete file is never renamed into place.
+    let created = Medium::default();
+    drop(open(&created).unwrap());
+    let created = created.0.lock().unwrap().operations;
+    let mut unacknowledged_commits = 0;
+    for n in created..all {
         for seed in 0..4 {
             let medium = Medium::default();
             medium.0.lock().unwrap().remaining_operations = Some(n);
-            let acknowledged = run(&medium);
+            let acknowledged = commit_groups(&medium);
             medium.0.lock().unwrap().lose_power(n * 4 + seed);
             let mut store =
                 open(&medium).unwrap_or_else(|e| panic!("stopped at {n}, seed {seed}: {e}"));
@@ -76,22 +81,25 @@
             assert_eq!(
                 (number(2), number(1000 + group)),
                 (group, group),
-                "stopped at {n}: a group is there in part"
+                "stopped at {n}: a group is partially stored"
             );
             assert_eq!(
                 stored.len(),
                 if group == 0 { 0 } else { 3 },
-                "stopped at {n}: what was taken out is back"
+                "stopped at {n}: a removed key is stored again"
             );
-            kept_on += u64::from(group > acknowledged);
+            unacknowledged_commits += u64::from(group > acknowledged);
             store.commit(&[put(1, 99)]).unwrap();
         }
     }
-    assert!(kept_on < all, "else each stop came after its sync");
+    assert!(
+        unacknowledged_commits < all,
+        "every stop came after the sync of its group"
+    );
 }
 
 #[test]
-fn a_failed_write_is_told_and_the_next_is_taken_once_the_disk_is_back() {
+fn failed_commits_return_an_error_and_later_ones_succeed_after_recovery() {
     let medium = Medium::default();
     let mut store = open(&medium).unwrap();
     store.commit(&[put(1, 1)]).unwrap();
@@ -100,10 +108,7 @@
         store.commit(&[put(1, 2)]),
         Err(StoreError::Disk(_))
     ));
-    assert!(
-        store.commit(&[put(1, 3)]).is_err(),
-        "the disk is still away"
-    );
+    assert!(store.commit(&[put(1, 3)]).is_err(), "the disk still fails");
     medium.0.lock().unwrap().remaining_operations = None;
     store.commit(&[put(1, 4)]).unwrap();
     let all = store.scan(SPACE).unwrap();
@@ -117,46 +122,53 @@
 }
 
 #[test]
-fn many_writes_share_a_sync_and_a_full_queue_takes_nothing() {
+fn queued_writes_are_committed_together_and_a_full_queue_rejects_writes() {
     let medium = Medium::default();
     let store = open(&medium).unwrap();
-    // The disk is blocked, so that the writes pile up behind it.
+    // The disk is blocked, so that writes queue up.
     let blocked = medium.0.lock().unwrap();
     let before = blocked.operations;
-    let (wake, woken) = std::sync::mpsc::channel();
+    let (wake_sender, wake_receiver) = std::sync::mpsc::channel();
     let mut worker =
-        StoreWorker::start("test", store, 100, move || wake.send(()).unwrap()).unwrap();
-    let given = (1..=100)
+        StoreWorker::start("test", store, 100, move || wake_sender.send(()).unwrap()).unwrap();
+    let submitted = (1..=100)
         .map(|n| worker.submit(put(n, n)))
         .collect::<Vec<_>>();
-    assert_eq!(given, (1..=100).map(Some).collect::<Vec<_>>());
+    assert_eq!(submitted, (1..=100).map(Some).collect::<Vec<_>>());
     assert_eq!(
         (worker.submit(put(101, 1)), worker.capacity()),
         (None, 0),
-        "bounded"
+        "the queue is bounded"
     );
     assert_eq!(worker.completion(), None);
     drop(blocked);
-    let mut words = Vec::new();
-    while words.last().is_none_or(|d: &Completion| d.through < 100) {
-        woken
+    let mut completions = Vec::new();
+    while completions
+        .last()
+        .is_none_or(|d: &Completion| d.through < 100)
+    {
+        wake_receiver
             .recv_timeout(std::time::Duration::from_secs(10))
             .unwrap();
-        words.extend(std::iter::from_fn(|| worker.completion()));
+        completions.extend(std::iter::from_fn(|| worker.completion()));
     }
-    assert!(words.iter().all(|d| d.result.is_ok()));
-    assert!(words.len() <= 3, "{} syncs for 100 writes", words.len());
+    assert!(completions.iter().all(|d| d.result.is_ok()));
+    assert!(
+        completions.len() <= 3,
+        "{} syncs for 100 writes",
+        completions.len()
+    );
     assert!(medium.0.lock().unwrap().operations > before && worker.capacity() == 100);
     assert!(
         worker.submit(put(7, 8)).is_some(),
-        "there is capacity again"
+        "the queue has capacity again"
     );
     let (mut store, last) = worker.close().unwrap();
     assert_eq!((store.scan(SPACE).unwrap().len(), last.len()), (100, 1));
 }
 
 #[test]
-fn a_file_of_another_kind_a_damaged_one_and_one_in_use_are_refused_by_name() {
+fn foreign_damaged_and_open_files_are_rejected_with_the_reason() {
     let folder = std::env::temp_dir().join(format!("linnetknot-store-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("state");
@@ -166,10 +178,10 @@
     assert_eq!(
         std::fs::read(&path).unwrap(),
         b"purge object 0a 5\n",
-        "left as it was"
+        "the file must not be changed"
     );
     std::fs::remove_file(&path).unwrap();
-    // What a crash left of a file that was begun is no file.
+    // A temporary file that a crash left behind is replaced.
     std::fs::write(folder.join("state.new"), [0x5a; 4096]).unwrap();
     let mut store = Store::open(&path).unwrap();
     assert!(!folder.join("state.new").exists());
@@ -181,9 +193,9 @@
     assert_eq!(
         Store::open(&path).unwrap().scan(SPACE).unwrap().len(),
         200,
-        "closed and opened"
+        "closed and opened again"
     );
-    // Another format.
+    // A file of an unknown format is rejected.
     let mut store = Store::open(&path).unwrap();
     let other = Write::put(
         Keyspace("head"),
@@ -194,7 +206,7 @@
     drop(store);
     let error = Store::open(&path).unwrap_err().to_string();
     assert!(error.contains("linnetknot state 9"), "{error}");
-    // Cut off: nothing is read from half a file.
+    // A truncated file is rejected.
     let bytes = std::fs::read(&path).unwrap();
     std::fs::write(&path, &bytes[..bytes.len() / 2]).unwrap();
     assert!(Store::open(&path).is_err());
@@ -205,13 +217,13 @@
 }
 
 #[test]
-fn a_key_is_taken_out_only_where_it_has_the_value_that_was_meant() {
+fn remove_if_removes_a_key_only_if_it_has_the_expected_value() {
     let mut store = open(&Medium::default()).unwrap();
     let key = |n: u64| n.to_be_bytes().to_vec();
     store.commit(&[put(1, 5), put(2, 5)]).unwrap();
-    let stale = |n| Write::remove_if(SPACE, key(n), 5u64.to_be_bytes().to_vec());
+    let remove_if_5 = |n| Write::remove_if(SPACE, key(n), 5u64.to_be_bytes().to_vec());
     store
-        .commit(&[put(1, 9), stale(1), stale(2), stale(3)])
+        .commit(&[put(1, 9), remove_if_5(1), remove_if_5(2), remove_if_5(3)])
         .unwrap();
     assert_eq!(
         store.scan(SPACE).unwrap(),
@@ -223,7 +235,7 @@
 }
 
 #[test]
-fn a_file_is_begun_in_the_oldest_format_and_has_a_newer_one_from_its_write_on() {
+fn files_are_created_in_the_oldest_format_and_can_be_changed_to_a_newer_one() {
     let medium = Medium::default();
     let mut store = open(&medium).unwrap();
     assert_eq!(store.format().unwrap(), Format::Entries);
--- a/store/tests/failing_medium.rs
+++ b/store/tests/failing_medium.rs
@@ -1,9 +1,9 @@
-//! The store on a medium whose calls fail for a while with EIO or ENOSPC, by seeds: each call, once, for a spell or for
-//! good, with losses of power and restarts in between. A sync that failed loses what it covered: another one succeeds
-//! without it. Whatever fails, what was acknowledged is there, and a group is there as a whole or not at all.
+//! Random outages of the medium with EIO or ENOSPC, combined with power failures and restarts. A failed sync loses the
+//! changes that it covered, and a later sync succeeds without them. Acknowledged groups must survive, and every group
+//! must be stored completely or not at all.
 
 use linnetknot_store::{Keyspace, Store, StoreError, Write};
-use medium::{Calls, Medium, Spell};
+use medium::{Calls, Medium, Outage};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
@@ -12,27 +12,27 @@
 mod medium;
 
 const SPACE: Keyspace = Keyspace("test");
-const PLAYS: u64 = 1_000;
+const RUNS: u64 = 1_000;
 const STEPS: usize = 40;
 const KEYS: u64 = 12;
-/// Values of different lengths make the file grow and pages split.
+/// Values have different lengths, so that the file grows and pages are split.
 const MAX_VALUE_BYTES: usize = 3_000;
 
-fn draw_spell(random: &mut SmallRng) -> Spell {
+fn random_outage(random: &mut SmallRng) -> Outage {
     let calls = Calls::EACH[random.random_range(0..Calls::EACH.len())];
     let times = [1, 1, 2, 20, u64::MAX][random.random_range(0..5)];
-    let spell = Spell::new(calls, random.random_range(0..30), times);
+    let outage = Outage::new(calls, random.random_range(0..30), times);
     if random.random_bool(0.5) {
-        spell.evicting()
+        outage.evicting_pages()
     } else {
-        spell
+        outage
     }
 }
 
 type State = BTreeMap<u64, Vec<u8>>;
 
-/// The writes of a group, and what they make of a state.
-fn group(random: &mut SmallRng, state: &State) -> (Vec<Write>, State) {
+/// Returns the writes of a random group, and the state after them.
+fn random_group(random: &mut SmallRng, state: &State) -> (Vec<Write>, State) {
     let (mut writes, mut next) = (Vec::new(), state.clone());
     for _ in 0..random.random_range(1..5) {
         let key = random.random_range(0..KEYS);
@@ -49,7 +49,7 @@
     (writes, next)
 }
 
-fn found(store: &mut Store) -> Result<State, StoreError> {
+fn read_state(store: &mut Store) -> Result<State, StoreError> {
     let pairs = store.scan(SPACE)?;
     let key = |bytes: Vec<u8>| u64::from_be_bytes(bytes.try_into().unwrap());
     Ok(pairs
@@ -58,45 +58,45 @@
         .collect())
 }
 
-/// A store in a medium, and the states that it may be in.
-struct Play {
+/// A store on a medium, with the states that it may have.
+struct Simulation {
     seed: u64,
     random: SmallRng,
     medium: Medium,
     store: Option<Store>,
-    /// What was last acknowledged, and each group since that was not: one of them is there.
-    possible: Vec<State>,
-    /// Commits that failed, and what was done to the medium.
+    /// The state after the last acknowledged group, and those after each later, unacknowledged group.
+    possible_states: Vec<State>,
+    /// The number of failed commits.
     failures: usize,
-    losses: usize,
+    power_failures: usize,
 }
 
-impl Play {
-    fn begin(seed: u64) -> Self {
+impl Simulation {
+    fn start(seed: u64) -> Self {
         let medium = Medium::default();
         let clone = medium.clone();
-        Play {
+        Simulation {
             seed,
             random: SmallRng::seed_from_u64(seed),
             store: Some(Store::open_on(move || clone.clone()).unwrap()),
             medium,
-            possible: vec![State::new()],
+            possible_states: vec![State::new()],
             failures: 0,
-            losses: 0,
+            power_failures: 0,
         }
     }
 
-    /// Whichever state is found is the one that is there from now on.
+    /// Checks that the stored state is possible. From then on it is the only possible one.
     fn check(&mut self, what: &str) {
         let seed = self.seed;
         let Some(store) = &mut self.store else { return };
-        match found(store) {
+        match read_state(store) {
             Ok(state) => {
                 assert!(
-                    self.possible.contains(&state),
-                    "seed {seed}, {what}: neither what was acknowledged nor a whole group since: {state:?}"
+                    self.possible_states.contains(&state),
+                    "seed {seed}, {what}: neither the acknowledged state nor one after a complete group: {state:?}"
                 );
-                self.possible = vec![state];
+                self.possible_states = vec![state];
             }
             Err(e) => assert!(e.is_transient(), "seed {seed}, {what}: {e}"),
         }
@@ -106,8 +106,8 @@
         let Some(store) = &mut self.store else {
             return self.open();
         };
-        // A group that was not acknowledged may be there: the next one stands on what is.
-        let state = match found(store) {
+        // The next group changes the state that is found, which may include an unacknowledged group.
+        let state = match read_state(store) {
             Ok(state) => state,
             Err(e) => {
                 assert!(e.is_transient(), "seed {}: {e}", self.seed);
@@ -115,23 +115,23 @@
             }
         };
         assert!(
-            self.possible.contains(&state),
+            self.possible_states.contains(&state),
             "seed {}, before a commit: {state:?}",
             self.seed
         );
-        let (writes, next) = group(&mut self.random, &state);
+        let (writes, next) = random_group(&mut self.random, &state);
         match store.commit(&writes) {
-            Ok(()) => self.possible = vec![next],
+            Ok(()) => self.possible_states = vec![next],
             Err(e) => {
                 assert!(e.is_transient(), "seed {}: {e}", self.seed);
                 self.failures += 1;
-                // What was seen before may be lost again with the power, if it was never acknowledged.
-                self.possible.push(next);
+                // A power failure may still revert the store to an earlier possible state.
+                self.possible_states.push(next);
             }
         }
     }
 
-    /// Opens the store as a process does that starts. Where its medium fails, that is for a while.
+    /// Opens the store as on the start of a process. Any error must be transient.
     fn open(&mut self) {
         let clone = self.medium.clone();
         match Store::open_on(move || clone.clone()) {
@@ -140,17 +140,17 @@
         }
     }
 
-    /// The process is killed: the system still has what it wrote.
+    /// Simulates a killed process. Unsynced changes are retained.
     fn kill(&mut self) {
-        // What a store writes when it is dropped, a killed one does not.
-        let spell = self.medium.fail(Some(Spell::for_good(Calls::ALL)));
+        // The outage prevents writes by the destructor, which a killed process does not run.
+        let outage = self.medium.set_outage(Some(Outage::permanent(Calls::ALL)));
         self.store = None;
-        self.medium.fail(spell);
+        self.medium.set_outage(outage);
     }
 
     fn lose_power(&mut self) {
         self.kill();
-        self.losses += 1;
+        self.power_failures += 1;
         let seed = self.random.random();
         self.medium.0.lock().unwrap().lose_power(seed);
     }
@@ -158,74 +158,79 @@
     fn step(&mut self) {
         match self.random.random_range(0..20) {
             0..=3 => {
-                let spell = draw_spell(&mut self.random);
-                self.medium.fail(Some(spell));
+                let outage = random_outage(&mut self.random);
+                self.medium.set_outage(Some(outage));
             }
-            4 => drop(self.medium.fail(None)),
+            4 => drop(self.medium.set_outage(None)),
             5 => self.kill(),
             6 => self.lose_power(),
             _ => self.commit(),
         }
     }
 
-    /// The medium is back: what is there is what may be, and it takes and keeps what comes.
-    fn end(mut self) -> (usize, usize) {
-        self.medium.fail(None);
+    /// Ends the outage, and checks that the store has a possible state and commits durably again.
+    fn finish(mut self) -> (usize, usize) {
+        self.medium.set_outage(None);
         if self.store.is_none() {
             self.open();
         }
         self.commit();
-        assert_eq!(self.possible.len(), 1, "seed {}: it is taken", self.seed);
+        assert_eq!(
+            self.possible_states.len(),
+            1,
+            "seed {}: the commit must succeed",
+            self.seed
+        );
         self.lose_power();
         self.open();
         self.check("at the end");
-        assert_eq!(self.possible.len(), 1);
+        assert_eq!(self.possible_states.len(), 1);
         assert!(self.store.is_some(), "seed {}", self.seed);
-        (self.failures, self.losses)
+        (self.failures, self.power_failures)
     }
 }
 
 #[test]
-fn a_thousand_plays_lose_nothing_that_was_acknowledged_and_have_no_group_in_part() {
-    let (mut failures, mut losses) = (0, 0);
-    for seed in 0..PLAYS {
-        let mut play = Play::begin(seed);
+fn acknowledged_groups_survive_random_outages_and_no_group_is_partial() {
+    let (mut failures, mut power_failures) = (0, 0);
+    for seed in 0..RUNS {
+        let mut simulation = Simulation::start(seed);
         for _ in 0..STEPS {
-            play.step();
+            simulation.step();
         }
-        let (failed, lost) = play.end();
-        failures += failed;
-        losses += lost;
+        let (failure_count, power_failure_count) = simulation.finish();
+        failures += failure_count;
+        power_failures += power_failure_count;
     }
     assert!(
-        failures > 1_000 && losses > 1_000,
-        "{failures} failed commits and {losses} losses of power prove little"
+        failures > 1_000 && power_failures > 1_000,
+        "{failures} failed commits and {power_failures} power failures are too few for the test"
     );
 }
 
-/// The pages of a sync that failed are clean to the system: the commit after it is acknowledged with nothing of them on
-/// the disk, unless they are written again.
+/// After a failed sync its pages count as clean. Unless they are written again, the next commit is acknowledged without
+/// them being on the disk.
 #[test]
-fn what_a_failed_sync_covered_is_written_again() {
+fn ranges_of_a_failed_sync_are_written_again() {
     for syncs in 0..8 {
         let medium = Medium::default();
         let clone = medium.clone();
         let mut store = Store::open_on(move || clone.clone()).unwrap();
         let put = |n: u64| Write::put(SPACE, n.to_be_bytes().to_vec(), vec![n as u8; 2_000]);
         store.commit(&[put(0)]).unwrap();
-        medium.fail(Some(Spell::nth(Calls::SYNC, syncs)));
+        medium.set_outage(Some(Outage::single(Calls::SYNC, syncs)));
         let acknowledged: Vec<u64> = (1..10)
             .filter(|n| store.commit(&[put(*n)]).is_ok())
             .collect();
         assert_eq!(acknowledged.len(), 8, "one sync fails, after {syncs}");
-        medium.fail(Some(Spell::for_good(Calls::ALL)));
+        medium.set_outage(Some(Outage::permanent(Calls::ALL)));
         drop(store);
-        medium.fail(None);
+        medium.set_outage(None);
         medium.0.lock().unwrap().lose_power(u64::MAX);
         let clone = medium.clone();
         let mut store = Store::open_on(move || clone.clone())
             .unwrap_or_else(|e| panic!("a sync failed after {syncs}: {e}"));
-        let found = found(&mut store).unwrap();
+        let found = read_state(&mut store).unwrap();
         assert!(
             acknowledged.iter().all(|n| found.contains_key(n)),
             "{syncs}"
@@ -233,9 +238,9 @@
     }
 }
 
-/// Each call of the first commits fails once and for good: it is said, and the store goes on once the medium is back.
+/// The failure is reported as a transient error, and the store works again after the outage.
 #[test]
-fn each_call_of_a_commit_may_fail_once_for_a_spell_or_for_good() {
+fn any_call_of_a_commit_may_fail_once_temporarily_or_permanently() {
     for calls in Calls::EACH {
         for first in 0..30 {
             for times in [1, 5, u64::MAX] {
@@ -243,7 +248,7 @@
                 let clone = medium.clone();
                 let mut store = Store::open_on(move || clone.clone()).unwrap();
                 let put = |n: u64| Write::put(SPACE, vec![n as u8], vec![n as u8; 5_000]);
-                medium.fail(Some(Spell::new(calls, first, times)));
+                medium.set_outage(Some(Outage::new(calls, first, times)));
                 let mut last = None;
                 for n in 1..6 {
                     match store.commit(&[put(n), Write::put(SPACE, vec![0], vec![n as u8])]) {
@@ -251,12 +256,12 @@
                         Err(e) => assert!(e.is_transient(), "{calls:?} {first}: {e}"),
                     }
                 }
-                medium.fail(None);
+                medium.set_outage(None);
                 let value = store.get(SPACE, &[0]).unwrap().map(|value| value[0]);
                 assert!(value >= last, "{calls:?} {first}: {value:?} {last:?}");
                 store.commit(&[put(9)]).unwrap();
                 assert!((1..=last.unwrap_or(0)).all(|n| {
-                    // Of those that were refused in between any may be there.
+                    // Unacknowledged groups may or may not be stored.
                     last != Some(n) || store.get(SPACE, &[n]).unwrap().is_some()
                 }));
             }
--- a/store/tests/memory.rs
+++ b/store/tests/memory.rs
@@ -1,17 +1,17 @@
-//! The memory of a process that writes for long to a file that is larger than the cache of its pages. Alone in its
-//! process, whose resident memory it reads.
+//! The memory of a process that rewrites a file larger than the page cache. The test reads the resident memory of its
+//! process, so this file contains no other test.
 
 use linnetknot_store::{Keyspace, Store, Write};
 use std::fs;
 
 const SPACE: Keyspace = Keyspace("test");
-/// Some 32 MiB of values.
+/// About 32 MiB of values.
 const KEYS: u64 = 64 << 10;
 const VALUE_BYTES: usize = 512;
-const GROUP: usize = 4_096;
-/// Times that all values are written.
+const GROUP_WRITES: usize = 4_096;
+/// The number of times that all values are written.
 const ROUNDS: u64 = 4;
-/// More than the cache and what a commit of a group takes, less than the file.
+/// More than the cache and the memory of committing a group, but less than the file.
 const MAX_GROWTH_BYTES: u64 = 20 << 20;
 
 fn resident_bytes() -> u64 {
@@ -28,7 +28,8 @@
         << 10
 }
 
-/// The keys in an order in which neighbours are written far apart, so that each group rewrites many pages.
+/// Returns the keys in an order that spreads adjacent keys over different groups, so that each group rewrites many
+/// pages.
 fn keys() -> impl Iterator<Item = u64> {
     (0..KEYS).map(|n| n.wrapping_mul(40_503) % KEYS)
 }
@@ -42,13 +43,13 @@
 }
 
 #[test]
-fn a_file_that_is_written_for_long_takes_no_more_memory_than_its_cache() {
+fn memory_is_bounded_by_the_cache_while_a_larger_file_is_rewritten() {
     let path = std::env::temp_dir().join(format!("linnetknot-store-memory-{}", std::process::id()));
     let mut store = Store::open(&path).unwrap();
     let before = resident_bytes();
     for round in 0..ROUNDS {
         let writes: Vec<u64> = keys().collect();
-        for group in writes.chunks(GROUP) {
+        for group in writes.chunks(GROUP_WRITES) {
             let group: Vec<Write> = group.iter().map(|key| write(*key, round)).collect();
             store.commit(&group).unwrap();
         }
@@ -63,10 +64,10 @@
     fs::remove_file(&path).unwrap();
     assert!(
         length > MAX_GROWTH_BYTES,
-        "{length} bytes fit into what is allowed anyway"
+        "a file of {length} bytes is too small for the test"
     );
     assert!(
         growth < MAX_GROWTH_BYTES,
-        "{growth} bytes more, with a file of {length}"
+        "memory grew by {growth} bytes with a file of {length} bytes"
     );
 }
