--- a/replication/tests/deferred_compaction.rs
+++ b/replication/tests/deferred_compaction.rs
@@ -1,14 +1,14 @@
-//! A sender does not compact further while a peer reads its snapshot, up to a bound: what stands behind the snapshot
-//! comes to the peer as entries, and not by another snapshot.
+//! Compaction is deferred, up to a limit, while a peer reads a snapshot, so that the peer receives the entries after
+//! the snapshot without another snapshot.
 
 use linnetknot_replication::*;
 
-const WINDOW: usize = 16;
+const MAX_EXACT_ENTRIES: usize = 16;
 const SECOND: Micros = 1_000_000;
 
 fn replica(writer: Writer) -> Replica {
     let options = Options {
-        max_exact_entries: WINDOW,
+        max_exact_entries: MAX_EXACT_ENTRIES,
         ..Options::default()
     };
     let mut replica = Replica::new(LogId::new(writer, 7), LogStore::default(), writer, options);
@@ -16,14 +16,14 @@
     replica
 }
 
-/// Appends a purge that is on the disk at once.
+/// Appends a purge and records it as synced.
 fn purge(replica: &mut Replica, n: u64) {
     let entry = replica.append(Subject::Group(n), n, false).unwrap();
     replica.record_synced(entry.log, entry.index);
 }
 
-/// The sender's chunks for a request from the start.
-fn read(sender: &mut Replica) -> usize {
+/// Requests a snapshot from its start. Returns the number of chunks in the reply.
+fn request_snapshot(sender: &mut Replica) -> usize {
     let request = SnapshotRequest {
         process: 1,
         from: SnapshotCursor::START,
@@ -35,19 +35,19 @@
 }
 
 #[test]
-fn compaction_waits_for_a_snapshot_that_is_read_and_not_for_ever() {
+fn compaction_is_deferred_up_to_a_limit_while_a_snapshot_is_read() {
     let mut sender = replica(1);
     (0..17).for_each(|n| purge(&mut sender, n));
-    assert!(sender.compact(SECOND).is_some(), "nobody reads");
-    assert!(read(&mut sender) > 0);
+    assert!(sender.compact(SECOND).is_some(), "no peer reads a snapshot");
+    assert!(request_snapshot(&mut sender) > 0);
     let exact = sender.log_store().exact_len();
-    for n in exact..WINDOW + WINDOW / 2 {
+    for n in exact..MAX_EXACT_ENTRIES + MAX_EXACT_ENTRIES / 2 {
         purge(&mut sender, 100 + n as u64);
         assert_eq!(sender.compact(2 * SECOND), None, "{n} entries");
     }
     purge(&mut sender, 1_000);
-    assert!(sender.compact(2 * SECOND).is_some(), "the bound is reached");
-    // The image is let go once it was not read for a while; from then on the window's bound counts.
+    assert!(sender.compact(2 * SECOND).is_some(), "the limit is reached");
+    // The image is dropped after it was not read for a while. From then on compaction is not deferred.
     (2_000..2_009).for_each(|n| purge(&mut sender, n));
     assert_eq!(sender.compact(2 * SECOND), None);
     (0..100).for_each(|n| drop(sender.tick((3 + n) * SECOND)));
--- a/replication/tests/recovery.rs
+++ b/replication/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! When a proxy that started without a disk has its own commits back.
+//! The recovery of a proxy's own commits after it has lost its disk.
 
 use linnetknot_replication::{Recovery, RecoveryStep, RecoveryTimes};
 
@@ -8,8 +8,8 @@
     retry_us: 10,
 };
 
-/// The step that requests from these peers and ends nothing.
-fn requests(peers: &[usize]) -> RecoveryStep {
+/// Returns the step that requests digests from these peers.
+fn requests_to(peers: &[usize]) -> RecoveryStep {
     RecoveryStep {
         request_from: peers.to_vec(),
         missing_machines: None,
@@ -17,20 +17,25 @@
 }
 
 #[test]
-fn it_is_over_once_no_commit_can_be_missing_or_at_its_deadline() {
-    // Peers 0 and 1 are on machine 20, 2 is on the proxy's own, 3 on 30; commits waited for one of the two machines.
+fn recovery_ends_once_all_commits_are_received_or_at_the_deadline() {
+    // Peers 0 and 1 run on machine 20, peer 2 on the proxy's own machine and peer 3 on machine 30.
     let new = |min_acks| Recovery::new(10, vec![20, 20, 10, 30], min_acks, TIMES);
-    let mut one = new(1);
-    assert_eq!(one.tick(0), requests(&[0, 1, 2, 3]));
+    let mut one_ack = new(1);
+    assert_eq!(one_ack.tick(0), requests_to(&[0, 1, 2, 3]));
     assert!(
-        !one.record_caught_up(0) && !one.record_caught_up(1) && !one.record_caught_up(2),
-        "a commit may be on machine 30 alone"
+        !one_ack.record_caught_up(0)
+            && !one_ack.record_caught_up(1)
+            && !one_ack.record_caught_up(2),
+        "a commit may be stored only on machine 30"
     );
-    assert_eq!((one.tick(5), one.tick(10)), (requests(&[]), requests(&[3])));
-    assert!(one.record_caught_up(3) && one.is_over() && one.due().is_none());
-    // Commits that waited for both are on each.
-    let mut both = new(2);
-    assert!(both.record_caught_up(3));
+    assert_eq!(
+        (one_ack.tick(5), one_ack.tick(10)),
+        (requests_to(&[]), requests_to(&[3]))
+    );
+    assert!(one_ack.record_caught_up(3) && one_ack.is_over() && one_ack.due().is_none());
+    // With two acknowledgements each commit is on both machines, so one of them is enough.
+    let mut two_acks = new(2);
+    assert!(two_acks.record_caught_up(3));
     let mut late = new(1);
     late.record_caught_up(3);
     assert_eq!(
@@ -43,6 +48,6 @@
     );
     assert!(
         Recovery::new(10, vec![], 0, TIMES).is_over(),
-        "nobody to ask"
+        "there are no peers"
     );
 }
--- a/replication/tests/reorder.rs
+++ b/replication/tests/reorder.rs
@@ -1,4 +1,4 @@
-//! Entries that come before others of their log: what is asked for, and what follows once that is here.
+//! Entries that arrive out of order: the gaps that are requested, and the insertion once they are filled.
 
 use linnetknot_replication::*;
 
@@ -16,7 +16,7 @@
     }
 }
 
-/// A replica that has index 1 of the log, and keeps so many entries that come early.
+/// Returns a replica that has index 1 of the log, with this capacity of the reorder buffer.
 fn replica(max_reordered_entries: usize) -> Replica {
     let options = Options {
         max_reordered_entries,
@@ -28,7 +28,7 @@
     replica
 }
 
-/// The indexes that an entry brings in force in their places, its own among them or not.
+/// Receives an entry. Returns the indexes that were inserted.
 fn receive(replica: &mut Replica, entry: Entry) -> Vec<Index> {
     replica
         .receive(Micros::MAX, 0, Datagram::Entry(entry))
@@ -38,49 +38,49 @@
         .collect()
 }
 
-/// What is asked for of the log by now.
-fn gaps(replica: &mut Replica, now: Micros) -> Vec<(Index, Index)> {
-    let requested = |out: Outgoing| match out.datagram {
+/// Returns the gaps of the log that the replica requests.
+fn requested_gaps(replica: &mut Replica, now: Micros) -> Vec<(Index, Index)> {
+    let gaps_of = |out: Outgoing| match out.datagram {
         Datagram::GapRequest { log: LOG, gaps } => {
             gaps.iter().map(|gap| (gap.after, gap.through)).collect()
         }
         _ => Vec::new(),
     };
-    // The first tick finds what is missing, the second has waited for it.
-    let first: Vec<_> = replica.tick(now).into_iter().flat_map(requested).collect();
+    // The first tick may only start the timer for the request, which has expired at the second.
+    let first: Vec<_> = replica.tick(now).into_iter().flat_map(gaps_of).collect();
     if first.is_empty() {
         return replica
             .tick(now + S / 2)
             .into_iter()
-            .flat_map(requested)
+            .flat_map(gaps_of)
             .collect();
     }
     first
 }
 
 #[test]
-fn gaps_are_named_once_and_what_came_early_follows_what_was_missing() {
+fn gaps_are_requested_and_buffered_entries_are_inserted_once_they_are_filled() {
     let mut replica = replica(9);
-    // 1 is had; 2, 3 and 6 are missing, and 4 was superseded.
-    for early in [entry(8, 7), entry(5, 3), entry(7, 6), entry(8, 7)] {
-        assert_eq!(receive(&mut replica, early), [0; 0]);
+    // 1 is stored; 2, 3 and 6 are missing; 4 was superseded.
+    for out_of_order in [entry(8, 7), entry(5, 3), entry(7, 6), entry(8, 7)] {
+        assert_eq!(receive(&mut replica, out_of_order), [0; 0]);
     }
-    assert_eq!(gaps(&mut replica, S), [(1, 3), (5, 6)]);
+    assert_eq!(requested_gaps(&mut replica, S), [(1, 3), (5, 6)]);
     assert_eq!(receive(&mut replica, entry(2, 1)), [2]);
     assert_eq!(receive(&mut replica, entry(3, 2)), [3, 5]);
-    assert_eq!(gaps(&mut replica, 2 * S), [(5, 6)]);
-    // 7 comes again by another way, with those before it superseded.
+    assert_eq!(requested_gaps(&mut replica, 2 * S), [(5, 6)]);
+    // 7 arrives again from a sender for which the entry before it is superseded.
     assert_eq!(receive(&mut replica, entry(7, 5)), [7, 8]);
-    assert_eq!(gaps(&mut replica, 3 * S), []);
+    assert_eq!(requested_gaps(&mut replica, 3 * S), []);
     assert_eq!(replica.log_store().last_index(LOG), 8);
 }
 
 #[test]
-fn what_comes_beyond_the_bound_is_let_go() {
+fn entries_beyond_the_capacity_of_the_reorder_buffer_are_dropped() {
     let mut replica = replica(1);
     assert_eq!(receive(&mut replica, entry(4, 3)), [0; 0]);
     assert_eq!(receive(&mut replica, entry(9, 8)), [0; 0]);
-    assert_eq!(gaps(&mut replica, S), [(1, 3)]);
-    assert_eq!(receive(&mut replica, entry(3, 1)), [3, 4], "9 is not kept");
-    assert_eq!(gaps(&mut replica, 2 * S), []);
+    assert_eq!(requested_gaps(&mut replica, S), [(1, 3)]);
+    assert_eq!(receive(&mut replica, entry(3, 1)), [3, 4], "9 was dropped");
+    assert_eq!(requested_gaps(&mut replica, 2 * S), []);
 }
--- a/replication/tests/snapshot.rs
+++ b/replication/tests/snapshot.rs
@@ -1,4 +1,4 @@
-//! A snapshot datagram by datagram: which chunks are used, and what is acknowledged of them.
+//! The transfer of a snapshot between two replicas, datagram by datagram.
 
 use linnetknot_replication::*;
 
@@ -9,7 +9,7 @@
     Subject::Group(n)
 }
 
-/// A replica that holds few entries and appends purges of these groups, all on its disk.
+/// Returns a replica that has appended and synced purges of these groups, and compacts them beyond a few entries.
 fn sender(groups: std::ops::Range<u64>, options: Options) -> Replica {
     let mut replica = Replica::new(OWN, LogStore::default(), 5, options);
     replica.set_peers(10, vec![20]);
@@ -28,7 +28,7 @@
 }
 
 fn options() -> Options {
-    // Two chunks in answer to each request.
+    // Each request is answered with two chunks.
     let snapshot_bytes_per_s = 2 * MAX_DATAGRAM_BYTES * 20;
     Options {
         max_exact_entries: 8,
@@ -43,7 +43,7 @@
     replica
 }
 
-/// Returns the chunks with which a sender answers what a receiver requests now.
+/// Returns the chunks that the sender replies to the requests that the receiver sends now.
 fn request(receiver: &mut Replica, sender: &mut Replica, now: Micros) -> Vec<Datagram> {
     let is_request = |out: &Outgoing| matches!(out.datagram, Datagram::SnapshotRequest(_));
     let requests = receiver.tick(now).into_iter().filter(is_request);
@@ -59,13 +59,13 @@
     for reply in sender.receive(Micros::MAX, 0, range_request).replies {
         assert!(
             matches!(reply, Datagram::SnapshotOffer(_)),
-            "nothing that it could not take in: {reply:?}"
+            "entries that the receiver could not insert: {reply:?}"
         );
         receiver.receive(Micros::MAX, 0, reply);
     }
 }
 
-/// Receives all that comes of asking until the snapshot is complete.
+/// Requests and receives chunks until the snapshot is complete.
 fn complete(receiver: &mut Replica, sender: &mut Replica, mut now: Micros) -> Received {
     loop {
         now += S;
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn nothing_of_a_snapshot_is_acknowledged_before_the_disk_has_all_of_it() {
+fn a_snapshot_is_acknowledged_only_after_it_is_completely_synced() {
     let (mut sender, mut receiver) = (sender(1..100, options()), receiver());
     offer(&mut receiver, &mut sender);
     assert!(receiver.is_catching_up());
@@ -96,13 +96,13 @@
         (through, 0)
     );
     assert!(!receiver.is_synced() && !receiver.is_catching_up());
-    // What stands behind it comes as entries, and a peer that asks is not told of it either.
-    let rest: Vec<Datagram> = received
+    // The entries after the snapshot arrive, and are not acknowledged either.
+    let entries_after: Vec<Datagram> = received
         .replies
         .into_iter()
         .flat_map(|request| sender.receive(Micros::MAX, 0, request).replies)
         .collect();
-    for entry in rest {
+    for entry in entries_after {
         let received = receiver.receive(Micros::MAX, 0, entry);
         assert_eq!(received.new.len(), 1);
         received
@@ -139,30 +139,30 @@
     }
 }
 
-/// Chunks of one process that were read before the logs' indexes say nothing of what was compacted between.
+/// Chunks that were read before the compacted indexes do not cover the compactions in between.
 #[test]
-fn a_late_chunk_of_an_earlier_image_counts_for_nothing() {
+fn delayed_chunks_of_an_earlier_image_do_not_complete_a_snapshot() {
     let mut sender = sender(1..100, options());
     let mut first = receiver();
     offer(&mut first, &mut sender);
-    let mut late = Vec::new();
+    let mut delayed = Vec::new();
     for n in 1..10 {
         let chunks = request(&mut first, &mut sender, n * S);
         chunks
             .iter()
             .for_each(|chunk| drop(first.receive(Micros::MAX, 0, chunk.clone())));
-        late.extend(chunks);
+        delayed.extend(chunks);
     }
     assert!(!first.is_catching_up());
-    // More is compacted, and another receiver begins.
+    // More purges are compacted, and another receiver starts.
     append(&mut sender, 100..300);
     let mut second = receiver();
     offer(&mut second, &mut sender);
     for chunk in request(&mut second, &mut sender, S) {
         second.receive(Micros::MAX, 0, chunk);
     }
-    let is_late = |chunk: &&Datagram| matches!(chunk, Datagram::SnapshotChunk(c) if !matches!(c.content, SnapshotContent::Logs(_)));
-    for chunk in late.iter().filter(is_late) {
+    let is_delayed = |chunk: &&Datagram| matches!(chunk, Datagram::SnapshotChunk(c) if !matches!(c.content, SnapshotContent::Logs(_)));
+    for chunk in delayed.iter().filter(is_delayed) {
         assert!(
             second
                 .receive(Micros::MAX, 0, chunk.clone())
@@ -185,15 +185,14 @@
     }
 }
 
-/// A log is raised with its last chunk and not before, in whichever order and how often they come.
 #[test]
-fn chunks_in_any_order_raise_a_log_with_the_last_of_them() {
+fn a_log_advances_with_the_last_chunk_in_any_order() {
     for seed in 0..50u64 {
-        let wide = Options {
+        let fast_options = Options {
             snapshot_bytes_per_s: 1 << 20,
             ..options()
         };
-        let (mut sender, mut receiver) = (sender(1..400, wide), receiver());
+        let (mut sender, mut receiver) = (sender(1..400, fast_options), receiver());
         offer(&mut receiver, &mut sender);
         request(&mut receiver, &mut sender, S)
             .into_iter()
@@ -224,12 +223,11 @@
     }
 }
 
-/// A sender's bound holds for all that ask in one period.
 #[test]
-fn what_one_sends_of_snapshots_in_a_period_is_bounded() {
-    let bound = 40 * MAX_DATAGRAM_BYTES;
+fn the_snapshot_bytes_sent_per_period_are_limited() {
+    let limit = 40 * MAX_DATAGRAM_BYTES;
     let options = Options {
-        max_snapshot_bytes_per_period: bound,
+        max_snapshot_bytes_per_period: limit,
         snapshot_bytes_per_s: 1 << 20,
         ..options()
     };
@@ -247,12 +245,12 @@
     };
     assert_eq!((0..5).map(|_| sent(&mut sender)).sum::<usize>(), 40);
     sender.tick(10_001 * S);
-    assert!(sent(&mut sender) > 0, "in the next period there is more");
+    assert!(sent(&mut sender) > 0, "the next period has a new limit");
 }
 
-/// A receiver whose sender says nothing asks any peer, and in the end counts as caught up no more than it can be.
+/// The receiver then asks random peers, and finally stops, so that it does not count as catching up forever.
 #[test]
-fn a_sender_that_does_not_answer_is_given_up() {
+fn the_transfer_from_a_sender_that_does_not_answer_is_abandoned() {
     let (mut sender, mut receiver) = (sender(1..100, options()), receiver());
     offer(&mut receiver, &mut sender);
     let (mut requests, mut ranges) = (0, 0);
@@ -266,12 +264,14 @@
         (requests, ranges, receiver.counters().snapshots_abandoned),
         (17, 120, 1)
     );
-    assert!(!receiver.is_catching_up(), "nobody has it any more");
+    assert!(
+        !receiver.is_catching_up(),
+        "no peer has the snapshot any more"
+    );
 }
 
-/// Of an object that is purged again and again only what is not on the disk in a later entry goes to the table.
 #[test]
-fn an_object_that_is_purged_again_and_again_fills_no_bucket() {
+fn repeated_purges_of_one_key_do_not_fill_a_bucket() {
     let mut replica = Replica::new(OWN, LogStore::default(), 5, options());
     for n in 1..1_000 {
         let entry = replica
@@ -285,9 +285,8 @@
     assert_eq!(replica.log_store().latest_purge(&group(4)), None);
 }
 
-/// A purge that is superseded is held for those who are behind both, and is not in force.
 #[test]
-fn a_superseded_purge_is_sent_and_not_in_force() {
+fn superseded_purges_are_sent_but_not_listed_as_entries() {
     let mut store = LogStore::default();
     for (at, n) in [(1, 3), (2, 4), (3, 3)] {
         store
@@ -313,9 +312,8 @@
     assert_eq!((sent, store.len()), (vec![(0, 1), (1, 2), (2, 3)], 3));
 }
 
-/// A purge is never earlier than the one that it supersedes, whatever the clock does.
 #[test]
-fn a_clock_that_is_set_back_lowers_no_floor() {
+fn a_clock_that_is_set_back_does_not_make_a_purge_earlier() {
     let mut store = LogStore::default();
     store
         .append(
@@ -345,10 +343,10 @@
     );
 }
 
-/// On a disk a later purge takes the earlier one's place. A process that starts with it knows the later one alone, which
-/// stands behind what it compacts: whoever is raised past the earlier one must have a floor of it all the same.
+/// The disk stores only the latest purge of a key. After a restart the compacted range may contain a purge whose only
+/// stored record is the later one. A receiver that advances past that index must still learn of the purge.
 #[test]
-fn what_the_senders_disk_has_in_a_later_entry_alone_is_in_its_snapshot() {
+fn a_snapshot_contains_purges_whose_superseding_entry_is_not_compacted() {
     // The purge of group 1 at index 1 was superseded by the one at index 5.
     let entry = |index: Index, n| Entry {
         log: OWN,
@@ -360,14 +358,14 @@
     };
     let entries = vec![entry(5, 1), entry(2, 2), entry(3, 3), entry(4, 4)];
     let store = LogStore::restore(CompactTable::new(BucketBits::DEFAULT), &[], entries)
-        .expect("it is sound");
-    let few = Options {
+        .expect("the entries are valid");
+    let limited_options = Options {
         max_exact_entries: 3,
         ..options()
     };
-    let mut sender = Replica::new(LogId::new(1, 8), store, 5, few);
+    let mut sender = Replica::new(LogId::new(1, 8), store, 5, limited_options);
     sender.set_peers(10, vec![20]);
-    let compaction = sender.compact(100 * S).expect("there are too many");
+    let compaction = sender.compact(100 * S).expect("there are too many entries");
     assert!(
         compaction
             .logs
@@ -385,9 +383,8 @@
     );
 }
 
-/// A peer's machine becomes known at any moment; its place in the list stays.
 #[test]
-fn a_snapshot_goes_on_when_the_peers_machines_become_known() {
+fn a_transfer_continues_when_the_machine_of_a_peer_changes() {
     let (mut sender, mut receiver) = (sender(1..400, options()), receiver());
     receiver.set_peers(20, vec![10, 30]);
     offer(&mut receiver, &mut sender);
@@ -411,13 +408,13 @@
     assert_eq!(
         (request(&mut receiver, 11 * S), receiver.is_catching_up()),
         (vec![], true),
-        "its sender is gone"
+        "the sender is no longer a peer"
     );
 }
 
-/// A floor in the future would cost every copy of its keys until then.
+/// A purge time in the future would invalidate all copies of its keys until then.
 #[test]
-fn buckets_of_a_peer_whose_clock_is_ahead_bring_no_floor_in_the_future() {
+fn purge_times_of_a_peer_whose_clock_is_ahead_are_limited_to_now() {
     const NOW: Micros = 30 * S;
     let (mut sender, mut receiver) = (sender(1..100, options()), receiver());
     offer(&mut receiver, &mut sender);
@@ -428,15 +425,15 @@
     }
     assert!(!receiver.is_catching_up());
     for n in 1..=80 {
-        let floor = receiver
+        let purged_at = receiver
             .log_store()
             .latest_purge(&group(n))
-            .expect("the snapshot has it");
-        assert!(floor >= NOW.min(n * S), "group {n}: {floor}");
+            .expect("the snapshot contains the purge");
+        assert!(purged_at >= NOW.min(n * S), "group {n}: {purged_at}");
         assert!(
-            floor <= NOW,
-            "group {n}: {floor}, {} s ahead",
-            (floor - NOW) / S
+            purged_at <= NOW,
+            "group {n}: {purged_at}, {} s ahead",
+            (purged_at - NOW) / S
         );
     }
 }
--- a/replication/tests/wire.rs
+++ b/replication/tests/wire.rs
@@ -1,5 +1,5 @@
-//! Datagrams as bytes. Those of released versions are pinned byte for byte: an older and a newer proxy stand beside each
-//! other while an installation is upgraded.
+//! The encoding of datagrams. Released datagrams must not change, as older and newer proxies run side by side during an
+//! upgrade.
 
 use linnetknot_purges::{Fingerprint, KeyHash};
 use linnetknot_replication::*;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn datagrams_of_released_versions_stay_byte_for_byte() {
+fn released_datagrams_are_encoded_byte_for_byte_as_before() {
     let status = Subject::TriggerStatusPart {
         number: 0x4d,
         part: 3,
@@ -29,7 +29,7 @@
     let position = |log, index| LogPosition { log, index };
     let gap = |after, through| Gap { after, through };
     let positions = || vec![position(LOG, 7), position(LogId::new(3, 4), u64::MAX)];
-    let golden: Vec<(Datagram, &str)> = vec![
+    let expected: Vec<(Datagram, &str)> = vec![
         (
             entry(Subject::Object("0a".into()), false),
             "copies1 entry 1a 2b 10 12 abc object 0a",
@@ -106,7 +106,7 @@
             "copies1 held 50 1a 2b 7 3 4 ffffffffffffffff",
         ),
     ];
-    for (datagram, bytes) in golden {
+    for (datagram, bytes) in expected {
         assert_eq!(
             String::from_utf8(datagram.encode().expect("it fits")).as_deref(),
             Ok(bytes)
@@ -115,7 +115,7 @@
     }
 }
 
-/// What a version before snapshots makes of a datagram: it reads text, and knows these kinds.
+/// Returns whether versions without snapshots know a datagram. They only accept text with one of these keywords.
 fn is_known_to_older(bytes: &[u8]) -> bool {
     let kinds = ["entry", "have", "want", "lack", "ask", "held"];
     let text = std::str::from_utf8(bytes)
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn datagrams_of_snapshots_are_pinned_and_unknown_to_older_versions() {
+fn snapshot_datagrams_are_stable_and_unknown_to_older_versions() {
     let offer = SnapshotOffer {
         process: 0x50,
         compacted_log_count: 9,
@@ -140,8 +140,8 @@
             from,
         })
     };
-    let at_entry = SnapshotCursor::Entry { log: LOG, index: 5 };
-    let golden = [
+    let entry_cursor = SnapshotCursor::Entry { log: LOG, index: 5 };
+    let expected = [
         (
             Datagram::SnapshotOffer(offer),
             "copies1 offer 50 9 1a 2b 77",
@@ -151,10 +151,10 @@
             request(SnapshotCursor::Bucket(BucketIndex::from(0x1f))),
             "copies1 fetch 50 bucket 1f",
         ),
-        (request(at_entry), "copies1 fetch 50 entry 1a 2b 5"),
+        (request(entry_cursor), "copies1 fetch 50 entry 1a 2b 5"),
         (request(SnapshotCursor::End), "copies1 fetch 50 end"),
     ];
-    for (datagram, bytes) in golden {
+    for (datagram, bytes) in expected {
         assert_eq!(
             String::from_utf8(datagram.encode().expect("it fits")).as_deref(),
             Ok(bytes)
@@ -164,7 +164,7 @@
     }
     let mut bucket = Bucket::default();
     bucket.record(Fingerprint::of(KeyHash::from(5)), 7_000);
-    let placed = snapshot::IndexedBucket {
+    let indexed = snapshot::IndexedBucket {
         index: BucketIndex::from(2),
         bucket,
     };
@@ -176,22 +176,21 @@
         ends_window: true,
         content: SnapshotContent::Buckets {
             bucket_bits: BucketBits::MIN,
-            buckets: vec![placed],
+            buckets: vec![indexed],
         },
     };
     let bytes = Datagram::SnapshotChunk(chunk.clone())
         .encode()
         .expect("it fits");
-    let golden = [
+    let expected = [
         b"copies1 chunk \x81\0\0\0\0\0\0\0\x50\0\0\0\0\0\0\0\x03b\0\0\0\0E\x04".as_slice(),
         b"\0\0\0\x02\x01\0\0\0\0\0\0\0\0\0\0\0\0\x02\0\0\x05",
     ];
-    assert_eq!(bytes, golden.concat());
+    assert_eq!(bytes, expected.concat());
     assert_eq!(Datagram::decode(&bytes), Ok(Datagram::SnapshotChunk(chunk)));
     assert!(!is_known_to_older(&bytes));
 }
 
-/// The fullest chunks of each kind fit into a datagram.
 #[test]
 fn three_full_buckets_fit_into_a_datagram() {
     let mut full = Bucket::default();
@@ -199,7 +198,7 @@
         full.record(Fingerprint::of(KeyHash::from(n)), n << 30);
     }
     assert_eq!(full.len(), 7);
-    let placed = |n| snapshot::IndexedBucket {
+    let indexed = |n| snapshot::IndexedBucket {
         index: BucketIndex::from(n),
         bucket: full,
     };
@@ -211,7 +210,7 @@
         ends_window: false,
         content: SnapshotContent::Buckets {
             bucket_bits: BucketBits::DEFAULT,
-            buckets: (0..3).map(placed).collect(),
+            buckets: (0..3).map(indexed).collect(),
         },
     };
     let bytes = Datagram::SnapshotChunk(chunk).encode().expect("it fits");
@@ -219,13 +218,13 @@
 }
 
 #[test]
-fn chunks_whose_content_does_not_stand_between_their_cursors_are_not_read() {
-    let log = |n, through| CompactedLog {
+fn chunks_whose_content_is_not_between_their_cursors_are_rejected() {
+    let compacted = |n, through| CompactedLog {
         log: LogId::new(n, 1),
         through,
     };
-    let at = |n| SnapshotCursor::Log(LogId::new(n, 0));
-    let chunk = |from, next, content| {
+    let log_cursor = |n| SnapshotCursor::Log(LogId::new(n, 0));
+    let is_accepted = |from, next, content| {
         let chunk = SnapshotChunk {
             process: 1,
             image: 1,
@@ -237,24 +236,40 @@
         Datagram::decode(&Datagram::SnapshotChunk(chunk).encode().expect("it fits")).is_ok()
     };
     let logs =
-        |numbers: &[u64]| SnapshotContent::Logs(numbers.iter().map(|n| log(*n, 5)).collect());
-    assert!(chunk(at(1), at(9), logs(&[1, 3])));
-    assert!(chunk(at(1), SnapshotCursor::BUCKETS, logs(&[])));
-    assert!(!chunk(at(2), at(9), logs(&[1, 3])), "before its begin");
-    assert!(!chunk(at(1), at(3), logs(&[1, 3])), "behind its end");
-    assert!(!chunk(at(1), at(9), logs(&[3, 1])), "out of order");
-    assert!(!chunk(at(9), at(9), logs(&[])), "nothing between");
+        |numbers: &[u64]| SnapshotContent::Logs(numbers.iter().map(|n| compacted(*n, 5)).collect());
+    assert!(is_accepted(log_cursor(1), log_cursor(9), logs(&[1, 3])));
+    assert!(is_accepted(
+        log_cursor(1),
+        SnapshotCursor::BUCKETS,
+        logs(&[])
+    ));
     assert!(
-        !chunk(at(1), SnapshotCursor::End, logs(&[])),
-        "beyond its kind"
+        !is_accepted(log_cursor(2), log_cursor(9), logs(&[1, 3])),
+        "before the start cursor"
     );
     assert!(
-        !chunk(SnapshotCursor::BUCKETS, SnapshotCursor::ENTRIES, logs(&[])),
-        "of another kind"
+        !is_accepted(log_cursor(1), log_cursor(3), logs(&[1, 3])),
+        "after the end cursor"
+    );
+    assert!(
+        !is_accepted(log_cursor(1), log_cursor(9), logs(&[3, 1])),
+        "out of order"
+    );
+    assert!(
+        !is_accepted(log_cursor(9), log_cursor(9), logs(&[])),
+        "an empty range"
+    );
+    assert!(
+        !is_accepted(log_cursor(1), SnapshotCursor::End, logs(&[])),
+        "an end cursor of another section"
+    );
+    assert!(
+        !is_accepted(SnapshotCursor::BUCKETS, SnapshotCursor::ENTRIES, logs(&[])),
+        "cursors of another section"
     );
 }
 
-fn retained(n: u64, kind: u8, text: String) -> Entry {
+fn entry_of_kind(n: u64, kind: u8, text: String) -> Entry {
     let subject = match kind % 4 {
         0 => Subject::Ban(format!("pc-{text}")),
         1 => Subject::Drain,
@@ -285,14 +300,14 @@
     })]
 
     #[test]
-    fn a_chunk_of_entries_is_read_again(n in 1u64..1 << 60, kind: u8, text in "[a-z]{0,56}", process: u64, image: u64) {
+    fn encoded_chunks_of_entries_are_decoded(n in 1u64..1 << 60, kind: u8, text in "[a-z]{0,56}", process: u64, image: u64) {
         let chunk = SnapshotChunk {
             process,
             image,
             from: SnapshotCursor::Entry { log: LogId::new(7, 8), index: n },
             next: SnapshotCursor::Entry { log: LogId::new(u64::MAX, 0), index: u64::MAX },
             ends_window: n % 3 == 0,
-            content: SnapshotContent::Entries(vec![retained(n, kind, text)]),
+            content: SnapshotContent::Entries(vec![entry_of_kind(n, kind, text)]),
         };
         let datagram = Datagram::SnapshotChunk(chunk);
         let bytes = datagram.encode().expect("it fits");
@@ -303,11 +318,11 @@
     }
 
     #[test]
-    fn any_bytes_behind_the_mark_of_a_chunk_are_one_or_an_error(bytes in proptest::collection::vec(any::<u8>(), 0..242)) {
-        let mut marked = b"copies1 chunk ".to_vec();
-        marked.extend(&bytes);
-        if let Ok(datagram) = Datagram::decode(&marked) {
-            prop_assert_eq!(datagram.encode(), Some(marked));
+    fn any_bytes_after_the_prefix_of_a_chunk_are_decoded_or_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..242)) {
+        let mut prefixed = b"copies1 chunk ".to_vec();
+        prefixed.extend(&bytes);
+        if let Ok(datagram) = Datagram::decode(&prefixed) {
+            prop_assert_eq!(datagram.encode(), Some(prefixed));
         }
     }
 }
