--- a/replication/tests/fleet.rs
+++ b/replication/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Many proxies on virtual time: datagrams that are lost, doubled, late and out of order, links cut one way, members
-//! that are away, stand still or come back with an empty disk. All that was sent anywhere is everywhere in the end.
+//! Fleets of replicas on virtual time. Datagrams are lost, duplicated, delayed and reordered, links are cut in one
+//! direction, and members are down, stall, or restart with an empty disk. All members must eventually have all entries.
 
 use linnetknot_replication::*;
 use linnetknot_simnet::{self as simnet, Delay, Step, Timed};
@@ -9,37 +9,38 @@
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
-/// The time where it does not matter.
+/// The current time in tests in which it does not matter.
 const NOW: Micros = Micros::MAX;
 
-/// A member: its logs, what it has put in force, and its disk.
+/// A member of the fleet, with its replica, the effective purges and its disk.
 struct Member {
     replica: Option<Replica>,
     epoch: Epoch,
-    in_force: BTreeMap<Subject, Micros>,
+    purge_times: BTreeMap<Subject, Micros>,
     disk: LogStore,
-    /// On their way to it, and when they are there.
+    /// The pending writes to the disk, and when each of them completes.
     writes: VecDeque<(Micros, Entry)>,
-    /// Pending commits, and what was sent.
+    /// The pending commits, with the subject and time of their purge.
     pending: Vec<(CommitId, Subject, Micros)>,
-    /// What came while it stood still.
+    /// The datagrams that arrived while the member is stalled, or `None` if it is not.
     stalled: Option<Vec<(usize, Vec<u8>)>>,
 }
 
-struct Net {
+struct Fleet {
     links: simnet::Network<Vec<u8>>,
     members: Vec<Member>,
     bytes: u64,
-    /// All that was sent, and when.
-    outgoing: BTreeMap<Subject, Micros>,
-    /// How long a disk takes, and the commits given and refused.
+    /// The latest time of each purge.
+    purged: BTreeMap<Subject, Micros>,
+    /// The duration of a write to a disk.
     disk_us: Micros,
+    /// The latest time of each committed purge.
     committed: BTreeMap<Subject, Micros>,
     rejected: Vec<RejectReason>,
     options: Options,
 }
 
-/// What is due of a member.
+/// The next event of a member.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     Write(usize),
@@ -50,48 +51,49 @@
     1_000 + n as u64
 }
 
-impl Net {
-    fn new(members: usize, seed: u64, conditions: (u64, u64, Micros)) -> Net {
-        let (lost, doubled, late) = conditions;
-        let mut net = Net {
+impl Fleet {
+    fn new(members: usize, seed: u64, link_conditions: (u64, u64, Micros)) -> Fleet {
+        let (loss_percent, duplicate_percent, max_jitter_us) = link_conditions;
+        let mut fleet = Fleet {
             links: simnet::Network::new(
                 seed,
                 Delay {
                     min_us: MS,
-                    jitter_us: late,
+                    jitter_us: max_jitter_us,
                 },
             ),
             members: Vec::new(),
             bytes: 0,
-            outgoing: BTreeMap::new(),
+            purged: BTreeMap::new(),
             disk_us: 0,
             committed: BTreeMap::new(),
             rejected: Vec::new(),
             options: Options::default(),
         };
-        (net.links.loss_percent, net.links.duplicate_percent) = (lost, doubled);
+        (fleet.links.loss_percent, fleet.links.duplicate_percent) =
+            (loss_percent, duplicate_percent);
         for _ in 0..members {
-            net.members.push(Member {
+            fleet.members.push(Member {
                 replica: None,
                 epoch: 7,
-                in_force: BTreeMap::new(),
+                purge_times: BTreeMap::new(),
                 disk: LogStore::default(),
                 writes: VecDeque::new(),
                 pending: Vec::new(),
                 stalled: None,
             });
         }
-        (0..members).for_each(|n| net.start(n));
-        net
+        (0..members).for_each(|n| fleet.start(n));
+        fleet
     }
 
-    /// Starts a member with what its disk holds.
+    /// Starts a member with the content of its disk.
     fn start(&mut self, n: usize) {
         let machines = (0..self.members.len())
             .filter(|m| *m != n)
             .map(|m| m as Machine);
         let m = &mut self.members[n];
-        m.in_force = m.disk.entries().map(|e| (e.subject, e.at)).collect();
+        m.purge_times = m.disk.entries().map(|e| (e.subject, e.at)).collect();
         let process = self.links.now + n as u64;
         let mut replica = Replica::new(
             LogId::new(writer(n), m.epoch),
@@ -106,13 +108,13 @@
     fn kill(&mut self, n: usize) {
         let m = &mut self.members[n];
         (m.replica, m.stalled) = (None, None);
-        m.in_force.clear();
-        // What was not on the disk is lost, and the log does not continue an epoch of which others may know more.
+        m.purge_times.clear();
+        // Pending writes are lost.
         m.writes.clear();
         m.pending.clear();
     }
 
-    /// A new machine under the old name.
+    /// Replaces a member by a new machine of the same name, with an empty disk and a new epoch.
     fn lose_disk(&mut self, n: usize) {
         self.members[n].disk = LogStore::default();
         self.members[n].epoch = self.links.now;
@@ -126,8 +128,8 @@
         self.links.send(from, to, &bytes);
     }
 
-    /// A neighbour tells a member of a purge.
-    fn tell(&mut self, n: usize, subject: Subject) {
+    /// Appends and commits a purge at a member.
+    fn purge(&mut self, n: usize, subject: Subject) {
         let now = self.links.now;
         let Some(replica) = self.members[n].replica.as_mut() else {
             return;
@@ -139,26 +141,26 @@
             .open_commit(now, entry.index)
             .expect("there is capacity");
         self.members[n].pending.push((commit, subject.clone(), now));
-        self.put(n, &entry);
-        self.outgoing.insert(subject, now);
+        self.apply_entry(n, &entry);
+        self.purged.insert(subject, now);
         for to in (0..self.members.len()).filter(|to| *to != n) {
             self.send(n, to, &Datagram::Entry(entry.clone()));
         }
     }
 
-    fn put(&mut self, n: usize, entry: &Entry) {
+    fn apply_entry(&mut self, n: usize, entry: &Entry) {
         let m = &mut self.members[n];
-        let floor = m.in_force.entry(entry.subject.clone()).or_insert(0);
-        *floor = entry.at.max(*floor);
+        let purged_at = m.purge_times.entry(entry.subject.clone()).or_insert(0);
+        *purged_at = entry.at.max(*purged_at);
         m.writes
             .push_back((self.links.now + self.disk_us, entry.clone()));
         if self.disk_us == 0 {
-            self.write(n);
+            self.complete_write(n);
         }
     }
 
-    /// The disk has what it was given first.
-    fn write(&mut self, n: usize) {
+    /// Completes the oldest pending write.
+    fn complete_write(&mut self, n: usize) {
         let m = &mut self.members[n];
         let Some((_, entry)) = m.writes.pop_front() else {
             return;
@@ -167,7 +169,7 @@
         assert_eq!(
             taken,
             Insertion::New,
-            "what is written to the disk follows what stands there"
+            "entries must be written to the disk in order"
         );
         let outgoing = m
             .replica
@@ -180,7 +182,7 @@
         self.resolve_commits(n);
     }
 
-    /// A peer by its index among the others.
+    /// Sends a datagram to a peer by its index among the other members.
     fn send_to(&mut self, n: usize, peer: usize, message: &Datagram) {
         self.send(n, simnet::member_at(peer, n), message);
     }
@@ -205,26 +207,26 @@
                     let latest = self.committed.entry(subject).or_insert(0);
                     *latest = at.max(*latest);
                 }
-                Err(why) => self.rejected.push(why),
+                Err(reason) => self.rejected.push(reason),
             }
         }
     }
 
-    /// Commits given that nobody who runs holds at their time or later.
-    fn lost(&self) -> Vec<&Subject> {
+    /// Returns the committed purges that no running member has with their time or a later one.
+    fn lost_commits(&self) -> Vec<&Subject> {
         let runs = || self.members.iter().filter(|m| m.replica.is_some());
-        let is_held =
-            |subject: &Subject, at: &Micros| runs().any(|m| m.in_force.get(subject) >= Some(at));
+        let is_stored =
+            |subject: &Subject, at: &Micros| runs().any(|m| m.purge_times.get(subject) >= Some(at));
         self.committed
             .iter()
-            .filter(|(subject, at)| !is_held(subject, at))
+            .filter(|(subject, at)| !is_stored(subject, at))
             .map(|(subject, _)| subject)
             .collect()
     }
 
-    fn arrive(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
-        if let Some(waiting) = &mut self.members[to].stalled {
-            return waiting.push((from, bytes));
+    fn deliver(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
+        if let Some(queue) = &mut self.members[to].stalled {
+            return queue.push((from, bytes));
         }
         let now = self.links.now;
         let Some(replica) = self.members[to].replica.as_mut() else {
@@ -235,13 +237,13 @@
             simnet::peer_index(from, to),
             Datagram::decode(&bytes).expect("it is well formed"),
         );
-        received.new.iter().for_each(|e| self.put(to, e));
+        received.new.iter().for_each(|e| self.apply_entry(to, e));
         for e in &received.out_of_order {
-            let floor = self.members[to]
-                .in_force
+            let purged_at = self.members[to]
+                .purge_times
                 .entry(e.subject.clone())
                 .or_insert(0);
-            *floor = e.at.max(*floor);
+            *purged_at = e.at.max(*purged_at);
         }
         received.replies.iter().for_each(|d| self.send(to, from, d));
         self.resolve_commits(to);
@@ -264,8 +266,8 @@
             };
             let due = self.members.iter().enumerate().filter_map(due).min();
             match self.links.step(end, due) {
-                Step::Delivered { from, to, message } => self.arrive(from, to, message),
-                Step::Due(Due::Write(n)) => self.write(n),
+                Step::Delivered { from, to, message } => self.deliver(from, to, message),
+                Step::Due(Due::Write(n)) => self.complete_write(n),
                 Step::Due(Due::Tick(n)) => {
                     let now = self.links.now;
                     let messages = self.members[n]
@@ -283,18 +285,18 @@
         }
     }
 
-    fn go_on(&mut self, n: usize) {
+    fn resume(&mut self, n: usize) {
         for (from, bytes) in self.members[n].stalled.take().unwrap_or_default() {
-            self.arrive(from, n, bytes);
+            self.deliver(from, n, bytes);
         }
     }
 
-    /// How many members that run do not hold every purge at its time or later.
-    fn entries_after(&self) -> usize {
+    /// Returns the number of running members that are missing any purge.
+    fn lagging_members(&self) -> usize {
         let has_all = |m: &Member| {
-            self.outgoing
+            self.purged
                 .iter()
-                .all(|(subject, at)| m.in_force.get(subject) >= Some(at))
+                .all(|(subject, at)| m.purge_times.get(subject) >= Some(at))
         };
         self.members
             .iter()
@@ -303,7 +305,7 @@
     }
 }
 
-/// The acknowledgement of a log by a process.
+/// Returns an acknowledgement of a log.
 fn ack_of(process: u64, log: LogId, index: Index) -> Datagram {
     Datagram::Ack {
         process,
@@ -316,11 +318,11 @@
 }
 
 #[test]
-fn all_hear_at_once_where_nothing_is_lost_and_rest_is_cheap() {
-    let mut net = Net::new(16, 3, (0, 0, 5 * MS));
-    net.run(S);
+fn entries_reach_all_members_at_once_without_loss_and_idle_traffic_is_low() {
+    let mut fleet = Fleet::new(16, 3, (0, 0, 5 * MS));
+    fleet.run(S);
     for n in 0..40 {
-        net.tell(
+        fleet.purge(
             n as usize % 16,
             if n % 4 == 0 {
                 Subject::Group(n)
@@ -329,173 +331,179 @@
             },
         );
     }
-    net.run(10 * MS);
-    assert_eq!(net.entries_after(), 0);
-    net.run(10 * S);
-    let before = net.bytes;
-    net.run(10 * S);
-    let each = (net.bytes - before) / 16 / 10;
-    assert!(each < 1_200, "{each} bytes a member a second at rest");
+    fleet.run(10 * MS);
+    assert_eq!(fleet.lagging_members(), 0);
+    fleet.run(10 * S);
+    let before = fleet.bytes;
+    fleet.run(10 * S);
+    let bytes_per_s = (fleet.bytes - before) / 16 / 10;
+    assert!(
+        bytes_per_s < 1_200,
+        "an idle member sends {bytes_per_s} bytes per second"
+    );
 }
 
 #[test]
-fn losses_doubles_and_a_random_order_keep_nothing_from_anybody_for_long() {
+fn all_members_receive_all_entries_despite_loss_duplication_and_reordering() {
     for seed in 0..30 {
-        let mut net = Net::new(9, seed, (40, 30, 400 * MS));
+        let mut fleet = Fleet::new(9, seed, (40, 30, 400 * MS));
         for n in 0..60 {
-            net.tell((n % 9) as usize, object(n % 45));
-            net.run(30 * MS);
+            fleet.purge((n % 9) as usize, object(n % 45));
+            fleet.run(30 * MS);
         }
-        net.run(20 * S);
-        assert_eq!(net.entries_after(), 0, "seed {seed}");
+        fleet.run(20 * S);
+        assert_eq!(fleet.lagging_members(), 0, "seed {seed}");
     }
 }
 
-/// Many entries at once, as a long trigger makes, over links that lose a quarter: a lost datagram costs itself, and not
-/// all that were sent behind it, so that commits of them are given in time.
+/// A large trigger appends many entries at once. Only lost datagrams may be sent again, so that the commits do not time
+/// out.
 #[test]
-fn a_burst_over_links_that_lose_a_quarter_is_promised_in_time() {
+fn a_burst_over_lossy_links_is_committed_in_time() {
     for seed in 0..20 {
-        let mut net = Net::new(3, seed, (25, 10, 5 * MS));
-        net.run(S);
-        (0..300).for_each(|n| net.tell(0, object(n)));
-        net.run(net.options.commit_timeout_us);
+        let mut fleet = Fleet::new(3, seed, (25, 10, 5 * MS));
+        fleet.run(S);
+        (0..300).for_each(|n| fleet.purge(0, object(n)));
+        fleet.run(fleet.options.commit_timeout_us);
         assert_eq!(
-            (net.committed.len(), net.rejected.len()),
+            (fleet.committed.len(), fleet.rejected.len()),
             (300, 0),
             "seed {seed}"
         );
-        net.run(5 * S);
-        assert_eq!(net.entries_after(), 0, "seed {seed}");
-        let sent = net
+        fleet.run(5 * S);
+        assert_eq!(fleet.lagging_members(), 0, "seed {seed}");
+        let sent = fleet
             .members
             .iter()
             .flat_map(|m| &m.replica)
             .map(|c| c.counters().sent)
             .sum::<u64>();
-        // Two peers lost a quarter each; what is said twice a second makes up for a good part of the rest.
+        // Two peers each lose a quarter of the datagrams.
         assert!(sent < 3 * 300, "seed {seed}: {sent} were sent again");
     }
 }
 
-/// The writer is lost with what only it had, and what it sent behind that is known: nobody asks for the rest for ever.
+/// The writer is lost with an entry that no other member has, and members have a later entry of its log.
 #[test]
-fn what_nobody_has_any_more_is_asked_for_no_more_than_other_words_are_said() {
-    let mut net = Net::new(3, 5, (100, 0, MS));
-    net.run(S);
-    net.tell(0, object(1));
-    net.links.loss_percent = 0;
-    net.tell(0, object(2));
-    net.run(3 * MS);
-    net.kill(0);
-    net.run(10 * S);
-    let before = net.bytes;
-    net.run(10 * S);
-    let each = (net.bytes - before) / 2 / 10;
-    assert!(each < 600, "{each} bytes a member a second");
+fn gap_requests_for_lost_entries_are_as_infrequent_as_digests() {
+    let mut fleet = Fleet::new(3, 5, (100, 0, MS));
+    fleet.run(S);
+    fleet.purge(0, object(1));
+    fleet.links.loss_percent = 0;
+    fleet.purge(0, object(2));
+    fleet.run(3 * MS);
+    fleet.kill(0);
+    fleet.run(10 * S);
+    let before = fleet.bytes;
+    fleet.run(10 * S);
+    let bytes_per_s = (fleet.bytes - before) / 2 / 10;
+    assert!(
+        bytes_per_s < 600,
+        "each member sends {bytes_per_s} bytes per second"
+    );
     assert!(
-        net.members[1..]
+        fleet.members[1..]
             .iter()
-            .all(|m| m.in_force.contains_key(&object(2))),
-        "its floor holds"
+            .all(|m| m.purge_times.contains_key(&object(2))),
+        "the later purge is effective"
     );
 }
 
-/// Between the two of a cut link there is always a third.
 #[test]
-fn a_member_that_the_writer_can_not_reach_hears_by_way_of_others() {
-    let mut net = Net::new(4, 5, (0, 0, 5 * MS));
-    net.links.cut(0, 3);
-    (0..10).for_each(|n| net.tell(0, object(n)));
-    net.run(10 * MS);
-    assert_eq!(net.entries_after(), 1, "no message goes from 0 to 3");
-    net.run(6 * S);
-    assert_eq!(net.entries_after(), 0);
+fn a_member_that_the_writer_cannot_reach_receives_entries_from_others() {
+    let mut fleet = Fleet::new(4, 5, (0, 0, 5 * MS));
+    fleet.links.cut(0, 3);
+    (0..10).for_each(|n| fleet.purge(0, object(n)));
+    fleet.run(10 * MS);
+    assert_eq!(fleet.lagging_members(), 1, "the link from 0 to 3 is cut");
+    fleet.run(6 * S);
+    assert_eq!(fleet.lagging_members(), 0);
 }
 
 #[test]
-fn both_sides_of_a_split_agree_after_it_and_nothing_is_undone() {
+fn both_sides_of_a_partition_converge_after_it() {
     for seed in 0..20 {
-        let mut net = Net::new(5, seed, (10, 10, 50 * MS));
+        let mut fleet = Fleet::new(5, seed, (10, 10, 50 * MS));
         for a in 0..2 {
             for b in 2..5 {
-                net.links.cut(a, b);
-                net.links.cut(b, a);
+                fleet.links.cut(a, b);
+                fleet.links.cut(b, a);
             }
         }
         for n in 0..20 {
-            net.tell(n as usize % 5, object(n % 12));
-            net.run(100 * MS);
+            fleet.purge(n as usize % 5, object(n % 12));
+            fleet.run(100 * MS);
         }
-        // Each side is started again in it, one member with nothing.
+        // A member of each side restarts during the partition, one of them with an empty disk.
         for n in [1, 4] {
-            net.kill(n);
+            fleet.kill(n);
             if n == 4 {
-                net.lose_disk(n);
+                fleet.lose_disk(n);
             }
-            net.start(n);
+            fleet.start(n);
         }
-        net.run(3 * S);
-        net.links.restore();
-        net.run(15 * S);
-        assert_eq!(net.entries_after(), 0, "seed {seed}");
+        fleet.run(3 * S);
+        fleet.links.restore();
+        fleet.run(15 * S);
+        assert_eq!(fleet.lagging_members(), 0, "seed {seed}");
         assert!(
-            net.members
+            fleet
+                .members
                 .iter()
-                .all(|m| m.disk.checksum() == net.members[0].disk.checksum()),
-            "seed {seed}: one log_store"
+                .all(|m| m.disk.checksum() == fleet.members[0].disk.checksum()),
+            "seed {seed}: the logs differ"
         );
     }
 }
 
 #[test]
-fn who_was_away_or_lost_its_disk_has_all_again_and_its_own_promises_too() {
+fn a_member_that_was_down_or_lost_its_disk_recovers_all_entries() {
     for seed in 0..20 {
-        let mut net = Net::new(4, seed, (20, 10, 50 * MS));
-        (0..30).for_each(|n| net.tell(n as usize % 4, object(n)));
-        net.run(10 * S);
-        net.kill(2);
-        (30..200).for_each(|n| net.tell(0, object(n)));
-        net.run(S);
+        let mut fleet = Fleet::new(4, seed, (20, 10, 50 * MS));
+        (0..30).for_each(|n| fleet.purge(n as usize % 4, object(n)));
+        fleet.run(10 * S);
+        fleet.kill(2);
+        (30..200).for_each(|n| fleet.purge(0, object(n)));
+        fleet.run(S);
         if seed % 2 == 0 {
-            net.lose_disk(2);
+            fleet.lose_disk(2);
         }
-        net.start(2);
-        net.run(20 * S);
-        assert_eq!(net.entries_after(), 0, "seed {seed}");
-        // A new epoch writes beside the old one.
-        net.tell(2, object(500));
-        net.run(10 * S);
-        assert_eq!(net.entries_after(), 0, "seed {seed}");
+        fleet.start(2);
+        fleet.run(20 * S);
+        assert_eq!(fleet.lagging_members(), 0, "seed {seed}");
+        // The member appends to a log of its current epoch.
+        fleet.purge(2, object(500));
+        fleet.run(10 * S);
+        assert_eq!(fleet.lagging_members(), 0, "seed {seed}");
     }
 }
 
 #[test]
-fn who_stood_still_goes_on_and_catches_up() {
-    let mut net = Net::new(3, 1, (0, 0, 5 * MS));
-    net.members[1].stalled = Some(Vec::new());
-    (0..50).for_each(|n| net.tell(0, object(n)));
-    net.run(5 * S);
-    net.go_on(1);
-    net.run(5 * S);
-    assert_eq!(net.entries_after(), 0);
+fn a_stalled_member_catches_up() {
+    let mut fleet = Fleet::new(3, 1, (0, 0, 5 * MS));
+    fleet.members[1].stalled = Some(Vec::new());
+    (0..50).for_each(|n| fleet.purge(0, object(n)));
+    fleet.run(5 * S);
+    fleet.resume(1);
+    fleet.run(5 * S);
+    assert_eq!(fleet.lagging_members(), 0);
 }
 
 #[test]
-fn whole_fleets_of_many_sizes_agree_after_all_were_started_again_at_once() {
+fn fleets_converge_after_all_members_restart_at_once() {
     for members in [2, 16, 64] {
-        let mut net = Net::new(members, 11, (10, 5, 20 * MS));
-        (0..100).for_each(|n| net.tell(n as usize % members, object(n)));
-        net.run(300 * MS);
-        (0..members).for_each(|n| net.kill(n));
-        net.links.drop_in_flight();
-        (0..members).for_each(|n| net.start(n));
-        net.run(60 * S);
-        assert_eq!(net.entries_after(), 0, "{members}");
+        let mut fleet = Fleet::new(members, 11, (10, 5, 20 * MS));
+        (0..100).for_each(|n| fleet.purge(n as usize % members, object(n)));
+        fleet.run(300 * MS);
+        (0..members).for_each(|n| fleet.kill(n));
+        fleet.links.drop_in_flight();
+        (0..members).for_each(|n| fleet.start(n));
+        fleet.run(60 * S);
+        assert_eq!(fleet.lagging_members(), 0, "{members}");
     }
 }
 
-/// Options of a replica that stores two entries, and four that can't be moved.
+/// Returns options for a replica that stores two entries, and up to four that cannot be compacted.
 fn two_entries() -> Options {
     Options {
         max_exact_entries: 2,
@@ -504,7 +512,7 @@
     }
 }
 
-/// The first entry of another writer's log.
+/// Returns the first entry of another writer's log.
 fn first_of_another_log() -> Datagram {
     Datagram::Entry(Entry {
         log: LogId::new(2, 7),
@@ -516,21 +524,21 @@
     })
 }
 
-/// Memory is bounded by moving what the disk has to the table. What the disk does not take can't be moved: twice the
-/// bound of it is held, more is refused and said, and nothing that is held is let go.
+/// Only entries on the disk can be moved to the compact table. Without a working disk, twice the maximum number of
+/// entries is stored and further ones are rejected.
 #[test]
-fn what_the_disk_does_not_take_is_bounded_and_told_and_nothing_held_is_let_go() {
+fn unsynced_entries_are_limited_and_none_is_dropped() {
     const OWN: LogId = LogId::new(1, 7);
     let mut replica = Replica::new(OWN, LogStore::default(), 1, two_entries());
     for n in 1..=4 {
         replica.append(object(n), 4 + n, false).unwrap();
-        assert_eq!(replica.compact(100), None, "nothing is on the disk");
+        assert_eq!(replica.compact(100), None, "no entry is on the disk");
     }
     assert_eq!(replica.append(object(5), 9, false), Err(CapacityExceeded));
     assert_eq!(
         replica.append(object(1), 10, false),
         Err(CapacityExceeded),
-        "what is purged again is one more"
+        "a repeated purge is a further entry"
     );
     assert_eq!(
         (
@@ -549,7 +557,7 @@
         (1, 0, 1)
     );
     assert_eq!(replica.log_store().entries().count(), 4);
-    // The disk is back.
+    // The disk works again.
     (1..=4).for_each(|index| drop(replica.record_synced(OWN, index)));
     let now = 100 + S;
     let moved = replica.compact(now).expect("all but the last can be moved");
@@ -568,7 +576,7 @@
     assert_eq!(
         (again.rejected.len(), again.new.len()),
         (0, 1),
-        "who was refused comes again"
+        "the rejected entry is accepted when it is sent again"
     );
     let times = [(1, 5), (2, 6), (3, 7), (4, 8)];
     assert!(times
@@ -577,22 +585,21 @@
     assert_eq!(
         replica.log_store().latest_purge(&object(5)),
         None,
-        "it was refused"
+        "the purge was rejected"
     );
 }
 
-/// Forty times what is held exactly goes through one log: none is refused, and each is in force in the end.
 #[test]
-fn no_purge_is_refused_for_room_while_the_disk_takes_them() {
-    let few = Options {
+fn no_purge_is_rejected_for_capacity_while_the_disk_works() {
+    let options = Options {
         max_exact_entries: 64,
         ..Options::default()
     };
-    let mut replica = Replica::new(LogId::new(1, 7), LogStore::default(), 1, few);
+    let mut replica = Replica::new(LogId::new(1, 7), LogStore::default(), 1, options);
     for n in 1..=2_560 {
         let entry = replica
             .append(object(n), n * MS, false)
-            .expect("none is refused");
+            .expect("no purge is rejected");
         replica.record_synced(entry.log, entry.index);
         replica.compact(n * MS);
         assert!(replica.log_store().len() <= 64, "{n}");
@@ -605,132 +612,144 @@
     );
 }
 
-/// Machines are lost with their disks one after the other, at moments drawn from a seed, over links that lose, double and
-/// delay, some of them cut: what was committed is held by someone at every moment, and by all in the end.
+/// Machines are lost with their disks at random times, one after the other, over unreliable links. Each committed purge
+/// must always be stored by a running member, and finally by all members.
 #[test]
-fn what_was_promised_outlives_any_one_machine_at_any_moment() {
-    let (mut committed, mut rejected, mut epochs) = (0, 0, 0);
+fn commits_survive_the_loss_of_one_machine_at_any_time() {
+    let (mut committed, mut rejected, mut disk_losses) = (0, 0, 0);
     for seed in 0..400 {
-        let mut net = Net::new(5, seed, (20, 10, 30 * MS));
-        net.disk_us = 1 + net.links.draw(30 * MS);
-        net.run(S);
+        let mut fleet = Fleet::new(5, seed, (20, 10, 30 * MS));
+        fleet.disk_us = 1 + fleet.links.draw(30 * MS);
+        fleet.run(S);
         for n in 0..60 {
-            let (writer, other) = (net.links.draw(5) as usize, net.links.draw(5) as usize);
-            match net.links.draw(6) {
-                0 => net.links.cut(writer, other),
-                1 => net.links.restore(),
+            let (writer, other) = (fleet.links.draw(5) as usize, fleet.links.draw(5) as usize);
+            match fleet.links.draw(6) {
+                0 => fleet.links.cut(writer, other),
+                1 => fleet.links.restore(),
                 _ => {}
             }
-            net.tell(writer, object(n));
-            let pause = net.links.draw(80 * MS);
-            net.run(pause);
-            if net.links.draw(3) == 0 {
-                let lost = if net.links.draw(2) == 0 {
+            fleet.purge(writer, object(n));
+            let pause = fleet.links.draw(80 * MS);
+            fleet.run(pause);
+            if fleet.links.draw(3) == 0 {
+                let lost = if fleet.links.draw(2) == 0 {
                     writer
                 } else {
                     other
                 };
-                net.kill(lost);
-                net.lose_disk(lost);
+                fleet.kill(lost);
+                fleet.lose_disk(lost);
                 assert_eq!(
-                    net.lost(),
+                    fleet.lost_commits(),
                     Vec::<&Subject>::new(),
                     "seed {seed}, {n}: p{lost} was lost with its disk"
                 );
-                net.start(lost);
-                // The next machine is lost only once this one has all again.
-                net.links.restore();
-                net.run(10 * S);
-                epochs += 1;
+                fleet.start(lost);
+                // The next machine is lost only after this one has recovered.
+                fleet.links.restore();
+                fleet.run(10 * S);
+                disk_losses += 1;
             }
         }
-        net.links.restore();
-        net.run(20 * S);
+        fleet.links.restore();
+        fleet.run(20 * S);
         let everywhere = |m: &Member| {
-            net.committed
+            fleet
+                .committed
                 .iter()
-                .all(|(subject, at)| m.in_force.get(subject) >= Some(at))
+                .all(|(subject, at)| m.purge_times.get(subject) >= Some(at))
         };
-        assert!(net.members.iter().all(everywhere), "seed {seed}");
+        assert!(fleet.members.iter().all(everywhere), "seed {seed}");
         let replica = |m: &Member| m.replica.as_ref().map_or(0, Replica::under_replicated);
         assert_eq!(
-            net.members.iter().map(replica).sum::<usize>(),
+            fleet.members.iter().map(replica).sum::<usize>(),
             0,
-            "seed {seed}: none is short of replica"
+            "seed {seed}: no entry is under-replicated"
         );
-        committed += net.committed.len();
-        rejected += net.rejected.len();
+        committed += fleet.committed.len();
+        rejected += fleet.rejected.len();
     }
     assert!(
-        committed > 15_000 && epochs > 5_000,
-        "{committed} committed, {rejected} rejected, {epochs} lost"
+        committed > 15_000 && disk_losses > 5_000,
+        "{committed} committed, {rejected} rejected, {disk_losses} disks lost"
     );
 }
 
-/// A yes before the copy: with `wait: 0` the same losses do lose commits, so that the test above would see it.
+/// Checks that the test above detects lost commits.
 #[test]
-fn without_waiting_a_lost_machine_takes_promises_along() {
+fn commits_without_acknowledgements_are_lost_with_their_machine() {
     let mut lost = 0;
     for seed in 0..40 {
-        let mut net = Net::new(3, seed, (0, 0, 5 * MS));
-        net.options.min_acks = 0;
-        (0..3).for_each(|n| net.start(n));
-        net.links.cut(0, 1);
-        net.links.cut(0, 2);
-        net.tell(0, object(seed));
-        net.run(10 * MS);
-        assert_eq!(net.committed.len(), 1, "given on this disk alone");
-        net.kill(0);
-        net.lose_disk(0);
-        lost += net.lost().len();
+        let mut fleet = Fleet::new(3, seed, (0, 0, 5 * MS));
+        fleet.options.min_acks = 0;
+        (0..3).for_each(|n| fleet.start(n));
+        fleet.links.cut(0, 1);
+        fleet.links.cut(0, 2);
+        fleet.purge(0, object(seed));
+        fleet.run(10 * MS);
+        assert_eq!(
+            fleet.committed.len(),
+            1,
+            "committed on the local disk alone"
+        );
+        fleet.kill(0);
+        fleet.lose_disk(0);
+        lost += fleet.lost_commits().len();
     }
     assert_eq!(lost, 40);
 }
 
 #[test]
-fn a_side_that_reaches_no_further_machine_promises_nothing_and_says_why() {
-    let mut net = Net::new(3, 5, (0, 0, 5 * MS));
-    net.disk_us = MS;
-    net.run(S);
-    // One way: the entry arrives, and its acknowledgement does not come back.
-    net.links.cut(1, 0);
-    net.links.cut(2, 0);
-    net.tell(0, object(1));
-    net.run(900 * MS);
+fn commits_are_rejected_with_the_reason_if_no_other_machine_acknowledges() {
+    let mut fleet = Fleet::new(3, 5, (0, 0, 5 * MS));
+    fleet.disk_us = MS;
+    fleet.run(S);
+    // The entry arrives, but the acknowledgements are lost.
+    fleet.links.cut(1, 0);
+    fleet.links.cut(2, 0);
+    fleet.purge(0, object(1));
+    fleet.run(900 * MS);
     assert!(
-        net.rejected.is_empty() && net.committed.is_empty(),
-        "it waits"
+        fleet.rejected.is_empty() && fleet.committed.is_empty(),
+        "the commit is pending"
     );
-    net.run(200 * MS);
+    fleet.run(200 * MS);
     assert_eq!(
-        net.rejected,
+        fleet.rejected,
         [RejectReason::TooFewReplicas { have: 0, wanted: 1 }]
     );
     assert_eq!(
-        net.members[0].replica.as_ref().unwrap().under_replicated(),
+        fleet.members[0]
+            .replica
+            .as_ref()
+            .unwrap()
+            .under_replicated(),
         1
     );
-    net.links.restore();
-    net.run(2 * S);
+    fleet.links.restore();
+    fleet.run(2 * S);
     assert_eq!(
-        net.members[0].replica.as_ref().unwrap().under_replicated(),
+        fleet.members[0]
+            .replica
+            .as_ref()
+            .unwrap()
+            .under_replicated(),
         0,
-        "asked again until they are known to have it"
+        "the entry is sent again until it is acknowledged"
     );
-    net.tell(0, object(2));
-    net.run(100 * MS);
-    assert_eq!(net.committed.len(), 1);
+    fleet.purge(0, object(2));
+    fleet.run(100 * MS);
+    assert_eq!(fleet.committed.len(), 1);
 }
 
-/// Two proxies of one machine are one copy: the commit waits for another machine.
 #[test]
-fn copies_on_one_machine_count_once_and_those_on_ones_own_not_at_all() {
+fn peers_on_one_machine_count_once_and_those_on_the_own_machine_do_not_count() {
     let options = Options {
         min_acks: 2,
         ..Options::default()
     };
     let mut replica = Replica::new(LogId::new(1, 7), LogStore::default(), 1, options);
-    // Peers 0 and 1 stand on machine 20, peer 2 on this proxy's own, peer 3 on machine 30.
+    // Peers 0 and 1 run on machine 20, peer 2 on this proxy's own machine, and peer 3 on machine 30.
     replica.set_peers(10, vec![20, 20, 10, 30]);
     let entry = replica.append(object(1), 5, false).unwrap();
     replica.open_commit(100, entry.index).unwrap();
@@ -740,7 +759,7 @@
         replica.receive(NOW, peer, ack());
         assert_eq!(replica.resolve_commits(200), [], "{peer}");
     }
-    // What one has of another's log is no copy of this one's.
+    // An acknowledgement of another writer's log does not count.
     replica.receive(NOW, 3, ack_of(5, LogId::new(2, 7), 9));
     assert_eq!(
         (replica.resolve_commits(200), replica.under_replicated()),
@@ -757,9 +776,8 @@
     assert_eq!(replica.under_replicated(), 0);
 }
 
-/// A member's name and machine become known at any moment, also between an entry and its sync.
 #[test]
-fn an_ack_that_waits_for_the_disk_outlives_news_of_the_peers_machines() {
+fn pending_acknowledgements_are_retained_when_the_machine_of_a_peer_changes() {
     let mut replica = Replica::new(LogId::new(1, 7), LogStore::default(), 1, Options::default());
     replica.set_peers(10, vec![20, 30]);
     let entry = Entry {
@@ -780,7 +798,7 @@
             datagram: ack
         }]
     );
-    // One whose peer is no longer in the list has nobody to go to.
+    // An acknowledgement to a peer that was removed is dropped.
     let entry = Entry {
         log: LogId::new(2, 9),
         index: 2,
@@ -794,9 +812,9 @@
     assert_eq!(replica.record_synced(LogId::new(2, 9), 2), []);
 }
 
-/// The disk fails at the n-th write: that commit is refused at once, none behind it is given until it is there.
+/// The failed write also rejects the commits of later entries, which are not durable without the failed one.
 #[test]
-fn what_the_disk_did_not_take_is_refused_and_given_to_it_again() {
+fn a_failed_write_rejects_its_commit_and_is_retried() {
     let mut replica = Replica::new(LogId::new(1, 7), LogStore::default(), 1, Options::default());
     replica.set_peers(10, vec![20]);
     let all: Vec<Entry> = (1..=3)
@@ -819,14 +837,18 @@
         (1, false)
     );
     assert_eq!(replica.take_failed_syncs(), [all[1].clone()]);
-    assert_eq!(replica.take_failed_syncs(), [], "it is on its way");
+    assert_eq!(
+        replica.take_failed_syncs(),
+        [],
+        "the entry is already being written again"
+    );
     replica.record_synced(LogId::new(1, 7), 2);
     assert_eq!(
         (replica.durable_index(LogId::new(1, 7)), replica.is_synced()),
         (3, true)
     );
-    // A peer that asked meanwhile is acknowledged once all entries before its index are there.
-    let theirs = |index| Entry {
+    // A peer is sent an acknowledgement only once all entries through its index are synced.
+    let peer_entry = |index| Entry {
         log: LogId::new(2, 9),
         index,
         prev: index - 1,
@@ -834,11 +856,11 @@
         at: 1,
         revoked: false,
     };
-    (1..=2).for_each(|index| drop(replica.receive(NOW, 0, Datagram::Entry(theirs(index)))));
+    (1..=2).for_each(|index| drop(replica.receive(NOW, 0, Datagram::Entry(peer_entry(index)))));
     assert_eq!(
         replica.record_synced(LogId::new(2, 9), 2),
         [],
-        "the one before it is not there yet"
+        "the entry before it is not synced"
     );
     assert_eq!(
         replica.record_synced(LogId::new(2, 9), 1),
@@ -847,17 +869,16 @@
             datagram: ack_of(1, LogId::new(2, 9), 2)
         }]
     );
-    let again = replica.receive(NOW, 0, Datagram::Entry(theirs(1)));
+    let again = replica.receive(NOW, 0, Datagram::Entry(peer_entry(1)));
     assert_eq!(
         again.replies,
         [ack_of(1, LogId::new(2, 9), 2)],
-        "whoever asks again is acknowledged again"
+        "an entry that is sent again is acknowledged again"
     );
 }
 
-/// An acknowledgement that was overtaken, or of an earlier process, takes nothing back and adds nothing.
 #[test]
-fn a_late_word_of_what_a_peer_has_is_known_for_what_it_is() {
+fn delayed_acknowledgements_have_no_effect() {
     let mut replica = Replica::new(
         LogId::new(1, 7),
         LogStore::default(),
@@ -876,27 +897,31 @@
             index,
         }],
     };
-    let mut short_after = |message| {
+    let mut under_replicated_after = |message| {
         replica.receive(NOW, 0, message);
         replica.under_replicated()
     };
-    assert_eq!(short_after(ack(5, 3)), 0);
-    assert_eq!(short_after(ack(5, 1)), 0, "overtaken");
+    assert_eq!(under_replicated_after(ack(5, 3)), 0);
+    assert_eq!(
+        under_replicated_after(ack(5, 1)),
+        0,
+        "an older acknowledgement of the same process"
+    );
     assert_eq!(
-        short_after(ack(6, 1)),
+        under_replicated_after(ack(6, 1)),
         2,
-        "its next process has lost some of it"
+        "the next process of the peer has lost entries"
     );
     assert_eq!(
-        short_after(ack(5, 3)),
+        under_replicated_after(ack(5, 3)),
         2,
-        "and the one before has nothing to say any more"
+        "an acknowledgement of the previous process"
     );
-    assert_eq!(short_after(ack(6, 3)), 0);
+    assert_eq!(under_replicated_after(ack(6, 3)), 0);
 }
 
 #[test]
-fn a_promise_too_many_is_refused_at_once() {
+fn commits_beyond_the_maximum_are_rejected_at_once() {
     let mut replica = Replica::new(
         LogId::new(1, 7),
         LogStore::default(),
@@ -916,14 +941,14 @@
         replica.open_commit(3, entry.index),
         Err(RejectReason::TooManyPending)
     );
-    let within = Options::default().commit_timeout_us;
+    let timeout = Options::default().commit_timeout_us;
     assert_eq!(
-        replica.resolve_commits(1 + within).len(),
+        replica.resolve_commits(1 + timeout).len(),
         1,
-        "each in its own time"
+        "each commit has its own timeout"
     );
     assert_eq!(
-        replica.resolve_commits(2 + within),
+        replica.resolve_commits(2 + timeout),
         [CommitOutcome {
             commit: 2,
             result: Err(RejectReason::Disk)
@@ -937,30 +962,30 @@
     })]
 
     #[test]
-    fn any_bytes_are_a_datagram_or_an_error(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn any_bytes_are_decoded_or_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let _ = Datagram::decode(&bytes);
-        let mut marked = b"copies1 entry ".to_vec();
-        marked.extend(&bytes);
-        if let Ok(d) = Datagram::decode(&marked) {
+        let mut prefixed = b"copies1 entry ".to_vec();
+        prefixed.extend(&bytes);
+        if let Ok(d) = Datagram::decode(&prefixed) {
             prop_assert!(d.encode().is_some());
         }
     }
 
     #[test]
-    fn what_is_written_is_read_again(
+    fn encoded_datagrams_are_decoded(
         writer: u64,
         epoch: u64,
         index in 1u64..,
         at: u64,
         group: u64,
         positions in proptest::collection::vec(any::<(u64, u64, u64)>(), 0..5),
-        sum: u64,
+        any_checksum: u64,
     ) {
         let position = |(writer, epoch, index)| LogPosition { log: LogId::new(writer, epoch), index };
         let positions: Vec<LogPosition> = positions.into_iter().map(position).collect();
         let text = format!("{{\"a b\": \"{at}%\"}}");
-        let status = Subject::TriggerStatusPart { number: group, part: (sum % 70_000) as u16, text };
-        let gone = Subject::TriggerDeleted { writer: sum, number: group };
+        let status = Subject::TriggerStatusPart { number: group, part: (any_checksum % 70_000) as u16, text };
+        let gone = Subject::TriggerDeleted { writer: any_checksum, number: group };
         let ban = Subject::Ban(format!("pc-{group:x}"));
         let subjects = [Subject::Group(group), ban, Subject::Drain, object(group), status, gone];
         let revoked = matches!(group % 6, 1 | 2) && group % 12 > 5;
@@ -974,7 +999,7 @@
         let entry = Entry { log: LogId::new(writer, epoch), index, prev: index - 1, subject, at, revoked };
         let datagrams = [
             Datagram::Entry(entry),
-            Datagram::Digest { positions: positions.clone(), log_count: 9, checksum: sum },
+            Datagram::Digest { positions: positions.clone(), log_count: 9, checksum: any_checksum },
             Datagram::Ack { process: at, positions: positions.clone() },
             Datagram::DigestRequest,
             gap_request,
@@ -985,7 +1010,7 @@
             prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
             prop_assert_eq!(Datagram::decode(&bytes), Ok(d));
             for cut in 1..bytes.len() {
-                // Cut off it is torn, or tells less; it never reads as what it was.
+                // A truncated datagram is rejected or decoded to a different one.
                 prop_assert_ne!(Datagram::decode(&bytes[..cut]), Datagram::decode(&bytes));
             }
         }
