--- a/replication/tests/compaction/fleet.rs
+++ b/replication/tests/compaction/fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet on virtual time whose members compact, each with a disk that is written in order and late.
+//! A simulated fleet on virtual time. Its members compact their logs, and write to their disks in order and with a
+//! delay.
 
 use linnetknot_replication::*;
 use linnetknot_simnet::{self as simnet, Delay, Step, Timed};
@@ -12,15 +13,15 @@
 enum Write {
     Entry(Entry),
     Bucket(BucketIndex, Bucket),
-    /// All of a compaction's buckets and indexes; its entries are deleted once these are there.
+    /// The buckets and indexes of a compaction. Its entries are deleted after this write.
     Compaction(Compaction),
-    /// What a snapshot brought, once it is complete.
+    /// The compacted indexes of a complete snapshot.
     Snapshot(Vec<CompactedLog>),
-    /// Unless a later entry has its key by then.
+    /// Deletes an entry, unless a later entry has replaced it.
     Delete(Entry),
 }
 
-/// What is on a disk: of each log one entry on each subject, buckets, and how far logs are compacted.
+/// The content of a disk: one entry per log and subject, buckets, and the compacted indexes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Disk {
     entries: BTreeMap<(LogId, Subject), Entry>,
@@ -36,12 +37,12 @@
         }
     }
 
-    /// What a process that starts finds.
-    pub(crate) fn restore(&self, bits: BucketBits) -> LogStore {
-        let mut table = CompactTable::new(bits);
+    /// Returns the log store that a starting process restores.
+    pub(crate) fn restore(&self, bucket_bits: BucketBits) -> LogStore {
+        let mut table = CompactTable::new(bucket_bits);
         for (index, bucket) in &self.buckets {
             table
-                .merge_bucket(bits, *index, bucket)
+                .merge_bucket(bucket_bits, *index, bucket)
                 .expect("a bucket of this table");
         }
         let compacted = self.compacted.iter().map(|(log, through)| CompactedLog {
@@ -50,7 +51,7 @@
         });
         let entries = self.entries.values().cloned().collect();
         LogStore::restore(table, &compacted.collect::<Vec<_>>(), entries)
-            .expect("each index stands once")
+            .expect("the indexes are unique")
     }
 
     pub(crate) fn entries(&self) -> usize {
@@ -63,12 +64,12 @@
     pub epoch: Epoch,
     pub disk: Disk,
     writes: VecDeque<(Micros, Write)>,
-    /// It is of a version before snapshots.
-    pub is_old: bool,
-    /// What was in force when that was last looked at, of some subjects.
-    seen: BTreeMap<Subject, Micros>,
-    /// What it hears of before it can take it in.
-    pub floors: BTreeMap<Subject, Micros>,
+    /// Whether the member has a version without snapshots.
+    pub lacks_snapshots: bool,
+    /// The purge times of some subjects at the last check.
+    last_times: BTreeMap<Subject, Micros>,
+    /// The times of purges that arrived out of order or were rejected.
+    pub early_times: BTreeMap<Subject, Micros>,
     pub received_bytes: u64,
     pub received_chunks: u64,
 }
@@ -77,11 +78,11 @@
     pub links: simnet::Network<Vec<u8>>,
     pub members: Vec<Member>,
     pub options: Options,
-    pub bits: BucketBits,
+    pub bucket_bits: BucketBits,
     pub disk_us: Micros,
-    /// The latest time of every purge so far.
+    /// The latest time of each purge so far.
     pub purged: BTreeMap<Subject, Micros>,
-    pub refused: usize,
+    pub rejected_count: usize,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -94,7 +95,7 @@
     Subject::Object(format!("{n:016x}"))
 }
 
-pub(crate) fn purge(n: u64) -> Subject {
+pub(crate) fn purge_subject(n: u64) -> Subject {
     if n % 4 == 0 {
         Subject::Group(n)
     } else {
@@ -103,7 +104,7 @@
 }
 
 impl Fleet {
-    /// Members that hold so many entries; the first `running` of them run.
+    /// Creates a fleet whose members store at most `max_exact_entries`. The first `running` members are started.
     pub(crate) fn new(
         members: usize,
         running: usize,
@@ -124,19 +125,19 @@
             ),
             members: Vec::new(),
             options,
-            bits: BucketBits::DEFAULT,
+            bucket_bits: BucketBits::DEFAULT,
             disk_us: 2 * MS,
             purged: BTreeMap::new(),
-            refused: 0,
+            rejected_count: 0,
         };
         fleet.members.extend((0..members).map(|_| Member {
             replica: None,
             epoch: 0,
             disk: Disk::default(),
             writes: VecDeque::new(),
-            is_old: false,
-            seen: BTreeMap::new(),
-            floors: BTreeMap::new(),
+            lacks_snapshots: false,
+            last_times: BTreeMap::new(),
+            early_times: BTreeMap::new(),
             received_bytes: 0,
             received_chunks: 0,
         }));
@@ -144,14 +145,14 @@
         fleet
     }
 
-    /// Starts a member with what its disk holds, in a new epoch.
+    /// Starts a member with the content of its disk, in a new epoch.
     pub(crate) fn start(&mut self, n: usize) {
         let machines = (0..self.members.len())
             .filter(|m| *m != n)
             .map(|m| m as Machine);
-        let (now, bits, options) = (self.links.now, self.bits, self.options);
+        let (now, bucket_bits, options) = (self.links.now, self.bucket_bits, self.options);
         let member = &mut self.members[n];
-        let store = member.disk.restore(bits);
+        let store = member.disk.restore(bucket_bits);
         member.epoch = now + n as u64;
         let own = LogId::new(1_000 + n as u64, member.epoch);
         let mut replica = Replica::new(own, store, now + n as u64, options);
@@ -159,13 +160,13 @@
         member.replica = Some(replica);
     }
 
-    /// What was not on the disk is lost.
+    /// Stops a member. Its pending writes are lost.
     pub(crate) fn kill(&mut self, n: usize) {
         let member = &mut self.members[n];
         member.replica = None;
         member.writes.clear();
-        member.seen.clear();
-        member.floors.clear();
+        member.last_times.clear();
+        member.early_times.clear();
     }
 
     pub(crate) fn lose_disk(&mut self, n: usize) {
@@ -185,14 +186,14 @@
         self.links.send(from, to, &bytes);
     }
 
-    /// Tells a member of something.
+    /// Appends an entry at a member and sends it to all others.
     pub(crate) fn append(&mut self, n: usize, subject: Subject, revoked: bool) {
         let now = self.links.now;
         let Some(replica) = self.members[n].replica.as_mut() else {
             return;
         };
         let Ok(entry) = replica.append(subject.clone(), now, revoked) else {
-            self.refused += 1;
+            self.rejected_count += 1;
             return;
         };
         if subject.is_purge() {
@@ -205,7 +206,7 @@
         self.compact(n);
     }
 
-    pub(crate) fn tell(&mut self, n: usize, subject: Subject) {
+    pub(crate) fn purge(&mut self, n: usize, subject: Subject) {
         self.append(n, subject, false);
     }
 
@@ -225,8 +226,8 @@
         }
     }
 
-    /// The disk has what it was given first.
-    fn written(&mut self, n: usize) {
+    /// Completes the oldest pending write.
+    fn complete_write(&mut self, n: usize) {
         let member = &mut self.members[n];
         let Some((_, write)) = member.writes.pop_front() else {
             return;
@@ -270,7 +271,7 @@
                 if disk
                     .entries
                     .get(&key)
-                    .is_some_and(|there| there.index == entry.index)
+                    .is_some_and(|stored| stored.index == entry.index)
                 {
                     disk.entries.remove(&key);
                 }
@@ -283,17 +284,17 @@
         self.compact(n);
     }
 
-    fn arrive(&mut self, from: usize, to: usize, bytes: &[u8]) {
+    fn deliver(&mut self, from: usize, to: usize, bytes: &[u8]) {
         let member = &mut self.members[to];
         let Some(replica) = member.replica.as_mut() else {
             return;
         };
         let datagram = Datagram::decode(bytes).expect("it is well formed");
-        let is_of_snapshots = matches!(
+        let is_snapshot_datagram = matches!(
             datagram,
             Datagram::SnapshotOffer(_) | Datagram::SnapshotRequest(_) | Datagram::SnapshotChunk(_)
         );
-        if is_of_snapshots && member.is_old {
+        if is_snapshot_datagram && member.lacks_snapshots {
             return;
         }
         if matches!(datagram, Datagram::SnapshotChunk(_)) {
@@ -302,8 +303,8 @@
         }
         let received = replica.receive(self.links.now, simnet::peer_index(from, to), datagram);
         for entry in received.out_of_order.iter().chain(&received.rejected) {
-            let floor = member.floors.entry(entry.subject.clone()).or_default();
-            *floor = entry.at.max(*floor);
+            let purged_at = member.early_times.entry(entry.subject.clone()).or_default();
+            *purged_at = entry.at.max(*purged_at);
         }
         for merged in received.buckets {
             self.write(to, Write::Bucket(merged.index, merged.bucket));
@@ -338,8 +339,8 @@
             };
             let due = self.members.iter().enumerate().filter_map(due).min();
             match self.links.step(end, due) {
-                Step::Delivered { from, to, message } => self.arrive(from, to, &message),
-                Step::Due(Due::Write(n)) => self.written(n),
+                Step::Delivered { from, to, message } => self.deliver(from, to, &message),
+                Step::Due(Due::Write(n)) => self.complete_write(n),
                 Step::Due(Due::Tick(n)) => self.tick(n),
                 Step::Finished => return,
             }
@@ -358,20 +359,20 @@
         self.compact(n);
     }
 
-    /// Runs on until all members that run have the same logs, or the time is over. Gives how long it took.
-    pub(crate) fn settle(&mut self, within: Micros) -> Micros {
-        let begin = self.links.now;
-        while !self.agree() {
+    /// Runs until all running members have the same logs. Returns the duration, and panics on a timeout.
+    pub(crate) fn run_until_converged(&mut self, timeout: Micros) -> Micros {
+        let start = self.links.now;
+        while !self.has_converged() {
             assert!(
-                self.links.now < begin + within,
-                "no agreement within {within} us"
+                self.links.now < start + timeout,
+                "the members did not converge within {timeout} us"
             );
             self.run(100 * MS);
         }
-        self.links.now - begin
+        self.links.now - start
     }
 
-    pub(crate) fn agree(&self) -> bool {
+    pub(crate) fn has_converged(&self) -> bool {
         let mut sums = self
             .members
             .iter()
@@ -381,8 +382,8 @@
         sums.all(|sum| Some(sum) == first)
     }
 
-    /// Counts the purges by a time that a member does not have at their time or later, in its own logs and table.
-    pub(crate) fn missing(&self, n: usize, until: Micros) -> usize {
+    /// Returns the number of purges until a time that a member does not have with their time or a later one.
+    pub(crate) fn missing_purges(&self, n: usize, until: Micros) -> usize {
         let store = self.replica(n).log_store();
         let has = |(subject, at): &(&Subject, &Micros)| {
             **at > until || store.latest_purge(subject) >= Some(**at)
@@ -390,7 +391,7 @@
         self.purged.iter().filter(|purge| !has(purge)).count()
     }
 
-    /// Every purge so far is in force at every member that runs, and comes back from its disk.
+    /// Checks that every running member has all purges, and that its disk would restore them.
     pub(crate) fn check(&self) {
         for (n, member) in self
             .members
@@ -399,13 +400,13 @@
             .filter(|(_, m)| m.replica.is_some())
         {
             assert_eq!(
-                self.missing(n, Micros::MAX),
+                self.missing_purges(n, Micros::MAX),
                 0,
                 "p{n} of {}",
                 self.purged.len()
             );
             if member.writes.is_empty() {
-                let restored = member.disk.restore(self.bits);
+                let restored = member.disk.restore(self.bucket_bits);
                 let lost = self
                     .purged
                     .iter()
@@ -420,8 +421,8 @@
         }
     }
 
-    /// What is in force of every `step`-th subject has not fallen since this was last asked.
-    pub(crate) fn check_not_fallen(&mut self, step: usize) {
+    /// Checks that the purge time of every `step`-th subject has not decreased since the last check.
+    pub(crate) fn check_times_not_decreased(&mut self, step: usize) {
         for (n, member) in self.members.iter_mut().enumerate() {
             let Some(replica) = &member.replica else {
                 continue;
@@ -429,15 +430,15 @@
             for subject in self.purged.keys().step_by(step) {
                 let Some(now) = replica.log_store().latest_purge(subject) else {
                     assert!(
-                        !member.seen.contains_key(subject),
-                        "p{n}: {subject:?} is gone"
+                        !member.last_times.contains_key(subject),
+                        "p{n}: the purge of {subject:?} is missing"
                     );
                     continue;
                 };
-                let before = member.seen.insert(subject.clone(), now);
+                let before = member.last_times.insert(subject.clone(), now);
                 assert!(
                     before <= Some(now),
-                    "p{n}: {subject:?} fell from {before:?} to {now}"
+                    "p{n}: the time of {subject:?} decreased from {before:?} to {now}"
                 );
             }
         }
--- a/replication/tests/compaction/main.rs
+++ b/replication/tests/compaction/main.rs
@@ -1,19 +1,23 @@
-//! Compaction and snapshots in fleets on virtual time. An independent record has every purge; every
-//! member must hold each of them at its time or later, also as its disk would give it back, and what it holds of one
-//! never falls.
+//! Compaction and snapshots in fleets on virtual time. Every member must have each purge with its time or a later one,
+//! both in memory and in the state that its disk would restore, and the time of a purge must never decrease.
 
 mod fleet;
 
-use fleet::{object, purge, Fleet, MS, S};
+use fleet::{object, purge_subject, Fleet, MS, S};
 use linnetknot_replication::*;
 
-/// So many purges in turn at the members of a side, one every so often.
-fn tell(fleet: &mut Fleet, side: &[usize], numbers: std::ops::Range<u64>, every: Micros) {
+/// Appends purges at the members of a side in turn, at an interval.
+fn purge_in_turn(
+    fleet: &mut Fleet,
+    side: &[usize],
+    numbers: std::ops::Range<u64>,
+    interval: Micros,
+) {
     for n in numbers {
-        fleet.tell(side[n as usize % side.len()], purge(n));
-        fleet.run(every);
+        fleet.purge(side[n as usize % side.len()], purge_subject(n));
+        fleet.run(interval);
         if n % 500 == 0 {
-            fleet.check_not_fallen(16);
+            fleet.check_times_not_decreased(16);
         }
     }
 }
@@ -22,22 +26,22 @@
     fleet.replica(n).counters().snapshots_received
 }
 
-/// 400 purges a second for a minute at 64 members, sixteen times what each holds as entries.
+/// 400 purges per second for a minute at 64 members, which is 16 times the number that each stores as entries.
 #[test]
-fn no_purge_of_a_busy_fleet_is_refused_and_all_are_in_force_everywhere() {
+fn no_purge_of_a_busy_fleet_is_rejected_and_all_members_have_all_purges() {
     let mut fleet = Fleet::new(64, 64, 1_500, 3);
     let all: Vec<usize> = (0..64).collect();
     for second in 0..60 {
         for n in 0..400 {
             let n = second * 400 + n;
-            fleet.tell(all[n as usize % 64], purge(n));
+            fleet.purge(all[n as usize % 64], purge_subject(n));
             fleet.run(S / 400);
         }
-        fleet.check_not_fallen(64);
+        fleet.check_times_not_decreased(64);
     }
-    fleet.settle(60 * S);
+    fleet.run_until_converged(60 * S);
     fleet.run(S);
-    assert_eq!((fleet.refused, fleet.purged.len()), (0, 24_000));
+    assert_eq!((fleet.rejected_count, fleet.purged.len()), (0, 24_000));
     for n in all {
         let counters = fleet.replica(n).counters();
         assert!(
@@ -52,43 +56,42 @@
 }
 
 #[test]
-fn a_member_that_was_away_for_longer_than_the_window_holds_every_purge_ever_told() {
-    for (seed, lost_disk) in [(1, false), (2, true), (3, false), (4, true)] {
+fn a_member_that_missed_compacted_purges_recovers_all_of_them() {
+    for (seed, loses_disk) in [(1, false), (2, true), (3, false), (4, true)] {
         let mut fleet = Fleet::new(4, 4, 200, seed);
-        tell(&mut fleet, &[0, 1, 2, 3], 0..300, 5 * MS);
+        purge_in_turn(&mut fleet, &[0, 1, 2, 3], 0..300, 5 * MS);
         fleet.run(S);
         fleet.kill(3);
-        if lost_disk {
+        if loses_disk {
             fleet.lose_disk(3);
         }
-        tell(&mut fleet, &[0, 1, 2], 300..2_000, 5 * MS);
+        purge_in_turn(&mut fleet, &[0, 1, 2], 300..2_000, 5 * MS);
         fleet.start(3);
         fleet.run(S);
         assert!(
             fleet.replica(3).is_catching_up() || snapshots(&fleet, 3) > 0,
             "seed {seed}"
         );
-        tell(&mut fleet, &[0, 1, 2, 3], 2_000..2_300, 5 * MS);
-        fleet.settle(60 * S);
+        purge_in_turn(&mut fleet, &[0, 1, 2, 3], 2_000..2_300, 5 * MS);
+        fleet.run_until_converged(60 * S);
         fleet.run(S);
         assert!(
             snapshots(&fleet, 3) >= 1 && !fleet.replica(3).is_catching_up(),
             "seed {seed}"
         );
         fleet.check();
-        // And again from its disk alone.
+        // The disk also has all purges.
         fleet.kill(3);
         fleet.start(3);
-        assert_eq!(fleet.missing(3, Micros::MAX), 0, "seed {seed}");
+        assert_eq!(fleet.missing_purges(3, Micros::MAX), 0, "seed {seed}");
     }
 }
 
-/// It has every floor before its logs are the same as a peer's, and is not caught up before that.
 #[test]
-fn a_late_joiner_has_every_floor_before_it_counts_as_recovered() {
+fn a_new_member_has_all_purges_before_it_stops_catching_up() {
     for seed in 0..6 {
         let mut fleet = Fleet::new(3, 2, 100, seed);
-        tell(&mut fleet, &[0, 1], 0..3_000, 2 * MS);
+        purge_in_turn(&mut fleet, &[0, 1], 0..3_000, 2 * MS);
         fleet.run(S);
         let purged_at = fleet.links.now;
         fleet.start(2);
@@ -98,10 +101,10 @@
             let is_catching_up = fleet.replica(2).is_catching_up();
             if was_catching_up && !is_catching_up {
                 let store = fleet.replica(2).log_store();
-                let reached = |n| reached(fleet.replica(n).log_store(), store);
+                let is_caught_up_with = |n| has_compacted_logs(fleet.replica(n).log_store(), store);
                 assert!(
-                    reached(0) || reached(1),
-                    "seed {seed}: all of the one that offered it"
+                    is_caught_up_with(0) || is_caught_up_with(1),
+                    "seed {seed}: not caught up with the sender of the snapshot"
                 );
             }
             was_catching_up |= is_catching_up;
@@ -109,47 +112,47 @@
         }
         assert!(was_catching_up, "seed {seed}");
         assert_eq!(
-            fleet.missing(2, purged_at),
+            fleet.missing_purges(2, purged_at),
             0,
-            "seed {seed}: equal sums mean that nothing is missing"
+            "seed {seed}: purges are missing although the checksums are equal"
         );
         fleet.run(S);
         fleet.check();
     }
 }
 
-/// Whether a store has all logs of another as far as they are compacted there.
-fn reached(other: &LogStore, store: &LogStore) -> bool {
+/// Returns whether `store` has all logs of `other` through their compacted indexes.
+fn has_compacted_logs(other: &LogStore, store: &LogStore) -> bool {
     let mut compacted = other.compacted_logs(LogId::default());
     compacted.all(|compacted| store.last_index(compacted.log) >= compacted.through)
 }
 
 #[test]
-fn a_region_returns_after_both_sides_have_compacted() {
+fn both_sides_of_a_partition_that_have_compacted_converge() {
     for seed in 0..4 {
         let mut fleet = Fleet::new(6, 6, 150, seed);
-        tell(&mut fleet, &[0, 1, 2, 3, 4, 5], 0..100, 5 * MS);
+        purge_in_turn(&mut fleet, &[0, 1, 2, 3, 4, 5], 0..100, 5 * MS);
         fleet.run(S);
         fleet.links.partition(6, &[0, 1, 2]);
         for n in (100..2_100).step_by(100) {
-            tell(&mut fleet, &[0, 1, 2], n..n + 50, 5 * MS);
-            tell(&mut fleet, &[3, 4, 5], n + 50..n + 100, 5 * MS);
+            purge_in_turn(&mut fleet, &[0, 1, 2], n..n + 50, 5 * MS);
+            purge_in_turn(&mut fleet, &[3, 4, 5], n + 50..n + 100, 5 * MS);
         }
         fleet.run(S);
         fleet.links.restore();
-        fleet.settle(120 * S);
+        fleet.run_until_converged(120 * S);
         fleet.run(S);
-        let received: u64 = (0..6).map(|n| snapshots(&fleet, n)).sum();
-        assert!(received >= 6, "seed {seed}: {received}");
+        let received_snapshots: u64 = (0..6).map(|n| snapshots(&fleet, n)).sum();
+        assert!(received_snapshots >= 6, "seed {seed}: {received_snapshots}");
         fleet.check();
     }
 }
 
 #[test]
-fn a_snapshot_comes_through_over_links_that_lose_double_and_reorder() {
+fn a_snapshot_is_received_despite_loss_duplication_and_reordering() {
     for seed in 0..8 {
         let mut fleet = Fleet::new(3, 2, 100, seed);
-        tell(&mut fleet, &[0, 1], 0..2_500, MS);
+        purge_in_turn(&mut fleet, &[0, 1], 0..2_500, MS);
         fleet.run(S);
         (
             fleet.links.loss_percent,
@@ -157,26 +160,26 @@
             fleet.links.delay.jitter_us,
         ) = (30, 20, 150 * MS);
         fleet.start(2);
-        tell(&mut fleet, &[0, 1, 2], 2_500..2_700, 20 * MS);
-        fleet.settle(120 * S);
+        purge_in_turn(&mut fleet, &[0, 1, 2], 2_500..2_700, 20 * MS);
+        fleet.run_until_converged(120 * S);
         fleet.run(2 * S);
         assert!(snapshots(&fleet, 2) >= 1, "seed {seed}");
         fleet.check();
     }
 }
 
-/// The sender is another process in the middle, with its disk or without; or it does not come back.
+/// The sender restarts during the transfer, with or without its disk, or fails permanently.
 #[test]
-fn a_sender_that_restarts_or_goes_in_the_middle_of_a_snapshot_is_replaced() {
+fn a_snapshot_is_received_although_its_sender_restarts_or_fails() {
     for seed in 0..12 {
         let mut fleet = Fleet::new(3, 2, 100, seed);
-        // A slow snapshot, so that there is a middle.
+        // A low rate makes the transfer long enough.
         fleet.options.snapshot_bytes_per_s = 20_000;
         (0..2).for_each(|n| {
             fleet.kill(n);
             fleet.start(n);
         });
-        tell(&mut fleet, &[0, 1], 0..2_500, MS);
+        purge_in_turn(&mut fleet, &[0, 1], 0..2_500, MS);
         fleet.run(S);
         fleet.start(2);
         while fleet.members[2].received_chunks < 40 + 10 * seed {
@@ -201,12 +204,12 @@
             fleet.run(50 * MS);
             fleet.start(sender);
         }
-        fleet.settle(120 * S);
-        // Another snapshot may be on its way still, of the sender's next process.
-        let settled = fleet.links.now;
+        fleet.run_until_converged(120 * S);
+        // Another snapshot, of the sender's next process, may still be in progress.
+        let converged_at = fleet.links.now;
         while fleet.replica(2).is_catching_up() {
             fleet.run(100 * MS);
-            assert!(fleet.links.now < settled + 60 * S, "seed {seed}");
+            assert!(fleet.links.now < converged_at + 60 * S, "seed {seed}");
         }
         assert!(snapshots(&fleet, 2) >= 1, "seed {seed}");
         fleet.run(S);
@@ -214,11 +217,10 @@
     }
 }
 
-/// What is no purge stays as it is, and comes with the snapshot.
 #[test]
-fn what_operators_decided_and_statuses_come_with_a_snapshot() {
+fn a_snapshot_contains_operator_decisions_and_trigger_statuses() {
     let mut fleet = Fleet::new(3, 2, 100, 9);
-    let piece = |part, text: &str| Subject::TriggerStatusPart {
+    let status_part = |part, text: &str| Subject::TriggerStatusPart {
         number: 77,
         part,
         text: text.to_owned(),
@@ -226,8 +228,8 @@
     let ban = || Subject::Ban("pc-1".into());
     fleet.append(0, ban(), false);
     fleet.append(0, Subject::Drain, false);
-    fleet.append(0, piece(0, &"a".repeat(112)), false);
-    fleet.append(0, piece(1, "b"), false);
+    fleet.append(0, status_part(0, &"a".repeat(112)), false);
+    fleet.append(0, status_part(1, "b"), false);
     fleet.append(
         1,
         Subject::TriggerDeleted {
@@ -236,11 +238,11 @@
         },
         false,
     );
-    tell(&mut fleet, &[0, 1], 0..300, 5 * MS);
+    purge_in_turn(&mut fleet, &[0, 1], 0..300, 5 * MS);
     fleet.append(0, Subject::Drain, true);
-    tell(&mut fleet, &[0, 1], 300..1_500, 5 * MS);
+    purge_in_turn(&mut fleet, &[0, 1], 300..1_500, 5 * MS);
     fleet.start(2);
-    fleet.settle(60 * S);
+    fleet.run_until_converged(60 * S);
     fleet.run(S);
     fleet.check();
     let store = fleet.replica(2).log_store();
@@ -257,62 +259,57 @@
         })
         .is_some());
     assert_eq!(snapshots(&fleet, 2), 1);
-    assert!(fleet.replica(2).is_synced(), "and it is all on its disk");
+    assert!(fleet.replica(2).is_synced(), "all of it is on the disk");
 }
 
-/// A full table takes its time: no second brings more than the stated rate, and the sender's share is bounded too.
 #[test]
-fn a_snapshot_keeps_its_pace() {
+fn a_snapshot_is_received_at_a_limited_rate() {
     let mut fleet = Fleet::new(2, 1, 2_000, 5);
-    fleet.bits = BucketBits::new(12).expect("possible");
+    fleet.bucket_bits = BucketBits::new(12).expect("a valid size");
     fleet.kill(0);
     fleet.start(0);
     for n in 0..60_000 {
-        fleet.tell(0, object(n));
+        fleet.purge(0, object(n));
         if n % 100 == 0 {
             fleet.run(5 * MS);
         }
     }
     fleet.run(S);
-    assert_eq!(fleet.refused, 0);
+    assert_eq!(fleet.rejected_count, 0);
     fleet.start(1);
-    let begin = fleet.links.now;
+    let start = fleet.links.now;
     while snapshots(&fleet, 1) == 0 {
         let before = fleet.members[1].received_bytes;
         fleet.run(S);
         let bytes = fleet.members[1].received_bytes - before;
         assert!(bytes <= 262_144 + 16_384, "{bytes} bytes in a second");
     }
-    let (took, bytes) = (fleet.links.now - begin, fleet.members[1].received_bytes);
-    println!("{bytes} bytes of a snapshot in {took} us");
-    assert!(took <= 3 * S, "{took}");
+    let (duration, bytes) = (fleet.links.now - start, fleet.members[1].received_bytes);
+    println!("{bytes} bytes of a snapshot in {duration} us");
+    assert!(duration <= 3 * S, "{duration}");
 }
 
-/// A peer of a version before snapshots hears each purge as it is told, and is named to the operators.
 #[test]
-fn an_older_peer_hears_what_is_told_and_is_reported_once_it_was_away_too_long() {
+fn a_peer_without_snapshots_receives_new_purges_and_is_reported_if_it_missed_older_ones() {
     let mut fleet = Fleet::new(2, 2, 100, 4);
-    fleet.members[1].is_old = true;
-    tell(&mut fleet, &[0], 0..150, 5 * MS);
-    fleet.settle(10 * S);
+    fleet.members[1].lacks_snapshots = true;
+    purge_in_turn(&mut fleet, &[0], 0..150, 5 * MS);
+    fleet.run_until_converged(10 * S);
     fleet.check();
     assert_eq!(fleet.replica(0).peers_without_snapshot(), [0usize; 0]);
     fleet.kill(1);
-    tell(&mut fleet, &[0], 150..1_000, 5 * MS);
+    purge_in_turn(&mut fleet, &[0], 150..1_000, 5 * MS);
     fleet.start(1);
     let returned = fleet.links.now;
-    tell(&mut fleet, &[0], 1_000..1_010, 5 * MS);
+    purge_in_turn(&mut fleet, &[0], 1_000..1_010, 5 * MS);
     fleet.run(60 * S);
     assert_eq!(
         fleet.replica(0).peers_without_snapshot(),
         [0],
-        "it never answers an offer"
+        "the peer never answers an offer"
     );
     let since = fleet.purged.iter().filter(|(_, at)| **at >= returned);
-    let in_force = since.filter(|(subject, at)| fleet.members[1].floors.get(subject) >= Some(at));
-    assert_eq!(
-        in_force.count(),
-        10,
-        "what is told from now on it puts in force"
-    );
+    let effective =
+        since.filter(|(subject, at)| fleet.members[1].early_times.get(subject) >= Some(at));
+    assert_eq!(effective.count(), 10, "new purges are effective");
 }
--- a/replication/tests/compaction_model.rs
+++ b/replication/tests/compaction_model.rs
@@ -48,16 +48,16 @@
     compacted: BTreeMap<LogId, Index>,
 }
 
-fn bits() -> BucketBits {
+fn bucket_bits() -> BucketBits {
     BucketBits::MIN
 }
 
 impl Disk {
     fn restore(&self) -> LogStore {
-        let mut table = CompactTable::new(bits());
+        let mut table = CompactTable::new(bucket_bits());
         for (index, bucket) in &self.buckets {
             table
-                .merge_bucket(bits(), *index, bucket)
+                .merge_bucket(bucket_bits(), *index, bucket)
                 .expect("a bucket of this table");
         }
         let logs = self.compacted.iter().map(|(log, through)| CompactedLog {
