--- a/daemon/src/core/mod.rs
+++ b/daemon/src/core/mod.rs
@@ -51,7 +51,7 @@
     /// Classes whose requests must carry an idempotency key.
     keyed_classes: Vec<String>,
     /// How long before its deadline a request is answered, so that the answer still reaches the client.
-    answer_ahead_us: Micros,
+    response_margin_us: Micros,
     /// The decision module's actions, empty between two events: kept for its allocation.
     actions: Vec<Action>,
     commands: Vec<Command>,
@@ -83,7 +83,7 @@
             shutdown_deadline: Micros::MAX,
             requests: RequestTable::new(limits),
             caches: CacheTable::default(),
-            answer_ahead_us: limits.answer_ahead_us,
+            response_margin_us: limits.response_margin_us,
             actions: Vec::new(),
             commands: Vec::new(),
             counters: Counters::default(),
@@ -137,7 +137,7 @@
     }
 
     /// Id on the wire of a cache, for the log; `-` where it is gone.
-    pub fn uid(&self, id: ServerId) -> &str {
+    pub fn wire_id_or_dash(&self, id: ServerId) -> &str {
         self.wire_id(id).unwrap_or("-")
     }
 
@@ -203,7 +203,7 @@
     pub fn wake(&mut self, now: Micros, wake: Wake) {
         match wake {
             Wake::Router(tag) => self.drive(now, Event::Timer { tag }),
-            Wake::Attempt(attempt) => self.give_up(now, attempt, Outcome::Timeout),
+            Wake::Attempt(attempt) => self.cancel(now, attempt, Outcome::Timeout),
             Wake::Request(key) => self.expire(now, key),
         }
     }
@@ -232,7 +232,7 @@
                     request: Key::from_u64(request),
                     number: attempt,
                 };
-                self.give_up(now, attempt, Outcome::Cancelled);
+                self.cancel(now, attempt, Outcome::Cancelled);
             }
             Action::Refuse {
                 request,
--- a/daemon/src/daemon/admin.rs
+++ b/daemon/src/daemon/admin.rs
@@ -8,7 +8,7 @@
 use super::commits::OperatorDecision;
 use super::{Connection, ConnectionKind, Daemon, Timer};
 use crate::fleet;
-use crate::net::{Conn, FailureKind, Key};
+use crate::net::{FailureKind, Key, TcpConnection};
 use linnetknot::{ListMode, Micros, State};
 use linnetknot_ops::state::SWEEP_US;
 use linnetknot_ops::{Call, Drain, Effect, Outcome, Parser, Reply};
@@ -69,14 +69,14 @@
                 }
             };
             has_evicted = false;
-            if self.admin_connection_count >= self.limits.admin_callers {
+            if self.admin_connection_count >= self.limits.max_admin_connections {
                 self.evict_oldest_admin_connection(now);
             }
-            let Ok(conn) = Conn::new(
+            let Ok(conn) = TcpConnection::new(
                 socket,
                 true,
-                self.limits.admin_input,
-                self.limits.admin_output,
+                self.limits.admin_input_buffer_bytes,
+                self.limits.admin_output_buffer_bytes,
             ) else {
                 continue;
             };
@@ -90,7 +90,7 @@
             {
                 self.admin_connection_count += 1;
                 self.deadlines
-                    .set(now + self.limits.admin_call_us, Timer::AdminTimeout(key));
+                    .set(now + self.limits.admin_timeout_us, Timer::AdminTimeout(key));
             }
         }
     }
--- a/daemon/src/daemon/commits/mod.rs
+++ b/daemon/src/daemon/commits/mod.rs
@@ -11,7 +11,7 @@
 use super::{Connection, ConnectionKind, Daemon, Timer};
 use crate::front::cdni::{Effect, Response, TriggerId};
 use crate::ledger::AppendError;
-use crate::net::{Due, Key};
+use crate::net::{DeadlineId, Key};
 use linnetknot::Micros;
 use linnetknot_replication::{CommitId, Index, Recovery, RejectReason};
 use operators::OperatorResponse;
@@ -55,12 +55,12 @@
     responses: BTreeMap<CommitId, PendingResponse>,
     /// The recovery of a proxy that started without its store.
     pub(super) recovery: Option<Recovery>,
-    pub(super) recovery_due: Option<Due>,
+    pub(super) recovery_due: Option<DeadlineId>,
     /// The wait for a snapshot, if this proxy is behind what its peers have compacted.
     pub(super) snapshot: Option<SnapshotWait>,
     /// The number of peers that did not answer the offer of a snapshot, at the last tick.
     pub(super) peers_without_snapshot: usize,
-    pub(super) replication_due: Option<Due>,
+    pub(super) replication_due: Option<DeadlineId>,
     /// The number of under-replicated entries at the last tick.
     pub(super) under_replicated: usize,
 }
--- a/daemon/src/daemon/event_loop.rs
+++ b/daemon/src/daemon/event_loop.rs
@@ -5,7 +5,7 @@
 use super::turn::MAX_WAIT_US;
 use super::Daemon;
 use crate::core::{Command, Wake};
-use crate::net::{spells, Key, Ready};
+use crate::net::{failure_log, Key, ReadyEvent};
 use linnetknot::Micros;
 use std::io;
 
@@ -62,16 +62,16 @@
             ready.sort_by_key(|event| self.event_priority(event));
             let interrupted = self.run_turn(&mut ready);
             self.turn.end_turn(interrupted);
-            spells::log_ended();
+            failure_log::log_ended();
         }
-        spells::log_rest();
+        failure_log::log_all();
         self.finish();
         Ok(())
     }
 
     /// Runs one turn: handles the ready events, then the timers that are due. Returns true if the turn was
     /// interrupted because its events are stale; epoll reports the unhandled ones again.
-    fn run_turn(&mut self, ready: &mut Vec<Ready>) -> bool {
+    fn run_turn(&mut self, ready: &mut Vec<ReadyEvent>) -> bool {
         for event in ready.drain(..) {
             if self.turn.is_stale(self.clock.now()) {
                 return true;
@@ -92,7 +92,7 @@
     /// Returns the priority of an event; lower values are handled first. Closed client connections come first, then
     /// updates from operators, peers and other exchanges, then client input, then new connections, and last the
     /// responses of cache servers, which may start further attempts.
-    fn event_priority(&self, event: &Ready) -> u8 {
+    fn event_priority(&self, event: &ReadyEvent) -> u8 {
         match event.token {
             SIGTERM_TOKEN | SIGHUP_TOKEN | PEERS_TOKEN | ADMIN_LISTENER_TOKEN | STORE_TOKEN => 1,
             CLIENT_LISTENER_TOKEN | CDNI_LISTENER_TOKEN => 3,
@@ -111,7 +111,7 @@
         }
     }
 
-    fn handle_event(&mut self, event: Ready) {
+    fn handle_event(&mut self, event: ReadyEvent) {
         let now = self.clock.now();
         match event.token {
             CLIENT_LISTENER_TOKEN => self.accept_clients(now),
@@ -158,7 +158,7 @@
             for command in commands {
                 match command {
                     Command::Send(attempt) => self.send_attempt(now, attempt),
-                    Command::GiveUp(attempt, server) => self.cancel_attempt(now, attempt, server),
+                    Command::Cancel(attempt, server) => self.cancel_attempt(now, attempt, server),
                     Command::Answer(client, answer) => {
                         self.respond(now, client, answer);
                         self.update_interest(now, client.connection);
--- a/daemon/src/daemon/fleet_status.rs
+++ b/daemon/src/daemon/fleet_status.rs
@@ -10,56 +10,60 @@
 fn log_status(replica: &Replica, LogPosition { log, index }: LogPosition) -> LogStatus {
     LogStatus {
         writer: format!("{:016x}", log.writer),
-        life: format!("{:x}", log.epoch),
+        epoch: format!("{:x}", log.epoch),
         own: log.writer == replica.own_log().writer,
-        end: index,
-        on_disk: replica.durable_index(log),
+        last_index: index,
+        durable_index: replica.durable_index(log),
     }
 }
 
 impl Daemon {
     /// Returns the status; `None` if logs are not replicated.
     pub(super) fn fleet_status(&self) -> Option<Status> {
-        let copies = &self.config.copies;
-        let replica = self.ledger.as_ref().filter(|_| copies.on)?.replica();
+        let replication = &self.config.replication;
+        let replica = self
+            .ledger
+            .as_ref()
+            .filter(|_| replication.enabled)?
+            .replica();
         let own = replica.own_log();
         let log_store = replica.log_store();
         let counters = replica.counters();
         let logs = log_store.last_indexes();
         let store_error = self.pending_store.as_ref();
-        let peers = copies.machines.iter().enumerate().take(MAX_PEERS);
+        let peers = replication.machines.iter().enumerate().take(MAX_PEERS);
         Some(Status {
             name: self.config.name.clone(),
-            machine: copies.machine.clone(),
-            life: format!("{:x}", own.epoch),
-            wait: copies.wait,
-            holders: copies.holders,
-            end: log_store.last_index(own),
-            on_disk: replica.durable_index(own),
+            machine: replication.machine.clone(),
+            epoch: format!("{:x}", own.epoch),
+            min_acks: replication.min_acks,
+            replication_factor: replication.replication_factor,
+            last_index: log_store.last_index(own),
+            durable_index: replica.durable_index(own),
             entries: log_store.len(),
             compacted: log_store.table().len(),
             table_bytes: log_store.table().memory_bytes(),
             store_error: store_error.map(|pending| pending.reason().to_owned()),
             catching_up: replica.is_catching_up(),
             digest: format!("{:016x}", log_store.checksum()),
-            waiting: self.pending_commits.len(),
-            short: replica.under_replicated(),
-            promised: counters.committed,
-            refused: counters.commits_rejected,
-            up: self.membership.as_ref().map_or(1, Membership::up),
+            pending_commits: self.pending_commits.len(),
+            under_replicated: replica.under_replicated(),
+            committed: counters.committed,
+            rejected: counters.commits_rejected,
+            alive_members: self.membership.as_ref().map_or(1, Membership::up),
             replaced: self.is_replaced(),
             peers: peers
                 .map(|(peer, (address, machine))| {
                     self.peer_status(replica, peer, *address, machine)
                 })
                 .collect(),
-            peers_in_all: copies.machines.len(),
+            peers_total: replication.machines.len(),
             logs: logs
                 .iter()
                 .take(MAX_LOGS)
                 .map(|last| log_status(replica, *last))
                 .collect(),
-            logs_in_all: logs.len(),
+            logs_total: logs.len(),
         })
     }
 
@@ -84,10 +88,10 @@
             address,
             machine: machine.to_owned(),
             name: name.to_owned(),
-            standing: state_name(claim.map(|claim| claim.state)).to_owned(),
-            life: claim.map_or_else(String::new, |claim| format!("{:x}", claim.process)),
-            held: acked,
-            behind: last_index.saturating_sub(acked),
+            state: state_name(claim.map(|claim| claim.state)).to_owned(),
+            incarnation: claim.map_or_else(String::new, |claim| format!("{:x}", claim.process)),
+            acked_index: acked,
+            lag: last_index.saturating_sub(acked),
         }
     }
 }
--- a/daemon/src/daemon/recovery.rs
+++ b/daemon/src/daemon/recovery.rs
@@ -55,24 +55,29 @@
     /// Starts the recovery of what this proxy committed before, if its store is new. A proxy that has its store only
     /// requests the digests of its peers, to detect soon whether it is behind what they have compacted.
     pub(super) fn start_recovery(&mut self, now: Micros) {
-        let copies = &self.config.copies;
-        let Some(ledger) = self.ledger.as_ref().filter(|_| copies.on) else {
+        let replication = &self.config.replication;
+        let Some(ledger) = self.ledger.as_ref().filter(|_| replication.enabled) else {
             return self.start_without_peers(now);
         };
         if !ledger.is_fresh() {
-            return self.request_digests((0..copies.machines.len()).collect());
+            return self.request_digests((0..replication.machines.len()).collect());
         }
-        let machines = copies
+        let machines = replication
             .machines
             .iter()
             .map(|(_, machine)| server_id(machine))
             .collect();
         let times = RecoveryTimes {
             start: now,
-            deadline: now + self.limits.recovery_us,
-            retry_us: self.limits.recovery_ask_us,
+            deadline: now + self.limits.recovery_timeout_us,
+            retry_us: self.limits.recovery_poll_interval_us,
         };
-        let recovery = Recovery::new(server_id(&copies.machine), machines, copies.wait, times);
+        let recovery = Recovery::new(
+            server_id(&replication.machine),
+            machines,
+            replication.min_acks,
+            times,
+        );
         self.pending_commits.recovery = Some(recovery);
         self.tick_recovery(now);
     }
@@ -96,7 +101,7 @@
             .as_ref()
             .is_none_or(Recovery::is_over)
         {
-            return self.request_digests((0..self.config.copies.machines.len()).collect());
+            return self.request_digests((0..self.config.replication.machines.len()).collect());
         }
         let is_fresh = self.ledger.as_ref().is_some_and(Ledger::is_fresh);
         if !is_fresh {
@@ -167,7 +172,7 @@
 
     /// Extends the timeouts after a chunk of a snapshot, or later entries, were received.
     pub(super) fn extend_recovery(&mut self, now: Micros) {
-        let timeout_us = self.limits.recovery_us;
+        let timeout_us = self.limits.recovery_timeout_us;
         let Some(wait) = &mut self.pending_commits.snapshot else {
             return;
         };
@@ -187,7 +192,11 @@
         match &mut self.pending_commits.snapshot {
             None if is_behind => {
                 let limits = &self.limits;
-                let wait = SnapshotWait::begin(now, limits.recovery_us, limits.recovery_max_us);
+                let wait = SnapshotWait::begin(
+                    now,
+                    limits.recovery_timeout_us,
+                    limits.recovery_total_timeout_us,
+                );
                 self.pending_commits.snapshot = Some(wait);
                 self.extend_recovery(now);
                 log::warn!(
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -21,7 +21,7 @@
 use crate::core::Core;
 use crate::front::cdni::TriggerApi;
 use crate::ledger::{Bounds, Ledger};
-use crate::net::{Clock, Deadlines, Listener, Poll, Slots};
+use crate::net::{Clock, Deadlines, Listener, Poll, SlotTable};
 use crate::plain_purges::PlainPurges;
 use error::{registration_error, system_error};
 use linnetknot_discovery::{Damping, EndpointTable, ListValidator, Source as ListSource};
@@ -53,9 +53,9 @@
             path,
             writer: linnetknot_discovery::server_id(&config.name),
             bounds: Bounds {
-                replication: config.limits.replication(&config.copies),
-                queue: config.limits.store_writes,
-                bucket_bits: config.copies.purge_table.bucket_bits,
+                replication: config.limits.replication(&config.replication),
+                queue: config.limits.max_store_writes,
+                bucket_bits: config.replication.purge_table.bucket_bits,
             },
         };
         let opened = store
@@ -141,7 +141,7 @@
         let clock = Clock::start();
         let trigger_api = open_cdni(config, &sockets.poll)?;
         let store = StoreParts::open(config, &sockets.poll, &clock)?;
-        if config.copies.on && config.peers.is_none() {
+        if config.replication.enabled && config.peers.is_none() {
             return Err(StartError::NoPeers);
         }
         let peers = open_peers(config, &sockets.poll)?;
@@ -203,9 +203,9 @@
     /// Creates the daemon before the stored state is restored.
     fn assemble(config: Config, source: Source, parts: PreparedParts) -> Self {
         let now = parts.clock.now();
-        let stored = OperatorFiles::load(&config.ops_folder, config.seed, now);
+        let stored = OperatorFiles::load(&config.operator_state_folder, config.seed, now);
         let origin_health = config
-            .tell
+            .share_origin_health
             .then(|| OriginHealth::new(ZonePosition::of(&config.settings), now));
         Daemon {
             clock: parts.clock,
@@ -216,7 +216,7 @@
             deferred_attempts: reconnect::DeferredAttempts::default(),
             sigterm: parts.sockets.sigterm,
             sighup: parts.sockets.sighup,
-            connections: Slots::new(config.limits.connections),
+            connections: SlotTable::new(config.limits.max_connections),
             client_count: 0,
             cache_connections: BTreeMap::new(),
             deadlines: Deadlines::default(),
@@ -224,7 +224,7 @@
             endpoint_table: EndpointTable::new(
                 list_sources(&config),
                 parts.consul.damping,
-                config.limits.members(),
+                config.limits.discovery(),
             ),
             list_validator: ListValidator::default(),
             endpoint_table_due: None,
@@ -255,7 +255,7 @@
             admin_listener: parts.sockets.admin_listener,
             admin_connection_count: 0,
             operations: stored.operations,
-            operator_state_folder: config.ops_folder.clone(),
+            operator_state_folder: config.operator_state_folder.clone(),
             operator_files: stored.files,
             listener_inherited: parts.sockets.listener_inherited,
             limits: config.limits.clone(),
--- a/daemon/src/daemon/upstream_connections/mod.rs
+++ b/daemon/src/daemon/upstream_connections/mod.rs
@@ -4,7 +4,7 @@
 
 use super::{ConnectError, Connection, ConnectionKind, Daemon, Timer};
 use crate::core::{AttemptId, TRACE};
-use crate::net::{Conn, Failure, FailureKind, Key};
+use crate::net::{Failure, FailureKind, Key, TcpConnection};
 use crate::upstream::{UpstreamConnection, UpstreamEvent};
 use linnetknot::{Micros, Outcome, ServerId};
 use selection::{CacheConnections, Selection};
@@ -48,8 +48,8 @@
 
     /// Returns whether an established connection to a cache server has received data recently.
     fn has_recent_traffic(&self, now: Micros, server: ServerId) -> bool {
-        let is_recent = |(conn, upstream): (&Conn, &UpstreamConnection)| {
-            conn.up && upstream.last_received() + self.limits.suspect_us > now
+        let is_recent = |(conn, upstream): (&TcpConnection, &UpstreamConnection)| {
+            conn.up && upstream.last_received() + self.limits.suspect_timeout_us > now
         };
         self.cache_connections
             .get(&server)
@@ -58,7 +58,10 @@
             .any(|key| self.cache_connection(*key).is_some_and(is_recent))
     }
 
-    fn cache_connection_mut(&mut self, key: Key) -> Option<(&mut Conn, &mut UpstreamConnection)> {
+    fn cache_connection_mut(
+        &mut self,
+        key: Key,
+    ) -> Option<(&mut TcpConnection, &mut UpstreamConnection)> {
         match self.connections.get_mut(key)? {
             Connection {
                 conn,
@@ -69,7 +72,7 @@
         }
     }
 
-    fn cache_connection(&self, key: Key) -> Option<(&Conn, &UpstreamConnection)> {
+    fn cache_connection(&self, key: Key) -> Option<(&TcpConnection, &UpstreamConnection)> {
         match self.connections.get(key)? {
             Connection {
                 conn,
@@ -102,7 +105,8 @@
     ) -> Result<Key, ConnectError> {
         match selection {
             Selection::Use { key, connect_spare } => {
-                if connect_spare && self.connections.free_slots() > self.limits.spare_connections {
+                if connect_spare && self.connections.free_slots() > self.limits.reserved_connections
+                {
                     // No attempt depends on the spare connection; if it fails, the next attempt starts another.
                     let _ = self.connect_cache(now, server);
                 }
@@ -126,7 +130,7 @@
         upstream.enqueue(now, attempt);
         if !conn.up {
             self.deadlines.set(
-                now + self.limits.connect_us,
+                now + self.limits.connect_timeout_us,
                 Timer::CheckCacheConnection(key),
             );
         }
@@ -165,7 +169,7 @@
     /// those to the sources of the endpoint list.
     fn connect_cache(&mut self, now: Micros, server: ServerId) -> Result<Key, ConnectError> {
         let endpoint = self.core.endpoint(server).ok_or(ConnectError::NoCapacity)?;
-        if self.connections.free_slots() <= self.limits.spare_connections {
+        if self.connections.free_slots() <= self.limits.reserved_connections {
             let idle = self.longest_idle().ok_or(ConnectError::NoCapacity)?;
             self.close(now, idle);
         }
@@ -174,7 +178,7 @@
         let key = self.connect_to(now, endpoint, ConnectionKind::CacheServer(upstream))?;
         let connections = self.cache_connections.entry(server).or_default();
         connections.push(key);
-        log::debug!(target: TRACE, cache = self.core.uid(server), number = connections.len(); "connecting to cache server");
+        log::debug!(target: TRACE, cache = self.core.wire_id_or_dash(server), number = connections.len(); "connecting to cache server");
         Ok(key)
     }
 
@@ -225,20 +229,20 @@
         };
         let (server, mut events) = (upstream.server, Vec::new());
         let is_open = upstream.flush(now, conn, &self.core, &self.limits, &mut events);
-        let forget_at = upstream.next_forget_at(now, &self.limits);
+        let forget_at = upstream.next_removal_at(now, &self.limits);
         let due = [
             upstream.next_report_at(&self.limits),
             upstream
-                .partial_answer_deadline(&self.limits)
+                .partial_response_deadline(&self.limits)
                 .filter(|_| is_open),
             forget_at,
         ];
         for at in due.into_iter().flatten() {
             self.deadlines.set(at, Timer::CheckCacheConnection(key));
         }
-        if conn.is_stuck() {
+        if conn.is_waiting_to_write() {
             self.deadlines.set(
-                now + self.limits.stalled_us,
+                now + self.limits.write_stall_timeout_us,
                 Timer::CheckCacheConnection(key),
             );
         }
@@ -260,7 +264,7 @@
             ..
         }) = self.connections.get_mut(key)
         {
-            upstream.forget_finished(now, &self.limits);
+            upstream.remove_finished(now, &self.limits);
         }
         self.flush_or_close(now, key);
     }
@@ -270,11 +274,11 @@
         &mut self,
         now: Micros,
         key: Key,
-        conn: &Conn,
+        conn: &TcpConnection,
         mut upstream: UpstreamConnection,
     ) {
         let server = upstream.server;
-        log::debug!(target: TRACE, cache = self.core.uid(server), up = conn.up; "connection to cache server closed");
+        log::debug!(target: TRACE, cache = self.core.wire_id_or_dash(server), up = conn.up; "connection to cache server closed");
         if let Entry::Occupied(mut connections) = self.cache_connections.entry(server) {
             connections.get_mut().retain(|k| *k != key);
             if connections.get().is_empty() {
@@ -285,7 +289,7 @@
         let failure = conn.connect_failure();
         if failure.is_some_and(Failure::is_local) {
             // The failure says nothing about the server, so queued attempts are deferred.
-            for attempt in upstream.take_queued() {
+            for attempt in upstream.drain_queue() {
                 self.defer_attempt(now, attempt);
             }
         }
