--- a/replication/src/replica/mod.rs
+++ b/replication/src/replica/mod.rs
@@ -1,4 +1,4 @@
-//! One proxy's replica of all logs, and the digests and requests that it sends to its peers.
+//! The replica of one proxy, and the digests and requests that it sends to its peers.
 
 mod catch_up;
 mod commits;
@@ -13,81 +13,83 @@
     Capacity, CapacityExceeded, Counters, Datagram, Entry, Index, LogId, LogPosition, LogStore,
     Machine, Micros, Options, Outgoing, Record, Subject,
 };
-use catch_up::{Offers, PendingSnapshot};
+use catch_up::{PendingSnapshot, UnansweredOffers};
 use linnetknot_datagram::Random;
 use std::collections::BTreeMap;
 
-/// The most logs whose gaps are requested at a time, and the most datagrams for the gaps of one.
+/// The maximum number of logs whose gaps are requested at a time, and of datagrams for the gaps of one log.
 const MAX_GAP_LOGS: usize = 8;
 
-/// How many requests for gaps follow each other at the retry interval while none of them brings anything.
+/// The number of gap requests without any result after which the retry interval becomes longer.
 const MAX_FAST_GAP_REQUESTS: u32 = 16;
 
-/// When gaps are requested next.
+/// The schedule of gap requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct GapRequestTimer {
     due: Micros,
-    /// Requests since any of them brought something.
+    /// The number of requests since an entry was last inserted or buffered.
     unanswered: u32,
 }
 
-/// One proxy's replica of all logs.
+/// The replica of one proxy, which contains its own log and those of its peers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Replica {
     own: LogId,
-    /// This process; later processes of the proxy have greater ids.
+    /// The id of this process. Later processes of the proxy have greater ids.
     process: u64,
     log_store: LogStore,
-    reorder: ReorderBuffer,
-    /// The peer that sent the last entry out of order.
-    reorder_from: usize,
-    /// Set while entries are out of order.
+    reorder_buffer: ReorderBuffer,
+    /// The peer that sent the last out-of-order entry.
+    reorder_sender: usize,
+    /// Set while the reorder buffer contains entries.
     gap_request: Option<GapRequestTimer>,
     options: Options,
     random: Random,
     due: Micros,
-    /// The number of digest periods so far.
+    /// The number of the current digest period.
     period: u64,
-    /// The entries that may still be sent in this period.
+    /// The number of entries that may still be sent in this period.
     allowance: usize,
-    /// The bytes of snapshots that may still be sent in this period.
+    /// The number of snapshot bytes that may still be sent in this period.
     snapshot_allowance: usize,
-    /// The log with which the next digest begins, if not all fit into one.
-    next: Option<LogId>,
-    /// Entries that are not on this proxy's disk.
+    /// The first log of the next digest, as not all logs fit into one digest.
+    next_digest_log: Option<LogId>,
+    /// Entries that are not on the local disk.
     unsynced: Unsynced,
-    /// Logs that a snapshot raised, until that is on the disk.
+    /// Logs that a snapshot advanced and whose new index is not on the disk yet.
     pending_snapshots: BTreeMap<LogId, PendingSnapshot>,
-    /// The peers that wait for an acknowledgement, by log, and the index that they wait for.
+    /// The index that each peer waits to be acknowledged, by log and peer.
     pending_acks: BTreeMap<(LogId, usize), Index>,
-    pending: PendingCommits,
-    /// When unacknowledged entries are sent again.
+    pending_commits: PendingCommits,
+    /// The time at which unacknowledged entries are sent again.
     next_retry: Micros,
-    /// How often anything was compacted here, or came with a snapshot.
+    /// The number of compactions and received snapshots.
     compactions: u64,
-    /// The number of images so far, the last image, and the period in which it was last read.
-    images: u64,
+    /// The number of images created so far.
+    image_count: u64,
+    /// The current image, from which snapshots are sent.
     image: Option<Image>,
+    /// The digest period in which the image was last read.
     image_period: u64,
-    /// When compaction is tried again after it could move nothing.
+    /// The earliest time of the next compaction, after one that could move nothing.
     next_compaction: Micros,
     catch_up: CatchUp,
-    /// Snapshots offered to peers that have not answered yet.
-    offers: BTreeMap<usize, Offers>,
+    /// Peers that have not answered an offer of a snapshot.
+    offers: BTreeMap<usize, UnansweredOffers>,
     counters: Counters,
 }
 
 impl Replica {
-    /// The replica of a proxy. Its own log continues in this epoch after what `log_store` has of it. `process` grows with
-    /// each process of the proxy, and seeds the random numbers.
+    /// Creates the replica of a proxy. Its own log continues after the last index that `log_store` has of it. `process`
+    /// must be greater than that of all earlier processes of the proxy. It also seeds the random number generator.
     pub fn new(own: LogId, log_store: LogStore, process: u64, options: Options) -> Self {
         let random = Random::new(process ^ own.writer.rotate_left(17) ^ own.epoch);
         Replica {
             own,
             process,
             log_store,
-            reorder: ReorderBuffer::default(),
-            reorder_from: 0,
+            reorder_buffer: ReorderBuffer::default(),
+            reorder_sender: 0,
             gap_request: None,
             options,
             random,
@@ -95,14 +97,14 @@
             period: 0,
             allowance: options.max_entries_per_period,
             snapshot_allowance: options.max_snapshot_bytes_per_period,
-            next: None,
+            next_digest_log: None,
             unsynced: Unsynced::default(),
             pending_snapshots: BTreeMap::new(),
             pending_acks: BTreeMap::new(),
-            pending: PendingCommits::default(),
+            pending_commits: PendingCommits::default(),
             next_retry: 0,
             compactions: 0,
-            images: 0,
+            image_count: 0,
             image: None,
             image_period: 0,
             next_compaction: 0,
@@ -112,17 +114,17 @@
         }
     }
 
-    /// Sets another process id than was assumed at the start.
+    /// Replaces the process id that was assumed at the start.
     pub fn set_process(&mut self, process: u64) {
         self.process = process;
     }
 
-    /// Returns its own log.
+    /// Returns the id of the replica's own log.
     pub fn own_log(&self) -> LogId {
         self.own
     }
 
-    /// Returns the logs that it has.
+    /// Returns the store of all logs.
     pub fn log_store(&self) -> &LogStore {
         &self.log_store
     }
@@ -135,22 +137,22 @@
         }
     }
 
-    /// Sets the machines of this proxy and of its peers. From here on peers are identified by their indexes in this list.
+    /// Sets the machines of this proxy and of its peers. From then on peers are identified by their index in this list.
     pub fn set_peers(&mut self, own: Machine, peers: Vec<Machine>) {
         let count = peers.len();
-        self.pending.set_peers(own, peers);
-        // Pending acknowledgements and a snapshot in progress are kept: acknowledgements are true whoever receives them,
-        // and a writer whose peer's machine becomes known between an entry and its sync would have to request them.
+        self.pending_commits.set_peers(own, peers);
+        // Pending acknowledgements and a snapshot transfer are retained when the machine of a peer becomes known.
+        // Otherwise a writer would have to request acknowledgements that were pending at that time.
         self.pending_acks.retain(|(_, peer), _| *peer < count);
         self.offers.retain(|peer, _| *peer < count);
         self.catch_up.retain_peers(count);
     }
 
-    /// Appends an entry to its own log. The caller must write it to the disk and send it to all peers at once; those that
-    /// miss it receive it later.
+    /// Appends an entry to the replica's own log. The caller must write it to the disk and send it to all peers at
+    /// once. Peers that do not receive it request it later.
     ///
     /// # Errors
-    /// Fails if the capacity for entries of this kind is exhausted.
+    /// Fails if the capacity for entries of this kind is exceeded.
     pub fn append(
         &mut self,
         subject: Subject,
@@ -180,17 +182,19 @@
         }
     }
 
-    /// Removes the entries that have expired, and returns them to be deleted from the disk.
+    /// Removes the entries that have expired and returns them. The caller must delete them from the disk.
     pub fn expire(&mut self, now: Micros) -> Vec<Entry> {
         self.log_store.expire(now, self.options.expiry_us)
     }
 
-    /// Returns when [`Replica::tick`] or [`Replica::resolve_commits`] is to be called next.
+    /// Returns the time at which [`Replica::tick`] and [`Replica::resolve_commits`] must be called next.
     pub fn due(&self) -> Micros {
-        let timeout = self.pending.next_timeout(self.options.commit_timeout_us);
+        let timeout = self
+            .pending_commits
+            .next_timeout(self.options.commit_timeout_us);
         let commit = timeout.map(|timeout| timeout.min(self.next_retry));
-        let gap_request =
-            (!self.reorder.is_empty()).then_some(self.gap_request.map_or(0, |timer| timer.due));
+        let gap_request = (!self.reorder_buffer.is_empty())
+            .then_some(self.gap_request.map_or(0, |timer| timer.due));
         let catch_up = self.catch_up.due();
         [commit, gap_request, catch_up]
             .into_iter()
@@ -198,16 +202,16 @@
             .fold(self.due, Micros::min)
     }
 
-    /// Returns the datagrams to send now: a digest once a period, requests for what is missing, and unacknowledged
-    /// entries, which are sent more often while a commit waits.
+    /// Returns the datagrams to send now: a digest once per period, requests for gaps and snapshots, and unacknowledged
+    /// entries, which are sent more often while a commit is pending.
     pub fn tick(&mut self, now: Micros) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
         self.request_gaps(now, &mut outgoing);
         self.request_snapshot(now, &mut outgoing);
-        let (is_waiting, is_due) = (self.pending.is_waiting(), now >= self.due);
+        let (has_pending, is_due) = (self.pending_commits.has_pending(), now >= self.due);
         if is_due {
             self.begin_period(now, &mut outgoing);
-        } else if !is_waiting || now < self.next_retry {
+        } else if !has_pending || now < self.next_retry {
             return outgoing;
         }
         self.next_retry = now + self.options.retry_us;
@@ -215,9 +219,9 @@
         outgoing
     }
 
-    /// Begins a digest period: renews what may be sent in it, and sends a digest to a random peer.
+    /// Starts a digest period: resets the limits per period, and sends a digest to a random peer.
     fn begin_period(&mut self, now: Micros, outgoing: &mut Vec<Outgoing>) {
-        // Spread by up to a quarter, so that the digests of many proxies do not coincide.
+        // A jitter of up to a quarter of the period spreads the digests of the proxies.
         self.due = now
             + self.options.digest_period_us
             + self.random.below(self.options.digest_period_us / 4);
@@ -225,7 +229,7 @@
         self.drop_unread_image();
         self.allowance = self.options.max_entries_per_period;
         self.snapshot_allowance = self.options.max_snapshot_bytes_per_period;
-        let peers = self.pending.peer_count();
+        let peers = self.pending_commits.peer_count();
         if peers > 0 {
             let peer = self.random.below(peers as u64) as usize;
             let datagram = self.digest();
@@ -233,14 +237,14 @@
         }
     }
 
-    /// Requests the gaps before entries that arrived out of order, when it is time.
+    /// Requests the gaps before buffered out-of-order entries, if the request is due.
     fn request_gaps(&mut self, now: Micros, outgoing: &mut Vec<Outgoing>) {
-        let peers = self.pending.peer_count();
-        if self.reorder.is_empty() || peers == 0 {
+        let peers = self.pending_commits.peer_count();
+        if self.reorder_buffer.is_empty() || peers == 0 {
             self.gap_request = None;
             return;
         }
-        // Most of what is missing at first was overtaken on its way, and arrives by itself.
+        // Datagrams that were only reordered in the network arrive before the first request.
         let GapRequestTimer { due, unanswered } =
             *self.gap_request.get_or_insert(GapRequestTimer {
                 due: now + self.options.gap_request_us,
@@ -249,7 +253,7 @@
         if now < due {
             return;
         }
-        // Entries that nobody has any more, as their writer was lost with them, are requested as seldom as digests.
+        // No peer may have the missing entries if their writer was lost, so the request rate falls to that of digests.
         let interval_us = if unanswered < MAX_FAST_GAP_REQUESTS {
             self.options.retry_us
         } else {
@@ -260,8 +264,10 @@
             unanswered: unanswered + 1,
         });
         let peer = self.gap_request_target(peers);
-        for log in self.reorder.logs().take(MAX_GAP_LOGS) {
-            let gaps = self.reorder.gaps(log, self.log_store.last_index(log));
+        for log in self.reorder_buffer.logs().take(MAX_GAP_LOGS) {
+            let gaps = self
+                .reorder_buffer
+                .gaps(log, self.log_store.last_index(log));
             let messages = gaps.chunks(MAX_GAPS_PER_DATAGRAM).take(MAX_GAP_LOGS);
             outgoing.extend(messages.map(|gaps| {
                 let datagram = Datagram::GapRequest {
@@ -273,26 +279,27 @@
         }
     }
 
-    /// Draws the peer to request gaps from: half of the time the one that sent what is after them, which mostly has them;
-    /// else any, should the link to that one be cut.
+    /// Selects the peer to request gaps from. Half of the requests go to the sender of the last out-of-order entry,
+    /// which probably has the missing ones. The others go to a random peer, in case that sender is unreachable.
     fn gap_request_target(&mut self, peers: usize) -> usize {
         let drawn = self.random.below(2 * peers as u64) as usize;
         if drawn < peers {
             drawn
         } else {
-            self.reorder_from
+            self.reorder_sender
         }
     }
 
-    /// Sends the last entry of each of its own epochs to the peers that have not acknowledged it: a peer that has it
-    /// acknowledges it again, and one that is missing entries before it requests them.
+    /// Sends the last entry of each of the replica's own epochs to the peers that have not acknowledged it. A peer that
+    /// has the entry acknowledges it again, and a peer that is missing entries before it requests them.
     fn resend_unacked(&mut self, outgoing: &mut Vec<Outgoing>) {
         for LogPosition { log, index: last } in self.own_epochs() {
             let Some(entry) = self.log_store.entries_after(log, last - 1).next() else {
                 continue;
             };
-            let peers = 0..self.pending.peer_count();
-            for peer in peers.filter(|peer| self.pending.acked_by(*peer, log.epoch) < last) {
+            let peers = 0..self.pending_commits.peer_count();
+            for peer in peers.filter(|peer| self.pending_commits.acked_by(*peer, log.epoch) < last)
+            {
                 if self.allowance == 0 {
                     return;
                 }
@@ -305,27 +312,27 @@
         }
     }
 
-    /// Returns a digest of its logs. A replica without any sends one too, as that is how it receives them.
+    /// Returns a digest of the logs. An empty replica also sends digests, to which peers reply with their logs.
     fn digest(&mut self) -> Datagram {
         Datagram::Digest {
-            positions: self.some_positions(),
+            positions: self.next_positions(),
             log_count: self.log_store.log_count() as u64,
             checksum: self.log_store.checksum(),
         }
     }
 
-    /// Returns the positions of as many logs as fit into a datagram, of different ones each time.
-    fn some_positions(&mut self) -> Vec<LogPosition> {
+    /// Returns the positions in as many logs as fit into a datagram, cycling through all logs over successive calls.
+    fn next_positions(&mut self) -> Vec<LogPosition> {
         let all = self.log_store.last_indexes();
         let first = self
-            .next
+            .next_digest_log
             .and_then(|next| all.iter().position(|position| position.log >= next))
             .unwrap_or(0);
         let count = all.len().min(MAX_LOGS_PER_DATAGRAM);
         let cyclic = all.iter().cycle().skip(first);
         let some: Vec<LogPosition> = cyclic.take(count).copied().collect();
         let next = all.get((first + some.len()) % all.len().max(1));
-        self.next = next.map(|position| position.log);
+        self.next_digest_log = next.map(|position| position.log);
         some
     }
 }
