--- a/daemon/src/core/attempt.rs
+++ b/daemon/src/core/attempt.rs
@@ -1,49 +1,49 @@
-//! An attempt at a pop cache: its name, where it goes and how it ended.
+//! An attempt at a pop cache: its id, its target and its result.
 
 use super::{ClientRequest, Content, RequestKey};
 use linnetknot::{Fill, Load, Micros, Note, Outcome, ServerId};
 
-/// An attempt, by its request and its number among that request's attempts.
+/// Identifies an attempt by its request and its number among the attempts of that request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptId {
     /// The request.
     pub request: RequestKey,
-    /// Its number, from 0.
+    /// The number of the attempt, from 0.
     pub number: u32,
 }
 
-/// Where an attempt goes, and on what terms.
+/// The cache that an attempt is sent to, with its fill and its deadline.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptTarget {
-    /// The cache that it is sent to.
+    /// The cache.
     pub server: ServerId,
-    /// How the cache fills a miss; none: it may only serve what it has.
+    /// How the cache fills a miss. If `None`, it serves only what it has cached.
     pub fill: Option<Fill>,
-    /// When the attempt is given up at the latest.
+    /// The time at which the attempt times out.
     pub deadline: Micros,
 }
 
-/// What an upstream needs to know to send an attempt.
+/// The request and the target of an attempt, from which its frame is written.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Dispatch<'a> {
     /// The request.
     pub request: &'a ClientRequest,
-    /// Where the attempt goes.
+    /// The target of the attempt.
     pub target: AttemptTarget,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptResult {
-    /// Its outcome, as the decision module takes it.
+    /// The outcome that is reported to the decision module.
     pub outcome: Outcome,
-    /// How the answer was made.
+    /// How the cache produced its response.
     pub note: Note,
-    /// How long the fill waited for its first byte.
+    /// The time that the fill waited for its first byte.
     pub waited_us: Micros,
-    /// The cache's load report, if the answer carried one.
+    /// The load report of the cache, if the response carried one.
     pub load: Option<Load>,
-    /// What an answer with the outcome `Ok` brought.
+    /// The content of a response with the outcome `Ok`.
     pub content: Option<Content>,
 }
 
@@ -59,14 +59,15 @@
     }
 }
 
-/// An attempt that is out: queued for a connection, or written and not ended yet.
+/// An attempt that is queued for a connection, or written and not finished.
 pub(super) struct OutstandingAttempt {
     pub(super) number: u32,
-    /// When it was handed to an upstream.
+    /// The time at which it was passed to an upstream.
     pub(super) sent_at: Micros,
     pub(super) target: AttemptTarget,
-    /// Its first byte is written. Until then no cache can know of it, and it is recalled without a trace.
+    /// Whether its first byte has been written. Before that, no cache has seen it, and cancelling it has no effect
+    /// elsewhere.
     pub(super) started: bool,
-    /// Given up, with the outcome to report once that is done.
+    /// The outcome to report once the cancellation is done, if the attempt was cancelled.
     pub(super) cancelled: Option<Outcome>,
 }
--- a/daemon/src/core/attempts.rs
+++ b/daemon/src/core/attempts.rs
@@ -1,4 +1,4 @@
-//! The life of an attempt: its start, its first byte, its end, and giving it up.
+//! The life cycle of an attempt: its start, its first byte, its end and its cancellation.
 
 use super::attempt::OutstandingAttempt;
 use super::{
@@ -8,28 +8,28 @@
 use linnetknot::{Event, Fill, Micros, Outcome, ServerId};
 
 impl Core {
-    /// A request and where its attempt goes, while that attempt is out.
+    /// Returns the request and the target of an attempt while the attempt is outstanding.
     pub fn dispatch(&self, attempt: AttemptId) -> Option<Dispatch<'_>> {
         let open = self.requests.get(attempt.request)?;
-        let out = open
+        let outstanding = open
             .outstanding
             .as_ref()
-            .filter(|out| out.number == attempt.number)?;
+            .filter(|outstanding| outstanding.number == attempt.number)?;
         Some(Dispatch {
             request: &open.request,
-            target: out.target,
+            target: outstanding.target,
         })
     }
 
-    /// The same, if the attempt may begin now, with the greatest age of a copy as it is now: an attempt may have waited
-    /// for its connection, and is bound by the purges that came meanwhile.
+    /// Returns the same if the attempt may start now, with the maximum age of a copy recomputed: the attempt may have
+    /// waited for a connection, and purges that arrived meanwhile apply to it.
     pub fn dispatch_now(&self, now: Micros, attempt: AttemptId) -> Option<Dispatch<'_>> {
         let mut dispatch = self.dispatch(attempt)?;
         let target = &mut dispatch.target;
-        let named = [Some(target.server), target.fill.map(|fill| fill.source)];
+        let servers = [Some(target.server), target.fill.map(|fill| fill.source)];
         let max_age_us = self.router.begins(now, attempt.request.to_u64())?;
         target.fill = target.fill.map(|fill| Fill { max_age_us, ..fill });
-        let all_ready = named
+        let all_ready = servers
             .into_iter()
             .flatten()
             .all(|id| self.is_cache_ready(id));
@@ -37,19 +37,19 @@
         is_due.then_some(dispatch)
     }
 
-    /// The first byte of an attempt is written.
+    /// Records that the first byte of an attempt has been written.
     pub fn attempt_started(&mut self, attempt: AttemptId) {
-        let out = self
+        let outstanding = self
             .requests
             .get_mut(attempt.request)
             .and_then(|open| open.outstanding.as_mut())
-            .filter(|out| out.number == attempt.number);
-        if let Some(out) = out {
-            out.started = true;
+            .filter(|outstanding| outstanding.number == attempt.number);
+        if let Some(outstanding) = outstanding {
+            outstanding.started = true;
         }
     }
 
-    /// Starts an attempt that the decision module wants made.
+    /// Starts an attempt that the decision module has requested.
     pub(super) fn start_attempt(
         &mut self,
         now: Micros,
@@ -60,7 +60,7 @@
     ) {
         let open = self.requests.unanswered_mut(key);
         let Some(open) = open.filter(|open| open.outstanding.is_none()) else {
-            // Two attempts of one request must never be out at once.
+            // A request never has two outstanding attempts.
             log::error!("the module sent an attempt for a request that can't have one");
             return;
         };
@@ -93,33 +93,34 @@
         }
     }
 
-    /// An attempt has ended. One that is not out any more is passed over: late answers change nothing.
-    pub fn attempt_finished(&mut self, now: Micros, attempt: AttemptId, mut ended: AttemptResult) {
+    /// Processes the end of an attempt. An attempt that is no longer outstanding is ignored, so late responses have no
+    /// effect.
+    pub fn attempt_finished(&mut self, now: Micros, attempt: AttemptId, mut result: AttemptResult) {
         let Some(open) = self.requests.get_mut(attempt.request) else {
             return;
         };
-        let is_it = |out: &mut OutstandingAttempt| out.number == attempt.number;
-        let Some(out) = open.outstanding.take_if(is_it) else {
+        let is_same = |outstanding: &mut OutstandingAttempt| outstanding.number == attempt.number;
+        let Some(outstanding) = open.outstanding.take_if(is_same) else {
             return;
         };
-        // An answer that was in transit when its attempt was given up is how the attempt ended, all the same.
-        if ended.outcome == Outcome::Cancelled {
-            ended.outcome = out.cancelled.unwrap_or(ended.outcome);
+        // The attempt may have been answered while its cancellation was in transit; its outcome then stands.
+        if result.outcome == Outcome::Cancelled {
+            result.outcome = outstanding.cancelled.unwrap_or(result.outcome);
         }
-        self.trace_end(now, attempt, &out, &ended);
-        if let Some(content) = ended.content.filter(|_| ended.outcome == Outcome::Ok) {
+        self.log_end(now, attempt, &outstanding, &result);
+        if let Some(content) = result.content.filter(|_| result.outcome == Outcome::Ok) {
             self.finish(now, attempt.request, Answer::Served(content));
         }
         let event = Event::Outcome {
             request: attempt.request.to_u64(),
             attempt: attempt.number,
-            server: out.target.server,
-            outcome: ended.outcome,
-            took_us: now.saturating_sub(out.sent_at),
+            server: outstanding.target.server,
+            outcome: result.outcome,
+            took_us: now.saturating_sub(outstanding.sent_at),
             settled: self.requests.unanswered(attempt.request).is_none(),
-            note: ended.note,
-            waited_us: ended.waited_us,
-            load: ended.load,
+            note: result.note,
+            waited_us: result.waited_us,
+            load: result.load,
         };
         self.drive(now, event);
         self.commands
@@ -127,45 +128,46 @@
         self.requests.release_if_finished(attempt.request);
     }
 
-    /// Logs the end of an attempt.
-    fn trace_end(
+    fn log_end(
         &self,
         now: Micros,
         id: AttemptId,
-        out: &OutstandingAttempt,
-        ended: &AttemptResult,
+        outstanding: &OutstandingAttempt,
+        result: &AttemptResult,
     ) {
         let Some(open) = self.requests.get(id.request) else {
             return;
         };
-        let source = out.target.fill.map(|fill| fill.source);
+        let source = outstanding.target.fill.map(|fill| fill.source);
         log::debug!(
             target: TRACE,
             request = open.request.id.as_str(),
             number = id.number,
-            cache = self.wire_id_or_dash(out.target.server),
+            cache = self.wire_id_or_dash(outstanding.target.server),
             source = source.map_or("-", |source| self.wire_id_or_dash(source)),
-            outcome:? = ended.outcome,
-            note:? = ended.note,
-            waited_us = ended.waited_us,
-            took_us = now.saturating_sub(out.sent_at);
-            "an attempt has ended"
+            outcome:? = result.outcome,
+            note:? = result.note,
+            waited_us = result.waited_us,
+            took_us = now.saturating_sub(outstanding.sent_at);
+            "attempt ended"
         );
     }
 
-    /// Gives an attempt up. One that has not begun is over at once, and never ran.
+    /// Cancels an attempt. An attempt that has not started ends at once, and no cache runs it.
     pub(super) fn cancel(&mut self, now: Micros, attempt: AttemptId, outcome: Outcome) {
         let open = self.requests.get_mut(attempt.request);
-        let out = open
+        let outstanding = open
             .and_then(|open| open.outstanding.as_mut())
-            .filter(|out| out.number == attempt.number && out.cancelled.is_none());
-        let Some(out) = out else {
+            .filter(|outstanding| {
+                outstanding.number == attempt.number && outstanding.cancelled.is_none()
+            });
+        let Some(outstanding) = outstanding else {
             return;
         };
-        out.cancelled = Some(outcome);
-        let started = out.started;
+        outstanding.cancelled = Some(outcome);
+        let started = outstanding.started;
         self.commands
-            .push(Command::Cancel(attempt, out.target.server));
+            .push(Command::Cancel(attempt, outstanding.target.server));
         if !started {
             self.attempt_finished(now, attempt, Outcome::Moot.into());
         }
--- a/daemon/src/core/cache_table.rs
+++ b/daemon/src/core/cache_table.rs
@@ -1,11 +1,11 @@
-//! The endpoint list as it is known here: pop caches, parent caches and origins by their ids.
+//! The endpoint list: pop caches, parents and origins by their ids.
 
 use super::Entry;
 use linnetknot::{ListMode, Server, ServerId, State};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A cache of the endpoint list.
+/// A server of the endpoint list.
 struct Cache {
     /// Its id on the wire.
     uid: String,
@@ -13,54 +13,54 @@
     state: State,
 }
 
-/// What a list changes.
+/// The result of applying a list.
 pub(super) struct Update {
-    /// The caches that it names, for the decision module.
+    /// The servers that the list names, as the decision module takes them.
     pub(super) servers: Vec<Server>,
-    /// The caches that were ready and are draining or gone now.
+    /// The servers that were ready before and now are draining or gone.
     pub(super) withdrawn: Vec<ServerId>,
 }
 
-/// The caches that are in the list.
+/// The servers of the endpoint list, by their ids.
 #[derive(Default)]
 pub(super) struct CacheTable {
     caches: BTreeMap<ServerId, Cache>,
 }
 
 impl CacheTable {
-    /// Whether a cache may be given new work.
+    /// Whether new attempts may be sent to a cache.
     pub(super) fn is_ready(&self, id: ServerId) -> bool {
         self.caches
             .get(&id)
             .is_some_and(|cache| cache.state == State::Ready)
     }
 
-    /// Whether any cache may be given new work.
+    /// Whether new attempts may be sent to any cache.
     pub(super) fn any_ready(&self) -> bool {
         self.caches
             .values()
             .any(|cache| cache.state == State::Ready)
     }
 
-    /// The address of a cache.
+    /// Returns the address of a cache.
     pub(super) fn endpoint(&self, id: ServerId) -> Option<SocketAddr> {
         self.caches.get(&id).map(|cache| cache.endpoint)
     }
 
-    /// Id on the wire of a cache.
+    /// Returns the id of a cache on the wire.
     pub(super) fn wire_id(&self, id: ServerId) -> Option<&str> {
         self.caches.get(&id).map(|cache| cache.uid.as_str())
     }
 
-    /// Takes a whole list, or changes to it.
+    /// Applies a full list, or changes to the list.
     pub(super) fn update(&mut self, mode: ListMode, entries: Vec<Entry>) -> Update {
         let mut withdrawn = Vec::new();
         if mode == ListMode::Full {
-            let is_named = |id: &ServerId| entries.iter().any(|entry| entry.server.id == *id);
+            let is_listed = |id: &ServerId| entries.iter().any(|entry| entry.server.id == *id);
             let missing: Vec<ServerId> = self
                 .caches
                 .keys()
-                .filter(|id| !is_named(id))
+                .filter(|id| !is_listed(id))
                 .copied()
                 .collect();
             for id in missing {
@@ -79,12 +79,12 @@
             withdrawn.extend(self.set_state(id, entry.server.state));
             servers.push(entry.server);
         }
-        // Caches come back under new ids all day long: what is gone must not stay in the table.
+        // Restarted caches return under new ids, so entries that are gone are removed to bound the table.
         self.caches.retain(|_, cache| cache.state != State::Gone);
         Update { servers, withdrawn }
     }
 
-    /// Changes the state of a cache; gives its id if it was ready and no longer is.
+    /// Changes the state of a cache. Returns its id if it was ready and no longer is.
     fn set_state(&mut self, id: ServerId, state: State) -> Option<ServerId> {
         let cache = self.caches.get_mut(&id)?;
         let was_ready = std::mem::replace(&mut cache.state, state) == State::Ready;
--- a/daemon/src/core/command.rs
+++ b/daemon/src/core/command.rs
@@ -1,34 +1,34 @@
-//! What the core asks of the loop around it.
+//! Commands of the core to the event loop.
 
 use super::{Answer, AttemptId, Client, RequestKey};
 use linnetknot::{Micros, ServerId};
 
-/// What the core is woken for.
+/// The reason of a wake-up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wake {
-    /// The deadline of a request.
+    /// The deadline of a request has been reached.
     Request(RequestKey),
-    /// The timeout of an attempt.
+    /// The timeout of an attempt has been reached.
     Attempt(AttemptId),
-    /// The decision module's timer with this tag.
+    /// The timer of the decision module with this tag has fired.
     Router(u64),
 }
 
-/// What the loop is to do for the core.
+/// A command that the event loop executes for the core.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Send an attempt; [`super::Core::dispatch`] tells where.
+    /// Send an attempt; [`super::Core::dispatch`] returns its request and target.
     Send(AttemptId),
-    /// Give an attempt up, and report its end once its cache can no longer take it for one that is out.
+    /// Cancel an attempt, and report its end once its cache can no longer count it as outstanding.
     Cancel(AttemptId, ServerId),
-    /// Give a client its final answer.
+    /// Send a client its final answer.
     Answer(Client, Answer),
     /// Wake the core at this time.
     Wake(Micros, Wake),
-    /// Check the health of a cache, which answers with its load report.
+    /// Check the health of a cache, which responds with its load report.
     Probe(ServerId),
-    /// A cache is draining or gone: take back every attempt at it, or with a fill from it, that is not written yet.
+    /// A cache is draining or gone: withdraw every attempt to it, or with a fill from it, that has not been written.
     Withdraw(ServerId),
-    /// The origin is slow here: tell the other proxies which share of the requests may still go to it.
+    /// The origin is slow: send the other proxies the share of requests that may still go to it.
     ShareOriginHealth(f64),
 }
--- a/daemon/src/core/counters.rs
+++ b/daemon/src/core/counters.rs
@@ -5,14 +5,14 @@
 pub struct Counters {
     /// Requests admitted.
     pub admitted: u64,
-    /// Attempts made.
+    /// Attempts started.
     pub attempts: u64,
     /// Requests served.
     pub served: u64,
-    /// Requests rejected: a retry is harmless.
+    /// Requests rejected; a retry of one is safe.
     pub rejected: u64,
     /// Requests failed.
     pub failed: u64,
-    /// Requests whose client went before the answer.
+    /// Requests whose client disconnected before the answer.
     pub abandoned: u64,
 }
--- a/daemon/src/core/mod.rs
+++ b/daemon/src/core/mod.rs
@@ -1,12 +1,12 @@
-//! Requests, attempts and outcomes, without any I/O: the core drives the decision module and sees to it that every
-//! request gets exactly one final answer. It knows no wire: fronts and upstreams translate.
+//! Requests, attempts and outcomes, without any I/O. The core drives the decision module and ensures that every request
+//! gets exactly one final answer. Fronts and upstreams translate between the core and their protocols.
 //!
-//! The loop around it reports what happens (a request, the end of an attempt, a wake-up) together with the time, and
-//! carries out the [`Command`]s that follow.
+//! The event loop reports what happens (a request, the end of an attempt, a wake-up) together with the time, and
+//! executes the [`Command`]s that follow.
 //!
 //! * `request`, `attempt`, `command`, `counters`: the types of this interface;
-//! * `request_table`, `cache_table`: its state;
-//! * `requests`, `attempts`, `purging`: what it does with them.
+//! * `request_table`, `cache_table`: the state;
+//! * `requests`, `attempts`, `purging`: the operations on it.
 
 mod attempt;
 mod attempts;
@@ -35,31 +35,31 @@
 use request_table::RequestTable;
 use std::net::SocketAddr;
 
-/// Log target for the traces at level debug: each attempt, each final answer and each connection to a cache.
+/// Log target of the traces at level debug: attempts, final answers and connections to caches.
 pub(crate) const TRACE: &str = "linnetknot::trace";
 
 /// The request table and the decision module.
 pub struct Core {
     router: Router,
     origin_clock: OriginClock,
-    /// The longest time for which a request may be open, whatever its client gives it.
+    /// The maximum time for which a request may be open, regardless of the budget of its client.
     pub max_request_us: Micros,
-    /// The time at which the process ends: no request is open beyond it.
+    /// The time by which all requests are answered, as the process ends.
     shutdown_deadline: Micros,
     requests: RequestTable,
     caches: CacheTable,
     /// Classes whose requests must carry an idempotency key.
     keyed_classes: Vec<String>,
-    /// How long before its deadline a request is answered, so that the answer still reaches the client.
+    /// How long before the deadline of its client a request is answered, so that the answer arrives in time.
     response_margin_us: Micros,
-    /// The decision module's actions, empty between two events: kept for its allocation.
+    /// The actions of the decision module. Empty between two events, and kept for its allocation.
     actions: Vec<Action>,
     commands: Vec<Command>,
-    /// What was done so far.
+    /// Totals of requests and attempts.
     pub counters: Counters,
 }
 
-/// The classes whose requests must carry an idempotency key.
+/// Returns the classes whose requests must carry an idempotency key.
 fn keyed_classes(settings: &Settings) -> Vec<String> {
     settings
         .classes
@@ -70,10 +70,10 @@
 }
 
 impl Core {
-    /// A core without caches.
+    /// Creates a core with an empty endpoint list.
     ///
     /// # Errors
-    /// The settings are not sound.
+    /// Fails if the settings are invalid.
     pub fn new(settings: Settings, seed: u64, limits: &Limits) -> Result<Self, SettingsError> {
         Ok(Core {
             keyed_classes: keyed_classes(&settings),
@@ -90,10 +90,10 @@
         })
     }
 
-    /// Takes the settings of a reload. Open requests keep the class that they were admitted with.
+    /// Applies the settings of a reload. Open requests keep the class that they were admitted with.
     ///
     /// # Errors
-    /// The settings are not sound; nothing has changed then.
+    /// Fails if the settings are invalid; nothing has changed then.
     pub fn apply_settings(&mut self, settings: Settings) -> Result<(), SettingsError> {
         let keyed_classes = keyed_classes(&settings);
         self.router.retune(settings)?;
@@ -101,7 +101,7 @@
         Ok(())
     }
 
-    /// Takes out what is to be done, in order.
+    /// Takes the pending commands, in order.
     pub fn take_commands(&mut self) -> Vec<Command> {
         std::mem::take(&mut self.commands)
     }
@@ -111,37 +111,37 @@
         self.requests.is_empty()
     }
 
-    /// Whether there is a cache to send requests to.
+    /// Whether any cache is ready.
     pub fn is_ready(&self) -> bool {
         self.caches.any_ready()
     }
 
-    /// Whether at least half of the request table is taken.
+    /// Whether at least half of the request table is in use.
     pub fn is_half_full(&self) -> bool {
         self.requests.is_half_full()
     }
 
-    /// Whether a cache takes new work, by the endpoint list.
+    /// Whether a cache is ready, by the endpoint list.
     pub fn is_cache_ready(&self, id: ServerId) -> bool {
         self.caches.is_ready(id)
     }
 
-    /// Id on the wire of a cache; none where it is gone.
+    /// Returns the id of a cache on the wire; `None` if it is gone.
     pub fn wire_id(&self, id: ServerId) -> Option<&str> {
         self.caches.wire_id(id)
     }
 
-    /// The address of a cache; none where it is gone.
+    /// Returns the address of a cache; `None` if it is gone.
     pub fn endpoint(&self, id: ServerId) -> Option<SocketAddr> {
         self.caches.endpoint(id)
     }
 
-    /// Id on the wire of a cache, for the log; `-` where it is gone.
+    /// Returns the id of a cache on the wire for the log; `-` if it is gone.
     pub fn wire_id_or_dash(&self, id: ServerId) -> &str {
         self.wire_id(id).unwrap_or("-")
     }
 
-    /// Takes the endpoint list, or changes to it.
+    /// Applies the endpoint list, or changes to it.
     pub fn update_endpoints(&mut self, now: Micros, mode: ListMode, entries: Vec<Entry>) {
         let update = self.caches.update(mode, entries);
         let withdrawn = update.withdrawn.into_iter().map(Command::Withdraw);
@@ -150,8 +150,8 @@
         self.drive(now, Event::List { mode, servers });
     }
 
-    /// Takes what other proxies found: the origin is slow, and each may ask it for this share of its requests until
-    /// this time.
+    /// Applies a report of other proxies that the origin is slow: until this time, each proxy may send it this share of
+    /// its requests.
     pub fn receive_origin_health(&mut self, now: Micros, origin_share: f64, until: Micros) {
         let for_us = until.saturating_sub(now);
         self.drive(
@@ -163,23 +163,23 @@
         );
     }
 
-    /// Takes a lease: this proxy's part of what all proxies may spend together.
+    /// Applies a lease: the part of a shared budget that this proxy may spend.
     pub fn receive_lease(&mut self, now: Micros, lease: linnetknot::Lease) {
         self.drive(now, Event::Lease(lease));
     }
 
-    /// How many requests of this proxy the origin has, or may have, in flight.
+    /// Returns how many requests of this proxy the origin has, or may have, in flight.
     pub fn origin_in_flight(&self) -> usize {
         self.router.asking()
     }
 
-    /// The greatest recent use of the capacity that a cache (or parent cache) has while in slow start, as a share of it;
-    /// none: no cache is in slow start.
+    /// Returns the highest recent utilization of a cache (or, with `parents`, of a parent) in slow start, as a share of
+    /// its capacity; `None` if none is in slow start.
     pub fn slow_start_use(&self, now: Micros, parents: bool) -> Option<f64> {
         self.router.cold_use(now, parents)
     }
 
-    /// Takes the end of a health check.
+    /// Processes the end of a health check.
     pub fn health_check_finished(
         &mut self,
         now: Micros,
@@ -199,7 +199,7 @@
         );
     }
 
-    /// Takes a wake-up that was asked for by [`Command::Wake`] and has come due.
+    /// Processes a wake-up that was requested by [`Command::Wake`] and is due.
     pub fn wake(&mut self, now: Micros, wake: Wake) {
         match wake {
             Wake::Router(tag) => self.drive(now, Event::Timer { tag }),
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Hands an event to the decision module and carries out what it decides.
+    /// Passes an event to the decision module and executes its actions.
     fn drive(&mut self, now: Micros, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         self.router.handle(now, event, &mut actions);
@@ -218,7 +218,6 @@
         self.actions = actions;
     }
 
-    /// Carries out an action of the decision module.
     fn execute(&mut self, now: Micros, action: Action) {
         match action {
             Action::Attempt {
@@ -248,7 +247,7 @@
             }
             Action::Timer { at, tag } => self.commands.push(Command::Wake(at, Wake::Router(tag))),
             Action::Probe { server } => self.commands.push(Command::Probe(server)),
-            // The sources of the endpoint list push it without being asked.
+            // The sources of the endpoint list push their updates, so nothing is to be requested.
             Action::Watch => {}
             Action::Report { line } => log::info!("{line}"),
         }
--- a/daemon/src/core/purging.rs
+++ b/daemon/src/core/purging.rs
@@ -1,24 +1,24 @@
-//! Purges and the dates by which they hold.
+//! Purges and the origin clock by which they are dated.
 
 use super::Core;
 use linnetknot::purges::PurgeTable;
 use linnetknot::Micros;
 use linnetknot_purges::KeyHash;
 
-/// The key of a purge of an object, or with none of a group.
+/// Returns the key of a purge of an object, or of a group if there is no object.
 fn purge_key(object: Option<&str>, group: u64) -> KeyHash {
     object.map_or(KeyHash::of_group(group), KeyHash::of_object)
 }
 
 impl Core {
-    /// Records a purge of an object, or with none of a whole group, by the date that came with it.
+    /// Records a purge of an object, or of a group if there is no object, with the date that came with it.
     pub fn record_purge(&mut self, now: Micros, object: Option<String>, group: u64, at: Micros) {
         let key = purge_key(object.as_deref(), group);
         let date = self.origin_clock.record_dated(now, key, at);
         self.router.purges_mut().record(key, date);
     }
 
-    /// Records a purge that was requested from this proxy, as of now. Gives the date for the other proxies.
+    /// Records a purge that was requested from this proxy, as of now. Returns the date for the other proxies.
     pub fn record_local_purge(&mut self, now: Micros, object: Option<&str>, group: u64) -> Micros {
         let key = purge_key(object, group);
         let date = self.origin_clock.record_local(now, key);
@@ -26,7 +26,7 @@
         self.origin_clock.date_for_peers(now)
     }
 
-    /// Takes a date that the origin or the event bus has just given: a lower bound of the origin's clock.
+    /// Takes a date just received from the origin or the event bus, which is a lower bound of the origin's clock.
     pub fn observe_origin_date(&mut self, now: Micros, date: Micros) {
         for (key, date) in self.origin_clock.observe(now, date) {
             self.router.purges_mut().record(key, date);
@@ -34,28 +34,28 @@
         self.router.set_origin_offset(self.origin_clock.offset_us());
     }
 
-    /// The date of a purge of everything as of now: copies from before now are older than it.
+    /// Returns the date for a purge of everything as of now: all copies that exist are older.
     pub fn purge_all_date(&self, now: Micros) -> Micros {
         self.origin_clock.date_for_peers(now)
     }
 
-    /// Translates a time of the origin's clock to the local clock, as far as its offset is known: never to an earlier
-    /// time than it was.
+    /// Converts a time of the origin's clock to the local clock with the known offset, which never makes it earlier
+    /// than it was.
     pub fn local_time(&self, date: Micros) -> Micros {
         self.origin_clock.to_local(date)
     }
 
-    /// The time that the origin's clock has reached at least at a time of the local clock.
+    /// Returns a lower bound of the origin's clock at a time of the local clock.
     pub fn origin_time(&self, now: Micros) -> Micros {
         self.origin_clock.now(now)
     }
 
-    /// The purges that are in force.
+    /// Returns the purges in force.
     pub fn purges(&self) -> &PurgeTable {
         self.router.purges()
     }
 
-    /// The purges that are in force, to merge those of another proxy or an earlier process.
+    /// Returns the purges in force, to merge those of another proxy or of an earlier process.
     pub fn purges_mut(&mut self) -> &mut PurgeTable {
         self.router.purges_mut()
     }
--- a/daemon/src/core/request.rs
+++ b/daemon/src/core/request.rs
@@ -1,4 +1,4 @@
-//! A client's request and its final answer, as every front hands them over.
+//! Client requests and their final answers, as all fronts exchange them with the core.
 
 use crate::net::Key;
 use linnetknot::Micros;
@@ -6,70 +6,70 @@
 /// The key of an open request.
 pub type RequestKey = Key;
 
-/// Where a request's answer goes: a connection of some front, and the front's own number for the request there.
+/// The destination of an answer: a connection of a front, and the number of the request on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Client {
     /// The connection.
     pub connection: Key,
-    /// The request's number on it.
+    /// The number of the request on the connection.
     pub stream: u32,
 }
 
-/// A request as every front hands it over.
+/// A client request, independent of the front that received it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClientRequest {
-    /// Its id, given by the client and passed on unchanged.
+    /// The id, chosen by the client and passed on unchanged.
     pub id: String,
-    /// The name of its class.
+    /// The name of the class.
     pub class: String,
     /// The key of the object.
     pub object: String,
-    /// Which part of the object.
+    /// The part of the object.
     pub part: u64,
-    /// The group of the object, by which groups are purged.
+    /// The group of the object, for purges of groups.
     pub group: u64,
-    /// The size of the part in KB; 0: unknown.
+    /// The size of the part in KB; 0 if unknown.
     pub size_kb: f64,
-    /// How long the client still waits from now on.
+    /// The time that the client still waits.
     pub remaining_us: Micros,
     /// The idempotency key, if the client gave one.
     pub idempotency_key: Option<String>,
-    /// The tag of the copy that the client has cached, if any.
+    /// The tag of the client's cached copy, if any.
     pub cached_tag: Option<String>,
     /// The body of a write.
     pub body: Vec<u8>,
 }
 
-/// What a cache served.
+/// The content that a cache served.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Content {
-    /// The bytes of the part, and the tag of the copy.
+    /// The bytes of the part and the tag of the copy.
     Object {
         /// The bytes.
         bytes: Vec<u8>,
-        /// The tag, if the cache named one.
+        /// The tag, if the cache sent one.
         tag: Option<String>,
     },
-    /// The copy that the client has cached is current: the cache named its tag.
+    /// The cache confirmed by its tag that the client's cached copy is current.
     Unchanged,
 }
 
-/// A final answer.
+/// The final answer to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// Served.
+    /// The request was served.
     Served(Content),
-    /// Rejected: a retry is harmless.
+    /// The request was rejected; a retry is safe.
     Rejected {
-        /// How long the client best waits before a retry.
+        /// The delay that the client should keep before a retry.
         retry_after_us: Option<Micros>,
     },
-    /// Failed.
+    /// The request failed.
     Failed,
 }
 
 impl Answer {
-    /// Its name in the log.
+    /// Returns the name of the answer in the log.
     pub fn name(&self) -> &'static str {
         match self {
             Answer::Served(_) => "served",
--- a/daemon/src/core/request_table.rs
+++ b/daemon/src/core/request_table.rs
@@ -1,4 +1,4 @@
-//! The table of open requests, bounded in their number and in the bytes of their bodies.
+//! The table of open requests, bounded in the number of requests and the bytes of their bodies.
 
 use super::attempt::OutstandingAttempt;
 use super::{Client, ClientRequest, RequestKey};
@@ -7,32 +7,32 @@
 use linnetknot::Micros;
 use std::collections::HashSet;
 
-/// A request from its admission until it is answered and none of its attempts is out.
+/// A request from its admission until it is answered and has no outstanding attempt.
 pub(super) struct OpenRequest {
     pub(super) client: Client,
     pub(super) request: ClientRequest,
-    /// When its final answer is due at the latest.
+    /// The time by which the final answer is due.
     pub(super) deadline: Micros,
-    /// Attempts made so far.
+    /// The number of attempts started.
     pub(super) attempts: u32,
-    /// The attempt that is out.
+    /// The outstanding attempt.
     pub(super) outstanding: Option<OutstandingAttempt>,
-    /// The final answer is given, or none is owed any more.
+    /// Whether the final answer was given, or the client has disconnected.
     pub(super) answered: bool,
 }
 
 /// The open requests by their keys.
 pub(super) struct RequestTable {
     requests: SlotTable<OpenRequest>,
-    /// Ids of the open requests: a cache takes two requests of one id for one.
+    /// The ids of the open requests: caches take two requests with one id for the same request.
     ids: HashSet<String>,
-    /// Bytes of the bodies of all open requests.
+    /// The total bytes of the bodies of all open requests.
     body_bytes: usize,
     max_body_bytes: usize,
 }
 
 impl RequestTable {
-    /// An empty table within the limits of the process.
+    /// Creates an empty table with the limits of the process.
     pub(super) fn new(limits: &Limits) -> Self {
         RequestTable {
             requests: SlotTable::new(limits.max_requests),
@@ -42,13 +42,13 @@
         }
     }
 
-    /// Whether a request's id is free and its body fits. The table may still be full.
+    /// Whether the id of a request is unused and its body fits. The table may still be full.
     pub(super) fn admits(&self, request: &ClientRequest) -> bool {
         self.body_bytes + request.body.len() <= self.max_body_bytes
             && !self.ids.contains(&request.id)
     }
 
-    /// Adds a request; none where the table is full.
+    /// Adds a request. Returns `None` if the table is full.
     pub(super) fn insert(&mut self, open: OpenRequest) -> Option<RequestKey> {
         let id = open.request.id.clone();
         let body_bytes = open.request.body.len();
@@ -58,27 +58,27 @@
         Some(key)
     }
 
-    /// The request of this key.
+    /// Returns the request with a key.
     pub(super) fn get(&self, key: RequestKey) -> Option<&OpenRequest> {
         self.requests.get(key)
     }
 
-    /// The request of this key, to be changed.
+    /// Returns the request with a key, mutably.
     pub(super) fn get_mut(&mut self, key: RequestKey) -> Option<&mut OpenRequest> {
         self.requests.get_mut(key)
     }
 
-    /// The request of this key, if its final answer is still owed.
+    /// Returns the request with a key if it has no final answer yet.
     pub(super) fn unanswered(&self, key: RequestKey) -> Option<&OpenRequest> {
         self.get(key).filter(|open| !open.answered)
     }
 
-    /// The request of this key, to be changed, if its final answer is still owed.
+    /// Returns the request with a key, mutably, if it has no final answer yet.
     pub(super) fn unanswered_mut(&mut self, key: RequestKey) -> Option<&mut OpenRequest> {
         self.get_mut(key).filter(|open| !open.answered)
     }
 
-    /// The keys of all open requests.
+    /// Returns the keys of all open requests.
     pub(super) fn keys(&self) -> Vec<RequestKey> {
         self.requests.keys()
     }
@@ -88,12 +88,12 @@
         self.requests.is_empty()
     }
 
-    /// Whether at least half of the slots are taken.
+    /// Whether at least half of the slots are in use.
     pub(super) fn is_half_full(&self) -> bool {
         self.requests.is_half_full()
     }
 
-    /// Frees the slot of a request that is answered and has no attempt out.
+    /// Frees the slot of a request that is answered and has no outstanding attempt.
     pub(super) fn release_if_finished(&mut self, key: RequestKey) {
         let is_finished = self
             .get(key)
--- a/daemon/src/core/requests.rs
+++ b/daemon/src/core/requests.rs
@@ -1,12 +1,12 @@
-//! The life of a request: its admission, the client that goes, its deadline and its final answer.
+//! The life cycle of a request: its admission, the disconnect of its client, its deadline and its final answer.
 
 use super::request_table::OpenRequest;
 use super::{Answer, AttemptId, Client, ClientRequest, Command, Core, RequestKey, Wake, TRACE};
 use linnetknot::{Event, Micros, Outcome, Request};
 
 impl Core {
-    /// Admits a request. None where the front has to reject it: the table is full, the request has the id of an open
-    /// one, which a cache would take for the same, or its class needs an idempotency key and it has none.
+    /// Admits a request. Returns `None` if the front has to reject it: the table is full, an open request has the same
+    /// id, or the class requires an idempotency key and the request has none.
     pub fn admit(
         &mut self,
         now: Micros,
@@ -37,7 +37,7 @@
         Some(key)
     }
 
-    /// How long a request may be open.
+    /// Returns how long a request may be open.
     fn time_for(&self, now: Micros, request: &ClientRequest) -> Micros {
         request
             .remaining_us
@@ -46,8 +46,7 @@
             .saturating_sub(self.response_margin_us)
     }
 
-    /// Sets the time by which all requests are answered, those that are open and those to come: the process may be
-    /// killed a little later.
+    /// Sets the time by which all current and future requests are answered, as the process may be killed soon after it.
     pub fn set_shutdown_deadline(&mut self, at: Micros) {
         self.shutdown_deadline = at;
         for key in self.requests.keys() {
@@ -61,7 +60,7 @@
         }
     }
 
-    /// The client has gone: no answer is owed to it any more.
+    /// Processes the disconnect of a client, whose request needs no answer any more.
     pub fn client_gone(&mut self, now: Micros, key: RequestKey) {
         let Some(open) = self.requests.unanswered_mut(key) else {
             return;
@@ -74,7 +73,7 @@
             .filter(|attempt| !attempt.started)
             .map(|attempt| attempt.number);
         if let Some(number) = unsent {
-            // Whether or not the settings let attempts be cancelled: this one can still be kept from being made.
+            // Unsent attempts are cancelled even if the settings do not allow cancellation.
             self.cancel(
                 now,
                 AttemptId {
@@ -87,30 +86,30 @@
         self.forget_client(now, key);
     }
 
-    /// Tells the decision module that no answer is owed to a request any more.
+    /// Notifies the decision module that a request needs no answer any more.
     fn forget_client(&mut self, now: Micros, key: RequestKey) {
         let request = key.to_u64();
         self.drive(now, Event::Left { request });
         self.requests.release_if_finished(key);
     }
 
-    /// A request has reached its deadline: the attempt that is out has timed out, and the decision module has the last
-    /// word, which can't be a further attempt.
+    /// Processes the deadline of a request: the outstanding attempt times out, and the decision module gives the final
+    /// answer without a further attempt.
     pub(super) fn expire(&mut self, now: Micros, key: RequestKey) {
         let Some(open) = self.requests.unanswered(key) else {
             return;
         };
-        if let Some(out) = &open.outstanding {
-            let number = out.number;
+        if let Some(outstanding) = &open.outstanding {
+            let number = outstanding.number;
             let attempt = AttemptId {
                 request: key,
                 number,
             };
-            if out.cancelled.is_none() {
-                let server = out.target.server;
+            if outstanding.cancelled.is_none() {
+                let server = outstanding.target.server;
                 self.commands.push(Command::Cancel(attempt, server));
             }
-            let outcome = if out.started {
+            let outcome = if outstanding.started {
                 Outcome::Timeout
             } else {
                 Outcome::Moot
@@ -118,14 +117,14 @@
             self.attempt_finished(now, attempt, outcome.into());
         }
         if self.requests.unanswered(key).is_some() {
-            // Guards the invariant of one answer against a decision module that holds a request past its end.
+            // Ensures one final answer even if the decision module leaves the request open.
             log::warn!("a request was still unanswered at its deadline");
             self.finish(now, key, Answer::Failed);
             self.forget_client(now, key);
         }
     }
 
-    /// Gives the final answer. No other place does: a request that has its answer gets no second one.
+    /// Gives the final answer. All final answers pass here, so that a request gets at most one.
     pub(super) fn finish(&mut self, now: Micros, key: RequestKey, answer: Answer) {
         let Some(open) = self.requests.unanswered_mut(key) else {
             return;
@@ -140,7 +139,7 @@
             left_us = open.deadline.saturating_sub(now),
             of_us = open.request.remaining_us,
             answer = answer.name();
-            "a request is answered"
+            "request answered"
         );
         match answer {
             Answer::Served(_) => self.counters.served += 1,
@@ -151,7 +150,7 @@
     }
 }
 
-/// A request as the decision module takes it, its id still to be given.
+/// Converts a request to that of the decision module, without an id.
 fn decision_request(request: &ClientRequest) -> Request {
     Request {
         id: 0,
