--- a/daemon/src/upstream/answers.rs
+++ b/daemon/src/upstream/answers.rs
@@ -1,4 +1,4 @@
-//! Reading the answers that come in on a connection.
+//! Reads the responses that arrive on a connection.
 
 use super::frames::{load_report, result_of};
 use super::stream::{made_ms, Stream};
@@ -8,7 +8,7 @@
 use crate::wire::{Parser, WireError};
 use linnetknot::{Micros, Outcome};
 
-/// An answer as it was read.
+/// A parsed response.
 pub(super) struct Answer {
     id: String,
     pub(super) status: Vec<u8>,
@@ -17,7 +17,7 @@
 }
 
 impl Answer {
-    /// An answer from the items of its frame; none where its id is no text.
+    /// Builds a response from the items of its frame; `None` if its id is not UTF-8.
     fn new(items: Vec<Vec<u8>>) -> Result<Option<Self>, WireError> {
         let mut items = items.into_iter();
         let (Some(id), Some(status)) = (items.next(), items.next()) else {
@@ -38,10 +38,10 @@
 }
 
 impl UpstreamConnection {
-    /// Reads all that has come in.
+    /// Reads all received responses.
     ///
     /// # Errors
-    /// What came can't be read: the connection must be closed.
+    /// Fails on malformed input, after which the connection must be closed.
     pub fn read(
         &mut self,
         now: Micros,
@@ -67,7 +67,7 @@
         Ok(())
     }
 
-    /// Takes an answer to what is open under its id, when so many bytes have been written to the connection.
+    /// Processes a response to the stream with its id. `written` is the number of bytes written to the connection.
     fn take_answer(
         &mut self,
         now: Micros,
@@ -78,7 +78,7 @@
     ) -> Result<(), WireError> {
         match self.streams.get(&answer.id) {
             Some(Stream::Attempt(sent)) if sent.end_offset > written => {
-                // Nobody can have read what it answers: whatever speaks there, it is not the protocol.
+                // The response precedes the request, so the peer does not speak the protocol.
                 return Err(WireError::Malformed(
                     "a cache's answer to what has not been sent in full",
                 ));
@@ -93,13 +93,13 @@
                 self.streams.remove(&answer.id);
             }
             Some(Stream::Aborted { pending: None, .. } | Stream::Answered { .. }) | None => {
-                log::debug!("a cache answered what is not open");
+                log::debug!("a cache responded to an unknown id");
             }
         }
         Ok(())
     }
 
-    /// Takes the answer to an attempt.
+    /// Processes the response to an attempt.
     fn answer_attempt(
         &mut self,
         now: Micros,
@@ -115,10 +115,10 @@
         if let Some(made_us) = made_ms(&answer.fields).and_then(|ms| ms.checked_mul(1000)) {
             events.push(UpstreamEvent::OriginDate(made_us));
         }
-        // The answer to the attempt before may have crossed its abort: which of the two this one ends is unknown.
+        // An earlier attempt of the request was aborted, and this response may answer that one.
         let is_ambiguous = std::mem::take(&mut sent.follows_abort);
         if is_too_old && is_ambiguous {
-            log::info!("an answer from before the attempt that it would end was passed over");
+            log::info!("response to an aborted attempt ignored");
             return;
         }
         let id = answer.id.clone();
@@ -132,7 +132,7 @@
         if result.outcome == Outcome::Ok {
             self.streams.remove(&id);
         } else if is_ambiguous {
-            // What is still out must be over before a further attempt begins.
+            // The current attempt must have ended before a further one starts.
             self.queue_abort(now, id, attempt, result);
             return;
         } else {
@@ -141,7 +141,8 @@
         events.push(UpstreamEvent::AttemptFinished(attempt, result));
     }
 
-    /// Takes the answer to an attempt that was given up. It came before the attempt was over: then this is how it ended.
+    /// Processes the response to an aborted attempt. It arrived before the abort took effect, so it is the result of
+    /// the attempt.
     fn answer_aborted(&mut self, core: &Core, answer: Answer, events: &mut Vec<UpstreamEvent>) {
         let Some(Stream::Aborted { at, pending }) = self.streams.get_mut(&answer.id) else {
             return;
@@ -161,7 +162,7 @@
     }
 }
 
-/// The end of a health check by its answer.
+/// Returns the result of a health check.
 fn health_check_result(answer: &Answer, took_us: Micros) -> UpstreamEvent {
     let is_alive = matches!(answer.status.as_slice(), b"alive" | b"status" | b"200");
     UpstreamEvent::HealthCheckFinished {
--- a/daemon/src/upstream/connection.rs
+++ b/daemon/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! The state of a connection to a cache server, and which attempts it can take.
+//! The state of a connection to a cache server, and which attempts it accepts.
 
 use super::stream::Stream;
 use crate::core::{AttemptId, Core};
@@ -14,44 +14,45 @@
     pub(super) since: Micros,
 }
 
-/// A time at which the socket took no bytes.
+/// A time at which the socket accepted no bytes.
 #[derive(Clone, Copy)]
 pub(super) struct Stall {
-    /// How many bytes were written by then.
+    /// The number of bytes written by then.
     pub(super) written: u64,
     pub(super) since: Micros,
 }
 
-/// A connection to a cache server, as far as attempts go.
+/// The attempts and health checks on a connection to a cache server.
 pub struct UpstreamConnection {
     /// The cache server.
     pub server: ServerId,
-    /// Where the connection leads: a cache may move, and its older connections then lead to what was there before.
+    /// The address that the connection was made to. If the address of the cache changes, its older connections still
+    /// lead to the previous one.
     pub endpoint: Option<SocketAddr>,
     pub(super) arrays: resp::ArrayParser,
     pub(super) queue: VecDeque<QueuedAttempt>,
-    /// Ids whose abort is not written yet.
+    /// The ids whose abort frames have not been written.
     pub(super) aborts: VecDeque<String>,
-    /// What is open under each id.
+    /// The streams by their ids.
     pub(super) streams: HashMap<String, Stream>,
     pub(super) health_checks: u64,
     connecting_since: Micros,
     pub(super) last_received: Micros,
-    /// When bytes last went either way.
+    /// The time of the last transfer in either direction.
     pub(super) last_used: Micros,
-    /// When the oldest finished stream is to be forgotten, as last reported.
+    /// The time at which the oldest finished stream is removed, as last returned by `next_removal_at`.
     pub(super) next_removal: Option<Micros>,
-    /// When the answer began that has arrived in part.
+    /// The start of a response that has arrived in part.
     pub(super) partial_since: Option<Micros>,
-    /// A connection becomes suspect once it has been silent for so long.
+    /// The silence after which the connection is suspected to be dead.
     pub(super) suspect_us: Micros,
-    /// Nothing came back for an attempt that was given up here: the other side may have gone without closing.
+    /// An attempt timed out here and nothing was received, so the peer may be gone without having closed.
     pub(super) suspect: bool,
     pub(super) stall: Option<Stall>,
 }
 
 impl UpstreamConnection {
-    /// A connection to a cache server that is being made.
+    /// Creates the state of a connection that is being established.
     pub fn new(server: ServerId, limits: &Limits, now: Micros) -> Self {
         UpstreamConnection {
             server,
@@ -72,7 +73,7 @@
         }
     }
 
-    /// How many streams are live on it, if it can take one more attempt under this id.
+    /// Returns the number of live streams if the connection accepts a further attempt with this id.
     pub fn live_streams_if_available(
         &self,
         id: &str,
@@ -80,8 +81,8 @@
         limits: &Limits,
     ) -> Option<usize> {
         let live = self.live_streams();
-        // Two clients may give one id: a second attempt under it here would take the first one's answer, also
-        // where both still wait for the connection.
+        // Two clients may use the same id: a second attempt with it on this connection, queued or sent, would be taken
+        // to have the response of the first.
         let is_free = self.streams.get(id).is_none_or(Stream::is_free) && !self.is_queued(id, core);
         (!self.suspect && live < limits.max_attempts_per_connection && is_free).then_some(live)
     }
@@ -91,7 +92,7 @@
         live.count() + self.queue.len()
     }
 
-    /// Whether an attempt under this id waits here to be started.
+    /// Whether an attempt with this id is queued here.
     fn is_queued(&self, id: &str, core: &Core) -> bool {
         self.queue.iter().any(|queued| {
             core.dispatch(queued.attempt)
@@ -99,8 +100,8 @@
         })
     }
 
-    /// When the answer that has arrived in part counts as stopped short, or as taking longer than anybody waits for one:
-    /// some never end.
+    /// Returns the time at which a partial response counts as truncated, or as exceeding the longest time that clients
+    /// wait.
     pub fn partial_response_deadline(&self, limits: &Limits) -> Option<Micros> {
         let since = self.partial_since?;
         Some(
@@ -109,51 +110,51 @@
         )
     }
 
-    /// Whether an answer that arrives slowly would hold up the answer to a further attempt.
+    /// Whether a slow response would delay the response to a further attempt.
     pub fn is_blocked_by_response(&self, now: Micros, limits: &Limits) -> bool {
         self.partial_since
             .is_some_and(|since| since + limits.response_stall_timeout_us <= now)
     }
 
-    /// Whether an attempt under this id was given up here not long ago.
+    /// Whether an attempt with this id was aborted here recently.
     pub fn has_aborted(&self, id: &str) -> bool {
         matches!(self.streams.get(id), Some(Stream::Aborted { .. }))
     }
 
-    /// Whether nothing is open on it.
+    /// Whether no stream is open and no attempt is queued.
     pub fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.streams.values().all(Stream::is_finished)
     }
 
-    /// Whether nothing has gone either way for so long that the cache may be about to close it: an attempt that is sent
-    /// now may cross that.
+    /// Whether the connection has been idle for so long that the cache may be closing it, which a new attempt would
+    /// race with.
     pub fn is_stale(&self, now: Micros, limits: &Limits) -> bool {
         limits.cache_idle_timeout_us > 0
             && self.is_idle()
             && self.last_used + limits.cache_idle_timeout_us <= now
     }
 
-    /// Whether it should be up by now: it may yet come up, but no further attempt is to wait for it.
+    /// Whether establishing the connection takes too long for attempts to wait for it. It may still succeed.
     pub fn is_connect_overdue(&self, now: Micros, limits: &Limits) -> bool {
         self.connecting_since + limits.connect_timeout_us <= now
     }
 
-    /// When it is given up if it is not up by then.
+    /// Returns the time at which an attempt to establish the connection is abandoned.
     pub fn connect_deadline(&self, limits: &Limits) -> Micros {
         self.connecting_since + limits.connect_abort_us
     }
 
-    /// When bytes last went either way.
+    /// Returns the time of the last transfer in either direction.
     pub fn last_used(&self) -> Micros {
         self.last_used
     }
 
-    /// When bytes last came from its cache, or when the connection was begun.
+    /// Returns the time at which bytes were last received, or at which the connection was begun.
     pub fn last_received(&self) -> Micros {
         self.last_received
     }
 
-    /// Whether it was silent for so long that the other side may have gone.
+    /// Whether the connection is suspected to be dead.
     pub fn is_suspect(&self) -> bool {
         self.suspect
     }
--- a/daemon/src/upstream/frames.rs
+++ b/daemon/src/upstream/frames.rs
@@ -1,4 +1,4 @@
-//! The wire form: attempts, aborts and health checks as frames, and answers as outcomes.
+//! The wire format: encodes attempts, aborts and health checks, and converts responses to outcomes.
 
 use super::answers::Answer;
 use crate::core::{AttemptId, AttemptResult, ClientRequest, Content, Core};
@@ -6,7 +6,7 @@
 use linnetknot::{Fill, Load, Micros, Note, Outcome};
 use std::str::FromStr;
 
-/// How the cache made the answer, by its own word.
+/// Returns how the cache produced the response, as the response states it.
 fn note(fields: &[u8]) -> Note {
     match resp::field(fields, "how") {
         Some("local") => Note::Hit,
@@ -23,7 +23,7 @@
     }
 }
 
-/// The load report that an answer carries.
+/// Parses the load report of a response.
 pub(super) fn load_report(fields: &[u8]) -> Option<Load> {
     let stats = resp::field(fields, "stats")?;
     Some(Load {
@@ -34,14 +34,14 @@
     })
 }
 
-/// The value of a name in a list `name:value;name:value`.
+/// Returns the value of a name in a list of the form `name:value;name:value`.
 fn statistic<T: FromStr>(stats: &str, name: &str) -> Option<T> {
     let pairs = stats.split(';').filter_map(|pair| pair.split_once(':'));
     let mut values = pairs.filter(|(n, _)| *n == name);
     values.find_map(|(_, value)| value.parse().ok())
 }
 
-/// How an attempt ended by this answer.
+/// Returns the result of an attempt by its response.
 pub(super) fn result_of(answer: Answer, request: Option<&ClientRequest>) -> AttemptResult {
     let fields = &answer.fields;
     let etag = resp::field(fields, "etag");
@@ -55,7 +55,7 @@
         b"404" => (Outcome::Miss, None),
         b"503" => (Outcome::Full, None),
         b"504" => (Outcome::Moot, None),
-        // Also a status that is not known here: the attempt may have run.
+        // An unknown status is an error, as the attempt may have run.
         _ => (Outcome::Error, None),
     };
     AttemptResult {
@@ -67,14 +67,14 @@
     }
 }
 
-/// Whether the client's copy is current. It is only called so where the cache names it: an answer that names none, or
-/// another, may belong to something else.
+/// Whether the client's copy is current. The response must name the tag of the copy: one without a tag, or with
+/// another, may belong to another object.
 fn is_current(request: Option<&ClientRequest>, etag: Option<&str>) -> bool {
     let cached_tag = request.and_then(|request| request.cached_tag.as_deref());
     cached_tag.is_some() && cached_tag == etag
 }
 
-/// How long the fill waited for its first byte.
+/// Returns the time that the fill waited for its first byte.
 fn waited_us(fields: &[u8]) -> Micros {
     let waited_ms = resp::field(fields, "ttfb").and_then(|ms| ms.parse::<f64>().ok());
     (waited_ms.unwrap_or(0.0).max(0.0) * 1e3) as Micros
@@ -83,11 +83,11 @@
 /// The frame of an attempt.
 pub(super) struct AttemptFrame {
     pub(super) bytes: Vec<u8>,
-    /// The greatest age of a copy that it allows.
+    /// The maximum age of a copy that the request allows.
     pub(super) max_age_us: Option<Micros>,
 }
 
-/// The frame of an attempt; none where it may not start any more.
+/// Encodes the frame of an attempt; `None` if the attempt may no longer start.
 pub(super) fn attempt_frame(core: &Core, now: Micros, attempt: AttemptId) -> Option<AttemptFrame> {
     let dispatch = core.dispatch_now(now, attempt)?;
     let request = dispatch.request;
@@ -125,18 +125,18 @@
     })
 }
 
-/// Adds a name and its value.
+/// Appends a field.
 fn add(fields: &mut String, name: &str, value: &str) {
     fields.extend([",", name, "=", value]);
 }
 
-/// Adds how a miss is filled, without its source.
+/// Appends the fields of a fill, without its source.
 fn add_fill(fields: &mut String, fill: &Fill) {
     if fill.keep > 0 {
         add(fields, "keep", &fill.keep.to_string());
     }
     if let Some(age) = fill.max_age_us {
-        // Rounded down, so that no copy from before a purge passes; 0 would mean the class's fresh time.
+        // Rounded down so that a copy from before a purge does not pass. 0 would mean the default of the class.
         add(fields, "maxage", &(age / 1000).max(1).to_string());
     }
     let flags = [
@@ -155,14 +155,14 @@
     }
 }
 
-/// The frame that tells a cache that the attempt under an id is given up.
+/// Encodes the frame that aborts the attempt with an id.
 pub(super) fn abort_frame(id: &str) -> Vec<u8> {
     let mut frame = Vec::new();
     resp::write_array(&mut frame, &[b"abort", id.as_bytes()]);
     frame
 }
 
-/// The frame that asks a cache for its load report.
+/// Encodes the frame that requests the load report of a cache.
 pub(super) fn health_check_frame(id: &str) -> Vec<u8> {
     let mut frame = Vec::new();
     resp::write_array(&mut frame, &[b"stats", id.as_bytes()]);
--- a/daemon/src/upstream/mod.rs
+++ b/daemon/src/upstream/mod.rs
@@ -1,16 +1,15 @@
-//! Connections to cache servers: many attempts share one, and answers come in any order. An [`UpstreamConnection`] knows
-//! frames and ids, not sockets.
+//! Connections to cache servers. Many attempts share a connection, and responses arrive in any order. An
+//! [`UpstreamConnection`] handles frames and ids; the sockets are elsewhere.
 //!
-//! An attempt starts with the first byte of its frame that the socket takes. Until then it stays in the connection's
-//! queue, from where it can be recalled without a trace: when it is given up, when its cache drains and when the
-//! connection never comes up, it is only taken out there. What an attempt may still do is checked when it starts, not
-//! when it is queued.
+//! An attempt starts when the socket accepts the first byte of its frame. Before that it is in the queue of the
+//! connection, from which it is removed without effect on the cache if it is cancelled, if its cache drains, or if the
+//! connection is never established. Whether an attempt may still run is checked when it starts, not when it is queued.
 //!
-//! * `connection`: the state of a connection, and which attempts it can take;
-//! * `sending`: the queue, aborts and health checks on their way out;
-//! * `answers`: answers on their way in;
-//! * `recall`: attempts that are taken back, and the end of the connection;
-//! * `stream`, `frames`, `event`: what is open under an id, the wire form, and what the core hears.
+//! * `connection`: the state of a connection, and which attempts it accepts;
+//! * `sending`: the queue, aborts and health checks;
+//! * `answers`: received responses;
+//! * `recall`: withdrawn attempts, and the loss of the connection;
+//! * `stream`, `frames`, `event`: the streams by their ids, the wire format, and the events for the core.
 
 mod answers;
 mod connection;
--- a/daemon/src/upstream/recall.rs
+++ b/daemon/src/upstream/recall.rs
@@ -1,4 +1,4 @@
-//! Attempts that are taken back, streams that are forgotten, and the end of a connection.
+//! Withdrawal of attempts, removal of finished streams, and the loss of a connection.
 
 use super::connection::QueuedAttempt;
 use super::stream::Stream;
@@ -8,8 +8,8 @@
 use linnetknot::{Micros, Outcome, ServerId};
 
 impl UpstreamConnection {
-    /// When the oldest finished stream is to be forgotten; none where that was reported before and is still to come, so
-    /// that a connection has one deadline for it, however many streams there are.
+    /// Returns when the oldest finished stream is to be removed; `None` if an earlier call returned a time that is
+    /// still to come, so that a connection has one deadline for all its streams.
     pub fn next_removal_at(&mut self, now: Micros, limits: &Limits) -> Option<Micros> {
         if self.next_removal.is_some_and(|at| at > now) {
             return None;
@@ -21,7 +21,7 @@
         self.next_removal
     }
 
-    /// Forgets the streams that finished long enough ago.
+    /// Removes the streams that finished long enough ago.
     pub fn remove_finished(&mut self, now: Micros, limits: &Limits) {
         self.streams.retain(|_, stream| {
             stream
@@ -30,7 +30,7 @@
         });
     }
 
-    /// Takes back the attempts that have not started and would go to this cache or be filled from it.
+    /// Withdraws the queued attempts that would go to this cache or be filled from it.
     pub fn withdraw(&mut self, server: ServerId, core: &Core, events: &mut Vec<UpstreamEvent>) {
         let own_server = self.server;
         let concerns = |queued: &QueuedAttempt| {
@@ -50,13 +50,13 @@
         });
     }
 
-    /// Takes out the attempts that have not started, to go on elsewhere.
+    /// Removes and returns the queued attempts, to be sent on another connection.
     pub fn drain_queue(&mut self) -> Vec<AttemptId> {
         self.queue.drain(..).map(|queued| queued.attempt).collect()
     }
 
-    /// Ends all that is open, as the connection is lost after so many bytes were written. An attempt that did not arrive
-    /// in full can't have run, and ends as `unsent`; the others may have.
+    /// Ends all attempts, as the connection was lost after `written` bytes. Attempts that were not written in full
+    /// can't have run and end as `unsent`; the others may have run.
     pub fn connection_lost(
         &mut self,
         unsent: Outcome,
@@ -77,7 +77,7 @@
     }
 }
 
-/// How a stream ends with its connection; none where it was over before.
+/// Returns the event that ends a stream with its connection; `None` if the stream had ended before.
 fn lost_stream(stream: Stream, unsent: Outcome, written: u64) -> Option<UpstreamEvent> {
     match stream {
         Stream::Attempt(sent) => {
--- a/daemon/src/upstream/sending.rs
+++ b/daemon/src/upstream/sending.rs
@@ -1,4 +1,4 @@
-//! What goes out on a connection: attempts from its queue, aborts ahead of them, and health checks.
+//! Sends attempts from the queue of a connection, aborts ahead of them, and health checks.
 
 use super::connection::{QueuedAttempt, Stall};
 use super::frames::{abort_frame, attempt_frame, health_check_frame};
@@ -10,8 +10,8 @@
 use linnetknot::{Micros, Outcome};
 
 impl UpstreamConnection {
-    /// Queues an attempt. Nothing of it is written before the connection is up and takes its first byte, so an attempt
-    /// that is given up or withdrawn until then never reaches the cache.
+    /// Queues an attempt. It is written only once the connection is established and accepts its first byte, so that an
+    /// attempt that is cancelled or withdrawn earlier never reaches the cache.
     pub fn enqueue(&mut self, now: Micros, attempt: AttemptId) {
         self.queue.push_back(QueuedAttempt {
             attempt,
@@ -19,7 +19,7 @@
         });
     }
 
-    /// Writes a health check. False: the connection is not up or takes nothing now.
+    /// Sends a health check. Returns false if the connection is not established or accepts nothing now.
     pub fn send_health_check(&mut self, now: Micros, conn: &mut TcpConnection) -> bool {
         let id = format!("probe-{}", self.health_checks);
         let frame = health_check_frame(&id);
@@ -32,8 +32,8 @@
         true
     }
 
-    /// Writes what the connection takes, aborts first, and reports the attempts that were given up once their aborts are
-    /// written. False: the connection takes nothing more and must be closed.
+    /// Writes as much as the connection accepts, aborts first, and reports the cancelled attempts whose aborts have
+    /// been written. Returns false if the connection must be closed.
     pub fn flush(
         &mut self,
         now: Micros,
@@ -49,8 +49,8 @@
             return false;
         }
         self.report_aborted(now, conn.written, limits, events);
-        // What comes behind an answer that stopped short would be taken for the rest of it: the connection is of no
-        // further use, also for all else that is open on it.
+        // The next response would be parsed as the rest of a truncated one, so the connection is unusable for all its
+        // streams.
         let deadline = self.partial_response_deadline(limits);
         if deadline.is_some_and(|at| at <= now) {
             return false;
@@ -58,8 +58,8 @@
         !self.is_stalled_for_long(now, conn, limits)
     }
 
-    /// Ends the attempts that have waited too long for the connection: they go on elsewhere in time, whether or not it
-    /// comes up after all.
+    /// Ends the attempts that have waited too long for the connection, so that they can still be made elsewhere in
+    /// time.
     fn end_overdue(&mut self, now: Micros, limits: &Limits, events: &mut Vec<UpstreamEvent>) {
         let is_overdue = |queued: &&QueuedAttempt| queued.since + limits.connect_timeout_us <= now;
         let overdue = self.queue.iter().take_while(is_overdue).count();
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Reports the attempts that were given up and whose aborts were written long enough ago: an abort has a way to go,
-    /// and a further attempt at a nearer cache must not overtake it.
+    /// Reports the cancelled attempts whose aborts were written at least `abort_transit_us` ago: a further attempt at a
+    /// nearer cache must not overtake the abort.
     fn report_aborted(
         &mut self,
         now: Micros,
@@ -92,14 +92,14 @@
         }
     }
 
-    /// When the next attempt that was given up is reported.
+    /// Returns when the next cancelled attempt is reported.
     pub fn next_report_at(&self, limits: &Limits) -> Option<Micros> {
         let ends = self.streams.values().filter_map(Stream::pending_end);
         let earliest = ends.filter_map(|end| end.written_at).min();
         earliest.map(|at| at + limits.abort_transit_us)
     }
 
-    /// Whether the other side has taken no bytes for too long: it would keep what is given up here from ever being over.
+    /// Whether the peer has accepted no bytes for too long, so that cancelled attempts would never end.
     fn is_stalled_for_long(&mut self, now: Micros, conn: &TcpConnection, limits: &Limits) -> bool {
         if !conn.is_waiting_to_write() {
             self.stall = None;
@@ -114,7 +114,7 @@
         now - stall.since >= limits.write_stall_timeout_us
     }
 
-    /// Starts one frame after the other while the socket takes all of each. False: the connection is broken.
+    /// Starts queued frames while the socket accepts all of each. Returns false if the connection is broken.
     fn start_frames(
         &mut self,
         now: Micros,
@@ -140,7 +140,7 @@
         true
     }
 
-    /// Starts the abort at the head of its queue, and takes it out there if the socket takes it.
+    /// Starts the first queued abort, and removes it from its queue if the socket accepts it.
     fn start_abort(&mut self, conn: &mut TcpConnection, id: &str) -> Progress {
         let progress = conn.begin(&abort_frame(id));
         if progress == Progress::Moved {
@@ -156,8 +156,8 @@
         progress
     }
 
-    /// Starts the attempt at the head of the queue, and takes it out there if the socket takes it. One that may not
-    /// start any more ends.
+    /// Starts the first queued attempt, and removes it from the queue if the socket accepts it. Ends an attempt that
+    /// may no longer start.
     fn start_attempt(
         &mut self,
         now: Micros,
@@ -194,7 +194,7 @@
         progress
     }
 
-    /// Gives an attempt up: takes it out of the queue, or sends its cache an abort, ahead of all that has not started.
+    /// Cancels an attempt: removes it from the queue, or queues an abort ahead of all frames that have not started.
     pub fn abort(&mut self, now: Micros, attempt: AttemptId) {
         if let Some(at) = self.queue.iter().position(|q| q.attempt == attempt) {
             self.queue.remove(at);
@@ -211,7 +211,7 @@
         self.queue_abort(now, id, attempt, Outcome::Cancelled.into());
     }
 
-    /// Queues the abort of an attempt, whose end is reported in this way once the abort is on its way.
+    /// Queues the abort of an attempt. The attempt is reported with this result once the abort was written.
     pub(super) fn queue_abort(
         &mut self,
         now: Micros,
@@ -234,7 +234,7 @@
     }
 }
 
-/// How many bytes are written once all of the output is.
+/// Returns the number of bytes that will have been written once the output is empty.
 fn end_of_output(conn: &TcpConnection) -> u64 {
     conn.written + conn.output.len() as u64
 }
--- a/daemon/src/upstream/stream.rs
+++ b/daemon/src/upstream/stream.rs
@@ -1,51 +1,51 @@
-//! What is open on a connection under an id.
+//! The streams of a connection, each with an id.
 
 use crate::core::{AttemptId, AttemptResult};
 use crate::wire::resp;
 use linnetknot::Micros;
 
-/// What is open on a connection under an id.
+/// The state of an id on a connection.
 pub(super) enum Stream {
-    /// An attempt whose answer is awaited.
+    /// An attempt that was sent and is not answered.
     Attempt(SentAttempt),
-    /// An attempt that was given up. A further attempt of the request at this cache must come behind the abort, so it
-    /// takes this connection: on another one the cache might read it first and have two at once.
+    /// An aborted attempt. A further attempt of the request at this cache must use this connection, behind the abort:
+    /// on another one the cache might read it first and run both.
     Aborted {
-        /// When it was given up.
+        /// The time of the abort.
         at: Micros,
-        /// Its end, until that is reported.
+        /// The result, until it is reported.
         pending: Option<PendingEnd>,
     },
-    /// Answered without being served. A cache may say so twice, and a further attempt of the request here would take
-    /// the repeat for its own answer: it goes by another connection.
+    /// An attempt that was answered but not served. The cache may repeat the response, which a further attempt of the
+    /// request on this connection would take for its own, so that attempt uses another connection.
     Answered {
-        /// When the answer came.
+        /// The time of the response.
         at: Micros,
     },
     /// A health check.
     HealthCheck {
-        /// When it was sent.
+        /// The time at which it was sent.
         sent_at: Micros,
     },
 }
 
 impl Stream {
-    /// Whether its answer is awaited.
+    /// Whether a response is expected.
     pub(super) fn is_live(&self) -> bool {
         matches!(self, Stream::Attempt(_) | Stream::HealthCheck { .. })
     }
 
-    /// Whether it is over and only remembered.
+    /// Whether it has ended and is only kept for later attempts with the id.
     pub(super) fn is_finished(&self) -> bool {
         self.finished_at().is_some()
     }
 
-    /// Whether a further attempt may take its id here.
+    /// Whether a further attempt with the id may be sent on this connection.
     pub(super) fn is_free(&self) -> bool {
         matches!(self, Stream::Aborted { pending: None, .. })
     }
 
-    /// When it ended, if it is over and only remembered.
+    /// Returns when it ended, if it is only kept for later attempts with the id.
     pub(super) fn finished_at(&self) -> Option<Micros> {
         match self {
             Stream::Aborted { at, pending: None } | Stream::Answered { at } => Some(*at),
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Its end that is still to be reported, if it was given up.
+    /// Returns the result that is still to be reported, if the attempt was aborted.
     pub(super) fn pending_end(&self) -> Option<&PendingEnd> {
         match self {
             Stream::Aborted { pending, .. } => pending.as_ref(),
@@ -62,27 +62,27 @@
     }
 }
 
-/// An attempt that was started and not answered.
+/// An attempt that was started and is not answered.
 pub(super) struct SentAttempt {
     pub(super) attempt: AttemptId,
     pub(super) at: Micros,
-    /// What the origin's clock had reached by then, as far as was known.
+    /// The lower bound of the origin's clock at that time.
     pub(super) origin_at: Micros,
-    /// So many bytes are written once all of its frame is.
+    /// The number of bytes written on the connection at the end of its frame.
     pub(super) end_offset: u64,
-    /// The greatest age of a copy that the request allows.
+    /// The maximum age of a copy that the request allows.
     pub(super) max_age_us: Option<Micros>,
-    /// An attempt of the same request was given up here before it.
+    /// Whether an attempt of the same request was aborted here before.
     pub(super) follows_abort: bool,
 }
 
-/// When the origin gave out the copy that an answer brings, in Unix milliseconds.
+/// Parses the time at which the origin served the copy, in Unix milliseconds.
 pub(super) fn made_ms(fields: &[u8]) -> Option<u64> {
     resp::field(fields, "made")?.parse().ok()
 }
 
 impl SentAttempt {
-    /// Whether an answer brings a copy that is older than the request allows: no cache may give one, so it is not
+    /// Whether the copy in a response is older than the request allows. Caches must not serve such copies, so it is not
     /// passed on.
     pub(super) fn is_too_old(&self, fields: &[u8]) -> bool {
         let Some((made_ms, max_age_us)) = made_ms(fields).zip(self.max_age_us) else {
@@ -94,13 +94,13 @@
     }
 }
 
-/// The end of an attempt that was given up, not reported yet.
+/// The result of an aborted attempt that is not reported yet.
 pub(super) struct PendingEnd {
     pub(super) attempt: AttemptId,
-    /// How it will be reported.
+    /// The result to report.
     pub(super) result: AttemptResult,
-    /// So many bytes are written once all of its abort is; none: the abort is still queued.
+    /// The number of bytes written on the connection at the end of its abort frame; `None` while the abort is queued.
     pub(super) end_offset: Option<u64>,
-    /// When the abort was seen to be written.
+    /// The time at which the abort was found to be written.
     pub(super) written_at: Option<Micros>,
 }
