--- a/daemon/src/ledger/append.rs
+++ b/daemon/src/ledger/append.rs
@@ -1,11 +1,11 @@
-//! Appending to this proxy's log: purges, operators' decisions and trigger statuses.
+//! Appends purges, operators' decisions and trigger statuses to the log of this proxy.
 
 use super::{purge_subject, AppendError, Ledger, TriggerStatus};
 use linnetknot::Micros;
 use linnetknot_replication::{pieces, Entry, Subject};
 
 impl Ledger {
-    /// Appends a purge and submits its write. Returns the entry, which is to be sent to the peers.
+    /// Appends a purge and submits its write. Returns the entry, which must be sent to the peers.
     pub fn append_purge(
         &mut self,
         object: Option<&str>,
@@ -15,8 +15,8 @@
         self.append(purge_subject(object, group), at, false)
     }
 
-    /// Appends an entry on a subject, as `append_purge` does. `revoked`: an operators' decision that is no longer in
-    /// force.
+    /// Appends an entry on a subject as `append_purge` does. `revoked` marks an operators' decision that is no longer
+    /// in force.
     pub fn append(
         &mut self,
         subject: Subject,
@@ -34,7 +34,7 @@
         Ok(entry)
     }
 
-    /// Appends the status of one of this proxy's triggers, as `append_purge` does, in as many entries as it takes.
+    /// Appends the status of a trigger of this proxy as `append_purge` does, in as many entries as its text requires.
     pub fn append_status(
         &mut self,
         number: u64,
@@ -67,17 +67,18 @@
             .collect()
     }
 
-    /// Returns a number for this proxy's next trigger that none of its processes has used, as far as their entries
-    /// tell. It is at least this process's incarnation, as no process starts twice in less time than an answer takes.
+    /// Returns a number for the next trigger of this proxy that none of its processes has used. It is at least the
+    /// incarnation of this process, a time in microseconds, and so exceeds the numbers of earlier processes whose
+    /// entries are unknown here.
     pub fn first_trigger_number(&self) -> u64 {
         let own = self.replica.own().writer;
-        // Triggers that are gone count, too: their numbers are known to be gone.
+        // Deleted triggers count as well, since their numbers are known to be deleted.
         let last = self.replica.log_store().last_trigger(own);
         let next = last.map_or(0, |number| number + 1);
         next.max(self.identity.incarnation)
     }
 
-    /// Appends a purge that a peer without logs sent, unless it is known.
+    /// Appends a purge that a peer without logs sent, unless an equal or later one is known.
     pub fn append_if_newer(
         &mut self,
         object: Option<&str>,
--- a/daemon/src/ledger/codec.rs
+++ b/daemon/src/ledger/codec.rs
@@ -1,18 +1,18 @@
-//! The encoding of log entries in the store. The key holds the log and the subject, so that a later entry on the same
-//! subject replaces the one before; the value holds the index and the time.
+//! The encoding of log entries in the store. A key holds the log and the subject, so that a later entry on the same
+//! subject replaces the earlier one; the value holds the index and the time.
 
 use linnetknot_replication::{Entry, LogId, Subject};
 use linnetknot_store::{KeyValue, Keyspace, StoreError, Write};
 
-/// The keyspace of the entries that are in force.
+/// The keyspace of the entries in force.
 pub(super) const ENTRIES: Keyspace = Keyspace("entries");
 
-/// The length of a key's log, its writer and epoch, which stand before the subject's kind.
+/// The length of a key's writer and epoch, which precede the kind of the subject.
 const LOG_BYTES: usize = 16;
 /// The length of a value's index and time.
 const VALUE_BYTES: usize = 16;
 
-/// Room for a usual key.
+/// The initial capacity of a key.
 const KEY_CAPACITY: usize = 40;
 
 const OBJECT: u8 = b'o';
@@ -22,7 +22,7 @@
 const STATUS: u8 = b's';
 const GONE: u8 = b'x';
 
-/// Encodes an entry's key.
+/// Encodes the key of an entry.
 fn key(entry: &Entry) -> Vec<u8> {
     let mut key = Vec::with_capacity(KEY_CAPACITY);
     key.extend(entry.log.writer.to_be_bytes());
@@ -55,7 +55,7 @@
     key
 }
 
-/// Encodes an entry's value.
+/// Encodes the value of an entry.
 fn value(entry: &Entry) -> Vec<u8> {
     let mut value = [entry.index.to_be_bytes(), entry.at.to_be_bytes()].concat();
     match &entry.subject {
@@ -70,12 +70,13 @@
     Write::put(ENTRIES, key(entry), value(entry))
 }
 
-/// Returns the write that removes an entry, but not a later one on the same subject, which has the same key.
+/// Returns the write that removes an entry, unless a later entry on the same subject has replaced it under the same
+/// key.
 pub(super) fn remove(entry: &Entry) -> Write {
     Write::remove_if(ENTRIES, key(entry), value(entry))
 }
 
-/// Decodes an entry. The index of the entry before it is not stored, as it follows from the other entries.
+/// Decodes an entry. The index of its predecessor is not stored, as it follows from the other entries.
 fn read(KeyValue { key, value }: &KeyValue) -> Option<Entry> {
     let log = LogId::new(number(key.get(..8)?)?, number(key.get(8..LOG_BYTES)?)?);
     let subject = subject(*key.get(LOG_BYTES)?, key.get(LOG_BYTES + 1..)?, value)?;
@@ -125,5 +126,5 @@
 /// Decodes all entries of the store.
 pub(super) fn read_all(pairs: &[KeyValue]) -> Result<Vec<Entry>, StoreError> {
     let entries: Option<Vec<Entry>> = pairs.iter().map(read).collect();
-    entries.ok_or_else(|| StoreError::Damaged("an entry can't be read".into()))
+    entries.ok_or_else(|| StoreError::Damaged("a log entry is malformed".into()))
 }
--- a/daemon/src/ledger/compaction.rs
+++ b/daemon/src/ledger/compaction.rs
@@ -1,10 +1,10 @@
-//! Writes compactions to the store in stages: the table's header, the buckets, the logs' markers, and only then the
-//! removal of the entries that were moved to the buckets. A stage begins once all writes of the stage before are
-//! synced, so that at any moment each purge is on the disk as an entry or in a bucket.
+//! Writes compactions to the store in stages: the header of the table, the buckets, the markers of the logs, and then
+//! the removal of the entries that were moved to the buckets. A stage begins once all writes of the previous stage are
+//! synced, so that each purge is always on the disk as an entry or in a bucket.
 //!
-//! Writes are submitted as the worker's queue has capacity; a failed one is submitted again in its stage. A bucket is
-//! encoded when it is submitted, so that no older state of it is written after a newer one. Compactions that are added
-//! while a step is being written make up the next step.
+//! Writes are submitted as the queue of the worker has capacity, and a failed write is submitted again in its stage. A
+//! bucket is encoded when it is submitted, so that an older state never overwrites a newer one. Compactions that are
+//! added while a step is being written form the next step.
 
 use super::table;
 use linnetknot_purges::{BucketBits, BucketIndex, CompactTable};
@@ -12,20 +12,20 @@
 use linnetknot_store::{Completion, StoreWorker, Write, WriteId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// What a write stores or removes.
+/// The subject of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Item {
-    /// A write of the store's format or of the table's header.
+    /// A write of the store's format or of the header of the table.
     Header(Write),
     Bucket(BucketIndex),
     Marker(CompactedLog),
     Removal(Entry),
 }
 
-/// The stage of the step that is being written.
+/// The stage of the current step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Stage {
-    /// There is nothing to write.
+    /// No step is being written.
     #[default]
     Idle,
     Header,
@@ -40,7 +40,7 @@
     buckets: BTreeSet<BucketIndex>,
     markers: BTreeMap<LogId, Index>,
     entries: Vec<Entry>,
-    /// Logs that a peer's snapshot advanced: the replica is notified once their markers are synced.
+    /// Logs that a snapshot of a peer advanced. The replica is notified once their markers are synced.
     snapshots: Vec<CompactedLog>,
 }
 
@@ -62,31 +62,31 @@
     item: Item,
 }
 
-/// Compactions that are not synced yet, and the stage of their writes.
+/// The compactions that are not synced, and the stage of their writes.
 #[derive(Debug, Default)]
 pub(super) struct CompactionWriter {
     stage: Stage,
     has_header: bool,
-    /// The step that is being written, without the stages that were begun.
+    /// The current step, without the items of the stages that have begun.
     step: Step,
-    /// What was added since that step began.
+    /// The items added since the current step began.
     next: Step,
-    /// What the stage has still to submit.
+    /// The items of the current stage that have not been submitted.
     unsubmitted: VecDeque<Item>,
-    /// What was submitted and is not completed, in order.
+    /// The submitted items whose writes have not completed, in order.
     in_flight: VecDeque<InFlight>,
-    /// A write failed: nothing is submitted before `retry`.
+    /// Whether a write has failed. Nothing is submitted until `retry` is called.
     is_failing: bool,
 }
 
-/// A planted fault of tests: entries are removed before their buckets are synced. Always false in an ordinary build.
+/// A fault for tests: entries are removed before their buckets are synced. Always false without the feature `points`.
 fn removes_early() -> bool {
     fail::fail_point!("plant-early-removal", |_| true);
     false
 }
 
 impl CompactionWriter {
-    /// Creates a writer for a store that has the table's header, or does not have it yet.
+    /// Creates a writer for a store with or without the header of the table.
     pub(super) fn new(has_header: bool) -> Self {
         CompactionWriter {
             has_header,
@@ -94,12 +94,12 @@
         }
     }
 
-    /// Whether all that was added is synced.
+    /// Whether all added compactions are synced.
     pub(super) fn is_idle(&self) -> bool {
         self.stage == Stage::Idle && self.next.is_empty()
     }
 
-    /// Adds a compaction of this replica's logs.
+    /// Adds a compaction of the logs of this replica.
     pub(super) fn add(&mut self, compaction: Compaction) {
         self.next.buckets.extend(compaction.buckets);
         compaction
@@ -109,12 +109,12 @@
         self.next.entries.extend(compaction.entries);
     }
 
-    /// Adds a bucket into which one of a peer was merged.
+    /// Adds a bucket that was merged with one of a peer.
     pub(super) fn add_bucket(&mut self, index: BucketIndex) {
         self.next.buckets.insert(index);
     }
 
-    /// Adds a log that a peer's snapshot advanced. To be called after all buckets of the snapshot were added.
+    /// Adds a log that a snapshot of a peer advanced. Must be called after all buckets of the snapshot were added.
     pub(super) fn add_snapshot(&mut self, marker: CompactedLog) {
         self.next.add_marker(marker);
         self.next.snapshots.push(marker);
@@ -125,8 +125,8 @@
         self.is_failing = false;
     }
 
-    /// Submits writes while the queue has more capacity than is reserved for entries. Returns the logs of snapshots
-    /// that are synced by now.
+    /// Submits writes while the queue has more capacity than `reserve`, which is kept for entries. Returns the logs of
+    /// snapshots that have been synced.
     pub(super) fn submit(
         &mut self,
         worker: &mut StoreWorker,
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Begins the next stage, as all writes of the current one are synced.
+    /// Begins the next stage once all writes of the current one are synced.
     fn advance(&mut self, bucket_bits: BucketBits, synced: &mut Vec<CompactedLog>) {
         match self.stage {
             Stage::Idle => self.step = std::mem::take(&mut self.next),
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Takes what the current stage writes out of the step.
+    /// Takes the items of the current stage out of the step.
     fn take_items(&mut self, bucket_bits: BucketBits) -> VecDeque<Item> {
         let step = &mut self.step;
         match self.stage {
@@ -223,7 +223,7 @@
     }
 }
 
-/// Encodes the write of an item, as the table is now.
+/// Encodes the write of an item from the current table.
 fn write(item: &Item, table: &CompactTable) -> Write {
     match item {
         Item::Header(write) => write.clone(),
--- a/daemon/src/ledger/error.rs
+++ b/daemon/src/ledger/error.rs
@@ -1,46 +1,46 @@
-//! The errors of opening and closing a ledger, and of appending to it.
+//! Errors of opening, closing and appending to a ledger.
 
 use linnetknot_replication::CapacityExceeded;
 use linnetknot_store::{is_lasting, StoreError};
 use std::io;
 use std::path::PathBuf;
 
-/// Why the ledger can't be opened or closed.
+/// An error of opening or closing the ledger.
 #[derive(Debug, thiserror::Error)]
 pub enum LedgerError {
-    /// The store can't be used.
+    /// The store failed.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// Another version of the program wrote the compact table.
+    /// The compact table was written by an incompatible version of the program.
     #[error("its purge table has form {found}, this program knows form 1; start the program that wrote it")]
     TableForm {
-        /// The form.
+        /// The form of the table.
         found: u8,
     },
-    /// A file of an earlier version can't be read or moved.
-    #[error("the disk: {path}: {source}")]
+    /// A file of an earlier version could not be read or renamed.
+    #[error("store: {path}: {source}")]
     Legacy {
-        /// Which file.
+        /// The path of the file.
         path: PathBuf,
-        /// The system's error.
+        /// The error of the system.
         source: io::Error,
     },
-    /// The store's worker thread can't be started.
-    #[error("the disk: {0}")]
+    /// The worker thread of the store could not be started.
+    #[error("store: {0}")]
     Worker(io::Error),
-    /// The store's worker thread has ended before its time.
-    #[error("the disk: the worker has ended")]
+    /// The worker thread of the store has ended unexpectedly.
+    #[error("store: the worker thread has ended")]
     WorkerEnded,
-    /// The process ends before all entries are on the disk.
-    #[error("the disk: not all of the log is on it")]
+    /// The process ends before all entries are durable.
+    #[error("store: closed before all log entries were synced")]
     Unsynced,
-    /// The purges of an earlier version's file exceed the log's capacity.
-    #[error("the disk: {0}")]
+    /// The purges of an earlier version's file exceed the capacity of the log.
+    #[error("store: {0}")]
     Capacity(#[from] CapacityExceeded),
 }
 
 impl LedgerError {
-    /// Whether it may go away by itself, as a full or failing disk does.
+    /// Whether the error may resolve without a change of the deployment, as that of a full or failing disk.
     pub fn is_transient(&self) -> bool {
         match self {
             LedgerError::Store(fault) => fault.is_transient(),
@@ -53,19 +53,19 @@
     }
 }
 
-/// Why an entry is not appended to this proxy's log.
+/// The reason for which an entry is not appended to the log of this proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AppendError {
-    /// The store can't be opened yet.
-    #[error("the store can't be opened yet")]
+    /// The store is not open.
+    #[error("the store is not open yet")]
     NoStore,
-    /// The queue to the disk is full.
-    #[error("the disk is too far behind")]
+    /// The queue of the store's worker is full.
+    #[error("the queue of the store is full")]
     DiskBehind,
-    /// The log's capacity is exceeded.
+    /// The capacity of the log is exceeded.
     #[error(transparent)]
     Capacity(#[from] CapacityExceeded),
-    /// A trigger's status takes more entries than the queue to the disk has capacity for, or than can be numbered.
-    #[error("its status has no room on the way to the disk")]
+    /// The status of a trigger requires more entries than the queue of the worker accepts, or than can be numbered.
+    #[error("the trigger status exceeds the capacity of the store's queue")]
     StatusTooLong,
 }
--- a/daemon/src/ledger/identity.rs
+++ b/daemon/src/ledger/identity.rs
@@ -8,19 +8,19 @@
 const OWN: Keyspace = Keyspace("own");
 /// The key of the epoch of this writer's log.
 const EPOCH: &[u8] = b"life";
-/// The key that is there while the store is closed in order: the log may be continued in its epoch.
+/// The key that is present while the store is closed cleanly, so that the log may be continued in its epoch.
 const CLOSED: &[u8] = b"closed";
-/// The key of the incarnation among the members: it grows with every start, also where the clock does not.
+/// The key of the incarnation among the members, which grows with every start even if the clock does not.
 const INCARNATION: &[u8] = b"member";
 
-/// The identity of this process, which follows from that of the process before.
+/// The identity of this process, derived from that of the previous process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Identity {
-    /// The store was created by this process.
+    /// Whether the store was created by this process.
     pub(super) is_fresh: bool,
     /// The epoch of the log that this process writes.
     pub(super) epoch: Epoch,
-    /// This process's incarnation among the members.
+    /// The incarnation of this process among the members.
     pub(super) incarnation: Epoch,
 }
 
@@ -34,17 +34,17 @@
         }
     }
 
-    /// Derives the identity of this process from what the last one stored.
+    /// Derives the identity of this process from the stored one.
     ///
-    /// This writer's log is continued in the stored epoch only where the store was closed in order: after a crash its
-    /// last entries may be missing here and known to others, and an index must never be assigned twice. Nothing is lost
-    /// with the old epoch. Nor is the epoch of an earlier version's file continued: that file may be imported twice, if
-    /// a store is lost.
+    /// The log is continued in the stored epoch only if the store was closed cleanly. After a crash its last entries
+    /// may be missing here although peers have them, and an index must never be assigned twice. Entries of the old
+    /// epoch remain valid. The epoch of an earlier version's file is not continued either, as the file may be imported
+    /// again if the store is lost.
     pub(super) fn load(store: &mut Store, now: Micros) -> Result<Self, StoreError> {
         let is_closed = store.get(OWN, CLOSED)?.is_some();
         let known = number(store, EPOCH)?;
-        // Epochs grow also where the clock was set back in between, as the operators' last decision is the one of the
-        // greatest epoch (`LogStore::decisions`).
+        // Epochs grow even if the clock was set back, as the latest decision of the operators is that of the greatest
+        // epoch (`LogStore::decisions`).
         let next_epoch = known.map_or(now, |before| now.max(before + 1));
         let incarnation = number(store, INCARNATION)?.map_or(0, |before| before + 1);
         Ok(Identity {
@@ -54,7 +54,7 @@
         })
     }
 
-    /// Returns the writes that store this identity: from then on the store is not closed.
+    /// Returns the writes that store this identity and mark the store as not closed.
     pub(super) fn writes(&self) -> [Write; 3] {
         [
             put(EPOCH, &self.epoch.to_be_bytes()),
@@ -69,7 +69,7 @@
     put(INCARNATION, &incarnation.to_be_bytes())
 }
 
-/// Returns the write that marks the store as closed in order.
+/// Returns the write that marks the store as closed cleanly.
 pub(super) fn put_closed() -> Write {
     put(CLOSED, b"1")
 }
--- a/daemon/src/ledger/in_flight.rs
+++ b/daemon/src/ledger/in_flight.rs
@@ -1,16 +1,16 @@
-//! The entries that were submitted to the store's worker and whose completion was not taken yet.
+//! The entries that were submitted to the store's worker and whose completion has not been processed.
 
 use linnetknot_replication::{Entry, Index, LogId};
 use linnetknot_store::WriteId;
 use std::collections::VecDeque;
 
-/// An entry that was submitted.
+/// A submitted entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct InFlightEntry {
     write: WriteId,
-    /// The entry's log.
+    /// The log of the entry.
     pub(super) log: LogId,
-    /// Its index in that log.
+    /// The index of the entry.
     pub(super) index: Index,
 }
 
@@ -19,7 +19,7 @@
 pub(super) struct InFlightEntries(VecDeque<InFlightEntry>);
 
 impl InFlightEntries {
-    /// Adds an entry whose write was submitted after all others.
+    /// Adds an entry, whose write was submitted after all others.
     pub(super) fn push(&mut self, write: WriteId, entry: &Entry) {
         self.0.push_back(InFlightEntry {
             write,
@@ -28,7 +28,7 @@
         });
     }
 
-    /// Takes out all entries through a write, oldest first.
+    /// Removes and returns all entries through a write, oldest first.
     pub(super) fn take_through(&mut self, through: WriteId) -> Vec<InFlightEntry> {
         let completed = self.0.partition_point(|entry| entry.write <= through);
         self.0.drain(..completed).collect()
--- a/daemon/src/ledger/legacy.rs
+++ b/daemon/src/ledger/legacy.rs
@@ -1,5 +1,4 @@
-//! Import of the files of earlier versions, which were lines of text: such a file is renamed to `FILE.old` and imported
-//! once.
+//! Import of the text files of earlier versions: a file is renamed to `FILE.old` and imported once.
 
 use super::error::LedgerError;
 use crate::peers::{self, Purge};
@@ -9,9 +8,9 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The first bytes of the earlier versions' files.
+/// The prefixes of the files of earlier versions.
 const MAGICS: [&[u8]; 3] = [b"life ", b"copies1", b"purge "];
-/// The longest of them.
+/// The length of the longest prefix.
 const MAX_MAGIC_BYTES: u64 = 8;
 
 /// The content of an earlier version's file.
@@ -19,12 +18,12 @@
 pub(super) struct LegacyFile {
     /// Log entries.
     pub(super) entries: Vec<Entry>,
-    /// Purges without a log, of the first version.
+    /// Purges without a log, as the first version wrote them.
     pub(super) purges: Vec<Purge>,
 }
 
 impl LegacyFile {
-    /// Reads a file, line by line.
+    /// Reads a file.
     pub(super) fn read(path: &Path) -> Result<Self, LedgerError> {
         let error = |source| LedgerError::Legacy {
             path: path.to_owned(),
@@ -32,16 +31,16 @@
         };
         let text = fs::read(path).map_err(error)?;
         let file = Self::parse(path, &String::from_utf8_lossy(&text));
-        log::info!(entries = file.entries.len() + file.purges.len(); "{} is taken over", path.display());
+        log::info!(entries = file.entries.len() + file.purges.len(); "imported {}", path.display());
         Ok(file)
     }
 
     fn parse(path: &Path, text: &str) -> Self {
         let mut file = LegacyFile::default();
-        // The log store drops superseded entries, and those that a crash left without their predecessors.
+        // The log store drops superseded entries, and those whose predecessors were lost in a crash.
         let mut store = LogStore::default();
         for line in text.split_inclusive('\n') {
-            // A crash may have cut off the last line, which is skipped then.
+            // A crash may have truncated the last line, which is skipped then.
             let line = line.strip_suffix('\n').unwrap_or("");
             match (
                 Datagram::read(line.as_bytes()),
@@ -55,7 +54,7 @@
                 _ => log::warn!("{}: a line that is no purge is passed over", path.display()),
             }
         }
-        // The store has one entry a subject: the later one.
+        // The store holds one entry per subject, the latest.
         let entries = store
             .entries()
             .map(|entry| ((entry.log, entry.subject.clone()), entry));
@@ -64,7 +63,7 @@
     }
 }
 
-/// Renames a file of an earlier version and returns the new path; none where there is no such file.
+/// Renames a file of an earlier version and returns the new path; `None` if there is no such file.
 pub(super) fn rename_legacy(path: &Path) -> Result<Option<PathBuf>, LedgerError> {
     let error = |source| LedgerError::Legacy {
         path: path.to_owned(),
@@ -82,8 +81,8 @@
     Ok(renamed.exists().then_some(renamed))
 }
 
-/// Whether an earlier version wrote a file that starts with these bytes. An empty file is theirs, too: the store never
-/// leaves one.
+/// Whether an earlier version wrote a file with this prefix. An empty file is also of an earlier version, as the store
+/// never leaves one.
 fn is_legacy(first: &[u8]) -> bool {
     first.is_empty() || MAGICS.iter().any(|magic| first.starts_with(magic))
 }
--- a/daemon/src/ledger/mod.rs
+++ b/daemon/src/ledger/mod.rs
@@ -1,11 +1,11 @@
-//! The durable log of purges, operators' decisions and trigger statuses: a replica of all proxies' logs
+//! The durable log of purges, operators' decisions and trigger statuses: a replica of the logs of all proxies
 //! (`linnetknot_replication`) on a store that a worker thread writes (`linnetknot_store`).
 //!
-//! Peer CDNs send a purge to one proxy alone, and the pop caches are not notified of it, so a proxy must still know it
-//! after a restart, and learn from its peers what it missed while it was down.
+//! Peer CDNs send a purge to only one proxy, and the pop caches are not notified of it. A proxy must therefore know its
+//! purges after a restart, and obtain from its peers those that it missed while it was down.
 //!
-//! Purges are held one by one up to a bound. Older ones are moved to a compact table of fixed size, in memory by the
-//! replica (`Replica::compact`) and on the disk by `compaction`.
+//! Up to a bound, purges are stored as single entries. Older ones are moved to a compact table of fixed size, in memory
+//! by the replica (`Replica::compact`) and on the disk by `compaction`.
 
 mod append;
 mod codec;
@@ -32,53 +32,53 @@
 
 pub use error::{AppendError, LedgerError};
 
-/// How often expired entries are searched for. They are of use for an hour, and a search visits all entries.
+/// The interval of the search for expired entries, which visits all entries.
 const EXPIRE_PERIOD_US: Micros = 60_000_000;
 
-/// The bounds of a ledger.
+/// The limits of a ledger.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Those of the logs.
+    /// The options of the logs.
     pub replication: Options,
-    /// The most writes that may be pending at the store's worker.
+    /// The maximum number of writes pending at the store's worker.
     pub queue: usize,
     /// The size of the compact table.
     pub bucket_bits: BucketBits,
 }
 
-/// The status of a trigger of this proxy or another.
+/// The status of a trigger of any proxy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TriggerStatus {
-    /// The proxy that took the trigger.
+    /// The proxy that received the trigger.
     pub writer: Writer,
-    /// The trigger's number at that proxy.
+    /// The number of the trigger at that proxy.
     pub number: u64,
     /// The status, as `front::cdni` encodes it.
     pub text: String,
 }
 
-/// The logs, and the store that makes them durable.
+/// The replicated logs, and the store that makes them durable.
 pub struct Ledger {
-    /// None while the store can't be opened: what peers send is known in memory alone, and nothing is acknowledged.
+    /// `None` while the store can't be opened. Entries of peers are then only in memory and not acknowledged.
     worker: Option<StoreWorker>,
     replica: Replica,
     identity: Identity,
     in_flight: InFlightEntries,
     compaction: CompactionWriter,
-    /// Capacity of the worker's queue that compaction leaves to entries.
+    /// The capacity of the worker's queue that compaction leaves to entries.
     reserve: usize,
-    /// When expired entries are searched for again.
+    /// The time of the next search for expired entries.
     next_expiry: Micros,
 }
 
-/// The subject of a purge: an object, or without one a group.
+/// Returns the subject of a purge: an object, or a group if there is no object.
 fn purge_subject(object: Option<&str>, group: u64) -> Subject {
     object.map_or(Subject::Group(group), |object| {
         Subject::Object(object.to_owned())
     })
 }
 
-/// Converts an entry to a purge; none where it is of another kind.
+/// Converts an entry to a purge; `None` if it is of another kind.
 pub fn purge(entry: &Entry) -> Option<Purge> {
     match &entry.subject {
         Subject::Object(object) => Some(Purge::of_object(object, entry.at)),
@@ -87,26 +87,24 @@
     }
 }
 
-/// A planted fault of rehearsals: entries that are missing before a received one are skipped. Always false in an
-/// ordinary build.
+/// A fault for rehearsals: gaps before a received entry are skipped. Always false without the feature `points`.
 fn skips_missing() -> bool {
     fail::fail_point!("plant-skip", |_| true);
     false
 }
 
 impl Ledger {
-    /// Whether its store is open.
+    /// Whether the store is open.
     pub fn has_store(&self) -> bool {
         self.worker.is_some()
     }
 
-    /// Returns how many writes the worker's queue takes now.
+    /// Returns how many writes the queue of the worker accepts now.
     fn capacity(&self) -> usize {
         self.worker.as_ref().map_or(0, StoreWorker::capacity)
     }
 
-    /// Returns the purges that are held one by one, of all logs. Where several logs hold the same one, the latest
-    /// counts.
+    /// Returns the purges that are single entries in any log. If several logs have the same purge, the latest counts.
     pub fn purges(&self) -> Vec<Purge> {
         self.replica
             .log_store()
@@ -115,38 +113,38 @@
             .collect()
     }
 
-    /// Returns the table of all older purges.
+    /// Returns the compact table of the older purges.
     pub fn table(&self) -> &CompactTable {
         self.replica.log_store().table()
     }
 
-    /// Whether all that was compacted or received in a snapshot is synced.
+    /// Whether all compactions and received snapshots are synced.
     pub fn is_compaction_synced(&self) -> bool {
         self.compaction.is_idle()
     }
 
-    /// Returns this process's incarnation among the members, which is greater than that of any process before it on
+    /// Returns the incarnation of this process among the members, which is greater than that of any earlier process on
     /// this store.
     pub fn incarnation(&self) -> Epoch {
         self.identity.incarnation
     }
 
-    /// Raises this process's incarnation, as a peer knows of a process before it that its store does not know.
+    /// Raises the incarnation of this process, as a peer knows an earlier process that the store does not know.
     pub fn raise_incarnation(&mut self, incarnation: Epoch) {
         self.identity.incarnation = incarnation;
         self.replica.renumber(incarnation);
-        // If the queue is full, the next start on this store learns it from the peers, as this one did.
+        // If the queue is full, the next process on this store gets the incarnation from the peers, as this one did.
         if let Some(worker) = &mut self.worker {
             worker.submit(identity::put_incarnation(incarnation));
         }
     }
 
-    /// Whether the store was empty at the start, so that what this proxy committed before is known to its peers alone.
+    /// Whether the store was empty at the start, so that only the peers have the earlier commits of this proxy.
     pub fn is_fresh(&self) -> bool {
         self.identity.is_fresh
     }
 
-    /// Returns what this proxy's operators decided, and for each decision whether it is revoked.
+    /// Returns the decisions of this proxy's operators, and whether each is revoked.
     pub fn decisions(&self) -> BTreeMap<Subject, bool> {
         self.replica
             .log_store()
@@ -163,7 +161,7 @@
         self.replica.set_peers(own, machines);
     }
 
-    /// Submits an entry to the worker. One that the queue does not take is written later, as one whose write failed.
+    /// Submits an entry to the worker. If the queue is full, the entry is written later, as after a failed write.
     fn write(&mut self, entry: &Entry) {
         let worker = self.worker.as_mut();
         match worker.and_then(|worker| worker.submit(codec::put(entry))) {
@@ -177,12 +175,12 @@
         self.replica.open_commit(now, index)
     }
 
-    /// Returns the commits that have been committed or rejected since the last call.
+    /// Returns the commits that were committed or rejected since the last call.
     pub fn resolve_commits(&mut self, now: Micros) -> Vec<CommitOutcome> {
         self.replica.resolve_commits(now)
     }
 
-    /// Receives a datagram of a peer, and writes what it has brought.
+    /// Processes a datagram of a peer, and writes its new entries and buckets.
     pub fn receive(&mut self, now: Micros, from: usize, datagram: Datagram) -> Received {
         let datagram = match datagram {
             Datagram::Entry(entry) if skips_missing() => {
@@ -208,14 +206,14 @@
         received
     }
 
-    /// Moves the oldest purges to the table where there are too many, and submits writes of compactions. Returns what
-    /// is to be sent to peers.
+    /// Moves the oldest purges to the table if there are too many, and submits writes of compactions. Returns the
+    /// datagrams for peers.
     fn compact(&mut self, now: Micros) -> Vec<Outgoing> {
-        // Entries must not leave memory faster than the disk, so one compaction is synced before the next begins.
+        // A compaction is synced before the next one begins, so that entries do not leave memory faster than the disk.
         if self.compaction.is_idle() {
             if let Some(compaction) = self.replica.compact(now) {
-                log::debug!(entries = compaction.entries.len(), buckets = compaction.buckets.len(); "purges are compacted");
-                // Without a store there is nothing to move on the disk.
+                log::debug!(entries = compaction.entries.len(), buckets = compaction.buckets.len(); "purges compacted");
+                // Without a store there is nothing to write.
                 if self.worker.is_some() {
                     self.compaction.add(compaction);
                 }
@@ -229,7 +227,7 @@
         self.replica.snapshot_synced(&synced)
     }
 
-    /// Processes the completions of writes. Returns what is to be sent to peers.
+    /// Processes the completions of writes. Returns the datagrams for peers.
     pub fn take_completions(&mut self, now: Micros) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
         while let Some(completion) = self.worker.as_mut().and_then(StoreWorker::completion) {
@@ -256,8 +254,7 @@
         self.replica.due()
     }
 
-    /// Does what is due: failed writes again, removal of expired entries, compaction. Returns what is to be sent to
-    /// peers.
+    /// Retries failed writes, removes expired entries and compacts. Returns the datagrams for peers.
     pub fn tick(&mut self, now: Micros) -> Vec<Outgoing> {
         if self.capacity() > 0 {
             for entry in self.replica.take_failed() {
@@ -274,7 +271,7 @@
         outgoing
     }
 
-    /// Removes expired entries. One whose removal the queue does not take is removed by the next process.
+    /// Removes expired entries. If the queue is full, the next process removes them.
     fn remove_expired(&mut self, now: Micros) {
         for entry in self.replica.expire(now) {
             if let Some(worker) = &mut self.worker {
--- a/daemon/src/ledger/opening.rs
+++ b/daemon/src/ledger/opening.rs
@@ -1,4 +1,4 @@
-//! Opening a ledger on its store, with the import of an earlier version's file, and closing it.
+//! Opens a ledger on its store, with the import of an earlier version's file, and closes it.
 
 use super::compaction::CompactionWriter;
 use super::identity::{self, Identity};
@@ -13,10 +13,10 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-/// The share of the worker's queue that compaction leaves to entries is one in this many.
+/// The part of the worker's queue that compaction leaves to entries is 1 / `RESERVE_DIVISOR`.
 const RESERVE_DIVISOR: usize = 2;
 
-/// Appends purges that have no log to this writer's log. Returns their writes.
+/// Appends purges without a log to the log of this writer. Returns their writes.
 fn import_purges(
     store: &mut LogStore,
     own: LogId,
@@ -44,8 +44,8 @@
 }
 
 impl Ledger {
-    /// Opens the store, or creates it. A file of an earlier version is renamed to `FILE.old` and imported. `wake` is
-    /// called on the worker's thread for each completion (`take_completions`).
+    /// Opens or creates the store. A file of an earlier version is renamed to `FILE.old` and imported. `wake` is called
+    /// on the worker's thread for each completion (`take_completions`).
     pub fn open(
         path: &Path,
         writer: Writer,
@@ -57,7 +57,8 @@
         Self::open_on(Store::open(path)?, legacy, writer, now, bounds, wake)
     }
 
-    /// Does what `open` does with a store that is open, and an earlier version's file where there is one: for tests.
+    /// Does the same as `open` with an open store and, if there is one, the renamed file of an earlier version. For
+    /// tests.
     #[doc(hidden)]
     pub fn open_on(
         mut store: Store,
@@ -83,7 +84,7 @@
         writes.extend(import_purges(&mut log_store, own, imported.purges)?);
         writes.extend(stored.resize);
         writes.extend(identity.writes());
-        // After a crash either all of this is there, or none of it and the import is done again.
+        // The writes are atomic: after a crash, either all are stored or the import is repeated.
         store.commit(&writes)?;
         let replica = Replica::new(own, log_store, identity.incarnation, bounds.replication);
         let worker =
@@ -94,8 +95,8 @@
         Ok(ledger)
     }
 
-    /// Creates a ledger whose store can't be opened for a while. It learns what its peers have and acknowledges none of
-    /// it, and nothing can be appended to it.
+    /// Creates a ledger whose store can't be opened yet. It receives the entries of its peers without acknowledging
+    /// them, and nothing can be appended to it.
     pub fn without_store(writer: Writer, now: Micros, bounds: Bounds) -> Self {
         let identity = Identity::without_store(now);
         let own = LogId::new(writer, identity.epoch);
@@ -116,8 +117,8 @@
         }
     }
 
-    /// Closes the store at the end of the process. The next process continues this log if all of it is on the disk.
-    /// Blocks until the disk is done.
+    /// Closes the store at the end of the process. Blocks until all writes are done. The next process continues this
+    /// log if all of it is durable.
     pub fn close(self) -> Result<(), LedgerError> {
         let Ledger {
             worker,
@@ -140,7 +141,7 @@
         Ok(store.commit(&[identity::put_closed()])?)
     }
 
-    /// Ends the worker and leaves the store as a crash does, not closed: for tests.
+    /// Ends the worker and leaves the store as after a crash, without closing it. For tests.
     #[doc(hidden)]
     pub fn simulate_crash(self) {
         drop(self.worker.map(StoreWorker::close));
--- a/daemon/src/ledger/table.rs
+++ b/daemon/src/ledger/table.rs
@@ -6,30 +6,30 @@
 use linnetknot_replication::{CompactedLog, LogId};
 use linnetknot_store::{Format, KeyValue, Keyspace, Store, StoreError, Write};
 
-/// The keyspace of the buckets that are not empty: the index, big endian, and the bucket's encoding.
+/// The keyspace of the non-empty buckets. A key is the index in big endian, a value the encoding of the bucket.
 const BUCKETS: Keyspace = Keyspace("buckets");
-/// The keyspace of the markers: the log's writer and epoch, and the index through which it is compacted, all big
-/// endian.
+/// The keyspace of the markers. A key is the writer and the epoch of the log, a value the index through which it is
+/// compacted, all in big endian.
 const MARKERS: Keyspace = Keyspace("compacted");
 /// The keyspace of the table's header.
 const TABLE: Keyspace = Keyspace("table");
-/// The key of the header: the form of the three keyspaces and the binary logarithm of the number of buckets, a byte
+/// The key of the header: the form of the three keyspaces and the binary logarithm of the number of buckets, one byte
 /// each.
 const HEADER: &[u8] = b"header";
-/// The form that this program reads and writes.
+/// The form that this version reads and writes.
 const FORM: u8 = 1;
 
 /// The stored table and markers.
 #[derive(Debug)]
 pub(super) struct StoredTable {
-    /// The table, in the configured size.
+    /// The table in the configured size.
     pub(super) table: CompactTable,
-    /// The logs' markers.
+    /// The markers of the logs.
     pub(super) markers: Vec<CompactedLog>,
-    /// The writes that bring the store to that size. They are to be committed as one group, so that a crash leaves the
-    /// table in one size or in the other.
+    /// The writes that resize the stored table. They must be committed as one group, so that a crash leaves the table
+    /// in one size or the other.
     pub(super) resize: Vec<Write>,
-    /// Whether the store has the header, and with it the format that older programs do not open.
+    /// Whether the store has the header, and with it a format that older versions do not open.
     pub(super) has_header: bool,
 }
 
@@ -46,7 +46,9 @@
             };
         };
         if store.format()? < Format::Compacted && !(buckets.is_empty() && markers.is_empty()) {
-            return Err(damaged("its format has no purge table, and there is one"));
+            return Err(damaged(
+                "the store has a purge table, which its format does not include",
+            ));
         }
         let bucket_bits = read_header(&header)?;
         let table = read_buckets(bucket_bits, &buckets)?;
@@ -60,7 +62,7 @@
             });
         }
         let resized = table.resized(configured);
-        log::info!(from = table.memory_bytes(), to = resized.memory_bytes(); "the purge table is given another size");
+        log::info!(from = table.memory_bytes(), to = resized.memory_bytes(); "purge table resized");
         let resize = resize(&buckets, &resized);
         Ok(StoredTable {
             table: resized,
@@ -80,12 +82,12 @@
     }
 }
 
-/// Returns the writes that create a table of a size: from then on programs that know no table do not open the store.
+/// Returns the writes that create a table. Versions without the table do not open the store afterwards.
 pub(super) fn create(bucket_bits: BucketBits) -> [Write; 2] {
     [Format::Compacted.write(), put_header(bucket_bits)]
 }
 
-/// Returns the write that stores a bucket. One that was never changed is empty.
+/// Returns the write that stores a bucket.
 pub(super) fn put_bucket(table: &CompactTable, index: BucketIndex) -> Write {
     let mut value = Vec::new();
     table
@@ -110,7 +112,7 @@
     Write::put(TABLE, HEADER.to_vec(), vec![FORM, bucket_bits.value()])
 }
 
-/// Returns the writes that replace the buckets of another size.
+/// Returns the writes that replace the buckets of the old size.
 fn resize(old: &[KeyValue], table: &CompactTable) -> Vec<Write> {
     let mut writes: Vec<Write> = old
         .iter()
@@ -129,7 +131,7 @@
     match header {
         [FORM, bits] => BucketBits::new(*bits).map_err(damaged),
         [form, ..] if *form != FORM => Err(LedgerError::TableForm { found: *form }),
-        _ => Err(damaged("the purge table's header can't be read")),
+        _ => Err(damaged("the purge table's header is malformed")),
     }
 }
 
@@ -137,7 +139,8 @@
     let mut table = CompactTable::new(bucket_bits);
     for KeyValue { key, value } in pairs {
         let index = key.as_slice().try_into().map(u32::from_be_bytes);
-        let index = index.map_err(|_| damaged("a purge table's bucket has no index"))?;
+        let index =
+            index.map_err(|_| damaged("the index of a bucket of the purge table is malformed"))?;
         let bucket = Bucket::decode(value).map_err(|e| damaged(format!("bucket {index}: {e}")))?;
         table
             .merge_bucket(bucket_bits, index.into(), &bucket)
@@ -151,10 +154,10 @@
     let log = || Some(LogId::new(number(key.get(..8))?, number(key.get(8..))?));
     let marker = log().zip(number(Some(value)));
     let (log, through) =
-        marker.ok_or_else(|| damaged("through where a log is compacted can't be read"))?;
+        marker.ok_or_else(|| damaged("the marker of a compacted log is malformed"))?;
     Ok(CompactedLog { log, through })
 }
 
-fn damaged(why: impl ToString) -> LedgerError {
-    LedgerError::Store(StoreError::Damaged(why.to_string()))
+fn damaged(reason: impl ToString) -> LedgerError {
+    LedgerError::Store(StoreError::Damaged(reason.to_string()))
 }
