--- a/daemon/src/limits/machine.rs
+++ b/daemon/src/limits/machine.rs
@@ -1,33 +1,34 @@
-//! The bounds that fit a machine: what its descriptors and its memory allow, and what is the same on all of them.
+//! Derives the limits from the file descriptors and the memory of the machine.
 
 use super::Limits;
 
-/// The least memory that a machine is taken to have.
+/// The minimum memory that is assumed.
 const MIN_MEMORY_MB: usize = 16;
 const MIN_MEMORY_BYTES: usize = MIN_MEMORY_MB << 20;
-/// Memory for each request that may be open.
+/// The memory reserved for each open request.
 const REQUEST_BYTES: usize = 16 << 10;
-/// The most requests that are open at a time, however much memory there is.
+/// The maximum number of open requests, regardless of the memory.
 const MAX_REQUESTS: usize = 8192;
 
-/// Descriptors that are neither connections to clients nor to cache servers: sockets that listen, files, and more.
+/// Descriptors for other uses than connections to clients and cache servers, such as listeners and files.
 const OTHER_DESCRIPTORS: usize = 24;
-/// Connections to cache servers and the bus that the smallest machine has room for.
+/// The number of connections to cache servers and the bus on the smallest machine.
 const MIN_OTHER_CONNECTIONS: usize = 16;
-/// On a machine with so many descriptors, `CLIENTS_LEAVE` of them are not for clients.
-const USUAL_DESCRIPTORS: usize = 64;
-const CLIENTS_LEAVE: usize = 40;
-/// The range of the connections that those to cache servers leave free.
-const MIN_SPARE_CONNECTIONS: usize = 2;
-const MAX_SPARE_CONNECTIONS: usize = 24;
-
-/// The bounds that are the same on all machines, and those of the smallest.
-const ON_ANY_MACHINE: Limits = Limits {
+/// From `MIN_USUAL_DESCRIPTORS` descriptors on, `NON_CLIENT_DESCRIPTORS` of them are reserved for other uses than
+/// clients.
+const MIN_USUAL_DESCRIPTORS: usize = 64;
+const NON_CLIENT_DESCRIPTORS: usize = 40;
+/// The range of `reserved_connections`.
+const MIN_RESERVED_CONNECTIONS: usize = 2;
+const MAX_RESERVED_CONNECTIONS: usize = 24;
+
+/// The limits of the smallest machine, most of which apply to all machines.
+const BASE_LIMITS: Limits = Limits {
     // Descriptors and connections.
     max_descriptors: 1,
     max_client_connections: 1,
     max_connections: MIN_OTHER_CONNECTIONS + 1,
-    reserved_connections: MIN_SPARE_CONNECTIONS,
+    reserved_connections: MIN_RESERVED_CONNECTIONS,
     accept_backoff_us: 20_000,
 
     // Requests.
@@ -119,21 +120,21 @@
 };
 
 impl Limits {
-    /// The bounds that fit a machine with so many descriptors and MB of memory.
+    /// Returns the limits for a machine with this number of descriptors and this memory in MB.
     pub fn for_machine(descriptors: usize, memory_mb: usize) -> Self {
-        let mut limits = ON_ANY_MACHINE;
-        limits.bound_connections(descriptors);
-        limits.bound_memory(memory_mb.max(MIN_MEMORY_MB) << 20);
+        let mut limits = BASE_LIMITS;
+        limits.set_connection_limits(descriptors);
+        limits.set_memory_limits(memory_mb.max(MIN_MEMORY_MB) << 20);
         limits
     }
 
-    /// The bounds that follow from the number of descriptors.
-    fn bound_connections(&mut self, descriptors: usize) {
-        // The rest is for cache servers, the bus and what the process itself has open.
+    /// Sets the limits that depend on the number of descriptors.
+    fn set_connection_limits(&mut self, descriptors: usize) {
+        // The rest is for cache servers, the bus and the process itself.
         let share = (descriptors * 3 / 5).max(1);
         self.max_descriptors = descriptors;
-        self.max_client_connections = if descriptors >= USUAL_DESCRIPTORS {
-            share.min(descriptors - CLIENTS_LEAVE)
+        self.max_client_connections = if descriptors >= MIN_USUAL_DESCRIPTORS {
+            share.min(descriptors - NON_CLIENT_DESCRIPTORS)
         } else {
             share
         };
@@ -141,12 +142,12 @@
             .saturating_sub(OTHER_DESCRIPTORS)
             .max(self.max_client_connections + MIN_OTHER_CONNECTIONS);
         self.reserved_connections =
-            (self.max_connections / 8).clamp(MIN_SPARE_CONNECTIONS, MAX_SPARE_CONNECTIONS);
+            (self.max_connections / 8).clamp(MIN_RESERVED_CONNECTIONS, MAX_RESERVED_CONNECTIONS);
         self.max_admin_connections = (self.reserved_connections * 2 / 3).max(1);
     }
 
-    /// The bounds that follow from the bytes of memory.
-    fn bound_memory(&mut self, memory: usize) {
+    /// Sets the limits that depend on the memory.
+    fn set_memory_limits(&mut self, memory: usize) {
         self.max_requests = MAX_REQUESTS.min(memory / REQUEST_BYTES);
         self.max_total_body_bytes = memory / 4;
         self.max_pending_response_bytes = memory / 4;
--- a/daemon/src/limits/mod.rs
+++ b/daemon/src/limits/mod.rs
@@ -1,4 +1,4 @@
-//! Every size, count and time that bounds the daemon, in one type that is filled at the start.
+//! All sizes, counts and times that limit the daemon, set at the start.
 
 mod machine;
 
@@ -8,227 +8,224 @@
 use linnetknot_discovery::Limits as DiscoveryLimits;
 use linnetknot_replication::Options as ReplicationOptions;
 
-/// Bounds on what the daemon holds and waits for. Times in microseconds.
-/// Bounds on what the daemon holds and waits for. Times in microseconds.
+/// The limits of the daemon. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     // Descriptors and connections.
-    /// File descriptors in all.
+    /// File descriptors of the process.
     pub max_descriptors: usize,
-    /// Connections from clients.
+    /// Client connections.
     pub max_client_connections: usize,
-    /// Connections in all: clients, cache servers, the bus and the rest.
+    /// All connections: clients, cache servers, the bus and others.
     pub max_connections: usize,
-    /// Connections that those to cache servers leave free, for the endpoint list and the operators.
+    /// Connections that may not be used for cache servers, but for the endpoint list and the operators.
     pub reserved_connections: usize,
-    /// Pause of accepting after no descriptor was left.
+    /// The pause before accepting again once no descriptor was free.
     pub accept_backoff_us: u64,
 
     // Requests.
-    /// Requests open at a time.
+    /// Open requests.
     pub max_requests: usize,
-    /// Requests open on one client connection.
+    /// Open requests on one client connection.
     pub max_requests_per_client: usize,
-    /// The same once half of the table of requests is taken.
+    /// The same while at least half of the request table is in use.
     pub max_requests_per_client_under_load: usize,
-    /// Responses that wait on one client connection to be written, small ones too.
+    /// Responses, regardless of their size, that are queued on one client connection.
     pub max_pending_responses_per_client: usize,
-    /// A client's connection is read so many times before the requests on it are taken up: of a client that sent
-    /// much and closed, the close is known first.
+    /// Reads of a client connection before its requests are processed, so that the close of a client that sent a lot
+    /// and closed is seen first.
     pub max_reads_per_client: usize,
-    /// Bytes of a request's parameters.
+    /// Bytes of the parameters of a request.
     pub max_params_bytes: usize,
-    /// Bytes of the bodies of all open requests, and as many of requests that are not yet complete.
+    /// Bytes of the bodies of all open requests, and as many of incomplete requests.
     pub max_total_body_bytes: usize,
-    /// Bytes of a request's body.
+    /// Bytes of the body of a request.
     pub max_body_bytes: usize,
-    /// The longest time that a client may say it waits.
+    /// The longest time that a client may state as its budget.
     pub max_request_budget_us: u64,
-    /// The highest part of an object.
+    /// The highest part number of an object.
     pub max_part: u64,
-    /// The largest size of a part that a client may announce, in KB.
+    /// The largest size of a part that a client may state, in KB.
     pub max_size_kb: f64,
-    /// Bytes of a response's body.
+    /// Bytes of the body of a response.
     pub max_object_bytes: usize,
-    /// Bytes of all responses that wait for slow readers.
+    /// Bytes of all queued responses.
     pub max_pending_response_bytes: usize,
-    /// A final response leaves this long before the client gives up: it has a way to go.
+    /// The time before the deadline of the client at which the final response is sent, for its transfer.
     pub response_margin_us: u64,
-    /// Retry-After of a client that was rejected because the table of requests is full.
+    /// The Retry-After of requests that are rejected because the request table is full.
     pub overload_retry_after_us: u64,
 
     // Buffers.
-    /// Bytes of a connection's ring buffer for what is received.
+    /// Bytes of the receive buffer of a connection.
     pub input_buffer_bytes: usize,
-    /// Bytes of a connection's ring buffer for what is sent.
+    /// Bytes of the send buffer of a connection.
     pub output_buffer_bytes: usize,
     /// Bytes of one line or event of text.
     pub max_line_bytes: usize,
 
     // Client connections.
-    /// A client's connection that has sent no request, or one that does not become complete, is closed after so
-    /// long.
+    /// The time after which a client connection is closed that has sent no request, or only part of one.
     pub partial_request_timeout_us: u64,
-    /// An idle client connection is closed after so long: longer than usual clients keep one.
+    /// The time after which an idle client connection is closed. Usual clients close theirs earlier.
     pub client_idle_timeout_us: u64,
-    /// A client's connection that was closed here with all requests answered is kept so long for the client to
-    /// read the rest.
+    /// The time for which a connection that was closed here stays open for its client to read the rest.
     pub client_linger_timeout_us: u64,
-    /// A client that reads none of its responses for so long is disconnected.
+    /// The time after which a client is disconnected that reads none of its responses.
     pub client_write_timeout_us: u64,
-    /// Interval of the checks of a client's connection.
+    /// The interval at which a client connection is checked.
     pub client_check_interval_us: u64,
-    /// A client's connection is not closed in favour of another in the first moments of a new state.
+    /// The time after a change of state for which a client connection is not closed in favor of another.
     pub client_eviction_grace_us: u64,
 
     // Connections to cache servers.
     /// Connections to one cache server.
     pub max_connections_per_cache: usize,
-    /// A further connection to a cache server is begun once the least used one has so many attempts.
+    /// The number of attempts on the least used connection to a cache server from which a further connection is opened.
     pub attempts_before_new_connection: usize,
-    /// Attempts that share one connection to a cache server.
+    /// Attempts on one connection to a cache server.
     pub max_attempts_per_connection: usize,
-    /// Connections to one cache server that may be begun and not up.
+    /// Connections to one cache server that are being established.
     pub max_connects_per_cache: usize,
-    /// A connection to a cache server that was idle for so long is not used any more, as the server may be about
-    /// to close it; 0: no bound.
+    /// The idle time after which a connection to a cache server is no longer used, as the server may be closing it; 0
+    /// for no limit.
     pub cache_idle_timeout_us: u64,
-    /// A connection must be up within this: an attempt that waits for one to a cache server is then made
-    /// elsewhere.
+    /// The time within which a connection must be established. An attempt that waits for one to a cache server is then
+    /// made elsewhere.
     pub connect_timeout_us: u64,
-    /// A connection to a cache server that is not up by then is closed.
+    /// The time after which a connection to a cache server that is not established is closed.
     pub connect_abort_us: u64,
-    /// A cancelled attempt is over so long after its cancellation was written: it has a way to go.
+    /// The time after the abort of an attempt was written at which the attempt has ended, for the transfer of the
+    /// abort.
     pub abort_transit_us: u64,
-    /// A response from a cache server that has begun and of which nothing more arrives for so long is cut short.
+    /// The time without further bytes after which a partial response of a cache server counts as truncated.
     pub response_stall_timeout_us: u64,
-    /// A response from a cache server that has begun and is not complete after so long never will be: nobody
+    /// The time after which a partial response of a cache server counts as truncated even if bytes arrive, as no client
     /// waits longer.
     pub response_timeout_us: u64,
-    /// Cancelled attempts are remembered on a connection for so long.
+    /// The time for which the ids of aborted and answered attempts are kept on a connection.
     pub finished_stream_retention_us: u64,
-    /// A connection to a cache server with attempts in flight on which nothing arrives for so long is suspected
-    /// to be dead.
+    /// The silence after which a connection to a cache server with attempts in flight is suspected to be dead.
     pub suspect_timeout_us: u64,
-    /// A connection to a cache server that accepts none of what is written for so long is closed.
+    /// The time after which a connection to a cache server is closed that accepts none of the bytes to write.
     pub write_stall_timeout_us: u64,
 
     // The endpoint list and the event bus.
     /// Bytes of a cached snapshot of the endpoint list.
     pub max_cached_list_bytes: usize,
-    /// Cache servers that all sources together may list.
+    /// Cache servers that all sources may list together.
     pub max_caches: usize,
-    /// Cache servers that are gone, and whose flaps still count.
+    /// Cache servers that are gone and whose flaps still count.
     pub max_remembered_caches: usize,
-    /// An endpoint list that has changed is stored after this, so that many changes are stored once.
+    /// The delay after which a changed endpoint list is stored, so that several changes are stored once.
     pub list_store_delay_us: u64,
-    /// One that stays as it is is stored at this interval, so that its time tells how old it is.
+    /// The interval at which an unchanged endpoint list is stored, which updates its time.
     pub list_store_interval_us: u64,
-    /// An event bus from which nothing arrives for so long is connected to again.
+    /// The silence after which the connection to the event bus is replaced.
     pub bus_read_timeout_us: u64,
-    /// Backoff before the event bus is connected to again: the first.
+    /// The first backoff before reconnecting to the event bus.
     pub bus_min_backoff_us: u64,
-    /// The longest such backoff.
+    /// The longest backoff before reconnecting to the event bus.
     pub bus_max_backoff_us: u64,
 
     // Purges, their logs and the store.
-    /// Purges that the logs exchanged with the peers hold one by one. Older ones are held by a table.
+    /// Purges that the replicated logs hold as single entries. Older ones are in the compact table.
     pub max_exact_purges: usize,
-    /// Entries with the status of triggers, in all logs.
+    /// Entries with trigger statuses, in all logs.
     pub max_status_entries: usize,
-    /// Logs of purges: proxies by their incarnations.
+    /// Replicated logs: one per epoch of each proxy.
     pub max_purge_logs: usize,
-    /// Responses to peer CDNs that wait for the replication of a purge.
+    /// Responses to peer CDNs that wait for the commit of a purge.
     pub max_pending_commits: usize,
-    /// A proxy that began without its disk is ready after this, whatever of its own log is missing.
+    /// The time after which a proxy that started without its disk is ready, even if part of its own log is missing.
     pub recovery_timeout_us: u64,
-    /// The same, in all, where a snapshot of what its peers have compacted is on its way and makes progress.
+    /// The same, in total, while a snapshot of the peers' compacted purges makes progress.
     pub recovery_total_timeout_us: u64,
-    /// Interval at which it polls its peers meanwhile.
+    /// The interval at which that proxy polls its peers.
     pub recovery_poll_interval_us: u64,
-    /// Writes that wait for the store's worker.
+    /// Writes in the queue of the store's worker.
     pub max_store_writes: usize,
-    /// Interval of the datagrams that repeat a purge to the peers: any of them may be lost.
+    /// The interval at which a plain purge datagram is resent, as any may be lost.
     pub purge_resend_interval_us: u64,
-    /// A peer that sent a purge as a plain datagram shows within this whether it replicates logs.
+    /// The time within which a peer that sent a plain purge datagram must show that it replicates logs.
     pub plain_purge_grace_us: u64,
-    /// Such purges that wait for that; more are written at once.
+    /// Plain purges that wait for this. Further ones are written at once.
     pub max_unwritten_purges: usize,
 
     // Peer CDNs.
     /// Trigger status resources.
     pub max_triggers: usize,
-    /// Messages on their way to peer CDNs.
+    /// Messages being delivered to peer CDNs.
     pub max_posts: usize,
     /// Attempts to deliver a message to a peer CDN.
     pub max_post_attempts: u32,
-    /// Deadline of the delivery of a message to a peer CDN.
+    /// The timeout of the delivery of a message to a peer CDN.
     pub post_timeout_us: u64,
 
     // The admin listener and the log.
-    /// Callers at the admin listener at a time; where there are as many, the oldest is disconnected.
+    /// Connections to the admin listener. A further one replaces the oldest.
     pub max_admin_connections: usize,
-    /// A caller at the admin listener has this long for its whole call: callers that hold a connection for 4 s
-    /// with none must not take the capacity.
+    /// The time for a whole call at the admin listener. It frees connections that send no call.
     pub admin_timeout_us: u64,
-    /// Bytes of the ring buffer for what a caller at the admin listener sends: the longest head it reads, and
-    /// some.
+    /// Bytes of the receive buffer of the admin listener, which exceeds the longest head.
     pub admin_input_buffer_bytes: usize,
-    /// Bytes of the ring buffer for the one response to it, the longest of which is the fleet's status.
+    /// Bytes of the send buffer of the admin listener, which holds the longest response, the fleet status.
     pub admin_output_buffer_bytes: usize,
-    /// Lines of the log that are remembered, so that each is written once.
+    /// Log lines that are remembered, so that each is written once.
     pub max_remembered_log_lines: usize,
 
     // Shutdown and draining.
-    /// After SIGTERM, new connections and requests are accepted for so long.
+    /// The time after SIGTERM for which new connections and requests are accepted.
     pub shutdown_accept_us: u64,
-    /// Lingering client connections delay the end of the process for no longer than this after SIGTERM.
+    /// The time after SIGTERM up to which lingering client connections delay the end of the process.
     pub shutdown_linger_us: u64,
-    /// So long after SIGTERM every request has its response: the process may be killed a little later.
+    /// The time after SIGTERM within which every request is answered, as the process may be killed soon after.
     pub shutdown_response_us: u64,
-    /// In a drain, a client connection that is to close accepts requests for so long after the call (by 4 s none
-    /// may have one from the last 2 s).
+    /// The time after the start of a drain for which a client connection that is to close accepts requests. Within 4 s
+    /// of the start, no connection may have received a request in the last 2 s.
     pub drain_accept_us: u64,
 }
 
-/// The state of a client's connection. Where there are too many, those first in this order are closed first.
+/// The state of a client connection. If there are too many connections, those in the first states are closed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ClientState {
-    /// It was closed here, and its client may still read.
+    /// Closed here, while the client may still read.
     Lingering,
-    /// It has sent no request yet.
+    /// No request has been received.
     Silent,
     /// Part of a request has been received.
     Partial,
-    /// All its requests are answered.
+    /// All requests are answered.
     Idle,
     /// A request is in flight, or a response is being written.
     Busy,
 }
 
-/// SIGKILL may come 0.7 s after SIGTERM and the longest deadline, of which no more than this counts.
-const MAX_TERM_DEADLINE_US: u64 = 3_000_000;
-/// After SIGTERM and the longest deadline, connections linger and requests are accepted for no longer than this.
-const TERM_LINGER_AFTER_US: u64 = 400_000;
-/// After SIGTERM and the longest deadline, every request has its response within this.
-const TERM_ANSWER_AFTER_US: u64 = 500_000;
+/// The maximum of the longest deadline of a class that delays the shutdown. SIGKILL may follow 0.7 s after SIGTERM and
+/// that deadline.
+const MAX_SHUTDOWN_DEADLINE_US: u64 = 3_000_000;
+/// How long after SIGTERM and the longest deadline connections linger and requests are accepted.
+const SHUTDOWN_LINGER_AFTER_US: u64 = 400_000;
+/// How long after SIGTERM and the longest deadline every request is answered.
+const SHUTDOWN_RESPONSE_AFTER_US: u64 = 500_000;
 
 impl Limits {
-    /// When a client's connection is closed that has stayed in its state `since` then; none while responses are pending.
+    /// Returns when a client connection is closed that entered its state at `since`; `None` while responses are
+    /// pending.
     pub fn close_at(&self, state: ClientState, pending: usize, since: u64) -> Option<u64> {
         let after = match state {
             ClientState::Silent | ClientState::Partial => self.partial_request_timeout_us,
             ClientState::Idle => self.client_idle_timeout_us,
             ClientState::Lingering => self.client_linger_timeout_us,
             ClientState::Busy if pending > 0 => return None,
-            // All responses are made, and the client reads none of them.
+            // All responses are complete, but the client reads none of them.
             ClientState::Busy => self.client_write_timeout_us,
         };
         Some(since + after)
     }
 
-    /// Whether a client connection with so many pending responses, that to its new request among them, may send one
-    /// request more: a flood by one client must leave capacity for the others.
+    /// Whether a client connection with this number of pending responses, including that to a new request, may have the
+    /// request admitted. Under load the limit is lower, so that one client can't exhaust the request table.
     pub fn admits(&self, pending: usize, under_load: bool) -> bool {
         let limit = if under_load {
             self.max_requests_per_client_under_load
@@ -238,7 +235,7 @@
         pending <= limit
     }
 
-    /// The bounds of the table of endpoints.
+    /// Returns the limits of the endpoint table.
     pub fn discovery(&self) -> DiscoveryLimits {
         DiscoveryLimits {
             max_caches: self.max_caches,
@@ -246,7 +243,7 @@
         }
     }
 
-    /// The bounds of the logs of purges, and how they are replicated.
+    /// Returns the options of the replicated logs.
     pub fn replication(&self, replication: &Replication) -> ReplicationOptions {
         ReplicationOptions {
             max_exact_entries: replication
@@ -264,13 +261,12 @@
         }
     }
 
-    /// The bounds of a site: what follows from its settings, and from how long its connections to cache servers may take
-    /// to be up and may be idle (0: unknown).
+    /// Applies the settings of a site, and its connect timeout and idle timeout for cache servers (0 if unknown).
     pub fn for_site(self, settings: &Settings, connect_us: u64, idle_us: u64) -> Self {
         let deadlines = settings.classes.iter().map(|class| class.deadline_us);
         let longest_us = deadlines.max().unwrap_or(0);
-        let term_us = longest_us.min(MAX_TERM_DEADLINE_US);
-        let shutdown_linger_us = term_us + TERM_LINGER_AFTER_US;
+        let shutdown_deadline_us = longest_us.min(MAX_SHUTDOWN_DEADLINE_US);
+        let shutdown_linger_us = shutdown_deadline_us + SHUTDOWN_LINGER_AFTER_US;
         Limits {
             overload_retry_after_us: settings
                 .max_retry_after_us
@@ -286,17 +282,18 @@
             } else {
                 self.response_timeout_us
             },
-            // The server closes a connection at the full time: what is sent a moment before crosses that.
+            // The server closes the connection after the full time, and a request sent shortly before would race with
+            // that.
             cache_idle_timeout_us: idle_us / 10 * 9,
             shutdown_linger_us,
-            shutdown_response_us: term_us + TERM_ANSWER_AFTER_US,
-            // A request that arrives at the end of the grace of a site with short deadlines must still be answered.
+            shutdown_response_us: shutdown_deadline_us + SHUTDOWN_RESPONSE_AFTER_US,
+            // A request that arrives when the grace period ends must still be answered at a site with short deadlines.
             shutdown_accept_us: self.shutdown_accept_us.min(shutdown_linger_us),
             ..self
         }
     }
 
-    /// Takes over from other bounds what follows from the settings, after these have changed.
+    /// Applies the limits that follow from the settings of a reload.
     pub fn apply_settings_from(&mut self, other: &Limits) {
         self.overload_retry_after_us = other.overload_retry_after_us;
         self.response_timeout_us = other.response_timeout_us;
