--- a/daemon/src/budgets.rs
+++ b/daemon/src/budgets.rs
@@ -1,82 +1,82 @@
-//! `linnetknot fleet budgets`: the status of the fleet-wide budgets, as a running proxy's admin listener shows it.
+//! `linnetknot fleet budgets`: the status of the shared budgets, as the admin listener of a running proxy returns it.
 
 use serde::{Deserialize, Serialize};
 use std::fmt::Write as _;
 
-/// The number of budgets that one status shows: with their grants they fit the admin listener's ring.
+/// The maximum number of budgets in a status. With `MAX_GRANTS` grants each, it fits the send buffer of the admin
+/// listener.
 pub const MAX_BUDGETS: usize = 16;
-/// The number of holders that the status of one budget shows.
+/// The maximum number of grants in the status of a budget.
 pub const MAX_GRANTS: usize = 8;
 
-/// The status of a proxy's budgets.
+/// The status of the budgets of a proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// The name of the proxy.
     pub name: String,
     /// The number of configured proxies, for each of which a minimum is reserved.
     pub members: usize,
-    /// The budgets, the first of them.
+    /// The first budgets, up to `MAX_BUDGETS`.
     pub budgets: Vec<BudgetStatus>,
     /// The number of all budgets.
     #[serde(rename = "budgets_in_all")]
     pub budgets_total: usize,
 }
 
-/// The status of one budget, as the asked proxy knows it.
-// Keys of the JSON, which tools read: `whole` stands for the limit, `floor` for the reserved minimum, `part` for the lease,
-// `wanted` for the demand, `out` for what is spent and not settled, `divider` for the allocator, `divides` for leading.
+/// The status of a budget, as known to the queried proxy.
+// The keys of the JSON, which tools read, are those of released versions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BudgetStatus {
     /// The name of the budget.
     pub name: String,
     /// The unit of its amounts.
     pub unit: String,
-    /// What all proxies may spend together.
+    /// The limit for all proxies together.
     #[serde(rename = "whole")]
     pub limit: u64,
-    /// What is reserved for each proxy.
+    /// The minimum that is reserved for each proxy.
     #[serde(rename = "floor")]
     pub reserved: u64,
-    /// What the asked proxy may spend now, its reserved minimum included.
+    /// The amount that the queried proxy may spend now, including its reserved minimum.
     #[serde(rename = "part")]
     pub lease: u64,
-    /// When that expires unless it is renewed; null where it is the reserved minimum, which does not.
+    /// The time until the lease expires unless it is renewed; null for the reserved minimum, which does not expire.
     pub ends_in_ms: Option<u64>,
-    /// What it demands beyond its reserved minimum.
+    /// The demand of the queried proxy beyond its reserved minimum.
     #[serde(rename = "wanted")]
     pub demand: u64,
-    /// What it spent beyond its reserved minimum and is not settled.
+    /// The amount that it spent beyond its reserved minimum and that is not settled.
     #[serde(rename = "out")]
     pub unsettled: u64,
-    /// The name of the allocator, as far as it knows.
+    /// The name of the allocator, as known to the queried proxy.
     #[serde(rename = "divider")]
     pub allocator: String,
-    /// Whether it is the allocator, by the votes of more than half.
+    /// Whether the queried proxy is the allocator, elected by a majority.
     #[serde(rename = "divides")]
     pub leads: bool,
-    /// Whether only its reserved minimum may be spent, as no lease is in force.
+    /// Whether no lease is in force, so that only the reserved minimum may be spent.
     #[serde(rename = "on_floor")]
     pub reserved_only: bool,
-    /// Where it is the allocator: what is granted or unsettled, without the reserved minimums.
+    /// The total that is granted or unsettled beyond the reserved minimums, if the queried proxy is the allocator.
     #[serde(rename = "granted_in_all")]
     pub granted_total: u64,
-    /// The number of holders of that.
+    /// The number of proxies that hold a part of it.
     pub holders: usize,
-    /// The holders, the first of them.
+    /// The first grants, up to `MAX_GRANTS`.
     pub granted: Vec<GrantStatus>,
 }
 
-/// What the allocator has granted to one proxy.
+/// The grant of the allocator to one proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantStatus {
-    /// The name of the proxy, or its address until that is known.
+    /// The name of the proxy, or its address while the name is unknown.
     pub name: String,
-    /// The most that it may spend or have unsettled, without its reserved minimum.
+    /// The maximum that it may spend or have unsettled, without its reserved minimum.
     pub amount: u64,
 }
 
 impl Status {
-    /// Formats the status as tables for people. The headings are the same words as the keys of the file and of the JSON.
+    /// Formats the status as tables. The headings are the keys of the JSON.
     pub fn to_table(&self) -> String {
         let mut table = format!(
             "{} shares with {} proxies, itself among them\n\n",
@@ -121,7 +121,7 @@
 }
 
 impl BudgetStatus {
-    /// Writes what the allocator of this budget has granted to so many members.
+    /// Writes the grants of the allocator for a fleet with this number of members.
     fn write_grants(&self, members: usize, table: &mut String) {
         let reserved_total = self.reserved * members as u64;
         let free = self
--- a/daemon/src/fleet/mod.rs
+++ b/daemon/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! `linnetknot fleet status`: what a running proxy knows of the replication of its log, as its admin listener shows it.
+//! `linnetknot fleet status`: the replication status of a running proxy, as its admin listener returns it.
 
 mod query;
 mod table;
@@ -8,121 +8,121 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Peers that one status shows.
+/// The maximum number of peers in a status.
 pub const MAX_PEERS: usize = 48;
-/// Logs that one status shows: with those peers it fits the admin listener's ring buffer.
+/// The maximum number of logs in a status. With `MAX_PEERS` peers it fits the send buffer of the admin listener.
 pub const MAX_LOGS: usize = 32;
 
-/// The status of a proxy's replication. The names of the fields are the keys of the JSON, which tools read.
+/// The replication status of a proxy. The keys of the JSON, which tools read, are those of released versions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// The name of the proxy.
     pub name: String,
-    /// The machine that it runs on, by its configuration.
+    /// The machine of the proxy, by its configuration.
     pub machine: String,
-    /// The epoch of its log.
+    /// The epoch of the log of the proxy.
     #[serde(rename = "life")]
     pub epoch: String,
-    /// The minimum of further machines that acknowledge a purge before it is committed.
+    /// The number of further machines that acknowledge a purge before it is committed.
     #[serde(rename = "wait")]
     pub min_acks: usize,
-    /// The replication factor: further machines that have each purge in the end.
+    /// The number of further machines that eventually have each purge.
     #[serde(rename = "holders")]
     pub replication_factor: usize,
-    /// The last index of its log.
+    /// The last index of the log of the proxy.
     #[serde(rename = "end")]
     pub last_index: u64,
-    /// The durable index of its log on its own disk.
+    /// The durable index of that log on the disk of the proxy.
     #[serde(rename = "on_disk")]
     pub durable_index: u64,
-    /// Entries in force, of all logs.
+    /// The number of entries in force, in all logs.
     pub entries: usize,
-    /// Older purges that have a slot of their own in the compact table.
+    /// The number of older purges with a slot of their own in the compact table.
     #[serde(default)]
     pub compacted: usize,
-    /// Memory of that table, in bytes.
+    /// The memory of the compact table, in bytes.
     #[serde(default)]
     pub table_bytes: usize,
-    /// Why its store can't be opened, while it is so.
+    /// The error of opening the store, while it can't be opened.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub store_error: Option<String>,
-    /// Peers have compacted what is missing here: a snapshot is on its way.
+    /// Whether the proxy is receiving a snapshot, as peers have compacted entries that it lacks.
     #[serde(default)]
     pub catching_up: bool,
-    /// A checksum of all logs: proxies with the same entries have the same.
+    /// A checksum of all logs, which is equal for proxies with the same entries.
     pub digest: String,
-    /// Pending commits.
+    /// The number of pending commits.
     #[serde(rename = "waiting")]
     pub pending_commits: usize,
-    /// Under-replicated entries: 0 once all peers have caught up.
+    /// The number of under-replicated entries, which is 0 once all peers have caught up.
     #[serde(rename = "short")]
     pub under_replicated: usize,
-    /// Commits of this process.
+    /// The number of commits of this process.
     #[serde(rename = "promised")]
     pub committed: u64,
-    /// Rejected commits of this process.
+    /// The number of rejected commits of this process.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Members that it believes to be alive, itself among them.
+    /// The number of members that are believed to be alive, including the proxy.
     #[serde(rename = "up")]
     pub alive_members: usize,
-    /// A later process of its name has started: this one commits nothing any more.
+    /// Whether a later process with the same name has started, so that this one commits nothing.
     pub replaced: bool,
-    /// Its peers, the first of them.
+    /// The first peers, up to `MAX_PEERS`.
     pub peers: Vec<PeerStatus>,
     /// The number of all peers.
     #[serde(rename = "peers_in_all")]
     pub peers_total: usize,
-    /// The logs of which it has entries, the first of them.
+    /// The first logs with entries, up to `MAX_LOGS`.
     pub logs: Vec<LogStatus>,
     /// The number of all logs.
     #[serde(rename = "logs_in_all")]
     pub logs_total: usize,
 }
 
-/// What a proxy knows of a peer.
+/// The status of a peer, as known to the proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerStatus {
     /// The address of the peer.
     pub address: SocketAddr,
-    /// Its machine.
+    /// The machine of the peer.
     pub machine: String,
-    /// Its name; empty until that is known.
+    /// The name of the peer; empty while unknown.
     pub name: String,
-    /// Its state by the membership: `unknown`, `alive`, `suspect`, `dead` or `left`.
+    /// The membership state: `unknown`, `alive`, `suspect`, `dead` or `left`.
     #[serde(rename = "standing")]
     pub state: String,
-    /// Its incarnation.
+    /// The incarnation of the peer.
     #[serde(rename = "life")]
     pub incarnation: String,
-    /// Its acknowledged index in the log of the proxy.
+    /// The index of the proxy's log that the peer has acknowledged.
     #[serde(rename = "held")]
     pub acked_index: u64,
-    /// Entries of that log that it has not acknowledged.
+    /// The number of entries of that log that the peer has not acknowledged.
     #[serde(rename = "behind")]
     pub lag: u64,
 }
 
-/// A log of which a proxy has entries.
+/// The status of a log of which the proxy has entries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogStatus {
-    /// The hash of its writer's name.
+    /// The hash of the name of the writer.
     pub writer: String,
     /// The epoch of the log.
     #[serde(rename = "life")]
     pub epoch: String,
-    /// Whether the proxy wrote it, in this process or an earlier one.
+    /// Whether the proxy wrote the log, in this process or an earlier one.
     pub own: bool,
-    /// The last index that the proxy has.
+    /// The last index of the log that the proxy has.
     #[serde(rename = "end")]
     pub last_index: u64,
-    /// The durable index on the disk of the proxy.
+    /// The durable index of the log on the disk of the proxy.
     #[serde(rename = "on_disk")]
     pub durable_index: u64,
 }
 
-/// A status as JSON in one line.
+/// Formats a status as JSON in one line.
 pub fn to_json(status: &impl Serialize) -> String {
-    // It holds strings, numbers and flags alone, all of which JSON can represent.
+    // Strings, numbers and flags are always valid JSON.
     serde_json::to_string(status).unwrap_or_default()
 }
--- a/daemon/src/fleet/query.rs
+++ b/daemon/src/fleet/query.rs
@@ -1,4 +1,4 @@
-//! Reads a status from the admin listener of a running proxy.
+//! Queries the admin listener of a running proxy.
 
 use super::Status;
 use crate::budgets;
@@ -9,36 +9,36 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// How long a call to the admin listener may take.
+/// The timeout of a whole query.
 const TIMEOUT: Duration = Duration::from_secs(5);
-/// Bytes of a response that are read.
+/// The maximum size of a response.
 const MAX_RESPONSE_BYTES: usize = 64 << 10;
-/// Bytes that one read takes.
+/// The size of one read.
 const READ_BYTES: usize = 4096;
 
-/// Why a status can't be had.
+/// An error of a query.
 #[derive(Debug, thiserror::Error)]
 pub enum StatusError {
-    /// The admin listener can't be reached, or the connection to it broke.
+    /// The admin listener can't be reached, or the connection broke.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The response does not end in time, or is too long.
-    #[error("the admin listener's answer does not end")]
+    /// The response exceeds the timeout or the maximum size.
+    #[error("the response of the admin listener is too slow or too long")]
     Endless,
     /// The connection was closed before the response was complete.
-    #[error("the admin listener's answer is cut off")]
+    #[error("the response of the admin listener is truncated")]
     Truncated,
-    /// The response is no HTTP.
-    #[error("the admin listener's answer: {0}")]
+    /// The response is not HTTP.
+    #[error("the response of the admin listener is malformed: {0}")]
     Malformed(String),
-    /// The body is no status.
-    #[error("the admin listener's answer can't be read: {0}")]
+    /// The body is not a status.
+    #[error("the response of the admin listener is not a status: {0}")]
     Unreadable(#[from] serde_json::Error),
-    /// The proxy does not have what is queried.
+    /// The feature is not enabled at the proxy.
     #[error("{0}")]
     NotFound(&'static str),
-    /// Another status code than 200 and 404.
-    #[error("the admin listener answered {0:?}")]
+    /// The status code is neither 200 nor 404.
+    #[error("the admin listener responded with status code {0:?}")]
     Rejected(Option<u16>),
 }
 
@@ -52,27 +52,27 @@
     }
 }
 
-/// Returns the replication status of a proxy, from its admin listener.
+/// Queries the replication status of a proxy.
 ///
 /// # Errors
-/// Where the admin listener can't be reached, replicates nothing, or its response can't be read.
+/// Fails if the admin listener can't be reached, replication is off, or the response can't be read.
 pub fn query_status(admin: SocketAddr) -> Result<Status, StatusError> {
     query(
         admin,
         "/control/fleet",
-        "this proxy makes no copies ('peers.copies')",
+        "replication is off at this proxy ('peers.copies')",
     )
 }
 
-/// Returns the status of the budgets of a proxy, from its admin listener.
+/// Queries the status of the budgets of a proxy.
 ///
 /// # Errors
-/// As `ask`; the admin listener has no status where no budget is shared.
+/// Fails as `query_status`, and if no budget is shared.
 pub fn query_budgets(admin: SocketAddr) -> Result<budgets::Status, StatusError> {
     query(
         admin,
         "/control/budgets",
-        "this proxy shares nothing with others ('budgets')",
+        "no budget is shared at this proxy ('budgets')",
     )
 }
 
@@ -108,8 +108,8 @@
         status: None,
         body: Vec::new(),
     };
-    // The time is bounded for the whole response and not for one read: another server may listen there by now, one that
-    // sends a little for ever.
+    // The timeout applies to the whole response and not to each read, as a server that is not a proxy may send small
+    // parts without end.
     let begun = Instant::now();
     loop {
         let (taken, piece) = messages
--- a/daemon/src/fleet/table.rs
+++ b/daemon/src/fleet/table.rs
@@ -1,4 +1,4 @@
-//! The status as tables, for people.
+//! Formats the replication status as tables.
 
 use super::{LogStatus, PeerStatus, Status};
 use std::fmt::Write as _;
@@ -23,7 +23,7 @@
         table
     }
 
-    /// The lines before the tables, each with its name.
+    /// Returns the lines before the tables, each with its label.
     fn summary(&self) -> [(&'static str, String); 7] {
         [
             (
