--- a/daemon/src/bus.rs
+++ b/daemon/src/bus.rs
@@ -1,4 +1,4 @@
-//! The event bus: numbered purges and changes of the list of boxes, read as server-sent events.
+//! The event bus: numbered purges and changes of the endpoint list, received as server-sent events.
 
 use crate::core::{server_id, Entry};
 use crate::limits::Limits;
@@ -10,18 +10,18 @@
 };
 use serde_json::Value;
 
-/// What an event tells.
+/// The update that an event carries.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BusUpdate {
-    /// The list of boxes, or changes to it.
+    /// The endpoint list, or changes to it.
     List(ReceivedList),
-    /// An object, or with none a whole group, was purged at this Unix time.
+    /// A purge of an object, or of a group if there is no object.
     Purge {
-        /// The object.
+        /// The object, if one was purged.
         object: Option<String>,
-        /// The group.
+        /// The group, if no object was purged.
         group: u64,
-        /// When.
+        /// The time of the purge, in microseconds of Unix time.
         at: Micros,
     },
 }
@@ -29,13 +29,13 @@
 /// An event of the bus.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BusEvent {
-    /// Its number.
+    /// The number of the event.
     pub offset: u64,
-    /// What it tells; none: a kind that is not known here.
+    /// The update; `None` for an unknown kind of event.
     pub update: Option<BusUpdate>,
 }
 
-/// Reads an entry of the list of boxes.
+/// Parses an entry of the endpoint list.
 pub(crate) fn read_entry(m: &Fields) -> Result<Entry> {
     let uid = text(m, "uid")?;
     let endpoint = text(m, "endpoint")?;
@@ -61,7 +61,7 @@
     })
 }
 
-/// Reads an event.
+/// Parses an event.
 pub fn read_event(value: &Value) -> Result<BusEvent> {
     let m = value.as_object().ok_or("an event is not an object")?;
     let update = if get(m, "topology").is_some() {
@@ -76,7 +76,7 @@
             .transpose()?;
         let targets = list(topology, "targets")?;
         let read = |v: &Value| read_entry(v.as_object().ok_or_else(|| wrong("targets"))?);
-        // One that can't be read must not hide what the others say.
+        // An unreadable entry must not hide the others.
         let mut answer = ReceivedList {
             rev,
             mode,
@@ -112,13 +112,13 @@
     })
 }
 
-/// One call to the bus.
+/// The response stream of one request to the bus.
 pub struct BusStream {
     http: http::MessageParser,
     events: sse::EventParser,
 }
 
-/// The request that reads on behind an event.
+/// Returns the request for the events after the one with the number `last`.
 pub fn request(host: &str, last: u64) -> Vec<u8> {
     format!(
         "GET /bus/read HTTP/1.1\r\nHost: {host}\r\nAccept: text/event-stream\r\nCache-Control: no-cache\r\n\
@@ -128,7 +128,7 @@
 }
 
 impl BusStream {
-    /// A call just begun.
+    /// Creates the state of a new response.
     pub fn new(limits: &Limits) -> Self {
         let http = http::MessageParser::responses(limits.max_line_bytes, usize::MAX);
         BusStream {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Takes bytes in: how many, and the events that became whole, those after `last` only.
+    /// Parses received bytes. Returns the completed events whose numbers are greater than `last`.
     pub fn read(
         &mut self,
         mut input: &[u8],
@@ -174,7 +174,7 @@
             let value =
                 serde_json::from_str(&event.data).map_err(|_| WireError::Malformed("an event"))?;
             match read_event(&value) {
-                // A repeat after a reconnection is old news: the list must not step back.
+                // Events that are repeated after a reconnection are skipped, so that the list does not go back.
                 Ok(event) if event.offset > *last => {
                     *last = event.offset;
                     events.push(event);
--- a/daemon/src/disk.rs
+++ b/daemon/src/disk.rs
@@ -1,5 +1,4 @@
-//! A worker thread that replaces files atomically. The event loop hands jobs over by a bounded queue and never waits for a
-//! disk.
+//! A worker thread that replaces files atomically. The event loop enqueues jobs without waiting for the disk.
 
 use crossbeam_channel::{bounded, Receiver, RecvTimeoutError, Sender};
 use linnetknot::Micros;
@@ -12,31 +11,31 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// A file to be replaced.
+/// A file to write.
 pub struct WriteJob {
-    /// Its path.
+    /// The path.
     pub path: PathBuf,
-    /// Its new content.
+    /// The new content.
     pub bytes: Vec<u8>,
 }
 
-/// The worker. Before it is dropped, all its jobs are done. A job that fails is retried until it succeeds or is superseded
-/// by a later one for the same file.
+/// The handle of the worker. Dropping it waits until the queued jobs have been tried. A failed job is retried until it
+/// succeeds or a later job for the same file replaces it.
 pub struct FileWriter {
     jobs: Option<Sender<WriteJob>>,
     worker: Option<JoinHandle<()>>,
 }
 
-/// Capacity of the queue of jobs.
+/// The capacity of the queue of jobs.
 const MAX_QUEUED_JOBS: usize = 2;
 
-/// The first backoff of jobs that failed.
+/// The first backoff after a failure.
 const MIN_RETRY_US: Micros = 100_000;
-/// About the longest backoff between two attempts.
+/// The longest backoff between two attempts, before jitter.
 const MAX_RETRY_US: Micros = 2_000_000;
 
-/// A complete file beside the one that it is to replace. Dropped before that, it is removed: what a full disk took in part
-/// must not fill it further.
+/// A temporary file next to the file that it will replace. It is removed if it is dropped before that, so that partial
+/// files do not fill the disk.
 pub struct StagedFile {
     temporary_path: PathBuf,
     path: PathBuf,
@@ -45,8 +44,7 @@
 
 impl StagedFile {
     fn new(path: &Path) -> Self {
-        // Named by the process: the old and the new one of an upgrade may put the same file in place at once, and one
-        // must not write into the other's half-written file.
+        // The name contains the process id, as both processes of an upgrade may replace the same file at once.
         let mut temporary_path = path.as_os_str().to_owned();
         temporary_path.push(format!(".{}.new", std::process::id()));
         StagedFile {
@@ -56,7 +54,7 @@
         }
     }
 
-    /// Writes a file beside its place and syncs it.
+    /// Writes and syncs a temporary file next to `path`.
     pub fn write(path: &Path, bytes: &[u8]) -> io::Result<Self> {
         let staged = StagedFile::new(path);
         fault_points::open()?;
@@ -75,10 +73,10 @@
         Ok(self)
     }
 
-    /// Replaces the file, and syncs the folder.
+    /// Replaces the file and syncs the folder.
     pub fn install(self) -> io::Result<()> {
         let renamed = self.rename()?;
-        // The new name is durable only once its folder is synced too.
+        // The rename is durable only once the folder is synced.
         fault_points::sync()?;
         match renamed.path.parent().filter(|p| !p.as_os_str().is_empty()) {
             Some(folder) => File::open(folder)?.sync_all(),
@@ -90,18 +88,18 @@
 impl Drop for StagedFile {
     fn drop(&mut self) {
         if !self.is_installed {
-            // It may not exist.
+            // The file may not exist.
             let _ = fs::remove_file(&self.temporary_path);
         }
     }
 }
 
-/// Replaces a file atomically and durably: after a power failure it is complete, or as it was before.
+/// Replaces a file atomically and durably: after a power failure it has either the new or the old content.
 pub fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
     StagedFile::write(path, bytes)?.install()
 }
 
-/// Replaces a file atomically without waiting until it is durable: for one of which there is another copy.
+/// Replaces a file atomically but not durably, for a file of which there is another copy.
 pub fn replace_unsynced(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let staged = StagedFile::new(path);
     fault_points::write()?;
@@ -109,7 +107,7 @@
     staged.rename().map(drop)
 }
 
-/// Removes what killed processes left beside a file that they were replacing.
+/// Removes the temporary files that killed processes left next to a file.
 pub fn remove_leftovers(path: &Path) {
     let (Some(folder), Some(name)) = (path.parent(), path.file_name().and_then(|n| n.to_str()))
     else {
@@ -123,7 +121,7 @@
                 .strip_suffix(".new")
         });
         let is_process = |p: &str| !p.is_empty() && p.bytes().all(|b| b.is_ascii_digit());
-        // The old process of an upgrade may be writing still.
+        // The old process of an upgrade may still be writing.
         let is_leftover = |p: &str| is_process(p) && !Path::new("/proc").join(p).exists();
         if process.is_some_and(is_leftover) {
             if let Err(e) = fs::remove_file(entry.path()) {
@@ -133,7 +131,7 @@
     }
 }
 
-/// Counts failed attempts in a row to write a file, and logs the first and the success after the last.
+/// Counts consecutive failed attempts to write a file, and logs the first failure and the next success.
 #[derive(Debug, Default)]
 pub struct FailedAttempts(u64);
 
@@ -164,10 +162,10 @@
     }
 }
 
-/// The worker's side: each file is written as the last job for it has it, until that succeeds.
+/// The state of the worker thread, which retries each file with the content of its latest job.
 struct Work {
     jobs: Receiver<WriteJob>,
-    /// The content of files that could not be replaced yet.
+    /// The content of the files that could not be replaced yet.
     pending: BTreeMap<PathBuf, Vec<u8>>,
     failed: BTreeMap<PathBuf, FailedAttempts>,
     backoff: Backoff,
@@ -188,7 +186,7 @@
                     self.write(path, bytes);
                 }
                 Err(RecvTimeoutError::Timeout) => self.retry_pending(),
-                // The process ends: a last attempt.
+                // The process ends, so pending files are tried once more.
                 Err(RecvTimeoutError::Disconnected) => return self.retry_pending(),
             }
         }
@@ -212,7 +210,7 @@
 }
 
 impl FileWriter {
-    /// Starts the worker, a thread of this name.
+    /// Starts a worker thread with this name.
     pub fn start(name: &str) -> io::Result<Self> {
         let (jobs, queue) = bounded::<WriteJob>(MAX_QUEUED_JOBS);
         let work = Work {
@@ -230,7 +228,7 @@
         })
     }
 
-    /// Enqueues a job; false where the queue is full.
+    /// Enqueues a job. Returns false if the queue is full.
     pub fn try_enqueue(&self, job: WriteJob) -> bool {
         self.jobs
             .as_ref()
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -1,7 +1,7 @@
-//! The linnetknot daemon: the decision module on real sockets. One thread, one epoll loop.
+//! The linnetknot daemon: runs the decision module on real sockets, with one thread and one epoll loop.
 //!
-//! `core` deals in requests, attempts and outcomes and drives the module; fronts and upstreams translate between
-//! it and their wires; `net` owns sockets, buffers and deadlines; `daemon` ties them together.
+//! `core` handles requests, attempts and outcomes and drives the decision module. `front` and `upstream` translate
+//! between it and their protocols. `net` owns sockets, buffers and deadlines. `daemon` connects these parts.
 
 pub mod budgets;
 pub mod bus;
--- a/daemon/src/logging.rs
+++ b/daemon/src/logging.rs
@@ -1,4 +1,4 @@
-//! The log on standard error: lines for people, or JSON Lines.
+//! The log on standard error, as text or JSON Lines.
 
 use crate::interconnect::LogForm;
 use env_logger::fmt::Formatter;
@@ -27,10 +27,10 @@
     }
 }
 
-/// Formats a record as one JSON object. Key-values whose key is one of the format's own stand under `kv`.
+/// Formats a record as one JSON object. Key-values whose keys collide with those of the format are nested under `kv`.
 pub fn json(record: &Record<'_>, unix_ms: u64) -> String {
     let mut key_values = KeyValues(Map::new());
-    // Nothing here fails: what can't be a JSON value becomes text.
+    // Visiting does not fail: values without a JSON type become text.
     let _ = record.key_values().visit(&mut key_values);
     let mut line = Map::new();
     line.insert("ts_ms".into(), unix_ms.into());
@@ -52,7 +52,7 @@
     serde_json::Value::Object(line).to_string()
 }
 
-/// Starts the log in this format. `RUST_LOG` sets the level, `info` by default.
+/// Starts the logger in this format. `RUST_LOG` sets the level, `info` by default.
 pub fn start(form: LogForm) {
     let mut builder =
         env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"));
@@ -66,6 +66,6 @@
             },
         );
     }
-    // It fails where a log is started already, which only tests do.
+    // It fails only if a logger is already installed, as in tests.
     let _ = builder.try_init();
 }
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts the daemon, or checks what it would be started with. Everything else is the library's.
+//! The command line of linnetknot: runs the daemon, checks its configuration and queries running proxies.
 
 use clap::{Parser, Subcommand};
 use linnetknot_daemon::config::{self, Config, ConfigError};
@@ -60,7 +60,7 @@
     },
 }
 
-/// Why the daemon ended, other than after SIGTERM.
+/// An error that ends the daemon.
 #[derive(Debug, thiserror::Error)]
 enum ServeError {
     #[cfg(feature = "points")]
@@ -78,7 +78,7 @@
     #[cfg(feature = "points")]
     linnetknot_daemon::fail_points::arm()?;
     let config = Config::from_env();
-    // The log starts first: a fault of the configuration is logged too.
+    // The logger starts first, so that errors of the configuration are logged.
     logging::start(
         config
             .as_ref()
@@ -89,7 +89,7 @@
     Ok(())
 }
 
-/// Serves until SIGTERM, or until what must not fail has failed.
+/// Runs the daemon until SIGTERM or a fatal error.
 fn run_daemon() -> ExitCode {
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
@@ -100,7 +100,7 @@
     }
 }
 
-/// Prints what each file is, or what is wrong with it.
+/// Prints the result of the check of each file.
 fn check(files: &[PathBuf]) -> ExitCode {
     let mut exit_code = ExitCode::SUCCESS;
     for file in config::check(files) {
@@ -115,7 +115,7 @@
     exit_code
 }
 
-/// Prints the status that an admin listener returned.
+/// Prints a status that an admin listener returned.
 fn print_status<T: Serialize>(
     admin: SocketAddr,
     status: Result<T, StatusError>,
--- a/daemon/src/origin_clock.rs
+++ b/daemon/src/origin_clock.rs
@@ -1,62 +1,62 @@
-//! The offset between the local clock and the clock by which the origin and the event bus date copies and purges.
+//! The offset between the local clock and the clock of the origin, which dates copies and purges, as does the event
+//! bus.
 //!
-//! Nothing carries a date later than the moment at which it was sent. So each date that is received bounds from below what
-//! the origin's clock shows now, and the best of these bounds is carried on by the local monotonic clock. It is behind the
-//! origin's clock by the shortest time that any date took to get here, and never ahead of it, however wrong the local wall
-//! clock is.
+//! A date is never later than the time at which it was sent, so each received date is a lower bound of the origin's
+//! clock. The best bound advances with the local monotonic clock. It lags the origin's clock by the shortest transfer
+//! of a date and is never ahead of it, regardless of the local wall clock.
 
 use linnetknot::Micros;
 use linnetknot_purges::KeyHash;
 use std::collections::VecDeque;
 
-/// How far the bound may still rise before the recorded purges are dated anew.
-const SLACK_US: i64 = 250_000;
-/// Purges that are dated anew where the bound rises. It hardly does once copies have come from the origin.
-const MAX_DATED: usize = 4_096;
+/// The increase of the bound up to which recorded purges keep their dates.
+const REDATE_SLACK_US: i64 = 250_000;
+/// The maximum number of recorded purges, whose dates follow the bound.
+const MAX_RECORDED_PURGES: usize = 4_096;
 
-/// A purge whose date follows from the bound.
+/// A purge whose date depends on the bound.
 #[derive(Clone, Copy, Debug)]
 struct RecordedPurge {
     key: KeyHash,
-    /// When it came, by the local clock.
+    /// The time of its arrival by the local clock.
     at: Micros,
-    /// The date that came with it, if any did.
+    /// The date that came with it, if any.
     date: Option<Micros>,
 }
 
-/// A lower bound of the origin's clock, and the purges whose dates follow from it.
+/// A lower bound of the origin's clock, and the purges whose dates depend on it.
 #[derive(Debug, Default)]
 pub struct OriginClock {
-    /// What is to be added to the local clock; none: no date has been received yet.
+    /// The offset from the local clock to the bound; `None` until a date is received.
     offset_us: Option<i64>,
-    /// The offset by which the recorded purges were last dated.
+    /// The offset with which the recorded purges were last dated.
     dated_by: Option<i64>,
-    recorded: VecDeque<RecordedPurge>,
+    recorded_purges: VecDeque<RecordedPurge>,
 }
 
-/// The difference of two times, bounded by the range of its type.
+/// Returns the difference of two times, saturated to `i64`.
 fn difference(a: Micros, b: Micros) -> i64 {
     let wide = i128::from(a) - i128::from(b);
     i64::try_from(wide).unwrap_or(if wide < 0 { i64::MIN } else { i64::MAX })
 }
 
 impl OriginClock {
-    /// What is to be added to the local clock for a time that the origin's clock has reached.
+    /// Returns the offset from the local clock to the lower bound of the origin's clock; 0 until a date is received.
     pub fn offset_us(&self) -> i64 {
         self.offset_us.unwrap_or(0)
     }
 
-    /// A time that the origin's clock has reached; the local time where no date has been received.
+    /// Returns the lower bound of the origin's clock; the local time until a date is received.
     pub fn now(&self, now: Micros) -> Micros {
         now.saturating_add_signed(self.offset_us())
     }
 
-    /// Translates a time of the origin's clock to the local clock.
+    /// Converts a time of the origin's clock to the local clock.
     pub fn to_local(&self, at: Micros) -> Micros {
         at.saturating_add_signed(self.offset_us().saturating_neg())
     }
 
-    /// Takes a date that has just been received. Gives the purges that are to be dated anew.
+    /// Processes a date that was just received. Returns the recorded purges with new dates.
     pub fn observe(&mut self, now: Micros, date: Micros) -> Vec<(KeyHash, Micros)> {
         let offset = difference(date, now);
         if self.offset_us.is_some_and(|known| known >= offset) {
@@ -65,48 +65,48 @@
         self.offset_us = Some(offset);
         if self
             .dated_by
-            .is_some_and(|before| offset <= before.saturating_add(SLACK_US))
+            .is_some_and(|before| offset <= before.saturating_add(REDATE_SLACK_US))
         {
             return Vec::new();
         }
         self.dated_by = self.offset_us;
-        let purges = self.recorded.iter();
+        let purges = self.recorded_purges.iter();
         purges.map(|purge| (purge.key, self.date(*purge))).collect()
     }
 
-    /// The date under which other proxies learn of a purge that came now: not before it by any clock that this proxy knows
-    /// of.
+    /// Returns the date with which a purge that arrives now is sent to other proxies. It is not before the purge by any
+    /// known clock.
     pub fn date_for_peers(&self, now: Micros) -> Micros {
         self.latest(now).max(now)
     }
 
-    /// Records a purge that came without a date, as of now. Gives its date, by which copies are older or newer: the greatest
-    /// age that a request then allows is never more than the time that has really passed.
+    /// Records a purge that came without a date, as of now. Returns its date, which is late enough that the maximum age
+    /// of copies never exceeds the time that has passed since the purge.
     pub fn record_local(&mut self, now: Micros, key: KeyHash) -> Micros {
-        self.remember(RecordedPurge {
+        self.record(RecordedPurge {
             key,
             at: now,
             date: None,
         })
     }
 
-    /// Records a purge that came with the date of another clock, which can't be later than now. Gives its date.
+    /// Records a purge with the date of another clock, which can't be later than now. Returns its date.
     pub fn record_dated(&mut self, now: Micros, key: KeyHash, date: Micros) -> Micros {
         if self.offset_us.is_none() || date <= self.latest(now) {
             return date;
         }
-        self.remember(RecordedPurge {
+        self.record(RecordedPurge {
             key,
             at: now,
             date: Some(date),
         })
     }
 
-    fn remember(&mut self, purge: RecordedPurge) -> Micros {
-        if self.recorded.len() >= MAX_DATED {
-            self.recorded.pop_front();
+    fn record(&mut self, purge: RecordedPurge) -> Micros {
+        if self.recorded_purges.len() >= MAX_RECORDED_PURGES {
+            self.recorded_purges.pop_front();
         }
-        self.recorded.push_back(purge);
+        self.recorded_purges.push_back(purge);
         self.date(purge)
     }
 
@@ -115,12 +115,11 @@
         purge.date.map_or(latest, |date| date.min(latest))
     }
 
-    /// The latest date that something which came at a time of the local clock can have, as far as is known: `dated_by` may
-    /// be behind by the slack.
+    /// Returns the latest possible date of an event at a time of the local clock. `dated_by` may lag by the slack.
     fn latest(&self, at: Micros) -> Micros {
         match self.dated_by {
             None => at,
-            Some(offset) => at.saturating_add_signed(offset.saturating_add(SLACK_US)),
+            Some(offset) => at.saturating_add_signed(offset.saturating_add(REDATE_SLACK_US)),
         }
     }
 }
--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -1,17 +1,17 @@
-//! Plain datagrams between the proxies of one installation: purges that only one of them was sent.
+//! Plain datagrams between proxies, for purges that only one of them received.
 
 use linnetknot::Micros;
 
 pub use linnetknot_datagram::MAX_DATAGRAM_BYTES;
 
-/// A purge of an object, or without one of a group.
+/// A purge of an object, or of a group if there is no object.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Purge {
-    /// The object; none where a group is purged.
+    /// The object; `None` for a group.
     pub object: Option<String>,
-    /// The group; without meaning where an object is purged.
+    /// The group, if there is no object.
     pub group: u64,
-    /// When it was purged.
+    /// The time of the purge.
     pub at: Micros,
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// Encodes a purge as a datagram; none where it would be too long.
+/// Encodes a purge as a datagram; `None` if it would be too long.
 pub fn write(object: Option<&str>, group: u64, at: Micros) -> Option<String> {
     let text = match object {
         Some(object) => format!("purge object {object} {at}"),
@@ -44,7 +44,7 @@
     (text.len() <= MAX_DATAGRAM_BYTES).then_some(text)
 }
 
-/// Decodes a purge; none where the datagram is no purge.
+/// Decodes a purge; `None` if the datagram is not a purge.
 pub fn read(bytes: &[u8]) -> Option<Purge> {
     let text = std::str::from_utf8(bytes)
         .ok()
--- a/daemon/src/plain_purges.rs
+++ b/daemon/src/plain_purges.rs
@@ -1,35 +1,34 @@
-//! Purges as plain datagrams, for peers that do not replicate logs: versions before replication, and proxies that have
-//! it switched off. Sans-IO.
+//! Purges as plain datagrams, for peers that do not replicate logs: older versions, and proxies with replication off.
+//! Without I/O.
 //!
-//! A peer that replicates logs has each purge as an entry of its writer's log. It is sent no plain datagrams, and one
-//! that is received from it is put in force and not written: otherwise the same purge would be in two logs, and the
-//! second entry would have an index that no other peer was sent. Whether a peer replicates is known from membership,
-//! which runs where replication does. A sender that membership does not know yet is greeted, and its purge is written
-//! only if it does not answer.
+//! A peer that replicates logs has each purge as an entry of its writer's log, and is sent no plain datagrams. A plain
+//! purge from such a peer is applied but not written, as it would otherwise be in two logs, and the second entry would
+//! have an index that no other peer received. Membership, which runs with replication, shows whether a peer replicates.
+//! A sender that membership does not know yet is greeted, and its purge is written only if it does not answer.
 
 use crate::limits::Limits;
 use crate::peers::Purge;
 use linnetknot::Micros;
 use std::collections::VecDeque;
 
-/// How often a purge is sent again, as peers that do not replicate logs do not request what they miss.
+/// The number of times a purge is resent, as peers without replication do not request missing purges.
 const RESENDS: u8 = 2;
 
-/// What is to be done with a plain purge, besides putting it in force.
+/// The treatment of a plain purge besides applying it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Treatment {
-    /// Nothing: it is received as an entry, too.
+    /// No further action, as the purge also arrives as an entry.
     Replicated,
-    /// Greet its sender. Whether it has to be written is known later.
+    /// Greet the sender. Whether the purge must be written is decided later.
     Greet,
-    /// Write it, so that it outlives the process.
+    /// Write the purge, so that it outlives the process.
     Write(Purge),
 }
 
-/// What is due at a tick.
+/// The work that is due at a tick.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DueWork {
-    /// Datagrams to send to the peers that are not known to replicate logs.
+    /// Datagrams to resend to the peers that are not known to replicate logs.
     pub resends: Vec<String>,
     /// Purges to write, as their senders are still not known to replicate logs.
     pub writes: Vec<Purge>,
@@ -39,7 +38,7 @@
 struct Resend {
     at: Micros,
     text: String,
-    left: u8,
+    remaining: u8,
 }
 
 /// A purge whose sender is not known to replicate logs yet.
@@ -50,7 +49,7 @@
     purge: Purge,
 }
 
-/// Plain purges that are to be sent again, and those that may have to be written.
+/// The plain purges to resend, and those that may have to be written.
 #[derive(Clone, Debug)]
 pub struct PlainPurges {
     resend_us: Micros,
@@ -61,7 +60,7 @@
 }
 
 impl PlainPurges {
-    /// Creates an empty set, within the daemon's limits.
+    /// Creates an empty set with the limits of the daemon.
     pub fn new(limits: &Limits) -> Self {
         PlainPurges {
             resend_us: limits.purge_resend_interval_us,
@@ -72,17 +71,17 @@
         }
     }
 
-    /// Records a datagram that is sent now, and is to be sent again.
+    /// Records a datagram that is sent now and is to be resent.
     pub fn sent(&mut self, now: Micros, text: String) {
         self.resends.push_back(Resend {
             at: now + self.resend_us,
             text,
-            left: RESENDS - 1,
+            remaining: RESENDS - 1,
         });
     }
 
-    /// Decides what to do with a purge of the peer with this index, which is known to replicate logs or not. Without an
-    /// index its sender can't be greeted.
+    /// Returns the treatment of a purge. `from` is the index of its sender, if known, and `replicates` whether that
+    /// peer is known to replicate logs.
     pub fn receive(
         &mut self,
         now: Micros,
@@ -111,29 +110,29 @@
         resend.into_iter().chain(unwritten).min()
     }
 
-    /// Takes what is due. `replicates` says whether a peer is known to replicate logs by now.
+    /// Returns the work that is due. `replicates` returns whether a peer is known to replicate logs.
     pub fn tick(&mut self, now: Micros, replicates: impl Fn(usize) -> bool) -> DueWork {
-        let mut overdue = DueWork::default();
+        let mut due_work = DueWork::default();
         while let Some(resend) = pop_if(&mut self.resends, |resend| resend.at <= now) {
-            overdue.resends.push(resend.text.clone());
-            if resend.left > 0 {
+            due_work.resends.push(resend.text.clone());
+            if resend.remaining > 0 {
                 let at = now + self.resend_us;
                 self.resends.push_back(Resend {
                     at,
-                    left: resend.left - 1,
+                    remaining: resend.remaining - 1,
                     ..resend
                 });
             }
         }
         while let Some(unwritten) = pop_if(&mut self.unwritten, |unwritten| unwritten.due <= now) {
             if !replicates(unwritten.from) {
-                overdue.writes.push(unwritten.purge);
+                due_work.writes.push(unwritten.purge);
             }
         }
-        overdue
+        due_work
     }
 
-    /// Takes all purges that may have to be written, as the peers' indices change now.
+    /// Removes and returns all purges that may have to be written. Called before the indices of the peers change.
     pub fn take_unwritten(&mut self) -> Vec<Purge> {
         self.unwritten
             .drain(..)
@@ -142,7 +141,7 @@
     }
 }
 
-/// Removes the first element of a queue if it meets a condition.
+/// Removes and returns the first element of a queue if it meets a condition.
 fn pop_if<T>(queue: &mut VecDeque<T>, condition: impl Fn(&T) -> bool) -> Option<T> {
     queue.front().filter(|first| condition(first))?;
     queue.pop_front()
