--- a/daemon/src/net/clock.rs
+++ b/daemon/src/net/clock.rs
@@ -2,8 +2,8 @@
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// The system's Unix clock at the start, carried on by its monotonic clock: deadlines and the ages of purges
-/// are counted on one scale, and a step of the system's clock can't move either.
+/// The Unix time of the system at the start, advanced by its monotonic clock. Deadlines and the ages of purges use it,
+/// so that a step of the system clock affects neither.
 #[derive(Clone, Copy)]
 pub struct Clock {
     unix_us: u64,
@@ -11,7 +11,7 @@
 }
 
 impl Clock {
-    /// A clock set by the system's.
+    /// Creates a clock from the system clock.
     pub fn start() -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -22,19 +22,19 @@
         }
     }
 
-    /// Unix time in microseconds.
+    /// Returns the Unix time in microseconds.
     pub fn now(&self) -> u64 {
         self.unix_us + self.start.elapsed().as_micros() as u64
     }
 }
 
-/// The system's time as it is, in every build but those of tests.
+/// Returns the time of the system unchanged: only builds with the feature `points` have an offset.
 #[cfg(not(feature = "points"))]
 fn with_test_offset(unix_us: u64) -> u64 {
     unix_us
 }
 
-/// The system's time as a test wants it to be off.
+/// Returns the time of the system with the offset that a test has set.
 #[cfg(feature = "points")]
 fn with_test_offset(unix_us: u64) -> u64 {
     unix_us.saturating_add_signed(crate::fail_points::clock_offset_us())
--- a/daemon/src/net/conn.rs
+++ b/daemon/src/net/conn.rs
@@ -1,4 +1,4 @@
-//! A TCP connection with its two rings.
+//! A TCP connection with its send and receive buffers.
 
 use super::errno::{Failure, FailureKind};
 use super::{syscall, Interest, RingBuffer};
@@ -6,42 +6,42 @@
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
-/// A connection: a non-blocking socket, what came in and what is to go out.
+/// A connection: a non-blocking socket, its received bytes and its bytes to send.
 pub struct TcpConnection {
     socket: TcpStream,
-    /// What came in and is not consumed yet.
+    /// The received bytes that are not consumed.
     pub input: RingBuffer,
-    /// What is to go out.
+    /// The bytes to send.
     pub output: RingBuffer,
-    /// Bytes written to the socket so far.
+    /// The number of bytes written to the socket.
     pub written: u64,
-    /// False until a connection begun from here is up.
+    /// Whether the connection is established.
     pub up: bool,
-    /// Why a connection begun from here did not come up.
+    /// The failure of establishing the connection.
     connect_failure: Option<Failure>,
-    /// Reading or writing has shown that it is broken.
+    /// Whether a read or write has failed.
     broken: bool,
-    /// A frame could not begin because the socket takes nothing: it is to be tried again once it does.
+    /// Whether a frame could not start because the socket accepted nothing, and is to be tried again.
     blocked: bool,
-    /// The other side's end has been read: it must not be told of for ever.
+    /// Whether the end of the peer's stream has been read, so that it is no longer watched for.
     ended: bool,
     watched: Interest,
 }
 
-/// What a read or write came to.
+/// The result of a read or write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// Some bytes moved.
+    /// Some bytes were transferred.
     Moved,
-    /// Nothing for now.
+    /// No bytes can be transferred now.
     Blocked,
-    /// The other side has ended its half.
+    /// The peer has ended its stream.
     Ended,
     /// The connection is broken.
     Broken,
 }
 
-/// What a transfer came to; `none` where it moved no bytes.
+/// Converts the result of a transfer; `none` stands for no bytes.
 fn progress(result: Result<usize, Failure>, none: Progress) -> Progress {
     match result.map_err(|failure| failure.kind) {
         Ok(0) => none,
@@ -58,8 +58,8 @@
     }
 }
 
-/// A UDP socket bound so that the next process of an upgrade can bind the same address while this one still runs:
-/// both set `SO_REUSEPORT`, and the kernel shares the datagrams out between them until the old one ends.
+/// Binds a UDP socket so that the next process of an upgrade can bind the same address while this one runs. Both set
+/// `SO_REUSEPORT`, and the kernel distributes the datagrams between them until the old process ends.
 pub fn bind_shared_udp(at: SocketAddr) -> io::Result<std::net::UdpSocket> {
     let socket = syscall::retry_at_startup(|| syscall::socket(at, SocketType::DGRAM))?;
     syscall::share_address(&socket)?;
@@ -67,20 +67,20 @@
     Ok(std::net::UdpSocket::from(socket))
 }
 
-/// Begins a connection without waiting for it.
+/// Starts to establish a connection without waiting for it.
 ///
 /// # Errors
-/// It can't be begun; the failure tells whether that says anything of the other side.
+/// Fails if the connection can't be started. The kind of the failure shows whether it concerns the peer.
 pub fn connect(to: SocketAddr) -> Result<TcpStream, Failure> {
     syscall::connect(to)
 }
 
 impl TcpConnection {
-    /// Takes over a socket. One that `connect` began is not `up` yet.
+    /// Takes over a socket. A socket from `connect` is not `up` yet.
     pub fn new(socket: TcpStream, up: bool, input: usize, output: usize) -> io::Result<Self> {
         socket.set_nonblocking(true)?;
-        // Small answers must not wait for the acknowledgement of earlier ones.
-        // Where that can't be had, they wait, and nothing is lost.
+        // Small responses must not wait for earlier acknowledgements. If the option can't be set, they are only
+        // delayed.
         let _ = syscall::set_nodelay(&socket);
         let (input, output) = (RingBuffer::new(input), RingBuffer::new(output));
         let watched = Interest {
@@ -102,15 +102,15 @@
         })
     }
 
-    /// The socket, to watch it.
+    /// Returns the socket, to watch it.
     pub fn socket(&self) -> &TcpStream {
         &self.socket
     }
 
-    /// How a connection begun from here came out, once it can be written.
+    /// Returns the result of establishing the connection, once the socket is writable.
     ///
     /// # Errors
-    /// Why it did not come up.
+    /// Fails if the connection was not established.
     pub fn finish_connect(&mut self) -> Result<(), Failure> {
         let result = syscall::connect_result(&self.socket);
         self.up = result.is_ok();
@@ -118,21 +118,21 @@
         result
     }
 
-    /// Why a connection begun from here did not come up, if it came out at all.
+    /// Returns the failure of establishing the connection, if it failed.
     pub fn connect_failure(&self) -> Option<&Failure> {
         self.connect_failure.as_ref()
     }
 
-    /// Whether reading or writing has shown that it is broken.
+    /// Whether a read or write has failed.
     pub fn is_broken(&self) -> bool {
         self.broken
     }
 
-    /// Reads once. A full ring reads nothing, so the other side has to wait.
+    /// Reads once. Reads nothing if the receive buffer is full, so that the peer has to wait.
     pub fn read(&mut self, broken: bool) -> Progress {
         if self.input.free_bytes() == 0 {
-            // epoll goes on telling of a broken connection whatever is watched: the loop would spin on it for
-            // as long as the ring stays full, and nobody is left to answer.
+            // epoll reports a broken connection regardless of the interest, and the event loop would spin while the
+            // buffer is full.
             return if broken {
                 Progress::Broken
             } else {
@@ -147,9 +147,9 @@
         got
     }
 
-    /// Writes a frame if its first byte can be written now; what the socket does not take of it waits in the ring.
-    /// `Blocked`: nothing of it was written, so it may still be taken back. Only for a connection whose ring is empty,
-    /// which is what tells a frame that has begun from one that has not.
+    /// Writes a frame if its first byte can be written now, and buffers the bytes that the socket does not accept. With
+    /// `Blocked`, nothing was written, and the frame may still be withdrawn. Requires an empty send buffer, which
+    /// distinguishes a frame that has started from one that has not.
     pub fn begin(&mut self, frame: &[u8]) -> Progress {
         debug_assert!(self.output.is_empty());
         if !self.up {
@@ -167,17 +167,17 @@
         progress
     }
 
-    /// Nothing waits to begin any more.
+    /// Clears the mark of a frame that could not start.
     pub fn clear_blocked(&mut self) {
         self.blocked = false;
     }
 
-    /// Whether bytes, or a frame that could not begin, wait for the socket to take them.
+    /// Whether bytes, or a frame that could not start, wait for the socket.
     pub fn is_waiting_to_write(&self) -> bool {
         self.up && (self.blocked || !self.output.is_empty())
     }
 
-    /// Writes until nothing is left or the socket takes no more.
+    /// Writes until the send buffer is empty or the socket accepts no more.
     pub fn write(&mut self) -> Progress {
         let mut moved = Progress::Blocked;
         while self.up && !self.output.is_empty() {
@@ -196,13 +196,13 @@
         moved
     }
 
-    /// Ends this side's half: the other side reads all that was written and then the end. Unlike closing, that
-    /// sends no reset when more comes in, and a reset would strike from the kernel what is still on its way out.
+    /// Ends the stream to the peer, which reads all written bytes and then the end. Closing would send a reset if
+    /// further bytes arrived, which discards bytes still to be sent.
     pub fn shutdown_write(&self) -> Result<(), Failure> {
         syscall::shutdown_write(&self.socket)
     }
 
-    /// What to watch for from now on, if that has changed.
+    /// Returns the new interest if it has changed.
     pub fn watch(&mut self) -> Option<Interest> {
         let interest = Interest {
             read: !self.ended && self.input.free_bytes() > 0,
@@ -212,7 +212,7 @@
         (std::mem::replace(&mut self.watched, interest) != interest).then_some(interest)
     }
 
-    /// What is watched for now.
+    /// Returns the current interest.
     pub fn watched(&self) -> Interest {
         self.watched
     }
--- a/daemon/src/net/deadlines.rs
+++ b/daemon/src/net/deadlines.rs
@@ -1,17 +1,17 @@
-//! Deadlines: the one ordered structure that has all of them.
+//! Deadlines, ordered by time.
 
 use std::collections::BTreeMap;
 
-/// A deadline that is set, by which it can be cancelled.
+/// Identifies a deadline that was set, to cancel it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DeadlineId {
-    /// Its time.
+    /// The time of the deadline.
     pub at: u64,
-    /// Its number among all that were set, which orders those of one time.
+    /// The number of the deadline, which orders those with the same time.
     sequence: u64,
 }
 
-/// Deadlines by time, those of one time in the order in which they were set.
+/// Deadlines by time. Those with the same time are in the order in which they were set.
 pub struct Deadlines<T> {
     due: BTreeMap<DeadlineId, T>,
     last_sequence: u64,
@@ -43,12 +43,12 @@
         self.due.remove(&due);
     }
 
-    /// The time of the earliest.
+    /// Returns the time of the earliest deadline.
     pub fn next(&self) -> Option<u64> {
         self.due.keys().next().map(|due| due.at)
     }
 
-    /// Takes out the earliest that has come due by now.
+    /// Removes and returns the earliest deadline that is due.
     pub fn pop(&mut self, now: u64) -> Option<T> {
         let first = self.due.first_entry().filter(|e| e.key().at <= now)?;
         Some(first.remove())
--- a/daemon/src/net/errno.rs
+++ b/daemon/src/net/errno.rs
@@ -1,20 +1,20 @@
-//! What the errno of a system call says, classified in this one place: callers decide by the kind of a failure alone.
+//! The classification of errnos: callers decide by the kind of a failure alone.
 //!
 //! The errnos are those of the manual pages of section 2 (and ip(7), tcp(7) and udp(7)) for each call.
 
 use rustix::io::Errno;
 use std::{fmt, io};
 
-/// The system calls that the event loop makes.
+/// The system calls of the event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Call {
     /// `accept4` on a listener.
     Accept,
-    /// `socket`, for a connection begun from here.
+    /// `socket`, for an outgoing connection.
     Socket,
     /// `connect`.
     Connect,
-    /// `SO_ERROR` of a connection that was in progress: how it came out.
+    /// `SO_ERROR` of a connection that was in progress.
     ConnectResult,
     /// `recv` on a connection.
     Read,
@@ -35,7 +35,7 @@
 }
 
 impl Call {
-    /// All of them.
+    /// All system calls.
     pub const ALL: [Call; 12] = [
         Call::Accept,
         Call::Socket,
@@ -51,7 +51,7 @@
         Call::SetOption,
     ];
 
-    /// Its name in the log.
+    /// Returns the name of the call in the log.
     pub const fn name(self) -> &'static str {
         match self {
             Call::Accept => "accept",
@@ -70,23 +70,23 @@
     }
 }
 
-/// What a failure asks of the caller.
+/// The kind of a failure, by what the caller has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureKind {
-    /// A signal came first: the same call can be made again at once.
+    /// The call was interrupted by a signal and can be repeated at once.
     RetryNow,
-    /// Nothing to do yet: epoll tells when there is.
+    /// The call would block; epoll reports when it can proceed.
     WouldBlock,
-    /// The machine is short of memory, buffers, ports or routes: the call may succeed a moment later. Nothing is
-    /// known of the other side.
+    /// The machine lacks memory, buffers, ports or routes, and the call may succeed later. Nothing is known of the
+    /// peer.
     RetryLater,
-    /// The other side refused the connection: nobody listens there.
+    /// The peer refused the connection, as nothing listens at its address.
     Refused,
-    /// The one connection (or datagram) that the call was about is lost.
+    /// The connection or datagram of the call is lost.
     Broken,
-    /// The process or the machine has no descriptor left.
+    /// The process or the machine has no free file descriptor.
     NoDescriptors,
-    /// The call itself is wrong, and would fail in the same way again.
+    /// The call is invalid and would fail again.
     ProgramFault,
 }
 
@@ -95,14 +95,14 @@
 pub struct Failure {
     /// The call.
     pub call: Call,
-    /// What the kernel answered.
+    /// The errno that the kernel returned.
     pub errno: Errno,
-    /// What that asks of the caller.
+    /// The kind of the failure.
     pub kind: FailureKind,
 }
 
 impl Failure {
-    /// The failure of a call with an errno.
+    /// Creates the failure of a call with an errno.
     pub fn new(call: Call, errno: Errno) -> Self {
         Failure {
             call,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Whether the fault lies with this process or machine, and says nothing of the other side.
+    /// Whether the cause is this process or machine, so that nothing is known of the peer.
     pub fn is_local(&self) -> bool {
         matches!(
             self.kind,
@@ -134,7 +134,7 @@
     }
 }
 
-/// What an errno of a call asks of the caller.
+/// Classifies the errno of a call.
 pub fn classify(call: Call, errno: Errno) -> FailureKind {
     let special = match call {
         Call::Accept => accept(errno),
@@ -153,7 +153,7 @@
     })
 }
 
-/// What most calls mean by an errno.
+/// Classifies the errnos that have the same meaning for most calls.
 fn common(errno: Errno) -> Option<FailureKind> {
     Some(match errno {
         Errno::INTR => FailureKind::RetryNow,
@@ -165,7 +165,7 @@
     })
 }
 
-/// accept(2): pending errors of the new connection are passed on by `accept`, and concern that connection alone.
+/// accept(2): pending errors of the new connection are returned by `accept` and concern only that connection.
 fn accept(errno: Errno) -> Option<FailureKind> {
     match errno {
         Errno::NOSR => Some(FailureKind::RetryLater),
@@ -173,7 +173,7 @@
     }
 }
 
-/// socket(2): a family or protocol that this machine does not have is wrong for good.
+/// socket(2): an address family or protocol that the machine lacks will not become available.
 fn socket(errno: Errno) -> Option<FailureKind> {
     match errno {
         Errno::ACCESS | Errno::AFNOSUPPORT | Errno::PROTONOSUPPORT => {
@@ -183,8 +183,8 @@
     }
 }
 
-/// connect(2): an interrupted call goes on in the background as one that is in progress does. Without a local port, a
-/// route or a firewall's leave nothing has been heard of the other side.
+/// connect(2): an interrupted call continues in the background like one that is in progress. A missing local port or
+/// route, or a firewall, says nothing about the peer.
 fn connect(errno: Errno) -> Option<FailureKind> {
     match errno {
         Errno::INPROGRESS | Errno::INTR | Errno::ALREADY | Errno::ISCONN => {
@@ -195,7 +195,7 @@
     }
 }
 
-/// What a connection attempt comes to.
+/// Classifies the errnos of establishing a connection.
 fn connect_result(errno: Errno) -> Option<FailureKind> {
     match errno {
         Errno::CONNREFUSED => Some(FailureKind::Refused),
@@ -210,7 +210,7 @@
     }
 }
 
-/// recv(2), send(2), shutdown(2) on a connection: what is not listed here or in `common` ends that connection.
+/// recv(2), send(2), shutdown(2): errnos that are neither here nor in `common` break the connection.
 fn transfer(errno: Errno) -> Option<FailureKind> {
     match errno {
         Errno::DESTADDRREQ | Errno::ISDIR | Errno::OPNOTSUPP | Errno::MSGSIZE => {
@@ -220,7 +220,8 @@
     }
 }
 
-/// recvfrom(2) and sendto(2): what an earlier datagram met is told by a later call, and costs no other datagram.
+/// recvfrom(2) and sendto(2): an error of an earlier datagram may be returned by a later call, and affects no other
+/// datagram.
 fn datagram(errno: Errno) -> Option<FailureKind> {
     match errno {
         Errno::AFNOSUPPORT | Errno::DESTADDRREQ | Errno::ISCONN | Errno::MSGSIZE => {
@@ -231,7 +232,7 @@
     }
 }
 
-/// epoll_ctl(2): ENOSPC is the limit of watches of all processes of a user, which others may give back.
+/// epoll_ctl(2): ENOSPC is the limit of watches of a user, which its other processes may release.
 fn epoll_control(errno: Errno) -> Option<FailureKind> {
     match errno {
         Errno::NOSPC => Some(FailureKind::RetryLater),
--- a/daemon/src/net/failure_log.rs
+++ b/daemon/src/net/failure_log.rs
@@ -1,44 +1,44 @@
-//! Spells of failing system calls in the log: one line when the first call fails and one, with the counts, once none has
-//! failed for a while.
+//! Logs episodes of failing system calls: one line at the first failure, and one with the counts once none has failed
+//! for a while.
 
 use super::errno::{Call, Failure};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// A spell is over once no call has failed for so long.
-const QUIET: Duration = Duration::from_secs(2);
+/// The time without failures after which an episode ends.
+const EPISODE_END: Duration = Duration::from_secs(2);
 
 #[derive(Debug)]
 struct Episode {
     failures: u64,
-    begun: Instant,
+    started: Instant,
     last: Instant,
 }
 
-/// The spells that go on, by the call that fails.
+/// The current episodes, by the failing call.
 #[derive(Debug, Default)]
 pub struct FailureLog {
     open: BTreeMap<Call, Episode>,
 }
 
-/// A spell that is over.
+/// An episode that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndedEpisode {
-    /// The call that failed.
+    /// The failing call.
     pub call: Call,
-    /// How often it failed.
+    /// The number of failures.
     pub failures: u64,
-    /// From the first failure to the last.
+    /// The time from the first failure to the last.
     pub lasted: Duration,
 }
 
 impl FailureLog {
-    /// Counts a failure. True: a spell has begun with it.
+    /// Counts a failure. Returns true if it starts an episode.
     pub fn record(&mut self, now: Instant, call: Call) -> bool {
         let episode = self.open.entry(call).or_insert(Episode {
             failures: 0,
-            begun: now,
+            started: now,
             last: now,
         });
         episode.failures += 1;
@@ -46,35 +46,35 @@
         episode.failures == 1
     }
 
-    /// Takes out the spells that are over.
+    /// Removes and returns the episodes that have ended.
     pub fn take_ended(&mut self, now: Instant) -> Vec<EndedEpisode> {
-        self.take(|episode| now.duration_since(episode.last) >= QUIET)
+        self.take(|episode| now.duration_since(episode.last) >= EPISODE_END)
     }
 
-    fn take(&mut self, is_over: impl Fn(&Episode) -> bool) -> Vec<EndedEpisode> {
+    fn take(&mut self, has_ended: impl Fn(&Episode) -> bool) -> Vec<EndedEpisode> {
         let mut ended = Vec::new();
         self.open.retain(|call, episode| {
-            let over = is_over(episode);
-            if over {
+            let has_ended = has_ended(episode);
+            if has_ended {
                 ended.push(EndedEpisode {
                     call: *call,
                     failures: episode.failures,
-                    lasted: episode.last.duration_since(episode.begun),
+                    lasted: episode.last.duration_since(episode.started),
                 });
             }
-            !over
+            !has_ended
         });
         ended
     }
 }
 
 thread_local! {
-    /// The event loop is one thread, which makes all of the calls.
+    /// The event loop makes all system calls on one thread.
     static FAILURE_LOG: RefCell<FailureLog> = RefCell::new(FailureLog::default());
 }
 
-/// Counts a failure that lies with this machine or process, or a connection lost before it was accepted; what ends one
-/// connection is everyday and not logged.
+/// Counts a failure of this process or machine, or a connection that was lost before it was accepted. Other failures of
+/// single connections are usual and not logged.
 pub(super) fn record(failure: &Failure) {
     let is_logged = failure.is_local() || failure.call == Call::Accept;
     if is_logged
@@ -85,7 +85,7 @@
     }
 }
 
-/// Logs the spells that have ended; called in each turn of the loop.
+/// Logs the episodes that have ended. Called in each turn of the event loop.
 pub fn log_ended() {
     write_all(FAILURE_LOG.with_borrow_mut(|failure_log| {
         if failure_log.open.is_empty() {
@@ -96,7 +96,7 @@
     }));
 }
 
-/// Logs all spells, also those that go on: the process ends.
+/// Logs all episodes, including the current ones, as the process ends.
 pub fn log_all() {
     write_all(FAILURE_LOG.with_borrow_mut(|failure_log| failure_log.take(|_| true)));
 }
--- a/daemon/src/net/injection.rs
+++ b/daemon/src/net/injection.rs
@@ -1,4 +1,4 @@
-//! Failures of system calls that tests ask for: which call fails with which errno, and how often. Only builds with the
+//! Failures of system calls that tests inject: which call fails with which errno, and how often. Only builds with the
 //! feature `points` have them; without it `failure` and `limit` are constants that the compiler removes.
 
 use super::errno::Call;
@@ -8,19 +8,19 @@
 #[cfg(feature = "points")]
 pub use armed::{arm, arm_process, disarm_all, errno_named, AlreadyArmed, Plan, PlanError};
 
-/// The errno with which this call is to fail, in the place of being made.
+/// Returns the errno with which this call fails instead of being made.
 #[cfg(not(feature = "points"))]
 pub(super) const fn failure(_: Call) -> Option<Errno> {
     None
 }
 
-/// The same for a call on a connection.
+/// Returns the same for a call on a connection.
 #[cfg(not(feature = "points"))]
 pub(super) const fn failure_on(_: Call, _: &TcpStream) -> Option<Errno> {
     None
 }
 
-/// How many of so many bytes this call may move.
+/// Returns how many of these bytes the call may transfer.
 #[cfg(not(feature = "points"))]
 pub(super) const fn limit(_: Call, bytes: usize) -> usize {
     bytes
@@ -38,54 +38,54 @@
     use std::num::ParseIntError;
     use std::sync::OnceLock;
 
-    /// Why a plan can't be read.
+    /// An error of parsing a plan.
     #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
     pub enum PlanError {
         /// A part is not of the form `NAME(VALUE)`.
         #[error("'{0}' is not NAME(VALUE)")]
         Form(String),
-        /// A value is no number, or too great a one.
+        /// A value is not a number, or is out of range.
         #[error("{part}: {source}")]
         Number {
-            /// The part that it stands in.
+            /// The part with the value.
             part: String,
-            /// Why it can't be read.
+            /// The error of parsing the number.
             source: ParseIntError,
         },
-        /// A part has another name than those of a plan.
+        /// A part has an unknown name.
         #[error("'{0}' is none of errno, every, after, times, port and short")]
         UnknownPart(String),
-        /// No errno that the manual pages name for these calls has this name.
+        /// The errno is not among those of the manual pages for these calls.
         #[error("there is no errno '{0}'")]
         UnknownErrno(String),
     }
 
-    /// The system calls of this process are armed already.
+    /// The system calls of the process are already armed.
     #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
     #[error("the system calls of this process are armed already")]
     pub struct AlreadyArmed;
 
-    /// When a call fails, and with what.
+    /// A plan of which calls fail, and with which errno.
     #[derive(Clone, Debug, Default, PartialEq, Eq)]
     pub struct Plan {
-        /// The errnos, in turn.
+        /// The errnos, used in turn.
         pub errnos: Vec<Errno>,
-        /// Only every so many calls fail; all of them for 0 and 1.
+        /// Every how many calls one fails; 0 and 1 stand for every call.
         pub every: u64,
-        /// So many calls are made before the first fails.
+        /// The number of calls that are made before the first failure.
         pub after: u64,
-        /// No more than so many fail; 0 is no limit.
+        /// The maximum number of failures; 0 for no limit.
         pub times: u64,
-        /// Only calls on connections from or to this port count; 0: all calls.
+        /// The local or remote port of the connections whose calls count; 0 for all calls.
         pub port: u16,
-        /// A transfer moves no more than so many bytes; 0 is no limit.
-        pub short: usize,
+        /// The maximum number of bytes of a transfer; 0 for no limit.
+        pub max_bytes: usize,
         calls: u64,
         failures: u64,
     }
 
     impl Plan {
-        /// A plan in which each call fails with one of these errnos in turn.
+        /// Returns a plan in which each call fails with one of these errnos in turn.
         pub fn always(errnos: &[Errno]) -> Self {
             Plan {
                 errnos: errnos.to_vec(),
@@ -93,7 +93,7 @@
             }
         }
 
-        /// A plan in which the next call fails, and no other.
+        /// Returns a plan in which only the next call fails.
         pub fn once(errno: Errno) -> Self {
             Plan {
                 times: 1,
@@ -101,14 +101,15 @@
             }
         }
 
-        /// Reads `errno(ENOMEM|ENOSPC):every(31):after(100):times(9)` or `short(1)`, in any order.
+        /// Parses a plan such as `errno(ENOMEM|ENOSPC):every(31):after(100):times(9)` or `short(1)`, with its parts in
+        /// any order.
         ///
         /// # Errors
-        /// The part that is not understood.
+        /// Fails on a part that is not understood.
         pub fn parse(text: &str) -> Result<Self, PlanError> {
             let mut plan = Plan::default();
             for part in text.split(':') {
-                let (name, argument) = part
+                let (name, value) = part
                     .strip_suffix(')')
                     .and_then(|part| part.split_once('('))
                     .ok_or_else(|| PlanError::Form(part.to_owned()))?;
@@ -116,10 +117,10 @@
                     part: part.to_owned(),
                     source,
                 };
-                let number = || argument.parse::<u64>().map_err(wrong_number);
+                let number = || value.parse::<u64>().map_err(wrong_number);
                 match name {
                     "errno" => {
-                        plan.errnos = argument
+                        plan.errnos = value
                             .split('|')
                             .map(errno_named)
                             .collect::<Result<_, _>>()?;
@@ -127,8 +128,8 @@
                     "every" => plan.every = number()?,
                     "after" => plan.after = number()?,
                     "times" => plan.times = number()?,
-                    "port" => plan.port = argument.parse().map_err(wrong_number)?,
-                    "short" => plan.short = argument.parse().map_err(wrong_number)?,
+                    "port" => plan.port = value.parse().map_err(wrong_number)?,
+                    "short" => plan.max_bytes = value.parse().map_err(wrong_number)?,
                     _ => return Err(PlanError::UnknownPart(name.to_owned())),
                 }
             }
@@ -138,9 +139,9 @@
         fn next(&mut self) -> Option<Errno> {
             self.calls += 1;
             let since = self.calls.checked_sub(self.after).filter(|n| *n > 0)?;
-            let turn = since % self.every.max(1) == 0;
-            let spent = self.times > 0 && self.failures >= self.times;
-            if self.errnos.is_empty() || !turn || spent {
+            let is_selected = since % self.every.max(1) == 0;
+            let is_exhausted = self.times > 0 && self.failures >= self.times;
+            if self.errnos.is_empty() || !is_selected || is_exhausted {
                 return None;
             }
             let errno = self.errnos[self.failures as usize % self.errnos.len()];
@@ -151,18 +152,18 @@
 
     type Plans = BTreeMap<Call, Plan>;
 
-    /// What the environment asked of the whole process.
+    /// The plans of the process, set by the environment.
     static PROCESS: OnceLock<Plans> = OnceLock::new();
 
     thread_local! {
-        /// A thread has plans of its own, so that tests of one process do not meet.
+        /// Each thread has its own plans, so that tests in one process do not interfere.
         static PLANS: RefCell<Plans> = RefCell::new(PROCESS.get().cloned().unwrap_or_default());
     }
 
-    /// Arms calls for every thread that has made none yet.
+    /// Arms calls for every thread that has not made any yet.
     ///
     /// # Errors
-    /// The process is armed already.
+    /// Fails if the process is already armed.
     pub fn arm_process(plans: impl IntoIterator<Item = (Call, Plan)>) -> Result<(), AlreadyArmed> {
         PROCESS
             .set(plans.into_iter().collect())
@@ -174,7 +175,7 @@
         PLANS.with_borrow_mut(|plans| plans.insert(call, plan));
     }
 
-    /// No call fails in this thread any more.
+    /// Disarms all calls in this thread.
     pub fn disarm_all() {
         PLANS.with_borrow_mut(Plans::clear);
     }
@@ -194,18 +195,19 @@
     }
 
     pub(in crate::net) fn limit(call: Call, bytes: usize) -> usize {
-        let short = PLANS.with_borrow(|plans| plans.get(&call).map_or(0, |plan| plan.short));
-        if short == 0 {
+        let max_bytes =
+            PLANS.with_borrow(|plans| plans.get(&call).map_or(0, |plan| plan.max_bytes));
+        if max_bytes == 0 {
             bytes
         } else {
-            bytes.min(short)
+            bytes.min(max_bytes)
         }
     }
 
-    /// The errno of a name such as `ENOMEM`.
+    /// Returns the errno with a name such as `ENOMEM`.
     ///
     /// # Errors
-    /// No errno that the manual pages name for these calls has this name.
+    /// Fails if the name is not among those of the manual pages for these calls.
     pub fn errno_named(name: &str) -> Result<Errno, PlanError> {
         let found = ERRNOS.iter().find(|(known, _)| *known == name);
         found
--- a/daemon/src/net/listener.rs
+++ b/daemon/src/net/listener.rs
@@ -1,14 +1,14 @@
-//! A listener that can stop taking connections for a while.
+//! A listener that can pause accepting connections.
 
 use super::errno::{Failure, FailureKind};
 use super::{syscall, Interest, Poll};
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// Connections that were lost before they were taken, and are passed over in one go.
+/// The maximum number of lost connections that are skipped by one `accept`.
 const MAX_LOST: usize = 64;
 
-/// Attempts to take a listener out of an epoll set.
+/// The maximum number of attempts to remove a listener from an epoll set.
 const MAX_REMOVALS: usize = 8;
 
 /// A listener in an epoll set.
@@ -19,10 +19,10 @@
 }
 
 impl Listener {
-    /// Takes over a listener and watches it. Memory or watches that are short for a moment are waited for.
+    /// Takes over a listener and watches it. Retries while memory or watches are short.
     ///
     /// # Errors
-    /// The failure that stays.
+    /// Fails if the shortage persists, or on another failure.
     pub fn watch(socket: TcpListener, token: u64, poll: &Poll) -> io::Result<Self> {
         socket.set_nonblocking(true)?;
         poll.add_at_start(&socket, token)?;
@@ -33,16 +33,16 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> Option<SocketAddr> {
         self.socket.local_addr().ok()
     }
 
-    /// Takes one connection; none where none waits. A connection that was lost before it could be taken concerns
-    /// nobody else: the next one is taken.
+    /// Accepts a connection; `None` if none is pending. Connections that were lost before they were accepted are
+    /// skipped.
     ///
     /// # Errors
-    /// What this process or machine lacks.
+    /// Fails if the process or the machine lacks a resource.
     pub fn accept(&self) -> Result<Option<TcpStream>, Failure> {
         for _ in 0..MAX_LOST {
             match syscall::accept(&self.socket) {
@@ -56,21 +56,21 @@
                 },
             }
         }
-        // epoll tells of it again in the next turn of the loop, when all others have had theirs.
+        // epoll reports the listener again in the next turn of the event loop, after the other sockets.
         Ok(None)
     }
 
-    /// Takes no connections for now: left readable, it would keep the loop awake.
+    /// Pauses accepting. If the listener stayed watched, pending connections would wake the event loop again and again.
     pub fn pause(&mut self, poll: &Poll) {
         if self.watched {
-            // Where that fails it is told of again, and paused again.
+            // If this fails, epoll reports the listener again, and it is paused then.
             self.watched = poll
                 .change(&self.socket, self.token, Interest::NONE)
                 .is_err();
         }
     }
 
-    /// Takes connections again. False: it can't be watched now, and is to be tried later.
+    /// Resumes accepting. Returns false if the listener can't be watched now, and must be resumed later.
     #[must_use]
     pub fn resume(&mut self, poll: &Poll) -> bool {
         if !self.watched {
@@ -81,10 +81,11 @@
         self.watched
     }
 
-    /// Closes it. Another process may hold the same socket, so that closing alone would leave it watched.
+    /// Closes the listener. It is removed from the epoll set first, as another process may hold the same socket, which
+    /// would stay watched.
     ///
     /// # Errors
-    /// It could not be taken out of the set.
+    /// Fails if the listener could not be removed from the set.
     pub fn close(self, poll: &Poll) -> Result<(), Failure> {
         let mut removed = poll.remove(&self.socket);
         for _ in 0..MAX_REMOVALS {
--- a/daemon/src/net/mod.rs
+++ b/daemon/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets without a runtime: epoll, connections, buffers, numbered slots, deadlines and the clock.
+//! Non-blocking sockets without a runtime: epoll, connections, buffers, slots, deadlines and the clock.
 
 mod clock;
 mod conn;
--- a/daemon/src/net/poll.rs
+++ b/daemon/src/net/poll.rs
@@ -1,4 +1,4 @@
-//! epoll.
+//! A level-triggered epoll set.
 
 use super::errno::Failure;
 use super::syscall;
@@ -6,23 +6,23 @@
 use rustix::fd::{AsFd, OwnedFd};
 use std::io;
 
-/// What epoll tells of one socket.
+/// The readiness of a socket.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadyEvent {
-    /// The number given with it.
+    /// The token of the socket.
     pub token: u64,
-    /// It can be read, has ended or is broken.
+    /// The socket can be read, has ended or is broken.
     pub read: bool,
-    /// It can be written, is connected or is broken.
+    /// The socket can be written, is connected or is broken.
     pub write: bool,
-    /// It is broken, or both sides have ended it.
+    /// The socket is broken, or both sides have ended it.
     pub broken: bool,
-    /// The other side has ended its half, or all of it: whatever is still to be read, nothing more will be sent.
+    /// The peer has ended its stream or the connection. Bytes that were sent before may still be read.
     pub hung_up: bool,
 }
 
 impl ReadyEvent {
-    /// What may be so of a socket that the kernel does not watch: it is found out by reading and writing.
+    /// Returns the event for a socket that the kernel does not watch, whose state is found by reading and writing.
     pub fn unwatched(token: u64) -> Self {
         ReadyEvent {
             token,
@@ -34,25 +34,25 @@
     }
 }
 
-/// What a socket is watched for. That it breaks is told in any case.
+/// The events that a socket is watched for. A broken socket is always reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Interest {
-    /// Bytes that can be read.
+    /// Bytes can be read.
     pub read: bool,
-    /// Room to write.
+    /// Bytes can be written.
     pub write: bool,
-    /// The other side's end, which is told ahead of the bytes that were sent before it.
+    /// The peer has ended its stream, which is reported before the bytes ahead of the end are read.
     pub hang_up: bool,
 }
 
 impl Interest {
-    /// What a listener, a pipe or a datagram socket is watched for.
+    /// The interest of a listener, a pipe or a datagram socket.
     pub const READ: Interest = Interest {
         read: true,
         write: false,
         hang_up: false,
     };
-    /// Nothing for now.
+    /// No interest for now.
     pub const NONE: Interest = Interest {
         read: false,
         write: false,
@@ -75,7 +75,7 @@
 }
 
 impl Poll {
-    /// A set that gives so many events at a time.
+    /// Creates a set that returns up to this number of events at a time.
     pub fn new(events: usize) -> io::Result<Self> {
         Ok(Poll {
             fd: syscall::retry_at_startup(syscall::epoll_create)?,
@@ -86,40 +86,40 @@
     /// Watches a socket until it is closed.
     ///
     /// # Errors
-    /// Memory or watches may be short for a moment (`FailureKind::RetryLater`).
+    /// Fails if memory or watches are short, possibly for a moment (`FailureKind::RetryLater`).
     pub fn add(&self, socket: impl AsFd, token: u64, interest: Interest) -> Result<(), Failure> {
         syscall::epoll_add(&self.fd, socket, token, flags(interest))
     }
 
-    /// Watches, from the start on, what can be read. Memory or watches that are short for a moment are waited for.
+    /// Watches a socket for reading during the startup. Retries while memory or watches are short.
     ///
     /// # Errors
-    /// The failure that stays.
+    /// Fails if the shortage persists, or on another failure.
     pub fn add_at_start(&self, socket: impl AsFd, token: u64) -> Result<(), Failure> {
         let flags = flags(Interest::READ);
         syscall::retry_at_startup(|| syscall::epoll_add(&self.fd, &socket, token, flags))
     }
 
-    /// Changes what is watched for.
+    /// Changes the interest of a socket.
     ///
     /// # Errors
-    /// As `add`.
+    /// Fails as `add`.
     pub fn change(&self, socket: impl AsFd, token: u64, interest: Interest) -> Result<(), Failure> {
         syscall::epoll_modify(&self.fd, socket, token, flags(interest))
     }
 
-    /// Watches a socket no more. Closing is not enough for one that another process holds too.
+    /// Stops watching a socket. Closing is not enough for a socket that another process also holds.
     ///
     /// # Errors
-    /// It was not watched.
+    /// Fails if the socket was not watched.
     pub fn remove(&self, socket: impl AsFd) -> Result<(), Failure> {
         syscall::epoll_delete(&self.fd, socket)
     }
 
-    /// Waits for events, or for so many microseconds.
+    /// Waits for events, for up to `max_us` microseconds.
     ///
     /// # Errors
-    /// The set itself is unusable.
+    /// Fails if the set is unusable.
     pub fn wait(&mut self, max_us: u64, out: &mut Vec<ReadyEvent>) -> Result<(), Failure> {
         self.events.clear();
         let max = Timespec {
--- a/daemon/src/net/ring_buffer.rs
+++ b/daemon/src/net/ring_buffer.rs
@@ -1,6 +1,6 @@
-//! A ring buffer of bytes: one for each direction of a connection.
+//! A ring buffer of bytes, one for each direction of a connection.
 
-/// A bounded ring of bytes. Memory is taken with the first byte, so a connection that never speaks costs none.
+/// A bounded ring buffer. Memory is allocated with the first byte, so that unused connections need none.
 pub struct RingBuffer {
     bytes: Vec<u8>,
     max: usize,
@@ -9,7 +9,7 @@
 }
 
 impl RingBuffer {
-    /// A ring for so many bytes at most.
+    /// Creates a buffer for up to `max` bytes.
     pub fn new(max: usize) -> Self {
         RingBuffer {
             bytes: Vec::new(),
@@ -19,17 +19,17 @@
         }
     }
 
-    /// Bytes held.
+    /// Returns the number of buffered bytes.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether it holds none.
+    /// Whether the buffer is empty.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Gives back the memory of an empty ring: connections that have gone quiet must not add up.
+    /// Frees the memory of an empty buffer, so that idle connections need none.
     pub fn release(&mut self) {
         if self.len == 0 {
             self.bytes = Vec::new();
@@ -37,17 +37,17 @@
         }
     }
 
-    /// Bytes that still fit.
+    /// Returns the number of bytes that can be added.
     pub fn free_bytes(&self) -> usize {
         self.max - self.len
     }
 
-    /// The longest run of held bytes from the front.
+    /// Returns the longest contiguous run of buffered bytes from the front.
     pub fn front(&self) -> &[u8] {
         &self.bytes[self.head..(self.head + self.len).min(self.bytes.len())]
     }
 
-    /// Drops bytes from the front.
+    /// Removes bytes from the front.
     pub fn consume(&mut self, n: usize) {
         let n = n.min(self.len);
         self.len -= n;
@@ -58,7 +58,7 @@
         };
     }
 
-    /// The free run behind the held bytes.
+    /// Returns the contiguous free space behind the buffered bytes.
     fn gap(&mut self) -> &mut [u8] {
         if self.bytes.is_empty() {
             self.bytes = vec![0; self.max];
@@ -72,7 +72,7 @@
         &mut self.bytes[tail..end]
     }
 
-    /// Takes in as many bytes as fit; tells how many.
+    /// Adds as many bytes as fit, and returns their number.
     pub fn push(&mut self, mut bytes: &[u8]) -> usize {
         let before = self.len;
         while !bytes.is_empty() && self.free_bytes() > 0 {
@@ -85,10 +85,10 @@
         self.len - before
     }
 
-    /// Has the free part filled once; 0 where the other side has ended or nothing fits.
+    /// Fills the free space with one call of `read`. Returns 0 at the end of the stream and if the buffer is full.
     ///
     /// # Errors
-    /// Those of `read`.
+    /// Fails as `read`.
     pub fn fill<E>(
         &mut self,
         read: impl FnOnce(&mut [u8]) -> Result<usize, E>,
@@ -101,10 +101,10 @@
         Ok(n)
     }
 
-    /// Has bytes from the front taken once.
+    /// Removes the bytes from the front that one call of `write` accepts.
     ///
     /// # Errors
-    /// Those of `write`.
+    /// Fails as `write`.
     pub fn drain<E>(&mut self, write: impl FnOnce(&[u8]) -> Result<usize, E>) -> Result<usize, E> {
         let n = write(self.front())?;
         self.consume(n);
--- a/daemon/src/net/slots.rs
+++ b/daemon/src/net/slots.rs
@@ -1,6 +1,6 @@
-//! Tables of numbered slots with generations.
+//! Tables of slots with generations.
 
-/// A slot and the generation of what stood in it: the key of what has left never finds its successor.
+/// The key of an entry: its slot and generation. The key of a removed entry never finds a later entry in its slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Key {
     slot: u32,
@@ -8,12 +8,12 @@
 }
 
 impl Key {
-    /// As one number, for epoll.
+    /// Converts the key to a number, for epoll.
     pub fn to_u64(self) -> u64 {
         u64::from(self.generation) << 32 | u64::from(self.slot)
     }
 
-    /// Back from `to_u64`.
+    /// Converts a number from `to_u64` to the key.
     pub fn from_u64(n: u64) -> Self {
         Key {
             slot: n as u32,
@@ -22,7 +22,7 @@
     }
 }
 
-/// A slot, and the generation of what stands in it or comes next.
+/// A slot, with the generation of its current or next entry.
 struct Slot<T> {
     generation: u32,
     value: Option<T>,
@@ -36,7 +36,7 @@
 }
 
 impl<T> SlotTable<T> {
-    /// A table for so many entries at most.
+    /// Creates a table for up to `max` entries.
     pub fn new(max: usize) -> Self {
         SlotTable {
             slots: Vec::new(),
@@ -45,35 +45,35 @@
         }
     }
 
-    /// How many entries there are.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.slots.len() - self.free.len()
     }
 
-    /// Whether there is none.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Whether no entry can be added.
+    /// Whether the table is full.
     pub fn is_full(&self) -> bool {
         self.len() >= self.max
     }
 
-    /// How many entries can be added.
+    /// Returns the number of entries that can be added.
     pub fn free_slots(&self) -> usize {
         self.max - self.len()
     }
 
-    /// Whether half of the places are taken.
+    /// Whether at least half of the slots are in use.
     pub fn is_half_full(&self) -> bool {
         self.len() * 2 >= self.max
     }
 
-    /// Adds an entry; gives it back where the table is full.
+    /// Adds an entry.
     ///
     /// # Errors
-    /// The entry, as the table is full.
+    /// Returns the entry if the table is full.
     pub fn insert(&mut self, value: T) -> Result<Key, T> {
         if let Some(number) = self.free.pop() {
             let slot = &mut self.slots[number as usize];
@@ -96,21 +96,21 @@
         })
     }
 
-    /// The entry of a key, unless it has been removed.
+    /// Returns the entry of a key, unless it was removed.
     pub fn get(&self, key: Key) -> Option<&T> {
         let slot = self.slots.get(key.slot as usize)?;
         let value = slot.value.as_ref();
         value.filter(|_| slot.generation == key.generation)
     }
 
-    /// As `get`, to change it.
+    /// Returns the entry of a key mutably, unless it was removed.
     pub fn get_mut(&mut self, key: Key) -> Option<&mut T> {
         let slot = self.slots.get_mut(key.slot as usize)?;
         let is_current = slot.generation == key.generation;
         slot.value.as_mut().filter(|_| is_current)
     }
 
-    /// Removes an entry; its slot may be used again under a new generation.
+    /// Removes an entry, whose slot may be reused with a new generation.
     pub fn remove(&mut self, key: Key) -> Option<T> {
         let slot = self.slots.get_mut(key.slot as usize)?;
         if slot.generation != key.generation {
@@ -122,7 +122,7 @@
         Some(value)
     }
 
-    /// All keys, in the order of the slots.
+    /// Returns all keys, in the order of the slots.
     pub fn keys(&self) -> Vec<Key> {
         let taken = self.slots.iter().enumerate();
         let taken = taken.filter(|(_, slot)| slot.value.is_some());
--- a/daemon/src/net/syscall.rs
+++ b/daemon/src/net/syscall.rs
@@ -1,5 +1,4 @@
-//! The system calls of the event loop. No other module makes them, and what they fail with is classified before it
-//! leaves this one (`errno`).
+//! The system calls of the event loop. No other module makes them, and their failures are classified here (`errno`).
 
 use super::errno::{Call, Failure, FailureKind};
 use super::{failure_log, injection};
@@ -10,18 +9,18 @@
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::time::Duration;
 
-/// An interrupted call is made again at once, though not for ever.
+/// The maximum number of immediate repeats of an interrupted call.
 const MAX_INTERRUPTIONS: usize = 16;
-/// At the start a call that may succeed a moment later is made again after so long, this many times.
-const START_AGAIN: Duration = Duration::from_millis(10);
-const MAX_AT_START: usize = 200;
+/// The interval and the number of the attempts at the startup to make a call that may succeed later.
+const STARTUP_RETRY_INTERVAL: Duration = Duration::from_millis(10);
+const MAX_STARTUP_ATTEMPTS: usize = 200;
 
-/// Makes a call until it is no longer interrupted.
+/// Makes a call, repeated while it is interrupted.
 fn make<T>(call: Call, system_call: impl FnMut() -> Result<T, Errno>) -> Result<T, Failure> {
     make_unless(call, || injection::failure(call), system_call)
 }
 
-/// Makes a call on a connection until it is no longer interrupted.
+/// Makes a call on a connection, repeated while it is interrupted.
 fn make_on<T>(
     call: Call,
     socket: &TcpStream,
@@ -30,7 +29,7 @@
     make_unless(call, || injection::failure_on(call, socket), system_call)
 }
 
-/// Makes a call, unless a test wants it to fail, until it is no longer interrupted.
+/// Makes a call, or returns an injected failure, repeated while it is interrupted.
 fn make_unless<T>(
     call: Call,
     injected: impl Fn() -> Option<Errno>,
@@ -51,14 +50,14 @@
     }
 }
 
-/// Makes a call again, for a while, where it may succeed a moment later: at the start nothing else waits.
+/// Repeats a call for a while if it may succeed later. For the startup, when nothing else waits.
 pub(super) fn retry_at_startup<T>(
     mut make: impl FnMut() -> Result<T, Failure>,
 ) -> Result<T, Failure> {
-    for _ in 1..MAX_AT_START {
+    for _ in 1..MAX_STARTUP_ATTEMPTS {
         match make() {
             Err(failure) if failure.kind == FailureKind::RetryLater => {
-                std::thread::sleep(START_AGAIN);
+                std::thread::sleep(STARTUP_RETRY_INTERVAL);
             }
             result => return result,
         }
@@ -66,7 +65,7 @@
     make()
 }
 
-/// Takes a connection that waits at a listener.
+/// Accepts a connection.
 pub(super) fn accept(listener: &TcpListener) -> Result<TcpStream, Failure> {
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
     make(Call::Accept, || net::accept_with(listener, flags)).map(TcpStream::from)
@@ -80,7 +79,7 @@
     }
 }
 
-/// Makes a socket that does not block.
+/// Creates a non-blocking socket.
 pub(super) fn socket(of: SocketAddr, kind: SocketType) -> Result<OwnedFd, Failure> {
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
     make(Call::Socket, || {
@@ -88,11 +87,11 @@
     })
 }
 
-/// Begins a connection, which goes on in the background.
+/// Starts to establish a connection, which continues in the background.
 pub(super) fn connect(to: SocketAddr) -> Result<TcpStream, Failure> {
     let socket = socket(to, SocketType::STREAM)?;
     let result = match injection::failure(Call::Connect) {
-        // What is only planted as begun has to be begun.
+        // An injected failure that means that the connection is in progress requires it to be started.
         Some(errno @ (Errno::INTR | Errno::INPROGRESS)) => {
             let _ = net::connect(&socket, &to);
             Err(errno)
@@ -109,14 +108,14 @@
     }
 }
 
-/// How a connection begun from here came out, once it can be written.
+/// Returns the result of establishing a connection, once the socket is writable.
 pub(super) fn connect_result(socket: &TcpStream) -> Result<(), Failure> {
     make_on(Call::ConnectResult, socket, || {
         sockopt::socket_error(socket)?
     })
 }
 
-/// Reads what a connection has; 0 at its end.
+/// Reads from a connection. Returns 0 at the end of the stream.
 pub(super) fn read(socket: &TcpStream, buffer: &mut [u8]) -> Result<usize, Failure> {
     let max = injection::limit(Call::Read, buffer.len());
     make_on(Call::Read, socket, || {
@@ -124,7 +123,7 @@
     })
 }
 
-/// Writes what a connection takes.
+/// Writes to a connection as much as it accepts.
 pub(super) fn write(socket: &TcpStream, bytes: &[u8]) -> Result<usize, Failure> {
     let max = injection::limit(Call::Write, bytes.len());
     make_on(Call::Write, socket, || {
@@ -157,12 +156,12 @@
     })
 }
 
-/// Has a connection send small messages at once.
+/// Disables Nagle's algorithm on a connection.
 pub(super) fn set_nodelay(socket: &TcpStream) -> Result<(), Failure> {
     make(Call::SetOption, || sockopt::set_tcp_nodelay(socket, true))
 }
 
-/// Lets the next process bind the same address while this one still runs.
+/// Allows the next process to bind the same address while this one runs.
 pub(super) fn share_address(socket: &OwnedFd) -> Result<(), Failure> {
     make(Call::SetOption, || {
         sockopt::set_socket_reuseaddr(socket, true)?;
@@ -170,14 +169,14 @@
     })
 }
 
-/// Makes an epoll set.
+/// Creates an epoll set.
 pub(super) fn epoll_create() -> Result<OwnedFd, Failure> {
     make(Call::EpollControl, || {
         epoll::create(epoll::CreateFlags::CLOEXEC)
     })
 }
 
-/// Watches a socket.
+/// Adds a socket to an epoll set.
 pub(super) fn epoll_add(
     set: &OwnedFd,
     socket: impl AsFd,
@@ -188,7 +187,7 @@
     make(Call::EpollControl, || epoll::add(set, &socket, data, flags))
 }
 
-/// Changes what a socket is watched for.
+/// Changes the events that a socket is watched for.
 pub(super) fn epoll_modify(
     set: &OwnedFd,
     socket: impl AsFd,
@@ -201,20 +200,20 @@
     })
 }
 
-/// Watches a socket no more.
+/// Removes a socket from an epoll set.
 pub(super) fn epoll_delete(set: &OwnedFd, socket: impl AsFd) -> Result<(), Failure> {
     make(Call::EpollControl, || epoll::delete(set, &socket))
 }
 
-/// Waits for events. An interrupted wait has seen none.
+/// Waits for events. An interrupted wait returns none.
 pub(super) fn epoll_wait(
     set: &OwnedFd,
-    most: Timespec,
+    max_wait: Timespec,
     events: &mut Vec<epoll::Event>,
 ) -> Result<(), Failure> {
     let waited = match injection::failure(Call::EpollWait) {
         Some(errno) => Err(errno),
-        None => epoll::wait(set, rustix::buffer::spare_capacity(events), Some(&most)).map(drop),
+        None => epoll::wait(set, rustix::buffer::spare_capacity(events), Some(&max_wait)).map(drop),
     };
     match waited.map_err(|errno| Failure::new(Call::EpollWait, errno)) {
         Err(failure) if failure.kind != FailureKind::RetryNow => {
