--- a/daemon/src/wire/fastcgi.rs
+++ b/daemon/src/wire/fastcgi.rs
@@ -1,40 +1,40 @@
-//! FastCGI 1.0, the side of an application in the Responder role, and CGI's form of answers.
+//! FastCGI 1.0 for an application in the Responder role.
 
 use super::{Parser, WireError};
 
-/// Kinds of records.
+/// The types of records.
 pub mod kind {
     /// Begins a request.
     pub const BEGIN: u8 = 1;
-    /// The client of a request no longer waits.
+    /// Aborts a request.
     pub const ABORT: u8 = 2;
     /// Ends a request.
     pub const END: u8 = 3;
-    /// Part of a request's parameters; an empty one ends them.
+    /// Part of the parameters of a request; an empty one ends them.
     pub const PARAMS: u8 = 4;
-    /// Part of a request's body; an empty one ends it.
+    /// Part of the body of a request; an empty one ends it.
     pub const STDIN: u8 = 5;
     /// Part of a response; an empty one ends it.
     pub const STDOUT: u8 = 6;
-    /// A further stream into the application, which Responders do not use.
+    /// Part of a second input stream, which Responders do not use.
     pub const DATA: u8 = 8;
-    /// Asks for the application's capabilities.
+    /// Queries the capabilities of the application.
     pub const GET_VALUES: u8 = 9;
-    /// The answer to `GET_VALUES`.
+    /// The response to `GET_VALUES`.
     pub const GET_VALUES_RESULT: u8 = 10;
-    /// The answer to a record of the connection whose kind is unknown.
+    /// The response to a management record of unknown type.
     pub const UNKNOWN_TYPE: u8 = 11;
 }
 
-/// The protocol status of a request that is done.
+/// The protocol status of a completed request.
 pub const REQUEST_COMPLETE: u8 = 0;
 /// The protocol status of a request that exceeds the capacity of the connection.
 pub const OVERLOADED: u8 = 2;
 /// The protocol status of a request in an unknown role.
 pub const UNKNOWN_ROLE: u8 = 3;
-/// The role that answers requests.
+/// The role of an application that responds to requests.
 pub const RESPONDER: u16 = 1;
-/// The flag that leaves the connection open after the answer.
+/// The flag that keeps the connection open after the response.
 pub const KEEP_CONN: u8 = 1;
 
 const VERSION: u8 = 1;
@@ -43,21 +43,21 @@
 pub const HEADER_LENGTH: usize = 8;
 /// The length of the content of the record that ends a request.
 pub const END_LENGTH: usize = 8;
-/// The longest content of a record.
+/// The maximum length of the content of a record.
 pub const MAX_CONTENT: usize = 65_535;
 
-/// One record.
+/// A record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Its kind.
+    /// The type.
     pub kind: u8,
-    /// The request it belongs to; 0: the connection.
+    /// The id of the request; 0 for management records.
     pub id: u16,
-    /// Its content.
+    /// The content.
     pub content: Vec<u8>,
 }
 
-/// Reads records. A record has 65,535 bytes of content at most by its form, so that no length needs a limit of its own.
+/// Parses records. Their length needs no limit, as the format allows at most 65,535 bytes of content.
 #[derive(Default)]
 pub struct RecordParser {
     header: Vec<u8>,
@@ -66,7 +66,7 @@
 }
 
 impl RecordParser {
-    /// Bytes held of a record that has arrived in part.
+    /// Returns the number of buffered bytes of a partial record.
     pub fn buffered_bytes(&self) -> usize {
         self.header.len() + self.content.len()
     }
@@ -123,7 +123,7 @@
     }
 }
 
-/// Writes a record. Longer content is cut, which callers prevent by `MAX_CONTENT`.
+/// Writes a record. Content beyond `MAX_CONTENT` is truncated, which callers must avoid.
 pub fn write_record(out: &mut Vec<u8>, kind: u8, id: u16, content: &[u8]) {
     let length = content.len().min(MAX_CONTENT);
     let (id, long) = (id.to_be_bytes(), (length as u16).to_be_bytes());
@@ -139,16 +139,16 @@
 /// The content of a BEGIN_REQUEST record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BeginRequest {
-    /// What the application is to do; [`RESPONDER`] answers requests.
+    /// The role of the application, such as [`RESPONDER`].
     pub role: u16,
-    /// Options of the request, such as [`KEEP_CONN`].
+    /// The flags of the request, such as [`KEEP_CONN`].
     pub flags: u8,
 }
 
-/// Reads the content of a BEGIN_REQUEST record.
+/// Parses the content of a BEGIN_REQUEST record.
 ///
 /// # Errors
-/// It has another length.
+/// Fails if the length is wrong.
 pub fn read_begin(content: &[u8]) -> Result<BeginRequest, WireError> {
     match content {
         [a, b, flags, _, _, _, _, _] => Ok(BeginRequest {
@@ -159,10 +159,10 @@
     }
 }
 
-/// Reads the names and values of a complete parameter stream.
+/// Parses the names and values of a complete parameter stream.
 ///
 /// # Errors
-/// A length does not fit what is there, or a text is not UTF-8.
+/// Fails if a length exceeds the input, or a text is not UTF-8.
 pub fn read_pairs(mut bytes: &[u8]) -> Result<Vec<(String, String)>, WireError> {
     let mut pairs = Vec::new();
     while !bytes.is_empty() {
@@ -181,7 +181,7 @@
     Ok(pairs)
 }
 
-/// Takes the length of a name or a value: one byte, or four with the highest bit set.
+/// Consumes the length of a name or value: one byte, or four if the highest bit is set.
 fn take_pair_length(bytes: &mut &[u8]) -> Result<usize, WireError> {
     let (length, size) = match **bytes {
         [a, b, c, d, ..] if a >> 7 == 1 => (u32::from_be_bytes([a & 0x7f, b, c, d]) as usize, 4),
--- a/daemon/src/wire/http.rs
+++ b/daemon/src/wire/http.rs
@@ -1,21 +1,21 @@
-//! HTTP/1.1 messages: a head, then a body by length, in chunks or up to the connection's end.
+//! HTTP/1.1 messages: a head, and a body that ends by its length, in chunks or with the connection.
 
 use super::{take_line, Parser, WireError};
 
-/// The greatest number of headers in a head.
+/// The maximum number of headers.
 const MAX_HEADERS: usize = 64;
 
-/// A message's head.
+/// The head of a message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Head {
     /// The first line.
     pub start: String,
-    /// Names in lower case, and values.
+    /// The headers, with names in lower case.
     pub headers: Vec<(String, String)>,
 }
 
 impl Head {
-    /// The value of a header, by its name in lower case.
+    /// Returns the value of a header by its name in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -23,7 +23,7 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// The status of a response.
+    /// Returns the status code of a response.
     pub fn status(&self) -> Option<u16> {
         self.start
             .strip_prefix("HTTP/1.")?
@@ -33,14 +33,14 @@
             .ok()
     }
 
-    /// Method and target of a request.
+    /// Returns the method and the target of a request.
     pub fn request(&self) -> Option<(&str, &str)> {
         let mut words = self.start.split(' ');
         let (method, target, version) = (words.next()?, words.next()?, words.next()?);
         (version.starts_with("HTTP/1.") && words.next().is_none()).then_some((method, target))
     }
 
-    /// Whether the sender keeps the connection open.
+    /// Whether the sender keeps the connection open after the message.
     pub fn keeps_open(&self) -> bool {
         let has_option = |word: &str| {
             let words = self.header("connection").unwrap_or("").split(',');
@@ -56,37 +56,37 @@
     }
 }
 
-/// Part of a message, in the order in which they arrive.
+/// A part of a message, in the order of arrival.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Piece {
-    /// Its head.
+    /// The head.
     Head(Head),
-    /// Bytes of its body.
+    /// Bytes of the body.
     Body(Vec<u8>),
     /// The message is complete.
     End,
 }
 
-/// What is read next.
+/// The part of a message that is parsed next.
 #[derive(Clone, Debug)]
 enum State {
     /// A line of a head.
     Head,
-    /// So many bytes of a body of known length.
+    /// The remaining bytes of a body with a known length.
     Length(usize),
     /// The line with the size of a chunk.
     ChunkSize,
-    /// So many bytes of a chunk.
+    /// The remaining bytes of a chunk.
     Chunk(usize),
-    /// The end of the line behind a chunk.
+    /// The line end after a chunk.
     ChunkEnd,
     /// A line of the trailers.
     Trailers,
-    /// A body that goes on until the connection is closed.
+    /// A body that ends with the connection.
     UntilClosed,
 }
 
-/// Reads messages.
+/// Parses messages.
 #[derive(Clone, Debug)]
 pub struct MessageParser {
     responses: bool,
@@ -96,14 +96,14 @@
     line: Vec<u8>,
     head: Option<Head>,
     state: State,
-    /// Bytes of the chunks of the body so far.
+    /// The total size of the chunks of the body so far.
     body: usize,
-    /// The message is complete, and that is still to be told.
-    done: bool,
+    /// Whether the message is complete and its end is still to be returned.
+    is_end_pending: bool,
 }
 
 impl MessageParser {
-    /// A reader of requests.
+    /// Creates a parser of requests.
     pub fn requests(max_line: usize, max_body: usize) -> Self {
         MessageParser {
             responses: false,
@@ -114,11 +114,11 @@
             head: None,
             state: State::Head,
             body: 0,
-            done: false,
+            is_end_pending: false,
         }
     }
 
-    /// A reader of responses; `max_body` is `usize::MAX` for streams.
+    /// Creates a parser of responses. For streams, `max_body` is `usize::MAX`.
     pub fn responses(max_line: usize, max_body: usize) -> Self {
         MessageParser {
             responses: true,
@@ -126,18 +126,18 @@
         }
     }
 
-    /// Whether the connection's end now would also be the message's.
+    /// Whether the end of the connection would end the message, or no message has begun.
     pub fn may_end(&self) -> bool {
         matches!(self.state, State::UntilClosed)
             || matches!(self.state, State::Head) && self.head.is_none()
     }
 
-    /// How the body behind this head ends.
+    /// Returns the state that parses the body after this head.
     fn body_state(&self, head: &Head) -> Result<State, WireError> {
         const BAD: WireError = WireError::Malformed("an HTTP body's length");
         let length = head.header("content-length");
         let coding = head.header("transfer-encoding");
-        // Two ways to tell where a message ends are how requests are smuggled.
+        // Conflicting lengths allow request smuggling.
         if length.is_some() && coding.is_some()
             || head
                 .headers
@@ -172,7 +172,7 @@
         })
     }
 
-    /// Takes a line of a head: the head, if the line ends it.
+    /// Parses a line of a head. Returns the head if the line ends it.
     fn head_line(&mut self, line: Vec<u8>) -> Result<Option<Head>, WireError> {
         let line = String::from_utf8(line).map_err(|_| WireError::Malformed("an HTTP head"))?;
         let Some(head) = &mut self.head else {
@@ -181,12 +181,12 @@
                     start: line,
                     headers: Vec::new(),
                 };
-                let is_sound = if self.responses {
+                let is_valid = if self.responses {
                     head.status().is_some()
                 } else {
                     head.request().is_some()
                 };
-                if !is_sound {
+                if !is_valid {
                     return Err(WireError::Malformed("an HTTP message's first line"));
                 }
                 self.head = Some(head);
@@ -208,7 +208,7 @@
         Ok(None)
     }
 
-    /// Takes what belongs to a body from the front of the input; none where a line comes next.
+    /// Consumes bytes of a body from the front of the input; `None` if a line comes next.
     fn take_body(&mut self, input: &[u8]) -> Option<Vec<u8>> {
         let (left, is_chunk) = match self.state {
             State::Length(left) => (left, false),
@@ -217,7 +217,7 @@
             _ => return None,
         };
         let taken = left.min(input.len());
-        self.done = !is_chunk && taken == left;
+        self.is_end_pending = !is_chunk && taken == left;
         self.state = match (is_chunk, left - taken) {
             (true, 0) => State::ChunkEnd,
             (true, left) => State::Chunk(left),
@@ -226,7 +226,7 @@
         Some(input[..taken].to_vec())
     }
 
-    /// Takes a line of a head, of the frame of a chunk or of the trailers: the piece that it ends, if any.
+    /// Parses a line of a head, a chunk or the trailers. Returns the piece that it completes, if any.
     fn take_complete_line(&mut self, line: Vec<u8>) -> Result<Option<Piece>, WireError> {
         match self.state {
             State::Head => {
@@ -234,7 +234,7 @@
                     return Ok(None);
                 };
                 self.state = self.body_state(&head)?;
-                self.done = matches!(self.state, State::Length(0));
+                self.is_end_pending = matches!(self.state, State::Length(0));
                 return Ok(Some(Piece::Head(head)));
             }
             State::ChunkSize => self.state = self.chunk(&line)?,
@@ -250,7 +250,7 @@
         Ok(None)
     }
 
-    /// What comes behind the line that gives a chunk's size.
+    /// Parses the size of a chunk and returns the next state.
     fn chunk(&mut self, line: &[u8]) -> Result<State, WireError> {
         let text = std::str::from_utf8(line)
             .unwrap_or("")
@@ -278,7 +278,7 @@
     type Item = Piece;
 
     fn parse(&mut self, input: &[u8]) -> Result<(usize, Option<Piece>), WireError> {
-        if std::mem::take(&mut self.done) {
+        if std::mem::take(&mut self.is_end_pending) {
             self.state = State::Head;
             self.body = 0;
             return Ok((0, Some(Piece::End)));
@@ -303,12 +303,12 @@
     }
 }
 
-/// A header that is to be written.
+/// A header to write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeaderField<'a> {
-    /// Its name.
+    /// The name.
     pub name: &'a str,
-    /// Its value.
+    /// The value.
     pub value: &'a str,
 }
 
@@ -318,7 +318,7 @@
     }
 }
 
-/// Writes a message with a body of known length.
+/// Writes a message with its body and Content-Length.
 pub fn write_message<'a, Header>(out: &mut Vec<u8>, start: &str, headers: &[Header], body: &[u8])
 where
     Header: Copy + Into<HeaderField<'a>>,
--- a/daemon/src/wire/mod.rs
+++ b/daemon/src/wire/mod.rs
@@ -1,4 +1,5 @@
-//! The wire forms: incremental parsers and writers that know no sockets. Bad input is a typed error, never a panic.
+//! The wire formats: incremental parsers and encoders that are independent of sockets. Malformed input is a typed
+//! error, never a panic.
 
 pub mod fastcgi;
 pub mod http;
@@ -7,12 +8,12 @@
 
 use std::fmt;
 
-/// Why input can't be read. It ends the connection that it came by.
+/// A parse error, after which the connection must be closed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WireError {
-    /// Longer than the limits allow.
+    /// The input exceeds a limit.
     TooLong(&'static str),
-    /// Not in the form of the protocol.
+    /// The input violates the protocol.
     Malformed(&'static str),
 }
 
@@ -27,20 +28,20 @@
 
 impl std::error::Error for WireError {}
 
-/// A parser that takes bytes as they come.
+/// An incremental parser.
 pub trait Parser {
-    /// What it reads.
+    /// The parsed item.
     type Item;
-    /// Takes from the front of `input` what it needs for the next item at most. Gives the number of bytes taken, and the
-    /// item if it is complete; where it is not, all of the input is taken.
+    /// Consumes from the front of `input` at most what the next item needs. Returns the number of bytes consumed, and
+    /// the item if it is complete. If it is not, all of the input was consumed.
     ///
     /// # Errors
-    /// The input can't be read: the parser is of no further use.
+    /// Fails on malformed input, after which the parser must not be used.
     fn parse(&mut self, input: &[u8]) -> Result<(usize, Option<Self::Item>), WireError>;
 }
 
-/// Moves bytes up to the end of the line into `line`. Gives the number of bytes taken, and whether the line is complete;
-/// its end is left out.
+/// Moves bytes up to the end of the line to `line`, without the line end. Returns the number of bytes consumed, and
+/// whether the line is complete.
 pub(crate) fn take_line(
     input: &[u8],
     line: &mut Vec<u8>,
--- a/daemon/src/wire/resp.rs
+++ b/daemon/src/wire/resp.rs
@@ -1,31 +1,31 @@
-//! RESP arrays of bulk strings, as pop caches speak them.
+//! RESP arrays of bulk strings, the protocol of pop caches.
 
 use super::{take_line, Parser, WireError};
 
-/// The greatest number of strings in an array.
+/// The maximum number of strings in an array.
 const MAX_ITEMS: usize = 8;
-/// The greatest length of the line with a length.
+/// The maximum length of a line with a length.
 const MAX_LINE: usize = 32;
 
-/// Reads arrays of bulk strings.
+/// Parses arrays of bulk strings.
 pub struct ArrayParser {
     max_string: usize,
     line: Vec<u8>,
-    /// How many strings of the array are still to come, the one being read included; none: no array has begun.
-    missing: Option<usize>,
-    /// Length of the string being read.
+    /// The number of strings still to parse, including the current one; `None` between arrays.
+    remaining: Option<usize>,
+    /// The length of the current string.
     length: Option<usize>,
     items: Vec<Vec<u8>>,
     item: Vec<u8>,
 }
 
 impl ArrayParser {
-    /// A reader that takes strings of so many bytes at most.
+    /// Creates a parser for strings of up to `max_string` bytes.
     pub fn new(max_string: usize) -> Self {
         ArrayParser {
             max_string,
             line: Vec::new(),
-            missing: None,
+            remaining: None,
             length: None,
             items: Vec::new(),
             item: Vec::new(),
@@ -34,18 +34,23 @@
 
     /// Whether an array has arrived in part.
     pub fn is_partial(&self) -> bool {
-        self.missing.is_some() || !self.line.is_empty()
+        self.remaining.is_some() || !self.line.is_empty()
     }
 
-    /// Reads the line as a number behind this first byte.
-    fn number(&mut self, mark: u8, max: usize, what: &'static str) -> Result<usize, WireError> {
+    /// Parses the line as a number after the type byte.
+    fn number(
+        &mut self,
+        type_byte: u8,
+        max: usize,
+        what: &'static str,
+    ) -> Result<usize, WireError> {
         let line = std::mem::take(&mut self.line);
         let digits = line
-            .strip_prefix(&[mark])
+            .strip_prefix(&[type_byte])
             .filter(|d| d.iter().all(u8::is_ascii_digit));
         let number = digits.and_then(|d| std::str::from_utf8(d).ok()?.parse().ok());
         let number = number.ok_or(WireError::Malformed(what))?;
-        // Checked before anything is taken for it: a peer names any length it likes.
+        // Checked before any allocation, as the peer chooses the length.
         if number > max {
             return Err(WireError::TooLong(what));
         }
@@ -59,8 +64,8 @@
     fn parse(&mut self, input: &[u8]) -> Result<(usize, Option<Self::Item>), WireError> {
         let mut at = 0;
         loop {
-            if self.missing == Some(0) {
-                self.missing = None;
+            if self.remaining == Some(0) {
+                self.remaining = None;
                 return Ok((at, Some(std::mem::take(&mut self.items))));
             }
             if at == input.len() {
@@ -69,14 +74,14 @@
             let Some(length) = self.length else {
                 let (taken, is_complete) = take_line(&input[at..], &mut self.line, MAX_LINE)?;
                 at += taken;
-                if is_complete && self.missing.is_none() {
-                    self.missing = Some(self.number(b'*', MAX_ITEMS, "a RESP array")?);
+                if is_complete && self.remaining.is_none() {
+                    self.remaining = Some(self.number(b'*', MAX_ITEMS, "a RESP array")?);
                 } else if is_complete {
                     self.length = Some(self.number(b'$', self.max_string, "a RESP string")?);
                 }
                 continue;
             };
-            // The string and the line end behind it.
+            // The string and its line end.
             let needed = length + 2 - self.item.len();
             let taken = needed.min(input.len() - at);
             self.item.extend_from_slice(&input[at..at + taken]);
@@ -88,7 +93,7 @@
                 self.item.truncate(length);
                 self.items.push(std::mem::take(&mut self.item));
                 self.length = None;
-                self.missing = self.missing.map(|n| n - 1);
+                self.remaining = self.remaining.map(|n| n - 1);
             }
         }
     }
@@ -104,7 +109,7 @@
     }
 }
 
-/// The value of a name in a list `name=value,name=value`.
+/// Returns the value of a name in a list of the form `name=value,name=value`.
 pub fn field<'a>(fields: &'a [u8], name: &str) -> Option<&'a str> {
     let fields = std::str::from_utf8(fields).ok()?;
     fields.split(',').find_map(|f| {
--- a/daemon/src/wire/sse.rs
+++ b/daemon/src/wire/sse.rs
@@ -5,13 +5,13 @@
 /// One event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Event {
-    /// The last id that the stream has named.
+    /// The last id that the stream has sent.
     pub id: String,
-    /// Its data, lines joined by line feeds; empty for a comment.
+    /// The data, with lines joined by line feeds.
     pub data: String,
 }
 
-/// Reads events out of a stream's bytes.
+/// Parses the events of a stream.
 pub struct EventParser {
     max_bytes: usize,
     line: Vec<u8>,
@@ -20,7 +20,7 @@
 }
 
 impl EventParser {
-    /// A reader of events of so many bytes at most.
+    /// Creates a parser for events of up to `max_bytes` bytes.
     pub fn new(max_bytes: usize) -> Self {
         EventParser {
             max_bytes,
@@ -70,7 +70,7 @@
                     }
                     data.push_str(value);
                 }
-                _ => {} // Comments and fields that are not used.
+                _ => {} // Comments and unused fields.
             }
         }
         Ok((at, None))
