--- a/daemon/src/front/cdni/api.rs
+++ b/daemon/src/front/cdni/api.rs
@@ -1,4 +1,4 @@
-//! The interfaces that need no cache: triggers, redirection, footprints and capabilities.
+//! Handles the requests of the CDNI front: triggers, redirection, footprints and capabilities, and content.
 
 use super::content::{content_request, path_of, ContentPath};
 use super::footprint::Network;
@@ -8,16 +8,16 @@
 use linnetknot::Micros;
 use serde_json::Value;
 
-/// Ids of content requests differ by multiples of this odd number, which never meet before 2^64 of them.
+/// The odd increment of the ids of content requests, which are distinct for 2^64 requests.
 const ID_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 /// The path of the collection of triggers.
 const TRIGGERS: &str = "/cdni/triggers";
-/// Paths of the statuses of triggers.
+/// The prefix of the paths of trigger statuses.
 const TRIGGER_PREFIX: &str = "/cdni/triggers/";
-/// Paths that take the footprint notices of peer CDNs.
+/// The prefix of the paths for footprint notices of peer CDNs.
 const NOTICE_PREFIX: &str = "/cdni/footprint/";
 
-/// The networks that a peer CDN said it reaches.
+/// The networks that a peer CDN has advertised.
 pub(super) struct PeerFootprint {
     pub(super) provider: String,
     pub(super) networks: Vec<Network>,
@@ -28,13 +28,13 @@
     identity: Identity,
     triggers: TriggerTable,
     footprints: Vec<PeerFootprint>,
-    /// Requests for content so far.
+    /// The number of requests for content.
     content_requests: u64,
     seed: u64,
 }
 
 impl TriggerApi {
-    /// An interconnection with so many triggers of this proxy at most.
+    /// Creates the state, with up to `max_triggers` triggers of this proxy.
     pub fn new(identity: Identity, seed: u64, max_triggers: usize) -> Self {
         TriggerApi {
             identity,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Handles a request. `ready` tells whether content can be served, and `now` is Unix time.
+    /// Handles a request. `ready` is whether content can be served, and `now` is Unix time.
     pub fn handle(&mut self, now: Micros, ready: bool, head: &Head, body: &[u8]) -> Reply {
         let Some((method, target)) = head.request() else {
             return Reply::Respond(Response::bare(400));
@@ -76,7 +76,7 @@
         Reply::Respond(response)
     }
 
-    /// Carries out a command of a peer CDN.
+    /// Executes a command of a peer CDN.
     fn trigger_command(&mut self, now: Micros, command: Option<&Value>) -> Reply {
         let Some(command) = command else {
             return Reply::Respond(Response::bare(400));
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Gives or deletes the status of a trigger.
+    /// Returns or deletes the status of a trigger.
     fn trigger_status(&mut self, method: &str, name: &str) -> Reply {
         let mut effects = Vec::new();
         let response = self
@@ -111,24 +111,24 @@
         }
     }
 
-    /// Sets the id of the next trigger that is made here.
+    /// Sets the id of the next trigger of this proxy.
     pub fn start_ids_at(&mut self, first: TriggerId) {
         self.triggers.start_ids_at(first);
     }
 
-    /// Takes in the status of a trigger that another proxy made, or an earlier process of this one. One that is too old, or
-    /// not complete, is passed over.
+    /// Adds the status of a trigger of another proxy, or of an earlier process of this one. An expired or incomplete
+    /// status is ignored.
     pub fn insert(&mut self, now: Micros, id: TriggerId, payload: &str) {
         self.triggers.insert(seconds(now), id, payload);
     }
 
-    /// Removes a trigger that exists no more.
+    /// Removes a deleted trigger.
     pub fn remove(&mut self, id: TriggerId) {
         self.triggers.remove(id);
     }
 
-    /// The effects of a message can't be committed: removes the trigger that was made, if one was. Gives the response, by
-    /// which the peer CDN is to come again.
+    /// Handles effects that can't be committed: removes the trigger, if one was made, and returns the response that
+    /// asks the peer CDN to retry.
     pub fn retract(&mut self, trigger: Option<TriggerId>) -> Response {
         if let Some(id) = trigger {
             self.triggers.remove(id);
@@ -136,7 +136,7 @@
         Response::bare(503).with("Retry-After", "1".to_owned())
     }
 
-    /// Takes the footprint that a peer CDN reaches.
+    /// Stores the footprint that a peer CDN advertises.
     fn take_notice(&mut self, from: &str, payload: Option<&Value>) -> Response {
         if !self.identity.peers.iter().any(|peer| peer.provider == from) {
             return Response::bare(403);
@@ -152,7 +152,7 @@
         Response::bare(204)
     }
 
-    /// The notices of our footprint, one to each peer CDN.
+    /// Returns the notices of this CDN's footprint, one for each peer CDN.
     pub fn footprint_notices(&self, ready: bool) -> Vec<Post> {
         let body = footprint::advertisement(&self.identity, ready).to_string();
         let notice = |peer: &PeerCdn| Post {
@@ -164,12 +164,12 @@
         self.identity.peers.iter().map(notice).collect()
     }
 
-    /// A purge that did not come from a peer CDN, as a command to each of them.
+    /// Returns the commands to all peer CDNs for a purge that none of them sent.
     pub fn purge_commands(&self, object: Option<&str>, group: u64) -> Vec<Post> {
         triggers::purge_commands(&self.identity, object, group)
     }
 
-    /// Takes a request for content.
+    /// Converts a request for content to one for the core.
     fn content(&mut self, head: &Head, target: &str) -> Reply {
         let content = ContentPath::read(path_of(target));
         let known = content.and_then(|content| {
@@ -192,7 +192,7 @@
     }
 }
 
-/// A time in whole seconds.
+/// Converts a time to whole seconds.
 fn seconds(now: Micros) -> u64 {
     now / 1_000_000
 }
--- a/daemon/src/front/cdni/content.rs
+++ b/daemon/src/front/cdni/content.rs
@@ -1,25 +1,25 @@
-//! Content URLs, and the requests for content that they are.
+//! Content URLs, and their conversion to requests for the core.
 
 use crate::core::ClientRequest;
 use crate::wire::http::Head;
 use linnetknot::Micros;
 
-/// Hexadecimal digits of an object's key.
+/// The number of hexadecimal digits of an object key.
 const OBJECT_DIGITS: usize = 16;
 
-/// What a content URL names.
+/// The path of a content URL.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ContentPath<'a> {
     /// The class.
     pub class: &'a str,
     /// The key of the object.
     pub object: &'a str,
-    /// Which part of the object.
+    /// The part of the object.
     pub part: u64,
 }
 
 impl<'a> ContentPath<'a> {
-    /// Reads the path of a content URL: `/content/CLASS/OBJECT` or `/content/CLASS/OBJECT/PART`.
+    /// Parses the path of a content URL: `/content/CLASS/OBJECT` or `/content/CLASS/OBJECT/PART`.
     pub fn read(path: &'a str) -> Option<Self> {
         let path = path.split('?').next()?;
         let mut segments = path.strip_prefix("/content/")?.split('/');
@@ -45,7 +45,7 @@
     text.len() == OBJECT_DIGITS && text.bytes().all(is_digit)
 }
 
-/// The path of a URL, absolute or not.
+/// Returns the path of a URL, which may be absolute.
 pub(super) fn path_of(url: &str) -> &str {
     let rest = url
         .strip_prefix("http://")
@@ -58,7 +58,7 @@
     path_of(target).starts_with("/cdni/triggers/")
 }
 
-/// The request for content of an HTTP request, under this id. Figures in its query that can't be read count as not given.
+/// Converts an HTTP request to a request for the core with this id. Malformed values in the query are ignored.
 pub(super) fn content_request(
     id: String,
     content: ContentPath<'_>,
@@ -88,7 +88,7 @@
     }
 }
 
-/// The tag of the copy that the client has cached.
+/// Returns the tag of the client's cached copy.
 fn cached_tag(head: &Head) -> Option<String> {
     let header = head.header("if-none-match")?;
     let tag = header.trim_start_matches("W/").trim_matches('"');
--- a/daemon/src/front/cdni/effect.rs
+++ b/daemon/src/front/cdni/effect.rs
@@ -1,15 +1,15 @@
-//! What is to be done for a message: respond, commit effects first, or forward a request for content.
+//! The handling of a request: respond, commit effects first, or forward a request for content.
 
 use super::{Response, TriggerId};
 use crate::core::ClientRequest;
 use std::net::SocketAddr;
 
-/// What follows from a message besides its response.
+/// An effect of a request besides its response.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// An object, or with none a whole group, is purged as of now.
+    /// An object, or a group if there is no object, is purged as of now.
     Purge(Option<String>, u64),
-    /// A trigger was made here, and this is its status as a payload.
+    /// A trigger was created, with this status as a payload.
     Status(TriggerId, String),
     /// The status of a trigger was deleted.
     Gone(TriggerId),
@@ -17,34 +17,34 @@
     Post(Post),
 }
 
-/// A payload on its way to a peer CDN.
+/// A payload for a peer CDN.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Post {
     /// The address of the peer.
     pub address: SocketAddr,
     /// The path that it is posted to.
     pub path: String,
-    /// The payload's type.
+    /// The type of the payload.
     pub ptype: &'static str,
     /// The payload.
     pub body: String,
 }
 
-/// What is to be done with a request.
+/// The handling of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     /// Respond now.
     Respond(Response),
-    /// Respond once the effects are committed. Where they can't be, the trigger is retracted, and the response is that of
+    /// Respond once the effects are committed. If they can't be, the trigger is retracted, and the response is that of
     /// [`super::TriggerApi::retract`].
     RespondOnceCommitted {
         /// The response.
         response: Response,
-        /// The trigger that was made, if one was.
+        /// The trigger that was created, if any.
         trigger: Option<TriggerId>,
-        /// What is to be committed.
+        /// The effects to commit.
         effects: Vec<Effect>,
     },
-    /// Hand a request for content to the core.
+    /// Forward a request for content to the core.
     Forward(ClientRequest),
 }
--- a/daemon/src/front/cdni/footprint.rs
+++ b/daemon/src/front/cdni/footprint.rs
@@ -1,11 +1,11 @@
-//! Footprint & Capabilities (RFC 8008): what a network can reach, and how.
+//! Footprint & Capabilities advertisement (RFC 8008).
 
 use super::{Identity, Response};
 use serde_json::{json, Value};
 use std::fmt;
 use std::net::Ipv4Addr;
 
-/// The payload's type. The specification leaves the transport open, and with it this name.
+/// The type of the payload, which the specification does not define.
 pub const PTYPE: &str = "fci-advertisement";
 
 /// An IPv4 network.
@@ -16,7 +16,7 @@
 }
 
 impl Network {
-    /// Reads `a.b.c.d/n`.
+    /// Parses a network of the form `a.b.c.d/n`.
     pub fn read(text: &str) -> Option<Self> {
         let (address, bits) = text.split_once('/')?;
         let bits = bits.parse().ok().filter(|bits| *bits <= 32)?;
@@ -26,7 +26,7 @@
         })
     }
 
-    /// Whether an address lies in it.
+    /// Whether the network contains an address.
     pub fn contains(&self, address: Ipv4Addr) -> bool {
         let mask = u32::MAX.checked_shl(32 - u32::from(self.bits)).unwrap_or(0);
         (u32::from(address) ^ self.address) & mask == 0
@@ -39,7 +39,7 @@
     }
 }
 
-/// What we can reach and how, as a payload; nothing while we can't serve.
+/// Returns the footprint and capabilities of this CDN as a payload, which is empty while it can't serve.
 pub(super) fn advertisement(id: &Identity, ready: bool) -> Value {
     let networks: Vec<_> = id.footprint.iter().map(Network::to_string).collect();
     let footprints = json!([{"footprint-type": "ipv4cidr", "footprint-value": networks}]);
@@ -57,12 +57,12 @@
     json!({"capabilities": if ready { &capabilities[..] } else { &[] }})
 }
 
-/// The response that advertises our footprint.
+/// Returns the response that advertises the footprint of this CDN.
 pub(super) fn advertise(id: &Identity, ready: bool) -> Response {
     Response::payload(200, PTYPE, &advertisement(id, ready))
 }
 
-/// The networks for which a peer CDN delivers by HTTP. Kinds of footprint that are not known here reach nobody.
+/// Returns the networks to which a peer CDN delivers by HTTP. Footprints of unknown types are ignored.
 pub(super) fn read(payload: &Value) -> Option<Vec<Network>> {
     let mut networks = Vec::new();
     for capability in payload["capabilities"].as_array()? {
--- a/daemon/src/front/cdni/mod.rs
+++ b/daemon/src/front/cdni/mod.rs
@@ -1,12 +1,12 @@
 //! The CDNI front: interconnection with peer CDNs over HTTP/1.1.
 //!
-//! [`TriggerApi`] answers what needs no cache: triggers (RFC 8007), redirection (RFC 7975), footprints and capabilities
-//! (RFC 8008). Requests for content become the core's and go through the same decisions as all others.
+//! [`TriggerApi`] handles the requests that need no cache: triggers (RFC 8007), redirection (RFC 7975), footprints and
+//! capabilities (RFC 8008). It converts requests for content to requests for the core.
 //!
-//! * `session`: one connection;
-//! * `api`: which interface a request is for; `effect`: what follows from it;
+//! * `session`: the state of a connection;
+//! * `api`: the dispatch to the interfaces; `effect`: the effects of requests;
 //! * `content`, `triggers`, `redirect`, `footprint`: the interfaces;
-//! * `response`: responses.
+//! * `response`: the responses.
 
 mod api;
 mod content;
@@ -28,7 +28,7 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Media type of all CDNI payloads; `ptype` tells which one it is.
+/// The media type of all CDNI payloads, to which the type of the payload is appended.
 pub const MEDIA: &str = "application/cdni; ptype=";
 
 /// A peer CDN.
@@ -36,32 +36,32 @@
 pub struct PeerCdn {
     /// Its CDN Provider ID.
     pub provider: String,
-    /// The address at which it takes messages.
+    /// The address at which it receives messages.
     pub address: SocketAddr,
     /// The path of its trigger interface.
     pub triggers: String,
-    /// The path at which it takes our footprint notices.
+    /// The path at which it receives the footprint notices of this CDN.
     pub notices: String,
-    /// Base of its content's URLs, for clients in its footprint.
+    /// The base of its content URLs, for clients in its footprint.
     pub content: String,
 }
 
-/// How this network presents itself.
+/// The identity of this CDN towards peer CDNs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Identity {
-    /// Our CDN Provider ID.
+    /// The CDN Provider ID of this CDN.
     pub provider: String,
-    /// Base of our URLs.
+    /// The base of the URLs of this CDN.
     pub base: String,
-    /// What we can reach, as IPv4 networks.
+    /// The footprint of this CDN, as IPv4 networks.
     pub footprint: Vec<footprint::Network>,
-    /// The CDNs that we exchange messages with.
+    /// The peer CDNs.
     pub peers: Vec<PeerCdn>,
-    /// Classes whose objects may be requested here, with the time after which their clients give up.
+    /// The classes whose objects may be requested here, with the deadlines of their requests.
     pub classes: Vec<(String, Micros)>,
 }
 
-/// Whether a payload's list of the CDNs that it has passed names us.
+/// Whether the path of a payload already contains this CDN.
 fn is_loop(cdn_path: &Value, own: &str) -> bool {
     cdn_path
         .as_array()
--- a/daemon/src/front/cdni/redirect.rs
+++ b/daemon/src/front/cdni/redirect.rs
@@ -1,4 +1,4 @@
-//! Request Routing Redirection (RFC 7975): where the clients of a peer CDN are sent.
+//! Request Routing Redirection (RFC 7975).
 
 use super::api::PeerFootprint;
 use super::content::{path_of, ContentPath};
@@ -8,9 +8,9 @@
 
 const PTYPE: &str = "redirection-response";
 
-/// A response that tells why there is no redirection.
+/// Returns the response with the error of a redirection.
 pub(super) fn error(code: u16, reason: &str) -> Response {
-    // The response itself went well: what went wrong stands in its payload.
+    // The HTTP status is 200, as the error is in the payload.
     Response::payload(
         200,
         PTYPE,
@@ -18,15 +18,16 @@
     )
 }
 
-/// Where a client is sent.
+/// The target of a redirection.
 struct Target<'a> {
-    /// The network of the footprint that its address lies in.
+    /// The network of the footprint that contains the client.
     network: footprint::Network,
-    /// What the URL begins with.
+    /// The base of the URL.
     base: &'a str,
 }
 
-/// Where a client is sent: here if we are ready and reach it, else to the first peer CDN not in the path that does.
+/// Returns the target for a client: this CDN if it is ready and reaches the client, otherwise the first peer CDN
+/// outside the path that does.
 fn target<'a>(
     id: &'a Identity,
     footprints: &[PeerFootprint],
@@ -57,7 +58,7 @@
     })
 }
 
-/// Why there is no redirection, by the codes of the specification.
+/// The error of a redirection, with a code of the specification.
 struct Rejection {
     code: u16,
     reason: &'static str,
@@ -79,7 +80,7 @@
 }
 
 impl<'a> RedirectRequest<'a> {
-    /// Reads a request; or why it can't be answered.
+    /// Parses a request.
     fn read(id: &Identity, request: &'a Value) -> Result<Self, Rejection> {
         let cdn_path = read_cdn_path(id, request)?;
         if request["dns"].is_object() {
@@ -107,7 +108,7 @@
     }
 }
 
-/// The CDNs that a request has passed, unless it runs in a loop or has passed too many.
+/// Returns the CDNs that a request has passed, unless they form a loop or are too many.
 fn read_cdn_path<'a>(id: &Identity, request: &'a Value) -> Result<&'a [Value], Rejection> {
     let Some(cdn_path) = request["cdn-path"].as_array() else {
         return Err(Rejection::new(400, "cdn-path is missing"));
@@ -122,8 +123,8 @@
     Ok(cdn_path)
 }
 
-/// Answers a redirection request: to our own content where the client lies in our footprint and we can serve,
-/// else to a peer CDN that said it reaches the client.
+/// Responds to a redirection request: redirects to this CDN if it reaches the client and is ready, otherwise to a peer
+/// CDN that advertises the client's network.
 pub(super) fn answer(
     id: &Identity,
     footprints: &[PeerFootprint],
@@ -136,7 +137,7 @@
     }
 }
 
-/// The payload of a redirection; or why there is none.
+/// Returns the payload of a redirection.
 fn redirection(
     id: &Identity,
     footprints: &[PeerFootprint],
--- a/daemon/src/front/cdni/response.rs
+++ b/daemon/src/front/cdni/response.rs
@@ -7,16 +7,16 @@
 /// An HTTP response.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Response {
-    /// Its status.
+    /// The status code.
     pub status: u16,
-    /// Its headers, besides those of the connection.
+    /// The headers, without those of the connection.
     pub headers: Vec<(&'static str, String)>,
-    /// Its body.
+    /// The body.
     pub body: Vec<u8>,
 }
 
 impl Response {
-    /// A response of a status alone.
+    /// Creates a response with only a status.
     pub fn bare(status: u16) -> Self {
         Response {
             status,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// A response with a CDNI payload, which is never to be cached.
+    /// Creates a response with a CDNI payload, which must not be cached.
     pub fn payload(status: u16, ptype: &str, value: &Value) -> Self {
         let headers = vec![
             ("Content-Type", format!("{MEDIA}{ptype}")),
@@ -37,14 +37,14 @@
         }
     }
 
-    /// The same response with a further header.
+    /// Adds a header.
     pub(super) fn with(mut self, name: &'static str, value: String) -> Self {
         self.headers.push((name, value));
         self
     }
 }
 
-/// The core's final answer as a response. Where it failed, `late` tells that its time was over.
+/// Converts a final answer of the core to a response. `late` is whether a failed request had reached its deadline.
 pub fn response(answer: Answer, late: bool) -> Response {
     match answer {
         Answer::Served(Content::Object { bytes, tag }) => {
@@ -61,7 +61,7 @@
         }
         Answer::Served(Content::Unchanged) => Response::bare(304),
         Answer::Rejected { retry_after_us } => {
-            // The header counts whole seconds.
+            // The header has whole seconds.
             let wait_s = retry_after_us.unwrap_or(0).div_ceil(1_000_000).max(1);
             Response::bare(503).with("Retry-After", wait_s.to_string())
         }
--- a/daemon/src/front/cdni/session.rs
+++ b/daemon/src/front/cdni/session.rs
@@ -1,4 +1,4 @@
-//! One HTTP connection of a peer CDN or of a client that was redirected here.
+//! An HTTP connection of a peer CDN or of a redirected client.
 
 use super::Response;
 use crate::core::RequestKey;
@@ -6,35 +6,36 @@
 use crate::wire::http::{self, Head, MessageParser, Piece};
 use crate::wire::{Parser, WireError};
 
-/// What an answer waits for.
+/// The event that a response waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Waiting {
-    /// The core has the request, under this key.
+    /// The final answer of the core to the request with this key.
     Core(RequestKey),
-    /// The effects of the request are being committed.
+    /// The commit of the effects of the request.
     Commit,
 }
 
-/// A connection. Its requests are answered one after the other: while one waits, the next stays in the ring.
+/// A connection. Its requests are handled one at a time: the next one stays in the receive buffer until the response is
+/// written.
 pub struct Session {
     messages: MessageParser,
     head: Option<Head>,
     body: Vec<u8>,
     keep_open: bool,
-    /// What the answer to the last request waits for.
+    /// The event that the response to the last request waits for.
     pub waiting: Option<Waiting>,
-    /// When its client gives up.
+    /// The deadline of the last request.
     pub deadline: u64,
     out: Vec<u8>,
-    /// Bytes of `out` that are written.
+    /// The number of bytes of `out` that have been written.
     written: usize,
-    /// A request has arrived in full by now.
+    /// Whether any request has been received in full.
     has_received_request: bool,
-    /// A request has arrived in part.
+    /// Whether a request is incomplete.
     is_partial: bool,
 }
 
-/// The reason phrase of a status.
+/// Returns the reason phrase of a status code.
 fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -54,7 +55,7 @@
 }
 
 impl Session {
-    /// A connection just accepted, for lines and bodies of so many bytes at most.
+    /// Creates the state of a new connection, with limits for the bytes of a line and of a body.
     pub fn new(max_line: usize, max_body: usize) -> Self {
         Session {
             messages: MessageParser::requests(max_line, max_body),
@@ -70,35 +71,35 @@
         }
     }
 
-    /// Whether nothing is open or on its way out.
+    /// Whether no request is open and no response is queued.
     pub fn is_idle(&self) -> bool {
         self.waiting.is_none() && self.out.is_empty()
     }
 
-    /// Whether a request has arrived in part.
+    /// Whether a request is incomplete.
     pub fn is_partial(&self) -> bool {
         self.is_partial
     }
 
-    /// Whether any request has arrived in full.
+    /// Whether any request has been received in full.
     pub fn has_received_request(&self) -> bool {
         self.has_received_request
     }
 
-    /// Whether the connection is to end and nothing is open on it any more.
+    /// Whether the connection is closing and nothing is open.
     pub fn is_finished(&self) -> bool {
         !self.keep_open && self.is_idle()
     }
 
-    /// Bytes of the answer that wait to be written.
+    /// Returns the number of bytes of the response that are still to be written.
     pub fn pending(&self) -> usize {
         self.out.len() - self.written
     }
 
-    /// Reads up to the end of the next request, once the one before has its response: its head and its body.
+    /// Parses the next request, once the previous one is answered. Returns its head and body.
     ///
     /// # Errors
-    /// What came can't be read, or breaks a limit.
+    /// Fails on malformed input and if a limit is exceeded.
     pub fn read(&mut self, input: &mut RingBuffer) -> Result<Option<(Head, Vec<u8>)>, WireError> {
         while self.keep_open && self.is_idle() {
             let (taken, piece) = self.messages.parse(input.front())?;
@@ -122,7 +123,7 @@
         Ok(None)
     }
 
-    /// The response to the request that was read last.
+    /// Queues the response to the last request.
     pub fn respond(&mut self, response: &Response) {
         self.waiting = None;
         let connection = if self.keep_open {
@@ -140,13 +141,13 @@
         http::write_message(&mut self.out, &start, &headers, &response.body);
     }
 
-    /// What came can't be read: the last response says so.
+    /// Queues the last response of the connection, to malformed input.
     pub fn reject_unreadable(&mut self) {
         self.keep_open = false;
         self.respond(&Response::bare(400));
     }
 
-    /// Moves as much as fits into the ring.
+    /// Writes as much as fits into the buffer.
     pub fn write(&mut self, output: &mut RingBuffer) {
         self.written += output.push(&self.out[self.written..]);
         if self.written == self.out.len() {
--- a/daemon/src/front/cdni/triggers/command.rs
+++ b/daemon/src/front/cdni/triggers/command.rs
@@ -1,27 +1,27 @@
-//! What a trigger asks for, and what of it can be carried out.
+//! The commands of triggers, and the parts of them that can be executed.
 
 use crate::front::cdni::content::{path_of, ContentPath};
 use serde_json::{Map, Value};
 
-/// Objects are in one of so many groups.
+/// The number of groups of objects.
 const GROUPS: u64 = 256;
 
-/// An object, or with none a group, that a trigger names.
+/// An object, or a group if there is no object, that a trigger names.
 #[derive(Clone)]
 pub(super) struct PurgeTarget {
     pub(super) object: Option<String>,
     pub(super) group: u64,
 }
 
-/// What of a trigger can be carried out, and what not.
+/// The parts of a trigger that can be executed, and those that are rejected.
 #[derive(Default)]
 pub(super) struct Plan {
     pub(super) purges: Vec<PurgeTarget>,
-    /// Selectors with the values that name nothing here.
+    /// The selectors with their values that are not supported.
     pub(super) rejected: Map<String, Value>,
 }
 
-/// What of a trigger can be carried out; none where it is not in the form of the specification.
+/// Returns the plan of a trigger; `None` if the trigger is malformed.
 pub(super) fn plan(spec: &Map<String, Value>) -> Option<Plan> {
     let mut plan = Plan::default();
     for (selector, values) in spec.iter().filter(|(key, _)| *key != "type") {
@@ -31,8 +31,7 @@
             let target = match selector.as_str() {
                 "content.urls" => object_target(value.as_str()?),
                 "content.ccid" => group_target(value.as_str()?),
-                // Metadata is not cached here, and objects are known by their keys alone, so that no pattern
-                // can be matched against them.
+                // Metadata is not cached, and patterns can't be matched, as objects are known only by their keys.
                 _ => None,
             };
             match target {
@@ -47,7 +46,7 @@
     Some(plan)
 }
 
-/// The object of a content URL.
+/// Returns the object of a content URL.
 fn object_target(url: &str) -> Option<PurgeTarget> {
     let content = ContentPath::read(path_of(url))?;
     Some(PurgeTarget {
@@ -56,7 +55,7 @@
     })
 }
 
-/// The group that a collection id names.
+/// Returns the group that a collection id names.
 fn group_target(ccid: &str) -> Option<PurgeTarget> {
     let group = ccid.parse().ok().filter(|group| *group < GROUPS)?;
     Some(PurgeTarget {
@@ -65,18 +64,17 @@
     })
 }
 
-/// What a trigger asks for.
+/// The kind of a trigger.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Kind {
-    /// To purge, or to invalidate: invalidated copies are not shown to be good again here, so they are purged, which is
-    /// stricter.
+    /// Purge or invalidate. Invalidated copies are never revalidated, so they are purged, which is stricter.
     Purge,
-    /// To fetch ahead.
+    /// Prefetch content.
     Preposition,
 }
 
 impl Kind {
-    /// The kind of a name in the specification.
+    /// Parses the name of a kind in the specification.
     pub(super) fn read(text: &str) -> Option<Self> {
         match text {
             "purge" | "invalidate" => Some(Kind::Purge),
@@ -85,7 +83,7 @@
         }
     }
 
-    /// The error in the status of such a trigger, where it can't be carried out in full.
+    /// Returns the error for the status of a trigger that can't be executed in full.
     pub(super) fn error(self, spec: &Map<String, Value>, plan: &Plan) -> Option<Value> {
         match self {
             Kind::Purge if plan.rejected.is_empty() => None,
@@ -102,7 +100,7 @@
     }
 }
 
-/// An error of the code `ereject` on these selectors.
+/// Returns an error with the code `ereject` for these selectors.
 fn error_of(selectors: &Map<String, Value>, why: &str) -> Value {
     let mut error = selectors.clone();
     error.insert("error".to_owned(), "ereject".into());
--- a/daemon/src/front/cdni/triggers/forwarding.rs
+++ b/daemon/src/front/cdni/triggers/forwarding.rs
@@ -1,11 +1,11 @@
-//! Purges as commands to peer CDNs.
+//! Forwards purges as commands to peer CDNs.
 
 use crate::front::cdni::{Identity, PeerCdn, Post};
 use serde_json::{json, Value};
 
 const COMMAND: &str = "ci-trigger-command";
 
-/// A command to purge, for every peer CDN that has not seen it.
+/// Returns a purge command for every peer CDN that has not received it.
 pub(super) fn commands_to_peers(id: &Identity, spec: &Value, cdn_path: &[Value]) -> Vec<Post> {
     let mut path = cdn_path.to_vec();
     path.push(json!(id.provider));
@@ -23,7 +23,7 @@
     unseen.map(command).collect()
 }
 
-/// A purge that did not come from a peer CDN, as a command to each of them.
+/// Returns the commands to all peer CDNs for a purge that none of them sent.
 pub(in crate::front::cdni) fn purge_commands(
     id: &Identity,
     object: Option<&str>,
--- a/daemon/src/front/cdni/triggers/id.rs
+++ b/daemon/src/front/cdni/triggers/id.rs
@@ -1,18 +1,18 @@
-//! The id of a trigger.
+//! The ids of triggers.
 
 use std::fmt;
 
-/// The id of a trigger in all of an installation: the proxy that made it, and its number there.
+/// The id of a trigger, unique in the installation: the proxy that created it, and its number there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TriggerId {
-    /// The proxy, by the name of its log; 0 where it keeps none.
+    /// The proxy, by the hash of its name in its log; 0 if it has no log.
     pub writer: u64,
     /// The number.
     pub number: u64,
 }
 
 impl TriggerId {
-    /// Reads an id as it stands in URLs.
+    /// Parses an id as in URLs.
     pub(super) fn read(text: &str) -> Option<Self> {
         match text.split_once('-') {
             None => Some(TriggerId {
@@ -21,7 +21,7 @@
             }),
             Some((writer, number)) => {
                 let hex = |text| u64::from_str_radix(text, 16).ok();
-                // One id has one text.
+                // An id has only one valid text.
                 Some(TriggerId {
                     writer: hex(writer)?,
                     number: hex(number)?,
--- a/daemon/src/front/cdni/triggers/mod.rs
+++ b/daemon/src/front/cdni/triggers/mod.rs
@@ -19,19 +19,19 @@
 const STATUS: &str = "ci-trigger-status";
 const COLLECTION: &str = "ci-trigger-collection";
 
-/// The triggers whose status can be asked for.
+/// The triggers whose status can be queried.
 pub(super) struct TriggerTable {
     triggers: BTreeMap<TriggerId, Trigger>,
-    /// The id of the next trigger that is made here.
+    /// The id of the next trigger of this proxy.
     next: TriggerId,
-    /// The greatest number of triggers of this proxy.
+    /// The maximum number of triggers of this proxy.
     max_own: usize,
 }
 
-/// What came of a command.
+/// The result of a command.
 pub(super) struct CommandResult {
     pub(super) response: Response,
-    /// The trigger that was made, if one was.
+    /// The trigger that was created, if any.
     pub(super) trigger: Option<TriggerId>,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl TriggerTable {
-    /// An empty table for so many triggers of this proxy at most.
+    /// Creates an empty table for up to `max_own` triggers of this proxy.
     pub(super) fn new(max_own: usize) -> Self {
         TriggerTable {
             triggers: BTreeMap::new(),
@@ -57,20 +57,20 @@
         }
     }
 
-    /// The URL of a trigger's status.
+    /// Returns the URL of the status of a trigger.
     fn url(id: &Identity, name: TriggerId) -> String {
         format!("{}/cdni/triggers/{name}", id.base)
     }
 
-    /// Sets the id of the next trigger, unless a later one was given already.
+    /// Sets the id of the next trigger, unless a later one was set.
     pub(super) fn start_ids_at(&mut self, first: TriggerId) {
         self.next = first.max(self.next);
     }
 
-    /// Takes in the status of a trigger that another proxy made, or an earlier process of this one; nothing where it is not
-    /// complete.
+    /// Adds the status of a trigger of another proxy, or of an earlier process of this one. An incomplete status is
+    /// ignored.
     pub(super) fn insert(&mut self, now: u64, name: TriggerId, payload: &str) {
-        // Its pieces come one by one, and a long text is not to be read once for each of them.
+        // The pieces of a status arrive one by one; this avoids parsing each prefix.
         let complete = Some(payload).filter(|payload| payload.ends_with('}'));
         let trigger = complete
             .and_then(|payload| Trigger::read(now, payload))
@@ -86,7 +86,7 @@
         self.triggers.insert(name, trigger);
     }
 
-    /// Carries a command out: a purge takes effect before its response is written.
+    /// Executes a command. A purge takes effect before the response is written.
     pub(super) fn command(
         &mut self,
         id: &Identity,
@@ -101,14 +101,14 @@
             return Response::bare(403).into();
         }
         match (command["trigger"].as_object(), command["cancel"].as_array()) {
-            // All triggers are over before a cancellation can come: there is nothing to stop, which is no error.
+            // Triggers are complete at once, so that a cancellation has no effect, which is not an error.
             (None, Some(urls)) if urls.iter().all(Value::is_string) => Response::bare(200).into(),
             (Some(spec), None) => self.make_trigger(id, now, spec, cdn_path, effects),
             _ => Response::bare(400).into(),
         }
     }
 
-    /// Makes a trigger, and carries it out as far as can be.
+    /// Creates a trigger, and executes the supported parts of it.
     fn make_trigger(
         &mut self,
         id: &Identity,
@@ -151,7 +151,7 @@
         let name = self.next;
         self.next.number += 1;
         self.triggers.insert(name, trigger);
-        // Behind the purges, so that who has all of the status has them, too.
+        // After the purges, so that a proxy with the complete status also has the purges.
         effects.push(Effect::Status(name, payload.to_string()));
         CommandResult {
             response: response.with("Location", Self::url(id, name)),
@@ -159,7 +159,7 @@
         }
     }
 
-    /// How many triggers of this proxy there are.
+    /// Returns the number of triggers of this proxy.
     fn own_triggers(&self) -> usize {
         let own = self
             .triggers
@@ -173,7 +173,7 @@
         self.triggers.remove(&name);
     }
 
-    /// The collection of all triggers, or of those with this status.
+    /// Returns the collection of all triggers, or of those with this status.
     pub(super) fn collection(&self, id: &Identity, status: Option<&str>) -> Response {
         let listed = self
             .triggers
@@ -192,7 +192,7 @@
         Response::payload(200, COLLECTION, &value)
     }
 
-    /// Gives or deletes the status of a trigger; a name may also be that of a collection.
+    /// Returns or deletes the status of a trigger. The name may also be that of a collection.
     pub(super) fn resource(
         &mut self,
         id: &Identity,
--- a/daemon/src/front/cdni/triggers/trigger.rs
+++ b/daemon/src/front/cdni/triggers/trigger.rs
@@ -4,32 +4,33 @@
 
 pub(super) const COMPLETE: &str = "complete";
 pub(super) const FAILED: &str = "failed";
-/// The status of a trigger that is over may be removed after so many seconds.
+/// The time in seconds after which the status of a complete trigger may be removed.
 pub const STALE_S: u64 = 3600;
-/// How far the wall clock that dated a trigger may be from this process's: each may be an hour off, either way.
+/// The maximum difference between the clock of the process that created a trigger and that of this process. Each may be
+/// off by an hour, in either direction.
 const MAX_CLOCK_SKEW_S: u64 = 2 * 3600;
 
-/// A trigger, which is over as soon as it is made.
+/// A trigger, which is complete as soon as it is created.
 pub(super) struct Trigger {
-    /// What it asks for, as it came.
+    /// The specification of the trigger, as received.
     pub(super) spec: Value,
-    /// When it was made, by the wall clock of the process that made it.
+    /// The time of its creation, by the wall clock of the process that created it.
     pub(super) made: u64,
-    /// When this process first had it, by this process's clock, which never steps.
+    /// The time since which this process has it, by its own clock, which never steps back.
     pub(super) known_since: u64,
     pub(super) status: &'static str,
     pub(super) error: Option<Value>,
 }
 
 impl Trigger {
-    /// Whether it may be removed: this process has had it for long enough, or it was made too long ago for any clock to be
-    /// wrong.
+    /// Whether it may be removed: this process has had it for long enough, or it is too old even with the maximum
+    /// difference of clocks.
     pub(super) fn is_stale(&self, now: u64) -> bool {
         self.known_since + STALE_S < now
             || self.made.saturating_add(STALE_S + MAX_CLOCK_SKEW_S) < now
     }
 
-    /// Its status as a payload.
+    /// Returns the status as a payload.
     pub(super) fn payload(&self) -> Value {
         let mut status = json!({
             "trigger": self.spec, "ctime": self.made, "mtime": self.made, "status": self.status,
@@ -40,7 +41,7 @@
         status
     }
 
-    /// Reads a payload; none where it is not complete.
+    /// Parses a payload; `None` if it is incomplete.
     pub(super) fn read(now: u64, payload: &str) -> Option<Self> {
         let mut value: Value = serde_json::from_str(payload).ok()?;
         let status = [COMPLETE, FAILED]
--- a/daemon/src/front/fastcgi/mod.rs
+++ b/daemon/src/front/fastcgi/mod.rs
@@ -1,8 +1,8 @@
-//! The platform's front: FastCGI requests become the core's, and its answers CGI responses.
+//! The front of the platform: converts FastCGI requests to those of the core, and its answers to CGI responses.
 //!
 //! * `request`: the parameters of a request;
-//! * `session`, `records`: the state of a connection, and the records that come in on it;
-//! * `response`, `output`: answers, and their way out.
+//! * `session`, `records`: the state of a connection, and its received records;
+//! * `response`, `output`: the responses and their queue.
 
 mod output;
 mod records;
@@ -13,19 +13,19 @@
 use crate::core::{ClientRequest, RequestKey};
 pub use session::Session;
 
-/// What a client wants.
+/// An input from a client.
 #[derive(Debug, PartialEq)]
 pub enum Input {
-    /// A request under this id: [`Session::admitted`] or an answer must follow.
+    /// A request with this id, for which [`Session::admitted`] or a response must follow.
     Request(u16, ClientRequest),
-    /// The client no longer waits for the answer to this request.
+    /// The client has aborted this request.
     ClientGone(RequestKey),
-    /// A health check under this id: [`Session::answer_status`] must follow.
+    /// A health check with this id, for which [`Session::answer_status`] must follow.
     HealthCheck(u16),
 }
 
 impl Input {
-    /// Whether an answer under this id must follow.
+    /// Whether a response with this id must follow.
     fn is_for(&self, id: u16) -> bool {
         match self {
             Input::Request(own, _) | Input::HealthCheck(own) => *own == id,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Whether an answer must follow.
+    /// Whether a response must follow.
     fn wants_answer(&self) -> bool {
         !matches!(self, Input::ClientGone(_))
     }
--- a/daemon/src/front/fastcgi/output.rs
+++ b/daemon/src/front/fastcgi/output.rs
@@ -1,40 +1,40 @@
-//! Responses on their way out, as records that fit into the connection's ring.
+//! Queued responses, written as records that fit into the send buffer.
 
 use crate::net::RingBuffer;
 use crate::wire::fastcgi::{self as wire, kind};
 use std::collections::VecDeque;
 
-/// Capacity for the record that ends a stream and the one that ends the request.
+/// The size of the records that end a stream and its request.
 const END_CAPACITY: usize = 2 * wire::HEADER_LENGTH + wire::END_LENGTH;
-/// No record is shorter than this unless it is the last: a slow reader is not sent crumbs.
+/// The minimum content of a record other than the last, so that slow readers do not receive tiny records.
 const MIN_RECORD: usize = 1024;
 
-/// A message on its way out.
+/// A queued message.
 enum Message {
-    /// A record of the connection itself.
+    /// A management record.
     Management(Vec<u8>),
     /// The response to a request.
     Response {
         id: u16,
         bytes: Vec<u8>,
         written: usize,
-        /// The protocol status with which the request ends.
+        /// The protocol status that ends the request.
         status: u8,
         keep_open: bool,
     },
 }
 
-/// What became of a message that was to be written.
+/// The result of writing a message.
 enum Written {
-    /// It does not fit for now.
+    /// Nothing fits now.
     Blocked,
-    /// Some of it is written.
+    /// A part was written.
     Part,
-    /// All of it is written. False: the connection is to close behind it.
+    /// The whole message was written. If `keep_open` is false, the connection closes after it.
     All { keep_open: bool },
 }
 
-/// The messages that wait to be written, in order.
+/// The queued messages, in order.
 #[derive(Default)]
 pub(super) struct Output {
     messages: VecDeque<Message>,
@@ -42,28 +42,28 @@
 }
 
 impl Output {
-    /// Whether all is written.
+    /// Whether no message is queued.
     pub(super) fn is_empty(&self) -> bool {
         self.messages.is_empty()
     }
 
-    /// How many messages wait.
+    /// Returns the number of queued messages.
     pub(super) fn len(&self) -> usize {
         self.messages.len()
     }
 
-    /// Bytes of messages that wait, without their records.
+    /// Returns the number of bytes of the queued messages, without record headers.
     pub(super) fn pending_bytes(&self) -> usize {
         self.pending_bytes
     }
 
-    /// Adds a record of the connection itself.
+    /// Queues a management record.
     pub(super) fn push_management(&mut self, record: Vec<u8>) {
         self.pending_bytes += record.len();
         self.messages.push_back(Message::Management(record));
     }
 
-    /// Adds the response to a request, which ends with this protocol status.
+    /// Queues the response to a request, which ends with this protocol status.
     pub(super) fn push_response(&mut self, id: u16, bytes: Vec<u8>, status: u8, keep_open: bool) {
         self.pending_bytes += bytes.len();
         self.messages.push_back(Message::Response {
@@ -75,7 +75,8 @@
         });
     }
 
-    /// Moves as much as fits into the ring. False: a message after which the connection is to close is written.
+    /// Writes as much as fits into the buffer. Returns false once a message has been written after which the connection
+    /// closes.
     pub(super) fn write(&mut self, ring: &mut RingBuffer) -> bool {
         let mut all_keep_open = true;
         while let Some(message) = self.messages.front_mut() {
@@ -141,7 +142,8 @@
     }
 }
 
-/// Writes the next record of a response's content: how many bytes of it; none where too few would fit.
+/// Writes the next record of the content of a response. Returns the number of content bytes; `None` if too few would
+/// fit.
 fn write_content(ring: &mut RingBuffer, id: u16, content: &[u8]) -> Option<usize> {
     let fits = ring.free_bytes().saturating_sub(wire::HEADER_LENGTH);
     let length = fits.min(content.len()).min(wire::MAX_CONTENT);
@@ -154,7 +156,7 @@
     Some(length)
 }
 
-/// The records that end a response and its request.
+/// Returns the records that end a response and its request.
 fn end_records(id: u16, has_content: bool, status: u8) -> Vec<u8> {
     let mut records = Vec::with_capacity(END_CAPACITY);
     if has_content {
--- a/daemon/src/front/fastcgi/records.rs
+++ b/daemon/src/front/fastcgi/records.rs
@@ -1,4 +1,4 @@
-//! The records that come in on a connection.
+//! Processes the records that are received on a connection.
 
 use super::request::Parameters;
 use super::session::{PartialRequest, Session, Stream};
@@ -7,11 +7,11 @@
 use crate::wire::fastcgi::{self as wire, kind, Record};
 use crate::wire::WireError;
 
-/// The id of records that belong to the connection.
+/// The id of management records.
 const MANAGEMENT_ID: u16 = 0;
 
 impl Session {
-    /// Takes a record: the input that it completes, if any.
+    /// Processes a record. Returns the input that it completes, if any.
     pub(super) fn take_record(
         &mut self,
         record: Record,
@@ -36,13 +36,13 @@
                     return self.complete(record.id, limits);
                 }
             }
-            // Streams of requests that are over, or that are not used here.
+            // Records of finished requests and of unused streams are ignored.
             _ => {}
         }
         Ok(None)
     }
 
-    /// Takes a record that belongs to the connection, and answers it.
+    /// Responds to a management record.
     fn take_management(&mut self, record: &Record) -> Result<(), WireError> {
         let mut content = Vec::new();
         let answer_kind = if record.kind == kind::GET_VALUES {
@@ -62,7 +62,7 @@
         Ok(())
     }
 
-    /// Begins a request, or ends it at once where it can't be taken.
+    /// Begins a request, or ends it at once if it can't be accepted.
     fn begin(&mut self, record: &Record, limits: &Limits) -> Result<(), WireError> {
         let begin = wire::read_begin(&record.content)?;
         let keep_open = begin.flags & wire::KEEP_CONN != 0;
@@ -80,7 +80,7 @@
         Ok(())
     }
 
-    /// Takes a request that has arrived in full: the input that it is, unless it was answered here.
+    /// Processes a complete request. Returns its input, unless it was answered here.
     fn complete(&mut self, id: u16, limits: &Limits) -> Result<Option<Input>, WireError> {
         let Some(Stream::Receiving(request)) = self.streams.remove(&id) else {
             return Ok(None);
@@ -98,7 +98,7 @@
         match parameters.read(request.body, limits) {
             Ok(request) => Ok(Some(Input::Request(id, request))),
             Err(parameter) => {
-                log::info!("a request was turned away for {parameter}");
+                log::info!("request rejected: invalid parameter {parameter}");
                 let status = if parameters.is_for_content() {
                     "400 Bad Request"
                 } else {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Ends a request whose client no longer waits: what the core is to hear, if it has the request.
+    /// Ends an aborted request. Returns the input for the core, if the core has the request.
     fn abort(&mut self, id: u16) -> Option<Input> {
         let stream = self.streams.remove(&id)?;
         self.inputs.retain(|input| !input.is_for(id));
--- a/daemon/src/front/fastcgi/request.rs
+++ b/daemon/src/front/fastcgi/request.rs
@@ -1,19 +1,19 @@
-//! The CGI parameters of a request, read as the core's request.
+//! Parses the CGI parameters of a request.
 
 use crate::core::ClientRequest;
 use crate::limits::Limits;
 use std::fmt;
 
-/// Objects are in one of 256 groups.
+/// The highest group of an object.
 const MAX_GROUP: u64 = 255;
-/// Hexadecimal digits of an id, an object's key and a tag.
+/// The number of hexadecimal digits of a request id, an object key and a tag.
 const KEY_DIGITS: usize = 16;
-/// Hexadecimal digits of an idempotency key.
+/// The number of hexadecimal digits of an idempotency key.
 const IDEMPOTENCY_KEY_DIGITS: usize = 32;
-/// Paths under which content is requested.
+/// The prefix of the paths of content.
 const CONTENT_PREFIX: &str = "/invoke/";
 
-/// A parameter that is missing or can't be used.
+/// A parameter that is missing or invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct InvalidParameter(&'static str);
 
@@ -27,12 +27,12 @@
 pub(super) struct Parameters(Vec<(String, String)>);
 
 impl Parameters {
-    /// Parameters from their names and values.
+    /// Creates the parameters from their names and values.
     pub(super) fn new(pairs: Vec<(String, String)>) -> Self {
         Parameters(pairs)
     }
 
-    /// The path of the request; empty where none is given.
+    /// Returns the path of the request; empty if there is none.
     pub(super) fn path(&self) -> &str {
         self.get("SCRIPT_NAME").unwrap_or("")
     }
@@ -42,11 +42,11 @@
         self.path().starts_with(CONTENT_PREFIX)
     }
 
-    /// The core's request. No parameter may be guessed or passed on unread: caches close a connection on what they
-    /// can't read, with all that others have open on it, and the decision module learns from the figures.
+    /// Returns the request for the core. Invalid parameters are rejected, neither guessed nor passed on: caches close a
+    /// connection, with all its attempts, on malformed input, and the decision module learns from the values.
     ///
     /// # Errors
-    /// The parameter that is missing or can't be used.
+    /// Fails with the parameter that is missing or invalid.
     pub(super) fn read(
         &self,
         body: Vec<u8>,
@@ -71,7 +71,7 @@
         })
     }
 
-    /// The value of a parameter; none where it is missing or empty.
+    /// Returns the value of a parameter; `None` if it is missing or empty.
     fn get(&self, name: &str) -> Option<&str> {
         self.0
             .iter()
@@ -80,7 +80,7 @@
             .filter(|value| !value.is_empty())
     }
 
-    /// A value of so many hexadecimal digits.
+    /// Returns a value that must consist of `count` hexadecimal digits.
     fn digits(&self, name: &'static str, count: usize) -> Result<Option<String>, InvalidParameter> {
         match self.get(name) {
             Some(value) if !is_hex(value, count) => Err(InvalidParameter(name)),
@@ -88,12 +88,12 @@
         }
     }
 
-    /// A value of as many hexadecimal digits as a key has, which must be given.
+    /// Returns a required value with the number of hexadecimal digits of a key.
     fn required_digits(&self, name: &'static str) -> Result<String, InvalidParameter> {
         self.digits(name, KEY_DIGITS)?.ok_or(InvalidParameter(name))
     }
 
-    /// A decimal value up to this greatest one.
+    /// Returns a decimal value of up to `max`.
     fn number(&self, name: &'static str, max: u64) -> Result<Option<u64>, InvalidParameter> {
         let Some(value) = self.get(name) else {
             return Ok(None);
@@ -105,7 +105,7 @@
         number.map(Some).ok_or(InvalidParameter(name))
     }
 
-    /// The size of the part in KB; 0 where it is not given.
+    /// Returns the size of the part in KB; 0 if it is not given.
     fn size_kb(&self, limits: &Limits) -> Result<f64, InvalidParameter> {
         const NAME: &str = "HTTP_FOOTPRINT_KB";
         match self.get(NAME).map(str::parse::<f64>) {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The class, by the path.
+    /// Returns the class, which is in the path.
     fn class(&self) -> Result<String, InvalidParameter> {
         self.path()
             .strip_prefix(CONTENT_PREFIX)
@@ -124,7 +124,7 @@
             .ok_or(InvalidParameter("SCRIPT_NAME"))
     }
 
-    /// Checks that the body is as long as it was announced.
+    /// Checks that the body has the announced length.
     fn check_content_length(&self, length: usize) -> Result<(), InvalidParameter> {
         const NAME: &str = "CONTENT_LENGTH";
         match self.number(NAME, u64::MAX)? {
@@ -134,12 +134,12 @@
     }
 }
 
-/// Whether a text is so many hexadecimal digits, as ids, objects, keys and tags are.
+/// Whether a text consists of this number of hexadecimal digits.
 fn is_hex(text: &str, digits: usize) -> bool {
     text.len() == digits && text.bytes().all(|b| b.is_ascii_hexdigit())
 }
 
-/// Whether a text may name a class.
+/// Whether a text may be the name of a class.
 fn is_class_name(text: &str) -> bool {
     let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
     !text.is_empty() && text.bytes().all(is_allowed)
--- a/daemon/src/front/fastcgi/response.rs
+++ b/daemon/src/front/fastcgi/response.rs
@@ -1,8 +1,8 @@
-//! The core's answers as CGI responses.
+//! Converts the answers of the core to CGI responses.
 
 use crate::core::{Answer, Content};
 
-/// A final answer as a CGI response.
+/// Returns the CGI response of a final answer.
 pub(super) fn response(answer: &Answer) -> Vec<u8> {
     let mut out = Vec::new();
     let mut head = |lines: &str| out.extend_from_slice(lines.as_bytes());
@@ -27,7 +27,7 @@
     out
 }
 
-/// A response of a status alone, such as `400 Bad Request`.
+/// Returns a response with only a status, such as `400 Bad Request`.
 pub(super) fn status_response(status: &str) -> Vec<u8> {
     format!("Status: {status}\r\nContent-Length: 0\r\n\r\n").into_bytes()
 }
--- a/daemon/src/front/fastcgi/session.rs
+++ b/daemon/src/front/fastcgi/session.rs
@@ -1,4 +1,4 @@
-//! The state of one connection of a web server.
+//! The state of a connection of a web server.
 
 use super::output::Output;
 use super::response::{response, status_response};
@@ -10,19 +10,19 @@
 use crate::wire::{Parser, WireError};
 use std::collections::{HashMap, VecDeque};
 
-/// A request that is open on a connection.
+/// An open request of a connection.
 pub(super) enum Stream {
-    /// It arrives.
+    /// Parts of the request have been received.
     Receiving(PartialRequest),
-    /// It has arrived in full and waits for its answer.
+    /// The request is complete and is not answered.
     Waiting {
         keep_open: bool,
-        /// Its key in the core, once it is admitted.
+        /// The key of the request in the core, once it is admitted.
         key: Option<RequestKey>,
     },
 }
 
-/// A request that has arrived in part.
+/// An incomplete request.
 pub(super) struct PartialRequest {
     pub(super) keep_open: bool,
     pub(super) params: Vec<u8>,
@@ -31,7 +31,7 @@
 }
 
 impl PartialRequest {
-    /// A request of which nothing but its beginning has come.
+    /// Creates a request of which only the BEGIN_REQUEST record was received.
     pub(super) fn new(keep_open: bool) -> Self {
         PartialRequest {
             keep_open,
@@ -55,31 +55,31 @@
     }
 }
 
-/// One connection of a web server.
+/// A connection of a web server.
 #[derive(Default)]
 pub struct Session {
     pub(super) records: RecordParser,
     pub(super) streams: HashMap<u16, Stream>,
-    /// Inputs that have not been taken out yet.
+    /// The inputs that were not returned by `next_input` yet.
     pub(super) inputs: VecDeque<Input>,
     pub(super) output: Output,
-    /// A request has arrived in full by now.
+    /// Whether any request has been received in full.
     pub(super) has_received_request: bool,
-    /// An input that wants an answer has been taken out by now.
+    /// Whether an input that requires a response was returned by `next_input`.
     has_taken_input: bool,
-    /// The connection ends once all is written.
+    /// Whether the connection closes once all responses are written.
     closing: bool,
-    /// Something came that can't be read: what comes behind it is thrown away.
-    unreadable: bool,
+    /// Whether malformed input was received. Further input is discarded.
+    is_input_malformed: bool,
 }
 
 impl Session {
-    /// Whether no request is open and no answer on its way out.
+    /// Whether no request is open and no response is queued.
     pub fn is_idle(&self) -> bool {
         self.streams.is_empty() && self.output.is_empty()
     }
 
-    /// Bytes held of requests that have arrived in part.
+    /// Returns the number of buffered bytes of incomplete requests.
     pub fn buffered_bytes(&self) -> usize {
         let of_stream = |stream: &Stream| match stream {
             Stream::Receiving(request) => request.params.len() + request.body.len(),
@@ -88,71 +88,71 @@
         self.records.buffered_bytes() + self.streams.values().map(of_stream).sum::<usize>()
     }
 
-    /// Whether an answer is due or on its way out.
+    /// Whether a request is unanswered or a response is queued.
     pub fn has_pending_answers(&self) -> bool {
         !self.output.is_empty() || self.unanswered() > 0
     }
 
-    /// How many inputs that were taken out have no answer yet.
+    /// Returns the number of unanswered requests that were returned by `next_input`.
     pub fn unanswered(&self) -> usize {
         let waiting = self.streams.values().filter(|stream| stream.is_waiting());
         let not_taken_out = self.inputs.iter().filter(|input| input.wants_answer());
         waiting.count() - not_taken_out.count()
     }
 
-    /// Whether a request has arrived in part.
+    /// Whether a request is incomplete.
     pub fn is_partial(&self) -> bool {
         self.records.is_partial() || self.streams.values().any(|stream| !stream.is_waiting())
     }
 
-    /// Whether any request has arrived in full.
+    /// Whether any request has been received in full.
     pub fn has_received_request(&self) -> bool {
         self.has_received_request
     }
 
-    /// Whether the connection is to end and nothing is open on it any more.
+    /// Whether the connection is closing and nothing is open.
     pub fn is_finished(&self) -> bool {
         self.closing && self.is_idle()
     }
 
-    /// Whether the connection is to end once all that is open is answered.
+    /// Whether the connection closes once all open requests are answered.
     pub fn is_closing(&self) -> bool {
         self.closing
     }
 
-    /// Ends the connection once all that is open is answered, as a drain does.
+    /// Closes the connection once all open requests are answered, as in a drain.
     pub fn close_when_answered(&mut self) {
         self.closing = true;
     }
 
-    /// Whether a request that has arrived in full has no answer yet.
+    /// Whether a complete request is unanswered.
     pub fn has_unanswered_requests(&self) -> bool {
         self.streams.values().any(Stream::is_waiting)
     }
 
-    /// Takes nothing more in, as something came that can't be read. The connection ends once all that arrived in full
-    /// before it is answered.
+    /// Stops reading after malformed input. The connection closes once all requests that were complete before are
+    /// answered.
     pub fn stop_reading(&mut self) {
-        self.unreadable = true;
+        self.is_input_malformed = true;
         self.closing = true;
         self.records = RecordParser::default();
         self.streams.retain(|_, stream| stream.is_waiting());
-        let is_unread = |(id, stream): (&u16, &Stream)| {
+        let is_unadmitted = |(id, stream): (&u16, &Stream)| {
             let is_input = self.inputs.iter().any(|input| input.is_for(*id));
             matches!(stream, Stream::Waiting { key: None, .. }) && !is_input
         };
-        let unread: Vec<u16> = self
+        let unadmitted: Vec<u16> = self
             .streams
             .iter()
-            .filter(|stream| is_unread(*stream))
+            .filter(|stream| is_unadmitted(*stream))
             .map(|(id, _)| *id)
             .collect();
-        for id in unread {
+        for id in unadmitted {
             self.answer_status(id, "400 Bad Request");
         }
     }
 
-    /// Rejects the requests that have arrived in part, so that they hold no memory. The rest of them is passed over.
+    /// Rejects the incomplete requests to free their memory, and ignores their remaining records.
     pub fn reject_partial(&mut self, retry_after_us: Option<u64>) {
         let partial = self.streams.iter().filter(|(_, s)| !s.is_waiting());
         let mut partial: Vec<u16> = partial.map(|(id, _)| *id).collect();
@@ -167,12 +167,12 @@
         }
     }
 
-    /// Bytes of answers that wait to be written.
+    /// Returns the number of bytes of the queued responses.
     pub fn pending_output(&self) -> usize {
         self.output.pending_bytes()
     }
 
-    /// The requests of the connection that the core still has.
+    /// Returns the keys of the connection's requests in the core.
     pub fn open_requests(&self) -> Vec<RequestKey> {
         let key = |stream: &Stream| match stream {
             Stream::Waiting { key, .. } => *key,
@@ -181,13 +181,13 @@
         self.streams.values().filter_map(key).collect()
     }
 
-    /// Reads all of the ring. The inputs wait to be taken out: a request may be cancelled by what comes behind it, and
-    /// must not begin then.
+    /// Parses all received bytes. The inputs are returned by `next_input`, as a request may be aborted by a later
+    /// record before it is started.
     ///
     /// # Errors
-    /// What came can't be read, or breaks a limit.
+    /// Fails on malformed input and if a limit is exceeded.
     pub fn read(&mut self, ring: &mut RingBuffer, limits: &Limits) -> Result<(), WireError> {
-        if self.unreadable {
+        if self.is_input_malformed {
             ring.consume(ring.len());
         }
         while !ring.is_empty() {
@@ -198,12 +198,12 @@
                 None => None,
             };
             match input {
-                // Ahead of all else: nothing new is to begin for a client before what it left is cancelled.
+                // Placed first, so that aborted requests are cancelled before new ones start.
                 Some(gone @ Input::ClientGone(_)) => self.inputs.push_front(gone),
                 Some(input) => self.inputs.push_back(input),
                 None => {}
             }
-            // A client that sends on and takes no answers must not pile them up here.
+            // Bounds the responses to a client that sends requests but reads no responses.
             if self.output.len() > limits.max_pending_responses_per_client {
                 return Err(WireError::TooLong("the row of answers that are not taken"));
             }
@@ -211,7 +211,7 @@
         Ok(())
     }
 
-    /// Takes out the next input, and whether it is the connection's first that wants an answer.
+    /// Removes and returns the next input, and whether it is the first of the connection that requires a response.
     pub fn next_input(&mut self) -> Option<(Input, bool)> {
         let input = self.inputs.pop_front()?;
         let is_first = !self.has_taken_input;
@@ -219,19 +219,19 @@
         Some((input, is_first))
     }
 
-    /// The core has admitted a request.
+    /// Records the key of a request that the core has admitted.
     pub fn admitted(&mut self, id: u16, request: RequestKey) {
         if let Some(Stream::Waiting { key, .. }) = self.streams.get_mut(&id) {
             *key = Some(request);
         }
     }
 
-    /// The final answer to a request. One whose client has gone gets none.
+    /// Queues the final answer to a request. Does nothing if the client has aborted it.
     pub fn answer(&mut self, id: u16, answer: &Answer) {
         self.respond(id, response(answer));
     }
 
-    /// An answer of a status alone, such as `400 Bad Request`.
+    /// Queues a response with only a status, such as `400 Bad Request`.
     pub fn answer_status(&mut self, id: u16, status: &str) {
         self.respond(id, status_response(status));
     }
@@ -243,7 +243,7 @@
         }
     }
 
-    /// Moves as much of the answers as fits into the ring.
+    /// Writes as much of the queued responses as fits into the buffer.
     pub fn write(&mut self, ring: &mut RingBuffer) {
         self.closing |= !self.output.write(ring);
     }
--- a/daemon/src/front/mod.rs
+++ b/daemon/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! Fronts: each translates between its wire and the core's requests and answers.
+//! The fronts, each of which translates between a protocol and the requests and answers of the core.
 
 pub mod cdni;
 pub mod fastcgi;
