--- a/daemon/src/config/check.rs
+++ b/daemon/src/config/check.rs
@@ -1,23 +1,23 @@
-//! `linnetknot check`: checks files without starting anything.
+//! `linnetknot check`: validates files without starting the daemon.
 
 use super::{get, read_object, Config, ConfigError, Fields};
 use std::path::{Path, PathBuf};
 
-/// What a file is that was found sound, for people.
+/// The descriptions of valid files.
 const CONFIGURATION: &str = "a configuration, sound";
 const INTERCONNECT_FILE: &str = "an interconnect file, sound";
 const ENVIRONMENT: &str = "a start would find nothing wrong";
 
-/// The result of the check of one file.
+/// The result of the check of a file.
 #[derive(Debug)]
 pub struct CheckedFile {
-    /// The path of the file, or `environment` for those that a start would read.
+    /// The path of the file, or `environment` for the files that a start would read.
     pub name: String,
-    /// What the file is, or what is wrong with it.
+    /// The description of the file, or its error.
     pub result: Result<&'static str, ConfigError>,
 }
 
-/// Checks files; without any, those that a start would read.
+/// Checks files, or the files that a start would read if none are given.
 pub fn check(files: &[PathBuf]) -> Vec<CheckedFile> {
     if files.is_empty() {
         return vec![CheckedFile {
@@ -26,7 +26,7 @@
         }];
     }
     let mut checked = Vec::new();
-    // The operators' own file needs the settings: a configuration named beside it lends it these.
+    // The operators' own file is checked against the settings of a configuration that is also given.
     let mut configuration = None;
     let mut interconnect_files = Vec::new();
     for path in files {
@@ -71,6 +71,6 @@
 }
 
 fn check_interconnect(configuration: Option<Config>, fields: &Fields) -> Result<(), ConfigError> {
-    let mut config = configuration.map_or_else(Config::bare, Ok)?;
+    let mut config = configuration.map_or_else(Config::empty, Ok)?;
     config.interconnect(fields)
 }
--- a/daemon/src/config/error.rs
+++ b/daemon/src/config/error.rs
@@ -1,10 +1,10 @@
-//! Why a configuration is rejected.
+//! Errors of the configuration.
 
 use crate::interconnect::InterconnectError;
 use linnetknot::SettingsError;
 use std::io;
 
-/// A fault in the configuration. Every message names the key at fault, or the file that can't be read.
+/// An error of the configuration. Every message names the key at fault, or the file that can't be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The environment names no configuration.
@@ -15,7 +15,7 @@
     Unreadable {
         /// The path of the file.
         path: String,
-        /// Why not.
+        /// The error of the system.
         source: io::Error,
     },
     /// A file is not JSON.
@@ -23,7 +23,7 @@
     NotJson {
         /// The path of the file.
         path: String,
-        /// Where, and why not.
+        /// The error of the JSON parser.
         source: serde_json::Error,
     },
     /// A file holds JSON that is not an object.
@@ -32,15 +32,15 @@
         /// The path of the file.
         path: String,
     },
-    /// A fault in the content of a file.
+    /// An error in the content of a file.
     #[error("{path}: {source}")]
     InFile {
         /// The path of the file.
         path: String,
-        /// The fault.
+        /// The error.
         source: Box<ConfigError>,
     },
-    /// A field is missing or has the wrong type: the message of the reader of settings, which names it.
+    /// A field is missing or has the wrong type. The message of the settings parser names it.
     #[error("{0}")]
     Field(String),
     /// A field of `settings` is missing or has the wrong type.
@@ -49,7 +49,7 @@
     /// The fields of `settings` contradict each other.
     #[error("settings: {0}")]
     Contradiction(#[from] SettingsError),
-    /// A fault in `known`.
+    /// An error in `known`.
     #[error("known: {0}")]
     Known(String),
     /// A limit of the machine is 0.
@@ -58,13 +58,13 @@
         /// The key within `limits`.
         key: &'static str,
     },
-    /// A fault in the operators' own file.
+    /// An error in the operators' own file.
     #[error(transparent)]
     Interconnect(#[from] InterconnectError),
 }
 
 impl ConfigError {
-    /// The same fault, with the file in which it was found.
+    /// Adds the file in which the error was found.
     pub(super) fn in_file(self, path: &str) -> Self {
         ConfigError::InFile {
             path: path.to_owned(),
@@ -73,7 +73,7 @@
     }
 }
 
-/// The reader of settings returns messages that name the field at fault.
+/// The settings parser returns messages that name the field at fault.
 impl From<String> for ConfigError {
     fn from(message: String) -> Self {
         ConfigError::Field(message)
--- a/daemon/src/config/mod.rs
+++ b/daemon/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The one place where configuration is read, given defaults and checked. Every message names the faulty key.
+//! Reads and validates the configuration and applies its defaults. Every error names the key at fault.
 
 mod check;
 mod error;
@@ -19,66 +19,66 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Reads the configuration: at the start, and again on SIGHUP.
+/// Returns the configuration, at the start and again on SIGHUP.
 pub type Source = Box<dyn Fn() -> Result<Config, ConfigError>>;
 
-/// The operators' own file where the environment names no other.
-const INTERCONNECT: &str = "deploy/interconnect.json";
-/// Descriptors and megabytes of a machine of which the configuration says nothing.
+/// The operators' own file, unless the environment names another.
+const DEFAULT_INTERCONNECT_PATH: &str = "deploy/interconnect.json";
+/// The file descriptors and the memory of a machine if the configuration does not state them.
 const DEFAULT_DESCRIPTORS: usize = 1024;
 const DEFAULT_MEMORY_MB: usize = 192;
 
 /// The configuration of a daemon.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name.
+    /// The name of the proxy.
     pub name: String,
-    /// Where clients connect.
+    /// The address for clients.
     pub listen: SocketAddr,
-    /// The admin listener; none: there is none.
+    /// The address of the admin listener, if there is one.
     pub admin: Option<SocketAddr>,
-    /// The folder in which the operators' bans and drains are stored for the next process: `$TMPDIR`.
+    /// The folder in which the operators' bans and drains are stored for the next process, `$TMPDIR`.
     pub operator_state_folder: PathBuf,
-    /// The seed of its random numbers.
+    /// The seed of the random numbers.
     pub seed: u64,
-    /// The bounds that follow from the machine.
+    /// The limits that follow from the machine.
     pub limits: Limits,
-    /// The event bus; none: the endpoint list comes from elsewhere.
+    /// The event bus; `None` if the endpoint list comes from elsewhere.
     pub bus: Option<SocketAddr>,
-    /// The events up to the start.
+    /// The events before the start.
     pub known: KnownEvents,
     /// The settings of the decision module.
     pub settings: Settings,
-    /// The addresses at which the proxies of the fleet exchange datagrams; none: it is alone.
+    /// The addresses at which the proxies of the fleet exchange datagrams; `None` for a single proxy.
     pub peers: Option<PeerAddresses>,
-    /// Peers are notified of an origin that is late, and listened to.
+    /// Whether the proxies notify each other of a slow origin.
     pub share_origin_health: bool,
-    /// To how many machines purges by peer CDNs are replicated before they are committed.
+    /// The replication of purges by peer CDNs.
     pub replication: Replication,
-    /// The same as the file has it, for peers that change.
+    /// The replication settings of the file, which are checked again when the peers change.
     replication_file: ReplicationFile,
-    /// The limits that all proxies share.
+    /// The budgets that all proxies share.
     pub budgets: Budgets,
-    /// The listener for peer CDNs; none: it is off.
+    /// The listener for peer CDNs; `None` if it is off.
     pub cdni: Option<Cdni>,
-    /// Consul as a source of the endpoint list; none: it is off.
+    /// Consul as a source of the endpoint list; `None` if it is off.
     pub consul: Option<Consul>,
-    /// What outlives the process.
+    /// The state that outlives the process.
     pub state: State,
     /// The format of the log.
     pub log: LogForm,
 }
 
-/// Events of the bus that a daemon is configured with.
+/// The events of the bus that are part of the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct KnownEvents {
     /// The number of the last event.
     pub offset: u64,
-    /// The events, in their order.
+    /// The events, in order.
     pub events: Vec<BusEvent>,
 }
 
-/// What the operators' file says of replication.
+/// The replication settings of the operators' file.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct ReplicationFile {
     is_on: bool,
@@ -104,12 +104,12 @@
 }
 
 impl Config {
-    /// Reads the file that `ROUTER_CONFIG` names; `ROUTER_NAME`, `ROUTER_LISTEN` and `ROUTER_OPS` stand in for keys that
-    /// it lacks. The listener for peer CDNs, Consul, replication, budgets, state and log stand in a file of the
-    /// deployment's own, `deploy/interconnect.json` unless `LINNETKNOT_INTERCONNECT` names another.
+    /// Reads the file that `ROUTER_CONFIG` names. `ROUTER_NAME`, `ROUTER_LISTEN` and `ROUTER_OPS` replace keys that it
+    /// lacks. The listener for peer CDNs, Consul, replication, budgets, state and log are in the operators' own file,
+    /// `deploy/interconnect.json` unless `LINNETKNOT_INTERCONNECT` names another.
     ///
     /// # Errors
-    /// Fails where a file can't be read or a key is faulty.
+    /// Fails if a file can't be read or a key is invalid.
     pub fn from_env() -> Result<Self, ConfigError> {
         let path = std::env::var("ROUTER_CONFIG").map_err(|_| ConfigError::NoFile)?;
         let mut fields = read_object(&path)?;
@@ -124,7 +124,7 @@
         }
         let mut config = Self::read(&fields).map_err(|e| e.in_file(&path))?;
         let named = std::env::var("LINNETKNOT_INTERCONNECT").ok();
-        let path = named.as_deref().unwrap_or(INTERCONNECT);
+        let path = named.as_deref().unwrap_or(DEFAULT_INTERCONNECT_PATH);
         if named.is_some() || Path::new(path).exists() {
             config
                 .interconnect(&read_object(path)?)
@@ -133,10 +133,10 @@
         Ok(config)
     }
 
-    /// Takes over the operators' own file: a section that it leaves out is off.
+    /// Applies the operators' own file. A section that it omits is off.
     ///
     /// # Errors
-    /// Fails where a key is unknown or faulty.
+    /// Fails if a key is unknown or invalid.
     pub fn interconnect(&mut self, fields: &Fields) -> Result<(), ConfigError> {
         let value = Value::Object(fields.clone());
         let file: File =
@@ -169,10 +169,10 @@
         Ok(())
     }
 
-    /// Replication as it is with these peers.
+    /// Returns the replication settings for these peers.
     ///
     /// # Errors
-    /// Fails where they stand on too few machines.
+    /// Fails if the peers are on too few machines.
     pub fn check_replication(
         &self,
         peers: Option<&PeerAddresses>,
@@ -181,7 +181,7 @@
         copies.check(*is_on, peers)
     }
 
-    /// A configuration with all that is optional left out.
+    /// Creates a configuration without its optional parts.
     fn new(name: String, listen: SocketAddr, settings: Settings, limits: Limits) -> Self {
         Config {
             name,
@@ -205,9 +205,9 @@
         }
     }
 
-    /// A configuration that says nothing, to check the operators' own file against where there is none: its one zone
-    /// has no name, so any name of a zone will do.
-    fn bare() -> Result<Self, ConfigError> {
+    /// Creates an empty configuration, against which the operators' own file is checked if no configuration is given.
+    /// Its only zone has no name, so that any zone name is valid.
+    fn empty() -> Result<Self, ConfigError> {
         let mut fields = Fields::new();
         fields.insert("zone".to_owned(), "".into());
         fields.insert("localities".to_owned(), vec![""].into());
@@ -219,9 +219,9 @@
         ))
     }
 
-    /// The keys in which a new configuration differs although a running daemon can't follow it there: what they
-    /// say was built into sockets, tables and the decision module at the start. `seed` and `known` are another
-    /// with every start and mean nothing to a daemon that runs.
+    /// Returns the keys in which a new configuration differs and that a running daemon can't change, as sockets, tables
+    /// and the decision module were built from them. `seed` and `known` differ with every start and do not matter to a
+    /// running daemon.
     pub fn fixed_changes(&self, new: &Config) -> Vec<&'static str> {
         let own = |config: &Config| config.peers.as_ref().map(|peers| peers.own);
         let changes = [
--- a/daemon/src/config/read.rs
+++ b/daemon/src/config/read.rs
@@ -11,14 +11,15 @@
 };
 use std::net::SocketAddr;
 
-/// How much later than told caches may have dropped what was purged: time limits on sockets are that much longer.
+/// The time by which real caches may drop purged objects later than configured, as their time limits on sockets are
+/// longer.
 const SOCKET_SLACK_US: u64 = 50_000;
 
 impl Config {
     /// Reads a configuration.
     ///
     /// # Errors
-    /// Fails where a key is missing or faulty.
+    /// Fails if a key is missing or invalid.
     pub fn read(fields: &Fields) -> Result<Self, ConfigError> {
         let seed = text_or(fields, "seed", "0")?;
         let peers = addresses(fields, "peers")?;
@@ -47,18 +48,17 @@
 
 fn read_settings(fields: &Fields) -> Result<Settings, ConfigError> {
     let mut settings = settings(fields).map_err(ConfigError::Settings)?;
-    // Caches drop what was purged by themselves, each time limit on sockets being that much longer: until then a
-    // response of unknown age is not used.
+    // Until all caches have dropped purged objects, responses of unknown age are not used.
     settings.rules.purge_done_us += SOCKET_SLACK_US;
     settings.check()?;
     Ok(settings)
 }
 
-/// The bounds that fit the machine of the configuration.
+/// Returns the limits for the machine of the configuration.
 fn machine_limits(fields: &Fields) -> Result<Limits, ConfigError> {
     let empty = Fields::new();
     let machine = object_or_empty(fields, "limits", &empty)?;
-    // What the process may really open binds it, whatever the configuration says.
+    // The limit of the process applies as well.
     let allowed = rustix::process::getrlimit(rustix::process::Resource::Nofile)
         .current
         .and_then(|descriptors| usize::try_from(descriptors).ok())
@@ -106,11 +106,11 @@
         .ok_or_else(|| wrong(key))
 }
 
-/// What the settings say of connections to cache servers; 0: nothing.
+/// The timeouts of connections to cache servers in the settings; 0 if not set.
 struct ConnectionTimes {
-    /// How long a connection may take to be up.
+    /// The connect timeout.
     connect_us: u64,
-    /// How long it may be idle.
+    /// The idle timeout.
     idle_us: u64,
 }
 
@@ -135,7 +135,7 @@
             .iter()
             .map(read_event)
             .collect::<FieldResult<_>>()?;
-        // From the bus, an event that can't be read is skipped; here it is a fault of the configuration.
+        // An unreadable event from the bus is skipped, but in the configuration it is an error.
         for event in &events {
             if let Some(BusUpdate::List(ReceivedList { unreadable, .. })) = &event.update {
                 if let Some(fault) = unreadable.first() {
--- a/daemon/src/fail_points/error.rs
+++ b/daemon/src/fail_points/error.rs
@@ -1,34 +1,34 @@
-//! Why fail points can't be armed.
+//! Errors of arming fail points.
 
 use super::{CLOCK, VARIABLE};
 use std::num::ParseIntError;
 
-/// A fault in the environment variable that arms the fail points.
+/// An error in the environment variable that arms the fail points.
 #[derive(Debug, thiserror::Error)]
 pub enum ArmError {
     /// The offset of the wall clock is not a number.
     #[error("{VARIABLE}: '{CLOCK}={offset}': {source}")]
     ClockOffset {
-        /// The offset, as the variable has it.
+        /// The offset in the variable.
         offset: String,
-        /// Why it can't be read.
+        /// The error of parsing the offset.
         source: ParseIntError,
     },
-    /// No point has this name.
+    /// There is no point with this name.
     #[error("{VARIABLE}: there is no point '{0}'")]
     UnknownPoint(String),
-    /// A point can't be armed in this way.
+    /// The action of a point is unknown.
     #[error("{VARIABLE}: '{0}' is none of NAME=die, NAME=stall, NAME=fail and NAME=ERRNO")]
     UnknownAction(String),
-    /// A system call can't be armed in this way.
+    /// The name or the plan of a system call is invalid.
     #[error("{VARIABLE}: {part}: {reason}")]
     SystemCall {
         /// The part of the variable at fault.
         part: String,
-        /// What is wrong with it.
+        /// The reason.
         reason: String,
     },
-    /// The crate `fail` does not accept an action.
+    /// The crate `fail` rejected an action.
     #[error("{VARIABLE}: {0}")]
     Action(String),
     /// The process is armed already.
--- a/daemon/src/fail_points/mod.rs
+++ b/daemon/src/fail_points/mod.rs
@@ -1,10 +1,10 @@
-//! Fail points: named points of the daemon's work at which a process is killed, stops, or meets an error, so that tests can
-//! end it in the middle of a commit. Only builds with the feature `points` have them, which no release build does: without
-//! it each `fail_point!` is nothing at all.
+//! Fail points: named points at which a process is killed, is stopped or gets an error, for tests of failures in the
+//! middle of an operation. Only builds with the feature `points` have them, which release builds do not; without it
+//! `fail_point!` expands to nothing.
 //!
-//! `LINNETKNOT_POINTS=store-committed=die;admin-kept=stall` arms them at the start. System calls fail with
-//! `sys-epoll-ctl=errno(ENOMEM|ENOSPC):every(31)`, and move few bytes with `sys-read=short(1)` (`net::injection`).
-//! `clock=-3600` among them starts the process with a wall clock that is so many seconds off.
+//! `LINNETKNOT_POINTS=store-committed=die;admin-kept=stall` arms points at the start. System calls fail with
+//! `sys-epoll-ctl=errno(ENOMEM|ENOSPC):every(31)`, and transfer few bytes with `sys-read=short(1)` (`net::injection`).
+//! `clock=-3600` offsets the wall clock of the process by this number of seconds.
 
 mod error;
 mod transient;
@@ -19,63 +19,63 @@
 
 /// The environment variable that arms the points.
 const VARIABLE: &str = "LINNETKNOT_POINTS";
-/// The name under which an offset of the wall clock is given.
+/// The name of the offset of the wall clock.
 const CLOCK: &str = "clock";
-/// What the names of system calls begin with.
+/// The prefix of the names of system calls.
 const SYSTEM_CALL_PREFIX: &str = "sys-";
-/// What the name of a point begins with that is armed a while after the start.
+/// The prefix of the names of points that are armed some time after the start.
 const LATE_PREFIX: &str = "late-";
 const MICROS_PER_SECOND: i64 = 1_000_000;
 
-/// How far the wall clock of this process is off, in microseconds.
+/// The offset of the wall clock of this process, in microseconds.
 static CLOCK_OFFSET_US: AtomicI64 = AtomicI64::new(0);
 
-/// The points, in the order in which a promise passes them.
+/// The points, in the order in which a commit passes them.
 pub const POINTS: [&str; 27] = [
-    // A purge that a neighbour told: before the peers are told and after; before the store's worker writes and after;
-    // and once enough have it, before the answer.
+    // A purge by a peer CDN: before and after it is sent to the peers, before and after the store's worker commits it,
+    // and once enough proxies have it, before the response.
     "peers-tell",
     "peers-told",
     "store-commits",
     "store-committed",
     "promise-kept",
-    // The disk takes nothing more (`fail`).
+    // The store fails to write (`fail`).
     "store-fails",
-    // Calls to the file system, of the store and of files that are put in place as a whole (`ERRNO`).
+    // Calls to the file system, of the store and of files that are replaced atomically (`ERRNO`).
     "disk-open",
     "disk-read",
     "disk-write",
     "disk-sync",
     "disk-truncate",
     "disk-rename",
-    // At a peer that has it on its disk, before it says so.
+    // At a peer with the durable purge, before it acknowledges it.
     "holder-says",
-    // At a proxy that is behind what its peers compacted, when a chunk of their snapshot is in force; and one that gets
-    // no chunk at all (`fail`).
+    // At a proxy that receives a snapshot: after a chunk of the snapshot is applied, and when no chunk arrives
+    // (`fail`).
     "snapshot-chunk",
     "snapshot-lost",
-    // Faults that rehearsals plant, so that their rules have something to find (`fail`): a yes before the copy, a
-    // catch-up that skips what is missing, a replaced process that goes on promising.
+    // Faults that rehearsals inject to test their rules (`fail`): an acknowledgement before the purge is durable, a
+    // recovery that skips missing entries, and a replaced process that continues to commit.
     "plant-credit",
     "plant-skip",
     "plant-no-fence",
-    // And entries that leave the disk before the buckets that hold their purges are synced.
+    // The same: entries that are removed before the buckets with their purges are synced.
     "plant-early-removal",
-    // A ban or drain at the admin listener: before its file is put in place, between the two, and after both.
+    // A ban or drain at the admin listener: before its first file is replaced, between the two, and after both.
     "admin-keeps",
     "admin-kept-once",
     "admin-kept",
-    // An allocator that has decided on leases of what all spend: before their holders learn of them and after.
+    // An allocator that has decided on leases: before and after it sends them to their holders.
     "budgets-grant",
     "budgets-granted",
-    // Faults that rehearsals plant: a holder that ignores its lease's end, an allocator that does not wait for its
-    // forerunner's votes, floors that are not counted.
+    // Faults that rehearsals inject: a holder that ignores the end of its lease, an allocator that does not wait for
+    // the votes of its predecessor's term, and reserved minimums that are not counted.
     "plant-lease",
     "plant-votes",
     "plant-floors",
 ];
 
-/// How far the wall clock of this process is off, in microseconds.
+/// Returns the offset of the wall clock of this process, in microseconds.
 pub(crate) fn clock_offset_us() -> i64 {
     CLOCK_OFFSET_US.load(Ordering::Relaxed)
 }
@@ -83,7 +83,7 @@
 /// Arms the points that the environment names.
 ///
 /// # Errors
-/// Fails on an unknown point or action, and where system calls are armed already.
+/// Fails on an unknown point or action, and if system calls are already armed.
 pub fn arm() -> Result<(), ArmError> {
     let Ok(text) = std::env::var(VARIABLE) else {
         return Ok(());
@@ -103,7 +103,7 @@
 }
 
 fn arm_point(part: &str, name: &str, action: &str) -> Result<(), ArmError> {
-    let (name, is_late) = match name.strip_prefix(LATE_PREFIX) {
+    let (name, is_delayed) = match name.strip_prefix(LATE_PREFIX) {
         Some(name) => (name, true),
         None => (name, false),
     };
@@ -117,13 +117,13 @@
         action => {
             return TransientError::parse(action)
                 .ok_or_else(|| ArmError::UnknownAction(part.to_owned()))?
-                .arm(name, is_late)
+                .arm(name, is_delayed)
         }
     }
     .map_err(ArmError::Action)
 }
 
-/// A signal to the own process is delivered before the call returns; a stopped process continues from here.
+/// A signal to the own process is delivered before the call returns. A stopped process continues from here.
 fn send_to_self(signal: Signal) {
     let _ = kill_process(getpid(), signal);
 }
@@ -137,7 +137,7 @@
     Ok(())
 }
 
-/// A system call by its name, and how it is to fail.
+/// Parses the name of a system call and its plan.
 fn system_call(part: &str, name: &str, plan: &str) -> Result<(Call, Plan), ArmError> {
     let fault = |reason: String| ArmError::SystemCall {
         part: part.to_owned(),
--- a/daemon/src/fail_points/transient.rs
+++ b/daemon/src/fail_points/transient.rs
@@ -1,14 +1,14 @@
-//! Errors that a fail point returns for a while.
+//! Errors that a fail point returns for a limited number of passes or time.
 
 use super::ArmError;
 use std::thread;
 use std::time::Duration;
 
-/// How long after the start a point is armed whose name begins with `late-`: the process has opened its files by then.
-const LATE: Duration = Duration::from_millis(500);
+/// The delay after the start at which points with the prefix `late-` are armed, when the process has opened its files.
+const LATE_ARMING_DELAY: Duration = Duration::from_millis(500);
 
-/// An error that a point returns: `EIO` always, `EIO*2` twice, `EIO@1500` for so many milliseconds, `EIO+3` after three
-/// passes without one.
+/// An error that a point returns: `EIO` always, `EIO*2` twice, `EIO@1500` for 1,500 milliseconds, `EIO+3` after three
+/// passes without an error.
 pub(super) struct TransientError<'a> {
     errno: &'a str,
     passes_before: usize,
@@ -17,7 +17,7 @@
 }
 
 impl<'a> TransientError<'a> {
-    /// Parses an error; none where the text is none.
+    /// Parses an error; `None` if the text is not one.
     pub(super) fn parse(text: &'a str) -> Option<Self> {
         let (rest, duration) = match text.split_once('@') {
             Some((rest, ms)) => (rest, Some(Duration::from_millis(ms.parse().ok()?))),
@@ -40,16 +40,16 @@
         })
     }
 
-    /// Arms a point with it, at once or `LATE`.
-    pub(super) fn arm(&self, name: &str, is_late: bool) -> Result<(), ArmError> {
+    /// Arms a point with the error, at once or after `LATE_ARMING_DELAY`.
+    pub(super) fn arm(&self, name: &str, is_delayed: bool) -> Result<(), ArmError> {
         let action = self.action();
         let (name, duration) = (name.to_owned(), self.duration);
-        if !is_late {
+        if !is_delayed {
             fail::cfg(&name, &action).map_err(ArmError::Action)?;
         }
         thread::spawn(move || {
-            if is_late {
-                thread::sleep(LATE);
+            if is_delayed {
+                thread::sleep(LATE_ARMING_DELAY);
                 if let Err(e) = fail::cfg(&name, &action) {
                     let e = ArmError::Action(e);
                     log::error!("a fail point is not armed: {e}");
@@ -63,7 +63,7 @@
         Ok(())
     }
 
-    /// The same in the language of the crate `fail`.
+    /// Returns the action for the crate `fail`.
     fn action(&self) -> String {
         let before = match self.passes_before {
             0 => String::new(),
