--- a/daemon/src/fail_points/mod.rs
+++ b/daemon/src/fail_points/mod.rs
@@ -68,8 +68,8 @@
     // An allocator that has decided on leases: before and after it sends them to their holders.
     "budgets-grant",
     "budgets-granted",
-    // Faults that rehearsals inject: a holder that ignores the end of its lease, an allocator that does not wait for
-    // the votes of its predecessor's term, and reserved minimums that are not counted.
+    // Faults that rehearsals inject: a holder that ignores the end of its lease, a candidate that counts a vote of each
+    // member that it asks, and reserved minimums that are not counted against the limit.
     "plant-lease",
     "plant-votes",
     "plant-floors",
--- a/daemon/src/interconnect/budgets.rs
+++ b/daemon/src/interconnect/budgets.rs
@@ -1,4 +1,4 @@
-//! The section `budgets`: the limits that all proxies share.
+//! The section `budgets`: limits that all proxies share.
 
 use super::validation::range;
 use super::{InterconnectError, PeerAddresses, Result};
@@ -7,7 +7,7 @@
 use schemars::JsonSchema;
 use serde::Deserialize;
 
-/// The largest limit of the origin, in requests at a time.
+/// The maximum limit of the origin, in concurrent requests.
 const MAX_ORIGIN_REQUESTS: u64 = 1_000_000;
 
 /// What all proxies spend together, divided among them so that their parts never sum to more than the whole. Needs
@@ -56,35 +56,35 @@
     1
 }
 
-/// One thing that is shared.
+/// A shared budget.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SharedBudget {
-    /// Its name.
+    /// The name of the budget.
     pub name: String,
-    /// What its amounts count.
+    /// The unit of its amounts.
     pub unit: kinds::Unit,
-    /// What the module knows it as; none: it is another zone's.
+    /// The budget of the decision module; `None` if it is that of another zone.
     pub module_budget: Option<linnetknot::Budget>,
-    /// Its limit and reserved minimum.
+    /// The limit and the reserved minimum.
     pub spec: BudgetSpec,
 }
 
-/// What is shared, checked.
+/// The validated budgets.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Budgets {
-    /// This proxy's index in the list of all.
+    /// The index of this proxy in the list of all.
     pub index: usize,
-    /// How many are in it.
+    /// The number of proxies.
     pub members: usize,
-    /// Stands for what is shared among how many: whose is another does not share with this proxy.
+    /// A hash of the budgets and the number of proxies. Proxies with another one do not share with this proxy.
     pub fingerprint: u64,
-    /// What is shared.
+    /// The budgets.
     pub list: Vec<SharedBudget>,
 }
 
 impl Budgets {
-    /// How long a request may be open at most, whatever its client says; none: places at the origin are not shared, so
-    /// that it need not be bounded.
+    /// Returns the maximum time for which a request may be open, regardless of the budget of its client; `None` if the
+    /// origin's requests are not a shared budget.
     pub fn max_request_us(&self) -> Option<Micros> {
         let origin = self
             .list
@@ -95,10 +95,10 @@
 }
 
 impl BudgetsFile {
-    /// What the daemon uses, for these settings and the peers of the configuration.
+    /// Validates the section for these settings and peers.
     ///
     /// # Errors
-    /// Fails on a number out of range, without replication, and where this proxy is not among the peers.
+    /// Fails on a number out of range, without replication, and if this proxy is not among the peers.
     pub fn check(
         &self,
         settings: &Settings,
@@ -112,7 +112,7 @@
         if !replicates {
             return Err(InterconnectError::BudgetsNeedReplication);
         }
-        // Without peers a file is checked by itself, and nothing can be said of how many share.
+        // Without peers, the file is checked by itself and the number of proxies is unknown.
         let Some(peers) = peers else {
             return Ok(Budgets::default());
         };
@@ -147,7 +147,7 @@
         Ok(())
     }
 
-    /// What caches in slow start take: of the parents, and of the caches of each zone.
+    /// Returns the budgets of slow start: those of the parents and of the caches of each zone.
     fn slow_start_budgets(&self, settings: &Settings, members: usize) -> Vec<SharedBudget> {
         let limit = kinds::CACHES.unit.one();
         let spec = BudgetSpec {
@@ -168,7 +168,7 @@
 }
 
 impl OriginFile {
-    /// The origin's requests as a budget of so many members.
+    /// Returns the budget of the origin's requests for this number of members.
     fn shared(&self, settings: &Settings, members: usize) -> Result<SharedBudget> {
         let deadlines = settings.classes.iter().map(|class| class.deadline_us);
         let spec = BudgetSpec {
@@ -206,8 +206,8 @@
     }
 }
 
-/// Stands for what is shared among how many. A limit may differ for a while, as it is changed at one proxy after the
-/// other: it is left out.
+/// Hashes the budgets and the number of members. Limits are left out, as they may differ while they are changed at one
+/// proxy after the other.
 fn fingerprint(members: usize, list: &[SharedBudget]) -> u64 {
     let mut text = members.to_string();
     for SharedBudget { name, spec, .. } in list {
--- a/daemon/src/interconnect/cdni.rs
+++ b/daemon/src/interconnect/cdni.rs
@@ -48,22 +48,22 @@
     "/cdni/triggers".to_owned()
 }
 
-/// The listener for peer CDNs, checked.
+/// The validated section.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Cdni {
-    /// Where peer CDNs and redirected clients connect.
+    /// The address for peer CDNs and redirected clients.
     pub listen: SocketAddr,
-    /// How this CDN presents itself.
+    /// The identity of this CDN.
     pub identity: Identity,
-    /// The file that purges by peer CDNs are stored in; none: they last as long as the daemon runs.
+    /// The file in which purges by peer CDNs are stored; `None` if they do not outlive the process.
     pub purges: Option<PathBuf>,
 }
 
 impl CdniFile {
-    /// What the daemon uses, checked; none where the file names no address to listen on.
+    /// Validates the section; `None` if the file names no address to listen on.
     ///
     /// # Errors
-    /// Fails where the provider or the base is missing, and on a network that can't be read.
+    /// Fails if the provider or the base is missing, or a network is malformed.
     pub fn check(&self, settings: &Settings) -> Result<Option<Cdni>> {
         let Some(listen) = self.listen else {
             return Ok(None);
--- a/daemon/src/interconnect/consul/file.rs
+++ b/daemon/src/interconnect/consul/file.rs
@@ -1,4 +1,4 @@
-//! The form of the section `consul`, with its defaults.
+//! The section `consul` of the file, with its defaults.
 
 use linnetknot_consul::MetaKeys;
 use linnetknot_discovery::Damping;
--- a/daemon/src/interconnect/consul/mod.rs
+++ b/daemon/src/interconnect/consul/mod.rs
@@ -1,4 +1,4 @@
-//! The section `consul`: Consul as a source of the endpoint list, and the registration of this proxy there.
+//! The section `consul`: Consul as a source of the endpoint list, and the registration of this proxy.
 
 mod file;
 mod validation;
@@ -10,36 +10,36 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Consul as the daemon uses it.
+/// The validated section.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Consul {
-    /// Agents, in the order in which they are turned to.
+    /// The agents, in the order of their use.
     pub agents: Vec<SocketAddr>,
-    /// What is watched: one set of options a data centre.
+    /// The options of the queries, one for each data center.
     pub options: Vec<Options>,
-    /// How instances are read.
+    /// The mapping of instances to endpoints.
     pub mapping: Mapping,
-    /// The file with the token.
+    /// The file with the ACL token.
     pub token_file: Option<PathBuf>,
-    /// The longest answer that is read.
+    /// The maximum size of a response, in bytes.
     pub max_response_bytes: usize,
-    /// The bus's list counts too.
+    /// Whether the list of the event bus is used as well.
     pub beside_bus: bool,
-    /// Damping.
+    /// The damping of flapping caches.
     pub damping: Damping,
     register: Option<Registration>,
 }
 
-/// The proxy's own registration, checked.
+/// The validated registration of the proxy.
 #[derive(Clone, Debug, PartialEq)]
 struct Registration {
     registrant: Registrant,
-    /// The file names the address that is registered; else it is the one that clients connect to.
+    /// Whether the file names the registered address; otherwise it is the address for clients.
     has_address: bool,
 }
 
 impl Registration {
-    /// Whether two registrations are the same at the agents, however many agents there are.
+    /// Whether two registrations are the same except for the number of agents.
     fn is_same(&self, other: &Registration) -> bool {
         let registrant = Registrant {
             agents: self.registrant.agents,
@@ -50,7 +50,7 @@
 }
 
 impl Consul {
-    /// What is registered, where clients connect to `listen` unless the file names another address.
+    /// Returns the registration of a proxy with this address for clients, which is used unless the file names another.
     pub fn registrant(&self, listen: SocketAddr) -> Option<Registrant> {
         let Registration {
             registrant,
@@ -67,8 +67,8 @@
         })
     }
 
-    /// Whether a running daemon can follow a change to this: the sources of its list and its own registration are
-    /// those of its start.
+    /// Whether a running daemon can change to this configuration. The sources of its list and its registration can't
+    /// change.
     pub fn can_reload_as(&self, new: &Consul) -> bool {
         let has_same_registration = match (&self.register, &new.register) {
             (Some(own), Some(new)) => own.is_same(new),
@@ -79,14 +79,14 @@
             && self.beside_bus == new.beside_bus
     }
 
-    /// The data centres that are watched; none stands for the agent's own.
+    /// Returns the watched data centers; `None` stands for that of the agent.
     fn datacenters(&self) -> impl Iterator<Item = Option<&str>> {
         self.options
             .iter()
             .map(|options| options.datacenter.as_deref())
     }
 
-    /// What a list of each data centre is the list of.
+    /// Returns a text for each data center that identifies its list.
     pub fn scopes(&self) -> Vec<String> {
         let scope = |options: &Options| {
             let datacenter = options.datacenter.as_deref().unwrap_or("");
--- a/daemon/src/interconnect/consul/validation.rs
+++ b/daemon/src/interconnect/consul/validation.rs
@@ -12,16 +12,16 @@
 use std::net::SocketAddr;
 
 const MAX_DATACENTERS: usize = 16;
-/// The most bytes of the tags and the meta of a registration.
+/// The maximum size of the tags and the meta of a registration.
 const MAX_REGISTRATION_BYTES: usize = 16 << 10;
-/// How long the agent may take to answer a call about the registration.
+/// The timeout of a call about the registration.
 const REGISTRATION_TIMEOUT_US: u64 = 1_000_000;
 
 impl ConsulFile {
-    /// What the daemon uses, checked; none where no agent is named.
+    /// Validates the section; `None` if no agent is named.
     ///
     /// # Errors
-    /// Fails on a number out of range, an unusable text, and a zone that the settings don't have.
+    /// Fails on a number out of range, an invalid text, and a zone that is not in the settings.
     pub fn check(&self, settings: &Settings, name: &str) -> Result<Option<Consul>> {
         let agents: Vec<SocketAddr> = self.address.iter().chain(&self.agents).copied().collect();
         if agents.is_empty() {
@@ -59,7 +59,7 @@
         Ok(())
     }
 
-    /// The queries, one for each data centre.
+    /// Returns the options of the queries, one for each data center.
     fn options(&self, agents: usize) -> Result<Vec<Options>> {
         range(
             "consul.datacenters",
@@ -91,7 +91,7 @@
         Ok(self.datacenters.iter().map(in_datacenter).collect())
     }
 
-    /// How instances are read.
+    /// Returns the mapping of instances to endpoints.
     fn mapping(&self, settings: &Settings) -> Result<Mapping> {
         let names = settings.zones.iter().map(|zone| zone.name.clone());
         let zones: Vec<String> = names.filter(|name| !name.is_empty()).collect();
@@ -168,7 +168,7 @@
         Ok(damping)
     }
 
-    /// The key of a figure: times are in seconds here.
+    /// Returns the key of a damping parameter: times are in seconds in the file.
     fn key(figure: &str) -> String {
         match figure {
             "half_life" | "most_suppressed" => format!("{figure}_s"),
@@ -207,7 +207,7 @@
         })
     }
 
-    /// Bytes of the tags and the meta.
+    /// Returns the size of the tags and the meta, in bytes.
     fn size(&self) -> usize {
         let tags: usize = self.tags.iter().map(String::len).sum();
         let meta = self.meta.iter().map(|(key, value)| key.len() + value.len());
--- a/daemon/src/interconnect/error.rs
+++ b/daemon/src/interconnect/error.rs
@@ -1,11 +1,11 @@
-//! Why the operators' own file is rejected.
+//! Errors of the operators' own file.
 
 use linnetknot_budgets::spec::LimitTooSmall;
 use linnetknot_discovery::DampingError;
 use linnetknot_purges::BucketBitsError;
 use std::fmt::Display;
 
-/// A fault in the operators' own file. Every message begins with the full path of the key at fault.
+/// An error in the operators' own file. Every message begins with the full path of the key at fault.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InterconnectError {
     /// A key is unknown, missing, or its value has the wrong type.
@@ -13,10 +13,10 @@
     Form {
         /// The path of the key.
         key: String,
-        /// What is wrong, in the words of the deserializer.
+        /// The message of the deserializer.
         reason: String,
     },
-    /// A number lies outside its range.
+    /// A number is out of its range.
     #[error("{key}: {value} is not from {min} to {max}")]
     OutOfRange {
         /// The path of the key.
@@ -28,7 +28,7 @@
         /// The largest number allowed.
         max: String,
     },
-    /// A text is empty, too long or holds control characters.
+    /// A text is empty, too long or contains control characters.
     #[error("{key}: '{}' can't be used", text.escape_default())]
     UnusableText {
         /// The path of the key.
@@ -42,47 +42,47 @@
         /// The path of the key.
         key: &'static str,
     },
-    /// A network of the footprint can't be read.
+    /// A network of the footprint is malformed.
     #[error("cdni.footprint[{index}]: '{text}' is no IPv4 network")]
     Footprint {
         /// The index of the network in the list.
         index: usize,
-        /// The network as the file has it.
+        /// The network in the file.
         text: String,
     },
-    /// The default zone is none of the settings'.
+    /// The default zone is not in the settings.
     #[error("consul.zone: '{zone}' is none of the settings' zones ({})", zones.join(", "))]
     UnknownZone {
-        /// The zone as the file has it.
+        /// The zone in the file.
         zone: String,
-        /// The settings' zones.
+        /// The zones of the settings.
         zones: Vec<String>,
     },
-    /// The figures of the damping contradict each other.
+    /// The parameters of the damping contradict each other.
     #[error("consul.damping.{key} {source}")]
     Damping {
         /// The key within `consul.damping`.
         key: String,
-        /// What is wrong with it.
+        /// The error of the parameter.
         source: DampingError,
     },
-    /// Replication is on, and there is no file to store its purges in.
-    #[error("peers.copies: 'cdni.purges' names no file to keep them in")]
+    /// Replication is on, but there is no file for the purges.
+    #[error("peers.copies: 'cdni.purges' names no file to store the purges in")]
     NoPurgeFile,
-    /// More further machines are required than the peers stand on.
+    /// More further machines are required than the peers are on.
     #[error(
-        "copies.{key}: {required} further machines are to have what is promised, and the peers stand on {available} \
+        "copies.{key}: {required} further machines are required, but the peers are on only {available} \
          besides this proxy's own; 'copies.machines' names those that share an address"
     )]
     TooFewMachines {
         /// The key within `copies`.
         key: &'static str,
-        /// How many further machines it requires.
+        /// The number of further machines that it requires.
         required: usize,
-        /// How many there are.
+        /// The number of further machines.
         available: usize,
     },
-    /// The replication factor is smaller than the minimum of acknowledgements.
+    /// The replication factor is less than the minimum of acknowledgements.
     #[error("copies.holders: fewer than the {min_acks} of 'copies.wait'")]
     ReplicationFactorTooSmall {
         /// The minimum of acknowledgements.
@@ -96,32 +96,32 @@
         /// The size, in MiB.
         megabytes: u32,
     },
-    /// A table of this size can't be addressed.
+    /// The table is too large to be addressed.
     #[error("{key}: {source}")]
     TableSize {
         /// The path of the key.
         key: &'static str,
-        /// The bound that the size exceeds.
+        /// The limit that the size exceeds.
         source: BucketBitsError,
     },
     /// Budgets are shared without replication.
-    #[error("budgets: needs 'peers.copies', by which the proxies know each other")]
+    #[error("budgets: needs 'peers.copies'")]
     BudgetsNeedReplication,
-    /// This proxy is not in the list of those that share the budgets.
-    #[error("budgets: 'peers' does not name this proxy's own 'peer_listen', by whose place there it is known")]
+    /// This proxy is not among those that share the budgets.
+    #[error("budgets: 'peers' does not name this proxy's own 'peer_listen'")]
     NotAmongPeers,
-    /// The limit of the origin is less than the sum of what is reserved of it.
+    /// The limit of the origin is less than the sum of the reserved minimums.
     #[error("budgets.origin.whole: {limit} is {source}")]
     OriginLimit {
         /// The limit.
         limit: u64,
-        /// The sum that it falls short of.
+        /// The sum of the reserved minimums.
         source: LimitTooSmall,
     },
 }
 
 impl InterconnectError {
-    /// A number outside its range.
+    /// Creates the error for a number out of its range.
     pub(super) fn out_of_range<T: Display>(key: &str, value: T, min: T, max: T) -> Self {
         InterconnectError::OutOfRange {
             key: key.to_owned(),
--- a/daemon/src/interconnect/mod.rs
+++ b/daemon/src/interconnect/mod.rs
@@ -1,6 +1,6 @@
-//! The operators' own file, `deploy/interconnect.json`, a module for each of its sections: the types in them are the
-//! form of the file, the validation of a section stands beside them. A section that is left out is off. The JSON Schema
-//! of the file, `docs/interconnect.schema.json`, is made from the types (`linnetknot schema`).
+//! The operators' own file, `deploy/interconnect.json`, with a module for each section. The types define the form of
+//! the file, and each section is validated next to its type. A section that is omitted is off. The JSON Schema of the
+//! file, `docs/interconnect.schema.json`, is generated from the types (`linnetknot schema`).
 
 mod budgets;
 mod cdni;
@@ -49,7 +49,7 @@
 
 type Result<T> = std::result::Result<T, InterconnectError>;
 
-/// The file's JSON Schema.
+/// Returns the JSON Schema of the file.
 pub fn schema() -> String {
     let schema = schemars::schema_for!(File);
     serde_json::to_string_pretty(&schema).unwrap_or_default() + "\n"
--- a/daemon/src/interconnect/peers.rs
+++ b/daemon/src/interconnect/peers.rs
@@ -15,22 +15,22 @@
     pub copies: bool,
 }
 
-/// Where the proxies of a fleet exchange datagrams, as the configuration has it.
+/// The addresses at which the proxies of a fleet exchange datagrams.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerAddresses {
-    /// The address at which this proxy receives.
+    /// The address of this proxy.
     pub own: SocketAddr,
-    /// The addresses of all proxies, in the order of the configuration. It may name this one.
+    /// The addresses of all proxies, in the order of the configuration, which may include this one.
     pub all: Vec<SocketAddr>,
 }
 
 impl PeerAddresses {
-    /// The addresses of the proxies besides this one.
+    /// Returns the addresses of the other proxies.
     pub fn others(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         self.all.iter().copied().filter(|peer| *peer != self.own)
     }
 
-    /// The index of this proxy in the list of all.
+    /// Returns the index of this proxy in the list of all.
     pub fn own_index(&self) -> Option<usize> {
         self.all.iter().position(|peer| *peer == self.own)
     }
--- a/daemon/src/interconnect/replication.rs
+++ b/daemon/src/interconnect/replication.rs
@@ -1,4 +1,4 @@
-//! The section `copies`: to how many machines a purge is replicated before it is committed.
+//! The section `copies`: the replication of purges.
 
 use super::validation::range;
 use super::{InterconnectError, PeerAddresses, Result};
@@ -52,40 +52,40 @@
     }
 }
 
-/// What is promised of copies, checked.
+/// The validated section.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Replication {
-    /// They are made.
+    /// Whether replication is on.
     pub enabled: bool,
-    /// Further machines to wait for.
+    /// The number of further machines that acknowledge a purge before it is committed.
     pub min_acks: usize,
-    /// Further machines that are to have them.
+    /// The number of further machines that eventually have each purge.
     pub replication_factor: usize,
-    /// How long a yes may take.
+    /// The timeout of a commit.
     pub commit_timeout_us: Micros,
-    /// This proxy's machine.
+    /// The machine of this proxy.
     pub machine: String,
-    /// Those of its peers, in the order of their list; itself left out.
+    /// The machines of the peers, in the order of the list of peers.
     pub machines: Vec<(SocketAddr, String)>,
-    /// How many purges are held, and how.
+    /// The size of the purge table.
     pub purge_table: PurgeTableSize,
 }
 
-/// How many purges are held one by one, and the size of the compact table that takes all older ones.
+/// The number of purges that are stored as single entries, and the size of the compact table of all older ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PurgeTableSize {
     /// The size of the table.
     pub bucket_bits: BucketBits,
-    /// Purges that are held one by one; none: the daemon's own bound.
+    /// The maximum number of single entries; `None` for that of the limits.
     pub exact: Option<usize>,
 }
 
 impl PurgeTableSize {
-    /// The usual size of the table, in MiB.
+    /// The default size of the table, in MiB.
     const DEFAULT_MB: u32 = 4;
     /// The binary logarithm of the number of buckets in a MiB.
     const BITS_OF_ONE_MB: u32 = 14;
-    /// The largest table, in MiB.
+    /// The maximum size of the table, in MiB.
     const MAX_MB: u32 = 1 << (BucketBits::MAX.value() as u32 - Self::BITS_OF_ONE_MB);
 
     fn check(file: &CopiesFile) -> Result<Self> {
@@ -108,20 +108,20 @@
     }
 }
 
-/// The usual number of further machines that have each purge in the end, where there are as many.
-const USUAL_FURTHER_REPLICAS: usize = 2;
+/// The default replication factor, if there are as many further machines.
+const DEFAULT_REPLICATION_FACTOR: usize = 2;
 
 impl CopiesFile {
-    /// What the daemon uses, for the peers of the configuration.
+    /// Validates the section for the peers of the configuration.
     ///
     /// # Errors
-    /// Fails on a number out of range, and where the peers stand on too few machines.
+    /// Fails on a number out of range, and if the peers are on too few machines.
     pub fn check(&self, enabled: bool, peers: Option<&PeerAddresses>) -> Result<Replication> {
         let commit_timeout_us =
             range("copies.within_ms", self.commit_timeout_ms, 50, 30_000)? * 1000;
         let purge_table = PurgeTableSize::check(self)?;
         if !enabled {
-            // A purge is committed once it is on this proxy's own disk.
+            // A purge is committed once it is durable on this proxy.
             return Ok(Replication {
                 commit_timeout_us,
                 purge_table,
@@ -135,7 +135,7 @@
             .map(|(_, name)| name)
             .filter(|name| **name != machine)
             .collect();
-        // Without peers a file is checked by itself, and nothing can be said of their machines.
+        // Without peers, the file is checked by itself and the machines are unknown.
         if peers.is_some() {
             self.check_machines(further.len())?;
         }
@@ -151,7 +151,7 @@
         })
     }
 
-    /// The machine that a proxy with this address stands on: the address itself unless `machines` has another.
+    /// Returns the machine of the proxy with this address: the IP address, unless `machines` names another.
     fn machine_at(&self, address: SocketAddr) -> String {
         let named = self.machines.get(&address).cloned();
         named.unwrap_or_else(|| address.ip().to_string())
@@ -167,7 +167,7 @@
         others.map(|peer| (peer, self.machine_at(peer))).collect()
     }
 
-    /// Checks that as many further machines are available as each key requires.
+    /// Checks that there are as many further machines as each key requires.
     fn check_machines(&self, available: usize) -> Result<()> {
         let replication_factor = self.replication_factor.unwrap_or(self.min_acks);
         for (key, required) in [("wait", self.min_acks), ("holders", replication_factor)] {
@@ -182,7 +182,7 @@
         Ok(())
     }
 
-    /// How many further machines have each purge in the end, where so many are available.
+    /// Returns the replication factor for this number of further machines.
     fn checked_replication_factor(&self, available: usize) -> Result<usize> {
         match self.replication_factor {
             Some(replication_factor) if replication_factor < self.min_acks => {
@@ -191,7 +191,7 @@
                 })
             }
             Some(replication_factor) => Ok(replication_factor),
-            None => Ok(available.min(USUAL_FURTHER_REPLICAS).max(self.min_acks)),
+            None => Ok(available.min(DEFAULT_REPLICATION_FACTOR).max(self.min_acks)),
         }
     }
 }
--- a/daemon/src/interconnect/state.rs
+++ b/daemon/src/interconnect/state.rs
@@ -1,4 +1,4 @@
-//! The section `state`: what outlives the process.
+//! The section `state`: the state that outlives the process.
 
 use super::validation::range;
 use super::Result;
@@ -26,17 +26,17 @@
     }
 }
 
-/// What outlives the process.
+/// The validated section.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct State {
-    /// The folder for it.
+    /// The folder of the state, if there is one.
     pub directory: Option<PathBuf>,
-    /// The greatest age of a kept list.
+    /// The maximum age of a cached endpoint list.
     pub max_age_us: Micros,
 }
 
 impl StateFile {
-    /// What the daemon uses.
+    /// Validates the section.
     pub fn check(&self) -> Result<State> {
         let max_age_us = range("state.most_age_s", self.most_age_s, 1, 1 << 32)? * 1_000_000;
         Ok(State {
