--- a/daemon/src/interconnect/budgets.rs
+++ b/daemon/src/interconnect/budgets.rs
@@ -10,16 +10,16 @@
 /// The maximum limit of the origin, in concurrent requests.
 const MAX_ORIGIN_REQUESTS: u64 = 1_000_000;
 
-/// What all proxies spend together, divided among them so that their parts never sum to more than the whole. Needs
-/// `peers.copies`, by which proxies know each other. The same at all of them.
+/// The budgets that all proxies share. They are divided among the proxies so that the parts never exceed the limit.
+/// Requires `peers.copies`. Must be the same at all proxies.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct BudgetsFile {
-    /// Requests that the origin holds at a time; null: each proxy guesses by what it hears.
+    /// The concurrent requests of the origin; null: each proxy estimates them by the responses that it gets.
     pub origin: Option<OriginFile>,
-    /// What cold boxes and hub caches bear is divided by need, and not in as many equal parts as there are proxies.
+    /// Whether the load of caches and parents in slow start is divided by demand, instead of in equal parts.
     pub cold: bool,
-    /// Share of what cold servers bear that is set aside, in equal parts for all proxies, whatever they can reach.
+    /// The share of the load of servers in slow start that is reserved in equal parts for all proxies.
     #[schemars(range(min = 0.01, max = 1.0))]
     // The file's key `cold_floors` stands for the share that is reserved.
     #[serde(rename = "cold_floors")]
@@ -36,16 +36,16 @@
     }
 }
 
-/// Requests that the origin holds at a time.
+/// The concurrent requests of the origin.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct OriginFile {
-    /// Of all proxies together.
+    /// The limit for all proxies together.
     #[schemars(range(min = 1, max = 1_000_000))]
     // The file's key `whole` stands for the limit.
     #[serde(rename = "whole")]
     pub limit: u64,
-    /// Set aside of that for each proxy in `peers`, whatever it can reach.
+    /// The part of the limit that is reserved for each proxy in `peers`.
     // The file's key `floor` stands for the reserved minimum.
     #[serde(rename = "floor", default = "one")]
     #[schemars(range(min = 0, max = 1_000_000))]
--- a/daemon/src/interconnect/cdni.rs
+++ b/daemon/src/interconnect/cdni.rs
@@ -9,38 +9,38 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The second front: where it listens, and how it presents itself.
+/// The listener for peer CDNs, and the identity of this CDN.
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct CdniFile {
-    /// Where neighbours and redirected clients connect; null: the second front is off.
+    /// The address for peer CDNs and redirected clients; null: the listener is off.
     pub listen: Option<SocketAddr>,
-    /// Our CDN Provider ID.
+    /// The CDN Provider ID of this CDN.
     pub provider: Option<String>,
-    /// Base of our URLs.
+    /// The base of the URLs of this CDN.
     pub base: Option<String>,
-    /// What we can reach, as IPv4 networks.
+    /// The footprint of this CDN, as IPv4 networks.
     pub footprint: Vec<String>,
-    /// Those we exchange messages with.
+    /// The peer CDNs.
     pub neighbours: Vec<NeighbourFile>,
-    /// The file that purges of this front are kept in; null: they last as long as the daemon runs.
+    /// The file in which purges by peer CDNs are stored; null: they are lost when the daemon ends.
     pub purges: Option<PathBuf>,
 }
 
-/// A neighbouring network.
+/// A peer CDN.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct NeighbourFile {
     /// Its CDN Provider ID.
     pub provider: String,
-    /// Where it listens.
+    /// The address at which it receives messages.
     pub address: SocketAddr,
-    /// Path of its trigger interface.
+    /// The path of its trigger interface.
     #[serde(default = "triggers")]
     pub triggers: String,
-    /// Path at which it takes our footprint notices.
+    /// The path at which it receives the footprint notices of this CDN.
     pub notices: String,
-    /// Base of its content's URLs, for clients in its footprint.
+    /// The base of its content URLs, for clients in its footprint.
     pub content: String,
 }
 
--- a/daemon/src/interconnect/consul/file.rs
+++ b/daemon/src/interconnect/consul/file.rs
@@ -8,57 +8,58 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Consul as a source of the list of boxes.
+/// Consul as a source of the list of pop caches.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct ConsulFile {
-    /// The agent; null, with no `agents` either: Consul is off.
+    /// The address of the agent; null without `agents`: Consul is off.
     pub address: Option<SocketAddr>,
-    /// Further agents, in the order in which they are turned to.
+    /// Further agents, in the order of their use.
     pub agents: Vec<SocketAddr>,
-    /// Name of the boxes' service.
+    /// The name of the service of the pop caches.
     pub service: String,
-    /// Data centres to follow, each by queries of its own; none: the agent's own.
+    /// The data centers to watch, each by its own queries; empty: that of the agent.
     pub datacenters: Vec<String>,
-    /// Namespace; null: the token's own.
+    /// The namespace; null: that of the token.
     pub namespace: Option<String>,
-    /// Tags that an instance must all have.
+    /// The tags that an instance must have.
     pub tags: Vec<String>,
-    /// Filter expression of the health API.
+    /// The filter expression of the health API.
     pub filter: Option<String>,
-    /// Consistency mode of the queries.
+    /// The consistency mode of the queries.
     pub consistency: ConsistencyFile,
-    /// A stale answer from a server that has not heard its leader for longer is not used, in milliseconds.
+    /// The maximum staleness of a response, in milliseconds: the time since the server last had contact with its
+    /// leader.
     pub most_stale_ms: u64,
-    /// How long a query waits at the agent for a change, in seconds.
+    /// The time for which a query waits at the agent for a change, in seconds.
     #[schemars(range(min = 1, max = 600))]
     pub wait_s: u64,
-    /// How long a query that does not wait may take, in milliseconds.
+    /// The timeout of a query that does not wait, in milliseconds.
     #[schemars(range(min = 50, max = 60_000))]
     pub answer_ms: u64,
-    /// The longest answer that is read, in MB.
+    /// The maximum size of a response, in MB.
     #[schemars(range(min = 1, max = 1024))]
     pub most_answer_mb: usize,
-    /// A file with the ACL token; it is read at the start, on SIGHUP and after a query was denied.
+    /// The file with the ACL token, which is read at the start, on SIGHUP and after a denied query.
     pub token_file: Option<PathBuf>,
-    /// What names a box.
+    /// The id of a pop cache.
     pub identity: IdentityFile,
     /// The keys of a service's `Meta` that are read.
     pub meta: MetaFile,
-    /// Zone of an instance whose `Meta` names none; null: the proxy's own.
+    /// The zone of an instance whose `Meta` names none; null: that of the proxy.
     pub zone: Option<String>,
-    /// Kind of an instance whose `Meta` names none; null: a box like any other.
+    /// The kind of an instance whose `Meta` names none; null: an ordinary pop cache.
     pub kind: Option<String>,
-    /// The tagged address to connect to, such as `lan_ipv4` or `wan`; null: the service's address, or its node's.
+    /// The tagged address to connect to, such as `lan_ipv4` or `wan`; null: the address of the service, or of its node.
     pub tagged_address: Option<String>,
-    /// An answer that names a smaller share of what ran is confirmed before it counts.
+    /// The minimum share of the running caches in a response. A response with fewer is confirmed before it is used.
     #[schemars(range(min = 0.0, max = 1.0))]
     pub least_share: f64,
-    /// The event bus's list counts beside Consul's; else Consul alone has the list.
+    /// Whether the list of the event bus is used as well as that of Consul.
     pub beside_bus: bool,
-    /// Damping of boxes whose health flaps.
+    /// The damping of flapping pop caches.
     pub damping: DampingFile,
-    /// The proxy's own registration; null: it is not registered.
+    /// The registration of the proxy; null: it is not registered.
     pub register: Option<RegisterFile>,
 }
 
@@ -91,19 +92,19 @@
     }
 }
 
-/// Consul's consistency modes.
+/// The consistency modes of Consul.
 #[derive(Clone, Copy, Debug, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum ConsistencyFile {
-    /// By the leader, which may be an old one for a moment.
+    /// By the leader, which may have been replaced a moment ago.
     Default,
-    /// By the leader, which makes sure that it is one.
+    /// By the leader, which confirms that it still is the leader.
     Consistent,
     /// By any server, bounded by `most_stale_ms`.
     Stale,
 }
 
-/// What names a box.
+/// The ids of pop caches.
 #[derive(Clone, Copy, Debug, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum IdentityFile {
@@ -119,15 +120,15 @@
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct MetaFile {
-    /// Zone.
+    /// The zone.
     pub zone: String,
-    /// Kind.
+    /// The kind.
     pub kind: String,
-    /// Cell: boxes that share which keys they have seen.
+    /// The cell: pop caches in one cell share which keys they have seen.
     pub cell: String,
-    /// Capacity, in transfers at full pace; without it the service's weights hold.
+    /// The capacity, in concurrent transfers at full speed; without it, the weights of the service are used.
     pub capacity: String,
-    /// Unix millisecond of its start.
+    /// The time of the start, in Unix milliseconds.
     pub started_ms: String,
 }
 
@@ -150,19 +151,19 @@
     }
 }
 
-/// Damping of boxes whose health flaps: each loss adds 1 to a penalty that halves with time.
+/// The damping of flapping pop caches: each failure adds 1 to a penalty that decays exponentially.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct DampingFile {
-    /// Time in which a penalty halves, in seconds.
+    /// The half-life of a penalty, in seconds.
     pub half_life_s: f64,
-    /// A box that comes back with this penalty is held back.
+    /// The penalty from which a recovered pop cache is suppressed.
     pub suppress: f64,
-    /// It is taken in again below this.
+    /// The penalty below which it is used again.
     pub reuse: f64,
-    /// Longest time that a box is held back after its last loss, in seconds.
+    /// The maximum time for which a pop cache is suppressed after its last failure, in seconds.
     pub most_suppressed_s: f64,
-    /// Share of the boxes of one zone and kind that may be held back at once.
+    /// The maximum share of the pop caches of a zone and kind that are suppressed at once.
     #[schemars(range(min = 0.0, max = 1.0))]
     pub most_share: f64,
 }
@@ -180,24 +181,24 @@
     }
 }
 
-/// The proxy's own registration.
+/// The registration of the proxy.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct RegisterFile {
-    /// Name of the service under which it is registered.
+    /// The name of the service of the proxy.
     pub name: String,
-    /// Id of the instance; null: the proxy's name.
+    /// The id of the instance; null: the name of the proxy.
     pub id: Option<String>,
-    /// The address that is registered; null: the one that it listens on.
+    /// The registered address; null: the address for clients.
     pub address: Option<SocketAddr>,
-    /// Tags.
+    /// The tags of the instance.
     pub tags: Vec<String>,
-    /// Meta.
+    /// The `Meta` of the instance.
     pub meta: BTreeMap<String, String>,
-    /// The check turns critical if it is not updated for so long, in seconds.
+    /// The time without an update after which the check becomes critical, in seconds.
     #[schemars(range(min = 1, max = 3600))]
     pub ttl_s: u64,
-    /// The agent drops the registration once it was critical for so long, in seconds; null: never.
+    /// The time in the critical state after which the agent removes the registration, in seconds; null: never.
     pub drop_after_s: Option<u64>,
 }
 
--- a/daemon/src/interconnect/log.rs
+++ b/daemon/src/interconnect/log.rs
@@ -7,17 +7,17 @@
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogFile {
-    /// Its form.
+    /// The format of the log.
     pub form: LogForm,
 }
 
-/// Forms of the log.
+/// The formats of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogForm {
-    /// Lines for people.
+    /// Lines of text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
--- a/daemon/src/interconnect/mod.rs
+++ b/daemon/src/interconnect/mod.rs
@@ -31,17 +31,17 @@
 #[serde(default, deny_unknown_fields)]
 #[schemars(title = "linnetknot interconnect")]
 pub struct File {
-    /// The second front.
+    /// The listener for peer CDNs.
     pub cdni: Option<CdniFile>,
-    /// Consul as a source of the list of boxes.
+    /// Consul as a source of the list of pop caches.
     pub consul: Option<ConsulFile>,
-    /// What the proxies of the fleet tell each other.
+    /// The exchange between the proxies of the fleet.
     pub peers: PeersFile,
-    /// What is promised of their copies, where `peers.copies` is on.
+    /// The replication of purges, if `peers.copies` is on.
     pub copies: CopiesFile,
-    /// What all proxies spend together, divided among them.
+    /// The budgets that all proxies share.
     pub budgets: BudgetsFile,
-    /// What outlives the process.
+    /// The state that outlives the process.
     pub state: StateFile,
     /// The log.
     pub log: LogFile,
--- a/daemon/src/interconnect/peers.rs
+++ b/daemon/src/interconnect/peers.rs
@@ -4,14 +4,15 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// What the proxies of the fleet tell each other.
+/// The exchange between the proxies of the fleet.
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct PeersFile {
-    /// Of an origin that is late: datagrams of 24 bytes to all `peers`, while it lasts. The same at all of them.
+    /// Whether proxies notify each other of a slow origin, by datagrams of 24 bytes to all `peers` while it is slow.
+    /// Must be the same at all proxies.
     pub tell: bool,
-    /// Logs of what neighbours told: each proxy has those of all, also when it was away or lost its disk. Needs
-    /// `cdni.purges` and `peers` in the configuration. The same at all of them.
+    /// Whether purges by peer CDNs are replicated, so that each proxy has those of all, even if it was down or lost its
+    /// disk. Requires `cdni.purges`, and `peers` in the configuration. Must be the same at all proxies.
     pub copies: bool,
 }
 
--- a/daemon/src/interconnect/replication.rs
+++ b/daemon/src/interconnect/replication.rs
@@ -9,31 +9,33 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// What is promised of copies: a neighbour is told yes only once they are on disks.
+/// The replication of purges: a purge by a peer CDN is answered with success only once it is durable on enough
+/// machines.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct CopiesFile {
-    /// Further machines that must have what a neighbour told on their disks before it is answered yes. 0: this proxy's
-    /// disk is enough, and what a machine promised may be lost with it.
+    /// The number of further machines that must have a purge on their disks before it is answered with success. With 0,
+    /// the disk of this proxy is enough, and a purge may be lost with its machine.
     #[serde(rename = "wait")]
     pub min_acks: usize,
-    /// Further machines that are to have it in the end; null: 2, or as many as there are.
+    /// The number of further machines that eventually have each purge; null: 2, or as many as there are.
     #[serde(rename = "holders")]
     pub replication_factor: Option<usize>,
-    /// A yes that can't be given within this is a no (503), in milliseconds.
+    /// The time within which a purge must be committed, in milliseconds. After it, the response is 503.
     #[schemars(range(min = 50, max = 30_000))]
     #[serde(rename = "within_ms")]
     pub commit_timeout_ms: u64,
-    /// The machine that this proxy stands on, as the unit that is lost at once; null: the address of its `peer_listen`.
+    /// The machine of this proxy, as the unit that fails as a whole; null: the address of its `peer_listen`.
     pub machine: Option<String>,
-    /// The machines of peers, by their addresses in `peers`; of those not named here, the address is the machine.
+    /// The machines of the peers, by their addresses in `peers`; for a peer that is not named here, the address is the
+    /// machine.
     pub machines: BTreeMap<SocketAddr, String>,
-    /// The size of the table in which older purges are held, in MiB: a power of two. It takes that twice in memory, a
+    /// The size of the table of older purges, in MiB: a power of two. The table requires twice this size in memory, a
     /// third time while a peer reads a snapshot of it, and once on the disk. Proxies may differ.
     #[schemars(range(min = 1, max = 1024))]
     pub purge_table_mb: u32,
-    /// Purges that are held one by one before older ones move to the table; null: the daemon's own bound. For tests,
-    /// which can't tell a proxy of so many.
+    /// The number of purges that are stored as single entries before older ones move to the table; null: that of the
+    /// daemon's limits. For tests, which can't send this many purges.
     #[schemars(skip)]
     pub exact_purges: Option<usize>,
 }
--- a/daemon/src/interconnect/state.rs
+++ b/daemon/src/interconnect/state.rs
@@ -7,13 +7,13 @@
 use serde::Deserialize;
 use std::path::PathBuf;
 
-/// What outlives the process.
+/// The state that outlives the process.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct StateFile {
-    /// The folder for it; null: nothing does.
+    /// The folder of the state; null: no state is stored.
     pub directory: Option<PathBuf>,
-    /// A kept list of boxes that is older is not used, in seconds.
+    /// The maximum age of a cached list of pop caches, in seconds. An older one is not used.
     pub most_age_s: u64,
 }
 
