--- a/budgets/src/fair_share/tests.rs
+++ b/budgets/src/fair_share/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the fair shares.
+//! Tests of fair shares.
 
 use super::*;
 
 #[test]
-fn the_modest_get_what_they_want_and_the_others_share_what_is_left() {
+fn small_demands_are_met_in_full_and_the_rest_is_shared_equally() {
     let mut demands = Demands::default();
     for (holder, demand) in [(0, 10), (1, 1_000), (2, 1_000), (3, 0)] {
         demands.set(5, holder, demand, 100);
@@ -14,12 +14,12 @@
     assert_eq!(
         shares,
         [10, 91, 91, 0, 0],
-        "a part in 25 is reserved for the next"
+        "one part in 25 is reserved for new holders"
     );
     demands.set(106, 1, 1_000, 100);
     assert_eq!(
         demands.fair_share(1, 200),
         192,
-        "those that sent nothing for long demand nothing"
+        "expired demands do not count"
     );
 }
--- a/daemon/src/core/attempts.rs
+++ b/daemon/src/core/attempts.rs
@@ -27,7 +27,9 @@
         let mut dispatch = self.dispatch(attempt)?;
         let target = &mut dispatch.target;
         let servers = [Some(target.server), target.fill.map(|fill| fill.source)];
-        let max_age_us = self.router.begins(now, attempt.request.to_u64())?;
+        let max_age_us = self
+            .router
+            .recheck_queued_attempt(now, attempt.request.to_u64())?;
         target.fill = target.fill.map(|fill| Fill { max_age_us, ..fill });
         let all_ready = servers
             .into_iter()
@@ -111,7 +113,7 @@
         if let Some(content) = result.content.filter(|_| result.outcome == Outcome::Ok) {
             self.finish(now, attempt.request, Answer::Served(content));
         }
-        let event = Event::Outcome {
+        let event = Event::AttemptEnded {
             request: attempt.request.to_u64(),
             attempt: attempt.number,
             server: outstanding.target.server,
@@ -119,12 +121,15 @@
             took_us: now.saturating_sub(outstanding.sent_at),
             settled: self.requests.unanswered(attempt.request).is_none(),
             note: result.note,
-            waited_us: result.waited_us,
+            first_byte_us: result.waited_us,
             load: result.load,
         };
         self.drive(now, event);
-        self.commands
-            .extend(self.router.found().map(Command::ShareOriginHealth));
+        self.commands.extend(
+            self.router
+                .take_origin_share_report()
+                .map(Command::ShareOriginHealth),
+        );
         self.requests.release_if_finished(attempt.request);
     }
 
--- a/daemon/src/core/mod.rs
+++ b/daemon/src/core/mod.rs
@@ -96,7 +96,7 @@
     /// Fails if the settings are invalid; nothing has changed then.
     pub fn apply_settings(&mut self, settings: Settings) -> Result<(), SettingsError> {
         let keyed_classes = keyed_classes(&settings);
-        self.router.retune(settings)?;
+        self.router.update_settings(settings)?;
         self.keyed_classes = keyed_classes;
         Ok(())
     }
@@ -153,12 +153,12 @@
     /// Applies a report of other proxies that the origin is slow: until this time, each proxy may send it this share of
     /// its requests.
     pub fn receive_origin_health(&mut self, now: Micros, origin_share: f64, until: Micros) {
-        let for_us = until.saturating_sub(now);
+        let valid_for_us = until.saturating_sub(now);
         self.drive(
             now,
-            Event::Heard {
+            Event::OriginShareLimit {
                 origin_share,
-                for_us,
+                valid_for_us,
             },
         );
     }
@@ -170,13 +170,13 @@
 
     /// Returns how many requests of this proxy the origin has, or may have, in flight.
     pub fn origin_in_flight(&self) -> usize {
-        self.router.asking()
+        self.router.origin_requests_in_flight()
     }
 
     /// Returns the highest recent utilization of a cache (or, with `parents`, of a parent) in slow start, as a share of
     /// its capacity; `None` if none is in slow start.
     pub fn slow_start_use(&self, now: Micros, parents: bool) -> Option<f64> {
-        self.router.cold_use(now, parents)
+        self.router.max_slow_start_usage(now, parents)
     }
 
     /// Processes the end of a health check.
@@ -190,7 +190,7 @@
     ) {
         self.drive(
             now,
-            Event::Probed {
+            Event::ProbeEnded {
                 server,
                 outcome,
                 took_us,
--- a/daemon/src/core/requests.rs
+++ b/daemon/src/core/requests.rs
@@ -89,7 +89,7 @@
     /// Notifies the decision module that a request needs no answer any more.
     fn forget_client(&mut self, now: Micros, key: RequestKey) {
         let request = key.to_u64();
-        self.drive(now, Event::Left { request });
+        self.drive(now, Event::ClientLeft { request });
         self.requests.release_if_finished(key);
     }
 
@@ -161,6 +161,6 @@
         group: request.group,
         size_kb: request.size_kb,
         remaining_us: request.remaining_us,
-        repeated: false,
+        is_retry: false,
     }
 }
--- a/daemon/src/daemon/cdni_listener/tests.rs
+++ b/daemon/src/daemon/cdni_listener/tests.rs
@@ -1,9 +1,9 @@
-//! What counts as the delivery of a payload.
+//! Tests of the delivery of payloads to peer CDNs.
 
 use super::*;
 
 #[test]
-fn a_request_without_an_answer_is_no_delivery() {
+fn delivery_is_incomplete_until_a_response_head_is_received() {
     let post = Post {
         address: ([127, 0, 0, 1], 9).into(),
         path: "/t".into(),
@@ -11,19 +11,19 @@
         body: "{}".into(),
     };
     let mut delivery = Delivery::new(post, 0, 512);
-    let text = String::from_utf8(delivery.opening()).unwrap();
+    let text = String::from_utf8(delivery.initial_bytes()).unwrap();
     assert!(
         text.starts_with("POST /t HTTP/1.1\r\n") && text.ends_with("Content-Length: 2\r\n\r\n{}")
     );
-    let mut effects = Vec::new();
+    let mut tasks = Vec::new();
     assert_eq!(
-        delivery.read(b"HTTP/1.1 201 Cre", &mut effects),
-        Ok(Flow::More)
+        delivery.read(b"HTTP/1.1 201 Cre", &mut tasks),
+        Ok(Flow::NeedsInput)
     );
-    assert!(effects.is_empty());
+    assert!(tasks.is_empty());
     assert_eq!(
-        delivery.read(b"ated\r\nContent-Length: 0\r\n\r\n", &mut effects),
+        delivery.read(b"ated\r\nContent-Length: 0\r\n\r\n", &mut tasks),
         Ok(Flow::Done)
     );
-    assert_eq!(effects.len(), 1);
+    assert_eq!(tasks.len(), 1);
 }
--- a/daemon/src/daemon/discovery.rs
+++ b/daemon/src/daemon/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery of the pop caches in the daemon: evidence of the sources goes to the endpoint table
-//! (`linnetknot_discovery`), its list events to the core, and its changes to the log.
+//! Discovery of the pop caches: passes evidence of the sources to the endpoint table (`linnetknot_discovery`), its
+//! list events to the core, and its changes to the log.
 
 use super::Daemon;
 use linnetknot::Micros;
@@ -8,20 +8,21 @@
 };
 use std::collections::BTreeSet;
 
-/// The event bus, which is the first source.
+/// The event bus.
 pub(super) const BUS: SourceId = SourceId(0);
-/// Consul; each further data centre is the next source.
+/// The first data centre of Consul. Further data centres have the ids that follow.
 pub(super) const CONSUL: SourceId = SourceId(1);
 
-/// Penalties are logged with two decimals.
+/// Rounds logged penalties to two decimals.
 const PENALTY_SCALE: f64 = 100.0;
 
-/// The lines that were logged, so that an answer that a source repeats is not logged each time.
+/// Lines that were logged already, so that a repeated response of a source does not log them again.
 #[derive(Default)]
-pub(super) struct LoggedLines(BTreeSet<String>);
+pub(super) struct LoggedNotices(BTreeSet<String>);
 
-impl LoggedLines {
-    /// Whether a line was not logged yet. Once `max` lines are known all are forgotten, and may be logged again.
+impl LoggedNotices {
+    /// Returns whether a line was not logged yet. Once `max` lines are stored they are all forgotten, and may be
+    /// logged again.
     pub(super) fn is_new(&mut self, line: &str, max: usize) -> bool {
         if self.0.len() >= max {
             self.0.clear();
@@ -45,7 +46,7 @@
 /// Returns the log line of a notice.
 fn notice_line(table: &EndpointTable, notice: Notice) -> String {
     match notice {
-        Notice::TableFull(uid) => format!("the table of pop caches is full: {uid} is not added"),
+        Notice::TableFull(uid) => format!("the table of pop caches is full: {uid} was not added"),
         Notice::DuplicateId {
             uid,
             accepted,
@@ -53,28 +54,30 @@
             source,
         } => {
             let source = table.source(source);
-            format!("{source} names {uid} at {rejected} too, which is ignored: it is at {accepted}")
+            format!(
+                "{source} also lists {uid} at {rejected}, which is ignored: it is at {accepted}"
+            )
         }
         Notice::DuplicateAddress {
             uid,
             other,
             endpoint,
-        } => format!("{uid} has taken the address {endpoint} over from {other}"),
+        } => format!("{uid} has taken over the address {endpoint} from {other}"),
         Notice::Moved { uid, from, to } => format!("{uid} has moved from {from} to {to}"),
     }
 }
 
 impl Daemon {
-    /// Receives evidence of a source.
+    /// Applies evidence of a source.
     pub(super) fn receive_evidence(&mut self, now: Micros, source: SourceId, evidence: Evidence) {
-        let output = self.members.apply(now, source, evidence);
+        let output = self.endpoint_table.apply(now, source, evidence);
         self.apply_discovery(now, output);
     }
 
-    /// Adds the caches again whose flap damping is over.
+    /// Updates the endpoint table, which adds the caches again whose flap damping has ended.
     fn poll_discovery(&mut self, now: Micros) {
-        self.members_due = None;
-        let output = self.members.poll(now);
+        self.endpoint_table_due = None;
+        let output = self.endpoint_table.poll(now);
         self.apply_discovery(now, output);
     }
 
@@ -84,21 +87,20 @@
             self.core.update_endpoints(now, mode, entries);
         }
         for change in &output.changes {
-            log_change(&self.members, change);
+            log_change(&self.endpoint_table, change);
         }
         for notice in output.notices {
-            let line = notice_line(&self.members, notice);
+            let line = notice_line(&self.endpoint_table, notice);
             if self
-                .logged
-                .is_new(&line, self.limits.max_remembered_log_lines)
+                .logged_notices.is_new(&line, self.limits.max_remembered_log_lines)
             {
                 log::warn!("the endpoint table: {line}");
             }
         }
-        let due = self.members.next_due(now);
-        if due != self.members_due.map(|planned| planned.at) {
-            let old = self.members_due.take();
-            self.members_due = self.instead(old, due, Daemon::poll_discovery);
+        let due = self.endpoint_table.next_due(now);
+        if due != self.endpoint_table_due.map(|planned| planned.at) {
+            let old = self.endpoint_table_due.take();
+            self.endpoint_table_due = self.reschedule(old, due, Daemon::poll_discovery);
         }
     }
 }
--- a/daemon/src/daemon/fleet_status.rs
+++ b/daemon/src/daemon/fleet_status.rs
@@ -1,4 +1,4 @@
-//! The answer to `linnetknot fleet status`: where replication, commits and membership stand.
+//! The status of replication, commits and membership for `linnetknot fleet status`.
 
 use super::membership::state_name;
 use super::Daemon;
@@ -11,14 +11,14 @@
     LogStatus {
         writer: format!("{:016x}", log.writer),
         epoch: format!("{:x}", log.epoch),
-        own: log.writer == replica.own().writer,
+        own: log.writer == replica.own_log().writer,
         last_index: index,
         durable_index: replica.durable_index(log),
     }
 }
 
 impl Daemon {
-    /// Returns the status; none where logs are not replicated.
+    /// Returns the status; `None` if logs are not replicated.
     pub(super) fn fleet_status(&self) -> Option<Status> {
         let replication = &self.config.replication;
         let replica = self
@@ -26,7 +26,7 @@
             .as_ref()
             .filter(|_| replication.enabled)?
             .replica();
-        let own = replica.own();
+        let own = replica.own_log();
         let log_store = replica.log_store();
         let counters = replica.counters();
         let logs = log_store.last_indexes();
@@ -67,8 +67,7 @@
         })
     }
 
-    /// Returns the status of the peer with this index. Its machine is the configured one until it has announced its
-    /// own.
+    /// Returns the status of a peer. Its machine is the configured one until the peer has announced its own.
     fn peer_status(
         &self,
         replica: &Replica,
@@ -84,7 +83,7 @@
             (names.name.as_str(), names.machine.as_str())
         });
         let acked = replica.acked_by(peer);
-        let last_index = replica.log_store().last_index(replica.own());
+        let last_index = replica.log_store().last_index(replica.own_log());
         PeerStatus {
             address,
             machine: machine.to_owned(),
--- a/daemon/src/daemon/registration.rs
+++ b/daemon/src/daemon/registration.rs
@@ -1,91 +1,104 @@
-//! Connections in the epoll set, also while the kernel has no memory or no watches left for them.
+//! Registers connections with epoll, including retries when the kernel lacks memory or watches.
 //!
-//! A connection that can't be watched is not closed: its client may have sent requests, and what is open on it must be answered.
-//! It is registered again a moment later, and until that succeeds it is polled.
+//! A connection that can't be registered is not closed, as its open requests must be answered. The registration is
+//! retried, and until it succeeds the connection is polled at each retry.
 
 use super::{Daemon, Timer};
 use crate::net::{Failure, FailureKind, Key, ReadyEvent};
 use linnetknot::Micros;
 
-/// How far a connection is known to the epoll set.
+/// The state of the epoll registration of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Registration {
-    /// It is watched for what it is to be watched for.
+    /// The registered interest is current.
     Current,
-    /// It is watched for something else.
+    /// The registered interest is outdated.
     Outdated,
-    /// It is not watched.
+    /// The connection is not registered.
     Missing,
 }
 
 impl Daemon {
-    /// Registers a new connection. False: it can't ever be watched.
+    /// Registers a new connection. Returns false if the registration failed permanently.
     pub(super) fn register(&mut self, now: Micros, key: Key) -> bool {
-        let done = self.try_register(key);
-        self.register_later(now, key, done)
+        let result = self.try_register(key);
+        self.schedule_registration_retry(now, key, result)
     }
 
-    /// Has a connection watched for what it waits for by now.
-    pub(super) fn watch(&mut self, now: Micros, key: Key) {
-        let Some(c) = self.connections.get_mut(key) else {
+    /// Updates the registered interest of a connection.
+    pub(super) fn update_interest(&mut self, now: Micros, key: Key) {
+        let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        if c.conn.watch().is_none() || c.registration == Registration::Missing {
+        if connection.conn.watch().is_none() || connection.registration == Registration::Missing {
             return;
         }
-        c.registration = Registration::Outdated;
-        let done = self.try_register(key);
-        if !self.register_later(now, key, done) {
-            // Whoever asks may be in the midst of it: it ends in this turn of the loop, unless it works by then.
-            self.deadlines.set(now, Timer::Register(key));
+        connection.registration = Registration::Outdated;
+        let result = self.try_register(key);
+        if !self.schedule_registration_retry(now, key, result) {
+            // The caller may be using the connection, so it is not closed here. The timer closes it in this turn of
+            // the loop if the registration fails again.
+            self.deadlines.set(now, Timer::RetryRegistration(key));
         }
     }
 
     fn try_register(&mut self, key: Key) -> Result<(), Failure> {
-        let Some(c) = self.connections.get_mut(key) else {
+        let Some(connection) = self.connections.get_mut(key) else {
             return Ok(());
         };
-        let (socket, token, interest) = (c.conn.socket(), key.to_u64(), c.conn.watched());
-        match c.registration {
+        let (socket, token, interest) = (
+            connection.conn.socket(),
+            key.to_u64(),
+            connection.conn.watched(),
+        );
+        match connection.registration {
             Registration::Current => return Ok(()),
             Registration::Outdated => self.poll.change(socket, token, interest)?,
             Registration::Missing => self.poll.add(socket, token, interest)?,
         }
-        c.registration = Registration::Current;
+        connection.registration = Registration::Current;
         Ok(())
     }
 
-    /// Tries a registration that failed again in a moment. False: it failed for good.
-    fn register_later(&mut self, now: Micros, key: Key, done: Result<(), Failure>) -> bool {
-        let Err(failure) = done else { return true };
+    /// Schedules a retry of a failed registration. Returns false if the failure is permanent.
+    fn schedule_registration_retry(
+        &mut self,
+        now: Micros,
+        key: Key,
+        result: Result<(), Failure>,
+    ) -> bool {
+        let Err(failure) = result else { return true };
         if failure.kind == FailureKind::ProgramFault {
-            log::debug!("a connection can't be watched: {failure}");
+            log::debug!("epoll registration failed permanently: {failure}");
             return false;
         }
-        let Some(c) = self.connections.get_mut(key) else {
+        let Some(connection) = self.connections.get_mut(key) else {
             return true;
         };
-        if !std::mem::replace(&mut c.registers_later, true) {
+        if !std::mem::replace(&mut connection.registration_retry_scheduled, true) {
             let at = now + self.limits.accept_backoff_us;
-            self.deadlines.set(at, Timer::Register(key));
+            self.deadlines.set(at, Timer::RetryRegistration(key));
         }
         true
     }
 
-    /// Tries again to register a connection; while that fails, it is polled here.
-    pub(super) fn register_again(&mut self, now: Micros, key: Key) {
-        let Some(c) = self.connections.get_mut(key) else {
+    /// Retries the registration of a connection, and polls the connection if that fails.
+    pub(super) fn retry_registration(&mut self, now: Micros, key: Key) {
+        let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        c.registers_later = false;
-        let done = self.try_register(key);
-        let is_watched = done.is_ok();
-        if !self.register_later(now, key, done) {
+        connection.registration_retry_scheduled = false;
+        let result = self.try_register(key);
+        let is_watched = result.is_ok();
+        if !self.schedule_registration_retry(now, key, result) {
             return self.close(now, key);
         }
-        let is_up = self.connections.get(key).is_some_and(|c| c.conn.up);
+        let is_up = self
+            .connections
+            .get(key)
+            .is_some_and(|connection| connection.conn.up);
         if is_up && !is_watched {
-            self.serve(now, key, ReadyEvent::unwatched(key.to_u64()));
+            self.handle_ready(now, key, ReadyEvent::unwatched(key.to_u64()));
         }
     }
 }
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -1,4 +1,4 @@
-//! The start of the daemon: binds the sockets, opens the store, and replays what earlier processes left behind.
+//! Starts the daemon: binds the sockets, opens the store, and restores the state of earlier processes.
 
 mod error;
 mod sockets;
@@ -8,8 +8,8 @@
 use super::bus;
 use super::commits::PendingCommits;
 use super::consul;
-use super::discovery::LoggedLines;
-use super::event_loop::STORE;
+use super::discovery::LoggedNotices;
+use super::event_loop::STORE_TOKEN;
 use super::operator_state::OperatorFiles;
 use super::peer_index::PeerIndex;
 use super::reconnect;
@@ -23,32 +23,32 @@
 use crate::ledger::{Bounds, Ledger};
 use crate::net::{Clock, Deadlines, Listener, Poll, SlotTable};
 use crate::plain_purges::PlainPurges;
-use error::{kernel, watching};
+use error::{registration_error, system_error};
 use linnetknot_discovery::{Damping, EndpointTable, ListValidator, Source as ListSource};
 use linnetknot_origin_health::{OriginHealth, ZonePosition};
 use sockets::{open_cdni, open_peers, Sockets};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
 
-/// The ledger of purges with what belongs to it, where the front for CDNI has a store.
+/// The ledger and its store, if the CDNI front has one.
 #[derive(Default)]
 struct StoreParts {
     ledger: Option<Ledger>,
     pending: Option<PendingStore>,
-    word: Option<Signal>,
+    signal: Option<Signal>,
 }
 
 impl StoreParts {
-    /// Opens the store that the configuration names, if it names one.
+    /// Opens the configured store, if any.
     fn open(config: &Config, poll: &Poll, clock: &Clock) -> Result<Self, StartError> {
         let path = config.cdni.as_ref().and_then(|cdni| cdni.purges.clone());
         let Some(path) = path else {
             return Ok(StoreParts::default());
         };
-        let word = Signal::new().map_err(kernel("cdni.purges"))?;
-        poll.add_at_start(&word.heard, STORE)
-            .map_err(watching("cdni.purges"))?;
-        let wake = word.raiser().map_err(kernel("cdni.purges"))?;
+        let signal = Signal::new().map_err(system_error("cdni.purges"))?;
+        poll.add_at_start(&signal.reader, STORE_TOKEN)
+            .map_err(registration_error("cdni.purges"))?;
+        let wake = signal.waker().map_err(system_error("cdni.purges"))?;
         let store = StoreConfig {
             path,
             writer: linnetknot_discovery::server_id(&config.name),
@@ -64,13 +64,12 @@
         Ok(StoreParts {
             ledger: Some(opened.ledger),
             pending: opened.pending,
-            word: Some(word),
+            signal: Some(signal),
         })
     }
 }
 
-/// The sources of the list of cache servers. The bus alone is relayed: on the platform the module hears it event by
-/// event.
+/// Returns the sources of the endpoint list. Only events of the bus are passed to the decision module one by one.
 fn list_sources(config: &Config) -> Vec<ListSource> {
     let mut sources = vec![ListSource {
         name: "bus".into(),
@@ -91,26 +90,26 @@
     sources
 }
 
-/// Consul, where the configuration names one, with what keeps its list for the next process.
+/// The state of Consul, if configured, and the writer of its cached lists.
 struct ConsulParts {
     state: Option<consul::State>,
-    snapshots: Option<consul::SnapshotWriter>,
+    snapshot_writer: Option<consul::SnapshotWriter>,
     damping: Damping,
 }
 
 impl ConsulParts {
-    /// `address` is where clients connect, which is what is registered.
+    /// Starts the state of Consul. The address that clients connect to is registered.
     fn start(config: &Config, address: SocketAddr) -> Result<Self, StartError> {
         let Some(consul) = &config.consul else {
             return Ok(ConsulParts {
                 state: None,
-                snapshots: None,
+                snapshot_writer: None,
                 damping: Damping::default(),
             });
         };
         let state = consul::State::start(consul, config.seed, address)
             .map_err(|e| StartError::Consul(e.into()))?;
-        let snapshots = config
+        let snapshot_writer = config
             .state
             .directory
             .as_ref()
@@ -119,14 +118,14 @@
             .map_err(|e| StartError::Consul(e.into()))?;
         Ok(ConsulParts {
             state: Some(state),
-            snapshots,
+            snapshot_writer,
             damping: consul.damping,
         })
     }
 }
 
-/// All that can fail to be set up.
-struct Parts {
+/// The parts whose setup can fail.
+struct PreparedParts {
     clock: Clock,
     sockets: Sockets,
     trigger_api: Option<(Listener, TriggerApi)>,
@@ -136,7 +135,7 @@
     consul: ConsulParts,
 }
 
-impl Parts {
+impl PreparedParts {
     fn set_up(config: &Config) -> Result<Self, StartError> {
         let sockets = Sockets::open(config)?;
         let clock = Clock::start();
@@ -147,9 +146,9 @@
         }
         let peers = open_peers(config, &sockets.poll)?;
         let core = Core::new(config.settings.clone(), config.seed, &config.limits)?;
-        let address = sockets.clients.address().unwrap_or(config.listen);
+        let address = sockets.client_listener.address().unwrap_or(config.listen);
         let consul = ConsulParts::start(config, address)?;
-        Ok(Parts {
+        Ok(PreparedParts {
             clock,
             sockets,
             trigger_api,
@@ -162,22 +161,22 @@
 }
 
 impl Daemon {
-    /// Binds the sockets and replays the known events. On SIGHUP a new configuration is read from `source`.
+    /// Binds the sockets and replays the known events. On SIGHUP, a new configuration is read from `source`.
     ///
     /// # Errors
-    /// The configuration can't be followed on this machine.
+    /// The configuration can't be applied on this machine.
     pub fn start(mut config: Config, source: Source) -> Result<Self, StartError> {
-        let parts = Parts::set_up(&config)?;
-        let known = std::mem::take(&mut config.known);
+        let parts = PreparedParts::set_up(&config)?;
+        let recorded = std::mem::take(&mut config.known);
         let mut daemon = Daemon::assemble(config, source, parts);
         daemon.index_peers();
         let now = daemon.clock.now();
         daemon.restore_purges(now);
-        known
+        recorded
             .events
             .into_iter()
             .for_each(|event| daemon.apply_bus_event(now, event));
-        daemon.bus.last = known.offset;
+        daemon.bus.last_offset = recorded.offset;
         daemon.update_machines();
         daemon.join_membership(now);
         daemon
@@ -185,24 +184,24 @@
             .map_err(|e| StartError::Budgets(e.into()))?;
         daemon.restore_decisions(now);
         daemon.restore_triggers(now);
-        daemon.begin_recovery(now);
-        daemon.begin_reopening(now);
+        daemon.start_recovery(now);
+        daemon.schedule_store_opening(now);
         daemon.schedule_operator_state(now);
         daemon.tick_replication(now);
         daemon.load_snapshots(now);
         daemon.connect_bus(now);
         daemon.drive_consul(now);
-        daemon.settle(now);
+        daemon.execute_commands(now);
         daemon.log_start();
-        if !daemon.ops.in_service() {
+        if !daemon.operations.in_service() {
             let now = daemon.clock.now();
             daemon.start_drain(now);
         }
         Ok(daemon)
     }
 
-    /// The daemon before anything was replayed.
-    fn assemble(config: Config, source: Source, parts: Parts) -> Self {
+    /// Creates the daemon before the stored state is restored.
+    fn assemble(config: Config, source: Source, parts: PreparedParts) -> Self {
         let now = parts.clock.now();
         let stored = OperatorFiles::load(&config.operator_state_folder, config.seed, now);
         let origin_health = config
@@ -212,60 +211,60 @@
             clock: parts.clock,
             core: parts.core,
             poll: parts.sockets.poll,
-            listener: Some(parts.sockets.clients),
-            accepts_later: false,
-            reconnect: reconnect::WaitingAttempts::default(),
-            term: parts.sockets.term,
-            hup: parts.sockets.hup,
+            client_listener: Some(parts.sockets.client_listener),
+            accept_retry_scheduled: false,
+            deferred_attempts: reconnect::DeferredAttempts::default(),
+            sigterm: parts.sockets.sigterm,
+            sighup: parts.sockets.sighup,
             connections: SlotTable::new(config.limits.max_connections),
-            clients: 0,
+            client_count: 0,
             cache_connections: BTreeMap::new(),
             deadlines: Deadlines::default(),
             bus: bus::State::new(config.seed, &config.limits),
-            members: EndpointTable::new(
+            endpoint_table: EndpointTable::new(
                 list_sources(&config),
                 parts.consul.damping,
                 config.limits.discovery(),
             ),
-            validator: ListValidator::default(),
-            members_due: None,
-            logged: LoggedLines::default(),
+            list_validator: ListValidator::default(),
+            endpoint_table_due: None,
+            logged_notices: LoggedNotices::default(),
             consul: parts.consul.state,
-            snapshots: parts.consul.snapshots,
+            snapshot_writer: parts.consul.snapshot_writer,
             peers: parts.peers,
             peer_index: PeerIndex::default(),
             plain_purges: PlainPurges::new(&config.limits),
             plain_purges_due: None,
             origin_health,
-            dropped: (0, 0),
+            dropped_datagrams: (0, 0),
             trigger_api: parts.trigger_api,
             ledger: parts.store.ledger,
             pending_store: parts.store.pending,
             pending_commits: PendingCommits::default(),
             membership: None,
             shared_budgets: None,
-            fleet_due: None,
-            store_word: parts.store.word,
-            posts: 0,
-            told_ready: false,
-            waiting_answers: 0,
-            held: 0,
-            term_at: None,
+            membership_due: None,
+            store_signal: parts.store.signal,
+            pending_deliveries: 0,
+            announced_ready: false,
+            total_unsent_bytes: 0,
+            total_partial_request_bytes: 0,
+            sigterm_at: None,
             turn: Turn::start(now),
-            grace_over: false,
-            admin: parts.sockets.admin,
-            callers: 0,
-            ops: stored.operations,
-            ops_folder: config.operator_state_folder.clone(),
-            operator_state: stored.files,
-            inherited: parts.sockets.inherited,
+            shutdown_grace_over: false,
+            admin_listener: parts.sockets.admin_listener,
+            admin_connection_count: 0,
+            operations: stored.operations,
+            operator_state_folder: config.operator_state_folder.clone(),
+            operator_files: stored.files,
+            listener_inherited: parts.sockets.listener_inherited,
             limits: config.limits.clone(),
             config,
-            source,
+            config_source: source,
         }
     }
 
-    /// Logs where the daemon listens, and what the operators decided before.
+    /// Logs the addresses of the listeners and the restored decisions of operators.
     fn log_start(&self) {
         if let Some(address) = self.address() {
             log::info!("{} listens on {address}", self.config.name);
@@ -276,9 +275,9 @@
         if let Some(address) = self.admin_address() {
             log::info!("the admin listener is at {address}");
         }
-        let bans: Vec<&str> = self.ops.bans().collect();
-        if !bans.is_empty() || !self.ops.in_service() {
-            log::warn!(bans = bans.join(" ").as_str(), in_service = self.ops.in_service(); "kept by the operators");
+        let bans: Vec<&str> = self.operations.bans().collect();
+        if !bans.is_empty() || !self.operations.in_service() {
+            log::warn!(bans = bans.join(" ").as_str(), in_service = self.operations.in_service(); "kept by the operators");
         }
     }
 }
--- a/daemon/src/daemon/upstream_connections/selection.rs
+++ b/daemon/src/daemon/upstream_connections/selection.rs
@@ -1,4 +1,4 @@
-//! Which of the connections to a cache server an attempt takes, or whether another is begun for it.
+//! Selects the connection to a cache server for an attempt.
 
 use super::super::{ConnectError, Daemon};
 use crate::core::Core;
@@ -8,37 +8,37 @@
 use linnetknot::{Micros, ServerId};
 use std::net::SocketAddr;
 
-/// What is to be done for an attempt.
+/// How an attempt gets its connection.
 pub(super) enum Selection {
-    /// It takes this connection.
+    /// On an existing connection.
     Use {
         key: Key,
-        /// A further connection is begun, which no attempt waits for yet.
+        /// Open a spare connection, for which no attempt waits yet.
         connect_spare: bool,
     },
-    /// It waits for a new connection; those that are reclaimed are closed first.
+    /// On a new connection, after closing the reclaimed ones.
     Connect { reclaim: Vec<Key> },
-    /// It can't be sent for now.
+    /// The attempt can't be sent for now.
     Unavailable(ConnectError),
 }
 
-/// How well a connection fits an attempt: the smallest fits best.
+/// How well a connection suits an attempt; lower values are better.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Preference {
-    /// An attempt of the same request was not cancelled on it.
-    is_new_to_request: bool,
+    /// No attempt of the same request was aborted on it. Connections with an aborted attempt of the request are
+    /// preferred.
+    has_no_aborted_attempt: bool,
     is_connecting: bool,
     is_blocked_by_response: bool,
-    /// How many attempts are open on it.
     open_attempts: usize,
 }
 
-/// The connections to one cache server, as an attempt finds them.
+/// The connections to one cache server, with the context of a selection.
 pub(super) struct CacheConnections<'a> {
     now: Micros,
     core: &'a Core,
     limits: &'a Limits,
-    /// Where the cache server is by now.
+    /// The current address of the cache server.
     endpoint: Option<SocketAddr>,
     connections: Vec<(Key, &'a TcpConnection, &'a UpstreamConnection)>,
 }
@@ -47,8 +47,8 @@
     pub(super) fn of(daemon: &'a Daemon, now: Micros, server: ServerId) -> Self {
         let keys = daemon.cache_connections.get(&server).into_iter().flatten();
         let connections = keys.filter_map(|key| {
-            let (conn, link) = daemon.cache_connection(*key)?;
-            Some((*key, conn, link))
+            let (conn, upstream) = daemon.cache_connection(*key)?;
+            Some((*key, conn, upstream))
         });
         CacheConnections {
             now,
@@ -61,86 +61,89 @@
 
     /// Selects a connection for an attempt of the request with this id.
     pub(super) fn select(&self, id: &str) -> Selection {
-        if let Some((preference, key)) = self.best_for(id) {
+        if let Some((preference, key)) = self.best_connection(id) {
             return Selection::Use {
                 key,
                 connect_spare: self.wants_spare(preference.open_attempts),
             };
         }
         let reclaim = self.reclaimable();
-        let connecting = self.connecting();
-        let has_place =
+        let connecting = self.connecting_count();
+        let has_capacity =
             self.connections.len() - reclaim.len() < self.limits.max_connections_per_cache;
-        if has_place && connecting < self.limits.max_connects_per_cache {
+        if has_capacity && connecting < self.limits.max_connects_per_cache {
             return Selection::Connect { reclaim };
         }
         Selection::Unavailable(if connecting == 0 {
-            // All that lead there are taken, which says nothing of the cache server.
+            // All connections are busy, which says nothing about the cache server.
             ConnectError::NoCapacity
         } else {
             ConnectError::Unreachable
         })
     }
 
-    fn best_for(&self, id: &str) -> Option<(Preference, Key)> {
+    fn best_connection(&self, id: &str) -> Option<(Preference, Key)> {
         self.connections
             .iter()
-            .filter_map(|(key, conn, link)| Some((self.preference(id, conn, link)?, *key)))
+            .filter_map(|(key, conn, upstream)| Some((self.preference(id, conn, upstream)?, *key)))
             .min()
     }
 
-    /// How well a connection fits; none if it takes no attempt of this request now.
+    /// Returns how well a connection suits an attempt; `None` if it accepts no attempt of this request now.
     fn preference(
         &self,
         id: &str,
         conn: &TcpConnection,
-        link: &UpstreamConnection,
+        upstream: &UpstreamConnection,
     ) -> Option<Preference> {
-        let is_late = !conn.up && link.is_connect_overdue(self.now, self.limits);
-        if !self.leads_there(link) || is_late || link.is_stale(self.now, self.limits) {
+        let is_overdue = !conn.up && upstream.is_connect_overdue(self.now, self.limits);
+        if !self.has_current_endpoint(upstream)
+            || is_overdue
+            || upstream.is_stale(self.now, self.limits)
+        {
             return None;
         }
         Some(Preference {
-            is_new_to_request: !link.has_aborted(id),
+            has_no_aborted_attempt: !upstream.has_aborted(id),
             is_connecting: !conn.up,
-            is_blocked_by_response: link.is_blocked_by_response(self.now, self.limits),
-            open_attempts: link.live_streams_if_available(id, self.core, self.limits)?,
+            is_blocked_by_response: upstream.is_blocked_by_response(self.now, self.limits),
+            open_attempts: upstream.live_streams_if_available(id, self.core, self.limits)?,
         })
     }
 
-    /// Whether a connection leads to where the cache server is by now.
-    fn leads_there(&self, link: &UpstreamConnection) -> bool {
-        link.endpoint == self.endpoint
+    /// Returns whether a connection leads to the current address of the cache server.
+    fn has_current_endpoint(&self, upstream: &UpstreamConnection) -> bool {
+        upstream.endpoint == self.endpoint
     }
 
-    /// One answer that can't be read ends all that is open on its connection: the more connections, the less is lost at
-    /// once. The next one is begun ahead, so that no attempt waits for it.
+    /// Returns whether to open a spare connection. A malformed response ends all attempts on its connection, so
+    /// attempts are spread over several connections, and the next one is opened before it is needed.
     fn wants_spare(&self, open_attempts: usize) -> bool {
         open_attempts >= self.limits.attempts_before_new_connection
             && self.connections.len() < self.limits.max_connections_per_cache
             && self.connections.iter().all(|(_, conn, _)| conn.up)
     }
 
-    /// A connection that may lead nowhere gives its place up to the one that takes over from it: places at a cache server
-    /// are scarce where many proxies hold some, and what is held in vain by all bars all.
+    /// Returns the connections to close in favour of a new one: idle ones that may be dead. Cache servers limit their
+    /// connections, so dead ones must not keep the capacity.
     fn reclaimable(&self) -> Vec<Key> {
-        let is_reclaimable = |conn: &TcpConnection, link: &UpstreamConnection| {
-            let is_doubtful = link.is_suspect() || link.is_stale(self.now, self.limits);
-            conn.up && link.is_idle() && is_doubtful
+        let is_reclaimable = |conn: &TcpConnection, upstream: &UpstreamConnection| {
+            let is_doubtful = upstream.is_suspect() || upstream.is_stale(self.now, self.limits);
+            conn.up && upstream.is_idle() && is_doubtful
         };
         self.connections
             .iter()
-            .filter(|(_, conn, link)| is_reclaimable(conn, link))
+            .filter(|(_, conn, upstream)| is_reclaimable(conn, upstream))
             .map(|(key, _, _)| *key)
             .collect()
     }
 
-    /// How many connections have not come up. They may come up late all the same: more of them would only add to whatever
-    /// keeps them.
-    fn connecting(&self) -> usize {
+    /// Returns the number of connections that are not established yet. They may still be established; further ones
+    /// would only add load.
+    fn connecting_count(&self) -> usize {
         self.connections
             .iter()
-            .filter(|(_, conn, link)| self.leads_there(link) && !conn.up)
+            .filter(|(_, conn, upstream)| self.has_current_endpoint(upstream) && !conn.up)
             .count()
     }
 }
--- a/daemon/src/interconnect/budgets.rs
+++ b/daemon/src/interconnect/budgets.rs
@@ -149,11 +149,11 @@
 
     /// Returns the budgets of slow start: those of the parents and of the caches of each zone.
     fn slow_start_budgets(&self, settings: &Settings, members: usize) -> Vec<SharedBudget> {
-        let limit = kinds::CACHES.unit.one();
+        let limit = kinds::CACHES.unit.scale();
         let spec = BudgetSpec {
             limit,
             reserved: (self.cold_reserved * limit as f64 / members as f64) as u64,
-            settling_us: settings.rules.fall_us,
+            settling_us: settings.rules.overload_window_us,
         };
         let parents = settings
             .parent_kind
@@ -176,7 +176,7 @@
             reserved: self.reserved,
             settling_us: deadlines.max().unwrap_or(0),
         };
-        spec.shared(members)
+        spec.leasable_amount(members)
             .map_err(|source| InterconnectError::OriginLimit {
                 limit: spec.limit,
                 source,
--- a/daemon/src/ledger/mod.rs
+++ b/daemon/src/ledger/mod.rs
@@ -83,7 +83,10 @@
     match &entry.subject {
         Subject::Object(object) => Some(Purge::of_object(object, entry.at)),
         Subject::Group(group) => Some(Purge::of_group(*group, entry.at)),
-        Subject::Ban(_) | Subject::Drain | Subject::Status { .. } | Subject::Gone { .. } => None,
+        Subject::Ban(_)
+        | Subject::Drain
+        | Subject::TriggerStatusPart { .. }
+        | Subject::TriggerDeleted { .. } => None,
     }
 }
 
@@ -132,7 +135,7 @@
     /// Raises the incarnation of this process, as a peer knows an earlier process that the store does not know.
     pub fn raise_incarnation(&mut self, incarnation: Epoch) {
         self.identity.incarnation = incarnation;
-        self.replica.renumber(incarnation);
+        self.replica.set_process(incarnation);
         // If the queue is full, the next process on this store gets the incarnation from the peers, as this one did.
         if let Some(worker) = &mut self.worker {
             worker.submit(identity::put_incarnation(incarnation));
@@ -148,7 +151,7 @@
     pub fn decisions(&self) -> BTreeMap<Subject, bool> {
         self.replica
             .log_store()
-            .decisions(self.replica.own().writer)
+            .operator_decisions(self.replica.own_log().writer)
     }
 
     /// Returns the replica.
@@ -166,7 +169,7 @@
         let worker = self.worker.as_mut();
         match worker.and_then(|worker| worker.submit(codec::put(entry))) {
             Some(write) => self.in_flight.push(write, entry),
-            None => self.replica.sync_failed(entry.log, entry.index),
+            None => self.replica.record_sync_failure(entry.log, entry.index),
         }
     }
 
@@ -224,7 +227,7 @@
         };
         let table = self.replica.log_store().table();
         let synced = self.compaction.submit(worker, self.reserve, table);
-        self.replica.snapshot_synced(&synced)
+        self.replica.record_snapshot_synced(&synced)
     }
 
     /// Processes the completions of writes. Returns the datagrams for peers.
@@ -241,8 +244,8 @@
         let mut outgoing = Vec::new();
         for entry in self.in_flight.take_through(completion.through) {
             match completion.result {
-                Ok(()) => outgoing.extend(self.replica.synced(entry.log, entry.index)),
-                Err(_) => self.replica.sync_failed(entry.log, entry.index),
+                Ok(()) => outgoing.extend(self.replica.record_synced(entry.log, entry.index)),
+                Err(_) => self.replica.record_sync_failure(entry.log, entry.index),
             }
         }
         self.compaction.complete(completion);
@@ -257,7 +260,7 @@
     /// Retries failed writes, removes expired entries and compacts. Returns the datagrams for peers.
     pub fn tick(&mut self, now: Micros) -> Vec<Outgoing> {
         if self.capacity() > 0 {
-            for entry in self.replica.take_failed() {
+            for entry in self.replica.take_failed_syncs() {
                 self.write(&entry);
             }
         }
--- a/daemon/src/limits/mod.rs
+++ b/daemon/src/limits/mod.rs
@@ -251,9 +251,9 @@
                 .exact
                 .unwrap_or(self.max_exact_purges),
             max_logs: self.max_purge_logs,
-            expiring: self.max_status_entries,
+            expiring_entries: self.max_status_entries,
             expiry_us: triggers::STALE_S * 1_000_000,
-            max_pending: self.max_pending_commits,
+            max_pending_commits: self.max_pending_commits,
             min_acks: replication.min_acks,
             replication_factor: replication.replication_factor,
             commit_timeout_us: replication.commit_timeout_us,
--- a/daemon/tests/compaction.rs
+++ b/daemon/tests/compaction.rs
@@ -97,9 +97,9 @@
     let crashed = Running::open(&copy, 1 << 50, bounds(WINDOW, BITS)).unwrap();
     let store = running.ledger.replica().log_store();
     let lost = (0..WINDOW as u64).filter(|n| {
-        let of = |store: &linnetknot_replication::LogStore| store.effective(&subject(*n));
+        let of = |store: &linnetknot_replication::LogStore| store.latest_purge(&subject(*n));
         of(crashed.ledger.replica().log_store())
-            .is_none_or(|at| Some(at) < store.latest(&subject(*n)))
+            .is_none_or(|at| Some(at) < store.latest_entry_time(&subject(*n)))
     });
     assert_eq!(lost.count(), 0);
     crashed.ledger.simulate_crash();
@@ -137,7 +137,12 @@
     running.ledger.tick(running.now);
     running.settle();
     let is_held = |running: &Running, n: u64| {
-        running.ledger.replica().log_store().effective(&subject(n)) >= Some(1_000 * n)
+        running
+            .ledger
+            .replica()
+            .log_store()
+            .latest_purge(&subject(n))
+            >= Some(1_000 * n)
     };
     assert!((0..30).all(|n| is_held(&running, n)));
     running.ledger.simulate_crash();
@@ -295,7 +300,7 @@
         if let (1, Datagram::Ack { positions, .. }) = (from, &datagram) {
             acks.extend(positions.iter().copied());
         }
-        let datagram = Datagram::read(&datagram.write().unwrap()).unwrap();
+        let datagram = Datagram::decode(&datagram.encode().unwrap()).unwrap();
         let received = sides[1 - from].ledger.receive(Micros::MAX, 0, datagram);
         pending.extend(received.replies.into_iter().map(|reply| (1 - from, reply)));
     }
@@ -309,7 +314,7 @@
     sender.ledger.set_machines(10, vec![20]);
     let told: Vec<_> = (0..40).filter_map(|n| sender.purge(n)).collect();
     assert_eq!(told.len(), 40);
-    let log = sender.ledger.replica().own();
+    let log = sender.ledger.replica().own_log();
     let mut receiver = Running::open_as(2, &theirs, 1_000_001, options).unwrap();
     receiver.ledger.set_machines(20, vec![10]);
     let mut sides = [sender, receiver];
--- a/rehearse/src/scale/daemons/kind.rs
+++ b/rehearse/src/scale/daemons/kind.rs
@@ -34,16 +34,16 @@
 
     /// Of a datagram.
     pub fn of(bytes: &[u8]) -> Self {
-        match Datagram::read(bytes) {
+        match Datagram::decode(bytes) {
             Ok(Datagram::Entry(_)) => return Kind::Entries,
             Ok(Datagram::Ack { .. }) => return Kind::Acks,
             Ok(_) => return Kind::Digests,
             Err(_) => {}
         }
-        if !matches!(Message::read(bytes), Err(DecodeError::Foreign)) {
+        if !matches!(Message::decode(bytes), Err(DecodeError::Foreign)) {
             return Kind::Membership;
         }
-        match budgets::read(bytes) {
+        match budgets::decode(bytes) {
             Err(budgets::DecodeError::Foreign) => Kind::Other,
             _ => Kind::Budgets,
         }
--- a/replication/tests/compaction/fleet.rs
+++ b/replication/tests/compaction/fleet.rs
@@ -178,10 +178,10 @@
 
     fn send(&mut self, from: usize, to: usize, datagram: &Datagram) {
         let bytes = datagram
-            .write()
+            .encode()
             .unwrap_or_else(|| panic!("too long: {datagram:?}"));
         assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
-        assert_eq!(Datagram::read(&bytes).as_ref(), Ok(datagram));
+        assert_eq!(Datagram::decode(&bytes).as_ref(), Ok(datagram));
         self.links.send(from, to, &bytes);
     }
 
@@ -237,7 +237,7 @@
         let disk = &mut member.disk;
         let outgoing = match write {
             Write::Entry(entry) => {
-                let outgoing = replica.synced(entry.log, entry.index);
+                let outgoing = replica.record_synced(entry.log, entry.index);
                 disk.entries
                     .insert((entry.log, entry.subject.clone()), entry);
                 outgoing
@@ -263,7 +263,7 @@
             }
             Write::Snapshot(logs) => {
                 disk.set_compacted(&logs);
-                replica.snapshot_synced(&logs)
+                replica.record_snapshot_synced(&logs)
             }
             Write::Delete(entry) => {
                 let key = (entry.log, entry.subject);
@@ -288,7 +288,7 @@
         let Some(replica) = member.replica.as_mut() else {
             return;
         };
-        let datagram = Datagram::read(bytes).expect("it is well formed");
+        let datagram = Datagram::decode(bytes).expect("it is well formed");
         let is_of_snapshots = matches!(
             datagram,
             Datagram::SnapshotOffer(_) | Datagram::SnapshotRequest(_) | Datagram::SnapshotChunk(_)
@@ -385,7 +385,7 @@
     pub(crate) fn missing(&self, n: usize, until: Micros) -> usize {
         let store = self.replica(n).log_store();
         let has = |(subject, at): &(&Subject, &Micros)| {
-            **at > until || store.effective(subject) >= Some(**at)
+            **at > until || store.latest_purge(subject) >= Some(**at)
         };
         self.purged.iter().filter(|purge| !has(purge)).count()
     }
@@ -409,7 +409,7 @@
                 let lost = self
                     .purged
                     .iter()
-                    .filter(|(subject, at)| restored.effective(subject) < Some(**at));
+                    .filter(|(subject, at)| restored.latest_purge(subject) < Some(**at));
                 assert_eq!(lost.count(), 0, "on the disk of p{n}");
                 assert_eq!(
                     restored.checksum(),
@@ -427,7 +427,7 @@
                 continue;
             };
             for subject in self.purged.keys().step_by(step) {
-                let Some(now) = replica.log_store().effective(subject) else {
+                let Some(now) = replica.log_store().latest_purge(subject) else {
                     assert!(
                         !member.seen.contains_key(subject),
                         "p{n}: {subject:?} is gone"
--- a/replication/tests/model.rs
+++ b/replication/tests/model.rs
@@ -96,7 +96,7 @@
     fn send(state: &mut State, from: usize, to: usize, datagram: &Datagram) {
         state
             .sent
-            .insert((from, to, datagram.write().expect("it fits")));
+            .insert((from, to, datagram.encode().expect("it fits")));
     }
 
     fn take(&self, state: &mut State, n: usize, entry: &Entry) {
@@ -110,7 +110,7 @@
             let outgoing = state.proxies[n]
                 .replica
                 .as_mut()
-                .map(|c| c.synced(entry.log, entry.index));
+                .map(|c| c.record_synced(entry.log, entry.index));
             self.tell(state, n, outgoing.unwrap_or_default());
         }
     }
@@ -201,12 +201,15 @@
             Action::Write(n) => {
                 let proxy = &mut state.proxies[n];
                 let entry = proxy.writes.pop_front()?;
-                proxy.disk.take(&entry, Capacity::UNLIMITED);
-                let outgoing = proxy.replica.as_mut()?.synced(entry.log, entry.index);
+                proxy.disk.try_insert(&entry, Capacity::UNLIMITED);
+                let outgoing = proxy
+                    .replica
+                    .as_mut()?
+                    .record_synced(entry.log, entry.index);
                 self.tell(&mut state, n, outgoing);
             }
             Action::Deliver(from, to, bytes) => {
-                let datagram = Datagram::read(&bytes).ok()?;
+                let datagram = Datagram::decode(&bytes).ok()?;
                 let received = state.proxies[to].replica.as_mut()?.receive(
                     Micros::MAX,
                     peer_index(from, to),
@@ -267,7 +270,7 @@
                     state
                         .proxies
                         .iter()
-                        .any(|p| p.disk.latest(subject).is_some())
+                        .any(|p| p.disk.latest_entry_time(subject).is_some())
                 };
                 state.lost > 1
                     || state
--- a/replication/tests/statuses.rs
+++ b/replication/tests/statuses.rs
@@ -4,7 +4,7 @@
 
 const CAPACITY: Capacity = Capacity {
     entries: 3,
-    expiring: 6,
+    expiring_entries: 6,
     logs: 9,
 };
 const OWN: LogId = LogId::new(1, 7);
@@ -27,7 +27,7 @@
 }
 
 fn piece(number: u64, part: u16, text: &str) -> Subject {
-    Subject::Status {
+    Subject::TriggerStatusPart {
         number,
         part,
         text: text.to_owned(),
@@ -40,12 +40,13 @@
     for (number, part, text) in [(5, 0, "{a"), (6, 0, "{x}"), (5, 1, "b}"), (4, 1, "cut}")] {
         append(&mut log_store, OWN, piece(number, part, text), 10).unwrap();
     }
-    let outgoing = |log_store: &LogStore| [4, 5, 6].map(|number| log_store.status(1, number));
+    let outgoing =
+        |log_store: &LogStore| [4, 5, 6].map(|number| log_store.trigger_status(1, number));
     assert_eq!(
         outgoing(&log_store),
         [None, Some("{ab}".into()), Some("{x}".into())]
     );
-    assert_eq!(log_store.status(2, 5), None, "another writer's");
+    assert_eq!(log_store.trigger_status(2, 5), None, "another writer's");
     assert_eq!(
         log_store.triggers().into_iter().collect::<Vec<_>>(),
         [(1, 4), (1, 5), (1, 6)]
@@ -54,7 +55,7 @@
     append(
         &mut log_store,
         LogId::new(2, 9),
-        Subject::Gone {
+        Subject::TriggerDeleted {
             writer: 1,
             number: 5,
         },
@@ -100,7 +101,7 @@
     // One who was away passes over what has gone.
     let mut away = LogStore::default();
     for entry in log_store.entries_after(OWN, 0) {
-        assert_eq!(away.take(&entry, CAPACITY), Insertion::New);
+        assert_eq!(away.try_insert(&entry, CAPACITY), Insertion::New);
     }
     assert_eq!(
         (away.last_index(OWN), away.checksum(), away.len()),
@@ -113,7 +114,7 @@
     let mut log_store = LogStore::default();
     append(&mut log_store, OWN, piece(5, 0, "x"), 10).unwrap();
     append(&mut log_store, OWN, piece(6, 0, "y"), 10).unwrap();
-    let gone = Subject::Gone {
+    let gone = Subject::TriggerDeleted {
         writer: 1,
         number: 5,
     };
@@ -130,7 +131,10 @@
         "6 is the last, and 5 may be had elsewhere still"
     );
     assert_eq!(
-        (log_store.last_index(OWN), log_store.latest(&gone)),
+        (
+            log_store.last_index(OWN),
+            log_store.latest_entry_time(&gone)
+        ),
         (2, Some(10))
     );
     let over: Vec<Index> = log_store.expire(210, 100).iter().map(|e| e.index).collect();
@@ -153,18 +157,18 @@
     };
     let mut replica = Replica::new(OWN, LogStore::default(), 1, options);
     let first = replica.append(piece(5, 0, "x"), 10, false).unwrap();
-    replica.sync_failed(first.log, first.index);
+    replica.record_sync_failure(first.log, first.index);
     let second = replica.append(Subject::Group(3), 200, false).unwrap();
     assert_eq!(replica.expire(200).len(), 1);
-    assert!(replica.take_failed().is_empty());
-    replica.synced(second.log, second.index);
+    assert!(replica.take_failed_syncs().is_empty());
+    replica.record_synced(second.log, second.index);
     assert_eq!(
         replica.durable_index(OWN),
         0,
         "what stands before it may have been superseded by something unsynced"
     );
     assert!(
-        replica.take_failed().is_empty(),
+        replica.take_failed_syncs().is_empty(),
         "it is known to be nothing that is in force"
     );
     assert_eq!((replica.durable_index(OWN), replica.is_synced()), (2, true));
@@ -180,7 +184,7 @@
         " ".repeat(113),
         "x".repeat(112),
     ] {
-        let cut = pieces(&text).unwrap();
+        let cut = split_status(&text).unwrap();
         assert_eq!(
             cut.iter()
                 .map(|(_, piece)| piece.as_str())
@@ -189,7 +193,7 @@
         );
         for (part, text) in cut {
             // All numbers as long as they can be.
-            let subject = Subject::Status {
+            let subject = Subject::TriggerStatusPart {
                 number: u64::MAX,
                 part: u16::MAX - part,
                 text,
@@ -203,22 +207,22 @@
                 at: most,
                 revoked: false,
             };
-            let bytes = Datagram::Entry(entry.clone()).write().expect("it fits");
-            assert_eq!(Datagram::read(&bytes), Ok(Datagram::Entry(entry)));
+            let bytes = Datagram::Entry(entry.clone()).encode().expect("it fits");
+            assert_eq!(Datagram::decode(&bytes), Ok(Datagram::Entry(entry)));
         }
     }
-    assert_eq!(pieces("").unwrap(), [(0, String::new())]);
+    assert_eq!(split_status("").unwrap(), [(0, String::new())]);
     for torn in ["%", "%4", "%zz", "%+1", "a%\u{e9}", "%41", "\u{1}", "%2A"] {
         let datagram = format!("copies1 entry 1 1 0 1 1 status 1.0.{torn}");
         assert_eq!(
-            Datagram::read(datagram.as_bytes()),
+            Datagram::decode(datagram.as_bytes()),
             Err(DecodeError::Malformed),
             "{torn}"
         );
     }
     assert!(
-        pieces(&"x".repeat(112 * 65_536)).is_some()
-            && pieces(&"x".repeat(112 * 65_536 + 1)).is_none()
+        split_status(&"x".repeat(112 * 65_536)).is_some()
+            && split_status(&"x".repeat(112 * 65_536 + 1)).is_none()
     );
 }
 
@@ -226,9 +230,9 @@
 #[test]
 fn the_last_trigger_of_a_writer_counts_also_where_only_its_end_is_known() {
     let mut log_store = LogStore::default();
-    assert_eq!(log_store.last_trigger(1), None);
+    assert_eq!(log_store.last_trigger_number(1), None);
     append(&mut log_store, OWN, piece(5, 0, "x"), 10).unwrap();
-    let gone = Subject::Gone {
+    let gone = Subject::TriggerDeleted {
         writer: 1,
         number: 5,
     };
@@ -236,8 +240,8 @@
     append(&mut log_store, OWN, Subject::Drain, 10).unwrap();
     assert_eq!(log_store.expire(110, 100).len(), 1, "the status alone");
     assert!(log_store.triggers().is_empty());
-    assert_eq!(log_store.last_trigger(1), Some(5));
-    assert_eq!(log_store.last_trigger(2), None);
+    assert_eq!(log_store.last_trigger_number(1), Some(5));
+    assert_eq!(log_store.last_trigger_number(2), None);
 }
 
 /// What a process finds on its disk counts from its start, whatever its clock says; by the stored time it goes only
--- a/tests/cold.rs
+++ b/tests/slow_start_budget.rs
@@ -6,7 +6,7 @@
 use linnetknot::*;
 
 /// What the routers of a fleet send to a cold server, in order of time.
-struct Play {
+struct Scenario {
     routers: u32,
     /// The routers of the cold server's location are those with every so many-th number.
     every: u32,
@@ -22,10 +22,10 @@
 /// Each request's work at full pace.
 const WORK_S: f64 = 0.1;
 
-impl Play {
+impl Scenario {
     fn settings(&self) -> Settings {
         let mut s = Settings {
-            direct: false,
+            direct_to_upstream: false,
             ..settings()
         };
         s.zones[1].routers = self.routers;
@@ -43,13 +43,13 @@
         ];
         let cold = usize::from(self.parent);
         servers[1 - cold].weight = 1e6;
-        (servers[cold].id, servers[cold].started) = (self.id, Some(T0));
+        (servers[cold].id, servers[cold].started) = (self.id, Some(START));
         let start = |n: u32, now: Micros, life: u64| {
-            let rank = Some(n * self.every);
+            let router_index = Some(n * self.every);
             let seed = self.seed ^ u64::from(n).wrapping_mul(0x9e37_79b9) ^ life << 40;
             let mut router = Router::new(
                 Settings {
-                    rank,
+                    router_index,
                     ..self.settings()
                 },
                 seed,
@@ -65,13 +65,13 @@
             );
             router
         };
-        let mut routers: Vec<Router> = (0..self.routers).map(|n| start(n, T0, 0)).collect();
+        let mut routers: Vec<Router> = (0..self.routers).map(|n| start(n, START, 0)).collect();
         let (mut sends, mut number, mut actions) = (Vec::new(), 0, Vec::new());
         let mut restart = self.restart;
         let steps = 10;
         for step in 0..length / self.each * steps {
-            let now = T0 + step * self.each / steps;
-            if restart.take_if(|at| T0 + *at <= now).is_some() {
+            let now = START + step * self.each / steps;
+            if restart.take_if(|at| START + *at <= now).is_some() {
                 routers = (0..self.routers).map(|n| start(n, now, 1)).collect();
             }
             let due = routers
@@ -89,17 +89,17 @@
                     group: 1,
                     size_kb: WORK_S * 5_000.0,
                     remaining_us: 5 * S,
-                    repeated: false,
+                    is_retry: false,
                 };
                 actions.clear();
                 router.handle(now, Event::Request(request), &mut actions);
                 let Some(sent) = sent(&actions) else { continue };
                 if [sent.server, sent.fill.source].contains(&self.id) {
-                    sends.push(now - T0);
+                    sends.push(now - START);
                 }
                 // Answered at once, so that nothing but the budget holds the next one back.
                 let note = if self.parent { Note::Filled } else { Note::Hit };
-                let outcome = Event::Outcome {
+                let outcome = Event::AttemptEnded {
                     request: number,
                     attempt: 0,
                     server: sent.server,
@@ -107,7 +107,7 @@
                     took_us: 100 * MS,
                     settled: true,
                     note,
-                    waited_us: 0,
+                    first_byte_us: 0,
                     load: None,
                 };
                 router.handle(now, outcome, &mut actions);
@@ -134,13 +134,13 @@
             ),
         };
         let warmth = (share + (1.0 - share) * age as f64 / cold as f64).min(1.0);
-        multiple * warmth * capacity * r.fall_us as f64 / 1e6 / WORK_S
+        multiple * warmth * capacity * r.overload_window_us as f64 / 1e6 / WORK_S
     }
 
     /// Plays it: the greatest excess of a window over what is allowed and chance, and the share of what is allowed that is
     /// used in all.
-    fn play(&self) -> (f64, f64) {
-        let (window, length) = (self.settings().rules.fall_us, 6 * S);
+    fn run(&self) -> (f64, f64) {
+        let (window, length) = (self.settings().rules.overload_window_us, 6 * S);
         let sends = self.sends(length);
         let worst = sends.iter().enumerate().map(|(first, at)| {
             let within = sends[first..]
@@ -156,7 +156,7 @@
 }
 
 /// Each with more to send than the server bears, all together.
-fn plays() -> impl Iterator<Item = Play> {
+fn scenarios() -> impl Iterator<Item = Scenario> {
     let sizes = [1, 2, 3, 5, 12, 20, 30, 48, 100, 300];
     let kinds = [(false, 1), (false, 3), (false, 8), (true, 1)];
     sizes.into_iter().flat_map(move |routers| {
@@ -164,7 +164,7 @@
             (0..2).map(move |seed| {
                 let id = 1000 + 7 * seed + u64::from(routers);
                 let each = (10 * MS * u64::from(routers)).min(100 * MS);
-                Play {
+                Scenario {
                     routers,
                     every,
                     each,
@@ -179,12 +179,12 @@
 }
 
 #[test]
-fn no_window_holds_more_than_the_rule_allows_and_what_is_chance_from_1_to_300_routers() {
-    for play in plays() {
-        let (over, used) = play.play();
+fn any_window_stays_within_the_rule_and_random_variation_for_1_to_300_routers() {
+    for scenario in scenarios() {
+        let (over, used) = scenario.run();
         let name = format!(
             "{} routers, every {}, parent: {}",
-            play.routers, play.every, play.parent
+            scenario.routers, scenario.every, scenario.parent
         );
         assert!(
             over <= 0.0,
@@ -200,27 +200,27 @@
 
 /// Routers that start again have forgotten what they sent; their turns are where they were.
 #[test]
-fn all_routers_that_start_again_at_once_push_no_cold_server_over() {
-    for play in plays() {
-        let play = Play {
+fn a_simultaneous_restart_of_all_routers_overloads_no_warming_server() {
+    for scenario in scenarios() {
+        let scenario = Scenario {
             restart: Some(1_500 * MS),
-            ..play
+            ..scenario
         };
-        let (over, _) = play.play();
+        let (over, _) = scenario.run();
         assert!(
             over <= 0.0,
             "{} routers, every {}: {over}",
-            play.routers,
-            play.every
+            scenario.routers,
+            scenario.every
         );
     }
 }
 
 /// Where nothing was sent for long and then all have something at once, as when an object becomes hot.
 #[test]
-fn turns_do_not_add_up_while_there_is_nothing_to_send() {
+fn unused_send_slots_do_not_accumulate() {
     for routers in [20, 30, 100, 300] {
-        let play = Play {
+        let scenario = Scenario {
             routers,
             every: 1,
             each: 3 * S,
@@ -229,7 +229,7 @@
             seed: 1,
             restart: None,
         };
-        let (over, _) = play.play();
+        let (over, _) = scenario.run();
         assert!(over <= 0.0, "{routers} routers: {over}");
     }
 }
