--- a/daemon/src/daemon/connection_table.rs
+++ b/daemon/src/daemon/connection_table.rs
@@ -120,8 +120,10 @@
         let key = self
             .add_connection(now, conn.map_err(|_| ConnectError::NoCapacity)?, kind)
             .ok_or(ConnectError::NoCapacity)?;
-        self.deadlines
-            .set(now + self.limits.connect_timeout_us, Timer::ConnectTimeout(key));
+        self.deadlines.set(
+            now + self.limits.connect_timeout_us,
+            Timer::ConnectTimeout(key),
+        );
         Ok(key)
     }
 
--- a/daemon/src/daemon/discovery.rs
+++ b/daemon/src/daemon/discovery.rs
@@ -92,7 +92,8 @@
         for notice in output.notices {
             let line = notice_line(&self.endpoint_table, notice);
             if self
-                .logged_notices.is_new(&line, self.limits.max_remembered_log_lines)
+                .logged_notices
+                .is_new(&line, self.limits.max_remembered_log_lines)
             {
                 log::warn!("the endpoint table: {line}");
             }
--- a/daemon/src/daemon/lifecycle.rs
+++ b/daemon/src/daemon/lifecycle.rs
@@ -145,10 +145,9 @@
         self.close_client_listener();
         for key in self.connections.keys() {
             self.close_when_answered(key);
-            let is_recent = self
-                .connections
-                .get(key)
-                .is_some_and(|connection| connection.state_since + self.limits.client_eviction_grace_us > now);
+            let is_recent = self.connections.get(key).is_some_and(|connection| {
+                connection.state_since + self.limits.client_eviction_grace_us > now
+            });
             if !is_recent {
                 self.schedule_half_close(now, key);
             }
--- a/daemon/src/daemon/sources/bus.rs
+++ b/daemon/src/daemon/sources/bus.rs
@@ -207,7 +207,9 @@
                 self.connections.remove(key);
                 self.connect_bus(now);
             }
-            Some(_) => self.schedule_bus_check(self.bus.last_read_at + self.limits.bus_read_timeout_us),
+            Some(_) => {
+                self.schedule_bus_check(self.bus.last_read_at + self.limits.bus_read_timeout_us)
+            }
         }
     }
 }
--- a/daemon/src/daemon/sources/consul/mod.rs
+++ b/daemon/src/daemon/sources/consul/mod.rs
@@ -257,7 +257,9 @@
         let exchange = Call::new(
             request,
             self.limits.max_line_bytes,
-            self.limits.max_line_bytes, done);
+            self.limits.max_line_bytes,
+            done,
+        );
         let key = self.start_exchange(now, to, exchange, Some(call.timeout_us));
         if key.is_none() {
             self.registration_finished(now, Err(TransportError::Unreachable));
