--- a/daemon/src/daemon/sources/bus.rs
+++ b/daemon/src/daemon/sources/bus.rs
@@ -208,7 +208,7 @@
                 self.connect_bus(now);
             }
             Some(_) => {
-                self.schedule_bus_check(self.bus.last_read_at + self.limits.bus_read_timeout_us)
+                self.schedule_bus_check(self.bus.last_read_at + self.limits.bus_read_timeout_us);
             }
         }
     }
