--- a/daemon/src/net/injection.rs
+++ b/daemon/src/net/injection.rs
@@ -70,7 +70,7 @@
     pub struct Plan {
         /// The errnos, used in turn.
         pub errnos: Vec<Errno>,
-        /// Every how many calls one fails; 0 and 1 stand for every call.
+        /// The interval of failing calls: of this many calls, one fails. 0 and 1 stand for every call.
         pub every: u64,
         /// The number of calls that are made before the first failure.
         pub after: u64,
