--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -12,7 +12,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// An edge proxy for sites of large-object caches. Without a command it starts, configured by the files that
+/// An edge proxy for sites of large-object caches. Without a command it runs the proxy, configured by the files that
 /// ROUTER_CONFIG and LINNETKNOT_INTERCONNECT name.
 #[derive(Parser)]
 #[command(name = "linnetknot", version)]
@@ -23,16 +23,16 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Checks files without starting: configurations, and the operators' own (deploy/interconnect.json). Exits with 1
-    /// if any is faulty, after a message that names the key.
+    /// Validates files without starting the proxy: configurations, and the operators' own file
+    /// (deploy/interconnect.json). Exits with 1 if any is invalid, after a message that names the key.
     Check {
-        /// The files; without any, those that a start would read.
+        /// The files. Without any, those that a start would read.
         files: Vec<PathBuf>,
     },
-    /// Asks a running proxy about what the proxies of the fleet keep for each other.
+    /// Queries the admin listener of a running proxy.
     Fleet {
         #[command(subcommand)]
-        what: FleetCommand,
+        query: FleetCommand,
     },
     /// Prints the JSON Schema of the operators' own file.
     Schema,
@@ -40,21 +40,21 @@
 
 #[derive(Subcommand)]
 enum FleetCommand {
-    /// Its promises, how far each peer has its log, and the logs that it holds for others. Exits with 1 where it can't
-    /// be asked.
+    /// Prints the replication status: commits, the progress of each peer, and the replicated logs. Exits with 1 if the
+    /// query fails.
     Status {
-        /// The admin listener of the proxy ('ops' of its configuration).
+        /// The address of the admin listener of the proxy ('ops' in its configuration).
         admin: SocketAddr,
-        /// As JSON, in one line.
+        /// Print JSON in one line.
         #[arg(long)]
         json: bool,
     },
-    /// What all proxies spend together: its parts, who divides, and who lives on a floor. Exits with 1 where it can't be
-    /// asked.
+    /// Prints the status of the shared budgets: the leases, the allocators and the reserved minimums. Exits with 1 if
+    /// the query fails.
     Budgets {
-        /// The admin listener of the proxy ('ops' of its configuration).
+        /// The address of the admin listener of the proxy ('ops' in its configuration).
         admin: SocketAddr,
-        /// As JSON, in one line.
+        /// Print JSON in one line.
         #[arg(long)]
         json: bool,
     },
@@ -105,7 +105,7 @@
     let mut exit_code = ExitCode::SUCCESS;
     for file in config::check(files) {
         match file.result {
-            Ok(what) => println!("{}: {what}", file.name),
+            Ok(description) => println!("{}: {description}", file.name),
             Err(e) => {
                 eprintln!("{e}");
                 exit_code = ExitCode::FAILURE;
@@ -158,7 +158,7 @@
     match Arguments::parse().command {
         None => run_daemon(),
         Some(Command::Check { files }) => check(&files),
-        Some(Command::Fleet { what }) => query_fleet(&what),
+        Some(Command::Fleet { query }) => query_fleet(&query),
         Some(Command::Schema) => {
             print!("{}", interconnect::schema());
             ExitCode::SUCCESS
