--- a/daemon/src/bus.rs
+++ b/daemon/src/bus.rs
@@ -150,12 +150,12 @@
             match piece {
                 None => return Ok(events),
                 Some(http::Piece::Head(head)) if head.status() != Some(200) => {
-                    return Err(WireError::Malformed("the event bus's answer"));
+                    return Err(WireError::Malformed("the response of the event bus"));
                 }
                 Some(http::Piece::Head(_)) => {}
                 Some(http::Piece::Body(bytes)) => self.body(&bytes, last, &mut events)?,
                 Some(http::Piece::End) => {
-                    return Err(WireError::Malformed("the end of the event bus's stream"))
+                    return Err(WireError::Malformed("the end of the event stream"))
                 }
             }
         }
--- a/daemon/src/core/requests.rs
+++ b/daemon/src/core/requests.rs
@@ -83,11 +83,11 @@
                 Outcome::Moot,
             );
         }
-        self.forget_client(now, key);
+        self.notify_client_left(now, key);
     }
 
     /// Notifies the decision module that a request needs no answer any more.
-    fn forget_client(&mut self, now: Micros, key: RequestKey) {
+    fn notify_client_left(&mut self, now: Micros, key: RequestKey) {
         let request = key.to_u64();
         self.drive(now, Event::ClientLeft { request });
         self.requests.release_if_finished(key);
@@ -120,7 +120,7 @@
             // Ensures one final answer even if the decision module leaves the request open.
             log::warn!("a request was still unanswered at its deadline");
             self.finish(now, key, Answer::Failed);
-            self.forget_client(now, key);
+            self.notify_client_left(now, key);
         }
     }
 
--- a/daemon/src/front/fastcgi/mod.rs
+++ b/daemon/src/front/fastcgi/mod.rs
@@ -34,7 +34,7 @@
     }
 
     /// Whether a response must follow.
-    fn wants_answer(&self) -> bool {
+    fn requires_response(&self) -> bool {
         !matches!(self, Input::ClientGone(_))
     }
 }
--- a/daemon/src/front/fastcgi/output.rs
+++ b/daemon/src/front/fastcgi/output.rs
@@ -5,9 +5,9 @@
 use std::collections::VecDeque;
 
 /// The size of the records that end a stream and its request.
-const END_CAPACITY: usize = 2 * wire::HEADER_LENGTH + wire::END_LENGTH;
+const END_RECORDS_BYTES: usize = 2 * wire::HEADER_LENGTH + wire::END_LENGTH;
 /// The minimum content of a record other than the last, so that slow readers do not receive tiny records.
-const MIN_RECORD: usize = 1024;
+const MIN_RECORD_BYTES: usize = 1024;
 
 /// A queued message.
 enum Message {
@@ -77,11 +77,11 @@
 
     /// Writes as much as fits into the buffer. Returns false once a message has been written after which the connection
     /// closes.
-    pub(super) fn write(&mut self, ring: &mut RingBuffer) -> bool {
+    pub(super) fn write(&mut self, buffer: &mut RingBuffer) -> bool {
         let mut all_keep_open = true;
         while let Some(message) = self.messages.front_mut() {
             let before = message.pending_bytes();
-            let written = message.write(ring);
+            let written = message.write(buffer);
             self.pending_bytes -= before - message.pending_bytes();
             match written {
                 Written::Blocked => break,
@@ -104,20 +104,20 @@
         }
     }
 
-    fn write(&mut self, ring: &mut RingBuffer) -> Written {
+    fn write(&mut self, buffer: &mut RingBuffer) -> Written {
         match self {
             Message::Management(record) => {
-                if ring.free_bytes() < record.len() {
+                if buffer.free_bytes() < record.len() {
                     return Written::Blocked;
                 }
-                ring.push(record);
+                buffer.push(record);
                 record.clear();
                 Written::All { keep_open: true }
             }
             Message::Response {
                 id, bytes, written, ..
             } if *written < bytes.len() => {
-                let Some(moved) = write_content(ring, *id, &bytes[*written..]) else {
+                let Some(moved) = write_content(buffer, *id, &bytes[*written..]) else {
                     return Written::Blocked;
                 };
                 *written += moved;
@@ -130,10 +130,10 @@
                 keep_open,
                 ..
             } => {
-                if ring.free_bytes() < END_CAPACITY {
+                if buffer.free_bytes() < END_RECORDS_BYTES {
                     return Written::Blocked;
                 }
-                ring.push(&end_records(*id, !bytes.is_empty(), *status));
+                buffer.push(&end_records(*id, !bytes.is_empty(), *status));
                 Written::All {
                     keep_open: *keep_open,
                 }
@@ -144,21 +144,21 @@
 
 /// Writes the next record of the content of a response. Returns the number of content bytes; `None` if too few would
 /// fit.
-fn write_content(ring: &mut RingBuffer, id: u16, content: &[u8]) -> Option<usize> {
-    let fits = ring.free_bytes().saturating_sub(wire::HEADER_LENGTH);
+fn write_content(buffer: &mut RingBuffer, id: u16, content: &[u8]) -> Option<usize> {
+    let fits = buffer.free_bytes().saturating_sub(wire::HEADER_LENGTH);
     let length = fits.min(content.len()).min(wire::MAX_CONTENT);
-    if length < content.len().min(MIN_RECORD) {
+    if length < content.len().min(MIN_RECORD_BYTES) {
         return None;
     }
     let mut record = Vec::with_capacity(length + wire::HEADER_LENGTH);
     wire::write_record(&mut record, kind::STDOUT, id, &content[..length]);
-    ring.push(&record);
+    buffer.push(&record);
     Some(length)
 }
 
 /// Returns the records that end a response and its request.
 fn end_records(id: u16, has_content: bool, status: u8) -> Vec<u8> {
-    let mut records = Vec::with_capacity(END_CAPACITY);
+    let mut records = Vec::with_capacity(END_RECORDS_BYTES);
     if has_content {
         wire::write_record(&mut records, kind::STDOUT, id, &[]);
     }
--- a/daemon/src/front/fastcgi/session.rs
+++ b/daemon/src/front/fastcgi/session.rs
@@ -96,7 +96,7 @@
     /// Returns the number of unanswered requests that were returned by `next_input`.
     pub fn unanswered(&self) -> usize {
         let waiting = self.streams.values().filter(|stream| stream.is_waiting());
-        let not_taken_out = self.inputs.iter().filter(|input| input.wants_answer());
+        let not_taken_out = self.inputs.iter().filter(|input| input.requires_response());
         waiting.count() - not_taken_out.count()
     }
 
@@ -186,13 +186,13 @@
     ///
     /// # Errors
     /// Fails on malformed input and if a limit is exceeded.
-    pub fn read(&mut self, ring: &mut RingBuffer, limits: &Limits) -> Result<(), WireError> {
+    pub fn read(&mut self, buffer: &mut RingBuffer, limits: &Limits) -> Result<(), WireError> {
         if self.is_input_malformed {
-            ring.consume(ring.len());
+            buffer.consume(buffer.len());
         }
-        while !ring.is_empty() {
-            let (consumed, record) = self.records.parse(ring.front())?;
-            ring.consume(consumed);
+        while !buffer.is_empty() {
+            let (consumed, record) = self.records.parse(buffer.front())?;
+            buffer.consume(consumed);
             let input = match record {
                 Some(record) => self.take_record(record, limits)?,
                 None => None,
@@ -205,7 +205,7 @@
             }
             // Bounds the responses to a client that sends requests but reads no responses.
             if self.output.len() > limits.max_pending_responses_per_client {
-                return Err(WireError::TooLong("the row of answers that are not taken"));
+                return Err(WireError::TooLong("the queue of unread responses"));
             }
         }
         Ok(())
@@ -215,7 +215,7 @@
     pub fn next_input(&mut self) -> Option<(Input, bool)> {
         let input = self.inputs.pop_front()?;
         let is_first = !self.has_taken_input;
-        self.has_taken_input |= input.wants_answer();
+        self.has_taken_input |= input.requires_response();
         Some((input, is_first))
     }
 
@@ -244,7 +244,7 @@
     }
 
     /// Writes as much of the queued responses as fits into the buffer.
-    pub fn write(&mut self, ring: &mut RingBuffer) {
-        self.closing |= !self.output.write(ring);
+    pub fn write(&mut self, buffer: &mut RingBuffer) {
+        self.closing |= !self.output.write(buffer);
     }
 }
--- a/daemon/src/upstream/answers.rs
+++ b/daemon/src/upstream/answers.rs
@@ -21,7 +21,7 @@
     fn new(items: Vec<Vec<u8>>) -> Result<Option<Self>, WireError> {
         let mut items = items.into_iter();
         let (Some(id), Some(status)) = (items.next(), items.next()) else {
-            return Err(WireError::Malformed("a cache's answer"));
+            return Err(WireError::Malformed("the response of a cache"));
         };
         let fields = items.next().unwrap_or_default();
         let body = items.next().unwrap_or_default();
@@ -79,9 +79,7 @@
         match self.streams.get(&answer.id) {
             Some(Stream::Attempt(sent)) if sent.end_offset > written => {
                 // The response precedes the request, so the peer does not speak the protocol.
-                return Err(WireError::Malformed(
-                    "a cache's answer to what has not been sent in full",
-                ));
+                return Err(WireError::Malformed("a response to an incomplete request"));
             }
             Some(Stream::Attempt(_)) => self.answer_attempt(now, core, answer, events),
             Some(Stream::Aborted {
--- a/daemon/src/wire/http.rs
+++ b/daemon/src/wire/http.rs
@@ -134,7 +134,7 @@
 
     /// Returns the state that parses the body after this head.
     fn body_state(&self, head: &Head) -> Result<State, WireError> {
-        const BAD: WireError = WireError::Malformed("an HTTP body's length");
+        const BAD_LENGTH: WireError = WireError::Malformed("an HTTP body's length");
         let length = head.header("content-length");
         let coding = head.header("transfer-encoding");
         // Conflicting lengths allow request smuggling.
@@ -146,18 +146,18 @@
                 .count()
                 > 1
         {
-            return Err(BAD);
+            return Err(BAD_LENGTH);
         }
         if let Some(coding) = coding {
             return if coding.eq_ignore_ascii_case("chunked") {
                 Ok(State::ChunkSize)
             } else {
-                Err(BAD)
+                Err(BAD_LENGTH)
             };
         }
         if let Some(length) = length {
             let digits = !length.is_empty() && length.bytes().all(|b| b.is_ascii_digit());
-            let length: usize = length.parse().ok().filter(|_| digits).ok_or(BAD)?;
+            let length: usize = length.parse().ok().filter(|_| digits).ok_or(BAD_LENGTH)?;
             return if length > self.max_body {
                 Err(WireError::TooLong("an HTTP body"))
             } else {
--- a/daemon/src/wire/sse.rs
+++ b/daemon/src/wire/sse.rs
@@ -43,7 +43,7 @@
                 break;
             }
             let line = String::from_utf8(std::mem::take(&mut self.line))
-                .map_err(|_| WireError::Malformed("an event's text"))?;
+                .map_err(|_| WireError::Malformed("the text of an event"))?;
             if line.is_empty() {
                 if let Some(data) = self.data.take() {
                     return Ok((
