--- a/daemon/src/interconnect/cdni.rs
+++ b/daemon/src/interconnect/cdni.rs
@@ -48,7 +48,7 @@
     "/cdni/triggers".to_owned()
 }
 
-/// The validated section.
+/// The validated section `cdni`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Cdni {
     /// The address for peer CDNs and redirected clients.
--- a/daemon/src/interconnect/consul/mod.rs
+++ b/daemon/src/interconnect/consul/mod.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The validated section.
+/// The validated section `consul`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Consul {
     /// The agents, in the order of their use.
--- a/daemon/src/interconnect/replication.rs
+++ b/daemon/src/interconnect/replication.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// The validated section.
+/// The validated settings of replication.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Replication {
     /// Whether replication is on.
--- a/daemon/src/interconnect/state.rs
+++ b/daemon/src/interconnect/state.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// The validated section.
+/// The validated section `state`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct State {
     /// The folder of the state, if there is one.
