--- a/daemon/src/fleet/table.rs
+++ b/daemon/src/fleet/table.rs
@@ -18,7 +18,10 @@
         let more_peers = self.peers_total - self.peers.len();
         let more_logs = self.logs_total - self.logs.len();
         if more_peers > 0 || more_logs > 0 {
-            let _ = writeln!(table, "\nand {more_peers} peers and {more_logs} logs more");
+            let _ = writeln!(
+                table,
+                "\nand {more_peers} more peers and {more_logs} more logs"
+            );
         }
         table
     }
@@ -28,7 +31,7 @@
         [
             (
                 "proxy",
-                format!("{} on {}, life {}", self.name, self.machine, self.epoch),
+                format!("{} on {}, epoch {}", self.name, self.machine, self.epoch),
             ),
             ("log", self.log_summary()),
             (
@@ -40,17 +43,17 @@
             ),
             ("compacted", self.table_summary()),
             (
-                "promises",
+                "commits",
                 format!(
-                    "{} given, {} refused, {} waiting for {} further machines",
+                    "{} committed, {} rejected, {} pending; {} further machines acknowledge each",
                     self.committed, self.rejected, self.pending_commits, self.min_acks
                 ),
             ),
             ("members", self.members_summary()),
             (
-                "short",
+                "lagging",
                 format!(
-                    "{} with fewer copies than {}",
+                    "{} under-replicated entries of replication factor {}",
                     self.under_replicated, self.replication_factor
                 ),
             ),
@@ -59,14 +62,17 @@
 
     fn log_summary(&self) -> String {
         match &self.store_error {
-            None => format!("{} places, {} on disk", self.last_index, self.durable_index),
+            None => format!(
+                "last index {}, durable index {}",
+                self.last_index, self.durable_index
+            ),
             Some(reason) => format!("the store can't be opened: {reason}"),
         }
     }
 
     fn table_summary(&self) -> String {
         let progress = if self.catching_up {
-            "; catching up with a snapshot"
+            "; receiving a snapshot"
         } else {
             ""
         };
@@ -78,16 +84,16 @@
 
     fn members_summary(&self) -> String {
         let replaced = if self.replaced {
-            "; this process was replaced"
+            "; replaced by a later process"
         } else {
             ""
         };
-        format!("{} up{replaced}", self.alive_members)
+        format!("{} alive{replaced}", self.alive_members)
     }
 }
 
 fn write_peers(table: &mut String, peers: &[PeerStatus]) {
-    let head = ["peer", "name", "machine", "standing", "held", "behind"].map(str::to_owned);
+    let head = ["peer", "name", "machine", "state", "acked", "lag"].map(str::to_owned);
     let rows = peers.iter().map(|peer| {
         [
             peer.address.to_string(),
@@ -98,10 +104,10 @@
             peer.lag.to_string(),
         ]
     });
-    for [address, name, machine, standing, held, behind] in std::iter::once(head).chain(rows) {
+    for [address, name, machine, state, acked, lag] in std::iter::once(head).chain(rows) {
         let _ = writeln!(
             table,
-            "{address:<22} {name:<14} {machine:<14} {standing:<9} {held:>9} {behind:>9}"
+            "{address:<22} {name:<14} {machine:<14} {state:<9} {acked:>9} {lag:>9}"
         );
     }
 }
@@ -110,7 +116,7 @@
     let _ = writeln!(
         table,
         "{:<18} {:<14} {:>10} {:>10}",
-        "held for", "life", "places", "on disk"
+        "log of", "epoch", "last", "durable"
     );
     for log in logs {
         let own = if log.own { " (own)" } else { "" };
