--- a/daemon/src/interconnect/peers.rs
+++ b/daemon/src/interconnect/peers.rs
@@ -4,33 +4,34 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// What the proxies of the fleet tell each other.
+/// The exchange between the proxies of the fleet.
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct PeersFile {
-    /// Of an origin that is late: datagrams of 24 bytes to all `peers`, while it lasts. The same at all of them.
+    /// Whether proxies notify each other of a slow origin, by datagrams of 24 bytes to all `peers` while it is slow.
+    /// Must be the same at all proxies.
     pub tell: bool,
-    /// Logs of what neighbours told: each proxy has those of all, also when it was away or lost its disk. Needs
-    /// `cdni.purges` and `peers` in the configuration. The same at all of them.
+    /// Whether purges by peer CDNs are replicated, so that each proxy has those of all, even if it was down or lost its
+    /// disk. Requires `cdni.purges`, and `peers` in the configuration. Must be the same at all proxies.
     pub copies: bool,
 }
 
-/// Where the proxies of a fleet exchange datagrams, as the configuration has it.
+/// The addresses at which the proxies of a fleet exchange datagrams.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerAddresses {
-    /// The address at which this proxy receives.
+    /// The address of this proxy.
     pub own: SocketAddr,
-    /// The addresses of all proxies, in the order of the configuration. It may name this one.
+    /// The addresses of all proxies, in the order of the configuration, which may include this one.
     pub all: Vec<SocketAddr>,
 }
 
 impl PeerAddresses {
-    /// The addresses of the proxies besides this one.
+    /// Returns the addresses of the other proxies.
     pub fn others(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         self.all.iter().copied().filter(|peer| *peer != self.own)
     }
 
-    /// The index of this proxy in the list of all.
+    /// Returns the index of this proxy in the list of all.
     pub fn own_index(&self) -> Option<usize> {
         self.all.iter().position(|peer| *peer == self.own)
     }
