--- a/daemon/src/daemon/cdni_listener.rs
+++ b/daemon/src/daemon/cdni_listener.rs
@@ -67,21 +67,18 @@
 impl Daemon {
     /// Returns the address of the CDNI listener.
     pub fn cdni_address(&self) -> Option<std::net::SocketAddr> {
-        self.trigger_api.as_ref()?.0.address()
+        self.cdni.as_ref()?.0.address()
     }
 
     /// Accepts pending connections of the CDNI listener.
     pub(super) fn accept_cdni(&mut self, now: Micros) {
         // Bounded per turn, as for the client listener.
         let mut accepted = 0;
-        while self.trigger_api.is_some()
-            && !self.shutdown_grace_over
-            && accepted < self.limits.clients
-        {
+        while self.cdni.is_some() && !self.shutdown_grace_over && accepted < self.limits.clients {
             let Ok(evicted) = self.required_eviction(now) else {
                 return self.pause_accepting_cdni(now);
             };
-            let Some((listener, _)) = &self.trigger_api else {
+            let Some((listener, _)) = &self.cdni else {
                 return;
             };
             let socket = match listener.accept() {
@@ -102,7 +99,7 @@
             }
         }
         let resumed = self
-            .trigger_api
+            .cdni
             .as_mut()
             .is_none_or(|(listener, _)| listener.resume(&self.poll));
         if !resumed {
@@ -111,7 +108,7 @@
     }
 
     fn pause_accepting_cdni(&mut self, now: Micros) {
-        if let Some((listener, _)) = &mut self.trigger_api {
+        if let Some((listener, _)) = &mut self.cdni {
             listener.pause(&self.poll);
         }
         self.schedule_accept_retry(now);
@@ -159,7 +156,7 @@
     /// Returns the reply to a request; `None` without a CDNI front.
     fn cdni_reply(&mut self, now: Micros, head: &Head, body: &[u8]) -> Option<Reply> {
         let ready = self.can_serve();
-        let (_, trigger_api) = self.trigger_api.as_mut()?;
+        let (_, trigger_api) = self.cdni.as_mut()?;
         let reply = trigger_api.handle(now, ready, head, body);
         // An unknown trigger may be in the store that is not open yet.
         let is_unknown = matches!(&reply, Reply::Respond(response) if response.status == 404)
@@ -254,7 +251,7 @@
             return;
         }
         let posts = self
-            .trigger_api
+            .cdni
             .as_ref()
             .map(|(_, trigger_api)| trigger_api.footprint_notices(ready))
             .unwrap_or_default();
@@ -264,7 +261,7 @@
     /// Forwards a purge of the event bus to the peer CDNs.
     pub(super) fn forward_purge(&mut self, now: Micros, object: Option<&str>, group: u64) {
         let posts = self
-            .trigger_api
+            .cdni
             .as_ref()
             .map(|(_, trigger_api)| trigger_api.purge_commands(object, group))
             .unwrap_or_default();
--- a/daemon/src/daemon/commits/triggers.rs
+++ b/daemon/src/daemon/commits/triggers.rs
@@ -60,7 +60,7 @@
         trigger: Option<TriggerId>,
         error: &CommitError,
     ) -> Option<Response> {
-        let (_, trigger_api) = self.trigger_api.as_mut()?;
+        let (_, trigger_api) = self.cdni.as_mut()?;
         let response = trigger_api.retract(trigger);
         let trigger_id = trigger.map_or_else(String::new, |trigger_id| trigger_id.to_string());
         if self.lacks_store() {
@@ -78,7 +78,7 @@
 
     /// Restores the triggers of all logs, and the next trigger number of this proxy.
     pub(in crate::daemon) fn restore_triggers(&mut self, now: Micros) {
-        let (Some(ledger), Some((_, trigger_api))) = (&self.ledger, &mut self.trigger_api) else {
+        let (Some(ledger), Some((_, trigger_api))) = (&self.ledger, &mut self.cdni) else {
             return;
         };
         let first = TriggerId {
@@ -97,7 +97,7 @@
 
     /// Updates the triggers that new entries of a peer refer to.
     pub(in crate::daemon) fn receive_triggers(&mut self, now: Micros, entries: &[Entry]) {
-        let (Some(ledger), Some((_, trigger_api))) = (&self.ledger, &mut self.trigger_api) else {
+        let (Some(ledger), Some((_, trigger_api))) = (&self.ledger, &mut self.cdni) else {
             return;
         };
         let mut trigger_ids: Vec<TriggerId> = entries.iter().filter_map(entry_trigger_id).collect();
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -92,6 +92,7 @@
     logged_notices: LoggedNotices,
     consul: Option<consul::State>,
     snapshot_writer: Option<consul::SnapshotWriter>,
+    /// The socket for datagrams of peers, and the addresses of all peers.
     peers: Option<(UdpSocket, Vec<SocketAddr>)>,
     peer_index: PeerIndex,
     plain_purges: PlainPurges,
@@ -100,7 +101,8 @@
     origin_health: Option<OriginHealth>,
     /// Dropped datagrams: from unknown senders, and malformed ones.
     dropped_datagrams: (u64, u64),
-    trigger_api: Option<(Listener, TriggerApi)>,
+    /// The CDNI listener and its API.
+    cdni: Option<(Listener, TriggerApi)>,
     ledger: Option<Ledger>,
     /// The store of the ledger, while it can't be opened.
     pending_store: Option<PendingStore>,
@@ -117,6 +119,7 @@
     pending_deliveries: usize,
     /// The readiness that was last announced to peer CDNs.
     announced_ready: bool,
+    /// Bytes of unsent responses of all clients.
     total_unsent_bytes: usize,
     /// Bytes of incomplete requests of all clients.
     total_partial_request_bytes: usize,
--- a/daemon/src/daemon/sources/bus.rs
+++ b/daemon/src/daemon/sources/bus.rs
@@ -18,7 +18,7 @@
     /// By the platform's clock, as reported by the bus.
     date: Micros,
     /// By the local clock.
-    local: Micros,
+    local_time: Micros,
 }
 
 /// The state of the connection to the bus.
@@ -97,7 +97,7 @@
                     if let Some(started) = entry.server.started {
                         let start = Start {
                             date: started,
-                            local: started,
+                            local_time: started,
                         };
                         self.bus.starts.entry(entry.server.id).or_insert(start);
                     }
@@ -132,14 +132,16 @@
         let Some(date) = entry.server.started else {
             return;
         };
-        let known = self.bus.starts.get(&id).filter(|start| start.date == date);
-        let local = known.map(|start| start.local).unwrap_or_else(|| {
-            self.core.observe_origin_date(now, date);
-            self.core.local_time(date).min(now)
-        });
-        entry.server.started = Some(local);
+        let known_start = self.bus.starts.get(&id).filter(|start| start.date == date);
+        let local_time = known_start
+            .map(|start| start.local_time)
+            .unwrap_or_else(|| {
+                self.core.observe_origin_date(now, date);
+                self.core.local_time(date).min(now)
+            });
+        entry.server.started = Some(local_time);
         if entry.server.state != ServerState::Gone {
-            self.bus.starts.insert(id, Start { date, local });
+            self.bus.starts.insert(id, Start { date, local_time });
         }
     }
 
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -237,7 +237,7 @@
             plain_purges_due: None,
             origin_health,
             dropped_datagrams: (0, 0),
-            trigger_api: parts.trigger_api,
+            cdni: parts.trigger_api,
             ledger: parts.store.ledger,
             pending_store: parts.store.pending,
             pending_commits: PendingCommits::default(),
