--- a/budgets/src/ledger.rs
+++ b/budgets/src/ledger.rs
@@ -1,5 +1,5 @@
-//! What an allocator has granted of one budget, and what it may grant: the sum of all that may be spent or unsettled,
-//! whether the holders have received their leases or not, is never over what there is to share.
+//! An allocator's ledger of the outstanding grants of one budget. It keeps the sum of all amounts that may be spent or
+//! unsettled within the leasable amount, whether or not the holders have received their leases.
 
 use crate::{Amount, LeaseRequest, MemberIndex, MemberProcess, Micros, ProcessId};
 use std::collections::BTreeMap;
@@ -14,8 +14,8 @@
     /// The number of the request that it answers.
     number: u64,
     amount: Amount,
-    /// Until when what was spent of it may be unsettled.
-    until: Micros,
+    /// The time by which everything that is spent under it has settled.
+    settled_at: Micros,
 }
 
 /// The grants to one holder.
@@ -29,8 +29,9 @@
 }
 
 impl HolderGrants {
-    /// Returns the most that the holder may spend or have unsettled. A process replaces one lease by the next and may not
-    /// have received the last one, so its largest counts; what its earlier processes spent comes on top.
+    /// Returns the maximum amount that the holder may spend or have unsettled. A process replaces one lease by the
+    /// next, and may not have received the latest one, so only its largest grant counts. The grants of earlier
+    /// processes are added.
     fn outstanding(&self) -> Amount {
         let mut by_process = BTreeMap::<ProcessId, Amount>::new();
         for grant in &self.grants {
@@ -40,40 +41,40 @@
         by_process.into_values().sum()
     }
 
-    /// Returns the largest grant to one process.
+    /// Returns the amount of the largest grant to a process.
     fn largest_of(&self, process: ProcessId) -> Amount {
         let own = self.grants.iter().filter(|grant| grant.process == process);
         own.map(|grant| grant.amount).max().unwrap_or(0)
     }
 
-    /// Drops the grants that the holder gave up for a later one. It never returns to them, so that they need not be counted
-    /// until they expire, except for what is unsettled of them.
-    fn drop_given_up(&mut self, process: ProcessId, request: &LeaseRequest) {
+    /// Drops the grants that the holder has replaced by a later one. The holder never returns to them, so only its
+    /// unsettled spending under them still counts.
+    fn drop_replaced(&mut self, process: ProcessId, request: &LeaseRequest) {
         let is_current =
             |grant: &&Grant| grant.process == process && grant.number == request.current_lease;
         let Some(current) = self.grants.iter().find(is_current).copied() else {
             return;
         };
-        let is_given_up = |grant: &Grant| grant.process == process && grant.number < current.number;
-        let given_up = self.grants.iter().filter(|grant| is_given_up(grant));
-        let last_until = given_up.map(|grant| grant.until).max();
-        self.grants.retain(|grant| !is_given_up(grant));
-        if let Some(until) = last_until.filter(|_| request.unsettled > current.amount) {
+        let is_replaced = |grant: &Grant| grant.process == process && grant.number < current.number;
+        let replaced = self.grants.iter().filter(|grant| is_replaced(grant));
+        let settled_at = replaced.map(|grant| grant.settled_at).max();
+        self.grants.retain(|grant| !is_replaced(grant));
+        if let Some(settled_at) = settled_at.filter(|_| request.unsettled > current.amount) {
             self.grants.push(Grant {
                 amount: request.unsettled,
-                until,
+                settled_at,
                 ..current
             });
         }
     }
 }
 
-/// What a holder may spend or have unsettled, beyond its reserved minimum.
+/// The amount that a holder may spend or have unsettled, beyond its reserved minimum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct OutstandingGrant {
     /// The holder.
     pub holder: MemberIndex,
-    /// How much.
+    /// The amount.
     pub amount: Amount,
 }
 
@@ -82,7 +83,7 @@
 pub(crate) struct Ledger(BTreeMap<MemberIndex, HolderGrants>);
 
 impl Ledger {
-    /// Records a holder's request. Returns false where a later request, or one of a later process, came before it.
+    /// Records a holder's request. Returns false if a later request of the holder has already been recorded.
     pub(crate) fn record(
         &mut self,
         now: Micros,
@@ -96,22 +97,22 @@
         }
         holder.process = from.process;
         holder.last_number = request.number;
-        holder.drop_given_up(from.process, request);
+        holder.drop_replaced(from.process, request);
         true
     }
 
     fn drop_expired(&mut self, now: Micros) {
         for holder in self.0.values_mut() {
-            holder.grants.retain(|grant| grant.until > now);
+            holder.grants.retain(|grant| grant.settled_at > now);
         }
     }
 
-    /// Returns the most that a holder may spend or have unsettled.
+    /// Returns the maximum amount that a holder may spend or have unsettled.
     pub(crate) fn outstanding(&self, holder: MemberIndex) -> Amount {
         self.0.get(&holder).map_or(0, HolderGrants::outstanding)
     }
 
-    /// Returns the same of each holder.
+    /// Returns the outstanding amount of each holder.
     pub(crate) fn outstanding_by_holder(&self) -> impl Iterator<Item = OutstandingGrant> + '_ {
         let outstanding = |(holder, grants): (&MemberIndex, &HolderGrants)| OutstandingGrant {
             holder: *holder,
@@ -120,27 +121,28 @@
         self.0.iter().map(outstanding)
     }
 
-    /// Grants a recorded request up to `target`, as far as `shared` leaves; it may be unsettled until `until`.
+    /// Grants a recorded request and returns the amount. It is `target`, or less if the other grants leave less of
+    /// `leasable`. The spending under the grant settles by `settled_at`.
     pub(crate) fn grant(
         &mut self,
         from: MemberProcess,
         request: &LeaseRequest,
         target: Amount,
-        shared: Amount,
-        until: Micros,
+        leasable: Amount,
+        settled_at: Micros,
     ) -> Amount {
         let total: Amount = self.outstanding_by_holder().map(|grant| grant.amount).sum();
         let Some(holder) = self.0.get_mut(&from.member) else {
             return 0;
         };
-        let others = total - holder.largest_of(from.process);
-        let amount = target.min(shared.saturating_sub(others));
-        // An empty lease is recorded, too: once it is in force, its holder has given up the one before.
+        let other_grants = total - holder.largest_of(from.process);
+        let amount = target.min(leasable.saturating_sub(other_grants));
+        // An empty lease is recorded too, because its holder replaces the previous lease by it.
         holder.grants.push(Grant {
             process: from.process,
             number: request.number,
             amount,
-            until,
+            settled_at,
         });
         amount
     }
--- a/daemon/src/daemon/budgets/mod.rs
+++ b/daemon/src/daemon/budgets/mod.rs
@@ -119,7 +119,7 @@
 
     /// Receives a datagram of a peer. Returns false if it belongs to another protocol.
     pub(super) fn receive_budgets(&mut self, now: Micros, peer: usize, bytes: &[u8]) -> bool {
-        let datagram = match wire::read(bytes) {
+        let datagram = match wire::decode(bytes) {
             Err(DecodeError::Foreign) => return false,
             Err(e) => {
                 log::debug!(peer = peer; "{e}");
@@ -203,7 +203,7 @@
 
     fn unsettled(&self, now: Micros) -> UnsettledAmounts {
         let millionths =
-            |share: Option<f64>| (share.unwrap_or(0.0) * Unit::Millionths.one() as f64) as Amount;
+            |share: Option<f64>| (share.unwrap_or(0.0) * Unit::Millionths.scale() as f64) as Amount;
         UnsettledAmounts {
             origin: self.core.origin_in_flight() as Amount,
             caches: millionths(self.core.slow_start_use(now, false)),
@@ -223,7 +223,7 @@
             return;
         };
         up.into_iter()
-            .for_each(|(index, up)| shared.member.set_up(index, up));
+            .for_each(|(index, up)| shared.member.set_member_up(index, up));
     }
 
     /// Sends the member's messages, logs its changes and delivers its leases.
@@ -231,8 +231,8 @@
         let Some(shared) = &mut self.shared_budgets else {
             return;
         };
-        let mut outgoing = shared.member.outgoing();
-        let changes = shared.member.changes();
+        let mut outgoing = shared.member.take_outgoing();
+        let changes = shared.member.take_changes();
         if shared.detached {
             outgoing.clear();
         }
@@ -266,7 +266,7 @@
         }
         for (to, messages) in by_member {
             let peer = self.peer_index(to);
-            for bytes in wire::write(self.config.budgets.fingerprint, process, &messages) {
+            for bytes in wire::encode(self.config.budgets.fingerprint, process, &messages) {
                 self.send_to_peer_at(peer, &bytes);
             }
         }
@@ -285,7 +285,7 @@
             let (Some(of), Some(spec)) = (budget.of, shared.member.spec(index)) else {
                 continue;
             };
-            let unit = budget.unit.one() as f64;
+            let unit = budget.unit.scale() as f64;
             let lease = shared.member.lease(now, index);
             let mut lease = Lease {
                 budget: of,
--- a/daemon/src/daemon/commits/operators.rs
+++ b/daemon/src/daemon/commits/operators.rs
@@ -91,7 +91,7 @@
         };
         let last = self.ledger.as_ref().map_or(0, |ledger| {
             let replica = ledger.replica();
-            replica.log_store().last_index(replica.own())
+            replica.log_store().last_index(replica.own_log())
         });
         if appended.is_ok() && last == 0 {
             return Some(reply);
@@ -218,8 +218,8 @@
             Subject::Drain => self.operations.set_out_of_service(now, !revoked),
             Subject::Object(_)
             | Subject::Group(_)
-            | Subject::Status { .. }
-            | Subject::Gone { .. } => None,
+            | Subject::TriggerStatusPart { .. }
+            | Subject::TriggerDeleted { .. } => None,
         };
         let Some(effect) = effect else {
             return false;
--- a/daemon/src/daemon/membership.rs
+++ b/daemon/src/daemon/membership.rs
@@ -125,8 +125,8 @@
         let Some(membership) = &mut self.membership else {
             return;
         };
-        let outgoing = membership.outgoing();
-        let changes = membership.changes();
+        let outgoing = membership.take_outgoing();
+        let changes = membership.take_changes();
         for message in &outgoing {
             self.send_to_peer_at(message.peer, &message.datagram);
         }
--- a/daemon/src/daemon/recovery.rs
+++ b/daemon/src/daemon/recovery.rs
@@ -84,7 +84,7 @@
             log::warn!(
                 "no peer knows what the store has: every copy from before now is taken as purged"
             );
-            self.core.purges_mut().raise_all(now);
+            self.core.purges_mut().purge_all(now);
         }
     }
 
@@ -121,7 +121,7 @@
         if let Some(machines) = step.missing_machines {
             log::error!(machines = machines; "not all that this proxy committed may have been recovered, and it is ready all the same");
             if self.pending_store.is_some() {
-                self.core.purges_mut().raise_all(now);
+                self.core.purges_mut().purge_all(now);
             }
         }
         let due = recovery.due();
@@ -154,7 +154,7 @@
             .pending_commits
             .recovery
             .as_mut()
-            .is_some_and(|recovery| recovery.settled(peer))
+            .is_some_and(|recovery| recovery.record_caught_up(peer))
         {
             let entries = self
                 .ledger
@@ -218,7 +218,7 @@
     /// Ends the wait for the snapshot. As its purges are unknown, all cached copies are treated as purged.
     fn end_snapshot_wait(&mut self, now: Micros) {
         let at = self.core.purge_all_date(now);
-        self.core.purges_mut().raise_all(at);
+        self.core.purges_mut().purge_all(at);
         log::error!(
             "the peers' snapshot was not received in time: every copy from before now is taken as purged"
         );
--- a/daemon/src/daemon/shutdown.rs
+++ b/daemon/src/daemon/shutdown.rs
@@ -129,8 +129,8 @@
 fn log_replication(counters: Counters) {
     log::info!(
         sent = counters.sent,
-        learned = counters.learned,
-        known = counters.known,
+        learned = counters.inserted,
+        known = counters.duplicates,
         out_of_order = counters.out_of_order,
         rejected = counters.rejected,
         committed = counters.committed,
--- a/daemon/src/daemon/sources/peers.rs
+++ b/daemon/src/daemon/sources/peers.rs
@@ -72,7 +72,7 @@
         let Some(datagram) = self
             .origin_health
             .as_mut()
-            .and_then(|h| h.observe(now, share))
+            .and_then(|h| h.record_late_response(now, share))
         else {
             return;
         };
@@ -82,7 +82,7 @@
 
     /// Receives a datagram of replication. Returns false if it belongs to another protocol.
     fn receive_replication(&mut self, now: Micros, peer: usize, bytes: &[u8]) -> bool {
-        let datagram = match Datagram::read(bytes) {
+        let datagram = match Datagram::decode(bytes) {
             Ok(datagram) => datagram,
             Err(DecodeError::Foreign) => return false,
             Err(e) => {
@@ -94,7 +94,7 @@
         let Some(ledger) = &mut self.ledger else {
             return true;
         };
-        let own = ledger.replica().own().writer;
+        let own = ledger.replica().own_log().writer;
         let peer_checksum = match &datagram {
             Datagram::Digest { checksum, .. } => Some(*checksum),
             _ => None,
@@ -166,7 +166,7 @@
     /// Sends a new entry to all peers immediately. Peers that do not receive it get it by replication.
     pub(in crate::daemon) fn send_entry(&mut self, entry: Entry) {
         if let Some(bytes) = Datagram::Entry(entry)
-            .write()
+            .encode()
             .filter(|_| self.config.copies.on)
         {
             self.send_to_peers(&bytes);
@@ -176,7 +176,7 @@
     /// Sends datagrams of replication to peers.
     pub(in crate::daemon) fn send_datagrams(&self, outgoing: Vec<Outgoing>) {
         for Outgoing { peer, datagram } in outgoing {
-            if let Some(bytes) = datagram.write() {
+            if let Some(bytes) = datagram.encode() {
                 self.send_to_peer_at(peer, &bytes);
             }
         }
--- a/membership/tests/wire.rs
+++ b/membership/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Datagrams as bytes. They are pinned byte for byte: an older and a newer proxy stand beside each other while an
+//! Tests of the encoding of datagrams. It must stay stable, because proxies of different versions run together while an
 //! installation is upgraded.
 
 use linnetknot_membership::*;
@@ -13,7 +13,7 @@
     };
     let update = |id, state| Update {
         id,
-        by: 9,
+        observer: 9,
         claim: claim(state),
     };
     Message {
@@ -33,10 +33,10 @@
 }
 
 #[test]
-fn datagrams_of_released_versions_stay_byte_for_byte() {
-    let ack = |of, names| Body::Ack {
+fn the_encoding_of_datagrams_is_stable() {
+    let ack = |target, names| Body::Ack {
         number: NUMBER,
-        of,
+        target,
         names,
     };
     let names = Names {
@@ -63,16 +63,16 @@
         (Body::Nack { number: NUMBER }, "03ac02"),
         (Body::Leave, "04"),
     ];
-    // The mark, the sender, the body, and the four claims.
+    // Prefix and sender are followed by the body and the four claims.
     let claims = "0401098080040200020980800402010309808004020204098080040203";
     for (body, expected) in cases {
-        let bytes = message(body.clone()).write();
+        let bytes = message(body.clone()).encode();
         let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
         assert_eq!(
             hex,
             format!("666c65657431b4240701{expected}{claims}"),
             "{body:?}"
         );
-        assert_eq!(Message::read(&bytes), Ok(message(body)));
+        assert_eq!(Message::decode(&bytes), Ok(message(body)));
     }
 }
--- a/replication/src/replica/mod.rs
+++ b/replication/src/replica/mod.rs
@@ -113,12 +113,12 @@
     }
 
     /// Sets another process id than was assumed at the start.
-    pub fn renumber(&mut self, process: u64) {
+    pub fn set_process(&mut self, process: u64) {
         self.process = process;
     }
 
     /// Returns its own log.
-    pub fn own(&self) -> LogId {
+    pub fn own_log(&self) -> LogId {
         self.own
     }
 
@@ -163,17 +163,19 @@
             revoked,
         };
         let entry = self.log_store.append(self.own, record, self.capacity())?;
-        self.unsynced.add(entry.log, entry.index);
+        self.unsynced.insert(entry.log, entry.index);
         Ok(entry)
     }
 
     fn capacity(&self) -> Capacity {
         let Options {
-            expiring, max_logs, ..
+            expiring_entries,
+            max_logs,
+            ..
         } = self.options;
         Capacity {
             entries: self.options.max_entries(),
-            expiring,
+            expiring_entries,
             logs: max_logs,
         }
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,7 +9,7 @@
 pub(crate) const MS: Micros = 1_000;
 pub(crate) const S: Micros = 1_000_000;
 /// Long after every server's start.
-pub(crate) const T0: Micros = 100 * S;
+pub(crate) const START: Micros = 100 * S;
 
 pub(crate) fn class(name: &str) -> Class {
     Class {
@@ -20,10 +20,10 @@
         priority_weight: 1.0,
         late_weight: 0.1,
         repeat: Repeat::Safe,
-        scope: DedupScope::All,
-        window_us: 2 * S,
+        dedup_scope: DedupScope::All,
+        dedup_window_us: 2 * S,
         streaming: false,
-        parts: true,
+        multipart: true,
         write: false,
         fresh_us: 0,
         grace_us: 0,
@@ -61,13 +61,13 @@
         slow_start_share: 0.2,
         slow_start_us: 10 * S,
         overload_multiple: 3.0,
-        fall_us: S,
+        overload_window_us: S,
         parent_slow_start_share: 0.1,
         parent_slow_start_us: 20 * S,
         parent_overload_multiple: 2.0,
         purge_grace_us: 500 * MS,
-        purge_done_us: 6 * S,
-        ask_within_us: 0,
+        purge_completion_us: 6 * S,
+        max_poll_age_us: 0,
     }
 }
 
@@ -75,7 +75,7 @@
     let zone = |name: &str, routers, link_kb_per_s| Zone {
         name: name.into(),
         routers,
-        hub: 0,
+        parent_zone: 0,
         link_kb_per_s,
     };
     Settings {
@@ -87,15 +87,15 @@
             zone("shore", 1, 100_000.0),
         ],
         zone: 1,
-        rank: None,
+        router_index: None,
         parent_kind: Some("parent".into()),
         origin_kind: "origin".into(),
         polls_list: false,
-        direct: true,
-        joins_fills: true,
+        direct_to_upstream: true,
+        coalesces_fills: true,
         siblings: Siblings::Off,
         answer_detail: AnswerDetail::All,
-        reports: Reports::Off,
+        load_reports: LoadReports::Off,
         weights_known: true,
         flow_kb_per_s: 5_000.0,
         max_attempts: 6,
@@ -131,32 +131,32 @@
     all
 }
 
-pub(crate) struct Rig {
+pub(crate) struct RouterHarness {
     pub router: Router,
     pub now: Micros,
-    pub next: RequestId,
+    pub next_id: RequestId,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Sent {
+pub(crate) struct SentAttempt {
     pub request: RequestId,
     pub server: ServerId,
     pub fill: Fill,
     pub timeout_us: Option<Micros>,
 }
 
-impl Rig {
-    pub(crate) fn new(settings: Settings, fleet: Vec<Server>) -> Rig {
-        let mut rig = Rig {
+impl RouterHarness {
+    pub(crate) fn new(settings: Settings, fleet: Vec<Server>) -> RouterHarness {
+        let mut harness = RouterHarness {
             router: Router::new(settings, 7).expect("usable settings"),
-            now: T0,
-            next: 1,
+            now: START,
+            next_id: 1,
         };
-        rig.handle(Event::List {
+        harness.handle(Event::List {
             mode: ListMode::Full,
             servers: fleet,
         });
-        rig
+        harness
     }
 
     pub(crate) fn handle(&mut self, event: Event) -> Vec<Action> {
@@ -165,31 +165,31 @@
         actions
     }
 
-    pub(crate) fn ask(
+    pub(crate) fn request(
         &mut self,
         class: &str,
         object: &str,
         remaining_us: Micros,
     ) -> (RequestId, Vec<Action>) {
-        self.ask_for(class, object, remaining_us, 500.0)
+        self.request_of(class, object, remaining_us, 500.0)
     }
 
     /// Asks for a part of a class `video` of this size.
-    pub(crate) fn ask_sized(&mut self, object: &str, size_kb: f64) -> (RequestId, Vec<Action>) {
-        self.ask_for("video", object, 5 * S, size_kb)
+    pub(crate) fn request_sized(&mut self, object: &str, size_kb: f64) -> (RequestId, Vec<Action>) {
+        self.request_of("video", object, 5 * S, size_kb)
     }
 
-    fn ask_for(
+    fn request_of(
         &mut self,
         class: &str,
         object: &str,
         remaining_us: Micros,
         size_kb: f64,
     ) -> (RequestId, Vec<Action>) {
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         let (class, object) = (class.into(), object.into());
-        let (tenant, part, group, repeated) = (None, 0, 3, false);
+        let (tenant, part, group, is_retry) = (None, 0, 3, false);
         let request = Request {
             id,
             class,
@@ -199,29 +199,29 @@
             group,
             size_kb,
             remaining_us,
-            repeated,
+            is_retry,
         };
         let actions = self.handle(Event::Request(request));
         (id, actions)
     }
 
     /// Asks and expects an attempt.
-    pub(crate) fn send(&mut self, class: &str, object: &str) -> Sent {
-        let (_, actions) = self.ask(class, object, 5 * S);
+    pub(crate) fn send_request(&mut self, class: &str, object: &str) -> SentAttempt {
+        let (_, actions) = self.request(class, object, 5 * S);
         sent(&actions).unwrap_or_else(|| panic!("no attempt in {actions:?}"))
     }
 
-    pub(crate) fn end(
+    pub(crate) fn end_attempt(
         &mut self,
         request: RequestId,
         attempt: u32,
         server: ServerId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        self.end_with(request, attempt, server, outcome, Note::None)
+        self.end_attempt_with(request, attempt, server, outcome, Note::None)
     }
 
-    pub(crate) fn end_with(
+    pub(crate) fn end_attempt_with(
         &mut self,
         request: RequestId,
         attempt: u32,
@@ -229,7 +229,7 @@
         outcome: Outcome,
         note: Note,
     ) -> Vec<Action> {
-        self.handle(Event::Outcome {
+        self.handle(Event::AttemptEnded {
             request,
             attempt,
             server,
@@ -237,7 +237,7 @@
             took_us: 100 * MS,
             settled: outcome == Outcome::Ok,
             note,
-            waited_us: 0,
+            first_byte_us: 0,
             load: None,
         })
     }
@@ -247,14 +247,14 @@
     }
 }
 
-pub(crate) fn sent(actions: &[Action]) -> Option<Sent> {
+pub(crate) fn sent(actions: &[Action]) -> Option<SentAttempt> {
     actions.iter().find_map(|a| match a {
         Action::Attempt {
             request,
             server,
             timeout_us,
             fill: Some(fill),
-        } => Some(Sent {
+        } => Some(SentAttempt {
             request: *request,
             server: *server,
             fill: *fill,
@@ -264,7 +264,7 @@
     })
 }
 
-pub(crate) fn finals(actions: &[Action]) -> usize {
+pub(crate) fn final_answers(actions: &[Action]) -> usize {
     actions
         .iter()
         .filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. }))
--- a/tests/scale.rs
+++ b/tests/many_routers.rs
@@ -8,7 +8,7 @@
 /// Fills that `routers` routers of a location point at one cold server while each has `each` requests at once.
 fn sum_of_work(routers: u32, each: usize, cold: ServerId) -> f64 {
     let mut settings = Settings {
-        direct: false,
+        direct_to_upstream: false,
         ..settings()
     };
     settings.zones[1].routers = routers;
@@ -19,14 +19,14 @@
         .iter()
         .position(|s| s.id == cold)
         .expect("in the fleet");
-    servers[place].started = Some(T0 - S);
+    servers[place].started = Some(START - S);
     let mut sum = 0.0;
     for seed in 0..u64::from(routers) {
         let mut router =
             Router::new(settings.clone(), seed.wrapping_mul(0x9e37_79b9)).expect("usable");
         let mut actions = Vec::new();
         router.handle(
-            T0,
+            START,
             Event::List {
                 mode: ListMode::Full,
                 servers: servers.clone(),
@@ -43,9 +43,9 @@
                 group: 1,
                 size_kb: 500.0,
                 remaining_us: 5 * S,
-                repeated: false,
+                is_retry: false,
             };
-            router.handle(T0, Event::Request(request), &mut actions);
+            router.handle(START, Event::Request(request), &mut actions);
         }
         let to_it = |a: &&Action| match a {
             Action::Attempt {
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_cold_cache_is_used_within_its_budget_by_one_router_and_by_hundreds() {
+fn one_or_hundreds_of_routers_use_a_warming_cache_within_its_budget() {
     // Share 0.2 to 1 in 10 s, 8 transfers, 3 times that in 1 s: 0.2 x 8 x 3 x 1 s at its start.
     let limit = 0.2 * 8.0 * 3.0;
     for routers in [1, 8, 200] {
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_cold_parent_is_used_within_its_budget_by_one_router_and_by_hundreds() {
+fn one_or_hundreds_of_routers_use_a_warming_parent_within_its_budget() {
     let limit = 0.1 * 30.0 * 2.0;
     for routers in [1, 8, 200] {
         let sum = sum_of_work(routers, 60, 11);
@@ -82,12 +82,12 @@
 }
 
 #[test]
-fn one_own_transfer_among_hundreds_of_routers_does_not_make_a_cache_full() {
+fn a_few_transfers_of_one_router_among_hundreds_do_not_fill_a_cache() {
     let mut settings = settings();
     settings.zones[1].routers = 200;
-    let mut rig = Rig::new(settings, fleet());
+    let mut harness = RouterHarness::new(settings, fleet());
     let servers: BTreeSet<ServerId> = (0..3)
-        .map(|_| rig.send("video", "/o/same").server)
+        .map(|_| harness.send_request("video", "/o/same").server)
         .collect();
     assert_eq!(
         servers.len(),
@@ -97,28 +97,29 @@
 }
 
 #[test]
-fn the_second_parent_fills_while_the_first_is_clearly_slower_for_the_size() {
-    let parent_of = |rig: &mut Rig, n: usize| rig.send("video", &format!("/o/{n}"));
+fn the_second_parent_fills_if_the_first_is_clearly_slower() {
+    let parent_of =
+        |harness: &mut RouterHarness, n: usize| harness.send_request("video", &format!("/o/{n}"));
     let run = |slow_ms: u64, size_told: bool| {
         let flow = if size_told { 5_000.0 } else { 0.0 };
-        let mut rig = Rig::new(
+        let mut harness = RouterHarness::new(
             Settings {
                 flow_kb_per_s: flow,
                 ..settings()
             },
             fleet(),
         );
-        let first = parent_of(&mut rig, 0).fill.source;
+        let first = parent_of(&mut harness, 0).fill.source;
         let mut later = 0;
         for n in 0..60 {
-            let s = parent_of(&mut rig, n % 6);
+            let s = parent_of(&mut harness, n % 6);
             let took_us = if s.fill.source == first {
                 slow_ms * MS
             } else {
                 150 * MS
             };
-            rig.now += 20 * MS;
-            rig.handle(Event::Outcome {
+            harness.now += 20 * MS;
+            harness.handle(Event::AttemptEnded {
                 request: s.request,
                 attempt: 0,
                 server: s.server,
@@ -126,7 +127,7 @@
                 took_us,
                 settled: true,
                 note: Note::Filled,
-                waited_us: 0,
+                first_byte_us: 0,
                 load: None,
             });
             later += usize::from(n >= 40 && s.fill.source == first);
@@ -139,7 +140,7 @@
 }
 
 #[test]
-fn hundreds_of_servers_in_any_order_give_the_same_actions() {
+fn actions_do_not_depend_on_the_order_of_the_server_list() {
     let list: Vec<Server> = (1..=300)
         .map(|id| server(id, if id % 20 == 0 { "town" } else { "shore" }, "cache"))
         .chain([
@@ -151,23 +152,23 @@
     let mut turned = list.clone();
     turned.reverse();
     let run = |servers: Vec<Server>| {
-        let mut rig = Rig::new(settings(), servers);
+        let mut harness = RouterHarness::new(settings(), servers);
         (0..200)
-            .map(|n| rig.ask("video", &format!("/o/{}", n % 50), 5 * S).1)
+            .map(|n| harness.request("video", &format!("/o/{}", n % 50), 5 * S).1)
             .collect::<Vec<_>>()
     };
     assert_eq!(run(list), run(turned));
 }
 
 #[test]
-fn absurd_load_reports_do_no_harm() {
+fn invalid_load_reports_are_ignored() {
     let run = |load: Option<Load>| {
-        let mut rig = Rig::new(settings(), fleet());
+        let mut harness = RouterHarness::new(settings(), fleet());
         (0..50)
             .map(|n| {
-                let s = rig.send("video", &format!("/o/{n}"));
-                rig.now += 10 * MS;
-                rig.handle(Event::Outcome {
+                let s = harness.send_request("video", &format!("/o/{n}"));
+                harness.now += 10 * MS;
+                harness.handle(Event::AttemptEnded {
                     request: s.request,
                     attempt: 0,
                     server: s.server,
@@ -175,7 +176,7 @@
                     took_us: 100 * MS,
                     settled: true,
                     note: Note::Hit,
-                    waited_us: 0,
+                    first_byte_us: 0,
                     load,
                 });
                 s
@@ -187,10 +188,10 @@
         let all = Some(value);
         assert_eq!(
             run(Some(Load {
-                util: all,
-                inflight: all,
-                hit_share: all,
-                link_use: all
+                cpu_utilisation: all,
+                in_flight: all,
+                hit_ratio: all,
+                link_utilisation: all
             })),
             calm
         );
@@ -198,8 +199,8 @@
 }
 
 #[test]
-fn what_is_asked_for_often_stays_counted_when_the_table_is_full() {
-    let mut rig = Rig::new(settings(), fleet());
+fn popular_objects_stay_counted_if_the_table_is_full() {
+    let mut harness = RouterHarness::new(settings(), fleet());
     let mut last = None;
     for n in 0..30_000u64 {
         let often = n % 3 == 0;
@@ -208,20 +209,22 @@
         } else {
             format!("/o/{n}")
         };
-        let (id, actions) = rig.ask("page", &object, 5 * S);
+        let (id, actions) = harness.request("page", &object, 5 * S);
         if let Some(s) = sent(&actions) {
-            rig.end_with(id, 0, s.server, Outcome::Ok, Note::Hit);
-            last = last.filter(|_| !often).or(often.then_some(s.fill.keep));
+            harness.end_attempt_with(id, 0, s.server, Outcome::Ok, Note::Hit);
+            last = last
+                .filter(|_| !often)
+                .or(often.then_some(s.fill.cache_rank));
         }
-        rig.now += MS / 10;
+        harness.now += MS / 10;
     }
     assert_eq!(last, Some(2), "asked for again while counted");
 }
 
 #[test]
-fn unknown_classes_and_changes_for_unknown_servers_are_taken_in() {
-    let mut rig = Rig::new(settings(), fleet());
-    let (id, actions) = rig.ask("no-such-class", "/o/a", 5 * S);
+fn unknown_classes_are_refused_and_unknown_servers_are_added() {
+    let mut harness = RouterHarness::new(settings(), fleet());
+    let (id, actions) = harness.request("no-such-class", "/o/a", 5 * S);
     assert_eq!(
         actions,
         vec![Action::Refuse {
@@ -233,17 +236,17 @@
         state: State::Gone,
         ..server(77, "town", "cache")
     };
-    rig.handle(Event::List {
+    harness.handle(Event::List {
         mode: ListMode::Delta,
         servers: vec![gone],
     });
     let new = server(78, "town", "cache");
-    rig.handle(Event::List {
+    harness.handle(Event::List {
         mode: ListMode::Delta,
         servers: vec![new],
     });
     let servers: BTreeSet<ServerId> = (0..60)
-        .map(|n| rig.send("page", &format!("/o/{n}")).server)
+        .map(|n| harness.send_request("page", &format!("/o/{n}")).server)
         .collect();
     assert!(!servers.contains(&77), "it is gone");
     assert!(servers.contains(&78), "it is ready");
@@ -253,25 +256,25 @@
 /// A router among sixteen sees few fills: what those told of a crowded link must not outlive the crowd, or all
 /// sixteen hold back from a link that lies idle.
 #[test]
-fn a_crowded_link_is_left_alone_and_used_again_within_seconds_by_a_router_with_few_fills() {
+fn a_router_with_few_fills_avoids_a_congested_link_and_uses_it_again_within_seconds() {
     let mut settings = settings();
     settings
         .zones
         .iter_mut()
         .for_each(|z| z.link_kb_per_s = 0.0);
     settings.zones[1].routers = 16;
-    let mut rig = Rig::new(settings, fleet());
-    let filled = |rig: &mut Rig, n: usize| {
-        let s = rig.send("video", &format!("/o/{n}"));
+    let mut harness = RouterHarness::new(settings, fleet());
+    let filled = |harness: &mut RouterHarness, n: usize| {
+        let s = harness.send_request("video", &format!("/o/{n}"));
         (s.fill.source != s.server).then_some(s)
     };
     // Parts of 0.1 s of sending: in a second of crowd eight fills take four times as long.
-    let out: Vec<Sent> = (0..8).filter_map(|n| filled(&mut rig, n)).collect();
+    let out: Vec<SentAttempt> = (0..8).filter_map(|n| filled(&mut harness, n)).collect();
     assert_eq!(out.len(), 8, "nothing is known of the link yet");
     for s in out {
-        rig.now += 60 * MS;
-        rig.tick();
-        rig.handle(Event::Outcome {
+        harness.now += 60 * MS;
+        harness.tick();
+        harness.handle(Event::AttemptEnded {
             request: s.request,
             attempt: 0,
             server: s.server,
@@ -279,17 +282,17 @@
             took_us: 480 * MS,
             settled: true,
             note: Note::Filled,
-            waited_us: 0,
+            first_byte_us: 0,
             load: None,
         });
     }
-    assert!(filled(&mut rig, 100).is_none(), "the link is crowded");
+    assert!(filled(&mut harness, 100).is_none(), "the link is crowded");
     for _ in 0..60 {
-        rig.now += 50 * MS;
-        rig.tick();
+        harness.now += 50 * MS;
+        harness.tick();
     }
     assert!(
-        filled(&mut rig, 101).is_some(),
+        filled(&mut harness, 101).is_some(),
         "nothing has come by the link for three seconds"
     );
 }
@@ -297,13 +300,13 @@
 /// One of a hundred routers sees hardly an answer of an origin that is asked for more than it can do: what does not
 /// come back has to tell it.
 #[test]
-fn an_origin_that_leaves_fills_unanswered_is_asked_for_less_where_the_caches_are_well() {
+fn unanswered_fills_reduce_origin_admission_if_the_caches_are_healthy() {
     let asked = |cache_answers: bool| {
         let mut settings = settings();
         settings.zones[1].link_kb_per_s = 1e9;
-        let mut rig = Rig::new(settings, fleet());
-        let end = |rig: &mut Rig, s: Sent, outcome, note, took_us| {
-            rig.handle(Event::Outcome {
+        let mut harness = RouterHarness::new(settings, fleet());
+        let end = |harness: &mut RouterHarness, s: SentAttempt, outcome, note, took_us| {
+            harness.handle(Event::AttemptEnded {
                 request: s.request,
                 attempt: 0,
                 server: s.server,
@@ -311,33 +314,33 @@
                 took_us,
                 settled: outcome == Outcome::Ok,
                 note,
-                waited_us: 0,
+                first_byte_us: 0,
                 load: None,
             })
         };
         for n in 0..30 {
-            let fill = rig.send("video", &format!("/o/{n}"));
-            let others: Vec<Sent> = (0..12)
-                .map(|m| rig.send("video", &format!("/hit/{m}")))
+            let fill = harness.send_request("video", &format!("/o/{n}"));
+            let others: Vec<SentAttempt> = (0..12)
+                .map(|m| harness.send_request("video", &format!("/hit/{m}")))
                 .collect();
-            rig.now += 200 * MS;
+            harness.now += 200 * MS;
             for s in others {
                 let outcome = if cache_answers {
                     Outcome::Ok
                 } else {
                     Outcome::Miss
                 };
-                end(&mut rig, s, outcome, Note::Hit, 110 * MS);
+                end(&mut harness, s, outcome, Note::Hit, 110 * MS);
             }
-            rig.now += 800 * MS;
-            end(&mut rig, fill, Outcome::Timeout, Note::None, S);
+            harness.now += 800 * MS;
+            end(&mut harness, fill, Outcome::Timeout, Note::None, S);
         }
         let asks = (0..100).filter(|n| {
-            let s = rig.send("video", &format!("/p/{n}"));
-            rig.now += 110 * MS;
-            end(&mut rig, s, Outcome::Ok, Note::Hit, 110 * MS);
+            let s = harness.send_request("video", &format!("/p/{n}"));
+            harness.now += 110 * MS;
+            end(&mut harness, s, Outcome::Ok, Note::Hit, 110 * MS);
             assert_ne!(s.fill.source, s.server, "the link has room");
-            !s.fill.only_held
+            !s.fill.only_if_cached
         });
         asks.count()
     };
@@ -356,34 +359,34 @@
 /// One of a hundred routers has an answer of the origin every half second or so: a few of them have to do what dozens
 /// do among three, or the origin stays crowded for seconds and then idle for ten more.
 #[test]
-fn a_router_with_few_answers_of_the_origin_follows_it_down_and_up_within_six_of_them() {
+fn origin_admission_follows_the_origin_within_six_answers() {
     let mut settings = settings();
     settings.zones[1].link_kb_per_s = 1e9;
-    let mut rig = Rig::new(settings, fleet());
+    let mut harness = RouterHarness::new(settings, fleet());
     let mut next = 0;
-    let mut end = |rig: &mut Rig, note: Note, waited_us: Micros| {
+    let mut end = |harness: &mut RouterHarness, note: Note, first_byte_us: Micros| {
         next += 1;
-        let s = rig.send("video", &format!("/o/{next}"));
-        rig.now += 110 * MS + waited_us;
-        rig.handle(Event::Outcome {
+        let s = harness.send_request("video", &format!("/o/{next}"));
+        harness.now += 110 * MS + first_byte_us;
+        harness.handle(Event::AttemptEnded {
             request: s.request,
             attempt: 0,
             server: s.server,
             outcome: Outcome::Ok,
-            took_us: 110 * MS + waited_us,
+            took_us: 110 * MS + first_byte_us,
             settled: true,
             note,
-            waited_us,
+            first_byte_us,
             load: None,
         });
-        !s.fill.only_held
+        !s.fill.only_if_cached
     };
-    let mut follow = |waited_us: Micros| {
+    let mut follow = |first_byte_us: Micros| {
         for _ in 0..6 {
-            rig.now += 500 * MS;
-            end(&mut rig, Note::FilledByOrigin, waited_us);
+            harness.now += 500 * MS;
+            end(&mut harness, Note::FilledByOrigin, first_byte_us);
         }
-        (0..100).filter(|_| end(&mut rig, Note::Hit, 0)).count()
+        (0..100).filter(|_| end(&mut harness, Note::Hit, 0)).count()
     };
     assert_eq!(follow(100 * MS), 100);
     assert!(follow(900 * MS) < 15, "late answers");
@@ -393,43 +396,43 @@
 /// While the origin is slow most fills may take what a parent holds only. Each parent that is asked for it keeps the
 /// client waiting and costs a way through the network, times a hundred routers.
 #[test]
-fn what_two_parents_lack_is_looked_for_in_no_third_and_not_in_the_cache_again() {
+fn a_miss_in_two_parents_is_not_retried_at_a_third_or_in_the_cache() {
     let mut servers = fleet();
     servers.extend([server(13, "hub", "parent"), server(14, "hub", "parent")]);
-    let mut rig = Rig::new(
+    let mut harness = RouterHarness::new(
         Settings {
-            direct: false,
+            direct_to_upstream: false,
             ..settings()
         },
         servers,
     );
-    let first = rig.send("video", "/o/a");
-    let lacks = |rig: &mut Rig, attempt| {
+    let first = harness.send_request("video", "/o/a");
+    let lacks = |harness: &mut RouterHarness, attempt| {
         let end = (Outcome::Miss, Note::SourceLacks);
-        rig.end_with(first.request, attempt, first.server, end.0, end.1)
+        harness.end_attempt_with(first.request, attempt, first.server, end.0, end.1)
     };
-    let second = sent(&lacks(&mut rig, 0)).expect("the second parent may hold it");
+    let second = sent(&lacks(&mut harness, 0)).expect("the second parent may hold it");
     assert!(second.server == first.server && second.fill.source != first.fill.source);
-    let last = lacks(&mut rig, 1);
+    let last = lacks(&mut harness, 1);
     assert!(matches!(last[..], [Action::Refuse { .. }]), "{last:?}");
 }
 
 /// A sibling that lacks it is the ordinary case where caches fill each other: it must not use up the parents' tries.
 #[test]
-fn what_a_sibling_lacks_is_still_looked_for_at_two_parents() {
+fn a_miss_in_a_sibling_is_still_retried_at_two_parents() {
     let mut servers = fleet();
-    servers[0].started = Some(T0 - 9 * S);
+    servers[0].started = Some(START - 9 * S);
     let config = Settings {
         siblings: Siblings::Location,
-        direct: false,
+        direct_to_upstream: false,
         ..settings()
     };
-    let mut rig = Rig::new(config, servers);
+    let mut harness = RouterHarness::new(config, servers);
     let by_sibling = (0..40)
-        .map(|n| rig.send("video", &format!("/o/{n}")))
+        .map(|n| harness.send_request("video", &format!("/o/{n}")))
         .find(|s| s.fill.source <= 4);
     let first = by_sibling.expect("the cold cache is filled by another");
-    let lacks = rig.end_with(
+    let lacks = harness.end_attempt_with(
         first.request,
         0,
         first.server,
@@ -437,7 +440,7 @@
         Note::SourceLacks,
     );
     let second = sent(&lacks).expect("a parent is asked");
-    let refused = rig.end_with(
+    let refused = harness.end_attempt_with(
         second.request,
         1,
         second.server,
