--- a/daemon/src/daemon/connection_table.rs
+++ b/daemon/src/daemon/connection_table.rs
@@ -52,7 +52,8 @@
 pub(super) struct Connection {
     pub(super) conn: Conn,
     pub(super) kind: ConnectionKind,
-    /// For clients: when the current state began, or the last response was sent.
+    /// When the current state of a client connection began or its last response was sent; for other connections, when
+    /// they were opened.
     pub(super) state_since: Micros,
     /// For clients: an incomplete request was buffered at the last check.
     pub(super) has_partial_request: bool,
--- a/daemon/src/daemon/reconnect.rs
+++ b/daemon/src/daemon/reconnect.rs
@@ -14,7 +14,7 @@
 pub(super) struct DeferredAttempts {
     attempts: Vec<AttemptId>,
     /// Whether a retry is scheduled.
-    is_due: bool,
+    retry_scheduled: bool,
     /// Caches to which no connection could be opened in this round.
     failed: BTreeSet<ServerId>,
 }
@@ -26,7 +26,7 @@
             self.deferred_attempts.failed.insert(dispatch.target.server);
             self.deferred_attempts.attempts.push(attempt);
         }
-        if !std::mem::replace(&mut self.deferred_attempts.is_due, true) {
+        if !std::mem::replace(&mut self.deferred_attempts.retry_scheduled, true) {
             self.schedule(
                 now + self.limits.accept_again_us,
                 Daemon::retry_deferred_attempts,
@@ -36,7 +36,7 @@
 
     /// Retries the deferred attempts that may still start.
     fn retry_deferred_attempts(&mut self, now: Micros) {
-        self.deferred_attempts.is_due = false;
+        self.deferred_attempts.retry_scheduled = false;
         self.deferred_attempts.failed.clear();
         for attempt in std::mem::take(&mut self.deferred_attempts.attempts) {
             let Some(dispatch) = self.core.dispatch(attempt) else {
--- a/daemon/src/daemon/recovery.rs
+++ b/daemon/src/daemon/recovery.rs
@@ -17,32 +17,32 @@
 pub(super) struct SnapshotWait {
     since: Micros,
     /// When the wait ends if nothing more is received.
-    until: Micros,
+    deadline: Micros,
     /// When the wait ends at the latest.
-    max_until: Micros,
+    max_deadline: Micros,
     has_ended: bool,
 }
 
 impl SnapshotWait {
-    fn begin(now: Micros, timeout_us: Micros, max_us: Micros) -> Self {
+    fn start(now: Micros, timeout_us: Micros, max_us: Micros) -> Self {
         SnapshotWait {
             since: now,
-            until: now + timeout_us,
-            max_until: now + max_us,
+            deadline: now + timeout_us,
+            max_deadline: now + max_us,
             has_ended: false,
         }
     }
 
     /// Extends the wait after something was received.
     fn extend(&mut self, now: Micros, timeout_us: Micros) {
-        self.until = self.max_until.min(now + timeout_us);
+        self.deadline = self.max_deadline.min(now + timeout_us);
     }
 
     /// Ends the wait if it has timed out. Returns whether it ended now.
     fn time_out(&mut self, now: Micros) -> bool {
-        let ends = !self.has_ended && now >= self.until;
-        self.has_ended |= ends;
-        ends
+        let timed_out = !self.has_ended && now >= self.deadline;
+        self.has_ended |= timed_out;
+        timed_out
     }
 
     /// Returns whether the wait has timed out.
@@ -173,7 +173,7 @@
         };
         wait.extend(now, timeout_us);
         if let Some(recovery) = &mut self.pending_commits.recovery {
-            recovery.extend(wait.until);
+            recovery.extend(wait.deadline);
         }
     }
 
@@ -187,7 +187,7 @@
         match &mut self.pending_commits.snapshot {
             None if is_behind => {
                 let limits = &self.limits;
-                let wait = SnapshotWait::begin(now, limits.recovery_us, limits.recovery_max_us);
+                let wait = SnapshotWait::start(now, limits.recovery_us, limits.recovery_max_us);
                 self.pending_commits.snapshot = Some(wait);
                 self.extend_recovery(now);
                 log::warn!(
@@ -206,8 +206,8 @@
                 self.announce_readiness(now);
             }
             Some(wait) => {
-                let ends = wait.time_out(now);
-                if ends {
+                let timed_out = wait.time_out(now);
+                if timed_out {
                     self.end_snapshot_wait(now);
                 }
             }
--- a/daemon/src/daemon/store_opening.rs
+++ b/daemon/src/daemon/store_opening.rs
@@ -61,7 +61,7 @@
                     started: now,
                     reason: e.to_string(),
                     backoff: Backoff::new(MIN_RETRY_US, MAX_RETRY_US, seed),
-                    opening: None,
+                    attempt_result: None,
                     rejected: 0,
                     buffered_purges: Vec::new(),
                 };
@@ -102,7 +102,7 @@
     reason: String,
     backoff: Backoff,
     /// Receives the result of the current attempt.
-    opening: Option<Receiver<Result<Ledger, LedgerError>>>,
+    attempt_result: Option<Receiver<Result<Ledger, LedgerError>>>,
     /// The number of commands that were rejected because the store is not open.
     rejected: u64,
     /// Purges that peers without logs have sent meanwhile, to be stored later.
@@ -135,7 +135,7 @@
         thread::Builder::new()
             .name("store-opening".into())
             .spawn(open)?;
-        self.opening = Some(receiver);
+        self.attempt_result = Some(receiver);
         Ok(())
     }
 
@@ -186,11 +186,11 @@
         let Some(pending) = &mut self.pending_store else {
             return;
         };
-        let result = pending.opening.as_ref().map(Receiver::try_recv);
+        let result = pending.attempt_result.as_ref().map(Receiver::try_recv);
         match result {
             Some(Ok(Ok(ledger))) => self.attach_store(now, ledger),
             Some(Ok(Err(e))) => {
-                pending.opening = None;
+                pending.attempt_result = None;
                 let due = pending.record_failure(now, e.to_string());
                 self.schedule(due, Daemon::start_store_opening);
             }
--- a/daemon/src/daemon/upstream_connections/mod.rs
+++ b/daemon/src/daemon/upstream_connections/mod.rs
@@ -313,8 +313,8 @@
         }
     }
 
-    /// Withdraws a cache server: it is not used as the source of any open request any more, and its idle connections
-    /// are closed.
+    /// Withdraws a cache server: takes back the attempts that have not started and would go to it or be filled from it,
+    /// and closes its idle connections.
     pub(super) fn withdraw_server(&mut self, now: Micros, server: ServerId) {
         for key in self
             .cache_connections
