--- a/daemon/src/daemon/budgets/mod.rs
+++ b/daemon/src/daemon/budgets/mod.rs
@@ -103,7 +103,7 @@
             self.deadlines.cancel(due);
         }
         if let Err(e) = self.join_budgets(now) {
-            log::error!("the budgets are not shared: {e}");
+            log::error!("failed to share the budgets: {e}");
         }
     }
 
@@ -143,7 +143,7 @@
             if !std::mem::replace(&mut shared.mismatch_logged, true) {
                 log::warn!(
                     peer = peer;
-                    "a peer's 'budgets' or list of peers is another: nothing is shared with it"
+                    "a peer has different 'budgets' or peers: nothing is shared with it"
                 );
             }
             return true;
@@ -312,9 +312,7 @@
     /// Applies changed limits of a reloaded configuration. Other changes of the budgets need a restart.
     pub(super) fn reload_budgets(&mut self, new: &crate::interconnect::Budgets) {
         if new.fingerprint != self.config.budgets.fingerprint {
-            return log::warn!(
-                "SIGHUP: 'budgets' has changed beyond its limits, which takes effect with the next start only"
-            );
+            return log::warn!("SIGHUP: changes of 'budgets' other than limits need a restart");
         }
         let Some(shared) = &mut self.shared_budgets else {
             return;
@@ -335,7 +333,7 @@
                     );
                     old.spec = new.spec;
                 }
-                Err(e) => log::error!("SIGHUP: the limit of '{}' stays as it was: {e}", new.name),
+                Err(e) => log::error!("SIGHUP: the limit of '{}' is unchanged: {e}", new.name),
             }
         }
     }
@@ -346,7 +344,7 @@
         if let Some(shared) = &mut self.shared_budgets {
             shared.detached = true;
             log::error!(
-                "SIGHUP: the peers have changed: nothing is shared with them before the next start"
+                "SIGHUP: the peers have changed: no budgets are shared with them until the next start"
             );
         }
     }
--- a/daemon/src/daemon/budgets/status.rs
+++ b/daemon/src/daemon/budgets/status.rs
@@ -115,7 +115,7 @@
                 let reserved = shared.member.spec(budget).map_or(0, |spec| spec.reserved);
                 log::warn!(
                     budget = name, reserved = reserved;
-                    "no lease is in force: only the reserved minimum is spent"
+                    "budget has no valid lease: only the reserved minimum may be spent"
                 );
             }
             Change::ReservedOnly {
--- a/daemon/src/daemon/cdni_listener.rs
+++ b/daemon/src/daemon/cdni_listener.rs
@@ -146,7 +146,7 @@
             Ok(request) => request,
             Err(e) => {
                 // The sender receives an error status before the connection is closed.
-                log::warn!("a peer CDN sent what can't be read: {e}");
+                log::warn!("malformed request of a peer CDN: {e}");
                 session.reject_unreadable();
                 None
             }
@@ -272,7 +272,7 @@
     pub(super) fn deliver(&mut self, now: Micros, post: Post) {
         if self.pending_deliveries >= self.limits.posts {
             let address = post.address;
-            log::warn!("a payload for {address} is dropped: too many are on their way");
+            log::warn!("dropped a payload for {address}: too many deliveries are pending");
             return;
         }
         self.pending_deliveries += 1;
@@ -302,12 +302,14 @@
             // The peer CDN rejected the payload, so a retry would be rejected too.
             Some(status @ 400..=499) => {
                 let Post { address, path, .. } = &post;
-                log::warn!("a peer CDN rejected a payload: {address}{path} answered {status}");
+                log::warn!(
+                    "a peer CDN rejected a payload: {address}{path} responded with {status}"
+                );
                 self.pending_deliveries -= 1;
             }
             _ if attempts >= self.limits.post_tries => {
                 let Post { address, path, .. } = &post;
-                log::warn!("a peer CDN takes no payload: {address}{path}");
+                log::warn!("failed to deliver a payload to a peer CDN: {address}{path}");
                 self.pending_deliveries -= 1;
             }
             _ => {
--- a/daemon/src/daemon/commits/operators.rs
+++ b/daemon/src/daemon/commits/operators.rs
@@ -131,7 +131,7 @@
             }
             Err(error) => {
                 let reason = error.to_string();
-                log::warn!(call = reply.text.as_str(), reason = reason.as_str(); "an operator's call is rejected");
+                log::warn!(call = reply.text.as_str(), reason = reason.as_str(); "rejected an operator's call");
                 if let Some(decision) = decision {
                     self.undo_decision(now, decision);
                 }
@@ -156,7 +156,7 @@
         }
         self.save_undone_state(now);
         if let Err(e) = self.append_decision(now, &subject, committed_revoked) {
-            log::error!("a rejected call stays in the log until the next one on its subject: {e}");
+            log::error!("failed to undo a rejected call in the log, where it stays until the next one on its subject: {e}");
         }
     }
 
@@ -192,7 +192,7 @@
                 continue;
             }
             if let Err(e) = self.append_decision(now, &subject, false) {
-                log::error!("what the operators decided is not replicated yet: {e}");
+                log::error!("a decision of the operators is not replicated yet: {e}");
             }
         }
     }
@@ -224,7 +224,7 @@
         let Some(effect) = effect else {
             return false;
         };
-        log::warn!(revoked = revoked; "the operators' state is set by this proxy's log: {subject:?}");
+        log::warn!(revoked = revoked; "restored a decision of the operators from this proxy's log: {subject:?}");
         self.apply_operator_effect(now, effect);
         true
     }
--- a/daemon/src/daemon/commits/triggers.rs
+++ b/daemon/src/daemon/commits/triggers.rs
@@ -67,11 +67,11 @@
             self.count_rejected();
             return Some(response);
         }
-        log::warn!(trigger = trigger_id.as_str(), reason = error.to_string().as_str(); "a command of a peer CDN is rejected");
+        log::warn!(trigger = trigger_id.as_str(), reason = error.to_string().as_str(); "rejected a command of a peer CDN");
         // A replaced process has appended nothing, so there is nothing to undo.
         let appended = trigger.filter(|_| self.may_commit());
         if let Some(Err(e)) = appended.map(|trigger_id| self.append_gone(now, trigger_id)) {
-            log::warn!(trigger = trigger_id.as_str(); "that the command is rejected can't be appended to the log, and its peers do not know it: {e}");
+            log::warn!(trigger = trigger_id.as_str(); "failed to append the rejection of a command to the log, so peers do not receive it: {e}");
         }
         Some(response)
     }
--- a/daemon/src/daemon/connection_table.rs
+++ b/daemon/src/daemon/connection_table.rs
@@ -180,7 +180,7 @@
                     } else {
                         log::Level::Warn
                     },
-                    "a connection is ended: {e}"
+                    "closing a connection: {e}"
                 );
                 is_over = true;
             }
--- a/daemon/src/daemon/discovery.rs
+++ b/daemon/src/daemon/discovery.rs
@@ -92,7 +92,7 @@
         for notice in output.notices {
             let line = notice_line(&self.endpoint_table, notice);
             if self.logged_notices.is_new(&line, self.limits.said) {
-                log::warn!("the endpoint table: {line}");
+                log::warn!("endpoint table: {line}");
             }
         }
         let due = self.endpoint_table.next_due(now);
--- a/daemon/src/daemon/membership.rs
+++ b/daemon/src/daemon/membership.rs
@@ -100,7 +100,7 @@
         self.raise_ledger_incarnation(process);
         if is_replaced && !was_replaced {
             log::error!(
-                "another process of this name has begun after this one: nothing more is committed here"
+                "a later process with the same name has started: this one commits nothing more"
             );
         }
         if has_new_names {
@@ -115,7 +115,7 @@
     fn raise_ledger_incarnation(&mut self, process: u64) {
         let is_behind = |ledger: &&mut crate::ledger::Ledger| ledger.incarnation() < process;
         if let Some(ledger) = self.ledger.as_mut().filter(is_behind) {
-            log::warn!("a process of this name that a peer knows began by a later clock: this one is numbered behind it");
+            log::warn!("a peer knows an earlier process of this name with a later incarnation: raising the incarnation of this one");
             ledger.raise_incarnation(process);
         }
     }
@@ -152,7 +152,7 @@
             new = state_name(Some(new.state)),
             incarnation = new.process,
             up = membership.map_or(0, Membership::up);
-            "a member's state has changed"
+            "state of a member changed"
         );
     }
 
--- a/daemon/src/daemon/operator_state.rs
+++ b/daemon/src/daemon/operator_state.rs
@@ -56,7 +56,7 @@
         let state = load(folder).unwrap_or_else(|e| {
             files.load_pending = !is_permanent(&e);
             log::error!(
-                "what the operators decided before can't be read in {}: {e}",
+                "failed to load the stored state of the operators from {}: {e}",
                 folder.display()
             );
             OperatorState::default()
--- a/daemon/src/daemon/plain_purges.rs
+++ b/daemon/src/daemon/plain_purges.rs
@@ -38,7 +38,7 @@
             return pending.buffer_purge(purge.clone());
         }
         if let Err(e) = ledger.learn_purge(purge.object.as_deref(), purge.group, purge.at) {
-            log::error!("a peer's purge is in force but not stored for the next start: {e}");
+            log::error!("a purge of a peer is applied but not stored for the next start: {e}");
         }
     }
 
--- a/daemon/src/daemon/recovery.rs
+++ b/daemon/src/daemon/recovery.rs
@@ -82,7 +82,7 @@
     fn start_without_peers(&mut self, now: Micros) {
         if self.lacks_store() {
             log::warn!(
-                "no peer knows what the store has: every copy from before now is taken as purged"
+                "store is not open and there are no peers to recover from: treating every earlier cached copy as purged"
             );
             self.core.purges_mut().purge_all(now);
         }
@@ -119,7 +119,7 @@
         };
         let step = recovery.tick(now);
         if let Some(machines) = step.missing_machines {
-            log::error!(machines = machines; "not all that this proxy committed may have been recovered, and it is ready all the same");
+            log::error!(machines = machines; "recovery timed out: becoming ready although committed entries may be missing");
             if self.pending_store.is_some() {
                 self.core.purges_mut().purge_all(now);
             }
@@ -191,7 +191,7 @@
                 self.pending_commits.snapshot = Some(wait);
                 self.extend_recovery(now);
                 log::warn!(
-                    "behind what peers have compacted: not ready until their snapshot is received"
+                    "behind the compacted entries of peers: not ready until their snapshot is received"
                 );
                 self.announce_readiness(now);
             }
@@ -220,7 +220,7 @@
         let at = self.core.purge_all_date(now);
         self.core.purges_mut().purge_all(at);
         log::error!(
-            "the peers' snapshot was not received in time: every copy from before now is taken as purged"
+            "snapshot of the peers was not received in time: treating every earlier cached copy as purged"
         );
         self.announce_readiness(now);
     }
@@ -239,7 +239,7 @@
                 .purges_mut()
                 .merge_bucket(bucket_bits, index, bucket)
             {
-                log::error!("purges of the store are not in force here: {e}");
+                log::error!("failed to apply purges of the store: {e}");
             }
         }
         let purges = ledger.purges();
--- a/daemon/src/daemon/reload.rs
+++ b/daemon/src/daemon/reload.rs
@@ -11,7 +11,7 @@
         self.sighup.drain();
         let mut new = match (self.config_source)() {
             Ok(new) => new,
-            Err(e) => return log::error!("SIGHUP: the configuration stays as it was: {e}"),
+            Err(e) => return log::error!("SIGHUP: configuration is unchanged: {e}"),
         };
         self.reload_settings(&new);
         self.warn_of_fixed_changes(&new);
@@ -34,7 +34,7 @@
             self.reconnect_moved_bus(now);
         }
         if !self.reload_consul(now, new.consul.take()) {
-            log::warn!("SIGHUP: 'consul' has changed, which takes effect with the next start only");
+            log::warn!("SIGHUP: the change of 'consul' needs a restart");
         }
     }
 
@@ -50,9 +50,7 @@
     fn warn_of_fixed_changes(&self, new: &Config) {
         for key in self.config.fixed_changes(new) {
             if key != "settings" {
-                log::warn!(
-                    "SIGHUP: '{key}' has changed, which takes effect with the next start only"
-                );
+                log::warn!("SIGHUP: the change of '{key}' needs a restart");
             }
         }
     }
@@ -74,7 +72,7 @@
         let before = self.config.copies.machines.clone();
         match self.config.check_copies(self.config.peers.as_ref()) {
             Ok(copies) => self.config.copies.machines = copies.machines,
-            Err(e) => log::error!("SIGHUP: the machines of the peers stay as they were: {e}"),
+            Err(e) => log::error!("SIGHUP: the machines of the peers are unchanged: {e}"),
         }
         if before == self.config.copies.machines {
             return;
@@ -97,7 +95,9 @@
         next.classes.clone_from(&new.classes);
         next.max_attempts = new.max_attempts;
         if next != *new {
-            log::warn!("SIGHUP: 'settings' has changed beyond its classes and attempts, which takes effect with the next start only");
+            log::warn!(
+                "SIGHUP: changes of 'settings' other than classes and attempts need a restart"
+            );
         }
         match self.core.apply_settings(next.clone()) {
             Ok(()) => {
@@ -106,7 +106,7 @@
                 true
             }
             Err(e) => {
-                log::error!("SIGHUP: 'settings' stay as they were: {e}");
+                log::error!("SIGHUP: 'settings' are unchanged: {e}");
                 false
             }
         }
--- a/daemon/src/daemon/replication.rs
+++ b/daemon/src/daemon/replication.rs
@@ -55,7 +55,7 @@
         }
         let before = std::mem::replace(&mut pending.peers_without_snapshot, without_snapshot);
         if without_snapshot > before {
-            log::warn!(peers = without_snapshot; "peers of an earlier version are behind what was compacted here, and know no snapshots");
+            log::warn!(peers = without_snapshot; "peers of an earlier version are behind the compacted entries and do not support snapshots");
         }
     }
 
--- a/daemon/src/daemon/shutdown.rs
+++ b/daemon/src/daemon/shutdown.rs
@@ -84,7 +84,7 @@
         let counters = ledger.replica().counters();
         if let Err(e) = Ledger::close(ledger) {
             log::warn!(
-                "the store is not closed, and the next start begins a new life of its log: {e}"
+                "failed to close the store, so the next start begins a new epoch of its log: {e}"
             );
         }
         Some(counters)
--- a/daemon/src/daemon/sources/bus.rs
+++ b/daemon/src/daemon/sources/bus.rs
@@ -77,7 +77,7 @@
 
     fn on_ended(self: Box<Self>, end: ExchangeEnd) -> Option<Task> {
         if let ExchangeEnd::Unreadable(e) = end {
-            log::warn!("the event bus's connection is ended: {e}");
+            log::warn!("closed the connection to the event bus: {e}");
         }
         Some(Box::new(|daemon, now| {
             daemon.bus.key = None;
@@ -204,7 +204,7 @@
         match self.bus.key {
             None => self.connect_bus(now),
             Some(key) if self.bus.last_read_at + self.limits.bus_silence_us <= now => {
-                log::warn!("the event bus is silent and called again");
+                log::warn!("event bus is silent, reconnecting");
                 self.connections.remove(key);
                 self.connect_bus(now);
             }
--- a/daemon/src/daemon/sources/consul/cached_snapshot.rs
+++ b/daemon/src/daemon/sources/consul/cached_snapshot.rs
@@ -98,7 +98,9 @@
             Err(e) if is_permanent(&e) => return Err(error(e)),
             Err(e) => {
                 let e = error(e);
-                log::error!("the folder of cached lists is made later: {e}");
+                log::error!(
+                    "failed to create the directory of cached endpoint lists, retrying later: {e}"
+                );
                 Some(folder.to_owned())
             }
         };
@@ -151,7 +153,7 @@
             return;
         }
         match snapshot.load(now, max_bytes, max_age_us) {
-            Err(e) => log::warn!("the cached list {path} is not used: {e}"),
+            Err(e) => log::warn!("ignored the cached endpoint list {path}: {e}"),
             Ok(cached) => {
                 let age_s = now.saturating_sub(cached.at) / 1_000_000;
                 log::info!(caches = cached.entries.len(), age_s = age_s; "using the cached endpoint list until a Consul agent responds");
--- a/daemon/src/daemon/sources/consul/mod.rs
+++ b/daemon/src/daemon/sources/consul/mod.rs
@@ -187,7 +187,7 @@
                 WatchEvent::MostlyUnusable { .. } => log::Level::Error,
                 _ => log::Level::Warn,
             };
-            log::log!(level, source = self.endpoint_table.source(source); "a watch of Consul: {event}");
+            log::log!(level, source = self.endpoint_table.source(source); "Consul watch: {event}");
         }
         if denied {
             // The token may have been replaced since it was read.
@@ -210,7 +210,7 @@
         };
         match token(consul) {
             Ok(token) => state.token = token,
-            Err(e) => log::warn!("the token stays as it was: {e}"),
+            Err(e) => log::warn!("failed to reload the Consul token, keeping the old one: {e}"),
         }
     }
 
@@ -283,10 +283,10 @@
         match step {
             Some(RegistrationEvent::Registered) => log::info!("registered in Consul"),
             Some(RegistrationEvent::Forgotten) => {
-                log::warn!("the agent has forgotten the registration: it is taken up again");
+                log::warn!("the Consul agent has lost the registration: registering again");
             }
             Some(RegistrationEvent::Deregistered) => log::info!("deregistered in Consul"),
-            Some(RegistrationEvent::Failed(why)) => log::warn!("the registration: the agent {why}"),
+            Some(RegistrationEvent::Failed(why)) => log::warn!("registration failed: agent {why}"),
             None => {}
         }
         self.drive_registration(now);
@@ -343,7 +343,7 @@
         let token = match token(&new) {
             Ok(token) => token,
             Err(e) => {
-                log::error!("SIGHUP: 'consul' stays as it was: {e}");
+                log::error!("SIGHUP: 'consul' is unchanged: {e}");
                 return true;
             }
         };
--- a/daemon/src/daemon/sources/peers.rs
+++ b/daemon/src/daemon/sources/peers.rs
@@ -158,7 +158,7 @@
                 merged.index,
                 &merged.bucket,
             ) {
-                log::error!("purges of a peer are not in force here: {e}");
+                log::error!("failed to apply purges of a peer: {e}");
             }
         }
     }
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -277,7 +277,7 @@
         }
         let bans: Vec<&str> = self.operations.bans().collect();
         if !bans.is_empty() || !self.operations.in_service() {
-            log::warn!(bans = bans.join(" ").as_str(), in_service = self.operations.in_service(); "kept by the operators");
+            log::warn!(bans = bans.join(" ").as_str(), in_service = self.operations.in_service(); "restored the stored decisions of the operators");
         }
     }
 }
--- a/daemon/src/daemon/store_opening.rs
+++ b/daemon/src/daemon/store_opening.rs
@@ -54,7 +54,7 @@
                 pending: None,
             }),
             Err(e) if e.is_transient() => {
-                log::error!("the store {} can't be opened, and is tried again: {e}; what must be committed is rejected until then", self.path.display());
+                log::error!("failed to open the store {}, retrying: {e}; commands that need a commit are rejected until then", self.path.display());
                 let ledger = Ledger::without_store(self.writer, now, self.bounds);
                 let pending = PendingStore {
                     store: self,
@@ -143,7 +143,7 @@
     fn record_failure(&mut self, now: Micros, reason: String) -> Micros {
         // Each reason is logged once, as a full disk may stay full for long.
         if self.reason != reason {
-            log::error!(attempts = self.backoff.failures() + 1; "the store still can't be opened: {reason}");
+            log::error!(attempts = self.backoff.failures() + 1; "failed again to open the store: {reason}");
             self.reason = reason;
         }
         now + self.backoff.next_delay()
