--- a/daemon/src/daemon/commits/triggers.rs
+++ b/daemon/src/daemon/commits/triggers.rs
@@ -60,25 +60,25 @@
         trigger: Option<TriggerId>,
         error: &CommitError,
     ) -> Option<Response> {
-        let (_, trigger_api) = self.trigger_api.as_mut()?;
+        let (_, trigger_api) = self.cdni.as_mut()?;
         let response = trigger_api.retract(trigger);
         let trigger_id = trigger.map_or_else(String::new, |trigger_id| trigger_id.to_string());
         if self.lacks_store() {
             self.count_rejected();
             return Some(response);
         }
-        log::warn!(trigger = trigger_id.as_str(), reason = error.to_string().as_str(); "a command of a peer CDN is rejected");
+        log::warn!(trigger = trigger_id.as_str(), reason = error.to_string().as_str(); "rejected a command of a peer CDN");
         // A replaced process has appended nothing, so there is nothing to undo.
         let appended = trigger.filter(|_| self.may_commit());
         if let Some(Err(e)) = appended.map(|trigger_id| self.append_gone(now, trigger_id)) {
-            log::warn!(trigger = trigger_id.as_str(); "that the command is rejected can't be appended to the log, and its peers do not know it: {e}");
+            log::warn!(trigger = trigger_id.as_str(); "failed to append the rejection of a command to the log, so peers do not receive it: {e}");
         }
         Some(response)
     }
 
     /// Restores the triggers of all logs, and the next trigger number of this proxy.
     pub(in crate::daemon) fn restore_triggers(&mut self, now: Micros) {
-        let (Some(ledger), Some((_, trigger_api))) = (&self.ledger, &mut self.trigger_api) else {
+        let (Some(ledger), Some((_, trigger_api))) = (&self.ledger, &mut self.cdni) else {
             return;
         };
         let first = TriggerId {
@@ -97,7 +97,7 @@
 
     /// Updates the triggers that new entries of a peer refer to.
     pub(in crate::daemon) fn receive_triggers(&mut self, now: Micros, entries: &[Entry]) {
-        let (Some(ledger), Some((_, trigger_api))) = (&self.ledger, &mut self.trigger_api) else {
+        let (Some(ledger), Some((_, trigger_api))) = (&self.ledger, &mut self.cdni) else {
             return;
         };
         let mut trigger_ids: Vec<TriggerId> = entries.iter().filter_map(entry_trigger_id).collect();
--- a/daemon/src/daemon/discovery.rs
+++ b/daemon/src/daemon/discovery.rs
@@ -95,7 +95,7 @@
                 .logged_notices
                 .is_new(&line, self.limits.max_remembered_log_lines)
             {
-                log::warn!("the endpoint table: {line}");
+                log::warn!("endpoint table: {line}");
             }
         }
         let due = self.endpoint_table.next_due(now);
--- a/daemon/src/daemon/recovery.rs
+++ b/daemon/src/daemon/recovery.rs
@@ -17,32 +17,32 @@
 pub(super) struct SnapshotWait {
     since: Micros,
     /// When the wait ends if nothing more is received.
-    until: Micros,
+    deadline: Micros,
     /// When the wait ends at the latest.
-    max_until: Micros,
+    max_deadline: Micros,
     has_ended: bool,
 }
 
 impl SnapshotWait {
-    fn begin(now: Micros, timeout_us: Micros, max_us: Micros) -> Self {
+    fn start(now: Micros, timeout_us: Micros, max_us: Micros) -> Self {
         SnapshotWait {
             since: now,
-            until: now + timeout_us,
-            max_until: now + max_us,
+            deadline: now + timeout_us,
+            max_deadline: now + max_us,
             has_ended: false,
         }
     }
 
     /// Extends the wait after something was received.
     fn extend(&mut self, now: Micros, timeout_us: Micros) {
-        self.until = self.max_until.min(now + timeout_us);
+        self.deadline = self.max_deadline.min(now + timeout_us);
     }
 
     /// Ends the wait if it has timed out. Returns whether it ended now.
     fn time_out(&mut self, now: Micros) -> bool {
-        let ends = !self.has_ended && now >= self.until;
-        self.has_ended |= ends;
-        ends
+        let timed_out = !self.has_ended && now >= self.deadline;
+        self.has_ended |= timed_out;
+        timed_out
     }
 
     /// Returns whether the wait has timed out.
@@ -87,7 +87,7 @@
     fn start_without_peers(&mut self, now: Micros) {
         if self.lacks_store() {
             log::warn!(
-                "no peer knows what the store has: every copy from before now is taken as purged"
+                "store is not open and there are no peers to recover from: treating every earlier cached copy as purged"
             );
             self.core.purges_mut().purge_all(now);
         }
@@ -124,7 +124,7 @@
         };
         let step = recovery.tick(now);
         if let Some(machines) = step.missing_machines {
-            log::error!(machines = machines; "not all that this proxy committed may have been recovered, and it is ready all the same");
+            log::error!(machines = machines; "recovery timed out: becoming ready although committed entries may be missing");
             if self.pending_store.is_some() {
                 self.core.purges_mut().purge_all(now);
             }
@@ -178,7 +178,7 @@
         };
         wait.extend(now, timeout_us);
         if let Some(recovery) = &mut self.pending_commits.recovery {
-            recovery.extend(wait.until);
+            recovery.extend(wait.deadline);
         }
     }
 
@@ -192,7 +192,7 @@
         match &mut self.pending_commits.snapshot {
             None if is_behind => {
                 let limits = &self.limits;
-                let wait = SnapshotWait::begin(
+                let wait = SnapshotWait::start(
                     now,
                     limits.recovery_timeout_us,
                     limits.recovery_total_timeout_us,
@@ -200,7 +200,7 @@
                 self.pending_commits.snapshot = Some(wait);
                 self.extend_recovery(now);
                 log::warn!(
-                    "behind what peers have compacted: not ready until their snapshot is received"
+                    "behind the compacted entries of peers: not ready until their snapshot is received"
                 );
                 self.announce_readiness(now);
             }
@@ -215,8 +215,8 @@
                 self.announce_readiness(now);
             }
             Some(wait) => {
-                let ends = wait.time_out(now);
-                if ends {
+                let timed_out = wait.time_out(now);
+                if timed_out {
                     self.end_snapshot_wait(now);
                 }
             }
@@ -229,7 +229,7 @@
         let at = self.core.purge_all_date(now);
         self.core.purges_mut().purge_all(at);
         log::error!(
-            "the peers' snapshot was not received in time: every copy from before now is taken as purged"
+            "snapshot of the peers was not received in time: treating every earlier cached copy as purged"
         );
         self.announce_readiness(now);
     }
@@ -248,7 +248,7 @@
                 .purges_mut()
                 .merge_bucket(bucket_bits, index, bucket)
             {
-                log::error!("purges of the store are not in force here: {e}");
+                log::error!("failed to apply purges of the store: {e}");
             }
         }
         let purges = ledger.purges();
--- a/daemon/src/daemon/sources/bus.rs
+++ b/daemon/src/daemon/sources/bus.rs
@@ -18,7 +18,7 @@
     /// By the platform's clock, as reported by the bus.
     date: Micros,
     /// By the local clock.
-    local: Micros,
+    local_time: Micros,
 }
 
 /// The state of the connection to the bus.
@@ -77,7 +77,7 @@
 
     fn on_ended(self: Box<Self>, end: ExchangeEnd) -> Option<Task> {
         if let ExchangeEnd::Unreadable(e) = end {
-            log::warn!("the event bus's connection is ended: {e}");
+            log::warn!("closed the connection to the event bus: {e}");
         }
         Some(Box::new(|daemon, now| {
             daemon.bus.key = None;
@@ -98,7 +98,7 @@
                     if let Some(started) = entry.server.started {
                         let start = Start {
                             date: started,
-                            local: started,
+                            local_time: started,
                         };
                         self.bus.starts.entry(entry.server.id).or_insert(start);
                     }
@@ -133,14 +133,16 @@
         let Some(date) = entry.server.started else {
             return;
         };
-        let known = self.bus.starts.get(&id).filter(|start| start.date == date);
-        let local = known.map(|start| start.local).unwrap_or_else(|| {
-            self.core.observe_origin_date(now, date);
-            self.core.local_time(date).min(now)
-        });
-        entry.server.started = Some(local);
+        let known_start = self.bus.starts.get(&id).filter(|start| start.date == date);
+        let local_time = known_start
+            .map(|start| start.local_time)
+            .unwrap_or_else(|| {
+                self.core.observe_origin_date(now, date);
+                self.core.local_time(date).min(now)
+            });
+        entry.server.started = Some(local_time);
         if entry.server.state != ServerState::Gone {
-            self.bus.starts.insert(id, Start { date, local });
+            self.bus.starts.insert(id, Start { date, local_time });
         }
     }
 
@@ -203,7 +205,7 @@
         match self.bus.key {
             None => self.connect_bus(now),
             Some(key) if self.bus.last_read_at + self.limits.bus_read_timeout_us <= now => {
-                log::warn!("the event bus is silent and called again");
+                log::warn!("event bus is silent, reconnecting");
                 self.connections.remove(key);
                 self.connect_bus(now);
             }
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -237,7 +237,7 @@
             plain_purges_due: None,
             origin_health,
             dropped_datagrams: (0, 0),
-            trigger_api: parts.trigger_api,
+            cdni: parts.trigger_api,
             ledger: parts.store.ledger,
             pending_store: parts.store.pending,
             pending_commits: PendingCommits::default(),
@@ -277,7 +277,7 @@
         }
         let bans: Vec<&str> = self.operations.bans().collect();
         if !bans.is_empty() || !self.operations.in_service() {
-            log::warn!(bans = bans.join(" ").as_str(), in_service = self.operations.in_service(); "kept by the operators");
+            log::warn!(bans = bans.join(" ").as_str(), in_service = self.operations.in_service(); "restored the stored decisions of the operators");
         }
     }
 }
--- a/daemon/src/daemon/store_opening.rs
+++ b/daemon/src/daemon/store_opening.rs
@@ -54,14 +54,14 @@
                 pending: None,
             }),
             Err(e) if e.is_transient() => {
-                log::error!("the store {} can't be opened, and is tried again: {e}; what must be committed is rejected until then", self.path.display());
+                log::error!("failed to open the store {}, retrying: {e}; commands that need a commit are rejected until then", self.path.display());
                 let ledger = Ledger::without_store(self.writer, now, self.bounds);
                 let pending = PendingStore {
                     store: self,
                     started: now,
                     reason: e.to_string(),
                     backoff: Backoff::new(MIN_RETRY_US, MAX_RETRY_US, seed),
-                    opening: None,
+                    attempt_result: None,
                     rejected: 0,
                     buffered_purges: Vec::new(),
                 };
@@ -102,7 +102,7 @@
     reason: String,
     backoff: Backoff,
     /// Receives the result of the current attempt.
-    opening: Option<Receiver<Result<Ledger, LedgerError>>>,
+    attempt_result: Option<Receiver<Result<Ledger, LedgerError>>>,
     /// The number of commands that were rejected because the store is not open.
     rejected: u64,
     /// Purges that peers without logs have sent meanwhile, to be stored later.
@@ -135,7 +135,7 @@
         thread::Builder::new()
             .name("store-opening".into())
             .spawn(open)?;
-        self.opening = Some(receiver);
+        self.attempt_result = Some(receiver);
         Ok(())
     }
 
@@ -143,7 +143,7 @@
     fn record_failure(&mut self, now: Micros, reason: String) -> Micros {
         // Each reason is logged once, as a full disk may stay full for long.
         if self.reason != reason {
-            log::error!(attempts = self.backoff.failures() + 1; "the store still can't be opened: {reason}");
+            log::error!(attempts = self.backoff.failures() + 1; "failed again to open the store: {reason}");
             self.reason = reason;
         }
         now + self.backoff.next_delay()
@@ -186,11 +186,11 @@
         let Some(pending) = &mut self.pending_store else {
             return;
         };
-        let result = pending.opening.as_ref().map(Receiver::try_recv);
+        let result = pending.attempt_result.as_ref().map(Receiver::try_recv);
         match result {
             Some(Ok(Ok(ledger))) => self.attach_store(now, ledger),
             Some(Ok(Err(e))) => {
-                pending.opening = None;
+                pending.attempt_result = None;
                 let due = pending.record_failure(now, e.to_string());
                 self.schedule(due, Daemon::start_store_opening);
             }
