--- a/replication/src/log_store/mod.rs
+++ b/replication/src/log_store/mod.rs
@@ -1,5 +1,5 @@
 //! The logs that a proxy stores. Each log is complete through its last index, except for entries that were superseded,
-//! expired or compacted.
+//! expired or compacted. The remaining entries are live.
 
 mod capacity;
 mod decisions;
--- a/replication/src/recovery.rs
+++ b/replication/src/recovery.rs
@@ -23,7 +23,7 @@
 pub struct RecoveryStep {
     /// The peers to request digests from.
     pub request_from: Vec<usize>,
-    /// The number of machines that the proxy has not caught up with. Set once, when the deadline passes.
+    /// The number of machines that the proxy still had to catch up with. Set only at the tick that passes the deadline.
     pub missing_machines: Option<usize>,
 }
 
--- a/replication/src/snapshot/receiver.rs
+++ b/replication/src/snapshot/receiver.rs
@@ -167,7 +167,7 @@
             return None;
         }
         if self.rounds >= MAX_REQUEST_ROUNDS {
-            // The peer that offered these logs is gone, and no other peer has them.
+            // No peer has replied with these logs, so the replica stops requesting them.
             self.missing.clear();
             return None;
         }
--- a/store/src/file.rs
+++ b/store/src/file.rs
@@ -260,7 +260,7 @@
         }
     }
 
-    /// Returns the open database, and opens it first where it is not open.
+    /// Returns the database, and opens it if necessary.
     fn database(&mut self) -> Result<&Database, StoreError> {
         let database = match self.database.take() {
             Some(database) => database,
