--- a/daemon/src/bus.rs
+++ b/daemon/src/bus.rs
@@ -77,7 +77,7 @@
         let targets = list(topology, "targets")?;
         let read = |v: &Value| read_entry(v.as_object().ok_or_else(|| wrong_type("targets"))?);
         // An unreadable entry must not hide the others.
-        let mut answer = ReceivedList {
+        let mut received = ReceivedList {
             rev,
             mode,
             entries: Vec::new(),
@@ -85,11 +85,11 @@
         };
         for target in targets {
             match read(target) {
-                Ok(entry) => answer.entries.push(entry),
-                Err(fault) => answer.unreadable.push(fault),
+                Ok(entry) => received.entries.push(entry),
+                Err(fault) => received.unreadable.push(fault),
             }
         }
-        Some(BusUpdate::List(answer))
+        Some(BusUpdate::List(received))
     } else if get(m, "ban").is_some() {
         let ban = object(m, "ban")?;
         let object = get(ban, "url").map(|_| text(ban, "url")).transpose()?;
--- a/daemon/src/core/attempts.rs
+++ b/daemon/src/core/attempts.rs
@@ -35,8 +35,8 @@
             .into_iter()
             .flatten()
             .all(|id| self.is_cache_ready(id));
-        let is_due = now < target.deadline && all_ready;
-        is_due.then_some(dispatch)
+        let may_start = now < target.deadline && all_ready;
+        may_start.then_some(dispatch)
     }
 
     /// Records that the first byte of an attempt has been written.
--- a/daemon/src/disk.rs
+++ b/daemon/src/disk.rs
@@ -163,7 +163,7 @@
 }
 
 /// The state of the worker thread, which retries each file with the content of its latest job.
-struct Work {
+struct Worker {
     jobs: Receiver<WriteJob>,
     /// The content of the files that could not be replaced yet.
     pending: BTreeMap<PathBuf, Vec<u8>>,
@@ -171,7 +171,7 @@
     backoff: Backoff,
 }
 
-impl Work {
+impl Worker {
     fn run(mut self) {
         loop {
             let wait = (!self.pending.is_empty())
@@ -213,7 +213,7 @@
     /// Starts a worker thread with this name.
     pub fn start(name: &str) -> io::Result<Self> {
         let (jobs, queue) = bounded::<WriteJob>(MAX_QUEUED_JOBS);
-        let work = Work {
+        let worker_state = Worker {
             jobs: queue,
             pending: BTreeMap::new(),
             failed: BTreeMap::new(),
@@ -221,7 +221,7 @@
         };
         let worker = thread::Builder::new()
             .name(name.to_owned())
-            .spawn(move || work.run())?;
+            .spawn(move || worker_state.run())?;
         Ok(FileWriter {
             jobs: Some(jobs),
             worker: Some(worker),
--- a/daemon/src/net/conn.rs
+++ b/daemon/src/net/conn.rs
@@ -141,10 +141,10 @@
         }
         let socket = &self.socket;
         let filled = self.input.fill(|buffer| syscall::read(socket, buffer));
-        let got = progress(filled, Progress::Ended);
-        self.ended |= got == Progress::Ended;
-        self.broken |= got == Progress::Broken;
-        got
+        let progress_made = progress(filled, Progress::Ended);
+        self.ended |= progress_made == Progress::Ended;
+        self.broken |= progress_made == Progress::Broken;
+        progress_made
     }
 
     /// Writes a frame if its first byte can be written now, and buffers the bytes that the socket does not accept. With
--- a/daemon/src/upstream/answers.rs
+++ b/daemon/src/upstream/answers.rs
@@ -9,14 +9,14 @@
 use linnetknot::{Micros, Outcome};
 
 /// A parsed response.
-pub(super) struct Answer {
+pub(super) struct CacheResponse {
     id: String,
     pub(super) status: Vec<u8>,
     pub(super) fields: Vec<u8>,
     pub(super) body: Vec<u8>,
 }
 
-impl Answer {
+impl CacheResponse {
     /// Builds a response from the items of its frame; `None` if its id is not UTF-8.
     fn new(items: Vec<Vec<u8>>) -> Result<Option<Self>, WireError> {
         let mut items = items.into_iter();
@@ -28,7 +28,7 @@
         let Ok(id) = String::from_utf8(id) else {
             return Ok(None);
         };
-        Ok(Some(Answer {
+        Ok(Some(CacheResponse {
             id,
             status,
             fields,
@@ -59,36 +59,36 @@
             self.last_used = now;
             self.suspect = false;
             let Some(items) = items else { continue };
-            let Some(answer) = Answer::new(items)? else {
+            let Some(response) = CacheResponse::new(items)? else {
                 continue;
             };
-            self.take_answer(now, conn.written, core, answer, events)?;
+            self.process_response(now, conn.written, core, response, events)?;
         }
         Ok(())
     }
 
     /// Processes a response to the stream with its id. `written` is the number of bytes written to the connection.
-    fn take_answer(
+    fn process_response(
         &mut self,
         now: Micros,
         written: u64,
         core: &Core,
-        answer: Answer,
+        response: CacheResponse,
         events: &mut Vec<UpstreamEvent>,
     ) -> Result<(), WireError> {
-        match self.streams.get(&answer.id) {
+        match self.streams.get(&response.id) {
             Some(Stream::Attempt(sent)) if sent.end_offset > written => {
                 // The response precedes the request, so the peer does not speak the protocol.
                 return Err(WireError::Malformed("a response to an incomplete request"));
             }
-            Some(Stream::Attempt(_)) => self.answer_attempt(now, core, answer, events),
+            Some(Stream::Attempt(_)) => self.process_attempt_response(now, core, response, events),
             Some(Stream::Aborted {
                 pending: Some(_), ..
-            }) => self.answer_aborted(core, answer, events),
+            }) => self.process_aborted_response(core, response, events),
             Some(Stream::HealthCheck { sent_at }) => {
                 let took_us = now.saturating_sub(*sent_at);
-                events.push(health_check_result(&answer, took_us));
-                self.streams.remove(&answer.id);
+                events.push(health_check_result(&response, took_us));
+                self.streams.remove(&response.id);
             }
             Some(Stream::Aborted { pending: None, .. } | Stream::Answered { .. }) | None => {
                 log::debug!("a cache responded to an unknown id");
@@ -98,19 +98,19 @@
     }
 
     /// Processes the response to an attempt.
-    fn answer_attempt(
+    fn process_attempt_response(
         &mut self,
         now: Micros,
         core: &Core,
-        answer: Answer,
+        response: CacheResponse,
         events: &mut Vec<UpstreamEvent>,
     ) {
-        let Some(Stream::Attempt(sent)) = self.streams.get_mut(&answer.id) else {
+        let Some(Stream::Attempt(sent)) = self.streams.get_mut(&response.id) else {
             return;
         };
         let attempt = sent.attempt;
-        let is_too_old = sent.is_too_old(&answer.fields);
-        if let Some(made_us) = made_ms(&answer.fields).and_then(|ms| ms.checked_mul(1000)) {
+        let is_too_old = sent.is_too_old(&response.fields);
+        if let Some(made_us) = made_ms(&response.fields).and_then(|ms| ms.checked_mul(1000)) {
             events.push(UpstreamEvent::OriginDate(made_us));
         }
         // An earlier attempt of the request was aborted, and this response may answer that one.
@@ -119,13 +119,13 @@
             log::info!("response to an aborted attempt ignored");
             return;
         }
-        let id = answer.id.clone();
+        let id = response.id.clone();
         let result = if is_too_old {
             log::warn!("a cache gave a copy older than the request allows");
             AttemptResult::from(Outcome::Error)
         } else {
             let request = core.dispatch(attempt).map(|dispatch| dispatch.request);
-            result_of(answer, request)
+            result_of(response, request)
         };
         if result.outcome == Outcome::Ok {
             self.streams.remove(&id);
@@ -141,17 +141,22 @@
 
     /// Processes the response to an aborted attempt. It arrived before the abort took effect, so it is the result of
     /// the attempt.
-    fn answer_aborted(&mut self, core: &Core, answer: Answer, events: &mut Vec<UpstreamEvent>) {
-        let Some(Stream::Aborted { at, pending }) = self.streams.get_mut(&answer.id) else {
+    fn process_aborted_response(
+        &mut self,
+        core: &Core,
+        response: CacheResponse,
+        events: &mut Vec<UpstreamEvent>,
+    ) {
+        let Some(Stream::Aborted { at, pending }) = self.streams.get_mut(&response.id) else {
             return;
         };
         let at = *at;
         let Some(end) = pending.take() else {
             return;
         };
-        let id = answer.id.clone();
+        let id = response.id.clone();
         let request = core.dispatch(end.attempt).map(|dispatch| dispatch.request);
-        let result = result_of(answer, request);
+        let result = result_of(response, request);
         events.push(UpstreamEvent::AttemptFinished(end.attempt, result));
         if end.end_offset.is_none() {
             self.aborts.retain(|abort| *abort != id);
@@ -161,8 +166,8 @@
 }
 
 /// Returns the result of a health check.
-fn health_check_result(answer: &Answer, took_us: Micros) -> UpstreamEvent {
-    let is_alive = matches!(answer.status.as_slice(), b"alive" | b"status" | b"200");
+fn health_check_result(response: &CacheResponse, took_us: Micros) -> UpstreamEvent {
+    let is_alive = matches!(response.status.as_slice(), b"alive" | b"status" | b"200");
     UpstreamEvent::HealthCheckFinished {
         outcome: if is_alive {
             Outcome::Ok
@@ -170,6 +175,6 @@
             Outcome::Error
         },
         took_us,
-        load: load_report(&answer.fields),
+        load: load_report(&response.fields),
     }
 }
--- a/daemon/src/upstream/frames.rs
+++ b/daemon/src/upstream/frames.rs
@@ -1,6 +1,6 @@
 //! The wire format: encodes attempts, aborts and health checks, and converts responses to outcomes.
 
-use super::answers::Answer;
+use super::answers::CacheResponse;
 use crate::core::{AttemptId, AttemptResult, ClientRequest, Content, Core};
 use crate::wire::resp;
 use linnetknot::{Fill, Load, Micros, Note, Outcome};
@@ -42,13 +42,13 @@
 }
 
 /// Returns the result of an attempt by its response.
-pub(super) fn result_of(answer: Answer, request: Option<&ClientRequest>) -> AttemptResult {
-    let fields = &answer.fields;
+pub(super) fn result_of(response: CacheResponse, request: Option<&ClientRequest>) -> AttemptResult {
+    let fields = &response.fields;
     let etag = resp::field(fields, "etag");
-    let (outcome, content) = match answer.status.as_slice() {
+    let (outcome, content) = match response.status.as_slice() {
         b"200" => {
             let tag = etag.map(str::to_owned);
-            let bytes = answer.body;
+            let bytes = response.body;
             (Outcome::Ok, Some(Content::Object { bytes, tag }))
         }
         b"304" if is_current(request, etag) => (Outcome::Ok, Some(Content::Unchanged)),
--- a/daemon/src/upstream/recall.rs
+++ b/daemon/src/upstream/recall.rs
@@ -33,7 +33,7 @@
     /// Withdraws the queued attempts that would go to this cache or be filled from it.
     pub fn withdraw(&mut self, server: ServerId, core: &Core, events: &mut Vec<UpstreamEvent>) {
         let own_server = self.server;
-        let concerns = |queued: &QueuedAttempt| {
+        let is_affected = |queued: &QueuedAttempt| {
             let source = core
                 .dispatch(queued.attempt)
                 .and_then(|dispatch| dispatch.target.fill)
@@ -41,7 +41,7 @@
             own_server == server || source == Some(server)
         };
         self.queue.retain(|queued| {
-            let is_withdrawn = concerns(queued);
+            let is_withdrawn = is_affected(queued);
             if is_withdrawn {
                 let result = Outcome::Moot.into();
                 events.push(UpstreamEvent::AttemptFinished(queued.attempt, result));
--- a/daemon/src/upstream/sending.rs
+++ b/daemon/src/upstream/sending.rs
@@ -105,8 +105,8 @@
             self.stall = None;
             return false;
         }
-        let known = self.stall.filter(|stall| stall.written == conn.written);
-        let stall = known.unwrap_or(Stall {
+        let last_stall = self.stall.filter(|stall| stall.written == conn.written);
+        let stall = last_stall.unwrap_or(Stall {
             written: conn.written,
             since: now,
         });
