--- a/daemon/src/bus.rs
+++ b/daemon/src/bus.rs
@@ -180,7 +180,7 @@
                     events.push(event);
                 }
                 Ok(_) => {}
-                Err(e) => log::warn!("an event of the bus was passed over: {e}"),
+                Err(e) => log::warn!("a malformed event of the event bus is ignored: {e}"),
             }
         }
         Ok(())
--- a/daemon/src/core/attempts.rs
+++ b/daemon/src/core/attempts.rs
@@ -63,7 +63,7 @@
         let open = self.requests.unanswered_mut(key);
         let Some(open) = open.filter(|open| open.outstanding.is_none()) else {
             // A request never has two outstanding attempts.
-            log::error!("the module sent an attempt for a request that can't have one");
+            log::error!("the decision module started an attempt of a request that is answered or has one in flight");
             return;
         };
         let deadline = timeout_us.map_or(open.deadline, |timeout_us| {
--- a/daemon/src/core/requests.rs
+++ b/daemon/src/core/requests.rs
@@ -118,7 +118,7 @@
         }
         if self.requests.unanswered(key).is_some() {
             // Ensures one final answer even if the decision module leaves the request open.
-            log::warn!("a request was still unanswered at its deadline");
+            log::warn!("the decision module gave no answer to a request by its deadline, so the request fails");
             self.finish(now, key, Answer::Failed);
             self.notify_client_left(now, key);
         }
--- a/daemon/src/disk.rs
+++ b/daemon/src/disk.rs
@@ -125,7 +125,10 @@
         let is_leftover = |p: &str| is_process(p) && !Path::new("/proc").join(p).exists();
         if process.is_some_and(is_leftover) {
             if let Err(e) = fs::remove_file(entry.path()) {
-                log::warn!("{} is left over and stays: {e}", entry.path().display());
+                log::warn!(
+                    "the leftover temporary file {} could not be removed: {e}",
+                    entry.path().display()
+                );
             }
         }
     }
@@ -140,14 +143,14 @@
     pub fn record(&mut self, path: &Path, result: &io::Result<()>) {
         match result {
             Ok(()) if self.0 > 0 => {
-                log::info!(failed_attempts = self.0; "{} is written again", path.display());
+                log::info!(failed_attempts = self.0; "{} can be written again", path.display());
                 self.0 = 0;
             }
             Ok(()) => {}
             Err(e) => {
                 if self.0 == 0 {
                     log::error!(
-                        "{} can't be written, and stays as it was: {e}",
+                        "{} could not be written and keeps its old content: {e}",
                         path.display()
                     );
                 }
--- a/daemon/src/fail_points/transient.rs
+++ b/daemon/src/fail_points/transient.rs
@@ -52,7 +52,7 @@
                 thread::sleep(LATE_ARMING_DELAY);
                 if let Err(e) = fail::cfg(&name, &action) {
                     let e = ArmError::Action(e);
-                    log::error!("a fail point is not armed: {e}");
+                    log::error!("a fail point could not be armed: {e}");
                 }
             }
             if let Some(duration) = duration {
--- a/daemon/src/ledger/legacy.rs
+++ b/daemon/src/ledger/legacy.rs
@@ -51,7 +51,7 @@
                 }
                 (_, Some(purge)) => file.purges.push(purge),
                 _ if line == "closed" || line.starts_with("life ") => {}
-                _ => log::warn!("{}: a line that is no purge is passed over", path.display()),
+                _ => log::warn!("{}: a malformed line is ignored", path.display()),
             }
         }
         // The store holds one entry per subject, the latest.
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -94,7 +94,7 @@
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            log::error!("the daemon ends with an error: {e}");
+            log::error!("the daemon failed: {e}");
             ExitCode::FAILURE
         }
     }
--- a/daemon/src/net/failure_log.rs
+++ b/daemon/src/net/failure_log.rs
@@ -81,7 +81,7 @@
         && FAILURE_LOG
             .with_borrow_mut(|failure_log| failure_log.record(Instant::now(), failure.call))
     {
-        log::warn!(call = failure.call.name(), kind:? = failure.kind; "system calls fail: {failure}");
+        log::warn!(call = failure.call.name(), kind:? = failure.kind; "a system call fails: {failure}");
     }
 }
 
@@ -107,7 +107,7 @@
             call = episode.call.name(),
             failures = episode.failures,
             lasted_ms = episode.lasted.as_millis() as u64;
-            "system calls have stopped failing"
+            "a system call no longer fails"
         );
     }
 }
--- a/daemon/src/upstream/answers.rs
+++ b/daemon/src/upstream/answers.rs
@@ -121,7 +121,7 @@
         }
         let id = response.id.clone();
         let result = if is_too_old {
-            log::warn!("a cache gave a copy older than the request allows");
+            log::warn!("a cache served a copy older than the request allows, so the attempt fails");
             AttemptResult::from(Outcome::Error)
         } else {
             let request = core.dispatch(attempt).map(|dispatch| dispatch.request);
