--- a/daemon/src/daemon/budgets/mod.rs
+++ b/daemon/src/daemon/budgets/mod.rs
@@ -5,7 +5,7 @@
 mod status;
 
 use super::Daemon;
-use crate::net::Due;
+use crate::net::DeadlineId;
 use linnetknot::{Budget, Lease, Micros};
 use linnetknot_budgets::kinds::Unit;
 use linnetknot_budgets::wire::{self, DecodeError};
@@ -22,7 +22,7 @@
     member: Member,
     /// The lease of each budget that the decision module received last.
     delivered: Vec<Option<Lease>>,
-    due: Option<Due>,
+    due: Option<DeadlineId>,
     /// Whether a fingerprint mismatch has been logged.
     mismatch_logged: bool,
     /// The list of peers has changed, and with it the indices of the members. Nothing is sent or received any more,
@@ -85,7 +85,7 @@
         })?;
         let delivered = vec![None; specs.len()];
         // A request that stayed open longer would not be settled within the settling time.
-        self.core.max_request_us = config.longest_open_us().unwrap_or(Micros::MAX);
+        self.core.max_request_us = config.max_request_us().unwrap_or(Micros::MAX);
         self.shared_budgets = Some(SharedBudgets {
             member,
             delivered,
@@ -190,7 +190,7 @@
             return;
         };
         for (index, budget) in self.config.budgets.list.iter().enumerate() {
-            let unsettled = unsettled_amounts.of(budget.of);
+            let unsettled = unsettled_amounts.of(budget.module_budget);
             // A process that is shutting down returns all that it has not spent.
             let amount = if is_stopping {
                 unsettled
@@ -282,7 +282,7 @@
         };
         let mut changed = Vec::new();
         for (index, budget) in self.config.budgets.list.iter().enumerate() {
-            let (Some(of), Some(spec)) = (budget.of, shared.member.spec(index)) else {
+            let (Some(of), Some(spec)) = (budget.module_budget, shared.member.spec(index)) else {
                 continue;
             };
             let unit = budget.unit.scale() as f64;
--- a/daemon/src/daemon/cdni_listener.rs
+++ b/daemon/src/daemon/cdni_listener.rs
@@ -5,8 +5,8 @@
 use super::{Connection, ConnectionKind, Daemon, Timer};
 use crate::core::{Answer, Client, ClientRequest};
 use crate::front::cdni::{self, Post, Reply, Session, Waiting, MEDIA};
-use crate::net::{Conn, Key, Progress};
-use crate::wire::http::{self, Head, Messages, Piece};
+use crate::net::{Key, Progress, TcpConnection};
+use crate::wire::http::{self, Head, MessageParser, Piece};
 use crate::wire::{Parser, WireError};
 use linnetknot::Micros;
 
@@ -14,7 +14,7 @@
 struct Delivery {
     post: Post,
     attempts: u32,
-    messages: Messages,
+    messages: MessageParser,
 }
 
 impl Delivery {
@@ -22,7 +22,7 @@
         Delivery {
             post,
             attempts,
-            messages: Messages::responses(max_line_bytes, usize::MAX),
+            messages: MessageParser::responses(max_line_bytes, usize::MAX),
         }
     }
 }
@@ -74,7 +74,8 @@
     pub(super) fn accept_cdni(&mut self, now: Micros) {
         // Bounded per turn, as for the client listener.
         let mut accepted = 0;
-        while self.cdni.is_some() && !self.shutdown_grace_over && accepted < self.limits.clients {
+        while self.cdni.is_some() && !self.shutdown_grace_over && accepted < self.limits.max_client_connections
+        {
             let Ok(evicted) = self.required_eviction(now) else {
                 return self.pause_accepting_cdni(now);
             };
@@ -87,12 +88,12 @@
                 Err(_) => return self.pause_accepting_cdni(now),
             };
             accepted += 1;
-            let session = Session::new(self.limits.line, self.limits.body);
-            let conn = Conn::new(
+            let session = Session::new(self.limits.max_line_bytes, self.limits.max_body_bytes);
+            let conn = TcpConnection::new(
                 socket,
                 true,
-                self.limits.input_ring,
-                self.limits.output_ring,
+                self.limits.input_buffer_bytes,
+                self.limits.output_buffer_bytes,
             );
             if let Ok(conn) = conn {
                 self.add_client(now, conn, ConnectionKind::Cdni(Box::new(session)), evicted);
@@ -128,7 +129,7 @@
         }
     }
 
-    fn cdni_session(&mut self, key: Key) -> Option<(&mut Conn, &mut Session)> {
+    fn cdni_session(&mut self, key: Key) -> Option<(&mut TcpConnection, &mut Session)> {
         match self.connections.get_mut(key)? {
             Connection {
                 conn,
@@ -206,7 +207,7 @@
             stream: 0,
         };
         let request_key = self.core.admit(now, client, request);
-        let retry_after_us = Some(self.limits.back_off_us);
+        let retry_after_us = Some(self.limits.overload_retry_after_us);
         let Some((_, session)) = self.cdni_session(key) else {
             return;
         };
@@ -219,11 +220,11 @@
 
     /// Responds to the open request of a connection.
     pub(super) fn answer_cdni(&mut self, now: Micros, key: Key, answer: Answer) {
-        let answer_ahead_us = self.limits.answer_ahead_us;
+        let response_margin_us = self.limits.response_margin_us;
         let Some((_, session)) = self.cdni_session(key) else {
             return;
         };
-        let is_late = now + answer_ahead_us >= session.deadline;
+        let is_late = now + response_margin_us >= session.deadline;
         session.respond(&cdni::response(answer, is_late));
         // The event loop reads the next request, so that pipelined requests do not recurse.
         self.deadlines.set(now, Timer::ResumeConnection(key));
@@ -270,7 +271,7 @@
 
     /// Delivers a payload to a peer CDN, unless too many deliveries are pending.
     pub(super) fn deliver(&mut self, now: Micros, post: Post) {
-        if self.pending_deliveries >= self.limits.posts {
+        if self.pending_deliveries >= self.limits.max_posts {
             let address = post.address;
             log::warn!("dropped a payload for {address}: too many deliveries are pending");
             return;
@@ -280,13 +281,13 @@
     }
 
     fn begin_delivery(&mut self, now: Micros, post: Post, attempts: u32) {
-        let delivery = Delivery::new(post.clone(), attempts, self.limits.line);
+        let delivery = Delivery::new(post.clone(), attempts, self.limits.max_line_bytes);
         if self
             .start_exchange(
                 now,
                 post.address,
                 Box::new(delivery),
-                Some(self.limits.post_us),
+                Some(self.limits.post_timeout_us),
             )
             .is_none()
         {
@@ -307,13 +308,13 @@
                 );
                 self.pending_deliveries -= 1;
             }
-            _ if attempts >= self.limits.post_tries => {
+            _ if attempts >= self.limits.max_post_attempts => {
                 let Post { address, path, .. } = &post;
                 log::warn!("failed to deliver a payload to a peer CDN: {address}{path}");
                 self.pending_deliveries -= 1;
             }
             _ => {
-                let retry_delay = self.limits.repeat_us << attempts.min(6);
+                let retry_delay = self.limits.purge_resend_interval_us << attempts.min(6);
                 self.schedule(now + retry_delay, move |daemon, now| {
                     daemon.begin_delivery(now, post, attempts);
                 });
--- a/daemon/src/daemon/clients/accept.rs
+++ b/daemon/src/daemon/clients/accept.rs
@@ -1,8 +1,8 @@
 //! Accepts client connections, and evicts others when the table is full.
 
 use crate::daemon::{ConnectionKind, Daemon, Timer};
-use crate::limits::Standing;
-use crate::net::{Conn, FailureKind, Key};
+use crate::limits::ClientState;
+use crate::net::{FailureKind, Key, TcpConnection};
 use linnetknot::Micros;
 use std::io;
 
@@ -25,17 +25,18 @@
     }
 
     /// Returns the eviction rank of a connection; the lowest is evicted first. `None` if it must not be evicted.
-    fn eviction_rank(&self, now: Micros, key: Key) -> Option<(Standing, Micros)> {
+    fn eviction_rank(&self, now: Micros, key: Key) -> Option<(ClientState, Micros)> {
         let connection = self.connections.get(key)?;
         let state = Self::client_state(connection)?;
-        let is_settled = connection.state_since <= now.saturating_sub(self.limits.settle_us);
-        (state != Standing::Busy && is_settled).then_some((state, connection.state_since))
+        let is_settled =
+            connection.state_since <= now.saturating_sub(self.limits.client_eviction_grace_us);
+        (state != ClientState::Busy && is_settled).then_some((state, connection.state_since))
     }
 
     /// Returns the connection to evict for a new client, `None` if there is a free slot, and an error if there is
     /// neither.
     pub(in crate::daemon) fn required_eviction(&mut self, now: Micros) -> io::Result<Option<Key>> {
-        if self.client_count < self.limits.clients && !self.connections.is_full() {
+        if self.client_count < self.limits.max_client_connections && !self.connections.is_full() {
             return Ok(None);
         }
         self.eviction_candidate(now).map(Some)
@@ -46,7 +47,7 @@
         let mut has_evicted = false;
         // Bounded per turn, so that clients that reconnect immediately can't occupy the loop.
         let mut accepted = 0;
-        while self.client_listener.is_some() && accepted < self.limits.clients {
+        while self.client_listener.is_some() && accepted < self.limits.max_client_connections {
             // While the table is full, new connections wait in the kernel's queue.
             let Ok(mut evicted) = self.required_eviction(now) else {
                 return self.pause_accepting_clients(now);
@@ -76,11 +77,11 @@
             };
             has_evicted = false;
             accepted += 1;
-            let conn = Conn::new(
+            let conn = TcpConnection::new(
                 socket,
                 true,
-                self.limits.input_ring,
-                self.limits.output_ring,
+                self.limits.input_buffer_bytes,
+                self.limits.output_buffer_bytes,
             );
             if let Ok(conn) = conn {
                 self.add_client(
@@ -113,7 +114,7 @@
     pub(in crate::daemon) fn schedule_accept_retry(&mut self, now: Micros) {
         if !std::mem::replace(&mut self.accept_retry_scheduled, true) {
             self.deadlines
-                .set(now + self.limits.accept_again_us, Timer::RetryAccept);
+                .set(now + self.limits.accept_backoff_us, Timer::RetryAccept);
         }
     }
 
@@ -121,7 +122,7 @@
     pub(in crate::daemon) fn add_client(
         &mut self,
         now: Micros,
-        conn: Conn,
+        conn: TcpConnection,
         kind: ConnectionKind,
         evicted: Option<Key>,
     ) {
@@ -133,8 +134,10 @@
                 self.close_when_answered(key);
             }
             self.client_count += 1;
-            self.deadlines
-                .set(now + self.limits.client_half_us, Timer::CheckClient(key));
+            self.deadlines.set(
+                now + self.limits.partial_request_timeout_us,
+                Timer::CheckClient(key),
+            );
             if self.turn.unread_delay(now) > 0 {
                 // Its requests arrived before the loop was delayed; read in the next turn they would be dated too
                 // late.
--- a/daemon/src/daemon/lifecycle.rs
+++ b/daemon/src/daemon/lifecycle.rs
@@ -110,7 +110,7 @@
         if !Self::is_idle(connection) {
             return false;
         }
-        if connection.conn.end_output().is_err() {
+        if connection.conn.shutdown_write().is_err() {
             self.close(now, key);
             return true;
         }
@@ -126,7 +126,7 @@
         let Some(connection) = self.connections.get_mut(key) else {
             return false;
         };
-        for _ in 0..self.limits.client_reads {
+        for _ in 0..self.limits.max_reads_per_client {
             match connection.conn.read(false) {
                 Progress::Moved => connection.conn.input.consume(connection.conn.input.len()),
                 Progress::Blocked => return true,
@@ -145,16 +145,15 @@
         self.close_client_listener();
         for key in self.connections.keys() {
             self.close_when_answered(key);
-            let is_recent = self
-                .connections
-                .get(key)
-                .is_some_and(|connection| connection.state_since + self.limits.settle_us > now);
+            let is_recent = self.connections.get(key).is_some_and(|connection| {
+                connection.state_since + self.limits.client_eviction_grace_us > now
+            });
             if !is_recent {
                 self.schedule_half_close(now, key);
             }
         }
         // Recently accepted connections are closed later, as their requests may be on their way.
-        self.schedule(now + self.limits.settle_us, |daemon, now| {
+        self.schedule(now + self.limits.client_eviction_grace_us, |daemon, now| {
             daemon
                 .connections
                 .keys()
@@ -169,7 +168,7 @@
             ConnectionKind::Client(_) | ConnectionKind::Cdni(_) => true,
             ConnectionKind::Lingering => self
                 .sigterm_at
-                .is_some_and(|at| now < at + self.limits.term_linger_us),
+                .is_some_and(|at| now < at + self.limits.shutdown_linger_us),
             ConnectionKind::Admin(session) => {
                 session.awaits_commit() || !connection.conn.output.is_empty()
             }
--- a/daemon/src/daemon/plain_purges.rs
+++ b/daemon/src/daemon/plain_purges.rs
@@ -37,7 +37,7 @@
         if let Some(pending) = &mut self.pending_store {
             return pending.buffer_purge(purge.clone());
         }
-        if let Err(e) = ledger.learn_purge(purge.object.as_deref(), purge.group, purge.at) {
+        if let Err(e) = ledger.append_if_newer(purge.object.as_deref(), purge.group, purge.at) {
             log::error!("a purge of a peer is applied but not stored for the next start: {e}");
         }
     }
@@ -102,7 +102,7 @@
             .flat_map(|(_, peers)| peers.iter().copied());
         let members = self
             .config
-            .copies
+            .replication
             .machines
             .iter()
             .map(|(address, _)| *address);
--- a/daemon/src/daemon/reload.rs
+++ b/daemon/src/daemon/reload.rs
@@ -41,8 +41,8 @@
     /// Applies changed settings and the limits derived from them.
     fn reload_settings(&mut self, new: &Config) {
         if self.config.settings != new.settings && self.apply_settings(&new.settings) {
-            self.limits.follow(&new.limits);
-            self.config.limits.follow(&new.limits);
+            self.limits.apply_settings_from(&new.limits);
+            self.config.limits.apply_settings_from(&new.limits);
         }
     }
 
@@ -69,16 +69,16 @@
 
     /// Applies a change in which peers share a machine, which affects the replicas of a log.
     fn reload_machines(&mut self, now: Micros) {
-        let before = self.config.copies.machines.clone();
-        match self.config.check_copies(self.config.peers.as_ref()) {
-            Ok(copies) => self.config.copies.machines = copies.machines,
+        let before = self.config.replication.machines.clone();
+        match self.config.check_replication(self.config.peers.as_ref()) {
+            Ok(replication) => self.config.replication.machines = replication.machines,
             Err(e) => log::error!("SIGHUP: the machines of the peers are unchanged: {e}"),
         }
-        if before == self.config.copies.machines {
+        if before == self.config.replication.machines {
             return;
         }
         self.detach_budgets();
-        let peers = self.config.copies.machines.len();
+        let peers = self.config.replication.machines.len();
         if let Some(membership) = &mut self.membership {
             membership.reset_peers(peers);
         }
--- a/daemon/src/daemon/sources/consul/cached_snapshot.rs
+++ b/daemon/src/daemon/sources/consul/cached_snapshot.rs
@@ -3,8 +3,8 @@
 
 use crate::daemon::discovery::CONSUL;
 use crate::daemon::Daemon;
-use crate::disk::{remove_leftovers, Disk, Job};
-use crate::net::Due;
+use crate::disk::{remove_leftovers, FileWriter, WriteJob};
+use crate::net::DeadlineId;
 use linnetknot::Micros;
 use linnetknot_discovery::{cached_snapshot, Entry, SourceId};
 use linnetknot_store::is_permanent;
@@ -32,7 +32,7 @@
 
 /// Writes the snapshot of each data centre.
 pub(in crate::daemon) struct SnapshotWriter {
-    disk: Disk,
+    disk: FileWriter,
     snapshots: Vec<Snapshot>,
     /// The directory, if it could not be created at startup.
     missing_folder: Option<PathBuf>,
@@ -44,7 +44,7 @@
     /// Identifies the data centre and query that the list belongs to.
     scope: String,
     /// The deadline of the next write, if one is scheduled.
-    timer: Option<Due>,
+    timer: Option<DeadlineId>,
     /// When the list was last confirmed.
     confirmed_at: Micros,
     written_at: Micros,
@@ -104,7 +104,7 @@
                 Some(folder.to_owned())
             }
         };
-        let disk = Disk::start("linnetknot-disk").map_err(error)?;
+        let disk = FileWriter::start("linnetknot-disk").map_err(error)?;
         let snapshot = |(index, scope)| {
             let path = folder.join(format!("boxes-{index}.list"));
             remove_leftovers(&path);
@@ -142,8 +142,8 @@
     }
 
     fn load_snapshot(&mut self, now: Micros, index: usize) {
-        let max_bytes = self.limits.list;
-        let max_age_us = self.config.state.most_age_us;
+        let max_bytes = self.limits.max_cached_list_bytes;
+        let max_age_us = self.config.state.max_age_us;
         let Some(snapshot) = self.snapshot_mut(index) else {
             return;
         };
@@ -167,8 +167,8 @@
     /// Schedules the write of a confirmed list: soon if it has changed, otherwise in time to keep its timestamp
     /// recent.
     pub(in crate::daemon) fn schedule_snapshot(&mut self, now: Micros, index: usize) {
-        let change_delay_us = self.limits.keep_soon_us;
-        let refresh_interval_us = self.limits.keep_seldom_us;
+        let change_delay_us = self.limits.list_store_delay_us;
+        let refresh_interval_us = self.limits.list_store_interval_us;
         let writer = self.snapshot_writer.as_mut();
         let Some(snapshot) = writer.and_then(|writer| writer.snapshots.get_mut(index)) else {
             return;
@@ -209,16 +209,16 @@
         snapshot.timer = None;
         let source = SourceId(CONSUL.0 + index);
         let entries: Vec<Entry> = self.endpoint_table.reported_by(source).cloned().collect();
-        let job = Job {
+        let job = WriteJob {
             path: snapshot.path.clone(),
             bytes: cached_snapshot::encode(&snapshot.scope, snapshot.confirmed_at, entries.iter()),
         };
-        if writer.disk.give(job) {
+        if writer.disk.try_enqueue(job) {
             snapshot.written = entries;
             snapshot.written_at = now;
         } else {
             // The worker has not started the previous write yet. The list is written as it is at the retry.
-            self.write_snapshot_at(now + self.limits.keep_soon_us, index);
+            self.write_snapshot_at(now + self.limits.list_store_delay_us, index);
         }
     }
 
--- a/daemon/src/daemon/sources/consul/mod.rs
+++ b/daemon/src/daemon/sources/consul/mod.rs
@@ -7,7 +7,7 @@
 use crate::daemon::discovery::CONSUL;
 use crate::daemon::Daemon;
 use crate::interconnect::Consul;
-use crate::net::{Due, Key};
+use crate::net::{DeadlineId, Key};
 pub(in crate::daemon) use cached_snapshot::SnapshotWriter;
 use call::{Call, Outcome};
 use linnetknot::Micros;
@@ -26,13 +26,13 @@
     watch: Watch,
     /// The connection of the current call.
     key: Option<Key>,
-    timer: Option<Due>,
+    timer: Option<DeadlineId>,
 }
 
 /// The registration of this proxy.
 struct RegistrationState {
     registration: Registration,
-    timer: Option<Due>,
+    timer: Option<DeadlineId>,
 }
 
 /// The state of all connections to Consul.
@@ -98,7 +98,7 @@
                 .collect(),
             registration_state,
             token: token(consul)?,
-            max_answer: consul.most_answer,
+            max_answer: consul.max_response_bytes,
         })
     }
 }
@@ -137,7 +137,7 @@
         let done = move |daemon: &mut Daemon, now, outcome: Outcome| {
             daemon.watch_finished(now, index, outcome);
         };
-        let exchange = Call::new(request, self.limits.line, state.max_answer, done);
+        let exchange = Call::new(request, self.limits.max_line_bytes, state.max_answer, done);
         let exchange = exchange.with_body_handler(index, Daemon::receive_watch_body);
         let key = self.start_exchange(now, to, exchange, Some(call.timeout_us));
         if let Some(watch_state) = self.consul.as_mut().and_then(|c| c.watches.get_mut(index)) {
@@ -254,7 +254,12 @@
         let request = call.to_bytes(&to.to_string(), state.token.as_ref());
         let done =
             |daemon: &mut Daemon, now, outcome: Outcome| daemon.registration_finished(now, outcome);
-        let exchange = Call::new(request, self.limits.line, self.limits.line, done);
+        let exchange = Call::new(
+            request,
+            self.limits.max_line_bytes,
+            self.limits.max_line_bytes,
+            done,
+        );
         let key = self.start_exchange(now, to, exchange, Some(call.timeout_us));
         if key.is_none() {
             self.registration_finished(now, Err(TransportError::Unreachable));
@@ -337,7 +342,7 @@
         let (Some(old), Some(new)) = (&self.config.consul, new) else {
             return false;
         };
-        if !old.can_become(&new) {
+        if !old.can_reload_as(&new) {
             return false;
         }
         let token = match token(&new) {
@@ -358,7 +363,7 @@
                 .reconfigure(options.clone(), new.mapping.clone());
         }
         (state.agents, state.token, state.max_answer) =
-            (new.agents.clone(), token, new.most_answer);
+            (new.agents.clone(), token, new.max_response_bytes);
         for key in keys {
             self.connections.remove(key);
         }
--- a/daemon/src/daemon/startup/sockets.rs
+++ b/daemon/src/daemon/startup/sockets.rs
@@ -70,14 +70,14 @@
         let sighup =
             Signal::register(signal_hook::consts::SIGHUP).map_err(system_error("SIGHUP"))?;
         // One wait returns all ready events, so that they can be handled by priority.
-        let poll = Poll::new(config.limits.descriptors).map_err(system_error("epoll"))?;
+        let poll = Poll::new(config.limits.max_descriptors).map_err(system_error("epoll"))?;
         let client_listener = Listener::watch(client_listener, CLIENT_LISTENER_TOKEN, &poll)
             .map_err(system_error("listen"))?;
         poll.add_at_start(&sigterm.reader, SIGTERM_TOKEN)
             .map_err(registration_error("SIGTERM"))?;
         poll.add_at_start(&sighup.reader, SIGHUP_TOKEN)
             .map_err(registration_error("SIGHUP"))?;
-        let admin_listener = match config.ops {
+        let admin_listener = match config.admin {
             Some(address) => {
                 let listener = bind("ops", address)?;
                 Some(
@@ -110,7 +110,7 @@
     let listener = Listener::watch(listener, CDNI_LISTENER_TOKEN, poll)
         .map_err(system_error("cdni.listen"))?;
     let identity = cdni.identity.clone();
-    let trigger_api = TriggerApi::new(identity, config.seed, config.limits.triggers);
+    let trigger_api = TriggerApi::new(identity, config.seed, config.limits.max_triggers);
     Ok(Some((listener, trigger_api)))
 }
 
@@ -119,7 +119,7 @@
     config: &Config,
     poll: &Poll,
 ) -> Result<Option<(UdpSocket, Vec<SocketAddr>)>, StartError> {
-    let sends_datagrams = config.cdni.is_some() || config.tell;
+    let sends_datagrams = config.cdni.is_some() || config.share_origin_health;
     let Some(peers) = config.peers.as_ref().filter(|_| sends_datagrams) else {
         return Ok(None);
     };
--- a/daemon/src/daemon/upstream_connections/selection.rs
+++ b/daemon/src/daemon/upstream_connections/selection.rs
@@ -3,7 +3,7 @@
 use super::super::{ConnectError, Daemon};
 use crate::core::Core;
 use crate::limits::Limits;
-use crate::net::{Conn, Key};
+use crate::net::{Key, TcpConnection};
 use crate::upstream::UpstreamConnection;
 use linnetknot::{Micros, ServerId};
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
     /// preferred.
     has_no_aborted_attempt: bool,
     is_connecting: bool,
-    is_held_up: bool,
+    is_blocked_by_response: bool,
     open_attempts: usize,
 }
 
@@ -40,7 +40,7 @@
     limits: &'a Limits,
     /// The current address of the cache server.
     endpoint: Option<SocketAddr>,
-    connections: Vec<(Key, &'a Conn, &'a UpstreamConnection)>,
+    connections: Vec<(Key, &'a TcpConnection, &'a UpstreamConnection)>,
 }
 
 impl<'a> CacheConnections<'a> {
@@ -69,8 +69,9 @@
         }
         let reclaim = self.reclaimable();
         let connecting = self.connecting_count();
-        let has_capacity = self.connections.len() - reclaim.len() < self.limits.box_connections;
-        if has_capacity && connecting < self.limits.box_dials {
+        let has_capacity =
+            self.connections.len() - reclaim.len() < self.limits.max_connections_per_cache;
+        if has_capacity && connecting < self.limits.max_connects_per_cache {
             return Selection::Connect { reclaim };
         }
         Selection::Unavailable(if connecting == 0 {
@@ -92,7 +93,7 @@
     fn preference(
         &self,
         id: &str,
-        conn: &Conn,
+        conn: &TcpConnection,
         upstream: &UpstreamConnection,
     ) -> Option<Preference> {
         let is_overdue = !conn.up && upstream.is_connect_overdue(self.now, self.limits);
@@ -105,8 +106,8 @@
         Some(Preference {
             has_no_aborted_attempt: !upstream.has_aborted(id),
             is_connecting: !conn.up,
-            is_held_up: upstream.is_held_up(self.now, self.limits),
-            open_attempts: upstream.streams_if_free(id, self.core, self.limits)?,
+            is_blocked_by_response: upstream.is_blocked_by_response(self.now, self.limits),
+            open_attempts: upstream.live_streams_if_available(id, self.core, self.limits)?,
         })
     }
 
@@ -118,15 +119,15 @@
     /// Returns whether to open a spare connection. A malformed response ends all attempts on its connection, so
     /// attempts are spread over several connections, and the next one is opened before it is needed.
     fn wants_spare(&self, open_attempts: usize) -> bool {
-        open_attempts >= self.limits.box_shared
-            && self.connections.len() < self.limits.box_connections
+        open_attempts >= self.limits.attempts_before_new_connection
+            && self.connections.len() < self.limits.max_connections_per_cache
             && self.connections.iter().all(|(_, conn, _)| conn.up)
     }
 
     /// Returns the connections to close in favour of a new one: idle ones that may be dead. Cache servers limit their
     /// connections, so dead ones must not keep the capacity.
     fn reclaimable(&self) -> Vec<Key> {
-        let is_reclaimable = |conn: &Conn, upstream: &UpstreamConnection| {
+        let is_reclaimable = |conn: &TcpConnection, upstream: &UpstreamConnection| {
             let is_doubtful = upstream.is_suspect() || upstream.is_stale(self.now, self.limits);
             conn.up && upstream.is_idle() && is_doubtful
         };
--- a/daemon/src/net/syscall.rs
+++ b/daemon/src/net/syscall.rs
@@ -2,7 +2,7 @@
 //! leaves this one (`errno`).
 
 use super::errno::{Call, Failure, FailureKind};
-use super::{injection, spells};
+use super::{failure_log, injection};
 use rustix::event::{epoll, Timespec};
 use rustix::fd::{AsFd, OwnedFd};
 use rustix::io::Errno;
@@ -45,14 +45,16 @@
         };
         interruptions += 1;
         if failure.kind != FailureKind::RetryNow || interruptions >= MAX_INTERRUPTIONS {
-            spells::note(&failure);
+            failure_log::record(&failure);
             return Err(failure);
         }
     }
 }
 
 /// Makes a call again, for a while, where it may succeed a moment later: at the start nothing else waits.
-pub(super) fn patiently<T>(mut make: impl FnMut() -> Result<T, Failure>) -> Result<T, Failure> {
+pub(super) fn retry_at_startup<T>(
+    mut make: impl FnMut() -> Result<T, Failure>,
+) -> Result<T, Failure> {
     for _ in 1..MAX_AT_START {
         match make() {
             Err(failure) if failure.kind == FailureKind::RetryLater => {
@@ -100,7 +102,7 @@
     };
     match result.map_err(|errno| Failure::new(Call::Connect, errno)) {
         Err(failure) if failure.kind != FailureKind::WouldBlock => {
-            spells::note(&failure);
+            failure_log::record(&failure);
             Err(failure)
         }
         _ => Ok(TcpStream::from(socket)),
@@ -216,7 +218,7 @@
     };
     match waited.map_err(|errno| Failure::new(Call::EpollWait, errno)) {
         Err(failure) if failure.kind != FailureKind::RetryNow => {
-            spells::note(&failure);
+            failure_log::record(&failure);
             Err(failure)
         }
         _ => Ok(()),
--- a/daemon/src/upstream/sending.rs
+++ b/daemon/src/upstream/sending.rs
@@ -6,7 +6,7 @@
 use super::{UpstreamConnection, UpstreamEvent};
 use crate::core::{AttemptId, AttemptResult, Core};
 use crate::limits::Limits;
-use crate::net::{Conn, Progress};
+use crate::net::{Progress, TcpConnection};
 use linnetknot::{Micros, Outcome};
 
 impl UpstreamConnection {
@@ -20,10 +20,10 @@
     }
 
     /// Writes a health check. False: the connection is not up or takes nothing now.
-    pub fn send_health_check(&mut self, now: Micros, conn: &mut Conn) -> bool {
+    pub fn send_health_check(&mut self, now: Micros, conn: &mut TcpConnection) -> bool {
         let id = format!("probe-{}", self.health_checks);
         let frame = health_check_frame(&id);
-        if !conn.up || conn.is_stuck() || conn.begin(&frame) != Progress::Moved {
+        if !conn.up || conn.is_waiting_to_write() || conn.begin(&frame) != Progress::Moved {
             return false;
         }
         self.health_checks += 1;
@@ -37,7 +37,7 @@
     pub fn flush(
         &mut self,
         now: Micros,
-        conn: &mut Conn,
+        conn: &mut TcpConnection,
         core: &Core,
         limits: &Limits,
         events: &mut Vec<UpstreamEvent>,
@@ -51,7 +51,7 @@
         self.report_aborted(now, conn.written, limits, events);
         // What comes behind an answer that stopped short would be taken for the rest of it: the connection is of no
         // further use, also for all else that is open on it.
-        let deadline = self.partial_answer_deadline(limits);
+        let deadline = self.partial_response_deadline(limits);
         if deadline.is_some_and(|at| at <= now) {
             return false;
         }
@@ -61,7 +61,7 @@
     /// Ends the attempts that have waited too long for the connection: they go on elsewhere in time, whether or not it
     /// comes up after all.
     fn end_overdue(&mut self, now: Micros, limits: &Limits, events: &mut Vec<UpstreamEvent>) {
-        let is_overdue = |queued: &&QueuedAttempt| queued.since + limits.connect_us <= now;
+        let is_overdue = |queued: &&QueuedAttempt| queued.since + limits.connect_timeout_us <= now;
         let overdue = self.queue.iter().take_while(is_overdue).count();
         for queued in self.queue.drain(..overdue) {
             let result = Outcome::Unreached.into();
@@ -80,7 +80,7 @@
     ) {
         let is_due = |end: &mut PendingEnd| {
             let is_written = end.end_offset.is_some_and(|offset| offset <= written);
-            is_written && *end.written_at.get_or_insert(now) + limits.give_up_us <= now
+            is_written && *end.written_at.get_or_insert(now) + limits.abort_transit_us <= now
         };
         for stream in self.streams.values_mut() {
             let Stream::Aborted { pending, .. } = stream else {
@@ -96,12 +96,12 @@
     pub fn next_report_at(&self, limits: &Limits) -> Option<Micros> {
         let ends = self.streams.values().filter_map(Stream::pending_end);
         let earliest = ends.filter_map(|end| end.written_at).min();
-        earliest.map(|at| at + limits.give_up_us)
+        earliest.map(|at| at + limits.abort_transit_us)
     }
 
     /// Whether the other side has taken no bytes for too long: it would keep what is given up here from ever being over.
-    fn is_stalled_for_long(&mut self, now: Micros, conn: &Conn, limits: &Limits) -> bool {
-        if !conn.is_stuck() {
+    fn is_stalled_for_long(&mut self, now: Micros, conn: &TcpConnection, limits: &Limits) -> bool {
+        if !conn.is_waiting_to_write() {
             self.stall = None;
             return false;
         }
@@ -111,19 +111,19 @@
             since: now,
         });
         self.stall = Some(stall);
-        now - stall.since >= limits.stalled_us
+        now - stall.since >= limits.write_stall_timeout_us
     }
 
     /// Starts one frame after the other while the socket takes all of each. False: the connection is broken.
     fn start_frames(
         &mut self,
         now: Micros,
-        conn: &mut Conn,
+        conn: &mut TcpConnection,
         core: &Core,
         limits: &Limits,
         events: &mut Vec<UpstreamEvent>,
     ) -> bool {
-        conn.unblock();
+        conn.clear_blocked();
         while conn.up && conn.output.is_empty() {
             let progress = if let Some(id) = self.aborts.front().cloned() {
                 self.start_abort(conn, &id)
@@ -141,7 +141,7 @@
     }
 
     /// Starts the abort at the head of its queue, and takes it out there if the socket takes it.
-    fn start_abort(&mut self, conn: &mut Conn, id: &str) -> Progress {
+    fn start_abort(&mut self, conn: &mut TcpConnection, id: &str) -> Progress {
         let progress = conn.begin(&abort_frame(id));
         if progress == Progress::Moved {
             let end_offset = end_of_output(conn);
@@ -161,14 +161,14 @@
     fn start_attempt(
         &mut self,
         now: Micros,
-        conn: &mut Conn,
+        conn: &mut TcpConnection,
         core: &Core,
         limits: &Limits,
         attempt: AttemptId,
         events: &mut Vec<UpstreamEvent>,
     ) -> Progress {
         let frame = attempt_frame(core, now, attempt);
-        let frame = frame.filter(|frame| frame.bytes.len() <= limits.output_ring);
+        let frame = frame.filter(|frame| frame.bytes.len() <= limits.output_buffer_bytes);
         let Some((frame, dispatch)) = frame.zip(core.dispatch(attempt)) else {
             let result = Outcome::Moot.into();
             events.push(UpstreamEvent::AttemptFinished(attempt, result));
@@ -235,6 +235,6 @@
 }
 
 /// How many bytes are written once all of the output is.
-fn end_of_output(conn: &Conn) -> u64 {
+fn end_of_output(conn: &TcpConnection) -> u64 {
     conn.written + conn.output.len() as u64
 }
