--- a/daemon/src/daemon/cdni_listener.rs
+++ b/daemon/src/daemon/cdni_listener.rs
@@ -74,7 +74,9 @@
     pub(super) fn accept_cdni(&mut self, now: Micros) {
         // Bounded per turn, as for the client listener.
         let mut accepted = 0;
-        while self.cdni.is_some() && !self.shutdown_grace_over && accepted < self.limits.max_client_connections
+        while self.cdni.is_some()
+            && !self.shutdown_grace_over
+            && accepted < self.limits.max_client_connections
         {
             let Ok(evicted) = self.required_eviction(now) else {
                 return self.pause_accepting_cdni(now);
--- a/daemon/src/daemon/sources/bus.rs
+++ b/daemon/src/daemon/sources/bus.rs
@@ -28,7 +28,7 @@
     /// The offset of the last event.
     pub(in crate::daemon) last_offset: u64,
     /// When data was last received, or the connection was opened.
-    last_read_at: Micros,
+    read_at: Micros,
     /// The start times of caches. The local time of a date never changes, as a changed start time means a restart.
     starts: BTreeMap<ServerId, Start>,
     /// The backoff between connections.
@@ -43,7 +43,7 @@
             key: None,
             timer: None,
             last_offset: 0,
-            last_read_at: 0,
+            read_at: 0,
             starts: BTreeMap::new(),
             backoff,
         }
@@ -66,7 +66,7 @@
         let events = self.feed.read(input, &mut self.last_offset)?;
         let last_offset = self.last_offset;
         tasks.push(Box::new(move |daemon, now| {
-            (daemon.bus.last_offset, daemon.bus.last_read_at) = (last_offset, now);
+            (daemon.bus.last_offset, daemon.bus.read_at) = (last_offset, now);
             daemon.bus.backoff.reset();
             events
                 .into_iter()
@@ -170,7 +170,7 @@
             feed,
         };
         self.bus.key = self.start_exchange(now, bus, Box::new(exchange), None);
-        self.bus.last_read_at = now;
+        self.bus.read_at = now;
         match self.bus.key {
             Some(_) => self.schedule_bus_check(now + self.limits.bus_read_timeout_us),
             None => self.schedule_bus_reconnect(now),
@@ -204,14 +204,12 @@
     fn check_bus(&mut self, now: Micros) {
         match self.bus.key {
             None => self.connect_bus(now),
-            Some(key) if self.bus.last_read_at + self.limits.bus_read_timeout_us <= now => {
+            Some(key) if self.bus.read_at + self.limits.bus_read_timeout_us <= now => {
                 log::warn!("event bus is silent, reconnecting");
                 self.connections.remove(key);
                 self.connect_bus(now);
             }
-            Some(_) => {
-                self.schedule_bus_check(self.bus.last_read_at + self.limits.bus_read_timeout_us)
-            }
+            Some(_) => self.schedule_bus_check(self.bus.read_at + self.limits.bus_read_timeout_us),
         }
     }
 }
