--- a/daemon/src/daemon/operator_state.rs
+++ b/daemon/src/daemon/operator_state.rs
@@ -35,15 +35,15 @@
     pub(super) files: OperatorFiles,
 }
 
-fn load(folder: &Path) -> io::Result<OperatorState> {
+fn load(directory: &Path) -> io::Result<OperatorState> {
     fault_points::read()?;
-    store::load(folder)
+    store::load(directory)
 }
 
 impl OperatorFiles {
     /// Loads the state that an earlier process stored.
-    pub(super) fn load(folder: &Path, seed: u64, now: Micros) -> LoadedState {
-        store::copies(folder)
+    pub(super) fn load(directory: &Path, seed: u64, now: Micros) -> LoadedState {
+        store::copies(directory)
             .iter()
             .for_each(|path| remove_leftovers(path));
         let mut files = OperatorFiles {
@@ -53,11 +53,11 @@
             write_pending: false,
             due: None,
         };
-        let state = load(folder).unwrap_or_else(|e| {
+        let state = load(directory).unwrap_or_else(|e| {
             files.load_pending = !is_permanent(&e);
             log::error!(
                 "failed to load the stored state of the operators from {}: {e}",
-                folder.display()
+                directory.display()
             );
             OperatorState::default()
         });
@@ -75,8 +75,8 @@
 
 /// Writes both copies under temporary names and renames them one after the other, so that a full disk leaves both
 /// unchanged.
-fn write_copies(folder: &Path, bytes: &[u8]) -> io::Result<()> {
-    let [first, second] = store::copies(folder);
+fn write_copies(directory: &Path, bytes: &[u8]) -> io::Result<()> {
+    let [first, second] = store::copies(directory);
     let staged = [
         StagedFile::write(&first, bytes)?,
         StagedFile::write(&second, bytes)?,
--- a/daemon/src/daemon/shutdown.rs
+++ b/daemon/src/daemon/shutdown.rs
@@ -56,12 +56,12 @@
             && self.core.is_idle()
             && self.total_unsent_bytes == 0
             && {
-                let delays_exit = |key: &Key| {
+                let is_delaying = |key: &Key| {
                     self.connections
                         .get(*key)
                         .is_some_and(|connection| self.delays_exit(now, connection))
                 };
-                !self.connections.keys().iter().any(delays_exit)
+                !self.connections.keys().iter().any(is_delaying)
             }
     }
 
--- a/daemon/src/daemon/sources/consul/cached_snapshot.rs
+++ b/daemon/src/daemon/sources/consul/cached_snapshot.rs
@@ -13,9 +13,9 @@
 
 /// The directory of the cached snapshots can't be used.
 #[derive(Debug, thiserror::Error)]
-#[error("state.directory: {}: {source}", folder.display())]
-pub(in crate::daemon) struct FolderError {
-    folder: PathBuf,
+#[error("state.directory: {}: {source}", directory.display())]
+pub(in crate::daemon) struct DirectoryError {
+    directory: PathBuf,
     source: io::Error,
 }
 
@@ -35,7 +35,7 @@
     disk: FileWriter,
     snapshots: Vec<Snapshot>,
     /// The directory, if it could not be created at startup.
-    missing_folder: Option<PathBuf>,
+    missing_directory: Option<PathBuf>,
 }
 
 /// The snapshot of one data centre.
@@ -86,14 +86,14 @@
     /// # Errors
     /// The directory can't be created for a permanent reason, or the worker thread can't be started.
     pub(in crate::daemon) fn start(
-        folder: &Path,
+        directory: &Path,
         scopes: Vec<String>,
-    ) -> Result<Self, FolderError> {
-        let error = |source: io::Error| FolderError {
-            folder: folder.to_owned(),
+    ) -> Result<Self, DirectoryError> {
+        let error = |source: io::Error| DirectoryError {
+            directory: directory.to_owned(),
             source,
         };
-        let missing_folder = match fs::create_dir_all(folder) {
+        let missing_directory = match fs::create_dir_all(directory) {
             Ok(()) => None,
             Err(e) if is_permanent(&e) => return Err(error(e)),
             Err(e) => {
@@ -101,26 +101,26 @@
                 log::error!(
                     "failed to create the directory of cached endpoint lists, retrying later: {e}"
                 );
-                Some(folder.to_owned())
+                Some(directory.to_owned())
             }
         };
         let disk = FileWriter::start("linnetknot-disk").map_err(error)?;
         let snapshot = |(index, scope)| {
-            let path = folder.join(format!("boxes-{index}.list"));
+            let path = directory.join(format!("boxes-{index}.list"));
             remove_leftovers(&path);
             Snapshot::new(path, scope)
         };
         Ok(SnapshotWriter {
-            missing_folder,
+            missing_directory,
             disk,
             snapshots: scopes.into_iter().enumerate().map(snapshot).collect(),
         })
     }
 
     /// Creates the directory if that failed at startup.
-    fn make_missing_folder(&mut self) {
-        self.missing_folder
-            .take_if(|folder| fs::create_dir_all(folder).is_ok());
+    fn create_missing_directory(&mut self) {
+        self.missing_directory
+            .take_if(|directory| fs::create_dir_all(directory).is_ok());
     }
 }
 
@@ -202,7 +202,7 @@
         let Some(writer) = &mut self.snapshot_writer else {
             return;
         };
-        writer.make_missing_folder();
+        writer.create_missing_directory();
         let Some(snapshot) = writer.snapshots.get_mut(index) else {
             return;
         };
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -113,7 +113,7 @@
             .state
             .directory
             .as_ref()
-            .map(|folder| consul::SnapshotWriter::start(folder, consul.scopes()))
+            .map(|directory| consul::SnapshotWriter::start(directory, consul.scopes()))
             .transpose()
             .map_err(|e| StartError::Consul(e.into()))?;
         Ok(ConsulParts {
