--- a/replication/tests/compaction/fleet.rs
+++ b/replication/tests/compaction/fleet.rs
@@ -174,7 +174,10 @@
     }
 
     pub(crate) fn replica(&self, n: usize) -> &Replica {
-        self.members[n].replica.as_ref().expect("it runs")
+        self.members[n]
+            .replica
+            .as_ref()
+            .expect("the member is running")
     }
 
     fn send(&mut self, from: usize, to: usize, datagram: &Datagram) {
@@ -253,7 +256,7 @@
                         .log_store()
                         .table()
                         .bucket(index)
-                        .expect("it is not empty");
+                        .expect("the bucket is not empty");
                     disk.buckets.insert(index, *bucket);
                 }
                 disk.set_compacted(&compaction.logs);
@@ -289,7 +292,7 @@
         let Some(replica) = member.replica.as_mut() else {
             return;
         };
-        let datagram = Datagram::decode(bytes).expect("it is well formed");
+        let datagram = Datagram::decode(bytes).expect("the datagram is valid");
         let is_snapshot_datagram = matches!(
             datagram,
             Datagram::SnapshotOffer(_) | Datagram::SnapshotRequest(_) | Datagram::SnapshotChunk(_)
--- a/replication/tests/compaction_model.rs
+++ b/replication/tests/compaction_model.rs
@@ -209,7 +209,7 @@
         }
         state
             .sent
-            .entry((from, to, datagram.encode().expect("it fits")))
+            .entry((from, to, datagram.encode().expect("the datagram fits")))
             .or_default();
     }
 
@@ -422,14 +422,15 @@
         };
         for (at, purged) in (1..).zip([1, 2, 3, 1]) {
             self.purge(&mut state, subject(purged), at * MS)
-                .expect("there is capacity");
-            self.write(&mut state, WRITER).expect("it was appended");
+                .expect("the capacity is not exceeded");
+            self.write(&mut state, WRITER)
+                .expect("the write was queued");
         }
         let first = state
             .sent
             .keys()
             .find(|(.., bytes)| bytes.ends_with(b"object 1"))
-            .expect("it was sent");
+            .expect("the datagram was sent");
         let (from, to, bytes) = first.clone();
         self.apply_all(
             state,
--- a/replication/tests/fleet.rs
+++ b/replication/tests/fleet.rs
@@ -136,10 +136,10 @@
         };
         let entry = replica
             .append(subject.clone(), now, false)
-            .expect("there is capacity");
+            .expect("the capacity is not exceeded");
         let commit = replica
             .open_commit(now, entry.index)
-            .expect("there is capacity");
+            .expect("the capacity is not exceeded");
         self.members[n].pending.push((commit, subject.clone(), now));
         self.apply_entry(n, &entry);
         self.purged.insert(subject, now);
@@ -199,7 +199,7 @@
                 .pending
                 .iter()
                 .position(|(commit, ..)| *commit == outcome.commit)
-                .expect("it is pending");
+                .expect("the commit is pending");
             let (_, subject, at) = m.pending.remove(index);
             match outcome.result {
                 Ok(took) => {
@@ -235,7 +235,7 @@
         let received = replica.receive(
             now,
             simnet::peer_index(from, to),
-            Datagram::decode(&bytes).expect("it is well formed"),
+            Datagram::decode(&bytes).expect("the datagram is valid"),
         );
         received.new.iter().for_each(|e| self.apply_entry(to, e));
         for e in &received.out_of_order {
@@ -560,7 +560,9 @@
     // The disk works again.
     (1..=4).for_each(|index| drop(replica.record_synced(OWN, index)));
     let now = 100 + S;
-    let moved = replica.compact(now).expect("all but the last can be moved");
+    let moved = replica
+        .compact(now)
+        .expect("all entries but the last can be moved");
     assert_eq!(
         moved.entries.iter().map(|e| e.index).collect::<Vec<_>>(),
         [1, 2, 3]
@@ -1006,7 +1008,7 @@
             Datagram::RangeRequest { positions },
         ];
         for d in datagrams {
-            let bytes = d.encode().expect("it fits");
+            let bytes = d.encode().expect("the datagram fits");
             prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
             prop_assert_eq!(Datagram::decode(&bytes), Ok(d));
             for cut in 1..bytes.len() {
--- a/replication/tests/model.rs
+++ b/replication/tests/model.rs
@@ -99,7 +99,7 @@
     fn send(state: &mut State, from: usize, to: usize, datagram: &Datagram) {
         state
             .sent
-            .insert((from, to, datagram.encode().expect("it fits")));
+            .insert((from, to, datagram.encode().expect("the datagram fits")));
     }
 
     fn record_entry(&self, state: &mut State, n: usize, entry: &Entry) {
--- a/replication/tests/snapshot.rs
+++ b/replication/tests/snapshot.rs
@@ -21,7 +21,7 @@
     for n in groups {
         let entry = replica
             .append(group(n), n * S, false)
-            .expect("there is capacity");
+            .expect("the capacity is not exceeded");
         replica.record_synced(entry.log, entry.index);
         replica.compact(n * S);
     }
@@ -201,7 +201,7 @@
         assert!(chunks.len() > 20);
         let count = chunks.len();
         (0..count).for_each(|n| chunks.swap(n, (n * 31 + seed as usize * 7) % count));
-        let (last, others) = chunks.split_last().expect("there are some");
+        let (last, others) = chunks.split_last().expect("there are chunks");
         for chunk in others.iter().chain(others) {
             assert!(
                 receiver
@@ -276,7 +276,7 @@
     for n in 1..1_000 {
         let entry = replica
             .append(group(3), n * S, false)
-            .expect("there is capacity");
+            .expect("the capacity is not exceeded");
         replica.record_synced(entry.log, entry.index);
         replica.compact(n * S);
     }
@@ -299,7 +299,7 @@
                 },
                 Capacity::UNLIMITED,
             )
-            .expect("there is capacity");
+            .expect("the capacity is not exceeded");
     }
     assert_eq!(
         store.entries().map(|entry| entry.index).collect::<Vec<_>>(),
@@ -325,7 +325,7 @@
             },
             Capacity::UNLIMITED,
         )
-        .expect("there is capacity");
+        .expect("the capacity is not exceeded");
     let entry = store
         .append(
             OWN,
@@ -336,7 +336,7 @@
             },
             Capacity::UNLIMITED,
         )
-        .expect("there is capacity");
+        .expect("the capacity is not exceeded");
     assert_eq!(
         (entry.at, store.latest_purge(&group(3))),
         (9 * S, Some(9 * S))
--- a/replication/tests/statuses.rs
+++ b/replication/tests/statuses.rs
@@ -211,7 +211,9 @@
                 at: max,
                 revoked: false,
             };
-            let bytes = Datagram::Entry(entry.clone()).encode().expect("it fits");
+            let bytes = Datagram::Entry(entry.clone())
+                .encode()
+                .expect("the datagram fits");
             assert_eq!(Datagram::decode(&bytes), Ok(Datagram::Entry(entry)));
         }
     }
--- a/replication/tests/wire.rs
+++ b/replication/tests/wire.rs
@@ -108,7 +108,7 @@
     ];
     for (datagram, bytes) in expected {
         assert_eq!(
-            String::from_utf8(datagram.encode().expect("it fits")).as_deref(),
+            String::from_utf8(datagram.encode().expect("the datagram fits")).as_deref(),
             Ok(bytes)
         );
         assert_eq!(Datagram::decode(bytes.as_bytes()), Ok(datagram));
@@ -156,7 +156,7 @@
     ];
     for (datagram, bytes) in expected {
         assert_eq!(
-            String::from_utf8(datagram.encode().expect("it fits")).as_deref(),
+            String::from_utf8(datagram.encode().expect("the datagram fits")).as_deref(),
             Ok(bytes)
         );
         assert_eq!(Datagram::decode(bytes.as_bytes()), Ok(datagram));
@@ -181,7 +181,7 @@
     };
     let bytes = Datagram::SnapshotChunk(chunk.clone())
         .encode()
-        .expect("it fits");
+        .expect("the datagram fits");
     let expected = [
         b"copies1 chunk \x81\0\0\0\0\0\0\0\x50\0\0\0\0\0\0\0\x03b\0\0\0\0E\x04".as_slice(),
         b"\0\0\0\x02\x01\0\0\0\0\0\0\0\0\0\0\0\0\x02\0\0\x05",
@@ -213,7 +213,9 @@
             buckets: (0..3).map(indexed).collect(),
         },
     };
-    let bytes = Datagram::SnapshotChunk(chunk).encode().expect("it fits");
+    let bytes = Datagram::SnapshotChunk(chunk)
+        .encode()
+        .expect("the datagram fits");
     assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{}", bytes.len());
 }
 
@@ -233,7 +235,12 @@
             ends_window: false,
             content,
         };
-        Datagram::decode(&Datagram::SnapshotChunk(chunk).encode().expect("it fits")).is_ok()
+        Datagram::decode(
+            &Datagram::SnapshotChunk(chunk)
+                .encode()
+                .expect("the datagram fits"),
+        )
+        .is_ok()
     };
     let logs =
         |numbers: &[u64]| SnapshotContent::Logs(numbers.iter().map(|n| compacted(*n, 5)).collect());
@@ -310,7 +317,7 @@
             content: SnapshotContent::Entries(vec![entry_of_kind(n, kind, text)]),
         };
         let datagram = Datagram::SnapshotChunk(chunk);
-        let bytes = datagram.encode().expect("it fits");
+        let bytes = datagram.encode().expect("the datagram fits");
         prop_assert_eq!(Datagram::decode(&bytes), Ok(datagram));
         for cut in 0..bytes.len() {
             prop_assert_ne!(Datagram::decode(&bytes[..cut]), Datagram::decode(&bytes));
