--- a/purges/src/compact.rs
+++ b/purges/src/compact.rs
@@ -106,7 +106,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "bucket {} is out of range for a purge table of 2^{} buckets",
+            "bucket {} of a purge table of 2^{} buckets is out of range",
             self.index.0, self.bucket_bits.0
         )
     }
