--- a/ops/src/store/tests.rs
+++ b/admin-api/src/store/tests.rs
@@ -1,17 +1,20 @@
-//! Loading two copies that are broken, differ or can't be read.
+//! Loading of two copies that are corrupt, differ or can't be read.
 
 use super::*;
 
 fn folder(name: &str) -> PathBuf {
-    let folder = std::env::temp_dir().join(format!("linnetknot-ops-{name}-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!(
+        "linnetknot-admin-api-{name}-{}",
+        std::process::id()
+    ));
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).unwrap();
     folder
 }
 
 #[test]
-fn what_is_saved_is_loaded_and_a_torn_copy_lifts_no_ban() {
-    let folder = folder("torn");
+fn stored_state_is_loaded_and_an_incomplete_copy_lifts_no_ban() {
+    let folder = folder("incomplete");
     assert_eq!(load(&folder).unwrap(), OperatorState::default());
     let mut state = OperatorState {
         sequence: 1,
@@ -19,20 +22,20 @@
     };
     state.bans.insert("pc1".into());
     let save = |state: &OperatorState| {
-        copies(&folder)
+        copy_paths(&folder)
             .iter()
             .for_each(|p| std::fs::write(p, encode(state)).unwrap());
     };
     save(&state);
     assert_eq!(load(&folder).unwrap(), state);
-    let [first, second] = copies(&folder);
+    let [first, second] = copy_paths(&folder);
     std::fs::write(&first, b"{\"sequence\":2,\"bans\":[").unwrap();
-    assert_eq!(load(&folder).unwrap(), state, "the complete copy counts");
+    assert_eq!(load(&folder).unwrap(), state, "the complete copy is loaded");
     std::fs::write(&second, b"").unwrap();
     assert_eq!(
         load(&folder).unwrap(),
         OperatorState::default(),
-        "with no complete copy nothing is loaded"
+        "without a complete copy the default is loaded"
     );
     let mut newer = state.clone();
     newer.sequence = 5;
@@ -42,32 +45,36 @@
     assert_eq!(
         load(&folder).unwrap(),
         state,
-        "of two complete copies the earlier counts: the later call has not succeeded"
+        "of two complete copies the earlier one is loaded, as the later call has not succeeded"
     );
     std::fs::write(&second, b"").unwrap();
-    assert_eq!(load(&folder).unwrap(), newer, "the complete one counts");
+    assert_eq!(
+        load(&folder).unwrap(),
+        newer,
+        "the only complete copy is loaded"
+    );
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
 #[test]
-fn what_cannot_be_read_for_a_while_is_not_taken_for_absent() {
-    let fails = || Err(io::Error::from_raw_os_error(5));
+fn an_unreadable_copy_is_not_treated_as_absent() {
+    let read_failure = || Err(io::Error::from_raw_os_error(5));
     let state = OperatorState {
         sequence: 3,
         ..OperatorState::default()
     };
-    assert!(choose([fails(), fails()].into_iter()).is_err());
-    assert!(choose([fails(), Ok(None)].into_iter()).is_err());
-    let found = choose([fails(), Ok(Some(state.clone()))].into_iter());
+    assert!(select_copy([read_failure(), read_failure()].into_iter()).is_err());
+    assert!(select_copy([read_failure(), Ok(None)].into_iter()).is_err());
+    let found = select_copy([read_failure(), Ok(Some(state.clone()))].into_iter());
     assert_eq!(found.unwrap(), state);
     assert_eq!(
-        choose([Ok(None), Ok(None)].into_iter()).unwrap(),
+        select_copy([Ok(None), Ok(None)].into_iter()).unwrap(),
         OperatorState::default()
     );
 }
 
 #[test]
-fn the_stored_form_is_that_of_released_versions() {
+fn the_stored_format_is_unchanged() {
     let state = OperatorState {
         sequence: 3,
         bans: ["pc1".to_owned(), "pc2".to_owned()].into(),
@@ -76,7 +83,7 @@
     let stored = br#"{"sequence":3,"bans":["pc1","pc2"],"out_of_service":true}"#;
     assert_eq!(encode(&state), stored);
     let folder = folder("released");
-    std::fs::write(&copies(&folder)[0], stored).unwrap();
+    std::fs::write(&copy_paths(&folder)[0], stored).unwrap();
     assert_eq!(load(&folder).unwrap(), state);
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/consul/tests/common/mod.rs
+++ b/consul/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: instances in the API's shapes, and a watch that is driven by scripts of responses.
+//! Fixtures: instances in the JSON structure of the API, and a watch that receives scripted responses.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use linnetknot::{Micros, State};
@@ -7,10 +7,10 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-pub(crate) const MS: Micros = 1000;
+pub(crate) const MILLISECOND_US: Micros = 1000;
 
 pub(crate) fn mapping() -> Mapping {
-    let names = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect();
+    let names = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect();
     let zones = names(&["hub", "here"]);
     Mapping {
         zone: "here".into(),
@@ -20,7 +20,7 @@
     }
 }
 
-/// An instance as the health API gives it.
+/// Returns an instance in the form of the health API.
 pub(crate) fn instance(id: &str, port: u16, checks: &[(&str, &str)]) -> Value {
     let checks: Vec<Value> = checks
         .iter()
@@ -39,30 +39,31 @@
     })
 }
 
-pub(crate) fn ready(ids: &[&str]) -> Vec<Value> {
-    let one = |(n, id): (usize, &&str)| instance(id, 7000 + n as u16, &[("serfHealth", "passing")]);
+pub(crate) fn ready_instances(ids: &[&str]) -> Vec<Value> {
+    let one =
+        |(name, id): (usize, &&str)| instance(id, 7000 + name as u16, &[("serfHealth", "passing")]);
     ids.iter().enumerate().map(one).collect()
 }
 
-pub(crate) fn catalogue(ids: &[&str]) -> Vec<Value> {
+pub(crate) fn catalog(ids: &[&str]) -> Vec<Value> {
     ids.iter()
         .map(|id| json!({"Node": "n1", "ServiceID": id, "ServiceName": "pop-cache"}))
         .collect()
 }
 
-/// A watch, a clock, and the list as its evidence makes it.
-pub(crate) struct Rig {
+/// A watch with a clock, and the endpoint list that results from its evidence.
+pub(crate) struct WatchFixture {
     pub(crate) watch: Watch,
     pub(crate) now: Micros,
     pub(crate) list: BTreeMap<String, Report>,
     pub(crate) events: Vec<WatchEvent>,
 }
 
-impl Rig {
-    pub(crate) fn new(change: impl Fn(&mut Options)) -> Rig {
+impl WatchFixture {
+    pub(crate) fn new(change: impl Fn(&mut Options)) -> WatchFixture {
         let mut options = Options::default();
         change(&mut options);
-        Rig {
+        WatchFixture {
             watch: Watch::new(options, mapping(), 7),
             now: 1_000_000,
             list: BTreeMap::new(),
@@ -70,10 +71,12 @@
         }
     }
 
-    /// Waits until the next call is due, and gives it.
-    pub(crate) fn call(&mut self) -> Call {
-        self.now = self.now.max(self.watch.due().expect("no call is out"));
-        self.watch.poll(self.now).expect("it is due")
+    /// Advances the clock until the next call is due, and returns the call.
+    pub(crate) fn next_call(&mut self) -> Call {
+        self.now = self
+            .now
+            .max(self.watch.due().expect("no call is in flight"));
+        self.watch.poll(self.now).expect("a call is due")
     }
 
     pub(crate) fn apply(&mut self, update: WatchUpdate) -> bool {
@@ -87,17 +90,18 @@
         if is_full {
             self.list.clear();
         }
-        for r in reports {
-            self.list.insert(r.entry.uid.clone(), r);
+        for report in reports {
+            self.list.insert(report.entry.uid.clone(), report);
         }
-        self.list.retain(|_, r| r.entry.server.state != State::Gone);
+        self.list
+            .retain(|_, report| report.entry.server.state != State::Gone);
         changed
     }
 
-    pub(crate) fn answer(&mut self, status: u16, headers: &[(&str, &str)], body: &[u8]) -> bool {
+    pub(crate) fn respond(&mut self, status: u16, headers: &[(&str, &str)], body: &[u8]) -> bool {
         let headers: Vec<_> = headers
             .iter()
-            .map(|(n, v)| ((*n).to_owned(), (*v).to_owned()))
+            .map(|(name, value)| ((*name).to_owned(), (*value).to_owned()))
             .collect();
         let update = self.watch.on_response(
             self.now,
@@ -110,10 +114,10 @@
         self.apply(update)
     }
 
-    /// Asks, and answers with a list under this index. Gives the target that was asked for.
-    pub(crate) fn round(&mut self, index: u64, list: &[Value]) -> String {
-        let call = self.call();
-        self.answer(
+    /// Sends the next call and responds with a list and this index. Returns the target of the call.
+    pub(crate) fn exchange(&mut self, index: u64, list: &[Value]) -> String {
+        let call = self.next_call();
+        self.respond(
             200,
             &[("x-consul-index", &index.to_string())],
             Value::from(list).to_string().as_bytes(),
@@ -124,7 +128,7 @@
     pub(crate) fn states(&self) -> Vec<(&str, State)> {
         self.list
             .iter()
-            .map(|(uid, r)| (uid.as_str(), r.entry.server.state))
+            .map(|(uid, report)| (uid.as_str(), report.entry.server.state))
             .collect()
     }
 
@@ -133,5 +137,5 @@
     }
 }
 
-pub(crate) const HEALTH: &str = "/v1/health/service/pop-cache";
-pub(crate) const CATALOGUE: &str = "/v1/catalog/service/pop-cache";
+pub(crate) const HEALTH_PATH: &str = "/v1/health/service/pop-cache";
+pub(crate) const CATALOG_PATH: &str = "/v1/catalog/service/pop-cache";
--- a/daemon/src/daemon/admin.rs
+++ b/daemon/src/daemon/admin.rs
@@ -1,6 +1,6 @@
 //! The admin listener: accepts connections and executes the calls of operators.
 //!
-//! `linnetknot_ops` defines the calls and their effects on the operators' state. This module transfers the bytes,
+//! `linnetknot_admin_api` defines the calls and their effects on the operators' state. This module transfers the bytes,
 //! applies bans to the endpoint lists of the sources, closes client connections during a drain, and stores the state
 //! under `$TMPDIR`. The admin listener has its own connection limit, so that neither idle connections nor clients can
 //! exclude an operator: when the limit is reached, the oldest connection is evicted.
@@ -10,8 +10,8 @@
 use crate::fleet;
 use crate::net::{FailureKind, Key, TcpConnection};
 use linnetknot::{ListMode, Micros, State};
-use linnetknot_ops::state::SWEEP_US;
-use linnetknot_ops::{Call, Drain, Effect, Outcome, Parser, Reply};
+use linnetknot_admin_api::state::IDLE_SWEEP_INTERVAL_US;
+use linnetknot_admin_api::{Call, CallOutcome, DrainState, Effect, Parser, Reply};
 
 /// The state of a connection to the admin listener.
 pub(super) struct AdminSession {
@@ -213,7 +213,8 @@
         let can_serve = self.can_serve();
         let previous = self.operations.clone();
         let is_ready_call = matches!(call, Call::Ready);
-        let Outcome { mut reply, effect } = self.operations.call(now, call, is_listed, can_serve);
+        let CallOutcome { mut reply, effect } =
+            self.operations.handle_call(now, call, is_listed, can_serve);
         if let Some(pending) = self.pending_store.as_ref().filter(|_| is_ready_call) {
             let note = format!(
                 "; commands are rejected, as the store can't be opened: {}",
@@ -327,14 +328,14 @@
         // rejection. That can't happen before the loop continues, and storing the state may have taken longer than
         // the delay of the first check.
         let now = self.clock.now().max(now);
-        if let Some(at) = self.operations.next_sweep(now) {
+        if let Some(at) = self.operations.next_idle_sweep(now) {
             self.schedule(at, Daemon::close_idle_clients);
         }
     }
 
     /// Closes idle client connections during a drain, and schedules the next check.
     pub(super) fn close_idle_clients(&mut self, now: Micros) {
-        let Drain::Draining(_) = self.operations.drain() else {
+        let DrainState::Draining(_) = self.operations.drain_state() else {
             return;
         };
         for key in self.connections.keys() {
@@ -346,7 +347,7 @@
                         ConnectionKind::Client(session) => {
                             Self::is_idle(connection)
                                 && (session.has_received_request()
-                                    || connection.state_since + SWEEP_US <= now)
+                                    || connection.state_since + IDLE_SWEEP_INTERVAL_US <= now)
                         }
                         _ => false,
                     });
@@ -354,7 +355,7 @@
                 self.half_close(now, key);
             }
         }
-        if let Some(at) = self.operations.next_sweep(now) {
+        if let Some(at) = self.operations.next_idle_sweep(now) {
             self.schedule(at, Daemon::close_idle_clients);
         }
     }
--- a/daemon/src/daemon/clients/requests.rs
+++ b/daemon/src/daemon/clients/requests.rs
@@ -6,7 +6,7 @@
 use crate::net::{Key, Progress};
 use crate::wire::WireError;
 use linnetknot::Micros;
-use linnetknot_ops::Drain;
+use linnetknot_admin_api::DrainState;
 
 impl Daemon {
     fn client_session(&mut self, key: Key) -> Option<&mut Session> {
@@ -137,8 +137,7 @@
     /// retries rejected requests at another proxy.
     fn refuses_while_closing(&self, now: Micros, session: &Session, is_first: bool) -> bool {
         let last_accepted = |since| since + self.limits.drain_accept_us;
-        let is_late_drain =
-            matches!(self.operations.drain(), Drain::Draining(since) if now > last_accepted(since));
+        let is_late_drain = matches!(self.operations.drain_state(), DrainState::Draining(since) if now > last_accepted(since));
         let is_late = self.is_stopping() || is_late_drain;
         // The count includes this request.
         let is_busy = session.unanswered() > 1;
--- a/daemon/src/daemon/commits/operators.rs
+++ b/daemon/src/daemon/commits/operators.rs
@@ -5,7 +5,7 @@
 use crate::ledger::{AppendError, Ledger};
 use crate::net::Key;
 use linnetknot::Micros;
-use linnetknot_ops::{Effect, Reply};
+use linnetknot_admin_api::{Effect, Reply};
 use linnetknot_replication::Subject;
 
 /// The decision of an operator's call, as stored in the log.
--- a/daemon/src/daemon/operator_state.rs
+++ b/daemon/src/daemon/operator_state.rs
@@ -7,9 +7,9 @@
 use crate::disk::{remove_leftovers, replace_unsynced, FailedAttempts, StagedFile};
 use crate::net::DeadlineId;
 use linnetknot::Micros;
+use linnetknot_admin_api::state::OperatorState;
+use linnetknot_admin_api::{store, AdminController};
 use linnetknot_consul::Backoff;
-use linnetknot_ops::state::OperatorState;
-use linnetknot_ops::{store, Operations};
 use linnetknot_store::{fault_points, is_permanent};
 use std::io;
 use std::path::Path;
@@ -31,7 +31,7 @@
 
 /// The operators' state at startup, and its files.
 pub(super) struct LoadedState {
-    pub(super) operations: Operations,
+    pub(super) operations: AdminController,
     pub(super) files: OperatorFiles,
 }
 
@@ -43,7 +43,7 @@
 impl OperatorFiles {
     /// Loads the state that an earlier process stored.
     pub(super) fn load(directory: &Path, seed: u64, now: Micros) -> LoadedState {
-        store::copies(directory)
+        store::copy_paths(directory)
             .iter()
             .for_each(|path| remove_leftovers(path));
         let mut files = OperatorFiles {
@@ -62,7 +62,7 @@
             OperatorState::default()
         });
         LoadedState {
-            operations: Operations::new(state, now),
+            operations: AdminController::new(state, now),
             files,
         }
     }
@@ -76,7 +76,7 @@
 /// Writes both copies under temporary names and renames them one after the other, so that a full disk leaves both
 /// unchanged.
 fn write_copies(directory: &Path, bytes: &[u8]) -> io::Result<()> {
-    let [first, second] = store::copies(directory);
+    let [first, second] = store::copy_paths(directory);
     let staged = [
         StagedFile::write(&first, bytes)?,
         StagedFile::write(&second, bytes)?,
@@ -102,7 +102,7 @@
             &self.operator_state_folder,
             &store::encode(self.operations.state()),
         );
-        let [first, _] = store::copies(&self.operator_state_folder);
+        let [first, _] = store::copy_paths(&self.operator_state_folder);
         self.operator_files.failed.record(&first, &written);
         self.operator_files.write_pending = written.is_err();
         if written.is_err() {
@@ -116,7 +116,7 @@
     /// Stores the state again after a call was undone that the files may already include. The first copy is written
     /// immediately, if possible, so that a process that starts now does not find the undone call.
     pub(super) fn save_undone_state(&mut self, now: Micros) {
-        let [first, _] = store::copies(&self.operator_state_folder);
+        let [first, _] = store::copy_paths(&self.operator_state_folder);
         if let Err(e) = replace_unsynced(&first, &store::encode(self.operations.state())) {
             log::debug!("{} may include a rejected call: {e}", first.display());
         }
@@ -162,7 +162,7 @@
         self.operator_files.backoff.reset();
         let is_drained = state.out_of_service;
         let bans: Vec<String> = state.bans.iter().cloned().collect();
-        self.operations = Operations::new(state, now);
+        self.operations = AdminController::new(state, now);
         bans.iter().for_each(|id| self.ban(now, id));
         if is_drained {
             self.start_drain(now);
--- a/daemon/src/daemon/sources/consul/cached_snapshot.rs
+++ b/daemon/src/daemon/sources/consul/cached_snapshot.rs
@@ -155,7 +155,7 @@
         match snapshot.load(now, max_bytes, max_age_us) {
             Err(e) => log::warn!("ignored the cached endpoint list {path}: {e}"),
             Ok(cached) => {
-                let age_s = now.saturating_sub(cached.at) / 1_000_000;
+                let age_s = now.saturating_sub(cached.confirmed_at) / 1_000_000;
                 log::info!(caches = cached.entries.len(), age_s = age_s; "using the cached endpoint list until a Consul agent responds");
                 if let Some(evidence) = self.restore_watch(index, &cached.entries) {
                     self.receive_evidence(now, SourceId(CONSUL.0 + index), evidence);
--- a/daemon/src/daemon/sources/consul/mod.rs
+++ b/daemon/src/daemon/sources/consul/mod.rs
@@ -62,7 +62,7 @@
         reason,
     };
     let text = fs::read_to_string(path).map_err(|e| error(e.into()))?;
-    let token = Token::read(&text).map_err(|e| error(e.into()))?;
+    let token = Token::parse(&text).map_err(|e| error(e.into()))?;
     Ok(Some(token))
 }
 
@@ -187,7 +187,7 @@
                 WatchEvent::MostlyUnusable { .. } => log::Level::Error,
                 _ => log::Level::Warn,
             };
-            log::log!(level, source = self.endpoint_table.source(source); "Consul watch: {event}");
+            log::log!(level, source = self.endpoint_table.source_name(source); "Consul watch: {event}");
         }
         if denied {
             // The token may have been replaced since it was read.
@@ -287,7 +287,7 @@
         };
         match step {
             Some(RegistrationEvent::Registered) => log::info!("registered in Consul"),
-            Some(RegistrationEvent::Forgotten) => {
+            Some(RegistrationEvent::RegistrationLost) => {
                 log::warn!("the Consul agent has lost the registration: registering again");
             }
             Some(RegistrationEvent::Deregistered) => log::info!("deregistered in Consul"),
@@ -367,7 +367,7 @@
         for key in keys {
             self.connections.remove(key);
         }
-        self.endpoint_table.change_damping(new.damping);
+        self.endpoint_table.set_damping(new.damping);
         self.config.consul = Some(new);
         self.drive_consul(now);
         true
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts the daemon, or checks what it would be started with. Everything else is the library's.
+//! The command line of linnetknot: runs the daemon, checks its configuration and queries running proxies.
 
 use clap::{Parser, Subcommand};
 use linnetknot_daemon::config::{self, Config, ConfigError};
@@ -12,7 +12,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// An edge proxy for sites of large-object caches. Without a command it starts, configured by the files that
+/// An edge proxy for sites of large-object caches. Without a command it runs the proxy, configured by the files that
 /// ROUTER_CONFIG and LINNETKNOT_INTERCONNECT name.
 #[derive(Parser)]
 #[command(name = "linnetknot", version)]
@@ -23,16 +23,16 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Checks files without starting: configurations, and the operators' own (deploy/interconnect.json). Exits with 1
-    /// if any is faulty, after a message that names the key.
+    /// Validates files without starting the proxy: configurations, and the operators' own file
+    /// (deploy/interconnect.json). Exits with 1 if any is invalid, after a message that names the key.
     Check {
-        /// The files; without any, those that a start would read.
+        /// The files. Without any, those that a start would read.
         files: Vec<PathBuf>,
     },
-    /// Asks a running proxy about what the proxies of the fleet keep for each other.
+    /// Queries the admin listener of a running proxy.
     Fleet {
         #[command(subcommand)]
-        what: FleetCommand,
+        query: FleetCommand,
     },
     /// Prints the JSON Schema of the operators' own file.
     Schema,
@@ -40,27 +40,27 @@
 
 #[derive(Subcommand)]
 enum FleetCommand {
-    /// Its promises, how far each peer has its log, and the logs that it holds for others. Exits with 1 where it can't
-    /// be asked.
+    /// Prints the replication status: commits, the progress of each peer, and the replicated logs. Exits with 1 if the
+    /// query fails.
     Status {
-        /// The admin listener of the proxy ('ops' of its configuration).
+        /// The address of the admin listener of the proxy ('ops' in its configuration).
         admin: SocketAddr,
-        /// As JSON, in one line.
+        /// Print JSON in one line.
         #[arg(long)]
         json: bool,
     },
-    /// What all proxies spend together: its parts, who divides, and who lives on a floor. Exits with 1 where it can't be
-    /// asked.
+    /// Prints the status of the shared budgets: the leases, the allocators and the reserved minimums. Exits with 1 if
+    /// the query fails.
     Budgets {
-        /// The admin listener of the proxy ('ops' of its configuration).
+        /// The address of the admin listener of the proxy ('ops' in its configuration).
         admin: SocketAddr,
-        /// As JSON, in one line.
+        /// Print JSON in one line.
         #[arg(long)]
         json: bool,
     },
 }
 
-/// Why the daemon ended, other than after SIGTERM.
+/// An error that ends the daemon.
 #[derive(Debug, thiserror::Error)]
 enum ServeError {
     #[cfg(feature = "points")]
@@ -78,7 +78,7 @@
     #[cfg(feature = "points")]
     linnetknot_daemon::fail_points::arm()?;
     let config = Config::from_env();
-    // The log starts first: a fault of the configuration is logged too.
+    // The logger starts first, so that errors of the configuration are logged.
     logging::start(
         config
             .as_ref()
@@ -89,23 +89,23 @@
     Ok(())
 }
 
-/// Serves until SIGTERM, or until what must not fail has failed.
+/// Runs the daemon until SIGTERM or a fatal error.
 fn run_daemon() -> ExitCode {
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            log::error!("the daemon ends with an error: {e}");
+            log::error!("the daemon failed: {e}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Prints what each file is, or what is wrong with it.
+/// Prints the result of the check of each file.
 fn check(files: &[PathBuf]) -> ExitCode {
     let mut exit_code = ExitCode::SUCCESS;
     for file in config::check(files) {
         match file.result {
-            Ok(what) => println!("{}: {what}", file.name),
+            Ok(description) => println!("{}: {description}", file.name),
             Err(e) => {
                 eprintln!("{e}");
                 exit_code = ExitCode::FAILURE;
@@ -115,7 +115,7 @@
     exit_code
 }
 
-/// Prints the status that an admin listener returned.
+/// Prints a status that an admin listener returned.
 fn print_status<T: Serialize>(
     admin: SocketAddr,
     status: Result<T, StatusError>,
@@ -158,7 +158,7 @@
     match Arguments::parse().command {
         None => run_daemon(),
         Some(Command::Check { files }) => check(&files),
-        Some(Command::Fleet { what }) => query_fleet(&what),
+        Some(Command::Fleet { query }) => query_fleet(&query),
         Some(Command::Schema) => {
             print!("{}", interconnect::schema());
             ExitCode::SUCCESS
--- a/daemon/src/upstream/answers.rs
+++ b/daemon/src/upstream/answers.rs
@@ -1,4 +1,4 @@
-//! Reading the answers that come in on a connection.
+//! Reads the responses that arrive on a connection.
 
 use super::frames::{load_report, result_of};
 use super::stream::{made_ms, Stream};
@@ -8,27 +8,27 @@
 use crate::wire::{Parser, WireError};
 use linnetknot::{Micros, Outcome};
 
-/// An answer as it was read.
-pub(super) struct Answer {
+/// A parsed response.
+pub(super) struct CacheResponse {
     id: String,
     pub(super) status: Vec<u8>,
     pub(super) fields: Vec<u8>,
     pub(super) body: Vec<u8>,
 }
 
-impl Answer {
-    /// An answer from the items of its frame; none where its id is no text.
+impl CacheResponse {
+    /// Builds a response from the items of its frame; `None` if its id is not UTF-8.
     fn new(items: Vec<Vec<u8>>) -> Result<Option<Self>, WireError> {
         let mut items = items.into_iter();
         let (Some(id), Some(status)) = (items.next(), items.next()) else {
-            return Err(WireError::Malformed("a cache's answer"));
+            return Err(WireError::Malformed("the response of a cache"));
         };
         let fields = items.next().unwrap_or_default();
         let body = items.next().unwrap_or_default();
         let Ok(id) = String::from_utf8(id) else {
             return Ok(None);
         };
-        Ok(Some(Answer {
+        Ok(Some(CacheResponse {
             id,
             status,
             fields,
@@ -38,10 +38,10 @@
 }
 
 impl UpstreamConnection {
-    /// Reads all that has come in.
+    /// Reads all received responses.
     ///
     /// # Errors
-    /// What came can't be read: the connection must be closed.
+    /// Fails on malformed input, after which the connection must be closed.
     pub fn read(
         &mut self,
         now: Micros,
@@ -59,80 +59,78 @@
             self.last_used = now;
             self.suspect = false;
             let Some(items) = items else { continue };
-            let Some(answer) = Answer::new(items)? else {
+            let Some(response) = CacheResponse::new(items)? else {
                 continue;
             };
-            self.take_answer(now, conn.written, core, answer, events)?;
+            self.process_response(now, conn.written, core, response, events)?;
         }
         Ok(())
     }
 
-    /// Takes an answer to what is open under its id, when so many bytes have been written to the connection.
-    fn take_answer(
+    /// Processes a response to the stream with its id. `written` is the number of bytes written to the connection.
+    fn process_response(
         &mut self,
         now: Micros,
         written: u64,
         core: &Core,
-        answer: Answer,
+        response: CacheResponse,
         events: &mut Vec<UpstreamEvent>,
     ) -> Result<(), WireError> {
-        match self.streams.get(&answer.id) {
+        match self.streams.get(&response.id) {
             Some(Stream::Attempt(sent)) if sent.end_offset > written => {
-                // Nobody can have read what it answers: whatever speaks there, it is not the protocol.
-                return Err(WireError::Malformed(
-                    "a cache's answer to what has not been sent in full",
-                ));
+                // The response precedes the request, so the peer does not speak the protocol.
+                return Err(WireError::Malformed("a response to an incomplete request"));
             }
-            Some(Stream::Attempt(_)) => self.answer_attempt(now, core, answer, events),
+            Some(Stream::Attempt(_)) => self.process_attempt_response(now, core, response, events),
             Some(Stream::Aborted {
                 pending: Some(_), ..
-            }) => self.answer_aborted(core, answer, events),
+            }) => self.process_aborted_response(core, response, events),
             Some(Stream::HealthCheck { sent_at }) => {
                 let took_us = now.saturating_sub(*sent_at);
-                events.push(health_check_result(&answer, took_us));
-                self.streams.remove(&answer.id);
+                events.push(health_check_result(&response, took_us));
+                self.streams.remove(&response.id);
             }
             Some(Stream::Aborted { pending: None, .. } | Stream::Answered { .. }) | None => {
-                log::debug!("a cache answered what is not open");
+                log::debug!("a cache responded to an unknown id");
             }
         }
         Ok(())
     }
 
-    /// Takes the answer to an attempt.
-    fn answer_attempt(
+    /// Processes the response to an attempt.
+    fn process_attempt_response(
         &mut self,
         now: Micros,
         core: &Core,
-        answer: Answer,
+        response: CacheResponse,
         events: &mut Vec<UpstreamEvent>,
     ) {
-        let Some(Stream::Attempt(sent)) = self.streams.get_mut(&answer.id) else {
+        let Some(Stream::Attempt(sent)) = self.streams.get_mut(&response.id) else {
             return;
         };
         let attempt = sent.attempt;
-        let is_too_old = sent.is_too_old(&answer.fields);
-        if let Some(made_us) = made_ms(&answer.fields).and_then(|ms| ms.checked_mul(1000)) {
+        let is_too_old = sent.is_too_old(&response.fields);
+        if let Some(made_us) = made_ms(&response.fields).and_then(|ms| ms.checked_mul(1000)) {
             events.push(UpstreamEvent::OriginDate(made_us));
         }
-        // The answer to the attempt before may have crossed its abort: which of the two this one ends is unknown.
+        // An earlier attempt of the request was aborted, and this response may answer that one.
         let is_ambiguous = std::mem::take(&mut sent.follows_abort);
         if is_too_old && is_ambiguous {
-            log::info!("an answer from before the attempt that it would end was passed over");
+            log::info!("response to an aborted attempt ignored");
             return;
         }
-        let id = answer.id.clone();
+        let id = response.id.clone();
         let result = if is_too_old {
-            log::warn!("a cache gave a copy older than the request allows");
+            log::warn!("a cache served a copy older than the request allows, so the attempt fails");
             AttemptResult::from(Outcome::Error)
         } else {
             let request = core.dispatch(attempt).map(|dispatch| dispatch.request);
-            result_of(answer, request)
+            result_of(response, request)
         };
         if result.outcome == Outcome::Ok {
             self.streams.remove(&id);
         } else if is_ambiguous {
-            // What is still out must be over before a further attempt begins.
+            // The current attempt must have ended before a further one starts.
             self.queue_abort(now, id, attempt, result);
             return;
         } else {
@@ -141,18 +139,24 @@
         events.push(UpstreamEvent::AttemptFinished(attempt, result));
     }
 
-    /// Takes the answer to an attempt that was given up. It came before the attempt was over: then this is how it ended.
-    fn answer_aborted(&mut self, core: &Core, answer: Answer, events: &mut Vec<UpstreamEvent>) {
-        let Some(Stream::Aborted { at, pending }) = self.streams.get_mut(&answer.id) else {
+    /// Processes the response to an aborted attempt. It arrived before the abort took effect, so it is the result of
+    /// the attempt.
+    fn process_aborted_response(
+        &mut self,
+        core: &Core,
+        response: CacheResponse,
+        events: &mut Vec<UpstreamEvent>,
+    ) {
+        let Some(Stream::Aborted { at, pending }) = self.streams.get_mut(&response.id) else {
             return;
         };
         let at = *at;
         let Some(end) = pending.take() else {
             return;
         };
-        let id = answer.id.clone();
+        let id = response.id.clone();
         let request = core.dispatch(end.attempt).map(|dispatch| dispatch.request);
-        let result = result_of(answer, request);
+        let result = result_of(response, request);
         events.push(UpstreamEvent::AttemptFinished(end.attempt, result));
         if end.end_offset.is_none() {
             self.aborts.retain(|abort| *abort != id);
@@ -161,9 +165,9 @@
     }
 }
 
-/// The end of a health check by its answer.
-fn health_check_result(answer: &Answer, took_us: Micros) -> UpstreamEvent {
-    let is_alive = matches!(answer.status.as_slice(), b"alive" | b"status" | b"200");
+/// Returns the result of a health check.
+fn health_check_result(response: &CacheResponse, took_us: Micros) -> UpstreamEvent {
+    let is_alive = matches!(response.status.as_slice(), b"alive" | b"status" | b"200");
     UpstreamEvent::HealthCheckFinished {
         outcome: if is_alive {
             Outcome::Ok
@@ -171,6 +175,6 @@
             Outcome::Error
         },
         took_us,
-        load: load_report(&answer.fields),
+        load: load_report(&response.fields),
     }
 }
--- a/discovery/src/endpoint_table/publish.rs
+++ b/discovery/src/endpoint_table/publish.rs
@@ -1,14 +1,15 @@
-//! How verdicts are published: what changes for the decision module.
+//! Publishes verdicts as list entries and status changes.
 
 use super::verdict::Verdict;
 use super::{Batch, EndpointTable, Group, Published, TrackedCache};
-use crate::evidence::{Change, EndpointStatus, Entry};
+use crate::evidence::{EndpointStatus, Entry, StatusChange};
 use linnetknot::{Micros, State};
 use std::collections::btree_map;
 
 impl EndpointTable {
-    /// Settles a cache after a report on it: counts a loss or a return, and publishes what has changed.
-    pub(super) fn settle(&mut self, uid: &str, entries: &mut Vec<Entry>, batch: &mut Batch) {
+    /// Updates a cache after a report on it: records a loss or a return, and publishes what has changed. A cache under
+    /// damping is published by [`rebalance_suppression`](Self::rebalance_suppression) instead.
+    pub(super) fn update_cache(&mut self, uid: &str, entries: &mut Vec<Entry>, batch: &mut Batch) {
         let cache = self.caches.get(uid);
         let Some(verdict) = cache.and_then(|cache| self.verdict(uid, cache)) else {
             return;
@@ -20,7 +21,7 @@
             return;
         };
         let group = is_ready.then(|| Group::of(&verdict.entry));
-        let previous_group = std::mem::replace(&mut cache.counted, group.clone());
+        let previous_group = std::mem::replace(&mut cache.ready_group, group.clone());
         if counts_flaps {
             let was_ready = previous_group.is_some();
             if was_ready && !is_ready {
@@ -34,25 +35,25 @@
             }
         }
         let is_under_damping = cache.damped && is_ready;
-        self.recount(previous_group, group);
+        self.move_ready_count(previous_group, group);
         if verdict.state == State::Gone {
             self.gone.insert(uid.to_owned());
         } else {
             self.gone.remove(uid);
         }
-        // Which of the caches under damping are suppressed depends on all of them: that is settled once, at the end.
+        // Which caches under damping are suppressed depends on all of them, so it is decided once per call, at the end.
         if !is_under_damping {
             self.publish(uid, verdict, false, entries, batch);
         }
     }
 
-    /// Moves a cache that is reported ready from one group's count to another's.
-    fn recount(&mut self, from: Option<Group>, to: Option<Group>) {
+    /// Moves a cache that is reported ready from the count of one group to that of another.
+    fn move_ready_count(&mut self, from: Option<Group>, to: Option<Group>) {
         if from == to {
             return;
         }
         if let Some(btree_map::Entry::Occupied(mut count)) =
-            from.map(|group| self.ready.entry(group))
+            from.map(|group| self.ready_counts.entry(group))
         {
             *count.get_mut() -= 1;
             if *count.get() == 0 {
@@ -60,11 +61,11 @@
             }
         }
         if let Some(group) = to {
-            *self.ready.entry(group).or_insert(0) += 1;
+            *self.ready_counts.entry(group).or_insert(0) += 1;
         }
     }
 
-    /// Publishes what a verdict changes for the decision module.
+    /// Publishes a verdict: appends the entries that differ from the published ones, and records a change of status.
     pub(super) fn publish(
         &mut self,
         uid: &str,
@@ -84,25 +85,25 @@
         let damping_reason = cache.damping_reason(old, status);
         let reason = damping_reason.unwrap_or(verdict.reason);
         if status == EndpointStatus::Ready && old == EndpointStatus::Suppressed {
-            cache.returned = Some(batch.now);
+            cache.returned_at = Some(batch.now);
         }
         entry.server.state = status.state();
         if !relayed {
-            entries.extend(cache.replace(batch.now, status, &entry));
-            entry.server.started = entry.server.started.max(cache.returned);
+            entries.extend(cache.replace_identity(batch.now, status, &entry));
+            entry.server.started = entry.server.started.max(cache.returned_at);
         }
         let is_known = cache.published.is_some() || status != EndpointStatus::Gone;
         if is_known && !cache.is_published(&entry) {
             entries.push(entry.clone());
         }
         if status != old {
-            batch.update.changes.push(Change {
+            batch.update.changes.push(StatusChange {
                 uid: uid.to_owned(),
                 old,
                 new: status,
                 reason: reason.clone(),
                 source,
-                penalty: cache.penalty.figure(&self.damping, batch.now),
+                penalty: cache.penalty.value(&self.damping, batch.now),
             });
         }
         let since = cache.status_since(status).unwrap_or(batch.now);
@@ -122,15 +123,21 @@
         published.is_some_and(|published| published.entry == *entry)
     }
 
-    /// Since when the cache is published with this status; none if it is not.
+    /// Returns the time since which the cache is published with this status, or `None` if it has another status.
     fn status_since(&self, status: EndpointStatus) -> Option<Micros> {
         let published = self.published.as_ref()?;
         (published.status == status).then_some(published.since)
     }
 
-    /// The removal that must precede an entry which is another cache for the decision module: the module keeps the
-    /// address, zone, kind and cell of a cache that it knows, so the cache has to be removed and added anew.
-    fn replace(&mut self, now: Micros, status: EndpointStatus, entry: &Entry) -> Option<Entry> {
+    /// Returns the removal that must precede an entry with another address, zone, kind or cell, and records the return
+    /// of the cache. The decision module does not update these attributes of a known cache, so the cache has to be
+    /// removed and added again.
+    fn replace_identity(
+        &mut self,
+        now: Micros,
+        status: EndpointStatus,
+        entry: &Entry,
+    ) -> Option<Entry> {
         let published = self.published.as_ref()?;
         let is_gone = |status| status == EndpointStatus::Gone;
         if is_gone(published.status)
@@ -141,12 +148,12 @@
         }
         let mut removal = published.entry.clone();
         removal.server.state = State::Gone;
-        self.returned = Some(now);
+        self.returned_at = Some(now);
         Some(removal)
     }
 }
 
-/// Whether two entries can't be one cache for the decision module.
+/// Returns whether two entries differ in an attribute that the decision module does not update.
 fn changes_identity(old: &Entry, new: &Entry) -> bool {
     old.endpoint != new.endpoint
         || old.server.cell != new.server.cell
--- a/discovery/src/endpoint_table/verdict.rs
+++ b/discovery/src/endpoint_table/verdict.rs
@@ -1,21 +1,21 @@
-//! What the reports of all sources on a cache amount to, before damping.
+//! Combines the reports of all sources on a cache into a verdict, before damping.
 
 use super::{EndpointTable, SourceReport, TrackedCache};
 use crate::evidence::{EndpointStatus, Entry, Reason, SourceId};
 use linnetknot::State;
 use std::net::SocketAddr;
 
-/// What the reports on a cache amount to, before damping.
+/// The combined state of a cache according to all sources, before damping.
 pub(super) struct Verdict {
     pub(super) entry: Entry,
     pub(super) state: State,
     pub(super) reason: Reason,
-    /// The source whose report decides.
+    /// The source whose report determines the state.
     pub(super) source: SourceId,
 }
 
 impl Verdict {
-    /// The status that follows, once it is settled whether damping suppresses the cache.
+    /// Returns the resulting status, given whether damping suppresses the cache.
     pub(super) fn status(&self, is_suppressed: bool) -> EndpointStatus {
         match self.state {
             State::Ready if is_suppressed => EndpointStatus::Suppressed,
@@ -27,7 +27,7 @@
 }
 
 impl EndpointTable {
-    /// What the reports on a cache amount to; none without reports.
+    /// Combines the reports on a cache. Returns `None` if there are no reports.
     pub(super) fn verdict(&self, uid: &str, cache: &TrackedCache) -> Option<Verdict> {
         let mut reports = cache.reports.iter();
         let Some((base_id, base)) = reports.find(|(_, report)| report.is_listed()) else {
@@ -50,7 +50,7 @@
                 return verdict(State::Gone, reason, base_id);
             }
         }
-        // A report of another address is about another cache, which only has the same id.
+        // A report with another address is about another cache that has the same id.
         let same_cache = || {
             let reports = cache.reports.iter();
             reports.filter(|(_, report)| report.entry.endpoint == endpoint)
@@ -59,21 +59,22 @@
         if let Some((id, report)) = same_cache().find(|(_, report)| is_draining(report)) {
             return verdict(State::Draining, report.reason.clone(), id);
         }
-        // A source that reports it gone is believed until another reports it anew.
+        // A removal by one source takes effect until another source lists the cache again.
         let listed_at = same_cache()
             .filter(|(_, report)| report.is_listed())
-            .map(|(_, report)| report.at)
+            .map(|(_, report)| report.received_at)
             .max()
             .unwrap_or(0);
-        let is_removed = |report: &SourceReport| !report.is_listed() && report.at >= listed_at;
+        let is_removed =
+            |report: &SourceReport| !report.is_listed() && report.received_at >= listed_at;
         if let Some((id, _)) = same_cache().find(|(_, report)| is_removed(report)) {
-            let reason = Reason::GoneElsewhere(self.source(*id).to_owned());
+            let reason = Reason::RemovedBySource(self.source_name(*id).to_owned());
             return verdict(State::Draining, reason, id);
         }
         verdict(State::Ready, base.reason.clone(), base_id)
     }
 
-    /// Another cache that is listed at the address and was first reported there later than this one.
+    /// Returns another cache that is listed at the address and was first reported there later than this one.
     fn newer_claimant(
         &self,
         endpoint: SocketAddr,
@@ -85,18 +86,21 @@
                 return false;
             };
             let mut reports = other.reports.values();
-            (other.joined, other_uid.as_str()) > (cache.joined, uid)
+            (other.address_since, other_uid.as_str()) > (cache.address_since, uid)
                 && reports.any(|report| report.is_listed() && report.entry.endpoint == endpoint)
         };
-        let claims = self.claims.get(&endpoint)?;
-        claims.iter().find(|other| is_newer(other))
+        let claimants = self.address_claims.get(&endpoint)?;
+        claimants.iter().find(|other| is_newer(other))
     }
 }
 
 impl TrackedCache {
-    /// The verdict on a cache that no source lists, by the last report: the one that removed it.
+    /// Returns the verdict on a cache that no source lists, according to its last report.
     fn verdict_gone(&self) -> Option<Verdict> {
-        let (source, report) = self.reports.iter().max_by_key(|(_, report)| report.at)?;
+        let (source, report) = self
+            .reports
+            .iter()
+            .max_by_key(|(_, report)| report.received_at)?;
         Some(Verdict {
             entry: report.entry.clone(),
             state: State::Gone,
--- a/replication/src/log_store/statuses.rs
+++ b/replication/src/log_store/statuses.rs
@@ -1,15 +1,16 @@
-//! The statuses of triggers in a log store, and their expiry.
+//! Trigger statuses in a log store, and their expiry.
 
 use super::{EntryKey, LogStore, Record, SubjectKey};
 use crate::{Entry, Epoch, Index, Micros, Subject, Writer};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How far two wall clocks, or one before and after a restart, may be apart: each may be off by an hour in either direction.
+/// The maximum difference between two wall clocks, or one before and after a restart: each may be off by an hour either
+/// way.
 const MAX_CLOCK_SKEW_US: Micros = 2 * 60 * 60 * 1_000_000;
 
 impl LogStore {
-    /// Restarts the expiry of all entries that expire. To be called when a process starts, which can't tell by its wall
-    /// clock how long ago its predecessor, or a peer, wrote them.
+    /// Restarts the expiry of all expiring entries. Must be called at the start of a process, whose wall clock does not
+    /// tell how long ago its predecessor or a peer wrote them.
     pub fn restart_expiry(&mut self, now: Micros) {
         let expiring = self
             .live
@@ -18,8 +19,8 @@
         self.first_seen = expiring.map(|(key, _)| (*key, now)).collect();
     }
 
-    /// Starts the expiry of an entry that another process wrote: it is stored as long as one that is written now.
-    pub(crate) fn begin_expiry(&mut self, now: Micros, entry: &Entry) {
+    /// Starts the expiry of an entry of another process, which is retained as long as an entry that is written now.
+    pub(crate) fn start_expiry(&mut self, now: Micros, entry: &Entry) {
         let key = EntryKey {
             log: entry.log,
             index: entry.index,
@@ -29,16 +30,16 @@
         }
     }
 
-    /// Removes the entries that have expired, and returns them. The last entry of a log stays in any case, as others learn
-    /// from it how far the log goes.
+    /// Removes the entries that have expired, and returns them. The last entry of a log is never removed, as replicas
+    /// learn the log's last index from it.
     ///
-    /// An entry expires when `keep` has passed since it was first seen. For an entry of another process that is when it
-    /// arrived here, as its time is that of another clock; by its own time it expires only once that is past whatever the
-    /// two clocks say. So a status outlives any step of a clock, and yet does not stay for ever in a proxy that restarts
-    /// again and again.
+    /// An entry expires when `retention_us` has passed since it was first seen. An entry of another process is first
+    /// seen when it arrives, as its time was given by another clock. In addition, it expires once its time is so long
+    /// ago that not even the maximum clock skew can explain it. So clock steps do not remove statuses early, and a
+    /// proxy that restarts repeatedly does not retain them forever.
     ///
-    /// The deletion of a trigger is stored twice as long, for as long as any proxy may still have the status.
-    pub fn expire(&mut self, now: Micros, keep: Micros) -> Vec<Entry> {
+    /// The deletion of a trigger is retained twice as long, because a proxy may still have the status until then.
+    pub fn expire(&mut self, now: Micros, retention_us: Micros) -> Vec<Entry> {
         let first = SubjectKey::first(Subject::TriggerStatusPart {
             number: 0,
             part: 0,
@@ -49,23 +50,24 @@
             log: key.log,
             index: *index,
         });
-        let is_over = |key: &EntryKey| {
+        let is_removable = |key: &EntryKey| {
             let record = self.live.get(key);
             key.index != self.last_index(key.log)
                 && record.is_some_and(|record| {
                     let first_seen = self.first_seen.get(key).copied();
-                    is_over(record, first_seen, now, keep)
+                    has_expired(record, first_seen, now, retention_us)
                 })
         };
-        let mut over: Vec<EntryKey> = keys.filter(is_over).collect();
-        over.sort_unstable();
-        over.into_iter()
+        let mut expired: Vec<EntryKey> = keys.filter(is_removable).collect();
+        expired.sort_unstable();
+        expired
+            .into_iter()
             .filter_map(|key| self.remove(key))
             .collect()
     }
 
-    /// Returns the status of a trigger as far as its pieces are stored without a gap; `None` if there is none, or the
-    /// trigger was deleted. Whether the text is complete must follow from the text itself.
+    /// Returns the text of a trigger's status up to its first missing part, or `None` if there is none or the trigger
+    /// was deleted. The caller must determine from the text whether it is complete.
     pub fn trigger_status(&self, writer: Writer, number: u64) -> Option<String> {
         if self
             .latest_entry_time(&Subject::TriggerDeleted { writer, number })
@@ -86,20 +88,20 @@
                     part,
                     text,
                 } if *n == number => {
-                    let pieces = epochs.entry(key.log.epoch).or_default();
-                    // Ordered by part: those after a missing one are left out.
-                    if key.log.writer == writer && pieces.len() == usize::from(*part) {
-                        pieces.push(text);
+                    let parts = epochs.entry(key.log.epoch).or_default();
+                    // Parts are ordered, so those after a missing one are left out.
+                    if key.log.writer == writer && parts.len() == usize::from(*part) {
+                        parts.push(text);
                     }
                 }
                 _ => break,
             }
         }
-        let mut texts = epochs.into_values().rev().map(|pieces| pieces.concat());
+        let mut texts = epochs.into_values().rev().map(|parts| parts.concat());
         texts.find(|text| !text.is_empty())
     }
 
-    /// Returns the greatest number of a writer's triggers that is stored or known to be deleted.
+    /// Returns the greatest trigger number of a writer, including deleted triggers.
     pub fn last_trigger_number(&self, writer: Writer) -> Option<u64> {
         let first = SubjectKey::first(Subject::TriggerStatusPart {
             number: 0,
@@ -117,7 +119,7 @@
             .max()
     }
 
-    /// Returns the triggers of which at least a part of a status is stored.
+    /// Returns the triggers with at least one stored part of a status.
     pub fn triggers(&self) -> BTreeSet<(Writer, u64)> {
         let first = SubjectKey::first(Subject::TriggerStatusPart {
             number: 0,
@@ -132,14 +134,20 @@
     }
 }
 
-/// Returns whether a record has expired that is stored for `keep`.
-fn is_over(record: &Record, first_seen: Option<Micros>, now: Micros, keep: Micros) -> bool {
-    let keep = if matches!(record.subject, Subject::TriggerDeleted { .. }) {
-        2 * keep
+/// Returns whether a record with this retention time has expired.
+fn has_expired(
+    record: &Record,
+    first_seen: Option<Micros>,
+    now: Micros,
+    retention_us: Micros,
+) -> bool {
+    let retention_us = if matches!(record.subject, Subject::TriggerDeleted { .. }) {
+        2 * retention_us
     } else {
-        keep
+        retention_us
     };
-    // A record that was not first seen was written by this process, by the clock of `now`.
+    // A record without a first-seen time was written by this process, with the clock of `now`.
     let since = first_seen.unwrap_or(record.at);
-    since.saturating_add(keep) <= now || record.at.saturating_add(keep + MAX_CLOCK_SKEW_US) <= now
+    since.saturating_add(retention_us) <= now
+        || record.at.saturating_add(retention_us + MAX_CLOCK_SKEW_US) <= now
 }
--- a/replication/src/replica/exchange.rs
+++ b/replication/src/replica/exchange.rs
@@ -1,4 +1,4 @@
-//! Datagrams from peers, and the replies to them.
+//! Handling of datagrams from peers.
 
 use super::Replica;
 use crate::wire::MAX_LOGS_PER_DATAGRAM;
@@ -7,7 +7,7 @@
     Micros, Received,
 };
 
-/// A part of a log that a peer is missing.
+/// A range of a log that a peer is missing.
 #[derive(Clone, Copy, Debug)]
 struct Range {
     log: LogId,
@@ -15,7 +15,7 @@
 }
 
 impl Range {
-    /// All of a log after an index.
+    /// Creates the range of a log after an index.
     fn after(log: LogId, after: Index) -> Self {
         let gap = Gap {
             after,
@@ -25,10 +25,10 @@
     }
 }
 
-/// The replies to a peer's positions.
+/// The result of the comparison with a peer's positions.
 struct Comparison {
     received: Received,
-    /// Whether both have the same of these logs.
+    /// Whether both sides have the same positions in these logs.
     is_equal: bool,
 }
 
@@ -37,14 +37,14 @@
     pub fn receive(&mut self, now: Micros, from: usize, datagram: Datagram) -> Received {
         let received = self.receive_datagram(now, from, datagram);
         for entry in &received.new {
-            self.log_store.begin_expiry(now, entry);
+            self.log_store.start_expiry(now, entry);
         }
         received
     }
 
     fn receive_datagram(&mut self, now: Micros, from: usize, datagram: Datagram) -> Received {
         match datagram {
-            Datagram::Entry(entry) => self.take(from, entry),
+            Datagram::Entry(entry) => self.receive_entry(from, entry),
             Datagram::RangeRequest { positions } => self.compare(from, &positions).received,
             Datagram::GapRequest { log, gaps } => {
                 let ranges = gaps.into_iter().map(|gap| Range { log, gap });
@@ -55,30 +55,31 @@
                 ..Received::default()
             },
             Datagram::Ack { process, positions } => {
-                self.take_ack(from, process, &positions);
+                self.receive_ack(from, process, &positions);
                 Received::default()
             }
             Datagram::Digest {
                 positions,
                 log_count,
                 checksum,
-            } => self.take_digest(from, &positions, log_count, checksum),
-            Datagram::SnapshotOffer(offer) => self.take_offer(from, &offer),
-            Datagram::SnapshotRequest(request) => self.take_request(from, request),
-            Datagram::SnapshotChunk(chunk) => self.take_chunk(now, from, &chunk),
+            } => self.receive_digest(from, &positions, log_count, checksum),
+            Datagram::SnapshotOffer(offer) => self.receive_offer(from, &offer),
+            Datagram::SnapshotRequest(request) => self.receive_snapshot_request(from, request),
+            Datagram::SnapshotChunk(chunk) => self.receive_chunk(now, from, &chunk),
         }
     }
 
-    /// Records what a peer has of this proxy's own logs; only their writer needs to know.
-    fn take_ack(&mut self, from: usize, process: u64, positions: &[LogPosition]) {
+    /// Records a peer's durable indexes of this proxy's own logs. Those of other writers are ignored.
+    fn receive_ack(&mut self, from: usize, process: u64, positions: &[LogPosition]) {
         for LogPosition { log, index } in positions {
             if log.writer == self.own.writer {
-                self.pending.record_ack(from, process, log.epoch, *index);
+                self.pending_commits
+                    .record_ack(from, process, log.epoch, *index);
             }
         }
     }
 
-    fn take_digest(
+    fn receive_digest(
         &mut self,
         from: usize,
         positions: &[LogPosition],
@@ -94,7 +95,7 @@
             return received;
         }
         if positions.len() as u64 == log_count {
-            // The peer named all its logs: it has no other.
+            // The digest lists all of the peer's logs, so the peer is missing every other log completely.
             let is_named = |log: &LogId| positions.iter().any(|named| named.log == *log);
             let logs = self.log_store.last_indexes().into_iter();
             let unknown = logs.map(|position| position.log).filter(|l| !is_named(l));
@@ -102,30 +103,33 @@
             let answer = self.answer(from, ranges.into_iter());
             received.replies.extend(answer.replies);
         } else if is_equal {
-            // The logs that it named are the same here: the difference is in others.
+            // The listed logs are equal on both sides, so the difference is in other logs.
             received.replies.push(Datagram::RangeRequest {
-                positions: self.some_positions(),
+                positions: self.next_positions(),
             });
         }
         received
     }
 
-    fn take(&mut self, from: usize, entry: Entry) -> Received {
+    fn receive_entry(&mut self, from: usize, entry: Entry) -> Received {
         let mut received = Received::default();
         let log = entry.log;
-        self.take_one(from, entry, &mut received);
-        self.take_reordered(from, log, &mut received);
+        self.insert_entry(from, entry, &mut received);
+        self.insert_reordered(from, log, &mut received);
         received
     }
 
-    /// Takes the entries of a log from the reorder buffer that follow now.
-    pub(super) fn take_reordered(&mut self, from: usize, log: LogId, received: &mut Received) {
-        while let Some(next) = self.reorder.next(log, self.log_store.last_index(log)) {
-            self.take_one(from, next, received);
+    /// Inserts the buffered entries of a log that now follow its last index.
+    pub(super) fn insert_reordered(&mut self, from: usize, log: LogId, received: &mut Received) {
+        while let Some(next) = self
+            .reorder_buffer
+            .take_next(log, self.log_store.last_index(log))
+        {
+            self.insert_entry(from, next, received);
         }
     }
 
-    fn take_one(&mut self, from: usize, entry: Entry, received: &mut Received) {
+    fn insert_entry(&mut self, from: usize, entry: Entry, received: &mut Received) {
         let (log, index) = (entry.log, entry.index);
         match self.log_store.try_insert(&entry, self.capacity()) {
             Insertion::New => {
@@ -137,7 +141,7 @@
             }
             Insertion::Duplicate => {
                 self.counters.duplicates += 1;
-                // A peer that sends a known entry also asks for its acknowledgement.
+                // A peer that sends an entry again has not received its acknowledgement.
                 let durable_index = self.durable_index(log);
                 if durable_index >= index {
                     received.replies.push(self.ack(log, durable_index));
@@ -147,10 +151,13 @@
             }
             Insertion::OutOfOrder => {
                 self.counters.out_of_order += 1;
-                if self.reorder.put(&entry, self.options.max_reordered_entries) {
+                if self
+                    .reorder_buffer
+                    .insert(&entry, self.options.max_reordered_entries)
+                {
                     self.reset_gap_requests();
                 }
-                self.reorder_from = from;
+                self.reorder_sender = from;
                 received.out_of_order.push(entry);
             }
             Insertion::Rejected(CapacityExceeded) => {
@@ -160,14 +167,15 @@
         }
     }
 
-    /// Something new arrived: the remaining gaps are requested at the retry interval again.
+    /// Resets the interval of gap requests to the retry interval, after a new entry has arrived.
     fn reset_gap_requests(&mut self) {
         if let Some(timer) = &mut self.gap_request {
             timer.unanswered = 0;
         }
     }
 
-    /// Sends the entries that a peer is missing, and requests those that it has beyond.
+    /// Compares positions with a peer: replies with the entries that it is missing, and requests those that it has in
+    /// addition.
     fn compare(&mut self, from: usize, positions: &[LogPosition]) -> Comparison {
         let mut behind = Vec::new();
         let mut ranges = Vec::new();
@@ -192,15 +200,15 @@
         Comparison { received, is_equal }
     }
 
-    /// Sends the entries that a peer is missing, as many as this period leaves. A peer that is missing compacted entries
-    /// of a log is offered a snapshot, and sent no later entries, which it could not take.
+    /// Replies with the entries that a peer is missing, within the limit of this period. A peer that is missing
+    /// compacted entries of a log is offered a snapshot instead, as it could not insert the later entries.
     fn answer(&mut self, peer: usize, ranges: impl Iterator<Item = Range>) -> Received {
         let mut received = Received::default();
         let mut compacted = Vec::new();
         for range in ranges {
             let through = self.log_store.compacted_through(range.log);
             if range.gap.after >= through {
-                self.send(range, &mut received.replies);
+                self.send_range(range, &mut received.replies);
             } else if compacted.len() < MAX_LOGS_PER_DATAGRAM {
                 compacted.push(CompactedLog {
                     log: range.log,
@@ -214,9 +222,9 @@
         received
     }
 
-    /// Sends the entries of a part of a log, as many as this period leaves.
-    fn send(&mut self, range: Range, replies: &mut Vec<Datagram>) {
-        let capacity = self.options.max_entries_per_reply.min(self.allowance);
+    /// Adds the entries of a range to the replies, within the limits per range and per period.
+    fn send_range(&mut self, range: Range, replies: &mut Vec<Datagram>) {
+        let capacity = self.options.max_entries_per_range.min(self.allowance);
         let before = replies.len();
         let entries = self.log_store.entries_after(range.log, range.gap.after);
         let entries = entries.take_while(|entry| entry.index <= range.gap.through);
