--- a/daemon/src/daemon/admin.rs
+++ b/daemon/src/daemon/admin.rs
@@ -211,10 +211,11 @@
         let members = &self.endpoint_table;
         let is_listed = |id: &str| members.listed().any(|(entry, _)| entry.uid == id);
         let can_serve = self.can_serve();
-        let previous = self.operations.clone();
+        let previous = self.admin_controller.clone();
         let is_ready_call = matches!(call, Call::Ready);
-        let CallOutcome { mut reply, effect } =
-            self.operations.handle_call(now, call, is_listed, can_serve);
+        let CallOutcome { mut reply, effect } = self
+            .admin_controller
+            .handle_call(now, call, is_listed, can_serve);
         if let Some(pending) = self.pending_store.as_ref().filter(|_| is_ready_call) {
             let note = format!(
                 "; commands are rejected, as the store can't be opened: {}",
@@ -228,7 +229,7 @@
             reply.text.push_str(note);
         }
         if effect.is_some() && (self.lacks_store() || self.operator_files.is_load_pending()) {
-            self.operations = previous;
+            self.admin_controller = previous;
             self.count_rejected();
             return Some(Reply::unavailable(
                 "nothing changed: the stored state can't be read yet",
@@ -238,7 +239,7 @@
             if !self.save_operator_state() {
                 // The call must not succeed if the next process would not find it. One of the copies may have been
                 // written.
-                self.operations = previous;
+                self.admin_controller = previous;
                 self.save_undone_state(now);
                 return Some(Reply::unavailable(
                     "nothing changed: the state can't be stored for the next process",
@@ -301,7 +302,8 @@
         mode: ListMode,
         entries: Vec<linnetknot_discovery::Entry>,
     ) -> Vec<linnetknot_discovery::Entry> {
-        let is_banned = |entry: &linnetknot_discovery::Entry| self.operations.is_banned(&entry.uid);
+        let is_banned =
+            |entry: &linnetknot_discovery::Entry| self.admin_controller.is_banned(&entry.uid);
         match mode {
             ListMode::Full => entries
                 .into_iter()
@@ -328,14 +330,14 @@
         // rejection. That can't happen before the loop continues, and storing the state may have taken longer than
         // the delay of the first check.
         let now = self.clock.now().max(now);
-        if let Some(at) = self.operations.next_idle_sweep(now) {
+        if let Some(at) = self.admin_controller.next_idle_sweep(now) {
             self.schedule(at, Daemon::close_idle_clients);
         }
     }
 
     /// Closes idle client connections during a drain, and schedules the next check.
     pub(super) fn close_idle_clients(&mut self, now: Micros) {
-        let DrainState::Draining(_) = self.operations.drain_state() else {
+        let DrainState::Draining(_) = self.admin_controller.drain_state() else {
             return;
         };
         for key in self.connections.keys() {
@@ -355,7 +357,7 @@
                 self.half_close(now, key);
             }
         }
-        if let Some(at) = self.operations.next_idle_sweep(now) {
+        if let Some(at) = self.admin_controller.next_idle_sweep(now) {
             self.schedule(at, Daemon::close_idle_clients);
         }
     }
--- a/daemon/src/daemon/clients/accept.rs
+++ b/daemon/src/daemon/clients/accept.rs
@@ -130,7 +130,7 @@
             self.close(now, evicted);
         }
         if let Some(key) = self.add_connection(now, conn, kind) {
-            if !self.operations.in_service() {
+            if !self.admin_controller.in_service() {
                 self.close_when_answered(key);
             }
             self.client_count += 1;
--- a/daemon/src/daemon/clients/requests.rs
+++ b/daemon/src/daemon/clients/requests.rs
@@ -75,7 +75,8 @@
     }
 
     fn answer_health_check(&mut self, key: Key, stream: u16) {
-        let is_ready = self.core.is_ready() && !self.is_stopping() && self.operations.in_service();
+        let is_ready =
+            self.core.is_ready() && !self.is_stopping() && self.admin_controller.in_service();
         let status = if is_ready {
             "200 OK"
         } else {
@@ -137,7 +138,7 @@
     /// retries rejected requests at another proxy.
     fn refuses_while_closing(&self, now: Micros, session: &Session, is_first: bool) -> bool {
         let last_accepted = |since| since + self.limits.drain_accept_us;
-        let is_late_drain = matches!(self.operations.drain_state(), DrainState::Draining(since) if now > last_accepted(since));
+        let is_late_drain = matches!(self.admin_controller.drain_state(), DrainState::Draining(since) if now > last_accepted(since));
         let is_late = self.is_stopping() || is_late_drain;
         // The count includes this request.
         let is_busy = session.unanswered() > 1;
--- a/daemon/src/daemon/commits/operators.rs
+++ b/daemon/src/daemon/commits/operators.rs
@@ -184,8 +184,11 @@
         let Some(logged_decisions) = self.ledger.as_ref().map(Ledger::decisions) else {
             return;
         };
-        let bans = self.operations.bans().map(|id| Subject::Ban(id.to_owned()));
-        let drain = (!self.operations.in_service()).then_some(Subject::Drain);
+        let bans = self
+            .admin_controller
+            .bans()
+            .map(|id| Subject::Ban(id.to_owned()));
+        let drain = (!self.admin_controller.in_service()).then_some(Subject::Drain);
         let in_files: Vec<Subject> = bans.chain(drain).collect();
         for subject in in_files {
             if logged_decisions.contains_key(&subject) {
@@ -214,8 +217,8 @@
     /// Applies or revokes a decision. Returns whether that changed anything.
     fn apply_decision(&mut self, now: Micros, subject: &Subject, revoked: bool) -> bool {
         let effect = match subject {
-            Subject::Ban(id) => self.operations.set_banned(id, !revoked),
-            Subject::Drain => self.operations.set_out_of_service(now, !revoked),
+            Subject::Ban(id) => self.admin_controller.set_banned(id, !revoked),
+            Subject::Drain => self.admin_controller.set_out_of_service(now, !revoked),
             Subject::Object(_)
             | Subject::Group(_)
             | Subject::TriggerStatusPart { .. }
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -130,7 +130,7 @@
     /// The admin listener, its connections, and the operators' state.
     admin_listener: Option<Listener>,
     admin_connection_count: usize,
-    operations: linnetknot_admin_api::AdminController,
+    admin_controller: linnetknot_admin_api::AdminController,
     /// The directory that stores the operators' state for the next process.
     operator_state_folder: std::path::PathBuf,
     operator_files: operator_state::OperatorFiles,
--- a/daemon/src/daemon/operator_state.rs
+++ b/daemon/src/daemon/operator_state.rs
@@ -31,7 +31,7 @@
 
 /// The operators' state at startup, and its files.
 pub(super) struct LoadedState {
-    pub(super) operations: AdminController,
+    pub(super) admin_controller: AdminController,
     pub(super) files: OperatorFiles,
 }
 
@@ -62,7 +62,7 @@
             OperatorState::default()
         });
         LoadedState {
-            operations: AdminController::new(state, now),
+            admin_controller: AdminController::new(state, now),
             files,
         }
     }
@@ -100,7 +100,7 @@
         fail::fail_point!("admin-keeps");
         let written = write_copies(
             &self.operator_state_folder,
-            &store::encode(self.operations.state()),
+            &store::encode(self.admin_controller.state()),
         );
         let [first, _] = store::copy_paths(&self.operator_state_folder);
         self.operator_files.failed.record(&first, &written);
@@ -117,7 +117,7 @@
     /// immediately, if possible, so that a process that starts now does not find the undone call.
     pub(super) fn save_undone_state(&mut self, now: Micros) {
         let [first, _] = store::copy_paths(&self.operator_state_folder);
-        if let Err(e) = replace_unsynced(&first, &store::encode(self.operations.state())) {
+        if let Err(e) = replace_unsynced(&first, &store::encode(self.admin_controller.state())) {
             log::debug!("{} may include a rejected call: {e}", first.display());
         }
         self.save_operator_state_in_time(now);
@@ -162,7 +162,7 @@
         self.operator_files.backoff.reset();
         let is_drained = state.out_of_service;
         let bans: Vec<String> = state.bans.iter().cloned().collect();
-        self.operations = AdminController::new(state, now);
+        self.admin_controller = AdminController::new(state, now);
         bans.iter().for_each(|id| self.ban(now, id));
         if is_drained {
             self.start_drain(now);
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -193,7 +193,7 @@
         daemon.drive_consul(now);
         daemon.execute_commands(now);
         daemon.log_start();
-        if !daemon.operations.in_service() {
+        if !daemon.admin_controller.in_service() {
             let now = daemon.clock.now();
             daemon.start_drain(now);
         }
@@ -254,7 +254,7 @@
             shutdown_grace_over: false,
             admin_listener: parts.sockets.admin_listener,
             admin_connection_count: 0,
-            operations: stored.operations,
+            admin_controller: stored.admin_controller,
             operator_state_folder: config.operator_state_folder.clone(),
             operator_files: stored.files,
             listener_inherited: parts.sockets.listener_inherited,
@@ -275,9 +275,9 @@
         if let Some(address) = self.admin_address() {
             log::info!("the admin listener is at {address}");
         }
-        let bans: Vec<&str> = self.operations.bans().collect();
-        if !bans.is_empty() || !self.operations.in_service() {
-            log::warn!(bans = bans.join(" ").as_str(), in_service = self.operations.in_service(); "restored the stored decisions of the operators");
+        let bans: Vec<&str> = self.admin_controller.bans().collect();
+        if !bans.is_empty() || !self.admin_controller.in_service() {
+            log::warn!(bans = bans.join(" ").as_str(), in_service = self.admin_controller.in_service(); "restored the stored decisions of the operators");
         }
     }
 }
