--- a/daemon/tests/failing_calls.rs
+++ b/daemon/tests/failing_calls.rs
@@ -1,8 +1,8 @@
 //! A daemon whose system calls fail: what becomes of its clients' requests, and of its caches.
 
-mod armed;
+mod fault_injection;
 
-use armed::{ask, Armed, Ports};
+use fault_injection::{ask, Armed, Ports};
 use linnetknot_harness::clients::WebServer;
 use linnetknot_harness::fakes::cache::Manner;
 use serde_json::{json, Value};
--- a/daemon/tests/armed/mod.rs
+++ b/daemon/tests/fault_injection/mod.rs
@@ -56,7 +56,10 @@
 
     /// Starts it with these points and a change to the operators' own file, and waits until its list has come.
     pub(crate) fn with(points: &str, change: impl Fn(&mut Value)) -> Self {
-        Self::placed(|_| points.to_owned(), |_, own| change(own))
+        Self::placed(
+            |_| points.to_owned(),
+            |_, interconnect| change(interconnect),
+        )
     }
 
     /// Starts it with points for the ports that it uses, and changes to its configuration and the operators' own file.
@@ -80,9 +83,9 @@
         });
         let mut config = json!({"listen": front.to_string(), "ops": "127.0.0.1:0", "bus": bus.address.to_string(),
             "settings": settings(), "limits": {"memory_mb": 192, "sockets": 256}});
-        let mut own = json!({"cdni": {"listen": "127.0.0.1:0", "provider": "AS64500:0",
+        let mut interconnect = json!({"cdni": {"listen": "127.0.0.1:0", "provider": "AS64500:0",
             "base": "http://cdn.example", "footprint": ["127.0.0.0/8"]}});
-        change(&mut config, &mut own);
+        change(&mut config, &mut interconnect);
         bus.list(
             true,
             vec![
@@ -92,8 +95,9 @@
         );
         let program = Path::new(env!("CARGO_BIN_EXE_linnetknot"));
         let process =
-            Process::start_armed(program, &folder, "armed", (&config, &own), &points).unwrap();
-        let armed = Armed {
+            Process::start_armed(program, &folder, "armed", (&config, &interconnect), &points)
+                .unwrap();
+        let daemon = Armed {
             process,
             cache,
             _bus: bus,
@@ -101,11 +105,11 @@
             folder,
         };
         let is_ready = || {
-            call(armed.process.admin, "GET", "/control/ready", "")
+            call(daemon.process.admin, "GET", "/control/ready", "")
                 .is_ok_and(|answer| answer.status == 200)
         };
         assert!(becomes(TIMEOUT, is_ready), "it never hears the list");
-        armed
+        daemon
     }
 
     /// A client's connection.
--- a/daemon/tests/partial_io.rs
+++ b/daemon/tests/partial_io.rs
@@ -1,9 +1,9 @@
 //! Short reads and writes on every type of connection: each message comes and goes in pieces of a byte, cut at each of
 //! its bytes.
 
-mod armed;
+mod fault_injection;
 
-use armed::{ask, Armed};
+use fault_injection::{ask, Armed};
 use linnetknot_harness::clients::{becomes, call, PeerCdn, WebServer};
 use linnetknot_harness::fakes::cache::FakeCache;
 use linnetknot_harness::fakes::consul::{instance, Agent};
