--- a/daemon/tests/common/ledger_on_medium.rs
+++ b/daemon/tests/common/ledger_on_medium.rs
@@ -56,19 +56,19 @@
 }
 
 /// A ledger and the word of its worker.
-pub(crate) struct Running {
+pub(crate) struct TestNode {
     pub ledger: Ledger,
     pub medium: Medium,
-    woken: Receiver<()>,
+    wakeups: Receiver<()>,
     pub now: Micros,
 }
 
-impl Running {
+impl TestNode {
     pub(crate) fn open(
         medium: &Medium,
         now: Micros,
         bounds: Bounds,
-    ) -> Result<Running, LedgerError> {
+    ) -> Result<TestNode, LedgerError> {
         Self::open_as(WRITER, medium, now, bounds)
     }
 
@@ -77,18 +77,18 @@
         medium: &Medium,
         now: Micros,
         bounds: Bounds,
-    ) -> Result<Running, LedgerError> {
-        let (wake, woken) = channel();
+    ) -> Result<TestNode, LedgerError> {
+        let (wake, wakeups) = channel();
         let clone = medium.clone();
         let store = Store::open_on(move || clone.clone())?;
         let wake = move || {
             let _ = wake.send(());
         };
         let ledger = Ledger::open_on(store, None, writer, now, bounds, wake)?;
-        Ok(Running {
+        Ok(TestNode {
             ledger,
             medium: medium.clone(),
-            woken,
+            wakeups,
             now,
         })
     }
@@ -105,7 +105,7 @@
     pub(crate) fn settle(&mut self) -> Vec<Outgoing> {
         let mut outgoing = self.ledger.take_completions(self.now);
         while !self.is_synced() && !self.is_stopped() {
-            self.woken
+            self.wakeups
                 .recv_timeout(TIMEOUT)
                 .expect("the worker has a word");
             outgoing.extend(self.ledger.take_completions(self.now));
@@ -114,11 +114,11 @@
     }
 
     /// Lets time pass until all is on the disk: what it did not take is given to it again at each tick.
-    pub(crate) fn settle_in_time(&mut self) {
+    pub(crate) fn tick_until_synced(&mut self) {
         for _ in 0..MAX_TICKS {
             self.now += 1_000_000;
             self.ledger.tick(self.now);
-            self.await_disk();
+            self.await_wakeup();
             self.ledger.take_completions(self.now);
             if self.is_synced() {
                 return;
@@ -128,13 +128,13 @@
     }
 
     /// Waits a little for a word of the worker, if none has come. What it tells is left to be taken in.
-    pub(crate) fn await_disk(&self) {
-        let _ = self.woken.recv_timeout(TICK_TIMEOUT);
+    pub(crate) fn await_wakeup(&self) {
+        let _ = self.wakeups.recv_timeout(TICK_TIMEOUT);
     }
 
     /// Waits for one word of the worker.
-    pub(crate) fn hear(&mut self) -> Vec<Outgoing> {
-        self.woken
+    pub(crate) fn await_completions(&mut self) -> Vec<Outgoing> {
+        self.wakeups
             .recv_timeout(TIMEOUT)
             .expect("the worker has a word");
         self.ledger.take_completions(self.now)
@@ -153,7 +153,7 @@
     }
 
     /// Whether a purge is in force: as an entry or in the table, no earlier than told.
-    pub(crate) fn holds(&self, entry: &Entry) -> bool {
+    pub(crate) fn contains_purge(&self, entry: &Entry) -> bool {
         self.ledger
             .replica()
             .log_store()
@@ -167,52 +167,52 @@
     let mut acknowledged = Vec::new();
     // Some logs are begun by the crash before: their epoch is the time of their beginning.
     let now = 1_000_000 + medium.0.lock().unwrap().operations * 1_000_000;
-    let Ok(mut running) = Running::open(medium, now, bounds) else {
+    let Ok(mut node) = TestNode::open(medium, now, bounds) else {
         return acknowledged;
     };
     for n in 0..3 * WINDOW as u64 {
-        acknowledged.extend(running.purge(n % 20));
-        if running.is_stopped() {
+        acknowledged.extend(node.purge(n % 20));
+        if node.is_stopped() {
             break;
         }
     }
-    running.ledger.simulate_crash();
+    node.ledger.simulate_crash();
     acknowledged
 }
 
 /// Stops a ledger at each operation that it makes on the medium, loses what was not synced, and opens it again. Gives
 /// what was acknowledged and is not in force then, with the operation.
-pub(crate) fn lost_by_crashes(bounds: Bounds) -> Vec<(u64, Entry)> {
-    let calm = Medium::default();
-    drop(open_store(&calm));
-    let begun = calm.0.lock().unwrap().operations;
-    let all = run_until_stopped(&calm, bounds);
+pub(crate) fn purges_lost_by_crashes(bounds: Bounds) -> Vec<(u64, Entry)> {
+    let undisturbed = Medium::default();
+    drop(open_store(&undisturbed));
+    let setup_operations = undisturbed.0.lock().unwrap().operations;
+    let all = run_until_stopped(&undisturbed, bounds);
     assert_eq!(
         all.len(),
         3 * WINDOW,
         "on a calm medium all are acknowledged"
     );
-    let operations = calm.0.lock().unwrap().operations;
+    let operations = undisturbed.0.lock().unwrap().operations;
     let mut lost = Vec::new();
-    for n in begun..operations {
+    for n in setup_operations..operations {
         let medium = Medium::default();
         drop(open_store(&medium));
-        medium.0.lock().unwrap().remaining_operations = Some(n - begun);
+        medium.0.lock().unwrap().remaining_operations = Some(n - setup_operations);
         let mut acknowledged = run_until_stopped(&medium, bounds);
         medium.0.lock().unwrap().lose_power(n);
         // The next process stops, too, a little later: in the midst of what it moves again.
         medium.0.lock().unwrap().remaining_operations = Some(20 + n % 40);
         acknowledged.extend(run_until_stopped(&medium, bounds));
         medium.0.lock().unwrap().lose_power(n + 1);
-        let again = Running::open(&medium, u64::MAX / 2, bounds);
-        let again = again.unwrap_or_else(|e| panic!("stopped at {n}: {e}"));
+        let reopened = TestNode::open(&medium, u64::MAX / 2, bounds);
+        let reopened = reopened.unwrap_or_else(|e| panic!("stopped at {n}: {e}"));
         lost.extend(
             acknowledged
                 .into_iter()
-                .filter(|entry| !again.holds(entry))
+                .filter(|entry| !reopened.contains_purge(entry))
                 .map(|entry| (n, entry)),
         );
-        again.ledger.simulate_crash();
+        reopened.ledger.simulate_crash();
     }
     lost
 }
--- a/daemon/tests/common/mod.rs
+++ b/daemon/tests/common/mod.rs
@@ -21,12 +21,12 @@
     bytes: &[u8],
     cuts: &[usize],
 ) -> Result<Vec<P::Item>, WireError> {
-    let mut places: Vec<usize> = cuts.iter().map(|cut| cut % (bytes.len() + 1)).collect();
-    places.extend([0, bytes.len()]);
-    places.sort_unstable();
+    let mut positions: Vec<usize> = cuts.iter().map(|cut| cut % (bytes.len() + 1)).collect();
+    positions.extend([0, bytes.len()]);
+    positions.sort_unstable();
     let mut items = Vec::new();
-    for place in places.windows(2) {
-        let mut input = &bytes[place[0]..place[1]];
+    for range in positions.windows(2) {
+        let mut input = &bytes[range[0]..range[1]];
         loop {
             let (taken, item) = parser.parse(input)?;
             input = &input[taken..];
@@ -49,12 +49,12 @@
 ) where
     P::Item: Debug + PartialEq,
 {
-    let whole = items(new(), valid, &[]).map(&join);
+    let expected = items(new(), valid, &[]).map(&join);
     assert!(
-        whole.as_ref().is_ok_and(|items| !items.is_empty()),
-        "{whole:?}"
+        expected.as_ref().is_ok_and(|items| !items.is_empty()),
+        "{expected:?}"
     );
-    assert_eq!(items(new(), valid, cuts).map(&join), whole);
+    assert_eq!(items(new(), valid, cuts).map(&join), expected);
     let at = cuts.first().map_or(0, |cut| cut % (valid.len() + 1));
     let _ = items(new(), garbage, cuts);
     let _ = items(new(), &[&valid[..at], garbage, &valid[at..]].concat(), cuts);
--- a/daemon/tests/compaction.rs
+++ b/daemon/tests/compaction.rs
@@ -8,8 +8,8 @@
 mod medium;
 
 use ledger_on_medium::{
-    all_pairs, bounds, lost_by_crashes, object, open_store, run_until_stopped, subject, Running,
-    STEP_US, WINDOW, WRITER,
+    all_pairs, bounds, object, open_store, purges_lost_by_crashes, run_until_stopped, subject,
+    TestNode, STEP_US, WINDOW, WRITER,
 };
 use linnetknot_daemon::ledger::LedgerError;
 use linnetknot_purges::{BucketBits, Micros};
@@ -23,13 +23,13 @@
     open_store(medium).scan(Keyspace("entries")).unwrap().len()
 }
 
-fn stop(medium: &Medium, left: Option<u64>) {
-    medium.0.lock().unwrap().remaining_operations = left;
+fn set_remaining_operations(medium: &Medium, operations: Option<u64>) {
+    medium.0.lock().unwrap().remaining_operations = operations;
 }
 
 #[test]
-fn stopped_at_every_operation_each_acknowledged_purge_is_an_entry_or_in_the_table() {
-    let lost = lost_by_crashes(bounds(WINDOW, BITS));
+fn no_acknowledged_purge_is_lost_by_a_crash_at_any_operation() {
+    let lost = purges_lost_by_crashes(bounds(WINDOW, BITS));
     assert!(
         lost.is_empty(),
         "{} are lost, the first {:?}",
@@ -39,66 +39,68 @@
 }
 
 #[test]
-fn the_disk_holds_no_more_entries_than_the_window_and_the_store_gets_its_second_format() {
+fn compaction_bounds_stored_entries_and_upgrades_the_store_format() {
     let medium = Medium::default();
     let acknowledged = run_until_stopped(&medium, bounds(WINDOW, BITS));
     assert_eq!(open_store(&medium).format(), Ok(Format::Compacted));
     let on_disk = entries_on_disk(&medium);
     assert!(on_disk <= WINDOW + 1, "{on_disk} entries on the disk");
-    let again = Running::open(&medium, 1 << 50, bounds(WINDOW, BITS)).unwrap();
-    assert!(!again.ledger.table().is_empty());
-    assert!(acknowledged.iter().all(|entry| again.holds(entry)));
+    let reopened = TestNode::open(&medium, 1 << 50, bounds(WINDOW, BITS)).unwrap();
+    assert!(!reopened.ledger.table().is_empty());
+    assert!(acknowledged
+        .iter()
+        .all(|entry| reopened.contains_purge(entry)));
 }
 
 /// A compaction of which no write can be synced takes no entry off the disk, and is written once the disk is back.
 #[test]
-fn a_compaction_that_is_not_synced_takes_nothing_off_the_disk_and_is_given_again() {
-    for writes in 0..12 {
+fn an_unsynced_compaction_removes_no_entries_and_is_retried() {
+    for operations in 0..12 {
         let medium = Medium::default();
-        let mut running = Running::open(&medium, 1_000_000, bounds(WINDOW, BITS)).unwrap();
-        let acknowledged: Vec<_> = (0..WINDOW as u64)
-            .filter_map(|n| running.purge(n))
-            .collect();
-        assert!(running.ledger.table().is_empty());
+        let mut node = TestNode::open(&medium, 1_000_000, bounds(WINDOW, BITS)).unwrap();
+        let acknowledged: Vec<_> = (0..WINDOW as u64).filter_map(|n| node.purge(n)).collect();
+        assert!(node.ledger.table().is_empty());
         // The window is full. The entry beyond it is synced, and then the medium takes so many operations more.
-        running.now += STEP_US;
-        running
-            .ledger
-            .append_purge(Some(&object(90)), 0, running.now)
+        node.now += STEP_US;
+        node.ledger
+            .append_purge(Some(&object(90)), 0, node.now)
             .unwrap();
-        running.hear();
-        stop(&medium, Some(writes));
-        while !running.is_synced() && !running.is_stopped() {
-            running.hear();
+        node.await_completions();
+        set_remaining_operations(&medium, Some(operations));
+        while !node.is_synced() && !node.is_stopped() {
+            node.await_completions();
         }
-        let before = entries_on_disk_while_stopped(&running, &medium);
-        assert!(before >= 1, "stopped after {writes}: {before} entries");
+        let before = entries_on_disk_while_stopped(&node, &medium);
+        assert!(before >= 1, "stopped after {operations}: {before} entries");
         // The disk is back; the ledger gives it what is missing when its time has come.
-        stop(&medium, None);
-        running.settle_in_time();
-        assert!(!running.ledger.table().is_empty());
-        running.ledger.simulate_crash();
-        let again = Running::open(&medium, 1 << 50, bounds(WINDOW, BITS)).unwrap();
+        set_remaining_operations(&medium, None);
+        node.tick_until_synced();
+        assert!(!node.ledger.table().is_empty());
+        node.ledger.simulate_crash();
+        let reopened = TestNode::open(&medium, 1 << 50, bounds(WINDOW, BITS)).unwrap();
         assert!(
-            acknowledged.iter().all(|entry| again.holds(entry)),
-            "stopped after {writes}"
+            acknowledged
+                .iter()
+                .all(|entry| reopened.contains_purge(entry)),
+            "stopped after {operations}"
         );
     }
 }
 
 /// Entries or buckets for all that was acknowledged, on what the medium would have after a crash now.
-fn entries_on_disk_while_stopped(running: &Running, medium: &Medium) -> usize {
+fn entries_on_disk_while_stopped(node: &TestNode, medium: &Medium) -> usize {
     let copy = Medium::default();
     {
         let (from, mut to) = (medium.0.lock().unwrap(), copy.0.lock().unwrap());
         to.visible.clone_from(&from.durable);
         to.durable.clone_from(&from.durable);
     }
-    let crashed = Running::open(&copy, 1 << 50, bounds(WINDOW, BITS)).unwrap();
-    let store = running.ledger.replica().log_store();
+    let crashed = TestNode::open(&copy, 1 << 50, bounds(WINDOW, BITS)).unwrap();
+    let store = node.ledger.replica().log_store();
     let lost = (0..WINDOW as u64).filter(|n| {
-        let of = |store: &linnetknot_replication::LogStore| store.latest_purge(&subject(*n));
-        of(crashed.ledger.replica().log_store())
+        let latest_purge =
+            |store: &linnetknot_replication::LogStore| store.latest_purge(&subject(*n));
+        latest_purge(crashed.ledger.replica().log_store())
             .is_none_or(|at| Some(at) < store.latest_entry_time(&subject(*n)))
     });
     assert_eq!(lost.count(), 0);
@@ -108,7 +110,7 @@
 
 /// What a program that knew no table wrote, byte by byte.
 #[test]
-fn a_store_of_the_first_format_is_taken_over() {
+fn a_store_in_the_first_format_is_migrated() {
     let medium = Medium::default();
     let mut store = open_store(&medium);
     let put = |n: u64| {
@@ -124,36 +126,31 @@
         Write::put(Keyspace("entries"), key, value)
     };
     store.commit(&(0..30).map(put).collect::<Vec<_>>()).unwrap();
-    let own = |key: &[u8], value: u64| {
+    let put_own = |key: &[u8], value: u64| {
         Write::put(Keyspace("own"), key.to_vec(), value.to_be_bytes().to_vec())
     };
     store
-        .commit(&[own(b"life", 77), own(b"member", 77)])
+        .commit(&[put_own(b"life", 77), put_own(b"member", 77)])
         .unwrap();
     assert_eq!(store.format(), Ok(Format::Entries));
     drop(store);
-    let mut running = Running::open(&medium, 1_000_000, bounds(WINDOW, BITS)).unwrap();
-    assert!(!running.ledger.is_fresh());
-    running.ledger.tick(running.now);
-    running.settle();
-    let is_held = |running: &Running, n: u64| {
-        running
-            .ledger
-            .replica()
-            .log_store()
-            .latest_purge(&subject(n))
-            >= Some(1_000 * n)
+    let mut node = TestNode::open(&medium, 1_000_000, bounds(WINDOW, BITS)).unwrap();
+    assert!(!node.ledger.is_fresh());
+    node.ledger.tick(node.now);
+    node.settle();
+    let contains_purge = |node: &TestNode, n: u64| {
+        node.ledger.replica().log_store().latest_purge(&subject(n)) >= Some(1_000 * n)
     };
-    assert!((0..30).all(|n| is_held(&running, n)));
-    running.ledger.simulate_crash();
+    assert!((0..30).all(|n| contains_purge(&node, n)));
+    node.ledger.simulate_crash();
     assert_eq!(open_store(&medium).format(), Ok(Format::Compacted));
     assert!(entries_on_disk(&medium) <= WINDOW);
-    let again = Running::open(&medium, 2_000_000, bounds(WINDOW, BITS)).unwrap();
-    assert!((0..30).all(|n| is_held(&again, n)));
+    let reopened = TestNode::open(&medium, 2_000_000, bounds(WINDOW, BITS)).unwrap();
+    assert!((0..30).all(|n| contains_purge(&reopened, n)));
 }
 
 #[test]
-fn a_newer_form_and_damage_are_refused_by_name_and_nothing_is_changed() {
+fn newer_formats_and_damage_are_rejected_without_changing_the_store() {
     let bucket =
         |value: Vec<u8>| Write::put(Keyspace("buckets"), 3u32.to_be_bytes().to_vec(), value);
     let header = |value: &[u8]| Write::put(Keyspace("table"), b"header".to_vec(), value.to_vec());
@@ -202,16 +199,19 @@
         run_until_stopped(&medium, bounds(WINDOW, BITS));
         let mut store = open_store(&medium);
         store.commit(std::slice::from_ref(&damage)).unwrap();
-        let is_known = store.format().is_ok();
+        let is_supported_format = store.format().is_ok();
         let before = all_pairs(&mut store);
         drop(store);
-        let refused = Running::open(&medium, 1 << 50, bounds(WINDOW, BITS)).err();
-        let said = refused.map(|e| e.to_string()).unwrap_or_default();
-        assert!(said.starts_with(name), "{damage:?}: {said}");
-        if said.contains("damaged") {
-            assert!(said.contains("move it away and start again"), "{said}");
+        let refused = TestNode::open(&medium, 1 << 50, bounds(WINDOW, BITS)).err();
+        let message = refused.map(|e| e.to_string()).unwrap_or_default();
+        assert!(message.starts_with(name), "{damage:?}: {message}");
+        if message.contains("damaged") {
+            assert!(
+                message.contains("move it away and start again"),
+                "{message}"
+            );
         }
-        if is_known {
+        if is_supported_format {
             assert_eq!(all_pairs(&mut open_store(&medium)), before, "{damage:?}");
         }
     }
@@ -219,7 +219,7 @@
 
 /// The bytes of the file, too, are those before.
 #[test]
-fn a_file_that_is_refused_is_left_as_it_is() {
+fn a_rejected_store_file_is_left_unchanged() {
     let path = std::env::temp_dir().join(format!("linnetknot-refused-{}", std::process::id()));
     let _ = std::fs::remove_file(&path);
     let mut store = linnetknot_store::Store::open(&path).unwrap();
@@ -246,34 +246,36 @@
 }
 
 #[test]
-fn a_table_of_another_size_is_rewritten_whole_or_not_at_all() {
+fn resizing_the_purge_table_is_atomic() {
     let full = Medium::default();
     let acknowledged = run_until_stopped(&full, bounds(WINDOW, BITS));
     for bits in [5, 9] {
         let bits = BucketBits::new(bits).unwrap();
         let start = copy(&full);
         let before = start.0.lock().unwrap().operations;
-        Running::open(&start, 1 << 50, bounds(WINDOW, bits))
+        TestNode::open(&start, 1 << 50, bounds(WINDOW, bits))
             .unwrap()
             .ledger
             .simulate_crash();
         let operations = start.0.lock().unwrap().operations - before;
         for n in 0..operations {
             let medium = copy(&full);
-            stop(&medium, Some(n));
-            if let Ok(running) = Running::open(&medium, 1 << 50, bounds(WINDOW, bits)) {
-                running.ledger.simulate_crash();
+            set_remaining_operations(&medium, Some(n));
+            if let Ok(node) = TestNode::open(&medium, 1 << 50, bounds(WINDOW, bits)) {
+                node.ledger.simulate_crash();
             }
             medium.0.lock().unwrap().lose_power(n);
             // Whichever size is on the disk, both settings open it.
             for bits in [BITS, bits, BITS] {
-                let again = Running::open(&medium, 1 << 51, bounds(WINDOW, bits)).unwrap();
-                assert_eq!(again.ledger.table().bucket_bits(), bits);
+                let reopened = TestNode::open(&medium, 1 << 51, bounds(WINDOW, bits)).unwrap();
+                assert_eq!(reopened.ledger.table().bucket_bits(), bits);
                 assert!(
-                    acknowledged.iter().all(|entry| again.holds(entry)),
+                    acknowledged
+                        .iter()
+                        .all(|entry| reopened.contains_purge(entry)),
                     "stopped at {n}"
                 );
-                again.ledger.simulate_crash();
+                reopened.ledger.simulate_crash();
             }
         }
     }
@@ -288,12 +290,12 @@
 }
 
 /// Hands over all that two ledgers send each other, at one moment.
-fn exchange(sides: &mut [Running; 2], now: u64, acks: &mut Vec<LogPosition>) {
+fn exchange(nodes: &mut [TestNode; 2], now: u64, acks: &mut Vec<LogPosition>) {
     let mut pending: Vec<(usize, Datagram)> = Vec::new();
-    for (n, side) in sides.iter_mut().enumerate() {
-        side.now = now;
-        let mut outgoing = side.ledger.tick(now);
-        outgoing.extend(side.ledger.take_completions(now));
+    for (n, node) in nodes.iter_mut().enumerate() {
+        node.now = now;
+        let mut outgoing = node.ledger.tick(now);
+        outgoing.extend(node.ledger.take_completions(now));
         pending.extend(outgoing.into_iter().map(|out| (n, out.datagram)));
     }
     while let Some((from, datagram)) = pending.pop() {
@@ -301,58 +303,58 @@
             acks.extend(positions.iter().copied());
         }
         let datagram = Datagram::decode(&datagram.encode().unwrap()).unwrap();
-        let received = sides[1 - from].ledger.receive(Micros::MAX, 0, datagram);
+        let received = nodes[1 - from].ledger.receive(Micros::MAX, 0, datagram);
         pending.extend(received.replies.into_iter().map(|reply| (1 - from, reply)));
     }
 }
 
 #[test]
-fn a_peers_snapshot_is_acknowledged_only_once_its_buckets_and_markers_are_synced() {
+fn a_snapshot_is_acknowledged_only_after_its_data_is_synced() {
     let options = bounds(WINDOW, BITS);
-    let (ours, theirs) = (Medium::default(), Medium::default());
-    let mut sender = Running::open_as(1, &ours, 1_000_000, options).unwrap();
+    let (sender_medium, receiver_medium) = (Medium::default(), Medium::default());
+    let mut sender = TestNode::open_as(1, &sender_medium, 1_000_000, options).unwrap();
     sender.ledger.set_machines(10, vec![20]);
-    let told: Vec<_> = (0..40).filter_map(|n| sender.purge(n)).collect();
-    assert_eq!(told.len(), 40);
+    let purged: Vec<_> = (0..40).filter_map(|n| sender.purge(n)).collect();
+    assert_eq!(purged.len(), 40);
     let log = sender.ledger.replica().own_log();
-    let mut receiver = Running::open_as(2, &theirs, 1_000_001, options).unwrap();
+    let mut receiver = TestNode::open_as(2, &receiver_medium, 1_000_001, options).unwrap();
     receiver.ledger.set_machines(20, vec![10]);
-    let mut sides = [sender, receiver];
-    let mut now = sides[0].now + 1_000_000;
+    let mut nodes = [sender, receiver];
+    let mut now = nodes[0].now + 1_000_000;
     let mut acks = Vec::new();
     // The receiver's disk takes nothing.
-    stop(&theirs, Some(0));
+    set_remaining_operations(&receiver_medium, Some(0));
     for _ in 0..200 {
         now += 50_000;
-        exchange(&mut sides, now, &mut acks);
+        exchange(&mut nodes, now, &mut acks);
     }
-    let store = sides[1].ledger.replica().log_store();
+    let store = nodes[1].ledger.replica().log_store();
     assert!(
-        told.iter().all(|entry| sides[1].holds(entry)),
+        purged.iter().all(|entry| nodes[1].contains_purge(entry)),
         "all are in force"
     );
-    assert!(store.last_index(log) > 0 && !sides[1].ledger.replica().is_catching_up());
+    assert!(store.last_index(log) > 0 && !nodes[1].ledger.replica().is_catching_up());
     assert_eq!(acks, [], "and nothing is acknowledged");
-    assert!(!sides[1].is_synced());
+    assert!(!nodes[1].is_synced());
     // The disk is back.
-    stop(&theirs, None);
-    let begun = std::time::Instant::now();
+    set_remaining_operations(&receiver_medium, None);
+    let start = std::time::Instant::now();
     while acks.last() != Some(&LogPosition { log, index: 40 }) {
         assert!(
-            begun.elapsed() < std::time::Duration::from_secs(20),
+            start.elapsed() < std::time::Duration::from_secs(20),
             "{acks:?}"
         );
         now += 500_000;
-        exchange(&mut sides, now, &mut acks);
-        if !sides[1].is_synced() {
-            sides[1].await_disk();
+        exchange(&mut nodes, now, &mut acks);
+        if !nodes[1].is_synced() {
+            nodes[1].await_wakeup();
         }
     }
-    assert_eq!(sides[0].ledger.replica().acked_by(0), 40);
-    let [_, receiver] = sides;
+    assert_eq!(nodes[0].ledger.replica().acked_by(0), 40);
+    let [_, receiver] = nodes;
     receiver.ledger.simulate_crash();
-    let again = Running::open_as(2, &theirs, now, options).unwrap();
-    assert!(told.iter().all(|entry| again.holds(entry)));
-    assert_eq!(again.ledger.replica().log_store().last_index(log), 40);
-    assert!(matches!(told[0].subject, Subject::Object(_)));
+    let reopened = TestNode::open_as(2, &receiver_medium, now, options).unwrap();
+    assert!(purged.iter().all(|entry| reopened.contains_purge(entry)));
+    assert_eq!(reopened.ledger.replica().log_store().last_index(log), 40);
+    assert!(matches!(purged[0].subject, Subject::Object(_)));
 }
--- a/daemon/tests/compaction_planted.rs
+++ b/daemon/tests/compaction_fault_detection.rs
@@ -6,13 +6,13 @@
 #[path = "../../store/tests/common/medium.rs"]
 mod medium;
 
-use ledger_on_medium::{bounds, lost_by_crashes, WINDOW};
+use ledger_on_medium::{bounds, purges_lost_by_crashes, WINDOW};
 use linnetknot_purges::BucketBits;
 
 #[test]
-fn entries_that_leave_the_disk_before_their_buckets_are_found_missing() {
+fn crash_check_detects_entries_removed_before_their_buckets_are_synced() {
     fail::cfg("plant-early-removal", "return").unwrap();
-    let lost = lost_by_crashes(bounds(WINDOW, BucketBits::MIN));
+    let lost = purges_lost_by_crashes(bounds(WINDOW, BucketBits::MIN));
     fail::remove("plant-early-removal");
     assert!(!lost.is_empty(), "the check finds nothing");
 }
