--- a/daemon/tests/between.rs
+++ b/daemon/tests/fleet_faults.rs
@@ -16,7 +16,7 @@
 }
 
 /// Proxies that copy what neighbours told, and say yes once a further machine has it on its disk.
-fn copying(proxies: usize, seed: u64) -> Fleet {
+fn replicating_fleet(proxies: usize, seed: u64) -> Fleet {
     // What can be promised is, also on a machine that is busy with other tests.
     let within_ms = Some(3_000);
     Fleet::with(Setup {
@@ -26,7 +26,7 @@
     .unwrap()
 }
 
-fn agree(what: &str, fleet: &Fleet) {
+fn await_agreement(what: &str, fleet: &Fleet) {
     until(what, || fleet.agrees().unwrap());
 }
 
@@ -35,18 +35,18 @@
 }
 
 /// Waits until something is so; a test whose cause has gone must fail and not stand still.
-fn until(what: &str, so: impl FnMut() -> bool) {
+fn until(what: &str, condition: impl FnMut() -> bool) {
     // A death takes up to some seconds to be believed, and a machine that is busy with other tests some more.
-    assert!(becomes(3 * TIMEOUT, so), "never: {what}");
+    assert!(becomes(3 * TIMEOUT, condition), "never: {what}");
 }
 
-fn floor(fleet: &Fleet, n: usize, object: &str) -> bool {
+fn holds_floor(fleet: &Fleet, n: usize, object: &str) -> bool {
     fleet.holds_floor(n, object).unwrap()
 }
 
 #[test]
-fn a_purge_told_at_one_process_reaches_all_over_links_that_lose_double_and_reorder() {
-    let rough = LinkConditions {
+fn a_purge_reaches_all_proxies_over_lossy_links() {
+    let lossy = LinkConditions {
         drop: 0.4,
         duplicate: 0.5,
         reorder: 0.5,
@@ -54,7 +54,7 @@
         ..LinkConditions::default()
     };
     let fleet = fleet(4, 11);
-    fleet.links.set_all(rough);
+    fleet.links.set_all(lossy);
     for n in 0..3 {
         let object = object(n);
         assert_eq!(fleet.purge(n as usize, &object).unwrap(), 201);
@@ -74,7 +74,7 @@
 /// What passes is told in one direction only: the proxy behind the cut goes on with its copy, which the others have
 /// let go. This is what the fleet's copies of purges end, where they are on.
 #[test]
-fn a_one_way_cut_keeps_a_purge_from_one_process_and_from_no_other() {
+fn a_one_way_cut_withholds_a_purge_from_one_proxy_only() {
     let fleet = fleet(3, 5);
     let (object, after) = (object(1), object(2));
     fleet.links.set((0, 2), LinkConditions::CUT);
@@ -82,7 +82,7 @@
     assert!(fleet.hears(0, &object).unwrap() && fleet.hears(1, &object).unwrap());
     assert!(fleet.links.counters((0, 2)).came == 0 && fleet.links.counters((0, 1)).came > 0);
     assert!(
-        !floor(&fleet, 2, &object),
+        !holds_floor(&fleet, 2, &object),
         "what is behind the cut has no word"
     );
     // The other way is open: what it tells is heard.
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_process_that_stood_still_hears_what_was_told_meanwhile() {
+fn a_stalled_process_receives_purges_sent_during_the_stall() {
     let fleet = fleet(3, 7);
     let object = object(3);
     fleet.stall(1).unwrap();
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_killed_process_keeps_the_purges_of_its_disk_and_loses_them_with_it() {
+fn without_replication_purges_survive_a_kill_but_not_a_lost_disk() {
     let mut fleet = fleet(3, 9);
     let object = object(4);
     assert_eq!(fleet.purge(0, &object).unwrap(), 201);
@@ -114,13 +114,13 @@
     fleet.kill(0).unwrap();
     fleet.restart(0, Disk::Kept).unwrap();
     assert!(
-        floor(&fleet, 0, &object),
+        holds_floor(&fleet, 0, &object),
         "the floor is asked for after a kill"
     );
     fleet.kill(0).unwrap();
     fleet.restart(0, Disk::Lost).unwrap();
     assert!(
-        !floor(&fleet, 0, &object),
+        !holds_floor(&fleet, 0, &object),
         "the disk had the only copy of the promise"
     );
     for n in 0..3 {
@@ -129,8 +129,8 @@
 }
 
 #[test]
-fn with_copies_a_purge_comes_to_a_process_behind_a_one_way_cut_by_way_of_another() {
-    let fleet = copying(3, 21);
+fn replication_routes_a_purge_around_a_one_way_cut() {
+    let fleet = replicating_fleet(3, 21);
     let object = object(1);
     fleet.links.set((0, 2), LinkConditions::CUT);
     // What was on its way at the cut may still come. It is all that was sent and not lost by then.
@@ -146,8 +146,8 @@
 }
 
 #[test]
-fn with_copies_a_process_that_was_away_hears_what_was_told_meanwhile() {
-    let mut fleet = copying(3, 22);
+fn replication_delivers_purges_missed_while_a_process_was_down() {
+    let mut fleet = replicating_fleet(3, 22);
     let object = object(2);
     fleet.kill(1).unwrap();
     assert_eq!(fleet.purge(0, &object).unwrap(), 201);
@@ -162,66 +162,66 @@
 /// The writer's machine is lost with its disk, right after its yes: the promise holds at the others, and at the
 /// machine that takes its place.
 #[test]
-fn with_copies_a_writer_that_lost_its_disk_has_its_own_promises_again() {
-    let mut fleet = copying(3, 23);
+fn replication_restores_a_writers_own_commits_after_a_lost_disk() {
+    let mut fleet = replicating_fleet(3, 23);
     let objects: Vec<String> = (10..18).map(object).collect();
     for object in &objects {
         assert_eq!(fleet.purge(0, object).unwrap(), 201);
     }
     for n in 1..3 {
         assert!(
-            objects.iter().all(|o| floor(&fleet, n, o)),
+            objects.iter().all(|o| holds_floor(&fleet, n, o)),
             "p{n} holds what p0 promised"
         );
     }
     fleet.kill(0).unwrap();
     fleet.restart(0, Disk::Lost).unwrap();
     until("p0 learns its own promises again", || {
-        objects.iter().all(|o| floor(&fleet, 0, o))
+        objects.iter().all(|o| holds_floor(&fleet, 0, o))
     });
     // It goes on writing, in a new life; both lives are everywhere.
     let later = object(40);
     assert_eq!(fleet.purge(0, &later).unwrap(), 201);
     until("the new life is heard", || {
-        (1..3).all(|n| floor(&fleet, n, &later))
+        (1..3).all(|n| holds_floor(&fleet, n, &later))
     });
 }
 
 #[test]
-fn with_copies_both_sides_of_a_split_agree_after_it() {
-    let mut fleet = copying(5, 24);
+fn replication_converges_after_a_partition() {
+    let mut fleet = replicating_fleet(5, 24);
     fleet.links.split(&[0, 1], LinkConditions::CUT);
     for n in 0..5 {
         assert_eq!(fleet.purge(n, &object(100 + n as u64)).unwrap(), 201);
     }
     // Each side is started again in it, one of its proxies without its disk: what it promised, the others hold.
-    assert!(floor(&fleet, 1, &object(100)) && floor(&fleet, 3, &object(104)));
+    assert!(holds_floor(&fleet, 1, &object(100)) && holds_floor(&fleet, 3, &object(104)));
     fleet.kill(0).unwrap();
     fleet.restart(0, Disk::Lost).unwrap();
     fleet.kill(4).unwrap();
     fleet.restart(4, Disk::Kept).unwrap();
     assert!(
-        (0..2).all(|n| !floor(&fleet, n, &object(102))),
+        (0..2).all(|n| !holds_floor(&fleet, n, &object(102))),
         "nothing passes the split"
     );
     fleet.links.split(&[0, 1], LinkConditions::default());
     until("the sides agree", || {
-        (0..5).all(|n| (0..5).all(|o| floor(&fleet, n, &object(100 + o))))
+        (0..5).all(|n| (0..5).all(|o| holds_floor(&fleet, n, &object(100 + o))))
     });
 }
 
 #[test]
-fn with_copies_each_purge_stands_once_in_each_store() {
-    let fleet = copying(4, 25);
+fn replication_stores_each_purge_once_on_each_proxy() {
+    let fleet = replicating_fleet(4, 25);
     let all: Vec<String> = (200..220).map(object).collect();
     for (n, object) in all.iter().enumerate() {
         assert_eq!(fleet.purge(n % 4, object).unwrap(), 201);
     }
-    agree("each purge is in each store", &fleet);
+    await_agreement("each purge is in each store", &fleet);
     // All texts that repeat them have come by then, and were known.
-    let came = |a, b| a == b || fleet.links.counters((a, b)).came >= 5 * 4;
+    let received_all = |a, b| a == b || fleet.links.counters((a, b)).came >= 5 * 4;
     until("all texts came", || {
-        (0..4).all(|a| (0..4).all(|b| came(a, b)))
+        (0..4).all(|a| (0..4).all(|b| received_all(a, b)))
     });
     for n in 0..4 {
         let status = fleet.status(n).unwrap();
@@ -235,7 +235,7 @@
 /// The writer dies at each point of its promise, and comes back with its disk or on a new machine. What the neighbour
 /// was told yes of holds at all; what it was not told of holds at all or at none.
 #[test]
-fn a_writer_that_dies_at_any_point_of_a_promise_leaves_all_in_agreement() {
+fn proxies_converge_after_a_writer_crash_at_any_commit_step() {
     // Whether others have the purge once the process has died at that point; none where that is a race.
     let points = [
         ("peers-tell", Some(false)),
@@ -244,41 +244,41 @@
         ("store-committed", None),
         ("promise-kept", Some(true)),
     ];
-    for (seed, (point, told)) in points.into_iter().enumerate() {
+    for (seed, (point, reaches_peers)) in points.into_iter().enumerate() {
         for disk in [Disk::Kept, Disk::Lost] {
             let case = format!("{point}, disk {disk:?}");
-            let mut fleet = copying(3, 30 + seed as u64);
+            let mut fleet = replicating_fleet(3, 30 + seed as u64);
             let (first, second) = (object(300), object(301));
             assert_eq!(fleet.purge(0, &first).unwrap(), 201);
-            agree("all have the first", &fleet);
+            await_agreement("all have the first", &fleet);
             fleet.kill(0).unwrap();
             fleet
                 .restart_armed(0, disk, &format!("{point}=die"))
                 .unwrap();
             // On a new machine its own promise comes back, which may pass the armed point as well: it dies of that.
-            let said = fleet.purge(0, &second);
+            let result = fleet.purge(0, &second);
             assert!(
-                said.is_err(),
-                "{case}: it died before it could say yes, and said {said:?}"
+                result.is_err(),
+                "{case}: it died before it could say yes, and said {result:?}"
             );
             fleet.kill(0).unwrap();
             // What was told is on its way still, maybe; what was not can't come from anywhere.
-            let others = match told {
+            let peer_has_purge = match reaches_peers {
                 Some(true) => fleet.hears(1, &second).unwrap(),
-                _ => floor(&fleet, 1, &second),
+                _ => holds_floor(&fleet, 1, &second),
             };
             fleet.restart(0, Disk::Kept).unwrap();
-            agree(&format!("{case}: all agree"), &fleet);
+            await_agreement(&format!("{case}: all agree"), &fleet);
             assert!(
-                (0..3).all(|n| floor(&fleet, n, &first)),
+                (0..3).all(|n| holds_floor(&fleet, n, &first)),
                 "{case}: the first was promised"
             );
-            let held = (0..3).filter(|n| floor(&fleet, *n, &second)).count();
+            let held = (0..3).filter(|n| holds_floor(&fleet, *n, &second)).count();
             assert!(held == 0 || held == 3, "{case}: {held} hold the second");
             if disk == Disk::Kept {
                 assert!(
-                    told.is_none_or(|told| told == others),
-                    "{case}: others had it: {others}"
+                    reaches_peers.is_none_or(|reaches_peers| reaches_peers == peer_has_purge),
+                    "{case}: others had it: {peer_has_purge}"
                 );
             }
         }
@@ -288,51 +288,51 @@
 /// The writer stands still after it told its peers and before its yes: they have the purge, and the neighbour has its
 /// yes once the writer goes on.
 #[test]
-fn a_writer_that_stands_still_before_its_yes_gives_it_when_it_goes_on() {
-    let mut fleet = copying(3, 40);
+fn a_stalled_writer_confirms_its_commit_after_resuming() {
+    let mut fleet = replicating_fleet(3, 40);
     fleet.kill(0).unwrap();
     fleet
         .restart_armed(0, Disk::Kept, "peers-told=stall")
         .unwrap();
     let (fleet, object) = (&fleet, object(310));
     std::thread::scope(|scope| {
-        let said = scope.spawn(|| fleet.purge(0, &object));
+        let result = scope.spawn(|| fleet.purge(0, &object));
         assert!(fleet.hears(1, &object).unwrap() && fleet.hears(2, &object).unwrap());
         assert!(
-            !said.is_finished(),
+            !result.is_finished(),
             "no yes from a process that stands still"
         );
         fleet.go_on(0).unwrap();
-        assert_eq!(said.join().unwrap().unwrap(), 201);
+        assert_eq!(result.join().unwrap().unwrap(), 201);
     });
-    assert!(floor(fleet, 0, &object));
+    assert!(holds_floor(fleet, 0, &object));
 }
 
 /// Each machine in turn is lost with its disk the moment after its yes, over links that lose, double and reorder. The
 /// yes was only given once a further machine had it on its disk, so each promise holds.
 #[test]
-fn a_machine_lost_the_moment_after_its_yes_takes_no_promise_along() {
-    let rough = LinkConditions {
+fn commits_survive_losing_the_writer_right_after_confirmation() {
+    let lossy = LinkConditions {
         drop: 0.3,
         duplicate: 0.3,
         reorder: 0.3,
         jitter_ms: 10.0,
         ..LinkConditions::default()
     };
-    let mut fleet = copying(3, 41);
-    fleet.links.set_all(rough);
-    let mut promised = Vec::new();
+    let mut fleet = replicating_fleet(3, 41);
+    fleet.links.set_all(lossy);
+    let mut committed = Vec::new();
     for round in 0..6 {
         let (writer, object) = (round % 3, object(400 + round as u64));
-        let said = fleet.purge(writer, &object).unwrap();
-        assert_eq!(said, 201, "round {round}");
+        let result = fleet.purge(writer, &object).unwrap();
+        assert_eq!(result, 201, "round {round}");
         fleet.kill(writer).unwrap();
-        promised.push(object);
+        committed.push(object);
         fleet.restart(writer, Disk::Lost).unwrap();
-        agree(&format!("round {round}: all agree"), &fleet);
+        await_agreement(&format!("round {round}: all agree"), &fleet);
         for n in 0..3 {
             assert!(
-                promised.iter().all(|o| floor(&fleet, n, o)),
+                committed.iter().all(|o| holds_floor(&fleet, n, o)),
                 "round {round}: p{n} holds all that was promised"
             );
         }
@@ -342,11 +342,11 @@
 /// A proxy that reaches nobody, or that nobody's word reaches, says no in time; what it was told is in force all the
 /// same, and once the links are back it promises again.
 #[test]
-fn a_proxy_that_no_further_machine_answers_promises_nothing() {
-    let fleet = copying(3, 42);
+fn an_isolated_proxy_rejects_commits() {
+    let fleet = replicating_fleet(3, 42);
     fleet.links.split(&[0], LinkConditions::CUT);
     assert_eq!(fleet.purge(0, &object(500)).unwrap(), 503);
-    assert!(floor(&fleet, 0, &object(500)), "in force here");
+    assert!(holds_floor(&fleet, 0, &object(500)), "in force here");
     assert_eq!(
         fleet.purge(1, &object(501)).unwrap(),
         201,
@@ -369,14 +369,14 @@
     );
     fleet.links.split(&[0], LinkConditions::default());
     assert_eq!(fleet.purge(0, &object(503)).unwrap(), 201);
-    agree("all agree, none short", &fleet);
-    assert!((0..3).all(|n| (500..504).all(|o| floor(&fleet, n, &object(o)))));
+    await_agreement("all agree, none short", &fleet);
+    assert!((0..3).all(|n| (500..504).all(|o| holds_floor(&fleet, n, &object(o)))));
 }
 
 /// What a proxy says of its own machine counts: three that say the same are one, and one copy, though each other's files
 /// have them on three.
 #[test]
-fn proxies_that_say_they_stand_on_one_machine_are_one_copy() {
+fn proxies_on_one_machine_count_as_one_replica() {
     let setup = Setup {
         machine: Some("one"),
         ..Setup::copying(Path::new(DAEMON), 3, 56)
@@ -398,8 +398,8 @@
 }
 
 #[test]
-fn a_holder_that_stands_still_holds_no_promise_up_while_another_has_it() {
-    let fleet = copying(3, 43);
+fn a_stalled_replica_does_not_block_commits_held_by_another() {
+    let fleet = replicating_fleet(3, 43);
     fleet.stall(1).unwrap();
     assert_eq!(fleet.purge(0, &object(510)).unwrap(), 201, "by p2");
     fleet.stall(2).unwrap();
@@ -408,19 +408,19 @@
     fleet.go_on(1).unwrap();
     fleet.go_on(2).unwrap();
     assert_eq!(fleet.purge(0, &object(512)).unwrap(), 201);
-    agree("all agree, none short", &fleet);
-    assert!((0..3).all(|n| (510..513).all(|o| floor(&fleet, n, &object(o)))));
+    await_agreement("all agree, none short", &fleet);
+    assert!((0..3).all(|n| (510..513).all(|o| holds_floor(&fleet, n, &object(o)))));
 }
 
 /// A holder dies before its disk has the copy, and once it has it and before it says so. The other's copy is enough,
 /// and what the dead one lacks it has again once it is back.
 #[test]
-fn a_holder_that_dies_while_it_writes_or_before_its_word_costs_no_promise() {
+fn a_replica_crash_around_its_write_loses_no_commit() {
     for (seed, point) in ["store-commits", "store-committed", "holder-says"]
         .into_iter()
         .enumerate()
     {
-        let mut fleet = copying(3, 44 + seed as u64);
+        let mut fleet = replicating_fleet(3, 44 + seed as u64);
         fleet.kill(1).unwrap();
         fleet
             .restart_armed(1, Disk::Kept, &format!("{point}=die"))
@@ -434,22 +434,25 @@
         fleet.kill(1).unwrap();
         fleet.restart(0, Disk::Lost).unwrap();
         fleet.restart(1, Disk::Kept).unwrap();
-        agree(&format!("{point}: all agree"), &fleet);
-        assert!((0..3).all(|n| floor(&fleet, n, &object(520))), "{point}");
+        await_agreement(&format!("{point}: all agree"), &fleet);
+        assert!(
+            (0..3).all(|n| holds_floor(&fleet, n, &object(520))),
+            "{point}"
+        );
     }
 }
 
 /// With a promise that waits for two further machines, two of three are lost one after the other.
 #[test]
-fn with_two_further_copies_two_machines_of_three_may_be_lost_at_once() {
+fn two_required_replicas_survive_losing_two_of_three_machines() {
     let mut fleet = Fleet::start(Path::new(DAEMON), 3, 50, Some(2)).unwrap();
     assert_eq!(fleet.purge(0, &object(530)).unwrap(), 201);
     fleet.kill(0).unwrap();
     fleet.kill(1).unwrap();
     fleet.restart(0, Disk::Lost).unwrap();
     fleet.restart(1, Disk::Lost).unwrap();
-    agree("all agree", &fleet);
-    assert!((0..3).all(|n| floor(&fleet, n, &object(530))));
+    await_agreement("all agree", &fleet);
+    assert!((0..3).all(|n| holds_floor(&fleet, n, &object(530))));
     fleet.stall(2).unwrap();
     assert_eq!(
         fleet.purge(0, &object(531)).unwrap(),
@@ -460,16 +463,19 @@
 }
 
 #[test]
-fn a_disk_that_takes_nothing_makes_a_no_and_the_others_keep_what_was_told() {
-    let mut fleet = copying(3, 51);
+fn a_failing_disk_rejects_commits_while_peers_keep_the_purge() {
+    let mut fleet = replicating_fleet(3, 51);
     assert_eq!(fleet.purge(0, &object(540)).unwrap(), 201);
-    agree("all have it", &fleet);
+    await_agreement("all have it", &fleet);
     fleet.kill(0).unwrap();
     fleet
         .restart_armed(0, Disk::Kept, "store-fails=fail")
         .unwrap();
     assert_eq!(fleet.purge(0, &object(541)).unwrap(), 503);
-    assert!(floor(&fleet, 0, &object(541)), "in force all the same");
+    assert!(
+        holds_floor(&fleet, 0, &object(541)),
+        "in force all the same"
+    );
     let status = fleet.status(0).unwrap();
     assert!(status.durable_index < status.last_index && status.rejected == 1);
     // Its word is no copy for others either.
@@ -479,35 +485,37 @@
     assert!(fleet.end(0).unwrap(), "it ends well");
     fleet.restart(0, Disk::Kept).unwrap();
     assert_eq!(fleet.purge(0, &object(543)).unwrap(), 201);
-    agree("all agree", &fleet);
-    assert!((0..3).all(|n| (540..544).all(|o| floor(&fleet, n, &object(o)))));
+    await_agreement("all agree", &fleet);
+    assert!((0..3).all(|n| (540..544).all(|o| holds_floor(&fleet, n, &object(o)))));
 }
 
 #[test]
-fn a_damaged_store_is_refused_by_name_and_a_new_one_is_filled_by_the_others() {
-    let mut fleet = copying(3, 52);
+fn a_damaged_store_is_rejected_and_its_replacement_filled_by_peers() {
+    let mut fleet = replicating_fleet(3, 52);
     assert_eq!(fleet.purge(0, &object(550)).unwrap(), 201);
-    agree("all have it", &fleet);
+    await_agreement("all have it", &fleet);
     fleet.kill(1).unwrap();
     let path = fleet.store(1);
     let length = std::fs::metadata(&path).unwrap().len() as usize;
     std::fs::write(&path, vec![0x5a; length]).unwrap();
-    let said = fleet.restart(1, Disk::Kept).unwrap_err().to_string();
+    let message = fleet.restart(1, Disk::Kept).unwrap_err().to_string();
     assert!(
-        said.contains("cdni.purges") && said.contains("damaged") && said.contains("move it away"),
-        "{said}"
+        message.contains("cdni.purges")
+            && message.contains("damaged")
+            && message.contains("move it away"),
+        "{message}"
     );
     std::fs::rename(&path, path.with_extension("damaged")).unwrap();
     fleet.restart(1, Disk::Kept).unwrap();
-    agree("all agree", &fleet);
-    assert!(floor(&fleet, 1, &object(550)));
+    await_agreement("all agree", &fleet);
+    assert!(holds_floor(&fleet, 1, &object(550)));
 }
 
 /// All processes are killed at once and come back in each order; promises were made by each of them.
 #[test]
-fn a_whole_fleet_killed_at_once_comes_back_in_any_order() {
-    let mut fleet = copying(3, 53);
-    let mut promised = Vec::new();
+fn a_killed_fleet_recovers_in_any_restart_order() {
+    let mut fleet = replicating_fleet(3, 53);
+    let mut committed = Vec::new();
     for (round, order) in [
         [0, 1, 2],
         [0, 2, 1],
@@ -522,17 +530,17 @@
         for n in 0..3 {
             let object = object(600 + 10 * round as u64 + n as u64);
             assert_eq!(fleet.purge(n, &object).unwrap(), 201);
-            promised.push(object);
+            committed.push(object);
         }
         order.iter().for_each(|n| fleet.kill(*n).unwrap());
         order
             .iter()
             .for_each(|n| fleet.restart(*n, Disk::Kept).unwrap());
-        agree(&format!("{order:?}: all agree"), &fleet);
+        await_agreement(&format!("{order:?}: all agree"), &fleet);
     }
     for n in 0..3 {
         assert!(
-            promised.iter().all(|o| floor(&fleet, n, o)),
+            committed.iter().all(|o| holds_floor(&fleet, n, o)),
             "p{n} holds all that was promised"
         );
     }
@@ -540,32 +548,32 @@
 
 /// Promises are asked of a proxy that is told to end: each has its answer, yes or no, before the process has ended.
 #[test]
-fn promises_that_wait_are_answered_before_the_process_ends() {
-    let mut fleet = copying(2, 54);
+fn pending_commits_are_answered_before_the_process_exits() {
+    let mut fleet = replicating_fleet(2, 54);
     fleet.stall(1).unwrap();
     let (front, admin) = (
         fleet.process(0).unwrap().cdni,
         fleet.process(0).unwrap().admin,
     );
-    let told = std::thread::spawn(move || purge_at(front, &object(560)));
+    let purge = std::thread::spawn(move || purge_at(front, &object(560)));
     until("the neighbour waits", || {
         fleet.status(0).unwrap().pending_commits == 1
     });
-    let called =
+    let operator_call =
         std::thread::spawn(move || call(admin, "POST", "/control/pop-caches/s-0a/offline", ""));
     until("the operator waits", || {
         fleet.status(0).unwrap().pending_commits == 2
     });
     assert!(fleet.end(0).unwrap());
-    assert_eq!(told.join().unwrap().unwrap(), 503);
-    assert_eq!(called.join().unwrap().unwrap().status, 503);
+    assert_eq!(purge.join().unwrap().unwrap(), 503);
+    assert_eq!(operator_call.join().unwrap().unwrap().status, 503);
     fleet.go_on(1).unwrap();
 }
 
 /// Two calls on one pop cache wait, and neither can be promised: it is as it was before the first of them, whichever is
 /// refused last.
 #[test]
-fn calls_that_contradict_each_other_and_are_both_refused_leave_what_was_before_them() {
+fn rejected_conflicting_operator_calls_restore_the_previous_state() {
     // Time for all four to wait side by side on a busy machine.
     let within_ms = Some(6_000);
     let setup = Setup {
@@ -575,7 +583,7 @@
     let fleet = Fleet::with(setup).unwrap();
     fleet.stall(1).unwrap();
     let admin = fleet.process(0).unwrap().admin;
-    let operate = |verb: &str| {
+    let spawn_operator_call = |verb: &str| {
         let path = format!("/control/pop-caches/s-0a/{verb}");
         std::thread::spawn(move || call(admin, "POST", &path, "").unwrap().status)
     };
@@ -584,26 +592,26 @@
         .into_iter()
         .enumerate()
     {
-        calls.push(operate(verb));
+        calls.push(spawn_operator_call(verb));
         until("it waits", || {
             fleet.status(0).unwrap().pending_commits == n + 1
         });
     }
     assert!(calls.into_iter().all(|call| call.join().unwrap() == 503));
-    comes_to_use(&fleet, 0, 0, 1500);
+    await_cache_use(&fleet, 0, 0, 1500);
     fleet.go_on(1).unwrap();
-    agree("both agree", &fleet);
+    await_agreement("both agree", &fleet);
     assert_eq!(
         fleet
             .operate(0, "POST", "/control/pop-caches/s-0a/offline")
             .unwrap(),
         200
     );
-    assert!(!uses_box(&fleet, 0, 0, 1600));
+    assert!(!uses_cache(&fleet, 0, 0, 1600));
 }
 
 /// What a proxy believes of another, by its place in the fleet.
-fn standing(fleet: &Fleet, at: usize, of: usize) -> String {
+fn peer_state(fleet: &Fleet, at: usize, of: usize) -> String {
     let name = format!("p{of}");
     let status = fleet.status(at).unwrap();
     status
@@ -613,7 +621,7 @@
         .map_or_else(|| "unknown".into(), |p| p.state.clone())
 }
 
-fn lives(fleet: &Fleet, at: usize, of: &str) -> Vec<String> {
+fn incarnations(fleet: &Fleet, at: usize, of: &str) -> Vec<String> {
     fleet
         .status(at)
         .unwrap()
@@ -624,41 +632,41 @@
         .collect()
 }
 
-fn believe(fleet: &Fleet, at: &[usize], of: usize, wanted: &str) {
+fn await_peer_state(fleet: &Fleet, at: &[usize], of: usize, wanted: &str) {
     until(&format!("{at:?} believe p{of} to be {wanted}"), || {
-        at.iter().all(|n| standing(fleet, *n, of) == wanted)
+        at.iter().all(|n| peer_state(fleet, *n, of) == wanted)
     });
 }
 
 #[test]
-fn members_that_are_killed_end_and_come_back_are_seen_by_all() {
-    let mut fleet = copying(4, 60);
+fn kills_exits_and_restarts_are_seen_by_all_members() {
+    let mut fleet = replicating_fleet(4, 60);
     (0..4).for_each(|of| {
-        believe(
+        await_peer_state(
             &fleet,
             &(0..4).filter(|n| *n != of).collect::<Vec<_>>(),
             of,
             "alive",
         );
     });
-    let before = lives(&fleet, 0, "p3");
+    let before = incarnations(&fleet, 0, "p3");
     fleet.kill(3).unwrap();
-    believe(&fleet, &[0, 1, 2], 3, "dead");
+    await_peer_state(&fleet, &[0, 1, 2], 3, "dead");
     assert_eq!(fleet.status(0).unwrap().alive_members, 3);
     fleet.restart(3, Disk::Kept).unwrap();
-    believe(&fleet, &[0, 1, 2], 3, "alive");
-    assert!(lives(&fleet, 0, "p3") > before, "in a later life");
+    await_peer_state(&fleet, &[0, 1, 2], 3, "alive");
+    assert!(incarnations(&fleet, 0, "p3") > before, "in a later life");
     assert!(fleet.end(3).unwrap());
-    believe(&fleet, &[0, 1, 2], 3, "left");
+    await_peer_state(&fleet, &[0, 1, 2], 3, "left");
 }
 
 /// A link that is cut one way, and one that is cut both ways, for as long as a death takes to be known: another hears
 /// all of them, so nobody is dead to anybody but the one that is cut off from all.
 #[test]
-fn a_cut_link_makes_nobody_dead_and_a_cut_proxy_is() {
-    let fleet = copying(5, 61);
+fn a_cut_link_marks_nobody_dead_but_an_isolated_proxy_is() {
+    let fleet = replicating_fleet(5, 61);
     (0..5).for_each(|of| {
-        believe(
+        await_peer_state(
             &fleet,
             &(0..5).filter(|n| *n != of).collect::<Vec<_>>(),
             of,
@@ -669,35 +677,35 @@
     fleet.links.set((1, 2), LinkConditions::CUT);
     fleet.links.set((2, 1), LinkConditions::CUT);
     fleet.links.split(&[4], LinkConditions::CUT);
-    believe(&fleet, &[0, 1, 2, 3], 4, "dead");
-    believe(&fleet, &[4], 0, "dead");
+    await_peer_state(&fleet, &[0, 1, 2, 3], 4, "dead");
+    await_peer_state(&fleet, &[4], 0, "dead");
     for (at, of) in [(0, 1), (1, 0), (1, 2), (2, 1), (3, 1)] {
-        assert_ne!(standing(&fleet, at, of), "dead", "p{at} of p{of}");
+        assert_ne!(peer_state(&fleet, at, of), "dead", "p{at} of p{of}");
     }
     fleet.links.split(&[4], LinkConditions::default());
-    believe(&fleet, &[0, 1, 2, 3], 4, "alive");
-    believe(&fleet, &[4], 0, "alive");
+    await_peer_state(&fleet, &[0, 1, 2, 3], 4, "alive");
+    await_peer_state(&fleet, &[4], 0, "alive");
 }
 
 #[test]
-fn a_member_that_stood_still_for_longer_than_its_death_refutes_it_and_blames_nobody() {
-    let fleet = copying(4, 62);
+fn a_stalled_member_refutes_its_death_and_suspects_nobody() {
+    let fleet = replicating_fleet(4, 62);
     (0..4).for_each(|of| {
-        believe(
+        await_peer_state(
             &fleet,
             &(0..4).filter(|n| *n != of).collect::<Vec<_>>(),
             of,
             "alive",
         );
     });
-    let before = lives(&fleet, 0, "p3");
+    let before = incarnations(&fleet, 0, "p3");
     fleet.stall(3).unwrap();
-    believe(&fleet, &[0, 1, 2], 3, "dead");
+    await_peer_state(&fleet, &[0, 1, 2], 3, "dead");
     fleet.go_on(3).unwrap();
-    believe(&fleet, &[0, 1, 2], 3, "alive");
-    assert_eq!(lives(&fleet, 0, "p3"), before, "in the same life");
+    await_peer_state(&fleet, &[0, 1, 2], 3, "alive");
+    assert_eq!(incarnations(&fleet, 0, "p3"), before, "in the same life");
     assert!(
-        (0..3).all(|n| standing(&fleet, 3, n) != "dead"),
+        (0..3).all(|n| peer_state(&fleet, 3, n) != "dead"),
         "and it blames nobody"
     );
     assert_eq!(fleet.purge(3, &object(700)).unwrap(), 201);
@@ -706,14 +714,14 @@
 /// A machine that stood still comes back after another has taken its name: the old process promises nothing more, and
 /// what it promised before is its successor's too.
 #[test]
-fn an_old_life_that_goes_on_after_its_successor_has_begun_is_fenced() {
+fn a_replaced_incarnation_that_resumes_is_fenced() {
     let setup = Setup {
         later: &["p0"],
         ..Setup::copying(Path::new(DAEMON), 3, 63)
     };
     let mut fleet = Fleet::with(setup).unwrap();
     assert_eq!(fleet.purge(0, &object(710)).unwrap(), 201);
-    (1..3).for_each(|n| believe(&fleet, &[n], 0, "alive"));
+    (1..3).for_each(|n| await_peer_state(&fleet, &[n], 0, "alive"));
     fleet.stall(0).unwrap();
     fleet.restart(3, Disk::Lost).unwrap();
     assert!(
@@ -741,29 +749,29 @@
     );
 }
 
-fn ready(fleet: &Fleet, n: usize) -> bool {
+fn is_ready(fleet: &Fleet, n: usize) -> bool {
     fleet.operate(n, "GET", "/control/ready").unwrap() == 200
 }
 
 /// Whether a proxy that is asked for forty photos from one on asks a box for any of them.
-fn uses_box(fleet: &Fleet, n: usize, place: usize, from: u64) -> bool {
-    let before = fleet.caches[place].arrivals().len();
+fn uses_cache(fleet: &Fleet, n: usize, cache: usize, from: u64) -> bool {
+    let before = fleet.caches[cache].arrivals().len();
     (from..from + 40).for_each(|o| drop(fleet.ask(n, &object(o)).unwrap()));
-    fleet.caches[place].arrivals().len() > before
+    fleet.caches[cache].arrivals().len() > before
 }
 
 /// A proxy sends something to a box in the end: on a busy machine a box may be late, and is let be for a while.
-fn comes_to_use(fleet: &Fleet, n: usize, place: usize, from: u64) {
-    until(&format!("p{n} uses box {place}"), || {
-        uses_box(fleet, n, place, from)
+fn await_cache_use(fleet: &Fleet, n: usize, cache: usize, from: u64) {
+    until(&format!("p{n} uses box {cache}"), || {
+        uses_cache(fleet, n, cache, from)
     });
 }
 
 /// Rule 3 over the loss of a machine: the operators were told yes, and the proxy that takes its place is not ready before
 /// it knows of the ban again.
 #[test]
-fn a_ban_and_a_drain_hold_at_the_machine_that_takes_the_place_of_a_lost_one() {
-    let mut fleet = copying(3, 70);
+fn bans_and_drains_survive_replacing_a_lost_machine() {
+    let mut fleet = replicating_fleet(3, 70);
     assert_eq!(
         fleet
             .operate(0, "POST", "/control/pop-caches/s-0a/offline")
@@ -792,28 +800,28 @@
         until("it has its promises back", || {
             fleet.status(n).unwrap().entries >= 3
         });
-        agree("all agree", &fleet);
+        await_agreement("all agree", &fleet);
     }
-    until("it is ready", || ready(&fleet, 0) && ready(&fleet, 2));
+    until("it is ready", || is_ready(&fleet, 0) && is_ready(&fleet, 2));
     assert!(
-        !uses_box(&fleet, 0, 0, 800),
+        !uses_cache(&fleet, 0, 0, 800),
         "p0 sends nothing to the box that its operators banned"
     );
-    comes_to_use(&fleet, 0, 1, 900);
+    await_cache_use(&fleet, 0, 1, 900);
     // A ban that was lifted stays lifted.
-    comes_to_use(&fleet, 2, 1, 1000);
-    assert!(!ready(&fleet, 1), "p1 is out of service still");
+    await_cache_use(&fleet, 2, 1, 1000);
+    assert!(!is_ready(&fleet, 1), "p1 is out of service still");
     assert_eq!(
         fleet.operate(1, "POST", "/control/in-service").unwrap(),
         200
     );
-    until("it is back", || ready(&fleet, 1));
+    until("it is back", || is_ready(&fleet, 1));
 }
 
 #[test]
-fn a_ban_that_no_further_machine_has_is_refused_and_nothing_has_changed() {
-    let fleet = copying(3, 71);
-    until("it has heard the others", || ready(&fleet, 0));
+fn an_unreplicated_ban_is_rejected_without_effect() {
+    let fleet = replicating_fleet(3, 71);
+    until("it has heard the others", || is_ready(&fleet, 0));
     fleet.links.split(&[0], LinkConditions::CUT);
     assert_eq!(
         fleet
@@ -825,8 +833,8 @@
         fleet.operate(0, "POST", "/control/out-of-service").unwrap(),
         503
     );
-    assert!(ready(&fleet, 0));
-    comes_to_use(&fleet, 0, 0, 1100);
+    assert!(is_ready(&fleet, 0));
+    await_cache_use(&fleet, 0, 0, 1100);
     fleet.links.split(&[0], LinkConditions::default());
     assert_eq!(
         fleet
@@ -841,53 +849,53 @@
             .unwrap(),
         200
     );
-    assert!(!uses_box(&fleet, 0, 0, 1200));
-    agree("all agree", &fleet);
+    assert!(!uses_cache(&fleet, 0, 0, 1200));
+    await_agreement("all agree", &fleet);
 }
 
 /// A new machine whose peers can't be reached does not know what its operators decided: it is not ready, and is after a
 /// bounded time, saying so. One whose disk is kept asks nobody.
 #[test]
-fn a_machine_without_its_disk_is_not_ready_before_its_promises_are_back() {
-    let mut fleet = copying(3, 72);
-    until("all are ready", || (0..3).all(|n| ready(&fleet, n)));
+fn a_machine_without_its_disk_is_ready_only_after_recovery() {
+    let mut fleet = replicating_fleet(3, 72);
+    until("all are ready", || (0..3).all(|n| is_ready(&fleet, n)));
     assert_eq!(
         fleet
             .operate(0, "POST", "/control/pop-caches/s-0a/offline")
             .unwrap(),
         200
     );
-    agree("all agree", &fleet);
+    await_agreement("all agree", &fleet);
     fleet.kill(0).unwrap();
     fleet.links.split(&[0], LinkConditions::CUT);
     fleet.restart(0, Disk::Kept).unwrap();
-    until("with its disk it needs nobody", || ready(&fleet, 0));
-    assert!(!uses_box(&fleet, 0, 0, 1300));
+    until("with its disk it needs nobody", || is_ready(&fleet, 0));
+    assert!(!uses_cache(&fleet, 0, 0, 1300));
     fleet.kill(0).unwrap();
     fleet.restart(0, Disk::Lost).unwrap();
-    let begun = Instant::now();
-    assert!(!ready(&fleet, 0));
+    let start = Instant::now();
+    assert!(!is_ready(&fleet, 0));
     fleet.links.split(&[0], LinkConditions::default());
-    until("it has heard the others", || ready(&fleet, 0));
+    until("it has heard the others", || is_ready(&fleet, 0));
     assert!(
-        begun.elapsed().as_secs() < 5,
+        start.elapsed().as_secs() < 5,
         "that took no longer than it must"
     );
-    assert!(!uses_box(&fleet, 0, 0, 1400));
+    assert!(!uses_cache(&fleet, 0, 0, 1400));
     fleet.kill(0).unwrap();
     fleet.links.split(&[0], LinkConditions::CUT);
     fleet.restart(0, Disk::Lost).unwrap();
-    let begun = Instant::now();
-    until("it does not wait for ever", || ready(&fleet, 0));
+    let start = Instant::now();
+    until("it does not wait for ever", || is_ready(&fleet, 0));
     assert!(
-        begun.elapsed().as_millis() >= 4_500,
+        start.elapsed().as_millis() >= 4_500,
         "and not for less: {:?}",
-        begun.elapsed()
+        start.elapsed()
     );
 }
 
 /// What a proxy answers when asked for the status of a trigger.
-fn status_of(fleet: &Fleet, n: usize, path: &str) -> (u16, Vec<u8>) {
+fn trigger_status(fleet: &Fleet, n: usize, path: &str) -> (u16, Vec<u8>) {
     let answer = fleet.neighbour(n, "GET", path).unwrap();
     (answer.status, answer.body)
 }
@@ -895,16 +903,16 @@
 /// The status of a trigger is longer than a datagram. It is told by every proxy, also once the machine that was told is
 /// lost with its disk, and the machine in its place gives no name again.
 #[test]
-fn a_triggers_status_is_told_by_all_and_outlives_the_machine_that_was_told() {
-    let mut fleet = copying(3, 80);
-    let rough = LinkConditions {
+fn a_trigger_status_is_served_by_all_and_survives_its_machine() {
+    let mut fleet = replicating_fleet(3, 80);
+    let lossy = LinkConditions {
         drop: 0.25,
         duplicate: 0.2,
         reorder: 0.3,
         jitter_ms: 5.0,
         ..LinkConditions::default()
     };
-    fleet.links.set_all(rough);
+    fleet.links.set_all(lossy);
     let objects: Vec<String> = (2000..2060).map(object).collect();
     let all: Vec<&str> = objects.iter().map(String::as_str).collect();
     let answer = fleet.trigger(0, &all).unwrap();
@@ -912,17 +920,17 @@
     fleet.kill(0).unwrap();
     for n in 1..3 {
         until("it is told by those that are left", || {
-            status_of(&fleet, n, &path) == (200, answer.body.clone())
+            trigger_status(&fleet, n, &path) == (200, answer.body.clone())
         });
     }
     fleet.restart(0, Disk::Lost).unwrap();
-    agree("all agree", &fleet);
+    await_agreement("all agree", &fleet);
     let second = status_path(&fleet.trigger(0, &all[..1]).unwrap()).expect("it is promised");
     assert_ne!(second, path);
-    agree("all agree", &fleet);
+    await_agreement("all agree", &fleet);
     for n in 0..3 {
         assert_eq!(
-            status_of(&fleet, n, &path),
+            trigger_status(&fleet, n, &path),
             (200, answer.body.clone()),
             "p{n}"
         );
@@ -931,12 +939,12 @@
             BTreeSet::from([path.clone(), second.clone()]),
             "p{n}"
         );
-        assert!(floor(&fleet, n, &objects[59]), "p{n}");
+        assert!(holds_floor(&fleet, n, &objects[59]), "p{n}");
     }
     // All at once, with their disks: what stands on these is read again.
     (0..3).for_each(|n| fleet.kill(n).unwrap());
     (0..3).for_each(|n| fleet.restart(n, Disk::Kept).unwrap());
-    assert!((0..3).all(|n| status_of(&fleet, n, &path) == (200, answer.body.clone())));
+    assert!((0..3).all(|n| trigger_status(&fleet, n, &path) == (200, answer.body.clone())));
     let third = status_path(&fleet.trigger(0, &all[..1]).unwrap()).expect("it is promised");
     assert!(third != path && third != second);
 }
@@ -944,24 +952,24 @@
 /// A neighbour has done with a status and says so at another proxy than it told. It stays gone, whoever is lost and
 /// whoever was away meanwhile.
 #[test]
-fn a_status_that_a_neighbour_has_done_with_does_not_come_back() {
-    let mut fleet = copying(3, 81);
+fn a_deleted_trigger_status_does_not_reappear() {
+    let mut fleet = replicating_fleet(3, 81);
     let path = status_path(&fleet.trigger(0, &[&object(2100)]).unwrap()).expect("it is promised");
-    agree("all have it", &fleet);
+    await_agreement("all have it", &fleet);
     fleet.kill(2).unwrap();
     assert_eq!(fleet.neighbour(1, "DELETE", &path).unwrap().status, 204);
     until("it is gone at the proxy that was told", || {
-        status_of(&fleet, 0, &path).0 == 404
+        trigger_status(&fleet, 0, &path).0 == 404
     });
     fleet.kill(1).unwrap();
     fleet.restart(1, Disk::Lost).unwrap();
     fleet.restart(2, Disk::Kept).unwrap();
-    agree("all agree", &fleet);
+    await_agreement("all agree", &fleet);
     for n in 0..3 {
-        assert_eq!(status_of(&fleet, n, &path).0, 404, "p{n}");
+        assert_eq!(trigger_status(&fleet, n, &path).0, 404, "p{n}");
         assert!(fleet.triggers(n).unwrap().is_empty(), "p{n}");
         assert!(
-            floor(&fleet, n, &object(2100)),
+            holds_floor(&fleet, n, &object(2100)),
             "p{n}: its purge holds for good"
         );
     }
@@ -970,30 +978,30 @@
 /// A trigger that could not be promised is none, at any proxy, also once the links are back; one that is refused as such
 /// is a promise too, as its status is.
 #[test]
-fn a_trigger_that_was_not_promised_is_told_by_nobody() {
-    let fleet = copying(3, 82);
+fn an_uncommitted_trigger_is_served_by_no_proxy() {
+    let fleet = replicating_fleet(3, 82);
     fleet.links.split(&[0], LinkConditions::CUT);
     assert_eq!(fleet.purge(0, &object(2200)).unwrap(), 503);
     assert!(fleet.triggers(0).unwrap().is_empty());
-    let odd =
+    let unsupported =
         r#"{"trigger": {"type": "purge", "content.patterns": ["*"]}, "cdn-path": ["AS64501:0"]}"#;
     let cdni = fleet.process(0).unwrap().cdni;
-    let failed = || call(cdni, "POST", "/cdni/triggers", odd).unwrap();
+    let post_unsupported = || call(cdni, "POST", "/cdni/triggers", unsupported).unwrap();
     assert_eq!(
-        failed().status,
+        post_unsupported().status,
         503,
         "nobody else could tell what became of it"
     );
     fleet.links.split(&[0], LinkConditions::default());
-    let path = status_path(&failed()).expect("it is promised");
-    agree("all agree", &fleet);
+    let path = status_path(&post_unsupported()).expect("it is promised");
+    await_agreement("all agree", &fleet);
     for n in 0..3 {
         assert_eq!(
             fleet.triggers(n).unwrap(),
             BTreeSet::from([path.clone()]),
             "p{n}"
         );
-        let (status, body) = status_of(&fleet, n, &path);
+        let (status, body) = trigger_status(&fleet, n, &path);
         assert_eq!(
             (status, String::from_utf8(body).unwrap().contains("ereject")),
             (200, true),
