--- a/daemon/tests/client_gone.rs
+++ b/daemon/tests/client_gone.rs
@@ -15,7 +15,7 @@
 
 /// How a client goes.
 #[derive(Clone, Copy, Debug)]
-enum Goes {
+enum Disconnect {
     /// It closes its socket.
     Fin,
     /// It resets the connection.
@@ -26,28 +26,33 @@
     HalfClose,
 }
 
-const WAYS: [Goes; 4] = [Goes::Fin, Goes::Reset, Goes::Abort, Goes::HalfClose];
+const DISCONNECTS: [Disconnect; 4] = [
+    Disconnect::Fin,
+    Disconnect::Reset,
+    Disconnect::Abort,
+    Disconnect::HalfClose,
+];
 /// Requests on its connection: one, and as many as one connection may have.
-const COUNTS: [u16; 2] = [1, 32];
+const REQUEST_COUNTS: [u16; 2] = [1, 32];
 /// Numbers of the requests of the client that stays.
-const STAYS: u16 = 100;
+const REMAINING_CLIENT_REQUEST: u16 = 100;
 
-impl Goes {
+impl Disconnect {
     /// Has a client go that has so many requests open. What is returned keeps open what is to stay open.
-    fn go(self, mut web: WebServer, count: u16) -> Option<WebServer> {
+    fn apply(self, mut web: WebServer, count: u16) -> Option<WebServer> {
         match self {
-            Goes::Fin => None,
-            Goes::Reset => {
+            Disconnect::Fin => None,
+            Disconnect::Reset => {
                 let linger = Some(Duration::ZERO);
                 rustix::net::sockopt::set_socket_linger(web.writer().unwrap(), linger).unwrap();
                 None
             }
-            Goes::Abort => {
+            Disconnect::Abort => {
                 let aborts: Vec<u8> = (1..=count).flat_map(abort).collect();
                 web.send(&aborts).unwrap();
                 Some(web)
             }
-            Goes::HalfClose => {
+            Disconnect::HalfClose => {
                 web.writer().unwrap().shutdown(Shutdown::Write).unwrap();
                 Some(web)
             }
@@ -56,24 +61,25 @@
 }
 
 /// The id under which a box is asked for the request with this number.
-fn wire_id(number: u16) -> String {
+fn request_id(number: u16) -> String {
     format!("{:016x}", 0xabc_0000 + u64::from(number))
 }
 
 /// Serves a client until a connection to each box is up, so that a further attempt would have to wait for none.
-fn warm_up<const N: usize>(boxes: &mut [Scripted; N], web: &mut WebServer) {
+fn warm_up<const N: usize>(caches: &mut [Scripted; N], web: &mut WebServer) {
     let mut n = 1_000;
-    while boxes.iter().any(|scripted| scripted.wires.is_empty()) {
-        web.send(&request(STAYS, &object(n), 0)).unwrap();
-        let (at, place, fetch) = next_of(boxes);
-        boxes[at].wires[place].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+    while caches.iter().any(|scripted| scripted.wires.is_empty()) {
+        web.send(&request(REMAINING_CLIENT_REQUEST, &object(n), 0))
+            .unwrap();
+        let (at, connection, fetch) = next_of(caches);
+        caches[at].wires[connection].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
         assert_eq!(web.end().unwrap().1.unwrap().status, 200);
         n += 1;
     }
 }
 
 /// The daemon has taken in all that was there before.
-fn settled(web: &mut WebServer) {
+fn await_processing(web: &mut WebServer) {
     web.send(&WebServer::request(9, "/_health", &[], b""))
         .unwrap();
     web.end().unwrap();
@@ -81,21 +87,28 @@
 
 /// Has a client served that stays, twice: by then all that lies in the sockets before it is carried out. The calls that
 /// came meanwhile, other than its own.
-fn serve_twice<const N: usize>(boxes: &mut [Scripted; N], web: &mut WebServer) -> Vec<Fetch> {
-    let mut others = Vec::new();
+fn serve_remaining_client_twice<const N: usize>(
+    caches: &mut [Scripted; N],
+    web: &mut WebServer,
+) -> Vec<Fetch> {
+    let mut other_fetches = Vec::new();
     for n in 1..=2 {
-        web.send(&request(STAYS + n, &object(7_000 + u64::from(n)), 0))
-            .unwrap();
+        web.send(&request(
+            REMAINING_CLIENT_REQUEST + n,
+            &object(7_000 + u64::from(n)),
+            0,
+        ))
+        .unwrap();
         let start = Instant::now();
         let mut served = false;
         while !served {
-            for fetch in fetches(boxes) {
-                if fetch.2 == wire_id(STAYS + n) {
-                    let wire = &mut boxes[fetch.0].wires[fetch.1];
+            for fetch in fetches(caches) {
+                if fetch.2 == request_id(REMAINING_CLIENT_REQUEST + n) {
+                    let wire = &mut caches[fetch.0].wires[fetch.1];
                     wire.answer(&fetch.2, "200", "how=local,made=1,etag=t1", "a copy");
                     served = true;
                 } else {
-                    others.push(fetch);
+                    other_fetches.push(fetch);
                 }
             }
             assert!(start.elapsed() < Duration::from_secs(10), "nothing comes");
@@ -103,127 +116,132 @@
         }
         assert_eq!(web.end().unwrap().1.unwrap().status, 200);
     }
-    others
+    other_fetches
 }
 
 /// Two boxes; with parents, where the answer tells of a fill that failed.
-fn site(word: &str, fields: &str) -> (Rig, [Scripted; 2]) {
-    let fill = word == "404" || fields == "how=cut_off";
+fn start_site(status: &str, fields: &str) -> (Rig, [Scripted; 2]) {
+    let needs_parents = status == "404" || fields == "how=cut_off";
     scripted::<2>(|config| {
-        if fill {
+        if needs_parents {
             add_parents(config);
         }
     })
 }
 
 /// A client that stays has a further attempt made after such an answer.
-fn has_a_further_attempt_made(word: &str, fields: &str) {
-    let (rig, mut boxes) = site(word, fields);
-    let mut stays = rig.web();
-    warm_up(&mut boxes, &mut stays);
+fn assert_connected_client_is_retried(status: &str, fields: &str) {
+    let (rig, mut caches) = start_site(status, fields);
+    let mut remaining = rig.web();
+    warm_up(&mut caches, &mut remaining);
     let mut web = rig.web();
     web.send(&request(1, &object(1), 0)).unwrap();
-    let (at, place, fetch) = next_of(&mut boxes);
-    boxes[at].wires[place].answer(&fetch[1], word, fields, "");
-    let (_, _, again) = next_of(&mut boxes);
-    assert_eq!(again[..2], fetch[..2], "{word} {fields}");
-    drop((stays, web));
+    let (at, connection, fetch) = next_of(&mut caches);
+    caches[at].wires[connection].answer(&fetch[1], status, fields, "");
+    let (_, _, retry) = next_of(&mut caches);
+    assert_eq!(retry[..2], fetch[..2], "{status} {fields}");
+    drop((remaining, web));
     rig.stop();
 }
 
 /// A client with attempts out that goes, and then every one of them is answered in a way that asks for a further attempt.
-fn goes_before_the_answer(word: &str, fields: &str, one_object: bool) {
-    has_a_further_attempt_made(word, fields);
-    for goes in WAYS {
-        for count in COUNTS {
-            let name = format!("{goes:?} with {count}, {word} {fields}");
-            let (rig, mut boxes) = site(word, fields);
-            let mut stays = rig.web();
-            warm_up(&mut boxes, &mut stays);
+fn disconnect_before_answer(status: &str, fields: &str, same_object: bool) {
+    assert_connected_client_is_retried(status, fields);
+    for disconnect in DISCONNECTS {
+        for count in REQUEST_COUNTS {
+            let case = format!("{disconnect:?} with {count}, {status} {fields}");
+            let (rig, mut caches) = start_site(status, fields);
+            let mut remaining = rig.web();
+            warm_up(&mut caches, &mut remaining);
             let mut web = rig.web();
             for id in 1..=count {
-                let n = if one_object { 1 } else { u64::from(id) };
+                let n = if same_object { 1 } else { u64::from(id) };
                 web.send(&request(id, &object(n), 0)).unwrap();
             }
-            let mut out = Vec::new();
+            let mut fetches_sent = Vec::new();
             let start = Instant::now();
-            while out.len() < usize::from(count) {
-                out.extend(fetches(&mut boxes));
-                assert!(start.elapsed() < Duration::from_secs(10), "{name}");
+            while fetches_sent.len() < usize::from(count) {
+                fetches_sent.extend(fetches(&mut caches));
+                assert!(start.elapsed() < Duration::from_secs(10), "{case}");
             }
-            let gone = goes.go(web, count);
-            settled(&mut stays);
-            for (at, place, id, _) in out {
-                boxes[at].wires[place].answer(&id, word, fields, "");
+            let kept_open = disconnect.apply(web, count);
+            await_processing(&mut remaining);
+            for (at, connection, id, _) in fetches_sent {
+                caches[at].wires[connection].answer(&id, status, fields, "");
             }
-            let again = serve_twice(&mut boxes, &mut stays);
-            assert!(again.is_empty(), "{name}: {again:?}");
-            drop((gone, stays));
+            let retries = serve_remaining_client_twice(&mut caches, &mut remaining);
+            assert!(retries.is_empty(), "{case}: {retries:?}");
+            drop((kept_open, remaining));
             rig.stop();
         }
     }
 }
 
 #[test]
-fn a_client_that_goes_while_a_box_may_reject_its_request_gets_no_retry() {
-    goes_before_the_answer("503", "-", false);
+fn rejection_after_client_disconnect_starts_no_retry() {
+    disconnect_before_answer("503", "-", false);
 }
 
 #[test]
-fn a_client_that_goes_while_its_fill_may_fail_gets_no_other_fill() {
-    goes_before_the_answer("503", "how=cut_off", false);
-    goes_before_the_answer("404", "-", false);
+fn failed_fill_after_client_disconnect_starts_no_other_fill() {
+    disconnect_before_answer("503", "how=cut_off", false);
+    disconnect_before_answer("404", "-", false);
 }
 
 /// Its requests wait at the box for the fill of the first one.
 #[test]
-fn a_client_that_goes_while_it_waits_for_the_answer_to_another_request_gets_no_retry() {
-    goes_before_the_answer("503", "how=rode", true);
+fn failed_shared_fill_after_client_disconnect_starts_no_retry() {
+    disconnect_before_answer("503", "how=rode", true);
 }
 
 /// The requests wait in the queue of a connection that is not up when the client goes, and it comes up then.
 #[test]
-fn a_client_that_goes_while_its_requests_wait_for_a_connection_has_none_begun() {
+fn requests_of_a_disconnected_client_are_not_sent_on_a_late_connection() {
     std::thread::scope(|scope| {
-        for goes in WAYS {
-            for count in COUNTS {
-                scope.spawn(move || goes_before_the_connection_is_up(goes, count));
+        for disconnect in DISCONNECTS {
+            for count in REQUEST_COUNTS {
+                scope.spawn(move || disconnect_before_connection_is_up(disconnect, count));
             }
         }
     });
 }
 
-fn goes_before_the_connection_is_up(goes: Goes, count: u16) {
-    let (rig, mut boxes) = scripted::<1>(|config| {
+fn disconnect_before_connection_is_up(disconnect: Disconnect, count: u16) {
+    let (rig, mut caches) = scripted::<1>(|config| {
         config["settings"]["limits"]["connect-timeout-us"] = json!(8_000_000);
     });
-    let filler = full(&boxes[0]);
-    let (mut web, mut stays) = (rig.web(), rig.web());
+    let blocker = full(&caches[0]);
+    let (mut web, mut remaining) = (rig.web(), rig.web());
     for id in 1..=count {
         web.send(&request(id, &object(u64::from(id)), 0)).unwrap();
     }
-    settled(&mut stays);
-    let gone = goes.go(web, count);
-    settled(&mut stays);
-    stays.send(&request(STAYS, &object(99), 0)).unwrap();
-    let (_, place, fetch) = next_of(&mut boxes);
+    await_processing(&mut remaining);
+    let kept_open = disconnect.apply(web, count);
+    await_processing(&mut remaining);
+    remaining
+        .send(&request(REMAINING_CLIENT_REQUEST, &object(99), 0))
+        .unwrap();
+    let (_, connection, fetch) = next_of(&mut caches);
     assert!(
         fetch[2].contains(&object(99)),
-        "{goes:?} with {count}: {fetch:?}"
+        "{disconnect:?} with {count}: {fetch:?}"
     );
-    boxes[0].wires[place].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
-    assert_eq!(stays.end().unwrap().1.unwrap().status, 200);
-    assert!(fetches(&mut boxes).is_empty(), "{goes:?} with {count}");
-    drop((filler, gone, stays));
+    caches[0].wires[connection].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+    assert_eq!(remaining.end().unwrap().1.unwrap().status, 200);
+    assert!(
+        fetches(&mut caches).is_empty(),
+        "{disconnect:?} with {count}"
+    );
+    drop((blocker, kept_open, remaining));
     rig.stop();
 }
 
 /// An object whose first place among the boxes `s-0a` and `s-0b` is the first, and one whose is the second.
-fn objects_by_box() -> [String; 2] {
+fn objects_by_cache() -> [String; 2] {
     let rig = Rig::with(&["s-0a", "s-0b"], |_| {});
     let mut web = rig.web();
     let mut n = 500;
-    while rig.boxes.iter().any(|b| b.arrivals().is_empty()) {
+    while rig.boxes.iter().any(|cache| cache.arrivals().is_empty()) {
         assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
         n += 1;
     }
@@ -237,39 +255,41 @@
 /// The loop is kept for longer than an attempt may wait for its connection: what is due by then must not come before
 /// the end of a client that has gone meanwhile.
 #[test]
-fn what_became_due_while_the_loop_was_kept_begins_nothing_for_a_client_that_has_gone_meanwhile() {
-    let objects = objects_by_box();
+fn connect_timeout_in_a_blocked_loop_starts_no_retry_for_a_disconnected_client() {
+    let objects = objects_by_cache();
     let timeout = Duration::from_secs(1);
-    for goes in [None, Some(Goes::Fin), Some(Goes::Abort)] {
-        let (mut rig, mut boxes) = scripted::<2>(|config| {
+    for disconnect in [None, Some(Disconnect::Fin), Some(Disconnect::Abort)] {
+        let (mut rig, mut caches) = scripted::<2>(|config| {
             config["settings"]["limits"]["connect-timeout-us"] = json!(1_000_000);
         });
-        let mut stays = rig.web();
-        stays.send(&request(STAYS, &objects[1], 0)).unwrap();
-        let (at, place, fetch) = next_of(&mut boxes);
+        let mut remaining = rig.web();
+        remaining
+            .send(&request(REMAINING_CLIENT_REQUEST, &objects[1], 0))
+            .unwrap();
+        let (at, connection, fetch) = next_of(&mut caches);
         assert_eq!(at, 1);
-        boxes[1].wires[place].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
-        assert_eq!(stays.end().unwrap().1.unwrap().status, 200);
-        let filler = full(&boxes[0]);
+        caches[1].wires[connection].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+        assert_eq!(remaining.end().unwrap().1.unwrap().status, 200);
+        let blocker = full(&caches[0]);
         let mut web = rig.web();
-        settled(&mut web);
+        await_processing(&mut web);
         web.send(&request(1, &objects[0], 0)).unwrap();
-        settled(&mut stays);
-        let held = rig.hold();
-        assert_eq!(boxes[1].arrived(), [], "it waits for its connection");
-        let gone = match goes {
-            Some(goes) => goes.go(web, 1),
+        await_processing(&mut remaining);
+        let loop_guard = rig.hold();
+        assert_eq!(caches[1].arrived(), [], "it waits for its connection");
+        let kept_open = match disconnect {
+            Some(disconnect) => disconnect.apply(web, 1),
             None => Some(web),
         };
         pass(timeout + Duration::from_millis(200));
-        drop(held);
-        let begun = serve_twice(&mut boxes, &mut stays);
-        let begun: Vec<&str> = begun.iter().map(|fetch| fetch.2.as_str()).collect();
-        match goes {
-            None => assert_eq!(begun, [wire_id(1)], "one that stays gets its retry"),
-            Some(goes) => assert_eq!(begun, [""; 0], "{goes:?}"),
+        drop(loop_guard);
+        let retries = serve_remaining_client_twice(&mut caches, &mut remaining);
+        let retries: Vec<&str> = retries.iter().map(|fetch| fetch.2.as_str()).collect();
+        match disconnect {
+            None => assert_eq!(retries, [request_id(1)], "one that stays gets its retry"),
+            Some(disconnect) => assert_eq!(retries, [""; 0], "{disconnect:?}"),
         }
-        drop((filler, gone, stays));
+        drop((blocker, kept_open, remaining));
         rig.stop();
     }
 }
--- a/daemon/tests/closed_unanswered.rs
+++ b/daemon/tests/complete_requests_answered.rs
@@ -16,19 +16,19 @@
 use std::time::{Duration, Instant};
 
 /// Bytes that no client may send behind a whole request, and why.
-fn unreadable() -> Vec<(&'static str, Vec<u8>)> {
+fn invalid_bytes() -> Vec<(&'static str, Vec<u8>)> {
     let record = |kind, id, content: &[u8]| {
         let mut out = Vec::new();
         fastcgi::write_record(&mut out, kind, id, content);
         out
     };
     let begin = [0, 1, fastcgi::KEEP_CONN, 0, 0, 0, 0, 0];
-    let long = [
+    let oversized_params = [
         record(kind::BEGIN, 7, &begin),
         record(kind::PARAMS, 7, &[b'x'; 20_000]),
     ];
-    let body = WebServer::request(7, "/invoke/post", &[], &[b'x'; 50_000]);
-    let pairs = [
+    let oversized_body = WebServer::request(7, "/invoke/post", &[], &[b'x'; 50_000]);
+    let malformed_params = [
         record(kind::BEGIN, 7, &begin),
         record(kind::PARAMS, 7, &[200, 200]),
         record(kind::PARAMS, 7, &[]),
@@ -37,32 +37,37 @@
     vec![
         ("an unknown version", vec![9; 64]),
         ("a number in use", record(kind::BEGIN, 1, &begin)),
-        ("too long parameters", long.concat()),
-        ("too long a body", body),
-        ("parameters that are no pairs", pairs.concat()),
+        ("too long parameters", oversized_params.concat()),
+        ("too long a body", oversized_body),
+        ("parameters that are no pairs", malformed_params.concat()),
     ]
 }
 
 #[test]
-fn what_came_whole_is_answered_though_what_comes_behind_it_can_not_be_read() {
-    for (what, bytes) in unreadable() {
+fn complete_request_is_answered_when_the_following_bytes_are_invalid() {
+    for (case, bytes) in invalid_bytes() {
         // In one piece with the request, and behind it.
-        for apart in [false, true] {
-            let (rig, mut boxes) = scripted::<1>(|_| {});
+        for separate in [false, true] {
+            let (rig, mut caches) = scripted::<1>(|_| {});
             let mut web = rig.web();
-            let whole = request(1, &object(1), 0);
-            let fetch = if apart {
-                web.send(&whole).unwrap();
-                let fetch = next_of(&mut boxes);
+            let complete = request(1, &object(1), 0);
+            let fetch = if separate {
+                web.send(&complete).unwrap();
+                let fetch = next_of(&mut caches);
                 web.send(&bytes).unwrap();
                 fetch
             } else {
-                web.send(&[whole, bytes.clone()].concat()).unwrap();
-                next_of(&mut boxes)
+                web.send(&[complete, bytes.clone()].concat()).unwrap();
+                next_of(&mut caches)
             };
-            assert_eq!(one_is_served(&rig, &mut boxes), 200, "{what}");
-            let (_, place, fetch) = fetch;
-            boxes[0].wires[place].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+            assert_eq!(serve_another_client(&rig, &mut caches), 200, "{case}");
+            let (_, connection, fetch) = fetch;
+            caches[0].wires[connection].answer(
+                &fetch[1],
+                "200",
+                "how=local,made=1,etag=t1",
+                "a copy",
+            );
             let mut answers = BTreeMap::new();
             let end = loop {
                 match web.end() {
@@ -70,8 +75,12 @@
                     Err(e) => break e.kind(),
                 };
             };
-            assert_eq!(answers.get(&1), Some(&Some(200)), "{what}, apart: {apart}");
-            assert_eq!(end, ErrorKind::UnexpectedEof, "{what}, apart: {apart}");
+            assert_eq!(
+                answers.get(&1),
+                Some(&Some(200)),
+                "{case}, apart: {separate}"
+            );
+            assert_eq!(end, ErrorKind::UnexpectedEof, "{case}, apart: {separate}");
             drop(web);
             rig.stop();
         }
@@ -79,19 +88,19 @@
 }
 
 /// Another client is served meanwhile, by which time the daemon has read what came before.
-fn one_is_served(rig: &Rig, boxes: &mut [scripted::Scripted; 1]) -> u16 {
+fn serve_another_client(rig: &Rig, caches: &mut [scripted::Scripted; 1]) -> u16 {
     let mut other = rig.web();
     other.send(&request(50, &object(50), 0)).unwrap();
-    let (_, place, fetch) = next_of(boxes);
-    boxes[0].wires[place].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+    let (_, connection, fetch) = next_of(caches);
+    caches[0].wires[connection].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
     other.end().unwrap().1.unwrap().status
 }
 
 /// Clients that hold all memory that there is for requests in part, each beside a request that has come whole.
 #[test]
-fn too_much_of_requests_in_part_costs_no_request_that_came_whole() {
+fn partial_requests_over_the_memory_limit_reject_no_complete_request() {
     const CLIENTS: usize = 5;
-    const HALVES: u16 = 30;
+    const PARTIAL_REQUESTS: u16 = 30;
     let rig = Rig::with(&["s-0a"], |config| {
         config["limits"]["memory_mb"] = json!(16);
         config["bounds"] = json!({"partial_request_timeout_us": 60_000_000});
@@ -100,19 +109,19 @@
         hold_ms: 1_000,
         ..Manner::default()
     });
-    let mut webs: Vec<WebServer> = (0..CLIENTS).map(|_| rig.web()).collect();
-    for (n, web) in webs.iter_mut().enumerate() {
+    let mut clients: Vec<WebServer> = (0..CLIENTS).map(|_| rig.web()).collect();
+    for (n, web) in clients.iter_mut().enumerate() {
         web.ask(100, "photo", &object(n as u64), 2_500).unwrap();
     }
-    for web in &mut webs {
-        for id in 1..=HALVES {
-            let half = WebServer::request(id, "/invoke/photo", &[], &[b'x'; 40_000]);
+    for web in &mut clients {
+        for id in 1..=PARTIAL_REQUESTS {
+            let partial = WebServer::request(id, "/invoke/photo", &[], &[b'x'; 40_000]);
             // 5 times 30 times 40 KB, where 4 MB may be held.
-            web.send(&half[..half.len() - 8]).unwrap();
+            web.send(&partial[..partial.len() - 8]).unwrap();
         }
     }
     let mut refused = 0;
-    for (n, web) in webs.iter_mut().enumerate() {
+    for (n, web) in clients.iter_mut().enumerate() {
         let status = loop {
             let (id, answer) = web
                 .end()
@@ -130,47 +139,47 @@
     assert!(refused > 0, "some of them made room");
     rig.boxes[0].behave(Manner::default());
     assert_eq!(one(&mut rig.web(), "photo", &object(99)).status, 200);
-    drop(webs);
+    drop(clients);
     rig.stop();
 }
 
 /// A quiet client's request that comes in pieces does not pay for others that hold far more.
 #[test]
-fn who_holds_most_of_requests_in_part_makes_room_and_not_who_comes_last() {
+fn partial_request_memory_is_reclaimed_from_the_largest_holder() {
     let rig = Rig::with(&["s-0a"], |config| {
         config["limits"]["memory_mb"] = json!(16);
         config["bounds"] = json!({"partial_request_timeout_us": 60_000_000});
     });
-    let mut crowd: Vec<WebServer> = (0..4).map(|_| rig.web()).collect();
+    let mut busy_clients: Vec<WebServer> = (0..4).map(|_| rig.web()).collect();
     // All but 2 KB of the 4 MB that may be held.
-    for (n, web) in crowd.iter_mut().enumerate() {
+    for (n, web) in busy_clients.iter_mut().enumerate() {
         for id in 1..=26 {
-            let half = WebServer::request(id, "/invoke/photo", &[], &[b'x'; 40_000]);
-            web.send(&half[..half.len() - 8]).unwrap();
+            let partial = WebServer::request(id, "/invoke/photo", &[], &[b'x'; 40_000]);
+            web.send(&partial[..partial.len() - 8]).unwrap();
         }
         if n == 0 {
-            let half = WebServer::request(27, "/invoke/photo", &[], &[b'x'; 30_000]);
-            web.send(&half[..half.len() - 8]).unwrap();
+            let partial = WebServer::request(27, "/invoke/photo", &[], &[b'x'; 30_000]);
+            web.send(&partial[..partial.len() - 8]).unwrap();
         }
     }
     let mut quiet = rig.web();
-    let whole = request(1, &object(1), 9_000);
-    for piece in whole.chunks(1_000) {
+    let complete = request(1, &object(1), 9_000);
+    for piece in complete.chunks(1_000) {
         quiet.send(piece).unwrap();
         // Each piece is read on its own: another client is answered behind it.
         assert_eq!(one(&mut rig.web(), "photo", &object(2)).status, 200);
     }
     let (_, answer) = quiet.end().expect("an answer");
     assert_eq!(answer.unwrap().status, 200);
-    drop((crowd, quiet));
+    drop((busy_clients, quiet));
     rig.stop();
 }
 
 /// In a full table a client that has just been answered does not make room for others before clients that have rested
 /// for longer, however long its answer took: its next request is on its way.
 #[test]
-fn a_client_that_was_answered_a_moment_ago_makes_no_room_though_it_asked_long_ago() {
-    const PLACES: usize = 24;
+fn a_recently_answered_client_is_not_evicted_before_longer_idle_clients() {
+    const CLIENT_SLOTS: usize = 24;
     let rig = Rig::with(&["s-0a"], |config| {
         config["limits"] = json!({"memory_mb": 192, "sockets": 64});
         // The box is waited for.
@@ -180,27 +189,27 @@
         hold_ms: 600,
         ..Manner::default()
     });
-    let rests = || {
+    let connect_idle = || {
         let mut web = rig.web();
         web.send(&WebServer::request(9, "/_health", &[], b""))
             .unwrap();
         assert_eq!(web.end().unwrap().1.unwrap().status, 200);
         web
     };
-    let mut quiet = rests();
+    let mut quiet = connect_idle();
     quiet.ask(1, "photo", &object(1), 2_500).unwrap();
-    let resting: Vec<WebServer> = (1..PLACES).map(|_| rests()).collect();
+    let idle: Vec<WebServer> = (1..CLIENT_SLOTS).map(|_| connect_idle()).collect();
     assert_eq!(quiet.end().unwrap().1.unwrap().status, 200);
-    let newcomer = rests();
+    let new_client = connect_idle();
     rig.boxes[0].behave(Manner::default());
     assert_eq!(one(&mut quiet, "photo", &object(2)).status, 200);
-    drop((quiet, resting, newcomer));
+    drop((quiet, idle, new_client));
     rig.stop();
 }
 
 /// Others flood, fill the table of requests and get no answers.
 #[test]
-fn a_quiet_client_gets_every_answer_beside_a_flood_a_full_table_and_a_box_that_never_answers() {
+fn a_quiet_client_is_answered_during_a_flood_with_an_unresponsive_cache() {
     let mut rig = Rig::with(&["s-0a", "s-0b"], |config| {
         config["limits"] = json!({"memory_mb": 16, "sockets": 256});
     });
@@ -213,16 +222,16 @@
     let stop = AtomicBool::new(false);
     let mut statuses = BTreeMap::<u16, u32>::new();
     std::thread::scope(|scope| {
-        let (front, stop) = (rig.front, Stops(&stop));
-        for flooding in 0..40_u64 {
+        let (front, stop) = (rig.front, StopOnDrop(&stop));
+        for client in 0..40_u64 {
             let stop = stop.0;
-            scope.spawn(move || flood(front, flooding, stop));
+            scope.spawn(move || flood(front, client, stop));
         }
         for n in 0..12 {
-            let asked = Instant::now();
+            let sent_at = Instant::now();
             let status = one(&mut quiet, "photo", &object(1_000 + n)).status;
             // 2.5 s, and what the machine may take beside.
-            assert!(asked.elapsed() < Duration::from_millis(3_000), "{n}");
+            assert!(sent_at.elapsed() < Duration::from_millis(3_000), "{n}");
             *statuses.entry(status).or_default() += 1;
         }
     });
@@ -233,9 +242,9 @@
 }
 
 /// Stops a flood, also where the test fails.
-struct Stops<'a>(&'a AtomicBool);
+struct StopOnDrop<'a>(&'a AtomicBool);
 
-impl Drop for Stops<'_> {
+impl Drop for StopOnDrop<'_> {
     fn drop(&mut self) {
         self.0.store(true, Ordering::SeqCst);
     }
--- a/daemon/tests/deadline_passed.rs
+++ b/daemon/tests/deadline_propagation.rs
@@ -22,7 +22,7 @@
 const STALL: Duration = Duration::from_millis(1_000);
 
 /// What an attempt passes on.
-fn passed(fields: &str) -> Duration {
+fn forwarded_deadline(fields: &str) -> Duration {
     let wait = fields
         .split(',')
         .find_map(|field| field.strip_prefix("wait="));
@@ -30,90 +30,93 @@
 }
 
 /// Checks a deadline that came to a box against a client that asked at a time.
-fn check(what: &str, fields: &str, asked: Instant) {
-    let left = BUDGET.saturating_sub(asked.elapsed());
-    let passed = passed(fields);
-    println!("{what}: {passed:?} passed on, {left:?} left");
-    assert!(passed <= left + SLACK, "{what}: {passed:?} of {left:?}");
+fn assert_deadline_within_budget(case: &str, fields: &str, sent_at: Instant) {
+    let remaining = BUDGET.saturating_sub(sent_at.elapsed());
+    let forwarded_deadline = forwarded_deadline(fields);
+    println!("{case}: {forwarded_deadline:?} passed on, {remaining:?} left");
+    assert!(
+        forwarded_deadline <= remaining + SLACK,
+        "{case}: {forwarded_deadline:?} of {remaining:?}"
+    );
 }
 
 #[test]
-fn a_first_attempt_its_retry_and_its_fill_pass_on_what_is_left_by_then() {
+fn first_attempt_retry_and_fill_carry_the_remaining_deadline() {
     // At the other box, and at the same one with a fill.
-    answered_late("503", "-");
-    answered_late("404", "-");
-    answered_late("503", "how=cut_off");
+    check_retry_deadline("503", "-");
+    check_retry_deadline("404", "-");
+    check_retry_deadline("503", "how=cut_off");
 }
 
-fn answered_late(word: &str, fields: &str) {
-    let (rig, mut boxes) = scripted::<2>(add_parents);
+fn check_retry_deadline(status: &str, fields: &str) {
+    let (rig, mut caches) = scripted::<2>(add_parents);
     let mut web = rig.web();
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     web.send(&request(1, &object(1), 0)).unwrap();
-    let (at, place, fetch) = next_of(&mut boxes);
-    check("a first attempt", &fetch[2], asked);
+    let (at, connection, fetch) = next_of(&mut caches);
+    assert_deadline_within_budget("a first attempt", &fetch[2], sent_at);
     pass(Duration::from_millis(300));
-    boxes[at].wires[place].answer(&fetch[1], word, fields, "");
-    let (at, place, fetch) = next_of(&mut boxes);
-    check("a further attempt", &fetch[2], asked);
-    boxes[at].wires[place].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+    caches[at].wires[connection].answer(&fetch[1], status, fields, "");
+    let (at, connection, fetch) = next_of(&mut caches);
+    assert_deadline_within_budget("a further attempt", &fetch[2], sent_at);
+    caches[at].wires[connection].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
     assert_eq!(web.end().unwrap().1.unwrap().status, 200);
     drop(web);
     rig.stop();
 }
 
 #[test]
-fn an_attempt_that_waited_for_its_connection_passes_on_what_is_left_when_it_begins() {
-    let (rig, mut boxes) = scripted::<1>(|config| {
+fn attempt_delayed_by_its_connection_carries_the_remaining_deadline() {
+    let (rig, mut caches) = scripted::<1>(|config| {
         config["settings"]["limits"]["connect-timeout-us"] = json!(8_000_000);
     });
-    let filler = full(&boxes[0]);
+    let blocker = full(&caches[0]);
     let mut web = rig.web();
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     web.send(&request(1, &object(1), 0)).unwrap();
     // The system sends the first segment of a connection again after a second only.
     pass(Duration::from_millis(300));
-    let (_, place, fetch) = next_of(&mut boxes);
-    check("a late connection", &fetch[2], asked);
-    boxes[0].wires[place].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+    let (_, connection, fetch) = next_of(&mut caches);
+    assert_deadline_within_budget("a late connection", &fetch[2], sent_at);
+    caches[0].wires[connection].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
     assert_eq!(web.end().unwrap().1.unwrap().status, 200);
-    drop((filler, web));
+    drop((blocker, web));
     rig.stop();
 }
 
 /// A request's time runs from its last byte on, and not from when it is read.
 #[test]
-fn what_came_while_the_loop_was_kept_passes_on_what_is_left() {
-    let (mut rig, mut boxes) = scripted::<1>(|_| {});
-    let mut open = rig.web();
-    open.send(&request(1, &object(1), 0)).unwrap();
-    let (_, place, fetch) = next_of(&mut boxes);
-    boxes[0].wires[place].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
-    assert_eq!(open.end().unwrap().1.unwrap().status, 200);
-    let held = rig.hold();
-    let asked = Instant::now();
-    open.send(&request(2, &object(2), 0)).unwrap();
-    let mut new = rig.web();
-    new.send(&request(3, &object(3), 0)).unwrap();
+fn requests_read_by_a_blocked_loop_carry_the_remaining_deadline() {
+    let (mut rig, mut caches) = scripted::<1>(|_| {});
+    let mut existing_client = rig.web();
+    existing_client.send(&request(1, &object(1), 0)).unwrap();
+    let (_, connection, fetch) = next_of(&mut caches);
+    caches[0].wires[connection].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+    assert_eq!(existing_client.end().unwrap().1.unwrap().status, 200);
+    let loop_guard = rig.hold();
+    let sent_at = Instant::now();
+    existing_client.send(&request(2, &object(2), 0)).unwrap();
+    let mut new_client = rig.web();
+    new_client.send(&request(3, &object(3), 0)).unwrap();
     pass(STALL);
-    drop(held);
-    let mut begun = 0;
-    while begun < 2 {
-        for (_, place, id, fields) in fetches(&mut boxes) {
-            check("a kept loop", &fields, asked);
-            boxes[0].wires[place].answer(&id, "200", "how=local,made=1,etag=t1", "a copy");
-            begun += 1;
+    drop(loop_guard);
+    let mut received = 0;
+    while received < 2 {
+        for (_, connection, id, fields) in fetches(&mut caches) {
+            assert_deadline_within_budget("a kept loop", &fields, sent_at);
+            caches[0].wires[connection].answer(&id, "200", "how=local,made=1,etag=t1", "a copy");
+            received += 1;
         }
-        assert!(asked.elapsed() < Duration::from_secs(10), "nothing comes");
+        assert!(sent_at.elapsed() < Duration::from_secs(10), "nothing comes");
         std::thread::yield_now();
     }
-    assert_eq!(open.end().unwrap().1.unwrap().status, 200);
-    assert_eq!(new.end().unwrap().1.unwrap().status, 200);
+    assert_eq!(existing_client.end().unwrap().1.unwrap().status, 200);
+    assert_eq!(new_client.end().unwrap().1.unwrap().status, 200);
     // What comes when the loop goes on has all of its time.
-    open.send(&request(4, &object(4), 0)).unwrap();
-    let (_, _, fetch) = next_of(&mut boxes);
-    assert!(passed(&fetch[2]) > BUDGET - SLACK, "{fetch:?}");
-    drop((open, new));
+    existing_client.send(&request(4, &object(4), 0)).unwrap();
+    let (_, _, fetch) = next_of(&mut caches);
+    assert!(forwarded_deadline(&fetch[2]) > BUDGET - SLACK, "{fetch:?}");
+    drop((existing_client, new_client));
     rig.stop();
 }
 
@@ -188,34 +191,34 @@
 }
 
 /// A request of the process, and when it was asked.
-fn ask(web: &mut WebServer, n: u64) -> Instant {
-    let asked = Instant::now();
+fn send_request(web: &mut WebServer, n: u64) -> Instant {
+    let sent_at = Instant::now();
     web.ask(1, "photo", &object(n), BUDGET.as_millis() as u64)
         .unwrap();
-    asked
+    sent_at
 }
 
 #[test]
-fn what_came_while_the_process_was_stopped_passes_on_what_is_left() {
+fn requests_received_by_a_stopped_process_carry_the_remaining_deadline() {
     let site = Site::start();
-    let mut open = WebServer::connect(site.front).unwrap();
-    ask(&mut open, 1);
-    assert_eq!(open.end().unwrap().1.unwrap().status, 200);
+    let mut existing_client = WebServer::connect(site.front).unwrap();
+    send_request(&mut existing_client, 1);
+    assert_eq!(existing_client.end().unwrap().1.unwrap().status, 200);
     for round in 1..=3 {
         site.freeze();
-        let asked = ask(&mut open, 10 * round + 2);
-        let mut new = WebServer::connect(site.front).unwrap();
-        ask(&mut new, 10 * round + 3);
+        let sent_at = send_request(&mut existing_client, 10 * round + 2);
+        let mut new_client = WebServer::connect(site.front).unwrap();
+        send_request(&mut new_client, 10 * round + 3);
         pass(STALL);
         site.signal(Signal::CONT);
         for n in [10 * round + 2, 10 * round + 3] {
-            let came = site
+            let fetch = site
                 .cache
                 .wait_for(|a| a.word == "fetch" && a.field("key") == Some(&object(n)))
                 .expect("a call");
-            check("a stopped process", &came.fields, asked);
+            assert_deadline_within_budget("a stopped process", &fetch.fields, sent_at);
         }
-        assert_eq!(open.end().unwrap().1.unwrap().status, 200);
-        assert_eq!(new.end().unwrap().1.unwrap().status, 200);
+        assert_eq!(existing_client.end().unwrap().1.unwrap().status, 200);
+        assert_eq!(new_client.end().unwrap().1.unwrap().status, 200);
     }
 }
