--- a/daemon/tests/budgets.rs
+++ b/daemon/tests/budgets.rs
@@ -28,16 +28,16 @@
     json!({"origin": {"whole": limit, "floor": RESERVED}})
 }
 
-struct Ground {
+struct BudgetTest {
     fleet: Fleet,
     clients: Vec<Option<Pressure>>,
-    begun: Instant,
+    started_at: Instant,
     limits: Vec<LimitFrom>,
 }
 
-impl Ground {
+impl BudgetTest {
     /// So many proxies, the first of which have clients.
-    fn start(proxies: usize, pressed: usize, seed: u64, planted: &str) -> Ground {
+    fn start(proxies: usize, proxies_with_clients: usize, seed: u64, planted: &str) -> BudgetTest {
         let setup = Setup {
             budgets: origin(LIMIT),
             deadline_us: Some(DEADLINE_US),
@@ -52,27 +52,27 @@
                 ..Default::default()
             });
         let clients = (0..proxies).map(|_| None).collect();
-        let mut ground = Ground {
+        let mut test = BudgetTest {
             fleet,
             clients,
-            begun: Instant::now(),
+            started_at: Instant::now(),
             limits: vec![LimitFrom {
                 from: 0,
                 limit: LIMIT,
             }],
         };
-        (0..pressed).for_each(|n| ground.press(n));
-        ground
+        (0..proxies_with_clients).for_each(|n| test.add_clients(n));
+        test
     }
 
     /// A proxy has clients from now on.
-    fn press(&mut self, n: usize) {
+    fn add_clients(&mut self, n: usize) {
         let front = self.fleet.process(n).unwrap().front;
         self.clients[n] = Some(Pressure::on(front, CLIENTS));
     }
 
     fn now(&self) -> u64 {
-        self.begun.elapsed().as_micros() as u64
+        self.started_at.elapsed().as_micros() as u64
     }
 
     fn kill(&mut self, n: usize) {
@@ -91,7 +91,7 @@
     }
 
     /// What a proxy tells of the places; none where it does not run, or stands still.
-    fn places(&self, n: usize) -> Option<BudgetStatus> {
+    fn budget_status(&self, n: usize) -> Option<BudgetStatus> {
         self.fleet
             .budgets(n)
             .ok()
@@ -105,49 +105,53 @@
             allocator = of
                 .iter()
                 .copied()
-                .find(|n| self.places(*n).is_some_and(|b| b.leads));
+                .find(|n| self.budget_status(*n).is_some_and(|b| b.leads));
             allocator.is_some()
         });
         allocator.unwrap()
     }
 
-    fn until(&self, what: &str, so: impl FnMut() -> bool) {
+    fn until(&self, what: &str, condition: impl FnMut() -> bool) {
         let statuses = || {
             (0..self.clients.len())
-                .map(|n| (n, self.places(n)))
+                .map(|n| (n, self.budget_status(n)))
                 .collect::<Vec<_>>()
         };
-        assert!(becomes(3 * TIMEOUT, so), "never: {what}: {:#?}", statuses());
+        assert!(
+            becomes(3 * TIMEOUT, condition),
+            "never: {what}: {:#?}",
+            statuses()
+        );
     }
 
     /// The mean of what the origin held in the last half second.
-    fn used(&self) -> f64 {
+    fn mean_in_use(&self) -> f64 {
         let now = self.now();
         mean(
-            &self.fleet.origin.spans(self.begun),
+            &self.fleet.origin.spans(self.started_at),
             now.saturating_sub(500_000),
             now,
         )
     }
 
     /// Waits until the origin holds so many on average.
-    fn until_used(&self, what: &str, places: f64) {
-        self.until(what, || self.used() >= places);
+    fn until_in_use(&self, what: &str, places: f64) {
+        self.until(what, || self.mean_in_use() >= places);
     }
 
     fn breaches(&self) -> Vec<Breach> {
-        judge(&self.fleet.origin.spans(self.begun), &self.limits)
+        judge(&self.fleet.origin.spans(self.started_at), &self.limits)
     }
 
     /// Time passes under load, as it does while something is broken.
-    fn pass(&self, time: Duration) {
+    fn run_for(&self, time: Duration) {
         std::thread::sleep(time);
     }
 
     /// All that was held fits the limit, something was, and each proxy that has clients still answers.
-    fn judge(&self) {
+    fn assert_limit_kept(&self) {
         assert_eq!(self.breaches(), []);
-        assert!(!self.fleet.origin.spans(self.begun).is_empty());
+        assert!(!self.fleet.origin.spans(self.started_at).is_empty());
         for n in (0..self.clients.len()).filter(|n| self.fleet.process(*n).is_ok()) {
             if let Some(clients) = &self.clients[n] {
                 let before = clients.answers().served;
@@ -159,96 +163,92 @@
     }
 }
 
-const ALL: [usize; 3] = [0, 1, 2];
+const ALL_PROXIES: [usize; 3] = [0, 1, 2];
 /// Nearly all that is left to others while one lives on its reserved minimum.
-const REST: f64 = (LIMIT - RESERVED) as f64 * 0.8;
+const REMAINING_SHARE: f64 = (LIMIT - RESERVED) as f64 * 0.8;
 
 /// So many proxies that use all places, and the one that leads them.
-fn full(proxies: usize, seed: u64, planted: &str) -> (Ground, usize) {
-    let ground = Ground::start(proxies, proxies, seed, planted);
-    ground.until_used("all places are used", LIMIT as f64 * 0.8);
-    let allocator = ground.allocator(&(0..proxies).collect::<Vec<_>>());
-    (ground, allocator)
+fn start_saturated(proxies: usize, seed: u64, planted: &str) -> (BudgetTest, usize) {
+    let test = BudgetTest::start(proxies, proxies, seed, planted);
+    test.until_in_use("all places are used", LIMIT as f64 * 0.8);
+    let allocator = test.allocator(&(0..proxies).collect::<Vec<_>>());
+    (test, allocator)
 }
 
 /// The allocator is lost in some way: another leads and the others use the rest. It is found again, and takes nothing
 /// away.
-fn lost_and_found(
+fn allocator_fails_and_recovers(
     seed: u64,
-    lose: impl FnOnce(&mut Ground, usize),
-    find: impl FnOnce(&mut Ground, usize),
+    fail: impl FnOnce(&mut BudgetTest, usize),
+    recover: impl FnOnce(&mut BudgetTest, usize),
 ) {
-    let (mut ground, allocator) = full(3, seed, "");
-    lose(&mut ground, allocator);
-    let next = ground.allocator(&others(allocator));
-    ground.until_used("the others use the rest", REST);
-    find(&mut ground, allocator);
-    ground.until("it has a lease again, and knows who leads", || {
-        let knows =
+    let (mut test, allocator) = start_saturated(3, seed, "");
+    fail(&mut test, allocator);
+    let next = test.allocator(&others(allocator));
+    test.until_in_use("the others use the rest", REMAINING_SHARE);
+    recover(&mut test, allocator);
+    test.until("it has a lease again, and knows who leads", || {
+        let follows_next =
             |b: BudgetStatus| !b.reserved_only && !b.leads && b.allocator == format!("p{next}");
-        ground.places(allocator).is_some_and(knows)
+        test.budget_status(allocator).is_some_and(follows_next)
     });
-    ground.judge();
+    test.assert_limit_kept();
 }
 
 fn others(of: usize) -> Vec<usize> {
-    ALL.into_iter().filter(|n| *n != of).collect()
+    ALL_PROXIES.into_iter().filter(|n| *n != of).collect()
 }
 
 #[test]
-fn what_idle_proxies_do_not_use_is_used_by_the_busy_one_and_shared_when_others_come() {
-    let mut ground = Ground::start(3, 1, 1, "");
-    ground.until_used(
+fn unused_budget_goes_to_busy_proxies_and_is_shared_when_others_need_it() {
+    let mut test = BudgetTest::start(3, 1, 1, "");
+    test.until_in_use(
         "one alone has nearly all places",
         (LIMIT - 2 * RESERVED) as f64 * 0.85,
     );
-    ground.press(1);
-    ground.press(2);
-    ground.until("each has a fair lease", || {
-        ALL.iter().all(|n| {
-            ground
-                .places(*n)
+    test.add_clients(1);
+    test.add_clients(2);
+    test.until("each has a fair lease", || {
+        ALL_PROXIES.iter().all(|n| {
+            test.budget_status(*n)
                 .is_some_and(|b| b.lease >= LIMIT / 3 - 2 && !b.reserved_only)
         })
     });
-    ground.until_used("together they use nearly all", LIMIT as f64 * 0.85);
-    ground.judge();
+    test.until_in_use("together they use nearly all", LIMIT as f64 * 0.85);
+    test.assert_limit_kept();
 }
 
 #[test]
-fn an_allocator_that_is_killed_is_followed_by_another_and_comes_back_as_one_of_them() {
-    lost_and_found(2, Ground::kill, |ground, allocator| {
-        ground.restart(allocator, "");
+fn a_killed_allocator_is_replaced_and_returns_as_a_member() {
+    allocator_fails_and_recovers(2, BudgetTest::kill, |test, allocator| {
+        test.restart(allocator, "");
     });
 }
 
 /// It stands still for longer than its votes last, another has them by then, and it goes on as if nothing was: two that
 /// both believe.
 #[test]
-fn an_allocator_that_stands_still_and_goes_on_is_no_second_one() {
-    lost_and_found(
+fn a_stalled_allocator_does_not_allocate_after_its_replacement() {
+    allocator_fails_and_recovers(
         5,
-        |ground, allocator| ground.fleet.stall(allocator).unwrap(),
-        |ground, allocator| ground.fleet.go_on(allocator).unwrap(),
+        |test, allocator| test.fleet.stall(allocator).unwrap(),
+        |test, allocator| test.fleet.go_on(allocator).unwrap(),
     );
 }
 
 #[test]
-fn an_allocator_on_the_lesser_side_of_a_split_lives_on_its_reserved_minimum_and_the_greater_side_goes_on(
-) {
-    lost_and_found(
+fn an_allocator_in_the_minority_falls_back_to_its_reserved_minimum() {
+    allocator_fails_and_recovers(
         7,
-        |ground, allocator| {
-            ground.fleet.links.split(&[allocator], LinkConditions::CUT);
-            ground.until("it lives on its reserved minimum", || {
-                ground
-                    .places(allocator)
+        |test, allocator| {
+            test.fleet.links.split(&[allocator], LinkConditions::CUT);
+            test.until("it lives on its reserved minimum", || {
+                test.budget_status(allocator)
                     .is_some_and(|b| b.reserved_only && b.lease == RESERVED && !b.leads)
             });
         },
-        |ground, allocator| {
-            ground
-                .fleet
+        |test, allocator| {
+            test.fleet
                 .links
                 .split(&[allocator], LinkConditions::default());
         },
@@ -257,175 +257,170 @@
 
 /// It receives all and nothing that it sends arrives.
 #[test]
-fn an_allocator_that_hears_and_is_not_heard_is_followed_by_another() {
-    let set = |ground: &mut Ground, allocator, conditions| {
+fn an_allocator_that_can_only_receive_is_replaced() {
+    let set_links = |test: &mut BudgetTest, allocator, conditions| {
         others(allocator)
             .into_iter()
-            .for_each(|n| ground.fleet.links.set((allocator, n), conditions));
+            .for_each(|n| test.fleet.links.set((allocator, n), conditions));
     };
-    lost_and_found(
+    allocator_fails_and_recovers(
         8,
-        |ground, allocator| set(ground, allocator, LinkConditions::CUT),
-        |ground, allocator| set(ground, allocator, LinkConditions::default()),
+        |test, allocator| set_links(test, allocator, LinkConditions::CUT),
+        |test, allocator| set_links(test, allocator, LinkConditions::default()),
     );
 }
 
 /// In the middle of an allocation: it has decided on leases, and their holders have received them or have not.
 #[test]
-fn an_allocator_that_dies_before_and_after_its_holders_hear_of_their_leases_has_given_nothing_twice(
-) {
+fn an_allocator_crash_around_a_grant_grants_nothing_twice() {
     for (seed, point) in ["budgets-grant", "budgets-granted"].into_iter().enumerate() {
-        let (mut ground, allocator) = full(3, 3 + seed as u64, "");
+        let (mut test, allocator) = start_saturated(3, 3 + seed as u64, "");
         // Whichever leads next dies of its first grant.
         for n in others(allocator) {
-            ground.kill(n);
-            ground.restart(n, &format!("{point}=die"));
-            ground.until("it is back", || {
-                ground.places(n).is_some_and(|b| !b.reserved_only)
+            test.kill(n);
+            test.restart(n, &format!("{point}=die"));
+            test.until("it is back", || {
+                test.budget_status(n).is_some_and(|b| !b.reserved_only)
             });
         }
-        ground.kill(allocator);
-        ground.until("the next has died of its first grant", || {
+        test.kill(allocator);
+        test.until("the next has died of its first grant", || {
             others(allocator)
                 .into_iter()
-                .any(|n| ground.fleet.process(n).is_err())
+                .any(|n| test.fleet.process(n).is_err())
         });
-        ground.restart(allocator, "");
+        test.restart(allocator, "");
         for n in others(allocator) {
-            ground.kill(n);
-            ground.restart(n, "");
+            test.kill(n);
+            test.restart(n, "");
         }
-        ground.until_used("all places are used again", LIMIT as f64 * 0.75);
-        ground.judge();
+        test.until_in_use("all places are used again", LIMIT as f64 * 0.75);
+        test.assert_limit_kept();
     }
 }
 
 /// The list of peers gives each member its index. A proxy whose list changes while it runs would take one member's messages
 /// for another's.
 #[test]
-fn a_proxy_whose_list_of_peers_changes_shares_nothing_before_its_next_start() {
-    let (mut ground, allocator) = full(3, 14, "");
+fn a_proxy_with_a_changed_peer_list_shares_nothing_until_its_restart() {
+    let (mut test, allocator) = start_saturated(3, 14, "");
     let changed = others(allocator)[0];
-    ground.fleet.reorder_peers(changed).unwrap();
-    ground.until("it lives on its reserved minimum", || {
-        ground
-            .places(changed)
+    test.fleet.reorder_peers(changed).unwrap();
+    test.until("it lives on its reserved minimum", || {
+        test.budget_status(changed)
             .is_some_and(|b| b.reserved_only && b.lease == RESERVED && !b.leads)
     });
-    ground.until_used("the others use the rest", REST);
-    ground.judge();
+    test.until_in_use("the others use the rest", REMAINING_SHARE);
+    test.assert_limit_kept();
 }
 
 #[test]
-fn a_holder_that_stands_still_past_its_end_goes_on_with_its_reserved_minimum() {
-    let (ground, allocator) = full(3, 6, "");
+fn a_holder_stalled_past_its_lease_resumes_with_its_reserved_minimum() {
+    let (test, allocator) = start_saturated(3, 6, "");
     let holder = others(allocator)[0];
     for _ in 0..3 {
-        ground.fleet.stall(holder).unwrap();
-        ground.until_used("the others use what was its", REST);
-        ground.fleet.go_on(holder).unwrap();
-        ground.until("it has a lease again", || {
-            ground
-                .places(holder)
+        test.fleet.stall(holder).unwrap();
+        test.until_in_use("the others use what was its", REMAINING_SHARE);
+        test.fleet.go_on(holder).unwrap();
+        test.until("it has a lease again", || {
+            test.budget_status(holder)
                 .is_some_and(|b| !b.reserved_only && b.lease > RESERVED)
         });
     }
-    ground.judge();
+    test.assert_limit_kept();
 }
 
 #[test]
-fn each_holders_link_to_the_allocator_lost_for_long_leaves_it_its_reserved_minimum_and_the_others_the_rest(
-) {
-    let (ground, allocator) = full(4, 9, "");
+fn a_holder_cut_off_from_the_allocator_falls_back_to_its_reserved_minimum() {
+    let (test, allocator) = start_saturated(4, 9, "");
     let holders: Vec<usize> = (0..4).filter(|n| *n != allocator).collect();
     for holder in holders {
-        ground
-            .fleet
+        test.fleet
             .links
             .set((holder, allocator), LinkConditions::CUT);
-        ground.until("it lives on its reserved minimum", || {
-            ground.places(holder).is_some_and(|b| b.reserved_only)
+        test.until("it lives on its reserved minimum", || {
+            test.budget_status(holder).is_some_and(|b| b.reserved_only)
         });
-        ground.until_used("the others have the rest", REST);
-        ground
-            .fleet
+        test.until_in_use("the others have the rest", REMAINING_SHARE);
+        test.fleet
             .links
             .set((holder, allocator), LinkConditions::default());
-        ground.until("it has a lease again", || {
-            ground.places(holder).is_some_and(|b| !b.reserved_only)
+        test.until("it has a lease again", || {
+            test.budget_status(holder).is_some_and(|b| !b.reserved_only)
         });
     }
-    ground.judge();
+    test.assert_limit_kept();
 }
 
 #[test]
-fn datagrams_lost_by_a_third_doubled_and_out_of_order_cost_places_and_no_more() {
-    let ground = Ground::start(3, 3, 10, "");
-    let rough = LinkConditions {
+fn lossy_links_keep_the_limit_and_most_places_in_use() {
+    let test = BudgetTest::start(3, 3, 10, "");
+    let lossy = LinkConditions {
         drop: 0.33,
         duplicate: 0.33,
         reorder: 0.33,
         jitter_ms: 60.0,
         ..LinkConditions::default()
     };
-    ground.fleet.links.set_all(rough);
-    ground.until_used("most places are used", LIMIT as f64 * 0.75);
-    ground.pass(Duration::from_secs(2));
-    ground.judge();
+    test.fleet.links.set_all(lossy);
+    test.until_in_use("most places are used", LIMIT as f64 * 0.75);
+    test.run_for(Duration::from_secs(2));
+    test.assert_limit_kept();
 }
 
 /// Half of the proxies die at once and are back at once, and know nothing of what they granted and had.
 #[test]
-fn half_of_all_killed_at_once_and_back_at_once_spend_nothing_twice() {
-    let (mut ground, allocator) = full(4, 11, "");
+fn restarting_half_of_the_proxies_at_once_keeps_the_limit() {
+    let (mut test, allocator) = start_saturated(4, 11, "");
     for other in [(allocator + 1) % 4, (allocator + 2) % 4] {
-        ground.kill(allocator);
-        ground.kill(other);
-        ground.restart(allocator, "");
-        ground.restart(other, "");
-        ground.until_used("all places are used again", LIMIT as f64 * 0.75);
+        test.kill(allocator);
+        test.kill(other);
+        test.restart(allocator, "");
+        test.restart(other, "");
+        test.until_in_use("all places are used again", LIMIT as f64 * 0.75);
     }
-    ground.judge();
+    test.assert_limit_kept();
 }
 
 /// One after the other, as an upgrade goes, each told to end (SIGTERM).
 #[test]
 fn a_rolling_restart_of_all_keeps_the_limit() {
-    let (mut ground, _) = full(3, 12, "");
-    for n in ALL {
-        ground.clients[n]
+    let (mut test, _) = start_saturated(3, 12, "");
+    for n in ALL_PROXIES {
+        test.clients[n]
             .iter()
             .for_each(|clients| clients.send_to(None));
-        assert!(ground.fleet.end(n).unwrap(), "p{n} ends well");
-        ground.restart(n, "");
+        assert!(test.fleet.end(n).unwrap(), "p{n} ends well");
+        test.restart(n, "");
     }
-    ground.until_used("all places are used again", LIMIT as f64 * 0.75);
-    ground.judge();
+    test.until_in_use("all places are used again", LIMIT as f64 * 0.75);
+    test.assert_limit_kept();
 }
 
 #[test]
-fn a_limit_that_is_lowered_by_half_while_all_of_it_is_out_holds_once_that_has_ended() {
-    let (mut ground, _) = full(3, 13, "");
-    ground.fleet.set_budgets(origin(LIMIT / 2)).unwrap();
-    ground.until("all know of it", || {
-        ALL.iter()
-            .all(|n| ground.places(*n).is_some_and(|b| b.limit == LIMIT / 2))
+fn a_halved_limit_holds_once_earlier_leases_have_expired() {
+    let (mut test, _) = start_saturated(3, 13, "");
+    test.fleet.set_budgets(origin(LIMIT / 2)).unwrap();
+    test.until("all know of it", || {
+        ALL_PROXIES
+            .iter()
+            .all(|n| test.budget_status(*n).is_some_and(|b| b.limit == LIMIT / 2))
     });
     // What was granted of the limit before may be spent for a second more, and settles within another.
-    ground.pass(Duration::from_micros(1_000_000 + DEADLINE_US));
-    ground.limits.push(LimitFrom {
-        from: ground.now(),
+    test.run_for(Duration::from_micros(1_000_000 + DEADLINE_US));
+    test.limits.push(LimitFrom {
+        from: test.now(),
         limit: LIMIT / 2,
     });
-    ground.pass(Duration::from_secs(1));
-    ground.until_used("all of that is used", (LIMIT / 2) as f64 * 0.8);
+    test.run_for(Duration::from_secs(1));
+    test.until_in_use("all of that is used", (LIMIT / 2) as f64 * 0.8);
     // One that its reserved minimums don't fit stays out.
-    ground.fleet.set_budgets(origin(3 * RESERVED - 1)).unwrap();
-    ground.pass(Duration::from_millis(300));
-    assert!(ALL
+    test.fleet.set_budgets(origin(3 * RESERVED - 1)).unwrap();
+    test.run_for(Duration::from_millis(300));
+    assert!(ALL_PROXIES
         .iter()
-        .all(|n| ground.places(*n).is_some_and(|b| b.limit == LIMIT / 2)));
-    ground.judge();
+        .all(|n| test.budget_status(*n).is_some_and(|b| b.limit == LIMIT / 2)));
+    test.assert_limit_kept();
 }
 
 /// Tools read these keys, whatever the fields are called here.
@@ -469,20 +464,20 @@
 
 /// Each planted fault is seen by the origin.
 #[test]
-fn planted_faults_are_found() {
+fn planted_faults_are_detected() {
     // Floors that are not set aside: that shows by itself.
-    let ground = Ground::start(3, 3, 20, "plant-floors=fail");
-    ground.until("more is held than may be", || !ground.breaches().is_empty());
-    drop(ground);
+    let test = BudgetTest::start(3, 3, 20, "plant-floors=fail");
+    test.until("more is held than may be", || !test.breaches().is_empty());
+    drop(test);
     // A holder that ignores its lease's end: cut off, it goes on with what the others have been given by then.
-    let (ground, allocator) = full(3, 21, "plant-lease=fail");
+    let (test, allocator) = start_saturated(3, 21, "plant-lease=fail");
     let holder = others(allocator)[0];
-    ground.fleet.links.split(&[holder], LinkConditions::CUT);
-    ground.until("more is held than may be", || !ground.breaches().is_empty());
-    drop(ground);
+    test.fleet.links.split(&[holder], LinkConditions::CUT);
+    test.until("more is held than may be", || !test.breaches().is_empty());
+    drop(test);
     // An allocator that waits for nobody's vote: each side of a split has one.
-    let ground = Ground::start(3, 3, 22, "plant-votes=fail");
-    ground.until_used("all places are used", LIMIT as f64 * 0.8);
-    ground.fleet.links.split(&[0], LinkConditions::CUT);
-    ground.until("more is held than may be", || !ground.breaches().is_empty());
+    let test = BudgetTest::start(3, 3, 22, "plant-votes=fail");
+    test.until_in_use("all places are used", LIMIT as f64 * 0.8);
+    test.fleet.links.split(&[0], LinkConditions::CUT);
+    test.until("more is held than may be", || !test.breaches().is_empty());
 }
