--- a/daemon/tests/clock_offsets.rs
+++ b/daemon/tests/clock_offsets.rs
@@ -14,7 +14,7 @@
 const TOLERANCE: f64 = 0.01;
 
 /// A program that starts the daemon with its wall clock so many seconds off.
-fn daemon_off_by(folder: &Path, seconds: i64) -> PathBuf {
+fn daemon_with_clock_offset(folder: &Path, seconds: i64) -> PathBuf {
     let program = folder.join(format!("off-by{seconds}"));
     let script = format!("#!/bin/sh\nLINNETKNOT_POINTS=clock={seconds} exec '{DAEMON}' \"$@\"\n");
     std::fs::write(&program, script).unwrap();
@@ -23,29 +23,29 @@
 }
 
 #[test]
-fn a_mass_purge_is_served_as_well_whatever_the_clock_is_off() {
+fn a_mass_purge_is_served_equally_under_any_clock_offset() {
     let scenario = shipped::named("mass-purge").unwrap().unwrap();
     let scenario = scenario.scaled(TIME_SCALE).unwrap();
     let folder = std::env::temp_dir().join(format!("linnetknot-offsets-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     // All are written before any is started: a program that is open for writing can't be.
-    let daemons = OFFSETS_S.map(|seconds| daemon_off_by(&folder, seconds));
-    let served = thread::scope(|scope| {
-        let played = daemons.each_ref().map(|daemon| {
+    let daemons = OFFSETS_S.map(|seconds| daemon_with_clock_offset(&folder, seconds));
+    let outcomes = thread::scope(|scope| {
+        let plays = daemons.each_ref().map(|daemon| {
             let scenario = &scenario;
             scope.spawn(move || play(daemon, scenario, SEED, None).unwrap())
         });
-        played.map(|played| played.join().unwrap())
+        plays.map(|plays| plays.join().unwrap())
     });
     std::fs::remove_dir_all(&folder).unwrap();
-    let right = served[0].score.total.score().unwrap();
-    for (seconds, outcome) in OFFSETS_S.into_iter().zip(&served) {
+    let baseline = outcomes[0].score.total.score().unwrap();
+    for (seconds, outcome) in OFFSETS_S.into_iter().zip(&outcomes) {
         assert_eq!(outcome.breaches, [], "{seconds} s");
         assert_eq!(outcome.has_seen(), Ok(()), "{seconds} s");
         let share = outcome.score.total.score().unwrap();
         assert!(
-            (share - right).abs() <= TOLERANCE,
-            "{seconds} s: {share:.3} of the worth, with a right clock {right:.3}"
+            (share - baseline).abs() <= TOLERANCE,
+            "{seconds} s: {share:.3} of the worth, with a right clock {baseline:.3}"
         );
     }
 }
--- a/daemon/tests/clock_steps.rs
+++ b/daemon/tests/clock_steps.rs
@@ -28,7 +28,7 @@
 }
 
 /// The points that start a process with a wall clock that is so many seconds off.
-fn clock(seconds: i64) -> String {
+fn clock_point(seconds: i64) -> String {
     format!("clock={seconds}")
 }
 
@@ -43,69 +43,75 @@
 
 /// How many of the statuses a proxy does not tell.
 fn missing(fleet: &Fleet, proxy: usize, paths: &[String]) -> usize {
-    let is_told = |path: &&String| fleet.neighbour(proxy, "GET", path).unwrap().status == 200;
-    paths.len() - paths.iter().filter(is_told).count()
+    let is_served = |path: &&String| fleet.neighbour(proxy, "GET", path).unwrap().status == 200;
+    paths.len() - paths.iter().filter(is_served).count()
 }
 
 /// Restarts a proxy with its disk under each of these offsets in turn; after each start it must tell all statuses.
-fn keeps_statuses_over(seed: u64, offsets: &[i64], in_order: bool) {
+fn assert_statuses_survive(seed: u64, offsets: &[i64], is_graceful: bool) {
     let mut fleet = fleet(2, seed, "");
     let mut paths = triggers(&fleet, 0, 1);
-    for (life, offset) in offsets.iter().enumerate() {
-        match in_order {
+    for (restart, offset) in offsets.iter().enumerate() {
+        match is_graceful {
             true => assert!(fleet.end(0).unwrap(), "it ends well"),
             false => fleet.kill(0).unwrap(),
         }
-        fleet.restart_armed(0, Disk::Kept, &clock(*offset)).unwrap();
-        assert_eq!(missing(&fleet, 0, &paths), 0, "life {life}, {offset} s");
+        fleet
+            .restart_armed(0, Disk::Kept, &clock_point(*offset))
+            .unwrap();
+        assert_eq!(missing(&fleet, 0, &paths), 0, "life {restart}, {offset} s");
         // Names of the lives before must not be given again.
-        let more = triggers(&fleet, 0, 1 + TRIGGERS * (life as u64 + 1));
-        assert!(more.iter().all(|path| !paths.contains(path)));
-        paths.extend(more);
+        let new_paths = triggers(&fleet, 0, 1 + TRIGGERS * (restart as u64 + 1));
+        assert!(new_paths.iter().all(|path| !paths.contains(path)));
+        paths.extend(new_paths);
         assert!(becomes(TIMEOUT, || missing(&fleet, 1, &paths) == 0));
     }
 }
 
 #[test]
-fn statuses_outlive_a_restart_with_the_clock_an_hour_on() {
-    keeps_statuses_over(61, &[3_605], true);
-    keeps_statuses_over(62, &[3_605], false);
+fn statuses_survive_a_restart_with_the_clock_an_hour_ahead() {
+    assert_statuses_survive(61, &[3_605], true);
+    assert_statuses_survive(62, &[3_605], false);
 }
 
 #[test]
-fn statuses_outlive_a_restart_with_the_clock_an_hour_back() {
-    keeps_statuses_over(63, &[-3_605], true);
-    keeps_statuses_over(64, &[-3_605], false);
+fn statuses_survive_a_restart_with_the_clock_an_hour_behind() {
+    assert_statuses_survive(63, &[-3_605], true);
+    assert_statuses_survive(64, &[-3_605], false);
 }
 
 #[test]
-fn statuses_outlive_restarts_with_the_clock_going_to_and_fro() {
-    keeps_statuses_over(65, &[3_605, -3_605, 3_605, 0], false);
+fn statuses_survive_restarts_with_alternating_clock_steps() {
+    assert_statuses_survive(65, &[3_605, -3_605, 3_605, 0], false);
 }
 
 #[test]
-fn statuses_are_told_by_peers_whose_clocks_are_an_hour_apart() {
+fn statuses_are_served_by_peers_with_clocks_an_hour_apart() {
     let mut fleet = fleet(2, 66, "");
     fleet.kill(1).unwrap();
-    fleet.restart_armed(1, Disk::Kept, &clock(3_605)).unwrap();
-    for (from, teller) in [(1, 0), (1_000, 1)] {
-        let paths = triggers(&fleet, teller, from);
+    fleet
+        .restart_armed(1, Disk::Kept, &clock_point(3_605))
+        .unwrap();
+    for (from, receiver) in [(1, 0), (1_000, 1)] {
+        let paths = triggers(&fleet, receiver, from);
         for proxy in 0..2 {
-            let all = becomes(TIMEOUT, || missing(&fleet, proxy, &paths) == 0);
-            assert!(all, "told at p{teller}, asked at p{proxy}");
+            let all_served = becomes(TIMEOUT, || missing(&fleet, proxy, &paths) == 0);
+            assert!(all_served, "told at p{receiver}, asked at p{proxy}");
         }
     }
 }
 
 #[test]
-fn a_name_that_is_gone_is_not_given_again_after_the_clock_went_back() {
+fn deleted_status_names_are_not_reused_after_a_backward_clock_step() {
     let mut fleet = fleet(2, 67, "");
     let paths = triggers(&fleet, 0, 1);
     for path in &paths {
         assert_eq!(fleet.neighbour(0, "DELETE", path).unwrap().status, 204);
     }
     fleet.kill(0).unwrap();
-    fleet.restart_armed(0, Disk::Kept, &clock(-3_605)).unwrap();
+    fleet
+        .restart_armed(0, Disk::Kept, &clock_point(-3_605))
+        .unwrap();
     let later = triggers(&fleet, 0, 1_000);
     assert_eq!(missing(&fleet, 0, &later), 0);
     assert!(later.iter().all(|path| !paths.contains(path)));
@@ -114,26 +120,30 @@
 /// What the operators decided last counts, also where the process that heard it has an earlier clock than the one
 /// before.
 #[test]
-fn the_last_decision_counts_after_the_clock_went_back() {
+fn the_last_operator_decision_wins_after_a_backward_clock_step() {
     let mut fleet = fleet(2, 68, "");
     assert_eq!(
         fleet.operate(0, "POST", "/control/out-of-service").unwrap(),
         200
     );
     fleet.kill(0).unwrap();
-    fleet.restart_armed(0, Disk::Kept, &clock(-3_605)).unwrap();
+    fleet
+        .restart_armed(0, Disk::Kept, &clock_point(-3_605))
+        .unwrap();
     assert_eq!(
         fleet.operate(0, "POST", "/control/in-service").unwrap(),
         200
     );
     fleet.kill(0).unwrap();
-    fleet.restart_armed(0, Disk::Kept, &clock(-3_600)).unwrap();
+    fleet
+        .restart_armed(0, Disk::Kept, &clock_point(-3_600))
+        .unwrap();
     let is_ready = || fleet.operate(0, "GET", "/control/ready").unwrap() == 200;
     assert!(becomes(TIMEOUT, is_ready), "resumed, not drained");
 }
 
 /// The greatest age, in milliseconds, of which a proxy asks its box for a photo after a purge; none: of any.
-fn age_asked(fleet: &Fleet, proxy: usize, object: &str) -> Option<u64> {
+fn requested_max_age_ms(fleet: &Fleet, proxy: usize, object: &str) -> Option<u64> {
     fleet.ask(proxy, object).unwrap();
     let arrivals = fleet.caches.iter().flat_map(FakeCache::arrivals);
     let of_object = arrivals.filter(|a| a.field("key") == Some(object));
@@ -144,29 +154,38 @@
 /// Purges are told between proxies whose clocks are an hour apart: no proxy asks for a copy that may be older than the
 /// purge, and none for ever for a new one.
 #[test]
-fn a_purge_has_its_true_age_at_peers_whose_clocks_are_an_hour_apart() {
+fn a_purge_keeps_its_age_between_peers_with_different_clocks() {
     for (seed, offset) in [(71, -3_605), (72, 3_605)] {
         let mut fleet = fleet(2, seed, "");
         fleet.kill(0).unwrap();
-        fleet.restart_armed(0, Disk::Kept, &clock(offset)).unwrap();
+        fleet
+            .restart_armed(0, Disk::Kept, &clock_point(offset))
+            .unwrap();
         // Both have answers from the origin, which date it.
         for proxy in 0..2 {
             for n in 500..510 {
                 fleet.ask(proxy, &object(n)).unwrap();
             }
         }
-        for teller in 0..2 {
-            let purged = object(600 + teller as u64);
-            let told = Instant::now();
-            assert_eq!(fleet.purge(teller, &purged).unwrap(), 201);
-            for asker in 0..2 {
-                assert!(fleet.hears(asker, &purged).unwrap());
+        for receiver in 0..2 {
+            let purged = object(600 + receiver as u64);
+            let purged_at = Instant::now();
+            assert_eq!(fleet.purge(receiver, &purged).unwrap(), 201);
+            for requester in 0..2 {
+                assert!(fleet.hears(requester, &purged).unwrap());
                 thread::sleep(Duration::from_millis(700));
-                let asked = age_asked(&fleet, asker, &purged).expect("it holds a floor");
-                let gone_by = told.elapsed().as_millis() as u64;
-                let what = format!("{offset} s, told at p{teller}, asked at p{asker}");
-                assert!(asked <= gone_by, "{what}: {asked} ms of {gone_by}");
-                assert!(asked + 500 >= gone_by, "{what}: {asked} ms of {gone_by}");
+                let max_age_ms =
+                    requested_max_age_ms(&fleet, requester, &purged).expect("it holds a floor");
+                let elapsed_ms = purged_at.elapsed().as_millis() as u64;
+                let case = format!("{offset} s, told at p{receiver}, asked at p{requester}");
+                assert!(
+                    max_age_ms <= elapsed_ms,
+                    "{case}: {max_age_ms} ms of {elapsed_ms}"
+                );
+                assert!(
+                    max_age_ms + 500 >= elapsed_ms,
+                    "{case}: {max_age_ms} ms of {elapsed_ms}"
+                );
             }
         }
     }
@@ -175,25 +194,25 @@
 /// Peers hear a proxy by the number of its process, which grows with each start on one disk. One that lost its disk, and
 /// whose clock went back, has to be heard all the same.
 #[test]
-fn a_proxy_that_lost_its_disk_and_whose_clock_went_back_is_heard() {
+fn peers_accept_a_proxy_with_a_lost_disk_and_an_earlier_clock() {
     let mut fleet = fleet(2, 69, "");
     assert_eq!(fleet.purge(0, &object(1)).unwrap(), 201);
-    for life in 0..2 {
+    for restart in 0..2 {
         fleet.kill(0).unwrap();
-        let offset = clock(-3_605 * (1 + life));
+        let offset = clock_point(-3_605 * (1 + restart));
         fleet.restart_armed(0, Disk::Lost, &offset).unwrap();
         let is_settled = || {
             let status = fleet.status(0).unwrap();
             fleet.operate(0, "GET", "/control/ready").unwrap() == 200
                 && status.peers.iter().any(|peer| peer.state == "alive")
         };
-        assert!(becomes(TIMEOUT, is_settled), "life {life}");
+        assert!(becomes(TIMEOUT, is_settled), "life {restart}");
         // Long enough for peers to tell of the process before.
         for n in 0..20 {
-            let purged = object(10 + 100 * life as u64 + n);
-            assert_eq!(fleet.purge(0, &purged).unwrap(), 201, "life {life}, {n}");
-            let other = object(50 + 100 * life as u64 + n);
-            assert_eq!(fleet.purge(1, &other).unwrap(), 201, "life {life}, {n}");
+            let purged = object(10 + 100 * restart as u64 + n);
+            assert_eq!(fleet.purge(0, &purged).unwrap(), 201, "life {restart}, {n}");
+            let other = object(50 + 100 * restart as u64 + n);
+            assert_eq!(fleet.purge(1, &other).unwrap(), 201, "life {restart}, {n}");
             thread::sleep(Duration::from_millis(200));
         }
     }
--- a/daemon/tests/descriptors.rs
+++ b/daemon/tests/descriptors.rs
@@ -28,7 +28,7 @@
 /// While the list can't be reached, clients that rest take every place there is. The list, the boxes and the operators
 /// have theirs all the same, and so has whoever wants something.
 #[test]
-fn a_crowd_that_rests_shuts_out_neither_the_list_nor_boxes_operators_and_other_clients() {
+fn idle_connections_at_the_descriptor_limit_do_not_starve_other_users() {
     let folder =
         std::env::temp_dir().join(format!("linnetknot-descriptors-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
@@ -38,19 +38,19 @@
         FakeCache::start("s-0a").unwrap(),
         FakeCache::start("s-0f").unwrap(),
     );
-    let (front, admin, nowhere) = (free_address(), free_address(), free_address());
+    let (front, admin, unreachable) = (free_address(), free_address(), free_address());
     let config = |bus: SocketAddr| -> Value {
         json!({"listen": front.to_string(), "ops": admin.to_string(), "bus": bus.to_string(),
             "settings": settings(), "limits": {"memory_mb": 192, "sockets": 1024}})
     };
     let path = folder.join("config.json");
-    std::fs::write(&path, config(nowhere).to_string()).unwrap();
-    let own = getrlimit(Resource::Nofile);
+    std::fs::write(&path, config(unreachable).to_string()).unwrap();
+    let original_limit = getrlimit(Resource::Nofile);
     setrlimit(
         Resource::Nofile,
         Rlimit {
             current: Some(64),
-            maximum: own.maximum,
+            maximum: original_limit.maximum,
         },
     )
     .unwrap();
@@ -63,20 +63,20 @@
         .stdout(Stdio::null())
         .stderr(Stdio::null())
         .spawn();
-    setrlimit(Resource::Nofile, own).unwrap();
+    setrlimit(Resource::Nofile, original_limit).unwrap();
     let mut child = child.unwrap();
     until("it listens", || WebServer::connect(front).is_ok());
-    let held = || {
+    let open_descriptors = || {
         std::fs::read_dir(format!("/proc/{}/fd", child.id())).map_or(0, std::iter::Iterator::count)
     };
     // Four times as many as it may hold, on both of its listeners.
-    let crowd: Vec<WebServer> = (0..200)
+    let idle_clients: Vec<WebServer> = (0..200)
         .map(|_| WebServer::connect(front).unwrap())
         .collect();
-    let callers: Vec<WebServer> = (0..56)
+    let idle_admin_clients: Vec<WebServer> = (0..56)
         .map(|_| WebServer::connect(admin).unwrap())
         .collect();
-    until("the crowd fills its places", || held() >= 40);
+    until("the crowd fills its places", || open_descriptors() >= 40);
     bus.list(
         true,
         vec![
@@ -94,9 +94,9 @@
     let mut web = WebServer::connect(front).unwrap();
     web.ask(1, "photo", "00000000000000a1", 2500).unwrap();
     assert_eq!(web.end().unwrap().1.expect("an answer").status, 200);
-    assert!(held() <= 64);
+    assert!(open_descriptors() <= 64);
     kill_process(pid, Signal::TERM).unwrap();
-    drop((crowd, callers, web));
+    drop((idle_clients, idle_admin_clients, web));
     assert!(child.wait().unwrap().success());
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/daemon/tests/disk.rs
+++ b/daemon/tests/disk.rs
@@ -6,70 +6,70 @@
 use std::time::Duration;
 
 #[test]
-fn a_file_that_could_not_be_written_is_written_once_the_folder_is_back() {
+fn a_failed_write_is_retried_until_the_folder_is_back() {
     let folder = std::env::temp_dir().join(format!("linnetknot-disk-away-{}", std::process::id()));
     let path = folder.join("list");
-    let disk = FileWriter::start("test").unwrap();
+    let writer = FileWriter::start("test").unwrap();
     let job = |byte| WriteJob {
         path: path.clone(),
         bytes: vec![byte],
     };
-    assert!(disk.try_enqueue(job(1)));
+    assert!(writer.try_enqueue(job(1)));
     thread::sleep(Duration::from_millis(300));
-    assert!(disk.try_enqueue(job(2)), "a later one takes its place");
+    assert!(writer.try_enqueue(job(2)), "a later one takes its place");
     thread::sleep(Duration::from_millis(300));
     fs::create_dir_all(&folder).unwrap();
-    let begun = std::time::Instant::now();
+    let start = std::time::Instant::now();
     while fs::read(&path).ok() != Some(vec![2]) {
         assert!(
-            begun.elapsed() < Duration::from_secs(10),
+            start.elapsed() < Duration::from_secs(10),
             "it is not tried again"
         );
         thread::sleep(Duration::from_millis(20));
     }
-    drop(disk);
+    drop(writer);
     fs::remove_dir_all(&folder).unwrap();
 }
 
 #[test]
-fn what_a_killed_process_left_half_written_is_removed_and_what_runs_is_left_alone() {
+fn leftover_files_of_dead_processes_are_removed_and_others_kept() {
     let folder = std::env::temp_dir().join(format!("linnetknot-disk-left-{}", std::process::id()));
     fs::create_dir_all(&folder).unwrap();
     let path = folder.join("list");
     let own = format!("list.{}.new", std::process::id());
     // Above the greatest process id that the system gives.
-    let left = "list.4194305.new";
+    let leftover = "list.4194305.new";
     for name in [
         "list",
         "list.2",
         "other.4194305.new",
         "list.x.new",
-        left,
+        leftover,
         &own,
     ] {
         fs::write(folder.join(name), b"").unwrap();
     }
     remove_leftovers(&path);
-    assert!(!folder.join(left).exists());
+    assert!(!folder.join(leftover).exists());
     assert!(folder.join(&own).exists());
     assert_eq!(fs::read_dir(&folder).unwrap().count(), 5);
     fs::remove_dir_all(&folder).unwrap();
 }
 
 #[test]
-fn files_are_whole_or_as_before_and_a_lost_disk_ends_nothing() {
+fn files_are_replaced_atomically_and_the_writer_survives_a_missing_folder() {
     let folder = std::env::temp_dir().join(format!("linnetknot-disk-{}", std::process::id()));
     fs::create_dir_all(&folder).unwrap();
     let path = folder.join("list");
-    let disk = FileWriter::start("test").unwrap();
-    let mut taken = 0;
-    while taken < 20 {
-        taken += usize::from(disk.try_enqueue(WriteJob {
+    let writer = FileWriter::start("test").unwrap();
+    let mut enqueued = 0;
+    while enqueued < 20 {
+        enqueued += usize::from(writer.try_enqueue(WriteJob {
             path: path.clone(),
-            bytes: vec![taken as u8; 1000],
+            bytes: vec![enqueued as u8; 1000],
         }));
     }
-    drop(disk);
+    drop(writer);
     assert_eq!(
         fs::read(&path).unwrap(),
         vec![19; 1000],
@@ -85,20 +85,20 @@
     );
     // The folder is gone: the worker goes on, and what it is given later is written once the folder is back.
     fs::remove_dir_all(&folder).unwrap();
-    let disk = FileWriter::start("test").unwrap();
-    assert!(disk.try_enqueue(WriteJob {
+    let writer = FileWriter::start("test").unwrap();
+    assert!(writer.try_enqueue(WriteJob {
         path: path.clone(),
         bytes: vec![1]
     }));
     assert!(replace(&path, b"x").is_err());
-    drop(disk);
+    drop(writer);
     fs::create_dir_all(&folder).unwrap();
-    let disk = FileWriter::start("test").unwrap();
-    assert!(disk.try_enqueue(WriteJob {
+    let writer = FileWriter::start("test").unwrap();
+    assert!(writer.try_enqueue(WriteJob {
         path: path.clone(),
         bytes: vec![2]
     }));
-    drop(disk);
+    drop(writer);
     assert_eq!(fs::read(&path).unwrap(), [2]);
     fs::remove_dir_all(&folder).unwrap();
 }
--- a/daemon/tests/compacted_fleet.rs
+++ b/daemon/tests/snapshot_catch_up.rs
@@ -26,8 +26,8 @@
     format!("{n:016x}")
 }
 
-fn until(what: &str, so: impl FnMut() -> bool) {
-    assert!(becomes(3 * TIMEOUT, so), "never: {what}");
+fn until(what: &str, condition: impl FnMut() -> bool) {
+    assert!(becomes(3 * TIMEOUT, condition), "never: {what}");
 }
 
 /// Tells proxies 0 and 1 of all purges in turn, and waits until both have compacted all beyond the window.
@@ -50,13 +50,13 @@
 }
 
 /// Whether a proxy has what another has, on its disk.
-fn has_all_of(fleet: &Fleet, n: usize, other: usize) -> bool {
-    let (own, other) = (fleet.status(n).unwrap(), fleet.status(other).unwrap());
-    let is_on_disk = own
+fn has_caught_up_with(fleet: &Fleet, n: usize, other: usize) -> bool {
+    let (status, other) = (fleet.status(n).unwrap(), fleet.status(other).unwrap());
+    let is_on_disk = status
         .logs
         .iter()
         .all(|log| log.last_index == log.durable_index);
-    !own.catching_up && is_on_disk && own.digest == other.digest
+    !status.catching_up && is_on_disk && status.digest == other.digest
 }
 
 fn assert_all_floors(fleet: &Fleet, n: usize) {
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_proxy_that_was_away_past_the_window_has_all_floors_by_a_snapshot() {
+fn a_proxy_behind_the_compaction_window_catches_up_from_a_snapshot() {
     let mut fleet = fleet(51);
     until("all know each other", || {
         fleet.status(0).unwrap().alive_members == 3
@@ -75,7 +75,7 @@
     fleet.kill(2).unwrap();
     purge_all(&fleet);
     fleet.restart(2, Disk::Kept).unwrap();
-    until("p2 has what p0 has", || has_all_of(&fleet, 2, 0));
+    until("p2 has what p0 has", || has_caught_up_with(&fleet, 2, 0));
     until("p2 is ready", || is_ready(&fleet, 2));
     assert_all_floors(&fleet, 2);
     assert!(
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_proxy_that_lost_its_disk_is_ready_only_with_all_floors() {
+fn a_proxy_without_its_disk_is_ready_only_after_catching_up() {
     let mut fleet = fleet(52);
     purge_all(&fleet);
     fleet.kill(1).unwrap();
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_proxy_that_is_killed_in_the_midst_of_a_snapshot_gets_it_at_its_next_start() {
+fn a_snapshot_interrupted_by_a_crash_is_transferred_after_the_restart() {
     let mut fleet = fleet(53);
     fleet.kill(2).unwrap();
     purge_all(&fleet);
@@ -114,14 +114,14 @@
         fleet.kill(2).unwrap();
     }
     fleet.restart(2, Disk::Kept).unwrap();
-    until("p2 has what p0 has", || has_all_of(&fleet, 2, 0));
+    until("p2 has what p0 has", || has_caught_up_with(&fleet, 2, 0));
     until("p2 is ready", || is_ready(&fleet, 2));
     assert_all_floors(&fleet, 2);
 }
 
 /// Nothing of a snapshot comes, and the wait for it ends: every copy is taken as purged, those that never were too.
 #[test]
-fn a_proxy_whose_snapshot_does_not_come_takes_every_copy_as_purged() {
+fn a_proxy_without_its_snapshot_treats_every_copy_as_purged() {
     let mut fleet = fleet(54);
     fleet.kill(2).unwrap();
     purge_all(&fleet);
