--- a/daemon/tests/admin.rs
+++ b/daemon/tests/admin.rs
@@ -32,7 +32,7 @@
     let folder = folder(name);
     let rig = with_admin(boxes, &folder);
     let admin = rig.admin.expect("an admin listener");
-    until(admin, "/control/ready", 200);
+    await_status(admin, "/control/ready", 200);
     (rig, admin, folder)
 }
 
@@ -41,7 +41,7 @@
 }
 
 /// Waits, without sleeping, for a call to be answered so.
-fn until(admin: SocketAddr, target: &str, wanted: u16) -> Duration {
+fn await_status(admin: SocketAddr, target: &str, wanted: u16) -> Duration {
     let start = Instant::now();
     while status(admin, "GET", target) != wanted {
         assert!(
@@ -53,22 +53,22 @@
 }
 
 /// What the admin listener answers to these bytes, and whether it closed the connection after.
-fn raw(admin: SocketAddr, bytes: &[u8]) -> (String, bool) {
+fn send_raw(admin: SocketAddr, bytes: &[u8]) -> (String, bool) {
     let mut socket = TcpStream::connect(admin).unwrap();
     socket
         .set_read_timeout(Some(Duration::from_secs(3)))
         .unwrap();
     socket.write_all(bytes).unwrap();
-    let mut got = Vec::new();
-    let closed = socket.read_to_end(&mut got).is_ok();
-    (String::from_utf8_lossy(&got).into_owned(), closed)
+    let mut response = Vec::new();
+    let closed = socket.read_to_end(&mut response).is_ok();
+    (String::from_utf8_lossy(&response).into_owned(), closed)
 }
 
 #[test]
-fn the_admin_answers_beside_callers_that_hold_it_and_refuses_bad_calls() {
+fn the_admin_listener_answers_beside_stalled_clients_and_rejects_invalid_requests() {
     let (rig, admin, folder) = ready_rig(&["s-0a"], "calls");
     // Forty callers that hold a connection without a whole call: more than the admin listener has slots.
-    let holders: Vec<TcpStream> = (0..40)
+    let stalled_clients: Vec<TcpStream> = (0..40)
         .map(|_| {
             let mut s = TcpStream::connect(admin).unwrap();
             s.write_all(b"GET /control/re").unwrap();
@@ -111,44 +111,47 @@
             // A call cut off: the caller ends its half.
             socket.shutdown(std::net::Shutdown::Write).unwrap();
         }
-        let mut got = Vec::new();
+        let mut response = Vec::new();
         socket
-            .read_to_end(&mut got)
+            .read_to_end(&mut response)
             .expect("the admin listener closes the connection");
-        let got = String::from_utf8_lossy(&got);
+        let response = String::from_utf8_lossy(&response);
         assert!(
-            got.starts_with(&format!("HTTP/1.1 {wanted} ")),
-            "{bytes:?}: {got}"
+            response.starts_with(&format!("HTTP/1.1 {wanted} ")),
+            "{bytes:?}: {response}"
         );
     }
     let long = format!("GET /{} HTTP/1.1\r\n", "x".repeat(2000));
-    let (got, closed) = raw(admin, long.as_bytes());
-    assert!(got.starts_with("HTTP/1.1 414 ") && closed, "{got}");
+    let (response, closed) = send_raw(admin, long.as_bytes());
+    assert!(
+        response.starts_with("HTTP/1.1 414 ") && closed,
+        "{response}"
+    );
     // The daemon still serves, and the admin listener still answers.
     let mut web = rig.web();
     assert_eq!(one(&mut web, "photo", &object(1)).status, 200);
     assert_eq!(status(admin, "GET", "/control/ready"), 200);
-    drop(holders);
+    drop(stalled_clients);
     rig.stop();
     let _ = std::fs::remove_dir_all(&folder);
 }
 
 #[test]
-fn a_drain_says_no_closes_client_connections_and_in_service_ends_it() {
+fn a_drain_reports_not_ready_and_closes_connections_until_in_service() {
     let (rig, admin, folder) = ready_rig(&["s-0a"], "drain");
-    let mut kept = rig.web();
+    let mut active = rig.web();
     let mut idle = rig.web();
-    assert_eq!(one(&mut kept, "photo", &object(1)).status, 200);
+    assert_eq!(one(&mut active, "photo", &object(1)).status, 200);
     assert_eq!(one(&mut idle, "photo", &object(2)).status, 200);
     assert_eq!(status(admin, "POST", "/control/out-of-service"), 200);
     assert_eq!(status(admin, "GET", "/control/ready"), 503);
     // A kept connection is ended after an answer. A request that has come by then is not left unread behind the end: it
     // is answered too, and late in the drain turned away, so that a client that asks on and on can't keep it open.
     let start = Instant::now();
-    assert_eq!(one(&mut kept, "photo", &object(3)).status, 200);
+    assert_eq!(one(&mut active, "photo", &object(3)).status, 200);
     let mut statuses = Vec::new();
-    while kept.ask(2, "photo", &object(7), 2500).is_ok() {
-        match kept.end() {
+    while active.ask(2, "photo", &object(7), 2500).is_ok() {
+        match active.end() {
             Ok((_, answer)) => statuses.push(answer.expect("an answer").status),
             Err(_) => break,
         }
@@ -169,9 +172,9 @@
         start.elapsed()
     );
     // New connections in a drain are served, and ended.
-    let mut late = rig.web();
-    assert_eq!(one(&mut late, "photo", &object(4)).status, 200);
-    assert!(late.end().is_err());
+    let mut new_client = rig.web();
+    assert_eq!(one(&mut new_client, "photo", &object(4)).status, 200);
+    assert!(new_client.end().is_err());
     assert!(
         linnetknot_admin_api::store::load(&folder)
             .unwrap()
@@ -179,7 +182,7 @@
         "the drain is kept"
     );
     assert_eq!(status(admin, "POST", "/control/in-service"), 200);
-    assert!(until(admin, "/control/ready", 200) < Duration::from_secs(2));
+    assert!(await_status(admin, "/control/ready", 200) < Duration::from_secs(2));
     let mut after = rig.web();
     assert_eq!(one(&mut after, "photo", &object(5)).status, 200);
     assert_eq!(
@@ -191,13 +194,13 @@
 }
 
 #[test]
-fn a_banned_box_gets_nothing_even_in_the_next_process_until_the_call_back() {
+fn a_banned_cache_gets_no_requests_across_a_restart_until_unbanned() {
     let (rig, admin, folder) = ready_rig(&["s-0a", "s-0b"], "ban");
     let mut web = rig.web();
     for n in 0..40 {
         assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
     }
-    let used = |rig: &Rig, uid: usize| {
+    let fetch_count = |rig: &Rig, uid: usize| {
         rig.boxes[uid]
             .arrivals()
             .iter()
@@ -205,7 +208,7 @@
             .count()
     };
     assert!(
-        used(&rig, 0) > 0 && used(&rig, 1) > 0,
+        fetch_count(&rig, 0) > 0 && fetch_count(&rig, 1) > 0,
         "both boxes serve before the ban"
     );
     assert_eq!(
@@ -217,38 +220,38 @@
         200,
         "twice out"
     );
-    let before = used(&rig, 0);
+    let before = fetch_count(&rig, 0);
     for n in 100..140 {
         assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
     }
-    assert_eq!(used(&rig, 0), before, "nothing new to a banned box");
+    assert_eq!(fetch_count(&rig, 0), before, "nothing new to a banned box");
     rig.stop();
     // The next process finds the ban where the first kept it.
     let rig = with_admin(&["s-0a", "s-0b"], &folder);
     let admin = rig.admin.expect("an admin listener");
-    until(admin, "/control/ready", 200);
+    await_status(admin, "/control/ready", 200);
     let mut web = rig.web();
     for n in 200..240 {
         assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
     }
-    assert_eq!(used(&rig, 0), 0, "the ban carried over");
+    assert_eq!(fetch_count(&rig, 0), 0, "the ban carried over");
     assert_eq!(
         status(admin, "POST", "/control/pop-caches/s-0a/online"),
         200,
         "one call back"
     );
-    let mut back = false;
+    let mut is_used_again = false;
     for n in 300..400 {
         assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
-        back |= used(&rig, 0) > 0;
+        is_used_again |= fetch_count(&rig, 0) > 0;
     }
-    assert!(back, "the box is used again after the call back");
+    assert!(is_used_again, "the box is used again after the call back");
     rig.stop();
     let _ = std::fs::remove_dir_all(&folder);
 }
 
 #[test]
-fn the_next_process_of_an_upgrade_starts_beside_the_old_one_on_the_same_addresses() {
+fn an_upgraded_process_starts_beside_the_old_one_on_the_same_addresses() {
     // The platform starts the next process with all as before but the admin listener's address: peers' datagrams come to
     // the same address, which the old process still holds.
     let taken = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -266,14 +269,14 @@
     };
     let old = start(peers.clone(), shown.clone());
     let old_admin = old.admin.unwrap();
-    until(old_admin, "/control/ready", 200);
+    await_status(old_admin, "/control/ready", 200);
     assert_eq!(
         status(old_admin, "POST", "/control/pop-caches/s-0a/offline"),
         200
     );
     let new = start(peers, shown);
     let new_admin = new.admin.unwrap();
-    until(new_admin, "/control/ready", 200);
+    await_status(new_admin, "/control/ready", 200);
     old.stop();
     // The ban that the old process was told holds in the new one, which serves from the box that is left.
     let mut web = new.web();
@@ -289,7 +292,7 @@
 }
 
 #[test]
-fn a_busy_connection_in_a_drain_turns_further_requests_away_and_ends() {
+fn a_draining_connection_rejects_further_requests_and_closes() {
     let (rig, admin, folder) = ready_rig(&["s-0a"], "busy");
     let mut web = rig.web();
     assert_eq!(one(&mut web, "photo", &object(1)).status, 200);
@@ -324,7 +327,7 @@
 }
 
 #[test]
-fn new_settings_at_sighup_bring_a_class_and_keep_the_old_ones() {
+fn reloading_settings_adds_a_class_and_keeps_the_existing_ones() {
     let (mut rig, _, folder) = ready_rig(&["s-0a"], "retune");
     let mut web = rig.web();
     assert_eq!(
--- a/daemon/tests/config.rs
+++ b/daemon/tests/config.rs
@@ -6,7 +6,7 @@
 use linnetknot_harness::settings;
 use serde_json::{json, Value};
 
-fn good() -> Value {
+fn valid_config() -> Value {
     json!({"listen": "127.0.0.1:0", "settings": settings()})
 }
 
@@ -15,8 +15,8 @@
 }
 
 #[test]
-fn what_is_not_said_has_a_default() {
-    let config = read(&good()).unwrap();
+fn missing_keys_have_defaults() {
+    let config = read(&valid_config()).unwrap();
     assert_eq!(
         (
             config.bus,
@@ -33,7 +33,7 @@
 /// The second deployment: no peers at all, loads in answers only, second copies allowed, writes that must never run
 /// twice, links told. `linnetknot check` takes it as it is.
 #[test]
-fn a_configuration_of_the_second_deployment_is_sound_without_peers() {
+fn the_second_deployments_configuration_is_valid_without_peers() {
     let config = json!({
         "name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "bus": "127.0.0.1:8500",
         "limits": {"cores": 0.2, "memory_mb": 32, "sockets": 256},
@@ -64,31 +64,31 @@
     });
     let read = read(&config).unwrap();
     assert!(read.peers.is_none());
-    let s = &read.settings;
+    let settings = &read.settings;
     assert_eq!(
-        (s.load_reports, s.siblings),
+        (settings.load_reports, settings.siblings),
         (LoadReports::Answers, Siblings::Location)
     );
     assert_eq!(
-        (s.classes[2].repeat, s.classes[2].write),
+        (settings.classes[2].repeat, settings.classes[2].write),
         (Repeat::Unsafe, true)
     );
     assert_eq!(
-        (s.rules.drain_grace_us, s.rules.purge_grace_us),
+        (settings.rules.drain_grace_us, settings.rules.purge_grace_us),
         (500_000, 500_000)
     );
     let file = std::env::temp_dir().join(format!("linnetknot-second-{}.json", std::process::id()));
     std::fs::write(&file, config.to_string()).unwrap();
-    let said = linnetknot_daemon::config::check(std::slice::from_ref(&file));
+    let results = linnetknot_daemon::config::check(std::slice::from_ref(&file));
     let _ = std::fs::remove_file(&file);
     assert!(
-        matches!(&said[..], [checked] if checked.result.is_ok()),
-        "{said:?}"
+        matches!(&results[..], [checked] if checked.result.is_ok()),
+        "{results:?}"
     );
 }
 
 #[test]
-fn messages_name_the_faulty_key() {
+fn error_messages_name_the_invalid_key() {
     for (key, value) in [
         ("listen", json!("nowhere")),
         ("listen", Value::Null),
@@ -102,31 +102,31 @@
         ),
         ("limits", json!({"sockets": 0})),
     ] {
-        let mut config = good();
+        let mut config = valid_config();
         config[key] = value.clone();
         let message = read(&config).unwrap_err();
         let inner = value.as_object().and_then(|o| o.keys().next());
-        let named = message.contains(key) || inner.is_some_and(|k| message.contains(k));
-        assert!(named, "{key} = {value}: {message}");
+        let is_named = message.contains(key) || inner.is_some_and(|k| message.contains(k));
+        assert!(is_named, "{key} = {value}: {message}");
     }
 }
 
 #[test]
-fn a_group_of_none_and_a_number_outside_the_group_end_the_start() {
-    let fault = |group: u64, rank: u64| {
-        let mut config = good();
+fn an_empty_group_or_a_rank_outside_it_is_rejected() {
+    let error = |group: u64, rank: u64| {
+        let mut config = valid_config();
         config["settings"]["group-size"] = json!(group);
         config["settings"]["rank"] = json!(rank);
         read(&config).err()
     };
-    assert!(fault(0, 0).unwrap().contains("'group-size' is 0"));
-    assert!(fault(3, 3).unwrap().contains("'rank' is 3"));
-    assert_eq!(fault(100, 99), None);
+    assert!(error(0, 0).unwrap().contains("'group-size' is 0"));
+    assert!(error(3, 3).unwrap().contains("'rank' is 3"));
+    assert_eq!(error(100, 99), None);
 }
 
 #[test]
-fn the_second_front_is_off_until_it_is_told_where_to_listen() {
-    let mut config = read(&good()).unwrap();
+fn the_cdni_listener_is_off_until_its_address_is_configured() {
+    let mut config = read(&valid_config()).unwrap();
     let shipped: Value =
         serde_json::from_str(include_str!("../../deploy/interconnect.json")).unwrap();
     config.interconnect(shipped.as_object().unwrap()).unwrap();
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn the_operators_own_file_is_refused_by_the_path_of_the_key() {
+fn interconnect_errors_name_the_path_of_the_invalid_key() {
     let consul = |key: &str, value: Value| {
         let mut consul = json!({"address": "127.0.0.1:8500"});
         consul[key] = value;
@@ -214,7 +214,7 @@
             "cdni.neighbours[0]: missing field `address`",
         ),
     ] {
-        let mut config = read(&good()).unwrap();
+        let mut config = read(&valid_config()).unwrap();
         let message = config
             .interconnect(file.as_object().unwrap())
             .unwrap_err()
@@ -228,10 +228,10 @@
     };
     let named = json!({"127.0.0.1:3": "b", "127.0.0.1:4": "c"});
     let with_peers = |file: &Value| {
-        let mut good = good();
-        good["peer_listen"] = "127.0.0.1:2".into();
-        good["peers"] = json!(["127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"]);
-        let mut config = read(&good).unwrap();
+        let mut valid_config = valid_config();
+        valid_config["peer_listen"] = "127.0.0.1:2".into();
+        valid_config["peers"] = json!(["127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"]);
+        let mut config = read(&valid_config).unwrap();
         config
             .interconnect(file.as_object().unwrap())
             .map(|()| config.replication)
@@ -337,7 +337,7 @@
         let message = with_peers(&file).unwrap_err();
         assert!(message.starts_with(path), "{path} | {message}");
     }
-    let mut elsewhere = good();
+    let mut elsewhere = valid_config();
     elsewhere["peer_listen"] = "127.0.0.1:9".into();
     elsewhere["peers"] = json!(["127.0.0.1:3", "127.0.0.1:4"]);
     let message = read(&elsewhere)
@@ -350,10 +350,10 @@
         "{message}"
     );
     let budgets = |place: &str, budgets: Value| {
-        let mut good = good();
-        good["peer_listen"] = place.into();
-        good["peers"] = json!(["127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"]);
-        let mut config = read(&good).unwrap();
+        let mut valid_config = valid_config();
+        valid_config["peer_listen"] = place.into();
+        valid_config["peers"] = json!(["127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"]);
+        let mut config = read(&valid_config).unwrap();
         config
             .interconnect(shared(budgets).as_object().unwrap())
             .unwrap();
@@ -400,7 +400,7 @@
         "off where nothing is said"
     );
     // Two keys are enough, as before.
-    let mut config = read(&good()).unwrap();
+    let mut config = read(&valid_config()).unwrap();
     let file = json!({"consul": {"address": "127.0.0.1:8500", "service": "boxes"}});
     config.interconnect(file.as_object().unwrap()).unwrap();
     let consul = config.consul.unwrap();
@@ -415,16 +415,16 @@
 
 /// After a change of the types: `linnetknot schema > docs/interconnect.schema.json`.
 #[test]
-fn the_schema_in_the_docs_is_that_of_the_types() {
-    let kept = include_str!("../../docs/interconnect.schema.json");
+fn the_published_schema_matches_the_types() {
+    let published = include_str!("../../docs/interconnect.schema.json");
     assert!(
-        interconnect::schema() == kept,
+        interconnect::schema() == published,
         "docs/interconnect.schema.json is not up to date"
     );
 }
 
 #[test]
-fn files_are_checked_from_the_command_line_without_a_start() {
+fn the_check_command_validates_files_without_starting_the_daemon() {
     let folder = std::env::temp_dir().join(format!("linnetknot-check-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let write = |name: &str, text: String| {
@@ -442,7 +442,7 @@
         let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
         (out.status.code(), text(out.stdout), text(out.stderr))
     };
-    let config = write("config.json", good().to_string());
+    let config = write("config.json", valid_config().to_string());
     let own = write(
         "own.json",
         json!({"consul": {"address": "127.0.0.1:8500", "zone": "mars"}}).to_string(),
@@ -473,7 +473,7 @@
 }
 
 #[test]
-fn the_examples_can_be_read() {
+fn the_example_files_are_valid() {
     let text = include_str!("../../examples/config.json");
     let mut config = read(&serde_json::from_str(text).unwrap()).unwrap();
     let text = include_str!("../../examples/interconnect.json");
@@ -489,9 +489,9 @@
 }
 
 #[test]
-fn what_a_running_daemon_can_not_follow_is_told_by_its_key() {
-    let old = read(&good()).unwrap();
-    let mut new = good();
+fn settings_that_need_a_restart_are_reported_by_key() {
+    let old = read(&valid_config()).unwrap();
+    let mut new = valid_config();
     (new["bus"], new["seed"], new["known"]) =
         (json!("127.0.0.1:1"), json!("7"), json!({"offset": 3}));
     assert!(old.fixed_changes(&read(&new).unwrap()).is_empty());
--- a/daemon/tests/core.rs
+++ b/daemon/tests/core.rs
@@ -76,7 +76,7 @@
     }
 }
 
-fn sent(commands: &[Command]) -> Option<AttemptId> {
+fn sent_attempt(commands: &[Command]) -> Option<AttemptId> {
     commands.iter().find_map(|c| {
         if let Command::Send(attempt) = c {
             Some(*attempt)
@@ -97,7 +97,7 @@
     commands.iter().filter_map(answer).collect()
 }
 
-fn served() -> AttemptResult {
+fn served_result() -> AttemptResult {
     let content = Content::Object {
         bytes: b"x".to_vec(),
         tag: None,
@@ -112,20 +112,20 @@
 fn a_second_outcome_of_an_attempt_gives_no_second_answer() {
     let mut core = core(&limits());
     core.admit(NOW, client(1), client_request(0)).unwrap();
-    let attempt = sent(&core.take_commands()).unwrap();
-    core.attempt_finished(NOW + 10, attempt, served());
+    let attempt = sent_attempt(&core.take_commands()).unwrap();
+    core.attempt_finished(NOW + 10, attempt, served_result());
     assert_eq!(answers(&core.take_commands()).len(), 1);
-    core.attempt_finished(NOW + 11, attempt, served());
+    core.attempt_finished(NOW + 11, attempt, served_result());
     core.wake(NOW + 2_000_000, Wake::Request(attempt.request));
     assert_eq!((core.take_commands(), core.is_idle()), (vec![], true));
 }
 
 #[test]
-fn at_the_deadline_what_is_out_is_given_up_and_a_late_answer_changes_nothing() {
+fn an_attempt_is_cancelled_at_the_deadline_and_its_late_answer_ignored() {
     let mut core = core(&limits());
     core.admit(NOW, client(1), client_request(0)).unwrap();
     let commands = core.take_commands();
-    let attempt = sent(&commands).unwrap();
+    let attempt = sent_attempt(&commands).unwrap();
     let due = commands.iter().find_map(|c| match c {
         Command::Wake(at, wake @ Wake::Request(_)) => Some((*at, *wake)),
         _ => None,
@@ -148,41 +148,45 @@
             retry_after_us: Some(_)
         }]
     ));
-    core.attempt_finished(at + 1, attempt, served());
+    core.attempt_finished(at + 1, attempt, served_result());
     assert_eq!(answers(&core.take_commands()), []);
 }
 
 #[test]
-fn a_further_attempt_waits_until_the_one_before_is_over() {
+fn a_retry_starts_only_after_the_previous_attempt_has_ended() {
     let mut core = core(&limits());
     core.admit(NOW, client(1), client_request(0)).unwrap();
-    let first = sent(&core.take_commands()).unwrap();
+    let first = sent_attempt(&core.take_commands()).unwrap();
     core.attempt_started(first);
     // Ticks until the module takes the attempt for stuck and calls it off.
-    let (mut now, mut given_up) = (NOW, false);
-    while !given_up && now < NOW + 900_000 {
+    let (mut now, mut cancelled) = (NOW, false);
+    while !cancelled && now < NOW + 900_000 {
         now += 50_000;
         core.wake(now, Wake::Router(0));
         let commands = core.take_commands();
-        assert_eq!(sent(&commands), None, "two attempts would be out at once");
-        given_up = commands
+        assert_eq!(
+            sent_attempt(&commands),
+            None,
+            "two attempts would be out at once"
+        );
+        cancelled = commands
             .iter()
             .any(|c| matches!(c, Command::Cancel(a, _) if *a == first));
     }
-    assert!(given_up);
+    assert!(cancelled);
     core.attempt_finished(now, first, Outcome::Cancelled.into());
     let commands = core.take_commands();
-    let second = sent(&commands).expect("a further attempt");
+    let second = sent_attempt(&commands).expect("a further attempt");
     assert_eq!((answers(&commands), second.number), (vec![], 1));
-    core.attempt_finished(now, second, served());
+    core.attempt_finished(now, second, served_result());
     assert_eq!(answers(&core.take_commands()).len(), 1);
 }
 
 #[test]
-fn an_answer_that_crosses_its_abort_still_serves() {
+fn an_answer_that_arrives_after_its_cancellation_is_still_served() {
     let mut core = core(&limits());
     core.admit(NOW, client(1), client_request(0)).unwrap();
-    let first = sent(&core.take_commands()).unwrap();
+    let first = sent_attempt(&core.take_commands()).unwrap();
     core.attempt_started(first);
     let ticks = (1..18).map(|tick| NOW + 50_000 * tick);
     ticks.for_each(|now| core.wake(now, Wake::Router(0)));
@@ -190,7 +194,7 @@
         .take_commands()
         .iter()
         .any(|c| matches!(c, Command::Cancel(a, _) if *a == first)));
-    core.attempt_finished(NOW + 900_000, first, served());
+    core.attempt_finished(NOW + 900_000, first, served_result());
     assert!(matches!(
         answers(&core.take_commands())[..],
         [Answer::Served(_)]
@@ -199,10 +203,10 @@
 }
 
 #[test]
-fn a_client_that_left_is_owed_nothing_and_its_slot_is_free_once_nothing_is_out() {
+fn a_disconnected_client_gets_no_answer_and_frees_its_slot() {
     let mut core = core(&limits());
     let request = core.admit(NOW, client(1), client_request(0)).unwrap();
-    let attempt = sent(&core.take_commands()).unwrap();
+    let attempt = sent_attempt(&core.take_commands()).unwrap();
     core.attempt_started(attempt);
     core.client_gone(NOW, request);
     assert!(core
@@ -220,7 +224,7 @@
 /// Whether or not the settings allow attempts to be cancelled: one whose first byte is not written can still be kept from
 /// being made, and is known not to have run.
 #[test]
-fn an_attempt_that_has_not_begun_is_over_at_once_when_its_client_leaves_or_its_time_is_over() {
+fn an_unstarted_attempt_ends_at_once_on_disconnect_or_deadline() {
     for cancel in [true, false] {
         let mut settings =
             linnetknot_settings::parse_settings(settings().as_object().unwrap()).unwrap();
@@ -232,7 +236,7 @@
             .for_each(|c| c.repeat = Repeat::Unsafe);
         let mut core = core_with(settings, &limits());
         let request = core.admit(NOW, client(1), client_request(0)).unwrap();
-        let attempt = sent(&core.take_commands()).unwrap();
+        let attempt = sent_attempt(&core.take_commands()).unwrap();
         core.client_gone(NOW, request);
         let commands = core.take_commands();
         assert!(commands
@@ -248,7 +252,7 @@
             ..client_request(0)
         };
         let request = core.admit(NOW, client(1), post).unwrap();
-        sent(&core.take_commands()).unwrap();
+        sent_attempt(&core.take_commands()).unwrap();
         core.wake(NOW + 2_000_000, Wake::Request(request));
         assert!(
             matches!(
@@ -262,23 +266,27 @@
 
 /// An attempt may wait for its connection, and the purges that come meanwhile bind it when it begins.
 #[test]
-fn what_an_attempt_may_do_is_checked_when_it_begins() {
+fn purges_deadline_and_fill_source_are_checked_when_an_attempt_starts() {
     let mut core = core(&limits());
     core.admit(NOW, client(1), client_request(0)).unwrap();
-    let attempt = sent(&core.take_commands()).unwrap();
-    let age = |core: &Core, now| {
+    let attempt = sent_attempt(&core.take_commands()).unwrap();
+    let max_age = |core: &Core, now| {
         core.dispatch_now(now, attempt)
             .map(|dispatch| dispatch.target.fill.unwrap().max_age_us)
     };
-    assert_eq!(age(&core, NOW), Some(None));
+    assert_eq!(max_age(&core, NOW), Some(None));
     core.record_purge(
         NOW + 100_000,
         Some(client_request(0).object),
         0,
         NOW + 90_000,
     );
-    assert_eq!(age(&core, NOW + 150_000), Some(Some(60_000)));
-    assert_eq!(age(&core, NOW + 1_000_000), None, "its client has given up");
+    assert_eq!(max_age(&core, NOW + 150_000), Some(Some(60_000)));
+    assert_eq!(
+        max_age(&core, NOW + 1_000_000),
+        None,
+        "its client has given up"
+    );
     let source = core.dispatch(attempt).unwrap().target.fill.unwrap().source;
     let uid = core.wire_id_or_dash(source).to_owned();
     core.update_endpoints(
@@ -287,14 +295,14 @@
         vec![entry(&uid, "hub", "origin", State::Draining)],
     );
     assert_eq!(
-        age(&core, NOW + 150_000),
+        max_age(&core, NOW + 150_000),
         None,
         "the source of its fill drains"
     );
 }
 
 #[test]
-fn full_tables_turn_requests_away_until_there_is_room() {
+fn requests_over_the_limits_are_rejected_until_there_is_room() {
     let mut core = core(&Limits {
         max_requests: 2,
         max_total_body_bytes: 100,
@@ -308,14 +316,14 @@
     );
     core.admit(NOW, client(2), client_request(0)).unwrap();
     assert_eq!(core.admit(NOW, client(3), client_request(0)), None);
-    let attempt = sent(&core.take_commands()).unwrap();
+    let attempt = sent_attempt(&core.take_commands()).unwrap();
     assert_eq!(attempt.request, first);
-    core.attempt_finished(NOW, attempt, served());
+    core.attempt_finished(NOW, attempt, served_result());
     assert!(core.admit(NOW, client(3), client_request(60)).is_some());
 }
 
 #[test]
-fn word_of_a_drain_takes_back_what_is_not_written_yet() {
+fn draining_a_cache_withdraws_requests_not_yet_written() {
     let mut core = core(&limits());
     core.update_endpoints(
         NOW,
@@ -346,7 +354,7 @@
 }
 
 #[test]
-fn the_id_of_an_open_request_and_a_keyed_class_without_a_key_are_not_admitted() {
+fn duplicate_request_ids_and_missing_idempotency_keys_are_rejected() {
     let mut core = core(&limits());
     let first = client_request(0);
     let other = ClientRequest {
@@ -354,13 +362,13 @@
         ..first.clone()
     };
     core.admit(NOW, client(1), first).unwrap();
-    let attempt = sent(&core.take_commands()).unwrap();
+    let attempt = sent_attempt(&core.take_commands()).unwrap();
     assert_eq!(
         core.admit(NOW, client(2), other.clone()),
         None,
         "a cache would take the two for one"
     );
-    core.attempt_finished(NOW, attempt, served());
+    core.attempt_finished(NOW, attempt, served_result());
     assert!(core.admit(NOW, client(2), other).is_some());
     let post = ClientRequest {
         class: "post".into(),
--- a/daemon/tests/documentation.rs
+++ b/daemon/tests/documentation.rs
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn the_architecture_page_names_only_files_and_folders_that_are_there() {
+fn the_architecture_page_names_only_files_and_folders_that_exist() {
     let root = root();
     let spans = spans_of_page(&root);
     let paths: Vec<&String> = spans.iter().filter(|span| is_path(span)).collect();
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn the_architecture_page_names_only_tests_that_are_there() {
+fn the_architecture_page_names_only_tests_that_exist() {
     let root = root();
     let spans = spans_of_page(&root);
     let names: Vec<&String> = spans.iter().filter(|span| is_test_name(span)).collect();
@@ -148,13 +148,13 @@
 }
 
 #[test]
-fn paths_and_tests_are_told_from_other_code_spans() {
+fn paths_and_test_names_are_distinguished_from_other_code_spans() {
     let page = "`src/lib.rs` and `docs/`, not `a b.rs` or `Router`, but `one_final_answer_each`\n\
         ```\n`in/a/block.rs`\n```\n`bus_again_us`";
     let spans = code_spans(page);
     let of = |kind: fn(&str) -> bool| -> Vec<&str> {
-        let kept = spans.iter().filter(|span| kind(span));
-        kept.map(String::as_str).collect()
+        let matching = spans.iter().filter(|span| kind(span));
+        matching.map(String::as_str).collect()
     };
     assert_eq!(of(is_path), ["src/lib.rs", "docs/"]);
     assert_eq!(of(is_test_name), ["one_final_answer_each"]);
