--- a/daemon/tests/common/ledger_on_medium.rs
+++ b/daemon/tests/common/ledger_on_medium.rs
@@ -1,5 +1,5 @@
-//! A ledger with a small window on a medium that stops at a chosen operation, and what it acknowledged.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! A ledger with a small window on an in-memory medium that can stop at a chosen operation.
+#![allow(dead_code, reason = "each test file uses only some of these items")]
 
 use crate::medium::Medium;
 use linnetknot::Micros;
@@ -11,13 +11,13 @@
 use std::time::Duration;
 
 pub(crate) const WRITER: u64 = 1;
-/// Purges that a ledger holds one by one.
+/// Number of purges that a ledger keeps as exact entries before it compacts them.
 pub(crate) const WINDOW: usize = 8;
-/// Steps of time between purges.
+/// Time between two purges.
 pub(crate) const STEP_US: Micros = 10_000;
-/// The worker's word is waited for so long.
+/// Limit on the wait for a completion of the disk worker.
 const TIMEOUT: Duration = Duration::from_secs(10);
-/// The same between two ticks, after which there may be nothing to say.
+/// Limit on the wait between two ticks, when there may be no completion.
 const TICK_TIMEOUT: Duration = Duration::from_millis(100);
 const MAX_TICKS: usize = 100;
 
@@ -41,7 +41,7 @@
     Subject::Object(object(n))
 }
 
-/// All pairs of the spaces that a ledger writes.
+/// Returns the contents of all keyspaces that a ledger writes.
 pub(crate) fn all_pairs(store: &mut Store) -> Vec<(Keyspace, Vec<KeyValue>)> {
     let spaces = ["head", "own", "entries", "buckets", "compacted", "table"].map(Keyspace);
     spaces
@@ -55,7 +55,7 @@
     Store::open_on(move || clone.clone()).unwrap()
 }
 
-/// A ledger and the word of its worker.
+/// A ledger with its medium, clock and wakeups from the disk worker.
 pub(crate) struct TestNode {
     pub ledger: Ledger,
     pub medium: Medium,
@@ -101,19 +101,19 @@
         self.ledger.replica().is_synced() && self.ledger.is_compaction_synced()
     }
 
-    /// Takes in the worker's word until all is on the disk, or the medium has stopped.
+    /// Processes completions until all writes are synced or the medium has stopped.
     pub(crate) fn settle(&mut self) -> Vec<Outgoing> {
         let mut outgoing = self.ledger.take_completions(self.now);
         while !self.is_synced() && !self.is_stopped() {
             self.wakeups
                 .recv_timeout(TIMEOUT)
-                .expect("the worker has a word");
+                .expect("a wakeup from the disk worker");
             outgoing.extend(self.ledger.take_completions(self.now));
         }
         outgoing
     }
 
-    /// Lets time pass until all is on the disk: what it did not take is given to it again at each tick.
+    /// Advances the clock until all writes are synced. Each tick retries the writes that failed.
     pub(crate) fn tick_until_synced(&mut self) {
         for _ in 0..MAX_TICKS {
             self.now += 1_000_000;
@@ -124,23 +124,23 @@
                 return;
             }
         }
-        panic!("the disk has not all of it after {MAX_TICKS} ticks");
+        panic!("writes are not synced after {MAX_TICKS} ticks");
     }
 
-    /// Waits a little for a word of the worker, if none has come. What it tells is left to be taken in.
+    /// Waits up to `TICK_TIMEOUT` for a wakeup. Does not process the completions.
     pub(crate) fn await_wakeup(&self) {
         let _ = self.wakeups.recv_timeout(TICK_TIMEOUT);
     }
 
-    /// Waits for one word of the worker.
+    /// Waits for one wakeup and processes the completions.
     pub(crate) fn await_completions(&mut self) -> Vec<Outgoing> {
         self.wakeups
             .recv_timeout(TIMEOUT)
-            .expect("the worker has a word");
+            .expect("a wakeup from the disk worker");
         self.ledger.take_completions(self.now)
     }
 
-    /// Purges an object and waits for the disk. Gives the entry if it is acknowledged.
+    /// Purges an object and waits for the disk. Returns the entry if it is acknowledged.
     pub(crate) fn purge(&mut self, n: u64) -> Option<Entry> {
         self.now += STEP_US;
         let entry = self
@@ -152,7 +152,7 @@
         (durable >= entry.index).then_some(entry)
     }
 
-    /// Whether a purge is in force: as an entry or in the table, no earlier than told.
+    /// Returns whether a purge at least as recent as `entry` is in force, as an entry or in the table.
     pub(crate) fn contains_purge(&self, entry: &Entry) -> bool {
         self.ledger
             .replica()
@@ -162,10 +162,10 @@
     }
 }
 
-/// Purges objects, some of them again, until the medium stops. Gives what was acknowledged.
+/// Purges objects, some of them repeatedly, until the medium stops. Returns the acknowledged entries.
 pub(crate) fn run_until_stopped(medium: &Medium, bounds: Bounds) -> Vec<Entry> {
     let mut acknowledged = Vec::new();
-    // Some logs are begun by the crash before: their epoch is the time of their beginning.
+    // A log's epoch is its creation time, so each run after a crash needs a later clock.
     let now = 1_000_000 + medium.0.lock().unwrap().operations * 1_000_000;
     let Ok(mut node) = TestNode::open(medium, now, bounds) else {
         return acknowledged;
@@ -180,8 +180,8 @@
     acknowledged
 }
 
-/// Stops a ledger at each operation that it makes on the medium, loses what was not synced, and opens it again. Gives
-/// what was acknowledged and is not in force then, with the operation.
+/// Crashes a ledger at each of its operations on the medium, discards unsynced data and reopens it. Returns the
+/// acknowledged purges that are no longer in force, each with the operation of the crash.
 pub(crate) fn purges_lost_by_crashes(bounds: Bounds) -> Vec<(u64, Entry)> {
     let undisturbed = Medium::default();
     drop(open_store(&undisturbed));
@@ -190,7 +190,7 @@
     assert_eq!(
         all.len(),
         3 * WINDOW,
-        "on a calm medium all are acknowledged"
+        "all purges are acknowledged on a medium that does not fail"
     );
     let operations = undisturbed.0.lock().unwrap().operations;
     let mut lost = Vec::new();
@@ -200,7 +200,7 @@
         medium.0.lock().unwrap().remaining_operations = Some(n - setup_operations);
         let mut acknowledged = run_until_stopped(&medium, bounds);
         medium.0.lock().unwrap().lose_power(n);
-        // The next process stops, too, a little later: in the midst of what it moves again.
+        // The next process crashes as well, while it repeats the interrupted compaction.
         medium.0.lock().unwrap().remaining_operations = Some(20 + n % 40);
         acknowledged.extend(run_until_stopped(&medium, bounds));
         medium.0.lock().unwrap().lose_power(n + 1);
--- a/daemon/tests/common/mod.rs
+++ b/daemon/tests/common/mod.rs
@@ -1,11 +1,11 @@
-//! The one helper of the parsers' tests: what a parser makes of bytes, however they are cut.
+//! Property-test helpers that feed a parser its input in arbitrary fragments.
 
 use linnetknot_daemon::wire::{Parser, WireError};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::fmt::Debug;
 
-/// Runs from a fixed seed: every run tries the same cases.
+/// Returns a proptest configuration with a fixed seed, so that every run tries the same cases.
 pub(crate) fn fixed(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
@@ -15,7 +15,7 @@
     }
 }
 
-/// All items of some bytes that come cut at these places, or the error that ends them.
+/// Parses `bytes` split at `cuts` and returns all items, or the first error.
 pub(crate) fn items<P: Parser>(
     mut parser: P,
     bytes: &[u8],
@@ -32,14 +32,14 @@
             input = &input[taken..];
             match item {
                 Some(item) => items.push(item),
-                None => break assert!(input.is_empty(), "without an item all input is taken"),
+                None => break assert!(input.is_empty(), "input is left over"),
             }
         }
     }
     Ok(items)
 }
 
-/// Whole and cut, valid bytes give the same; garbage in their midst gives an error or items, never a panic.
+/// Checks that valid input parses the same with and without cuts, and that garbage never causes a panic.
 pub(crate) fn check<P: Parser>(
     new: impl Fn() -> P,
     valid: &[u8],
--- a/daemon/tests/compaction.rs
+++ b/daemon/tests/compaction.rs
@@ -1,6 +1,5 @@
-//! Compaction on the disk: whatever stops the medium, each purge that was acknowledged is an entry or in the table
-//! afterwards; what can't be read is refused by name; the table's size may change; and a peer's snapshot is told of only
-//! once it is synced.
+//! Compaction of the purge ledger: crash safety, rejection of unreadable stores, resizing of the purge table, and
+//! acknowledgement of snapshots received from a peer.
 
 #[path = "common/ledger_on_medium.rs"]
 mod ledger_on_medium;
@@ -52,7 +51,6 @@
         .all(|entry| reopened.contains_purge(entry)));
 }
 
-/// A compaction of which no write can be synced takes no entry off the disk, and is written once the disk is back.
 #[test]
 fn an_unsynced_compaction_removes_no_entries_and_is_retried() {
     for operations in 0..12 {
@@ -60,7 +58,7 @@
         let mut node = TestNode::open(&medium, 1_000_000, bounds(WINDOW, BITS)).unwrap();
         let acknowledged: Vec<_> = (0..WINDOW as u64).filter_map(|n| node.purge(n)).collect();
         assert!(node.ledger.table().is_empty());
-        // The window is full. The entry beyond it is synced, and then the medium takes so many operations more.
+        // The next entry exceeds the window. The medium stops `operations` operations after that entry is synced.
         node.now += STEP_US;
         node.ledger
             .append_purge(Some(&object(90)), 0, node.now)
@@ -72,7 +70,7 @@
         }
         let before = entries_on_disk_while_stopped(&node, &medium);
         assert!(before >= 1, "stopped after {operations}: {before} entries");
-        // The disk is back; the ledger gives it what is missing when its time has come.
+        // The medium accepts operations again, and the ledger retries the compaction.
         set_remaining_operations(&medium, None);
         node.tick_until_synced();
         assert!(!node.ledger.table().is_empty());
@@ -87,7 +85,8 @@
     }
 }
 
-/// Entries or buckets for all that was acknowledged, on what the medium would have after a crash now.
+/// Asserts that a crash at this point would lose no acknowledged purge. Returns the number of entries on the disk after
+/// it.
 fn entries_on_disk_while_stopped(node: &TestNode, medium: &Medium) -> usize {
     let copy = Medium::default();
     {
@@ -108,7 +107,7 @@
     entries_on_disk(&copy)
 }
 
-/// What a program that knew no table wrote, byte by byte.
+/// Writes the bytes of a store as a version without the purge table wrote them.
 #[test]
 fn a_store_in_the_first_format_is_migrated() {
     let medium = Medium::default();
@@ -217,7 +216,6 @@
     }
 }
 
-/// The bytes of the file, too, are those before.
 #[test]
 fn a_rejected_store_file_is_left_unchanged() {
     let path = std::env::temp_dir().join(format!("linnetknot-refused-{}", std::process::id()));
@@ -240,7 +238,7 @@
     ));
     assert!(
         std::fs::read(&path).unwrap() == before,
-        "the file has changed"
+        "the rejected file has changed"
     );
     std::fs::remove_file(&path).unwrap();
 }
@@ -265,7 +263,7 @@
                 node.ledger.simulate_crash();
             }
             medium.0.lock().unwrap().lose_power(n);
-            // Whichever size is on the disk, both settings open it.
+            // A table of either size can be opened with either setting.
             for bits in [BITS, bits, BITS] {
                 let reopened = TestNode::open(&medium, 1 << 51, bounds(WINDOW, bits)).unwrap();
                 assert_eq!(reopened.ledger.table().bucket_bits(), bits);
@@ -289,7 +287,7 @@
     copy
 }
 
-/// Hands over all that two ledgers send each other, at one moment.
+/// Delivers all datagrams between two ledgers at time `now`, and collects the acknowledgements of the second one.
 fn exchange(nodes: &mut [TestNode; 2], now: u64, acks: &mut Vec<LogPosition>) {
     let mut pending: Vec<(usize, Datagram)> = Vec::new();
     for (n, node) in nodes.iter_mut().enumerate() {
@@ -322,7 +320,7 @@
     let mut nodes = [sender, receiver];
     let mut now = nodes[0].now + 1_000_000;
     let mut acks = Vec::new();
-    // The receiver's disk takes nothing.
+    // The receiver's disk rejects all operations.
     set_remaining_operations(&receiver_medium, Some(0));
     for _ in 0..200 {
         now += 50_000;
@@ -331,12 +329,12 @@
     let store = nodes[1].ledger.replica().log_store();
     assert!(
         purged.iter().all(|entry| nodes[1].contains_purge(entry)),
-        "all are in force"
+        "all purges are in force in memory"
     );
     assert!(store.last_index(log) > 0 && !nodes[1].ledger.replica().is_catching_up());
-    assert_eq!(acks, [], "and nothing is acknowledged");
+    assert_eq!(acks, [], "nothing is acknowledged before it is synced");
     assert!(!nodes[1].is_synced());
-    // The disk is back.
+    // The receiver's disk accepts operations again.
     set_remaining_operations(&receiver_medium, None);
     let start = std::time::Instant::now();
     while acks.last() != Some(&LogPosition { log, index: 40 }) {
--- a/daemon/tests/compaction_fault_detection.rs
+++ b/daemon/tests/compaction_fault_detection.rs
@@ -1,5 +1,5 @@
-//! The check of `compaction.rs` finds a planted fault: entries that leave the disk before the buckets that hold their
-//! purges are synced. In a process of its own, as the fault is planted for all of it.
+//! Verifies that the crash check of `compaction.rs` detects a planted fault: entries removed from the disk before their
+//! buckets are synced. The fail point is global to the process, so this test has its own.
 
 #[path = "common/ledger_on_medium.rs"]
 mod ledger_on_medium;
@@ -14,5 +14,8 @@
     fail::cfg("plant-early-removal", "return").unwrap();
     let lost = purges_lost_by_crashes(bounds(WINDOW, BucketBits::MIN));
     fail::remove("plant-early-removal");
-    assert!(!lost.is_empty(), "the check finds nothing");
+    assert!(
+        !lost.is_empty(),
+        "the crash check does not detect the planted fault"
+    );
 }
--- a/daemon/tests/fault_injection/mod.rs
+++ b/daemon/tests/fault_injection/mod.rs
@@ -1,4 +1,4 @@
-//! One daemon as a process of its own whose system calls fail as asked, with stand-ins around it.
+//! A daemon process with injected system call failures and fake services around it.
 
 use linnetknot_harness::clients::{becomes, call, Answer, WebServer};
 use linnetknot_harness::fakes::cache::FakeCache;
@@ -11,29 +11,29 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// What a busy machine may take for anything here.
+/// Limit on each wait, sized for a busy machine.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An address that nobody listens at.
+/// Returns an address on which nothing listens.
 fn free_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
 }
 
-/// Ports by which system calls can be told apart.
+/// Ports that fail points use to select the sockets whose calls fail.
 #[derive(Clone, Copy)]
 #[allow(
     dead_code,
-    reason = "not every test that shares this module tells ports apart"
+    reason = "not every test that shares this module selects sockets by port"
 )]
 pub(crate) struct Ports {
-    /// Where clients connect.
+    /// The client listener.
     pub(crate) front: u16,
-    /// The cache's.
+    /// The fake cache.
     pub(crate) cache: u16,
 }
 
-/// The daemon and its surroundings.
+/// A running daemon with its fake cache, origin and event bus.
 pub(crate) struct Armed {
     pub(crate) process: Process,
     pub(crate) cache: FakeCache,
@@ -49,12 +49,12 @@
 }
 
 impl Armed {
-    /// Starts it with these points and no change to its configuration.
+    /// Starts the daemon with the given fail points and the default configuration.
     pub(crate) fn start(points: &str) -> Self {
         Self::with(points, |_| {})
     }
 
-    /// Starts it with these points and a change to the operators' own file, and waits until its list has come.
+    /// Starts the daemon with the given fail points and a change to its interconnect file.
     pub(crate) fn with(points: &str, change: impl Fn(&mut Value)) -> Self {
         Self::placed(
             |_| points.to_owned(),
@@ -62,7 +62,8 @@
         )
     }
 
-    /// Starts it with points for the ports that it uses, and changes to its configuration and the operators' own file.
+    /// Starts the daemon with fail points chosen by port and changes to its configuration and interconnect file, and
+    /// waits until it is ready.
     pub(crate) fn placed(
         points: impl Fn(Ports) -> String,
         change: impl Fn(&mut Value, &mut Value),
@@ -108,17 +109,20 @@
             call(daemon.process.admin, "GET", "/control/ready", "")
                 .is_ok_and(|answer| answer.status == 200)
         };
-        assert!(becomes(TIMEOUT, is_ready), "it never hears the list");
+        assert!(
+            becomes(TIMEOUT, is_ready),
+            "the daemon never receives the endpoint list"
+        );
         daemon
     }
 
-    /// A client's connection.
+    /// Opens a client connection.
     pub(crate) fn web(&self) -> WebServer {
         WebServer::connect(self.process.front).unwrap()
     }
 }
 
-/// One request on a client's connection; none where it is closed without an answer.
+/// Sends one request on a client connection. Returns `None` if the connection closes without an answer.
 pub(crate) fn ask(web: &mut WebServer, number: u64) -> Option<Answer> {
     web.ask(1, "photo", &format!("{number:016x}"), 2500).ok()?;
     web.end().ok()?.1
