--- a/daemon/tests/fleet_faults.rs
+++ b/daemon/tests/fleet_faults.rs
@@ -1,6 +1,5 @@
-//! Several processes of the daemon with fault-injecting links between them: links that lose, cut and delay, peers that stand still,
-//! processes killed and started again. What each of them was told of a purge is what it must keep, and what it was
-//! not told of it can't.
+//! Purges, operator state, membership and trigger status in a fleet of daemon processes under link faults, stalls,
+//! kills and lost disks.
 
 use linnetknot_harness::clients::{becomes, call, TIMEOUT};
 use linnetknot_harness::fleet::{purge_at, status_path, Disk, Fleet, Setup};
@@ -15,9 +14,9 @@
     Fleet::start(Path::new(DAEMON), proxies, seed, None).unwrap()
 }
 
-/// Proxies that copy what neighbours told, and say yes once a further machine has it on its disk.
+/// Starts a fleet with replication, where a commit needs the disk of one further machine.
 fn replicating_fleet(proxies: usize, seed: u64) -> Fleet {
-    // What can be promised is, also on a machine that is busy with other tests.
+    // A long time limit, so that commits succeed on a busy machine.
     let within_ms = Some(3_000);
     Fleet::with(Setup {
         within_ms,
@@ -34,9 +33,9 @@
     format!("{n:016x}")
 }
 
-/// Waits until something is so; a test whose cause has gone must fail and not stand still.
+/// Waits until a condition holds, and fails the test after a timeout.
 fn until(what: &str, condition: impl FnMut() -> bool) {
-    // A death takes up to some seconds to be believed, and a machine that is busy with other tests some more.
+    // Failure detection takes several seconds, and longer on a busy machine.
     assert!(becomes(3 * TIMEOUT, condition), "never: {what}");
 }
 
@@ -58,21 +57,22 @@
     for n in 0..3 {
         let object = object(n);
         assert_eq!(fleet.purge(n as usize, &object).unwrap(), 201);
-        // Each datagram goes three times, and by this seed one of the three comes on every link.
+        // Each datagram is sent three times. With this seed at least one of them arrives on every link.
         for proxy in 0..4 {
             assert!(fleet.hears(proxy, &object).unwrap(), "p{proxy}, purge {n}");
         }
     }
-    // All three have gone by then.
-    until("all three are sent", || {
+    until("all three datagrams are sent", || {
         (1..4).all(|b| fleet.links.counters((0, b)).sent >= 3)
     });
     let lost: u64 = (1..4).map(|b| fleet.links.counters((0, b)).lost).sum();
-    assert!(lost > 0, "else the links were clear");
+    assert!(
+        lost > 0,
+        "no datagram was lost, so the test did not exercise loss"
+    );
 }
 
-/// What passes is told in one direction only: the proxy behind the cut goes on with its copy, which the others have
-/// let go. This is what the fleet's copies of purges end, where they are on.
+/// Without replication a purge that is lost on a link is never sent again.
 #[test]
 fn a_one_way_cut_withholds_a_purge_from_one_proxy_only() {
     let fleet = fleet(3, 5);
@@ -83,9 +83,9 @@
     assert!(fleet.links.counters((0, 2)).came == 0 && fleet.links.counters((0, 1)).came > 0);
     assert!(
         !holds_floor(&fleet, 2, &object),
-        "what is behind the cut has no word"
+        "the purge must not cross the cut link"
     );
-    // The other way is open: what it tells is heard.
+    // The opposite direction is not cut.
     assert_eq!(fleet.purge(2, &after).unwrap(), 201);
     assert!(fleet.hears(0, &after).unwrap());
 }
@@ -97,10 +97,12 @@
     fleet.stall(1).unwrap();
     assert_eq!(fleet.purge(0, &object).unwrap(), 201);
     assert!(fleet.hears(2, &object).unwrap());
-    // All three datagrams have reached its socket.
-    until("all three came", || fleet.links.counters((0, 1)).came >= 3);
+    until("all arrived", || fleet.links.counters((0, 1)).came >= 3);
     fleet.go_on(1).unwrap();
-    assert!(fleet.hears(1, &object).unwrap(), "it goes on and has heard");
+    assert!(
+        fleet.hears(1, &object).unwrap(),
+        "p1 applies the purge after it resumes"
+    );
 }
 
 #[test]
@@ -115,16 +117,16 @@
     fleet.restart(0, Disk::Kept).unwrap();
     assert!(
         holds_floor(&fleet, 0, &object),
-        "the floor is asked for after a kill"
+        "the purge is still enforced after a kill"
     );
     fleet.kill(0).unwrap();
     fleet.restart(0, Disk::Lost).unwrap();
     assert!(
         !holds_floor(&fleet, 0, &object),
-        "the disk had the only copy of the promise"
+        "the lost disk had the only copy of the purge"
     );
     for n in 0..3 {
-        assert!(fleet.end(n).unwrap(), "p{n} ends well");
+        assert!(fleet.end(n).unwrap(), "p{n} exits cleanly");
     }
 }
 
@@ -133,16 +135,22 @@
     let fleet = replicating_fleet(3, 21);
     let object = object(1);
     fleet.links.set((0, 2), LinkConditions::CUT);
-    // What was on its way at the cut may still come. It is all that was sent and not lost by then.
+    // Datagrams in flight at the time of the cut may still arrive.
     let before = fleet.links.counters((0, 2));
     assert_eq!(fleet.purge(0, &object).unwrap(), 201);
-    assert!(fleet.hears(2, &object).unwrap(), "from 0 to 1 to 2");
+    assert!(
+        fleet.hears(2, &object).unwrap(),
+        "the purge takes the route from p0 over p1 to p2"
+    );
     let after = fleet.links.counters((0, 2));
     assert!(
         after.came <= before.sent - before.lost,
-        "{after:?}: something has come by the cut link"
+        "{after:?}: a datagram crossed the cut link"
+    );
+    assert!(
+        after.lost > before.lost,
+        "{after:?}: nothing was sent on the cut link"
     );
-    assert!(after.lost > before.lost, "{after:?}: and it was tried");
 }
 
 #[test]
@@ -151,16 +159,15 @@
     let object = object(2);
     fleet.kill(1).unwrap();
     assert_eq!(fleet.purge(0, &object).unwrap(), 201);
-    // The datagrams are sent three times within 80 ms; it comes back when all of them are gone.
-    until("all of them are sent", || {
+    // Waits until all repetitions of the datagram are sent, so that only replication can deliver the purge.
+    until("all repetitions are sent", || {
         fleet.links.counters((0, 1)).sent >= 4
     });
     fleet.restart(1, Disk::Kept).unwrap();
     assert!(fleet.hears(1, &object).unwrap());
 }
 
-/// The writer's machine is lost with its disk, right after its yes: the promise holds at the others, and at the
-/// machine that takes its place.
+/// The writer loses its machine and disk right after its commits: the purges hold on the peers and on the replacement.
 #[test]
 fn replication_restores_a_writers_own_commits_after_a_lost_disk() {
     let mut fleet = replicating_fleet(3, 23);
@@ -171,18 +178,18 @@
     for n in 1..3 {
         assert!(
             objects.iter().all(|o| holds_floor(&fleet, n, o)),
-            "p{n} holds what p0 promised"
+            "p{n} holds the commits of p0"
         );
     }
     fleet.kill(0).unwrap();
     fleet.restart(0, Disk::Lost).unwrap();
-    until("p0 learns its own promises again", || {
+    until("p0 recovers its own commits", || {
         objects.iter().all(|o| holds_floor(&fleet, 0, o))
     });
-    // It goes on writing, in a new life; both lives are everywhere.
+    // The new incarnation continues to write. Its purges replicate beside those of the previous one.
     let later = object(40);
     assert_eq!(fleet.purge(0, &later).unwrap(), 201);
-    until("the new life is heard", || {
+    until("the purge of the new incarnation is replicated", || {
         (1..3).all(|n| holds_floor(&fleet, n, &later))
     });
 }
@@ -194,7 +201,7 @@
     for n in 0..5 {
         assert_eq!(fleet.purge(n, &object(100 + n as u64)).unwrap(), 201);
     }
-    // Each side is started again in it, one of its proxies without its disk: what it promised, the others hold.
+    // One proxy on each side restarts during the partition, p0 without its disk.
     assert!(holds_floor(&fleet, 1, &object(100)) && holds_floor(&fleet, 3, &object(104)));
     fleet.kill(0).unwrap();
     fleet.restart(0, Disk::Lost).unwrap();
@@ -202,10 +209,10 @@
     fleet.restart(4, Disk::Kept).unwrap();
     assert!(
         (0..2).all(|n| !holds_floor(&fleet, n, &object(102))),
-        "nothing passes the split"
+        "no purge crosses the partition"
     );
     fleet.links.split(&[0, 1], LinkConditions::default());
-    until("the sides agree", || {
+    until("both sides hold all purges", || {
         (0..5).all(|n| (0..5).all(|o| holds_floor(&fleet, n, &object(100 + o))))
     });
 }
@@ -217,26 +224,26 @@
     for (n, object) in all.iter().enumerate() {
         assert_eq!(fleet.purge(n % 4, object).unwrap(), 201);
     }
-    await_agreement("each purge is in each store", &fleet);
-    // All texts that repeat them have come by then, and were known.
+    await_agreement("all stores agree", &fleet);
+    // Waits until the repeated datagrams have arrived, so that duplicates would show.
     let received_all = |a, b| a == b || fleet.links.counters((a, b)).came >= 5 * 4;
-    until("all texts came", || {
+    until("all repeated datagrams have arrived", || {
         (0..4).all(|a| (0..4).all(|b| received_all(a, b)))
     });
     for n in 0..4 {
         let status = fleet.status(n).unwrap();
         assert_eq!((status.logs.len(), status.committed), (4, 5), "p{n}");
-        // Each purge is an entry, and the status of its trigger is two pieces.
+        // Each purge is one entry, and its trigger status takes two more.
         assert_eq!(status.entries, 3 * all.len(), "p{n}");
         assert_eq!(fleet.triggers(n).unwrap().len(), all.len(), "p{n}");
     }
 }
 
-/// The writer dies at each point of its promise, and comes back with its disk or on a new machine. What the neighbour
-/// was told yes of holds at all; what it was not told of holds at all or at none.
+/// The writer crashes at each step of a commit and returns with or without its disk. A confirmed purge is held by all
+/// proxies, an unconfirmed one by all or by none.
 #[test]
 fn proxies_converge_after_a_writer_crash_at_any_commit_step() {
-    // Whether others have the purge once the process has died at that point; none where that is a race.
+    // Whether the peers hold the purge after a crash at that point; `None` where that is a race.
     let points = [
         ("peers-tell", Some(false)),
         ("peers-told", Some(true)),
@@ -250,43 +257,45 @@
             let mut fleet = replicating_fleet(3, 30 + seed as u64);
             let (first, second) = (object(300), object(301));
             assert_eq!(fleet.purge(0, &first).unwrap(), 201);
-            await_agreement("all have the first", &fleet);
+            await_agreement("all proxies hold the first purge", &fleet);
             fleet.kill(0).unwrap();
             fleet
                 .restart_armed(0, disk, &format!("{point}=die"))
                 .unwrap();
-            // On a new machine its own promise comes back, which may pass the armed point as well: it dies of that.
+            // Without its disk the proxy recovers its first purge from its peers, which may already trigger the fail point.
             let result = fleet.purge(0, &second);
             assert!(
                 result.is_err(),
-                "{case}: it died before it could say yes, and said {result:?}"
+                "{case}: answered {result:?} although it must crash first"
             );
             fleet.kill(0).unwrap();
-            // What was told is on its way still, maybe; what was not can't come from anywhere.
+            // A purge that was sent may still be in flight. One that was not sent must not appear.
             let peer_has_purge = match reaches_peers {
                 Some(true) => fleet.hears(1, &second).unwrap(),
                 _ => holds_floor(&fleet, 1, &second),
             };
             fleet.restart(0, Disk::Kept).unwrap();
-            await_agreement(&format!("{case}: all agree"), &fleet);
+            await_agreement(&format!("{case}: all proxies agree"), &fleet);
             assert!(
                 (0..3).all(|n| holds_floor(&fleet, n, &first)),
-                "{case}: the first was promised"
+                "{case}: the first purge was committed"
             );
             let held = (0..3).filter(|n| holds_floor(&fleet, *n, &second)).count();
-            assert!(held == 0 || held == 3, "{case}: {held} hold the second");
+            assert!(
+                held == 0 || held == 3,
+                "{case}: {held} proxies hold the second purge"
+            );
             if disk == Disk::Kept {
                 assert!(
                     reaches_peers.is_none_or(|reaches_peers| reaches_peers == peer_has_purge),
-                    "{case}: others had it: {peer_has_purge}"
+                    "{case}: the peer holds the purge: {peer_has_purge}"
                 );
             }
         }
     }
 }
 
-/// The writer stands still after it told its peers and before its yes: they have the purge, and the neighbour has its
-/// yes once the writer goes on.
+/// The writer stalls after sending a purge to its peers and before confirming it.
 #[test]
 fn a_stalled_writer_confirms_its_commit_after_resuming() {
     let mut fleet = replicating_fleet(3, 40);
@@ -298,18 +307,14 @@
     std::thread::scope(|scope| {
         let result = scope.spawn(|| fleet.purge(0, &object));
         assert!(fleet.hears(1, &object).unwrap() && fleet.hears(2, &object).unwrap());
-        assert!(
-            !result.is_finished(),
-            "no yes from a process that stands still"
-        );
+        assert!(!result.is_finished(), "a stalled process must not confirm");
         fleet.go_on(0).unwrap();
         assert_eq!(result.join().unwrap().unwrap(), 201);
     });
     assert!(holds_floor(fleet, 0, &object));
 }
 
-/// Each machine in turn is lost with its disk the moment after its yes, over links that lose, double and reorder. The
-/// yes was only given once a further machine had it on its disk, so each promise holds.
+/// Each machine in turn is lost with its disk right after it confirmed a commit, over lossy links.
 #[test]
 fn commits_survive_losing_the_writer_right_after_confirmation() {
     let lossy = LinkConditions {
@@ -329,30 +334,33 @@
         fleet.kill(writer).unwrap();
         committed.push(object);
         fleet.restart(writer, Disk::Lost).unwrap();
-        await_agreement(&format!("round {round}: all agree"), &fleet);
+        await_agreement(&format!("round {round}: all proxies agree"), &fleet);
         for n in 0..3 {
             assert!(
                 committed.iter().all(|o| holds_floor(&fleet, n, o)),
-                "round {round}: p{n} holds all that was promised"
+                "round {round}: p{n} holds all commits"
             );
         }
     }
 }
 
-/// A proxy that reaches nobody, or that nobody's word reaches, says no in time; what it was told is in force all the
-/// same, and once the links are back it promises again.
+/// A proxy that is cut off in one or both directions rejects commits within the time limit, still enforces the purges
+/// locally, and commits again once the links are restored.
 #[test]
 fn an_isolated_proxy_rejects_commits() {
     let fleet = replicating_fleet(3, 42);
     fleet.links.split(&[0], LinkConditions::CUT);
     assert_eq!(fleet.purge(0, &object(500)).unwrap(), 503);
-    assert!(holds_floor(&fleet, 0, &object(500)), "in force here");
+    assert!(
+        holds_floor(&fleet, 0, &object(500)),
+        "the purge is enforced locally"
+    );
     assert_eq!(
         fleet.purge(1, &object(501)).unwrap(),
         201,
-        "the other side has a second machine"
+        "the other side has a further machine"
     );
-    // One way: the others hear and their word does not come back.
+    // Peers receive from p0, but their acknowledgements are lost.
     fleet.links.split(&[0], LinkConditions::default());
     fleet.links.set((1, 0), LinkConditions::CUT);
     fleet.links.set((2, 0), LinkConditions::CUT);
@@ -365,16 +373,15 @@
     );
     assert!(
         status.under_replicated > 0,
-        "and they are known to be short of copies"
+        "the rejected purges count as under-replicated"
     );
     fleet.links.split(&[0], LinkConditions::default());
     assert_eq!(fleet.purge(0, &object(503)).unwrap(), 201);
-    await_agreement("all agree, none short", &fleet);
+    await_agreement("all proxies agree and nothing is under-replicated", &fleet);
     assert!((0..3).all(|n| (500..504).all(|o| holds_floor(&fleet, n, &object(o)))));
 }
 
-/// What a proxy says of its own machine counts: three that say the same are one, and one copy, though each other's files
-/// have them on three.
+/// The machine that a proxy reports for itself takes precedence over the one in its peers' configuration.
 #[test]
 fn proxies_on_one_machine_count_as_one_replica() {
     let setup = Setup {
@@ -382,7 +389,7 @@
         ..Setup::copying(Path::new(DAEMON), 3, 56)
     };
     let fleet = Fleet::with(setup).unwrap();
-    until("all have said so", || {
+    until("all peers report their machine", || {
         fleet
             .status(0)
             .unwrap()
@@ -393,7 +400,7 @@
     assert_eq!(fleet.purge(0, &object(505)).unwrap(), 503);
     assert!(
         fleet.hears(1, &object(505)).unwrap(),
-        "they have it all the same"
+        "the peers still receive the purge"
     );
 }
 
@@ -401,19 +408,27 @@
 fn a_stalled_replica_does_not_block_commits_held_by_another() {
     let fleet = replicating_fleet(3, 43);
     fleet.stall(1).unwrap();
-    assert_eq!(fleet.purge(0, &object(510)).unwrap(), 201, "by p2");
+    assert_eq!(
+        fleet.purge(0, &object(510)).unwrap(),
+        201,
+        "acknowledged by p2"
+    );
     fleet.stall(2).unwrap();
-    assert_eq!(fleet.purge(0, &object(511)).unwrap(), 503, "by nobody");
-    // They go on, know nothing of it, and take what waits in their sockets.
+    assert_eq!(
+        fleet.purge(0, &object(511)).unwrap(),
+        503,
+        "acknowledged by no peer"
+    );
+    // The peers resume and process the datagrams queued in their sockets.
     fleet.go_on(1).unwrap();
     fleet.go_on(2).unwrap();
     assert_eq!(fleet.purge(0, &object(512)).unwrap(), 201);
-    await_agreement("all agree, none short", &fleet);
+    await_agreement("all proxies agree and nothing is under-replicated", &fleet);
     assert!((0..3).all(|n| (510..513).all(|o| holds_floor(&fleet, n, &object(o)))));
 }
 
-/// A holder dies before its disk has the copy, and once it has it and before it says so. The other's copy is enough,
-/// and what the dead one lacks it has again once it is back.
+/// A replica crashes before its write, after it, or before its acknowledgement. The other replica's acknowledgement
+/// suffices, and the crashed one catches up after its restart.
 #[test]
 fn a_replica_crash_around_its_write_loses_no_commit() {
     for (seed, point) in ["store-commits", "store-committed", "holder-says"]
@@ -425,16 +440,20 @@
         fleet
             .restart_armed(1, Disk::Kept, &format!("{point}=die"))
             .unwrap();
-        assert_eq!(fleet.purge(0, &object(520)).unwrap(), 201, "{point}: by p2");
-        until(&format!("{point}: it died of it"), || {
+        assert_eq!(
+            fleet.purge(0, &object(520)).unwrap(),
+            201,
+            "{point}: acknowledged by p2"
+        );
+        until(&format!("{point}: p1 has crashed"), || {
             fleet.status(1).is_err()
         });
-        // Now the writer's machine is lost too: the promise was given on p2's word alone.
+        // The writer's machine is lost too, so only p2 holds the commit.
         fleet.kill(0).unwrap();
         fleet.kill(1).unwrap();
         fleet.restart(0, Disk::Lost).unwrap();
         fleet.restart(1, Disk::Kept).unwrap();
-        await_agreement(&format!("{point}: all agree"), &fleet);
+        await_agreement(&format!("{point}: all proxies agree"), &fleet);
         assert!(
             (0..3).all(|n| holds_floor(&fleet, n, &object(520))),
             "{point}"
@@ -442,7 +461,6 @@
     }
 }
 
-/// With a promise that waits for two further machines, two of three are lost one after the other.
 #[test]
 fn two_required_replicas_survive_losing_two_of_three_machines() {
     let mut fleet = Fleet::start(Path::new(DAEMON), 3, 50, Some(2)).unwrap();
@@ -451,13 +469,13 @@
     fleet.kill(1).unwrap();
     fleet.restart(0, Disk::Lost).unwrap();
     fleet.restart(1, Disk::Lost).unwrap();
-    await_agreement("all agree", &fleet);
+    await_agreement("all proxies agree", &fleet);
     assert!((0..3).all(|n| holds_floor(&fleet, n, &object(530))));
     fleet.stall(2).unwrap();
     assert_eq!(
         fleet.purge(0, &object(531)).unwrap(),
         503,
-        "one is not enough"
+        "one further machine does not suffice"
     );
     fleet.go_on(2).unwrap();
 }
@@ -466,7 +484,7 @@
 fn a_failing_disk_rejects_commits_while_peers_keep_the_purge() {
     let mut fleet = replicating_fleet(3, 51);
     assert_eq!(fleet.purge(0, &object(540)).unwrap(), 201);
-    await_agreement("all have it", &fleet);
+    await_agreement("all proxies hold the purge", &fleet);
     fleet.kill(0).unwrap();
     fleet
         .restart_armed(0, Disk::Kept, "store-fails=fail")
@@ -474,18 +492,18 @@
     assert_eq!(fleet.purge(0, &object(541)).unwrap(), 503);
     assert!(
         holds_floor(&fleet, 0, &object(541)),
-        "in force all the same"
+        "the purge is enforced locally"
     );
     let status = fleet.status(0).unwrap();
     assert!(status.durable_index < status.last_index && status.rejected == 1);
-    // Its word is no copy for others either.
+    // A proxy with a failing disk does not count as a replica for its peers.
     fleet.stall(2).unwrap();
     assert_eq!(fleet.purge(1, &object(542)).unwrap(), 503);
     fleet.go_on(2).unwrap();
-    assert!(fleet.end(0).unwrap(), "it ends well");
+    assert!(fleet.end(0).unwrap(), "p0 exits cleanly");
     fleet.restart(0, Disk::Kept).unwrap();
     assert_eq!(fleet.purge(0, &object(543)).unwrap(), 201);
-    await_agreement("all agree", &fleet);
+    await_agreement("all proxies agree", &fleet);
     assert!((0..3).all(|n| (540..544).all(|o| holds_floor(&fleet, n, &object(o)))));
 }
 
@@ -493,7 +511,7 @@
 fn a_damaged_store_is_rejected_and_its_replacement_filled_by_peers() {
     let mut fleet = replicating_fleet(3, 52);
     assert_eq!(fleet.purge(0, &object(550)).unwrap(), 201);
-    await_agreement("all have it", &fleet);
+    await_agreement("all proxies hold the purge", &fleet);
     fleet.kill(1).unwrap();
     let path = fleet.store(1);
     let length = std::fs::metadata(&path).unwrap().len() as usize;
@@ -507,11 +525,10 @@
     );
     std::fs::rename(&path, path.with_extension("damaged")).unwrap();
     fleet.restart(1, Disk::Kept).unwrap();
-    await_agreement("all agree", &fleet);
+    await_agreement("all proxies agree", &fleet);
     assert!(holds_floor(&fleet, 1, &object(550)));
 }
 
-/// All processes are killed at once and come back in each order; promises were made by each of them.
 #[test]
 fn a_killed_fleet_recovers_in_any_restart_order() {
     let mut fleet = replicating_fleet(3, 53);
@@ -536,17 +553,16 @@
         order
             .iter()
             .for_each(|n| fleet.restart(*n, Disk::Kept).unwrap());
-        await_agreement(&format!("{order:?}: all agree"), &fleet);
+        await_agreement(&format!("{order:?}: all proxies agree"), &fleet);
     }
     for n in 0..3 {
         assert!(
             committed.iter().all(|o| holds_floor(&fleet, n, o)),
-            "p{n} holds all that was promised"
+            "p{n} holds all commits"
         );
     }
 }
 
-/// Promises are asked of a proxy that is told to end: each has its answer, yes or no, before the process has ended.
 #[test]
 fn pending_commits_are_answered_before_the_process_exits() {
     let mut fleet = replicating_fleet(2, 54);
@@ -556,12 +572,12 @@
         fleet.process(0).unwrap().admin,
     );
     let purge = std::thread::spawn(move || purge_at(front, &object(560)));
-    until("the neighbour waits", || {
+    until("the purge is pending", || {
         fleet.status(0).unwrap().pending_commits == 1
     });
     let operator_call =
         std::thread::spawn(move || call(admin, "POST", "/control/pop-caches/s-0a/offline", ""));
-    until("the operator waits", || {
+    until("the operator's call is pending", || {
         fleet.status(0).unwrap().pending_commits == 2
     });
     assert!(fleet.end(0).unwrap());
@@ -570,11 +586,10 @@
     fleet.go_on(1).unwrap();
 }
 
-/// Two calls on one pop cache wait, and neither can be promised: it is as it was before the first of them, whichever is
-/// refused last.
+/// The pop cache keeps its state from before the first call, whichever pending call is rejected last.
 #[test]
 fn rejected_conflicting_operator_calls_restore_the_previous_state() {
-    // Time for all four to wait side by side on a busy machine.
+    // Long enough for all four calls to be pending at once on a busy machine.
     let within_ms = Some(6_000);
     let setup = Setup {
         within_ms,
@@ -593,14 +608,14 @@
         .enumerate()
     {
         calls.push(spawn_operator_call(verb));
-        until("it waits", || {
+        until("the call is pending", || {
             fleet.status(0).unwrap().pending_commits == n + 1
         });
     }
     assert!(calls.into_iter().all(|call| call.join().unwrap() == 503));
     await_cache_use(&fleet, 0, 0, 1500);
     fleet.go_on(1).unwrap();
-    await_agreement("both agree", &fleet);
+    await_agreement("both proxies agree", &fleet);
     assert_eq!(
         fleet
             .operate(0, "POST", "/control/pop-caches/s-0a/offline")
@@ -610,7 +625,7 @@
     assert!(!uses_cache(&fleet, 0, 0, 1600));
 }
 
-/// What a proxy believes of another, by its place in the fleet.
+/// Returns the state that proxy `at` reports for proxy `of`.
 fn peer_state(fleet: &Fleet, at: usize, of: usize) -> String {
     let name = format!("p{of}");
     let status = fleet.status(at).unwrap();
@@ -633,7 +648,7 @@
 }
 
 fn await_peer_state(fleet: &Fleet, at: &[usize], of: usize, wanted: &str) {
-    until(&format!("{at:?} believe p{of} to be {wanted}"), || {
+    until(&format!("{at:?} report p{of} as {wanted}"), || {
         at.iter().all(|n| peer_state(fleet, *n, of) == wanted)
     });
 }
@@ -655,13 +670,15 @@
     assert_eq!(fleet.status(0).unwrap().alive_members, 3);
     fleet.restart(3, Disk::Kept).unwrap();
     await_peer_state(&fleet, &[0, 1, 2], 3, "alive");
-    assert!(incarnations(&fleet, 0, "p3") > before, "in a later life");
+    assert!(
+        incarnations(&fleet, 0, "p3") > before,
+        "p3 has a later incarnation"
+    );
     assert!(fleet.end(3).unwrap());
     await_peer_state(&fleet, &[0, 1, 2], 3, "left");
 }
 
-/// A link that is cut one way, and one that is cut both ways, for as long as a death takes to be known: another hears
-/// all of them, so nobody is dead to anybody but the one that is cut off from all.
+/// Indirect probes over a third proxy keep both ends of a cut link alive. Only a proxy without any link is marked dead.
 #[test]
 fn a_cut_link_marks_nobody_dead_but_an_isolated_proxy_is() {
     let fleet = replicating_fleet(5, 61);
@@ -703,16 +720,20 @@
     await_peer_state(&fleet, &[0, 1, 2], 3, "dead");
     fleet.go_on(3).unwrap();
     await_peer_state(&fleet, &[0, 1, 2], 3, "alive");
-    assert_eq!(incarnations(&fleet, 0, "p3"), before, "in the same life");
+    assert_eq!(
+        incarnations(&fleet, 0, "p3"),
+        before,
+        "p3 keeps its incarnation"
+    );
     assert!(
         (0..3).all(|n| peer_state(&fleet, 3, n) != "dead"),
-        "and it blames nobody"
+        "p3 marks no peer dead"
     );
     assert_eq!(fleet.purge(3, &object(700)).unwrap(), 201);
 }
 
-/// A machine that stood still comes back after another has taken its name: the old process promises nothing more, and
-/// what it promised before is its successor's too.
+/// A stalled process resumes after a replacement has taken its name: it rejects commits, and its earlier commits are held
+/// by the replacement.
 #[test]
 fn a_replaced_incarnation_that_resumes_is_fenced() {
     let setup = Setup {
@@ -726,26 +747,26 @@
     fleet.restart(3, Disk::Lost).unwrap();
     assert!(
         fleet.hears(3, &object(710)).unwrap(),
-        "it has the promises of the life before"
+        "the replacement holds the commits of the previous incarnation"
     );
     assert_eq!(fleet.purge(3, &object(711)).unwrap(), 201);
-    until("the others have met it", || {
+    until("the others know the replacement", || {
         (1..3).all(|n| fleet.status(n).unwrap().peers[3 - 1].name == "p0")
     });
     fleet.go_on(0).unwrap();
-    until("the old one learns of it", || {
+    until("the old process learns of its replacement", || {
         fleet.status(0).unwrap().replaced
     });
     assert_eq!(
         fleet.purge(0, &object(712)).unwrap(),
         503,
-        "and promises nothing more"
+        "the replaced process rejects commits"
     );
     assert!(!fleet.status(3).unwrap().replaced);
     assert_eq!(fleet.purge(3, &object(713)).unwrap(), 201);
     assert!(
         fleet.hears(0, &object(713)).unwrap(),
-        "what others promise it goes on keeping"
+        "the replaced process still receives commits of others"
     );
 }
 
@@ -753,22 +774,21 @@
     fleet.operate(n, "GET", "/control/ready").unwrap() == 200
 }
 
-/// Whether a proxy that is asked for forty photos from one on asks a box for any of them.
+/// Requests forty photos starting at number `from` and returns whether the proxy uses the given cache for any of them.
 fn uses_cache(fleet: &Fleet, n: usize, cache: usize, from: u64) -> bool {
     let before = fleet.caches[cache].arrivals().len();
     (from..from + 40).for_each(|o| drop(fleet.ask(n, &object(o)).unwrap()));
     fleet.caches[cache].arrivals().len() > before
 }
 
-/// A proxy sends something to a box in the end: on a busy machine a box may be late, and is let be for a while.
+/// Waits until the proxy uses the given cache. On a busy machine a slow cache may be avoided for a while.
 fn await_cache_use(fleet: &Fleet, n: usize, cache: usize, from: u64) {
-    until(&format!("p{n} uses box {cache}"), || {
+    until(&format!("p{n} uses cache {cache}"), || {
         uses_cache(fleet, n, cache, from)
     });
 }
 
-/// Rule 3 over the loss of a machine: the operators were told yes, and the proxy that takes its place is not ready before
-/// it knows of the ban again.
+/// A proxy that replaces a lost machine is not ready before it has recovered the operators' decisions.
 #[test]
 fn bans_and_drains_survive_replacing_a_lost_machine() {
     let mut fleet = replicating_fleet(3, 70);
@@ -797,31 +817,31 @@
     for n in 0..3 {
         fleet.kill(n).unwrap();
         fleet.restart(n, Disk::Lost).unwrap();
-        until("it has its promises back", || {
+        until("the proxy has recovered its entries", || {
             fleet.status(n).unwrap().entries >= 3
         });
-        await_agreement("all agree", &fleet);
+        await_agreement("all proxies agree", &fleet);
     }
-    until("it is ready", || is_ready(&fleet, 0) && is_ready(&fleet, 2));
+    until("both ready", || is_ready(&fleet, 0) && is_ready(&fleet, 2));
     assert!(
         !uses_cache(&fleet, 0, 0, 800),
-        "p0 sends nothing to the box that its operators banned"
+        "p0 sends nothing to the banned cache"
     );
     await_cache_use(&fleet, 0, 1, 900);
-    // A ban that was lifted stays lifted.
+    // The lifted ban is not restored.
     await_cache_use(&fleet, 2, 1, 1000);
-    assert!(!is_ready(&fleet, 1), "p1 is out of service still");
+    assert!(!is_ready(&fleet, 1), "p1 is still out of service");
     assert_eq!(
         fleet.operate(1, "POST", "/control/in-service").unwrap(),
         200
     );
-    until("it is back", || is_ready(&fleet, 1));
+    until("p1 is in service", || is_ready(&fleet, 1));
 }
 
 #[test]
 fn an_unreplicated_ban_is_rejected_without_effect() {
     let fleet = replicating_fleet(3, 71);
-    until("it has heard the others", || is_ready(&fleet, 0));
+    until("p0 has recovered from its peers", || is_ready(&fleet, 0));
     fleet.links.split(&[0], LinkConditions::CUT);
     assert_eq!(
         fleet
@@ -842,7 +862,7 @@
             .unwrap(),
         200
     );
-    // The same again is yes only because the first one is kept by now.
+    // A repeated ban succeeds because the first one is committed.
     assert_eq!(
         fleet
             .operate(0, "POST", "/control/pop-caches/s-0a/offline")
@@ -850,11 +870,11 @@
         200
     );
     assert!(!uses_cache(&fleet, 0, 0, 1200));
-    await_agreement("all agree", &fleet);
+    await_agreement("all proxies agree", &fleet);
 }
 
-/// A new machine whose peers can't be reached does not know what its operators decided: it is not ready, and is after a
-/// bounded time, saying so. One whose disk is kept asks nobody.
+/// A proxy without its disk is not ready until it has recovered from its peers or a time limit has passed. One with its
+/// disk needs no peer.
 #[test]
 fn a_machine_without_its_disk_is_ready_only_after_recovery() {
     let mut fleet = replicating_fleet(3, 72);
@@ -865,43 +885,43 @@
             .unwrap(),
         200
     );
-    await_agreement("all agree", &fleet);
+    await_agreement("all proxies agree", &fleet);
     fleet.kill(0).unwrap();
     fleet.links.split(&[0], LinkConditions::CUT);
     fleet.restart(0, Disk::Kept).unwrap();
-    until("with its disk it needs nobody", || is_ready(&fleet, 0));
+    until("p0 is ready from its own disk", || is_ready(&fleet, 0));
     assert!(!uses_cache(&fleet, 0, 0, 1300));
     fleet.kill(0).unwrap();
     fleet.restart(0, Disk::Lost).unwrap();
     let start = Instant::now();
     assert!(!is_ready(&fleet, 0));
     fleet.links.split(&[0], LinkConditions::default());
-    until("it has heard the others", || is_ready(&fleet, 0));
+    until("p0 has recovered from its peers", || is_ready(&fleet, 0));
     assert!(
         start.elapsed().as_secs() < 5,
-        "that took no longer than it must"
+        "recovery takes less than the time limit"
     );
     assert!(!uses_cache(&fleet, 0, 0, 1400));
     fleet.kill(0).unwrap();
     fleet.links.split(&[0], LinkConditions::CUT);
     fleet.restart(0, Disk::Lost).unwrap();
     let start = Instant::now();
-    until("it does not wait for ever", || is_ready(&fleet, 0));
+    until("p0 is ready after the time limit", || is_ready(&fleet, 0));
     assert!(
         start.elapsed().as_millis() >= 4_500,
-        "and not for less: {:?}",
+        "ready before the time limit, after {:?}",
         start.elapsed()
     );
 }
 
-/// What a proxy answers when asked for the status of a trigger.
+/// Returns the HTTP status and body that a proxy answers for a trigger status.
 fn trigger_status(fleet: &Fleet, n: usize, path: &str) -> (u16, Vec<u8>) {
     let answer = fleet.neighbour(n, "GET", path).unwrap();
     (answer.status, answer.body)
 }
 
-/// The status of a trigger is longer than a datagram. It is told by every proxy, also once the machine that was told is
-/// lost with its disk, and the machine in its place gives no name again.
+/// A trigger status longer than a datagram is served by every proxy after its machine is lost with its disk. The
+/// replacement does not reuse its name.
 #[test]
 fn a_trigger_status_is_served_by_all_and_survives_its_machine() {
     let mut fleet = replicating_fleet(3, 80);
@@ -916,18 +936,19 @@
     let objects: Vec<String> = (2000..2060).map(object).collect();
     let all: Vec<&str> = objects.iter().map(String::as_str).collect();
     let answer = fleet.trigger(0, &all).unwrap();
-    let path = status_path(&answer).expect("it is promised");
+    let path = status_path(&answer).expect("the trigger is committed");
     fleet.kill(0).unwrap();
     for n in 1..3 {
-        until("it is told by those that are left", || {
+        until("the remaining proxies serve the status", || {
             trigger_status(&fleet, n, &path) == (200, answer.body.clone())
         });
     }
     fleet.restart(0, Disk::Lost).unwrap();
-    await_agreement("all agree", &fleet);
-    let second = status_path(&fleet.trigger(0, &all[..1]).unwrap()).expect("it is promised");
+    await_agreement("all proxies agree", &fleet);
+    let second =
+        status_path(&fleet.trigger(0, &all[..1]).unwrap()).expect("the trigger is committed");
     assert_ne!(second, path);
-    await_agreement("all agree", &fleet);
+    await_agreement("all proxies agree", &fleet);
     for n in 0..3 {
         assert_eq!(
             trigger_status(&fleet, n, &path),
@@ -941,42 +962,43 @@
         );
         assert!(holds_floor(&fleet, n, &objects[59]), "p{n}");
     }
-    // All at once, with their disks: what stands on these is read again.
+    // All proxies restart at once with their disks.
     (0..3).for_each(|n| fleet.kill(n).unwrap());
     (0..3).for_each(|n| fleet.restart(n, Disk::Kept).unwrap());
     assert!((0..3).all(|n| trigger_status(&fleet, n, &path) == (200, answer.body.clone())));
-    let third = status_path(&fleet.trigger(0, &all[..1]).unwrap()).expect("it is promised");
+    let third =
+        status_path(&fleet.trigger(0, &all[..1]).unwrap()).expect("the trigger is committed");
     assert!(third != path && third != second);
 }
 
-/// A neighbour has done with a status and says so at another proxy than it told. It stays gone, whoever is lost and
-/// whoever was away meanwhile.
+/// A status that is deleted at another proxy than it was created at stays deleted after restarts and lost disks.
 #[test]
 fn a_deleted_trigger_status_does_not_reappear() {
     let mut fleet = replicating_fleet(3, 81);
-    let path = status_path(&fleet.trigger(0, &[&object(2100)]).unwrap()).expect("it is promised");
-    await_agreement("all have it", &fleet);
+    let path = status_path(&fleet.trigger(0, &[&object(2100)]).unwrap())
+        .expect("the trigger is committed");
+    await_agreement("all proxies hold the purge", &fleet);
     fleet.kill(2).unwrap();
     assert_eq!(fleet.neighbour(1, "DELETE", &path).unwrap().status, 204);
-    until("it is gone at the proxy that was told", || {
+    until("the status is deleted at its first proxy", || {
         trigger_status(&fleet, 0, &path).0 == 404
     });
     fleet.kill(1).unwrap();
     fleet.restart(1, Disk::Lost).unwrap();
     fleet.restart(2, Disk::Kept).unwrap();
-    await_agreement("all agree", &fleet);
+    await_agreement("all proxies agree", &fleet);
     for n in 0..3 {
         assert_eq!(trigger_status(&fleet, n, &path).0, 404, "p{n}");
         assert!(fleet.triggers(n).unwrap().is_empty(), "p{n}");
         assert!(
             holds_floor(&fleet, n, &object(2100)),
-            "p{n}: its purge holds for good"
+            "p{n}: the purge is still enforced"
         );
     }
 }
 
-/// A trigger that could not be promised is none, at any proxy, also once the links are back; one that is refused as such
-/// is a promise too, as its status is.
+/// A trigger that could not be committed appears on no proxy, even after the links are restored. The status of an invalid
+/// trigger needs a commit as well.
 #[test]
 fn an_uncommitted_trigger_is_served_by_no_proxy() {
     let fleet = replicating_fleet(3, 82);
@@ -990,11 +1012,11 @@
     assert_eq!(
         post_unsupported().status,
         503,
-        "nobody else could tell what became of it"
+        "the status of an invalid trigger can not be committed either"
     );
     fleet.links.split(&[0], LinkConditions::default());
-    let path = status_path(&post_unsupported()).expect("it is promised");
-    await_agreement("all agree", &fleet);
+    let path = status_path(&post_unsupported()).expect("the trigger is committed");
+    await_agreement("all proxies agree", &fleet);
     for n in 0..3 {
         assert_eq!(
             fleet.triggers(n).unwrap(),
