--- a/daemon/tests/client_gone.rs
+++ b/daemon/tests/client_gone.rs
@@ -1,5 +1,5 @@
-//! A client that has closed or cancelled has gone: whatever its requests wait for at that moment, no further attempt of
-//! them begins. Every way to go, with one request on the connection and with as many as it may have, on real sockets.
+//! Requests of a client that disconnects or aborts start no further attempt, whatever they wait for at that moment.
+//! Covers each kind of disconnect, with one request and with the maximum number of requests on the connection.
 
 mod rig;
 mod scripted;
@@ -13,16 +13,16 @@
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
 
-/// How a client goes.
+/// How a client disconnects or cancels its requests.
 #[derive(Clone, Copy, Debug)]
 enum Disconnect {
-    /// It closes its socket.
+    /// Closes the socket.
     Fin,
-    /// It resets the connection.
+    /// Resets the connection.
     Reset,
-    /// It takes its requests back and keeps the connection.
+    /// Aborts the requests and keeps the connection.
     Abort,
-    /// It ends its own half, and could still read.
+    /// Shuts down the sending half and keeps the receiving half open.
     HalfClose,
 }
 
@@ -32,13 +32,13 @@
     Disconnect::Abort,
     Disconnect::HalfClose,
 ];
-/// Requests on its connection: one, and as many as one connection may have.
+/// Requests on the connection: one, and the maximum.
 const REQUEST_COUNTS: [u16; 2] = [1, 32];
-/// Numbers of the requests of the client that stays.
+/// Request number used by the client that stays connected.
 const REMAINING_CLIENT_REQUEST: u16 = 100;
 
 impl Disconnect {
-    /// Has a client go that has so many requests open. What is returned keeps open what is to stay open.
+    /// Disconnects a client that has `count` open requests. Returns the connection if it stays open.
     fn apply(self, mut web: WebServer, count: u16) -> Option<WebServer> {
         match self {
             Disconnect::Fin => None,
@@ -60,12 +60,12 @@
     }
 }
 
-/// The id under which a box is asked for the request with this number.
+/// Returns the id that a cache receives for the request with this number.
 fn request_id(number: u16) -> String {
     format!("{:016x}", 0xabc_0000 + u64::from(number))
 }
 
-/// Serves a client until a connection to each box is up, so that a further attempt would have to wait for none.
+/// Serves a client until a connection to each cache is up, so that a further attempt need not wait for one.
 fn warm_up<const N: usize>(caches: &mut [Scripted; N], web: &mut WebServer) {
     let mut n = 1_000;
     while caches.iter().any(|scripted| scripted.wires.is_empty()) {
@@ -78,15 +78,15 @@
     }
 }
 
-/// The daemon has taken in all that was there before.
+/// Waits until the daemon has processed all earlier input, by a health check on this connection.
 fn await_processing(web: &mut WebServer) {
     web.send(&WebServer::request(9, "/_health", &[], b""))
         .unwrap();
     web.end().unwrap();
 }
 
-/// Has a client served that stays, twice: by then all that lies in the sockets before it is carried out. The calls that
-/// came meanwhile, other than its own.
+/// Serves two requests of the remaining client, so that the daemon has processed all earlier input. Returns the other
+/// fetches that reached the caches meanwhile.
 fn serve_remaining_client_twice<const N: usize>(
     caches: &mut [Scripted; N],
     web: &mut WebServer,
@@ -111,7 +111,10 @@
                     other_fetches.push(fetch);
                 }
             }
-            assert!(start.elapsed() < Duration::from_secs(10), "nothing comes");
+            assert!(
+                start.elapsed() < Duration::from_secs(10),
+                "the remaining client's fetch does not arrive"
+            );
             std::thread::yield_now();
         }
         assert_eq!(web.end().unwrap().1.unwrap().status, 200);
@@ -119,7 +122,7 @@
     other_fetches
 }
 
-/// Two boxes; with parents, where the answer tells of a fill that failed.
+/// Starts a daemon with two caches, and with parents if the answer reports a failed fill.
 fn start_site(status: &str, fields: &str) -> (Rig, [Scripted; 2]) {
     let needs_parents = status == "404" || fields == "how=cut_off";
     scripted::<2>(|config| {
@@ -129,7 +132,7 @@
     })
 }
 
-/// A client that stays has a further attempt made after such an answer.
+/// Asserts that this answer causes a retry for a client that stays connected.
 fn assert_connected_client_is_retried(status: &str, fields: &str) {
     let (rig, mut caches) = start_site(status, fields);
     let mut remaining = rig.web();
@@ -144,7 +147,8 @@
     rig.stop();
 }
 
-/// A client with attempts out that goes, and then every one of them is answered in a way that asks for a further attempt.
+/// Disconnects a client with open attempts, then answers each attempt in a way that would otherwise cause a retry, and
+/// asserts that none starts.
 fn disconnect_before_answer(status: &str, fields: &str, same_object: bool) {
     assert_connected_client_is_retried(status, fields);
     for disconnect in DISCONNECTS {
@@ -188,13 +192,13 @@
     disconnect_before_answer("404", "-", false);
 }
 
-/// Its requests wait at the box for the fill of the first one.
+/// All requests are for one object, and wait at the cache for the fill of the first one.
 #[test]
 fn failed_shared_fill_after_client_disconnect_starts_no_retry() {
     disconnect_before_answer("503", "how=rode", true);
 }
 
-/// The requests wait in the queue of a connection that is not up when the client goes, and it comes up then.
+/// The requests are queued for a connection that comes up only after the client has disconnected.
 #[test]
 fn requests_of_a_disconnected_client_are_not_sent_on_a_late_connection() {
     std::thread::scope(|scope| {
@@ -236,7 +240,7 @@
     rig.stop();
 }
 
-/// An object whose first place among the boxes `s-0a` and `s-0b` is the first, and one whose is the second.
+/// Returns one object that is routed to cache `s-0a` first, and one that is routed to `s-0b` first.
 fn objects_by_cache() -> [String; 2] {
     let rig = Rig::with(&["s-0a", "s-0b"], |_| {});
     let mut web = rig.web();
@@ -252,8 +256,7 @@
     objects
 }
 
-/// The loop is kept for longer than an attempt may wait for its connection: what is due by then must not come before
-/// the end of a client that has gone meanwhile.
+/// The event loop is blocked past the connect timeout. It must process the disconnect before the expired timer.
 #[test]
 fn connect_timeout_in_a_blocked_loop_starts_no_retry_for_a_disconnected_client() {
     let objects = objects_by_cache();
@@ -276,7 +279,11 @@
         web.send(&request(1, &objects[0], 0)).unwrap();
         await_processing(&mut remaining);
         let loop_guard = rig.hold();
-        assert_eq!(caches[1].arrived(), [], "it waits for its connection");
+        assert_eq!(
+            caches[1].arrived(),
+            [],
+            "the attempt waits for its connection"
+        );
         let kept_open = match disconnect {
             Some(disconnect) => disconnect.apply(web, 1),
             None => Some(web),
@@ -286,7 +293,11 @@
         let retries = serve_remaining_client_twice(&mut caches, &mut remaining);
         let retries: Vec<&str> = retries.iter().map(|fetch| fetch.2.as_str()).collect();
         match disconnect {
-            None => assert_eq!(retries, [request_id(1)], "one that stays gets its retry"),
+            None => assert_eq!(
+                retries,
+                [request_id(1)],
+                "a client that stays connected gets its retry"
+            ),
             Some(disconnect) => assert_eq!(retries, [""; 0], "{disconnect:?}"),
         }
         drop((blocker, kept_open, remaining));
--- a/daemon/tests/complete_requests_answered.rs
+++ b/daemon/tests/complete_requests_answered.rs
@@ -1,4 +1,4 @@
-//! A request that was read has its answer before its connection ends, whatever ends the connection.
+//! A completely received request is answered before its connection closes, whatever the reason for closing it.
 
 mod rig;
 mod scripted;
@@ -15,7 +15,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Bytes that no client may send behind a whole request, and why.
+/// Returns invalid byte sequences that follow a complete request, each with a description.
 fn invalid_bytes() -> Vec<(&'static str, Vec<u8>)> {
     let record = |kind, id, content: &[u8]| {
         let mut out = Vec::new();
@@ -36,17 +36,17 @@
     ];
     vec![
         ("an unknown version", vec![9; 64]),
-        ("a number in use", record(kind::BEGIN, 1, &begin)),
-        ("too long parameters", oversized_params.concat()),
-        ("too long a body", oversized_body),
-        ("parameters that are no pairs", malformed_params.concat()),
+        ("a request id in use", record(kind::BEGIN, 1, &begin)),
+        ("oversized parameters", oversized_params.concat()),
+        ("an oversized body", oversized_body),
+        ("malformed parameters", malformed_params.concat()),
     ]
 }
 
 #[test]
 fn complete_request_is_answered_when_the_following_bytes_are_invalid() {
     for (case, bytes) in invalid_bytes() {
-        // In one piece with the request, and behind it.
+        // Sends the invalid bytes together with the request, and separately after it.
         for separate in [false, true] {
             let (rig, mut caches) = scripted::<1>(|_| {});
             let mut web = rig.web();
@@ -78,16 +78,20 @@
             assert_eq!(
                 answers.get(&1),
                 Some(&Some(200)),
-                "{case}, apart: {separate}"
+                "{case}, sent separately: {separate}"
+            );
+            assert_eq!(
+                end,
+                ErrorKind::UnexpectedEof,
+                "{case}, sent separately: {separate}"
             );
-            assert_eq!(end, ErrorKind::UnexpectedEof, "{case}, apart: {separate}");
             drop(web);
             rig.stop();
         }
     }
 }
 
-/// Another client is served meanwhile, by which time the daemon has read what came before.
+/// Serves a request of another client, so that the daemon has read all earlier input. Returns the answer's status.
 fn serve_another_client(rig: &Rig, caches: &mut [scripted::Scripted; 1]) -> u16 {
     let mut other = rig.web();
     other.send(&request(50, &object(50), 0)).unwrap();
@@ -96,7 +100,7 @@
     other.end().unwrap().1.unwrap().status
 }
 
-/// Clients that hold all memory that there is for requests in part, each beside a request that has come whole.
+/// Each client has one complete request open while all of them exceed the memory for partial requests.
 #[test]
 fn partial_requests_over_the_memory_limit_reject_no_complete_request() {
     const CLIENTS: usize = 5;
@@ -116,7 +120,7 @@
     for web in &mut clients {
         for id in 1..=PARTIAL_REQUESTS {
             let partial = WebServer::request(id, "/invoke/photo", &[], &[b'x'; 40_000]);
-            // 5 times 30 times 40 KB, where 4 MB may be held.
+            // 5 clients with 30 partial requests of 40 KB each exceed the limit of 4 MB.
             web.send(&partial[..partial.len() - 8]).unwrap();
         }
     }
@@ -125,25 +129,25 @@
         let status = loop {
             let (id, answer) = web
                 .end()
-                .unwrap_or_else(|e| panic!("client {n} was ended: {e}"));
+                .unwrap_or_else(|e| panic!("the connection of client {n} was closed: {e}"));
             let status = answer.expect("an answer").status;
             if id == 100 {
                 break status;
             }
-            assert_eq!(status, 503, "a request that had come in part");
+            assert_eq!(status, 503, "a partial request");
             refused += 1;
         };
-        // The box may be taken for one that hangs by then.
+        // The slow cache may be treated as unresponsive by now.
         assert!([200, 503].contains(&status), "client {n}: {status}");
     }
-    assert!(refused > 0, "some of them made room");
+    assert!(refused > 0, "some partial requests are rejected");
     rig.boxes[0].behave(Manner::default());
     assert_eq!(one(&mut rig.web(), "photo", &object(99)).status, 200);
     drop(clients);
     rig.stop();
 }
 
-/// A quiet client's request that comes in pieces does not pay for others that hold far more.
+/// A small request that arrives in pieces is not rejected while other clients hold far more memory.
 #[test]
 fn partial_request_memory_is_reclaimed_from_the_largest_holder() {
     let rig = Rig::with(&["s-0a"], |config| {
@@ -151,7 +155,7 @@
         config["bounds"] = json!({"partial_request_timeout_us": 60_000_000});
     });
     let mut busy_clients: Vec<WebServer> = (0..4).map(|_| rig.web()).collect();
-    // All but 2 KB of the 4 MB that may be held.
+    // Uses all but 2 KB of the limit of 4 MB.
     for (n, web) in busy_clients.iter_mut().enumerate() {
         for id in 1..=26 {
             let partial = WebServer::request(id, "/invoke/photo", &[], &[b'x'; 40_000]);
@@ -166,7 +170,7 @@
     let complete = request(1, &object(1), 9_000);
     for piece in complete.chunks(1_000) {
         quiet.send(piece).unwrap();
-        // Each piece is read on its own: another client is answered behind it.
+        // An answer to another client shows that the daemon has read this piece.
         assert_eq!(one(&mut rig.web(), "photo", &object(2)).status, 200);
     }
     let (_, answer) = quiet.end().expect("an answer");
@@ -175,14 +179,13 @@
     rig.stop();
 }
 
-/// In a full table a client that has just been answered does not make room for others before clients that have rested
-/// for longer, however long its answer took: its next request is on its way.
+/// With all connection slots taken, idle time counts from the last answer and not from the last request.
 #[test]
 fn a_recently_answered_client_is_not_evicted_before_longer_idle_clients() {
     const CLIENT_SLOTS: usize = 24;
     let rig = Rig::with(&["s-0a"], |config| {
         config["limits"] = json!({"memory_mb": 192, "sockets": 64});
-        // The box is waited for.
+        // Without cancellation the daemon waits for the slow cache.
         config["settings"]["limits"]["cancel"] = json!(false);
     });
     rig.boxes[0].behave(Manner {
@@ -207,7 +210,7 @@
     rig.stop();
 }
 
-/// Others flood, fill the table of requests and get no answers.
+/// Forty other clients fill the request table while one of two caches never answers.
 #[test]
 fn a_quiet_client_is_answered_during_a_flood_with_an_unresponsive_cache() {
     let mut rig = Rig::with(&["s-0a", "s-0b"], |config| {
@@ -230,7 +233,7 @@
         for n in 0..12 {
             let sent_at = Instant::now();
             let status = one(&mut quiet, "photo", &object(1_000 + n)).status;
-            // 2.5 s, and what the machine may take beside.
+            // The budget is 2.5 s. The rest allows for a busy machine.
             assert!(sent_at.elapsed() < Duration::from_millis(3_000), "{n}");
             *statuses.entry(status).or_default() += 1;
         }
@@ -241,7 +244,7 @@
     rig.run.join().unwrap().unwrap();
 }
 
-/// Stops a flood, also where the test fails.
+/// Stops the flooding threads when dropped, also if the test fails.
 struct StopOnDrop<'a>(&'a AtomicBool);
 
 impl Drop for StopOnDrop<'_> {
@@ -250,7 +253,7 @@
     }
 }
 
-/// Sends more than one connection may ask for, over and over, and is ended or turned away as may be.
+/// Repeatedly sends more requests than one connection may have open, and ignores rejections and closed connections.
 fn flood(front: SocketAddr, client: u64, stop: &AtomicBool) {
     while !stop.load(Ordering::SeqCst) {
         let Ok(mut web) = WebServer::connect(front) else {
--- a/daemon/tests/deadline_propagation.rs
+++ b/daemon/tests/deadline_propagation.rs
@@ -1,5 +1,5 @@
-//! The deadline that is passed to a box is at most what the client has left, whatever kept the request on its way: a
-//! connection that was late, an attempt before it, or a loop that stood still for a second.
+//! The deadline forwarded to a cache never exceeds the client's remaining time, whether the request was delayed by a slow
+//! connection, an earlier attempt, or a blocked event loop or process.
 
 mod rig;
 mod scripted;
@@ -15,13 +15,13 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Budget of `scripted::request`.
+/// Budget of the requests that `scripted::request` builds.
 const BUDGET: Duration = Duration::from_millis(2_000);
 const SLACK: Duration = Duration::from_millis(150);
-/// So long the loop, or the process, stands still.
+/// Duration for which the event loop or the process is stopped.
 const STALL: Duration = Duration::from_millis(1_000);
 
-/// What an attempt passes on.
+/// Returns the deadline in the fields of a fetch.
 fn forwarded_deadline(fields: &str) -> Duration {
     let wait = fields
         .split(',')
@@ -29,11 +29,11 @@
     Duration::from_millis(wait.expect("a deadline").parse().unwrap())
 }
 
-/// Checks a deadline that came to a box against a client that asked at a time.
+/// Asserts that the deadline in `fields` is at most the remaining budget of a request sent at `sent_at`.
 fn assert_deadline_within_budget(case: &str, fields: &str, sent_at: Instant) {
     let remaining = BUDGET.saturating_sub(sent_at.elapsed());
     let forwarded_deadline = forwarded_deadline(fields);
-    println!("{case}: {forwarded_deadline:?} passed on, {remaining:?} left");
+    println!("{case}: {forwarded_deadline:?} forwarded, {remaining:?} remaining");
     assert!(
         forwarded_deadline <= remaining + SLACK,
         "{case}: {forwarded_deadline:?} of {remaining:?}"
@@ -42,7 +42,7 @@
 
 #[test]
 fn first_attempt_retry_and_fill_carry_the_remaining_deadline() {
-    // At the other box, and at the same one with a fill.
+    // The first answer causes a retry at the other cache, the others a fill at the same cache.
     check_retry_deadline("503", "-");
     check_retry_deadline("404", "-");
     check_retry_deadline("503", "how=cut_off");
@@ -54,11 +54,11 @@
     let sent_at = Instant::now();
     web.send(&request(1, &object(1), 0)).unwrap();
     let (at, connection, fetch) = next_of(&mut caches);
-    assert_deadline_within_budget("a first attempt", &fetch[2], sent_at);
+    assert_deadline_within_budget("first attempt", &fetch[2], sent_at);
     pass(Duration::from_millis(300));
     caches[at].wires[connection].answer(&fetch[1], status, fields, "");
     let (at, connection, fetch) = next_of(&mut caches);
-    assert_deadline_within_budget("a further attempt", &fetch[2], sent_at);
+    assert_deadline_within_budget("further attempt", &fetch[2], sent_at);
     caches[at].wires[connection].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
     assert_eq!(web.end().unwrap().1.unwrap().status, 200);
     drop(web);
@@ -74,17 +74,17 @@
     let mut web = rig.web();
     let sent_at = Instant::now();
     web.send(&request(1, &object(1), 0)).unwrap();
-    // The system sends the first segment of a connection again after a second only.
+    // The kernel retransmits a SYN after one second, which delays the connection further.
     pass(Duration::from_millis(300));
     let (_, connection, fetch) = next_of(&mut caches);
-    assert_deadline_within_budget("a late connection", &fetch[2], sent_at);
+    assert_deadline_within_budget("late connection", &fetch[2], sent_at);
     caches[0].wires[connection].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
     assert_eq!(web.end().unwrap().1.unwrap().status, 200);
     drop((blocker, web));
     rig.stop();
 }
 
-/// A request's time runs from its last byte on, and not from when it is read.
+/// The deadline counts from the arrival of the request's last byte, not from the time it is read.
 #[test]
 fn requests_read_by_a_blocked_loop_carry_the_remaining_deadline() {
     let (mut rig, mut caches) = scripted::<1>(|_| {});
@@ -103,16 +103,19 @@
     let mut received = 0;
     while received < 2 {
         for (_, connection, id, fields) in fetches(&mut caches) {
-            assert_deadline_within_budget("a kept loop", &fields, sent_at);
+            assert_deadline_within_budget("blocked event loop", &fields, sent_at);
             caches[0].wires[connection].answer(&id, "200", "how=local,made=1,etag=t1", "a copy");
             received += 1;
         }
-        assert!(sent_at.elapsed() < Duration::from_secs(10), "nothing comes");
+        assert!(
+            sent_at.elapsed() < Duration::from_secs(10),
+            "the fetches do not arrive"
+        );
         std::thread::yield_now();
     }
     assert_eq!(existing_client.end().unwrap().1.unwrap().status, 200);
     assert_eq!(new_client.end().unwrap().1.unwrap().status, 200);
-    // What comes when the loop goes on has all of its time.
+    // A request received after the loop resumes has its full budget.
     existing_client.send(&request(4, &object(4), 0)).unwrap();
     let (_, _, fetch) = next_of(&mut caches);
     assert!(forwarded_deadline(&fetch[2]) > BUDGET - SLACK, "{fetch:?}");
@@ -120,7 +123,7 @@
     rig.stop();
 }
 
-/// A daemon as a process, one box and the origin.
+/// A daemon process with a fake cache, origin and event bus.
 struct Site {
     folder: std::path::PathBuf,
     child: Child,
@@ -172,7 +175,7 @@
         kill_process(Pid::from_child(&self.child), signal).unwrap();
     }
 
-    /// Stops the process, and waits until it stands still.
+    /// Suspends the process and waits until it is stopped.
     fn freeze(&self) {
         self.signal(Signal::STOP);
         let path = format!("/proc/{}/stat", self.child.id());
@@ -190,7 +193,7 @@
     }
 }
 
-/// A request of the process, and when it was asked.
+/// Sends a request and returns the time it was sent.
 fn send_request(web: &mut WebServer, n: u64) -> Instant {
     let sent_at = Instant::now();
     web.ask(1, "photo", &object(n), BUDGET.as_millis() as u64)
@@ -215,8 +218,8 @@
             let fetch = site
                 .cache
                 .wait_for(|a| a.word == "fetch" && a.field("key") == Some(&object(n)))
-                .expect("a call");
-            assert_deadline_within_budget("a stopped process", &fetch.fields, sent_at);
+                .expect("a fetch");
+            assert_deadline_within_budget("stopped process", &fetch.fields, sent_at);
         }
         assert_eq!(existing_client.end().unwrap().1.unwrap().status, 200);
         assert_eq!(new_client.end().unwrap().1.unwrap().status, 200);
