--- a/daemon/tests/budgets.rs
+++ b/daemon/tests/budgets.rs
@@ -1,6 +1,5 @@
-//! What all proxies spend together, on several processes with fault-injecting links between them: places at the origin, counted by the
-//! origin itself. However links and processes fail, it never holds more than the limit; and what the others do not use is
-//! used by those that have something to do.
+//! Shared budgets in a fleet of daemon processes with fault-injecting links. The origin counts its concurrent requests:
+//! they never exceed the limit whatever fails, and busy proxies can use what idle ones leave unused.
 
 use linnetknot_daemon::budgets::{BudgetStatus, GrantStatus, Status};
 use linnetknot_harness::clients::{becomes, TIMEOUT};
@@ -14,20 +13,22 @@
 use std::time::{Duration, Instant};
 
 const DAEMON: &str = env!("CARGO_BIN_EXE_linnetknot");
-/// Places at the origin, and those set aside for each proxy.
+/// Concurrent requests allowed at the origin.
 const LIMIT: u64 = 24;
+/// Part of the limit that is reserved for each proxy.
 const RESERVED: u64 = 2;
-/// How long a request may be open: what is spent settles within it.
+/// Longest time a request may be open, within which spent budget settles.
 const DEADLINE_US: u64 = 1_000_000;
-/// How long the origin holds each.
+/// Time the origin takes for each request.
 const HOLD_MS: u64 = 100;
-/// More clients of each proxy than there are places.
+/// Clients of each proxy, more than the limit.
 const CLIENTS: usize = 26;
 
 fn origin(limit: u64) -> Value {
     json!({"origin": {"whole": limit, "floor": RESERVED}})
 }
 
+/// A fleet under load, with the limits that apply over time.
 struct BudgetTest {
     fleet: Fleet,
     clients: Vec<Option<Pressure>>,
@@ -36,7 +37,7 @@
 }
 
 impl BudgetTest {
-    /// So many proxies, the first of which have clients.
+    /// Starts a fleet of `proxies`, of which the first `proxies_with_clients` have clients.
     fn start(proxies: usize, proxies_with_clients: usize, seed: u64, planted: &str) -> BudgetTest {
         let setup = Setup {
             budgets: origin(LIMIT),
@@ -65,7 +66,7 @@
         test
     }
 
-    /// A proxy has clients from now on.
+    /// Starts clients for proxy `n`.
     fn add_clients(&mut self, n: usize) {
         let front = self.fleet.process(n).unwrap().front;
         self.clients[n] = Some(Pressure::on(front, CLIENTS));
@@ -90,7 +91,7 @@
             .for_each(|clients| clients.send_to(Some(front)));
     }
 
-    /// What a proxy tells of the places; none where it does not run, or stands still.
+    /// Returns the budget status of a proxy, or `None` if it does not answer.
     fn budget_status(&self, n: usize) -> Option<BudgetStatus> {
         self.fleet
             .budgets(n)
@@ -98,10 +99,10 @@
             .map(|status| status.budgets[0].clone())
     }
 
-    /// Who of these leads, as soon as one does.
+    /// Waits until one of these proxies is the allocator and returns it.
     fn allocator(&self, of: &[usize]) -> usize {
         let mut allocator = None;
-        self.until("one leads", || {
+        self.until("one proxy is the allocator", || {
             allocator = of
                 .iter()
                 .copied()
@@ -124,7 +125,7 @@
         );
     }
 
-    /// The mean of what the origin held in the last half second.
+    /// Returns the mean number of concurrent requests at the origin over the last half second.
     fn mean_in_use(&self) -> f64 {
         let now = self.now();
         mean(
@@ -134,7 +135,7 @@
         )
     }
 
-    /// Waits until the origin holds so many on average.
+    /// Waits until the mean number of concurrent requests at the origin reaches `places`.
     fn until_in_use(&self, what: &str, places: f64) {
         self.until(what, || self.mean_in_use() >= places);
     }
@@ -143,19 +144,19 @@
         judge(&self.fleet.origin.spans(self.started_at), &self.limits)
     }
 
-    /// Time passes under load, as it does while something is broken.
+    /// Lets the fleet run under load for a while.
     fn run_for(&self, time: Duration) {
         std::thread::sleep(time);
     }
 
-    /// All that was held fits the limit, something was, and each proxy that has clients still answers.
+    /// Asserts that the origin never exceeded the limit, and that each running proxy with clients still serves them.
     fn assert_limit_kept(&self) {
         assert_eq!(self.breaches(), []);
         assert!(!self.fleet.origin.spans(self.started_at).is_empty());
         for n in (0..self.clients.len()).filter(|n| self.fleet.process(*n).is_ok()) {
             if let Some(clients) = &self.clients[n] {
                 let before = clients.answers().served;
-                self.until(&format!("p{n} serves on"), || {
+                self.until(&format!("p{n} still serves its clients"), || {
                     clients.answers().served > before
                 });
             }
@@ -164,19 +165,18 @@
 }
 
 const ALL_PROXIES: [usize; 3] = [0, 1, 2];
-/// Nearly all that is left to others while one lives on its reserved minimum.
+/// Most of the limit that remains for the others while one proxy has its reserved minimum only.
 const REMAINING_SHARE: f64 = (LIMIT - RESERVED) as f64 * 0.8;
 
-/// So many proxies that use all places, and the one that leads them.
+/// Starts a fleet that uses the whole limit, and returns it with its allocator.
 fn start_saturated(proxies: usize, seed: u64, planted: &str) -> (BudgetTest, usize) {
     let test = BudgetTest::start(proxies, proxies, seed, planted);
-    test.until_in_use("all places are used", LIMIT as f64 * 0.8);
+    test.until_in_use("the limit is in use", LIMIT as f64 * 0.8);
     let allocator = test.allocator(&(0..proxies).collect::<Vec<_>>());
     (test, allocator)
 }
 
-/// The allocator is lost in some way: another leads and the others use the rest. It is found again, and takes nothing
-/// away.
+/// Makes the allocator fail, waits for a replacement and for the others to use the rest, then lets it recover as a member.
 fn allocator_fails_and_recovers(
     seed: u64,
     fail: impl FnOnce(&mut BudgetTest, usize),
@@ -187,7 +187,7 @@
     let next = test.allocator(&others(allocator));
     test.until_in_use("the others use the rest", REMAINING_SHARE);
     recover(&mut test, allocator);
-    test.until("it has a lease again, and knows who leads", || {
+    test.until("it has a lease and knows the new allocator", || {
         let follows_next =
             |b: BudgetStatus| !b.reserved_only && !b.leads && b.allocator == format!("p{next}");
         test.budget_status(allocator).is_some_and(follows_next)
@@ -203,18 +203,21 @@
 fn unused_budget_goes_to_busy_proxies_and_is_shared_when_others_need_it() {
     let mut test = BudgetTest::start(3, 1, 1, "");
     test.until_in_use(
-        "one alone has nearly all places",
+        "the only busy proxy uses nearly the whole limit",
         (LIMIT - 2 * RESERVED) as f64 * 0.85,
     );
     test.add_clients(1);
     test.add_clients(2);
-    test.until("each has a fair lease", || {
+    test.until("each proxy has a fair lease", || {
         ALL_PROXIES.iter().all(|n| {
             test.budget_status(*n)
                 .is_some_and(|b| b.lease >= LIMIT / 3 - 2 && !b.reserved_only)
         })
     });
-    test.until_in_use("together they use nearly all", LIMIT as f64 * 0.85);
+    test.until_in_use(
+        "all proxies use nearly the whole limit",
+        LIMIT as f64 * 0.85,
+    );
     test.assert_limit_kept();
 }
 
@@ -225,8 +228,8 @@
     });
 }
 
-/// It stands still for longer than its votes last, another has them by then, and it goes on as if nothing was: two that
-/// both believe.
+/// The allocator resumes after its votes have expired and another has been elected, so that both consider themselves the
+/// allocator for a moment.
 #[test]
 fn a_stalled_allocator_does_not_allocate_after_its_replacement() {
     allocator_fails_and_recovers(
@@ -242,7 +245,7 @@
         7,
         |test, allocator| {
             test.fleet.links.split(&[allocator], LinkConditions::CUT);
-            test.until("it lives on its reserved minimum", || {
+            test.until("it has its reserved minimum only", || {
                 test.budget_status(allocator)
                     .is_some_and(|b| b.reserved_only && b.lease == RESERVED && !b.leads)
             });
@@ -255,7 +258,7 @@
     );
 }
 
-/// It receives all and nothing that it sends arrives.
+/// All datagrams from the allocator are lost, those to it arrive.
 #[test]
 fn an_allocator_that_can_only_receive_is_replaced() {
     let set_links = |test: &mut BudgetTest, allocator, conditions| {
@@ -270,21 +273,21 @@
     );
 }
 
-/// In the middle of an allocation: it has decided on leases, and their holders have received them or have not.
+/// The allocator crashes after deciding on leases, before or after their holders have received them.
 #[test]
 fn an_allocator_crash_around_a_grant_grants_nothing_twice() {
     for (seed, point) in ["budgets-grant", "budgets-granted"].into_iter().enumerate() {
         let (mut test, allocator) = start_saturated(3, 3 + seed as u64, "");
-        // Whichever leads next dies of its first grant.
+        // The next allocator crashes at its first grant.
         for n in others(allocator) {
             test.kill(n);
             test.restart(n, &format!("{point}=die"));
-            test.until("it is back", || {
+            test.until("the proxy has a lease", || {
                 test.budget_status(n).is_some_and(|b| !b.reserved_only)
             });
         }
         test.kill(allocator);
-        test.until("the next has died of its first grant", || {
+        test.until("the next allocator has crashed at its first grant", || {
             others(allocator)
                 .into_iter()
                 .any(|n| test.fleet.process(n).is_err())
@@ -294,19 +297,19 @@
             test.kill(n);
             test.restart(n, "");
         }
-        test.until_in_use("all places are used again", LIMIT as f64 * 0.75);
+        test.until_in_use("the limit is in use again", LIMIT as f64 * 0.75);
         test.assert_limit_kept();
     }
 }
 
-/// The list of peers gives each member its index. A proxy whose list changes while it runs would take one member's messages
-/// for another's.
+/// Member indexes follow the order of the peer list, so a proxy whose list changes at run time would mistake one member's
+/// messages for another's.
 #[test]
 fn a_proxy_with_a_changed_peer_list_shares_nothing_until_its_restart() {
     let (mut test, allocator) = start_saturated(3, 14, "");
     let changed = others(allocator)[0];
     test.fleet.reorder_peers(changed).unwrap();
-    test.until("it lives on its reserved minimum", || {
+    test.until("it has its reserved minimum only", || {
         test.budget_status(changed)
             .is_some_and(|b| b.reserved_only && b.lease == RESERVED && !b.leads)
     });
@@ -320,9 +323,9 @@
     let holder = others(allocator)[0];
     for _ in 0..3 {
         test.fleet.stall(holder).unwrap();
-        test.until_in_use("the others use what was its", REMAINING_SHARE);
+        test.until_in_use("the others use the expired lease", REMAINING_SHARE);
         test.fleet.go_on(holder).unwrap();
-        test.until("it has a lease again", || {
+        test.until("it has a lease", || {
             test.budget_status(holder)
                 .is_some_and(|b| !b.reserved_only && b.lease > RESERVED)
         });
@@ -338,14 +341,14 @@
         test.fleet
             .links
             .set((holder, allocator), LinkConditions::CUT);
-        test.until("it lives on its reserved minimum", || {
+        test.until("it has its reserved minimum only", || {
             test.budget_status(holder).is_some_and(|b| b.reserved_only)
         });
-        test.until_in_use("the others have the rest", REMAINING_SHARE);
+        test.until_in_use("the other holders use the rest", REMAINING_SHARE);
         test.fleet
             .links
             .set((holder, allocator), LinkConditions::default());
-        test.until("it has a lease again", || {
+        test.until("it has a lease", || {
             test.budget_status(holder).is_some_and(|b| !b.reserved_only)
         });
     }
@@ -363,12 +366,12 @@
         ..LinkConditions::default()
     };
     test.fleet.links.set_all(lossy);
-    test.until_in_use("most places are used", LIMIT as f64 * 0.75);
+    test.until_in_use("most of the limit is in use", LIMIT as f64 * 0.75);
     test.run_for(Duration::from_secs(2));
     test.assert_limit_kept();
 }
 
-/// Half of the proxies die at once and are back at once, and know nothing of what they granted and had.
+/// The restarted proxies have no memory of the leases they granted and held.
 #[test]
 fn restarting_half_of_the_proxies_at_once_keeps_the_limit() {
     let (mut test, allocator) = start_saturated(4, 11, "");
@@ -377,12 +380,12 @@
         test.kill(other);
         test.restart(allocator, "");
         test.restart(other, "");
-        test.until_in_use("all places are used again", LIMIT as f64 * 0.75);
+        test.until_in_use("the limit is in use again", LIMIT as f64 * 0.75);
     }
     test.assert_limit_kept();
 }
 
-/// One after the other, as an upgrade goes, each told to end (SIGTERM).
+/// Each proxy is restarted in turn with SIGTERM, as in an upgrade.
 #[test]
 fn a_rolling_restart_of_all_keeps_the_limit() {
     let (mut test, _) = start_saturated(3, 12, "");
@@ -390,10 +393,10 @@
         test.clients[n]
             .iter()
             .for_each(|clients| clients.send_to(None));
-        assert!(test.fleet.end(n).unwrap(), "p{n} ends well");
+        assert!(test.fleet.end(n).unwrap(), "p{n} exits cleanly");
         test.restart(n, "");
     }
-    test.until_in_use("all places are used again", LIMIT as f64 * 0.75);
+    test.until_in_use("the limit is in use again", LIMIT as f64 * 0.75);
     test.assert_limit_kept();
 }
 
@@ -401,20 +404,20 @@
 fn a_halved_limit_holds_once_earlier_leases_have_expired() {
     let (mut test, _) = start_saturated(3, 13, "");
     test.fleet.set_budgets(origin(LIMIT / 2)).unwrap();
-    test.until("all know of it", || {
+    test.until("all proxies know the new limit", || {
         ALL_PROXIES
             .iter()
             .all(|n| test.budget_status(*n).is_some_and(|b| b.limit == LIMIT / 2))
     });
-    // What was granted of the limit before may be spent for a second more, and settles within another.
+    // Leases of the old limit may be spent for one more second, and settle within the request deadline after it.
     test.run_for(Duration::from_micros(1_000_000 + DEADLINE_US));
     test.limits.push(LimitFrom {
         from: test.now(),
         limit: LIMIT / 2,
     });
     test.run_for(Duration::from_secs(1));
-    test.until_in_use("all of that is used", (LIMIT / 2) as f64 * 0.8);
-    // One that its reserved minimums don't fit stays out.
+    test.until_in_use("the new limit is in use", (LIMIT / 2) as f64 * 0.8);
+    // A limit below the sum of the reserved minimums is rejected.
     test.fleet.set_budgets(origin(3 * RESERVED - 1)).unwrap();
     test.run_for(Duration::from_millis(300));
     assert!(ALL_PROXIES
@@ -423,7 +426,7 @@
     test.assert_limit_kept();
 }
 
-/// Tools read these keys, whatever the fields are called here.
+/// Guards the JSON keys that tools read against renames of the fields.
 #[test]
 fn the_status_keeps_its_keys() {
     let budget = BudgetStatus {
@@ -462,22 +465,22 @@
     assert_eq!(serde_json::to_value(status).unwrap(), expected);
 }
 
-/// Each planted fault is seen by the origin.
+/// Each planted fault makes the origin exceed the limit.
 #[test]
 fn planted_faults_are_detected() {
-    // Floors that are not set aside: that shows by itself.
+    // Reserved minimums are not subtracted from what is granted.
     let test = BudgetTest::start(3, 3, 20, "plant-floors=fail");
-    test.until("more is held than may be", || !test.breaches().is_empty());
+    test.until("the limit is exceeded", || !test.breaches().is_empty());
     drop(test);
-    // A holder that ignores its lease's end: cut off, it goes on with what the others have been given by then.
+    // A holder ignores the end of its lease: once cut off, it keeps using what was granted to others.
     let (test, allocator) = start_saturated(3, 21, "plant-lease=fail");
     let holder = others(allocator)[0];
     test.fleet.links.split(&[holder], LinkConditions::CUT);
-    test.until("more is held than may be", || !test.breaches().is_empty());
+    test.until("the limit is exceeded", || !test.breaches().is_empty());
     drop(test);
-    // An allocator that waits for nobody's vote: each side of a split has one.
+    // An allocator does not need a majority: each side of a partition has one.
     let test = BudgetTest::start(3, 3, 22, "plant-votes=fail");
-    test.until_in_use("all places are used", LIMIT as f64 * 0.8);
+    test.until_in_use("the limit is in use", LIMIT as f64 * 0.8);
     test.fleet.links.split(&[0], LinkConditions::CUT);
-    test.until("more is held than may be", || !test.breaches().is_empty());
+    test.until("the limit is exceeded", || !test.breaches().is_empty());
 }
