--- a/daemon/tests/clock_offsets.rs
+++ b/daemon/tests/clock_offsets.rs
@@ -1,4 +1,4 @@
-//! A proxy whose wall clock is off for its whole life serves what one with a right clock does, and breaks no rule.
+//! A proxy with a constant wall clock offset serves as well as one with a correct clock and breaks no rule.
 
 use linnetknot_rehearse::player::play;
 use linnetknot_rehearse::shipped;
@@ -10,10 +10,10 @@
 const OFFSETS_S: [i64; 7] = [0, -3_600, -60, -4, 4, 60, 3_600];
 const SEED: u64 = 62;
 const TIME_SCALE: f64 = 0.4;
-/// The share of the worth that may be served less than with a right clock.
+/// Allowed difference of the score from that with a correct clock.
 const TOLERANCE: f64 = 0.01;
 
-/// A program that starts the daemon with its wall clock so many seconds off.
+/// Writes a script that starts the daemon with its wall clock offset by `seconds`.
 fn daemon_with_clock_offset(folder: &Path, seconds: i64) -> PathBuf {
     let program = folder.join(format!("off-by{seconds}"));
     let script = format!("#!/bin/sh\nLINNETKNOT_POINTS=clock={seconds} exec '{DAEMON}' \"$@\"\n");
@@ -28,7 +28,7 @@
     let scenario = scenario.scaled(TIME_SCALE).unwrap();
     let folder = std::env::temp_dir().join(format!("linnetknot-offsets-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    // All are written before any is started: a program that is open for writing can't be.
+    // All scripts are written first, since a file that is open for writing can not be executed.
     let daemons = OFFSETS_S.map(|seconds| daemon_with_clock_offset(&folder, seconds));
     let outcomes = thread::scope(|scope| {
         let plays = daemons.each_ref().map(|daemon| {
@@ -45,7 +45,7 @@
         let share = outcome.score.total.score().unwrap();
         assert!(
             (share - baseline).abs() <= TOLERANCE,
-            "{seconds} s: {share:.3} of the worth, with a right clock {baseline:.3}"
+            "{seconds} s: score {share:.3}, with a correct clock {baseline:.3}"
         );
     }
 }
--- a/daemon/tests/clock_steps.rs
+++ b/daemon/tests/clock_steps.rs
@@ -1,5 +1,5 @@
-//! Proxies as real processes whose wall clocks are off, or step by an hour between two lives: nothing that was answered
-//! is lost by it, and nothing is kept for ever.
+//! Daemon processes whose wall clocks differ, or step by an hour across a restart: no confirmed state is lost, and no
+//! purge stays in force for too long.
 
 use linnetknot_harness::clients::{becomes, TIMEOUT};
 use linnetknot_harness::fakes::cache::FakeCache;
@@ -9,11 +9,11 @@
 use std::time::{Duration, Instant};
 
 const DAEMON: &str = env!("CARGO_BIN_EXE_linnetknot");
-/// Triggers that are answered 201 in the life before the clock steps.
+/// Triggers created before each clock step.
 const TRIGGERS: u64 = 64;
 
 fn fleet(proxies: usize, seed: u64, planted: &str) -> Fleet {
-    // What can be promised is, also on a machine that is busy with other tests.
+    // A long time limit, so that commits succeed on a busy machine.
     let within_ms = Some(3_000);
     Fleet::with(Setup {
         within_ms,
@@ -27,40 +27,42 @@
     format!("{n:016x}")
 }
 
-/// The points that start a process with a wall clock that is so many seconds off.
+/// Returns the fail point that offsets a process's wall clock by `seconds`.
 fn clock_point(seconds: i64) -> String {
     format!("clock={seconds}")
 }
 
+/// Creates triggers at a proxy and returns the paths of their statuses.
 fn triggers(fleet: &Fleet, proxy: usize, from: u64) -> Vec<String> {
     (from..from + TRIGGERS)
         .map(|n| {
             let answer = fleet.trigger(proxy, &[&object(n)]).unwrap();
-            status_path(&answer).expect("a trigger is answered 201")
+            status_path(&answer).expect("the trigger is created")
         })
         .collect()
 }
 
-/// How many of the statuses a proxy does not tell.
+/// Returns how many of the statuses a proxy does not serve.
 fn missing(fleet: &Fleet, proxy: usize, paths: &[String]) -> usize {
     let is_served = |path: &&String| fleet.neighbour(proxy, "GET", path).unwrap().status == 200;
     paths.len() - paths.iter().filter(is_served).count()
 }
 
-/// Restarts a proxy with its disk under each of these offsets in turn; after each start it must tell all statuses.
+/// Restarts a proxy with its disk under each of these clock offsets in turn, and asserts that it serves all statuses after
+/// each start.
 fn assert_statuses_survive(seed: u64, offsets: &[i64], is_graceful: bool) {
     let mut fleet = fleet(2, seed, "");
     let mut paths = triggers(&fleet, 0, 1);
     for (restart, offset) in offsets.iter().enumerate() {
         match is_graceful {
-            true => assert!(fleet.end(0).unwrap(), "it ends well"),
+            true => assert!(fleet.end(0).unwrap(), "p0 exits cleanly"),
             false => fleet.kill(0).unwrap(),
         }
         fleet
             .restart_armed(0, Disk::Kept, &clock_point(*offset))
             .unwrap();
         assert_eq!(missing(&fleet, 0, &paths), 0, "life {restart}, {offset} s");
-        // Names of the lives before must not be given again.
+        // Names given before the restart must not be reused.
         let new_paths = triggers(&fleet, 0, 1 + TRIGGERS * (restart as u64 + 1));
         assert!(new_paths.iter().all(|path| !paths.contains(path)));
         paths.extend(new_paths);
@@ -96,7 +98,7 @@
         let paths = triggers(&fleet, receiver, from);
         for proxy in 0..2 {
             let all_served = becomes(TIMEOUT, || missing(&fleet, proxy, &paths) == 0);
-            assert!(all_served, "told at p{receiver}, asked at p{proxy}");
+            assert!(all_served, "created at p{receiver}, requested at p{proxy}");
         }
     }
 }
@@ -117,8 +119,6 @@
     assert!(later.iter().all(|path| !paths.contains(path)));
 }
 
-/// What the operators decided last counts, also where the process that heard it has an earlier clock than the one
-/// before.
 #[test]
 fn the_last_operator_decision_wins_after_a_backward_clock_step() {
     let mut fleet = fleet(2, 68, "");
@@ -139,10 +139,10 @@
         .restart_armed(0, Disk::Kept, &clock_point(-3_600))
         .unwrap();
     let is_ready = || fleet.operate(0, "GET", "/control/ready").unwrap() == 200;
-    assert!(becomes(TIMEOUT, is_ready), "resumed, not drained");
+    assert!(becomes(TIMEOUT, is_ready), "p0 is still drained");
 }
 
-/// The greatest age, in milliseconds, of which a proxy asks its box for a photo after a purge; none: of any.
+/// Requests a photo and returns the maximum age that the proxy accepts from its cache, or `None` if it accepts any.
 fn requested_max_age_ms(fleet: &Fleet, proxy: usize, object: &str) -> Option<u64> {
     fleet.ask(proxy, object).unwrap();
     let arrivals = fleet.caches.iter().flat_map(FakeCache::arrivals);
@@ -151,8 +151,7 @@
     last.field("maxage").map(|ms| ms.parse().unwrap())
 }
 
-/// Purges are told between proxies whose clocks are an hour apart: no proxy asks for a copy that may be older than the
-/// purge, and none for ever for a new one.
+/// The maximum age must exclude copies older than the purge, and must grow with the time since the purge.
 #[test]
 fn a_purge_keeps_its_age_between_peers_with_different_clocks() {
     for (seed, offset) in [(71, -3_605), (72, 3_605)] {
@@ -161,7 +160,7 @@
         fleet
             .restart_armed(0, Disk::Kept, &clock_point(offset))
             .unwrap();
-        // Both have answers from the origin, which date it.
+        // Answers from the origin let both proxies estimate its clock.
         for proxy in 0..2 {
             for n in 500..510 {
                 fleet.ask(proxy, &object(n)).unwrap();
@@ -174,10 +173,10 @@
             for requester in 0..2 {
                 assert!(fleet.hears(requester, &purged).unwrap());
                 thread::sleep(Duration::from_millis(700));
-                let max_age_ms =
-                    requested_max_age_ms(&fleet, requester, &purged).expect("it holds a floor");
+                let max_age_ms = requested_max_age_ms(&fleet, requester, &purged)
+                    .expect("the purge is enforced");
                 let elapsed_ms = purged_at.elapsed().as_millis() as u64;
-                let case = format!("{offset} s, told at p{receiver}, asked at p{requester}");
+                let case = format!("{offset} s, purged at p{receiver}, requested at p{requester}");
                 assert!(
                     max_age_ms <= elapsed_ms,
                     "{case}: {max_age_ms} ms of {elapsed_ms}"
@@ -191,8 +190,8 @@
     }
 }
 
-/// Peers hear a proxy by the number of its process, which grows with each start on one disk. One that lost its disk, and
-/// whose clock went back, has to be heard all the same.
+/// Peers order a proxy's messages by its incarnation, which grows with each start on the same disk. A proxy that lost its
+/// disk and has an earlier clock must not be ignored.
 #[test]
 fn peers_accept_a_proxy_with_a_lost_disk_and_an_earlier_clock() {
     let mut fleet = fleet(2, 69, "");
@@ -207,7 +206,7 @@
                 && status.peers.iter().any(|peer| peer.state == "alive")
         };
         assert!(becomes(TIMEOUT, is_settled), "life {restart}");
-        // Long enough for peers to tell of the process before.
+        // Long enough for peers to gossip about the previous incarnation.
         for n in 0..20 {
             let purged = object(10 + 100 * restart as u64 + n);
             assert_eq!(fleet.purge(0, &purged).unwrap(), 201, "life {restart}, {n}");
--- a/daemon/tests/descriptors.rs
+++ b/daemon/tests/descriptors.rs
@@ -1,4 +1,4 @@
-//! A daemon that may hold fewer descriptors than it was told, and a crowd that takes all that it gives.
+//! A daemon whose descriptor limit is below its configuration, with more idle connections than it may hold.
 
 use linnetknot_harness::clients::{call, WebServer};
 use linnetknot_harness::fakes::cache::FakeCache;
@@ -25,8 +25,8 @@
     }
 }
 
-/// While the list can't be reached, clients that rest take every place there is. The list, the boxes and the operators
-/// have theirs all the same, and so has whoever wants something.
+/// Idle clients take every free connection slot while the event bus is unreachable. The bus, the caches, the operators and
+/// an active client must still be served.
 #[test]
 fn idle_connections_at_the_descriptor_limit_do_not_starve_other_users() {
     let folder =
@@ -65,18 +65,18 @@
         .spawn();
     setrlimit(Resource::Nofile, original_limit).unwrap();
     let mut child = child.unwrap();
-    until("it listens", || WebServer::connect(front).is_ok());
+    until("the daemon listens", || WebServer::connect(front).is_ok());
     let open_descriptors = || {
         std::fs::read_dir(format!("/proc/{}/fd", child.id())).map_or(0, std::iter::Iterator::count)
     };
-    // Four times as many as it may hold, on both of its listeners.
+    // Four times as many connections as it may hold, over both listeners.
     let idle_clients: Vec<WebServer> = (0..200)
         .map(|_| WebServer::connect(front).unwrap())
         .collect();
     let idle_admin_clients: Vec<WebServer> = (0..56)
         .map(|_| WebServer::connect(admin).unwrap())
         .collect();
-    until("the crowd fills its places", || open_descriptors() >= 40);
+    until("all slots are taken", || open_descriptors() >= 40);
     bus.list(
         true,
         vec![
@@ -84,11 +84,11 @@
             entry(&origin, "hub", "origin", "ready"),
         ],
     );
-    // Discovery is back, at another address: the file has to be read, and the list called.
+    // The event bus is back at another address, so the daemon must reload its file and fetch the list.
     std::fs::write(&path, config(bus.address).to_string()).unwrap();
     let pid = Pid::from_child(&child);
     kill_process(pid, Signal::HUP).unwrap();
-    until("the operators are told that it is ready", || {
+    until("the daemon is ready", || {
         call(admin, "GET", "/control/ready", "").is_ok_and(|answer| answer.status == 200)
     });
     let mut web = WebServer::connect(front).unwrap();
--- a/daemon/tests/disk.rs
+++ b/daemon/tests/disk.rs
@@ -1,4 +1,4 @@
-//! Files that are put in place as a whole, and what is left of those that are not.
+//! Atomic replacement of files, retries of failed writes, and removal of leftover temporary files.
 
 use linnetknot_daemon::disk::{remove_leftovers, replace, FileWriter, WriteJob};
 use std::fs;
@@ -16,14 +16,17 @@
     };
     assert!(writer.try_enqueue(job(1)));
     thread::sleep(Duration::from_millis(300));
-    assert!(writer.try_enqueue(job(2)), "a later one takes its place");
+    assert!(
+        writer.try_enqueue(job(2)),
+        "a later write replaces the pending one"
+    );
     thread::sleep(Duration::from_millis(300));
     fs::create_dir_all(&folder).unwrap();
     let start = std::time::Instant::now();
     while fs::read(&path).ok() != Some(vec![2]) {
         assert!(
             start.elapsed() < Duration::from_secs(10),
-            "it is not tried again"
+            "the write is not retried"
         );
         thread::sleep(Duration::from_millis(20));
     }
@@ -37,7 +40,7 @@
     fs::create_dir_all(&folder).unwrap();
     let path = folder.join("list");
     let own = format!("list.{}.new", std::process::id());
-    // Above the greatest process id that the system gives.
+    // A process id above the maximum, which no running process has.
     let leftover = "list.4194305.new";
     for name in [
         "list",
@@ -73,7 +76,7 @@
     assert_eq!(
         fs::read(&path).unwrap(),
         vec![19; 1000],
-        "all that was given is written at the end"
+        "all queued writes are done when the writer is dropped"
     );
     assert!(!folder
         .join(format!("list.{}.new", std::process::id()))
@@ -81,9 +84,9 @@
     assert_eq!(
         fs::read_dir(&folder).unwrap().count(),
         1,
-        "nothing is left beside it"
+        "no temporary file is left"
     );
-    // The folder is gone: the worker goes on, and what it is given later is written once the folder is back.
+    // The writer survives a missing folder, and a later write succeeds once the folder exists again.
     fs::remove_dir_all(&folder).unwrap();
     let writer = FileWriter::start("test").unwrap();
     assert!(writer.try_enqueue(WriteJob {
--- a/daemon/tests/snapshot_catch_up.rs
+++ b/daemon/tests/snapshot_catch_up.rs
@@ -1,18 +1,18 @@
-//! Three processes of the daemon that hold few purges one by one: one that was away past that, or lost its disk, has
-//! the floors of all purges before it is ready, from its peers' snapshot.
+//! Catch-up from a peer's snapshot in a fleet with a small compaction window: a proxy that missed more purges than the
+//! window holds, or lost its disk, enforces all purges before it is ready.
 
 use linnetknot_harness::clients::{becomes, TIMEOUT};
 use linnetknot_harness::fleet::{Disk, Fleet, Setup};
 use std::path::Path;
 
 const DAEMON: &str = env!("CARGO_BIN_EXE_linnetknot");
-/// Purges that each proxy holds one by one.
+/// Purges that each proxy keeps as exact entries.
 const WINDOW: usize = 16;
-/// Purges that are told while a proxy is away.
+/// Purges sent while a proxy is down.
 const PURGES: u64 = 60;
 
 fn fleet(seed: u64) -> Fleet {
-    // What can be promised is, also on a machine that is busy with other tests.
+    // A long time limit, so that commits succeed on a busy machine.
     let within_ms = Some(3_000);
     let setup = Setup {
         within_ms,
@@ -30,7 +30,7 @@
     assert!(becomes(3 * TIMEOUT, condition), "never: {what}");
 }
 
-/// Tells proxies 0 and 1 of all purges in turn, and waits until both have compacted all beyond the window.
+/// Sends all purges to proxies 0 and 1 in turn, and waits until both have compacted all beyond the window.
 fn purge_all(fleet: &Fleet) {
     for n in 0..PURGES {
         assert_eq!(
@@ -40,7 +40,7 @@
         );
     }
     let compacted = |n| fleet.status(n).unwrap().compacted as u64;
-    until("they have compacted", || {
+    until("both proxies have compacted", || {
         (0..2).all(|n| compacted(n) >= PURGES - WINDOW as u64)
     });
 }
@@ -49,7 +49,7 @@
     fleet.operate(n, "GET", "/control/ready").unwrap() == 200
 }
 
-/// Whether a proxy has what another has, on its disk.
+/// Returns whether a proxy has the same state as another, on its disk.
 fn has_caught_up_with(fleet: &Fleet, n: usize, other: usize) -> bool {
     let (status, other) = (fleet.status(n).unwrap(), fleet.status(other).unwrap());
     let is_on_disk = status
@@ -63,27 +63,30 @@
     let missing: Vec<u64> = (0..PURGES)
         .filter(|p| !fleet.holds_floor(n, &object(*p)).unwrap())
         .collect();
-    assert!(missing.is_empty(), "p{n} asks for any copy of {missing:?}");
+    assert!(
+        missing.is_empty(),
+        "p{n} does not enforce the purges {missing:?}"
+    );
 }
 
 #[test]
 fn a_proxy_behind_the_compaction_window_catches_up_from_a_snapshot() {
     let mut fleet = fleet(51);
-    until("all know each other", || {
+    until("all members are alive", || {
         fleet.status(0).unwrap().alive_members == 3
     });
     fleet.kill(2).unwrap();
     purge_all(&fleet);
     fleet.restart(2, Disk::Kept).unwrap();
-    until("p2 has what p0 has", || has_caught_up_with(&fleet, 2, 0));
+    until("p2 has caught up", || has_caught_up_with(&fleet, 2, 0));
     until("p2 is ready", || is_ready(&fleet, 2));
     assert_all_floors(&fleet, 2);
     assert!(
         !fleet.holds_floor(2, &object(PURGES)).unwrap(),
-        "what was never purged has no floor"
+        "an object that was never purged has no floor"
     );
     assert!(fleet.status(2).unwrap().compacted > 0);
-    // And after another start, from its own disk.
+    // After a restart without peers the proxy recovers from its own disk.
     fleet.kill(2).unwrap();
     fleet.kill(0).unwrap();
     fleet.kill(1).unwrap();
@@ -108,18 +111,18 @@
     purge_all(&fleet);
     for disk in [Disk::Kept, Disk::Lost] {
         fleet.restart_armed(2, disk, "snapshot-chunk=die").unwrap();
-        until("a chunk has come, and p2 is dead", || {
+        until("p2 has crashed at the first chunk", || {
             fleet.process(2).is_err()
         });
         fleet.kill(2).unwrap();
     }
     fleet.restart(2, Disk::Kept).unwrap();
-    until("p2 has what p0 has", || has_caught_up_with(&fleet, 2, 0));
+    until("p2 has caught up", || has_caught_up_with(&fleet, 2, 0));
     until("p2 is ready", || is_ready(&fleet, 2));
     assert_all_floors(&fleet, 2);
 }
 
-/// Nothing of a snapshot comes, and the wait for it ends: every copy is taken as purged, those that never were too.
+/// The snapshot never arrives and the wait for it times out.
 #[test]
 fn a_proxy_without_its_snapshot_treats_every_copy_as_purged() {
     let mut fleet = fleet(54);
@@ -132,11 +135,11 @@
         fleet.status(2).unwrap().catching_up
     });
     assert!(!is_ready(&fleet, 2));
-    until("the wait is over", || is_ready(&fleet, 2));
+    until("the wait times out", || is_ready(&fleet, 2));
     assert!(fleet.status(2).unwrap().catching_up);
     assert_all_floors(&fleet, 2);
     assert!(
         fleet.holds_floor(2, &object(PURGES)).unwrap(),
-        "nothing is known of any copy"
+        "without the snapshot every copy counts as purged"
     );
 }
