--- a/daemon/tests/admin.rs
+++ b/daemon/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The admin listener on loopback: its calls, bad callers, drains, and bans that outlive the process.
+//! The admin listener on loopback: calls, invalid requests, drains, and bans that survive a restart.
 
 mod rig;
 
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// A folder of its own for the state that a test's daemons keep.
+/// Creates a folder for the operator state of a test's daemons.
 fn folder(name: &str) -> PathBuf {
     let folder =
         std::env::temp_dir().join(format!("linnetknot-admin-{name}-{}", std::process::id()));
@@ -19,6 +19,7 @@
     folder
 }
 
+/// Starts a daemon with an admin listener and the given state folder.
 fn with_admin(boxes: &[&'static str], folder: &Path) -> Rig {
     let folder = folder.display().to_string();
     Rig::with(boxes, move |c| {
@@ -27,7 +28,7 @@
     })
 }
 
-/// A daemon with an admin listener, once it says it is ready.
+/// Starts a daemon with an admin listener and waits until it is ready.
 fn ready_rig(boxes: &[&'static str], name: &str) -> (Rig, SocketAddr, PathBuf) {
     let folder = folder(name);
     let rig = with_admin(boxes, &folder);
@@ -40,19 +41,19 @@
     call(admin, method, target, "").unwrap().status
 }
 
-/// Waits, without sleeping, for a call to be answered so.
+/// Polls a call until it is answered with the wanted status. Returns the time that took.
 fn await_status(admin: SocketAddr, target: &str, wanted: u16) -> Duration {
     let start = Instant::now();
     while status(admin, "GET", target) != wanted {
         assert!(
             start.elapsed() < Duration::from_secs(5),
-            "{target} never said {wanted}"
+            "{target} never answered {wanted}"
         );
     }
     start.elapsed()
 }
 
-/// What the admin listener answers to these bytes, and whether it closed the connection after.
+/// Returns the admin listener's response to these bytes and whether it closed the connection.
 fn send_raw(admin: SocketAddr, bytes: &[u8]) -> (String, bool) {
     let mut socket = TcpStream::connect(admin).unwrap();
     socket
@@ -67,7 +68,7 @@
 #[test]
 fn the_admin_listener_answers_beside_stalled_clients_and_rejects_invalid_requests() {
     let (rig, admin, folder) = ready_rig(&["s-0a"], "calls");
-    // Forty callers that hold a connection without a whole call: more than the admin listener has slots.
+    // Forty clients with incomplete requests, more than the admin listener has slots.
     let stalled_clients: Vec<TcpStream> = (0..40)
         .map(|_| {
             let mut s = TcpStream::connect(admin).unwrap();
@@ -108,7 +109,7 @@
             .unwrap();
         socket.write_all(bytes).unwrap();
         if bytes.ends_with(b"out-of") {
-            // A call cut off: the caller ends its half.
+            // The client ends its half of the connection in the middle of a request.
             socket.shutdown(std::net::Shutdown::Write).unwrap();
         }
         let mut response = Vec::new();
@@ -127,7 +128,6 @@
         response.starts_with("HTTP/1.1 414 ") && closed,
         "{response}"
     );
-    // The daemon still serves, and the admin listener still answers.
     let mut web = rig.web();
     assert_eq!(one(&mut web, "photo", &object(1)).status, 200);
     assert_eq!(status(admin, "GET", "/control/ready"), 200);
@@ -145,8 +145,8 @@
     assert_eq!(one(&mut idle, "photo", &object(2)).status, 200);
     assert_eq!(status(admin, "POST", "/control/out-of-service"), 200);
     assert_eq!(status(admin, "GET", "/control/ready"), 503);
-    // A kept connection is ended after an answer. A request that has come by then is not left unread behind the end: it
-    // is answered too, and late in the drain turned away, so that a client that asks on and on can't keep it open.
+    // The daemon closes a connection after an answer. A request that has already arrived is answered as well, late in the
+    // drain with a rejection, so that a client that keeps sending requests can not keep the connection open.
     let start = Instant::now();
     assert_eq!(one(&mut active, "photo", &object(3)).status, 200);
     let mut statuses = Vec::new();
@@ -157,21 +157,21 @@
         }
         assert!(
             start.elapsed() < Duration::from_secs(2),
-            "it is kept open by a client that asks on"
+            "a client that keeps sending requests keeps the connection open"
         );
     }
     assert!(
         statuses.iter().all(|status| [200, 503].contains(status)),
         "{statuses:?}"
     );
-    // An idle one is ended by a sweep, well within the 4 s of a drain.
+    // An idle connection is closed early in the drain time of 4 s.
     assert!(idle.end().is_err(), "the idle connection is closed");
     assert!(
         start.elapsed() < Duration::from_secs(2),
         "closed after {:?}",
         start.elapsed()
     );
-    // New connections in a drain are served, and ended.
+    // A new connection during a drain is served and then closed.
     let mut new_client = rig.web();
     assert_eq!(one(&mut new_client, "photo", &object(4)).status, 200);
     assert!(new_client.end().is_err());
@@ -179,7 +179,7 @@
         linnetknot_admin_api::store::load(&folder)
             .unwrap()
             .out_of_service,
-        "the drain is kept"
+        "the drain is stored"
     );
     assert_eq!(status(admin, "POST", "/control/in-service"), 200);
     assert!(await_status(admin, "/control/ready", 200) < Duration::from_secs(2));
@@ -188,7 +188,7 @@
     assert_eq!(
         one(&mut after, "photo", &object(6)).status,
         200,
-        "connections are kept again"
+        "connections stay open again"
     );
     rig.stop();
 }
@@ -209,7 +209,7 @@
     };
     assert!(
         fetch_count(&rig, 0) > 0 && fetch_count(&rig, 1) > 0,
-        "both boxes serve before the ban"
+        "both caches serve before the ban"
     );
     assert_eq!(
         status(admin, "POST", "/control/pop-caches/s-0a/offline"),
@@ -218,15 +218,19 @@
     assert_eq!(
         status(admin, "POST", "/control/pop-caches/s-0a/offline"),
         200,
-        "twice out"
+        "a repeated ban succeeds"
     );
     let before = fetch_count(&rig, 0);
     for n in 100..140 {
         assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
     }
-    assert_eq!(fetch_count(&rig, 0), before, "nothing new to a banned box");
+    assert_eq!(
+        fetch_count(&rig, 0),
+        before,
+        "a banned cache gets no new requests"
+    );
     rig.stop();
-    // The next process finds the ban where the first kept it.
+    // The next process reads the ban from the state folder.
     let rig = with_admin(&["s-0a", "s-0b"], &folder);
     let admin = rig.admin.expect("an admin listener");
     await_status(admin, "/control/ready", 200);
@@ -234,26 +238,28 @@
     for n in 200..240 {
         assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
     }
-    assert_eq!(fetch_count(&rig, 0), 0, "the ban carried over");
+    assert_eq!(fetch_count(&rig, 0), 0, "the ban survives the restart");
     assert_eq!(
         status(admin, "POST", "/control/pop-caches/s-0a/online"),
         200,
-        "one call back"
+        "one call lifts the ban"
     );
     let mut is_used_again = false;
     for n in 300..400 {
         assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
         is_used_again |= fetch_count(&rig, 0) > 0;
     }
-    assert!(is_used_again, "the box is used again after the call back");
+    assert!(
+        is_used_again,
+        "the cache is used again after the ban is lifted"
+    );
     rig.stop();
     let _ = std::fs::remove_dir_all(&folder);
 }
 
 #[test]
 fn an_upgraded_process_starts_beside_the_old_one_on_the_same_addresses() {
-    // The platform starts the next process with all as before but the admin listener's address: peers' datagrams come to
-    // the same address, which the old process still holds.
+    // In an upgrade only the admin listener's address changes. The old process still holds the address for peers.
     let taken = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
     let peers = taken.local_addr().unwrap().to_string();
     drop(taken);
@@ -278,14 +284,14 @@
     let new_admin = new.admin.unwrap();
     await_status(new_admin, "/control/ready", 200);
     old.stop();
-    // The ban that the old process was told holds in the new one, which serves from the box that is left.
+    // The ban set in the old process holds in the new one, which serves from the other cache.
     let mut web = new.web();
     for n in 0..20 {
         assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
     }
     assert!(
         new.boxes[0].arrivals().iter().all(|a| a.word != "fetch"),
-        "the ban carried over"
+        "the ban holds in the new process"
     );
     new.stop();
     let _ = std::fs::remove_dir_all(&folder);
@@ -297,13 +303,12 @@
     let mut web = rig.web();
     assert_eq!(one(&mut web, "photo", &object(1)).status, 200);
     assert_eq!(status(admin, "POST", "/control/out-of-service"), 200);
-    // A write, which is never given up and sent elsewhere as a read that is overdue is (after 0.35 s here): however long
-    // the machine keeps its answer back, it is the drain that is tested.
+    // Uses a write, since a slow read would be retried at another server, here after 0.35 s.
     rig.origin.behave(linnetknot_harness::fakes::cache::Manner {
         hold_ms: 600,
         ..Default::default()
     });
-    // Two requests on one kept connection: the first is taken, the second comes while it is open.
+    // The second request arrives on the connection while the first is open.
     web.ask(1, "post", &object(2), 2500).unwrap();
     web.ask(2, "photo", &object(3), 2500).unwrap();
     let mut answers = [web.end().unwrap(), web.end().unwrap()];
@@ -311,16 +316,16 @@
     assert_eq!(
         answers[0].1.as_ref().map(|a| a.status),
         Some(200),
-        "the first is served"
+        "the first request is served"
     );
     assert_eq!(
         answers[1].1.as_ref().map(|a| a.status),
         Some(503),
-        "the second is turned away at once"
+        "the second request is rejected at once"
     );
     assert!(
         web.end().is_err(),
-        "and the connection ends after the last answer"
+        "the connection closes after the last answer"
     );
     rig.stop();
     let _ = std::fs::remove_dir_all(&folder);
@@ -333,10 +338,9 @@
     assert_eq!(
         one(&mut web, "poster", &object(1)).status,
         503,
-        "no such class yet"
+        "the class does not exist yet"
     );
-    // (That a broken file leaves the old settings whole is the module's and the configuration's to show: here a
-    // reload is not seen to be over, so a request after it could not tell the two apart.)
+    // An invalid file is not tested here, since a request can not tell whether its reload is over.
     {
         let mut file = rig.file.lock().unwrap();
         let poster = json!({"name": "poster", "aim-us": 300_000, "deadline-us": 2_000_000, "repeat": "pure",
@@ -351,13 +355,13 @@
     while one(&mut web, "poster", &object(3)).status != 200 {
         assert!(
             start.elapsed() < Duration::from_secs(3),
-            "the new class was never taken"
+            "the new class is never accepted"
         );
     }
     assert_eq!(
         one(&mut web, "photo", &object(4)).status,
         200,
-        "the old class stays"
+        "the existing class is still served"
     );
     rig.stop();
     let _ = std::fs::remove_dir_all(&folder);
--- a/daemon/tests/config.rs
+++ b/daemon/tests/config.rs
@@ -1,4 +1,4 @@
-//! Configuration: what is read, what is taken where nothing is said, and messages that name the faulty key.
+//! Configuration files: parsing, defaults, and error messages that name the invalid key.
 
 use linnetknot::{LoadReports, Repeat, Siblings};
 use linnetknot_daemon::config::Config;
@@ -26,12 +26,12 @@
         (None, 0, 1024)
     );
     assert!(config.cdni.is_none() && config.consul.is_none() && config.peers.is_none());
-    // Time limits are longer on sockets, that of the boxes' own dropping among them.
+    // The daemon extends time limits for real sockets, including the purge completion time.
     assert_eq!(config.settings.rules.purge_completion_us, 6_050_000);
 }
 
-/// The second deployment: no peers at all, loads in answers only, second copies allowed, writes that must never run
-/// twice, links told. `linnetknot check` takes it as it is.
+/// The second deployment has no peers, reports load in answers only, allows second copies, has writes that must not run
+/// twice, and configures link speeds. `linnetknot check` accepts it too.
 #[test]
 fn the_second_deployments_configuration_is_valid_without_peers() {
     let config = json!({
@@ -221,7 +221,8 @@
             .to_string();
         assert!(message.starts_with(path), "{path} | {message}");
     }
-    // Promises that these machines can't keep: the peers share an address, which is one machine unless they are named.
+    // Replication settings that need more machines than there are. Peers with one IP address count as one machine unless
+    // their machines are named.
     let copies = |copies: Value| {
         let cdni = json!({"listen": "127.0.0.1:0", "provider": "p", "base": "b", "purges": "/nowhere/purges"});
         json!({"cdni": cdni, "peers": {"copies": true}, "copies": copies})
@@ -287,14 +288,14 @@
             checked.machines.len()
         ),
         (1, 2, 2),
-        "itself left out"
+        "the proxy's own machine is not in the list"
     );
     assert_eq!(
         with_peers(&copies(json!({"wait": 0})))
             .unwrap()
             .replication_factor,
         0,
-        "nobody is further away"
+        "no peer is on a further machine"
     );
     for (mb, bits) in [(1, 14), (4, 16), (1024, 24)] {
         let checked = with_peers(&copies(json!({"wait": 0, "purge_table_mb": mb}))).unwrap();
@@ -307,7 +308,7 @@
     }
     let usual = with_peers(&copies(json!({"wait": 0}))).unwrap().purge_table;
     assert_eq!(usual, Default::default());
-    // What is shared must be divisible among the proxies of the list, of which this is one.
+    // Budgets must cover the reserved minimums of all proxies, and the peer list must contain this proxy.
     let shared = |budgets: Value| {
         let mut file = copies(json!({"wait": 0}));
         file["budgets"] = budgets;
@@ -370,7 +371,7 @@
     );
     let names: Vec<&str> = a.list.iter().map(|b| b.name.as_str()).collect();
     assert_eq!(names, ["origin", "cold-caches:hub", "cold-caches:here"]);
-    // Work for cold caches settles in less time than requests may take, and bounds none.
+    // Only the origin budget limits the duration of requests. The budgets for cold caches do not.
     assert_eq!(a.max_request_us(), Some(a.list[0].spec.settling_us));
     assert_eq!(
         budgets("127.0.0.1:2", json!({"cold": true})).max_request_us(),
@@ -384,7 +385,7 @@
         ),
         (1, None, 83_333)
     );
-    // A limit may differ for a while, as it is lowered at one after the other; all else makes them strangers.
+    // Limits may differ between proxies while a change is rolled out. Any other difference changes the fingerprint.
     assert_eq!(
         budgets("127.0.0.1:2", json!({"origin": {"whole": 8}, "cold": true})).fingerprint,
         a.fingerprint
@@ -397,9 +398,9 @@
     }
     assert!(
         budgets("127.0.0.1:2", json!({})).list.is_empty(),
-        "off where nothing is said"
+        "budgets are off by default"
     );
-    // Two keys are enough, as before.
+    // The address and the service are enough to enable discovery with Consul.
     let mut config = read(&valid_config()).unwrap();
     let file = json!({"consul": {"address": "127.0.0.1:8500", "service": "boxes"}});
     config.interconnect(file.as_object().unwrap()).unwrap();
@@ -413,7 +414,7 @@
     );
 }
 
-/// After a change of the types: `linnetknot schema > docs/interconnect.schema.json`.
+/// To update the file after a change of the types, run `linnetknot schema > docs/interconnect.schema.json`.
 #[test]
 fn the_published_schema_matches_the_types() {
     let published = include_str!("../../docs/interconnect.schema.json");
@@ -455,7 +456,7 @@
         (Some(0), true),
         "{out}"
     );
-    // With no configuration beside it any zone will do; with one, it must be among its zones.
+    // The zone is checked against the configuration's zones only if a configuration is given.
     assert_eq!(run(&[check, own.as_ref()]).0, Some(0));
     let (code, out, err) = run(&[check, own.as_ref(), config.as_ref()]);
     assert_eq!((code, out.lines().count()), (Some(1), 1));
--- a/daemon/tests/core.rs
+++ b/daemon/tests/core.rs
@@ -1,4 +1,4 @@
-//! The core alone: requests, attempts and outcomes without any wire.
+//! Unit tests of the core: requests, attempts and outcomes without sockets.
 
 use linnetknot::{ListMode, Outcome, Repeat, Server, Settings, State};
 use linnetknot_daemon::core::{
@@ -134,7 +134,7 @@
     assert_eq!(
         at,
         NOW + 1_000_000 - limits().response_margin_us,
-        "the answer has a way to go"
+        "the answer needs time to reach the client"
     );
     core.wake(at, wake);
     let commands = core.take_commands();
@@ -158,7 +158,7 @@
     core.admit(NOW, client(1), client_request(0)).unwrap();
     let first = sent_attempt(&core.take_commands()).unwrap();
     core.attempt_started(first);
-    // Ticks until the module takes the attempt for stuck and calls it off.
+    // Advances the clock until the module considers the attempt stuck and cancels it.
     let (mut now, mut cancelled) = (NOW, false);
     while !cancelled && now < NOW + 900_000 {
         now += 50_000;
@@ -167,7 +167,7 @@
         assert_eq!(
             sent_attempt(&commands),
             None,
-            "two attempts would be out at once"
+            "two attempts would be in flight at once"
         );
         cancelled = commands
             .iter()
@@ -221,8 +221,8 @@
     );
 }
 
-/// Whether or not the settings allow attempts to be cancelled: one whose first byte is not written can still be kept from
-/// being made, and is known not to have run.
+/// An attempt of which no byte is written can be withdrawn even if the settings forbid cancelling attempts, and is known
+/// not to have run.
 #[test]
 fn an_unstarted_attempt_ends_at_once_on_disconnect_or_deadline() {
     for cancel in [true, false] {
@@ -246,7 +246,7 @@
             core.dispatch(attempt).is_none() && core.is_idle(),
             "cancel: {cancel}"
         );
-        // A write that could not begin is refused, which tells its client that nothing ran; not failed.
+        // A write that was never sent is answered as rejected and not as failed, since it can not have run.
         let post = ClientRequest {
             class: "post".into(),
             ..client_request(0)
@@ -264,7 +264,7 @@
     }
 }
 
-/// An attempt may wait for its connection, and the purges that come meanwhile bind it when it begins.
+/// An attempt that waits for its connection has to respect purges that arrive before it starts.
 #[test]
 fn purges_deadline_and_fill_source_are_checked_when_an_attempt_starts() {
     let mut core = core(&limits());
@@ -285,7 +285,7 @@
     assert_eq!(
         max_age(&core, NOW + 1_000_000),
         None,
-        "its client has given up"
+        "the request's deadline has passed"
     );
     let source = core.dispatch(attempt).unwrap().target.fill.unwrap().source;
     let uid = core.wire_id_or_dash(source).to_owned();
@@ -297,7 +297,7 @@
     assert_eq!(
         max_age(&core, NOW + 150_000),
         None,
-        "the source of its fill drains"
+        "the source of the fill is draining"
     );
 }
 
@@ -312,7 +312,7 @@
     assert_eq!(
         core.admit(NOW, client(2), client_request(60)),
         None,
-        "their bodies are too many bytes"
+        "the bodies exceed the limit on total bytes"
     );
     core.admit(NOW, client(2), client_request(0)).unwrap();
     assert_eq!(core.admit(NOW, client(3), client_request(0)), None);
@@ -334,7 +334,7 @@
         core.take_commands().first(),
         Some(&Command::Withdraw(server_id("a")))
     );
-    // What a full list does not name any more is gone.
+    // A server missing from a full list is removed.
     core.update_endpoints(
         NOW,
         ListMode::Full,
@@ -344,12 +344,12 @@
     assert!(withdrawn.contains(&Command::Withdraw(server_id("b"))) && !core.is_ready());
     assert!(
         core.wire_id(server_id("a")).is_some(),
-        "it finishes what it has"
+        "a draining server finishes its open requests"
     );
     assert_eq!(
         core.wire_id(server_id("b")),
         None,
-        "new caches come under new ids all day long"
+        "the id of a removed cache is not kept"
     );
 }
 
@@ -366,7 +366,7 @@
     assert_eq!(
         core.admit(NOW, client(2), other.clone()),
         None,
-        "a cache would take the two for one"
+        "a cache would treat the two requests as one"
     );
     core.attempt_finished(NOW, attempt, served_result());
     assert!(core.admit(NOW, client(2), other).is_some());
--- a/daemon/tests/documentation.rs
+++ b/daemon/tests/documentation.rs
@@ -1,27 +1,27 @@
-//! The architecture page names only what is there: files, folders and tests.
+//! Checks that the files, folders and tests named on the architecture page exist.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The page, from the root of the workspace.
+/// Path of the page, relative to the root of the workspace.
 const PAGE: &str = "docs/ARCHITECTURE.md";
 
-/// The endings of files that the page names.
+/// Extensions by which a code span is recognized as a file.
 const FILE_ENDINGS: [&str; 4] = [".rs", ".md", ".json", ".toml"];
 
-/// The fewest words of a code span that is taken for the name of a test.
+/// Minimum number of words in a code span that counts as a test name.
 const MIN_TEST_NAME_WORDS: usize = 4;
 
-/// The root of the workspace.
+/// Returns the root of the workspace.
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .parent()
-        .expect("the daemon's package stands in the workspace's folder")
+        .expect("the daemon's package is in the workspace's folder")
         .to_owned()
 }
 
-/// What stands in backticks on a page, outside of blocks of code.
+/// Returns the code spans of a page, without those in code blocks.
 fn code_spans(page: &str) -> Vec<String> {
     let mut spans = Vec::new();
     let mut is_block = false;
@@ -43,13 +43,13 @@
     spans
 }
 
-/// Whether a code span names a file or a folder. What holds a space is a command.
+/// Returns whether a code span names a file or folder. A span with a space is a command.
 fn is_path(span: &str) -> bool {
     let has_ending = FILE_ENDINGS.iter().any(|ending| span.ends_with(ending));
     !span.contains(' ') && (span.ends_with('/') || has_ending)
 }
 
-/// Whether a code span is the name of a test: a sentence in snake case.
+/// Returns whether a code span is a test name, which is a sentence in snake case.
 fn is_test_name(span: &str) -> bool {
     let is_word = |word: &str| {
         !word.is_empty()
@@ -61,7 +61,7 @@
     words.len() >= MIN_TEST_NAME_WORDS && words.iter().all(|word| is_word(word))
 }
 
-/// Whether a path names what is there, and a folder where it ends in a slash.
+/// Returns whether a path exists, as a folder if it ends in a slash and as a file otherwise.
 fn exists(root: &Path, path: &str) -> bool {
     let found = root.join(path);
     if path.ends_with('/') {
@@ -71,7 +71,7 @@
     }
 }
 
-/// Adds the names of all functions marked as tests in a file of Rust.
+/// Adds the names of all test functions in the text of a Rust file.
 fn add_tests_of_file(text: &str, tests: &mut BTreeSet<String>) {
     let mut is_marked = false;
     for line in text.lines().map(str::trim) {
@@ -88,7 +88,7 @@
     }
 }
 
-/// Adds the tests of all files of Rust under a folder.
+/// Adds the tests of all Rust files under a folder, recursively.
 fn add_tests_under(folder: &Path, tests: &mut BTreeSet<String>) {
     let Ok(entries) = fs::read_dir(folder) else {
         return;
@@ -104,7 +104,7 @@
     }
 }
 
-/// The names of all tests under `tests` and under each package's `tests`.
+/// Returns the names of all tests under `tests` and under each package's `tests`.
 fn tests_of_workspace(root: &Path) -> BTreeSet<String> {
     let mut tests = BTreeSet::new();
     add_tests_under(&root.join("tests"), &mut tests);
@@ -117,7 +117,7 @@
     tests
 }
 
-/// The code spans of the architecture page.
+/// Returns the code spans of the architecture page.
 fn spans_of_page(root: &Path) -> Vec<String> {
     let page = fs::read_to_string(root.join(PAGE)).expect("the page can be read");
     code_spans(&page)
