--- a/daemon/src/daemon/operator_state.rs
+++ b/daemon/src/daemon/operator_state.rs
@@ -31,19 +31,19 @@
 
 /// The operators' state at startup, and its files.
 pub(super) struct LoadedState {
-    pub(super) operations: AdminController,
+    pub(super) admin_controller: AdminController,
     pub(super) files: OperatorFiles,
 }
 
-fn load(folder: &Path) -> io::Result<OperatorState> {
+fn load(directory: &Path) -> io::Result<OperatorState> {
     fault_points::read()?;
-    store::load(folder)
+    store::load(directory)
 }
 
 impl OperatorFiles {
     /// Loads the state that an earlier process stored.
-    pub(super) fn load(folder: &Path, seed: u64, now: Micros) -> LoadedState {
-        store::copy_paths(folder)
+    pub(super) fn load(directory: &Path, seed: u64, now: Micros) -> LoadedState {
+        store::copy_paths(directory)
             .iter()
             .for_each(|path| remove_leftovers(path));
         let mut files = OperatorFiles {
@@ -53,16 +53,16 @@
             write_pending: false,
             due: None,
         };
-        let state = load(folder).unwrap_or_else(|e| {
+        let state = load(directory).unwrap_or_else(|e| {
             files.load_pending = !is_permanent(&e);
             log::error!(
                 "failed to load the stored state of the operators from {}: {e}",
-                folder.display()
+                directory.display()
             );
             OperatorState::default()
         });
         LoadedState {
-            operations: AdminController::new(state, now),
+            admin_controller: AdminController::new(state, now),
             files,
         }
     }
@@ -75,8 +75,8 @@
 
 /// Writes both copies under temporary names and renames them one after the other, so that a full disk leaves both
 /// unchanged.
-fn write_copies(folder: &Path, bytes: &[u8]) -> io::Result<()> {
-    let [first, second] = store::copy_paths(folder);
+fn write_copies(directory: &Path, bytes: &[u8]) -> io::Result<()> {
+    let [first, second] = store::copy_paths(directory);
     let staged = [
         StagedFile::write(&first, bytes)?,
         StagedFile::write(&second, bytes)?,
@@ -100,7 +100,7 @@
         fail::fail_point!("admin-keeps");
         let written = write_copies(
             &self.operator_state_folder,
-            &store::encode(self.operations.state()),
+            &store::encode(self.admin_controller.state()),
         );
         let [first, _] = store::copy_paths(&self.operator_state_folder);
         self.operator_files.failed.record(&first, &written);
@@ -117,7 +117,7 @@
     /// immediately, if possible, so that a process that starts now does not find the undone call.
     pub(super) fn save_undone_state(&mut self, now: Micros) {
         let [first, _] = store::copy_paths(&self.operator_state_folder);
-        if let Err(e) = replace_unsynced(&first, &store::encode(self.operations.state())) {
+        if let Err(e) = replace_unsynced(&first, &store::encode(self.admin_controller.state())) {
             log::debug!("{} may include a rejected call: {e}", first.display());
         }
         self.save_operator_state_in_time(now);
@@ -162,7 +162,7 @@
         self.operator_files.backoff.reset();
         let is_drained = state.out_of_service;
         let bans: Vec<String> = state.bans.iter().cloned().collect();
-        self.operations = AdminController::new(state, now);
+        self.admin_controller = AdminController::new(state, now);
         bans.iter().for_each(|id| self.ban(now, id));
         if is_drained {
             self.start_drain(now);
