--- a/daemon/examples/figures.rs
+++ b/daemon/examples/figures.rs
@@ -8,7 +8,7 @@
 use hdrhistogram::Histogram;
 use linnetknot_harness::clients::WebServer;
 use linnetknot_harness::fakes::cache::{Arrival, FakeCache};
-use linnetknot_harness::fakes::consul::{instance, Agent, Manner};
+use linnetknot_harness::fakes::consul::{instance, Agent, Behaviour};
 use linnetknot_harness::process::Process;
 use linnetknot_harness::{settings, unix_ms};
 use serde_json::{json, Value};
@@ -150,7 +150,7 @@
     let arrivals = b.arrivals();
     arrivals
         .iter()
-        .filter(|a| a.word == "fetch" && a.at >= at && fits(a))
+        .filter(|a| a.command == "fetch" && a.at >= at && fits(a))
         .map(|a| a.at - at)
         .collect()
 }
@@ -437,7 +437,7 @@
         thread::sleep(Duration::from_millis(10));
     }
     drop(running);
-    agent.behave(Manner::Gone);
+    agent.set_behaviour(Behaviour::Unavailable);
     let mut took = Histogram::<u64>::new(3).map_err(io::Error::other)?;
     let mut failed = 0;
     for n in 0..rounds {
--- a/daemon/tests/admin.rs
+++ b/daemon/tests/admin.rs
@@ -201,7 +201,7 @@
         rig.boxes[uid]
             .arrivals()
             .iter()
-            .filter(|a| a.word == "fetch")
+            .filter(|a| a.command == "fetch")
             .count()
     };
     assert!(
@@ -281,7 +281,7 @@
         assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
     }
     assert!(
-        new.boxes[0].arrivals().iter().all(|a| a.word != "fetch"),
+        new.boxes[0].arrivals().iter().all(|a| a.command != "fetch"),
         "the ban carried over"
     );
     new.stop();
@@ -296,10 +296,11 @@
     assert_eq!(status(admin, "POST", "/control/out-of-service"), 200);
     // A write, which is never given up and sent elsewhere as a read that is overdue is (after 0.35 s here): however long
     // the machine keeps its answer back, it is the drain that is tested.
-    rig.origin.behave(linnetknot_harness::fakes::cache::Manner {
-        hold_ms: 600,
-        ..Default::default()
-    });
+    rig.origin
+        .set_behaviour(linnetknot_harness::fakes::cache::Behaviour {
+            answer_delay_ms: 600,
+            ..Default::default()
+        });
     // Two requests on one kept connection: the first is taken, the second comes while it is open.
     web.ask(1, "post", &object(2), 2500).unwrap();
     web.ask(2, "photo", &object(3), 2500).unwrap();
--- a/daemon/tests/armed/mod.rs
+++ b/daemon/tests/armed/mod.rs
@@ -1,6 +1,6 @@
 //! One daemon as a process of its own whose system calls fail as asked, with stand-ins around it.
 
-use linnetknot_harness::clients::{becomes, call, Answer, WebServer};
+use linnetknot_harness::clients::{call, poll_until, Answer, WebServer};
 use linnetknot_harness::fakes::cache::FakeCache;
 use linnetknot_harness::fakes::event_bus::{entry, Bus};
 use linnetknot_harness::process::Process;
@@ -92,7 +92,8 @@
         );
         let program = Path::new(env!("CARGO_BIN_EXE_linnetknot"));
         let process =
-            Process::start_armed(program, &folder, "armed", (&config, &own), &points).unwrap();
+            Process::start_with_fail_points(program, &folder, "armed", (&config, &own), &points)
+                .unwrap();
         let armed = Armed {
             process,
             cache,
@@ -104,7 +105,7 @@
             call(armed.process.admin, "GET", "/control/ready", "")
                 .is_ok_and(|answer| answer.status == 200)
         };
-        assert!(becomes(TIMEOUT, is_ready), "it never hears the list");
+        assert!(poll_until(TIMEOUT, is_ready), "it never hears the list");
         armed
     }
 
--- a/daemon/tests/between.rs
+++ b/daemon/tests/between.rs
@@ -2,7 +2,7 @@
 //! processes killed and started again. What each of them was told of a purge is what it must keep, and what it was
 //! not told of it can't.
 
-use linnetknot_harness::clients::{becomes, call, TIMEOUT};
+use linnetknot_harness::clients::{call, poll_until, TIMEOUT};
 use linnetknot_harness::fleet::{purge_at, status_path, Disk, Fleet, Setup};
 use linnetknot_harness::links::LinkConditions;
 use std::collections::BTreeSet;
@@ -21,13 +21,13 @@
     let within_ms = Some(3_000);
     Fleet::with(Setup {
         within_ms,
-        ..Setup::copying(Path::new(DAEMON), proxies, seed)
+        ..Setup::replicating(Path::new(DAEMON), proxies, seed)
     })
     .unwrap()
 }
 
 fn agree(what: &str, fleet: &Fleet) {
-    until(what, || fleet.agrees().unwrap());
+    until(what, || fleet.is_converged().unwrap());
 }
 
 fn object(n: u64) -> String {
@@ -37,7 +37,7 @@
 /// Waits until something is so; a test whose cause has gone must fail and not stand still.
 fn until(what: &str, so: impl FnMut() -> bool) {
     // A death takes up to some seconds to be believed, and a machine that is busy with other tests some more.
-    assert!(becomes(3 * TIMEOUT, so), "never: {what}");
+    assert!(poll_until(3 * TIMEOUT, so), "never: {what}");
 }
 
 fn floor(fleet: &Fleet, n: usize, object: &str) -> bool {
@@ -60,7 +60,10 @@
         assert_eq!(fleet.purge(n as usize, &object).unwrap(), 201);
         // Each datagram goes three times, and by this seed one of the three comes on every link.
         for proxy in 0..4 {
-            assert!(fleet.hears(proxy, &object).unwrap(), "p{proxy}, purge {n}");
+            assert!(
+                fleet.wait_for_purge(proxy, &object).unwrap(),
+                "p{proxy}, purge {n}"
+            );
         }
     }
     // All three have gone by then.
@@ -79,7 +82,7 @@
     let (object, after) = (object(1), object(2));
     fleet.links.set((0, 2), LinkConditions::CUT);
     assert_eq!(fleet.purge(0, &object).unwrap(), 201);
-    assert!(fleet.hears(0, &object).unwrap() && fleet.hears(1, &object).unwrap());
+    assert!(fleet.wait_for_purge(0, &object).unwrap() && fleet.wait_for_purge(1, &object).unwrap());
     assert!(fleet.links.counters((0, 2)).came == 0 && fleet.links.counters((0, 1)).came > 0);
     assert!(
         !floor(&fleet, 2, &object),
@@ -87,7 +90,7 @@
     );
     // The other way is open: what it tells is heard.
     assert_eq!(fleet.purge(2, &after).unwrap(), 201);
-    assert!(fleet.hears(0, &after).unwrap());
+    assert!(fleet.wait_for_purge(0, &after).unwrap());
 }
 
 #[test]
@@ -96,11 +99,14 @@
     let object = object(3);
     fleet.stall(1).unwrap();
     assert_eq!(fleet.purge(0, &object).unwrap(), 201);
-    assert!(fleet.hears(2, &object).unwrap());
+    assert!(fleet.wait_for_purge(2, &object).unwrap());
     // All three datagrams have reached its socket.
     until("all three came", || fleet.links.counters((0, 1)).came >= 3);
-    fleet.go_on(1).unwrap();
-    assert!(fleet.hears(1, &object).unwrap(), "it goes on and has heard");
+    fleet.resume(1).unwrap();
+    assert!(
+        fleet.wait_for_purge(1, &object).unwrap(),
+        "it goes on and has heard"
+    );
 }
 
 #[test]
@@ -109,7 +115,7 @@
     let object = object(4);
     assert_eq!(fleet.purge(0, &object).unwrap(), 201);
     for n in 0..3 {
-        assert!(fleet.hears(n, &object).unwrap(), "p{n}");
+        assert!(fleet.wait_for_purge(n, &object).unwrap(), "p{n}");
     }
     fleet.kill(0).unwrap();
     fleet.restart(0, Disk::Kept).unwrap();
@@ -136,7 +142,10 @@
     // What was on its way at the cut may still come. It is all that was sent and not lost by then.
     let before = fleet.links.counters((0, 2));
     assert_eq!(fleet.purge(0, &object).unwrap(), 201);
-    assert!(fleet.hears(2, &object).unwrap(), "from 0 to 1 to 2");
+    assert!(
+        fleet.wait_for_purge(2, &object).unwrap(),
+        "from 0 to 1 to 2"
+    );
     let after = fleet.links.counters((0, 2));
     assert!(
         after.came <= before.sent - before.lost,
@@ -156,7 +165,7 @@
         fleet.links.counters((0, 1)).sent >= 4
     });
     fleet.restart(1, Disk::Kept).unwrap();
-    assert!(fleet.hears(1, &object).unwrap());
+    assert!(fleet.wait_for_purge(1, &object).unwrap());
 }
 
 /// The writer's machine is lost with its disk, right after its yes: the promise holds at the others, and at the
@@ -253,7 +262,7 @@
             agree("all have the first", &fleet);
             fleet.kill(0).unwrap();
             fleet
-                .restart_armed(0, disk, &format!("{point}=die"))
+                .restart_with_fail_points(0, disk, &format!("{point}=die"))
                 .unwrap();
             // On a new machine its own promise comes back, which may pass the armed point as well: it dies of that.
             let said = fleet.purge(0, &second);
@@ -264,7 +273,7 @@
             fleet.kill(0).unwrap();
             // What was told is on its way still, maybe; what was not can't come from anywhere.
             let others = match told {
-                Some(true) => fleet.hears(1, &second).unwrap(),
+                Some(true) => fleet.wait_for_purge(1, &second).unwrap(),
                 _ => floor(&fleet, 1, &second),
             };
             fleet.restart(0, Disk::Kept).unwrap();
@@ -292,17 +301,19 @@
     let mut fleet = copying(3, 40);
     fleet.kill(0).unwrap();
     fleet
-        .restart_armed(0, Disk::Kept, "peers-told=stall")
+        .restart_with_fail_points(0, Disk::Kept, "peers-told=stall")
         .unwrap();
     let (fleet, object) = (&fleet, object(310));
     std::thread::scope(|scope| {
         let said = scope.spawn(|| fleet.purge(0, &object));
-        assert!(fleet.hears(1, &object).unwrap() && fleet.hears(2, &object).unwrap());
+        assert!(
+            fleet.wait_for_purge(1, &object).unwrap() && fleet.wait_for_purge(2, &object).unwrap()
+        );
         assert!(
             !said.is_finished(),
             "no yes from a process that stands still"
         );
-        fleet.go_on(0).unwrap();
+        fleet.resume(0).unwrap();
         assert_eq!(said.join().unwrap().unwrap(), 201);
     });
     assert!(floor(fleet, 0, &object));
@@ -357,7 +368,7 @@
     fleet.links.set((1, 0), LinkConditions::CUT);
     fleet.links.set((2, 0), LinkConditions::CUT);
     assert_eq!(fleet.purge(0, &object(502)).unwrap(), 503);
-    assert!(fleet.hears(1, &object(502)).unwrap());
+    assert!(fleet.wait_for_purge(1, &object(502)).unwrap());
     let status = fleet.status(0).unwrap();
     assert_eq!(
         (status.committed, status.rejected, status.pending_commits),
@@ -379,7 +390,7 @@
 fn proxies_that_say_they_stand_on_one_machine_are_one_copy() {
     let setup = Setup {
         machine: Some("one"),
-        ..Setup::copying(Path::new(DAEMON), 3, 56)
+        ..Setup::replicating(Path::new(DAEMON), 3, 56)
     };
     let fleet = Fleet::with(setup).unwrap();
     until("all have said so", || {
@@ -392,7 +403,7 @@
     });
     assert_eq!(fleet.purge(0, &object(505)).unwrap(), 503);
     assert!(
-        fleet.hears(1, &object(505)).unwrap(),
+        fleet.wait_for_purge(1, &object(505)).unwrap(),
         "they have it all the same"
     );
 }
@@ -405,8 +416,8 @@
     fleet.stall(2).unwrap();
     assert_eq!(fleet.purge(0, &object(511)).unwrap(), 503, "by nobody");
     // They go on, know nothing of it, and take what waits in their sockets.
-    fleet.go_on(1).unwrap();
-    fleet.go_on(2).unwrap();
+    fleet.resume(1).unwrap();
+    fleet.resume(2).unwrap();
     assert_eq!(fleet.purge(0, &object(512)).unwrap(), 201);
     agree("all agree, none short", &fleet);
     assert!((0..3).all(|n| (510..513).all(|o| floor(&fleet, n, &object(o)))));
@@ -423,7 +434,7 @@
         let mut fleet = copying(3, 44 + seed as u64);
         fleet.kill(1).unwrap();
         fleet
-            .restart_armed(1, Disk::Kept, &format!("{point}=die"))
+            .restart_with_fail_points(1, Disk::Kept, &format!("{point}=die"))
             .unwrap();
         assert_eq!(fleet.purge(0, &object(520)).unwrap(), 201, "{point}: by p2");
         until(&format!("{point}: it died of it"), || {
@@ -456,7 +467,7 @@
         503,
         "one is not enough"
     );
-    fleet.go_on(2).unwrap();
+    fleet.resume(2).unwrap();
 }
 
 #[test]
@@ -466,7 +477,7 @@
     agree("all have it", &fleet);
     fleet.kill(0).unwrap();
     fleet
-        .restart_armed(0, Disk::Kept, "store-fails=fail")
+        .restart_with_fail_points(0, Disk::Kept, "store-fails=fail")
         .unwrap();
     assert_eq!(fleet.purge(0, &object(541)).unwrap(), 503);
     assert!(floor(&fleet, 0, &object(541)), "in force all the same");
@@ -475,7 +486,7 @@
     // Its word is no copy for others either.
     fleet.stall(2).unwrap();
     assert_eq!(fleet.purge(1, &object(542)).unwrap(), 503);
-    fleet.go_on(2).unwrap();
+    fleet.resume(2).unwrap();
     assert!(fleet.end(0).unwrap(), "it ends well");
     fleet.restart(0, Disk::Kept).unwrap();
     assert_eq!(fleet.purge(0, &object(543)).unwrap(), 201);
@@ -559,7 +570,7 @@
     assert!(fleet.end(0).unwrap());
     assert_eq!(told.join().unwrap().unwrap(), 503);
     assert_eq!(called.join().unwrap().unwrap().status, 503);
-    fleet.go_on(1).unwrap();
+    fleet.resume(1).unwrap();
 }
 
 /// Two calls on one pop cache wait, and neither can be promised: it is as it was before the first of them, whichever is
@@ -570,7 +581,7 @@
     let within_ms = Some(6_000);
     let setup = Setup {
         within_ms,
-        ..Setup::copying(Path::new(DAEMON), 2, 55)
+        ..Setup::replicating(Path::new(DAEMON), 2, 55)
     };
     let fleet = Fleet::with(setup).unwrap();
     fleet.stall(1).unwrap();
@@ -591,11 +602,11 @@
     }
     assert!(calls.into_iter().all(|call| call.join().unwrap() == 503));
     comes_to_use(&fleet, 0, 0, 1500);
-    fleet.go_on(1).unwrap();
+    fleet.resume(1).unwrap();
     agree("both agree", &fleet);
     assert_eq!(
         fleet
-            .operate(0, "POST", "/control/pop-caches/s-0a/offline")
+            .admin_call(0, "POST", "/control/pop-caches/s-0a/offline")
             .unwrap(),
         200
     );
@@ -693,7 +704,7 @@
     let before = lives(&fleet, 0, "p3");
     fleet.stall(3).unwrap();
     believe(&fleet, &[0, 1, 2], 3, "dead");
-    fleet.go_on(3).unwrap();
+    fleet.resume(3).unwrap();
     believe(&fleet, &[0, 1, 2], 3, "alive");
     assert_eq!(lives(&fleet, 0, "p3"), before, "in the same life");
     assert!(
@@ -709,7 +720,7 @@
 fn an_old_life_that_goes_on_after_its_successor_has_begun_is_fenced() {
     let setup = Setup {
         later: &["p0"],
-        ..Setup::copying(Path::new(DAEMON), 3, 63)
+        ..Setup::replicating(Path::new(DAEMON), 3, 63)
     };
     let mut fleet = Fleet::with(setup).unwrap();
     assert_eq!(fleet.purge(0, &object(710)).unwrap(), 201);
@@ -717,14 +728,14 @@
     fleet.stall(0).unwrap();
     fleet.restart(3, Disk::Lost).unwrap();
     assert!(
-        fleet.hears(3, &object(710)).unwrap(),
+        fleet.wait_for_purge(3, &object(710)).unwrap(),
         "it has the promises of the life before"
     );
     assert_eq!(fleet.purge(3, &object(711)).unwrap(), 201);
     until("the others have met it", || {
         (1..3).all(|n| fleet.status(n).unwrap().peers[3 - 1].name == "p0")
     });
-    fleet.go_on(0).unwrap();
+    fleet.resume(0).unwrap();
     until("the old one learns of it", || {
         fleet.status(0).unwrap().replaced
     });
@@ -736,13 +747,13 @@
     assert!(!fleet.status(3).unwrap().replaced);
     assert_eq!(fleet.purge(3, &object(713)).unwrap(), 201);
     assert!(
-        fleet.hears(0, &object(713)).unwrap(),
+        fleet.wait_for_purge(0, &object(713)).unwrap(),
         "what others promise it goes on keeping"
     );
 }
 
 fn ready(fleet: &Fleet, n: usize) -> bool {
-    fleet.operate(n, "GET", "/control/ready").unwrap() == 200
+    fleet.admin_call(n, "GET", "/control/ready").unwrap() == 200
 }
 
 /// Whether a proxy that is asked for forty photos from one on asks a box for any of them.
@@ -766,23 +777,25 @@
     let mut fleet = copying(3, 70);
     assert_eq!(
         fleet
-            .operate(0, "POST", "/control/pop-caches/s-0a/offline")
+            .admin_call(0, "POST", "/control/pop-caches/s-0a/offline")
             .unwrap(),
         200
     );
     assert_eq!(
-        fleet.operate(1, "POST", "/control/out-of-service").unwrap(),
+        fleet
+            .admin_call(1, "POST", "/control/out-of-service")
+            .unwrap(),
         200
     );
     assert_eq!(
         fleet
-            .operate(2, "POST", "/control/pop-caches/s-0b/offline")
+            .admin_call(2, "POST", "/control/pop-caches/s-0b/offline")
             .unwrap(),
         200
     );
     assert_eq!(
         fleet
-            .operate(2, "POST", "/control/pop-caches/s-0b/online")
+            .admin_call(2, "POST", "/control/pop-caches/s-0b/online")
             .unwrap(),
         200
     );
@@ -804,7 +817,7 @@
     comes_to_use(&fleet, 2, 1, 1000);
     assert!(!ready(&fleet, 1), "p1 is out of service still");
     assert_eq!(
-        fleet.operate(1, "POST", "/control/in-service").unwrap(),
+        fleet.admin_call(1, "POST", "/control/in-service").unwrap(),
         200
     );
     until("it is back", || ready(&fleet, 1));
@@ -817,12 +830,14 @@
     fleet.links.split(&[0], LinkConditions::CUT);
     assert_eq!(
         fleet
-            .operate(0, "POST", "/control/pop-caches/s-0a/offline")
+            .admin_call(0, "POST", "/control/pop-caches/s-0a/offline")
             .unwrap(),
         503
     );
     assert_eq!(
-        fleet.operate(0, "POST", "/control/out-of-service").unwrap(),
+        fleet
+            .admin_call(0, "POST", "/control/out-of-service")
+            .unwrap(),
         503
     );
     assert!(ready(&fleet, 0));
@@ -830,14 +845,14 @@
     fleet.links.split(&[0], LinkConditions::default());
     assert_eq!(
         fleet
-            .operate(0, "POST", "/control/pop-caches/s-0a/offline")
+            .admin_call(0, "POST", "/control/pop-caches/s-0a/offline")
             .unwrap(),
         200
     );
     // The same again is yes only because the first one is kept by now.
     assert_eq!(
         fleet
-            .operate(0, "POST", "/control/pop-caches/s-0a/offline")
+            .admin_call(0, "POST", "/control/pop-caches/s-0a/offline")
             .unwrap(),
         200
     );
@@ -853,7 +868,7 @@
     until("all are ready", || (0..3).all(|n| ready(&fleet, n)));
     assert_eq!(
         fleet
-            .operate(0, "POST", "/control/pop-caches/s-0a/offline")
+            .admin_call(0, "POST", "/control/pop-caches/s-0a/offline")
             .unwrap(),
         200
     );
@@ -888,7 +903,7 @@
 
 /// What a proxy answers when asked for the status of a trigger.
 fn status_of(fleet: &Fleet, n: usize, path: &str) -> (u16, Vec<u8>) {
-    let answer = fleet.neighbour(n, "GET", path).unwrap();
+    let answer = fleet.cdni_call(n, "GET", path).unwrap();
     (answer.status, answer.body)
 }
 
@@ -949,7 +964,7 @@
     let path = status_path(&fleet.trigger(0, &[&object(2100)]).unwrap()).expect("it is promised");
     agree("all have it", &fleet);
     fleet.kill(2).unwrap();
-    assert_eq!(fleet.neighbour(1, "DELETE", &path).unwrap().status, 204);
+    assert_eq!(fleet.cdni_call(1, "DELETE", &path).unwrap().status, 204);
     until("it is gone at the proxy that was told", || {
         status_of(&fleet, 0, &path).0 == 404
     });
--- a/daemon/tests/budgets.rs
+++ b/daemon/tests/budgets.rs
@@ -3,7 +3,7 @@
 //! used by those that have something to do.
 
 use linnetknot_daemon::budgets::{BudgetStatus, GrantStatus, Status};
-use linnetknot_harness::clients::{becomes, TIMEOUT};
+use linnetknot_harness::clients::{poll_until, TIMEOUT};
 use linnetknot_harness::fleet::{Disk, Fleet, Setup};
 use linnetknot_harness::links::LinkConditions;
 use linnetknot_harness::pressure::Pressure;
@@ -41,14 +41,14 @@
         let setup = Setup {
             budgets: origin(LIMIT),
             deadline_us: Some(DEADLINE_US),
-            planted,
-            ..Setup::copying(Path::new(DAEMON), proxies, seed)
+            fail_points: planted,
+            ..Setup::replicating(Path::new(DAEMON), proxies, seed)
         };
         let fleet = Fleet::with(setup).unwrap();
         fleet
             .origin
-            .behave(linnetknot_harness::fakes::cache::Manner {
-                hold_ms: HOLD_MS,
+            .set_behaviour(linnetknot_harness::fakes::cache::Behaviour {
+                answer_delay_ms: HOLD_MS,
                 ..Default::default()
             });
         let clients = (0..proxies).map(|_| None).collect();
@@ -83,7 +83,9 @@
     }
 
     fn restart(&mut self, n: usize, points: &str) {
-        self.fleet.restart_armed(n, Disk::Kept, points).unwrap();
+        self.fleet
+            .restart_with_fail_points(n, Disk::Kept, points)
+            .unwrap();
         let front = self.fleet.process(n).unwrap().front;
         self.clients[n]
             .iter()
@@ -117,7 +119,11 @@
                 .map(|n| (n, self.places(n)))
                 .collect::<Vec<_>>()
         };
-        assert!(becomes(3 * TIMEOUT, so), "never: {what}: {:#?}", statuses());
+        assert!(
+            poll_until(3 * TIMEOUT, so),
+            "never: {what}: {:#?}",
+            statuses()
+        );
     }
 
     /// The mean of what the origin held in the last half second.
@@ -229,7 +235,7 @@
     lost_and_found(
         5,
         |ground, allocator| ground.fleet.stall(allocator).unwrap(),
-        |ground, allocator| ground.fleet.go_on(allocator).unwrap(),
+        |ground, allocator| ground.fleet.resume(allocator).unwrap(),
     );
 }
 
@@ -323,7 +329,7 @@
     for _ in 0..3 {
         ground.fleet.stall(holder).unwrap();
         ground.until_used("the others use what was its", REST);
-        ground.fleet.go_on(holder).unwrap();
+        ground.fleet.resume(holder).unwrap();
         ground.until("it has a lease again", || {
             ground
                 .places(holder)
--- a/daemon/tests/clock_steps.rs
+++ b/daemon/tests/clock_steps.rs
@@ -1,7 +1,7 @@
 //! Proxies as real processes whose wall clocks are off, or step by an hour between two lives: nothing that was answered
 //! is lost by it, and nothing is kept for ever.
 
-use linnetknot_harness::clients::{becomes, TIMEOUT};
+use linnetknot_harness::clients::{poll_until, TIMEOUT};
 use linnetknot_harness::fakes::cache::FakeCache;
 use linnetknot_harness::fleet::{status_path, Disk, Fleet, Setup};
 use std::path::Path;
@@ -17,8 +17,8 @@
     let within_ms = Some(3_000);
     Fleet::with(Setup {
         within_ms,
-        planted,
-        ..Setup::copying(Path::new(DAEMON), proxies, seed)
+        fail_points: planted,
+        ..Setup::replicating(Path::new(DAEMON), proxies, seed)
     })
     .unwrap()
 }
@@ -43,7 +43,7 @@
 
 /// How many of the statuses a proxy does not tell.
 fn missing(fleet: &Fleet, proxy: usize, paths: &[String]) -> usize {
-    let is_told = |path: &&String| fleet.neighbour(proxy, "GET", path).unwrap().status == 200;
+    let is_told = |path: &&String| fleet.cdni_call(proxy, "GET", path).unwrap().status == 200;
     paths.len() - paths.iter().filter(is_told).count()
 }
 
@@ -56,13 +56,15 @@
             true => assert!(fleet.end(0).unwrap(), "it ends well"),
             false => fleet.kill(0).unwrap(),
         }
-        fleet.restart_armed(0, Disk::Kept, &clock(*offset)).unwrap();
+        fleet
+            .restart_with_fail_points(0, Disk::Kept, &clock(*offset))
+            .unwrap();
         assert_eq!(missing(&fleet, 0, &paths), 0, "life {life}, {offset} s");
         // Names of the lives before must not be given again.
         let more = triggers(&fleet, 0, 1 + TRIGGERS * (life as u64 + 1));
         assert!(more.iter().all(|path| !paths.contains(path)));
         paths.extend(more);
-        assert!(becomes(TIMEOUT, || missing(&fleet, 1, &paths) == 0));
+        assert!(poll_until(TIMEOUT, || missing(&fleet, 1, &paths) == 0));
     }
 }
 
@@ -87,11 +89,13 @@
 fn statuses_are_told_by_peers_whose_clocks_are_an_hour_apart() {
     let mut fleet = fleet(2, 66, "");
     fleet.kill(1).unwrap();
-    fleet.restart_armed(1, Disk::Kept, &clock(3_605)).unwrap();
+    fleet
+        .restart_with_fail_points(1, Disk::Kept, &clock(3_605))
+        .unwrap();
     for (from, teller) in [(1, 0), (1_000, 1)] {
         let paths = triggers(&fleet, teller, from);
         for proxy in 0..2 {
-            let all = becomes(TIMEOUT, || missing(&fleet, proxy, &paths) == 0);
+            let all = poll_until(TIMEOUT, || missing(&fleet, proxy, &paths) == 0);
             assert!(all, "told at p{teller}, asked at p{proxy}");
         }
     }
@@ -102,10 +106,12 @@
     let mut fleet = fleet(2, 67, "");
     let paths = triggers(&fleet, 0, 1);
     for path in &paths {
-        assert_eq!(fleet.neighbour(0, "DELETE", path).unwrap().status, 204);
+        assert_eq!(fleet.cdni_call(0, "DELETE", path).unwrap().status, 204);
     }
     fleet.kill(0).unwrap();
-    fleet.restart_armed(0, Disk::Kept, &clock(-3_605)).unwrap();
+    fleet
+        .restart_with_fail_points(0, Disk::Kept, &clock(-3_605))
+        .unwrap();
     let later = triggers(&fleet, 0, 1_000);
     assert_eq!(missing(&fleet, 0, &later), 0);
     assert!(later.iter().all(|path| !paths.contains(path)));
@@ -117,19 +123,25 @@
 fn the_last_decision_counts_after_the_clock_went_back() {
     let mut fleet = fleet(2, 68, "");
     assert_eq!(
-        fleet.operate(0, "POST", "/control/out-of-service").unwrap(),
+        fleet
+            .admin_call(0, "POST", "/control/out-of-service")
+            .unwrap(),
         200
     );
     fleet.kill(0).unwrap();
-    fleet.restart_armed(0, Disk::Kept, &clock(-3_605)).unwrap();
+    fleet
+        .restart_with_fail_points(0, Disk::Kept, &clock(-3_605))
+        .unwrap();
     assert_eq!(
-        fleet.operate(0, "POST", "/control/in-service").unwrap(),
+        fleet.admin_call(0, "POST", "/control/in-service").unwrap(),
         200
     );
     fleet.kill(0).unwrap();
-    fleet.restart_armed(0, Disk::Kept, &clock(-3_600)).unwrap();
-    let is_ready = || fleet.operate(0, "GET", "/control/ready").unwrap() == 200;
-    assert!(becomes(TIMEOUT, is_ready), "resumed, not drained");
+    fleet
+        .restart_with_fail_points(0, Disk::Kept, &clock(-3_600))
+        .unwrap();
+    let is_ready = || fleet.admin_call(0, "GET", "/control/ready").unwrap() == 200;
+    assert!(poll_until(TIMEOUT, is_ready), "resumed, not drained");
 }
 
 /// The greatest age, in milliseconds, of which a proxy asks its box for a photo after a purge; none: of any.
@@ -148,7 +160,9 @@
     for (seed, offset) in [(71, -3_605), (72, 3_605)] {
         let mut fleet = fleet(2, seed, "");
         fleet.kill(0).unwrap();
-        fleet.restart_armed(0, Disk::Kept, &clock(offset)).unwrap();
+        fleet
+            .restart_with_fail_points(0, Disk::Kept, &clock(offset))
+            .unwrap();
         // Both have answers from the origin, which date it.
         for proxy in 0..2 {
             for n in 500..510 {
@@ -160,7 +174,7 @@
             let told = Instant::now();
             assert_eq!(fleet.purge(teller, &purged).unwrap(), 201);
             for asker in 0..2 {
-                assert!(fleet.hears(asker, &purged).unwrap());
+                assert!(fleet.wait_for_purge(asker, &purged).unwrap());
                 thread::sleep(Duration::from_millis(700));
                 let asked = age_asked(&fleet, asker, &purged).expect("it holds a floor");
                 let gone_by = told.elapsed().as_millis() as u64;
@@ -181,13 +195,15 @@
     for life in 0..2 {
         fleet.kill(0).unwrap();
         let offset = clock(-3_605 * (1 + life));
-        fleet.restart_armed(0, Disk::Lost, &offset).unwrap();
+        fleet
+            .restart_with_fail_points(0, Disk::Lost, &offset)
+            .unwrap();
         let is_settled = || {
             let status = fleet.status(0).unwrap();
-            fleet.operate(0, "GET", "/control/ready").unwrap() == 200
+            fleet.admin_call(0, "GET", "/control/ready").unwrap() == 200
                 && status.peers.iter().any(|peer| peer.state == "alive")
         };
-        assert!(becomes(TIMEOUT, is_settled), "life {life}");
+        assert!(poll_until(TIMEOUT, is_settled), "life {life}");
         // Long enough for peers to tell of the process before.
         for n in 0..20 {
             let purged = object(10 + 100 * life as u64 + n);
--- a/daemon/tests/closed_unanswered.rs
+++ b/daemon/tests/closed_unanswered.rs
@@ -5,7 +5,7 @@
 
 use linnetknot_daemon::wire::fastcgi::{self, kind};
 use linnetknot_harness::clients::WebServer;
-use linnetknot_harness::fakes::cache::Manner;
+use linnetknot_harness::fakes::cache::Behaviour;
 use rig::{object, one, Rig};
 use scripted::{next_of, request, scripted};
 use serde_json::json;
@@ -96,9 +96,9 @@
         config["limits"]["memory_mb"] = json!(16);
         config["bounds"] = json!({"partial_request_timeout_us": 60_000_000});
     });
-    rig.boxes[0].behave(Manner {
-        hold_ms: 1_000,
-        ..Manner::default()
+    rig.boxes[0].set_behaviour(Behaviour {
+        answer_delay_ms: 1_000,
+        ..Behaviour::default()
     });
     let mut webs: Vec<WebServer> = (0..CLIENTS).map(|_| rig.web()).collect();
     for (n, web) in webs.iter_mut().enumerate() {
@@ -128,7 +128,7 @@
         assert!([200, 503].contains(&status), "client {n}: {status}");
     }
     assert!(refused > 0, "some of them made room");
-    rig.boxes[0].behave(Manner::default());
+    rig.boxes[0].set_behaviour(Behaviour::default());
     assert_eq!(one(&mut rig.web(), "photo", &object(99)).status, 200);
     drop(webs);
     rig.stop();
@@ -176,9 +176,9 @@
         // The box is waited for.
         config["settings"]["limits"]["cancel"] = json!(false);
     });
-    rig.boxes[0].behave(Manner {
-        hold_ms: 600,
-        ..Manner::default()
+    rig.boxes[0].set_behaviour(Behaviour {
+        answer_delay_ms: 600,
+        ..Behaviour::default()
     });
     let rests = || {
         let mut web = rig.web();
@@ -192,7 +192,7 @@
     let resting: Vec<WebServer> = (1..PLACES).map(|_| rests()).collect();
     assert_eq!(quiet.end().unwrap().1.unwrap().status, 200);
     let newcomer = rests();
-    rig.boxes[0].behave(Manner::default());
+    rig.boxes[0].set_behaviour(Behaviour::default());
     assert_eq!(one(&mut quiet, "photo", &object(2)).status, 200);
     drop((quiet, resting, newcomer));
     rig.stop();
@@ -204,9 +204,9 @@
     let mut rig = Rig::with(&["s-0a", "s-0b"], |config| {
         config["limits"] = json!({"memory_mb": 16, "sockets": 256});
     });
-    rig.boxes[0].behave(Manner {
-        mute: true,
-        ..Manner::default()
+    rig.boxes[0].set_behaviour(Behaviour {
+        silent: true,
+        ..Behaviour::default()
     });
     let mut quiet = rig.web();
     assert!([200, 503].contains(&one(&mut quiet, "photo", &object(1)).status));
--- a/daemon/tests/compacted_fleet.rs
+++ b/daemon/tests/compacted_fleet.rs
@@ -1,7 +1,7 @@
 //! Three processes of the daemon that hold few purges one by one: one that was away past that, or lost its disk, has
 //! the floors of all purges before it is ready, from its peers' snapshot.
 
-use linnetknot_harness::clients::{becomes, TIMEOUT};
+use linnetknot_harness::clients::{poll_until, TIMEOUT};
 use linnetknot_harness::fleet::{Disk, Fleet, Setup};
 use std::path::Path;
 
@@ -17,7 +17,7 @@
     let setup = Setup {
         within_ms,
         exact_purges: Some(WINDOW),
-        ..Setup::copying(Path::new(DAEMON), 3, seed)
+        ..Setup::replicating(Path::new(DAEMON), 3, seed)
     };
     Fleet::with(setup).unwrap()
 }
@@ -27,7 +27,7 @@
 }
 
 fn until(what: &str, so: impl FnMut() -> bool) {
-    assert!(becomes(3 * TIMEOUT, so), "never: {what}");
+    assert!(poll_until(3 * TIMEOUT, so), "never: {what}");
 }
 
 /// Tells proxies 0 and 1 of all purges in turn, and waits until both have compacted all beyond the window.
@@ -46,7 +46,7 @@
 }
 
 fn is_ready(fleet: &Fleet, n: usize) -> bool {
-    fleet.operate(n, "GET", "/control/ready").unwrap() == 200
+    fleet.admin_call(n, "GET", "/control/ready").unwrap() == 200
 }
 
 /// Whether a proxy has what another has, on its disk.
@@ -107,7 +107,9 @@
     fleet.kill(2).unwrap();
     purge_all(&fleet);
     for disk in [Disk::Kept, Disk::Lost] {
-        fleet.restart_armed(2, disk, "snapshot-chunk=die").unwrap();
+        fleet
+            .restart_with_fail_points(2, disk, "snapshot-chunk=die")
+            .unwrap();
         until("a chunk has come, and p2 is dead", || {
             fleet.process(2).is_err()
         });
@@ -126,7 +128,7 @@
     fleet.kill(2).unwrap();
     purge_all(&fleet);
     fleet
-        .restart_armed(2, Disk::Lost, "snapshot-lost=fail")
+        .restart_with_fail_points(2, Disk::Lost, "snapshot-lost=fail")
         .unwrap();
     until("p2 knows that it is behind", || {
         fleet.status(2).unwrap().catching_up
--- a/daemon/tests/deadline_passed.rs
+++ b/daemon/tests/deadline_passed.rs
@@ -211,7 +211,7 @@
         for n in [10 * round + 2, 10 * round + 3] {
             let came = site
                 .cache
-                .wait_for(|a| a.word == "fetch" && a.field("key") == Some(&object(n)))
+                .wait_for(|a| a.command == "fetch" && a.field("key") == Some(&object(n)))
                 .expect("a call");
             check("a stopped process", &came.fields, asked);
         }
--- a/daemon/tests/discovery.rs
+++ b/daemon/tests/discovery.rs
@@ -4,7 +4,7 @@
 
 use linnetknot_harness::clients::WebServer;
 use linnetknot_harness::fakes::cache::FakeCache;
-use linnetknot_harness::fakes::consul::{instance, Agent, Manner};
+use linnetknot_harness::fakes::consul::{instance, Agent, Behaviour};
 use rig::{object, one, Rig};
 use serde_json::{json, Value};
 use std::net::TcpListener;
@@ -43,7 +43,7 @@
 
 /// Asks for many objects; tells how many of them reached each box.
 fn spread(rig: &Rig, web: &mut WebServer) -> Vec<usize> {
-    let count = |b: &FakeCache| b.arrivals().iter().filter(|a| a.word == "fetch").count();
+    let count = |b: &FakeCache| b.arrivals().iter().filter(|a| a.command == "fetch").count();
     let before: Vec<usize> = rig.boxes.iter().map(count).collect();
     for n in 0..60 {
         assert_eq!(one(web, "photo", &object(n)).status, 200);
@@ -115,17 +115,17 @@
         config["consul"]["damping"] = json!({"half_life_s": 0.001, "most_suppressed_s": 1});
     });
     for manner in [
-        Manner::Leaderless,
-        Manner::Denied,
-        Manner::Garbage,
-        Manner::CutOff,
-        Manner::Endless,
-        Manner::Mute,
-        Manner::Gone,
+        Behaviour::Leaderless,
+        Behaviour::Denied,
+        Behaviour::Garbage,
+        Behaviour::CutOff,
+        Behaviour::Endless,
+        Behaviour::Silent,
+        Behaviour::Unavailable,
     ] {
         let (before, mut web) = (agent.requests().len(), rig.web());
-        agent.behave(manner);
-        if manner != Manner::Gone {
+        agent.set_behaviour(manner);
+        if manner != Behaviour::Unavailable {
             assert!(agent.wait_for(|asked| asked.len() > before), "{manner:?}");
         }
         let got = spread(&rig, &mut web);
@@ -133,7 +133,7 @@
             got[0] > 0 && got[2] > 0,
             "{manner:?}: all are served from the last list"
         );
-        agent.behave(Manner::Chunked);
+        agent.set_behaviour(Behaviour::Chunked);
         agent.register(&listed(&rig, ["passing", "critical", "passing"]));
         assert!(agent.wait_until_read(), "{manner:?}");
         assert_eq!(spread(&rig, &mut rig.web())[1], 0, "{manner:?}");
@@ -277,19 +277,19 @@
     let kept = |b: &FakeCache| bytes.contains(b.uid) && bytes.contains(&b.address.to_string());
     assert!(boxes.iter().all(kept), "{bytes}");
     // The agent is gone: the list is there at once, and the drain is remembered.
-    agent.behave(Manner::Gone);
+    agent.set_behaviour(Behaviour::Unavailable);
     let mut rig = with(&agent, |config| config["state"] = state.clone());
     rig.boxes = boxes;
     let got = spread(&rig, &mut rig.web());
     assert!(got[0] > 0 && got[1] == 0 && got[2] > 0, "{got:?}");
     // The agent comes back with news.
     agent.register(&listed(&rig, ["critical", "passing", "passing"]));
-    agent.behave(Manner::Well);
+    agent.set_behaviour(Behaviour::Normal);
     assert!(agent.wait_until_read());
     assert_eq!(spread(&rig, &mut rig.web())[0], 0);
     rig.stop();
     // A torn file is no list: nothing is served from it, and the proxy starts all the same.
-    agent.behave(Manner::Gone);
+    agent.set_behaviour(Behaviour::Unavailable);
     let bytes = std::fs::read(&file).unwrap();
     std::fs::write(&file, &bytes[..bytes.len() - 1]).unwrap();
     let rig = with(&agent, |config| config["state"] = state.clone());
@@ -352,7 +352,7 @@
 fn a_reload_takes_another_agent_over_without_losing_the_list() {
     let (_, mut rig, mut web) = started(|_| {});
     let other = Agent::start().unwrap();
-    other.behave(Manner::Leaderless);
+    other.set_behaviour(Behaviour::Leaderless);
     rig.file.lock().unwrap()["consul"] =
         json!({"address": other.address.to_string(), "answer_ms": 500});
     rig.control.reload().unwrap();
@@ -362,7 +362,7 @@
         "the list holds"
     );
     other.register(&listed(&rig, ["passing", "passing", "critical"]));
-    other.behave(Manner::Well);
+    other.set_behaviour(Behaviour::Normal);
     assert!(other.wait_until_read());
     assert_eq!(spread(&rig, &mut web)[2], 0);
     // A faulty section changes nothing.
--- a/daemon/tests/failing_calls.rs
+++ b/daemon/tests/failing_calls.rs
@@ -4,7 +4,7 @@
 
 use armed::{ask, Armed, Ports};
 use linnetknot_harness::clients::WebServer;
-use linnetknot_harness::fakes::cache::Manner;
+use linnetknot_harness::fakes::cache::Behaviour;
 use serde_json::{json, Value};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
@@ -141,7 +141,7 @@
                 .cache
                 .arrivals()
                 .iter()
-                .filter(|a| a.word == "fetch")
+                .filter(|a| a.command == "fetch")
                 .count();
             assert_eq!((answer.status, fetches), (status, 1), "{name}: {class}");
         }
@@ -155,18 +155,18 @@
             |ports| format!("sys-write=errno({name}):port({}):times(1)", ports.front),
             |_, _| {},
         );
-        armed.cache.behave(Manner {
-            mute: true,
-            ..Manner::default()
+        armed.cache.set_behaviour(Behaviour {
+            silent: true,
+            ..Behaviour::default()
         });
         let mut web = armed.web();
         web.ask(1, "photo", "00000000000000a1", 20_000).unwrap();
-        let sent = armed.cache.wait_for(|a| a.word == "fetch").unwrap();
+        let sent = armed.cache.wait_for(|a| a.command == "fetch").unwrap();
         // The answer to another request can't be written: its connection, and who waits on it, has gone.
         web.ask(2, "post", "00000000000000a2", 20_000).unwrap();
         let aborted = armed
             .cache
-            .wait_for(|a| a.word == "abort" && a.id == sent.id);
+            .wait_for(|a| a.command == "abort" && a.id == sent.id);
         assert!(aborted.is_some(), "{name}");
         assert!(web.end().is_err(), "{name}: nothing is written any more");
     }
--- a/daemon/tests/failing_folder.rs
+++ b/daemon/tests/failing_folder.rs
@@ -2,7 +2,7 @@
 //! processes of their own that are killed in between.
 
 use linnetknot_daemon::fleet::query_status;
-use linnetknot_harness::clients::{becomes, call, Answer};
+use linnetknot_harness::clients::{call, poll_until, Answer};
 use linnetknot_harness::fleet::{status_path, Disk, Fleet, Setup};
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -17,7 +17,7 @@
         wait,
         // A busy machine may sync slowly.
         within_ms: Some(WITHIN_MS),
-        ..Setup::copying(Path::new(DAEMON), running, seed)
+        ..Setup::replicating(Path::new(DAEMON), running, seed)
     })
     .unwrap()
 }
@@ -50,7 +50,7 @@
 }
 
 fn status_of(fleet: &Fleet, n: usize, path: &str) -> u16 {
-    fleet.neighbour(n, "GET", path).unwrap().status
+    fleet.cdni_call(n, "GET", path).unwrap().status
 }
 
 /// What it answers to whatever needs the store, while that is away.
@@ -85,9 +85,9 @@
         let path = trigger(&fleet, 0, &object(1));
         fleet.kill(0).unwrap();
         fleet
-            .restart_armed(0, Disk::Kept, &format!("disk-sync={errno}*1"))
+            .restart_with_fail_points(0, Disk::Kept, &format!("disk-sync={errno}*1"))
             .unwrap_or_else(|e| panic!("{errno}: {e}"));
-        assert!(becomes(TIMEOUT, || has_store(&fleet, 0)), "{errno}");
+        assert!(poll_until(TIMEOUT, || has_store(&fleet, 0)), "{errno}");
         assert!(fleet.holds_floor(0, &object(1)).unwrap(), "{errno}");
         assert_eq!(status_of(&fleet, 0, &path), 200, "{errno}");
         trigger(&fleet, 0, &object(2));
@@ -104,20 +104,20 @@
     let path = trigger(&fleet, 0, &object(2));
     assert_eq!(
         fleet
-            .operate(0, "POST", "/control/pop-caches/s-0a/offline")
+            .admin_call(0, "POST", "/control/pop-caches/s-0a/offline")
             .unwrap(),
         200
     );
     for lasts in ["", "@2500"] {
         fleet.kill(0).unwrap();
         fleet
-            .restart_armed(0, Disk::Kept, &format!("disk-write=ENOSPC{lasts}"))
+            .restart_with_fail_points(0, Disk::Kept, &format!("disk-write=ENOSPC{lasts}"))
             .unwrap();
-        assert!(becomes(TIMEOUT, || is_ready(&fleet, 0)));
+        assert!(poll_until(TIMEOUT, || is_ready(&fleet, 0)));
         let said = text(&ready(&fleet, 0));
         assert!(said.contains("No space left on device"), "{said}");
         assert_rejects(&fleet, 0);
-        let answer = fleet.neighbour(0, "GET", &path).unwrap();
+        let answer = fleet.cdni_call(0, "GET", &path).unwrap();
         assert_eq!(
             (answer.status, answer.header("retry-after")),
             (503, Some("1")),
@@ -125,10 +125,10 @@
         );
         assert!(fleet.ask(0, &object(1)).unwrap().made() > before);
     }
-    assert!(becomes(TIMEOUT, || has_store(&fleet, 0)));
+    assert!(poll_until(TIMEOUT, || has_store(&fleet, 0)));
     assert_eq!(status_of(&fleet, 0, &path), 200, "what was answered 201");
     assert_eq!(fleet.triggers(0).unwrap().len(), 1, "and nothing else");
-    assert_eq!(fleet.operate(0, "GET", "/control/ready").unwrap(), 200);
+    assert_eq!(fleet.admin_call(0, "GET", "/control/ready").unwrap(), 200);
     trigger(&fleet, 0, &object(3));
     assert!(fleet.end(0).unwrap());
 }
@@ -139,12 +139,12 @@
 fn among_peers_it_learns_from_them_and_acknowledges_nothing_until_the_folder_is_back() {
     let mut fleet = fleet(3, 74, Some(1));
     let path = trigger(&fleet, 0, &object(1));
-    assert!(becomes(TIMEOUT, || fleet.agrees().unwrap()));
+    assert!(poll_until(TIMEOUT, || fleet.is_converged().unwrap()));
     fleet.kill(0).unwrap();
     fleet
-        .restart_armed(0, Disk::Kept, "disk-open=EIO@6000")
+        .restart_with_fail_points(0, Disk::Kept, "disk-open=EIO@6000")
         .unwrap();
-    assert!(becomes(TIMEOUT, || is_ready(&fleet, 0)));
+    assert!(poll_until(TIMEOUT, || is_ready(&fleet, 0)));
     let status = query_status(fleet.process(0).unwrap().admin).unwrap();
     let why = status.store_error.expect("it says so");
     assert!(why.contains("os error 5"), "{why}");
@@ -154,10 +154,10 @@
     // Its memory is no copy: with the third one standing still, nobody has a second.
     fleet.stall(2).unwrap();
     assert_eq!(fleet.purge(1, &object(2)).unwrap(), 503);
-    fleet.go_on(2).unwrap();
+    fleet.resume(2).unwrap();
     let third = trigger(&fleet, 1, &object(3));
-    assert!(becomes(TIMEOUT, || has_store(&fleet, 0)));
-    assert!(becomes(TIMEOUT, || fleet.agrees().unwrap()));
+    assert!(poll_until(TIMEOUT, || has_store(&fleet, 0)));
+    assert!(poll_until(TIMEOUT, || fleet.is_converged().unwrap()));
     assert_eq!(status_of(&fleet, 0, &third), 200);
     let own = trigger(&fleet, 0, &object(4));
     // What it has is on its disk: it comes back alone.
@@ -197,13 +197,13 @@
         "disk-rename=ENOSPC+1",
     ] {
         let mut fleet = fleet(1, 76, None);
-        assert_eq!(fleet.operate(0, "POST", ban).unwrap(), 200);
+        assert_eq!(fleet.admin_call(0, "POST", ban).unwrap(), 200);
         fleet.kill(0).unwrap();
         // The store opens before the spell begins: it fails the operators' files.
         fleet
-            .restart_armed(0, Disk::Kept, &format!("late-{points}"))
+            .restart_with_fail_points(0, Disk::Kept, &format!("late-{points}"))
             .unwrap();
-        assert!(becomes(TIMEOUT, || is_ready(&fleet, 0)), "{points}");
+        assert!(poll_until(TIMEOUT, || is_ready(&fleet, 0)), "{points}");
         let armed = Duration::from_millis(700);
         std::thread::sleep(armed);
         let answer = drain(&fleet);
@@ -217,10 +217,10 @@
         fleet.kill(0).unwrap();
         fleet.restart(0, Disk::Kept).unwrap();
         assert!(
-            becomes(TIMEOUT, || is_ready(&fleet, 0)),
+            poll_until(TIMEOUT, || is_ready(&fleet, 0)),
             "{points}: what was answered 503 is claimed"
         );
-        assert_eq!(fleet.operate(0, "POST", ban).unwrap(), 200);
+        assert_eq!(fleet.admin_call(0, "POST", ban).unwrap(), 200);
         let answer = drain(&fleet);
         assert_eq!(answer.status, 200, "{points}: {}", text(&answer));
         fleet.kill(0).unwrap();
@@ -234,19 +234,21 @@
 fn bans_that_cannot_be_read_at_a_start_are_in_force_once_they_can() {
     let mut fleet = fleet(1, 77, None);
     assert_eq!(
-        fleet.operate(0, "POST", "/control/out-of-service").unwrap(),
+        fleet
+            .admin_call(0, "POST", "/control/out-of-service")
+            .unwrap(),
         200
     );
     fleet.kill(0).unwrap();
     // The log of this proxy would tell of it, too.
     std::fs::remove_file(fleet.store(0)).unwrap();
     fleet
-        .restart_armed(0, Disk::Kept, "disk-read=EIO@2000")
+        .restart_with_fail_points(0, Disk::Kept, "disk-read=EIO@2000")
         .unwrap();
     let admin = fleet.process(0).unwrap().admin;
     let answer = call(admin, "POST", "/control/pop-caches/s-0a/offline", "").unwrap();
     assert_eq!(answer.status, 503, "{}", text(&answer));
-    assert!(becomes(TIMEOUT, || text(&ready(&fleet, 0)).trim()
+    assert!(poll_until(TIMEOUT, || text(&ready(&fleet, 0)).trim()
         == "out of service"));
     let files = std::fs::read_dir(fleet.store(0).parent().unwrap()).unwrap();
     let names = files.map(|f| f.unwrap().file_name().into_string().unwrap());
@@ -269,9 +271,9 @@
         let mut fleet = fleet(1, seed, None);
         fleet.kill(0).unwrap();
         fleet
-            .restart_armed(0, Disk::Kept, &format!("late-{points}"))
+            .restart_with_fail_points(0, Disk::Kept, &format!("late-{points}"))
             .unwrap();
-        assert!(becomes(TIMEOUT, || is_ready(&fleet, 0)), "{points}");
+        assert!(poll_until(TIMEOUT, || is_ready(&fleet, 0)), "{points}");
         let (mut committed, mut rejected) = (Vec::new(), 0);
         let begun = Instant::now();
         while begun.elapsed() < Duration::from_secs(4) {
@@ -297,7 +299,7 @@
                 "{points}: {} and {rejected} before",
                 committed.len()
             );
-            assert!(becomes(TIMEOUT, || {
+            assert!(poll_until(TIMEOUT, || {
                 let status = fleet.triggers(0).unwrap();
                 status.len() == committed.len() + 1
             }));
@@ -325,7 +327,9 @@
     let mut fleet = fleet(1, 75, None);
     fleet.kill(0).unwrap();
     let refused = |fleet: &mut Fleet, points: &str| {
-        let error = fleet.restart_armed(0, Disk::Kept, points).unwrap_err();
+        let error = fleet
+            .restart_with_fail_points(0, Disk::Kept, points)
+            .unwrap_err();
         error.to_string()
     };
     let said = refused(&mut fleet, "disk-open=EACCES");
--- a/daemon/tests/handover.rs
+++ b/daemon/tests/handover.rs
@@ -3,7 +3,7 @@
 //! `$ROUTER_SOCKET_FD`, here standard input, which std can hand to a child without `unsafe`.
 
 use linnetknot_harness::clients::{call, WebServer};
-use linnetknot_harness::fakes::cache::{FakeCache, Manner};
+use linnetknot_harness::fakes::cache::{Behaviour, FakeCache};
 use linnetknot_harness::fakes::event_bus::{entry, Bus};
 use linnetknot_harness::settings;
 use serde_json::json;
@@ -163,9 +163,9 @@
     let site = Site::new("slow");
     let (mut old, admin) = site.start();
     site.boxes.iter().for_each(|b| {
-        b.behave(Manner {
+        b.set_behaviour(Behaviour {
             padding: BYTES,
-            ..Manner::default()
+            ..Behaviour::default()
         });
     });
     let mut slow: Vec<WebServer> = (0..4)
--- a/daemon/tests/loopback.rs
+++ b/daemon/tests/loopback.rs
@@ -3,7 +3,7 @@
 mod rig;
 
 use linnetknot_harness::clients::{call, exchange, WebServer};
-use linnetknot_harness::fakes::cache::Manner;
+use linnetknot_harness::fakes::cache::Behaviour;
 use linnetknot_harness::fakes::event_bus::{entry, Bus};
 use linnetknot_harness::unix_ms;
 use linnetknot_origin_health::Report;
@@ -51,7 +51,7 @@
 fn a_write_goes_to_the_origin_with_its_body_and_key() {
     let rig = Rig::start();
     assert_eq!(one(&mut rig.web(), "post", &object(1)).status, 200);
-    let arrival = rig.origin.wait_for(|a| a.word == "fetch").unwrap();
+    let arrival = rig.origin.wait_for(|a| a.command == "fetch").unwrap();
     assert_eq!(arrival.body, b"a comment");
     assert_eq!(
         arrival.field("once"),
@@ -93,9 +93,9 @@
 #[test]
 fn a_silent_box_costs_one_answer_and_an_aborted_request_is_given_up_there() {
     let rig = Rig::start();
-    rig.boxes[0].behave(Manner {
-        mute: true,
-        ..Manner::default()
+    rig.boxes[0].set_behaviour(Behaviour {
+        silent: true,
+        ..Behaviour::default()
     });
     let mut web = rig.web();
     web.ask(1, "photo", &object(1), 300).unwrap();
@@ -112,7 +112,7 @@
     web.abort(2).unwrap();
     assert_eq!(web.end().unwrap(), (2, None));
     assert!(rig.boxes[0]
-        .wait_for(|a| a.word == "abort" && a.id == sent.id)
+        .wait_for(|a| a.command == "abort" && a.id == sent.id)
         .is_some());
     rig.stop();
 }
@@ -204,7 +204,7 @@
     let rig = Rig::start();
     let mut web = rig.web();
     assert_eq!(one(&mut web, "photo", &object(1)).status, 200);
-    let heir = rig.boxes[0].heir("s-0b");
+    let heir = rig.boxes[0].with_uid("s-0b");
     rig.bus.list(
         false,
         vec![
@@ -259,13 +259,13 @@
 #[test]
 fn what_is_open_at_the_end_is_answered() {
     let rig = Rig::start();
-    rig.boxes[0].behave(Manner {
-        hold_ms: 150,
-        ..Manner::default()
+    rig.boxes[0].set_behaviour(Behaviour {
+        answer_delay_ms: 150,
+        ..Behaviour::default()
     });
     let mut web = rig.web();
     web.ask(1, "photo", &object(1), 2500).unwrap();
-    rig.boxes[0].wait_for(|a| a.word == "fetch").unwrap();
+    rig.boxes[0].wait_for(|a| a.command == "fetch").unwrap();
     let Rig {
         mut control, run, ..
     } = rig;
@@ -372,7 +372,7 @@
     };
     let answer = get("");
     assert_eq!((answer.status, answer.surplus), (200, false));
-    let arrival = rig.boxes[0].wait_for(|a| a.word == "fetch").unwrap();
+    let arrival = rig.boxes[0].wait_for(|a| a.command == "fetch").unwrap();
     assert_eq!(
         (
             arrival.field("class"),
@@ -395,9 +395,9 @@
     let rig = Rig::with(&["s-0a"], |config| config["limits"]["sockets"] = json!(3));
     let mut first = rig.web();
     assert_eq!(one(&mut first, "photo", &object(1)).status, 200);
-    rig.boxes[0].behave(Manner {
-        hold_ms: 280,
-        ..Manner::default()
+    rig.boxes[0].set_behaviour(Behaviour {
+        answer_delay_ms: 280,
+        ..Behaviour::default()
     });
     let mut second = rig.web();
     second.ask(1, "photo", &object(2), 2500).unwrap();
@@ -448,9 +448,9 @@
     assert_eq!(rig.bus.call(0), Some(0));
     let moved = Bus::start().unwrap();
     moved.push(json!({"ban": {"tag": 1, "ts": 1}}));
-    rig.boxes[0].behave(Manner {
-        hold_ms: 300,
-        ..Manner::default()
+    rig.boxes[0].set_behaviour(Behaviour {
+        answer_delay_ms: 300,
+        ..Behaviour::default()
     });
     let mut web = rig.web();
     web.ask(1, "photo", &object(1), 2500).unwrap();
@@ -463,7 +463,7 @@
     // A faulty file changes nothing: the bus that was is read on.
     rig.bus.push(json!({"ban": {"tag": 2, "ts": 1}}));
     assert_eq!(web.end().unwrap().1.unwrap().status, 200);
-    rig.boxes[0].behave(Manner::default());
+    rig.boxes[0].set_behaviour(Behaviour::default());
     rig.bus
         .push(json!({"ban": {"url": object(1), "ts": made + 1}}));
     while one(&mut web, "photo", &object(1)).made() == Some(made) {}
@@ -501,18 +501,18 @@
             .unwrap();
         arrival.field("src").is_some() && !arrival.field("flags").unwrap_or("").contains("no-fetch")
     };
-    rig.boxes[0].behave(Manner {
+    rig.boxes[0].set_behaviour(Behaviour {
         origin_ms: 2_400,
-        ..Manner::default()
+        ..Behaviour::default()
     });
     assert!(is_asked(1));
     let mut bytes = [0; 512];
     let (length, from) = peer.recv_from(&mut bytes).unwrap();
     let told = Report::decode(&bytes[..length]).unwrap();
     assert!(told.number == 1 && told.origin_share < 0.7, "{told:?}");
-    rig.boxes[0].behave(Manner {
+    rig.boxes[0].set_behaviour(Behaviour {
         origin_ms: 1,
-        ..Manner::default()
+        ..Behaviour::default()
     });
     // It is well again: by its own answers the daemon goes back to asking for all.
     let mut next = 2;
@@ -637,9 +637,9 @@
 #[test]
 fn a_slow_reader_gets_its_answers_whole_and_holds_nobody_up() {
     let rig = Rig::start();
-    rig.boxes[0].behave(Manner {
+    rig.boxes[0].set_behaviour(Behaviour {
         padding: 240_000,
-        ..Manner::default()
+        ..Behaviour::default()
     });
     let (mut slow, mut other) = (rig.web(), rig.web());
     // Far more than the sockets and rings between take.
@@ -667,13 +667,13 @@
     let rig = Rig::with(&["s-0a", "s-0b"], |_| {});
     let mut web = rig.web();
     rig.boxes.iter().for_each(|b| {
-        b.behave(Manner {
-            hold_ms: 250,
-            ..Manner::default()
+        b.set_behaviour(Behaviour {
+            answer_delay_ms: 250,
+            ..Behaviour::default()
         });
     });
     (1..=6).for_each(|n| web.ask(n, "photo", &object(u64::from(n)), 2500).unwrap());
-    rig.boxes[0].wait_for(|a| a.word == "fetch").unwrap();
+    rig.boxes[0].wait_for(|a| a.command == "fetch").unwrap();
     rig.bus
         .list(false, vec![entry(&rig.boxes[0], "here", "box", "gone")]);
     for _ in 1..=6 {
@@ -690,9 +690,9 @@
 #[test]
 fn many_attempts_at_one_box_are_spread_over_connections() {
     let rig = Rig::start();
-    rig.boxes[0].behave(Manner {
-        hold_ms: 100,
-        ..Manner::default()
+    rig.boxes[0].set_behaviour(Behaviour {
+        answer_delay_ms: 100,
+        ..Behaviour::default()
     });
     let mut web = rig.web();
     for round in 0..3 {
@@ -717,9 +717,9 @@
 #[test]
 fn a_connection_that_a_silent_box_left_doubtful_is_given_up_for_the_one_that_follows_it() {
     let rig = Rig::start();
-    rig.origin.behave(Manner {
-        mute: true,
-        ..Manner::default()
+    rig.origin.set_behaviour(Behaviour {
+        silent: true,
+        ..Behaviour::default()
     });
     let mut web = rig.web();
     for n in 1..=4 {
--- a/daemon/tests/partial_io.rs
+++ b/daemon/tests/partial_io.rs
@@ -4,7 +4,7 @@
 mod armed;
 
 use armed::{ask, Armed};
-use linnetknot_harness::clients::{becomes, call, PeerCdn, WebServer};
+use linnetknot_harness::clients::{call, poll_until, PeerCdn, WebServer};
 use linnetknot_harness::fakes::cache::FakeCache;
 use linnetknot_harness::fakes::consul::{instance, Agent};
 use linnetknot_harness::fleet::purge_at;
@@ -116,7 +116,7 @@
     let armed = Armed::with(BYTE_BY_BYTE, |own| {
         own["consul"] = json!({"address": address.to_string(), "answer_ms": 5_000, "wait_s": 1});
     });
-    assert!(becomes(TIMEOUT, || !agent.requests().is_empty()));
+    assert!(poll_until(TIMEOUT, || !agent.requests().is_empty()));
     assert!(
         agent.wait_until_read(),
         "the answer is taken in, and the next is waited for"
--- a/daemon/tests/plain_purges.rs
+++ b/daemon/tests/plain_purges.rs
@@ -2,7 +2,7 @@
 
 use linnetknot_daemon::fleet::query_status;
 use linnetknot_datagram::MAX_DATAGRAM_BYTES;
-use linnetknot_harness::clients::{becomes, TIMEOUT};
+use linnetknot_harness::clients::{poll_until, TIMEOUT};
 use linnetknot_harness::fleet::purge_at;
 use linnetknot_harness::process::Process;
 use linnetknot_harness::{settings, unix_ms};
@@ -132,7 +132,7 @@
     /// Waits until the daemon believes that the member runs.
     fn meet(&mut self) {
         let (admin, address, member) = (self.daemon.admin, self.address, &mut self.member);
-        let met = becomes(TIMEOUT, || {
+        let met = poll_until(TIMEOUT, || {
             member.take_turn(address);
             query_status(admin)
                 .unwrap()
@@ -152,7 +152,7 @@
     fn index_of(&mut self, object: &str) -> u64 {
         let (address, member, older) = (self.address, &mut self.member, &self.older);
         let mut index = None;
-        let sent = becomes(TIMEOUT, || {
+        let sent = poll_until(TIMEOUT, || {
             member.take_turn(address);
             while let Some(bytes) = next_datagram(older) {
                 index = index.or(entry_index(&bytes, object));
@@ -216,7 +216,7 @@
         }
         plain == PLAIN_DATAGRAMS
     };
-    assert!(becomes(TIMEOUT, &mut was_sent_all), "{plain} came");
+    assert!(poll_until(TIMEOUT, &mut was_sent_all), "{plain} came");
     rig.member.take_turn(rig.address);
     let is_entry = |text: &&String| text.starts_with("copies1 entry ") && text.ends_with(OBJECT);
     assert!(
--- a/daemon/tests/races.rs
+++ b/daemon/tests/races.rs
@@ -17,7 +17,7 @@
 
 /// Ids of the objects that a box was asked for.
 fn asked(of: &FakeCache) -> Vec<String> {
-    let fetched = of.arrivals().into_iter().filter(|a| a.word == "fetch");
+    let fetched = of.arrivals().into_iter().filter(|a| a.command == "fetch");
     fetched
         .map(|a| a.field("key").unwrap().to_owned())
         .collect()
--- a/daemon/tests/shutdown_terms.rs
+++ b/daemon/tests/shutdown_terms.rs
@@ -5,7 +5,7 @@
 mod scripted;
 
 use linnetknot_harness::clients::WebServer;
-use linnetknot_harness::fakes::cache::Manner;
+use linnetknot_harness::fakes::cache::Behaviour;
 use rig::{object, Rig};
 use scripted::pass;
 use std::collections::HashSet;
@@ -111,9 +111,9 @@
     // Late in the grace, so that nothing is known yet of what hangs.
     pass(HANGS_FROM);
     for stand_in in rig.boxes.iter().chain([&rig.origin]) {
-        stand_in.behave(Manner {
-            mute: true,
-            ..Manner::default()
+        stand_in.set_behaviour(Behaviour {
+            silent: true,
+            ..Behaviour::default()
         });
     }
     let killed = deadline + BEYOND;
--- a/harness/src/clients.rs
+++ b/harness/src/clients.rs
@@ -245,7 +245,7 @@
 }
 
 /// Polls a condition until it holds or a time has passed: whether it holds.
-pub fn becomes(patience: Duration, mut so: impl FnMut() -> bool) -> bool {
+pub fn poll_until(patience: Duration, mut so: impl FnMut() -> bool) -> bool {
     let begun = Instant::now();
     while !so() {
         if begun.elapsed() >= patience {
--- a/harness/src/fakes/cache.rs
+++ b/harness/src/fakes/cache.rs
@@ -13,15 +13,15 @@
 
 /// How a cache behaves from now on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Manner {
+pub struct Behaviour {
     /// It waits so many milliseconds before it answers.
-    pub hold_ms: u64,
+    pub answer_delay_ms: u64,
     /// Bytes that its answers hold besides what they tell.
     pub padding: usize,
     /// It says that what it fetched came from the origin, after so many milliseconds; 0: from a parent cache.
     pub origin_ms: u64,
     /// It answers nothing.
-    pub mute: bool,
+    pub silent: bool,
     /// It serves what it holds however old that is, and calls it new.
     pub any_age: bool,
 }
@@ -32,7 +32,7 @@
     /// When, in Unix milliseconds.
     pub at: u64,
     /// `fetch`, `abort` or the command of a health check.
-    pub word: String,
+    pub command: String,
     /// The request.
     pub id: String,
     /// The fields.
@@ -52,7 +52,7 @@
         };
         Arrival {
             at: unix_ms(),
-            word: text(0),
+            command: text(0),
             id: text(1),
             fields: text(2),
             body: words.get(3).cloned().unwrap_or_default(),
@@ -77,7 +77,7 @@
 #[derive(Default)]
 struct State {
     fetches: Vec<ActiveFetch>,
-    manner: Manner,
+    behaviour: Behaviour,
     arrivals: Vec<Arrival>,
     made: BTreeMap<String, u64>,
     connections: usize,
@@ -139,7 +139,7 @@
     }
 
     /// The same cache under another id, as if it had taken over the address.
-    pub fn heir(&self, uid: &'static str) -> Self {
+    pub fn with_uid(&self, uid: &'static str) -> Self {
         FakeCache {
             uid,
             ..self.clone()
@@ -147,8 +147,8 @@
     }
 
     /// Changes its manner.
-    pub fn behave(&self, manner: Manner) {
-        self.state().manner = manner;
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
+        self.state().behaviour = behaviour;
     }
 
     /// How many connections it has taken.
@@ -218,12 +218,12 @@
         let mut state = self.state();
         state.arrivals.push(arrival.clone());
         self.state.1.notify_all();
-        let manner = state.manner;
-        if arrival.word == "abort" {
+        let behaviour = state.behaviour;
+        if arrival.command == "abort" {
             drop(state);
             return self.finish(|fetch| fetch.connection == connection && fetch.id == arrival.id);
         }
-        if arrival.word != "fetch" || manner.mute {
+        if arrival.command != "fetch" || behaviour.silent {
             return;
         }
         state.fetches.push(ActiveFetch {
@@ -242,13 +242,13 @@
             ..self.clone()
         };
         let mut answer = move || {
-            thread::sleep(Duration::from_millis(manner.hold_ms));
-            let out = answer_bytes(&arrival, &copy, &manner);
+            thread::sleep(Duration::from_millis(behaviour.answer_delay_ms));
+            let out = answer_bytes(&arrival, &copy, &behaviour);
             // Before its answer is on its way: whoever has that may send the next.
             me.finish(|fetch| fetch.connection == connection && fetch.id == arrival.id);
             let _ = socket.write_all(&out);
         };
-        if manner.hold_ms > 0 {
+        if behaviour.answer_delay_ms > 0 {
             thread::spawn(answer);
         } else {
             answer();
@@ -278,8 +278,9 @@
             .field("maxage")
             .and_then(|age| age.parse::<u64>().ok())
             .filter(|age| *age > 0);
-        let is_good =
-            |made: &u64| self.manner.any_age || max_age.is_none_or(|age| made + age >= arrival.at);
+        let is_good = |made: &u64| {
+            self.behaviour.any_age || max_age.is_none_or(|age| made + age >= arrival.at)
+        };
         let good = self.made.get(&name).copied().filter(is_good);
         let made = good.unwrap_or(arrival.at);
         self.made.insert(name.clone(), made);
@@ -292,17 +293,17 @@
 }
 
 /// The bytes of the answer to a fetch.
-fn answer_bytes(arrival: &Arrival, copy: &Copied, manner: &Manner) -> Vec<u8> {
+fn answer_bytes(arrival: &Arrival, copy: &Copied, behaviour: &Behaviour) -> Vec<u8> {
     let Copied { name, made, is_hit } = copy;
-    let how = match (is_hit, manner.origin_ms) {
+    let how = match (is_hit, behaviour.origin_ms) {
         (true, _) => "local",
         (false, 0) => "pulled",
         (false, _) => "pulled_far",
     };
-    let waited = manner.origin_ms.max(1);
-    let made_field = if manner.any_age { arrival.at } else { *made };
+    let waited = behaviour.origin_ms.max(1);
+    let made_field = if behaviour.any_age { arrival.at } else { *made };
     let fields = format!("how={how},ttfb={waited},made={made_field},etag=t{made}");
-    let body = format!("{}{name}@{made}", ".".repeat(manner.padding));
+    let body = format!("{}{name}@{made}", ".".repeat(behaviour.padding));
     let mut out = Vec::new();
     resp::write_array(
         &mut out,
--- a/harness/src/fakes/consul/answer.rs
+++ b/harness/src/fakes/consul/answer.rs
@@ -1,6 +1,6 @@
 //! An agent's answers as they are written, complete or broken.
 
-use super::Manner;
+use super::Behaviour;
 use std::io::{self, Write};
 use std::net::TcpStream;
 
@@ -9,7 +9,7 @@
     pub(super) status: &'static str,
     pub(super) body: String,
     pub(super) index: u64,
-    pub(super) manner: Manner,
+    pub(super) behaviour: Behaviour,
 }
 
 impl HttpAnswer {
@@ -24,15 +24,15 @@
             "HTTP/1.1 {status}\r\nContent-Type: application/json\r\nX-Consul-Index: {index}\r\n"
         );
         out += "X-Consul-KnownLeader: true\r\nX-Consul-LastContact: 0\r\n";
-        match self.manner {
-            Manner::Endless => return Self::write_endless(socket, out),
-            Manner::Chunked => return self.write_chunked(socket, out),
-            Manner::Busy => out += "Retry-After: 1\r\n",
+        match self.behaviour {
+            Behaviour::Endless => return Self::write_endless(socket, out),
+            Behaviour::Chunked => return self.write_chunked(socket, out),
+            Behaviour::Busy => out += "Retry-After: 1\r\n",
             _ => {}
         }
         out += &format!("Content-Length: {}\r\n\r\n", body.len());
         let bytes = out + body;
-        let cut_off = self.manner == Manner::CutOff;
+        let cut_off = self.behaviour == Behaviour::CutOff;
         let sent = if cut_off {
             bytes.len() - body.len() / 2 - 1
         } else {
--- a/harness/src/fakes/consul/mod.rs
+++ b/harness/src/fakes/consul/mod.rs
@@ -17,11 +17,11 @@
 
 /// How an agent behaves from now on, also towards queries that wait.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Manner {
+pub enum Behaviour {
     /// It answers.
     #[default]
-    Well,
-    /// As `Well`, in chunks.
+    Normal,
+    /// As `Normal`, in chunks.
     Chunked,
     /// Its servers have no leader: 500.
     Leaderless,
@@ -36,9 +36,9 @@
     /// Its answer goes on and on.
     Endless,
     /// It takes calls and says nothing.
-    Mute,
+    Silent,
     /// It ends every connection at once.
-    Gone,
+    Unavailable,
 }
 
 /// A call that reached the agent.
@@ -56,7 +56,7 @@
 
 #[derive(Default)]
 struct State {
-    manner: Manner,
+    behaviour: Behaviour,
     turns: u64,
     index: u64,
     /// The instances, as they are written.
@@ -169,8 +169,8 @@
     }
 
     /// Changes its manner.
-    pub fn behave(&self, manner: Manner) {
-        self.change(|s| (s.manner, s.turns) = (manner, s.turns + 1));
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
+        self.change(|s| (s.behaviour, s.turns) = (behaviour, s.turns + 1));
     }
 
     /// Calls must bring this token from now on.
@@ -219,7 +219,7 @@
     }
 
     fn serve(&self, mut socket: TcpStream) -> io::Result<()> {
-        if self.state().manner == Manner::Gone {
+        if self.state().behaviour == Behaviour::Unavailable {
             return Ok(());
         }
         let mut head = Vec::new();
@@ -273,16 +273,16 @@
             .unwrap_or((&request.target, ""));
         let mut state = self.wait_for_change(query);
         let denied = state.token.is_some() && state.token != request.token;
-        let (status, body) = match state.manner {
-            Manner::Gone | Manner::Mute => return None,
-            Manner::Leaderless => ("500 Internal Server Error", "No cluster leader".to_owned()),
-            Manner::Busy => ("429 Too Many Requests", "rate limit exceeded".to_owned()),
-            Manner::Denied => ("403 Forbidden", "Permission denied".to_owned()),
+        let (status, body) = match state.behaviour {
+            Behaviour::Unavailable | Behaviour::Silent => return None,
+            Behaviour::Leaderless => ("500 Internal Server Error", "No cluster leader".to_owned()),
+            Behaviour::Busy => ("429 Too Many Requests", "rate limit exceeded".to_owned()),
+            Behaviour::Denied => ("403 Forbidden", "Permission denied".to_owned()),
             _ if denied => (
                 "403 Forbidden",
                 "Permission denied: token lacks 'service:read'".to_owned(),
             ),
-            Manner::Garbage => ("200 OK", "<html>welcome</html>".to_owned()),
+            Behaviour::Garbage => ("200 OK", "<html>welcome</html>".to_owned()),
             _ if request.method == "PUT" => Self::put(&mut state, path, &request.body),
             _ if path.starts_with("/v1/catalog/service/") => {
                 let one = |(node, id): &(String, String)| json!({"Node": node, "ServiceID": id});
@@ -302,7 +302,7 @@
             status,
             body,
             index: state.index,
-            manner: state.manner,
+            behaviour: state.behaviour,
         })
     }
 
@@ -319,8 +319,8 @@
         let wait = Duration::from_millis(wait_ms.unwrap_or(DEFAULT_WAIT_MS));
         let waits = |s: &mut State| {
             s.turns == turns
-                && (s.manner == Manner::Mute
-                    || index > 0 && s.index == index && s.manner != Manner::Gone)
+                && (s.behaviour == Behaviour::Silent
+                    || index > 0 && s.index == index && s.behaviour != Behaviour::Unavailable)
         };
         let waited = self.state.1.wait_timeout_while(state, wait, waits);
         waited.unwrap_or_else(PoisonError::into_inner).0
--- a/harness/src/fleet/cdni.rs
+++ b/harness/src/fleet/cdni.rs
@@ -43,13 +43,13 @@
     }
 
     /// A peer CDN's call of a path at a proxy: the answer.
-    pub fn neighbour(&self, n: usize, method: &str, path: &str) -> io::Result<Answer> {
+    pub fn cdni_call(&self, n: usize, method: &str, path: &str) -> io::Result<Answer> {
         call(self.process(n)?.cdni, method, path, "")
     }
 
     /// The triggers that a proxy lists, by the paths of their status.
     pub fn triggers(&self, n: usize) -> io::Result<BTreeSet<String>> {
-        let answer = self.neighbour(n, "GET", "/cdni/triggers")?;
+        let answer = self.cdni_call(n, "GET", "/cdni/triggers")?;
         let list: Value = serde_json::from_slice(&answer.body).map_err(io::Error::other)?;
         let urls = list["triggers"]
             .as_array()
--- a/harness/src/fleet/mod.rs
+++ b/harness/src/fleet/mod.rs
@@ -45,7 +45,7 @@
     within_ms: Option<u64>,
     budgets: Value,
     machine: Option<String>,
-    planted: String,
+    fail_points: String,
     exact_purges: Option<usize>,
     /// The links, to set their conditions.
     pub links: FaultyLinks,
@@ -128,7 +128,7 @@
     ) -> io::Result<Self> {
         Self::with(Setup {
             wait: copies,
-            ..Setup::copying(daemon, proxies, seed)
+            ..Setup::replicating(daemon, proxies, seed)
         })
     }
 
@@ -149,7 +149,7 @@
             within_ms: setup.within_ms,
             budgets: setup.budgets,
             machine: setup.machine.map(str::to_owned),
-            planted: setup.planted.to_owned(),
+            fail_points: setup.fail_points.to_owned(),
             exact_purges: setup.exact_purges,
             members,
             links,
@@ -199,8 +199,14 @@
         let own = self.own(n);
         let m = &mut self.members[n];
         std::fs::create_dir_all(&m.disk)?;
-        let points = format!("{};{points}", self.planted);
-        let started = Process::start_armed(&m.daemon, &m.disk, &m.name, (&m.config, &own), &points);
+        let points = format!("{};{points}", self.fail_points);
+        let started = Process::start_with_fail_points(
+            &m.daemon,
+            &m.disk,
+            &m.name,
+            (&m.config, &own),
+            &points,
+        );
         m.process = Some(started?);
         Ok(())
     }
@@ -224,7 +230,7 @@
     }
 
     /// A proxy goes on where it stood still.
-    pub fn go_on(&self, n: usize) -> io::Result<()> {
+    pub fn resume(&self, n: usize) -> io::Result<()> {
         self.signal(n, Signal::CONT)
     }
 
@@ -249,7 +255,7 @@
 
     /// Starts a proxy again under its name, its process ended before.
     pub fn restart(&mut self, n: usize, disk: Disk) -> io::Result<()> {
-        self.restart_armed(n, disk, "")
+        self.restart_with_fail_points(n, disk, "")
     }
 
     /// Starts a proxy with another program from its next start on, as an upgrade does.
@@ -257,8 +263,13 @@
         self.members[n].daemon = daemon.to_owned();
     }
 
-    /// As `restart`, with points armed (`Process::start_armed`).
-    pub fn restart_armed(&mut self, n: usize, disk: Disk, points: &str) -> io::Result<()> {
+    /// As `restart`, with points armed (`Process::start_with_fail_points`).
+    pub fn restart_with_fail_points(
+        &mut self,
+        n: usize,
+        disk: Disk,
+        points: &str,
+    ) -> io::Result<()> {
         if self.members[n].process.is_some() {
             return Err(io::Error::other(format!("p{n} still runs")));
         }
--- a/harness/src/fleet/queries.rs
+++ b/harness/src/fleet/queries.rs
@@ -20,7 +20,7 @@
     }
 
     /// An operator's call at a proxy's admin listener: the status of its answer.
-    pub fn operate(&self, n: usize, method: &str, path: &str) -> io::Result<u16> {
+    pub fn admin_call(&self, n: usize, method: &str, path: &str) -> io::Result<u16> {
         Ok(call(self.process(n)?.admin, method, path, "")?.status)
     }
 
@@ -30,7 +30,7 @@
     }
 
     /// Whether all proxies that run have the same entries, all of them on their disks and none short of copies.
-    pub fn agrees(&self) -> io::Result<bool> {
+    pub fn is_converged(&self) -> io::Result<bool> {
         let runs = (0..self.members.len()).filter(|n| self.members[*n].process.is_some());
         let all = runs
             .map(|n| self.status(n))
@@ -70,7 +70,7 @@
     }
 
     /// Waits until a purge of a photo is in force at a proxy, or the timeout has passed: whether it is.
-    pub fn hears(&self, n: usize, object: &str) -> io::Result<bool> {
+    pub fn wait_for_purge(&self, n: usize, object: &str) -> io::Result<bool> {
         let start = Instant::now();
         while start.elapsed() < TIMEOUT {
             if self.holds_floor(n, object)? {
--- a/harness/src/fleet/setup.rs
+++ b/harness/src/fleet/setup.rs
@@ -33,15 +33,15 @@
     pub budgets: Value,
     /// When clients give up, for all classes, in microseconds; none: as the settings of a small deployment have it.
     pub deadline_us: Option<u64>,
-    /// Points that are armed in all of them, at each start (`Process::start_armed`).
-    pub planted: &'a str,
+    /// Points that are armed in all of them, at each start (`Process::start_with_fail_points`).
+    pub fail_points: &'a str,
     /// Purges that each of them holds one by one before older ones are compacted; none: as many as usual.
     pub exact_purges: Option<usize>,
 }
 
 impl<'a> Setup<'a> {
     /// So many proxies that replicate, with commits that wait for one further machine.
-    pub fn copying(daemon: &'a Path, running: usize, seed: u64) -> Self {
+    pub fn replicating(daemon: &'a Path, running: usize, seed: u64) -> Self {
         Setup {
             daemon,
             running,
@@ -52,7 +52,7 @@
             machine: None,
             budgets: Value::Null,
             deadline_us: None,
-            planted: "",
+            fail_points: "",
             exact_purges: None,
         }
     }
--- a/harness/src/links/conditions.rs
+++ b/harness/src/links/conditions.rs
@@ -75,7 +75,7 @@
     };
 
     /// What concerns streams alone, by its key.
-    pub fn of_streams(&self) -> Option<&'static str> {
+    pub fn stream_only_key(&self) -> Option<&'static str> {
         let flags = [
             ("trickle", self.trickle > 0),
             ("reset_after", self.reset_after > 0),
@@ -109,22 +109,22 @@
 /// What becomes of the datagrams of one direction, drawn from a seed: the same datagrams meet the same fate in every
 /// play.
 #[derive(Clone, Debug)]
-pub struct Fate {
+pub struct DatagramFaults {
     random: ChaCha8Rng,
 }
 
-impl Fate {
+impl DatagramFaults {
     /// Fates of the direction from one proxy to another.
     pub fn new(seed: u64, from: usize, to: usize) -> Self {
         let direction = (from as u64) << 32 | to as u64;
-        Fate {
+        DatagramFaults {
             random: ChaCha8Rng::seed_from_u64(seed ^ direction.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
         }
     }
 
     /// After how many microseconds the next datagram comes, for each time that it comes: none where it is lost. As
     /// many draws are made whatever the conditions are, so that a change of conditions shifts no later fate.
-    pub fn of(&mut self, conditions: &LinkConditions) -> Vec<Micros> {
+    pub fn next_delays(&mut self, conditions: &LinkConditions) -> Vec<Micros> {
         let [lost, twice, reordered, late, later] =
             std::array::from_fn(|_| self.random.random::<f64>());
         if conditions.cut || lost < conditions.drop {
@@ -167,7 +167,7 @@
 
 impl Flow {
     /// What may pass of so many bytes that wait.
-    pub fn may(&mut self, now: Micros, conditions: &LinkConditions, waiting: usize) -> Pass {
+    pub fn allowed(&mut self, now: Micros, conditions: &LinkConditions, waiting: usize) -> Pass {
         if conditions.cut || conditions.half_open {
             // Time under a cut earns nothing.
             self.reckoned = None;
--- a/harness/src/links/mod.rs
+++ b/harness/src/links/mod.rs
@@ -8,7 +8,9 @@
 mod conditions;
 mod stream;
 
-pub use conditions::{ConditionOutOfRange, Fate, Flow, LinkConditions, Pass, REORDER_DELAY_US};
+pub use conditions::{
+    ConditionOutOfRange, DatagramFaults, Flow, LinkConditions, Pass, REORDER_DELAY_US,
+};
 pub use stream::FaultyStream;
 
 use crate::time::unix_us;
@@ -86,8 +88,8 @@
             let (state, over, send) = (state.clone(), over.clone(), send.clone());
             let (socket, direction, from) = (socket.clone(), *direction, proxies[direction.0]);
             threads.push(thread::spawn(move || {
-                let fate = Fate::new(seed, direction.0, direction.1);
-                listen(&socket, from, direction, fate, &state, &over, &send);
+                let faults = DatagramFaults::new(seed, direction.0, direction.1);
+                listen(&socket, from, direction, faults, &state, &over, &send);
             }));
         }
         drop(send);
@@ -165,7 +167,7 @@
     socket: &UdpSocket,
     proxy: SocketAddr,
     direction: Direction,
-    mut fate: Fate,
+    mut faults: DatagramFaults,
     state: &Mutex<State>,
     over: &AtomicBool,
     send: &Sender<OnItsWay>,
@@ -187,7 +189,7 @@
                 .get(&direction)
                 .copied()
                 .unwrap_or_default();
-            let comes = fate.of(&conditions);
+            let comes = faults.next_delays(&conditions);
             let counters = state.counters.entry(direction).or_default();
             counters.sent += 1;
             counters.lost += u64::from(comes.is_empty());
--- a/harness/src/links/stream.rs
+++ b/harness/src/links/stream.rs
@@ -54,7 +54,7 @@
     }
 
     /// Sets the conditions from who connects to who is behind, for all connections.
-    pub fn there(&self, conditions: LinkConditions) {
+    pub fn set_forward(&self, conditions: LinkConditions) {
         self.conditions
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -62,7 +62,7 @@
     }
 
     /// Sets the conditions from who is behind to who connects, for all connections.
-    pub fn back(&self, conditions: LinkConditions) {
+    pub fn set_backward(&self, conditions: LinkConditions) {
         self.conditions
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -136,7 +136,7 @@
     while !over.load(Ordering::Relaxed) {
         let now = conditions();
         // Checked before it is read: what waits here fills the sender's window, as on a real link.
-        let most = match flow.may(unix_us(), &now, CHUNK) {
+        let most = match flow.allowed(unix_us(), &now, CHUNK) {
             Pass::Bytes(n) => n,
             Pass::Nothing => {
                 thread::sleep(LOOK);
--- a/harness/src/process.rs
+++ b/harness/src/process.rs
@@ -56,12 +56,12 @@
         config: &Value,
         own: &Value,
     ) -> io::Result<Self> {
-        Self::start_armed(program, folder, name, (config, own), "")
+        Self::start_with_fail_points(program, folder, name, (config, own), "")
     }
 
     /// As `start`, with fail points armed at which it dies or is stopped (the daemon's feature `points`); a daemon without
     /// points passes them over.
-    pub fn start_armed(
+    pub fn start_with_fail_points(
         program: &Path,
         folder: &Path,
         name: &str,
--- a/harness/tests/links.rs
+++ b/harness/tests/links.rs
@@ -1,6 +1,8 @@
 //! Fault-injecting links: what becomes of datagrams and streams.
 
-use linnetknot_harness::links::{Fate, FaultyStream, Flow, LinkConditions, Pass, REORDER_DELAY_US};
+use linnetknot_harness::links::{
+    DatagramFaults, FaultyStream, Flow, LinkConditions, Pass, REORDER_DELAY_US,
+};
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::thread;
@@ -8,9 +10,9 @@
 
 #[test]
 fn a_clear_link_passes_each_datagram_once_and_at_once_and_a_cut_one_none() {
-    let mut fate = Fate::new(7, 0, 1);
-    assert!((0..100).all(|_| fate.of(&LinkConditions::default()) == [0]));
-    assert!((0..100).all(|_| fate.of(&LinkConditions::CUT).is_empty()));
+    let mut faults = DatagramFaults::new(7, 0, 1);
+    assert!((0..100).all(|_| faults.next_delays(&LinkConditions::default()) == [0]));
+    assert!((0..100).all(|_| faults.next_delays(&LinkConditions::CUT).is_empty()));
 }
 
 #[test]
@@ -24,8 +26,10 @@
         ..LinkConditions::default()
     };
     let all = |seed, to| {
-        let mut fate = Fate::new(seed, 0, to);
-        (0..10_000).map(|_| fate.of(&rough)).collect::<Vec<_>>()
+        let mut faults = DatagramFaults::new(seed, 0, to);
+        (0..10_000)
+            .map(|_| faults.next_delays(&rough))
+            .collect::<Vec<_>>()
     };
     let fates = all(7, 1);
     let lost = fates.iter().filter(|f| f.is_empty()).count();
@@ -48,7 +52,7 @@
 
 #[test]
 fn a_change_of_conditions_shifts_no_later_fate() {
-    let (mut a, mut b) = (Fate::new(3, 1, 2), Fate::new(3, 1, 2));
+    let (mut a, mut b) = (DatagramFaults::new(3, 1, 2), DatagramFaults::new(3, 1, 2));
     let rough = LinkConditions {
         drop: 0.5,
         duplicate: 0.5,
@@ -56,10 +60,10 @@
         ..LinkConditions::default()
     };
     for _ in 0..50 {
-        a.of(&rough);
-        b.of(&LinkConditions::CUT);
+        a.next_delays(&rough);
+        b.next_delays(&LinkConditions::CUT);
     }
-    assert!((0..50).all(|_| a.of(&rough) == b.of(&rough)));
+    assert!((0..50).all(|_| a.next_delays(&rough) == b.next_delays(&rough)));
 }
 
 #[test]
@@ -70,24 +74,24 @@
     };
     let mut flow = Flow::default();
     assert_eq!(
-        flow.may(0, &slow, 500),
+        flow.allowed(0, &slow, 500),
         Pass::Nothing,
         "nothing is earned yet"
     );
-    assert_eq!(flow.may(50_000, &slow, 500), Pass::Bytes(50));
+    assert_eq!(flow.allowed(50_000, &slow, 500), Pass::Bytes(50));
     flow.passed(50);
-    assert_eq!(flow.may(50_000, &slow, 500), Pass::Nothing);
+    assert_eq!(flow.allowed(50_000, &slow, 500), Pass::Nothing);
     assert_eq!(
-        flow.may(5_000_000, &slow, 500),
+        flow.allowed(5_000_000, &slow, 500),
         Pass::Bytes(100),
         "not all of an idle time at once"
     );
     assert_eq!(
-        flow.may(5_000_000, &LinkConditions::CUT, 500),
+        flow.allowed(5_000_000, &LinkConditions::CUT, 500),
         Pass::Nothing
     );
     assert_eq!(
-        flow.may(9_000_000, &LinkConditions::default(), 500),
+        flow.allowed(9_000_000, &LinkConditions::default(), 500),
         Pass::Bytes(500)
     );
     let breaks = LinkConditions {
@@ -95,17 +99,17 @@
         ..LinkConditions::default()
     };
     assert_eq!(
-        flow.may(9_000_000, &breaks, 500),
+        flow.allowed(9_000_000, &breaks, 500),
         Pass::Bytes(20),
         "50 have passed"
     );
     flow.passed(20);
-    assert_eq!(flow.may(9_000_000, &breaks, 1), Pass::Reset);
+    assert_eq!(flow.allowed(9_000_000, &breaks, 1), Pass::Reset);
     let deaf = LinkConditions {
         half_open: true,
         ..LinkConditions::default()
     };
-    assert_eq!(Flow::default().may(0, &deaf, 9), Pass::Nothing);
+    assert_eq!(Flow::default().allowed(0, &deaf, 9), Pass::Nothing);
 }
 
 #[test]
@@ -171,7 +175,7 @@
 fn over_a_cut_nothing_comes_and_all_of_it_once_that_is_over() {
     let (link, mut near) = through();
     assert_eq!(echo(&mut near, b"clear").unwrap(), b"clear");
-    link.back(LinkConditions::CUT);
+    link.set_backward(LinkConditions::CUT);
     near.set_read_timeout(Some(Duration::from_millis(200)))
         .unwrap();
     // What the link was reading when it was cut may still pass; the next does not.
@@ -181,7 +185,7 @@
         matches!(lost, io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut),
         "{lost}"
     );
-    link.back(LinkConditions::default());
+    link.set_backward(LinkConditions::default());
     near.set_read_timeout(Some(Duration::from_secs(10)))
         .unwrap();
     let mut got = [0];
@@ -193,7 +197,7 @@
 #[test]
 fn a_reset_comes_in_the_midst_of_a_frame() {
     let (link, mut near) = through();
-    link.there(LinkConditions {
+    link.set_forward(LinkConditions {
         reset_after: 10,
         ..LinkConditions::default()
     });
@@ -213,7 +217,7 @@
 #[test]
 fn a_half_open_link_takes_a_connection_and_says_nothing() {
     let (link, _) = through();
-    link.there(LinkConditions {
+    link.set_forward(LinkConditions {
         half_open: true,
         ..LinkConditions::default()
     });
--- a/rehearse/examples/commit_cost.rs
+++ b/rehearse/examples/commit_cost.rs
@@ -78,7 +78,7 @@
         waits[waits.len() * 99 / 100]
     );
     if case.is_stopped {
-        fleet.go_on(2)?;
+        fleet.resume(2)?;
     }
     Ok(())
 }
@@ -108,7 +108,7 @@
     let begun = Instant::now();
     fleet.restart(0, Disk::Lost)?;
     let up = begun.elapsed();
-    while !fleet.agrees()? {
+    while !fleet.is_converged()? {
         std::thread::sleep(Duration::from_millis(20));
     }
     println!(
@@ -128,7 +128,7 @@
         fleet.kill(2)?;
         fleet.restart(2, Disk::Lost)?;
         (0..200).try_for_each(|n| request(fleet, n, &mut busy))?;
-        while !fleet.agrees()? {
+        while !fleet.is_converged()? {
             request(fleet, 0, &mut busy)?;
         }
     }
--- a/rehearse/examples/upgrade/same_files.rs
+++ b/rehearse/examples/upgrade/same_files.rs
@@ -3,9 +3,9 @@
 
 use crate::checks::Checks;
 use crate::Program;
-use linnetknot_harness::clients::{becomes, call, WebServer, TIMEOUT};
+use linnetknot_harness::clients::{call, poll_until, WebServer, TIMEOUT};
 use linnetknot_harness::fakes::cache::FakeCache;
-use linnetknot_harness::fakes::consul::{instance, Agent, Manner};
+use linnetknot_harness::fakes::consul::{instance, Agent, Behaviour};
 use linnetknot_harness::fakes::event_bus::Bus;
 use linnetknot_harness::fleet::{status_path, trigger_at};
 use linnetknot_harness::process::Process;
@@ -141,11 +141,11 @@
             println!(" turn {turn}, the {} program", program.label);
             // The first learns the list from the agent. The others have the cached one only.
             let manner = if turn == 0 {
-                Manner::Well
+                Behaviour::Normal
             } else {
-                Manner::Gone
+                Behaviour::Unavailable
             };
-            self.agent.behave(manner);
+            self.agent.set_behaviour(manner);
             let process =
                 Process::start(program.path, &self.folder, "p0", &self.config, &self.own)?;
             if turn == 0 {
@@ -168,7 +168,7 @@
             .map(|(cache, status)| instance(cache.uid, cache.address, status))
             .collect();
         self.agent.register(&listed);
-        let is_read = self.agent.wait_until_read() && becomes(TIMEOUT, || is_ready(process));
+        let is_read = self.agent.wait_until_read() && poll_until(TIMEOUT, || is_ready(process));
         checks.that("it is ready with the agent's list", is_read, || {
             is_read.to_string()
         });
@@ -178,7 +178,7 @@
             format!("{used:?}")
         });
         let file = self.folder.join("lists").join("boxes-0.list");
-        let is_written = becomes(TIMEOUT, || {
+        let is_written = poll_until(TIMEOUT, || {
             fs::read_to_string(&file).is_ok_and(|text| {
                 self.caches
                     .iter()
@@ -193,12 +193,12 @@
 
     /// What the turns before wrote is found: drain, list, ban, statuses and purges.
     fn check_all(&self, process: &Process, checks: &mut Checks) -> io::Result<()> {
-        let came_up = becomes(DRAIN_WATCH, || is_ready(process));
+        let came_up = poll_until(DRAIN_WATCH, || is_ready(process));
         checks.that("the drain is kept", !came_up, || {
             format!("ready within {} ms: {came_up}", DRAIN_WATCH.as_millis())
         });
         let status = operate(process, "POST", "/control/in-service")?;
-        let is_back = status == 200 && becomes(TIMEOUT, || is_ready(process));
+        let is_back = status == 200 && poll_until(TIMEOUT, || is_ready(process));
         checks.that("it is ready once in service", is_back, || {
             format!("the call was answered {status}")
         });
--- a/rehearse/examples/upgrade/side_by_side.rs
+++ b/rehearse/examples/upgrade/side_by_side.rs
@@ -4,8 +4,8 @@
 use crate::checks::Checks;
 use crate::Program;
 use linnetknot_daemon::fleet::Status;
-use linnetknot_harness::clients::{becomes, TIMEOUT};
-use linnetknot_harness::fakes::cache::Manner;
+use linnetknot_harness::clients::{poll_until, TIMEOUT};
+use linnetknot_harness::fakes::cache::Behaviour;
 use linnetknot_harness::fleet::{status_path, Disk, Fleet, Setup};
 use linnetknot_harness::pressure::Pressure;
 use serde_json::{json, Value};
@@ -49,7 +49,7 @@
         within_ms: Some(3_000),
         exact_purges: Some(EXACT_PURGES),
         budgets: json!({"origin": {"whole": LIMIT, "floor": RESERVED}}),
-        ..Setup::copying(old.path, PROXIES, 35)
+        ..Setup::replicating(old.path, PROXIES, 35)
     };
     let mut round = Round {
         fleet: Fleet::with(setup)?,
@@ -72,9 +72,9 @@
         restart(3, new, Disk::Kept),
         restart(1, new, Disk::Kept),
     ];
-    round.fleet.origin.behave(Manner {
-        hold_ms: HOLD_MS,
-        ..Manner::default()
+    round.fleet.origin.set_behaviour(Behaviour {
+        answer_delay_ms: HOLD_MS,
+        ..Behaviour::default()
     });
     round.check([old, new], checks)?;
     for restart in restarts {
@@ -120,7 +120,7 @@
     fn check_ready(&self, checks: &mut Checks) {
         let is_ready = |n| {
             self.fleet
-                .operate(n, "GET", "/control/ready")
+                .admin_call(n, "GET", "/control/ready")
                 .is_ok_and(|s| s == 200)
         };
         let up = |n| {
@@ -128,7 +128,7 @@
                 .status(n)
                 .map_or(0, |status| status.alive_members)
         };
-        let all = becomes(AGREEMENT, || {
+        let all = poll_until(AGREEMENT, || {
             (0..PROXIES).all(|n| is_ready(n) && up(n) == PROXIES)
         });
         checks.that("each is ready and believes that all run", all, || {
@@ -163,7 +163,7 @@
     /// compacts for itself.
     fn check_agreement(&self, checks: &mut Checks) {
         let mut seen = Vec::new();
-        let agree = becomes(AGREEMENT, || {
+        let agree = poll_until(AGREEMENT, || {
             let all = (0..PROXIES).map(|n| self.fleet.status(n));
             let Ok(all) = all.collect::<io::Result<Vec<_>>>() else {
                 return false;
@@ -195,7 +195,7 @@
         for path in &self.told {
             let mut bodies = BTreeSet::new();
             for n in 0..PROXIES {
-                let answer = self.fleet.neighbour(n, "GET", path)?;
+                let answer = self.fleet.cdni_call(n, "GET", path)?;
                 bodies.insert((answer.status, answer.body));
             }
             if bodies.len() != 1 || bodies.iter().any(|(status, _)| *status != 200) {
@@ -259,7 +259,7 @@
             clients.push(Pressure::on(self.fleet.process(n)?.front, CLIENTS));
         }
         let mut seen = Vec::new();
-        let settled = becomes(AGREEMENT, || {
+        let settled = poll_until(AGREEMENT, || {
             let all = (0..PROXIES).map(|n| self.fleet.budgets(n));
             let Ok(all) = all.collect::<io::Result<Vec<_>>>() else {
                 return false;
--- a/rehearse/src/fault_matrix/mod.rs
+++ b/rehearse/src/fault_matrix/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::rules::commits::{judge, CommitRecord, FinalState, PurgeAnswer, PurgeRequest};
 use crate::rules::Breach;
-use linnetknot_harness::clients::becomes;
+use linnetknot_harness::clients::poll_until;
 use linnetknot_harness::fleet::{status_path, Disk, Fleet, Setup};
 use linnetknot_harness::links::LinkConditions;
 use std::collections::BTreeSet;
@@ -119,19 +119,20 @@
 
     /// Waits until something is so: whether it became so.
     fn until(&self, patience: Duration, so: impl Fn(&Fleet) -> bool) -> bool {
-        becomes(patience, || so(&self.fleet))
+        poll_until(patience, || so(&self.fleet))
     }
 
     fn rearm(&mut self, proxy: usize, points: &str) -> io::Result<()> {
         self.fleet.kill(proxy)?;
-        self.fleet.restart_armed(proxy, Disk::Kept, points)?;
+        self.fleet
+            .restart_with_fail_points(proxy, Disk::Kept, points)?;
         self.agree(AGREE).map(drop)
     }
 
     fn agree(&self, patience: Duration) -> io::Result<Option<Duration>> {
         let begun = Instant::now();
         // One that died of its point is none that could agree.
-        let agreed = self.until(patience, |fleet| fleet.agrees().unwrap_or(false));
+        let agreed = self.until(patience, |fleet| fleet.is_converged().unwrap_or(false));
         Ok(agreed.then(|| begun.elapsed()))
     }
 }
@@ -171,8 +172,8 @@
     };
     let mut play = Play::start(Setup {
         later,
-        planted,
-        ..Setup::copying(daemon, PROXIES, case.seed)
+        fail_points: planted,
+        ..Setup::replicating(daemon, PROXIES, case.seed)
     })?;
     play.fleet.links.set_all(conditions(case.seed));
     for proxy in 0..PROXIES {
@@ -303,7 +304,7 @@
         self.fleet.stall(writer)?;
         self.fleet.restart(PROXIES, Disk::Lost)?;
         self.tell(PROXIES, false);
-        self.fleet.go_on(writer)?;
+        self.fleet.resume(writer)?;
         if !self.until(KNOWN, |fleet| {
             fleet.status(writer).is_ok_and(|s| s.replaced)
         }) {
--- a/rehearse/src/play/drain.rs
+++ b/rehearse/src/play/drain.rs
@@ -3,7 +3,7 @@
 use super::{content, failed, Plant};
 use crate::Report;
 use linnetknot_harness::clients::{call, Answer, TIMEOUT};
-use linnetknot_harness::fakes::cache::{Arrival, FakeCache, Manner};
+use linnetknot_harness::fakes::cache::{Arrival, Behaviour, FakeCache};
 use linnetknot_harness::fakes::event_bus::{entry, Bus};
 use linnetknot_harness::process::Process;
 use linnetknot_harness::unix_ms;
@@ -33,9 +33,9 @@
     report: &mut Report,
 ) -> io::Result<()> {
     caches.iter().for_each(|cache| {
-        cache.behave(Manner {
-            hold_ms: 150,
-            ..Manner::default()
+        cache.set_behaviour(Behaviour {
+            answer_delay_ms: 150,
+            ..Behaviour::default()
         });
     });
     let clients = redirect(running, report)?;
@@ -48,7 +48,7 @@
     judge_redirected(clients, report)?;
     caches
         .iter()
-        .for_each(|cache| cache.behave(Manner::default()));
+        .for_each(|cache| cache.set_behaviour(Behaviour::default()));
     while unix_ms() < draining_ms + DRAIN_GRACE_MS + 10 {
         thread::sleep(Duration::from_millis(5));
     }
@@ -69,7 +69,7 @@
 /// Nothing new reached a cache from the grace on.
 fn judge_drained(target: &FakeCache, draining_ms: u64, report: &mut Report) {
     let arrivals = target.arrivals();
-    let is_late = |a: &&Arrival| a.word == "fetch" && a.at > draining_ms + DRAIN_GRACE_MS;
+    let is_late = |a: &&Arrival| a.command == "fetch" && a.at > draining_ms + DRAIN_GRACE_MS;
     for arrival in arrivals.iter().filter(is_late) {
         report.hold("drain", false, || {
             format!(
--- a/rehearse/src/play/mod.rs
+++ b/rehearse/src/play/mod.rs
@@ -4,7 +4,7 @@
 
 use crate::Report;
 use linnetknot_harness::clients::{call, Answer, PeerCdn, PeerRequest, WebServer, TIMEOUT};
-use linnetknot_harness::fakes::cache::{Arrival, FakeCache, Manner};
+use linnetknot_harness::fakes::cache::{Arrival, Behaviour, FakeCache};
 use linnetknot_harness::fakes::event_bus::{entry, Bus};
 use linnetknot_harness::process::Process;
 use linnetknot_harness::{settings, unix_ms};
@@ -83,9 +83,9 @@
     }
     if plant == Some(Plant::StaleCopies) {
         caches.iter().for_each(|cache| {
-            cache.behave(Manner {
+            cache.set_behaviour(Behaviour {
                 any_age: true,
-                ..Manner::default()
+                ..Behaviour::default()
             });
         });
     }
@@ -93,7 +93,7 @@
     notices(&bus, &peer.requests, &mut report)?;
     caches
         .iter()
-        .for_each(|cache| cache.behave(Manner::default()));
+        .for_each(|cache| cache.set_behaviour(Behaviour::default()));
     drain::drain(&running, &bus, &caches, plant, &mut report)?;
     attempts(&caches, &origin, &mut report);
     end(&mut running, &caches, &mut report)?;
@@ -207,7 +207,7 @@
 fn attempts(caches: &[FakeCache], origin: &FakeCache, report: &mut Report) {
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
     let all = caches.iter().chain([origin]).flat_map(FakeCache::arrivals);
-    all.filter(|a| a.word == "fetch")
+    all.filter(|a| a.command == "fetch")
         .for_each(|a| *counts.entry(a.id).or_default() += 1);
     for (id, count) in counts.iter().filter(|c| *c.1 > 6) {
         report.hold("attempts", false, || format!("{id} had {count} attempts"));
@@ -218,9 +218,9 @@
 fn end(running: &mut Process, caches: &[FakeCache], report: &mut Report) -> io::Result<()> {
     let before: usize = caches.iter().map(|cache| cache.arrivals().len()).sum();
     caches.iter().for_each(|cache| {
-        cache.behave(Manner {
-            hold_ms: 150,
-            ..Manner::default()
+        cache.set_behaviour(Behaviour {
+            answer_delay_ms: 150,
+            ..Behaviour::default()
         });
     });
     let mut server = WebServer::connect(running.front)?;
--- a/rehearse/src/player/proxies.rs
+++ b/rehearse/src/player/proxies.rs
@@ -26,7 +26,7 @@
 
 impl Launcher {
     fn start(&self, proxy: usize, config: &Value) -> io::Result<Process> {
-        Process::start_armed(
+        Process::start_with_fail_points(
             &self.daemon,
             &self.folder,
             &format!("p{proxy}"),
--- a/rehearse/src/scenario/check.rs
+++ b/rehearse/src/scenario/check.rs
@@ -307,7 +307,7 @@
                 key: self.key("what.links"),
             });
         }
-        if let Some(stream) = conditions.of_streams() {
+        if let Some(stream) = conditions.stream_only_key() {
             return Err(InvalidScenario::StreamCondition {
                 key,
                 condition: stream,
