--- a/daemon/tests/admin.rs
+++ b/daemon/tests/admin.rs
@@ -204,7 +204,7 @@
         rig.boxes[uid]
             .arrivals()
             .iter()
-            .filter(|a| a.word == "fetch")
+            .filter(|a| a.command == "fetch")
             .count()
     };
     assert!(
@@ -290,7 +290,7 @@
         assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
     }
     assert!(
-        new.boxes[0].arrivals().iter().all(|a| a.word != "fetch"),
+        new.boxes[0].arrivals().iter().all(|a| a.command != "fetch"),
         "the ban holds in the new process"
     );
     new.stop();
@@ -304,10 +304,11 @@
     assert_eq!(one(&mut web, "photo", &object(1)).status, 200);
     assert_eq!(status(admin, "POST", "/control/out-of-service"), 200);
     // Uses a write, since a slow read would be retried at another server, here after 0.35 s.
-    rig.origin.behave(linnetknot_harness::fakes::cache::Manner {
-        hold_ms: 600,
-        ..Default::default()
-    });
+    rig.origin
+        .set_behaviour(linnetknot_harness::fakes::cache::Behaviour {
+            answer_delay_ms: 600,
+            ..Default::default()
+        });
     // The second request arrives on the connection while the first is open.
     web.ask(1, "post", &object(2), 2500).unwrap();
     web.ask(2, "photo", &object(3), 2500).unwrap();
--- a/daemon/tests/budgets.rs
+++ b/daemon/tests/budgets.rs
@@ -2,7 +2,7 @@
 //! they never exceed the limit whatever fails, and busy proxies can use what idle ones leave unused.
 
 use linnetknot_daemon::budgets::{BudgetStatus, GrantStatus, Status};
-use linnetknot_harness::clients::{becomes, TIMEOUT};
+use linnetknot_harness::clients::{poll_until, TIMEOUT};
 use linnetknot_harness::fleet::{Disk, Fleet, Setup};
 use linnetknot_harness::links::LinkConditions;
 use linnetknot_harness::pressure::Pressure;
@@ -42,14 +42,14 @@
         let setup = Setup {
             budgets: origin(LIMIT),
             deadline_us: Some(DEADLINE_US),
-            planted,
-            ..Setup::copying(Path::new(DAEMON), proxies, seed)
+            fail_points: planted,
+            ..Setup::replicating(Path::new(DAEMON), proxies, seed)
         };
         let fleet = Fleet::with(setup).unwrap();
         fleet
             .origin
-            .behave(linnetknot_harness::fakes::cache::Manner {
-                hold_ms: HOLD_MS,
+            .set_behaviour(linnetknot_harness::fakes::cache::Behaviour {
+                answer_delay_ms: HOLD_MS,
                 ..Default::default()
             });
         let clients = (0..proxies).map(|_| None).collect();
@@ -84,7 +84,9 @@
     }
 
     fn restart(&mut self, n: usize, points: &str) {
-        self.fleet.restart_armed(n, Disk::Kept, points).unwrap();
+        self.fleet
+            .restart_with_fail_points(n, Disk::Kept, points)
+            .unwrap();
         let front = self.fleet.process(n).unwrap().front;
         self.clients[n]
             .iter()
@@ -119,7 +121,7 @@
                 .collect::<Vec<_>>()
         };
         assert!(
-            becomes(3 * TIMEOUT, condition),
+            poll_until(3 * TIMEOUT, condition),
             "never: {what}: {:#?}",
             statuses()
         );
@@ -235,7 +237,7 @@
     allocator_fails_and_recovers(
         5,
         |test, allocator| test.fleet.stall(allocator).unwrap(),
-        |test, allocator| test.fleet.go_on(allocator).unwrap(),
+        |test, allocator| test.fleet.resume(allocator).unwrap(),
     );
 }
 
@@ -324,7 +326,7 @@
     for _ in 0..3 {
         test.fleet.stall(holder).unwrap();
         test.until_in_use("the others use the expired lease", REMAINING_SHARE);
-        test.fleet.go_on(holder).unwrap();
+        test.fleet.resume(holder).unwrap();
         test.until("it has a lease", || {
             test.budget_status(holder)
                 .is_some_and(|b| !b.reserved_only && b.lease > RESERVED)
--- a/daemon/tests/clock_steps.rs
+++ b/daemon/tests/clock_steps.rs
@@ -1,7 +1,7 @@
 //! Daemon processes whose wall clocks differ, or step by an hour across a restart: no confirmed state is lost, and no
 //! purge stays in force for too long.
 
-use linnetknot_harness::clients::{becomes, TIMEOUT};
+use linnetknot_harness::clients::{poll_until, TIMEOUT};
 use linnetknot_harness::fakes::cache::FakeCache;
 use linnetknot_harness::fleet::{status_path, Disk, Fleet, Setup};
 use std::path::Path;
@@ -17,8 +17,8 @@
     let within_ms = Some(3_000);
     Fleet::with(Setup {
         within_ms,
-        planted,
-        ..Setup::copying(Path::new(DAEMON), proxies, seed)
+        fail_points: planted,
+        ..Setup::replicating(Path::new(DAEMON), proxies, seed)
     })
     .unwrap()
 }
@@ -44,7 +44,7 @@
 
 /// Returns how many of the statuses a proxy does not serve.
 fn missing(fleet: &Fleet, proxy: usize, paths: &[String]) -> usize {
-    let is_served = |path: &&String| fleet.neighbour(proxy, "GET", path).unwrap().status == 200;
+    let is_served = |path: &&String| fleet.cdni_call(proxy, "GET", path).unwrap().status == 200;
     paths.len() - paths.iter().filter(is_served).count()
 }
 
@@ -59,14 +59,14 @@
             false => fleet.kill(0).unwrap(),
         }
         fleet
-            .restart_armed(0, Disk::Kept, &clock_point(*offset))
+            .restart_with_fail_points(0, Disk::Kept, &clock_point(*offset))
             .unwrap();
         assert_eq!(missing(&fleet, 0, &paths), 0, "life {restart}, {offset} s");
         // Names given before the restart must not be reused.
         let new_paths = triggers(&fleet, 0, 1 + TRIGGERS * (restart as u64 + 1));
         assert!(new_paths.iter().all(|path| !paths.contains(path)));
         paths.extend(new_paths);
-        assert!(becomes(TIMEOUT, || missing(&fleet, 1, &paths) == 0));
+        assert!(poll_until(TIMEOUT, || missing(&fleet, 1, &paths) == 0));
     }
 }
 
@@ -92,12 +92,12 @@
     let mut fleet = fleet(2, 66, "");
     fleet.kill(1).unwrap();
     fleet
-        .restart_armed(1, Disk::Kept, &clock_point(3_605))
+        .restart_with_fail_points(1, Disk::Kept, &clock_point(3_605))
         .unwrap();
     for (from, receiver) in [(1, 0), (1_000, 1)] {
         let paths = triggers(&fleet, receiver, from);
         for proxy in 0..2 {
-            let all_served = becomes(TIMEOUT, || missing(&fleet, proxy, &paths) == 0);
+            let all_served = poll_until(TIMEOUT, || missing(&fleet, proxy, &paths) == 0);
             assert!(all_served, "created at p{receiver}, requested at p{proxy}");
         }
     }
@@ -108,11 +108,11 @@
     let mut fleet = fleet(2, 67, "");
     let paths = triggers(&fleet, 0, 1);
     for path in &paths {
-        assert_eq!(fleet.neighbour(0, "DELETE", path).unwrap().status, 204);
+        assert_eq!(fleet.cdni_call(0, "DELETE", path).unwrap().status, 204);
     }
     fleet.kill(0).unwrap();
     fleet
-        .restart_armed(0, Disk::Kept, &clock_point(-3_605))
+        .restart_with_fail_points(0, Disk::Kept, &clock_point(-3_605))
         .unwrap();
     let later = triggers(&fleet, 0, 1_000);
     assert_eq!(missing(&fleet, 0, &later), 0);
@@ -123,23 +123,25 @@
 fn the_last_operator_decision_wins_after_a_backward_clock_step() {
     let mut fleet = fleet(2, 68, "");
     assert_eq!(
-        fleet.operate(0, "POST", "/control/out-of-service").unwrap(),
+        fleet
+            .admin_call(0, "POST", "/control/out-of-service")
+            .unwrap(),
         200
     );
     fleet.kill(0).unwrap();
     fleet
-        .restart_armed(0, Disk::Kept, &clock_point(-3_605))
+        .restart_with_fail_points(0, Disk::Kept, &clock_point(-3_605))
         .unwrap();
     assert_eq!(
-        fleet.operate(0, "POST", "/control/in-service").unwrap(),
+        fleet.admin_call(0, "POST", "/control/in-service").unwrap(),
         200
     );
     fleet.kill(0).unwrap();
     fleet
-        .restart_armed(0, Disk::Kept, &clock_point(-3_600))
+        .restart_with_fail_points(0, Disk::Kept, &clock_point(-3_600))
         .unwrap();
-    let is_ready = || fleet.operate(0, "GET", "/control/ready").unwrap() == 200;
-    assert!(becomes(TIMEOUT, is_ready), "p0 is still drained");
+    let is_ready = || fleet.admin_call(0, "GET", "/control/ready").unwrap() == 200;
+    assert!(poll_until(TIMEOUT, is_ready), "p0 is still drained");
 }
 
 /// Requests a photo and returns the maximum age that the proxy accepts from its cache, or `None` if it accepts any.
@@ -158,7 +160,7 @@
         let mut fleet = fleet(2, seed, "");
         fleet.kill(0).unwrap();
         fleet
-            .restart_armed(0, Disk::Kept, &clock_point(offset))
+            .restart_with_fail_points(0, Disk::Kept, &clock_point(offset))
             .unwrap();
         // Answers from the origin let both proxies estimate its clock.
         for proxy in 0..2 {
@@ -171,7 +173,7 @@
             let purged_at = Instant::now();
             assert_eq!(fleet.purge(receiver, &purged).unwrap(), 201);
             for requester in 0..2 {
-                assert!(fleet.hears(requester, &purged).unwrap());
+                assert!(fleet.wait_for_purge(requester, &purged).unwrap());
                 thread::sleep(Duration::from_millis(700));
                 let max_age_ms = requested_max_age_ms(&fleet, requester, &purged)
                     .expect("the purge is enforced");
@@ -199,13 +201,15 @@
     for restart in 0..2 {
         fleet.kill(0).unwrap();
         let offset = clock_point(-3_605 * (1 + restart));
-        fleet.restart_armed(0, Disk::Lost, &offset).unwrap();
+        fleet
+            .restart_with_fail_points(0, Disk::Lost, &offset)
+            .unwrap();
         let is_settled = || {
             let status = fleet.status(0).unwrap();
-            fleet.operate(0, "GET", "/control/ready").unwrap() == 200
+            fleet.admin_call(0, "GET", "/control/ready").unwrap() == 200
                 && status.peers.iter().any(|peer| peer.state == "alive")
         };
-        assert!(becomes(TIMEOUT, is_settled), "life {restart}");
+        assert!(poll_until(TIMEOUT, is_settled), "life {restart}");
         // Long enough for peers to gossip about the previous incarnation.
         for n in 0..20 {
             let purged = object(10 + 100 * restart as u64 + n);
--- a/daemon/tests/complete_requests_answered.rs
+++ b/daemon/tests/complete_requests_answered.rs
@@ -5,7 +5,7 @@
 
 use linnetknot_daemon::wire::fastcgi::{self, kind};
 use linnetknot_harness::clients::WebServer;
-use linnetknot_harness::fakes::cache::Manner;
+use linnetknot_harness::fakes::cache::Behaviour;
 use rig::{object, one, Rig};
 use scripted::{next_of, request, scripted};
 use serde_json::json;
@@ -109,9 +109,9 @@
         config["limits"]["memory_mb"] = json!(16);
         config["bounds"] = json!({"partial_request_timeout_us": 60_000_000});
     });
-    rig.boxes[0].behave(Manner {
-        hold_ms: 1_000,
-        ..Manner::default()
+    rig.boxes[0].set_behaviour(Behaviour {
+        answer_delay_ms: 1_000,
+        ..Behaviour::default()
     });
     let mut clients: Vec<WebServer> = (0..CLIENTS).map(|_| rig.web()).collect();
     for (n, web) in clients.iter_mut().enumerate() {
@@ -141,7 +141,7 @@
         assert!([200, 503].contains(&status), "client {n}: {status}");
     }
     assert!(refused > 0, "some partial requests are rejected");
-    rig.boxes[0].behave(Manner::default());
+    rig.boxes[0].set_behaviour(Behaviour::default());
     assert_eq!(one(&mut rig.web(), "photo", &object(99)).status, 200);
     drop(clients);
     rig.stop();
@@ -188,9 +188,9 @@
         // Without cancellation the daemon waits for the slow cache.
         config["settings"]["limits"]["cancel"] = json!(false);
     });
-    rig.boxes[0].behave(Manner {
-        hold_ms: 600,
-        ..Manner::default()
+    rig.boxes[0].set_behaviour(Behaviour {
+        answer_delay_ms: 600,
+        ..Behaviour::default()
     });
     let connect_idle = || {
         let mut web = rig.web();
@@ -204,7 +204,7 @@
     let idle: Vec<WebServer> = (1..CLIENT_SLOTS).map(|_| connect_idle()).collect();
     assert_eq!(quiet.end().unwrap().1.unwrap().status, 200);
     let new_client = connect_idle();
-    rig.boxes[0].behave(Manner::default());
+    rig.boxes[0].set_behaviour(Behaviour::default());
     assert_eq!(one(&mut quiet, "photo", &object(2)).status, 200);
     drop((quiet, idle, new_client));
     rig.stop();
@@ -216,9 +216,9 @@
     let mut rig = Rig::with(&["s-0a", "s-0b"], |config| {
         config["limits"] = json!({"memory_mb": 16, "sockets": 256});
     });
-    rig.boxes[0].behave(Manner {
-        mute: true,
-        ..Manner::default()
+    rig.boxes[0].set_behaviour(Behaviour {
+        silent: true,
+        ..Behaviour::default()
     });
     let mut quiet = rig.web();
     assert!([200, 503].contains(&one(&mut quiet, "photo", &object(1)).status));
--- a/daemon/tests/deadline_propagation.rs
+++ b/daemon/tests/deadline_propagation.rs
@@ -217,7 +217,7 @@
         for n in [10 * round + 2, 10 * round + 3] {
             let fetch = site
                 .cache
-                .wait_for(|a| a.word == "fetch" && a.field("key") == Some(&object(n)))
+                .wait_for(|a| a.command == "fetch" && a.field("key") == Some(&object(n)))
                 .expect("a fetch");
             assert_deadline_within_budget("stopped process", &fetch.fields, sent_at);
         }
--- a/daemon/tests/fault_injection/mod.rs
+++ b/daemon/tests/fault_injection/mod.rs
@@ -1,6 +1,6 @@
 //! A daemon process with injected system call failures and fake services around it.
 
-use linnetknot_harness::clients::{becomes, call, Answer, WebServer};
+use linnetknot_harness::clients::{call, poll_until, Answer, WebServer};
 use linnetknot_harness::fakes::cache::FakeCache;
 use linnetknot_harness::fakes::event_bus::{entry, Bus};
 use linnetknot_harness::process::Process;
@@ -96,7 +96,7 @@
         );
         let program = Path::new(env!("CARGO_BIN_EXE_linnetknot"));
         let process =
-            Process::start_armed(program, &folder, "armed", (&config, &interconnect), &points)
+            Process::start_with_fail_points(program, &folder, "armed", (&config, &interconnect), &points)
                 .unwrap();
         let daemon = Armed {
             process,
@@ -109,8 +109,7 @@
             call(daemon.process.admin, "GET", "/control/ready", "")
                 .is_ok_and(|answer| answer.status == 200)
         };
-        assert!(
-            becomes(TIMEOUT, is_ready),
+        assert!(poll_until(TIMEOUT, is_ready),
             "the daemon never receives the endpoint list"
         );
         daemon
--- a/daemon/tests/fleet_faults.rs
+++ b/daemon/tests/fleet_faults.rs
@@ -1,7 +1,7 @@
 //! Purges, operator state, membership and trigger status in a fleet of daemon processes under link faults, stalls,
 //! kills and lost disks.
 
-use linnetknot_harness::clients::{becomes, call, TIMEOUT};
+use linnetknot_harness::clients::{call, poll_until, TIMEOUT};
 use linnetknot_harness::fleet::{purge_at, status_path, Disk, Fleet, Setup};
 use linnetknot_harness::links::LinkConditions;
 use std::collections::BTreeSet;
@@ -20,13 +20,13 @@
     let within_ms = Some(3_000);
     Fleet::with(Setup {
         within_ms,
-        ..Setup::copying(Path::new(DAEMON), proxies, seed)
+        ..Setup::replicating(Path::new(DAEMON), proxies, seed)
     })
     .unwrap()
 }
 
 fn await_agreement(what: &str, fleet: &Fleet) {
-    until(what, || fleet.agrees().unwrap());
+    until(what, || fleet.is_converged().unwrap());
 }
 
 fn object(n: u64) -> String {
@@ -36,7 +36,7 @@
 /// Waits until a condition holds, and fails the test after a timeout.
 fn until(what: &str, condition: impl FnMut() -> bool) {
     // Failure detection takes several seconds, and longer on a busy machine.
-    assert!(becomes(3 * TIMEOUT, condition), "never: {what}");
+    assert!(poll_until(3 * TIMEOUT, condition), "never: {what}");
 }
 
 fn holds_floor(fleet: &Fleet, n: usize, object: &str) -> bool {
@@ -59,7 +59,10 @@
         assert_eq!(fleet.purge(n as usize, &object).unwrap(), 201);
         // Each datagram is sent three times. With this seed at least one of them arrives on every link.
         for proxy in 0..4 {
-            assert!(fleet.hears(proxy, &object).unwrap(), "p{proxy}, purge {n}");
+            assert!(
+                fleet.wait_for_purge(proxy, &object).unwrap(),
+                "p{proxy}, purge {n}"
+            );
         }
     }
     until("all three datagrams are sent", || {
@@ -79,7 +82,7 @@
     let (object, after) = (object(1), object(2));
     fleet.links.set((0, 2), LinkConditions::CUT);
     assert_eq!(fleet.purge(0, &object).unwrap(), 201);
-    assert!(fleet.hears(0, &object).unwrap() && fleet.hears(1, &object).unwrap());
+    assert!(fleet.wait_for_purge(0, &object).unwrap() && fleet.wait_for_purge(1, &object).unwrap());
     assert!(fleet.links.counters((0, 2)).came == 0 && fleet.links.counters((0, 1)).came > 0);
     assert!(
         !holds_floor(&fleet, 2, &object),
@@ -87,7 +90,7 @@
     );
     // The opposite direction is not cut.
     assert_eq!(fleet.purge(2, &after).unwrap(), 201);
-    assert!(fleet.hears(0, &after).unwrap());
+    assert!(fleet.wait_for_purge(0, &after).unwrap());
 }
 
 #[test]
@@ -96,11 +99,11 @@
     let object = object(3);
     fleet.stall(1).unwrap();
     assert_eq!(fleet.purge(0, &object).unwrap(), 201);
-    assert!(fleet.hears(2, &object).unwrap());
+    assert!(fleet.wait_for_purge(2, &object).unwrap());
     until("all arrived", || fleet.links.counters((0, 1)).came >= 3);
-    fleet.go_on(1).unwrap();
+    fleet.resume(1).unwrap();
     assert!(
-        fleet.hears(1, &object).unwrap(),
+        fleet.wait_for_purge(1, &object).unwrap(),
         "p1 applies the purge after it resumes"
     );
 }
@@ -111,7 +114,7 @@
     let object = object(4);
     assert_eq!(fleet.purge(0, &object).unwrap(), 201);
     for n in 0..3 {
-        assert!(fleet.hears(n, &object).unwrap(), "p{n}");
+        assert!(fleet.wait_for_purge(n, &object).unwrap(), "p{n}");
     }
     fleet.kill(0).unwrap();
     fleet.restart(0, Disk::Kept).unwrap();
@@ -139,7 +142,7 @@
     let before = fleet.links.counters((0, 2));
     assert_eq!(fleet.purge(0, &object).unwrap(), 201);
     assert!(
-        fleet.hears(2, &object).unwrap(),
+        fleet.wait_for_purge(2, &object).unwrap(),
         "the purge takes the route from p0 over p1 to p2"
     );
     let after = fleet.links.counters((0, 2));
@@ -164,7 +167,7 @@
         fleet.links.counters((0, 1)).sent >= 4
     });
     fleet.restart(1, Disk::Kept).unwrap();
-    assert!(fleet.hears(1, &object).unwrap());
+    assert!(fleet.wait_for_purge(1, &object).unwrap());
 }
 
 /// The writer loses its machine and disk right after its commits: the purges hold on the peers and on the replacement.
@@ -260,7 +263,7 @@
             await_agreement("all proxies hold the first purge", &fleet);
             fleet.kill(0).unwrap();
             fleet
-                .restart_armed(0, disk, &format!("{point}=die"))
+                .restart_with_fail_points(0, disk, &format!("{point}=die"))
                 .unwrap();
             // Without its disk the proxy recovers its first purge from its peers, which may already trigger the fail point.
             let result = fleet.purge(0, &second);
@@ -271,7 +274,7 @@
             fleet.kill(0).unwrap();
             // A purge that was sent may still be in flight. One that was not sent must not appear.
             let peer_has_purge = match reaches_peers {
-                Some(true) => fleet.hears(1, &second).unwrap(),
+                Some(true) => fleet.wait_for_purge(1, &second).unwrap(),
                 _ => holds_floor(&fleet, 1, &second),
             };
             fleet.restart(0, Disk::Kept).unwrap();
@@ -301,14 +304,16 @@
     let mut fleet = replicating_fleet(3, 40);
     fleet.kill(0).unwrap();
     fleet
-        .restart_armed(0, Disk::Kept, "peers-told=stall")
+        .restart_with_fail_points(0, Disk::Kept, "peers-told=stall")
         .unwrap();
     let (fleet, object) = (&fleet, object(310));
     std::thread::scope(|scope| {
         let result = scope.spawn(|| fleet.purge(0, &object));
-        assert!(fleet.hears(1, &object).unwrap() && fleet.hears(2, &object).unwrap());
+        assert!(
+            fleet.wait_for_purge(1, &object).unwrap() && fleet.wait_for_purge(2, &object).unwrap()
+        );
         assert!(!result.is_finished(), "a stalled process must not confirm");
-        fleet.go_on(0).unwrap();
+        fleet.resume(0).unwrap();
         assert_eq!(result.join().unwrap().unwrap(), 201);
     });
     assert!(holds_floor(fleet, 0, &object));
@@ -365,7 +370,7 @@
     fleet.links.set((1, 0), LinkConditions::CUT);
     fleet.links.set((2, 0), LinkConditions::CUT);
     assert_eq!(fleet.purge(0, &object(502)).unwrap(), 503);
-    assert!(fleet.hears(1, &object(502)).unwrap());
+    assert!(fleet.wait_for_purge(1, &object(502)).unwrap());
     let status = fleet.status(0).unwrap();
     assert_eq!(
         (status.committed, status.rejected, status.pending_commits),
@@ -386,7 +391,7 @@
 fn proxies_on_one_machine_count_as_one_replica() {
     let setup = Setup {
         machine: Some("one"),
-        ..Setup::copying(Path::new(DAEMON), 3, 56)
+        ..Setup::replicating(Path::new(DAEMON), 3, 56)
     };
     let fleet = Fleet::with(setup).unwrap();
     until("all peers report their machine", || {
@@ -399,7 +404,7 @@
     });
     assert_eq!(fleet.purge(0, &object(505)).unwrap(), 503);
     assert!(
-        fleet.hears(1, &object(505)).unwrap(),
+        fleet.wait_for_purge(1, &object(505)).unwrap(),
         "the peers still receive the purge"
     );
 }
@@ -420,8 +425,8 @@
         "acknowledged by no peer"
     );
     // The peers resume and process the datagrams queued in their sockets.
-    fleet.go_on(1).unwrap();
-    fleet.go_on(2).unwrap();
+    fleet.resume(1).unwrap();
+    fleet.resume(2).unwrap();
     assert_eq!(fleet.purge(0, &object(512)).unwrap(), 201);
     await_agreement("all proxies agree and nothing is under-replicated", &fleet);
     assert!((0..3).all(|n| (510..513).all(|o| holds_floor(&fleet, n, &object(o)))));
@@ -438,7 +443,7 @@
         let mut fleet = replicating_fleet(3, 44 + seed as u64);
         fleet.kill(1).unwrap();
         fleet
-            .restart_armed(1, Disk::Kept, &format!("{point}=die"))
+            .restart_with_fail_points(1, Disk::Kept, &format!("{point}=die"))
             .unwrap();
         assert_eq!(
             fleet.purge(0, &object(520)).unwrap(),
@@ -477,7 +482,7 @@
         503,
         "one further machine does not suffice"
     );
-    fleet.go_on(2).unwrap();
+    fleet.resume(2).unwrap();
 }
 
 #[test]
@@ -487,7 +492,7 @@
     await_agreement("all proxies hold the purge", &fleet);
     fleet.kill(0).unwrap();
     fleet
-        .restart_armed(0, Disk::Kept, "store-fails=fail")
+        .restart_with_fail_points(0, Disk::Kept, "store-fails=fail")
         .unwrap();
     assert_eq!(fleet.purge(0, &object(541)).unwrap(), 503);
     assert!(
@@ -499,7 +504,7 @@
     // A proxy with a failing disk does not count as a replica for its peers.
     fleet.stall(2).unwrap();
     assert_eq!(fleet.purge(1, &object(542)).unwrap(), 503);
-    fleet.go_on(2).unwrap();
+    fleet.resume(2).unwrap();
     assert!(fleet.end(0).unwrap(), "p0 exits cleanly");
     fleet.restart(0, Disk::Kept).unwrap();
     assert_eq!(fleet.purge(0, &object(543)).unwrap(), 201);
@@ -583,7 +588,7 @@
     assert!(fleet.end(0).unwrap());
     assert_eq!(purge.join().unwrap().unwrap(), 503);
     assert_eq!(operator_call.join().unwrap().unwrap().status, 503);
-    fleet.go_on(1).unwrap();
+    fleet.resume(1).unwrap();
 }
 
 /// The pop cache keeps its state from before the first call, whichever pending call is rejected last.
@@ -593,7 +598,7 @@
     let within_ms = Some(6_000);
     let setup = Setup {
         within_ms,
-        ..Setup::copying(Path::new(DAEMON), 2, 55)
+        ..Setup::replicating(Path::new(DAEMON), 2, 55)
     };
     let fleet = Fleet::with(setup).unwrap();
     fleet.stall(1).unwrap();
@@ -614,11 +619,11 @@
     }
     assert!(calls.into_iter().all(|call| call.join().unwrap() == 503));
     await_cache_use(&fleet, 0, 0, 1500);
-    fleet.go_on(1).unwrap();
+    fleet.resume(1).unwrap();
     await_agreement("both proxies agree", &fleet);
     assert_eq!(
         fleet
-            .operate(0, "POST", "/control/pop-caches/s-0a/offline")
+            .admin_call(0, "POST", "/control/pop-caches/s-0a/offline")
             .unwrap(),
         200
     );
@@ -718,7 +723,7 @@
     let before = incarnations(&fleet, 0, "p3");
     fleet.stall(3).unwrap();
     await_peer_state(&fleet, &[0, 1, 2], 3, "dead");
-    fleet.go_on(3).unwrap();
+    fleet.resume(3).unwrap();
     await_peer_state(&fleet, &[0, 1, 2], 3, "alive");
     assert_eq!(
         incarnations(&fleet, 0, "p3"),
@@ -738,7 +743,7 @@
 fn a_replaced_incarnation_that_resumes_is_fenced() {
     let setup = Setup {
         later: &["p0"],
-        ..Setup::copying(Path::new(DAEMON), 3, 63)
+        ..Setup::replicating(Path::new(DAEMON), 3, 63)
     };
     let mut fleet = Fleet::with(setup).unwrap();
     assert_eq!(fleet.purge(0, &object(710)).unwrap(), 201);
@@ -746,14 +751,14 @@
     fleet.stall(0).unwrap();
     fleet.restart(3, Disk::Lost).unwrap();
     assert!(
-        fleet.hears(3, &object(710)).unwrap(),
+        fleet.wait_for_purge(3, &object(710)).unwrap(),
         "the replacement holds the commits of the previous incarnation"
     );
     assert_eq!(fleet.purge(3, &object(711)).unwrap(), 201);
     until("the others know the replacement", || {
         (1..3).all(|n| fleet.status(n).unwrap().peers[3 - 1].name == "p0")
     });
-    fleet.go_on(0).unwrap();
+    fleet.resume(0).unwrap();
     until("the old process learns of its replacement", || {
         fleet.status(0).unwrap().replaced
     });
@@ -765,13 +770,13 @@
     assert!(!fleet.status(3).unwrap().replaced);
     assert_eq!(fleet.purge(3, &object(713)).unwrap(), 201);
     assert!(
-        fleet.hears(0, &object(713)).unwrap(),
+        fleet.wait_for_purge(0, &object(713)).unwrap(),
         "the replaced process still receives commits of others"
     );
 }
 
 fn is_ready(fleet: &Fleet, n: usize) -> bool {
-    fleet.operate(n, "GET", "/control/ready").unwrap() == 200
+    fleet.admin_call(n, "GET", "/control/ready").unwrap() == 200
 }
 
 /// Requests forty photos starting at number `from` and returns whether the proxy uses the given cache for any of them.
@@ -794,23 +799,25 @@
     let mut fleet = replicating_fleet(3, 70);
     assert_eq!(
         fleet
-            .operate(0, "POST", "/control/pop-caches/s-0a/offline")
+            .admin_call(0, "POST", "/control/pop-caches/s-0a/offline")
             .unwrap(),
         200
     );
     assert_eq!(
-        fleet.operate(1, "POST", "/control/out-of-service").unwrap(),
+        fleet
+            .admin_call(1, "POST", "/control/out-of-service")
+            .unwrap(),
         200
     );
     assert_eq!(
         fleet
-            .operate(2, "POST", "/control/pop-caches/s-0b/offline")
+            .admin_call(2, "POST", "/control/pop-caches/s-0b/offline")
             .unwrap(),
         200
     );
     assert_eq!(
         fleet
-            .operate(2, "POST", "/control/pop-caches/s-0b/online")
+            .admin_call(2, "POST", "/control/pop-caches/s-0b/online")
             .unwrap(),
         200
     );
@@ -832,7 +839,7 @@
     await_cache_use(&fleet, 2, 1, 1000);
     assert!(!is_ready(&fleet, 1), "p1 is still out of service");
     assert_eq!(
-        fleet.operate(1, "POST", "/control/in-service").unwrap(),
+        fleet.admin_call(1, "POST", "/control/in-service").unwrap(),
         200
     );
     until("p1 is in service", || is_ready(&fleet, 1));
@@ -845,12 +852,14 @@
     fleet.links.split(&[0], LinkConditions::CUT);
     assert_eq!(
         fleet
-            .operate(0, "POST", "/control/pop-caches/s-0a/offline")
+            .admin_call(0, "POST", "/control/pop-caches/s-0a/offline")
             .unwrap(),
         503
     );
     assert_eq!(
-        fleet.operate(0, "POST", "/control/out-of-service").unwrap(),
+        fleet
+            .admin_call(0, "POST", "/control/out-of-service")
+            .unwrap(),
         503
     );
     assert!(is_ready(&fleet, 0));
@@ -858,14 +867,14 @@
     fleet.links.split(&[0], LinkConditions::default());
     assert_eq!(
         fleet
-            .operate(0, "POST", "/control/pop-caches/s-0a/offline")
+            .admin_call(0, "POST", "/control/pop-caches/s-0a/offline")
             .unwrap(),
         200
     );
     // A repeated ban succeeds because the first one is committed.
     assert_eq!(
         fleet
-            .operate(0, "POST", "/control/pop-caches/s-0a/offline")
+            .admin_call(0, "POST", "/control/pop-caches/s-0a/offline")
             .unwrap(),
         200
     );
@@ -881,7 +890,7 @@
     until("all are ready", || (0..3).all(|n| is_ready(&fleet, n)));
     assert_eq!(
         fleet
-            .operate(0, "POST", "/control/pop-caches/s-0a/offline")
+            .admin_call(0, "POST", "/control/pop-caches/s-0a/offline")
             .unwrap(),
         200
     );
@@ -916,7 +925,7 @@
 
 /// Returns the HTTP status and body that a proxy answers for a trigger status.
 fn trigger_status(fleet: &Fleet, n: usize, path: &str) -> (u16, Vec<u8>) {
-    let answer = fleet.neighbour(n, "GET", path).unwrap();
+    let answer = fleet.cdni_call(n, "GET", path).unwrap();
     (answer.status, answer.body)
 }
 
@@ -979,7 +988,7 @@
         .expect("the trigger is committed");
     await_agreement("all proxies hold the purge", &fleet);
     fleet.kill(2).unwrap();
-    assert_eq!(fleet.neighbour(1, "DELETE", &path).unwrap().status, 204);
+    assert_eq!(fleet.cdni_call(1, "DELETE", &path).unwrap().status, 204);
     until("the status is deleted at its first proxy", || {
         trigger_status(&fleet, 0, &path).0 == 404
     });
--- a/daemon/tests/snapshot_catch_up.rs
+++ b/daemon/tests/snapshot_catch_up.rs
@@ -1,7 +1,7 @@
 //! Catch-up from a peer's snapshot in a fleet with a small compaction window: a proxy that missed more purges than the
 //! window holds, or lost its disk, enforces all purges before it is ready.
 
-use linnetknot_harness::clients::{becomes, TIMEOUT};
+use linnetknot_harness::clients::{poll_until, TIMEOUT};
 use linnetknot_harness::fleet::{Disk, Fleet, Setup};
 use std::path::Path;
 
@@ -17,7 +17,7 @@
     let setup = Setup {
         within_ms,
         exact_purges: Some(WINDOW),
-        ..Setup::copying(Path::new(DAEMON), 3, seed)
+        ..Setup::replicating(Path::new(DAEMON), 3, seed)
     };
     Fleet::with(setup).unwrap()
 }
@@ -27,7 +27,7 @@
 }
 
 fn until(what: &str, condition: impl FnMut() -> bool) {
-    assert!(becomes(3 * TIMEOUT, condition), "never: {what}");
+    assert!(poll_until(3 * TIMEOUT, condition), "never: {what}");
 }
 
 /// Sends all purges to proxies 0 and 1 in turn, and waits until both have compacted all beyond the window.
@@ -46,7 +46,7 @@
 }
 
 fn is_ready(fleet: &Fleet, n: usize) -> bool {
-    fleet.operate(n, "GET", "/control/ready").unwrap() == 200
+    fleet.admin_call(n, "GET", "/control/ready").unwrap() == 200
 }
 
 /// Returns whether a proxy has the same state as another, on its disk.
@@ -110,7 +110,9 @@
     fleet.kill(2).unwrap();
     purge_all(&fleet);
     for disk in [Disk::Kept, Disk::Lost] {
-        fleet.restart_armed(2, disk, "snapshot-chunk=die").unwrap();
+        fleet
+            .restart_with_fail_points(2, disk, "snapshot-chunk=die")
+            .unwrap();
         until("p2 has crashed at the first chunk", || {
             fleet.process(2).is_err()
         });
@@ -129,7 +131,7 @@
     fleet.kill(2).unwrap();
     purge_all(&fleet);
     fleet
-        .restart_armed(2, Disk::Lost, "snapshot-lost=fail")
+        .restart_with_fail_points(2, Disk::Lost, "snapshot-lost=fail")
         .unwrap();
     until("p2 knows that it is behind", || {
         fleet.status(2).unwrap().catching_up
