--- a/daemon/tests/fault_injection/mod.rs
+++ b/daemon/tests/fault_injection/mod.rs
@@ -95,9 +95,14 @@
             ],
         );
         let program = Path::new(env!("CARGO_BIN_EXE_linnetknot"));
-        let process =
-            Process::start_with_fail_points(program, &folder, "armed", (&config, &interconnect), &points)
-                .unwrap();
+        let process = Process::start_with_fail_points(
+            program,
+            &folder,
+            "armed",
+            (&config, &interconnect),
+            &points,
+        )
+        .unwrap();
         let daemon = Armed {
             process,
             cache,
@@ -109,7 +114,8 @@
             call(daemon.process.admin, "GET", "/control/ready", "")
                 .is_ok_and(|answer| answer.status == 200)
         };
-        assert!(poll_until(TIMEOUT, is_ready),
+        assert!(
+            poll_until(TIMEOUT, is_ready),
             "the daemon never receives the endpoint list"
         );
         daemon
