--- a/daemon/tests/admin.rs
+++ b/daemon/tests/admin.rs
@@ -1,14 +1,14 @@
 //! The admin listener on loopback: its calls, bad callers, drains, and bans that outlive the process.
 
-mod rig;
+mod test_proxy;
 
 use linnetknot_harness::clients::call;
-use rig::{object, one, Rig};
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
+use test_proxy::{object_id, send_and_receive, TestProxy};
 
 /// A folder of its own for the state that a test's daemons keep.
 fn folder(name: &str) -> PathBuf {
@@ -19,16 +19,16 @@
     folder
 }
 
-fn with_admin(boxes: &[&'static str], folder: &Path) -> Rig {
+fn with_admin(boxes: &[&'static str], folder: &Path) -> TestProxy {
     let folder = folder.display().to_string();
-    Rig::with(boxes, move |c| {
+    TestProxy::with(boxes, move |c| {
         c["ops"] = json!("127.0.0.1:0");
         c["ops_folder"] = json!(folder);
     })
 }
 
 /// A daemon with an admin listener, once it says it is ready.
-fn ready_rig(boxes: &[&'static str], name: &str) -> (Rig, SocketAddr, PathBuf) {
+fn ready_rig(boxes: &[&'static str], name: &str) -> (TestProxy, SocketAddr, PathBuf) {
     let folder = folder(name);
     let rig = with_admin(boxes, &folder);
     let admin = rig.admin.expect("an admin listener");
@@ -126,7 +126,10 @@
     assert!(got.starts_with("HTTP/1.1 414 ") && closed, "{got}");
     // The daemon still serves, and the admin listener still answers.
     let mut web = rig.web();
-    assert_eq!(one(&mut web, "photo", &object(1)).status, 200);
+    assert_eq!(
+        send_and_receive(&mut web, "photo", &object_id(1)).status,
+        200
+    );
     assert_eq!(status(admin, "GET", "/control/ready"), 200);
     drop(holders);
     rig.stop();
@@ -138,16 +141,25 @@
     let (rig, admin, folder) = ready_rig(&["s-0a"], "drain");
     let mut kept = rig.web();
     let mut idle = rig.web();
-    assert_eq!(one(&mut kept, "photo", &object(1)).status, 200);
-    assert_eq!(one(&mut idle, "photo", &object(2)).status, 200);
+    assert_eq!(
+        send_and_receive(&mut kept, "photo", &object_id(1)).status,
+        200
+    );
+    assert_eq!(
+        send_and_receive(&mut idle, "photo", &object_id(2)).status,
+        200
+    );
     assert_eq!(status(admin, "POST", "/control/out-of-service"), 200);
     assert_eq!(status(admin, "GET", "/control/ready"), 503);
     // A kept connection is ended after an answer. A request that has come by then is not left unread behind the end: it
     // is answered too, and late in the drain turned away, so that a client that asks on and on can't keep it open.
     let start = Instant::now();
-    assert_eq!(one(&mut kept, "photo", &object(3)).status, 200);
+    assert_eq!(
+        send_and_receive(&mut kept, "photo", &object_id(3)).status,
+        200
+    );
     let mut statuses = Vec::new();
-    while kept.ask(2, "photo", &object(7), 2500).is_ok() {
+    while kept.ask(2, "photo", &object_id(7), 2500).is_ok() {
         match kept.end() {
             Ok((_, answer)) => statuses.push(answer.expect("an answer").status),
             Err(_) => break,
@@ -170,7 +182,10 @@
     );
     // New connections in a drain are served, and ended.
     let mut late = rig.web();
-    assert_eq!(one(&mut late, "photo", &object(4)).status, 200);
+    assert_eq!(
+        send_and_receive(&mut late, "photo", &object_id(4)).status,
+        200
+    );
     assert!(late.end().is_err());
     assert!(
         linnetknot_admin_api::store::load(&folder)
@@ -181,9 +196,12 @@
     assert_eq!(status(admin, "POST", "/control/in-service"), 200);
     assert!(until(admin, "/control/ready", 200) < Duration::from_secs(2));
     let mut after = rig.web();
-    assert_eq!(one(&mut after, "photo", &object(5)).status, 200);
     assert_eq!(
-        one(&mut after, "photo", &object(6)).status,
+        send_and_receive(&mut after, "photo", &object_id(5)).status,
+        200
+    );
+    assert_eq!(
+        send_and_receive(&mut after, "photo", &object_id(6)).status,
         200,
         "connections are kept again"
     );
@@ -195,10 +213,13 @@
     let (rig, admin, folder) = ready_rig(&["s-0a", "s-0b"], "ban");
     let mut web = rig.web();
     for n in 0..40 {
-        assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
+        assert_eq!(
+            send_and_receive(&mut web, "photo", &object_id(n)).status,
+            200
+        );
     }
-    let used = |rig: &Rig, uid: usize| {
-        rig.boxes[uid]
+    let used = |rig: &TestProxy, uid: usize| {
+        rig.caches[uid]
             .arrivals()
             .iter()
             .filter(|a| a.word == "fetch")
@@ -219,7 +240,10 @@
     );
     let before = used(&rig, 0);
     for n in 100..140 {
-        assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
+        assert_eq!(
+            send_and_receive(&mut web, "photo", &object_id(n)).status,
+            200
+        );
     }
     assert_eq!(used(&rig, 0), before, "nothing new to a banned box");
     rig.stop();
@@ -229,7 +253,10 @@
     until(admin, "/control/ready", 200);
     let mut web = rig.web();
     for n in 200..240 {
-        assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
+        assert_eq!(
+            send_and_receive(&mut web, "photo", &object_id(n)).status,
+            200
+        );
     }
     assert_eq!(used(&rig, 0), 0, "the ban carried over");
     assert_eq!(
@@ -239,7 +266,10 @@
     );
     let mut back = false;
     for n in 300..400 {
-        assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
+        assert_eq!(
+            send_and_receive(&mut web, "photo", &object_id(n)).status,
+            200
+        );
         back |= used(&rig, 0) > 0;
     }
     assert!(back, "the box is used again after the call back");
@@ -257,7 +287,7 @@
     let folder = folder("upgrade");
     let shown = folder.display().to_string();
     let start = |peers: String, shown: String| {
-        Rig::with(&["s-0a", "s-0b"], move |c| {
+        TestProxy::with(&["s-0a", "s-0b"], move |c| {
             c["ops"] = json!("127.0.0.1:0");
             c["ops_folder"] = json!(shown);
             c["peer_listen"] = json!(peers);
@@ -278,10 +308,13 @@
     // The ban that the old process was told holds in the new one, which serves from the box that is left.
     let mut web = new.web();
     for n in 0..20 {
-        assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
+        assert_eq!(
+            send_and_receive(&mut web, "photo", &object_id(n)).status,
+            200
+        );
     }
     assert!(
-        new.boxes[0].arrivals().iter().all(|a| a.word != "fetch"),
+        new.caches[0].arrivals().iter().all(|a| a.word != "fetch"),
         "the ban carried over"
     );
     new.stop();
@@ -292,7 +325,10 @@
 fn a_busy_connection_in_a_drain_turns_further_requests_away_and_ends() {
     let (rig, admin, folder) = ready_rig(&["s-0a"], "busy");
     let mut web = rig.web();
-    assert_eq!(one(&mut web, "photo", &object(1)).status, 200);
+    assert_eq!(
+        send_and_receive(&mut web, "photo", &object_id(1)).status,
+        200
+    );
     assert_eq!(status(admin, "POST", "/control/out-of-service"), 200);
     // A write, which is never given up and sent elsewhere as a read that is overdue is (after 0.35 s here): however long
     // the machine keeps its answer back, it is the drain that is tested.
@@ -301,8 +337,8 @@
         ..Default::default()
     });
     // Two requests on one kept connection: the first is taken, the second comes while it is open.
-    web.ask(1, "post", &object(2), 2500).unwrap();
-    web.ask(2, "photo", &object(3), 2500).unwrap();
+    web.ask(1, "post", &object_id(2), 2500).unwrap();
+    web.ask(2, "photo", &object_id(3), 2500).unwrap();
     let mut answers = [web.end().unwrap(), web.end().unwrap()];
     answers.sort_by_key(|(id, _)| *id);
     assert_eq!(
@@ -328,14 +364,14 @@
     let (mut rig, _, folder) = ready_rig(&["s-0a"], "retune");
     let mut web = rig.web();
     assert_eq!(
-        one(&mut web, "poster", &object(1)).status,
+        send_and_receive(&mut web, "poster", &object_id(1)).status,
         503,
         "no such class yet"
     );
     // (That a broken file leaves the old settings whole is the module's and the configuration's to show: here a
     // reload is not seen to be over, so a request after it could not tell the two apart.)
     {
-        let mut file = rig.file.lock().unwrap();
+        let mut file = rig.config_file.lock().unwrap();
         let poster = json!({"name": "poster", "aim-us": 300_000, "deadline-us": 2_000_000, "repeat": "pure",
             "worth": 1.0});
         file["settings"]["categories"]
@@ -345,14 +381,14 @@
     }
     rig.control.reload().unwrap();
     let start = Instant::now();
-    while one(&mut web, "poster", &object(3)).status != 200 {
+    while send_and_receive(&mut web, "poster", &object_id(3)).status != 200 {
         assert!(
             start.elapsed() < Duration::from_secs(3),
             "the new class was never taken"
         );
     }
     assert_eq!(
-        one(&mut web, "photo", &object(4)).status,
+        send_and_receive(&mut web, "photo", &object_id(4)).status,
         200,
         "the old class stays"
     );
--- a/daemon/tests/client_gone.rs
+++ b/daemon/tests/client_gone.rs
@@ -1,17 +1,18 @@
 //! A client that has closed or cancelled has gone: whatever its requests wait for at that moment, no further attempt of
 //! them begins. Every way to go, with one request on the connection and with as many as it may have, on real sockets.
 
-mod rig;
-mod scripted;
+mod scripted_caches;
+mod test_proxy;
 
 use linnetknot_harness::clients::WebServer;
-use rig::{object, one, Rig};
-use scripted::{
-    abort, add_parents, fetches, full, next_of, pass, request, scripted, Fetch, Scripted,
+use scripted_caches::{
+    abort_record, add_parents, busy_wait, fill_accept_queue, next_command, photo_request,
+    start_with_scripted_caches, take_fetches, Fetch, ScriptedCache,
 };
 use serde_json::json;
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
+use test_proxy::{object_id, send_and_receive, TestProxy};
 
 /// How a client goes.
 #[derive(Clone, Copy, Debug)]
@@ -43,7 +44,7 @@
                 None
             }
             Goes::Abort => {
-                let aborts: Vec<u8> = (1..=count).flat_map(abort).collect();
+                let aborts: Vec<u8> = (1..=count).flat_map(abort_record).collect();
                 web.send(&aborts).unwrap();
                 Some(web)
             }
@@ -61,12 +62,17 @@
 }
 
 /// Serves a client until a connection to each box is up, so that a further attempt would have to wait for none.
-fn warm_up<const N: usize>(boxes: &mut [Scripted; N], web: &mut WebServer) {
+fn warm_up<const N: usize>(boxes: &mut [ScriptedCache; N], web: &mut WebServer) {
     let mut n = 1_000;
-    while boxes.iter().any(|scripted| scripted.wires.is_empty()) {
-        web.send(&request(STAYS, &object(n), 0)).unwrap();
-        let (at, place, fetch) = next_of(boxes);
-        boxes[at].wires[place].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+    while boxes.iter().any(|scripted| scripted.connections.is_empty()) {
+        web.send(&photo_request(STAYS, &object_id(n), 0)).unwrap();
+        let (at, place, fetch) = next_command(boxes);
+        boxes[at].connections[place].respond(
+            &fetch[1],
+            "200",
+            "how=local,made=1,etag=t1",
+            "a copy",
+        );
         assert_eq!(web.end().unwrap().1.unwrap().status, 200);
         n += 1;
     }
@@ -81,18 +87,22 @@
 
 /// Has a client served that stays, twice: by then all that lies in the sockets before it is carried out. The calls that
 /// came meanwhile, other than its own.
-fn serve_twice<const N: usize>(boxes: &mut [Scripted; N], web: &mut WebServer) -> Vec<Fetch> {
+fn serve_twice<const N: usize>(boxes: &mut [ScriptedCache; N], web: &mut WebServer) -> Vec<Fetch> {
     let mut others = Vec::new();
     for n in 1..=2 {
-        web.send(&request(STAYS + n, &object(7_000 + u64::from(n)), 0))
-            .unwrap();
+        web.send(&photo_request(
+            STAYS + n,
+            &object_id(7_000 + u64::from(n)),
+            0,
+        ))
+        .unwrap();
         let start = Instant::now();
         let mut served = false;
         while !served {
-            for fetch in fetches(boxes) {
+            for fetch in take_fetches(boxes) {
                 if fetch.2 == wire_id(STAYS + n) {
-                    let wire = &mut boxes[fetch.0].wires[fetch.1];
-                    wire.answer(&fetch.2, "200", "how=local,made=1,etag=t1", "a copy");
+                    let wire = &mut boxes[fetch.0].connections[fetch.1];
+                    wire.respond(&fetch.2, "200", "how=local,made=1,etag=t1", "a copy");
                     served = true;
                 } else {
                     others.push(fetch);
@@ -107,9 +117,9 @@
 }
 
 /// Two boxes; with parents, where the answer tells of a fill that failed.
-fn site(word: &str, fields: &str) -> (Rig, [Scripted; 2]) {
+fn site(word: &str, fields: &str) -> (TestProxy, [ScriptedCache; 2]) {
     let fill = word == "404" || fields == "how=cut_off";
-    scripted::<2>(|config| {
+    start_with_scripted_caches::<2>(|config| {
         if fill {
             add_parents(config);
         }
@@ -122,10 +132,10 @@
     let mut stays = rig.web();
     warm_up(&mut boxes, &mut stays);
     let mut web = rig.web();
-    web.send(&request(1, &object(1), 0)).unwrap();
-    let (at, place, fetch) = next_of(&mut boxes);
-    boxes[at].wires[place].answer(&fetch[1], word, fields, "");
-    let (_, _, again) = next_of(&mut boxes);
+    web.send(&photo_request(1, &object_id(1), 0)).unwrap();
+    let (at, place, fetch) = next_command(&mut boxes);
+    boxes[at].connections[place].respond(&fetch[1], word, fields, "");
+    let (_, _, again) = next_command(&mut boxes);
     assert_eq!(again[..2], fetch[..2], "{word} {fields}");
     drop((stays, web));
     rig.stop();
@@ -143,18 +153,18 @@
             let mut web = rig.web();
             for id in 1..=count {
                 let n = if one_object { 1 } else { u64::from(id) };
-                web.send(&request(id, &object(n), 0)).unwrap();
+                web.send(&photo_request(id, &object_id(n), 0)).unwrap();
             }
             let mut out = Vec::new();
             let start = Instant::now();
             while out.len() < usize::from(count) {
-                out.extend(fetches(&mut boxes));
+                out.extend(take_fetches(&mut boxes));
                 assert!(start.elapsed() < Duration::from_secs(10), "{name}");
             }
             let gone = goes.go(web, count);
             settled(&mut stays);
             for (at, place, id, _) in out {
-                boxes[at].wires[place].answer(&id, word, fields, "");
+                boxes[at].connections[place].respond(&id, word, fields, "");
             }
             let again = serve_twice(&mut boxes, &mut stays);
             assert!(again.is_empty(), "{name}: {again:?}");
@@ -194,40 +204,46 @@
 }
 
 fn goes_before_the_connection_is_up(goes: Goes, count: u16) {
-    let (rig, mut boxes) = scripted::<1>(|config| {
+    let (rig, mut boxes) = start_with_scripted_caches::<1>(|config| {
         config["settings"]["limits"]["connect-timeout-us"] = json!(8_000_000);
     });
-    let filler = full(&boxes[0]);
+    let filler = fill_accept_queue(&boxes[0]);
     let (mut web, mut stays) = (rig.web(), rig.web());
     for id in 1..=count {
-        web.send(&request(id, &object(u64::from(id)), 0)).unwrap();
+        web.send(&photo_request(id, &object_id(u64::from(id)), 0))
+            .unwrap();
     }
     settled(&mut stays);
     let gone = goes.go(web, count);
     settled(&mut stays);
-    stays.send(&request(STAYS, &object(99), 0)).unwrap();
-    let (_, place, fetch) = next_of(&mut boxes);
+    stays
+        .send(&photo_request(STAYS, &object_id(99), 0))
+        .unwrap();
+    let (_, place, fetch) = next_command(&mut boxes);
     assert!(
-        fetch[2].contains(&object(99)),
+        fetch[2].contains(&object_id(99)),
         "{goes:?} with {count}: {fetch:?}"
     );
-    boxes[0].wires[place].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+    boxes[0].connections[place].respond(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
     assert_eq!(stays.end().unwrap().1.unwrap().status, 200);
-    assert!(fetches(&mut boxes).is_empty(), "{goes:?} with {count}");
+    assert!(take_fetches(&mut boxes).is_empty(), "{goes:?} with {count}");
     drop((filler, gone, stays));
     rig.stop();
 }
 
 /// An object whose first place among the boxes `s-0a` and `s-0b` is the first, and one whose is the second.
 fn objects_by_box() -> [String; 2] {
-    let rig = Rig::with(&["s-0a", "s-0b"], |_| {});
+    let rig = TestProxy::with(&["s-0a", "s-0b"], |_| {});
     let mut web = rig.web();
     let mut n = 500;
-    while rig.boxes.iter().any(|b| b.arrivals().is_empty()) {
-        assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
+    while rig.caches.iter().any(|b| b.arrivals().is_empty()) {
+        assert_eq!(
+            send_and_receive(&mut web, "photo", &object_id(n)).status,
+            200
+        );
         n += 1;
     }
-    let first = |n: usize| rig.boxes[n].arrivals()[0].field("key").unwrap().to_owned();
+    let first = |n: usize| rig.caches[n].arrivals()[0].field("key").unwrap().to_owned();
     let objects = [first(0), first(1)];
     drop(web);
     rig.stop();
@@ -241,27 +257,27 @@
     let objects = objects_by_box();
     let timeout = Duration::from_secs(1);
     for goes in [None, Some(Goes::Fin), Some(Goes::Abort)] {
-        let (mut rig, mut boxes) = scripted::<2>(|config| {
+        let (mut rig, mut boxes) = start_with_scripted_caches::<2>(|config| {
             config["settings"]["limits"]["connect-timeout-us"] = json!(1_000_000);
         });
         let mut stays = rig.web();
-        stays.send(&request(STAYS, &objects[1], 0)).unwrap();
-        let (at, place, fetch) = next_of(&mut boxes);
+        stays.send(&photo_request(STAYS, &objects[1], 0)).unwrap();
+        let (at, place, fetch) = next_command(&mut boxes);
         assert_eq!(at, 1);
-        boxes[1].wires[place].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+        boxes[1].connections[place].respond(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
         assert_eq!(stays.end().unwrap().1.unwrap().status, 200);
-        let filler = full(&boxes[0]);
+        let filler = fill_accept_queue(&boxes[0]);
         let mut web = rig.web();
         settled(&mut web);
-        web.send(&request(1, &objects[0], 0)).unwrap();
+        web.send(&photo_request(1, &objects[0], 0)).unwrap();
         settled(&mut stays);
         let held = rig.hold();
-        assert_eq!(boxes[1].arrived(), [], "it waits for its connection");
+        assert_eq!(boxes[1].take_commands(), [], "it waits for its connection");
         let gone = match goes {
             Some(goes) => goes.go(web, 1),
             None => Some(web),
         };
-        pass(timeout + Duration::from_millis(200));
+        busy_wait(timeout + Duration::from_millis(200));
         drop(held);
         let begun = serve_twice(&mut boxes, &mut stays);
         let begun: Vec<&str> = begun.iter().map(|fetch| fetch.2.as_str()).collect();
--- a/daemon/tests/closed_unanswered.rs
+++ b/daemon/tests/closed_unanswered.rs
@@ -1,19 +1,19 @@
 //! A request that was read has its answer before its connection ends, whatever ends the connection.
 
-mod rig;
-mod scripted;
+mod scripted_caches;
+mod test_proxy;
 
 use linnetknot_daemon::wire::fastcgi::{self, kind};
 use linnetknot_harness::clients::WebServer;
 use linnetknot_harness::fakes::cache::Manner;
-use rig::{object, one, Rig};
-use scripted::{next_of, request, scripted};
+use scripted_caches::{next_command, photo_request, start_with_scripted_caches};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
+use test_proxy::{object_id, send_and_receive, TestProxy};
 
 /// Bytes that no client may send behind a whole request, and why.
 fn unreadable() -> Vec<(&'static str, Vec<u8>)> {
@@ -48,21 +48,26 @@
     for (what, bytes) in unreadable() {
         // In one piece with the request, and behind it.
         for apart in [false, true] {
-            let (rig, mut boxes) = scripted::<1>(|_| {});
+            let (rig, mut boxes) = start_with_scripted_caches::<1>(|_| {});
             let mut web = rig.web();
-            let whole = request(1, &object(1), 0);
+            let whole = photo_request(1, &object_id(1), 0);
             let fetch = if apart {
                 web.send(&whole).unwrap();
-                let fetch = next_of(&mut boxes);
+                let fetch = next_command(&mut boxes);
                 web.send(&bytes).unwrap();
                 fetch
             } else {
                 web.send(&[whole, bytes.clone()].concat()).unwrap();
-                next_of(&mut boxes)
+                next_command(&mut boxes)
             };
             assert_eq!(one_is_served(&rig, &mut boxes), 200, "{what}");
             let (_, place, fetch) = fetch;
-            boxes[0].wires[place].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+            boxes[0].connections[place].respond(
+                &fetch[1],
+                "200",
+                "how=local,made=1,etag=t1",
+                "a copy",
+            );
             let mut answers = BTreeMap::new();
             let end = loop {
                 match web.end() {
@@ -79,11 +84,11 @@
 }
 
 /// Another client is served meanwhile, by which time the daemon has read what came before.
-fn one_is_served(rig: &Rig, boxes: &mut [scripted::Scripted; 1]) -> u16 {
+fn one_is_served(rig: &TestProxy, boxes: &mut [scripted_caches::ScriptedCache; 1]) -> u16 {
     let mut other = rig.web();
-    other.send(&request(50, &object(50), 0)).unwrap();
-    let (_, place, fetch) = next_of(boxes);
-    boxes[0].wires[place].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+    other.send(&photo_request(50, &object_id(50), 0)).unwrap();
+    let (_, place, fetch) = next_command(boxes);
+    boxes[0].connections[place].respond(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
     other.end().unwrap().1.unwrap().status
 }
 
@@ -92,17 +97,17 @@
 fn too_much_of_requests_in_part_costs_no_request_that_came_whole() {
     const CLIENTS: usize = 5;
     const HALVES: u16 = 30;
-    let rig = Rig::with(&["s-0a"], |config| {
+    let rig = TestProxy::with(&["s-0a"], |config| {
         config["limits"]["memory_mb"] = json!(16);
         config["bounds"] = json!({"partial_request_timeout_us": 60_000_000});
     });
-    rig.boxes[0].behave(Manner {
+    rig.caches[0].behave(Manner {
         hold_ms: 1_000,
         ..Manner::default()
     });
     let mut webs: Vec<WebServer> = (0..CLIENTS).map(|_| rig.web()).collect();
     for (n, web) in webs.iter_mut().enumerate() {
-        web.ask(100, "photo", &object(n as u64), 2_500).unwrap();
+        web.ask(100, "photo", &object_id(n as u64), 2_500).unwrap();
     }
     for web in &mut webs {
         for id in 1..=HALVES {
@@ -128,8 +133,11 @@
         assert!([200, 503].contains(&status), "client {n}: {status}");
     }
     assert!(refused > 0, "some of them made room");
-    rig.boxes[0].behave(Manner::default());
-    assert_eq!(one(&mut rig.web(), "photo", &object(99)).status, 200);
+    rig.caches[0].behave(Manner::default());
+    assert_eq!(
+        send_and_receive(&mut rig.web(), "photo", &object_id(99)).status,
+        200
+    );
     drop(webs);
     rig.stop();
 }
@@ -137,7 +145,7 @@
 /// A quiet client's request that comes in pieces does not pay for others that hold far more.
 #[test]
 fn who_holds_most_of_requests_in_part_makes_room_and_not_who_comes_last() {
-    let rig = Rig::with(&["s-0a"], |config| {
+    let rig = TestProxy::with(&["s-0a"], |config| {
         config["limits"]["memory_mb"] = json!(16);
         config["bounds"] = json!({"partial_request_timeout_us": 60_000_000});
     });
@@ -154,11 +162,14 @@
         }
     }
     let mut quiet = rig.web();
-    let whole = request(1, &object(1), 9_000);
+    let whole = photo_request(1, &object_id(1), 9_000);
     for piece in whole.chunks(1_000) {
         quiet.send(piece).unwrap();
         // Each piece is read on its own: another client is answered behind it.
-        assert_eq!(one(&mut rig.web(), "photo", &object(2)).status, 200);
+        assert_eq!(
+            send_and_receive(&mut rig.web(), "photo", &object_id(2)).status,
+            200
+        );
     }
     let (_, answer) = quiet.end().expect("an answer");
     assert_eq!(answer.unwrap().status, 200);
@@ -171,12 +182,12 @@
 #[test]
 fn a_client_that_was_answered_a_moment_ago_makes_no_room_though_it_asked_long_ago() {
     const PLACES: usize = 24;
-    let rig = Rig::with(&["s-0a"], |config| {
+    let rig = TestProxy::with(&["s-0a"], |config| {
         config["limits"] = json!({"memory_mb": 192, "sockets": 64});
         // The box is waited for.
         config["settings"]["limits"]["cancel"] = json!(false);
     });
-    rig.boxes[0].behave(Manner {
+    rig.caches[0].behave(Manner {
         hold_ms: 600,
         ..Manner::default()
     });
@@ -188,12 +199,15 @@
         web
     };
     let mut quiet = rests();
-    quiet.ask(1, "photo", &object(1), 2_500).unwrap();
+    quiet.ask(1, "photo", &object_id(1), 2_500).unwrap();
     let resting: Vec<WebServer> = (1..PLACES).map(|_| rests()).collect();
     assert_eq!(quiet.end().unwrap().1.unwrap().status, 200);
     let newcomer = rests();
-    rig.boxes[0].behave(Manner::default());
-    assert_eq!(one(&mut quiet, "photo", &object(2)).status, 200);
+    rig.caches[0].behave(Manner::default());
+    assert_eq!(
+        send_and_receive(&mut quiet, "photo", &object_id(2)).status,
+        200
+    );
     drop((quiet, resting, newcomer));
     rig.stop();
 }
@@ -201,26 +215,26 @@
 /// Others flood, fill the table of requests and get no answers.
 #[test]
 fn a_quiet_client_gets_every_answer_beside_a_flood_a_full_table_and_a_box_that_never_answers() {
-    let mut rig = Rig::with(&["s-0a", "s-0b"], |config| {
+    let mut rig = TestProxy::with(&["s-0a", "s-0b"], |config| {
         config["limits"] = json!({"memory_mb": 16, "sockets": 256});
     });
-    rig.boxes[0].behave(Manner {
+    rig.caches[0].behave(Manner {
         mute: true,
         ..Manner::default()
     });
     let mut quiet = rig.web();
-    assert!([200, 503].contains(&one(&mut quiet, "photo", &object(1)).status));
+    assert!([200, 503].contains(&send_and_receive(&mut quiet, "photo", &object_id(1)).status));
     let stop = AtomicBool::new(false);
     let mut statuses = BTreeMap::<u16, u32>::new();
     std::thread::scope(|scope| {
-        let (front, stop) = (rig.front, Stops(&stop));
+        let (front, stop) = (rig.client_address, Stops(&stop));
         for flooding in 0..40_u64 {
             let stop = stop.0;
             scope.spawn(move || flood(front, flooding, stop));
         }
         for n in 0..12 {
             let asked = Instant::now();
-            let status = one(&mut quiet, "photo", &object(1_000 + n)).status;
+            let status = send_and_receive(&mut quiet, "photo", &object_id(1_000 + n)).status;
             // 2.5 s, and what the machine may take beside.
             assert!(asked.elapsed() < Duration::from_millis(3_000), "{n}");
             *statuses.entry(status).or_default() += 1;
@@ -229,7 +243,7 @@
     println!("answers of the quiet client: {statuses:?}");
     drop(quiet);
     rig.control.stop().unwrap();
-    rig.run.join().unwrap().unwrap();
+    rig.thread.join().unwrap().unwrap();
 }
 
 /// Stops a flood, also where the test fails.
@@ -252,7 +266,7 @@
                 .ask(
                     id,
                     "photo",
-                    &object(1_000_000 * (client + 1) + u64::from(id)),
+                    &object_id(1_000_000 * (client + 1) + u64::from(id)),
                     2_500,
                 )
                 .is_err()
--- a/daemon/tests/deadline_passed.rs
+++ b/daemon/tests/deadline_passed.rs
@@ -1,21 +1,24 @@
 //! The deadline that is passed to a box is at most what the client has left, whatever kept the request on its way: a
 //! connection that was late, an attempt before it, or a loop that stood still for a second.
 
-mod rig;
-mod scripted;
+mod scripted_caches;
+mod test_proxy;
 
 use linnetknot_harness::clients::WebServer;
 use linnetknot_harness::fakes::cache::FakeCache;
 use linnetknot_harness::fakes::event_bus::{entry, Bus};
-use rig::object;
 use rustix::process::{kill_process, Pid, Signal};
-use scripted::{add_parents, fetches, full, next_of, pass, request, scripted};
+use scripted_caches::{
+    add_parents, busy_wait, fill_accept_queue, next_command, photo_request,
+    start_with_scripted_caches, take_fetches,
+};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
+use test_proxy::object_id;
 
-/// Budget of `scripted::request`.
+/// Budget of `scripted_caches::photo_request`.
 const BUDGET: Duration = Duration::from_millis(2_000);
 const SLACK: Duration = Duration::from_millis(150);
 /// So long the loop, or the process, stands still.
@@ -46,17 +49,17 @@
 }
 
 fn answered_late(word: &str, fields: &str) {
-    let (rig, mut boxes) = scripted::<2>(add_parents);
+    let (rig, mut boxes) = start_with_scripted_caches::<2>(add_parents);
     let mut web = rig.web();
     let asked = Instant::now();
-    web.send(&request(1, &object(1), 0)).unwrap();
-    let (at, place, fetch) = next_of(&mut boxes);
+    web.send(&photo_request(1, &object_id(1), 0)).unwrap();
+    let (at, place, fetch) = next_command(&mut boxes);
     check("a first attempt", &fetch[2], asked);
-    pass(Duration::from_millis(300));
-    boxes[at].wires[place].answer(&fetch[1], word, fields, "");
-    let (at, place, fetch) = next_of(&mut boxes);
+    busy_wait(Duration::from_millis(300));
+    boxes[at].connections[place].respond(&fetch[1], word, fields, "");
+    let (at, place, fetch) = next_command(&mut boxes);
     check("a further attempt", &fetch[2], asked);
-    boxes[at].wires[place].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+    boxes[at].connections[place].respond(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
     assert_eq!(web.end().unwrap().1.unwrap().status, 200);
     drop(web);
     rig.stop();
@@ -64,18 +67,18 @@
 
 #[test]
 fn an_attempt_that_waited_for_its_connection_passes_on_what_is_left_when_it_begins() {
-    let (rig, mut boxes) = scripted::<1>(|config| {
+    let (rig, mut boxes) = start_with_scripted_caches::<1>(|config| {
         config["settings"]["limits"]["connect-timeout-us"] = json!(8_000_000);
     });
-    let filler = full(&boxes[0]);
+    let filler = fill_accept_queue(&boxes[0]);
     let mut web = rig.web();
     let asked = Instant::now();
-    web.send(&request(1, &object(1), 0)).unwrap();
+    web.send(&photo_request(1, &object_id(1), 0)).unwrap();
     // The system sends the first segment of a connection again after a second only.
-    pass(Duration::from_millis(300));
-    let (_, place, fetch) = next_of(&mut boxes);
+    busy_wait(Duration::from_millis(300));
+    let (_, place, fetch) = next_command(&mut boxes);
     check("a late connection", &fetch[2], asked);
-    boxes[0].wires[place].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+    boxes[0].connections[place].respond(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
     assert_eq!(web.end().unwrap().1.unwrap().status, 200);
     drop((filler, web));
     rig.stop();
@@ -84,24 +87,24 @@
 /// A request's time runs from its last byte on, and not from when it is read.
 #[test]
 fn what_came_while_the_loop_was_kept_passes_on_what_is_left() {
-    let (mut rig, mut boxes) = scripted::<1>(|_| {});
+    let (mut rig, mut boxes) = start_with_scripted_caches::<1>(|_| {});
     let mut open = rig.web();
-    open.send(&request(1, &object(1), 0)).unwrap();
-    let (_, place, fetch) = next_of(&mut boxes);
-    boxes[0].wires[place].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+    open.send(&photo_request(1, &object_id(1), 0)).unwrap();
+    let (_, place, fetch) = next_command(&mut boxes);
+    boxes[0].connections[place].respond(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
     assert_eq!(open.end().unwrap().1.unwrap().status, 200);
     let held = rig.hold();
     let asked = Instant::now();
-    open.send(&request(2, &object(2), 0)).unwrap();
+    open.send(&photo_request(2, &object_id(2), 0)).unwrap();
     let mut new = rig.web();
-    new.send(&request(3, &object(3), 0)).unwrap();
-    pass(STALL);
+    new.send(&photo_request(3, &object_id(3), 0)).unwrap();
+    busy_wait(STALL);
     drop(held);
     let mut begun = 0;
     while begun < 2 {
-        for (_, place, id, fields) in fetches(&mut boxes) {
+        for (_, place, id, fields) in take_fetches(&mut boxes) {
             check("a kept loop", &fields, asked);
-            boxes[0].wires[place].answer(&id, "200", "how=local,made=1,etag=t1", "a copy");
+            boxes[0].connections[place].respond(&id, "200", "how=local,made=1,etag=t1", "a copy");
             begun += 1;
         }
         assert!(asked.elapsed() < Duration::from_secs(10), "nothing comes");
@@ -110,8 +113,8 @@
     assert_eq!(open.end().unwrap().1.unwrap().status, 200);
     assert_eq!(new.end().unwrap().1.unwrap().status, 200);
     // What comes when the loop goes on has all of its time.
-    open.send(&request(4, &object(4), 0)).unwrap();
-    let (_, _, fetch) = next_of(&mut boxes);
+    open.send(&photo_request(4, &object_id(4), 0)).unwrap();
+    let (_, _, fetch) = next_command(&mut boxes);
     assert!(passed(&fetch[2]) > BUDGET - SLACK, "{fetch:?}");
     drop((open, new));
     rig.stop();
@@ -190,7 +193,7 @@
 /// A request of the process, and when it was asked.
 fn ask(web: &mut WebServer, n: u64) -> Instant {
     let asked = Instant::now();
-    web.ask(1, "photo", &object(n), BUDGET.as_millis() as u64)
+    web.ask(1, "photo", &object_id(n), BUDGET.as_millis() as u64)
         .unwrap();
     asked
 }
@@ -206,12 +209,12 @@
         let asked = ask(&mut open, 10 * round + 2);
         let mut new = WebServer::connect(site.front).unwrap();
         ask(&mut new, 10 * round + 3);
-        pass(STALL);
+        busy_wait(STALL);
         site.signal(Signal::CONT);
         for n in [10 * round + 2, 10 * round + 3] {
             let came = site
                 .cache
-                .wait_for(|a| a.word == "fetch" && a.field("key") == Some(&object(n)))
+                .wait_for(|a| a.word == "fetch" && a.field("key") == Some(&object_id(n)))
                 .expect("a call");
             check("a stopped process", &came.fields, asked);
         }
--- a/daemon/tests/loopback.rs
+++ b/daemon/tests/loopback.rs
@@ -1,35 +1,35 @@
-//! The daemon on loopback, with the stand-ins of the rehearsal kit around it.
+//! End-to-end tests of a daemon on loopback with fake caches, a fake origin and a fake event bus.
 
-mod rig;
+mod test_proxy;
 
 use linnetknot_harness::clients::{call, exchange, WebServer};
 use linnetknot_harness::fakes::cache::Manner;
 use linnetknot_harness::fakes::event_bus::{entry, Bus};
 use linnetknot_harness::unix_ms;
 use linnetknot_origin_health::Report;
-use rig::{object, one, Rig, READY};
 use serde_json::{json, Value};
 use std::io::ErrorKind;
 use std::net::{TcpListener, UdpSocket};
+use test_proxy::{object_id, send_and_receive, TestProxy, READY};
 
 #[test]
-fn requests_of_one_connection_are_served_in_any_order_and_unchanged() {
-    let rig = Rig::start();
-    let mut web = rig.web();
-    // Records of two requests in turn, the second whole before the first.
+fn interleaved_requests_on_one_connection_are_served_out_of_order() {
+    let proxy = TestProxy::start();
+    let mut web = proxy.web();
+    // The records of two requests are interleaved, and the second request is complete first.
     let first = WebServer::request(
         7,
         "/invoke/photo",
         &[
-            ("HTTP_REQUEST_ID", &object(10)),
-            ("HTTP_RESOURCE_KEY", &object(11)),
+            ("HTTP_REQUEST_ID", &object_id(10)),
+            ("HTTP_RESOURCE_KEY", &object_id(11)),
             ("HTTP_BUDGET_MS", "2000"),
         ],
         b"",
     );
     web.send(&first[..20]).unwrap();
     web.send(&first[20..first.len() - 8]).unwrap();
-    web.ask(8, "photo", &object(2), 2500).unwrap();
+    web.ask(8, "photo", &object_id(2), 2500).unwrap();
     let (id, answer) = web.end().unwrap();
     assert_eq!((id, answer.unwrap().status), (8, 200));
     web.send(&first[first.len() - 8..]).unwrap();
@@ -38,36 +38,42 @@
     assert_eq!((id, answer.status), (7, 200));
     assert!(
         answer.body.starts_with(b"000000000000000b/0@"),
-        "the bytes that the box gave"
+        "the body that the cache sent"
     );
-    // Many answers after each other: sums over what waits to be written must come back to nothing.
+    // The accounting of pending response bytes must return to zero after each response.
     for n in 0..50 {
-        assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
+        assert_eq!(
+            send_and_receive(&mut web, "photo", &object_id(n)).status,
+            200
+        );
     }
-    rig.stop();
+    proxy.stop();
 }
 
 #[test]
-fn a_write_goes_to_the_origin_with_its_body_and_key() {
-    let rig = Rig::start();
-    assert_eq!(one(&mut rig.web(), "post", &object(1)).status, 200);
-    let arrival = rig.origin.wait_for(|a| a.word == "fetch").unwrap();
+fn a_write_goes_to_the_origin_with_its_body_and_idempotency_key() {
+    let proxy = TestProxy::start();
+    assert_eq!(
+        send_and_receive(&mut proxy.web(), "post", &object_id(1)).status,
+        200
+    );
+    let arrival = proxy.origin.wait_for(|a| a.word == "fetch").unwrap();
     assert_eq!(arrival.body, b"a comment");
     assert_eq!(
         arrival.field("once"),
         Some("5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
     );
     assert_eq!(
-        (arrival.field("src"), rig.boxes[0].arrivals().len()),
+        (arrival.field("src"), proxy.caches[0].arrivals().len()),
         (None, 0)
     );
-    rig.stop();
+    proxy.stop();
 }
 
 #[test]
-fn with_no_box_to_reach_a_request_is_refused_and_told_when_to_come_back() {
-    let rig = Rig::with(&["s-0a"], |config| {
-        // An address at which nothing listens any more: refused connections prove that nothing ran.
+fn without_a_reachable_cache_a_request_is_rejected_with_a_retry_delay() {
+    let proxy = TestProxy::with(&["s-0a"], |config| {
+        // Nothing listens at this address: a refused connection proves that the request did not run.
         let free = TcpListener::bind("127.0.0.1:0")
             .unwrap()
             .local_addr()
@@ -80,48 +86,48 @@
         }
     });
     for class in ["photo", "post"] {
-        let answer = one(&mut rig.web(), class, &object(1));
+        let answer = send_and_receive(&mut proxy.web(), class, &object_id(1));
         assert_eq!(
             (answer.status, answer.header("back-off-ms")),
             (503, Some("200")),
             "{class}"
         );
     }
-    rig.stop();
+    proxy.stop();
 }
 
 #[test]
-fn a_silent_box_costs_one_answer_and_an_aborted_request_is_given_up_there() {
-    let rig = Rig::start();
-    rig.boxes[0].behave(Manner {
+fn a_silent_cache_leads_to_503_and_a_clients_abort_is_forwarded() {
+    let proxy = TestProxy::start();
+    proxy.caches[0].behave(Manner {
         mute: true,
         ..Manner::default()
     });
-    let mut web = rig.web();
-    web.ask(1, "photo", &object(1), 300).unwrap();
+    let mut web = proxy.web();
+    web.ask(1, "photo", &object_id(1), 300).unwrap();
     let (id, answer) = web.end().unwrap();
     assert_eq!(
         (id, answer.unwrap().status),
         (1, 503),
-        "safe to repeat, so refused"
+        "a request that is safe to repeat gets 503"
     );
-    web.ask(2, "photo", &object(2), 60_000).unwrap();
-    let sent = rig.boxes[0]
-        .wait_for(|a| a.field("key") == Some(&object(2)))
+    web.ask(2, "photo", &object_id(2), 60_000).unwrap();
+    let sent = proxy.caches[0]
+        .wait_for(|a| a.field("key") == Some(&object_id(2)))
         .unwrap();
     web.abort(2).unwrap();
     assert_eq!(web.end().unwrap(), (2, None));
-    assert!(rig.boxes[0]
+    assert!(proxy.caches[0]
         .wait_for(|a| a.word == "abort" && a.id == sent.id)
         .is_some());
-    rig.stop();
+    proxy.stop();
 }
 
 #[test]
-fn what_is_not_understood_ends_a_request_or_its_connection_and_nothing_else() {
-    let rig = Rig::start();
-    let (mut web, mut other) = (rig.web(), rig.web());
-    let (id, key) = (object(1), object(2));
+fn malformed_input_affects_only_its_own_request_or_connection() {
+    let proxy = TestProxy::start();
+    let (mut web, mut other) = (proxy.web(), proxy.web());
+    let (id, key) = (object_id(1), object_id(2));
     let good = [
         ("HTTP_REQUEST_ID", id.as_str()),
         ("HTTP_RESOURCE_KEY", &key),
@@ -156,133 +162,161 @@
             .unwrap();
         assert_eq!(web.end().unwrap().1.unwrap().status, 400, "{name}: {value}");
     }
-    assert_eq!(rig.boxes[0].arrivals(), [], "nothing of it was passed on");
+    assert_eq!(
+        proxy.caches[0].arrivals(),
+        [],
+        "no malformed request is forwarded"
+    );
     web.send(&WebServer::request(2, "/elsewhere", &[], b""))
         .unwrap();
     assert_eq!(web.end().unwrap().1.unwrap().status, 404);
     web.send(b"GET / HTTP/1.1\r\n\r\n").unwrap();
-    assert!(web.end().is_err(), "the connection is ended");
-    assert_eq!(one(&mut other, "photo", &object(1)).status, 200);
-    rig.stop();
+    assert!(web.end().is_err(), "the connection is closed");
+    assert_eq!(
+        send_and_receive(&mut other, "photo", &object_id(1)).status,
+        200
+    );
+    proxy.stop();
 }
 
 #[test]
-fn health_is_good_once_there_are_boxes() {
-    let rig = Rig::with(&[], |config| config["known"] = Value::Null);
-    let mut web = rig.web();
+fn the_health_check_passes_once_the_cache_list_has_arrived() {
+    let proxy = TestProxy::with(&[], |config| config["known"] = Value::Null);
+    let mut web = proxy.web();
     let mut health = || {
         web.send(&WebServer::request(1, "/_health", &[], b""))
             .unwrap();
         web.end().unwrap().1.unwrap().status
     };
     assert_eq!(health(), 503);
-    rig.bus
-        .list(true, vec![entry(&rig.origin, "hub", "origin", READY)]);
-    // Asked until the event has come: bounded by the patience of the test's runner alone.
+    proxy
+        .bus
+        .list(true, vec![entry(&proxy.origin, "hub", "origin", READY)]);
+    // Poll until the daemon has handled the event.
     while health() != 200 {}
-    rig.stop();
+    proxy.stop();
 }
 
 #[test]
-fn the_bus_is_called_again_behind_the_last_event_and_its_purges_bound_the_age() {
-    let rig = Rig::start();
-    let mut web = rig.web();
-    assert_eq!(rig.bus.call(0), Some(0));
-    let made = one(&mut web, "photo", &object(1)).made().unwrap();
-    // In the same millisecond no age tells the copy from one behind the purge.
+fn the_bus_stream_resumes_after_the_last_event_and_its_purges_limit_the_age() {
+    let proxy = TestProxy::start();
+    let mut web = proxy.web();
+    assert_eq!(proxy.bus.call(0), Some(0));
+    let made = send_and_receive(&mut web, "photo", &object_id(1))
+        .made()
+        .unwrap();
+    // Ages have a resolution of a millisecond: the purge must not fall into the same one as the copy.
     while unix_ms() <= made + 1 {}
-    rig.bus
-        .push(json!({"ban": {"url": object(1), "ts": made + 1}}));
-    while one(&mut web, "photo", &object(1)).made() == Some(made) {}
-    rig.bus.cut();
-    assert_eq!(rig.bus.call(1), Some(1));
-    rig.stop();
+    proxy
+        .bus
+        .push(json!({"ban": {"url": object_id(1), "ts": made + 1}}));
+    while send_and_receive(&mut web, "photo", &object_id(1)).made() == Some(made) {}
+    proxy.bus.cut();
+    assert_eq!(proxy.bus.call(1), Some(1));
+    proxy.stop();
 }
 
 #[test]
-fn an_address_taken_over_by_another_box_gets_connections_of_its_own() {
-    let rig = Rig::start();
-    let mut web = rig.web();
-    assert_eq!(one(&mut web, "photo", &object(1)).status, 200);
-    let heir = rig.boxes[0].heir("s-0b");
-    rig.bus.list(
+fn a_cache_that_takes_over_an_address_gets_new_connections() {
+    let proxy = TestProxy::start();
+    let mut web = proxy.web();
+    assert_eq!(
+        send_and_receive(&mut web, "photo", &object_id(1)).status,
+        200
+    );
+    let successor = proxy.caches[0].heir("s-0b");
+    proxy.bus.list(
         false,
         vec![
-            entry(&rig.boxes[0], "here", "box", "gone"),
-            entry(&heir, "here", "box", READY),
+            entry(&proxy.caches[0], "here", "box", "gone"),
+            entry(&successor, "here", "box", READY),
         ],
     );
-    while rig.boxes[0].connections() < 2 {
-        assert_eq!(one(&mut web, "photo", &object(2)).status, 200);
+    while proxy.caches[0].connections() < 2 {
+        assert_eq!(
+            send_and_receive(&mut web, "photo", &object_id(2)).status,
+            200
+        );
     }
-    rig.stop();
+    proxy.stop();
 }
 
-/// One empty answer must not leave a proxy, nor all that hear it, without a box.
+/// A single faulty list must not leave all proxies without caches.
 #[test]
-fn lists_that_are_empty_torn_or_stale_take_no_box_away_and_a_box_named_as_gone_goes() {
-    let rig = Rig::with(&["s-0a", "s-0b"], |_| {});
+fn empty_malformed_and_stale_lists_remove_no_cache_but_a_gone_entry_does() {
+    let proxy = TestProxy::with(&["s-0a", "s-0b"], |_| {});
     let topology = |rev: u64, all: bool, targets: Vec<Value>| json!({"topology": {"rev": rev, "all": all, "targets": targets}});
-    let first = |state: &str| entry(&rig.boxes[0], "here", "box", state);
-    rig.bus.push(topology(2, true, vec![]));
-    rig.bus.push(topology(
+    let first = |state: &str| entry(&proxy.caches[0], "here", "box", state);
+    proxy.bus.push(topology(2, true, vec![]));
+    proxy.bus.push(topology(
         3,
         true,
         vec![json!({"uid": "s-0a", "state": "asleep"})],
     ));
-    rig.bus.push(topology(4, false, vec![first("gone")]));
-    rig.bus.push(topology(1, false, vec![first(READY)]));
-    let mut web = rig.web();
-    // Once a request that the first box would have got goes to the second, all of it has been heard.
-    let place = |n: u64| {
-        rig.boxes.iter().position(|b| {
+    proxy.bus.push(topology(4, false, vec![first("gone")]));
+    proxy.bus.push(topology(1, false, vec![first(READY)]));
+    let mut web = proxy.web();
+    // Once 40 requests in a row have gone to the second cache, the daemon has handled all events.
+    let cache_index = |n: u64| {
+        proxy.caches.iter().position(|b| {
             b.arrivals()
                 .iter()
-                .any(|a| a.field("key") == Some(&object(n)))
+                .any(|a| a.field("key") == Some(&object_id(n)))
         })
     };
     let mut in_a_row = 0;
     for n in 1..=5_000 {
-        assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
-        in_a_row = if place(n) == Some(1) { in_a_row + 1 } else { 0 };
+        assert_eq!(
+            send_and_receive(&mut web, "photo", &object_id(n)).status,
+            200
+        );
+        in_a_row = if cache_index(n) == Some(1) {
+            in_a_row + 1
+        } else {
+            0
+        };
         if in_a_row == 40 {
             break;
         }
     }
     assert_eq!(
         in_a_row, 40,
-        "what was named as gone is still sent to, or was brought back by older news"
+        "the removed cache still gets requests, or a stale list has restored it"
     );
-    rig.stop();
+    proxy.stop();
 }
 
 #[test]
-fn what_is_open_at_the_end_is_answered() {
-    let rig = Rig::start();
-    rig.boxes[0].behave(Manner {
+fn requests_in_flight_at_shutdown_are_answered() {
+    let proxy = TestProxy::start();
+    proxy.caches[0].behave(Manner {
         hold_ms: 150,
         ..Manner::default()
     });
-    let mut web = rig.web();
-    web.ask(1, "photo", &object(1), 2500).unwrap();
-    rig.boxes[0].wait_for(|a| a.word == "fetch").unwrap();
-    let Rig {
-        mut control, run, ..
-    } = rig;
+    let mut web = proxy.web();
+    web.ask(1, "photo", &object_id(1), 2500).unwrap();
+    proxy.caches[0].wait_for(|a| a.word == "fetch").unwrap();
+    let TestProxy {
+        mut control,
+        thread,
+        ..
+    } = proxy;
     control.stop().unwrap();
     assert_eq!(web.end().unwrap().1.unwrap().status, 200);
-    run.join().unwrap().unwrap();
+    thread.join().unwrap().unwrap();
 }
 
 #[test]
-fn neighbours_get_the_specifications_errors() {
-    let rig = Rig::start();
-    let post = |path: &str, body: Value| call(rig.cdni, "POST", path, &body.to_string()).unwrap();
-    let url = format!("http://cdn.example/content/photo/{}", object(1));
+fn invalid_cdni_commands_get_the_errors_of_the_specification() {
+    let proxy = TestProxy::start();
+    let post = |path: &str, body: Value| call(proxy.cdni, "POST", path, &body.to_string()).unwrap();
+    let url = format!("http://cdn.example/content/photo/{}", object_id(1));
     let trigger = |kind: &str, selector: &str, value: &str| json!({"trigger": {"type": kind, selector: [value]}, "cdn-path": ["AS64501:0"]});
-    assert_eq!(exchange(rig.cdni, b"what?\r\n\r\n").unwrap().status, 400);
+    assert_eq!(exchange(proxy.cdni, b"what?\r\n\r\n").unwrap().status, 400);
     assert_eq!(
-        call(rig.cdni, "PUT", "/cdni/triggers", "").unwrap().status,
+        call(proxy.cdni, "PUT", "/cdni/triggers", "")
+            .unwrap()
+            .status,
         405
     );
     assert_eq!(
@@ -291,7 +325,11 @@
     );
     let own =
         json!({"trigger": {"type": "purge", "content.urls": [url]}, "cdn-path": ["AS64500:0"]});
-    assert_eq!(post("/cdni/triggers", own).status, 403, "a loop");
+    assert_eq!(
+        post("/cdni/triggers", own).status,
+        403,
+        "a command that has already passed this CDN is a loop"
+    );
     for (command, status, error) in [
         (trigger("purge", "content.urls", &url), "complete", None),
         (
@@ -322,57 +360,64 @@
             (201, Some(status))
         );
         assert_eq!(value["errors"][0]["error"].as_str(), error);
-        let place = answer
+        let location = answer
             .header("location")
             .unwrap()
             .strip_prefix("http://cdn.example")
             .unwrap();
-        assert_eq!(call(rig.cdni, "GET", place, "").unwrap().body, answer.body);
-        assert_eq!(call(rig.cdni, "DELETE", place, "").unwrap().status, 204);
-        assert_eq!(call(rig.cdni, "GET", place, "").unwrap().status, 404);
+        assert_eq!(
+            call(proxy.cdni, "GET", location, "").unwrap().body,
+            answer.body
+        );
+        assert_eq!(
+            call(proxy.cdni, "DELETE", location, "").unwrap().status,
+            204
+        );
+        assert_eq!(call(proxy.cdni, "GET", location, "").unwrap().status, 404);
     }
     let redirect = |http: Value, path: &str| {
         let answer = post("/cdni/redirect", json!({"http": http, "cdn-path": [path]}));
         serde_json::from_slice::<Value>(&answer.body).unwrap()
     };
-    let asked = |client: &str| json!({"c-ip": client, "cs-uri": url, "cs-method": "GET"});
-    let good = redirect(asked("127.0.0.1"), "AS64501:0");
+    let redirect_request =
+        |client: &str| json!({"c-ip": client, "cs-uri": url, "cs-method": "GET"});
+    let good = redirect(redirect_request("127.0.0.1"), "AS64501:0");
     assert_eq!(good["http"]["sc-(location)"], format!("{url}/0"));
     assert_eq!(
-        redirect(asked("10.0.0.1"), "AS64501:0")["error"]["error-code"],
+        redirect(redirect_request("10.0.0.1"), "AS64501:0")["error"]["error-code"],
         504
     );
     assert_eq!(
-        redirect(asked("127.0.0.1"), "AS64500:0")["error"]["error-code"],
+        redirect(redirect_request("127.0.0.1"), "AS64500:0")["error"]["error-code"],
         502
     );
     assert_eq!(redirect(json!({}), "AS64501:0")["error"]["error-code"], 400);
-    let footprint = call(rig.cdni, "GET", "/cdni/footprint", "").unwrap();
+    let footprint = call(proxy.cdni, "GET", "/cdni/footprint", "").unwrap();
     assert!(String::from_utf8(footprint.body)
         .unwrap()
         .contains("127.0.0.0/8"));
     assert_eq!(
-        call(rig.cdni, "GET", "/content/photo/nothing", "")
+        call(proxy.cdni, "GET", "/content/photo/nothing", "")
             .unwrap()
             .status,
         404
     );
-    rig.stop();
+    proxy.stop();
 }
 
 #[test]
-fn content_asked_for_by_cdni_goes_through_the_same_decisions() {
-    let rig = Rig::start();
+fn content_requested_over_cdni_is_routed_like_any_other_request() {
+    let proxy = TestProxy::start();
     let get = |headers: &str| {
         let request = format!(
             "GET /content/photo/{}/3?kb=40 HTTP/1.1\r\n{headers}Connection: close\r\n\r\n",
-            object(1)
+            object_id(1)
         );
-        exchange(rig.cdni, request.as_bytes()).unwrap()
+        exchange(proxy.cdni, request.as_bytes()).unwrap()
     };
     let answer = get("");
     assert_eq!((answer.status, answer.surplus), (200, false));
-    let arrival = rig.boxes[0].wait_for(|a| a.word == "fetch").unwrap();
+    let arrival = proxy.caches[0].wait_for(|a| a.word == "fetch").unwrap();
     assert_eq!(
         (
             arrival.field("class"),
@@ -383,207 +428,225 @@
     );
     let tag = answer.header("etag").unwrap().to_owned();
     get(&format!("If-None-Match: {tag}\r\n"));
-    assert!(rig.boxes[0]
+    assert!(proxy.caches[0]
         .wait_for(|a| a.field("have") == Some(tag.trim_matches('"')))
         .is_some());
-    rig.stop();
+    proxy.stop();
 }
 
 #[test]
-fn in_a_full_table_an_idle_client_makes_room_and_one_that_waits_for_its_answer_does_not() {
-    // Room for one client.
-    let rig = Rig::with(&["s-0a"], |config| config["limits"]["sockets"] = json!(3));
-    let mut first = rig.web();
-    assert_eq!(one(&mut first, "photo", &object(1)).status, 200);
-    rig.boxes[0].behave(Manner {
+fn when_the_connection_table_is_full_only_idle_clients_are_closed() {
+    // The limit leaves room for one client.
+    let proxy = TestProxy::with(&["s-0a"], |config| config["limits"]["sockets"] = json!(3));
+    let mut first = proxy.web();
+    assert_eq!(
+        send_and_receive(&mut first, "photo", &object_id(1)).status,
+        200
+    );
+    proxy.caches[0].behave(Manner {
         hold_ms: 280,
         ..Manner::default()
     });
-    let mut second = rig.web();
-    second.ask(1, "photo", &object(2), 2500).unwrap();
-    rig.boxes[0]
-        .wait_for(|a| a.field("key") == Some(&object(2)))
+    let mut second = proxy.web();
+    second.ask(1, "photo", &object_id(2), 2500).unwrap();
+    proxy.caches[0]
+        .wait_for(|a| a.field("key") == Some(&object_id(2)))
         .unwrap();
     assert!(
         first.end().is_err(),
-        "it asked once, kept its connection and had to leave"
+        "the idle client is closed to make room"
     );
-    let mut third = rig.web();
-    third.ask(1, "photo", &object(3), 2500).unwrap();
+    let mut third = proxy.web();
+    third.ask(1, "photo", &object_id(3), 2500).unwrap();
     assert_eq!(
         second.end().unwrap().1.unwrap().status,
         200,
-        "the third waited in the queue meanwhile"
+        "the third client waits in the accept queue meanwhile"
     );
     drop(second);
     assert_eq!(third.end().unwrap().1.unwrap().status, 200);
-    rig.stop();
+    proxy.stop();
 }
 
 #[test]
-fn clients_that_say_nothing_or_half_a_request_are_ended_and_shut_nobody_out() {
-    let rig = Rig::with(&["s-0a"], |config| config["limits"]["sockets"] = json!(20));
-    // Twice as many as there is room for, and longer than they are waited for.
+fn silent_clients_and_partial_requests_are_closed_and_block_nobody() {
+    let proxy = TestProxy::with(&["s-0a"], |config| config["limits"]["sockets"] = json!(20));
+    // More clients than there is room for. They stay until the daemon closes them.
     let request = WebServer::request(1, "/invoke/photo", &[("HTTP_REQUEST_ID", "0a")], b"");
-    let mut crowd: Vec<_> = (0..24).map(|_| rig.web()).collect();
-    crowd
+    let mut clients: Vec<_> = (0..24).map(|_| proxy.web()).collect();
+    clients
         .iter_mut()
         .skip(12)
-        .for_each(|half| half.send(&request[..30]).unwrap_or(()));
-    assert_eq!(one(&mut rig.web(), "photo", &object(1)).status, 200);
-    for client in &mut crowd {
-        let gone = client.end().unwrap_err().kind();
+        .for_each(|client| client.send(&request[..30]).unwrap_or(()));
+    assert_eq!(
+        send_and_receive(&mut proxy.web(), "photo", &object_id(1)).status,
+        200
+    );
+    for client in &mut clients {
+        let error = client.end().unwrap_err().kind();
         assert!(
-            matches!(gone, ErrorKind::UnexpectedEof | ErrorKind::ConnectionReset),
-            "{gone}"
+            matches!(error, ErrorKind::UnexpectedEof | ErrorKind::ConnectionReset),
+            "{error}"
         );
     }
-    rig.stop();
+    proxy.stop();
 }
 
 #[test]
-fn on_sighup_the_bus_is_read_on_where_the_new_configuration_says_and_nothing_open_is_dropped() {
-    let mut rig = Rig::start();
-    rig.bus.push(json!({"ban": {"tag": 1, "ts": 1}}));
-    assert_eq!(rig.bus.call(0), Some(0));
-    let moved = Bus::start().unwrap();
-    moved.push(json!({"ban": {"tag": 1, "ts": 1}}));
-    rig.boxes[0].behave(Manner {
+fn a_reload_switches_the_bus_address_and_drops_no_open_request() {
+    let mut proxy = TestProxy::start();
+    proxy.bus.push(json!({"ban": {"tag": 1, "ts": 1}}));
+    assert_eq!(proxy.bus.call(0), Some(0));
+    let new_bus = Bus::start().unwrap();
+    new_bus.push(json!({"ban": {"tag": 1, "ts": 1}}));
+    proxy.caches[0].behave(Manner {
         hold_ms: 300,
         ..Manner::default()
     });
-    let mut web = rig.web();
-    web.ask(1, "photo", &object(1), 2500).unwrap();
-    let made = rig.boxes[0]
-        .wait_for(|a| a.field("key") == Some(&object(1)))
+    let mut web = proxy.web();
+    web.ask(1, "photo", &object_id(1), 2500).unwrap();
+    let made = proxy.caches[0]
+        .wait_for(|a| a.field("key") == Some(&object_id(1)))
         .unwrap()
         .at;
-    rig.file.lock().unwrap()["bus"] = json!("nowhere");
-    rig.control.reload().unwrap();
-    // A faulty file changes nothing: the bus that was is read on.
-    rig.bus.push(json!({"ban": {"tag": 2, "ts": 1}}));
+    proxy.config_file.lock().unwrap()["bus"] = json!("nowhere");
+    proxy.control.reload().unwrap();
+    // An invalid configuration changes nothing: the daemon goes on reading the old bus.
+    proxy.bus.push(json!({"ban": {"tag": 2, "ts": 1}}));
     assert_eq!(web.end().unwrap().1.unwrap().status, 200);
-    rig.boxes[0].behave(Manner::default());
-    rig.bus
-        .push(json!({"ban": {"url": object(1), "ts": made + 1}}));
-    while one(&mut web, "photo", &object(1)).made() == Some(made) {}
-    (0..2).for_each(|tag| moved.push(json!({"ban": {"tag": tag, "ts": 1}})));
-    rig.file.lock().unwrap()["bus"] = json!(moved.address.to_string());
-    rig.control.reload().unwrap();
-    assert_eq!(moved.call(0), Some(3), "behind the last event");
+    proxy.caches[0].behave(Manner::default());
+    proxy
+        .bus
+        .push(json!({"ban": {"url": object_id(1), "ts": made + 1}}));
+    while send_and_receive(&mut web, "photo", &object_id(1)).made() == Some(made) {}
+    (0..2).for_each(|tag| new_bus.push(json!({"ban": {"tag": tag, "ts": 1}})));
+    proxy.config_file.lock().unwrap()["bus"] = json!(new_bus.address.to_string());
+    proxy.control.reload().unwrap();
+    assert_eq!(
+        new_bus.call(0),
+        Some(3),
+        "the stream is resumed after the last event"
+    );
     assert_eq!(
-        one(&mut web, "photo", &object(3)).status,
+        send_and_receive(&mut web, "photo", &object_id(3)).status,
         200,
-        "on the same connection"
+        "the client's connection stays open"
     );
-    rig.stop();
+    proxy.stop();
 }
 
-/// What one proxy finds out by a single answer, each of the others would have to find out by one of its own.
+/// Without reports, each proxy would need slow responses of its own to detect a slow origin.
 #[test]
-fn a_late_origin_is_heard_of_from_peers_alone_and_told_to_them() {
+fn a_slow_origin_is_reported_to_peers_and_accepted_from_peers_alone() {
     let (peer, stranger) = (
         UdpSocket::bind("127.0.0.1:0").unwrap(),
         UdpSocket::bind("127.0.0.1:0").unwrap(),
     );
-    let rig = Rig::with(&["s-0a"], |config| {
+    let proxy = TestProxy::with(&["s-0a"], |config| {
         config["peer_listen"] = json!("127.0.0.1:0");
         config["peers"] = json!([peer.local_addr().unwrap().to_string()]);
         config["tell"] = json!(true);
     });
-    let mut web = rig.web();
-    // Whether the origin may be asked for a copy that the box lacks.
-    let mut is_asked = |n: u64| {
-        web.ask(1, "photo", &object(n), 2500).unwrap();
+    let mut web = proxy.web();
+    // Whether a fetch permits the cache to fill from the origin.
+    let mut origin_is_allowed = |n: u64| {
+        web.ask(1, "photo", &object_id(n), 2500).unwrap();
         web.end().unwrap();
-        let arrival = rig.boxes[0]
-            .wait_for(|a| a.field("key") == Some(&object(n)))
+        let arrival = proxy.caches[0]
+            .wait_for(|a| a.field("key") == Some(&object_id(n)))
             .unwrap();
         arrival.field("src").is_some() && !arrival.field("flags").unwrap_or("").contains("no-fetch")
     };
-    rig.boxes[0].behave(Manner {
+    proxy.caches[0].behave(Manner {
         origin_ms: 2_400,
         ..Manner::default()
     });
-    assert!(is_asked(1));
+    assert!(origin_is_allowed(1));
     let mut bytes = [0; 512];
     let (length, from) = peer.recv_from(&mut bytes).unwrap();
-    let told = Report::decode(&bytes[..length]).unwrap();
-    assert!(told.number == 1 && told.origin_share < 0.7, "{told:?}");
-    rig.boxes[0].behave(Manner {
+    let received_report = Report::decode(&bytes[..length]).unwrap();
+    assert!(
+        received_report.number == 1 && received_report.origin_share < 0.7,
+        "{received_report:?}"
+    );
+    proxy.caches[0].behave(Manner {
         origin_ms: 1,
         ..Manner::default()
     });
-    // It is well again: by its own answers the daemon goes back to asking for all.
+    // The origin has recovered: fast responses must lift the limit on fills.
     let mut next = 2;
     let mut in_a_row = 0;
     while in_a_row < 60 {
         assert!(
             next < 5_000,
-            "the daemon goes on sparing an origin that is well"
+            "fills from the recovered origin are still limited"
         );
-        in_a_row = if is_asked(next) { in_a_row + 1 } else { 0 };
+        in_a_row = if origin_is_allowed(next) {
+            in_a_row + 1
+        } else {
+            0
+        };
         next += 1;
     }
-    let late = Report {
-        started_at: told.started_at,
+    let slow_report = Report {
+        started_at: received_report.started_at,
         number: 1,
         origin_share: 0.0,
-        zone: told.zone,
+        zone: received_report.zone,
     }
     .encode();
-    stranger.send_to(&late, from).unwrap();
-    peer.send_to(&late[..20], from).unwrap();
-    // Once this is in force, what came before it was heard.
-    let made = one(&mut rig.web(), "photo", &object(1)).made();
+    stranger.send_to(&slow_report, from).unwrap();
+    peer.send_to(&slow_report[..20], from).unwrap();
+    // Once this purge is in force, the daemon has handled all earlier datagrams.
+    let made = send_and_receive(&mut proxy.web(), "photo", &object_id(1)).made();
     while unix_ms() <= made.unwrap() + 1 {}
     peer.send_to(
-        format!("purge object {} {}", object(1), unix_ms() * 1000).as_bytes(),
+        format!("purge object {} {}", object_id(1), unix_ms() * 1000).as_bytes(),
         from,
     )
     .unwrap();
-    while one(&mut rig.web(), "photo", &object(1)).made() == made {}
+    while send_and_receive(&mut proxy.web(), "photo", &object_id(1)).made() == made {}
     assert!(
-        (next..next + 20).all(&mut is_asked),
-        "neither a stranger's word nor a torn one counts"
+        (next..next + 20).all(&mut origin_is_allowed),
+        "reports from strangers and truncated reports are ignored"
     );
     next += 20;
     let mut number = 1;
-    while is_asked(next) {
-        assert!(number < 5_000, "a peer's words change nothing");
-        let word = Report {
-            started_at: told.started_at,
+    while origin_is_allowed(next) {
+        assert!(number < 5_000, "the reports of a peer have no effect");
+        let report = Report {
+            started_at: received_report.started_at,
             number,
             origin_share: 0.0,
-            zone: told.zone,
+            zone: received_report.zone,
         };
-        peer.send_to(&word.encode(), from).unwrap();
+        peer.send_to(&report.encode(), from).unwrap();
         (number, next) = (number + 1, next + 1);
     }
-    rig.stop();
+    proxy.stop();
 }
 
 #[test]
-fn a_purge_told_at_one_proxy_reaches_its_peers_and_none_is_taken_from_strangers() {
+fn a_purge_is_sent_to_peers_and_accepted_from_peers_alone() {
     let (peer, stranger) = (
         UdpSocket::bind("127.0.0.1:0").unwrap(),
         UdpSocket::bind("127.0.0.1:0").unwrap(),
     );
-    let rig = Rig::with(&["s-0a"], |config| {
+    let proxy = TestProxy::with(&["s-0a"], |config| {
         config["peer_listen"] = json!("127.0.0.1:0");
         config["peers"] = json!([peer.local_addr().unwrap().to_string()]);
     });
-    let mut web = rig.web();
+    let mut web = proxy.web();
     let made: Vec<_> = [1, 3]
         .iter()
-        .map(|n| one(&mut web, "photo", &object(*n)).made())
+        .map(|n| send_and_receive(&mut web, "photo", &object_id(*n)).made())
         .collect();
     while unix_ms() <= made[1].unwrap() + 1 {}
-    let url = format!("http://cdn.example/content/photo/{}", object(2));
+    let url = format!("http://cdn.example/content/photo/{}", object_id(2));
     let command =
         json!({"trigger": {"type": "purge", "content.urls": [url]}, "cdn-path": ["AS64501:0"]});
     assert_eq!(
-        call(rig.cdni, "POST", "/cdni/triggers", &command.to_string())
+        call(proxy.cdni, "POST", "/cdni/triggers", &command.to_string())
             .unwrap()
             .status,
         201
@@ -592,63 +655,75 @@
     let (length, from) = peer.recv_from(&mut bytes).unwrap();
     let text = std::str::from_utf8(&bytes[..length]).unwrap();
     assert!(
-        text.starts_with(&format!("purge object {} ", object(2))),
+        text.starts_with(&format!("purge object {} ", object_id(2))),
         "{text}"
     );
     let now = unix_ms() * 1000;
     stranger
-        .send_to(format!("purge object {} {now}", object(3)).as_bytes(), from)
-        .unwrap();
-    peer.send_to(format!("purge object {} {now}", object(1)).as_bytes(), from)
+        .send_to(
+            format!("purge object {} {now}", object_id(3)).as_bytes(),
+            from,
+        )
         .unwrap();
-    while one(&mut web, "photo", &object(1)).made() == made[0] {}
-    assert_eq!(one(&mut web, "photo", &object(3)).made(), made[1]);
-    rig.stop();
+    peer.send_to(
+        format!("purge object {} {now}", object_id(1)).as_bytes(),
+        from,
+    )
+    .unwrap();
+    while send_and_receive(&mut web, "photo", &object_id(1)).made() == made[0] {}
+    assert_eq!(
+        send_and_receive(&mut web, "photo", &object_id(3)).made(),
+        made[1]
+    );
+    proxy.stop();
 }
 
 #[test]
-fn a_purge_told_by_cdni_holds_for_a_daemon_that_starts_again() {
+fn a_cdni_purge_remains_in_force_after_a_restart() {
     let path = std::env::temp_dir().join(format!("linnetknot-purges-{}", std::process::id()));
-    let kept = |config: &mut Value| config["purges"] = json!(path);
-    let rig = Rig::with(&["s-0a"], kept);
-    let url = format!("http://cdn.example/content/photo/{}", object(1));
+    let with_purge_store = |config: &mut Value| config["purges"] = json!(path);
+    let proxy = TestProxy::with(&["s-0a"], with_purge_store);
+    let url = format!("http://cdn.example/content/photo/{}", object_id(1));
     let command =
         json!({"trigger": {"type": "purge", "content.urls": [url]}, "cdn-path": ["AS64501:0"]});
     assert_eq!(
-        call(rig.cdni, "POST", "/cdni/triggers", &command.to_string())
+        call(proxy.cdni, "POST", "/cdni/triggers", &command.to_string())
             .unwrap()
             .status,
         201
     );
-    rig.stop();
-    let rig = Rig::with(&["s-0a"], kept);
-    let mut web = rig.web();
+    proxy.stop();
+    let proxy = TestProxy::with(&["s-0a"], with_purge_store);
+    let mut web = proxy.web();
     for (n, bounded) in [(1, true), (2, false)] {
-        assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
-        let asked = rig.boxes[0]
-            .wait_for(|a| a.field("key") == Some(&object(n)))
+        assert_eq!(
+            send_and_receive(&mut web, "photo", &object_id(n)).status,
+            200
+        );
+        let fetch = proxy.caches[0]
+            .wait_for(|a| a.field("key") == Some(&object_id(n)))
             .unwrap();
-        assert_eq!(asked.field("maxage").is_some(), bounded, "{}", asked.fields);
+        assert_eq!(fetch.field("maxage").is_some(), bounded, "{}", fetch.fields);
     }
-    rig.stop();
+    proxy.stop();
     std::fs::remove_file(path).unwrap();
 }
 
 #[test]
-fn a_slow_reader_gets_its_answers_whole_and_holds_nobody_up() {
-    let rig = Rig::start();
-    rig.boxes[0].behave(Manner {
+fn a_slow_reader_gets_complete_responses_and_delays_nobody() {
+    let proxy = TestProxy::start();
+    proxy.caches[0].behave(Manner {
         padding: 240_000,
         ..Manner::default()
     });
-    let (mut slow, mut other) = (rig.web(), rig.web());
-    // Far more than the sockets and rings between take.
+    let (mut slow, mut other) = (proxy.web(), proxy.web());
+    // Far more bytes than the socket and ring buffers hold.
     for id in 1..=32 {
-        slow.ask(id, "photo", &object(u64::from(id)), 60_000)
+        slow.ask(id, "photo", &object_id(u64::from(id)), 60_000)
             .unwrap();
     }
-    // Of another name than any of them.
-    other.ask(99, "photo", &object(99), 2500).unwrap();
+    // The id differs from those of the slow client.
+    other.ask(99, "photo", &object_id(99), 2500).unwrap();
     assert_eq!(other.end().unwrap().1.unwrap().body.len() / 1000, 240);
     for _ in 1..=32 {
         let (id, answer) = slow.end().unwrap();
@@ -659,94 +734,96 @@
             answer.status
         );
     }
-    rig.stop();
+    proxy.stop();
 }
 
 #[test]
-fn the_connections_of_a_box_that_is_gone_end_once_nothing_is_open_on_them() {
-    let rig = Rig::with(&["s-0a", "s-0b"], |_| {});
-    let mut web = rig.web();
-    rig.boxes.iter().for_each(|b| {
+fn connections_to_a_removed_cache_close_once_their_requests_are_finished() {
+    let proxy = TestProxy::with(&["s-0a", "s-0b"], |_| {});
+    let mut web = proxy.web();
+    proxy.caches.iter().for_each(|b| {
         b.behave(Manner {
             hold_ms: 250,
             ..Manner::default()
         });
     });
-    (1..=6).for_each(|n| web.ask(n, "photo", &object(u64::from(n)), 2500).unwrap());
-    rig.boxes[0].wait_for(|a| a.word == "fetch").unwrap();
-    rig.bus
-        .list(false, vec![entry(&rig.boxes[0], "here", "box", "gone")]);
+    (1..=6).for_each(|n| web.ask(n, "photo", &object_id(u64::from(n)), 2500).unwrap());
+    proxy.caches[0].wait_for(|a| a.word == "fetch").unwrap();
+    proxy
+        .bus
+        .list(false, vec![entry(&proxy.caches[0], "here", "box", "gone")]);
     for _ in 1..=6 {
         assert_eq!(
             web.end().unwrap().1.unwrap().status,
             200,
-            "what was out there is answered"
+            "requests in flight at the removed cache are answered"
         );
     }
-    while rig.boxes[0].open() > 0 {}
-    rig.stop();
+    while proxy.caches[0].open() > 0 {}
+    proxy.stop();
 }
 
 #[test]
-fn many_attempts_at_one_box_are_spread_over_connections() {
-    let rig = Rig::start();
-    rig.boxes[0].behave(Manner {
+fn concurrent_attempts_at_one_cache_are_spread_over_connections() {
+    let proxy = TestProxy::start();
+    proxy.caches[0].behave(Manner {
         hold_ms: 100,
         ..Manner::default()
     });
-    let mut web = rig.web();
+    let mut web = proxy.web();
     for round in 0..3 {
         (1..=8).for_each(|n| {
-            web.ask(n, "photo", &object(round * 8 + u64::from(n)), 2500)
+            web.ask(n, "photo", &object_id(round * 8 + u64::from(n)), 2500)
                 .unwrap();
         });
         for _ in 1..=8 {
             assert_eq!(web.end().unwrap().1.unwrap().status, 200);
         }
     }
-    // One that breaks takes two or three with it, not all.
+    // A broken connection must not affect all attempts.
     assert!(
-        (3..=8).contains(&rig.boxes[0].connections()),
+        (3..=8).contains(&proxy.caches[0].connections()),
         "{}",
-        rig.boxes[0].connections()
+        proxy.caches[0].connections()
     );
-    rig.stop();
+    proxy.stop();
 }
 
-/// Of a hundred proxies each keeps one connection more with every silence, and the box's places are taken for good.
+/// If each proxy kept its suspect connections, they would exhaust the connection limit of the cache.
 #[test]
-fn a_connection_that_a_silent_box_left_doubtful_is_given_up_for_the_one_that_follows_it() {
-    let rig = Rig::start();
-    rig.origin.behave(Manner {
+fn a_suspect_connection_to_a_silent_cache_is_closed_after_its_replacement() {
+    let proxy = TestProxy::start();
+    proxy.origin.behave(Manner {
         mute: true,
         ..Manner::default()
     });
-    let mut web = rig.web();
+    let mut web = proxy.web();
     for n in 1..=4 {
-        // Longer than a pause: what is given up then leaves its connection in doubt.
-        web.ask(n, "post", &object(u64::from(n)), 1_100).unwrap();
+        // The budget exceeds the suspect timeout, so the aborted attempt leaves its connection suspect.
+        web.ask(n, "post", &object_id(u64::from(n)), 1_100).unwrap();
         assert_eq!(
             web.end().unwrap().1.unwrap().status,
             503,
-            "asking again is harmless: it carries a key"
+            "a write with an idempotency key is safe to repeat"
         );
     }
-    rig.origin
-        .wait_for(|a| a.field("key") == Some(&object(4)))
+    proxy
+        .origin
+        .wait_for(|a| a.field("key") == Some(&object_id(4)))
         .unwrap();
     assert_eq!(
-        rig.origin.connections(),
+        proxy.origin.connections(),
         4,
-        "each of them is tried on a new one"
+        "each attempt takes a new connection"
     );
-    // The last two: what was given up a moment ago is still being told on the one before.
+    // Two may remain: the abort of the last attempt is still being sent on the older one.
     let until = std::time::Instant::now() + std::time::Duration::from_secs(10);
-    while rig.origin.open() > 2 {
+    while proxy.origin.open() > 2 {
         assert!(
             std::time::Instant::now() < until,
-            "{} are kept",
-            rig.origin.open()
+            "{} connections are still open",
+            proxy.origin.open()
         );
     }
-    rig.stop();
+    proxy.stop();
 }
--- a/daemon/tests/shutdown_terms.rs
+++ b/daemon/tests/shutdown_terms.rs
@@ -1,52 +1,56 @@
-//! SIGKILL may come the longest deadline, of 3 s at the most, and 0.7 s after SIGTERM: by then everything that clients
-//! sent on open connections has its answer, also where no box answers anything.
+//! SIGKILL may follow SIGTERM after the longest deadline, at most 3 s, plus 0.7 s. By then all requests on open
+//! connections must be answered, even if no cache responds.
 
-mod rig;
-mod scripted;
+mod scripted_caches;
+mod test_proxy;
 
 use linnetknot_harness::clients::WebServer;
 use linnetknot_harness::fakes::cache::Manner;
-use rig::{object, Rig};
-use scripted::pass;
+use scripted_caches::busy_wait;
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
+use test_proxy::{object_id, TestProxy};
 
-/// What may pass behind the longest deadline until SIGKILL.
-const BEYOND: Duration = Duration::from_millis(700);
+/// Time from the longest deadline to SIGKILL.
+const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
 const CLIENTS: u64 = 3;
-/// From then on after SIGTERM no box answers anything.
-const HANGS_FROM: Duration = Duration::from_millis(600);
-/// Between two requests of a client.
-const EACH: Duration = Duration::from_millis(20);
+/// Time from SIGTERM until all caches stop responding.
+const MUTE_AFTER: Duration = Duration::from_millis(600);
+/// Interval between two requests of a client.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a client got.
-struct Got {
-    /// Requests without an answer, by how long after SIGTERM they were sent.
+struct ClientResult {
+    /// Requests without a response, as the times after SIGTERM at which they were sent.
     unanswered: Vec<Duration>,
-    /// When the last answer came, after SIGTERM.
+    /// Time from SIGTERM to the last response.
     last_answer: Duration,
-    /// How many were answered.
+    /// Number of responses.
     answered: usize,
 }
 
-/// Sends on one connection until it ends there, and reads meanwhile.
-fn client(mut web: WebServer, number: u64, deadline: Duration, term: Instant) -> Got {
+/// Sends requests on a connection and reads the responses until the daemon closes it.
+fn run_client(
+    mut web: WebServer,
+    number: u64,
+    deadline: Duration,
+    sigterm_at: Instant,
+) -> ClientResult {
     let mut writer = web.writer().unwrap();
-    let (sent, told) = std::sync::mpsc::channel::<(u16, Instant)>();
+    let (sent_sender, sent_requests) = std::sync::mpsc::channel::<(u16, Instant)>();
     let sender = std::thread::spawn(move || {
-        let mut asks = 0;
-        let mut web = Writer(&mut writer);
+        let mut count = 0;
+        let mut web = RequestWriter(&mut writer);
         while web.is_open() {
             let at = Instant::now();
-            let id = 1 + asks as u16;
-            if web.ask(id, number * 100_000 + asks, deadline).is_err() {
+            let id = 1 + count as u16;
+            if web.ask(id, number * 100_000 + count, deadline).is_err() {
                 return;
             }
-            if sent.send((id, at)).is_err() {
+            if sent_sender.send((id, at)).is_err() {
                 return;
             }
-            asks += 1;
-            std::thread::sleep(EACH);
+            count += 1;
+            std::thread::sleep(REQUEST_INTERVAL);
         }
     });
     let (mut answered, mut last_answer) = (HashSet::new(), Instant::now());
@@ -55,22 +59,22 @@
         last_answer = Instant::now();
     }
     sender.join().unwrap();
-    let unanswered = told
+    let unanswered = sent_requests
         .iter()
         .filter(|(id, _)| !answered.contains(id))
-        .map(|(_, at)| at.saturating_duration_since(term));
-    Got {
+        .map(|(_, at)| at.saturating_duration_since(sigterm_at));
+    ClientResult {
         unanswered: unanswered.collect(),
-        last_answer: last_answer.saturating_duration_since(term),
+        last_answer: last_answer.saturating_duration_since(sigterm_at),
         answered: answered.len(),
     }
 }
 
-/// The sending half of a client.
-struct Writer<'a>(&'a mut std::net::TcpStream);
+/// The sending half of a client's connection.
+struct RequestWriter<'a>(&'a mut std::net::TcpStream);
 
-impl Writer<'_> {
-    /// Whether the daemon has not ended its half: nothing is sent behind that.
+impl RequestWriter<'_> {
+    /// Returns false once the daemon has closed its half, after which no request may be sent.
     fn is_open(&self) -> bool {
         let flags = rustix::net::RecvFlags::PEEK | rustix::net::RecvFlags::DONTWAIT;
         let mut byte = [0];
@@ -79,7 +83,7 @@
 
     fn ask(&mut self, id: u16, number: u64, deadline: Duration) -> std::io::Result<()> {
         let (name, budget) = (format!("{number:016x}"), deadline.as_millis().to_string());
-        let key = object(number);
+        let key = object_id(number);
         let fields = [
             ("HTTP_REQUEST_ID", name.as_str()),
             ("HTTP_RESOURCE_KEY", key.as_str()),
@@ -90,61 +94,66 @@
     }
 }
 
-fn ends_in_time(deadline: Duration) {
-    let mut rig = Rig::with(&["s-0a", "s-0b"], |config| {
-        // Whatever is out stays out until its deadline.
+fn check_shutdown_with_deadline(deadline: Duration) {
+    let mut proxy = TestProxy::with(&["s-0a", "s-0b"], |config| {
+        // Attempts stay outstanding until their deadline.
         config["settings"]["limits"]["cancel"] = false.into();
         for class in config["settings"]["categories"].as_array_mut().unwrap() {
             class["deadline-us"] = (deadline.as_micros() as u64).into();
             class["aim-us"] = (deadline.as_micros() as u64 / 2).into();
         }
     });
-    let webs: Vec<WebServer> = (0..CLIENTS).map(|_| rig.web()).collect();
-    // Nothing waits for this moment: the clients send from the same moment on.
-    let term = Instant::now();
-    rig.control.stop().unwrap();
+    let webs: Vec<WebServer> = (0..CLIENTS).map(|_| proxy.web()).collect();
+    // The clients start to send at the same time as the daemon is signalled.
+    let sigterm_at = Instant::now();
+    proxy.control.stop().unwrap();
     let clients: Vec<_> = webs
         .into_iter()
         .zip(1..)
-        .map(|(web, number)| std::thread::spawn(move || client(web, number, deadline, term)))
+        .map(|(web, number)| {
+            std::thread::spawn(move || run_client(web, number, deadline, sigterm_at))
+        })
         .collect();
-    // Late in the grace, so that nothing is known yet of what hangs.
-    pass(HANGS_FROM);
-    for stand_in in rig.boxes.iter().chain([&rig.origin]) {
-        stand_in.behave(Manner {
+    // Late in the accept period, so that the daemon has not yet detected the silent caches.
+    busy_wait(MUTE_AFTER);
+    for cache in proxy.caches.iter().chain([&proxy.origin]) {
+        cache.behave(Manner {
             mute: true,
             ..Manner::default()
         });
     }
-    let killed = deadline + BEYOND;
-    for got in clients.into_iter().map(|client| client.join().unwrap()) {
+    let kill_at = deadline + KILL_AFTER_DEADLINE;
+    for result in clients.into_iter().map(|client| client.join().unwrap()) {
         println!(
             "deadline {deadline:?}: {} answered, the last {:?} after SIGTERM, {} unanswered",
-            got.answered,
-            got.last_answer,
-            got.unanswered.len()
+            result.answered,
+            result.last_answer,
+            result.unanswered.len()
         );
-        assert!(got.answered > 10);
-        assert!(got.last_answer < killed, "{:?}", got.last_answer);
-        // One that crosses the daemon's end on its way has gone nowhere, which its client sees by that end.
-        assert!(got.unanswered.len() <= 1, "{:?}", got.unanswered);
+        assert!(result.answered > 10);
+        assert!(result.last_answer < kill_at, "{:?}", result.last_answer);
+        // A request that crosses the close of the connection was not forwarded. Its client sees the EOF.
+        assert!(result.unanswered.len() <= 1, "{:?}", result.unanswered);
     }
-    rig.run.join().unwrap().unwrap();
-    let ended = term.elapsed();
-    assert!(ended < killed, "the process has ended after {ended:?}");
+    proxy.thread.join().unwrap().unwrap();
+    let exited_after = sigterm_at.elapsed();
+    assert!(
+        exited_after < kill_at,
+        "the process exited after {exited_after:?}"
+    );
 }
 
 #[test]
-fn with_a_deadline_of_300_ms_all_is_answered_before_sigkill() {
-    ends_in_time(Duration::from_millis(300));
+fn all_requests_are_answered_before_sigkill_with_a_deadline_of_300_ms() {
+    check_shutdown_with_deadline(Duration::from_millis(300));
 }
 
 #[test]
-fn with_a_deadline_of_1_s_all_is_answered_before_sigkill() {
-    ends_in_time(Duration::from_secs(1));
+fn all_requests_are_answered_before_sigkill_with_a_deadline_of_1_s() {
+    check_shutdown_with_deadline(Duration::from_secs(1));
 }
 
 #[test]
-fn with_a_deadline_of_3_s_all_is_answered_before_sigkill() {
-    ends_in_time(Duration::from_secs(3));
+fn all_requests_are_answered_before_sigkill_with_a_deadline_of_3_s() {
+    check_shutdown_with_deadline(Duration::from_secs(3));
 }
--- a/daemon/tests/slow_folder.rs
+++ b/daemon/tests/slow_folder.rs
@@ -1,52 +1,58 @@
-//! A drain whose state takes long to reach the disk: the loop stands still meanwhile, and clients' connections still get
-//! the whole time in which the front hears the first no.
+//! Tests a drain whose state is slow to reach the disk, which blocks the event loop. Clients must still get the full time
+//! between the first failing readiness check and the closing of idle connections.
 
-mod rig;
+mod test_proxy;
 
 use linnetknot_harness::clients::call;
-use rig::{object, one, Rig};
 use serde_json::json;
 use std::time::{Duration, Instant};
+use test_proxy::{object_id, send_and_receive, TestProxy};
 
-/// Longer than the time from the start of a drain to its first sweep.
-const SYNC_MS: u64 = 700;
+/// Longer than the time from the start of a drain to the closing of idle connections.
+const SYNC_DELAY_MS: u64 = 700;
 
 #[test]
-fn idle_connections_are_swept_no_sooner_for_a_folder_that_was_slow() {
+fn after_a_slow_sync_idle_connections_are_still_closed_after_the_full_delay() {
     let folder = std::env::temp_dir().join(format!("linnetknot-slow-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let shown = folder.display().to_string();
-    let rig = Rig::with(&["s-0a"], move |c| {
-        c["ops"] = json!("127.0.0.1:0");
-        c["ops_folder"] = json!(shown);
+    let folder_name = folder.display().to_string();
+    let proxy = TestProxy::with(&["s-0a"], move |config| {
+        config["ops"] = json!("127.0.0.1:0");
+        config["ops_folder"] = json!(folder_name);
     });
-    let admin = rig.admin.expect("an admin listener");
+    let admin = proxy.admin.expect("an admin listener");
     let status = |method: &str, target: &str| call(admin, method, target, "").unwrap().status;
     while status("GET", "/control/ready") != 200 {}
-    let (mut kept, mut idle) = (rig.web(), rig.web());
-    assert_eq!(one(&mut kept, "photo", &object(1)).status, 200);
-    assert_eq!(one(&mut idle, "photo", &object(2)).status, 200);
-    fail::cfg("admin-kept", &format!("sleep({SYNC_MS})")).unwrap();
+    let (mut active, mut idle) = (proxy.web(), proxy.web());
+    assert_eq!(
+        send_and_receive(&mut active, "photo", &object_id(1)).status,
+        200
+    );
+    assert_eq!(
+        send_and_receive(&mut idle, "photo", &object_id(2)).status,
+        200
+    );
+    fail::cfg("admin-kept", &format!("sleep({SYNC_DELAY_MS})")).unwrap();
     assert_eq!(status("POST", "/control/out-of-service"), 200);
     fail::remove("admin-kept");
-    let answered = Instant::now();
+    let drained_at = Instant::now();
     assert_eq!(status("GET", "/control/ready"), 503);
     assert_eq!(
-        one(&mut kept, "photo", &object(3)).status,
+        send_and_receive(&mut active, "photo", &object_id(3)).status,
         200,
-        "the front has heard the first no only now"
+        "connections stay open right after the first failing readiness check"
     );
     assert!(idle.end().is_err(), "the idle connection is closed");
     assert!(
-        answered.elapsed() >= Duration::from_millis(300),
-        "swept {:?} after the first no could be heard",
-        answered.elapsed()
+        drained_at.elapsed() >= Duration::from_millis(300),
+        "closed only {:?} after the first failing readiness check",
+        drained_at.elapsed()
     );
     assert!(
-        answered.elapsed() < Duration::from_secs(2),
+        drained_at.elapsed() < Duration::from_secs(2),
         "closed after {:?}",
-        answered.elapsed()
+        drained_at.elapsed()
     );
-    rig.stop();
+    proxy.stop();
     let _ = std::fs::remove_dir_all(&folder);
 }
--- /dev/null
+++ b/daemon/tests/test_proxy/mod.rs
@@ -0,0 +1,180 @@
+//! Runs a daemon on loopback with the harness's fake caches, origin and event bus.
+#![allow(dead_code, reason = "each test file uses only some of these items")]
+
+use linnetknot_daemon::config::Config;
+use linnetknot_daemon::daemon::{Control, Daemon};
+use linnetknot_harness::clients::{Answer, WebServer};
+use linnetknot_harness::fakes::cache::FakeCache;
+use linnetknot_harness::fakes::event_bus::{entry, Bus};
+use linnetknot_harness::settings;
+use serde_json::{json, Value};
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::{Arc, Condvar, Mutex};
+use std::thread::JoinHandle;
+
+/// A daemon on its own thread, connected to fake caches, a fake origin and a fake event bus.
+pub(crate) struct TestProxy {
+    pub client_address: SocketAddr,
+    pub cdni: SocketAddr,
+    /// Address of the admin listener, if the configuration has one.
+    pub admin: Option<SocketAddr>,
+    pub control: Control,
+    /// The configuration that the daemon reads at startup and on a reload.
+    pub config_file: Arc<Mutex<Value>>,
+    /// Number of times the daemon has started to read its configuration.
+    config_reads: Arc<AtomicUsize>,
+    reload_gate: Arc<ReloadGate>,
+    pub thread: JoinHandle<std::io::Result<()>>,
+    pub bus: Bus,
+    pub caches: Vec<FakeCache>,
+    pub origin: FakeCache,
+}
+
+/// Blocks the daemon before it reads its configuration while the gate is closed.
+#[derive(Default)]
+struct ReloadGate {
+    closed: Mutex<bool>,
+    opened: Condvar,
+}
+
+/// Guard that keeps a daemon's event loop blocked until it is dropped.
+pub(crate) struct HeldLoop(Arc<ReloadGate>);
+
+impl Drop for HeldLoop {
+    fn drop(&mut self) {
+        *self.0.closed.lock().unwrap() = false;
+        self.0.opened.notify_all();
+    }
+}
+
+pub(crate) const READY: &str = "ready";
+
+impl TestProxy {
+    pub(crate) fn start() -> TestProxy {
+        TestProxy::with(&["s-0a"], |_| {})
+    }
+
+    pub(crate) fn with(caches: &[&'static str], change: impl Fn(&mut Value)) -> TestProxy {
+        let bus = Bus::start().unwrap();
+        let caches: Vec<FakeCache> = caches
+            .iter()
+            .map(|uid| FakeCache::start(uid).unwrap())
+            .collect();
+        let origin = FakeCache::start("s-0f").unwrap();
+        let mut entries: Vec<Value> = caches
+            .iter()
+            .map(|cache| entry(cache, "here", "box", READY))
+            .collect();
+        entries.push(entry(&origin, "hub", "origin", READY));
+        let known = json!({"offset": 0, "batch": [
+            {"offset": 0, "topology": {"rev": 1, "all": true, "targets": entries}},
+        ]});
+        let mut config = json!({
+            "listen": "127.0.0.1:0", "bus": bus.address.to_string(), "known": known, "settings": settings(),
+            "limits": {"memory_mb": 192, "sockets": 256},
+        });
+        change(&mut config);
+        let config_file = Arc::new(Mutex::new(config));
+        let (shared_config, config_reads) = (config_file.clone(), Arc::new(AtomicUsize::new(0)));
+        let (read_counter, reload_gate) = (config_reads.clone(), Arc::new(ReloadGate::default()));
+        let gate = reload_gate.clone();
+        let read = move || {
+            read_counter.fetch_add(1, Ordering::SeqCst);
+            drop(
+                gate.opened
+                    .wait_while(gate.closed.lock().unwrap(), |closed| *closed)
+                    .unwrap(),
+            );
+            let mut file = shared_config.lock().unwrap().clone();
+            let mut interconnect = json!({"cdni": {"listen": "127.0.0.1:0", "provider": "AS64500:0",
+                "base": "http://cdn.example", "footprint": ["127.0.0.0/8"], "purges": file["purges"].take()}});
+            interconnect["consul"] = file["consul"].take();
+            let folder = file["ops_folder"].take();
+            let timeouts = file["bounds"].take();
+            interconnect["peers"] = json!({"tell": file["tell"].take() == true});
+            if file["state"].is_object() {
+                interconnect["state"] = file["state"].take();
+            }
+            let mut config = Config::read(file.as_object().unwrap())?;
+            config.interconnect(interconnect.as_object().unwrap())?;
+            if let Some(folder) = folder.as_str() {
+                config.operator_state_folder = folder.into();
+            }
+            for (name, us) in timeouts.as_object().into_iter().flatten() {
+                let limits = &mut config.limits;
+                let timeout = match name.as_str() {
+                    "partial_request_timeout_us" => &mut limits.partial_request_timeout_us,
+                    "client_idle_timeout_us" => &mut limits.client_idle_timeout_us,
+                    "client_linger_timeout_us" => &mut limits.client_linger_timeout_us,
+                    "shutdown_accept_us" => &mut limits.shutdown_accept_us,
+                    "shutdown_linger_us" => &mut limits.shutdown_linger_us,
+                    "bus_read_timeout_us" => &mut limits.bus_read_timeout_us,
+                    _ => panic!("unknown timeout {name}"),
+                };
+                *timeout = us.as_u64().unwrap();
+            }
+            Ok(config)
+        };
+        let config = read().unwrap();
+        // A daemon must run on the thread that started it.
+        let (start_sender, started) = std::sync::mpsc::channel();
+        let thread = std::thread::spawn(move || {
+            let mut daemon = Daemon::start(config, Box::new(read)).unwrap();
+            let addresses = (
+                daemon.address().unwrap(),
+                daemon.cdni_address().unwrap(),
+                daemon.admin_address(),
+            );
+            start_sender
+                .send((addresses, daemon.control().unwrap()))
+                .unwrap();
+            daemon.run()
+        });
+        let ((client_address, cdni, admin), control) = started.recv().unwrap();
+        TestProxy {
+            client_address,
+            cdni,
+            admin,
+            control,
+            config_file,
+            config_reads,
+            reload_gate,
+            thread,
+            bus,
+            caches,
+            origin,
+        }
+    }
+
+    /// Blocks the daemon's event loop within a reload until the guard is dropped. All events that occur meanwhile are
+    /// handled in the next iteration of the loop.
+    pub(crate) fn hold(&mut self) -> HeldLoop {
+        *self.reload_gate.closed.lock().unwrap() = true;
+        let before = self.config_reads.load(Ordering::SeqCst);
+        self.control.reload().unwrap();
+        while self.config_reads.load(Ordering::SeqCst) == before {
+            std::thread::yield_now();
+        }
+        HeldLoop(self.reload_gate.clone())
+    }
+
+    pub(crate) fn web(&self) -> WebServer {
+        WebServer::connect(self.client_address).unwrap()
+    }
+
+    /// Stops the daemon and checks that it exits without an error.
+    pub(crate) fn stop(mut self) {
+        self.control.stop().unwrap();
+        self.thread.join().unwrap().unwrap();
+    }
+}
+
+pub(crate) fn send_and_receive(web: &mut WebServer, class: &str, object: &str) -> Answer {
+    web.ask(1, class, object, 2500).unwrap();
+    web.end().unwrap().1.expect("an answer")
+}
+
+pub(crate) fn object_id(number: u64) -> String {
+    format!("{number:016x}")
+}
--- a/daemon/tests/upstream.rs
+++ b/daemon/tests/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to cache servers: what becomes of attempts when connections end, and of ids that were given up.
+//! Tests of connections to cache servers: outcomes of attempts on lost connections, aborts and timeouts.
 
 use linnetknot::{ListMode, Outcome, Server, ServerId, State};
 use linnetknot_daemon::core::{server_id, AttemptId, Client, ClientRequest, Command, Core, Entry};
@@ -12,24 +12,24 @@
 
 const NOW: u64 = 1_000_000_000;
 
-struct Rig {
+struct Upstream {
     core: Core,
     connection: UpstreamConnection,
-    conn: TcpConnection,
-    far: TcpStream,
+    tcp: TcpConnection,
+    cache_socket: TcpStream,
     limits: Limits,
     server: ServerId,
     events: Vec<UpstreamEvent>,
     now: u64,
-    last: Vec<(String, AttemptId)>,
-    /// The tag of the copy that the client holds.
-    have: Option<String>,
-    /// Bytes that a request brings.
-    body: usize,
+    sent_attempts: Vec<(String, AttemptId)>,
+    /// The ETag of the copy that the client holds.
+    client_etag: Option<String>,
+    /// Length of the request bodies.
+    body_bytes: usize,
 }
 
-impl Rig {
-    fn new(up: bool) -> Rig {
+impl Upstream {
+    fn new(up: bool) -> Upstream {
         let limits = Limits::for_machine(1024, 192);
         let settings =
             linnetknot_settings::parse_settings(settings().as_object().unwrap()).unwrap();
@@ -50,43 +50,43 @@
         };
         core.update_endpoints(NOW, ListMode::Full, vec![entry]);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let near = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-        let (far, server) = (listener.accept().unwrap().0, server_id("a"));
-        let conn = TcpConnection::new(
-            near,
+        let socket = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+        let (cache_socket, server) = (listener.accept().unwrap().0, server_id("a"));
+        let tcp = TcpConnection::new(
+            socket,
             up,
             limits.input_buffer_bytes,
             limits.output_buffer_bytes,
         )
         .unwrap();
-        Rig {
+        Upstream {
             core,
             connection: UpstreamConnection::new(server, &limits, NOW),
-            conn,
-            far,
+            tcp,
+            cache_socket,
             limits,
             server,
             events: Vec::new(),
             now: NOW,
-            last: Vec::new(),
-            have: None,
-            body: 0,
+            sent_attempts: Vec::new(),
+            client_etag: None,
+            body_bytes: 0,
         }
     }
 
     fn send(&mut self, id: &str) -> AttemptId {
-        let asked = ClientRequest {
+        let request = ClientRequest {
             id: id.into(),
             class: "photo".into(),
             object: format!("{id}-object"),
             size_kb: 40.0,
             remaining_us: 2_000_000,
-            cached_tag: self.have.clone(),
-            body: vec![b'x'; self.body],
+            cached_tag: self.client_etag.clone(),
+            body: vec![b'x'; self.body_bytes],
             ..ClientRequest::default()
         };
-        // The core takes no two of one id: the one before is over by now.
-        for (_, attempt) in self.last.iter().filter(|(last, _)| last == id) {
+        // The core rejects a second live request with the same id, so the earlier one is finished first.
+        for (_, attempt) in self.sent_attempts.iter().filter(|(last, _)| last == id) {
             self.core.client_gone(self.now, attempt.request);
             self.core
                 .attempt_finished(self.now, *attempt, Outcome::Cancelled.into());
@@ -99,7 +99,7 @@
                     connection: Key::from_u64(0),
                     stream: 0,
                 },
-                asked,
+                request,
             )
             .unwrap();
         let sent = |c: Command| {
@@ -115,9 +115,9 @@
             .into_iter()
             .find_map(sent)
             .unwrap();
-        self.last.push((id.to_owned(), attempt));
+        self.sent_attempts.push((id.to_owned(), attempt));
         self.connection.enqueue(self.now, attempt);
-        self.pump();
+        self.flush();
         attempt
     }
 
@@ -126,183 +126,203 @@
             .live_streams_if_available(id, &self.core, &self.limits)
     }
 
-    fn pump(&mut self) -> bool {
+    fn flush(&mut self) -> bool {
         self.connection.flush(
             self.now,
-            &mut self.conn,
+            &mut self.tcp,
             &self.core,
             &self.limits,
             &mut self.events,
         )
     }
 
-    fn give_up(&mut self, attempt: AttemptId) {
+    fn abort_and_wait(&mut self, attempt: AttemptId) {
         self.connection.abort(self.now, attempt);
-        self.pump();
+        self.flush();
         self.now += self.limits.abort_transit_us;
-        self.pump();
+        self.flush();
     }
 
-    /// What reached the other side so far, which is `marks` frames of this word.
-    fn reached(&mut self, word: &str, marks: usize) -> String {
+    /// Reads from the cache's socket until the text contains the word `count` times.
+    fn read_frames(&mut self, word: &str, count: usize) -> String {
         let (mut text, mut bytes) = (String::new(), [0; 4096]);
-        while text.matches(word).count() < marks {
-            let got = self.far.read(&mut bytes).unwrap();
+        while text.matches(word).count() < count {
+            let got = self.cache_socket.read(&mut bytes).unwrap();
             text += &String::from_utf8_lossy(&bytes[..got]);
         }
         text
     }
 
-    fn ends(&mut self) -> Vec<(AttemptId, Outcome)> {
-        let end = |t| match t {
+    fn take_outcomes(&mut self) -> Vec<(AttemptId, Outcome)> {
+        let end = |event| match event {
             UpstreamEvent::AttemptFinished(attempt, ended) => Some((attempt, ended.outcome)),
             UpstreamEvent::AttemptStarted(_) | UpstreamEvent::OriginDate(_) => None,
-            UpstreamEvent::HealthCheckFinished { .. } => panic!("{t:?}"),
+            UpstreamEvent::HealthCheckFinished { .. } => panic!("{event:?}"),
         };
         self.events.drain(..).filter_map(end).collect()
     }
 }
 
 #[test]
-fn what_never_arrived_whole_has_not_run_and_what_did_may_have() {
-    let mut rig = Rig::new(true);
-    let (written, given_up) = (rig.send("01"), rig.send("02"));
-    rig.give_up(given_up);
+fn when_a_connection_is_lost_only_written_attempts_may_have_run() {
+    let mut upstream = Upstream::new(true);
+    let (written, aborted) = (upstream.send("01"), upstream.send("02"));
+    upstream.abort_and_wait(aborted);
     assert_eq!(
-        rig.ends(),
-        [(given_up, Outcome::Cancelled)],
-        "once its abort is written"
+        upstream.take_outcomes(),
+        [(aborted, Outcome::Cancelled)],
+        "finished after the abort transit time"
     );
-    rig.conn.up = false;
-    let queued = rig.send("03");
+    upstream.tcp.up = false;
+    let queued = upstream.send("03");
     let mut events = Vec::new();
-    rig.connection
-        .connection_lost(Outcome::ConnectFailed, rig.conn.written, &mut events);
-    let outcome = |t: &UpstreamEvent| {
-        if let UpstreamEvent::AttemptFinished(attempt, e) = t {
+    upstream
+        .connection
+        .connection_lost(Outcome::ConnectFailed, upstream.tcp.written, &mut events);
+    let outcome = |event: &UpstreamEvent| {
+        if let UpstreamEvent::AttemptFinished(attempt, e) = event {
             Some((*attempt, e.outcome))
         } else {
             None
         }
     };
-    let ends: Vec<_> = events.iter().filter_map(outcome).collect();
+    let outcomes: Vec<_> = events.iter().filter_map(outcome).collect();
     assert_eq!(
-        ends,
+        outcomes,
         [(queued, Outcome::ConnectFailed), (written, Outcome::Reset)]
     );
 }
 
 #[test]
-fn nothing_is_written_of_what_is_given_up_or_withdrawn_before_the_connection_is_up() {
-    let mut rig = Rig::new(false);
-    let (given_up, kept, withdrawn) = (rig.send("01"), rig.send("02"), rig.send("03"));
-    // It is over at once, without a word of its connection, and never ran.
-    rig.core.client_gone(NOW, given_up.request);
-    assert!(rig.core.dispatch(given_up).is_none());
-    rig.give_up(given_up);
-    rig.conn.up = true;
-    rig.pump();
-    let text = rig.reached("fetch", 2);
+fn attempts_aborted_or_withdrawn_before_the_connect_completes_are_not_written() {
+    let mut upstream = Upstream::new(false);
+    let (aborted, pending, withdrawn) = (
+        upstream.send("01"),
+        upstream.send("02"),
+        upstream.send("03"),
+    );
+    // An attempt that is aborted while queued finishes at once and is not reported by the connection.
+    upstream.core.client_gone(NOW, aborted.request);
+    assert!(upstream.core.dispatch(aborted).is_none());
+    upstream.abort_and_wait(aborted);
+    upstream.tcp.up = true;
+    upstream.flush();
+    let text = upstream.read_frames("fetch", 2);
     assert!(
         !text.contains("01-object") && text.contains("02-object") && text.contains("03-object")
     );
-    // The list says that the box drains: what still waits for it comes back unsent.
-    rig.conn.up = false;
-    let waiting = rig.send("04");
-    rig.connection
-        .withdraw(rig.server, &rig.core, &mut rig.events);
-    assert_eq!(rig.ends(), [(waiting, Outcome::Moot)]);
-    assert!(![kept, withdrawn].contains(&waiting) && !rig.connection.is_idle());
+    // Attempts that are still queued when the cache drains are returned unsent.
+    upstream.tcp.up = false;
+    let waiting = upstream.send("04");
+    upstream
+        .connection
+        .withdraw(upstream.server, &upstream.core, &mut upstream.events);
+    assert_eq!(upstream.take_outcomes(), [(waiting, Outcome::Moot)]);
+    assert!(![pending, withdrawn].contains(&waiting) && !upstream.connection.is_idle());
 }
 
 #[test]
-fn what_was_given_up_is_over_only_once_its_abort_has_had_its_way() {
-    let mut rig = Rig::new(true);
-    let attempt = rig.send("01");
-    rig.connection.abort(NOW, attempt);
-    rig.pump();
+fn an_aborted_attempt_finishes_only_after_the_abort_transit_time() {
+    let mut upstream = Upstream::new(true);
+    let attempt = upstream.send("01");
+    upstream.connection.abort(NOW, attempt);
+    upstream.flush();
     assert_eq!(
-        rig.ends(),
+        upstream.take_outcomes(),
         [],
-        "written, but a further attempt might overtake it"
+        "the abort is written, but a retry on another connection could overtake it"
     );
     assert_eq!(
-        rig.connection.next_report_at(&rig.limits),
-        Some(NOW + rig.limits.abort_transit_us)
+        upstream.connection.next_report_at(&upstream.limits),
+        Some(NOW + upstream.limits.abort_transit_us)
+    );
+    assert_eq!(upstream.live_streams_if_available("01"), None);
+    upstream.now += upstream.limits.abort_transit_us;
+    upstream.flush();
+    assert_eq!(upstream.take_outcomes(), [(attempt, Outcome::Cancelled)]);
+    // A retry on the same connection is written after the abort.
+    assert!(
+        upstream.connection.has_aborted("01") && upstream.live_streams_if_available("01").is_some()
     );
-    assert_eq!(rig.live_streams_if_available("01"), None);
-    rig.now += rig.limits.abort_transit_us;
-    rig.pump();
-    assert_eq!(rig.ends(), [(attempt, Outcome::Cancelled)]);
-    // A further attempt here comes behind the abort, on the same connection.
-    assert!(rig.connection.has_aborted("01") && rig.live_streams_if_available("01").is_some());
-    rig.connection.remove_finished(
-        NOW + rig.limits.finished_stream_retention_us + 1,
-        &rig.limits,
+    upstream.connection.remove_finished(
+        NOW + upstream.limits.finished_stream_retention_us + 1,
+        &upstream.limits,
     );
-    assert!(!rig.connection.has_aborted("01"));
+    assert!(!upstream.connection.has_aborted("01"));
 }
 
 #[test]
-fn a_copy_from_before_a_purge_is_never_passed_on() {
-    let mut rig = Rig::new(true);
-    rig.core
+fn a_copy_older_than_a_purge_is_never_served() {
+    let mut upstream = Upstream::new(true);
+    upstream
+        .core
         .record_purge(NOW, Some("01-object".into()), 0, NOW - 2_000);
-    let answered = |rig: &mut Rig, made: u64| {
+    let receive_copy_made = |upstream: &mut Upstream, made: u64| {
         let (mut answer, fields) = (Vec::new(), format!("how=local,made={made}"));
         resp::write_array(&mut answer, &[b"01", b"200", fields.as_bytes(), b"x"]);
-        rig.far.write_all(&answer).unwrap();
-        while rig.conn.read(false) != Progress::Moved {}
-        rig.connection
-            .read(NOW, &mut rig.conn, &rig.core, &mut rig.events)
+        upstream.cache_socket.write_all(&answer).unwrap();
+        while upstream.tcp.read(false) != Progress::Moved {}
+        upstream
+            .connection
+            .read(NOW, &mut upstream.tcp, &upstream.core, &mut upstream.events)
             .unwrap();
-        rig.ends()
+        upstream.take_outcomes()
     };
     let (old, new) = (NOW / 1000 - 100, NOW / 1000);
-    let attempt = rig.send("01");
-    assert_eq!(answered(&mut rig, old), [(attempt, Outcome::Error)]);
-    rig.connection.remove_finished(
-        NOW + rig.limits.finished_stream_retention_us + 1,
-        &rig.limits,
+    let attempt = upstream.send("01");
+    assert_eq!(
+        receive_copy_made(&mut upstream, old),
+        [(attempt, Outcome::Error)]
+    );
+    upstream.connection.remove_finished(
+        NOW + upstream.limits.finished_stream_retention_us + 1,
+        &upstream.limits,
+    );
+    let attempt = upstream.send("01");
+    assert_eq!(
+        receive_copy_made(&mut upstream, new),
+        [(attempt, Outcome::Ok)]
+    );
+    // After an abort, the response may belong to the aborted attempt, so the retry is still outstanding.
+    let attempt = upstream.send("01");
+    upstream.abort_and_wait(attempt);
+    upstream.take_outcomes();
+    let attempt = upstream.send("01");
+    assert_eq!(receive_copy_made(&mut upstream, old), []);
+    assert_eq!(
+        receive_copy_made(&mut upstream, new),
+        [(attempt, Outcome::Ok)]
     );
-    let attempt = rig.send("01");
-    assert_eq!(answered(&mut rig, new), [(attempt, Outcome::Ok)]);
-    // Behind one that was given up, the answer may be that one's: the further attempt is still out.
-    let attempt = rig.send("01");
-    rig.give_up(attempt);
-    rig.ends();
-    let attempt = rig.send("01");
-    assert_eq!(answered(&mut rig, old), []);
-    assert_eq!(answered(&mut rig, new), [(attempt, Outcome::Ok)]);
 }
 
 #[test]
-fn a_connection_that_nothing_comes_back_on_takes_no_further_attempts() {
-    let mut rig = Rig::new(true);
-    let attempt = rig.send("01");
-    assert_eq!(rig.live_streams_if_available("02"), Some(1));
-    // Heard last before the attempt was sent: a short silence is a pause, a long one may be the end.
+fn a_silent_connection_takes_no_further_attempts() {
+    let mut upstream = Upstream::new(true);
+    let attempt = upstream.send("01");
+    assert_eq!(upstream.live_streams_if_available("02"), Some(1));
+    // The connection counts as suspect only once it has been silent for longer than the timeout.
     for (silent_us, room) in [
-        (rig.limits.suspect_timeout_us, Some(0)),
-        (rig.limits.suspect_timeout_us + 1, None),
+        (upstream.limits.suspect_timeout_us, Some(0)),
+        (upstream.limits.suspect_timeout_us + 1, None),
     ] {
-        rig.connection = UpstreamConnection::new(rig.server, &rig.limits, NOW - silent_us);
-        rig.connection.enqueue(NOW, attempt);
-        rig.pump();
-        rig.give_up(attempt);
-        assert_eq!(rig.live_streams_if_available("02"), room);
+        upstream.connection =
+            UpstreamConnection::new(upstream.server, &upstream.limits, NOW - silent_us);
+        upstream.connection.enqueue(NOW, attempt);
+        upstream.flush();
+        upstream.abort_and_wait(attempt);
+        assert_eq!(upstream.live_streams_if_available("02"), room);
     }
 }
 
 #[test]
-fn requests_of_one_id_never_share_a_connection() {
+fn requests_with_the_same_id_never_share_a_connection() {
     for up in [true, false] {
-        let mut rig = Rig::new(up);
-        rig.send("01");
+        let mut upstream = Upstream::new(up);
+        upstream.send("01");
         assert_eq!(
             (
-                rig.live_streams_if_available("01"),
-                rig.live_streams_if_available("02")
+                upstream.live_streams_if_available("01"),
+                upstream.live_streams_if_available("02")
             ),
             (None, Some(1)),
             "written: {up}"
@@ -311,354 +331,420 @@
 }
 
 #[test]
-fn an_answer_that_stops_short_ends_its_connection_and_all_on_it_may_have_run() {
-    let mut rig = Rig::new(true);
-    let attempts = [rig.send("01"), rig.send("02")];
-    rig.far
+fn a_stalled_response_closes_the_connection_and_resets_its_attempts() {
+    let mut upstream = Upstream::new(true);
+    let attempts = [upstream.send("01"), upstream.send("02")];
+    upstream
+        .cache_socket
         .write_all(b"*4\r\n$2\r\n01\r\n$3\r\n200\r\n$0\r\n\r\n$9000\r\nbut no mo")
         .unwrap();
-    while rig.conn.read(false) != Progress::Moved {}
-    rig.connection
-        .read(NOW, &mut rig.conn, &rig.core, &mut rig.events)
+    while upstream.tcp.read(false) != Progress::Moved {}
+    upstream
+        .connection
+        .read(NOW, &mut upstream.tcp, &upstream.core, &mut upstream.events)
         .unwrap();
     assert_eq!(
-        rig.connection.partial_response_deadline(&rig.limits),
-        Some(NOW + rig.limits.response_stall_timeout_us)
+        upstream
+            .connection
+            .partial_response_deadline(&upstream.limits),
+        Some(NOW + upstream.limits.response_stall_timeout_us)
     );
-    rig.now += rig.limits.response_stall_timeout_us - 1;
-    assert!(rig.pump(), "the rest may come yet");
-    rig.now += 1;
+    upstream.now += upstream.limits.response_stall_timeout_us - 1;
+    assert!(upstream.flush(), "the stall timeout has not passed");
+    upstream.now += 1;
     assert!(
-        !rig.pump(),
-        "what comes now would be taken for the rest of it"
+        !upstream.flush(),
+        "later bytes could not be told from the rest of the stalled response"
+    );
+    upstream
+        .connection
+        .connection_lost(Outcome::Moot, upstream.tcp.written, &mut upstream.events);
+    assert_eq!(
+        upstream.take_outcomes(),
+        attempts.map(|a| (a, Outcome::Reset))
     );
-    rig.connection
-        .connection_lost(Outcome::Moot, rig.conn.written, &mut rig.events);
-    assert_eq!(rig.ends(), attempts.map(|a| (a, Outcome::Reset)));
 }
 
 #[test]
-fn a_connection_reset_when_it_has_just_come_up_is_no_sign_of_a_box_that_is_gone() {
-    let mut rig = Rig::new(false);
-    let queued = rig.send("01");
-    rig.connection
-        .connection_lost(Outcome::Moot, rig.conn.written, &mut rig.events);
+fn a_reset_before_anything_was_written_does_not_count_as_a_connect_failure() {
+    let mut upstream = Upstream::new(false);
+    let queued = upstream.send("01");
+    upstream
+        .connection
+        .connection_lost(Outcome::Moot, upstream.tcp.written, &mut upstream.events);
     assert!(
-        matches!(&rig.events[..], [UpstreamEvent::AttemptFinished(a, e)] if *a == queued && e.outcome == Outcome::Moot)
+        matches!(&upstream.events[..], [UpstreamEvent::AttemptFinished(a, e)] if *a == queued && e.outcome == Outcome::Moot)
     );
 }
 
-/// What reached the other side within the bytes that are there by now.
-fn drain(rig: &mut Rig) -> String {
-    rig.far.set_nonblocking(true).unwrap();
+/// Reads all bytes that the cache's socket has received.
+fn drain_cache_socket(upstream: &mut Upstream) -> String {
+    upstream.cache_socket.set_nonblocking(true).unwrap();
     let (mut text, mut bytes) = (String::new(), vec![0; 1 << 20]);
-    while let Ok(got) = rig.far.read(&mut bytes) {
+    while let Ok(got) = upstream.cache_socket.read(&mut bytes) {
         text += &String::from_utf8_lossy(&bytes[..got]);
     }
     text
 }
 
-/// Answers of a box, taken in whole.
-fn answered(rig: &mut Rig, answers: &[(&str, &str, &str)]) {
-    let mut out = Vec::new();
-    for (id, word, fields) in answers {
+/// Sends responses from the cache and has the connection read them.
+fn receive_responses(upstream: &mut Upstream, responses: &[(&str, &str, &str)]) {
+    let mut bytes = Vec::new();
+    for (id, word, fields) in responses {
         resp::write_array(
-            &mut out,
+            &mut bytes,
             &[id.as_bytes(), word.as_bytes(), fields.as_bytes(), b"x"],
         );
     }
-    rig.far.write_all(&out).unwrap();
-    while rig.conn.read(false) != Progress::Moved {}
-    rig.connection
-        .read(rig.now, &mut rig.conn, &rig.core, &mut rig.events)
+    upstream.cache_socket.write_all(&bytes).unwrap();
+    while upstream.tcp.read(false) != Progress::Moved {}
+    upstream
+        .connection
+        .read(
+            upstream.now,
+            &mut upstream.tcp,
+            &upstream.core,
+            &mut upstream.events,
+        )
         .unwrap();
 }
 
-/// A peer that takes no more bytes: what has not begun by then is recalled, and what has is followed by its abort.
+/// The cache reads no more bytes: an unstarted attempt is dropped, a partially written one is followed by its abort.
 #[test]
-fn behind_a_stalled_peer_an_attempt_is_recalled_unless_its_first_byte_is_written() {
-    let mut rig = Rig::new(true);
-    rustix::net::sockopt::set_socket_send_buffer_size(rig.conn.socket(), 4096).unwrap();
-    let begun = |rig: &Rig, attempt| {
-        rig.events
+fn an_aborted_attempt_is_dropped_unless_its_first_byte_was_written() {
+    let mut upstream = Upstream::new(true);
+    rustix::net::sockopt::set_socket_send_buffer_size(upstream.tcp.socket(), 4096).unwrap();
+    let has_started = |upstream: &Upstream, attempt| {
+        upstream
+            .events
             .iter()
-            .any(|t| matches!(t, UpstreamEvent::AttemptStarted(a) if *a == attempt))
+            .any(|event| matches!(event, UpstreamEvent::AttemptStarted(a) if *a == attempt))
     };
-    // Attempts until one can't begin.
+    // Send attempts until the socket is full and one can't be started.
     let mut sent = Vec::new();
     let waiting = loop {
-        let attempt = rig.send(&format!("{:04}", sent.len()));
-        if !begun(&rig, attempt) {
+        let attempt = upstream.send(&format!("{:04}", sent.len()));
+        if !has_started(&upstream, attempt) {
             break attempt;
         }
         sent.push(attempt);
-        assert!(sent.len() < 100_000, "the peer takes all of it");
+        assert!(sent.len() < 100_000, "the socket buffer never filled up");
     };
     let id = format!("{:04}", sent.len());
     assert!(
-        rig.conn.watch().is_some_and(|w| w.write),
-        "the loop is to try again"
+        upstream.tcp.watch().is_some_and(|w| w.write),
+        "the connection waits for the socket to be writable"
     );
     let last = *sent.last().unwrap();
-    rig.connection.abort(rig.now, waiting);
-    rig.connection.abort(rig.now, last);
-    // The peer reads on.
-    let (mut text, aborted) = (String::new(), format!("{:04}", sent.len() - 1));
+    upstream.connection.abort(upstream.now, waiting);
+    upstream.connection.abort(upstream.now, last);
+    // The cache reads again.
+    let (mut text, aborted_id) = (String::new(), format!("{:04}", sent.len() - 1));
     while !text.contains("abort") {
-        text += &drain(&mut rig);
-        assert!(rig.pump());
+        text += &drain_cache_socket(&mut upstream);
+        assert!(upstream.flush());
     }
-    text += &drain(&mut rig);
+    text += &drain_cache_socket(&mut upstream);
     assert!(
         !text.contains(&format!("{id}-object")),
-        "recalled without a trace"
+        "no byte of the dropped attempt is written"
     );
-    assert!(text.contains(&format!("{aborted}-object")));
+    assert!(text.contains(&format!("{aborted_id}-object")));
     assert_eq!(text.matches("abort").count(), 1);
-    assert!(text.find(&format!("{aborted}-object")) < text.find("abort"));
+    assert!(text.find(&format!("{aborted_id}-object")) < text.find("abort"));
 }
 
 #[test]
-fn aborts_go_ahead_of_attempts_that_have_not_begun() {
-    let mut rig = Rig::new(true);
-    let first = rig.send("01");
-    rig.reached("fetch", 1);
-    rig.conn.up = false;
-    rig.send("02");
-    rig.connection.abort(rig.now, first);
-    rig.conn.up = true;
-    rig.pump();
-    let text = rig.reached("fetch", 1);
+fn aborts_are_written_before_queued_attempts() {
+    let mut upstream = Upstream::new(true);
+    let first = upstream.send("01");
+    upstream.read_frames("fetch", 1);
+    upstream.tcp.up = false;
+    upstream.send("02");
+    upstream.connection.abort(upstream.now, first);
+    upstream.tcp.up = true;
+    upstream.flush();
+    let text = upstream.read_frames("fetch", 1);
     assert!(text.find("abort") < text.find("fetch"), "{text}");
 }
 
-/// A box may say a thing twice. The repeat of an answer would end a further attempt of the request that has just begun.
+/// A cache may send a response twice. The duplicate must not finish a retry of the request.
 #[test]
-fn a_second_answer_ends_no_further_attempt() {
-    let mut rig = Rig::new(true);
-    let attempt = rig.send("01");
-    answered(&mut rig, &[("01", "503", "-")]);
-    assert_eq!(rig.ends(), [(attempt, Outcome::Full)]);
+fn a_duplicate_response_does_not_finish_a_retry() {
+    let mut upstream = Upstream::new(true);
+    let attempt = upstream.send("01");
+    receive_responses(&mut upstream, &[("01", "503", "-")]);
+    assert_eq!(upstream.take_outcomes(), [(attempt, Outcome::Full)]);
     assert_eq!(
-        rig.live_streams_if_available("01"),
+        upstream.live_streams_if_available("01"),
         None,
-        "a further attempt goes by another connection"
+        "a retry takes another connection"
+    );
+    assert!(upstream.live_streams_if_available("02").is_some() && upstream.connection.is_idle());
+    receive_responses(
+        &mut upstream,
+        &[("01", "503", "-"), ("unknown", "200", "-")],
     );
-    assert!(rig.live_streams_if_available("02").is_some() && rig.connection.is_idle());
-    answered(&mut rig, &[("01", "503", "-"), ("unknown", "200", "-")]);
-    assert_eq!(rig.ends(), []);
-    rig.connection.remove_finished(
-        rig.now + rig.limits.finished_stream_retention_us + 1,
-        &rig.limits,
+    assert_eq!(upstream.take_outcomes(), []);
+    upstream.connection.remove_finished(
+        upstream.now + upstream.limits.finished_stream_retention_us + 1,
+        &upstream.limits,
     );
-    assert!(rig.live_streams_if_available("01").is_some());
+    assert!(upstream.live_streams_if_available("01").is_some());
 }
 
-/// The answer to an attempt may cross its abort. A further attempt on the connection is not over by it: another one
-/// would make two at once.
+/// The response to an attempt may cross its abort on the wire. It must not finish a retry on the same connection, as
+/// the next retry would then run concurrently with that one.
 #[test]
-fn an_answer_that_may_be_the_one_before_is_followed_by_an_abort_before_anything_ends() {
-    let mut rig = Rig::new(true);
-    let attempt = rig.send("01");
-    rig.give_up(attempt);
-    rig.ends();
-    let further = rig.send("01");
-    answered(&mut rig, &[("01", "503", "-")]);
-    rig.pump();
-    assert_eq!(rig.ends(), [], "it may still be out");
-    assert_eq!(rig.reached("abort", 2).matches("fetch").count(), 2);
-    rig.now += rig.limits.abort_transit_us;
-    rig.pump();
-    assert_eq!(rig.ends(), [(further, Outcome::Full)]);
-    // Where its own answer comes in that time, that is how it ends.
-    let attempt = rig.send("02");
-    rig.give_up(attempt);
-    rig.ends();
-    let further = rig.send("02");
-    answered(
-        &mut rig,
+fn a_response_that_may_belong_to_an_aborted_attempt_aborts_the_retry_before_it_finishes() {
+    let mut upstream = Upstream::new(true);
+    let attempt = upstream.send("01");
+    upstream.abort_and_wait(attempt);
+    upstream.take_outcomes();
+    let retry = upstream.send("01");
+    receive_responses(&mut upstream, &[("01", "503", "-")]);
+    upstream.flush();
+    assert_eq!(
+        upstream.take_outcomes(),
+        [],
+        "the retry may still be running"
+    );
+    assert_eq!(upstream.read_frames("abort", 2).matches("fetch").count(), 2);
+    upstream.now += upstream.limits.abort_transit_us;
+    upstream.flush();
+    assert_eq!(upstream.take_outcomes(), [(retry, Outcome::Full)]);
+    // If the retry's own response arrives in time, it determines the outcome.
+    let attempt = upstream.send("02");
+    upstream.abort_and_wait(attempt);
+    upstream.take_outcomes();
+    let retry = upstream.send("02");
+    receive_responses(
+        &mut upstream,
         &[("02", "503", "-"), ("02", "200", "made=1,etag=t1")],
     );
-    assert_eq!(rig.ends(), [(further, Outcome::Ok)]);
+    assert_eq!(upstream.take_outcomes(), [(retry, Outcome::Ok)]);
 }
 
-/// Nobody can have read what is not written whole.
+/// A cache can't have processed a frame that was not completely written, so the response is invalid.
 #[test]
-fn an_answer_ahead_of_its_attempt_ends_the_connection_and_the_attempt_never_ran() {
-    let mut rig = Rig::new(true);
-    rustix::net::sockopt::set_socket_send_buffer_size(rig.conn.socket(), 4096).unwrap();
-    // Of a frame this long the socket takes a part.
-    rig.body = 47_000;
+fn a_response_to_a_partially_written_attempt_closes_the_connection() {
+    let mut upstream = Upstream::new(true);
+    rustix::net::sockopt::set_socket_send_buffer_size(upstream.tcp.socket(), 4096).unwrap();
+    // The socket buffer takes only a part of a frame of this size.
+    upstream.body_bytes = 47_000;
     let mut n = 0;
-    while rig.conn.output.is_empty() {
-        rig.send(&format!("{n:04}"));
+    while upstream.tcp.output.is_empty() {
+        upstream.send(&format!("{n:04}"));
         n += 1;
-        assert!(n < 500, "no frame is cut");
-        while rig.conn.is_waiting_to_write() && rig.conn.output.is_empty() {
-            // It could not begin at all: with some room it does.
-            drain(&mut rig);
-            rig.pump();
+        assert!(n < 500, "no frame was partially written");
+        while upstream.tcp.is_waiting_to_write() && upstream.tcp.output.is_empty() {
+            // The frame could not be started: make room for its first bytes.
+            drain_cache_socket(&mut upstream);
+            upstream.flush();
         }
     }
-    let (id, attempt) = rig.last.last().cloned().unwrap();
-    let mut out = Vec::new();
-    resp::write_array(&mut out, &[id.as_bytes(), b"200", b"made=1", b"x"]);
-    rig.far.set_nonblocking(false).unwrap();
-    rig.far.write_all(&out).unwrap();
-    while rig.conn.read(false) != Progress::Moved {}
-    assert!(rig
+    let (id, attempt) = upstream.sent_attempts.last().cloned().unwrap();
+    let mut bytes = Vec::new();
+    resp::write_array(&mut bytes, &[id.as_bytes(), b"200", b"made=1", b"x"]);
+    upstream.cache_socket.set_nonblocking(false).unwrap();
+    upstream.cache_socket.write_all(&bytes).unwrap();
+    while upstream.tcp.read(false) != Progress::Moved {}
+    assert!(upstream
         .connection
-        .read(rig.now, &mut rig.conn, &rig.core, &mut rig.events)
+        .read(
+            upstream.now,
+            &mut upstream.tcp,
+            &upstream.core,
+            &mut upstream.events
+        )
         .is_err());
-    rig.events.clear();
-    rig.connection
-        .connection_lost(Outcome::Moot, rig.conn.written, &mut rig.events);
-    assert!(rig.ends().contains(&(attempt, Outcome::Moot)));
+    upstream.events.clear();
+    upstream
+        .connection
+        .connection_lost(Outcome::Moot, upstream.tcp.written, &mut upstream.events);
+    assert!(upstream.take_outcomes().contains(&(attempt, Outcome::Moot)));
 }
 
-/// A client's copy is current only where the box names that copy.
+/// A 304 response revalidates the client's copy only if it names the ETag of that copy.
 #[test]
-fn an_answer_that_names_no_copy_or_another_one_calls_none_current() {
+fn a_not_modified_response_must_name_the_clients_etag() {
     for (fields, outcome) in [
         ("etag=4be0c1927d55a6f3,made=1", Outcome::Ok),
         ("etag=0000000000000000,made=1", Outcome::Error),
         ("made=1", Outcome::Error),
         ("-", Outcome::Error),
     ] {
-        let mut rig = Rig::new(true);
-        rig.have = Some("4be0c1927d55a6f3".into());
-        let attempt = rig.send("01");
-        answered(&mut rig, &[("01", "304", fields)]);
-        assert_eq!(rig.ends(), [(attempt, outcome)], "{fields}");
+        let mut upstream = Upstream::new(true);
+        upstream.client_etag = Some("4be0c1927d55a6f3".into());
+        let attempt = upstream.send("01");
+        receive_responses(&mut upstream, &[("01", "304", fields)]);
+        assert_eq!(upstream.take_outcomes(), [(attempt, outcome)], "{fields}");
     }
-    // And none where the client holds none.
-    let mut rig = Rig::new(true);
-    let attempt = rig.send("01");
-    answered(&mut rig, &[("01", "304", "etag=4be0c1927d55a6f3")]);
-    assert_eq!(rig.ends(), [(attempt, Outcome::Error)]);
+    // A 304 response is an error if the client holds no copy.
+    let mut upstream = Upstream::new(true);
+    let attempt = upstream.send("01");
+    receive_responses(&mut upstream, &[("01", "304", "etag=4be0c1927d55a6f3")]);
+    assert_eq!(upstream.take_outcomes(), [(attempt, Outcome::Error)]);
 }
 
-/// While an attempt waits for its connection a purge may come: the attempt then asks for a copy from after it.
+/// A purge may arrive while an attempt waits for its connection. The attempt must then request a newer copy.
 #[test]
-fn an_attempt_that_waited_asks_for_the_age_that_will_do_when_it_begins() {
-    let mut rig = Rig::new(false);
-    rig.send("01");
-    rig.core
+fn the_maximum_age_is_computed_when_the_attempt_is_written() {
+    let mut upstream = Upstream::new(false);
+    upstream.send("01");
+    upstream
+        .core
         .record_purge(NOW + 1_000, Some("01-object".into()), 0, NOW);
-    rig.now = NOW + 200_000;
-    rig.conn.up = true;
-    rig.pump();
-    assert!(rig.reached("fetch", 1).contains("maxage=200"));
+    upstream.now = NOW + 200_000;
+    upstream.tcp.up = true;
+    upstream.flush();
+    assert!(upstream.read_frames("fetch", 1).contains("maxage=200"));
 }
 
 #[test]
-fn a_connection_that_rested_for_nearly_as_long_as_its_box_lets_it_is_not_used_again() {
-    let mut rig = Rig::new(true);
-    rig.limits.cache_idle_timeout_us = 5_000_000;
-    let attempt = rig.send("01");
+fn a_connection_idle_for_nearly_the_caches_timeout_is_stale() {
+    let mut upstream = Upstream::new(true);
+    upstream.limits.cache_idle_timeout_us = 5_000_000;
+    let attempt = upstream.send("01");
     assert!(
-        !rig.connection.is_stale(NOW + 60_000_000, &rig.limits),
-        "it is in use"
+        !upstream
+            .connection
+            .is_stale(NOW + 60_000_000, &upstream.limits),
+        "a connection with an attempt is in use"
     );
-    answered(&mut rig, &[("01", "200", "made=1,etag=t1")]);
-    assert_eq!(rig.ends(), [(attempt, Outcome::Ok)]);
-    assert!(!rig.connection.is_stale(NOW + 4_999_999, &rig.limits));
-    assert!(rig.connection.is_stale(NOW + 5_000_000, &rig.limits));
+    receive_responses(&mut upstream, &[("01", "200", "made=1,etag=t1")]);
+    assert_eq!(upstream.take_outcomes(), [(attempt, Outcome::Ok)]);
+    assert!(!upstream
+        .connection
+        .is_stale(NOW + 4_999_999, &upstream.limits));
+    assert!(upstream
+        .connection
+        .is_stale(NOW + 5_000_000, &upstream.limits));
 }
 
-/// An answer may trickle for good. Nobody waits longer for one than the longest deadline, and what is sent meanwhile
-/// rather takes another connection.
+/// A trickling response must not occupy its connection beyond the response timeout. Meanwhile other connections are
+/// preferred for new attempts.
 #[test]
-fn an_answer_that_never_ends_ends_its_connection_though_something_always_comes() {
-    let mut rig = Rig::new(true);
-    rig.send("01");
-    rig.far
+fn a_response_that_trickles_beyond_its_timeout_closes_the_connection() {
+    let mut upstream = Upstream::new(true);
+    upstream.send("01");
+    upstream
+        .cache_socket
         .write_all(b"*4\r\n$2\r\n01\r\n$3\r\n200\r\n$0\r\n\r\n$400000\r\n")
         .unwrap();
-    let step = rig.limits.response_stall_timeout_us - 1;
-    let (start, mut steps) = (rig.now, 0);
+    let interval = upstream.limits.response_stall_timeout_us - 1;
+    let (start, mut intervals) = (upstream.now, 0);
     loop {
-        while rig.conn.read(false) != Progress::Moved {}
-        rig.connection
-            .read(rig.now, &mut rig.conn, &rig.core, &mut rig.events)
+        while upstream.tcp.read(false) != Progress::Moved {}
+        upstream
+            .connection
+            .read(
+                upstream.now,
+                &mut upstream.tcp,
+                &upstream.core,
+                &mut upstream.events,
+            )
             .unwrap();
-        if !rig.pump() {
+        if !upstream.flush() {
             break;
         }
         assert_eq!(
-            rig.connection.is_blocked_by_response(rig.now, &rig.limits),
-            steps > 1,
-            "{steps}"
+            upstream
+                .connection
+                .is_blocked_by_response(upstream.now, &upstream.limits),
+            intervals > 1,
+            "{intervals}"
         );
-        rig.now += step;
-        steps += 1;
+        upstream.now += interval;
+        intervals += 1;
         assert!(
-            rig.now <= start + rig.limits.response_timeout_us + step,
-            "it goes on for good"
+            upstream.now <= start + upstream.limits.response_timeout_us + interval,
+            "the connection is still open after the response timeout"
         );
-        rig.far.write_all(b".").unwrap();
+        upstream.cache_socket.write_all(b".").unwrap();
     }
-    assert!(rig.now >= start + rig.limits.response_timeout_us && steps > 2);
+    assert!(upstream.now >= start + upstream.limits.response_timeout_us && intervals > 2);
 }
 
-/// One that is whole in time ends nothing, and the next one has its own time.
+/// The timeout of a response starts when its first byte arrives, also if that byte comes with the previous response.
 #[test]
-fn answers_that_follow_each_other_without_a_pause_each_have_their_own_time() {
-    let mut rig = Rig::new(true);
+fn each_of_several_consecutive_responses_has_its_own_timeout() {
+    let mut upstream = Upstream::new(true);
     for n in 0..40 {
         let id = format!("{n:02}");
-        rig.send(&id);
-        let mut out = Vec::new();
-        resp::write_array(&mut out, &[id.as_bytes(), b"200", b"made=1,etag=t1", b"x"]);
-        // The rest of each comes with the beginning of the next.
-        let cut = out.len() / 2;
-        for part in [&out[..cut], &out[cut..]] {
-            rig.far.write_all(part).unwrap();
-            while rig.conn.read(false) != Progress::Moved {}
-            rig.connection
-                .read(rig.now, &mut rig.conn, &rig.core, &mut rig.events)
+        upstream.send(&id);
+        let mut bytes = Vec::new();
+        resp::write_array(
+            &mut bytes,
+            &[id.as_bytes(), b"200", b"made=1,etag=t1", b"x"],
+        );
+        // Each response arrives in two parts.
+        let cut = bytes.len() / 2;
+        for part in [&bytes[..cut], &bytes[cut..]] {
+            upstream.cache_socket.write_all(part).unwrap();
+            while upstream.tcp.read(false) != Progress::Moved {}
+            upstream
+                .connection
+                .read(
+                    upstream.now,
+                    &mut upstream.tcp,
+                    &upstream.core,
+                    &mut upstream.events,
+                )
                 .unwrap();
-            assert!(rig.pump());
-            rig.now += rig.limits.response_stall_timeout_us - 1;
+            assert!(upstream.flush());
+            upstream.now += upstream.limits.response_stall_timeout_us - 1;
         }
     }
     assert_eq!(
-        rig.ends().iter().filter(|end| end.1 == Outcome::Ok).count(),
+        upstream
+            .take_outcomes()
+            .iter()
+            .filter(|end| end.1 == Outcome::Ok)
+            .count(),
         40
     );
 }
 
-/// What is remembered has an age: one deadline for each connection, whatever was answered or given up on it.
+/// A connection has a single removal deadline for all of its finished streams.
 #[test]
-fn what_is_over_on_a_connection_is_forgotten_by_a_deadline_of_its_own() {
-    let mut rig = Rig::new(true);
-    assert_eq!(rig.connection.next_removal_at(NOW, &rig.limits), None);
-    rig.send("01");
-    answered(&mut rig, &[("01", "503", "-")]);
-    let at = rig
+fn finished_streams_are_removed_after_their_retention_time() {
+    let mut upstream = Upstream::new(true);
+    assert_eq!(
+        upstream.connection.next_removal_at(NOW, &upstream.limits),
+        None
+    );
+    upstream.send("01");
+    receive_responses(&mut upstream, &[("01", "503", "-")]);
+    let at = upstream
         .connection
-        .next_removal_at(NOW, &rig.limits)
+        .next_removal_at(NOW, &upstream.limits)
         .expect("a deadline");
-    assert_eq!(at, NOW + rig.limits.finished_stream_retention_us + 1);
-    rig.now += 1_000_000;
-    rig.send("02");
-    answered(&mut rig, &[("02", "503", "-")]);
+    assert_eq!(at, NOW + upstream.limits.finished_stream_retention_us + 1);
+    upstream.now += 1_000_000;
+    upstream.send("02");
+    receive_responses(&mut upstream, &[("02", "503", "-")]);
     assert_eq!(
-        rig.connection.next_removal_at(rig.now, &rig.limits),
+        upstream
+            .connection
+            .next_removal_at(upstream.now, &upstream.limits),
         None,
-        "it is set already"
+        "the deadline is already set"
     );
-    rig.connection.remove_finished(at, &rig.limits);
+    upstream.connection.remove_finished(at, &upstream.limits);
     assert!(
-        rig.live_streams_if_available("01").is_some()
-            && rig.live_streams_if_available("02").is_none()
+        upstream.live_streams_if_available("01").is_some()
+            && upstream.live_streams_if_available("02").is_none()
     );
-    let then = rig
+    let next = upstream
         .connection
-        .next_removal_at(at, &rig.limits)
-        .expect("the next one's");
-    assert_eq!(then, at + 1_000_000);
-    rig.connection.remove_finished(then, &rig.limits);
-    assert!(rig.live_streams_if_available("02").is_some());
-    assert_eq!(rig.connection.next_removal_at(then, &rig.limits), None);
+        .next_removal_at(at, &upstream.limits)
+        .expect("a deadline for the second stream");
+    assert_eq!(next, at + 1_000_000);
+    upstream.connection.remove_finished(next, &upstream.limits);
+    assert!(upstream.live_streams_if_available("02").is_some());
+    assert_eq!(
+        upstream.connection.next_removal_at(next, &upstream.limits),
+        None
+    );
 }
