--- a/daemon/tests/failing_folder.rs
+++ b/daemon/tests/failing_state_folder.rs
@@ -1,5 +1,5 @@
-//! Daemons whose folder fails for a while (EIO, ENOSPC) or for good, at their start and in the middle of their work, as
-//! processes of their own that are killed in between.
+//! Tests daemon processes whose state folder fails temporarily or permanently, at startup and at run time, with kills
+//! in between.
 
 use linnetknot_daemon::fleet::query_status;
 use linnetknot_harness::clients::{becomes, call, Answer};
@@ -8,40 +8,39 @@
 use std::time::{Duration, Instant};
 
 const DAEMON: &str = env!("CARGO_BIN_EXE_linnetknot");
-/// How long a commit may wait.
-const WITHIN_MS: u64 = 4_000;
+/// Long enough for slow syncs on a busy machine.
+const COMMIT_TIMEOUT_MS: u64 = 4_000;
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-fn fleet(running: usize, seed: u64, wait: Option<usize>) -> Fleet {
+fn start_fleet(running: usize, seed: u64, wait: Option<usize>) -> Fleet {
     Fleet::with(Setup {
         wait,
-        // A busy machine may sync slowly.
-        within_ms: Some(WITHIN_MS),
+        within_ms: Some(COMMIT_TIMEOUT_MS),
         ..Setup::copying(Path::new(DAEMON), running, seed)
     })
     .unwrap()
 }
 
-fn object(n: u64) -> String {
+fn object_id(n: u64) -> String {
     format!("{n:016x}")
 }
 
-fn ready(fleet: &Fleet, n: usize) -> Answer {
+fn query_ready(fleet: &Fleet, n: usize) -> Answer {
     call(fleet.process(n).unwrap().admin, "GET", "/control/ready", "").unwrap()
 }
 
-fn text(answer: &Answer) -> String {
+fn body_text(answer: &Answer) -> String {
     String::from_utf8(answer.body.clone()).unwrap()
 }
 
 fn is_ready(fleet: &Fleet, n: usize) -> bool {
-    ready(fleet, n).status == 200
+    query_ready(fleet, n).status == 200
 }
 
-/// Its store is open: it says nothing of one that is not.
+/// Returns whether the daemon is ready and reports no store that failed to open.
 fn has_store(fleet: &Fleet, n: usize) -> bool {
-    let answer = ready(fleet, n);
-    answer.status == 200 && !text(&answer).contains("can't be opened")
+    let answer = query_ready(fleet, n);
+    answer.status == 200 && !body_text(&answer).contains("can't be opened")
 }
 
 fn trigger(fleet: &Fleet, n: usize, object: &str) -> String {
@@ -53,9 +52,9 @@
     fleet.neighbour(n, "GET", path).unwrap().status
 }
 
-/// What it answers to whatever needs the store, while that is away.
-fn assert_rejects(fleet: &Fleet, n: usize) {
-    let answer = fleet.trigger(n, &[&object(900)]).unwrap();
+/// Checks that calls that need the store get 503, and that other requests are served.
+fn check_store_calls_are_rejected(fleet: &Fleet, n: usize) {
+    let answer = fleet.trigger(n, &[&object_id(900)]).unwrap();
     assert_eq!(
         (answer.status, answer.header("retry-after")),
         (503, Some("1")),
@@ -71,37 +70,41 @@
             (answer.status, answer.header("retry-after")),
             (503, Some("1")),
             "{path}: {}",
-            text(&answer)
+            body_text(&answer)
         );
     }
-    assert_eq!(fleet.ask(n, &object(901)).unwrap().status, 200, "all else");
+    assert_eq!(
+        fleet.ask(n, &object_id(901)).unwrap().status,
+        200,
+        "other requests are served"
+    );
 }
 
-/// The first sync of a start fails once.
+/// The first sync at startup fails once.
 #[test]
-fn a_start_whose_first_sync_fails_serves_and_has_all_once_it_is_tried_again() {
+fn a_daemon_whose_first_sync_fails_serves_and_recovers_its_store() {
     for (errno, seed) in [("EIO", 71), ("ENOSPC", 72)] {
-        let mut fleet = fleet(1, seed, None);
-        let path = trigger(&fleet, 0, &object(1));
+        let mut fleet = start_fleet(1, seed, None);
+        let path = trigger(&fleet, 0, &object_id(1));
         fleet.kill(0).unwrap();
         fleet
             .restart_armed(0, Disk::Kept, &format!("disk-sync={errno}*1"))
             .unwrap_or_else(|e| panic!("{errno}: {e}"));
         assert!(becomes(TIMEOUT, || has_store(&fleet, 0)), "{errno}");
-        assert!(fleet.holds_floor(0, &object(1)).unwrap(), "{errno}");
+        assert!(fleet.holds_floor(0, &object_id(1)).unwrap(), "{errno}");
         assert_eq!(status_of(&fleet, 0, &path), 200, "{errno}");
-        trigger(&fleet, 0, &object(2));
+        trigger(&fleet, 0, &object_id(2));
         assert!(fleet.end(0).unwrap());
     }
 }
 
-/// The folder fails for longer, with no peer that knows what it has: copies from before count as purged, and what needs
-/// the folder is rejected until it is back. A kill in the middle of it changes nothing.
+/// The folder fails for longer and no peer has its entries: all earlier copies count as purged, and calls that need the
+/// store are rejected until it recovers. A kill during the failure changes nothing.
 #[test]
-fn alone_it_rejects_what_needs_the_folder_serves_all_else_and_recovers() {
-    let mut fleet = fleet(1, 73, None);
-    let before = fleet.ask(0, &object(1)).unwrap().made();
-    let path = trigger(&fleet, 0, &object(2));
+fn without_peers_only_calls_that_need_the_store_are_rejected_until_it_recovers() {
+    let mut fleet = start_fleet(1, 73, None);
+    let before = fleet.ask(0, &object_id(1)).unwrap().made();
+    let path = trigger(&fleet, 0, &object_id(2));
     assert_eq!(
         fleet
             .operate(0, "POST", "/control/pop-caches/s-0a/offline")
@@ -114,31 +117,34 @@
             .restart_armed(0, Disk::Kept, &format!("disk-write=ENOSPC{lasts}"))
             .unwrap();
         assert!(becomes(TIMEOUT, || is_ready(&fleet, 0)));
-        let said = text(&ready(&fleet, 0));
-        assert!(said.contains("No space left on device"), "{said}");
-        assert_rejects(&fleet, 0);
+        let message = body_text(&query_ready(&fleet, 0));
+        assert!(message.contains("No space left on device"), "{message}");
+        check_store_calls_are_rejected(&fleet, 0);
         let answer = fleet.neighbour(0, "GET", &path).unwrap();
         assert_eq!(
             (answer.status, answer.header("retry-after")),
             (503, Some("1")),
-            "its status may stand in the store"
+            "the status may be in the store"
         );
-        assert!(fleet.ask(0, &object(1)).unwrap().made() > before);
+        assert!(fleet.ask(0, &object_id(1)).unwrap().made() > before);
     }
     assert!(becomes(TIMEOUT, || has_store(&fleet, 0)));
-    assert_eq!(status_of(&fleet, 0, &path), 200, "what was answered 201");
-    assert_eq!(fleet.triggers(0).unwrap().len(), 1, "and nothing else");
+    assert_eq!(
+        status_of(&fleet, 0, &path),
+        200,
+        "the trigger that was answered 201"
+    );
+    assert_eq!(fleet.triggers(0).unwrap().len(), 1, "and no other trigger");
     assert_eq!(fleet.operate(0, "GET", "/control/ready").unwrap(), 200);
-    trigger(&fleet, 0, &object(3));
+    trigger(&fleet, 0, &object_id(3));
     assert!(fleet.end(0).unwrap());
 }
 
-/// With peers, it learns from them what it committed before, acknowledges none of it, and is one of them again once its
-/// folder is back.
+/// With peers, the daemon fetches the committed entries from them, but acknowledges none until its folder recovers.
 #[test]
-fn among_peers_it_learns_from_them_and_acknowledges_nothing_until_the_folder_is_back() {
-    let mut fleet = fleet(3, 74, Some(1));
-    let path = trigger(&fleet, 0, &object(1));
+fn with_peers_the_entries_are_fetched_but_not_acknowledged_until_the_folder_recovers() {
+    let mut fleet = start_fleet(3, 74, Some(1));
+    let path = trigger(&fleet, 0, &object_id(1));
     assert!(becomes(TIMEOUT, || fleet.agrees().unwrap()));
     fleet.kill(0).unwrap();
     fleet
@@ -146,35 +152,37 @@
         .unwrap();
     assert!(becomes(TIMEOUT, || is_ready(&fleet, 0)));
     let status = query_status(fleet.process(0).unwrap().admin).unwrap();
-    let why = status.store_error.expect("it says so");
-    assert!(why.contains("os error 5"), "{why}");
-    assert!(fleet.holds_floor(0, &object(1)).unwrap(), "by its peers");
+    let reason = status
+        .store_error
+        .expect("the status reports the store error");
+    assert!(reason.contains("os error 5"), "{reason}");
+    assert!(fleet.holds_floor(0, &object_id(1)).unwrap(), "by its peers");
     assert_eq!(status_of(&fleet, 0, &path), 200, "by its peers");
-    assert_rejects(&fleet, 0);
-    // Its memory is no copy: with the third one standing still, nobody has a second.
+    check_store_calls_are_rejected(&fleet, 0);
+    // Entries held only in memory do not count: with the third daemon stalled, no second copy is durable.
     fleet.stall(2).unwrap();
-    assert_eq!(fleet.purge(1, &object(2)).unwrap(), 503);
+    assert_eq!(fleet.purge(1, &object_id(2)).unwrap(), 503);
     fleet.go_on(2).unwrap();
-    let third = trigger(&fleet, 1, &object(3));
+    let peer_trigger = trigger(&fleet, 1, &object_id(3));
     assert!(becomes(TIMEOUT, || has_store(&fleet, 0)));
     assert!(becomes(TIMEOUT, || fleet.agrees().unwrap()));
-    assert_eq!(status_of(&fleet, 0, &third), 200);
-    let own = trigger(&fleet, 0, &object(4));
-    // What it has is on its disk: it comes back alone.
+    assert_eq!(status_of(&fleet, 0, &peer_trigger), 200);
+    let own_trigger = trigger(&fleet, 0, &object_id(4));
+    // Its own disk has all entries, so it recovers without its peers.
     fleet.kill(1).unwrap();
     fleet.kill(2).unwrap();
     fleet.kill(0).unwrap();
     fleet.restart(0, Disk::Kept).unwrap();
-    for path in [&path, &third, &own] {
+    for path in [&path, &peer_trigger, &own_trigger] {
         assert_eq!(status_of(&fleet, 0, path), 200);
     }
 }
 
-/// The operators' state: a ban or drain that was answered 503 is not in force in the next process, also where the failed
-/// call was killed before it was undone; one that was answered 200 is.
+/// A ban or drain that was answered 503 is not in force after a restart, even if the daemon was killed before it undid
+/// the failed write. One that was answered 200 is.
 #[test]
-fn what_operators_were_answered_200_holds_and_what_they_were_answered_503_does_not() {
-    let drain = |fleet: &Fleet| {
+fn operator_changes_answered_200_persist_and_those_answered_503_do_not() {
+    let post_drain = |fleet: &Fleet| {
         let admin = fleet.process(0).unwrap().admin;
         call(admin, "POST", "/control/out-of-service", "").unwrap()
     };
@@ -196,68 +204,76 @@
         "disk-rename=EIO+1",
         "disk-rename=ENOSPC+1",
     ] {
-        let mut fleet = fleet(1, 76, None);
+        let mut fleet = start_fleet(1, 76, None);
         assert_eq!(fleet.operate(0, "POST", ban).unwrap(), 200);
         fleet.kill(0).unwrap();
-        // The store opens before the spell begins: it fails the operators' files.
+        // The failures start after the store has been opened, so that they affect the files of the operators' state.
         fleet
             .restart_armed(0, Disk::Kept, &format!("late-{points}"))
             .unwrap();
         assert!(becomes(TIMEOUT, || is_ready(&fleet, 0)), "{points}");
-        let armed = Duration::from_millis(700);
-        std::thread::sleep(armed);
-        let answer = drain(&fleet);
+        let failure_delay = Duration::from_millis(700);
+        std::thread::sleep(failure_delay);
+        let answer = post_drain(&fleet);
         assert_eq!(
             (answer.status, answer.header("retry-after")),
             (503, Some("1")),
             "{points}: {}",
-            text(&answer)
+            body_text(&answer)
+        );
+        assert!(
+            is_ready(&fleet, 0),
+            "{points}: the rejected drain is not in force"
         );
-        assert!(is_ready(&fleet, 0), "{points}: nothing has changed");
         fleet.kill(0).unwrap();
         fleet.restart(0, Disk::Kept).unwrap();
         assert!(
             becomes(TIMEOUT, || is_ready(&fleet, 0)),
-            "{points}: what was answered 503 is claimed"
+            "{points}: a drain that was answered 503 is in force"
         );
         assert_eq!(fleet.operate(0, "POST", ban).unwrap(), 200);
-        let answer = drain(&fleet);
-        assert_eq!(answer.status, 200, "{points}: {}", text(&answer));
+        let answer = post_drain(&fleet);
+        assert_eq!(answer.status, 200, "{points}: {}", body_text(&answer));
         fleet.kill(0).unwrap();
         fleet.restart(0, Disk::Kept).unwrap();
-        assert_eq!(text(&ready(&fleet, 0)).trim(), "out of service", "{points}");
+        assert_eq!(
+            body_text(&query_ready(&fleet, 0)).trim(),
+            "out of service",
+            "{points}"
+        );
     }
 }
 
-/// The operators' files can't be read at a start: that is no sign that there are none.
+/// A failure to read the operators' state at startup must not be taken for an absent state.
 #[test]
-fn bans_that_cannot_be_read_at_a_start_are_in_force_once_they_can() {
-    let mut fleet = fleet(1, 77, None);
+fn operator_state_that_is_unreadable_at_startup_applies_once_it_is_readable() {
+    let mut fleet = start_fleet(1, 77, None);
     assert_eq!(
         fleet.operate(0, "POST", "/control/out-of-service").unwrap(),
         200
     );
     fleet.kill(0).unwrap();
-    // The log of this proxy would tell of it, too.
+    // Remove the store, whose log also holds the drain.
     std::fs::remove_file(fleet.store(0)).unwrap();
     fleet
         .restart_armed(0, Disk::Kept, "disk-read=EIO@2000")
         .unwrap();
     let admin = fleet.process(0).unwrap().admin;
     let answer = call(admin, "POST", "/control/pop-caches/s-0a/offline", "").unwrap();
-    assert_eq!(answer.status, 503, "{}", text(&answer));
-    assert!(becomes(TIMEOUT, || text(&ready(&fleet, 0)).trim()
+    assert_eq!(answer.status, 503, "{}", body_text(&answer));
+    assert!(becomes(TIMEOUT, || body_text(&query_ready(&fleet, 0))
+        .trim()
         == "out of service"));
     let files = std::fs::read_dir(fleet.store(0).parent().unwrap()).unwrap();
     let names = files.map(|f| f.unwrap().file_name().into_string().unwrap());
     assert!(names.into_iter().all(|name| !name.ends_with(".new")));
 }
 
-/// The store of a running process fails: once, for a spell, and until the process is killed. What was answered 201 is
-/// there in the next process; what was answered 503 is not told of where the spell ended before the kill.
+/// The store of a running daemon fails once, for a while, or until the daemon is killed. Triggers that were answered 201
+/// exist after a restart. Those that were answered 503 do not if the failure ended before the kill.
 #[test]
-fn a_running_store_that_fails_loses_nothing_that_was_answered_201() {
-    let spells = [
+fn a_store_failure_at_run_time_loses_no_trigger_answered_201() {
+    let failures = [
         ("disk-sync=EIO*1", true),
         ("disk-sync=EIO@1500", true),
         ("disk-write=ENOSPC@1500", true),
@@ -265,17 +281,17 @@
         ("disk-sync=EIO", false),
         ("disk-write=ENOSPC", false),
     ];
-    for (seed, (points, passes)) in (80..).zip(spells) {
-        let mut fleet = fleet(1, seed, None);
+    for (seed, (points, recovers)) in (80..).zip(failures) {
+        let mut fleet = start_fleet(1, seed, None);
         fleet.kill(0).unwrap();
         fleet
             .restart_armed(0, Disk::Kept, &format!("late-{points}"))
             .unwrap();
         assert!(becomes(TIMEOUT, || is_ready(&fleet, 0)), "{points}");
         let (mut committed, mut rejected) = (Vec::new(), 0);
-        let begun = Instant::now();
-        while begun.elapsed() < Duration::from_secs(4) {
-            let answer = fleet.trigger(0, &[&object(rejected)]).unwrap();
+        let started_at = Instant::now();
+        while started_at.elapsed() < Duration::from_secs(4) {
+            let answer = fleet.trigger(0, &[&object_id(rejected)]).unwrap();
             match status_path(&answer) {
                 Some(path) => committed.push(path),
                 None => {
@@ -289,8 +305,8 @@
             }
             std::thread::sleep(Duration::from_millis(50));
         }
-        if passes {
-            let last = fleet.trigger(0, &[&object(999)]).unwrap();
+        if recovers {
+            let last = fleet.trigger(0, &[&object_id(999)]).unwrap();
             assert_eq!(
                 last.status,
                 201,
@@ -302,14 +318,14 @@
                 status.len() == committed.len() + 1
             }));
         } else {
-            assert!(rejected > 0, "{points}: nothing failed");
+            assert!(rejected > 0, "{points}: no trigger was rejected");
         }
         fleet.kill(0).unwrap();
         fleet.restart(0, Disk::Kept).unwrap();
         for path in &committed {
             assert_eq!(status_of(&fleet, 0, path), 200, "{points}: {path}");
         }
-        if passes {
+        if recovers {
             assert_eq!(
                 fleet.triggers(0).unwrap().len(),
                 committed.len() + 1,
@@ -319,27 +335,27 @@
     }
 }
 
-/// What somebody must mend is refused by name at once.
+/// An error that only an operator can fix must fail the start, with a message that names the setting.
 #[test]
-fn what_is_wrong_for_good_is_refused_at_once() {
-    let mut fleet = fleet(1, 75, None);
+fn a_permanent_folder_error_fails_the_start_at_once() {
+    let mut fleet = start_fleet(1, 75, None);
     fleet.kill(0).unwrap();
-    let refused = |fleet: &mut Fleet, points: &str| {
+    let start_error = |fleet: &mut Fleet, points: &str| {
         let error = fleet.restart_armed(0, Disk::Kept, points).unwrap_err();
         error.to_string()
     };
-    let said = refused(&mut fleet, "disk-open=EACCES");
+    let message = start_error(&mut fleet, "disk-open=EACCES");
     assert!(
-        said.contains("cdni.purges") && said.contains("Permission denied"),
-        "{said}"
+        message.contains("cdni.purges") && message.contains("Permission denied"),
+        "{message}"
     );
     let store = fleet.store(0);
     std::fs::remove_file(&store).unwrap();
     std::fs::create_dir(&store).unwrap();
-    let said = refused(&mut fleet, "");
+    let message = start_error(&mut fleet, "");
     assert!(
-        said.contains("cdni.purges") && said.contains("Is a directory"),
-        "{said}"
+        message.contains("cdni.purges") && message.contains("Is a directory"),
+        "{message}"
     );
     std::fs::remove_dir(&store).unwrap();
     fleet.restart(0, Disk::Kept).unwrap();
--- a/daemon/tests/failing_calls.rs
+++ b/daemon/tests/failing_system_calls.rs
@@ -1,4 +1,4 @@
-//! A daemon whose system calls fail: what becomes of its clients' requests, and of its caches.
+//! Tests of a daemon whose system calls fail: clients must be served and healthy caches kept.
 
 mod armed;
 
@@ -9,44 +9,44 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Clients that ask on new connections, one after the other: each is to be answered.
-fn serves_new_clients(armed: &Armed, clients: u64) {
-    for number in 0..clients {
-        let answer = ask(&mut armed.web(), number);
+/// Sends a request on each of `count` new connections, one after another, and checks that each is answered.
+fn check_new_clients(daemon: &Armed, count: u64) {
+    for number in 0..count {
+        let answer = ask(&mut daemon.web(), number);
         assert_eq!(answer.map(|a| a.status), Some(200), "client {number}");
     }
 }
 
 #[test]
-fn a_client_that_cannot_be_watched_at_once_is_answered() {
-    serves_new_clients(
+fn a_client_is_served_although_its_epoll_registration_fails_at_first() {
+    check_new_clients(
         &Armed::start("sys-epoll-ctl=errno(ENOMEM|ENOSPC):every(2)"),
         40,
     );
 }
 
 #[test]
-fn clients_are_served_while_no_connection_can_be_watched_at_all() {
-    let armed = Armed::start("sys-epoll-ctl=errno(ENOSPC|ENOMEM):after(40)");
-    serves_new_clients(&armed, 40);
-    // One that has gone is noticed too, and what it asked is not answered by an attempt that begins later.
-    let mut web = armed.web();
+fn clients_are_served_while_every_epoll_registration_fails() {
+    let daemon = Armed::start("sys-epoll-ctl=errno(ENOSPC|ENOMEM):after(40)");
+    check_new_clients(&daemon, 40);
+    // Several requests on the same connection are served as well.
+    let mut web = daemon.web();
     assert_eq!(ask(&mut web, 1).map(|a| a.status), Some(200));
     assert_eq!(ask(&mut web, 2).map(|a| a.status), Some(200));
 }
 
-/// Clients that rest, and one that comes while `accept` fails.
-fn resting_clients_stay(errnos: &str) {
+/// Checks that idle clients stay connected, and new ones are served, while `accept` fails with these errors.
+fn check_idle_clients_stay(errnos: &str) {
     let points = format!("sys-accept=errno({errnos}):after(40):every(2):times(12)");
-    let armed = Armed::start(&points);
-    let mut resting: Vec<WebServer> = (0..4).map(|_| armed.web()).collect();
-    for (number, web) in (0..).zip(&mut resting) {
+    let daemon = Armed::start(&points);
+    let mut idle_clients: Vec<WebServer> = (0..4).map(|_| daemon.web()).collect();
+    for (number, web) in (0..).zip(&mut idle_clients) {
         assert_eq!(ask(web, number).map(|a| a.status), Some(200));
     }
-    // Those that came a moment ago are let be in any case.
+    // Clients that have just connected are never closed.
     sleep(Duration::from_millis(400));
-    serves_new_clients(&armed, 40);
-    for (number, web) in (0..).zip(&mut resting) {
+    check_new_clients(&daemon, 40);
+    for (number, web) in (0..).zip(&mut idle_clients) {
         let answer = ask(web, number);
         assert_eq!(
             answer.map(|a| a.status),
@@ -57,61 +57,61 @@
 }
 
 #[test]
-fn no_resting_client_is_closed_for_errors_of_connections_to_come() {
-    resting_clients_stay("EPROTO|ENETDOWN|EHOSTUNREACH|ENETUNREACH|EOPNOTSUPP|ETIMEDOUT|EPERM");
+fn no_idle_client_is_closed_for_accept_errors_of_new_connections() {
+    check_idle_clients_stay("EPROTO|ENETDOWN|EHOSTUNREACH|ENETUNREACH|EOPNOTSUPP|ETIMEDOUT|EPERM");
 }
 
 #[test]
-fn no_resting_client_is_closed_for_memory() {
-    resting_clients_stay("ENOBUFS|ENOMEM");
+fn no_idle_client_is_closed_when_accept_lacks_memory() {
+    check_idle_clients_stay("ENOBUFS|ENOMEM");
 }
 
-/// A cache to which no connection can be begun for a while, by a fault of this machine, is tried again in time.
-fn waits_for_this_machine(points: &str) {
-    let armed = Armed::start(points);
-    let begun = Instant::now();
-    let mut web = armed.web();
+/// Checks that a connect that fails for a local reason is retried until it succeeds.
+fn check_connect_is_retried(points: &str) {
+    let daemon = Armed::start(points);
+    let started_at = Instant::now();
+    let mut web = daemon.web();
     let answer = ask(&mut web, 1);
     assert_eq!(answer.map(|a| a.status), Some(200), "{points}");
     assert!(
-        begun.elapsed() >= Duration::from_millis(100),
-        "{points}: nothing failed"
+        started_at.elapsed() >= Duration::from_millis(100),
+        "{points}: no call failed"
     );
-    let fetched = armed.cache.arrivals();
+    let arrivals = daemon.cache.arrivals();
     assert_eq!(
-        fetched.len(),
+        arrivals.len(),
         1,
-        "{points}: the cache itself, and once: {fetched:?}"
+        "{points}: the cache gets the request exactly once: {arrivals:?}"
     );
 }
 
 #[test]
-fn a_failure_of_this_machine_to_connect_spends_no_attempt_and_ejects_no_cache() {
-    // The first connection is the bus's.
+fn a_local_connect_failure_uses_up_no_attempt_and_ejects_no_cache() {
+    // The first connection is the one to the event bus.
     for points in [
         "sys-connect=errno(EADDRNOTAVAIL|ENETUNREACH|ENOBUFS|ENETDOWN|EAGAIN|EPERM):after(1):times(12)",
         "sys-socket=errno(ENFILE|EMFILE|ENOBUFS|ENOMEM):after(1):times(12)",
         "sys-connect-result=errno(ENETUNREACH|EADDRNOTAVAIL|ENOBUFS):after(1):times(12)",
     ] {
-        waits_for_this_machine(points);
+        check_connect_is_retried(points);
     }
 }
 
 #[test]
-fn transfers_that_fail_for_a_moment_lose_no_answer() {
+fn transient_read_and_write_errors_lose_no_response() {
     let points = "sys-read=errno(ENOMEM|ENOBUFS|EINTR|EAGAIN):every(3);\
                   sys-write=errno(ENOBUFS|ENOMEM|EINTR|EAGAIN):every(3);\
                   sys-setsockopt=errno(ENOBUFS|ENOMEM|ENOPROTOOPT):every(2)";
-    let armed = Armed::start(points);
-    serves_new_clients(&armed, 30);
-    let mut web = armed.web();
+    let daemon = Armed::start(points);
+    check_new_clients(&daemon, 30);
+    let mut web = daemon.web();
     for number in 0..30 {
         assert_eq!(ask(&mut web, number).map(|a| a.status), Some(200));
     }
 }
 
-/// A third class, whose requests must not run twice.
-fn with_votes(config: &mut Value) {
+/// Adds a third class, whose requests must not be repeated.
+fn add_vote_class(config: &mut Value) {
     let categories = config["settings"]["categories"].as_array_mut().unwrap();
     let mut votes = categories[0].clone();
     (votes["name"], votes["repeat"]) = ("vote".into(), "never".into());
@@ -127,17 +127,17 @@
 }
 
 #[test]
-fn what_a_cache_was_sent_before_its_connection_timed_out_may_have_run() {
+fn a_request_written_before_its_connection_timed_out_may_have_run() {
     for name in ["ETIMEDOUT", "EHOSTUNREACH"] {
-        // No other cache is there for a photo: it is refused, which only what is safe to repeat may be.
+        // With no other cache, a repeatable photo request gets 503. A vote, which may have run, gets 502.
         for (class, status) in [("vote", 502), ("photo", 503)] {
             let points =
                 |ports: Ports| format!("sys-read=errno({name}):port({}):times(1)", ports.cache);
-            let armed = Armed::placed(points, |config, _| with_votes(config));
-            let mut web = armed.web();
+            let daemon = Armed::placed(points, |config, _| add_vote_class(config));
+            let mut web = daemon.web();
             web.ask(1, class, "00000000000000a1", 2500).unwrap();
             let answer = web.end().unwrap().1.expect("an answer");
-            let fetches = armed
+            let fetches = daemon
                 .cache
                 .arrivals()
                 .iter()
@@ -149,25 +149,25 @@
 }
 
 #[test]
-fn a_client_whose_connection_timed_out_has_gone() {
+fn a_client_whose_connection_failed_counts_as_disconnected() {
     for name in ["ETIMEDOUT", "EHOSTUNREACH", "EPIPE"] {
-        let armed = Armed::placed(
+        let daemon = Armed::placed(
             |ports| format!("sys-write=errno({name}):port({}):times(1)", ports.front),
             |_, _| {},
         );
-        armed.cache.behave(Manner {
+        daemon.cache.behave(Manner {
             mute: true,
             ..Manner::default()
         });
-        let mut web = armed.web();
+        let mut web = daemon.web();
         web.ask(1, "photo", "00000000000000a1", 20_000).unwrap();
-        let sent = armed.cache.wait_for(|a| a.word == "fetch").unwrap();
-        // The answer to another request can't be written: its connection, and who waits on it, has gone.
+        let sent = daemon.cache.wait_for(|a| a.word == "fetch").unwrap();
+        // Writing the response to another request fails, so the connection and its pending requests are lost.
         web.ask(2, "post", "00000000000000a2", 20_000).unwrap();
-        let aborted = armed
+        let aborted = daemon
             .cache
             .wait_for(|a| a.word == "abort" && a.id == sent.id);
         assert!(aborted.is_some(), "{name}");
-        assert!(web.end().is_err(), "{name}: nothing is written any more");
+        assert!(web.end().is_err(), "{name}: the connection is closed");
     }
 }
--- a/daemon/tests/syscall_plays.rs
+++ b/daemon/tests/failing_system_calls_under_load.rs
@@ -1,10 +1,10 @@
-//! Several daemons under load while their system calls fail: no rule of the rehearsal kit is broken.
+//! Runs several daemons under load while their system calls fail, and checks the rules of the rehearsal kit.
 
 use linnetknot_rehearse::player::{play_armed, Outcome};
 use linnetknot_rehearse::scenario::{ClassLoad, Fault, Load, Scenario, SiteForm, What};
 use std::path::Path;
 
-/// Every call fails now and then, in each way that is a matter of this machine or of a connection that was to come.
+/// Every call fails at intervals, with each errno that is transient or concerns a single new connection.
 const ALL_CALLS: &str =
     "sys-accept=errno(ECONNABORTED|EMFILE|EPROTO|ENFILE|ENOBUFS|ENETDOWN|ENOMEM|EINTR):every(4);\
     sys-socket=errno(ENFILE|ENOBUFS|ENOMEM|EMFILE):every(5);\
@@ -17,7 +17,7 @@
     sys-write=errno(ENOBUFS|EINTR|EAGAIN|ENOMEM):every(5);\
     sys-setsockopt=errno(ENOBUFS|ENOMEM):every(5)";
 
-/// A few seconds of photos, posts and purges at three proxies.
+/// Six seconds of photos, posts and purges on three proxies.
 fn scenario(faults: Vec<Fault>) -> Scenario {
     let class = |name: &str, share, keyed| ClassLoad {
         name: name.into(),
@@ -50,26 +50,27 @@
     }
 }
 
-/// Caches that die and come back again and again.
-fn flapping() -> Vec<Fault> {
-    let dies = |at, first| Fault {
+/// Caches that repeatedly die and recover.
+fn flapping_caches() -> Vec<Fault> {
+    let cache_dies = |at, first| Fault {
         at,
         lasts: 0.6,
         what: What::BoxDies { boxes: 2, first },
     };
     vec![
-        dies(0.8, 0),
-        dies(1.4, 2),
-        dies(2.2, 0),
-        dies(2.8, 4),
-        dies(3.6, 2),
-        dies(4.4, 0),
+        cache_dies(0.8, 0),
+        cache_dies(1.4, 2),
+        cache_dies(2.2, 0),
+        cache_dies(2.8, 4),
+        cache_dies(3.6, 2),
+        cache_dies(4.4, 0),
     ]
 }
 
-fn played(faults: Vec<Fault>, seed: u64, points: &str) -> Outcome {
+fn play_without_breaches(faults: Vec<Fault>, seed: u64, fail_points: &str) -> Outcome {
     let daemon = Path::new(env!("CARGO_BIN_EXE_linnetknot"));
-    let outcome = play_armed(daemon, &scenario(faults), seed, points).expect("it is played");
+    let outcome =
+        play_armed(daemon, &scenario(faults), seed, fail_points).expect("the scenario runs");
     assert_eq!(outcome.breaches, [], "seed {seed}");
     assert_eq!(outcome.has_seen(), Ok(()));
     assert!(outcome.requests > 450, "{outcome:?}");
@@ -77,22 +78,22 @@
 }
 
 #[test]
-fn a_calm_play_with_failing_calls_breaks_no_rule() {
-    let outcome = played(vec![], 3, ALL_CALLS);
+fn failing_system_calls_under_load_break_no_rule() {
+    let outcome = play_without_breaches(vec![], 3, ALL_CALLS);
     assert!(outcome.score.total.score() > Some(0.9), "{outcome:?}");
 }
 
 #[test]
-fn a_play_with_flapping_caches_and_failing_calls_breaks_no_rule() {
+fn failing_system_calls_and_flapping_caches_break_no_rule() {
     for seed in [3, 204] {
-        let outcome = played(flapping(), seed, ALL_CALLS);
+        let outcome = play_without_breaches(flapping_caches(), seed, ALL_CALLS);
         assert!(outcome.score.total.score() > Some(0.5), "{outcome:?}");
     }
 }
 
 #[test]
-fn a_play_with_flapping_caches_and_an_epoll_set_without_memory_breaks_no_rule() {
-    let points = "sys-epoll-ctl=errno(ENOMEM|ENOSPC):every(31)";
-    let outcome = played(flapping(), 11, points);
+fn failing_epoll_registrations_and_flapping_caches_break_no_rule() {
+    let fail_points = "sys-epoll-ctl=errno(ENOMEM|ENOSPC):every(31)";
+    let outcome = play_without_breaches(flapping_caches(), 11, fail_points);
     assert!(outcome.score.total.score() > Some(0.5), "{outcome:?}");
 }
--- a/daemon/tests/handover.rs
+++ b/daemon/tests/handover.rs
@@ -1,6 +1,6 @@
-//! An upgrade on loopback: two processes of the daemon on one inherited listening socket, the old one ended by
-//! SIGTERM while clients go on connecting. The socket is handed over as a descriptor named by
-//! `$ROUTER_SOCKET_FD`, here standard input, which std can hand to a child without `unsafe`.
+//! Tests an upgrade: two daemon processes share an inherited listening socket, and the old one is stopped by SIGTERM
+//! while clients connect. `$ROUTER_SOCKET_FD` names the descriptor; here it is standard input, which `std` can pass to a
+//! child without `unsafe`.
 
 use linnetknot_harness::clients::{call, WebServer};
 use linnetknot_harness::fakes::cache::{FakeCache, Manner};
@@ -19,12 +19,12 @@
         .unwrap()
 }
 
-fn start(
+fn start_daemon(
     listener: &TcpListener,
     config: &std::path::Path,
     admin: SocketAddr,
     folder: &std::path::Path,
-    points: &str,
+    fail_points: &str,
 ) -> Child {
     let socket = OwnedFd::from(listener.try_clone().unwrap());
     Command::new(env!("CARGO_BIN_EXE_linnetknot"))
@@ -32,7 +32,7 @@
         .env("ROUTER_SOCKET_FD", "0")
         .env("ROUTER_OPS", admin.to_string())
         .env("TMPDIR", folder)
-        .env("LINNETKNOT_POINTS", points)
+        .env("LINNETKNOT_POINTS", fail_points)
         .env_remove("LINNETKNOT_INTERCONNECT")
         .stdin(Stdio::from(socket))
         .stdout(Stdio::null())
@@ -41,7 +41,7 @@
         .unwrap()
 }
 
-fn ready(admin: SocketAddr) {
+fn wait_until_ready(admin: SocketAddr) {
     let start = Instant::now();
     while call(admin, "GET", "/control/ready", "")
         .map(|a| a.status)
@@ -55,24 +55,24 @@
     }
 }
 
-fn served(front: SocketAddr, n: u64) -> u16 {
-    let mut web = WebServer::connect(front).unwrap();
+fn request_status(client_address: SocketAddr, n: u64) -> u16 {
+    let mut web = WebServer::connect(client_address).unwrap();
     web.ask(1, "photo", &format!("{n:016x}"), 2500).unwrap();
     web.end().unwrap().1.map_or(0, |a| a.status)
 }
 
-fn term(child: &Child) {
+fn send_sigterm(child: &Child) {
     let pid = rustix::process::Pid::from_child(child);
     rustix::process::kill_process(pid, rustix::process::Signal::TERM).unwrap();
 }
 
-/// Two boxes, an origin, a bus, and what the platform hands to each process that it starts.
+/// Two fake caches, an origin and an event bus, with the configuration and the socket of the daemon processes.
 struct Site {
     folder: std::path::PathBuf,
     config: std::path::PathBuf,
     listener: TcpListener,
-    front: SocketAddr,
-    boxes: [FakeCache; 2],
+    client_address: SocketAddr,
+    caches: [FakeCache; 2],
     _bus: Bus,
 }
 
@@ -82,29 +82,29 @@
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
         let bus = Bus::start().unwrap();
-        let boxes = [
+        let caches = [
             FakeCache::start("s-0a").unwrap(),
             FakeCache::start("s-0b").unwrap(),
         ];
         let origin = FakeCache::start("s-0f").unwrap();
-        let mut list: Vec<_> = boxes
+        let mut entries: Vec<_> = caches
             .iter()
-            .map(|b| entry(b, "here", "box", "ready"))
+            .map(|cache| entry(cache, "here", "box", "ready"))
             .collect();
-        list.push(entry(&origin, "hub", "origin", "ready"));
-        let known = json!({"offset": 0, "batch": [{"offset": 0, "topology": {"rev": 1, "all": true, "targets": list}}]});
+        entries.push(entry(&origin, "hub", "origin", "ready"));
+        let known = json!({"offset": 0, "batch": [{"offset": 0, "topology": {"rev": 1, "all": true, "targets": entries}}]});
         let config = json!({"listen": "127.0.0.1:1", "bus": bus.address.to_string(), "known": known,
             "settings": settings(), "limits": {"memory_mb": 192, "sockets": 256}});
         let path = folder.join("config.json");
         std::fs::write(&path, config.to_string()).unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let front = listener.local_addr().unwrap();
+        let client_address = listener.local_addr().unwrap();
         Site {
             folder,
             config: path,
             listener,
-            front,
-            boxes,
+            client_address,
+            caches,
             _bus: bus,
         }
     }
@@ -114,11 +114,17 @@
         self.start_armed("")
     }
 
-    /// The same with points armed at which it dies.
-    fn start_armed(&self, points: &str) -> (Child, SocketAddr) {
+    /// Starts a process with fail points and waits until it is ready.
+    fn start_armed(&self, fail_points: &str) -> (Child, SocketAddr) {
         let admin = free_address();
-        let child = start(&self.listener, &self.config, admin, &self.folder, points);
-        ready(admin);
+        let child = start_daemon(
+            &self.listener,
+            &self.config,
+            admin,
+            &self.folder,
+            fail_points,
+        );
+        wait_until_ready(admin);
         (child, admin)
     }
 }
@@ -130,58 +136,65 @@
 }
 
 #[test]
-fn two_processes_share_the_inherited_socket_and_the_old_one_ends_at_sigterm() {
+fn two_processes_share_the_inherited_socket_until_sigterm_ends_the_old_one() {
     let site = Site::new("handover");
-    let front = site.front;
+    let client_address = site.client_address;
     let (mut old, _) = site.start();
-    assert_eq!(served(front, 1), 200);
+    assert_eq!(request_status(client_address, 1), 200);
     let (mut new, _) = site.start();
-    term(&old);
-    // Clients go on connecting while the old process ends: every one is served, by one process or the other.
+    send_sigterm(&old);
+    // Each client that connects while the old process exits is served by one of the two.
     let mut n = 2;
     let status = loop {
-        assert_eq!(served(front, n), 200, "request {n}");
+        assert_eq!(request_status(client_address, n), 200, "request {n}");
         n += 1;
         if let Some(status) = old.try_wait().unwrap() {
             break status;
         }
-        assert!(n < 100_000, "the old process never ended");
+        assert!(n < 100_000, "the old process did not exit");
     };
-    assert!(status.success(), "the old process ends well: {status}");
+    assert!(
+        status.success(),
+        "the old process exits without an error: {status}"
+    );
     for m in n..n + 20 {
-        assert_eq!(served(front, m), 200, "served by the new process alone");
+        assert_eq!(
+            request_status(client_address, m),
+            200,
+            "requests are served by the new process alone"
+        );
     }
-    term(&new);
+    send_sigterm(&new);
     assert!(new.wait().unwrap().success());
 }
 
-/// A request that crosses the end of its connection must not cost the answers that a slow client has not read yet: a
-/// closed socket meets it with a reset, which strikes from the kernel what is still on its way out.
+/// A request that arrives at a closed socket causes a reset, which discards the unread bytes of earlier responses. The
+/// daemon must therefore shut down its writing half first.
 #[test]
-fn an_answer_that_a_slow_client_reads_while_the_old_process_ends_comes_whole() {
+fn a_slow_client_reads_its_complete_response_while_the_old_process_exits() {
     const BYTES: usize = 240_000;
     let site = Site::new("slow");
     let (mut old, admin) = site.start();
-    site.boxes.iter().for_each(|b| {
-        b.behave(Manner {
+    site.caches.iter().for_each(|cache| {
+        cache.behave(Manner {
             padding: BYTES,
             ..Manner::default()
         });
     });
     let mut slow: Vec<WebServer> = (0..4)
         .map(|n| {
-            let mut web = WebServer::connect(site.front).unwrap();
+            let mut web = WebServer::connect(site.client_address).unwrap();
             rustix::net::sockopt::set_socket_recv_buffer_size(web.writer().unwrap(), 32 << 10)
                 .unwrap();
             web.ask(1, "photo", &format!("{n:016x}"), 2500).unwrap();
-            // The answer has begun to come: all of it that the kernel takes is written.
+            // Once the first byte has arrived, the daemon has written as much as the kernel takes.
             web.writer().unwrap().peek(&mut [0]).unwrap();
             web
         })
         .collect();
     let (mut new, _) = site.start();
-    term(&old);
-    // Once the old process says no it has heard the signal, and ended what was answered.
+    send_sigterm(&old);
+    // Once readiness fails, the old process has handled the signal and shut down idle connections.
     while call(admin, "GET", "/control/ready", "").is_ok_and(|a| a.status == 200) {}
     for (n, web) in slow.iter_mut().enumerate() {
         web.ask(2, "photo", &format!("{:016x}", 100 + n), 2500)
@@ -200,24 +213,27 @@
         );
     }
     drop(slow);
-    assert!(old.wait().unwrap().success(), "the old process ends well");
-    term(&new);
+    assert!(
+        old.wait().unwrap().success(),
+        "the old process exits without an error"
+    );
+    send_sigterm(&new);
     assert!(new.wait().unwrap().success());
 }
 
-/// How many of twenty requests reach the first box.
-fn reach_the_first(site: &Site, from: u64) -> usize {
-    let before = site.boxes[0].arrivals().len();
-    for n in from..from + 20 {
-        served(site.front, n);
+/// Sends twenty requests and returns how many reach the first cache.
+fn requests_at_first_cache(site: &Site, first: u64) -> usize {
+    let before = site.caches[0].arrivals().len();
+    for n in first..first + 20 {
+        request_status(site.client_address, n);
     }
-    site.boxes[0].arrivals().len() - before
+    site.caches[0].arrivals().len() - before
 }
 
-/// A process that dies at any point of a ban leaves a state that the next one starts with, whole: the ban or none. One
-/// that the operators were told yes of holds.
+/// A process that dies at any point of storing a ban leaves a valid state with or without the ban. A confirmed ban
+/// persists.
 #[test]
-fn a_process_that_dies_in_the_midst_of_a_ban_leaves_it_whole_or_not_at_all() {
+fn a_process_that_dies_while_storing_a_ban_leaves_it_complete_or_absent() {
     for (point, holds) in [
         ("admin-keeps", Some(false)),
         ("admin-kept-once", None),
@@ -225,19 +241,19 @@
     ] {
         let site = Site::new(point);
         let (mut old, admin) = site.start_armed(&format!("{point}=die"));
-        assert!(reach_the_first(&site, 1) > 0);
+        assert!(requests_at_first_cache(&site, 1) > 0);
         assert!(
             call(admin, "POST", "/control/pop-caches/s-0a/offline", "").is_err(),
-            "{point}: it died"
+            "{point}: the process died"
         );
         assert!(!old.wait().unwrap().success());
         let (mut next, admin) = site.start();
-        let banned = reach_the_first(&site, 100) == 0;
+        let banned = requests_at_first_cache(&site, 100) == 0;
         assert!(
             holds.is_none_or(|holds| holds == banned),
             "{point}: {banned}"
         );
-        // It goes on from there: one more ban and its yes, and the yes holds after a kill.
+        // A ban that the next process confirms persists after a kill.
         assert_eq!(
             call(admin, "POST", "/control/pop-caches/s-0a/offline", "")
                 .unwrap()
@@ -247,17 +263,17 @@
         next.kill().unwrap();
         next.wait().unwrap();
         let (mut last, _) = site.start();
-        assert_eq!(reach_the_first(&site, 200), 0, "{point}");
-        term(&last);
+        assert_eq!(requests_at_first_cache(&site, 200), 0, "{point}");
+        send_sigterm(&last);
         assert!(last.wait().unwrap().success());
     }
 }
 
 #[test]
-fn a_ban_that_can_not_be_kept_is_no_ban_and_the_operators_are_told_no() {
+fn a_ban_that_cannot_be_stored_is_rejected_and_not_applied() {
     let site = Site::new("full");
     let (mut only, admin) = site.start();
-    // A folder stands where each of its two files would have to: nothing can be put in their place.
+    // Non-empty folders in place of the two state files make each replacement fail.
     let files: Vec<_> = linnetknot_admin_api::store::copy_paths(&site.folder)
         .into_iter()
         .collect();
@@ -271,7 +287,10 @@
             .status,
         503
     );
-    assert!(reach_the_first(&site, 1) > 0, "nothing has changed");
+    assert!(
+        requests_at_first_cache(&site, 1) > 0,
+        "the rejected ban is not applied"
+    );
     files
         .iter()
         .for_each(|file| std::fs::remove_dir_all(file).unwrap());
@@ -281,7 +300,7 @@
             .status,
         200
     );
-    assert_eq!(reach_the_first(&site, 100), 0);
-    term(&only);
+    assert_eq!(requests_at_first_cache(&site, 100), 0);
+    send_sigterm(&only);
     assert!(only.wait().unwrap().success());
 }
--- a/daemon/tests/partial_io.rs
+++ b/daemon/tests/partial_io.rs
@@ -1,5 +1,4 @@
-//! Short reads and writes on every type of connection: each message comes and goes in pieces of a byte, cut at each of
-//! its bytes.
+//! Tests short reads and writes on every type of connection: messages split at each byte, and transfers of one byte.
 
 mod armed;
 
@@ -14,120 +13,124 @@
 use std::time::Duration;
 
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// Every read and every write of the daemon moves a byte.
+/// Fail points that limit every read and write of the daemon to one byte.
 const BYTE_BY_BYTE: &str = "sys-read=short(1);sys-write=short(1)";
 
-/// Sends a message in two parts, which the other side reads apart, and reads all that comes back.
-fn cut(to: SocketAddr, message: &[u8], at: usize) -> Vec<u8> {
-    let mut socket = TcpStream::connect(to).unwrap();
+/// Sends a message in two parts that are read separately, and returns the whole response.
+fn call_in_two_parts(address: SocketAddr, message: &[u8], split_at: usize) -> Vec<u8> {
+    let mut socket = TcpStream::connect(address).unwrap();
     socket.set_nodelay(true).unwrap();
     socket.set_read_timeout(Some(TIMEOUT)).unwrap();
-    socket.write_all(&message[..at]).unwrap();
+    socket.write_all(&message[..split_at]).unwrap();
     std::thread::sleep(Duration::from_millis(1));
-    socket.write_all(&message[at..]).unwrap();
+    socket.write_all(&message[split_at..]).unwrap();
     let mut answer = Vec::new();
     socket.read_to_end(&mut answer).unwrap();
     answer
 }
 
 #[test]
-fn a_call_at_the_second_front_and_the_admin_listener_can_be_cut_at_each_byte() {
-    let armed = Armed::start("");
+fn http_calls_at_the_cdni_and_admin_listeners_may_be_split_at_any_byte() {
+    let daemon = Armed::start("");
     let message = |target: &str| {
         format!("GET {target} HTTP/1.1\r\nHost: localhost\r\nConnection: close\r\n\r\n")
             .into_bytes()
     };
-    for (to, target, begins) in [
-        (armed.process.cdni, "/cdni/triggers", "HTTP/1.1 200"),
-        (armed.process.admin, "/control/ready", "HTTP/1.1 200"),
+    for (address, target, status_line) in [
+        (daemon.process.cdni, "/cdni/triggers", "HTTP/1.1 200"),
+        (daemon.process.admin, "/control/ready", "HTTP/1.1 200"),
     ] {
-        let whole = cut(to, &message(target), 0);
-        assert!(whole.starts_with(begins.as_bytes()), "{target}");
-        let status = &whole[..12];
-        for at in 1..message(target).len() {
-            let answer = cut(to, &message(target), at);
-            assert_eq!(&answer[..12], status, "{target} cut at {at}");
+        let expected = call_in_two_parts(address, &message(target), 0);
+        assert!(expected.starts_with(status_line.as_bytes()), "{target}");
+        let status = &expected[..12];
+        for split_at in 1..message(target).len() {
+            let answer = call_in_two_parts(address, &message(target), split_at);
+            assert_eq!(&answer[..12], status, "{target} cut at {split_at}");
         }
     }
 }
 
 #[test]
-fn a_request_at_the_platforms_front_can_be_cut_at_each_byte() {
-    let armed = Armed::start("");
+fn a_fastcgi_request_may_be_split_at_any_byte() {
+    let daemon = Armed::start("");
     let fields = [
         ("HTTP_REQUEST_ID", "00000000000000aa"),
         ("HTTP_RESOURCE_KEY", "00000000000000a1"),
         ("HTTP_BUDGET_MS", "2000"),
     ];
     let request = WebServer::request(7, "/invoke/photo", &fields, b"");
-    let mut web = armed.web();
-    for at in 0..request.len() {
-        web.send(&request[..at]).unwrap();
+    let mut web = daemon.web();
+    for split_at in 0..request.len() {
+        web.send(&request[..split_at]).unwrap();
         std::thread::sleep(Duration::from_millis(1));
-        web.send(&request[at..]).unwrap();
+        web.send(&request[split_at..]).unwrap();
         let (id, answer) = web.end().unwrap();
-        assert_eq!((id, answer.unwrap().status), (7, 200), "cut at {at}");
+        assert_eq!((id, answer.unwrap().status), (7, 200), "cut at {split_at}");
     }
 }
 
 #[test]
-fn every_connection_of_the_daemon_bears_pieces_of_one_byte() {
-    let armed = Armed::start(BYTE_BY_BYTE);
-    // Clients, caches and the bus: the list has come, and requests with their answers go both ways.
-    let mut web = armed.web();
+fn every_connection_works_with_reads_and_writes_of_one_byte() {
+    let daemon = Armed::start(BYTE_BY_BYTE);
+    // Clients, caches and the event bus.
+    let mut web = daemon.web();
     for number in 0..20 {
         let answer = ask(&mut web, number).expect("an answer");
         assert_eq!(answer.status, 200);
         assert!(!answer.body.is_empty());
     }
-    assert!(!armed.cache.arrivals().is_empty());
+    assert!(!daemon.cache.arrivals().is_empty());
     web.ask(2, "post", "0000000000000077", 2500).unwrap();
     assert_eq!(web.end().unwrap().1.map(|a| a.status), Some(200));
-    // Neighbours and operators.
+    // The CDNI and admin listeners.
     assert_eq!(
-        purge_at(armed.process.cdni, "0000000000000003").unwrap(),
+        purge_at(daemon.process.cdni, "0000000000000003").unwrap(),
         201
     );
-    let ready = call(armed.process.admin, "GET", "/control/ready", "").unwrap();
+    let ready = call(daemon.process.admin, "GET", "/control/ready", "").unwrap();
     assert_eq!(ready.status, 200);
 }
 
 #[test]
-fn a_payload_to_a_neighbour_goes_out_in_pieces_of_one_byte() {
+fn a_notice_to_a_neighbour_is_sent_with_writes_of_one_byte() {
     let peer = PeerCdn::start().unwrap();
-    let armed = Armed::with(BYTE_BY_BYTE, |own| {
-        own["cdni"]["neighbours"] = json!([{"provider": "AS64502:0", "address": peer.address.to_string(),
+    let daemon = Armed::with(BYTE_BY_BYTE, |interconnect| {
+        interconnect["cdni"]["neighbours"] = json!([{"provider": "AS64502:0", "address": peer.address.to_string(),
             "notices": "/fci", "content": "http://other.example"}]);
     });
-    let request = peer.requests.recv_timeout(TIMEOUT).expect("it is notified");
+    let request = peer
+        .requests
+        .recv_timeout(TIMEOUT)
+        .expect("a notice to the neighbour");
     let body = request.body;
     assert!(
         serde_json::from_str::<serde_json::Value>(&body).is_ok(),
         "{body}"
     );
-    drop(armed);
+    drop(daemon);
 }
 
 #[test]
-fn discovery_by_consul_bears_pieces_of_one_byte() {
+fn consul_discovery_works_with_reads_and_writes_of_one_byte() {
     let agent = Agent::start().unwrap();
     let (address, cache) = (agent.address, FakeCache::start("s-0b").unwrap());
     agent.register(&[instance(cache.uid, cache.address, "passing")]);
-    let armed = Armed::with(BYTE_BY_BYTE, |own| {
-        own["consul"] = json!({"address": address.to_string(), "answer_ms": 5_000, "wait_s": 1});
+    let daemon = Armed::with(BYTE_BY_BYTE, |interconnect| {
+        interconnect["consul"] =
+            json!({"address": address.to_string(), "answer_ms": 5_000, "wait_s": 1});
     });
     assert!(becomes(TIMEOUT, || !agent.requests().is_empty()));
     assert!(
         agent.wait_until_read(),
-        "the answer is taken in, and the next is waited for"
+        "the response is read and the next query sent"
     );
-    drop(armed);
+    drop(daemon);
 }
 
 #[test]
-fn a_half_closed_caller_gets_its_answer_byte_by_byte() {
-    let armed = Armed::start(BYTE_BY_BYTE);
-    let mut socket = TcpStream::connect(armed.process.admin).unwrap();
+fn a_half_closed_caller_gets_its_response_with_writes_of_one_byte() {
+    let daemon = Armed::start(BYTE_BY_BYTE);
+    let mut socket = TcpStream::connect(daemon.process.admin).unwrap();
     socket.set_read_timeout(Some(TIMEOUT)).unwrap();
     socket
         .write_all(b"GET /control/ready HTTP/1.1\r\nHost: a\r\n\r\n")
--- a/daemon/tests/syscalls.rs
+++ b/daemon/tests/syscall_errors.rs
@@ -1,5 +1,4 @@
-//! System calls that fail in the ways that the manual pages document: what each errno is taken for, and what sockets do
-//! then.
+//! Tests of the classification of the errnos that the manual pages document, and of sockets whose calls fail with them.
 
 use linnetknot_daemon::net::failure_log::{self, FailureLog};
 use linnetknot_daemon::net::injection::{arm, disarm_all, errno_named, Plan};
@@ -19,7 +18,7 @@
 };
 use FailureKind::{Broken, NoDescriptors, ProgramFault, Refused, RetryLater, RetryNow, WouldBlock};
 
-/// The errnos of the manual pages, by call and by what they are to be taken for.
+/// The documented errnos of each call, with their expected kind.
 const DOCUMENTED: &[(&[Call], FailureKind, &str)] = &[
     (&[Accept], WouldBlock, "EAGAIN"),
     (&[Accept], RetryNow, "EINTR"),
@@ -94,7 +93,7 @@
 ];
 
 #[test]
-fn each_documented_errno_is_taken_for_what_it_is() {
+fn each_documented_errno_has_the_expected_kind() {
     for (calls, kind, names) in DOCUMENTED {
         for (call, name) in calls
             .iter()
@@ -106,75 +105,78 @@
     }
     for call in Call::ALL {
         let is_listed = DOCUMENTED.iter().any(|(calls, ..)| calls.contains(&call));
-        assert!(is_listed, "{call:?} has no row");
+        assert!(is_listed, "{call:?} has no documented errno");
     }
 }
 
-/// The names of the errnos of a call of one kind.
-fn documented(call: Call, kind: FailureKind) -> impl Iterator<Item = &'static str> {
+/// Names of the documented errnos of a call that have this kind.
+fn documented_errnos(call: Call, kind: FailureKind) -> impl Iterator<Item = &'static str> {
     let rows = DOCUMENTED
         .iter()
-        .filter(move |(calls, of, _)| calls.contains(&call) && *of == kind);
+        .filter(move |(calls, row_kind, _)| calls.contains(&call) && *row_kind == kind);
     rows.flat_map(|(.., names)| names.split_whitespace())
 }
 
-fn once(name: &str) -> Plan {
+fn fail_once(name: &str) -> Plan {
     Plan::once(errno_named(name).unwrap())
 }
 
-/// A listener in an epoll set, and a connection that waits at it.
-fn waiting() -> (Poll, Listener, TcpStream) {
+/// Returns a listener registered with epoll, and a client whose connection is pending there.
+fn pending_connection() -> (Poll, Listener, TcpStream) {
     let poll = Poll::new(4).unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let far = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let listener = Listener::watch(listener, 7, &poll).unwrap();
-    (poll, listener, far)
+    (poll, listener, client)
 }
 
 #[test]
-fn an_error_of_a_connection_that_was_to_come_costs_no_other() {
+fn an_accept_error_of_one_connection_does_not_affect_the_next() {
     for kind in [Broken, RetryNow] {
-        for name in documented(Accept, kind) {
-            let (_poll, listener, _far) = waiting();
-            arm(Accept, once(name));
+        for name in documented_errnos(Accept, kind) {
+            let (_poll, listener, _client) = pending_connection();
+            arm(Accept, fail_once(name));
             assert!(matches!(listener.accept(), Ok(Some(_))), "{name}");
             disarm_all();
         }
     }
     for kind in [RetryLater, NoDescriptors, ProgramFault] {
-        for name in documented(Accept, kind) {
-            let (_poll, listener, _far) = waiting();
-            arm(Accept, once(name));
+        for name in documented_errnos(Accept, kind) {
+            let (_poll, listener, _client) = pending_connection();
+            arm(Accept, fail_once(name));
             assert_eq!(
                 listener.accept().err().map(|f| f.kind),
                 Some(kind),
                 "{name}"
             );
-            assert!(matches!(listener.accept(), Ok(Some(_))), "{name} is over");
+            assert!(
+                matches!(listener.accept(), Ok(Some(_))),
+                "{name}: the next call succeeds"
+            );
             disarm_all();
         }
     }
-    // One that goes on for ever lets the others of the loop have their turn.
-    let (_poll, listener, _far) = waiting();
+    // A persistent error must not keep the event loop in `accept`.
+    let (_poll, listener, _client) = pending_connection();
     arm(Accept, Plan::always(&[errno_named("EPROTO").unwrap()]));
     assert!(matches!(listener.accept(), Ok(None)));
     disarm_all();
 }
 
 #[test]
-fn a_listener_that_cannot_be_watched_again_is_resumed_later() {
-    let (poll, mut listener, _far) = waiting();
+fn a_listener_whose_epoll_change_fails_can_be_resumed_later() {
+    let (poll, mut listener, _client) = pending_connection();
     listener.pause(&poll);
     for name in ["ENOMEM", "ENOSPC"] {
-        arm(EpollControl, once(name));
+        arm(EpollControl, fail_once(name));
         assert!(!listener.resume(&poll), "{name}");
     }
     assert!(listener.resume(&poll));
     disarm_all();
 }
 
-/// Waits until a connection that was begun has come out.
-fn finish(socket: TcpStream) -> (TcpConnection, Result<(), Failure>) {
+/// Waits until a connect has completed, and returns its result.
+fn wait_for_connect(socket: TcpStream) -> (TcpConnection, Result<(), Failure>) {
     let mut conn = TcpConnection::new(socket, false, 64, 64).unwrap();
     let mut poll = Poll::new(4).unwrap();
     poll.add(conn.socket(), 1, conn.watched()).unwrap();
@@ -187,26 +189,26 @@
 }
 
 #[test]
-fn an_interrupted_connect_goes_on_in_the_background() {
+fn an_interrupted_connect_continues_in_the_background() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let to = listener.local_addr().unwrap();
+    let address = listener.local_addr().unwrap();
     for name in ["EINTR", "EINPROGRESS"] {
-        arm(Connect, once(name));
-        let (conn, result) = finish(connect(to).expect(name));
+        arm(Connect, fail_once(name));
+        let (conn, result) = wait_for_connect(connect(address).expect(name));
         assert_eq!((result, conn.up), (Ok(()), true), "{name}");
     }
     disarm_all();
 }
 
 #[test]
-fn a_failure_of_this_machine_is_told_from_one_of_the_other_side() {
+fn local_connect_failures_are_distinguished_from_remote_ones() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let to = listener.local_addr().unwrap();
+    let address = listener.local_addr().unwrap();
     for call in [Socket, Connect] {
         for kind in [RetryLater, NoDescriptors, ProgramFault, Refused, Broken] {
-            for name in documented(call, kind) {
-                arm(call, once(name));
-                let failure = connect(to).expect_err(name);
+            for name in documented_errnos(call, kind) {
+                arm(call, fail_once(name));
+                let failure = connect(address).expect_err(name);
                 let is_local = !matches!(kind, Refused | Broken);
                 assert_eq!(
                     (failure.kind, failure.is_local()),
@@ -217,9 +219,9 @@
         }
     }
     for kind in [RetryLater, Refused, Broken] {
-        for name in documented(ConnectResult, kind) {
-            arm(ConnectResult, once(name));
-            let (conn, result) = finish(connect(to).unwrap());
+        for name in documented_errnos(ConnectResult, kind) {
+            arm(ConnectResult, fail_once(name));
+            let (conn, result) = wait_for_connect(connect(address).unwrap());
             assert_eq!(result.map_err(|f| f.kind), Err(kind), "{name}");
             assert_eq!(
                 (conn.up, conn.connect_failure().map(|f| f.kind)),
@@ -231,37 +233,37 @@
 }
 
 #[test]
-fn reads_and_writes_go_on_after_what_passes_and_end_with_what_breaks() {
+fn reads_and_writes_continue_after_transient_errors_and_stop_after_fatal_ones() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let pair = || {
-        let far = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    let connected_pair = || {
+        let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         let conn = TcpConnection::new(listener.accept().unwrap().0, true, 64, 64).unwrap();
-        (far, conn)
+        (client, conn)
     };
     for kind in [WouldBlock, RetryLater, RetryNow, Broken, ProgramFault] {
-        let ends = matches!(kind, Broken | ProgramFault);
+        let is_final = matches!(kind, Broken | ProgramFault);
         let expected = match kind {
             RetryNow => Progress::Moved,
             WouldBlock | RetryLater => Progress::Blocked,
             _ => Progress::Broken,
         };
-        for name in documented(Call::Write, kind) {
-            let (mut far, mut conn) = pair();
-            arm(Call::Write, once(name));
+        for name in documented_errnos(Call::Write, kind) {
+            let (mut client, mut conn) = connected_pair();
+            arm(Call::Write, fail_once(name));
             conn.output.push(b"answer");
             assert_eq!(
                 (conn.write(), conn.is_broken()),
-                (expected, ends),
+                (expected, is_final),
                 "write {name}"
             );
             let frame_left = !conn.output.is_empty();
             assert_eq!(frame_left, expected != Progress::Moved, "{name}");
-            if !ends {
+            if !is_final {
                 conn.write();
                 let mut got = [0; 6];
-                far.read_exact(&mut got).unwrap();
+                client.read_exact(&mut got).unwrap();
                 assert_eq!(&got, b"answer", "{name}");
-                arm(Call::Write, once(name));
+                arm(Call::Write, fail_once(name));
                 assert_eq!(conn.begin(b"frame"), expected, "{name}");
                 assert_eq!(
                     conn.is_waiting_to_write(),
@@ -270,22 +272,22 @@
                 );
             }
         }
-        for name in documented(Call::Read, kind) {
-            let (mut far, mut conn) = pair();
-            far.write_all(b"question").unwrap();
+        for name in documented_errnos(Call::Read, kind) {
+            let (mut client, mut conn) = connected_pair();
+            client.write_all(b"question").unwrap();
             let mut poll = Poll::new(4).unwrap();
             poll.add(conn.socket(), 1, Interest::READ).unwrap();
             let mut ready = Vec::new();
             while ready.is_empty() {
                 poll.wait(1_000_000, &mut ready).unwrap();
             }
-            arm(Call::Read, once(name));
+            arm(Call::Read, fail_once(name));
             assert_eq!(
                 (conn.read(false), conn.is_broken()),
-                (expected, ends),
+                (expected, is_final),
                 "read {name}"
             );
-            if !ends {
+            if !is_final {
                 conn.read(false);
                 assert_eq!(conn.input.front(), b"question", "{name}");
             }
@@ -295,13 +297,13 @@
 }
 
 #[test]
-fn an_interrupted_wait_has_seen_nothing_and_a_faulty_set_is_told() {
+fn an_interrupted_epoll_wait_returns_no_events_and_other_errors_are_returned() {
     let mut poll = Poll::new(4).unwrap();
     let mut ready = Vec::new();
-    arm(EpollWait, once("EINTR"));
+    arm(EpollWait, fail_once("EINTR"));
     assert_eq!(poll.wait(0, &mut ready), Ok(()));
     assert!(ready.is_empty());
-    arm(EpollWait, once("EBADF"));
+    arm(EpollWait, fail_once("EBADF"));
     assert_eq!(
         poll.wait(0, &mut ready).err().map(|f| f.kind),
         Some(ProgramFault)
@@ -310,15 +312,19 @@
 }
 
 #[test]
-fn a_spell_is_told_at_its_begin_and_counted_at_its_end() {
-    let (mut failure_log, begun) = (FailureLog::default(), Instant::now());
-    let after = |ms| begun + Duration::from_millis(ms);
-    let begins: Vec<bool> = (0..100)
-        .map(|n| failure_log.record(after(n * 30), Accept))
+fn a_failure_episode_is_reported_at_its_start_and_counted_at_its_end() {
+    let (mut failure_log, started_at) = (FailureLog::default(), Instant::now());
+    let at = |ms| started_at + Duration::from_millis(ms);
+    let is_new_episode: Vec<bool> = (0..100)
+        .map(|n| failure_log.record(at(n * 30), Accept))
         .collect();
-    assert!(begins[0] && !begins[1..].contains(&true));
-    assert_eq!(failure_log.take_ended(after(4_000)), [], "it goes on");
-    let ended = failure_log.take_ended(after(4_970));
+    assert!(is_new_episode[0] && !is_new_episode[1..].contains(&true));
+    assert_eq!(
+        failure_log.take_ended(at(4_000)),
+        [],
+        "the episode has not ended"
+    );
+    let ended = failure_log.take_ended(at(4_970));
     assert_eq!(ended.len(), 1);
     assert_eq!(
         (
@@ -329,19 +335,19 @@
         (Accept, 100, 2_970)
     );
     assert!(
-        failure_log.record(after(5_000), Accept),
-        "the next one is told anew"
+        failure_log.record(at(5_000), Accept),
+        "a new episode is reported again"
     );
 }
 
-/// Counts the lines that this thread logs of system calls.
-struct LineCounter;
+/// Records the lines that the failure log writes on this thread.
+struct LineRecorder;
 
 thread_local! {
     static LINES: RefCell<Vec<String>> = const { RefCell::new(Vec::new()) };
 }
 
-impl log::Log for LineCounter {
+impl log::Log for LineRecorder {
     fn enabled(&self, _: &log::Metadata<'_>) -> bool {
         true
     }
@@ -356,19 +362,23 @@
 }
 
 #[test]
-fn a_thousand_failures_are_two_lines_in_the_log() {
-    log::set_logger(&LineCounter).unwrap();
+fn a_thousand_failures_produce_two_log_lines() {
+    log::set_logger(&LineRecorder).unwrap();
     log::set_max_level(log::LevelFilter::Warn);
-    let (_poll, listener, _far) = waiting();
+    let (_poll, listener, _client) = pending_connection();
     arm(Accept, Plan::always(&[errno_named("ENOBUFS").unwrap()]));
     for _ in 0..1_000 {
         assert!(listener.accept().is_err());
         failure_log::log_ended();
     }
     disarm_all();
-    assert_eq!(LINES.with_borrow(Vec::len), 1, "its begin");
+    assert_eq!(
+        LINES.with_borrow(Vec::len),
+        1,
+        "a line at the start of the episode"
+    );
     sleep(Duration::from_millis(2_100));
     failure_log::log_ended();
     failure_log::log_all();
-    assert_eq!(LINES.with_borrow(Vec::len), 2, "and its end");
+    assert_eq!(LINES.with_borrow(Vec::len), 2, "and a line at its end");
 }
--- a/daemon/tests/upstream.rs
+++ b/daemon/tests/upstream.rs
@@ -666,7 +666,7 @@
     assert!(upstream.now >= start + upstream.limits.response_timeout_us && intervals > 2);
 }
 
-/// The timeout of a response starts when its first byte arrives, also if that byte comes with the previous response.
+/// The timeout of a response starts when its first byte arrives.
 #[test]
 fn each_of_several_consecutive_responses_has_its_own_timeout() {
     let mut upstream = Upstream::new(true);
