--- a/daemon/tests/ledger_stored_form.rs
+++ b/daemon/tests/ledger_stored_form.rs
@@ -1,4 +1,4 @@
-//! The bytes that a ledger stores, which released versions read and write.
+//! Checks the byte format of a stored ledger, which released versions read and write.
 
 use linnetknot_daemon::ledger::{Bounds, Ledger};
 use linnetknot_purges::BucketBits;
@@ -8,18 +8,18 @@
 use std::time::Duration;
 
 const WRITER: u64 = 1;
-/// The start of the process, which is the epoch of its log.
+/// The start time of the process, which is the epoch of its log.
 const START: u64 = 0x4d;
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The key of an entry of the log: writer, epoch, the kind of its subject, and the subject.
+/// Encodes the key of a log entry: writer, epoch, kind of the subject, and the subject.
 fn entry_key(kind: u8, subject: &[u8]) -> Vec<u8> {
     let mut key = vec![0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0x4d, kind];
     key.extend(subject);
     key
 }
 
-/// The value of an entry: index, time, and what follows them.
+/// Encodes the value of a log entry: index, time, and the remaining bytes.
 fn entry_value(index: u8, at: u8, rest: &[u8]) -> Vec<u8> {
     let mut value = vec![0, 0, 0, 0, 0, 0, 0, index, 0, 0, 0, 0, 0, 0, 0, at];
     value.extend(rest);
@@ -42,11 +42,11 @@
         queue: 64,
         bucket_bits: BucketBits::DEFAULT,
     };
-    let (wake, woken) = channel();
-    let wake = move || {
-        let _ = wake.send(());
+    let (completion_sender, completions) = channel();
+    let notify_completion = move || {
+        let _ = completion_sender.send(());
     };
-    let mut ledger = Ledger::open(&path, WRITER, START, bounds, wake).unwrap();
+    let mut ledger = Ledger::open(&path, WRITER, START, bounds, notify_completion).unwrap();
     ledger.append_purge(Some("0a"), 0, 5).unwrap();
     ledger.append_purge(None, 7, 6).unwrap();
     ledger
@@ -54,13 +54,13 @@
         .unwrap();
     ledger.append(Subject::Drain, 8, true).unwrap();
     ledger.append_status(9, "{}", 9).unwrap();
-    let gone = Subject::TriggerDeleted {
+    let deletion = Subject::TriggerDeleted {
         writer: 2,
         number: 3,
     };
-    ledger.append(gone, 10, false).unwrap();
+    ledger.append(deletion, 10, false).unwrap();
     while !ledger.replica().is_synced() {
-        woken.recv_timeout(TIMEOUT).expect("a completion");
+        completions.recv_timeout(TIMEOUT).expect("a completion");
         ledger.take_completions(100);
     }
     ledger.close().unwrap();
--- a/daemon/tests/partial_io.rs
+++ b/daemon/tests/partial_io.rs
@@ -45,7 +45,7 @@
         let status = &expected[..12];
         for split_at in 1..message(target).len() {
             let answer = call_in_two_parts(address, &message(target), split_at);
-            assert_eq!(&answer[..12], status, "{target} cut at {split_at}");
+            assert_eq!(&answer[..12], status, "{target} split at {split_at}");
         }
     }
 }
@@ -65,7 +65,11 @@
         std::thread::sleep(Duration::from_millis(1));
         web.send(&request[split_at..]).unwrap();
         let (id, answer) = web.end().unwrap();
-        assert_eq!((id, answer.unwrap().status), (7, 200), "cut at {split_at}");
+        assert_eq!(
+            (id, answer.unwrap().status),
+            (7, 200),
+            "split at {split_at}"
+        );
     }
 }
 
--- a/daemon/tests/plain_purges.rs
+++ b/daemon/tests/plain_purge_datagrams.rs
@@ -1,4 +1,4 @@
-//! A daemon between a peer that replicates logs and one that does not: who is sent plain purges, and whose are written.
+//! Tests plain purge datagrams between a daemon, a peer that replicates logs, and an older peer that does not.
 
 use linnetknot_daemon::fleet::query_status;
 use linnetknot_datagram::MAX_DATAGRAM_BYTES;
@@ -16,8 +16,8 @@
 const MEMBER_ID: u64 = 77;
 const OBJECT: &str = "00000000000000a1";
 const OTHER_OBJECT: &str = "00000000000000a2";
-/// Plain datagrams of one purge.
-const PLAIN_DATAGRAMS: usize = 3;
+/// Number of plain datagrams that are sent for each purge.
+const DATAGRAMS_PER_PURGE: usize = 3;
 
 fn now_us() -> u64 {
     unix_ms() * 1_000
@@ -37,15 +37,15 @@
     Some(bytes[..length].to_vec())
 }
 
-/// A peer that replicates logs, as far as membership shows it. It takes part in no replication itself.
-struct MemberPeer {
+/// A peer whose membership announces replication, but which does not replicate itself.
+struct ReplicatingPeer {
     socket: UdpSocket,
     membership: Membership,
-    /// What came that was no message of membership.
-    received: Vec<String>,
+    /// Received datagrams other than membership messages.
+    other_datagrams: Vec<String>,
 }
 
-impl MemberPeer {
+impl ReplicatingPeer {
     fn new() -> Self {
         let config = MembershipConfig {
             id: MEMBER_ID,
@@ -58,18 +58,18 @@
             seed: 1,
             options: Options::default(),
         };
-        MemberPeer {
+        ReplicatingPeer {
             socket: socket(),
             membership: Membership::new(config, now_us()),
-            received: Vec::new(),
+            other_datagrams: Vec::new(),
         }
     }
 
-    /// Answers what has come, and lets time pass for its membership.
-    fn take_turn(&mut self, daemon: SocketAddr) {
+    /// Handles received datagrams and runs the membership's timers.
+    fn handle_datagrams(&mut self, daemon: SocketAddr) {
         while let Some(bytes) = next_datagram(&self.socket) {
             if self.membership.receive(now_us(), 0, &bytes).is_err() {
-                self.received
+                self.other_datagrams
                     .push(String::from_utf8_lossy(&bytes).into_owned());
             }
         }
@@ -80,29 +80,29 @@
     }
 }
 
-/// The daemon, a peer that replicates logs and one that does not.
-struct Rig {
+/// A daemon with a peer that replicates logs and one that does not.
+struct TestFleet {
     daemon: Process,
     address: SocketAddr,
-    member: MemberPeer,
-    older: UdpSocket,
+    replicating_peer: ReplicatingPeer,
+    older_peer: UdpSocket,
     folder: PathBuf,
 }
 
-impl Drop for Rig {
+impl Drop for TestFleet {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-impl Rig {
-    fn start(name: &str) -> Rig {
-        let (member, older) = (MemberPeer::new(), socket());
+impl TestFleet {
+    fn start(name: &str) -> TestFleet {
+        let (replicating_peer, older_peer) = (ReplicatingPeer::new(), socket());
         let address = UdpSocket::bind("127.0.0.1:0")
             .unwrap()
             .local_addr()
             .unwrap();
-        let peers: Vec<String> = [&member.socket, &older]
+        let peers: Vec<String> = [&replicating_peer.socket, &older_peer]
             .map(|s| s.local_addr().unwrap().to_string())
             .into_iter()
             .collect();
@@ -114,33 +114,35 @@
             "peer_listen": address.to_string(), "peers": peers,
         });
         let machines = json!({ peers[0].clone(): "machine-m", peers[1].clone(): "machine-o" });
-        let own = json!({
+        let interconnect = json!({
             "cdni": {"listen": "127.0.0.1:0", "provider": "AS64500:0", "base": "http://cdn.example",
                 "footprint": ["127.0.0.0/8"], "purges": folder.join("purges").display().to_string()},
             "peers": {"copies": true}, "copies": {"wait": 0, "machine": "machine-0", "machines": machines},
         });
-        let daemon = Process::start(Path::new(DAEMON), &folder, name, &config, &own).unwrap();
-        Rig {
+        let daemon =
+            Process::start(Path::new(DAEMON), &folder, name, &config, &interconnect).unwrap();
+        TestFleet {
             daemon,
             address,
-            member,
-            older,
+            replicating_peer,
+            older_peer,
             folder,
         }
     }
 
-    /// Waits until the daemon believes that the member runs.
-    fn meet(&mut self) {
-        let (admin, address, member) = (self.daemon.admin, self.address, &mut self.member);
-        let met = becomes(TIMEOUT, || {
-            member.take_turn(address);
+    /// Waits until the daemon reports the replicating peer as alive.
+    fn wait_until_peer_is_alive(&mut self) {
+        let (admin, address, replicating_peer) =
+            (self.daemon.admin, self.address, &mut self.replicating_peer);
+        let is_alive = becomes(TIMEOUT, || {
+            replicating_peer.handle_datagrams(address);
             query_status(admin)
                 .unwrap()
                 .peers
                 .iter()
                 .any(|peer| peer.state == "alive")
         });
-        assert!(met, "the daemon never met the member");
+        assert!(is_alive, "the daemon did not detect the replicating peer");
     }
 
     fn send_plain_purge(&self, from: &UdpSocket, object: &str) {
@@ -148,27 +150,28 @@
         from.send_to(text.as_bytes(), self.address).unwrap();
     }
 
-    /// Waits until the daemon sends the entry of an object's purge from its own log, and gives the entry's index.
+    /// Waits until the daemon sends the log entry of an object's purge, and returns the index of the entry.
     fn index_of(&mut self, object: &str) -> u64 {
-        let (address, member, older) = (self.address, &mut self.member, &self.older);
+        let (address, replicating_peer, older_peer) =
+            (self.address, &mut self.replicating_peer, &self.older_peer);
         let mut index = None;
-        let sent = becomes(TIMEOUT, || {
-            member.take_turn(address);
-            while let Some(bytes) = next_datagram(older) {
+        let is_logged = becomes(TIMEOUT, || {
+            replicating_peer.handle_datagrams(address);
+            while let Some(bytes) = next_datagram(older_peer) {
                 index = index.or(entry_index(&bytes, object));
             }
             index.is_some()
         });
-        assert!(sent, "the purge was not written");
+        assert!(is_logged, "the purge was not logged");
         index.unwrap_or_default()
     }
 }
 
-/// The index of a replication entry that purges an object; none where the datagram is none.
+/// Returns the index of a replication entry that purges the object, or `None` for other datagrams.
 fn entry_index(datagram: &[u8], object: &str) -> Option<u64> {
     let text = std::str::from_utf8(datagram).ok()?;
-    let words: Vec<&str> = text.split(' ').collect();
-    match words[..] {
+    let fields: Vec<&str> = text.split(' ').collect();
+    match fields[..] {
         ["copies1", "entry", _writer, _epoch, _prev, index, _at, "object", name]
             if name == object =>
         {
@@ -178,58 +181,66 @@
     }
 }
 
-/// Each proxy that misses an entry and writes the plain datagram behind it into its own log has an index there that
-/// nobody else was sent: all its later entries are out of order at all others, which then do the same.
+/// A proxy that missed an entry must not log the plain datagram of the same purge itself: its own log would get an index
+/// that no peer was sent, and its later entries would be out of order at all peers.
 #[test]
-fn a_plain_purge_of_a_peer_that_replicates_is_not_written_and_that_of_another_is() {
-    let mut rig = Rig::start("plain-written");
-    rig.meet();
-    // The entry of this one is lost.
-    rig.send_plain_purge(&rig.member.socket, OBJECT);
-    rig.send_plain_purge(&rig.older, OTHER_OBJECT);
+fn only_plain_purges_from_peers_without_replication_are_logged() {
+    let mut fleet = TestFleet::start("plain-written");
+    fleet.wait_until_peer_is_alive();
+    // The peer's own log entry for this purge is lost.
+    fleet.send_plain_purge(&fleet.replicating_peer.socket, OBJECT);
+    fleet.send_plain_purge(&fleet.older_peer, OTHER_OBJECT);
     assert_eq!(
-        rig.index_of(OTHER_OBJECT),
+        fleet.index_of(OTHER_OBJECT),
         1,
-        "the first stands in its writer's log alone"
+        "the purge of the replicating peer must not be in the daemon's log"
     );
 }
 
 #[test]
-fn a_plain_purge_of_a_peer_that_was_not_met_yet_is_written_only_if_it_does_not_answer() {
-    let mut rig = Rig::start("plain-unmet");
-    rig.send_plain_purge(&rig.member.socket, OBJECT);
-    rig.send_plain_purge(&rig.older, OTHER_OBJECT);
-    // `index_of` lets the member answer the daemon's ping.
-    assert_eq!(rig.index_of(OTHER_OBJECT), 1);
+fn a_plain_purge_from_an_unknown_peer_is_logged_only_if_the_peer_does_not_answer() {
+    let mut fleet = TestFleet::start("plain-unmet");
+    fleet.send_plain_purge(&fleet.replicating_peer.socket, OBJECT);
+    fleet.send_plain_purge(&fleet.older_peer, OTHER_OBJECT);
+    // `index_of` lets the replicating peer answer the daemon's ping.
+    assert_eq!(fleet.index_of(OTHER_OBJECT), 1);
 }
 
 #[test]
-fn a_peer_that_replicates_is_sent_the_entry_alone_and_another_plain_purges() {
-    let mut rig = Rig::start("plain-sent");
-    rig.meet();
-    assert_eq!(purge_at(rig.daemon.cdni, OBJECT).unwrap(), 201);
-    let mut plain = 0;
-    let mut was_sent_all = || {
-        rig.member.take_turn(rig.address);
-        while let Some(bytes) = next_datagram(&rig.older) {
-            plain += usize::from(bytes.starts_with(b"purge object "));
+fn a_replicating_peer_is_sent_the_entry_and_other_peers_plain_purges() {
+    let mut fleet = TestFleet::start("plain-sent");
+    fleet.wait_until_peer_is_alive();
+    assert_eq!(purge_at(fleet.daemon.cdni, OBJECT).unwrap(), 201);
+    let mut plain_purges = 0;
+    let mut has_received_all = || {
+        fleet.replicating_peer.handle_datagrams(fleet.address);
+        while let Some(bytes) = next_datagram(&fleet.older_peer) {
+            plain_purges += usize::from(bytes.starts_with(b"purge object "));
         }
-        plain == PLAIN_DATAGRAMS
+        plain_purges == DATAGRAMS_PER_PURGE
     };
-    assert!(becomes(TIMEOUT, &mut was_sent_all), "{plain} came");
-    rig.member.take_turn(rig.address);
+    assert!(
+        becomes(TIMEOUT, &mut has_received_all),
+        "received {plain_purges} plain purges"
+    );
+    fleet.replicating_peer.handle_datagrams(fleet.address);
     let is_entry = |text: &&String| text.starts_with("copies1 entry ") && text.ends_with(OBJECT);
     assert!(
-        rig.member.received.iter().any(|text| is_entry(&text)),
+        fleet
+            .replicating_peer
+            .other_datagrams
+            .iter()
+            .any(|text| is_entry(&text)),
         "{:?}",
-        rig.member.received
+        fleet.replicating_peer.other_datagrams
     );
     assert!(
-        !rig.member
-            .received
+        !fleet
+            .replicating_peer
+            .other_datagrams
             .iter()
             .any(|text| text.starts_with("purge ")),
         "{:?}",
-        rig.member.received
+        fleet.replicating_peer.other_datagrams
     );
 }
--- a/daemon/tests/stored_forms.rs
+++ b/daemon/tests/stored_forms.rs
@@ -1,5 +1,5 @@
-//! What release c1f7885 stored, read by this program and written again byte for byte: the operators' state, the cached list
-//! of caches, and a store of each format.
+//! Checks that files stored by release c1f7885 are read and rewritten byte for byte: the operators' state, the cached
+//! list of caches, and a store of each format.
 
 use linnetknot::State;
 use linnetknot_admin_api::state::OperatorState;
@@ -22,53 +22,53 @@
 const STATE_2: &[u8] = include_bytes!("fixtures/state-2.store");
 /// The hash of the name `p0`.
 const WRITER: u64 = 0x08d5_9807_b575_ec6d;
-/// When the stores were begun.
+/// Epochs of the two stores.
 const EPOCH_1: Micros = 0x0006_61a4_cc7c_0065;
 const EPOCH_2: Micros = 0x0006_61a4_cc99_769b;
-/// Triggers that the stores have, each a purge of two objects.
+/// Number of triggers in each store. Each of them purges two objects.
 const TRIGGERS: u64 = 6;
 const OBJECTS: u64 = 12;
-/// Purges that the second store's program held one by one.
+/// Limit of exact purge entries of the program that wrote the second store.
 const EXACT_PURGES: usize = 4;
-/// Spaces that a ledger writes, and the head.
-const SPACES: [&str; 6] = ["head", "own", "entries", "buckets", "compacted", "table"];
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Keyspaces that a ledger writes, and the store's header.
+const KEYSPACES: [&str; 6] = ["head", "own", "entries", "buckets", "compacted", "table"];
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A folder that goes with its value.
-struct Folder(PathBuf);
+/// A temporary folder that is removed on drop.
+struct TempFolder(PathBuf);
 
-impl Folder {
+impl TempFolder {
     fn new(name: &str) -> Self {
         let folder =
             std::env::temp_dir().join(format!("linnetknot-stored-{name}-{}", std::process::id()));
         let _ = fs::remove_dir_all(&folder);
         fs::create_dir_all(&folder).unwrap();
-        Folder(folder)
+        TempFolder(folder)
     }
 
-    /// A file in it.
-    fn put(&self, name: &str, bytes: &[u8]) -> PathBuf {
+    /// Writes a file into the folder and returns its path.
+    fn write_file(&self, name: &str, bytes: &[u8]) -> PathBuf {
         let path = self.0.join(name);
         fs::write(&path, bytes).unwrap();
         path
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-/// A ledger and the word of its worker.
-struct Running {
+/// An open ledger and the channel that signals completions of its worker.
+struct RunningLedger {
     ledger: Ledger,
-    woken: Receiver<()>,
+    completions: Receiver<()>,
 }
 
-impl Running {
+impl RunningLedger {
     fn open(path: &Path, now: Micros, exact_purges: usize) -> Self {
-        let (wake, woken) = channel();
+        let (completion_sender, completions) = channel();
         let bounds = Bounds {
             replication: Options {
                 max_exact_entries: exact_purges,
@@ -77,50 +77,53 @@
             queue: 64,
             bucket_bits: BucketBits::DEFAULT,
         };
-        let wake = move || {
-            let _ = wake.send(());
+        let notify_completion = move || {
+            let _ = completion_sender.send(());
         };
-        let ledger = Ledger::open(path, WRITER, now, bounds, wake).unwrap();
-        Running { ledger, woken }
+        let ledger = Ledger::open(path, WRITER, now, bounds, notify_completion).unwrap();
+        RunningLedger {
+            ledger,
+            completions,
+        }
     }
 
-    /// Waits until all is on the disk.
-    fn settle(&mut self, now: Micros) {
+    /// Waits until all entries and compactions are on disk.
+    fn wait_until_synced(&mut self, now: Micros) {
         self.ledger.tick(now);
         while !(self.ledger.replica().is_synced() && self.ledger.is_compaction_synced()) {
-            self.woken
-                .recv_timeout(PATIENCE)
-                .expect("the worker has a word");
+            self.completions
+                .recv_timeout(TIMEOUT)
+                .expect("a completion from the worker");
             self.ledger.take_completions(now);
         }
     }
 }
 
-fn pairs(path: &Path) -> Vec<(&'static str, Vec<KeyValue>)> {
+fn read_pairs(path: &Path) -> Vec<(&'static str, Vec<KeyValue>)> {
     let mut store = Store::open(path).unwrap();
-    SPACES
+    KEYSPACES
         .iter()
-        .map(|space| (*space, store.scan(Keyspace(space)).unwrap()))
+        .map(|keyspace| (*keyspace, store.scan(Keyspace(keyspace)).unwrap()))
         .collect()
 }
 
-/// A space's pairs as text, a line each.
-fn shown((space, pairs): &(&str, Vec<KeyValue>)) -> Vec<String> {
+/// Formats the pairs of a keyspace as text, one line per pair.
+fn to_lines((keyspace, pairs): &(&str, Vec<KeyValue>)) -> Vec<String> {
     let line = |KeyValue { key, value }: &KeyValue| {
-        format!("{space} {}={}", key.escape_ascii(), value.escape_ascii())
+        format!("{keyspace} {}={}", key.escape_ascii(), value.escape_ascii())
     };
     pairs.iter().map(line).collect()
 }
 
-fn object(n: u64) -> Subject {
+fn object_subject(n: u64) -> Subject {
     Subject::Object(format!("{n:016x}"))
 }
 
-fn ban() -> Subject {
+fn ban_subject() -> Subject {
     Subject::Ban("s-0a".to_owned())
 }
 
-/// The status of the n-th trigger, `at` the second at which it was told.
+/// Returns the status of the n-th trigger, which was received at the second `at`.
 fn status(n: u64, at: u64) -> String {
     let url = |n: u64| format!("\"http://cdn.example/content/photo/{n:016x}\"");
     format!(
@@ -130,8 +133,8 @@
     )
 }
 
-/// All that a store tells: statuses, purges, ban and drain.
-fn check(ledger: &Ledger, epoch: Micros, second: u64) {
+/// Checks the statuses, purges, ban and drain of a ledger.
+fn check_contents(ledger: &Ledger, epoch: Micros, second: u64) {
     assert!(!ledger.is_fresh());
     assert_eq!(ledger.replica().own_log(), LogId::new(WRITER, epoch));
     let expected: Vec<_> = (0..TRIGGERS)
@@ -142,82 +145,93 @@
         })
         .collect();
     assert_eq!(ledger.statuses(), expected);
-    let decided = BTreeMap::from([(ban(), false), (Subject::Drain, false)]);
-    assert_eq!(ledger.decisions(), decided);
+    let decisions = BTreeMap::from([(ban_subject(), false), (Subject::Drain, false)]);
+    assert_eq!(ledger.decisions(), decisions);
     let log_store = ledger.replica().log_store();
     for n in 0..OBJECTS {
-        let at = log_store.latest_purge(&object(n));
+        let at = log_store.latest_purge(&object_subject(n));
         assert!(at.is_some_and(|at| at > epoch), "object {n}: {at:?}");
     }
-    assert_eq!(log_store.latest_purge(&object(OBJECTS)), None);
+    assert_eq!(log_store.latest_purge(&object_subject(OBJECTS)), None);
 }
 
-/// Appends what the old program appended, in its order and with its times, to a new store, and ends in order.
-fn write_again(path: &Path, epoch: Micros, read: &Ledger, exact_purges: usize) {
+/// Appends the entries of a ledger to a new store in the same order and with the same times, and closes it.
+fn rewrite(path: &Path, epoch: Micros, read: &Ledger, exact_purges: usize) {
     let log_store = read.replica().log_store();
     let mut entries: Vec<Entry> = log_store.entries().collect();
     entries.sort_by_key(|entry| entry.index);
     let at = |subject: &Subject| log_store.latest_purge(subject).unwrap();
-    // No purge of the table is later than the time of its compaction.
+    // The compaction time must not be before any compacted purge.
     let now = entries.iter().map(|entry| entry.at).max().unwrap();
-    let mut running = Running::open(path, epoch, exact_purges);
+    let mut running = RunningLedger::open(path, epoch, exact_purges);
     for (number, text) in read.statuses().iter().map(|s| (s.number, &s.text)) {
         for n in [2 * (number - epoch), 2 * (number - epoch) + 1] {
             running
                 .ledger
-                .append(object(n), at(&object(n)), false)
+                .append(object_subject(n), at(&object_subject(n)), false)
                 .unwrap();
         }
         let is_of_status = |e: &&Entry| matches!(e.subject, Subject::TriggerStatusPart { number: of, .. } if of == number);
-        let told_at = entries.iter().find(is_of_status).unwrap().at;
-        running.ledger.append_status(number, text, told_at).unwrap();
-        running.settle(now);
+        let recorded_at = entries.iter().find(is_of_status).unwrap().at;
+        running
+            .ledger
+            .append_status(number, text, recorded_at)
+            .unwrap();
+        running.wait_until_synced(now);
     }
     for entry in entries
         .iter()
-        .filter(|e| [ban(), Subject::Drain].contains(&e.subject))
+        .filter(|e| [ban_subject(), Subject::Drain].contains(&e.subject))
     {
         let subject = entry.subject.clone();
         running
             .ledger
             .append(subject, entry.at, entry.revoked)
             .unwrap();
-        running.settle(now);
+        running.wait_until_synced(now);
     }
     running.ledger.close().unwrap();
 }
 
-/// Reads a stored file, keeps it as it is, and writes the same again.
+/// Checks that a stored file is read, is not changed by that, and is rewritten identically.
 fn check_store(
     name: &str,
     bytes: &[u8],
     (epoch, second): (Micros, u64),
     (format, exact_purges): (Format, usize),
 ) {
-    let folder = Folder::new(name);
-    let path = folder.put("old", bytes);
+    let folder = TempFolder::new(name);
+    let path = folder.write_file("old", bytes);
     assert_eq!(Store::open(&path).unwrap().format(), Ok(format));
-    let stored = pairs(&path);
-    // A minute later.
-    let running = Running::open(&path, epoch + 60_000_000, exact_purges);
-    check(&running.ledger, epoch, second);
-    let again = folder.0.join("again");
-    write_again(&again, epoch, &running.ledger, exact_purges);
+    let original = read_pairs(&path);
+    // Opened one minute after its epoch.
+    let running = RunningLedger::open(&path, epoch + 60_000_000, exact_purges);
+    check_contents(&running.ledger, epoch, second);
+    let rewritten = folder.0.join("again");
+    rewrite(&rewritten, epoch, &running.ledger, exact_purges);
     running.ledger.simulate_crash();
-    for (written, stored) in pairs(&again).iter().zip(&stored) {
-        assert_eq!(shown(written), shown(stored), "written again");
+    for (written, original) in read_pairs(&rewritten).iter().zip(&original) {
+        assert_eq!(
+            to_lines(written),
+            to_lines(original),
+            "the rewritten store differs"
+        );
     }
-    let kept = |pairs: Vec<(&'static str, Vec<KeyValue>)>| -> Vec<_> {
+    let without_identity = |pairs: Vec<(&'static str, Vec<KeyValue>)>| -> Vec<_> {
         pairs
             .into_iter()
-            .filter(|(space, _)| *space != "own")
+            .filter(|(keyspace, _)| *keyspace != "own")
             .collect()
     };
-    assert_eq!(kept(pairs(&path)), kept(stored), "kept as it was read");
+    assert_eq!(
+        without_identity(read_pairs(&path)),
+        without_identity(original),
+        "reading has changed the store"
+    );
 }
 
 #[test]
-fn a_store_of_the_first_format_is_read_and_written_again() {
+fn a_store_of_the_first_format_is_read_and_rewritten_unchanged() {
     let window = Options::default().max_exact_entries;
     check_store(
         "state-1",
@@ -228,7 +242,7 @@
 }
 
 #[test]
-fn a_store_of_the_second_format_is_read_and_written_again() {
+fn a_store_of_the_second_format_is_read_and_rewritten_unchanged() {
     check_store(
         "state-2",
         STATE_2,
@@ -238,30 +252,30 @@
 }
 
 #[test]
-fn the_operators_state_is_read_and_written_again() {
-    let folder = Folder::new("operators");
+fn the_operators_state_is_read_and_rewritten_unchanged() {
+    let folder = TempFolder::new("operators");
     for copy in store::copy_paths(&folder.0) {
         fs::write(copy, OPERATORS).unwrap();
     }
     let names = store::copy_paths(&folder.0).map(|path| path.file_name().unwrap().to_owned());
     assert_eq!(names, ["linnetknot-ops.json", "linnetknot-ops.json.2"]);
-    let kept = store::load(&folder.0).unwrap();
+    let state = store::load(&folder.0).unwrap();
     let expected = OperatorState {
         sequence: 2,
         bans: ["s-0a".to_owned()].into(),
         out_of_service: true,
     };
-    assert_eq!(kept, expected);
-    assert_eq!(store::encode(&kept), OPERATORS);
+    assert_eq!(state, expected);
+    assert_eq!(store::encode(&state), OPERATORS);
 }
 
 #[test]
-fn a_cached_list_is_read_and_written_again() {
+fn a_cached_list_is_read_and_rewritten_unchanged() {
     const AT: Micros = 1_796_210_294_500_659;
     const SCOPE: &str = "consul   pop-cache";
     let list = cached_snapshot::decode(CACHES, SCOPE, AT + 1, CACHES.len(), 1).unwrap();
     assert_eq!(list.confirmed_at, AT);
-    let seen = list.entries.iter().map(|entry| {
+    let listed = list.entries.iter().map(|entry| {
         let server = &entry.server;
         let address = entry.endpoint.to_string();
         (entry.uid.as_str(), address, server.weight, server.state)
@@ -271,14 +285,14 @@
         ("s-0b", "127.0.0.1:42369".to_owned(), 8.0, State::Ready),
         ("s-0c", "127.0.0.1:46555".to_owned(), 8.0, State::Draining),
     ];
-    assert!(seen.eq(expected), "{:?}", list.entries);
-    let again = cached_snapshot::encode(SCOPE, list.confirmed_at, list.entries.iter());
-    assert_eq!(again, CACHES);
+    assert!(listed.eq(expected), "{:?}", list.entries);
+    let rewritten = cached_snapshot::encode(SCOPE, list.confirmed_at, list.entries.iter());
+    assert_eq!(rewritten, CACHES);
 }
 
-/// The datagrams of the other kinds are pinned in the tests of their packages.
+/// The formats of the other datagrams are checked by the tests of their packages.
 #[test]
-fn a_plain_purge_is_read_and_written_again() {
+fn a_plain_purge_is_read_and_rewritten_unchanged() {
     let cases = [
         (
             "purge object 00000000000000a1 1796210293000000",
