--- a/daemon/tests/fault_matrix.rs
+++ b/daemon/tests/fault_matrix.rs
@@ -1,5 +1,5 @@
-//! Faults at points of a commit, on processes: a slice of the matrix that `linnetknot-rehearse fault-matrix` plays at length,
-//! and the faults that it must find where they are planted.
+//! Runs a part of the matrix of `linnetknot-rehearse fault-matrix`, which injects faults at points of a commit, and checks
+//! that planted faults are detected.
 
 use linnetknot_rehearse::fault_matrix::{cases, play, Case, Matrix, FAULT_POINTS, PLANTS};
 use linnetknot_rehearse::series::all_at_once;
@@ -7,47 +7,47 @@
 
 const DAEMON: &str = env!("CARGO_BIN_EXE_linnetknot");
 
-fn played(cases: &[Case], planted: &str) -> Matrix {
-    let plays = all_at_once(cases, 4, |case| play(Path::new(DAEMON), *case, planted));
+fn play_cases(cases: &[Case], armed_fault: &str) -> Matrix {
+    let plays = all_at_once(cases, 4, |case| play(Path::new(DAEMON), *case, armed_fault));
     let mut matrix = Matrix::default();
     cases
         .iter()
         .zip(plays)
-        .for_each(|(case, played)| matrix.add(*case, played));
+        .for_each(|(case, result)| matrix.add(*case, result));
     matrix
 }
 
 #[test]
-fn at_every_fault_point_and_with_both_disks_no_commit_is_lost() {
-    let matrix = played(&cases(2 * FAULT_POINTS.len(), 100), "");
+fn no_commit_is_lost_at_any_fault_point_with_kept_or_lost_disks() {
+    let matrix = play_cases(&cases(2 * FAULT_POINTS.len(), 100), "");
     assert_eq!(matrix.status(), 0, "{matrix}\n{:#?}", matrix.notes);
 }
 
-/// Each planted fault is named by its rule at a point that shows it.
+/// Each planted fault is reported by the matching rule.
 #[test]
-fn planted_faults_are_found() {
-    for ((plant, point), rule) in PLANTS
+fn planted_faults_are_detected() {
+    for ((planted, point), rule) in PLANTS
         .into_iter()
         .zip(["writer-cut", "holder-cut", "successor"])
         .zip(["promises", "promises", "fence"])
     {
-        let name = plant.name;
-        let at = FAULT_POINTS
+        let name = planted.name;
+        let point_index = FAULT_POINTS
             .iter()
             .position(|entry| entry.name == point)
             .unwrap();
-        // The second round of the points has the disk lost; by this seed the links are clear.
+        // In the second round of the points the disk is lost. With this seed the links lose no datagrams.
         let case = Case {
             seed: 300,
-            ..cases(2 * FAULT_POINTS.len(), 0)[FAULT_POINTS.len() + at]
+            ..cases(2 * FAULT_POINTS.len(), 0)[FAULT_POINTS.len() + point_index]
         };
-        let matrix = played(&[case], plant.armed);
+        let matrix = play_cases(&[case], planted.armed);
         assert_eq!(matrix.status(), 1, "{name}: {matrix}\n{:#?}", matrix.notes);
         assert!(
             matrix
                 .notes
                 .iter()
-                .any(|said| said.contains(&format!("{rule} at"))),
+                .any(|note| note.contains(&format!("{rule} at"))),
             "{name}: {:#?}",
             matrix.notes
         );
--- a/daemon/tests/fleet_status.rs
+++ b/daemon/tests/fleet_status.rs
@@ -1,4 +1,4 @@
-//! The status that the admin listener shows: that it fits the listener's ring buffer, is read again and shown as tables.
+//! Tests the status responses of the admin listener: their JSON keys, maximum size and tables.
 
 use linnetknot_daemon::budgets::{self, BudgetStatus, GrantStatus, MAX_BUDGETS, MAX_GRANTS};
 use linnetknot_daemon::fleet::{
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_server_that_says_a_little_for_ever_is_left() {
+fn an_endless_trickling_response_is_aborted() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let admin = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -68,9 +68,9 @@
     assert!(matches!(query_status(admin), Err(StatusError::Endless)));
 }
 
-/// Tools of operators read these keys.
+/// Operators' tools read these keys.
 #[test]
-fn the_status_of_the_fleet_keeps_its_keys() {
+fn the_fleet_status_keeps_its_json_keys() {
     let mut status = status(1, 1);
     status.store_error = Some("reason".into());
     let json = serde_json::json!({
@@ -90,21 +90,21 @@
         "logs_in_all": 1,
     });
     assert_eq!(serde_json::to_value(&status).unwrap(), json);
-    // A proxy of an earlier version leaves some out.
-    let mut earlier = json;
+    // Proxies of earlier versions omit some keys.
+    let mut without_newer_keys = json;
     for key in ["compacted", "table_bytes", "store_error", "catching_up"] {
-        earlier.as_object_mut().unwrap().remove(key);
+        without_newer_keys.as_object_mut().unwrap().remove(key);
     }
-    let read: Status = serde_json::from_value(earlier).unwrap();
-    assert_eq!((read.compacted, read.store_error), (0, None));
+    let parsed: Status = serde_json::from_value(without_newer_keys).unwrap();
+    assert_eq!((parsed.compacted, parsed.store_error), (0, None));
 }
 
 #[test]
-fn the_longest_answer_fits_the_admins_ring_and_is_read_again() {
+fn the_longest_fleet_status_fits_the_output_buffer_and_round_trips() {
     let longest = status(MAX_PEERS, MAX_LOGS);
-    let ring = Limits::for_machine(256, 32).admin_output_buffer_bytes;
+    let buffer_bytes = Limits::for_machine(256, 32).admin_output_buffer_bytes;
     assert!(
-        to_json(&longest).len() + 256 < ring,
+        to_json(&longest).len() + 256 < buffer_bytes,
         "{}",
         to_json(&longest).len()
     );
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn the_longest_status_of_budgets_fits_the_admins_ring_and_is_read_again() {
+fn the_longest_budget_status_fits_the_output_buffer_and_round_trips() {
     let grant = |n| GrantStatus {
         name: format!("proxy-with-a-long-name-{n}"),
         amount: 1_000_000,
@@ -149,9 +149,9 @@
         budgets,
         budgets_total: MAX_BUDGETS + 2,
     };
-    let ring = Limits::for_machine(256, 32).admin_output_buffer_bytes;
+    let buffer_bytes = Limits::for_machine(256, 32).admin_output_buffer_bytes;
     assert!(
-        to_json(&status).len() + 256 < ring,
+        to_json(&status).len() + 256 < buffer_bytes,
         "{}",
         to_json(&status).len()
     );
--- a/daemon/tests/limits.rs
+++ b/daemon/tests/limits.rs
@@ -1,87 +1,98 @@
-//! Bounds: that they fit the machines they are made for, and each other.
+//! Tests that the limits fit the supported machines and are consistent with each other.
 
 use linnetknot_daemon::limits::{ClientState, Limits};
 use linnetknot_harness::settings;
 
 #[test]
-fn bounds_fit_the_least_machine_and_the_largest_and_a_flood_leaves_room() {
+fn limits_fit_the_smallest_and_largest_machines_and_reserve_capacity() {
     for (descriptors, memory_mb) in [(256, 32), (1024, 192)] {
         let limits = Limits::for_machine(descriptors, memory_mb);
-        // Boxes, with parents, the origin and some that go, and the bus.
+        // Reserved for caches, parents, the origin, the event bus and connections that are being closed.
         assert!(
             limits.max_connections - limits.max_client_connections >= 64
                 && limits.max_connections < descriptors
         );
         assert!(
             limits.max_client_connections >= descriptors / 3,
-            "what the front's web servers may hold"
+            "connections that the web servers may hold"
         );
         assert!(limits.max_total_body_bytes + limits.max_pending_response_bytes <= memory_mb << 19);
-        let whole = limits.max_requests_per_client;
-        assert!(limits.admits(whole, false) && !limits.admits(whole + 1, false));
-        assert!(limits.admits(1, true) && !limits.admits(whole, true));
+        let max_requests = limits.max_requests_per_client;
+        assert!(limits.admits(max_requests, false) && !limits.admits(max_requests + 1, false));
+        assert!(limits.admits(1, true) && !limits.admits(max_requests, true));
         assert!(
             limits.admin_input_buffer_bytes > linnetknot_admin_api::admin::MAX_HEAD_BYTES,
-            "the admin listener reads its longest head whole"
+            "the input buffer holds the longest request head"
         );
         assert!(limits.drain_accept_us + 2_000_000 < 4_000_000);
         assert!(
             limits.shutdown_linger_us < 3_700_000,
-            "SIGKILL may come then"
+            "the shutdown must end before SIGKILL"
         );
     }
 }
 
 #[test]
-fn who_holds_a_place_for_nothing_leaves_and_who_is_owed_an_answer_does_not() {
+fn idle_clients_are_closed_and_clients_with_pending_responses_are_not() {
     let limits = Limits::for_machine(256, 32);
-    let at = |state, owed| limits.close_at(state, owed, 7);
-    assert_eq!(at(ClientState::Busy, 1), None);
+    let close_at = |state, pending_responses| limits.close_at(state, pending_responses, 7);
+    assert_eq!(close_at(ClientState::Busy, 1), None);
     assert_eq!(
-        at(ClientState::Busy, 0),
+        close_at(ClientState::Busy, 0),
         Some(7 + limits.client_write_timeout_us),
-        "it takes no answer"
+        "the client does not read its response"
     );
-    // What is owed within three seconds of connecting, and what usual clients end by themselves after four.
+    // Clients must send a request within 3 s of connecting. Usual clients close idle connections themselves after 4 s.
     assert!([ClientState::Silent, ClientState::Partial]
         .iter()
-        .all(|s| at(*s, 0) < Some(7 + 3_000_000)));
-    assert!(at(ClientState::Idle, 0) > Some(7 + 4_000_000));
+        .all(|s| close_at(*s, 0) < Some(7 + 3_000_000)));
+    assert!(close_at(ClientState::Idle, 0) > Some(7 + 4_000_000));
     assert!(
         ClientState::Lingering < ClientState::Silent,
-        "the first to make room"
+        "lingering clients are closed first"
     );
     assert!(ClientState::Silent < ClientState::Partial && ClientState::Partial < ClientState::Idle);
 }
 
-/// Figures of the site go before our own: SIGKILL may come 0.7 s after the longest deadline, and a request may be given up
-/// sooner than our own wait for a connection.
+/// Settings of a site take precedence over the defaults: SIGKILL may follow 0.7 s after the longest deadline, and the
+/// connect timeout of a site may be shorter than the default.
 #[test]
-fn what_follows_from_the_settings_is_taken_from_them() {
-    let mut site = linnetknot_settings::parse_settings(settings().as_object().unwrap()).unwrap();
-    let machine = || Limits::for_machine(1024, 192);
-    for (longest, ends) in [
+fn timeouts_are_derived_from_the_sites_settings() {
+    let mut site_settings =
+        linnetknot_settings::parse_settings(settings().as_object().unwrap()).unwrap();
+    let machine_limits = || Limits::for_machine(1024, 192);
+    for (deadline_us, latest_us) in [
         (900_000, 1_600_000),
         (2_500_000, 3_200_000),
         (60_000_000, 3_700_000),
     ] {
-        site.classes
+        site_settings
+            .classes
             .iter_mut()
-            .for_each(|c| c.deadline_us = longest);
-        let limits = machine().for_site(&site, 0, 0);
+            .for_each(|c| c.deadline_us = deadline_us);
+        let limits = machine_limits().for_site(&site_settings, 0, 0);
         assert!(
-            limits.shutdown_linger_us < ends && limits.shutdown_linger_us + 400_000 > ends,
-            "{longest}"
+            limits.shutdown_linger_us < latest_us
+                && limits.shutdown_linger_us + 400_000 > latest_us,
+            "{deadline_us}"
         );
     }
-    let limits = machine().for_site(&site, 250_000, 6_000_000);
+    let limits = machine_limits().for_site(&site_settings, 250_000, 6_000_000);
     assert_eq!(
         (limits.connect_timeout_us, limits.connect_abort_us),
         (250_000, 2_000_000)
     );
     assert!(limits.cache_idle_timeout_us > 5_000_000 && limits.cache_idle_timeout_us < 6_000_000);
-    let slow = machine().for_site(&site, 5_000_000, 0);
-    assert!(slow.connect_abort_us >= slow.connect_timeout_us && slow.cache_idle_timeout_us == 0);
-    site.max_retry_after_us = 0;
-    assert_eq!(machine().for_site(&site, 0, 0).overload_retry_after_us, 0);
+    let slow_connect = machine_limits().for_site(&site_settings, 5_000_000, 0);
+    assert!(
+        slow_connect.connect_abort_us >= slow_connect.connect_timeout_us
+            && slow_connect.cache_idle_timeout_us == 0
+    );
+    site_settings.max_retry_after_us = 0;
+    assert_eq!(
+        machine_limits()
+            .for_site(&site_settings, 0, 0)
+            .overload_retry_after_us,
+        0
+    );
 }
--- a/daemon/tests/logging.rs
+++ b/daemon/tests/logging.rs
@@ -1,4 +1,4 @@
-//! The JSON form of the log.
+//! Tests the JSON format of log lines.
 
 use linnetknot_daemon::logging::json;
 use log::kv::Value;
--- a/daemon/tests/oncall_log_lines.rs
+++ b/daemon/tests/oncall_log_lines.rs
@@ -1,5 +1,4 @@
-//! Every line that the daemon logs at the levels warn and error stands in the table of `docs/ONCALL.md`, and every row of
-//! that table is a line of the code.
+//! Checks that the table of log lines in `docs/ONCALL.md` matches the lines that the daemon logs at warn and error.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -8,23 +7,23 @@
 /// The heading of the table in `docs/ONCALL.md`.
 const HEADING: &str = "## Lines at warn and error";
 
-/// Macros whose lines may come at warn or error.
+/// Macros that may log at warn or error.
 const MACROS: [&str; 3] = ["log::warn!(", "log::error!(", "log::log!("];
 
-/// A line as the code has it: level and message, with the names of what is put in between braces.
+/// Level and message of a log line in the code, with its format arguments as `{name}`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct LogLine {
     level: &'static str,
     message: String,
 }
 
-fn repository() -> PathBuf {
+fn repository_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("..")
 }
 
 fn source_files(folder: &Path, files: &mut Vec<PathBuf>) {
     for entry in fs::read_dir(folder).expect("the folder can be read") {
-        let path = entry.expect("its entries too").path();
+        let path = entry.expect("the folder's entries can be read").path();
         if path.is_dir() {
             source_files(&path, files);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
@@ -33,11 +32,11 @@
     }
 }
 
-/// The sources of the packages that the daemon is built from.
+/// Returns the source files of the packages that the daemon is built from.
 fn daemon_sources() -> Vec<PathBuf> {
     let mut files = Vec::new();
-    for entry in fs::read_dir(repository()).expect("the repository can be read") {
-        let path = entry.expect("its entries too").path();
+    for entry in fs::read_dir(repository_root()).expect("the repository can be read") {
+        let path = entry.expect("the folder's entries can be read").path();
         let name = path
             .file_name()
             .unwrap_or_default()
@@ -66,7 +65,7 @@
     files
 }
 
-/// The literal that begins at the quotation mark at `start`, and where it ends.
+/// Returns the string literal whose quotation mark is at `start`, and the position after it.
 fn string_literal(text: &str, start: usize) -> (String, usize) {
     let mut literal = String::new();
     let mut characters = text[start + 1..].char_indices();
@@ -87,12 +86,12 @@
             _ => literal.push(character),
         }
     }
-    panic!("a string literal without an end");
+    panic!("unterminated string literal");
 }
 
-/// The message of a macro's call, whose arguments begin at `start`: its first literal, or the first behind the key-values
-/// and their semicolon.
-fn message(text: &str, start: usize) -> Option<String> {
+/// Returns the message of a macro call whose arguments begin at `start`: the first literal, or the first one after the
+/// semicolon that ends the key-values.
+fn first_message(text: &str, start: usize) -> Option<String> {
     let (mut depth, mut at, mut found) = (1, start, None);
     while depth > 0 {
         let character = text[at..].chars().next()?;
@@ -115,7 +114,7 @@
     found
 }
 
-fn lines_of(text: &str) -> Vec<LogLine> {
+fn log_lines(text: &str) -> Vec<LogLine> {
     let mut lines = Vec::new();
     for name in MACROS {
         for (at, _) in text.match_indices(name) {
@@ -124,7 +123,7 @@
                 "log::error!(" => "error",
                 _ => "varies",
             };
-            let message = message(text, at + name.len()).expect("each line has a message");
+            let message = first_message(text, at + name.len()).expect("a log call has a message");
             lines.push(LogLine { level, message });
         }
     }
@@ -135,15 +134,16 @@
     let texts = daemon_sources()
         .into_iter()
         .map(|path| fs::read_to_string(path).expect("a source file is text"));
-    texts.flat_map(|text| lines_of(&text)).collect()
+    texts.flat_map(|text| log_lines(&text)).collect()
 }
 
 fn lines_in_table() -> BTreeSet<LogLine> {
-    let page = fs::read_to_string(repository().join("docs/ONCALL.md")).expect("the page is there");
+    let page = fs::read_to_string(repository_root().join("docs/ONCALL.md"))
+        .expect("docs/ONCALL.md can be read");
     let section = page
         .split(HEADING)
         .nth(1)
-        .expect("the page has the section");
+        .expect("docs/ONCALL.md has the section");
     let section = section.split("\n## ").next().unwrap_or(section);
     let rows = section.lines().filter(|line| line.starts_with("| `"));
     let row = |line: &str| {
@@ -157,17 +157,17 @@
             "warn" => "warn",
             "error" => "error",
             "varies" => "varies",
-            other => panic!("'{other}' is no level"),
+            other => panic!("unknown level '{other}'"),
         };
         let explained = cells.all(|cell| cell.split_whitespace().count() >= 2);
-        assert!(explained, "meaning and remedy of: {line}");
+        assert!(explained, "a row needs a meaning and a remedy: {line}");
         LogLine { level, message }
     };
     rows.map(row).collect()
 }
 
 #[test]
-fn every_line_at_warn_or_error_stands_in_the_table_for_on_call_engineers() {
+fn every_warn_or_error_line_is_listed_in_the_on_call_table() {
     let (code, table) = (lines_in_code(), lines_in_table());
     let missing: Vec<&LogLine> = code.difference(&table).collect();
     assert!(missing.is_empty(), "not in docs/ONCALL.md: {missing:#?}");
@@ -176,23 +176,23 @@
 }
 
 #[test]
-fn every_line_at_warn_or_error_says_something_by_itself() {
+fn every_warn_or_error_message_has_fixed_words() {
     for line in lines_in_code() {
         let words = line.message.split_whitespace();
-        let own = words.filter(|word| !word.contains('{')).count();
-        assert!(own >= 2, "{line:?}");
+        let fixed_words = words.filter(|word| !word.contains('{')).count();
+        assert!(fixed_words >= 2, "{line:?}");
     }
 }
 
 #[test]
-fn messages_are_found_behind_key_values_and_across_lines() {
+fn messages_are_found_after_key_values_and_across_lines() {
     let code = r#"
         log::warn!("plain {e}");
         log::error!(peer = name.join(" "), code = 3; "with {count} \
             values");
         log::log!(if a { "b" } else { "c" }, "chosen \"level\"");
     "#;
-    let found: BTreeSet<String> = lines_of(code)
+    let found: BTreeSet<String> = log_lines(code)
         .into_iter()
         .map(|line| line.message)
         .collect();
--- a/daemon/tests/origin_clock.rs
+++ b/daemon/tests/origin_clock.rs
@@ -1,45 +1,46 @@
-//! Whatever the local clock is off and whatever dates came: no age is more than the time that has really passed.
+//! Tests that requested ages never exceed the true time since a purge, for any clock offset and any origin dates.
 
 use linnetknot::Micros;
 use linnetknot_daemon::origin_clock::OriginClock;
 use linnetknot_purges::KeyHash;
 
-/// The origin's time in a test, and by how much the local clock is ahead of it.
+/// The origin's time at the start of a test.
 const START: Micros = 1_000_000_000_000;
 const SECOND: i64 = 1_000_000;
+/// Offsets of the local clock, ahead of the origin's.
 const OFFSETS_S: [i64; 7] = [-3_600, -60, -4, 0, 4, 60, 3_600];
 
-fn local(origin: Micros, ahead_s: i64) -> Micros {
+fn local_time(origin: Micros, ahead_s: i64) -> Micros {
     origin.saturating_add_signed(ahead_s * SECOND)
 }
 
-/// The age that is requested at a time, for a purge that was recorded with a date.
+/// Returns the age requested at the time `now` for a purge with this recorded date.
 fn age(clock: &OriginClock, now: Micros, date: Micros) -> Micros {
     clock.now(now).saturating_sub(date)
 }
 
 #[test]
-fn ages_of_dated_purges_are_right_at_every_offset() {
-    for ahead in OFFSETS_S {
+fn ages_for_dated_purges_are_correct_at_every_clock_offset() {
+    for ahead_s in OFFSETS_S {
         let mut clock = OriginClock::default();
-        clock.observe(local(START, ahead), START - 3_000);
+        clock.observe(local_time(START, ahead_s), START - 3_000);
         let (purged, received, requested) =
             (START + 1_000_000, START + 1_200_000, START + 3_000_000);
-        clock.observe(local(received, ahead), purged);
-        let date = clock.record_dated(local(received, ahead), KeyHash::of_group(1), purged);
-        let requested_age = age(&clock, local(requested, ahead), date);
+        clock.observe(local_time(received, ahead_s), purged);
+        let date = clock.record_dated(local_time(received, ahead_s), KeyHash::of_group(1), purged);
+        let requested_age = age(&clock, local_time(requested, ahead_s), date);
         let true_age = requested - purged;
         assert!(
             requested_age <= true_age && requested_age + 3_000 >= true_age,
-            "{ahead} s: {requested_age}"
+            "{ahead_s} s: {requested_age}"
         );
     }
 }
 
 #[test]
-fn ages_of_purges_without_a_date_never_exceed_the_time_since() {
-    // Old copies first, then ever better dates: each makes the bound rise.
-    let delays_us = [
+fn ages_for_undated_purges_never_exceed_the_elapsed_time() {
+    // Dates with decreasing delays: each of them raises the lower bound of the origin's time.
+    let date_delays_us = [
         600_000_000,
         300_000_000,
         2_000_000,
@@ -47,53 +48,55 @@
         200_000,
         3_000,
     ];
-    for ahead in OFFSETS_S {
+    for ahead_s in OFFSETS_S {
         let mut clock = OriginClock::default();
         let key = KeyHash::of_object("film");
-        let mut date = clock.record_local(local(START, ahead), key);
-        for (step, delay) in delays_us.into_iter().enumerate() {
-            let at = START + 1_000_000 * (step as u64 + 1);
-            for (dated, later) in clock.observe(local(at, ahead), at - delay) {
+        let mut date = clock.record_local(local_time(START, ahead_s), key);
+        for (step, delay_us) in date_delays_us.into_iter().enumerate() {
+            let observed_at = START + 1_000_000 * (step as u64 + 1);
+            for (dated, raised_date) in
+                clock.observe(local_time(observed_at, ahead_s), observed_at - delay_us)
+            {
                 assert_eq!(dated, key);
-                date = date.max(later);
+                date = date.max(raised_date);
             }
-            let requested = age(&clock, local(at, ahead), date);
+            let requested = age(&clock, local_time(observed_at, ahead_s), date);
             assert!(
-                requested <= at - START,
-                "{ahead} s, step {step}: {requested}"
+                requested <= observed_at - START,
+                "{ahead_s} s, step {step}: {requested}"
             );
         }
-        let at = START + 10_000_000;
-        let next = clock.record_local(local(at, ahead), key);
-        let requested = age(&clock, local(at + 5_000_000, ahead), next);
+        let observed_at = START + 10_000_000;
+        let next = clock.record_local(local_time(observed_at, ahead_s), key);
+        let requested = age(&clock, local_time(observed_at + 5_000_000, ahead_s), next);
         assert!(
             (4_700_000..=5_000_000).contains(&requested),
-            "{ahead} s: {requested}"
+            "{ahead_s} s: {requested}"
         );
     }
 }
 
 #[test]
-fn a_date_from_the_future_counts_as_now() {
-    for ahead in OFFSETS_S {
+fn a_purge_date_in_the_future_counts_as_now() {
+    for ahead_s in OFFSETS_S {
         let mut clock = OriginClock::default();
-        clock.observe(local(START, ahead), START - 3_000);
-        let received = local(START + 1_000_000, ahead);
+        clock.observe(local_time(START, ahead_s), START - 3_000);
+        let received = local_time(START + 1_000_000, ahead_s);
         let key = KeyHash::of_group(2);
         let date = clock.record_dated(received, key, START + 3_600_000_000);
         assert!(
             (START + 1_000_000..=START + 1_250_000).contains(&date),
-            "{ahead} s"
+            "{ahead_s} s"
         );
     }
 }
 
 #[test]
-fn the_date_for_peers_is_never_before_the_purge() {
-    for ahead in OFFSETS_S {
+fn the_purge_date_for_peers_is_never_before_the_purge() {
+    for ahead_s in OFFSETS_S {
         let mut clock = OriginClock::default();
-        clock.observe(local(START, ahead), START - 3_000);
-        let date = clock.date_for_peers(local(START + 1_000_000, ahead));
-        assert!(date >= START + 1_000_000, "{ahead} s");
+        clock.observe(local_time(START, ahead_s), START - 3_000);
+        let date = clock.date_for_peers(local_time(START + 1_000_000, ahead_s));
+        assert!(date >= START + 1_000_000, "{ahead_s} s");
     }
 }
--- a/daemon/tests/peers.rs
+++ b/daemon/tests/peers.rs
@@ -1,9 +1,9 @@
-//! Purges as plain datagrams.
+//! Tests the format of plain purge datagrams.
 
 use linnetknot_daemon::peers::{read, write, Purge};
 
 #[test]
-fn datagrams_come_back_as_they_were_and_stay_short() {
+fn purge_datagrams_round_trip_and_invalid_or_long_ones_are_rejected() {
     assert_eq!(
         read(write(Some("0a"), 0, 7).unwrap().as_bytes()),
         Some(Purge::of_object("0a", 7))
--- a/daemon/tests/rehearsal.rs
+++ b/daemon/tests/rehearsal.rs
@@ -1,4 +1,4 @@
-//! The rehearsal kit against the real daemon: it finds nothing wrong, and finds what was planted.
+//! Runs the rehearsal kit against the real daemon: it must report no breach, and must report planted faults.
 
 use linnetknot_rehearse::player::{self, play};
 use linnetknot_rehearse::scenario::{ClassLoad, Fault, Load, Scenario, SiteForm, What};
@@ -10,19 +10,19 @@
 }
 
 #[test]
-fn the_daemon_keeps_the_rules_in_both_cases() {
-    let report = rehearse(daemon(), None).expect("the rehearsal is played");
+fn the_daemon_breaks_no_rule_in_the_rehearsal() {
+    let report = rehearse(daemon(), None).expect("the rehearsal runs");
     assert_eq!(report.breaches, [], "{report}");
     assert_eq!(report.played.len(), 4, "{report}");
 }
 
 #[test]
-fn planted_breaches_are_reported() {
+fn planted_breaches_of_the_rehearsal_are_reported() {
     for (plant, rule) in [(Plant::StaleCopies, "purge"), (Plant::DrainHidden, "drain")] {
-        let report = rehearse(daemon(), Some(plant)).expect("the rehearsal is played");
+        let report = rehearse(daemon(), Some(plant)).expect("the rehearsal runs");
         assert!(
             report.breaches.len() > 1,
-            "each one is reported, not only the first: {report}"
+            "every breach is reported, not only the first: {report}"
         );
         assert!(
             report.breaches.iter().all(|b| b.rule == rule),
@@ -31,8 +31,8 @@
     }
 }
 
-/// A few seconds of photos, posts and purges, with few objects, so that what is purged is asked for again.
-fn short() -> Scenario {
+/// Four seconds of photos, posts and purges, with few objects so that purged objects are requested again.
+fn short_scenario() -> Scenario {
     let class = |name: &str, share, keyed| ClassLoad {
         name: name.into(),
         share,
@@ -65,56 +65,66 @@
 }
 
 #[test]
-fn a_played_load_is_served_and_breaks_no_rule() {
-    let out = play(daemon(), &short(), 3, None).expect("it is played");
-    assert_eq!(out.breaches, []);
-    assert_eq!(out.has_seen(), Ok(()));
+fn a_load_scenario_is_served_and_breaks_no_rule() {
+    let outcome = play(daemon(), &short_scenario(), 3, None).expect("the scenario runs");
+    assert_eq!(outcome.breaches, []);
+    assert_eq!(outcome.has_seen(), Ok(()));
     assert!(
-        out.requests > 300 && out.score.total.score() > Some(0.9),
-        "{out:?}"
+        outcome.requests > 300 && outcome.score.total.score() > Some(0.9),
+        "{outcome:?}"
+    );
+    assert!(
+        outcome.writes.0 > 20 && outcome.writes.1 == 0,
+        "{:?}",
+        outcome.writes
     );
-    assert!(out.writes.0 > 20 && out.writes.1 == 0, "{:?}", out.writes);
 }
 
 #[test]
-fn faults_planted_under_a_played_load_are_named() {
+fn planted_faults_under_load_are_reported_by_rule() {
     for (plant, rule) in [
         (player::Plant::PurgesUntold, "purges"),
         (player::Plant::WrongBytes, "whole bytes"),
     ] {
-        let out = play(daemon(), &short(), 3, Some(plant)).expect("it is played");
+        let outcome = play(daemon(), &short_scenario(), 3, Some(plant)).expect("the scenario runs");
         assert!(
-            out.breaches.len() > 1 && out.breaches.iter().all(|b| b.rule == rule),
-            "{plant:?}: {out:?}"
+            outcome.breaches.len() > 1 && outcome.breaches.iter().all(|b| b.rule == rule),
+            "{plant:?}: {outcome:?}"
         );
     }
 }
 
 #[test]
-fn a_play_that_could_not_see_proves_nothing() {
-    assert!(play(Path::new("/nonexistent/linnetknot"), &short(), 3, None).is_err());
-    let mut out = play(
+fn a_run_without_valid_measurements_is_rejected() {
+    assert!(play(
+        Path::new("/nonexistent/linnetknot"),
+        &short_scenario(),
+        3,
+        None
+    )
+    .is_err());
+    let mut outcome = play(
         daemon(),
         &Scenario {
             seconds: 1.0,
-            ..short()
+            ..short_scenario()
         },
         3,
         None,
     )
-    .expect("it is played");
-    out.lag_us.0 = player::MAX_LAG_US + 1;
-    assert!(out.has_seen().unwrap_err().to_string().contains("late"));
-    out.score.total.offered = 0.0;
-    assert!(out
+    .expect("the scenario runs");
+    outcome.lag_us.0 = player::MAX_LAG_US + 1;
+    assert!(outcome.has_seen().unwrap_err().to_string().contains("late"));
+    outcome.score.total.offered = 0.0;
+    assert!(outcome
         .has_seen()
         .unwrap_err()
         .to_string()
         .contains("nothing was asked"));
 }
 
-/// The short load for six seconds, with these faults: when, how long, what.
-fn with(faults: &[(f64, f64, What)]) -> Scenario {
+/// The short scenario extended to six seconds, with faults given as start, duration and kind.
+fn scenario_with_faults(faults: &[(f64, f64, What)]) -> Scenario {
     let faults = faults.iter().map(|(at, lasts, what)| Fault {
         at: *at,
         lasts: *lasts,
@@ -123,13 +133,13 @@
     Scenario {
         seconds: 6.0,
         faults: faults.collect(),
-        ..short()
+        ..short_scenario()
     }
 }
 
-/// Boxes that drain, die and come back cold, a stall, a slow origin and a broken bus, under a played load.
-fn troubled() -> Scenario {
-    with(&[
+/// Caches that drain, stall, or die and restart cold, a slow origin and a broken event bus.
+fn cache_and_origin_faults() -> Scenario {
+    scenario_with_faults(&[
         (1.0, 2.5, What::BoxDrains { boxes: 1, first: 0 }),
         (1.5, 2.0, What::BoxDies { boxes: 3, first: 1 }),
         (2.0, 1.0, What::BoxStalls { boxes: 2, first: 4 }),
@@ -139,37 +149,43 @@
 }
 
 #[test]
-fn faults_of_boxes_origin_and_bus_are_played_and_break_no_rule() {
-    let out = play(daemon(), &troubled(), 3, None).expect("it is played");
-    assert_eq!(out.breaches, []);
-    assert_eq!(out.has_seen(), Ok(()));
+fn cache_origin_and_bus_faults_under_load_break_no_rule() {
+    let outcome = play(daemon(), &cache_and_origin_faults(), 3, None).expect("the scenario runs");
+    assert_eq!(outcome.breaches, []);
+    assert_eq!(outcome.has_seen(), Ok(()));
     assert!(
-        out.requests > 450 && out.score.total.score() > Some(0.6),
-        "{out:?}"
+        outcome.requests > 450 && outcome.score.total.score() > Some(0.6),
+        "{outcome:?}"
     );
 }
 
 #[test]
-fn a_drain_that_the_proxies_never_hear_of_is_named() {
-    let out =
-        play(daemon(), &troubled(), 3, Some(player::Plant::DrainsUntold)).expect("it is played");
+fn a_drain_that_never_reaches_the_proxies_is_reported() {
+    let outcome = play(
+        daemon(),
+        &cache_and_origin_faults(),
+        3,
+        Some(player::Plant::DrainsUntold),
+    )
+    .expect("the scenario runs");
     assert!(
-        !out.breaches.is_empty() && out.breaches.iter().all(|b| b.rule == "drains"),
+        !outcome.breaches.is_empty() && outcome.breaches.iter().all(|b| b.rule == "drains"),
         "{:?}",
-        out.breaches
+        outcome.breaches
     );
     assert!(
-        out.breaches
+        outcome
+            .breaches
             .iter()
             .all(|b| b.target.as_deref() == Some("s-00000000")),
         "{:?}",
-        out.breaches
+        outcome.breaches
     );
 }
 
-/// A proxy killed and started again, then another told to end under load and started again.
-fn crashed() -> Scenario {
-    with(&[
+/// A proxy that is killed and restarted, then another that is stopped and restarted.
+fn proxy_restarts() -> Scenario {
+    scenario_with_faults(&[
         (
             1.0,
             1.5,
@@ -190,22 +206,28 @@
 }
 
 #[test]
-fn proxies_killed_and_stopped_under_load_break_no_rule_and_come_back() {
-    let out = play(daemon(), &crashed(), 3, None).expect("it is played");
-    assert_eq!(out.breaches, []);
-    assert_eq!(out.has_seen(), Ok(()));
-    assert!(out.requests > 450 && out.unsent == 0, "{out:?}");
-    // What was open at the killed proxy is lost, and named where it is counted as owed.
-    let out = play(daemon(), &crashed(), 3, Some(player::Plant::KillsOwed)).expect("it is played");
+fn killed_and_stopped_proxies_restart_under_load_without_breaches() {
+    let outcome = play(daemon(), &proxy_restarts(), 3, None).expect("the scenario runs");
+    assert_eq!(outcome.breaches, []);
+    assert_eq!(outcome.has_seen(), Ok(()));
+    assert!(outcome.requests > 450 && outcome.unsent == 0, "{outcome:?}");
+    // With the planted fault, requests lost at the killed proxy count as breaches.
+    let outcome = play(
+        daemon(),
+        &proxy_restarts(),
+        3,
+        Some(player::Plant::KillsOwed),
+    )
+    .expect("the scenario runs");
     assert!(
-        !out.breaches.is_empty() && out.breaches.iter().all(|b| b.rule == "one answer"),
+        !outcome.breaches.is_empty() && outcome.breaches.iter().all(|b| b.rule == "one answer"),
         "{:?}",
-        out.breaches
+        outcome.breaches
     );
 }
 
 #[test]
-fn a_play_ended_by_hand_is_judged_on_what_happened_until_then() {
+fn an_interrupted_run_is_judged_on_the_time_until_the_interrupt() {
     let stop = std::sync::atomic::AtomicBool::new(false);
     let progress = |seconds: f64, _| {
         if seconds >= 1.0 {
@@ -216,9 +238,18 @@
         stop: Some(&stop),
         progress: Some(&progress),
     };
-    let out = player::play_watched(daemon(), &short(), 3, None, watch).expect("it is played");
-    let at = out.interrupted.expect("it was ended");
-    assert!((1.0..2.0).contains(&at), "{at}");
-    assert_eq!(out.breaches, [], "what was open at the end is owed no more");
-    assert!(out.requests > 50 && out.requests < 300, "{}", out.requests);
+    let outcome = player::play_watched(daemon(), &short_scenario(), 3, None, watch)
+        .expect("the scenario runs");
+    let interrupted_at = outcome.interrupted.expect("the run was interrupted");
+    assert!((1.0..2.0).contains(&interrupted_at), "{interrupted_at}");
+    assert_eq!(
+        outcome.breaches,
+        [],
+        "requests open at the interrupt need no response"
+    );
+    assert!(
+        outcome.requests > 50 && outcome.requests < 300,
+        "{}",
+        outcome.requests
+    );
 }
--- a/daemon/tests/scale_daemons.rs
+++ b/daemon/tests/scale_daemons.rs
@@ -1,4 +1,4 @@
-//! Real daemons beside hollow members: the figures are there, and the verdict finds what is wrong.
+//! Runs real daemons beside simulated members, and checks the report and its verdict.
 
 use linnetknot_rehearse::scale::daemons::report::Report;
 use linnetknot_rehearse::scale::daemons::run::{play, Run};
@@ -10,7 +10,7 @@
 const SECONDS: u64 = 3;
 const PURGES_PER_SECOND: u64 = 20;
 
-fn run() -> Run {
+fn small_run() -> Run {
     Run {
         program: Path::new(env!("CARGO_BIN_EXE_linnetknot")).to_owned(),
         daemons: DAEMONS,
@@ -24,8 +24,8 @@
 }
 
 #[test]
-fn every_daemon_has_all_purges_and_its_figures_are_read_from_the_system() {
-    let run = run();
+fn every_daemon_gets_all_purges_and_its_resource_usage_is_measured() {
+    let run = small_run();
     let outcome = play(&run).expect("the fleet starts");
     let report = Report::of(&run, &outcome);
     assert_eq!(
@@ -34,16 +34,16 @@
         "{}",
         report.table(&run.target.limits)
     );
-    let by_cdni: u64 = report
+    let cdni_purges: u64 = report
         .by_daemon
         .iter()
         .map(|daemon| daemon.answered.count)
         .sum();
     let purges = SECONDS * PURGES_PER_SECOND;
-    assert_eq!(report.hollow_purges as u64 + by_cdni, purges);
+    assert_eq!(report.hollow_purges as u64 + cdni_purges, purges);
     assert!(
-        by_cdni > 0 && report.hollow_purges > 0,
-        "both kinds of members are told of some"
+        cdni_purges > 0 && report.hollow_purges > 0,
+        "both daemons and simulated members receive purges"
     );
     for (number, daemon) in report.by_daemon.iter().enumerate() {
         assert_eq!(
@@ -60,10 +60,10 @@
 }
 
 #[test]
-fn a_daemon_that_does_not_start_is_told_with_its_end() {
+fn a_daemon_that_does_not_start_is_reported() {
     let run = Run {
         program: Path::new("/bin/false").to_owned(),
-        ..run()
+        ..small_run()
     };
     let error = play(&run).expect_err("no daemon starts").to_string();
     assert!(error.contains("did not start"), "{error}");
--- a/daemon/tests/wire.rs
+++ b/daemon/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The parsers against random cuts of valid messages and random garbage.
+//! Property tests of the parsers with randomly split valid messages and random garbage.
 
 mod common;
 
@@ -11,12 +11,12 @@
     vec(any::<usize>(), 0..8)
 }
 
-fn bytes(most: usize) -> impl Strategy<Value = Vec<u8>> {
-    vec(any::<u8>(), 0..most)
+fn bytes(max_length: usize) -> impl Strategy<Value = Vec<u8>> {
+    vec(any::<u8>(), 0..max_length)
 }
 
-/// Pieces of a body are cut where the input was: only their sum is the same.
-fn joined(pieces: Vec<http::Piece>) -> Vec<http::Piece> {
+/// Merges consecutive body pieces, whose boundaries depend on how the input was split.
+fn merge_bodies(pieces: Vec<http::Piece>) -> Vec<http::Piece> {
     let mut out: Vec<http::Piece> = Vec::new();
     for piece in pieces {
         match (out.last_mut(), piece) {
@@ -31,7 +31,7 @@
     #![proptest_config(fixed(128))]
 
     #[test]
-    fn fastcgi_records(records in vec((any::<u8>(), any::<u16>(), bytes(300), any::<u8>()), 1..5), cuts in cuts(), garbage in bytes(99)) {
+    fn fastcgi_records_are_parsed_across_any_splits(records in vec((any::<u8>(), any::<u16>(), bytes(300), any::<u8>()), 1..5), cuts in cuts(), garbage in bytes(99)) {
         let mut valid = Vec::new();
         for (kind, id, content, padding) in &records {
             let start = valid.len();
@@ -40,13 +40,13 @@
             valid.extend(vec![0; usize::from(*padding)]);
         }
         check(fastcgi::RecordParser::default, &valid, &cuts, &garbage, |r| r);
-        let read = items(fastcgi::RecordParser::default(), &valid, &cuts).unwrap();
-        let wrote: Vec<_> = records.into_iter().map(|(kind, id, content, _)| fastcgi::Record { kind, id, content }).collect();
-        prop_assert_eq!(read, wrote);
+        let parsed = items(fastcgi::RecordParser::default(), &valid, &cuts).unwrap();
+        let written: Vec<_> = records.into_iter().map(|(kind, id, content, _)| fastcgi::Record { kind, id, content }).collect();
+        prop_assert_eq!(parsed, written);
     }
 
     #[test]
-    fn fastcgi_pairs(pairs in vec(("[A-Z_]{0,200}", "[ -~]{0,200}"), 0..5), garbage in bytes(99)) {
+    fn fastcgi_pairs_are_read_as_written(pairs in vec(("[A-Z_]{0,200}", "[ -~]{0,200}"), 0..5), garbage in bytes(99)) {
         let mut valid = Vec::new();
         pairs.iter().for_each(|(name, value)| fastcgi::write_pair(&mut valid, name, value));
         prop_assert_eq!(fastcgi::read_pairs(&valid), Ok(pairs));
@@ -55,7 +55,7 @@
     }
 
     #[test]
-    fn resp_arrays(arrays in vec(vec(bytes(200), 1..5), 1..4), cuts in cuts(), garbage in bytes(99)) {
+    fn resp_arrays_are_parsed_across_any_splits(arrays in vec(vec(bytes(200), 1..5), 1..4), cuts in cuts(), garbage in bytes(99)) {
         let mut valid = Vec::new();
         for array in &arrays {
             resp::write_array(&mut valid, &array.iter().map(Vec::as_slice).collect::<Vec<_>>());
@@ -66,7 +66,7 @@
     }
 
     #[test]
-    fn http_messages(body in bytes(300), chunk in 1..90usize, chunked: bool, cuts in cuts(), garbage in bytes(99)) {
+    fn http_messages_are_parsed_across_any_splits(body in bytes(300), chunk in 1..90usize, chunked: bool, cuts in cuts(), garbage in bytes(99)) {
         let mut valid = Vec::new();
         if chunked {
             valid.extend_from_slice(b"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -79,24 +79,24 @@
         } else {
             http::write_message(&mut valid, "POST /a HTTP/1.1", &[("Host", "a")], &body);
         }
-        check(|| http::MessageParser::requests(512, 512), &valid, &cuts, &garbage, joined);
-        let read = joined(items(http::MessageParser::requests(512, 512), &valid, &cuts).unwrap());
-        let bodies: Vec<u8> = read.iter().filter_map(|p| if let http::Piece::Body(b) = p { Some(b.clone()) } else { None }).flatten().collect();
-        prop_assert_eq!((bodies, read.last()), (body, Some(&http::Piece::End)));
+        check(|| http::MessageParser::requests(512, 512), &valid, &cuts, &garbage, merge_bodies);
+        let parsed = merge_bodies(items(http::MessageParser::requests(512, 512), &valid, &cuts).unwrap());
+        let bodies: Vec<u8> = parsed.iter().filter_map(|p| if let http::Piece::Body(b) = p { Some(b.clone()) } else { None }).flatten().collect();
+        prop_assert_eq!((bodies, parsed.last()), (body, Some(&http::Piece::End)));
     }
 
     #[test]
-    fn sse_events(events in vec((any::<u16>(), "[ -~]{1,80}"), 1..5), cuts in cuts(), garbage in bytes(99)) {
+    fn sse_events_are_parsed_across_any_splits(events in vec((any::<u16>(), "[ -~]{1,80}"), 1..5), cuts in cuts(), garbage in bytes(99)) {
         let text: String = events.iter().map(|(id, data)| format!(": comment\nid: {id}\r\ndata: {data}\n\n")).collect();
         check(|| sse::EventParser::new(128), text.as_bytes(), &cuts, &garbage, |e| e);
-        let read = items(sse::EventParser::new(128), text.as_bytes(), &cuts).unwrap();
-        let wrote: Vec<_> = events.into_iter().map(|(id, data)| sse::Event { id: id.to_string(), data }).collect();
-        prop_assert_eq!(read, wrote);
+        let parsed = items(sse::EventParser::new(128), text.as_bytes(), &cuts).unwrap();
+        let written: Vec<_> = events.into_iter().map(|(id, data)| sse::Event { id: id.to_string(), data }).collect();
+        prop_assert_eq!(parsed, written);
     }
 }
 
 #[test]
-fn lengths_are_checked_before_anything_is_taken_for_them() {
+fn announced_lengths_are_checked_before_memory_is_allocated() {
     assert_eq!(
         items(resp::ArrayParser::new(9), b"*1\r\n$10\r\n", &[]),
         Err(WireError::TooLong("a RESP string"))
@@ -117,10 +117,10 @@
 }
 
 #[test]
-fn a_body_whose_end_is_told_twice_is_not_read() {
+fn a_message_with_two_body_lengths_is_rejected() {
     for second in ["Content-Length: 1", "Transfer-Encoding: chunked"] {
         let text = format!("POST / HTTP/1.1\r\nContent-Length: 2\r\n{second}\r\n\r\n");
-        let read = items(http::MessageParser::requests(99, 99), text.as_bytes(), &[]);
-        assert_eq!(read, Err(WireError::Malformed("an HTTP body's length")));
+        let parsed = items(http::MessageParser::requests(99, 99), text.as_bytes(), &[]);
+        assert_eq!(parsed, Err(WireError::Malformed("an HTTP body's length")));
     }
 }
