--- a/daemon/src/disk.rs
+++ b/daemon/src/disk.rs
@@ -125,7 +125,10 @@
         let is_leftover = |p: &str| is_process(p) && !Path::new("/proc").join(p).exists();
         if process.is_some_and(is_leftover) {
             if let Err(e) = fs::remove_file(entry.path()) {
-                log::warn!("{} is left over and stays: {e}", entry.path().display());
+                log::warn!(
+                    "the leftover temporary file {} could not be removed: {e}",
+                    entry.path().display()
+                );
             }
         }
     }
@@ -140,14 +143,14 @@
     pub fn record(&mut self, path: &Path, result: &io::Result<()>) {
         match result {
             Ok(()) if self.0 > 0 => {
-                log::info!(failed_attempts = self.0; "{} is written again", path.display());
+                log::info!(failed_attempts = self.0; "{} can be written again", path.display());
                 self.0 = 0;
             }
             Ok(()) => {}
             Err(e) => {
                 if self.0 == 0 {
                     log::error!(
-                        "{} can't be written, and stays as it was: {e}",
+                        "{} could not be written and keeps its old content: {e}",
                         path.display()
                     );
                 }
@@ -163,7 +166,7 @@
 }
 
 /// The state of the worker thread, which retries each file with the content of its latest job.
-struct Work {
+struct Worker {
     jobs: Receiver<WriteJob>,
     /// The content of the files that could not be replaced yet.
     pending: BTreeMap<PathBuf, Vec<u8>>,
@@ -171,7 +174,7 @@
     backoff: Backoff,
 }
 
-impl Work {
+impl Worker {
     fn run(mut self) {
         loop {
             let wait = (!self.pending.is_empty())
@@ -213,7 +216,7 @@
     /// Starts a worker thread with this name.
     pub fn start(name: &str) -> io::Result<Self> {
         let (jobs, queue) = bounded::<WriteJob>(MAX_QUEUED_JOBS);
-        let work = Work {
+        let worker_state = Worker {
             jobs: queue,
             pending: BTreeMap::new(),
             failed: BTreeMap::new(),
@@ -221,7 +224,7 @@
         };
         let worker = thread::Builder::new()
             .name(name.to_owned())
-            .spawn(move || work.run())?;
+            .spawn(move || worker_state.run())?;
         Ok(FileWriter {
             jobs: Some(jobs),
             worker: Some(worker),
