--- a/daemon/tests/event_ordering.rs
+++ b/daemon/tests/event_ordering.rs
@@ -269,12 +269,17 @@
 
 #[test]
 fn an_idle_client_reads_eof_at_shutdown_and_later_requests_are_not_forwarded() {
-    let (proxy, held, mut resting) = start_held_at_shutdown_accept_deadline(|_| {});
+    let (proxy, held, mut idle_client) = start_held_at_shutdown_accept_deadline(|_| {});
     drop(held);
-    assert_eq!(resting.end().unwrap_err().kind(), ErrorKind::UnexpectedEof);
+    assert_eq!(
+        idle_client.end().unwrap_err().kind(),
+        ErrorKind::UnexpectedEof
+    );
     // Sent after the daemon has closed its half: it must not be forwarded, as it can't be answered.
-    resting.send(&photo_request(1, &object_id(2), 0)).unwrap();
-    drop(resting);
+    idle_client
+        .send(&photo_request(1, &object_id(2), 0))
+        .unwrap();
+    drop(idle_client);
     proxy.thread.join().unwrap().unwrap();
     assert_eq!(fetched_objects(&proxy.caches[0]), [object_id(1)]);
 }
@@ -570,7 +575,7 @@
         // Long enough that no connection is closed for its age.
         config["bounds"] = json!({"partial_request_timeout_us": 60_000_000});
     });
-    let whole = WebServer::request(
+    let request = WebServer::request(
         1,
         "/invoke/photo",
         &[("HTTP_REQUEST_ID", "0a")],
@@ -580,7 +585,7 @@
     // 120 times 40 KB exceed the limit of 4 MB.
     clients
         .iter_mut()
-        .for_each(|web| web.send(&whole[..whole.len() - 8]).unwrap_or(()));
+        .for_each(|web| web.send(&request[..request.len() - 8]).unwrap_or(()));
     assert_eq!(
         send_and_receive(&mut proxy.web(), "photo", &object_id(1)).status,
         200
--- a/daemon/tests/loopback.rs
+++ b/daemon/tests/loopback.rs
@@ -548,7 +548,7 @@
         config["tell"] = json!(true);
     });
     let mut web = proxy.web();
-    // Whether a fetch permits the cache to fill from the origin.
+    // Returns whether a fetch permits the cache to fill from the origin.
     let mut origin_is_allowed = |n: u64| {
         web.ask(1, "photo", &object_id(n), 2500).unwrap();
         web.end().unwrap();
--- a/daemon/tests/upstream.rs
+++ b/daemon/tests/upstream.rs
@@ -390,10 +390,10 @@
 /// Sends responses from the cache and has the connection read them.
 fn receive_responses(upstream: &mut Upstream, responses: &[(&str, &str, &str)]) {
     let mut bytes = Vec::new();
-    for (id, word, fields) in responses {
+    for (id, status, fields) in responses {
         resp::write_array(
             &mut bytes,
-            &[id.as_bytes(), word.as_bytes(), fields.as_bytes(), b"x"],
+            &[id.as_bytes(), status.as_bytes(), fields.as_bytes(), b"x"],
         );
     }
     upstream.cache_socket.write_all(&bytes).unwrap();
