--- a/daemon/tests/event_ordering.rs
+++ b/daemon/tests/event_ordering.rs
@@ -287,7 +287,7 @@
 #[test]
 fn repeated_signals_during_shutdown_lose_no_response() {
     let (mut proxy, mut caches) = start_with_scripted_caches::<1>(|config| {
-        config["bounds"] = json!({"shutdown_accept_us": 100_000})
+        config["bounds"] = json!({"shutdown_accept_us": 100_000});
     });
     let mut web = proxy.web();
     web.send(&photo_request(1, &object_id(1), 0)).unwrap();
@@ -335,7 +335,7 @@
 #[test]
 fn slow_connects_are_kept_without_further_dials_and_their_requests_are_not_sent() {
     let (proxy, mut caches) = start_with_scripted_caches::<1>(|config| {
-        config["settings"]["limits"]["connect-timeout-us"] = json!(100_000)
+        config["settings"]["limits"]["connect-timeout-us"] = json!(100_000);
     });
     let queued_connection = fill_accept_queue(&caches[0]);
     let mut web = proxy.web();
