--- a/daemon/tests/admin.rs
+++ b/daemon/tests/admin.rs
@@ -1,14 +1,14 @@
 //! The admin listener on loopback: calls, invalid requests, drains, and bans that survive a restart.
 
-mod rig;
+mod test_proxy;
 
 use linnetknot_harness::clients::call;
-use rig::{object, one, Rig};
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
+use test_proxy::{object_id, send_and_receive, TestProxy};
 
 /// Creates a folder for the operator state of a test's daemons.
 fn folder(name: &str) -> PathBuf {
@@ -20,16 +20,16 @@
 }
 
 /// Starts a daemon with an admin listener and the given state folder.
-fn with_admin(boxes: &[&'static str], folder: &Path) -> Rig {
+fn with_admin(boxes: &[&'static str], folder: &Path) -> TestProxy {
     let folder = folder.display().to_string();
-    Rig::with(boxes, move |c| {
+    TestProxy::with(boxes, move |c| {
         c["ops"] = json!("127.0.0.1:0");
         c["ops_folder"] = json!(folder);
     })
 }
 
 /// Starts a daemon with an admin listener and waits until it is ready.
-fn ready_rig(boxes: &[&'static str], name: &str) -> (Rig, SocketAddr, PathBuf) {
+fn ready_rig(boxes: &[&'static str], name: &str) -> (TestProxy, SocketAddr, PathBuf) {
     let folder = folder(name);
     let rig = with_admin(boxes, &folder);
     let admin = rig.admin.expect("an admin listener");
@@ -129,7 +129,10 @@
         "{response}"
     );
     let mut web = rig.web();
-    assert_eq!(one(&mut web, "photo", &object(1)).status, 200);
+    assert_eq!(
+        send_and_receive(&mut web, "photo", &object_id(1)).status,
+        200
+    );
     assert_eq!(status(admin, "GET", "/control/ready"), 200);
     drop(stalled_clients);
     rig.stop();
@@ -141,16 +144,25 @@
     let (rig, admin, folder) = ready_rig(&["s-0a"], "drain");
     let mut active = rig.web();
     let mut idle = rig.web();
-    assert_eq!(one(&mut active, "photo", &object(1)).status, 200);
-    assert_eq!(one(&mut idle, "photo", &object(2)).status, 200);
+    assert_eq!(
+        send_and_receive(&mut active, "photo", &object_id(1)).status,
+        200
+    );
+    assert_eq!(
+        send_and_receive(&mut idle, "photo", &object_id(2)).status,
+        200
+    );
     assert_eq!(status(admin, "POST", "/control/out-of-service"), 200);
     assert_eq!(status(admin, "GET", "/control/ready"), 503);
     // The daemon closes a connection after an answer. A request that has already arrived is answered as well, late in the
     // drain with a rejection, so that a client that keeps sending requests can not keep the connection open.
     let start = Instant::now();
-    assert_eq!(one(&mut active, "photo", &object(3)).status, 200);
+    assert_eq!(
+        send_and_receive(&mut active, "photo", &object_id(3)).status,
+        200
+    );
     let mut statuses = Vec::new();
-    while active.ask(2, "photo", &object(7), 2500).is_ok() {
+    while active.ask(2, "photo", &object_id(7), 2500).is_ok() {
         match active.end() {
             Ok((_, answer)) => statuses.push(answer.expect("an answer").status),
             Err(_) => break,
@@ -173,7 +185,10 @@
     );
     // A new connection during a drain is served and then closed.
     let mut new_client = rig.web();
-    assert_eq!(one(&mut new_client, "photo", &object(4)).status, 200);
+    assert_eq!(
+        send_and_receive(&mut new_client, "photo", &object_id(4)).status,
+        200
+    );
     assert!(new_client.end().is_err());
     assert!(
         linnetknot_admin_api::store::load(&folder)
@@ -184,9 +199,12 @@
     assert_eq!(status(admin, "POST", "/control/in-service"), 200);
     assert!(await_status(admin, "/control/ready", 200) < Duration::from_secs(2));
     let mut after = rig.web();
-    assert_eq!(one(&mut after, "photo", &object(5)).status, 200);
     assert_eq!(
-        one(&mut after, "photo", &object(6)).status,
+        send_and_receive(&mut after, "photo", &object_id(5)).status,
+        200
+    );
+    assert_eq!(
+        send_and_receive(&mut after, "photo", &object_id(6)).status,
         200,
         "connections stay open again"
     );
@@ -198,10 +216,13 @@
     let (rig, admin, folder) = ready_rig(&["s-0a", "s-0b"], "ban");
     let mut web = rig.web();
     for n in 0..40 {
-        assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
+        assert_eq!(
+            send_and_receive(&mut web, "photo", &object_id(n)).status,
+            200
+        );
     }
-    let fetch_count = |rig: &Rig, uid: usize| {
-        rig.boxes[uid]
+    let fetch_count = |rig: &TestProxy, uid: usize| {
+        rig.caches[uid]
             .arrivals()
             .iter()
             .filter(|a| a.command == "fetch")
@@ -222,7 +243,10 @@
     );
     let before = fetch_count(&rig, 0);
     for n in 100..140 {
-        assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
+        assert_eq!(
+            send_and_receive(&mut web, "photo", &object_id(n)).status,
+            200
+        );
     }
     assert_eq!(
         fetch_count(&rig, 0),
@@ -236,7 +260,10 @@
     await_status(admin, "/control/ready", 200);
     let mut web = rig.web();
     for n in 200..240 {
-        assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
+        assert_eq!(
+            send_and_receive(&mut web, "photo", &object_id(n)).status,
+            200
+        );
     }
     assert_eq!(fetch_count(&rig, 0), 0, "the ban survives the restart");
     assert_eq!(
@@ -246,7 +273,10 @@
     );
     let mut is_used_again = false;
     for n in 300..400 {
-        assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
+        assert_eq!(
+            send_and_receive(&mut web, "photo", &object_id(n)).status,
+            200
+        );
         is_used_again |= fetch_count(&rig, 0) > 0;
     }
     assert!(
@@ -266,7 +296,7 @@
     let folder = folder("upgrade");
     let shown = folder.display().to_string();
     let start = |peers: String, shown: String| {
-        Rig::with(&["s-0a", "s-0b"], move |c| {
+        TestProxy::with(&["s-0a", "s-0b"], move |c| {
             c["ops"] = json!("127.0.0.1:0");
             c["ops_folder"] = json!(shown);
             c["peer_listen"] = json!(peers);
@@ -287,10 +317,13 @@
     // The ban set in the old process holds in the new one, which serves from the other cache.
     let mut web = new.web();
     for n in 0..20 {
-        assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
+        assert_eq!(
+            send_and_receive(&mut web, "photo", &object_id(n)).status,
+            200
+        );
     }
     assert!(
-        new.boxes[0].arrivals().iter().all(|a| a.command != "fetch"),
+        new.caches[0].arrivals().iter().all(|a| a.command != "fetch"),
         "the ban holds in the new process"
     );
     new.stop();
@@ -301,7 +334,10 @@
 fn a_draining_connection_rejects_further_requests_and_closes() {
     let (rig, admin, folder) = ready_rig(&["s-0a"], "busy");
     let mut web = rig.web();
-    assert_eq!(one(&mut web, "photo", &object(1)).status, 200);
+    assert_eq!(
+        send_and_receive(&mut web, "photo", &object_id(1)).status,
+        200
+    );
     assert_eq!(status(admin, "POST", "/control/out-of-service"), 200);
     // Uses a write, since a slow read would be retried at another server, here after 0.35 s.
     rig.origin
@@ -310,8 +346,8 @@
             ..Default::default()
         });
     // The second request arrives on the connection while the first is open.
-    web.ask(1, "post", &object(2), 2500).unwrap();
-    web.ask(2, "photo", &object(3), 2500).unwrap();
+    web.ask(1, "post", &object_id(2), 2500).unwrap();
+    web.ask(2, "photo", &object_id(3), 2500).unwrap();
     let mut answers = [web.end().unwrap(), web.end().unwrap()];
     answers.sort_by_key(|(id, _)| *id);
     assert_eq!(
@@ -337,13 +373,13 @@
     let (mut rig, _, folder) = ready_rig(&["s-0a"], "retune");
     let mut web = rig.web();
     assert_eq!(
-        one(&mut web, "poster", &object(1)).status,
+        send_and_receive(&mut web, "poster", &object_id(1)).status,
         503,
         "the class does not exist yet"
     );
     // An invalid file is not tested here, since a request can not tell whether its reload is over.
     {
-        let mut file = rig.file.lock().unwrap();
+        let mut file = rig.config_file.lock().unwrap();
         let poster = json!({"name": "poster", "aim-us": 300_000, "deadline-us": 2_000_000, "repeat": "pure",
             "worth": 1.0});
         file["settings"]["categories"]
@@ -353,14 +389,14 @@
     }
     rig.control.reload().unwrap();
     let start = Instant::now();
-    while one(&mut web, "poster", &object(3)).status != 200 {
+    while send_and_receive(&mut web, "poster", &object_id(3)).status != 200 {
         assert!(
             start.elapsed() < Duration::from_secs(3),
             "the new class is never accepted"
         );
     }
     assert_eq!(
-        one(&mut web, "photo", &object(4)).status,
+        send_and_receive(&mut web, "photo", &object_id(4)).status,
         200,
         "the existing class is still served"
     );
--- a/daemon/tests/complete_requests_answered.rs
+++ b/daemon/tests/complete_requests_answered.rs
@@ -1,19 +1,19 @@
 //! A completely received request is answered before its connection closes, whatever the reason for closing it.
 
-mod rig;
-mod scripted;
+mod scripted_caches;
+mod test_proxy;
 
 use linnetknot_daemon::wire::fastcgi::{self, kind};
 use linnetknot_harness::clients::WebServer;
 use linnetknot_harness::fakes::cache::Behaviour;
-use rig::{object, one, Rig};
-use scripted::{next_of, request, scripted};
+use scripted_caches::{next_command, photo_request, start_with_scripted_caches};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
+use test_proxy::{object_id, send_and_receive, TestProxy};
 
 /// Returns invalid byte sequences that follow a complete request, each with a description.
 fn invalid_bytes() -> Vec<(&'static str, Vec<u8>)> {
@@ -48,21 +48,21 @@
     for (case, bytes) in invalid_bytes() {
         // Sends the invalid bytes together with the request, and separately after it.
         for separate in [false, true] {
-            let (rig, mut caches) = scripted::<1>(|_| {});
+            let (rig, mut caches) = start_with_scripted_caches::<1>(|_| {});
             let mut web = rig.web();
-            let complete = request(1, &object(1), 0);
+            let complete = photo_request(1, &object_id(1), 0);
             let fetch = if separate {
                 web.send(&complete).unwrap();
-                let fetch = next_of(&mut caches);
+                let fetch = next_command(&mut caches);
                 web.send(&bytes).unwrap();
                 fetch
             } else {
                 web.send(&[complete, bytes.clone()].concat()).unwrap();
-                next_of(&mut caches)
+                next_command(&mut caches)
             };
             assert_eq!(serve_another_client(&rig, &mut caches), 200, "{case}");
             let (_, connection, fetch) = fetch;
-            caches[0].wires[connection].answer(
+            caches[0].connections[connection].respond(
                 &fetch[1],
                 "200",
                 "how=local,made=1,etag=t1",
@@ -92,11 +92,11 @@
 }
 
 /// Serves a request of another client, so that the daemon has read all earlier input. Returns the answer's status.
-fn serve_another_client(rig: &Rig, caches: &mut [scripted::Scripted; 1]) -> u16 {
+fn serve_another_client(rig: &TestProxy, caches: &mut [scripted_caches::ScriptedCache; 1]) -> u16 {
     let mut other = rig.web();
-    other.send(&request(50, &object(50), 0)).unwrap();
-    let (_, connection, fetch) = next_of(caches);
-    caches[0].wires[connection].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+    other.send(&photo_request(50, &object_id(50), 0)).unwrap();
+    let (_, connection, fetch) = next_command(caches);
+    caches[0].connections[connection].respond(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
     other.end().unwrap().1.unwrap().status
 }
 
@@ -105,17 +105,17 @@
 fn partial_requests_over_the_memory_limit_reject_no_complete_request() {
     const CLIENTS: usize = 5;
     const PARTIAL_REQUESTS: u16 = 30;
-    let rig = Rig::with(&["s-0a"], |config| {
+    let rig = TestProxy::with(&["s-0a"], |config| {
         config["limits"]["memory_mb"] = json!(16);
         config["bounds"] = json!({"partial_request_timeout_us": 60_000_000});
     });
-    rig.boxes[0].set_behaviour(Behaviour {
+    rig.caches[0].set_behaviour(Behaviour {
         answer_delay_ms: 1_000,
         ..Behaviour::default()
     });
     let mut clients: Vec<WebServer> = (0..CLIENTS).map(|_| rig.web()).collect();
     for (n, web) in clients.iter_mut().enumerate() {
-        web.ask(100, "photo", &object(n as u64), 2_500).unwrap();
+        web.ask(100, "photo", &object_id(n as u64), 2_500).unwrap();
     }
     for web in &mut clients {
         for id in 1..=PARTIAL_REQUESTS {
@@ -141,8 +141,11 @@
         assert!([200, 503].contains(&status), "client {n}: {status}");
     }
     assert!(refused > 0, "some partial requests are rejected");
-    rig.boxes[0].set_behaviour(Behaviour::default());
-    assert_eq!(one(&mut rig.web(), "photo", &object(99)).status, 200);
+    rig.caches[0].set_behaviour(Behaviour::default());
+    assert_eq!(
+        send_and_receive(&mut rig.web(), "photo", &object_id(99)).status,
+        200
+    );
     drop(clients);
     rig.stop();
 }
@@ -150,7 +153,7 @@
 /// A small request that arrives in pieces is not rejected while other clients hold far more memory.
 #[test]
 fn partial_request_memory_is_reclaimed_from_the_largest_holder() {
-    let rig = Rig::with(&["s-0a"], |config| {
+    let rig = TestProxy::with(&["s-0a"], |config| {
         config["limits"]["memory_mb"] = json!(16);
         config["bounds"] = json!({"partial_request_timeout_us": 60_000_000});
     });
@@ -167,11 +170,14 @@
         }
     }
     let mut quiet = rig.web();
-    let complete = request(1, &object(1), 9_000);
+    let complete = photo_request(1, &object_id(1), 9_000);
     for piece in complete.chunks(1_000) {
         quiet.send(piece).unwrap();
         // An answer to another client shows that the daemon has read this piece.
-        assert_eq!(one(&mut rig.web(), "photo", &object(2)).status, 200);
+        assert_eq!(
+            send_and_receive(&mut rig.web(), "photo", &object_id(2)).status,
+            200
+        );
     }
     let (_, answer) = quiet.end().expect("an answer");
     assert_eq!(answer.unwrap().status, 200);
@@ -183,12 +189,12 @@
 #[test]
 fn a_recently_answered_client_is_not_evicted_before_longer_idle_clients() {
     const CLIENT_SLOTS: usize = 24;
-    let rig = Rig::with(&["s-0a"], |config| {
+    let rig = TestProxy::with(&["s-0a"], |config| {
         config["limits"] = json!({"memory_mb": 192, "sockets": 64});
         // Without cancellation the daemon waits for the slow cache.
         config["settings"]["limits"]["cancel"] = json!(false);
     });
-    rig.boxes[0].set_behaviour(Behaviour {
+    rig.caches[0].set_behaviour(Behaviour {
         answer_delay_ms: 600,
         ..Behaviour::default()
     });
@@ -200,12 +206,15 @@
         web
     };
     let mut quiet = connect_idle();
-    quiet.ask(1, "photo", &object(1), 2_500).unwrap();
+    quiet.ask(1, "photo", &object_id(1), 2_500).unwrap();
     let idle: Vec<WebServer> = (1..CLIENT_SLOTS).map(|_| connect_idle()).collect();
     assert_eq!(quiet.end().unwrap().1.unwrap().status, 200);
     let new_client = connect_idle();
-    rig.boxes[0].set_behaviour(Behaviour::default());
-    assert_eq!(one(&mut quiet, "photo", &object(2)).status, 200);
+    rig.caches[0].set_behaviour(Behaviour::default());
+    assert_eq!(
+        send_and_receive(&mut quiet, "photo", &object_id(2)).status,
+        200
+    );
     drop((quiet, idle, new_client));
     rig.stop();
 }
@@ -213,26 +222,26 @@
 /// Forty other clients fill the request table while one of two caches never answers.
 #[test]
 fn a_quiet_client_is_answered_during_a_flood_with_an_unresponsive_cache() {
-    let mut rig = Rig::with(&["s-0a", "s-0b"], |config| {
+    let mut rig = TestProxy::with(&["s-0a", "s-0b"], |config| {
         config["limits"] = json!({"memory_mb": 16, "sockets": 256});
     });
-    rig.boxes[0].set_behaviour(Behaviour {
+    rig.caches[0].set_behaviour(Behaviour {
         silent: true,
         ..Behaviour::default()
     });
     let mut quiet = rig.web();
-    assert!([200, 503].contains(&one(&mut quiet, "photo", &object(1)).status));
+    assert!([200, 503].contains(&send_and_receive(&mut quiet, "photo", &object_id(1)).status));
     let stop = AtomicBool::new(false);
     let mut statuses = BTreeMap::<u16, u32>::new();
     std::thread::scope(|scope| {
-        let (front, stop) = (rig.front, StopOnDrop(&stop));
+        let (front, stop) = (rig.client_address, StopOnDrop(&stop));
         for client in 0..40_u64 {
             let stop = stop.0;
             scope.spawn(move || flood(front, client, stop));
         }
         for n in 0..12 {
             let sent_at = Instant::now();
-            let status = one(&mut quiet, "photo", &object(1_000 + n)).status;
+            let status = send_and_receive(&mut quiet, "photo", &object_id(1_000 + n)).status;
             // The budget is 2.5 s. The rest allows for a busy machine.
             assert!(sent_at.elapsed() < Duration::from_millis(3_000), "{n}");
             *statuses.entry(status).or_default() += 1;
@@ -241,7 +250,7 @@
     println!("answers of the quiet client: {statuses:?}");
     drop(quiet);
     rig.control.stop().unwrap();
-    rig.run.join().unwrap().unwrap();
+    rig.thread.join().unwrap().unwrap();
 }
 
 /// Stops the flooding threads when dropped, also if the test fails.
@@ -264,7 +273,7 @@
                 .ask(
                     id,
                     "photo",
-                    &object(1_000_000 * (client + 1) + u64::from(id)),
+                    &object_id(1_000_000 * (client + 1) + u64::from(id)),
                     2_500,
                 )
                 .is_err()
--- a/daemon/tests/deadline_propagation.rs
+++ b/daemon/tests/deadline_propagation.rs
@@ -1,21 +1,25 @@
 //! The deadline forwarded to a cache never exceeds the client's remaining time, whether the request was delayed by a slow
 //! connection, an earlier attempt, or a blocked event loop or process.
 
-mod rig;
-mod scripted;
+mod scripted_caches;
+mod test_proxy;
 
 use linnetknot_harness::clients::WebServer;
 use linnetknot_harness::fakes::cache::FakeCache;
 use linnetknot_harness::fakes::event_bus::{entry, Bus};
-use rig::object;
 use rustix::process::{kill_process, Pid, Signal};
-use scripted::{add_parents, fetches, full, next_of, pass, request, scripted};
+use scripted_caches::{
+    add_parents, busy_wait, fill_accept_queue, next_command, photo_request,
+    start_with_scripted_caches, take_fetches,
+};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
+use test_proxy::object_id;
 
-/// Budget of the requests that `scripted::request` builds.
+
+/// Budget of the requests that `scripted_caches::photo_request` builds.
 const BUDGET: Duration = Duration::from_millis(2_000);
 const SLACK: Duration = Duration::from_millis(150);
 /// Duration for which the event loop or the process is stopped.
@@ -49,17 +53,17 @@
 }
 
 fn check_retry_deadline(status: &str, fields: &str) {
-    let (rig, mut caches) = scripted::<2>(add_parents);
+    let (rig, mut caches) = start_with_scripted_caches::<2>(add_parents);
     let mut web = rig.web();
     let sent_at = Instant::now();
-    web.send(&request(1, &object(1), 0)).unwrap();
-    let (at, connection, fetch) = next_of(&mut caches);
+    web.send(&photo_request(1, &object_id(1), 0)).unwrap();
+    let (at, connection, fetch) = next_command(&mut caches);
     assert_deadline_within_budget("first attempt", &fetch[2], sent_at);
-    pass(Duration::from_millis(300));
-    caches[at].wires[connection].answer(&fetch[1], status, fields, "");
-    let (at, connection, fetch) = next_of(&mut caches);
+    busy_wait(Duration::from_millis(300));
+    caches[at].connections[connection].respond(&fetch[1], status, fields, "");
+    let (at, connection, fetch) = next_command(&mut caches);
     assert_deadline_within_budget("further attempt", &fetch[2], sent_at);
-    caches[at].wires[connection].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+    caches[at].connections[connection].respond(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
     assert_eq!(web.end().unwrap().1.unwrap().status, 200);
     drop(web);
     rig.stop();
@@ -67,18 +71,18 @@
 
 #[test]
 fn attempt_delayed_by_its_connection_carries_the_remaining_deadline() {
-    let (rig, mut caches) = scripted::<1>(|config| {
+    let (rig, mut caches) = start_with_scripted_caches::<1>(|config| {
         config["settings"]["limits"]["connect-timeout-us"] = json!(8_000_000);
     });
-    let blocker = full(&caches[0]);
+    let blocker = fill_accept_queue(&caches[0]);
     let mut web = rig.web();
     let sent_at = Instant::now();
-    web.send(&request(1, &object(1), 0)).unwrap();
+    web.send(&photo_request(1, &object_id(1), 0)).unwrap();
     // The kernel retransmits a SYN after one second, which delays the connection further.
-    pass(Duration::from_millis(300));
-    let (_, connection, fetch) = next_of(&mut caches);
+    busy_wait(Duration::from_millis(300));
+    let (_, connection, fetch) = next_command(&mut caches);
     assert_deadline_within_budget("late connection", &fetch[2], sent_at);
-    caches[0].wires[connection].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+    caches[0].connections[connection].respond(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
     assert_eq!(web.end().unwrap().1.unwrap().status, 200);
     drop((blocker, web));
     rig.stop();
@@ -87,24 +91,24 @@
 /// The deadline counts from the arrival of the request's last byte, not from the time it is read.
 #[test]
 fn requests_read_by_a_blocked_loop_carry_the_remaining_deadline() {
-    let (mut rig, mut caches) = scripted::<1>(|_| {});
+    let (mut rig, mut caches) = start_with_scripted_caches::<1>(|_| {});
     let mut existing_client = rig.web();
-    existing_client.send(&request(1, &object(1), 0)).unwrap();
-    let (_, connection, fetch) = next_of(&mut caches);
-    caches[0].wires[connection].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+    existing_client.send(&photo_request(1, &object_id(1), 0)).unwrap();
+    let (_, connection, fetch) = next_command(&mut caches);
+    caches[0].connections[connection].respond(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
     assert_eq!(existing_client.end().unwrap().1.unwrap().status, 200);
     let loop_guard = rig.hold();
     let sent_at = Instant::now();
-    existing_client.send(&request(2, &object(2), 0)).unwrap();
+    existing_client.send(&photo_request(2, &object_id(2), 0)).unwrap();
     let mut new_client = rig.web();
-    new_client.send(&request(3, &object(3), 0)).unwrap();
-    pass(STALL);
+    new_client.send(&photo_request(3, &object_id(3), 0)).unwrap();
+    busy_wait(STALL);
     drop(loop_guard);
     let mut received = 0;
     while received < 2 {
-        for (_, connection, id, fields) in fetches(&mut caches) {
+        for (_, connection, id, fields) in take_fetches(&mut caches) {
             assert_deadline_within_budget("blocked event loop", &fields, sent_at);
-            caches[0].wires[connection].answer(&id, "200", "how=local,made=1,etag=t1", "a copy");
+            caches[0].connections[connection].respond(&id, "200", "how=local,made=1,etag=t1", "a copy");
             received += 1;
         }
         assert!(
@@ -116,8 +120,8 @@
     assert_eq!(existing_client.end().unwrap().1.unwrap().status, 200);
     assert_eq!(new_client.end().unwrap().1.unwrap().status, 200);
     // A request received after the loop resumes has its full budget.
-    existing_client.send(&request(4, &object(4), 0)).unwrap();
-    let (_, _, fetch) = next_of(&mut caches);
+    existing_client.send(&photo_request(4, &object_id(4), 0)).unwrap();
+    let (_, _, fetch) = next_command(&mut caches);
     assert!(forwarded_deadline(&fetch[2]) > BUDGET - SLACK, "{fetch:?}");
     drop((existing_client, new_client));
     rig.stop();
@@ -196,7 +200,7 @@
 /// Sends a request and returns the time it was sent.
 fn send_request(web: &mut WebServer, n: u64) -> Instant {
     let sent_at = Instant::now();
-    web.ask(1, "photo", &object(n), BUDGET.as_millis() as u64)
+    web.ask(1, "photo", &object_id(n), BUDGET.as_millis() as u64)
         .unwrap();
     sent_at
 }
@@ -212,12 +216,12 @@
         let sent_at = send_request(&mut existing_client, 10 * round + 2);
         let mut new_client = WebServer::connect(site.front).unwrap();
         send_request(&mut new_client, 10 * round + 3);
-        pass(STALL);
+        busy_wait(STALL);
         site.signal(Signal::CONT);
         for n in [10 * round + 2, 10 * round + 3] {
             let fetch = site
                 .cache
-                .wait_for(|a| a.command == "fetch" && a.field("key") == Some(&object(n)))
+                .wait_for(|a| a.command == "fetch" && a.field("key") == Some(&object_id(n)))
                 .expect("a fetch");
             assert_deadline_within_budget("stopped process", &fetch.fields, sent_at);
         }
