--- a/harness/src/fakes/cache.rs
+++ b/harness/src/fakes/cache.rs
@@ -1,4 +1,4 @@
-//! Fake cache servers: they keep copies, honour the age that is asked for, and write down all that reaches them.
+//! Fake cache servers that store copies, honour the requested maximum age and record every command they receive.
 
 use crate::listener::{listen, read_commands, Listening};
 use crate::span::Span;
@@ -11,41 +11,41 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How a cache behaves from now on.
+/// Behaviour of a fake cache.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Behaviour {
-    /// It waits so many milliseconds before it answers.
+    /// Delay of each answer, in milliseconds.
     pub answer_delay_ms: u64,
-    /// Bytes that its answers hold besides what they tell.
+    /// Number of padding bytes at the start of each body.
     pub padding: usize,
-    /// It says that what it fetched came from the origin, after so many milliseconds; 0: from a parent cache.
+    /// Reported time to first byte of fills from the origin, in milliseconds; 0: fills are reported as from a parent.
     pub origin_ms: u64,
-    /// It answers nothing.
+    /// Sends no answers.
     pub silent: bool,
-    /// It serves what it holds however old that is, and calls it new.
+    /// Serves stored copies of any age and reports them as new.
     pub any_age: bool,
 }
 
-/// Something that reached a cache.
+/// A command received by a cache.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// When, in Unix milliseconds.
+    /// Time of receipt, in Unix milliseconds.
     pub at: u64,
-    /// `fetch`, `abort` or the command of a health check.
+    /// Command name: `fetch`, `abort` or that of a health check.
     pub command: String,
-    /// The request.
+    /// Id of the request.
     pub id: String,
-    /// The fields.
+    /// Fields, encoded.
     pub fields: String,
-    /// The body.
+    /// Body.
     pub body: Vec<u8>,
 }
 
 impl Arrival {
-    /// Reads the words of a command.
-    fn of(words: &[Vec<u8>]) -> Self {
+    /// Decodes a command.
+    fn from_array(array: &[Vec<u8>]) -> Self {
         let text = |at: usize| {
-            words
+            array
                 .get(at)
                 .map(|b| String::from_utf8_lossy(b).into_owned())
                 .unwrap_or_default()
@@ -55,19 +55,19 @@
             command: text(0),
             id: text(1),
             fields: text(2),
-            body: words.get(3).cloned().unwrap_or_default(),
+            body: array.get(3).cloned().unwrap_or_default(),
         }
     }
 
-    /// The value of a field.
+    /// Returns the value of a field.
     pub fn field(&self, name: &str) -> Option<&str> {
         resp::field(self.fields.as_bytes(), name)
     }
 }
 
-/// A fetch that a cache works on, or has worked on.
+/// A fetch received by a cache; `until` is unset while it is in progress.
 #[derive(Clone, Debug)]
-struct ActiveFetch {
+struct Fetch {
     connection: usize,
     id: String,
     from: Instant,
@@ -76,7 +76,7 @@
 
 #[derive(Default)]
 struct State {
-    fetches: Vec<ActiveFetch>,
+    fetches: Vec<Fetch>,
     behaviour: Behaviour,
     arrivals: Vec<Arrival>,
     made: BTreeMap<String, u64>,
@@ -89,17 +89,17 @@
 /// A fake cache server.
 #[derive(Clone)]
 pub struct FakeCache {
-    /// Its id.
+    /// Id in the endpoint list.
     pub uid: &'static str,
-    /// Where it listens.
+    /// Address of the listener.
     pub address: SocketAddr,
     state: Shared,
-    /// Held by all that it was cloned to, not by the threads that serve it.
+    /// Shared by all clones except those of the serving threads, so that it closes with the last user.
     _listening: Option<Arc<Listening>>,
 }
 
 impl FakeCache {
-    /// Starts a cache on a port of its own.
+    /// Starts a cache on a free port.
     pub fn start(uid: &'static str) -> io::Result<Self> {
         Self::start_at(uid, "127.0.0.1:0")
     }
@@ -122,7 +122,7 @@
             };
             let served = cache.serve(socket, connection);
             cache.state().ended += 1;
-            // Nobody waits for what came on it any more.
+            // No client waits for the fetches of a closed connection.
             cache.finish(|fetch| fetch.connection == connection);
             served
         })?;
@@ -138,7 +138,7 @@
         self.state.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The same cache under another id, as if it had taken over the address.
+    /// Returns the same cache under another id, as if another cache server had taken over the address.
     pub fn with_uid(&self, uid: &'static str) -> Self {
         FakeCache {
             uid,
@@ -146,43 +146,43 @@
         }
     }
 
-    /// Changes its manner.
+    /// Sets the behaviour for later commands.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
         self.state().behaviour = behaviour;
     }
 
-    /// How many connections it has taken.
+    /// Returns the number of connections accepted so far.
     pub fn connections(&self) -> usize {
         self.state().connections
     }
 
-    /// How many connections to it are open.
+    /// Returns the number of open connections.
     pub fn open(&self) -> usize {
         let state = self.state();
         state.connections - state.ended
     }
 
-    /// All that has reached it.
+    /// Returns all commands received so far.
     pub fn arrivals(&self) -> Vec<Arrival> {
         self.state().arrivals.clone()
     }
 
-    /// Waits until something that fits has reached it; none after ten seconds.
-    pub fn wait_for(&self, fits: impl Fn(&Arrival) -> bool) -> Option<Arrival> {
+    /// Waits for a command that matches and returns it; returns `None` after ten seconds.
+    pub fn wait_for(&self, matches: impl Fn(&Arrival) -> bool) -> Option<Arrival> {
         let waited = self
             .state
             .1
             .wait_timeout_while(self.state(), Duration::from_secs(10), |s| {
-                !s.arrivals.iter().any(&fits)
+                !s.arrivals.iter().any(&matches)
             });
         let (state, _) = waited.unwrap_or_else(PoisonError::into_inner);
-        state.arrivals.iter().find(|a| fits(a)).cloned()
+        state.arrivals.iter().find(|a| matches(a)).cloned()
     }
 
-    /// When it worked on fetches, in microseconds from a moment on: until the answer, an abort, or the end of the
-    /// connection.
-    pub fn spans(&self, begun: Instant) -> Vec<Span> {
-        let at = |at: Instant| at.saturating_duration_since(begun).as_micros() as u64;
+    /// Returns the interval of each fetch, in microseconds since `start`. A fetch ends with its answer, an abort or the
+    /// end of its connection.
+    pub fn spans(&self, start: Instant) -> Vec<Span> {
+        let at = |at: Instant| at.saturating_duration_since(start).as_micros() as u64;
         let now = Instant::now();
         let fetches = self.state().fetches.clone();
         fetches
@@ -194,27 +194,27 @@
             .collect()
     }
 
-    fn finish(&self, which: impl Fn(&ActiveFetch) -> bool) {
+    /// Ends the open fetches that match.
+    fn finish(&self, matches: impl Fn(&Fetch) -> bool) {
         let now = Instant::now();
         let mut state = self.state();
-        // Each ends once; those that have ended long ago need not be looked at.
         let open = state
             .fetches
             .iter_mut()
             .filter(|fetch| fetch.until.is_none());
-        open.filter(|fetch| which(fetch))
+        open.filter(|fetch| matches(fetch))
             .for_each(|fetch| fetch.until = Some(now));
     }
 
     fn serve(&self, socket: TcpStream, connection: usize) -> Option<()> {
         read_commands(&socket, |array| {
-            self.arrived(&array, &socket, connection);
+            self.handle(&array, &socket, connection);
             Some(())
         })
     }
 
-    fn arrived(&self, array: &[Vec<u8>], socket: &TcpStream, connection: usize) {
-        let arrival = Arrival::of(array);
+    fn handle(&self, array: &[Vec<u8>], socket: &TcpStream, connection: usize) {
+        let arrival = Arrival::from_array(array);
         let mut state = self.state();
         state.arrivals.push(arrival.clone());
         self.state.1.notify_all();
@@ -226,7 +226,7 @@
         if arrival.command != "fetch" || behaviour.silent {
             return;
         }
-        state.fetches.push(ActiveFetch {
+        state.fetches.push(Fetch {
             connection,
             id: arrival.id.clone(),
             from: Instant::now(),
@@ -237,15 +237,15 @@
         let Ok(mut socket) = socket.try_clone() else {
             return;
         };
-        let me = FakeCache {
+        let cache = FakeCache {
             _listening: None,
             ..self.clone()
         };
         let mut answer = move || {
             thread::sleep(Duration::from_millis(behaviour.answer_delay_ms));
-            let out = answer_bytes(&arrival, &copy, &behaviour);
-            // Before its answer is on its way: whoever has that may send the next.
-            me.finish(|fetch| fetch.connection == connection && fetch.id == arrival.id);
+            let out = encode_answer(&arrival, &copy, &behaviour);
+            // Ended before the answer is sent, as the client may send the next fetch as soon as it has the answer.
+            cache.finish(|fetch| fetch.connection == connection && fetch.id == arrival.id);
             let _ = socket.write_all(&out);
         };
         if behaviour.answer_delay_ms > 0 {
@@ -256,19 +256,19 @@
     }
 }
 
-/// A copy that answers a fetch.
-struct Copied {
-    /// The object and part.
+/// The copy that a fetch is answered with.
+struct CachedCopy {
+    /// Object and part.
     name: String,
-    /// When it left the origin, in Unix milliseconds.
+    /// Time at which the origin made it, in Unix milliseconds.
     made: u64,
-    /// Whether it was there before.
+    /// Whether the cache had stored it before.
     is_hit: bool,
 }
 
 impl State {
-    /// The copy for a fetch: the one that is there where it is new enough, or one that is made now.
-    fn copy_for(&mut self, arrival: &Arrival) -> Copied {
+    /// Returns the stored copy for a fetch if it is recent enough, otherwise stores and returns a new one.
+    fn copy_for(&mut self, arrival: &Arrival) -> CachedCopy {
         let name = format!(
             "{}/{}",
             arrival.field("key").unwrap_or(""),
@@ -278,31 +278,31 @@
             .field("maxage")
             .and_then(|age| age.parse::<u64>().ok())
             .filter(|age| *age > 0);
-        let is_good = |made: &u64| {
+        let is_fresh = |made: &u64| {
             self.behaviour.any_age || max_age.is_none_or(|age| made + age >= arrival.at)
         };
-        let good = self.made.get(&name).copied().filter(is_good);
-        let made = good.unwrap_or(arrival.at);
+        let fresh = self.made.get(&name).copied().filter(is_fresh);
+        let made = fresh.unwrap_or(arrival.at);
         self.made.insert(name.clone(), made);
-        Copied {
+        CachedCopy {
             name,
             made,
-            is_hit: good.is_some(),
+            is_hit: fresh.is_some(),
         }
     }
 }
 
-/// The bytes of the answer to a fetch.
-fn answer_bytes(arrival: &Arrival, copy: &Copied, behaviour: &Behaviour) -> Vec<u8> {
-    let Copied { name, made, is_hit } = copy;
+/// Encodes the answer to a fetch.
+fn encode_answer(arrival: &Arrival, copy: &CachedCopy, behaviour: &Behaviour) -> Vec<u8> {
+    let CachedCopy { name, made, is_hit } = copy;
     let how = match (is_hit, behaviour.origin_ms) {
         (true, _) => "local",
         (false, 0) => "pulled",
         (false, _) => "pulled_far",
     };
-    let waited = behaviour.origin_ms.max(1);
+    let ttfb_ms = behaviour.origin_ms.max(1);
     let made_field = if behaviour.any_age { arrival.at } else { *made };
-    let fields = format!("how={how},ttfb={waited},made={made_field},etag=t{made}");
+    let fields = format!("how={how},ttfb={ttfb_ms},made={made_field},etag=t{made}");
     let body = format!("{}{name}@{made}", ".".repeat(behaviour.padding));
     let mut out = Vec::new();
     resp::write_array(
--- a/harness/src/fakes/consul/answer.rs
+++ b/harness/src/fakes/consul/answer.rs
@@ -1,10 +1,10 @@
-//! An agent's answers as they are written, complete or broken.
+//! HTTP responses of the fake agent, valid or broken according to its behaviour.
 
 use super::Behaviour;
 use std::io::{self, Write};
 use std::net::TcpStream;
 
-/// An answer, and how it is written.
+/// An HTTP response and the behaviour by which it is written.
 pub(super) struct HttpAnswer {
     pub(super) status: &'static str,
     pub(super) body: String,
@@ -32,16 +32,16 @@
         }
         out += &format!("Content-Length: {}\r\n\r\n", body.len());
         let bytes = out + body;
-        let cut_off = self.behaviour == Behaviour::CutOff;
-        let sent = if cut_off {
+        let is_truncated = self.behaviour == Behaviour::CutOff;
+        let length = if is_truncated {
             bytes.len() - body.len() / 2 - 1
         } else {
             bytes.len()
         };
-        socket.write_all(&bytes.as_bytes()[..sent])
+        socket.write_all(&bytes.as_bytes()[..length])
     }
 
-    /// Writes until whoever reads has had enough, or a GB has gone.
+    /// Writes chunks until the client closes the connection or 1 GiB has been written.
     fn write_endless(socket: &mut TcpStream, mut out: String) -> io::Result<()> {
         out += "Transfer-Encoding: chunked\r\n\r\n";
         socket.write_all(out.as_bytes())?;
--- a/harness/src/fakes/consul/mod.rs
+++ b/harness/src/fakes/consul/mod.rs
@@ -1,5 +1,5 @@
-//! A fake Consul agent: the health, catalogue and agent endpoints of the HTTP API, with the shapes, headers and
-//! blocking queries of its pages, and the ways in which an agent fails.
+//! A fake Consul agent with the health, catalogue and agent endpoints of the HTTP API, including blocking queries and
+//! several kinds of failure.
 
 mod answer;
 
@@ -12,43 +12,43 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// How long a query waits that does not say.
+/// Wait of a blocking query that sets no `wait` parameter.
 const DEFAULT_WAIT_MS: u64 = 300_000;
 
-/// How an agent behaves from now on, also towards queries that wait.
+/// Behaviour of a fake agent. A change also applies to blocking queries that wait.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Behaviour {
-    /// It answers.
+    /// Answers correctly.
     #[default]
     Normal,
-    /// As `Normal`, in chunks.
+    /// Answers correctly with the chunked transfer encoding.
     Chunked,
-    /// Its servers have no leader: 500.
+    /// Answers 500, as without a cluster leader.
     Leaderless,
-    /// It wants a token that it was not given: 403.
+    /// Answers 403, as for a missing token.
     Denied,
-    /// It limits the rate of calls: 429, and when to come back.
+    /// Answers 429 with a `Retry-After` header.
     Busy,
-    /// It answers with something that is not JSON.
+    /// Answers 200 with a body that is not JSON.
     Garbage,
-    /// It breaks off in the middle of an answer.
+    /// Closes the connection in the middle of a response.
     CutOff,
-    /// Its answer goes on and on.
+    /// Sends a response without an end.
     Endless,
-    /// It takes calls and says nothing.
+    /// Reads requests and does not answer.
     Silent,
-    /// It ends every connection at once.
+    /// Closes every connection at once.
     Unavailable,
 }
 
-/// A call that reached the agent.
+/// A request received by the agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgentRequest {
-    /// Method.
+    /// HTTP method.
     pub method: String,
     /// Path and query.
     pub target: String,
-    /// The token that came with it.
+    /// Value of the `X-Consul-Token` header.
     pub token: Option<String>,
     /// Body.
     pub body: String,
@@ -57,33 +57,33 @@
 #[derive(Default)]
 struct State {
     behaviour: Behaviour,
-    turns: u64,
+    behaviour_changes: u64,
     index: u64,
-    /// The instances, as they are written.
+    /// Instances of the health API, as JSON texts.
     instances: Vec<String>,
-    /// Ids that the catalogue names although the health API does not, and whether it names those of health.
+    /// Node name and service id of each instance in the catalogue. It may have instances that the health API lacks.
     catalogue: Vec<(String, String)>,
     token: Option<String>,
-    /// Registrations by other programs: id, and the status of the check.
+    /// Services registered over HTTP, by id: the registration and the status of its check.
     registered: BTreeMap<String, (Value, String)>,
     requests: Vec<AgentRequest>,
-    /// How many calls there were when the instances or the index last changed.
+    /// Number of requests received before the instances or the index last changed.
     changed_at: usize,
 }
 
 type Shared = Arc<(Mutex<State>, Condvar)>;
 
-/// An agent.
+/// A fake Consul agent.
 #[derive(Clone)]
 pub struct Agent {
-    /// Where it listens.
+    /// Address of the listener.
     pub address: SocketAddr,
     state: Shared,
-    /// Held by all that it was cloned to, not by the threads that serve it.
+    /// Shared by all clones except those of the serving threads, so that it closes with the last user.
     _listening: Option<Arc<Listening>>,
 }
 
-/// An instance with the node's check and one of its own.
+/// Returns an instance as the health API does, with a passing node check and a service check of this status.
 pub fn instance(id: &str, address: SocketAddr, status: &str) -> Value {
     let (ip, port) = (address.ip().to_string(), address.port());
     let check = |check: &str, status: &str| {
@@ -103,7 +103,7 @@
 }
 
 impl Agent {
-    /// Starts an agent that knows no instance.
+    /// Starts an agent without instances.
     pub fn start() -> io::Result<Self> {
         let state = Shared::default();
         state.0.lock().unwrap_or_else(PoisonError::into_inner).index = 1;
@@ -133,29 +133,29 @@
         self.state.1.notify_all();
     }
 
-    /// Registers instances in place of those before, and moves the index on.
+    /// Replaces all instances and advances the index.
     pub fn register(&self, instances: &[Value]) {
-        let written = instances.iter().map(Value::to_string).collect();
-        let named = |i: &Value| {
+        let instance_texts = instances.iter().map(Value::to_string).collect();
+        let catalogue_entry = |i: &Value| {
             let text = |v: &Value| v.as_str().unwrap_or("").to_owned();
             (text(&i["Node"]["Node"]), text(&i["Service"]["ID"]))
         };
-        let catalogue = instances.iter().map(named).collect();
+        let catalogue = instances.iter().map(catalogue_entry).collect();
         self.change(|s| {
             (s.index, s.changed_at) = (s.index + 1, s.requests.len());
-            (s.instances, s.catalogue) = (written, catalogue);
+            (s.instances, s.catalogue) = (instance_texts, catalogue);
         });
     }
 
-    /// Changes one of the instances, by its place, and moves the index on.
-    pub fn update(&self, index: usize, instance: &Value) {
+    /// Replaces the instance at a position in the health API and advances the index.
+    pub fn update(&self, position: usize, instance: &Value) {
         self.change(|s| {
             (s.index, s.changed_at) = (s.index + 1, s.requests.len());
-            s.instances[index] = instance.to_string();
+            s.instances[position] = instance.to_string();
         });
     }
 
-    /// The health API names no instance any more, though all are registered.
+    /// Removes all instances from the health API, but not from the catalogue, and advances the index.
     pub fn lose_health(&self) {
         self.change(|s| {
             (s.index, s.changed_at) = (s.index + 1, s.requests.len());
@@ -163,34 +163,34 @@
         });
     }
 
-    /// The index is set, as by servers that were restored.
+    /// Sets the index, which may go back as after a restore of the servers.
     pub fn set_index(&self, index: u64) {
         self.change(|s| (s.index, s.changed_at) = (index, s.requests.len()));
     }
 
-    /// Changes its manner.
+    /// Sets the behaviour and wakes blocking queries.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
-        self.change(|s| (s.behaviour, s.turns) = (behaviour, s.turns + 1));
+        self.change(|s| (s.behaviour, s.behaviour_changes) = (behaviour, s.behaviour_changes + 1));
     }
 
-    /// Calls must bring this token from now on.
+    /// Requires this token in all later requests.
     pub fn want_token(&self, token: &str) {
         self.change(|s| s.token = Some(token.to_owned()));
     }
 
-    /// Forgets the registrations of other programs.
+    /// Removes all services registered over HTTP.
     pub fn forget(&self) {
         self.change(|s| s.registered.clear());
     }
 
-    /// All calls so far.
+    /// Returns all requests received so far.
     pub fn requests(&self) -> Vec<AgentRequest> {
         self.state().requests.clone()
     }
 
-    /// Waits until the calls so far fit; false after twenty seconds.
-    pub fn wait_for(&self, fits: impl Fn(&[AgentRequest]) -> bool) -> bool {
-        let waits = |s: &mut State| !fits(&s.requests);
+    /// Waits until the received requests satisfy a condition; returns false after twenty seconds.
+    pub fn wait_for(&self, condition: impl Fn(&[AgentRequest]) -> bool) -> bool {
+        let waits = |s: &mut State| !condition(&s.requests);
         let waited = self
             .state
             .1
@@ -198,16 +198,22 @@
         !waited.unwrap_or_else(PoisonError::into_inner).1.timed_out()
     }
 
-    /// Waits until a query has been made behind the present index: whoever made it has read all that there is.
+    /// Waits for a blocking query with the current index: its sender has read the latest state. Returns whether it
+    /// came.
     pub fn wait_until_read(&self) -> bool {
-        let (behind, since) = {
+        let (parameter, since) = {
             let state = self.state();
             (format!("index={}&", state.index), state.changed_at)
         };
-        self.wait_for(|request| request[since..].iter().any(|a| a.target.contains(&behind)))
+        self.wait_for(|requests| {
+            requests[since..]
+                .iter()
+                .any(|a| a.target.contains(&parameter))
+        })
     }
 
-    /// Waits until a registration's check has this status; none: until it is not registered.
+    /// Waits until the check of a registration has this status, or with `None` until the registration is absent.
+    /// Returns false after ten seconds.
     pub fn wait_for_check(&self, id: &str, status: Option<&str>) -> bool {
         let waits =
             |s: &mut State| s.registered.get(id).map(|(_, status)| status.as_str()) != status;
@@ -241,10 +247,10 @@
             .unwrap_or(0);
         let mut body = vec![0; length];
         socket.read_exact(&mut body)?;
-        let mut words = head.split(' ').map(str::to_owned);
+        let mut tokens = head.split(' ').map(str::to_owned);
         let (method, target) = (
-            words.next().unwrap_or_default(),
-            words.next().unwrap_or_default(),
+            tokens.next().unwrap_or_default(),
+            tokens.next().unwrap_or_default(),
         );
         let body = String::from_utf8_lossy(&body).into_owned();
         let request = AgentRequest {
@@ -265,7 +271,7 @@
         answer.write(socket)
     }
 
-    /// What a call is answered, once it has waited for a change if it asks for that; none: nothing at all.
+    /// Returns the response to a request, after the wait of a blocking query. Returns `None` if it gets no response.
     fn answer_to(&self, request: &AgentRequest) -> Option<HttpAnswer> {
         let (path, query) = request
             .target
@@ -306,19 +312,19 @@
         })
     }
 
-    /// Blocks a query that waits for an index until there is a newer one, or its wait is over.
+    /// Blocks a query with an `index` parameter until the index or the behaviour changes or its wait has passed.
     fn wait_for_change(&self, query: &str) -> MutexGuard<'_, State> {
         let value = |name: &str| {
             let mut pairs = query.split('&').filter_map(|p| p.split_once('='));
             pairs.find(|(n, _)| *n == name).map(|(_, v)| v)
         };
         let state = self.state();
-        let turns = state.turns;
+        let behaviour_changes = state.behaviour_changes;
         let index: u64 = value("index").and_then(|v| v.parse().ok()).unwrap_or(0);
         let wait_ms = value("wait").and_then(|v| v.strip_suffix("ms")?.parse().ok());
         let wait = Duration::from_millis(wait_ms.unwrap_or(DEFAULT_WAIT_MS));
         let waits = |s: &mut State| {
-            s.turns == turns
+            s.behaviour_changes == behaviour_changes
                 && (s.behaviour == Behaviour::Silent
                     || index > 0 && s.index == index && s.behaviour != Behaviour::Unavailable)
         };
--- a/harness/src/fakes/event_bus.rs
+++ b/harness/src/fakes/event_bus.rs
@@ -17,17 +17,17 @@
 
 type Shared = Arc<(Mutex<State>, Condvar)>;
 
-/// An event bus that numbers events from 1.
+/// A fake event bus; it numbers its events from 1.
 #[derive(Clone)]
 pub struct Bus {
-    /// Where it listens.
+    /// Address of the listener.
     pub address: SocketAddr,
     state: Shared,
-    /// Held by all that it was cloned to, not by the threads that serve it.
+    /// Shared by all clones except those of the serving threads, so that it closes with the last user.
     _listening: Option<Arc<Listening>>,
 }
 
-/// An entry of the endpoint list.
+/// Returns an entry of the endpoint list for a cache.
 pub fn entry(cache: &FakeCache, zone: &str, kind: &str, state: &str) -> Value {
     json!({
         "uid": cache.uid, "endpoint": cache.address.to_string(), "az": zone, "model": kind,
@@ -36,7 +36,7 @@
 }
 
 impl Bus {
-    /// Starts a bus without events.
+    /// Starts a bus with no events.
     pub fn start() -> io::Result<Self> {
         let state = Shared::default();
         let served = state.clone();
@@ -60,12 +60,12 @@
         self.state.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends the endpoint list, or changes to it.
+    /// Publishes the full endpoint list if `all` is set, otherwise changes to it.
     pub fn list(&self, all: bool, entries: Vec<Value>) {
         self.push(json!({"topology": {"rev": 1, "all": all, "targets": entries}}));
     }
 
-    /// Tells an event, without its number.
+    /// Publishes an event; its offset is added here.
     pub fn push(&self, mut event: Value) {
         let mut state = self.state();
         event["offset"] = (state.events.len() + 1).into();
@@ -73,25 +73,25 @@
         self.state.1.notify_all();
     }
 
-    /// Ends the connections of all who read.
+    /// Closes the connections of all readers.
     pub fn cut(&self) {
         self.state().cuts += 1;
         self.state.1.notify_all();
     }
 
-    /// Waits for a call, by its place; gives the number behind which it read on.
-    pub fn call(&self, place: usize) -> Option<u64> {
+    /// Waits up to ten seconds for the read request with this index. Returns the last event id that it sent.
+    pub fn call(&self, index: usize) -> Option<u64> {
         let waited = self
             .state
             .1
             .wait_timeout_while(self.state(), Duration::from_secs(10), |s| {
-                s.calls.len() <= place
+                s.calls.len() <= index
             });
         waited
             .unwrap_or_else(PoisonError::into_inner)
             .0
             .calls
-            .get(place)
+            .get(index)
             .copied()
     }
 
--- a/harness/src/fakes/mod.rs
+++ b/harness/src/fakes/mod.rs
@@ -1,4 +1,4 @@
-//! Fakes of the systems around the daemon: they answer as those do, and write down what reaches them.
+//! Fakes of the systems that the daemon talks to. Each answers like the real system and records what it receives.
 
 pub mod cache;
 pub mod consul;
