--- a/harness/src/lib.rs
+++ b/harness/src/lib.rs
@@ -1,5 +1,5 @@
-//! The harness of the tests that run real daemons on loopback: processes, clients, fault-injecting links, fakes of the
-//! systems around the daemon, and whole fleets of them.
+//! Test harness that runs real daemons on loopback: processes, clients, fault-injecting links, fakes of the external
+//! systems, and fleets of several daemons.
 
 pub mod clients;
 pub mod fakes;
--- a/harness/src/settings.rs
+++ b/harness/src/settings.rs
@@ -1,8 +1,8 @@
-//! The platform's settings of a small deployment.
+//! Platform settings for tests.
 
 use serde_json::{json, Value};
 
-/// Settings of a small deployment: one location with caches, one hub with the origin.
+/// Returns the platform settings of a small deployment: one zone with caches and one zone with the origin.
 pub fn settings() -> Value {
     json!({
         "categories": [
--- a/harness/src/span.rs
+++ b/harness/src/span.rs
@@ -1,12 +1,12 @@
-//! Spans of time.
+//! Time intervals.
 
 use crate::time::Micros;
 
-/// A time in which a request was in flight.
+/// The interval during which a request was in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Span {
-    /// Its start.
+    /// Start.
     pub from: Micros,
-    /// Its end.
+    /// End.
     pub until: Micros,
 }
--- a/harness/src/time.rs
+++ b/harness/src/time.rs
@@ -1,11 +1,11 @@
-//! Unix time, as the daemon's forms have it.
+//! Unix time in the units of the daemon's messages.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Unix time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// Unix time in milliseconds.
+/// Returns the current Unix time in milliseconds.
 pub fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -13,7 +13,7 @@
         .as_millis() as u64
 }
 
-/// Unix time in microseconds.
+/// Returns the current Unix time in microseconds.
 pub fn unix_us() -> Micros {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
