--- a/harness/src/fleet/cdni.rs
+++ b/harness/src/fleet/cdni.rs
@@ -1,4 +1,4 @@
-//! Calls of a peer CDN at the proxies' CDNI listeners.
+//! Requests of a peer CDN to the CDNI listeners of proxies.
 
 use super::Fleet;
 use crate::clients::{call, Answer};
@@ -7,12 +7,12 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// A peer CDN asks a proxy, at its CDNI listener, to purge a photo: the status of the answer.
+/// Sends a purge trigger for a photo to a CDNI listener. Returns the status code of the response.
 pub fn purge_at(cdni: SocketAddr, object: &str) -> io::Result<u16> {
     Ok(trigger_at(cdni, &[object])?.status)
 }
 
-/// A peer CDN asks a proxy, at its CDNI listener, to purge photos: the answer.
+/// Sends a purge trigger for photos to a CDNI listener. Returns the response.
 pub fn trigger_at(cdni: SocketAddr, objects: &[&str]) -> io::Result<Answer> {
     let urls: Vec<String> = objects
         .iter()
@@ -23,7 +23,7 @@
     call(cdni, "POST", "/cdni/triggers", &command.to_string())
 }
 
-/// The path of the status that an answer to a trigger names; none where it made no trigger.
+/// Returns the path of the trigger status from the `Location` header, if the response is 201.
 pub fn status_path(answer: &Answer) -> Option<String> {
     let location = answer.header("location").filter(|_| answer.status == 201)?;
     location
@@ -32,22 +32,22 @@
 }
 
 impl Fleet {
-    /// A peer CDN asks one proxy to purge a photo: the status of the answer.
+    /// Sends a purge trigger for a photo to a proxy. Returns the status code of the response.
     pub fn purge(&self, n: usize, object: &str) -> io::Result<u16> {
         purge_at(self.process(n)?.cdni, object)
     }
 
-    /// A peer CDN asks one proxy to purge photos: the answer.
+    /// Sends a purge trigger for photos to a proxy. Returns the response.
     pub fn trigger(&self, n: usize, objects: &[&str]) -> io::Result<Answer> {
         trigger_at(self.process(n)?.cdni, objects)
     }
 
-    /// A peer CDN's call of a path at a proxy: the answer.
+    /// Sends a request to the CDNI listener of a proxy. Returns the response.
     pub fn cdni_call(&self, n: usize, method: &str, path: &str) -> io::Result<Answer> {
         call(self.process(n)?.cdni, method, path, "")
     }
 
-    /// The triggers that a proxy lists, by the paths of their status.
+    /// Returns the paths of the trigger statuses that a proxy lists.
     pub fn triggers(&self, n: usize) -> io::Result<BTreeSet<String>> {
         let answer = self.cdni_call(n, "GET", "/cdni/triggers")?;
         let list: Value = serde_json::from_slice(&answer.body).map_err(io::Error::other)?;
--- a/harness/src/fleet/mod.rs
+++ b/harness/src/fleet/mod.rs
@@ -1,8 +1,7 @@
-//! Several daemons as processes of their own, with fault-injecting links between every two of them: tests and plays let
-//! links fail, peers stop and processes die in the middle of their work.
+//! Several daemons as child processes with fault-injecting links between each pair, for tests of failing links, stalled
+//! peers and killed processes.
 //!
-//! Each proxy has a folder of its own, its disk: what outlives its process. It survives a kill and is lost only where
-//! a test says so.
+//! Each proxy has its own folder as its disk. It survives a kill and is removed only by a restart with [`Disk::Lost`].
 
 mod cdni;
 mod ports;
@@ -28,53 +27,53 @@
 /// One proxy of a fleet.
 struct Member {
     name: String,
-    /// The program that it is started with.
+    /// The daemon's program.
     daemon: PathBuf,
     process: Option<Process>,
-    /// A bus of its own: an event that one proxy gets, another need not get.
+    /// Its own event bus, so that events can reach a single proxy.
     _bus: Bus,
     disk: PathBuf,
     config: Value,
 }
 
-/// Daemons with fault-injecting links between them, and the caches and origin that they share.
+/// Daemons with fault-injecting links between them, and their shared caches and origin.
 pub struct Fleet {
     members: Vec<Member>,
-    /// Further machines that a commit waits for; none: nothing is replicated.
+    /// Number of other machines that a commit waits for; `None` disables replication.
     copies: Option<usize>,
     within_ms: Option<u64>,
     budgets: Value,
     machine: Option<String>,
     fail_points: String,
     exact_purges: Option<usize>,
-    /// The links, to set their conditions.
+    /// Links between the proxies.
     pub links: FaultyLinks,
-    /// The cache servers.
+    /// Shared cache servers.
     pub caches: Vec<FakeCache>,
-    /// The origin.
+    /// Shared origin.
     pub origin: FakeCache,
     folder: PathBuf,
 }
 
-/// A folder of its own for each fleet of this process.
+/// Returns a new folder name for each fleet of this process.
 fn fleet_folder() -> PathBuf {
     static FLEETS: AtomicU64 = AtomicU64::new(0);
     let n = FLEETS.fetch_add(1, Ordering::Relaxed);
     std::env::temp_dir().join(format!("linnetknot-membership-{}-{n}", std::process::id()))
 }
 
-/// The platform's topology with these caches and this origin, as proxies know it when they start.
+/// Returns the initial topology of the proxies, with these caches and this origin.
 fn known_targets(caches: &[FakeCache], origin: &FakeCache) -> Value {
     let mut targets: Vec<Value> = caches
         .iter()
-        .map(|b| entry(b, "here", "box", "ready"))
+        .map(|cache| entry(cache, "here", "box", "ready"))
         .collect();
     targets.push(entry(origin, "hub", "origin", "ready"));
     let topology = json!({"rev": 1, "all": true, "targets": targets});
     json!({"offset": 0, "batch": [{"offset": 0, "topology": topology}]})
 }
 
-/// The settings of a small deployment, with the deadline that a setup asks for.
+/// Returns the settings of a small deployment with the deadline of the setup.
 fn settings_of(setup: &Setup<'_>) -> Value {
     let mut settings = settings();
     if let Some(deadline_us) = setup.deadline_us {
@@ -84,7 +83,7 @@
     settings
 }
 
-/// The members of a fleet at these addresses; none of them runs yet.
+/// Creates the members of a fleet at these addresses without starting them.
 fn members(
     setup: &Setup<'_>,
     folder: &Path,
@@ -118,8 +117,8 @@
 }
 
 impl Fleet {
-    /// Starts so many daemons, each on a machine of its own; the seed draws what their links do. They replicate
-    /// what peer CDNs purge, with commits that wait for so many further machines, or do not.
+    /// Starts a fleet with each daemon on its own machine. `copies` is the number of other machines that a commit waits
+    /// for; `None` disables replication. The seed determines the faults of the links.
     pub fn start(
         daemon: &Path,
         proxies: usize,
@@ -132,7 +131,7 @@
         })
     }
 
-    /// Starts a fleet.
+    /// Starts a fleet from a setup.
     pub fn with(setup: Setup<'_>) -> io::Result<Self> {
         let caches = ["s-0a", "s-0b"]
             .into_iter()
@@ -157,14 +156,14 @@
             origin,
             folder,
         };
-        (0..setup.running).try_for_each(|n| fleet.begin(n, ""))?;
+        (0..setup.running).try_for_each(|n| fleet.start_member(n, ""))?;
         Ok(fleet)
     }
 
-    /// The operators' own file of a proxy.
+    /// Returns the operators' file of a proxy.
     fn own(&self, n: usize) -> Value {
         let m = &self.members[n];
-        // All of them share an address here, so that their machines are named.
+        // All proxies share one IP address, so the file maps each peer to its machine.
         let peers = m.config["peers"]
             .as_array()
             .into_iter()
@@ -195,7 +194,7 @@
         own
     }
 
-    fn begin(&mut self, n: usize, points: &str) -> io::Result<()> {
+    fn start_member(&mut self, n: usize, points: &str) -> io::Result<()> {
         let own = self.own(n);
         let m = &mut self.members[n];
         std::fs::create_dir_all(&m.disk)?;
@@ -211,7 +210,10 @@
         Ok(())
     }
 
-    /// A proxy that runs; none that has ended, as its addresses may be another server's by then.
+    /// Returns the process of a proxy.
+    ///
+    /// # Errors
+    /// Returns an error if it does not run: its addresses may then belong to another program.
     pub fn process(&self, n: usize) -> io::Result<&Process> {
         let process = self.members[n]
             .process
@@ -224,19 +226,19 @@
         self.process(n)?.signal(signal)
     }
 
-    /// Stops a proxy's process (SIGSTOP) until it goes on; it knows nothing of it.
+    /// Stops the process of a proxy with SIGSTOP until `resume`.
     pub fn stall(&self, n: usize) -> io::Result<()> {
         self.signal(n, Signal::STOP)
     }
 
-    /// A proxy goes on where it stood still.
+    /// Continues the process of a stalled proxy with SIGCONT.
     pub fn resume(&self, n: usize) -> io::Result<()> {
         self.signal(n, Signal::CONT)
     }
 
-    /// Kills a proxy's process (SIGKILL).
+    /// Kills the process of a proxy with SIGKILL.
     pub fn kill(&mut self, n: usize) -> io::Result<()> {
-        // Ending a process kills it and waits for it.
+        // Dropping a `Process` kills it and waits for its exit.
         self.members[n]
             .process
             .take()
@@ -244,7 +246,7 @@
             .ok_or_else(|| io::Error::other(format!("p{n} does not run")))
     }
 
-    /// Tells a proxy to end (SIGTERM) and waits until it has: whether it ended well.
+    /// Terminates a proxy with SIGTERM and waits for its exit. Returns whether it exited with success.
     pub fn end(&mut self, n: usize) -> io::Result<bool> {
         self.signal(n, Signal::TERM)?;
         match self.members[n].process.take() {
@@ -253,17 +255,17 @@
         }
     }
 
-    /// Starts a proxy again under its name, its process ended before.
+    /// Restarts a proxy whose process has been killed or ended.
     pub fn restart(&mut self, n: usize, disk: Disk) -> io::Result<()> {
         self.restart_with_fail_points(n, disk, "")
     }
 
-    /// Starts a proxy with another program from its next start on, as an upgrade does.
+    /// Sets the program for later starts of a proxy, as for an upgrade.
     pub fn set_daemon(&mut self, n: usize, daemon: &Path) {
         self.members[n].daemon = daemon.to_owned();
     }
 
-    /// As `restart`, with points armed (`Process::start_with_fail_points`).
+    /// Like `restart`, with fail points enabled (`Process::start_with_fail_points`).
     pub fn restart_with_fail_points(
         &mut self,
         n: usize,
@@ -279,11 +281,11 @@
                 _ => {}
             }
         }
-        self.begin(n, points)
+        self.start_member(n, points)
     }
 
-    /// What all spend together is another from now on: every proxy that runs reads its files again (SIGHUP), and those that
-    /// start later have it.
+    /// Changes the shared budgets. Running proxies reload their files (SIGHUP); proxies started later use the new
+    /// budgets.
     pub fn set_budgets(&mut self, budgets: Value) -> io::Result<()> {
         self.budgets = budgets;
         for n in 0..self.members.len() {
@@ -296,7 +298,7 @@
         Ok(())
     }
 
-    /// A proxy's list of peers is in another order from now on, and it reads its files again (SIGHUP).
+    /// Reverses the peer list of a proxy and makes it reload its files (SIGHUP).
     pub fn reorder_peers(&mut self, n: usize) -> io::Result<()> {
         let m = &mut self.members[n];
         m.config["peers"]
--- a/harness/src/fleet/setup.rs
+++ b/harness/src/fleet/setup.rs
@@ -1,46 +1,47 @@
-//! What a fleet is started with.
+//! Setup of a fleet.
 
 use serde_json::Value;
 use std::path::Path;
 
-/// How a process is to come back.
+/// What happens to the disk of a proxy at a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disk {
-    /// With what it had written.
+    /// The proxy finds all files that it had written.
     Kept,
-    /// On a new machine: nothing is left.
+    /// The proxy starts with an empty disk, as on a new machine.
     Lost,
 }
 
-/// What a fleet is started with.
+/// Setup of a fleet.
 #[derive(Clone, Debug)]
 pub struct Setup<'a> {
-    /// The daemon.
+    /// The daemon's program.
     pub daemon: &'a Path,
-    /// Proxies that run from the start, each on a machine of its own.
+    /// Number of proxies that run from the start, each on its own machine.
     pub running: usize,
-    /// Machines that are not there yet, by the names that their proxies will have: `restart` begins them.
+    /// Names of proxies that are not started yet; `restart` starts them.
     pub later: &'a [&'a str],
-    /// Draws what the links do.
+    /// Seed of the faults of the links.
     pub seed: u64,
-    /// Further machines that a commit waits for; none: nothing is replicated.
+    /// Number of other machines that a commit waits for; `None` disables replication.
     pub wait: Option<usize>,
-    /// How long a commit may wait; none: as long as the daemon's default says.
+    /// Timeout of a commit, in milliseconds; `None` uses the daemon's default.
     pub within_ms: Option<u64>,
-    /// The machine that all of them say they stand on, whatever the others' files say; none: each on its own.
+    /// Machine name that all proxies use for themselves, in conflict with their peers' files; `None` gives each its
+    /// own.
     pub machine: Option<&'a str>,
-    /// What all of them spend together, as the operators' file has it; null: nothing is shared.
+    /// The `budgets` section of the operators' file; null disables shared budgets.
     pub budgets: Value,
-    /// When clients give up, for all classes, in microseconds; none: as the settings of a small deployment have it.
+    /// Request deadline of all classes, in microseconds; `None` uses the deadlines of `settings`.
     pub deadline_us: Option<u64>,
-    /// Points that are armed in all of them, at each start (`Process::start_with_fail_points`).
+    /// Fail points enabled in all proxies at each start (`Process::start_with_fail_points`).
     pub fail_points: &'a str,
-    /// Purges that each of them holds one by one before older ones are compacted; none: as many as usual.
+    /// Number of purges stored individually before older ones are compacted; `None` uses the daemon's default.
     pub exact_purges: Option<usize>,
 }
 
 impl<'a> Setup<'a> {
-    /// So many proxies that replicate, with commits that wait for one further machine.
+    /// Returns the setup of proxies that replicate, with commits that wait for one other machine.
     pub fn replicating(daemon: &'a Path, running: usize, seed: u64) -> Self {
         Setup {
             daemon,
