--- a/harness/src/links/conditions.rs
+++ b/harness/src/links/conditions.rs
@@ -1,5 +1,5 @@
-//! What a link between two proxies does to what passes over it, decided without a socket: what is lost, what comes
-//! twice, and what comes when.
+//! Conditions of fault-injecting links, and the decisions made from them without sockets: which datagrams are lost,
+//! duplicated or delayed, and how many bytes of a stream pass.
 
 use crate::time::Micros;
 use rand::{Rng, SeedableRng};
@@ -32,21 +32,21 @@
     pub half_open: bool,
 }
 
-/// How long a datagram that is reordered is delayed at the least, in microseconds.
+/// Minimum delay of a reordered datagram, in microseconds.
 pub const REORDER_DELAY_US: Micros = 20_000;
 
-/// The longest delay and jitter, in milliseconds.
+/// Maximum of the delay and of the jitter, in milliseconds.
 const MAX_DELAY_MS: f64 = 60_000.0;
 
-/// A value of link conditions that can't be.
+/// A value of link conditions is out of range.
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
 #[error("{key}: {value} is not from 0 to {max}")]
 pub struct ConditionOutOfRange {
-    /// Its key.
+    /// Key of the value.
     pub key: &'static str,
-    /// The value.
+    /// Value.
     pub value: f64,
-    /// The largest that can be.
+    /// Largest valid value.
     pub max: f64,
 }
 
@@ -61,7 +61,7 @@
 }
 
 impl LinkConditions {
-    /// A link over which nothing passes.
+    /// Conditions of a link over which nothing passes.
     pub const CUT: LinkConditions = LinkConditions {
         cut: true,
         delay_ms: 0.0,
@@ -74,7 +74,7 @@
         half_open: false,
     };
 
-    /// What concerns streams alone, by its key.
+    /// Returns the key of the first condition in use that applies to streams only.
     pub fn stream_only_key(&self) -> Option<&'static str> {
         let flags = [
             ("trickle", self.trickle > 0),
@@ -83,14 +83,14 @@
         ];
         flags
             .into_iter()
-            .find(|(_, flags)| *flags)
+            .find(|(_, is_set)| *is_set)
             .map(|(key, _)| key)
     }
 
-    /// Checks that all values can be.
+    /// Checks that all values are in their ranges.
     ///
     /// # Errors
-    /// Where one can't; it is named by its key.
+    /// Returns the first value that is out of range.
     pub fn check(&self) -> Result<(), ConditionOutOfRange> {
         for (key, share) in [
             ("drop", self.drop),
@@ -106,15 +106,14 @@
     }
 }
 
-/// What becomes of the datagrams of one direction, drawn from a seed: the same datagrams meet the same fate in every
-/// play.
+/// Random losses, duplicates and delays of the datagrams of one direction. The same seed gives the same sequence.
 #[derive(Clone, Debug)]
 pub struct DatagramFaults {
     random: ChaCha8Rng,
 }
 
 impl DatagramFaults {
-    /// Fates of the direction from one proxy to another.
+    /// Creates the sequence for the direction from one proxy to another.
     pub fn new(seed: u64, from: usize, to: usize) -> Self {
         let direction = (from as u64) << 32 | to as u64;
         DatagramFaults {
@@ -122,64 +121,65 @@
         }
     }
 
-    /// After how many microseconds the next datagram comes, for each time that it comes: none where it is lost. As
-    /// many draws are made whatever the conditions are, so that a change of conditions shifts no later fate.
+    /// Returns the delay of each delivery of the next datagram, in microseconds: none if it is lost, two if it is
+    /// duplicated. The number of random draws does not depend on the conditions, so that a change of conditions does
+    /// not affect the draws for later datagrams.
     pub fn next_delays(&mut self, conditions: &LinkConditions) -> Vec<Micros> {
-        let [lost, twice, reordered, late, later] =
+        let [loss, duplicate, reorder, jitter, duplicate_jitter] =
             std::array::from_fn(|_| self.random.random::<f64>());
-        if conditions.cut || lost < conditions.drop {
+        if conditions.cut || loss < conditions.drop {
             return Vec::new();
         }
         let delay =
             |jitter: f64| ((conditions.delay_ms + jitter * conditions.jitter_ms) * 1e3) as Micros;
-        let reorder_delay = if reordered < conditions.reorder {
+        let reorder_delay = if reorder < conditions.reorder {
             REORDER_DELAY_US + delay(1.0)
         } else {
             0
         };
-        let mut comes = vec![delay(late) + reorder_delay];
-        if twice < conditions.duplicate {
-            comes.push(delay(later) + reorder_delay);
+        let mut delays = vec![delay(jitter) + reorder_delay];
+        if duplicate < conditions.duplicate {
+            delays.push(delay(duplicate_jitter) + reorder_delay);
         }
-        comes
+        delays
     }
 }
 
-/// How a stream passes in one direction: what may pass now, and whether it breaks.
+/// Rate limit and reset of one direction of a stream.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Flow {
     passed: u64,
-    /// Bytes that may still pass, and when that was reckoned.
+    /// Bytes that may still pass under the rate limit, as of `updated_at`.
     allowance: f64,
-    reckoned: Option<Micros>,
+    updated_at: Option<Micros>,
 }
 
-/// What a stream may do now.
+/// Decision on the bytes that wait in a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pass {
-    /// Up to so many bytes pass.
+    /// At most this many bytes pass.
     Bytes(usize),
-    /// Nothing passes before it is looked at again.
+    /// Nothing passes for now.
     Nothing,
     /// The connection is reset.
     Reset,
 }
 
 impl Flow {
-    /// What may pass of so many bytes that wait.
+    /// Decides how many of the waiting bytes may pass.
     pub fn allowed(&mut self, now: Micros, conditions: &LinkConditions, waiting: usize) -> Pass {
         if conditions.cut || conditions.half_open {
-            // Time under a cut earns nothing.
-            self.reckoned = None;
+            // Time during a cut does not add to the allowance.
+            self.updated_at = None;
             return Pass::Nothing;
         }
         let mut most = waiting as u64;
         if conditions.trickle > 0 {
-            let since = now.saturating_sub(self.reckoned.replace(now).unwrap_or(now));
-            // A tenth of a second's worth at most is saved up.
+            let elapsed_us = now.saturating_sub(self.updated_at.replace(now).unwrap_or(now));
+            // The allowance is limited to the bytes of 0.1 s.
             let rate = conditions.trickle as f64;
             self.allowance =
-                (self.allowance + since as f64 / 1e6 * rate).min((rate / 10.0).max(1.0));
+                (self.allowance + elapsed_us as f64 / 1e6 * rate).min((rate / 10.0).max(1.0));
             most = most.min(self.allowance as u64);
         }
         if conditions.reset_after > 0 {
@@ -195,7 +195,7 @@
         }
     }
 
-    /// So many bytes have passed.
+    /// Records that bytes have passed.
     pub fn passed(&mut self, bytes: usize) {
         self.passed += bytes as u64;
         self.allowance = (self.allowance - bytes as f64).max(0.0);
--- a/harness/src/links/mod.rs
+++ b/harness/src/links/mod.rs
@@ -1,9 +1,9 @@
-//! Fault-injecting links between proxies: all that two of them send each other passes through one, which loses,
-//! delays, doubles, holds back, trickles or breaks it by its conditions. `conditions` decides; here are sockets and
-//! threads.
+//! Fault-injecting links between proxies. All datagrams between two proxies pass through a link, which loses, delays,
+//! duplicates or reorders them according to its conditions. The decisions are made in `conditions`; this module has the
+//! sockets and threads. `stream` has the same for TCP connections.
 //!
-//! Proxies take datagrams only from the addresses of their peers. So a link has a socket that faces each of its two
-//! proxies: what the one sends to the socket that faces it comes to the other from the socket that faces that one.
+//! Proxies accept datagrams only from the addresses of their peers. Each link therefore has one socket for each of its
+//! two proxies: a datagram that one proxy sends to its socket is delivered to the other from the other's socket.
 
 mod conditions;
 mod stream;
@@ -25,17 +25,17 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// From one proxy to another, by their places.
+/// The indexes of the sending and the receiving proxy.
 pub type Direction = (usize, usize);
 
-/// What passed over one direction.
+/// Datagram counters of one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Datagrams that were sent.
+    /// Datagrams sent.
     pub sent: u64,
-    /// Datagrams that came, doubles with them.
+    /// Datagrams delivered, including duplicates.
     pub came: u64,
-    /// Datagrams that were lost.
+    /// Datagrams lost.
     pub lost: u64,
 }
 
@@ -45,29 +45,29 @@
     counters: BTreeMap<Direction, Counters>,
 }
 
-/// A datagram on its way: when it comes, its place in the order, its way and its bytes.
-type OnItsWay = (Micros, u64, Direction, Vec<u8>);
+/// A datagram in flight: delivery time, sequence number, direction and bytes.
+type InFlight = (Micros, u64, Direction, Vec<u8>);
 
-/// The links between all proxies of a play.
+/// The links between all proxies of a fleet.
 pub struct FaultyLinks {
     state: Arc<Mutex<State>>,
-    /// The address at which the first proxy of a direction reaches the second.
+    /// The addresses to which the first proxy of a direction sends to reach the second.
     addresses: BTreeMap<Direction, SocketAddr>,
     over: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
-/// How long a thread waits for a datagram before it looks whether all is over.
-const LOOK: Duration = Duration::from_millis(50);
-/// The longest datagram.
-const LONGEST: usize = 64 << 10;
+/// Interval at which a waiting thread checks whether it has to stop.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum length of a datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 64 << 10;
 
 fn lock(state: &Mutex<State>) -> MutexGuard<'_, State> {
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl FaultyLinks {
-    /// FaultyLinks between proxies that listen for datagrams at these addresses.
+    /// Creates the links between proxies that listen for datagrams at these addresses.
     pub fn between(proxies: &[SocketAddr], seed: u64) -> io::Result<Self> {
         let state = Arc::new(Mutex::new(State::default()));
         let over = Arc::new(AtomicBool::new(false));
@@ -75,9 +75,9 @@
         let mut sockets = BTreeMap::new();
         for a in 0..proxies.len() {
             for b in (0..proxies.len()).filter(|b| *b != a) {
-                // It faces `a` and stands for `b`.
+                // Proxy `a` sends to this socket to reach `b`.
                 let socket = UdpSocket::bind("127.0.0.1:0")?;
-                socket.set_read_timeout(Some(LOOK))?;
+                socket.set_read_timeout(Some(STOP_CHECK_INTERVAL))?;
                 sockets.insert((a, b), Arc::new(socket));
             }
         }
@@ -97,7 +97,7 @@
         let counted = state.clone();
         threads.push(thread::spawn(move || {
             deliver(&due, |direction: Direction, bytes: &[u8]| {
-                // It comes from the socket that faces the receiver and stands for the sender.
+                // Sent from the socket that the receiver knows as the sender's address.
                 let (from, to) = direction;
                 if sockets[&(to, from)].send_to(bytes, proxies[to]).is_ok() {
                     lock(&counted).counters.entry(direction).or_default().came += 1;
@@ -112,29 +112,29 @@
         })
     }
 
-    /// Where the first proxy of a direction reaches the second: an entry of its `peers`.
+    /// Returns the address at which the first proxy of a direction reaches the second, for its `peers` list.
     pub fn address(&self, direction: Direction) -> Option<SocketAddr> {
         self.addresses.get(&direction).copied()
     }
 
-    /// All directions.
+    /// Returns all directions.
     pub fn directions(&self) -> impl Iterator<Item = Direction> + '_ {
         self.addresses.keys().copied()
     }
 
-    /// Sets the conditions of one direction, for what is sent from now on.
+    /// Sets the conditions of one direction for datagrams sent from now on.
     pub fn set(&self, direction: Direction, conditions: LinkConditions) {
         lock(&self.state).conditions.insert(direction, conditions);
     }
 
-    /// The same conditions between all.
+    /// Sets the same conditions for all directions.
     pub fn set_all(&self, conditions: LinkConditions) {
         self.addresses
             .keys()
             .for_each(|direction| self.set(*direction, conditions));
     }
 
-    /// Splits the proxies in two: nothing passes between those of one side and all others, until they are joined.
+    /// Sets the conditions of all directions between the proxies of one side and all others.
     pub fn split(&self, side: &[usize], conditions: LinkConditions) {
         for (a, b) in self.addresses.keys() {
             if side.contains(a) != side.contains(b) {
@@ -143,7 +143,7 @@
         }
     }
 
-    /// What passed over a direction so far.
+    /// Returns the counters of a direction.
     pub fn counters(&self, direction: Direction) -> Counters {
         lock(&self.state)
             .counters
@@ -162,7 +162,7 @@
     }
 }
 
-/// Takes in what one proxy sends to another.
+/// Receives the datagrams that one proxy sends to another and schedules their delivery.
 fn listen(
     socket: &UdpSocket,
     proxy: SocketAddr,
@@ -170,10 +170,10 @@
     mut faults: DatagramFaults,
     state: &Mutex<State>,
     over: &AtomicBool,
-    send: &Sender<OnItsWay>,
+    send: &Sender<InFlight>,
 ) {
-    let mut bytes = vec![0; LONGEST];
-    let mut number = 0;
+    let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
+    let mut sequence = 0;
     while !over.load(Ordering::Relaxed) {
         let Ok((length, from)) = socket.recv_from(&mut bytes) else {
             continue;
@@ -182,23 +182,28 @@
             continue;
         }
         let now = unix_us();
-        let comes = {
+        let delays = {
             let mut state = lock(state);
             let conditions = state
                 .conditions
                 .get(&direction)
                 .copied()
                 .unwrap_or_default();
-            let comes = faults.next_delays(&conditions);
+            let delays = faults.next_delays(&conditions);
             let counters = state.counters.entry(direction).or_default();
             counters.sent += 1;
-            counters.lost += u64::from(comes.is_empty());
-            comes
+            counters.lost += u64::from(delays.is_empty());
+            delays
         };
-        for after in comes {
-            number += 1;
+        for delay_us in delays {
+            sequence += 1;
             if send
-                .send((now + after, number, direction, bytes[..length].to_vec()))
+                .send((
+                    now + delay_us,
+                    sequence,
+                    direction,
+                    bytes[..length].to_vec(),
+                ))
                 .is_err()
             {
                 return;
@@ -207,21 +212,23 @@
     }
 }
 
-/// Delivers what is on its way when its time comes, until nobody sends any more.
-fn deliver(due: &Receiver<OnItsWay>, arrive: impl Fn(Direction, &[u8])) {
-    let mut waiting: BinaryHeap<Reverse<OnItsWay>> = BinaryHeap::new();
+/// Delivers datagrams at their delivery times until all senders of the channel are dropped.
+fn deliver(due: &Receiver<InFlight>, send_on: impl Fn(Direction, &[u8])) {
+    let mut waiting: BinaryHeap<Reverse<InFlight>> = BinaryHeap::new();
     loop {
         let now = unix_us();
         while waiting.peek().is_some_and(|Reverse(first)| first.0 <= now) {
             if let Some(Reverse((_, _, direction, bytes))) = waiting.pop() {
-                arrive(direction, &bytes);
+                send_on(direction, &bytes);
             }
         }
-        let wait = waiting.peek().map_or(LOOK, |Reverse(first)| {
-            Duration::from_micros(first.0.saturating_sub(unix_us())).min(LOOK)
-        });
+        let wait = waiting
+            .peek()
+            .map_or(STOP_CHECK_INTERVAL, |Reverse(first)| {
+                Duration::from_micros(first.0.saturating_sub(unix_us())).min(STOP_CHECK_INTERVAL)
+            });
         match due.recv_timeout(wait) {
-            Ok(one) => waiting.push(Reverse(one)),
+            Ok(datagram) => waiting.push(Reverse(datagram)),
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
--- a/harness/src/links/stream.rs
+++ b/harness/src/links/stream.rs
@@ -1,4 +1,4 @@
-//! A link for streams: connections to its address go on to another, each direction by its own conditions.
+//! A fault-injecting TCP forwarder. Each direction of its connections has its own conditions.
 
 use super::conditions::{Flow, LinkConditions, Pass};
 use crate::time::unix_us;
@@ -10,40 +10,42 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often a direction over which nothing may pass is checked again.
-const LOOK: Duration = Duration::from_millis(2);
-const CHUNK: usize = 16 << 10;
+/// Interval at which a blocked direction is checked again.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+const CHUNK_BYTES: usize = 16 << 10;
 
-/// LinkConditions there and back.
+/// Conditions of both directions.
 #[derive(Clone, Copy, Debug, Default)]
-struct Both {
-    there: LinkConditions,
-    back: LinkConditions,
+struct BothDirections {
+    /// From the client to the server.
+    forward: LinkConditions,
+    /// From the server to the client.
+    backward: LinkConditions,
 }
 
-/// A link in front of an address.
+/// A fault-injecting forwarder to a server.
 pub struct FaultyStream {
-    /// Where to connect in place of the address behind it.
+    /// Address to connect to in place of the server's.
     pub address: SocketAddr,
-    conditions: Arc<Mutex<Both>>,
+    conditions: Arc<Mutex<BothDirections>>,
     over: Arc<AtomicBool>,
 }
 
 impl FaultyStream {
-    /// A clear link in front of an address.
-    pub fn to(behind: SocketAddr) -> io::Result<Self> {
+    /// Starts a forwarder to a server, without faults.
+    pub fn to(server: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let conditions = Arc::new(Mutex::new(Both::default()));
+        let conditions = Arc::new(Mutex::new(BothDirections::default()));
         let over = Arc::new(AtomicBool::new(false));
         let (shared, ended) = (conditions.clone(), over.clone());
         thread::spawn(move || {
-            for near in listener.incoming().flatten() {
+            for client in listener.incoming().flatten() {
                 if ended.load(Ordering::Relaxed) {
                     return;
                 }
                 let (shared, ended) = (shared.clone(), ended.clone());
-                thread::spawn(move || join(near, behind, &shared, &ended));
+                thread::spawn(move || serve_connection(client, server, &shared, &ended));
             }
         });
         Ok(FaultyStream {
@@ -53,64 +55,69 @@
         })
     }
 
-    /// Sets the conditions from who connects to who is behind, for all connections.
+    /// Sets the conditions from clients to the server, for all connections.
     pub fn set_forward(&self, conditions: LinkConditions) {
         self.conditions
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .there = conditions;
+            .forward = conditions;
     }
 
-    /// Sets the conditions from who is behind to who connects, for all connections.
+    /// Sets the conditions from the server to clients, for all connections.
     pub fn set_backward(&self, conditions: LinkConditions) {
         self.conditions
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .back = conditions;
+            .backward = conditions;
     }
 }
 
 impl Drop for FaultyStream {
     fn drop(&mut self) {
         self.over.store(true, Ordering::Relaxed);
-        // Wakes the listener, so that it ends too.
+        // Wakes the listener thread, so that it stops.
         let _ = TcpStream::connect(self.address);
     }
 }
 
-/// Joins a connection with one to the address behind.
-fn join(
-    near: TcpStream,
-    behind: SocketAddr,
-    conditions: &Arc<Mutex<Both>>,
+/// Connects to the server and forwards both directions of a connection.
+fn serve_connection(
+    client: TcpStream,
+    server: SocketAddr,
+    conditions: &Arc<Mutex<BothDirections>>,
     over: &Arc<AtomicBool>,
 ) -> Option<()> {
     let now = || *conditions.lock().unwrap_or_else(PoisonError::into_inner);
-    // Whoever is half-open takes connections and does nothing with them; over a cut link they never come up.
-    while now().there.half_open || now().there.cut {
+    // Over a half-open or cut link the connection to the server is not established.
+    while now().forward.half_open || now().forward.cut {
         if over.load(Ordering::Relaxed) {
             return None;
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
-    let far = TcpStream::connect(behind).ok()?;
-    let (near_in, far_in) = (near.try_clone().ok()?, far.try_clone().ok()?);
+    let upstream = TcpStream::connect(server).ok()?;
+    let (client_clone, upstream_clone) = (client.try_clone().ok()?, upstream.try_clone().ok()?);
     let (shared, ended) = (conditions.clone(), over.clone());
     thread::spawn(move || {
-        let now = || shared.lock().unwrap_or_else(PoisonError::into_inner).back;
-        pump(far_in, near_in, now, &ended);
+        let now = || {
+            shared
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .backward
+        };
+        pump(upstream_clone, client_clone, now, &ended);
     });
-    pump(near, far, || now().there, over);
+    pump(client, upstream, || now().forward, over);
     Some(())
 }
 
-/// Ends a connection with a reset.
+/// Closes a connection with a reset.
 fn reset(socket: &TcpStream) {
     let _ = sockopt::set_socket_linger(socket, Some(Duration::ZERO));
     let _ = socket.shutdown(Shutdown::Both);
 }
 
-/// Waits as long as bytes take on a link: its delay and half of its jitter.
+/// Sleeps for the delay and half of the jitter of a link.
 fn delay(conditions: &LinkConditions) {
     let LinkConditions {
         delay_ms,
@@ -123,7 +130,7 @@
     }
 }
 
-/// Passes what comes on until one side ends it.
+/// Forwards one direction until one side closes the connection or it is reset.
 fn pump(
     mut from: TcpStream,
     mut to: TcpStream,
@@ -131,15 +138,15 @@
     over: &AtomicBool,
 ) {
     let mut flow = Flow::default();
-    let mut bytes = vec![0; CHUNK];
+    let mut bytes = vec![0; CHUNK_BYTES];
     let _ = from.set_read_timeout(Some(Duration::from_millis(50)));
     while !over.load(Ordering::Relaxed) {
         let now = conditions();
-        // Checked before it is read: what waits here fills the sender's window, as on a real link.
-        let most = match flow.allowed(unix_us(), &now, CHUNK) {
+        // Checked before the read, so that blocked bytes fill the sender's window as on a real link.
+        let most = match flow.allowed(unix_us(), &now, CHUNK_BYTES) {
             Pass::Bytes(n) => n,
             Pass::Nothing => {
-                thread::sleep(LOOK);
+                thread::sleep(POLL_INTERVAL);
                 continue;
             }
             Pass::Reset => {
