--- a/harness/src/links/conditions.rs
+++ b/harness/src/links/conditions.rs
@@ -8,27 +8,27 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The state of one direction of a link. The default is a clear one: all passes at once.
+/// Conditions of one direction of a link. By default everything passes without delay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct LinkConditions {
-    /// Nothing passes, and nobody is told.
+    /// Nothing passes; the sender gets no error.
     pub cut: bool,
-    /// Everything comes later by this, in milliseconds.
+    /// Fixed delay, in milliseconds.
     pub delay_ms: f64,
-    /// And by up to so much more, in milliseconds: datagrams may overtake each other, a stream never does.
+    /// Maximum additional delay, in milliseconds. It may reorder datagrams, but never the bytes of a stream.
     pub jitter_ms: f64,
-    /// Share of the datagrams that are lost.
+    /// Fraction of the datagrams that are lost.
     pub drop: f64,
-    /// Share of the datagrams that come twice.
+    /// Fraction of the datagrams that are delivered twice.
     pub duplicate: f64,
-    /// Share of the datagrams that are held back until later ones have passed.
+    /// Fraction of the datagrams that are delayed until later ones have passed.
     pub reorder: f64,
-    /// A stream passes so many bytes a second at most; 0: as many as come.
+    /// Maximum rate of a stream, in bytes per second; 0 means no limit.
     pub trickle: u64,
-    /// A stream is reset once so many bytes have passed, in the midst of whatever they are; 0: never.
+    /// Number of bytes after which a stream is reset, also in the middle of a message; 0 means never.
     pub reset_after: u64,
-    /// Connections are taken and never read.
+    /// Connections are accepted and never read.
     pub half_open: bool,
 }
 
