--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,11 +1,11 @@
-//! Hosts many router instances on the bench's wire: one JSON value a line in, one a line out. No decisions here.
+//! Hosts many router instances for the simulator. Messages are lines of JSON on standard input and output.
 
 mod wire;
 
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
-/// Why the adapter ends before its input does.
+/// Errors that end the adapter before the end of its input.
 #[derive(Debug, thiserror::Error)]
 enum AdapterError {
     #[error("line {line}: {source}")]
@@ -26,7 +26,7 @@
             continue;
         }
         let reply = host
-            .line(&text)
+            .handle_line(&text)
             .map_err(|message| AdapterError::Message { line, message })?;
         if let Some(reply) = reply {
             out.write_all(reply.as_bytes())?;
--- a/simulator-adapter/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -1,6 +1,6 @@
-//! The wire's messages to and from the interface's plain types.
+//! Decodes the simulator's messages into events of the decision module and encodes its actions.
 
-use linnetknot as w;
+use linnetknot as decision;
 use linnetknot_settings::{
     flag, get, int, int_or, list, number_or, object, optional_name, parse_settings, required, text,
     text_or, wrong_type, Fields, Result,
@@ -9,41 +9,41 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// The bit of a request's marks that says that it was sent before.
-const REPEATED_MARK: u64 = 2;
+/// The bit in `marks` that is set if the request is a retry of an earlier one.
+const RETRY_MARK: u64 = 2;
 
-/// The instances, and the batch being read.
+/// The hosted router instances and the state of the current batch.
 #[derive(Default)]
 pub(crate) struct Host {
-    routers: BTreeMap<u64, w::Router>,
+    routers: BTreeMap<u64, decision::Router>,
     now: u64,
     round: Option<u64>,
-    actions: Vec<w::Action>,
+    actions: Vec<decision::Action>,
     reply: String,
 }
 
-fn outcome(m: &Fields) -> Result<w::Outcome> {
-    Ok(match text(m, "how")?.as_str() {
-        "ok" => w::Outcome::Ok,
-        "full" => w::Outcome::Full,
-        "timeout" => w::Outcome::Timeout,
-        "connect_failed" => w::Outcome::ConnectFailed,
-        "reset" => w::Outcome::Reset,
-        "cancelled" => w::Outcome::Cancelled,
-        "moot" => w::Outcome::Moot,
-        "miss" => w::Outcome::Miss,
-        // Anything that this page does not know may have run.
-        _ => w::Outcome::Error,
+fn decode_outcome(message: &Fields) -> Result<decision::Outcome> {
+    Ok(match text(message, "how")?.as_str() {
+        "ok" => decision::Outcome::Ok,
+        "full" => decision::Outcome::Full,
+        "timeout" => decision::Outcome::Timeout,
+        "connect_failed" => decision::Outcome::ConnectFailed,
+        "reset" => decision::Outcome::Reset,
+        "cancelled" => decision::Outcome::Cancelled,
+        "moot" => decision::Outcome::Moot,
+        "miss" => decision::Outcome::Miss,
+        // An attempt with an unknown outcome may have been executed.
+        _ => decision::Outcome::Error,
     })
 }
 
-fn load(m: &Fields) -> Result<Option<w::Load>> {
-    let Some(v) = get(m, "usage") else {
+fn decode_load(message: &Fields) -> Result<Option<decision::Load>> {
+    let Some(usage) = get(message, "usage") else {
         return Ok(None);
     };
-    let r = v.as_object().ok_or_else(|| wrong_type("usage"))?;
-    let value = |key: &str| get(r, key).and_then(Value::as_f64);
-    Ok(Some(w::Load {
+    let fields = usage.as_object().ok_or_else(|| wrong_type("usage"))?;
+    let value = |key: &str| get(fields, key).and_then(Value::as_f64);
+    Ok(Some(decision::Load {
         cpu_utilisation: value("cpu_share"),
         in_flight: value("busy_reqs"),
         hit_ratio: value("x0"),
@@ -51,173 +51,177 @@
     }))
 }
 
-fn servers(m: &Fields) -> Result<Vec<w::Server>> {
+fn decode_servers(message: &Fields) -> Result<Vec<decision::Server>> {
     let mut servers = Vec::new();
-    for v in list(m, "items")? {
-        let e = v.as_object().ok_or_else(|| wrong_type("items"))?;
-        servers.push(w::Server {
-            id: int(e, "store")?,
-            zone: text_or(e, "campus", "")?,
-            cell: int_or(e, "group", 0)?,
-            kind: text_or(e, "shape", "")?,
-            weight: number_or(e, "weight", 1.0)?,
-            state: match int(e, "state")? {
-                1 => w::State::Ready,
-                2 => w::State::Draining,
-                _ => w::State::Gone,
+    for item in list(message, "items")? {
+        let fields = item.as_object().ok_or_else(|| wrong_type("items"))?;
+        servers.push(decision::Server {
+            id: int(fields, "store")?,
+            zone: text_or(fields, "campus", "")?,
+            cell: int_or(fields, "group", 0)?,
+            kind: text_or(fields, "shape", "")?,
+            weight: number_or(fields, "weight", 1.0)?,
+            state: match int(fields, "state")? {
+                1 => decision::State::Ready,
+                2 => decision::State::Draining,
+                _ => decision::State::Gone,
             },
-            started: Some(int_or(e, "born-us", 0)?).filter(|t| *t > 0),
+            started: Some(int_or(fields, "born-us", 0)?).filter(|t| *t > 0),
         });
     }
     Ok(servers)
 }
 
-/// What is left of a request's time, which may be told as a fraction.
-fn remaining_us(m: &Fields) -> Result<u64> {
-    let value = required(m, "remaining-us")?;
+/// Decodes the remaining time of a request, which may have a fractional part.
+fn decode_remaining_us(message: &Fields) -> Result<u64> {
+    let value = required(message, "remaining-us")?;
     let remaining = value.as_f64().ok_or_else(|| wrong_type("remaining-us"))?;
     Ok(remaining.max(0.0) as u64)
 }
 
-fn list_event(m: &Fields) -> Result<w::Event> {
-    let mode = match int(m, "mode")? {
-        1 | 3 => w::ListMode::Full,
-        2 => w::ListMode::Delta,
-        _ => w::ListMode::Failed,
+fn decode_list(message: &Fields) -> Result<decision::Event> {
+    let mode = match int(message, "mode")? {
+        1 | 3 => decision::ListMode::Full,
+        2 => decision::ListMode::Delta,
+        _ => decision::ListMode::Failed,
     };
-    Ok(w::Event::List {
+    Ok(decision::Event::List {
         mode,
-        servers: servers(m)?,
+        servers: decode_servers(message)?,
     })
 }
 
-fn request_event(m: &Fields) -> Result<w::Event> {
-    Ok(w::Event::Request(w::Request {
-        id: int(m, "request-id")?,
-        class: text(m, "grade")?,
-        tenant: optional_name(m, "owner")?,
-        object: optional_name(m, "content-id")?.unwrap_or_default(),
-        part: int_or(m, "segment", 0)?,
-        group: int_or(m, "purge-group", 0)?,
-        size_kb: number_or(m, "length-kb", 0.0)?,
-        remaining_us: remaining_us(m)?,
-        is_retry: int_or(m, "marks", 0)? & REPEATED_MARK != 0,
+fn decode_request(message: &Fields) -> Result<decision::Event> {
+    Ok(decision::Event::Request(decision::Request {
+        id: int(message, "request-id")?,
+        class: text(message, "grade")?,
+        tenant: optional_name(message, "owner")?,
+        object: optional_name(message, "content-id")?.unwrap_or_default(),
+        part: int_or(message, "segment", 0)?,
+        group: int_or(message, "purge-group", 0)?,
+        size_kb: number_or(message, "length-kb", 0.0)?,
+        remaining_us: decode_remaining_us(message)?,
+        is_retry: int_or(message, "marks", 0)? & RETRY_MARK != 0,
     }))
 }
 
-fn note(m: &Fields) -> Result<w::Note> {
-    Ok(match int_or(m, "note", 0)? {
-        1 => w::Note::Hit,
-        2 => w::Note::Filled,
-        3 => w::Note::FilledByOrigin,
-        4 => w::Note::Joined,
-        5 => w::Note::Stale,
-        6 => w::Note::SourceRefused,
-        7 => w::Note::SourceLost,
-        8 => w::Note::SourceLacks,
-        9 => w::Note::NoFillPlace,
-        10 => w::Note::OriginFailed,
-        _ => w::Note::None,
+fn decode_note(message: &Fields) -> Result<decision::Note> {
+    Ok(match int_or(message, "note", 0)? {
+        1 => decision::Note::Hit,
+        2 => decision::Note::Filled,
+        3 => decision::Note::FilledByOrigin,
+        4 => decision::Note::Joined,
+        5 => decision::Note::Stale,
+        6 => decision::Note::SourceRefused,
+        7 => decision::Note::SourceLost,
+        8 => decision::Note::SourceLacks,
+        9 => decision::Note::NoFillPlace,
+        10 => decision::Note::OriginFailed,
+        _ => decision::Note::None,
     })
 }
 
-fn outcome_event(m: &Fields) -> Result<w::Event> {
-    Ok(w::Event::AttemptEnded {
-        request: int(m, "request-id")?,
-        attempt: int_or(m, "go", 0)? as u32,
-        server: int(m, "store")?,
-        outcome: outcome(m)?,
-        took_us: int_or(m, "took-us", 0)?,
-        settled: flag(m, "settled")?,
-        note: note(m)?,
-        first_byte_us: int_or(m, "first-byte-us", 0)?,
-        load: load(m)?,
+fn decode_attempt_end(message: &Fields) -> Result<decision::Event> {
+    Ok(decision::Event::AttemptEnded {
+        request: int(message, "request-id")?,
+        attempt: int_or(message, "go", 0)? as u32,
+        server: int(message, "store")?,
+        outcome: decode_outcome(message)?,
+        took_us: int_or(message, "took-us", 0)?,
+        settled: flag(message, "settled")?,
+        note: decode_note(message)?,
+        first_byte_us: int_or(message, "first-byte-us", 0)?,
+        load: decode_load(message)?,
     })
 }
 
-fn event(kind: &str, m: &Fields) -> Result<Option<w::Event>> {
+fn decode_event(kind: &str, message: &Fields) -> Result<Option<decision::Event>> {
     Ok(Some(match kind {
-        "PeersKnown" => list_event(m)?,
-        "Order" => request_event(m)?,
-        "Accepted" => w::Event::StreamStarted {
-            request: int(m, "request-id")?,
-            attempt: int_or(m, "go", 0)? as u32,
+        "PeersKnown" => decode_list(message)?,
+        "Order" => decode_request(message)?,
+        "Accepted" => decision::Event::StreamStarted {
+            request: int(message, "request-id")?,
+            attempt: int_or(message, "go", 0)? as u32,
         },
-        "Resolved" => outcome_event(m)?,
-        "ClientLeft" => w::Event::ClientLeft {
-            request: int(m, "request-id")?,
+        "Resolved" => decode_attempt_end(message)?,
+        "ClientLeft" => decision::Event::ClientLeft {
+            request: int(message, "request-id")?,
         },
-        "Elapsed" => w::Event::Timer {
-            tag: int(m, "ctx")?,
+        "Elapsed" => decision::Event::Timer {
+            tag: int(message, "ctx")?,
         },
-        "CheckResult" => w::Event::ProbeEnded {
-            server: int(m, "store")?,
-            outcome: outcome(m)?,
-            took_us: int_or(m, "took-us", 0)?,
-            load: load(m)?,
+        "CheckResult" => decision::Event::ProbeEnded {
+            server: int(message, "store")?,
+            outcome: decode_outcome(message)?,
+            took_us: int_or(message, "took-us", 0)?,
+            load: decode_load(message)?,
         },
-        "Invalidated" => w::Event::Purged {
-            object: optional_name(m, "content-id")?,
-            group: int_or(m, "batch-id", 0)?,
-            age_us: int_or(m, "how-old-us", 0)?,
+        "Invalidated" => decision::Event::Purged {
+            object: optional_name(message, "content-id")?,
+            group: int_or(message, "batch-id", 0)?,
+            age_us: int_or(message, "how-old-us", 0)?,
         },
-        // Messages between instances are not used, and later kinds of message are not known.
+        // Messages between instances (`Peer`) and unknown kinds are ignored.
         _ => return Ok(None),
     }))
 }
 
-fn action(i: u64, a: &w::Action) -> Value {
-    match a {
-        w::Action::Attempt {
+fn encode_action(instance: u64, action: &decision::Action) -> Value {
+    match action {
+        decision::Action::Attempt {
             request,
             server,
             timeout_us,
             fill: None,
         } => json!({
-            "event_type": "Assign", "i": i, "request-id": request, "store": server,
+            "event_type": "Assign", "i": instance, "request-id": request, "store": server,
             "allow-for-us": timeout_us,
         }),
-        w::Action::Attempt {
+        decision::Action::Attempt {
             request,
             server,
             timeout_us,
-            fill: Some(f),
+            fill: Some(fill),
         } => json!({
-            "event_type": "ReadThrough", "i": i, "request-id": request, "store": server,
-            "allow-for-us": timeout_us, "feeder": f.source, "tier-rank": f.cache_rank, "how-old-us": f.max_age_us,
-            "how": u8::from(f.coalesce) + 2 * u8::from(f.only_if_cached) + 4 * u8::from(f.bypass_parent)
-                + 8 * u8::from(f.background_refresh),
+            "event_type": "ReadThrough", "i": instance, "request-id": request, "store": server,
+            "allow-for-us": timeout_us, "feeder": fill.source, "tier-rank": fill.cache_rank, "how-old-us": fill.max_age_us,
+            "how": u8::from(fill.coalesce) + 2 * u8::from(fill.only_if_cached) + 4 * u8::from(fill.bypass_parent)
+                + 8 * u8::from(fill.background_refresh),
         }),
-        w::Action::Cancel { request, attempt } => {
-            json!({"event_type": "Retract", "i": i, "request-id": request, "go": attempt})
+        decision::Action::Cancel { request, attempt } => {
+            json!({"event_type": "Retract", "i": instance, "request-id": request, "go": attempt})
         }
-        w::Action::Refuse {
+        decision::Action::Refuse {
             request,
             retry_after_us,
         } => json!({
-            "event_type": "PushBack", "i": i, "request-id": request, "retry-after-us": retry_after_us,
+            "event_type": "PushBack", "i": instance, "request-id": request, "retry-after-us": retry_after_us,
         }),
-        w::Action::Fail { request } => {
-            json!({"event_type": "Abort", "i": i, "request-id": request})
+        decision::Action::Fail { request } => {
+            json!({"event_type": "Abort", "i": instance, "request-id": request})
         }
-        w::Action::Timer { at, tag } => {
-            json!({"event_type": "After", "i": i, "at-us": at, "ctx": tag})
+        decision::Action::Timer { at, tag } => {
+            json!({"event_type": "After", "i": instance, "at-us": at, "ctx": tag})
+        }
+        decision::Action::Probe { server } => {
+            json!({"event_type": "SoundOut", "i": instance, "store": server})
+        }
+        decision::Action::Watch => json!({"event_type": "Track", "i": instance, "want": true}),
+        decision::Action::Report { line } => {
+            json!({"event_type": "Emit", "i": instance, "msg": line})
         }
-        w::Action::Probe { server } => json!({"event_type": "SoundOut", "i": i, "store": server}),
-        w::Action::Watch => json!({"event_type": "Track", "i": i, "want": true}),
-        w::Action::Report { line } => json!({"event_type": "Emit", "i": i, "msg": line}),
     }
 }
 
 impl Host {
-    /// Takes a line in; at the end of a batch gives the reply to it.
-    pub(crate) fn line(&mut self, line: &str) -> Result<Option<String>> {
+    /// Handles a line of input. Returns the reply to the batch if the line ends it.
+    pub(crate) fn handle_line(&mut self, line: &str) -> Result<Option<String>> {
         let value: Value = serde_json::from_str(line).map_err(|e| format!("not JSON: {e}"))?;
-        let m = value.as_object().ok_or("not a JSON object")?;
-        let kind = text(m, "event_type")?;
+        let message = value.as_object().ok_or("not a JSON object")?;
+        let kind = text(message, "event_type")?;
         if kind == "Clock" {
-            self.now = int(m, "at-time-us")?;
-            self.round = Some(int(m, "round")?);
+            self.now = int(message, "at-time-us")?;
+            self.round = Some(int(message, "round")?);
             return Ok(None);
         }
         let round = self.round.ok_or("no 'Clock' line before this one")?;
@@ -227,30 +231,33 @@
             let _ = writeln!(reply, "{}", json!({"event_type": "Ack", "round": round}));
             return Ok(Some(reply));
         }
-        self.event(&kind, m).map_err(|e| format!("{kind}: {e}"))?;
+        self.handle_message(&kind, message)
+            .map_err(|e| format!("{kind}: {e}"))?;
         Ok(None)
     }
 
-    fn event(&mut self, kind: &str, m: &Fields) -> Result<()> {
-        let i = int(m, "i")?;
+    fn handle_message(&mut self, kind: &str, message: &Fields) -> Result<()> {
+        let instance = int(message, "i")?;
         match kind {
             "Born" => {
-                let settings = parse_settings(object(m, "setup")?)?;
-                let router =
-                    w::Router::new(settings, int(m, "nonce64")?).map_err(|e| e.to_string())?;
-                self.routers.insert(i, router);
+                let settings = parse_settings(object(message, "setup")?)?;
+                let router = decision::Router::new(settings, int(message, "nonce64")?)
+                    .map_err(|e| e.to_string())?;
+                self.routers.insert(instance, router);
             }
             "Stop" => {
-                self.routers.remove(&i);
+                self.routers.remove(&instance);
             }
             _ => {
-                let (Some(router), Some(event)) = (self.routers.get_mut(&i), event(kind, m)?)
-                else {
+                let (Some(router), Some(event)) = (
+                    self.routers.get_mut(&instance),
+                    decode_event(kind, message)?,
+                ) else {
                     return Ok(());
                 };
                 router.handle(self.now, event, &mut self.actions);
-                for a in self.actions.drain(..) {
-                    let _ = writeln!(self.reply, "{}", action(i, &a));
+                for action in self.actions.drain(..) {
+                    let _ = writeln!(self.reply, "{}", encode_action(instance, &action));
                 }
             }
         }
--- a/simulator-adapter/tests/wire.rs
+++ b/simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process: a batch of our own writing for each event and action, and bad input.
+//! Runs the adapter as a process with batches that cover each event and action, and with invalid input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -13,7 +13,7 @@
     child
         .stdin
         .take()
-        .expect("its input")
+        .expect("standard input is piped")
         .write_all(input.as_bytes())
         .unwrap_or(());
     child.wait_with_output().expect("the adapter ends")
@@ -35,7 +35,7 @@
  {"store":5,"campus":"hub","shape":"mid","group":1,"weight":30,"state":1},
  {"store":6,"campus":"hub","shape":"root","group":2,"weight":1,"state":1,"note":"unknown fields are skipped"}]}"#;
 
-fn flat(text: &str) -> String {
+fn without_newlines(text: &str) -> String {
     text.replace('\n', "")
 }
 
@@ -46,20 +46,20 @@
     )
 }
 
-fn born() -> String {
-    flat(&format!(
+fn born_line() -> String {
+    without_newlines(&format!(
         "{{\"event_type\":\"Born\",\"i\":0,\"nonce64\":12,\"setup\":{SETUP}}}"
     ))
 }
 
-fn order(id: u64, class: &str, remaining: u64) -> String {
+fn order_line(id: u64, class: &str, remaining: u64) -> String {
     format!(
         "{{\"event_type\":\"Order\",\"i\":0,\"request-id\":{id},\"grade\":\"{class}\",\"owner\":0,\
          \"content-id\":\"/o/{id}\",\"remaining-us\":{remaining},\"length-kb\":400,\"purge-group\":1,\"segment\":0}}"
     )
 }
 
-fn resolved(id: u64, store: u64, how: &str, settled: bool) -> String {
+fn resolved_line(id: u64, store: u64, how: &str, settled: bool) -> String {
     format!(
         "{{\"event_type\":\"Resolved\",\"i\":0,\"request-id\":{id},\"store\":{store},\"how\":\"{how}\",\
          \"took-us\":9000,\"go\":0,\"settled\":{settled},\"note\":1,\"usage\":{{\"cpu_share\":0.5,\"odd\":[]}}}}"
@@ -73,16 +73,18 @@
         .collect()
 }
 
-fn has(lines: &[String], parts: &[&str]) -> bool {
-    lines.iter().any(|l| parts.iter().all(|p| l.contains(p)))
+fn has_line_with(lines: &[String], parts: &[&str]) -> bool {
+    lines
+        .iter()
+        .any(|line| parts.iter().all(|part| line.contains(part)))
 }
 
 #[test]
-fn every_event_is_read_and_each_action_written() {
-    let input = batch(1_000_000, 1, &[born(), flat(LIST)])
-        + &batch(1_002_000, 2, &[order(7, "film", 4_000_000), order(8, "post", 4_000_000), order(9, "film", 0)])
-        + &batch(1_004_000, 3, &[resolved(7, 4, "ok", true), resolved(8, 6, "reset", false)])
-        + &batch(1_006_000, 4, &[order(10, "film", 4_000_000)])
+fn every_event_is_decoded_and_each_action_is_encoded() {
+    let input = batch(1_000_000, 1, &[born_line(), without_newlines(LIST)])
+        + &batch(1_002_000, 2, &[order_line(7, "film", 4_000_000), order_line(8, "post", 4_000_000), order_line(9, "film", 0)])
+        + &batch(1_004_000, 3, &[resolved_line(7, 4, "ok", true), resolved_line(8, 6, "reset", false)])
+        + &batch(1_006_000, 4, &[order_line(10, "film", 4_000_000)])
         + &batch(1_008_000, 5, &["{\"event_type\":\"ClientLeft\",\"i\":0,\"request-id\":10}".into()])
         + &batch(
             1_060_000,
@@ -94,7 +96,7 @@
                 "{\"event_type\":\"Peer\",\"i\":0,\"by\":2,\"octets\":\"hi\"}".into(),
                 "{\"event_type\":\"Invalidated\",\"i\":0,\"content-id\":\"/o/11\",\"batch-id\":1,\"how-old-us\":5000}"
                     .into(),
-                order(11, "film", 4_000_000),
+                order_line(11, "film", 4_000_000),
                 "{\"event_type\":\"SomethingNew\",\"i\":0}".into(),
             ],
         )
@@ -105,10 +107,13 @@
         "{}",
         String::from_utf8_lossy(&out.stderr)
     );
-    let l = lines(&out);
-    assert_eq!(l.iter().filter(|l| l.contains("\"Ack\"")).count(), 7);
-    assert!(has(
-        &l,
+    let reply = lines(&out);
+    assert_eq!(
+        reply.iter().filter(|line| line.contains("\"Ack\"")).count(),
+        7
+    );
+    assert!(has_line_with(
+        &reply,
         &[
             "ReadThrough",
             "\"request-id\":7",
@@ -118,24 +123,30 @@
         ]
     ));
     assert!(
-        has(&l, &["ReadThrough", "\"request-id\":8", "\"store\":6"]),
-        "a write goes to the origin"
+        has_line_with(&reply, &["ReadThrough", "\"request-id\":8", "\"store\":6"]),
+        "a write is sent to the origin"
     );
-    assert!(has(
-        &l,
+    assert!(has_line_with(
+        &reply,
         &["PushBack", "\"request-id\":9", "\"retry-after-us\":200000"]
     ));
-    assert!(has(&l, &["Abort", "\"request-id\":8"]));
-    assert!(has(&l, &["Retract", "\"request-id\":10", "\"go\":0"]));
-    assert!(has(&l, &["After", "\"at-us\":1110000", "\"ctx\":0"]));
-    assert!(has(
-        &l,
+    assert!(has_line_with(&reply, &["Abort", "\"request-id\":8"]));
+    assert!(has_line_with(
+        &reply,
+        &["Retract", "\"request-id\":10", "\"go\":0"]
+    ));
+    assert!(has_line_with(
+        &reply,
+        &["After", "\"at-us\":1110000", "\"ctx\":0"]
+    ));
+    assert!(has_line_with(
+        &reply,
         &["ReadThrough", "\"request-id\":11", "\"how-old-us\":5000"]
     ));
 }
 
 #[test]
-fn a_line_that_is_not_json_ends_it_with_a_message() {
+fn a_line_that_is_not_json_ends_the_adapter_with_an_error() {
     let out = run("{\"event_type\":\"Clock\",\"at-time-us\":1,\"round\":1}\nnot json\n");
     assert!(!out.status.success());
     let message = String::from_utf8_lossy(&out.stderr).into_owned();
@@ -146,12 +157,12 @@
 }
 
 #[test]
-fn a_missing_field_is_named() {
+fn the_error_for_a_missing_field_names_it() {
     let input = batch(
         1,
         1,
         &[
-            born(),
+            born_line(),
             "{\"event_type\":\"Order\",\"i\":0,\"request-id\":3}".into(),
         ],
     );
@@ -167,7 +178,7 @@
 }
 
 #[test]
-fn a_batch_cut_off_is_not_answered_and_the_end_of_input_is_no_error() {
+fn an_incomplete_batch_gets_no_reply_and_the_end_of_input_is_no_error() {
     let out = run("{\"event_type\":\"Clock\",\"at-time-us\":1,\"round\":1}\n");
     assert!(out.status.success());
     assert!(out.stdout.is_empty());
@@ -175,8 +186,8 @@
 }
 
 #[test]
-fn unusable_settings_end_it_with_a_message() {
-    let born = born().replace("\"tip-after-us\":1000000", "\"tip-after-us\":0");
+fn invalid_settings_end_the_adapter_with_an_error() {
+    let born = born_line().replace("\"tip-after-us\":1000000", "\"tip-after-us\":0");
     let out = run(&batch(1, 1, &[born]));
     assert!(!out.status.success());
     assert!(String::from_utf8_lossy(&out.stderr).contains("fall time"));
