--- a/daemon/examples/purge_soak.rs
+++ b/daemon/examples/purge_soak.rs
@@ -1,10 +1,11 @@
-//! Prints the memory of a process whose ledger and module take purges from peers for a day or longer of virtual time: as
-//! entry datagrams of so many writers at 110 a second, through the replica, the store and the compact table (Linux).
+//! Prints the memory of a process whose ledger and decision module receive purges from peers for a day or longer of
+//! virtual time: entry datagrams of many writers, 110 per second, through the replica, the store and the compact table
+//! (Linux).
 //!
 //!     cargo run --release -p linnetknot-daemon --example purge_soak -- [PURGES] [WRITERS] [FOLDER]
 //!
-//! Without arguments it takes a day of purges of 6,400 writers, in the folder for temporary files. Its datagrams are read
-//! as those of a socket are; the socket itself is left out, as are all other parts of a daemon.
+//! Without arguments it processes a day of purges of 6,400 writers, in the folder for temporary files. Datagrams are
+//! decoded like those from a socket, but no socket and no other part of a daemon runs.
 
 use linnetknot::purges::hashing::mix;
 use linnetknot::Micros;
@@ -19,33 +20,33 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
 
-const PER_SECOND: u64 = 110;
-const DAY: u64 = 86_400 * PER_SECOND;
-const WRITERS: u64 = 6_400;
-/// The most purges that it takes: two weeks.
-const MAX_PURGES: u64 = 14 * DAY;
-/// Objects that are purged: some are purged again.
+const PURGES_PER_SECOND: u64 = 110;
+const PURGES_PER_DAY: u64 = 86_400 * PURGES_PER_SECOND;
+const DEFAULT_WRITERS: u64 = 6_400;
+/// Maximum number of purges, two weeks.
+const MAX_PURGES: u64 = 14 * PURGES_PER_DAY;
+/// Number of distinct objects; some are purged more than once.
 const OBJECTS: u64 = 100_000_000;
-/// The process ticks so often, in purges.
-const TICK: u64 = PER_SECOND / 2;
-/// The disk is waited for so often, in purges: virtual time runs faster than it does.
-const SYNC: u64 = 1_024;
-/// The disk must answer within this.
+/// Interval of the ticks, in purges.
+const TICK_INTERVAL: u64 = PURGES_PER_SECOND / 2;
+/// Interval of the waits for the disk, in purges. The waits are needed because virtual time runs faster than the disk.
+const SYNC_INTERVAL: u64 = 1_024;
+/// Timeout of a wait for the disk.
 const DISK_TIMEOUT: Duration = Duration::from_secs(60);
-/// Rows that are printed.
+/// Number of rows printed.
 const ROWS: u64 = 24;
-/// The start of virtual time.
+/// Start of virtual time, as Unix time in microseconds.
 const START_US: Micros = 1_700_000_000_000_000;
-/// The epoch of all writers' logs.
+/// Epoch of the logs of all writers.
 const EPOCH: u64 = 1;
 
-/// The process under test.
+/// The parts of a daemon under test.
 struct Process {
     ledger: Ledger,
     core: Core,
-    /// What the module wants to be woken for, and when.
+    /// Timers requested by the decision module.
     timers: Vec<(Micros, Wake)>,
-    woken: Receiver<()>,
+    completions: Receiver<()>,
 }
 
 impl Process {
@@ -59,7 +60,7 @@
             queue: limits.max_store_writes,
             bucket_bits: replication.purge_table.bucket_bits,
         };
-        let (wake, woken) = channel();
+        let (wake, completions) = channel();
         let wake = move || {
             let _ = wake.send(());
         };
@@ -73,18 +74,18 @@
             ledger,
             core,
             timers: Vec::new(),
-            woken,
+            completions,
         })
     }
 
-    /// Takes an entry as a datagram of a peer.
+    /// Handles an entry as a datagram from a peer.
     fn receive(&mut self, now: Micros, entry: Entry) -> Result<(), Box<dyn Error>> {
         let bytes = Datagram::Entry(entry)
             .encode()
-            .ok_or("the entry fits no datagram")?;
+            .ok_or("the entry does not fit in a datagram")?;
         let received = self.ledger.receive(now, 0, Datagram::decode(&bytes)?);
         if received.new.len() != 1 {
-            return Err("an entry was not taken".into());
+            return Err("an entry was not accepted".into());
         }
         for Purge { object, group, at } in received.new.iter().filter_map(ledger::purge) {
             self.core.record_purge(now, object, group, at);
@@ -92,7 +93,7 @@
         Ok(())
     }
 
-    /// Does what is due: the ledger's periods and the module's timers.
+    /// Runs the ledger's periodic work and the due timers of the decision module.
     fn tick(&mut self, now: Micros) {
         self.ledger.tick(now);
         let wakes = self
@@ -111,26 +112,26 @@
             .for_each(|(_, wake)| self.core.wake(now, wake));
     }
 
-    /// Waits for the disk.
+    /// Waits until all entries are synced to disk.
     fn sync(&mut self, now: Micros) -> Result<(), Box<dyn Error>> {
-        // What was told up to here is taken in at once. In a daemon this is a pipe, and not a queue that grows.
-        while self.woken.try_recv().is_ok() {}
+        // Drops the pending wake-ups: one call handles all completions so far.
+        while self.completions.try_recv().is_ok() {}
         self.ledger.take_completions(now);
         while !(self.ledger.replica().is_synced() && self.ledger.is_compaction_synced()) {
-            self.woken.recv_timeout(DISK_TIMEOUT)?;
+            self.completions.recv_timeout(DISK_TIMEOUT)?;
             self.ledger.take_completions(now);
         }
         Ok(())
     }
 }
 
-/// Numbers of the process's status that the system shows in kB, in MiB.
-fn status_mb(key: &str) -> Result<f64, Box<dyn Error>> {
+/// Returns a value in kB from `/proc/self/status`, converted to MiB.
+fn status_mib(key: &str) -> Result<f64, Box<dyn Error>> {
     let status = std::fs::read_to_string("/proc/self/status")?;
     let line = status
         .lines()
         .find_map(|line| line.strip_prefix(key))
-        .ok_or("no such line")?;
+        .ok_or("key missing in /proc/self/status")?;
     let kb: f64 = line
         .trim_start_matches(':')
         .trim()
@@ -142,15 +143,15 @@
 fn print_row(
     process: &Process,
     path: &Path,
-    taken: u64,
-    begun: Instant,
+    processed: u64,
+    started: Instant,
 ) -> Result<(), Box<dyn Error>> {
     let store = process.ledger.replica().log_store();
     let purges = process.core.purges();
     println!(
-        "| {taken} | {:.1} | {:.1} | {} | {} | {} | {} | {} | {} | {:.1} | {:.0} |",
-        taken as f64 / PER_SECOND as f64 / 3600.0,
-        status_mb("VmRSS")?,
+        "| {processed} | {:.1} | {:.1} | {} | {} | {} | {} | {} | {} | {:.1} | {:.0} |",
+        processed as f64 / PURGES_PER_SECOND as f64 / 3600.0,
+        status_mib("VmRSS")?,
         store.len(),
         store.log_count(),
         store.table().memory_bytes() >> 20,
@@ -158,21 +159,21 @@
         purges.exact_len(),
         purges.compact_table().memory_bytes() >> 20,
         std::fs::metadata(path)?.len() as f64 / f64::from(1 << 20),
-        begun.elapsed().as_secs_f64(),
+        started.elapsed().as_secs_f64(),
     );
     Ok(())
 }
 
-/// Takes the purges and prints what is held as it goes.
+/// Processes the purges and prints memory and table sizes at regular intervals.
 fn soak(path: &Path, purges: u64, writers: u64) -> Result<(), Box<dyn Error>> {
     let limits = Limits::for_machine(1_024, 192);
     let mut process = Process::start(path, &limits)?;
-    let begun = Instant::now();
+    let started = Instant::now();
     println!("| purges | hours | RSS, MiB | entries | logs | replica's table, MiB | its slots | module exact | module's table, MiB | file, MiB | took, s |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    print_row(&process, path, 0, begun)?;
+    print_row(&process, path, 0, started)?;
     for number in 0..purges {
-        let now = START_US + number * 1_000_000 / PER_SECOND;
+        let now = START_US + number * 1_000_000 / PURGES_PER_SECOND;
         let index = number / writers + 1;
         let log = LogId::new(number % writers, EPOCH);
         let subject = Subject::Object(format!("{:016x}", mix(mix(number) % OBJECTS)));
@@ -185,15 +186,15 @@
             revoked: false,
         };
         process.receive(now, entry)?;
-        if number % TICK == 0 {
+        if number % TICK_INTERVAL == 0 {
             process.tick(now);
         }
-        if number % SYNC == 0 {
+        if number % SYNC_INTERVAL == 0 {
             process.sync(now)?;
         }
         if (number + 1) % (purges / ROWS).max(1) == 0 {
             process.sync(now)?;
-            print_row(&process, path, number + 1, begun)?;
+            print_row(&process, path, number + 1, started)?;
         }
     }
     let counters = process.ledger.replica().counters();
@@ -201,7 +202,7 @@
         "\nlearned {}, compacted {}, rejected {}",
         counters.inserted, counters.compacted, counters.rejected
     );
-    println!("peak RSS {:.1} MiB", status_mb("VmHWM")?);
+    println!("peak RSS {:.1} MiB", status_mib("VmHWM")?);
     Ok(process.ledger.close()?)
 }
 
@@ -209,17 +210,17 @@
     let mut arguments = std::env::args().skip(1);
     let purges = arguments
         .next()
-        .map_or(Ok(DAY), |text| text.parse())?
+        .map_or(Ok(PURGES_PER_DAY), |text| text.parse())?
         .min(MAX_PURGES);
     let writers = arguments
         .next()
-        .map_or(Ok(WRITERS), |text| text.parse())?
+        .map_or(Ok(DEFAULT_WRITERS), |text| text.parse())?
         .max(1);
     let folder = arguments
         .next()
         .map_or_else(std::env::temp_dir, PathBuf::from);
     let path = folder.join(format!("purge-soak-{}", std::process::id()));
-    println!("{purges} purges of {writers} writers at {PER_SECOND} a second");
+    println!("{purges} purges of {writers} writers at {PURGES_PER_SECOND} a second");
     let result = soak(&path, purges, writers);
     std::fs::remove_file(&path)?;
     result
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,4 +1,4 @@
-//! The boxes of `config.json`, for a first try: two that keep copies and an origin, until it is stopped.
+//! Runs the fake servers of `config.json` for a first try: two caches and an origin.
 
 use linnetknot_harness::fakes::cache::FakeCache;
 
@@ -8,8 +8,8 @@
         ("s-00000002", "127.0.0.1:7002"),
         ("s-0000000f", "127.0.0.1:7015"),
     ] {
-        let toy = FakeCache::start_at(uid, address)?;
-        println!("{} serves on {}", toy.uid, toy.address);
+        let server = FakeCache::start_at(uid, address)?;
+        println!("{} serves on {}", server.uid, server.address);
     }
     loop {
         std::thread::park();
