--- a/daemon/tests/clock_offsets.rs
+++ b/daemon/tests/clock_offsets.rs
@@ -24,7 +24,7 @@
 
 #[test]
 fn a_mass_purge_is_served_as_well_whatever_the_clock_is_off() {
-    let scenario = shipped::named("mass-purge").unwrap().unwrap();
+    let scenario = shipped::find("mass-purge").unwrap().unwrap();
     let scenario = scenario.scaled(TIME_SCALE).unwrap();
     let folder = std::env::temp_dir().join(format!("linnetknot-offsets-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
@@ -41,7 +41,7 @@
     let right = served[0].score.total.score().unwrap();
     for (seconds, outcome) in OFFSETS_S.into_iter().zip(&served) {
         assert_eq!(outcome.breaches, [], "{seconds} s");
-        assert_eq!(outcome.has_seen(), Ok(()), "{seconds} s");
+        assert_eq!(outcome.check_conclusive(), Ok(()), "{seconds} s");
         let share = outcome.score.total.score().unwrap();
         assert!(
             (share - right).abs() <= TOLERANCE,
--- a/daemon/tests/fault_matrix.rs
+++ b/daemon/tests/fault_matrix.rs
@@ -2,13 +2,13 @@
 //! and the faults that it must find where they are planted.
 
 use linnetknot_rehearse::fault_matrix::{cases, play, Case, Matrix, FAULT_POINTS, PLANTS};
-use linnetknot_rehearse::series::all_at_once;
+use linnetknot_rehearse::series::run_in_parallel;
 use std::path::Path;
 
 const DAEMON: &str = env!("CARGO_BIN_EXE_linnetknot");
 
 fn played(cases: &[Case], planted: &str) -> Matrix {
-    let plays = all_at_once(cases, 4, |case| play(Path::new(DAEMON), *case, planted));
+    let plays = run_in_parallel(cases, 4, |case| play(Path::new(DAEMON), *case, planted));
     let mut matrix = Matrix::default();
     cases
         .iter()
--- a/daemon/tests/rehearsal.rs
+++ b/daemon/tests/rehearsal.rs
@@ -2,7 +2,7 @@
 
 use linnetknot_rehearse::player::{self, play};
 use linnetknot_rehearse::scenario::{ClassLoad, Fault, Load, Scenario, SiteForm, What};
-use linnetknot_rehearse::{rehearse, Plant};
+use linnetknot_rehearse::{rehearse, RehearsalDefect};
 use std::path::Path;
 
 fn daemon() -> &'static Path {
@@ -13,20 +13,23 @@
 fn the_daemon_keeps_the_rules_in_both_cases() {
     let report = rehearse(daemon(), None).expect("the rehearsal is played");
     assert_eq!(report.breaches, [], "{report}");
-    assert_eq!(report.played.len(), 4, "{report}");
+    assert_eq!(report.cases.len(), 4, "{report}");
 }
 
 #[test]
 fn planted_breaches_are_reported() {
-    for (plant, rule) in [(Plant::StaleCopies, "purge"), (Plant::DrainHidden, "drain")] {
-        let report = rehearse(daemon(), Some(plant)).expect("the rehearsal is played");
+    for (defect, rule) in [
+        (RehearsalDefect::StaleCopies, "purge"),
+        (RehearsalDefect::DrainNotSent, "drain"),
+    ] {
+        let report = rehearse(daemon(), Some(defect)).expect("the rehearsal is played");
         assert!(
             report.breaches.len() > 1,
             "each one is reported, not only the first: {report}"
         );
         assert!(
             report.breaches.iter().all(|b| b.rule == rule),
-            "{plant:?}: {report}"
+            "{defect:?}: {report}"
         );
     }
 }
@@ -68,7 +71,7 @@
 fn a_played_load_is_served_and_breaks_no_rule() {
     let out = play(daemon(), &short(), 3, None).expect("it is played");
     assert_eq!(out.breaches, []);
-    assert_eq!(out.has_seen(), Ok(()));
+    assert_eq!(out.check_conclusive(), Ok(()));
     assert!(
         out.requests > 300 && out.score.total.score() > Some(0.9),
         "{out:?}"
@@ -78,14 +81,14 @@
 
 #[test]
 fn faults_planted_under_a_played_load_are_named() {
-    for (plant, rule) in [
-        (player::Plant::PurgesUntold, "purges"),
-        (player::Plant::WrongBytes, "whole bytes"),
+    for (defect, rule) in [
+        (player::PlayDefect::PurgesNotSent, "purges"),
+        (player::PlayDefect::WrongBytes, "whole bytes"),
     ] {
-        let out = play(daemon(), &short(), 3, Some(plant)).expect("it is played");
+        let out = play(daemon(), &short(), 3, Some(defect)).expect("it is played");
         assert!(
             out.breaches.len() > 1 && out.breaches.iter().all(|b| b.rule == rule),
-            "{plant:?}: {out:?}"
+            "{defect:?}: {out:?}"
         );
     }
 }
@@ -104,10 +107,14 @@
     )
     .expect("it is played");
     out.lag_us.0 = player::MAX_LAG_US + 1;
-    assert!(out.has_seen().unwrap_err().to_string().contains("late"));
+    assert!(out
+        .check_conclusive()
+        .unwrap_err()
+        .to_string()
+        .contains("late"));
     out.score.total.offered = 0.0;
     assert!(out
-        .has_seen()
+        .check_conclusive()
         .unwrap_err()
         .to_string()
         .contains("nothing was asked"));
@@ -142,7 +149,7 @@
 fn faults_of_boxes_origin_and_bus_are_played_and_break_no_rule() {
     let out = play(daemon(), &troubled(), 3, None).expect("it is played");
     assert_eq!(out.breaches, []);
-    assert_eq!(out.has_seen(), Ok(()));
+    assert_eq!(out.check_conclusive(), Ok(()));
     assert!(
         out.requests > 450 && out.score.total.score() > Some(0.6),
         "{out:?}"
@@ -151,8 +158,13 @@
 
 #[test]
 fn a_drain_that_the_proxies_never_hear_of_is_named() {
-    let out =
-        play(daemon(), &troubled(), 3, Some(player::Plant::DrainsUntold)).expect("it is played");
+    let out = play(
+        daemon(),
+        &troubled(),
+        3,
+        Some(player::PlayDefect::DrainsNotSent),
+    )
+    .expect("it is played");
     assert!(
         !out.breaches.is_empty() && out.breaches.iter().all(|b| b.rule == "drains"),
         "{:?}",
@@ -193,10 +205,16 @@
 fn proxies_killed_and_stopped_under_load_break_no_rule_and_come_back() {
     let out = play(daemon(), &crashed(), 3, None).expect("it is played");
     assert_eq!(out.breaches, []);
-    assert_eq!(out.has_seen(), Ok(()));
+    assert_eq!(out.check_conclusive(), Ok(()));
     assert!(out.requests > 450 && out.unsent == 0, "{out:?}");
     // What was open at the killed proxy is lost, and named where it is counted as owed.
-    let out = play(daemon(), &crashed(), 3, Some(player::Plant::KillsOwed)).expect("it is played");
+    let out = play(
+        daemon(),
+        &crashed(),
+        3,
+        Some(player::PlayDefect::KilledRequestsDue),
+    )
+    .expect("it is played");
     assert!(
         !out.breaches.is_empty() && out.breaches.iter().all(|b| b.rule == "one answer"),
         "{:?}",
@@ -212,11 +230,11 @@
             stop.store(true, std::sync::atomic::Ordering::Relaxed);
         }
     };
-    let watch = player::Watch {
+    let watch = player::PlayControl {
         stop: Some(&stop),
         progress: Some(&progress),
     };
-    let out = player::play_watched(daemon(), &short(), 3, None, watch).expect("it is played");
+    let out = player::play_with_control(daemon(), &short(), 3, None, watch).expect("it is played");
     let at = out.interrupted.expect("it was ended");
     assert!((1.0..2.0).contains(&at), "{at}");
     assert_eq!(out.breaches, [], "what was open at the end is owed no more");
--- a/daemon/tests/syscall_plays.rs
+++ b/daemon/tests/syscall_plays.rs
@@ -1,6 +1,6 @@
 //! Several daemons under load while their system calls fail: no rule of the rehearsal kit is broken.
 
-use linnetknot_rehearse::player::{play_armed, Outcome};
+use linnetknot_rehearse::player::{play_with_fail_points, Outcome};
 use linnetknot_rehearse::scenario::{ClassLoad, Fault, Load, Scenario, SiteForm, What};
 use std::path::Path;
 
@@ -69,9 +69,10 @@
 
 fn played(faults: Vec<Fault>, seed: u64, points: &str) -> Outcome {
     let daemon = Path::new(env!("CARGO_BIN_EXE_linnetknot"));
-    let outcome = play_armed(daemon, &scenario(faults), seed, points).expect("it is played");
+    let outcome =
+        play_with_fail_points(daemon, &scenario(faults), seed, points).expect("it is played");
     assert_eq!(outcome.breaches, [], "seed {seed}");
-    assert_eq!(outcome.has_seen(), Ok(()));
+    assert_eq!(outcome.check_conclusive(), Ok(()));
     assert!(outcome.requests > 450, "{outcome:?}");
     outcome
 }
--- a/rehearse/src/bin/linnetknot-rehearse/fault_matrix.rs
+++ b/rehearse/src/bin/linnetknot-rehearse/fault_matrix.rs
@@ -5,7 +5,7 @@
 use crate::error::CommandError;
 use crate::output::{is_stopped, print};
 use linnetknot_rehearse::fault_matrix;
-use linnetknot_rehearse::series::all_at_once;
+use linnetknot_rehearse::series::run_in_parallel;
 use std::io;
 use std::process::ExitCode;
 
@@ -22,7 +22,7 @@
     let planted = planted(arguments.plant.as_deref())?;
     let daemon = beside(arguments.daemon);
     let cases = fault_matrix::cases(arguments.plays as usize, arguments.seed);
-    let plays = all_at_once(&cases, arguments.jobs.into(), |case| match is_stopped() {
+    let plays = run_in_parallel(&cases, arguments.jobs.into(), |case| match is_stopped() {
         true => Err(io::Error::other("not played: ended by hand")),
         false => fault_matrix::play(&daemon, *case, planted),
     });
--- a/rehearse/src/bin/linnetknot-rehearse/scenarios.rs
+++ b/rehearse/src/bin/linnetknot-rehearse/scenarios.rs
@@ -6,10 +6,10 @@
 use crate::{beside, tables, NOT_PLAYED};
 use indicatif::{ProgressBar, ProgressStyle};
 use linnetknot_rehearse::load::plan;
-use linnetknot_rehearse::player::{self, Outcome, Watch};
+use linnetknot_rehearse::player::{self, Outcome, PlayControl};
 use linnetknot_rehearse::report::Report;
 use linnetknot_rehearse::scenario::Scenario;
-use linnetknot_rehearse::series::{all_at_once, Seeds, Summary, Verdict};
+use linnetknot_rehearse::series::{run_in_parallel, Seeds, Summary, Verdict};
 use linnetknot_rehearse::shipped;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -31,7 +31,7 @@
 
 /// A scenario by its name or file, in a share of its time.
 fn scenario(name: &str, time_scale: f64) -> Result<Scenario, CommandError> {
-    let scenario = match shipped::named(name) {
+    let scenario = match shipped::find(name) {
         Some(scenario) => scenario?,
         None => read(Path::new(name))?,
     };
@@ -49,13 +49,15 @@
     daemon: &Path,
 ) -> Result<Outcome, CommandError> {
     let scenario = scenario(name, time_scale)?;
-    let watch = Watch {
+    let control = PlayControl {
         stop: Some(&**STOP),
         progress: None,
     };
-    player::play_watched(daemon, &scenario, seed, None, watch).map_err(|error| CommandError::Play {
-        daemon: daemon.to_owned(),
-        error,
+    player::play_with_control(daemon, &scenario, seed, None, control).map_err(|error| {
+        CommandError::Play {
+            daemon: daemon.to_owned(),
+            error,
+        }
     })
 }
 
@@ -63,16 +65,16 @@
 pub(crate) fn run_series(arguments: &RunArguments, seeds: &Seeds) -> ExitCode {
     let daemon = beside(arguments.daemon.clone());
     let all = ["all".to_owned()];
-    let chosen = shipped::chosen(match arguments.scenarios.is_empty() {
+    let chosen = shipped::expand_names(match arguments.scenarios.is_empty() {
         true => &all,
         false => &arguments.scenarios,
     });
     let plays: Vec<(usize, u64)> = (0..chosen.len())
         .flat_map(|n| seeds.0.clone().map(move |seed| (n, seed)))
         .collect();
-    let verdicts = all_at_once(&plays, arguments.jobs.into(), |(n, seed)| {
+    let verdicts = run_in_parallel(&plays, arguments.jobs.into(), |(n, seed)| {
         if is_stopped() {
-            return Verdict::Nothing("not played: ended by hand".into());
+            return Verdict::Inconclusive("not played: ended by hand".into());
         }
         let name = &chosen[*n];
         match play_of_series(name, *seed, arguments.time_scale, &daemon) {
@@ -82,7 +84,7 @@
                 }
                 Verdict::of(&outcome)
             }
-            Err(why) => Verdict::Nothing(why.to_string()),
+            Err(why) => Verdict::Inconclusive(why.to_string()),
         }
     });
     let rows = chosen.into_iter().map(|name| (name, Default::default()));
@@ -96,7 +98,7 @@
 
 /// Plays the chosen scenarios in turn; the exit status is the worst of theirs.
 pub(crate) fn run_all(arguments: &RunArguments) -> ExitCode {
-    let chosen = shipped::chosen(&arguments.scenarios);
+    let chosen = shipped::expand_names(&arguments.scenarios);
     let daemon = beside(arguments.daemon.clone());
     let mut worst = 0;
     for name in &chosen {
@@ -149,7 +151,7 @@
         }
         Ok(verdict) => {
             // What was broken before an end by hand stands; what was not seen, nobody knows.
-            if let Verdict::Nothing(why) = &verdict {
+            if let Verdict::Inconclusive(why) = &verdict {
                 eprintln!("the rehearsal proves nothing: {why}");
             }
             verdict.status()
@@ -192,11 +194,11 @@
         bar.set_position(seconds.max(0.0) as u64);
         bar.set_prefix(sent.to_string());
     };
-    let watch = Watch {
+    let control = PlayControl {
         stop: Some(&**STOP),
         progress: Some(&progress),
     };
-    let outcome = player::play_watched(daemon, scenario, seed, None, watch);
+    let outcome = player::play_with_control(daemon, scenario, seed, None, control);
     bar.finish_and_clear();
     outcome.map_err(|error| CommandError::Play {
         daemon: daemon.to_owned(),
--- a/rehearse/src/bin/linnetknot-rehearse/tables.rs
+++ b/rehearse/src/bin/linnetknot-rehearse/tables.rs
@@ -34,7 +34,7 @@
     out += "| --- | --- | --- | --- | --- | --- | --- |\n";
     for (class, w) in scenario.load.classes.iter().zip(&o.waits) {
         let [a, b, c, d, e] =
-            [w.p50, w.p90, w.p99, w.p999, w.most].map(|us| format!("{:.1}", us as f64 / 1e3));
+            [w.p50, w.p90, w.p99, w.p999, w.max].map(|us| format!("{:.1}", us as f64 / 1e3));
         out += &format!(
             "| {} | {} of {} | {a} | {b} | {c} | {d} | {e} |\n",
             class.name, w.served, w.requests
--- a/rehearse/src/fakes/site/mod.rs
+++ b/rehearse/src/fakes/site/mod.rs
@@ -13,7 +13,7 @@
 
 use super::cache_memory::{CacheMemory, Part};
 use super::shared_link::SharedLink;
-use crate::record::{Attempt, Cold, Ended, Micros};
+use crate::record::{Attempt, ColdStart, Ended, Micros};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use timers::Timer;
 
@@ -82,7 +82,7 @@
     figures: NodeFigures,
     link: SharedLink,
     memory: CacheMemory,
-    cold: Option<Cold>,
+    cold: Option<ColdStart>,
     sent: VecDeque<(Micros, f64)>,
     up: bool,
     stalled: bool,
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Adds a node, or starts one anew with an empty memory. One that is given a `Cold` starts cold.
-    pub fn start(&mut self, uid: &str, kind: Kind, figures: NodeFigures, cold: Option<Cold>) {
+    /// Adds a node, or starts one anew with an empty memory. One that is given a `ColdStart` starts cold.
+    pub fn start(&mut self, uid: &str, kind: Kind, figures: NodeFigures, cold: Option<ColdStart>) {
         let capacity = cold
             .as_ref()
             .map_or(figures.capacity, |c| c.capacity_at(c.at));
--- a/rehearse/src/fakes/site/requests.rs
+++ b/rehearse/src/fakes/site/requests.rs
@@ -94,12 +94,18 @@
             return false;
         };
         node.sent.push_back((now, work_us));
-        while node.sent.front().is_some_and(|s| s.0 + cold.fall_us < now) {
+        while node
+            .sent
+            .front()
+            .is_some_and(|s| s.0 + cold.overload_window_us < now)
+        {
             node.sent.pop_front();
         }
         let sum: f64 = node.sent.iter().map(|s| s.1).sum();
-        let from = now.saturating_sub(cold.fall_us).max(cold.at);
-        if sum <= cold.multiple * cold.able(from, from + cold.fall_us) {
+        let from = now.saturating_sub(cold.overload_window_us).max(cold.at);
+        if sum
+            <= cold.overload_multiple * cold.work_capacity_us(from, from + cold.overload_window_us)
+        {
             return false;
         }
         self.stop(now, uid);
--- a/rehearse/src/latency.rs
+++ b/rehearse/src/latency.rs
@@ -4,12 +4,12 @@
 //! answer would otherwise leave out the wait of whatever came behind it (coordinated omission). A client's retries
 //! belong to its first try, and what was never served is not a short wait but none: it is counted apart.
 
-use crate::record::{Final, Micros, Record};
+use crate::record::{FinalAnswer, Micros, Record};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 
 /// Waits above this count as this; longer than any client waits.
-const MOST_US: u64 = 600_000_000;
+const MAX_WAIT_US: u64 = 600_000_000;
 
 /// The waits of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -27,7 +27,7 @@
     /// All but one in a thousand.
     pub p999: Micros,
     /// The longest.
-    pub most: Micros,
+    pub max: Micros,
 }
 
 /// The waits of each class, in the order of the record's.
@@ -36,7 +36,7 @@
     for a in record
         .answered
         .iter()
-        .filter(|a| matches!(a.answer, Final::Served { .. }))
+        .filter(|a| matches!(a.answer, FinalAnswer::Served { .. }))
     {
         let at = served_at.entry(&a.id).or_insert(a.at);
         *at = a.at.min(*at);
@@ -51,12 +51,12 @@
     }
     let classes = 0..record.classes.len();
     classes
-        .map(|class| of_class(requests.values().filter(|r| r.0 == class)))
+        .map(|class| class_waits(requests.values().filter(|r| r.0 == class)))
         .collect()
 }
 
-fn of_class<'a>(of: impl Iterator<Item = &'a (usize, Micros, Option<Micros>)>) -> Waits {
-    let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, MOST_US, 3) else {
+fn class_waits<'a>(of: impl Iterator<Item = &'a (usize, Micros, Option<Micros>)>) -> Waits {
+    let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, MAX_WAIT_US, 3) else {
         return Waits::default();
     };
     let mut requests = 0;
@@ -80,6 +80,6 @@
         p90: at(0.9),
         p99: at(0.99),
         p999: at(0.999),
-        most: at(1.0),
+        max: at(1.0),
     }
 }
--- a/rehearse/src/lib.rs
+++ b/rehearse/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod shipped;
 pub mod timetable;
 
-pub use play::{rehearse, Plant};
+pub use play::{rehearse, RehearsalDefect};
 
 use std::fmt;
 
@@ -27,34 +27,37 @@
     /// The rule.
     pub rule: &'static str,
     /// What broke it.
-    pub what: String,
+    pub evidence: String,
 }
 
 /// What a rehearsal came to.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
     /// What was played, a line each.
-    pub played: Vec<String>,
+    pub cases: Vec<String>,
     /// All that broke a rule.
     pub breaches: Vec<Breach>,
 }
 
 impl Report {
     /// Notes a breach where something that must hold does not.
-    pub fn hold(&mut self, rule: &'static str, holds: bool, what: impl FnOnce() -> String) {
+    pub fn check(&mut self, rule: &'static str, holds: bool, evidence: impl FnOnce() -> String) {
         if !holds {
-            self.breaches.push(Breach { rule, what: what() });
+            self.breaches.push(Breach {
+                rule,
+                evidence: evidence(),
+            });
         }
     }
 }
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for line in &self.played {
+        for line in &self.cases {
             writeln!(f, "played   {line}")?;
         }
         for breach in &self.breaches {
-            writeln!(f, "BREACH   {}: {}", breach.rule, breach.what)?;
+            writeln!(f, "BREACH   {}: {}", breach.rule, breach.evidence)?;
         }
         writeln!(f, "{} breaches", self.breaches.len())
     }
--- a/rehearse/src/load.rs
+++ b/rehearse/src/load.rs
@@ -33,7 +33,7 @@
     /// When, in microseconds from the beginning.
     pub at: u64,
     /// The object, or else the group.
-    pub what: Result<u64, u64>,
+    pub target: Result<u64, u64>,
 }
 
 /// All that a rehearsal asks and purges, in the order of time.
@@ -46,7 +46,7 @@
 }
 
 /// Groups of objects, as the platform numbers them.
-pub const GROUPS: u64 = 256;
+pub const GROUP_COUNT: u64 = 256;
 
 fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -56,11 +56,11 @@
 
 /// Group of an object.
 pub fn group(object: u64) -> u64 {
-    mix(object) % GROUPS
+    mix(object) % GROUP_COUNT
 }
 
 /// The factor of the load at a time, in seconds.
-pub fn factor(shape: &[(f64, f64)], at: f64) -> f64 {
+pub fn load_factor(shape: &[(f64, f64)], at: f64) -> f64 {
     let after = shape.iter().position(|(t, _)| *t > at);
     match (shape, after) {
         ([], _) => 1.0,
@@ -74,30 +74,30 @@
 }
 
 /// A class's objects and sizes.
-struct Source<'a> {
+struct ClassGenerator<'a> {
     class: &'a ClassLoad,
     index: usize,
     popularity: Option<Zipf<f64>>,
     sizes: Option<LogNormal<f64>>,
-    once: u64,
+    unique_objects: u64,
 }
 
-impl<'a> Source<'a> {
+impl<'a> ClassGenerator<'a> {
     fn new(index: usize, class: &'a ClassLoad) -> Self {
-        Source {
+        ClassGenerator {
             class,
             index,
             popularity: Zipf::new(class.objects as f64, class.zipf).ok(),
             sizes: LogNormal::new(class.median_kb.max(0.001).ln(), class.sigma).ok(),
-            once: 0,
+            unique_objects: 0,
         }
     }
 
     fn object(&mut self, random: &mut ChaCha8Rng, at: f64) -> u64 {
         let (c, tag) = (self.class, (self.index as u64 + 1) << 56);
         if random.random_bool(c.once) {
-            self.once += 1;
-            return mix(tag ^ (1 << 55) ^ self.once);
+            self.unique_objects += 1;
+            return mix(tag ^ (1 << 55) ^ self.unique_objects);
         }
         let rank = self.popularity.as_ref().map_or(1.0, |z| z.sample(random)) as u64;
         // The order moves on: what stands at a rank is another object some seconds later.
@@ -141,7 +141,7 @@
         // Each class and the purges have a stream of chance of their own: a change of one leaves the others alone.
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         random.set_stream(index as u64 + 1);
-        let mut source = Source::new(index, class);
+        let mut generator = ClassGenerator::new(index, class);
         let parts = (class.parts.0 + class.parts.1) as f64 / 2.0;
         let Ok(gaps) = Exp::new(scenario.load.rate * class.share / parts) else {
             continue;
@@ -149,8 +149,9 @@
         let mut at = gaps.sample(&mut random);
         while at < end {
             // Thinned to the shape: what comes at full rate is kept by the factor of its moment.
-            let is_accepted = random.random_bool(factor(&scenario.load.shape, at).clamp(0.0, 1.0));
-            let mut object = source.object(&mut random, at);
+            let is_accepted =
+                random.random_bool(load_factor(&scenario.load.shape, at).clamp(0.0, 1.0));
+            let mut object = generator.object(&mut random, at);
             if let Some(hot) = hot_object(scenario, class, at, &mut random) {
                 object = hot;
             }
@@ -167,7 +168,7 @@
                     class: index,
                     object,
                     part,
-                    size_kb: source.size_kb(object, part),
+                    size_kb: generator.size_kb(object, part),
                     budget: class.budget_ms * 1000,
                     proxy,
                     key,
@@ -179,11 +180,11 @@
     }
     plan.arrivals
         .sort_by_key(|a| (a.at, a.class, a.object, a.part));
-    purges(scenario, seed, &mut plan);
+    add_purges(scenario, seed, &mut plan);
     plan
 }
 
-fn purges(scenario: &Scenario, seed: u64, plan: &mut Plan) {
+fn add_purges(scenario: &Scenario, seed: u64, plan: &mut Plan) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     random.set_stream(0);
     if let (Ok(gaps), false) = (Exp::new(scenario.load.purges), plan.arrivals.is_empty()) {
@@ -197,18 +198,19 @@
             let object = plan.arrivals[random.random_range(0..plan.arrivals.len())].object;
             plan.purges.push(Purge {
                 at: (at * 1e6) as u64,
-                what: Ok(object),
+                target: Ok(object),
             });
             at += gaps.sample(&mut random);
         }
     }
     for f in &scenario.faults {
         if let What::MassPurge { share } = f.what {
-            let all = 0..GROUPS;
-            let struck = all.filter(|g| (mix(seed ^ mix(*g)) as f64) < share * u64::MAX as f64);
-            plan.purges.extend(struck.map(|g| Purge {
+            let all = 0..GROUP_COUNT;
+            let purged_groups =
+                all.filter(|g| (mix(seed ^ mix(*g)) as f64) < share * u64::MAX as f64);
+            plan.purges.extend(purged_groups.map(|g| Purge {
                 at: (f.at * 1e6) as u64,
-                what: Err(g),
+                target: Err(g),
             }));
         }
     }
--- a/rehearse/src/play/drain.rs
+++ b/rehearse/src/play/drain.rs
@@ -1,6 +1,6 @@
 //! A cache that drains while redirected requests are under way.
 
-use super::{content, failed, Plant};
+use super::{content, failed, RehearsalDefect};
 use crate::Report;
 use linnetknot_harness::clients::{call, Answer, TIMEOUT};
 use linnetknot_harness::fakes::cache::{Arrival, FakeCache, Manner};
@@ -29,7 +29,7 @@
     running: &Process,
     bus: &Bus,
     caches: &[FakeCache],
-    plant: Option<Plant>,
+    defect: Option<RehearsalDefect>,
     report: &mut Report,
 ) -> io::Result<()> {
     caches.iter().for_each(|cache| {
@@ -41,7 +41,7 @@
     let clients = redirect(running, report)?;
     // The cache that the first of them waits at is draining.
     let target = redirected_to(caches)?;
-    if plant != Some(Plant::DrainHidden) {
+    if defect != Some(RehearsalDefect::DrainNotSent) {
         bus.list(false, vec![entry(target, "here", "box", "draining")]);
     }
     let draining_ms = unix_ms();
@@ -54,12 +54,12 @@
     }
     for n in 0..2 * REDIRECTED {
         let answer = content(running.cdni, &format!("{:016x}", 0xc000 + n))?;
-        report.hold("one answer", !answer.surplus, || {
+        report.check("one answer", !answer.surplus, || {
             format!("bytes behind the answer to request {n} after a drain")
         });
     }
     judge_drained(target, draining_ms, report);
-    report.played.push(format!(
+    report.cases.push(format!(
         "a drain under {REDIRECTED} redirected requests, {} after it",
         2 * REDIRECTED
     ));
@@ -71,7 +71,7 @@
     let arrivals = target.arrivals();
     let is_late = |a: &&Arrival| a.word == "fetch" && a.at > draining_ms + DRAIN_GRACE_MS;
     for arrival in arrivals.iter().filter(is_late) {
-        report.hold("drain", false, || {
+        report.check("drain", false, || {
             format!(
                 "{} reached {} {} ms after the notice that it drains",
                 arrival.id,
@@ -104,7 +104,7 @@
             .as_str()
             .and_then(|l| l.strip_prefix("http://cdn.example"));
         let Some(target) = location.map(str::to_owned) else {
-            report.hold("redirection", false, || {
+            report.check("redirection", false, || {
                 format!("no redirection but {value}")
             });
             continue;
@@ -142,12 +142,12 @@
 fn judge_redirected(clients: Vec<Redirected>, report: &mut Report) -> io::Result<()> {
     for Redirected { number, answer } in clients {
         match answer.join().map_err(|_| failed("a client gave up"))? {
-            Err(e) => report.hold("one answer", false, || {
+            Err(e) => report.check("one answer", false, || {
                 format!("redirected request {number} got none: {e}")
             }),
             Ok(answer) => {
                 let known = matches!(answer.status, 200 | 502 | 503 | 504);
-                report.hold("one answer", known && !answer.surplus, || {
+                report.check("one answer", known && !answer.surplus, || {
                     let (status, surplus) = (answer.status, answer.surplus);
                     format!(
                         "redirected request {number} got {status} with more behind it: {surplus}"
--- a/rehearse/src/play/mod.rs
+++ b/rehearse/src/play/mod.rs
@@ -20,11 +20,11 @@
 
 /// A fault that the fakes are made to show, to see that it is reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum RehearsalDefect {
     /// The caches serve copies of any age, also after a purge, and say that they are new.
     StaleCopies,
     /// The drain never reaches the daemon.
-    DrainHidden,
+    DrainNotSent,
 }
 
 /// Time from the notice of a purge until nothing older is served, and what sockets add to every time limit.
@@ -58,7 +58,7 @@
 }
 
 /// Plays both cases against a daemon's program and reports every breach. Errors are those of the play itself.
-pub fn rehearse(daemon: &Path, plant: Option<Plant>) -> io::Result<Report> {
+pub fn rehearse(daemon: &Path, defect: Option<RehearsalDefect>) -> io::Result<Report> {
     let mut report = Report::default();
     let caches = [
         FakeCache::start("s-0000000a")?,
@@ -81,7 +81,7 @@
         }
         thread::sleep(Duration::from_millis(10));
     }
-    if plant == Some(Plant::StaleCopies) {
+    if defect == Some(RehearsalDefect::StaleCopies) {
         caches.iter().for_each(|cache| {
             cache.behave(Manner {
                 any_age: true,
@@ -94,7 +94,7 @@
     caches
         .iter()
         .for_each(|cache| cache.behave(Manner::default()));
-    drain::drain(&running, &bus, &caches, plant, &mut report)?;
+    drain::drain(&running, &bus, &caches, defect, &mut report)?;
     attempts(&caches, &origin, &mut report);
     end(&mut running, &caches, &mut report)?;
     Ok(report)
@@ -107,7 +107,7 @@
 /// A purge by the peer CDN: from its grace on, neither front serves an older copy.
 fn purge(running: &Process, caches: &[FakeCache], report: &mut Report) -> io::Result<()> {
     let warm = content(running.cdni, OBJECT)?;
-    report.hold("one answer", warm.status == 200, || {
+    report.check("one answer", warm.status == 200, || {
         format!("the first copy was answered {}", warm.status)
     });
     // The purge must lie behind the copy by more than the clock's step.
@@ -118,7 +118,7 @@
         json!({"trigger": {"type": "purge", "content.urls": [url]}, "cdn-path": ["AS64501:0"]});
     let made = call(running.cdni, "POST", "/cdni/triggers", &command.to_string())?;
     let notified_ms = unix_ms();
-    report.hold("trigger", made.status == 201, || {
+    report.check("trigger", made.status == 201, || {
         format!("the purge was answered {}", made.status)
     });
     check_status(running, &made, report)?;
@@ -135,20 +135,20 @@
             let Some(answer) = answer else { continue };
             let is_stale = sent > notified_ms + PURGE_GRACE_MS
                 && answer.made().is_some_and(|made| made < purged_ms);
-            report.hold("purge", !is_stale, || {
+            report.check("purge", !is_stale, || {
                 format!(
                     "by {front}, {} ms after the notice of the purge, a copy from before it was served",
                     sent - notified_ms
                 )
             });
-            report.hold("one answer", !answer.surplus, || {
+            report.check("one answer", !answer.surplus, || {
                 format!("bytes behind an answer by {front}")
             });
         }
         thread::sleep(Duration::from_millis(20));
     }
     let reached: usize = caches.iter().map(|cache| cache.arrivals().len()).sum();
-    report.played.push(format!(
+    report.cases.push(format!(
         "a purge by CDNI, {requests} requests by each front, {reached} at the caches"
     ));
     Ok(())
@@ -163,7 +163,7 @@
     let status = call(running.cdni, "GET", path, "")?;
     let done =
         serde_json::from_slice::<Value>(&status.body).is_ok_and(|v| v["status"] == "complete");
-    report.hold("trigger", done, || {
+    report.check("trigger", done, || {
         format!("the status resource {path} does not say that the purge is complete")
     });
     Ok(())
@@ -191,14 +191,14 @@
             && urls.contains("00000000000000ff")
             && body["cdn-path"][0] == "AS64500:0";
     }
-    report.hold("notice", footprint, || {
+    report.check("notice", footprint, || {
         "our footprint did not reach the peer CDN".to_owned()
     });
-    report.hold("notice", purge, || {
+    report.check("notice", purge, || {
         "a purge of the event bus did not reach the peer CDN".to_owned()
     });
     report
-        .played
+        .cases
         .push("notices to the peer CDN: footprint and purge".to_owned());
     Ok(())
 }
@@ -210,7 +210,7 @@
     all.filter(|a| a.word == "fetch")
         .for_each(|a| *counts.entry(a.id).or_default() += 1);
     for (id, count) in counts.iter().filter(|c| *c.1 > 6) {
-        report.hold("attempts", false, || format!("{id} had {count} attempts"));
+        report.check("attempts", false, || format!("{id} had {count} attempts"));
     }
 }
 
@@ -236,7 +236,7 @@
     {
         thread::sleep(Duration::from_millis(2));
     }
-    report.hold(
+    report.check(
         "one answer",
         caches.iter().any(|cache| cache.arrivals().iter().any(fits)),
         || "the last request strayed".into(),
@@ -247,15 +247,15 @@
         .arg(format!("kill -TERM {}", running.child.id()))
         .status()?;
     let answer = server.end()?.1;
-    report.hold("end", answer.is_some(), || {
+    report.check("end", answer.is_some(), || {
         "an open request was not answered at the end".to_owned()
     });
     let status = running.child.wait()?;
-    report.hold("end", status.success(), || {
+    report.check("end", status.success(), || {
         format!("the daemon ended with {status}")
     });
     report
-        .played
+        .cases
         .push("a planned end with a request open".to_owned());
     Ok(())
 }
--- a/rehearse/src/player/clients.rs
+++ b/rehearse/src/player/clients.rs
@@ -2,7 +2,7 @@
 
 use crate::fakes::site_server::made_of;
 use crate::load::Arrival;
-use crate::record::{Answered, Final, Micros};
+use crate::record::{Answered, FinalAnswer, Micros};
 use linnetknot_harness::clients::{Answer, WebServer};
 use linnetknot_harness::time::unix_us;
 use std::collections::HashMap;
@@ -140,7 +140,7 @@
             answer: verdict,
         });
         drop(record);
-        if matches!(verdict, Final::Refused { .. }) && request.retry < MAX_RETRIES {
+        if matches!(verdict, FinalAnswer::Refused { .. }) && request.retry < MAX_RETRIES {
             let at = at + advised_ms.unwrap_or(DEFAULT_RETRY_MS) * 1000;
             let request = ClientRequest {
                 retry: request.retry + 1,
@@ -152,18 +152,18 @@
 }
 
 /// What an answer is to the client of this request.
-fn judge(arrival: &Arrival, answer: &Answer, advised_ms: Option<u64>) -> Final {
+fn judge(arrival: &Arrival, answer: &Answer, advised_ms: Option<u64>) -> FinalAnswer {
     match answer.status {
         200 => {
             let made = made_of((arrival.object, arrival.part), &answer.body);
-            Final::Served {
+            FinalAnswer::Served {
                 made: made.map(|ms| ms * 1000 + 999),
                 intact: made.is_some(),
             }
         }
-        429 | 503 => Final::Refused {
+        429 | 503 => FinalAnswer::Refused {
             advised: advised_ms.is_some(),
         },
-        _ => Final::Failed,
+        _ => FinalAnswer::Failed,
     }
 }
--- a/rehearse/src/player/deployment.rs
+++ b/rehearse/src/player/deployment.rs
@@ -1,9 +1,9 @@
 //! The deployment that a scenario describes: the settings of its proxies and the nodes behind them.
 
 use crate::fakes::site::{FakeSite, Kind, NodeFigures, SiteFigures};
-use crate::record::{Class, Cold, Micros, Repeat};
+use crate::record::{Class, ColdStart, Micros, Repeat};
 use crate::scenario::{ClassLoad, NodeForm, Scenario};
-use crate::timetable::box_uid;
+use crate::timetable::cache_uid;
 use serde_json::{json, Value};
 
 /// What the proxies are told of cold boxes, and what the fakes do: a share at the start, warm after a time, and
@@ -109,15 +109,15 @@
 }
 
 /// A box started anew during the play: cold by the rules that the proxies are given.
-pub(super) fn cold(uid: &str, at: Micros, capacity: f64) -> Cold {
-    Cold {
+pub(super) fn cold(uid: &str, at: Micros, capacity: f64) -> ColdStart {
+    ColdStart {
         uid: uid.to_owned(),
         at,
         capacity,
         share: COLD_SHARE,
         warm_us: RAMP_US,
-        multiple: FALL_MULTIPLE,
-        fall_us: TIP_AFTER_US,
+        overload_multiple: FALL_MULTIPLE,
+        overload_window_us: TIP_AFTER_US,
     }
 }
 
@@ -152,7 +152,7 @@
             nodes: Vec::new(),
         };
         for n in 0..caches as u32 {
-            deployment.add(Kind::Box, box_uid(n), "here", "box", &form.edge_box);
+            deployment.add(Kind::Box, cache_uid(n), "here", "box", &form.edge_box);
         }
         for n in 0..form.hubs {
             deployment.add(Kind::Hub, format!("h-{n:08x}"), "hub", "hub", &form.hub);
--- a/rehearse/src/player/environment.rs
+++ b/rehearse/src/player/environment.rs
@@ -1,11 +1,11 @@
 //! What surrounds the proxies of a play: the nodes behind them, and the event buses that tell of these.
 
 use super::deployment::{cold, figures, fresh_us, settings, Deployment, Node};
-use super::Plant;
+use super::PlayDefect;
 use crate::fakes::site::{FakeSite, Kind};
 use crate::fakes::site_server::{ClassRules, SiteServer, Workload};
 use crate::load::{group, Plan, Purge};
-use crate::record::{Cold, Micros, Notice, NoticeKind};
+use crate::record::{ColdStart, Micros, Notice, NoticeKind};
 use crate::scenario::{ClassLoad, Scenario};
 use crate::timetable::Step;
 use linnetknot_harness::fakes::event_bus::Bus;
@@ -16,20 +16,20 @@
 /// The nodes and buses of a play, and what was told and started there.
 pub(super) struct Environment<'a> {
     scenario: &'a Scenario,
-    plant: Option<Plant>,
+    defect: Option<PlayDefect>,
     served: SiteServer,
     nodes: Vec<Node>,
     /// One for each proxy: each is told the addresses at which it reaches the nodes.
     buses: Vec<Bus>,
     notices: Vec<Notice>,
-    started: Vec<Cold>,
+    started: Vec<ColdStart>,
 }
 
 /// What remains of an environment once it has ended.
 pub(super) struct EnvironmentRecord {
     pub(super) site: FakeSite,
     pub(super) notices: Vec<Notice>,
-    pub(super) started: Vec<Cold>,
+    pub(super) started: Vec<ColdStart>,
     /// Kept until the proxies have ended, so that none of them loses its bus before.
     _buses: Vec<Bus>,
 }
@@ -46,18 +46,18 @@
     pub(super) fn start(
         scenario: &'a Scenario,
         plan: &Plan,
-        plant: Option<Plant>,
+        defect: Option<PlayDefect>,
     ) -> io::Result<Self> {
         let proxies = scenario.proxies as usize;
         let Deployment { site, nodes } = Deployment::of(scenario);
         let uids: Vec<String> = nodes.iter().map(|node| node.uid.clone()).collect();
-        let served = SiteServer::start(site, &uids, proxies, workload(scenario, plan, plant))?;
+        let served = SiteServer::start(site, &uids, proxies, workload(scenario, plan, defect))?;
         let buses = (0..proxies)
             .map(|_| Bus::start())
             .collect::<io::Result<Vec<_>>>()?;
         Ok(Environment {
             scenario,
-            plant,
+            defect,
             served,
             nodes,
             buses,
@@ -105,13 +105,19 @@
     pub(super) fn carry_out(&mut self, step: &Step) {
         let at = unix_us();
         match step {
-            Step::Drain(uid) => self.announce(at, uid, NoticeKind::Out(uid.clone()), "draining", 0),
-            Step::Back(uid) => {
+            Step::DrainCache(uid) => self.announce(
+                at,
+                uid,
+                NoticeKind::OutOfService(uid.clone()),
+                "draining",
+                0,
+            ),
+            Step::StartCache(uid) => {
                 self.announce(at, uid, NoticeKind::Ready(uid.clone()), "ready", at / 1000);
                 self.started
                     .push(cold(uid, at, self.scenario.site.edge_box.capacity));
             }
-            Step::CutBus => self.buses.iter().for_each(Bus::cut),
+            Step::CloseBusConnections => self.buses.iter().for_each(Bus::cut),
             _ => {}
         }
         self.change_site(step.clone());
@@ -134,7 +140,7 @@
             state,
             boot_ms,
         };
-        let is_sent = state == "ready" || self.plant != Some(Plant::DrainsUntold);
+        let is_sent = state == "ready" || self.defect != Some(PlayDefect::DrainsNotSent);
         for (proxy, bus) in self.buses.iter().enumerate() {
             if is_sent {
                 bus.list(false, vec![self.listed(proxy, &listing)]);
@@ -150,8 +156,8 @@
     fn change_site(&self, step: Step) {
         let form = self.scenario.site.edge_box.clone();
         self.served.change(move |site, now| match step {
-            Step::Down(uid) => site.stop(now, &uid),
-            Step::Back(uid) => {
+            Step::StopCache(uid) => site.stop(now, &uid),
+            Step::StartCache(uid) => {
                 site.stop(now, &uid);
                 site.start(
                     &uid,
@@ -160,8 +166,8 @@
                     Some(cold(&uid, now, form.capacity)),
                 );
             }
-            Step::Stall(uid, lasts) => site.stall(now, &uid, lasts),
-            Step::Origin(times) => site.slow_origin(times),
+            Step::StallCache(uid, lasts) => site.stall(now, &uid, lasts),
+            Step::SlowOrigin(times) => site.slow_origin(times),
             _ => {}
         });
     }
@@ -169,12 +175,12 @@
     /// Purges an object or a group: the proxies are notified, and the nodes learn of it by themselves, each in its own time.
     pub(super) fn purge(&mut self, purge: &Purge) {
         let at = unix_us();
-        let what = purge.what;
+        let what = purge.target;
         let (object, lot) = (
             what.ok().map(|o| format!("{o:016x}")),
             what.err().unwrap_or(0),
         );
-        let is_untold = self.plant == Some(Plant::PurgesUntold);
+        let is_untold = self.defect == Some(PlayDefect::PurgesNotSent);
         if !is_untold {
             let ban = match &object {
                 Some(object) => json!({"ban": {"url": object, "ts": at / 1000}}),
@@ -212,7 +218,7 @@
 }
 
 /// What the nodes must know of the load that the wire does not tell.
-fn workload(scenario: &Scenario, plan: &Plan, plant: Option<Plant>) -> Workload {
+fn workload(scenario: &Scenario, plan: &Plan, defect: Option<PlayDefect>) -> Workload {
     let parts = plan
         .arrivals
         .iter()
@@ -226,7 +232,7 @@
     let classes = classes
         .map(|class| (class.name.clone(), rules(class)))
         .collect();
-    let spoil = plant == Some(Plant::WrongBytes);
+    let spoil = defect == Some(PlayDefect::WrongBytes);
     Workload {
         parts,
         flow_kb_per_s: scenario.site.flow_kb_per_s,
--- a/rehearse/src/player/load_generator.rs
+++ b/rehearse/src/player/load_generator.rs
@@ -5,7 +5,7 @@
 use super::environment::Environment;
 use super::proxies::Proxies;
 use super::schedule::{RetryQueue, Schedule};
-use super::Watch;
+use super::PlayControl;
 use crate::load::{group, Arrival};
 use crate::record::{Micros, Request};
 use crate::scenario::Scenario;
@@ -129,18 +129,21 @@
         mut schedule: Schedule<'_>,
         environment: &mut Environment<'_>,
         retries: &Receiver<Retry>,
-        watch: &Watch<'_>,
+        control: &PlayControl<'_>,
     ) -> io::Result<Option<f64>> {
         let mut retry_queue = RetryQueue::default();
         let mut reported = Instant::now();
         loop {
             let now = unix_us();
-            if watch.stop.is_some_and(|stop| stop.load(Ordering::Relaxed)) {
+            if control
+                .stop
+                .is_some_and(|stop| stop.load(Ordering::Relaxed))
+            {
                 // Ended by hand: clients give up on what is open, so it is owed no more.
                 self.release(now, |_| true);
                 return Ok(Some(schedule.seconds_at(now)));
             }
-            if let Some(progress) = watch
+            if let Some(progress) = control
                 .progress
                 .filter(|_| reported.elapsed() >= PROGRESS_INTERVAL)
             {
@@ -190,17 +193,17 @@
         environment: &mut Environment<'_>,
     ) -> io::Result<()> {
         match *step {
-            Step::Freeze(proxy) => {
+            Step::FreezeProxy(proxy) => {
                 self.proxies.freeze(proxy)?;
                 // Whoever stands still can answer nobody: its clients turn to the next one.
                 self.release(now, |p| p == proxy);
                 self.connections[proxy].clear();
             }
-            Step::Thaw(proxy) => self.proxies.thaw(proxy)?,
-            Step::Links(ref proxies, conditions, one_way) => {
+            Step::ThawProxy(proxy) => self.proxies.thaw(proxy)?,
+            Step::SetLinks(ref proxies, conditions, one_way) => {
                 self.proxies.set_links(proxies, conditions, one_way);
             }
-            Step::Kill(proxy) => {
+            Step::KillProxy(proxy) => {
                 self.proxies.kill(proxy)?;
                 // What was open there is owed no more: the rehearsal ended it.
                 if self.release_killed {
@@ -209,14 +212,14 @@
                 self.connections[proxy].clear();
             }
             // Its connections stay, to read what it still answers; nothing new is sent on them.
-            Step::Term(proxy) => self.proxies.terminate(proxy)?,
-            Step::Restart(proxy) => self.proxies.restart(proxy),
-            Step::Drain(_)
-            | Step::Down(_)
-            | Step::Back(_)
-            | Step::Stall(..)
-            | Step::Origin(_)
-            | Step::CutBus => environment.carry_out(step),
+            Step::TerminateProxy(proxy) => self.proxies.terminate(proxy)?,
+            Step::RestartProxy(proxy) => self.proxies.restart(proxy),
+            Step::DrainCache(_)
+            | Step::StopCache(_)
+            | Step::StartCache(_)
+            | Step::StallCache(..)
+            | Step::SlowOrigin(_)
+            | Step::CloseBusConnections => environment.carry_out(step),
         }
         Ok(())
     }
@@ -346,7 +349,7 @@
             work_us: (arrival.size_kb / self.scenario.site.flow_kb_per_s * 1e6) as Micros,
             due,
             at,
-            until: at + arrival.budget,
+            deadline: at + arrival.budget,
             released: None,
         }
     }
--- a/rehearse/src/player/mod.rs
+++ b/rehearse/src/player/mod.rs
@@ -52,16 +52,16 @@
 
 /// Why a rehearsal proves nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Unseen {
+pub enum Inconclusive {
     /// No request was sent.
     #[error("nothing was asked")]
-    NothingAsked,
+    NoRequestSent,
     /// No request was answered.
     #[error("nothing was answered")]
-    NothingAnswered,
+    NoRequestAnswered,
     /// The load generator did not keep its plan.
     #[error("the load came {p99_ms} ms late (p99)")]
-    LateLoad {
+    LateLoadGenerator {
         /// How late, p99.
         p99_ms: u64,
     },
@@ -72,15 +72,15 @@
     ///
     /// # Errors
     /// Where it proves nothing.
-    pub fn has_seen(&self) -> Result<(), Unseen> {
+    pub fn check_conclusive(&self) -> Result<(), Inconclusive> {
         if self.score.total.score().is_none() {
-            return Err(Unseen::NothingAsked);
+            return Err(Inconclusive::NoRequestSent);
         }
         if self.score.total.unanswered >= self.score.total.offered {
-            return Err(Unseen::NothingAnswered);
+            return Err(Inconclusive::NoRequestAnswered);
         }
         if self.lag_us.0 > MAX_LAG_US {
-            return Err(Unseen::LateLoad {
+            return Err(Inconclusive::LateLoadGenerator {
                 p99_ms: self.lag_us.0 / 1000,
             });
         }
@@ -95,20 +95,20 @@
 
 /// A fault of the fakes' own, to see that it is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum PlayDefect {
     /// Purges count as told, but neither proxies nor nodes hear of them.
-    PurgesUntold,
+    PurgesNotSent,
     /// Every tenth answer's bytes are another part's.
     WrongBytes,
     /// Drains count as told, but the proxies never hear of them.
-    DrainsUntold,
+    DrainsNotSent,
     /// What was open at a proxy that the rehearsal killed is still counted as owed.
-    KillsOwed,
+    KilledRequestsDue,
 }
 
 /// What watches a play from outside.
 #[derive(Clone, Copy, Default)]
-pub struct Watch<'a> {
+pub struct PlayControl<'a> {
     /// Set, by a handler of SIGINT say, to end the play at once: what is open then is owed no more, and the outcome
     /// is judged on what happened until then.
     pub stop: Option<&'a AtomicBool>,
@@ -121,44 +121,44 @@
     daemon: &Path,
     scenario: &Scenario,
     seed: u64,
-    plant: Option<Plant>,
+    defect: Option<PlayDefect>,
 ) -> io::Result<Outcome> {
-    play_watched(daemon, scenario, seed, plant, Watch::default())
+    play_with_control(daemon, scenario, seed, defect, PlayControl::default())
 }
 
 /// Plays a scenario as `play` does, watched.
-pub fn play_watched(
+pub fn play_with_control(
     daemon: &Path,
     scenario: &Scenario,
     seed: u64,
-    plant: Option<Plant>,
-    watch: Watch<'_>,
+    defect: Option<PlayDefect>,
+    control: PlayControl<'_>,
 ) -> io::Result<Outcome> {
     let plan = plan(scenario, seed);
     let play = Play {
         plan: &plan,
         seed,
-        plant,
-        watch,
-        points: "",
+        defect,
+        control,
+        fail_points: "",
     };
     play_in_own_folder(daemon, scenario, &play)
 }
 
 /// Plays a scenario as `play` does, with points armed in each daemon (its `LINNETKNOT_POINTS`).
-pub fn play_armed(
+pub fn play_with_fail_points(
     daemon: &Path,
     scenario: &Scenario,
     seed: u64,
-    points: &str,
+    fail_points: &str,
 ) -> io::Result<Outcome> {
     let plan = plan(scenario, seed);
     let play = Play {
         plan: &plan,
         seed,
-        plant: None,
-        watch: Watch::default(),
-        points,
+        defect: None,
+        control: PlayControl::default(),
+        fail_points,
     };
     play_in_own_folder(daemon, scenario, &play)
 }
@@ -179,10 +179,10 @@
 struct Play<'a> {
     plan: &'a Plan,
     seed: u64,
-    plant: Option<Plant>,
-    watch: Watch<'a>,
+    defect: Option<PlayDefect>,
+    control: PlayControl<'a>,
     /// Armed in each daemon.
-    points: &'a str,
+    fail_points: &'a str,
 }
 
 /// Plays in a folder of its own, and judges the record.
@@ -192,9 +192,9 @@
     scenario: &Scenario,
     play: &Play<'_>,
 ) -> io::Result<Outcome> {
-    let mut environment = Environment::start(scenario, play.plan, play.plant)?;
+    let mut environment = Environment::start(scenario, play.plan, play.defect)?;
     let proxies = Proxies::start(
-        (daemon, play.points),
+        (daemon, play.fail_points),
         folder,
         scenario,
         play.seed,
@@ -202,7 +202,7 @@
     )?;
     let (retry_sender, retries) = mpsc::channel();
     let clients = Arc::new(Clients::new(retry_sender));
-    let release_killed = play.plant != Some(Plant::KillsOwed);
+    let release_killed = play.defect != Some(PlayDefect::KilledRequestsDue);
     let mut generator = LoadGenerator::new(
         scenario,
         play.seed,
@@ -212,7 +212,7 @@
     );
     let steps = timetable(scenario);
     let schedule = Schedule::new(unix_us() + LEAD_US, scenario.seconds, play.plan, &steps);
-    let interrupted = generator.play(schedule, &mut environment, &retries, &play.watch)?;
+    let interrupted = generator.play(schedule, &mut environment, &retries, &play.control)?;
     let ended = environment.end()?;
     let Sent {
         requests,
@@ -225,7 +225,7 @@
         answered: std::mem::take(&mut clients.record().answered),
         attempts: ended.site.attempts,
         notices: ended.notices,
-        cold: ended.started,
+        cold_starts: ended.started,
     };
     lags.sort_unstable();
     Ok(Outcome {
@@ -240,7 +240,7 @@
 fn judged(record: &Record, lags: &[Micros]) -> Outcome {
     let lag_us = (quantile(lags, 0.99), quantile(lags, 1.0));
     let limits = Limits {
-        late_us: lag_us.0.min(MAX_LAG_US),
+        tolerance_us: lag_us.0.min(MAX_LAG_US),
         ..Limits::default()
     };
     Outcome {
--- a/rehearse/src/player/proxies.rs
+++ b/rehearse/src/player/proxies.rs
@@ -18,7 +18,7 @@
 struct Launcher {
     daemon: PathBuf,
     /// Armed in it.
-    points: String,
+    fail_points: String,
     folder: PathBuf,
     /// The operators' own file of each.
     own_file: Value,
@@ -31,7 +31,7 @@
             &self.folder,
             &format!("p{proxy}"),
             (config, &self.own_file),
-            &self.points,
+            &self.fail_points,
         )
     }
 }
@@ -62,7 +62,7 @@
 impl Proxies {
     /// Starts the proxies of a scenario in their environment, with points armed in their program.
     pub(super) fn start(
-        (daemon, points): (&Path, &str),
+        (daemon, fail_points): (&Path, &str),
         folder: &Path,
         scenario: &Scenario,
         seed: u64,
@@ -86,7 +86,7 @@
         };
         let launcher = Launcher {
             daemon: daemon.to_owned(),
-            points: points.to_owned(),
+            fail_points: fail_points.to_owned(),
             folder: folder.to_owned(),
             own_file,
         };
--- a/rehearse/src/record.rs
+++ b/rehearse/src/record.rs
@@ -55,14 +55,14 @@
     /// When its last byte was written.
     pub at: Micros,
     /// When the client gives up.
-    pub until: Micros,
+    pub deadline: Micros,
     /// No answer is due from then on: the client aborted it, or the rehearsal ended the proxy's process.
     pub released: Option<Micros>,
 }
 
 /// A final answer, as its client read it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Final {
+pub enum FinalAnswer {
     /// Served: when its copy was made, and whether its bytes are those of the part.
     Served {
         /// When the origin sent the copy; none: not known.
@@ -87,7 +87,7 @@
     /// When.
     pub at: Micros,
     /// What.
-    pub answer: Final,
+    pub answer: FinalAnswer,
 }
 
 /// How an attempt ended at its box.
@@ -130,7 +130,7 @@
     /// A cache takes requests, again or for the first time.
     Ready(String),
     /// A cache is draining or gone.
-    Out(String),
+    OutOfService(String),
     /// An object, or with none a group, was purged at this time.
     Purged {
         /// The object.
@@ -155,7 +155,7 @@
 
 /// A box or hub cache that started during the rehearsal.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Cold {
+pub struct ColdStart {
     /// Its id.
     pub uid: String,
     /// When it started.
@@ -166,15 +166,15 @@
     pub share: f64,
     /// When it is warm, from its start.
     pub warm_us: Micros,
-    /// Asked for more than this multiple of its present capacity for `fall_us`, it falls over.
-    pub multiple: f64,
-    /// See `multiple`.
-    pub fall_us: Micros,
+    /// Asked for more than this multiple of its present capacity for `overload_window_us`, it falls over.
+    pub overload_multiple: f64,
+    /// See `overload_multiple`.
+    pub overload_window_us: Micros,
 }
 
-impl Cold {
+impl ColdStart {
     /// What it can do between two times, in microseconds of work: its capacity rises in a line until it is warm.
-    pub fn able(&self, from: Micros, to: Micros) -> f64 {
+    pub fn work_capacity_us(&self, from: Micros, to: Micros) -> f64 {
         // The integral of the line up to a time from its start.
         let upto = |at: Micros| {
             let t = at.saturating_sub(self.at) as f64;
@@ -204,7 +204,7 @@
     pub attempts: usize,
     /// How late the rehearsal itself was: what two of its threads saw closer together than this may have been the
     /// other way round.
-    pub late_us: Micros,
+    pub tolerance_us: Micros,
 }
 
 impl Default for Limits {
@@ -213,7 +213,7 @@
             drain_us: 1_050_000,
             purge_us: 350_000,
             attempts: 6,
-            late_us: 0,
+            tolerance_us: 0,
         }
     }
 }
@@ -232,5 +232,5 @@
     /// Notices to proxies.
     pub notices: Vec<Notice>,
     /// Caches that started.
-    pub cold: Vec<Cold>,
+    pub cold_starts: Vec<ColdStart>,
 }
--- a/rehearse/src/report.rs
+++ b/rehearse/src/report.rs
@@ -8,20 +8,22 @@
 use thiserror::Error;
 
 /// The form of the file; another one is refused.
-const FORM: u32 = 1;
+const FORMAT_VERSION: u32 = 1;
 
 /// What a rehearsal came to. Shares are of the worth asked, waits in milliseconds from when a request was due.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Report {
     /// The form of this file.
-    pub form: u32,
+    #[serde(rename = "form")]
+    pub format_version: u32,
     /// The scenario.
     pub scenario: String,
     /// The seed of its load.
     pub seed: u64,
     /// Requests sent, retries with them.
-    pub asked: usize,
+    #[serde(rename = "asked")]
+    pub requests: usize,
     /// Requests of the plan that no proxy took (all down, or the connection broke as it was written); 0 in files
     /// written before it was counted.
     #[serde(default)]
@@ -32,9 +34,11 @@
     /// How late the load itself was, p99.
     pub lag_ms: f64,
     /// Why it proves nothing, if so.
-    pub unseen: Option<String>,
+    #[serde(rename = "inconclusive")]
+    pub inconclusive: Option<String>,
     /// The whole run.
-    pub whole: Part,
+    #[serde(rename = "total")]
+    pub total: Part,
     /// By class.
     pub classes: Vec<Part>,
     /// The ten seconds that earned least of what they asked: their first second, and the share.
@@ -50,7 +54,8 @@
     /// Its name.
     pub name: String,
     /// Worth asked.
-    pub asked: f64,
+    #[serde(rename = "asked")]
+    pub offered: f64,
     /// Answered in time.
     pub in_time: f64,
     /// Lost to late answers.
@@ -69,13 +74,13 @@
     let share = |of: f64| if s.offered > 0.0 { of / s.offered } else { 0.0 };
     Part {
         name: name.to_owned(),
-        asked: s.offered,
+        offered: s.offered,
         in_time: share(s.earned),
         late: share(s.late),
         refused: share(s.refused),
         failed: share(s.failed),
         unanswered: share(s.unanswered),
-        waits_ms: waits.map(|w| [w.p50, w.p99, w.most].map(|us| us as f64 / 1e3)),
+        waits_ms: waits.map(|w| [w.p50, w.p99, w.max].map(|us| us as f64 / 1e3)),
     }
 }
 
@@ -86,11 +91,11 @@
     #[error("{0}")]
     Malformed(serde_path_to_error::Error<serde_json::Error>),
     /// A file of another form.
-    #[error("form: {0} is not known here, {FORM} is")]
-    UnknownForm(u32),
+    #[error("form: {0} is not known here, {FORMAT_VERSION} is")]
+    UnsupportedVersion(u32),
     /// A value has no form in JSON.
     #[error("{0}")]
-    Unwritable(serde_json::Error),
+    Serialization(serde_json::Error),
 }
 
 /// Why two reports can't be compared.
@@ -98,19 +103,19 @@
 pub enum CompareError {
     /// They are of two scenarios.
     #[error("'{first}' and '{second}' are two scenarios")]
-    TwoScenarios {
+    DifferentScenarios {
         /// The scenario of the first.
         first: String,
         /// The scenario of the second.
         second: String,
     },
     /// One of them has seen nothing.
-    #[error("the {which} proves nothing: {why}")]
-    ProvesNothing {
+    #[error("the {which} proves nothing: {reason}")]
+    Inconclusive {
         /// Which.
         which: &'static str,
         /// Why.
-        why: String,
+        reason: String,
     },
 }
 
@@ -123,15 +128,15 @@
             .iter()
             .zip(o.score.classes.iter().zip(&o.waits));
         Report {
-            form: FORM,
+            format_version: FORMAT_VERSION,
             scenario: scenario.name.clone(),
             seed,
-            asked: o.requests,
+            requests: o.requests,
             unsent: o.unsent,
             interrupted: o.interrupted,
             lag_ms: o.lag_us.0 as f64 / 1e3,
-            unseen: o.has_seen().err().map(|why| why.to_string()),
-            whole: part("all", &o.score.total, None),
+            inconclusive: o.check_conclusive().err().map(|reason| reason.to_string()),
+            total: part("all", &o.score.total, None),
             classes: classes
                 .map(|(c, (s, w))| part(&c.name, s, Some(w)))
                 .collect(),
@@ -148,9 +153,9 @@
         let mut json = serde_json::Deserializer::from_str(text);
         let report: Report =
             serde_path_to_error::deserialize(&mut json).map_err(ReportError::Malformed)?;
-        match report.form {
-            FORM => Ok(report),
-            other => Err(ReportError::UnknownForm(other)),
+        match report.format_version {
+            FORMAT_VERSION => Ok(report),
+            other => Err(ReportError::UnsupportedVersion(other)),
         }
     }
 
@@ -159,7 +164,7 @@
     /// # Errors
     /// Where a value has no form in JSON.
     pub fn write(&self) -> Result<String, ReportError> {
-        let text = serde_json::to_string_pretty(self).map_err(ReportError::Unwritable)?;
+        let text = serde_json::to_string_pretty(self).map_err(ReportError::Serialization)?;
         Ok(text + "\n")
     }
 }
@@ -170,24 +175,24 @@
 /// Where they can't be compared.
 pub fn compare(a: &Report, b: &Report) -> Result<String, CompareError> {
     if a.scenario != b.scenario {
-        return Err(CompareError::TwoScenarios {
+        return Err(CompareError::DifferentScenarios {
             first: a.scenario.clone(),
             second: b.scenario.clone(),
         });
     }
     for (name, report) in [("first", a), ("second", b)] {
-        if let Some(why) = &report.unseen {
-            return Err(CompareError::ProvesNothing {
+        if let Some(reason) = &report.inconclusive {
+            return Err(CompareError::Inconclusive {
                 which: name,
-                why: why.clone(),
+                reason: reason.clone(),
             });
         }
     }
     let mut out = format!("{}, seeds {} and {}\n\n", a.scenario, a.seed, b.seed);
     out += "| | in time | | late | | refused | | failed or unanswered | | p99 ms | |\n";
     out += "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
-    for x in std::iter::once(&a.whole).chain(&a.classes) {
-        let Some(y) = std::iter::once(&b.whole)
+    for x in std::iter::once(&a.total).chain(&a.classes) {
+        let Some(y) = std::iter::once(&b.total)
             .chain(&b.classes)
             .find(|y| y.name == x.name)
         else {
--- a/rehearse/src/rules/answers.rs
+++ b/rehearse/src/rules/answers.rs
@@ -1,7 +1,7 @@
 //! One final answer each, in time; whole; and refusals with advice.
 
 use super::{Breach, Case};
-use crate::record::{Answered, Final};
+use crate::record::{Answered, FinalAnswer};
 use std::collections::BTreeMap;
 
 pub(super) fn one(case: &Case<'_>, out: &mut Vec<Breach>) {
@@ -18,18 +18,18 @@
     };
     for request in &case.record.requests {
         let of = answers.remove(request.id.as_str()).unwrap_or_default();
-        let owed = request.released.is_none_or(|at| at >= request.until);
+        let owed = request.released.is_none_or(|at| at >= request.deadline);
         match of.iter().map(|a| a.at).min() {
             None if owed => out.push(breach(
                 &request.id,
-                request.until,
+                request.deadline,
                 "no answer before its client gave up".into(),
             )),
             // When it was read by its client's thread, which is late as the rehearsal is.
-            Some(at) if owed && at > request.until + case.limits.late_us => {
+            Some(at) if owed && at > request.deadline + case.limits.tolerance_us => {
                 let late = format!(
                     "answered {} us after its client gave up",
-                    at - request.until
+                    at - request.deadline
                 );
                 out.push(breach(&request.id, at, late));
             }
@@ -55,10 +55,10 @@
 pub(super) fn content(case: &Case<'_>, out: &mut Vec<Breach>) {
     for a in &case.record.answered {
         let (rule, evidence) = match a.answer {
-            Final::Served { intact: false, .. } => {
+            FinalAnswer::Served { intact: false, .. } => {
                 ("whole bytes", "served with bytes that no box gave for it")
             }
-            Final::Refused { advised: false } => {
+            FinalAnswer::Refused { advised: false } => {
                 ("advice", "refused without a word on when to come back")
             }
             _ => continue,
--- a/rehearse/src/rules/attempts.rs
+++ b/rehearse/src/rules/attempts.rs
@@ -24,7 +24,7 @@
         let mut before: Option<&Attempt> = None;
         for a in of {
             // The end of the one and the arrival of the other were seen at two boxes, by two threads.
-            let late = case.limits.late_us;
+            let late = case.limits.tolerance_us;
             if let Some(b) = before.filter(|b| b.ended.is_none_or(|(end, _)| end > a.at + late)) {
                 let more = match b.ended {
                     Some((end, how)) => format!("for {} us more ({how:?})", end - a.at),
--- a/rehearse/src/rules/cold.rs
+++ b/rehearse/src/rules/cold.rs
@@ -5,7 +5,7 @@
 use crate::record::Micros;
 
 pub(super) fn check(case: &Case<'_>, out: &mut Vec<Breach>) {
-    for c in &case.record.cold {
+    for c in &case.record.cold_starts {
         let mut work: Vec<(Micros, f64)> = Vec::new();
         for a in &case.record.attempts {
             if a.target == c.uid && a.at >= c.at {
@@ -21,12 +21,12 @@
         for n in 0..work.len() {
             sum += work[n].1;
             // The window that ends with this arrival; one that reaches back before the start is no shorter for that.
-            while work[first].0 + c.fall_us < work[n].0 {
+            while work[first].0 + c.overload_window_us < work[n].0 {
                 sum -= work[first].1;
                 first += 1;
             }
-            let from = work[n].0.saturating_sub(c.fall_us).max(c.at);
-            let may = c.multiple * c.able(from, from + c.fall_us);
+            let from = work[n].0.saturating_sub(c.overload_window_us).max(c.at);
+            let may = c.overload_multiple * c.work_capacity_us(from, from + c.overload_window_us);
             if work[n].0 <= end && sum > may {
                 out.push(Breach {
                     rule: "cold boxes",
@@ -36,7 +36,7 @@
                     evidence: format!(
                         "{:.0} ms of work in {} ms, {:.0} ms may be sent, {} ms after its start",
                         sum / 1e3,
-                        c.fall_us / 1000,
+                        c.overload_window_us / 1000,
                         may / 1e3,
                         (work[n].0 - c.at) / 1000
                     ),
--- a/rehearse/src/rules/drains.rs
+++ b/rehearse/src/rules/drains.rs
@@ -19,7 +19,7 @@
         for notice in &case.record.notices {
             let (uid, is_out) = match &notice.kind {
                 NoticeKind::Ready(uid) => (uid, false),
-                NoticeKind::Out(uid) => (uid, true),
+                NoticeKind::OutOfService(uid) => (uid, true),
                 NoticeKind::Purged { .. } => continue,
             };
             let of = notices.entry((notice.proxy, uid)).or_default();
--- a/rehearse/src/rules/purges.rs
+++ b/rehearse/src/rules/purges.rs
@@ -1,7 +1,7 @@
 //! Purges: nothing that is sent once a proxy has had word, and its grace is over, is answered from an older copy.
 
 use super::{Breach, Case};
-use crate::record::{Final, Micros, NoticeKind};
+use crate::record::{FinalAnswer, Micros, NoticeKind};
 use std::collections::BTreeMap;
 
 /// What is purged: an object, or else a group.
@@ -17,7 +17,7 @@
         }
     }
     for a in &case.record.answered {
-        let Final::Served {
+        let FinalAnswer::Served {
             made: Some(made), ..
         } = a.answer
         else {
--- a/rehearse/src/score.rs
+++ b/rehearse/src/score.rs
@@ -1,7 +1,7 @@
 //! The score of a rehearsal: weight answered in time over weight offered, for the whole run, its worst ten seconds and its
 //! worst class, and what became of the rest. A client's retries belong to its first request.
 
-use crate::record::{Answered, Final, Micros, Record, Request};
+use crate::record::{Answered, FinalAnswer, Micros, Record, Request};
 use std::collections::BTreeMap;
 
 /// What became of the requests' weight, as shares of what was offered; the six add up to 1 where late answers earn nothing.
@@ -51,7 +51,7 @@
 }
 
 /// Width of the worst window, in seconds.
-const WINDOW: usize = 10;
+const WINDOW_SECONDS: usize = 10;
 
 /// What one request came to: it and its retries in order, and the answer to each.
 fn outcome(record: &Record, attempts: &[(&Request, Option<&Answered>)]) -> Shares {
@@ -64,7 +64,7 @@
     };
     let served = attempts
         .iter()
-        .filter_map(|(_, a)| a.filter(|a| matches!(a.answer, Final::Served { .. })));
+        .filter_map(|(_, a)| a.filter(|a| matches!(a.answer, FinalAnswer::Served { .. })));
     // Counted from the first request: a retry that is quick does not make the wait before it shorter.
     if let Some(at) = served.map(|a| a.at).min() {
         let objective =
@@ -83,7 +83,7 @@
         .find_map(|(_, a)| *a)
         .map(|a| a.answer)
     {
-        Some(Final::Refused { .. }) => shares.refused = weight,
+        Some(FinalAnswer::Refused { .. }) => shares.refused = weight,
         Some(_) => shares.failed = weight,
         None => shares.unanswered = weight,
     }
@@ -127,7 +127,7 @@
     }
     let windows = out
         .seconds
-        .windows(WINDOW.min(out.seconds.len()).max(1))
+        .windows(WINDOW_SECONDS.min(out.seconds.len()).max(1))
         .enumerate();
     let figure = |w: &[Shares]| {
         let mut sum = Shares::default();
--- a/rehearse/src/series.rs
+++ b/rehearse/src/series.rs
@@ -77,17 +77,17 @@
         score: f64,
     },
     /// It proves nothing, and why.
-    Nothing(String),
+    Inconclusive(String),
 }
 
 impl Verdict {
     /// The verdict on a play that ran.
     pub fn of(outcome: &Outcome) -> Self {
-        if let Err(why) = outcome.has_seen() {
-            return Verdict::Nothing(why.to_string());
+        if let Err(why) = outcome.check_conclusive() {
+            return Verdict::Inconclusive(why.to_string());
         }
         if let Some(at) = outcome.interrupted.filter(|_| outcome.breaches.is_empty()) {
-            return Verdict::Nothing(format!("ended by hand after {at:.1} s"));
+            return Verdict::Inconclusive(format!("ended by hand after {at:.1} s"));
         }
         let mut broken = BTreeMap::new();
         for breach in &outcome.breaches {
@@ -103,7 +103,7 @@
     pub fn status(&self) -> u8 {
         match self {
             Verdict::Played { broken, .. } => u8::from(!broken.is_empty()),
-            Verdict::Nothing(_) => 2,
+            Verdict::Inconclusive(_) => 2,
         }
     }
 }
@@ -112,15 +112,15 @@
 pub type Verdicts = BTreeMap<u64, Verdict>;
 
 /// Plays each job, so many at a time, in order of their beginning. `play` is called from several threads.
-pub fn all_at_once<J: Sync, R: Send>(
+pub fn run_in_parallel<J: Sync, R: Send>(
     jobs: &[J],
-    at_once: usize,
+    parallelism: usize,
     play: impl Fn(&J) -> R + Sync,
 ) -> Vec<R> {
     let next = AtomicUsize::new(0);
     let done = Mutex::new(BTreeMap::new());
     thread::scope(|scope| {
-        for _ in 0..at_once.clamp(1, jobs.len().max(1)) {
+        for _ in 0..parallelism.clamp(1, jobs.len().max(1)) {
             scope.spawn(|| loop {
                 let n = next.fetch_add(1, Ordering::Relaxed);
                 let Some(job) = jobs.get(n) else { return };
@@ -158,13 +158,13 @@
         writeln!(f, "| --- | --- | --- | --- | --- | --- |")?;
         for (name, verdicts) in &self.0 {
             let mut by_rule: BTreeMap<&str, String> = BTreeMap::new();
-            let (mut clean, mut nothing, mut least) = (0, String::new(), f64::INFINITY);
+            let (mut clean, mut inconclusive, mut lowest_score) = (0, String::new(), f64::INFINITY);
             for (seed, verdict) in verdicts {
                 match verdict {
-                    Verdict::Nothing(why) => write!(nothing, " {seed}: {why};")?,
+                    Verdict::Inconclusive(why) => write!(inconclusive, " {seed}: {why};")?,
                     Verdict::Played { broken, score } => {
                         clean += usize::from(broken.is_empty());
-                        least = least.min(*score);
+                        lowest_score = lowest_score.min(*score);
                         for (rule, times) in broken {
                             write!(by_rule.entry(rule).or_default(), " {seed} ({times})")?;
                         }
@@ -180,19 +180,19 @@
             } else {
                 broken.join("; ")
             };
-            let nothing = if nothing.is_empty() {
+            let inconclusive = if inconclusive.is_empty() {
                 "none"
             } else {
-                nothing.trim_matches([' ', ';'])
+                inconclusive.trim_matches([' ', ';'])
             };
-            let least = if least.is_finite() {
-                format!("{least:.3}")
+            let lowest_score = if lowest_score.is_finite() {
+                format!("{lowest_score:.3}")
             } else {
                 "-".to_owned()
             };
             writeln!(
                 f,
-                "| {name} | {} | {clean} | {broken} | {nothing} | {least} |",
+                "| {name} | {} | {clean} | {broken} | {inconclusive} | {lowest_score} |",
                 verdicts.len()
             )?;
         }
--- a/rehearse/src/shipped.rs
+++ b/rehearse/src/shipped.rs
@@ -26,7 +26,7 @@
 ];
 
 /// A shipped scenario by its name; none where there is no such one.
-pub fn named(name: &str) -> Option<Result<Scenario, ScenarioError>> {
+pub fn find(name: &str) -> Option<Result<Scenario, ScenarioError>> {
     SHIPPED
         .iter()
         .find(|(n, _)| *n == name)
@@ -34,9 +34,9 @@
 }
 
 /// What `run` is to play: `all` is every shipped scenario; a name is a shipped one; anything else is a file.
-pub fn chosen(asked: &[String]) -> Vec<String> {
+pub fn expand_names(names: &[String]) -> Vec<String> {
     let all = || SHIPPED.iter().map(|(n, _)| (*n).to_owned());
-    asked
+    names
         .iter()
         .flat_map(|a| {
             if a == "all" {
--- a/rehearse/src/timetable.rs
+++ b/rehearse/src/timetable.rs
@@ -11,34 +11,34 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// The proxies are told that a box drains.
-    Drain(String),
+    DrainCache(String),
     /// A box is taken down without a word.
-    Down(String),
+    StopCache(String),
     /// A box is started anew, empty and cold, and the proxies are told that it is ready since now.
-    Back(String),
+    StartCache(String),
     /// A box sends nothing for this long, in microseconds.
-    Stall(String, Micros),
+    StallCache(String, Micros),
     /// The origin is this many times as slow from now on.
-    Origin(f64),
+    SlowOrigin(f64),
     /// The event bus ends the connections of its readers.
-    CutBus,
+    CloseBusConnections,
     /// A proxy's process is killed.
-    Kill(usize),
+    KillProxy(usize),
     /// A proxy's process is told to end.
-    Term(usize),
+    TerminateProxy(usize),
     /// A proxy is started again, once its process has ended.
-    Restart(usize),
+    RestartProxy(usize),
     /// A proxy's process stands still.
-    Freeze(usize),
+    FreezeProxy(usize),
     /// It goes on.
-    Thaw(usize),
+    ThawProxy(usize),
     /// The links of these proxies with all others have these conditions from now on; only those away from them where
     /// it is one way.
-    Links(Vec<usize>, LinkConditions, bool),
+    SetLinks(Vec<usize>, LinkConditions, bool),
 }
 
 /// The uid of the box at this place; the player names boxes so.
-pub fn box_uid(n: u32) -> String {
+pub fn cache_uid(n: u32) -> String {
     format!("s-{n:08x}")
 }
 
@@ -86,12 +86,12 @@
 }
 
 /// The uids of so many boxes from the first on.
-fn boxes(count: u32, first: u32) -> impl Iterator<Item = String> + Clone {
-    (first..first + count).map(box_uid)
+fn cache_uids(count: u32, first: u32) -> impl Iterator<Item = String> + Clone {
+    (first..first + count).map(cache_uid)
 }
 
 /// So many proxies from the first on.
-fn proxies(count: u32, first: u32) -> impl Iterator<Item = usize> + Clone {
+fn proxy_indices(count: u32, first: u32) -> impl Iterator<Item = usize> + Clone {
     (first..first + count).map(|n| n as usize)
 }
 
@@ -100,38 +100,46 @@
     let period = Period::of(fault);
     match &fault.what {
         What::BoxDrains { boxes: n, first } => {
-            period.steps(boxes(*n, *first), Step::Drain, Step::Back)
+            period.steps(cache_uids(*n, *first), Step::DrainCache, Step::StartCache)
         }
         What::BoxDies { boxes: n, first } => {
-            period.steps(boxes(*n, *first), Step::Down, Step::Back)
+            period.steps(cache_uids(*n, *first), Step::StopCache, Step::StartCache)
         }
-        What::BoxStalls { boxes: n, first } => boxes(*n, *first)
-            .map(|uid| (period.at, Step::Stall(uid, micros(fault.lasts))))
+        What::BoxStalls { boxes: n, first } => cache_uids(*n, *first)
+            .map(|uid| (period.at, Step::StallCache(uid, micros(fault.lasts))))
             .collect(),
         What::SlowOrigin { times } => {
-            period.steps(std::iter::once(*times), Step::Origin, |_| Step::Origin(1.0))
-        }
-        What::BusBreaks => vec![(period.at, Step::CutBus)],
-        What::ProxyKilled { proxies: n, first } => {
-            period.steps(proxies(*n, *first), Step::Kill, Step::Restart)
-        }
-        What::ProxyStopped { proxies: n, first } => {
-            period.steps(proxies(*n, *first), Step::Term, Step::Restart)
-        }
-        What::ProxyStalled { proxies: n, first } => {
-            period.steps(proxies(*n, *first), Step::Freeze, Step::Thaw)
+            period.steps(std::iter::once(*times), Step::SlowOrigin, |_| {
+                Step::SlowOrigin(1.0)
+            })
         }
+        What::BusBreaks => vec![(period.at, Step::CloseBusConnections)],
+        What::ProxyKilled { proxies: n, first } => period.steps(
+            proxy_indices(*n, *first),
+            Step::KillProxy,
+            Step::RestartProxy,
+        ),
+        What::ProxyStopped { proxies: n, first } => period.steps(
+            proxy_indices(*n, *first),
+            Step::TerminateProxy,
+            Step::RestartProxy,
+        ),
+        What::ProxyStalled { proxies: n, first } => period.steps(
+            proxy_indices(*n, *first),
+            Step::FreezeProxy,
+            Step::ThawProxy,
+        ),
         What::Links {
             proxies: n,
             first,
             conditions,
             one_way,
         } => {
-            let which: Vec<usize> = proxies(*n, *first).collect();
+            let which: Vec<usize> = proxy_indices(*n, *first).collect();
             period.steps(
                 std::iter::once(which),
-                |which| Step::Links(which, *conditions, *one_way),
-                |which| Step::Links(which, LinkConditions::default(), *one_way),
+                |which| Step::SetLinks(which, *conditions, *one_way),
+                |which| Step::SetLinks(which, LinkConditions::default(), *one_way),
             )
         }
         What::MassPurge { .. } | What::HotObject { .. } => Vec::new(),
--- a/rehearse/tests/fake_site.rs
+++ b/rehearse/tests/fake_site.rs
@@ -5,7 +5,7 @@
 use linnetknot_rehearse::fakes::shared_link::SharedLink;
 use linnetknot_rehearse::fakes::site::{FakeSite, Fetch, Kind, NodeFigures, Out, SiteFigures};
 use linnetknot_rehearse::load::plan;
-use linnetknot_rehearse::record::Cold;
+use linnetknot_rehearse::record::ColdStart;
 use linnetknot_rehearse::scenario::Scenario;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -77,14 +77,14 @@
 
 #[test]
 fn a_cold_box_gives_its_share_and_more_as_it_warms_up() {
-    let cold = Cold {
+    let cold = ColdStart {
         uid: "a".into(),
         at: 1000,
         capacity: 8.0,
         share: 0.25,
         warm_us: 1000,
-        multiple: 2.5,
-        fall_us: 3000,
+        overload_multiple: 2.5,
+        overload_window_us: 3000,
     };
     assert_eq!(
         [0, 1000, 1500, 2000, 9000].map(|at| cold.capacity_at(at)),
@@ -394,14 +394,14 @@
     w.advance(50 * MS);
     assert_eq!(w.advance(540 * MS), []);
     assert_eq!(said(w.advance(700 * MS)), one("1", "200", "local"));
-    let cold = |uid: &str| Cold {
+    let cold = |uid: &str| ColdStart {
         uid: uid.into(),
         at: 0,
         capacity: 2.0,
         share: 0.15,
         warm_us: 13_000 * MS,
-        multiple: 2.5,
-        fall_us: 3000 * MS,
+        overload_multiple: 2.5,
+        overload_window_us: 3000 * MS,
     };
     // 2.5 x 2 x 3 s at 15% and rising is some 4 s of work: requests that are turned away count too.
     for (uid, target, source) in [("a", "a", None), ("hub", "a", Some("hub"))] {
--- a/rehearse/tests/load.rs
+++ b/rehearse/tests/load.rs
@@ -1,6 +1,6 @@
 //! Scenarios and the plans drawn from them.
 
-use linnetknot_rehearse::load::{factor, plan, Arrival, Plan, GROUPS};
+use linnetknot_rehearse::load::{load_factor, plan, Arrival, Plan, GROUP_COUNT};
 use linnetknot_rehearse::scenario::{schema, Fault, Scenario, What};
 use std::collections::BTreeMap;
 
@@ -40,10 +40,17 @@
     let scenario = evening();
     let shape = &scenario.load.shape;
     assert_eq!(
-        (factor(shape, 0.0), factor(shape, 10.0), factor(shape, 30.0)),
+        (
+            load_factor(shape, 0.0),
+            load_factor(shape, 10.0),
+            load_factor(shape, 30.0)
+        ),
         (0.4, 0.7, 1.0)
     );
-    assert_eq!((factor(shape, 90.0), factor(&[], 3.0)), (0.6, 1.0));
+    assert_eq!(
+        (load_factor(shape, 90.0), load_factor(&[], 3.0)),
+        (0.6, 1.0)
+    );
     let plan = plan(&scenario, 3);
     let within = |from: u64, to: u64| {
         plan.arrivals
@@ -109,17 +116,17 @@
     begun(0).for_each(|a| *counts.entry(a.object).or_default() += 1);
     let share = *counts.values().max().unwrap() as f64 / begun(0).count() as f64;
     assert!((0.2..0.5).contains(&share), "{share}");
-    let groups = out.purges.iter().filter(|p| p.what.is_err()).count() as f64;
+    let groups = out.purges.iter().filter(|p| p.target.is_err()).count() as f64;
     assert!(
-        (0.3..0.5).contains(&(groups / GROUPS as f64)),
-        "{groups} of {GROUPS}"
+        (0.3..0.5).contains(&(groups / GROUP_COUNT as f64)),
+        "{groups} of {GROUP_COUNT}"
     );
     assert!(out
         .purges
         .iter()
-        .filter(|p| p.what.is_err())
+        .filter(|p| p.target.is_err())
         .all(|p| p.at == 40_000_000));
-    let objects: Vec<u64> = out.purges.iter().filter_map(|p| p.what.ok()).collect();
+    let objects: Vec<u64> = out.purges.iter().filter_map(|p| p.target.ok()).collect();
     let asked = |o: &u64| out.arrivals.iter().any(|a| a.object == *o);
     assert!(
         (15..60).contains(&objects.len()) && objects.iter().all(asked),
--- a/rehearse/tests/report.rs
+++ b/rehearse/tests/report.rs
@@ -7,7 +7,7 @@
     let waits_ms = p99.map(|p99| [50.0, p99, 2.0 * p99]);
     Part {
         name: name.into(),
-        asked: 100.0,
+        offered: 100.0,
         in_time,
         late: 0.0,
         refused,
@@ -19,15 +19,15 @@
 
 fn report(in_time: f64, breaches: &[&str]) -> Report {
     Report {
-        form: 1,
+        format_version: 1,
         scenario: "evening".into(),
         seed: 7,
-        asked: 100,
+        requests: 100,
         unsent: 0,
         interrupted: None,
         lag_ms: 0.5,
-        unseen: None,
-        whole: part("all", in_time, None),
+        inconclusive: None,
+        total: part("all", in_time, None),
         classes: vec![part("photo", in_time, Some(120.0))],
         worst: Some((3, in_time / 2.0)),
         breaches: breaches
@@ -84,7 +84,7 @@
         .to_string()
         .contains("two scenarios"));
     let blind = Report {
-        unseen: Some("nothing was asked".into()),
+        inconclusive: Some("nothing was asked".into()),
         ..report(0.9, &[])
     };
     assert!(compare(&blind, &report(0.9, &[]))
--- a/rehearse/tests/rules.rs
+++ b/rehearse/tests/rules.rs
@@ -23,7 +23,7 @@
 fn request(id: &str, class: usize, at: Micros) -> Request {
     let key = (class == 1).then(|| format!("key-{id}"));
     let (id, object) = (id.to_owned(), "o".to_owned());
-    let (first, work_us, until) = (id.clone(), 50 * MS, at + 2 * S);
+    let (first, work_us, deadline) = (id.clone(), 50 * MS, at + 2 * S);
     Request {
         id,
         first,
@@ -35,7 +35,7 @@
         work_us,
         due: at,
         at,
-        until,
+        deadline,
         released: None,
     }
 }
@@ -58,7 +58,7 @@
     Answered {
         id: id.into(),
         at,
-        answer: Final::Served {
+        answer: FinalAnswer::Served {
             made: Some(made),
             intact: true,
         },
@@ -92,13 +92,13 @@
             Answered {
                 id: "c1".into(),
                 at: 30 * S + MS,
-                answer: Final::Refused { advised: true },
+                answer: FinalAnswer::Refused { advised: true },
             },
             served("c2", 31 * S + 90 * MS, 30 * S),
             Answered {
                 id: "d".into(),
                 at: 41 * S,
-                answer: Final::Failed,
+                answer: FinalAnswer::Failed,
             },
         ],
         attempts: vec![
@@ -110,7 +110,7 @@
             attempt("d", "origin", 40 * S + 20 * MS, 10 * MS, Ended::Ran),
         ],
         notices: vec![
-            notice(25 * S, NoticeKind::Out("box-1".into())),
+            notice(25 * S, NoticeKind::OutOfService("box-1".into())),
             notice(
                 29 * S,
                 NoticeKind::Purged {
@@ -120,14 +120,14 @@
                 },
             ),
         ],
-        cold: vec![Cold {
+        cold_starts: vec![ColdStart {
             uid: "box-2".into(),
             at: 30 * S,
             capacity: 8.0,
             share: 0.15,
             warm_us: 13 * S,
-            multiple: 2.5,
-            fall_us: 3 * S,
+            overload_multiple: 2.5,
+            overload_window_us: 3 * S,
         }],
     }
 }
@@ -149,13 +149,13 @@
         r.answered.push(served("nobody's", 11 * S, 9 * S));
     }),
     ("whole bytes", |r| {
-        r.answered[0].answer = Final::Served {
+        r.answered[0].answer = FinalAnswer::Served {
             made: Some(9 * S),
             intact: false,
         }
     }),
     ("advice", |r| {
-        r.answered[2].answer = Final::Refused { advised: false }
+        r.answered[2].answer = FinalAnswer::Refused { advised: false }
     }),
     ("one out", |r| {
         r.attempts[1].ended = Some((20 * S + 250 * MS, Ended::GivenUp));
@@ -181,8 +181,10 @@
     ("drains", |r| r.attempts[3].source = Some("box-1".into())),
     // A second word does not begin the grace anew.
     ("drains", |r| {
-        r.notices
-            .push(notice(30 * S + 900 * MS, NoticeKind::Out("box-1".into())));
+        r.notices.push(notice(
+            30 * S + 900 * MS,
+            NoticeKind::OutOfService("box-1".into()),
+        ));
         r.attempts[3].target = "box-1".into();
     }),
     ("cold boxes", |r| {
@@ -202,14 +204,14 @@
 /// for good, they were not.
 #[test]
 fn attempts_that_overlap_by_less_than_the_rehearsal_was_late_are_no_breach() {
-    let with = |late_us: u64, ended: &dyn Fn(u64) -> Option<(u64, Ended)>| {
+    let with = |tolerance_us: u64, ended: &dyn Fn(u64) -> Option<(u64, Ended)>| {
         let mut record = sound();
         let next = record.attempts[2].at;
         record.attempts[1].ended = ended(next);
         judge(
             &record,
             &Limits {
-                late_us,
+                tolerance_us,
                 ..Limits::default()
             },
         )
@@ -220,13 +222,13 @@
     assert!(!with(4 * MS, &by(4 * MS)) && with(4 * MS, &by(4 * MS + 1)) && with(0, &by(1)));
     assert!(with(50 * MS, &|_| None), "one that never ended");
     // So it is with an answer that was read a moment after its client gave up.
-    let answered = |late_us, after: u64| {
+    let answered = |tolerance_us, after: u64| {
         let mut record = sound();
-        record.answered[0].at = record.requests[0].until + after;
+        record.answered[0].at = record.requests[0].deadline + after;
         judge(
             &record,
             &Limits {
-                late_us,
+                tolerance_us,
                 ..Limits::default()
             },
         )
@@ -275,7 +277,7 @@
     let mut record = sound();
     // Sent 1 s after word of the drain, and 300 ms after word of a purge.
     record.notices = vec![
-        notice(9 * S, NoticeKind::Out("box-1".into())),
+        notice(9 * S, NoticeKind::OutOfService("box-1".into())),
         notice(
             10 * S - 350 * MS,
             NoticeKind::Purged {
@@ -285,7 +287,7 @@
             },
         ),
     ];
-    record.cold.clear();
+    record.cold_starts.clear();
     assert_eq!(broken(&record), []);
     // One ms more, and both are.
     record.notices.iter_mut().for_each(|t| t.at -= 51 * MS);
@@ -395,7 +397,7 @@
     record.answered.push(Answered {
         id: "again".into(),
         at: 300 * S,
-        answer: Final::Refused { advised: true },
+        answer: FinalAnswer::Refused { advised: true },
     });
     record
         .answered
@@ -403,24 +405,31 @@
     let w = class_of(&record, 0);
     assert_eq!((w.requests, w.served), (103, 102));
     assert!(
-        near(w.p50, 20) && near(w.p90, 20) && near(w.p99, 1500) && near(w.most, 2020),
+        near(w.p50, 20) && near(w.p90, 20) && near(w.p99, 1500) && near(w.max, 2020),
         "{w:?}"
     );
 }
 
 #[test]
 fn what_a_cold_box_can_do_is_the_area_under_its_line() {
-    let c = Cold {
+    let c = ColdStart {
         uid: "a".into(),
         at: 100,
         capacity: 2.0,
         share: 0.2,
         warm_us: 1000,
-        multiple: 1.0,
-        fall_us: 100,
+        overload_multiple: 1.0,
+        overload_window_us: 100,
     };
-    assert!((c.able(100, 1100) - 2.0 * 600.0).abs() < 1e-6);
-    assert!((c.able(1100, 1200) - 200.0).abs() < 1e-6, "warm");
-    assert!((c.able(100, 101) - 0.4).abs() < 0.01);
-    assert_eq!(c.able(0, 100), 0.0, "before its start it can do nothing");
+    assert!((c.work_capacity_us(100, 1100) - 2.0 * 600.0).abs() < 1e-6);
+    assert!(
+        (c.work_capacity_us(1100, 1200) - 200.0).abs() < 1e-6,
+        "warm"
+    );
+    assert!((c.work_capacity_us(100, 101) - 0.4).abs() < 0.01);
+    assert_eq!(
+        c.work_capacity_us(0, 100),
+        0.0,
+        "before its start it can do nothing"
+    );
 }
--- a/rehearse/tests/series.rs
+++ b/rehearse/tests/series.rs
@@ -1,7 +1,7 @@
 //! Plays over many seeds, and the shipped scenarios by name.
 
-use linnetknot_rehearse::series::{all_at_once, Seeds, Summary, Verdict, Verdicts};
-use linnetknot_rehearse::shipped::{chosen, named, SHIPPED};
+use linnetknot_rehearse::series::{run_in_parallel, Seeds, Summary, Verdict, Verdicts};
+use linnetknot_rehearse::shipped::{expand_names, find, SHIPPED};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 fn played(broken: &[(&'static str, usize)], score: f64) -> Verdict {
@@ -44,7 +44,7 @@
         text.contains("| storm | 2 | 1 | drains: 2 (1); purges: 2 (3) | none | 0.700 |"),
         "{text}"
     );
-    all.insert(3, Verdict::Nothing("no daemon".into()));
+    all.insert(3, Verdict::Inconclusive("no daemon".into()));
     let worse = Summary(vec![("storm".into(), all)]);
     assert_eq!(worse.status(), 2);
     assert!(worse.to_string().contains("| 3: no daemon |"), "{worse}");
@@ -61,7 +61,7 @@
     let (running, most) = (AtomicUsize::new(0), AtomicUsize::new(0));
     let meet = std::sync::Barrier::new(3);
     let jobs: Vec<u64> = (0..9).collect();
-    let doubled = all_at_once(&jobs, 3, |n| {
+    let doubled = run_in_parallel(&jobs, 3, |n| {
         let now = running.fetch_add(1, Ordering::SeqCst) + 1;
         most.fetch_max(now, Ordering::SeqCst);
         // Three must be there together, or this never ends.
@@ -75,20 +75,20 @@
         "in the jobs' order"
     );
     assert_eq!(most.load(Ordering::SeqCst), 3);
-    assert!(all_at_once(&Vec::<u64>::new(), 3, |n| *n).is_empty());
+    assert!(run_in_parallel(&Vec::<u64>::new(), 3, |n| *n).is_empty());
 }
 
 #[test]
 fn all_is_every_shipped_scenario_in_order_and_a_name_is_found() {
-    let chosen = chosen(&["x.json".into(), "all".into()]);
+    let chosen = expand_names(&["x.json".into(), "all".into()]);
     assert_eq!(chosen.len(), 1 + SHIPPED.len());
     assert_eq!(
         (chosen[0].as_str(), chosen[1].as_str(), chosen[8].as_str()),
         ("x.json", "calm", "rolling-restart")
     );
     assert_eq!(
-        named("half-crash").and_then(|read| Some(read.ok()?.proxies)),
+        find("half-crash").and_then(|read| Some(read.ok()?.proxies)),
         Some(3)
     );
-    assert!(named("meteor").is_none());
+    assert!(find("meteor").is_none());
 }
--- a/rehearse/tests/timetable.rs
+++ b/rehearse/tests/timetable.rs
@@ -2,7 +2,7 @@
 
 use linnetknot_harness::links::LinkConditions;
 use linnetknot_rehearse::scenario::{Fault, Scenario, What};
-use linnetknot_rehearse::timetable::{box_uid, timetable, Step};
+use linnetknot_rehearse::timetable::{cache_uid, timetable, Step};
 
 fn with(faults: Vec<Fault>) -> Scenario {
     let text = include_str!("../scenarios/chuseok-evening.json");
@@ -71,30 +71,33 @@
 #[test]
 fn faults_become_steps_in_the_order_of_time() {
     let steps = timetable(&with(faults()));
-    let (a, b) = (box_uid(0), box_uid(1));
+    let (a, b) = (cache_uid(0), cache_uid(1));
     assert_eq!(
         steps,
         [
-            (2_000_000, Step::Drain(box_uid(3))),
-            (3_000_000, Step::Stall(box_uid(11), 2_000_000)),
-            (10_000_000, Step::Down(a.clone())),
-            (10_000_000, Step::Down(b.clone())),
-            (12_000_000, Step::Origin(4.0)),
-            (13_500_000, Step::Origin(1.0)),
-            (15_000_000, Step::Back(a)),
-            (15_000_000, Step::Back(b)),
-            (15_000_000, Step::CutBus),
-            (16_000_000, Step::Kill(1)),
-            (16_000_000, Step::Kill(2)),
-            (17_000_000, Step::Term(0)),
-            (18_000_000, Step::Restart(1)),
-            (18_000_000, Step::Restart(2)),
-            (20_000_000, Step::Freeze(2)),
-            (21_000_000, Step::Links(vec![0], LinkConditions::CUT, true)),
-            (22_000_000, Step::Thaw(2)),
+            (2_000_000, Step::DrainCache(cache_uid(3))),
+            (3_000_000, Step::StallCache(cache_uid(11), 2_000_000)),
+            (10_000_000, Step::StopCache(a.clone())),
+            (10_000_000, Step::StopCache(b.clone())),
+            (12_000_000, Step::SlowOrigin(4.0)),
+            (13_500_000, Step::SlowOrigin(1.0)),
+            (15_000_000, Step::StartCache(a)),
+            (15_000_000, Step::StartCache(b)),
+            (15_000_000, Step::CloseBusConnections),
+            (16_000_000, Step::KillProxy(1)),
+            (16_000_000, Step::KillProxy(2)),
+            (17_000_000, Step::TerminateProxy(0)),
+            (18_000_000, Step::RestartProxy(1)),
+            (18_000_000, Step::RestartProxy(2)),
+            (20_000_000, Step::FreezeProxy(2)),
+            (
+                21_000_000,
+                Step::SetLinks(vec![0], LinkConditions::CUT, true)
+            ),
+            (22_000_000, Step::ThawProxy(2)),
             (
                 24_000_000,
-                Step::Links(vec![0], LinkConditions::default(), true)
+                Step::SetLinks(vec![0], LinkConditions::default(), true)
             ),
         ]
     );
