--- a/daemon/tests/fault_matrix.rs
+++ b/daemon/tests/fault_matrix.rs
@@ -1,7 +1,7 @@
 //! Faults at points of a commit, on processes: a slice of the matrix that `linnetknot-rehearse fault-matrix` plays at length,
 //! and the faults that it must find where they are planted.
 
-use linnetknot_rehearse::fault_matrix::{cases, play, Case, Matrix, FAULT_POINTS, PLANTS};
+use linnetknot_rehearse::fault_matrix::{cases, play, Case, Matrix, DEFECTS, FAULT_POINTS};
 use linnetknot_rehearse::series::run_in_parallel;
 use std::path::Path;
 
@@ -26,12 +26,12 @@
 /// Each planted fault is named by its rule at a point that shows it.
 #[test]
 fn planted_faults_are_found() {
-    for ((plant, point), rule) in PLANTS
+    for ((defect, point), rule) in DEFECTS
         .into_iter()
         .zip(["writer-cut", "holder-cut", "successor"])
         .zip(["promises", "promises", "fence"])
     {
-        let name = plant.name;
+        let name = defect.name;
         let at = FAULT_POINTS
             .iter()
             .position(|entry| entry.name == point)
@@ -41,7 +41,7 @@
             seed: 300,
             ..cases(2 * FAULT_POINTS.len(), 0)[FAULT_POINTS.len() + at]
         };
-        let matrix = played(&[case], plant.armed);
+        let matrix = played(&[case], defect.fail_points);
         assert_eq!(matrix.status(), 1, "{name}: {matrix}\n{:#?}", matrix.notes);
         assert!(
             matrix
--- a/rehearse/src/bin/linnetknot-rehearse/error.rs
+++ b/rehearse/src/bin/linnetknot-rehearse/error.rs
@@ -41,5 +41,5 @@
     WriteFile { file: PathBuf, error: io::Error },
     /// There is no such fault to plant.
     #[error("there is no fault '{0}' to plant")]
-    UnknownPlant(String),
+    UnknownDefect(String),
 }
--- a/rehearse/src/bin/linnetknot-rehearse/fault_matrix.rs
+++ b/rehearse/src/bin/linnetknot-rehearse/fault_matrix.rs
@@ -1,7 +1,7 @@
 //! Plays the fault matrix.
 
 use crate::arguments::MatrixArguments;
-use crate::beside;
+use crate::daemon_path;
 use crate::error::CommandError;
 use crate::output::{is_stopped, print};
 use linnetknot_rehearse::fault_matrix;
@@ -10,17 +10,19 @@
 use std::process::ExitCode;
 
 /// The fail points that plant a fault in all daemons; none where none is asked for.
-fn planted(name: Option<&str>) -> Result<&'static str, CommandError> {
+fn defect_fail_points(name: Option<&str>) -> Result<&'static str, CommandError> {
     let Some(name) = name else { return Ok("") };
-    let plant = fault_matrix::PLANTS.iter().find(|plant| plant.name == name);
-    let plant = plant.ok_or_else(|| CommandError::UnknownPlant(name.to_owned()))?;
-    Ok(plant.armed)
+    let defect = fault_matrix::DEFECTS
+        .iter()
+        .find(|defect| defect.name == name);
+    let defect = defect.ok_or_else(|| CommandError::UnknownDefect(name.to_owned()))?;
+    Ok(defect.fail_points)
 }
 
 /// Plays the fault matrix; the exit status is that of the matrix.
 pub(crate) fn run(arguments: MatrixArguments) -> Result<ExitCode, CommandError> {
-    let planted = planted(arguments.plant.as_deref())?;
-    let daemon = beside(arguments.daemon);
+    let planted = defect_fail_points(arguments.plant.as_deref())?;
+    let daemon = daemon_path(arguments.daemon);
     let cases = fault_matrix::cases(arguments.plays as usize, arguments.seed);
     let plays = run_in_parallel(&cases, arguments.jobs.into(), |case| match is_stopped() {
         true => Err(io::Error::other("not played: ended by hand")),
--- a/rehearse/src/bin/linnetknot-rehearse/main.rs
+++ b/rehearse/src/bin/linnetknot-rehearse/main.rs
@@ -19,12 +19,12 @@
 use std::process::ExitCode;
 
 /// The exit status where a rule was broken.
-const BROKEN: u8 = 1;
+const RULE_BROKEN: u8 = 1;
 /// The exit status where nothing could be played.
 const NOT_PLAYED: u8 = 2;
 
 /// The daemon that is named, or the one beside this program.
-fn beside(daemon: Option<PathBuf>) -> PathBuf {
+fn daemon_path(daemon: Option<PathBuf>) -> PathBuf {
     let own = || {
         std::env::current_exe()
             .map(|own| own.with_file_name("linnetknot"))
@@ -35,7 +35,7 @@
 
 /// Plays a purge by CDNI, a drain under redirected requests and a planned end.
 fn run_built_in(daemon: Option<PathBuf>) -> ExitCode {
-    let daemon = beside(daemon);
+    let daemon = daemon_path(daemon);
     match linnetknot_rehearse::rehearse(&daemon, None) {
         Err(e) => {
             eprintln!(
@@ -46,16 +46,16 @@
         }
         Ok(report) => {
             print!("{report}");
-            status_of(report.breaches.is_empty())
+            exit_code(report.breaches.is_empty())
         }
     }
 }
 
 /// The exit status of what was played.
-fn status_of(is_sound: bool) -> ExitCode {
-    match is_sound {
+fn exit_code(is_clean: bool) -> ExitCode {
+    match is_clean {
         true => ExitCode::SUCCESS,
-        false => ExitCode::from(BROKEN),
+        false => ExitCode::from(RULE_BROKEN),
     }
 }
 
@@ -72,10 +72,10 @@
 }
 
 /// Puts two results side by side.
-fn side_by_side(a: &Path, b: &Path) -> Result<ExitCode, CommandError> {
+fn compare_files(a: &Path, b: &Path) -> Result<ExitCode, CommandError> {
     let (a, b) = (read_report(a)?, read_report(b)?);
     print(&compare(&a, &b)?);
-    Ok(status_of(b.breaches.is_empty()))
+    Ok(exit_code(b.breaches.is_empty()))
 }
 
 /// Does what the command line asks for.
@@ -92,7 +92,7 @@
         Some(Command::ScaleDaemons(arguments)) => Ok(scale::daemons::command::run(&arguments)),
         Some(Command::List) => Ok(scenarios::list()),
         Some(Command::Play(arguments)) => Ok(scenarios::play_file(arguments)),
-        Some(Command::Compare { a, b }) => side_by_side(&a, &b),
+        Some(Command::Compare { a, b }) => compare_files(&a, &b),
         Some(Command::Check { files }) => Ok(scenarios::check(&files)),
         Some(Command::Plan { file, seed }) => scenarios::show_plan(&file, seed),
         Some(Command::Schema) => {
--- a/rehearse/src/bin/linnetknot-rehearse/scenarios.rs
+++ b/rehearse/src/bin/linnetknot-rehearse/scenarios.rs
@@ -3,7 +3,7 @@
 use crate::arguments::{PlayArguments, RunArguments};
 use crate::error::CommandError;
 use crate::output::{is_stopped, print, STOP};
-use crate::{beside, tables, NOT_PLAYED};
+use crate::{daemon_path, tables, NOT_PLAYED};
 use indicatif::{ProgressBar, ProgressStyle};
 use linnetknot_rehearse::load::plan;
 use linnetknot_rehearse::player::{self, Outcome, PlayControl};
@@ -42,7 +42,7 @@
 }
 
 /// Plays one scenario of a series with one seed.
-fn play_of_series(
+fn play_seed(
     name: &str,
     seed: u64,
     time_scale: f64,
@@ -63,31 +63,31 @@
 
 /// Plays the chosen scenarios with all of these seeds; the exit status is the worst of theirs.
 pub(crate) fn run_series(arguments: &RunArguments, seeds: &Seeds) -> ExitCode {
-    let daemon = beside(arguments.daemon.clone());
+    let daemon = daemon_path(arguments.daemon.clone());
     let all = ["all".to_owned()];
-    let chosen = shipped::expand_names(match arguments.scenarios.is_empty() {
+    let names = shipped::expand_names(match arguments.scenarios.is_empty() {
         true => &all,
         false => &arguments.scenarios,
     });
-    let plays: Vec<(usize, u64)> = (0..chosen.len())
+    let plays: Vec<(usize, u64)> = (0..names.len())
         .flat_map(|n| seeds.0.clone().map(move |seed| (n, seed)))
         .collect();
     let verdicts = run_in_parallel(&plays, arguments.jobs.into(), |(n, seed)| {
         if is_stopped() {
             return Verdict::Inconclusive("not played: ended by hand".into());
         }
-        let name = &chosen[*n];
-        match play_of_series(name, *seed, arguments.time_scale, &daemon) {
+        let name = &names[*n];
+        match play_seed(name, *seed, arguments.time_scale, &daemon) {
             Ok(outcome) => {
                 for breach in outcome.breaches.iter().take(MAX_SHOWN_BREACHES) {
                     eprintln!("{name} seed {seed}: BREACH {breach}");
                 }
                 Verdict::of(&outcome)
             }
-            Err(why) => Verdict::Inconclusive(why.to_string()),
+            Err(reason) => Verdict::Inconclusive(reason.to_string()),
         }
     });
-    let rows = chosen.into_iter().map(|name| (name, Default::default()));
+    let rows = names.into_iter().map(|name| (name, Default::default()));
     let mut summary = Summary(rows.collect());
     for ((n, seed), verdict) in plays.into_iter().zip(verdicts) {
         summary.0[n].1.insert(seed, verdict);
@@ -98,15 +98,15 @@
 
 /// Plays the chosen scenarios in turn; the exit status is the worst of theirs.
 pub(crate) fn run_all(arguments: &RunArguments) -> ExitCode {
-    let chosen = shipped::expand_names(&arguments.scenarios);
-    let daemon = beside(arguments.daemon.clone());
+    let names = shipped::expand_names(&arguments.scenarios);
+    let daemon = daemon_path(arguments.daemon.clone());
     let mut worst = 0;
-    for name in &chosen {
+    for name in &names {
         if is_stopped() {
             eprintln!("ended by hand: {name} and those after it are not played");
             return ExitCode::from(worst.max(NOT_PLAYED));
         }
-        let json = match (&arguments.json, chosen.len()) {
+        let json = match (&arguments.json, names.len()) {
             (Some(file), 2..) => Some(result_file(file, name)),
             (file, _) => file.clone(),
         };
@@ -130,7 +130,7 @@
 
 /// Plays a scenario file.
 pub(crate) fn play_file(arguments: PlayArguments) -> ExitCode {
-    let daemon = beside(arguments.daemon);
+    let daemon = daemon_path(arguments.daemon);
     let played = read(&arguments.file).and_then(|scenario| {
         play(
             &scenario,
@@ -151,8 +151,8 @@
         }
         Ok(verdict) => {
             // What was broken before an end by hand stands; what was not seen, nobody knows.
-            if let Verdict::Inconclusive(why) = &verdict {
-                eprintln!("the rehearsal proves nothing: {why}");
+            if let Verdict::Inconclusive(reason) = &verdict {
+                eprintln!("the rehearsal proves nothing: {reason}");
             }
             verdict.status()
         }
--- a/rehearse/src/fakes/cache_memory.rs
+++ b/rehearse/src/fakes/cache_memory.rs
@@ -8,10 +8,10 @@
 pub type Part = (u64, u64);
 
 #[derive(Clone, Debug)]
-struct Copy {
+struct CachedCopy {
     size: u64,
     rank: u8,
-    used: u64,
+    last_used: u64,
     made: Micros,
     group: u64,
 }
@@ -21,10 +21,10 @@
 pub struct CacheMemory {
     capacity_kb: u64,
     used_kb: u64,
-    copies: HashMap<Part, Copy>,
+    copies: HashMap<Part, CachedCopy>,
     /// By rank and last use: who goes first.
-    order: BTreeMap<(u8, u64), Part>,
-    uses: u64,
+    eviction_order: BTreeMap<(u8, u64), Part>,
+    use_count: u64,
 }
 
 impl CacheMemory {
@@ -34,8 +34,8 @@
             capacity_kb,
             used_kb: 0,
             copies: HashMap::new(),
-            order: BTreeMap::new(),
-            uses: 0,
+            eviction_order: BTreeMap::new(),
+            use_count: 0,
         }
     }
 
@@ -45,49 +45,53 @@
     }
 
     /// When the copy of a part was made, if there is one that will do. A use sets its rank anew; rank 0 leaves it.
-    pub fn get(&mut self, part: Part, oldest: Micros, rank: u8) -> Option<Micros> {
-        let copy = self.copies.get_mut(&part).filter(|c| c.made >= oldest)?;
-        self.uses += 1;
-        self.order.remove(&(copy.rank, copy.used));
-        copy.used = self.uses;
+    pub fn get(&mut self, part: Part, min_made: Micros, rank: u8) -> Option<Micros> {
+        let copy = self.copies.get_mut(&part).filter(|c| c.made >= min_made)?;
+        self.use_count += 1;
+        self.eviction_order.remove(&(copy.rank, copy.last_used));
+        copy.last_used = self.use_count;
         copy.rank = if rank == 0 { copy.rank } else { rank };
-        self.order.insert((copy.rank, copy.used), part);
+        self.eviction_order
+            .insert((copy.rank, copy.last_used), part);
         Some(copy.made)
     }
 
     /// Keeps a copy in place of an older one; false where only copies of a higher rank would have to go for it.
-    pub fn keep(&mut self, part: Part, group: u64, size: u64, made: Micros, rank: u8) -> bool {
+    pub fn insert(&mut self, part: Part, group: u64, size: u64, made: Micros, rank: u8) -> bool {
         if rank == 0
             || size > self.capacity_kb
             || self.copies.get(&part).is_some_and(|c| c.made > made)
         {
             return false;
         }
-        let own = self.copies.get(&part).map_or(0, |c| c.size);
+        let replaced_size = self.copies.get(&part).map_or(0, |c| c.size);
         // Looked through before anything goes: a copy that is not kept in the end must cost nobody else.
-        let mut free = self.capacity_kb - self.used_kb + own;
-        let mut leave = Vec::new();
-        for ((other, _), victim) in &self.order {
+        let mut free = self.capacity_kb - self.used_kb + replaced_size;
+        let mut evicted = Vec::new();
+        for ((other, _), victim) in &self.eviction_order {
             if free >= size || *other > rank {
                 break;
             }
             if *victim != part {
                 free += self.copies.get(victim).map_or(0, |c| c.size);
-                leave.push(*victim);
+                evicted.push(*victim);
             }
         }
         if free < size {
             return false;
         }
-        leave.into_iter().chain([part]).for_each(|p| self.drop(p));
-        self.uses += 1;
-        self.order.insert((rank, self.uses), part);
+        evicted
+            .into_iter()
+            .chain([part])
+            .for_each(|p| self.remove_copy(p));
+        self.use_count += 1;
+        self.eviction_order.insert((rank, self.use_count), part);
         self.copies.insert(
             part,
-            Copy {
+            CachedCopy {
                 size,
                 rank,
-                used: self.uses,
+                last_used: self.use_count,
                 made,
                 group,
             },
@@ -97,19 +101,20 @@
     }
 
     /// Drops the copies of an object, or else of a group, that are older than a purge. Gives their number.
-    pub fn purge(&mut self, what: Result<u64, u64>, at: Micros) -> usize {
-        let struck = |(part, c): (&Part, &Copy)| {
-            let meant = what.map_or_else(|group| c.group == group, |object| part.0 == object);
-            (meant && c.made < at).then_some(*part)
+    pub fn purge(&mut self, target: Result<u64, u64>, at: Micros) -> usize {
+        let purged = |(part, c): (&Part, &CachedCopy)| {
+            let is_targeted =
+                target.map_or_else(|group| c.group == group, |object| part.0 == object);
+            (is_targeted && c.made < at).then_some(*part)
         };
-        let struck: Vec<Part> = self.copies.iter().filter_map(struck).collect();
-        struck.iter().for_each(|part| self.drop(*part));
-        struck.len()
+        let purged: Vec<Part> = self.copies.iter().filter_map(purged).collect();
+        purged.iter().for_each(|part| self.remove_copy(*part));
+        purged.len()
     }
 
-    fn drop(&mut self, part: Part) {
+    fn remove_copy(&mut self, part: Part) {
         if let Some(copy) = self.copies.remove(&part) {
-            self.order.remove(&(copy.rank, copy.used));
+            self.eviction_order.remove(&(copy.rank, copy.last_used));
             self.used_kb -= copy.size;
         }
     }
--- a/rehearse/src/fakes/shared_link.rs
+++ b/rehearse/src/fakes/shared_link.rs
@@ -6,7 +6,7 @@
 
 /// A link.
 ///
-/// What one transfer was given is the same for all that are on it, so a single figure, `given`, grows with time, and a
+/// What one transfer was given is the same for all that are on it, so a single figure, `progress_us`, grows with time, and a
 /// transfer ends when the figure has grown by its work. Each step costs the logarithm of the transfers, not their
 /// number.
 #[derive(Clone, Debug)]
@@ -14,13 +14,13 @@
     /// In transfers at full pace.
     capacity: f64,
     /// What a transfer that was there all along has been given, in microseconds at full pace.
-    given: f64,
-    at: Micros,
+    progress_us: f64,
+    updated_at: Micros,
     /// By the figure at which each ends, and by the order in which they came. The bits of a positive float order as
     /// it does.
     ends: BTreeMap<(u64, u64), u64>,
     positions: HashMap<u64, (u64, u64)>,
-    next: u64,
+    sequence: u64,
 }
 
 impl SharedLink {
@@ -29,11 +29,11 @@
         let (ends, positions) = Default::default();
         SharedLink {
             capacity: capacity.max(1e-6),
-            given: 0.0,
-            at: 0,
+            progress_us: 0.0,
+            updated_at: 0,
             ends,
             positions,
-            next: 0,
+            sequence: 0,
         }
     }
 
@@ -48,7 +48,7 @@
     }
 
     /// Pace of each transfer: 1 is full.
-    fn pace(&self) -> f64 {
+    fn rate(&self) -> f64 {
         (self.capacity / self.ends.len().max(1) as f64).min(1.0)
     }
 
@@ -57,30 +57,30 @@
         let mut ended = Vec::new();
         while let Some((&position, &id)) = self.ends.first_key_value() {
             // Each end makes the others faster, so they are taken one by one.
-            let wait = (f64::from_bits(position.0) - self.given).max(0.0) / self.pace();
-            let end = self.at as f64 + wait;
+            let wait = (f64::from_bits(position.0) - self.progress_us).max(0.0) / self.rate();
+            let end = self.updated_at as f64 + wait;
             if end > now as f64 {
                 break;
             }
-            self.given = self.given.max(f64::from_bits(position.0));
-            self.at = (end as Micros).max(self.at);
+            self.progress_us = self.progress_us.max(f64::from_bits(position.0));
+            self.updated_at = (end as Micros).max(self.updated_at);
             self.ends.remove(&position);
             self.positions.remove(&id);
-            ended.push((id, self.at));
+            ended.push((id, self.updated_at));
         }
-        if now > self.at {
+        if now > self.updated_at {
             if !self.ends.is_empty() {
-                self.given += (now - self.at) as f64 * self.pace();
+                self.progress_us += (now - self.updated_at) as f64 * self.rate();
             }
-            self.at = now;
+            self.updated_at = now;
         }
         ended
     }
 
     /// Begins a transfer of so many microseconds at full pace. `advance` must have been called up to now.
     pub fn begin(&mut self, id: u64, work_us: Micros) {
-        self.next += 1;
-        let position = ((self.given + work_us as f64).to_bits(), self.next);
+        self.sequence += 1;
+        let position = ((self.progress_us + work_us as f64).to_bits(), self.sequence);
         if let Some(old) = self.positions.insert(id, position) {
             self.ends.remove(&old);
         }
@@ -88,21 +88,21 @@
     }
 
     /// Calls a transfer off: its share is the others'.
-    pub fn call_off(&mut self, id: u64) -> bool {
+    pub fn cancel(&mut self, id: u64) -> bool {
         self.positions
             .remove(&id)
             .is_some_and(|position| self.ends.remove(&position).is_some())
     }
 
     /// Another capacity, from here on: a box that is cold, or warms up.
-    pub fn change(&mut self, capacity: f64) {
+    pub fn set_capacity(&mut self, capacity: f64) {
         self.capacity = capacity.max(1e-6);
     }
 
     /// When the next transfer ends, if nothing changes.
     pub fn next_due(&self) -> Option<Micros> {
         let (position, _) = self.ends.first_key_value()?;
-        let wait = (f64::from_bits(position.0) - self.given).max(0.0) / self.pace();
-        Some(self.at + wait.ceil() as Micros)
+        let wait = (f64::from_bits(position.0) - self.progress_us).max(0.0) / self.rate();
+        Some(self.updated_at + wait.ceil() as Micros)
     }
 }
--- a/rehearse/src/fakes/site/fills.rs
+++ b/rehearse/src/fakes/site/fills.rs
@@ -1,7 +1,7 @@
 //! How a node begins a request: from its memory, by a fill from a source, or as a write at the origin.
 
 use super::timers::Timer;
-use super::{FakeSite, Fetch, Filling, Kind, Out, Phase};
+use super::{FakeSite, Fetch, FillInProgress, NodeKind, Phase, SiteOutput};
 use crate::fakes::cache_memory::Part;
 use crate::record::Micros;
 
@@ -17,7 +17,13 @@
 
 impl FakeSite {
     /// Begins a request that has got a slot.
-    pub(super) fn begin(&mut self, now: Micros, uid: &str, request: u64, out: &mut Vec<Out>) {
+    pub(super) fn begin(
+        &mut self,
+        now: Micros,
+        uid: &str,
+        request: u64,
+        out: &mut Vec<SiteOutput>,
+    ) {
         let Some(node) = self.nodes.get_mut(uid) else {
             return;
         };
@@ -31,8 +37,10 @@
         }
         let oldest = now.saturating_sub(fetch.max_age_us);
         let made = match node.kind {
-            Kind::Origin => Some(now),
-            Kind::Box | Kind::Hub => node.memory.get(fetch.part, oldest, fetch.keep),
+            NodeKind::Origin => Some(now),
+            NodeKind::EdgeCache | NodeKind::ParentCache => {
+                node.memory.get(fetch.part, oldest, fetch.rank)
+            }
         };
         if let Some(made) = made {
             open.phase = Phase::Sending {
@@ -50,14 +58,14 @@
     }
 
     /// Runs a write at the origin; no other node takes one.
-    fn begin_write(&mut self, now: Micros, uid: &str, request: u64, out: &mut Vec<Out>) {
+    fn begin_write(&mut self, now: Micros, uid: &str, request: u64, out: &mut Vec<SiteOutput>) {
         if self
             .nodes
             .get(uid)
-            .is_some_and(|node| node.kind == Kind::Origin)
+            .is_some_and(|node| node.kind == NodeKind::Origin)
         {
-            let took = self.ask_origin(now);
-            return self.at(now + took, Timer::Written(uid.to_owned(), request));
+            let took = self.begin_origin_request(now);
+            return self.schedule(now + took, Timer::WriteDone(uid.to_owned(), request));
         }
         self.reject(now, uid, request, "404", "", out);
     }
@@ -69,7 +77,7 @@
         uid: &str,
         request: u64,
         fetch: &Fetch,
-        out: &mut Vec<Out>,
+        out: &mut Vec<SiteOutput>,
     ) {
         let Some(node) = self.nodes.get_mut(uid) else {
             return;
@@ -82,8 +90,8 @@
             return self.reject(now, uid, request, "404", "rode", out);
         }
         fill.waiters.push(request);
-        fill.fetch.keep = fill.fetch.keep.max(fetch.keep);
-        let (made, is_sending) = (fill.made, self.inward_fills.contains_key(&fill.number));
+        fill.fetch.rank = fill.fetch.rank.max(fetch.rank);
+        let (made, is_sending) = (fill.made, self.fills_on_link.contains_key(&fill.number));
         if let Some(open) = node.open.get_mut(&request).filter(|_| is_sending) {
             // It has begun to come: this one is sent it from here on.
             open.phase = Phase::Sending {
@@ -102,7 +110,7 @@
         uid: &str,
         request: u64,
         fetch: Fetch,
-        out: &mut Vec<Out>,
+        out: &mut Vec<SiteOutput>,
     ) {
         let Some(node) = self.nodes.get(uid) else {
             return;
@@ -113,55 +121,62 @@
         let Some(source) = fetch.source.clone() else {
             return self.reject(now, uid, request, "404", "", out);
         };
-        if node.filling.len() >= node.figures.fills {
+        if node.filling.len() >= node.parameters.fills {
             return self.reject(now, uid, request, "503", "no_place", out);
         }
-        let timeout = node.figures.fill_timeout_us;
+        let timeout = node.parameters.fill_timeout_us;
         self.attempts[attempt].fill_us = fetch.work_us;
-        if self.push(now, &source, fetch.work_us as f64, out) || !self.is_up(&source) {
+        if self.add_load(now, &source, fetch.work_us as f64, out) || !self.is_up(&source) {
             return self.reject(now, uid, request, "503", "cut_off", out);
         }
-        let Some(SourceAnswer { wait_us, how, made }) = self.ask(now, &source, &fetch) else {
+        let Some(SourceAnswer { wait_us, how, made }) = self.query_source(now, &source, &fetch)
+        else {
             return self.reject(now, uid, request, "503", "not_there", out);
         };
         self.next += 1;
         let number = self.next;
         let part = fetch.part;
-        let filling = Filling {
+        let filling = FillInProgress {
             number,
             how,
             made,
-            began: now,
+            started_at: now,
             waiters: vec![request],
             fetch,
         };
         if let Some(node) = self.nodes.get_mut(uid) {
             node.filling.insert(part, filling);
         }
-        self.at(now + wait_us, Timer::Begins(uid.to_owned(), part, number));
-        self.at(now + timeout, Timer::Late(uid.to_owned(), part, number));
+        self.schedule(
+            now + wait_us,
+            Timer::FillFirstByte(uid.to_owned(), part, number),
+        );
+        self.schedule(
+            now + timeout,
+            Timer::FillTimeout(uid.to_owned(), part, number),
+        );
     }
 
     /// The origin is asked: how long it takes, more where it is crowded.
-    fn ask_origin(&mut self, now: Micros) -> Micros {
+    fn begin_origin_request(&mut self, now: Micros) -> Micros {
         let workers = self
             .nodes
             .values()
-            .find(|n| n.kind == Kind::Origin)
-            .map_or(1, |n| n.figures.fills.max(1));
-        self.origin_busy += 1;
-        let crowd = (self.origin_busy as f64 / workers as f64).max(1.0);
-        let took = (self.site.origin_us as f64 * self.origin_slow * crowd) as Micros;
-        self.at(now + took, Timer::OriginFree);
+            .find(|n| n.kind == NodeKind::Origin)
+            .map_or(1, |n| n.parameters.fills.max(1));
+        self.origin_requests += 1;
+        let crowd = (self.origin_requests as f64 / workers as f64).max(1.0);
+        let took = (self.site.origin_us as f64 * self.origin_slowdown * crowd) as Micros;
+        self.schedule(now + took, Timer::OriginDone);
         took
     }
 
     /// A source is asked for a part; none: it lacks it.
-    fn ask(&mut self, now: Micros, source: &str, f: &Fetch) -> Option<SourceAnswer> {
+    fn query_source(&mut self, now: Micros, source: &str, f: &Fetch) -> Option<SourceAnswer> {
         let answer = |wait_us, how, made| Some(SourceAnswer { wait_us, how, made });
         let kind = self.nodes.get(source)?.kind;
-        if kind == Kind::Origin {
-            let took = self.ask_origin(now);
+        if kind == NodeKind::Origin {
+            let took = self.begin_origin_request(now);
             return answer(self.site.far_us + took, "pulled", now + took);
         }
         let oldest = now.saturating_sub(f.max_age_us);
@@ -170,37 +185,37 @@
         if let Some(made) = node.memory.get(f.part, oldest, 0) {
             return answer(near, "pulled", made);
         }
-        if kind == Kind::Box {
+        if kind == NodeKind::EdgeCache {
             return None;
         }
         node.fetching.retain(|_, (until, _)| *until > now);
         if let Some((until, made)) = node.fetching.get(&f.part).copied() {
             return answer(near + (until - now), "pulled_far", made);
         }
-        let took = self.site.far_us + self.ask_origin(now);
+        let took = self.site.far_us + self.begin_origin_request(now);
         let node = self.nodes.get_mut(source)?;
         node.fetching.insert(f.part, (now + took, now + took));
-        node.memory.keep(f.part, f.group, f.kb, now + took, 1);
+        node.memory.insert(f.part, f.group, f.kb, now + took, 1);
         answer(near + took, "pulled_far", now + took)
     }
 
     /// A fill has come whole: its copy is kept, by the highest rank that was asked for.
-    pub(super) fn filled(&mut self, uid: &str, part: Part, number: u64) {
+    pub(super) fn finish_fill(&mut self, uid: &str, part: Part, number: u64) {
         let Some(node) = self.nodes.get_mut(uid) else {
             return;
         };
         if node.filling.get(&part).is_some_and(|f| f.number == number) {
-            let Some(Filling { fetch: f, made, .. }) = node.filling.remove(&part) else {
+            let Some(FillInProgress { fetch: f, made, .. }) = node.filling.remove(&part) else {
                 return;
             };
             // A copy from before a purge that was carried out here while it came is one of those that must go.
-            let struck = [Ok(part.0), Err(f.group)]
+            let is_purged = [Ok(part.0), Err(f.group)]
                 .iter()
-                .any(|w| node.struck.get(w).is_some_and(|at| made < *at));
-            if struck && !self.site.late_fills {
+                .any(|w| node.applied_purges.get(w).is_some_and(|at| made < *at));
+            if is_purged && !self.site.late_fills {
                 return;
             }
-            node.memory.keep(part, f.group, f.kb, made, f.keep);
+            node.memory.insert(part, f.group, f.kb, made, f.rank);
         }
     }
 }
--- a/rehearse/src/fakes/site/forms.rs
+++ b/rehearse/src/fakes/site/forms.rs
@@ -5,18 +5,18 @@
 
 /// What a node is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum NodeKind {
     /// An edge box: keeps copies by rank and fills from others.
-    Box,
+    EdgeCache,
     /// A hub cache: fetches what it lacks from the origin, once for all who wait.
-    Hub,
+    ParentCache,
     /// The origin store: holds everything, and runs writes.
     Origin,
 }
 
 /// What a node can do.
 #[derive(Clone, Debug, PartialEq)]
-pub struct NodeFigures {
+pub struct NodeParameters {
     /// Requests in work.
     pub slots: usize,
     /// Requests that wait for a slot; one more is turned away unseen.
@@ -33,7 +33,7 @@
 
 /// What the nodes share.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SiteFigures {
+pub struct SiteParameters {
     /// The one link in, which all fills share, in transfers at full pace to a client.
     pub link: f64,
     /// How many times as fast as a transfer to a client a fill can be.
@@ -53,7 +53,7 @@
 }
 
 /// What is purged: an object, or else a group.
-pub type Purged = Result<u64, u64>;
+pub type PurgeTarget = Result<u64, u64>;
 
 /// A request as it arrives at a node.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -75,7 +75,7 @@
     /// Node that a miss is filled from; none: no fill.
     pub source: Option<String>,
     /// Rank at which the copy is kept; 0: not kept.
-    pub keep: u8,
+    pub rank: u8,
     /// Oldest copy that will do, by its age.
     pub max_age_us: Micros,
     /// It may join a fill that is under way.
@@ -86,7 +86,7 @@
 
 /// What a node says.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
+pub enum SiteOutput {
     /// An answer to a request.
     Answer {
         /// Its connection.
@@ -94,7 +94,7 @@
         /// Its id.
         id: String,
         /// `200`, `404` or `503`.
-        word: &'static str,
+        status: &'static str,
         /// How it was made, in the protocol's words.
         how: &'static str,
         /// The wait for the source.
@@ -105,5 +105,5 @@
         part: Part,
     },
     /// The node has fallen over: all its connections are reset.
-    Fell(String),
+    Crashed(String),
 }
--- a/rehearse/src/fakes/site/mod.rs
+++ b/rehearse/src/fakes/site/mod.rs
@@ -1,7 +1,7 @@
 //! A fake site: cache servers, parent caches and the origin, with slots, queues, shared links, copies, fills, slow starts
 //! and crashes under load. Sans-IO: requests go in with their time, answers come out with theirs; sockets are the driver's.
 //!
-//! All figures are data (`NodeFigures`, `SiteFigures`). Left out on purpose: sizes of answers on the wire, noise in load reports,
+//! All figures are data (`NodeParameters`, `SiteParameters`). Left out on purpose: sizes of answers on the wire, noise in load reports,
 //! and the transfer from a hub cache by its own link, which is wider than a site's.
 
 mod fills;
@@ -9,7 +9,7 @@
 mod requests;
 mod timers;
 
-pub use forms::{Fetch, Kind, NodeFigures, Out, Purged, SiteFigures};
+pub use forms::{Fetch, NodeKind, NodeParameters, PurgeTarget, SiteOutput, SiteParameters};
 
 use super::cache_memory::{CacheMemory, Part};
 use super::shared_link::SharedLink;
@@ -18,7 +18,7 @@
 use timers::Timer;
 
 /// For so long a node keeps out what a fill brings from before a purge: no fill takes longer.
-const STRUCK_US: Micros = 600_000_000;
+const PURGE_RETENTION_US: Micros = 600_000_000;
 
 #[derive(Clone, Debug, PartialEq)]
 enum Phase {
@@ -42,7 +42,7 @@
 
 impl Open {
     /// The answer to a request that has been sent, with its attempt's index; none where it was not being sent.
-    fn into_answer(self) -> Option<(usize, Out)> {
+    fn into_answer(self) -> Option<(usize, SiteOutput)> {
         let Phase::Sending {
             how,
             made,
@@ -51,10 +51,10 @@
         else {
             return None;
         };
-        let answer = Out::Answer {
+        let answer = SiteOutput::Answer {
             connection: self.fetch.connection,
             id: self.fetch.id,
-            word: "200",
+            status: "200",
             how,
             waited_us,
             made,
@@ -66,11 +66,11 @@
 
 /// A fill under way at a node, by its part.
 #[derive(Clone, Debug)]
-struct Filling {
+struct FillInProgress {
     number: u64,
     how: &'static str,
     made: Micros,
-    began: Micros,
+    started_at: Micros,
     /// Those who were or are sent it; who gives up is none of them any more.
     waiters: Vec<u64>,
     /// The first request for it, which tells its size; the rank is the highest that was asked for.
@@ -78,8 +78,8 @@
 }
 
 struct Node {
-    kind: Kind,
-    figures: NodeFigures,
+    kind: NodeKind,
+    parameters: NodeParameters,
     link: SharedLink,
     memory: CacheMemory,
     cold: Option<ColdStart>,
@@ -88,25 +88,25 @@
     stalled: bool,
     open: BTreeMap<u64, Open>,
     waiting: VecDeque<u64>,
-    filling: HashMap<Part, Filling>,
+    filling: HashMap<Part, FillInProgress>,
     /// Of a hub cache: what it fetches, and when that will be there.
     fetching: HashMap<Part, (Micros, Micros)>,
     /// The purges that it has carried out, each with its time.
-    struck: HashMap<Purged, Micros>,
+    applied_purges: HashMap<PurgeTarget, Micros>,
 }
 
 /// All nodes of a rehearsal.
 pub struct FakeSite {
-    site: SiteFigures,
-    inward: SharedLink,
+    site: SiteParameters,
+    site_link: SharedLink,
     /// Fills on the site's link: node and part.
-    inward_fills: HashMap<u64, (String, Part)>,
+    fills_on_link: HashMap<u64, (String, Part)>,
     nodes: BTreeMap<String, Node>,
     timers: BTreeMap<(Micros, u64), Timer>,
     next: u64,
-    origin_busy: usize,
+    origin_requests: usize,
     /// How many times slower the origin is.
-    origin_slow: f64,
+    origin_slowdown: f64,
     keys: HashMap<String, Micros>,
     /// Writes that ran, and of them those that ran under a key that had run before.
     pub writes: (u64, u64),
@@ -116,16 +116,16 @@
 
 impl FakeSite {
     /// A site without nodes.
-    pub fn new(site: SiteFigures) -> Self {
+    pub fn new(site: SiteParameters) -> Self {
         FakeSite {
-            inward: SharedLink::new(site.link),
+            site_link: SharedLink::new(site.link),
             site,
-            inward_fills: HashMap::new(),
+            fills_on_link: HashMap::new(),
             nodes: BTreeMap::new(),
             timers: BTreeMap::new(),
             next: 0,
-            origin_busy: 0,
-            origin_slow: 1.0,
+            origin_requests: 0,
+            origin_slowdown: 1.0,
             keys: HashMap::new(),
             writes: (0, 0),
             attempts: Vec::new(),
@@ -133,14 +133,20 @@
     }
 
     /// Adds a node, or starts one anew with an empty memory. One that is given a `ColdStart` starts cold.
-    pub fn start(&mut self, uid: &str, kind: Kind, figures: NodeFigures, cold: Option<ColdStart>) {
+    pub fn start(
+        &mut self,
+        uid: &str,
+        kind: NodeKind,
+        parameters: NodeParameters,
+        cold: Option<ColdStart>,
+    ) {
         let capacity = cold
             .as_ref()
-            .map_or(figures.capacity, |c| c.capacity_at(c.at));
+            .map_or(parameters.capacity, |c| c.capacity_at(c.at));
         let node = Node {
             kind,
             link: SharedLink::new(capacity),
-            memory: CacheMemory::new(figures.memory_kb),
+            memory: CacheMemory::new(parameters.memory_kb),
             cold,
             sent: VecDeque::new(),
             up: true,
@@ -149,8 +155,8 @@
             waiting: VecDeque::new(),
             filling: HashMap::new(),
             fetching: HashMap::new(),
-            struck: HashMap::new(),
-            figures,
+            applied_purges: HashMap::new(),
+            parameters,
         };
         self.nodes.insert(uid.to_owned(), node);
     }
@@ -166,41 +172,42 @@
         }
         node.waiting.clear();
         node.filling.clear();
-        node.link = SharedLink::new(node.figures.capacity);
+        node.link = SharedLink::new(node.parameters.capacity);
     }
 
     /// A node sends nothing for a while.
     pub fn stall(&mut self, now: Micros, uid: &str, lasts: Micros) {
         if let Some(node) = self.nodes.get_mut(uid) {
             node.stalled = true;
-            node.link.change(0.0);
-            self.at(now + lasts, Timer::Goes(uid.to_owned()));
+            node.link.set_capacity(0.0);
+            self.schedule(now + lasts, Timer::StallEnd(uid.to_owned()));
         }
     }
 
     /// The origin is so many times slower from here on.
-    pub fn slow_origin(&mut self, times: f64) {
-        self.origin_slow = times;
+    pub fn set_origin_slowdown(&mut self, times: f64) {
+        self.origin_slowdown = times;
     }
 
     /// A purge is made: each box and hub cache drops its older copies in its own time.
-    pub fn purge_all(&mut self, now: Micros, what: Purged, at: Micros) {
+    pub fn purge_all(&mut self, now: Micros, what: PurgeTarget, at: Micros) {
         let uids: Vec<String> = self.nodes.keys().cloned().collect();
         for uid in uids {
             self.next += 1;
             // Spread over the whole time, differently for each purge and node, and alike in each play.
             let spread = self.next.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 40;
             let after = self.site.purge_takes_us * spread / (1 << 24);
-            self.at(now + after, Timer::Drops(uid, what, at));
+            self.schedule(now + after, Timer::ApplyPurge(uid, what, at));
         }
     }
 
     /// A node carries out a purge.
-    pub fn purge(&mut self, uid: &str, what: Purged, at: Micros) {
+    pub fn purge(&mut self, uid: &str, what: PurgeTarget, at: Micros) {
         if let Some(node) = self.nodes.get_mut(uid) {
             node.memory.purge(what, at);
-            node.struck.retain(|_, then| *then + STRUCK_US > at);
-            let last = node.struck.entry(what).or_insert(at);
+            node.applied_purges
+                .retain(|_, then| *then + PURGE_RETENTION_US > at);
+            let last = node.applied_purges.entry(what).or_insert(at);
             *last = at.max(*last);
         }
     }
@@ -215,7 +222,7 @@
         self.nodes.get(uid).map_or(0, |n| n.open.len())
     }
 
-    fn at(&mut self, at: Micros, timer: Timer) {
+    fn schedule(&mut self, at: Micros, timer: Timer) {
         self.next += 1;
         self.timers.insert((at, self.next), timer);
     }
@@ -228,11 +235,11 @@
             .filter(|n| n.up && !n.stalled)
             .filter_map(|n| n.link.next_due());
         let timer = self.timers.keys().next().map(|t| t.0);
-        links.chain(timer).chain(self.inward.next_due()).min()
+        links.chain(timer).chain(self.site_link.next_due()).min()
     }
 
     /// Lets time pass.
-    pub fn advance(&mut self, now: Micros) -> Vec<Out> {
+    pub fn advance(&mut self, now: Micros) -> Vec<SiteOutput> {
         let mut out = Vec::new();
         while let Some(due) = self.next_due().filter(|due| *due <= now) {
             self.step(due, &mut out);
@@ -242,10 +249,10 @@
     }
 
     /// All that comes due at one moment.
-    fn step(&mut self, now: Micros, out: &mut Vec<Out>) {
-        for (fill, _) in self.inward.advance(now) {
-            if let Some((uid, part)) = self.inward_fills.remove(&fill) {
-                self.filled(&uid, part, fill);
+    fn step(&mut self, now: Micros, out: &mut Vec<SiteOutput>) {
+        for (fill, _) in self.site_link.advance(now) {
+            if let Some((uid, part)) = self.fills_on_link.remove(&fill) {
+                self.finish_fill(&uid, part, fill);
             }
         }
         let uids: Vec<String> = self.nodes.keys().cloned().collect();
@@ -255,7 +262,7 @@
             };
             let ended = node.link.advance(now);
             if let Some(cold) = node.cold.as_ref().filter(|_| !node.stalled) {
-                node.link.change(cold.capacity_at(now));
+                node.link.set_capacity(cold.capacity_at(now));
             }
             for (request, at) in ended {
                 let open = node.open.remove(&request);
@@ -268,7 +275,7 @@
         }
         while let Some(entry) = self.timers.first_entry().filter(|e| e.key().0 <= now) {
             let timer = entry.remove();
-            self.timer(now, timer, out);
+            self.run_timer(now, timer, out);
         }
     }
 }
--- a/rehearse/src/fakes/site/requests.rs
+++ b/rehearse/src/fakes/site/requests.rs
@@ -1,11 +1,11 @@
 //! Requests that reach a node: they are admitted, queued, rejected or given up.
 
-use super::{FakeSite, Fetch, Open, Out, Phase};
+use super::{FakeSite, Fetch, Open, Phase, SiteOutput};
 use crate::record::{Attempt, Ended, Micros};
 
 impl FakeSite {
     /// A request arrives. `advance` must have been called up to now.
-    pub fn fetch(&mut self, now: Micros, uid: &str, fetch: Fetch) -> Vec<Out> {
+    pub fn fetch(&mut self, now: Micros, uid: &str, fetch: Fetch) -> Vec<SiteOutput> {
         let mut out = Vec::new();
         let Some(node) = self.nodes.get_mut(uid).filter(|n| n.up) else {
             return out;
@@ -24,7 +24,7 @@
             fill_us: 0,
         });
         let attempt = self.attempts.len() - 1;
-        let full = node.open.len() >= node.figures.slots + node.figures.waiting;
+        let full = node.open.len() >= node.parameters.slots + node.parameters.waiting;
         let work = fetch.work_us as f64;
         node.open.insert(
             request,
@@ -35,7 +35,7 @@
                 attempt,
             },
         );
-        if self.push(now, uid, work, &mut out) {
+        if self.add_load(now, uid, work, &mut out) {
             return out;
         }
         if full {
@@ -52,27 +52,27 @@
         let Some(node) = self.nodes.get_mut(uid) else {
             return;
         };
-        let meant =
+        let is_targeted =
             |o: &Open| o.fetch.connection == connection && id.is_none_or(|id| o.fetch.id == id);
-        let over: Vec<u64> = node
+        let aborted: Vec<u64> = node
             .open
             .iter()
-            .filter(|(_, o)| meant(o))
+            .filter(|(_, o)| is_targeted(o))
             .map(|(r, _)| *r)
             .collect();
-        for request in &over {
-            node.link.call_off(*request);
+        for request in &aborted {
+            node.link.cancel(*request);
             node.waiting.retain(|r| r != request);
             if let Some(open) = node.open.remove(request) {
                 self.attempts[open.attempt].ended = Some((now, Ended::GivenUp));
             }
         }
         // A fill whose clients have all left is dropped.
-        let (inward, fills) = (&mut self.inward, &mut self.inward_fills);
+        let (site_link, fills) = (&mut self.site_link, &mut self.fills_on_link);
         node.filling.retain(|_, f| {
-            f.waiters.retain(|r| !over.contains(r));
+            f.waiters.retain(|r| !aborted.contains(r));
             if f.waiters.is_empty() {
-                inward.call_off(f.number);
+                site_link.cancel(f.number);
                 fills.remove(&f.number);
             }
             !f.waiters.is_empty()
@@ -80,12 +80,12 @@
     }
 
     /// Work is sent to a node: one that is cold falls over if that is too much. Whether it has.
-    pub(super) fn push(
+    pub(super) fn add_load(
         &mut self,
         now: Micros,
         uid: &str,
         work_us: f64,
-        out: &mut Vec<Out>,
+        out: &mut Vec<SiteOutput>,
     ) -> bool {
         let Some(node) = self.nodes.get_mut(uid) else {
             return false;
@@ -109,7 +109,7 @@
             return false;
         }
         self.stop(now, uid);
-        out.push(Out::Fell(uid.to_owned()));
+        out.push(SiteOutput::Crashed(uid.to_owned()));
         true
     }
 
@@ -119,9 +119,9 @@
         now: Micros,
         uid: &str,
         request: u64,
-        word: &'static str,
+        status: &'static str,
         how: &'static str,
-        out: &mut Vec<Out>,
+        out: &mut Vec<SiteOutput>,
     ) {
         let Some(open) = self
             .nodes
@@ -137,10 +137,10 @@
             part,
             ..
         } = open.fetch;
-        out.push(Out::Answer {
+        out.push(SiteOutput::Answer {
             connection,
             id,
-            word,
+            status,
             how,
             waited_us: now - open.since,
             made: 0,
@@ -149,13 +149,13 @@
     }
 
     /// Begins what waits, as far as there are slots.
-    pub(super) fn admit(&mut self, now: Micros, uid: &str, out: &mut Vec<Out>) {
+    pub(super) fn admit(&mut self, now: Micros, uid: &str, out: &mut Vec<SiteOutput>) {
         loop {
             let Some(node) = self.nodes.get_mut(uid) else {
                 return;
             };
             let busy = node.open.len() - node.waiting.len();
-            if busy >= node.figures.slots || node.stalled {
+            if busy >= node.parameters.slots || node.stalled {
                 return;
             }
             let Some(request) = node.waiting.pop_front() else {
--- a/rehearse/src/fakes/site/timers.rs
+++ b/rehearse/src/fakes/site/timers.rs
@@ -1,47 +1,47 @@
 //! What comes due at a time: fills that begin to come or never do, writes, stalls and purges.
 
-use super::{Ended, FakeSite, Fetch, Filling, Out, Phase, Purged};
+use super::{Ended, FakeSite, Fetch, FillInProgress, Phase, PurgeTarget, SiteOutput};
 use crate::fakes::cache_memory::Part;
 use crate::record::Micros;
 
 /// What comes due at a time.
 pub(super) enum Timer {
     /// The first byte of a fill has come: node, part and number of the fill.
-    Begins(String, Part, u64),
+    FillFirstByte(String, Part, u64),
     /// Nothing may have come of a fill.
-    Late(String, Part, u64),
+    FillTimeout(String, Part, u64),
     /// The origin has worked off something.
-    OriginFree,
+    OriginDone,
     /// A write has run: node and request.
-    Written(String, u64),
+    WriteDone(String, u64),
     /// A stall is over.
-    Goes(String),
+    StallEnd(String),
     /// A node carries out a purge of that time.
-    Drops(String, Purged, Micros),
+    ApplyPurge(String, PurgeTarget, Micros),
 }
 
 impl FakeSite {
     /// Carries out what has come due.
-    pub(super) fn timer(&mut self, now: Micros, timer: Timer, out: &mut Vec<Out>) {
+    pub(super) fn run_timer(&mut self, now: Micros, timer: Timer, out: &mut Vec<SiteOutput>) {
         match timer {
-            Timer::Begins(uid, part, number) => self.fill_begins(now, uid, part, number),
-            Timer::Late(uid, part, number) => self.fill_is_late(now, &uid, part, number, out),
-            Timer::OriginFree => self.origin_busy = self.origin_busy.saturating_sub(1),
-            Timer::Written(uid, request) => self.written(now, &uid, request, out),
-            Timer::Drops(uid, what, at) => self.purge(&uid, what, at),
-            Timer::Goes(uid) => self.stall_ends(now, &uid),
+            Timer::FillFirstByte(uid, part, number) => self.forward_fill(now, uid, part, number),
+            Timer::FillTimeout(uid, part, number) => self.expire_fill(now, &uid, part, number, out),
+            Timer::OriginDone => self.origin_requests = self.origin_requests.saturating_sub(1),
+            Timer::WriteDone(uid, request) => self.finish_write(now, &uid, request, out),
+            Timer::ApplyPurge(uid, what, at) => self.purge(&uid, what, at),
+            Timer::StallEnd(uid) => self.end_stall(now, &uid),
         }
     }
 
     /// The first byte of a fill has come. Passed on while it comes: clients are sent what there is by now.
-    fn fill_begins(&mut self, now: Micros, uid: String, part: Part, number: u64) {
+    fn forward_fill(&mut self, now: Micros, uid: String, part: Part, number: u64) {
         let Some(node) = self.nodes.get_mut(&uid) else {
             return;
         };
         let Some(fill) = node.filling.get(&part).filter(|f| f.number == number) else {
             return;
         };
-        let (how, made, began) = (fill.how, fill.made, fill.began);
+        let (how, made, started_at) = (fill.how, fill.made, fill.started_at);
         let (waiters, work) = (fill.waiters.clone(), fill.fetch.work_us);
         for (n, request) in waiters.into_iter().enumerate() {
             let Some(open) = node.open.get_mut(&request) else {
@@ -51,28 +51,28 @@
             open.phase = Phase::Sending {
                 how,
                 made,
-                waited_us: now - began,
+                waited_us: now - started_at,
             };
             node.link.begin(request, open.fetch.work_us);
         }
-        self.inward_fills.insert(number, (uid, part));
-        self.inward
+        self.fills_on_link.insert(number, (uid, part));
+        self.site_link
             .begin(number, (work as f64 / self.site.fill_pace) as Micros);
     }
 
     /// A fill of which nothing has come in time is given up.
-    fn fill_is_late(
+    fn expire_fill(
         &mut self,
         now: Micros,
         uid: &str,
         part: Part,
         number: u64,
-        out: &mut Vec<Out>,
+        out: &mut Vec<SiteOutput>,
     ) {
         let Some(node) = self.nodes.get_mut(uid) else {
             return;
         };
-        let waits = |f: &&Filling| {
+        let waits = |f: &&FillInProgress| {
             let all = f.waiters.iter().filter_map(|r| node.open.get(r));
             f.number == number && all.into_iter().any(|o| o.phase == Phase::Filling)
         };
@@ -86,7 +86,7 @@
     }
 
     /// A write has run at the origin, and is answered.
-    fn written(&mut self, now: Micros, uid: &str, request: u64, out: &mut Vec<Out>) {
+    fn finish_write(&mut self, now: Micros, uid: &str, request: u64, out: &mut Vec<SiteOutput>) {
         let Some(open) = self
             .nodes
             .get_mut(uid)
@@ -103,11 +103,11 @@
             ..
         } = open.fetch;
         self.count_write(now, write.flatten());
-        let (word, how) = ("200", "local");
-        out.push(Out::Answer {
+        let (status, how) = ("200", "local");
+        out.push(SiteOutput::Answer {
             connection,
             id,
-            word,
+            status,
             how,
             waited_us: 0,
             made: now,
@@ -126,15 +126,15 @@
     }
 
     /// A stall is over.
-    fn stall_ends(&mut self, now: Micros, uid: &str) {
+    fn end_stall(&mut self, now: Micros, uid: &str) {
         let Some(node) = self.nodes.get_mut(uid) else {
             return;
         };
         node.stalled = false;
-        node.link.change(
+        node.link.set_capacity(
             node.cold
                 .as_ref()
-                .map_or(node.figures.capacity, |c| c.capacity_at(now)),
+                .map_or(node.parameters.capacity, |c| c.capacity_at(now)),
         );
     }
 }
--- a/rehearse/src/fakes/site_server.rs
+++ b/rehearse/src/fakes/site_server.rs
@@ -1,7 +1,7 @@
 //! A fake site on loopback sockets: one thread owns the site, others only read. Each proxy is given addresses of its
 //! own for every node, by which the record tells who sent what.
 
-use super::site::{FakeSite, Fetch, Out};
+use super::site::{FakeSite, Fetch, SiteOutput};
 use crate::record::Micros;
 use linnetknot_daemon::wire::resp;
 use linnetknot_harness::listener::{listen, read_commands, Listening};
@@ -27,14 +27,14 @@
     /// Classes, by their names.
     pub classes: HashMap<String, ClassRules>,
     /// Every tenth answer's bytes are another part's: a fault that is planted.
-    pub spoil: bool,
+    pub corrupt_answers: bool,
 }
 
 /// What nodes must know of a class of requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassRules {
     /// How long a copy is fresh, in microseconds; 0: for good.
-    pub fresh_us: Micros,
+    pub freshness_us: Micros,
     /// Its requests are writes.
     pub is_write: bool,
 }
@@ -48,8 +48,15 @@
         let part = (object.unwrap_or(0), number("part").unwrap_or(0));
         let (kb, group) = self.parts.get(&part).copied().unwrap_or((1.0, 0));
         let class = self.classes.get(field("class").unwrap_or(""));
-        let ClassRules { fresh_us, is_write } = class.copied().unwrap_or_default();
-        let fresh_us = if fresh_us == 0 { u64::MAX } else { fresh_us };
+        let ClassRules {
+            freshness_us,
+            is_write,
+        } = class.copied().unwrap_or_default();
+        let freshness_us = if freshness_us == 0 {
+            u64::MAX
+        } else {
+            freshness_us
+        };
         let max_age_ms = number("maxage").filter(|ms| *ms > 0);
         Fetch {
             connection: 0,
@@ -60,8 +67,8 @@
             work_us: (kb / self.flow_kb_per_s * 1e6) as Micros,
             kb: kb.ceil() as u64,
             source: field("src").map(str::to_owned),
-            keep: field("keep").and_then(|k| k.parse().ok()).unwrap_or(0),
-            max_age_us: max_age_ms.map_or(fresh_us, |ms| ms * 1000),
+            rank: field("keep").and_then(|k| k.parse().ok()).unwrap_or(0),
+            max_age_us: max_age_ms.map_or(freshness_us, |ms| ms * 1000),
             join: field("flags").is_some_and(|f| f.split('+').any(|w| w == "wait-for")),
             write: is_write.then(|| field("once").map(str::to_owned)),
         }
@@ -72,7 +79,7 @@
 
 enum Message {
     Opened(u64, String, TcpStream),
-    Got {
+    Command {
         connection: u64,
         node: String,
         proxy: usize,
@@ -90,7 +97,7 @@
 pub struct SiteServer {
     /// By proxy and node: where that node listens for that proxy.
     pub addresses: BTreeMap<(usize, String), SocketAddr>,
-    tell: Sender<Message>,
+    sender: Sender<Message>,
     site: JoinHandle<FakeSite>,
     _listeners: Vec<Listening>,
 }
@@ -99,26 +106,27 @@
 fn listen_for(
     proxy: usize,
     node: &str,
-    tell: &Sender<Message>,
+    sender: &Sender<Message>,
     next: &Arc<AtomicU64>,
 ) -> io::Result<Listening> {
-    let (tell, next, node) = (tell.clone(), next.clone(), node.to_owned());
+    let (sender, next, node) = (sender.clone(), next.clone(), node.to_owned());
     listen("127.0.0.1:0", move |socket: TcpStream| {
         let connection = next.fetch_add(1, Ordering::Relaxed);
         socket.set_nodelay(true).ok()?;
         let writer = socket.try_clone().ok()?;
-        tell.send(Message::Opened(connection, node.clone(), writer))
+        sender
+            .send(Message::Opened(connection, node.clone(), writer))
             .ok()?;
         read_commands(socket, |words| {
-            let message = Message::Got {
+            let message = Message::Command {
                 connection,
                 node: node.clone(),
                 proxy,
                 words,
             };
-            tell.send(message).ok()
+            sender.send(message).ok()
         });
-        tell.send(Message::Closed(connection)).ok()
+        sender.send(Message::Closed(connection)).ok()
     })
 }
 
@@ -130,12 +138,12 @@
         proxies: usize,
         workload: Workload,
     ) -> io::Result<Self> {
-        let (tell, messages) = mpsc::channel();
+        let (sender, messages) = mpsc::channel();
         let next = Arc::new(AtomicU64::new(1));
         let (mut addresses, mut listeners) = (BTreeMap::new(), Vec::new());
         for proxy in 0..proxies {
             for node in nodes {
-                let listening = listen_for(proxy, node, &tell, &next)?;
+                let listening = listen_for(proxy, node, &sender, &next)?;
                 addresses.insert((proxy, node.clone()), listening.address);
                 listeners.push(listening);
             }
@@ -149,7 +157,7 @@
         let site = thread::spawn(move || driver.run(&messages));
         Ok(SiteServer {
             addresses,
-            tell,
+            sender,
             site,
             _listeners: listeners,
         })
@@ -157,12 +165,12 @@
 
     /// Changes the site.
     pub fn change(&self, change: impl FnOnce(&mut FakeSite, Micros) + Send + 'static) {
-        let _ = self.tell.send(Message::Change(Box::new(change)));
+        let _ = self.sender.send(Message::Change(Box::new(change)));
     }
 
     /// Ends, and gives the site with its record.
     pub fn end(self) -> io::Result<FakeSite> {
-        let _ = self.tell.send(Message::End);
+        let _ = self.sender.send(Message::End);
         self.site
             .join()
             .map_err(|_| io::Error::other("the site's thread has panicked"))
@@ -211,12 +219,12 @@
                     self.site.abort(now, &node, connection, None);
                 }
             }
-            Message::Got {
+            Message::Command {
                 connection,
                 node,
                 proxy,
                 words,
-            } => self.got(now, connection, &node, proxy, &words),
+            } => self.handle_command(now, connection, &node, proxy, &words),
             Message::Change(change) => {
                 change(&mut self.site, now);
                 // A node that has died resets what was open to it.
@@ -232,15 +240,22 @@
         }
     }
 
-    fn got(&mut self, now: Micros, connection: u64, node: &str, proxy: usize, words: &[Vec<u8>]) {
+    fn handle_command(
+        &mut self,
+        now: Micros,
+        connection: u64,
+        node: &str,
+        proxy: usize,
+        words: &[Vec<u8>],
+    ) {
         let text = |n: usize| {
             words
                 .get(n)
                 .map(|b| String::from_utf8_lossy(b).into_owned())
                 .unwrap_or_default()
         };
-        let (word, id) = (text(0), text(1));
-        match word.as_str() {
+        let (command, id) = (text(0), text(1));
+        match command.as_str() {
             "abort" => self.site.abort(now, node, connection, Some(&id)),
             "fetch" => {
                 let fields = words.get(2).map(Vec::as_slice).unwrap_or_default();
@@ -270,13 +285,13 @@
         let _ = socket.write_all(&out);
     }
 
-    fn write(&mut self, out: Vec<Out>) {
+    fn write(&mut self, out: Vec<SiteOutput>) {
         for one in out {
             match one {
-                Out::Answer {
+                SiteOutput::Answer {
                     connection,
                     id,
-                    word,
+                    status,
                     how,
                     waited_us,
                     made,
@@ -288,18 +303,18 @@
                         fields += &format!(",how={how}");
                     }
                     let mut body = Vec::new();
-                    if word == "200" {
+                    if status == "200" {
                         fields += &format!(",made={made_ms},etag=t{made_ms}");
                         self.answers += 1;
-                        let spoilt = self.workload.spoil && self.answers % 10 == 0;
-                        body = bytes((part.0, part.1 + u64::from(spoilt)), made_ms);
+                        let is_corrupted = self.workload.corrupt_answers && self.answers % 10 == 0;
+                        body = part_bytes((part.0, part.1 + u64::from(is_corrupted)), made_ms);
                     }
                     self.send(
                         connection,
-                        &[id.as_bytes(), word.as_bytes(), fields.as_bytes(), &body],
+                        &[id.as_bytes(), status.as_bytes(), fields.as_bytes(), &body],
                     );
                 }
-                Out::Fell(node) => {
+                SiteOutput::Crashed(node) => {
                     self.sockets.retain(|_, (of, socket)| {
                         let over = *of == node;
                         if over {
@@ -314,7 +329,7 @@
 }
 
 /// The bytes of a part in a copy made at this Unix millisecond: a client can tell whether it was given them whole.
-pub fn bytes(part: (u64, u64), made_ms: u64) -> Vec<u8> {
+pub fn part_bytes(part: (u64, u64), made_ms: u64) -> Vec<u8> {
     let head = format!("{:016x}/{}@{made_ms};", part.0, part.1);
     let fill = part.0 ^ part.1.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let length = 200 + (fill % 800) as usize;
@@ -324,9 +339,9 @@
 }
 
 /// When a copy was made that these are the bytes of, whole and unchanged, for this part.
-pub fn made_of(part: (u64, u64), body: &[u8]) -> Option<u64> {
+pub fn verified_copy_time_ms(part: (u64, u64), body: &[u8]) -> Option<u64> {
     let end = body.iter().take(64).position(|b| *b == b';')?;
     let head = std::str::from_utf8(&body[..end]).ok()?;
     let made_ms = head.split_once('@')?.1.parse().ok()?;
-    (bytes(part, made_ms) == body).then_some(made_ms)
+    (part_bytes(part, made_ms) == body).then_some(made_ms)
 }
--- a/rehearse/src/fault_matrix/matrix.rs
+++ b/rehearse/src/fault_matrix/matrix.rs
@@ -1,6 +1,6 @@
 //! The matrix of all plays: a row for each fault point and disk, and one for all.
 
-use super::{Case, Played, AGREE, FAULT_POINTS};
+use super::{Case, PlayResult, CONVERGENCE_TIMEOUT, FAULT_POINTS};
 use crate::rules::commits::PurgeAnswer;
 use linnetknot_harness::fleet::Disk;
 use std::collections::BTreeMap;
@@ -14,16 +14,16 @@
     plays: usize,
     /// Commits, rejections, and requests without an answer.
     answers: [usize; 3],
-    lost: usize,
+    lost_commits: usize,
     broken: BTreeMap<&'static str, usize>,
-    apart: usize,
-    agreed: Vec<Duration>,
-    nothing: usize,
+    diverged: usize,
+    convergence_times: Vec<Duration>,
+    inconclusive: usize,
 }
 
 impl Row {
     /// Takes a play in.
-    fn add(&mut self, played: &Played) {
+    fn add(&mut self, played: &PlayResult) {
         self.plays += 1;
         for purge in &played.record.purges {
             let index = match purge.answer {
@@ -33,7 +33,7 @@
             };
             self.answers[index] += 1;
         }
-        self.lost += played
+        self.lost_commits += played
             .breaches
             .iter()
             .filter(|b| b.rule == "promises")
@@ -42,22 +42,22 @@
             .breaches
             .iter()
             .for_each(|b| *self.broken.entry(b.rule).or_default() += 1);
-        self.apart += usize::from(played.agreed.is_none());
-        self.agreed.extend(played.agreed);
+        self.diverged += usize::from(played.converged_in.is_none());
+        self.convergence_times.extend(played.converged_in);
     }
 
     /// Adds another row to this one.
     fn merge(&mut self, other: &Row) {
         self.plays += other.plays;
         (0..3).for_each(|n| self.answers[n] += other.answers[n]);
-        self.lost += other.lost;
+        self.lost_commits += other.lost_commits;
         other
             .broken
             .iter()
             .for_each(|(rule, times)| *self.broken.entry(rule).or_default() += times);
-        self.apart += other.apart;
-        self.agreed.extend(&other.agreed);
-        self.nothing += other.nothing;
+        self.diverged += other.diverged;
+        self.convergence_times.extend(&other.convergence_times);
+        self.inconclusive += other.inconclusive;
     }
 
     /// The rules that were broken and how often; 0 where none was.
@@ -74,11 +74,11 @@
     }
 
     /// A percentile of the times to agreement, in milliseconds; a dash where there are none.
-    fn agreed_ms(&self, percent: usize) -> String {
-        let mut agreed = self.agreed.clone();
-        agreed.sort_unstable();
-        let index = (agreed.len() * percent / 100).min(agreed.len().saturating_sub(1));
-        agreed
+    fn convergence_ms(&self, percent: usize) -> String {
+        let mut times = self.convergence_times.clone();
+        times.sort_unstable();
+        let index = (times.len() * percent / 100).min(times.len().saturating_sub(1));
+        times
             .get(index)
             .map_or_else(|| "-".to_owned(), |d| d.as_millis().to_string())
     }
@@ -88,17 +88,21 @@
         let [committed, rejected, unanswered] = self.answers;
         let Row {
             plays,
-            lost,
-            apart,
-            nothing,
+            lost_commits,
+            diverged,
+            inconclusive,
             ..
         } = self;
-        let (broken, p50, p99) = (self.broken_rules(), self.agreed_ms(50), self.agreed_ms(99));
+        let (broken, p50, p99) = (
+            self.broken_rules(),
+            self.convergence_ms(50),
+            self.convergence_ms(99),
+        );
         write!(
             f,
-            "| {name} | {disk} | {plays} | {committed} | {rejected} | {unanswered} | {lost} | {broken} | {apart} "
+            "| {name} | {disk} | {plays} | {committed} | {rejected} | {unanswered} | {lost_commits} | {broken} | {diverged} "
         )?;
-        writeln!(f, "| {p50}, {p99} | {nothing} |")
+        writeln!(f, "| {p50}, {p99} | {inconclusive} |")
     }
 }
 
@@ -112,7 +116,7 @@
 
 impl Matrix {
     /// Takes a play in.
-    pub fn add(&mut self, case: Case, played: io::Result<Played>) {
+    pub fn add(&mut self, case: Case, played: io::Result<PlayResult>) {
         let row = self
             .rows
             .entry((case.point, case.disk == Disk::Lost))
@@ -123,15 +127,15 @@
         );
         match played {
             Err(e) => {
-                row.nothing += 1;
+                row.inconclusive += 1;
                 self.notes.push(format!("{name}: proved nothing: {e}"));
             }
             Ok(played) => {
                 row.add(&played);
-                if played.agreed.is_none() {
+                if played.converged_in.is_none() {
                     self.notes.push(format!(
                         "{name}: not all agreed within {} s",
-                        AGREE.as_secs()
+                        CONVERGENCE_TIMEOUT.as_secs()
                     ));
                 }
                 self.notes.extend(
@@ -149,14 +153,14 @@
         let broken = self
             .rows
             .values()
-            .any(|row| !row.broken.is_empty() || row.apart > 0);
+            .any(|row| !row.broken.is_empty() || row.diverged > 0);
         match (
             broken,
             self.rows.values().map(|row| row.plays).sum::<usize>(),
         ) {
             (true, _) => 1,
             (false, 0) => 2,
-            (false, _) => u8::from(self.rows.values().any(|row| row.nothing > 0)) * 2,
+            (false, _) => u8::from(self.rows.values().any(|row| row.inconclusive > 0)) * 2,
         }
     }
 }
@@ -173,11 +177,11 @@
             "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"
         )?;
         let mut total = Row::default();
-        for ((point, lost), row) in &self.rows {
+        for ((point, disk_lost), row) in &self.rows {
             row.write(
                 f,
                 FAULT_POINTS[*point].name,
-                if *lost { "lost" } else { "kept" },
+                if *disk_lost { "lost" } else { "kept" },
             )?;
             total.merge(row);
         }
--- a/rehearse/src/fault_matrix/mod.rs
+++ b/rehearse/src/fault_matrix/mod.rs
@@ -6,7 +6,7 @@
 mod points;
 
 pub use matrix::Matrix;
-pub use points::{FaultPoint, FaultPointEntry, Plant, FAULT_POINTS, PLANTS};
+pub use points::{Defect, FaultPoint, FaultPointEntry, DEFECTS, FAULT_POINTS};
 
 use crate::rules::commits::{judge, CommitRecord, FinalState, PurgeAnswer, PurgeRequest};
 use crate::rules::Breach;
@@ -21,9 +21,9 @@
 /// Proxies of a play.
 const PROXIES: usize = 3;
 /// How long all may take to agree.
-const AGREE: Duration = Duration::from_secs(20);
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(20);
 /// How long a death or a successor may take to be known.
-const KNOWN: Duration = Duration::from_secs(20);
+const DETECTION_TIMEOUT: Duration = Duration::from_secs(20);
 /// What the proxies are told of the time for an answer.
 const TIMEOUT_US: u64 = 1_000_000;
 /// How late the kit may be: its threads share the cores with the daemons.
@@ -56,18 +56,18 @@
 
 /// What a play came to.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Played {
+pub struct PlayResult {
     /// Its record.
     pub record: CommitRecord,
     /// What it broke.
     pub breaches: Vec<Breach>,
     /// From the return of the one it happened to until all agreed; none: they did not.
-    pub agreed: Option<Duration>,
+    pub converged_in: Option<Duration>,
 }
 
 struct Play {
     fleet: Fleet,
-    begun: Instant,
+    started_at: Instant,
     record: CommitRecord,
     objects: u64,
 }
@@ -77,7 +77,7 @@
     fn start(setup: Setup<'_>) -> io::Result<Self> {
         Ok(Play {
             fleet: Fleet::with(setup)?,
-            begun: Instant::now(),
+            started_at: Instant::now(),
             record: CommitRecord {
                 timeout_us: TIMEOUT_US,
                 tolerance_us: TOLERANCE_US,
@@ -88,22 +88,22 @@
     }
 
     fn now(&self) -> u64 {
-        self.begun.elapsed().as_micros() as u64
+        self.started_at.elapsed().as_micros() as u64
     }
 
     /// A neighbour tells a proxy of one more object.
-    fn tell(&mut self, proxy: usize, excused: bool) -> PurgeAnswer {
+    fn trigger_purge(&mut self, proxy: usize, excused: bool) -> PurgeAnswer {
         self.objects += 1;
         let object = format!("{:016x}", self.objects);
         let replaced = self.fleet.status(proxy).is_ok_and(|s| s.replaced);
         let sent_at = self.now();
-        let said = self.fleet.trigger(proxy, &[&object]);
-        let answer = match &said {
-            Ok(said) if said.status == 201 => PurgeAnswer::Committed,
+        let response = self.fleet.trigger(proxy, &[&object]);
+        let answer = match &response {
+            Ok(response) if response.status == 201 => PurgeAnswer::Committed,
             Ok(_) => PurgeAnswer::Rejected,
             Err(_) => PurgeAnswer::None,
         };
-        let (answered_at, trigger) = (self.now(), said.ok().as_ref().and_then(status_path));
+        let (answered_at, trigger) = (self.now(), response.ok().as_ref().and_then(status_path));
         self.record.purges.push(PurgeRequest {
             sent_at,
             answered_at,
@@ -118,21 +118,21 @@
     }
 
     /// Waits until something is so: whether it became so.
-    fn until(&self, patience: Duration, so: impl Fn(&Fleet) -> bool) -> bool {
-        becomes(patience, || so(&self.fleet))
+    fn wait_until(&self, timeout: Duration, condition: impl Fn(&Fleet) -> bool) -> bool {
+        becomes(timeout, || condition(&self.fleet))
     }
 
-    fn rearm(&mut self, proxy: usize, points: &str) -> io::Result<()> {
+    fn restart_with_fail_points(&mut self, proxy: usize, points: &str) -> io::Result<()> {
         self.fleet.kill(proxy)?;
         self.fleet.restart_armed(proxy, Disk::Kept, points)?;
-        self.agree(AGREE).map(drop)
+        self.wait_for_convergence(CONVERGENCE_TIMEOUT).map(drop)
     }
 
-    fn agree(&self, patience: Duration) -> io::Result<Option<Duration>> {
-        let begun = Instant::now();
+    fn wait_for_convergence(&self, timeout: Duration) -> io::Result<Option<Duration>> {
+        let started_at = Instant::now();
         // One that died of its point is none that could agree.
-        let agreed = self.until(patience, |fleet| fleet.agrees().unwrap_or(false));
-        Ok(agreed.then(|| begun.elapsed()))
+        let converged = self.wait_until(timeout, |fleet| fleet.agrees().unwrap_or(false));
+        Ok(converged.then(|| started_at.elapsed()))
     }
 }
 
@@ -159,10 +159,12 @@
 ///
 /// # Errors
 /// Where it could not be played: a daemon did not start, or has no points.
-pub fn play(daemon: &Path, case: Case, planted: &str) -> io::Result<Played> {
-    let FaultPointEntry { point, armed, .. } = FAULT_POINTS[case.point % FAULT_POINTS.len()];
+pub fn play(daemon: &Path, case: Case, planted: &str) -> io::Result<PlayResult> {
+    let FaultPointEntry {
+        point, fail_points, ..
+    } = FAULT_POINTS[case.point % FAULT_POINTS.len()];
     let writer = (case.seed % 3) as usize;
-    let holder = ((case.seed + 1 + case.seed / 3 % 2) % 3) as usize;
+    let replica = ((case.seed + 1 + case.seed / 3 % 2) % 3) as usize;
     let successor = format!("p{writer}");
     let later: &[&str] = if point == FaultPoint::Successor {
         &[&successor]
@@ -176,27 +178,27 @@
     })?;
     play.fleet.links.set_all(conditions(case.seed));
     for proxy in 0..PROXIES {
-        play.tell(proxy, false);
+        play.trigger_purge(proxy, false);
     }
     let roles = Roles {
         writer,
-        holder,
-        armed,
-        is_planted: !planted.is_empty(),
+        replica,
+        fail_points,
+        has_defect: !planted.is_empty(),
         conditions: conditions(case.seed),
     };
-    let victim = play.break_at(point, &roles)?;
-    play.fleet.kill(victim)?;
+    let failed_proxy = play.inject_fault(point, &roles)?;
+    play.fleet.kill(failed_proxy)?;
     if point != FaultPoint::Successor {
-        play.recover(victim, &roles, case.disk)?;
+        play.recover(failed_proxy, &roles, case.disk)?;
     }
-    let agreed = play.agree(AGREE)?;
-    play.record_held(PROXIES + later.len(), agreed.is_some())?;
+    let converged_in = play.wait_for_convergence(CONVERGENCE_TIMEOUT)?;
+    play.record_final_states(PROXIES + later.len(), converged_in.is_some())?;
     let breaches = judge(&play.record);
-    Ok(Played {
+    Ok(PlayResult {
         record: play.record,
         breaches,
-        agreed,
+        converged_in,
     })
 }
 
@@ -205,58 +207,60 @@
     /// The proxy that gets the purge.
     writer: usize,
     /// One that holds a copy.
-    holder: usize,
+    replica: usize,
     /// What is armed at the one it happens to.
-    armed: &'static str,
+    fail_points: &'static str,
     /// Whether a fault is planted in all daemons.
-    is_planted: bool,
+    has_defect: bool,
     conditions: LinkConditions,
 }
 
 impl Play {
     /// Brings a fault about: the proxy that is lost by it.
-    fn break_at(&mut self, point: FaultPoint, roles: &Roles) -> io::Result<usize> {
-        let Roles { writer, holder, .. } = *roles;
+    fn inject_fault(&mut self, point: FaultPoint, roles: &Roles) -> io::Result<usize> {
+        let Roles {
+            writer, replica, ..
+        } = *roles;
         match point {
-            FaultPoint::WriterBeforeTelling
-            | FaultPoint::WriterAfterTelling
+            FaultPoint::WriterBeforeSend
+            | FaultPoint::WriterAfterSend
             | FaultPoint::WriterBeforeDisk
             | FaultPoint::WriterAfterDisk
-            | FaultPoint::WriterBeforeYes => {
-                self.writer_dies(roles)?;
+            | FaultPoint::WriterBeforeAnswer => {
+                self.crash_writer(roles)?;
                 Ok(writer)
             }
-            FaultPoint::WriterAfterYes => {
-                self.tell(writer, false);
+            FaultPoint::WriterAfterAnswer => {
+                self.trigger_purge(writer, false);
                 Ok(writer)
             }
-            FaultPoint::WriterCut => {
+            FaultPoint::WriterIsolated => {
                 self.fleet.links.split(&[writer], LinkConditions::CUT);
-                self.tell(writer, false);
+                self.trigger_purge(writer, false);
                 Ok(writer)
             }
             FaultPoint::WriterDiskFails => {
-                self.rearm(writer, roles.armed)?;
-                self.tell(writer, false);
+                self.restart_with_fail_points(writer, roles.fail_points)?;
+                self.trigger_purge(writer, false);
                 Ok(writer)
             }
-            FaultPoint::HolderBeforeDisk
-            | FaultPoint::HolderAfterDisk
-            | FaultPoint::HolderBeforeWord => {
-                self.holder_dies(roles)?;
-                Ok(holder)
+            FaultPoint::ReplicaBeforeDisk
+            | FaultPoint::ReplicaAfterDisk
+            | FaultPoint::ReplicaBeforeAck => {
+                self.crash_replica(roles)?;
+                Ok(replica)
             }
-            FaultPoint::HolderStalled => {
-                self.fleet.stall(holder)?;
-                self.tell(writer, false);
-                Ok(holder)
+            FaultPoint::ReplicaStalled => {
+                self.fleet.stall(replica)?;
+                self.trigger_purge(writer, false);
+                Ok(replica)
             }
-            FaultPoint::HolderCut => {
-                self.holder_is_cut(roles)?;
+            FaultPoint::ReplicaIsolated => {
+                self.isolate_replica(roles)?;
                 Ok(writer)
             }
             FaultPoint::Successor => {
-                self.writer_is_replaced(writer)?;
+                self.replace_writer(writer)?;
                 // The old machine is switched off at last.
                 Ok(writer)
             }
@@ -264,9 +268,9 @@
     }
 
     /// The writer dies of its point when it is told.
-    fn writer_dies(&mut self, roles: &Roles) -> io::Result<()> {
-        self.rearm(roles.writer, roles.armed)?;
-        if self.tell(roles.writer, true) != PurgeAnswer::None && !roles.is_planted {
+    fn crash_writer(&mut self, roles: &Roles) -> io::Result<()> {
+        self.restart_with_fail_points(roles.writer, roles.fail_points)?;
+        if self.trigger_purge(roles.writer, true) != PurgeAnswer::None && !roles.has_defect {
             return Err(io::Error::other(
                 "the writer did not die: this daemon has no points",
             ));
@@ -275,11 +279,11 @@
     }
 
     /// The holder dies of its point when the writer is told.
-    fn holder_dies(&mut self, roles: &Roles) -> io::Result<()> {
-        let holder = roles.holder;
-        self.rearm(holder, roles.armed)?;
-        self.tell(roles.writer, false);
-        if !self.until(KNOWN, |fleet| fleet.status(holder).is_err()) {
+    fn crash_replica(&mut self, roles: &Roles) -> io::Result<()> {
+        let replica = roles.replica;
+        self.restart_with_fail_points(replica, roles.fail_points)?;
+        self.trigger_purge(roles.writer, false);
+        if !self.wait_until(DETECTION_TIMEOUT, |fleet| fleet.status(replica).is_err()) {
             return Err(io::Error::other(
                 "the holder did not die: this daemon has no points",
             ));
@@ -288,45 +292,47 @@
     }
 
     /// The replica is cut off for one commit and back for the next.
-    fn holder_is_cut(&mut self, roles: &Roles) -> io::Result<()> {
-        self.agree(AGREE)?;
-        self.fleet.links.split(&[roles.holder], LinkConditions::CUT);
-        self.tell(roles.writer, false);
-        self.fleet.links.split(&[roles.holder], roles.conditions);
-        self.tell(roles.writer, false);
+    fn isolate_replica(&mut self, roles: &Roles) -> io::Result<()> {
+        self.wait_for_convergence(CONVERGENCE_TIMEOUT)?;
+        self.fleet
+            .links
+            .split(&[roles.replica], LinkConditions::CUT);
+        self.trigger_purge(roles.writer, false);
+        self.fleet.links.split(&[roles.replica], roles.conditions);
+        self.trigger_purge(roles.writer, false);
         Ok(())
     }
 
     /// The writer stands still while another takes its name, and goes on.
-    fn writer_is_replaced(&mut self, writer: usize) -> io::Result<()> {
-        self.agree(AGREE)?;
+    fn replace_writer(&mut self, writer: usize) -> io::Result<()> {
+        self.wait_for_convergence(CONVERGENCE_TIMEOUT)?;
         self.fleet.stall(writer)?;
         self.fleet.restart(PROXIES, Disk::Lost)?;
-        self.tell(PROXIES, false);
+        self.trigger_purge(PROXIES, false);
         self.fleet.go_on(writer)?;
-        if !self.until(KNOWN, |fleet| {
+        if !self.wait_until(DETECTION_TIMEOUT, |fleet| {
             fleet.status(writer).is_ok_and(|s| s.replaced)
         }) {
             return Err(io::Error::other(
                 "the old process did not learn of its successor",
             ));
         }
-        self.tell(writer, false);
+        self.trigger_purge(writer, false);
         Ok(())
     }
 
     /// The others go on without the one that was lost, and then it comes back.
-    fn recover(&mut self, victim: usize, roles: &Roles, disk: Disk) -> io::Result<()> {
+    fn recover(&mut self, failed_proxy: usize, roles: &Roles, disk: Disk) -> io::Result<()> {
         let other = (0..PROXIES)
-            .find(|proxy| *proxy != victim)
+            .find(|proxy| *proxy != failed_proxy)
             .unwrap_or_default();
-        self.tell(other, false);
+        self.trigger_purge(other, false);
         self.fleet.links.split(&[roles.writer], roles.conditions);
-        self.fleet.restart(victim, disk)
+        self.fleet.restart(failed_proxy, disk)
     }
 
     /// Writes down what each proxy that runs holds in the end.
-    fn record_held(&mut self, proxies: usize, has_agreed: bool) -> io::Result<()> {
+    fn record_final_states(&mut self, proxies: usize, has_converged: bool) -> io::Result<()> {
         let running: Vec<usize> = (0..proxies)
             .filter(|n| self.fleet.process(*n).is_ok())
             .collect();
@@ -337,7 +343,7 @@
                     objects.insert(purge.object.clone());
                 }
             }
-            let under_replicated = if has_agreed {
+            let under_replicated = if has_converged {
                 self.fleet.status(proxy)?.under_replicated
             } else {
                 0
--- a/rehearse/src/fault_matrix/points.rs
+++ b/rehearse/src/fault_matrix/points.rs
@@ -4,31 +4,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FaultPoint {
     /// The writer dies before it sends the entry to anybody.
-    WriterBeforeTelling,
+    WriterBeforeSend,
     /// It dies once it has sent the entry to its peers.
-    WriterAfterTelling,
+    WriterAfterSend,
     /// It dies before the entry is durable there.
     WriterBeforeDisk,
     /// It dies once the entry is durable there.
     WriterAfterDisk,
     /// It dies once the entry is replicated, before its answer.
-    WriterBeforeYes,
+    WriterBeforeAnswer,
     /// It is killed right after its answer.
-    WriterAfterYes,
+    WriterAfterAnswer,
     /// It is cut off from all, gets a purge, and is lost before the links are back.
-    WriterCut,
+    WriterIsolated,
     /// Its disk fails.
     WriterDiskFails,
     /// A replica dies before the entry is durable there.
-    HolderBeforeDisk,
+    ReplicaBeforeDisk,
     /// It dies once the entry is durable there.
-    HolderAfterDisk,
+    ReplicaAfterDisk,
     /// It dies before it acknowledges the entry.
-    HolderBeforeWord,
+    ReplicaBeforeAck,
     /// It is stopped, and is lost.
-    HolderStalled,
+    ReplicaStalled,
     /// It is cut off for one commit and back for the next; the writer is lost then.
-    HolderCut,
+    ReplicaIsolated,
     /// The writer is stopped while another takes its name, and goes on.
     Successor,
 }
@@ -41,22 +41,30 @@
     /// Its name in tables.
     pub name: &'static str,
     /// The daemon's fail point; empty where the fault comes from outside.
-    pub armed: &'static str,
+    pub fail_points: &'static str,
 }
 
-const fn entry(point: FaultPoint, name: &'static str, armed: &'static str) -> FaultPointEntry {
-    FaultPointEntry { point, name, armed }
+const fn entry(
+    point: FaultPoint,
+    name: &'static str,
+    fail_points: &'static str,
+) -> FaultPointEntry {
+    FaultPointEntry {
+        point,
+        name,
+        fail_points,
+    }
 }
 
 /// All fault points.
 pub const FAULT_POINTS: [FaultPointEntry; 14] = [
     entry(
-        FaultPoint::WriterBeforeTelling,
+        FaultPoint::WriterBeforeSend,
         "writer-before-telling",
         "peers-tell=die",
     ),
     entry(
-        FaultPoint::WriterAfterTelling,
+        FaultPoint::WriterAfterSend,
         "writer-after-telling",
         "peers-told=die",
     ),
@@ -71,63 +79,63 @@
         "store-committed=die",
     ),
     entry(
-        FaultPoint::WriterBeforeYes,
+        FaultPoint::WriterBeforeAnswer,
         "writer-before-yes",
         "promise-kept=die",
     ),
-    entry(FaultPoint::WriterAfterYes, "writer-after-yes", ""),
-    entry(FaultPoint::WriterCut, "writer-cut", ""),
+    entry(FaultPoint::WriterAfterAnswer, "writer-after-yes", ""),
+    entry(FaultPoint::WriterIsolated, "writer-cut", ""),
     entry(
         FaultPoint::WriterDiskFails,
         "writer-disk-fails",
         "store-fails=fail",
     ),
     entry(
-        FaultPoint::HolderBeforeDisk,
+        FaultPoint::ReplicaBeforeDisk,
         "holder-before-disk",
         "store-commits=die",
     ),
     entry(
-        FaultPoint::HolderAfterDisk,
+        FaultPoint::ReplicaAfterDisk,
         "holder-after-disk",
         "store-committed=die",
     ),
     entry(
-        FaultPoint::HolderBeforeWord,
+        FaultPoint::ReplicaBeforeAck,
         "holder-before-word",
         "holder-says=die",
     ),
-    entry(FaultPoint::HolderStalled, "holder-stalled", ""),
-    entry(FaultPoint::HolderCut, "holder-cut", ""),
+    entry(FaultPoint::ReplicaStalled, "holder-stalled", ""),
+    entry(FaultPoint::ReplicaIsolated, "holder-cut", ""),
     entry(FaultPoint::Successor, "successor", ""),
 ];
 
 /// A fault that can be planted in the daemons, so that the rules have something to find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Plant {
+pub struct Defect {
     /// Its name on the command line.
     pub name: &'static str,
     /// The daemon's fail point.
-    pub armed: &'static str,
+    pub fail_points: &'static str,
     /// What the daemons do wrong.
     pub effect: &'static str,
 }
 
 /// All faults that can be planted.
-pub const PLANTS: [Plant; 3] = [
-    Plant {
+pub const DEFECTS: [Defect; 3] = [
+    Defect {
         name: "credit",
-        armed: "plant-credit=fail",
+        fail_points: "plant-credit=fail",
         effect: "an answer before the entry is replicated",
     },
-    Plant {
+    Defect {
         name: "skip",
-        armed: "plant-skip=fail",
+        fail_points: "plant-skip=fail",
         effect: "a catch-up that skips missing entries",
     },
-    Plant {
+    Defect {
         name: "no-fence",
-        armed: "plant-no-fence=fail",
+        fail_points: "plant-no-fence=fail",
         effect: "a replaced process that goes on committing",
     },
 ];
--- a/rehearse/src/play/drain.rs
+++ b/rehearse/src/play/drain.rs
@@ -123,14 +123,14 @@
         a.field("key")
             .is_some_and(|key| objects.iter().any(|o| o == key))
     };
-    let until = Instant::now() + TIMEOUT;
+    let deadline = Instant::now() + TIMEOUT;
     loop {
         match caches
             .iter()
             .find(|cache| cache.arrivals().iter().any(redirected))
         {
             Some(target) => return Ok(target),
-            None if Instant::now() > until => {
+            None if Instant::now() > deadline => {
                 return Err(failed("a redirected request reached no cache"))
             }
             None => thread::sleep(Duration::from_millis(2)),
--- a/rehearse/src/play/mod.rs
+++ b/rehearse/src/play/mod.rs
@@ -74,9 +74,9 @@
     bus.list(true, list);
     let peer = PeerCdn::start()?;
     let mut running = start(daemon, &bus, peer.address)?;
-    let until = Instant::now() + TIMEOUT;
+    let deadline = Instant::now() + TIMEOUT;
     while call(running.cdni, "GET", "/health", "")?.status != 200 {
-        if Instant::now() > until {
+        if Instant::now() > deadline {
             return Err(failed("the daemon did not become ready"));
         }
         thread::sleep(Duration::from_millis(10));
@@ -225,20 +225,22 @@
     });
     let mut server = WebServer::connect(running.front)?;
     server.ask(1, "photo", "00000000000000e1", 2500)?;
-    let fits = |a: &Arrival| a.field("key") == Some("00000000000000e1");
-    let until = Instant::now() + TIMEOUT;
+    let is_last_object = |a: &Arrival| a.field("key") == Some("00000000000000e1");
+    let deadline = Instant::now() + TIMEOUT;
     while caches
         .iter()
         .map(|cache| cache.arrivals().len())
         .sum::<usize>()
         == before
-        && Instant::now() < until
+        && Instant::now() < deadline
     {
         thread::sleep(Duration::from_millis(2));
     }
     report.check(
         "one answer",
-        caches.iter().any(|cache| cache.arrivals().iter().any(fits)),
+        caches
+            .iter()
+            .any(|cache| cache.arrivals().iter().any(is_last_object)),
         || "the last request strayed".into(),
     );
     // The shell sends the signal: the standard library can't.
--- a/rehearse/src/player/clients.rs
+++ b/rehearse/src/player/clients.rs
@@ -1,6 +1,6 @@
 //! The readers of the clients' connections: they take answers in, and have rejected requests retried.
 
-use crate::fakes::site_server::made_of;
+use crate::fakes::site_server::verified_copy_time_ms;
 use crate::load::Arrival;
 use crate::record::{Answered, FinalAnswer, Micros};
 use linnetknot_harness::clients::{Answer, WebServer};
@@ -104,7 +104,7 @@
             match web.end() {
                 Ok((number, answer)) => {
                     let at = unix_us();
-                    self.answered(at, open.remove(number), answer);
+                    self.record_answer(at, open.remove(number), answer);
                 }
                 Err(e)
                     if matches!(
@@ -122,7 +122,7 @@
     }
 
     /// Takes an answer in; none came to a request that was aborted.
-    fn answered(&self, at: Micros, id: Option<String>, answer: Option<Answer>) {
+    fn record_answer(&self, at: Micros, id: Option<String>, answer: Option<Answer>) {
         let (Some(id), Some(answer)) = (id, answer) else {
             return;
         };
@@ -133,14 +133,14 @@
         let advised_ms = answer
             .header("back-off-ms")
             .and_then(|v| v.parse::<u64>().ok());
-        let verdict = judge(&request.arrival, &answer, advised_ms);
+        let final_answer = classify(&request.arrival, &answer, advised_ms);
         record.answered.push(Answered {
             id,
             at,
-            answer: verdict,
+            answer: final_answer,
         });
         drop(record);
-        if matches!(verdict, FinalAnswer::Refused { .. }) && request.retry < MAX_RETRIES {
+        if matches!(final_answer, FinalAnswer::Refused { .. }) && request.retry < MAX_RETRIES {
             let at = at + advised_ms.unwrap_or(DEFAULT_RETRY_MS) * 1000;
             let request = ClientRequest {
                 retry: request.retry + 1,
@@ -152,10 +152,10 @@
 }
 
 /// What an answer is to the client of this request.
-fn judge(arrival: &Arrival, answer: &Answer, advised_ms: Option<u64>) -> FinalAnswer {
+fn classify(arrival: &Arrival, answer: &Answer, advised_ms: Option<u64>) -> FinalAnswer {
     match answer.status {
         200 => {
-            let made = made_of((arrival.object, arrival.part), &answer.body);
+            let made = verified_copy_time_ms((arrival.object, arrival.part), &answer.body);
             FinalAnswer::Served {
                 made: made.map(|ms| ms * 1000 + 999),
                 intact: made.is_some(),
--- a/rehearse/src/player/deployment.rs
+++ b/rehearse/src/player/deployment.rs
@@ -1,6 +1,6 @@
 //! The deployment that a scenario describes: the settings of its proxies and the nodes behind them.
 
-use crate::fakes::site::{FakeSite, Kind, NodeFigures, SiteFigures};
+use crate::fakes::site::{FakeSite, NodeKind, NodeParameters, SiteParameters};
 use crate::record::{Class, ColdStart, Micros, Repeat};
 use crate::scenario::{ClassLoad, NodeForm, Scenario};
 use crate::timetable::cache_uid;
@@ -8,19 +8,19 @@
 
 /// What the proxies are told of cold boxes, and what the fakes do: a share at the start, warm after a time, and
 /// over by a multiple of what they can do for a while.
-const COLD_SHARE: f64 = 0.15;
-const RAMP_US: Micros = 13_000_000;
-const FALL_MULTIPLE: f64 = 2.5;
-const TIP_AFTER_US: Micros = 3_000_000;
+const COLD_CAPACITY_SHARE: f64 = 0.15;
+const WARM_UP_US: Micros = 13_000_000;
+const OVERLOAD_MULTIPLE: f64 = 2.5;
+const OVERLOAD_WINDOW_US: Micros = 3_000_000;
 /// The origin drops repeats of a write's key for so long.
 const KEY_WINDOW_US: Micros = 3_000_000;
 /// An answer within this multiple of its own sending time is in time.
-const AIM_STRETCH: f64 = 2.0;
+const OBJECTIVE_STRETCH: f64 = 2.0;
 /// Share of its worth that a late answer earns.
 const LATE_WEIGHT: f64 = 0.1;
 
 /// The time in which a request of a class should be answered.
-fn aim_us(class: &ClassLoad) -> Micros {
+fn objective_us(class: &ClassLoad) -> Micros {
     if class.keyed {
         700_000
     } else {
@@ -40,7 +40,7 @@
 /// A class as the proxies' settings have it.
 fn category(class: &ClassLoad) -> Value {
     json!({
-        "name": class.name, "aim-us": aim_us(class), "aim-stretch": AIM_STRETCH,
+        "name": class.name, "aim-us": objective_us(class), "aim-stretch": OBJECTIVE_STRETCH,
         "deadline-us": class.budget_ms * 1000, "repeat": if class.keyed { "token" } else { "pure" },
         "dedup-scope": "all", "window-us": KEY_WINDOW_US, "worth": weight(class), "late-worth": LATE_WEIGHT,
     })
@@ -55,8 +55,8 @@
         } else {
             Repeat::Safe
         },
-        objective_us: aim_us(class),
-        stretch: AIM_STRETCH,
+        objective_us: objective_us(class),
+        stretch: OBJECTIVE_STRETCH,
         weight: weight(class),
         late_weight: LATE_WEIGHT,
     }
@@ -70,7 +70,7 @@
         "categories": each(&category),
         "family-info": {
             "in-pieces": each(&|c| (c.parts.1 > 1).into()), "never-kept": each(&|c| c.keyed.into()),
-            "good-for-us": each(&|c| fresh_us(scenario, c).into()), "may-pass-by": true, "can-join": true,
+            "good-for-us": each(&|c| freshness_us(scenario, c).into()), "may-pass-by": true, "can-join": true,
             "mid-kind": 2, "source-kind": 1, "seats-by-zone": [0, scenario.proxies], "attached-to": [0, 0],
             "one-flow-kb-per-s": scenario.site.flow_kb_per_s,
             "purge-takes-us": micros(scenario.site.purge_takes_ms), "purge-slack-us": 300_000,
@@ -78,13 +78,13 @@
         },
         "kinds": ["box", "origin", "hub"], "localities": ["hub", "here"], "zone": "here", "weights": "rough",
         "limits": {"try-limit": 6, "cancel": true, "retry-after": true, "max-retry-after-us": 2_000_000},
-        "rules": {"drain-grace-us": 1_000_000, "cold-share": COLD_SHARE, "ramp-time-us": RAMP_US,
-            "fall-multiple": FALL_MULTIPLE, "tip-after-us": TIP_AFTER_US},
+        "rules": {"drain-grace-us": 1_000_000, "cold-share": COLD_CAPACITY_SHARE, "ramp-time-us": WARM_UP_US,
+            "fall-multiple": OVERLOAD_MULTIPLE, "tip-after-us": OVERLOAD_WINDOW_US},
     })
 }
 
 /// How long a copy of a class may be served; 0 where none is kept.
-pub(super) fn fresh_us(scenario: &Scenario, class: &ClassLoad) -> Micros {
+pub(super) fn freshness_us(scenario: &Scenario, class: &ClassLoad) -> Micros {
     if class.keyed || class.parts.1 > 1 {
         0
     } else {
@@ -97,8 +97,8 @@
 }
 
 /// The figures of a node of this form.
-pub(super) fn figures(node: &NodeForm) -> NodeFigures {
-    NodeFigures {
+pub(super) fn parameters(node: &NodeForm) -> NodeParameters {
+    NodeParameters {
         slots: node.slots as usize,
         waiting: node.waiting as usize,
         capacity: node.capacity,
@@ -109,15 +109,15 @@
 }
 
 /// A box started anew during the play: cold by the rules that the proxies are given.
-pub(super) fn cold(uid: &str, at: Micros, capacity: f64) -> ColdStart {
+pub(super) fn cold_start(uid: &str, at: Micros, capacity: f64) -> ColdStart {
     ColdStart {
         uid: uid.to_owned(),
         at,
         capacity,
-        share: COLD_SHARE,
-        warm_us: RAMP_US,
-        overload_multiple: FALL_MULTIPLE,
-        overload_window_us: TIP_AFTER_US,
+        share: COLD_CAPACITY_SHARE,
+        warm_us: WARM_UP_US,
+        overload_multiple: OVERLOAD_MULTIPLE,
+        overload_window_us: OVERLOAD_WINDOW_US,
     }
 }
 
@@ -152,13 +152,25 @@
             nodes: Vec::new(),
         };
         for n in 0..caches as u32 {
-            deployment.add(Kind::Box, cache_uid(n), "here", "box", &form.edge_box);
+            deployment.add(
+                NodeKind::EdgeCache,
+                cache_uid(n),
+                "here",
+                "box",
+                &form.edge_box,
+            );
         }
         for n in 0..form.hubs {
-            deployment.add(Kind::Hub, format!("h-{n:08x}"), "hub", "hub", &form.hub);
+            deployment.add(
+                NodeKind::ParentCache,
+                format!("h-{n:08x}"),
+                "hub",
+                "hub",
+                &form.hub,
+            );
         }
         deployment.add(
-            Kind::Origin,
+            NodeKind::Origin,
             "o-00000000".to_owned(),
             "hub",
             "origin",
@@ -169,13 +181,13 @@
 
     fn add(
         &mut self,
-        kind: Kind,
+        kind: NodeKind,
         uid: String,
         zone: &'static str,
         model: &'static str,
         form: &NodeForm,
     ) {
-        self.site.start(&uid, kind, figures(form), None);
+        self.site.start(&uid, kind, parameters(form), None);
         self.nodes.push(Node {
             uid,
             zone,
@@ -186,9 +198,9 @@
 }
 
 /// What the nodes of a scenario share.
-fn site(scenario: &Scenario, caches: usize) -> SiteFigures {
+fn site(scenario: &Scenario, caches: usize) -> SiteParameters {
     let form = &scenario.site;
-    SiteFigures {
+    SiteParameters {
         link: form.link_per_box * caches as f64,
         fill_pace: form.fill_pace,
         near_us: micros(form.near_ms),
--- a/rehearse/src/player/environment.rs
+++ b/rehearse/src/player/environment.rs
@@ -1,8 +1,8 @@
 //! What surrounds the proxies of a play: the nodes behind them, and the event buses that tell of these.
 
-use super::deployment::{cold, figures, fresh_us, settings, Deployment, Node};
+use super::deployment::{cold_start, freshness_us, parameters, settings, Deployment, Node};
 use super::PlayDefect;
-use crate::fakes::site::{FakeSite, Kind};
+use crate::fakes::site::{FakeSite, NodeKind};
 use crate::fakes::site_server::{ClassRules, SiteServer, Workload};
 use crate::load::{group, Plan, Purge};
 use crate::record::{ColdStart, Micros, Notice, NoticeKind};
@@ -17,19 +17,19 @@
 pub(super) struct Environment<'a> {
     scenario: &'a Scenario,
     defect: Option<PlayDefect>,
-    served: SiteServer,
+    site_server: SiteServer,
     nodes: Vec<Node>,
     /// One for each proxy: each is told the addresses at which it reaches the nodes.
     buses: Vec<Bus>,
     notices: Vec<Notice>,
-    started: Vec<ColdStart>,
+    cold_starts: Vec<ColdStart>,
 }
 
 /// What remains of an environment once it has ended.
 pub(super) struct EnvironmentRecord {
     pub(super) site: FakeSite,
     pub(super) notices: Vec<Notice>,
-    pub(super) started: Vec<ColdStart>,
+    pub(super) cold_starts: Vec<ColdStart>,
     /// Kept until the proxies have ended, so that none of them loses its bus before.
     _buses: Vec<Bus>,
 }
@@ -51,29 +51,30 @@
         let proxies = scenario.proxies as usize;
         let Deployment { site, nodes } = Deployment::of(scenario);
         let uids: Vec<String> = nodes.iter().map(|node| node.uid.clone()).collect();
-        let served = SiteServer::start(site, &uids, proxies, workload(scenario, plan, defect))?;
+        let site_server =
+            SiteServer::start(site, &uids, proxies, workload(scenario, plan, defect))?;
         let buses = (0..proxies)
             .map(|_| Bus::start())
             .collect::<io::Result<Vec<_>>>()?;
         Ok(Environment {
             scenario,
             defect,
-            served,
+            site_server,
             nodes,
             buses,
             notices: Vec::new(),
-            started: Vec::new(),
+            cold_starts: Vec::new(),
         })
     }
 
     /// A node as a proxy's bus lists it: at the address at which that proxy reaches it.
-    fn listed(&self, proxy: usize, listing: &Listing<'_>) -> Value {
+    fn node_entry(&self, proxy: usize, listing: &Listing<'_>) -> Value {
         let Listing {
             node,
             state,
             boot_ms,
         } = listing;
-        let endpoint = self.served.addresses[&(proxy, node.uid.clone())].to_string();
+        let endpoint = self.site_server.addresses[&(proxy, node.uid.clone())].to_string();
         json!({"uid": node.uid, "endpoint": endpoint, "az": node.zone, "model": node.model, "pod_group": 0,
             "state": state, "capacity_hint": node.capacity, "boot_ms": boot_ms})
     }
@@ -81,7 +82,7 @@
     /// The configuration that a proxy is started with, the peers left out.
     pub(super) fn proxy_config(&self, proxy: usize, seed: u64) -> Value {
         let ready = |node| {
-            self.listed(
+            self.node_entry(
                 proxy,
                 &Listing {
                     node,
@@ -114,8 +115,8 @@
             ),
             Step::StartCache(uid) => {
                 self.announce(at, uid, NoticeKind::Ready(uid.clone()), "ready", at / 1000);
-                self.started
-                    .push(cold(uid, at, self.scenario.site.edge_box.capacity));
+                self.cold_starts
+                    .push(cold_start(uid, at, self.scenario.site.edge_box.capacity));
             }
             Step::CloseBusConnections => self.buses.iter().for_each(Bus::cut),
             _ => {}
@@ -143,7 +144,7 @@
         let is_sent = state == "ready" || self.defect != Some(PlayDefect::DrainsNotSent);
         for (proxy, bus) in self.buses.iter().enumerate() {
             if is_sent {
-                bus.list(false, vec![self.listed(proxy, &listing)]);
+                bus.list(false, vec![self.node_entry(proxy, &listing)]);
             }
             self.notices.push(Notice {
                 proxy,
@@ -155,19 +156,19 @@
 
     fn change_site(&self, step: Step) {
         let form = self.scenario.site.edge_box.clone();
-        self.served.change(move |site, now| match step {
+        self.site_server.change(move |site, now| match step {
             Step::StopCache(uid) => site.stop(now, &uid),
             Step::StartCache(uid) => {
                 site.stop(now, &uid);
                 site.start(
                     &uid,
-                    Kind::Box,
-                    figures(&form),
-                    Some(cold(&uid, now, form.capacity)),
+                    NodeKind::EdgeCache,
+                    parameters(&form),
+                    Some(cold_start(&uid, now, form.capacity)),
                 );
             }
             Step::StallCache(uid, lasts) => site.stall(now, &uid, lasts),
-            Step::SlowOrigin(times) => site.slow_origin(times),
+            Step::SlowOrigin(times) => site.set_origin_slowdown(times),
             _ => {}
         });
     }
@@ -176,21 +177,21 @@
     pub(super) fn purge(&mut self, purge: &Purge) {
         let at = unix_us();
         let what = purge.target;
-        let (object, lot) = (
+        let (object, group_id) = (
             what.ok().map(|o| format!("{o:016x}")),
             what.err().unwrap_or(0),
         );
-        let is_untold = self.defect == Some(PlayDefect::PurgesNotSent);
-        if !is_untold {
+        let is_withheld = self.defect == Some(PlayDefect::PurgesNotSent);
+        if !is_withheld {
             let ban = match &object {
                 Some(object) => json!({"ban": {"url": object, "ts": at / 1000}}),
-                None => json!({"ban": {"tag": lot, "ts": at / 1000}}),
+                None => json!({"ban": {"tag": group_id, "ts": at / 1000}}),
             };
             self.buses.iter().for_each(|bus| bus.push(ban.clone()));
         }
         let kind = NoticeKind::Purged {
             object,
-            group: lot,
+            group: group_id,
             at: at / 1000 * 1000,
         };
         let proxies = 0..self.buses.len();
@@ -199,19 +200,19 @@
             at,
             kind: kind.clone(),
         }));
-        if !is_untold {
-            self.served
+        if !is_withheld {
+            self.site_server
                 .change(move |site, now| site.purge_all(now, what, at));
         }
     }
 
     /// Ends the nodes, and gives what is to be judged.
     pub(super) fn end(self) -> io::Result<EnvironmentRecord> {
-        let site = self.served.end()?;
+        let site = self.site_server.end()?;
         Ok(EnvironmentRecord {
             site,
             notices: self.notices,
-            started: self.started,
+            cold_starts: self.cold_starts,
             _buses: self.buses,
         })
     }
@@ -226,17 +227,17 @@
         .collect();
     let classes = scenario.load.classes.iter();
     let rules = |class: &ClassLoad| ClassRules {
-        fresh_us: fresh_us(scenario, class),
+        freshness_us: freshness_us(scenario, class),
         is_write: class.keyed,
     };
     let classes = classes
         .map(|class| (class.name.clone(), rules(class)))
         .collect();
-    let spoil = defect == Some(PlayDefect::WrongBytes);
+    let corrupt_answers = defect == Some(PlayDefect::WrongBytes);
     Workload {
         parts,
         flow_kb_per_s: scenario.site.flow_kb_per_s,
         classes,
-        spoil,
+        corrupt_answers,
     }
 }
--- a/rehearse/src/player/load_generator.rs
+++ b/rehearse/src/player/load_generator.rs
@@ -22,13 +22,13 @@
 use std::time::{Duration, Instant};
 
 /// A connection is given up by its client before the proxy does so.
-const IDLE: Duration = Duration::from_secs(3);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 /// A connection with fewer open requests than this takes one more, however few connections there are.
-const BUSY_REQUESTS: usize = 4;
+const MIN_REQUESTS_PER_CONNECTION: usize = 4;
 /// The most requests that are open on a connection.
-const MAX_REQUESTS: usize = 32;
+const MAX_REQUESTS_PER_CONNECTION: usize = 32;
 /// As long as there are fewer connections than this to a proxy, a busy one takes no more.
-const CONNECTIONS: usize = 16;
+const TARGET_CONNECTIONS: usize = 16;
 /// How often whoever watches is told how far the play is.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(100);
 /// How long the loop sleeps between looks at what is due.
@@ -37,7 +37,7 @@
 struct Connection {
     writer: TcpStream,
     open: Arc<OpenRequests>,
-    used: Instant,
+    last_used: Instant,
 }
 
 /// A request as its fields are written.
@@ -45,7 +45,7 @@
     id: String,
     object: String,
     part: String,
-    lot: String,
+    group: String,
     budget_ms: String,
     size_kb: String,
     key: Option<String>,
@@ -57,7 +57,7 @@
             id,
             object: format!("{:016x}", arrival.object),
             part: arrival.part.to_string(),
-            lot: group(arrival.object).to_string(),
+            group: group(arrival.object).to_string(),
             budget_ms: (arrival.budget / 1000).to_string(),
             size_kb: format!("{:.1}", arrival.size_kb),
             key: arrival.key.map(|k| format!("{k:032x}")),
@@ -70,7 +70,7 @@
             ("HTTP_REQUEST_ID", self.id.as_str()),
             ("HTTP_RESOURCE_KEY", &self.object),
             ("HTTP_X_PIECE", &self.part),
-            ("HTTP_X_LOT", &self.lot),
+            ("HTTP_X_LOT", &self.group),
             ("HTTP_BUDGET_MS", &self.budget_ms),
             ("HTTP_FOOTPRINT_KB", &self.size_kb),
         ];
@@ -115,7 +115,7 @@
         LoadGenerator {
             scenario: scenario.clone(),
             seed,
-            connections: proxies.fronts.iter().map(|_| Vec::new()).collect(),
+            connections: proxies.addresses.iter().map(|_| Vec::new()).collect(),
             proxies,
             clients,
             release_killed,
@@ -248,28 +248,30 @@
     /// The place of a connection to a proxy that takes one more request; a new one where none does.
     fn connection(&mut self, proxy: usize) -> io::Result<usize> {
         let connections = &mut self.connections[proxy];
-        connections.retain(|c| c.used.elapsed() < IDLE || c.open.len() > 0);
-        let free =
-            |(_, c): &(usize, &Connection)| c.open.len() < MAX_REQUESTS && c.used.elapsed() < IDLE;
+        connections.retain(|c| c.last_used.elapsed() < IDLE_TIMEOUT || c.open.len() > 0);
+        let free = |(_, c): &(usize, &Connection)| {
+            c.open.len() < MAX_REQUESTS_PER_CONNECTION && c.last_used.elapsed() < IDLE_TIMEOUT
+        };
         let least_busy = connections
             .iter()
             .enumerate()
             .filter(free)
             .min_by_key(|(_, c)| c.open.len());
         // A few connections are kept, so that one that ends takes little with it.
-        let takes_more =
-            |c: &Connection| c.open.len() < BUSY_REQUESTS || connections.len() >= CONNECTIONS;
-        if let Some((place, _)) = least_busy.filter(|(_, c)| takes_more(c)) {
-            return Ok(place);
+        let takes_more = |c: &Connection| {
+            c.open.len() < MIN_REQUESTS_PER_CONNECTION || connections.len() >= TARGET_CONNECTIONS
+        };
+        if let Some((index, _)) = least_busy.filter(|(_, c)| takes_more(c)) {
+            return Ok(index);
         }
-        let web = WebServer::connect(self.proxies.fronts[proxy])?;
+        let web = WebServer::connect(self.proxies.addresses[proxy])?;
         let (writer, open) = (web.writer()?, Arc::new(OpenRequests::default()));
         let (clients, shared) = (self.clients.clone(), open.clone());
         thread::spawn(move || clients.read(web, &shared));
         connections.push(Connection {
             writer,
             open,
-            used: Instant::now(),
+            last_used: Instant::now(),
         });
         Ok(connections.len() - 1)
     }
@@ -280,7 +282,7 @@
             self.sent.unsent += 1;
             return Ok(());
         };
-        let Ok(place) = self.connection(proxy) else {
+        let Ok(index) = self.connection(proxy) else {
             self.sent.unsent += 1;
             return Ok(());
         };
@@ -289,12 +291,12 @@
             (self.seed << 40) ^ (self.sent.requests.len() as u64 + 1)
         );
         let fields = Fields::new(id, &request.arrival);
-        if !self.write(proxy, place, &fields, &request) {
-            self.connections[proxy].remove(place);
+        if !self.write(proxy, index, &fields, &request) {
+            self.connections[proxy].remove(index);
             self.sent.unsent += 1;
             return Ok(());
         }
-        self.connections[proxy][place].used = Instant::now();
+        self.connections[proxy][index].last_used = Instant::now();
         let at = unix_us();
         self.sent.lags.push(at.saturating_sub(due));
         let sent = self.sent_request(fields, &request, proxy, due, at);
@@ -306,19 +308,22 @@
     fn write(
         &mut self,
         proxy: usize,
-        place: usize,
+        index: usize,
         fields: &Fields,
         request: &ClientRequest,
     ) -> bool {
         let class = &self.scenario.load.classes[request.arrival.class];
         let body: &[u8] = if class.keyed { b"a comment" } else { b"" };
-        let connection = &mut self.connections[proxy][place];
+        let connection = &mut self.connections[proxy][index];
         let number = connection.open.insert(fields.id.clone());
-        let known = ClientRequest {
+        let registered = ClientRequest {
             first_id: first_id(request, &fields.id),
             ..request.clone()
         };
-        self.clients.record().sent.insert(fields.id.clone(), known);
+        self.clients
+            .record()
+            .sent
+            .insert(fields.id.clone(), registered);
         let frame = fields.frame(number, &class.name, body);
         let is_written = connection.writer.write_all(&frame).is_ok();
         if !is_written {
--- a/rehearse/src/player/mod.rs
+++ b/rehearse/src/player/mod.rs
@@ -91,7 +91,7 @@
 /// A load generator that is later than this has measured itself.
 pub const MAX_LAG_US: Micros = 50_000;
 /// The load begins this long after all has been started.
-const LEAD_US: Micros = 200_000;
+const START_DELAY_US: Micros = 200_000;
 
 /// A fault of the fakes' own, to see that it is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -211,7 +211,12 @@
         release_killed,
     );
     let steps = timetable(scenario);
-    let schedule = Schedule::new(unix_us() + LEAD_US, scenario.seconds, play.plan, &steps);
+    let schedule = Schedule::new(
+        unix_us() + START_DELAY_US,
+        scenario.seconds,
+        play.plan,
+        &steps,
+    );
     let interrupted = generator.play(schedule, &mut environment, &retries, &play.control)?;
     let ended = environment.end()?;
     let Sent {
@@ -225,19 +230,19 @@
         answered: std::mem::take(&mut clients.record().answered),
         attempts: ended.site.attempts,
         notices: ended.notices,
-        cold_starts: ended.started,
+        cold_starts: ended.cold_starts,
     };
     lags.sort_unstable();
     Ok(Outcome {
         writes: ended.site.writes,
         unsent,
         interrupted,
-        ..judged(&record, &lags)
+        ..outcome_of(&record, &lags)
     })
 }
 
 /// What a record shows, with the sorted lags of its load.
-fn judged(record: &Record, lags: &[Micros]) -> Outcome {
+fn outcome_of(record: &Record, lags: &[Micros]) -> Outcome {
     let lag_us = (quantile(lags, 0.99), quantile(lags, 1.0));
     let limits = Limits {
         tolerance_us: lag_us.0.min(MAX_LAG_US),
--- a/rehearse/src/player/proxies.rs
+++ b/rehearse/src/player/proxies.rs
@@ -45,14 +45,14 @@
 /// The proxies' processes, and what it takes to start one again.
 pub(super) struct Proxies {
     /// Where clients reach each.
-    pub(super) fronts: Vec<SocketAddr>,
+    pub(super) addresses: Vec<SocketAddr>,
     running: Vec<Option<Process>>,
     /// Those that stand still: they run, and nobody goes to them.
     frozen: Vec<bool>,
     /// What stands between those that have peers.
     links: Option<FaultyLinks>,
     /// Told to end; a restart waits for the end.
-    ending: Vec<Option<Process>>,
+    terminating: Vec<Option<Process>>,
     configs: Vec<Value>,
     launcher: Launcher,
     restarted_sender: Sender<Restarted>,
@@ -101,11 +101,11 @@
         }
         let (restarted_sender, restarted) = mpsc::channel();
         Ok(Proxies {
-            fronts: running.iter().flatten().map(|p| p.front).collect(),
+            addresses: running.iter().flatten().map(|p| p.front).collect(),
             running,
             frozen: vec![false; count],
             links,
-            ending: (0..count).map(|_| None).collect(),
+            terminating: (0..count).map(|_| None).collect(),
             configs,
             launcher,
             restarted_sender,
@@ -158,19 +158,19 @@
     pub(super) fn terminate(&mut self, proxy: usize) -> io::Result<()> {
         if let Some(process) = self.running[proxy].take() {
             process.signal(Signal::TERM)?;
-            self.ending[proxy] = Some(process);
+            self.terminating[proxy] = Some(process);
         }
         Ok(())
     }
 
     /// Starts a proxy again on its address, once its old process has ended.
     pub(super) fn restart(&mut self, proxy: usize) {
-        let ending = self.ending[proxy].take();
+        let terminating = self.terminating[proxy].take();
         let mut config = self.configs[proxy].clone();
-        config["listen"] = self.fronts[proxy].to_string().into();
+        config["listen"] = self.addresses[proxy].to_string().into();
         let (launcher, restarted) = (self.launcher.clone(), self.restarted_sender.clone());
         thread::spawn(move || {
-            if let Some(mut old) = ending {
+            if let Some(mut old) = terminating {
                 let _ = old.child.wait();
             }
             let process = launcher.start(proxy, &config);
--- a/rehearse/src/series.rs
+++ b/rehearse/src/series.rs
@@ -83,8 +83,8 @@
 impl Verdict {
     /// The verdict on a play that ran.
     pub fn of(outcome: &Outcome) -> Self {
-        if let Err(why) = outcome.check_conclusive() {
-            return Verdict::Inconclusive(why.to_string());
+        if let Err(reason) = outcome.check_conclusive() {
+            return Verdict::Inconclusive(reason.to_string());
         }
         if let Some(at) = outcome.interrupted.filter(|_| outcome.breaches.is_empty()) {
             return Verdict::Inconclusive(format!("ended by hand after {at:.1} s"));
@@ -161,7 +161,7 @@
             let (mut clean, mut inconclusive, mut lowest_score) = (0, String::new(), f64::INFINITY);
             for (seed, verdict) in verdicts {
                 match verdict {
-                    Verdict::Inconclusive(why) => write!(inconclusive, " {seed}: {why};")?,
+                    Verdict::Inconclusive(reason) => write!(inconclusive, " {seed}: {reason};")?,
                     Verdict::Played { broken, score } => {
                         clean += usize::from(broken.is_empty());
                         lowest_score = lowest_score.min(*score);
--- a/rehearse/tests/purges.rs
+++ b/rehearse/tests/purges.rs
@@ -6,18 +6,20 @@
     Action, Event, Fill, ListMode, Micros, Note, Outcome, Request, Router, Server, State,
 };
 use linnetknot_harness::settings;
-use linnetknot_rehearse::fakes::site::{FakeSite, Fetch, Kind, NodeFigures, Out, SiteFigures};
+use linnetknot_rehearse::fakes::site::{
+    FakeSite, Fetch, NodeKind, NodeParameters, SiteOutput, SiteParameters,
+};
 
 const S: Micros = 1_000_000;
-const T0: Micros = 1_000 * S;
+const START_US: Micros = 1_000 * S;
 /// A fill that began so long ago has its copy from the origin, which gave it out after 50 ms, and has not ended.
-const RUNS: Micros = 80_000;
+const MID_FILL_US: Micros = 80_000;
 const OBJECT: u64 = 7;
 const GROUP: u64 = 3;
-const NODES: [(u64, &str, Kind, &str); 3] = [
-    (1, "a", Kind::Box, "box"),
-    (2, "b", Kind::Box, "box"),
-    (9, "origin", Kind::Origin, "origin"),
+const NODES: [(u64, &str, NodeKind, &str); 3] = [
+    (1, "a", NodeKind::EdgeCache, "box"),
+    (2, "b", NodeKind::EdgeCache, "box"),
+    (9, "origin", NodeKind::Origin, "origin"),
 ];
 
 fn name(id: u64) -> &'static str {
@@ -51,12 +53,12 @@
         mode: ListMode::Full,
         servers: servers.collect(),
     };
-    router.handle(T0, list, &mut Vec::new());
+    router.handle(START_US, list, &mut Vec::new());
     router
 }
 
 fn play(siblings: bool) -> Play {
-    let mut site = FakeSite::new(SiteFigures {
+    let mut site = FakeSite::new(SiteParameters {
         link: 8.0,
         fill_pace: 2.0,
         near_us: S / 100,
@@ -67,7 +69,7 @@
         late_fills: true,
     });
     for (_, uid, kind, _) in NODES {
-        let figures = NodeFigures {
+        let parameters = NodeParameters {
             slots: 16,
             waiting: 16,
             capacity: 8.0,
@@ -75,7 +77,7 @@
             fills: 8,
             fill_timeout_us: 5 * S,
         };
-        site.start(uid, kind, figures, None);
+        site.start(uid, kind, parameters, None);
     }
     Play {
         router: router(siblings),
@@ -130,11 +132,11 @@
         let uid = name(server);
         self.site.advance(now);
         let mut out = self.site.fetch(now, uid, fetch_of(id, &fill, server));
-        out.extend(self.site.advance(now + RUNS));
-        meanwhile(self, now + RUNS);
+        out.extend(self.site.advance(now + MID_FILL_US));
+        meanwhile(self, now + MID_FILL_US);
         out.extend(self.site.advance(now + 4 * S));
-        let Some(Out::Answer {
-            word: "200",
+        let Some(SiteOutput::Answer {
+            status: "200",
             how,
             made,
             ..
@@ -172,7 +174,7 @@
         work_us: S / 10,
         kb: 400,
         source: (fill.source != server).then(|| name(fill.source).to_owned()),
-        keep: fill.cache_rank,
+        rank: fill.cache_rank,
         max_age_us: fill.max_age_us.unwrap_or(u64::MAX),
         join: fill.coalesce,
         ..Fetch::default()
@@ -181,28 +183,28 @@
 
 /// The fill that runs across the purge leaves its copy in the box, which serves it to who asks for any age.
 #[test]
-fn a_copy_that_a_fill_left_behind_a_purge_is_not_served_once_boxes_have_had_their_time() {
+fn copy_cached_by_a_fill_across_a_purge_is_not_served_later() {
     for by_object in [true, false] {
         let mut p = play(false);
         let mut purged_at = 0;
-        let (uid, old) = p.ask(T0, |p, now| {
+        let (uid, old) = p.ask(START_US, |p, now| {
             purged_at = now;
-            let what = if by_object { Ok(OBJECT) } else { Err(GROUP) };
+            let target = if by_object { Ok(OBJECT) } else { Err(GROUP) };
             ["a", "b"]
                 .iter()
-                .for_each(|uid| p.site.purge(uid, what, purged_at));
+                .for_each(|uid| p.site.purge(uid, target, purged_at));
             p.purge(purged_at, by_object);
         });
         assert!(old < purged_at, "made before the purge");
         let any = Fetch {
             max_age_us: u64::MAX,
-            keep: 0,
-            ..fetch_of(99, &bare(), 0)
+            rank: 0,
+            ..fetch_of(99, &default_fill(), 0)
         };
-        let (later, mut out) = (
-            T0 + 10 * S,
+        let (later_at, mut out) = (
+            START_US + 10 * S,
             p.site.fetch(
-                T0 + 10 * S,
+                START_US + 10 * S,
                 uid,
                 Fetch {
                     source: None,
@@ -210,12 +212,12 @@
                 },
             ),
         );
-        out.extend(p.site.advance(later + S));
+        out.extend(p.site.advance(later_at + S));
         assert!(
-            matches!(out[..], [Out::Answer { how: "local", made, .. }] if made == old),
+            matches!(out[..], [SiteOutput::Answer { how: "local", made, .. }] if made == old),
             "{out:?}"
         );
-        let (_, made) = p.ask(T0 + 12 * S, |_, _| {});
+        let (_, made) = p.ask(START_US + 12 * S, |_, _| {});
         assert!(
             made >= purged_at,
             "by object {by_object}: {made} is older than {purged_at}"
@@ -225,25 +227,25 @@
 
 /// The old copy comes to the other box from its sibling, which a proxy that had no word yet named as the source.
 #[test]
-fn a_copy_that_a_sibling_passed_on_is_not_served_either() {
+fn stale_copy_filled_from_a_sibling_is_not_served() {
     let mut p = play(true);
-    let (first, old) = p.ask(T0, |_, _| {});
+    let (first, old) = p.ask(START_US, |_, _| {});
     let other = if first == "a" { "b" } else { "a" };
-    let purged_at = T0 + 5 * S;
+    let purged_at = START_US + 5 * S;
     // The other box has carried the purge out when the first, which has not, passes its copy on.
     p.site.purge(other, Ok(OBJECT), purged_at);
     p.purge(purged_at, true);
-    let untold = Fetch {
+    let stale_fill = Fetch {
         source: Some(first.into()),
         max_age_us: u64::MAX,
-        keep: 1,
-        ..fetch_of(98, &bare(), 0)
+        rank: 1,
+        ..fetch_of(98, &default_fill(), 0)
     };
-    p.site.fetch(purged_at + S / 10, other, untold);
+    p.site.fetch(purged_at + S / 10, other, stale_fill);
     p.site.advance(purged_at + S);
     p.site.purge(first, Ok(OBJECT), purged_at);
     // Both boxes have had their six seconds. The router is made to ask the other one.
-    let gone = |state| Server {
+    let server = |state| Server {
         id: if first == "a" { 1 } else { 2 },
         zone: "here".into(),
         cell: 0,
@@ -254,7 +256,7 @@
     };
     let list = Event::List {
         mode: ListMode::Delta,
-        servers: vec![gone(State::Gone)],
+        servers: vec![server(State::Gone)],
     };
     p.router.handle(purged_at + 7 * S, list, &mut Vec::new());
     let (uid, made) = p.ask(purged_at + 8 * S, |_, _| {});
@@ -267,17 +269,17 @@
 
 /// The process that an upgrade starts is told by the bus, late, of what the old one was told.
 #[test]
-fn the_next_process_of_an_upgrade_holds_the_purges_that_the_old_one_was_told_of() {
+fn restarted_process_enforces_purges_replayed_by_the_bus() {
     let mut p = play(false);
     let mut purged_at = 0;
-    let (_, old) = p.ask(T0, |p, now| {
+    let (_, old) = p.ask(START_US, |p, now| {
         purged_at = now;
         ["a", "b"]
             .iter()
             .for_each(|uid| p.site.purge(uid, Ok(OBJECT), purged_at));
     });
     p.router = router(false);
-    let now = T0 + 20 * S;
+    let now = START_US + 20 * S;
     let purged = Event::Purged {
         object: Some(OBJECT.to_string()),
         group: GROUP,
@@ -291,7 +293,7 @@
     );
 }
 
-fn bare() -> Fill {
+fn default_fill() -> Fill {
     Fill {
         source: 0,
         cache_rank: 1,
