--- a/rehearse/tests/cli.rs
+++ b/rehearse/tests/cli.rs
@@ -2,7 +2,7 @@
 
 use std::process::Command;
 
-fn kit(arguments: &[&str]) -> (Option<i32>, String) {
+fn run(arguments: &[&str]) -> (Option<i32>, String) {
     let out = Command::new(env!("CARGO_BIN_EXE_linnetknot-rehearse"))
         .args(arguments)
         .output()
@@ -14,23 +14,26 @@
 }
 
 #[test]
-fn the_list_names_every_shipped_scenario() {
-    let (status, said) = kit(&["list"]);
+fn list_prints_every_shipped_scenario() {
+    let (status, output) = run(&["list"]);
     assert_eq!(status, Some(0));
     for (name, _) in linnetknot_rehearse::shipped::SHIPPED {
-        assert!(said.lines().any(|l| l.starts_with(name)), "{name}: {said}");
+        assert!(
+            output.lines().any(|l| l.starts_with(name)),
+            "{name}: {output}"
+        );
     }
 }
 
 #[test]
-fn what_cannot_be_played_ends_with_2_and_says_why() {
-    let (status, said) = kit(&["run", "no-such-scenario.json"]);
+fn unplayable_scenarios_exit_with_2_and_the_reason() {
+    let (status, output) = run(&["run", "no-such-scenario.json"]);
     assert_eq!(status, Some(2));
-    assert!(said.contains("no-such-scenario.json"), "{said}");
-    let (status, said) = kit(&["run", "calm", "--daemon", "/nonexistent/linnetknot"]);
+    assert!(output.contains("no-such-scenario.json"), "{output}");
+    let (status, output) = run(&["run", "calm", "--daemon", "/nonexistent/linnetknot"]);
     assert_eq!(status, Some(2));
     assert!(
-        said.contains("could not be played with /nonexistent/linnetknot"),
-        "{said}"
+        output.contains("could not be played with /nonexistent/linnetknot"),
+        "{output}"
     );
 }
--- a/rehearse/tests/load.rs
+++ b/rehearse/tests/load.rs
@@ -10,12 +10,12 @@
     Scenario::read(EVENING).unwrap()
 }
 
-fn of(plan: &Plan, class: usize) -> Vec<&Arrival> {
+fn of_class(plan: &Plan, class: usize) -> Vec<&Arrival> {
     plan.arrivals.iter().filter(|a| a.class == class).collect()
 }
 
 #[test]
-fn one_seed_gives_one_plan_and_a_change_of_one_class_leaves_the_others_alone() {
+fn same_seed_gives_same_plan_and_classes_are_independent() {
     let scenario = evening();
     let first = plan(&scenario, 7);
     assert_eq!(first, plan(&scenario, 7));
@@ -23,8 +23,8 @@
     let mut other = scenario.clone();
     other.load.classes[1].zipf = 0.3;
     let changed = plan(&other, 7);
-    assert_eq!(of(&first, 0), of(&changed, 0));
-    assert_ne!(of(&first, 1), of(&changed, 1));
+    assert_eq!(of_class(&first, 0), of_class(&changed, 0));
+    assert_ne!(of_class(&first, 1), of_class(&changed, 1));
     assert!(
         first.arrivals.windows(2).all(|w| w[0].at <= w[1].at),
         "in the order of time"
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn the_load_rises_and_falls_and_parts_come_in_turn() {
+fn load_follows_its_shape_and_parts_follow_in_order() {
     let scenario = evening();
     let shape = &scenario.load.shape;
     assert_eq!(
@@ -52,25 +52,25 @@
         (0.6, 1.0)
     );
     let plan = plan(&scenario, 3);
-    let within = |from: u64, to: u64| {
+    let count_within = |from: u64, to: u64| {
         plan.arrivals
             .iter()
             .filter(|a| (from * 1_000_000..to * 1_000_000).contains(&a.at))
             .count() as f64
     };
     // 210 a second at the top; videos that began earlier go on into it.
-    let top = within(28, 44) / 16.0;
+    let top = count_within(28, 44) / 16.0;
     assert!((170.0..250.0).contains(&top), "{top} a second");
-    assert!(within(0, 8) / 8.0 < 0.65 * top);
+    assert!(count_within(0, 8) / 8.0 < 0.65 * top);
     // Each part of a video lies a gap behind the one before.
     let mut behind: BTreeMap<(u64, u32, u64), Vec<u64>> = BTreeMap::new();
-    for a in of(&plan, 0) {
+    for a in of_class(&plan, 0) {
         behind
             .entry((a.object, a.proxy, a.part))
             .or_default()
             .push(a.at);
     }
-    let second = of(&plan, 0).into_iter().filter(|a| a.part > 0);
+    let second = of_class(&plan, 0).into_iter().filter(|a| a.part > 0);
     for a in second {
         let before = &behind[&(a.object, a.proxy, a.part - 1)];
         let gap = before
@@ -88,33 +88,33 @@
         assert_eq!(a.key.is_some(), a.class == 2);
     }
     let keys: std::collections::BTreeSet<_> = plan.arrivals.iter().filter_map(|a| a.key).collect();
-    assert_eq!(keys.len(), of(&plan, 2).len());
+    assert_eq!(keys.len(), of_class(&plan, 2).len());
 }
 
 #[test]
-fn popular_objects_a_hot_one_and_purges_are_drawn_as_the_scenario_says() {
+fn object_popularity_hot_objects_and_purges_follow_the_scenario() {
     let mut scenario = evening();
     scenario.load.classes[1].once = 0.5;
     let out = plan(&scenario, 5);
     let mut counts: BTreeMap<u64, usize> = BTreeMap::new();
-    of(&out, 1)
+    of_class(&out, 1)
         .iter()
         .for_each(|a| *counts.entry(a.object).or_default() += 1);
-    let once = counts.values().filter(|n| **n == 1).count() as f64 / of(&out, 1).len() as f64;
+    let once = counts.values().filter(|n| **n == 1).count() as f64 / of_class(&out, 1).len() as f64;
     assert!(
         (0.45..0.75).contains(&once),
         "half, and the tail of the rest: {once}"
     );
     // Among the videos begun while it lasts, three in ten are of the hot one.
-    let within = 25_000_000..40_000_000;
-    let begun = |class: usize| {
-        of(&out, class)
+    let period = 25_000_000..40_000_000;
+    let started = |class: usize| {
+        of_class(&out, class)
             .into_iter()
-            .filter(|a| a.part == 0 && within.contains(&a.at))
+            .filter(|a| a.part == 0 && period.contains(&a.at))
     };
     let mut counts: BTreeMap<u64, usize> = BTreeMap::new();
-    begun(0).for_each(|a| *counts.entry(a.object).or_default() += 1);
-    let share = *counts.values().max().unwrap() as f64 / begun(0).count() as f64;
+    started(0).for_each(|a| *counts.entry(a.object).or_default() += 1);
+    let share = *counts.values().max().unwrap() as f64 / started(0).count() as f64;
     assert!((0.2..0.5).contains(&share), "{share}");
     let groups = out.purges.iter().filter(|p| p.target.is_err()).count() as f64;
     assert!(
@@ -138,7 +138,7 @@
 }
 
 /// Slips in a scenario: what stands there, what is put in its place, and the start of the message.
-const SLIPS: [(&str, &str, &str); 16] = [
+const INVALID_SCENARIOS: [(&str, &str, &str); 16] = [
     (
         "\"seconds\": 60",
         "\"seconds\": 0",
@@ -214,8 +214,8 @@
 ];
 
 #[test]
-fn scenarios_are_refused_by_the_path_of_the_key() {
-    for (from, to, path) in SLIPS {
+fn invalid_scenarios_are_rejected_with_the_path_of_the_key() {
+    for (from, to, path) in INVALID_SCENARIOS {
         let text = EVENING.replacen(from, to, 1);
         assert_ne!(text, EVENING, "{from}");
         let message = Scenario::read(&text).unwrap_err().to_string();
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn what_is_written_can_be_read_again() {
+fn scenario_round_trips_through_json() {
     let mut scenario = evening();
     scenario.faults.push(Fault {
         at: 1.0,
@@ -240,7 +240,7 @@
 
 /// After a change of the types: `linnetknot-rehearse schema > docs/scenario.schema.json`.
 #[test]
-fn the_schema_in_the_docs_is_that_of_the_types() {
+fn published_schema_matches_the_types() {
     assert!(
         schema() == include_str!("../../docs/scenario.schema.json"),
         "docs/scenario.schema.json is not up to date"
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn the_site_stands_in_the_scenario_and_is_that_of_a_small_site_where_left_out() {
+fn site_defaults_apply_where_the_scenario_omits_them() {
     let scenario = evening();
     let nodes = linnetknot_rehearse::player::Deployment::of(&scenario).nodes;
     let count = |model: &str| nodes.iter().filter(|n| n.model == model).count();
@@ -270,7 +270,7 @@
 }
 
 #[test]
-fn every_shipped_scenario_is_sound_and_named_as_its_file() {
+fn shipped_scenarios_are_valid_and_named_after_their_files() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios");
     let mut names = Vec::new();
     for file in std::fs::read_dir(&folder)
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn a_scaled_scenario_keeps_its_shape_and_its_rates() {
+fn scaling_keeps_shape_and_rates() {
     let evening = evening();
     let quarter = evening.scaled(0.25).unwrap();
     assert_eq!(
--- a/rehearse/tests/report.rs
+++ b/rehearse/tests/report.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_report_comes_back_as_it_was_and_a_faulty_one_is_refused_by_its_key() {
+fn report_round_trips_and_invalid_reports_name_the_key() {
     let good = report(0.9, &["cold boxes: s-0a"]);
     assert_eq!(Report::read(&good.write().unwrap()).unwrap(), good);
     // A file written before requests taken by no proxy were counted is read with none.
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn two_reports_stand_side_by_side_class_by_class() {
+fn comparison_lists_both_reports_by_class() {
     let text = compare(&report(0.9, &[]), &report(0.75, &["x"])).unwrap();
     for line in [
         "| photo | 90.0% | 75.0% | 0.0% | 0.0% | 10.0% | 25.0% | 0.0% | 0.0% | 120 | 120 |",
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn what_proves_nothing_or_is_another_scenario_is_not_compared() {
+fn inconclusive_reports_and_different_scenarios_are_not_compared() {
     let other = Report {
         scenario: "calm".into(),
         ..report(0.9, &[])
@@ -83,11 +83,11 @@
         .unwrap_err()
         .to_string()
         .contains("two scenarios"));
-    let blind = Report {
+    let inconclusive = Report {
         inconclusive: Some("nothing was asked".into()),
         ..report(0.9, &[])
     };
-    assert!(compare(&blind, &report(0.9, &[]))
+    assert!(compare(&inconclusive, &report(0.9, &[]))
         .unwrap_err()
         .to_string()
         .contains("the first proves nothing"));
--- a/rehearse/tests/rules.rs
+++ b/rehearse/tests/rules.rs
@@ -70,7 +70,7 @@
 }
 
 /// Two requests, a retry behind a refusal, a post, a drain, a purge and a cold box, all as they should be.
-fn sound() -> Record {
+fn valid_record() -> Record {
     let mut retry = request("c2", 0, 31 * S);
     retry.first = "c1".into();
     Record {
@@ -132,7 +132,7 @@
     }
 }
 
-fn broken(record: &Record) -> Vec<Breach> {
+fn breaches_of(record: &Record) -> Vec<Breach> {
     judge(record, &Limits::default())
 }
 
@@ -203,9 +203,9 @@
 /// Two attempts that overlap by less than the rehearsal itself was late may have been one after the other; by more, or
 /// for good, they were not.
 #[test]
-fn attempts_that_overlap_by_less_than_the_rehearsal_was_late_are_no_breach() {
+fn overlaps_and_late_answers_within_the_tolerance_are_not_breaches() {
     let with = |tolerance_us: u64, ended: &dyn Fn(u64) -> Option<(u64, Ended)>| {
-        let mut record = sound();
+        let mut record = valid_record();
         let next = record.attempts[2].at;
         record.attempts[1].ended = ended(next);
         judge(
@@ -223,7 +223,7 @@
     assert!(with(50 * MS, &|_| None), "one that never ended");
     // So it is with an answer that was read a moment after its client gave up.
     let answered = |tolerance_us, after: u64| {
-        let mut record = sound();
+        let mut record = valid_record();
         record.answered[0].at = record.requests[0].deadline + after;
         judge(
             &record,
@@ -239,13 +239,13 @@
 }
 
 #[test]
-fn a_sound_record_breaks_no_rule_and_each_fault_is_named_with_its_evidence() {
-    assert_eq!(broken(&sound()), []);
-    let mut named = BTreeSet::new();
-    for (n, (rule, plant)) in FAULTS.iter().enumerate() {
-        let mut record = sound();
-        plant(&mut record);
-        let breaches = broken(&record);
+fn valid_record_has_no_breaches_and_each_injected_fault_is_reported() {
+    assert_eq!(breaches_of(&valid_record()), []);
+    let mut reported = BTreeSet::new();
+    for (n, (rule, inject)) in FAULTS.iter().enumerate() {
+        let mut record = valid_record();
+        inject(&mut record);
+        let breaches = breaches_of(&record);
         let of: Vec<&Breach> = breaches.iter().filter(|b| b.rule == *rule).collect();
         assert!(!of.is_empty(), "fault {n} breaks '{rule}': {breaches:?}");
         assert!(
@@ -262,19 +262,19 @@
             others == 0 || *rule == "cold boxes",
             "fault {n}: {breaches:?}"
         );
-        named.insert(*rule);
+        reported.insert(*rule);
     }
     assert_eq!(
-        named.len(),
+        reported.len(),
         RULES.len(),
         "each rule is broken by some fault"
     );
-    assert!(RULES.iter().all(|(rule, _)| named.contains(rule)));
+    assert!(RULES.iter().all(|(rule, _)| reported.contains(rule)));
 }
 
 #[test]
-fn what_lies_within_a_grace_or_was_released_is_no_breach() {
-    let mut record = sound();
+fn grace_periods_and_released_requests_are_not_breaches() {
+    let mut record = valid_record();
     // Sent 1 s after word of the drain, and 300 ms after word of a purge.
     record.notices = vec![
         notice(9 * S, NoticeKind::OutOfService("box-1".into())),
@@ -288,39 +288,42 @@
         ),
     ];
     record.cold_starts.clear();
-    assert_eq!(broken(&record), []);
+    assert_eq!(breaches_of(&record), []);
     // One ms more, and both are.
     record.notices.iter_mut().for_each(|t| t.at -= 51 * MS);
-    let rules: Vec<&str> = broken(&record).iter().map(|b| b.rule).collect();
+    let rules: Vec<&str> = breaches_of(&record).iter().map(|b| b.rule).collect();
     assert_eq!(rules, ["drains", "purges"]);
     // Ready again in between: its word holds.
     record
         .notices
         .push(notice(9 * S + MS, NoticeKind::Ready("box-1".into())));
     assert_eq!(
-        broken(&record).iter().map(|b| b.rule).collect::<Vec<_>>(),
+        breaches_of(&record)
+            .iter()
+            .map(|b| b.rule)
+            .collect::<Vec<_>>(),
         ["purges"]
     );
     // A client that took its request back is owed nothing, and two answers are too many all the same.
-    let mut record = sound();
+    let mut record = valid_record();
     record.answered.remove(0);
     record.requests[0].released = Some(11 * S);
-    assert_eq!(broken(&record), []);
+    assert_eq!(breaches_of(&record), []);
     // A cold box may be given what it can bear.
-    let mut record = sound();
+    let mut record = valid_record();
     record.attempts[3].work_us = 7 * S;
     assert_eq!(
-        broken(&record),
+        breaches_of(&record),
         [],
         "8 x 2.5 x 3 s at 15% and rising is more than that"
     );
     record.attempts[3].work_us = 20 * S;
-    assert_eq!(broken(&record)[0].rule, "cold boxes");
+    assert_eq!(breaches_of(&record)[0].rule, "cold boxes");
 }
 
 #[test]
-fn the_score_is_worth_in_time_over_worth_asked_with_retries_counted_as_one() {
-    let out = score(&sound());
+fn score_is_weight_answered_in_time_over_weight_offered() {
+    let out = score(&valid_record());
     // a in time; b late, of which a fifth counts; c served by its retry, late by its first try; d failed.
     let earned = 1.0 + 3.0 * 0.2 + 0.2;
     assert!(
@@ -350,7 +353,7 @@
         "the seconds of which only the failed one is a part"
     );
     // Without its retry, c is refused; without any answer, unanswered.
-    let mut record = sound();
+    let mut record = valid_record();
     record.requests.remove(3);
     record.answered.remove(3);
     assert_eq!(score(&record).total.refused, 1.0);
@@ -362,7 +365,7 @@
 }
 
 #[test]
-fn waits_count_from_when_a_request_was_due_and_over_all_its_tries() {
+fn waits_are_measured_from_the_due_time_across_retries() {
     let class_of = |record: &Record, n: usize| waits(record)[n];
     let near = |us: Micros, ms: u64| us.abs_diff(ms * MS) <= ms * MS / 500;
     let mut record = Record {
@@ -376,11 +379,11 @@
         record.requests.push(request(&id, 0, at));
         record.answered.push(served(&id, at + 20 * MS, at));
     }
-    let held_up = Request {
+    let delayed = Request {
         due: 198 * S,
         ..request("late", 0, 200 * S)
     };
-    record.requests.push(held_up);
+    record.requests.push(delayed);
     record
         .answered
         .push(served("late", 200 * S + 20 * MS, 200 * S));
@@ -411,7 +414,7 @@
 }
 
 #[test]
-fn what_a_cold_box_can_do_is_the_area_under_its_line() {
+fn cold_cache_work_capacity_is_the_integral_of_its_ramp() {
     let c = ColdStart {
         uid: "a".into(),
         at: 100,
--- a/rehearse/tests/rules_budgets.rs
+++ b/rehearse/tests/rules_budgets.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn each_time_over_the_whole_is_named_with_its_most() {
+fn each_period_over_the_limit_is_reported_with_its_peak() {
     let spans = [
         span(0, 10),
         span(5, 20),
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn the_mean_counts_what_lies_within() {
+fn mean_counts_only_time_within_the_window() {
     assert_eq!(mean(&[span(0, 10), span(5, 20)], 0, 20), 1.25);
     assert_eq!(mean(&[span(0, 10)], 10, 20), 0.0);
 }
--- a/rehearse/tests/rules_commits.rs
+++ b/rehearse/tests/rules_commits.rs
@@ -32,7 +32,7 @@
 }
 
 /// A play whose first purge was committed, whose second was rejected, and whose third died with its proxy.
-fn sound() -> CommitRecord {
+fn valid_record() -> CommitRecord {
     let excused = PurgeRequest {
         excused: true,
         ..purge("c", PurgeAnswer::None)
@@ -50,67 +50,76 @@
 }
 
 /// What these purges and final states break.
-fn broken(purges: Vec<PurgeRequest>, final_states: Vec<FinalState>) -> Vec<Breach> {
+fn breaches_of(purges: Vec<PurgeRequest>, final_states: Vec<FinalState>) -> Vec<Breach> {
     judge(&CommitRecord {
         purges,
         final_states,
-        ..sound()
+        ..valid_record()
     })
 }
 
 /// The rules that they break.
-fn rules(purges: Vec<PurgeRequest>, final_states: Vec<FinalState>) -> Vec<&'static str> {
-    let breaches = broken(purges, final_states);
+fn broken_rules(purges: Vec<PurgeRequest>, final_states: Vec<FinalState>) -> Vec<&'static str> {
+    let breaches = breaches_of(purges, final_states);
     breaches.iter().map(|breach| breach.rule).collect()
 }
 
 #[test]
-fn each_rule_is_broken_by_its_own_cause_and_a_sound_play_by_none() {
-    assert_eq!(judge(&sound()), []);
+fn each_violation_breaks_only_its_rule() {
+    assert_eq!(judge(&valid_record()), []);
     let committed = purge("a", PurgeAnswer::Committed);
     let rejected = purge("b", PurgeAnswer::Rejected);
     let unanswered = purge("c", PurgeAnswer::None);
     let one = vec![state(0, &["a"]), state(1, &[])];
-    assert_eq!(rules(vec![committed.clone()], one), ["promises"]);
+    assert_eq!(broken_rules(vec![committed.clone()], one), ["promises"]);
     let nowhere = vec![state(0, &[]), state(1, &[])];
-    assert_eq!(rules(vec![committed.clone()], nowhere), ["promises"]);
+    assert_eq!(broken_rules(vec![committed.clone()], nowhere), ["promises"]);
     let divided = vec![state(0, &["b"]), state(1, &[])];
-    assert_eq!(rules(vec![rejected], divided), ["agreement"]);
+    assert_eq!(broken_rules(vec![rejected], divided), ["agreement"]);
     let empty = vec![state(0, &[])];
-    assert_eq!(rules(vec![unanswered], empty), ["answers"]);
+    assert_eq!(broken_rules(vec![unanswered], empty), ["answers"]);
     let late = PurgeRequest {
         answered_at: 21,
         ..committed.clone()
     };
-    assert_eq!(rules(vec![late], vec![state(0, &["a"])]), ["answers"]);
+    assert_eq!(
+        broken_rules(vec![late], vec![state(0, &["a"])]),
+        ["answers"]
+    );
     let replaced = PurgeRequest {
         replaced: true,
         ..committed.clone()
     };
-    assert_eq!(rules(vec![replaced], vec![state(0, &["a"])]), ["fence"]);
+    assert_eq!(
+        broken_rules(vec![replaced], vec![state(0, &["a"])]),
+        ["fence"]
+    );
     let under_replicated = FinalState {
         under_replicated: 2,
         ..state(0, &[])
     };
-    assert_eq!(rules(vec![], vec![under_replicated]), ["copies"]);
+    assert_eq!(broken_rules(vec![], vec![under_replicated]), ["copies"]);
 }
 
 #[test]
-fn triggers_that_differ_between_proxies_break_the_rule_of_statuses() {
+fn differing_triggers_between_proxies_break_statuses() {
     let committed = purge("a", PurgeAnswer::Committed);
     let without = FinalState {
         triggers: BTreeSet::new(),
         ..state(1, &["a"])
     };
     let states = vec![state(0, &["a"]), without.clone()];
-    assert_eq!(rules(vec![committed], states), ["statuses"]);
-    assert_eq!(rules(vec![], vec![state(0, &[]), without]), ["statuses"]);
+    assert_eq!(broken_rules(vec![committed], states), ["statuses"]);
+    assert_eq!(
+        broken_rules(vec![], vec![state(0, &[]), without]),
+        ["statuses"]
+    );
 }
 
 #[test]
-fn each_breach_names_a_rule_that_is_listed() {
+fn every_breach_names_a_listed_rule() {
     let is_listed = |b: &Breach| COMMIT_RULES.iter().any(|(name, _)| *name == b.rule);
-    let breaches = broken(
+    let breaches = breaches_of(
         vec![purge("a", PurgeAnswer::Committed)],
         vec![state(0, &[])],
     );
--- a/rehearse/tests/series.rs
+++ b/rehearse/tests/series.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn seeds_read_as_a_range_and_a_slip_is_told() {
+fn seed_ranges_are_parsed_and_invalid_ones_rejected() {
     assert_eq!("1..20".parse(), Ok(Seeds(1..=20)));
     assert_eq!("7".parse(), Ok(Seeds(7..=7)));
     let error = |text: &str| text.parse::<Seeds>().unwrap_err().to_string();
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_summary_names_rules_and_seeds_and_its_status_is_the_worst() {
+fn summary_lists_broken_rules_by_seed_and_reports_the_worst_status() {
     let clean = played(&[], 0.9);
     let mut all: Verdicts = [
         (1, clean.clone()),
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn jobs_run_side_by_side_and_no_more_at_once_than_asked() {
+fn jobs_run_in_parallel_up_to_the_limit() {
     let (running, most) = (AtomicUsize::new(0), AtomicUsize::new(0));
     let meet = std::sync::Barrier::new(3);
     let jobs: Vec<u64> = (0..9).collect();
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn all_is_every_shipped_scenario_in_order_and_a_name_is_found() {
+fn all_expands_to_every_shipped_scenario_and_names_are_found() {
     let chosen = expand_names(&["x.json".into(), "all".into()]);
     assert_eq!(chosen.len(), 1 + SHIPPED.len());
     assert_eq!(
--- a/rehearse/tests/timetable.rs
+++ b/rehearse/tests/timetable.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn faults_become_steps_in_the_order_of_time() {
+fn faults_become_steps_in_time_order() {
     let steps = timetable(&with(faults()));
     let (a, b) = (cache_uid(0), cache_uid(1));
     assert_eq!(
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_fault_of_more_boxes_than_there_are_is_refused_by_its_key() {
+fn invalid_faults_are_rejected_with_the_path_of_the_key() {
     let mut text: serde_json::Value =
         serde_json::from_str(include_str!("../scenarios/chuseok-evening.json")).unwrap();
     text["faults"] = serde_json::json!([{"at": 1, "what": {"box-dies": {"boxes": 13}}}]);
