--- a/daemon/tests/admin.rs
+++ b/daemon/tests/admin.rs
@@ -323,7 +323,10 @@
         );
     }
     assert!(
-        new.caches[0].arrivals().iter().all(|a| a.command != "fetch"),
+        new.caches[0]
+            .arrivals()
+            .iter()
+            .all(|a| a.command != "fetch"),
         "the ban holds in the new process"
     );
     new.stop();
--- a/daemon/tests/client_gone.rs
+++ b/daemon/tests/client_gone.rs
@@ -69,7 +69,10 @@
 /// Serves a client until a connection to each cache is up, so that a further attempt need not wait for one.
 fn warm_up<const N: usize>(caches: &mut [ScriptedCache; N], web: &mut WebServer) {
     let mut n = 1_000;
-    while caches.iter().any(|scripted| scripted.connections.is_empty()) {
+    while caches
+        .iter()
+        .any(|scripted| scripted.connections.is_empty())
+    {
         web.send(&photo_request(REMAINING_CLIENT_REQUEST, &object_id(n), 0))
             .unwrap();
         let (at, connection, fetch) = next_command(caches);
@@ -237,9 +240,15 @@
         fetch[2].contains(&object_id(99)),
         "{disconnect:?} with {count}: {fetch:?}"
     );
-    caches[0].connections[connection].respond(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+    caches[0].connections[connection].respond(
+        &fetch[1],
+        "200",
+        "how=local,made=1,etag=t1",
+        "a copy",
+    );
     assert_eq!(remaining.end().unwrap().1.unwrap().status, 200);
-    assert!(take_fetches(&mut caches).is_empty(),
+    assert!(
+        take_fetches(&mut caches).is_empty(),
         "{disconnect:?} with {count}"
     );
     drop((blocker, kept_open, remaining));
@@ -280,7 +289,12 @@
             .unwrap();
         let (at, connection, fetch) = next_command(&mut caches);
         assert_eq!(at, 1);
-        caches[1].connections[connection].respond(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+        caches[1].connections[connection].respond(
+            &fetch[1],
+            "200",
+            "how=local,made=1,etag=t1",
+            "a copy",
+        );
         assert_eq!(remaining.end().unwrap().1.unwrap().status, 200);
         let blocker = fill_accept_queue(&caches[0]);
         let mut web = rig.web();
--- a/daemon/tests/complete_requests_answered.rs
+++ b/daemon/tests/complete_requests_answered.rs
@@ -96,7 +96,12 @@
     let mut other = rig.web();
     other.send(&photo_request(50, &object_id(50), 0)).unwrap();
     let (_, connection, fetch) = next_command(caches);
-    caches[0].connections[connection].respond(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+    caches[0].connections[connection].respond(
+        &fetch[1],
+        "200",
+        "how=local,made=1,etag=t1",
+        "a copy",
+    );
     other.end().unwrap().1.unwrap().status
 }
 
--- a/daemon/tests/deadline_propagation.rs
+++ b/daemon/tests/deadline_propagation.rs
@@ -18,7 +18,6 @@
 use std::time::{Duration, Instant};
 use test_proxy::object_id;
 
-
 /// Budget of the requests that `scripted_caches::photo_request` builds.
 const BUDGET: Duration = Duration::from_millis(2_000);
 const SLACK: Duration = Duration::from_millis(150);
@@ -63,7 +62,12 @@
     caches[at].connections[connection].respond(&fetch[1], status, fields, "");
     let (at, connection, fetch) = next_command(&mut caches);
     assert_deadline_within_budget("further attempt", &fetch[2], sent_at);
-    caches[at].connections[connection].respond(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+    caches[at].connections[connection].respond(
+        &fetch[1],
+        "200",
+        "how=local,made=1,etag=t1",
+        "a copy",
+    );
     assert_eq!(web.end().unwrap().1.unwrap().status, 200);
     drop(web);
     rig.stop();
@@ -82,7 +86,12 @@
     busy_wait(Duration::from_millis(300));
     let (_, connection, fetch) = next_command(&mut caches);
     assert_deadline_within_budget("late connection", &fetch[2], sent_at);
-    caches[0].connections[connection].respond(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+    caches[0].connections[connection].respond(
+        &fetch[1],
+        "200",
+        "how=local,made=1,etag=t1",
+        "a copy",
+    );
     assert_eq!(web.end().unwrap().1.unwrap().status, 200);
     drop((blocker, web));
     rig.stop();
@@ -93,22 +102,38 @@
 fn requests_read_by_a_blocked_loop_carry_the_remaining_deadline() {
     let (mut rig, mut caches) = start_with_scripted_caches::<1>(|_| {});
     let mut existing_client = rig.web();
-    existing_client.send(&photo_request(1, &object_id(1), 0)).unwrap();
+    existing_client
+        .send(&photo_request(1, &object_id(1), 0))
+        .unwrap();
     let (_, connection, fetch) = next_command(&mut caches);
-    caches[0].connections[connection].respond(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+    caches[0].connections[connection].respond(
+        &fetch[1],
+        "200",
+        "how=local,made=1,etag=t1",
+        "a copy",
+    );
     assert_eq!(existing_client.end().unwrap().1.unwrap().status, 200);
     let loop_guard = rig.hold();
     let sent_at = Instant::now();
-    existing_client.send(&photo_request(2, &object_id(2), 0)).unwrap();
+    existing_client
+        .send(&photo_request(2, &object_id(2), 0))
+        .unwrap();
     let mut new_client = rig.web();
-    new_client.send(&photo_request(3, &object_id(3), 0)).unwrap();
+    new_client
+        .send(&photo_request(3, &object_id(3), 0))
+        .unwrap();
     busy_wait(STALL);
     drop(loop_guard);
     let mut received = 0;
     while received < 2 {
         for (_, connection, id, fields) in take_fetches(&mut caches) {
             assert_deadline_within_budget("blocked event loop", &fields, sent_at);
-            caches[0].connections[connection].respond(&id, "200", "how=local,made=1,etag=t1", "a copy");
+            caches[0].connections[connection].respond(
+                &id,
+                "200",
+                "how=local,made=1,etag=t1",
+                "a copy",
+            );
             received += 1;
         }
         assert!(
@@ -120,7 +145,9 @@
     assert_eq!(existing_client.end().unwrap().1.unwrap().status, 200);
     assert_eq!(new_client.end().unwrap().1.unwrap().status, 200);
     // A request received after the loop resumes has its full budget.
-    existing_client.send(&photo_request(4, &object_id(4), 0)).unwrap();
+    existing_client
+        .send(&photo_request(4, &object_id(4), 0))
+        .unwrap();
     let (_, _, fetch) = next_command(&mut caches);
     assert!(forwarded_deadline(&fetch[2]) > BUDGET - SLACK, "{fetch:?}");
     drop((existing_client, new_client));
--- a/daemon/tests/plain_purge_datagrams.rs
+++ b/daemon/tests/plain_purge_datagrams.rs
@@ -219,7 +219,8 @@
         }
         plain_purges == DATAGRAMS_PER_PURGE
     };
-    assert!(poll_until(TIMEOUT, &mut has_received_all),
+    assert!(
+        poll_until(TIMEOUT, &mut has_received_all),
         "received {plain_purges} plain purges"
     );
     fleet.replicating_peer.handle_datagrams(fleet.address);
