--- a/harness/src/links/mod.rs
+++ b/harness/src/links/mod.rs
@@ -53,7 +53,7 @@
     state: Arc<Mutex<State>>,
     /// The addresses to which the first proxy of a direction sends to reach the second.
     addresses: BTreeMap<Direction, SocketAddr>,
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
@@ -70,7 +70,7 @@
     /// Creates the links between proxies that listen for datagrams at these addresses.
     pub fn between(proxies: &[SocketAddr], seed: u64) -> io::Result<Self> {
         let state = Arc::new(Mutex::new(State::default()));
-        let over = Arc::new(AtomicBool::new(false));
+        let stopped = Arc::new(AtomicBool::new(false));
         let (send, due) = mpsc::channel();
         let mut sockets = BTreeMap::new();
         for a in 0..proxies.len() {
@@ -85,11 +85,11 @@
         let mut threads = Vec::new();
         for (direction, socket) in &sockets {
             addresses.insert(*direction, socket.local_addr()?);
-            let (state, over, send) = (state.clone(), over.clone(), send.clone());
+            let (state, stopped, send) = (state.clone(), stopped.clone(), send.clone());
             let (socket, direction, from) = (socket.clone(), *direction, proxies[direction.0]);
             threads.push(thread::spawn(move || {
                 let faults = DatagramFaults::new(seed, direction.0, direction.1);
-                listen(&socket, from, direction, faults, &state, &over, &send);
+                listen(&socket, from, direction, faults, &state, &stopped, &send);
             }));
         }
         drop(send);
@@ -107,7 +107,7 @@
         Ok(FaultyLinks {
             state,
             addresses,
-            over,
+            stopped,
             threads,
         })
     }
@@ -155,7 +155,7 @@
 
 impl Drop for FaultyLinks {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopped.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
@@ -169,12 +169,12 @@
     direction: Direction,
     mut faults: DatagramFaults,
     state: &Mutex<State>,
-    over: &AtomicBool,
+    stopped: &AtomicBool,
     send: &Sender<InFlight>,
 ) {
     let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
     let mut sequence = 0;
-    while !over.load(Ordering::Relaxed) {
+    while !stopped.load(Ordering::Relaxed) {
         let Ok((length, from)) = socket.recv_from(&mut bytes) else {
             continue;
         };
--- a/harness/src/links/stream.rs
+++ b/harness/src/links/stream.rs
@@ -28,7 +28,7 @@
     /// Address to connect to in place of the server's.
     pub address: SocketAddr,
     conditions: Arc<Mutex<BothDirections>>,
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
 }
 
 impl FaultyStream {
@@ -37,8 +37,8 @@
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let conditions = Arc::new(Mutex::new(BothDirections::default()));
-        let over = Arc::new(AtomicBool::new(false));
-        let (shared, ended) = (conditions.clone(), over.clone());
+        let stopped = Arc::new(AtomicBool::new(false));
+        let (shared, ended) = (conditions.clone(), stopped.clone());
         thread::spawn(move || {
             for client in listener.incoming().flatten() {
                 if ended.load(Ordering::Relaxed) {
@@ -51,7 +51,7 @@
         Ok(FaultyStream {
             address,
             conditions,
-            over,
+            stopped,
         })
     }
 
@@ -74,7 +74,7 @@
 
 impl Drop for FaultyStream {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopped.store(true, Ordering::Relaxed);
         // Wakes the listener thread, so that it stops.
         let _ = TcpStream::connect(self.address);
     }
@@ -85,19 +85,19 @@
     client: TcpStream,
     server: SocketAddr,
     conditions: &Arc<Mutex<BothDirections>>,
-    over: &Arc<AtomicBool>,
+    stopped: &Arc<AtomicBool>,
 ) -> Option<()> {
     let now = || *conditions.lock().unwrap_or_else(PoisonError::into_inner);
     // Over a half-open or cut link the connection to the server is not established.
     while now().forward.half_open || now().forward.cut {
-        if over.load(Ordering::Relaxed) {
+        if stopped.load(Ordering::Relaxed) {
             return None;
         }
         thread::sleep(POLL_INTERVAL);
     }
     let upstream = TcpStream::connect(server).ok()?;
     let (client_clone, upstream_clone) = (client.try_clone().ok()?, upstream.try_clone().ok()?);
-    let (shared, ended) = (conditions.clone(), over.clone());
+    let (shared, ended) = (conditions.clone(), stopped.clone());
     thread::spawn(move || {
         let now = || {
             shared
@@ -107,7 +107,7 @@
         };
         pump(upstream_clone, client_clone, now, &ended);
     });
-    pump(client, upstream, || now().forward, over);
+    pump(client, upstream, || now().forward, stopped);
     Some(())
 }
 
@@ -135,12 +135,12 @@
     mut from: TcpStream,
     mut to: TcpStream,
     conditions: impl Fn() -> LinkConditions,
-    over: &AtomicBool,
+    stopped: &AtomicBool,
 ) {
     let mut flow = Flow::default();
     let mut bytes = vec![0; CHUNK_BYTES];
     let _ = from.set_read_timeout(Some(Duration::from_millis(50)));
-    while !over.load(Ordering::Relaxed) {
+    while !stopped.load(Ordering::Relaxed) {
         let now = conditions();
         // Checked before the read, so that blocked bytes fill the sender's window as on a real link.
         let most = match flow.allowed(unix_us(), &now, CHUNK_BYTES) {
