--- a/daemon/tests/descriptors.rs
+++ b/daemon/tests/descriptors.rs
@@ -1,4 +1,4 @@
-//! A daemon that may hold fewer descriptors than it was told, and a crowd that takes all that it gives.
+//! A daemon whose descriptor limit is below its configuration, with more idle connections than it may hold.
 
 use linnetknot_harness::clients::{call, WebServer};
 use linnetknot_harness::fakes::cache::FakeCache;
@@ -25,10 +25,10 @@
     }
 }
 
-/// While the list can't be reached, clients that rest take every place there is. The list, the boxes and the operators
-/// have theirs all the same, and so has whoever wants something.
+/// Idle clients take every free connection slot while the event bus is unreachable. The bus, the caches, the operators and
+/// an active client must still be served.
 #[test]
-fn a_crowd_that_rests_shuts_out_neither_the_list_nor_boxes_operators_and_other_clients() {
+fn idle_connections_at_the_descriptor_limit_do_not_starve_other_users() {
     let folder =
         std::env::temp_dir().join(format!("linnetknot-descriptors-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
@@ -38,19 +38,19 @@
         FakeCache::start("s-0a").unwrap(),
         FakeCache::start("s-0f").unwrap(),
     );
-    let (front, admin, nowhere) = (free_address(), free_address(), free_address());
+    let (front, admin, unreachable) = (free_address(), free_address(), free_address());
     let config = |bus: SocketAddr| -> Value {
         json!({"listen": front.to_string(), "ops": admin.to_string(), "bus": bus.to_string(),
             "settings": settings(), "limits": {"memory_mb": 192, "sockets": 1024}})
     };
     let path = folder.join("config.json");
-    std::fs::write(&path, config(nowhere).to_string()).unwrap();
-    let own = getrlimit(Resource::Nofile);
+    std::fs::write(&path, config(unreachable).to_string()).unwrap();
+    let original_limit = getrlimit(Resource::Nofile);
     setrlimit(
         Resource::Nofile,
         Rlimit {
             current: Some(64),
-            maximum: own.maximum,
+            maximum: original_limit.maximum,
         },
     )
     .unwrap();
@@ -63,20 +63,20 @@
         .stdout(Stdio::null())
         .stderr(Stdio::null())
         .spawn();
-    setrlimit(Resource::Nofile, own).unwrap();
+    setrlimit(Resource::Nofile, original_limit).unwrap();
     let mut child = child.unwrap();
-    until("it listens", || WebServer::connect(front).is_ok());
-    let held = || {
+    until("the daemon listens", || WebServer::connect(front).is_ok());
+    let open_descriptors = || {
         std::fs::read_dir(format!("/proc/{}/fd", child.id())).map_or(0, std::iter::Iterator::count)
     };
-    // Four times as many as it may hold, on both of its listeners.
-    let crowd: Vec<WebServer> = (0..200)
+    // Four times as many connections as it may hold, over both listeners.
+    let idle_clients: Vec<WebServer> = (0..200)
         .map(|_| WebServer::connect(front).unwrap())
         .collect();
-    let callers: Vec<WebServer> = (0..56)
+    let idle_admin_clients: Vec<WebServer> = (0..56)
         .map(|_| WebServer::connect(admin).unwrap())
         .collect();
-    until("the crowd fills its places", || held() >= 40);
+    until("all slots are taken", || open_descriptors() >= 40);
     bus.list(
         true,
         vec![
@@ -84,19 +84,19 @@
             entry(&origin, "hub", "origin", "ready"),
         ],
     );
-    // Discovery is back, at another address: the file has to be read, and the list called.
+    // The event bus is back at another address, so the daemon must reload its file and fetch the list.
     std::fs::write(&path, config(bus.address).to_string()).unwrap();
     let pid = Pid::from_child(&child);
     kill_process(pid, Signal::HUP).unwrap();
-    until("the operators are told that it is ready", || {
+    until("the daemon is ready", || {
         call(admin, "GET", "/control/ready", "").is_ok_and(|answer| answer.status == 200)
     });
     let mut web = WebServer::connect(front).unwrap();
     web.ask(1, "photo", "00000000000000a1", 2500).unwrap();
     assert_eq!(web.end().unwrap().1.expect("an answer").status, 200);
-    assert!(held() <= 64);
+    assert!(open_descriptors() <= 64);
     kill_process(pid, Signal::TERM).unwrap();
-    drop((crowd, callers, web));
+    drop((idle_clients, idle_admin_clients, web));
     assert!(child.wait().unwrap().success());
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/rehearse/src/fault_matrix/mod.rs
+++ b/rehearse/src/fault_matrix/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::rules::commits::{judge, CommitRecord, FinalState, PurgeAnswer, PurgeRequest};
 use crate::rules::Breach;
-use linnetknot_harness::clients::becomes;
+use linnetknot_harness::clients::poll_until;
 use linnetknot_harness::fleet::{status_path, Disk, Fleet, Setup};
 use linnetknot_harness::links::LinkConditions;
 use std::collections::BTreeSet;
@@ -119,19 +119,20 @@
 
     /// Waits until something is so: whether it became so.
     fn wait_until(&self, timeout: Duration, condition: impl Fn(&Fleet) -> bool) -> bool {
-        becomes(timeout, || condition(&self.fleet))
+        poll_until(timeout, || condition(&self.fleet))
     }
 
     fn restart_with_fail_points(&mut self, proxy: usize, points: &str) -> io::Result<()> {
         self.fleet.kill(proxy)?;
-        self.fleet.restart_armed(proxy, Disk::Kept, points)?;
+        self.fleet
+            .restart_with_fail_points(proxy, Disk::Kept, points)?;
         self.wait_for_convergence(CONVERGENCE_TIMEOUT).map(drop)
     }
 
     fn wait_for_convergence(&self, timeout: Duration) -> io::Result<Option<Duration>> {
         let started_at = Instant::now();
         // One that died of its point is none that could agree.
-        let converged = self.wait_until(timeout, |fleet| fleet.agrees().unwrap_or(false));
+        let converged = self.wait_until(timeout, |fleet| fleet.is_converged().unwrap_or(false));
         Ok(converged.then(|| started_at.elapsed()))
     }
 }
@@ -173,8 +174,8 @@
     };
     let mut play = Play::start(Setup {
         later,
-        planted,
-        ..Setup::copying(daemon, PROXIES, case.seed)
+        fail_points: planted,
+        ..Setup::replicating(daemon, PROXIES, case.seed)
     })?;
     play.fleet.links.set_all(conditions(case.seed));
     for proxy in 0..PROXIES {
@@ -309,7 +310,7 @@
         self.fleet.stall(writer)?;
         self.fleet.restart(PROXIES, Disk::Lost)?;
         self.trigger_purge(PROXIES, false);
-        self.fleet.go_on(writer)?;
+        self.fleet.resume(writer)?;
         if !self.wait_until(DETECTION_TIMEOUT, |fleet| {
             fleet.status(writer).is_ok_and(|s| s.replaced)
         }) {
