--- a/rehearse/src/record.rs
+++ b/rehearse/src/record.rs
@@ -1,16 +1,16 @@
-//! What a rehearsal records: requests and answers, attempts that reached a cache, and notices to proxies. Plain data with
-//! times, so that rules and scores are judged from the records alone, after the fact and without a socket.
+//! The record of a rehearsal: requests and answers, attempts that reached a cache, and notices to proxies. It is plain data
+//! with timestamps, from which rules and scores are computed afterwards.
 
 pub use linnetknot_harness::time::Micros;
 
-/// How often a request may take effect.
+/// The number of times that a request may take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// At will.
+    /// Any number of times.
     Safe,
-    /// Once for a key: repeats within so long are dropped.
+    /// Once for each idempotency key. Repeats within this many microseconds are dropped.
     Keyed(Micros),
-    /// Once.
+    /// At most once.
     Unsafe,
 }
 
@@ -19,125 +19,125 @@
 pub struct Class {
     /// Its name.
     pub name: String,
-    /// How often one may take effect.
+    /// The number of times that a request of it may take effect.
     pub repeat: Repeat,
-    /// An answer within this time, and `stretch` times its own sending time, is in time.
+    /// The response time objective, to which `stretch` times the transfer time of the answer is added.
     pub objective_us: Micros,
-    /// See `aim_us`.
+    /// The share of the answer's own transfer time that is added to `objective_us`.
     pub stretch: f64,
-    /// Priority weight of one.
+    /// The weight of a request in the score.
     pub weight: f64,
-    /// Share of the weight that a late answer earns.
+    /// The share of the weight that a late answer earns.
     pub late_weight: f64,
 }
 
-/// A request as a client sent it; its retries are requests of their own.
+/// A request that a client sent. Each retry is a request of its own.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
     /// Its id, new with every retry.
     pub id: String,
-    /// The first request that this one retries; its own id for a first one.
+    /// The id of the first request that this one retries, or its own id if it is no retry.
     pub first: String,
-    /// Its class, by its place.
+    /// The index of its class in the record.
     pub class: usize,
-    /// Which proxy it went to.
+    /// The index of the proxy that it was sent to.
     pub proxy: usize,
-    /// The object.
+    /// The object that it requests.
     pub object: String,
-    /// Group of the object.
+    /// The group of the object.
     pub group: u64,
-    /// The idempotency key.
+    /// The idempotency key, if any.
     pub key: Option<String>,
-    /// Sending time of its answer.
+    /// The time to transfer the answer at full rate.
     pub work_us: Micros,
-    /// When it was due to be sent.
+    /// The time at which the plan had it sent.
     pub due: Micros,
-    /// When its last byte was written.
+    /// The time at which its last byte was written.
     pub at: Micros,
-    /// When the client gives up.
+    /// The time until which the client waits.
     pub deadline: Micros,
-    /// No answer is due from then on: the client aborted it, or the rehearsal ended the proxy's process.
+    /// The time from which no answer is due, as the client aborted it or the rehearsal ended the proxy's process.
     pub released: Option<Micros>,
 }
 
-/// A final answer, as its client read it.
+/// The outcome of a request at its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalAnswer {
-    /// Served: when its copy was made, and whether its bytes are those of the part.
+    /// The request was served.
     Served {
-        /// When the origin sent the copy; none: not known.
+        /// The time at which the origin sent the copy, if known.
         made: Option<Micros>,
-        /// Its bytes are complete and unchanged.
+        /// The body is complete and unchanged.
         intact: bool,
     },
-    /// Refused, and whether the client was told when to come back.
+    /// The request was refused with 429 or 503.
     Refused {
-        /// It was.
+        /// The answer advised a retry delay.
         advised: bool,
     },
-    /// Failed.
+    /// The request failed with another status.
     Failed,
 }
 
-/// A final answer and when it was complete.
+/// A final answer with the time at which it was complete.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answered {
-    /// The request.
+    /// The id of the request.
     pub id: String,
-    /// When.
+    /// The time at which the client had read the answer.
     pub at: Micros,
-    /// What.
+    /// The answer.
     pub answer: FinalAnswer,
 }
 
-/// How an attempt ended at its box.
+/// The end of an attempt at its cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ended {
-    /// It ran.
+    /// The cache ran it.
     Ran,
-    /// Rejected: it never ran.
+    /// The cache rejected it without running it.
     Unseen,
-    /// Given up by the proxy, or its connection ended: it may have run.
+    /// The proxy aborted it, or its connection ended. It may have run.
     GivenUp,
 }
 
 /// An attempt that arrived at a cache.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
-    /// The request.
+    /// The id of the request.
     pub id: String,
-    /// The proxy that sent it.
+    /// The index of the proxy that sent it.
     pub proxy: usize,
-    /// The box, hub cache or origin.
+    /// The uid of the cache, parent or origin that received it.
     pub target: String,
-    /// The source named for its fill.
+    /// The uid of the source for its fill, if any.
     pub source: Option<String>,
-    /// When its first byte came, and its last.
+    /// The time at which its first byte arrived.
     pub first_byte: Micros,
-    /// See `first_byte`.
+    /// The time at which its last byte arrived.
     pub at: Micros,
-    /// How it ended, and when; none: it never did.
+    /// The time and kind of its end, if it ended.
     pub ended: Option<(Micros, Ended)>,
-    /// Its sending time, as work for the target; 0 for one that only looked.
+    /// The work for the target, as the transfer time of its answer. 0 if it only looked up a copy.
     pub work_us: Micros,
-    /// Work that its fill was for its source; 0 where none was asked.
+    /// The work of its fill for the source. 0 without a fill.
     pub fill_us: Micros,
 }
 
-/// What a proxy is notified of, or counts as notified of.
+/// An event of which a proxy is notified, or counts as notified when the rehearsal injects a lost notice.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NoticeKind {
-    /// A cache takes requests, again or for the first time.
+    /// A cache is ready for requests.
     Ready(String),
     /// A cache is draining or gone.
     OutOfService(String),
-    /// An object, or with none a group, was purged at this time.
+    /// An object was purged, or a group if there is no object.
     Purged {
         /// The object.
         object: Option<String>,
         /// The group.
         group: u64,
-        /// When.
+        /// The time of the purge.
         at: Micros,
     },
 }
@@ -145,37 +145,38 @@
 /// A notice to one proxy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Notice {
-    /// The proxy.
+    /// The index of the proxy.
     pub proxy: usize,
-    /// When.
+    /// The time of the notice.
     pub at: Micros,
-    /// What.
+    /// The event.
     pub kind: NoticeKind,
 }
 
-/// A box or hub cache that started during the rehearsal.
+/// The cold start of a cache during the rehearsal.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ColdStart {
-    /// Its id.
+    /// The uid of the cache.
     pub uid: String,
-    /// When it started.
+    /// The time at which it started.
     pub at: Micros,
-    /// What it can give when warm, in transfers at full pace.
+    /// Its capacity when warm, in transfers at full rate.
     pub capacity: f64,
-    /// Share of that at its start.
+    /// The share of `capacity` that it has at its start.
     pub share: f64,
-    /// When it is warm, from its start.
+    /// The time from its start until it is warm.
     pub warm_us: Micros,
-    /// Asked for more than this multiple of its present capacity for `overload_window_us`, it falls over.
+    /// The multiple of its current capacity above which load crashes it.
     pub overload_multiple: f64,
-    /// See `overload_multiple`.
+    /// The window over which the load is measured.
     pub overload_window_us: Micros,
 }
 
 impl ColdStart {
-    /// What it can do between two times, in microseconds of work: its capacity rises in a line until it is warm.
+    /// Returns the work that it can do between two times, in microseconds of transfer. Its capacity rises linearly until it
+    /// is warm.
     pub fn work_capacity_us(&self, from: Micros, to: Micros) -> f64 {
-        // The integral of the line up to a time from its start.
+        // The integral of the capacity from the start to a time.
         let upto = |at: Micros| {
             let t = at.saturating_sub(self.at) as f64;
             let warm = self.warm_us.max(1) as f64;
@@ -186,24 +187,24 @@
         upto(to) - upto(from)
     }
 
-    /// What it can give at a time, in transfers at full pace.
+    /// Returns its capacity at a time, in transfers at full rate.
     pub fn capacity_at(&self, at: Micros) -> f64 {
         let age = at.saturating_sub(self.at) as f64 / self.warm_us.max(1) as f64;
         self.capacity * (self.share + (1.0 - self.share) * age).min(1.0)
     }
 }
 
-/// The figures of the rules, with what sockets add to every time limit.
+/// The limits of the rules, with an allowance for the delay of sockets in each time limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Nothing new to a cache later than this after the notice that it is draining or gone.
+    /// The grace period after the notice that a cache is draining or gone.
     pub drain_us: Micros,
-    /// Nothing older than a purge later than this after the notice of it.
+    /// The grace period after the notice of a purge.
     pub purge_us: Micros,
-    /// Attempts for a request.
+    /// The maximum number of attempts of a request.
     pub attempts: usize,
-    /// How late the rehearsal itself was: what two of its threads saw closer together than this may have been the
-    /// other way round.
+    /// The delay of the rehearsal itself. Two threads may record events that are closer together than this in the wrong
+    /// order.
     pub tolerance_us: Micros,
 }
 
@@ -218,19 +219,19 @@
     }
 }
 
-/// All that a rehearsal recorded.
+/// The complete record of a rehearsal.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Record {
-    /// Classes.
+    /// The classes of the scenario.
     pub classes: Vec<Class>,
-    /// Requests of clients.
+    /// The requests of clients, including retries.
     pub requests: Vec<Request>,
-    /// Final answers.
+    /// The final answers to clients.
     pub answered: Vec<Answered>,
-    /// Attempts.
+    /// The attempts that arrived at caches.
     pub attempts: Vec<Attempt>,
-    /// Notices to proxies.
+    /// The notices to proxies.
     pub notices: Vec<Notice>,
-    /// Caches that started.
+    /// The cold starts of caches.
     pub cold_starts: Vec<ColdStart>,
 }
--- a/rehearse/src/rules/answers.rs
+++ b/rehearse/src/rules/answers.rs
@@ -1,4 +1,4 @@
-//! One final answer each, in time; whole; and refusals with advice.
+//! Checks final answers: exactly one for each request and in time, intact bodies, and a retry delay in each refusal.
 
 use super::{Breach, Case};
 use crate::record::{Answered, FinalAnswer};
@@ -23,12 +23,12 @@
             None if owed => out.push(breach(
                 &request.id,
                 request.deadline,
-                "no answer before its client gave up".into(),
+                "no answer before the client's deadline".into(),
             )),
-            // When it was read by its client's thread, which is late as the rehearsal is.
+            // The time at which the client's thread read the answer, which may lag behind its arrival.
             Some(at) if owed && at > request.deadline + case.limits.tolerance_us => {
                 let late = format!(
-                    "answered {} us after its client gave up",
+                    "answered {} us after the client's deadline",
                     at - request.deadline
                 );
                 out.push(breach(&request.id, at, late));
@@ -47,7 +47,7 @@
         out.push(breach(
             id,
             of[0].at,
-            "an answer to a request that nobody sent".into(),
+            "an answer to an unknown request".into(),
         ));
     }
 }
@@ -56,11 +56,9 @@
     for a in &case.record.answered {
         let (rule, evidence) = match a.answer {
             FinalAnswer::Served { intact: false, .. } => {
-                ("whole bytes", "served with bytes that no box gave for it")
-            }
-            FinalAnswer::Refused { advised: false } => {
-                ("advice", "refused without a word on when to come back")
+                ("whole bytes", "served with bytes that no cache sent for it")
             }
+            FinalAnswer::Refused { advised: false } => ("advice", "refused without a retry delay"),
             _ => continue,
         };
         let request = Some(a.id.clone());
--- a/rehearse/src/rules/attempts.rs
+++ b/rehearse/src/rules/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: one out at a time, six at most, and resent only as the class allows.
+//! Checks attempts: one in flight at a time, six at most, and repeats only as the request's class allows.
 
 use super::{Breach, Case};
 use crate::record::{Attempt, Ended, Repeat};
@@ -20,18 +20,18 @@
             let evidence = format!("{} attempts arrived", of.len());
             out.push(breach("six attempts", seventh, evidence));
         }
-        // Out from its arrival until its end is written or it is given up.
+        // An attempt is in flight from its arrival until its answer is written or it is aborted.
         let mut before: Option<&Attempt> = None;
         for a in of {
-            // The end of the one and the arrival of the other were seen at two boxes, by two threads.
+            // Two caches' threads recorded the end of one and the arrival of the other.
             let late = case.limits.tolerance_us;
             if let Some(b) = before.filter(|b| b.ended.is_none_or(|(end, _)| end > a.at + late)) {
                 let more = match b.ended {
-                    Some((end, how)) => format!("for {} us more ({how:?})", end - a.at),
-                    None => "for good".to_owned(),
+                    Some((end, how)) => format!("ended {} us later ({how:?})", end - a.at),
+                    None => "never ended".to_owned(),
                 };
                 let evidence = format!(
-                    "one at {} has been out for {} us and is {more}",
+                    "one at {} had been in flight for {} us and {more}",
                     b.target,
                     a.at - b.at
                 );
@@ -44,19 +44,18 @@
     }
 }
 
-/// Whether an attempt may have run.
 fn may_have_run(a: &Attempt) -> bool {
     !matches!(a.ended, Some((_, Ended::Unseen)))
 }
 
 pub(super) fn repeats(case: &Case<'_>, out: &mut Vec<Breach>) {
-    // Held to one try: a client that tries again has itself asked for more.
+    // Each retry of a client is a request of its own here.
     for (id, of) in &case.attempts {
         let Some(request) = case.requests.get(id) else {
             out.push(breach(
                 "repeats",
                 of[0],
-                "it belongs to no request that a client sent".into(),
+                "no client sent this request".into(),
             ));
             continue;
         };
@@ -76,7 +75,7 @@
                 }
                 Repeat::Keyed(window) if a.at >= ran.at + window => {
                     let evidence = format!(
-                        "{} us after the first that may have run, its key held for {window}",
+                        "{} us after the first that may have run; its key is remembered for {window} us",
                         a.at - ran.at
                     );
                     out.push(breach("repeats", a, evidence));
--- a/rehearse/src/rules/budgets.rs
+++ b/rehearse/src/rules/budgets.rs
@@ -1,37 +1,37 @@
-//! The rule on fleet-wide budgets, judged where they are spent: what a fake held at each time, whichever proxy sent it,
-//! against the limit of all proxies.
+//! The rule on fleet-wide budgets: compares the requests in flight at a fake, from all proxies together, with the limit
+//! for the fleet.
 
 use super::Breach;
 use crate::record::Micros;
 pub use linnetknot_harness::span::Span;
 
-/// The rule.
+/// The name of the rule and its description.
 pub const BUDGET: (&str, &str) = (
     "budget",
-    "what all proxies have out at a time is never more than the limit",
+    "the requests in flight from all proxies together never exceed the limit",
 );
 
-/// A limit that holds from a time on.
+/// A limit and the time from which it applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitFrom {
-    /// The time.
+    /// The start of the period.
     pub from: Micros,
-    /// The limit.
+    /// The limit on requests in flight.
     pub limit: u64,
 }
 
-/// How many requests were held from a time on.
+/// The number of requests in flight from a time until the next change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InFlightFrom {
-    /// The time.
+    /// The start of the period.
     pub from: Micros,
     /// The number of requests.
     pub in_flight: u64,
 }
 
-/// Returns how many requests were held after each change, in order.
+/// Returns the number of requests in flight after each change, in order of time.
 pub fn in_flight(spans: &[Span]) -> Vec<InFlightFrom> {
-    // What ends in the microsecond in which something else begins was out of the way by then.
+    // In one microsecond, ends sort before starts.
     let spans = spans.iter().filter(|span| span.from < span.until);
     let mut changes: Vec<(Micros, bool)> = spans
         .flat_map(|span| [(span.from, true), (span.until, false)])
@@ -48,18 +48,18 @@
     changes.into_iter().map(count).collect()
 }
 
-/// A time in which more was held than the limit.
+/// A period in which the requests in flight exceeded the limit.
 struct Excess {
     from: Micros,
-    /// The most that was held in that time.
+    /// The highest number in the period.
     in_flight: u64,
-    /// The limit when it began.
+    /// The limit at its start.
     limit: u64,
 }
 
 impl Excess {
     fn breach(&self) -> Breach {
-        let evidence = format!("{} of {} held at a time", self.in_flight, self.limit);
+        let evidence = format!("{} of {} in flight", self.in_flight, self.limit);
         Breach {
             rule: BUDGET.0,
             request: None,
@@ -70,8 +70,8 @@
     }
 }
 
-/// Returns a breach for each time in which more was held than the limit, with the most of that time. The limits are in the
-/// order of their times; before the first of them nothing is limited.
+/// Returns a breach for each period over the limit, with the highest number of that period. `limits` is in order of time;
+/// there is no limit before the first.
 pub fn judge(spans: &[Span], limits: &[LimitFrom]) -> Vec<Breach> {
     let limit_at = |at: Micros| {
         let last = limits.iter().rev().find(|limit| limit.from <= at);
@@ -95,7 +95,7 @@
     excesses.iter().map(Excess::breach).collect()
 }
 
-/// Returns the mean of what was held from one time to another.
+/// Returns the mean number of requests in flight between two times.
 pub fn mean(spans: &[Span], from: Micros, until: Micros) -> f64 {
     let within = |span: &Span| span.until.min(until).saturating_sub(span.from.max(from));
     spans.iter().map(within).sum::<Micros>() as f64 / until.saturating_sub(from).max(1) as f64
--- a/rehearse/src/rules/cold.rs
+++ b/rehearse/src/rules/cold.rs
@@ -1,5 +1,5 @@
-//! Cold boxes and hub caches: the work sent to one in any window, by all proxies together, stays under the multiple of
-//! what it can do in that window.
+//! Checks cold caches: the work that all proxies together send to one in any window stays below its overload multiple
+//! of the work it can do in that window.
 
 use super::{Breach, Case};
 use crate::record::Micros;
@@ -20,7 +20,7 @@
         let (mut first, mut sum) = (0, 0.0);
         for n in 0..work.len() {
             sum += work[n].1;
-            // The window that ends with this arrival; one that reaches back before the start is no shorter for that.
+            // The window ends with this arrival. One that would begin before the cold start begins with it.
             while work[first].0 + c.overload_window_us < work[n].0 {
                 sum -= work[first].1;
                 first += 1;
@@ -34,7 +34,7 @@
                     target: Some(c.uid.clone()),
                     at: work[n].0,
                     evidence: format!(
-                        "{:.0} ms of work in {} ms, {:.0} ms may be sent, {} ms after its start",
+                        "{:.0} ms of work in {} ms, limit {:.0} ms, {} ms after its start",
                         sum / 1e3,
                         c.overload_window_us / 1000,
                         may / 1e3,
--- a/rehearse/src/rules/commits.rs
+++ b/rehearse/src/rules/commits.rs
@@ -1,19 +1,19 @@
-//! Commits of purges between proxies, judged from a record alone: what peer CDNs asked for, what they were answered, and
-//! the state of each proxy in the end.
+//! Checks the replication of purges from a record: the purges that peer CDNs requested, the answers, and the final state
+//! of each proxy.
 
 use super::Breach;
 use crate::record::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The rules, by name.
+/// Names and descriptions of the rules.
 pub const COMMIT_RULES: [(&str, &str); 6] = [
     (
         "promises",
-        "what was committed is in force at every proxy in the end, whichever machine was lost",
+        "a committed purge is enforced at every proxy in the end, whichever machine was lost",
     ),
     (
         "agreement",
-        "a purge is in force at all proxies in the end, or at none",
+        "a purge is enforced at all proxies in the end, or at none",
     ),
     (
         "statuses",
@@ -21,74 +21,74 @@
     ),
     (
         "answers",
-        "a proxy that runs answers each peer CDN, committed or rejected, before the timeout",
+        "a running proxy answers each peer CDN with a commit or a rejection before the timeout",
     ),
     (
         "fence",
-        "a process that was replaced and knows it commits nothing",
+        "a process that knows that it was replaced commits nothing",
     ),
     ("copies", "in the end no commit is under-replicated"),
 ];
 
-/// What a peer CDN was answered.
+/// The answer to a peer CDN's purge request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PurgeAnswer {
     /// The purge is committed.
     Committed,
-    /// It is rejected.
+    /// The purge is rejected.
     Rejected,
-    /// No answer came: the proxy died.
+    /// There was no answer, as the proxy stopped.
     None,
 }
 
-/// A purge that a peer CDN asked one proxy for.
+/// A purge that a peer CDN requested of one proxy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PurgeRequest {
     /// When it was sent.
     pub sent_at: Micros,
     /// When it was answered, or the connection ended.
     pub answered_at: Micros,
-    /// Which proxy.
+    /// The index of the proxy.
     pub proxy: usize,
-    /// The object.
+    /// The purged object.
     pub object: String,
-    /// The path of its status, where it was committed.
+    /// The path of the trigger's status, if the purge was committed.
     pub trigger: Option<String>,
     /// The answer.
     pub answer: PurgeAnswer,
-    /// The proxy was to die or to be stopped during this: no answer is due.
+    /// No answer is due, as the test stops the proxy during the request.
     pub excused: bool,
-    /// The process knew before that another had taken its name.
+    /// The process already knew that another had replaced it.
     pub replaced: bool,
 }
 
-/// The state of a proxy in the end.
+/// The state of a proxy at the end of a play.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FinalState {
-    /// Which proxy.
+    /// The index of the proxy.
     pub proxy: usize,
-    /// The objects whose purges are in force there.
+    /// The objects whose purges it enforces.
     pub objects: BTreeSet<String>,
-    /// The triggers that it lists, by the paths of their status.
+    /// The status paths of the triggers that it lists.
     pub triggers: BTreeSet<String>,
-    /// Its commits with fewer replicas than the replication factor.
+    /// The number of its commits with fewer replicas than the replication factor.
     pub under_replicated: usize,
 }
 
-/// A play's record.
+/// The record of a play.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CommitRecord {
-    /// All purges, in the order in which they were sent.
+    /// All requested purges, in the order in which they were sent.
     pub purges: Vec<PurgeRequest>,
-    /// By proxy.
+    /// The final state of each proxy that runs.
     pub final_states: Vec<FinalState>,
-    /// How long an answer may take.
+    /// The time limit for an answer.
     pub timeout_us: Micros,
-    /// How late the kit itself may see an answer.
+    /// The delay that the kit itself may add to an answer's time.
     pub tolerance_us: Micros,
 }
 
-/// Every breach in a record.
+/// Returns all breaches in a record.
 pub fn judge(record: &CommitRecord) -> Vec<Breach> {
     let mut breaches = judge_objects(record);
     breaches.extend(judge_listed_triggers(record));
@@ -98,7 +98,6 @@
     breaches
 }
 
-/// A breach that one purge shows.
 fn breach(rule: &'static str, purge: &PurgeRequest, evidence: String) -> Breach {
     Breach {
         rule,
@@ -109,7 +108,7 @@
     }
 }
 
-/// A breach that the final states show.
+/// Returns a breach found in the final states, which belongs to no single purge.
 fn breach_at_end(rule: &'static str, evidence: String) -> Breach {
     Breach {
         rule,
@@ -120,9 +119,9 @@
     }
 }
 
-/// What was committed is in force at all proxies, anything else at all or at none.
+/// Checks that each committed purge is enforced at all proxies, and any other at all or at none.
 fn judge_objects(record: &CommitRecord) -> Vec<Breach> {
-    // One object may be purged several times: any of them that was committed counts.
+    // An object that is purged several times counts as committed if any of its purges was.
     let mut by_object: BTreeMap<&str, Vec<&PurgeRequest>> = BTreeMap::new();
     record
         .purges
@@ -150,7 +149,7 @@
         .find(|purge| purge.answer == PurgeAnswer::Committed)
     {
         let evidence = format!(
-            "committed by p{} and not in force at {lacking:?}",
+            "committed by p{} and not enforced at {lacking:?}",
             committed.proxy
         );
         return Some(breach("promises", committed, evidence));
@@ -160,12 +159,12 @@
         breach(
             "agreement",
             purges[0],
-            format!("not in force at {lacking:?}, and at the others"),
+            format!("enforced at some proxies and not at {lacking:?}"),
         )
     })
 }
 
-/// The trigger of each commit is listed by all.
+/// Checks that all proxies list the trigger of each commit.
 fn judge_listed_triggers(record: &CommitRecord) -> Vec<Breach> {
     let mut breaches = Vec::new();
     for purge in &record.purges {
@@ -187,7 +186,7 @@
     breaches
 }
 
-/// Each answer comes in time, and a process that knew that it was replaced commits nothing.
+/// Checks that each answer comes in time and that no process that knows that it was replaced commits.
 fn judge_answers(record: &CommitRecord) -> Vec<Breach> {
     let mut breaches = Vec::new();
     let max_us = record.timeout_us + record.tolerance_us;
@@ -197,25 +196,28 @@
             breaches.push(breach(
                 "answers",
                 purge,
-                format!("p{} ran on and gave no answer", purge.proxy),
+                format!("p{} was running and gave no answer", purge.proxy),
             ));
         } else if purge.answer != PurgeAnswer::None && took_us > max_us && !purge.excused {
-            let evidence = format!("p{} took {took_us} us of {max_us}", purge.proxy);
+            let evidence = format!("p{} took {took_us} us, limit {max_us} us", purge.proxy);
             breaches.push(breach("answers", purge, evidence));
         }
         if purge.answer == PurgeAnswer::Committed && purge.replaced {
             breaches.push(breach(
                 "fence",
                 purge,
-                format!("p{} knew that it was replaced", purge.proxy),
+                format!(
+                    "p{} committed although it knew that it was replaced",
+                    purge.proxy
+                ),
             ));
         }
     }
     breaches
 }
 
-/// The triggers that are in no answer are the same at all: a proxy that died before its answer may have made them, and
-/// then all know.
+/// Checks that all proxies list the same triggers beside those in answers. A proxy that crashed before its answer may have
+/// created such a trigger.
 fn judge_unknown_triggers(record: &CommitRecord) -> Vec<Breach> {
     let known: BTreeSet<&String> = record
         .purges
@@ -245,7 +247,6 @@
         .collect()
 }
 
-/// No commit is under-replicated.
 fn judge_replication(record: &CommitRecord) -> Vec<Breach> {
     let under_replicated = record
         .final_states
@@ -253,7 +254,7 @@
         .filter(|state| state.under_replicated > 0);
     let evidence = |state: &FinalState| {
         format!(
-            "p{} has {} commits with fewer replicas than wanted",
+            "p{} has {} commits below the replication factor",
             state.proxy, state.under_replicated
         )
     };
--- a/rehearse/src/rules/drains.rs
+++ b/rehearse/src/rules/drains.rs
@@ -1,16 +1,17 @@
-//! Drains: nothing new to a cache, as target or as source of a fill, once a proxy has been notified and its grace is over.
+//! Checks drains: no new attempt uses a cache, as target or as fill source, after the grace period of the notice to the
+//! proxy.
 
 use super::{Breach, Case};
 use crate::record::{Micros, NoticeKind};
 use std::collections::BTreeMap;
 
-/// A notice that a cache is out, or ready again.
+/// A notice that a cache is out of service, or ready again.
 struct StateNotice {
     at: Micros,
     is_out: bool,
 }
 
-/// Notices of each cache's state to each proxy, in the order of time.
+/// The notices of each cache's state to each proxy, in order of time.
 struct StateNotices<'a>(BTreeMap<(usize, &'a str), Vec<StateNotice>>);
 
 impl<'a> StateNotices<'a> {
@@ -31,7 +32,8 @@
         StateNotices(notices)
     }
 
-    /// Since when a cache has been out for a proxy at some time: repeated notices do not begin its grace anew.
+    /// Returns the time since which a proxy knows that a cache is out of service. Repeated notices do not restart the grace
+    /// period.
     fn out_since(&self, proxy: usize, uid: &str, at: Micros) -> Option<Micros> {
         let notices = self.0.get(&(proxy, uid))?;
         let mut since = None;
--- a/rehearse/src/rules/mod.rs
+++ b/rehearse/src/rules/mod.rs
@@ -1,4 +1,5 @@
-//! The rules, judged from a record alone. Every breach names its rule, the request, the box, the time and the evidence.
+//! The rules of a rehearsal, checked against its record. Each breach names the rule, the request, the cache, the time and
+//! the evidence.
 
 mod answers;
 mod attempts;
@@ -15,15 +16,15 @@
 /// A broken rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Breach {
-    /// The rule, by its name in `RULES`.
+    /// The name of the rule in `RULES`.
     pub rule: &'static str,
-    /// The request, where one broke it.
+    /// The id of the request, if the breach belongs to one.
     pub request: Option<String>,
-    /// The box, where one is concerned.
+    /// The uid of the cache, if the breach concerns one.
     pub target: Option<String>,
-    /// When.
+    /// The time of the breach.
     pub at: Micros,
-    /// What shows it.
+    /// A description of the observation that breaks the rule.
     pub evidence: String,
 }
 
@@ -46,31 +47,31 @@
     }
 }
 
-/// A record, with what several rules look up in it.
+/// A record with the indexes that several rules use.
 pub(crate) struct Case<'a> {
     record: &'a Record,
     limits: &'a Limits,
     requests: BTreeMap<&'a str, &'a Request>,
-    /// Attempts of each try, in the order of their arrival.
+    /// The attempts of each request, in order of arrival.
     attempts: BTreeMap<&'a str, Vec<&'a Attempt>>,
 }
 
 type Rule = fn(&Case<'_>, &mut Vec<Breach>);
 
-/// All rules, by name.
+/// Names and descriptions of all rules.
 pub const RULES: [(&str, &str); 9] = [
-    ("one answer", "each request taken gets exactly one final answer before its client gives up"),
-    ("whole bytes", "what is served is whole and unchanged"),
-    ("advice", "a refusal tells its client when to come back"),
-    ("one out", "no two attempts of a request are out at once"),
-    ("six attempts", "a request has six attempts at most"),
-    ("repeats", "what may have run is resent only as its class allows"),
+    ("one answer", "each accepted request gets exactly one final answer before the client's deadline"),
+    ("whole bytes", "served bodies are complete and unchanged"),
+    ("advice", "a refusal advises a retry delay"),
+    ("one out", "no two attempts of a request are in flight at once"),
+    ("six attempts", "a request has at most six attempts"),
+    ("repeats", "a request that may have run is repeated only as its class allows"),
     (
         "drains",
-        "nothing new to a box, as target or source, later than 1 s after word that it drains or is gone",
+        "no new attempt uses a cache, as target or source, later than 1 s after the notice that it is draining or gone",
     ),
-    ("cold boxes", "no box or hub cache that just started is pushed over, by all proxies together"),
-    ("purges", "from 300 ms after word of a purge, nothing is answered from an older copy"),
+    ("cold boxes", "all proxies together do not overload a cache that has just started"),
+    ("purges", "from 300 ms after the notice of a purge, no answer comes from an older copy"),
 ];
 
 const CHECKS: [Rule; 7] = [
@@ -83,7 +84,7 @@
     purges::check,
 ];
 
-/// Every breach in a record, in the order of time.
+/// Returns all breaches in a record, in order of time.
 pub fn judge(record: &Record, limits: &Limits) -> Vec<Breach> {
     let requests = record.requests.iter().map(|a| (a.id.as_str(), a)).collect();
     let mut attempts: BTreeMap<&str, Vec<&Attempt>> = BTreeMap::new();
--- a/rehearse/src/score.rs
+++ b/rehearse/src/score.rs
@@ -1,28 +1,28 @@
-//! The score of a rehearsal: weight answered in time over weight offered, for the whole run, its worst ten seconds and its
-//! worst class, and what became of the rest. A client's retries belong to its first request.
+//! The score of a rehearsal: the weight answered in time over the weight offered, for the whole run, by class and by second.
+//! A client's retries count towards its first request.
 
 use crate::record::{Answered, FinalAnswer, Micros, Record, Request};
 use std::collections::BTreeMap;
 
-/// What became of the requests' weight, as shares of what was offered; the six add up to 1 where late answers earn nothing.
+/// The weight of requests by outcome. The outcomes add up to the offered weight.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Shares {
-    /// Weight of all requests.
+    /// The weight of all requests.
     pub offered: f64,
-    /// Earned: in time, or part of it where late.
+    /// The weight of answers in time, and the earned part of late ones.
     pub earned: f64,
-    /// Lost to answers after the wanted time.
+    /// The weight lost to late answers.
     pub late: f64,
-    /// Lost to refusals.
+    /// The weight lost to refusals.
     pub refused: f64,
-    /// Lost to failures.
+    /// The weight lost to failures.
     pub failed: f64,
-    /// Lost to no answer at all.
+    /// The weight of requests without an answer.
     pub unanswered: f64,
 }
 
 impl Shares {
-    /// Earned over offered; none where nothing was offered: such a run has seen nothing.
+    /// Returns the earned share of the offered weight, or none if nothing was offered.
     pub fn score(&self) -> Option<f64> {
         (self.offered > 0.0).then(|| self.earned / self.offered)
     }
@@ -37,35 +37,35 @@
     }
 }
 
-/// A score.
+/// The score of a rehearsal.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Score {
-    /// The whole run.
+    /// The weights of the whole run.
     pub total: Shares,
-    /// By class, in the order of the record's.
+    /// The weights by class, in the order of the record.
     pub classes: Vec<Shares>,
-    /// By seconds, by when the first request was sent, from the earliest on.
+    /// The weights by second, counted from the earliest request. A request counts in the second in which it was first sent.
     pub seconds: Vec<Shares>,
-    /// The ten seconds in a row that earned least of what was offered, by their first second.
+    /// The first second and the score of the worst window of ten seconds.
     pub worst: Option<(usize, f64)>,
 }
 
-/// Width of the worst window, in seconds.
+/// The width of the worst window.
 const WINDOW_SECONDS: usize = 10;
 
-/// What one request came to: it and its retries in order, and the answer to each.
-fn outcome(record: &Record, attempts: &[(&Request, Option<&Answered>)]) -> Shares {
-    let first = attempts[0].0;
+/// Returns the outcome of a request from it and its retries in order, each with its answer.
+fn outcome(record: &Record, requests: &[(&Request, Option<&Answered>)]) -> Shares {
+    let first = requests[0].0;
     let class = &record.classes[first.class];
     let weight = class.weight;
     let mut shares = Shares {
         offered: weight,
         ..Shares::default()
     };
-    let served = attempts
+    let served = requests
         .iter()
         .filter_map(|(_, a)| a.filter(|a| matches!(a.answer, FinalAnswer::Served { .. })));
-    // Counted from the first request: a retry that is quick does not make the wait before it shorter.
+    // The response time counts from the first request, including the wait before a retry.
     if let Some(at) = served.map(|a| a.at).min() {
         let objective =
             first.at + class.objective_us + (class.stretch * first.work_us as f64) as Micros;
@@ -77,7 +77,7 @@
         shares.late = weight - shares.earned;
         return shares;
     }
-    match attempts
+    match requests
         .iter()
         .rev()
         .find_map(|(_, a)| *a)
@@ -90,15 +90,15 @@
     shares
 }
 
-/// The score of a record.
+/// Computes the score of a record.
 pub fn score(record: &Record) -> Score {
     let mut answers: BTreeMap<&str, &Answered> = BTreeMap::new();
     for a in &record.answered {
         answers.entry(&a.id).or_insert(a);
     }
-    let mut attempts: BTreeMap<&str, Vec<(&Request, Option<&Answered>)>> = BTreeMap::new();
+    let mut requests_by_first: BTreeMap<&str, Vec<(&Request, Option<&Answered>)>> = BTreeMap::new();
     for a in &record.requests {
-        attempts
+        requests_by_first
             .entry(&a.first)
             .or_default()
             .push((a, answers.get(a.id.as_str()).copied()));
@@ -110,7 +110,7 @@
         seconds: Vec::new(),
         worst: None,
     };
-    for of in attempts.values_mut() {
+    for of in requests_by_first.values_mut() {
         of.sort_by_key(|(a, _)| a.at);
         let shares = outcome(record, of);
         let second = ((of[0].0.at - start) / 1_000_000) as usize;
--- a/rehearse/tests/rules.rs
+++ b/rehearse/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The rules and the score from records alone: a sound record breaks none, and each planted fault is named.
+//! Tests of the rules, the score and the waits on records made by hand.
 
 use linnetknot_rehearse::latency::{waits, Waits};
 use linnetknot_rehearse::record::*;
@@ -69,7 +69,8 @@
     Notice { proxy: 0, at, kind }
 }
 
-/// Two requests, a retry behind a refusal, a post, a drain, a purge and a cold box, all as they should be.
+/// Returns a record without a breach: requests with and without a key, a retry after a refusal, a drain, a purge and a cold
+/// start.
 fn valid_record() -> Record {
     let mut retry = request("c2", 0, 31 * S);
     retry.first = "c1".into();
@@ -136,7 +137,7 @@
     judge(record, &Limits::default())
 }
 
-/// A fault, and the rule that it breaks.
+/// The name of a rule and a change of the record that breaks it.
 type Fault = (&'static str, fn(&mut Record));
 
 const FAULTS: [Fault; 17] = [
@@ -179,7 +180,7 @@
     ("repeats", |r| r.attempts[0].id = "unknown".into()),
     ("drains", |r| r.attempts[3].target = "box-1".into()),
     ("drains", |r| r.attempts[3].source = Some("box-1".into())),
-    // A second word does not begin the grace anew.
+    // A repeated notice does not restart the grace period.
     ("drains", |r| {
         r.notices.push(notice(
             30 * S + 900 * MS,
@@ -200,8 +201,6 @@
     }),
 ];
 
-/// Two attempts that overlap by less than the rehearsal itself was late may have been one after the other; by more, or
-/// for good, they were not.
 #[test]
 fn overlaps_and_late_answers_within_the_tolerance_are_not_breaches() {
     let with = |tolerance_us: u64, ended: &dyn Fn(u64) -> Option<(u64, Ended)>| {
@@ -220,8 +219,8 @@
     };
     let by = |us: u64| move |next: u64| Some((next + us, Ended::GivenUp));
     assert!(!with(4 * MS, &by(4 * MS)) && with(4 * MS, &by(4 * MS + 1)) && with(0, &by(1)));
-    assert!(with(50 * MS, &|_| None), "one that never ended");
-    // So it is with an answer that was read a moment after its client gave up.
+    assert!(with(50 * MS, &|_| None), "an attempt that never ended");
+    // The tolerance also applies to an answer that was read after the client's deadline.
     let answered = |tolerance_us, after: u64| {
         let mut record = valid_record();
         record.answered[0].at = record.requests[0].deadline + after;
@@ -256,7 +255,7 @@
             of.iter().all(|b| b.at >= 9 * S && !b.evidence.is_empty()),
             "{of:?}"
         );
-        // Forty fills are also more than six attempts; all other faults break their rule alone.
+        // The forty fills also exceed six attempts. All other faults break a single rule.
         let others = breaches.iter().filter(|b| b.rule != *rule).count();
         assert!(
             others == 0 || *rule == "cold boxes",
@@ -264,18 +263,14 @@
         );
         reported.insert(*rule);
     }
-    assert_eq!(
-        reported.len(),
-        RULES.len(),
-        "each rule is broken by some fault"
-    );
+    assert_eq!(reported.len(), RULES.len(), "a fault for each rule");
     assert!(RULES.iter().all(|(rule, _)| reported.contains(rule)));
 }
 
 #[test]
 fn grace_periods_and_released_requests_are_not_breaches() {
     let mut record = valid_record();
-    // Sent 1 s after word of the drain, and 300 ms after word of a purge.
+    // Sent 1 s after the notice of a drain, and 350 ms after that of a purge.
     record.notices = vec![
         notice(9 * S, NoticeKind::OutOfService("box-1".into())),
         notice(
@@ -289,11 +284,11 @@
     ];
     record.cold_starts.clear();
     assert_eq!(breaches_of(&record), []);
-    // One ms more, and both are.
+    // 51 ms more, and both rules are broken.
     record.notices.iter_mut().for_each(|t| t.at -= 51 * MS);
     let rules: Vec<&str> = breaches_of(&record).iter().map(|b| b.rule).collect();
     assert_eq!(rules, ["drains", "purges"]);
-    // Ready again in between: its word holds.
+    // The cache became ready again in between.
     record
         .notices
         .push(notice(9 * S + MS, NoticeKind::Ready("box-1".into())));
@@ -304,18 +299,18 @@
             .collect::<Vec<_>>(),
         ["purges"]
     );
-    // A client that took its request back is owed nothing, and two answers are too many all the same.
+    // No answer is due to a released request.
     let mut record = valid_record();
     record.answered.remove(0);
     record.requests[0].released = Some(11 * S);
     assert_eq!(breaches_of(&record), []);
-    // A cold box may be given what it can bear.
+    // A cold cache may be sent work up to its overload multiple.
     let mut record = valid_record();
     record.attempts[3].work_us = 7 * S;
     assert_eq!(
         breaches_of(&record),
         [],
-        "8 x 2.5 x 3 s at 15% and rising is more than that"
+        "8 x 2.5 x 3 s at 15% and rising exceeds this work"
     );
     record.attempts[3].work_us = 20 * S;
     assert_eq!(breaches_of(&record)[0].rule, "cold boxes");
@@ -324,7 +319,7 @@
 #[test]
 fn score_is_weight_answered_in_time_over_weight_offered() {
     let out = score(&valid_record());
-    // a in time; b late, of which a fifth counts; c served by its retry, late by its first try; d failed.
+    // a is in time; b is late and earns a fifth; c is served by its retry and late; d failed.
     let earned = 1.0 + 3.0 * 0.2 + 0.2;
     assert!(
         (out.total.offered - 8.0).abs() < 1e-9 && (out.total.earned - earned).abs() < 1e-9,
@@ -350,16 +345,16 @@
     assert_eq!(
         out.worst.unwrap().1,
         0.0,
-        "the seconds of which only the failed one is a part"
+        "the window that contains only the failed request"
     );
-    // Without its retry, c is refused; without any answer, unanswered.
+    // Without its retry, c is refused. Without any answers, all requests are unanswered.
     let mut record = valid_record();
     record.requests.remove(3);
     record.answered.remove(3);
     assert_eq!(score(&record).total.refused, 1.0);
     record.answered.clear();
     assert_eq!(score(&record).total.unanswered, 8.0);
-    // Nothing asked is no score at all, rather than a good one.
+    // A record without requests has no score.
     assert_eq!(score(&Record::default()).total.score(), None);
     assert_eq!(score(&Record::default()).worst, None);
 }
@@ -373,7 +368,7 @@
         ..Record::default()
     };
     assert_eq!(class_of(&record, 0), Waits::default());
-    // A hundred in time, each 20 ms; the load generator is held up before the last, which waits 2 s all the same.
+    // A hundred requests wait 20 ms each. The load generator sends the last one 2 s late, which counts as a wait.
     for n in 0..100 {
         let (id, at) = (format!("{n}"), (10 + n) * S);
         record.requests.push(request(&id, 0, at));
@@ -387,7 +382,7 @@
     record
         .answered
         .push(served("late", 200 * S + 20 * MS, 200 * S));
-    // Refused at first and served by its retry; and one never served.
+    // One request is refused and served by its retry, and one is never served.
     let retry = Request {
         first: "again".into(),
         ..request("retry", 0, 301 * S)
@@ -433,6 +428,6 @@
     assert_eq!(
         c.work_capacity_us(0, 100),
         0.0,
-        "before its start it can do nothing"
+        "no capacity before its start"
     );
 }
--- a/rehearse/tests/rules_budgets.rs
+++ b/rehearse/tests/rules_budgets.rs
@@ -1,4 +1,4 @@
-//! The rule of budgets that several proxies share, from spans alone.
+//! Tests of the rule on budgets shared by several proxies.
 
 use linnetknot_rehearse::record::Micros;
 use linnetknot_rehearse::rules::budgets::{in_flight, judge, mean, InFlightFrom, LimitFrom, Span};
@@ -31,18 +31,15 @@
             .collect::<Vec<_>>()
     };
     assert_eq!(judged(&[(0, 4)]), []);
-    assert_eq!(
-        judged(&[(0, 3)]),
-        [(13, "4 of 3 held at a time".to_owned())]
-    );
+    assert_eq!(judged(&[(0, 3)]), [(13, "4 of 3 in flight".to_owned())]);
     assert_eq!(
         judged(&[(0, 2)]),
-        [(12, "4 of 2 held at a time".to_owned())],
-        "the first two met, and the third took the place of one that ended with its beginning"
+        [(12, "4 of 2 in flight".to_owned())],
+        "a request may start in the microsecond in which another ends"
     );
-    // The limit is lowered: what was out before is not held against anybody, what comes after is.
+    // Lowering the limit counts as a breach only from the next change on.
     assert_eq!(judged(&[(0, 4), (13, 0)]).len(), 2);
-    assert_eq!(judged(&[]), [], "nothing is said of a limit");
+    assert_eq!(judged(&[]), [], "no limit is set");
     assert_eq!(
         in_flight(&[span(7, 7), span(7, 8)]),
         [
@@ -55,7 +52,7 @@
                 in_flight: 0
             }
         ],
-        "what took no time was not held"
+        "a request without duration does not count"
     );
 }
 
--- a/rehearse/tests/rules_commits.rs
+++ b/rehearse/tests/rules_commits.rs
@@ -1,4 +1,4 @@
-//! The rules of commits between proxies, from records alone.
+//! Tests of the rules on commits between proxies.
 
 use linnetknot_rehearse::rules::commits::{
     judge, CommitRecord, FinalState, PurgeAnswer, PurgeRequest, COMMIT_RULES,
@@ -31,7 +31,7 @@
     }
 }
 
-/// A play whose first purge was committed, whose second was rejected, and whose third died with its proxy.
+/// Returns a record of a committed purge, a rejected one, and one whose proxy crashed.
 fn valid_record() -> CommitRecord {
     let excused = PurgeRequest {
         excused: true,
@@ -49,7 +49,7 @@
     }
 }
 
-/// What these purges and final states break.
+/// Returns the breaches of these purges and final states.
 fn breaches_of(purges: Vec<PurgeRequest>, final_states: Vec<FinalState>) -> Vec<Breach> {
     judge(&CommitRecord {
         purges,
@@ -58,7 +58,7 @@
     })
 }
 
-/// The rules that they break.
+/// Returns the names of the rules that they break.
 fn broken_rules(purges: Vec<PurgeRequest>, final_states: Vec<FinalState>) -> Vec<&'static str> {
     let breaches = breaches_of(purges, final_states);
     breaches.iter().map(|breach| breach.rule).collect()
