--- a/rehearse/src/latency.rs
+++ b/rehearse/src/latency.rs
@@ -1,36 +1,35 @@
-//! How long clients waited, by class, from the records.
+//! Waiting times of clients by class, computed from the record.
 //!
-//! Counted from when a request was due to be sent, not from when it was: a load generator that is held up by a slow
-//! answer would otherwise leave out the wait of whatever came behind it (coordinated omission). A client's retries
-//! belong to its first try, and what was never served is not a short wait but none: it is counted apart.
+//! A wait counts from the time at which a request was due, not from when it was sent, which avoids coordinated omission.
+//! Retries count towards the first request. Requests that were never served are counted separately.
 
 use crate::record::{FinalAnswer, Micros, Record};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 
-/// Waits above this count as this; longer than any client waits.
+/// The upper bound of the histogram. Longer waits are recorded as this value.
 const MAX_WAIT_US: u64 = 600_000_000;
 
-/// The waits of one class.
+/// The waits of one class, in microseconds with three significant digits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Waits {
-    /// Requests, retries not counted.
+    /// The number of requests without retries.
     pub requests: u64,
-    /// Those that were served at last.
+    /// The number of requests that were served, possibly after retries.
     pub served: u64,
-    /// Within this, half of the served were; in microseconds, three digits exact, as all below.
+    /// The median wait of served requests.
     pub p50: Micros,
-    /// Nine in ten.
+    /// The 90th percentile.
     pub p90: Micros,
-    /// All but one in a hundred.
+    /// The 99th percentile.
     pub p99: Micros,
-    /// All but one in a thousand.
+    /// The 99.9th percentile.
     pub p999: Micros,
-    /// The longest.
+    /// The longest wait.
     pub max: Micros,
 }
 
-/// The waits of each class, in the order of the record's.
+/// Returns the waits of each class, in the order of the record.
 pub fn waits(record: &Record) -> Vec<Waits> {
     let mut served_at: BTreeMap<&str, Micros> = BTreeMap::new();
     for a in record
@@ -41,7 +40,7 @@
         let at = served_at.entry(&a.id).or_insert(a.at);
         *at = a.at.min(*at);
     }
-    // By first try: its class, when it was due, and when any try of it was first served.
+    // By first request: its class, its due time, and the earliest time at which it or a retry was served.
     let mut requests: BTreeMap<&str, (usize, Micros, Option<Micros>)> = BTreeMap::new();
     for a in &record.requests {
         let served = served_at.get(a.id.as_str()).copied();
--- a/rehearse/src/lib.rs
+++ b/rehearse/src/lib.rs
@@ -1,5 +1,5 @@
-//! A bounded rehearsal on loopback: fakes of cache servers, of the event bus and of a peer CDN play a purge and a
-//! drain against a real daemon, and every breach of the rules is reported.
+//! A rehearsal kit: plays faults, purges and drains against real daemons on loopback, with fakes of the cache servers, the
+//! event bus and a peer CDN, and reports each breach of the rules.
 
 pub mod fakes;
 pub mod fault_matrix;
@@ -24,23 +24,23 @@
 /// A broken rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
-    /// The rule.
+    /// The name of the rule.
     pub rule: &'static str,
-    /// What broke it.
+    /// A description of the observation that breaks the rule.
     pub evidence: String,
 }
 
-/// What a rehearsal came to.
+/// The result of the built-in rehearsal.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// What was played, a line each.
+    /// A description of each case that was played.
     pub cases: Vec<String>,
-    /// All that broke a rule.
+    /// The breaches of rules.
     pub breaches: Vec<Breach>,
 }
 
 impl Report {
-    /// Notes a breach where something that must hold does not.
+    /// Adds a breach of a rule if the condition does not hold.
     pub fn check(&mut self, rule: &'static str, holds: bool, evidence: impl FnOnce() -> String) {
         if !holds {
             self.breaches.push(Breach {
--- a/rehearse/src/load.rs
+++ b/rehearse/src/load.rs
@@ -1,51 +1,51 @@
-//! What is asked for in a rehearsal, drawn ahead from a seed: an open loop, whose arrivals never wait for answers, so
-//! that a slow answer does not hide the requests behind it. The same scenario and seed give the same plan.
+//! The load of a rehearsal, drawn in advance from a seed. It is an open loop: arrivals do not wait for answers, so a slow
+//! answer does not delay the requests after it. The same scenario and seed give the same plan.
 
 use crate::scenario::{ClassLoad, Scenario, What};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, LogNormal, Zipf};
 
-/// A request that is to be sent.
+/// A planned request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// When, in microseconds from the beginning.
+    /// The time of sending, in microseconds from the start.
     pub at: u64,
-    /// Its class, by its place in the scenario.
+    /// The index of its class in the scenario.
     pub class: usize,
     /// The object.
     pub object: u64,
-    /// The part.
+    /// The part of the object.
     pub part: u64,
-    /// Size of the part, in KB.
+    /// The size of the part, in KB.
     pub size_kb: f64,
-    /// How long its client waits, in microseconds.
+    /// The time that its client waits, in microseconds.
     pub budget: u64,
-    /// The proxy that its client comes to.
+    /// The index of the proxy that its client connects to.
     pub proxy: u32,
-    /// The idempotency key.
+    /// The idempotency key, if the class uses them.
     pub key: Option<u64>,
 }
 
-/// A purge that is to be told.
+/// A planned purge.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Purge {
-    /// When, in microseconds from the beginning.
+    /// The time of the purge, in microseconds from the start.
     pub at: u64,
-    /// The object, or else the group.
+    /// The object (`Ok`) or the group (`Err`).
     pub target: Result<u64, u64>,
 }
 
-/// All that a rehearsal asks and purges, in the order of time.
+/// The requests and purges of a rehearsal.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// Requests.
+    /// The requests, in order of time.
     pub arrivals: Vec<Arrival>,
-    /// Purges.
+    /// The purges, in order of time.
     pub purges: Vec<Purge>,
 }
 
-/// Groups of objects, as the platform numbers them.
+/// The number of object groups.
 pub const GROUP_COUNT: u64 = 256;
 
 fn mix(mut x: u64) -> u64 {
@@ -54,12 +54,12 @@
     x ^ (x >> 31)
 }
 
-/// Group of an object.
+/// Returns the group of an object.
 pub fn group(object: u64) -> u64 {
     mix(object) % GROUP_COUNT
 }
 
-/// The factor of the load at a time, in seconds.
+/// Returns the load factor at a time in seconds, interpolated between the points of the shape.
 pub fn load_factor(shape: &[(f64, f64)], at: f64) -> f64 {
     let after = shape.iter().position(|(t, _)| *t > at);
     match (shape, after) {
@@ -73,7 +73,7 @@
     }
 }
 
-/// A class's objects and sizes.
+/// Draws the objects and sizes of a class.
 struct ClassGenerator<'a> {
     class: &'a ClassLoad,
     index: usize,
@@ -100,11 +100,11 @@
             return mix(tag ^ (1 << 55) ^ self.unique_objects);
         }
         let rank = self.popularity.as_ref().map_or(1.0, |z| z.sample(random)) as u64;
-        // The order moves on: what stands at a rank is another object some seconds later.
+        // With drift, the object at a popularity rank changes over time.
         mix(tag ^ (rank + (c.drift * at) as u64))
     }
 
-    /// Size of a part: the same whenever it is asked for.
+    /// Returns the size of a part, which is the same for each request.
     fn size_kb(&self, object: u64, part: u64) -> f64 {
         let mut own = ChaCha8Rng::seed_from_u64(mix(object ^ mix(part)));
         self.sizes
@@ -113,7 +113,7 @@
     }
 }
 
-/// The hot object that a request of a class is for at this second, where a fault makes it one.
+/// Returns the hot object for a request of a class at this second, if a fault draws it there.
 fn hot_object(
     scenario: &Scenario,
     class: &ClassLoad,
@@ -138,7 +138,7 @@
     let mut plan = Plan::default();
     let end = scenario.seconds;
     for (index, class) in scenario.load.classes.iter().enumerate() {
-        // Each class and the purges have a stream of chance of their own: a change of one leaves the others alone.
+        // Each class and the purges have their own random stream, so a change of one does not affect the others.
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         random.set_stream(index as u64 + 1);
         let mut generator = ClassGenerator::new(index, class);
@@ -148,7 +148,7 @@
         };
         let mut at = gaps.sample(&mut random);
         while at < end {
-            // Thinned to the shape: what comes at full rate is kept by the factor of its moment.
+            // Arrivals at the full rate are thinned by the load factor.
             let is_accepted =
                 random.random_bool(load_factor(&scenario.load.shape, at).clamp(0.0, 1.0));
             let mut object = generator.object(&mut random, at);
@@ -194,7 +194,7 @@
             f64::INFINITY
         };
         while at < scenario.seconds {
-            // Families purge what is looked at: popular objects more often.
+            // Drawn from the requested objects, so popular ones are purged more often.
             let object = plan.arrivals[random.random_range(0..plan.arrivals.len())].object;
             plan.purges.push(Purge {
                 at: (at * 1e6) as u64,
--- a/rehearse/src/report.rs
+++ b/rehearse/src/report.rs
@@ -1,4 +1,4 @@
-//! A rehearsal's result as a file that outlives it, and two of them side by side. Decides nothing.
+//! The result of a rehearsal as a JSON file, and the comparison of two of them.
 
 use crate::latency::Waits;
 use crate::player::Outcome;
@@ -7,66 +7,66 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The form of the file; another one is refused.
+/// The format version of the file. Other versions are rejected.
 const FORMAT_VERSION: u32 = 1;
 
-/// What a rehearsal came to. Shares are of the worth asked, waits in milliseconds from when a request was due.
+/// The result of a rehearsal. Shares are relative to the offered weight.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Report {
-    /// The form of this file.
+    /// The format version of this file.
     #[serde(rename = "form")]
     pub format_version: u32,
-    /// The scenario.
+    /// The name of the scenario.
     pub scenario: String,
-    /// The seed of its load.
+    /// The seed of the load.
     pub seed: u64,
-    /// Requests sent, retries with them.
+    /// The number of requests sent, including retries.
     #[serde(rename = "asked")]
     pub requests: usize,
-    /// Requests of the plan that no proxy took (all down, or the connection broke as it was written); 0 in files
-    /// written before it was counted.
+    /// The number of planned requests that no proxy accepted, as all were down or the connection broke. 0 in older files.
     #[serde(default)]
     pub unsent: usize,
-    /// Where it was ended by hand: after so many seconds; none in older files.
+    /// The seconds after which it was interrupted, if it was. None in older files.
     #[serde(default)]
     pub interrupted: Option<f64>,
-    /// How late the load itself was, p99.
+    /// The 99th percentile of the delay of the load generator, in milliseconds.
     pub lag_ms: f64,
-    /// Why it proves nothing, if so.
+    /// The reason for which it is inconclusive, if it is.
     #[serde(rename = "inconclusive")]
     pub inconclusive: Option<String>,
-    /// The whole run.
+    /// The result over all classes.
     #[serde(rename = "total")]
     pub total: Part,
-    /// By class.
+    /// The result by class.
     pub classes: Vec<Part>,
-    /// The ten seconds that earned least of what they asked: their first second, and the share.
+    /// The first second and the score of the worst window of ten seconds.
     pub worst: Option<(usize, f64)>,
-    /// The rules that were broken, with their evidence.
+    /// The breaches of rules, with their evidence.
     pub breaches: Vec<String>,
 }
 
-/// One class, or all.
+/// The result of one class, or of all.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Part {
-    /// Its name.
+    /// The name of the class, or `all`.
     pub name: String,
-    /// Worth asked.
+    /// The offered weight.
     #[serde(rename = "asked")]
     pub offered: f64,
-    /// Answered in time.
+    /// The share answered in time.
     pub in_time: f64,
-    /// Lost to late answers.
+    /// The share lost to late answers.
     pub late: f64,
-    /// Lost to refusals.
+    /// The share lost to refusals.
     pub refused: f64,
-    /// Lost to failures.
+    /// The share lost to failures.
     pub failed: f64,
-    /// Lost to no answer at all.
+    /// The share without an answer.
     pub unanswered: f64,
-    /// Waits of a class: p50, p99 and the longest; none for all classes together.
+    /// The median, 99th percentile and maximum wait of a class in milliseconds from the due time. None for all classes
+    /// together.
     pub waits_ms: Option<[f64; 3]>,
 }
 
@@ -84,43 +84,43 @@
     }
 }
 
-/// Why a report can't be read or written.
+/// An error in reading or writing a report.
 #[derive(Debug, Error)]
 pub enum ReportError {
-    /// The text has not the form of a report.
+    /// The text is not a valid report.
     #[error("{0}")]
     Malformed(serde_path_to_error::Error<serde_json::Error>),
-    /// A file of another form.
-    #[error("form: {0} is not known here, {FORMAT_VERSION} is")]
+    /// The file has an unsupported format version.
+    #[error("form: version {0} is not supported, expected {FORMAT_VERSION}")]
     UnsupportedVersion(u32),
-    /// A value has no form in JSON.
+    /// A value can't be represented in JSON.
     #[error("{0}")]
     Serialization(serde_json::Error),
 }
 
-/// Why two reports can't be compared.
+/// An error in comparing two reports.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CompareError {
-    /// They are of two scenarios.
-    #[error("'{first}' and '{second}' are two scenarios")]
+    /// The reports are of different scenarios.
+    #[error("the reports are of different scenarios: '{first}' and '{second}'")]
     DifferentScenarios {
-        /// The scenario of the first.
+        /// The scenario of the first report.
         first: String,
-        /// The scenario of the second.
+        /// The scenario of the second report.
         second: String,
     },
-    /// One of them has seen nothing.
-    #[error("the {which} proves nothing: {reason}")]
+    /// One of the reports is inconclusive.
+    #[error("the {which} report is inconclusive: {reason}")]
     Inconclusive {
-        /// Which.
+        /// `first` or `second`.
         which: &'static str,
-        /// Why.
+        /// The reason given in the report.
         reason: String,
     },
 }
 
 impl Report {
-    /// The report of an outcome.
+    /// Returns the report of an outcome.
     pub fn of(scenario: &Scenario, seed: u64, o: &Outcome) -> Self {
         let classes = scenario
             .load
@@ -145,10 +145,10 @@
         }
     }
 
-    /// Reads a report.
+    /// Parses a report.
     ///
     /// # Errors
-    /// Where the text is none; the key at fault is named by its path.
+    /// Returns an error with the path of the invalid key if the text is not a valid report.
     pub fn read(text: &str) -> Result<Self, ReportError> {
         let mut json = serde_json::Deserializer::from_str(text);
         let report: Report =
@@ -159,20 +159,20 @@
         }
     }
 
-    /// The file's text.
+    /// Returns the text of the file.
     ///
     /// # Errors
-    /// Where a value has no form in JSON.
+    /// Returns an error if a value can't be represented in JSON.
     pub fn write(&self) -> Result<String, ReportError> {
         let text = serde_json::to_string_pretty(self).map_err(ReportError::Serialization)?;
         Ok(text + "\n")
     }
 }
 
-/// Two reports of one scenario side by side.
+/// Returns a table that compares two reports of one scenario.
 ///
 /// # Errors
-/// Where they can't be compared.
+/// Returns an error if the reports are of different scenarios or one is inconclusive.
 pub fn compare(a: &Report, b: &Report) -> Result<String, CompareError> {
     if a.scenario != b.scenario {
         return Err(CompareError::DifferentScenarios {
@@ -215,6 +215,6 @@
     }
     let worst = |r: &Report| r.worst.map_or("-".to_owned(), |w| format!("{:.3}", w.1));
     out += &format!("\nworst ten seconds: {} and {}\n", worst(a), worst(b));
-    out += &format!("taken by no proxy: {} and {}\n", a.unsent, b.unsent);
+    out += &format!("accepted by no proxy: {} and {}\n", a.unsent, b.unsent);
     Ok(out + &format!("breaches: {} and {}\n", a.breaches.len(), b.breaches.len()))
 }
--- a/rehearse/src/scenario/check.rs
+++ b/rehearse/src/scenario/check.rs
@@ -1,31 +1,30 @@
-//! What a scenario's values may be. Every error names the key at fault by its path.
+//! Validation of scenarios. Each error names the path of the invalid key.
 
 use super::{ClassLoad, Fault, NodeForm, Scenario, SiteForm, What};
 use linnetknot_harness::links::{ConditionOutOfRange, LinkConditions};
 use thiserror::Error;
 
-/// The most proxies of a scenario, and the most boxes of each.
+/// The maximum number of proxies.
 const MAX_PROXIES: f64 = 64.0;
-/// The most seconds of a scenario.
 const MAX_SECONDS: f64 = 3600.0;
-/// All arrivals are drawn ahead and held: so many at the most.
+/// The maximum number of arrivals, which are held in memory.
 const MAX_ARRIVALS: f64 = 5e6;
-/// What the sum of the classes' shares may differ from 1.
+/// The tolerance of the sum of the classes' shares.
 const SHARE_SUM_TOLERANCE: f64 = 0.001;
 
-/// A value that a scenario can't have.
+/// An invalid value in a scenario.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum InvalidScenario {
-    /// A value lies outside its bounds.
+    /// A value is out of range.
     #[error("{key}: {value} is not from {min} to {max}")]
     OutOfRange {
         /// The path of its key.
         key: String,
         /// The value.
         value: f64,
-        /// The smallest that can be.
+        /// The minimum.
         min: f64,
-        /// The largest that can be.
+        /// The maximum.
         max: f64,
     },
     /// The points of the load's shape are out of order.
@@ -35,30 +34,30 @@
         key: String,
         /// The time.
         value: f64,
-        /// The time of the point before.
+        /// The time of the previous point.
         previous: f64,
     },
-    /// A proxy that is stopped must go on again.
+    /// A fault stops a proxy without resuming it.
     #[error("{key}: a stall must end")]
     StallWithoutEnd {
-        /// The path of the fault's length.
+        /// The path of the fault's duration.
         key: String,
     },
-    /// A value of link conditions lies outside its bounds.
+    /// A value of link conditions is out of range.
     #[error("{key}.{error}")]
     LinkConditions {
         /// The path of the conditions.
         key: String,
-        /// Which of them, and its bounds.
+        /// The condition and its range.
         error: ConditionOutOfRange,
     },
-    /// A fault of links between proxies that are no peers.
+    /// A link fault in a scenario without peers.
     #[error("{key}: the proxies have no links: 'peers' is off")]
     NoLinks {
         /// The path of the fault.
         key: String,
     },
-    /// A condition of streams on links that carry datagrams.
+    /// A stream condition on links that carry datagrams.
     #[error("{key}.{condition}: the proxies send each other datagrams, no streams")]
     StreamCondition {
         /// The path of the conditions.
@@ -66,13 +65,13 @@
         /// The condition's key.
         condition: &'static str,
     },
-    /// A fault of the links between some proxies and the others names all of them.
+    /// A link fault that covers all proxies.
     #[error("{key}: there are no others than these")]
     NoOtherProxies {
         /// The path of the number of proxies.
         key: String,
     },
-    /// A class that the load does not have.
+    /// An unknown class.
     #[error("{key}: there is no class '{class}'")]
     UnknownClass {
         /// The path of the name.
@@ -82,7 +81,7 @@
     },
 }
 
-/// An error unless a value is within bounds.
+/// Returns an error unless the value is within the bounds.
 fn within(key: String, value: f64, min: f64, max: f64) -> Result<(), InvalidScenario> {
     if value.is_finite() && (min..=max).contains(&value) {
         Ok(())
@@ -97,7 +96,7 @@
 }
 
 impl Scenario {
-    /// Checks all values; the message names the first key at fault.
+    /// Validates all values and returns an error for the first invalid one.
     pub(super) fn check(&self) -> Result<(), InvalidScenario> {
         within("seconds".into(), self.seconds, 1.0, MAX_SECONDS)?;
         within("proxies".into(), f64::from(self.proxies), 1.0, MAX_PROXIES)?;
@@ -145,7 +144,7 @@
 }
 
 impl ClassLoad {
-    /// Checks the values of the class at place `n`.
+    /// Validates the class at index `n`.
     fn check(&self, n: usize) -> Result<(), InvalidScenario> {
         let key = |key: &str| format!("load.classes[{n}].{key}");
         within(key("share"), self.share, 0.0, 1.0)?;
@@ -199,7 +198,7 @@
 }
 
 impl NodeForm {
-    /// Checks the figures of the node under this key of the site.
+    /// Validates the parameters of the node under this key of the site.
     fn check(&self, name: &str) -> Result<(), InvalidScenario> {
         let key = |key: &str| format!("site.{name}.{key}");
         within(key("slots"), f64::from(self.slots), 1.0, 10_000.0)?;
@@ -216,7 +215,7 @@
     }
 }
 
-/// A fault of a scenario that is checked, with its place.
+/// A fault under validation, with its index in the scenario.
 struct FaultCheck<'a> {
     scenario: &'a Scenario,
     fault: &'a Fault,
--- a/rehearse/src/series.rs
+++ b/rehearse/src/series.rs
@@ -1,5 +1,4 @@
-//! A scenario over many seeds: plays side by side, one table of broken rules and one exit status. A verdict that hangs
-//! on one seed is none; a play needs a tenth of a core, so several at once cost little more than one.
+//! Scenarios played with many seeds in parallel, summarized in one table of broken rules and one exit status.
 
 use crate::player::Outcome;
 use std::collections::BTreeMap;
@@ -11,20 +10,20 @@
 use std::thread;
 use thiserror::Error;
 
-/// More plays than this in one series are refused: a slip of the keyboard must not take the machine for a day.
+/// The maximum number of plays in a series, which guards against a mistyped range.
 const MAX_PLAYS: u64 = 10_000;
 
-/// Seeds from the first to the last, both played.
+/// An inclusive range of seeds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Seeds(pub RangeInclusive<u64>);
 
-/// Why a text is no range of seeds.
+/// An error in parsing a range of seeds.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum InvalidSeeds {
-    /// A bound is no number.
+    /// A bound is not a number.
     #[error("'{0}' is no seed; seeds read as 1..20")]
     NotANumber(String),
-    /// The last comes before the first.
+    /// The last seed is smaller than the first.
     #[error("{first}..{last} holds no seed")]
     Empty {
         /// The first.
@@ -32,7 +31,7 @@
         /// The last.
         last: u64,
     },
-    /// More plays than one series may have.
+    /// The range exceeds the maximum number of plays.
     #[error("{first}..{last} is more than {MAX_PLAYS} plays")]
     TooMany {
         /// The first.
@@ -45,7 +44,7 @@
 impl FromStr for Seeds {
     type Err = InvalidSeeds;
 
-    /// Reads `A..B`, or `A` alone.
+    /// Parses `A..B`, or `A` alone.
     fn from_str(text: &str) -> Result<Self, InvalidSeeds> {
         let number = |t: &str| {
             t.trim()
@@ -66,28 +65,28 @@
     }
 }
 
-/// What one play came to.
+/// The verdict on one play.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// It was played: how often each rule was broken, and the share of the worth that was answered in time.
+    /// The play was conclusive.
     Played {
-        /// Breaches by the rule's name.
+        /// The number of breaches by rule.
         broken: BTreeMap<&'static str, usize>,
-        /// From 0 to 1.
+        /// The score, from 0 to 1.
         score: f64,
     },
-    /// It proves nothing, and why.
+    /// The play was inconclusive, for this reason.
     Inconclusive(String),
 }
 
 impl Verdict {
-    /// The verdict on a play that ran.
+    /// Returns the verdict on an outcome.
     pub fn of(outcome: &Outcome) -> Self {
         if let Err(reason) = outcome.check_conclusive() {
             return Verdict::Inconclusive(reason.to_string());
         }
         if let Some(at) = outcome.interrupted.filter(|_| outcome.breaches.is_empty()) {
-            return Verdict::Inconclusive(format!("ended by hand after {at:.1} s"));
+            return Verdict::Inconclusive(format!("interrupted after {at:.1} s"));
         }
         let mut broken = BTreeMap::new();
         for breach in &outcome.breaches {
@@ -99,7 +98,7 @@
         }
     }
 
-    /// 0 where no rule was broken, 1 where one was, 2 where nothing could be played.
+    /// Returns the exit status: 0 if no rule was broken, 1 if one was, 2 if the play was inconclusive.
     pub fn status(&self) -> u8 {
         match self {
             Verdict::Played { broken, .. } => u8::from(!broken.is_empty()),
@@ -108,10 +107,10 @@
     }
 }
 
-/// One scenario's verdicts by seed.
+/// The verdicts of one scenario by seed.
 pub type Verdicts = BTreeMap<u64, Verdict>;
 
-/// Plays each job, so many at a time, in order of their beginning. `play` is called from several threads.
+/// Runs `play` on each job, on up to `parallelism` threads at a time, and returns the results in the order of the jobs.
 pub fn run_in_parallel<J: Sync, R: Send>(
     jobs: &[J],
     parallelism: usize,
@@ -137,12 +136,12 @@
         .collect()
 }
 
-/// The verdicts of a series, scenario by scenario.
+/// The verdicts of a series by scenario.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Summary(pub Vec<(String, Verdicts)>);
 
 impl Summary {
-    /// The worst exit status of all plays; 2, as nothing was proved, where there is none.
+    /// Returns the worst exit status of all plays, or 2 if there are none.
     pub fn status(&self) -> u8 {
         let all = self.0.iter().flat_map(|(_, v)| v.values());
         all.map(Verdict::status).max().unwrap_or(2)
@@ -153,7 +152,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
-            "| scenario | plays | clean | broken, by rule and seed | proved nothing | in time, least |"
+            "| scenario | plays | clean | broken, by rule and seed | inconclusive | lowest score |"
         )?;
         writeln!(f, "| --- | --- | --- | --- | --- | --- |")?;
         for (name, verdicts) in &self.0 {
--- a/rehearse/src/shipped.rs
+++ b/rehearse/src/shipped.rs
@@ -1,8 +1,8 @@
-//! The scenarios that come with the kit, built into it so that `run NAME` works from any folder.
+//! The scenarios that are built into the program.
 
 use crate::scenario::{Scenario, ScenarioError};
 
-/// Each shipped scenario: its name and its file.
+/// The name and the JSON text of each shipped scenario.
 pub const SHIPPED: [(&str, &str); 10] = [
     ("calm", include_str!("../scenarios/calm.json")),
     (
@@ -25,7 +25,7 @@
     ("links-lost", include_str!("../scenarios/links-lost.json")),
 ];
 
-/// A shipped scenario by its name; none where there is no such one.
+/// Returns the shipped scenario of this name, if there is one.
 pub fn find(name: &str) -> Option<Result<Scenario, ScenarioError>> {
     SHIPPED
         .iter()
@@ -33,7 +33,7 @@
         .map(|(_, text)| Scenario::read(text))
 }
 
-/// What `run` is to play: `all` is every shipped scenario; a name is a shipped one; anything else is a file.
+/// Replaces `all` by the names of all shipped scenarios. Other names are returned unchanged.
 pub fn expand_names(names: &[String]) -> Vec<String> {
     let all = || SHIPPED.iter().map(|(n, _)| (*n).to_owned());
     names
--- a/rehearse/src/timetable.rs
+++ b/rehearse/src/timetable.rs
@@ -1,7 +1,7 @@
-//! The faults of a scenario as a timetable: what is done to which node at which microsecond of the play.
+//! The faults of a scenario as a timetable of steps.
 //!
-//! Sans-IO: the player carries each step out on the fake site and the event buses. Steps come in the order of
-//! their time; of two at one time, in the order of the faults that make them.
+//! It does no I/O; the player carries out each step on the fake site, the event buses and the proxies. Steps are in order of
+//! time, and those at the same time in the order of their faults.
 
 use crate::record::Micros;
 use crate::scenario::{Fault, Scenario, What};
@@ -10,52 +10,51 @@
 /// One step of the timetable.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// The proxies are told that a box drains.
+    /// Announces to the proxies that a cache is draining.
     DrainCache(String),
-    /// A box is taken down without a word.
+    /// Stops a cache without a notice.
     StopCache(String),
-    /// A box is started anew, empty and cold, and the proxies are told that it is ready since now.
+    /// Starts a cache again, empty and cold, and announces it to the proxies as ready.
     StartCache(String),
-    /// A box sends nothing for this long, in microseconds.
+    /// Stalls a cache for this many microseconds.
     StallCache(String, Micros),
-    /// The origin is this many times as slow from now on.
+    /// Slows the origin down by this factor.
     SlowOrigin(f64),
-    /// The event bus ends the connections of its readers.
+    /// Closes the connections of the event bus's readers.
     CloseBusConnections,
-    /// A proxy's process is killed.
+    /// Kills a proxy's process (SIGKILL).
     KillProxy(usize),
-    /// A proxy's process is told to end.
+    /// Terminates a proxy's process (SIGTERM).
     TerminateProxy(usize),
-    /// A proxy is started again, once its process has ended.
+    /// Starts a proxy again once its process has ended.
     RestartProxy(usize),
-    /// A proxy's process stands still.
+    /// Stops a proxy's process (SIGSTOP).
     FreezeProxy(usize),
-    /// It goes on.
+    /// Resumes a proxy's process (SIGCONT).
     ThawProxy(usize),
-    /// The links of these proxies with all others have these conditions from now on; only those away from them where
-    /// it is one way.
+    /// Sets the conditions of the links between these proxies and all others, or only of those from these proxies if the
+    /// flag for one direction is set.
     SetLinks(Vec<usize>, LinkConditions, bool),
 }
 
-/// The uid of the box at this place; the player names boxes so.
+/// Returns the uid of the edge cache with this index.
 pub fn cache_uid(n: u32) -> String {
     format!("s-{n:08x}")
 }
 
-/// The steps of a scenario's faults, from the start of its load, in the order of time.
+/// Returns the steps of a scenario's faults in order of time, counted from the start of the load.
 pub fn timetable(scenario: &Scenario) -> Vec<(Micros, Step)> {
     let mut steps: Vec<(Micros, Step)> = scenario.faults.iter().flat_map(steps_of).collect();
-    // Stable: at one time, the order of the faults stands.
+    // The sort is stable and keeps the order of the faults for steps at the same time.
     steps.sort_by_key(|(at, _)| *at);
     steps
 }
 
-/// The microsecond of the play at which so many seconds have passed.
 fn micros(seconds: f64) -> Micros {
     (seconds * 1e6) as Micros
 }
 
-/// When a fault begins, and when it ends if it does.
+/// The start of a fault and its end, if it ends.
 #[derive(Clone, Copy)]
 struct Period {
     at: Micros,
@@ -71,7 +70,7 @@
         }
     }
 
-    /// A step for each of these when the fault begins, and one for each when it ends.
+    /// Returns a step for each item at the start of the fault and one for each at its end.
     fn steps<T: Clone>(
         self,
         which: impl Iterator<Item = T> + Clone,
@@ -85,17 +84,16 @@
     }
 }
 
-/// The uids of so many boxes from the first on.
+/// Returns the uids of `count` edge caches from the index `first` on.
 fn cache_uids(count: u32, first: u32) -> impl Iterator<Item = String> + Clone {
     (first..first + count).map(cache_uid)
 }
 
-/// So many proxies from the first on.
+/// Returns the indexes of `count` proxies from `first` on.
 fn proxy_indices(count: u32, first: u32) -> impl Iterator<Item = usize> + Clone {
     (first..first + count).map(|n| n as usize)
 }
 
-/// The steps of one fault.
 fn steps_of(fault: &Fault) -> Vec<(Micros, Step)> {
     let period = Period::of(fault);
     match &fault.what {
--- a/rehearse/tests/report.rs
+++ b/rehearse/tests/report.rs
@@ -1,4 +1,4 @@
-//! Results as files, and two of them side by side.
+//! Tests of reports as files and of their comparison.
 
 use linnetknot_rehearse::report::{compare, Part, Report};
 
@@ -41,7 +41,7 @@
 fn report_round_trips_and_invalid_reports_name_the_key() {
     let good = report(0.9, &["cold boxes: s-0a"]);
     assert_eq!(Report::read(&good.write().unwrap()).unwrap(), good);
-    // A file written before requests taken by no proxy were counted is read with none.
+    // Older files lack the number of unsent requests.
     let older = good.write().unwrap().replacen("\n  \"unsent\": 0,", "", 1);
     assert_ne!(older, good.write().unwrap());
     assert_eq!(Report::read(&older).unwrap(), good);
@@ -82,13 +82,13 @@
     assert!(compare(&report(0.9, &[]), &other)
         .unwrap_err()
         .to_string()
-        .contains("two scenarios"));
+        .contains("different scenarios"));
     let inconclusive = Report {
-        inconclusive: Some("nothing was asked".into()),
+        inconclusive: Some("no request was sent".into()),
         ..report(0.9, &[])
     };
     assert!(compare(&inconclusive, &report(0.9, &[]))
         .unwrap_err()
         .to_string()
-        .contains("the first proves nothing"));
+        .contains("the first report is inconclusive"));
 }
--- a/rehearse/tests/series.rs
+++ b/rehearse/tests/series.rs
@@ -1,4 +1,4 @@
-//! Plays over many seeds, and the shipped scenarios by name.
+//! Tests of series over many seeds and of the shipped scenarios.
 
 use linnetknot_rehearse::series::{run_in_parallel, Seeds, Summary, Verdict, Verdicts};
 use linnetknot_rehearse::shipped::{expand_names, find, SHIPPED};
@@ -52,7 +52,7 @@
     assert_eq!(
         Summary::default().status(),
         2,
-        "nothing played proves nothing"
+        "a series without plays is inconclusive"
     );
 }
 
@@ -64,7 +64,7 @@
     let doubled = run_in_parallel(&jobs, 3, |n| {
         let now = running.fetch_add(1, Ordering::SeqCst) + 1;
         most.fetch_max(now, Ordering::SeqCst);
-        // Three must be there together, or this never ends.
+        // Returns only when three jobs run at the same time.
         meet.wait();
         running.fetch_sub(1, Ordering::SeqCst);
         n * 2
--- a/rehearse/tests/timetable.rs
+++ b/rehearse/tests/timetable.rs
@@ -1,4 +1,4 @@
-//! Faults as steps in time, and faults that can't be.
+//! Tests of the timetable of faults and of invalid faults.
 
 use linnetknot_harness::links::LinkConditions;
 use linnetknot_rehearse::scenario::{Fault, Scenario, What};
@@ -16,7 +16,7 @@
     Fault { at, lasts, what }
 }
 
-/// Faults of every kind that has steps, out of order.
+/// Returns faults of each kind that has steps, not in order of time.
 fn faults() -> Vec<Fault> {
     vec![
         fault(10.0, 5.0, What::BoxDies { boxes: 2, first: 0 }),
