--- a/daemon/tests/client_gone.rs
+++ b/daemon/tests/client_gone.rs
@@ -1,17 +1,18 @@
 //! Requests of a client that disconnects or aborts start no further attempt, whatever they wait for at that moment.
 //! Covers each kind of disconnect, with one request and with the maximum number of requests on the connection.
 
-mod rig;
-mod scripted;
+mod scripted_caches;
+mod test_proxy;
 
 use linnetknot_harness::clients::WebServer;
-use rig::{object, one, Rig};
-use scripted::{
-    abort, add_parents, fetches, full, next_of, pass, request, scripted, Fetch, Scripted,
+use scripted_caches::{
+    abort_record, add_parents, busy_wait, fill_accept_queue, next_command, photo_request,
+    start_with_scripted_caches, take_fetches, Fetch, ScriptedCache,
 };
 use serde_json::json;
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
+use test_proxy::{object_id, send_and_receive, TestProxy};
 
 /// How a client disconnects or cancels its requests.
 #[derive(Clone, Copy, Debug)]
@@ -48,7 +49,7 @@
                 None
             }
             Disconnect::Abort => {
-                let aborts: Vec<u8> = (1..=count).flat_map(abort).collect();
+                let aborts: Vec<u8> = (1..=count).flat_map(abort_record).collect();
                 web.send(&aborts).unwrap();
                 Some(web)
             }
@@ -66,13 +67,21 @@
 }
 
 /// Serves a client until a connection to each cache is up, so that a further attempt need not wait for one.
-fn warm_up<const N: usize>(caches: &mut [Scripted; N], web: &mut WebServer) {
+fn warm_up<const N: usize>(caches: &mut [ScriptedCache; N], web: &mut WebServer) {
     let mut n = 1_000;
-    while caches.iter().any(|scripted| scripted.wires.is_empty()) {
-        web.send(&request(REMAINING_CLIENT_REQUEST, &object(n), 0))
+    while caches
+        .iter()
+        .any(|scripted| scripted.connections.is_empty())
+    {
+        web.send(&photo_request(REMAINING_CLIENT_REQUEST, &object_id(n), 0))
             .unwrap();
-        let (at, connection, fetch) = next_of(caches);
-        caches[at].wires[connection].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+        let (at, connection, fetch) = next_command(caches);
+        caches[at].connections[connection].respond(
+            &fetch[1],
+            "200",
+            "how=local,made=1,etag=t1",
+            "a copy",
+        );
         assert_eq!(web.end().unwrap().1.unwrap().status, 200);
         n += 1;
     }
@@ -88,24 +97,24 @@
 /// Serves two requests of the remaining client, so that the daemon has processed all earlier input. Returns the other
 /// fetches that reached the caches meanwhile.
 fn serve_remaining_client_twice<const N: usize>(
-    caches: &mut [Scripted; N],
+    caches: &mut [ScriptedCache; N],
     web: &mut WebServer,
 ) -> Vec<Fetch> {
     let mut other_fetches = Vec::new();
     for n in 1..=2 {
-        web.send(&request(
+        web.send(&photo_request(
             REMAINING_CLIENT_REQUEST + n,
-            &object(7_000 + u64::from(n)),
+            &object_id(7_000 + u64::from(n)),
             0,
         ))
         .unwrap();
         let start = Instant::now();
         let mut served = false;
         while !served {
-            for fetch in fetches(caches) {
+            for fetch in take_fetches(caches) {
                 if fetch.2 == request_id(REMAINING_CLIENT_REQUEST + n) {
-                    let wire = &mut caches[fetch.0].wires[fetch.1];
-                    wire.answer(&fetch.2, "200", "how=local,made=1,etag=t1", "a copy");
+                    let wire = &mut caches[fetch.0].connections[fetch.1];
+                    wire.respond(&fetch.2, "200", "how=local,made=1,etag=t1", "a copy");
                     served = true;
                 } else {
                     other_fetches.push(fetch);
@@ -123,9 +132,9 @@
 }
 
 /// Starts a daemon with two caches, and with parents if the answer reports a failed fill.
-fn start_site(status: &str, fields: &str) -> (Rig, [Scripted; 2]) {
+fn start_site(status: &str, fields: &str) -> (TestProxy, [ScriptedCache; 2]) {
     let needs_parents = status == "404" || fields == "how=cut_off";
-    scripted::<2>(|config| {
+    start_with_scripted_caches::<2>(|config| {
         if needs_parents {
             add_parents(config);
         }
@@ -138,10 +147,10 @@
     let mut remaining = rig.web();
     warm_up(&mut caches, &mut remaining);
     let mut web = rig.web();
-    web.send(&request(1, &object(1), 0)).unwrap();
-    let (at, connection, fetch) = next_of(&mut caches);
-    caches[at].wires[connection].answer(&fetch[1], status, fields, "");
-    let (_, _, retry) = next_of(&mut caches);
+    web.send(&photo_request(1, &object_id(1), 0)).unwrap();
+    let (at, connection, fetch) = next_command(&mut caches);
+    caches[at].connections[connection].respond(&fetch[1], status, fields, "");
+    let (_, _, retry) = next_command(&mut caches);
     assert_eq!(retry[..2], fetch[..2], "{status} {fields}");
     drop((remaining, web));
     rig.stop();
@@ -160,18 +169,18 @@
             let mut web = rig.web();
             for id in 1..=count {
                 let n = if same_object { 1 } else { u64::from(id) };
-                web.send(&request(id, &object(n), 0)).unwrap();
+                web.send(&photo_request(id, &object_id(n), 0)).unwrap();
             }
             let mut fetches_sent = Vec::new();
             let start = Instant::now();
             while fetches_sent.len() < usize::from(count) {
-                fetches_sent.extend(fetches(&mut caches));
+                fetches_sent.extend(take_fetches(&mut caches));
                 assert!(start.elapsed() < Duration::from_secs(10), "{case}");
             }
             let kept_open = disconnect.apply(web, count);
             await_processing(&mut remaining);
             for (at, connection, id, _) in fetches_sent {
-                caches[at].wires[connection].answer(&id, status, fields, "");
+                caches[at].connections[connection].respond(&id, status, fields, "");
             }
             let retries = serve_remaining_client_twice(&mut caches, &mut remaining);
             assert!(retries.is_empty(), "{case}: {retries:?}");
@@ -211,29 +220,35 @@
 }
 
 fn disconnect_before_connection_is_up(disconnect: Disconnect, count: u16) {
-    let (rig, mut caches) = scripted::<1>(|config| {
+    let (rig, mut caches) = start_with_scripted_caches::<1>(|config| {
         config["settings"]["limits"]["connect-timeout-us"] = json!(8_000_000);
     });
-    let blocker = full(&caches[0]);
+    let blocker = fill_accept_queue(&caches[0]);
     let (mut web, mut remaining) = (rig.web(), rig.web());
     for id in 1..=count {
-        web.send(&request(id, &object(u64::from(id)), 0)).unwrap();
+        web.send(&photo_request(id, &object_id(u64::from(id)), 0))
+            .unwrap();
     }
     await_processing(&mut remaining);
     let kept_open = disconnect.apply(web, count);
     await_processing(&mut remaining);
     remaining
-        .send(&request(REMAINING_CLIENT_REQUEST, &object(99), 0))
+        .send(&photo_request(REMAINING_CLIENT_REQUEST, &object_id(99), 0))
         .unwrap();
-    let (_, connection, fetch) = next_of(&mut caches);
+    let (_, connection, fetch) = next_command(&mut caches);
     assert!(
-        fetch[2].contains(&object(99)),
+        fetch[2].contains(&object_id(99)),
         "{disconnect:?} with {count}: {fetch:?}"
     );
-    caches[0].wires[connection].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+    caches[0].connections[connection].respond(
+        &fetch[1],
+        "200",
+        "how=local,made=1,etag=t1",
+        "a copy",
+    );
     assert_eq!(remaining.end().unwrap().1.unwrap().status, 200);
     assert!(
-        fetches(&mut caches).is_empty(),
+        take_fetches(&mut caches).is_empty(),
         "{disconnect:?} with {count}"
     );
     drop((blocker, kept_open, remaining));
@@ -242,14 +257,17 @@
 
 /// Returns one object that is routed to cache `s-0a` first, and one that is routed to `s-0b` first.
 fn objects_by_cache() -> [String; 2] {
-    let rig = Rig::with(&["s-0a", "s-0b"], |_| {});
+    let rig = TestProxy::with(&["s-0a", "s-0b"], |_| {});
     let mut web = rig.web();
     let mut n = 500;
-    while rig.boxes.iter().any(|cache| cache.arrivals().is_empty()) {
-        assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
+    while rig.caches.iter().any(|cache| cache.arrivals().is_empty()) {
+        assert_eq!(
+            send_and_receive(&mut web, "photo", &object_id(n)).status,
+            200
+        );
         n += 1;
     }
-    let first = |n: usize| rig.boxes[n].arrivals()[0].field("key").unwrap().to_owned();
+    let first = |n: usize| rig.caches[n].arrivals()[0].field("key").unwrap().to_owned();
     let objects = [first(0), first(1)];
     drop(web);
     rig.stop();
@@ -262,25 +280,30 @@
     let objects = objects_by_cache();
     let timeout = Duration::from_secs(1);
     for disconnect in [None, Some(Disconnect::Fin), Some(Disconnect::Abort)] {
-        let (mut rig, mut caches) = scripted::<2>(|config| {
+        let (mut rig, mut caches) = start_with_scripted_caches::<2>(|config| {
             config["settings"]["limits"]["connect-timeout-us"] = json!(1_000_000);
         });
         let mut remaining = rig.web();
         remaining
-            .send(&request(REMAINING_CLIENT_REQUEST, &objects[1], 0))
+            .send(&photo_request(REMAINING_CLIENT_REQUEST, &objects[1], 0))
             .unwrap();
-        let (at, connection, fetch) = next_of(&mut caches);
+        let (at, connection, fetch) = next_command(&mut caches);
         assert_eq!(at, 1);
-        caches[1].wires[connection].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+        caches[1].connections[connection].respond(
+            &fetch[1],
+            "200",
+            "how=local,made=1,etag=t1",
+            "a copy",
+        );
         assert_eq!(remaining.end().unwrap().1.unwrap().status, 200);
-        let blocker = full(&caches[0]);
+        let blocker = fill_accept_queue(&caches[0]);
         let mut web = rig.web();
         await_processing(&mut web);
-        web.send(&request(1, &objects[0], 0)).unwrap();
+        web.send(&photo_request(1, &objects[0], 0)).unwrap();
         await_processing(&mut remaining);
         let loop_guard = rig.hold();
         assert_eq!(
-            caches[1].arrived(),
+            caches[1].take_commands(),
             [],
             "the attempt waits for its connection"
         );
@@ -288,7 +311,7 @@
             Some(disconnect) => disconnect.apply(web, 1),
             None => Some(web),
         };
-        pass(timeout + Duration::from_millis(200));
+        busy_wait(timeout + Duration::from_millis(200));
         drop(loop_guard);
         let retries = serve_remaining_client_twice(&mut caches, &mut remaining);
         let retries: Vec<&str> = retries.iter().map(|fetch| fetch.2.as_str()).collect();
