--- a/daemon/src/core/attempt.rs
+++ b/daemon/src/core/attempt.rs
@@ -8,7 +8,7 @@
 pub struct AttemptId {
     /// The request.
     pub request: RequestKey,
-    /// The number of the attempt, from 0.
+    /// The position of the attempt among the attempts of its request, starting at 0.
     pub number: u32,
 }
 
@@ -37,9 +37,9 @@
 pub struct AttemptResult {
     /// The outcome that is reported to the decision module.
     pub outcome: Outcome,
-    /// How the cache produced its response.
+    /// How the cache produced its response, for example from its copy or by a fill.
     pub note: Note,
-    /// The time that the fill waited for its first byte.
+    /// How long the fill of the cache waited for the first byte from its source.
     pub waited_us: Micros,
     /// The load report of the cache, if the response carried one.
     pub load: Option<Load>,
@@ -62,11 +62,11 @@
 /// An attempt that is queued for a connection, or written and not finished.
 pub(super) struct OutstandingAttempt {
     pub(super) number: u32,
-    /// The time at which it was passed to an upstream.
+    /// The time at which the attempt was passed to an upstream connection.
     pub(super) sent_at: Micros,
     pub(super) target: AttemptTarget,
-    /// Whether its first byte has been written. Before that, no cache has seen it, and cancelling it has no effect
-    /// elsewhere.
+    /// Whether the first byte of the attempt has been written to the connection. Before that, the cache has received
+    /// nothing, so the attempt can be cancelled locally.
     pub(super) started: bool,
     /// The outcome to report once the cancellation is done, if the attempt was cancelled.
     pub(super) cancelled: Option<Outcome>,
--- a/daemon/src/core/attempts.rs
+++ b/daemon/src/core/attempts.rs
@@ -21,8 +21,8 @@
         })
     }
 
-    /// Returns the same if the attempt may start now, with the maximum age of a copy recomputed: the attempt may have
-    /// waited for a connection, and purges that arrived meanwhile apply to it.
+    /// Returns the request and the target of an attempt if the attempt may start now. The maximum age of a copy is
+    /// recomputed, because purges may have arrived while the attempt waited for a connection.
     pub fn dispatch_now(&self, now: Micros, attempt: AttemptId) -> Option<Dispatch<'_>> {
         let mut dispatch = self.dispatch(attempt)?;
         let target = &mut dispatch.target;
@@ -105,7 +105,7 @@
         let Some(outstanding) = open.outstanding.take_if(is_same) else {
             return;
         };
-        // The attempt may have been answered while its cancellation was in transit; its outcome then stands.
+        // If the cache responded before the cancellation reached it, the outcome of that response is used instead.
         if result.outcome == Outcome::Cancelled {
             result.outcome = outstanding.cancelled.unwrap_or(result.outcome);
         }
@@ -158,7 +158,7 @@
         );
     }
 
-    /// Cancels an attempt. An attempt that has not started ends at once, and no cache runs it.
+    /// Cancels an attempt. An attempt that has not started ends immediately and is never sent to a cache.
     pub(super) fn cancel(&mut self, now: Micros, attempt: AttemptId, outcome: Outcome) {
         let open = self.requests.get_mut(attempt.request);
         let outstanding = open
--- a/daemon/src/core/cache_table.rs
+++ b/daemon/src/core/cache_table.rs
@@ -7,7 +7,7 @@
 
 /// A server of the endpoint list.
 struct Cache {
-    /// Its id on the wire.
+    /// The id of the server on the wire.
     uid: String,
     endpoint: SocketAddr,
     state: State,
@@ -15,9 +15,9 @@
 
 /// The result of applying a list.
 pub(super) struct Update {
-    /// The servers that the list names, as the decision module takes them.
+    /// The servers named in the list, in the format of the decision module.
     pub(super) servers: Vec<Server>,
-    /// The servers that were ready before and now are draining or gone.
+    /// The servers that were ready before the update and are draining or gone after it.
     pub(super) withdrawn: Vec<ServerId>,
 }
 
@@ -79,12 +79,12 @@
             withdrawn.extend(self.set_state(id, entry.server.state));
             servers.push(entry.server);
         }
-        // Restarted caches return under new ids, so entries that are gone are removed to bound the table.
+        // Restarted caches register under new ids, so entries in the state `Gone` are removed to bound the table.
         self.caches.retain(|_, cache| cache.state != State::Gone);
         Update { servers, withdrawn }
     }
 
-    /// Changes the state of a cache. Returns its id if it was ready and no longer is.
+    /// Changes the state of a cache. Returns the id of the cache if it was ready before and is not ready now.
     fn set_state(&mut self, id: ServerId, state: State) -> Option<ServerId> {
         let cache = self.caches.get_mut(&id)?;
         let was_ready = std::mem::replace(&mut cache.state, state) == State::Ready;
--- a/daemon/src/core/command.rs
+++ b/daemon/src/core/command.rs
@@ -6,7 +6,7 @@
 /// The reason of a wake-up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wake {
-    /// The deadline of a request has been reached.
+    /// The deadline for the final answer to a request has been reached.
     Request(RequestKey),
     /// The timeout of an attempt has been reached.
     Attempt(AttemptId),
@@ -19,7 +19,7 @@
 pub enum Command {
     /// Send an attempt; [`super::Core::dispatch`] returns its request and target.
     Send(AttemptId),
-    /// Cancel an attempt, and report its end once its cache can no longer count it as outstanding.
+    /// Cancel an attempt, and report its end once the cache can no longer regard the attempt as outstanding.
     Cancel(AttemptId, ServerId),
     /// Send a client its final answer.
     Answer(Client, Answer),
@@ -27,8 +27,9 @@
     Wake(Micros, Wake),
     /// Check the health of a cache, which responds with its load report.
     Probe(ServerId),
-    /// A cache is draining or gone: withdraw every attempt to it, or with a fill from it, that has not been written.
+    /// A cache is draining or gone: withdraw every attempt that is to be sent to it, or filled from it, and has not
+    /// been written yet.
     Withdraw(ServerId),
-    /// The origin is slow: send the other proxies the share of requests that may still go to it.
+    /// The origin is slow: send the other proxies the fraction of requests (0 to 1) that may still go to the origin.
     ShareOriginHealth(f64),
 }
--- a/daemon/src/core/counters.rs
+++ b/daemon/src/core/counters.rs
@@ -7,11 +7,11 @@
     pub admitted: u64,
     /// Attempts started.
     pub attempts: u64,
-    /// Requests served.
+    /// Requests answered with [`super::Answer::Served`].
     pub served: u64,
-    /// Requests rejected; a retry of one is safe.
+    /// Requests rejected before any effect, so that clients can retry them safely.
     pub rejected: u64,
-    /// Requests failed.
+    /// Requests answered with [`super::Answer::Failed`].
     pub failed: u64,
     /// Requests whose client disconnected before the answer.
     pub abandoned: u64,
--- a/daemon/src/core/mod.rs
+++ b/daemon/src/core/mod.rs
@@ -44,15 +44,16 @@
     origin_clock: OriginClock,
     /// The maximum time for which a request may be open, regardless of the budget of its client.
     pub max_request_us: Micros,
-    /// The time by which all requests are answered, as the process ends.
+    /// The time by which all requests must be answered because the process shuts down.
     shutdown_deadline: Micros,
     requests: RequestTable,
     caches: CacheTable,
     /// Classes whose requests must carry an idempotency key.
     keyed_classes: Vec<String>,
-    /// How long before the deadline of its client a request is answered, so that the answer arrives in time.
+    /// The time between the latest final answer and the deadline of the client, reserved for the transfer of the
+    /// answer.
     response_margin_us: Micros,
-    /// The actions of the decision module. Empty between two events, and kept for its allocation.
+    /// A reusable buffer for the actions of the decision module, empty between events.
     actions: Vec<Action>,
     commands: Vec<Command>,
     /// Totals of requests and attempts.
@@ -93,7 +94,7 @@
     /// Applies the settings of a reload. Open requests keep the class that they were admitted with.
     ///
     /// # Errors
-    /// Fails if the settings are invalid; nothing has changed then.
+    /// Fails if the settings are invalid. The previous settings then stay in force.
     pub fn apply_settings(&mut self, settings: Settings) -> Result<(), SettingsError> {
         let keyed_classes = keyed_classes(&settings);
         self.router.update_settings(settings)?;
@@ -121,7 +122,7 @@
         self.requests.is_half_full()
     }
 
-    /// Whether a cache is ready, by the endpoint list.
+    /// Whether the endpoint list states that a cache is ready.
     pub fn is_cache_ready(&self, id: ServerId) -> bool {
         self.caches.is_ready(id)
     }
@@ -150,8 +151,8 @@
         self.drive(now, Event::List { mode, servers });
     }
 
-    /// Applies a report of other proxies that the origin is slow: until this time, each proxy may send it this share of
-    /// its requests.
+    /// Applies a report of other proxies that the origin is slow: each proxy may send only the fraction `origin_share`
+    /// (0 to 1) of its requests to the origin until the time `until`.
     pub fn receive_origin_health(&mut self, now: Micros, origin_share: f64, until: Micros) {
         let valid_for_us = until.saturating_sub(now);
         self.drive(
@@ -168,18 +169,18 @@
         self.drive(now, Event::Lease(lease));
     }
 
-    /// Returns how many requests of this proxy the origin has, or may have, in flight.
+    /// Returns the maximum number of requests of this proxy that the origin may currently be processing.
     pub fn origin_in_flight(&self) -> usize {
         self.router.origin_requests_in_flight()
     }
 
-    /// Returns the highest recent utilization of a cache (or, with `parents`, of a parent) in slow start, as a share of
-    /// its capacity; `None` if none is in slow start.
+    /// Returns the highest recent utilization among the caches in slow start (with `parents`, among the parents), as a
+    /// fraction of the capacity; `None` if there are none in slow start.
     pub fn slow_start_use(&self, now: Micros, parents: bool) -> Option<f64> {
         self.router.max_slow_start_usage(now, parents)
     }
 
-    /// Processes the end of a health check.
+    /// Reports the outcome and the duration of a health check to the decision module.
     pub fn health_check_finished(
         &mut self,
         now: Micros,
@@ -199,7 +200,7 @@
         );
     }
 
-    /// Processes a wake-up that was requested by [`Command::Wake`] and is due.
+    /// Processes a wake-up that was requested by [`Command::Wake`], when its time has come.
     pub fn wake(&mut self, now: Micros, wake: Wake) {
         match wake {
             Wake::Router(tag) => self.drive(now, Event::Timer { tag }),
@@ -247,7 +248,7 @@
             }
             Action::Timer { at, tag } => self.commands.push(Command::Wake(at, Wake::Router(tag))),
             Action::Probe { server } => self.commands.push(Command::Probe(server)),
-            // The sources of the endpoint list push their updates, so nothing is to be requested.
+            // The sources of the endpoint list push updates, so no subscription is needed.
             Action::Watch => {}
             Action::Report { line } => log::info!("{line}"),
         }
--- a/daemon/src/core/purging.rs
+++ b/daemon/src/core/purging.rs
@@ -1,4 +1,4 @@
-//! Purges and the origin clock by which they are dated.
+//! Purges, and the estimate of the origin clock that dates them.
 
 use super::Core;
 use linnetknot::purges::PurgeTable;
@@ -11,14 +11,15 @@
 }
 
 impl Core {
-    /// Records a purge of an object, or of a group if there is no object, with the date that came with it.
+    /// Records a purge of an object, or of a group if there is no object, that another process has dated.
     pub fn record_purge(&mut self, now: Micros, object: Option<String>, group: u64, at: Micros) {
         let key = purge_key(object.as_deref(), group);
         let date = self.origin_clock.record_dated(now, key, at);
         self.router.purges_mut().record(key, date);
     }
 
-    /// Records a purge that was requested from this proxy, as of now. Returns the date for the other proxies.
+    /// Records a purge that was requested from this proxy, dated now. Returns that date, to be sent to the other
+    /// proxies.
     pub fn record_local_purge(&mut self, now: Micros, object: Option<&str>, group: u64) -> Micros {
         let key = purge_key(object, group);
         let date = self.origin_clock.record_local(now, key);
@@ -26,7 +27,8 @@
         self.origin_clock.date_for_peers(now)
     }
 
-    /// Takes a date just received from the origin or the event bus, which is a lower bound of the origin's clock.
+    /// Updates the estimate of the origin clock with a date just received from the origin or the event bus. The origin
+    /// clock is at or after this date.
     pub fn observe_origin_date(&mut self, now: Micros, date: Micros) {
         for (key, date) in self.origin_clock.observe(now, date) {
             self.router.purges_mut().record(key, date);
@@ -35,18 +37,18 @@
             .set_origin_clock_offset(self.origin_clock.offset_us());
     }
 
-    /// Returns the date for a purge of everything as of now: all copies that exist are older.
+    /// Returns the date for a purge of everything as of now. All existing copies have an earlier date.
     pub fn purge_all_date(&self, now: Micros) -> Micros {
         self.origin_clock.date_for_peers(now)
     }
 
-    /// Converts a time of the origin's clock to the local clock with the known offset, which never makes it earlier
-    /// than it was.
+    /// Converts a time of the origin clock to the local clock with the estimated offset. The result may be later than
+    /// the exact time, but not earlier.
     pub fn local_time(&self, date: Micros) -> Micros {
         self.origin_clock.to_local(date)
     }
 
-    /// Returns a lower bound of the origin's clock at a time of the local clock.
+    /// Converts a time of the local clock to a lower bound of the origin clock.
     pub fn origin_time(&self, now: Micros) -> Micros {
         self.origin_clock.now(now)
     }
@@ -56,7 +58,7 @@
         self.router.purges()
     }
 
-    /// Returns the purges in force, to merge those of another proxy or of an earlier process.
+    /// Returns the purges in force, mutably, so that purges of another proxy or an earlier process can be merged.
     pub fn purges_mut(&mut self) -> &mut PurgeTable {
         self.router.purges_mut()
     }
--- a/daemon/src/core/request.rs
+++ b/daemon/src/core/request.rs
@@ -15,7 +15,7 @@
     pub stream: u32,
 }
 
-/// A client request, independent of the front that received it.
+/// A client request, in a form independent of the protocol that it was received with.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClientRequest {
     /// The id, chosen by the client and passed on unchanged.
@@ -24,19 +24,19 @@
     pub class: String,
     /// The key of the object.
     pub object: String,
-    /// The part of the object.
+    /// The number of the requested part of the object.
     pub part: u64,
     /// The group of the object, for purges of groups.
     pub group: u64,
     /// The size of the part in KB; 0 if unknown.
     pub size_kb: f64,
-    /// The time that the client still waits.
+    /// The remaining time until the client stops waiting for an answer.
     pub remaining_us: Micros,
     /// The idempotency key, if the client gave one.
     pub idempotency_key: Option<String>,
-    /// The tag of the client's cached copy, if any.
+    /// The entity tag of the copy that the client has cached, if any.
     pub cached_tag: Option<String>,
-    /// The body of a write.
+    /// The body of a write request; empty for reads.
     pub body: Vec<u8>,
 }
 
@@ -50,7 +50,7 @@
         /// The tag, if the cache sent one.
         tag: Option<String>,
     },
-    /// The cache confirmed by its tag that the client's cached copy is current.
+    /// The copy that the client has cached is current, as the tag in the response of the cache confirms.
     Unchanged,
 }
 
@@ -61,10 +61,10 @@
     Served(Content),
     /// The request was rejected; a retry is safe.
     Rejected {
-        /// The delay that the client should keep before a retry.
+        /// The minimum delay before the client should retry, if known.
         retry_after_us: Option<Micros>,
     },
-    /// The request failed.
+    /// The request failed. It may have been executed, so a retry is not known to be safe.
     Failed,
 }
 
--- a/daemon/src/core/request_table.rs
+++ b/daemon/src/core/request_table.rs
@@ -24,7 +24,7 @@
 /// The open requests by their keys.
 pub(super) struct RequestTable {
     requests: SlotTable<OpenRequest>,
-    /// The ids of the open requests: caches take two requests with one id for the same request.
+    /// The ids of the open requests. They must be unique, because caches identify requests by id.
     ids: HashSet<String>,
     /// The total bytes of the bodies of all open requests.
     body_bytes: usize,
--- a/daemon/src/core/requests.rs
+++ b/daemon/src/core/requests.rs
@@ -37,7 +37,7 @@
         Some(key)
     }
 
-    /// Returns how long a request may be open.
+    /// Returns the maximum duration for which a request may be open.
     fn time_for(&self, now: Micros, request: &ClientRequest) -> Micros {
         request
             .remaining_us
@@ -46,7 +46,8 @@
             .saturating_sub(self.response_margin_us)
     }
 
-    /// Sets the time by which all current and future requests are answered, as the process may be killed soon after it.
+    /// Sets the time by which all current and future requests must be answered. The process may be killed soon after
+    /// this time.
     pub fn set_shutdown_deadline(&mut self, at: Micros) {
         self.shutdown_deadline = at;
         for key in self.requests.keys() {
@@ -60,7 +61,8 @@
         }
     }
 
-    /// Processes the disconnect of a client, whose request needs no answer any more.
+    /// Processes the disconnect of a client before the final answer. An unsent attempt is cancelled here; whether a
+    /// sent one is cancelled is up to the decision module.
     pub fn client_gone(&mut self, now: Micros, key: RequestKey) {
         let Some(open) = self.requests.unanswered_mut(key) else {
             return;
@@ -86,7 +88,7 @@
         self.notify_client_left(now, key);
     }
 
-    /// Notifies the decision module that a request needs no answer any more.
+    /// Notifies the decision module that the client of a request has disconnected.
     fn notify_client_left(&mut self, now: Micros, key: RequestKey) {
         let request = key.to_u64();
         self.drive(now, Event::ClientLeft { request });
@@ -150,7 +152,7 @@
     }
 }
 
-/// Converts a request to that of the decision module, without an id.
+/// Converts a client request to the request type of the decision module. Its id is not set.
 fn decision_request(request: &ClientRequest) -> Request {
     Request {
         id: 0,
--- a/daemon/src/upstream/answers.rs
+++ b/daemon/src/upstream/answers.rs
@@ -17,7 +17,7 @@
 }
 
 impl CacheResponse {
-    /// Builds a response from the items of its frame; `None` if its id is not UTF-8.
+    /// Parses a response from the items of its RESP array; `None` if the id of the response is not UTF-8.
     fn new(items: Vec<Vec<u8>>) -> Result<Option<Self>, WireError> {
         let mut items = items.into_iter();
         let (Some(id), Some(status)) = (items.next(), items.next()) else {
@@ -67,7 +67,8 @@
         Ok(())
     }
 
-    /// Processes a response to the stream with its id. `written` is the number of bytes written to the connection.
+    /// Processes a response: the stream with the same id is answered. `written` is the number of bytes written to the
+    /// connection so far.
     fn process_response(
         &mut self,
         now: Micros,
@@ -78,7 +79,7 @@
     ) -> Result<(), WireError> {
         match self.streams.get(&response.id) {
             Some(Stream::Attempt(sent)) if sent.end_offset > written => {
-                // The response precedes the request, so the peer does not speak the protocol.
+                // The request is not written completely yet, so the response violates the protocol.
                 return Err(WireError::Malformed("a response to an incomplete request"));
             }
             Some(Stream::Attempt(_)) => self.process_attempt_response(now, core, response, events),
@@ -113,7 +114,7 @@
         if let Some(made_us) = made_ms(&response.fields).and_then(|ms| ms.checked_mul(1000)) {
             events.push(UpstreamEvent::OriginDate(made_us));
         }
-        // An earlier attempt of the request was aborted, and this response may answer that one.
+        // An earlier attempt with this id was aborted on this connection, and the response may belong to that attempt.
         let is_ambiguous = std::mem::take(&mut sent.follows_abort);
         if is_too_old && is_ambiguous {
             log::info!("response to an aborted attempt ignored");
@@ -130,7 +131,7 @@
         if result.outcome == Outcome::Ok {
             self.streams.remove(&id);
         } else if is_ambiguous {
-            // The current attempt must have ended before a further one starts.
+            // The current attempt is aborted, so that it has ended before another attempt of the request starts.
             self.queue_abort(now, id, attempt, result);
             return;
         } else {
@@ -139,8 +140,8 @@
         events.push(UpstreamEvent::AttemptFinished(attempt, result));
     }
 
-    /// Processes the response to an aborted attempt. It arrived before the abort took effect, so it is the result of
-    /// the attempt.
+    /// Processes the response to an aborted attempt. The cache responded before the abort took effect, so the response
+    /// is reported as the result of the attempt.
     fn process_aborted_response(
         &mut self,
         core: &Core,
--- a/daemon/src/upstream/connection.rs
+++ b/daemon/src/upstream/connection.rs
@@ -14,10 +14,10 @@
     pub(super) since: Micros,
 }
 
-/// A time at which the socket accepted no bytes.
+/// The start of a period in which the socket accepts no bytes.
 #[derive(Clone, Copy)]
 pub(super) struct Stall {
-    /// The number of bytes written by then.
+    /// The number of bytes written on the connection before the stall.
     pub(super) written: u64,
     pub(super) since: Micros,
 }
@@ -26,14 +26,14 @@
 pub struct UpstreamConnection {
     /// The cache server.
     pub server: ServerId,
-    /// The address that the connection was made to. If the address of the cache changes, its older connections still
-    /// lead to the previous one.
+    /// The address that the connection was made to. It differs from the current address of the cache if that has
+    /// changed since.
     pub endpoint: Option<SocketAddr>,
     pub(super) arrays: resp::ArrayParser,
     pub(super) queue: VecDeque<QueuedAttempt>,
-    /// The ids whose abort frames have not been written.
+    /// The ids of aborted attempts whose abort frames have not been written yet.
     pub(super) aborts: VecDeque<String>,
-    /// The streams by their ids.
+    /// The open and the recently finished streams, by id.
     pub(super) streams: HashMap<String, Stream>,
     pub(super) health_checks: u64,
     connecting_since: Micros,
@@ -42,11 +42,12 @@
     pub(super) last_used: Micros,
     /// The time at which the oldest finished stream is removed, as last returned by `next_removal_at`.
     pub(super) next_removal: Option<Micros>,
-    /// The start of a response that has arrived in part.
+    /// The time at which the first bytes of a still incomplete response arrived.
     pub(super) partial_since: Option<Micros>,
-    /// The silence after which the connection is suspected to be dead.
+    /// The time without received bytes after which the connection is suspected to be dead.
     pub(super) suspect_us: Micros,
-    /// An attempt timed out here and nothing was received, so the peer may be gone without having closed.
+    /// Whether an attempt timed out on this connection while nothing was received, so that the peer may have failed
+    /// without closing the connection.
     pub(super) suspect: bool,
     pub(super) stall: Option<Stall>,
 }
@@ -73,7 +74,8 @@
         }
     }
 
-    /// Returns the number of live streams if the connection accepts a further attempt with this id.
+    /// Returns the number of streams that await a response and queued attempts, if the connection accepts a further
+    /// attempt with this id.
     pub fn live_streams_if_available(
         &self,
         id: &str,
@@ -81,8 +83,8 @@
         limits: &Limits,
     ) -> Option<usize> {
         let live = self.live_streams();
-        // Two clients may use the same id: a second attempt with it on this connection, queued or sent, would be taken
-        // to have the response of the first.
+        // Two clients may use the same id. If both attempts were on this connection, the response to the first could be
+        // attributed to the second.
         let is_free = self.streams.get(id).is_none_or(Stream::is_free) && !self.is_queued(id, core);
         (!self.suspect && live < limits.max_attempts_per_connection && is_free).then_some(live)
     }
@@ -92,7 +94,7 @@
         live.count() + self.queue.len()
     }
 
-    /// Whether an attempt with this id is queued here.
+    /// Whether an attempt with this id is queued on this connection.
     fn is_queued(&self, id: &str, core: &Core) -> bool {
         self.queue.iter().any(|queued| {
             core.dispatch(queued.attempt)
@@ -100,8 +102,8 @@
         })
     }
 
-    /// Returns the time at which a partial response counts as truncated, or as exceeding the longest time that clients
-    /// wait.
+    /// Returns the time at which a partial response is regarded as truncated: no further bytes have arrived for too
+    /// long, or the response takes longer than any client waits.
     pub fn partial_response_deadline(&self, limits: &Limits) -> Option<Micros> {
         let since = self.partial_since?;
         Some(
@@ -110,36 +112,37 @@
         )
     }
 
-    /// Whether a slow response would delay the response to a further attempt.
+    /// Whether a response is arriving so slowly that it would delay the response to a further attempt.
     pub fn is_blocked_by_response(&self, now: Micros, limits: &Limits) -> bool {
         self.partial_since
             .is_some_and(|since| since + limits.response_stall_timeout_us <= now)
     }
 
-    /// Whether an attempt with this id was aborted here recently.
+    /// Whether an attempt with this id was recently aborted on this connection.
     pub fn has_aborted(&self, id: &str) -> bool {
         matches!(self.streams.get(id), Some(Stream::Aborted { .. }))
     }
 
-    /// Whether no stream is open and no attempt is queued.
+    /// Whether no stream is open, finished ones aside, and no attempt is queued.
     pub fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.streams.values().all(Stream::is_finished)
     }
 
-    /// Whether the connection has been idle for so long that the cache may be closing it, which a new attempt would
-    /// race with.
+    /// Whether the connection has been idle for so long that the cache may be closing it. A new attempt could then be
+    /// lost.
     pub fn is_stale(&self, now: Micros, limits: &Limits) -> bool {
         limits.cache_idle_timeout_us > 0
             && self.is_idle()
             && self.last_used + limits.cache_idle_timeout_us <= now
     }
 
-    /// Whether establishing the connection takes too long for attempts to wait for it. It may still succeed.
+    /// Whether attempts should no longer wait for this connection to be established. The connection itself may still
+    /// succeed later.
     pub fn is_connect_overdue(&self, now: Micros, limits: &Limits) -> bool {
         self.connecting_since + limits.connect_timeout_us <= now
     }
 
-    /// Returns the time at which an attempt to establish the connection is abandoned.
+    /// Returns the time at which the connection is closed if it is not established.
     pub fn connect_deadline(&self, limits: &Limits) -> Micros {
         self.connecting_since + limits.connect_abort_us
     }
@@ -149,7 +152,7 @@
         self.last_used
     }
 
-    /// Returns the time at which bytes were last received, or at which the connection was begun.
+    /// Returns the time at which bytes were last received, or, if there were none, at which connecting began.
     pub fn last_received(&self) -> Micros {
         self.last_received
     }
--- a/daemon/src/upstream/event.rs
+++ b/daemon/src/upstream/event.rs
@@ -6,7 +6,7 @@
 /// An event on a connection to a cache server.
 #[derive(Debug, PartialEq)]
 pub enum UpstreamEvent {
-    /// The first byte of an attempt has been written, so that it can no longer be withdrawn.
+    /// The first byte of an attempt has been written, so that the attempt can no longer be withdrawn.
     AttemptStarted(AttemptId),
     /// An attempt has ended.
     AttemptFinished(AttemptId, AttemptResult),
@@ -14,9 +14,9 @@
     OriginDate(Micros),
     /// A health check has ended.
     HealthCheckFinished {
-        /// The outcome.
+        /// Whether and how the health check succeeded or failed.
         outcome: Outcome,
-        /// The duration.
+        /// The time from sending the health check until its end.
         took_us: Micros,
         /// The load report of the cache, if the response carried one.
         load: Option<Load>,
--- a/daemon/src/upstream/frames.rs
+++ b/daemon/src/upstream/frames.rs
@@ -6,7 +6,7 @@
 use linnetknot::{Fill, Load, Micros, Note, Outcome};
 use std::str::FromStr;
 
-/// Returns how the cache produced the response, as the response states it.
+/// Parses the field that states how the cache produced the response.
 fn note(fields: &[u8]) -> Note {
     match resp::field(fields, "how") {
         Some("local") => Note::Hit,
@@ -34,14 +34,14 @@
     })
 }
 
-/// Returns the value of a name in a list of the form `name:value;name:value`.
+/// Parses the value with a given name in a list of the form `name:value;name:value`.
 fn statistic<T: FromStr>(stats: &str, name: &str) -> Option<T> {
     let pairs = stats.split(';').filter_map(|pair| pair.split_once(':'));
     let mut values = pairs.filter(|(n, _)| *n == name);
     values.find_map(|(_, value)| value.parse().ok())
 }
 
-/// Returns the result of an attempt by its response.
+/// Converts a response to the result of its attempt.
 pub(super) fn result_of(response: CacheResponse, request: Option<&ClientRequest>) -> AttemptResult {
     let fields = &response.fields;
     let etag = resp::field(fields, "etag");
@@ -55,7 +55,7 @@
         b"404" => (Outcome::Miss, None),
         b"503" => (Outcome::Full, None),
         b"504" => (Outcome::Moot, None),
-        // An unknown status is an error, as the attempt may have run.
+        // An unknown status is treated as an error, because the cache may have executed the attempt.
         _ => (Outcome::Error, None),
     };
     AttemptResult {
@@ -67,14 +67,14 @@
     }
 }
 
-/// Whether the client's copy is current. The response must name the tag of the copy: one without a tag, or with
-/// another, may belong to another object.
+/// Whether the copy that the client has cached is current. The response must carry the same tag as that copy; a
+/// response with a different tag or none may belong to another object.
 fn is_current(request: Option<&ClientRequest>, etag: Option<&str>) -> bool {
     let cached_tag = request.and_then(|request| request.cached_tag.as_deref());
     cached_tag.is_some() && cached_tag == etag
 }
 
-/// Returns the time that the fill waited for its first byte.
+/// Returns how long the fill of the cache waited for the first byte from its source.
 fn waited_us(fields: &[u8]) -> Micros {
     let waited_ms = resp::field(fields, "ttfb").and_then(|ms| ms.parse::<f64>().ok());
     (waited_ms.unwrap_or(0.0).max(0.0) * 1e3) as Micros
@@ -125,18 +125,19 @@
     })
 }
 
-/// Appends a field.
+/// Appends a field with its name and value.
 fn add(fields: &mut String, name: &str, value: &str) {
     fields.extend([",", name, "=", value]);
 }
 
-/// Appends the fields of a fill, without its source.
+/// Appends the fields that describe a fill, except its source.
 fn add_fill(fields: &mut String, fill: &Fill) {
     if fill.cache_rank > 0 {
         add(fields, "keep", &fill.cache_rank.to_string());
     }
     if let Some(age) = fill.max_age_us {
-        // Rounded down so that a copy from before a purge does not pass. 0 would mean the default of the class.
+        // Rounded down, so that a copy from before a purge is not accepted. The minimum is 1, because caches interpret
+        // 0 as the default of the class.
         add(fields, "maxage", &(age / 1000).max(1).to_string());
     }
     let flags = [
--- a/daemon/src/upstream/recall.rs
+++ b/daemon/src/upstream/recall.rs
@@ -8,8 +8,8 @@
 use linnetknot::{Micros, Outcome, ServerId};
 
 impl UpstreamConnection {
-    /// Returns when the oldest finished stream is to be removed; `None` if an earlier call returned a time that is
-    /// still to come, so that a connection has one deadline for all its streams.
+    /// Returns when the oldest finished stream is to be removed. Returns `None` while the time returned by an earlier
+    /// call is in the future, so that a connection has at most one such deadline.
     pub fn next_removal_at(&mut self, now: Micros, limits: &Limits) -> Option<Micros> {
         if self.next_removal.is_some_and(|at| at > now) {
             return None;
@@ -21,7 +21,7 @@
         self.next_removal
     }
 
-    /// Removes the streams that finished long enough ago.
+    /// Removes the streams that finished more than `finished_stream_retention_us` ago.
     pub fn remove_finished(&mut self, now: Micros, limits: &Limits) {
         self.streams.retain(|_, stream| {
             stream
@@ -30,7 +30,7 @@
         });
     }
 
-    /// Withdraws the queued attempts that would go to this cache or be filled from it.
+    /// Withdraws the queued attempts that would be sent to this cache or filled from it.
     pub fn withdraw(&mut self, server: ServerId, core: &Core, events: &mut Vec<UpstreamEvent>) {
         let own_server = self.server;
         let is_affected = |queued: &QueuedAttempt| {
@@ -55,8 +55,9 @@
         self.queue.drain(..).map(|queued| queued.attempt).collect()
     }
 
-    /// Ends all attempts, as the connection was lost after `written` bytes. Attempts that were not written in full
-    /// can't have run and end as `unsent`; the others may have run.
+    /// Ends all attempts after the connection was lost. `written` is the number of bytes written on the connection.
+    /// Attempts that were not written in full can't have been executed and end with the outcome `unsent`; the others
+    /// may have been executed and end with `Outcome::Reset`.
     pub fn connection_lost(
         &mut self,
         unsent: Outcome,
@@ -77,7 +78,7 @@
     }
 }
 
-/// Returns the event that ends a stream with its connection; `None` if the stream had ended before.
+/// Returns the event for a stream whose connection was lost; `None` if the end of the stream was already reported.
 fn lost_stream(stream: Stream, unsent: Outcome, written: u64) -> Option<UpstreamEvent> {
     match stream {
         Stream::Attempt(sent) => {
--- a/daemon/src/upstream/sending.rs
+++ b/daemon/src/upstream/sending.rs
@@ -1,4 +1,4 @@
-//! Sends attempts from the queue of a connection, aborts ahead of them, and health checks.
+//! Writes the frames of a connection: attempts from its queue, aborts (ahead of queued attempts) and health checks.
 
 use super::connection::{QueuedAttempt, Stall};
 use super::frames::{abort_frame, attempt_frame, health_check_frame};
@@ -10,8 +10,8 @@
 use linnetknot::{Micros, Outcome};
 
 impl UpstreamConnection {
-    /// Queues an attempt. It is written only once the connection is established and accepts its first byte, so that an
-    /// attempt that is cancelled or withdrawn earlier never reaches the cache.
+    /// Queues an attempt. It stays in the queue until the connection is established and the socket accepts its first
+    /// byte. An attempt that is cancelled or withdrawn while queued never reaches the cache.
     pub fn enqueue(&mut self, now: Micros, attempt: AttemptId) {
         self.queue.push_back(QueuedAttempt {
             attempt,
@@ -19,7 +19,7 @@
         });
     }
 
-    /// Sends a health check. Returns false if the connection is not established or accepts nothing now.
+    /// Sends a health check. Returns false if the connection is not established or can't be written at the moment.
     pub fn send_health_check(&mut self, now: Micros, conn: &mut TcpConnection) -> bool {
         let id = format!("probe-{}", self.health_checks);
         let frame = health_check_frame(&id);
@@ -32,8 +32,8 @@
         true
     }
 
-    /// Writes as much as the connection accepts, aborts first, and reports the cancelled attempts whose aborts have
-    /// been written. Returns false if the connection must be closed.
+    /// Writes as much as the connection accepts, aborts first. Reports the cancelled attempts whose aborts have been
+    /// written and had time to arrive. Returns false if the connection must be closed.
     pub fn flush(
         &mut self,
         now: Micros,
@@ -49,8 +49,8 @@
             return false;
         }
         self.report_aborted(now, conn.written, limits, events);
-        // The next response would be parsed as the rest of a truncated one, so the connection is unusable for all its
-        // streams.
+        // After a truncated response, the start of the next response can't be determined, so the connection is unusable
+        // for all its streams.
         let deadline = self.partial_response_deadline(limits);
         if deadline.is_some_and(|at| at <= now) {
             return false;
@@ -58,8 +58,8 @@
         !self.is_stalled_for_long(now, conn, limits)
     }
 
-    /// Ends the attempts that have waited too long for the connection, so that they can still be made elsewhere in
-    /// time.
+    /// Ends the attempts that have been queued for longer than the connect timeout, so that the decision module can
+    /// send them to another cache before their deadlines.
     fn end_overdue(&mut self, now: Micros, limits: &Limits, events: &mut Vec<UpstreamEvent>) {
         let is_overdue = |queued: &&QueuedAttempt| queued.since + limits.connect_timeout_us <= now;
         let overdue = self.queue.iter().take_while(is_overdue).count();
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Reports the cancelled attempts whose aborts were written at least `abort_transit_us` ago: a further attempt at a
-    /// nearer cache must not overtake the abort.
+    /// Reports the cancelled attempts whose aborts were written at least `abort_transit_us` ago. The delay ensures that
+    /// the abort arrives before a further attempt that is sent to a nearer cache.
     fn report_aborted(
         &mut self,
         now: Micros,
@@ -99,7 +99,8 @@
         earliest.map(|at| at + limits.abort_transit_us)
     }
 
-    /// Whether the peer has accepted no bytes for too long, so that cancelled attempts would never end.
+    /// Whether the peer has accepted no bytes for `write_stall_timeout_us`. Aborts can't be written then, so the
+    /// connection must be closed to end cancelled attempts.
     fn is_stalled_for_long(&mut self, now: Micros, conn: &TcpConnection, limits: &Limits) -> bool {
         if !conn.is_waiting_to_write() {
             self.stall = None;
@@ -114,7 +115,8 @@
         now - stall.since >= limits.write_stall_timeout_us
     }
 
-    /// Starts queued frames while the socket accepts all of each. Returns false if the connection is broken.
+    /// Writes queued frames until the socket does not accept a frame in full. Returns false if the connection is
+    /// broken.
     fn start_frames(
         &mut self,
         now: Micros,
@@ -140,7 +142,8 @@
         true
     }
 
-    /// Starts the first queued abort, and removes it from its queue if the socket accepts it.
+    /// Starts to write the first queued abort, and removes it from the queue if the socket accepts at least its first
+    /// byte.
     fn start_abort(&mut self, conn: &mut TcpConnection, id: &str) -> Progress {
         let progress = conn.begin(&abort_frame(id));
         if progress == Progress::Moved {
@@ -156,8 +159,8 @@
         progress
     }
 
-    /// Starts the first queued attempt, and removes it from the queue if the socket accepts it. Ends an attempt that
-    /// may no longer start.
+    /// Starts to write the first queued attempt, and removes it from the queue if the socket accepts at least its first
+    /// byte. An attempt that may no longer start is ended instead.
     fn start_attempt(
         &mut self,
         now: Micros,
@@ -211,7 +214,7 @@
         self.queue_abort(now, id, attempt, Outcome::Cancelled.into());
     }
 
-    /// Queues the abort of an attempt. The attempt is reported with this result once the abort was written.
+    /// Queues the abort of an attempt. After the abort is written, the end of the attempt is reported with this result.
     pub(super) fn queue_abort(
         &mut self,
         now: Micros,
@@ -234,7 +237,7 @@
     }
 }
 
-/// Returns the number of bytes that will have been written once the output is empty.
+/// Returns the offset on the connection at which the bytes in the output buffer end.
 fn end_of_output(conn: &TcpConnection) -> u64 {
     conn.written + conn.output.len() as u64
 }
