--- a/daemon/src/daemon/admin.rs
+++ b/daemon/src/daemon/admin.rs
@@ -1,9 +1,9 @@
 //! The admin listener: accepts connections and executes the calls of operators.
 //!
-//! `linnetknot_admin_api` defines the calls and their effects on the operators' state. This module transfers the bytes,
-//! applies bans to the endpoint lists of the sources, closes client connections during a drain, and stores the state
-//! under `$TMPDIR`. The admin listener has its own connection limit, so that neither idle connections nor clients can
-//! exclude an operator: when the limit is reached, the oldest connection is evicted.
+//! `linnetknot_admin_api` defines the calls and their effects on the operators' state (bans and drains). This module
+//! transfers the bytes, applies bans to the endpoint lists of the sources, closes client connections during a drain,
+//! and stores the state under `$TMPDIR`. The admin listener has its own connection limit, and when it is reached, the
+//! oldest connection is evicted. Neither idle connections nor clients can therefore exclude an operator.
 
 use super::commits::OperatorDecision;
 use super::{Connection, ConnectionKind, Daemon, Timer};
@@ -18,12 +18,12 @@
     parser: Parser,
     /// The reply is queued, and the connection is closed once it is written.
     is_answered: bool,
-    /// The call is executed, and its reply waits for a commit.
+    /// The call is executed, and its reply is sent once the log entry of the call is committed.
     awaits_commit: bool,
 }
 
 impl AdminSession {
-    /// Returns whether the reply waits for a commit.
+    /// Returns whether the call is executed and its reply waits for the commit of its log entry.
     pub(super) fn awaits_commit(&self) -> bool {
         self.awaits_commit
     }
@@ -53,8 +53,8 @@
                 Err(failure) if failure.kind != FailureKind::NoDescriptors => {
                     return self.pause_admin(now);
                 }
-                // Out of descriptors: the oldest connection to the admin listener or an idle client is evicted before
-                // the next attempt.
+                // Out of descriptors: the oldest connection to the admin listener, or else an idle client, is evicted
+                // before accepting is tried again.
                 Err(_) => {
                     let already_evicted = std::mem::replace(&mut has_evicted, true);
                     if !already_evicted && self.evict_oldest_admin_connection(now) {
@@ -62,7 +62,7 @@
                     }
                     match self.eviction_candidate(now) {
                         Ok(key) if !already_evicted => self.close(now, key),
-                        // The listener would stay readable and keep the loop busy.
+                        // The listener is paused, because it would stay readable and keep the loop busy.
                         _ => return self.pause_admin(now),
                     }
                     continue;
@@ -117,9 +117,9 @@
         true
     }
 
-    /// Closes a connection that has not completed its call in time.
+    /// Closes a connection whose call was not completed within the time limit.
     pub(super) fn admin_timeout(&mut self, now: Micros, key: Key) {
-        // A call that waits for its commit is subject to the timeout of the commit instead.
+        // While a call waits for its commit, the timeout of the commit applies instead.
         if self.connections.get(key).is_some_and(
             |connection| matches!(&connection.kind, ConnectionKind::Admin(session) if !session.awaits_commit),
         ) {
@@ -136,7 +136,7 @@
             return;
         };
         if session.awaits_commit {
-            // Input after a call is ignored, and the client may close its side.
+            // Input after a call is ignored, and the client may half-close the connection.
             return connection.conn.input.consume(connection.conn.input.len());
         }
         let mut parsed = Ok(None);
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Returns whether the process can serve requests, irrespective of the operators' state.
+    /// Returns whether the process can serve requests, ignoring states set by operators such as a drain.
     pub(super) fn can_serve(&self) -> bool {
         self.core.is_ready() && !self.is_stopping() && self.pending_commits.has_recovered()
     }
@@ -237,8 +237,8 @@
         }
         if let Some(effect) = effect {
             if !self.save_operator_state() {
-                // The call must not succeed if the next process would not find it. One of the copies may have been
-                // written.
+                // The call fails, because the next process might not find the new state. One of the two copies may
+                // already contain it.
                 self.admin_controller = previous;
                 self.save_undone_state(now);
                 return Some(Reply::unavailable(
@@ -252,7 +252,8 @@
                 return self.commit_call(now, key, reply, Some(decision));
             }
         } else if is_replicated && reply.status == 200 {
-            // The call changed nothing, but an earlier call with the same effect may not be committed yet.
+            // The call changed nothing, but an earlier call with the same effect may not be committed yet. The reply is
+            // sent once the earlier decisions are committed.
             return self.commit_call(now, key, reply, None);
         }
         Some(reply)
@@ -282,8 +283,8 @@
         }
     }
 
-    /// Unbans a pop cache. It is added again as reported by its sources, and the decision module treats it as new and
-    /// cold.
+    /// Unbans a pop cache. The cache is added again in the state that its sources report, and the decision module
+    /// treats it as a new cache in slow start.
     fn unban(&mut self, now: Micros, id: &str) {
         let listed = self
             .endpoint_table
@@ -321,14 +322,15 @@
         }
     }
 
-    /// Starts a drain: client connections are closed once their requests are answered, and idle ones periodically.
+    /// Starts a drain: client connections are closed once their requests are answered. Idle connections are closed at
+    /// periodic checks.
     pub(super) fn start_drain(&mut self, now: Micros) {
         for key in self.connections.keys() {
             self.close_when_answered(key);
         }
-        // Idle connections are not closed immediately, as the platform uses them until it receives the first
-        // rejection. That can't happen before the loop continues, and storing the state may have taken longer than
-        // the delay of the first check.
+        // Idle connections are not closed immediately: clients keep using them until they receive the first rejection,
+        // which is sent once the loop continues. The first check is scheduled from the current time, because storing
+        // the state may have taken longer than the delay of the check.
         let now = self.clock.now().max(now);
         if let Some(at) = self.admin_controller.next_idle_sweep(now) {
             self.schedule(at, Daemon::close_idle_clients);
@@ -341,7 +343,8 @@
             return;
         };
         for key in self.connections.keys() {
-            // The first request of a new connection may be on its way, so it is kept until the following check.
+            // The first request of a new connection may be in transit, so the connection is kept until the following
+            // check.
             let is_idle =
                 self.connections
                     .get(key)
--- a/daemon/src/daemon/budgets/mod.rs
+++ b/daemon/src/daemon/budgets/mod.rs
@@ -1,4 +1,4 @@
-//! Budgets shared by all proxies (`linnetknot_budgets`): reports this proxy's demand, exchanges datagrams with the
+//! Budgets shared by all proxies (`linnetknot_budgets`): reports the demand of this proxy, exchanges datagrams with the
 //! other members, and passes leases to the decision module.
 
 mod faults;
@@ -17,20 +17,20 @@
 
 const MIN_TICK_INTERVAL_US: Micros = 1_000;
 
-/// This proxy's member of the shared budgets.
+/// The state of this proxy as a member of the shared budgets.
 pub(super) struct SharedBudgets {
     member: Member,
-    /// The lease of each budget that the decision module received last.
+    /// The last lease of each budget that was passed to the decision module.
     delivered: Vec<Option<Lease>>,
     due: Option<DeadlineId>,
     /// Whether a fingerprint mismatch has been logged.
     mismatch_logged: bool,
-    /// The list of peers has changed, and with it the indices of the members. Nothing is sent or received any more,
-    /// and only the reserved minimum may be spent until the next start.
+    /// Whether the list of peers, and with it the indices of the members, has changed. From then on no messages are
+    /// sent or processed, and only the reserved minimums may be spent until the next start.
     detached: bool,
 }
 
-/// Why the budgets can't be shared.
+/// An invalid budget in the configuration, which prevents this proxy from joining.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("budgets: '{name}': {}", invalid.error)]
 pub(super) struct JoinBudgetsError {
@@ -38,7 +38,7 @@
     invalid: InvalidBudget,
 }
 
-/// The unsettled amount of each budget of the decision module.
+/// For each budget of the decision module, the amount that is in use, or may still be.
 struct UnsettledAmounts {
     origin: Amount,
     caches: Amount,
@@ -51,7 +51,7 @@
             Some(Budget::Origin) => self.origin,
             Some(Budget::Caches) => self.caches,
             Some(Budget::Parents) => self.parents,
-            // A budget of another zone.
+            // The budget belongs to another zone, so this proxy uses none of it.
             None => 0,
         }
     }
@@ -76,7 +76,7 @@
             process: ledger.incarnation(),
         };
         let options = Options::default().with_settling_time(settling_us);
-        // Does not fail, as the configuration was validated with the same values.
+        // Not expected to fail, because the configuration was validated with the same values.
         let member = Member::new(own, config.members, &specs, now, options).map_err(|invalid| {
             JoinBudgetsError {
                 name: config.list[invalid.budget].name.clone(),
@@ -97,7 +97,7 @@
         Ok(())
     }
 
-    /// Joins again as a later process of this member.
+    /// Joins again after the incarnation of this process was raised.
     pub(super) fn rejoin_budgets(&mut self, now: Micros) {
         if let Some(due) = self.shared_budgets.take().and_then(|shared| shared.due) {
             self.deadlines.cancel(due);
@@ -191,7 +191,8 @@
         };
         for (index, budget) in self.config.budgets.list.iter().enumerate() {
             let unsettled = unsettled_amounts.of(budget.module_budget);
-            // A process that is shutting down returns all that it has not spent.
+            // A process that is shutting down demands only what is still unsettled, so that the rest of its leases is
+            // returned.
             let amount = if is_stopping {
                 unsettled
             } else {
@@ -226,7 +227,7 @@
             .for_each(|(index, up)| shared.member.set_member_up(index, up));
     }
 
-    /// Sends the member's messages, logs its changes and delivers its leases.
+    /// Sends the pending messages of the member, logs its state changes, and passes its leases to the decision module.
     fn flush_budgets(&mut self, now: Micros) {
         let Some(shared) = &mut self.shared_budgets else {
             return;
@@ -338,8 +339,8 @@
         }
     }
 
-    /// Stops sharing with the other members, as their indices have changed and messages would be attributed to the
-    /// wrong member. Only the reserved minimums may be spent until the next start.
+    /// Stops exchanging messages with the other members. Their indices have changed, so messages would be attributed to
+    /// the wrong member. Only the reserved minimums may be spent until the next start.
     pub(super) fn detach_budgets(&mut self) {
         if let Some(shared) = &mut self.shared_budgets {
             shared.detached = true;
@@ -350,7 +351,7 @@
     }
 }
 
-/// Fault injection: answers each vote request on behalf of its receiver.
+/// Fault injection: grants each vote request of this candidate on behalf of the receiver.
 fn assume_votes(member: &mut Member, now: Micros, outgoing: &[Outgoing]) {
     for Outgoing { to, message } in outgoing {
         if let Message::VoteRequest(request) = message {
--- a/daemon/src/daemon/budgets/status.rs
+++ b/daemon/src/daemon/budgets/status.rs
@@ -1,4 +1,4 @@
-//! The status of the budgets for `linnetknot fleet budgets`, and log lines about them.
+//! The status of the shared budgets for `linnetknot fleet budgets`, and the log lines about budgets.
 
 use crate::budgets::{BudgetStatus, GrantStatus, Status, MAX_BUDGETS, MAX_GRANTS};
 use crate::daemon::Daemon;
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Logs the counters of the leases at shutdown.
+    /// Logs the counters of leases at shutdown.
     pub(in crate::daemon) fn log_budgets(&self) {
         let Some(shared) = &self.shared_budgets else {
             return;
--- a/daemon/src/daemon/cdni_listener.rs
+++ b/daemon/src/daemon/cdni_listener.rs
@@ -72,7 +72,7 @@
 
     /// Accepts pending connections of the CDNI listener.
     pub(super) fn accept_cdni(&mut self, now: Micros) {
-        // Bounded per turn, as for the client listener.
+        // The number of accepted connections per turn is bounded, so that reconnecting peers can't occupy the loop.
         let mut accepted = 0;
         while self.cdni.is_some()
             && !self.shutdown_grace_over
@@ -161,7 +161,7 @@
         let ready = self.can_serve();
         let (_, trigger_api) = self.cdni.as_mut()?;
         let reply = trigger_api.handle(now, ready, head, body);
-        // An unknown trigger may be in the store that is not open yet.
+        // While the store is not open, an unknown trigger may be one that the store contains, so 404 would be wrong.
         let is_unknown = matches!(&reply, Reply::Respond(response) if response.status == 404)
             && head
                 .request()
@@ -172,7 +172,7 @@
         Some(reply)
     }
 
-    /// Responds to a request, or defers the response until a commit or the answer of the core.
+    /// Responds to a request, or defers the response until the effects are committed or the core has answered.
     fn handle_cdni_reply(&mut self, now: Micros, key: Key, reply: Reply) {
         match reply {
             Reply::Respond(response) => {
@@ -247,7 +247,7 @@
         }
     }
 
-    /// Notifies the peer CDNs of the footprint if the readiness of this proxy has changed.
+    /// Sends the footprint of this CDN to the peer CDNs if the readiness of this proxy has changed.
     pub(super) fn announce_readiness(&mut self, now: Micros) {
         let ready = self.can_serve();
         if std::mem::replace(&mut self.announced_ready, ready) == ready {
@@ -297,7 +297,7 @@
         }
     }
 
-    /// Handles the end of a delivery attempt: by a status, or without a response.
+    /// Handles the end of a delivery attempt. `status` is `None` if there was no response.
     fn delivery_finished(&mut self, now: Micros, post: Post, attempts: u32, status: Option<u16>) {
         let attempts = attempts + 1;
         match status {
--- a/daemon/src/daemon/clients/accept.rs
+++ b/daemon/src/daemon/clients/accept.rs
@@ -7,9 +7,9 @@
 use std::io;
 
 impl Daemon {
-    /// Returns the client connection to evict for a new one; an error if none may be evicted. Prefers connections
-    /// that are least likely to be used again, so that idle clients can't exhaust the table. Connections that have
-    /// just changed state are exempt, and so are those that turn out to have received input.
+    /// Returns the client connection to evict for a new one, or an error if none may be evicted. Prefers connections
+    /// that are least likely to be used again, so that idle clients can't exhaust the table. Connections that have just
+    /// changed state are not evicted, nor are those with unread input.
     pub(in crate::daemon) fn eviction_candidate(&mut self, now: Micros) -> io::Result<Key> {
         loop {
             let keys = self.connections.keys();
@@ -58,8 +58,8 @@
             let socket = match listener.accept() {
                 Ok(Some(socket)) => socket,
                 Ok(None) => break,
-                // Out of descriptors: one idle connection is evicted. If that does not help, further evictions would
-                // not either.
+                // Out of descriptors: one idle connection is evicted. If accepting still fails, further evictions would
+                // not help.
                 Err(failure) if failure.kind == FailureKind::NoDescriptors => {
                     let candidate = match evicted.take() {
                         Some(key) => Ok(key),
@@ -139,8 +139,8 @@
                 Timer::CheckClient(key),
             );
             if self.turn.unread_delay(now) > 0 {
-                // Its requests arrived before the loop was delayed; read in the next turn they would be dated too
-                // late.
+                // After a delay of the loop, requests may already have arrived on the connection. They are read now,
+                // because the delay would not be deducted from their time budgets in the next turn.
                 self.poll_client(now, key);
             }
         }
--- a/daemon/src/daemon/clients/mod.rs
+++ b/daemon/src/daemon/clients/mod.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Updates the state of a client connection and its start after input or output.
+    /// Updates the state of a client connection, and the time at which the state began, after input or output.
     pub(in crate::daemon) fn update_client_state(&mut self, now: Micros, key: Key) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -54,7 +54,7 @@
             return;
         };
         let is_partial = state == ClientState::Partial;
-        // A request that arrives in pieces keeps the start of its first piece.
+        // A partial request keeps the time of its first bytes when more bytes arrive.
         if state == ClientState::Busy
             || is_partial && !std::mem::replace(&mut connection.has_partial_request, is_partial)
         {
@@ -77,9 +77,9 @@
         }
     }
 
-    /// Enforces the limit on buffered bytes of incomplete requests, beginning with the client that holds the most. A
-    /// client that has unanswered requests has only its incomplete requests rejected; the connections of others are
-    /// closed.
+    /// Enforces the limit on buffered bytes of incomplete requests, beginning with the client that has the most. If the
+    /// client also has complete requests that are unanswered, only its incomplete requests are rejected; otherwise its
+    /// connection is closed.
     fn limit_partial_requests(&mut self, now: Micros) {
         while self.total_partial_request_bytes > self.limits.max_total_body_bytes {
             let keys = self.connections.keys().into_iter();
@@ -115,7 +115,7 @@
     }
 
     /// Closes a client connection that has exceeded the timeout of its state. The timeouts are longer than those of
-    /// usual clients, so that no request races with the close.
+    /// usual clients, so that the client closes first and no request is lost.
     pub(in crate::daemon) fn check_client_timeout(&mut self, now: Micros, key: Key) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
--- a/daemon/src/daemon/clients/requests.rs
+++ b/daemon/src/daemon/clients/requests.rs
@@ -69,7 +69,8 @@
                     self.admit_request(now, key, stream, request, is_first);
                 }
             }
-            // Executed after each input, so that immediate responses refer to requests that the session knows.
+            // The commands are executed after each input, so that the session has registered a request before its
+            // response is queued.
             self.execute_commands(now);
         }
     }
@@ -126,16 +127,16 @@
             return false;
         };
         let is_output_full = self.total_unsent_bytes > self.limits.max_pending_response_bytes;
-        // One client must not take the capacity of all others.
+        // One client must not use up the request table at the expense of the others.
         let is_over_limit = !self
             .limits
             .admits(session.unanswered(), self.core.is_half_full());
         is_output_full || is_over_limit || self.refuses_while_closing(now, session, is_first)
     }
 
-    /// Returns whether a closing connection rejects a new request. It does if it has other open requests, or late in
-    /// a drain or shutdown, as it would not become idle in time and its requests would be cut off. The platform
-    /// retries rejected requests at another proxy.
+    /// Returns whether a connection that is closing rejects a new request. It does if it has other open requests, and
+    /// late in a drain or shutdown: the connection would otherwise not become idle before it is closed, and its
+    /// requests would be lost. Clients retry rejected requests at another proxy.
     fn refuses_while_closing(&self, now: Micros, session: &Session, is_first: bool) -> bool {
         let last_accepted = |since| since + self.limits.drain_accept_us;
         let is_late_drain = matches!(self.admin_controller.drain_state(), DrainState::Draining(since) if now > last_accepted(since));
@@ -152,7 +153,7 @@
         let Some(connection) = self.connections.get_mut(client.connection) else {
             return;
         };
-        // The next request may be on its way, so the connection must not be evicted immediately.
+        // The next request of the client may be in transit, so the connection must not be evicted immediately.
         connection.state_since = now;
         match &mut connection.kind {
             ConnectionKind::Client(session) => {
--- a/daemon/src/daemon/commits/mod.rs
+++ b/daemon/src/daemon/commits/mod.rs
@@ -1,4 +1,4 @@
-//! Commits of commands.
+//! Commits of the commands of peer CDNs and operators.
 //!
 //! The effects of a command of a peer CDN or an operator apply immediately. The response is sent once the log entries
 //! of the command are committed: durable here and on enough peers (`linnetknot_replication`). A command that is not
@@ -51,14 +51,14 @@
 /// Pending commits and the state of the recovery.
 #[derive(Default)]
 pub(super) struct PendingCommits {
-    /// Ordered by commit, oldest first.
+    /// The pending responses by commit, oldest first.
     responses: BTreeMap<CommitId, PendingResponse>,
     /// The recovery of a proxy that started without its store.
     pub(super) recovery: Option<Recovery>,
     pub(super) recovery_due: Option<DeadlineId>,
-    /// The wait for a snapshot, if this proxy is behind what its peers have compacted.
+    /// The wait for a snapshot, if peers have compacted entries that this proxy lacks.
     pub(super) snapshot: Option<SnapshotWait>,
-    /// The number of peers that did not answer the offer of a snapshot, at the last tick.
+    /// The number of peers that had not answered the offer of a snapshot at the last tick.
     pub(super) peers_without_snapshot: usize,
     pub(super) replication_due: Option<DeadlineId>,
     /// The number of under-replicated entries at the last tick.
@@ -97,7 +97,7 @@
             return self.finish_commit(now, response, Err(AppendError::NoStore.into()));
         }
         if !self.may_commit() {
-            // Peers recognize only the later process as the writer of this log.
+            // Peers accept entries of this log only from the later process.
             return self.finish_commit(now, response, Err(CommitError::Replaced));
         }
         let last = self.apply_effects(now, effects);
@@ -123,7 +123,7 @@
             let appended = match effect {
                 Effect::Purge(object, group) => self.apply_purge(now, object, group),
                 Effect::Status(id, text) if last.is_ok() => self.append_status(now, id, &text),
-                // The command fails as a whole, so its trigger gets no status.
+                // An earlier effect failed, so the whole command fails and its trigger gets no status.
                 Effect::Status(..) => Ok(None),
                 Effect::Gone(id) => self.append_gone(now, id),
                 Effect::Post(post) => {
@@ -136,7 +136,7 @@
         last
     }
 
-    /// Opens a commit of this proxy's log up to an index. The response is sent when the commit is resolved.
+    /// Opens a commit of this proxy's log up to an index. The response is sent once the commit succeeds or fails.
     fn open_commit(&mut self, now: Micros, index: Index, response: PendingResponse) {
         let opened = self
             .ledger
@@ -154,7 +154,7 @@
         self.schedule_replication(now);
     }
 
-    /// Sends the responses of commits that have been resolved.
+    /// Sends the responses of commits that have succeeded or failed.
     pub(super) fn resolve_commits(&mut self, now: Micros) {
         let Some(ledger) = &mut self.ledger else {
             return;
@@ -241,7 +241,7 @@
         if let Ok(Some(entry)) = &appended {
             self.send_entry(entry.clone());
         }
-        // Sent even if it was not appended, as it is in effect here.
+        // Sent even if appending failed, because the purge is already in effect at this proxy.
         self.send_plain_purge(now, object.as_deref(), group, at);
         fail::fail_point!("peers-told");
         Ok(appended?.map(|entry| entry.index))
--- a/daemon/src/daemon/commits/operators.rs
+++ b/daemon/src/daemon/commits/operators.rs
@@ -1,4 +1,4 @@
-//! Commits of operators' decisions, and their restoration from the log.
+//! Commits the decisions of operators (bans and drains), and restores them from the log.
 
 use super::{CommitError, PendingCommits, PendingResponse};
 use crate::daemon::Daemon;
@@ -28,7 +28,7 @@
         OperatorDecision {
             subject,
             revoked,
-            // The call changed the state, so the previous value was the opposite.
+            // The call changed the state, so the committed value is the opposite of the new one.
             committed_revoked: !revoked,
         }
     }
@@ -141,8 +141,9 @@
         self.send_admin_reply(connection, &reply);
     }
 
-    /// Undoes a rejected decision in effect and in the log, as peers may have its entry. If a later decision on the
-    /// subject is pending, that one stays in effect; if it is rejected too, it restores the last committed value.
+    /// Undoes a rejected decision: reverts its effect, and appends the reverse decision to the log because peers may
+    /// have the entry. If a later decision on the subject is pending, the later decision stays in effect; if that is
+    /// rejected too, the last committed value is restored.
     fn undo_decision(&mut self, now: Micros, decision: OperatorDecision) {
         let OperatorDecision {
             subject,
@@ -175,7 +176,7 @@
         Ok(())
     }
 
-    /// Restores the operators' decisions of the log, and appends those that are only in the operators' files.
+    /// Restores the operators' decisions from the log, and appends those that are only in the stored operators' state.
     pub(in crate::daemon) fn restore_decisions(&mut self, now: Micros) {
         self.apply_decisions(now);
         if self.lacks_store() {
@@ -200,7 +201,7 @@
         }
     }
 
-    /// Applies this proxy's decisions in the log, including those that peers have returned.
+    /// Applies this proxy's decisions in the log, including entries that it had lost and received again from peers.
     pub(in crate::daemon) fn apply_decisions(&mut self, now: Micros) {
         let Some(decisions) = self.ledger.as_ref().map(Ledger::decisions) else {
             return;
--- a/daemon/src/daemon/commits/triggers.rs
+++ b/daemon/src/daemon/commits/triggers.rs
@@ -53,7 +53,7 @@
         Ok(Some(index))
     }
 
-    /// Deletes the trigger of a command that is not committed. Returns the response; `None` without a CDNI front.
+    /// Deletes the trigger of a command whose commit failed. Returns the response; `None` without a CDNI front.
     pub(super) fn reject_trigger(
         &mut self,
         now: Micros,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Updates the triggers that new entries of a peer refer to.
+    /// Updates the triggers to which entries just received from a peer refer.
     pub(in crate::daemon) fn receive_triggers(&mut self, now: Micros, entries: &[Entry]) {
         let (Some(ledger), Some((_, trigger_api))) = (&self.ledger, &mut self.cdni) else {
             return;
--- a/daemon/src/daemon/connection_table.rs
+++ b/daemon/src/daemon/connection_table.rs
@@ -44,7 +44,7 @@
     Unreachable,
     /// The table has no free slot, or a connection limit is reached. This says nothing about the remote side.
     NoCapacity,
-    /// Descriptors, ports, routes or memory are temporarily exhausted. This says nothing about the remote side.
+    /// This machine temporarily lacks descriptors, ports, routes or memory. This says nothing about the remote side.
     LocalResources,
 }
 
@@ -55,11 +55,11 @@
     /// When the current state of a client connection began or its last response was sent; for other connections, when
     /// they were opened.
     pub(super) state_since: Micros,
-    /// For clients: an incomplete request was buffered at the last check.
+    /// For clients: whether an incomplete request was buffered at the last check.
     pub(super) has_partial_request: bool,
-    /// Bytes of unsent responses, as counted in `Daemon::total_unsent_bytes`.
+    /// Bytes of unsent responses of this connection, included in `Daemon::total_unsent_bytes`.
     pub(super) unsent_bytes: usize,
-    /// Bytes of incomplete requests, as counted in `Daemon::total_partial_request_bytes`.
+    /// Bytes of incomplete requests of this connection, included in `Daemon::total_partial_request_bytes`.
     pub(super) partial_request_bytes: usize,
     /// The state of the epoll registration, and whether a retry is scheduled.
     pub(super) registration: Registration,
@@ -165,8 +165,7 @@
         if ready.read && connection.conn.up {
             let progress = connection.conn.read(ready.broken);
             let input_ended = matches!(progress, Progress::Ended | Progress::Broken);
-            // A client of the admin listener may half-close its connection after the call and still receives its
-            // reply.
+            // A client of the admin listener may half-close its connection after the call and still receive the reply.
             is_over = input_ended
                 && !(matches!(connection.kind, ConnectionKind::Admin(_))
                     && progress == Progress::Ended);
@@ -201,7 +200,7 @@
             return Ok(());
         };
         match &mut connection.kind {
-            // Read by `poll_client`.
+            // Client connections are read by `poll_client`.
             ConnectionKind::Client(_) | ConnectionKind::Lingering => Ok(()),
             ConnectionKind::Cdni(_) => {
                 self.read_cdni(now, key);
--- a/daemon/src/daemon/discovery.rs
+++ b/daemon/src/daemon/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery of the pop caches: passes evidence of the sources to the endpoint table (`linnetknot_discovery`), its
-//! list events to the core, and its changes to the log.
+//! Discovery of the pop caches: passes reports of the sources to the endpoint table (`linnetknot_discovery`), the
+//! resulting endpoint lists to the core, and notices about changes to the process log.
 
 use super::Daemon;
 use linnetknot::Micros;
@@ -8,20 +8,20 @@
 };
 use std::collections::BTreeSet;
 
-/// The event bus.
+/// The id of the event bus as a source.
 pub(super) const BUS: SourceId = SourceId(0);
-/// The first data centre of Consul. Further data centres have the ids that follow.
+/// The id of the first data centre of Consul as a source. Further data centres have the ids that follow.
 pub(super) const CONSUL: SourceId = SourceId(1);
 
 /// Rounds logged penalties to two decimals.
 const PENALTY_SCALE: f64 = 100.0;
 
-/// Lines that were logged already, so that a repeated response of a source does not log them again.
+/// The lines that were already logged, so that repeated responses of a source do not log them again.
 #[derive(Default)]
 pub(super) struct LoggedNotices(BTreeSet<String>);
 
 impl LoggedNotices {
-    /// Returns whether a line was not logged yet. Once `max` lines are stored they are all forgotten, and may be
+    /// Returns whether a line was not logged yet. When `max` lines are stored, all of them are forgotten and may be
     /// logged again.
     pub(super) fn is_new(&mut self, line: &str, max: usize) -> bool {
         if self.0.len() >= max {
@@ -68,13 +68,13 @@
 }
 
 impl Daemon {
-    /// Applies evidence of a source.
+    /// Applies a report of a source to the endpoint table.
     pub(super) fn receive_evidence(&mut self, now: Micros, source: SourceId, evidence: Evidence) {
         let output = self.endpoint_table.apply(now, source, evidence);
         self.apply_discovery(now, output);
     }
 
-    /// Updates the endpoint table, which adds the caches again whose flap damping has ended.
+    /// Updates the endpoint table, which adds caches again once their flap damping has ended.
     fn poll_discovery(&mut self, now: Micros) {
         self.endpoint_table_due = None;
         let output = self.endpoint_table.poll(now);
--- a/daemon/src/daemon/event_loop.rs
+++ b/daemon/src/daemon/event_loop.rs
@@ -21,9 +21,9 @@
 /// An action that is scheduled for a deadline.
 pub(super) enum Timer {
     Core(Wake),
-    /// Closes a connection that is not established by now, or extends its deadline.
+    /// Closes a connection that is still not established, or extends its deadline.
     ConnectTimeout(Key),
-    /// Checks a connection to a cache server: forgets finished requests and flushes the output.
+    /// Checks a connection to a cache server: removes finished streams and writes pending output.
     CheckCacheConnection(Key),
     /// Runs a task.
     Run(Task),
--- a/daemon/src/daemon/exchange.rs
+++ b/daemon/src/daemon/exchange.rs
@@ -1,4 +1,4 @@
-//! Client-side protocols.
+//! Outgoing connections with a client-side protocol, such as those to the event bus and Consul.
 //!
 //! The event loop connects, writes, reads and enforces timeouts; an [`Exchange`] interprets the bytes. It returns its
 //! effects as tasks, which run once the connection is no longer borrowed.
@@ -17,7 +17,7 @@
 pub(super) enum ExchangeEnd {
     /// The connection was never established.
     Unreachable,
-    /// The remote side closed the connection, or it failed.
+    /// The remote side closed the connection, or the connection failed.
     Closed,
     /// The exchange exceeded its timeout.
     TimedOut,
@@ -40,7 +40,7 @@
     fn initial_bytes(&self) -> Vec<u8>;
     /// Consumes all of `input`.
     fn read(&mut self, input: &[u8], tasks: &mut Vec<Task>) -> Result<Flow, WireError>;
-    /// The connection has ended before `Flow::Done`. Returns a task to run, if any.
+    /// Called if the connection ends before `Flow::Done`. Returns a task to run, if any.
     fn on_ended(self: Box<Self>, end: ExchangeEnd) -> Option<Task>;
 }
 
@@ -77,7 +77,7 @@
         at.map(|at| self.schedule(at, task))
     }
 
-    /// Schedules a task.
+    /// Schedules a task to run at a time. The returned id cancels it.
     pub(super) fn schedule(
         &mut self,
         at: Micros,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Ends an exchange and closes its connection, if it is still open.
+    /// Ends an exchange, if it is still open, and closes its connection.
     pub(super) fn end_exchange(&mut self, now: Micros, key: Key, end: ExchangeEnd) {
         if !matches!(self.connections.get(key), Some(connection) if matches!(connection.kind, ConnectionKind::Exchange(_)))
         {
--- a/daemon/src/daemon/lifecycle.rs
+++ b/daemon/src/daemon/lifecycle.rs
@@ -8,9 +8,9 @@
 //! | closed | the connection is closed, and its open requests are cancelled | |
 //!
 //! Closing a socket with unread input resets the connection, and the client may lose responses that it has not read
-//! yet. Requests that arrive after the output is shut down can't be answered. So the input is read once more before a
-//! half-close, which happens only if the connection is idle then. The socket is closed when the client closes its
-//! side or after a timeout.
+//! yet. Requests that arrive after the output is shut down can't be answered. Therefore the input is read once more
+//! before a half-close, and the connection is half-closed only if it is still idle. The socket is closed when the
+//! client closes its side or after a timeout.
 
 use super::{Connection, ConnectionKind, Daemon, Timer};
 use crate::net::{Key, Progress};
@@ -51,14 +51,15 @@
         }
     }
 
-    /// Schedules the half-close of a connection that is to be closed, as soon as its last response is written. Until
-    /// its next event, another request could arrive that would be accepted but never answered.
+    /// Schedules the half-close of a connection that is to be closed, as soon as its last response is written. If this
+    /// waited for the next event of the connection, another request could arrive meanwhile, which would be accepted but
+    /// never answered.
     pub(super) fn half_close_if_finished(&mut self, now: Micros, key: Key) {
         let is_finished =
             self.connections
                 .get(key)
                 .is_some_and(|connection| match &connection.kind {
-                    // The first request of a connection that was just accepted may be on its way.
+                    // The first request of a connection that was just accepted may be in transit.
                     ConnectionKind::Client(session) => {
                         session.is_finished() && session.has_received_request()
                     }
@@ -136,8 +137,8 @@
         true
     }
 
-    /// Ends the grace period of a shutdown: accepts the connections in the kernel's queue and no more, and
-    /// half-closes each client connection once its requests are answered.
+    /// Ends the grace period of a shutdown: accepts the connections that are pending in the kernel and then stops
+    /// accepting. Half-closes each client connection once its requests are answered.
     pub(super) fn close_clients(&mut self, now: Micros) {
         self.accept_clients(now);
         self.accept_cdni(now);
@@ -152,7 +153,7 @@
                 self.schedule_half_close(now, key);
             }
         }
-        // Recently accepted connections are closed later, as their requests may be on their way.
+        // Recently accepted connections are closed later, because their first requests may be in transit.
         self.schedule(now + self.limits.client_eviction_grace_us, |daemon, now| {
             daemon
                 .connections
--- a/daemon/src/daemon/membership.rs
+++ b/daemon/src/daemon/membership.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// Returns whether a peer is known to replicate logs, which all members that are up do.
+/// Returns whether a peer is known to replicate logs. All members that are up do.
 pub(super) fn replicates(membership: Option<&Membership>, peer: usize) -> bool {
     let member = membership.and_then(|membership| membership.members().get(peer));
     member.is_some_and(Member::is_up)
@@ -68,7 +68,7 @@
             .is_some_and(Membership::is_replaced)
     }
 
-    /// Returns whether this process may commit entries. A replaced process leaves that to its successor.
+    /// Returns whether this process may commit entries. It may not if a later process with the same name has started.
     pub(super) fn may_commit(&self) -> bool {
         fail::fail_point!("plant-no-fence", |_| true);
         !self.is_replaced()
@@ -110,8 +110,8 @@
         true
     }
 
-    /// Raises the ledger's incarnation to that of membership, which grows if a peer knows an earlier process of this
-    /// name with a later incarnation.
+    /// Raises the incarnation of the ledger to that of membership. Membership raises its incarnation if a peer knows an
+    /// earlier process with the same name and a greater incarnation.
     fn raise_ledger_incarnation(&mut self, process: u64) {
         let is_behind = |ledger: &&mut crate::ledger::Ledger| ledger.incarnation() < process;
         if let Some(ledger) = self.ledger.as_mut().filter(is_behind) {
@@ -178,7 +178,7 @@
         self.flush_membership(now);
     }
 
-    /// Announces to the members that the process is leaving, so that they need not detect it.
+    /// Announces to the members that the process is leaving, so that they need not wait for failure detection.
     pub(super) fn leave_membership(&mut self, now: Micros) {
         let Some(membership) = &mut self.membership else {
             return;
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -72,11 +72,11 @@
     poll: Poll,
     client_listener: Option<Listener>,
     accept_retry_scheduled: bool,
-    /// Attempts that wait because no connection can be opened from this machine for now.
+    /// Attempts that wait because this machine can't open connections at the moment.
     deferred_attempts: reconnect::DeferredAttempts,
     sigterm: Signal,
     sighup: Signal,
-    /// The configuration in force, and the source of a new one.
+    /// The configuration in force, and the function that reads a new one on SIGHUP.
     config: Config,
     config_source: Source,
     connections: SlotTable<Connection>,
@@ -104,16 +104,16 @@
     /// The CDNI listener and its API.
     cdni: Option<(Listener, TriggerApi)>,
     ledger: Option<Ledger>,
-    /// The store of the ledger, while it can't be opened.
+    /// The store of the ledger, if it could not be opened at startup and is retried.
     pending_store: Option<PendingStore>,
-    /// Responses that wait for commits, recovery, and the deadline of replication.
+    /// Responses that wait for commits, and the state of the recovery.
     pending_commits: commits::PendingCommits,
     /// The membership of the proxies, and the deadline of its next tick.
     membership: Option<linnetknot_membership::Membership>,
     /// The budgets that all proxies share.
     shared_budgets: Option<budgets::SharedBudgets>,
     membership_due: Option<DeadlineId>,
-    /// Raised by the store's worker when writes have completed.
+    /// The signal that the worker thread of the store raises when writes have completed.
     store_signal: Option<Signal>,
     /// Deliveries to peer CDNs that are in progress or wait for a retry.
     pending_deliveries: usize,
@@ -123,7 +123,7 @@
     total_unsent_bytes: usize,
     /// Bytes of incomplete requests of all clients.
     total_partial_request_bytes: usize,
-    /// When SIGTERM was received.
+    /// When SIGTERM was received; `None` before that.
     sigterm_at: Option<Micros>,
     turn: Turn,
     shutdown_grace_over: bool,
@@ -134,7 +134,7 @@
     /// The directory that stores the operators' state for the next process.
     operator_state_folder: std::path::PathBuf,
     operator_files: operator_state::OperatorFiles,
-    /// The client listener was inherited from the parent process and is shared with the next one.
+    /// Whether the client listener was inherited from the parent process, which shares it with the next process.
     listener_inherited: bool,
 }
 
--- a/daemon/src/daemon/operator_state.rs
+++ b/daemon/src/daemon/operator_state.rs
@@ -1,7 +1,7 @@
-//! Stores the operators' state on disk.
+//! Stores the operators' state (bans and drains) on disk, in two copies.
 //!
-//! The state is read at startup, with retries if that fails. Both copies are written before a call succeeds, and
-//! writing is retried while they may differ from the state in effect.
+//! The state is read at startup, with retries if that fails. Both copies are written before a call succeeds. While the
+//! copies may differ from the state in effect, writing is retried.
 
 use super::Daemon;
 use crate::disk::{remove_leftovers, replace_unsynced, FailedAttempts, StagedFile};
@@ -18,13 +18,13 @@
 /// The longest backoff, before jitter.
 const MAX_RETRY_US: Micros = 2_000_000;
 
-/// The files, and whether they have to be read or written again.
+/// The files of the operators' state, and whether they have to be read or written again.
 pub(super) struct OperatorFiles {
     backoff: Backoff,
     failed: FailedAttempts,
-    /// The stored state can't be read yet.
+    /// Whether the stored state could not be read yet.
     load_pending: bool,
-    /// The files may differ from the state in effect.
+    /// Whether the files may differ from the state in effect.
     write_pending: bool,
     due: Option<DeadlineId>,
 }
@@ -73,8 +73,7 @@
     }
 }
 
-/// Writes both copies under temporary names and renames them one after the other, so that a full disk leaves both
-/// unchanged.
+/// Writes both copies under temporary names before either is renamed, so that a full disk leaves both files unchanged.
 fn write_copies(directory: &Path, bytes: &[u8]) -> io::Result<()> {
     let [first, second] = store::copy_paths(directory);
     let staged = [
@@ -90,11 +89,12 @@
 
 impl Daemon {
     /// Stores the operators' state for the next process. Each copy is replaced atomically. Returns whether both were
-    /// written. The event loop writes them itself rather than through the disk worker, whose queue may be full, as a
-    /// call must be stored before it succeeds. Calls that change the state are rare.
+    /// written. The event loop writes the copies itself instead of enqueueing them at the disk worker: a call must be
+    /// stored before it succeeds, and the queue may be full. This blocks the loop briefly, but calls that change the
+    /// state are rare.
     pub(super) fn save_operator_state(&mut self) -> bool {
         if self.operator_files.load_pending {
-            // The stored state is unknown, so it must not be overwritten.
+            // The stored state has not been read yet, so it must not be overwritten.
             return false;
         }
         fail::fail_point!("admin-keeps");
@@ -113,8 +113,9 @@
         true
     }
 
-    /// Stores the state again after a call was undone that the files may already include. The first copy is written
-    /// immediately, if possible, so that a process that starts now does not find the undone call.
+    /// Stores the state again after a call was undone, because the files may already contain its effect. The first copy
+    /// is written immediately, if possible, so that a process that starts now does not read the effect of the undone
+    /// call.
     pub(super) fn save_undone_state(&mut self, now: Micros) {
         let [first, _] = store::copy_paths(&self.operator_state_folder);
         if let Err(e) = replace_unsynced(&first, &store::encode(self.admin_controller.state())) {
--- a/daemon/src/daemon/plain_purges.rs
+++ b/daemon/src/daemon/plain_purges.rs
@@ -1,4 +1,5 @@
-//! Purges as plain datagrams, for peers that do not replicate logs. The decisions are made by `crate::plain_purges`.
+//! Sends and receives purges as plain datagrams, for peers that do not replicate logs. `crate::plain_purges` decides
+//! which purges are resent or stored.
 
 use super::membership::replicates;
 use super::peer_index::PeerIndex;
@@ -12,7 +13,7 @@
     pub(super) fn receive_plain_purge(&mut self, now: Micros, from: Option<usize>, purge: Purge) {
         let Purge { object, group, at } = purge.clone();
         self.core.record_purge(now, object, group, at);
-        // Without replicated logs, no sender can be known to replicate them.
+        // Without membership, no sender can be known to replicate logs.
         let from = from.filter(|_| self.membership.is_some());
         let replicates = from.is_some_and(|peer| replicates(self.membership.as_ref(), peer));
         match self.plain_purges.receive(now, from, replicates, purge) {
--- a/daemon/src/daemon/reconnect.rs
+++ b/daemon/src/daemon/reconnect.rs
@@ -1,8 +1,8 @@
 //! Defers attempts while this machine can't open a connection.
 //!
-//! If a local port, route, descriptor or memory is lacking, nothing was sent to the cache and nothing is known about
-//! it. The attempt waits here until a connection can be opened or its time is over. It counts neither as a failure of
-//! the cache nor as an attempt of the request.
+//! If this machine lacks a port, a route, a descriptor or memory, nothing was sent to the cache and the failure says
+//! nothing about the cache. The attempt is deferred until a connection can be opened or the attempt times out. It
+//! counts neither as a failure of the cache nor as an attempt of the request.
 
 use super::Daemon;
 use crate::core::AttemptId;
@@ -15,7 +15,7 @@
     attempts: Vec<AttemptId>,
     /// Whether a retry is scheduled.
     retry_scheduled: bool,
-    /// Caches to which no connection could be opened in this round.
+    /// Caches to which no connection could be opened since the last retry.
     failed: BTreeSet<ServerId>,
 }
 
@@ -47,7 +47,7 @@
                 self.core
                     .attempt_finished(now, attempt, Outcome::Moot.into());
             } else if self.deferred_attempts.failed.contains(&server) {
-                // After one failure in a round, the other attempts at the same cache wait for the next round.
+                // If connecting to a cache has failed since the last retry, its other attempts wait for the next retry.
                 self.defer_attempt(now, attempt);
             } else {
                 self.send_attempt(now, attempt);
--- a/daemon/src/daemon/recovery.rs
+++ b/daemon/src/daemon/recovery.rs
@@ -1,6 +1,6 @@
-//! Recovery of a proxy that lacks purges. Until it is complete or has timed out, the proxy is not ready: one that
-//! started without its store waits for the entries that it committed before, and one that is behind what its peers
-//! have compacted waits for their snapshot.
+//! Recovery of a proxy that lacks purges. Until the recovery is complete or has timed out, the proxy is not ready. A
+//! proxy that started without its store waits for the entries that it committed before. A proxy that lacks entries
+//! which its peers have compacted waits for a snapshot from them.
 
 use super::Daemon;
 use crate::ledger::Ledger;
@@ -9,16 +9,16 @@
 use linnetknot_discovery::server_id;
 use linnetknot_replication::{Datagram, Outgoing, Recovery, RecoveryTimes};
 
-/// Leaves the event loop time for its sockets between ticks.
+/// The minimum time between two ticks, so that the event loop can serve its sockets.
 const MIN_TICK_INTERVAL_US: Micros = 1_000;
 
 /// The wait for a snapshot. It is extended while chunks or entries are received, up to a bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct SnapshotWait {
     since: Micros,
-    /// When the wait ends if nothing more is received.
+    /// When the wait times out if nothing more is received.
     deadline: Micros,
-    /// When the wait ends at the latest.
+    /// When the wait times out at the latest, whatever is received.
     max_deadline: Micros,
     has_ended: bool,
 }
@@ -52,8 +52,9 @@
 }
 
 impl Daemon {
-    /// Starts the recovery of what this proxy committed before, if its store is new. A proxy that has its store only
-    /// requests the digests of its peers, to detect soon whether it is behind what they have compacted.
+    /// Starts the recovery of the entries that this proxy committed before, if its store is new. A proxy with an
+    /// existing store only requests the digests of its peers, to detect early whether it lacks entries that they have
+    /// compacted.
     pub(super) fn start_recovery(&mut self, now: Micros) {
         let replication = &self.config.replication;
         let Some(ledger) = self.ledger.as_ref().filter(|_| replication.enabled) else {
@@ -82,8 +83,8 @@
         self.tick_recovery(now);
     }
 
-    /// Without peers, the purges of a store that is not open are unknown, so every cached copy from before now is
-    /// treated as purged.
+    /// Handles a start without peers. If the store is not open, its purges are unknown, so every cached copy from
+    /// before now is treated as purged.
     fn start_without_peers(&mut self, now: Micros) {
         if self.lacks_store() {
             log::warn!(
@@ -93,7 +94,8 @@
         }
     }
 
-    /// Recovers from the peers what a store that has just been opened lacks. A proxy that was ready stays ready.
+    /// Recovers from the peers the entries that a store opened after the start lacks. A proxy that was ready stays
+    /// ready.
     pub(super) fn recover_with_store(&mut self, now: Micros) {
         if self
             .pending_commits
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Handles a digest of a peer that equals this proxy's, which means that their logs are equal.
+    /// Handles a digest of a peer that equals the digest of this proxy, which means that their logs are equal.
     pub(super) fn receive_equal_logs(&mut self, now: Micros, peer: usize) {
         // While a snapshot is being received, equal logs do not imply that all purges have been received.
         if self
@@ -182,8 +184,8 @@
         }
     }
 
-    /// Checks whether the replica is behind the snapshots of its peers. If so, the proxy is not ready until it has
-    /// received them or the wait has timed out.
+    /// Checks whether peers have compacted entries that this proxy lacks. If so, the proxy is not ready until it has
+    /// received a snapshot or the wait has timed out.
     pub(super) fn check_snapshot_wait(&mut self, now: Micros) {
         let is_behind = self
             .ledger
@@ -224,7 +226,8 @@
         }
     }
 
-    /// Ends the wait for the snapshot. As its purges are unknown, all cached copies are treated as purged.
+    /// Ends the wait for a snapshot that was not received. Its purges are unknown, so all cached copies are treated as
+    /// purged.
     fn end_snapshot_wait(&mut self, now: Micros) {
         let at = self.core.purge_all_date(now);
         self.core.purges_mut().purge_all(at);
--- a/daemon/src/daemon/registration.rs
+++ b/daemon/src/daemon/registration.rs
@@ -1,4 +1,4 @@
-//! Registers connections with epoll, including retries when the kernel lacks memory or watches.
+//! Registers connections with epoll, and retries if the kernel lacks memory or the limit of watches is reached.
 //!
 //! A connection that can't be registered is not closed, as its open requests must be answered. The registration is
 //! retried, and until it succeeds the connection is polled at each retry.
--- a/daemon/src/daemon/reload.rs
+++ b/daemon/src/daemon/reload.rs
@@ -1,4 +1,4 @@
-//! Reloads the configuration on SIGHUP, as far as a running daemon can apply it.
+//! Reloads the configuration on SIGHUP. Changes that a running daemon can't apply are logged and require a restart.
 
 use super::Daemon;
 use crate::config::Config;
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Applies the settings that a running router can change: its classes and attempts. Others require a restart.
-    /// Returns false if the settings are invalid.
+    /// Applies the settings that a running decision module can change: its classes and attempts. Other settings require
+    /// a restart. Returns false if the settings are invalid.
     fn apply_settings(&mut self, new: &Settings) -> bool {
         let mut next = self.config.settings.clone();
         next.classes.clone_from(&new.classes);
--- a/daemon/src/daemon/replication.rs
+++ b/daemon/src/daemon/replication.rs
@@ -1,11 +1,12 @@
-//! Drives the replica of the logs: completions of the store, ticks, and the machines of the peers.
+//! Drives the replica of the logs: processes completions of the store, runs its ticks, and updates the machines of the
+//! peers.
 
 use super::Daemon;
 use linnetknot::Micros;
 use linnetknot_discovery::server_id;
 use std::net::SocketAddr;
 
-/// Leaves the event loop time for its sockets between ticks.
+/// The minimum time between two ticks, so that the event loop can serve its sockets.
 const MIN_TICK_INTERVAL_US: Micros = 1_000;
 
 impl Daemon {
@@ -74,7 +75,8 @@
         });
     }
 
-    /// Updates the machines of the peers in the replica: as announced by each peer, or else as configured.
+    /// Updates the machine of each peer in the replica: the announced one, or the configured one until the peer has
+    /// announced its own.
     pub(super) fn update_machines(&mut self) {
         let replication = &self.config.replication;
         let members = self
--- a/daemon/src/daemon/shutdown.rs
+++ b/daemon/src/daemon/shutdown.rs
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Stops accepting clients. The next process may share the socket, so watching it any longer would wake this
-    /// process for the other's connections.
+    /// Stops accepting clients and watching the listener. The next process may share the socket, and its connections
+    /// would otherwise wake this process.
     pub(super) fn close_client_listener(&mut self) {
         if let Some(listener) = self.client_listener.take() {
             if let Err(e) = listener.close(&self.poll) {
--- a/daemon/src/daemon/signals.rs
+++ b/daemon/src/daemon/signals.rs
@@ -32,8 +32,8 @@
     }
 }
 
-/// A self-pipe that a signal handler or another thread writes to and the event loop watches. It is not a pair of Unix
-/// sockets, as some platforms only allow TCP and UDP sockets.
+/// A self-pipe: a signal handler or another thread writes to it, and the event loop watches it. A pair of Unix sockets
+/// is not used, because some environments allow only TCP and UDP sockets.
 pub(super) struct Signal {
     /// The end that the event loop watches.
     pub(super) reader: OwnedFd,
@@ -61,7 +61,7 @@
         })
     }
 
-    /// Clears the signal. Several raises may be handled as one.
+    /// Clears the signal. A signal that was raised several times since is reported only once.
     pub(super) fn drain(&mut self) {
         let mut bytes = [0; 16];
         while rustix::io::read(&self.reader, &mut bytes).is_ok_and(|n| n > 0) {}
--- a/daemon/src/daemon/sources/bus.rs
+++ b/daemon/src/daemon/sources/bus.rs
@@ -1,4 +1,4 @@
-//! The event bus: a long-lived connection that is opened again if it ends or becomes silent.
+//! The event bus: keeps a long-lived connection, and reconnects if it ends or becomes silent.
 
 use crate::bus::{request, BusEvent, BusStream, BusUpdate};
 use crate::daemon::discovery::BUS;
@@ -12,12 +12,12 @@
 use linnetknot_discovery::{Entry, Evidence, Report};
 use std::collections::BTreeMap;
 
-/// The start time of a cache.
+/// The start time of a cache process, by two clocks.
 #[derive(Clone, Copy)]
 struct Start {
-    /// By the platform's clock, as reported by the bus.
+    /// The time by the clock of the event bus, as reported.
     date: Micros,
-    /// By the local clock.
+    /// The same time, converted to the local clock.
     local_time: Micros,
 }
 
@@ -25,11 +25,12 @@
 pub(in crate::daemon) struct State {
     key: Option<Key>,
     timer: Option<DeadlineId>,
-    /// The offset of the last event.
+    /// The bus offset of the last applied event.
     pub(in crate::daemon) last_offset: u64,
     /// When data was last received, or the connection was opened.
     read_at: Micros,
-    /// The start times of caches. The local time of a date never changes, as a changed start time means a restart.
+    /// The start times of caches. The local time for a reported date is computed once and kept, because a changed start
+    /// time would be taken for a restart of the cache.
     starts: BTreeMap<ServerId, Start>,
     /// The backoff between connections.
     backoff: Backoff,
@@ -87,7 +88,7 @@
 }
 
 impl Daemon {
-    /// Applies an event that was just received or recorded by an earlier process.
+    /// Applies an event that was just received, or that is part of the configuration.
     pub(in crate::daemon) fn apply_bus_event(&mut self, now: Micros, event: BusEvent) {
         match event.update {
             // Unless the configuration combines them, Consul replaces the bus as the source of the endpoint list.
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Converts the start time of a cache from the platform's clock to the local clock. The result is never later
+    /// Converts the start time of a cache from the clock of the event bus to the local clock. The result is never later
     /// than the arrival of the event.
     fn localize_start_time(&mut self, now: Micros, entry: &mut Entry) {
         let id = entry.server.id;
@@ -183,7 +184,7 @@
         self.schedule_bus_check(now + delay);
     }
 
-    /// Connects to the new address of the bus immediately.
+    /// Connects to the bus immediately after a reload has changed its address.
     pub(in crate::daemon) fn reconnect_moved_bus(&mut self, now: Micros) {
         if let Some(old) = self.bus.key.take() {
             self.connections.remove(old);
@@ -200,7 +201,8 @@
         }
     }
 
-    /// Reconnects if the connection has ended or is silent, as a lost connection may not be closed explicitly.
+    /// Reconnects if the connection has ended or has been silent for too long. A lost connection is not always reported
+    /// by the kernel.
     fn check_bus(&mut self, now: Micros) {
         match self.bus.key {
             None => self.connect_bus(now),
--- a/daemon/src/daemon/sources/consul/cached_snapshot.rs
+++ b/daemon/src/daemon/sources/consul/cached_snapshot.rs
@@ -1,5 +1,5 @@
-//! Cached snapshots: stores the last good endpoint list of each data centre, for a start without an agent. A worker
-//! thread writes them, so that the event loop does not wait for the disk.
+//! Cached snapshots: stores the last confirmed endpoint list of each data centre, for a start while no Consul agent is
+//! reachable. A worker thread writes the files, so that the event loop does not wait for the disk.
 
 use crate::daemon::discovery::CONSUL;
 use crate::daemon::Daemon;
@@ -34,7 +34,7 @@
 pub(in crate::daemon) struct SnapshotWriter {
     disk: FileWriter,
     snapshots: Vec<Snapshot>,
-    /// The directory, if it could not be created at startup.
+    /// The directory, if it could not be created at startup and creating it is to be retried.
     missing_directory: Option<PathBuf>,
 }
 
@@ -48,7 +48,7 @@
     /// When the list was last confirmed.
     confirmed_at: Micros,
     written_at: Micros,
-    /// The entries of the last write.
+    /// The entries in the last written file.
     written: Vec<Entry>,
 }
 
@@ -217,12 +217,12 @@
             snapshot.written = entries;
             snapshot.written_at = now;
         } else {
-            // The worker has not started the previous write yet. The list is written as it is at the retry.
+            // The queue of the worker is full. The write is retried later, with the list as it is then.
             self.write_snapshot_at(now + self.limits.list_store_delay_us, index);
         }
     }
 
-    /// Writes the snapshots with scheduled writes immediately, at shutdown.
+    /// At shutdown, writes the snapshots whose writes are scheduled for later.
     pub(in crate::daemon) fn write_pending_snapshots(&mut self, now: Micros) {
         for index in 0..self.snapshot_count() {
             let snapshot = self.snapshot_mut(index);
--- a/daemon/src/daemon/sources/consul/call.rs
+++ b/daemon/src/daemon/sources/consul/call.rs
@@ -9,9 +9,9 @@
 
 /// The head and body of the response, or the failure of the call.
 pub(super) type Outcome = Result<(Head, Vec<u8>), TransportError>;
-/// Receives a part of a body, with the index of the watch.
+/// A function that processes a part of a response body. The `usize` is the index of the watch.
 type BodyHandler = fn(&mut Daemon, usize, &[u8]);
-/// Receives the outcome of a call.
+/// A function that processes the outcome of a call.
 type CompletionHandler = Box<dyn FnOnce(&mut Daemon, Micros, Outcome)>;
 
 pub(super) struct Call {
@@ -19,14 +19,14 @@
     messages: MessageParser,
     head: Option<Head>,
     body: Vec<u8>,
-    /// Receives the parts of a body with status 200 as they arrive.
+    /// The handler of body parts, which are passed as they arrive if the status is 200.
     on_body: Option<BodyHandler>,
     watch_index: usize,
     done: Option<CompletionHandler>,
 }
 
 impl Call {
-    /// Creates a call with a request and a handler of its outcome.
+    /// Creates a call from a request and the handler of its outcome.
     pub(super) fn new(
         request: Vec<u8>,
         max_line: usize,
@@ -46,7 +46,7 @@
         })
     }
 
-    /// Passes parts of a body with status 200 to a handler as they arrive, with the index of the watch.
+    /// Sets a handler to which body parts are passed as they arrive if the status is 200, with the index of the watch.
     pub(super) fn with_body_handler(
         mut self: Box<Self>,
         watch_index: usize,
--- a/daemon/src/daemon/sources/consul/mod.rs
+++ b/daemon/src/daemon/sources/consul/mod.rs
@@ -24,7 +24,7 @@
 /// The watch of one data centre.
 struct WatchState {
     watch: Watch,
-    /// The connection of the current call.
+    /// The connection of the current call, if one is in progress.
     key: Option<Key>,
     timer: Option<DeadlineId>,
 }
@@ -67,7 +67,8 @@
 }
 
 impl State {
-    /// Creates the state at startup. The address that clients connect to, `listen`, is registered.
+    /// Creates the state at startup. `listen`, the address that clients connect to, is registered unless the
+    /// configuration sets another address.
     pub(in crate::daemon) fn start(
         consul: &Consul,
         seed: u64,
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Passes a part of a response body to its watch. Parsing long responses incrementally keeps the turns of the
+    /// Passes a part of a response body to its watch. Long responses are parsed incrementally to keep the turns of the
     /// event loop short.
     fn receive_watch_body(&mut self, index: usize, bytes: &[u8]) {
         if let Some(watch_state) = self.consul.as_mut().and_then(|c| c.watches.get_mut(index)) {
@@ -297,8 +298,8 @@
         self.drive_registration(now);
     }
 
-    /// Restores a watch from a cached snapshot as its last response, so that an empty first response can't remove all
-    /// endpoints.
+    /// Restores a watch from a cached snapshot, which is treated as the last response. An empty first response of the
+    /// agent then can't remove all endpoints without confirmation.
     pub(super) fn restore_watch(&mut self, index: usize, entries: &[Entry]) -> Option<Evidence> {
         Some(
             self.consul
@@ -310,7 +311,7 @@
         )
     }
 
-    /// Deregisters the proxy at shutdown, so that clients use others.
+    /// Deregisters the proxy at shutdown, so that clients use other proxies.
     pub(in crate::daemon) fn deregister_from_consul(&mut self, now: Micros) {
         if let Some(registration_state) = self
             .consul
--- a/daemon/src/daemon/sources/peers.rs
+++ b/daemon/src/daemon/sources/peers.rs
@@ -10,7 +10,7 @@
 use linnetknot_replication::{Datagram, DecodeError, Entry, Outgoing, Received};
 use std::net::SocketAddr;
 
-/// Fault injection: all snapshot chunks are lost.
+/// Fault injection: whether all received snapshot chunks are dropped.
 fn loses_chunks() -> bool {
     fail::fail_point!("snapshot-lost", |_| true);
     false
@@ -23,7 +23,7 @@
         while let Some((socket, _)) = &self.peers {
             let (length, from) = match receive_from(socket, &mut bytes) {
                 Ok(received) => received,
-                // The failure was caused by an earlier datagram, so receiving continues.
+                // The failure belongs to a datagram that was sent earlier, so receiving continues.
                 Err(failure) if failure.kind == FailureKind::Broken => continue,
                 // epoll reports the socket again when more datagrams arrive.
                 Err(_) => return,
@@ -106,7 +106,8 @@
         let received = ledger.receive(now, peer, datagram);
         let is_synced = peer_checksum == Some(ledger.replica().log_store().checksum());
         self.apply_received_purges(now, &received);
-        // Only operators' decisions are applied again, not the purges of a long log that is recovered.
+        // The operators' decisions are applied again only if entries other than purges of this proxy's own log were
+        // received. A recovered log may contain many purges.
         if received
             .new
             .iter()
@@ -139,7 +140,7 @@
         true
     }
 
-    /// Applies the purges of a peer, including those that exceed the capacity of the store.
+    /// Applies the purges received from a peer, including those that the log has no capacity to store.
     fn apply_received_purges(&mut self, now: Micros, received: &Received) {
         for entry in received
             .new
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Sends a new entry to all peers immediately. Peers that do not receive it get it by replication.
+    /// Sends a new entry to all peers immediately. If the datagram is lost, the peer requests the entry later.
     pub(in crate::daemon) fn send_entry(&mut self, entry: Entry) {
         if let Some(bytes) = Datagram::Entry(entry)
             .encode()
--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -69,7 +69,8 @@
     }
 }
 
-/// Returns the sources of the endpoint list. Only events of the bus are passed to the decision module one by one.
+/// Returns the sources of the endpoint list. Changes from the bus are passed to the decision module one by one; the
+/// other sources are compared as full lists.
 fn list_sources(config: &Config) -> Vec<ListSource> {
     let mut sources = vec![ListSource {
         name: "bus".into(),
@@ -124,7 +125,7 @@
     }
 }
 
-/// The parts whose setup can fail.
+/// The parts of the daemon whose setup can fail, prepared before the daemon is assembled.
 struct PreparedParts {
     clock: Clock,
     sockets: Sockets,
@@ -161,7 +162,8 @@
 }
 
 impl Daemon {
-    /// Binds the sockets and replays the known events. On SIGHUP, a new configuration is read from `source`.
+    /// Binds the sockets and applies the bus events in the configuration. On SIGHUP, `source` is called for a new
+    /// configuration.
     ///
     /// # Errors
     /// The configuration can't be applied on this machine.
--- a/daemon/src/daemon/store_opening.rs
+++ b/daemon/src/daemon/store_opening.rs
@@ -1,9 +1,9 @@
 //! Opens the store of the ledger at startup, and retries with a backoff if that fails temporarily.
 //!
-//! A proxy whose store can't be opened temporarily (EIO, ENOSPC) runs without it: it recovers its committed entries
-//! from its peers as if it had lost its disk, acknowledges nothing, and rejects commands that would have to be
-//! committed. Once the store is open, its content is applied again. Retries run on a separate thread, as a failing
-//! disk may block.
+//! If the store can't be opened because of a temporary failure (EIO, ENOSPC), the proxy runs without it: it recovers
+//! its committed entries from its peers as if it had lost its disk, acknowledges no entries, and rejects commands that
+//! would have to be committed. Once the store is open, its content is applied. Retries run on a separate thread,
+//! because calls to a failing disk may block.
 
 use super::{Daemon, Signal};
 use crate::ledger::{Bounds, Ledger, LedgerError};
@@ -19,7 +19,8 @@
 /// The longest backoff, before jitter.
 const MAX_RETRY_US: Micros = 2_000_000;
 
-/// Bounds the purges of peers without logs that are buffered until the store is open.
+/// The maximum number of plain purges (from peers that do not replicate logs) that are buffered until the store is
+/// open.
 const MAX_BUFFERED_PURGES: usize = 4_096;
 
 /// The parameters for opening a store.
@@ -81,11 +82,11 @@
 /// A ledger, with or without its store.
 pub(super) struct OpenedLedger {
     pub(super) ledger: Ledger,
-    /// The store, if it has to be opened later.
+    /// The store, if opening it failed and is to be retried.
     pub(super) pending: Option<PendingStore>,
 }
 
-/// A store failed to open permanently.
+/// A permanent failure to open the store.
 #[derive(Debug, thiserror::Error)]
 #[error("cdni.purges: {}: {source}", path.display())]
 pub(super) struct StoreOpenError {
@@ -93,7 +94,7 @@
     source: LedgerError,
 }
 
-/// A store that can't be opened yet.
+/// A store that could not be opened at startup, and the state of the retries.
 pub(super) struct PendingStore {
     store: StoreConfig,
     /// When the process started, from which its incarnation is derived.
@@ -101,16 +102,17 @@
     /// Why the last attempt failed.
     reason: String,
     backoff: Backoff,
-    /// Receives the result of the current attempt.
+    /// The channel that receives the result of the current attempt to open the store.
     attempt_result: Option<Receiver<Result<Ledger, LedgerError>>>,
     /// The number of commands that were rejected because the store is not open.
     rejected: u64,
-    /// Purges that peers without logs have sent meanwhile, to be stored later.
+    /// Purges received meanwhile from peers that do not replicate logs, to be stored once the store is open.
     buffered_purges: Vec<Purge>,
 }
 
 impl PendingStore {
-    /// Buffers a purge of a peer without logs until the store is open.
+    /// Buffers a purge of a peer that does not replicate logs until the store is open. Drops the purge if the buffer is
+    /// full.
     pub(super) fn buffer_purge(&mut self, purge: Purge) {
         if self.buffered_purges.len() < MAX_BUFFERED_PURGES {
             self.buffered_purges.push(purge);
@@ -141,7 +143,7 @@
 
     /// Records a failed attempt. Returns when the next one is due.
     fn record_failure(&mut self, now: Micros, reason: String) -> Micros {
-        // Each reason is logged once, as a full disk may stay full for long.
+        // A reason is logged only when it changes, because a disk may stay full for a long time.
         if self.reason != reason {
             log::error!(attempts = self.backoff.failures() + 1; "failed again to open the store: {reason}");
             self.reason = reason;
@@ -198,7 +200,8 @@
         }
     }
 
-    /// Replaces the ledger that has no store. Nothing that it held was acknowledged, so the peers send it again.
+    /// Replaces the ledger without a store by the opened one. The entries that the old ledger received from peers were
+    /// not acknowledged, so the peers send them again.
     fn attach_store(&mut self, now: Micros, mut ledger: Ledger) {
         let Some(pending) = self.pending_store.take() else {
             return;
@@ -206,14 +209,14 @@
         log::info!(attempts = pending.backoff.failures(), rejected = pending.rejected; "opened the store {}", pending.store.path.display());
         let announced = self.ledger.as_ref().map_or(0, Ledger::incarnation);
         if announced > ledger.incarnation() {
-            // Peers know this process by a greater incarnation than the one derived from its store.
+            // Peers already know this process by a greater incarnation than the store contains.
             ledger.raise_incarnation(announced);
         }
         let before = self.ledger.replace(ledger);
         let incarnation = |ledger: &Option<Ledger>| ledger.as_ref().map(Ledger::incarnation);
         if incarnation(&before) != incarnation(&self.ledger) {
-            // The store knows a process that started later by a clock that has since been set back. This process is
-            // its successor.
+            // The store contains a greater incarnation than this process announced, because the clock was set back. The
+            // process joins again with the incarnation that follows it.
             self.join_membership(now);
             self.rejoin_budgets(now);
         }
--- a/daemon/src/daemon/turn.rs
+++ b/daemon/src/daemon/turn.rs
@@ -1,24 +1,25 @@
 //! Timing of one turn of the event loop.
 //!
-//! If the process is stopped or busy for a long time, client requests have waited in the socket buffers before they
-//! are read, and events that were reported earlier are stale. `Turn` estimates that delay and detects stale turns.
+//! If the process is stopped or busy for a long time, client requests wait in the socket buffers before they are read,
+//! and events that epoll reported earlier are stale. `Turn` estimates how long requests have waited, and detects stale
+//! turns.
 
 use linnetknot::Micros;
 
 #[cfg(test)]
 mod tests;
 
-/// The longest wait for events. A stop of the process during a wait can't be distinguished from the wait itself, so
-/// this plus `MAX_NORMAL_DELAY_US` bounds the delay that may go undetected.
+/// The longest wait for events. If the process is stopped during a wait, the stop can't be distinguished from the wait
+/// itself. The longest delay that may go undetected is therefore this plus `MAX_NORMAL_DELAY_US`.
 pub(super) const MAX_WAIT_US: Micros = 80_000;
 
 /// If one step of a turn takes longer than this, the rest of the turn is stale and its events are polled for again.
 const DELAYED_STEP_US: Micros = 50_000;
-/// The same bound for all steps of a turn together.
+/// If all steps of a turn together take longer than this, the rest of the turn is stale as well.
 const DELAYED_TURN_US: Micros = 100_000;
-/// Bounds the interrupted turns in a row, so that all events are handled eventually.
+/// The maximum number of consecutive interrupted turns, so that all events are handled eventually.
 const MAX_CONSECUTIVE_INTERRUPTED_TURNS: u32 = 3;
-/// Delays up to this length are regarded as normal operation.
+/// The longest delay that is regarded as normal operation.
 const MAX_NORMAL_DELAY_US: Micros = 60_000;
 
 /// The latest wait for events and the turn that follows it.
@@ -29,7 +30,7 @@
     /// The input that was reported by the latest wait arrived at or after this time.
     arrived_since: Micros,
     wait_ended_at: Micros,
-    /// The value of `reported_until` once the reported events are handled.
+    /// The value that `reported_until` gets when the turn ends without interruption.
     reported_until_after_turn: Micros,
     last_step_ended_at: Micros,
     consecutive_interrupted_turns: u32,
@@ -47,14 +48,14 @@
         }
     }
 
-    /// Records a wait from `began` to `ended` that could last `wait` at most.
+    /// Records a wait from `began` to `ended` whose timeout was `wait`.
     pub(super) fn end_wait(&mut self, began: Micros, wait: Micros, ended: Micros) {
         let slept = ended.saturating_sub(began);
         let asleep = slept.min(wait);
         self.reported_until += asleep;
         self.arrived_since = self.reported_until.min(ended);
-        // A process that is stopped at the end of its wait resumes with the events from before the stop, or with
-        // none; later input is reported by the next wait.
+        // If the process was stopped at the end of its wait, this wait returned at most the events from before the
+        // stop. Later input is reported by the next wait.
         self.reported_until_after_turn = if slept <= wait + MAX_NORMAL_DELAY_US {
             ended
         } else {
@@ -63,7 +64,7 @@
         (self.wait_ended_at, self.last_step_ended_at) = (ended, ended);
     }
 
-    /// Returns how long input that is read now may have been waiting; 0 if that is within normal operation.
+    /// Returns how long input that is read now may have waited in the socket buffer; 0 if the delay is normal.
     pub(super) fn unread_delay(&self, now: Micros) -> Micros {
         let unread = now.saturating_sub(self.arrived_since);
         if unread > MAX_NORMAL_DELAY_US {
--- a/daemon/src/daemon/turn/tests.rs
+++ b/daemon/src/daemon/turn/tests.rs
@@ -8,7 +8,7 @@
 /// The largest delay that may go undetected.
 const MAX_UNDETECTED_DELAY_US: Micros = 150 * MS;
 
-/// The process may be stopped at any time during a wait, and input may arrive right after the stop begins.
+/// Checks the estimated delay when the process is stopped during a wait and input arrives right after the stop begins.
 #[test]
 fn undetected_delay_of_a_stop_during_a_wait_is_bounded() {
     for wait in [0, 1, MS, 40 * MS, MAX_WAIT_US] {
@@ -25,8 +25,8 @@
     }
 }
 
-/// A process that is stopped at the end of a wait resumes with the events from before the stop, or with none if a
-/// signal interrupted the wait.
+/// Checks the estimated delay when the process is stopped at the end of a wait. The wait then returns the events from
+/// before the stop, or none if a signal interrupted it.
 #[test]
 fn undetected_delay_of_a_stop_at_the_end_of_a_wait_is_bounded() {
     for wait in [0, 1, MS, 40 * MS, MAX_WAIT_US] {
--- a/daemon/src/daemon/upstream_connections/mod.rs
+++ b/daemon/src/daemon/upstream_connections/mod.rs
@@ -21,7 +21,7 @@
         for event in events {
             match event {
                 UpstreamEvent::AttemptStarted(attempt) => self.core.attempt_started(attempt),
-                // If the server responds on another connection, only this connection attempt has failed, not the
+                // If the server has recently responded on another connection, only this connection has failed, not the
                 // server.
                 UpstreamEvent::AttemptFinished(attempt, ended)
                     if ended.outcome == Outcome::Unreached
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Returns the selected connection, after opening it if necessary.
+    /// Returns the selected connection, which is opened first if it does not exist.
     fn use_selection(
         &mut self,
         now: Micros,
@@ -107,7 +107,8 @@
             Selection::Use { key, connect_spare } => {
                 if connect_spare && self.connections.free_slots() > self.limits.reserved_connections
                 {
-                    // No attempt depends on the spare connection; if it fails, the next attempt starts another.
+                    // A failure to open the spare connection is ignored, because no attempt depends on it. The next
+                    // attempt opens another.
                     let _ = self.connect_cache(now, server);
                 }
                 Ok(key)
@@ -137,7 +138,7 @@
         self.flush_or_close(now, key);
     }
 
-    /// Finishes an attempt for which there is no connection. Nothing of it was sent.
+    /// Finishes an attempt for which there is no connection, so that nothing was sent.
     fn finish_unsent_attempt(
         &mut self,
         now: Micros,
@@ -194,9 +195,9 @@
             .map(|(_, key)| key)
     }
 
-    /// Handles a connection that is not established in time. The attempts that wait for one to a cache server
-    /// continue elsewhere. The connection itself gets more time: if it were closed each time, a server that accepts
-    /// slowly could never be reached.
+    /// Handles a connection that is not established within the connect timeout. A connection to a cache server is kept
+    /// until a later deadline, while the attempts that waited for it are made elsewhere: if the connection were closed
+    /// each time, a server that accepts slowly could never be reached. Other connections are closed.
     pub(super) fn check_connect_timeout(&mut self, now: Micros, key: Key) {
         let Some(connection) = self
             .connections
@@ -246,8 +247,8 @@
                 Timer::CheckCacheConnection(key),
             );
         }
-        // A server that is draining, gone or moved gets no new attempts, so its idle connections are closed. If its
-        // machine has vanished, nothing else would close them.
+        // A server that is draining, gone or has a new address gets no new attempts on this connection, so the
+        // connection is closed once idle. If the machine of the server has failed, nothing else would close it.
         let has_moved = self
             .core
             .endpoint(server)
@@ -257,7 +258,7 @@
         is_open && !is_done
     }
 
-    /// Forgets the finished requests of a connection to a cache server, and flushes it.
+    /// Removes the finished streams of a connection to a cache server, and flushes the connection.
     pub(super) fn check_cache_connection(&mut self, now: Micros, key: Key) {
         if let Some(Connection {
             kind: ConnectionKind::CacheServer(upstream),
@@ -288,7 +289,7 @@
         let mut events = Vec::new();
         let failure = conn.connect_failure();
         if failure.is_some_and(Failure::is_local) {
-            // The failure says nothing about the server, so queued attempts are deferred.
+            // The failure has a local cause and says nothing about the server, so queued attempts are deferred.
             for attempt in upstream.drain_queue() {
                 self.defer_attempt(now, attempt);
             }
@@ -317,8 +318,8 @@
         }
     }
 
-    /// Withdraws a cache server: takes back the attempts that have not started and would go to it or be filled from it,
-    /// and closes its idle connections.
+    /// Withdraws a cache server: cancels the attempts that have not started and would be sent to this server or filled
+    /// from it, and closes its idle connections.
     pub(super) fn withdraw_server(&mut self, now: Micros, server: ServerId) {
         for key in self
             .cache_connections
--- a/daemon/src/daemon/upstream_connections/selection.rs
+++ b/daemon/src/daemon/upstream_connections/selection.rs
@@ -8,15 +8,15 @@
 use linnetknot::{Micros, ServerId};
 use std::net::SocketAddr;
 
-/// How an attempt gets its connection.
+/// The connection that was selected for an attempt.
 pub(super) enum Selection {
-    /// On an existing connection.
+    /// Use an existing connection.
     Use {
         key: Key,
-        /// Open a spare connection, for which no attempt waits yet.
+        /// Whether to also open a spare connection for later attempts.
         connect_spare: bool,
     },
-    /// On a new connection, after closing the reclaimed ones.
+    /// Open a new connection, after closing the connections in `reclaim`.
     Connect { reclaim: Vec<Key> },
     /// The attempt can't be sent for now.
     Unavailable(ConnectError),
@@ -25,8 +25,8 @@
 /// How well a connection suits an attempt; lower values are better.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Preference {
-    /// No attempt of the same request was aborted on it. Connections with an aborted attempt of the request are
-    /// preferred.
+    /// Whether no attempt of the same request was aborted on the connection. Connections with an aborted attempt of the
+    /// request are preferred, so that the abort is read first.
     has_no_aborted_attempt: bool,
     is_connecting: bool,
     is_blocked_by_response: bool,
@@ -75,7 +75,7 @@
             return Selection::Connect { reclaim };
         }
         Selection::Unavailable(if connecting == 0 {
-            // All connections are busy, which says nothing about the cache server.
+            // All connections are fully used, which says nothing about the cache server.
             ConnectError::NoCapacity
         } else {
             ConnectError::Unreachable
@@ -124,8 +124,8 @@
             && self.connections.iter().all(|(_, conn, _)| conn.up)
     }
 
-    /// Returns the connections to close in favour of a new one: idle ones that may be dead. Cache servers limit their
-    /// connections, so dead ones must not keep the capacity.
+    /// Returns the idle connections that may be dead and are closed in favour of a new one. Cache servers limit the
+    /// number of their connections, so dead connections must not use up that limit.
     fn reclaimable(&self) -> Vec<Key> {
         let is_reclaimable = |conn: &TcpConnection, upstream: &UpstreamConnection| {
             let is_doubtful = upstream.is_suspect() || upstream.is_stale(self.now, self.limits);
@@ -138,8 +138,8 @@
             .collect()
     }
 
-    /// Returns the number of connections that are not established yet. They may still be established; further ones
-    /// would only add load.
+    /// Returns the number of connections that are being established. Their number is limited, because further
+    /// connections would only add load to a slow server.
     fn connecting_count(&self) -> usize {
         self.connections
             .iter()
