--- a/daemon/src/daemon/startup/mod.rs
+++ b/daemon/src/daemon/startup/mod.rs
@@ -69,8 +69,8 @@
     }
 }
 
-/// Returns the sources of the endpoint list. Changes from the bus are passed to the decision module one by one; the
-/// other sources are compared as full lists.
+/// Returns the sources of the endpoint list. Each event of the bus is passed to the decision module unchanged; caches
+/// listed by Consul are subject to flap damping.
 fn list_sources(config: &Config) -> Vec<ListSource> {
     let mut sources = vec![ListSource {
         name: "bus".into(),
--- a/daemon/src/front/cdni/api.rs
+++ b/daemon/src/front/cdni/api.rs
@@ -8,7 +8,7 @@
 use linnetknot::Micros;
 use serde_json::Value;
 
-/// The odd increment of the ids of content requests, which are distinct for 2^64 requests.
+/// The increment between the ids of content requests. It is odd, so that the ids repeat only after 2^64 requests.
 const ID_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 /// The path of the collection of triggers.
 const TRIGGERS: &str = "/cdni/triggers";
@@ -17,18 +17,18 @@
 /// The prefix of the paths for footprint notices of peer CDNs.
 const NOTICE_PREFIX: &str = "/cdni/footprint/";
 
-/// The networks that a peer CDN has advertised.
+/// The footprint that a peer CDN has advertised: the networks that it serves.
 pub(super) struct PeerFootprint {
     pub(super) provider: String,
     pub(super) networks: Vec<Network>,
 }
 
-/// The state of the interconnection with peer CDNs.
+/// The state of the interconnection with peer CDNs: the triggers, and the footprints that the peers have advertised.
 pub struct TriggerApi {
     identity: Identity,
     triggers: TriggerTable,
     footprints: Vec<PeerFootprint>,
-    /// The number of requests for content.
+    /// The number of requests for content so far, from which their ids are derived.
     content_requests: u64,
     seed: u64,
 }
@@ -116,7 +116,7 @@
         self.triggers.start_ids_at(first);
     }
 
-    /// Adds the status of a trigger of another proxy, or of an earlier process of this one. An expired or incomplete
+    /// Adds the status of a trigger of another proxy, or of an earlier process of this proxy. An expired or incomplete
     /// status is ignored.
     pub fn insert(&mut self, now: Micros, id: TriggerId, payload: &str) {
         self.triggers.insert(seconds(now), id, payload);
@@ -127,8 +127,8 @@
         self.triggers.remove(id);
     }
 
-    /// Handles effects that can't be committed: removes the trigger, if one was made, and returns the response that
-    /// asks the peer CDN to retry.
+    /// Undoes a command whose effects can't be committed: removes the trigger that it created, if any, and returns the
+    /// response that asks the peer CDN to retry.
     pub fn retract(&mut self, trigger: Option<TriggerId>) -> Response {
         if let Some(id) = trigger {
             self.triggers.remove(id);
@@ -164,12 +164,12 @@
         self.identity.peers.iter().map(notice).collect()
     }
 
-    /// Returns the commands to all peer CDNs for a purge that none of them sent.
+    /// Returns the commands that forward a purge to all peer CDNs. The purge must not have come from one of them.
     pub fn purge_commands(&self, object: Option<&str>, group: u64) -> Vec<Post> {
         triggers::purge_commands(&self.identity, object, group)
     }
 
-    /// Converts a request for content to one for the core.
+    /// Converts an HTTP request for content to a request for the core.
     fn content(&mut self, head: &Head, target: &str) -> Reply {
         let content = ContentPath::read(path_of(target));
         let known = content.and_then(|content| {
--- a/daemon/src/front/cdni/content.rs
+++ b/daemon/src/front/cdni/content.rs
@@ -10,11 +10,11 @@
 /// The path of a content URL.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ContentPath<'a> {
-    /// The class.
+    /// The name of the class.
     pub class: &'a str,
     /// The key of the object.
     pub object: &'a str,
-    /// The part of the object.
+    /// The number of the part of the object.
     pub part: u64,
 }
 
@@ -88,7 +88,7 @@
     }
 }
 
-/// Returns the tag of the client's cached copy.
+/// Returns the entity tag of the copy that the client has cached (`If-None-Match`), if any.
 fn cached_tag(head: &Head) -> Option<String> {
     let header = head.header("if-none-match")?;
     let tag = header.trim_start_matches("W/").trim_matches('"');
--- a/daemon/src/front/cdni/effect.rs
+++ b/daemon/src/front/cdni/effect.rs
@@ -1,4 +1,5 @@
-//! The handling of a request: respond, commit effects first, or forward a request for content.
+//! The ways to handle a request: respond immediately, respond after its effects are committed, or forward it to the
+//! core.
 
 use super::{Response, TriggerId};
 use crate::core::ClientRequest;
@@ -7,9 +8,9 @@
 /// An effect of a request besides its response.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// An object, or a group if there is no object, is purged as of now.
+    /// An object, or a group if there is no object, is purged. Copies from before now are no longer served.
     Purge(Option<String>, u64),
-    /// A trigger was created, with this status as a payload.
+    /// A trigger was created. The text is the payload of its status.
     Status(TriggerId, String),
     /// The status of a trigger was deleted.
     Gone(TriggerId),
@@ -22,11 +23,11 @@
 pub struct Post {
     /// The address of the peer.
     pub address: SocketAddr,
-    /// The path that it is posted to.
+    /// The path to which the payload is posted.
     pub path: String,
     /// The type of the payload.
     pub ptype: &'static str,
-    /// The payload.
+    /// The payload as text.
     pub body: String,
 }
 
@@ -35,7 +36,7 @@
 pub enum Reply {
     /// Respond now.
     Respond(Response),
-    /// Respond once the effects are committed. If they can't be, the trigger is retracted, and the response is that of
+    /// Respond once the effects are committed. If the commit fails, the trigger is removed, and the response is that of
     /// [`super::TriggerApi::retract`].
     RespondOnceCommitted {
         /// The response.
--- a/daemon/src/front/cdni/footprint.rs
+++ b/daemon/src/front/cdni/footprint.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 use std::net::Ipv4Addr;
 
-/// The type of the payload, which the specification does not define.
+/// The type of the payload of an advertisement. The specification does not define one.
 pub const PTYPE: &str = "fci-advertisement";
 
 /// An IPv4 network.
@@ -39,7 +39,8 @@
     }
 }
 
-/// Returns the footprint and capabilities of this CDN as a payload, which is empty while it can't serve.
+/// Returns the footprint and capabilities of this CDN as a payload. The payload is empty while this CDN can't serve
+/// requests.
 pub(super) fn advertisement(id: &Identity, ready: bool) -> Value {
     let networks: Vec<_> = id.footprint.iter().map(Network::to_string).collect();
     let footprints = json!([{"footprint-type": "ipv4cidr", "footprint-value": networks}]);
@@ -62,7 +63,7 @@
     Response::payload(200, PTYPE, &advertisement(id, ready))
 }
 
-/// Returns the networks to which a peer CDN delivers by HTTP. Footprints of unknown types are ignored.
+/// Returns the networks in a payload to which the peer CDN delivers by HTTP. Footprints of unknown types are ignored.
 pub(super) fn read(payload: &Value) -> Option<Vec<Network>> {
     let mut networks = Vec::new();
     for capability in payload["capabilities"].as_array()? {
--- a/daemon/src/front/cdni/mod.rs
+++ b/daemon/src/front/cdni/mod.rs
@@ -34,15 +34,15 @@
 /// A peer CDN.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerCdn {
-    /// Its CDN Provider ID.
+    /// The CDN Provider ID of the peer CDN.
     pub provider: String,
-    /// The address at which it receives messages.
+    /// The address at which the peer CDN receives messages.
     pub address: SocketAddr,
-    /// The path of its trigger interface.
+    /// The path of the trigger interface of the peer CDN.
     pub triggers: String,
-    /// The path at which it receives the footprint notices of this CDN.
+    /// The path at which the peer CDN receives the footprint notices of this CDN.
     pub notices: String,
-    /// The base of its content URLs, for clients in its footprint.
+    /// The base of the content URLs of the peer CDN, to which clients in its footprint are redirected.
     pub content: String,
 }
 
@@ -51,17 +51,17 @@
 pub struct Identity {
     /// The CDN Provider ID of this CDN.
     pub provider: String,
-    /// The base of the URLs of this CDN.
+    /// The base of the URLs of this CDN, such as scheme and host.
     pub base: String,
     /// The footprint of this CDN, as IPv4 networks.
     pub footprint: Vec<footprint::Network>,
     /// The peer CDNs.
     pub peers: Vec<PeerCdn>,
-    /// The classes whose objects may be requested here, with the deadlines of their requests.
+    /// The classes whose objects may be requested from this CDN, with the deadlines of their requests.
     pub classes: Vec<(String, Micros)>,
 }
 
-/// Whether the path of a payload already contains this CDN.
+/// Whether the list of CDNs that a message has passed (`cdn-path`) already contains this CDN.
 fn is_loop(cdn_path: &Value, own: &str) -> bool {
     cdn_path
         .as_array()
--- a/daemon/src/front/cdni/redirect.rs
+++ b/daemon/src/front/cdni/redirect.rs
@@ -8,9 +8,9 @@
 
 const PTYPE: &str = "redirection-response";
 
-/// Returns the response with the error of a redirection.
+/// Returns the response to a redirection request that failed with this error.
 pub(super) fn error(code: u16, reason: &str) -> Response {
-    // The HTTP status is 200, as the error is in the payload.
+    // The HTTP status is 200, because the payload contains the error.
     Response::payload(
         200,
         PTYPE,
@@ -22,12 +22,12 @@
 struct Target<'a> {
     /// The network of the footprint that contains the client.
     network: footprint::Network,
-    /// The base of the URL.
+    /// The base of the URL to which the client is redirected.
     base: &'a str,
 }
 
-/// Returns the target for a client: this CDN if it is ready and reaches the client, otherwise the first peer CDN
-/// outside the path that does.
+/// Returns the target for a client: this CDN if it is ready and its footprint contains the client, otherwise the first
+/// peer CDN whose footprint contains the client and that the request has not passed yet.
 fn target<'a>(
     id: &'a Identity,
     footprints: &[PeerFootprint],
@@ -123,8 +123,8 @@
     Ok(cdn_path)
 }
 
-/// Responds to a redirection request: redirects to this CDN if it reaches the client and is ready, otherwise to a peer
-/// CDN that advertises the client's network.
+/// Responds to a redirection request: redirects to this CDN if it is ready and its footprint contains the client,
+/// otherwise to a peer CDN that advertises the network of the client.
 pub(super) fn answer(
     id: &Identity,
     footprints: &[PeerFootprint],
--- a/daemon/src/front/cdni/response.rs
+++ b/daemon/src/front/cdni/response.rs
@@ -9,7 +9,7 @@
 pub struct Response {
     /// The status code.
     pub status: u16,
-    /// The headers, without those of the connection.
+    /// The headers, except those about the connection and the length of the body.
     pub headers: Vec<(&'static str, String)>,
     /// The body.
     pub body: Vec<u8>,
@@ -44,7 +44,8 @@
     }
 }
 
-/// Converts a final answer of the core to a response. `late` is whether a failed request had reached its deadline.
+/// Converts a final answer of the core to a response. `late` states whether the deadline of a failed request had been
+/// reached.
 pub fn response(answer: Answer, late: bool) -> Response {
     match answer {
         Answer::Served(Content::Object { bytes, tag }) => {
@@ -61,7 +62,7 @@
         }
         Answer::Served(Content::Unchanged) => Response::bare(304),
         Answer::Rejected { retry_after_us } => {
-            // The header has whole seconds.
+            // The header `Retry-After` is in whole seconds.
             let wait_s = retry_after_us.unwrap_or(0).div_ceil(1_000_000).max(1);
             Response::bare(503).with("Retry-After", wait_s.to_string())
         }
--- a/daemon/src/front/cdni/session.rs
+++ b/daemon/src/front/cdni/session.rs
@@ -15,8 +15,8 @@
     Commit,
 }
 
-/// A connection. Its requests are handled one at a time: the next one stays in the receive buffer until the response is
-/// written.
+/// A connection. Its requests are handled one at a time: the next request stays in the receive buffer until the
+/// response to the previous one is written.
 pub struct Session {
     messages: MessageParser,
     head: Option<Head>,
@@ -24,7 +24,7 @@
     keep_open: bool,
     /// The event that the response to the last request waits for.
     pub waiting: Option<Waiting>,
-    /// The deadline of the last request.
+    /// The deadline of the last request, if it was forwarded to the core.
     pub deadline: u64,
     out: Vec<u8>,
     /// The number of bytes of `out` that have been written.
@@ -86,7 +86,7 @@
         self.has_received_request
     }
 
-    /// Whether the connection is closing and nothing is open.
+    /// Whether the connection is closing, no request is open and no response is queued.
     pub fn is_finished(&self) -> bool {
         !self.keep_open && self.is_idle()
     }
@@ -141,13 +141,13 @@
         http::write_message(&mut self.out, &start, &headers, &response.body);
     }
 
-    /// Queues the last response of the connection, to malformed input.
+    /// Queues the response to malformed input, after which the connection closes.
     pub fn reject_unreadable(&mut self) {
         self.keep_open = false;
         self.respond(&Response::bare(400));
     }
 
-    /// Writes as much as fits into the buffer.
+    /// Writes as much of the queued response as fits into the buffer.
     pub fn write(&mut self, output: &mut RingBuffer) {
         self.written += output.push(&self.out[self.written..]);
         if self.written == self.out.len() {
--- a/daemon/src/front/cdni/triggers/command.rs
+++ b/daemon/src/front/cdni/triggers/command.rs
@@ -3,10 +3,10 @@
 use crate::front::cdni::content::{path_of, ContentPath};
 use serde_json::{Map, Value};
 
-/// The number of groups of objects.
+/// The number of groups of objects. Groups are numbered from 0.
 const GROUPS: u64 = 256;
 
-/// An object, or a group if there is no object, that a trigger names.
+/// An object, or a group if there is no object, that a trigger requests to purge.
 #[derive(Clone)]
 pub(super) struct PurgeTarget {
     pub(super) object: Option<String>,
@@ -17,7 +17,7 @@
 #[derive(Default)]
 pub(super) struct Plan {
     pub(super) purges: Vec<PurgeTarget>,
-    /// The selectors with their values that are not supported.
+    /// The selectors of the trigger that are not supported, with their values.
     pub(super) rejected: Map<String, Value>,
 }
 
@@ -31,7 +31,8 @@
             let target = match selector.as_str() {
                 "content.urls" => object_target(value.as_str()?),
                 "content.ccid" => group_target(value.as_str()?),
-                // Metadata is not cached, and patterns can't be matched, as objects are known only by their keys.
+                // Metadata is not cached. Patterns of URLs can't be matched, because objects are known only by their
+                // keys.
                 _ => None,
             };
             match target {
@@ -67,7 +68,7 @@
 /// The kind of a trigger.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Kind {
-    /// Purge or invalidate. Invalidated copies are never revalidated, so they are purged, which is stricter.
+    /// Purge or invalidate. Invalidation is executed as a purge, which is stricter, because copies are not revalidated.
     Purge,
     /// Prefetch content.
     Preposition,
@@ -100,7 +101,7 @@
     }
 }
 
-/// Returns an error with the code `ereject` for these selectors.
+/// Returns an error with the code `ereject` that lists these selectors.
 fn error_of(selectors: &Map<String, Value>, why: &str) -> Value {
     let mut error = selectors.clone();
     error.insert("error".to_owned(), "ereject".into());
--- a/daemon/src/front/cdni/triggers/forwarding.rs
+++ b/daemon/src/front/cdni/triggers/forwarding.rs
@@ -5,7 +5,7 @@
 
 const COMMAND: &str = "ci-trigger-command";
 
-/// Returns a purge command for every peer CDN that has not received it.
+/// Returns a purge command for every peer CDN that the command has not passed yet.
 pub(super) fn commands_to_peers(id: &Identity, spec: &Value, cdn_path: &[Value]) -> Vec<Post> {
     let mut path = cdn_path.to_vec();
     path.push(json!(id.provider));
@@ -23,7 +23,7 @@
     unseen.map(command).collect()
 }
 
-/// Returns the commands to all peer CDNs for a purge that none of them sent.
+/// Returns the commands that forward a purge to all peer CDNs. The purge must not have come from one of them.
 pub(in crate::front::cdni) fn purge_commands(
     id: &Identity,
     object: Option<&str>,
--- a/daemon/src/front/cdni/triggers/id.rs
+++ b/daemon/src/front/cdni/triggers/id.rs
@@ -2,17 +2,18 @@
 
 use std::fmt;
 
-/// The id of a trigger, unique in the installation: the proxy that created it, and its number there.
+/// The id of a trigger: the proxy that created it, and the number of the trigger at that proxy. It is unique among all
+/// proxies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TriggerId {
-    /// The proxy, by the hash of its name in its log; 0 if it has no log.
+    /// The hash that identifies the proxy as the writer of its log; 0 if the proxy has no log.
     pub writer: u64,
-    /// The number.
+    /// The number of the trigger among those of the proxy.
     pub number: u64,
 }
 
 impl TriggerId {
-    /// Parses an id as in URLs.
+    /// Parses an id in the form that is used in URLs.
     pub(super) fn read(text: &str) -> Option<Self> {
         match text.split_once('-') {
             None => Some(TriggerId {
@@ -21,7 +22,7 @@
             }),
             Some((writer, number)) => {
                 let hex = |text| u64::from_str_radix(text, 16).ok();
-                // An id has only one valid text.
+                // The text is rejected unless it is the canonical form, so that an id has only one URL.
                 Some(TriggerId {
                     writer: hex(writer)?,
                     number: hex(number)?,
--- a/daemon/src/front/cdni/triggers/mod.rs
+++ b/daemon/src/front/cdni/triggers/mod.rs
@@ -62,15 +62,15 @@
         format!("{}/cdni/triggers/{name}", id.base)
     }
 
-    /// Sets the id of the next trigger, unless a later one was set.
+    /// Sets the id of the next trigger, unless the current one is greater.
     pub(super) fn start_ids_at(&mut self, first: TriggerId) {
         self.next = first.max(self.next);
     }
 
-    /// Adds the status of a trigger of another proxy, or of an earlier process of this one. An incomplete status is
+    /// Adds the status of a trigger of another proxy, or of an earlier process of this proxy. An incomplete status is
     /// ignored.
     pub(super) fn insert(&mut self, now: u64, name: TriggerId, payload: &str) {
-        // The pieces of a status arrive one by one; this avoids parsing each prefix.
+        // The parts of a status arrive one by one. A text without the final brace is incomplete and need not be parsed.
         let complete = Some(payload).filter(|payload| payload.ends_with('}'));
         let trigger = complete
             .and_then(|payload| Trigger::read(now, payload))
@@ -86,7 +86,7 @@
         self.triggers.insert(name, trigger);
     }
 
-    /// Executes a command. A purge takes effect before the response is written.
+    /// Executes a command. The purges of a trigger take effect before the response is sent.
     pub(super) fn command(
         &mut self,
         id: &Identity,
@@ -101,7 +101,7 @@
             return Response::bare(403).into();
         }
         match (command["trigger"].as_object(), command["cancel"].as_array()) {
-            // Triggers are complete at once, so that a cancellation has no effect, which is not an error.
+            // Triggers are executed immediately, so a cancellation comes too late. That is not an error.
             (None, Some(urls)) if urls.iter().all(Value::is_string) => Response::bare(200).into(),
             (Some(spec), None) => self.make_trigger(id, now, spec, cdn_path, effects),
             _ => Response::bare(400).into(),
@@ -151,7 +151,8 @@
         let name = self.next;
         self.next.number += 1;
         self.triggers.insert(name, trigger);
-        // After the purges, so that a proxy with the complete status also has the purges.
+        // The status is appended after the purges, so that a proxy that has received the complete status also has the
+        // purges.
         effects.push(Effect::Status(name, payload.to_string()));
         CommandResult {
             response: response.with("Location", Self::url(id, name)),
@@ -192,7 +193,8 @@
         Response::payload(200, COLLECTION, &value)
     }
 
-    /// Returns or deletes the status of a trigger. The name may also be that of a collection.
+    /// Returns or deletes the status of a trigger. The name may also be that of a collection of triggers with one
+    /// status.
     pub(super) fn resource(
         &mut self,
         id: &Identity,
--- a/daemon/src/front/fastcgi/mod.rs
+++ b/daemon/src/front/fastcgi/mod.rs
@@ -1,4 +1,5 @@
-//! The front of the platform: converts FastCGI requests to those of the core, and its answers to CGI responses.
+//! The FastCGI front, for clients that are web servers: converts FastCGI requests to requests for the core, and the
+//! answers of the core to CGI responses.
 //!
 //! * `request`: the parameters of a request;
 //! * `session`, `records`: the state of a connection, and its received records;
@@ -13,19 +14,19 @@
 use crate::core::{ClientRequest, RequestKey};
 pub use session::Session;
 
-/// An input from a client.
+/// An input from a client that the event loop has to process.
 #[derive(Debug, PartialEq)]
 pub enum Input {
-    /// A request with this id, for which [`Session::admitted`] or a response must follow.
+    /// A request with its id on the connection. The event loop must call [`Session::admitted`] or queue a response.
     Request(u16, ClientRequest),
     /// The client has aborted this request.
     ClientGone(RequestKey),
-    /// A health check with this id, for which [`Session::answer_status`] must follow.
+    /// A health check with its id on the connection. The event loop must call [`Session::answer_status`].
     HealthCheck(u16),
 }
 
 impl Input {
-    /// Whether a response with this id must follow.
+    /// Whether the input requires a response with this id.
     fn is_for(&self, id: u16) -> bool {
         match self {
             Input::Request(own, _) | Input::HealthCheck(own) => *own == id,
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Whether a response must follow.
+    /// Whether the input requires a response.
     fn requires_response(&self) -> bool {
         !matches!(self, Input::ClientGone(_))
     }
--- a/daemon/src/front/fastcgi/output.rs
+++ b/daemon/src/front/fastcgi/output.rs
@@ -6,7 +6,8 @@
 
 /// The size of the records that end a stream and its request.
 const END_RECORDS_BYTES: usize = 2 * wire::HEADER_LENGTH + wire::END_LENGTH;
-/// The minimum content of a record other than the last, so that slow readers do not receive tiny records.
+/// The minimum content of a record, in bytes, except for the last record of a response. Prevents tiny records to slow
+/// readers.
 const MIN_RECORD_BYTES: usize = 1024;
 
 /// A queued message.
--- a/daemon/src/front/fastcgi/records.rs
+++ b/daemon/src/front/fastcgi/records.rs
@@ -62,7 +62,7 @@
         Ok(())
     }
 
-    /// Begins a request, or ends it at once if it can't be accepted.
+    /// Begins a request, or ends it immediately if it can't be accepted.
     fn begin(&mut self, record: &Record, limits: &Limits) -> Result<(), WireError> {
         let begin = wire::read_begin(&record.content)?;
         let keep_open = begin.flags & wire::KEEP_CONN != 0;
@@ -80,7 +80,7 @@
         Ok(())
     }
 
-    /// Processes a complete request. Returns its input, unless it was answered here.
+    /// Processes a complete request. Returns the input for the event loop, unless the request was answered immediately.
     fn complete(&mut self, id: u16, limits: &Limits) -> Result<Option<Input>, WireError> {
         let Some(Stream::Receiving(request)) = self.streams.remove(&id) else {
             return Ok(None);
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Ends an aborted request. Returns the input for the core, if the core has the request.
+    /// Ends an aborted request. Returns the input that cancels the request in the core, if the core has admitted it.
     fn abort(&mut self, id: u16) -> Option<Input> {
         let stream = self.streams.remove(&id)?;
         self.inputs.retain(|input| !input.is_for(id));
--- a/daemon/src/front/fastcgi/request.rs
+++ b/daemon/src/front/fastcgi/request.rs
@@ -42,8 +42,9 @@
         self.path().starts_with(CONTENT_PREFIX)
     }
 
-    /// Returns the request for the core. Invalid parameters are rejected, neither guessed nor passed on: caches close a
-    /// connection, with all its attempts, on malformed input, and the decision module learns from the values.
+    /// Returns the request for the core. Invalid parameters are rejected and not replaced by defaults: a cache that
+    /// receives malformed values closes the connection with all its attempts, and the decision module bases its
+    /// estimates on the values.
     ///
     /// # Errors
     /// Fails with the parameter that is missing or invalid.
@@ -80,7 +81,8 @@
             .filter(|value| !value.is_empty())
     }
 
-    /// Returns a value that must consist of `count` hexadecimal digits.
+    /// Returns the value of a parameter, which must consist of `count` hexadecimal digits; `None` if it is missing or
+    /// empty.
     fn digits(&self, name: &'static str, count: usize) -> Result<Option<String>, InvalidParameter> {
         match self.get(name) {
             Some(value) if !is_hex(value, count) => Err(InvalidParameter(name)),
@@ -88,12 +90,13 @@
         }
     }
 
-    /// Returns a required value with the number of hexadecimal digits of a key.
+    /// Returns the value of a required parameter, which must consist of `KEY_DIGITS` hexadecimal digits.
     fn required_digits(&self, name: &'static str) -> Result<String, InvalidParameter> {
         self.digits(name, KEY_DIGITS)?.ok_or(InvalidParameter(name))
     }
 
-    /// Returns a decimal value of up to `max`.
+    /// Returns the value of a parameter, which must be a decimal number of up to `max`; `None` if it is missing or
+    /// empty.
     fn number(&self, name: &'static str, max: u64) -> Result<Option<u64>, InvalidParameter> {
         let Some(value) = self.get(name) else {
             return Ok(None);
@@ -115,7 +118,7 @@
         }
     }
 
-    /// Returns the class, which is in the path.
+    /// Returns the name of the class, which is part of the path.
     fn class(&self) -> Result<String, InvalidParameter> {
         self.path()
             .strip_prefix(CONTENT_PREFIX)
--- a/daemon/src/front/fastcgi/session.rs
+++ b/daemon/src/front/fastcgi/session.rs
@@ -60,7 +60,7 @@
 pub struct Session {
     pub(super) records: RecordParser,
     pub(super) streams: HashMap<u16, Stream>,
-    /// The inputs that were not returned by `next_input` yet.
+    /// The inputs that `next_input` has not returned yet.
     pub(super) inputs: VecDeque<Input>,
     pub(super) output: Output,
     /// Whether any request has been received in full.
@@ -110,7 +110,7 @@
         self.has_received_request
     }
 
-    /// Whether the connection is closing and nothing is open.
+    /// Whether the connection is closing, no request is open and no response is queued.
     pub fn is_finished(&self) -> bool {
         self.closing && self.is_idle()
     }
@@ -130,8 +130,8 @@
         self.streams.values().any(Stream::is_waiting)
     }
 
-    /// Stops reading after malformed input. The connection closes once all requests that were complete before are
-    /// answered.
+    /// Stops reading after malformed input. The connection closes once all requests that had been received completely
+    /// are answered.
     pub fn stop_reading(&mut self) {
         self.is_input_malformed = true;
         self.closing = true;
@@ -181,8 +181,8 @@
         self.streams.values().filter_map(key).collect()
     }
 
-    /// Parses all received bytes. The inputs are returned by `next_input`, as a request may be aborted by a later
-    /// record before it is started.
+    /// Parses all received bytes. The resulting inputs are queued for `next_input` and not processed directly, because
+    /// a later record may abort a request before it is started.
     ///
     /// # Errors
     /// Fails on malformed input and if a limit is exceeded.
@@ -198,12 +198,12 @@
                 None => None,
             };
             match input {
-                // Placed first, so that aborted requests are cancelled before new ones start.
+                // Queued first, so that aborted requests are cancelled before new requests start.
                 Some(gone @ Input::ClientGone(_)) => self.inputs.push_front(gone),
                 Some(input) => self.inputs.push_back(input),
                 None => {}
             }
-            // Bounds the responses to a client that sends requests but reads no responses.
+            // Limits the queue for a client that sends requests but reads no responses.
             if self.output.len() > limits.max_pending_responses_per_client {
                 return Err(WireError::TooLong("the queue of unread responses"));
             }
--- a/daemon/src/front/mod.rs
+++ b/daemon/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! The fronts, each of which translates between a protocol and the requests and answers of the core.
+//! The fronts: each translates between a client protocol and the requests and answers of the core.
 
 pub mod cdni;
 pub mod fastcgi;
--- a/daemon/src/ledger/append.rs
+++ b/daemon/src/ledger/append.rs
@@ -5,7 +5,8 @@
 use linnetknot_replication::{split_status, Entry, Subject};
 
 impl Ledger {
-    /// Appends a purge and submits its write. Returns the entry, which must be sent to the peers.
+    /// Appends a purge and submits its write to the store. Returns the new entry, which the caller must send to the
+    /// peers.
     pub fn append_purge(
         &mut self,
         object: Option<&str>,
@@ -15,8 +16,8 @@
         self.append(purge_subject(object, group), at, false)
     }
 
-    /// Appends an entry on a subject as `append_purge` does. `revoked` marks an operators' decision that is no longer
-    /// in force.
+    /// Appends an entry on any subject, as `append_purge` does for purges. `revoked` marks an operators' decision that
+    /// is no longer in force.
     pub fn append(
         &mut self,
         subject: Subject,
@@ -34,7 +35,8 @@
         Ok(entry)
     }
 
-    /// Appends the status of a trigger of this proxy as `append_purge` does, in as many entries as its text requires.
+    /// Appends the status of a trigger of this proxy, as `append_purge` does for purges. A long text is split over
+    /// several entries.
     pub fn append_status(
         &mut self,
         number: u64,
@@ -71,18 +73,20 @@
             .collect()
     }
 
-    /// Returns a number for the next trigger of this proxy that none of its processes has used. It is at least the
-    /// incarnation of this process, a time in microseconds, and so exceeds the numbers of earlier processes whose
-    /// entries are unknown here.
+    /// Returns a number for the next trigger of this proxy that none of its processes has used. The number is at least
+    /// the incarnation of this process, which is a time in microseconds. It therefore exceeds the numbers used by
+    /// earlier processes, even if their entries are missing in this store.
     pub fn first_trigger_number(&self) -> u64 {
         let own = self.replica.own_log().writer;
-        // Deleted triggers count as well, since their numbers are known to be deleted.
+        // The numbers of deleted triggers are not reused, because peers would treat a new trigger with such a number as
+        // deleted.
         let last = self.replica.log_store().last_trigger_number(own);
         let next = last.map_or(0, |number| number + 1);
         next.max(self.identity.incarnation)
     }
 
-    /// Appends a purge that a peer without logs sent, unless an equal or later one is known.
+    /// Appends a purge from a peer that does not replicate logs, unless a purge of the same subject with an equal or
+    /// later time is known.
     pub fn append_if_newer(
         &mut self,
         object: Option<&str>,
--- a/daemon/src/ledger/codec.rs
+++ b/daemon/src/ledger/codec.rs
@@ -1,15 +1,15 @@
-//! The encoding of log entries in the store. A key holds the log and the subject, so that a later entry on the same
-//! subject replaces the earlier one; the value holds the index and the time.
+//! The encoding of log entries in the store. A key contains the log and the subject, so that a later entry on the same
+//! subject replaces the earlier one. The value contains the index and the time.
 
 use linnetknot_replication::{Entry, LogId, Subject};
 use linnetknot_store::{KeyValue, Keyspace, StoreError, Write};
 
-/// The keyspace of the entries in force.
+/// The keyspace of the log entries in force, that is, not superseded or compacted.
 pub(super) const ENTRIES: Keyspace = Keyspace("entries");
 
-/// The length of a key's writer and epoch, which precede the kind of the subject.
+/// The combined length of writer and epoch at the start of a key, before the kind of the subject.
 const LOG_BYTES: usize = 16;
-/// The length of a value's index and time.
+/// The combined length of index and time at the start of a value.
 const VALUE_BYTES: usize = 16;
 
 /// The initial capacity of a key.
@@ -70,13 +70,14 @@
     Write::put(ENTRIES, key(entry), value(entry))
 }
 
-/// Returns the write that removes an entry, unless a later entry on the same subject has replaced it under the same
-/// key.
+/// Returns the write that removes an entry. The write has no effect if a later entry on the same subject has replaced
+/// the entry under the same key.
 pub(super) fn remove(entry: &Entry) -> Write {
     Write::remove_if(ENTRIES, key(entry), value(entry))
 }
 
-/// Decodes an entry. The index of its predecessor is not stored, as it follows from the other entries.
+/// Decodes an entry. The index of the preceding entry is not stored, because it can be derived from the other entries
+/// of the log.
 fn read(KeyValue { key, value }: &KeyValue) -> Option<Entry> {
     let log = LogId::new(number(key.get(..8)?)?, number(key.get(8..LOG_BYTES)?)?);
     let subject = subject(*key.get(LOG_BYTES)?, key.get(LOG_BYTES + 1..)?, value)?;
--- a/daemon/src/ledger/compaction.rs
+++ b/daemon/src/ledger/compaction.rs
@@ -1,10 +1,11 @@
-//! Writes compactions to the store in stages: the header of the table, the buckets, the markers of the logs, and then
-//! the removal of the entries that were moved to the buckets. A stage begins once all writes of the previous stage are
-//! synced, so that each purge is always on the disk as an entry or in a bucket.
+//! Writes compactions to the store in stages: the header of the compact table, the buckets, the markers of the logs
+//! (the index through which each log is compacted), and then the removal of the entries that were moved to the buckets.
+//! A stage begins once all writes of the previous stage are synced, so that each purge is always on the disk, either as
+//! an entry or in a bucket.
 //!
-//! Writes are submitted as the queue of the worker has capacity, and a failed write is submitted again in its stage. A
-//! bucket is encoded when it is submitted, so that an older state never overwrites a newer one. Compactions that are
-//! added while a step is being written form the next step.
+//! Writes are submitted while the queue of the worker has capacity. A failed write is submitted again in the same
+//! stage. A bucket is encoded when its write is submitted, so that an older state never overwrites a newer one. The
+//! compactions that are written together form a step; those that are added meanwhile form the next step.
 
 use super::table;
 use linnetknot_purges::{BucketBits, BucketIndex, CompactTable};
@@ -12,10 +13,10 @@
 use linnetknot_store::{Completion, StoreWorker, Write, WriteId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The subject of a write.
+/// What a write stores or removes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Item {
-    /// A write of the store's format or of the header of the table.
+    /// The header of the table or the format of the store.
     Header(Write),
     Bucket(BucketIndex),
     Marker(CompactedLog),
@@ -40,7 +41,7 @@
     buckets: BTreeSet<BucketIndex>,
     markers: BTreeMap<LogId, Index>,
     entries: Vec<Entry>,
-    /// Logs that a snapshot of a peer advanced. The replica is notified once their markers are synced.
+    /// Logs whose markers were advanced by a snapshot of a peer. The replica is notified once these markers are synced.
     snapshots: Vec<CompactedLog>,
 }
 
@@ -55,14 +56,14 @@
     }
 }
 
-/// A submitted write.
+/// A write that was submitted and has not completed.
 #[derive(Debug)]
 struct InFlight {
     write: WriteId,
     item: Item,
 }
 
-/// The compactions that are not synced, and the stage of their writes.
+/// Writes compactions to the store. Holds the compactions that are not synced and the stage of their writes.
 #[derive(Debug, Default)]
 pub(super) struct CompactionWriter {
     stage: Stage,
@@ -79,7 +80,8 @@
     is_failing: bool,
 }
 
-/// A fault for tests: entries are removed before their buckets are synced. Always false without the feature `points`.
+/// Fault injection: whether entries are removed before their buckets are synced. Always false without the feature
+/// `points`.
 fn removes_early() -> bool {
     fail::fail_point!("plant-early-removal", |_| true);
     false
@@ -99,7 +101,7 @@
         self.stage == Stage::Idle && self.next.is_empty()
     }
 
-    /// Adds a compaction of the logs of this replica.
+    /// Adds a compaction that the replica of this process has made.
     pub(super) fn add(&mut self, compaction: Compaction) {
         self.next.buckets.extend(compaction.buckets);
         compaction
@@ -109,12 +111,13 @@
         self.next.entries.extend(compaction.entries);
     }
 
-    /// Adds a bucket that was merged with one of a peer.
+    /// Adds a bucket into which a bucket of a peer was merged.
     pub(super) fn add_bucket(&mut self, index: BucketIndex) {
         self.next.buckets.insert(index);
     }
 
-    /// Adds a log that a snapshot of a peer advanced. Must be called after all buckets of the snapshot were added.
+    /// Adds a log whose marker was advanced by a snapshot of a peer. Must be called after all buckets of the snapshot
+    /// were added.
     pub(super) fn add_snapshot(&mut self, marker: CompactedLog) {
         self.next.add_marker(marker);
         self.next.snapshots.push(marker);
@@ -125,8 +128,8 @@
         self.is_failing = false;
     }
 
-    /// Submits writes while the queue has more capacity than `reserve`, which is kept for entries. Returns the logs of
-    /// snapshots that have been synced.
+    /// Submits writes while the queue has more capacity than `reserve`, which is reserved for log entries. Returns the
+    /// logs whose markers from snapshots are now synced.
     pub(super) fn submit(
         &mut self,
         worker: &mut StoreWorker,
@@ -198,7 +201,7 @@
         }
     }
 
-    /// Takes the items of the current stage out of the step.
+    /// Moves the items of the current stage out of the step.
     fn take_items(&mut self, bucket_bits: BucketBits) -> VecDeque<Item> {
         let step = &mut self.step;
         match self.stage {
--- a/daemon/src/ledger/error.rs
+++ b/daemon/src/ledger/error.rs
@@ -31,7 +31,7 @@
     /// The worker thread of the store has ended unexpectedly.
     #[error("store: the worker thread has ended")]
     WorkerEnded,
-    /// The process ends before all entries are durable.
+    /// The ledger was closed before all log entries were synced.
     #[error("store: closed before all log entries were synced")]
     Unsynced,
     /// The purges of an earlier version's file exceed the capacity of the log.
@@ -40,7 +40,7 @@
 }
 
 impl LedgerError {
-    /// Whether the error may resolve without a change of the deployment, as that of a full or failing disk.
+    /// Whether the error may disappear without a change of the deployment, such as the error of a full disk.
     pub fn is_transient(&self) -> bool {
         match self {
             LedgerError::Store(fault) => fault.is_transient(),
--- a/daemon/src/ledger/identity.rs
+++ b/daemon/src/ledger/identity.rs
@@ -4,16 +4,16 @@
 use linnetknot_replication::Epoch;
 use linnetknot_store::{Keyspace, Store, StoreError, Write};
 
-/// The keyspace of the identity. The names of its keys are those of released versions.
+/// The keyspace of the identity. Its key names must not change, because released versions use them.
 const OWN: Keyspace = Keyspace("own");
 /// The key of the epoch of this writer's log.
 const EPOCH: &[u8] = b"life";
-/// The key that is present while the store is closed cleanly, so that the log may be continued in its epoch.
+/// The key that marks a cleanly closed store. Only then may the next process continue the log in the same epoch.
 const CLOSED: &[u8] = b"closed";
-/// The key of the incarnation among the members, which grows with every start even if the clock does not.
+/// The key of the incarnation among the members, which increases with every start even if the clock was set back.
 const INCARNATION: &[u8] = b"member";
 
-/// The identity of this process, derived from that of the previous process.
+/// The identity of this process, derived from the stored identity of the previous process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Identity {
     /// Whether the store was created by this process.
@@ -36,15 +36,15 @@
 
     /// Derives the identity of this process from the stored one.
     ///
-    /// The log is continued in the stored epoch only if the store was closed cleanly. After a crash its last entries
-    /// may be missing here although peers have them, and an index must never be assigned twice. Entries of the old
-    /// epoch remain valid. The epoch of an earlier version's file is not continued either, as the file may be imported
-    /// again if the store is lost.
+    /// The log is continued in the stored epoch only if the store was closed cleanly. After a crash, the last entries
+    /// may be missing in the store although peers have them, and an index must never be assigned twice. Entries of the
+    /// old epoch remain valid. The epoch of an imported file of an earlier version is not continued either, because the
+    /// file may be imported again if the store is lost.
     pub(super) fn load(store: &mut Store, now: Micros) -> Result<Self, StoreError> {
         let is_closed = store.get(OWN, CLOSED)?.is_some();
         let known = number(store, EPOCH)?;
-        // Epochs grow even if the clock was set back, as the latest decision of the operators is that of the greatest
-        // epoch (`LogStore::decisions`).
+        // The epoch must increase even if the clock was set back, because `LogStore::decisions` takes the decision of
+        // the greatest epoch as the latest.
         let next_epoch = known.map_or(now, |before| now.max(before + 1));
         let incarnation = number(store, INCARNATION)?.map_or(0, |before| before + 1);
         Ok(Identity {
--- a/daemon/src/ledger/in_flight.rs
+++ b/daemon/src/ledger/in_flight.rs
@@ -14,12 +14,12 @@
     pub(super) index: Index,
 }
 
-/// The submitted entries, in the order of their writes.
+/// The submitted entries that are not known to be durable, in the order of their writes.
 #[derive(Debug, Default)]
 pub(super) struct InFlightEntries(VecDeque<InFlightEntry>);
 
 impl InFlightEntries {
-    /// Adds an entry, whose write was submitted after all others.
+    /// Adds an entry. Its write must have been submitted after those of all earlier entries.
     pub(super) fn push(&mut self, write: WriteId, entry: &Entry) {
         self.0.push_back(InFlightEntry {
             write,
@@ -28,7 +28,7 @@
         });
     }
 
-    /// Removes and returns all entries through a write, oldest first.
+    /// Removes and returns all entries whose writes were submitted up to and including `through`, oldest first.
     pub(super) fn take_through(&mut self, through: WriteId) -> Vec<InFlightEntry> {
         let completed = self.0.partition_point(|entry| entry.write <= through);
         self.0.drain(..completed).collect()
--- a/daemon/src/ledger/legacy.rs
+++ b/daemon/src/ledger/legacy.rs
@@ -8,7 +8,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The prefixes of the files of earlier versions.
+/// The prefixes by which files of earlier versions are recognized.
 const MAGICS: [&[u8]; 3] = [b"life ", b"copies1", b"purge "];
 /// The length of the longest prefix.
 const MAX_MAGIC_BYTES: u64 = 8;
@@ -18,7 +18,7 @@
 pub(super) struct LegacyFile {
     /// Log entries.
     pub(super) entries: Vec<Entry>,
-    /// Purges without a log, as the first version wrote them.
+    /// Purges that belong to no log, as stored by the first version.
     pub(super) purges: Vec<Purge>,
 }
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// Renames a file of an earlier version and returns the new path; `None` if there is no such file.
+/// Renames the file if it was written by an earlier version, and returns the new path; `None` if there is no such file.
 pub(super) fn rename_legacy(path: &Path) -> Result<Option<PathBuf>, LedgerError> {
     let error = |source| LedgerError::Legacy {
         path: path.to_owned(),
@@ -81,8 +81,8 @@
     Ok(renamed.exists().then_some(renamed))
 }
 
-/// Whether an earlier version wrote a file with this prefix. An empty file is also of an earlier version, as the store
-/// never leaves one.
+/// Whether a file that starts with these bytes was written by an earlier version. An empty file also was, because the
+/// store never leaves an empty file.
 fn is_legacy(first: &[u8]) -> bool {
     first.is_empty() || MAGICS.iter().any(|magic| first.starts_with(magic))
 }
--- a/daemon/src/ledger/mod.rs
+++ b/daemon/src/ledger/mod.rs
@@ -1,11 +1,11 @@
 //! The durable log of purges, operators' decisions and trigger statuses: a replica of the logs of all proxies
 //! (`linnetknot_replication`) on a store that a worker thread writes (`linnetknot_store`).
 //!
-//! Peer CDNs send a purge to only one proxy, and the pop caches are not notified of it. A proxy must therefore know its
-//! purges after a restart, and obtain from its peers those that it missed while it was down.
+//! Peer CDNs send a purge to only one proxy, and pop caches are not notified of purges. A proxy must therefore remember
+//! its purges across restarts, and obtain from its peers the purges that it missed while it was down.
 //!
-//! Up to a bound, purges are stored as single entries. Older ones are moved to a compact table of fixed size, in memory
-//! by the replica (`Replica::compact`) and on the disk by `compaction`.
+//! Up to a maximum number, purges are stored as single entries. When it is exceeded, the oldest purges are moved to a
+//! compact table of fixed size, in memory by the replica (`Replica::compact`) and on the disk by `compaction`.
 
 mod append;
 mod codec;
@@ -32,13 +32,14 @@
 
 pub use error::{AppendError, LedgerError};
 
-/// The interval of the search for expired entries, which visits all entries.
+/// The interval between searches for expired entries. It is long because a search visits all entries.
 const EXPIRE_PERIOD_US: Micros = 60_000_000;
 
-/// The limits of a ledger.
+/// The limits of a ledger: how many entries the logs retain, how many writes may be queued, and how large the compact
+/// table is.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// The options of the logs.
+    /// The options of the replicated logs, such as the maximum number of entries.
     pub replication: Options,
     /// The maximum number of writes pending at the store's worker.
     pub queue: usize,
@@ -65,7 +66,7 @@
     identity: Identity,
     in_flight: InFlightEntries,
     compaction: CompactionWriter,
-    /// The capacity of the worker's queue that compaction leaves to entries.
+    /// The part of the queue of the worker that compaction must leave free for log entries.
     reserve: usize,
     /// The time of the next search for expired entries.
     next_expiry: Micros,
@@ -90,7 +91,8 @@
     }
 }
 
-/// A fault for rehearsals: gaps before a received entry are skipped. Always false without the feature `points`.
+/// Fault injection: whether gaps before a received entry are skipped, so that missing entries are not requested. Always
+/// false without the feature `points`.
 fn skips_missing() -> bool {
     fail::fail_point!("plant-skip", |_| true);
     false
@@ -107,7 +109,8 @@
         self.worker.as_ref().map_or(0, StoreWorker::capacity)
     }
 
-    /// Returns the purges that are single entries in any log. If several logs have the same purge, the latest counts.
+    /// Returns the purges that are single entries in any log. Of several purges of the same subject, only the latest is
+    /// returned.
     pub fn purges(&self) -> Vec<Purge> {
         self.replica
             .log_store()
@@ -132,17 +135,20 @@
         self.identity.incarnation
     }
 
-    /// Raises the incarnation of this process, as a peer knows an earlier process that the store does not know.
+    /// Raises the incarnation of this process, after a peer has reported an earlier process that is missing in the
+    /// store.
     pub fn raise_incarnation(&mut self, incarnation: Epoch) {
         self.identity.incarnation = incarnation;
         self.replica.set_process(incarnation);
-        // If the queue is full, the next process on this store gets the incarnation from the peers, as this one did.
+        // If the queue is full, the incarnation is not stored. The next process then learns it from the peers, as this
+        // one did.
         if let Some(worker) = &mut self.worker {
             worker.submit(identity::put_incarnation(incarnation));
         }
     }
 
-    /// Whether the store was empty at the start, so that only the peers have the earlier commits of this proxy.
+    /// Whether the store was empty at the start. Entries that this proxy committed earlier then exist only at the
+    /// peers.
     pub fn is_fresh(&self) -> bool {
         self.identity.is_fresh
     }
@@ -164,7 +170,7 @@
         self.replica.set_peers(own, machines);
     }
 
-    /// Submits an entry to the worker. If the queue is full, the entry is written later, as after a failed write.
+    /// Submits an entry to the worker. If the queue is full, the write counts as failed and is retried later.
     fn write(&mut self, entry: &Entry) {
         let worker = self.worker.as_mut();
         match worker.and_then(|worker| worker.submit(codec::put(entry))) {
@@ -209,10 +215,11 @@
         received
     }
 
-    /// Moves the oldest purges to the table if there are too many, and submits writes of compactions. Returns the
-    /// datagrams for peers.
+    /// Moves the oldest purges to the compact table if there are too many single entries, and submits the writes of
+    /// compactions. Returns the datagrams for peers.
     fn compact(&mut self, now: Micros) -> Vec<Outgoing> {
-        // A compaction is synced before the next one begins, so that entries do not leave memory faster than the disk.
+        // A compaction is synced before the next one begins. Entries are otherwise removed from memory faster than from
+        // the disk.
         if self.compaction.is_idle() {
             if let Some(compaction) = self.replica.compact(now) {
                 log::debug!(entries = compaction.entries.len(), buckets = compaction.buckets.len(); "purges compacted");
@@ -274,7 +281,8 @@
         outgoing
     }
 
-    /// Removes expired entries. If the queue is full, the next process removes them.
+    /// Removes expired entries from memory and from the store. Those whose removal does not fit into the queue are
+    /// removed from the store by the next process.
     fn remove_expired(&mut self, now: Micros) {
         for entry in self.replica.expire(now) {
             if let Some(worker) = &mut self.worker {
--- a/daemon/src/ledger/opening.rs
+++ b/daemon/src/ledger/opening.rs
@@ -13,10 +13,11 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-/// The part of the worker's queue that compaction leaves to entries is 1 / `RESERVE_DIVISOR`.
+/// The queue capacity of the worker is divided by this to get the part that compaction leaves free for log entries.
 const RESERVE_DIVISOR: usize = 2;
 
-/// Appends purges without a log to the log of this writer. Returns their writes.
+/// Appends imported purges that belong to no log to the log of this writer. Returns the writes that store the new
+/// entries.
 fn import_purges(
     store: &mut LogStore,
     own: LogId,
@@ -60,8 +61,8 @@
         Self::open_on(Store::open(path)?, legacy, writer, now, bounds, wake)
     }
 
-    /// Does the same as `open` with an open store and, if there is one, the renamed file of an earlier version. For
-    /// tests.
+    /// Does the same as `open`, but with a store that is already open and, if there is one, the renamed file of an
+    /// earlier version. For tests.
     #[doc(hidden)]
     pub fn open_on(
         mut store: Store,
--- a/daemon/src/ledger/table.rs
+++ b/daemon/src/ledger/table.rs
@@ -1,5 +1,5 @@
-//! The encoding of the compact table of older purges in the store: its size, its buckets, and for each log the index
-//! through which it is compacted (its marker).
+//! The encoding of the compact table of older purges in the store: its header with the size, its buckets, and a marker
+//! for each log (the index through which the log is compacted).
 
 use super::error::LedgerError;
 use linnetknot_purges::{Bucket, BucketBits, BucketIndex, CompactTable};
@@ -16,20 +16,20 @@
 /// The key of the header: the form of the three keyspaces and the binary logarithm of the number of buckets, one byte
 /// each.
 const HEADER: &[u8] = b"header";
-/// The form that this version reads and writes.
+/// The version of the encoding that this program reads and writes.
 const FORM: u8 = 1;
 
 /// The stored table and markers.
 #[derive(Debug)]
 pub(super) struct StoredTable {
-    /// The table in the configured size.
+    /// The table, converted to the configured size.
     pub(super) table: CompactTable,
     /// The markers of the logs.
     pub(super) markers: Vec<CompactedLog>,
     /// The writes that resize the stored table. They must be committed as one group, so that a crash leaves the table
     /// in one size or the other.
     pub(super) resize: Vec<Write>,
-    /// Whether the store has the header, and with it a format that older versions do not open.
+    /// Whether the store contains the header. Older versions of the program refuse to open such a store.
     pub(super) has_header: bool,
 }
 
@@ -82,7 +82,8 @@
     }
 }
 
-/// Returns the writes that create a table. Versions without the table do not open the store afterwards.
+/// Returns the writes that create a table. Versions of the program without the table refuse to open the store
+/// afterwards.
 pub(super) fn create(bucket_bits: BucketBits) -> [Write; 2] {
     [Format::Compacted.write(), put_header(bucket_bits)]
 }
--- a/daemon/src/limits/machine.rs
+++ b/daemon/src/limits/machine.rs
@@ -2,7 +2,7 @@
 
 use super::Limits;
 
-/// The minimum memory that is assumed.
+/// The memory that is assumed for a machine that states less.
 const MIN_MEMORY_MB: usize = 16;
 const MIN_MEMORY_BYTES: usize = MIN_MEMORY_MB << 20;
 /// The memory reserved for each open request.
@@ -10,19 +10,19 @@
 /// The maximum number of open requests, regardless of the memory.
 const MAX_REQUESTS: usize = 8192;
 
-/// Descriptors for other uses than connections to clients and cache servers, such as listeners and files.
+/// The number of descriptors that are reserved for listeners, files and other uses than connections.
 const OTHER_DESCRIPTORS: usize = 24;
-/// The number of connections to cache servers and the bus on the smallest machine.
+/// The minimum number of connections for purposes other than clients: cache servers, the event bus and so on.
 const MIN_OTHER_CONNECTIONS: usize = 16;
-/// From `MIN_USUAL_DESCRIPTORS` descriptors on, `NON_CLIENT_DESCRIPTORS` of them are reserved for other uses than
-/// clients.
+/// If there are at least `MIN_USUAL_DESCRIPTORS` descriptors, `NON_CLIENT_DESCRIPTORS` of them are reserved for uses
+/// other than client connections.
 const MIN_USUAL_DESCRIPTORS: usize = 64;
 const NON_CLIENT_DESCRIPTORS: usize = 40;
 /// The range of `reserved_connections`.
 const MIN_RESERVED_CONNECTIONS: usize = 2;
 const MAX_RESERVED_CONNECTIONS: usize = 24;
 
-/// The limits of the smallest machine, most of which apply to all machines.
+/// The limits of the smallest machine. Most of them apply to all machines; the others are raised by `for_machine`.
 const BASE_LIMITS: Limits = Limits {
     // Descriptors and connections.
     max_descriptors: 1,
@@ -130,7 +130,7 @@
 
     /// Sets the limits that depend on the number of descriptors.
     fn set_connection_limits(&mut self, descriptors: usize) {
-        // The rest is for cache servers, the bus and the process itself.
+        // The remaining descriptors are for cache servers, the event bus and files.
         let share = (descriptors * 3 / 5).max(1);
         self.max_descriptors = descriptors;
         self.max_client_connections = if descriptors >= MIN_USUAL_DESCRIPTORS {
--- a/daemon/src/limits/mod.rs
+++ b/daemon/src/limits/mod.rs
@@ -1,4 +1,4 @@
-//! All sizes, counts and times that limit the daemon, set at the start.
+//! All sizes, counts and times that limit the daemon. They are set at the start.
 
 mod machine;
 
@@ -12,56 +12,59 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     // Descriptors and connections.
-    /// File descriptors of the process.
+    /// The maximum number of file descriptors of the process.
     pub max_descriptors: usize,
     /// Client connections.
     pub max_client_connections: usize,
-    /// All connections: clients, cache servers, the bus and others.
+    /// The maximum number of all connections: to clients, cache servers, the event bus and others.
     pub max_connections: usize,
-    /// Connections that may not be used for cache servers, but for the endpoint list and the operators.
+    /// The number of connections that are reserved for the sources of the endpoint list and for operators, and not used
+    /// for cache servers.
     pub reserved_connections: usize,
-    /// The pause before accepting again once no descriptor was free.
+    /// The pause before accepting again after no descriptor was free.
     pub accept_backoff_us: u64,
 
     // Requests.
-    /// Open requests.
+    /// The maximum number of open requests.
     pub max_requests: usize,
-    /// Open requests on one client connection.
+    /// The maximum number of open requests on one client connection.
     pub max_requests_per_client: usize,
-    /// The same while at least half of the request table is in use.
+    /// The maximum number of open requests on one client connection while at least half of the request table is in use.
     pub max_requests_per_client_under_load: usize,
-    /// Responses, regardless of their size, that are queued on one client connection.
+    /// The maximum number of responses, regardless of their size, that are queued on one client connection.
     pub max_pending_responses_per_client: usize,
-    /// Reads of a client connection before its requests are processed, so that the close of a client that sent a lot
-    /// and closed is seen first.
+    /// The maximum number of reads from a client connection before its requests are processed. Several reads allow the
+    /// proxy to detect that the client has closed the connection before its requests are started.
     pub max_reads_per_client: usize,
-    /// Bytes of the parameters of a request.
+    /// The maximum number of bytes of the parameters of a request.
     pub max_params_bytes: usize,
-    /// Bytes of the bodies of all open requests, and as many of incomplete requests.
+    /// The maximum number of bytes of the bodies of all open requests. The same limit applies separately to the
+    /// buffered bytes of all incomplete requests.
     pub max_total_body_bytes: usize,
-    /// Bytes of the body of a request.
+    /// The maximum number of bytes of the body of a request.
     pub max_body_bytes: usize,
-    /// The longest time that a client may state as its budget.
+    /// The longest time budget that a client may state in a request.
     pub max_request_budget_us: u64,
     /// The highest part number of an object.
     pub max_part: u64,
     /// The largest size of a part that a client may state, in KB.
     pub max_size_kb: f64,
-    /// Bytes of the body of a response.
+    /// The maximum number of bytes of the body of a response.
     pub max_object_bytes: usize,
-    /// Bytes of all queued responses.
+    /// The maximum number of bytes of all queued responses. New requests are rejected while it is exceeded.
     pub max_pending_response_bytes: usize,
-    /// The time before the deadline of the client at which the final response is sent, for its transfer.
+    /// How long before the deadline of the client the final response is sent at the latest. The time is reserved for
+    /// the transfer of the response.
     pub response_margin_us: u64,
     /// The Retry-After of requests that are rejected because the request table is full.
     pub overload_retry_after_us: u64,
 
     // Buffers.
-    /// Bytes of the receive buffer of a connection.
+    /// The size of the receive buffer of a connection, in bytes.
     pub input_buffer_bytes: usize,
-    /// Bytes of the send buffer of a connection.
+    /// The size of the send buffer of a connection, in bytes.
     pub output_buffer_bytes: usize,
-    /// Bytes of one line or event of text.
+    /// The maximum number of bytes of a line of HTTP or an event of the bus.
     pub max_line_bytes: usize,
 
     // Client connections.
@@ -69,59 +72,60 @@
     pub partial_request_timeout_us: u64,
     /// The time after which an idle client connection is closed. Usual clients close theirs earlier.
     pub client_idle_timeout_us: u64,
-    /// The time for which a connection that was closed here stays open for its client to read the rest.
+    /// The maximum time for which a half-closed connection is kept so that the client can read the remaining responses.
     pub client_linger_timeout_us: u64,
-    /// The time after which a client is disconnected that reads none of its responses.
+    /// The time after which a client that reads none of its responses is disconnected.
     pub client_write_timeout_us: u64,
-    /// The interval at which a client connection is checked.
+    /// The interval at which the timeouts of a client connection are checked.
     pub client_check_interval_us: u64,
-    /// The time after a change of state for which a client connection is not closed in favor of another.
+    /// The time after a change of its state during which a client connection is not evicted in favor of a new one.
     pub client_eviction_grace_us: u64,
 
     // Connections to cache servers.
-    /// Connections to one cache server.
+    /// The maximum number of connections to one cache server.
     pub max_connections_per_cache: usize,
-    /// The number of attempts on the least used connection to a cache server from which a further connection is opened.
+    /// A further connection to a cache server is opened if each existing one has at least this number of attempts.
     pub attempts_before_new_connection: usize,
-    /// Attempts on one connection to a cache server.
+    /// The maximum number of attempts on one connection to a cache server.
     pub max_attempts_per_connection: usize,
-    /// Connections to one cache server that are being established.
+    /// The maximum number of connections to one cache server that are being established.
     pub max_connects_per_cache: usize,
-    /// The idle time after which a connection to a cache server is no longer used, as the server may be closing it; 0
-    /// for no limit.
+    /// The idle time after which a connection to a cache server is no longer used, because the server may be closing
+    /// the connection; 0 for no limit.
     pub cache_idle_timeout_us: u64,
-    /// The time within which a connection must be established. An attempt that waits for one to a cache server is then
-    /// made elsewhere.
+    /// The time within which a connection must be established. After it, attempts that wait for a connection to a cache
+    /// server are sent to another cache server.
     pub connect_timeout_us: u64,
-    /// The time after which a connection to a cache server that is not established is closed.
+    /// The time after which a connection to a cache server is closed if it is still not established.
     pub connect_abort_us: u64,
-    /// The time after the abort of an attempt was written at which the attempt has ended, for the transfer of the
-    /// abort.
+    /// The assumed transfer time of an abort. An aborted attempt counts as ended this long after its abort was written.
     pub abort_transit_us: u64,
     /// The time without further bytes after which a partial response of a cache server counts as truncated.
     pub response_stall_timeout_us: u64,
-    /// The time after which a partial response of a cache server counts as truncated even if bytes arrive, as no client
-    /// waits longer.
+    /// The time after which a partial response of a cache server counts as truncated even if bytes still arrive. No
+    /// client waits longer than this.
     pub response_timeout_us: u64,
     /// The time for which the ids of aborted and answered attempts are kept on a connection.
     pub finished_stream_retention_us: u64,
-    /// The silence after which a connection to a cache server with attempts in flight is suspected to be dead.
+    /// The time without received bytes after which a connection to a cache server with attempts in flight is suspected
+    /// to be dead.
     pub suspect_timeout_us: u64,
-    /// The time after which a connection to a cache server is closed that accepts none of the bytes to write.
+    /// The time after which a connection to a cache server is closed if it accepts no bytes although some are to be
+    /// written.
     pub write_stall_timeout_us: u64,
 
     // The endpoint list and the event bus.
-    /// Bytes of a cached snapshot of the endpoint list.
+    /// The maximum size of a cached snapshot of the endpoint list, in bytes.
     pub max_cached_list_bytes: usize,
-    /// Cache servers that all sources may list together.
+    /// The maximum number of cache servers that all sources together may list.
     pub max_caches: usize,
-    /// Cache servers that are gone and whose flaps still count.
+    /// The maximum number of cache servers that have left the list but are remembered for flap damping.
     pub max_remembered_caches: usize,
     /// The delay after which a changed endpoint list is stored, so that several changes are stored once.
     pub list_store_delay_us: u64,
-    /// The interval at which an unchanged endpoint list is stored, which updates its time.
+    /// The interval at which an unchanged endpoint list is stored again to update its timestamp.
     pub list_store_interval_us: u64,
-    /// The silence after which the connection to the event bus is replaced.
+    /// The time without received bytes after which the connection to the event bus is replaced.
     pub bus_read_timeout_us: u64,
     /// The first backoff before reconnecting to the event bus.
     pub bus_min_backoff_us: u64,
@@ -129,67 +133,73 @@
     pub bus_max_backoff_us: u64,
 
     // Purges, their logs and the store.
-    /// Purges that the replicated logs hold as single entries. Older ones are in the compact table.
+    /// The maximum number of purges that the replicated logs hold as single entries. When it is exceeded, the oldest
+    /// are moved to the compact table.
     pub max_exact_purges: usize,
-    /// Entries with trigger statuses, in all logs.
+    /// The maximum number of entries with trigger statuses in all logs.
     pub max_status_entries: usize,
-    /// Replicated logs: one per epoch of each proxy.
+    /// The maximum number of replicated logs. Each proxy has one log per epoch.
     pub max_purge_logs: usize,
-    /// Responses to peer CDNs that wait for the commit of a purge.
+    /// The maximum number of responses that wait for a commit.
     pub max_pending_commits: usize,
-    /// The time after which a proxy that started without its disk is ready, even if part of its own log is missing.
+    /// The time after which a proxy that started without its store becomes ready, even if it has not recovered its own
+    /// log completely.
     pub recovery_timeout_us: u64,
-    /// The same, in total, while a snapshot of the peers' compacted purges makes progress.
+    /// The maximum of `recovery_timeout_us` when it is extended because a snapshot of the peers makes progress.
     pub recovery_total_timeout_us: u64,
-    /// The interval at which that proxy polls its peers.
+    /// The interval at which a recovering proxy polls its peers.
     pub recovery_poll_interval_us: u64,
-    /// Writes in the queue of the store's worker.
+    /// The maximum number of writes in the queue of the store's worker.
     pub max_store_writes: usize,
-    /// The interval at which a plain purge datagram is resent, as any may be lost.
+    /// The interval at which a plain purge datagram is resent, because datagrams may be lost.
     pub purge_resend_interval_us: u64,
-    /// The time within which a peer that sent a plain purge datagram must show that it replicates logs.
+    /// After a peer has sent a plain purge datagram, the time within which membership must show that the peer
+    /// replicates logs. Otherwise the purge is appended to the log of this proxy.
     pub plain_purge_grace_us: u64,
-    /// Plain purges that wait for this. Further ones are written at once.
+    /// The maximum number of plain purges that wait for `plain_purge_grace_us`. Further purges are written immediately.
     pub max_unwritten_purges: usize,
 
     // Peer CDNs.
-    /// Trigger status resources.
+    /// The maximum number of trigger status resources of this proxy.
     pub max_triggers: usize,
-    /// Messages being delivered to peer CDNs.
+    /// The maximum number of messages that are being delivered to peer CDNs.
     pub max_posts: usize,
-    /// Attempts to deliver a message to a peer CDN.
+    /// The maximum number of attempts to deliver a message to a peer CDN.
     pub max_post_attempts: u32,
     /// The timeout of the delivery of a message to a peer CDN.
     pub post_timeout_us: u64,
 
     // The admin listener and the log.
-    /// Connections to the admin listener. A further one replaces the oldest.
+    /// The maximum number of connections to the admin listener. A new connection beyond it replaces the oldest.
     pub max_admin_connections: usize,
-    /// The time for a whole call at the admin listener. It frees connections that send no call.
+    /// The maximum time for a call at the admin listener. Connections that exceed it, including idle ones, are closed.
     pub admin_timeout_us: u64,
-    /// Bytes of the receive buffer of the admin listener, which exceeds the longest head.
+    /// The size of the receive buffer of a connection to the admin listener, in bytes. Must exceed the longest request
+    /// head.
     pub admin_input_buffer_bytes: usize,
-    /// Bytes of the send buffer of the admin listener, which holds the longest response, the fleet status.
+    /// The size of the send buffer of a connection to the admin listener, in bytes. Must hold the longest response, the
+    /// fleet status.
     pub admin_output_buffer_bytes: usize,
-    /// Log lines that are remembered, so that each is written once.
+    /// The maximum number of log lines that are remembered so that repetitions are not written.
     pub max_remembered_log_lines: usize,
 
     // Shutdown and draining.
     /// The time after SIGTERM for which new connections and requests are accepted.
     pub shutdown_accept_us: u64,
-    /// The time after SIGTERM up to which lingering client connections delay the end of the process.
+    /// The time after SIGTERM from which half-closed client connections no longer delay the end of the process.
     pub shutdown_linger_us: u64,
-    /// The time after SIGTERM within which every request is answered, as the process may be killed soon after.
+    /// The time after SIGTERM within which every request is answered. The process may be killed soon after it.
     pub shutdown_response_us: u64,
-    /// The time after the start of a drain for which a client connection that is to close accepts requests. Within 4 s
-    /// of the start, no connection may have received a request in the last 2 s.
+    /// The time after the start of a drain during which client connections that are to be closed still accept requests.
+    /// It must be short enough that 4 s after the start, no connection has received a request for 2 s.
     pub drain_accept_us: u64,
 }
 
-/// The state of a client connection. If there are too many connections, those in the first states are closed first.
+/// The state of a client connection. If there are too many connections, those whose state comes first in this order are
+/// closed first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ClientState {
-    /// Closed here, while the client may still read.
+    /// The connection is half-closed by the proxy, and the client may still read responses.
     Lingering,
     /// No request has been received.
     Silent,
@@ -201,16 +211,17 @@
     Busy,
 }
 
-/// The maximum of the longest deadline of a class that delays the shutdown. SIGKILL may follow 0.7 s after SIGTERM and
-/// that deadline.
+/// The maximum time for which the longest deadline of a class extends the shutdown. The process may be killed 0.7 s
+/// after SIGTERM plus that deadline.
 const MAX_SHUTDOWN_DEADLINE_US: u64 = 3_000_000;
-/// How long after SIGTERM and the longest deadline connections linger and requests are accepted.
+/// Added to the longest deadline: the time after SIGTERM until which half-closed connections are kept and requests are
+/// accepted.
 const SHUTDOWN_LINGER_AFTER_US: u64 = 400_000;
-/// How long after SIGTERM and the longest deadline every request is answered.
+/// Added to the longest deadline: the time after SIGTERM by which every request is answered.
 const SHUTDOWN_RESPONSE_AFTER_US: u64 = 500_000;
 
 impl Limits {
-    /// Returns when a client connection is closed that entered its state at `since`; `None` while responses are
+    /// Returns when a client connection that entered its state at `since` is closed; `None` while responses are
     /// pending.
     pub fn close_at(&self, state: ClientState, pending: usize, since: u64) -> Option<u64> {
         let after = match state {
@@ -224,8 +235,9 @@
         Some(since + after)
     }
 
-    /// Whether a client connection with this number of pending responses, including that to a new request, may have the
-    /// request admitted. Under load the limit is lower, so that one client can't exhaust the request table.
+    /// Whether a new request of a client connection may be admitted. `pending` is the number of pending responses of
+    /// the connection, including the response to the new request. Under load the limit is lower, so that one client
+    /// can't exhaust the request table.
     pub fn admits(&self, pending: usize, under_load: bool) -> bool {
         let limit = if under_load {
             self.max_requests_per_client_under_load
@@ -261,7 +273,8 @@
         }
     }
 
-    /// Applies the settings of a site, and its connect timeout and idle timeout for cache servers (0 if unknown).
+    /// Applies the settings of a site, and the timeouts of connections to its cache servers: `connect_us` for
+    /// establishing and `idle_us` for idle connections (0 if unknown).
     pub fn for_site(self, settings: &Settings, connect_us: u64, idle_us: u64) -> Self {
         let deadlines = settings.classes.iter().map(|class| class.deadline_us);
         let longest_us = deadlines.max().unwrap_or(0);
@@ -282,8 +295,7 @@
             } else {
                 self.response_timeout_us
             },
-            // The server closes the connection after the full time, and a request sent shortly before would race with
-            // that.
+            // The server closes the connection after the full time, and a request sent just before could be lost.
             cache_idle_timeout_us: idle_us / 10 * 9,
             shutdown_linger_us,
             shutdown_response_us: shutdown_deadline_us + SHUTDOWN_RESPONSE_AFTER_US,
--- a/daemon/src/net/clock.rs
+++ b/daemon/src/net/clock.rs
@@ -2,8 +2,8 @@
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// The Unix time of the system at the start, advanced by its monotonic clock. Deadlines and the ages of purges use it,
-/// so that a step of the system clock affects neither.
+/// A clock that starts at the Unix time of the system and is advanced by the monotonic clock. Deadlines and the ages of
+/// purges are measured with it, so that steps of the system clock affect neither.
 #[derive(Clone, Copy)]
 pub struct Clock {
     unix_us: u64,
@@ -28,7 +28,7 @@
     }
 }
 
-/// Returns the time of the system unchanged: only builds with the feature `points` have an offset.
+/// Returns the time of the system unchanged. Only builds with the feature `points` support an offset.
 #[cfg(not(feature = "points"))]
 fn with_test_offset(unix_us: u64) -> u64 {
     unix_us
--- a/daemon/src/net/conn.rs
+++ b/daemon/src/net/conn.rs
@@ -9,7 +9,7 @@
 /// A connection: a non-blocking socket, its received bytes and its bytes to send.
 pub struct TcpConnection {
     socket: TcpStream,
-    /// The received bytes that are not consumed.
+    /// The received bytes that have not been consumed yet.
     pub input: RingBuffer,
     /// The bytes to send.
     pub output: RingBuffer,
@@ -17,13 +17,14 @@
     pub written: u64,
     /// Whether the connection is established.
     pub up: bool,
-    /// The failure of establishing the connection.
+    /// Why the connection could not be established, if it failed.
     connect_failure: Option<Failure>,
     /// Whether a read or write has failed.
     broken: bool,
-    /// Whether a frame could not start because the socket accepted nothing, and is to be tried again.
+    /// Whether a frame could not be started because the socket accepted no bytes. The frame is tried again when the
+    /// socket is writable.
     blocked: bool,
-    /// Whether the end of the peer's stream has been read, so that it is no longer watched for.
+    /// Whether the end of the peer's stream has been read. The connection is then no longer watched for input.
     ended: bool,
     watched: Interest,
 }
@@ -41,7 +42,7 @@
     Broken,
 }
 
-/// Converts the result of a transfer; `none` stands for no bytes.
+/// Converts the result of a transfer. `none` is returned if no bytes were transferred.
 fn progress(result: Result<usize, Failure>, none: Progress) -> Progress {
     match result.map_err(|failure| failure.kind) {
         Ok(0) => none,
@@ -58,8 +59,8 @@
     }
 }
 
-/// Binds a UDP socket so that the next process of an upgrade can bind the same address while this one runs. Both set
-/// `SO_REUSEPORT`, and the kernel distributes the datagrams between them until the old process ends.
+/// Binds a UDP socket so that the next process of an upgrade can bind the same address while this process runs. Both
+/// processes set `SO_REUSEPORT`, and the kernel distributes the datagrams between them until the old process ends.
 pub fn bind_shared_udp(at: SocketAddr) -> io::Result<std::net::UdpSocket> {
     let socket = syscall::retry_at_startup(|| syscall::socket(at, SocketType::DGRAM))?;
     syscall::share_address(&socket)?;
@@ -70,7 +71,7 @@
 /// Starts to establish a connection without waiting for it.
 ///
 /// # Errors
-/// Fails if the connection can't be started. The kind of the failure shows whether it concerns the peer.
+/// Fails if connecting can't be started. The kind of the failure shows whether the cause is the peer or this machine.
 pub fn connect(to: SocketAddr) -> Result<TcpStream, Failure> {
     syscall::connect(to)
 }
@@ -79,8 +80,8 @@
     /// Takes over a socket. A socket from `connect` is not `up` yet.
     pub fn new(socket: TcpStream, up: bool, input: usize, output: usize) -> io::Result<Self> {
         socket.set_nonblocking(true)?;
-        // Small responses must not wait for earlier acknowledgements. If the option can't be set, they are only
-        // delayed.
+        // Disables Nagle's algorithm, so that small responses do not wait for earlier acknowledgements. A failure only
+        // delays them and is ignored.
         let _ = syscall::set_nodelay(&socket);
         let (input, output) = (RingBuffer::new(input), RingBuffer::new(output));
         let watched = Interest {
@@ -102,7 +103,7 @@
         })
     }
 
-    /// Returns the socket, to watch it.
+    /// Returns the socket, for registration with epoll.
     pub fn socket(&self) -> &TcpStream {
         &self.socket
     }
@@ -131,8 +132,8 @@
     /// Reads once. Reads nothing if the receive buffer is full, so that the peer has to wait.
     pub fn read(&mut self, broken: bool) -> Progress {
         if self.input.free_bytes() == 0 {
-            // epoll reports a broken connection regardless of the interest, and the event loop would spin while the
-            // buffer is full.
+            // epoll reports a broken connection regardless of the interest. If this were not reported as broken, the
+            // event loop would spin while the buffer is full.
             return if broken {
                 Progress::Broken
             } else {
@@ -147,9 +148,9 @@
         progress_made
     }
 
-    /// Writes a frame if its first byte can be written now, and buffers the bytes that the socket does not accept. With
-    /// `Blocked`, nothing was written, and the frame may still be withdrawn. Requires an empty send buffer, which
-    /// distinguishes a frame that has started from one that has not.
+    /// Writes a frame if the socket accepts its first byte now, and buffers the bytes that the socket does not accept.
+    /// If `Blocked` is returned, nothing was written and the frame may still be withdrawn. The send buffer must be
+    /// empty: otherwise it would be unknown whether bytes of this frame have been written.
     pub fn begin(&mut self, frame: &[u8]) -> Progress {
         debug_assert!(self.output.is_empty());
         if !self.up {
@@ -167,12 +168,12 @@
         progress
     }
 
-    /// Clears the mark of a frame that could not start.
+    /// Forgets that a frame could not be started. Called before frames are tried again.
     pub fn clear_blocked(&mut self) {
         self.blocked = false;
     }
 
-    /// Whether bytes, or a frame that could not start, wait for the socket.
+    /// Whether buffered bytes, or a frame that could not be started, wait for the socket to become writable.
     pub fn is_waiting_to_write(&self) -> bool {
         self.up && (self.blocked || !self.output.is_empty())
     }
@@ -196,13 +197,13 @@
         moved
     }
 
-    /// Ends the stream to the peer, which reads all written bytes and then the end. Closing would send a reset if
-    /// further bytes arrived, which discards bytes still to be sent.
+    /// Ends the stream to the peer, which can still read all written bytes. If the socket were closed instead and
+    /// further bytes arrived, the kernel would reset the connection and discard bytes that are not sent yet.
     pub fn shutdown_write(&self) -> Result<(), Failure> {
         syscall::shutdown_write(&self.socket)
     }
 
-    /// Returns the new interest if it has changed.
+    /// Computes the events to watch the socket for. Returns them if they have changed since the last call.
     pub fn watch(&mut self) -> Option<Interest> {
         let interest = Interest {
             read: !self.ended && self.input.free_bytes() > 0,
@@ -212,7 +213,7 @@
         (std::mem::replace(&mut self.watched, interest) != interest).then_some(interest)
     }
 
-    /// Returns the current interest.
+    /// Returns the events for which the socket is watched.
     pub fn watched(&self) -> Interest {
         self.watched
     }
--- a/daemon/src/net/deadlines.rs
+++ b/daemon/src/net/deadlines.rs
@@ -2,16 +2,16 @@
 
 use std::collections::BTreeMap;
 
-/// Identifies a deadline that was set, to cancel it.
+/// Identifies a deadline, so that it can be cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DeadlineId {
     /// The time of the deadline.
     pub at: u64,
-    /// The number of the deadline, which orders those with the same time.
+    /// The number of the deadline, which orders deadlines with the same time.
     sequence: u64,
 }
 
-/// Deadlines by time. Those with the same time are in the order in which they were set.
+/// Deadlines, each with an item, ordered by time. Deadlines with the same time are in the order in which they were set.
 pub struct Deadlines<T> {
     due: BTreeMap<DeadlineId, T>,
     last_sequence: u64,
@@ -38,7 +38,7 @@
         due
     }
 
-    /// Cancels a deadline, unless it has come due.
+    /// Cancels a deadline. Has no effect if the deadline was already removed by `pop`.
     pub fn cancel(&mut self, due: DeadlineId) {
         self.due.remove(&due);
     }
--- a/daemon/src/net/errno.rs
+++ b/daemon/src/net/errno.rs
@@ -1,6 +1,6 @@
-//! The classification of errnos: callers decide by the kind of a failure alone.
+//! Classifies the errnos of system calls by kind. Callers decide by the kind of a failure and not by its errno.
 //!
-//! The errnos are those of the manual pages of section 2 (and ip(7), tcp(7) and udp(7)) for each call.
+//! The errnos of each call are taken from its manual page in section 2, and from ip(7), tcp(7) and udp(7).
 
 use rustix::io::Errno;
 use std::{fmt, io};
@@ -14,7 +14,7 @@
     Socket,
     /// `connect`.
     Connect,
-    /// `SO_ERROR` of a connection that was in progress.
+    /// `getsockopt` with `SO_ERROR`, for the result of a connection that was being established.
     ConnectResult,
     /// `recv` on a connection.
     Read,
@@ -70,23 +70,23 @@
     }
 }
 
-/// The kind of a failure, by what the caller has to do.
+/// The kind of a failure, which determines how the caller reacts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureKind {
-    /// The call was interrupted by a signal and can be repeated at once.
+    /// The call was interrupted by a signal and can be repeated immediately.
     RetryNow,
     /// The call would block; epoll reports when it can proceed.
     WouldBlock,
-    /// The machine lacks memory, buffers, ports or routes, and the call may succeed later. Nothing is known of the
-    /// peer.
+    /// The machine lacks memory, buffers, ports or routes, and the call may succeed later. The failure says nothing
+    /// about the peer.
     RetryLater,
-    /// The peer refused the connection, as nothing listens at its address.
+    /// The peer refused the connection, because no process listens at the address.
     Refused,
     /// The connection or datagram of the call is lost.
     Broken,
     /// The process or the machine has no free file descriptor.
     NoDescriptors,
-    /// The call is invalid and would fail again.
+    /// The arguments of the call are invalid, so the call would fail again.
     ProgramFault,
 }
 
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Whether the cause is this process or machine, so that nothing is known of the peer.
+    /// Whether the cause is this process or machine, so that the failure says nothing about the peer.
     pub fn is_local(&self) -> bool {
         matches!(
             self.kind,
@@ -165,7 +165,7 @@
     })
 }
 
-/// accept(2): pending errors of the new connection are returned by `accept` and concern only that connection.
+/// accept(2) may return errors that are already pending on the new connection. They concern only that connection.
 fn accept(errno: Errno) -> Option<FailureKind> {
     match errno {
         Errno::NOSR => Some(FailureKind::RetryLater),
@@ -173,7 +173,7 @@
     }
 }
 
-/// socket(2): an address family or protocol that the machine lacks will not become available.
+/// socket(2): an address family or protocol that the machine does not support will not become available later.
 fn socket(errno: Errno) -> Option<FailureKind> {
     match errno {
         Errno::ACCESS | Errno::AFNOSUPPORT | Errno::PROTONOSUPPORT => {
@@ -183,8 +183,8 @@
     }
 }
 
-/// connect(2): an interrupted call continues in the background like one that is in progress. A missing local port or
-/// route, or a firewall, says nothing about the peer.
+/// connect(2): after an interruption, the connection continues to be established in the background, as after
+/// `EINPROGRESS`. A failure because of a missing local port or route, or a firewall, says nothing about the peer.
 fn connect(errno: Errno) -> Option<FailureKind> {
     match errno {
         Errno::INPROGRESS | Errno::INTR | Errno::ALREADY | Errno::ISCONN => {
@@ -210,7 +210,8 @@
     }
 }
 
-/// recv(2), send(2), shutdown(2): errnos that are neither here nor in `common` break the connection.
+/// recv(2), send(2), shutdown(2): errnos that are listed neither in this function nor in `common` mean that the
+/// connection is broken.
 fn transfer(errno: Errno) -> Option<FailureKind> {
     match errno {
         Errno::DESTADDRREQ | Errno::ISDIR | Errno::OPNOTSUPP | Errno::MSGSIZE => {
@@ -220,8 +221,8 @@
     }
 }
 
-/// recvfrom(2) and sendto(2): an error of an earlier datagram may be returned by a later call, and affects no other
-/// datagram.
+/// recvfrom(2) and sendto(2) may return the error of a datagram that was sent earlier. Such an error does not affect
+/// other datagrams.
 fn datagram(errno: Errno) -> Option<FailureKind> {
     match errno {
         Errno::AFNOSUPPORT | Errno::DESTADDRREQ | Errno::ISCONN | Errno::MSGSIZE => {
@@ -232,7 +233,8 @@
     }
 }
 
-/// epoll_ctl(2): ENOSPC is the limit of watches of a user, which its other processes may release.
+/// epoll_ctl(2): ENOSPC means that the user has reached the limit of watches. Other processes of the same user may
+/// release some.
 fn epoll_control(errno: Errno) -> Option<FailureKind> {
     match errno {
         Errno::NOSPC => Some(FailureKind::RetryLater),
--- a/daemon/src/net/failure_log.rs
+++ b/daemon/src/net/failure_log.rs
@@ -1,5 +1,5 @@
-//! Logs episodes of failing system calls: one line at the first failure, and one with the counts once none has failed
-//! for a while.
+//! Logs failing system calls in episodes: one line at the first failure, and one line with the counts when the call has
+//! not failed for a while.
 
 use super::errno::{Call, Failure};
 use std::cell::RefCell;
@@ -16,7 +16,7 @@
     last: Instant,
 }
 
-/// The current episodes, by the failing call.
+/// The current episodes, one for each failing call.
 #[derive(Debug, Default)]
 pub struct FailureLog {
     open: BTreeMap<Call, Episode>,
@@ -69,12 +69,12 @@
 }
 
 thread_local! {
-    /// The event loop makes all system calls on one thread.
+    /// The log is local to the thread, because the event loop makes all system calls on one thread.
     static FAILURE_LOG: RefCell<FailureLog> = RefCell::new(FailureLog::default());
 }
 
-/// Counts a failure of this process or machine, or a connection that was lost before it was accepted. Other failures of
-/// single connections are usual and not logged.
+/// Counts a failure that is caused by this process or machine, or a connection that was lost before it was accepted.
+/// Other failures of single connections are normal and not logged.
 pub(super) fn record(failure: &Failure) {
     let is_logged = failure.is_local() || failure.call == Call::Accept;
     if is_logged
@@ -96,7 +96,7 @@
     }));
 }
 
-/// Logs all episodes, including the current ones, as the process ends.
+/// Logs all episodes, including those that have not ended, when the process ends.
 pub fn log_all() {
     write_all(FAILURE_LOG.with_borrow_mut(|failure_log| failure_log.take(|_| true)));
 }
--- a/daemon/src/net/injection.rs
+++ b/daemon/src/net/injection.rs
@@ -8,19 +8,19 @@
 #[cfg(feature = "points")]
 pub use armed::{arm, arm_process, disarm_all, errno_named, AlreadyArmed, Plan, PlanError};
 
-/// Returns the errno with which this call fails instead of being made.
+/// Returns the errno to inject, if the call is to fail without being made.
 #[cfg(not(feature = "points"))]
 pub(super) const fn failure(_: Call) -> Option<Errno> {
     None
 }
 
-/// Returns the same for a call on a connection.
+/// Returns the errno to inject for a call on a connection, if the call is to fail without being made.
 #[cfg(not(feature = "points"))]
 pub(super) const fn failure_on(_: Call, _: &TcpStream) -> Option<Errno> {
     None
 }
 
-/// Returns how many of these bytes the call may transfer.
+/// Returns the number of bytes that the call may transfer, at most `bytes`.
 #[cfg(not(feature = "points"))]
 pub(super) const fn limit(_: Call, bytes: usize) -> usize {
     bytes
@@ -55,17 +55,17 @@
         /// A part has an unknown name.
         #[error("'{0}' is none of errno, every, after, times, port and short")]
         UnknownPart(String),
-        /// The errno is not among those of the manual pages for these calls.
+        /// The name is not one of the errnos in the manual pages of these calls.
         #[error("there is no errno '{0}'")]
         UnknownErrno(String),
     }
 
-    /// The system calls of the process are already armed.
+    /// Failures of system calls have already been set for the process.
     #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
     #[error("the system calls of this process are armed already")]
     pub struct AlreadyArmed;
 
-    /// A plan of which calls fail, and with which errno.
+    /// Defines which calls of a system call fail, and with which errno.
     #[derive(Clone, Debug, Default, PartialEq, Eq)]
     pub struct Plan {
         /// The errnos, used in turn.
@@ -76,7 +76,7 @@
         pub after: u64,
         /// The maximum number of failures; 0 for no limit.
         pub times: u64,
-        /// The local or remote port of the connections whose calls count; 0 for all calls.
+        /// The local or remote port of the connections to which the plan applies; 0 for all calls.
         pub port: u16,
         /// The maximum number of bytes of a transfer; 0 for no limit.
         pub max_bytes: usize,
@@ -105,7 +105,7 @@
         /// any order.
         ///
         /// # Errors
-        /// Fails on a part that is not understood.
+        /// Fails on a part that is malformed or unknown.
         pub fn parse(text: &str) -> Result<Self, PlanError> {
             let mut plan = Plan::default();
             for part in text.split(':') {
@@ -160,22 +160,22 @@
         static PLANS: RefCell<Plans> = RefCell::new(PROCESS.get().cloned().unwrap_or_default());
     }
 
-    /// Arms calls for every thread that has not made any yet.
+    /// Sets the plans for every thread that has not made any system call through this module yet.
     ///
     /// # Errors
-    /// Fails if the process is already armed.
+    /// Fails if plans were already set for the process.
     pub fn arm_process(plans: impl IntoIterator<Item = (Call, Plan)>) -> Result<(), AlreadyArmed> {
         PROCESS
             .set(plans.into_iter().collect())
             .map_err(|_| AlreadyArmed)
     }
 
-    /// Arms a call in this thread.
+    /// Sets the plan of a system call in this thread.
     pub fn arm(call: Call, plan: Plan) {
         PLANS.with_borrow_mut(|plans| plans.insert(call, plan));
     }
 
-    /// Disarms all calls in this thread.
+    /// Removes all plans in this thread.
     pub fn disarm_all() {
         PLANS.with_borrow_mut(Plans::clear);
     }
@@ -207,7 +207,7 @@
     /// Returns the errno with a name such as `ENOMEM`.
     ///
     /// # Errors
-    /// Fails if the name is not among those of the manual pages for these calls.
+    /// Fails if the name is not one of the errnos in the manual pages of these calls.
     pub fn errno_named(name: &str) -> Result<Errno, PlanError> {
         let found = ERRNOS.iter().find(|(known, _)| *known == name);
         found
--- a/daemon/src/net/listener.rs
+++ b/daemon/src/net/listener.rs
@@ -5,7 +5,7 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// The maximum number of lost connections that are skipped by one `accept`.
+/// The maximum number of lost connections that one call of `accept` skips.
 const MAX_LOST: usize = 64;
 
 /// The maximum number of attempts to remove a listener from an epoll set.
@@ -19,10 +19,10 @@
 }
 
 impl Listener {
-    /// Takes over a listener and watches it. Retries while memory or watches are short.
+    /// Takes over a listener and registers it with epoll. Retries while the kernel lacks memory or watches.
     ///
     /// # Errors
-    /// Fails if the shortage persists, or on another failure.
+    /// Fails if the kernel still lacks memory or watches after the retries, or on another failure.
     pub fn watch(socket: TcpListener, token: u64, poll: &Poll) -> io::Result<Self> {
         socket.set_nonblocking(true)?;
         poll.add_at_start(&socket, token)?;
@@ -63,14 +63,15 @@
     /// Pauses accepting. If the listener stayed watched, pending connections would wake the event loop again and again.
     pub fn pause(&mut self, poll: &Poll) {
         if self.watched {
-            // If this fails, epoll reports the listener again, and it is paused then.
+            // If this fails, epoll reports the listener again, and pausing is retried then.
             self.watched = poll
                 .change(&self.socket, self.token, Interest::NONE)
                 .is_err();
         }
     }
 
-    /// Resumes accepting. Returns false if the listener can't be watched now, and must be resumed later.
+    /// Resumes accepting. Returns false if the listener can't be registered with epoll now, so that the caller must
+    /// retry later.
     #[must_use]
     pub fn resume(&mut self, poll: &Poll) -> bool {
         if !self.watched {
@@ -81,8 +82,8 @@
         self.watched
     }
 
-    /// Closes the listener. It is removed from the epoll set first, as another process may hold the same socket, which
-    /// would stay watched.
+    /// Closes the listener after removing it from the epoll set. Closing alone is not enough: if another process has
+    /// the same socket open, epoll would continue to report it.
     ///
     /// # Errors
     /// Fails if the listener could not be removed from the set.
--- a/daemon/src/net/poll.rs
+++ b/daemon/src/net/poll.rs
@@ -11,18 +11,19 @@
 pub struct ReadyEvent {
     /// The token of the socket.
     pub token: u64,
-    /// The socket can be read, has ended or is broken.
+    /// The socket has input, the peer has ended its stream, or the socket is broken.
     pub read: bool,
-    /// The socket can be written, is connected or is broken.
+    /// The socket accepts output, has just been connected, or is broken.
     pub write: bool,
-    /// The socket is broken, or both sides have ended it.
+    /// The socket is broken, or both directions of the connection have ended.
     pub broken: bool,
     /// The peer has ended its stream or the connection. Bytes that were sent before may still be read.
     pub hung_up: bool,
 }
 
 impl ReadyEvent {
-    /// Returns the event for a socket that the kernel does not watch, whose state is found by reading and writing.
+    /// Returns the event for a socket that could not be registered. It reports the socket as ready, so that reading and
+    /// writing are attempted.
     pub fn unwatched(token: u64) -> Self {
         ReadyEvent {
             token,
@@ -41,7 +42,7 @@
     pub read: bool,
     /// Bytes can be written.
     pub write: bool,
-    /// The peer has ended its stream, which is reported before the bytes ahead of the end are read.
+    /// The peer has ended its stream. This is reported even while bytes before the end are unread.
     pub hang_up: bool,
 }
 
@@ -52,7 +53,7 @@
         write: false,
         hang_up: false,
     };
-    /// No interest for now.
+    /// No events; only a broken socket is reported.
     pub const NONE: Interest = Interest {
         read: false,
         write: false,
@@ -86,15 +87,15 @@
     /// Watches a socket until it is closed.
     ///
     /// # Errors
-    /// Fails if memory or watches are short, possibly for a moment (`FailureKind::RetryLater`).
+    /// Fails if the kernel lacks memory or watches, which may be temporary (`FailureKind::RetryLater`).
     pub fn add(&self, socket: impl AsFd, token: u64, interest: Interest) -> Result<(), Failure> {
         syscall::epoll_add(&self.fd, socket, token, flags(interest))
     }
 
-    /// Watches a socket for reading during the startup. Retries while memory or watches are short.
+    /// Watches a socket for reading, at startup. Retries while the kernel lacks memory or watches.
     ///
     /// # Errors
-    /// Fails if the shortage persists, or on another failure.
+    /// Fails if the kernel still lacks memory or watches after the retries, or on another failure.
     pub fn add_at_start(&self, socket: impl AsFd, token: u64) -> Result<(), Failure> {
         let flags = flags(Interest::READ);
         syscall::retry_at_startup(|| syscall::epoll_add(&self.fd, &socket, token, flags))
@@ -103,12 +104,12 @@
     /// Changes the interest of a socket.
     ///
     /// # Errors
-    /// Fails as `add`.
+    /// Fails for the same reasons as `add`.
     pub fn change(&self, socket: impl AsFd, token: u64, interest: Interest) -> Result<(), Failure> {
         syscall::epoll_modify(&self.fd, socket, token, flags(interest))
     }
 
-    /// Stops watching a socket. Closing is not enough for a socket that another process also holds.
+    /// Stops watching a socket. Closing alone is not enough if another process has the same socket open.
     ///
     /// # Errors
     /// Fails if the socket was not watched.
--- a/daemon/src/net/ring_buffer.rs
+++ b/daemon/src/net/ring_buffer.rs
@@ -1,6 +1,6 @@
 //! A ring buffer of bytes, one for each direction of a connection.
 
-/// A bounded ring buffer. Memory is allocated with the first byte, so that unused connections need none.
+/// A bounded ring buffer. Its memory is allocated when the first byte is added, so that unused connections need none.
 pub struct RingBuffer {
     bytes: Vec<u8>,
     max: usize,
@@ -85,10 +85,11 @@
         self.len - before
     }
 
-    /// Fills the free space with one call of `read`. Returns 0 at the end of the stream and if the buffer is full.
+    /// Reads into the free space with one call of `read`. Returns the number of bytes; 0 at the end of the stream, and
+    /// if the buffer is full.
     ///
     /// # Errors
-    /// Fails as `read`.
+    /// Returns the error of `read`.
     pub fn fill<E>(
         &mut self,
         read: impl FnOnce(&mut [u8]) -> Result<usize, E>,
@@ -101,10 +102,10 @@
         Ok(n)
     }
 
-    /// Removes the bytes from the front that one call of `write` accepts.
+    /// Passes bytes from the front to one call of `write`, and removes those that it accepts. Returns their number.
     ///
     /// # Errors
-    /// Fails as `write`.
+    /// Returns the error of `write`.
     pub fn drain<E>(&mut self, write: impl FnOnce(&[u8]) -> Result<usize, E>) -> Result<usize, E> {
         let n = write(self.front())?;
         self.consume(n);
--- a/daemon/src/net/slots.rs
+++ b/daemon/src/net/slots.rs
@@ -1,4 +1,4 @@
-//! Tables of slots with generations.
+//! Tables with stable keys: each slot has a generation, so that the key of a removed entry is never valid again.
 
 /// The key of an entry: its slot and generation. The key of a removed entry never finds a later entry in its slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -8,12 +8,12 @@
 }
 
 impl Key {
-    /// Converts the key to a number, for epoll.
+    /// Converts the key to a number, for example for an epoll token.
     pub fn to_u64(self) -> u64 {
         u64::from(self.generation) << 32 | u64::from(self.slot)
     }
 
-    /// Converts a number from `to_u64` to the key.
+    /// Converts a number returned by `to_u64` back to the key.
     pub fn from_u64(n: u64) -> Self {
         Key {
             slot: n as u32,
--- a/daemon/src/net/syscall.rs
+++ b/daemon/src/net/syscall.rs
@@ -1,4 +1,5 @@
-//! The system calls of the event loop. No other module makes them, and their failures are classified here (`errno`).
+//! The system calls of the event loop. Sockets and epoll are used only through this module, which classifies failures
+//! (`errno`) and injects them in tests (`injection`).
 
 use super::errno::{Call, Failure, FailureKind};
 use super::{failure_log, injection};
@@ -11,16 +12,16 @@
 
 /// The maximum number of immediate repeats of an interrupted call.
 const MAX_INTERRUPTIONS: usize = 16;
-/// The interval and the number of the attempts at the startup to make a call that may succeed later.
+/// The interval and the number of attempts with which calls are retried at startup.
 const STARTUP_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 const MAX_STARTUP_ATTEMPTS: usize = 200;
 
-/// Makes a call, repeated while it is interrupted.
+/// Makes a call, and repeats it if it is interrupted.
 fn make<T>(call: Call, system_call: impl FnMut() -> Result<T, Errno>) -> Result<T, Failure> {
     make_unless(call, || injection::failure(call), system_call)
 }
 
-/// Makes a call on a connection, repeated while it is interrupted.
+/// Makes a call on a connection, and repeats it if it is interrupted.
 fn make_on<T>(
     call: Call,
     socket: &TcpStream,
@@ -29,7 +30,7 @@
     make_unless(call, || injection::failure_on(call, socket), system_call)
 }
 
-/// Makes a call, or returns an injected failure, repeated while it is interrupted.
+/// Makes a call, unless `failure` returns an errno to inject. Repeats the call if it is interrupted.
 fn make_unless<T>(
     call: Call,
     injected: impl Fn() -> Option<Errno>,
@@ -50,7 +51,8 @@
     }
 }
 
-/// Repeats a call for a while if it may succeed later. For the startup, when nothing else waits.
+/// Retries a call that may succeed later, and blocks meanwhile. Used only at startup, when no other work is delayed by
+/// this.
 pub(super) fn retry_at_startup<T>(
     mut make: impl FnMut() -> Result<T, Failure>,
 ) -> Result<T, Failure> {
@@ -91,7 +93,7 @@
 pub(super) fn connect(to: SocketAddr) -> Result<TcpStream, Failure> {
     let socket = socket(to, SocketType::STREAM)?;
     let result = match injection::failure(Call::Connect) {
-        // An injected failure that means that the connection is in progress requires it to be started.
+        // The injected errno means that the connection is being established, so connecting must be started.
         Some(errno @ (Errno::INTR | Errno::INPROGRESS)) => {
             let _ = net::connect(&socket, &to);
             Err(errno)
@@ -161,7 +163,7 @@
     make(Call::SetOption, || sockopt::set_tcp_nodelay(socket, true))
 }
 
-/// Allows the next process to bind the same address while this one runs.
+/// Allows the next process to bind the same address while this process runs.
 pub(super) fn share_address(socket: &OwnedFd) -> Result<(), Failure> {
     make(Call::SetOption, || {
         sockopt::set_socket_reuseaddr(socket, true)?;
