--- a/daemon/src/budgets.rs
+++ b/daemon/src/budgets.rs
@@ -3,8 +3,8 @@
 use serde::{Deserialize, Serialize};
 use std::fmt::Write as _;
 
-/// The maximum number of budgets in a status. With `MAX_GRANTS` grants each, it fits the send buffer of the admin
-/// listener.
+/// The maximum number of budgets in a status. A status with this many budgets and `MAX_GRANTS` grants for each fits
+/// into the send buffer of the admin listener.
 pub const MAX_BUDGETS: usize = 16;
 /// The maximum number of grants in the status of a budget.
 pub const MAX_GRANTS: usize = 8;
@@ -14,9 +14,9 @@
 pub struct Status {
     /// The name of the proxy.
     pub name: String,
-    /// The number of configured proxies, for each of which a minimum is reserved.
+    /// The number of configured proxies. A minimum of each budget is reserved for each of them.
     pub members: usize,
-    /// The first budgets, up to `MAX_BUDGETS`.
+    /// The status of up to `MAX_BUDGETS` budgets.
     pub budgets: Vec<BudgetStatus>,
     /// The number of all budgets.
     #[serde(rename = "budgets_in_all")]
@@ -24,12 +24,12 @@
 }
 
 /// The status of a budget, as known to the queried proxy.
-// The keys of the JSON, which tools read, are those of released versions.
+// The JSON keys must not change, because tools read them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BudgetStatus {
     /// The name of the budget.
     pub name: String,
-    /// The unit of its amounts.
+    /// The unit of the amounts of the budget.
     pub unit: String,
     /// The limit for all proxies together.
     #[serde(rename = "whole")]
@@ -45,7 +45,7 @@
     /// The demand of the queried proxy beyond its reserved minimum.
     #[serde(rename = "wanted")]
     pub demand: u64,
-    /// The amount that it spent beyond its reserved minimum and that is not settled.
+    /// The amount that the queried proxy has spent beyond its reserved minimum and that is still in use, or may be.
     #[serde(rename = "out")]
     pub unsettled: u64,
     /// The name of the allocator, as known to the queried proxy.
@@ -57,12 +57,13 @@
     /// Whether no lease is in force, so that only the reserved minimum may be spent.
     #[serde(rename = "on_floor")]
     pub reserved_only: bool,
-    /// The total that is granted or unsettled beyond the reserved minimums, if the queried proxy is the allocator.
+    /// The total amount beyond the reserved minimums that is granted, or that former holders may still be using. Known
+    /// only if the queried proxy is the allocator.
     #[serde(rename = "granted_in_all")]
     pub granted_total: u64,
-    /// The number of proxies that hold a part of it.
+    /// The number of proxies that hold a part of that total.
     pub holders: usize,
-    /// The first grants, up to `MAX_GRANTS`.
+    /// Up to `MAX_GRANTS` of the grants.
     pub granted: Vec<GrantStatus>,
 }
 
@@ -71,7 +72,7 @@
 pub struct GrantStatus {
     /// The name of the proxy, or its address while the name is unknown.
     pub name: String,
-    /// The maximum that it may spend or have unsettled, without its reserved minimum.
+    /// The maximum amount beyond its reserved minimum that the proxy may be using.
     pub amount: u64,
 }
 
--- a/daemon/src/bus.rs
+++ b/daemon/src/bus.rs
@@ -1,4 +1,4 @@
-//! The event bus: numbered purges and changes of the endpoint list, received as server-sent events.
+//! The event bus: purges and changes of the endpoint list, numbered by offsets and received as server-sent events.
 
 use crate::core::{server_id, Entry};
 use crate::limits::Limits;
@@ -29,7 +29,7 @@
 /// An event of the bus.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BusEvent {
-    /// The number of the event.
+    /// The offset of the event on the bus.
     pub offset: u64,
     /// The update; `None` for an unknown kind of event.
     pub update: Option<BusUpdate>,
@@ -76,7 +76,7 @@
             .transpose()?;
         let targets = list(topology, "targets")?;
         let read = |v: &Value| read_entry(v.as_object().ok_or_else(|| wrong_type("targets"))?);
-        // An unreadable entry must not hide the others.
+        // Errors of entries that can't be parsed are collected, so that the other entries can still be applied.
         let mut received = ReceivedList {
             rev,
             mode,
@@ -118,7 +118,7 @@
     events: sse::EventParser,
 }
 
-/// Returns the request for the events after the one with the number `last`.
+/// Returns the request for the events after the offset `last`.
 pub fn request(host: &str, last: u64) -> Vec<u8> {
     format!(
         "GET /bus/read HTTP/1.1\r\nHost: {host}\r\nAccept: text/event-stream\r\nCache-Control: no-cache\r\n\
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Parses received bytes. Returns the completed events whose numbers are greater than `last`.
+    /// Parses received bytes. Returns the complete events whose offsets are greater than `last`.
     pub fn read(
         &mut self,
         mut input: &[u8],
@@ -174,7 +174,8 @@
             let value =
                 serde_json::from_str(&event.data).map_err(|_| WireError::Malformed("an event"))?;
             match read_event(&value) {
-                // Events that are repeated after a reconnection are skipped, so that the list does not go back.
+                // Events that are repeated after a reconnect are skipped, so that the list does not return to an
+                // earlier state.
                 Ok(event) if event.offset > *last => {
                     *last = event.offset;
                     events.push(event);
--- a/daemon/src/config/check.rs
+++ b/daemon/src/config/check.rs
@@ -3,21 +3,21 @@
 use super::{get, read_object, Config, ConfigError, Fields};
 use std::path::{Path, PathBuf};
 
-/// The descriptions of valid files.
+/// The descriptions of valid files in the output.
 const CONFIGURATION: &str = "a configuration, sound";
 const INTERCONNECT_FILE: &str = "an interconnect file, sound";
 const ENVIRONMENT: &str = "a start would find nothing wrong";
 
-/// The result of the check of a file.
+/// A checked file, with a description of its kind or the first error found.
 #[derive(Debug)]
 pub struct CheckedFile {
     /// The path of the file, or `environment` for the files that a start would read.
     pub name: String,
-    /// The description of the file, or its error.
+    /// The description of a valid file, or the error in an invalid one.
     pub result: Result<&'static str, ConfigError>,
 }
 
-/// Checks files, or the files that a start would read if none are given.
+/// Checks files. If none are given, checks the files that the daemon would read at its start.
 pub fn check(files: &[PathBuf]) -> Vec<CheckedFile> {
     if files.is_empty() {
         return vec![CheckedFile {
@@ -26,7 +26,7 @@
         }];
     }
     let mut checked = Vec::new();
-    // The operators' own file is checked against the settings of a configuration that is also given.
+    // If a configuration is also given, the operators' own file is checked against its settings.
     let mut configuration = None;
     let mut interconnect_files = Vec::new();
     for path in files {
--- a/daemon/src/config/error.rs
+++ b/daemon/src/config/error.rs
@@ -7,7 +7,7 @@
 /// An error of the configuration. Every message names the key at fault, or the file that can't be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The environment names no configuration.
+    /// The environment variable with the path of the configuration is not set.
     #[error("the variable ROUTER_CONFIG names no file")]
     NoFile,
     /// A file can't be read.
@@ -49,7 +49,7 @@
     /// The fields of `settings` contradict each other.
     #[error("settings: {0}")]
     Contradiction(#[from] SettingsError),
-    /// An error in `known`.
+    /// An error in the section `known`.
     #[error("known: {0}")]
     Known(String),
     /// A limit of the machine is 0.
@@ -64,7 +64,7 @@
 }
 
 impl ConfigError {
-    /// Adds the file in which the error was found.
+    /// Adds the path of the file in which the error was found.
     pub(super) fn in_file(self, path: &str) -> Self {
         ConfigError::InFile {
             path: path.to_owned(),
--- a/daemon/src/config/mod.rs
+++ b/daemon/src/config/mod.rs
@@ -19,7 +19,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Returns the configuration, at the start and again on SIGHUP.
+/// A function that returns the configuration. It is called again on SIGHUP.
 pub type Source = Box<dyn Fn() -> Result<Config, ConfigError>>;
 
 /// The operators' own file, unless the environment names another.
@@ -41,11 +41,11 @@
     pub operator_state_folder: PathBuf,
     /// The seed of the random numbers.
     pub seed: u64,
-    /// The limits that follow from the machine.
+    /// The limits, derived from the machine and the settings.
     pub limits: Limits,
     /// The event bus; `None` if the endpoint list comes from elsewhere.
     pub bus: Option<SocketAddr>,
-    /// The events before the start.
+    /// The events of the bus that are part of the configuration and precede the start.
     pub known: KnownEvents,
     /// The settings of the decision module.
     pub settings: Settings,
@@ -55,7 +55,7 @@
     pub share_origin_health: bool,
     /// The replication of purges by peer CDNs.
     pub replication: Replication,
-    /// The replication settings of the file, which are checked again when the peers change.
+    /// The replication settings as read from the file. They are validated again when a reload changes the peers.
     replication_file: ReplicationFile,
     /// The budgets that all proxies share.
     pub budgets: Budgets,
@@ -63,7 +63,7 @@
     pub cdni: Option<Cdni>,
     /// Consul as a source of the endpoint list; `None` if it is off.
     pub consul: Option<Consul>,
-    /// The state that outlives the process.
+    /// The location and the maximum age of state that outlives the process.
     pub state: State,
     /// The format of the log.
     pub log: LogForm,
@@ -72,9 +72,9 @@
 /// The events of the bus that are part of the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct KnownEvents {
-    /// The number of the last event.
+    /// The bus offset of the last event in `events`.
     pub offset: u64,
-    /// The events, in order.
+    /// The events in the order of their offsets.
     pub events: Vec<BusEvent>,
 }
 
@@ -104,9 +104,9 @@
 }
 
 impl Config {
-    /// Reads the file that `ROUTER_CONFIG` names. `ROUTER_NAME`, `ROUTER_LISTEN` and `ROUTER_OPS` replace keys that it
-    /// lacks. The listener for peer CDNs, Consul, replication, budgets, state and log are in the operators' own file,
-    /// `deploy/interconnect.json` unless `LINNETKNOT_INTERCONNECT` names another.
+    /// Reads the file that `ROUTER_CONFIG` names. `ROUTER_NAME`, `ROUTER_LISTEN` and `ROUTER_OPS` supply keys that are
+    /// missing in the file. The sections for peer CDNs, Consul, replication, budgets, state and log are read from the
+    /// operators' own file, which is `deploy/interconnect.json` unless `LINNETKNOT_INTERCONNECT` names another file.
     ///
     /// # Errors
     /// Fails if a file can't be read or a key is invalid.
@@ -133,7 +133,7 @@
         Ok(config)
     }
 
-    /// Applies the operators' own file. A section that it omits is off.
+    /// Applies the operators' own file. The features of omitted sections are off.
     ///
     /// # Errors
     /// Fails if a key is unknown or invalid.
@@ -169,7 +169,7 @@
         Ok(())
     }
 
-    /// Returns the replication settings for these peers.
+    /// Validates the replication settings of the file for these peers, and returns the result.
     ///
     /// # Errors
     /// Fails if the peers are on too few machines.
@@ -205,8 +205,8 @@
         }
     }
 
-    /// Creates an empty configuration, against which the operators' own file is checked if no configuration is given.
-    /// Its only zone has no name, so that any zone name is valid.
+    /// Creates an empty configuration. The operators' own file is checked against it if no configuration is given. Its
+    /// only zone has no name, so that any zone name in the file is valid.
     fn empty() -> Result<Self, ConfigError> {
         let mut fields = Fields::new();
         fields.insert("zone".to_owned(), "".into());
@@ -219,9 +219,9 @@
         ))
     }
 
-    /// Returns the keys in which a new configuration differs and that a running daemon can't change, as sockets, tables
-    /// and the decision module were built from them. `seed` and `known` differ with every start and do not matter to a
-    /// running daemon.
+    /// Returns the changed keys of a new configuration that a running daemon can't apply, because sockets, tables and
+    /// the decision module were created from them. `seed` and `known` are ignored: they differ for every start and are
+    /// not used by a running daemon.
     pub fn fixed_changes(&self, new: &Config) -> Vec<&'static str> {
         let own = |config: &Config| config.peers.as_ref().map(|peers| peers.own);
         let changes = [
--- a/daemon/src/config/read.rs
+++ b/daemon/src/config/read.rs
@@ -12,8 +12,8 @@
 };
 use std::net::SocketAddr;
 
-/// The time by which real caches may drop purged objects later than configured, as their time limits on sockets are
-/// longer.
+/// The additional time that caches may need to drop purged objects, beyond the configured time, because of their longer
+/// socket timeouts.
 const SOCKET_SLACK_US: u64 = 50_000;
 
 impl Config {
@@ -49,7 +49,7 @@
 
 fn read_settings(fields: &Fields) -> Result<Settings, ConfigError> {
     let mut settings = parse_settings(fields).map_err(ConfigError::Settings)?;
-    // Until all caches have dropped purged objects, responses of unknown age are not used.
+    // Responses of unknown age are not used until all caches have dropped the purged objects.
     settings.rules.purge_completion_us += SOCKET_SLACK_US;
     settings.check()?;
     Ok(settings)
@@ -59,7 +59,7 @@
 fn machine_limits(fields: &Fields) -> Result<Limits, ConfigError> {
     let empty = Fields::new();
     let machine = object_or_empty(fields, "limits", &empty)?;
-    // The limit of the process applies as well.
+    // The limit of the process on open files applies as well.
     let allowed = rustix::process::getrlimit(rustix::process::Resource::Nofile)
         .current
         .and_then(|descriptors| usize::try_from(descriptors).ok())
@@ -136,7 +136,7 @@
             .iter()
             .map(read_event)
             .collect::<FieldResult<_>>()?;
-        // An unreadable event from the bus is skipped, but in the configuration it is an error.
+        // An event that can't be parsed is skipped if the bus sends it, but it is an error in the configuration.
         for event in &events {
             if let Some(BusUpdate::List(ReceivedList { unreadable, .. })) = &event.update {
                 if let Some(fault) = unreadable.first() {
--- a/daemon/src/disk.rs
+++ b/daemon/src/disk.rs
@@ -11,16 +11,16 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// A file to write.
+/// A file to replace, with its new content.
 pub struct WriteJob {
-    /// The path.
+    /// The path of the file.
     pub path: PathBuf,
     /// The new content.
     pub bytes: Vec<u8>,
 }
 
-/// The handle of the worker. Dropping it waits until the queued jobs have been tried. A failed job is retried until it
-/// succeeds or a later job for the same file replaces it.
+/// The handle of the worker thread. Dropping the handle waits until the queued jobs have been tried. A failed job is
+/// retried until it succeeds or a later job for the same file replaces it.
 pub struct FileWriter {
     jobs: Option<Sender<WriteJob>>,
     worker: Option<JoinHandle<()>>,
@@ -29,13 +29,13 @@
 /// The capacity of the queue of jobs.
 const MAX_QUEUED_JOBS: usize = 2;
 
-/// The first backoff after a failure.
+/// The first backoff after a failed attempt.
 const MIN_RETRY_US: Micros = 100_000;
 /// The longest backoff between two attempts, before jitter.
 const MAX_RETRY_US: Micros = 2_000_000;
 
-/// A temporary file next to the file that it will replace. It is removed if it is dropped before that, so that partial
-/// files do not fill the disk.
+/// A temporary file next to the file that it will replace. If the value is dropped before the replacement, the
+/// temporary file is removed, so that partial files do not fill the disk.
 pub struct StagedFile {
     temporary_path: PathBuf,
     path: PathBuf,
@@ -44,7 +44,8 @@
 
 impl StagedFile {
     fn new(path: &Path) -> Self {
-        // The name contains the process id, as both processes of an upgrade may replace the same file at once.
+        // The name contains the process id, because both processes of an upgrade may replace the same file at the same
+        // time.
         let mut temporary_path = path.as_os_str().to_owned();
         temporary_path.push(format!(".{}.new", std::process::id()));
         StagedFile {
@@ -73,7 +74,7 @@
         Ok(self)
     }
 
-    /// Replaces the file and syncs the folder.
+    /// Renames the temporary file over the target file and syncs the folder.
     pub fn install(self) -> io::Result<()> {
         let renamed = self.rename()?;
         // The rename is durable only once the folder is synced.
@@ -88,18 +89,18 @@
 impl Drop for StagedFile {
     fn drop(&mut self) {
         if !self.is_installed {
-            // The file may not exist.
+            // The temporary file may not exist, so a failure is ignored.
             let _ = fs::remove_file(&self.temporary_path);
         }
     }
 }
 
-/// Replaces a file atomically and durably: after a power failure it has either the new or the old content.
+/// Replaces a file atomically and durably. After a power failure, the file has either the new or the old content.
 pub fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
     StagedFile::write(path, bytes)?.install()
 }
 
-/// Replaces a file atomically but not durably, for a file of which there is another copy.
+/// Replaces a file atomically but without syncing it. Used for files of which another copy exists.
 pub fn replace_unsynced(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let staged = StagedFile::new(path);
     fault_points::write()?;
@@ -107,7 +108,7 @@
     staged.rename().map(drop)
 }
 
-/// Removes the temporary files that killed processes left next to a file.
+/// Removes the temporary files next to a file that were left by processes that were killed.
 pub fn remove_leftovers(path: &Path) {
     let (Some(folder), Some(name)) = (path.parent(), path.file_name().and_then(|n| n.to_str()))
     else {
@@ -121,7 +122,7 @@
                 .strip_suffix(".new")
         });
         let is_process = |p: &str| !p.is_empty() && p.bytes().all(|b| b.is_ascii_digit());
-        // The old process of an upgrade may still be writing.
+        // The old process of an upgrade may still be writing, so files of running processes are kept.
         let is_leftover = |p: &str| is_process(p) && !Path::new("/proc").join(p).exists();
         if process.is_some_and(is_leftover) {
             if let Err(e) = fs::remove_file(entry.path()) {
@@ -189,7 +190,7 @@
                     self.write(path, bytes);
                 }
                 Err(RecvTimeoutError::Timeout) => self.retry_pending(),
-                // The process ends, so pending files are tried once more.
+                // The handle was dropped because the process ends, so pending files are tried once more.
                 Err(RecvTimeoutError::Disconnected) => return self.retry_pending(),
             }
         }
--- a/daemon/src/fail_points/error.rs
+++ b/daemon/src/fail_points/error.rs
@@ -1,9 +1,9 @@
-//! Errors of arming fail points.
+//! Errors in the environment variable that sets fail points.
 
 use super::{CLOCK, VARIABLE};
 use std::num::ParseIntError;
 
-/// An error in the environment variable that arms the fail points.
+/// An error in the environment variable that sets fail points.
 #[derive(Debug, thiserror::Error)]
 pub enum ArmError {
     /// The offset of the wall clock is not a number.
@@ -14,7 +14,7 @@
         /// The error of parsing the offset.
         source: ParseIntError,
     },
-    /// There is no point with this name.
+    /// There is no fail point with this name.
     #[error("{VARIABLE}: there is no point '{0}'")]
     UnknownPoint(String),
     /// The action of a point is unknown.
@@ -31,7 +31,7 @@
     /// The crate `fail` rejected an action.
     #[error("{VARIABLE}: {0}")]
     Action(String),
-    /// The process is armed already.
+    /// Failures of system calls have already been set for the process.
     #[error("{0}")]
     AlreadyArmed(String),
 }
--- a/daemon/src/fail_points/mod.rs
+++ b/daemon/src/fail_points/mod.rs
@@ -1,10 +1,10 @@
-//! Fail points: named points at which a process is killed, is stopped or gets an error, for tests of failures in the
-//! middle of an operation. Only builds with the feature `points` have them, which release builds do not; without it
-//! `fail_point!` expands to nothing.
+//! Fail points: named points in the code at which tests kill the process, stop it or inject an error. They exist only
+//! in builds with the feature `points`, which release builds do not enable; without it, `fail_point!` expands to
+//! nothing.
 //!
-//! `LINNETKNOT_POINTS=store-committed=die;admin-kept=stall` arms points at the start. System calls fail with
-//! `sys-epoll-ctl=errno(ENOMEM|ENOSPC):every(31)`, and transfer few bytes with `sys-read=short(1)` (`net::injection`).
-//! `clock=-3600` offsets the wall clock of the process by this number of seconds.
+//! `LINNETKNOT_POINTS=store-committed=die;admin-kept=stall` sets points at the start.
+//! `sys-epoll-ctl=errno(ENOMEM|ENOSPC):every(31)` lets system calls fail, and `sys-read=short(1)` limits the bytes that
+//! they transfer (`net::injection`). `clock=-3600` offsets the wall clock of the process by this number of seconds.
 
 mod error;
 mod transient;
@@ -17,23 +17,23 @@
 use std::sync::atomic::{AtomicI64, Ordering};
 use transient::TransientError;
 
-/// The environment variable that arms the points.
+/// The environment variable that sets fail points.
 const VARIABLE: &str = "LINNETKNOT_POINTS";
-/// The name of the offset of the wall clock.
+/// The key of the wall clock offset in the variable.
 const CLOCK: &str = "clock";
 /// The prefix of the names of system calls.
 const SYSTEM_CALL_PREFIX: &str = "sys-";
-/// The prefix of the names of points that are armed some time after the start.
+/// The prefix of names of points that are set some time after the start.
 const LATE_PREFIX: &str = "late-";
 const MICROS_PER_SECOND: i64 = 1_000_000;
 
 /// The offset of the wall clock of this process, in microseconds.
 static CLOCK_OFFSET_US: AtomicI64 = AtomicI64::new(0);
 
-/// The points, in the order in which a commit passes them.
+/// The names of all points, grouped by operation and in the order in which an operation passes them.
 pub const POINTS: [&str; 27] = [
-    // A purge by a peer CDN: before and after it is sent to the peers, before and after the store's worker commits it,
-    // and once enough proxies have it, before the response.
+    // A purge by a peer CDN: before and after it is sent to the peers, before and after the worker of the store commits
+    // it, and before the response, once enough proxies have acknowledged it.
     "peers-tell",
     "peers-told",
     "store-commits",
@@ -41,35 +41,37 @@
     "promise-kept",
     // The store fails to write (`fail`).
     "store-fails",
-    // Calls to the file system, of the store and of files that are replaced atomically (`ERRNO`).
+    // Calls to the file system by the store and by atomic replacement of files (`ERRNO`).
     "disk-open",
     "disk-read",
     "disk-write",
     "disk-sync",
     "disk-truncate",
     "disk-rename",
-    // At a peer with the durable purge, before it acknowledges it.
+    // At a peer that has synced a purge, before the peer acknowledges it.
     "holder-says",
     // At a proxy that receives a snapshot: after a chunk of the snapshot is applied, and when no chunk arrives
     // (`fail`).
     "snapshot-chunk",
     "snapshot-lost",
-    // Faults that rehearsals inject to test their rules (`fail`): an acknowledgement before the purge is durable, a
-    // recovery that skips missing entries, and a replaced process that continues to commit.
+    // Faults in the protocol that fleet tests inject to verify that their checks detect them (`fail`): an
+    // acknowledgement before the purge is durable, a recovery that skips missing entries, and a replaced process that
+    // continues to commit.
     "plant-credit",
     "plant-skip",
     "plant-no-fence",
-    // The same: entries that are removed before the buckets with their purges are synced.
+    // Such a fault in compaction: entries are removed before the buckets with their purges are synced.
     "plant-early-removal",
-    // A ban or drain at the admin listener: before its first file is replaced, between the two, and after both.
+    // A ban or drain at the admin listener: before the first copy of the state is replaced, between the two copies, and
+    // after both.
     "admin-keeps",
     "admin-kept-once",
     "admin-kept",
-    // An allocator that has decided on leases: before and after it sends them to their holders.
+    // An allocator of budgets: before and after it sends granted leases to their holders.
     "budgets-grant",
     "budgets-granted",
-    // Faults that rehearsals inject: a holder that ignores the end of its lease, a candidate that counts a vote of each
-    // member that it asks, and reserved minimums that are not counted against the limit.
+    // Such faults in shared budgets: a holder that ignores the expiry of its lease, a candidate that counts every vote
+    // it requests as granted, and an allocator that does not count the reserved minimums against the limit.
     "plant-lease",
     "plant-votes",
     "plant-floors",
@@ -80,10 +82,10 @@
     CLOCK_OFFSET_US.load(Ordering::Relaxed)
 }
 
-/// Arms the points that the environment names.
+/// Sets the fail points that the environment variable names.
 ///
 /// # Errors
-/// Fails on an unknown point or action, and if system calls are already armed.
+/// Fails on an unknown point or action, and if failures of system calls were already set.
 pub fn arm() -> Result<(), ArmError> {
     let Ok(text) = std::env::var(VARIABLE) else {
         return Ok(());
@@ -123,7 +125,8 @@
     .map_err(ArmError::Action)
 }
 
-/// A signal to the own process is delivered before the call returns. A stopped process continues from here.
+/// Sends a signal to this process, which is delivered before the call returns. A stopped process continues after the
+/// call.
 fn send_to_self(signal: Signal) {
     let _ = kill_process(getpid(), signal);
 }
--- a/daemon/src/fail_points/transient.rs
+++ b/daemon/src/fail_points/transient.rs
@@ -1,10 +1,11 @@
-//! Errors that a fail point returns for a limited number of passes or time.
+//! Errors that a fail point returns for a limited time or a limited number of passes.
 
 use super::ArmError;
 use std::thread;
 use std::time::Duration;
 
-/// The delay after the start at which points with the prefix `late-` are armed, when the process has opened its files.
+/// The delay after the start with which points with the prefix `late-` are set. By then, the process has opened its
+/// files.
 const LATE_ARMING_DELAY: Duration = Duration::from_millis(500);
 
 /// An error that a point returns: `EIO` always, `EIO*2` twice, `EIO@1500` for 1,500 milliseconds, `EIO+3` after three
@@ -40,7 +41,7 @@
         })
     }
 
-    /// Arms a point with the error, at once or after `LATE_ARMING_DELAY`.
+    /// Sets a point to return the error, immediately or after `LATE_ARMING_DELAY`.
     pub(super) fn arm(&self, name: &str, is_delayed: bool) -> Result<(), ArmError> {
         let action = self.action();
         let (name, duration) = (name.to_owned(), self.duration);
--- a/daemon/src/fleet/mod.rs
+++ b/daemon/src/fleet/mod.rs
@@ -10,15 +10,16 @@
 
 /// The maximum number of peers in a status.
 pub const MAX_PEERS: usize = 48;
-/// The maximum number of logs in a status. With `MAX_PEERS` peers it fits the send buffer of the admin listener.
+/// The maximum number of logs in a status. A status with this many logs and `MAX_PEERS` peers fits into the send buffer
+/// of the admin listener.
 pub const MAX_LOGS: usize = 32;
 
-/// The replication status of a proxy. The keys of the JSON, which tools read, are those of released versions.
+/// The replication status of a proxy. The JSON keys must not change, because tools read them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// The name of the proxy.
     pub name: String,
-    /// The machine of the proxy, by its configuration.
+    /// The machine of the proxy, as configured.
     pub machine: String,
     /// The epoch of the log of the proxy.
     #[serde(rename = "life")]
@@ -26,35 +27,35 @@
     /// The number of further machines that acknowledge a purge before it is committed.
     #[serde(rename = "wait")]
     pub min_acks: usize,
-    /// The number of further machines that eventually have each purge.
+    /// The number of further machines to which each purge is eventually replicated.
     #[serde(rename = "holders")]
     pub replication_factor: usize,
     /// The last index of the log of the proxy.
     #[serde(rename = "end")]
     pub last_index: u64,
-    /// The durable index of that log on the disk of the proxy.
+    /// The index through which the log of the proxy is durable on its disk.
     #[serde(rename = "on_disk")]
     pub durable_index: u64,
     /// The number of entries in force, in all logs.
     pub entries: usize,
-    /// The number of older purges with a slot of their own in the compact table.
+    /// The number of older purges that the compact table holds in a slot of their own.
     #[serde(default)]
     pub compacted: usize,
     /// The memory of the compact table, in bytes.
     #[serde(default)]
     pub table_bytes: usize,
-    /// The error of opening the store, while it can't be opened.
+    /// Why the store could not be opened; absent if it is open.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub store_error: Option<String>,
-    /// Whether the proxy is receiving a snapshot, as peers have compacted entries that it lacks.
+    /// Whether the proxy is receiving a snapshot, because peers have compacted entries that it lacks.
     #[serde(default)]
     pub catching_up: bool,
-    /// A checksum of all logs, which is equal for proxies with the same entries.
+    /// A checksum of all logs. Proxies with the same entries have the same checksum.
     pub digest: String,
     /// The number of pending commits.
     #[serde(rename = "waiting")]
     pub pending_commits: usize,
-    /// The number of under-replicated entries, which is 0 once all peers have caught up.
+    /// The number of under-replicated entries; 0 once all peers have caught up.
     #[serde(rename = "short")]
     pub under_replicated: usize,
     /// The number of commits of this process.
@@ -68,12 +69,12 @@
     pub alive_members: usize,
     /// Whether a later process with the same name has started, so that this one commits nothing.
     pub replaced: bool,
-    /// The first peers, up to `MAX_PEERS`.
+    /// The status of up to `MAX_PEERS` peers.
     pub peers: Vec<PeerStatus>,
     /// The number of all peers.
     #[serde(rename = "peers_in_all")]
     pub peers_total: usize,
-    /// The first logs with entries, up to `MAX_LOGS`.
+    /// The status of up to `MAX_LOGS` logs that have entries.
     pub logs: Vec<LogStatus>,
     /// The number of all logs.
     #[serde(rename = "logs_in_all")]
@@ -89,13 +90,13 @@
     pub machine: String,
     /// The name of the peer; empty while unknown.
     pub name: String,
-    /// The membership state: `unknown`, `alive`, `suspect`, `dead` or `left`.
+    /// The membership state of the peer: `unknown`, `alive`, `suspect`, `dead` or `left`.
     #[serde(rename = "standing")]
     pub state: String,
     /// The incarnation of the peer.
     #[serde(rename = "life")]
     pub incarnation: String,
-    /// The index of the proxy's log that the peer has acknowledged.
+    /// The index through which the peer has acknowledged the log of the proxy.
     #[serde(rename = "held")]
     pub acked_index: u64,
     /// The number of entries of that log that the peer has not acknowledged.
@@ -116,7 +117,7 @@
     /// The last index of the log that the proxy has.
     #[serde(rename = "end")]
     pub last_index: u64,
-    /// The durable index of the log on the disk of the proxy.
+    /// The index through which the log is durable on the disk of the proxy.
     #[serde(rename = "on_disk")]
     pub durable_index: u64,
 }
--- a/daemon/src/fleet/query.rs
+++ b/daemon/src/fleet/query.rs
@@ -22,7 +22,7 @@
     /// The admin listener can't be reached, or the connection broke.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The response exceeds the timeout or the maximum size.
+    /// The response did not arrive within the timeout, or exceeds the maximum size.
     #[error("the response of the admin listener is too slow or too long")]
     Endless,
     /// The connection was closed before the response was complete.
@@ -31,10 +31,10 @@
     /// The response is not HTTP.
     #[error("the response of the admin listener is malformed: {0}")]
     Malformed(String),
-    /// The body is not a status.
+    /// The body of the response is not the JSON of a status.
     #[error("the response of the admin listener is not a status: {0}")]
     Unreadable(#[from] serde_json::Error),
-    /// The feature is not enabled at the proxy.
+    /// The queried feature is not enabled at the proxy.
     #[error("{0}")]
     NotFound(&'static str),
     /// The status code is neither 200 nor 404.
@@ -67,7 +67,7 @@
 /// Queries the status of the budgets of a proxy.
 ///
 /// # Errors
-/// Fails as `query_status`, and if no budget is shared.
+/// Fails for the same reasons as `query_status`, and if no budgets are shared.
 pub fn query_budgets(admin: SocketAddr) -> Result<budgets::Status, StatusError> {
     query(
         admin,
@@ -108,8 +108,8 @@
         status: None,
         body: Vec::new(),
     };
-    // The timeout applies to the whole response and not to each read, as a server that is not a proxy may send small
-    // parts without end.
+    // The timeout applies to the whole response and not to each read, because a server that is not a proxy may send
+    // small parts without end.
     let begun = Instant::now();
     loop {
         let (taken, piece) = messages
--- a/daemon/src/fleet/table.rs
+++ b/daemon/src/fleet/table.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write as _;
 
 impl Status {
-    /// Formats the status as tables.
+    /// Formats the status as a summary and tables of the peers and logs.
     pub fn to_table(&self) -> String {
         let mut table = String::new();
         // Writing to a string does not fail.
@@ -26,7 +26,7 @@
         table
     }
 
-    /// Returns the lines before the tables, each with its label.
+    /// Returns the lines of the summary, each with its label.
     fn summary(&self) -> [(&'static str, String); 7] {
         [
             (
--- a/daemon/src/interconnect/budgets.rs
+++ b/daemon/src/interconnect/budgets.rs
@@ -61,30 +61,31 @@
 pub struct SharedBudget {
     /// The name of the budget.
     pub name: String,
-    /// The unit of its amounts.
+    /// The unit of the amounts of the budget.
     pub unit: kinds::Unit,
-    /// The budget of the decision module; `None` if it is that of another zone.
+    /// The corresponding budget of the decision module; `None` if the budget belongs to another zone.
     pub module_budget: Option<linnetknot::Budget>,
     /// The limit and the reserved minimum.
     pub spec: BudgetSpec,
 }
 
-/// The validated budgets.
+/// The validated section `budgets`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Budgets {
-    /// The index of this proxy in the list of all.
+    /// The index of this proxy in the list of all proxies.
     pub index: usize,
     /// The number of proxies.
     pub members: usize,
-    /// A hash of the budgets and the number of proxies. Proxies with another one do not share with this proxy.
+    /// A hash of the budgets and the number of proxies. Proxies whose hashes differ do not share budgets with each
+    /// other.
     pub fingerprint: u64,
-    /// The budgets.
+    /// The shared budgets; empty if none are configured.
     pub list: Vec<SharedBudget>,
 }
 
 impl Budgets {
-    /// Returns the maximum time for which a request may be open, regardless of the budget of its client; `None` if the
-    /// origin's requests are not a shared budget.
+    /// Returns the maximum time for which a request may be open, regardless of the time budget of its client; `None` if
+    /// the concurrent requests of the origin are not a shared budget.
     pub fn max_request_us(&self) -> Option<Micros> {
         let origin = self
             .list
@@ -95,7 +96,7 @@
 }
 
 impl BudgetsFile {
-    /// Validates the section for these settings and peers.
+    /// Validates the section against the settings and the peers of the configuration.
     ///
     /// # Errors
     /// Fails on a number out of range, without replication, and if this proxy is not among the peers.
@@ -112,7 +113,8 @@
         if !replicates {
             return Err(InterconnectError::BudgetsNeedReplication);
         }
-        // Without peers, the file is checked by itself and the number of proxies is unknown.
+        // If there are no peers, the file is being checked without a configuration, and the number of proxies is
+        // unknown.
         let Some(peers) = peers else {
             return Ok(Budgets::default());
         };
@@ -147,7 +149,7 @@
         Ok(())
     }
 
-    /// Returns the budgets of slow start: those of the parents and of the caches of each zone.
+    /// Returns the budgets for servers in slow start: one for the parents, and one for the caches of each zone.
     fn slow_start_budgets(&self, settings: &Settings, members: usize) -> Vec<SharedBudget> {
         let limit = kinds::CACHES.unit.scale();
         let spec = BudgetSpec {
@@ -168,7 +170,7 @@
 }
 
 impl OriginFile {
-    /// Returns the budget of the origin's requests for this number of members.
+    /// Returns the budget of the concurrent requests of the origin, for this number of members.
     fn shared(&self, settings: &Settings, members: usize) -> Result<SharedBudget> {
         let deadlines = settings.classes.iter().map(|class| class.deadline_us);
         let spec = BudgetSpec {
@@ -206,8 +208,8 @@
     }
 }
 
-/// Hashes the budgets and the number of members. Limits are left out, as they may differ while they are changed at one
-/// proxy after the other.
+/// Hashes the budgets and the number of members. Limits are excluded, because they differ temporarily while they are
+/// changed at one proxy after another.
 fn fingerprint(members: usize, list: &[SharedBudget]) -> u64 {
     let mut text = members.to_string();
     for SharedBudget { name, spec, .. } in list {
--- a/daemon/src/interconnect/cdni.rs
+++ b/daemon/src/interconnect/cdni.rs
@@ -60,7 +60,7 @@
 }
 
 impl CdniFile {
-    /// Validates the section; `None` if the file names no address to listen on.
+    /// Validates the section. Returns `None` if the file names no address to listen on.
     ///
     /// # Errors
     /// Fails if the provider or the base is missing, or a network is malformed.
--- a/daemon/src/interconnect/consul/mod.rs
+++ b/daemon/src/interconnect/consul/mod.rs
@@ -13,7 +13,7 @@
 /// The validated section `consul`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Consul {
-    /// The agents, in the order of their use.
+    /// The agents, in the order in which they are tried.
     pub agents: Vec<SocketAddr>,
     /// The options of the queries, one for each data center.
     pub options: Vec<Options>,
@@ -23,7 +23,7 @@
     pub token_file: Option<PathBuf>,
     /// The maximum size of a response, in bytes.
     pub max_response_bytes: usize,
-    /// Whether the list of the event bus is used as well.
+    /// Whether the endpoint list of the event bus is used in addition.
     pub beside_bus: bool,
     /// The damping of flapping caches.
     pub damping: Damping,
@@ -39,7 +39,7 @@
 }
 
 impl Registration {
-    /// Whether two registrations are the same except for the number of agents.
+    /// Whether two registrations are equal, ignoring the number of agents.
     fn is_same(&self, other: &Registration) -> bool {
         let registrant = Registrant {
             agents: self.registrant.agents,
@@ -67,8 +67,8 @@
         })
     }
 
-    /// Whether a running daemon can change to this configuration. The sources of its list and its registration can't
-    /// change.
+    /// Whether a running daemon can change to the configuration `new`. The sources of the endpoint list and the
+    /// registration must be unchanged.
     pub fn can_reload_as(&self, new: &Consul) -> bool {
         let has_same_registration = match (&self.register, &new.register) {
             (Some(own), Some(new)) => own.is_same(new),
@@ -79,14 +79,14 @@
             && self.beside_bus == new.beside_bus
     }
 
-    /// Returns the watched data centers; `None` stands for that of the agent.
+    /// Returns the watched data centers; `None` stands for the data center of the agent.
     fn datacenters(&self) -> impl Iterator<Item = Option<&str>> {
         self.options
             .iter()
             .map(|options| options.datacenter.as_deref())
     }
 
-    /// Returns a text for each data center that identifies its list.
+    /// Returns a text for each data center that identifies the endpoint list of its query.
     pub fn scopes(&self) -> Vec<String> {
         let scope = |options: &Options| {
             let datacenter = options.datacenter.as_deref().unwrap_or("");
--- a/daemon/src/interconnect/consul/validation.rs
+++ b/daemon/src/interconnect/consul/validation.rs
@@ -168,7 +168,7 @@
         Ok(damping)
     }
 
-    /// Returns the key of a damping parameter: times are in seconds in the file.
+    /// Returns the key of a damping parameter in the file. The keys of times have the suffix `_s`, for seconds.
     fn key(figure: &str) -> String {
         match figure {
             "half_life" | "most_suppressed" => format!("{figure}_s"),
@@ -207,7 +207,7 @@
         })
     }
 
-    /// Returns the size of the tags and the meta, in bytes.
+    /// Returns the total size of the tags and the meta of the registration, in bytes.
     fn size(&self) -> usize {
         let tags: usize = self.tags.iter().map(String::len).sum();
         let meta = self.meta.iter().map(|(key, value)| key.len() + value.len());
--- a/daemon/src/interconnect/error.rs
+++ b/daemon/src/interconnect/error.rs
@@ -50,7 +50,7 @@
         /// The network in the file.
         text: String,
     },
-    /// The default zone is not in the settings.
+    /// The default zone of Consul instances is not among the zones of the settings.
     #[error("consul.zone: '{zone}' is none of the settings' zones ({})", zones.join(", "))]
     UnknownZone {
         /// The zone in the file.
@@ -58,7 +58,7 @@
         /// The zones of the settings.
         zones: Vec<String>,
     },
-    /// The parameters of the damping contradict each other.
+    /// The parameters of flap damping contradict each other.
     #[error("consul.damping.{key} {source}")]
     Damping {
         /// The key within `consul.damping`.
@@ -69,7 +69,7 @@
     /// Replication is on, but there is no file for the purges.
     #[error("peers.copies: 'cdni.purges' names no file to store the purges in")]
     NoPurgeFile,
-    /// More further machines are required than the peers are on.
+    /// The peers are on fewer further machines than are required.
     #[error(
         "copies.{key}: {required} further machines are required, but the peers are on only {available} \
          besides this proxy's own; 'copies.machines' names those that share an address"
@@ -79,16 +79,16 @@
         key: &'static str,
         /// The number of further machines that it requires.
         required: usize,
-        /// The number of further machines.
+        /// The number of further machines that the peers are on.
         available: usize,
     },
-    /// The replication factor is less than the minimum of acknowledgements.
+    /// The replication factor is less than the minimum number of acknowledgements.
     #[error("copies.holders: fewer than the {min_acks} of 'copies.wait'")]
     ReplicationFactorTooSmall {
-        /// The minimum of acknowledgements.
+        /// The minimum number of acknowledgements.
         min_acks: usize,
     },
-    /// The size of the table is not a power of two.
+    /// The size of the table of older purges is not a power of two.
     #[error("{key}: {megabytes} is no power of two")]
     NotPowerOfTwo {
         /// The path of the key.
@@ -96,7 +96,7 @@
         /// The size, in MiB.
         megabytes: u32,
     },
-    /// The table is too large to be addressed.
+    /// The size of the table of older purges exceeds the maximum.
     #[error("{key}: {source}")]
     TableSize {
         /// The path of the key.
@@ -107,7 +107,7 @@
     /// Budgets are shared without replication.
     #[error("budgets: needs 'peers.copies'")]
     BudgetsNeedReplication,
-    /// This proxy is not among those that share the budgets.
+    /// This proxy is not in the list of peers that share the budgets.
     #[error("budgets: 'peers' does not name this proxy's own 'peer_listen'")]
     NotAmongPeers,
     /// The limit of the origin is less than the sum of the reserved minimums.
@@ -115,7 +115,7 @@
     OriginLimit {
         /// The limit.
         limit: u64,
-        /// The sum of the reserved minimums.
+        /// The error with the sum of the reserved minimums.
         source: LimitTooSmall,
     },
 }
--- a/daemon/src/interconnect/peers.rs
+++ b/daemon/src/interconnect/peers.rs
@@ -1,4 +1,4 @@
-//! The section `peers`: what the proxies of a fleet exchange.
+//! The section `peers`: the messages that the proxies of a fleet exchange.
 
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -31,7 +31,7 @@
         self.all.iter().copied().filter(|peer| *peer != self.own)
     }
 
-    /// Returns the index of this proxy in the list of all.
+    /// Returns the index of this proxy in `all`, if it is listed.
     pub fn own_index(&self) -> Option<usize> {
         self.all.iter().position(|peer| *peer == self.own)
     }
--- a/daemon/src/interconnect/replication.rs
+++ b/daemon/src/interconnect/replication.rs
@@ -61,7 +61,7 @@
     pub enabled: bool,
     /// The number of further machines that acknowledge a purge before it is committed.
     pub min_acks: usize,
-    /// The number of further machines that eventually have each purge.
+    /// The number of further machines to which each purge is eventually replicated.
     pub replication_factor: usize,
     /// The timeout of a commit.
     pub commit_timeout_us: Micros,
@@ -78,14 +78,14 @@
 pub struct PurgeTableSize {
     /// The size of the table.
     pub bucket_bits: BucketBits,
-    /// The maximum number of single entries; `None` for that of the limits.
+    /// The maximum number of single entries; `None` for the value in the limits.
     pub exact: Option<usize>,
 }
 
 impl PurgeTableSize {
     /// The default size of the table, in MiB.
     const DEFAULT_MB: u32 = 4;
-    /// The binary logarithm of the number of buckets in a MiB.
+    /// The binary logarithm of the number of buckets per MiB.
     const BITS_OF_ONE_MB: u32 = 14;
     /// The maximum size of the table, in MiB.
     const MAX_MB: u32 = 1 << (BucketBits::MAX.value() as u32 - Self::BITS_OF_ONE_MB);
@@ -110,7 +110,7 @@
     }
 }
 
-/// The default replication factor, if there are as many further machines.
+/// The default replication factor. With fewer further machines, the default is their number, but at least `min_acks`.
 const DEFAULT_REPLICATION_FACTOR: usize = 2;
 
 impl CopiesFile {
@@ -123,7 +123,7 @@
             range("copies.within_ms", self.commit_timeout_ms, 50, 30_000)? * 1000;
         let purge_table = PurgeTableSize::check(self)?;
         if !enabled {
-            // A purge is committed once it is durable on this proxy.
+            // Without replication, a purge is committed once it is durable on this proxy.
             return Ok(Replication {
                 commit_timeout_us,
                 purge_table,
@@ -137,7 +137,7 @@
             .map(|(_, name)| name)
             .filter(|name| **name != machine)
             .collect();
-        // Without peers, the file is checked by itself and the machines are unknown.
+        // If there are no peers, the file is being checked without a configuration, and the machines are unknown.
         if peers.is_some() {
             self.check_machines(further.len())?;
         }
@@ -153,7 +153,7 @@
         })
     }
 
-    /// Returns the machine of the proxy with this address: the IP address, unless `machines` names another.
+    /// Returns the machine of the proxy with this address: the one that `machines` names, or else the IP address.
     fn machine_at(&self, address: SocketAddr) -> String {
         let named = self.machines.get(&address).cloned();
         named.unwrap_or_else(|| address.ip().to_string())
@@ -169,7 +169,7 @@
         others.map(|peer| (peer, self.machine_at(peer))).collect()
     }
 
-    /// Checks that there are as many further machines as each key requires.
+    /// Checks that the peers are on as many further machines as `wait` and `holders` require.
     fn check_machines(&self, available: usize) -> Result<()> {
         let replication_factor = self.replication_factor.unwrap_or(self.min_acks);
         for (key, required) in [("wait", self.min_acks), ("holders", replication_factor)] {
--- a/daemon/src/interconnect/state.rs
+++ b/daemon/src/interconnect/state.rs
@@ -31,7 +31,7 @@
 pub struct State {
     /// The folder of the state, if there is one.
     pub directory: Option<PathBuf>,
-    /// The maximum age of a cached endpoint list.
+    /// The maximum age of a cached endpoint list. Older lists are not used.
     pub max_age_us: Micros,
 }
 
--- a/daemon/src/interconnect/validation.rs
+++ b/daemon/src/interconnect/validation.rs
@@ -1,10 +1,10 @@
-//! Validation that several sections share.
+//! Validation functions that are used for several sections.
 
 use super::{InterconnectError, Result};
 use linnetknot::Micros;
 use std::fmt::Display;
 
-/// The maximum length of a text in a request to the agent, in bytes.
+/// The maximum length of a text in a request to the Consul agent, in bytes.
 const MAX_TEXT_BYTES: usize = 256;
 
 /// Returns the value if it is from `min` to `max`.
@@ -21,7 +21,8 @@
     Ok((range(key, seconds, 0.001, 1e6)? * 1e6) as Micros)
 }
 
-/// Validates a text in a request to the agent, where an empty one would change the meaning.
+/// Validates a text that becomes part of a request to the Consul agent. It must not be empty, because that would change
+/// the meaning of the request.
 pub(super) fn text(key: &str, text: &str) -> Result<()> {
     if text.is_empty() || text.len() > MAX_TEXT_BYTES || text.chars().any(char::is_control) {
         return Err(InterconnectError::UnusableText {
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -1,7 +1,7 @@
 //! The linnetknot daemon: runs the decision module on real sockets, with one thread and one epoll loop.
 //!
 //! `core` handles requests, attempts and outcomes and drives the decision module. `front` and `upstream` translate
-//! between it and their protocols. `net` owns sockets, buffers and deadlines. `daemon` connects these parts.
+//! between `core` and their protocols. `net` owns sockets, buffers and deadlines. `daemon` connects these parts.
 
 pub mod budgets;
 pub mod bus;
--- a/daemon/src/logging.rs
+++ b/daemon/src/logging.rs
@@ -27,10 +27,11 @@
     }
 }
 
-/// Formats a record as one JSON object. Key-values whose keys collide with those of the format are nested under `kv`.
+/// Formats a record as one JSON object. Key-values whose keys collide with the fixed keys of the object are nested
+/// under `kv`.
 pub fn json(record: &Record<'_>, unix_ms: u64) -> String {
     let mut key_values = KeyValues(Map::new());
-    // Visiting does not fail: values without a JSON type become text.
+    // The result is ignored, because visiting does not fail: values without a JSON type are formatted as text.
     let _ = record.key_values().visit(&mut key_values);
     let mut line = Map::new();
     line.insert("ts_ms".into(), unix_ms.into());
@@ -66,6 +67,6 @@
             },
         );
     }
-    // It fails only if a logger is already installed, as in tests.
+    // This fails only if a logger is already installed, as in tests, so the result is ignored.
     let _ = builder.try_init();
 }
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -78,7 +78,7 @@
     #[cfg(feature = "points")]
     linnetknot_daemon::fail_points::arm()?;
     let config = Config::from_env();
-    // The logger starts first, so that errors of the configuration are logged.
+    // The logger is started first, so that errors in the configuration are logged.
     logging::start(
         config
             .as_ref()
@@ -100,7 +100,7 @@
     }
 }
 
-/// Prints the result of the check of each file.
+/// Checks the files, and prints the result for each of them.
 fn check(files: &[PathBuf]) -> ExitCode {
     let mut exit_code = ExitCode::SUCCESS;
     for file in config::check(files) {
--- a/daemon/src/net/conn.rs
+++ b/daemon/src/net/conn.rs
@@ -132,8 +132,8 @@
     /// Reads once. Reads nothing if the receive buffer is full, so that the peer has to wait.
     pub fn read(&mut self, broken: bool) -> Progress {
         if self.input.free_bytes() == 0 {
-            // epoll reports a broken connection regardless of the interest. If this were not reported as broken, the
-            // event loop would spin while the buffer is full.
+            // epoll reports a broken connection regardless of the interest. If `Blocked` were returned, the event loop
+            // would spin while the buffer is full.
             return if broken {
                 Progress::Broken
             } else {
--- a/daemon/src/net/syscall.rs
+++ b/daemon/src/net/syscall.rs
@@ -30,7 +30,8 @@
     make_unless(call, || injection::failure_on(call, socket), system_call)
 }
 
-/// Makes a call, unless `failure` returns an errno to inject. Repeats the call if it is interrupted.
+/// Makes a call, unless `injected` returns an errno, which is then returned instead. Repeats the call if it is
+/// interrupted.
 fn make_unless<T>(
     call: Call,
     injected: impl Fn() -> Option<Errno>,
--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -1,4 +1,5 @@
-//! Plain datagrams between proxies, for purges that only one of them received.
+//! The encoding of purges as plain datagrams, by which a proxy forwards the purges that it receives to the other
+//! proxies.
 
 use linnetknot::Micros;
 
@@ -11,7 +12,7 @@
     pub object: Option<String>,
     /// The group, if there is no object.
     pub group: u64,
-    /// The time of the purge.
+    /// The time of the purge by the origin clock, in microseconds.
     pub at: Micros,
 }
 
--- a/daemon/src/plain_purges.rs
+++ b/daemon/src/plain_purges.rs
@@ -1,27 +1,28 @@
-//! Purges as plain datagrams, for peers that do not replicate logs: older versions, and proxies with replication off.
-//! Without I/O.
+//! Decides how purges are exchanged as plain datagrams with peers that do not replicate logs: older versions, and
+//! proxies with replication off. This module does no I/O.
 //!
-//! A peer that replicates logs has each purge as an entry of its writer's log, and is sent no plain datagrams. A plain
-//! purge from such a peer is applied but not written, as it would otherwise be in two logs, and the second entry would
-//! have an index that no other peer received. Membership, which runs with replication, shows whether a peer replicates.
-//! A sender that membership does not know yet is greeted, and its purge is written only if it does not answer.
+//! A peer that replicates logs receives each purge as an entry of the log of the proxy that received it, so no plain
+//! datagrams are sent to such a peer. A plain purge from such a peer is applied but not appended to the log of this
+//! proxy, because the purge would otherwise be in two logs. Membership shows whether a peer replicates logs. If a
+//! sender is unknown to membership, this proxy contacts it by a membership message, and appends the purge only if the
+//! sender does not reply within a grace period.
 
 use crate::limits::Limits;
 use crate::peers::Purge;
 use linnetknot::Micros;
 use std::collections::VecDeque;
 
-/// The number of times a purge is resent, as peers without replication do not request missing purges.
+/// The number of times a purge is resent. Peers without replication do not request missing purges.
 const RESENDS: u8 = 2;
 
-/// The treatment of a plain purge besides applying it.
+/// The treatment of a received plain purge, in addition to applying it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Treatment {
-    /// No further action, as the purge also arrives as an entry.
+    /// No further action, because the purge is also received as a log entry.
     Replicated,
-    /// Greet the sender. Whether the purge must be written is decided later.
+    /// Send the sender a membership message. Whether the purge must be appended to the log is decided later.
     Greet,
-    /// Write the purge, so that it outlives the process.
+    /// Append the purge to the log of this proxy, so that it persists across restarts.
     Write(Purge),
 }
 
@@ -30,7 +31,7 @@
 pub struct DueWork {
     /// Datagrams to resend to the peers that are not known to replicate logs.
     pub resends: Vec<String>,
-    /// Purges to write, as their senders are still not known to replicate logs.
+    /// Purges to append to the log of this proxy, because their senders are still not known to replicate logs.
     pub writes: Vec<Purge>,
 }
 
@@ -41,7 +42,7 @@
     remaining: u8,
 }
 
-/// A purge whose sender is not known to replicate logs yet.
+/// A purge whose sender is not known to replicate logs. At `due` it is appended to the log unless that has changed.
 #[derive(Clone, Debug)]
 struct Unwritten {
     due: Micros,
@@ -49,7 +50,7 @@
     purge: Purge,
 }
 
-/// The plain purges to resend, and those that may have to be written.
+/// The plain purges to resend, and those that may have to be appended to the log.
 #[derive(Clone, Debug)]
 pub struct PlainPurges {
     resend_us: Micros,
@@ -80,8 +81,8 @@
         });
     }
 
-    /// Returns the treatment of a purge. `from` is the index of its sender, if known, and `replicates` whether that
-    /// peer is known to replicate logs.
+    /// Returns the treatment of a purge. `from` is the index of the sender, if known, and `replicates` states whether
+    /// the sender is known to replicate logs.
     pub fn receive(
         &mut self,
         now: Micros,
@@ -110,7 +111,8 @@
         resend.into_iter().chain(unwritten).min()
     }
 
-    /// Returns the work that is due. `replicates` returns whether a peer is known to replicate logs.
+    /// Returns the work that is due at `now`. The function `replicates` returns whether a peer is known to replicate
+    /// logs.
     pub fn tick(&mut self, now: Micros, replicates: impl Fn(usize) -> bool) -> DueWork {
         let mut due_work = DueWork::default();
         while let Some(resend) = pop_if(&mut self.resends, |resend| resend.at <= now) {
@@ -132,7 +134,8 @@
         due_work
     }
 
-    /// Removes and returns all purges that may have to be written. Called before the indices of the peers change.
+    /// Removes and returns all purges that may have to be appended to the log. Called before the indices of the peers
+    /// change.
     pub fn take_unwritten(&mut self) -> Vec<Purge> {
         self.unwritten
             .drain(..)
--- a/daemon/src/wire/fastcgi.rs
+++ b/daemon/src/wire/fastcgi.rs
@@ -10,11 +10,11 @@
     pub const ABORT: u8 = 2;
     /// Ends a request.
     pub const END: u8 = 3;
-    /// Part of the parameters of a request; an empty one ends them.
+    /// Part of the parameters of a request; an empty record ends the parameters.
     pub const PARAMS: u8 = 4;
-    /// Part of the body of a request; an empty one ends it.
+    /// Part of the body of a request; an empty record ends the body.
     pub const STDIN: u8 = 5;
-    /// Part of a response; an empty one ends it.
+    /// Part of a response; an empty record ends the response.
     pub const STDOUT: u8 = 6;
     /// Part of a second input stream, which Responders do not use.
     pub const DATA: u8 = 8;
@@ -26,7 +26,7 @@
     pub const UNKNOWN_TYPE: u8 = 11;
 }
 
-/// The protocol status of a completed request.
+/// The protocol status of a request that was answered.
 pub const REQUEST_COMPLETE: u8 = 0;
 /// The protocol status of a request that exceeds the capacity of the connection.
 pub const OVERLOADED: u8 = 2;
@@ -46,10 +46,10 @@
 /// The maximum length of the content of a record.
 pub const MAX_CONTENT: usize = 65_535;
 
-/// A record.
+/// A record, the unit of transfer of the protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// The type.
+    /// The type, one of the constants in [`kind`].
     pub kind: u8,
     /// The id of the request; 0 for management records.
     pub id: u16,
@@ -57,7 +57,7 @@
     pub content: Vec<u8>,
 }
 
-/// Parses records. Their length needs no limit, as the format allows at most 65,535 bytes of content.
+/// Parses records. No limit is configured for their length, because the format allows at most 65,535 bytes of content.
 #[derive(Default)]
 pub struct RecordParser {
     header: Vec<u8>,
@@ -71,7 +71,7 @@
         self.header.len() + self.content.len()
     }
 
-    /// Whether a record has arrived in part.
+    /// Whether part of a record has been received.
     pub fn is_partial(&self) -> bool {
         !self.header.is_empty()
     }
--- a/daemon/src/wire/http.rs
+++ b/daemon/src/wire/http.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 messages: a head, and a body that ends by its length, in chunks or with the connection.
+//! HTTP/1.1 messages: a head, and a body whose end is given by Content-Length, by chunks or by the end of the
+//! connection.
 
 use super::{take_line, Parser, WireError};
 
@@ -8,7 +9,7 @@
 /// The head of a message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Head {
-    /// The first line.
+    /// The request line or status line.
     pub start: String,
     /// The headers, with names in lower case.
     pub headers: Vec<(String, String)>,
@@ -56,12 +57,12 @@
     }
 }
 
-/// A part of a message, in the order of arrival.
+/// A part of a message, as returned by the parser in the order of arrival.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Piece {
     /// The head.
     Head(Head),
-    /// Bytes of the body.
+    /// A part of the body.
     Body(Vec<u8>),
     /// The message is complete.
     End,
@@ -96,9 +97,9 @@
     line: Vec<u8>,
     head: Option<Head>,
     state: State,
-    /// The total size of the chunks of the body so far.
+    /// The total size of the chunks of the body that have been announced so far.
     body: usize,
-    /// Whether the message is complete and its end is still to be returned.
+    /// Whether the message is complete and `Piece::End` is still to be returned.
     is_end_pending: bool,
 }
 
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Creates a parser of responses. For streams, `max_body` is `usize::MAX`.
+    /// Creates a parser of responses. `max_body` is `usize::MAX` for response streams without an end.
     pub fn responses(max_line: usize, max_body: usize) -> Self {
         MessageParser {
             responses: true,
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Whether the end of the connection would end the message, or no message has begun.
+    /// Whether the connection may end now: the body ends with the connection, or no message has begun.
     pub fn may_end(&self) -> bool {
         matches!(self.state, State::UntilClosed)
             || matches!(self.state, State::Head) && self.head.is_none()
@@ -137,7 +138,7 @@
         const BAD_LENGTH: WireError = WireError::Malformed("an HTTP body's length");
         let length = head.header("content-length");
         let coding = head.header("transfer-encoding");
-        // Conflicting lengths allow request smuggling.
+        // A message with both Content-Length and Transfer-Encoding is rejected, because it allows request smuggling.
         if length.is_some() && coding.is_some()
             || head
                 .headers
@@ -172,7 +173,7 @@
         })
     }
 
-    /// Parses a line of a head. Returns the head if the line ends it.
+    /// Parses a line of a head. Returns the head if this was its last line.
     fn head_line(&mut self, line: Vec<u8>) -> Result<Option<Head>, WireError> {
         let line = String::from_utf8(line).map_err(|_| WireError::Malformed("an HTTP head"))?;
         let Some(head) = &mut self.head else {
@@ -208,7 +209,7 @@
         Ok(None)
     }
 
-    /// Consumes bytes of a body from the front of the input; `None` if a line comes next.
+    /// Returns the bytes of the body at the front of the input; `None` if a line comes next.
     fn take_body(&mut self, input: &[u8]) -> Option<Vec<u8>> {
         let (left, is_chunk) = match self.state {
             State::Length(left) => (left, false),
--- a/daemon/src/wire/mod.rs
+++ b/daemon/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! The wire formats: incremental parsers and encoders that are independent of sockets. Malformed input is a typed
-//! error, never a panic.
+//! The wire formats: incremental parsers and encoders that are independent of sockets. Malformed input leads to a typed
+//! error and never to a panic.
 
 pub mod fastcgi;
 pub mod http;
@@ -28,12 +28,12 @@
 
 impl std::error::Error for WireError {}
 
-/// An incremental parser.
+/// A parser that can be called again whenever more bytes arrive.
 pub trait Parser {
     /// The parsed item.
     type Item;
-    /// Consumes from the front of `input` at most what the next item needs. Returns the number of bytes consumed, and
-    /// the item if it is complete. If it is not, all of the input was consumed.
+    /// Consumes bytes from the front of `input`, at most those of the next item. Returns the number of bytes consumed,
+    /// and the item if it is complete. If the item is incomplete, all of the input was consumed.
     ///
     /// # Errors
     /// Fails on malformed input, after which the parser must not be used.
--- a/daemon/src/wire/resp.rs
+++ b/daemon/src/wire/resp.rs
@@ -4,7 +4,7 @@
 
 /// The maximum number of strings in an array.
 const MAX_ITEMS: usize = 8;
-/// The maximum length of a line with a length.
+/// The maximum length of a line that states the length of an array or string.
 const MAX_LINE: usize = 32;
 
 /// Parses arrays of bulk strings.
@@ -32,12 +32,12 @@
         }
     }
 
-    /// Whether an array has arrived in part.
+    /// Whether part of an array has been received.
     pub fn is_partial(&self) -> bool {
         self.remaining.is_some() || !self.line.is_empty()
     }
 
-    /// Parses the line as a number after the type byte.
+    /// Parses the number that follows the type byte in the line.
     fn number(
         &mut self,
         type_byte: u8,
@@ -50,7 +50,7 @@
             .filter(|d| d.iter().all(u8::is_ascii_digit));
         let number = digits.and_then(|d| std::str::from_utf8(d).ok()?.parse().ok());
         let number = number.ok_or(WireError::Malformed(what))?;
-        // Checked before any allocation, as the peer chooses the length.
+        // The length comes from the peer, so it is checked before memory is allocated.
         if number > max {
             return Err(WireError::TooLong(what));
         }
@@ -109,7 +109,7 @@
     }
 }
 
-/// Returns the value of a name in a list of the form `name=value,name=value`.
+/// Returns the value with this name in a list of the form `name=value,name=value`.
 pub fn field<'a>(fields: &'a [u8], name: &str) -> Option<&'a str> {
     let fields = std::str::from_utf8(fields).ok()?;
     fields.split(',').find_map(|f| {
--- a/daemon/src/wire/sse.rs
+++ b/daemon/src/wire/sse.rs
@@ -2,10 +2,10 @@
 
 use super::{take_line, Parser, WireError};
 
-/// One event.
+/// An event of the stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Event {
-    /// The last id that the stream has sent.
+    /// The last id in the stream up to this event.
     pub id: String,
     /// The data, with lines joined by line feeds.
     pub data: String,
