--- a/daemon/src/bus.rs
+++ b/daemon/src/bus.rs
@@ -26,7 +26,7 @@
     },
 }
 
-/// An event of the bus.
+/// A parsed event of the bus.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BusEvent {
     /// The offset of the event on the bus.
--- a/daemon/src/config/error.rs
+++ b/daemon/src/config/error.rs
@@ -37,7 +37,7 @@
     InFile {
         /// The path of the file.
         path: String,
-        /// The error.
+        /// The error in the content of the file.
         source: Box<ConfigError>,
     },
     /// A field is missing or has the wrong type. The message of the settings parser names it.
--- a/daemon/src/config/mod.rs
+++ b/daemon/src/config/mod.rs
@@ -28,12 +28,12 @@
 const DEFAULT_DESCRIPTORS: usize = 1024;
 const DEFAULT_MEMORY_MB: usize = 192;
 
-/// The configuration of a daemon.
+/// The validated configuration of a daemon, from the configuration file and the operators' own file.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The name of the proxy.
+    /// The name of the proxy, which identifies it to its peers and to Consul.
     pub name: String,
-    /// The address for clients.
+    /// The address on which clients connect by FastCGI.
     pub listen: SocketAddr,
     /// The address of the admin listener, if there is one.
     pub admin: Option<SocketAddr>,
--- a/daemon/src/config/read.rs
+++ b/daemon/src/config/read.rs
@@ -109,9 +109,9 @@
 
 /// The timeouts of connections to cache servers in the settings; 0 if not set.
 struct ConnectionTimes {
-    /// The connect timeout.
+    /// The timeout for establishing a connection, in microseconds.
     connect_us: u64,
-    /// The idle timeout.
+    /// The time after which cache servers close idle connections, in microseconds.
     idle_us: u64,
 }
 
--- a/daemon/src/daemon/admin.rs
+++ b/daemon/src/daemon/admin.rs
@@ -16,9 +16,9 @@
 /// The state of a connection to the admin listener.
 pub(super) struct AdminSession {
     parser: Parser,
-    /// The reply is queued, and the connection is closed once it is written.
+    /// Whether the reply is queued. The connection is closed once the reply is written.
     is_answered: bool,
-    /// The call is executed, and its reply is sent once the log entry of the call is committed.
+    /// Whether the call is executed and its reply is sent later, once the log entry of the call is committed.
     awaits_commit: bool,
 }
 
--- a/daemon/src/daemon/budgets/mod.rs
+++ b/daemon/src/daemon/budgets/mod.rs
@@ -84,7 +84,8 @@
             }
         })?;
         let delivered = vec![None; specs.len()];
-        // A request that stayed open longer would not be settled within the settling time.
+        // After the settling time, the amounts of an expired lease are assumed to be unused. No request may therefore
+        // stay open longer.
         self.core.max_request_us = config.max_request_us().unwrap_or(Micros::MAX);
         self.shared_budgets = Some(SharedBudgets {
             member,
--- a/daemon/src/daemon/commits/mod.rs
+++ b/daemon/src/daemon/commits/mod.rs
@@ -1,8 +1,8 @@
 //! Commits of the commands of peer CDNs and operators.
 //!
 //! The effects of a command of a peer CDN or an operator apply immediately. The response is sent once the log entries
-//! of the command are committed: durable here and on enough peers (`linnetknot_replication`). A command that is not
-//! committed in time is rejected.
+//! of the command are committed, which means that they are durable on this proxy and on enough peers
+//! (`linnetknot_replication`). A command that is not committed within the commit timeout is rejected.
 
 mod operators;
 mod triggers;
@@ -34,16 +34,16 @@
     Operator(OperatorResponse),
 }
 
-/// Why a command is not committed.
+/// The reason for which a command was not committed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 enum CommitError {
-    /// Its entries can't be appended to the log.
+    /// The log entries of the command could not be appended.
     #[error(transparent)]
     Append(#[from] AppendError),
-    /// Its entries were not replicated in time.
+    /// The entries were not replicated to enough peers within the commit timeout.
     #[error("{0}")]
     Rejected(RejectReason),
-    /// A later process with the same name writes the log.
+    /// A later process with the same name has started and has taken over the log.
     #[error("a later process with the same name has started")]
     Replaced,
 }
@@ -65,7 +65,8 @@
     pub(super) under_replicated: usize,
 }
 
-/// Fault injection: commands are answered before they are committed. Always false unless fail points are compiled in.
+/// Fault injection: whether commands are answered before they are committed. Always false unless fail points are
+/// compiled in.
 fn answers_early() -> bool {
     fail::fail_point!("plant-credit", |_| true);
     false
--- a/daemon/src/daemon/exchange.rs
+++ b/daemon/src/daemon/exchange.rs
@@ -15,7 +15,7 @@
 /// Why an exchange ended before it was complete.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum ExchangeEnd {
-    /// The connection was never established.
+    /// The connection could not be established.
     Unreachable,
     /// The remote side closed the connection, or the connection failed.
     Closed,
--- a/daemon/src/daemon/fleet_status.rs
+++ b/daemon/src/daemon/fleet_status.rs
@@ -67,7 +67,7 @@
         })
     }
 
-    /// Returns the status of a peer. Its machine is the configured one until the peer has announced its own.
+    /// Returns the status of a peer. The machine is that announced by the peer, or the configured machine until then.
     fn peer_status(
         &self,
         replica: &Replica,
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -64,7 +64,7 @@
 use store_opening::PendingStore;
 use turn::Turn;
 
-/// A running daemon.
+/// A running daemon: the sockets and timers of the event loop, the core, and the state of all optional features.
 pub struct Daemon {
     clock: Clock,
     limits: Limits,
@@ -99,9 +99,9 @@
     /// The deadline of the next step of `plain_purges`.
     plain_purges_due: Option<DeadlineId>,
     origin_health: Option<OriginHealth>,
-    /// Dropped datagrams: from unknown senders, and malformed ones.
+    /// The numbers of dropped datagrams: those from unknown senders, and those that were malformed.
     dropped_datagrams: (u64, u64),
-    /// The CDNI listener and its API.
+    /// The CDNI listener, and the state that handles its requests.
     cdni: Option<(Listener, TriggerApi)>,
     ledger: Option<Ledger>,
     /// The store of the ledger, if it could not be opened at startup and is retried.
--- a/daemon/src/daemon/peer_index.rs
+++ b/daemon/src/daemon/peer_index.rs
@@ -3,10 +3,11 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// A configured peer.
+/// A configured peer, as found by its address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct PeerEntry {
-    /// The index among the peers that logs are replicated with; `None` for others, such as this proxy itself.
+    /// The index of the peer among the peers with which logs are replicated; `None` for other addresses, such as that
+    /// of this proxy.
     pub(super) index: Option<usize>,
 }
 
@@ -16,7 +17,7 @@
 }
 
 impl PeerIndex {
-    /// Creates the index of all peers. `replicating` lists the peers that logs are replicated with, in the order of
+    /// Creates the index of all peers. `replicating` lists the peers with which logs are replicated, in the order of
     /// their indices.
     pub(super) fn new(
         peers: impl IntoIterator<Item = SocketAddr>,
--- a/daemon/src/daemon/reconnect.rs
+++ b/daemon/src/daemon/reconnect.rs
@@ -9,7 +9,7 @@
 use linnetknot::{Micros, Outcome, ServerId};
 use std::collections::BTreeSet;
 
-/// The deferred attempts.
+/// The deferred attempts, and the state of their retries.
 #[derive(Default)]
 pub(super) struct DeferredAttempts {
     attempts: Vec<AttemptId>,
--- a/daemon/src/daemon/registration.rs
+++ b/daemon/src/daemon/registration.rs
@@ -1,7 +1,7 @@
 //! Registers connections with epoll, and retries if the kernel lacks memory or the limit of watches is reached.
 //!
-//! A connection that can't be registered is not closed, as its open requests must be answered. The registration is
-//! retried, and until it succeeds the connection is polled at each retry.
+//! A connection that can't be registered is not closed, because its open requests must be answered. The registration is
+//! retried, and until it succeeds, the connection is read and written at each retry without waiting for events.
 
 use super::{Daemon, Timer};
 use crate::net::{Failure, FailureKind, Key, ReadyEvent};
@@ -10,11 +10,11 @@
 /// The state of the epoll registration of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Registration {
-    /// The registered interest is current.
+    /// The events that epoll watches are those that the connection needs.
     Current,
-    /// The registered interest is outdated.
+    /// The connection is registered, but needs other events than epoll watches.
     Outdated,
-    /// The connection is not registered.
+    /// The connection is not registered with epoll.
     Missing,
 }
 
@@ -36,8 +36,8 @@
         connection.registration = Registration::Outdated;
         let result = self.try_register(key);
         if !self.schedule_registration_retry(now, key, result) {
-            // The caller may be using the connection, so it is not closed here. The timer closes it in this turn of
-            // the loop if the registration fails again.
+            // The caller may be using the connection, so it must not be closed in this function. The timer retries the
+            // registration in this turn of the loop, and closes the connection if that fails too.
             self.deadlines.set(now, Timer::RetryRegistration(key));
         }
     }
--- a/daemon/src/daemon/sources/bus.rs
+++ b/daemon/src/daemon/sources/bus.rs
@@ -32,7 +32,7 @@
     /// The start times of caches. The local time for a reported date is computed once and kept, because a changed start
     /// time would be taken for a restart of the cache.
     starts: BTreeMap<ServerId, Start>,
-    /// The backoff between connections.
+    /// The backoff between attempts to connect.
     backoff: Backoff,
 }
 
--- a/daemon/src/daemon/sources/consul/cached_snapshot.rs
+++ b/daemon/src/daemon/sources/consul/cached_snapshot.rs
@@ -11,7 +11,7 @@
 use std::path::{Path, PathBuf};
 use std::{fs, io};
 
-/// The directory of the cached snapshots can't be used.
+/// An error of creating the directory of the cached snapshots or of starting their worker thread.
 #[derive(Debug, thiserror::Error)]
 #[error("state.directory: {}: {source}", directory.display())]
 pub(in crate::daemon) struct DirectoryError {
@@ -19,13 +19,13 @@
     source: io::Error,
 }
 
-/// Why a cached snapshot is not used.
+/// The reason for ignoring a cached snapshot.
 #[derive(Debug, thiserror::Error)]
 enum LoadError {
     /// The file can't be read.
     #[error(transparent)]
     Read(#[from] io::Error),
-    /// The content is invalid.
+    /// The content of the file is malformed, too old or belongs to another data centre or query.
     #[error(transparent)]
     Decode(#[from] cached_snapshot::SnapshotError),
 }
@@ -164,8 +164,8 @@
         }
     }
 
-    /// Schedules the write of a confirmed list: soon if it has changed, otherwise in time to keep its timestamp
-    /// recent.
+    /// Schedules the write of a list that the agent has confirmed: after `list_store_delay_us` if the list has changed,
+    /// otherwise `list_store_interval_us` after the last write, to update the timestamp.
     pub(in crate::daemon) fn schedule_snapshot(&mut self, now: Micros, index: usize) {
         let change_delay_us = self.limits.list_store_delay_us;
         let refresh_interval_us = self.limits.list_store_interval_us;
--- a/daemon/src/daemon/sources/consul/mod.rs
+++ b/daemon/src/daemon/sources/consul/mod.rs
@@ -29,7 +29,7 @@
     timer: Option<DeadlineId>,
 }
 
-/// The registration of this proxy.
+/// The registration of this proxy as a service, and its calls to the agent.
 struct RegistrationState {
     registration: Registration,
     timer: Option<DeadlineId>,
@@ -44,7 +44,7 @@
     max_answer: usize,
 }
 
-/// The token file can't be used. The message does not include the token.
+/// An error of reading the token file. The message does not include the token.
 #[derive(Debug, thiserror::Error)]
 #[error("consul.token_file: {}: {reason}", path.display())]
 pub(in crate::daemon) struct TokenError {
--- a/daemon/src/daemon/startup/error.rs
+++ b/daemon/src/daemon/startup/error.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::num::ParseIntError;
 
-/// Why the daemon can't start.
+/// An error that prevents the start of the daemon.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// An address of the configuration can't be bound.
@@ -17,7 +17,7 @@
         key: &'static str,
         /// The configured address.
         address: SocketAddr,
-        /// Why it can't be bound.
+        /// The error of binding the address.
         source: io::Error,
     },
     /// The environment variable for an inherited listener is not a number.
@@ -25,7 +25,7 @@
     InvalidDescriptor {
         /// The value of the variable.
         text: String,
-        /// Why it can't be parsed.
+        /// The error of parsing the value.
         source: ParseIntError,
     },
     /// The inherited listener can't be taken over.
@@ -33,7 +33,7 @@
     InheritListener {
         /// The descriptor from the environment.
         descriptor: u32,
-        /// Why it can't be taken over.
+        /// The error of taking over the descriptor.
         source: io::Error,
     },
     /// The inherited descriptor is not a listening TCP socket.
@@ -42,17 +42,17 @@
     /// A system call that sets up a signal, a socket or epoll has failed.
     #[error("{what}: {source}")]
     SystemCall {
-        /// What was being set up.
+        /// The name of the object that was being set up, for the message.
         what: &'static str,
-        /// Why the call failed.
+        /// The error of the system call.
         source: io::Error,
     },
     /// A descriptor can't be registered with epoll.
     #[error("{what}: epoll registration failed: {failure}")]
     EpollRegistration {
-        /// What was being registered.
+        /// The name of the object that was being registered, for the message.
         what: &'static str,
-        /// Why the registration failed.
+        /// The failure of the registration.
         failure: Failure,
     },
     /// The store of purges can't be opened because of a permanent failure.
--- a/daemon/src/daemon/startup/sockets.rs
+++ b/daemon/src/daemon/startup/sockets.rs
@@ -41,8 +41,8 @@
 
 /// Takes over a listener that the parent process has opened.
 fn inherited_listener(descriptor: u32) -> Result<TcpListener, StartError> {
-    // listenfd expects the variables of systemd's socket activation. Setting them is safe, as no other thread runs
-    // yet.
+    // listenfd expects the variables of systemd's socket activation. Setting environment variables is safe, because no
+    // other thread runs yet.
     std::env::set_var("LISTEN_FDS", "1");
     std::env::set_var("LISTEN_FDS_FIRST_FD", descriptor.to_string());
     std::env::remove_var("LISTEN_PID");
@@ -52,7 +52,7 @@
         .ok_or(StartError::NotAListener(descriptor))
 }
 
-/// The listeners and signals of the daemon.
+/// The listeners and signals of the daemon, registered with the epoll set `poll`.
 pub(super) struct Sockets {
     pub(super) poll: Poll,
     pub(super) client_listener: Listener,
--- a/daemon/src/front/cdni/effect.rs
+++ b/daemon/src/front/cdni/effect.rs
@@ -21,17 +21,17 @@
 /// A payload for a peer CDN.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Post {
-    /// The address of the peer.
+    /// The address of the peer CDN.
     pub address: SocketAddr,
     /// The path to which the payload is posted.
     pub path: String,
-    /// The type of the payload.
+    /// The CDNI type of the payload, which becomes part of its media type.
     pub ptype: &'static str,
     /// The payload as text.
     pub body: String,
 }
 
-/// The handling of a request.
+/// How a request is handled.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     /// Respond now.
@@ -39,11 +39,11 @@
     /// Respond once the effects are committed. If the commit fails, the trigger is removed, and the response is that of
     /// [`super::TriggerApi::retract`].
     RespondOnceCommitted {
-        /// The response.
+        /// The response if the effects are committed.
         response: Response,
         /// The trigger that was created, if any.
         trigger: Option<TriggerId>,
-        /// The effects to commit.
+        /// The effects to apply and commit, in this order.
         effects: Vec<Effect>,
     },
     /// Forward a request for content to the core.
--- a/daemon/src/front/cdni/footprint.rs
+++ b/daemon/src/front/cdni/footprint.rs
@@ -8,7 +8,7 @@
 /// The type of the payload of an advertisement. The specification does not define one.
 pub const PTYPE: &str = "fci-advertisement";
 
-/// An IPv4 network.
+/// An IPv4 network: an address and the length of its prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Network {
     address: u32,
--- a/daemon/src/front/cdni/mod.rs
+++ b/daemon/src/front/cdni/mod.rs
@@ -31,7 +31,7 @@
 /// The media type of all CDNI payloads, to which the type of the payload is appended.
 pub const MEDIA: &str = "application/cdni; ptype=";
 
-/// A peer CDN.
+/// A configured peer CDN, with the addresses of its interfaces.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerCdn {
     /// The CDN Provider ID of the peer CDN.
--- a/daemon/src/front/cdni/redirect.rs
+++ b/daemon/src/front/cdni/redirect.rs
@@ -18,7 +18,7 @@
     )
 }
 
-/// The target of a redirection.
+/// The CDN to which a client is redirected.
 struct Target<'a> {
     /// The network of the footprint that contains the client.
     network: footprint::Network,
@@ -70,7 +70,7 @@
     }
 }
 
-/// A redirection request.
+/// A parsed redirection request of a peer CDN.
 struct RedirectRequest<'a> {
     /// The CDNs that the request has passed.
     cdn_path: &'a [Value],
--- a/daemon/src/front/cdni/response.rs
+++ b/daemon/src/front/cdni/response.rs
@@ -4,7 +4,7 @@
 use crate::core::{Answer, Content};
 use serde_json::Value;
 
-/// An HTTP response.
+/// An HTTP response to a peer CDN or a redirected client.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Response {
     /// The status code.
--- a/daemon/src/front/cdni/triggers/command.rs
+++ b/daemon/src/front/cdni/triggers/command.rs
@@ -65,7 +65,7 @@
     })
 }
 
-/// The kind of a trigger.
+/// The kind of a trigger, by its `type` in the specification.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Kind {
     /// Purge or invalidate. Invalidation is executed as a purge, which is stricter, because copies are not revalidated.
--- a/daemon/src/front/cdni/triggers/mod.rs
+++ b/daemon/src/front/cdni/triggers/mod.rs
@@ -28,7 +28,7 @@
     max_own: usize,
 }
 
-/// The result of a command.
+/// The result of a command: the response, and the trigger that the command created.
 pub(super) struct CommandResult {
     pub(super) response: Response,
     /// The trigger that was created, if any.
--- a/daemon/src/front/cdni/triggers/trigger.rs
+++ b/daemon/src/front/cdni/triggers/trigger.rs
@@ -1,4 +1,4 @@
-//! A trigger and its status.
+//! A trigger, its status, and the encoding of the status as a payload.
 
 use serde_json::{json, Value};
 
--- a/daemon/src/front/fastcgi/output.rs
+++ b/daemon/src/front/fastcgi/output.rs
@@ -10,7 +10,7 @@
 /// readers.
 const MIN_RECORD_BYTES: usize = 1024;
 
-/// A queued message.
+/// A queued message, which is written as one or more records.
 enum Message {
     /// A management record.
     Management(Vec<u8>),
@@ -29,13 +29,13 @@
 enum Written {
     /// Nothing fits now.
     Blocked,
-    /// A part was written.
+    /// Part of the message was written.
     Part,
     /// The whole message was written. If `keep_open` is false, the connection closes after it.
     All { keep_open: bool },
 }
 
-/// The queued messages, in order.
+/// The queue of messages to a client, in the order in which they are written.
 #[derive(Default)]
 pub(super) struct Output {
     messages: VecDeque<Message>,
--- a/daemon/src/front/fastcgi/records.rs
+++ b/daemon/src/front/fastcgi/records.rs
@@ -7,7 +7,7 @@
 use crate::wire::fastcgi::{self as wire, kind, Record};
 use crate::wire::WireError;
 
-/// The id of management records.
+/// The request id of management records, which belong to no request.
 const MANAGEMENT_ID: u16 = 0;
 
 impl Session {
--- a/daemon/src/front/fastcgi/session.rs
+++ b/daemon/src/front/fastcgi/session.rs
@@ -22,7 +22,7 @@
     },
 }
 
-/// An incomplete request.
+/// A request of which some records have not been received yet.
 pub(super) struct PartialRequest {
     pub(super) keep_open: bool,
     pub(super) params: Vec<u8>,
@@ -55,7 +55,7 @@
     }
 }
 
-/// A connection of a web server.
+/// A FastCGI connection of a web server, with its open requests and queued responses.
 #[derive(Default)]
 pub struct Session {
     pub(super) records: RecordParser,
--- a/daemon/src/ledger/error.rs
+++ b/daemon/src/ledger/error.rs
@@ -8,13 +8,13 @@
 /// An error of opening or closing the ledger.
 #[derive(Debug, thiserror::Error)]
 pub enum LedgerError {
-    /// The store failed.
+    /// The store could not be read or written.
     #[error(transparent)]
     Store(#[from] StoreError),
     /// The compact table was written by an incompatible version of the program.
     #[error("its purge table has form {found}, this program knows form 1; start the program that wrote it")]
     TableForm {
-        /// The form of the table.
+        /// The version of the encoding of the stored table.
         found: u8,
     },
     /// A file of an earlier version could not be read or renamed.
--- a/daemon/src/ledger/in_flight.rs
+++ b/daemon/src/ledger/in_flight.rs
@@ -4,7 +4,7 @@
 use linnetknot_store::WriteId;
 use std::collections::VecDeque;
 
-/// A submitted entry.
+/// An entry whose write was submitted to the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct InFlightEntry {
     write: WriteId,
--- a/daemon/src/ledger/table.rs
+++ b/daemon/src/ledger/table.rs
@@ -19,12 +19,12 @@
 /// The version of the encoding that this program reads and writes.
 const FORM: u8 = 1;
 
-/// The stored table and markers.
+/// The compact table and the markers, as loaded from the store.
 #[derive(Debug)]
 pub(super) struct StoredTable {
     /// The table, converted to the configured size.
     pub(super) table: CompactTable,
-    /// The markers of the logs.
+    /// For each log with compacted entries, the index through which it is compacted.
     pub(super) markers: Vec<CompactedLog>,
     /// The writes that resize the stored table. They must be committed as one group, so that a crash leaves the table
     /// in one size or the other.
--- a/daemon/src/limits/mod.rs
+++ b/daemon/src/limits/mod.rs
@@ -145,7 +145,7 @@
     /// The time after which a proxy that started without its store becomes ready, even if it has not recovered its own
     /// log completely.
     pub recovery_timeout_us: u64,
-    /// The maximum of `recovery_timeout_us` when it is extended because a snapshot of the peers makes progress.
+    /// The maximum total time of a recovery that is extended because a snapshot of the peers makes progress.
     pub recovery_total_timeout_us: u64,
     /// The interval at which a recovering proxy polls its peers.
     pub recovery_poll_interval_us: u64,
--- a/daemon/src/net/conn.rs
+++ b/daemon/src/net/conn.rs
@@ -11,7 +11,7 @@
     socket: TcpStream,
     /// The received bytes that have not been consumed yet.
     pub input: RingBuffer,
-    /// The bytes to send.
+    /// The bytes that have not been written to the socket yet.
     pub output: RingBuffer,
     /// The number of bytes written to the socket.
     pub written: u64,
@@ -38,7 +38,7 @@
     Blocked,
     /// The peer has ended its stream.
     Ended,
-    /// The connection is broken.
+    /// The connection is broken and must be closed.
     Broken,
 }
 
--- a/daemon/src/net/deadlines.rs
+++ b/daemon/src/net/deadlines.rs
@@ -5,7 +5,7 @@
 /// Identifies a deadline, so that it can be cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DeadlineId {
-    /// The time of the deadline.
+    /// The time at which the deadline is due, in microseconds.
     pub at: u64,
     /// The number of the deadline, which orders deadlines with the same time.
     sequence: u64,
--- a/daemon/src/net/errno.rs
+++ b/daemon/src/net/errno.rs
@@ -90,14 +90,14 @@
     ProgramFault,
 }
 
-/// A system call that failed.
+/// The failure of a system call, classified by its kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// The call.
+    /// The system call that failed.
     pub call: Call,
     /// The errno that the kernel returned.
     pub errno: Errno,
-    /// The kind of the failure.
+    /// The kind of the failure, derived from call and errno.
     pub kind: FailureKind,
 }
 
--- a/daemon/src/net/failure_log.rs
+++ b/daemon/src/net/failure_log.rs
@@ -22,12 +22,12 @@
     open: BTreeMap<Call, Episode>,
 }
 
-/// An episode that has ended.
+/// An episode that has ended, with the counts for its log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndedEpisode {
-    /// The failing call.
+    /// The system call that failed.
     pub call: Call,
-    /// The number of failures.
+    /// The number of failures in the episode.
     pub failures: u64,
     /// The time from the first failure to the last.
     pub lasted: Duration,
--- a/daemon/src/net/injection.rs
+++ b/daemon/src/net/injection.rs
@@ -47,7 +47,7 @@
         /// A value is not a number, or is out of range.
         #[error("{part}: {source}")]
         Number {
-            /// The part with the value.
+            /// The part of the plan that contains the value.
             part: String,
             /// The error of parsing the number.
             source: ParseIntError,
@@ -68,7 +68,7 @@
     /// Defines which calls of a system call fail, and with which errno.
     #[derive(Clone, Debug, Default, PartialEq, Eq)]
     pub struct Plan {
-        /// The errnos, used in turn.
+        /// The errnos with which calls fail, used in turn.
         pub errnos: Vec<Errno>,
         /// The interval of failing calls: of this many calls, one fails. 0 and 1 stand for every call.
         pub every: u64,
--- a/daemon/src/net/poll.rs
+++ b/daemon/src/net/poll.rs
@@ -1,4 +1,4 @@
-//! A level-triggered epoll set.
+//! Waits for the readiness of sockets with epoll.
 
 use super::errno::Failure;
 use super::syscall;
@@ -6,10 +6,10 @@
 use rustix::fd::{AsFd, OwnedFd};
 use std::io;
 
-/// The readiness of a socket.
+/// An event that reports the readiness of a socket.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadyEvent {
-    /// The token of the socket.
+    /// The token with which the socket was registered.
     pub token: u64,
     /// The socket has input, the peer has ended its stream, or the socket is broken.
     pub read: bool,
@@ -61,7 +61,7 @@
     };
 }
 
-/// An epoll set, level-triggered.
+/// A level-triggered epoll set, which reports a socket again until its condition is handled.
 pub struct Poll {
     fd: OwnedFd,
     events: Vec<epoll::Event>,
--- a/daemon/src/net/slots.rs
+++ b/daemon/src/net/slots.rs
@@ -28,7 +28,7 @@
     value: Option<T>,
 }
 
-/// A bounded table of slots.
+/// A bounded table of entries that are found by their keys.
 pub struct SlotTable<T> {
     slots: Vec<Slot<T>>,
     free: Vec<u32>,
--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -1,5 +1,4 @@
-//! The encoding of purges as plain datagrams, by which a proxy forwards the purges that it receives to the other
-//! proxies.
+//! The encoding of purges as plain datagrams, which a proxy sends to other proxies that do not replicate logs.
 
 use linnetknot::Micros;
 
--- a/daemon/src/upstream/answers.rs
+++ b/daemon/src/upstream/answers.rs
@@ -8,7 +8,7 @@
 use crate::wire::{Parser, WireError};
 use linnetknot::{Micros, Outcome};
 
-/// A parsed response.
+/// A parsed response of a cache server. Its id states to which stream of the connection it belongs.
 pub(super) struct CacheResponse {
     id: String,
     pub(super) status: Vec<u8>,
--- a/daemon/src/upstream/connection.rs
+++ b/daemon/src/upstream/connection.rs
@@ -24,7 +24,7 @@
 
 /// The attempts and health checks on a connection to a cache server.
 pub struct UpstreamConnection {
-    /// The cache server.
+    /// The cache server that the connection leads to.
     pub server: ServerId,
     /// The address that the connection was made to. It differs from the current address of the cache if that has
     /// changed since.
@@ -123,7 +123,7 @@
         matches!(self.streams.get(id), Some(Stream::Aborted { .. }))
     }
 
-    /// Whether no stream is open, finished ones aside, and no attempt is queued.
+    /// Whether no attempt is queued and no stream is open. Finished streams that are kept as records do not count.
     pub fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.streams.values().all(Stream::is_finished)
     }
--- a/daemon/src/upstream/event.rs
+++ b/daemon/src/upstream/event.rs
@@ -8,11 +8,11 @@
 pub enum UpstreamEvent {
     /// The first byte of an attempt has been written, so that the attempt can no longer be withdrawn.
     AttemptStarted(AttemptId),
-    /// An attempt has ended.
+    /// An attempt has ended with this result.
     AttemptFinished(AttemptId, AttemptResult),
     /// A response carried the time at which the origin served its copy, in microseconds of Unix time.
     OriginDate(Micros),
-    /// A health check has ended.
+    /// A health check was answered, or its connection was lost.
     HealthCheckFinished {
         /// Whether and how the health check succeeded or failed.
         outcome: Outcome,
--- a/daemon/src/upstream/frames.rs
+++ b/daemon/src/upstream/frames.rs
@@ -80,7 +80,7 @@
     (waited_ms.unwrap_or(0.0).max(0.0) * 1e3) as Micros
 }
 
-/// The frame of an attempt.
+/// The encoded frame of an attempt, with the age limit by which its response is checked.
 pub(super) struct AttemptFrame {
     pub(super) bytes: Vec<u8>,
     /// The maximum age of a copy that the request allows.
--- a/daemon/src/upstream/mod.rs
+++ b/daemon/src/upstream/mod.rs
@@ -1,5 +1,5 @@
 //! Connections to cache servers. Many attempts share a connection, and responses arrive in any order. An
-//! [`UpstreamConnection`] handles frames and ids; the sockets are elsewhere.
+//! [`UpstreamConnection`] handles frames and ids; the event loop owns the sockets.
 //!
 //! An attempt starts when the socket accepts the first byte of its frame. Before that it is in the queue of the
 //! connection, from which it is removed without effect on the cache if it is cancelled, if its cache drains, or if the
--- a/daemon/src/upstream/stream.rs
+++ b/daemon/src/upstream/stream.rs
@@ -11,7 +11,7 @@
     /// An aborted attempt. A further attempt of the same request at this cache must use this connection, so that the
     /// cache reads the abort first. On another connection, the cache might read the new attempt first and execute both.
     Aborted {
-        /// The time of the abort.
+        /// The time at which the abort was queued.
         at: Micros,
         /// The result of the attempt, until that is reported.
         pending: Option<PendingEnd>,
@@ -19,10 +19,10 @@
     /// An attempt that was answered without content. The cache may repeat this response, and on the same connection it
     /// would be attributed to a further attempt of the request. Such an attempt therefore uses another connection.
     Answered {
-        /// The time of the response.
+        /// The time at which the response arrived.
         at: Micros,
     },
-    /// A health check.
+    /// A health check that was sent and has no response yet.
     HealthCheck {
         /// The time at which it was sent.
         sent_at: Micros,
@@ -97,7 +97,7 @@
 /// The result of an aborted attempt that is not reported yet.
 pub(super) struct PendingEnd {
     pub(super) attempt: AttemptId,
-    /// The result to report.
+    /// The result to report to the core.
     pub(super) result: AttemptResult,
     /// The offset on the connection at which the abort frame ends; `None` while the abort is queued.
     pub(super) end_offset: Option<u64>,
--- a/daemon/src/wire/http.rs
+++ b/daemon/src/wire/http.rs
@@ -3,10 +3,10 @@
 
 use super::{take_line, Parser, WireError};
 
-/// The maximum number of headers.
+/// The maximum number of headers in a message.
 const MAX_HEADERS: usize = 64;
 
-/// The head of a message.
+/// The head of a message: its first line and its headers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Head {
     /// The request line or status line.
--- a/daemon/src/wire/sse.rs
+++ b/daemon/src/wire/sse.rs
@@ -2,7 +2,7 @@
 
 use super::{take_line, Parser, WireError};
 
-/// An event of the stream.
+/// A complete event of the stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Event {
     /// The last id in the stream up to this event.
