--- a/daemon/src/core/cache_table.rs
+++ b/daemon/src/core/cache_table.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A server of the endpoint list.
+/// A server of the endpoint list: a pop cache, a parent or an origin.
 struct Cache {
     /// The id of the server on the wire.
     uid: String,
--- a/daemon/src/daemon/clients/accept.rs
+++ b/daemon/src/daemon/clients/accept.rs
@@ -17,7 +17,7 @@
                 .iter()
                 .filter_map(|key| Some((self.eviction_rank(now, *key)?, *key)));
             let (rank, key) = candidates.min().ok_or(io::ErrorKind::OutOfMemory)?;
-            // Input that has arrived meanwhile changes the rank.
+            // Reading input that has arrived meanwhile may change the rank. The candidates are then ranked again.
             if !self.poll_client(now, key) || self.eviction_rank(now, key) == Some(rank) {
                 return Ok(key);
             }
--- a/daemon/src/daemon/clients/mod.rs
+++ b/daemon/src/daemon/clients/mod.rs
@@ -131,7 +131,7 @@
             self.limits
                 .close_at(state, Self::unanswered(connection), connection.state_since);
         if due.is_some_and(|due| due <= now) {
-            // Input that has just arrived changes the state and keeps the connection open.
+            // Input is read first. If some has just arrived, the state changes and the connection stays open.
             if !self.poll_client(now, key) {
                 return;
             }
--- a/daemon/src/daemon/commits/operators.rs
+++ b/daemon/src/daemon/commits/operators.rs
@@ -123,7 +123,7 @@
         match result {
             Ok(()) => {
                 if let Some(committed) = &decision {
-                    // Later decisions restore this value if they are rejected.
+                    // If a later pending decision is rejected, this value, which is now committed, is restored.
                     for later in self.pending_commits.decisions(&committed.subject) {
                         later.committed_revoked = committed.revoked;
                     }
@@ -215,7 +215,7 @@
         }
     }
 
-    /// Applies or revokes a decision. Returns whether that changed anything.
+    /// Applies or revokes a decision. Returns whether the operators' state has changed.
     fn apply_decision(&mut self, now: Micros, subject: &Subject, revoked: bool) -> bool {
         let effect = match subject {
             Subject::Ban(id) => self.admin_controller.set_banned(id, !revoked),
--- a/daemon/src/daemon/membership.rs
+++ b/daemon/src/daemon/membership.rs
@@ -156,7 +156,7 @@
         );
     }
 
-    /// Schedules the next tick, unless one is already scheduled early enough.
+    /// Schedules the next tick of membership, unless a tick is already scheduled at or before that time.
     fn schedule_membership(&mut self, now: Micros) {
         let Some(membership) = &self.membership else {
             return;
--- a/daemon/src/daemon/mod.rs
+++ b/daemon/src/daemon/mod.rs
@@ -8,7 +8,7 @@
 //! | `signals`, `reload` | SIGTERM and SIGHUP, and reloading the configuration |
 //! | `shutdown` | the graceful shutdown |
 //!
-//! Each of the other modules implements one front, one upstream or one function of [`Daemon`].
+//! Each of the other modules implements one front, one upstream or one feature of [`Daemon`].
 
 use crate::config::{Config, Source};
 use crate::core::Core;
@@ -117,7 +117,7 @@
     store_signal: Option<Signal>,
     /// Deliveries to peer CDNs that are in progress or wait for a retry.
     pending_deliveries: usize,
-    /// The readiness that was last announced to peer CDNs.
+    /// The readiness of this proxy as last announced to peer CDNs.
     announced_ready: bool,
     /// Bytes of unsent responses of all clients.
     total_unsent_bytes: usize,
--- a/daemon/src/daemon/replication.rs
+++ b/daemon/src/daemon/replication.rs
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Schedules the next tick, unless one is already scheduled early enough.
+    /// Schedules the next tick of replication, unless a tick is already scheduled at or before that time.
     pub(super) fn schedule_replication(&mut self, now: Micros) {
         let Some(ledger) = &self.ledger else { return };
         let due = ledger.due().max(now + MIN_TICK_INTERVAL_US);
--- a/daemon/src/daemon/sources/bus.rs
+++ b/daemon/src/daemon/sources/bus.rs
@@ -91,7 +91,8 @@
     /// Applies an event that was just received, or that is part of the configuration.
     pub(in crate::daemon) fn apply_bus_event(&mut self, now: Micros, event: BusEvent) {
         match event.update {
-            // Unless the configuration combines them, Consul replaces the bus as the source of the endpoint list.
+            // If Consul is configured, endpoint lists of the bus are ignored unless the configuration combines both
+            // sources.
             Some(BusUpdate::List(..))
                 if self.config.consul.as_ref().is_some_and(|c| !c.beside_bus) => {}
             Some(BusUpdate::List(answer)) => {
--- a/daemon/src/daemon/turn.rs
+++ b/daemon/src/daemon/turn.rs
@@ -25,9 +25,9 @@
 /// The latest wait for events and the turn that follows it.
 #[derive(Default)]
 pub(super) struct Turn {
-    /// All input that arrived before this time has been reported.
+    /// epoll has reported all input that arrived before this time.
     reported_until: Micros,
-    /// The input that was reported by the latest wait arrived at or after this time.
+    /// The earliest time at which the input that the latest wait reported may have arrived.
     arrived_since: Micros,
     wait_ended_at: Micros,
     /// The value that `reported_until` gets when the turn ends without interruption.
--- a/daemon/src/limits/mod.rs
+++ b/daemon/src/limits/mod.rs
@@ -56,7 +56,7 @@
     /// How long before the deadline of the client the final response is sent at the latest. The time is reserved for
     /// the transfer of the response.
     pub response_margin_us: u64,
-    /// The Retry-After of requests that are rejected because the request table is full.
+    /// The retry delay that clients are told when their requests are rejected because the request table is full.
     pub overload_retry_after_us: u64,
 
     // Buffers.
@@ -305,7 +305,7 @@
         }
     }
 
-    /// Applies the limits that follow from the settings of a reload.
+    /// Copies the limits that depend on the settings from `other`, after a reload.
     pub fn apply_settings_from(&mut self, other: &Limits) {
         self.overload_retry_after_us = other.overload_retry_after_us;
         self.response_timeout_us = other.response_timeout_us;
