--- a/daemon/src/daemon/sources/consul/cached_snapshot.rs
+++ b/daemon/src/daemon/sources/consul/cached_snapshot.rs
@@ -1,5 +1,5 @@
-//! Cached snapshots: stores the last good endpoint list of each data centre, for a start without an agent. A worker
-//! thread writes them, so that the event loop does not wait for the disk.
+//! Cached snapshots: stores the last confirmed endpoint list of each data centre, for a start while no Consul agent is
+//! reachable. A worker thread writes the files, so that the event loop does not wait for the disk.
 
 use crate::daemon::discovery::CONSUL;
 use crate::daemon::Daemon;
@@ -11,7 +11,7 @@
 use std::path::{Path, PathBuf};
 use std::{fs, io};
 
-/// The directory of the cached snapshots can't be used.
+/// An error of creating the directory of the cached snapshots or of starting their worker thread.
 #[derive(Debug, thiserror::Error)]
 #[error("state.directory: {}: {source}", directory.display())]
 pub(in crate::daemon) struct DirectoryError {
@@ -19,13 +19,13 @@
     source: io::Error,
 }
 
-/// Why a cached snapshot is not used.
+/// The reason for ignoring a cached snapshot.
 #[derive(Debug, thiserror::Error)]
 enum LoadError {
     /// The file can't be read.
     #[error(transparent)]
     Read(#[from] io::Error),
-    /// The content is invalid.
+    /// The content of the file is malformed, too old or belongs to another data centre or query.
     #[error(transparent)]
     Decode(#[from] cached_snapshot::SnapshotError),
 }
@@ -34,7 +34,7 @@
 pub(in crate::daemon) struct SnapshotWriter {
     disk: FileWriter,
     snapshots: Vec<Snapshot>,
-    /// The directory, if it could not be created at startup.
+    /// The directory, if it could not be created at startup and creating it is to be retried.
     missing_directory: Option<PathBuf>,
 }
 
@@ -48,7 +48,7 @@
     /// When the list was last confirmed.
     confirmed_at: Micros,
     written_at: Micros,
-    /// The entries of the last write.
+    /// The entries in the last written file.
     written: Vec<Entry>,
 }
 
@@ -164,8 +164,8 @@
         }
     }
 
-    /// Schedules the write of a confirmed list: soon if it has changed, otherwise in time to keep its timestamp
-    /// recent.
+    /// Schedules the write of a list that the agent has confirmed: after `list_store_delay_us` if the list has changed,
+    /// otherwise `list_store_interval_us` after the last write, to update the timestamp.
     pub(in crate::daemon) fn schedule_snapshot(&mut self, now: Micros, index: usize) {
         let change_delay_us = self.limits.list_store_delay_us;
         let refresh_interval_us = self.limits.list_store_interval_us;
@@ -217,12 +217,12 @@
             snapshot.written = entries;
             snapshot.written_at = now;
         } else {
-            // The worker has not started the previous write yet. The list is written as it is at the retry.
+            // The queue of the worker is full. The write is retried later, with the list as it is then.
             self.write_snapshot_at(now + self.limits.list_store_delay_us, index);
         }
     }
 
-    /// Writes the snapshots with scheduled writes immediately, at shutdown.
+    /// At shutdown, writes the snapshots whose writes are scheduled for later.
     pub(in crate::daemon) fn write_pending_snapshots(&mut self, now: Micros) {
         for index in 0..self.snapshot_count() {
             let snapshot = self.snapshot_mut(index);
