--- a/daemon/tests/discovery.rs
+++ b/daemon/tests/discovery.rs
@@ -118,7 +118,7 @@
         // Flap damping would suppress the repeated drains of this test.
         config["consul"]["damping"] = json!({"half_life_s": 0.001, "most_suppressed_s": 1});
     });
-    for manner in [
+    for behaviour in [
         Behaviour::Leaderless,
         Behaviour::Denied,
         Behaviour::Garbage,
@@ -128,25 +128,28 @@
         Behaviour::Unavailable,
     ] {
         let (before, mut web) = (agent.requests().len(), proxy.web());
-        agent.set_behaviour(manner);
-        if manner != Behaviour::Unavailable {
-            assert!(agent.wait_for(|asked| asked.len() > before), "{manner:?}");
+        agent.set_behaviour(behaviour);
+        if behaviour != Behaviour::Unavailable {
+            assert!(
+                agent.wait_for(|asked| asked.len() > before),
+                "{behaviour:?}"
+            );
         }
         let fetches = fetches_per_cache(&proxy, &mut web);
         assert!(
             fetches[0] > 0 && fetches[2] > 0,
-            "{manner:?}: the last list stays in use"
+            "{behaviour:?}: the last list stays in use"
         );
         agent.set_behaviour(Behaviour::Chunked);
         agent.register(&instances(&proxy, ["passing", "critical", "passing"]));
-        assert!(agent.wait_until_read(), "{manner:?}");
+        assert!(agent.wait_until_read(), "{behaviour:?}");
         assert_eq!(
             fetches_per_cache(&proxy, &mut proxy.web())[1],
             0,
-            "{manner:?}"
+            "{behaviour:?}"
         );
         agent.register(&instances(&proxy, READY));
-        assert!(agent.wait_until_read(), "{manner:?}");
+        assert!(agent.wait_until_read(), "{behaviour:?}");
     }
     proxy.stop();
 }
