--- a/daemon/tests/upstream.rs
+++ b/daemon/tests/upstream.rs
@@ -496,7 +496,7 @@
 /// The response to an attempt may cross its abort on the wire. It must not finish a retry on the same connection, as
 /// the next retry would then run concurrently with that one.
 #[test]
-fn a_response_that_may_belong_to_an_aborted_attempt_aborts_the_retry_before_it_finishes() {
+fn a_response_that_may_belong_to_an_aborted_attempt_also_aborts_the_retry() {
     let mut upstream = Upstream::new(true);
     let attempt = upstream.send("01");
     upstream.abort_and_wait(attempt);
