--- a/daemon/tests/failing_system_calls_under_load.rs
+++ b/daemon/tests/failing_system_calls_under_load.rs
@@ -1,6 +1,6 @@
 //! Runs several daemons under load while their system calls fail, and checks the rules of the rehearsal kit.
 
-use linnetknot_rehearse::player::{play_armed, Outcome};
+use linnetknot_rehearse::player::{play_with_fail_points, Outcome};
 use linnetknot_rehearse::scenario::{ClassLoad, Fault, Load, Scenario, SiteForm, What};
 use std::path::Path;
 
@@ -69,10 +69,10 @@
 
 fn play_without_breaches(faults: Vec<Fault>, seed: u64, fail_points: &str) -> Outcome {
     let daemon = Path::new(env!("CARGO_BIN_EXE_linnetknot"));
-    let outcome =
-        play_armed(daemon, &scenario(faults), seed, fail_points).expect("the scenario runs");
+    let outcome = play_with_fail_points(daemon, &scenario(faults), seed, fail_points)
+        .expect("the scenario runs");
     assert_eq!(outcome.breaches, [], "seed {seed}");
-    assert_eq!(outcome.has_seen(), Ok(()));
+    assert_eq!(outcome.check_conclusive(), Ok(()));
     assert!(outcome.requests > 450, "{outcome:?}");
     outcome
 }
--- a/daemon/tests/fault_matrix.rs
+++ b/daemon/tests/fault_matrix.rs
@@ -1,14 +1,14 @@
 //! Runs a part of the matrix of `linnetknot-rehearse fault-matrix`, which injects faults at points of a commit, and checks
 //! that planted faults are detected.
 
-use linnetknot_rehearse::fault_matrix::{cases, play, Case, Matrix, FAULT_POINTS, PLANTS};
-use linnetknot_rehearse::series::all_at_once;
+use linnetknot_rehearse::fault_matrix::{cases, play, Case, Matrix, DEFECTS, FAULT_POINTS};
+use linnetknot_rehearse::series::run_in_parallel;
 use std::path::Path;
 
 const DAEMON: &str = env!("CARGO_BIN_EXE_linnetknot");
 
 fn play_cases(cases: &[Case], armed_fault: &str) -> Matrix {
-    let plays = all_at_once(cases, 4, |case| play(Path::new(DAEMON), *case, armed_fault));
+    let plays = run_in_parallel(cases, 4, |case| play(Path::new(DAEMON), *case, armed_fault));
     let mut matrix = Matrix::default();
     cases
         .iter()
@@ -26,12 +26,12 @@
 /// Each planted fault is reported by the matching rule.
 #[test]
 fn planted_faults_are_detected() {
-    for ((planted, point), rule) in PLANTS
+    for ((defect, point), rule) in DEFECTS
         .into_iter()
         .zip(["writer-cut", "holder-cut", "successor"])
         .zip(["promises", "promises", "fence"])
     {
-        let name = planted.name;
+        let name = defect.name;
         let point_index = FAULT_POINTS
             .iter()
             .position(|entry| entry.name == point)
@@ -41,7 +41,7 @@
             seed: 300,
             ..cases(2 * FAULT_POINTS.len(), 0)[FAULT_POINTS.len() + point_index]
         };
-        let matrix = play_cases(&[case], planted.armed);
+        let matrix = play_cases(&[case], defect.fail_points);
         assert_eq!(matrix.status(), 1, "{name}: {matrix}\n{:#?}", matrix.notes);
         assert!(
             matrix
--- a/daemon/tests/rehearsal.rs
+++ b/daemon/tests/rehearsal.rs
@@ -2,7 +2,7 @@
 
 use linnetknot_rehearse::player::{self, play};
 use linnetknot_rehearse::scenario::{ClassLoad, Fault, Load, Scenario, SiteForm, What};
-use linnetknot_rehearse::{rehearse, Plant};
+use linnetknot_rehearse::{rehearse, RehearsalDefect};
 use std::path::Path;
 
 fn daemon() -> &'static Path {
@@ -13,20 +13,23 @@
 fn the_daemon_breaks_no_rule_in_the_rehearsal() {
     let report = rehearse(daemon(), None).expect("the rehearsal runs");
     assert_eq!(report.breaches, [], "{report}");
-    assert_eq!(report.played.len(), 4, "{report}");
+    assert_eq!(report.cases.len(), 4, "{report}");
 }
 
 #[test]
 fn planted_breaches_of_the_rehearsal_are_reported() {
-    for (plant, rule) in [(Plant::StaleCopies, "purge"), (Plant::DrainHidden, "drain")] {
-        let report = rehearse(daemon(), Some(plant)).expect("the rehearsal runs");
+    for (defect, rule) in [
+        (RehearsalDefect::StaleCopies, "purge"),
+        (RehearsalDefect::DrainNotSent, "drain"),
+    ] {
+        let report = rehearse(daemon(), Some(defect)).expect("the rehearsal runs");
         assert!(
             report.breaches.len() > 1,
             "every breach is reported, not only the first: {report}"
         );
         assert!(
             report.breaches.iter().all(|b| b.rule == rule),
-            "{plant:?}: {report}"
+            "{defect:?}: {report}"
         );
     }
 }
@@ -68,7 +71,7 @@
 fn a_load_scenario_is_served_and_breaks_no_rule() {
     let outcome = play(daemon(), &short_scenario(), 3, None).expect("the scenario runs");
     assert_eq!(outcome.breaches, []);
-    assert_eq!(outcome.has_seen(), Ok(()));
+    assert_eq!(outcome.check_conclusive(), Ok(()));
     assert!(
         outcome.requests > 300 && outcome.score.total.score() > Some(0.9),
         "{outcome:?}"
@@ -82,14 +85,15 @@
 
 #[test]
 fn planted_faults_under_load_are_reported_by_rule() {
-    for (plant, rule) in [
-        (player::Plant::PurgesUntold, "purges"),
-        (player::Plant::WrongBytes, "whole bytes"),
+    for (defect, rule) in [
+        (player::PlayDefect::PurgesNotSent, "purges"),
+        (player::PlayDefect::WrongBytes, "whole bytes"),
     ] {
-        let outcome = play(daemon(), &short_scenario(), 3, Some(plant)).expect("the scenario runs");
+        let outcome =
+            play(daemon(), &short_scenario(), 3, Some(defect)).expect("the scenario runs");
         assert!(
             outcome.breaches.len() > 1 && outcome.breaches.iter().all(|b| b.rule == rule),
-            "{plant:?}: {outcome:?}"
+            "{defect:?}: {outcome:?}"
         );
     }
 }
@@ -114,10 +118,14 @@
     )
     .expect("the scenario runs");
     outcome.lag_us.0 = player::MAX_LAG_US + 1;
-    assert!(outcome.has_seen().unwrap_err().to_string().contains("late"));
+    assert!(outcome
+        .check_conclusive()
+        .unwrap_err()
+        .to_string()
+        .contains("late"));
     outcome.score.total.offered = 0.0;
     assert!(outcome
-        .has_seen()
+        .check_conclusive()
         .unwrap_err()
         .to_string()
         .contains("nothing was asked"));
@@ -152,7 +160,7 @@
 fn cache_origin_and_bus_faults_under_load_break_no_rule() {
     let outcome = play(daemon(), &cache_and_origin_faults(), 3, None).expect("the scenario runs");
     assert_eq!(outcome.breaches, []);
-    assert_eq!(outcome.has_seen(), Ok(()));
+    assert_eq!(outcome.check_conclusive(), Ok(()));
     assert!(
         outcome.requests > 450 && outcome.score.total.score() > Some(0.6),
         "{outcome:?}"
@@ -165,7 +173,7 @@
         daemon(),
         &cache_and_origin_faults(),
         3,
-        Some(player::Plant::DrainsUntold),
+        Some(player::PlayDefect::DrainsNotSent),
     )
     .expect("the scenario runs");
     assert!(
@@ -209,14 +217,14 @@
 fn killed_and_stopped_proxies_restart_under_load_without_breaches() {
     let outcome = play(daemon(), &proxy_restarts(), 3, None).expect("the scenario runs");
     assert_eq!(outcome.breaches, []);
-    assert_eq!(outcome.has_seen(), Ok(()));
+    assert_eq!(outcome.check_conclusive(), Ok(()));
     assert!(outcome.requests > 450 && outcome.unsent == 0, "{outcome:?}");
     // With the planted fault, requests lost at the killed proxy count as breaches.
     let outcome = play(
         daemon(),
         &proxy_restarts(),
         3,
-        Some(player::Plant::KillsOwed),
+        Some(player::PlayDefect::KilledRequestsDue),
     )
     .expect("the scenario runs");
     assert!(
@@ -234,11 +242,11 @@
             stop.store(true, std::sync::atomic::Ordering::Relaxed);
         }
     };
-    let watch = player::Watch {
+    let watch = player::PlayControl {
         stop: Some(&stop),
         progress: Some(&progress),
     };
-    let outcome = player::play_watched(daemon(), &short_scenario(), 3, None, watch)
+    let outcome = player::play_with_control(daemon(), &short_scenario(), 3, None, watch)
         .expect("the scenario runs");
     let interrupted_at = outcome.interrupted.expect("the run was interrupted");
     assert!((1.0..2.0).contains(&interrupted_at), "{interrupted_at}");
--- a/rehearse/src/load.rs
+++ b/rehearse/src/load.rs
@@ -1,52 +1,52 @@
-//! What is asked for in a rehearsal, drawn ahead from a seed: an open loop, whose arrivals never wait for answers, so
-//! that a slow answer does not hide the requests behind it. The same scenario and seed give the same plan.
+//! The load of a rehearsal, drawn in advance from a seed. It is an open loop: arrivals do not wait for answers, so a slow
+//! answer does not delay the requests after it. The same scenario and seed give the same plan.
 
 use crate::scenario::{ClassLoad, Scenario, What};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, LogNormal, Zipf};
 
-/// A request that is to be sent.
+/// A planned request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// When, in microseconds from the beginning.
+    /// The time of sending, in microseconds from the start.
     pub at: u64,
-    /// Its class, by its place in the scenario.
+    /// The index of its class in the scenario.
     pub class: usize,
     /// The object.
     pub object: u64,
-    /// The part.
+    /// The part of the object.
     pub part: u64,
-    /// Size of the part, in KB.
+    /// The size of the part, in KB.
     pub size_kb: f64,
-    /// How long its client waits, in microseconds.
+    /// The time that its client waits, in microseconds.
     pub budget: u64,
-    /// The proxy that its client comes to.
+    /// The index of the proxy that its client connects to.
     pub proxy: u32,
-    /// The idempotency key.
+    /// The idempotency key, if the class uses them.
     pub key: Option<u64>,
 }
 
-/// A purge that is to be told.
+/// A planned purge.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Purge {
-    /// When, in microseconds from the beginning.
+    /// The time of the purge, in microseconds from the start.
     pub at: u64,
-    /// The object, or else the group.
-    pub what: Result<u64, u64>,
+    /// The object (`Ok`) or the group (`Err`).
+    pub target: Result<u64, u64>,
 }
 
-/// All that a rehearsal asks and purges, in the order of time.
+/// The requests and purges of a rehearsal.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// Requests.
+    /// The requests, in order of time.
     pub arrivals: Vec<Arrival>,
-    /// Purges.
+    /// The purges, in order of time.
     pub purges: Vec<Purge>,
 }
 
-/// Groups of objects, as the platform numbers them.
-pub const GROUPS: u64 = 256;
+/// The number of object groups.
+pub const GROUP_COUNT: u64 = 256;
 
 fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -54,13 +54,13 @@
     x ^ (x >> 31)
 }
 
-/// Group of an object.
+/// Returns the group of an object.
 pub fn group(object: u64) -> u64 {
-    mix(object) % GROUPS
+    mix(object) % GROUP_COUNT
 }
 
-/// The factor of the load at a time, in seconds.
-pub fn factor(shape: &[(f64, f64)], at: f64) -> f64 {
+/// Returns the load factor at a time in seconds, interpolated between the points of the shape.
+pub fn load_factor(shape: &[(f64, f64)], at: f64) -> f64 {
     let after = shape.iter().position(|(t, _)| *t > at);
     match (shape, after) {
         ([], _) => 1.0,
@@ -73,38 +73,38 @@
     }
 }
 
-/// A class's objects and sizes.
-struct Source<'a> {
+/// Draws the objects and sizes of a class.
+struct ClassGenerator<'a> {
     class: &'a ClassLoad,
     index: usize,
     popularity: Option<Zipf<f64>>,
     sizes: Option<LogNormal<f64>>,
-    once: u64,
+    unique_objects: u64,
 }
 
-impl<'a> Source<'a> {
+impl<'a> ClassGenerator<'a> {
     fn new(index: usize, class: &'a ClassLoad) -> Self {
-        Source {
+        ClassGenerator {
             class,
             index,
             popularity: Zipf::new(class.objects as f64, class.zipf).ok(),
             sizes: LogNormal::new(class.median_kb.max(0.001).ln(), class.sigma).ok(),
-            once: 0,
+            unique_objects: 0,
         }
     }
 
     fn object(&mut self, random: &mut ChaCha8Rng, at: f64) -> u64 {
         let (c, tag) = (self.class, (self.index as u64 + 1) << 56);
         if random.random_bool(c.once) {
-            self.once += 1;
-            return mix(tag ^ (1 << 55) ^ self.once);
+            self.unique_objects += 1;
+            return mix(tag ^ (1 << 55) ^ self.unique_objects);
         }
         let rank = self.popularity.as_ref().map_or(1.0, |z| z.sample(random)) as u64;
-        // The order moves on: what stands at a rank is another object some seconds later.
+        // With drift, the object at a popularity rank changes over time.
         mix(tag ^ (rank + (c.drift * at) as u64))
     }
 
-    /// Size of a part: the same whenever it is asked for.
+    /// Returns the size of a part, which is the same for each request.
     fn size_kb(&self, object: u64, part: u64) -> f64 {
         let mut own = ChaCha8Rng::seed_from_u64(mix(object ^ mix(part)));
         self.sizes
@@ -113,7 +113,7 @@
     }
 }
 
-/// The hot object that a request of a class is for at this second, where a fault makes it one.
+/// Returns the hot object for a request of a class at this second, if a fault draws it there.
 fn hot_object(
     scenario: &Scenario,
     class: &ClassLoad,
@@ -138,19 +138,20 @@
     let mut plan = Plan::default();
     let end = scenario.seconds;
     for (index, class) in scenario.load.classes.iter().enumerate() {
-        // Each class and the purges have a stream of chance of their own: a change of one leaves the others alone.
+        // Each class and the purges have their own random stream, so a change of one does not affect the others.
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         random.set_stream(index as u64 + 1);
-        let mut source = Source::new(index, class);
+        let mut generator = ClassGenerator::new(index, class);
         let parts = (class.parts.0 + class.parts.1) as f64 / 2.0;
         let Ok(gaps) = Exp::new(scenario.load.rate * class.share / parts) else {
             continue;
         };
         let mut at = gaps.sample(&mut random);
         while at < end {
-            // Thinned to the shape: what comes at full rate is kept by the factor of its moment.
-            let is_accepted = random.random_bool(factor(&scenario.load.shape, at).clamp(0.0, 1.0));
-            let mut object = source.object(&mut random, at);
+            // Arrivals at the full rate are thinned by the load factor.
+            let is_accepted =
+                random.random_bool(load_factor(&scenario.load.shape, at).clamp(0.0, 1.0));
+            let mut object = generator.object(&mut random, at);
             if let Some(hot) = hot_object(scenario, class, at, &mut random) {
                 object = hot;
             }
@@ -167,7 +168,7 @@
                     class: index,
                     object,
                     part,
-                    size_kb: source.size_kb(object, part),
+                    size_kb: generator.size_kb(object, part),
                     budget: class.budget_ms * 1000,
                     proxy,
                     key,
@@ -179,11 +180,11 @@
     }
     plan.arrivals
         .sort_by_key(|a| (a.at, a.class, a.object, a.part));
-    purges(scenario, seed, &mut plan);
+    add_purges(scenario, seed, &mut plan);
     plan
 }
 
-fn purges(scenario: &Scenario, seed: u64, plan: &mut Plan) {
+fn add_purges(scenario: &Scenario, seed: u64, plan: &mut Plan) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     random.set_stream(0);
     if let (Ok(gaps), false) = (Exp::new(scenario.load.purges), plan.arrivals.is_empty()) {
@@ -193,22 +194,23 @@
             f64::INFINITY
         };
         while at < scenario.seconds {
-            // Families purge what is looked at: popular objects more often.
+            // Drawn from the requested objects, so popular ones are purged more often.
             let object = plan.arrivals[random.random_range(0..plan.arrivals.len())].object;
             plan.purges.push(Purge {
                 at: (at * 1e6) as u64,
-                what: Ok(object),
+                target: Ok(object),
             });
             at += gaps.sample(&mut random);
         }
     }
     for f in &scenario.faults {
         if let What::MassPurge { share } = f.what {
-            let all = 0..GROUPS;
-            let struck = all.filter(|g| (mix(seed ^ mix(*g)) as f64) < share * u64::MAX as f64);
-            plan.purges.extend(struck.map(|g| Purge {
+            let all = 0..GROUP_COUNT;
+            let purged_groups =
+                all.filter(|g| (mix(seed ^ mix(*g)) as f64) < share * u64::MAX as f64);
+            plan.purges.extend(purged_groups.map(|g| Purge {
                 at: (f.at * 1e6) as u64,
-                what: Err(g),
+                target: Err(g),
             }));
         }
     }
--- a/rehearse/src/report.rs
+++ b/rehearse/src/report.rs
@@ -1,4 +1,4 @@
-//! A rehearsal's result as a file that outlives it, and two of them side by side. Decides nothing.
+//! The result of a rehearsal as a JSON file, and the comparison of two of them.
 
 use crate::latency::Waits;
 use crate::player::Outcome;
@@ -7,61 +7,66 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The form of the file; another one is refused.
-const FORM: u32 = 1;
+/// The format version of the file. Other versions are rejected.
+const FORMAT_VERSION: u32 = 1;
 
-/// What a rehearsal came to. Shares are of the worth asked, waits in milliseconds from when a request was due.
+/// The result of a rehearsal. Shares are relative to the offered weight.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Report {
-    /// The form of this file.
-    pub form: u32,
-    /// The scenario.
+    /// The format version of this file.
+    #[serde(rename = "form")]
+    pub format_version: u32,
+    /// The name of the scenario.
     pub scenario: String,
-    /// The seed of its load.
+    /// The seed of the load.
     pub seed: u64,
-    /// Requests sent, retries with them.
-    pub asked: usize,
-    /// Requests of the plan that no proxy took (all down, or the connection broke as it was written); 0 in files
-    /// written before it was counted.
+    /// The number of requests sent, including retries.
+    #[serde(rename = "asked")]
+    pub requests: usize,
+    /// The number of planned requests that no proxy accepted, as all were down or the connection broke. 0 in older files.
     #[serde(default)]
     pub unsent: usize,
-    /// Where it was ended by hand: after so many seconds; none in older files.
+    /// The seconds after which it was interrupted, if it was. None in older files.
     #[serde(default)]
     pub interrupted: Option<f64>,
-    /// How late the load itself was, p99.
+    /// The 99th percentile of the delay of the load generator, in milliseconds.
     pub lag_ms: f64,
-    /// Why it proves nothing, if so.
-    pub unseen: Option<String>,
-    /// The whole run.
-    pub whole: Part,
-    /// By class.
+    /// The reason for which it is inconclusive, if it is.
+    #[serde(rename = "inconclusive")]
+    pub inconclusive: Option<String>,
+    /// The result over all classes.
+    #[serde(rename = "total")]
+    pub total: Part,
+    /// The result by class.
     pub classes: Vec<Part>,
-    /// The ten seconds that earned least of what they asked: their first second, and the share.
+    /// The first second and the score of the worst window of ten seconds.
     pub worst: Option<(usize, f64)>,
-    /// The rules that were broken, with their evidence.
+    /// The breaches of rules, with their evidence.
     pub breaches: Vec<String>,
 }
 
-/// One class, or all.
+/// The result of one class, or of all.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Part {
-    /// Its name.
+    /// The name of the class, or `all`.
     pub name: String,
-    /// Worth asked.
-    pub asked: f64,
-    /// Answered in time.
+    /// The offered weight.
+    #[serde(rename = "asked")]
+    pub offered: f64,
+    /// The share answered in time.
     pub in_time: f64,
-    /// Lost to late answers.
+    /// The share lost to late answers.
     pub late: f64,
-    /// Lost to refusals.
+    /// The share lost to refusals.
     pub refused: f64,
-    /// Lost to failures.
+    /// The share lost to failures.
     pub failed: f64,
-    /// Lost to no answer at all.
+    /// The share without an answer.
     pub unanswered: f64,
-    /// Waits of a class: p50, p99 and the longest; none for all classes together.
+    /// The median, 99th percentile and maximum wait of a class in milliseconds from the due time. None for all classes
+    /// together.
     pub waits_ms: Option<[f64; 3]>,
 }
 
@@ -69,53 +74,53 @@
     let share = |of: f64| if s.offered > 0.0 { of / s.offered } else { 0.0 };
     Part {
         name: name.to_owned(),
-        asked: s.offered,
+        offered: s.offered,
         in_time: share(s.earned),
         late: share(s.late),
         refused: share(s.refused),
         failed: share(s.failed),
         unanswered: share(s.unanswered),
-        waits_ms: waits.map(|w| [w.p50, w.p99, w.most].map(|us| us as f64 / 1e3)),
+        waits_ms: waits.map(|w| [w.p50, w.p99, w.max].map(|us| us as f64 / 1e3)),
     }
 }
 
-/// Why a report can't be read or written.
+/// An error in reading or writing a report.
 #[derive(Debug, Error)]
 pub enum ReportError {
-    /// The text has not the form of a report.
+    /// The text is not a valid report.
     #[error("{0}")]
     Malformed(serde_path_to_error::Error<serde_json::Error>),
-    /// A file of another form.
-    #[error("form: {0} is not known here, {FORM} is")]
-    UnknownForm(u32),
-    /// A value has no form in JSON.
+    /// The file has an unsupported format version.
+    #[error("form: version {0} is not supported, expected {FORMAT_VERSION}")]
+    UnsupportedVersion(u32),
+    /// A value can't be represented in JSON.
     #[error("{0}")]
-    Unwritable(serde_json::Error),
+    Serialization(serde_json::Error),
 }
 
-/// Why two reports can't be compared.
+/// An error in comparing two reports.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CompareError {
-    /// They are of two scenarios.
-    #[error("'{first}' and '{second}' are two scenarios")]
-    TwoScenarios {
-        /// The scenario of the first.
+    /// The reports are of different scenarios.
+    #[error("the reports are of different scenarios: '{first}' and '{second}'")]
+    DifferentScenarios {
+        /// The scenario of the first report.
         first: String,
-        /// The scenario of the second.
+        /// The scenario of the second report.
         second: String,
     },
-    /// One of them has seen nothing.
-    #[error("the {which} proves nothing: {why}")]
-    ProvesNothing {
-        /// Which.
+    /// One of the reports is inconclusive.
+    #[error("the {which} report is inconclusive: {reason}")]
+    Inconclusive {
+        /// `first` or `second`.
         which: &'static str,
-        /// Why.
-        why: String,
+        /// The reason given in the report.
+        reason: String,
     },
 }
 
 impl Report {
-    /// The report of an outcome.
+    /// Returns the report of an outcome.
     pub fn of(scenario: &Scenario, seed: u64, o: &Outcome) -> Self {
         let classes = scenario
             .load
@@ -123,15 +128,15 @@
             .iter()
             .zip(o.score.classes.iter().zip(&o.waits));
         Report {
-            form: FORM,
+            format_version: FORMAT_VERSION,
             scenario: scenario.name.clone(),
             seed,
-            asked: o.requests,
+            requests: o.requests,
             unsent: o.unsent,
             interrupted: o.interrupted,
             lag_ms: o.lag_us.0 as f64 / 1e3,
-            unseen: o.has_seen().err().map(|why| why.to_string()),
-            whole: part("all", &o.score.total, None),
+            inconclusive: o.check_conclusive().err().map(|reason| reason.to_string()),
+            total: part("all", &o.score.total, None),
             classes: classes
                 .map(|(c, (s, w))| part(&c.name, s, Some(w)))
                 .collect(),
@@ -140,54 +145,54 @@
         }
     }
 
-    /// Reads a report.
+    /// Parses a report.
     ///
     /// # Errors
-    /// Where the text is none; the key at fault is named by its path.
+    /// Returns an error with the path of the invalid key if the text is not a valid report.
     pub fn read(text: &str) -> Result<Self, ReportError> {
         let mut json = serde_json::Deserializer::from_str(text);
         let report: Report =
             serde_path_to_error::deserialize(&mut json).map_err(ReportError::Malformed)?;
-        match report.form {
-            FORM => Ok(report),
-            other => Err(ReportError::UnknownForm(other)),
+        match report.format_version {
+            FORMAT_VERSION => Ok(report),
+            other => Err(ReportError::UnsupportedVersion(other)),
         }
     }
 
-    /// The file's text.
+    /// Returns the text of the file.
     ///
     /// # Errors
-    /// Where a value has no form in JSON.
+    /// Returns an error if a value can't be represented in JSON.
     pub fn write(&self) -> Result<String, ReportError> {
-        let text = serde_json::to_string_pretty(self).map_err(ReportError::Unwritable)?;
+        let text = serde_json::to_string_pretty(self).map_err(ReportError::Serialization)?;
         Ok(text + "\n")
     }
 }
 
-/// Two reports of one scenario side by side.
+/// Returns a table that compares two reports of one scenario.
 ///
 /// # Errors
-/// Where they can't be compared.
+/// Returns an error if the reports are of different scenarios or one is inconclusive.
 pub fn compare(a: &Report, b: &Report) -> Result<String, CompareError> {
     if a.scenario != b.scenario {
-        return Err(CompareError::TwoScenarios {
+        return Err(CompareError::DifferentScenarios {
             first: a.scenario.clone(),
             second: b.scenario.clone(),
         });
     }
     for (name, report) in [("first", a), ("second", b)] {
-        if let Some(why) = &report.unseen {
-            return Err(CompareError::ProvesNothing {
+        if let Some(reason) = &report.inconclusive {
+            return Err(CompareError::Inconclusive {
                 which: name,
-                why: why.clone(),
+                reason: reason.clone(),
             });
         }
     }
     let mut out = format!("{}, seeds {} and {}\n\n", a.scenario, a.seed, b.seed);
     out += "| | in time | | late | | refused | | failed or unanswered | | p99 ms | |\n";
     out += "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
-    for x in std::iter::once(&a.whole).chain(&a.classes) {
-        let Some(y) = std::iter::once(&b.whole)
+    for x in std::iter::once(&a.total).chain(&a.classes) {
+        let Some(y) = std::iter::once(&b.total)
             .chain(&b.classes)
             .find(|y| y.name == x.name)
         else {
@@ -210,6 +215,6 @@
     }
     let worst = |r: &Report| r.worst.map_or("-".to_owned(), |w| format!("{:.3}", w.1));
     out += &format!("\nworst ten seconds: {} and {}\n", worst(a), worst(b));
-    out += &format!("taken by no proxy: {} and {}\n", a.unsent, b.unsent);
+    out += &format!("accepted by no proxy: {} and {}\n", a.unsent, b.unsent);
     Ok(out + &format!("breaches: {} and {}\n", a.breaches.len(), b.breaches.len()))
 }
--- a/rehearse/tests/report.rs
+++ b/rehearse/tests/report.rs
@@ -1,4 +1,4 @@
-//! Results as files, and two of them side by side.
+//! Tests of reports as files and of their comparison.
 
 use linnetknot_rehearse::report::{compare, Part, Report};
 
@@ -7,7 +7,7 @@
     let waits_ms = p99.map(|p99| [50.0, p99, 2.0 * p99]);
     Part {
         name: name.into(),
-        asked: 100.0,
+        offered: 100.0,
         in_time,
         late: 0.0,
         refused,
@@ -19,15 +19,15 @@
 
 fn report(in_time: f64, breaches: &[&str]) -> Report {
     Report {
-        form: 1,
+        format_version: 1,
         scenario: "evening".into(),
         seed: 7,
-        asked: 100,
+        requests: 100,
         unsent: 0,
         interrupted: None,
         lag_ms: 0.5,
-        unseen: None,
-        whole: part("all", in_time, None),
+        inconclusive: None,
+        total: part("all", in_time, None),
         classes: vec![part("photo", in_time, Some(120.0))],
         worst: Some((3, in_time / 2.0)),
         breaches: breaches
@@ -38,10 +38,10 @@
 }
 
 #[test]
-fn a_report_comes_back_as_it_was_and_a_faulty_one_is_refused_by_its_key() {
+fn report_round_trips_and_invalid_reports_name_the_key() {
     let good = report(0.9, &["cold boxes: s-0a"]);
     assert_eq!(Report::read(&good.write().unwrap()).unwrap(), good);
-    // A file written before requests taken by no proxy were counted is read with none.
+    // Older files lack the number of unsent requests.
     let older = good.write().unwrap().replacen("\n  \"unsent\": 0,", "", 1);
     assert_ne!(older, good.write().unwrap());
     assert_eq!(Report::read(&older).unwrap(), good);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn two_reports_stand_side_by_side_class_by_class() {
+fn comparison_lists_both_reports_by_class() {
     let text = compare(&report(0.9, &[]), &report(0.75, &["x"])).unwrap();
     for line in [
         "| photo | 90.0% | 75.0% | 0.0% | 0.0% | 10.0% | 25.0% | 0.0% | 0.0% | 120 | 120 |",
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn what_proves_nothing_or_is_another_scenario_is_not_compared() {
+fn inconclusive_reports_and_different_scenarios_are_not_compared() {
     let other = Report {
         scenario: "calm".into(),
         ..report(0.9, &[])
@@ -82,13 +82,13 @@
     assert!(compare(&report(0.9, &[]), &other)
         .unwrap_err()
         .to_string()
-        .contains("two scenarios"));
-    let blind = Report {
-        unseen: Some("nothing was asked".into()),
+        .contains("different scenarios"));
+    let inconclusive = Report {
+        inconclusive: Some("no request was sent".into()),
         ..report(0.9, &[])
     };
-    assert!(compare(&blind, &report(0.9, &[]))
+    assert!(compare(&inconclusive, &report(0.9, &[]))
         .unwrap_err()
         .to_string()
-        .contains("the first proves nothing"));
+        .contains("the first report is inconclusive"));
 }
--- a/rehearse/tests/rules.rs
+++ b/rehearse/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The rules and the score from records alone: a sound record breaks none, and each planted fault is named.
+//! Tests of the rules, the score and the waits on records made by hand.
 
 use linnetknot_rehearse::latency::{waits, Waits};
 use linnetknot_rehearse::record::*;
@@ -23,7 +23,7 @@
 fn request(id: &str, class: usize, at: Micros) -> Request {
     let key = (class == 1).then(|| format!("key-{id}"));
     let (id, object) = (id.to_owned(), "o".to_owned());
-    let (first, work_us, until) = (id.clone(), 50 * MS, at + 2 * S);
+    let (first, work_us, deadline) = (id.clone(), 50 * MS, at + 2 * S);
     Request {
         id,
         first,
@@ -35,7 +35,7 @@
         work_us,
         due: at,
         at,
-        until,
+        deadline,
         released: None,
     }
 }
@@ -58,7 +58,7 @@
     Answered {
         id: id.into(),
         at,
-        answer: Final::Served {
+        answer: FinalAnswer::Served {
             made: Some(made),
             intact: true,
         },
@@ -69,8 +69,9 @@
     Notice { proxy: 0, at, kind }
 }
 
-/// Two requests, a retry behind a refusal, a post, a drain, a purge and a cold box, all as they should be.
-fn sound() -> Record {
+/// Returns a record without a breach: requests with and without a key, a retry after a refusal, a drain, a purge and a cold
+/// start.
+fn valid_record() -> Record {
     let mut retry = request("c2", 0, 31 * S);
     retry.first = "c1".into();
     Record {
@@ -92,13 +93,13 @@
             Answered {
                 id: "c1".into(),
                 at: 30 * S + MS,
-                answer: Final::Refused { advised: true },
+                answer: FinalAnswer::Refused { advised: true },
             },
             served("c2", 31 * S + 90 * MS, 30 * S),
             Answered {
                 id: "d".into(),
                 at: 41 * S,
-                answer: Final::Failed,
+                answer: FinalAnswer::Failed,
             },
         ],
         attempts: vec![
@@ -110,7 +111,7 @@
             attempt("d", "origin", 40 * S + 20 * MS, 10 * MS, Ended::Ran),
         ],
         notices: vec![
-            notice(25 * S, NoticeKind::Out("box-1".into())),
+            notice(25 * S, NoticeKind::OutOfService("box-1".into())),
             notice(
                 29 * S,
                 NoticeKind::Purged {
@@ -120,23 +121,23 @@
                 },
             ),
         ],
-        cold: vec![Cold {
+        cold_starts: vec![ColdStart {
             uid: "box-2".into(),
             at: 30 * S,
             capacity: 8.0,
             share: 0.15,
             warm_us: 13 * S,
-            multiple: 2.5,
-            fall_us: 3 * S,
+            overload_multiple: 2.5,
+            overload_window_us: 3 * S,
         }],
     }
 }
 
-fn broken(record: &Record) -> Vec<Breach> {
+fn breaches_of(record: &Record) -> Vec<Breach> {
     judge(record, &Limits::default())
 }
 
-/// A fault, and the rule that it breaks.
+/// The name of a rule and a change of the record that breaks it.
 type Fault = (&'static str, fn(&mut Record));
 
 const FAULTS: [Fault; 17] = [
@@ -149,13 +150,13 @@
         r.answered.push(served("nobody's", 11 * S, 9 * S));
     }),
     ("whole bytes", |r| {
-        r.answered[0].answer = Final::Served {
+        r.answered[0].answer = FinalAnswer::Served {
             made: Some(9 * S),
             intact: false,
         }
     }),
     ("advice", |r| {
-        r.answered[2].answer = Final::Refused { advised: false }
+        r.answered[2].answer = FinalAnswer::Refused { advised: false }
     }),
     ("one out", |r| {
         r.attempts[1].ended = Some((20 * S + 250 * MS, Ended::GivenUp));
@@ -179,10 +180,12 @@
     ("repeats", |r| r.attempts[0].id = "unknown".into()),
     ("drains", |r| r.attempts[3].target = "box-1".into()),
     ("drains", |r| r.attempts[3].source = Some("box-1".into())),
-    // A second word does not begin the grace anew.
+    // A repeated notice does not restart the grace period.
     ("drains", |r| {
-        r.notices
-            .push(notice(30 * S + 900 * MS, NoticeKind::Out("box-1".into())));
+        r.notices.push(notice(
+            30 * S + 900 * MS,
+            NoticeKind::OutOfService("box-1".into()),
+        ));
         r.attempts[3].target = "box-1".into();
     }),
     ("cold boxes", |r| {
@@ -198,18 +201,16 @@
     }),
 ];
 
-/// Two attempts that overlap by less than the rehearsal itself was late may have been one after the other; by more, or
-/// for good, they were not.
 #[test]
-fn attempts_that_overlap_by_less_than_the_rehearsal_was_late_are_no_breach() {
-    let with = |late_us: u64, ended: &dyn Fn(u64) -> Option<(u64, Ended)>| {
-        let mut record = sound();
+fn overlaps_and_late_answers_within_the_tolerance_are_not_breaches() {
+    let with = |tolerance_us: u64, ended: &dyn Fn(u64) -> Option<(u64, Ended)>| {
+        let mut record = valid_record();
         let next = record.attempts[2].at;
         record.attempts[1].ended = ended(next);
         judge(
             &record,
             &Limits {
-                late_us,
+                tolerance_us,
                 ..Limits::default()
             },
         )
@@ -218,15 +219,15 @@
     };
     let by = |us: u64| move |next: u64| Some((next + us, Ended::GivenUp));
     assert!(!with(4 * MS, &by(4 * MS)) && with(4 * MS, &by(4 * MS + 1)) && with(0, &by(1)));
-    assert!(with(50 * MS, &|_| None), "one that never ended");
-    // So it is with an answer that was read a moment after its client gave up.
-    let answered = |late_us, after: u64| {
-        let mut record = sound();
-        record.answered[0].at = record.requests[0].until + after;
+    assert!(with(50 * MS, &|_| None), "an attempt that never ended");
+    // The tolerance also applies to an answer that was read after the client's deadline.
+    let answered = |tolerance_us, after: u64| {
+        let mut record = valid_record();
+        record.answered[0].at = record.requests[0].deadline + after;
         judge(
             &record,
             &Limits {
-                late_us,
+                tolerance_us,
                 ..Limits::default()
             },
         )
@@ -237,13 +238,13 @@
 }
 
 #[test]
-fn a_sound_record_breaks_no_rule_and_each_fault_is_named_with_its_evidence() {
-    assert_eq!(broken(&sound()), []);
-    let mut named = BTreeSet::new();
-    for (n, (rule, plant)) in FAULTS.iter().enumerate() {
-        let mut record = sound();
-        plant(&mut record);
-        let breaches = broken(&record);
+fn valid_record_has_no_breaches_and_each_injected_fault_is_reported() {
+    assert_eq!(breaches_of(&valid_record()), []);
+    let mut reported = BTreeSet::new();
+    for (n, (rule, inject)) in FAULTS.iter().enumerate() {
+        let mut record = valid_record();
+        inject(&mut record);
+        let breaches = breaches_of(&record);
         let of: Vec<&Breach> = breaches.iter().filter(|b| b.rule == *rule).collect();
         assert!(!of.is_empty(), "fault {n} breaks '{rule}': {breaches:?}");
         assert!(
@@ -254,28 +255,24 @@
             of.iter().all(|b| b.at >= 9 * S && !b.evidence.is_empty()),
             "{of:?}"
         );
-        // Forty fills are also more than six attempts; all other faults break their rule alone.
+        // The forty fills also exceed six attempts. All other faults break a single rule.
         let others = breaches.iter().filter(|b| b.rule != *rule).count();
         assert!(
             others == 0 || *rule == "cold boxes",
             "fault {n}: {breaches:?}"
         );
-        named.insert(*rule);
+        reported.insert(*rule);
     }
-    assert_eq!(
-        named.len(),
-        RULES.len(),
-        "each rule is broken by some fault"
-    );
-    assert!(RULES.iter().all(|(rule, _)| named.contains(rule)));
+    assert_eq!(reported.len(), RULES.len(), "a fault for each rule");
+    assert!(RULES.iter().all(|(rule, _)| reported.contains(rule)));
 }
 
 #[test]
-fn what_lies_within_a_grace_or_was_released_is_no_breach() {
-    let mut record = sound();
-    // Sent 1 s after word of the drain, and 300 ms after word of a purge.
+fn grace_periods_and_released_requests_are_not_breaches() {
+    let mut record = valid_record();
+    // Sent 1 s after the notice of a drain, and 350 ms after that of a purge.
     record.notices = vec![
-        notice(9 * S, NoticeKind::Out("box-1".into())),
+        notice(9 * S, NoticeKind::OutOfService("box-1".into())),
         notice(
             10 * S - 350 * MS,
             NoticeKind::Purged {
@@ -285,41 +282,44 @@
             },
         ),
     ];
-    record.cold.clear();
-    assert_eq!(broken(&record), []);
-    // One ms more, and both are.
+    record.cold_starts.clear();
+    assert_eq!(breaches_of(&record), []);
+    // 51 ms more, and both rules are broken.
     record.notices.iter_mut().for_each(|t| t.at -= 51 * MS);
-    let rules: Vec<&str> = broken(&record).iter().map(|b| b.rule).collect();
+    let rules: Vec<&str> = breaches_of(&record).iter().map(|b| b.rule).collect();
     assert_eq!(rules, ["drains", "purges"]);
-    // Ready again in between: its word holds.
+    // The cache became ready again in between.
     record
         .notices
         .push(notice(9 * S + MS, NoticeKind::Ready("box-1".into())));
     assert_eq!(
-        broken(&record).iter().map(|b| b.rule).collect::<Vec<_>>(),
+        breaches_of(&record)
+            .iter()
+            .map(|b| b.rule)
+            .collect::<Vec<_>>(),
         ["purges"]
     );
-    // A client that took its request back is owed nothing, and two answers are too many all the same.
-    let mut record = sound();
+    // No answer is due to a released request.
+    let mut record = valid_record();
     record.answered.remove(0);
     record.requests[0].released = Some(11 * S);
-    assert_eq!(broken(&record), []);
-    // A cold box may be given what it can bear.
-    let mut record = sound();
+    assert_eq!(breaches_of(&record), []);
+    // A cold cache may be sent work up to its overload multiple.
+    let mut record = valid_record();
     record.attempts[3].work_us = 7 * S;
     assert_eq!(
-        broken(&record),
+        breaches_of(&record),
         [],
-        "8 x 2.5 x 3 s at 15% and rising is more than that"
+        "8 x 2.5 x 3 s at 15% and rising exceeds this work"
     );
     record.attempts[3].work_us = 20 * S;
-    assert_eq!(broken(&record)[0].rule, "cold boxes");
+    assert_eq!(breaches_of(&record)[0].rule, "cold boxes");
 }
 
 #[test]
-fn the_score_is_worth_in_time_over_worth_asked_with_retries_counted_as_one() {
-    let out = score(&sound());
-    // a in time; b late, of which a fifth counts; c served by its retry, late by its first try; d failed.
+fn score_is_weight_answered_in_time_over_weight_offered() {
+    let out = score(&valid_record());
+    // a is in time; b is late and earns a fifth; c is served by its retry and late; d failed.
     let earned = 1.0 + 3.0 * 0.2 + 0.2;
     assert!(
         (out.total.offered - 8.0).abs() < 1e-9 && (out.total.earned - earned).abs() < 1e-9,
@@ -345,22 +345,22 @@
     assert_eq!(
         out.worst.unwrap().1,
         0.0,
-        "the seconds of which only the failed one is a part"
+        "the window that contains only the failed request"
     );
-    // Without its retry, c is refused; without any answer, unanswered.
-    let mut record = sound();
+    // Without its retry, c is refused. Without any answers, all requests are unanswered.
+    let mut record = valid_record();
     record.requests.remove(3);
     record.answered.remove(3);
     assert_eq!(score(&record).total.refused, 1.0);
     record.answered.clear();
     assert_eq!(score(&record).total.unanswered, 8.0);
-    // Nothing asked is no score at all, rather than a good one.
+    // A record without requests has no score.
     assert_eq!(score(&Record::default()).total.score(), None);
     assert_eq!(score(&Record::default()).worst, None);
 }
 
 #[test]
-fn waits_count_from_when_a_request_was_due_and_over_all_its_tries() {
+fn waits_are_measured_from_the_due_time_across_retries() {
     let class_of = |record: &Record, n: usize| waits(record)[n];
     let near = |us: Micros, ms: u64| us.abs_diff(ms * MS) <= ms * MS / 500;
     let mut record = Record {
@@ -368,21 +368,21 @@
         ..Record::default()
     };
     assert_eq!(class_of(&record, 0), Waits::default());
-    // A hundred in time, each 20 ms; the load generator is held up before the last, which waits 2 s all the same.
+    // A hundred requests wait 20 ms each. The load generator sends the last one 2 s late, which counts as a wait.
     for n in 0..100 {
         let (id, at) = (format!("{n}"), (10 + n) * S);
         record.requests.push(request(&id, 0, at));
         record.answered.push(served(&id, at + 20 * MS, at));
     }
-    let held_up = Request {
+    let delayed = Request {
         due: 198 * S,
         ..request("late", 0, 200 * S)
     };
-    record.requests.push(held_up);
+    record.requests.push(delayed);
     record
         .answered
         .push(served("late", 200 * S + 20 * MS, 200 * S));
-    // Refused at first and served by its retry; and one never served.
+    // One request is refused and served by its retry, and one is never served.
     let retry = Request {
         first: "again".into(),
         ..request("retry", 0, 301 * S)
@@ -395,7 +395,7 @@
     record.answered.push(Answered {
         id: "again".into(),
         at: 300 * S,
-        answer: Final::Refused { advised: true },
+        answer: FinalAnswer::Refused { advised: true },
     });
     record
         .answered
@@ -403,24 +403,31 @@
     let w = class_of(&record, 0);
     assert_eq!((w.requests, w.served), (103, 102));
     assert!(
-        near(w.p50, 20) && near(w.p90, 20) && near(w.p99, 1500) && near(w.most, 2020),
+        near(w.p50, 20) && near(w.p90, 20) && near(w.p99, 1500) && near(w.max, 2020),
         "{w:?}"
     );
 }
 
 #[test]
-fn what_a_cold_box_can_do_is_the_area_under_its_line() {
-    let c = Cold {
+fn cold_cache_work_capacity_is_the_integral_of_its_ramp() {
+    let c = ColdStart {
         uid: "a".into(),
         at: 100,
         capacity: 2.0,
         share: 0.2,
         warm_us: 1000,
-        multiple: 1.0,
-        fall_us: 100,
+        overload_multiple: 1.0,
+        overload_window_us: 100,
     };
-    assert!((c.able(100, 1100) - 2.0 * 600.0).abs() < 1e-6);
-    assert!((c.able(1100, 1200) - 200.0).abs() < 1e-6, "warm");
-    assert!((c.able(100, 101) - 0.4).abs() < 0.01);
-    assert_eq!(c.able(0, 100), 0.0, "before its start it can do nothing");
+    assert!((c.work_capacity_us(100, 1100) - 2.0 * 600.0).abs() < 1e-6);
+    assert!(
+        (c.work_capacity_us(1100, 1200) - 200.0).abs() < 1e-6,
+        "warm"
+    );
+    assert!((c.work_capacity_us(100, 101) - 0.4).abs() < 0.01);
+    assert_eq!(
+        c.work_capacity_us(0, 100),
+        0.0,
+        "no capacity before its start"
+    );
 }
