--- a/daemon/tests/client_gone.rs
+++ b/daemon/tests/client_gone.rs
@@ -69,10 +69,7 @@
 /// Serves a client until a connection to each cache is up, so that a further attempt need not wait for one.
 fn warm_up<const N: usize>(caches: &mut [ScriptedCache; N], web: &mut WebServer) {
     let mut n = 1_000;
-    while caches
-        .iter()
-        .any(|cache| cache.connections.is_empty())
-    {
+    while caches.iter().any(|cache| cache.connections.is_empty()) {
         web.send(&photo_request(REMAINING_CLIENT_REQUEST, &object_id(n), 0))
             .unwrap();
         let (at, connection, fetch) = next_command(caches);
--- a/daemon/tests/event_ordering.rs
+++ b/daemon/tests/event_ordering.rs
@@ -433,7 +433,7 @@
 }
 
 #[test]
-fn a_silent_bus_stream_is_resumed_after_the_last_event_and_a_missed_drain_applies() {
+fn a_silent_bus_stream_resumes_after_the_last_event_and_a_missed_drain_applies() {
     let bus = ScriptedBus::start();
     let address = bus.address();
     let proxy = TestProxy::with(&["s-0a", "s-0b"], |config| {
--- a/daemon/tests/plain_purge_datagrams.rs
+++ b/daemon/tests/plain_purge_datagrams.rs
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn a_plain_purge_from_an_unknown_peer_is_logged_only_if_the_peer_does_not_answer() {
+fn an_unknown_peers_plain_purge_is_logged_only_if_the_peer_does_not_answer() {
     let mut fleet = TestFleet::start("plain-unmet");
     fleet.send_plain_purge(&fleet.replicating_peer.socket, OBJECT);
     fleet.send_plain_purge(&fleet.older_peer, OTHER_OBJECT);
