--- a/rehearse/src/scale/command.rs
+++ b/rehearse/src/scale/command.rs
@@ -5,7 +5,7 @@
 use crate::scale::memory::{self, MemberState, TooLarge};
 use crate::scale::prefill;
 use crate::scale::report::Report;
-use crate::scale::run::{Run, Without};
+use crate::scale::run::{DisabledParts, Run};
 use crate::scale::simulation::play;
 use crate::scale::slopes;
 use crate::scale::target::{Target, TargetError};
@@ -111,11 +111,11 @@
         seconds: arguments.seconds,
         fault: arguments.fault,
         target,
-        without: Without {
+        disabled: DisabledParts {
             budgets: arguments.without_budgets,
         },
         exact_entries: arguments.exact_entries.map(|entries| entries as usize),
-        plants: Vec::new(),
+        injected_defects: Vec::new(),
     })
 }
 
@@ -127,15 +127,15 @@
     let config = FleetConfig::of(run, &vec![0; run.members]);
     let purges = run.target.purges_per_second * run.seconds;
     let max_entries = config.replication.max_exact_entries;
-    let told = prefill::entries(run, &config) + purges as usize;
-    let has_table = run.fault == Fault::LateJoin || told > max_entries;
+    let purge_count = prefill::entries(run, &config) + purges as usize;
+    let has_table = run.fault == Fault::LateJoin || purge_count > max_entries;
     let table_bytes = if has_table {
         BucketBits::DEFAULT.buckets() * size_of::<Bucket>()
     } else {
         0
     };
     let state = MemberState {
-        entries: told.min(max_entries),
+        entries: purge_count.min(max_entries),
         table_bytes,
     };
     memory::admit(run.members, state, available).map_err(|error| CommandError::Memory {
@@ -175,7 +175,7 @@
         seconds: run.seconds,
         fault: run.fault,
         target: arguments.target.clone(),
-        without: run.without,
+        disabled: run.disabled,
         budget: std::time::Duration::from_secs(arguments.budget),
     };
     let runs = slopes::run(&sizes, &options);
--- a/rehearse/src/scale/daemons/acks.rs
+++ b/rehearse/src/scale/daemons/acks.rs
@@ -50,7 +50,7 @@
     }
 
     /// A member tells a purge that stands at an index of its log.
-    pub fn told(&mut self, writer: usize, index: Index, at: Micros) {
+    pub fn record_issued(&mut self, writer: usize, index: Index, at: Micros) {
         let daemons = self.delays.len();
         let new = || WriterLog {
             purges: Vec::new(),
--- a/rehearse/src/scale/daemons/host.rs
+++ b/rehearse/src/scale/daemons/host.rs
@@ -83,7 +83,7 @@
         let introductions = introductions(&config, daemons.len(), now);
         members
             .iter_mut()
-            .for_each(|member| member.acquaint(&introductions, now));
+            .for_each(|member| member.receive_introductions(&introductions, now));
         let mut timers = Timers::new(config.members.len());
         indexes.for_each(|index| timers.set(index, now));
         HollowHost {
@@ -121,7 +121,7 @@
     }
 
     /// Makes a daemon's process known to all hollow members, as its answer to their greetings would.
-    pub fn acquaint(&mut self, daemon: usize, process: u64) {
+    pub fn introduce_daemon(&mut self, daemon: usize, process: u64) {
         let introduction = HollowMember::introduction(&self.config, daemon, process);
         for index in self.daemons.len()..self.config.members.len() {
             let from = peer_index(daemon, index);
@@ -202,7 +202,7 @@
         member.purge(purge, now);
         let outgoing = member.take_outgoing();
         if let Some(entry) = own_entry(&outgoing, self.config.members[index].id) {
-            self.acks.told(index, entry, now);
+            self.acks.record_issued(index, entry, now);
         }
         self.dispatch(index, outgoing);
     }
@@ -345,7 +345,7 @@
 
     fn note(&mut self, member: usize, event: MemberEvent) {
         match event {
-            MemberEvent::Refused { purge, why } | MemberEvent::NotKept { purge, why } => {
+            MemberEvent::Refused { purge, why } | MemberEvent::NotStored { purge, why } => {
                 self.refused.push(RefusedPurge { member, purge, why });
             }
             MemberEvent::Died { .. } => self.deaths += 1,
--- a/rehearse/src/scale/daemons/purge_plan.rs
+++ b/rehearse/src/scale/daemons/purge_plan.rs
@@ -50,7 +50,7 @@
     /// Begins.
     pub fn start(cdni: SocketAddr, purges: Vec<PlannedPurge>) -> Self {
         let begun = Instant::now();
-        TriggerClient(thread::spawn(move || tell(cdni, &purges, begun)))
+        TriggerClient(thread::spawn(move || send_triggers(cdni, &purges, begun)))
     }
 
     /// Whether all are answered.
@@ -68,7 +68,7 @@
     }
 }
 
-fn tell(cdni: SocketAddr, purges: &[PlannedPurge], begun: Instant) -> TriggerOutcome {
+fn send_triggers(cdni: SocketAddr, purges: &[PlannedPurge], begun: Instant) -> TriggerOutcome {
     let mut outcome = TriggerOutcome {
         answers: super::acks::delay_histogram(),
         refused: Vec::new(),
--- a/rehearse/src/scale/daemons/run.rs
+++ b/rehearse/src/scale/daemons/run.rs
@@ -7,7 +7,7 @@
 use super::sockets::MemberSockets;
 use super::traffic::Traffic;
 use crate::scale::fleet_config::FleetConfig;
-use crate::scale::run::Without;
+use crate::scale::run::DisabledParts;
 use crate::scale::target::Target;
 use hdrhistogram::Histogram;
 use linnetknot_simnet::Micros;
@@ -175,7 +175,7 @@
 impl<'a> Fleet<'a> {
     fn start(run: &'a Run) -> io::Result<Self> {
         let total = run.daemons + run.members;
-        let mut config = FleetConfig::new(&vec![0; total], &run.target, Without::default());
+        let mut config = FleetConfig::new(&vec![0; total], &run.target, DisabledParts::default());
         let daemon_addresses = daemon_addresses(run.daemons)?;
         let sockets = MemberSockets::bind(run.members, &daemon_addresses)?;
         let addresses = [&daemon_addresses[..], sockets.addresses()].concat();
@@ -193,7 +193,8 @@
         let begun = self.host.now();
         self.host.introduce()?;
         for daemon in 0..self.daemons.len() {
-            self.host.acquaint(daemon, self.daemons.process_id(daemon)?);
+            self.host
+                .introduce_daemon(daemon, self.daemons.process_id(daemon)?);
         }
         let is_known = self
             .wait_until(MAX_WARM_UP_US, Self::is_acquainted)?
--- a/rehearse/src/scale/delivery.rs
+++ b/rehearse/src/scale/delivery.rs
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug)]
 pub struct PurgeRecord {
     /// When it was told.
-    pub told_at: Micros,
+    pub issued_at: Micros,
     /// To whom.
     pub writer: MemberIndex,
     /// It was committed: all must have it in the end, whoever crashes.
@@ -80,10 +80,10 @@
     }
 
     /// A purge is told now: its number.
-    pub fn tell(&mut self, writer: MemberIndex, now: Micros) -> u64 {
+    pub fn issue(&mut self, writer: MemberIndex, now: Micros) -> u64 {
         let in_force = MemberSet::new(self.members);
         self.records.push(PurgeRecord {
-            told_at: now,
+            issued_at: now,
             writer,
             is_committed: false,
             is_abandoned: false,
@@ -127,7 +127,7 @@
     }
 
     /// A purge is in force at a member that has been there, and not cut off from the writer, since `connected_since`.
-    pub fn in_force(
+    pub fn record_in_force(
         &mut self,
         purge: u64,
         member: MemberIndex,
@@ -141,15 +141,15 @@
             return;
         };
         record.in_force.insert(member);
-        let delay = (now - record.told_at).max(1);
-        match connected_since <= record.told_at {
+        let delay = (now - record.issued_at).max(1);
+        match connected_since <= record.issued_at {
             true => self.delays.saturating_record(delay),
             false => self.catch_up_delays.saturating_record(delay),
         }
     }
 
     /// A member starts again, and has these purges on its disk.
-    pub fn restarted(&mut self, member: MemberIndex, on_disk: impl Iterator<Item = u64>) {
+    pub fn record_restart(&mut self, member: MemberIndex, on_disk: impl Iterator<Item = u64>) {
         self.records
             .iter_mut()
             .for_each(|record| record.in_force.remove(member));
--- a/rehearse/src/scale/fleet_config.rs
+++ b/rehearse/src/scale/fleet_config.rs
@@ -1,6 +1,6 @@
 //! The configuration that all hollow members of one fleet have in common.
 
-use crate::scale::run::{Run, Without};
+use crate::scale::run::{DisabledParts, Run};
 use crate::scale::target::Target;
 use linnetknot_budgets::kinds::{self, Unit};
 use linnetknot_budgets::spec::BudgetSpec;
@@ -110,7 +110,7 @@
 
 impl FleetConfig {
     /// The configuration of members that stand in these zones.
-    pub fn new(zones: &[usize], target: &Target, without: Without) -> Self {
+    pub fn new(zones: &[usize], target: &Target, disabled: DisabledParts) -> Self {
         let limits = Limits::for_machine(DESCRIPTORS, MEMORY_MB);
         let replication = limits.replication(&commitments());
         let member = |(index, zone): (usize, &usize)| {
@@ -126,7 +126,7 @@
         };
         FleetConfig {
             members: zones.iter().enumerate().map(member).collect(),
-            budgets: if without.budgets {
+            budgets: if disabled.budgets {
                 Vec::new()
             } else {
                 shared_budgets(zones.len(), target)
@@ -139,7 +139,7 @@
 
     /// The configuration of a run's members, that stand in these zones.
     pub fn of(run: &Run, zones: &[usize]) -> Self {
-        let mut config = FleetConfig::new(zones, &run.target, run.without);
+        let mut config = FleetConfig::new(zones, &run.target, run.disabled);
         if let Some(entries) = run.exact_entries {
             config.replication.max_exact_entries = entries;
         }
--- a/rehearse/src/scale/hollow/budget_share.rs
+++ b/rehearse/src/scale/hollow/budget_share.rs
@@ -69,7 +69,7 @@
         is_up: impl Iterator<Item = bool>,
         outbox: &mut Outbox,
     ) {
-        self.say_demand(now);
+        self.update_demand(now);
         for (peer, is_up) in is_up.enumerate() {
             self.core.set_member_up(member_at(peer, self.index), is_up);
         }
@@ -78,7 +78,7 @@
         self.due = self.core.due().max(now + MIN_PAUSE_US);
     }
 
-    fn say_demand(&mut self, now: Micros) {
+    fn update_demand(&mut self, now: Micros) {
         for (number, budget) in self.budgets.iter().enumerate() {
             let is_spent_here = budget.zone.is_none_or(|zone| zone == self.zone);
             let wish = match budget.unit {
--- a/rehearse/src/scale/hollow/event.rs
+++ b/rehearse/src/scale/hollow/event.rs
@@ -35,7 +35,7 @@
         why: Refusal,
     },
     /// A purge that a peer told is in force and can't be kept.
-    NotKept {
+    NotStored {
         /// Which.
         purge: PurgeNumber,
         /// Why.
--- a/rehearse/src/scale/hollow/mod.rs
+++ b/rehearse/src/scale/hollow/mod.rs
@@ -121,12 +121,12 @@
     }
 
     /// Plants a fault, for a test.
-    pub fn plant(&mut self, defect: Defect) {
+    pub fn inject_defect(&mut self, defect: Defect) {
         self.defect = Some(defect);
     }
 
     /// Takes in a datagram of the peer at this place of its list.
-    pub fn receive(&mut self, from_place: usize, bytes: &[u8], now: Micros) {
+    pub fn receive(&mut self, from_peer: usize, bytes: &[u8], now: Micros) {
         let is_dropped = match self.defect {
             Some(Defect::DropsPurges) => is_purge(bytes),
             Some(Defect::DropsSnapshots) => is_snapshot(bytes),
@@ -135,16 +135,16 @@
         if is_dropped {
             return;
         }
-        if self.receive_membership(from_place, bytes, now)
-            || self.receive_budgets(from_place, bytes, now)
+        if self.receive_membership(from_peer, bytes, now)
+            || self.receive_budgets(from_peer, bytes, now)
             || self
                 .purge_log
-                .receive(from_place, bytes, now, &mut self.outbox, &mut self.events)
-            || self.origin_health.receive(now, address(from_place), bytes)
+                .receive(from_peer, bytes, now, &mut self.outbox, &mut self.events)
+            || self.origin_health.receive(now, address(from_peer), bytes)
         {
             return;
         }
-        self.receive_plain_purge(from_place, bytes, now);
+        self.receive_plain_purge(from_peer, bytes, now);
     }
 
     fn receive_plain_purge(&mut self, from: usize, bytes: &[u8], now: Micros) {
@@ -162,7 +162,7 @@
             Treatment::Replicated => {}
             Treatment::Greet => {
                 self.membership.send_discovery_ping(from);
-                self.tend_membership(now);
+                self.flush_membership(now);
             }
             Treatment::Write(purge) => self.write_plain_purge(&purge, now),
         }
@@ -197,29 +197,29 @@
             Ok(()) => {}
         }
         if is_named(&self.membership) != was_named {
-            self.know_machines();
+            self.update_machines();
         }
-        self.tend_membership(now);
+        self.flush_membership(now);
         true
     }
 
     /// The machines of the peers: as each says itself, and until it has as the configuration says.
-    fn know_machines(&mut self) {
+    fn update_machines(&mut self) {
         let known = self
             .membership
             .members()
             .iter()
             .zip(self.config.peers_of(self.index));
         let machine = |(member, peer): (&linnetknot_membership::Member, &MemberName)| {
-            let said = member.names.as_ref().map(|names| names.machine.as_str());
-            server_id(said.unwrap_or(&peer.machine))
+            let reported = member.names.as_ref().map(|names| names.machine.as_str());
+            server_id(reported.unwrap_or(&peer.machine))
         };
         let machines = known.map(machine).collect();
         self.purge_log
             .set_machines(self.config.members[self.index].machine_id, machines);
     }
 
-    fn tend_membership(&mut self, now: Micros) {
+    fn flush_membership(&mut self, now: Micros) {
         for out in self.membership.take_outgoing() {
             self.outbox.send(out.peer, out.datagram);
         }
@@ -239,7 +239,7 @@
     }
 
     /// Lets it know all peers, as one that has run for long does, by the answers to its greetings.
-    pub fn acquaint(&mut self, introductions: &[Vec<u8>], now: Micros) {
+    pub fn receive_introductions(&mut self, introductions: &[Vec<u8>], now: Micros) {
         for (index, bytes) in introductions
             .iter()
             .enumerate()
@@ -252,7 +252,7 @@
         }
         self.membership.take_outgoing();
         self.membership.take_changes();
-        self.know_machines();
+        self.update_machines();
     }
 
     /// The answer to a greeting by the member at an index, by which `acquaint` makes it known.
@@ -302,7 +302,7 @@
             .for_each(|purge| self.write_plain_purge(purge, now));
         if self.membership_due <= now {
             self.membership.tick(now);
-            self.tend_membership(now);
+            self.flush_membership(now);
         }
         if let Some(budgets) = self.budgets.as_mut().filter(|budgets| budgets.due() <= now) {
             let is_up = self
@@ -325,7 +325,7 @@
     }
 
     /// An answer of the origin was late: this share of its requests may still ask it.
-    pub fn find_origin_late(&mut self, share: f64, now: Micros) {
+    pub fn record_late_origin_response(&mut self, share: f64, now: Micros) {
         if let Some(bytes) = self.origin_health.record_late_response(now, share) {
             self.outbox.broadcast(&bytes);
         }
@@ -334,7 +334,7 @@
     /// It ends in order, and tells its peers.
     pub fn leave(&mut self, now: Micros) {
         self.membership.leave();
-        self.tend_membership(now);
+        self.flush_membership(now);
     }
 
     /// What the next process finds on its disk, after an end in order or a crash.
--- a/rehearse/src/scale/hollow/purge_log.rs
+++ b/rehearse/src/scale/hollow/purge_log.rs
@@ -16,7 +16,7 @@
 const MIN_PAUSE_US: Micros = 1_000;
 
 /// How often entries whose time is over are looked for.
-const EXPIRE_US: Micros = 60_000_000;
+const EXPIRY_INTERVAL_US: Micros = 60_000_000;
 
 /// What a member's disk has when its process ends, for the next one.
 #[derive(Clone, Debug, Default)]
@@ -164,7 +164,7 @@
                 .for_each(|entry| self.write(entry, now));
         }
         if now >= self.expires {
-            self.expires = now + EXPIRE_US;
+            self.expires = now + EXPIRY_INTERVAL_US;
             self.replica.expire(now);
         }
         send_all(self.replica.tick(now), outbox);
@@ -285,14 +285,14 @@
             Err(DecodeError::Foreign) => return false,
             Err(_) => return true,
         };
-        let their_sum = match &datagram {
+        let peer_checksum = match &datagram {
             Datagram::Digest { checksum, .. } => Some(*checksum),
             _ => None,
         };
         let received = self.replica.receive(now, from, datagram);
         received.new.iter().for_each(|entry| self.write(entry, now));
         in_force(&received, events);
-        if their_sum == Some(self.replica.log_store().checksum()) {
+        if peer_checksum == Some(self.replica.log_store().checksum()) {
             // Whether that ended the wait is asked for when it matters.
             let _ = self
                 .recovery
@@ -332,7 +332,7 @@
             return;
         }
         if let Err(why) = self.append(purge, at, now) {
-            events.push(MemberEvent::NotKept { purge, why });
+            events.push(MemberEvent::NotStored { purge, why });
         }
     }
 
@@ -378,7 +378,7 @@
     }
     for entry in &received.rejected {
         if let Some(purge) = entry_purge(entry) {
-            events.push(MemberEvent::NotKept {
+            events.push(MemberEvent::NotStored {
                 purge,
                 why: Refusal::Capacity,
             });
--- a/rehearse/src/scale/report/member_figures.rs
+++ b/rehearse/src/scale/report/member_figures.rs
@@ -174,18 +174,19 @@
 }
 
 /// The members at which most purges were told.
-fn most_told(outcome: &Outcome, run: &Run) -> Vec<MemberIndex> {
+fn busiest_writers(outcome: &Outcome, run: &Run) -> Vec<MemberIndex> {
     if run.fault == Fault::HotWriter {
         return writers(run.fault, &outcome.layout);
     }
-    let mut told = BTreeMap::<MemberIndex, usize>::new();
+    let mut purges_by_writer = BTreeMap::<MemberIndex, usize>::new();
     for purge in 0..outcome.purges.len() as u64 {
         if let Some(record) = outcome.purges.get(purge) {
-            *told.entry(record.writer).or_default() += 1;
+            *purges_by_writer.entry(record.writer).or_default() += 1;
         }
     }
-    let most = told.values().copied().max().unwrap_or(0);
-    told.into_iter()
+    let most = purges_by_writer.values().copied().max().unwrap_or(0);
+    purges_by_writer
+        .into_iter()
         .filter(|(_, count)| *count == most)
         .map(|(member, _)| member)
         .collect()
@@ -201,7 +202,7 @@
             Role::Allocator,
             outcome.allocators.iter().copied().collect(),
         ),
-        (Role::Writer, most_told(outcome, run)),
+        (Role::Writer, busiest_writers(outcome, run)),
         (Role::Starter, outcome.starters.iter().copied().collect()),
     ];
     let mut rows = Vec::new();
--- a/rehearse/src/scale/report/mod.rs
+++ b/rehearse/src/scale/report/mod.rs
@@ -189,7 +189,7 @@
 }
 
 fn count_rows(outcome: &Outcome, target: &Target) -> Vec<Row> {
-    let told = outcome.purges.len() as f64;
+    let issued = outcome.purges.len() as f64;
     let committed = (0..outcome.purges.len() as u64).filter_map(|purge| outcome.purges.get(purge));
     let committed = committed.filter(|record| record.is_committed).count() as f64;
     let time = |time: Option<u64>, why: &str| {
@@ -202,7 +202,7 @@
     let joined = time(outcome.join_us, "nobody joined, or has not got all");
     let machines = Some(f64::from(target.limits.control_machines));
     vec![
-        fleet_row("purges told", "", Value::Single(told), None),
+        fleet_row("purges told", "", Value::Single(issued), None),
         fleet_row("purges committed", "", Value::Single(committed), None),
         fleet_row(
             "false deaths",
@@ -291,7 +291,7 @@
 }
 
 /// A figure, with as many digits as it needs.
-pub fn shown(figure: f64) -> String {
+pub fn format_figure(figure: f64) -> String {
     match figure.abs() {
         0.0 => "0".to_owned(),
         size if size >= 100.0 => format!("{figure:.0}"),
@@ -302,11 +302,11 @@
 
 fn line(row: &Row) -> String {
     let [median, p99, most] = match &row.value {
-        Value::Spread(spread) => [spread.median, spread.p99, spread.most].map(shown),
-        Value::Single(figure) => [String::new(), String::new(), shown(*figure)],
+        Value::Spread(spread) => [spread.median, spread.p99, spread.most].map(format_figure),
+        Value::Single(figure) => [String::new(), String::new(), format_figure(*figure)],
         Value::None(why) => [String::new(), String::new(), why.clone()],
     };
-    let limit = row.limit.map_or_else(String::new, shown);
+    let limit = row.limit.map_or_else(String::new, format_figure);
     let mark = match (row.is_over(), row.is_volatile) {
         (true, _) => "OVER",
         (false, true) => "by a clock",
--- a/rehearse/src/scale/run.rs
+++ b/rehearse/src/scale/run.rs
@@ -6,7 +6,7 @@
 
 /// Parts of the daemon that a trial leaves out, to see what lies behind them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Without {
+pub struct DisabledParts {
     /// The budgets that all members share.
     pub budgets: bool,
 }
@@ -26,7 +26,7 @@
 
 /// A fault planted in a member, for tests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Plant {
+pub struct InjectedDefect {
     /// In whom.
     pub member: MemberIndex,
     /// What.
@@ -47,9 +47,9 @@
     /// What it is measured against.
     pub target: Target,
     /// Parts of the daemon that are left out, in trials.
-    pub without: Without,
+    pub disabled: DisabledParts,
     /// Entries that a member holds exactly; none: as many as the daemon.
     pub exact_entries: Option<usize>,
     /// Planted faults; none but in tests.
-    pub plants: Vec<Plant>,
+    pub injected_defects: Vec<InjectedDefect>,
 }
--- a/rehearse/src/scale/simulation/checks.rs
+++ b/rehearse/src/scale/simulation/checks.rs
@@ -1,7 +1,8 @@
 //! What a run must keep, and what is looked at while it goes on.
 
 use super::{
-    Event, Simulation, CHECK_BUDGETS_US, COMPARE_US, LOOK_FOR_ALLOCATORS_US, MAX_SETTLING_US, START,
+    Event, Simulation, ALLOCATOR_SAMPLE_INTERVAL_US, BUDGET_CHECK_INTERVAL_US, MAX_SETTLING_US,
+    START, STATE_COMPARISON_INTERVAL_US,
 };
 use crate::scale::fault::joiner;
 use crate::scale::hollow::{HollowMember, StateSize};
@@ -16,12 +17,12 @@
         let Some(record) = self.purges.get(purge).filter(|record| !record.is_abandoned) else {
             return;
         };
-        let (writer, told_at) = (record.writer, record.told_at);
+        let (writer, issued_at) = (record.writer, record.issued_at);
         for member in 0..self.nodes.len() {
-            if self.has_purge(purge, told_at, member) || self.nodes[member].member.is_none() {
+            if self.has_purge(purge, issued_at, member) || self.nodes[member].member.is_none() {
                 continue;
             }
-            if self.connected_since(member, writer, told_at) <= told_at {
+            if self.connected_since(member, writer, issued_at) <= issued_at {
                 let example =
                     || format!("purge {purge}, told at member {writer}, at member {member}");
                 self.verdict.add(Rule::PurgeInTime, example);
@@ -30,8 +31,8 @@
     }
 
     /// Whether a member was told of a purge, or has it in its compact table, as it came with a snapshot.
-    fn has_purge(&self, purge: u64, told_at: Micros, member: MemberIndex) -> bool {
-        let holds = |node: &HollowMember| node.is_in_force(purge, told_at);
+    fn has_purge(&self, purge: u64, issued_at: Micros, member: MemberIndex) -> bool {
+        let holds = |node: &HollowMember| node.is_in_force(purge, issued_at);
         self.purges.has(purge, member) || self.nodes[member].member.as_ref().is_some_and(holds)
     }
 
@@ -42,8 +43,8 @@
     ) -> impl Iterator<Item = (u64, MemberIndex)> + 'a {
         let missing = self.purges.missing(members);
         missing.filter(|(purge, member)| {
-            let told_at = self.purges.get(*purge).map_or(0, |record| record.told_at);
-            !self.has_purge(*purge, told_at, *member)
+            let issued_at = self.purges.get(*purge).map_or(0, |record| record.issued_at);
+            !self.has_purge(*purge, issued_at, *member)
         })
     }
 
@@ -54,7 +55,7 @@
 
     pub(super) fn check_budgets(&mut self) {
         self.queue
-            .schedule(self.now + CHECK_BUDGETS_US, Event::CheckBudgets);
+            .schedule(self.now + BUDGET_CHECK_INTERVAL_US, Event::CheckBudgets);
         for number in 0..self.config.budgets.len() {
             let limit = self.config.budgets[number].spec.limit;
             let sum: u64 = self
@@ -68,12 +69,14 @@
         }
     }
 
-    pub(super) fn look_for_allocators(&mut self) {
+    pub(super) fn sample_allocators(&mut self) {
         if !self.is_measured() {
             return;
         }
-        self.queue
-            .schedule(self.now + LOOK_FOR_ALLOCATORS_US, Event::LookForAllocators);
+        self.queue.schedule(
+            self.now + ALLOCATOR_SAMPLE_INTERVAL_US,
+            Event::SampleAllocators,
+        );
         let allocators = self
             .running()
             .filter(|(_, member)| member.is_allocator(self.now));
@@ -95,11 +98,11 @@
             if self.now >= until || self.verdict.breaks(Rule::PurgeHasRoom) {
                 return None;
             }
-            self.run_until(self.now + COMPARE_US);
+            self.run_until(self.now + STATE_COMPARISON_INTERVAL_US);
         }
         let settled = self.now - self.window.until;
         while !self.deaths_are_known() && self.now < until {
-            self.run_until(self.now + COMPARE_US);
+            self.run_until(self.now + STATE_COMPARISON_INTERVAL_US);
         }
         Some(settled)
     }
@@ -132,7 +135,7 @@
         !is_missing
     }
 
-    pub(super) fn judge_end(&mut self) {
+    pub(super) fn check_end_state(&mut self) {
         let running: Vec<MemberIndex> = self.running().map(|(index, _)| index).collect();
         let missing: Vec<(u64, MemberIndex)> = self.missing_purges(&running).collect();
         let joiner = joiner(self.run.fault, self.network.layout());
--- a/rehearse/src/scale/simulation/faults.rs
+++ b/rehearse/src/scale/simulation/faults.rs
@@ -1,23 +1,23 @@
 //! Processes that start and end, members that join, and links that are cut.
 
-use super::{Event, Joining, Simulation, LOOK_AT_JOINER_US, NEVER, START};
+use super::{Event, Joining, Simulation, JOINER_POLL_INTERVAL_US, NEVER, START};
 use crate::scale::fault::Action;
 use crate::scale::hollow::{DiskContents, HollowMember};
 use crate::scale::layout::MemberIndex;
 use linnetknot_simnet::Micros;
 
 /// The share of its requests that a proxy lets ask an origin that is late.
-const LATE_ORIGIN_SHARE: f64 = 0.3;
+const LATE_ORIGIN_REQUEST_SHARE: f64 = 0.3;
 
 impl Simulation<'_> {
-    pub(super) fn act(&mut self, action: Action) {
+    pub(super) fn apply_action(&mut self, action: Action) {
         match action {
             Action::Crash { members } => members.into_iter().for_each(|member| self.crash(member)),
             Action::Stop { members } => members.into_iter().for_each(|member| self.stop(member)),
             Action::Start { members } => {
                 for member in members {
                     let disk = self.nodes[member].disk.take().unwrap_or_default();
-                    self.purges.restarted(member, disk.purges());
+                    self.purges.record_restart(member, disk.purges());
                     self.start(member, Some(disk));
                 }
             }
@@ -25,7 +25,7 @@
             Action::Cut { pair, until } => self.network.cut(pair, until),
             Action::OriginLate { member } => {
                 self.drive(member, |member, now| {
-                    member.find_origin_late(LATE_ORIGIN_SHARE, now);
+                    member.record_late_origin_response(LATE_ORIGIN_REQUEST_SHARE, now);
                 });
             }
         }
@@ -33,8 +33,12 @@
 
     pub(super) fn start(&mut self, index: MemberIndex, disk: Option<DiskContents>) {
         let mut member = HollowMember::start(&self.config, index, self.run.seed, self.now, disk);
-        let planted = self.run.plants.iter().filter(|plant| plant.member == index);
-        planted.for_each(|plant| member.plant(plant.defect));
+        let injected_defects = self
+            .run
+            .injected_defects
+            .iter()
+            .filter(|injected| injected.member == index);
+        injected_defects.for_each(|injected| member.inject_defect(injected.defect));
         let node = &mut self.nodes[index];
         node.member = Some(member);
         node.running_since = self.now;
@@ -42,7 +46,7 @@
         if self.now > START {
             self.starters.insert(index);
         }
-        self.plan_wake(index);
+        self.schedule_wake(index);
     }
 
     /// Its process is gone.
@@ -52,7 +56,7 @@
             return;
         };
         node.disk = Some(member.disk_contents(is_in_order));
-        node.wakes = NEVER;
+        node.wake_at = NEVER;
         self.purges.abandon(index);
     }
 
@@ -81,10 +85,10 @@
         });
         self.start(index, None);
         self.queue
-            .schedule(self.now + LOOK_AT_JOINER_US, Event::LookAtJoiner);
+            .schedule(self.now + JOINER_POLL_INTERVAL_US, Event::PollJoiner);
     }
 
-    pub(super) fn look_at_joiner(&mut self) {
+    pub(super) fn poll_joiner(&mut self) {
         let Some(Joining {
             member,
             since,
@@ -102,12 +106,12 @@
             self.joining = None;
         } else {
             self.queue
-                .schedule(self.now + LOOK_AT_JOINER_US, Event::LookAtJoiner);
+                .schedule(self.now + JOINER_POLL_INTERVAL_US, Event::PollJoiner);
         }
     }
 
     /// A member believes that the process of another which started then is dead.
-    pub(super) fn note_death(
+    pub(super) fn record_death(
         &mut self,
         observer: MemberIndex,
         victim: MemberIndex,
--- a/rehearse/src/scale/simulation/mod.rs
+++ b/rehearse/src/scale/simulation/mod.rs
@@ -36,16 +36,16 @@
 const MAX_SETTLING_US: Micros = 20 * SECOND_US;
 
 /// How often members' states are compared then.
-const COMPARE_US: Micros = SECOND_US / 4;
+const STATE_COMPARISON_INTERVAL_US: Micros = SECOND_US / 4;
 
 /// How often the sums of the budgets are checked.
-const CHECK_BUDGETS_US: Micros = SECOND_US / 10;
+const BUDGET_CHECK_INTERVAL_US: Micros = SECOND_US / 10;
 
 /// How often it is looked who allocates budgets, which costs more.
-const LOOK_FOR_ALLOCATORS_US: Micros = SECOND_US;
+const ALLOCATOR_SAMPLE_INTERVAL_US: Micros = SECOND_US;
 
 /// How often a member that joined is looked at.
-const LOOK_AT_JOINER_US: Micros = SECOND_US / 10;
+const JOINER_POLL_INTERVAL_US: Micros = SECOND_US / 10;
 
 /// Something that is due.
 #[derive(Debug)]
@@ -64,12 +64,12 @@
     PurgeDeadline {
         purge: u64,
     },
-    Happens {
+    ApplyAction {
         action: Action,
     },
     CheckBudgets,
-    LookForAllocators,
-    LookAtJoiner,
+    SampleAllocators,
+    PollJoiner,
 }
 
 /// Never: a member that is not running, or has no timer.
@@ -80,7 +80,7 @@
 struct Node {
     member: Option<HollowMember>,
     /// The time of its timer.
-    wakes: Micros,
+    wake_at: Micros,
     running_since: Micros,
     disk: Option<DiskContents>,
     crashed_at: Option<Micros>,
@@ -119,11 +119,11 @@
     let begun = Instant::now();
     let mut simulation = Simulation::new(run);
     simulation.start_fleet();
-    simulation.plan_run();
+    simulation.schedule_run();
     simulation.run_until(simulation.window.until);
     let states = simulation.states();
     let settling_us = simulation.settle();
-    simulation.judge_end();
+    simulation.check_end_state();
     let Simulation {
         network,
         meters,
@@ -164,7 +164,7 @@
         };
         let node = || Node {
             member: None,
-            wakes: NEVER,
+            wake_at: NEVER,
             running_since: NEVER,
             disk: None,
             crashed_at: None,
@@ -207,13 +207,13 @@
         {
             self.start(member, Some(disk));
             if let Some(hollow) = &mut self.nodes[member].member {
-                hollow.acquaint(&introductions, START);
+                hollow.receive_introductions(&introductions, START);
             }
-            self.plan_wake(member);
+            self.schedule_wake(member);
         }
     }
 
-    fn plan_run(&mut self) {
+    fn schedule_run(&mut self) {
         let mut random = Random::new(self.run.seed ^ 0x7265_6865_6172_7365);
         let layout = self.network.layout();
         let writers = writers(self.run.fault, layout);
@@ -227,7 +227,7 @@
         for scheduled in actions {
             self.queue.schedule(
                 scheduled.at,
-                Event::Happens {
+                Event::ApplyAction {
                     action: scheduled.action,
                 },
             );
@@ -240,7 +240,7 @@
         }
         self.queue.schedule(START, Event::CheckBudgets);
         self.queue
-            .schedule(self.window.from, Event::LookForAllocators);
+            .schedule(self.window.from, Event::SampleAllocators);
     }
 
     // ---- Time ----
@@ -258,12 +258,12 @@
         match event {
             Event::Arrival { from, to, bytes } => self.arrive(from as usize, to as usize, &bytes),
             Event::Wake { member } => self.wake(member as usize),
-            Event::Purge { writer } => self.tell_purge(writer as usize),
+            Event::Purge { writer } => self.issue_purge(writer as usize),
             Event::PurgeDeadline { purge } => self.check_purge(purge),
-            Event::Happens { action } => self.act(action),
+            Event::ApplyAction { action } => self.apply_action(action),
             Event::CheckBudgets => self.check_budgets(),
-            Event::LookForAllocators => self.look_for_allocators(),
-            Event::LookAtJoiner => self.look_at_joiner(),
+            Event::SampleAllocators => self.sample_allocators(),
+            Event::PollJoiner => self.poll_joiner(),
         }
     }
 
@@ -285,17 +285,19 @@
             self.meters[index].busy += processor_time().saturating_sub(begun);
         }
         self.send(index, outgoing);
-        events.into_iter().for_each(|event| self.note(index, event));
-        self.plan_wake(index);
+        events
+            .into_iter()
+            .for_each(|event| self.record_event(index, event));
+        self.schedule_wake(index);
     }
 
-    fn plan_wake(&mut self, index: MemberIndex) {
+    fn schedule_wake(&mut self, index: MemberIndex) {
         let node = &mut self.nodes[index];
         let Some(member) = &node.member else { return };
         let due = member.due().max(self.now);
         // A timer that comes too early is set anew when it is over; only one that would come too late is replaced.
-        if due < node.wakes {
-            node.wakes = due;
+        if due < node.wake_at {
+            node.wake_at = due;
             self.queue.schedule(
                 due,
                 Event::Wake {
@@ -308,16 +310,16 @@
     fn wake(&mut self, index: MemberIndex) {
         let now = self.now;
         let node = &mut self.nodes[index];
-        if node.wakes != now {
+        if node.wake_at != now {
             return;
         }
-        node.wakes = NEVER;
+        node.wake_at = NEVER;
         if node
             .member
             .as_ref()
             .is_some_and(|member| member.due() > now)
         {
-            return self.plan_wake(index);
+            return self.schedule_wake(index);
         }
         self.drive(index, HollowMember::tick);
     }
--- a/rehearse/src/scale/simulation/purges.rs
+++ b/rehearse/src/scale/simulation/purges.rs
@@ -8,7 +8,7 @@
 
 impl Simulation<'_> {
     /// A client tells a member of a purge, or the next one where that is away.
-    pub(super) fn tell_purge(&mut self, writer: MemberIndex) {
+    pub(super) fn issue_purge(&mut self, writer: MemberIndex) {
         let members = self.nodes.len();
         let candidates = (0..members).map(|offset| (writer + offset) % members);
         let Some(writer) = candidates
@@ -17,7 +17,7 @@
         else {
             return;
         };
-        let purge = self.purges.tell(writer, self.now);
+        let purge = self.purges.issue(writer, self.now);
         let limit = self.run.target.purge_limit_ms * 1_000;
         self.queue
             .schedule(self.now + limit, Event::PurgeDeadline { purge });
@@ -29,22 +29,22 @@
         &self,
         member: MemberIndex,
         from: MemberIndex,
-        told_at: Micros,
+        issued_at: Micros,
     ) -> Micros {
-        match self.network.was_cut_since(member, from, told_at) {
+        match self.network.was_cut_since(member, from, issued_at) {
             true => NEVER,
             false => self.nodes[member].running_since,
         }
     }
 
-    pub(super) fn note(&mut self, member: MemberIndex, event: MemberEvent) {
+    pub(super) fn record_event(&mut self, member: MemberIndex, event: MemberEvent) {
         match event {
             MemberEvent::InForce { purge } => {
                 let Some(record) = self.purges.get(purge) else {
                     return;
                 };
-                let since = self.connected_since(member, record.writer, record.told_at);
-                self.purges.in_force(purge, member, self.now, since);
+                let since = self.connected_since(member, record.writer, record.issued_at);
+                self.purges.record_in_force(purge, member, self.now, since);
             }
             MemberEvent::Committed { purge } => self.purges.commit(purge),
             MemberEvent::Refused { purge, why } => {
@@ -56,13 +56,13 @@
                     format!("purge {purge} at its writer {member}: {why:?}")
                 });
             }
-            MemberEvent::NotKept { purge, why } => {
+            MemberEvent::NotStored { purge, why } => {
                 let example =
                     || format!("purge {purge}, told by a peer, at member {member}: {why:?}");
                 self.verdict.add(Rule::PurgeHasRoom, example);
             }
             MemberEvent::Died { peer, started } => {
-                self.note_death(member, member_at(peer, member), started);
+                self.record_death(member, member_at(peer, member), started);
             }
         }
     }
--- a/rehearse/src/scale/slopes.rs
+++ b/rehearse/src/scale/slopes.rs
@@ -4,8 +4,8 @@
 
 use crate::scale::fault::Fault;
 use crate::scale::fit::{exponent, line, Line, Point};
-use crate::scale::report::{shown, Report, Row};
-use crate::scale::run::Without;
+use crate::scale::report::{format_figure, Report, Row};
+use crate::scale::run::DisabledParts;
 use std::fmt::Write as _;
 use std::io;
 use std::path::PathBuf;
@@ -14,7 +14,7 @@
 use thiserror::Error;
 
 /// How often it is looked whether a size is done.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What all sizes have in common.
 #[derive(Clone, Debug)]
@@ -28,14 +28,14 @@
     /// A file of figures.
     pub target: Option<PathBuf>,
     /// Parts that a trial leaves out.
-    pub without: Without,
+    pub disabled: DisabledParts,
     /// Real time for each size.
     pub budget: Duration,
 }
 
 /// What became of a size.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Played {
+pub enum SizeOutcome {
     /// It ran, whether or not something is wrong.
     Ran(Box<Report>),
     /// It did not, and why.
@@ -48,7 +48,7 @@
     /// Members.
     pub size: usize,
     /// What became of it.
-    pub played: Played,
+    pub outcome: SizeOutcome,
 }
 
 /// What all runs came to.
@@ -66,16 +66,16 @@
 pub fn run(sizes: &[usize], options: &Options) -> Vec<SizeRun> {
     let mut runs = Vec::new();
     for size in sizes {
-        let played = match run_size(*size, options) {
-            Ok(report) => Played::Ran(Box::new(report)),
-            Err(why) => Played::Skipped(why.to_string()),
+        let outcome = match run_size(*size, options) {
+            Ok(report) => SizeOutcome::Ran(Box::new(report)),
+            Err(why) => SizeOutcome::Skipped(why.to_string()),
         };
         let run = SizeRun {
             size: *size,
-            played,
+            outcome,
         };
         // The table comes when all are done, which may take long.
-        eprint!("{}", said(&run));
+        eprint!("{}", summary(&run));
         runs.push(run);
     }
     runs
@@ -133,7 +133,7 @@
     ] {
         command.arg(name).arg(value);
     }
-    if options.without.budgets {
+    if options.disabled.budgets {
         command.arg("--without-budgets");
     }
     if let Some(target) = &options.target {
@@ -148,18 +148,18 @@
     let begun = Instant::now();
     while begun.elapsed() < budget {
         match child.try_wait() {
-            Ok(None) => std::thread::sleep(LOOK),
+            Ok(None) => std::thread::sleep(POLL_INTERVAL),
             Ok(Some(status)) if matches!(status.code(), Some(0 | 1)) => return Ok(()),
             Ok(Some(status)) => {
                 let output = child
                     .wait_with_output()
                     .map(|output| output.stderr)
                     .unwrap_or_default();
-                let said = String::from_utf8_lossy(&output).trim().to_owned();
-                return Err(if said.is_empty() {
+                let message = String::from_utf8_lossy(&output).trim().to_owned();
+                return Err(if message.is_empty() {
                     SizeError::Status(status)
                 } else {
-                    SizeError::Failed(said)
+                    SizeError::Failed(message)
                 });
             }
             Err(error) => return Err(error.into()),
@@ -186,9 +186,9 @@
 }
 
 fn reports(runs: &[SizeRun]) -> impl Iterator<Item = &Report> {
-    runs.iter().filter_map(|run| match &run.played {
-        Played::Ran(report) => Some(&**report),
-        Played::Skipped(_) => None,
+    runs.iter().filter_map(|run| match &run.outcome {
+        SizeOutcome::Ran(report) => Some(&**report),
+        SizeOutcome::Skipped(_) => None,
     })
 }
 
@@ -208,10 +208,10 @@
 }
 
 /// What became of one size.
-fn said(run: &SizeRun) -> String {
-    let report = match &run.played {
-        Played::Ran(report) => report,
-        Played::Skipped(why) => return format!("{} members: SKIPPED: {why}\n", run.size),
+fn summary(run: &SizeRun) -> String {
+    let report = match &run.outcome {
+        SizeOutcome::Ran(report) => report,
+        SizeOutcome::Skipped(why) => return format!("{} members: SKIPPED: {why}\n", run.size),
     };
     let mut out = format!(
         "{} members: {:.1} s of real time\n",
@@ -226,7 +226,7 @@
 
 /// All runs and fits, as tables. At the target's size, the fits say what a figure would come to.
 pub fn table(runs: &[SizeRun], target_size: usize) -> String {
-    let mut out: String = runs.iter().map(said).collect();
+    let mut out: String = runs.iter().map(summary).collect();
     out += "\nThe worst member's figure at each size; residual: the farthest point's, of the largest figure.\n\n";
     out += "| role | figure | unit | at each size | slope x size + constant | residual | exponent | limit | at the target's size |\n";
     out += "| --- | --- | --- | --- | --- | ---: | ---: | ---: | --- |\n";
@@ -245,22 +245,22 @@
 fn fitted(row: &Row, points: &[Point], line: Line, target_size: usize) -> String {
     let at: Vec<String> = points
         .iter()
-        .map(|point| format!("{}: {}", point.size, shown(point.figure)))
+        .map(|point| format!("{}: {}", point.size, format_figure(point.figure)))
         .collect();
     let exponent = exponent(points).map_or_else(String::new, |exponent| format!("{exponent:.2}"));
-    let limit = row.limit.map_or_else(String::new, shown);
-    let there = line.slope * target_size as f64 + line.constant;
-    let over = row.limit.is_some_and(|limit| there > limit);
+    let limit = row.limit.map_or_else(String::new, format_figure);
+    let projected = line.slope * target_size as f64 + line.constant;
+    let is_over = row.limit.is_some_and(|limit| projected > limit);
     let Row {
         role, figure, unit, ..
     } = row;
     format!(
         "| {role} | {figure} | {unit} | {} | {} x size + {} | {:.0}% | {exponent} | {limit} | {}{} |\n",
         at.join(", "),
-        shown(line.slope),
-        shown(line.constant),
+        format_figure(line.slope),
+        format_figure(line.constant),
         100.0 * line.residual,
-        shown(there),
-        if over { " OVER" } else { "" }
+        format_figure(projected),
+        if is_over { " OVER" } else { "" }
     )
 }
--- a/rehearse/tests/scale.rs
+++ b/rehearse/tests/scale.rs
@@ -7,7 +7,7 @@
 use linnetknot_rehearse::scale::layout::{Distance, Layout};
 use linnetknot_rehearse::scale::memory::{admit, estimate, Bytes, MemberState};
 use linnetknot_rehearse::scale::report::{Report, Role, Value};
-use linnetknot_rehearse::scale::run::{Defect, Plant, Run, Without};
+use linnetknot_rehearse::scale::run::{Defect, DisabledParts, InjectedDefect, Run};
 use linnetknot_rehearse::scale::simulation::{play, Outcome};
 use linnetknot_rehearse::scale::target::Target;
 use linnetknot_rehearse::scale::verdict::Rule;
@@ -25,16 +25,16 @@
 
 /// A small fleet.
 fn run(fault: Fault) -> Run {
-    let without = Without::default();
+    let disabled = DisabledParts::default();
     Run {
         members: MEMBERS,
         seed: 4_711,
         seconds: 4,
         fault,
         target: target(),
-        without,
+        disabled,
         exact_entries: None,
-        plants: Vec::new(),
+        injected_defects: Vec::new(),
     }
 }
 
@@ -115,12 +115,12 @@
 
 #[test]
 fn a_member_that_drops_what_it_is_told_is_found() {
-    let plants = vec![Plant {
+    let injected_defects = vec![InjectedDefect {
         member: 7,
         defect: Defect::DropsPurges,
     }];
     let run = Run {
-        plants,
+        injected_defects,
         ..quiet(Fault::Calm)
     };
     let verdict = play(&run).verdict;
@@ -135,14 +135,14 @@
 
 #[test]
 fn members_that_spend_more_than_their_parts_are_found() {
-    let plants = (0..MEMBERS)
-        .map(|member| Plant {
+    let injected_defects = (0..MEMBERS)
+        .map(|member| InjectedDefect {
             member,
             defect: Defect::SpendsTwice,
         })
         .collect();
     let run = Run {
-        plants,
+        injected_defects,
         ..quiet(Fault::Calm)
     };
     let verdict = play(&run).verdict;
@@ -160,11 +160,11 @@
         purges_per_second: 1_000,
         ..target()
     };
-    let without = Without { budgets: true };
+    let disabled = DisabledParts { budgets: true };
     Run {
         members: 6,
         target,
-        without,
+        disabled,
         exact_entries: Some(EXACT_ENTRIES),
         ..run(Fault::Calm)
     }
@@ -191,12 +191,12 @@
 
 #[test]
 fn a_member_without_room_for_a_purge_is_found() {
-    let plants = vec![Plant {
+    let injected_defects = vec![InjectedDefect {
         member: 1,
         defect: Defect::NeverCompacts,
     }];
     let verdict = play(&Run {
-        plants,
+        injected_defects,
         ..beyond_capacity()
     })
     .verdict;
@@ -278,10 +278,10 @@
 
 /// A fleet whose members hold 15,000 entries each and 140,000 purges in their tables.
 fn late_join() -> Run {
-    let without = Without { budgets: true };
+    let disabled = DisabledParts { budgets: true };
     Run {
         members: 12,
-        without,
+        disabled,
         exact_entries: Some(20_000),
         ..quiet(Fault::LateJoin)
     }
@@ -300,12 +300,12 @@
 /// Its logs are those of the others, and what was compacted in them is nowhere.
 #[test]
 fn a_late_member_that_gets_no_table_is_found() {
-    let plants = vec![Plant {
+    let injected_defects = vec![InjectedDefect {
         member: 11,
         defect: Defect::DropsSnapshots,
     }];
     let verdict = play(&Run {
-        plants,
+        injected_defects,
         ..late_join()
     })
     .verdict;
@@ -356,7 +356,11 @@
 
 #[test]
 fn hollow_members_can_be_driven_by_any_loop() {
-    let config = Arc::new(FleetConfig::new(&[0, 0], &target(), Without::default()));
+    let config = Arc::new(FleetConfig::new(
+        &[0, 0],
+        &target(),
+        DisabledParts::default(),
+    ));
     let start =
         |index| HollowMember::start(&config, index, 1, 1_000_000, Some(DiskContents::default()));
     let mut members = [start(0), start(1)];
--- a/rehearse/tests/scale_daemons_parts.rs
+++ b/rehearse/tests/scale_daemons_parts.rs
@@ -15,9 +15,9 @@
 #[test]
 fn an_acknowledgement_covers_all_before_its_index_once() {
     let mut acks = PurgeAcks::new(2);
-    acks.told(5, 1, 100);
-    acks.told(5, 3, 200);
-    acks.told(5, 4, 300);
+    acks.record_issued(5, 1, 100);
+    acks.record_issued(5, 3, 200);
+    acks.record_issued(5, 4, 300);
     acks.acknowledged(5, 0, 3, 1_000);
     acks.acknowledged(5, 0, 3, 9_000);
     assert_eq!((acks.total(), acks.missing(0), acks.missing(1)), (3, 1, 3));
