--- a/rehearse/src/scale/command.rs
+++ b/rehearse/src/scale/command.rs
@@ -69,8 +69,8 @@
 /// Runs it; the exit status is 1 where something is wrong, 2 where it can't be run.
 pub fn run(arguments: &Arguments) -> ExitCode {
     match prepare(arguments) {
-        Err(why) => {
-            eprintln!("{why}");
+        Err(reason) => {
+            eprintln!("{reason}");
             ExitCode::from(NOT_RUN)
         }
         Ok(run) if arguments.slopes.is_empty() => run_one(&run, arguments),
@@ -145,15 +145,15 @@
 }
 
 fn run_one(run: &Run, arguments: &Arguments) -> ExitCode {
-    if let Err(why) = admit(run) {
-        eprintln!("{why}");
+    if let Err(reason) = admit(run) {
+        eprintln!("{reason}");
         return ExitCode::from(NOT_RUN);
     }
     let outcome = play(run);
     let report = Report::of(run, &outcome);
     print!("{}", report.table(arguments.stable));
-    if let Some(Err(why)) = arguments.json.as_deref().map(|file| write(&report, file)) {
-        eprintln!("{why}");
+    if let Some(Err(reason)) = arguments.json.as_deref().map(|file| write(&report, file)) {
+        eprintln!("{reason}");
         return ExitCode::from(NOT_RUN);
     }
     ExitCode::from(if report.wrong.is_empty() { 0 } else { WRONG })
--- a/rehearse/src/scale/daemons/acks.rs
+++ b/rehearse/src/scale/daemons/acks.rs
@@ -10,7 +10,7 @@
 
 /// A purge in the log of the member that told it.
 #[derive(Clone, Copy, Debug)]
-struct ToldPurge {
+struct IssuedPurge {
     index: Index,
     at: Micros,
 }
@@ -18,7 +18,7 @@
 /// The purges that one member told.
 #[derive(Clone, Debug)]
 struct WriterLog {
-    purges: Vec<ToldPurge>,
+    purges: Vec<IssuedPurge>,
     /// By daemon, how many of them it has acknowledged.
     acknowledged: Vec<usize>,
 }
@@ -60,7 +60,7 @@
             .entry(writer)
             .or_insert_with(new)
             .purges
-            .push(ToldPurge { index, at });
+            .push(IssuedPurge { index, at });
     }
 
     /// A daemon acknowledges a member's log up to an index.
--- a/rehearse/src/scale/daemons/command.rs
+++ b/rehearse/src/scale/daemons/command.rs
@@ -28,10 +28,10 @@
 const MAX_PURGES: u64 = 10_000;
 
 /// No further size is begun where it could end later than this.
-const MAX_TOTAL: Duration = Duration::from_secs(290);
+const MAX_TOTAL_DURATION: Duration = Duration::from_secs(290);
 /// Seconds that a run mostly takes besides rest and load: start, budgets and settling, and until daemons know each other.
 const OTHER_SECONDS: u64 = 10;
-const GREETED_PER_SECOND: u64 = 16;
+const INTRODUCED_PER_SECOND: u64 = 16;
 
 /// Bytes of a daemon, for the estimate of what a run takes.
 const DAEMON_BYTES: u64 = 128 << 20;
@@ -74,14 +74,14 @@
 
 /// Runs it; the exit status is 1 where something is wrong, 2 where it can't be run.
 pub fn run(arguments: &Arguments) -> ExitCode {
-    let played = prepare(arguments).and_then(|run| match arguments.slopes.is_empty() {
+    let result = prepare(arguments).and_then(|run| match arguments.slopes.is_empty() {
         true => run_one(&run, arguments),
         false => run_slopes(&run, arguments),
     });
-    match played {
+    match result {
         Ok(status) => ExitCode::from(status),
-        Err(why) => {
-            eprintln!("{why}");
+        Err(reason) => {
+            eprintln!("{reason}");
             ExitCode::from(NOT_RUN)
         }
     }
@@ -106,7 +106,7 @@
     #[error("{}: {error}", program.display())]
     Play { program: PathBuf, error: io::Error },
     /// All sizes together have taken too long for one more.
-    #[error("the {} s of all sizes together are over", MAX_TOTAL.as_secs())]
+    #[error("the {} s of all sizes together are over", MAX_TOTAL_DURATION.as_secs())]
     OutOfTime,
     /// Its result can't be written.
     #[error("--json {}: {error}", file.display())]
@@ -191,28 +191,28 @@
 
 /// How long a run mostly takes.
 fn expected(run: &Run) -> Duration {
-    let greeting = run.members as u64 / GREETED_PER_SECOND;
+    let greeting = run.members as u64 / INTRODUCED_PER_SECOND;
     Duration::from_secs(run.seconds + run.rest_seconds + OTHER_SECONDS + greeting)
 }
 
 fn run_slopes(run: &Run, arguments: &Arguments) -> Result<u8, CommandError> {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut runs = Vec::new();
     for members in arguments.slopes.iter().map(|members| *members as usize) {
         let run = Run {
             members,
             ..run.clone()
         };
-        let played = match begun.elapsed() + expected(&run) > MAX_TOTAL {
+        let result = match started_at.elapsed() + expected(&run) > MAX_TOTAL_DURATION {
             true => Err(CommandError::OutOfTime),
             false => play_one(&run),
         };
-        let outcome = match played {
+        let outcome = match result {
             Ok(report) => {
                 println!("{}", report.table(&run.target.limits));
                 SizeOutcome::Ran(Box::new(report))
             }
-            Err(why) => SizeOutcome::NotRun(why.to_string()),
+            Err(reason) => SizeOutcome::NotRun(reason.to_string()),
         };
         runs.push(SizeRun { members, outcome });
     }
--- a/rehearse/src/scale/daemons/host.rs
+++ b/rehearse/src/scale/daemons/host.rs
@@ -26,7 +26,7 @@
 const MAX_RECEIVE_BATCH: usize = 64;
 
 /// Introductions that daemons are sent at once, and the pause behind them.
-const MAX_INTRODUCTIONS: usize = 64;
+const INTRODUCTION_BATCH: usize = 64;
 const INTRODUCTION_PAUSE_US: Micros = 20_000;
 
 /// A purge that a hollow member was refused, or can't keep.
@@ -37,7 +37,7 @@
     /// Which.
     pub purge: PurgeNumber,
     /// Why.
-    pub why: Refusal,
+    pub reason: Refusal,
 }
 
 /// A datagram between two hollow members.
@@ -113,7 +113,7 @@
             for daemon in 0..self.daemons.len() {
                 self.send_to_daemon(index, daemon, introduction);
             }
-            if index % MAX_INTRODUCTIONS == 0 {
+            if index % INTRODUCTION_BATCH == 0 {
                 self.run_until(self.clock.now() + INTRODUCTION_PAUSE_US)?;
             }
         }
@@ -178,7 +178,7 @@
     }
 
     /// Hollow members that do not know all members of the fleet.
-    pub fn unacquainted(&self) -> usize {
+    pub fn members_missing_peers(&self) -> usize {
         let peers = self.config.members.len() - 1;
         self.members
             .iter()
@@ -219,7 +219,7 @@
     }
 
     fn step(&mut self, end: Micros) -> io::Result<()> {
-        self.hand_over();
+        self.deliver_local();
         self.run_timers();
         for member in self.sockets.wait(self.wait_us(end))? {
             self.receive_all(member);
@@ -235,7 +235,7 @@
         next.saturating_sub(self.clock.now())
     }
 
-    fn hand_over(&mut self) {
+    fn deliver_local(&mut self) {
         for _ in 0..MAX_LOCAL_BATCH {
             let Some(datagram) = self.local.pop_front() else {
                 return;
@@ -279,14 +279,14 @@
             };
             let bytes = &buffer[..received.length];
             self.traffic[received.daemon].sent(bytes);
-            self.note_ack(index, received.daemon, bytes);
+            self.record_ack(index, received.daemon, bytes);
             self.drive(index, |member, now| {
                 member.receive(peer_index(received.daemon, index), bytes, now);
             });
         }
     }
 
-    fn note_ack(&mut self, index: usize, daemon: usize, bytes: &[u8]) {
+    fn record_ack(&mut self, index: usize, daemon: usize, bytes: &[u8]) {
         let Ok(Datagram::Ack { positions, .. }) = Datagram::decode(bytes) else {
             return;
         };
@@ -313,7 +313,9 @@
         outgoing
             .into_iter()
             .for_each(|outgoing| self.send(index, outgoing));
-        events.into_iter().for_each(|event| self.note(index, event));
+        events
+            .into_iter()
+            .for_each(|event| self.record_event(index, event));
         self.timers.set(index, due);
     }
 
@@ -343,10 +345,14 @@
         }
     }
 
-    fn note(&mut self, member: usize, event: MemberEvent) {
+    fn record_event(&mut self, member: usize, event: MemberEvent) {
         match event {
-            MemberEvent::Refused { purge, why } | MemberEvent::NotStored { purge, why } => {
-                self.refused.push(RefusedPurge { member, purge, why });
+            MemberEvent::Refused { purge, reason } | MemberEvent::NotStored { purge, reason } => {
+                self.refused.push(RefusedPurge {
+                    member,
+                    purge,
+                    reason,
+                });
             }
             MemberEvent::Died { .. } => self.deaths += 1,
             MemberEvent::InForce { .. } | MemberEvent::Committed { .. } => {}
--- a/rehearse/src/scale/daemons/proc_stat.rs
+++ b/rehearse/src/scale/daemons/proc_stat.rs
@@ -46,8 +46,8 @@
 
 /// The clock ticks of processor time in the text of `/proc/PID/stat`.
 fn processor_ticks(stat: &str) -> Option<u64> {
-    let (_, behind_name) = stat.rsplit_once(')')?;
-    let fields: Vec<&str> = behind_name.split_whitespace().collect();
+    let (_, after_name) = stat.rsplit_once(')')?;
+    let fields: Vec<&str> = after_name.split_whitespace().collect();
     let ticks = |field: usize| fields.get(field)?.parse::<u64>().ok();
     Some(ticks(USER_TIME)? + ticks(SYSTEM_TIME)?)
 }
--- a/rehearse/src/scale/daemons/purge_plan.rs
+++ b/rehearse/src/scale/daemons/purge_plan.rs
@@ -49,8 +49,10 @@
 impl TriggerClient {
     /// Begins.
     pub fn start(cdni: SocketAddr, purges: Vec<PlannedPurge>) -> Self {
-        let begun = Instant::now();
-        TriggerClient(thread::spawn(move || send_triggers(cdni, &purges, begun)))
+        let started_at = Instant::now();
+        TriggerClient(thread::spawn(move || {
+            send_triggers(cdni, &purges, started_at)
+        }))
     }
 
     /// Whether all are answered.
@@ -60,30 +62,30 @@
 
     /// Waits until all are answered.
     pub fn join(self) -> TriggerOutcome {
-        let gave_up = |_| TriggerOutcome {
+        let on_panic = |_| TriggerOutcome {
             answers: super::acks::delay_histogram(),
             refused: vec!["the client that tells purges gave up".to_owned()],
         };
-        self.0.join().unwrap_or_else(gave_up)
+        self.0.join().unwrap_or_else(on_panic)
     }
 }
 
-fn send_triggers(cdni: SocketAddr, purges: &[PlannedPurge], begun: Instant) -> TriggerOutcome {
+fn send_triggers(cdni: SocketAddr, purges: &[PlannedPurge], started_at: Instant) -> TriggerOutcome {
     let mut outcome = TriggerOutcome {
         answers: super::acks::delay_histogram(),
         refused: Vec::new(),
     };
     for purge in purges {
-        let due = begun + Duration::from_micros(purge.after_us);
+        let due = started_at + Duration::from_micros(purge.after_us);
         thread::sleep(due.saturating_duration_since(Instant::now()));
         let sent = Instant::now();
         match real::purge(cdni, &object(purge.number)) {
             Ok(()) => outcome
                 .answers
                 .saturating_record(sent.elapsed().as_micros() as u64),
-            Err(why) => outcome
+            Err(reason) => outcome
                 .refused
-                .push(format!("purge {}: {why}", purge.number)),
+                .push(format!("purge {}: {reason}", purge.number)),
         }
     }
     outcome
--- a/rehearse/src/scale/daemons/report.rs
+++ b/rehearse/src/scale/daemons/report.rs
@@ -8,7 +8,7 @@
 use std::fmt::Write;
 
 /// Refused purges that are named.
-const MAX_NAMED: usize = 20;
+const MAX_LISTED_REFUSALS: usize = 20;
 
 /// Figures of one daemon in one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
@@ -340,14 +340,14 @@
                 "daemon {number} has other logs than the hollow members"
             ));
         }
-        let refused = daemon.triggers.refused.iter().take(MAX_NAMED);
-        wrong.extend(refused.map(|why| format!("daemon {number} refused {why}")));
+        let refused = daemon.triggers.refused.iter().take(MAX_LISTED_REFUSALS);
+        wrong.extend(refused.map(|reason| format!("daemon {number} refused {reason}")));
     }
-    let refused = outcome.refused.iter().take(MAX_NAMED);
+    let refused = outcome.refused.iter().take(MAX_LISTED_REFUSALS);
     wrong.extend(refused.map(|refused| {
         format!(
             "hollow member {} refused purge {}: {:?}",
-            refused.member, refused.purge, refused.why
+            refused.member, refused.purge, refused.reason
         )
     }));
     wrong
--- a/rehearse/src/scale/daemons/run.rs
+++ b/rehearse/src/scale/daemons/run.rs
@@ -23,13 +23,13 @@
 const MAX_WARM_UP_US: Micros = 75 * SECOND_US;
 
 /// Budgets have their allocators after this.
-const STEADY_US: Micros = 6 * SECOND_US;
+const BUDGET_ALLOCATION_US: Micros = 6 * SECOND_US;
 
 /// All members have the same logs this long after the last purge, or something is wrong.
 const MAX_SETTLING_US: Micros = 30 * SECOND_US;
 
 /// How often daemons are asked where they stand, while nothing is measured.
-const ASK_US: Micros = SECOND_US / 4;
+const STATUS_POLL_INTERVAL_US: Micros = SECOND_US / 4;
 
 /// Timers of hollow members that run later than this, in more than one case of a hundred, make the run no measurement.
 const MAX_LATENESS_US: u64 = 100_000;
@@ -190,28 +190,28 @@
 
     /// Until all members know each other and their budgets are allocated: how long the first took.
     fn warm_up(&mut self) -> io::Result<Option<Micros>> {
-        let begun = self.host.now();
+        let started_at = self.host.now();
         self.host.introduce()?;
         for daemon in 0..self.daemons.len() {
             self.host
                 .introduce_daemon(daemon, self.daemons.process_id(daemon)?);
         }
         let is_known = self
-            .wait_until(MAX_WARM_UP_US, Self::is_acquainted)?
+            .wait_until(MAX_WARM_UP_US, Self::all_members_known)?
             .is_some();
-        let known_after = self.host.now() - begun;
-        self.host.run_until(begun + STEADY_US)?;
+        let known_after = self.host.now() - started_at;
+        self.host.run_until(started_at + BUDGET_ALLOCATION_US)?;
         Ok(is_known.then_some(known_after))
     }
 
-    fn is_acquainted(&self) -> io::Result<bool> {
+    fn all_members_known(&self) -> io::Result<bool> {
         let total = self.run.daemons + self.run.members;
         for daemon in 0..self.daemons.len() {
             if self.daemons.status(daemon)?.alive_members < total {
                 return Ok(false);
             }
         }
-        Ok(self.host.unacquainted() == 0)
+        Ok(self.host.members_missing_peers() == 0)
     }
 
     fn is_settled(&self) -> io::Result<bool> {
@@ -230,14 +230,15 @@
     fn wait_until(
         &mut self,
         max_us: Micros,
-        is_so: impl Fn(&Self) -> io::Result<bool>,
+        condition: impl Fn(&Self) -> io::Result<bool>,
     ) -> io::Result<Option<Micros>> {
-        let begun = self.host.now();
-        while self.host.now() < begun + max_us {
-            if is_so(self)? {
-                return Ok(Some(self.host.now() - begun));
+        let started_at = self.host.now();
+        while self.host.now() < started_at + max_us {
+            if condition(self)? {
+                return Ok(Some(self.host.now() - started_at));
             }
-            self.host.run_until(self.host.now() + ASK_US)?;
+            self.host
+                .run_until(self.host.now() + STATUS_POLL_INTERVAL_US)?;
         }
         Ok(None)
     }
--- a/rehearse/src/scale/daemons/slopes.rs
+++ b/rehearse/src/scale/daemons/slopes.rs
@@ -94,7 +94,9 @@
     for SizeRun { members, outcome } in runs {
         // Writing to a string does not fail.
         let _ = match outcome {
-            SizeOutcome::NotRun(why) => writeln!(out, "NOT RUN {members} hollow members: {why}"),
+            SizeOutcome::NotRun(reason) => {
+                writeln!(out, "NOT RUN {members} hollow members: {reason}")
+            }
             SizeOutcome::Ran(report) if !report.kept_pace => {
                 writeln!(
                     out,
--- a/rehearse/src/scale/fault.rs
+++ b/rehearse/src/scale/fault.rs
@@ -10,10 +10,10 @@
 const SECOND_US: Micros = 1_000_000;
 
 /// How long a process is away that is restarted.
-const RESTART_US: Micros = SECOND_US;
+const RESTART_DURATION_US: Micros = SECOND_US;
 
 /// A fleet is restarted in so many batches.
-const BATCHES: usize = 10;
+const RESTART_BATCHES: usize = 10;
 
 /// What a run is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, ValueEnum)]
@@ -244,18 +244,18 @@
 
 fn fleet_restart(layout: &Layout, window: Window) -> Vec<ScheduledAction> {
     let members = layout.members();
-    let interval = window.length() / BATCHES as u64;
+    let interval = window.length() / RESTART_BATCHES as u64;
     let batch = |number: usize| {
         let members = (0..members)
-            .filter(|member| member % BATCHES == number)
+            .filter(|member| member % RESTART_BATCHES == number)
             .collect();
         restart(
             members,
             window.from + interval * number as u64,
-            RESTART_US.min(interval / 2),
+            RESTART_DURATION_US.min(interval / 2),
         )
     };
-    (0..BATCHES).flat_map(batch).collect()
+    (0..RESTART_BATCHES).flat_map(batch).collect()
 }
 
 /// So many of a day's events as fall to a fleet of this size; one at least.
@@ -295,7 +295,7 @@
         });
     }
     for (number, member) in restarting.into_iter().enumerate() {
-        let away = RESTART_US.min(window.length() / 4);
+        let away = RESTART_DURATION_US.min(window.length() / 4);
         actions.extend(restart(vec![member], at(number, restarts), away));
     }
     actions
--- a/rehearse/src/scale/hollow/disk.rs
+++ b/rehearse/src/scale/hollow/disk.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 
 /// How long one commit takes.
-const COMMIT_US: Micros = 3_000;
+const COMMIT_DURATION_US: Micros = 3_000;
 
 /// An entry on its way to the disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,7 +53,7 @@
 
     fn begin(&mut self, now: Micros) {
         self.committing = self.queue.len();
-        self.ends = (self.committing > 0).then_some(now + COMMIT_US);
+        self.ends = (self.committing > 0).then_some(now + COMMIT_DURATION_US);
     }
 
     /// When the commit that runs ends.
--- a/rehearse/src/scale/hollow/event.rs
+++ b/rehearse/src/scale/hollow/event.rs
@@ -32,14 +32,14 @@
         /// Which.
         purge: PurgeNumber,
         /// Why.
-        why: Refusal,
+        reason: Refusal,
     },
     /// A purge that a peer told is in force and can't be kept.
     NotStored {
         /// Which.
         purge: PurgeNumber,
         /// Why.
-        why: Refusal,
+        reason: Refusal,
     },
     /// A peer is believed to be dead.
     Died {
--- a/rehearse/src/scale/hollow/purge_log.rs
+++ b/rehearse/src/scale/hollow/purge_log.rs
@@ -234,7 +234,7 @@
         }
         match entry {
             Ok(entry) => self.commit(purge, entry.index, now, events),
-            Err(why) => events.push(MemberEvent::Refused { purge, why }),
+            Err(reason) => events.push(MemberEvent::Refused { purge, reason }),
         }
         self.settle(now, events);
         self.plan(now);
@@ -249,9 +249,9 @@
     ) {
         match self.replica.open_commit(now, index) {
             Ok(commit) => drop(self.commits.insert(commit, purge)),
-            Err(why) => events.push(MemberEvent::Refused {
+            Err(reason) => events.push(MemberEvent::Refused {
                 purge,
-                why: refusal(why),
+                reason: refusal(reason),
             }),
         }
     }
@@ -263,9 +263,9 @@
             };
             events.push(match settled.result {
                 Ok(_) => MemberEvent::Committed { purge },
-                Err(why) => MemberEvent::Refused {
+                Err(reason) => MemberEvent::Refused {
                     purge,
-                    why: refusal(why),
+                    reason: refusal(reason),
                 },
             });
         }
@@ -331,8 +331,8 @@
         if known.is_some_and(|known| known >= at) {
             return;
         }
-        if let Err(why) = self.append(purge, at, now) {
-            events.push(MemberEvent::NotStored { purge, why });
+        if let Err(reason) = self.append(purge, at, now) {
+            events.push(MemberEvent::NotStored { purge, reason });
         }
     }
 
@@ -356,8 +356,8 @@
     }
 }
 
-fn refusal(why: RejectReason) -> Refusal {
-    match why {
+fn refusal(reason: RejectReason) -> Refusal {
+    match reason {
         RejectReason::Disk => Refusal::Disk,
         RejectReason::TooManyPending => Refusal::Capacity,
         RejectReason::TooFewReplicas { .. } => Refusal::Acknowledgements,
@@ -380,7 +380,7 @@
         if let Some(purge) = entry_purge(entry) {
             events.push(MemberEvent::NotStored {
                 purge,
-                why: Refusal::Capacity,
+                reason: Refusal::Capacity,
             });
         }
     }
--- a/rehearse/src/scale/report/mod.rs
+++ b/rehearse/src/scale/report/mod.rs
@@ -107,7 +107,7 @@
 
 impl Row {
     /// The worst figure; none where there is none.
-    pub fn most(&self) -> Option<f64> {
+    pub fn worst_value(&self) -> Option<f64> {
         match &self.value {
             Value::Spread(spread) => Some(spread.most),
             Value::Single(figure) => Some(*figure),
@@ -117,7 +117,7 @@
 
     /// Whether the worst figure is over its limit.
     pub fn is_over(&self) -> bool {
-        self.most()
+        self.worst_value()
             .zip(self.limit)
             .is_some_and(|(most, limit)| most > limit)
     }
@@ -163,8 +163,8 @@
 }
 
 fn delay_rows(outcome: &Outcome, target: &Target) -> Vec<Row> {
-    let delays = |histogram, why: &str| {
-        Spread::of_delays(histogram).map_or_else(|| Value::None(why.to_owned()), Value::Spread)
+    let delays = |histogram, reason: &str| {
+        Spread::of_delays(histogram).map_or_else(|| Value::None(reason.to_owned()), Value::Spread)
     };
     let purge = delays(&outcome.purges.delays, "no purge arrived");
     let catch_up = delays(
@@ -192,9 +192,9 @@
     let issued = outcome.purges.len() as f64;
     let committed = (0..outcome.purges.len() as u64).filter_map(|purge| outcome.purges.get(purge));
     let committed = committed.filter(|record| record.is_committed).count() as f64;
-    let time = |time: Option<u64>, why: &str| {
+    let time = |time: Option<u64>, reason: &str| {
         time.map_or_else(
-            || Value::None(why.to_owned()),
+            || Value::None(reason.to_owned()),
             |us| Value::Single(us as f64 / 1e6),
         )
     };
@@ -304,7 +304,7 @@
     let [median, p99, most] = match &row.value {
         Value::Spread(spread) => [spread.median, spread.p99, spread.most].map(format_figure),
         Value::Single(figure) => [String::new(), String::new(), format_figure(*figure)],
-        Value::None(why) => [String::new(), String::new(), why.clone()],
+        Value::None(reason) => [String::new(), String::new(), reason.clone()],
     };
     let limit = row.limit.map_or_else(String::new, format_figure);
     let mark = match (row.is_over(), row.is_volatile) {
--- a/rehearse/src/scale/simulation/mod.rs
+++ b/rehearse/src/scale/simulation/mod.rs
@@ -116,7 +116,7 @@
 
 /// Plays a run.
 pub fn play(run: &Run) -> Outcome {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut simulation = Simulation::new(run);
     simulation.start_fleet();
     simulation.schedule_run();
@@ -146,7 +146,7 @@
         settling_us,
         verdict: simulation.verdict,
         events: simulation.events,
-        real: begun.elapsed(),
+        real: started_at.elapsed(),
     }
 }
 
@@ -277,12 +277,12 @@
         let Some(member) = &mut self.nodes[index].member else {
             return;
         };
-        let begun = is_measured.then(processor_time);
+        let started_at = is_measured.then(processor_time);
         work(member, now);
         let outgoing = member.take_outgoing();
         let events = member.take_events();
-        if let Some(begun) = begun {
-            self.meters[index].busy += processor_time().saturating_sub(begun);
+        if let Some(started_at) = started_at {
+            self.meters[index].busy += processor_time().saturating_sub(started_at);
         }
         self.send(index, outgoing);
         events
--- a/rehearse/src/scale/simulation/purges.rs
+++ b/rehearse/src/scale/simulation/purges.rs
@@ -47,18 +47,18 @@
                 self.purges.record_in_force(purge, member, self.now, since);
             }
             MemberEvent::Committed { purge } => self.purges.commit(purge),
-            MemberEvent::Refused { purge, why } => {
-                let rule = match why {
+            MemberEvent::Refused { purge, reason } => {
+                let rule = match reason {
                     Refusal::Capacity => Rule::PurgeHasRoom,
                     Refusal::Disk | Refusal::Acknowledgements => Rule::PurgeCommitted,
                 };
                 self.verdict.add(rule, || {
-                    format!("purge {purge} at its writer {member}: {why:?}")
+                    format!("purge {purge} at its writer {member}: {reason:?}")
                 });
             }
-            MemberEvent::NotStored { purge, why } => {
+            MemberEvent::NotStored { purge, reason } => {
                 let example =
-                    || format!("purge {purge}, told by a peer, at member {member}: {why:?}");
+                    || format!("purge {purge}, told by a peer, at member {member}: {reason:?}");
                 self.verdict.add(Rule::PurgeHasRoom, example);
             }
             MemberEvent::Died { peer, started } => {
--- a/rehearse/src/scale/slopes.rs
+++ b/rehearse/src/scale/slopes.rs
@@ -68,7 +68,7 @@
     for size in sizes {
         let outcome = match run_size(*size, options) {
             Ok(report) => SizeOutcome::Ran(Box::new(report)),
-            Err(why) => SizeOutcome::Skipped(why.to_string()),
+            Err(reason) => SizeOutcome::Skipped(reason.to_string()),
         };
         let run = SizeRun {
             size: *size,
@@ -145,8 +145,8 @@
 
 /// Waits for a process, and ends it when its time is over.
 fn wait(mut child: Child, budget: Duration) -> Result<(), SizeError> {
-    let begun = Instant::now();
-    while begun.elapsed() < budget {
+    let started_at = Instant::now();
+    while started_at.elapsed() < budget {
         match child.try_wait() {
             Ok(None) => std::thread::sleep(POLL_INTERVAL),
             Ok(Some(status)) if matches!(status.code(), Some(0 | 1)) => return Ok(()),
@@ -201,7 +201,7 @@
             .find(|row| (row.role, &row.figure) == (of.role, &of.figure));
         Some(Point {
             size: report.members as f64,
-            figure: row?.most()?,
+            figure: row?.worst_value()?,
         })
     };
     reports(runs).filter_map(figure).collect()
@@ -211,7 +211,9 @@
 fn summary(run: &SizeRun) -> String {
     let report = match &run.outcome {
         SizeOutcome::Ran(report) => report,
-        SizeOutcome::Skipped(why) => return format!("{} members: SKIPPED: {why}\n", run.size),
+        SizeOutcome::Skipped(reason) => {
+            return format!("{} members: SKIPPED: {reason}\n", run.size)
+        }
     };
     let mut out = format!(
         "{} members: {:.1} s of real time\n",
--- a/rehearse/tests/scale.rs
+++ b/rehearse/tests/scale.rs
@@ -39,7 +39,7 @@
 }
 
 /// Few purges, so that a run in which something is wrong is short as well.
-fn quiet(fault: Fault) -> Run {
+fn run_with_few_purges(fault: Fault) -> Run {
     let target = Target {
         purges_per_second: 10,
         purge_limit_ms: 2_000,
@@ -92,7 +92,7 @@
 
 #[test]
 fn the_table_has_each_role_and_says_what_nothing_carries() {
-    let run = quiet(Fault::Calm);
+    let run = run_with_few_purges(Fault::Calm);
     let report = Report::of(&run, &play(&run));
     for role in [Role::Member, Role::Allocator, Role::Writer] {
         assert!(
@@ -121,7 +121,7 @@
     }];
     let run = Run {
         injected_defects,
-        ..quiet(Fault::Calm)
+        ..run_with_few_purges(Fault::Calm)
     };
     let verdict = play(&run).verdict;
     for rule in [Rule::PurgeInTime, Rule::PurgeEverywhere, Rule::SameState] {
@@ -143,7 +143,7 @@
         .collect();
     let run = Run {
         injected_defects,
-        ..quiet(Fault::Calm)
+        ..run_with_few_purges(Fault::Calm)
     };
     let verdict = play(&run).verdict;
     assert!(verdict.breaks(Rule::BudgetLimit), "{verdict:?}");
@@ -211,7 +211,7 @@
 
 // ---- Faults ----
 
-fn sound(fault: Fault) -> Outcome {
+fn play_sound_run(fault: Fault) -> Outcome {
     let outcome = play(&run(fault));
     assert!(
         outcome.verdict.is_sound(),
@@ -224,7 +224,7 @@
 
 #[test]
 fn a_hot_site_tells_all_purges() {
-    let outcome = sound(Fault::HotWriter);
+    let outcome = play_sound_run(Fault::HotWriter);
     let sites: Vec<usize> = (0..outcome.purges.len() as u64)
         .filter_map(|purge| outcome.purges.get(purge))
         .map(|record| outcome.layout.position(record.writer).site)
@@ -235,7 +235,7 @@
 
 #[test]
 fn a_day_has_failures_that_are_noticed_and_restarts_that_catch_up() {
-    let outcome = sound(Fault::Day);
+    let outcome = play_sound_run(Fault::Day);
     // 730 restarts of 6,400 proxies are 5 of 40.
     assert_eq!(outcome.starters.len(), 5);
     assert_eq!(
@@ -254,7 +254,7 @@
 #[test]
 fn a_rack_and_a_zone_go_and_come_back() {
     for fault in [Fault::Rack, Fault::Zone] {
-        let outcome = sound(fault);
+        let outcome = play_sound_run(fault);
         assert!(!outcome.starters.is_empty() && outcome.starters.len() < MEMBERS);
         assert_eq!(outcome.states.len(), MEMBERS);
         assert!(
@@ -267,13 +267,13 @@
 
 #[test]
 fn regions_that_lose_each_other_catch_up() {
-    let outcome = sound(Fault::RegionsApart);
+    let outcome = play_sound_run(Fault::RegionsApart);
     assert!(!outcome.purges.catch_up_delays.is_empty());
 }
 
 #[test]
 fn a_fleet_is_restarted_a_tenth_at_a_time() {
-    assert_eq!(sound(Fault::FleetRestart).starters.len(), MEMBERS);
+    assert_eq!(play_sound_run(Fault::FleetRestart).starters.len(), MEMBERS);
 }
 
 /// A fleet whose members hold 15,000 entries each and 140,000 purges in their tables.
@@ -283,7 +283,7 @@
         members: 12,
         disabled,
         exact_entries: Some(20_000),
-        ..quiet(Fault::LateJoin)
+        ..run_with_few_purges(Fault::LateJoin)
     }
 }
 
@@ -320,7 +320,7 @@
 
 #[test]
 fn a_slow_origin_is_reported_by_one_voice_of_each_zone() {
-    let outcome = sound(Fault::SlowOrigin);
+    let outcome = play_sound_run(Fault::SlowOrigin);
     let calm = play(&run(Fault::Calm));
     let sent = |outcome: &Outcome| outcome.meters.iter().map(|m| m.sent_datagrams).sum::<u64>();
     // Two reports a second of each of five zones at most, to all others, for two seconds.
@@ -344,7 +344,7 @@
             matches!(row(&report, Role::Member, figure), Value::Spread(spread) if spread.median > 0.0)
         );
     }
-    let calm = quiet(Fault::Calm);
+    let calm = run_with_few_purges(Fault::Calm);
     let report = Report::of(&calm, &play(&calm));
     assert!(!report
         .rows
@@ -519,10 +519,10 @@
         .args(arguments)
         .output()
         .expect("the kit runs");
-    let said = [output.stdout, output.stderr].concat();
+    let printed = [output.stdout, output.stderr].concat();
     (
         output.status.code(),
-        String::from_utf8_lossy(&said).into_owned(),
+        String::from_utf8_lossy(&printed).into_owned(),
     )
 }
 
@@ -538,22 +538,22 @@
         (&["--target", "no-such-target.json"], "no-such-target.json"),
         (&["--slopes", "100,none"], "none"),
     ] {
-        let (status, said) = scale(arguments);
-        assert_eq!(status, Some(2), "{arguments:?}: {said}");
-        assert!(said.contains(named), "{arguments:?}: {said}");
+        let (status, output) = scale(arguments);
+        assert_eq!(status, Some(2), "{arguments:?}: {output}");
+        assert!(output.contains(named), "{arguments:?}: {output}");
     }
 }
 
 #[test]
 fn a_sound_run_ends_with_0_and_slopes_say_what_they_skip() {
     let sound = ["--without-budgets", "--seconds", "1"];
-    let (status, said) = scale(&[&["--members", "20"], &sound[..]].concat());
-    assert_eq!(status, Some(0), "{said}");
-    let (status, said) = scale(&[&["--slopes", "10,20,100000"], &sound[..]].concat());
-    assert_eq!(status, Some(0), "{said}");
+    let (status, output) = scale(&[&["--members", "20"], &sound[..]].concat());
+    assert_eq!(status, Some(0), "{output}");
+    let (status, output) = scale(&[&["--slopes", "10,20,100000"], &sound[..]].concat());
+    assert_eq!(status, Some(0), "{output}");
     assert!(
-        said.contains("100000 members: SKIPPED: --members 100000: takes about"),
-        "{said}"
+        output.contains("100000 members: SKIPPED: --members 100000: takes about"),
+        "{output}"
     );
-    assert!(said.contains("x size +"), "{said}");
+    assert!(output.contains("x size +"), "{output}");
 }
--- a/rehearse/tests/scale_daemons.rs
+++ b/rehearse/tests/scale_daemons.rs
@@ -117,7 +117,7 @@
         refused: vec![RefusedPurge {
             member: 5,
             purge: 9,
-            why: Refusal::Acknowledgements,
+            reason: Refusal::Acknowledgements,
         }],
         settling_us: None,
         warm_up_us: None,
