--- a/rehearse/src/scale/command.rs
+++ b/rehearse/src/scale/command.rs
@@ -1,4 +1,4 @@
-//! The command line of `scale`.
+//! Command line of the `scale` subcommand.
 
 use crate::scale::fault::Fault;
 use crate::scale::fleet_config::FleetConfig;
@@ -16,57 +16,57 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// Something is wrong with what was run.
+/// Exit status of a run that broke a rule.
 const WRONG: u8 = 1;
-/// It can't be run.
+/// Exit status when the run could not be started or its result could not be written.
 const NOT_RUN: u8 = 2;
 
-/// The largest fleet that is tried; the machine's memory mostly refuses smaller ones.
+/// Upper bound of `--members`; available memory usually limits a run further.
 const MAX_MEMBERS: u64 = 100_000;
 
-/// What `scale` takes.
+/// Arguments of the `scale` subcommand.
 #[derive(Args, Clone, Debug)]
 pub struct Arguments {
-    /// Proxies of the fleet.
+    /// Number of proxies in the fleet.
     #[arg(long, default_value_t = 300, value_parser = value_parser!(u64).range(2..=MAX_MEMBERS))]
     members: u64,
-    /// The same seed gives the same table, but for what is marked as read off a clock.
+    /// Seed of the run; runs with the same seed print the same table, except for rows marked `by a clock`.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Seconds of virtual time that are measured, behind a warm-up.
+    /// Seconds of virtual time to measure after the warm-up.
     #[arg(long, default_value_t = 10, value_parser = value_parser!(u64).range(1..=86_400))]
     seconds: u64,
-    /// What happens.
+    /// Fault to simulate.
     #[arg(long, value_enum, default_value = "calm")]
     fault: Fault,
-    /// Figures to measure against, in place of those that are built in.
+    /// JSON file with target figures that replaces the built-in target.
     #[arg(long)]
     target: Option<PathBuf>,
-    /// Writes the result to this file too.
+    /// Also writes the report to this file as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// Leaves out what differs between two runs of one seed.
+    /// Omits all output that differs between two runs with the same seed.
     #[arg(long)]
     stable: bool,
-    /// A trial: members share no budgets.
+    /// Disables the budgets that members share, for comparison.
     #[arg(long)]
     without_budgets: bool,
-    /// Entries that a member holds exactly before it compacts the oldest; by default the daemon's bound.
+    /// Number of entries that a member stores exactly before it compacts the oldest; defaults to the daemon's limit.
     #[arg(long, value_parser = value_parser!(u64).range(16..=1 << 24))]
     exact_entries: Option<u64>,
-    /// Purges a second over the whole fleet, in place of the target's.
+    /// Purges per second across the whole fleet; overrides the target's rate.
     #[arg(long, value_parser = value_parser!(u64).range(1..=100_000))]
     purges_per_second: Option<u64>,
-    /// Runs fleets of these sizes (`100,400,1600`), each in a process of its own, and fits each figure to the size.
+    /// Runs fleets of these sizes (`100,400,1600`), each in its own process, and fits each figure against the size.
     #[arg(long, value_delimiter = ',', conflicts_with_all = ["members", "json"],
           value_parser = value_parser!(u64).range(2..=MAX_MEMBERS))]
     slopes: Vec<u64>,
-    /// With `--slopes`: real seconds that each size may take; one that takes longer is ended and named.
+    /// With `--slopes`: wall-clock seconds allowed for each size; a run that exceeds them is killed and reported.
     #[arg(long, default_value_t = 600, value_parser = value_parser!(u64).range(1..=86_400), requires = "slopes")]
     budget: u64,
 }
 
-/// Runs it; the exit status is 1 where something is wrong, 2 where it can't be run.
+/// Runs the subcommand. The exit status is 1 if a rule was broken and 2 if the run could not be done.
 pub fn run(arguments: &Arguments) -> ExitCode {
     match prepare(arguments) {
         Err(reason) => {
@@ -78,16 +78,16 @@
     }
 }
 
-/// Why a run can't be played, or its result not be written.
+/// Reason why a run cannot be started or its result cannot be written.
 #[derive(Debug, Error)]
 enum CommandError {
-    /// The target can't be used.
+    /// The target cannot be loaded.
     #[error("{}: {error}", file.display())]
     Target { file: PathBuf, error: TargetError },
-    /// The machine's memory does not hold it.
+    /// The run does not fit into the available memory.
     #[error("--members {members}: {error}")]
     Memory { members: usize, error: TooLarge },
-    /// Its result can't be written.
+    /// The report cannot be written.
     #[error("{}: {error}", file.display())]
     Write { file: PathBuf, error: io::Error },
 }
@@ -119,7 +119,7 @@
     })
 }
 
-/// Whether the machine's memory holds a run.
+/// Checks that the estimated memory use of a run fits the machine.
 fn admit(run: &Run) -> Result<(), CommandError> {
     let Some(available) = memory::available() else {
         return Ok(());
--- a/rehearse/src/scale/delivery.rs
+++ b/rehearse/src/scale/delivery.rs
@@ -1,18 +1,18 @@
-//! Which member has which purge, since when, and which members lack one that they should have.
+//! Records which purges are in force at which members, with their delays, and finds members that lack a purge.
 
 use crate::scale::layout::MemberIndex;
 use hdrhistogram::Histogram;
 use linnetknot_simnet::Micros;
 
-/// Delays above this count as this.
+/// Upper bound of the delay histograms; longer delays are recorded as this value.
 const MAX_DELAY_US: u64 = 3_600_000_000;
 
-/// A histogram of delays in microseconds, three digits exact.
+/// Returns an empty histogram of delays in microseconds with three significant digits.
 pub fn delays() -> Histogram<u64> {
     Histogram::new_with_bounds(1, MAX_DELAY_US, 3).expect("the bounds are sound")
 }
 
-/// A set of members.
+/// Set of members, stored as a bitmap.
 #[derive(Clone, Debug)]
 struct MemberSet {
     words: Vec<u64>,
@@ -31,7 +31,7 @@
         self.words[member / WORD_BITS] & (1 << (member % WORD_BITS)) != 0
     }
 
-    /// True where it was not in it.
+    /// Adds a member and returns whether it was absent before.
     fn insert(&mut self, member: MemberIndex) -> bool {
         let is_new = !self.contains(member);
         self.words[member / WORD_BITS] |= 1 << (member % WORD_BITS);
@@ -43,33 +43,33 @@
     }
 }
 
-/// A purge of the run.
+/// A purge that was issued during the run.
 #[derive(Clone, Debug)]
 pub struct PurgeRecord {
-    /// When it was told.
+    /// Time at which the purge was issued.
     pub issued_at: Micros,
-    /// To whom.
+    /// Member at which the purge was issued.
     pub writer: MemberIndex,
-    /// It was committed: all must have it in the end, whoever crashes.
+    /// Whether the purge was committed. A committed purge must reach all members, even if its writer crashes.
     pub is_committed: bool,
-    /// The writer crashed before it was committed or refused: nobody was promised anything.
+    /// Whether the writer crashed before the purge was committed or refused. Such a purge need not reach any member.
     pub is_abandoned: bool,
     in_force: MemberSet,
 }
 
-/// All purges of the run, by their numbers.
+/// All purges of the run, indexed by their numbers.
 #[derive(Clone, Debug)]
 pub struct PurgeTracker {
     members: usize,
     records: Vec<PurgeRecord>,
-    /// From when a purge was told until it was in force at a member that ran all the time.
+    /// Delays from issuing a purge until it was in force, at members that were running and connected throughout.
     pub delays: Histogram<u64>,
-    /// The same for members that were not there, or cut off, when it was told.
+    /// Delays at members that were down or disconnected from the writer when the purge was issued.
     pub catch_up_delays: Histogram<u64>,
 }
 
 impl PurgeTracker {
-    /// No purges yet, of so many members.
+    /// Creates a tracker without purges for a fleet of `members` members.
     pub fn new(members: usize) -> Self {
         PurgeTracker {
             members,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// A purge is told now: its number.
+    /// Records a purge issued at `writer` and returns its number.
     pub fn issue(&mut self, writer: MemberIndex, now: Micros) -> u64 {
         let in_force = MemberSet::new(self.members);
         self.records.push(PurgeRecord {
@@ -92,22 +92,22 @@
         self.records.len() as u64 - 1
     }
 
-    /// A purge by its number; none: it is not of this run.
+    /// Returns the purge with this number, or `None` if it was not issued during the run.
     pub fn get(&self, purge: u64) -> Option<&PurgeRecord> {
         self.records.get(usize::try_from(purge).ok()?)
     }
 
-    /// How many were told.
+    /// Returns the number of purges that were issued.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether none was.
+    /// Returns whether no purge was issued.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// A purge is committed.
+    /// Marks a purge as committed.
     pub fn commit(&mut self, purge: u64) {
         if let Some(record) = usize::try_from(purge)
             .ok()
@@ -117,7 +117,7 @@
         }
     }
 
-    /// A writer crashed: its purges that were not committed were promised to nobody.
+    /// Marks the uncommitted purges of a crashed writer as abandoned.
     pub fn abandon(&mut self, writer: MemberIndex) {
         let open = self
             .records
@@ -126,7 +126,8 @@
         open.for_each(|record| record.is_abandoned = true);
     }
 
-    /// A purge is in force at a member that has been there, and not cut off from the writer, since `connected_since`.
+    /// Records that a purge is in force at a member that has been running and connected to the writer since
+    /// `connected_since`.
     pub fn record_in_force(
         &mut self,
         purge: u64,
@@ -148,7 +149,7 @@
         }
     }
 
-    /// A member starts again, and has these purges on its disk.
+    /// Resets the purges in force at a restarted member to those on its disk.
     pub fn record_restart(&mut self, member: MemberIndex, on_disk: impl Iterator<Item = u64>) {
         self.records
             .iter_mut()
@@ -163,13 +164,13 @@
         }
     }
 
-    /// Whether a member has a purge.
+    /// Returns whether a purge is in force at a member.
     pub fn has(&self, purge: u64, member: MemberIndex) -> bool {
         self.get(purge)
             .is_some_and(|record| record.in_force.contains(member))
     }
 
-    /// Purges, each with the first of these members that lacks it, that all of them should have in the end.
+    /// Returns each purge that is not abandoned, paired with each of `members` at which it is not in force.
     pub fn missing<'a>(
         &'a self,
         members: &'a [MemberIndex],
--- a/rehearse/src/scale/fault.rs
+++ b/rehearse/src/scale/fault.rs
@@ -1,4 +1,4 @@
-//! What happens to the fleet in a run, and when.
+//! Faults that a run simulates and the schedule of their actions.
 
 use crate::scale::layout::{Layout, MemberIndex};
 use crate::scale::network::RegionPair;
@@ -9,37 +9,37 @@
 
 const SECOND_US: Micros = 1_000_000;
 
-/// How long a process is away that is restarted.
+/// Time between the stop and the start of a restarted process.
 const RESTART_DURATION_US: Micros = SECOND_US;
 
-/// A fleet is restarted in so many batches.
+/// Number of batches in which a fleet is restarted.
 const RESTART_BATCHES: usize = 10;
 
-/// What a run is about.
+/// Fault that a run simulates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, ValueEnum)]
 pub enum Fault {
     /// Nothing fails.
     Calm,
-    /// All purges are told at the proxies of one site.
+    /// All purges are issued at the proxies of one site.
     HotWriter,
-    /// The failures and restarts of a day, in proportion to the fleet's size and within the run's time.
+    /// Failures and restarts of one day, scaled to the size of the fleet and compressed into the run.
     Day,
-    /// One rack loses its power for the middle half of the run.
+    /// One rack loses power for the middle half of the run.
     Rack,
-    /// One zone does.
+    /// One zone loses power for the middle half of the run.
     Zone,
-    /// Two regions lose each other for minutes, or for the run's middle half where that is shorter.
+    /// Two regions are disconnected for the target's duration, at most the middle half of the run.
     RegionsApart,
     /// All proxies are restarted, a tenth at a time.
     FleetRestart,
-    /// One proxy starts with nothing beside a fleet whose logs are nearly full, and its table of older purges, too.
+    /// One proxy joins without a disk a fleet whose logs are nearly full and that has compacted older purges.
     LateJoin,
-    /// Each proxy finds the origin late, once a second for the middle half.
+    /// Each proxy observes one late response of the origin per second during the middle half of the run.
     SlowOrigin,
 }
 
 impl Fault {
-    /// All of them.
+    /// All faults.
     pub const ALL: [Fault; 9] = [
         Fault::Calm,
         Fault::HotWriter,
@@ -52,81 +52,81 @@
         Fault::SlowOrigin,
     ];
 
-    /// As it is written on the command line.
+    /// Returns the name of the fault on the command line.
     pub fn name(self) -> String {
         self.to_possible_value()
             .map_or_else(String::new, |value| value.get_name().to_owned())
     }
 }
 
-/// Something that happens to members or links.
+/// Change of the state of members or links.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Processes end at once; what their disks have stays.
+    /// Terminates processes without notice; their synced data stays on disk.
     Crash {
-        /// Whose.
+        /// Members to crash.
         members: Vec<MemberIndex>,
     },
-    /// Processes end in order, and tell their peers.
+    /// Shuts processes down gracefully; they notify their peers.
     Stop {
-        /// Whose.
+        /// Members to stop.
         members: Vec<MemberIndex>,
     },
-    /// Processes start, with their disks.
+    /// Starts processes with the contents of their disks.
     Start {
-        /// Whose.
+        /// Members to start.
         members: Vec<MemberIndex>,
     },
-    /// A member starts for the first time, without a disk.
+    /// Starts a member for the first time, without a disk.
     Join {
-        /// Which.
+        /// Member that joins.
         member: MemberIndex,
     },
-    /// Two regions are cut off from each other.
+    /// Disconnects two regions from each other.
     Cut {
-        /// Which.
+        /// Regions to disconnect.
         pair: RegionPair,
-        /// Until when.
+        /// Time at which the connection is restored.
         until: Micros,
     },
-    /// An answer of the origin was late.
+    /// Reports a late response of the origin.
     OriginLate {
-        /// At whom.
+        /// Member that observed the late response.
         member: MemberIndex,
     },
 }
 
-/// An action and its time.
+/// An action and the time at which it is applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScheduledAction {
-    /// When.
+    /// Time of the action.
     pub at: Micros,
-    /// What.
+    /// Action to apply.
     pub action: Action,
 }
 
-/// The time in which purges are told and figures are measured.
+/// Interval of virtual time, for example the one in which purges are issued and figures are measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Window {
-    /// Its begin.
+    /// Start of the interval.
     pub from: Micros,
-    /// Its end.
+    /// End of the interval, exclusive.
     pub until: Micros,
 }
 
 impl Window {
-    /// How long it is.
+    /// Returns the duration of the interval.
     pub fn length(self) -> Micros {
         self.until - self.from
     }
 
-    /// The time at which a share of it, in quarters, is over.
+    /// Returns the time after the given number of quarters of the interval.
     fn quarter(self, quarters: u64) -> Micros {
         self.from + self.length() * quarters / 4
     }
 }
 
-/// Whose purges are told: the members of one site with `Fault::HotWriter`, else all.
+/// Returns the members at which purges are issued: those of one site for `Fault::HotWriter`, otherwise all.
 pub fn writers(fault: Fault, layout: &Layout) -> Vec<MemberIndex> {
     match fault {
         Fault::HotWriter => layout.members_where(|position| position.site == 0),
@@ -134,12 +134,12 @@
     }
 }
 
-/// The member that is not there at first.
+/// Returns the member that joins during the run, if the fault has one.
 pub fn joiner(fault: Fault, layout: &Layout) -> Option<MemberIndex> {
     (fault == Fault::LateJoin).then(|| layout.members() - 1)
 }
 
-/// All that happens in a run.
+/// Returns the actions of a run with this fault.
 pub fn schedule(
     fault: Fault,
     layout: &Layout,
@@ -166,7 +166,7 @@
     }
 }
 
-/// How long a fault lasts that ends within the run; none: it has no such time.
+/// Returns the interval in which the fault is active, or `None` for faults without a fixed interval.
 pub fn duration(fault: Fault, target: &Target, window: Window) -> Option<Window> {
     let middle = Window {
         from: window.quarter(1),
@@ -185,7 +185,7 @@
     }
 }
 
-/// Members lose their power for a time.
+/// Crashes members at the start of the interval and starts them at its end.
 fn outage(members: Vec<MemberIndex>, time: Window) -> Vec<ScheduledAction> {
     let crash = Action::Crash {
         members: members.clone(),
@@ -216,7 +216,7 @@
     }]
 }
 
-/// Each member finds it out at a time of its own in each second.
+/// Schedules one late response per member and second, at a random time within that second.
 fn slow_origin(layout: &Layout, time: Window, random: &mut Random) -> Vec<ScheduledAction> {
     let seconds = (time.from..time.until).step_by(SECOND_US as usize);
     let members = 0..layout.members();
@@ -228,7 +228,7 @@
     times.map(late).collect()
 }
 
-/// A stop, and a start after a while.
+/// Stops members and starts them again after `away`.
 fn restart(members: Vec<MemberIndex>, at: Micros, away: Micros) -> [ScheduledAction; 2] {
     let stop = Action::Stop {
         members: members.clone(),
@@ -258,7 +258,7 @@
     (0..RESTART_BATCHES).flat_map(batch).collect()
 }
 
-/// So many of a day's events as fall to a fleet of this size; one at least.
+/// Scales a daily count to the size of the fleet, with a minimum of 1 and a maximum of a quarter of the members.
 fn in_proportion(per_day: f64, layout: &Layout, target: &Target) -> usize {
     let share = layout.members() as f64 / target.proxies as f64;
     ((per_day * share).round() as usize).clamp(1, layout.members() / 4)
@@ -281,7 +281,7 @@
         (0..failures).map(|_| draw()).collect(),
         (0..restarts).map(|_| draw()).collect(),
     );
-    // Spread evenly, and none so late that its restart would not end in the window.
+    // Events are spread over the first three quarters of the window so that each restart completes within it.
     let span = window.length() * 3 / 4;
     let at = |number: usize, of: usize| window.from + span * number as u64 / of as u64;
     let mut actions = Vec::new();
--- a/rehearse/src/scale/fit.rs
+++ b/rehearse/src/scale/fit.rs
@@ -1,22 +1,22 @@
-//! Fits of a figure to the fleet's size: a line, and a power.
+//! Linear and power-law fits of a figure against the size of the fleet.
 
-/// A figure at a size.
+/// Value of a figure at one fleet size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Point {
-    /// Members.
+    /// Number of members.
     pub size: f64,
-    /// The figure.
+    /// Value of the figure.
     pub figure: f64,
 }
 
-/// `slope x size + constant`, by least squares.
+/// Least-squares fit of `slope x size + constant`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
-    /// More of the figure for each member.
+    /// Increase of the figure per member.
     pub slope: f64,
-    /// What there is without any.
+    /// Value at size 0.
     pub constant: f64,
-    /// The largest distance of a point from the line, as a share of the largest figure.
+    /// Largest distance of a point from the line, as a fraction of the largest absolute value.
     pub residual: f64,
 }
 
@@ -25,7 +25,7 @@
     figures.sum::<f64>() / count as f64
 }
 
-/// The line through at least two sizes; none through fewer.
+/// Fits a line to points of at least two different sizes; returns `None` for fewer.
 pub fn line(points: &[Point]) -> Option<Line> {
     let size = mean(points.iter().map(|point| point.size));
     let figure = mean(points.iter().map(|point| point.figure));
@@ -52,8 +52,8 @@
     })
 }
 
-/// The power of the size by which a figure grows: 0 where it stays, 1 for a line through nothing, 2 for a square. None
-/// where a figure is not positive.
+/// Returns the exponent of a power law fitted to the points: 0 for a constant, 1 for proportional growth, 2 for
+/// quadratic growth. Returns `None` if a size or figure is not positive.
 pub fn exponent(points: &[Point]) -> Option<f64> {
     if points
         .iter()
--- a/rehearse/src/scale/fleet_config.rs
+++ b/rehearse/src/scale/fleet_config.rs
@@ -1,4 +1,4 @@
-//! The configuration that all hollow members of one fleet have in common.
+//! Configuration shared by all hollow members of a fleet.
 
 use crate::scale::run::{DisabledParts, Run};
 use crate::scale::target::Target;
@@ -10,52 +10,54 @@
 use linnetknot_discovery::server_id;
 use linnetknot_replication::Options as ReplicationOptions;
 
-/// Descriptors and megabytes of a proxy's machine: they decide on clients, and on nothing that a hollow member has.
+/// Resources of each proxy's machine, for the limits derived from them. They bound client traffic, which hollow members
+/// do not have.
 const DESCRIPTORS: usize = 1_024;
 const MEMORY_MB: usize = 256;
 
-/// A member's names.
+/// Names and identifiers of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberName {
-    /// Its own.
+    /// Name of the member.
     pub name: String,
-    /// The machine that it stands on.
+    /// Name of the machine that hosts it.
     pub machine: String,
-    /// By which its log and its claims are known.
+    /// Identifier of the member as a log writer and in membership claims.
     pub id: u64,
-    /// The machine's.
+    /// Identifier of the machine.
     pub machine_id: u64,
-    /// Its zone.
+    /// Index of the member's zone.
     pub zone: usize,
 }
 
-/// A budget that all members share.
+/// Budget shared by the members of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SharedBudget {
-    /// What its amounts count.
+    /// Unit of the budget's amounts.
     pub unit: Unit,
-    /// Its limit and the minimum that is reserved for each member.
+    /// Limit of the budget and the minimum reserved for each member.
     pub spec: BudgetSpec,
-    /// The zone whose members spend of it; none: all do.
+    /// Zone whose members spend from the budget, or `None` if all members do.
     pub zone: Option<usize>,
 }
 
-/// What all members have in common.
+/// Configuration that all members of a fleet have in common.
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
-    /// All members, by their index.
+    /// All members, by index.
     pub members: Vec<MemberName>,
-    /// The budgets: the origin's, the cold parents', and one of cold caches for each zone of the target.
+    /// Budgets for the origin, for cold parents, and for the cold caches of each zone of the target.
     pub budgets: Vec<SharedBudget>,
-    /// Stands for what is shared, and among how many: members with another one do not share.
+    /// Fingerprint of the shared budgets and of the fleet size. Members exchange budgets only with members that have
+    /// the same fingerprint.
     pub budget_fingerprint: u64,
-    /// Bounds of the logs, by which the daemon runs them.
+    /// Replication settings, with the daemon's limits.
     pub replication: ReplicationOptions,
-    /// The daemon's bounds.
+    /// The daemon's limits.
     pub limits: Limits,
 }
 
-/// What a commit waits for, where an operator's file says nothing of it.
+/// Returns the replication settings that the daemon uses by default.
 fn commitments() -> Replication {
     let CopiesFile {
         min_acks,
@@ -109,7 +111,7 @@
 }
 
 impl FleetConfig {
-    /// The configuration of members that stand in these zones.
+    /// Builds the configuration of members in these zones, one zone index per member.
     pub fn new(zones: &[usize], target: &Target, disabled: DisabledParts) -> Self {
         let limits = Limits::for_machine(DESCRIPTORS, MEMORY_MB);
         let replication = limits.replication(&commitments());
@@ -137,7 +139,7 @@
         }
     }
 
-    /// The configuration of a run's members, that stand in these zones.
+    /// Builds the configuration of a run's members in these zones.
     pub fn of(run: &Run, zones: &[usize]) -> Self {
         let mut config = FleetConfig::new(zones, &run.target, run.disabled);
         if let Some(entries) = run.exact_entries {
@@ -146,12 +148,12 @@
         config
     }
 
-    /// All budgets as they are configured.
+    /// Returns the specifications of all budgets.
     pub fn budget_specs(&self) -> Vec<BudgetSpec> {
         self.budgets.iter().map(|budget| budget.spec).collect()
     }
 
-    /// Times of the budgets' core.
+    /// Returns the options of the budget protocol, with the longest settling time of all budgets.
     pub fn budget_options(&self) -> BudgetOptions {
         let settling_us = self
             .budgets
@@ -162,7 +164,7 @@
         BudgetOptions::default().with_settling_time(settling_us)
     }
 
-    /// The peers of a member, in the order of its list.
+    /// Returns the peers of a member, in the order of its peer list.
     pub fn peers_of(&self, index: usize) -> impl Iterator<Item = &MemberName> {
         self.members
             .iter()
--- a/rehearse/src/scale/layout.rs
+++ b/rehearse/src/scale/layout.rs
@@ -1,38 +1,38 @@
-//! Where the members stand: sites in zones in regions, as in the target and scaled down in proportion.
+//! Placement of members in racks, sites, zones and regions, scaled down in proportion to the target.
 
 use crate::scale::target::Target;
 
-/// A member's place among all members.
+/// Index of a member among all members.
 pub type MemberIndex = usize;
 
-/// How far two members are from each other.
+/// Distance between two members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
-    /// In one site.
+    /// Both are in the same site.
     Site,
-    /// In two sites of one zone.
+    /// Both are in the same zone, at different sites.
     Zone,
-    /// In two zones of one region.
+    /// Both are in the same region, in different zones.
     Region,
-    /// In two regions.
+    /// They are in different regions.
     BetweenRegions,
 }
 
-/// Where one member stands.
+/// Location of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Position {
-    /// Its site.
+    /// Index of the site.
     pub site: usize,
-    /// Its zone.
+    /// Index of the zone.
     pub zone: usize,
-    /// Its region.
+    /// Index of the region.
     pub region: usize,
-    /// Its rack, behind one switch of its site.
+    /// Index of the rack; the members of a rack share a switch and are in one site.
     pub rack: usize,
 }
 
-/// Where all members stand. A fleet smaller than the target has sites in proportion, of as many members each; zones and
-/// regions are as many as in the target while there are sites enough to stand in them, as distances make the delays.
+/// Locations of all members. A fleet smaller than the target has proportionally fewer sites, and as many zones and
+/// regions as the target where there are enough sites for them, so that link delays stay comparable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Layout {
     positions: Vec<Position>,
@@ -41,13 +41,13 @@
     regions: usize,
 }
 
-/// The part, of `parts` equal ones, that an item of `items` falls into.
+/// Returns the index of the part that contains `item` when `items` items are split into `parts` equal parts.
 fn part_of(item: usize, items: usize, parts: usize) -> usize {
     item * parts / items
 }
 
 impl Layout {
-    /// The layout of so many members.
+    /// Lays out `members` members in proportion to the target.
     pub fn new(members: usize, target: &Target) -> Self {
         let in_proportion = (target.sites * members + target.proxies / 2) / target.proxies;
         let sites = in_proportion
@@ -83,32 +83,32 @@
         }
     }
 
-    /// How many members there are.
+    /// Returns the number of members.
     pub fn members(&self) -> usize {
         self.positions.len()
     }
 
-    /// How many sites.
+    /// Returns the number of sites.
     pub fn sites(&self) -> usize {
         self.sites
     }
 
-    /// How many zones.
+    /// Returns the number of zones.
     pub fn zones(&self) -> usize {
         self.zones
     }
 
-    /// How many regions.
+    /// Returns the number of regions.
     pub fn regions(&self) -> usize {
         self.regions
     }
 
-    /// Where a member stands.
+    /// Returns the location of a member.
     pub fn position(&self, member: MemberIndex) -> Position {
         self.positions[member]
     }
 
-    /// How far two members are from each other.
+    /// Returns the distance between two members.
     pub fn distance(&self, a: MemberIndex, b: MemberIndex) -> Distance {
         let (a, b) = (self.positions[a], self.positions[b]);
         if a.region != b.region {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// The members whose position meets a condition.
+    /// Returns the members whose position satisfies a condition.
     pub fn members_where(&self, condition: impl Fn(&Position) -> bool) -> Vec<MemberIndex> {
         (0..self.positions.len())
             .filter(|member| condition(&self.positions[*member]))
--- a/rehearse/src/scale/memory.rs
+++ b/rehearse/src/scale/memory.rs
@@ -1,27 +1,27 @@
-//! What the machine has, what this process takes, and whether a run fits.
+//! Memory of the machine and of this process, and an estimate of the memory that a run needs.
 
 use std::fmt;
 use thiserror::Error;
 
-/// Bytes of a member by itself: its cores, its budgets, and its datagrams on their way. This and the two below were fitted
-/// to the resident memory of runs of 100 to 3,200 members, above each of them.
+/// Memory of a member apart from its peers, entries and logs. The estimates here are upper bounds of the resident
+/// memory per item.
 const MEMBER_BYTES: usize = 120_000;
 
-/// Bytes that a member has for each peer: what it believes of it, its names, its machine and its acknowledgements.
+/// Memory per peer of a member: membership claim, names, machine and acknowledgements.
 pub const PEER_BYTES: usize = 150;
 
-/// Bytes of an entry in a member's logs.
+/// Memory per log entry.
 pub const ENTRY_BYTES: usize = 500;
 
-/// Bytes of a log in a member's logs, besides its entries (`replication/examples/memory.rs`).
+/// Memory per log, without its entries (see `replication/examples/memory.rs`).
 pub const LOG_BYTES: usize = 470;
 
-/// What a run would take, or the machine has, in bytes.
+/// Amount of memory in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bytes(pub u64);
 
 impl Bytes {
-    /// In megabytes.
+    /// Returns the amount in megabytes.
     pub fn megabytes(self) -> f64 {
         self.0 as f64 / 1e6
     }
@@ -33,19 +33,19 @@
     }
 }
 
-/// A run does not fit into half of the memory that is available.
+/// A run needs more than half of the available memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error(
     "takes about {estimate}, more than half of the {available} that this machine has available"
 )]
 pub struct TooLarge {
-    /// What it would take.
+    /// Estimated memory of the run.
     pub estimate: Bytes,
-    /// What is available.
+    /// Memory available on the machine.
     pub available: Bytes,
 }
 
-/// A figure of a file under `/proc`, which has it in kilobytes.
+/// Reads a value in kilobytes from a file under `/proc`.
 fn proc_figure(file: &str, key: &str) -> Option<Bytes> {
     let text = std::fs::read_to_string(file).ok()?;
     let line = text
@@ -55,26 +55,26 @@
     Some(Bytes(kilobytes << 10))
 }
 
-/// What this process has resident.
+/// Returns the resident memory of this process.
 pub fn resident() -> Option<Bytes> {
     proc_figure("/proc/self/status", "VmRSS")
 }
 
-/// What is available on this machine.
+/// Returns the memory available on this machine.
 pub fn available() -> Option<Bytes> {
     proc_figure("/proc/meminfo", "MemAvailable")
 }
 
-/// What each member of a run comes to hold.
+/// State that each member of a run accumulates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberState {
-    /// Entries of its logs.
+    /// Entries in its logs.
     pub entries: usize,
-    /// Bytes of its compact table.
+    /// Bytes of its compact purge table.
     pub table_bytes: usize,
 }
 
-/// What a run of so many members takes.
+/// Estimates the memory of a run with `members` members.
 pub fn estimate(members: usize, state: MemberState) -> Bytes {
     let MemberState {
         entries,
@@ -84,10 +84,10 @@
     Bytes(members as u64 * each as u64)
 }
 
-/// Whether a run fits into half of the available memory.
+/// Checks that a run fits into half of the available memory.
 ///
 /// # Errors
-/// Where it does not.
+/// Returns [`TooLarge`] if it does not.
 pub fn admit(members: usize, state: MemberState, available: Bytes) -> Result<(), TooLarge> {
     let estimate = estimate(members, state);
     if estimate.0 > available.0 / 2 {
--- a/rehearse/src/scale/meter.rs
+++ b/rehearse/src/scale/meter.rs
@@ -1,4 +1,4 @@
-//! What each member spent while a run was measured.
+//! Network and processor use of each member during the measured interval.
 
 use crate::scale::fault::Window;
 use crate::scale::network::HEADER_BYTES;
@@ -8,40 +8,40 @@
 
 const SECOND_US: Micros = 1_000_000;
 
-/// The processor time of this thread: what others do on the machine is not in it.
+/// Returns the processor time of this thread, which excludes other load on the machine.
 pub fn processor_time() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
-/// What one member spent.
+/// Resources used by one member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Meter {
-    /// Datagrams sent, lost ones among them.
+    /// Datagrams sent, including lost ones.
     pub sent_datagrams: u64,
-    /// Their bytes, with headers.
+    /// Bytes sent, with headers.
     pub sent_bytes: u64,
     /// Datagrams received.
     pub received_datagrams: u64,
-    /// Their bytes, with headers.
+    /// Bytes received, with headers.
     pub received_bytes: u64,
-    /// Processor time within the cores.
+    /// Processor time spent in the member's protocol code.
     pub busy: Duration,
-    /// Bytes sent and received in the worst second.
+    /// Largest number of bytes sent and received within one second.
     pub worst_second_bytes: u64,
-    /// Bytes sent and received while the run's fault lasted, and after it.
+    /// Bytes sent and received while the fault was active.
     pub during_fault_bytes: u64,
-    /// See `during_fault_bytes`.
+    /// Bytes sent and received after the fault ended.
     pub after_fault_bytes: u64,
-    /// When the fault lasts, if it does.
+    /// Interval in which the fault is active, if it has one.
     fault: Option<Window>,
-    /// The second that runs, and its bytes.
+    /// Second that is being counted.
     second: u64,
     second_bytes: u64,
 }
 
 impl Meter {
-    /// In a run whose fault lasts for this time, or for none.
+    /// Creates a meter for a run whose fault is active in this interval, if any.
     pub fn new(fault: Option<Window>) -> Self {
         Meter {
             fault,
@@ -49,14 +49,14 @@
         }
     }
 
-    /// A datagram of so many bytes is sent.
+    /// Counts a datagram of `bytes` bytes that was sent.
     pub fn sent(&mut self, bytes: usize, now: Micros) {
         self.sent_datagrams += 1;
         self.sent_bytes += bytes as u64 + HEADER_BYTES;
         self.count(bytes, now);
     }
 
-    /// A datagram of so many bytes is received.
+    /// Counts a datagram of `bytes` bytes that was received.
     pub fn received(&mut self, bytes: usize, now: Micros) {
         self.received_datagrams += 1;
         self.received_bytes += bytes as u64 + HEADER_BYTES;
--- a/rehearse/src/scale/mod.rs
+++ b/rehearse/src/scale/mod.rs
@@ -1,5 +1,5 @@
-//! A whole fleet in one process, on virtual time: the daemon's sans-IO cores as thousands of hollow members, on links by
-//! distance, measured against the figures of a target.
+//! Simulation of a whole fleet in one process on virtual time: thousands of hollow members run the daemon's sans-IO
+//! protocol code over simulated links, and the results are compared with a target.
 
 pub mod command;
 pub mod daemons;
--- a/rehearse/src/scale/network.rs
+++ b/rehearse/src/scale/network.rs
@@ -1,4 +1,4 @@
-//! Links between all members: conditions by distance, and cuts between regions.
+//! Simulated links between members, with conditions by distance and disconnected regions.
 
 use crate::scale::layout::{Distance, Layout, MemberIndex};
 use crate::scale::target::LinkFigures;
@@ -6,32 +6,32 @@
 use linnetknot_simnet::{Arrivals, LinkConditions, Micros};
 use std::collections::BTreeMap;
 
-/// Bytes of the headers of IPv4 and UDP.
+/// Size of the IPv4 and UDP headers.
 pub const HEADER_BYTES: u64 = 28;
 
-/// Two regions, the lower one first.
+/// Pair of regions, the lower index first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RegionPair(usize, usize);
 
 impl RegionPair {
-    /// The pair of two regions, in any order.
+    /// Creates a pair from two regions in any order.
     pub fn new(a: usize, b: usize) -> Self {
         RegionPair(a.min(b), a.max(b))
     }
 }
 
-/// The links.
+/// Simulated links between all members.
 #[derive(Clone, Debug)]
 pub struct Network {
     layout: Layout,
     conditions: [LinkConditions; 4],
-    /// Until when pairs of regions are or were cut off from each other.
+    /// Time until which each pair of regions is or was disconnected.
     cuts: BTreeMap<RegionPair, Micros>,
     random: Random,
 }
 
 impl Network {
-    /// Sound links between the members of a layout.
+    /// Creates a network with working links between the members of a layout.
     pub fn new(layout: Layout, links: &LinkFigures, seed: u64) -> Self {
         let conditions = [links.site, links.zone, links.region, links.between_regions];
         Network {
@@ -42,17 +42,17 @@
         }
     }
 
-    /// Where the members stand.
+    /// Returns the locations of the members.
     pub fn layout(&self) -> &Layout {
         &self.layout
     }
 
-    /// Cuts two regions off from each other until a time.
+    /// Disconnects two regions until the given time.
     pub fn cut(&mut self, pair: RegionPair, until: Micros) {
         self.cuts.insert(pair, until);
     }
 
-    /// Whether the link between two members was cut at any time since `since`, or is now.
+    /// Returns whether the link between two members has been down at any time since `since`.
     pub fn was_cut_since(&self, a: MemberIndex, b: MemberIndex, since: Micros) -> bool {
         if self.cuts.is_empty() {
             return false;
@@ -62,7 +62,7 @@
         until.is_some_and(|until| *until > since)
     }
 
-    /// When a datagram that is sent now arrives.
+    /// Returns the arrival times of a datagram sent now.
     pub fn send(&mut self, from: MemberIndex, to: MemberIndex, now: Micros) -> Arrivals {
         if self.was_cut_since(from, to, now) {
             return Arrivals::default();
--- a/rehearse/src/scale/prefill.rs
+++ b/rehearse/src/scale/prefill.rs
@@ -1,4 +1,4 @@
-//! What the members' disks have when a run begins.
+//! Contents of the members' disks at the start of a run.
 
 use crate::scale::fault::Fault;
 use crate::scale::fleet_config::{FleetConfig, MemberName};
@@ -9,27 +9,27 @@
 use linnetknot_replication::{Capacity, CompactedLog, LogId, LogStore, Record, Subject};
 use linnetknot_simnet::Micros;
 
-/// How full the logs of a full fleet are, in hundredths of their capacity: purges of the run are to have room.
+/// Fill level of the logs of a full fleet, in percent; the rest is room for the purges of the run.
 const FULL_PERCENT: usize = 75;
 
-/// Purges in the compact table of a full fleet, for each entry that a member may hold: by the daemon's own bounds as many
-/// as the table has slots.
+/// Purges in the compact table of a full fleet, per entry that a member may store. With the daemon's limits they are as
+/// many as the table's slots.
 const COMPACTED_PER_ENTRY: usize = 7;
 
-/// Purges that were told before the run have numbers from here on, those in the compact table from further on.
+/// First numbers of the purges from before the run: those with log entries and those in the compact table.
 const FIRST_NUMBER: PurgeNumber = 1 << 40;
 const FIRST_COMPACTED: PurgeNumber = 1 << 41;
 
-/// A purge that is in the compact tables when a run begins.
+/// Purge that is in the compact tables at the start of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct CompactedPurge {
-    /// Which.
+    /// Number of the purge.
     pub purge: PurgeNumber,
-    /// When it was told.
+    /// Time at which the purge was issued.
     pub at: Micros,
 }
 
-/// Entries that each member's disk has when a run begins.
+/// Returns the number of entries on each member's disk at the start of a run.
 pub(super) fn entries(run: &Run, config: &FleetConfig) -> usize {
     match run.fault {
         Fault::LateJoin => config.replication.max_exact_entries * FULL_PERCENT / 100,
@@ -37,7 +37,7 @@
     }
 }
 
-/// The purges in each member's compact table when a run begins at a time.
+/// Returns the purges in each member's compact table if the run starts at `now`.
 pub(super) fn compacted(
     run: &Run,
     config: &FleetConfig,
@@ -53,7 +53,7 @@
     })
 }
 
-/// The disks of all members: the same logs on each, as many entries of each member, behind those that were compacted.
+/// Returns the disks of all members: identical logs, with as many entries from each member, after the compacted purges.
 pub(super) fn disks(run: &Run, config: &FleetConfig, now: Micros) -> Vec<DiskContents> {
     let own = |member: &MemberName| LogId::new(member.id, now);
     let mut table = CompactTable::new(BucketBits::DEFAULT);
--- a/rehearse/src/scale/purge_number.rs
+++ b/rehearse/src/scale/purge_number.rs
@@ -1,14 +1,14 @@
-//! The purges of a run, and the objects that they are about.
+//! Numbers of the purges of a run and the objects that they purge.
 
-/// Names a purge in a run.
+/// Number that identifies a purge within a run.
 pub type PurgeNumber = u64;
 
-/// The object that a purge of this number is about.
+/// Returns the name of the object purged by this purge.
 pub fn object(purge: PurgeNumber) -> String {
     format!("{purge:032x}")
 }
 
-/// The purge that is about an object.
+/// Returns the number of the purge of an object, if the object belongs to the run.
 pub fn purge_of(object: &str) -> Option<PurgeNumber> {
     PurgeNumber::from_str_radix(object, 16).ok()
 }
--- a/rehearse/src/scale/run.rs
+++ b/rehearse/src/scale/run.rs
@@ -1,55 +1,55 @@
-//! What is run: so many members, for so long, with a fault and measured against a target.
+//! Parameters of a run.
 
 use crate::scale::fault::Fault;
 use crate::scale::layout::MemberIndex;
 use crate::scale::target::Target;
 
-/// Parts of the daemon that a trial leaves out, to see what lies behind them.
+/// Features of the daemon that are disabled in a run, to compare its cost without them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DisabledParts {
-    /// The budgets that all members share.
+    /// Disables the budgets that all members share.
     pub budgets: bool,
 }
 
-/// A fault that tests plant in a member: the run's verdict must find it.
+/// Defect that a test injects into a member to check that the verdict detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// It drops all entries and plain purges that peers send.
+    /// Drops all entries and plain purges received from peers.
     DropsPurges,
-    /// It spends twice its lease of each budget.
+    /// Reports twice its lease of each budget as spendable.
     SpendsTwice,
-    /// It never compacts its logs.
+    /// Never compacts its logs.
     NeverCompacts,
-    /// It drops the buckets that peers send it.
+    /// Drops snapshot chunks received from peers.
     DropsSnapshots,
 }
 
-/// A fault planted in a member, for tests.
+/// Defect and the member that has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InjectedDefect {
-    /// In whom.
+    /// Member with the defect.
     pub member: MemberIndex,
-    /// What.
+    /// Injected defect.
     pub defect: Defect,
 }
 
-/// What is run.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// Members.
+    /// Number of members.
     pub members: usize,
-    /// The same seed gives the same run, but for what clocks say.
+    /// Seed of the run; runs with the same seed are identical except for clock readings.
     pub seed: u64,
-    /// Seconds of virtual time that are measured.
+    /// Seconds of virtual time to measure.
     pub seconds: u64,
-    /// What happens.
+    /// Fault to simulate.
     pub fault: Fault,
-    /// What it is measured against.
+    /// Target to compare the figures with.
     pub target: Target,
-    /// Parts of the daemon that are left out, in trials.
+    /// Features of the daemon that are disabled.
     pub disabled: DisabledParts,
-    /// Entries that a member holds exactly; none: as many as the daemon.
+    /// Number of entries that a member stores exactly, or `None` for the daemon's limit.
     pub exact_entries: Option<usize>,
-    /// Planted faults; none but in tests.
+    /// Injected defects; empty outside tests.
     pub injected_defects: Vec<InjectedDefect>,
 }
--- a/rehearse/src/scale/simulation/checks.rs
+++ b/rehearse/src/scale/simulation/checks.rs
@@ -1,4 +1,4 @@
-//! What a run must keep, and what is looked at while it goes on.
+//! Checks of the rules during and at the end of a run.
 
 use super::{
     Event, Simulation, ALLOCATOR_SAMPLE_INTERVAL_US, BUDGET_CHECK_INTERVAL_US, MAX_SETTLING_US,
@@ -30,13 +30,14 @@
         }
     }
 
-    /// Whether a member was told of a purge, or has it in its compact table, as it came with a snapshot.
+    /// Returns whether a purge is in force at a member, either through its log or through the compact table of a
+    /// snapshot.
     fn has_purge(&self, purge: u64, issued_at: Micros, member: MemberIndex) -> bool {
         let holds = |node: &HollowMember| node.is_in_force(purge, issued_at);
         self.purges.has(purge, member) || self.nodes[member].member.as_ref().is_some_and(holds)
     }
 
-    /// Purges that all of these members should have in the end, each with a member that has not.
+    /// Returns each purge that must reach all of `members`, paired with each member at which it is not in force.
     fn missing_purges<'a>(
         &'a self,
         members: &'a [MemberIndex],
@@ -90,11 +91,12 @@
             .collect()
     }
 
-    /// Waits until all members have all purges and the same logs: how long that took. Word of deaths is waited for, too.
+    /// Runs until all members have all purges and identical logs, and returns how long that took. Then waits until all
+    /// deaths are detected.
     pub(super) fn settle(&mut self) -> Option<Micros> {
         let until = self.window.until + MAX_SETTLING_US;
         while !self.is_settled() {
-            // Logs that have no room for an entry never become the same.
+            // Members without room for an entry never converge.
             if self.now >= until || self.verdict.breaks(Rule::PurgeHasRoom) {
                 return None;
             }
@@ -107,8 +109,8 @@
         Some(settled)
     }
 
-    /// Whether all that have run since before a crash believe who crashed and stayed away to be dead. One that started
-    /// later has never heard of that process, and takes it for absent anyway.
+    /// Returns whether each crashed member that stayed down is considered dead by all members running since before the
+    /// crash. Members started later never saw the crashed process.
     pub(super) fn deaths_are_known(&self) -> bool {
         let is_known = |victim: MemberIndex, crashed_at: Micros| {
             let mut observers = self.running().map(|(observer, _)| observer);
@@ -163,7 +165,7 @@
         }
         let states = by_digest.len();
         let mut groups: Vec<Vec<MemberIndex>> = by_digest.into_values().collect();
-        // The largest group is right, as far as anybody is.
+        // The largest group is taken as the reference.
         groups.sort_by_key(Vec::len);
         groups.pop();
         for member in groups.into_iter().flatten() {
--- a/rehearse/src/scale/simulation/faults.rs
+++ b/rehearse/src/scale/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Processes that start and end, members that join, and links that are cut.
+//! Process starts and exits, joining members, and disconnected links.
 
 use super::{Event, Joining, Simulation, JOINER_POLL_INTERVAL_US, NEVER, START};
 use crate::scale::fault::Action;
@@ -6,7 +6,7 @@
 use crate::scale::layout::MemberIndex;
 use linnetknot_simnet::Micros;
 
-/// The share of its requests that a proxy lets ask an origin that is late.
+/// Share of its requests that a proxy still lets through to a slow origin.
 const LATE_ORIGIN_REQUEST_SHARE: f64 = 0.3;
 
 impl Simulation<'_> {
--- a/rehearse/src/scale/slopes.rs
+++ b/rehearse/src/scale/slopes.rs
@@ -1,6 +1,7 @@
-//! Runs of several sizes, and how each figure grows with the size.
+//! Runs fleets of several sizes and fits each figure against the size.
 //!
-//! Each size runs in a process of its own: its resident memory is its own, and one that takes too long can be ended.
+//! Each size runs in its own process, so that its resident memory is measured separately and it can be killed on
+//! timeout.
 
 use crate::scale::fault::Fault;
 use crate::scale::fit::{exponent, line, Line, Point};
@@ -13,56 +14,56 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// How often it is looked whether a size is done.
+/// Interval at which a child process is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What all sizes have in common.
+/// Options that all sizes have in common.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The seed.
+    /// Seed of the runs.
     pub seed: u64,
-    /// Measured seconds.
+    /// Seconds of virtual time to measure.
     pub seconds: u64,
-    /// What happens.
+    /// Fault to simulate.
     pub fault: Fault,
-    /// A file of figures.
+    /// File with target figures, or `None` for the built-in target.
     pub target: Option<PathBuf>,
-    /// Parts that a trial leaves out.
+    /// Features of the daemon that are disabled.
     pub disabled: DisabledParts,
-    /// Real time for each size.
+    /// Wall-clock time allowed for each size.
     pub budget: Duration,
 }
 
-/// What became of a size.
+/// Outcome of the run of one size.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SizeOutcome {
-    /// It ran, whether or not something is wrong.
+    /// The run completed, with or without broken rules.
     Ran(Box<Report>),
-    /// It did not, and why.
+    /// The run did not complete, for this reason.
     Skipped(String),
 }
 
-/// A size and what became of it.
+/// A fleet size and the outcome of its run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SizeRun {
-    /// Members.
+    /// Number of members.
     pub size: usize,
-    /// What became of it.
+    /// Outcome of the run.
     pub outcome: SizeOutcome,
 }
 
-/// What all runs came to.
+/// Overall status of the runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Nothing is wrong.
+    /// All runs completed without broken rules.
     Sound,
-    /// Something is, at one size at least.
+    /// At least one size broke a rule.
     Wrong,
-    /// No size ran.
+    /// No size completed.
     NothingRan,
 }
 
-/// Runs all sizes in turn.
+/// Runs all sizes one after another.
 pub fn run(sizes: &[usize], options: &Options) -> Vec<SizeRun> {
     let mut runs = Vec::new();
     for size in sizes {
@@ -74,35 +75,35 @@
             size: *size,
             outcome,
         };
-        // The table comes when all are done, which may take long.
+        // Progress is printed at once because the final table may take long.
         eprint!("{}", summary(&run));
         runs.push(run);
     }
     runs
 }
 
-/// Why a size was not run.
+/// Reason why a size was not run.
 #[derive(Debug, Error)]
 enum SizeError {
-    /// Its process can't be started or waited for.
+    /// The process cannot be started or waited for.
     #[error("{0}")]
     Process(#[from] io::Error),
-    /// Its process failed and said nothing.
+    /// The process failed without a message.
     #[error("{0}")]
     Status(ExitStatus),
-    /// Its process failed, and what it said.
+    /// The process failed with this message on its standard error.
     #[error("{0}")]
     Failed(String),
-    /// Its process took too long.
+    /// The process exceeded its time limit.
     #[error("not done within the {seconds} s that a size may take")]
     TimedOut {
-        /// What it may take.
+        /// Time limit in seconds.
         seconds: u64,
     },
-    /// Its process wrote no result.
+    /// The process wrote no report.
     #[error("it left no result: {0}")]
     NoResult(io::Error),
-    /// Its process wrote a result that is none.
+    /// The report cannot be parsed.
     #[error("its result can't be read: {0}")]
     MalformedResult(serde_json::Error),
 }
@@ -116,7 +117,7 @@
         let text = std::fs::read_to_string(&file).map_err(SizeError::NoResult)?;
         serde_json::from_str(&text).map_err(SizeError::MalformedResult)
     });
-    // There is none where it did not run.
+    // The file does not exist if the run failed.
     let _ = std::fs::remove_file(&file);
     result
 }
@@ -143,7 +144,7 @@
     wait(child?, options.budget)
 }
 
-/// Waits for a process, and ends it when its time is over.
+/// Waits for a process and kills it when its time limit is over.
 fn wait(mut child: Child, budget: Duration) -> Result<(), SizeError> {
     let started_at = Instant::now();
     while started_at.elapsed() < budget {
@@ -165,7 +166,7 @@
             Err(error) => return Err(error.into()),
         }
     }
-    // Both fail only where it has just ended by itself.
+    // Both calls fail only if the process has just exited.
     let _ = child.kill();
     let _ = child.wait();
     Err(SizeError::TimedOut {
@@ -173,7 +174,7 @@
     })
 }
 
-/// What the runs came to.
+/// Returns the overall status of the runs.
 pub fn status(runs: &[SizeRun]) -> Status {
     let mut reports = reports(runs).peekable();
     if reports.peek().is_none() {
@@ -192,7 +193,7 @@
     })
 }
 
-/// A figure at all sizes that have it.
+/// Collects the values of a row's figure from all sizes that have it.
 fn points(runs: &[SizeRun], of: &Row) -> Vec<Point> {
     let figure = |report: &Report| {
         let row = report
@@ -207,7 +208,7 @@
     reports(runs).filter_map(figure).collect()
 }
 
-/// What became of one size.
+/// Summarises the outcome of one size.
 fn summary(run: &SizeRun) -> String {
     let report = match &run.outcome {
         SizeOutcome::Ran(report) => report,
@@ -220,13 +221,13 @@
         run.size, report.real_seconds
     );
     for (verdict, (count, first)) in &report.wrong {
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = writeln!(out, "    {verdict} ({count} times; first: {first})");
     }
     out
 }
 
-/// All runs and fits, as tables. At the target's size, the fits say what a figure would come to.
+/// Formats all runs and fits as tables, with each figure extrapolated to the target's size.
 pub fn table(runs: &[SizeRun], target_size: usize) -> String {
     let mut out: String = runs.iter().map(summary).collect();
     out += "\nThe worst member's figure at each size; residual: the farthest point's, of the largest figure.\n\n";
--- a/rehearse/src/scale/target.rs
+++ b/rehearse/src/scale/target.rs
@@ -1,20 +1,19 @@
-//! The figures that a fleet is measured against, as one file has them: its size, its load, its limits and its links.
+//! Target figures of a fleet, read from a JSON file: size, load, limits and link conditions.
 
 use linnetknot_simnet::LinkConditions;
 use serde::Deserialize;
 use std::path::Path;
 use thiserror::Error;
 
-/// The target that is built in.
 const BUILT_IN: &str = include_str!("../../targets/fleet.json");
 
-/// Why a target can't be used.
+/// Reason why a target cannot be used.
 #[derive(Debug, Error)]
 pub enum TargetError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("{0}")]
     Read(std::io::Error),
-    /// It is no target: the key at fault is in the message.
+    /// The file is not a valid target; the message names the offending key.
     #[error("{0}")]
     Parse(serde_path_to_error::Error<serde_json::Error>),
     /// A figure that must be positive is 0.
@@ -22,63 +21,63 @@
     Zero(&'static str),
 }
 
-/// What a proxy may spend for control.
+/// Resources that a proxy may spend on control traffic and its processing.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlLimits {
-    /// Of one core.
+    /// Percentage of one core.
     pub processor_percent: f64,
-    /// Resident memory.
+    /// Resident memory in megabytes.
     pub memory_mb: f64,
-    /// Sent and received together, with the headers of IP and UDP.
+    /// Kilobytes sent and received per second, with IP and UDP headers.
     pub kilobytes_per_second: f64,
-    /// Machines that are set aside for control.
+    /// Number of machines dedicated to control.
     pub control_machines: u32,
 }
 
-/// How often what fails.
+/// Rates and durations of faults.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultRates {
-    /// Machines that fail on an ordinary day.
+    /// Machines that fail per day.
     pub failures_per_day: f64,
-    /// Proxies that are restarted or replaced on an ordinary day.
+    /// Proxies that are restarted or replaced per day.
     pub restarts_per_day: f64,
-    /// How long two regions lose each other.
+    /// Duration of a disconnection between two regions, in seconds.
     pub regions_apart_seconds: u64,
     /// Proxies behind one switch.
     pub proxies_per_rack: usize,
 }
 
-/// What the proxies spend together.
+/// Figures of the budgets that the proxies share.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BudgetFigures {
-    /// Requests that the origin holds at a time, for each proxy.
+    /// Concurrent requests that the origin accepts, per proxy.
     pub origin_requests_per_proxy: u64,
-    /// How long such a request is held at most.
+    /// Longest time that such a request occupies the origin.
     pub origin_settling_ms: u64,
-    /// How long work for a cold cache occupies it.
+    /// Time that a request occupies a cold cache.
     pub cold_settling_ms: u64,
-    /// Share of the budgets of cold caches that is reserved for all proxies, in equal parts.
+    /// Fraction of the cold-cache budgets that is reserved, split equally among all proxies.
     pub cold_reserved_share: f64,
 }
 
-/// Conditions of a link by the distance between its ends.
+/// Link conditions by the distance between the ends.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LinkFigures {
-    /// Within a site.
+    /// Links within a site.
     pub site: LinkClass,
-    /// Between sites of one zone.
+    /// Links between sites of one zone.
     pub zone: LinkClass,
-    /// Between zones of one region.
+    /// Links between zones of one region.
     pub region: LinkClass,
-    /// Between regions.
+    /// Links between regions.
     pub between_regions: LinkClass,
 }
 
-/// `LinkConditions`, as the file has them.
+/// Serialized form of [`LinkConditions`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LinkClass {
@@ -103,43 +102,43 @@
     }
 }
 
-/// The target.
+/// Target figures of a fleet.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// Edge proxies.
+    /// Number of edge proxies.
     pub proxies: usize,
-    /// Their sites.
+    /// Number of sites.
     pub sites: usize,
-    /// The zones of those.
+    /// Number of zones.
     pub zones: usize,
-    /// The regions of those.
+    /// Number of regions.
     pub regions: usize,
-    /// Pop caches behind the proxies.
+    /// Number of pop caches behind the proxies.
     pub caches: usize,
-    /// Purges told to the whole fleet in a second, whatever its size.
+    /// Purges per second across the whole fleet, independent of its size.
     pub purges_per_second: u64,
-    /// A purge is done everywhere within this.
+    /// Time within which a purge must be in force everywhere.
     pub purge_limit_ms: u64,
-    /// Changes of configuration.
+    /// Configuration changes per day.
     pub configuration_changes_per_day: u64,
-    /// A change of configuration is in force everywhere within this.
+    /// Time within which a configuration change must be in force everywhere.
     pub configuration_limit_ms: u64,
-    /// What control may cost.
+    /// Limits of the resources for control.
     pub limits: ControlLimits,
-    /// How often what fails.
+    /// Rates and durations of faults.
     pub faults: FaultRates,
-    /// What the proxies spend together.
+    /// Figures of the shared budgets.
     pub budgets: BudgetFigures,
-    /// Links.
+    /// Link conditions.
     pub links: LinkFigures,
 }
 
 impl Target {
-    /// The target that is built in, or the one of a file.
+    /// Loads a target from a file, or the built-in target if there is none.
     ///
     /// # Errors
-    /// Where the file can't be read or is no target.
+    /// Returns an error if the file cannot be read or is not a valid target.
     pub fn load(file: Option<&Path>) -> Result<Self, TargetError> {
         let text = file
             .map(std::fs::read_to_string)
@@ -148,10 +147,10 @@
         Self::parse(text.as_deref().unwrap_or(BUILT_IN))
     }
 
-    /// Reads a target.
+    /// Parses a target from JSON.
     ///
     /// # Errors
-    /// Where the text is none.
+    /// Returns an error if the text is not a valid target.
     pub fn parse(text: &str) -> Result<Self, TargetError> {
         let mut json = serde_json::Deserializer::from_str(text);
         let target: Target =
--- a/rehearse/src/scale/verdict.rs
+++ b/rehearse/src/scale/verdict.rs
@@ -1,27 +1,27 @@
-//! What is wrong with a run.
+//! Rules that a run is checked against, and their violations.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// A rule that a run must keep.
+/// Rule that a run is checked against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub enum Rule {
-    /// A purge is in force in time at each member that runs and is connected.
+    /// Within the purge limit, a purge is in force at each member that is running and connected.
     PurgeInTime,
-    /// A purge is in force in the end at each member that runs.
+    /// At the end, a purge is in force at each running member.
     PurgeEverywhere,
-    /// There is room for each purge, at whom it is told and at whom it is replicated to.
+    /// The writer and all replicas have room for each purge.
     PurgeHasRoom,
-    /// A purge is committed, or its writer crashed.
+    /// Each purge is committed unless its writer crashed.
     PurgeCommitted,
-    /// Connected members have the same logs after a quiet time.
+    /// Connected members have the same logs after the settling time.
     SameState,
-    /// What all members may spend is never above a budget's limit.
+    /// The sum of all members' leases never exceeds a budget's limit.
     BudgetLimit,
 }
 
 impl Rule {
-    /// What is said where it is broken.
+    /// Returns the message for a violation of the rule.
     pub fn verdict(self) -> &'static str {
         match self {
             Rule::PurgeInTime => "WRONG: a connected member lacks a purge when its time is over",
@@ -34,24 +34,24 @@
     }
 }
 
-/// How often a rule was broken, and where first.
+/// Number of violations of a rule and the first one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// How often.
+    /// Number of violations.
     pub count: u64,
-    /// The first.
+    /// Description of the first violation.
     pub first: String,
 }
 
-/// All that is wrong with a run.
+/// All violations of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Verdict {
-    /// By rule.
+    /// Violations by rule.
     pub violations: BTreeMap<Rule, Violation>,
 }
 
 impl Verdict {
-    /// A rule is broken.
+    /// Records a violation; `example` is called only for the first one of a rule.
     pub fn add(&mut self, rule: Rule, example: impl FnOnce() -> String) {
         let violation = self.violations.entry(rule);
         violation
@@ -62,12 +62,12 @@
             .count += 1;
     }
 
-    /// Whether nothing is wrong.
+    /// Returns whether no rule was broken.
     pub fn is_sound(&self) -> bool {
         self.violations.is_empty()
     }
 
-    /// Whether a rule was broken.
+    /// Returns whether a rule was broken.
     pub fn breaks(&self, rule: Rule) -> bool {
         self.violations.contains_key(&rule)
     }
