--- a/rehearse/src/scale/daemons/acks.rs
+++ b/rehearse/src/scale/daemons/acks.rs
@@ -1,47 +1,47 @@
-//! Which purges that hollow members told each daemon has, by its acknowledgements.
+//! Tracks which daemons have acknowledged the purges of hollow members.
 //!
-//! A daemon acknowledges an entry once it is in force there and on its disk. So the delay that is measured contains the
-//! daemon's commit to its disk and the way back, and is longer than the time until the purge is in force.
+//! A daemon acknowledges an entry once it is in force and on its disk. The measured delay therefore includes the disk
+//! commit and the network delay of the acknowledgement, and exceeds the time until the purge is in force.
 
 use hdrhistogram::Histogram;
 use linnetknot_replication::Index;
 use linnetknot_simnet::Micros;
 use std::collections::BTreeMap;
 
-/// A purge in the log of the member that told it.
+/// Purge in the log of the member that issued it.
 #[derive(Clone, Copy, Debug)]
 struct IssuedPurge {
     index: Index,
     at: Micros,
 }
 
-/// The purges that one member told.
+/// Purges issued by one member.
 #[derive(Clone, Debug)]
 struct WriterLog {
     purges: Vec<IssuedPurge>,
-    /// By daemon, how many of them it has acknowledged.
+    /// Number of acknowledged purges, by daemon.
     acknowledged: Vec<usize>,
 }
 
-/// The purges of all hollow members.
+/// Acknowledgements of the purges of all hollow members.
 #[derive(Debug)]
 pub struct PurgeAcks {
     writers: BTreeMap<usize, WriterLog>,
-    /// By daemon, in microseconds.
+    /// Delays by daemon, in microseconds.
     delays: Vec<Histogram<u64>>,
 }
 
-/// Delays above this count as this; longer than any run, in microseconds.
+/// Upper bound of the delay histograms; longer delays are recorded as this value.
 const MAX_DELAY_US: u64 = 600_000_000;
 
-/// A histogram of delays in microseconds.
+/// Returns an empty histogram of delays in microseconds.
 pub fn delay_histogram() -> Histogram<u64> {
-    // Bounds and precision are ones that the histogram has.
+    // The histogram supports these bounds and this precision.
     Histogram::new_with_bounds(1, MAX_DELAY_US, 3).expect("the bounds are in order")
 }
 
 impl PurgeAcks {
-    /// For so many daemons.
+    /// Creates a tracker for this number of daemons.
     pub fn new(daemons: usize) -> Self {
         PurgeAcks {
             writers: BTreeMap::new(),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// A member tells a purge that stands at an index of its log.
+    /// Records a purge that a member issued at an index of its log.
     pub fn record_issued(&mut self, writer: usize, index: Index, at: Micros) {
         let daemons = self.delays.len();
         let new = || WriterLog {
@@ -63,7 +63,7 @@
             .push(IssuedPurge { index, at });
     }
 
-    /// A daemon acknowledges a member's log up to an index.
+    /// Records that a daemon acknowledged a member's log up to an index.
     pub fn acknowledged(&mut self, writer: usize, daemon: usize, index: Index, now: Micros) {
         let Some(log) = self.writers.get_mut(&writer) else {
             return;
@@ -76,12 +76,12 @@
         }
     }
 
-    /// Purges that were told.
+    /// Returns the number of purges issued by hollow members.
     pub fn total(&self) -> usize {
         self.writers.values().map(|log| log.purges.len()).sum()
     }
 
-    /// Purges that a daemon has not acknowledged.
+    /// Returns the number of purges that a daemon has not acknowledged.
     pub fn missing(&self, daemon: usize) -> usize {
         self.writers
             .values()
@@ -89,7 +89,7 @@
             .sum()
     }
 
-    /// The delays of a daemon's acknowledgements.
+    /// Returns the acknowledgement delays of a daemon.
     pub fn delays(&self, daemon: usize) -> &Histogram<u64> {
         &self.delays[daemon]
     }
--- a/rehearse/src/scale/daemons/command.rs
+++ b/rehearse/src/scale/daemons/command.rs
@@ -1,4 +1,4 @@
-//! The command line of `scale-daemons`.
+//! Command line of the `scale-daemons` subcommand.
 
 use super::report::Report;
 use super::run::{play, Run};
@@ -13,66 +13,67 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Something is wrong with what was run.
+/// Exit status of a run in which something is wrong.
 const WRONG: u8 = 1;
-/// It can't be run.
+/// Exit status when a run was not possible or its figures are not valid.
 const NOT_RUN: u8 = 2;
 
-/// Daemons that are tried: each is a process, and few tell as much as many.
+/// Upper bound of `--daemons`.
 const MAX_DAEMONS: u64 = 32;
-/// Hollow members that are tried.
+/// Upper bound of `--members`.
 const MAX_MEMBERS: u64 = 16_000;
-/// Seconds under load.
+/// Upper bound of `--seconds` and `--rest`.
 const MAX_SECONDS: u64 = 90;
-/// Purges a second.
+/// Upper bound of `--purges`.
 const MAX_PURGES: u64 = 10_000;
 
-/// No further size is begun where it could end later than this.
+/// Time limit of all sizes together; a size that is expected to exceed it is skipped.
 const MAX_TOTAL_DURATION: Duration = Duration::from_secs(290);
-/// Seconds that a run mostly takes besides rest and load: start, budgets and settling, and until daemons know each other.
+/// Estimated duration of startup, budget allocation and settling, and the rate at which daemons discover members.
 const OTHER_SECONDS: u64 = 10;
 const INTRODUCED_PER_SECOND: u64 = 16;
 
-/// Bytes of a daemon, for the estimate of what a run takes.
+/// Estimated memory of a daemon.
 const DAEMON_BYTES: u64 = 128 << 20;
 
-/// What `scale-daemons` takes.
+/// Arguments of the `scale-daemons` subcommand.
 #[derive(Args, Clone, Debug)]
 pub struct Arguments {
-    /// Real daemons.
+    /// Number of real daemons.
     #[arg(long, default_value_t = 3, value_parser = value_parser!(u64).range(2..=MAX_DAEMONS))]
     daemons: u64,
-    /// Hollow members.
+    /// Number of hollow members.
     #[arg(long, default_value_t = 64, value_parser = value_parser!(u64).range(1..=MAX_MEMBERS))]
     members: u64,
-    /// Seconds under load.
+    /// Seconds to measure under load.
     #[arg(long, default_value_t = 15, value_parser = value_parser!(u64).range(1..=MAX_SECONDS))]
     seconds: u64,
-    /// Seconds at rest before that.
+    /// Seconds to measure at rest before the load.
     #[arg(long, default_value_t = 10, value_parser = value_parser!(u64).range(1..=MAX_SECONDS))]
     rest: u64,
-    /// Purges told to the whole fleet in a second; each member is told as many as any other.
+    /// Purges per second across the whole fleet, distributed evenly at random over all members.
     #[arg(long, default_value_t = 110, value_parser = value_parser!(u64).range(0..=MAX_PURGES))]
     purges: u64,
-    /// Draws who is told which purge.
+    /// Seed for the distribution of the purges.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// The daemon; by default the one that stands beside this program.
+    /// Daemon executable; defaults to `linnetknot` in the directory of this program.
     #[arg(long)]
     daemon: Option<PathBuf>,
-    /// Figures to measure against, in place of those that are built in.
+    /// JSON file with target figures that replaces the built-in target.
     #[arg(long)]
     target: Option<PathBuf>,
-    /// Writes the result to this file too; with `--slopes` a list of results.
+    /// Also writes the report to this file as JSON; with `--slopes`, a list of reports.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// Runs with so many hollow members in turn (`16,64,256`), and fits each figure of the worst daemon to the size.
+    /// Runs with these numbers of hollow members (`16,64,256`) in turn and fits each figure of the worst daemon against
+    /// the size.
     #[arg(long, value_delimiter = ',', conflicts_with = "members",
           value_parser = value_parser!(u64).range(1..=MAX_MEMBERS))]
     slopes: Vec<u64>,
 }
 
-/// Runs it; the exit status is 1 where something is wrong, 2 where it can't be run.
+/// Runs the subcommand. The exit status is 1 if something is wrong and 2 if a run was not possible.
 pub fn run(arguments: &Arguments) -> ExitCode {
     let result = prepare(arguments).and_then(|run| match arguments.slopes.is_empty() {
         true => run_one(&run, arguments),
@@ -87,28 +88,28 @@
     }
 }
 
-/// Why a run can't be played, or its result not be written.
+/// Reason why a run cannot be started or its result cannot be written.
 #[derive(Debug, Error)]
 enum CommandError {
-    /// The target can't be used.
+    /// The target cannot be loaded.
     #[error("--target: {0}")]
     Target(#[from] TargetError),
-    /// The machine has too few descriptors.
+    /// The process may not open enough descriptors.
     #[error("--members {members}: {error}")]
     Sockets {
         members: usize,
         error: TooManySockets,
     },
-    /// The machine's memory does not hold it.
+    /// The run does not fit into the available memory.
     #[error("--members {members}: {error}")]
     Memory { members: usize, error: TooLarge },
-    /// The daemons can't be run.
+    /// The daemons cannot be run.
     #[error("{}: {error}", program.display())]
     Play { program: PathBuf, error: io::Error },
-    /// All sizes together have taken too long for one more.
+    /// Another size would exceed the time limit of all sizes together.
     #[error("the {} s of all sizes together are over", MAX_TOTAL_DURATION.as_secs())]
     OutOfTime,
-    /// Its result can't be written.
+    /// The report cannot be written.
     #[error("--json {}: {error}", file.display())]
     Write { file: PathBuf, error: io::Error },
 }
@@ -132,7 +133,7 @@
     })
 }
 
-/// Whether this machine holds a run.
+/// Checks that this machine has enough descriptors and memory for a run.
 fn admit(run: &Run) -> Result<(), CommandError> {
     let members = run.members;
     sockets::admit(members).map_err(|error| CommandError::Sockets { members, error })?;
@@ -165,7 +166,7 @@
     Ok(status(&report))
 }
 
-/// A run whose members did not keep pace has measured nothing.
+/// Returns the exit status of a run. The figures are not valid if the hollow members fell behind.
 fn status(report: &Report) -> u8 {
     match (report.kept_pace, report.wrong.is_empty()) {
         (false, _) => NOT_RUN,
@@ -189,7 +190,7 @@
     })
 }
 
-/// How long a run mostly takes.
+/// Returns the expected duration of a run.
 fn expected(run: &Run) -> Duration {
     let greeting = run.members as u64 / INTRODUCED_PER_SECOND;
     Duration::from_secs(run.seconds + run.rest_seconds + OTHER_SECONDS + greeting)
@@ -219,7 +220,7 @@
     print!("{}", slopes::table(&runs, run.target.proxies));
     let reports: Vec<&Report> = runs.iter().filter_map(SizeRun::report).collect();
     write(arguments.json.as_deref(), &reports)?;
-    // Sizes that the machine can't hold are named in the table, and are no fault of those that ran.
+    // Sizes that the machine cannot hold are listed in the table and do not affect the exit status.
     let ran = reports
         .into_iter()
         .map(status)
--- a/rehearse/src/scale/daemons/host.rs
+++ b/rehearse/src/scale/daemons/host.rs
@@ -1,7 +1,7 @@
-//! The hollow members in this process: one loop drives them all, on real time.
+//! Host of the hollow members of this process, which one loop drives on real time.
 //!
-//! What they send to daemons goes out by their sockets and is counted. What they send to each other is encoded and decoded
-//! as any datagram, and handed over within the process: it would cost the system's time and no daemon's.
+//! Datagrams to daemons are sent over sockets and counted. Datagrams between hollow members are encoded and decoded as
+//! usual but delivered within the process, because sending them would cost system time without involving a daemon.
 
 use super::acks::PurgeAcks;
 use super::sockets::MemberSockets;
@@ -19,28 +19,28 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Datagrams between hollow members that are handed over before the loop comes to its sockets and timers.
+/// Datagrams between hollow members that are delivered before the loop polls sockets and timers.
 const MAX_LOCAL_BATCH: usize = 1_024;
 
-/// Datagrams that are read from one socket before the others have their turn.
+/// Datagrams that are read from one socket before the next socket is served.
 const MAX_RECEIVE_BATCH: usize = 64;
 
-/// Introductions that daemons are sent at once, and the pause behind them.
+/// Number of introductions in a batch, and the pause after each batch.
 const INTRODUCTION_BATCH: usize = 64;
 const INTRODUCTION_PAUSE_US: Micros = 20_000;
 
-/// A purge that a hollow member was refused, or can't keep.
+/// Purge that a hollow member refused or could not store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RefusedPurge {
-    /// At whom.
+    /// Index of the member.
     pub member: usize,
-    /// Which.
+    /// Number of the purge.
     pub purge: PurgeNumber,
-    /// Why.
+    /// Reason of the refusal.
     pub reason: Refusal,
 }
 
-/// A datagram between two hollow members.
+/// Datagram between two hollow members.
 struct LocalDatagram {
     sent_at: Micros,
     from: usize,
@@ -48,7 +48,7 @@
     bytes: Arc<[u8]>,
 }
 
-/// All hollow members. They have the indexes behind those of the daemons.
+/// Host of all hollow members. Their indexes follow those of the daemons.
 pub struct HollowHost {
     config: Arc<FleetConfig>,
     members: Vec<HollowMember>,
@@ -65,7 +65,7 @@
 }
 
 impl HollowHost {
-    /// Starts the members of a fleet that stand behind these daemons, acquainted with each other.
+    /// Starts the hollow members of a fleet, with membership views that contain each other.
     pub fn start(
         config: Arc<FleetConfig>,
         sockets: MemberSockets,
@@ -102,11 +102,10 @@
         }
     }
 
-    /// Makes all hollow members known to all daemons, by the answer that each would give to a greeting. They come so
-    /// slowly that the daemons' sockets have room for them.
+    /// Introduces all hollow members to all daemons, in batches that fit into the daemons' socket buffers.
     ///
     /// # Errors
-    /// Where the system can't wait for sockets.
+    /// Returns an error if waiting for sockets fails.
     pub fn introduce(&mut self) -> io::Result<()> {
         let introductions = introductions(&self.config, self.daemons.len(), self.clock.now());
         for (index, introduction) in introductions.iter().enumerate().skip(self.daemons.len()) {
@@ -120,7 +119,7 @@
         Ok(())
     }
 
-    /// Makes a daemon's process known to all hollow members, as its answer to their greetings would.
+    /// Introduces a daemon's process to all hollow members.
     pub fn introduce_daemon(&mut self, daemon: usize, process: u64) {
         let introduction = HollowMember::introduction(&self.config, daemon, process);
         for index in self.daemons.len()..self.config.members.len() {
@@ -131,53 +130,53 @@
         }
     }
 
-    /// Unix time in microseconds, by the clock that the members have.
+    /// Returns the Unix time in microseconds by the members' clock.
     pub fn now(&self) -> Micros {
         self.clock.now()
     }
 
-    /// How many hollow members there are.
+    /// Returns the number of hollow members.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no hollow members.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// What went between the daemons and the members since `reset`.
+    /// Returns the traffic between each daemon and the hollow members since `reset`.
     pub fn traffic(&self) -> &[Traffic] {
         &self.traffic
     }
 
-    /// How late timers ran and datagrams between hollow members were handed over since `reset`, in microseconds.
+    /// Returns the delays of timers and of datagrams between hollow members since `reset`, in microseconds.
     pub fn lateness(&self) -> &Histogram<u64> {
         &self.lateness
     }
 
-    /// Begins a new measurement.
+    /// Starts a new measurement.
     pub fn reset(&mut self) {
         self.traffic.fill(Traffic::default());
         self.lateness.reset();
     }
 
-    /// Purges that hollow members told, and what the daemons have of them.
+    /// Returns the purges of hollow members and their acknowledgements by daemons.
     pub fn acks(&self) -> &PurgeAcks {
         &self.acks
     }
 
-    /// Purges that a hollow member was refused or can't keep.
+    /// Returns the purges that a hollow member refused or could not store.
     pub fn refused(&self) -> &[RefusedPurge] {
         &self.refused
     }
 
-    /// Times that a hollow member believed another member to be dead.
+    /// Returns how often a hollow member considered another member dead.
     pub fn deaths(&self) -> u64 {
         self.deaths
     }
 
-    /// Hollow members that do not know all members of the fleet.
+    /// Returns the number of hollow members whose membership view is incomplete.
     pub fn members_missing_peers(&self) -> usize {
         let peers = self.config.members.len() - 1;
         self.members
@@ -186,7 +185,7 @@
             .count()
     }
 
-    /// The digest that all hollow members have of their logs; none where they differ.
+    /// Returns the digest of the logs if it is equal for all hollow members.
     pub fn common_digest(&self) -> Option<u64> {
         let first = self.members.first()?.digest();
         self.members
@@ -195,7 +194,7 @@
             .then_some(first)
     }
 
-    /// A hollow member is told of a purge.
+    /// Issues a purge at a hollow member.
     pub fn purge(&mut self, index: usize, purge: PurgeNumber) {
         let now = self.clock.now();
         let member = &mut self.members[index - self.daemons.len()];
@@ -207,10 +206,10 @@
         self.dispatch(index, outgoing);
     }
 
-    /// Does what is due and waits for datagrams, until a time.
+    /// Runs timers and handles datagrams until the given time.
     ///
     /// # Errors
-    /// Where the system can't wait for sockets.
+    /// Returns an error if waiting for sockets fails.
     pub fn run_until(&mut self, end: Micros) -> io::Result<()> {
         while self.clock.now() < end {
             self.step(end)?;
@@ -254,7 +253,7 @@
     }
 
     fn run_timers(&mut self) {
-        // What becomes due meanwhile has its turn after the sockets.
+        // Timers that become due during this loop run after the sockets are polled.
         let now = self.clock.now();
         while let Some((at, index)) = self.timers.take_due(now) {
             self.run_timer(index, at, now);
@@ -298,7 +297,7 @@
         }
     }
 
-    /// Gives a member something to do; what it has to send then goes out, and its timer is set.
+    /// Runs `work` on a member, sends the resulting datagrams and reschedules the member's timer.
     fn drive(&mut self, index: usize, work: impl FnOnce(&mut HollowMember, Micros)) {
         let now = self.clock.now();
         let member = &mut self.members[index - self.daemons.len()];
@@ -360,7 +359,7 @@
     }
 }
 
-/// The index of the entry of this writer that goes to the first daemon.
+/// Returns the index of this writer's entry among the datagrams to the first daemon.
 fn own_entry(outgoing: &[Outgoing], own: Writer) -> Option<Index> {
     let mut to_first = outgoing.iter().filter(|outgoing| outgoing.to == 0);
     to_first.find_map(|outgoing| match Datagram::decode(&outgoing.bytes) {
@@ -369,7 +368,7 @@
     })
 }
 
-/// What each hollow member says of itself, by index; nothing for daemons, which speak for themselves.
+/// Returns the introductions of the hollow members by index, with empty ones for the daemons.
 fn introductions(config: &FleetConfig, daemons: usize, now: Micros) -> Vec<Vec<u8>> {
     let introduction = |index: usize| match index < daemons {
         true => Vec::new(),
--- a/rehearse/src/scale/daemons/kind.rs
+++ b/rehearse/src/scale/daemons/kind.rs
@@ -1,28 +1,28 @@
-//! What a datagram between members is about, for counts by kind.
+//! Classification of datagrams between members, for traffic counts.
 
 use linnetknot_budgets::wire as budgets;
 use linnetknot_membership::{DecodeError, Message};
 use linnetknot_replication::Datagram;
 
-/// Kinds of datagrams.
+/// Kind of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
-    /// Who runs: probes, their answers and gossip.
+    /// Membership: probes, acknowledgements and gossip.
     Membership,
     /// Shares of budgets.
     Budgets,
-    /// Entries of the logs.
+    /// Log entries.
     Entries,
-    /// Acknowledgements of entries.
+    /// Acknowledgements of log entries.
     Acks,
-    /// How far logs are had, and requests for what is missing.
+    /// Log digests, requests for missing entries and snapshots.
     Digests,
-    /// All else: plain purges and what is said of the origin.
+    /// Other datagrams: plain purges and origin health.
     Other,
 }
 
 impl Kind {
-    /// All of them, in their order.
+    /// All kinds, in declaration order.
     pub const ALL: [Kind; 6] = [
         Kind::Membership,
         Kind::Budgets,
@@ -32,7 +32,7 @@
         Kind::Other,
     ];
 
-    /// Of a datagram.
+    /// Returns the kind of a datagram.
     pub fn of(bytes: &[u8]) -> Self {
         match Datagram::decode(bytes) {
             Ok(Datagram::Entry(_)) => return Kind::Entries,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Its name in tables.
+    /// Returns the name of the kind in tables.
     pub fn name(self) -> &'static str {
         match self {
             Kind::Membership => "membership",
--- a/rehearse/src/scale/daemons/mod.rs
+++ b/rehearse/src/scale/daemons/mod.rs
@@ -1,10 +1,10 @@
-//! Real daemons on loopback beside hollow members: what a daemon spends on control in a fleet that is larger than this
-//! machine holds of them.
+//! Measures the control cost of real daemons on loopback, next to hollow members that stand in for the rest of a large
+//! fleet.
 //!
-//! The hollow members stand in this process and speak to the daemons by sockets. Processor time and memory are those that
-//! the operating system tells of the daemons' processes. Bytes are those of the datagrams between daemons and hollow
-//! members, with 28 bytes of headers each; what goes between two daemons is seen by nobody, and is estimated as if each
-//! of them were one hollow member more.
+//! The hollow members run in this process and exchange datagrams with the daemons over sockets. Processor time and
+//! memory are read from the operating system for each daemon process. Bytes are counted for datagrams between daemons
+//! and hollow members, with 28 bytes of headers each. Traffic between two daemons is not observed; it is estimated by
+//! treating each other daemon as one more hollow member.
 
 pub mod acks;
 pub mod command;
--- a/rehearse/src/scale/daemons/proc_stat.rs
+++ b/rehearse/src/scale/daemons/proc_stat.rs
@@ -1,26 +1,26 @@
-//! What the operating system tells of a process: its processor time, its memory, and what its sockets lost.
+//! Reads a process's processor time and memory and the drops of its UDP sockets from `/proc`.
 
 use rustix::param::clock_ticks_per_second;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-/// Places of user and system time in `/proc/PID/stat`, counted from behind the name, which may hold spaces.
+/// Positions of user and system time in `/proc/PID/stat`, counted after the process name, which may contain spaces.
 const USER_TIME: usize = 11;
 const SYSTEM_TIME: usize = 12;
 
-/// Columns of `/proc/net/udp`: the local address and the datagrams that found no room in the socket's buffer.
+/// Columns of `/proc/net/udp` with the local address and the datagrams dropped because the receive buffer was full.
 const LOCAL_ADDRESS: usize = 1;
 const DROPS: usize = 12;
 
-/// What a process has used and holds.
+/// Processor time and memory of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProcessStat {
-    /// Processor time of all its threads, in user and kernel mode.
+    /// Processor time of all threads, in user and kernel mode.
     pub processor_time: Duration,
     /// Resident memory in bytes.
     pub resident_bytes: u64,
-    /// The most that was resident at any time.
+    /// Peak resident memory in bytes.
     pub peak_resident_bytes: u64,
 }
 
@@ -28,10 +28,10 @@
     io::Error::new(io::ErrorKind::InvalidData, format!("{what} can't be read"))
 }
 
-/// Reads a process's figures.
+/// Reads the processor time and memory of a process.
 ///
 /// # Errors
-/// Where the process has ended, or the system tells what can't be read.
+/// Returns an error if the process has exited or a file cannot be parsed.
 pub fn read(process: u32) -> io::Result<ProcessStat> {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat"))?;
     let status = std::fs::read_to_string(format!("/proc/{process}/status"))?;
@@ -44,7 +44,7 @@
     })
 }
 
-/// The clock ticks of processor time in the text of `/proc/PID/stat`.
+/// Returns the clock ticks of processor time from the text of `/proc/PID/stat`.
 fn processor_ticks(stat: &str) -> Option<u64> {
     let (_, after_name) = stat.rsplit_once(')')?;
     let fields: Vec<&str> = after_name.split_whitespace().collect();
@@ -52,17 +52,17 @@
     Some(ticks(USER_TIME)? + ticks(SYSTEM_TIME)?)
 }
 
-/// A figure in bytes from the text of `/proc/PID/status`, which has kilobytes.
+/// Returns a value in bytes from the text of `/proc/PID/status`, which has kilobytes.
 fn memory_bytes(status: &str, key: &str) -> Option<u64> {
     let line = status.lines().find_map(|line| line.strip_prefix(key))?;
     let kilobytes: u64 = line.split_whitespace().next()?.parse().ok()?;
     Some(kilobytes << 10)
 }
 
-/// Datagrams that the system dropped for want of room in the buffer of the UDP socket at an address.
+/// Returns the datagrams that were dropped because the receive buffer of the UDP socket at `address` was full.
 ///
 /// # Errors
-/// Where the system does not tell, or there is no such socket.
+/// Returns an error if the table cannot be read or has no such socket.
 pub fn dropped_datagrams(address: SocketAddr) -> io::Result<u64> {
     let table = std::fs::read_to_string("/proc/net/udp")?;
     let wanted =
@@ -77,7 +77,7 @@
     drops.ok_or_else(|| unreadable("the socket's row of /proc/net/udp"))
 }
 
-/// An address as `/proc/net/udp` has it.
+/// Formats an address as in `/proc/net/udp`.
 fn table_address(address: SocketAddr) -> Option<String> {
     let IpAddr::V4(ip) = address.ip() else {
         return None;
--- a/rehearse/src/scale/hollow/budget_share.rs
+++ b/rehearse/src/scale/hollow/budget_share.rs
@@ -1,4 +1,4 @@
-//! A hollow member's part of what all members spend, as the daemon drives it, with a demand that is drawn.
+//! Budget protocol of a hollow member, driven as in the daemon, with random demand.
 
 use super::outbox::Outbox;
 use crate::scale::fleet_config::{FleetConfig, SharedBudget};
@@ -8,15 +8,15 @@
 use linnetknot_simnet::{member_at, peer_index, Micros};
 use std::collections::BTreeMap;
 
-/// The loop comes to its sockets between two looks at the budgets.
+/// Shortest time between two ticks of the budget protocol.
 const MIN_PAUSE_US: Micros = 1_000;
 
-/// Requests of the origin that a member would hold at a time, at most.
+/// Upper bound of a member's random demand for concurrent requests of the origin.
 const MAX_CONCURRENT: u64 = 6;
-/// Millionths of a cold cache that a member would spend, at most.
+/// Upper bound of a member's random demand on a cold cache, in millionths.
 const MAX_COLD: u64 = 30_000;
 
-/// A member's part of all budgets.
+/// A member's shares of all budgets.
 #[derive(Clone, Debug)]
 pub(super) struct BudgetShare {
     index: usize,
@@ -62,7 +62,7 @@
         self.due
     }
 
-    /// Once in a while: what is wanted and spent, who runs, and what time has brought.
+    /// Draws new demand, updates which members are up, and advances the budget protocol.
     pub(super) fn tick(
         &mut self,
         now: Micros,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Takes in a datagram of the budgets; false where it is none.
+    /// Handles a datagram of the budget protocol; returns `false` if it belongs to another protocol.
     pub(super) fn receive(
         &mut self,
         from: usize,
--- a/rehearse/src/scale/hollow/disk.rs
+++ b/rehearse/src/scale/hollow/disk.rs
@@ -1,27 +1,26 @@
-//! A simulated disk: a worker commits all that waits at once, and what comes meanwhile goes with the next commit.
+//! Simulated disk that commits all queued writes as one batch; writes queued during a commit are part of the next one.
 
 use linnetknot_replication::{Index, LogId};
 use linnetknot_simnet::Micros;
 use std::collections::VecDeque;
 
-/// How long one commit takes.
 const COMMIT_DURATION_US: Micros = 3_000;
 
-/// An entry on its way to the disk.
+/// Log entry to be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Write {
     pub(super) log: LogId,
     pub(super) index: Index,
 }
 
-/// The disk's queue.
+/// Simulated disk with a bounded write queue.
 #[derive(Clone, Debug)]
 pub(super) struct SimulatedDisk {
     queue: VecDeque<Write>,
     capacity: usize,
-    /// The writes of the commit that runs.
+    /// Number of writes in the current commit.
     committing: usize,
-    /// When it ends.
+    /// End of the current commit.
     ends: Option<Micros>,
 }
 
@@ -39,7 +38,7 @@
         self.queue.len() >= self.capacity
     }
 
-    /// Takes an entry; false where the queue is full.
+    /// Queues a write; returns `false` if the queue is full.
     pub(super) fn write(&mut self, write: Write, now: Micros) -> bool {
         if self.is_full() {
             return false;
@@ -56,12 +55,12 @@
         self.ends = (self.committing > 0).then_some(now + COMMIT_DURATION_US);
     }
 
-    /// When the commit that runs ends.
+    /// Returns the end of the current commit.
     pub(super) fn due(&self) -> Option<Micros> {
         self.ends
     }
 
-    /// The entries that are on the disk by now.
+    /// Returns the entries that have been committed by `now`.
     pub(super) fn synced(&mut self, now: Micros) -> Vec<Write> {
         if self.ends.is_none_or(|ends| ends > now) {
             return Vec::new();
--- a/rehearse/src/scale/hollow/event.rs
+++ b/rehearse/src/scale/hollow/event.rs
@@ -1,51 +1,51 @@
-//! What happens at a hollow member that its host must know.
+//! Events of a hollow member that it reports to its host.
 
 use crate::scale::purge_number::PurgeNumber;
 use linnetknot_simnet::Micros;
 
-/// Why a purge is refused.
+/// Reason why a purge is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Refusal {
-    /// There is no room for one more entry, log or pending commit.
+    /// The limit of entries, logs or pending commits is reached.
     Capacity,
-    /// The disk is too far behind, or did not take it.
+    /// The write queue of the disk is full, or a write failed.
     Disk,
-    /// Too few further machines acknowledged it in time.
+    /// Too few other machines acknowledged the purge in time.
     Acknowledgements,
 }
 
-/// What happened at a member.
+/// Event of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberEvent {
-    /// A purge is in force here; it may be said again.
+    /// A purge is in force at this member. The event may be repeated for a purge.
     InForce {
-        /// Which.
+        /// Number of the purge.
         purge: PurgeNumber,
     },
-    /// A purge that was told here is committed.
+    /// A purge issued at this member is committed.
     Committed {
-        /// Which.
+        /// Number of the purge.
         purge: PurgeNumber,
     },
-    /// A purge that was told here is refused.
+    /// A purge issued at this member is refused.
     Refused {
-        /// Which.
+        /// Number of the purge.
         purge: PurgeNumber,
-        /// Why.
+        /// Reason of the refusal.
         reason: Refusal,
     },
-    /// A purge that a peer told is in force and can't be kept.
+    /// A purge received from a peer is in force but cannot be stored.
     NotStored {
-        /// Which.
+        /// Number of the purge.
         purge: PurgeNumber,
-        /// Why.
+        /// Reason why it cannot be stored.
         reason: Refusal,
     },
-    /// A peer is believed to be dead.
+    /// A peer is considered dead.
     Died {
-        /// Its place in the list of peers.
+        /// Index of the peer in the member's peer list.
         peer: usize,
-        /// When the process began that is believed to be dead.
+        /// Start time of the process that is considered dead.
         started: Micros,
     },
 }
--- a/rehearse/src/scale/hollow/inspection.rs
+++ b/rehearse/src/scale/hollow/inspection.rs
@@ -1,4 +1,4 @@
-//! What can be read of a hollow member: its logs, its leases and how much it holds.
+//! Read-only views of a hollow member: its logs, leases and state size.
 
 use super::budget_share::BudgetShare;
 use super::HollowMember;
@@ -7,34 +7,34 @@
 use linnetknot_replication::{Index, LogId, LogPosition};
 use linnetknot_simnet::Micros;
 
-/// How far a log goes.
+/// Last index of a log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogEnd {
-    /// The log.
+    /// Identifier of the log.
     pub log: LogId,
-    /// Its last index.
+    /// Index of its last entry.
     pub index: Index,
 }
 
-/// How much a member holds, by kind of state.
+/// Size of a member's state, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StateSize {
     /// Entries in force in all logs.
     pub entries: usize,
-    /// Logs.
+    /// Number of logs.
     pub logs: usize,
-    /// Members of which something is believed.
+    /// Members with a membership claim.
     pub claims: usize,
     /// Commits that wait for acknowledgements.
     pub pending_commits: usize,
-    /// Entries on their way to the disk.
+    /// Entries queued for the disk.
     pub disk_queue: usize,
     /// Bytes of the compact table of older purges.
     pub table_bytes: usize,
 }
 
 impl HollowMember {
-    /// How much it may spend of a budget now.
+    /// Returns the amount of a budget that the member may spend now.
     pub fn may_spend(&self, budget: usize, now: Micros) -> u64 {
         let Some(budgets) = &self.budgets else {
             return 0;
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Whether it allocates any budget.
+    /// Returns whether the member allocates any budget.
     pub fn is_allocator(&self, now: Micros) -> bool {
         let Some(core) = self.budgets.as_ref().map(BudgetShare::core) else {
             return false;
@@ -54,17 +54,17 @@
         (0..self.config.budgets.len()).any(|budget| core.leads(now, core.group(budget)))
     }
 
-    /// Whether no copy of a purge's object from before the purge would be served.
+    /// Returns whether the purge is in force, so that copies from before `at` are not served.
     pub fn is_in_force(&self, purge: PurgeNumber, at: Micros) -> bool {
         self.purge_log.is_in_force(purge, at)
     }
 
-    /// A sum over all its logs: members with the same sum have the same logs.
+    /// Returns a checksum over all logs; members with equal logs have equal checksums.
     pub fn digest(&self) -> u64 {
         self.purge_log.replica().log_store().checksum()
     }
 
-    /// Its logs and how far it has each.
+    /// Returns the last index of each log.
     pub fn log_ends(&self) -> Vec<LogEnd> {
         let ends = self.purge_log.replica().log_store().last_indexes();
         ends.into_iter()
@@ -72,19 +72,19 @@
             .collect()
     }
 
-    /// Whether it has logs up to these places at least.
+    /// Returns whether the member has all logs up to at least these indexes.
     pub fn has_logs(&self, ends: &[LogEnd]) -> bool {
         let store = self.purge_log.replica().log_store();
         ends.iter()
             .all(|end| store.last_index(end.log) >= end.index)
     }
 
-    /// Whether it has all that it committed before it lost its disk, or has waited for that as long as it may.
+    /// Returns whether recovery is over, by completion or timeout, and the member is not catching up with its peers.
     pub fn has_recovered(&self) -> bool {
         self.purge_log.has_recovered()
     }
 
-    /// How much it holds.
+    /// Returns the size of the member's state.
     pub fn state_size(&self) -> StateSize {
         let store = self.purge_log.replica().log_store();
         StateSize {
--- a/rehearse/src/scale/hollow/mod.rs
+++ b/rehearse/src/scale/hollow/mod.rs
@@ -1,7 +1,7 @@
-//! A hollow member: the daemon's sans-IO cores without clients, without sockets and with a simulated disk.
+//! A hollow member runs the daemon's sans-IO protocol code without clients and sockets, with a simulated disk.
 //!
-//! The cores and their datagrams are the daemon's own. Whoever hosts a member gives it what comes (`receive`), the time
-//! (`tick`, when it is `due`) and purges, and sends what it has to send (`take_outgoing`): on virtual time, or on sockets.
+//! Its host passes it received datagrams (`receive`), timer events (`tick`, at the time `due`) and purges, and sends
+//! its outgoing datagrams (`take_outgoing`). The host may run on virtual time or on real sockets.
 
 mod budget_share;
 mod disk;
@@ -34,7 +34,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 
-/// A hollow member.
+/// A simulated proxy without clients or sockets.
 #[derive(Debug)]
 pub struct HollowMember {
     config: Arc<FleetConfig>,
@@ -43,7 +43,7 @@
     membership_due: Micros,
     purge_log: PurgeLog,
     plain_purges: PlainPurges,
-    /// None: nothing is shared.
+    /// `None` if no budgets are shared.
     budgets: Option<BudgetShare>,
     origin_health: OriginHealth,
     outbox: Outbox,
@@ -51,13 +51,13 @@
     defect: Option<Defect>,
 }
 
-/// The address by which a peer's messages on the origin are known.
+/// Returns the placeholder address that identifies a peer in origin health messages.
 fn address(peer: usize) -> SocketAddr {
     let number = u32::try_from(peer).unwrap_or(u32::MAX);
     (Ipv4Addr::from(number), 1).into()
 }
 
-/// The names that a member reports to its peers.
+/// Returns the names that a member announces to its peers.
 fn names(member: &MemberName) -> Names {
     Names {
         name: member.name.clone(),
@@ -66,10 +66,10 @@
 }
 
 impl HollowMember {
-    /// A member that starts now, with what its disk has, or without a disk.
+    /// Starts a member with the contents of its disk, or without a disk.
     ///
     /// # Panics
-    /// Where a budget's limit is less than what is reserved of it.
+    /// Panics if a budget's reserved amounts exceed its limit.
     pub fn start(
         config: &Arc<FleetConfig>,
         index: usize,
@@ -115,17 +115,17 @@
         }
     }
 
-    /// Its index among all members.
+    /// Returns the member's index in the fleet.
     pub fn index(&self) -> usize {
         self.index
     }
 
-    /// Plants a fault, for a test.
+    /// Injects a defect, for tests.
     pub fn inject_defect(&mut self, defect: Defect) {
         self.defect = Some(defect);
     }
 
-    /// Takes in a datagram of the peer at this place of its list.
+    /// Handles a datagram from the peer at this index of the peer list.
     pub fn receive(&mut self, from_peer: usize, bytes: &[u8], now: Micros) {
         let is_dropped = match self.defect {
             Some(Defect::DropsPurges) => is_purge(bytes),
@@ -203,7 +203,8 @@
         true
     }
 
-    /// The machines of the peers: as each says itself, and until it has as the configuration says.
+    /// Updates the machines of the peers from their announced names, or from the configuration for peers not heard from
+    /// yet.
     fn update_machines(&mut self) {
         let known = self
             .membership
@@ -238,14 +239,14 @@
         }
     }
 
-    /// Lets it know all peers, as one that has run for long does, by the answers to its greetings.
+    /// Completes the membership view from the peers' introductions, as if the member had been running for a long time.
     pub fn receive_introductions(&mut self, introductions: &[Vec<u8>], now: Micros) {
         for (index, bytes) in introductions
             .iter()
             .enumerate()
             .filter(|(index, _)| *index != self.index)
         {
-            // What is built here can be read.
+            // The introductions are built by this module, so decoding cannot fail.
             let _ = self
                 .membership
                 .receive(now, peer_index(index, self.index), bytes);
@@ -255,7 +256,7 @@
         self.update_machines();
     }
 
-    /// The answer to a greeting by the member at an index, by which `acquaint` makes it known.
+    /// Encodes the ping acknowledgement by which a member introduces itself; see `receive_introductions`.
     pub fn introduction(config: &FleetConfig, index: usize, started: Micros) -> Vec<u8> {
         let me = &config.members[index];
         let names = Some(names(me));
@@ -276,14 +277,14 @@
         .encode()
     }
 
-    /// When `tick` has something to do.
+    /// Returns the time at which `tick` must be called next.
     pub fn due(&self) -> Micros {
         let budgets = self.budgets.as_ref().map(BudgetShare::due);
         let others = [budgets, self.plain_purges.due()].into_iter().flatten();
         others.fold(self.membership_due.min(self.purge_log.due()), Micros::min)
     }
 
-    /// Does what is due.
+    /// Runs all timers that are due.
     pub fn tick(&mut self, now: Micros) {
         if self.defect != Some(Defect::NeverCompacts) {
             self.purge_log.compact(now);
@@ -314,7 +315,7 @@
         }
     }
 
-    /// A client tells it of a purge.
+    /// Handles a purge issued by a client at this member.
     pub fn purge(&mut self, purge: PurgeNumber, now: Micros) {
         self.purge_log
             .purge(purge, now, &mut self.outbox, &mut self.events);
@@ -324,36 +325,36 @@
         }
     }
 
-    /// An answer of the origin was late: this share of its requests may still ask it.
+    /// Records a late response of the origin; `share` is the fraction of requests that may still be sent to it.
     pub fn record_late_origin_response(&mut self, share: f64, now: Micros) {
         if let Some(bytes) = self.origin_health.record_late_response(now, share) {
             self.outbox.broadcast(&bytes);
         }
     }
 
-    /// It ends in order, and tells its peers.
+    /// Announces a graceful shutdown to the peers.
     pub fn leave(&mut self, now: Micros) {
         self.membership.leave();
         self.flush_membership(now);
     }
 
-    /// What the next process finds on its disk, after an end in order or a crash.
+    /// Returns what the next process finds on its disk after a graceful shutdown or a crash.
     pub fn disk_contents(&self, is_in_order: bool) -> DiskContents {
         self.purge_log.disk_contents(is_in_order)
     }
 
-    /// What it has to send.
+    /// Takes the datagrams to be sent.
     pub fn take_outgoing(&mut self) -> Vec<Outgoing> {
         self.outbox.take()
     }
 
-    /// What happened since it was last asked.
+    /// Takes the events since the last call.
     pub fn take_events(&mut self) -> Vec<MemberEvent> {
         std::mem::take(&mut self.events)
     }
 }
 
-/// Whether a peer is known to replicate logs: one that runs does, as far as membership tells.
+/// Returns whether a peer replicates logs, which all peers do that membership considers up.
 fn replicates(membership: &Membership, peer: usize) -> bool {
     membership
         .members()
@@ -361,12 +362,11 @@
         .is_some_and(linnetknot_membership::Member::is_up)
 }
 
-/// Whether a datagram is a part of a snapshot.
 fn is_snapshot(bytes: &[u8]) -> bool {
     matches!(Datagram::decode(bytes), Ok(Datagram::SnapshotChunk(_)))
 }
 
-/// Whether a datagram is an entry or a plain purge.
+/// Returns whether a datagram carries a log entry or a plain purge.
 fn is_purge(bytes: &[u8]) -> bool {
     matches!(Datagram::decode(bytes), Ok(Datagram::Entry(_))) || peers::read(bytes).is_some()
 }
--- a/rehearse/src/scale/hollow/outbox.rs
+++ b/rehearse/src/scale/hollow/outbox.rs
@@ -1,17 +1,17 @@
-//! Datagrams that wait to be sent.
+//! Queue of outgoing datagrams.
 
 use std::sync::Arc;
 
-/// A datagram to be sent.
+/// Datagram to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
-    /// The receiver's place in the sender's list of peers, which leaves the sender out.
+    /// Index of the receiver in the sender's peer list, which excludes the sender.
     pub to: usize,
-    /// The datagram. One that goes to all peers is shared among them.
+    /// Encoded datagram, shared among the receivers of a broadcast.
     pub bytes: Arc<[u8]>,
 }
 
-/// What a member has to send.
+/// Outgoing datagrams of a member.
 #[derive(Clone, Debug)]
 pub(super) struct Outbox {
     peers: usize,
@@ -19,7 +19,7 @@
 }
 
 impl Outbox {
-    /// Of a member with so many peers.
+    /// Creates an empty queue for a member with `peers` peers.
     pub(super) fn new(peers: usize) -> Self {
         Outbox {
             peers,
@@ -38,7 +38,7 @@
         self.send_where(bytes, |_| true);
     }
 
-    /// Sends a datagram to all peers that meet a condition.
+    /// Sends a datagram to all peers that satisfy a condition.
     pub(super) fn send_where(&mut self, bytes: &[u8], condition: impl Fn(usize) -> bool) {
         let bytes: Arc<[u8]> = bytes.into();
         let peers = (0..self.peers).filter(|peer| condition(*peer));
--- a/rehearse/src/scale/hollow/purge_log.rs
+++ b/rehearse/src/scale/hollow/purge_log.rs
@@ -1,4 +1,4 @@
-//! A hollow member's replicated logs, as the daemon drives them: purges, their commits, and the disk beside them.
+//! Replicated purge logs of a hollow member, driven as in the daemon: purges, commits and disk writes.
 
 use super::disk::{SimulatedDisk, Write};
 use super::outbox::Outbox;
@@ -12,22 +12,22 @@
 use linnetknot_simnet::Micros;
 use std::collections::BTreeMap;
 
-/// The loop comes to its sockets between two looks at the logs.
+/// Shortest time between two ticks of the replication protocol.
 const MIN_PAUSE_US: Micros = 1_000;
 
-/// How often entries whose time is over are looked for.
+/// Interval at which expired entries are removed.
 const EXPIRY_INTERVAL_US: Micros = 60_000_000;
 
-/// What a member's disk has when its process ends, for the next one.
+/// Contents of a member's disk after its process ended.
 #[derive(Clone, Debug, Default)]
 pub struct DiskContents {
     logs: LogStore,
-    /// The log that goes on, where the process ended in order.
+    /// Log that the next process continues, set after a graceful shutdown.
     own: Option<LogId>,
 }
 
 impl DiskContents {
-    /// A disk with these logs, of which `own` goes on.
+    /// Creates disk contents from logs, of which the next process continues `own`.
     pub fn with_logs(logs: LogStore, own: LogId) -> Self {
         DiskContents {
             logs,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The purges that are on it.
+    /// Returns the numbers of the purges on the disk.
     pub fn purges(&self) -> impl Iterator<Item = PurgeNumber> + '_ {
         self.logs.entries().filter_map(|entry| entry_purge(&entry))
     }
@@ -48,7 +48,7 @@
     }
 }
 
-/// The logs of one member.
+/// Logs of one member with their disk and pending commits.
 #[derive(Clone, Debug)]
 pub(super) struct PurgeLog {
     replica: Replica,
@@ -103,7 +103,8 @@
         self.disk.len()
     }
 
-    /// Whether no copy of the purge's object from before it would be served, by an entry or by the compact table.
+    /// Returns whether the purge is in force through an entry or the compact table, so that copies from before `at` are
+    /// not served.
     pub(super) fn is_in_force(&self, purge: PurgeNumber, at: Micros) -> bool {
         let effective = self
             .replica
@@ -112,12 +113,12 @@
         effective.is_some_and(|effective| effective >= at)
     }
 
-    /// Whether it has all that it ever committed, and all that its peers compacted.
+    /// Returns whether recovery is over and the member is not catching up with the peers' snapshots.
     pub(super) fn has_recovered(&self) -> bool {
         self.recovery.as_ref().is_none_or(Recovery::is_over) && !self.replica.is_catching_up()
     }
 
-    /// The machines of the peers, as they are known now.
+    /// Sets the machines of this member and of its peers.
     pub(super) fn set_machines(&mut self, own: u64, machines: Vec<u64>) {
         self.replica.set_peers(own, machines);
     }
@@ -130,7 +131,7 @@
             .fold(self.due, Micros::min)
     }
 
-    /// What is due: entries that are synced, the logs' own period, and recovery.
+    /// Handles synced writes and runs the replication and recovery timers that are due.
     pub(super) fn tick(&mut self, now: Micros, outbox: &mut Outbox, events: &mut Vec<MemberEvent>) {
         self.sync(now, outbox, events);
         if self.due <= now {
@@ -139,7 +140,7 @@
         self.recover(now, outbox);
     }
 
-    /// Moves the oldest purges to the compact table. The simulated disk has them there as soon as the replica does.
+    /// Moves the oldest purges to the compact table, which the simulated disk stores at once.
     pub(super) fn compact(&mut self, now: Micros) {
         let _ = self.replica.compact(now);
     }
@@ -168,7 +169,7 @@
             self.replica.expire(now);
         }
         send_all(self.replica.tick(now), outbox);
-        // The daemon logs whether anything is under-replicated.
+        // The daemon computes this for its log, so its cost is included here.
         let _ = self.replica.under_replicated();
         self.settle(now, events);
         self.plan(now);
@@ -215,7 +216,7 @@
         Ok(entry)
     }
 
-    /// A client tells this member of a purge.
+    /// Appends a purge issued by a client, broadcasts its entry and opens a commit.
     pub(super) fn purge(
         &mut self,
         purge: PurgeNumber,
@@ -271,7 +272,7 @@
         }
     }
 
-    /// Takes in a datagram of the logs; false where it is none.
+    /// Handles a replication datagram; returns `false` if it belongs to another protocol.
     pub(super) fn receive(
         &mut self,
         from: usize,
@@ -293,7 +294,7 @@
         received.new.iter().for_each(|entry| self.write(entry, now));
         in_force(&received, events);
         if peer_checksum == Some(self.replica.log_store().checksum()) {
-            // Whether that ended the wait is asked for when it matters.
+            // The end of recovery is queried with `has_recovered` instead.
             let _ = self
                 .recovery
                 .as_mut()
@@ -311,12 +312,12 @@
             );
         }
         self.settle(now, events);
-        // The next part of a snapshot, or of what is missing, may be due sooner now.
+        // The next request or snapshot chunk may now be due earlier.
         self.plan(now);
         true
     }
 
-    /// Writes a purge of a peer that does not replicate logs into this member's own log, if no log has it.
+    /// Appends a purge from a peer that does not replicate logs to this member's log, unless a log already has it.
     pub(super) fn write_plain(
         &mut self,
         purge: PurgeNumber,
@@ -336,7 +337,8 @@
         }
     }
 
-    /// What the next process finds on the disk. Only one that ends in order, with all on the disk, goes on with its log.
+    /// Returns what the next process finds on the disk. Only a process that shut down gracefully with all entries
+    /// synced has its log continued.
     pub(super) fn disk_contents(&self, is_in_order: bool) -> DiskContents {
         let store = self.replica.log_store();
         if is_in_order && self.replica.is_synced() {
@@ -364,7 +366,7 @@
     }
 }
 
-/// What is received is in force, whether or not there is room to keep it.
+/// Reports received purges as in force, including those that cannot be stored.
 fn in_force(received: &Received, events: &mut Vec<MemberEvent>) {
     for entry in received
         .new
--- a/rehearse/src/scale/report/member_figures.rs
+++ b/rehearse/src/scale/report/member_figures.rs
@@ -1,4 +1,4 @@
-//! The figures of single members, by role.
+//! Figures of single members, grouped by role.
 
 use super::{Role, Row, Spread, Value};
 use crate::scale::fault::{duration, writers, Fault};
@@ -10,29 +10,29 @@
 use crate::scale::simulation::Outcome;
 use std::collections::BTreeMap;
 
-/// A figure of one member.
+/// Figure of one member.
 struct MemberFigure {
     name: &'static str,
     unit: &'static str,
     limit: Option<f64>,
     is_volatile: bool,
-    /// None: the member did not run when it was read.
+    /// Returns `None` if the member was not running when the figure was read.
     of: Box<dyn Fn(MemberIndex) -> Option<f64>>,
 }
 
-/// A figure that a member's meter tells.
+/// Figure read from a member's meter.
 struct MeterFigure {
     name: &'static str,
     unit: &'static str,
     limit: Option<f64>,
     is_volatile: bool,
-    /// The seconds that it is told for.
+    /// Duration in seconds by which the value is divided.
     seconds: f64,
     of: fn(&Meter) -> f64,
 }
 
 impl MeterFigure {
-    /// A figure without a limit, alike in all runs of one seed.
+    /// Creates a figure without a limit that is equal in all runs of one seed.
     fn new(name: &'static str, unit: &'static str, seconds: f64, of: fn(&Meter) -> f64) -> Self {
         MeterFigure {
             name,
@@ -63,7 +63,7 @@
     }
 }
 
-/// What members spend over the whole run.
+/// Returns the figures of the whole measured interval.
 fn run_figures(run: &Run) -> Vec<MeterFigure> {
     let seconds = run.seconds as f64;
     let limits = &run.target.limits;
@@ -101,7 +101,7 @@
     ]
 }
 
-/// What members spend while a fault lasts and after it; nothing where it does not last.
+/// Returns the figures during and after the fault, or none if the fault has no fixed interval.
 fn fault_figures(outcome: &Outcome, run: &Run) -> Vec<MeterFigure> {
     let Some(fault) = duration(run.fault, &run.target, outcome.window) else {
         return Vec::new();
@@ -134,8 +134,7 @@
         .collect()
 }
 
-/// How much members hold at the end, and the memory of each kind of state: of what is counted, by the bytes that one
-/// takes.
+/// Returns the size of the members' state at the end and the memory of each kind, estimated from the size of an item.
 fn state_figures(outcome: &Outcome) -> Vec<MemberFigure> {
     type Count = fn(&StateSize) -> usize;
     const COUNT: &str = "at the end";
@@ -173,7 +172,7 @@
     counts.into_iter().map(figure).collect()
 }
 
-/// The members at which most purges were told.
+/// Returns the members at which the most purges were issued.
 fn busiest_writers(outcome: &Outcome, run: &Run) -> Vec<MemberIndex> {
     if run.fault == Fault::HotWriter {
         return writers(run.fault, &outcome.layout);
@@ -192,7 +191,7 @@
         .collect()
 }
 
-/// The rows of all roles that a member has.
+/// Returns the rows of all roles with at least one member.
 pub(super) fn member_rows(outcome: &Outcome, run: &Run) -> Vec<Row> {
     let mut figures = meter_figures(outcome, run);
     figures.extend(state_figures(outcome));
--- a/rehearse/src/scale/report/mod.rs
+++ b/rehearse/src/scale/report/mod.rs
@@ -1,4 +1,4 @@
-//! What a run came to, as a table: each figure by role, over members, beside its limit.
+//! Report of a run as a table: figures by role, as distributions over members, with their limits.
 
 mod member_figures;
 
@@ -13,18 +13,18 @@
 use std::collections::BTreeMap;
 use std::fmt::{self, Write as _};
 
-/// A role of members: one member may have several.
+/// Role of a member; a member may have several.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Role {
     /// All members.
     Member,
-    /// Those that allocated a budget at any time.
+    /// Members that allocated a budget at any time.
     Allocator,
-    /// Those at which most purges were told.
+    /// Members at which the most purges were issued.
     Writer,
-    /// Those that started while it was measured.
+    /// Members that started after the beginning of the run.
     Starter,
-    /// No single member: the fleet.
+    /// The fleet as a whole.
     Fleet,
 }
 
@@ -40,19 +40,19 @@
     }
 }
 
-/// Median, 99th percentile and most.
+/// Median, 99th percentile and maximum.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Spread {
-    /// Half are no more than this.
+    /// Median.
     pub median: f64,
-    /// All but one in a hundred.
+    /// 99th percentile.
     pub p99: f64,
-    /// The worst.
+    /// Maximum.
     pub most: f64,
 }
 
 impl Spread {
-    /// Of these figures; none where there are none.
+    /// Summarises values; returns `None` if there are none.
     pub fn of(mut figures: Vec<f64>) -> Option<Self> {
         figures.sort_unstable_by(f64::total_cmp);
         let last = figures.len().checked_sub(1)?;
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Of a histogram of microseconds, in milliseconds.
+    /// Summarises a histogram of microseconds in milliseconds.
     pub fn of_delays(delays: &Histogram<u64>) -> Option<Self> {
         let at = |share| delays.value_at_quantile(share) as f64 / 1e3;
         (!delays.is_empty()).then(|| Spread {
@@ -77,36 +77,36 @@
     }
 }
 
-/// What a row has to say.
+/// Value of a row.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Value {
-    /// Figures over members, or over deliveries.
+    /// Distribution over members or deliveries.
     Spread(Spread),
-    /// One figure.
+    /// Single value.
     Single(f64),
-    /// Why there is none.
+    /// Reason why there is no value.
     None(String),
 }
 
-/// A row of the table.
+/// Row of the table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// Whose.
+    /// Role of the members.
     pub role: Role,
-    /// What.
+    /// Name of the figure.
     pub figure: String,
-    /// What it counts.
+    /// Unit of the figure.
     pub unit: String,
-    /// How much.
+    /// Value of the figure.
     pub value: Value,
-    /// How much it may be.
+    /// Upper limit of the figure.
     pub limit: Option<f64>,
-    /// Read off a clock or from the system: it differs between two runs of one seed.
+    /// Whether the figure depends on the clock or the operating system and so differs between runs of one seed.
     pub is_volatile: bool,
 }
 
 impl Row {
-    /// The worst figure; none where there is none.
+    /// Returns the worst value, if there is one.
     pub fn worst_value(&self) -> Option<f64> {
         match &self.value {
             Value::Spread(spread) => Some(spread.most),
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Whether the worst figure is over its limit.
+    /// Returns whether the worst value exceeds the limit.
     pub fn is_over(&self) -> bool {
         self.worst_value()
             .zip(self.limit)
@@ -123,30 +123,30 @@
     }
 }
 
-/// A run's result.
+/// Report of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Members.
+    /// Number of members.
     pub members: usize,
-    /// Sites, zones and regions that they stand in.
+    /// Number of sites.
     pub sites: usize,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
-    /// Regions.
+    /// Number of regions.
     pub regions: usize,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
     /// Measured seconds of virtual time.
     pub seconds: u64,
-    /// What happened.
+    /// Name of the simulated fault.
     pub fault: String,
     /// All figures.
     pub rows: Vec<Row>,
-    /// What is wrong, by rule, with how often and the first case.
+    /// Broken rules, with the number of violations and the first example.
     pub wrong: BTreeMap<String, (u64, String)>,
-    /// Real seconds that the run took.
+    /// Wall-clock duration of the run in seconds.
     pub real_seconds: f64,
-    /// Events that were handled.
+    /// Number of events handled.
     pub events: u64,
 }
 
@@ -234,7 +234,7 @@
 }
 
 impl Report {
-    /// Of a run that has just been played in this process.
+    /// Builds the report of a run that was just simulated in this process.
     pub fn of(run: &Run, outcome: &Outcome) -> Self {
         let mut rows = member_rows(outcome, run);
         rows.extend(delay_rows(outcome, &run.target));
@@ -255,7 +255,7 @@
         }
     }
 
-    /// The table; `is_stable` leaves out what differs between two runs of one seed.
+    /// Formats the report as a table; `is_stable` omits everything that differs between two runs of one seed.
     pub fn table(&self, is_stable: bool) -> String {
         let mut out = self.head(is_stable);
         out += "| role | figure | unit | median | p99 | most | limit | |\n";
@@ -268,7 +268,7 @@
             out += &line(row);
         }
         for (verdict, (count, first)) in &self.wrong {
-            // Writing to a string does not fail.
+            // Writing to a string cannot fail.
             let _ = writeln!(out, "{verdict} ({count} times; first: {first})");
         }
         out
@@ -290,7 +290,7 @@
     }
 }
 
-/// A figure, with as many digits as it needs.
+/// Formats a figure with a precision suited to its magnitude.
 pub fn format_figure(figure: f64) -> String {
     match figure.abs() {
         0.0 => "0".to_owned(),
--- a/rehearse/src/scale/simulation/faults.rs
+++ b/rehearse/src/scale/simulation/faults.rs
@@ -49,7 +49,7 @@
         self.schedule_wake(index);
     }
 
-    /// Its process is gone.
+    /// Ends a member's process and saves the contents of its disk.
     pub(super) fn end(&mut self, index: MemberIndex, is_in_order: bool) {
         let node = &mut self.nodes[index];
         let Some(member) = node.member.take() else {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// A member believes that the process of another which started then is dead.
+    /// Records that `observer` considers the process of `victim` started at `started` dead.
     pub(super) fn record_death(
         &mut self,
         observer: MemberIndex,
@@ -119,7 +119,7 @@
     ) {
         let node = &self.nodes[victim];
         let Some(crashed_at) = node.crashed_at else {
-            // Word of an earlier process that did die may come late.
+            // A report about an earlier process that did die may arrive late.
             let is_running = node.member.is_some() && node.running_since == started;
             self.false_deaths += u64::from(is_running);
             return;
--- a/rehearse/src/scale/simulation/mod.rs
+++ b/rehearse/src/scale/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! The event loop: members, links and what happens to them, on virtual time.
+//! Discrete-event loop of the simulation: members, links and faults on virtual time.
 
 mod checks;
 mod faults;
@@ -26,28 +26,28 @@
 
 const SECOND_US: Micros = 1_000_000;
 
-/// The time at which a run begins.
+/// Virtual time at the start of a run.
 const START: Micros = SECOND_US;
 
-/// Before anything is measured: budgets have their allocators after some five seconds.
+/// Time before measuring begins; the budgets elect their allocators within about 5 s.
 const WARM_UP_US: Micros = 7 * SECOND_US;
 
-/// After the measured time the fleet is left alone, for so long at most.
+/// Longest time after the measured window to wait for all members to converge.
 const MAX_SETTLING_US: Micros = 20 * SECOND_US;
 
-/// How often members' states are compared then.
+/// Interval at which the members' states are compared while waiting for convergence.
 const STATE_COMPARISON_INTERVAL_US: Micros = SECOND_US / 4;
 
-/// How often the sums of the budgets are checked.
+/// Interval at which the sums of the leases are checked.
 const BUDGET_CHECK_INTERVAL_US: Micros = SECOND_US / 10;
 
-/// How often it is looked who allocates budgets, which costs more.
+/// Interval at which the budget allocators are sampled.
 const ALLOCATOR_SAMPLE_INTERVAL_US: Micros = SECOND_US;
 
-/// How often a member that joined is looked at.
+/// Interval at which the progress of a joining member is polled.
 const JOINER_POLL_INTERVAL_US: Micros = SECOND_US / 10;
 
-/// Something that is due.
+/// Scheduled event.
 #[derive(Debug)]
 enum Event {
     Arrival {
@@ -72,14 +72,14 @@
     PollJoiner,
 }
 
-/// Never: a member that is not running, or has no timer.
+/// Time value for a member that is not running or has no timer.
 const NEVER: Micros = Micros::MAX;
 
-/// A member and its process.
+/// A member with its process and disk.
 #[derive(Debug)]
 struct Node {
     member: Option<HollowMember>,
-    /// The time of its timer.
+    /// Time at which its timer fires.
     wake_at: Micros,
     running_since: Micros,
     disk: Option<DiskContents>,
@@ -89,7 +89,7 @@
 struct Joining {
     member: MemberIndex,
     since: Micros,
-    /// What the fleet had then.
+    /// Ends of the fleet's logs when the member started.
     ends: Vec<LogEnd>,
 }
 
@@ -114,7 +114,7 @@
     events: u64,
 }
 
-/// Plays a run.
+/// Simulates a run.
 pub fn play(run: &Run) -> Outcome {
     let started_at = Instant::now();
     let mut simulation = Simulation::new(run);
@@ -191,9 +191,9 @@
         }
     }
 
-    // ---- The plan ----
+    // ---- Schedule ----
 
-    /// All members run and know each other, as in a fleet that has run for long.
+    /// Starts all members with complete membership views, as in a fleet that has been running for a long time.
     fn start_fleet(&mut self) {
         let members = self.nodes.len();
         let absent = joiner(self.run.fault, self.network.layout());
@@ -243,7 +243,7 @@
             .schedule(self.window.from, Event::SampleAllocators);
     }
 
-    // ---- Time ----
+    // ---- Events ----
 
     fn run_until(&mut self, end: Micros) {
         while let Some(Timed { at, event }) = self.queue.pop_due(end) {
@@ -271,7 +271,7 @@
         (self.window.from..self.window.until).contains(&self.now)
     }
 
-    /// Gives a member something to do; what it has to send then goes out, and its timer is set.
+    /// Runs `work` on a member, sends the resulting datagrams and reschedules the member's timer.
     fn drive(&mut self, index: MemberIndex, work: impl FnOnce(&mut HollowMember, Micros)) {
         let (now, is_measured) = (self.now, self.is_measured());
         let Some(member) = &mut self.nodes[index].member else {
@@ -295,7 +295,7 @@
         let node = &mut self.nodes[index];
         let Some(member) = &node.member else { return };
         let due = member.due().max(self.now);
-        // A timer that comes too early is set anew when it is over; only one that would come too late is replaced.
+        // A timer that fires too early is rescheduled then; only one that would fire too late is replaced.
         if due < node.wake_at {
             node.wake_at = due;
             self.queue.schedule(
--- a/rehearse/src/scale/simulation/outcome.rs
+++ b/rehearse/src/scale/simulation/outcome.rs
@@ -1,4 +1,4 @@
-//! What a run came to.
+//! Results of a run.
 
 use crate::scale::delivery::PurgeTracker;
 use crate::scale::fault::Window;
@@ -11,35 +11,35 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What a run came to.
+/// Results of a run.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Where the members stood.
+    /// Locations of the members.
     pub layout: Layout,
-    /// The time in which it was measured.
+    /// Measured interval.
     pub window: Window,
-    /// What each member spent while it was measured.
+    /// Resource use of each member in the measured interval.
     pub meters: Vec<Meter>,
-    /// What each member that ran held when the measured time ended.
+    /// State of each running member at the end of the measured interval.
     pub states: BTreeMap<MemberIndex, StateSize>,
-    /// Those that allocated a budget at any time.
+    /// Members that allocated a budget at any time.
     pub allocators: BTreeSet<MemberIndex>,
-    /// Those that started while it was measured.
+    /// Members that started after the beginning of the run.
     pub starters: BTreeSet<MemberIndex>,
-    /// The purges.
+    /// Purges of the run.
     pub purges: PurgeTracker,
-    /// From a member's death until each other believed it.
+    /// Delays from the crash of a member until each other member detected it.
     pub death_delays: Histogram<u64>,
-    /// Times that a member which ran was believed to be dead.
+    /// Number of times that a running member was considered dead.
     pub false_deaths: u64,
-    /// How long a member that joined took until it had all that was there when it started.
+    /// Time that a joining member needed to receive all log entries that existed when it started.
     pub join_us: Option<Micros>,
-    /// How long it took after the last purge until all connected members had the same logs.
+    /// Time from the end of the measured interval until all connected members had the same logs.
     pub settling_us: Option<Micros>,
-    /// What is wrong.
+    /// Rules that were broken.
     pub verdict: Verdict,
-    /// Events handled.
+    /// Number of events handled.
     pub events: u64,
-    /// Real time of the whole run.
+    /// Wall-clock time of the whole run.
     pub real: Duration,
 }
--- a/rehearse/src/scale/simulation/purges.rs
+++ b/rehearse/src/scale/simulation/purges.rs
@@ -1,4 +1,4 @@
-//! Purges that clients tell members of, and what becomes of them.
+//! Issues purges and records their progress.
 
 use super::{Event, Simulation, NEVER};
 use crate::scale::hollow::{MemberEvent, Refusal};
@@ -7,7 +7,7 @@
 use linnetknot_simnet::{member_at, Micros};
 
 impl Simulation<'_> {
-    /// A client tells a member of a purge, or the next one where that is away.
+    /// Issues a purge at a member, or at the next running one if it is down.
     pub(super) fn issue_purge(&mut self, writer: MemberIndex) {
         let members = self.nodes.len();
         let candidates = (0..members).map(|offset| (writer + offset) % members);
@@ -24,7 +24,8 @@
         self.drive(writer, |member, now| member.purge(purge, now));
     }
 
-    /// Since when a member has been there, and not cut off from another.
+    /// Returns the time since which a member has been running and connected to `from`, or `NEVER` if the link has been
+    /// down since `issued_at`.
     pub(super) fn connected_since(
         &self,
         member: MemberIndex,
