--- a/rehearse/src/scale/daemons/proc_stat/tests.rs
+++ b/rehearse/src/scale/daemons/proc_stat/tests.rs
@@ -1,4 +1,4 @@
-//! The figures in the texts of `/proc`.
+//! Parsing of the process figures under `/proc`.
 
 use super::*;
 use std::net::UdpSocket;
--- a/rehearse/src/scale/daemons/purge_plan.rs
+++ b/rehearse/src/scale/daemons/purge_plan.rs
@@ -1,4 +1,4 @@
-//! Which purges are told when and where, and the clients that tell the daemons of theirs.
+//! Schedule of the purges of a run, and the clients that send the daemons' share of them.
 
 use super::real;
 use crate::scale::purge_number::{object, PurgeNumber};
@@ -11,18 +11,18 @@
 
 const SECOND_US: Micros = 1_000_000;
 
-/// A purge that is to be told.
+/// Scheduled purge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedPurge {
-    /// How long after the beginning.
+    /// Time after the start of the load.
     pub after_us: Micros,
-    /// Which.
+    /// Number of the purge.
     pub number: PurgeNumber,
-    /// Whom.
+    /// Member at which it is issued.
     pub member: usize,
 }
 
-/// Purges at an even rate, each told to one of all members, which are drawn with equal chances.
+/// Schedules purges at an even rate, each at a member drawn uniformly at random.
 pub fn plan(members: usize, per_second: u64, seconds: u64, seed: u64) -> Vec<PlannedPurge> {
     let mut random = Random::new(seed);
     let purges = per_second * seconds;
@@ -34,20 +34,20 @@
     planned.collect()
 }
 
-/// What became of the purges that one daemon was told by its second front.
+/// Results of the purges that one daemon received through its CDNI interface.
 #[derive(Debug)]
 pub struct TriggerOutcome {
-    /// How long each answer took, in microseconds.
+    /// Response times in microseconds.
     pub answers: Histogram<u64>,
-    /// Those that were refused, and why.
+    /// Descriptions of the refused purges.
     pub refused: Vec<String>,
 }
 
-/// A client that tells one daemon of its purges, each when it is due, on a thread of its own.
+/// Client on its own thread that sends the scheduled purges of one daemon.
 pub struct TriggerClient(JoinHandle<TriggerOutcome>);
 
 impl TriggerClient {
-    /// Begins.
+    /// Starts the client.
     pub fn start(cdni: SocketAddr, purges: Vec<PlannedPurge>) -> Self {
         let started_at = Instant::now();
         TriggerClient(thread::spawn(move || {
@@ -55,12 +55,12 @@
         }))
     }
 
-    /// Whether all are answered.
+    /// Returns whether all purges have been answered.
     pub fn is_finished(&self) -> bool {
         self.0.is_finished()
     }
 
-    /// Waits until all are answered.
+    /// Waits until all purges have been answered.
     pub fn join(self) -> TriggerOutcome {
         let on_panic = |_| TriggerOutcome {
             answers: super::acks::delay_histogram(),
--- a/rehearse/src/scale/daemons/real.rs
+++ b/rehearse/src/scale/daemons/real.rs
@@ -1,4 +1,4 @@
-//! The real daemons: their files, their processes and what is asked of them.
+//! Real daemon processes: their configuration files, lifecycle and status queries.
 
 use super::proc_stat::{self, ProcessStat};
 use crate::scale::fleet_config::{MemberName, SharedBudget};
@@ -16,27 +16,28 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use thiserror::Error;
 
-/// The machine that each daemon is told it has. They decide on clients, and on nothing that control has.
+/// Resources in each daemon's configuration, for the limits derived from them. They bound client traffic and do not
+/// affect the control cost.
 const MEMORY_MB: usize = 256;
 const DESCRIPTORS: usize = 1_024;
 
-/// Further machines that a commit waits for.
+/// Number of other machines that must acknowledge a commit.
 const MIN_ACKS: usize = 1;
 
-/// What all members of a fleet are told, and the daemons by their files.
+/// Settings shared by all members of a fleet, from which the daemons' files are generated.
 pub struct FleetFiles {
     /// Names of all members, the daemons first.
     pub members: Vec<MemberName>,
     /// Addresses of all members, in the same order.
     pub addresses: Vec<SocketAddr>,
-    /// Requests that the origin holds at a time, of all members together.
+    /// Concurrent requests that the origin accepts from all members together.
     pub origin_requests: u64,
-    /// Share of the budgets of cold caches that is reserved.
+    /// Fraction of the cold-cache budgets that is reserved.
     pub cold_reserved_share: f64,
 }
 
 impl FleetFiles {
-    /// Of these members.
+    /// Creates the settings of a fleet with these members.
     pub fn new(members: Vec<MemberName>, addresses: Vec<SocketAddr>, target: &Target) -> Self {
         let origin_requests = target.budgets.origin_requests_per_proxy * members.len() as u64;
         FleetFiles {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The configuration of the member at an index.
+    /// Returns the configuration file of a member.
     fn config(&self, index: usize) -> Value {
         let peers: Vec<String> = self.addresses.iter().map(SocketAddr::to_string).collect();
         json!({
@@ -58,7 +59,7 @@
         })
     }
 
-    /// Its interconnect file.
+    /// Returns the interconnect file of a member.
     fn interconnect(&self, index: usize, purges: &Path) -> Value {
         let machines = self.addresses.iter().zip(&self.members);
         let machines: Map<String, Value> = machines
@@ -74,10 +75,10 @@
         })
     }
 
-    /// What the daemons make of their budgets, for hollow members to share the same.
+    /// Returns the budgets that a daemon derives from its files, so that hollow members share the same ones.
     ///
     /// # Errors
-    /// Where a daemon would refuse its files.
+    /// Returns an error if a daemon would reject its files.
     pub fn budgets(&self) -> io::Result<Budgets> {
         let fields = |value: Value| value.as_object().cloned().unwrap_or_default();
         let mut config = Config::read(&fields(self.config(0))).map_err(io::Error::other)?;
@@ -87,7 +88,8 @@
     }
 }
 
-/// Budgets as hollow members have them. Those of another zone are spent by none of the fleet.
+/// Converts the daemons' budgets to those of hollow members. Budgets of another zone are assigned to a zone without
+/// members.
 pub fn shared_budgets(budgets: &Budgets, zones: usize) -> Vec<SharedBudget> {
     let shared = budgets.list.iter().map(|shared| SharedBudget {
         unit: shared.unit,
@@ -97,15 +99,15 @@
     shared.collect()
 }
 
-/// Addresses for so many daemons.
+/// Returns free addresses for this number of daemons.
 ///
 /// # Errors
-/// Where loopback has no room.
+/// Returns an error if no free ports are available on loopback.
 pub fn daemon_addresses(daemons: usize) -> io::Result<Vec<SocketAddr>> {
     free_ports(daemons)
 }
 
-/// Daemons that run; they end with this.
+/// Running daemons, which are terminated on drop.
 pub struct RealDaemons {
     processes: Vec<Process>,
     addresses: Vec<SocketAddr>,
@@ -120,10 +122,10 @@
 }
 
 impl RealDaemons {
-    /// Starts the first members of a fleet as daemons of this program.
+    /// Starts the first `daemons` members of a fleet as processes of `program`.
     ///
     /// # Errors
-    /// Where one does not start.
+    /// Returns an error if a daemon does not start.
     pub fn start(program: &Path, daemons: usize, files: &FleetFiles) -> io::Result<Self> {
         static RUNS: AtomicU64 = AtomicU64::new(0);
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
@@ -149,41 +151,42 @@
         Ok(running)
     }
 
-    /// How many there are.
+    /// Returns the number of daemons.
     pub fn len(&self) -> usize {
         self.processes.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no daemons.
     pub fn is_empty(&self) -> bool {
         self.processes.is_empty()
     }
 
-    /// Where neighbours tell a daemon of purges.
+    /// Returns the address of a daemon's CDNI listener, which accepts purges.
     pub fn cdni(&self, daemon: usize) -> SocketAddr {
         self.processes[daemon].cdni
     }
 
-    /// What a daemon tells operators.
+    /// Queries the status of a daemon from its admin interface.
     ///
     /// # Errors
-    /// Where it can't be asked.
+    /// Returns an error if the query fails.
     pub fn status(&self, daemon: usize) -> io::Result<Status> {
         Ok(query_status(self.processes[daemon].admin)?)
     }
 
-    /// The number of a daemon's process among those of its name. One that began without a disk has that of its log.
+    /// Returns the process identifier that a daemon announces to its peers. A daemon that started without a disk uses
+    /// the epoch of its log.
     ///
     /// # Errors
-    /// Where it can't be asked, or says what can't be read.
+    /// Returns an error if the query fails or the epoch cannot be parsed.
     pub fn process_id(&self, daemon: usize) -> io::Result<u64> {
         u64::from_str_radix(&self.status(daemon)?.epoch, 16).map_err(io::Error::other)
     }
 
-    /// What the system tells of each process.
+    /// Reads the processor time and memory of each daemon.
     ///
     /// # Errors
-    /// Where one has ended.
+    /// Returns an error if a daemon has exited.
     pub fn process_stats(&self) -> io::Result<Vec<ProcessStat>> {
         self.processes
             .iter()
@@ -191,10 +194,10 @@
             .collect()
     }
 
-    /// Datagrams that found no room in each daemon's socket.
+    /// Returns the datagrams dropped by each daemon's peer socket because its receive buffer was full.
     ///
     /// # Errors
-    /// Where the system does not tell.
+    /// Returns an error if the counters cannot be read.
     pub fn dropped_datagrams(&self) -> io::Result<Vec<u64>> {
         self.addresses
             .iter()
@@ -203,21 +206,21 @@
     }
 }
 
-/// Why a daemon did not take a purge.
+/// Reason why a daemon did not accept a purge.
 #[derive(Debug, Error)]
 pub enum PurgeError {
-    /// It answered with another status than 201.
+    /// The response had a status other than 201.
     #[error("answered {0}")]
     Status(u16),
-    /// It could not be told.
+    /// The request failed.
     #[error("{0}")]
     Connection(#[from] io::Error),
 }
 
-/// Tells a daemon's CDNI listener of a purge.
+/// Sends a purge to a daemon's CDNI listener.
 ///
 /// # Errors
-/// Where it did not take it.
+/// Returns an error if the daemon does not accept the purge.
 pub fn purge(cdni: SocketAddr, object: &str) -> Result<(), PurgeError> {
     match trigger_at(cdni, &[object])?.status {
         201 => Ok(()),
--- a/rehearse/src/scale/daemons/report.rs
+++ b/rehearse/src/scale/daemons/report.rs
@@ -1,4 +1,4 @@
-//! What a run came to, as a table and as JSON, beside the limits.
+//! Report of a run with real daemons, as a table and as JSON, with the limits.
 
 use super::kind::Kind;
 use super::run::{DaemonOutcome, Outcome, Run, Spent};
@@ -7,94 +7,95 @@
 use serde::Serialize;
 use std::fmt::Write;
 
-/// Refused purges that are named.
+/// Maximum number of refused purges that are listed.
 const MAX_LISTED_REFUSALS: usize = 20;
 
-/// Figures of one daemon in one time.
+/// Figures of one daemon in one measured interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Figures {
-    /// Of one core.
+    /// Percentage of one core.
     pub processor_percent: f64,
-    /// Resident memory in megabytes, at the end of the time.
+    /// Resident memory in megabytes at the end of the interval.
     pub memory_mb: f64,
-    /// The most until then.
+    /// Peak resident memory in megabytes since the daemon started.
     pub peak_memory_mb: f64,
-    /// Datagrams a second that hollow members sent to it.
+    /// Datagrams per second from hollow members to the daemon.
     pub datagrams_in: f64,
-    /// And it to them.
+    /// Datagrams per second from the daemon to hollow members.
     pub datagrams_out: f64,
-    /// Kilobytes a second between it and hollow members, with headers.
+    /// Kilobytes per second between the daemon and hollow members, with headers.
     pub counted_kilobytes: f64,
-    /// The same and what went between daemons, as if each of them sent as much as a hollow member.
+    /// Estimated kilobytes per second in total: `counted_kilobytes`, scaled to include the other daemons as if they
+    /// were hollow members.
     pub estimated_kilobytes: f64,
-    /// The counted ones by kind, in the order of `Kind::ALL`.
+    /// `counted_kilobytes` by kind, in the order of `Kind::ALL`.
     pub kilobytes_by_kind: [f64; Kind::ALL.len()],
-    /// Datagrams that found no room in its socket.
+    /// Datagrams dropped because the daemon's receive buffer was full.
     pub dropped: u64,
 }
 
-/// Delays in milliseconds.
+/// Distribution of delays in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Delays {
-    /// How many.
+    /// Number of delays.
     pub count: u64,
-    /// Half of them are no longer.
+    /// Median.
     pub p50_ms: f64,
-    /// 99 of 100 are no longer.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// The longest.
+    /// Maximum.
     pub max_ms: f64,
 }
 
-/// One daemon.
+/// Figures of one daemon.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct DaemonReport {
-    /// Without purges.
+    /// Figures without purges.
     pub at_rest: Figures,
-    /// With them.
+    /// Figures under the load of purges.
     pub under_load: Figures,
-    /// Until it acknowledged a purge of a hollow member.
+    /// Delays until the daemon acknowledged purges of hollow members.
     pub acknowledged: Delays,
-    /// Until it answered a purge that it was told by its second front.
+    /// Response times of purges sent to the daemon's CDNI interface.
     pub answered: Delays,
     /// Entries in force at the end.
     pub entries: usize,
-    /// Logs at the end.
+    /// Number of logs at the end.
     pub logs: usize,
 }
 
-/// A run.
+/// Report of a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
-    /// Real daemons.
+    /// Number of real daemons.
     pub daemons: usize,
-    /// Hollow members.
+    /// Number of hollow members.
     pub members: usize,
     /// Seconds under load.
     pub seconds: u64,
-    /// Purges told to the whole fleet in a second.
+    /// Purges per second across the whole fleet.
     pub purges_per_second: u64,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Each daemon.
+    /// Figures by daemon.
     pub by_daemon: Vec<DaemonReport>,
-    /// Purges told to hollow members.
+    /// Purges issued at hollow members.
     pub hollow_purges: usize,
-    /// Times that a hollow member believed a running one to be dead.
+    /// Number of times that a hollow member considered a running one dead.
     pub false_deaths: u64,
-    /// Until all knew each other, in milliseconds.
+    /// Time until all members knew each other, in milliseconds.
     pub warm_up_ms: Option<u64>,
-    /// Until all had the same logs after the load, in milliseconds.
+    /// Time from the end of the load until all members had the same logs, in milliseconds.
     pub settling_ms: Option<u64>,
-    /// How late hollow members' timers ran: 99 of 100, and the latest, in milliseconds.
+    /// Lateness of the hollow members' timers in milliseconds: 99th percentile and maximum.
     pub lateness_ms: [f64; 2],
     /// Processor time of this process, as a percentage of one core.
     pub host_processor_percent: f64,
-    /// Whether the hollow members kept pace. If not, the figures are not those of the load that was meant.
+    /// Whether the hollow members kept pace. Otherwise the figures do not describe the intended load.
     pub kept_pace: bool,
-    /// What is over a limit, by the worst daemon.
+    /// Figures of the worst daemon that exceed a limit.
     pub over: Vec<String>,
-    /// What is wrong.
+    /// Descriptions of what went wrong.
     pub wrong: Vec<String>,
 }
 
@@ -137,13 +138,13 @@
     }
 }
 
-/// The largest of a figure.
+/// Returns the largest value, at least 0.
 pub fn worst(figures: impl Iterator<Item = f64>) -> f64 {
     figures.fold(0.0, f64::max)
 }
 
 impl Report {
-    /// Of a run.
+    /// Builds the report of a run.
     pub fn of(run: &Run, outcome: &Outcome) -> Self {
         let by_daemon: Vec<_> = outcome
             .daemons
@@ -171,7 +172,7 @@
         }
     }
 
-    /// As a table.
+    /// Formats the report as tables.
     pub fn table(&self, limits: &ControlLimits) -> String {
         let mut out = self.head();
         out += "\n| daemon | | CPU % | RSS MB | peak MB | dgrams in/s | out/s | KB/s counted | KB/s estimated | dropped |\n";
@@ -180,7 +181,7 @@
             out += &figures_row(number, "rest", &daemon.at_rest);
             out += &figures_row(number, "load", &daemon.under_load);
         }
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = writeln!(
             out,
             "| limit | | {} | {} | | | | | {} | |",
@@ -203,7 +204,7 @@
         out + &self.lines()
     }
 
-    /// Kilobytes by kind under load.
+    /// Formats the table of kilobytes by kind under load.
     fn kinds(&self) -> String {
         let names: String = Kind::ALL
             .iter()
@@ -252,7 +253,7 @@
         format!("\n{lines}{} wrong\n", self.wrong.len())
     }
 
-    /// The worst daemon's figure.
+    /// Returns the figure of the worst daemon.
     pub fn worst_figure(&self, figure: impl Fn(&DaemonReport) -> f64) -> f64 {
         worst(self.by_daemon.iter().map(figure))
     }
@@ -279,7 +280,7 @@
     )
 }
 
-/// Figures over a limit, by the worst daemon.
+/// Returns the figures of the worst daemon that exceed a limit.
 fn over(daemons: &[DaemonReport], target: &Target) -> Vec<String> {
     let limits = &target.limits;
     let mut over = Vec::new();
@@ -319,7 +320,7 @@
     over
 }
 
-/// What is wrong.
+/// Describes everything that went wrong in a run.
 fn wrong(outcome: &Outcome) -> Vec<String> {
     let mut wrong = Vec::new();
     if outcome.warm_up_us.is_none() {
--- a/rehearse/src/scale/daemons/run.rs
+++ b/rehearse/src/scale/daemons/run.rs
@@ -1,4 +1,4 @@
-//! One run: the fleet comes up, rests, bears its load and settles; what the daemons spent meanwhile.
+//! A run with real daemons: starts the fleet, measures it at rest and under load, and waits for convergence.
 
 use super::host::{HollowHost, RefusedPurge};
 use super::proc_stat::{self, ProcessStat};
@@ -18,106 +18,106 @@
 
 const SECOND_US: Micros = 1_000_000;
 
-/// All members know each other within this, or something is wrong. Daemons find each other among all members by their own
-/// greetings, which go to 16 members in a second.
+/// Longest time until all members know each other. Each daemon discovers the members by pinging 16 of them per second.
 const MAX_WARM_UP_US: Micros = 75 * SECOND_US;
 
-/// Budgets have their allocators after this.
+/// Time after which the budgets have elected their allocators.
 const BUDGET_ALLOCATION_US: Micros = 6 * SECOND_US;
 
-/// All members have the same logs this long after the last purge, or something is wrong.
+/// Longest time after the last purge until all members must have the same logs.
 const MAX_SETTLING_US: Micros = 30 * SECOND_US;
 
-/// How often daemons are asked where they stand, while nothing is measured.
+/// Interval at which the daemons' status is polled outside the measured intervals.
 const STATUS_POLL_INTERVAL_US: Micros = SECOND_US / 4;
 
-/// Timers of hollow members that run later than this, in more than one case of a hundred, make the run no measurement.
+/// Upper bound of the 99th percentile of timer lateness; above it the figures are not valid.
 const MAX_LATENESS_US: u64 = 100_000;
 
-/// What is run.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// The daemon.
+    /// Path of the daemon executable.
     pub program: PathBuf,
-    /// Real daemons.
+    /// Number of real daemons.
     pub daemons: usize,
-    /// Hollow members.
+    /// Number of hollow members.
     pub members: usize,
-    /// Seconds under load.
+    /// Seconds to measure under load.
     pub seconds: u64,
-    /// Seconds at rest before.
+    /// Seconds to measure at rest before the load.
     pub rest_seconds: u64,
-    /// Purges told to the whole fleet in a second.
+    /// Purges per second across the whole fleet.
     pub purges_per_second: u64,
-    /// Draws who is told which purge.
+    /// Seed for the distribution of the purges.
     pub seed: u64,
-    /// Limits and budgets.
+    /// Target with the limits and budgets.
     pub target: Target,
 }
 
-/// What one daemon spent in a time.
+/// Resources used by one daemon in a measured interval.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Spent {
-    /// How long.
+    /// Duration of the interval in seconds.
     pub seconds: f64,
-    /// Of the processor.
+    /// Processor time of the daemon.
     pub processor_time: Duration,
-    /// Resident at its end, and the most until then, in bytes.
+    /// Resident memory in bytes at the end of the interval.
     pub resident_bytes: u64,
-    /// The most until then.
+    /// Peak resident memory in bytes since the daemon started.
     pub peak_resident_bytes: u64,
-    /// Between it and all hollow members.
+    /// Traffic between the daemon and all hollow members.
     pub traffic: Traffic,
-    /// Datagrams that found no room in its socket.
+    /// Datagrams dropped because the daemon's receive buffer was full.
     pub dropped: u64,
 }
 
-/// What a run came to for one daemon.
+/// Results of a run for one daemon.
 #[derive(Debug)]
 pub struct DaemonOutcome {
-    /// Without any purges.
+    /// Resources used without purges.
     pub at_rest: Spent,
-    /// With them.
+    /// Resources used under the load of purges.
     pub under_load: Spent,
-    /// From a purge at a hollow member until this daemon acknowledged it, in microseconds.
+    /// Delays until this daemon acknowledged purges of hollow members, in microseconds.
     pub ack_delays: Histogram<u64>,
-    /// Purges of hollow members that it never acknowledged.
+    /// Purges of hollow members that the daemon did not acknowledge.
     pub unacknowledged: usize,
-    /// What it was told by its second front.
+    /// Results of the purges sent to its CDNI interface.
     pub triggers: TriggerOutcome,
     /// Entries in force at the end.
     pub entries: usize,
-    /// Its logs at the end.
+    /// Number of logs at the end.
     pub logs: usize,
-    /// Whether it has the logs that all hollow members have.
+    /// Whether its logs equal those of the hollow members.
     pub is_settled: bool,
 }
 
-/// What a run came to.
+/// Results of a run.
 #[derive(Debug)]
 pub struct Outcome {
-    /// By daemon.
+    /// Results by daemon.
     pub daemons: Vec<DaemonOutcome>,
-    /// Purges told to hollow members.
+    /// Purges issued at hollow members.
     pub hollow_purges: usize,
-    /// Purges that hollow members were refused or can't keep.
+    /// Purges that hollow members refused or could not store.
     pub refused: Vec<RefusedPurge>,
-    /// Times that a hollow member believed another member to be dead; all run.
+    /// Number of times that a hollow member considered another member dead, although all were running.
     pub false_deaths: u64,
-    /// Until all members knew each other, in microseconds; none: they never did.
+    /// Time until all members knew each other in microseconds, or `None` if they did not in time.
     pub warm_up_us: Option<Micros>,
-    /// From the last purge until all had the same logs; none: they never had.
+    /// Time from the end of the load until all members had the same logs in microseconds, or `None` if they did not in
+    /// time.
     pub settling_us: Option<Micros>,
-    /// Hollow members' timers ran so late under load, in microseconds: 99 of 100, and the latest.
+    /// 99th percentile of the lateness of hollow members' timers under load, in microseconds.
     pub lateness_p99_us: u64,
-    /// The latest.
+    /// Maximum of the lateness of hollow members' timers under load, in microseconds.
     pub lateness_max_us: u64,
-    /// Processor time of this process under load, as a share of one core.
+    /// Processor time of this process under load, as a fraction of one core.
     pub host_processor_share: f64,
 }
 
 impl Outcome {
-    /// Whether the hollow members kept pace, so that what was measured is the load that was meant.
+    /// Returns whether the hollow members kept pace, so that the figures describe the intended load.
     pub fn kept_pace(&self) -> bool {
         self.lateness_p99_us <= MAX_LATENESS_US
     }
@@ -129,7 +129,7 @@
     host: HollowHost,
 }
 
-/// What is read at the beginning and the end of a time.
+/// Counters at the start or end of a measured interval.
 struct Reading {
     at: Micros,
     processes: Vec<ProcessStat>,
@@ -137,10 +137,10 @@
     own: ProcessStat,
 }
 
-/// Plays a run.
+/// Runs the fleet and measures its daemons.
 ///
 /// # Errors
-/// Where the fleet does not start, or a daemon ends before its time.
+/// Returns an error if the fleet does not start or a daemon exits early.
 pub fn play(run: &Run) -> io::Result<Outcome> {
     let mut fleet = Fleet::start(run)?;
     let warm_up_us = fleet.warm_up()?;
@@ -188,7 +188,7 @@
         Ok(Fleet { run, daemons, host })
     }
 
-    /// Until all members know each other and their budgets are allocated: how long the first took.
+    /// Waits until all members know each other and the budgets are allocated, and returns the time until the former.
     fn warm_up(&mut self) -> io::Result<Option<Micros>> {
         let started_at = self.host.now();
         self.host.introduce()?;
@@ -226,7 +226,7 @@
         Ok(true)
     }
 
-    /// Drives the members until a condition holds: how long it took; none: it did not within a time.
+    /// Drives the members until a condition holds and returns the time that took, or `None` after `max_us`.
     fn wait_until(
         &mut self,
         max_us: Micros,
@@ -243,7 +243,7 @@
         Ok(None)
     }
 
-    /// Until all purges are answered and in force everywhere: how long it took.
+    /// Waits until all purges are answered and in force everywhere, and returns the time that took.
     fn settle(&mut self, clients: &[TriggerClient]) -> io::Result<Option<Micros>> {
         let are_finished = || clients.iter().all(TriggerClient::is_finished);
         self.wait_until(MAX_SETTLING_US, |fleet| {
@@ -292,7 +292,8 @@
         })
     }
 
-    /// Drives the members for a time, telling them of purges: what each daemon spent, and this process's processor time.
+    /// Drives the members for a time while issuing purges; returns the resources used by each daemon and the processor
+    /// time of this process.
     fn measure(
         &mut self,
         seconds: u64,
--- a/rehearse/src/scale/daemons/slopes.rs
+++ b/rehearse/src/scale/daemons/slopes.rs
@@ -1,10 +1,10 @@
-//! Runs of several sizes, and how each figure of the worst daemon grows with the size.
+//! Fits each figure of the worst daemon against the size of the fleet, over runs of several sizes.
 
 use super::report::{DaemonReport, Report};
 use crate::scale::fit::{exponent, line, Point};
 use std::fmt::Write;
 
-/// A figure that is fitted.
+/// Figure to be fitted.
 struct Figure {
     name: &'static str,
     of: fn(&DaemonReport) -> f64,
@@ -41,26 +41,26 @@
     },
 ];
 
-/// What came of a size.
+/// Outcome of the run of one size.
 #[derive(Debug)]
 pub enum SizeOutcome {
-    /// It ran.
+    /// The run completed.
     Ran(Box<Report>),
-    /// It was not run, or does not count, and why.
+    /// The run was not done or failed, for this reason.
     NotRun(String),
 }
 
-/// A size and what came of it.
+/// A fleet size and the outcome of its run.
 #[derive(Debug)]
 pub struct SizeRun {
-    /// Hollow members.
+    /// Number of hollow members.
     pub members: usize,
-    /// What came of it.
+    /// Outcome of the run.
     pub outcome: SizeOutcome,
 }
 
 impl SizeRun {
-    /// Its report, if it ran.
+    /// Returns the report if the run completed.
     pub fn report(&self) -> Option<&Report> {
         match &self.outcome {
             SizeOutcome::Ran(report) => Some(report),
@@ -69,7 +69,7 @@
     }
 }
 
-/// The runs that count: those in which the hollow members kept pace.
+/// Returns the reports of the runs in which the hollow members kept pace.
 fn measured(runs: &[SizeRun]) -> impl Iterator<Item = &Report> {
     runs.iter().filter_map(|run| match &run.outcome {
         SizeOutcome::Ran(report) if report.kept_pace => Some(&**report),
@@ -77,7 +77,7 @@
     })
 }
 
-/// A table of the worst daemon's figures by size, with their fits.
+/// Formats the worst daemon's figures by size and their fits as a table.
 pub fn table(runs: &[SizeRun], fleet: usize) -> String {
     let mut out =
         "figures of the worst daemon; size: all members, daemons and hollow ones\n\n| figure |"
@@ -92,7 +92,7 @@
         .for_each(|figure| out += &row(figure, runs, fleet));
     out += "\n";
     for SizeRun { members, outcome } in runs {
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = match outcome {
             SizeOutcome::NotRun(reason) => {
                 writeln!(out, "NOT RUN {members} hollow members: {reason}")
@@ -130,7 +130,7 @@
         Some(line) => {
             let power = exponent(&points).map_or("-".to_owned(), |power| format!("{power:.2}"));
             let at_fleet = line.slope * fleet as f64 + line.constant;
-            // A line that falls says that the figure does not grow with the size, and nothing of a larger one.
+            // A line without positive slope cannot be extrapolated to larger sizes.
             let at_fleet = if line.slope > 0.0 {
                 format!("{at_fleet:.1}")
             } else {
--- a/rehearse/src/scale/daemons/sockets.rs
+++ b/rehearse/src/scale/daemons/sockets.rs
@@ -1,4 +1,4 @@
-//! The UDP sockets of all hollow members: each has an address of its own on loopback, and one poll waits for them all.
+//! UDP sockets of the hollow members: each has its own loopback address, and all are polled together.
 
 use linnetknot_daemon::net::{Interest, Poll, ReadyEvent};
 use linnetknot_harness::fleet::free_ports;
@@ -8,32 +8,32 @@
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use thiserror::Error;
 
-/// The address of the first member; the others follow.
+/// Address of the first member; the other members use the following ones.
 const FIRST_ADDRESS: u32 = u32::from_be_bytes([127, 77, 0, 1]);
 
-/// Descriptors that this process needs besides: files, daemons' logs and clients.
+/// Descriptors that this process needs for files, daemon logs and clients.
 pub const OTHER_DESCRIPTORS: usize = 128;
 
-/// Ports that are tried; the addresses of one may belong to another run.
+/// Number of ports that are tried, because another run may use the same addresses.
 const MAX_PORTS: usize = 16;
 
-/// Ready sockets that one wait tells of.
+/// Maximum number of ready sockets returned by one poll.
 const MAX_READY: usize = 1_024;
 
-/// There are too few descriptors for so many sockets.
+/// The descriptor limit of this process is too low for the sockets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("needs {needed} descriptors, and this process may hold {limit}")]
 pub struct TooManySockets {
-    /// Descriptors that would be needed.
+    /// Number of descriptors needed.
     pub needed: usize,
-    /// Descriptors that this process may hold.
+    /// Descriptor limit of this process.
     pub limit: usize,
 }
 
-/// Whether this process may hold the sockets of so many members.
+/// Checks that this process may open the sockets of `members` members.
 ///
 /// # Errors
-/// Where it may not.
+/// Returns [`TooManySockets`] if the descriptor limit is too low.
 pub fn admit(members: usize) -> Result<(), TooManySockets> {
     let limit = getrlimit(Resource::Nofile)
         .current
@@ -46,22 +46,22 @@
     Ok(())
 }
 
-/// The sockets, by the place of their member among the hollow ones.
+/// Sockets by the index of their member among the hollow members.
 pub struct MemberSockets {
     sockets: Vec<UdpSocket>,
     addresses: Vec<SocketAddr>,
     poll: Poll,
     ready: Vec<ReadyEvent>,
-    /// The daemons, by their addresses.
+    /// Indexes of the daemons by address.
     daemons: HashMap<SocketAddr, usize>,
 }
 
-/// A datagram that was received.
+/// Received datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReceivedDatagram {
-    /// Which daemon sent it.
+    /// Index of the daemon that sent it.
     pub daemon: usize,
-    /// Its length.
+    /// Length in bytes.
     pub length: usize,
 }
 
@@ -76,10 +76,10 @@
 }
 
 impl MemberSockets {
-    /// Sockets for so many members, which hear daemons at these addresses.
+    /// Binds sockets for `members` members, which accept datagrams only from these daemons.
     ///
     /// # Errors
-    /// Where they can't be bound.
+    /// Returns an error if the sockets cannot be bound.
     pub fn bind(members: usize, daemons: &[SocketAddr]) -> io::Result<Self> {
         let mut sockets = Err(io::Error::other("no port was tried"));
         for port in free_ports(MAX_PORTS)? {
@@ -111,20 +111,20 @@
         })
     }
 
-    /// The addresses of all members.
+    /// Returns the addresses of all members.
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.addresses
     }
 
-    /// Sends a member's datagram; false where the system did not take it.
+    /// Sends a member's datagram; returns `false` if the operating system rejects it.
     pub fn send(&self, member: usize, to: SocketAddr, bytes: &[u8]) -> bool {
         self.sockets[member].send_to(bytes, to).is_ok()
     }
 
-    /// Waits until datagrams are there or so much time is over: the members that have some.
+    /// Waits for datagrams for at most `max_us` and returns the members that have some.
     ///
     /// # Errors
-    /// Where the system can't wait.
+    /// Returns an error if polling fails.
     pub fn wait(&mut self, max_us: u64) -> io::Result<Vec<usize>> {
         self.ready.clear();
         self.poll.wait(max_us, &mut self.ready)?;
@@ -136,7 +136,7 @@
             .collect())
     }
 
-    /// Receives a datagram of a daemon; none where no more is there. What does not come from a daemon is dropped.
+    /// Receives a datagram from a daemon, or `None` if none is queued. Datagrams from other senders are dropped.
     pub fn receive(&self, member: usize, buffer: &mut [u8]) -> Option<ReceivedDatagram> {
         loop {
             let (length, from) = self.sockets[member].recv_from(buffer).ok()?;
--- a/rehearse/src/scale/daemons/timers.rs
+++ b/rehearse/src/scale/daemons/timers.rs
@@ -1,9 +1,9 @@
-//! The timers of the hollow members that one loop drives.
+//! Timers of the hollow members that are driven by one loop.
 
 use linnetknot_simnet::Micros;
 use std::collections::BTreeSet;
 
-/// The timers of all members, by their index.
+/// Timers of all members by index.
 pub(super) struct Timers {
     queue: BTreeSet<(Micros, usize)>,
     set: Vec<Option<Micros>>,
@@ -17,7 +17,7 @@
         }
     }
 
-    /// Sets a member's timer. One that comes earlier stays: whoever is woken too early sets it anew.
+    /// Sets a member's timer unless it already has an earlier one. A member that is woken early sets its timer again.
     pub(super) fn set(&mut self, member: usize, at: Micros) {
         match self.set[member] {
             Some(old) if old <= at => return,
--- a/rehearse/src/scale/daemons/traffic.rs
+++ b/rehearse/src/scale/daemons/traffic.rs
@@ -1,33 +1,33 @@
-//! What goes between daemons and hollow members, counted by kind.
+//! Traffic between daemons and hollow members, counted by kind.
 
 use super::kind::Kind;
 use crate::scale::network::HEADER_BYTES;
 
-/// What went between one daemon and all hollow members, as the daemon sees it.
+/// Traffic between one daemon and all hollow members, from the daemon's point of view.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Datagrams that it was sent.
+    /// Datagrams sent to the daemon.
     pub datagrams_in: u64,
-    /// Their bytes, with headers.
+    /// Bytes sent to the daemon, with headers.
     pub bytes_in: u64,
-    /// Datagrams that it sent.
+    /// Datagrams sent by the daemon.
     pub datagrams_out: u64,
-    /// Their bytes, with headers.
+    /// Bytes sent by the daemon, with headers.
     pub bytes_out: u64,
-    /// Datagrams for it that this machine did not take.
+    /// Datagrams to the daemon that the operating system rejected.
     pub unsent: u64,
-    /// The bytes of both directions by kind, in the order of `Kind::ALL`.
+    /// Bytes in both directions by kind, in the order of `Kind::ALL`.
     pub bytes_by_kind: [u64; Kind::ALL.len()],
 }
 
 impl Traffic {
-    /// It was sent a datagram.
+    /// Counts a datagram sent to the daemon.
     pub(super) fn received(&mut self, bytes: &[u8]) {
         self.datagrams_in += 1;
         self.bytes_in += self.count_kind(bytes);
     }
 
-    /// It sent a datagram.
+    /// Counts a datagram sent by the daemon.
     pub(super) fn sent(&mut self, bytes: &[u8]) {
         self.datagrams_out += 1;
         self.bytes_out += self.count_kind(bytes);
--- a/rehearse/tests/scale.rs
+++ b/rehearse/tests/scale.rs
@@ -1,4 +1,4 @@
-//! Fleets of hollow members: what their verdicts find, and that a seed gives one table.
+//! Fleets of hollow members: detection of injected defects, faults, and reproducibility by seed.
 
 use linnetknot_rehearse::scale::fault::Fault;
 use linnetknot_rehearse::scale::fit::{exponent, line, Point};
@@ -16,14 +16,13 @@
 
 const MEMBERS: usize = 40;
 
-/// Entries that members of some runs hold exactly.
+/// Number of entries that members store exactly in runs that exceed it.
 const EXACT_ENTRIES: usize = 500;
 
 fn target() -> Target {
     Target::load(None).expect("the built-in target can be read")
 }
 
-/// A small fleet.
 fn run(fault: Fault) -> Run {
     let disabled = DisabledParts::default();
     Run {
@@ -38,7 +37,7 @@
     }
 }
 
-/// Few purges, so that a run in which something is wrong is short as well.
+/// A low purge rate keeps runs with broken rules short.
 fn run_with_few_purges(fault: Fault) -> Run {
     let target = Target {
         purges_per_second: 10,
@@ -154,7 +153,7 @@
     );
 }
 
-/// Many more purges than each member holds exactly.
+/// More purges than each member stores exactly.
 fn beyond_capacity() -> Run {
     let target = Target {
         purges_per_second: 1_000,
@@ -236,7 +235,7 @@
 #[test]
 fn a_day_has_failures_that_are_noticed_and_restarts_that_catch_up() {
     let outcome = play_sound_run(Fault::Day);
-    // 730 restarts of 6,400 proxies are 5 of 40.
+    // 730 restarts per day of 6,400 proxies scale to 5 of 40.
     assert_eq!(outcome.starters.len(), 5);
     assert_eq!(
         outcome.states.len(),
@@ -276,7 +275,7 @@
     assert_eq!(play_sound_run(Fault::FleetRestart).starters.len(), MEMBERS);
 }
 
-/// A fleet whose members hold 15,000 entries each and 140,000 purges in their tables.
+/// A fleet whose members store 15,000 entries and 140,000 compacted purges each.
 fn late_join() -> Run {
     let disabled = DisabledParts { budgets: true };
     Run {
@@ -297,7 +296,7 @@
     assert!(outcome.states[&0].table_bytes > 0 && outcome.states[&0].entries >= 15_000);
 }
 
-/// Its logs are those of the others, and what was compacted in them is nowhere.
+/// The member has the same logs as the others but lacks the purges that were compacted from them.
 #[test]
 fn a_late_member_that_gets_no_table_is_found() {
     let injected_defects = vec![InjectedDefect {
@@ -323,7 +322,7 @@
     let outcome = play_sound_run(Fault::SlowOrigin);
     let calm = play(&run(Fault::Calm));
     let sent = |outcome: &Outcome| outcome.meters.iter().map(|m| m.sent_datagrams).sum::<u64>();
-    // Two reports a second of each of five zones at most, to all others, for two seconds.
+    // At most two reports per second from each of five zones, to all other members, for two seconds.
     let reports = sent(&outcome).saturating_sub(sent(&calm));
     let members = MEMBERS as u64;
     assert!(
@@ -352,7 +351,7 @@
         .any(|row| row.figure.contains("the fault")));
 }
 
-// ---- One member by itself ----
+// ---- Single members ----
 
 #[test]
 fn hollow_members_can_be_driven_by_any_loop() {
@@ -449,7 +448,7 @@
     }
 }
 
-/// The built-in target with something else in one place.
+/// The built-in target with one replacement.
 fn altered_target(from: &str, to: &str) -> String {
     let text = include_str!("../targets/fleet.json");
     assert!(text.contains(from));
@@ -510,7 +509,7 @@
     assert_eq!(line(&points(|size| size)[..1]), None);
 }
 
-// ---- The command line ----
+// ---- Command line ----
 
 fn scale(arguments: &[&str]) -> (Option<i32>, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_linnetknot-rehearse"));
--- a/rehearse/tests/scale_daemons.rs
+++ b/rehearse/tests/scale_daemons.rs
@@ -1,4 +1,4 @@
-//! The verdict and the tables of runs with real daemons, on outcomes that are made up.
+//! Reports and tables of runs with real daemons, for constructed outcomes.
 
 use linnetknot_rehearse::scale::daemons::acks::delay_histogram;
 use linnetknot_rehearse::scale::daemons::host::RefusedPurge;
@@ -28,7 +28,7 @@
     }
 }
 
-/// A daemon that spent so many hundredths of a core and sent so many bytes.
+/// Resources of a daemon that used this many hundredths of a core and sent this many bytes.
 fn spent(hundredths: u64, bytes_out: u64) -> Spent {
     Spent {
         seconds: SECONDS,
@@ -89,7 +89,7 @@
         ),
         (4.0, 10.0, 10.0)
     );
-    // What went between daemons is estimated as if each of them were one hollow member more.
+    // The estimate counts each other daemon as one more hollow member.
     assert_eq!(figures.estimated_kilobytes, 10.0 * 18.0 / 16.0);
 }
 
--- a/rehearse/tests/scale_daemons_parts.rs
+++ b/rehearse/tests/scale_daemons_parts.rs
@@ -1,4 +1,4 @@
-//! The parts of a run of real daemons: acknowledgements, kinds of datagrams, planned purges and sockets.
+//! Components of runs with real daemons: acknowledgements, datagram kinds, purge schedules and sockets.
 
 use linnetknot_rehearse::scale::daemons::acks::PurgeAcks;
 use linnetknot_rehearse::scale::daemons::kind::Kind;
