--- a/rehearse/src/scale/daemons/host.rs
+++ b/rehearse/src/scale/daemons/host.rs
@@ -269,11 +269,11 @@
         self.drive(index, HollowMember::tick);
     }
 
-    fn receive_all(&mut self, place: usize) {
-        let index = self.daemons.len() + place;
+    fn receive_all(&mut self, member: usize) {
+        let index = self.daemons.len() + member;
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         for _ in 0..MAX_RECEIVE_BATCH {
-            let Some(received) = self.sockets.receive(place, &mut buffer) else {
+            let Some(received) = self.sockets.receive(member, &mut buffer) else {
                 return;
             };
             let bytes = &buffer[..received.length];
--- a/rehearse/src/scale/daemons/purge_plan.rs
+++ b/rehearse/src/scale/daemons/purge_plan.rs
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub struct TriggerOutcome {
     /// Response times in microseconds.
-    pub answers: Histogram<u64>,
+    pub response_times: Histogram<u64>,
     /// Descriptions of the refused purges.
     pub refused: Vec<String>,
 }
@@ -63,7 +63,7 @@
     /// Waits until all purges have been answered.
     pub fn join(self) -> TriggerOutcome {
         let on_panic = |_| TriggerOutcome {
-            answers: super::acks::delay_histogram(),
+            response_times: super::acks::delay_histogram(),
             refused: vec!["the client that tells purges gave up".to_owned()],
         };
         self.0.join().unwrap_or_else(on_panic)
@@ -72,7 +72,7 @@
 
 fn send_triggers(cdni: SocketAddr, purges: &[PlannedPurge], started_at: Instant) -> TriggerOutcome {
     let mut outcome = TriggerOutcome {
-        answers: super::acks::delay_histogram(),
+        response_times: super::acks::delay_histogram(),
         refused: Vec::new(),
     };
     for purge in purges {
@@ -81,7 +81,7 @@
         let sent = Instant::now();
         match real::purge(cdni, &object(purge.number)) {
             Ok(()) => outcome
-                .answers
+                .response_times
                 .saturating_record(sent.elapsed().as_micros() as u64),
             Err(reason) => outcome
                 .refused
--- a/rehearse/src/scale/daemons/report.rs
+++ b/rehearse/src/scale/daemons/report.rs
@@ -1,7 +1,7 @@
 //! Report of a run with real daemons, as a table and as JSON, with the limits.
 
 use super::kind::Kind;
-use super::run::{DaemonOutcome, Outcome, Run, Spent};
+use super::run::{DaemonOutcome, Outcome, ResourceUsage, Run};
 use crate::scale::target::{ControlLimits, Target};
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -99,21 +99,21 @@
     pub wrong: Vec<String>,
 }
 
-fn figures(run: &Run, spent: &Spent) -> Figures {
-    let traffic = &spent.traffic;
-    let per_second = |count: u64| count as f64 / spent.seconds;
+fn figures(run: &Run, usage: &ResourceUsage) -> Figures {
+    let traffic = &usage.traffic;
+    let per_second = |count: u64| count as f64 / usage.seconds;
     let counted_kilobytes = per_second(traffic.bytes_in + traffic.bytes_out) / 1e3;
     let all_peers = (run.daemons + run.members - 1) as f64;
     Figures {
-        processor_percent: 100.0 * spent.processor_time.as_secs_f64() / spent.seconds,
-        memory_mb: spent.resident_bytes as f64 / 1e6,
-        peak_memory_mb: spent.peak_resident_bytes as f64 / 1e6,
+        processor_percent: 100.0 * usage.processor_time.as_secs_f64() / usage.seconds,
+        memory_mb: usage.resident_bytes as f64 / 1e6,
+        peak_memory_mb: usage.peak_resident_bytes as f64 / 1e6,
         datagrams_in: per_second(traffic.datagrams_in),
         datagrams_out: per_second(traffic.datagrams_out),
         counted_kilobytes,
         estimated_kilobytes: counted_kilobytes * all_peers / run.members as f64,
         kilobytes_by_kind: traffic.bytes_by_kind.map(|bytes| per_second(bytes) / 1e3),
-        dropped: spent.dropped,
+        dropped: usage.dropped,
     }
 }
 
@@ -132,7 +132,7 @@
         at_rest: figures(run, &outcome.at_rest),
         under_load: figures(run, &outcome.under_load),
         acknowledged: delays(&outcome.ack_delays),
-        answered: delays(&outcome.triggers.answers),
+        answered: delays(&outcome.triggers.response_times),
         entries: outcome.entries,
         logs: outcome.logs,
     }
--- a/rehearse/src/scale/daemons/run.rs
+++ b/rehearse/src/scale/daemons/run.rs
@@ -56,7 +56,7 @@
 
 /// Resources used by one daemon in a measured interval.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Spent {
+pub struct ResourceUsage {
     /// Duration of the interval in seconds.
     pub seconds: f64,
     /// Processor time of the daemon.
@@ -75,9 +75,9 @@
 #[derive(Debug)]
 pub struct DaemonOutcome {
     /// Resources used without purges.
-    pub at_rest: Spent,
+    pub at_rest: ResourceUsage,
     /// Resources used under the load of purges.
-    pub under_load: Spent,
+    pub under_load: ResourceUsage,
     /// Delays until this daemon acknowledged purges of hollow members, in microseconds.
     pub ack_delays: Histogram<u64>,
     /// Purges of hollow members that the daemon did not acknowledge.
@@ -130,7 +130,7 @@
 }
 
 /// Counters at the start or end of a measured interval.
-struct Reading {
+struct Counters {
     at: Micros,
     processes: Vec<ProcessStat>,
     dropped: Vec<u64>,
@@ -153,8 +153,8 @@
     );
     let settling_us = fleet.settle(&clients)?;
     let triggers: Vec<TriggerOutcome> = clients.into_iter().map(TriggerClient::join).collect();
-    let spent = at_rest.into_iter().zip(under_load).zip(triggers);
-    let outcomes = spent
+    let resource_usage = at_rest.into_iter().zip(under_load).zip(triggers);
+    let outcomes = resource_usage
         .enumerate()
         .map(|(daemon, ((at_rest, under_load), triggers))| {
             fleet.daemon_outcome(daemon, at_rest, under_load, triggers)
@@ -283,8 +283,8 @@
         (0..self.daemons.len()).map(client).collect()
     }
 
-    fn read(&self) -> io::Result<Reading> {
-        Ok(Reading {
+    fn read(&self) -> io::Result<Counters> {
+        Ok(Counters {
             at: self.host.now(),
             processes: self.daemons.process_stats()?,
             dropped: self.daemons.dropped_datagrams()?,
@@ -298,7 +298,7 @@
         &mut self,
         seconds: u64,
         purges: &[PlannedPurge],
-    ) -> io::Result<(Vec<Spent>, Duration)> {
+    ) -> io::Result<(Vec<ResourceUsage>, Duration)> {
         self.host.reset();
         let before = self.read()?;
         for purge in purges {
@@ -307,15 +307,18 @@
         }
         self.host.run_until(before.at + seconds * SECOND_US)?;
         let after = self.read()?;
-        let spent = (0..self.daemons.len())
-            .map(|daemon| self.spent(daemon, &before, &after))
+        let resource_usage = (0..self.daemons.len())
+            .map(|daemon| self.resource_usage(daemon, &before, &after))
             .collect();
-        Ok((spent, after.own.processor_time - before.own.processor_time))
+        Ok((
+            resource_usage,
+            after.own.processor_time - before.own.processor_time,
+        ))
     }
 
-    fn spent(&self, daemon: usize, before: &Reading, after: &Reading) -> Spent {
+    fn resource_usage(&self, daemon: usize, before: &Counters, after: &Counters) -> ResourceUsage {
         let (first, last) = (before.processes[daemon], after.processes[daemon]);
-        Spent {
+        ResourceUsage {
             seconds: (after.at - before.at) as f64 / SECOND_US as f64,
             processor_time: last.processor_time - first.processor_time,
             resident_bytes: last.resident_bytes,
@@ -328,8 +331,8 @@
     fn daemon_outcome(
         &self,
         daemon: usize,
-        at_rest: Spent,
-        under_load: Spent,
+        at_rest: ResourceUsage,
+        under_load: ResourceUsage,
         triggers: TriggerOutcome,
     ) -> io::Result<DaemonOutcome> {
         let status = self.daemons.status(daemon)?;
--- a/rehearse/src/scale/fault.rs
+++ b/rehearse/src/scale/fault.rs
@@ -274,8 +274,8 @@
     let restarts = in_proportion(target.faults.restarts_per_day, layout, target);
     let mut members: Vec<MemberIndex> = (0..layout.members()).collect();
     let mut draw = || {
-        let place = random.below(members.len() as u64) as usize;
-        members.swap_remove(place)
+        let index = random.below(members.len() as u64) as usize;
+        members.swap_remove(index)
     };
     let (failing, restarting): (Vec<_>, Vec<_>) = (
         (0..failures).map(|_| draw()).collect(),
--- a/rehearse/src/scale/fit.rs
+++ b/rehearse/src/scale/fit.rs
@@ -29,26 +29,26 @@
 pub fn line(points: &[Point]) -> Option<Line> {
     let size = mean(points.iter().map(|point| point.size));
     let figure = mean(points.iter().map(|point| point.figure));
-    let spread: f64 = points.iter().map(|point| (point.size - size).powi(2)).sum();
-    if points.len() < 2 || spread == 0.0 {
+    let size_variance_sum: f64 = points.iter().map(|point| (point.size - size).powi(2)).sum();
+    if points.len() < 2 || size_variance_sum == 0.0 {
         return None;
     }
-    let together: f64 = points
+    let covariance_sum: f64 = points
         .iter()
         .map(|point| (point.size - size) * (point.figure - figure))
         .sum();
-    let slope = together / spread;
+    let slope = covariance_sum / size_variance_sum;
     let constant = figure - slope * size;
     let distance = |point: &Point| (point.figure - slope * point.size - constant).abs();
-    let farthest = points.iter().map(distance).fold(0.0, f64::max);
-    let largest = points
+    let largest_distance = points.iter().map(distance).fold(0.0, f64::max);
+    let largest_figure = points
         .iter()
         .map(|point| point.figure.abs())
         .fold(f64::MIN_POSITIVE, f64::max);
     Some(Line {
         slope,
         constant,
-        residual: farthest / largest,
+        residual: largest_distance / largest_figure,
     })
 }
 
--- a/rehearse/src/scale/fleet_config.rs
+++ b/rehearse/src/scale/fleet_config.rs
@@ -58,7 +58,7 @@
 }
 
 /// Returns the replication settings that the daemon uses by default.
-fn commitments() -> Replication {
+fn default_replication() -> Replication {
     let CopiesFile {
         min_acks,
         commit_timeout_ms,
@@ -114,7 +114,7 @@
     /// Builds the configuration of members in these zones, one zone index per member.
     pub fn new(zones: &[usize], target: &Target, disabled: DisabledParts) -> Self {
         let limits = Limits::for_machine(DESCRIPTORS, MEMORY_MB);
-        let replication = limits.replication(&commitments());
+        let replication = limits.replication(&default_replication());
         let member = |(index, zone): (usize, &usize)| {
             let (name, machine) = (format!("edge-{index:05}"), format!("host-{index:05}"));
             let (id, machine_id) = (server_id(&name), server_id(&machine));
--- a/rehearse/src/scale/hollow/budget_share.rs
+++ b/rehearse/src/scale/hollow/budget_share.rs
@@ -3,7 +3,7 @@
 use super::outbox::Outbox;
 use crate::scale::fleet_config::{FleetConfig, SharedBudget};
 use linnetknot_budgets::kinds::Unit;
-use linnetknot_budgets::{wire, Member as Shareholder, MemberProcess, Message, Outgoing};
+use linnetknot_budgets::{wire, Member as BudgetMember, MemberProcess, Message, Outgoing};
 use linnetknot_datagram::Random;
 use linnetknot_simnet::{member_at, peer_index, Micros};
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 /// Upper bound of a member's random demand for concurrent requests of the origin.
 const MAX_CONCURRENT: u64 = 6;
 /// Upper bound of a member's random demand on a cold cache, in millionths.
-const MAX_COLD: u64 = 30_000;
+const MAX_COLD_MILLIONTHS: u64 = 30_000;
 
 /// A member's shares of all budgets.
 #[derive(Clone, Debug)]
@@ -23,7 +23,7 @@
     zone: usize,
     fingerprint: u64,
     budgets: Vec<SharedBudget>,
-    core: Shareholder,
+    core: BudgetMember,
     due: Micros,
     random: Random,
 }
@@ -35,7 +35,7 @@
             member: index,
             process: now,
         };
-        let core = Shareholder::new(
+        let core = BudgetMember::new(
             own,
             members,
             &config.budget_specs(),
@@ -54,7 +54,7 @@
         }
     }
 
-    pub(super) fn core(&self) -> &Shareholder {
+    pub(super) fn core(&self) -> &BudgetMember {
         &self.core
     }
 
@@ -80,19 +80,19 @@
 
     fn update_demand(&mut self, now: Micros) {
         for (number, budget) in self.budgets.iter().enumerate() {
-            let is_spent_here = budget.zone.is_none_or(|zone| zone == self.zone);
-            let wish = match budget.unit {
+            let may_spend = budget.zone.is_none_or(|zone| zone == self.zone);
+            let demand = match budget.unit {
                 Unit::Concurrent => self.random.below(MAX_CONCURRENT + 1),
-                Unit::Millionths => self.random.below(MAX_COLD + 1),
+                Unit::Millionths => self.random.below(MAX_COLD_MILLIONTHS + 1),
             };
             let lease = self.core.lease(now, number);
-            let spent = if is_spent_here {
-                wish.min(lease.amount)
+            let spent = if may_spend {
+                demand.min(lease.amount)
             } else {
                 0
             };
-            let wanted = if is_spent_here {
-                budget.unit.demand(wish)
+            let wanted = if may_spend {
+                budget.unit.demand(demand)
             } else {
                 0
             };
--- a/rehearse/src/scale/hollow/disk.rs
+++ b/rehearse/src/scale/hollow/disk.rs
@@ -21,7 +21,7 @@
     /// Number of writes in the current commit.
     committing: usize,
     /// End of the current commit.
-    ends: Option<Micros>,
+    commit_ends_at: Option<Micros>,
 }
 
 impl SimulatedDisk {
@@ -30,7 +30,7 @@
             queue: VecDeque::new(),
             capacity,
             committing: 0,
-            ends: None,
+            commit_ends_at: None,
         }
     }
 
@@ -44,29 +44,32 @@
             return false;
         }
         self.queue.push_back(write);
-        if self.ends.is_none() {
-            self.begin(now);
+        if self.commit_ends_at.is_none() {
+            self.start_commit(now);
         }
         true
     }
 
-    fn begin(&mut self, now: Micros) {
+    fn start_commit(&mut self, now: Micros) {
         self.committing = self.queue.len();
-        self.ends = (self.committing > 0).then_some(now + COMMIT_DURATION_US);
+        self.commit_ends_at = (self.committing > 0).then_some(now + COMMIT_DURATION_US);
     }
 
     /// Returns the end of the current commit.
     pub(super) fn due(&self) -> Option<Micros> {
-        self.ends
+        self.commit_ends_at
     }
 
     /// Returns the entries that have been committed by `now`.
     pub(super) fn synced(&mut self, now: Micros) -> Vec<Write> {
-        if self.ends.is_none_or(|ends| ends > now) {
+        if self
+            .commit_ends_at
+            .is_none_or(|commit_ends_at| commit_ends_at > now)
+        {
             return Vec::new();
         }
         let synced = self.queue.drain(..self.committing).collect();
-        self.begin(now);
+        self.start_commit(now);
         synced
     }
 
--- a/rehearse/src/scale/hollow/mod.rs
+++ b/rehearse/src/scale/hollow/mod.rs
@@ -94,10 +94,10 @@
             .max()
             .unwrap_or(0)
             + 1;
-        let short = |n: usize| u16::try_from(n).unwrap_or(u16::MAX);
+        let to_u16 = |n: usize| u16::try_from(n).unwrap_or(u16::MAX);
         let zone = ZonePosition {
-            zone: short(me.zone),
-            zones: short(zones),
+            zone: to_u16(me.zone),
+            zones: to_u16(zones),
         };
         HollowMember {
             config: config.clone(),
--- a/rehearse/src/scale/hollow/purge_log.rs
+++ b/rehearse/src/scale/hollow/purge_log.rs
@@ -54,7 +54,7 @@
     replica: Replica,
     disk: SimulatedDisk,
     due: Micros,
-    expires: Micros,
+    next_expiry: Micros,
     commits: BTreeMap<CommitId, PurgeNumber>,
     recovery: Option<Recovery>,
 }
@@ -85,7 +85,7 @@
             replica,
             disk: SimulatedDisk::new(config.limits.max_store_writes),
             due: now,
-            expires: now,
+            next_expiry: now,
             commits: BTreeMap::new(),
             recovery,
         }
@@ -135,7 +135,7 @@
     pub(super) fn tick(&mut self, now: Micros, outbox: &mut Outbox, events: &mut Vec<MemberEvent>) {
         self.sync(now, outbox, events);
         if self.due <= now {
-            self.exchange(now, outbox, events);
+            self.run_replication(now, outbox, events);
         }
         self.recover(now, outbox);
     }
@@ -154,28 +154,28 @@
             let acknowledgements = self.replica.record_synced(log, index);
             send_all(acknowledgements, outbox);
         }
-        self.settle(now, events);
+        self.resolve_commits(now, events);
     }
 
-    fn exchange(&mut self, now: Micros, outbox: &mut Outbox, events: &mut Vec<MemberEvent>) {
+    fn run_replication(&mut self, now: Micros, outbox: &mut Outbox, events: &mut Vec<MemberEvent>) {
         if !self.disk.is_full() {
             self.replica
                 .take_failed_syncs()
                 .iter()
                 .for_each(|entry| self.write(entry, now));
         }
-        if now >= self.expires {
-            self.expires = now + EXPIRY_INTERVAL_US;
+        if now >= self.next_expiry {
+            self.next_expiry = now + EXPIRY_INTERVAL_US;
             self.replica.expire(now);
         }
         send_all(self.replica.tick(now), outbox);
         // The daemon computes this for its log, so its cost is included here.
         let _ = self.replica.under_replicated();
-        self.settle(now, events);
-        self.plan(now);
+        self.resolve_commits(now, events);
+        self.schedule_tick(now);
     }
 
-    fn plan(&mut self, now: Micros) {
+    fn schedule_tick(&mut self, now: Micros) {
         let due = self.replica.due().max(now + MIN_PAUSE_US);
         if self.due > due || self.due <= now {
             self.due = due;
@@ -237,8 +237,8 @@
             Ok(entry) => self.commit(purge, entry.index, now, events),
             Err(reason) => events.push(MemberEvent::Refused { purge, reason }),
         }
-        self.settle(now, events);
-        self.plan(now);
+        self.resolve_commits(now, events);
+        self.schedule_tick(now);
     }
 
     fn commit(
@@ -257,12 +257,12 @@
         }
     }
 
-    fn settle(&mut self, now: Micros, events: &mut Vec<MemberEvent>) {
-        for settled in self.replica.resolve_commits(now) {
-            let Some(purge) = self.commits.remove(&settled.commit) else {
+    fn resolve_commits(&mut self, now: Micros, events: &mut Vec<MemberEvent>) {
+        for resolved in self.replica.resolve_commits(now) {
+            let Some(purge) = self.commits.remove(&resolved.commit) else {
                 continue;
             };
-            events.push(match settled.result {
+            events.push(match resolved.result {
                 Ok(_) => MemberEvent::Committed { purge },
                 Err(reason) => MemberEvent::Refused {
                     purge,
@@ -311,9 +311,9 @@
                 outbox,
             );
         }
-        self.settle(now, events);
+        self.resolve_commits(now, events);
         // The next request or snapshot chunk may now be due earlier.
-        self.plan(now);
+        self.schedule_tick(now);
         true
     }
 
--- a/rehearse/src/scale/memory.rs
+++ b/rehearse/src/scale/memory.rs
@@ -46,7 +46,7 @@
 }
 
 /// Reads a value in kilobytes from a file under `/proc`.
-fn proc_figure(file: &str, key: &str) -> Option<Bytes> {
+fn read_proc_memory(file: &str, key: &str) -> Option<Bytes> {
     let text = std::fs::read_to_string(file).ok()?;
     let line = text
         .lines()
@@ -57,12 +57,12 @@
 
 /// Returns the resident memory of this process.
 pub fn resident() -> Option<Bytes> {
-    proc_figure("/proc/self/status", "VmRSS")
+    read_proc_memory("/proc/self/status", "VmRSS")
 }
 
 /// Returns the memory available on this machine.
 pub fn available() -> Option<Bytes> {
-    proc_figure("/proc/meminfo", "MemAvailable")
+    read_proc_memory("/proc/meminfo", "MemAvailable")
 }
 
 /// State that each member of a run accumulates.
@@ -80,8 +80,9 @@
         entries,
         table_bytes,
     } = state;
-    let each = MEMBER_BYTES + members * PEER_BYTES + entries * ENTRY_BYTES + table_bytes;
-    Bytes(members as u64 * each as u64)
+    let bytes_per_member =
+        MEMBER_BYTES + members * PEER_BYTES + entries * ENTRY_BYTES + table_bytes;
+    Bytes(members as u64 * bytes_per_member as u64)
 }
 
 /// Checks that a run fits into half of the available memory.
--- a/rehearse/src/scale/prefill.rs
+++ b/rehearse/src/scale/prefill.rs
@@ -10,7 +10,7 @@
 use linnetknot_simnet::Micros;
 
 /// Fill level of the logs of a full fleet, in percent; the rest is room for the purges of the run.
-const FULL_PERCENT: usize = 75;
+const FILL_PERCENT: usize = 75;
 
 /// Purges in the compact table of a full fleet, per entry that a member may store. With the daemon's limits they are as
 /// many as the table's slots.
@@ -32,7 +32,7 @@
 /// Returns the number of entries on each member's disk at the start of a run.
 pub(super) fn entries(run: &Run, config: &FleetConfig) -> usize {
     match run.fault {
-        Fault::LateJoin => config.replication.max_exact_entries * FULL_PERCENT / 100,
+        Fault::LateJoin => config.replication.max_exact_entries * FILL_PERCENT / 100,
         _ => 0,
     }
 }
--- a/rehearse/src/scale/report/mod.rs
+++ b/rehearse/src/scale/report/mod.rs
@@ -250,7 +250,7 @@
             fault: run.fault.name(),
             rows,
             wrong: wrong(&outcome.verdict),
-            real_seconds: outcome.real.as_secs_f64(),
+            real_seconds: outcome.wall_time.as_secs_f64(),
             events: outcome.events,
         }
     }
--- a/rehearse/src/scale/simulation/mod.rs
+++ b/rehearse/src/scale/simulation/mod.rs
@@ -146,7 +146,7 @@
         settling_us,
         verdict: simulation.verdict,
         events: simulation.events,
-        real: started_at.elapsed(),
+        wall_time: started_at.elapsed(),
     }
 }
 
@@ -352,7 +352,7 @@
         if self.is_measured() {
             self.meters[to].received(bytes.len(), self.now);
         }
-        let place = peer_index(from, to);
-        self.drive(to, |member, now| member.receive(place, bytes, now));
+        let peer = peer_index(from, to);
+        self.drive(to, |member, now| member.receive(peer, bytes, now));
     }
 }
--- a/rehearse/src/scale/simulation/outcome.rs
+++ b/rehearse/src/scale/simulation/outcome.rs
@@ -41,5 +41,5 @@
     /// Number of events handled.
     pub events: u64,
     /// Wall-clock time of the whole run.
-    pub real: Duration,
+    pub wall_time: Duration,
 }
--- a/rehearse/tests/scale.rs
+++ b/rehearse/tests/scale.rs
@@ -70,7 +70,7 @@
 // ---- Verdicts ----
 
 #[test]
-fn a_calm_fleet_is_sound_and_one_seed_gives_one_table() {
+fn runs_without_faults_pass_and_are_reproducible_by_seed() {
     let run = run(Fault::Calm);
     let reports: Vec<Report> = (0..2).map(|_| Report::of(&run, &play(&run))).collect();
     assert_eq!(reports[0].wrong, Default::default());
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn the_table_has_each_role_and_says_what_nothing_carries() {
+fn report_has_rows_for_each_role_and_marks_missing_figures() {
     let run = run_with_few_purges(Fault::Calm);
     let report = Report::of(&run, &play(&run));
     for role in [Role::Member, Role::Allocator, Role::Writer] {
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_member_that_drops_what_it_is_told_is_found() {
+fn member_that_drops_received_purges_is_detected() {
     let injected_defects = vec![InjectedDefect {
         member: 7,
         defect: Defect::DropsPurges,
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn members_that_spend_more_than_their_parts_are_found() {
+fn members_that_overspend_their_leases_are_detected() {
     let injected_defects = (0..MEMBERS)
         .map(|member| InjectedDefect {
             member,
@@ -154,7 +154,7 @@
 }
 
 /// More purges than each member stores exactly.
-fn beyond_capacity() -> Run {
+fn run_beyond_exact_capacity() -> Run {
     let target = Target {
         purges_per_second: 1_000,
         ..target()
@@ -170,8 +170,8 @@
 }
 
 #[test]
-fn no_purge_is_refused_for_room() {
-    let outcome = play(&beyond_capacity());
+fn purges_beyond_exact_capacity_are_compacted_and_not_refused() {
+    let outcome = play(&run_beyond_exact_capacity());
     assert!(outcome.verdict.is_sound(), "{:?}", outcome.verdict);
     assert!(
         outcome.purges.len() >= 4 * EXACT_ENTRIES,
@@ -189,14 +189,14 @@
 }
 
 #[test]
-fn a_member_without_room_for_a_purge_is_found() {
+fn member_that_never_compacts_is_detected() {
     let injected_defects = vec![InjectedDefect {
         member: 1,
         defect: Defect::NeverCompacts,
     }];
     let verdict = play(&Run {
         injected_defects,
-        ..beyond_capacity()
+        ..run_beyond_exact_capacity()
     })
     .verdict;
     assert!(verdict.breaks(Rule::PurgeHasRoom), "{verdict:?}");
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn a_hot_site_tells_all_purges() {
+fn hot_writer_issues_all_purges_at_one_site() {
     let outcome = play_sound_run(Fault::HotWriter);
     let sites: Vec<usize> = (0..outcome.purges.len() as u64)
         .filter_map(|purge| outcome.purges.get(purge))
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_day_has_failures_that_are_noticed_and_restarts_that_catch_up() {
+fn day_of_faults_detects_failures_and_restarted_members_catch_up() {
     let outcome = play_sound_run(Fault::Day);
     // 730 restarts per day of 6,400 proxies scale to 5 of 40.
     assert_eq!(outcome.starters.len(), 5);
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn a_rack_and_a_zone_go_and_come_back() {
+fn members_of_a_failed_rack_or_zone_catch_up_after_restart() {
     for fault in [Fault::Rack, Fault::Zone] {
         let outcome = play_sound_run(fault);
         assert!(!outcome.starters.is_empty() && outcome.starters.len() < MEMBERS);
@@ -265,18 +265,18 @@
 }
 
 #[test]
-fn regions_that_lose_each_other_catch_up() {
+fn disconnected_regions_catch_up() {
     let outcome = play_sound_run(Fault::RegionsApart);
     assert!(!outcome.purges.catch_up_delays.is_empty());
 }
 
 #[test]
-fn a_fleet_is_restarted_a_tenth_at_a_time() {
+fn fleet_restart_restarts_every_member() {
     assert_eq!(play_sound_run(Fault::FleetRestart).starters.len(), MEMBERS);
 }
 
 /// A fleet whose members store 15,000 entries and 140,000 compacted purges each.
-fn late_join() -> Run {
+fn late_join_run() -> Run {
     let disabled = DisabledParts { budgets: true };
     Run {
         members: 12,
@@ -287,8 +287,8 @@
 }
 
 #[test]
-fn a_late_member_gets_all_that_a_full_fleet_has() {
-    let run = late_join();
+fn late_joiner_receives_all_logs_and_the_purge_table() {
+    let run = late_join_run();
     let outcome = play(&run);
     assert!(outcome.verdict.is_sound(), "{:?}", outcome.verdict);
     let report = Report::of(&run, &outcome);
@@ -298,14 +298,14 @@
 
 /// The member has the same logs as the others but lacks the purges that were compacted from them.
 #[test]
-fn a_late_member_that_gets_no_table_is_found() {
+fn late_joiner_without_snapshots_is_detected() {
     let injected_defects = vec![InjectedDefect {
         member: 11,
         defect: Defect::DropsSnapshots,
     }];
     let verdict = play(&Run {
         injected_defects,
-        ..late_join()
+        ..late_join_run()
     })
     .verdict;
     assert!(verdict.breaks(Rule::PurgeEverywhere), "{verdict:?}");
@@ -318,7 +318,7 @@
 }
 
 #[test]
-fn a_slow_origin_is_reported_by_one_voice_of_each_zone() {
+fn slow_origin_reports_are_limited_per_zone() {
     let outcome = play_sound_run(Fault::SlowOrigin);
     let calm = play(&run(Fault::Calm));
     let sent = |outcome: &Outcome| outcome.meters.iter().map(|m| m.sent_datagrams).sum::<u64>();
@@ -332,7 +332,7 @@
 }
 
 #[test]
-fn what_a_fault_costs_is_told_for_its_time_and_after_it() {
+fn report_has_traffic_during_and_after_a_fault() {
     let run = run(Fault::RegionsApart);
     let report = Report::of(&run, &play(&run));
     for figure in [
@@ -354,7 +354,7 @@
 // ---- Single members ----
 
 #[test]
-fn hollow_members_can_be_driven_by_any_loop() {
+fn hollow_members_replicate_purges_without_the_simulation() {
     let config = Arc::new(FleetConfig::new(
         &[0, 0],
         &target(),
@@ -393,7 +393,7 @@
 // ---- Layout, target, memory and fits ----
 
 #[test]
-fn the_layout_is_the_targets_and_smaller_fleets_keep_its_distances() {
+fn layout_matches_the_target_and_scales_down() {
     let target = target();
     let whole = Layout::new(6_400, &target);
     assert_eq!(
@@ -432,7 +432,7 @@
 }
 
 #[test]
-fn a_target_that_is_none_is_refused_by_its_key() {
+fn invalid_target_is_rejected_with_its_key() {
     for (text, key) in [
         (r#"{"proxies": "many"}"#, "proxies"),
         (r#"{"proxys": 5}"#, "proxys"),
@@ -456,24 +456,24 @@
 }
 
 #[test]
-fn a_run_that_takes_more_than_half_of_the_memory_is_not_admitted() {
-    let held = MemberState {
+fn run_exceeding_half_of_available_memory_is_rejected() {
+    let state = MemberState {
         entries: 1_000,
         table_bytes: 0,
     };
-    let needed = estimate(1_000, held);
-    assert!(admit(1_000, held, Bytes(2 * needed.0)).is_ok());
-    let error = admit(1_000, held, Bytes(2 * needed.0 - 2)).expect_err("it does not fit");
+    let needed = estimate(1_000, state);
+    assert!(admit(1_000, state, Bytes(2 * needed.0)).is_ok());
+    let error = admit(1_000, state, Bytes(2 * needed.0 - 2)).expect_err("it does not fit");
     assert_eq!(error.estimate, needed);
     assert!(
-        estimate(2_000, held).0 > 2 * needed.0,
+        estimate(2_000, state).0 > 2 * needed.0,
         "it grows faster than the fleet"
     );
     let with_table = estimate(
         1_000,
         MemberState {
             table_bytes: 4 << 20,
-            ..held
+            ..state
         },
     );
     assert_eq!(
@@ -484,7 +484,7 @@
 }
 
 #[test]
-fn fits_find_a_line_a_square_and_a_step() {
+fn fits_distinguish_linear_quadratic_and_step_growth() {
     let points = |of: fn(f64) -> f64| {
         [100.0, 400.0, 1_600.0, 6_400.0]
             .map(|size| Point {
@@ -493,9 +493,9 @@
             })
             .to_vec()
     };
-    let straight = line(&points(|size| 3.0 * size + 7.0)).expect("there are points enough");
-    assert!((straight.slope - 3.0).abs() < 1e-9 && (straight.constant - 7.0).abs() < 1e-6);
-    assert!(straight.residual < 1e-9);
+    let linear = line(&points(|size| 3.0 * size + 7.0)).expect("there are points enough");
+    assert!((linear.slope - 3.0).abs() < 1e-9 && (linear.constant - 7.0).abs() < 1e-6);
+    assert!(linear.residual < 1e-9);
     let square = points(|size| size * size / 50.0);
     assert!((exponent(&square).expect("all are positive") - 2.0).abs() < 1e-9);
     assert!(line(&square).expect("there are points enough").residual > 0.05);
@@ -526,8 +526,8 @@
 }
 
 #[test]
-fn what_cannot_be_run_ends_with_2_and_names_it() {
-    for (arguments, named) in [
+fn invalid_arguments_exit_with_2_and_are_named() {
+    for (arguments, expected) in [
         (&["--fault", "storm"][..], "storm"),
         (&["--members", "many"], "many"),
         (&["--members", "1"], "--members"),
@@ -539,12 +539,12 @@
     ] {
         let (status, output) = scale(arguments);
         assert_eq!(status, Some(2), "{arguments:?}: {output}");
-        assert!(output.contains(named), "{arguments:?}: {output}");
+        assert!(output.contains(expected), "{arguments:?}: {output}");
     }
 }
 
 #[test]
-fn a_sound_run_ends_with_0_and_slopes_say_what_they_skip() {
+fn successful_run_exits_with_0_and_slopes_report_skipped_sizes() {
     let sound = ["--without-budgets", "--seconds", "1"];
     let (status, output) = scale(&[&["--members", "20"], &sound[..]].concat());
     assert_eq!(status, Some(0), "{output}");
--- a/rehearse/tests/scale_daemons.rs
+++ b/rehearse/tests/scale_daemons.rs
@@ -4,7 +4,7 @@
 use linnetknot_rehearse::scale::daemons::host::RefusedPurge;
 use linnetknot_rehearse::scale::daemons::purge_plan::TriggerOutcome;
 use linnetknot_rehearse::scale::daemons::report::Report;
-use linnetknot_rehearse::scale::daemons::run::{DaemonOutcome, Outcome, Run, Spent};
+use linnetknot_rehearse::scale::daemons::run::{DaemonOutcome, Outcome, ResourceUsage, Run};
 use linnetknot_rehearse::scale::daemons::slopes::{table, SizeOutcome, SizeRun};
 use linnetknot_rehearse::scale::daemons::traffic::Traffic;
 use linnetknot_rehearse::scale::hollow::Refusal;
@@ -29,8 +29,8 @@
 }
 
 /// Resources of a daemon that used this many hundredths of a core and sent this many bytes.
-fn spent(hundredths: u64, bytes_out: u64) -> Spent {
-    Spent {
+fn resource_usage(hundredths: u64, bytes_out: u64) -> ResourceUsage {
+    ResourceUsage {
         seconds: SECONDS,
         processor_time: Duration::from_millis(hundredths * 100),
         resident_bytes: 10 * MEGABYTE,
@@ -43,14 +43,14 @@
     }
 }
 
-fn daemon(under_load: Spent) -> DaemonOutcome {
+fn daemon(under_load: ResourceUsage) -> DaemonOutcome {
     DaemonOutcome {
-        at_rest: spent(1, 0),
+        at_rest: resource_usage(1, 0),
         under_load,
         ack_delays: delay_histogram(),
         unacknowledged: 0,
         triggers: TriggerOutcome {
-            answers: delay_histogram(),
+            response_times: delay_histogram(),
             refused: Vec::new(),
         },
         entries: 1_100,
@@ -59,7 +59,7 @@
     }
 }
 
-fn sound(daemons: Vec<DaemonOutcome>) -> Outcome {
+fn valid_outcome(daemons: Vec<DaemonOutcome>) -> Outcome {
     Outcome {
         daemons,
         hollow_purges: 1_000,
@@ -74,8 +74,11 @@
 }
 
 #[test]
-fn a_sound_run_is_told_without_a_word_of_wrong_or_over() {
-    let report = Report::of(&run(16), &sound(vec![daemon(spent(4, MEGABYTE / 10))]));
+fn report_of_a_valid_run_has_no_violations() {
+    let report = Report::of(
+        &run(16),
+        &valid_outcome(vec![daemon(resource_usage(4, MEGABYTE / 10))]),
+    );
     assert_eq!(
         (report.wrong.len(), report.over.len(), report.kept_pace),
         (0, 0, true)
@@ -94,10 +97,13 @@
 }
 
 #[test]
-fn the_worst_daemon_counts_and_not_the_mean() {
+fn limits_apply_to_the_worst_daemon() {
     let report = Report::of(
         &run(16),
-        &sound(vec![daemon(spent(1, 0)), daemon(spent(6, 0))]),
+        &valid_outcome(vec![
+            daemon(resource_usage(1, 0)),
+            daemon(resource_usage(6, 0)),
+        ]),
     );
     assert_eq!(report.over, ["CPU % under load: 6.00 of 4.9"]);
     assert!(report
@@ -106,10 +112,10 @@
 }
 
 #[test]
-fn each_fault_is_named() {
-    let mut lacking = daemon(spent(1, 0));
-    (lacking.unacknowledged, lacking.is_settled) = (2, false);
-    lacking
+fn report_lists_each_failure() {
+    let mut failing = daemon(resource_usage(1, 0));
+    (failing.unacknowledged, failing.is_settled) = (2, false);
+    failing
         .triggers
         .refused
         .push("purge 7: answered 503".to_owned());
@@ -121,7 +127,7 @@
         }],
         settling_us: None,
         warm_up_us: None,
-        ..sound(vec![daemon(spent(1, 0)), lacking])
+        ..valid_outcome(vec![daemon(resource_usage(1, 0)), failing])
     };
     let wrong = Report::of(&run(16), &outcome).wrong;
     let expected = [
@@ -136,11 +142,11 @@
 }
 
 #[test]
-fn sizes_that_did_not_run_or_keep_pace_are_named_and_not_fitted() {
+fn failed_and_slow_sizes_are_listed_but_not_fitted() {
     let ran = |members: usize, hundredths: u64, lateness_p99_us: u64| {
         let outcome = Outcome {
             lateness_p99_us,
-            ..sound(vec![daemon(spent(hundredths, 0))])
+            ..valid_outcome(vec![daemon(resource_usage(hundredths, 0))])
         };
         SizeRun {
             members,
--- a/rehearse/tests/scale_daemons_parts.rs
+++ b/rehearse/tests/scale_daemons_parts.rs
@@ -13,7 +13,7 @@
 const SECOND_US: u64 = 1_000_000;
 
 #[test]
-fn an_acknowledgement_covers_all_before_its_index_once() {
+fn acknowledgement_covers_earlier_purges_once() {
     let mut acks = PurgeAcks::new(2);
     acks.record_issued(5, 1, 100);
     acks.record_issued(5, 3, 200);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn datagrams_are_known_by_their_own_decoders() {
+fn datagrams_are_classified_by_protocol() {
     let digest_request = Datagram::DigestRequest.encode().expect("it is short");
     assert_eq!(Kind::of(&digest_request), Kind::Digests);
     let ack = Datagram::Ack {
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn purges_come_at_an_even_rate_and_reach_all_members() {
+fn purges_are_scheduled_evenly_over_time_and_members() {
     let purges = plan(4, 100, 2, 1);
     assert_eq!((purges.len(), purges[100].after_us), (200, SECOND_US));
     assert!((0..4).all(|member| purges.iter().any(|purge| purge.member == member)));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn members_hear_daemons_and_nobody_else() {
+fn sockets_accept_datagrams_from_daemons_only() {
     let daemon = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
     let stranger = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
     let daemon_address = daemon.local_addr().expect("it is bound");
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn more_sockets_than_descriptors_are_refused() {
+fn sockets_beyond_the_descriptor_limit_are_rejected() {
     assert_eq!(admit(1), Ok(()));
     let error = admit(usize::MAX - OTHER_DESCRIPTORS);
     assert!(
