--- a/rehearse/src/scale/daemons/acks.rs
+++ b/rehearse/src/scale/daemons/acks.rs
@@ -37,7 +37,7 @@
 /// Returns an empty histogram of delays in microseconds.
 pub fn delay_histogram() -> Histogram<u64> {
     // The histogram supports these bounds and this precision.
-    Histogram::new_with_bounds(1, MAX_DELAY_US, 3).expect("the bounds are in order")
+    Histogram::new_with_bounds(1, MAX_DELAY_US, 3).expect("valid histogram bounds")
 }
 
 impl PurgeAcks {
--- a/rehearse/src/scale/daemons/command.rs
+++ b/rehearse/src/scale/daemons/command.rs
@@ -107,7 +107,7 @@
     #[error("{}: {error}", program.display())]
     Play { program: PathBuf, error: io::Error },
     /// Another size would exceed the time limit of all sizes together.
-    #[error("the {} s of all sizes together are over", MAX_TOTAL_DURATION.as_secs())]
+    #[error("skipped: the time limit of {} s for all sizes would be exceeded", MAX_TOTAL_DURATION.as_secs())]
     OutOfTime,
     /// The report cannot be written.
     #[error("--json {}: {error}", file.display())]
--- a/rehearse/src/scale/daemons/proc_stat.rs
+++ b/rehearse/src/scale/daemons/proc_stat.rs
@@ -25,7 +25,7 @@
 }
 
 fn unreadable(what: &str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, format!("{what} can't be read"))
+    io::Error::new(io::ErrorKind::InvalidData, format!("cannot parse {what}"))
 }
 
 /// Reads the processor time and memory of a process.
@@ -65,8 +65,7 @@
 /// Returns an error if the table cannot be read or has no such socket.
 pub fn dropped_datagrams(address: SocketAddr) -> io::Result<u64> {
     let table = std::fs::read_to_string("/proc/net/udp")?;
-    let wanted =
-        table_address(address).ok_or_else(|| unreadable("an address that is not of IPv4"))?;
+    let wanted = table_address(address).ok_or_else(|| unreadable("an address other than IPv4"))?;
     let row = table
         .lines()
         .map(|line| line.split_whitespace().collect::<Vec<_>>());
@@ -74,7 +73,7 @@
         .into_iter()
         .find(|row| row.get(LOCAL_ADDRESS) == Some(&wanted.as_str()));
     let drops = row.and_then(|row| row.get(DROPS)?.parse().ok());
-    drops.ok_or_else(|| unreadable("the socket's row of /proc/net/udp"))
+    drops.ok_or_else(|| unreadable("the row of the socket in /proc/net/udp"))
 }
 
 /// Formats an address as in `/proc/net/udp`.
--- a/rehearse/src/scale/daemons/proc_stat/tests.rs
+++ b/rehearse/src/scale/daemons/proc_stat/tests.rs
@@ -21,12 +21,12 @@
 
 #[test]
 fn reads_memory_and_socket_drops_of_this_process() {
-    let own = read(std::process::id()).expect("this process runs");
+    let own = read(std::process::id()).expect("read own process");
     assert!(
         own.resident_bytes > 0 && own.peak_resident_bytes >= own.resident_bytes,
         "{own:?}"
     );
-    let socket = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
-    let address = socket.local_addr().expect("it is bound");
-    assert_eq!(dropped_datagrams(address).expect("it has a row"), 0);
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("bind socket");
+    let address = socket.local_addr().expect("local address");
+    assert_eq!(dropped_datagrams(address).expect("find socket in table"), 0);
 }
--- a/rehearse/src/scale/daemons/purge_plan.rs
+++ b/rehearse/src/scale/daemons/purge_plan.rs
@@ -64,7 +64,7 @@
     pub fn join(self) -> TriggerOutcome {
         let on_panic = |_| TriggerOutcome {
             response_times: super::acks::delay_histogram(),
-            refused: vec!["the client that tells purges gave up".to_owned()],
+            refused: vec!["purge client panicked".to_owned()],
         };
         self.0.join().unwrap_or_else(on_panic)
     }
--- a/rehearse/src/scale/daemons/sockets.rs
+++ b/rehearse/src/scale/daemons/sockets.rs
@@ -22,7 +22,7 @@
 
 /// The descriptor limit of this process is too low for the sockets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("needs {needed} descriptors, and this process may hold {limit}")]
+#[error("needs {needed} file descriptors, but the limit of this process is {limit}")]
 pub struct TooManySockets {
     /// Number of descriptors needed.
     pub needed: usize,
@@ -81,7 +81,7 @@
     /// # Errors
     /// Returns an error if the sockets cannot be bound.
     pub fn bind(members: usize, daemons: &[SocketAddr]) -> io::Result<Self> {
-        let mut sockets = Err(io::Error::other("no port was tried"));
+        let mut sockets = Err(io::Error::other("no free port found"));
         for port in free_ports(MAX_PORTS)? {
             sockets = bind_all(members, port.port());
             if sockets.is_ok() {
--- a/rehearse/src/scale/delivery.rs
+++ b/rehearse/src/scale/delivery.rs
@@ -9,7 +9,7 @@
 
 /// Returns an empty histogram of delays in microseconds with three significant digits.
 pub fn delays() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MAX_DELAY_US, 3).expect("the bounds are sound")
+    Histogram::new_with_bounds(1, MAX_DELAY_US, 3).expect("valid histogram bounds")
 }
 
 /// Set of members, stored as a bitmap.
--- a/rehearse/src/scale/hollow/budget_share.rs
+++ b/rehearse/src/scale/hollow/budget_share.rs
@@ -42,7 +42,7 @@
             now,
             config.budget_options(),
         );
-        let core = core.unwrap_or_else(|error| panic!("the target's {error}"));
+        let core = core.unwrap_or_else(|error| panic!("invalid budget of the target: {error}"));
         BudgetShare {
             index,
             zone: config.members[index].zone,
--- a/rehearse/src/scale/hollow/purge_log.rs
+++ b/rehearse/src/scale/hollow/purge_log.rs
@@ -352,7 +352,7 @@
         let compacted: Vec<CompactedLog> = store.compacted_logs(LogId::default()).collect();
         let logs = LogStore::restore(store.table().clone(), &compacted, entries);
         DiskContents {
-            logs: logs.expect("each index of a log stands once on the disk"),
+            logs: logs.expect("each index of a log occurs once on the disk"),
             own: None,
         }
     }
--- a/rehearse/src/scale/memory.rs
+++ b/rehearse/src/scale/memory.rs
@@ -35,9 +35,7 @@
 
 /// A run needs more than half of the available memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error(
-    "takes about {estimate}, more than half of the {available} that this machine has available"
-)]
+#[error("takes about {estimate}, more than half of the available memory of {available}")]
 pub struct TooLarge {
     /// Estimated memory of the run.
     pub estimate: Bytes,
--- a/rehearse/src/scale/prefill.rs
+++ b/rehearse/src/scale/prefill.rs
@@ -71,7 +71,7 @@
         .filter(|_| is_compacted)
         .map(marker)
         .collect();
-    let mut logs = LogStore::restore(table, &markers, Vec::new()).expect("no index stands twice");
+    let mut logs = LogStore::restore(table, &markers, Vec::new()).expect("each index occurs once");
     for number in 0..entries(run, config) {
         let writer = &config.members[number % config.members.len()];
         let subject = Subject::Object(object(FIRST_NUMBER + number as u64));
@@ -81,7 +81,7 @@
             revoked: false,
         };
         let entry = logs.append(own(writer), record, Capacity::UNLIMITED);
-        entry.expect("there is room for whatever comes");
+        entry.expect("the capacity is unlimited");
     }
     config
         .members
--- a/rehearse/src/scale/simulation/checks.rs
+++ b/rehearse/src/scale/simulation/checks.rs
@@ -24,7 +24,7 @@
             }
             if self.connected_since(member, writer, issued_at) <= issued_at {
                 let example =
-                    || format!("purge {purge}, told at member {writer}, at member {member}");
+                    || format!("purge {purge}, issued at member {writer}, at member {member}");
                 self.verdict.add(Rule::PurgeInTime, example);
             }
         }
@@ -151,7 +151,7 @@
         };
         for purge in lost {
             self.verdict.add(Rule::PurgeEverywhere, || {
-                format!("compacted purge {purge} at who joined")
+                format!("compacted purge {purge} at the joining member")
             });
         }
         for (purge, member) in missing {
--- a/rehearse/src/scale/simulation/purges.rs
+++ b/rehearse/src/scale/simulation/purges.rs
@@ -58,8 +58,9 @@
                 });
             }
             MemberEvent::NotStored { purge, reason } => {
-                let example =
-                    || format!("purge {purge}, told by a peer, at member {member}: {reason:?}");
+                let example = || {
+                    format!("purge {purge}, received from a peer, at member {member}: {reason:?}")
+                };
                 self.verdict.add(Rule::PurgeHasRoom, example);
             }
             MemberEvent::Died { peer, started } => {
--- a/rehearse/src/scale/slopes.rs
+++ b/rehearse/src/scale/slopes.rs
@@ -95,16 +95,16 @@
     #[error("{0}")]
     Failed(String),
     /// The process exceeded its time limit.
-    #[error("not done within the {seconds} s that a size may take")]
+    #[error("run did not finish within the limit of {seconds} s per size")]
     TimedOut {
         /// Time limit in seconds.
         seconds: u64,
     },
     /// The process wrote no report.
-    #[error("it left no result: {0}")]
+    #[error("run wrote no report: {0}")]
     NoResult(io::Error),
     /// The report cannot be parsed.
-    #[error("its result can't be read: {0}")]
+    #[error("cannot parse the report: {0}")]
     MalformedResult(serde_json::Error),
 }
 
--- a/rehearse/tests/scale.rs
+++ b/rehearse/tests/scale.rs
@@ -20,7 +20,7 @@
 const EXACT_ENTRIES: usize = 500;
 
 fn target() -> Target {
-    Target::load(None).expect("the built-in target can be read")
+    Target::load(None).expect("load built-in target")
 }
 
 fn run(fault: Fault) -> Run {
@@ -108,7 +108,7 @@
     );
     assert!(
         !report.table(true).contains("processor"),
-        "a stable table has no clock's figures"
+        "a stable table must omit clock readings"
     );
 }
 
@@ -149,7 +149,7 @@
     assert_eq!(
         verdict.violations.len(),
         1,
-        "and nothing else is wrong: {verdict:?}"
+        "no other rule may be broken: {verdict:?}"
     );
 }
 
@@ -240,12 +240,12 @@
     assert_eq!(
         outcome.states.len(),
         MEMBERS - 1,
-        "one failed and stays away"
+        "one member crashed and stays down"
     );
     let observers = MEMBERS - 1 - outcome.starters.len();
     assert!(
         outcome.death_delays.len() >= observers as u64,
-        "all that ran then know that one died"
+        "all members running at the crash must detect it"
     );
     assert!(!outcome.purges.catch_up_delays.is_empty());
 }
@@ -371,7 +371,7 @@
                 members[index].tick(now);
             }
             for datagram in members[index].take_outgoing() {
-                assert_eq!(datagram.to, 0, "the only peer");
+                assert_eq!(datagram.to, 0, "there is only one peer");
                 members[1 - index].receive(0, &datagram.bytes, now);
             }
             events[index].extend(members[index].take_events());
@@ -417,15 +417,15 @@
             let (before, after) = (layout.position(member - 1), layout.position(member));
             assert!(
                 before.site == after.site || before.rack != after.rack,
-                "a rack is in one site"
+                "a rack must be within one site"
             );
             assert!(
                 before.zone == after.zone || before.site != after.site,
-                "a site is in one zone"
+                "a site must be within one zone"
             );
             assert!(
                 before.region == after.region || before.zone != after.zone,
-                "a zone is in one region"
+                "a zone must be within one region"
             );
         }
     }
@@ -441,9 +441,7 @@
             "zones: must be above 0",
         ),
     ] {
-        let error = Target::parse(text)
-            .expect_err("it is no target")
-            .to_string();
+        let error = Target::parse(text).expect_err("invalid target").to_string();
         assert!(error.contains(key), "{error}");
     }
 }
@@ -463,11 +461,11 @@
     };
     let needed = estimate(1_000, state);
     assert!(admit(1_000, state, Bytes(2 * needed.0)).is_ok());
-    let error = admit(1_000, state, Bytes(2 * needed.0 - 2)).expect_err("it does not fit");
+    let error = admit(1_000, state, Bytes(2 * needed.0 - 2)).expect_err("too large");
     assert_eq!(error.estimate, needed);
     assert!(
         estimate(2_000, state).0 > 2 * needed.0,
-        "it grows faster than the fleet"
+        "memory must grow faster than the fleet"
     );
     let with_table = estimate(
         1_000,
@@ -479,7 +477,7 @@
     assert_eq!(
         with_table.0,
         needed.0 + 1_000 * (4 << 20),
-        "each has a table"
+        "each member has a table"
     );
 }
 
@@ -493,18 +491,18 @@
             })
             .to_vec()
     };
-    let linear = line(&points(|size| 3.0 * size + 7.0)).expect("there are points enough");
+    let linear = line(&points(|size| 3.0 * size + 7.0)).expect("enough points");
     assert!((linear.slope - 3.0).abs() < 1e-9 && (linear.constant - 7.0).abs() < 1e-6);
     assert!(linear.residual < 1e-9);
     let square = points(|size| size * size / 50.0);
-    assert!((exponent(&square).expect("all are positive") - 2.0).abs() < 1e-9);
-    assert!(line(&square).expect("there are points enough").residual > 0.05);
+    assert!((exponent(&square).expect("positive figures") - 2.0).abs() < 1e-9);
+    assert!(line(&square).expect("enough points").residual > 0.05);
     let step = points(|size| if size > 1_000.0 { 50.0 } else { 1.0 });
-    assert!(line(&step).expect("there are points enough").residual > 0.2);
+    assert!(line(&step).expect("enough points").residual > 0.2);
     assert_eq!(
         exponent(&points(|size| size - 100.0)),
         None,
-        "a figure that is 0 has no power"
+        "a figure of 0 has no exponent"
     );
     assert_eq!(line(&points(|size| size)[..1]), None);
 }
@@ -517,7 +515,7 @@
         .arg("scale")
         .args(arguments)
         .output()
-        .expect("the kit runs");
+        .expect("run linnetknot-rehearse");
     let printed = [output.stdout, output.stderr].concat();
     (
         output.status.code(),
--- a/rehearse/tests/scale_daemons.rs
+++ b/rehearse/tests/scale_daemons.rs
@@ -24,7 +24,7 @@
         rest_seconds: SECONDS as u64,
         purges_per_second: 110,
         seed: 1,
-        target: Target::load(None).expect("the built-in target is sound"),
+        target: Target::load(None).expect("load built-in target"),
     }
 }
 
--- a/rehearse/tests/scale_daemons_parts.rs
+++ b/rehearse/tests/scale_daemons_parts.rs
@@ -34,7 +34,7 @@
 
 #[test]
 fn datagrams_are_classified_by_protocol() {
-    let digest_request = Datagram::DigestRequest.encode().expect("it is short");
+    let digest_request = Datagram::DigestRequest.encode().expect("encode datagram");
     assert_eq!(Kind::of(&digest_request), Kind::Digests);
     let ack = Datagram::Ack {
         process: 1,
@@ -43,7 +43,10 @@
             index: 3,
         }],
     };
-    assert_eq!(Kind::of(&ack.encode().expect("it is short")), Kind::Acks);
+    assert_eq!(
+        Kind::of(&ack.encode().expect("encode datagram")),
+        Kind::Acks
+    );
     assert_eq!(Kind::of(b"purge object a 1"), Kind::Other);
 }
 
@@ -58,18 +61,16 @@
 
 #[test]
 fn sockets_accept_datagrams_from_daemons_only() {
-    let daemon = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
-    let stranger = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
-    let daemon_address = daemon.local_addr().expect("it is bound");
-    let mut sockets = MemberSockets::bind(3, &[daemon_address]).expect("loopback has room");
+    let daemon = UdpSocket::bind("127.0.0.1:0").expect("bind socket");
+    let stranger = UdpSocket::bind("127.0.0.1:0").expect("bind socket");
+    let daemon_address = daemon.local_addr().expect("local address");
+    let mut sockets = MemberSockets::bind(3, &[daemon_address]).expect("bind member sockets");
     let second = sockets.addresses()[1];
     stranger
         .send_to(b"stranger", second)
-        .expect("loopback takes it");
-    daemon
-        .send_to(b"daemon", second)
-        .expect("loopback takes it");
-    assert_eq!(sockets.wait(1_000_000).expect("it waits"), [1]);
+        .expect("send datagram");
+    daemon.send_to(b"daemon", second).expect("send datagram");
+    assert_eq!(sockets.wait(1_000_000).expect("wait for datagrams"), [1]);
     let mut buffer = [0; 16];
     let received = sockets.receive(1, &mut buffer);
     assert_eq!(
