--- a/rehearse/src/lib.rs
+++ b/rehearse/src/lib.rs
@@ -1,5 +1,5 @@
-//! A bounded rehearsal on loopback: fakes of cache servers, of the event bus and of a peer CDN play a purge and a
-//! drain against a real daemon, and every breach of the rules is reported.
+//! A rehearsal kit: plays faults, purges and drains against real daemons on loopback, with fakes of the cache servers, the
+//! event bus and a peer CDN, and reports each breach of the rules.
 
 pub mod fakes;
 pub mod fault_matrix;
@@ -17,44 +17,47 @@
 pub mod shipped;
 pub mod timetable;
 
-pub use play::{rehearse, Plant};
+pub use play::{rehearse, RehearsalDefect};
 
 use std::fmt;
 
 /// A broken rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
-    /// The rule.
+    /// The name of the rule.
     pub rule: &'static str,
-    /// What broke it.
-    pub what: String,
+    /// A description of the observation that breaks the rule.
+    pub evidence: String,
 }
 
-/// What a rehearsal came to.
+/// The result of the built-in rehearsal.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// What was played, a line each.
-    pub played: Vec<String>,
-    /// All that broke a rule.
+    /// A description of each case that was played.
+    pub cases: Vec<String>,
+    /// The breaches of rules.
     pub breaches: Vec<Breach>,
 }
 
 impl Report {
-    /// Notes a breach where something that must hold does not.
-    pub fn hold(&mut self, rule: &'static str, holds: bool, what: impl FnOnce() -> String) {
+    /// Adds a breach of a rule if the condition does not hold.
+    pub fn check(&mut self, rule: &'static str, holds: bool, evidence: impl FnOnce() -> String) {
         if !holds {
-            self.breaches.push(Breach { rule, what: what() });
+            self.breaches.push(Breach {
+                rule,
+                evidence: evidence(),
+            });
         }
     }
 }
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for line in &self.played {
+        for line in &self.cases {
             writeln!(f, "played   {line}")?;
         }
         for breach in &self.breaches {
-            writeln!(f, "BREACH   {}: {}", breach.rule, breach.what)?;
+            writeln!(f, "BREACH   {}: {}", breach.rule, breach.evidence)?;
         }
         writeln!(f, "{} breaches", self.breaches.len())
     }
--- a/rehearse/src/player/proxies.rs
+++ b/rehearse/src/player/proxies.rs
@@ -18,7 +18,7 @@
 struct Launcher {
     daemon: PathBuf,
     /// Armed in it.
-    points: String,
+    fail_points: String,
     folder: PathBuf,
     /// The operators' own file of each.
     own_file: Value,
@@ -26,12 +26,12 @@
 
 impl Launcher {
     fn start(&self, proxy: usize, config: &Value) -> io::Result<Process> {
-        Process::start_armed(
+        Process::start_with_fail_points(
             &self.daemon,
             &self.folder,
             &format!("p{proxy}"),
             (config, &self.own_file),
-            &self.points,
+            &self.fail_points,
         )
     }
 }
@@ -45,14 +45,14 @@
 /// The proxies' processes, and what it takes to start one again.
 pub(super) struct Proxies {
     /// Where clients reach each.
-    pub(super) fronts: Vec<SocketAddr>,
+    pub(super) addresses: Vec<SocketAddr>,
     running: Vec<Option<Process>>,
     /// Those that stand still: they run, and nobody goes to them.
     frozen: Vec<bool>,
     /// What stands between those that have peers.
     links: Option<FaultyLinks>,
     /// Told to end; a restart waits for the end.
-    ending: Vec<Option<Process>>,
+    terminating: Vec<Option<Process>>,
     configs: Vec<Value>,
     launcher: Launcher,
     restarted_sender: Sender<Restarted>,
@@ -62,7 +62,7 @@
 impl Proxies {
     /// Starts the proxies of a scenario in their environment, with points armed in their program.
     pub(super) fn start(
-        (daemon, points): (&Path, &str),
+        (daemon, fail_points): (&Path, &str),
         folder: &Path,
         scenario: &Scenario,
         seed: u64,
@@ -86,7 +86,7 @@
         };
         let launcher = Launcher {
             daemon: daemon.to_owned(),
-            points: points.to_owned(),
+            fail_points: fail_points.to_owned(),
             folder: folder.to_owned(),
             own_file,
         };
@@ -101,11 +101,11 @@
         }
         let (restarted_sender, restarted) = mpsc::channel();
         Ok(Proxies {
-            fronts: running.iter().flatten().map(|p| p.front).collect(),
+            addresses: running.iter().flatten().map(|p| p.front).collect(),
             running,
             frozen: vec![false; count],
             links,
-            ending: (0..count).map(|_| None).collect(),
+            terminating: (0..count).map(|_| None).collect(),
             configs,
             launcher,
             restarted_sender,
@@ -158,19 +158,19 @@
     pub(super) fn terminate(&mut self, proxy: usize) -> io::Result<()> {
         if let Some(process) = self.running[proxy].take() {
             process.signal(Signal::TERM)?;
-            self.ending[proxy] = Some(process);
+            self.terminating[proxy] = Some(process);
         }
         Ok(())
     }
 
     /// Starts a proxy again on its address, once its old process has ended.
     pub(super) fn restart(&mut self, proxy: usize) {
-        let ending = self.ending[proxy].take();
+        let terminating = self.terminating[proxy].take();
         let mut config = self.configs[proxy].clone();
-        config["listen"] = self.fronts[proxy].to_string().into();
+        config["listen"] = self.addresses[proxy].to_string().into();
         let (launcher, restarted) = (self.launcher.clone(), self.restarted_sender.clone());
         thread::spawn(move || {
-            if let Some(mut old) = ending {
+            if let Some(mut old) = terminating {
                 let _ = old.child.wait();
             }
             let process = launcher.start(proxy, &config);
--- a/rehearse/src/timetable.rs
+++ b/rehearse/src/timetable.rs
@@ -1,7 +1,7 @@
-//! The faults of a scenario as a timetable: what is done to which node at which microsecond of the play.
+//! The faults of a scenario as a timetable of steps.
 //!
-//! Sans-IO: the player carries each step out on the fake site and the event buses. Steps come in the order of
-//! their time; of two at one time, in the order of the faults that make them.
+//! It does no I/O; the player carries out each step on the fake site, the event buses and the proxies. Steps are in order of
+//! time, and those at the same time in the order of their faults.
 
 use crate::record::Micros;
 use crate::scenario::{Fault, Scenario, What};
@@ -10,52 +10,51 @@
 /// One step of the timetable.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// The proxies are told that a box drains.
-    Drain(String),
-    /// A box is taken down without a word.
-    Down(String),
-    /// A box is started anew, empty and cold, and the proxies are told that it is ready since now.
-    Back(String),
-    /// A box sends nothing for this long, in microseconds.
-    Stall(String, Micros),
-    /// The origin is this many times as slow from now on.
-    Origin(f64),
-    /// The event bus ends the connections of its readers.
-    CutBus,
-    /// A proxy's process is killed.
-    Kill(usize),
-    /// A proxy's process is told to end.
-    Term(usize),
-    /// A proxy is started again, once its process has ended.
-    Restart(usize),
-    /// A proxy's process stands still.
-    Freeze(usize),
-    /// It goes on.
-    Thaw(usize),
-    /// The links of these proxies with all others have these conditions from now on; only those away from them where
-    /// it is one way.
-    Links(Vec<usize>, LinkConditions, bool),
+    /// Announces to the proxies that a cache is draining.
+    DrainCache(String),
+    /// Stops a cache without a notice.
+    StopCache(String),
+    /// Starts a cache again, empty and cold, and announces it to the proxies as ready.
+    StartCache(String),
+    /// Stalls a cache for this many microseconds.
+    StallCache(String, Micros),
+    /// Slows the origin down by this factor.
+    SlowOrigin(f64),
+    /// Closes the connections of the event bus's readers.
+    CloseBusConnections,
+    /// Kills a proxy's process (SIGKILL).
+    KillProxy(usize),
+    /// Terminates a proxy's process (SIGTERM).
+    TerminateProxy(usize),
+    /// Starts a proxy again once its process has ended.
+    RestartProxy(usize),
+    /// Stops a proxy's process (SIGSTOP).
+    FreezeProxy(usize),
+    /// Resumes a proxy's process (SIGCONT).
+    ThawProxy(usize),
+    /// Sets the conditions of the links between these proxies and all others, or only of those from these proxies if the
+    /// flag for one direction is set.
+    SetLinks(Vec<usize>, LinkConditions, bool),
 }
 
-/// The uid of the box at this place; the player names boxes so.
-pub fn box_uid(n: u32) -> String {
+/// Returns the uid of the edge cache with this index.
+pub fn cache_uid(n: u32) -> String {
     format!("s-{n:08x}")
 }
 
-/// The steps of a scenario's faults, from the start of its load, in the order of time.
+/// Returns the steps of a scenario's faults in order of time, counted from the start of the load.
 pub fn timetable(scenario: &Scenario) -> Vec<(Micros, Step)> {
     let mut steps: Vec<(Micros, Step)> = scenario.faults.iter().flat_map(steps_of).collect();
-    // Stable: at one time, the order of the faults stands.
+    // The sort is stable and keeps the order of the faults for steps at the same time.
     steps.sort_by_key(|(at, _)| *at);
     steps
 }
 
-/// The microsecond of the play at which so many seconds have passed.
 fn micros(seconds: f64) -> Micros {
     (seconds * 1e6) as Micros
 }
 
-/// When a fault begins, and when it ends if it does.
+/// The start of a fault and its end, if it ends.
 #[derive(Clone, Copy)]
 struct Period {
     at: Micros,
@@ -71,7 +70,7 @@
         }
     }
 
-    /// A step for each of these when the fault begins, and one for each when it ends.
+    /// Returns a step for each item at the start of the fault and one for each at its end.
     fn steps<T: Clone>(
         self,
         which: impl Iterator<Item = T> + Clone,
@@ -85,53 +84,60 @@
     }
 }
 
-/// The uids of so many boxes from the first on.
-fn boxes(count: u32, first: u32) -> impl Iterator<Item = String> + Clone {
-    (first..first + count).map(box_uid)
+/// Returns the uids of `count` edge caches from the index `first` on.
+fn cache_uids(count: u32, first: u32) -> impl Iterator<Item = String> + Clone {
+    (first..first + count).map(cache_uid)
 }
 
-/// So many proxies from the first on.
-fn proxies(count: u32, first: u32) -> impl Iterator<Item = usize> + Clone {
+/// Returns the indexes of `count` proxies from `first` on.
+fn proxy_indices(count: u32, first: u32) -> impl Iterator<Item = usize> + Clone {
     (first..first + count).map(|n| n as usize)
 }
 
-/// The steps of one fault.
 fn steps_of(fault: &Fault) -> Vec<(Micros, Step)> {
     let period = Period::of(fault);
     match &fault.what {
         What::BoxDrains { boxes: n, first } => {
-            period.steps(boxes(*n, *first), Step::Drain, Step::Back)
+            period.steps(cache_uids(*n, *first), Step::DrainCache, Step::StartCache)
         }
         What::BoxDies { boxes: n, first } => {
-            period.steps(boxes(*n, *first), Step::Down, Step::Back)
+            period.steps(cache_uids(*n, *first), Step::StopCache, Step::StartCache)
         }
-        What::BoxStalls { boxes: n, first } => boxes(*n, *first)
-            .map(|uid| (period.at, Step::Stall(uid, micros(fault.lasts))))
+        What::BoxStalls { boxes: n, first } => cache_uids(*n, *first)
+            .map(|uid| (period.at, Step::StallCache(uid, micros(fault.lasts))))
             .collect(),
         What::SlowOrigin { times } => {
-            period.steps(std::iter::once(*times), Step::Origin, |_| Step::Origin(1.0))
-        }
-        What::BusBreaks => vec![(period.at, Step::CutBus)],
-        What::ProxyKilled { proxies: n, first } => {
-            period.steps(proxies(*n, *first), Step::Kill, Step::Restart)
-        }
-        What::ProxyStopped { proxies: n, first } => {
-            period.steps(proxies(*n, *first), Step::Term, Step::Restart)
-        }
-        What::ProxyStalled { proxies: n, first } => {
-            period.steps(proxies(*n, *first), Step::Freeze, Step::Thaw)
+            period.steps(std::iter::once(*times), Step::SlowOrigin, |_| {
+                Step::SlowOrigin(1.0)
+            })
         }
+        What::BusBreaks => vec![(period.at, Step::CloseBusConnections)],
+        What::ProxyKilled { proxies: n, first } => period.steps(
+            proxy_indices(*n, *first),
+            Step::KillProxy,
+            Step::RestartProxy,
+        ),
+        What::ProxyStopped { proxies: n, first } => period.steps(
+            proxy_indices(*n, *first),
+            Step::TerminateProxy,
+            Step::RestartProxy,
+        ),
+        What::ProxyStalled { proxies: n, first } => period.steps(
+            proxy_indices(*n, *first),
+            Step::FreezeProxy,
+            Step::ThawProxy,
+        ),
         What::Links {
             proxies: n,
             first,
             conditions,
             one_way,
         } => {
-            let which: Vec<usize> = proxies(*n, *first).collect();
+            let which: Vec<usize> = proxy_indices(*n, *first).collect();
             period.steps(
                 std::iter::once(which),
-                |which| Step::Links(which, *conditions, *one_way),
-                |which| Step::Links(which, LinkConditions::default(), *one_way),
+                |which| Step::SetLinks(which, *conditions, *one_way),
+                |which| Step::SetLinks(which, LinkConditions::default(), *one_way),
             )
         }
         What::MassPurge { .. } | What::HotObject { .. } => Vec::new(),
