--- a/rehearse/src/scale/slopes.rs
+++ b/rehearse/src/scale/slopes.rs
@@ -1,11 +1,12 @@
-//! Runs of several sizes, and how each figure grows with the size.
+//! Runs fleets of several sizes and fits each figure against the size.
 //!
-//! Each size runs in a process of its own: its resident memory is its own, and one that takes too long can be ended.
+//! Each size runs in its own process, so that its resident memory is measured separately and it can be killed on
+//! timeout.
 
 use crate::scale::fault::Fault;
 use crate::scale::fit::{exponent, line, Line, Point};
-use crate::scale::report::{shown, Report, Row};
-use crate::scale::run::Without;
+use crate::scale::report::{format_figure, Report, Row};
+use crate::scale::run::DisabledParts;
 use std::fmt::Write as _;
 use std::io;
 use std::path::PathBuf;
@@ -13,97 +14,97 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// How often it is looked whether a size is done.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval at which a child process is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What all sizes have in common.
+/// Options that all sizes have in common.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The seed.
+    /// Seed of the runs.
     pub seed: u64,
-    /// Measured seconds.
+    /// Seconds of virtual time to measure.
     pub seconds: u64,
-    /// What happens.
+    /// Fault to simulate.
     pub fault: Fault,
-    /// A file of figures.
+    /// File with target figures, or `None` for the built-in target.
     pub target: Option<PathBuf>,
-    /// Parts that a trial leaves out.
-    pub without: Without,
-    /// Real time for each size.
+    /// Features of the daemon that are disabled.
+    pub disabled: DisabledParts,
+    /// Wall-clock time allowed for each size.
     pub budget: Duration,
 }
 
-/// What became of a size.
+/// Outcome of the run of one size.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Played {
-    /// It ran, whether or not something is wrong.
+pub enum SizeOutcome {
+    /// The run completed, with or without broken rules.
     Ran(Box<Report>),
-    /// It did not, and why.
+    /// The run did not complete, for this reason.
     Skipped(String),
 }
 
-/// A size and what became of it.
+/// A fleet size and the outcome of its run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SizeRun {
-    /// Members.
+    /// Number of members.
     pub size: usize,
-    /// What became of it.
-    pub played: Played,
+    /// Outcome of the run.
+    pub outcome: SizeOutcome,
 }
 
-/// What all runs came to.
+/// Overall status of the runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Nothing is wrong.
+    /// All runs completed without broken rules.
     Sound,
-    /// Something is, at one size at least.
+    /// At least one size broke a rule.
     Wrong,
-    /// No size ran.
+    /// No size completed.
     NothingRan,
 }
 
-/// Runs all sizes in turn.
+/// Runs all sizes one after another.
 pub fn run(sizes: &[usize], options: &Options) -> Vec<SizeRun> {
     let mut runs = Vec::new();
     for size in sizes {
-        let played = match run_size(*size, options) {
-            Ok(report) => Played::Ran(Box::new(report)),
-            Err(why) => Played::Skipped(why.to_string()),
+        let outcome = match run_size(*size, options) {
+            Ok(report) => SizeOutcome::Ran(Box::new(report)),
+            Err(reason) => SizeOutcome::Skipped(reason.to_string()),
         };
         let run = SizeRun {
             size: *size,
-            played,
+            outcome,
         };
-        // The table comes when all are done, which may take long.
-        eprint!("{}", said(&run));
+        // Progress is printed at once because the final table may take long.
+        eprint!("{}", summary(&run));
         runs.push(run);
     }
     runs
 }
 
-/// Why a size was not run.
+/// Reason why a size was not run.
 #[derive(Debug, Error)]
 enum SizeError {
-    /// Its process can't be started or waited for.
+    /// The process cannot be started or waited for.
     #[error("{0}")]
     Process(#[from] io::Error),
-    /// Its process failed and said nothing.
+    /// The process failed without a message.
     #[error("{0}")]
     Status(ExitStatus),
-    /// Its process failed, and what it said.
+    /// The process failed with this message on its standard error.
     #[error("{0}")]
     Failed(String),
-    /// Its process took too long.
-    #[error("not done within the {seconds} s that a size may take")]
+    /// The process exceeded its time limit.
+    #[error("run did not finish within the limit of {seconds} s per size")]
     TimedOut {
-        /// What it may take.
+        /// Time limit in seconds.
         seconds: u64,
     },
-    /// Its process wrote no result.
-    #[error("it left no result: {0}")]
+    /// The process wrote no report.
+    #[error("run wrote no report: {0}")]
     NoResult(io::Error),
-    /// Its process wrote a result that is none.
-    #[error("its result can't be read: {0}")]
+    /// The report cannot be parsed.
+    #[error("cannot parse the report: {0}")]
     MalformedResult(serde_json::Error),
 }
 
@@ -116,7 +117,7 @@
         let text = std::fs::read_to_string(&file).map_err(SizeError::NoResult)?;
         serde_json::from_str(&text).map_err(SizeError::MalformedResult)
     });
-    // There is none where it did not run.
+    // The file does not exist if the run failed.
     let _ = std::fs::remove_file(&file);
     result
 }
@@ -133,7 +134,7 @@
     ] {
         command.arg(name).arg(value);
     }
-    if options.without.budgets {
+    if options.disabled.budgets {
         command.arg("--without-budgets");
     }
     if let Some(target) = &options.target {
@@ -143,29 +144,29 @@
     wait(child?, options.budget)
 }
 
-/// Waits for a process, and ends it when its time is over.
+/// Waits for a process and kills it when its time limit is over.
 fn wait(mut child: Child, budget: Duration) -> Result<(), SizeError> {
-    let begun = Instant::now();
-    while begun.elapsed() < budget {
+    let started_at = Instant::now();
+    while started_at.elapsed() < budget {
         match child.try_wait() {
-            Ok(None) => std::thread::sleep(LOOK),
+            Ok(None) => std::thread::sleep(POLL_INTERVAL),
             Ok(Some(status)) if matches!(status.code(), Some(0 | 1)) => return Ok(()),
             Ok(Some(status)) => {
                 let output = child
                     .wait_with_output()
                     .map(|output| output.stderr)
                     .unwrap_or_default();
-                let said = String::from_utf8_lossy(&output).trim().to_owned();
-                return Err(if said.is_empty() {
+                let message = String::from_utf8_lossy(&output).trim().to_owned();
+                return Err(if message.is_empty() {
                     SizeError::Status(status)
                 } else {
-                    SizeError::Failed(said)
+                    SizeError::Failed(message)
                 });
             }
             Err(error) => return Err(error.into()),
         }
     }
-    // Both fail only where it has just ended by itself.
+    // Both calls fail only if the process has just exited.
     let _ = child.kill();
     let _ = child.wait();
     Err(SizeError::TimedOut {
@@ -173,7 +174,7 @@
     })
 }
 
-/// What the runs came to.
+/// Returns the overall status of the runs.
 pub fn status(runs: &[SizeRun]) -> Status {
     let mut reports = reports(runs).peekable();
     if reports.peek().is_none() {
@@ -186,13 +187,13 @@
 }
 
 fn reports(runs: &[SizeRun]) -> impl Iterator<Item = &Report> {
-    runs.iter().filter_map(|run| match &run.played {
-        Played::Ran(report) => Some(&**report),
-        Played::Skipped(_) => None,
+    runs.iter().filter_map(|run| match &run.outcome {
+        SizeOutcome::Ran(report) => Some(&**report),
+        SizeOutcome::Skipped(_) => None,
     })
 }
 
-/// A figure at all sizes that have it.
+/// Collects the values of a row's figure from all sizes that have it.
 fn points(runs: &[SizeRun], of: &Row) -> Vec<Point> {
     let figure = |report: &Report| {
         let row = report
@@ -201,32 +202,34 @@
             .find(|row| (row.role, &row.figure) == (of.role, &of.figure));
         Some(Point {
             size: report.members as f64,
-            figure: row?.most()?,
+            figure: row?.worst_value()?,
         })
     };
     reports(runs).filter_map(figure).collect()
 }
 
-/// What became of one size.
-fn said(run: &SizeRun) -> String {
-    let report = match &run.played {
-        Played::Ran(report) => report,
-        Played::Skipped(why) => return format!("{} members: SKIPPED: {why}\n", run.size),
+/// Summarises the outcome of one size.
+fn summary(run: &SizeRun) -> String {
+    let report = match &run.outcome {
+        SizeOutcome::Ran(report) => report,
+        SizeOutcome::Skipped(reason) => {
+            return format!("{} members: SKIPPED: {reason}\n", run.size)
+        }
     };
     let mut out = format!(
         "{} members: {:.1} s of real time\n",
         run.size, report.real_seconds
     );
     for (verdict, (count, first)) in &report.wrong {
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = writeln!(out, "    {verdict} ({count} times; first: {first})");
     }
     out
 }
 
-/// All runs and fits, as tables. At the target's size, the fits say what a figure would come to.
+/// Formats all runs and fits as tables, with each figure extrapolated to the target's size.
 pub fn table(runs: &[SizeRun], target_size: usize) -> String {
-    let mut out: String = runs.iter().map(said).collect();
+    let mut out: String = runs.iter().map(summary).collect();
     out += "\nThe worst member's figure at each size; residual: the farthest point's, of the largest figure.\n\n";
     out += "| role | figure | unit | at each size | slope x size + constant | residual | exponent | limit | at the target's size |\n";
     out += "| --- | --- | --- | --- | --- | ---: | ---: | ---: | --- |\n";
@@ -245,22 +248,22 @@
 fn fitted(row: &Row, points: &[Point], line: Line, target_size: usize) -> String {
     let at: Vec<String> = points
         .iter()
-        .map(|point| format!("{}: {}", point.size, shown(point.figure)))
+        .map(|point| format!("{}: {}", point.size, format_figure(point.figure)))
         .collect();
     let exponent = exponent(points).map_or_else(String::new, |exponent| format!("{exponent:.2}"));
-    let limit = row.limit.map_or_else(String::new, shown);
-    let there = line.slope * target_size as f64 + line.constant;
-    let over = row.limit.is_some_and(|limit| there > limit);
+    let limit = row.limit.map_or_else(String::new, format_figure);
+    let projected = line.slope * target_size as f64 + line.constant;
+    let is_over = row.limit.is_some_and(|limit| projected > limit);
     let Row {
         role, figure, unit, ..
     } = row;
     format!(
         "| {role} | {figure} | {unit} | {} | {} x size + {} | {:.0}% | {exponent} | {limit} | {}{} |\n",
         at.join(", "),
-        shown(line.slope),
-        shown(line.constant),
+        format_figure(line.slope),
+        format_figure(line.constant),
         100.0 * line.residual,
-        shown(there),
-        if over { " OVER" } else { "" }
+        format_figure(projected),
+        if is_over { " OVER" } else { "" }
     )
 }
--- a/rehearse/tests/scale.rs
+++ b/rehearse/tests/scale.rs
@@ -1,4 +1,4 @@
-//! Fleets of hollow members: what their verdicts find, and that a seed gives one table.
+//! Fleets of hollow members: detection of injected defects, faults, and reproducibility by seed.
 
 use linnetknot_rehearse::scale::fault::Fault;
 use linnetknot_rehearse::scale::fit::{exponent, line, Point};
@@ -7,7 +7,7 @@
 use linnetknot_rehearse::scale::layout::{Distance, Layout};
 use linnetknot_rehearse::scale::memory::{admit, estimate, Bytes, MemberState};
 use linnetknot_rehearse::scale::report::{Report, Role, Value};
-use linnetknot_rehearse::scale::run::{Defect, Plant, Run, Without};
+use linnetknot_rehearse::scale::run::{Defect, DisabledParts, InjectedDefect, Run};
 use linnetknot_rehearse::scale::simulation::{play, Outcome};
 use linnetknot_rehearse::scale::target::Target;
 use linnetknot_rehearse::scale::verdict::Rule;
@@ -16,30 +16,29 @@
 
 const MEMBERS: usize = 40;
 
-/// Entries that members of some runs hold exactly.
+/// Number of entries that members store exactly in runs that exceed it.
 const EXACT_ENTRIES: usize = 500;
 
 fn target() -> Target {
-    Target::load(None).expect("the built-in target can be read")
+    Target::load(None).expect("load built-in target")
 }
 
-/// A small fleet.
 fn run(fault: Fault) -> Run {
-    let without = Without::default();
+    let disabled = DisabledParts::default();
     Run {
         members: MEMBERS,
         seed: 4_711,
         seconds: 4,
         fault,
         target: target(),
-        without,
+        disabled,
         exact_entries: None,
-        plants: Vec::new(),
+        injected_defects: Vec::new(),
     }
 }
 
-/// Few purges, so that a run in which something is wrong is short as well.
-fn quiet(fault: Fault) -> Run {
+/// A low purge rate keeps runs with broken rules short.
+fn run_with_few_purges(fault: Fault) -> Run {
     let target = Target {
         purges_per_second: 10,
         purge_limit_ms: 2_000,
@@ -71,7 +70,7 @@
 // ---- Verdicts ----
 
 #[test]
-fn a_calm_fleet_is_sound_and_one_seed_gives_one_table() {
+fn runs_without_faults_pass_and_are_reproducible_by_seed() {
     let run = run(Fault::Calm);
     let reports: Vec<Report> = (0..2).map(|_| Report::of(&run, &play(&run))).collect();
     assert_eq!(reports[0].wrong, Default::default());
@@ -91,8 +90,8 @@
 }
 
 #[test]
-fn the_table_has_each_role_and_says_what_nothing_carries() {
-    let run = quiet(Fault::Calm);
+fn report_has_rows_for_each_role_and_marks_missing_figures() {
+    let run = run_with_few_purges(Fault::Calm);
     let report = Report::of(&run, &play(&run));
     for role in [Role::Member, Role::Allocator, Role::Writer] {
         assert!(
@@ -109,19 +108,19 @@
     );
     assert!(
         !report.table(true).contains("processor"),
-        "a stable table has no clock's figures"
+        "a stable table must omit clock readings"
     );
 }
 
 #[test]
-fn a_member_that_drops_what_it_is_told_is_found() {
-    let plants = vec![Plant {
+fn member_that_drops_received_purges_is_detected() {
+    let injected_defects = vec![InjectedDefect {
         member: 7,
         defect: Defect::DropsPurges,
     }];
     let run = Run {
-        plants,
-        ..quiet(Fault::Calm)
+        injected_defects,
+        ..run_with_few_purges(Fault::Calm)
     };
     let verdict = play(&run).verdict;
     for rule in [Rule::PurgeInTime, Rule::PurgeEverywhere, Rule::SameState] {
@@ -134,45 +133,45 @@
 }
 
 #[test]
-fn members_that_spend_more_than_their_parts_are_found() {
-    let plants = (0..MEMBERS)
-        .map(|member| Plant {
+fn members_that_overspend_their_leases_are_detected() {
+    let injected_defects = (0..MEMBERS)
+        .map(|member| InjectedDefect {
             member,
             defect: Defect::SpendsTwice,
         })
         .collect();
     let run = Run {
-        plants,
-        ..quiet(Fault::Calm)
+        injected_defects,
+        ..run_with_few_purges(Fault::Calm)
     };
     let verdict = play(&run).verdict;
     assert!(verdict.breaks(Rule::BudgetLimit), "{verdict:?}");
     assert_eq!(
         verdict.violations.len(),
         1,
-        "and nothing else is wrong: {verdict:?}"
+        "no other rule may be broken: {verdict:?}"
     );
 }
 
-/// Many more purges than each member holds exactly.
-fn beyond_capacity() -> Run {
+/// More purges than each member stores exactly.
+fn run_beyond_exact_capacity() -> Run {
     let target = Target {
         purges_per_second: 1_000,
         ..target()
     };
-    let without = Without { budgets: true };
+    let disabled = DisabledParts { budgets: true };
     Run {
         members: 6,
         target,
-        without,
+        disabled,
         exact_entries: Some(EXACT_ENTRIES),
         ..run(Fault::Calm)
     }
 }
 
 #[test]
-fn no_purge_is_refused_for_room() {
-    let outcome = play(&beyond_capacity());
+fn purges_beyond_exact_capacity_are_compacted_and_not_refused() {
+    let outcome = play(&run_beyond_exact_capacity());
     assert!(outcome.verdict.is_sound(), "{:?}", outcome.verdict);
     assert!(
         outcome.purges.len() >= 4 * EXACT_ENTRIES,
@@ -190,14 +189,14 @@
 }
 
 #[test]
-fn a_member_without_room_for_a_purge_is_found() {
-    let plants = vec![Plant {
+fn member_that_never_compacts_is_detected() {
+    let injected_defects = vec![InjectedDefect {
         member: 1,
         defect: Defect::NeverCompacts,
     }];
     let verdict = play(&Run {
-        plants,
-        ..beyond_capacity()
+        injected_defects,
+        ..run_beyond_exact_capacity()
     })
     .verdict;
     assert!(verdict.breaks(Rule::PurgeHasRoom), "{verdict:?}");
@@ -211,7 +210,7 @@
 
 // ---- Faults ----
 
-fn sound(fault: Fault) -> Outcome {
+fn play_sound_run(fault: Fault) -> Outcome {
     let outcome = play(&run(fault));
     assert!(
         outcome.verdict.is_sound(),
@@ -223,8 +222,8 @@
 }
 
 #[test]
-fn a_hot_site_tells_all_purges() {
-    let outcome = sound(Fault::HotWriter);
+fn hot_writer_issues_all_purges_at_one_site() {
+    let outcome = play_sound_run(Fault::HotWriter);
     let sites: Vec<usize> = (0..outcome.purges.len() as u64)
         .filter_map(|purge| outcome.purges.get(purge))
         .map(|record| outcome.layout.position(record.writer).site)
@@ -234,27 +233,27 @@
 }
 
 #[test]
-fn a_day_has_failures_that_are_noticed_and_restarts_that_catch_up() {
-    let outcome = sound(Fault::Day);
-    // 730 restarts of 6,400 proxies are 5 of 40.
+fn day_of_faults_detects_failures_and_restarted_members_catch_up() {
+    let outcome = play_sound_run(Fault::Day);
+    // 730 restarts per day of 6,400 proxies scale to 5 of 40.
     assert_eq!(outcome.starters.len(), 5);
     assert_eq!(
         outcome.states.len(),
         MEMBERS - 1,
-        "one failed and stays away"
+        "one member crashed and stays down"
     );
     let observers = MEMBERS - 1 - outcome.starters.len();
     assert!(
         outcome.death_delays.len() >= observers as u64,
-        "all that ran then know that one died"
+        "all members running at the crash must detect it"
     );
     assert!(!outcome.purges.catch_up_delays.is_empty());
 }
 
 #[test]
-fn a_rack_and_a_zone_go_and_come_back() {
+fn members_of_a_failed_rack_or_zone_catch_up_after_restart() {
     for fault in [Fault::Rack, Fault::Zone] {
-        let outcome = sound(fault);
+        let outcome = play_sound_run(fault);
         assert!(!outcome.starters.is_empty() && outcome.starters.len() < MEMBERS);
         assert_eq!(outcome.states.len(), MEMBERS);
         assert!(
@@ -266,30 +265,30 @@
 }
 
 #[test]
-fn regions_that_lose_each_other_catch_up() {
-    let outcome = sound(Fault::RegionsApart);
+fn disconnected_regions_catch_up() {
+    let outcome = play_sound_run(Fault::RegionsApart);
     assert!(!outcome.purges.catch_up_delays.is_empty());
 }
 
 #[test]
-fn a_fleet_is_restarted_a_tenth_at_a_time() {
-    assert_eq!(sound(Fault::FleetRestart).starters.len(), MEMBERS);
+fn fleet_restart_restarts_every_member() {
+    assert_eq!(play_sound_run(Fault::FleetRestart).starters.len(), MEMBERS);
 }
 
-/// A fleet whose members hold 15,000 entries each and 140,000 purges in their tables.
-fn late_join() -> Run {
-    let without = Without { budgets: true };
+/// A fleet whose members store 15,000 entries and 140,000 compacted purges each.
+fn late_join_run() -> Run {
+    let disabled = DisabledParts { budgets: true };
     Run {
         members: 12,
-        without,
+        disabled,
         exact_entries: Some(20_000),
-        ..quiet(Fault::LateJoin)
+        ..run_with_few_purges(Fault::LateJoin)
     }
 }
 
 #[test]
-fn a_late_member_gets_all_that_a_full_fleet_has() {
-    let run = late_join();
+fn late_joiner_receives_all_logs_and_the_purge_table() {
+    let run = late_join_run();
     let outcome = play(&run);
     assert!(outcome.verdict.is_sound(), "{:?}", outcome.verdict);
     let report = Report::of(&run, &outcome);
@@ -297,16 +296,16 @@
     assert!(outcome.states[&0].table_bytes > 0 && outcome.states[&0].entries >= 15_000);
 }
 
-/// Its logs are those of the others, and what was compacted in them is nowhere.
+/// The member has the same logs as the others but lacks the purges that were compacted from them.
 #[test]
-fn a_late_member_that_gets_no_table_is_found() {
-    let plants = vec![Plant {
+fn late_joiner_without_snapshots_is_detected() {
+    let injected_defects = vec![InjectedDefect {
         member: 11,
         defect: Defect::DropsSnapshots,
     }];
     let verdict = play(&Run {
-        plants,
-        ..late_join()
+        injected_defects,
+        ..late_join_run()
     })
     .verdict;
     assert!(verdict.breaks(Rule::PurgeEverywhere), "{verdict:?}");
@@ -319,11 +318,11 @@
 }
 
 #[test]
-fn a_slow_origin_is_reported_by_one_voice_of_each_zone() {
-    let outcome = sound(Fault::SlowOrigin);
+fn slow_origin_reports_are_limited_per_zone() {
+    let outcome = play_sound_run(Fault::SlowOrigin);
     let calm = play(&run(Fault::Calm));
     let sent = |outcome: &Outcome| outcome.meters.iter().map(|m| m.sent_datagrams).sum::<u64>();
-    // Two reports a second of each of five zones at most, to all others, for two seconds.
+    // At most two reports per second from each of five zones, to all other members, for two seconds.
     let reports = sent(&outcome).saturating_sub(sent(&calm));
     let members = MEMBERS as u64;
     assert!(
@@ -333,7 +332,7 @@
 }
 
 #[test]
-fn what_a_fault_costs_is_told_for_its_time_and_after_it() {
+fn report_has_traffic_during_and_after_a_fault() {
     let run = run(Fault::RegionsApart);
     let report = Report::of(&run, &play(&run));
     for figure in [
@@ -344,7 +343,7 @@
             matches!(row(&report, Role::Member, figure), Value::Spread(spread) if spread.median > 0.0)
         );
     }
-    let calm = quiet(Fault::Calm);
+    let calm = run_with_few_purges(Fault::Calm);
     let report = Report::of(&calm, &play(&calm));
     assert!(!report
         .rows
@@ -352,11 +351,15 @@
         .any(|row| row.figure.contains("the fault")));
 }
 
-// ---- One member by itself ----
+// ---- Single members ----
 
 #[test]
-fn hollow_members_can_be_driven_by_any_loop() {
-    let config = Arc::new(FleetConfig::new(&[0, 0], &target(), Without::default()));
+fn hollow_members_replicate_purges_without_the_simulation() {
+    let config = Arc::new(FleetConfig::new(
+        &[0, 0],
+        &target(),
+        DisabledParts::default(),
+    ));
     let start =
         |index| HollowMember::start(&config, index, 1, 1_000_000, Some(DiskContents::default()));
     let mut members = [start(0), start(1)];
@@ -368,7 +371,7 @@
                 members[index].tick(now);
             }
             for datagram in members[index].take_outgoing() {
-                assert_eq!(datagram.to, 0, "the only peer");
+                assert_eq!(datagram.to, 0, "there is only one peer");
                 members[1 - index].receive(0, &datagram.bytes, now);
             }
             events[index].extend(members[index].take_events());
@@ -390,7 +393,7 @@
 // ---- Layout, target, memory and fits ----
 
 #[test]
-fn the_layout_is_the_targets_and_smaller_fleets_keep_its_distances() {
+fn layout_matches_the_target_and_scales_down() {
     let target = target();
     let whole = Layout::new(6_400, &target);
     assert_eq!(
@@ -414,22 +417,22 @@
             let (before, after) = (layout.position(member - 1), layout.position(member));
             assert!(
                 before.site == after.site || before.rack != after.rack,
-                "a rack is in one site"
+                "a rack must be within one site"
             );
             assert!(
                 before.zone == after.zone || before.site != after.site,
-                "a site is in one zone"
+                "a site must be within one zone"
             );
             assert!(
                 before.region == after.region || before.zone != after.zone,
-                "a zone is in one region"
+                "a zone must be within one region"
             );
         }
     }
 }
 
 #[test]
-fn a_target_that_is_none_is_refused_by_its_key() {
+fn invalid_target_is_rejected_with_its_key() {
     for (text, key) in [
         (r#"{"proxies": "many"}"#, "proxies"),
         (r#"{"proxys": 5}"#, "proxys"),
@@ -438,14 +441,12 @@
             "zones: must be above 0",
         ),
     ] {
-        let error = Target::parse(text)
-            .expect_err("it is no target")
-            .to_string();
+        let error = Target::parse(text).expect_err("invalid target").to_string();
         assert!(error.contains(key), "{error}");
     }
 }
 
-/// The built-in target with something else in one place.
+/// The built-in target with one replacement.
 fn altered_target(from: &str, to: &str) -> String {
     let text = include_str!("../targets/fleet.json");
     assert!(text.contains(from));
@@ -453,35 +454,35 @@
 }
 
 #[test]
-fn a_run_that_takes_more_than_half_of_the_memory_is_not_admitted() {
-    let held = MemberState {
+fn run_exceeding_half_of_available_memory_is_rejected() {
+    let state = MemberState {
         entries: 1_000,
         table_bytes: 0,
     };
-    let needed = estimate(1_000, held);
-    assert!(admit(1_000, held, Bytes(2 * needed.0)).is_ok());
-    let error = admit(1_000, held, Bytes(2 * needed.0 - 2)).expect_err("it does not fit");
+    let needed = estimate(1_000, state);
+    assert!(admit(1_000, state, Bytes(2 * needed.0)).is_ok());
+    let error = admit(1_000, state, Bytes(2 * needed.0 - 2)).expect_err("too large");
     assert_eq!(error.estimate, needed);
     assert!(
-        estimate(2_000, held).0 > 2 * needed.0,
-        "it grows faster than the fleet"
+        estimate(2_000, state).0 > 2 * needed.0,
+        "memory must grow faster than the fleet"
     );
     let with_table = estimate(
         1_000,
         MemberState {
             table_bytes: 4 << 20,
-            ..held
+            ..state
         },
     );
     assert_eq!(
         with_table.0,
         needed.0 + 1_000 * (4 << 20),
-        "each has a table"
+        "each member has a table"
     );
 }
 
 #[test]
-fn fits_find_a_line_a_square_and_a_step() {
+fn fits_distinguish_linear_quadratic_and_step_growth() {
     let points = |of: fn(f64) -> f64| {
         [100.0, 400.0, 1_600.0, 6_400.0]
             .map(|size| Point {
@@ -490,23 +491,23 @@
             })
             .to_vec()
     };
-    let straight = line(&points(|size| 3.0 * size + 7.0)).expect("there are points enough");
-    assert!((straight.slope - 3.0).abs() < 1e-9 && (straight.constant - 7.0).abs() < 1e-6);
-    assert!(straight.residual < 1e-9);
+    let linear = line(&points(|size| 3.0 * size + 7.0)).expect("enough points");
+    assert!((linear.slope - 3.0).abs() < 1e-9 && (linear.constant - 7.0).abs() < 1e-6);
+    assert!(linear.residual < 1e-9);
     let square = points(|size| size * size / 50.0);
-    assert!((exponent(&square).expect("all are positive") - 2.0).abs() < 1e-9);
-    assert!(line(&square).expect("there are points enough").residual > 0.05);
+    assert!((exponent(&square).expect("positive figures") - 2.0).abs() < 1e-9);
+    assert!(line(&square).expect("enough points").residual > 0.05);
     let step = points(|size| if size > 1_000.0 { 50.0 } else { 1.0 });
-    assert!(line(&step).expect("there are points enough").residual > 0.2);
+    assert!(line(&step).expect("enough points").residual > 0.2);
     assert_eq!(
         exponent(&points(|size| size - 100.0)),
         None,
-        "a figure that is 0 has no power"
+        "a figure of 0 has no exponent"
     );
     assert_eq!(line(&points(|size| size)[..1]), None);
 }
 
-// ---- The command line ----
+// ---- Command line ----
 
 fn scale(arguments: &[&str]) -> (Option<i32>, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_linnetknot-rehearse"));
@@ -514,17 +515,17 @@
         .arg("scale")
         .args(arguments)
         .output()
-        .expect("the kit runs");
-    let said = [output.stdout, output.stderr].concat();
+        .expect("run linnetknot-rehearse");
+    let printed = [output.stdout, output.stderr].concat();
     (
         output.status.code(),
-        String::from_utf8_lossy(&said).into_owned(),
+        String::from_utf8_lossy(&printed).into_owned(),
     )
 }
 
 #[test]
-fn what_cannot_be_run_ends_with_2_and_names_it() {
-    for (arguments, named) in [
+fn invalid_arguments_exit_with_2_and_are_named() {
+    for (arguments, expected) in [
         (&["--fault", "storm"][..], "storm"),
         (&["--members", "many"], "many"),
         (&["--members", "1"], "--members"),
@@ -534,22 +535,22 @@
         (&["--target", "no-such-target.json"], "no-such-target.json"),
         (&["--slopes", "100,none"], "none"),
     ] {
-        let (status, said) = scale(arguments);
-        assert_eq!(status, Some(2), "{arguments:?}: {said}");
-        assert!(said.contains(named), "{arguments:?}: {said}");
+        let (status, output) = scale(arguments);
+        assert_eq!(status, Some(2), "{arguments:?}: {output}");
+        assert!(output.contains(expected), "{arguments:?}: {output}");
     }
 }
 
 #[test]
-fn a_sound_run_ends_with_0_and_slopes_say_what_they_skip() {
+fn successful_run_exits_with_0_and_slopes_report_skipped_sizes() {
     let sound = ["--without-budgets", "--seconds", "1"];
-    let (status, said) = scale(&[&["--members", "20"], &sound[..]].concat());
-    assert_eq!(status, Some(0), "{said}");
-    let (status, said) = scale(&[&["--slopes", "10,20,100000"], &sound[..]].concat());
-    assert_eq!(status, Some(0), "{said}");
+    let (status, output) = scale(&[&["--members", "20"], &sound[..]].concat());
+    assert_eq!(status, Some(0), "{output}");
+    let (status, output) = scale(&[&["--slopes", "10,20,100000"], &sound[..]].concat());
+    assert_eq!(status, Some(0), "{output}");
     assert!(
-        said.contains("100000 members: SKIPPED: --members 100000: takes about"),
-        "{said}"
+        output.contains("100000 members: SKIPPED: --members 100000: takes about"),
+        "{output}"
     );
-    assert!(said.contains("x size +"), "{said}");
+    assert!(output.contains("x size +"), "{output}");
 }
--- a/rehearse/tests/scale_daemons_parts.rs
+++ b/rehearse/tests/scale_daemons_parts.rs
@@ -1,4 +1,4 @@
-//! The parts of a run of real daemons: acknowledgements, kinds of datagrams, planned purges and sockets.
+//! Components of runs with real daemons: acknowledgements, datagram kinds, purge schedules and sockets.
 
 use linnetknot_rehearse::scale::daemons::acks::PurgeAcks;
 use linnetknot_rehearse::scale::daemons::kind::Kind;
@@ -13,11 +13,11 @@
 const SECOND_US: u64 = 1_000_000;
 
 #[test]
-fn an_acknowledgement_covers_all_before_its_index_once() {
+fn acknowledgement_covers_earlier_purges_once() {
     let mut acks = PurgeAcks::new(2);
-    acks.told(5, 1, 100);
-    acks.told(5, 3, 200);
-    acks.told(5, 4, 300);
+    acks.record_issued(5, 1, 100);
+    acks.record_issued(5, 3, 200);
+    acks.record_issued(5, 4, 300);
     acks.acknowledged(5, 0, 3, 1_000);
     acks.acknowledged(5, 0, 3, 9_000);
     assert_eq!((acks.total(), acks.missing(0), acks.missing(1)), (3, 1, 3));
@@ -33,8 +33,8 @@
 }
 
 #[test]
-fn datagrams_are_known_by_their_own_decoders() {
-    let digest_request = Datagram::DigestRequest.encode().expect("it is short");
+fn datagrams_are_classified_by_protocol() {
+    let digest_request = Datagram::DigestRequest.encode().expect("encode datagram");
     assert_eq!(Kind::of(&digest_request), Kind::Digests);
     let ack = Datagram::Ack {
         process: 1,
@@ -43,12 +43,15 @@
             index: 3,
         }],
     };
-    assert_eq!(Kind::of(&ack.encode().expect("it is short")), Kind::Acks);
+    assert_eq!(
+        Kind::of(&ack.encode().expect("encode datagram")),
+        Kind::Acks
+    );
     assert_eq!(Kind::of(b"purge object a 1"), Kind::Other);
 }
 
 #[test]
-fn purges_come_at_an_even_rate_and_reach_all_members() {
+fn purges_are_scheduled_evenly_over_time_and_members() {
     let purges = plan(4, 100, 2, 1);
     assert_eq!((purges.len(), purges[100].after_us), (200, SECOND_US));
     assert!((0..4).all(|member| purges.iter().any(|purge| purge.member == member)));
@@ -57,19 +60,17 @@
 }
 
 #[test]
-fn members_hear_daemons_and_nobody_else() {
-    let daemon = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
-    let stranger = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
-    let daemon_address = daemon.local_addr().expect("it is bound");
-    let mut sockets = MemberSockets::bind(3, &[daemon_address]).expect("loopback has room");
+fn sockets_accept_datagrams_from_daemons_only() {
+    let daemon = UdpSocket::bind("127.0.0.1:0").expect("bind socket");
+    let stranger = UdpSocket::bind("127.0.0.1:0").expect("bind socket");
+    let daemon_address = daemon.local_addr().expect("local address");
+    let mut sockets = MemberSockets::bind(3, &[daemon_address]).expect("bind member sockets");
     let second = sockets.addresses()[1];
     stranger
         .send_to(b"stranger", second)
-        .expect("loopback takes it");
-    daemon
-        .send_to(b"daemon", second)
-        .expect("loopback takes it");
-    assert_eq!(sockets.wait(1_000_000).expect("it waits"), [1]);
+        .expect("send datagram");
+    daemon.send_to(b"daemon", second).expect("send datagram");
+    assert_eq!(sockets.wait(1_000_000).expect("wait for datagrams"), [1]);
     let mut buffer = [0; 16];
     let received = sockets.receive(1, &mut buffer);
     assert_eq!(
@@ -84,7 +85,7 @@
 }
 
 #[test]
-fn more_sockets_than_descriptors_are_refused() {
+fn sockets_beyond_the_descriptor_limit_are_rejected() {
     assert_eq!(admit(1), Ok(()));
     let error = admit(usize::MAX - OTHER_DESCRIPTORS);
     assert!(
