--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -9,7 +9,7 @@
     pub source: ServerId,
     /// Rank at which the copy is cached, from 1 to 3; 0 if it is not cached.
     pub cache_rank: u8,
-    /// Maximum age of a usable copy; `None` for the class's freshness lifetime.
+    /// Maximum age of a copy that the cache may serve; `None` if only the class's freshness lifetime limits it.
     pub max_age_us: Option<Micros>,
     /// The request may wait for a fill of the same object that is already in progress.
     pub coalesce: bool,
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -2,7 +2,7 @@
 
 use super::{ListMode, Load, Micros, RequestId, Server, ServerId};
 
-/// A client's request.
+/// A client's request, as the proxy passes it to the router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
     /// Id of the request.
@@ -45,7 +45,7 @@
     Reset,
     /// The router cancelled the attempt; the request may have run.
     Cancelled,
-    /// The attempt was not sent.
+    /// The attempt was not executed, and this says nothing about the health of its server.
     Moot,
     /// The cache has no usable copy and did not fill one.
     Miss,
@@ -129,11 +129,11 @@
         attempt: u32,
         /// Server to which the attempt was sent.
         server: ServerId,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time from sending the attempt to its end.
         took_us: Micros,
-        /// The client has received its final answer.
+        /// The client has received its final answer, so the request is closed.
         settled: bool,
         /// How the answer was produced.
         note: Note,
@@ -156,9 +156,9 @@
     ProbeEnded {
         /// Id of the server.
         server: ServerId,
-        /// How it ended.
+        /// Outcome of the health check.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time from sending the health check to its end.
         took_us: Micros,
         /// The server's load report.
         load: Option<Load>,
--- a/src/interface/servers.rs
+++ b/src/interface/servers.rs
@@ -27,9 +27,9 @@
     pub kind: String,
     /// Capacity of the server; see [`Settings::weights_known`](super::Settings::weights_known).
     pub weight: f64,
-    /// Whether it takes work.
+    /// Whether the server accepts new requests.
     pub state: State,
-    /// Time of its last start; `None` if it started long ago.
+    /// Time of its last start; `None` if it started so long ago that it has its full capacity.
     pub started: Option<Micros>,
 }
 
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,4 +1,5 @@
-//! Settings of a router: classes of requests, zones, features of the deployment, and the limits of its rules.
+//! Settings of a router: classes of requests, zones, features of the deployment, and limits that its decisions must
+//! respect.
 
 use super::Micros;
 
@@ -29,15 +30,15 @@
 pub struct Class {
     /// Name, as requests carry it.
     pub name: String,
-    /// Latency objective: an answer within this time has its full weight.
+    /// Latency objective: an answer within this time counts with the full `priority_weight`.
     pub objective_us: Micros,
-    /// Extension of the objective, as a multiple of the request's transfer time.
+    /// Extension of the objective, as a multiple of the request's transfer time at full rate.
     pub objective_stretch: f64,
     /// Longest time that a client waits for an answer.
     pub deadline_us: Micros,
     /// Priority weight of a request.
     pub priority_weight: f64,
-    /// Fraction of the weight that an answer after the objective has.
+    /// Fraction of `priority_weight` with which an answer after the objective counts.
     pub late_weight: f64,
     /// Whether a request that may have run can be sent again.
     pub repeat: Repeat,
@@ -55,7 +56,7 @@
     pub fresh_us: Micros,
     /// Additional time for which a stale copy may be served.
     pub grace_us: Micros,
-    /// Fraction of the weight that a stale answer has.
+    /// Fraction of `priority_weight` with which a stale answer counts.
     pub stale_weight: f64,
 }
 
@@ -114,7 +115,7 @@
     Off,
 }
 
-/// Limits of the rules that the platform checks.
+/// Limits that the deployment imposes on all routers: drains, slow start, overload and purges.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
     /// Time after which a router must send no new requests to a server reported as draining or gone.
@@ -137,7 +138,7 @@
     pub purge_grace_us: Micros,
     /// Time after which servers have dropped purged copies themselves.
     pub purge_completion_us: Micros,
-    /// For a polled server list, the age of the last poll from which a router counts as informed of a change.
+    /// For a polled server list, the maximum time between polls. After it a router is expected to know of a change.
     pub max_poll_age_us: Micros,
 }
 
@@ -186,8 +187,8 @@
     pub retry_after: bool,
     /// Longest Retry-After that clients follow; 0 if none is sent.
     pub max_retry_after_us: Micros,
-    /// Multiple of its capacity at which the origin stops for a while; 0 if it does not.
+    /// Multiple of its capacity at which an overloaded origin stops serving for a while; 0 if it does not stop.
     pub origin_overload_multiple: f64,
-    /// Limits of the rules.
+    /// Limits that the decisions must respect.
     pub rules: Rules,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! linnetknot makes the decisions of an edge proxy in front of caches that hold large objects and have low-bandwidth
 //! links: which cache receives a request, where a miss is filled from, what is cached, and how failures are handled.
 //!
-//! The library performs no I/O. A proxy passes events to a [`Router`] and carries out the actions that it returns. Time
-//! is the `now` of each call, and all random choices derive from the seed.
+//! The library performs no I/O. A proxy passes events to a [`Router`] and carries out the actions that it returns. The
+//! router reads no clock: the caller passes the current time as `now`. All random choices derive from the seed.
 //!
 //! ```
 //! use linnetknot::*;
--- a/src/ramp.rs
+++ b/src/ramp.rs
@@ -2,14 +2,15 @@
 //! it. The decisions based on it are in `crate::router`.
 //!
 //! If many routers share a budget that allows each of them less than one request per window, each router sends one
-//! request whenever its accumulated share reaches one. These send slots are offset by a phase between 0 and 1 per
-//! router, so routers with evenly distributed phases use their slots at evenly distributed times. A slot stays open for
-//! a quarter of a window, so n routers together send at most 1.25 times n times their share in one window, plus a few
-//! requests where their phases are uneven; an unused slot does not accumulate.
+//! request whenever its accumulated share reaches one request. The time at which it may do so is its send slot. The
+//! slots are offset by a phase between 0 and 1 per router, so routers with evenly distributed phases use their slots at
+//! evenly distributed times. A slot stays open for a quarter of a window, so n routers together send at most 1.25 times
+//! n times their share in one window, plus a few requests if their phases are uneven. An unused slot does not
+//! accumulate.
 
 use crate::interface::Micros;
 
-/// Number of slot durations in a window.
+/// Length of a window divided by the length of a send slot.
 const SLOT_DURATIONS_PER_WINDOW: Micros = 4;
 /// Conjugate of the golden ratio. The fractional parts of its multiples are evenly distributed between 0 and 1 for any
 /// number of multiples.
@@ -40,7 +41,8 @@
         phase: f64,
     ) -> bool {
         let window_us = window_us.max(1);
-        // The share grows linearly, so its mean since the start is half the sum of both ends.
+        // The share in the middle of the window converts the rate to that at full capacity. The share grows linearly,
+        // so its mean from the start to an age is half the sum of its values at both times.
         let rate = slots_per_window / self.share_at(age.saturating_sub(window_us / 2)).max(1e-9);
         let slots_until = |age: Micros| {
             let mean = (self.share_at(0) + self.share_at(age)) / 2.0;
--- a/src/router/capacity.rs
+++ b/src/router/capacity.rs
@@ -7,12 +7,12 @@
 use crate::interface::{Micros, ServerId, State};
 use crate::statistics::{decayed, SlowdownEstimate};
 
-/// Maximum fraction of the remaining time that a fill may be expected to take.
+/// Maximum expected duration of a fill, as a fraction of the remaining time.
 const LINK_MARGIN: f64 = 0.4;
-/// Maximum fraction for transfers of unknown size, which may be larger than typical.
+/// Like `LINK_MARGIN`, for transfers of unknown size, which may be larger than typical.
 const UNKNOWN_SIZE_MARGIN: f64 = 0.5;
-/// Maximum fraction of the remaining time that a transfer from a cache may be expected to take; further transfers may
-/// start during it.
+/// Maximum expected duration of a transfer from a cache, as a fraction of the remaining time. The rest allows for
+/// transfers that start later and share the link.
 const CACHE_MARGIN: f64 = 0.75;
 /// Slowdown from which a link counts as congested.
 const CONGESTED_SLOWDOWN: f64 = 1.3;
@@ -26,7 +26,8 @@
 impl Router {
     /// Returns whether a server may receive a request, as target or as source of its fill.
     pub(super) fn admits(&self, id: ServerId, now: Micros, open: &OpenRequest) -> bool {
-        // The slow-start budget charges the class's mean, so that large requests are not at a disadvantage.
+        // Charges the mean transfer time of the class instead of the request's own, so that large requests are not
+        // rejected more often than small ones.
         let transfer_s = self.class_statistics[open.class].transfer_s;
         self.endpoints.get(&id).is_some_and(|server| {
             server.state == State::Ready && self.admits_in_slow_start(id, server, now, transfer_s)
@@ -113,7 +114,7 @@
     }
 
     /// Returns whether another fill would not finish in time on the location's link. Such a fill would only delay the
-    /// others, so the cache is asked for its own copy alone.
+    /// others, so the cache is asked to answer only from its own copy.
     pub(super) fn link_is_full(&self, now: Micros, open: &OpenRequest) -> bool {
         let Some(capacity) = self.link_capacity(now) else {
             return false;
@@ -128,8 +129,8 @@
     }
 
     /// Returns the capacity of the location's link at full rate, in fills; `None` if nothing indicates congestion. A
-    /// capacity missing from the settings is estimated from recent fills. Without a limit, fills that miss their
-    /// deadline would be retried and keep the link congested.
+    /// capacity missing from the settings is estimated from recent fills. If the number of fills were not limited,
+    /// fills that miss their deadline would be retried and keep the link congested.
     fn link_capacity(&self, now: Micros) -> Option<f64> {
         let link_kb_per_s = self.settings.zones[self.settings.zone].link_kb_per_s;
         if link_kb_per_s > 0.0 {
--- a/src/router/dispatch.rs
+++ b/src/router/dispatch.rs
@@ -6,13 +6,13 @@
 
 /// Request count from which a part is cached at rank 2, where scans of other objects do not evict it.
 const RETAINED_PART_COUNT: f64 = 1.3;
-/// Multiple of the duration of nearly all answers of its class after which an attempt is stuck.
+/// An attempt is stuck after this multiple of the duration that nearly all answers of its class stay within.
 const STUCK_FACTOR: f64 = 2.2;
-/// Maximum number of times that a request's stuck attempts double that duration.
+/// Maximum number of times that the stuck timeout is doubled for a request whose earlier attempts were stuck.
 const MAX_STUCK_DOUBLINGS: u32 = 4;
-/// An attempt is overdue after this time plus `OVERDUE_FACTOR` times its transfer time.
+/// An attempt without an answer is overdue after this time plus `OVERDUE_FACTOR` times its transfer time.
 const OVERDUE_US: Micros = 250_000;
-/// See `OVERDUE_US`.
+/// Multiple of the transfer time in the overdue timeout; see `OVERDUE_US`.
 const OVERDUE_FACTOR: f64 = 2.0;
 
 impl Router {
@@ -106,8 +106,8 @@
         server.is_some_and(|server| server.role != Role::Cache)
     }
 
-    /// Charges the slow-start budget of a server for an attempt that it receives or fills. An attempt to a previously
-    /// ejected server is its trial.
+    /// Charges the slow-start budget of a server that receives an attempt or is the source of its fill. The first
+    /// attempt to a server after its ejection is its trial.
     fn charge(&mut self, id: ServerId, charge: Charge) {
         if let Some(server) = self.endpoints.get_mut(&id) {
             server.slow_start_charges.push_back(charge);
--- a/src/router/faults.rs
+++ b/src/router/faults.rs
@@ -5,7 +5,7 @@
 use super::Router;
 use crate::interface::{AnswerDetail, Note, Outcome, ServerId};
 
-/// Weight of a failure to connect, which ejects a server immediately, whatever the list says.
+/// Weight of a failure to connect. It ejects a server at once, even if the server list reports the server as ready.
 const CONNECT_FAILURE_WEIGHT: f64 = 2.0;
 /// Weight of a connection reset; if the server's process has ended, the next connection fails too.
 const RESET_WEIGHT: f64 = 0.5;
@@ -38,7 +38,7 @@
 
 impl Router {
     /// Attributes a failure. If the answer gives no reason, the failure is divided in proportion to the failure rates
-    /// of both, so the healthy one is cleared by its other answers.
+    /// of server and source. The failure rate of the healthy one falls again with its successful answers.
     pub(super) fn assign_fault(&self, end: &AttemptEnd) -> Fault {
         let reason_known = self.settings.answer_detail == AnswerDetail::All
             || !matches!(end.outcome, Outcome::Full | Outcome::Error);
@@ -114,10 +114,11 @@
         }
     }
 
-    /// Records an attempt cancelled as stuck against those that did not answer.
+    /// Records a stuck and cancelled attempt as a failure of the server or source that did not answer.
     fn record_stuck(&mut self, end: &AttemptEnd) {
-        // Counts as a slow answer. Counting only completed answers would lower the bound with every cancellation, so a
-        // slow origin would have all its requests cancelled and repeated.
+        // Counts the attempt as a slow answer in the duration statistics. If only completed answers counted, every
+        // cancellation would lower the stuck timeout, and a slow origin would have all its requests cancelled and
+        // repeated.
         if end.slow {
             self.class_statistics[end.class].adjust_tail_factor(true);
         }
--- a/src/router/leases.rs
+++ b/src/router/leases.rs
@@ -1,11 +1,11 @@
-//! This router's part of the budgets that all routers share.
+//! This router's share of the budgets that all routers share.
 
 use super::state::Role;
 use super::Router;
 use crate::interface::{Budget, Lease, Micros, ServerId};
 
 impl Router {
-    /// Returns this router's part of a shared budget: the leased amount, or an equal share without a lease.
+    /// Returns this router's share of a budget: the leased amount, or an equal share without a lease.
     pub(super) fn budget_share(&self, budget: Budget, routers: u32, now: Micros) -> f64 {
         match self.leases.get(&budget) {
             None => 1.0 / f64::from(routers.max(1)),
@@ -36,7 +36,7 @@
 }
 
 impl Lease {
-    /// Returns the amount that applies at a time.
+    /// Returns the amount that the router may use at the given time.
     fn amount_at(&self, now: Micros) -> f64 {
         if now < self.until {
             self.amount
--- a/src/router/origin.rs
+++ b/src/router/origin.rs
@@ -7,18 +7,19 @@
 
 /// Factor applied to the admitted share for a late answer.
 const ORIGIN_SHARE_DECREASE: f64 = 0.85;
-/// Maximum lateness that counts. The share falls faster the later an answer is, because a long queue takes time to
-/// show.
+/// Maximum lateness that is taken into account. A later answer lowers the admitted share more, because a long queue at
+/// the origin delays the answers that show it.
 const MAX_ORIGIN_LATENESS: f64 = 3.0;
 /// Increase of the admitted share for an answer in time.
 const ORIGIN_SHARE_INCREASE: f64 = 0.04;
 /// Minimum admitted share, so that a recovery of the origin is detected.
 const MIN_ORIGIN_SHARE: f64 = 0.05;
-/// Additional weight of an answer per second since the previous one, since one router of many sees few answers.
+/// Additional weight of an answer per second since the previous answer. A router that receives few answers thus adjusts
+/// its share as fast as one that receives many.
 const ANSWER_WEIGHT_PER_S: f64 = 10.0;
 /// Lateness, as a multiple of the latency objective, from which an answer is reported to other routers.
 const MIN_REPORTED_LATENESS: f64 = 2.0;
-/// Maximum time since the previous answer that adds weight.
+/// Maximum time since the previous answer for which weight is added.
 const MAX_ANSWER_GAP_US: Micros = 1_000_000;
 
 /// Share of a router's requests that may reach the origin.
@@ -50,8 +51,8 @@
         self.peer_limit_until = until;
     }
 
-    /// Returns whether a request may reach the origin. All attempts of a request have the same draw, so retries are no
-    /// additional chances.
+    /// Returns whether a request may reach the origin. `admission_draw` is the same for all attempts of a request, so a
+    /// retry has no additional chance of being admitted.
     fn admits(&self, now: Micros, admission_draw: f64) -> bool {
         let limit = if now < self.peer_limit_until {
             self.peer_limit.max(MIN_ORIGIN_SHARE)
--- a/src/router/outcomes.rs
+++ b/src/router/outcomes.rs
@@ -34,20 +34,20 @@
     pub(super) size_known: bool,
     /// Expected duration of an answer, in seconds.
     pub(super) expected_s: f64,
-    /// The attempt was cancelled as stuck although its server answered other requests meanwhile. Only this answer may
-    /// be lost; the request has run, and the copy is in the cache by now.
+    /// The attempt was cancelled as stuck although its server answered other requests meanwhile. The server is
+    /// therefore assumed to have run the request and cached the copy, and only the answer to be lost.
     pub(super) slow: bool,
     /// This is the request's first stuck attempt, so the same server is tried again.
     pub(super) retry_same_server: bool,
     /// Source of an attempt that was cancelled as stuck, if it has answered no request since the attempt was sent.
     pub(super) silent_source: Option<ServerId>,
-    /// The note reflects the state of the origin. The loss of a single parent does not, because the other parents must
-    /// continue to fetch from it.
+    /// The note says something about the state of the origin. The loss of a single parent does not, because the other
+    /// parents must continue to fetch from the origin.
     pub(super) reflects_origin: bool,
-    /// No answer arrived within the latency objective although cache and source are healthy. This is the first sign of
-    /// an overloaded origin, and for many routers the only one.
+    /// No answer arrived within the latency objective although cache and source are healthy. This is the earliest sign
+    /// of an overloaded origin; a router that sends few requests to the origin may see no other.
     pub(super) origin_unanswered: bool,
-    /// First server that failed this request without a reason, unless it is the server of this attempt.
+    /// First server that answered this request with an error without a reason, unless it is the server of this attempt.
     pub(super) first_failed_server: Option<ServerId>,
 }
 
@@ -191,14 +191,14 @@
             open.first_failed_server = open.first_failed_server.or(end.first_failed_server);
         }
         open.failed_fills += match fault {
-            // The origin behind the source may be at fault, and another fill would only add to its load.
+            // The origin behind the source may have failed, and another fill would only add to the load of the origin.
             Fault::Shared { .. } => 2,
             _ => u32::from(source_failed || end.silent_source.is_some()),
         };
         let lookup_missed = end.outcome == Outcome::Miss;
         if source_failed || lookup_missed || end.note == Note::SourceLacks {
-            // An upstream miss counts as a failed fill, because an object missing in two parents is unlikely to be in
-            // another. The cache stays eligible.
+            // A miss in a parent counts as a failed fill, because an object missing in two parents is unlikely to be in
+            // another parent. The cache stays eligible for the request.
             open.known_miss |= lookup_missed;
             open.failed_fills += u32::from(lookup_missed && end.attempt.fills_from_upstream);
             open.excluded_sources.extend(end.attempt.source);
--- a/src/router/outliers.rs
+++ b/src/router/outliers.rs
@@ -12,7 +12,8 @@
 const MAX_DOUBLINGS: u32 = 4;
 /// Weight of one outcome in a server's failure rate.
 pub(super) const FAILURE_WEIGHT: f64 = 0.3;
-/// Failure rate above which a server is ejected: two consecutive failures, or a third of its requests in the long run.
+/// Failure rate above which a server is ejected. Two consecutive failures exceed it, and so do failures of about a
+/// third of the server's requests in the long run.
 const MAX_FAILURE_RATE: f64 = 0.45;
 
 impl Router {
--- a/src/router/placement.rs
+++ b/src/router/placement.rs
@@ -7,12 +7,12 @@
 use crate::interface::{DedupScope, Micros, ServerId, Siblings};
 use linnetknot_purges::hashing::mix;
 
-/// Lower bound of the total request count, so that the first objects of a new table do not appear popular.
+/// Lower bound of the total request count, so that the first objects in an almost empty table do not appear popular.
 const MIN_TOTAL_COUNT: f64 = 50.0;
 /// Number of failed fills after which a request is no longer filled; fills that failed for an unknown reason count
 /// twice.
 const MAX_FAILED_FILLS: u32 = 2;
-/// Ratio of fill durations above which the second parent is preferred to the first.
+/// Ratio of the first parent's fill duration to the second's above which the second parent is preferred.
 const SLOWER_PARENT_FACTOR: f64 = 2.0;
 
 /// Ready servers by role, ranked for a part by rendezvous hashing.
@@ -56,8 +56,9 @@
         scores.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// Selects a cache. The object's share of the requests determines its number of copies; the cache is chosen at
-    /// random among the eligible ones of that many top-ranked caches, or is the next eligible one in the ranking.
+    /// Selects a cache. The object's share of the requests determines its number of copies n. The cache is chosen at
+    /// random among the eligible caches of the n top-ranked ones; if none is eligible, the next eligible cache in the
+    /// ranking is used.
     pub(super) fn pick_cache(
         &self,
         now: Micros,
@@ -178,7 +179,7 @@
         open: &OpenRequest,
         ranked: &RankedServers,
     ) -> Option<Target> {
-        // The only origin is used even while it is ejected.
+        // The origin is used even while it is ejected, because there is no other.
         let origin = ranked.origin.filter(|_| self.origin_has_capacity(now))?;
         if self.settings.direct_to_upstream && self.deduplicates(open, origin) {
             return Some(Target {
--- a/src/router/reload.rs
+++ b/src/router/reload.rs
@@ -2,8 +2,8 @@
 //!
 //! A reload may add and remove classes and lower the number of attempts. A request in progress keeps the deadline,
 //! objectives and statistics of the class it started with. Old classes with open requests are therefore appended to the
-//! new classes under a name that no request can carry, until a later reload finds them unused. New requests find the
-//! new classes by name. The new number of attempts also applies to requests in progress.
+//! new classes under a name that no request can carry. The first later reload that finds them unused removes them. New
+//! requests find the new classes by name. The new number of attempts also applies to requests in progress.
 
 use super::statistics::ClassStatistics;
 use super::Router;
--- a/src/router/retries.rs
+++ b/src/router/retries.rs
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Checks again an attempt that waited for its connection. Returns `None` if it must no longer be sent, otherwise
-    /// the maximum age of a usable copy.
+    /// Decides again whether an attempt that waited for a connection may be sent. Returns `None` if it must not be
+    /// sent, otherwise the maximum age of a copy that may be served.
     pub fn recheck_queued_attempt(&self, now: Micros, id: RequestId) -> Option<Option<Micros>> {
         let open = self.requests.get(&id)?;
         let may_begin = !open.client_left && !self.must_not_rerun(now, open);
@@ -92,7 +92,7 @@
             actions.push(Action::Fail { request: id });
             return;
         }
-        // Retry-After is also sent if clients may ignore it.
+        // Retry-After is sent regardless of `Settings::retry_after`; clients that do not follow the header ignore it.
         let max_us = Some(self.settings.max_retry_after_us).filter(|us| *us > 0);
         actions.push(Action::Refuse {
             request: id,
--- a/src/router/slow_start.rs
+++ b/src/router/slow_start.rs
@@ -10,7 +10,7 @@
 /// Usable fraction of a warming server's budget; the rest absorbs random variation.
 const SLOW_START_UTILISATION: f64 = 0.55;
 
-/// Slow-start budget of a server within the window of the overload rule, in seconds of transfer.
+/// Slow-start budget of a server for one window of the overload rule, in seconds of transfer.
 pub(super) struct SlowStartBudget {
     /// Limit for all routers together.
     limit_s: f64,
@@ -19,7 +19,7 @@
 }
 
 impl Router {
-    /// Returns the guaranteed growth of a server's capacity after its start.
+    /// Returns the growth of a server's capacity after its start that routers may rely on.
     fn ramp_of(&self, server: &Endpoint) -> Ramp {
         let rules = &self.settings.rules;
         match server.role {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Returns the share of its capacity that a server has at a time; 1 once it is warm.
+    /// Returns the share of its capacity that a server has at a time; 1 once slow start is over.
     pub(super) fn warmth(&self, server: &Endpoint, at: Micros) -> f64 {
         server.warming_since().map_or(1.0, |since| {
             self.ramp_of(server).share_at(at.saturating_sub(since))
@@ -56,7 +56,7 @@
     fn slow_start_budget(&self, server: &Endpoint, now: Micros) -> Option<SlowStartBudget> {
         let rules = &self.settings.rules;
         let window_us = rules.overload_window_us;
-        // Uses the capacity in the middle of the window, because the rule considers the whole window.
+        // Uses the capacity in the middle of the window, because the overload rule sums the load over the whole window.
         let warmth = self.warmth(server, now.saturating_sub(window_us / 2));
         if warmth >= 1.0 || server.role == Role::Origin || server.state != State::Ready {
             return None;
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -16,7 +16,7 @@
     Origin,
 }
 
-/// A server for an attempt and the source of its fill.
+/// The server that receives an attempt, and the source of its fill.
 #[derive(Clone, Copy)]
 pub(super) struct Target {
     pub(super) server: ServerId,
@@ -43,7 +43,7 @@
     pub(super) started: Option<Micros>,
     /// The server refused a connection; its next answer is treated as a restart of its process.
     pub(super) connect_failed: bool,
-    /// Time of that answer.
+    /// Time of the first answer after a refused connection, which is treated as the start of the process.
     pub(super) recovered_at: Option<Micros>,
     /// Rate of recent failures attributed to this server.
     pub(super) failure_rate: f64,
@@ -80,14 +80,14 @@
     pub(super) server: ServerId,
     pub(super) source: Option<ServerId>,
     pub(super) sent_at: Micros,
-    /// Time from which a missing answer counts as evidence that the server is silent.
+    /// Time from which the missing answer counts as a sign that the server has stopped answering.
     pub(super) overdue_at: Micros,
     /// Estimated transfers at the server at the time of sending, including this one.
     pub(super) server_load: f64,
     /// Estimated fills on the location's link at the time of sending, including this one.
     pub(super) link_fills: f64,
     pub(super) cancelled: bool,
-    /// Time from which the attempt takes longer than sharing of the link can explain.
+    /// Time after which even a shared link does not explain the missing answer.
     pub(super) stuck_after: Micros,
     /// The attempt was cancelled because `stuck_after` had passed.
     pub(super) stuck: bool,
@@ -124,7 +124,7 @@
     /// Time at which its latency objective ends.
     pub(super) objective_at: Micros,
     pub(super) deadline: Micros,
-    /// Random number from 0 to 1; the origin may be asked if it is below the admitted share.
+    /// Random number from 0 to 1. The request may reach the origin if it is below the admitted share.
     pub(super) admission_draw: f64,
     /// Attempts sent so far.
     pub(super) attempts: u32,
@@ -132,13 +132,13 @@
     /// A streamed answer has started.
     pub(super) streaming: bool,
     pub(super) client_left: bool,
-    /// Attempts that failed, or may have failed, because of their source or that missed in a parent.
+    /// Attempts that failed, or may have failed, because of their source, and attempts that missed in a parent.
     pub(super) failed_fills: u32,
     /// Attempts cancelled as stuck.
     pub(super) stuck: u32,
     /// Attempts that servers answered with an error without a reason.
     pub(super) unexplained_errors: u32,
-    /// Server of the first such attempt; the error is attributed to it if another server serves the request.
+    /// Server of the first such error; the error is attributed to this server if another server serves the request.
     pub(super) first_failed_server: Option<ServerId>,
     /// A lookup without a fill missed in the cache, so the object must be filled.
     pub(super) known_miss: bool,
--- a/src/router/statistics.rs
+++ b/src/router/statistics.rs
@@ -11,7 +11,7 @@
 pub(super) const SLOWDOWN_HALF_LIFE_MS: u64 = 10_000;
 /// Minimum decayed number of samples for a slowdown average to be used.
 pub(super) const MIN_SLOWDOWN_SAMPLES: f64 = 2.0;
-/// Duration of a hit in addition to its transfer.
+/// Duration of a hit beyond its transfer time.
 pub(super) const ROUND_TRIP_S: f64 = 0.02;
 /// Minimum transfer time derived from a hit.
 const MIN_TRANSFER_S: f64 = 0.001;
@@ -19,7 +19,7 @@
 const TRANSFER_STEP: f64 = 0.01;
 /// Weight of one answer in the miss rate.
 const MISS_STEP: f64 = 0.01;
-/// Share of the answers that may exceed `tail_factor`.
+/// Target share of answers that take longer than `tail_factor` allows.
 const TAIL_SHARE: f64 = 0.02;
 /// Weight of one answer in `tail_factor`.
 const TAIL_STEP: f64 = 0.2;
@@ -32,7 +32,7 @@
     pub(super) transfer_s: f64,
     /// Number of requests that `transfer_s` is derived from.
     samples: f64,
-    /// Multiple of the expected duration that all but `TAIL_SHARE` of the answers stay within.
+    /// Multiple of the expected duration that all but a share of `TAIL_SHARE` of the answers stay within.
     pub(super) tail_factor: f64,
 }
 
@@ -52,7 +52,7 @@
         self.transfer_s += (transfer_s - self.transfer_s) * TRANSFER_STEP.max(1.0 / self.samples);
     }
 
-    /// Adjusts `tail_factor` by an answer that took longer than it allows (`slower`) or not.
+    /// Adjusts `tail_factor` by one answer. `slower` is set if the answer took longer than `tail_factor` allows.
     pub(super) fn adjust_tail_factor(&mut self, slower: bool) {
         let slower = f64::from(u8::from(slower));
         self.tail_factor *= 1.0 + TAIL_STEP * (slower - TAIL_SHARE);
--- a/src/router/timers.rs
+++ b/src/router/timers.rs
@@ -9,9 +9,10 @@
 const TICK_US: Micros = 50_000;
 /// Tag of the recurring timer.
 pub(super) const TICK_TAG: u64 = 0;
-/// Time over which this router's transfers are averaged to estimate those of other routers.
+/// Time over which this router's own transfers are averaged. The average is the estimate for each other router.
 const AVERAGING_S: f64 = 3.0;
-/// Number of overdue attempts from which a server is silent, if it has not answered since the first of them was sent.
+/// Number of overdue attempts from which a server counts as silent, if it has answered nothing since the first of them
+/// was sent.
 const MIN_OVERDUE: usize = 2;
 
 /// Overdue attempts of one server.
--- a/src/statistics.rs
+++ b/src/statistics.rs
@@ -4,7 +4,7 @@
 use crate::interface::Micros;
 use std::collections::HashMap;
 
-/// Lowest count of an entry that survives the first eviction pass of a full table; doubled with each further pass.
+/// Count below which the first eviction pass removes entries of a full table; doubled with each further pass.
 const INITIAL_EVICTION_FLOOR: f64 = 0.25;
 
 /// Returns a value that was recorded at `at`, decayed to `now`.
@@ -75,7 +75,7 @@
     }
 }
 
-/// Averages over recent transfers.
+/// Averages over recent transfers of a server or a link.
 pub(crate) struct SlowdownEstimate {
     /// Duration of the transfers, as a multiple of their duration at full rate.
     pub(crate) slowdown: f64,
