--- a/replication/src/commit.rs
+++ b/replication/src/commit.rs
@@ -2,8 +2,8 @@
 //!
 //! A peer reports its durable index of a log, through which all live entries are on its disk. A commit therefore waits
 //! for an index. It is confirmed once the durable indexes of this proxy and of `min_acks` other machines have reached
-//! the index; several peers on one machine count once. A commit that does not reach this within the timeout is
-//! rejected. The entry stays in the log, as peers may have received it.
+//! the index; several peers on one machine count once. A commit that is not confirmed within the timeout is rejected.
+//! The entry stays in the log, because peers may already have received it.
 
 use crate::unsynced::Unsynced;
 use crate::{Epoch, Index, LogId, Micros, Options};
@@ -20,7 +20,7 @@
     Disk,
     /// Too few other machines have acknowledged the entry.
     TooFewReplicas {
-        /// The number of machines that have acknowledged it.
+        /// The number of machines that have acknowledged the entry.
         have: usize,
         /// The required number of machines.
         wanted: usize,
@@ -73,17 +73,17 @@
     pub(crate) unsynced: &'a Unsynced,
 }
 
-/// Pending commits, and the durable indexes of this proxy's own logs that peers have reported.
+/// Pending commits, and the durable indexes that peers have reported for this proxy's own logs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct PendingCommits {
     /// The durable index of each peer, by epoch of the own log.
     durable: BTreeMap<Epoch, BTreeMap<usize, Index>>,
-    /// The process id of each peer that sent the reports.
+    /// The id of the process of each peer that sent the reports in `durable`.
     processes: BTreeMap<usize, u64>,
     /// The machine of each peer.
     machines: Vec<Machine>,
     own: Machine,
-    /// Ordered by index, and thereby by `opened_at`.
+    /// Ordered by index. As commits are opened in the order of their indexes, this is also the order of `opened_at`.
     pending: VecDeque<PendingCommit>,
     last_id: CommitId,
 }
@@ -103,9 +103,9 @@
         self.machines.len()
     }
 
-    /// Records a peer's durable index of an epoch. It never decreases within one process of the peer, so a delayed
-    /// datagram has no effect. A later process may have lost its disk, so its reports replace those of the process
-    /// before.
+    /// Records a peer's durable index of an epoch. The index never decreases within one process of the peer, so a
+    /// delayed datagram has no effect. A restarted peer may have lost its disk, so the reports of its new process
+    /// replace those of the previous one.
     pub(crate) fn record_ack(&mut self, peer: usize, process: u64, epoch: Epoch, index: Index) {
         let known = self.processes.get(&peer).copied().unwrap_or(0);
         if peer >= self.machines.len() || process < known {
@@ -131,7 +131,7 @@
             .unwrap_or(0)
     }
 
-    /// Returns the highest durable index of each other machine, in descending order.
+    /// Returns the highest durable index of any peer on each other machine, in descending order.
     fn durable_by_machine(&self, epoch: Epoch) -> Vec<Index> {
         let mut by_machine = BTreeMap::<Machine, Index>::new();
         for (peer, durable_index) in self.durable.get(&epoch).into_iter().flatten() {
--- a/replication/src/compaction.rs
+++ b/replication/src/compaction.rs
@@ -18,7 +18,7 @@
     pub through: Index,
 }
 
-/// The changes of one compaction step, which the caller must write to the disk.
+/// The changes of one compaction step, which the caller must write to the local disk.
 ///
 /// The buckets must be written before the compacted indexes, or atomically with them. Only after both are synced may
 /// the entries be deleted. An entry whose subject is live again ([`LogStore::is_live`]) must not be deleted, because
@@ -34,12 +34,12 @@
     pub entries: Vec<Entry>,
 }
 
-/// The fraction of the maximum number of entries that a step moves, as a divisor.
+/// A step moves the maximum number of entries divided by this.
 const STEP_DIVISOR: usize = 8;
 
 impl LogStore {
-    /// Moves the oldest purges of each log to the table, so that about seven eighths of `max_entries` are left. Entries
-    /// after a log's durable index, which `durable` contains, are not moved, and neither is the last entry of a log.
+    /// Moves the oldest purges of each log to the table until about seven eighths of `max_entries` are left. `durable`
+    /// contains the durable index of each log. Entries after it are not moved, and neither is the last entry of a log.
     /// Returns `None` if nothing could be moved.
     pub(crate) fn compact(
         &mut self,
@@ -57,7 +57,8 @@
             if !compaction.entries.is_empty() {
                 return Some(compaction);
             }
-            // In each log a newer entry precedes those before the cutoff: retry with a later cutoff.
+            // With this cutoff, each log has a newer purge before all of its older ones, so none can be moved. Retry
+            // with a later cutoff.
             if step >= times.len() {
                 return None;
             }
@@ -93,7 +94,7 @@
         times
     }
 
-    /// Moves the purges of each log that precede its first purge after `cutoff`.
+    /// Moves the purges of each log that precede its first purge later than `cutoff`.
     fn move_until(
         &mut self,
         now: Micros,
@@ -174,8 +175,8 @@
             .collect()
     }
 
-    /// Records a purge in the table with a time of at most `now`. Copies fetched from now on are newer than the purge,
-    /// even if the clock that gave the purge its time is ahead.
+    /// Records a purge in the table, with a time of at most `now`. The clock that gave the purge its time may be ahead.
+    /// Limiting the time is safe, because copies fetched from now on are newer than the purge.
     pub(crate) fn record_in_table(&mut self, now: Micros, entry: &Entry) -> Option<BucketIndex> {
         let key = entry.subject.purge_key()?;
         Some(self.table.record(key, entry.at.min(now)))
--- a/replication/src/entry.rs
+++ b/replication/src/entry.rs
@@ -2,7 +2,7 @@
 
 use linnetknot_purges::KeyHash;
 
-/// Time or duration in microseconds, Unix time where it is a time of day.
+/// A duration, or a point in time as Unix time, in microseconds.
 pub type Micros = u64;
 /// The id of a writer, which is a hash of the proxy's name.
 pub type Writer = u64;
@@ -59,11 +59,11 @@
         /// The text of the part.
         text: String,
     },
-    /// The deletion of a trigger by a peer CDN. The status may have been written by another proxy.
+    /// The deletion of a trigger by a peer CDN. The writer of this entry may differ from the writer of the status.
     TriggerDeleted {
         /// The writer of the trigger's status.
         writer: Writer,
-        /// The trigger's number.
+        /// The number of the trigger.
         number: u64,
     },
 }
@@ -95,7 +95,7 @@
     }
 }
 
-/// An entry of a log.
+/// An entry of a log, as it is sent to other replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Entry {
     /// The log that contains the entry.
--- a/replication/src/lib.rs
+++ b/replication/src/lib.rs
@@ -4,7 +4,7 @@
 //! The package is sans-IO. Each proxy is the only writer of its own log, so no consensus is needed: an entry is
 //! identified by writer, epoch and index, and never changes. Proxies exchange digests of their positions in each log,
 //! and a proxy that is ahead sends the missing entries, both its own and those of other writers. A proxy that was down,
-//! that is partitioned from the writer, or that lost its disk therefore receives an entry from any peer that has it.
+//! was partitioned from the writer, or lost its disk therefore receives an entry from any peer that stores it.
 //!
 //! An epoch is one incarnation of a writer's log. A proxy that restarts with its disk continues its epoch. A proxy that
 //! lost its disk starts a new epoch and receives the entries of the old one from its peers.
--- a/replication/src/log_store/capacity.rs
+++ b/replication/src/log_store/capacity.rs
@@ -8,7 +8,7 @@
 pub struct Capacity {
     /// The maximum number of entries that do not expire.
     pub entries: usize,
-    /// The maximum number of entries that expire. It is separate so that they do not displace the others.
+    /// The maximum number of entries that expire. The separate limit keeps them from taking the space of other entries.
     pub expiring_entries: usize,
     /// The maximum number of logs.
     pub logs: usize,
@@ -35,12 +35,12 @@
 
 impl std::error::Error for CapacityExceeded {}
 
-/// The error of two entries with the same index in a log.
+/// The error returned if a log on the disk contains two entries with the same index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DuplicateIndex {
-    /// The log.
+    /// The log that contains the entries.
     pub log: LogId,
-    /// The index.
+    /// The index of both entries.
     pub index: Index,
 }
 
@@ -60,7 +60,7 @@
 /// The outcome of an insertion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Insertion {
-    /// The entry was inserted as the next one of its log.
+    /// The entry was inserted: it is the next entry of its log.
     New,
     /// The index is not after the last index of the log: the entry is already stored or was superseded.
     Duplicate,
--- a/replication/src/log_store/decisions.rs
+++ b/replication/src/log_store/decisions.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 
 impl LogStore {
-    /// Returns the operator decisions of a writer and whether each is revoked, according to its latest entry in any
-    /// epoch.
+    /// Returns the operator decisions of a writer, each with whether it is revoked according to the writer's latest
+    /// entry for it in any epoch.
     pub fn operator_decisions(&self, writer: Writer) -> BTreeMap<Subject, bool> {
         let mut latest = BTreeMap::<Subject, (Epoch, Index, bool)>::new();
         let first = EntryKey {
@@ -19,7 +19,8 @@
         };
         for (key, record) in self.live.range(first..=last) {
             if matches!(record.subject, Subject::Ban(_) | Subject::Drain) {
-                // Entries are compared by epoch and index, as the clock may have been set back.
+                // Entries are compared by epoch and index rather than by time, because the clock may have been set
+                // back.
                 let entry = (key.log.epoch, key.index, record.revoked);
                 let known = latest.entry(record.subject.clone()).or_insert(entry);
                 *known = entry.max(*known);
--- a/replication/src/log_store/mod.rs
+++ b/replication/src/log_store/mod.rs
@@ -84,7 +84,7 @@
     latest: BTreeMap<SubjectKey, Index>,
     /// The number of entries that expire.
     expiring: usize,
-    /// The times at which this process first saw expiring entries of other processes, by its own clock.
+    /// The times at which this process first received expiring entries of other processes, by its own clock.
     first_seen: BTreeMap<EntryKey, Micros>,
     /// The compacted purges.
     pub(crate) table: CompactTable,
@@ -162,8 +162,7 @@
         Ok(store)
     }
 
-    /// Appends an entry to a log of this writer. The time of a purge is raised to that of the purge that it supersedes,
-    /// if that is later.
+    /// Appends an entry to a log of this writer. If it supersedes a purge with a later time, it takes over that time.
     ///
     /// # Errors
     /// Fails if the capacity for entries of this kind is exceeded.
@@ -192,7 +191,7 @@
             at,
             revoked,
         };
-        // The limit of logs does not apply to a writer's own log.
+        // The limit on the number of logs does not apply to a writer's own log.
         let capacity = Capacity {
             logs: usize::MAX,
             ..capacity
@@ -227,8 +226,8 @@
         Insertion::New
     }
 
-    /// Inserts an entry of a snapshot if its index is within the log, which the snapshot has advanced, and if it is not
-    /// superseded. Returns whether the entry was inserted.
+    /// Inserts an entry that was received with a snapshot, unless it is superseded or its index is after the last index
+    /// to which the snapshot has advanced the log. Returns whether the entry was inserted.
     pub(crate) fn insert_retained(&mut self, entry: &Entry) -> bool {
         let key = SubjectKey {
             subject: entry.subject.clone(),
@@ -245,8 +244,9 @@
         true
     }
 
-    /// Inserts an entry and removes the one that it supersedes. A superseded purge is retained until it is compacted,
-    /// so that a peer that is missing both receives the purge even if only one of them arrives.
+    /// Inserts an entry. The entry that it supersedes is removed, except for a purge, which is kept until it is
+    /// compacted. A peer that is missing both purges then receives the subject's purge even if one of the two datagrams
+    /// is lost.
     fn insert(&mut self, entry: Entry) {
         let Entry {
             log,
--- a/replication/src/log_store/queries.rs
+++ b/replication/src/log_store/queries.rs
@@ -48,7 +48,7 @@
         self.progress.len()
     }
 
-    /// Returns a checksum over all logs and their last indexes.
+    /// Returns a checksum over the ids and last indexes of all logs.
     pub fn checksum(&self) -> u64 {
         self.checksum
     }
@@ -155,7 +155,7 @@
     }
 
     /// Returns the time of the latest purge of a subject, from entries and the compact table. Copies that are older
-    /// must not be served. The time may be later than that of the actual purge, and is never earlier.
+    /// must not be served. The returned time may be later than that of the actual purge, but is never earlier.
     pub fn latest_purge(&self, subject: &Subject) -> Option<Micros> {
         let compacted = subject.purge_key().and_then(|key| self.table.latest(key));
         self.latest_entry_time(subject).max(compacted)
--- a/replication/src/log_store/statuses.rs
+++ b/replication/src/log_store/statuses.rs
@@ -4,13 +4,13 @@
 use crate::{Entry, Epoch, Index, Micros, Subject, Writer};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The maximum difference between two wall clocks, or one before and after a restart: each may be off by an hour either
-/// way.
+/// The maximum difference between two wall clocks, or between the readings of one wall clock before and after a
+/// restart. Each reading may be off by an hour in either direction.
 const MAX_CLOCK_SKEW_US: Micros = 2 * 60 * 60 * 1_000_000;
 
 impl LogStore {
-    /// Restarts the expiry of all expiring entries. Must be called at the start of a process, whose wall clock does not
-    /// tell how long ago its predecessor or a peer wrote them.
+    /// Restarts the expiry of all expiring entries. Must be called when a process starts, because its wall clock may
+    /// differ from the clocks with which the stored entries were dated.
     pub fn restart_expiry(&mut self, now: Micros) {
         let expiring = self
             .live
@@ -19,7 +19,7 @@
         self.first_seen = expiring.map(|(key, _)| (*key, now)).collect();
     }
 
-    /// Starts the expiry of an entry of another process, which is retained as long as an entry that is written now.
+    /// Starts the expiry of an entry of another process. The retention time is counted from `now`.
     pub(crate) fn start_expiry(&mut self, now: Micros, entry: &Entry) {
         let key = EntryKey {
             log: entry.log,
@@ -30,15 +30,15 @@
         }
     }
 
-    /// Removes the entries that have expired, and returns them. The last entry of a log is never removed, as replicas
-    /// learn the log's last index from it.
+    /// Removes the entries that have expired, and returns them. The last entry of a log is never removed, because
+    /// replicas determine the last index of the log from it.
     ///
-    /// An entry expires when `retention_us` has passed since it was first seen. An entry of another process is first
-    /// seen when it arrives, as its time was given by another clock. In addition, it expires once its time is so long
-    /// ago that not even the maximum clock skew can explain it. So clock steps do not remove statuses early, and a
-    /// proxy that restarts repeatedly does not retain them forever.
+    /// An entry expires when `retention_us` has passed since it was first seen. The time of an entry of another process
+    /// was given by another clock, so it counts as first seen when it arrives. In addition, an entry expires once its
+    /// own time is further in the past than the retention time and the maximum clock skew together allow. Clock steps
+    /// therefore do not remove statuses early, and a proxy that restarts repeatedly does not retain them forever.
     ///
-    /// The deletion of a trigger is retained twice as long, because a proxy may still have the status until then.
+    /// The deletion of a trigger is retained twice as long, because other proxies may store the status until then.
     pub fn expire(&mut self, now: Micros, retention_us: Micros) -> Vec<Entry> {
         let first = SubjectKey::first(Subject::TriggerStatusPart {
             number: 0,
@@ -66,8 +66,8 @@
             .collect()
     }
 
-    /// Returns the text of a trigger's status up to its first missing part, or `None` if there is none or the trigger
-    /// was deleted. The caller must determine from the text whether it is complete.
+    /// Returns the text of a trigger's status up to its first missing part, or `None` if no part is stored or the
+    /// trigger was deleted. The caller must determine from the text whether it is complete.
     pub fn trigger_status(&self, writer: Writer, number: u64) -> Option<String> {
         if self
             .latest_entry_time(&Subject::TriggerDeleted { writer, number })
@@ -89,7 +89,7 @@
                     text,
                 } if *n == number => {
                     let parts = epochs.entry(key.log.epoch).or_default();
-                    // Parts are ordered, so those after a missing one are left out.
+                    // Parts are ordered by number, so all parts after a missing part are left out.
                     if key.log.writer == writer && parts.len() == usize::from(*part) {
                         parts.push(text);
                     }
--- a/replication/src/options.rs
+++ b/replication/src/options.rs
@@ -5,9 +5,9 @@
 /// The limits and intervals of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Options {
-    /// The maximum number of purges and operator decisions, over all logs, that are stored as entries. Beyond it the
-    /// oldest purges are moved to the compact table ([`crate::Replica::compact`]). Purges that are not yet on the disk
-    /// can't be moved, so the hard limit is twice this number.
+    /// The maximum number of purges and operator decisions, over all logs, that are stored as entries. When it is
+    /// exceeded, the oldest purges are moved to the compact table ([`crate::Replica::compact`]). Purges that are not
+    /// yet on the disk can't be moved, so the hard limit is twice this number.
     pub max_exact_entries: usize,
     /// The maximum number of entries of trigger statuses and deletions, in addition to `max_exact_entries`.
     pub expiring_entries: usize,
@@ -17,14 +17,15 @@
     pub max_logs: usize,
     /// The interval between digests.
     pub digest_period_us: Micros,
-    /// The maximum number of entries sent for one range that a peer is missing.
+    /// The maximum number of entries sent in reply to one range request of a peer.
     pub max_entries_per_range: usize,
     /// The maximum number of entries sent to all peers in one digest period, so that replication does not delay client
     /// requests in the event loop.
     pub max_entries_per_period: usize,
     /// The capacity of the reorder buffer, in entries.
     pub max_reordered_entries: usize,
-    /// The delay before a gap in a log is requested, in which reordered datagrams may still arrive.
+    /// The delay before the entries in a gap of a log are requested. Datagrams that the network reordered may still
+    /// arrive meanwhile.
     pub gap_request_us: Micros,
     /// The number of other machines that must acknowledge an entry before its commit is confirmed.
     pub min_acks: usize,
@@ -36,7 +37,7 @@
     pub retry_us: Micros,
     /// The maximum number of pending commits.
     pub max_pending_commits: usize,
-    /// The rate at which this replica requests a snapshot, in bytes per second.
+    /// The rate at which this replica requests the parts of a snapshot, in bytes per second.
     pub snapshot_bytes_per_s: usize,
     /// The maximum number of snapshot bytes sent to all peers in one digest period.
     pub max_snapshot_bytes_per_period: usize,
@@ -91,7 +92,7 @@
     pub sent: u64,
     /// Entries received from peers and inserted.
     pub inserted: u64,
-    /// Entries received that were already stored or superseded.
+    /// Entries received that were already stored, or that a stored entry supersedes.
     pub duplicates: u64,
     /// Entries received out of order.
     pub out_of_order: u64,
--- a/replication/src/received.rs
+++ b/replication/src/received.rs
@@ -28,16 +28,17 @@
 pub struct Received {
     /// New entries. The caller must apply them and write them to the disk.
     pub new: Vec<Entry>,
-    /// Entries that arrived out of order. The caller must apply them at once, as a purge does not depend on those
-    /// before it. They are returned again in `new` once the gap before them is filled.
+    /// Entries that arrived out of order. The caller must apply them at once, because the effect of a purge does not
+    /// depend on the entries before it. They are returned again in `new` once the gap before them is filled.
     pub out_of_order: Vec<Entry>,
     /// Datagrams to send back to the sender.
     pub replies: Vec<Datagram>,
-    /// Entries that exceed the capacity. The caller must apply them all the same. They are requested again later.
+    /// Entries that were not stored because they exceed the capacity. The caller must apply them nevertheless. They are
+    /// requested again later.
     pub rejected: Vec<Entry>,
     /// Buckets of the compact table that changed. The caller must apply them at once and write them to the disk.
     pub buckets: Vec<MergedBucket>,
-    /// Logs that a complete snapshot advanced. The caller must write them to the disk after all buckets that were
-    /// returned before, and then call [`crate::Replica::record_snapshot_synced`].
+    /// Logs that a complete snapshot advanced. After the caller has written all buckets returned so far to the disk, it
+    /// must write these logs, and then call [`crate::Replica::record_snapshot_synced`].
     pub compacted: Vec<CompactedLog>,
 }
--- a/replication/src/recovery.rs
+++ b/replication/src/recovery.rs
@@ -1,8 +1,9 @@
 //! Determines when a proxy that lost its disk has recovered its own commits from its peers.
 //!
 //! Each commit is on the disks of at least `min_acks` other machines. Once the proxy has caught up with all but
-//! `min_acks - 1` of the other machines, it has every entry that it ever committed. Until then it is not ready to
-//! serve. The recovery ends at a deadline, so that another lost machine does not block the proxy forever.
+//! `min_acks - 1` of the other machines, it therefore has every entry that it ever committed. Until then it is not
+//! ready to serve. The recovery ends at a deadline, so that the proxy becomes ready even if another machine is lost
+//! too.
 
 use crate::{Machine, Micros};
 use std::collections::BTreeSet;
@@ -23,7 +24,8 @@
 pub struct RecoveryStep {
     /// The peers to request digests from.
     pub request_from: Vec<usize>,
-    /// The number of machines that the proxy still had to catch up with. Set only at the tick that passes the deadline.
+    /// The number of machines with which the proxy had not caught up. Set only at the tick that ends the recovery at
+    /// its deadline.
     pub missing_machines: Option<usize>,
 }
 
@@ -44,8 +46,8 @@
 }
 
 impl Recovery {
-    /// Creates the recovery of a proxy on the machine `own`, whose peers run on `machines` and whose commits waited for
-    /// `min_acks` other machines.
+    /// Creates the recovery of a proxy. `own` is its machine, `machines` are those of its peers, and `min_acks` is the
+    /// number of other machines that had to acknowledge its commits.
     pub fn new(
         own: Machine,
         machines: Vec<Machine>,
@@ -53,7 +55,8 @@
         times: RecoveryTimes,
     ) -> Self {
         let further: BTreeSet<Machine> = machines.iter().copied().filter(|m| *m != own).collect();
-        // Without required acknowledgements any machine may have the only copy of an entry, so all are needed.
+        // If no acknowledgements were required, any machine may have the only copy of an entry, so all machines are
+        // needed.
         let needed = (further.len() + 1).saturating_sub(min_acks.max(1));
         Recovery {
             own,
--- a/replication/src/reorder.rs
+++ b/replication/src/reorder.rs
@@ -1,5 +1,5 @@
-//! A buffer for entries that arrived out of order. Only the lost entries have to be sent again, and not those after
-//! them.
+//! A buffer for entries that arrived out of order, so that after a loss only the lost entries have to be sent again and
+//! not all entries after them.
 
 use crate::{Entry, Gap, Index, LogId};
 use std::collections::BTreeMap;
@@ -23,8 +23,8 @@
         is_new
     }
 
-    /// Removes and returns the entry that can be inserted after `last_index` of a log, if it is buffered. Drops entries
-    /// up to `last_index`, which the replica has received in the meantime.
+    /// Removes and returns the buffered entry that follows `last_index` of a log, if there is one. Drops entries up to
+    /// `last_index`, which the replica has received in the meantime.
     pub(crate) fn take_next(&mut self, log: LogId, last_index: Index) -> Option<Entry> {
         let out_of_order = self.logs.get_mut(&log)?;
         let mut next = None;
--- a/replication/src/replica/catch_up.rs
+++ b/replication/src/replica/catch_up.rs
@@ -10,16 +10,17 @@
 };
 use std::collections::BTreeMap;
 
-/// The interval after which compaction is retried if it could move nothing.
+/// The delay before compaction is retried after an attempt that moved nothing.
 const COMPACTION_RETRY_US: Micros = 1_000_000;
-/// The number of digest periods with unanswered offers after which a peer is assumed not to support snapshots.
+/// The number of digest periods with unanswered offers after which a peer counts as running a version without
+/// snapshots.
 const MIN_UNANSWERED_PERIODS: u32 = 64;
-/// The number of digest periods after which an image that was not read is dropped.
+/// The number of digest periods after which an image that no peer has read is dropped.
 const MAX_IMAGE_IDLE_PERIODS: u64 = 64;
 /// The maximum number of datagrams that request the entries after a snapshot from its sender.
 const MAX_REQUESTS_AFTER_SNAPSHOT: usize = 16;
-/// While a peer reads a snapshot, compaction is deferred until the maximum number of entries is exceeded by this
-/// fraction, given as a divisor. The peer can then receive the entries after the snapshot without another snapshot.
+/// While a peer reads a snapshot, compaction is deferred until the maximum number of entries is exceeded by that number
+/// divided by this. The peer can then receive the entries after the snapshot without another snapshot.
 const MAX_DEFERRED_DIVISOR: usize = 2;
 
 /// A log that a snapshot advanced to a higher index.
@@ -31,7 +32,7 @@
     pub(super) through: Index,
 }
 
-/// Offers to a peer since its last answer to one.
+/// Snapshot offers to a peer since the peer last answered one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct UnansweredOffers {
     /// The number of digest periods with an offer.
@@ -42,9 +43,9 @@
 
 impl Replica {
     /// Moves the oldest purges to the compact table if the maximum number of entries is exceeded. Compaction is
-    /// deferred, up to a limit, while a peer reads a snapshot. The method should be called after each change; it is
-    /// cheap if there is nothing to move. The moved purges stay effective. The caller must update the disk as described
-    /// at [`Compaction`].
+    /// deferred, up to a limit, while a peer reads a snapshot. Should be called after each change; the call is cheap if
+    /// there is nothing to move. The moved purges stay effective. The caller must update the disk as described at
+    /// [`Compaction`].
     pub fn compact(&mut self, now: Micros) -> Option<Compaction> {
         let max_entries = self.options.max_exact_entries;
         let exact_len = self.log_store.exact_len();
@@ -76,8 +77,8 @@
             .is_behind(|log| self.log_store.last_index(log))
     }
 
-    /// Returns the peers that repeatedly did not answer the offer of a snapshot, as versions without snapshots do. They
-    /// do not receive the purges that were compacted while they were unreachable.
+    /// Returns the peers that have repeatedly not answered the offer of a snapshot, which is how versions without
+    /// snapshots behave. These peers do not receive the purges that were compacted while they were unreachable.
     pub fn peers_without_snapshot(&self) -> Vec<usize> {
         let unanswered = self
             .offers
@@ -143,7 +144,8 @@
         Received::default()
     }
 
-    /// Replies with a part of a snapshot. If the request is to an earlier process, replies with a new offer.
+    /// Replies to a request with a part of the snapshot, or with a new offer if the request is addressed to an earlier
+    /// process.
     pub(super) fn receive_snapshot_request(
         &mut self,
         from: usize,
@@ -163,8 +165,8 @@
         received
     }
 
-    /// Returns the image to read from a cursor on. The start of a snapshot is read from an image that includes the last
-    /// compaction.
+    /// Returns the image that a request for the given cursor is served from. A request for the start of a snapshot is
+    /// served from an image that includes the latest compaction.
     fn image_for(&mut self, from: SnapshotCursor) -> Image {
         self.image_period = self.period;
         let is_start = from == SnapshotCursor::START;
@@ -185,8 +187,8 @@
         }
     }
 
-    /// Sends one window of a snapshot, within the limit of this period. A window of log indexes contains nothing else,
-    /// as the receiver needs all of them before it accepts buckets and entries.
+    /// Sends one window of a snapshot, within the limit of this period. A window with log indexes contains nothing
+    /// else, because the receiver needs all of them before it accepts buckets and entries.
     fn send_snapshot(&mut self, from: SnapshotCursor, replies: &mut Vec<Datagram>) {
         let image = self.image_for(from);
         let reader = ImageReader {
@@ -234,8 +236,8 @@
         received
     }
 
-    /// Merges the buckets of a chunk into the table, which is valid for any sender and at any time. Their times are
-    /// limited to `now`, as the sender's clock may be ahead.
+    /// Merges the buckets of a chunk into the table. This is safe for chunks of any sender and at any time. The times
+    /// in the buckets are limited to `now`, because the sender's clock may be ahead.
     fn merge_buckets(&mut self, now: Micros, content: &SnapshotContent, received: &mut Received) {
         let SnapshotContent::Buckets {
             bucket_bits,
@@ -303,7 +305,7 @@
             .for_each(|log| self.insert_reordered(from, log, received));
     }
 
-    /// Requests the entries after a snapshot from its sender, as other peers may have compacted them.
+    /// Requests the entries after a snapshot from its sender, because other peers may have moved them to their tables.
     fn request_after_snapshot(&self, logs: &[CompactedLog], replies: &mut Vec<Datagram>) {
         let position = |compacted: &CompactedLog| LogPosition {
             log: compacted.log,
--- a/replication/src/replica/commits.rs
+++ b/replication/src/replica/commits.rs
@@ -59,9 +59,9 @@
         self.due_acks(log)
     }
 
-    /// Records that a snapshot is on the disk: the compacted indexes of these logs ([`crate::Received::compacted`]) and
-    /// all buckets that were returned up to then. Returns the acknowledgements to send. Until this call nothing that
-    /// the snapshot covers is acknowledged.
+    /// Records that the compacted indexes of these logs ([`crate::Received::compacted`]) and all buckets that were
+    /// returned before them are on the disk. Returns the acknowledgements to send. Nothing that the snapshot covers is
+    /// acknowledged before this call.
     pub fn record_snapshot_synced(&mut self, logs: &[CompactedLog]) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
         for CompactedLog { log, through } in logs {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Records that a peer must be sent an acknowledgement once this index is durable.
+    /// Records that a peer is sent an acknowledgement as soon as the log is durable through this index.
     pub(super) fn ack_once_synced(&mut self, log: LogId, index: Index, peer: usize) {
         let latest = self.pending_acks.entry((log, peer)).or_insert(index);
         *latest = (*latest).max(index);
@@ -113,8 +113,8 @@
         self.unsynced.mark_failed(log, index);
     }
 
-    /// Takes the entries that must be written to the disk again. An entry that was superseded in the meantime is not
-    /// written again, and counts as synced once all later entries of its log are on the disk.
+    /// Takes the entries that must be written to the disk again. Entries that were superseded in the meantime are not
+    /// returned; such an entry counts as synced once all later entries of its log are on the disk.
     pub fn take_failed_syncs(&mut self) -> Vec<Entry> {
         let mut entries = Vec::new();
         for (log, index) in self.unsynced.take_failed() {
@@ -132,7 +132,8 @@
         entries
     }
 
-    /// Returns the number of entries of the replica's own logs that are below the replication factor.
+    /// Returns the number of entries of the replica's own logs that fewer machines than the replication factor have
+    /// acknowledged.
     pub fn under_replicated(&self) -> usize {
         let replicas = self.options.replication_factor;
         let under_replicated = |position: LogPosition| {
--- a/replication/src/replica/exchange.rs
+++ b/replication/src/replica/exchange.rs
@@ -28,7 +28,7 @@
 /// The result of the comparison with a peer's positions.
 struct Comparison {
     received: Received,
-    /// Whether both sides have the same positions in these logs.
+    /// Whether both sides have the same positions in the compared logs.
     is_equal: bool,
 }
 
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Records a peer's durable indexes of this proxy's own logs. Those of other writers are ignored.
+    /// Records a peer's durable indexes of this proxy's own logs. Indexes of other writers' logs are ignored.
     fn receive_ack(&mut self, from: usize, process: u64, positions: &[LogPosition]) {
         for LogPosition { log, index } in positions {
             if log.writer == self.own.writer {
@@ -95,7 +95,7 @@
             return received;
         }
         if positions.len() as u64 == log_count {
-            // The digest lists all of the peer's logs, so the peer is missing every other log completely.
+            // The digest lists all of the peer's logs, so the peer has nothing of the logs that it does not list.
             let is_named = |log: &LogId| positions.iter().any(|named| named.log == *log);
             let logs = self.log_store.last_indexes().into_iter();
             let unknown = logs.map(|position| position.log).filter(|l| !is_named(l));
@@ -103,7 +103,7 @@
             let answer = self.answer(from, ranges.into_iter());
             received.replies.extend(answer.replies);
         } else if is_equal {
-            // The listed logs are equal on both sides, so the difference is in other logs.
+            // The listed logs are equal on both sides but the checksums differ, so the difference is in other logs.
             received.replies.push(Datagram::RangeRequest {
                 positions: self.next_positions(),
             });
@@ -141,7 +141,7 @@
             }
             Insertion::Duplicate => {
                 self.counters.duplicates += 1;
-                // A peer that sends an entry again has not received its acknowledgement.
+                // A peer that sends an entry again has not received the acknowledgement of the entry.
                 let durable_index = self.durable_index(log);
                 if durable_index >= index {
                     received.replies.push(self.ack(log, durable_index));
@@ -174,8 +174,8 @@
         }
     }
 
-    /// Compares positions with a peer: replies with the entries that it is missing, and requests those that it has in
-    /// addition.
+    /// Compares this replica's positions with those of a peer. Replies with the entries that the peer is missing, and
+    /// requests those that only the peer has.
     fn compare(&mut self, from: usize, positions: &[LogPosition]) -> Comparison {
         let mut behind = Vec::new();
         let mut ranges = Vec::new();
@@ -201,7 +201,7 @@
     }
 
     /// Replies with the entries that a peer is missing, within the limit of this period. A peer that is missing
-    /// compacted entries of a log is offered a snapshot instead, as it could not insert the later entries.
+    /// compacted entries of a log is offered a snapshot instead, because it could not insert the entries after them.
     fn answer(&mut self, peer: usize, ranges: impl Iterator<Item = Range>) -> Received {
         let mut received = Received::default();
         let mut compacted = Vec::new();
--- a/replication/src/replica/mod.rs
+++ b/replication/src/replica/mod.rs
@@ -17,10 +17,10 @@
 use linnetknot_datagram::Random;
 use std::collections::BTreeMap;
 
-/// The maximum number of logs whose gaps are requested at a time, and of datagrams for the gaps of one log.
+/// The maximum number of logs for which gaps are requested at a time, and of request datagrams for each of them.
 const MAX_GAP_LOGS: usize = 8;
 
-/// The number of gap requests without any result after which the retry interval becomes longer.
+/// The number of gap requests without any result after which gaps are requested at a lower rate.
 const MAX_FAST_GAP_REQUESTS: u32 = 16;
 
 /// The schedule of gap requests.
@@ -52,13 +52,13 @@
     allowance: usize,
     /// The number of snapshot bytes that may still be sent in this period.
     snapshot_allowance: usize,
-    /// The first log of the next digest, as not all logs fit into one digest.
+    /// The log with which the next digest starts. Not all logs fit into one digest.
     next_digest_log: Option<LogId>,
     /// Entries that are not on the local disk.
     unsynced: Unsynced,
     /// Logs that a snapshot advanced and whose new index is not on the disk yet.
     pending_snapshots: BTreeMap<LogId, PendingSnapshot>,
-    /// The index that each peer waits to be acknowledged, by log and peer.
+    /// The index of each log up to which a peer awaits an acknowledgement, by log and peer.
     pending_acks: BTreeMap<(LogId, usize), Index>,
     pending_commits: PendingCommits,
     /// The time at which unacknowledged entries are sent again.
@@ -71,7 +71,7 @@
     image: Option<Image>,
     /// The digest period in which the image was last read.
     image_period: u64,
-    /// The earliest time of the next compaction, after one that could move nothing.
+    /// The earliest time of the next compaction, set after an attempt that moved nothing.
     next_compaction: Micros,
     catch_up: CatchUp,
     /// Peers that have not answered an offer of a snapshot.
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Replaces the process id that was assumed at the start.
+    /// Replaces the process id that was passed to [`Replica::new`].
     pub fn set_process(&mut self, process: u64) {
         self.process = process;
     }
@@ -141,15 +141,15 @@
     pub fn set_peers(&mut self, own: Machine, peers: Vec<Machine>) {
         let count = peers.len();
         self.pending_commits.set_peers(own, peers);
-        // Pending acknowledgements and a snapshot transfer are retained when the machine of a peer becomes known.
-        // Otherwise a writer would have to request acknowledgements that were pending at that time.
+        // Pending acknowledgements and a snapshot transfer are retained when only the machine of a peer becomes known.
+        // Otherwise the writers would have to request the pending acknowledgements again.
         self.pending_acks.retain(|(_, peer), _| *peer < count);
         self.offers.retain(|peer, _| *peer < count);
         self.catch_up.retain_peers(count);
     }
 
     /// Appends an entry to the replica's own log. The caller must write it to the disk and send it to all peers at
-    /// once. Peers that do not receive it request it later.
+    /// once. Peers that do not receive the entry request it later.
     ///
     /// # Errors
     /// Fails if the capacity for entries of this kind is exceeded.
@@ -244,7 +244,7 @@
             self.gap_request = None;
             return;
         }
-        // Datagrams that were only reordered in the network arrive before the first request.
+        // The first request is delayed, because datagrams that the network only reordered arrive meanwhile.
         let GapRequestTimer { due, unanswered } =
             *self.gap_request.get_or_insert(GapRequestTimer {
                 due: now + self.options.gap_request_us,
@@ -253,7 +253,7 @@
         if now < due {
             return;
         }
-        // No peer may have the missing entries if their writer was lost, so the request rate falls to that of digests.
+        // If the writer was lost, no peer may have the missing entries. The requests then become as rare as digests.
         let interval_us = if unanswered < MAX_FAST_GAP_REQUESTS {
             self.options.retry_us
         } else {
@@ -280,7 +280,7 @@
     }
 
     /// Selects the peer to request gaps from. Half of the requests go to the sender of the last out-of-order entry,
-    /// which probably has the missing ones. The others go to a random peer, in case that sender is unreachable.
+    /// which probably has the missing entries. The others go to a random peer, in case that sender is unreachable.
     fn gap_request_target(&mut self, peers: usize) -> usize {
         let drawn = self.random.below(2 * peers as u64) as usize;
         if drawn < peers {
@@ -291,7 +291,7 @@
     }
 
     /// Sends the last entry of each of the replica's own epochs to the peers that have not acknowledged it. A peer that
-    /// has the entry acknowledges it again, and a peer that is missing entries before it requests them.
+    /// already has the entry repeats its acknowledgement, and a peer that is missing entries before it requests them.
     fn resend_unacked(&mut self, outgoing: &mut Vec<Outgoing>) {
         for LogPosition { log, index: last } in self.own_epochs() {
             let Some(entry) = self.log_store.entries_after(log, last - 1).next() else {
@@ -312,7 +312,8 @@
         }
     }
 
-    /// Returns a digest of the logs. An empty replica also sends digests, to which peers reply with their logs.
+    /// Returns a digest of the logs. An empty replica also sends digests, so that peers reply with the entries of their
+    /// logs.
     fn digest(&mut self) -> Datagram {
         Datagram::Digest {
             positions: self.next_positions(),
--- a/replication/src/snapshot/encoding.rs
+++ b/replication/src/snapshot/encoding.rs
@@ -177,7 +177,7 @@
     is_valid(&chunk).then_some(chunk)
 }
 
-/// Returns the cursors of a chunk's items.
+/// Returns the position in the snapshot of each item of a chunk.
 fn item_cursors(content: &SnapshotContent) -> Vec<SnapshotCursor> {
     match content {
         SnapshotContent::Logs(logs) => logs.iter().map(|l| SnapshotCursor::Log(l.log)).collect(),
--- a/replication/src/snapshot/mod.rs
+++ b/replication/src/snapshot/mod.rs
@@ -2,10 +2,10 @@
 //!
 //! A snapshot is read in the order of its cursors: the compacted indexes of the logs, the buckets of all purges, and
 //! the entries within the compacted indexes that are not purges. The receiver requests it in parts. The sender replies
-//! from an image, which is the state at one point in time. It may continue from a later image: buckets only grow, so
-//! the buckets of a later image contain every purge within the compacted indexes of an earlier one. Each chunk contains
-//! the sender's process id and the number of the image, by which the receiver recognises delayed chunks of an earlier
-//! image.
+//! from an image, which is the state at one point in time. The sender may continue from a later image: purges are only
+//! added to buckets, so the buckets of a later image contain every purge within the compacted indexes of an earlier
+//! one. Each chunk contains the sender's process id and the number of the image, by which the receiver recognises
+//! delayed chunks of an earlier image.
 
 mod encoding;
 mod receiver;
--- a/replication/src/snapshot/receiver.rs
+++ b/replication/src/snapshot/receiver.rs
@@ -1,4 +1,5 @@
-//! The receiver of snapshots. Tracks the logs that are behind, the current transfer and the next request.
+//! The receiver of snapshots. Tracks the logs in which this replica is behind, the current transfer and the next
+//! request.
 //!
 //! One snapshot is received at a time, from one process of a peer. Chunks may be lost, duplicated or reordered. If the
 //! sender does not answer, the transfer is abandoned and other peers are asked.
@@ -8,12 +9,13 @@
 use crate::{Index, LogId, Micros, Options};
 use std::collections::BTreeMap;
 
-/// The maximum number of requests to random peers, one per digest period, for logs that no transfer has delivered.
+/// The maximum number of requests to random peers, one per digest period, for logs that no snapshot has brought up to
+/// date.
 const MAX_REQUEST_ROUNDS: u32 = 120;
-/// The number of digest periods after a snapshot in which no other one is received. Peers compact at different times,
-/// and most of what another snapshot contains arrives as entries in that time.
+/// The number of digest periods after a snapshot in which no other snapshot is received. Peers compact at different
+/// times, and most of what another snapshot contains arrives as entries within these periods.
 const SETTLING_PERIODS: u64 = 20;
-/// The maximum number of logs that are tracked as behind.
+/// The maximum number of logs that are tracked in `missing`.
 const MAX_MISSING: usize = 1_024;
 
 /// The state of a snapshot after a chunk.
@@ -39,7 +41,7 @@
     Any(Vec<LogId>),
 }
 
-/// The state of the settling time after a snapshot, in which no other snapshot is received.
+/// The settling time, a pause after a snapshot in which no other snapshot is received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 enum Settling {
     /// There was no snapshot, or its settling time is over.
@@ -55,7 +57,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct CatchUp {
     transfer: Option<Transfer>,
-    /// The logs that are behind, with the greatest compacted index that a peer has offered.
+    /// The logs in which this replica is behind, with the greatest compacted index that a peer has offered.
     missing: BTreeMap<LogId, Index>,
     /// The number of requests to random peers since the last offer.
     rounds: u32,
@@ -99,8 +101,8 @@
         }
     }
 
-    /// Receives a chunk. It is used only if it belongs to the current transfer; the caller merges its buckets in any
-    /// case.
+    /// Receives a chunk. Its log indexes and entries are used only if it belongs to the current transfer. The caller
+    /// merges its buckets in any case.
     pub(crate) fn receive_chunk(
         &mut self,
         peer: usize,
@@ -186,13 +188,13 @@
         }
     }
 
-    /// Returns whether a transfer is running or any log is behind.
+    /// Returns whether a transfer is running or this replica is behind in any log.
     pub(crate) fn is_behind(&self, last_index: impl Fn(LogId) -> Index) -> bool {
         let is_behind = |(log, through): (&LogId, &Index)| last_index(*log) < *through;
         self.transfer.is_some() || self.missing.iter().any(is_behind)
     }
 
-    /// Reduces the peers to the first `count`. Abandons a transfer from any other peer.
+    /// Limits the peers to those with an index below `count`. Abandons a transfer from any other peer.
     pub(crate) fn retain_peers(&mut self, count: usize) {
         self.transfer.take_if(|transfer| transfer.peer >= count);
     }
--- a/replication/src/snapshot/sender.rs
+++ b/replication/src/snapshot/sender.rs
@@ -89,7 +89,8 @@
     }
 
     fn buckets(&self, from: BucketIndex) -> (SnapshotContent, SnapshotCursor) {
-        // The two cursors of a chunk of buckets are this much shorter than the maximum, in bytes.
+        // The maximum length of a chunk's head allows for the longest cursors. The two cursors of a chunk of buckets
+        // are shorter by this many bytes.
         const SHORTER_CURSORS: usize = 2 * 20;
         let mut remaining = MAX_CONTENT_BYTES + SHORTER_CURSORS;
         let mut buckets = Vec::new();
--- a/replication/src/snapshot/transfer.rs
+++ b/replication/src/snapshot/transfer.rs
@@ -21,7 +21,8 @@
     out_of_order: BTreeMap<SnapshotCursor, SnapshotCursor>,
     /// The compacted indexes of the logs.
     logs: BTreeMap<LogId, Index>,
-    /// The latest image that the compacted indexes were read from. Buckets and entries of earlier images are not used.
+    /// The image from which the latest of the compacted indexes was read. Buckets and entries of earlier images are not
+    /// used.
     image: u64,
     /// The entries to insert once the snapshot is complete.
     entries: Vec<Entry>,
--- a/replication/src/unsynced.rs
+++ b/replication/src/unsynced.rs
@@ -1,4 +1,4 @@
-//! The set of entries that are not yet known to be on the local disk.
+//! The set of stored entries that are not yet known to be on the local disk.
 
 use crate::{Index, LogId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Takes the entries with a failed write. From then on their write counts as pending again.
+    /// Takes the entries with a failed write. The caller writes them again, so they count as pending.
     pub(crate) fn take_failed(&mut self) -> BTreeSet<(LogId, Index)> {
         std::mem::take(&mut self.failed)
     }
--- a/replication/src/wire.rs
+++ b/replication/src/wire.rs
@@ -9,9 +9,9 @@
 use linnetknot_datagram::{payload, DecodeError, MAX_DATAGRAM_BYTES};
 use linnetknot_purges::BucketIndex;
 
-/// The maximum number of logs in a datagram. Each takes three numbers of up to 17 bytes, after the header.
+/// The maximum number of logs in a datagram. Each log takes three numbers of up to 17 bytes, after the header.
 pub(crate) const MAX_LOGS_PER_DATAGRAM: usize = 4;
-/// The maximum number of gaps in a datagram. Each takes two numbers, after the header and the log.
+/// The maximum number of gaps in a datagram. Each gap takes two numbers, after the header and the log.
 pub(crate) const MAX_GAPS_PER_DATAGRAM: usize = 6;
 /// The first word of a datagram. The digit is the version of the encoding.
 const PROTOCOL: &str = "copies1";
@@ -32,13 +32,14 @@
         /// The checksum over all of the sender's logs.
         checksum: u64,
     },
-    /// Requests all entries after the sender's positions in these logs. The sender may also be ahead of the receiver.
+    /// Requests all entries after the sender's positions in these logs. The receiver of the request may have fewer
+    /// entries.
     RangeRequest {
         /// The sender's positions.
         positions: Vec<LogPosition>,
     },
-    /// Requests the live entries in these gaps of a log, after which the sender has entries. Versions without gap
-    /// requests drop it and receive a `RangeRequest` later.
+    /// Requests the live entries in these gaps of a log; the sender already has entries after each gap. Versions
+    /// without gap requests drop the datagram, and receive a `RangeRequest` later.
     GapRequest {
         /// The log.
         log: LogId,
@@ -48,7 +49,7 @@
     /// Requests a digest.
     DigestRequest,
     /// The sender's durable indexes, through which all live entries of these logs are on its disk. Versions without
-    /// acknowledgements drop it.
+    /// acknowledgements drop the datagram.
     Ack {
         /// The sender's process id, by which a delayed datagram of an earlier process is recognised.
         process: u64,
@@ -56,7 +57,7 @@
         positions: Vec<LogPosition>,
     },
     /// Offers a snapshot to a receiver that is behind the sender's compacted indexes. Versions without snapshots drop
-    /// this and the following two.
+    /// this datagram and the following two.
     SnapshotOffer(SnapshotOffer),
     /// Requests a window of chunks of a snapshot.
     SnapshotRequest(SnapshotRequest),
@@ -68,7 +69,8 @@
 type Words<'a> = std::str::Split<'a, char>;
 
 impl Datagram {
-    /// Encodes the datagram. Returns `None` if it exceeds the maximum length, as with a very long object name.
+    /// Encodes the datagram. Returns `None` if the encoding exceeds the maximum length, for example because of a long
+    /// object name.
     pub fn encode(&self) -> Option<Vec<u8>> {
         let bytes = match self {
             Datagram::SnapshotChunk(chunk) => {
