--- a/purges/src/bucket.rs
+++ b/purges/src/bucket.rs
@@ -99,7 +99,8 @@
         stamp.max(self.watermark).time()
     }
 
-    /// Returns the watermark, which is the earliest time that [`Bucket::latest`] returns for any key of this bucket.
+    /// Returns the watermark, which is the earliest time that [`Bucket::latest`] returns for any key of this bucket, or
+    /// `None` if the bucket has no watermark.
     pub fn watermark(&self) -> Option<Micros> {
         self.watermark.time()
     }
@@ -131,7 +132,7 @@
         if self.slots.get(position) == Some(&slot) {
             return false;
         }
-        // Shifts the slots from the position on by one, so that `displaced` becomes the smallest of the eight values.
+        // Shifts the slots from `position` on by one, so that `displaced` becomes the smallest of the eight values.
         let mut displaced = slot;
         for other in &mut self.slots[position..] {
             std::mem::swap(other, &mut displaced);
--- a/purges/src/compact.rs
+++ b/purges/src/compact.rs
@@ -1,5 +1,5 @@
-//! The compact table, which stores the purges of any number of keys in a fixed number of buckets. When a bucket
-//! overflows, the times returned for other keys of the bucket become later than necessary. No purge is lost.
+//! The compact table, which stores the purges of any number of keys in a fixed number of buckets. When a bucket has no
+//! free slot, the times returned for other keys of the bucket become later than necessary. No purge is lost.
 
 use crate::bucket::{Bucket, Fingerprint};
 use crate::hashing::{mix, KeyHash};
@@ -160,8 +160,8 @@
     /// Merges a bucket of another table, which may have another size. Returns the buckets of this table that changed.
     ///
     /// A bucket of a smaller table overlaps several buckets of this table and is merged into each of them, which makes
-    /// the times returned for their keys later than necessary. A bucket of a larger table is merged into the one that
-    /// contains it.
+    /// the times returned for their keys later than necessary. A bucket of a larger table is merged into the bucket of
+    /// this table that contains its keys.
     ///
     /// # Errors
     /// Fails if a table of `bucket_bits` has no bucket of this index.
--- a/purges/src/hashing.rs
+++ b/purges/src/hashing.rs
@@ -1,4 +1,4 @@
-//! Hashes of purge keys. They must never change, as proxies exchange and store buckets that depend on them.
+//! Hashes of purge keys. They must never change, because proxies exchange and store buckets that depend on them.
 
 /// The offset basis of the 64-bit FNV-1a hash.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
--- a/purges/src/lib.rs
+++ b/purges/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! A cached copy may be served only if it was created after the latest purge of its object and of its group. A proxy
 //! therefore requests copies that are newer than these purges. The returned time is never earlier than the actual
-//! latest purge. A time that is too late costs a cache hit, whereas one that is too early would serve a purged copy.
+//! latest purge. A time that is too late costs a cache hit, whereas a time that is too early would serve a purged copy.
 //!
 //! [`PurgeTable`] stores recent purges exactly, by the hash of their key ([`KeyHash`]). Older purges are moved to a
 //! [`CompactTable`] of fixed size, which consists of [`Bucket`]s. Buckets form a join semilattice, so proxies can
--- a/purges/src/table.rs
+++ b/purges/src/table.rs
@@ -80,17 +80,18 @@
         }
     }
 
-    /// Returns the number of exact purges beyond which older ones are moved.
+    /// Returns the maximum number of purges held individually. When it is exceeded, [`PurgeTable::compact`] moves the
+    /// older half to the compact table.
     pub fn exact_capacity(&self) -> usize {
         self.exact_capacity
     }
 
-    /// Returns the number of exact purges.
+    /// Returns the number of purges held individually.
     pub fn exact_len(&self) -> usize {
         self.exact.len()
     }
 
-    /// Returns the exact purges, ordered by key.
+    /// Returns the purges held individually, ordered by key.
     pub fn exact_purges(&self) -> impl Iterator<Item = (KeyHash, Micros)> + '_ {
         self.exact.iter().map(|(key, at)| (*key, *at))
     }
--- a/purges/src/time.rs
+++ b/purges/src/time.rs
@@ -6,7 +6,8 @@
 /// The resolution of the stamps in a bucket, in microseconds.
 pub const STAMP_UNIT_US: Micros = 1_000;
 
-/// A time in milliseconds, rounded up, in 42 bits. Stamp 0 is the absence of a time, so time 0 has stamp 1.
+/// A time in milliseconds, rounded up, in 42 bits. Stamp 0 stands for the absence of a time, so time 0 is given stamp
+/// 1.
 ///
 /// The last stamp represents all times that exceed the range (139 years after the start) and is converted to
 /// [`Micros::MAX`], so that no time is converted to an earlier one.
--- a/store/src/backend.rs
+++ b/store/src/backend.rs
@@ -8,8 +8,8 @@
 use std::io;
 use std::path::Path;
 
-/// The size of redb's page cache. The default is up to 1 GiB, and redb's list of evicted pages grows without limit
-/// until the cache is full.
+/// The size of redb's page cache. With redb's default, up to 1 GiB, its list of evicted pages grows without limit until
+/// the cache is full.
 const CACHE_BYTES: usize = 4 << 20;
 
 /// A backend that syncs each extension of the file before later writes, and tracks the unsynced ranges.
@@ -82,7 +82,7 @@
     open_on(FileBackend::new(file)?, &UnsyncedRanges::default())
 }
 
-/// Opens the database in a file. Fails if the file is empty, as databases are only created in new files.
+/// Opens the database in a file. Fails if the file is empty: databases are only created by [`create_file`].
 pub(crate) fn open_file(path: &Path, unsynced: &UnsyncedRanges) -> Result<Database, DatabaseError> {
     fault_points::open()?;
     let file = OpenOptions::new().read(true).write(true).open(path)?;
--- a/store/src/error.rs
+++ b/store/src/error.rs
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Returns whether the error may disappear without intervention, as that of a full or failing disk may.
+    /// Returns whether the error may disappear without intervention, such as the error of a full or failing disk.
     pub fn is_transient(&self) -> bool {
         matches!(self, StoreError::Disk(_))
     }
--- a/store/src/file.rs
+++ b/store/src/file.rs
@@ -155,7 +155,7 @@
 
 /// A store in an open file.
 pub struct Store {
-    /// `None` after a failed operation, as redb rejects further operations until the file is opened again.
+    /// `None` after a failed operation, because redb rejects further operations until the file is opened again.
     database: Option<Database>,
     opener: Opener,
 }
@@ -169,7 +169,7 @@
 }
 
 impl Store {
-    /// Opens the file at a path, or creates it. Fails if the file is damaged, and does not change it then.
+    /// Opens the file at a path, or creates it. If the file is damaged, fails and leaves the file unchanged.
     pub fn open(path: &Path) -> Result<Self, StoreError> {
         if !path.exists() {
             Self::create(path)?;
@@ -180,8 +180,9 @@
         Self::open_with(Box::new(move || backend::open_file(&path, &unsynced)))
     }
 
-    /// Checks the format of the file before it is opened for writing, which changes the file. Ignores all other errors,
-    /// and files whose format cannot be read without a repair, as they are detected when the file is opened.
+    /// Checks the format of the file before the file is opened for writing, which changes it. All other errors, and
+    /// files whose format cannot be read without a repair, are ignored here, because opening the file for writing
+    /// detects them.
     fn check_format(path: &Path) -> Result<(), StoreError> {
         let format = || -> Result<Option<Vec<u8>>, redb::Error> {
             let table = ReadOnlyDatabase::open(path)?
@@ -195,8 +196,8 @@
         }
     }
 
-    /// Creates the file under a temporary name and renames it once it is complete. A file that a crash left incomplete
-    /// could not be distinguished from a damaged one.
+    /// Creates the file under a temporary name and renames it once it is complete. Otherwise a file that a crash left
+    /// incomplete could not be distinguished from a damaged file.
     fn create(path: &Path) -> Result<(), StoreError> {
         let io_error = |e: io::Error| StoreError::from_io(&e);
         let mut temporary = path.as_os_str().to_owned();
@@ -222,8 +223,8 @@
         }
     }
 
-    /// Opens a store on custom backends, of which `backend` creates one each time the file is opened. Tests use it to
-    /// simulate the loss of unsynced writes.
+    /// Opens a store on custom backends. `backend` is called each time the file is opened, and creates a backend. Tests
+    /// use it to simulate the loss of unsynced writes.
     pub fn open_on<B: StorageBackend>(
         mut backend: impl FnMut() -> B + Send + 'static,
     ) -> Result<Self, StoreError> {
@@ -314,7 +315,7 @@
             .map_err(|_| panicked())
             .and_then(|result| result.map_err(store_error));
         if found.is_err() {
-            // redb also rejects all operations after a failed read until the file is opened again.
+            // A failed read also makes redb reject all operations until the file is opened again.
             self.database = None;
         }
         found
@@ -338,8 +339,8 @@
             .map_err(|_| panicked())
             .and_then(|result| result.map_err(store_error));
         if written.is_err() {
-            // redb rejects all operations after a failed write. When opened again, the file has the state of the last
-            // complete group.
+            // After a failed write redb rejects all operations until the file is opened again. The file then has the
+            // state after the last complete group.
             self.database = None;
         }
         written
--- a/store/src/unsynced.rs
+++ b/store/src/unsynced.rs
@@ -1,10 +1,10 @@
 //! Tracks the ranges of a file that were written since its last sync, so that they can be written again after a failed
 //! sync.
 //!
-//! The kernel reports a failed write-back once and then marks the pages clean (fsync(2)). They can still be read, but a
-//! later sync succeeds without writing them, and a power failure loses them. The ranges that a failed sync covered are
-//! therefore read and written again before the file is used. If the previous process did not close the file, it is
-//! unknown whether one of its syncs failed, so the whole file is written again.
+//! The kernel reports a failed write-back only once, and then marks the affected pages clean (fsync(2)). Reads still
+//! return their content, but a later sync succeeds without writing them, and a power failure loses them. The ranges
+//! that a failed sync covered are therefore read and written again before the file is used. If the previous process did
+//! not close the file, it is unknown whether one of its syncs failed, so the whole file is written again.
 
 use redb::StorageBackend;
 use std::collections::BTreeMap;
@@ -17,7 +17,7 @@
 const RECOVERY_REQUIRED: u8 = 2;
 /// The number of bytes that are rewritten with one call.
 const CHUNK_BYTES: u64 = 1 << 20;
-/// The maximum number of separate ranges. Beyond it they are merged into a single range.
+/// The maximum number of separate ranges. When it is exceeded, all ranges are merged into one.
 const MAX_RANGES: usize = 4_096;
 
 /// The unsynced ranges of a file. Clones share the same state.
@@ -60,7 +60,7 @@
     pub(crate) fn record_sync<T>(&self, result: io::Result<T>) -> io::Result<T> {
         let mut state = self.state();
         match &result {
-            // A sync after a failed one does not write the pages that the failed one lost.
+            // A sync after a failed sync does not write the pages that the failed sync lost.
             Ok(_) if !state.has_failed_sync => state.ranges.clear(),
             Ok(_) => {}
             Err(_) => state.has_failed_sync = true,
--- a/store/src/worker.rs
+++ b/store/src/worker.rs
@@ -43,8 +43,8 @@
     Ok(())
 }
 
-/// Counts consecutive failed commits. Logs only the first failure and the next success, as a disk may stay full for a
-/// long time.
+/// Counts consecutive failed commits. Only the first failure and the next success are logged, because a disk may stay
+/// full for a long time.
 #[derive(Default)]
 struct FailureLog {
     commits: u64,
@@ -90,7 +90,7 @@
         }
         let result = commit(&mut store, &group);
         failures.record(&result, group.len());
-        // Sending fails only if the worker was dropped, and then nobody needs the completion.
+        // Sending fails only if the `StoreWorker` was dropped, so that no receiver is left.
         let _ = completions.send(Completion { through, result });
         wake();
     }
@@ -98,8 +98,8 @@
 }
 
 impl StoreWorker {
-    /// Starts the thread with a name. At most `max_pending` writes may be pending, which are those whose completion has
-    /// not been taken. `wake` is called on the thread for each completion.
+    /// Starts the thread with a name. At most `max_pending` writes may be pending. A write is pending until its
+    /// completion has been taken. `wake` is called on the thread for each completion.
     pub fn start(
         name: &str,
         store: Store,
@@ -108,7 +108,7 @@
     ) -> io::Result<Self> {
         let max_pending = max_pending.max(1);
         let (writes, submitted) = bounded(max_pending);
-        // The number of completions is bounded by that of the pending writes.
+        // The channel needs no bound, because there are at most as many completions as pending writes.
         let (completed, completions) = unbounded();
         let body = move || run_worker(store, &submitted, &completed, &wake);
         let thread = thread::Builder::new().name(name.to_owned()).spawn(body)?;
