--- a/budgets/src/allocation.rs
+++ b/budgets/src/allocation.rs
@@ -11,7 +11,7 @@
     demands: Demands,
 }
 
-/// The bounds of a grant.
+/// The limits that a grant must respect, computed for each lease request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct GrantTerms {
     /// The amount that can be leased to all holders together.
@@ -20,7 +20,7 @@
     pub(crate) max_amount: Amount,
     /// The time by which everything that is spent under the lease has settled.
     pub(crate) settled_at: Micros,
-    /// The time after which a demand that is not repeated no longer counts.
+    /// The time after which a demand no longer counts unless the holder has repeated it.
     pub(crate) demand_lifetime_us: Micros,
 }
 
@@ -49,8 +49,8 @@
         )
     }
 
-    /// Returns the target amount of the next lease. It grows to the fair share at once, but halves the distance to a
-    /// smaller one with each request, so that leases do not oscillate.
+    /// Returns the target amount of the next lease. A lease grows to a larger fair share at once, but shrinks only by
+    /// half of the difference to a smaller one with each request, so that leases do not oscillate.
     fn next_amount(&self, holder: MemberIndex, demand: Amount, share: Amount) -> Amount {
         let outstanding = self.ledger.outstanding(holder);
         if share < outstanding && demand > 0 {
--- a/budgets/src/election.rs
+++ b/budgets/src/election.rs
@@ -1,14 +1,14 @@
 //! One member's part in the election of the allocator of a group of budgets.
 //!
 //! The candidate is the member with the highest weight among those that are believed to be up. This belief only selects
-//! candidates. An allocator leads because more than half of all configured members vote for it.
+//! candidates: a candidate becomes the allocator only if more than half of all configured members vote for it.
 
 use crate::pending::PendingRequests;
 use crate::vote::{Vote, Votes};
 use crate::{MemberIndex, MemberProcess, Micros, Options, VoteRequest, VoteResponse};
 use std::collections::BTreeMap;
 
-/// A member that is known to have votes, and the time at which this knowledge expires.
+/// The member that is known to lead or to have received a vote, and the time at which this knowledge expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct KnownLeader {
     member: MemberIndex,
@@ -30,10 +30,11 @@
     members: usize,
     options: Options,
     vote: Vote,
-    /// The member that has this member's vote, or that more than half of the members named when they refused theirs. It
-    /// expires and is never passed on, because members could otherwise confirm each other's outdated knowledge forever.
+    /// The member that this member has voted for, or that more than half of the members named when they refused their
+    /// votes to this member. The knowledge expires and is never passed on, because members could otherwise confirm each
+    /// other's outdated knowledge forever.
     known_leader: Option<KnownLeader>,
-    /// By voter, the member that it named when it refused its vote.
+    /// By voter, the member that the voter named when it refused its vote.
     refusals: BTreeMap<MemberIndex, KnownLeader>,
     /// Since when this member has been a candidate without a majority.
     candidate_since: Option<Micros>,
@@ -41,7 +42,7 @@
     backoff_until: Micros,
     votes: Votes,
     requests: PendingRequests,
-    /// Whether this member led when that was last reported.
+    /// The leadership of this member that was last reported to the caller.
     reported_leads: bool,
     /// Since when this member has been granting leases.
     serving_since: Option<Micros>,
@@ -82,12 +83,13 @@
         now < self.majority_until()
     }
 
-    /// Returns the allocator if this member knows it, else the candidate among the members that are up.
+    /// Returns the allocator if this member knows it, otherwise the candidate among the members that are up.
     pub(crate) fn leader(&self, now: Micros, up: &[bool]) -> MemberIndex {
         if self.leads(now) {
             return self.own.member;
         }
-        // A known leader is preferred to the candidate, so that a member that comes back does not displace it.
+        // A known leader takes precedence over the candidate, so that a restarted member with a higher weight does not
+        // replace it.
         if let Some(leader) = self.known_leader.filter(|leader| now < leader.until) {
             return leader.member;
         }
@@ -104,8 +106,9 @@
 
     /// Decides whether this candidate requests votes now. `last_number` is the number of its last request.
     ///
-    /// Candidates that split the votes would otherwise renew them forever without a majority. A candidate that does not
-    /// get a majority in time backs off until its votes have expired, for a time that differs between members.
+    /// Candidates that split the votes would otherwise renew them forever without a majority. A candidate that gets no
+    /// majority within a timeout stops requesting votes until its votes have expired, for a time that differs between
+    /// members.
     pub(crate) fn may_request_votes(&mut self, now: Micros, last_number: u64) -> bool {
         if now < self.backoff_until {
             return false;
--- a/budgets/src/fair_share.rs
+++ b/budgets/src/fair_share.rs
@@ -1,5 +1,6 @@
 //! The fair share of each holder, by max-min fairness. Small demands are met in full, and the rest is divided equally
-//! among the holders with larger demands. A part is reserved for new holders.
+//! among the holders with larger demands. A part of the leasable amount is reserved for holders that have no demand
+//! yet.
 
 use crate::{Amount, MemberIndex, Micros};
 use std::collections::BTreeMap;
@@ -17,7 +18,7 @@
     received_at: Micros,
 }
 
-/// The demands of all holders that have sent one recently.
+/// The demands of all holders that have repeated them recently.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Demands(BTreeMap<MemberIndex, KnownDemand>);
 
@@ -48,7 +49,7 @@
             .iter()
             .map(|(holder, demand)| (demand.amount, *holder))
             .collect();
-        // Holders with the smallest demands come first, as the others share the amount that these leave.
+        // Holders with the smallest demands come first, because the others share what these holders leave.
         demands.sort_unstable();
         let mut available = leasable - leasable / NEWCOMER_DIVISOR;
         let mut remaining = demands.len() as u64;
--- a/budgets/src/holding.rs
+++ b/budgets/src/holding.rs
@@ -17,9 +17,9 @@
 /// A member's demand for a budget beyond its reserved minimum.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Demand {
-    /// The amount that it would spend if it were granted.
+    /// The amount that the member would spend if it were granted.
     pub amount: Amount,
-    /// The amount that it has spent and that has not settled yet.
+    /// The amount that the member has spent and that still occupies the resource.
     pub unsettled: Amount,
 }
 
@@ -29,7 +29,7 @@
     /// The amount beyond the reserved minimum.
     amount: Amount,
     until: Micros,
-    /// The number of the request that it answers; 0 if there was none.
+    /// The number of the request that the lease answers; 0 if there was none.
     number: u64,
 }
 
@@ -40,7 +40,7 @@
     demand: Demand,
     granted: GrantedLease,
     requests: PendingRequests,
-    /// Whether the last reported change was that no lease is in force.
+    /// Whether the last change that was reported to the caller was the loss of the lease.
     reported_reserved_only: bool,
 }
 
@@ -115,7 +115,7 @@
         true
     }
 
-    /// Returns whether no lease is in force, if that has changed since the last call that returned a value.
+    /// Returns whether only the reserved minimum is left, if that has changed since the last call that returned a value.
     pub(crate) fn reserved_only_change(&mut self, now: Micros) -> Option<bool> {
         let reserved_only = now >= self.granted.until;
         let reported = std::mem::replace(&mut self.reported_reserved_only, reserved_only);
--- a/budgets/src/kinds.rs
+++ b/budgets/src/kinds.rs
@@ -2,12 +2,12 @@
 
 use crate::Amount;
 
-/// The ratio of a member's demand to its unsettled amount. It exceeds one so that a larger lease arrives before it is
-/// needed.
+/// The ratio of a member's demand to its unsettled amount. It exceeds one so that a member with a growing load requests
+/// a larger lease before the current one is used up.
 const DEMAND_FACTOR: Amount = 2;
-/// The number of requests that are demanded in addition.
+/// The number of requests that are added to each demand for concurrent requests.
 const SPARE_REQUESTS: Amount = 4;
-/// The amount that is demanded in addition is a server's capacity divided by this.
+/// A server's capacity divided by this is added to each demand for capacity.
 const SPARE_DIVISOR: Amount = 10;
 
 /// The unit of an amount.
--- a/budgets/src/ledger.rs
+++ b/budgets/src/ledger.rs
@@ -1,5 +1,5 @@
-//! An allocator's ledger of the outstanding grants of one budget. It keeps the sum of all amounts that may be spent or
-//! unsettled within the leasable amount, whether or not the holders have received their leases.
+//! An allocator's ledger of the outstanding grants of one budget. It limits the sum of all amounts that may be spent or
+//! unsettled to the leasable amount, whether or not the holders have received their leases.
 
 use crate::{Amount, LeaseRequest, MemberIndex, MemberProcess, Micros, ProcessId};
 use std::collections::BTreeMap;
@@ -11,10 +11,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Grant {
     process: ProcessId,
-    /// The number of the request that it answers.
+    /// The number of the request that the grant answers.
     number: u64,
     amount: Amount,
-    /// The time by which everything that is spent under it has settled.
+    /// The time by which everything that is spent under the grant has settled.
     settled_at: Micros,
 }
 
@@ -47,7 +47,7 @@
         own.map(|grant| grant.amount).max().unwrap_or(0)
     }
 
-    /// Drops the grants that the holder has replaced by a later one. The holder never returns to them, so only its
+    /// Drops the grants that the holder has replaced by a later one. The holder never uses them again, so only its
     /// unsettled spending under them still counts.
     fn drop_replaced(&mut self, process: ProcessId, request: &LeaseRequest) {
         let is_current =
@@ -121,8 +121,8 @@
         self.0.iter().map(outstanding)
     }
 
-    /// Grants a recorded request and returns the amount. It is `target`, or less if the other grants leave less of
-    /// `leasable`. The spending under the grant settles by `settled_at`.
+    /// Grants a recorded request and returns the amount. The amount is `target`, or less if the other grants leave less
+    /// of `leasable`. Everything that is spent under the grant has settled by `settled_at`.
     pub(crate) fn grant(
         &mut self,
         from: MemberProcess,
@@ -137,7 +137,7 @@
         };
         let other_grants = total - holder.largest_of(from.process);
         let amount = target.min(leasable.saturating_sub(other_grants));
-        // An empty lease is recorded too, because its holder replaces the previous lease by it.
+        // A grant of amount 0 is recorded too, because the holder replaces its previous lease by it.
         holder.grants.push(Grant {
             process: from.process,
             number: request.number,
--- a/budgets/src/lib.rs
+++ b/budgets/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! The package is sans-IO: callers deliver messages and pass the time, which is read from each member's own monotonic
 //! clock. A budget has a limit. A minimum is reserved for each configured member, which may always spend it, even if it
-//! can reach no other member. The rest is leased: one elected member, the allocator, grants leases that expire by
-//! themselves.
+//! can reach no other member. The rest of the limit is leased: one elected member, the allocator, grants leases that
+//! expire without any further message.
 //!
 //! # Safety
 //!
@@ -15,11 +15,12 @@
 //! the duration of its lease from when it sent the request, the allocator from when it granted it, and both allow for
 //! clock drift. A lease therefore never remains in force for longer than its allocator counts it as granted.
 //!
-//! Spent amounts may occupy the resource for a while, such as a request in flight at the origin, or work that a cache
-//! in slow start has not finished yet. This is the settling time. An allocator counts a lease as granted until the
-//! settling time after its end is over, and the allocator's votes must last as long. Each lease request states how much
-//! of the holder's spending is unsettled and which lease is in force, so that an amount that a holder releases
-//! is available to others at once.
+//! A spent amount may occupy the resource for a while, such as a request in flight at the origin, or work that a cache
+//! in slow start has not finished yet. The amount is unsettled until the resource is free again, and the settling time
+//! is the maximum duration of that. An allocator counts a lease as granted until the settling time after the end of the
+//! lease is over, and the allocator's votes must last as long. Each lease request states how much of the holder's
+//! spending is unsettled and which lease is in force, so that an amount that a holder releases is available to others
+//! at once.
 //!
 //! # Modules
 //!
--- a/budgets/src/member.rs
+++ b/budgets/src/member.rs
@@ -36,8 +36,8 @@
     pub granted: u64,
     /// Leases accepted.
     pub accepted: u64,
-    /// Leases that were received after they had expired or after a later one, and requests that were received after a
-    /// later one.
+    /// Lease grants that were received after the lease had expired or after a later grant, and requests that were
+    /// received after a later request.
     pub stale: u64,
     /// Lease requests that were received while this member was not the allocator.
     pub misdirected: u64,
@@ -180,7 +180,7 @@
             .is_some_and(|election| election.leads(now))
     }
 
-    /// Returns the allocator of a group if this member knows it, else the member that is expected to become the
+    /// Returns the allocator of a group if this member knows it, otherwise the member that is expected to become the
     /// allocator.
     pub fn allocator(&self, now: Micros, group: usize) -> MemberIndex {
         self.elections
@@ -269,7 +269,7 @@
         }
         let number = self.next_number();
         let request = self.elections[group].vote_request(now, number);
-        // All configured members are asked, including those that are believed to be down, as that belief may be wrong.
+        // Down members are asked too, because the belief that they are down may be wrong.
         for member in 0..self.up.len() {
             self.send(now, member, Message::VoteRequest(request));
         }
@@ -303,8 +303,8 @@
         }
     }
 
-    /// Receives a message. `now` must be the time at which the message was read. A holder counts its lease from when it
-    /// sent the request, so a response that is sent late because of a stall extends no lease.
+    /// Receives a message. `now` must be the time at which the message was read. The duration of a lease is counted
+    /// from when the holder sent the request, so a response that is delayed by a stall does not extend the lease.
     pub fn receive(&mut self, now: Micros, from: MemberProcess, message: Message) {
         if from.member >= self.up.len() {
             return;
@@ -368,8 +368,8 @@
         self.send(now, from.member, Message::LeaseGrant(grant));
     }
 
-    /// Returns the maximum amount that this allocator may grant to one holder. It is an equal share until all holders
-    /// have had the time to send a request, so that the first ones do not receive the share of the others.
+    /// Returns the maximum amount that this allocator may grant to one holder. The maximum is an equal share until all
+    /// holders have had the time to send a request, so that the first holders do not receive the shares of the others.
     fn max_grant(&mut self, now: Micros, group: usize, leasable: Amount) -> Amount {
         let serving_since = self.elections[group].start_serving(now);
         let all_known_at = serving_since + 2 * self.options.request_interval_us;
--- a/budgets/src/message.rs
+++ b/budgets/src/message.rs
@@ -21,7 +21,7 @@
     /// Whether the candidate has the vote. It then lasts for
     /// [`Options::vote_duration_us`](crate::Options::vote_duration_us) from when the request was sent.
     pub granted: bool,
-    /// The member that has the voter's current vote.
+    /// The member that the voter currently votes for.
     pub voted_for: Option<MemberIndex>,
 }
 
--- a/budgets/src/options.rs
+++ b/budgets/src/options.rs
@@ -36,12 +36,12 @@
         duration_us.saturating_mul(2 * self.drift_ppm) / 1_000_000 + 1
     }
 
-    /// Shortens a duration that another member counts too, so that it ends here first.
+    /// Shortens a duration so that it ends here before another member's clock has counted the full duration.
     pub(crate) fn shortened_by_drift(&self, duration_us: Micros) -> Micros {
         duration_us.saturating_sub(self.max_drift(duration_us))
     }
 
-    /// Extends a duration that another member counts too, so that it ends there first.
+    /// Extends a duration so that it ends here after another member's clock has counted the full duration.
     pub(crate) fn extended_by_drift(&self, duration_us: Micros) -> Micros {
         duration_us.saturating_add(self.max_drift(duration_us))
     }
--- a/budgets/src/vote.rs
+++ b/budgets/src/vote.rs
@@ -11,8 +11,8 @@
 }
 
 impl Vote {
-    /// Creates the vote of a process that starts. An earlier process of the member may have given it, so it can be
-    /// given again only after that vote would have expired.
+    /// Creates the vote of a process that starts. An earlier process of the member may have given the vote, so the new
+    /// process does not give it before that vote would have expired.
     pub(crate) fn new(now: Micros, vote_duration_us: Micros) -> Self {
         Vote {
             candidate: None,
@@ -20,15 +20,15 @@
         }
     }
 
-    /// Returns the member that currently has the vote.
+    /// Returns the member that this member currently votes for.
     pub(crate) fn voted_for(&self, now: Micros) -> Option<MemberIndex> {
         self.candidate
             .filter(|_| now < self.until)
             .map(|candidate| candidate.member)
     }
 
-    /// Gives the vote to a candidate, or renews it, for `vote_duration_us`, unless another process has it. Returns
-    /// whether the candidate has the vote.
+    /// Gives the vote to a candidate, or renews it, for `vote_duration_us`, unless another candidate process has it.
+    /// Returns whether the candidate has the vote.
     pub(crate) fn request(
         &mut self,
         now: Micros,
@@ -60,7 +60,7 @@
         self.0.values().filter(|until| now < **until).count() as u64
     }
 
-    /// Returns the time until which more than half of `members` vote for the candidate; 0 if they never did.
+    /// Returns the time until which more than half of `members` vote for the candidate; 0 if it never had a majority.
     pub(crate) fn majority_until(&self, members: usize) -> Micros {
         let mut ends: Vec<Micros> = self.0.values().copied().collect();
         ends.sort_unstable_by(|a, b| b.cmp(a));
