--- a/membership/src/gossip.rs
+++ b/membership/src/gossip.rs
@@ -1,5 +1,5 @@
 //! The selection of updates that are piggybacked on the next datagram. Each update is sent a bounded number of times,
-//! and those sent least often come first.
+//! and updates that have been sent least often come first.
 
 use crate::wire::Update;
 use crate::Id;
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -3,16 +3,17 @@
 //! The package is sans-IO. The configuration names the members and their addresses. Failures are detected by the SWIM
 //! protocol: probes in rounds of random order, indirect probes, suspicions that the suspect can refute, and updates
 //! that are piggybacked on the probes. It has the extensions of Lifeguard: a suspicion timeout that shrinks with each
-//! confirmation, a failure detector that waits longer when it is slow itself, and prompt notification of the suspect.
+//! confirmation, a failure detector with longer timeouts while its own process is slow, and prompt notification of the
+//! suspect.
 //!
 //! A process id identifies one process of a member. Claims about a later process override all claims about an earlier
-//! one. A member that restarts, with its disk or without, is therefore not mistaken for its dead process, and an old
-//! process that still runs after its successor has started learns that it was replaced.
+//! process. A member that restarts, with its disk or without, is therefore not mistaken for its dead process, and an
+//! old process that still runs after its successor has started is informed that it was replaced.
 //!
 //! # Modules
 //!
 //! - `member`: the state of each member, and the order in which claims override each other.
-//! - `suspicion`: the time that a suspect has to refute.
+//! - `suspicion`: the time within which a suspect can refute a suspicion.
 //! - `gossip`: the selection of updates that are piggybacked on the next datagram.
 //! - `swim`: the protocol, with probes, datagrams, claims, and the health score of the failure detector.
 //! - `options`: the durations and bounds of the protocol, and counters.
--- a/membership/src/member.rs
+++ b/membership/src/member.rs
@@ -6,18 +6,19 @@
 /// The state of a member. Among claims about one process and incarnation, the greater state overrides the lesser.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It is running.
+    /// The member is running.
     Alive,
-    /// It did not answer a probe, and can still refute the suspicion.
+    /// The member did not answer a probe, and can still refute the suspicion.
     Suspect,
-    /// It did not refute the suspicion in time.
+    /// The member did not refute the suspicion before its timeout.
     Dead,
-    /// It announced its shutdown.
+    /// The member announced its shutdown.
     Left,
 }
 
-/// A claim about a member. A claim about a later process overrides those about earlier ones, then a higher incarnation
-/// overrides a lower one, then a greater state a lesser one. Only the member itself raises its incarnation.
+/// A claim about a member. A claim about a later process overrides claims about earlier processes. Among claims about
+/// one process, a higher incarnation overrides a lower one. Among claims with the same incarnation, the greater state
+/// overrides the lesser. Only the member itself raises its incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Claim {
     /// The member's process.
@@ -44,23 +45,23 @@
 pub struct Names {
     /// The member's name.
     pub name: String,
-    /// The name of its machine.
+    /// The name of the machine that it runs on.
     pub machine: String,
 }
 
 /// A member as seen by this proxy.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Member {
-    /// Its id; `None` if nothing has been received from it yet.
+    /// The member's id; `None` if nothing has been received from the member yet.
     pub id: Option<Id>,
-    /// The names that it reports.
+    /// The names that the member reports; `None` before they are known.
     pub names: Option<Names>,
-    /// The current claim about it.
+    /// The current claim about the member; `None` if nothing is known of the member.
     pub claim: Option<Claim>,
 }
 
 impl Member {
-    /// Returns whether it is believed to be up. A suspect is until its suspicion times out.
+    /// Returns whether the member is believed to be up. A suspect counts as up until its suspicion times out.
     pub fn is_up(&self) -> bool {
         matches!(
             self.claim,
@@ -71,7 +72,7 @@
         )
     }
 
-    /// Replaces the current claim if the given one overrides it. Returns whether it did.
+    /// Replaces the current claim if the given claim overrides it. Returns whether the claim was replaced.
     pub(crate) fn apply_claim(&mut self, claim: Claim) -> bool {
         let overrides = Some(claim) > self.claim;
         if overrides {
--- a/membership/src/options.rs
+++ b/membership/src/options.rs
@@ -42,9 +42,9 @@
     pub probes: u64,
     /// Probes that were neither acknowledged directly nor indirectly.
     pub failed: u64,
-    /// Claims about this member that it refuted.
+    /// False claims about this member that it refuted.
     pub refuted: u64,
-    /// Detected stalls of this process.
+    /// Stalls of this process that were detected by a late tick.
     pub stalls: u64,
     /// Datagrams that could not be decoded.
     pub unreadable: u64,
--- a/membership/src/suspicion.rs
+++ b/membership/src/suspicion.rs
@@ -1,5 +1,5 @@
-//! The time that a suspect has to refute. It is long while only one member suspects it, because that member may be the
-//! faulty one, and shrinks as other members confirm the suspicion.
+//! The time within which a suspect can refute a suspicion. It is long while only one member suspects it, because that
+//! member may itself be faulty, and shrinks as other members confirm the suspicion.
 
 use crate::{Id, Micros};
 use std::collections::BTreeSet;
@@ -19,13 +19,13 @@
     max_us: Micros,
     /// The number of confirmations at which the timeout reaches its minimum.
     max_confirmations: usize,
-    /// The members that suspect it. A repeated suspicion by the same member is no confirmation.
+    /// The members that suspect it. A repeated suspicion by the same member does not count as a confirmation.
     accusers: BTreeSet<Id>,
 }
 
 impl Suspicion {
     /// Creates a suspicion by one member. The timeouts grow with the number of members, because a refutation takes
-    /// longer to reach them all.
+    /// longer to reach all members of a large fleet.
     pub(crate) fn new(now: Micros, accuser: Id, members: usize, period_us: Micros) -> Self {
         let scale = (members.max(2) as f64).log10().max(1.0);
         let min_us = (MIN_PERIODS * scale * period_us as f64) as Micros;
@@ -48,7 +48,7 @@
     /// Returns the time at which the suspect is declared dead unless it refutes.
     pub(crate) fn deadline(&self) -> Micros {
         let confirmations = (self.accusers.len() - 1).min(self.max_confirmations) as f64;
-        // Without members that could confirm it, the timeout is the minimum.
+        // If no other member could confirm the suspicion, the timeout is the minimum.
         let share = if self.max_confirmations == 0 {
             1.0
         } else {
--- a/membership/src/swim/claims.rs
+++ b/membership/src/swim/claims.rs
@@ -7,7 +7,7 @@
 use crate::{Micros, PeerIndex, ProcessId};
 
 impl Membership {
-    /// Makes a claim about a member that this failure detector has observed itself.
+    /// Makes a claim about a member from this member's own observation.
     pub(super) fn claim_observed(&mut self, now: Micros, peer: PeerIndex, state: MemberState) {
         let member = &self.members[peer];
         if let (Some(id), Some(claim)) = (member.id, member.claim) {
@@ -25,7 +25,8 @@
         if update.id == self.own.id {
             return self.refute(now, update.claim);
         }
-        // Members are configured by address, and their ids are unknown until something has been received from them.
+        // Members are configured by address, and the id of a member is unknown until something has been received from
+        // it.
         let Some(peer) = self.index_of(update.id) else {
             return;
         };
@@ -46,8 +47,9 @@
             );
             self.suspicions.insert(peer, suspicion);
         }
-        // Each member discovers the others by itself and ignores claims about unknown ones, so a first claim that a
-        // member is alive is not gossiped. When a large fleet starts, such claims would leave no room for refutations.
+        // Each member discovers the others by itself and ignores claims about unknown members. The first claim that a
+        // member is alive is therefore not gossiped. When a large fleet starts, such claims would leave no room for
+        // refutations.
         if old.is_some() || update.claim.state != MemberState::Alive {
             self.gossip.add(update);
         }
@@ -84,10 +86,10 @@
         }
     }
 
-    /// Processes the report of a process with a greater id, which is this one's successor, or its predecessor if that
-    /// is expected. A process id is the time at which the process started. An id in the future comes from a clock that
-    /// has been set back since, so it is the predecessor's. A successor has started at a time that this process's clock
-    /// has reached.
+    /// Processes the report of a process with a greater id. That process is this process's successor, or its
+    /// predecessor if that is expected. A process id is the time at which the process started. An id in the future
+    /// comes from a clock that has been set back since, so it is the id of the predecessor. The clock has already
+    /// reached the start time of a successor.
     fn receive_later_process(&mut self, now: Micros, process: ProcessId) {
         let is_expected = now < self.predecessor_until && !self.is_replaced;
         let is_predecessor = is_expected && process > now;
--- a/membership/src/swim/exchange.rs
+++ b/membership/src/swim/exchange.rs
@@ -40,8 +40,7 @@
 
     /// Receives a datagram from a peer's address.
     ///
-    /// # Errors
-    /// Fails if the datagram can't be decoded. It then has no effect other than that it is counted.
+    /// Fails if the datagram can't be decoded. The datagram is then counted and has no other effect.
     pub fn receive(
         &mut self,
         now: Micros,
@@ -104,8 +103,8 @@
         }
     }
 
-    /// Returns the current claim about a sender if it overrides the one that the sender implies. The sender must
-    /// receive it, in order to refute it or to learn that it was replaced.
+    /// Returns the current claim about a sender if it overrides the claim that the sender implies by sending. The
+    /// sender must receive the current claim, in order to refute it or to be informed that it was replaced.
     fn overriding_claim(&self, sender: Sender) -> Option<Update> {
         let known = self
             .index_of(sender.id)
@@ -121,7 +120,7 @@
     /// Records which process of which member sends from a peer's address.
     fn observe(&mut self, now: Micros, peer: PeerIndex, from: Sender) {
         if let Some(other) = self.index_of(from.id).filter(|other| *other != peer) {
-            // The same member was known at another address. The later process counts, whichever its address.
+            // The same member was known at another address. The later process is used, regardless of its address.
             let known = self.members[other].claim;
             if known.is_some_and(|claim| claim.process > from.process) {
                 return;
--- a/membership/src/swim/mod.rs
+++ b/membership/src/swim/mod.rs
@@ -4,8 +4,8 @@
 //! - `exchange`: sending and receiving datagrams.
 //! - `claims`: claims about members, and the refutation of claims about this member.
 //!
-//! A failure detector that misses many responses is more likely slow itself than surrounded by dead members. It then
-//! waits longer before it suspects them, by a multiple that its health score determines.
+//! A failure detector that misses many responses is more likely slow itself than surrounded by dead members. Its
+//! timeouts are therefore multiplied by a factor that grows with its health score.
 
 mod claims;
 mod exchange;
@@ -63,8 +63,8 @@
     gossip: Gossip,
     /// The peers that are still to be probed in this round.
     round: Vec<PeerIndex>,
-    /// The peers that have not been sent a discovery ping yet. They let a member that starts discover all others sooner
-    /// than a whole round of probes would.
+    /// The peers that have not been sent a discovery ping yet. With discovery pings, a member that starts discovers all
+    /// others sooner than with a whole round of probes.
     undiscovered: Vec<PeerIndex>,
     probe: Option<Probe>,
     /// The pending pings on behalf of other members, by number.
@@ -130,8 +130,8 @@
         membership
     }
 
-    /// Sets the number of peers after the list of peers has changed, and forgets which member has which index. The
-    /// state of this member itself is kept.
+    /// Sets the number of peers after the list of peers has changed, and discards all knowledge of the members, because
+    /// their indexes may have changed. The state of this member itself is kept.
     pub fn reset_peers(&mut self, peers: usize) {
         self.members = vec![Member::default(); peers];
         self.undiscovered = (0..peers).collect();
@@ -158,8 +158,9 @@
     }
 
     /// Declares that this process started without its disk, so that it does not know the id of its predecessor. The
-    /// wall clock may have been set back between the two. Until the given time, a greater process id that peers report
-    /// and that the clock has not reached is taken for the predecessor, and this process adopts the id after it.
+    /// wall clock may have been set back between the start of the predecessor and that of this process. Until the given
+    /// time, a greater process id that peers report and that lies in the future of the clock is assumed to be the
+    /// predecessor's, and this process adopts the id after it.
     pub fn expect_predecessor(&mut self, until: Micros) {
         self.predecessor_until = until;
     }
@@ -174,8 +175,8 @@
         self.is_replaced
     }
 
-    /// Returns the health score of this failure detector. It is 0 for a healthy one, and each point adds another
-    /// multiple of the usual time to its timeouts.
+    /// Returns the health score of this failure detector. The score of a healthy failure detector is 0. Each point
+    /// lengthens its timeouts by their usual duration.
     pub fn health(&self) -> u32 {
         self.health
     }
@@ -215,7 +216,7 @@
         self.health = (self.health + penalty).min(self.options.max_health);
     }
 
-    /// Starts and ends probes and declares suspects dead, as far as that is due.
+    /// Starts and ends probes and declares suspects dead if their times have come.
     pub fn tick(&mut self, now: Micros) {
         if self.has_left {
             return;
@@ -230,8 +231,8 @@
         }
     }
 
-    /// Detects a stall of this process, and then discards the probes in progress and extends the suspicions. After a
-    /// stall all timeouts appear to have expired, although the responses may be waiting in the socket.
+    /// Detects a stall of this process. After a stall all timeouts appear to have expired, although the responses may
+    /// be waiting in the socket. The probes in progress are therefore discarded, and the suspicions extended.
     fn detect_stall(&mut self, now: Micros) {
         let late_us = now.saturating_sub(self.due());
         if late_us <= MIN_STALL_FACTOR * self.options.ack_timeout_us {
--- a/membership/src/swim/probes.rs
+++ b/membership/src/swim/probes.rs
@@ -1,12 +1,14 @@
-//! Probes and their timeouts. One member is probed in each period, in rounds of random order. If it does not answer in
-//! time, other members are asked for indirect probes. If it does not answer these either, it is suspected.
+//! Probes and their timeouts. One member is probed in each period, in rounds of random order. If it does not answer
+//! within the timeout, other members are asked for indirect probes. If these are not answered either, the member is
+//! suspected.
 
 use super::Membership;
 use crate::member::MemberState;
 use crate::wire::Body;
 use crate::{Id, Micros, PeerIndex};
 
-/// The number that discovery pings carry. Probes are numbered from 1, so the acknowledgements match no probe.
+/// The number in discovery pings. Probes are numbered from 1, so the acknowledgement of a discovery ping matches no
+/// probe.
 const DISCOVERY_PING_NUMBER: u32 = 0;
 
 /// The probe of the current period.
@@ -15,7 +17,7 @@
     pub(super) peer: PeerIndex,
     pub(super) number: u32,
     pub(super) started_at: Micros,
-    /// The number of members that were asked for indirect probes; `None` before that.
+    /// The number of members that were asked for indirect probes; `None` before the requests are sent.
     pub(super) helpers: Option<usize>,
     /// The number of those members that reported that they received no answer either.
     pub(super) nacks: usize,
@@ -72,8 +74,8 @@
         }
     }
 
-    /// Sends discovery pings to members from which nothing has been received: several per period until each has been
-    /// sent one, then one random member per period.
+    /// Sends discovery pings to members from which nothing has been received. Several pings are sent per period until
+    /// each such member has been sent one, and then one ping to a random member per period.
     fn send_discovery_pings(&mut self) {
         let is_unknown =
             |membership: &Self, peer: &PeerIndex| membership.members[*peer].claim.is_none();
@@ -99,8 +101,8 @@
         }
     }
 
-    /// Draws the next round of probes in random order. It contains all members that may be up, and few of those that
-    /// are down.
+    /// Draws the next round of probes in random order. A round contains all members that may be up, and a few of those
+    /// that are down.
     fn draw_round(&mut self) {
         for peer in 0..self.members.len() {
             let member = &self.members[peer];
@@ -163,8 +165,8 @@
             return;
         }
         // Helpers send a nack if the member does not answer them. A missing nack means that the exchange with the
-        // helper failed, so this failure detector may be at fault. The penalty is the same for any number of missing
-        // nacks, because helpers may be dead and links cut, and a large penalty would delay the detection of that.
+        // helper failed, so this failure detector may be at fault. The penalty does not depend on the number of missing
+        // nacks: the helpers may be dead or unreachable, and a large penalty would delay the detection of that.
         let may_be_at_fault = probe
             .helpers
             .is_none_or(|helpers| helpers == 0 || probe.nacks < helpers);
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -12,7 +12,7 @@
 /// The maximum length of a name that is sent. Longer names are truncated.
 const MAX_NAME_BYTES: usize = 40;
 
-/// A claim about a member and the member that makes it.
+/// A claim about a member, with the member that makes the claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
     /// The member that the claim is about.
@@ -26,11 +26,11 @@
 /// The sender of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sender {
-    /// Its id.
+    /// The id of the sender.
     pub id: Id,
-    /// Its process.
+    /// The process of the sender.
     pub process: ProcessId,
-    /// Its incarnation.
+    /// The incarnation of the sender.
     pub incarnation: u32,
 }
 
--- a/origin-health/src/lib.rs
+++ b/origin-health/src/lib.rs
@@ -1,19 +1,19 @@
 //! Reports of a slow origin between the proxies of a fleet.
 //!
-//! In a large fleet each proxy receives only few responses of the origin. Without reports each proxy would detect a
-//! slow origin by itself, seconds after the first one. A proxy sends a [`Report`] to its peers in a datagram.
-//! [`OriginHealth`] decides when to send one, and derives the share of requests that may go to the origin from the
-//! reports of others. The package is sans-IO: it has no sockets and no clock, and the time is the `now` argument of
-//! each call.
+//! In a large fleet each proxy receives only few responses of the origin. Without reports each proxy would have to
+//! detect a slow origin from its own responses, seconds after the first proxy has detected it. A proxy sends a
+//! [`Report`] to its peers in a datagram. [`OriginHealth`] decides when to send a report, and derives the share of
+//! requests that may go to the origin from the reports of others. The package is sans-IO: it has no sockets and no
+//! clock, and the time is the `now` argument of each call.
 //!
 //! The following holds for any datagrams in any order:
 //!
 //! - Reports can only lower the share of requests that may go to the origin, never raise it, and do not affect the
 //!   state of any cache.
-//! - Each zone counts by its latest report, and a zone without a report counts as healthy. With twelve zones, one zone
-//!   lowers the share by at most a twelfth, because the fault may be in that zone.
-//! - A report counts for [`REPORT_LIFETIME_US`] after it was received. A duplicate of a sender's latest report, or an
-//!   older one, is dropped.
+//! - Only the latest report of each zone counts, and a zone without a report counts as healthy. With twelve zones, one
+//!   zone lowers the share by at most a twelfth, because the fault may be in that zone.
+//! - A report counts for [`REPORT_LIFETIME_US`] after it was received. A duplicate of a sender's latest report, or a
+//!   report older than the latest, is dropped.
 //! - Reports are never forwarded. A proxy only reports responses that it received itself, so reports can't reinforce
 //!   each other.
 //! - A proxy sends at most one report in [`MIN_REPORT_INTERVAL_US`], and none while a report of another proxy in its
@@ -28,7 +28,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The maximum share that is reported. With a greater share the origin is not considered slow.
+/// The maximum share that is reported. A proxy with a greater share does not consider the origin slow.
 const MAX_REPORTED_SHARE: f64 = 0.7;
 /// The time for which a report counts after it was received.
 pub const REPORT_LIFETIME_US: Micros = 1_000_000;
@@ -65,7 +65,7 @@
 pub struct OriginShare {
     /// The share, between 0 and 1.
     pub share: f64,
-    /// The time until which it applies.
+    /// The time until which the share applies.
     pub until: Micros,
 }
 
@@ -170,8 +170,8 @@
         self.latest_reports.retain(|peer, _| is_peer(peer));
     }
 
-    /// Returns the maximum share of requests that may go to the origin according to the reports of others. It is the
-    /// mean over all zones, each by its latest report. Returns `None` if no report counts.
+    /// Returns the maximum share of requests that may go to the origin according to the reports of others: the mean
+    /// over all zones of the share in each zone's latest report. Returns `None` if no report counts.
     pub fn origin_share(&self, now: Micros) -> Option<OriginShare> {
         let mut zones: BTreeMap<u16, &PeerReport> = BTreeMap::new();
         for received in self.valid_reports(now) {
@@ -193,8 +193,8 @@
     }
 
     /// Records a late response of the origin and the share of requests that this proxy still sends there. Returns a
-    /// datagram for all peers, unless the share is not low, or this proxy or another one in its zone has just sent a
-    /// report.
+    /// report as a datagram for all peers. Returns `None` if the share is above the maximum that is reported, or if
+    /// this proxy or another proxy in its zone has just sent a report.
     pub fn record_late_response(
         &mut self,
         now: Micros,
--- a/origin-health/src/report.rs
+++ b/origin-health/src/report.rs
@@ -82,7 +82,7 @@
         out
     }
 
-    /// Decodes a datagram. The work is bounded, whatever the datagram contains.
+    /// Decodes a datagram. The time that this takes is bounded for any content.
     ///
     /// # Errors
     /// Fails if the datagram is too long, belongs to another protocol, has an unknown version, or is malformed.
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,5 +1,5 @@
 //! Parses the settings of a router from JSON, for the simulator adapter and the daemon. Every error message names the
-//! key.
+//! invalid key.
 
 use linnetknot as router;
 use serde_json::{Map, Value};
@@ -108,7 +108,7 @@
         .transpose()
 }
 
-/// The upper bound of the attempts per request, whatever the settings allow.
+/// The upper bound of the attempts per request, even if the settings allow more.
 const MAX_ATTEMPTS: u64 = 6;
 
 /// Returns an object, or the given empty one if the key is missing.
@@ -166,7 +166,8 @@
     })
 }
 
-/// Returns the rank of this router in its group, if one is given. Both keys are validated in any case.
+/// Returns the rank of this router in its group, if the settings contain a rank. The rank and the size of the group are
+/// both validated even if only one is given.
 fn rank(fields: &Fields) -> Result<Option<u32>> {
     // Shares of fleet-wide limits are computed from both values, so invalid ones must be rejected.
     let group_size = int_or(fields, "group-size", u64::MAX)?;
@@ -182,7 +183,7 @@
     Ok(get(fields, "rank").and(u32::try_from(rank).ok()))
 }
 
-/// Returns the request classes. Some of their fields are in lists of the family, by the index of the class.
+/// Returns the request classes. Some of their fields are in lists in the `family` object, by the index of the class.
 fn classes(fields: &Fields, family: &Fields) -> Result<Vec<router::Class>> {
     let mut classes = Vec::new();
     for (index, value) in list(fields, "categories")?.iter().enumerate() {
@@ -221,7 +222,7 @@
     })
 }
 
-/// Returns the name of the kind to whose index a key of the family refers, or `None` if the index is negative.
+/// Returns the name of the kind whose index a key of the `family` object contains, or `None` if the index is negative.
 fn kind_name(family: &Fields, kinds: &[Value], key: &str) -> Result<Option<String>> {
     let index = number_or(family, key, -1.0)?;
     Ok((index >= 0.0)
@@ -229,7 +230,7 @@
         .flatten())
 }
 
-/// Returns the zones. Some of their fields are in lists of the family, by the index of the zone.
+/// Returns the zones. Some of their fields are in lists in the `family` object, by the index of the zone.
 fn zones(fields: &Fields, family: &Fields) -> Result<Vec<router::Zone>> {
     let mut zones = Vec::new();
     for (index, value) in list(fields, "localities")?.iter().enumerate() {
@@ -287,7 +288,7 @@
     })
 }
 
-/// Returns the platform's rules for drains, slow start and purges.
+/// Returns the limits for drains, slow start, overload and purges that the deployment imposes on all routers.
 fn rules(rules: &Fields, family: &Fields) -> Result<router::Rules> {
     Ok(router::Rules {
         drain_grace_us: int_or(rules, "drain-grace-us", 0)?,
