--- a/consul/src/backoff.rs
+++ b/consul/src/backoff.rs
@@ -5,7 +5,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Maximum number of doublings, which bounds the shift.
+/// Maximum number of doublings, which limits the bit shift that computes the delay.
 const MAX_DOUBLINGS: u32 = 20;
 
 /// Delays that grow with each consecutive failure.
--- a/consul/src/checks.rs
+++ b/consul/src/checks.rs
@@ -6,8 +6,8 @@
 
 const PASSING: &str = "passing";
 const WARNING: &str = "warning";
-/// Prefixes of the ids of the checks that Consul adds for maintenance modes. The notes of these checks contain the
-/// operator's reason.
+/// Prefixes of the ids of the checks that Consul adds for the maintenance mode of a node and of a service. The notes of
+/// these checks contain the operator's reason.
 const NODE_MAINTENANCE: &str = "_node_maintenance";
 const SERVICE_MAINTENANCE: &str = "_service_maintenance";
 /// Id of the node check that Consul's gossip maintains.
@@ -40,8 +40,8 @@
             .map(Checks)
     }
 
-    /// Returns the reason why the instance must not get new work, if a check is critical. Maintenance modes take
-    /// precedence, as they are the most specific reason.
+    /// Returns the reason why the instance must not get new work, if a check is critical. The checks of maintenance
+    /// modes take precedence, because they give the most specific reason.
     pub(crate) fn failure_reason(&self) -> Option<Reason> {
         let failing: Vec<_> = self
             .0
@@ -69,7 +69,7 @@
     }
 }
 
-/// Parses the check at position `n` of the list.
+/// Parses one check. `n` is its position in the list.
 fn check_status(n: usize, check: &Field<Check>) -> Result<CheckStatus<'_>, KeyError> {
     let check = check
         .required()
--- a/consul/src/error.rs
+++ b/consul/src/error.rs
@@ -3,7 +3,7 @@
 use crate::http::TransportError;
 use std::net::IpAddr;
 
-/// The error of a call to an agent that has no usable result.
+/// The error of a call to an agent that did not return a usable result.
 ///
 /// The message completes a sentence that begins with the agent: `agent 0 has no leader`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -51,7 +51,7 @@
     /// An element is not valid JSON; the text is the error of the parser.
     #[error("{0}")]
     InvalidJson(String),
-    /// An entry of the catalog does not identify its instance. If it were skipped, that instance would count as
+    /// An entry of the catalog does not identify its instance. If the entry were skipped, the instance would count as
     /// deregistered, so the whole list is rejected.
     #[error("{0}")]
     Unidentified(#[from] KeyError),
--- a/consul/src/http.rs
+++ b/consul/src/http.rs
@@ -99,7 +99,7 @@
     pub status: u16,
     /// Names, in lower case, and values of the headers.
     pub headers: &'a [(String, String)],
-    /// The part of the body that was not passed to [`Watch::on_body`](crate::Watch::on_body).
+    /// The part of the body that has not been passed to [`Watch::on_body`](crate::Watch::on_body).
     pub body: &'a [u8],
 }
 
--- a/consul/src/mapping.rs
+++ b/consul/src/mapping.rs
@@ -11,8 +11,8 @@
 /// The part of an instance that identifies a cache.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Identity {
-    /// The id of the service instance. Consul ensures that it is unique per agent; the operators have to ensure that it
-    /// is unique across agents.
+    /// The id of the service instance. Consul ensures that the id is unique per agent; the operators have to ensure
+    /// that it is unique across agents.
     #[default]
     Service,
     /// The name of the node, for deployments with one cache per node.
@@ -28,10 +28,10 @@
     pub zone: String,
     /// Key of the kind.
     pub kind: String,
-    /// Key of the cell. Caches of the same cell share the set of keys they have seen.
+    /// Key of the cell. Caches of the same cell share the idempotency keys that they have seen.
     pub cell: String,
-    /// Key of the capacity, in concurrent transfers at full rate. Without a capacity the weights of the service are
-    /// used.
+    /// Key of the capacity, in concurrent transfers at full rate. If an instance has no capacity, the weights of its
+    /// service are used.
     pub capacity: String,
     /// Key of the start time, in Unix milliseconds.
     pub started_ms: String,
@@ -62,8 +62,8 @@
     pub kind: String,
     /// Zones of the deployment. If empty, any zone is accepted.
     pub zones: Vec<String>,
-    /// Tag of the address to use, such as `lan_ipv4` or `wan`. With `None` the address of the service is used, or else
-    /// the address of its node.
+    /// Tag of the address to use, such as `lan_ipv4` or `wan`. With `None` the address of the service is used, or the
+    /// address of its node if the service has none.
     pub tagged_address: Option<String>,
 }
 
@@ -74,7 +74,7 @@
     Service,
 }
 
-/// The error of a part of an identity that can't be read.
+/// The error of a node name or service id that can't be read.
 struct IdError {
     part: IdPart,
     error: ValueError,
--- a/consul/src/mapping/instance.rs
+++ b/consul/src/mapping/instance.rs
@@ -100,8 +100,8 @@
     }
 }
 
-/// Returns the error of an identity that can't be read. The key is `Node` or `Service` if that object is itself
-/// malformed.
+/// Returns the error for an identity that can't be read. Its key is `Node` or `Service` if the object with that key is
+/// itself malformed.
 fn id_fault(instance: &Instance, IdError { part, error }: IdError) -> KeyError {
     match (part, instance.node.value(), instance.service.required()) {
         (IdPart::Node, Err(error), _) => KeyError::new("Node", error),
@@ -154,10 +154,10 @@
     KeyError::new(format!("Service.Meta.{key}"), error)
 }
 
-/// Returns the weight of a service: its capacity, or else its weight in Consul. In the warning state the capacity is
-/// scaled by the ratio of the warning weight to the passing weight.
+/// Returns the weight of a service: its capacity, or its weight in Consul if it has no capacity. In the warning state
+/// the capacity is scaled by the ratio of the warning weight to the passing weight.
 fn weight(service: &Service, capacity: Option<f64>, in_warning: bool) -> f64 {
-    // Malformed weights count as absent: an inaccurate weight is better than no cache.
+    // Malformed weights count as absent, because a cache with an inaccurate weight is better than a missing cache.
     let weight_field = |select: fn(&Weights) -> &Field<f64>| {
         let weights = service.weights.valid()?;
         select(weights).valid().copied()
--- a/consul/src/registration.rs
+++ b/consul/src/registration.rs
@@ -1,7 +1,7 @@
 //! The registration of the proxy, with a TTL check that passes only while the proxy can serve.
 //!
-//! An agent that restarts without its state loses the registration. The next check update then fails with 404, or with
-//! 500 from older agents, and the proxy registers again.
+//! An agent that restarts without its state loses the registration. The next check update then fails with status 404,
+//! or 500 from older agents, and the proxy registers again.
 
 mod payload;
 
@@ -12,19 +12,19 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Delay after the first failure.
+/// Delay after the first of consecutive failures.
 const MIN_BACKOFF_US: Micros = 100_000;
 /// Number of attempts to deregister at shutdown. If all fail, the check becomes critical when its TTL expires.
 const MAX_DEREGISTER_ATTEMPTS: u32 = 3;
 /// Maximum delay between the attempts to deregister.
 const MAX_DEREGISTER_DELAY_US: Micros = 100_000;
-/// Combined with the seed, so that the watch and the registration of a proxy have different jitter.
+/// Combined with the seed, so that the delays of the watch and of the registration of a proxy have different jitter.
 const SEED_SALT: u64 = 0x7e61;
 
 /// The service that is registered, and how it is registered.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Registrant {
-    /// Id of the service instance, unique at its agent.
+    /// Id of the service instance, which is unique at its agent.
     pub id: String,
     /// Name of the service.
     pub name: String,
@@ -41,8 +41,8 @@
     pub deregister_after_us: Option<Micros>,
     /// Timeout of a call, in microseconds.
     pub response_timeout_us: Micros,
-    /// Number of agents to choose from. A service belongs to the agent that registered it, so the agent does not change
-    /// after the registration.
+    /// Number of agents to choose from. A service belongs to the agent at which it was registered, so the agent does
+    /// not change after the registration.
     pub agents: usize,
 }
 
@@ -99,7 +99,7 @@
 impl Registration {
     /// Creates a registration whose first call is due immediately.
     pub fn new(registrant: Registrant, seed: u64) -> Self {
-        // Allows at least two attempts to update the check within a TTL, even during failures.
+        // With this limit the proxy makes at least two attempts to update the check within a TTL, even during failures.
         let max_backoff_us = (registrant.ttl_us / 3).max(MIN_BACKOFF_US);
         Registration {
             registrant,
@@ -231,7 +231,7 @@
         let is_first = self.backoff.failures() == 0;
         self.next_at = now + self.backoff.next_delay();
         match pending {
-            // The service does not belong to an agent yet, so the next agent is tried.
+            // The service is not registered at any agent yet, so the next agent is tried.
             PendingCall::Register { .. } => {
                 self.agent = (self.agent + 1) % self.registrant.agents.max(1);
             }
--- a/consul/src/schema.rs
+++ b/consul/src/schema.rs
@@ -1,7 +1,7 @@
 //! JSON structure of the health and catalog responses.
 //!
-//! Each instance is parsed separately, and a value of the wrong type is an error only where it is used, so that an
-//! invalid value affects at most one instance.
+//! Each instance is parsed separately, and a value of the wrong type is an error only if it is used, so that an invalid
+//! value affects at most one instance.
 
 use crate::error::{KeyError, ListError, SkippedInstance, ValueError};
 use serde::de::DeserializeOwned;
--- a/consul/src/splitter.rs
+++ b/consul/src/splitter.rs
@@ -6,8 +6,8 @@
 const MAX_ELEMENT_BYTES: usize = 1 << 20;
 
 /// Splits a JSON list into its elements as its bytes arrive, so that a long response is parsed in small steps and not
-/// buffered completely. It tracks only strings and nesting; the parser of the elements checks whether they are valid
-/// JSON.
+/// buffered completely. The splitter tracks only strings and nesting; whether an element is valid JSON is checked when
+/// it is parsed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ListSplitter {
     position: Position,
@@ -22,9 +22,9 @@
 enum Position {
     #[default]
     BeforeList,
-    /// After `[`, where the list may also end.
+    /// The position after `[`, where the list may also end.
     FirstElement,
-    /// After a comma.
+    /// The position after a comma.
     NextElement,
     InElement,
     AfterList,
--- a/consul/src/watch/event.rs
+++ b/consul/src/watch/event.rs
@@ -49,7 +49,7 @@
         /// The address that is skipped.
         rejected: SocketAddr,
     },
-    /// A health response omits so many known caches that the catalog has to confirm it.
+    /// A health response omits so many known caches that they are not removed before the catalog confirms the response.
     ConfirmationPending {
         /// Number of known caches that the response lists.
         listed: usize,
@@ -63,10 +63,9 @@
         /// Number of known caches that are registered.
         registered: usize,
     },
-    /// The last contact of the responding server with its leader was this many microseconds ago, which exceeds the
-    /// limit.
+    /// The responding server had its last contact with the leader this many microseconds ago, which exceeds the limit.
     StaleResponse(Micros),
-    /// The index went backwards, so the next query does not block or blocks after index 1.
+    /// Consul's index went backwards. The next query does not block, or waits for changes after index 1.
     IndexReset {
         /// The previous index.
         from: u64,
--- a/consul/src/watch/mod.rs
+++ b/consul/src/watch/mod.rs
@@ -30,7 +30,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Minimum time between two queries. It doubles with each consecutive response without a change.
+/// Minimum time between two queries. The time doubles with each consecutive response without a change.
 const MIN_QUERY_GAP_US: Micros = 10_000;
 /// Maximum time between two queries after responses without a change.
 const MAX_QUERY_GAP_US: Micros = 500_000;
@@ -42,11 +42,11 @@
     pub evidence: Option<Evidence>,
     /// Events for the log. A condition that persists is reported once, when it begins.
     pub events: Vec<WatchEvent>,
-    /// Whether Consul has confirmed the complete endpoint list, changed or not.
+    /// Whether the response has confirmed the complete endpoint list, changed or not.
     pub confirmed: bool,
 }
 
-/// A health response whose omissions have to be confirmed, as it omits too many known caches.
+/// A health response that omits too many known caches, so that its omissions have to be confirmed.
 #[derive(Clone, Copy, Debug)]
 struct UnconfirmedShrink {
     /// Number of known caches that the response lists.
@@ -71,7 +71,8 @@
     agent: usize,
     /// Time at which the first agent is tried again after a failover.
     primary_retry_at: Micros,
-    /// Consul's index, after which the next query blocks. With 0 the query does not block.
+    /// Consul's index of the last response. The next query blocks until there are changes after it; with 0 the query
+    /// does not block.
     index: u64,
     query: Query,
     /// Time at which the call in flight was sent.
@@ -79,7 +80,7 @@
     next_at: Micros,
     /// The last reported endpoint list, without caches that are gone.
     endpoints: BTreeMap<String, Arc<Report>>,
-    /// Whether a full list has been reported.
+    /// Whether a full list has been reported to the caller.
     initialized: bool,
     /// Caches of `endpoints` that the last health response omitted.
     missing: BTreeSet<String>,
@@ -90,17 +91,17 @@
     unchanged: u32,
     backoff: Backoff,
     last_failure: Option<FailedCall>,
-    /// Id and invalid key of each skipped instance that was reported.
+    /// Id and invalid key of each skipped instance that has been reported to the caller.
     skipped: BTreeSet<(String, String)>,
     /// Whether more than half of the instances of the last response were unusable.
     mostly_unusable: bool,
     /// Ids that the last response listed at two addresses.
     duplicates: BTreeSet<String>,
-    /// End of the period without stale reads, after a response was too stale.
+    /// Until this time queries go to the leader, after a response was too stale.
     leader_reads_until: Micros,
     reader: ResponseReader,
-    /// The reports of the last response by the hash of their elements' text, as most elements of the next response are
-    /// unchanged.
+    /// The reports of the last response by the hash of their elements' text. Most elements of the next response are
+    /// unchanged and need not be parsed again.
     reports_by_hash: HashMap<u64, Arc<Report>>,
 }
 
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Restores a cached list. It counts as reported, so that an empty first response can't remove it.
+    /// Restores a cached list. The list counts as reported, so that an empty first response can't remove its caches.
     pub fn restore(&mut self, entries: &[Entry]) -> Evidence {
         let report = |entry: &Entry| Report {
             entry: entry.clone(),
@@ -147,7 +148,7 @@
         self.full_list()
     }
 
-    /// Replaces the options and the mapping. The endpoint list stays until a response changes it. The caller must
+    /// Replaces the options and the mapping. The endpoint list is kept until a response changes it. The caller must
     /// discard the result of a call in flight.
     pub fn reconfigure(&mut self, options: Options, mapping: Mapping) {
         if self.options.agents != options.agents {
--- a/consul/src/watch/options.rs
+++ b/consul/src/watch/options.rs
@@ -10,7 +10,7 @@
     Default,
     /// The leader reads after it has verified its leadership.
     Consistent,
-    /// Any server reads. [`Options::max_stale_us`] bounds how far it may be behind the leader.
+    /// Any server reads. [`Options::max_stale_us`] limits how old its data may be.
     Stale,
 }
 
@@ -19,9 +19,9 @@
 pub struct Options {
     /// Name of the service.
     pub service: String,
-    /// Datacenter, or `None` for that of the agent.
+    /// Datacenter, or `None` for the datacenter of the agent.
     pub datacenter: Option<String>,
-    /// Namespace, or `None` for that of the token.
+    /// Namespace, or `None` for the namespace of the token.
     pub namespace: Option<String>,
     /// Tags, all of which an instance must have.
     pub tags: Vec<String>,
@@ -29,18 +29,19 @@
     pub filter: Option<String>,
     /// Consistency of the queries.
     pub consistency: Consistency,
-    /// Maximum time since the last contact of the server with the leader for a stale response to be used.
+    /// Maximum time since the responding server's last contact with the leader. Stale responses that exceed it are
+    /// discarded.
     pub max_stale_us: Micros,
     /// Time for which a blocking query waits for a change.
     pub blocking_wait_us: Micros,
-    /// Timeout of a query, in addition to the wait of a blocking query.
+    /// Timeout of a query. For a blocking query, `blocking_wait_us` is added.
     pub response_timeout_us: Micros,
     /// Number of agents. Calls refer to an agent by its index.
     pub agents: usize,
     /// Minimum share of the known caches that a health response must list for its omissions to be applied without
     /// confirmation.
     pub min_share: f64,
-    /// Delay after the first failure.
+    /// Delay after the first of consecutive failures.
     pub min_backoff_us: Micros,
     /// Maximum delay after failures.
     pub max_backoff_us: Micros,
--- a/consul/src/watch/query.rs
+++ b/consul/src/watch/query.rs
@@ -75,7 +75,7 @@
             Query::Health => "health",
             Query::Catalog => "catalog",
         };
-        // The catalog API uses other names for the same values, so the filter applies only to the health API.
+        // The catalog API names the fields differently, so the filter is only sent to the health API.
         if let (Query::Health, Some(filter)) = (self.query, &options.filter) {
             query.push(("filter", filter));
         }
--- a/consul/src/watch/reader.rs
+++ b/consul/src/watch/reader.rs
@@ -121,8 +121,8 @@
         Ok(())
     }
 
-    /// Adds a report. Of two reports with the same id, the one at the known address is used, else the one that is
-    /// ready, else the first one.
+    /// Adds a report. Of two reports with the same id, the one with the known address is used. If neither has it, the
+    /// ready one is used, or else the first one.
     fn add_report(&mut self, report: Arc<Report>, context: &ReaderContext<'_>) {
         let uid = report.entry.uid.clone();
         let Some(first) = self.reports_by_uid.get_mut(&uid) else {
--- a/consul/src/watch/reconcile.rs
+++ b/consul/src/watch/reconcile.rs
@@ -12,7 +12,7 @@
 const MAX_CONTRADICTIONS: u32 = 3;
 
 impl Watch {
-    /// Applies the index of a health response, after which the next query blocks.
+    /// Applies the index of a health response. The next query blocks until there are changes after it.
     pub(super) fn apply_index(&mut self, to: u64, update: &mut WatchUpdate) {
         let from = self.index;
         self.index = match to {
--- a/consul/src/watch/response.rs
+++ b/consul/src/watch/response.rs
@@ -11,11 +11,11 @@
 use linnetknot::Micros;
 use linnetknot_discovery::Evidence;
 
-/// Maximum average rate at which responses are parsed, as parsing delays the requests of clients.
+/// Maximum average rate at which responses are parsed. Parsing delays client requests.
 const MAX_PARSE_BYTES_PER_US: u64 = 40;
 /// Maximum `Retry-After` that is honoured.
 const MAX_RETRY_AFTER_US: Micros = 60_000_000;
-/// Duration for which queries go to the leader after a response that was too stale.
+/// Duration for which queries go to the leader after a stale response exceeded the limit.
 const LEADER_READ_PERIOD_US: Micros = 30_000_000;
 /// Maximum number of doublings of the gap between queries.
 const MAX_GAP_DOUBLINGS: u32 = 6;
@@ -37,7 +37,8 @@
         self.handle_failure(now, error.into(), 0)
     }
 
-    /// Parses a part of the body of a response with status 200. It is applied once the response is complete.
+    /// Parses a part of the body of a response with status 200. The parsed list is applied once the response is
+    /// complete.
     pub fn on_body(&mut self, bytes: &[u8]) {
         self.reader.bytes += bytes.len() as u64;
         if self.pending_since.is_none() || self.reader.error.is_some() {
@@ -193,7 +194,7 @@
         let gap = gap.max(bytes / MAX_PARSE_BYTES_PER_US);
         self.next_at = match self.query {
             Query::Catalog => now,
-            // The gap starts when the query was sent, so that a query may follow a slow response immediately.
+            // The gap is counted from when the query was sent, so that a query may follow a slow response immediately.
             Query::Health => now.max(sent_at + gap),
         };
     }
--- a/discovery/src/cached_snapshot.rs
+++ b/discovery/src/cached_snapshot.rs
@@ -1,8 +1,8 @@
 //! File format of the last confirmed endpoint list: a header line with format, checksum and length, followed by JSON.
 //!
-//! A list is used only if the file is complete, has the supported format and the expected scope, and is recent: an
-//! outdated list directs work to caches that no longer exist, which is worse than no list. This module only encodes and
-//! decodes; the caller must replace the file atomically (write to a temporary file, sync, rename).
+//! A list is used only if the file is complete, has the supported format and the expected scope, and is recent. An
+//! outdated list directs requests to caches that no longer exist, which is worse than no list. This module only encodes
+//! and decodes; the caller must replace the file atomically (write to a temporary file, sync, rename).
 
 use crate::evidence::{server_id, Entry};
 use linnetknot::{Micros, Server, State};
@@ -13,8 +13,8 @@
 /// Version of the file format.
 pub const FORMAT_VERSION: u32 = 1;
 const MAX_HEADER_BYTES: usize = 80;
-/// Maximum distance of a list's time into the future. The clock may have been an hour ahead when the list was written,
-/// and an hour behind when it is read. A list with a later time has an unknown age.
+/// Maximum time by which the time of a list may be in the future. The clock may have been an hour ahead when the list
+/// was written, and an hour behind when the list is read. The age of a list with a later time is unknown.
 const MAX_FUTURE_US: Micros = 2 * 60 * 60 * 1_000_000;
 
 /// A cached endpoint list.
--- a/discovery/src/damping.rs
+++ b/discovery/src/damping.rs
@@ -11,7 +11,8 @@
 pub struct Damping {
     /// Half-life of a penalty, in microseconds.
     pub half_life_us: Micros,
-    /// Suppression threshold: a cache that returns with at least this penalty is suppressed. Each loss adds 1.
+    /// Suppression threshold. A cache whose penalty is at least this value when it returns is suppressed. Each loss
+    /// adds 1 to the penalty.
     pub suppress: f64,
     /// Reuse threshold: a suppressed cache is reused once its penalty is below this value.
     pub reuse: f64,
@@ -121,7 +122,7 @@
         };
     }
 
-    /// Returns the time at which the penalty is below `level`, or `now` if it already is.
+    /// Returns the time from which the penalty is below `level`, or `now` if it already is.
     pub fn decays_below_at(&self, damping: &Damping, level: f64, now: Micros) -> Micros {
         let value = self.value(damping, now);
         if value < level {
--- a/discovery/src/endpoint_table/eviction.rs
+++ b/discovery/src/endpoint_table/eviction.rs
@@ -10,7 +10,7 @@
 }
 
 impl EndpointTable {
-    /// Evicts caches that are gone and whose penalty is negligible, or that exceed the limit of remembered caches. A
+    /// Evicts caches that are gone if their penalty is negligible or if they exceed the limit of remembered caches. A
     /// cache that has never flapped is evicted at once.
     pub(super) fn evict_gone(&mut self, now: Micros) {
         if self.gone.is_empty() {
@@ -23,7 +23,7 @@
                 continue;
             };
             if cache.is_listed() {
-                // The cache counts as gone only while another cache has its address.
+                // A source still lists the cache. It only counts as gone because another cache has its address.
                 continue;
             }
             if cache.penalty.is_negligible(&self.damping, now) {
--- a/discovery/src/endpoint_table/ingest.rs
+++ b/discovery/src/endpoint_table/ingest.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 
 impl EndpointTable {
-    /// Returns one report per id. If a list contains an id at two addresses, the id belongs to the cache at the address
-    /// that the source reported before, or else to the first one.
+    /// Returns one report per id. If a list contains an id at two addresses, the report with the address that the
+    /// source reported before is used, or the first report if neither has that address.
     pub(super) fn unique_reports(
         &self,
         source: SourceId,
@@ -48,7 +48,8 @@
         Some(report.entry.endpoint)
     }
 
-    /// Unlists the caches that a source has listed and its new full list omits, and returns the resulting entries.
+    /// Records the omission of each cache that a source has listed and that its new full list omits. Returns the
+    /// resulting entries.
     pub(super) fn unlist_omitted(
         &mut self,
         source: SourceId,
@@ -77,7 +78,7 @@
             self.update_cache(uid, &mut removals, batch);
         }
         if self.sources[source.0].relayed {
-            // The relayed full list implies the removals; it is completed with the caches that only other sources list.
+            // A relayed full list implies its removals. It is completed with the caches that only other sources list.
             return self.published_except(&named);
         }
         removals
--- a/discovery/src/endpoint_table/mod.rs
+++ b/discovery/src/endpoint_table/mod.rs
@@ -34,7 +34,7 @@
     pub entries: Vec<Entry>,
 }
 
-/// The results of applying evidence or of the passing of time.
+/// The results of applying evidence, or of a call of [`EndpointTable::poll`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TableUpdate {
     /// Events for the decision module, in the order in which they are applied.
@@ -52,7 +52,7 @@
     }
 }
 
-/// The last report of a source on a cache. The state is part of the entry.
+/// The last report of a source on a cache. The reported state is part of the entry.
 #[derive(Clone, Debug)]
 struct SourceReport {
     entry: Entry,
@@ -99,7 +99,8 @@
     /// Time at which the cache was first reported at its current address.
     address_since: Micros,
     penalty: Penalty,
-    /// Whether the cache returned with a penalty at or above the suppression threshold, which has not decayed yet.
+    /// The cache is under damping: it returned with a penalty at or above the suppression threshold, and the penalty
+    /// has not decayed below the reuse threshold since.
     damped: bool,
     /// The group in which the cache is counted as reported ready.
     ready_group: Option<Group>,
@@ -137,7 +138,7 @@
 /// The accumulated effects of one call.
 struct Batch {
     now: Micros,
-    /// Other caches whose verdict a report may have changed.
+    /// Other caches whose verdicts the reports of this call may have changed.
     affected: BTreeSet<String>,
     update: TableUpdate,
 }
@@ -161,7 +162,8 @@
     caches: BTreeMap<String, TrackedCache>,
     /// The ids of the caches that are reported at each address.
     address_claims: BTreeMap<SocketAddr, BTreeSet<String>>,
-    /// Sources that have reported a full list. A cache that they list for the first time after that has just started.
+    /// Sources that have reported a full list. A cache that such a source lists for the first time later has just
+    /// started.
     initialized: BTreeSet<SourceId>,
     /// Ids of the caches under damping.
     damped: BTreeSet<String>,
@@ -172,8 +174,9 @@
 }
 
 impl EndpointTable {
-    /// Creates an empty table. The sources are in order of precedence: if two sources differ on an attribute of a cache
-    /// other than its state, the first source decides.
+    /// Creates an empty table. The sources are in order of precedence: if two sources report different values of an
+    /// attribute of a cache, the value of the first source is used. The state of a cache is combined from all sources
+    /// instead.
     pub fn new(sources: Vec<Source>, damping: Damping, limits: Limits) -> Self {
         EndpointTable {
             sources,
@@ -326,8 +329,8 @@
     }
 }
 
-/// Appends a delta event with the entries, if there are any. Removals come first, as an address may move from one cache
-/// to another within an event.
+/// Appends a delta event with the entries, if there are any. Removals come first, because an address may move from a
+/// removed cache to another cache within an event.
 fn push_changes(events: &mut Vec<ListEvent>, mut entries: Vec<Entry>) {
     if entries.is_empty() {
         return;
--- a/discovery/src/endpoint_table/publish.rs
+++ b/discovery/src/endpoint_table/publish.rs
@@ -41,7 +41,8 @@
         } else {
             self.gone.remove(uid);
         }
-        // Which caches under damping are suppressed depends on all of them, so it is decided once per call, at the end.
+        // The number of suppressed caches is limited, so the caches under damping are all decided together at the end
+        // of the call.
         if !is_under_damping {
             self.publish(uid, verdict, false, entries, batch);
         }
@@ -129,9 +130,9 @@
         (published.status == status).then_some(published.since)
     }
 
-    /// Returns the removal that must precede an entry with another address, zone, kind or cell, and records the return
-    /// of the cache. The decision module does not update these attributes of a known cache, so the cache has to be
-    /// removed and added again.
+    /// If an entry changes the address, zone, kind or cell of a cache, returns the removal that must precede it, and
+    /// records the return of the cache. The decision module does not update these attributes of a known cache, so the
+    /// cache has to be removed and added again.
     fn replace_identity(
         &mut self,
         now: Micros,
--- a/discovery/src/endpoint_table/suppression.rs
+++ b/discovery/src/endpoint_table/suppression.rs
@@ -89,7 +89,7 @@
         let exceeds = self.penalty.value(damping, now) >= damping.suppress;
         let begins_damping = exceeds && !self.damped;
         self.damped |= exceeds;
-        // A cache that appears after the first full list of its source is assumed to have just started.
+        // A cache that appears after the first full list of its source counts as just started.
         if self.published.is_some() || is_initialized {
             self.returned_at = Some(now);
         }
--- a/discovery/src/endpoint_table/verdict.rs
+++ b/discovery/src/endpoint_table/verdict.rs
@@ -59,7 +59,7 @@
         if let Some((id, report)) = same_cache().find(|(_, report)| is_draining(report)) {
             return verdict(State::Draining, report.reason.clone(), id);
         }
-        // A removal by one source takes effect until another source lists the cache again.
+        // A removal by one source stays in effect until another source lists the cache again after it.
         let listed_at = same_cache()
             .filter(|(_, report)| report.is_listed())
             .map(|(_, report)| report.received_at)
--- a/discovery/src/evidence.rs
+++ b/discovery/src/evidence.rs
@@ -16,7 +16,7 @@
 }
 
 /// Returns the numeric id of a cache: the 64-bit FNV-1a hash of its id on the wire. The decision module ranks caches by
-/// this number, so it has to be the same at every proxy.
+/// this number, so the number has to be the same at every proxy.
 pub fn server_id(uid: &str) -> ServerId {
     uid.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
         (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)
@@ -32,7 +32,7 @@
 pub struct Source {
     /// Name of the source, for logs and explanations.
     pub name: String,
-    /// Each event of the source is published unchanged, with its mode and order, even if it changes nothing.
+    /// Each event of the source is published as received, with its mode and order, even if it changes nothing.
     pub relayed: bool,
     /// The health that the source reports may flap, so flap damping applies, and a returning cache gets a slow start.
     pub damped: bool,
@@ -99,9 +99,9 @@
 /// The report of a source on one cache.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
-    /// The entry of the cache, with the state that the source reports.
+    /// The entry of the cache, including the state that the source reports.
     pub entry: Entry,
-    /// The reason for that state.
+    /// The reason for the reported state.
     pub reason: Reason,
 }
 
@@ -117,7 +117,8 @@
 /// The reports that a source provides at one time.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Evidence {
-    /// The full list of the source: a cache that it listed before and that is absent now is gone according to it.
+    /// The full list of the source. A cache that the source listed before and that is absent from this list is gone
+    /// according to the source.
     Full(Vec<Report>),
     /// The reports that have changed.
     Delta(Vec<Report>),
@@ -126,11 +127,11 @@
 /// The published status of a cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EndpointStatus {
-    /// The cache takes new work, as a target or as the source of a fill.
+    /// The cache gets new requests, as a target or as the source of a fill.
     Ready,
     /// The cache is reported ready but suppressed by damping.
     Suppressed,
-    /// The cache finishes its work and takes no new work.
+    /// The cache finishes its requests in flight and gets no new requests.
     Draining,
     /// No source lists the cache.
     Gone,
@@ -190,8 +191,8 @@
         /// The source that reports the other cache.
         source: SourceId,
     },
-    /// Two caches are reported at the same address. The address belongs to the cache that was first reported there most
-    /// recently.
+    /// Two caches are reported at the same address. The cache that was first reported there most recently gets the
+    /// address.
     DuplicateAddress {
         /// Id of the newly reported cache.
         uid: String,
@@ -218,7 +219,7 @@
     pub entry: Entry,
     /// The published status.
     pub status: EndpointStatus,
-    /// Time since which the cache has that status.
+    /// Time since which the cache has been published with that status.
     pub since: Micros,
     /// The reason for the status.
     pub reason: Reason,
--- a/discovery/src/validation.rs
+++ b/discovery/src/validation.rs
@@ -20,7 +20,7 @@
         /// The highest revision received.
         known: u64,
     },
-    /// The cache with this id is listed more than once; the entry with the less available state is applied.
+    /// The cache with this id is listed more than once. The entry with the less available state is used.
     Contradiction(String),
     /// More than half of the ready caches of a zone and kind are omitted; they are retained.
     Omission {
@@ -31,8 +31,8 @@
         /// Number of caches retained.
         retained: usize,
     },
-    /// Entries that could not be parsed, with the error of each. As any omitted cache may be among them, the list
-    /// removes only caches that it names.
+    /// Entries that could not be parsed, with the error of each. Any of them may describe a cache that seems to be
+    /// missing, so only explicitly listed removals take effect.
     Unreadable(Vec<String>),
 }
 
@@ -103,7 +103,7 @@
 }
 
 impl ListValidator {
-    /// Validates a list. `listed` holds the entries that the source lists so far.
+    /// Validates a list. `listed` contains the entries that the source has listed so far.
     pub fn validate<'a>(
         &mut self,
         list: ReceivedList,
@@ -137,7 +137,7 @@
 }
 
 /// Returns one entry per cache, at the position of its first entry. Of two entries, the one with the less available
-/// state is used, or the second one if it reports a later start of the cache.
+/// state is used, unless the second entry reports a later start of the cache; then the second one is used.
 fn unique_entries(entries: Vec<Entry>, rejections: &mut Vec<Rejection>) -> Vec<Entry> {
     let mut accepted: Vec<Entry> = Vec::with_capacity(entries.len());
     let mut positions: BTreeMap<String, usize> = BTreeMap::new();
