--- a/admin-api/src/admin/call.rs
+++ b/admin-api/src/admin/call.rs
@@ -9,19 +9,19 @@
 /// A call to the admin API.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// `GET /control/ready`: returns whether the process is ready to serve.
+    /// `GET /control/ready`: responds whether the process is ready to serve requests.
     Ready,
     /// `POST /control/pop-caches/ID/offline`: bans a pop cache.
     Offline(String),
     /// `POST /control/pop-caches/ID/online`: lifts the ban of a pop cache.
     Online(String),
-    /// `POST /control/out-of-service`: begins to drain the process.
+    /// `POST /control/out-of-service`: begins to drain the process of its client connections.
     OutOfService,
     /// `POST /control/in-service`: ends the drain.
     InService,
     /// `GET /control/fleet`: returns the status of replication, commits and membership.
     Fleet,
-    /// `GET /control/budgets`: returns the status of the leases of the shared budgets that this proxy has.
+    /// `GET /control/budgets`: returns the status of this proxy's leases of the shared budgets.
     Budgets,
 }
 
@@ -85,7 +85,7 @@
         "/control/budgets" => ("GET", Call::Budgets),
         _ => ("POST", pop_cache_call(path)?),
     };
-    // HTTP requires HEAD to be allowed for each resource that allows GET.
+    // HTTP requires a resource that allows GET to allow HEAD too.
     if method == expected || (expected == "GET" && method == "HEAD") {
         Ok(call)
     } else {
--- a/admin-api/src/admin/parser.rs
+++ b/admin-api/src/admin/parser.rs
@@ -114,7 +114,7 @@
         result
     }
 
-    /// Returns an error if an incomplete head can't become a valid one.
+    /// Returns an error if no further bytes can complete the received head to a valid one.
     fn check_incomplete(&self) -> Result<(), CallError> {
         let line_end = self.head.iter().position(|byte| *byte == b'\n');
         if line_end.unwrap_or(self.head.len()) > MAX_REQUEST_LINE_BYTES {
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Handles the end of the connection. Returns an error if only a part of a call was received.
+    /// Handles the end of the connection. Returns an error if a call was received only in part.
     pub fn end(&mut self) -> Option<CallError> {
         let was_complete = std::mem::replace(&mut self.is_done, true);
         (!was_complete && !self.head.is_empty()).then_some(CallError::Truncated)
--- a/admin-api/src/admin/reply.rs
+++ b/admin-api/src/admin/reply.rs
@@ -2,7 +2,7 @@
 
 use super::CallError;
 
-/// The `Retry-After` of a call that temporarily can't be executed.
+/// Value of the `Retry-After` header in the response to a call that can't be executed at the moment.
 const RETRY_AFTER_S: u32 = 1;
 
 /// A response of the admin API.
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Creates the response to a call that temporarily can't be executed.
+    /// Creates the response to a call that can't be executed at the moment.
     pub fn unavailable(text: impl Into<String>) -> Self {
         Reply {
             retry_after_s: Some(RETRY_AFTER_S),
--- a/admin-api/src/state.rs
+++ b/admin-api/src/state.rs
@@ -7,17 +7,17 @@
 use std::collections::BTreeSet;
 
 /// Interval at which idle client connections are closed while the process drains. All connections must be closed within
-/// 4 s after the first negative health check, including those that become idle late.
+/// 4 s after the first negative health check, including connections that become idle shortly before that.
 pub const IDLE_SWEEP_INTERVAL_US: Micros = 500_000;
 
-/// Whether the process serves or drains.
+/// Whether the process is in service or drains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainState {
-    /// The process serves.
+    /// The process is in service.
     Serving,
     /// The process has been draining since this time: the readiness check fails, each client connection is closed once
     /// its responses are sent, and idle connections are closed at the next sweep. New connections are still accepted,
-    /// as the front opens some after its first failed check, and their requests would be lost otherwise.
+    /// because the load balancer opens some after its first failed check, and their requests would be lost otherwise.
     Draining(Micros),
 }
 
@@ -55,7 +55,7 @@
 /// The state that is stored across restarts. The names of its fields are those of the stored JSON.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OperatorState {
-    /// Number of changes. Of two complete copies, the one with the lower sequence is loaded.
+    /// Number of changes so far. If the two stored copies differ, the copy with the lower sequence is loaded.
     pub sequence: u64,
     /// Ids of the banned pop caches.
     pub bans: BTreeSet<String>,
@@ -67,7 +67,7 @@
 #[derive(Clone, Debug)]
 pub struct AdminController {
     state: OperatorState,
-    /// Start of the current drain. The value is meaningless while the process is in service.
+    /// Start of the current drain. Not used while the process is in service.
     draining_since: Micros,
 }
 
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Returns whether the process is in service according to the operators.
+    /// Returns whether the operators have the process in service, that is, no drain is set.
     pub fn in_service(&self) -> bool {
         !self.state.out_of_service
     }
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Bans a pop cache or lifts its ban. This applies an entry of the replicated log, or reverts a rejected call.
-    /// Returns the action to execute, or `None` if nothing changes.
+    /// Bans a pop cache or lifts its ban, without a call. This applies an entry of the replicated log, or undoes the
+    /// change of a rejected call. Returns the action to execute, or `None` if nothing changes.
     pub fn set_banned(&mut self, id: &str, banned: bool) -> Option<Effect> {
         if self.is_banned(id) == banned {
             return None;
@@ -133,8 +133,8 @@
         }
     }
 
-    /// Takes the process out of service or back into service, with the same uses and result as
-    /// [`set_banned`](Self::set_banned).
+    /// Takes the process out of service or back into service, without a call. Used like
+    /// [`set_banned`](Self::set_banned), with the same kind of result.
     pub fn set_out_of_service(&mut self, now: Micros, out_of_service: bool) -> Option<Effect> {
         if self.state.out_of_service == out_of_service {
             return None;
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Executes a call. `is_known` returns whether a source lists a pop cache. `ready` states whether the process could
-    /// serve apart from the state set by operators: it has a list of pop caches and is not stopping.
+    /// Executes a call. `is_known` returns whether a source lists a pop cache. `ready` states whether the process can
+    /// serve requests, ignoring the state set by operators: it has a list of pop caches and is not stopping.
     pub fn handle_call(
         &mut self,
         now: Micros,
@@ -170,7 +170,8 @@
                 reply: Reply::new(200, "in service"),
                 effect: self.set_out_of_service(now, false),
             },
-            // The daemon handles these calls if logs are replicated or budgets are shared; otherwise they do not exist.
+            // The daemon handles these calls itself if logs are replicated or budgets are shared. Otherwise the calls
+            // do not exist.
             Call::Fleet | Call::Budgets => {
                 CallOutcome::unchanged(Reply::rejected(CallError::NotFound))
             }
@@ -185,8 +186,8 @@
         }
     }
 
-    /// Executes a call that bans a pop cache or lifts its ban. A ban persists, and can be lifted, if no source lists
-    /// the pop cache any more.
+    /// Executes a call that bans a pop cache or lifts its ban. A ban persists after all sources have stopped listing
+    /// the pop cache, and can then still be lifted.
     fn set_pop_cache_state(
         &mut self,
         id: &str,
--- a/admin-api/src/store.rs
+++ b/admin-api/src/store.rs
@@ -1,10 +1,10 @@
 //! Stores the [`OperatorState`] under `$TMPDIR`, so that bans and drains persist across restarts and upgrades.
 //!
-//! The daemon writes two copies in order, each atomically (a temporary file is renamed over it), so that a copy is
-//! either complete or absent. A copy that can't be parsed, such as after a file system failure or a manual edit, is
-//! ignored, and the other copy is used, so that a corrupt file never lifts a ban. A call succeeds once both copies
-//! contain its change. Of two complete copies the one with the lower sequence is used, as the other one contains a call
-//! that was rejected or not answered.
+//! The daemon writes two copies, one after the other, each atomically (a temporary file is renamed over it), so that a
+//! copy is either complete or absent. A copy that can't be parsed, for example after a file system failure or a manual
+//! edit, is ignored and the other copy is used, so that a corrupt file never lifts a ban. A call succeeds once both
+//! copies contain its change. If both copies are complete, the one with the lower sequence is used, because the other
+//! may contain the change of a call that was rejected or not answered.
 
 use crate::state::OperatorState;
 use std::io;
@@ -33,12 +33,13 @@
 }
 
 /// Loads the state from a folder, or the default state if no copy is complete. Returns an error if no copy is complete
-/// and reading one failed, as that copy may be complete.
+/// and one could not be read, because the unread copy may be complete.
 pub fn load(folder: &Path) -> io::Result<OperatorState> {
     select_copy(copy_paths(folder).iter().map(|path| read_copy(path)))
 }
 
-/// Selects the complete copy with the lower sequence, as a call succeeds only once both copies contain its change.
+/// Selects the complete copy with the lower sequence. A call succeeds only once both copies contain its change, so this
+/// copy contains the changes of all successful calls.
 fn select_copy(
     copies: impl Iterator<Item = io::Result<Option<OperatorState>>>,
 ) -> io::Result<OperatorState> {
