--- a/store/tests/common/medium.rs
+++ b/store/tests/common/medium.rs
@@ -1,5 +1,5 @@
-//! A simulated storage medium. It can stop at its n-th operation, lose unsynced changes in a power failure, and return
-//! errors from calls during an outage.
+//! A simulated storage medium. It can stop at its n-th operation, lose unsynced changes in a power failure, and make
+//! calls fail during an outage.
 #![allow(dead_code, reason = "each test uses a different part")]
 
 use redb::StorageBackend;
@@ -19,7 +19,7 @@
     pub(crate) const SYNC: Calls = Calls(4);
     pub(crate) const LENGTH: Calls = Calls(8);
     pub(crate) const ALL: Calls = Calls(15);
-    /// Each single kind, and the set of all kinds that change the medium.
+    /// Each single kind of call, and the set of all kinds that change the medium.
     pub(crate) const EACH: [Calls; 5] = [
         Calls::READ,
         Calls::WRITE,
@@ -38,8 +38,8 @@
     /// The number of calls that fail.
     failing_calls: u64,
     errno: i32,
-    /// Whether a failed sync evicts the written pages, so that the old content is read, as on some file systems. On
-    /// others the new content is read.
+    /// Whether a failed sync evicts the written pages, so that later reads return the old content, as on some file
+    /// systems. On other file systems reads return the new content.
     evicts_pages: bool,
 }
 
@@ -128,7 +128,7 @@
             .map_or(Ok(()), |outage| outage.check(call))
     }
 
-    /// Discards the unsynced changes, as the kernel marks the pages of a failed sync clean. Later syncs do not write
+    /// Discards the unsynced changes. The kernel marks the pages of a failed sync clean, so later syncs do not write
     /// them.
     fn discard_unsynced(&mut self) {
         self.unsynced.clear();
@@ -155,7 +155,7 @@
         Ok(())
     }
 
-    /// Simulates a power failure. Each unsynced change is applied, torn or lost, depending on the seed.
+    /// Simulates a power failure. The seed determines whether each unsynced change is applied, torn or lost.
     pub(crate) fn lose_power(&mut self, mut seed: u64) {
         for change in std::mem::take(&mut self.unsynced) {
             seed = seed
@@ -164,7 +164,7 @@
             match (seed >> 60, change) {
                 (0..=6, change) => apply(&mut self.durable, &change),
                 (7..=8, Change::Bytes(at, bytes)) => {
-                    // Torn at a sector boundary, as disks write sectors atomically.
+                    // Changes are torn at a sector boundary, because disks write sectors atomically.
                     let part = (bytes.len() / 2) & !511;
                     apply(
                         &mut self.durable,
@@ -222,7 +222,7 @@
     fn write(&self, offset: u64, data: &[u8]) -> Result<(), std::io::Error> {
         let mut disk = self.0.lock().unwrap();
         if let Err(e) = disk.check_outage(Calls::WRITE) {
-            // A failed write has written a part of the data.
+            // A failed write may have written a part of the data; here it writes the first half.
             let part = data[..data.len() / 2].to_vec();
             disk.change(Change::Bytes(offset as usize, part))?;
             return Err(e);
--- a/store/tests/crash.rs
+++ b/store/tests/crash.rs
@@ -53,7 +53,7 @@
     assert_eq!(commit_groups(&uninterrupted), 12);
     let all = uninterrupted.0.lock().unwrap().operations;
     assert!(all > 50, "{all} operations");
-    // The creation of the file is skipped, as an incomplete file is never renamed into place.
+    // Operations of the creation of the file are not tested, because an incomplete file is never renamed into place.
     let created = Medium::default();
     drop(open(&created).unwrap());
     let created = created.0.lock().unwrap().operations;
--- a/store/tests/failing_medium.rs
+++ b/store/tests/failing_medium.rs
@@ -1,6 +1,6 @@
 //! Random outages of the medium with EIO or ENOSPC, combined with power failures and restarts. A failed sync loses the
-//! changes that it covered, and a later sync succeeds without them. Acknowledged groups must survive, and every group
-//! must be stored completely or not at all.
+//! changes that it covered, and a later sync succeeds without writing them. Acknowledged groups must survive, and every
+//! group must be stored completely or not at all.
 
 use linnetknot_store::{Keyspace, Store, StoreError, Write};
 use medium::{Calls, Medium, Outage};
@@ -58,13 +58,13 @@
         .collect())
 }
 
-/// A store on a medium, with the states that it may have.
+/// A store on a simulated medium, with the states that the store may have.
 struct Simulation {
     seed: u64,
     random: SmallRng,
     medium: Medium,
     store: Option<Store>,
-    /// The state after the last acknowledged group, and those after each later, unacknowledged group.
+    /// The state after the last acknowledged group, and the states after each of the unacknowledged groups since then.
     possible_states: Vec<State>,
     /// The number of failed commits.
     failures: usize,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Checks that the stored state is possible. From then on it is the only possible one.
+    /// Checks that the stored state is one of the possible states. From then on only this state is possible.
     fn check(&mut self, what: &str) {
         let seed = self.seed;
         let Some(store) = &mut self.store else { return };
@@ -106,7 +106,7 @@
         let Some(store) = &mut self.store else {
             return self.open();
         };
-        // The next group changes the state that is found, which may include an unacknowledged group.
+        // The next group is applied to the state that is found, which may include an unacknowledged group.
         let state = match read_state(store) {
             Ok(state) => state,
             Err(e) => {
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Opens the store as on the start of a process. Any error must be transient.
+    /// Opens the store like a starting process. Only transient errors are allowed.
     fn open(&mut self) {
         let clone = self.medium.clone();
         match Store::open_on(move || clone.clone()) {
@@ -142,7 +142,7 @@
 
     /// Simulates a killed process. Unsynced changes are retained.
     fn kill(&mut self) {
-        // The outage prevents writes by the destructor, which a killed process does not run.
+        // The outage prevents writes by the destructor of the store, because a killed process runs no destructors.
         let outage = self.medium.set_outage(Some(Outage::permanent(Calls::ALL)));
         self.store = None;
         self.medium.set_outage(outage);
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Ends the outage, and checks that the store has a possible state and commits durably again.
+    /// Ends the outage, and checks that the store has a possible state and that its commits are durable again.
     fn finish(mut self) -> (usize, usize) {
         self.medium.set_outage(None);
         if self.store.is_none() {
@@ -208,8 +208,8 @@
     );
 }
 
-/// After a failed sync its pages count as clean. Unless they are written again, the next commit is acknowledged without
-/// them being on the disk.
+/// After a failed sync the kernel marks the written pages clean. Unless the store writes them again, the next commit is
+/// acknowledged without them being on the disk.
 #[test]
 fn ranges_of_a_failed_sync_are_written_again() {
     for syncs in 0..8 {
@@ -238,7 +238,7 @@
     }
 }
 
-/// The failure is reported as a transient error, and the store works again after the outage.
+/// A failed commit is reported as a transient error, and the store works again after the outage.
 #[test]
 fn any_call_of_a_commit_may_fail_once_temporarily_or_permanently() {
     for calls in Calls::EACH {
--- a/store/tests/memory.rs
+++ b/store/tests/memory.rs
@@ -11,7 +11,7 @@
 const GROUP_WRITES: usize = 4_096;
 /// The number of times that all values are written.
 const ROUNDS: u64 = 4;
-/// More than the cache and the memory of committing a group, but less than the file.
+/// The limit is more than the page cache and the memory for committing a group, but less than the file.
 const MAX_GROWTH_BYTES: u64 = 20 << 20;
 
 fn resident_bytes() -> u64 {
