--- a/budgets/tests/fleet.rs
+++ b/budgets/tests/fleet.rs
@@ -25,12 +25,12 @@
 struct Node {
     member: Option<Member>,
     process: ProcessId,
-    /// The offset of its clock, and how much faster than real time the clock runs.
+    /// The offset of the member's clock from real time, and how much faster than real time it runs.
     clock_offset_us: Micros,
     clock_drift_ppm: i64,
-    /// The messages that were received during a stall; `None` if it is not stalled.
+    /// The messages that were received during a stall; `None` if the member is not stalled.
     stalled_inbox: Option<Vec<Envelope>>,
-    /// By budget, the amount that it would spend if it were granted.
+    /// By budget, the amount that the member would spend if it were granted.
     demand: Vec<Amount>,
     /// By budget, the amounts that were spent, and when each settles.
     spent: Vec<Vec<(Amount, Micros)>>,
@@ -65,7 +65,8 @@
     options: Options,
     /// The total size of all datagrams sent.
     bytes: u64,
-    /// By budget, the maximum amounts that were in force and unsettled at any time, in thousandths of the limit.
+    /// By budget, the maximum of the amount in force and the maximum of the unsettled amount, in thousandths of the
+    /// limit.
     peak: Vec<(u64, u64)>,
 }
 
@@ -90,7 +91,7 @@
             peak,
         };
         for _ in 0..nodes {
-            // Clocks drift far more than real ones, so that missing allowances for drift are detected.
+            // The drift is far greater than that of real clocks, so that missing allowances for drift are detected.
             let (clock_offset_us, clock_drift_ppm) = (
                 fleet.links.draw(1_000 * S),
                 fleet.links.draw(100_001) as i64 - 50_000,
@@ -138,8 +139,8 @@
         let node = &mut self.nodes[n];
         (node.member, node.stalled_inbox) = (None, None);
         node.demand.fill(0);
-        // Its connections end with it, so spending up to its reserved minimum settles at once. The rest settles in
-        // time.
+        // A killed member's connections are closed, so spending up to its reserved minimum settles at once. The rest
+        // settles within the settling time.
         for (spent, spec) in node.spent.iter_mut().zip(&self.specs) {
             let mut reserved = spec.reserved;
             for (amount, _) in spent.iter_mut() {
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Spends some or all of what a member's lease and demand allow, to settle within the settling time.
+    /// Spends some or all of what a member's lease and demand allow. The spending settles within the settling time.
     fn spend(&mut self, n: usize) {
         let now = self.links.now;
         for budget in (0..self.specs.len()).filter(|budget| self.specs[*budget].settling_us > 0) {
@@ -202,7 +203,8 @@
                 .min(node.demand[budget]);
             let available = lease.saturating_sub(node.unsettled(now, budget));
             if available > 0 {
-                // Half of the time the full amount, and mostly for the full settling time.
+                // The full amount is spent in about half of the cases. The full settling time passes in about two
+                // thirds.
                 let amount = if self.links.draw(2) == 0 {
                     available
                 } else {
@@ -360,7 +362,7 @@
     }
 }
 
-/// Returns a fleet in which all members demand everything, after an allocator has been elected.
+/// Returns a fleet in which all members demand everything and an allocator has been elected, and the allocator.
 fn fleet_with_allocator(nodes: usize, seed: u64, specs: &[BudgetSpec]) -> (Fleet, MemberIndex) {
     let mut fleet = Fleet::new(nodes, seed, specs);
     (0..nodes).for_each(|n| fleet.demand(n, 1_000_000));
@@ -420,7 +422,7 @@
                     .partition(fleet.nodes.len(), &(0..nodes / 2).collect::<Vec<_>>()),
                 6 => fleet.links.cut(n, (n + 1) % nodes),
                 7 => fleet.links.restore(),
-                // A member gets a random belief about another.
+                // A member gets a random belief about whether another member is up.
                 _ => {
                     let (member, up) = (
                         fleet.links.draw(nodes as u64) as usize,
@@ -457,7 +459,7 @@
             "{nodes}: {} of 100,000",
             fleet.in_force(0)
         );
-        // One member alone has a demand. Within two seconds it has nearly the whole leasable amount.
+        // Only one member has a demand. Within two seconds it has nearly the whole leasable amount.
         (1..nodes).for_each(|n| fleet.demand(n, 0));
         fleet.run(2 * S);
         let clock = fleet.nodes[0].clock(fleet.links.now);
@@ -499,7 +501,7 @@
 fn in_a_partition_the_minority_has_its_reserved_minimums_and_the_majority_continues() {
     for seed in 0..50 {
         let (mut fleet, allocator) = fleet_with_allocator(5, seed, &specs());
-        // The allocator is in the minority.
+        // The allocator and one other member are a minority of the five members.
         let other = (allocator + 1) % 5;
         fleet
             .links
@@ -593,7 +595,8 @@
             (0..nodes).for_each(|n| fleet.demand(n, 1_000_000));
             for n in 0..nodes {
                 let member = fleet.nodes[n].member.as_mut().unwrap();
-                // By seed: itself alone, the next member alone, or itself and the next two.
+                // By seed, each member believes that only it is up, that only the next member is up, or that it and the
+                // next two are up.
                 let is_believed_up = |m: usize| match seed % 3 {
                     0 => m == n,
                     1 => m == (n + 1) % nodes,
@@ -601,7 +604,7 @@
                 };
                 (0..nodes).for_each(|m| member.set_member_up(m, is_believed_up(m)));
             }
-            // Members start one after another, so that several of them have votes for a moment.
+            // Members start one after another, so that several of them hold votes at the same time.
             for n in 0..nodes {
                 let beliefs: Vec<bool> = (0..nodes).map(|m| m == n || seed % 3 == 1).collect();
                 fleet.nodes[n].process += 1;
@@ -757,7 +760,7 @@
     assert!(lease(&fleet, 1) > 90_000, "{}", lease(&fleet, 1));
 }
 
-/// Guards against a restarted allocator, which has forgotten its grants, that keeps its votes.
+/// Guards against a restarted allocator that keeps its votes although it has forgotten its grants.
 #[test]
 fn a_restarted_allocator_grants_no_leases_beside_its_earlier_ones() {
     for seed in 0..100 {
@@ -778,7 +781,7 @@
     }
 }
 
-/// Guards against a restarted voter, which has forgotten its vote, that votes again before the vote has expired.
+/// Guards against a restarted voter that votes again before its earlier vote, which it has forgotten, has expired.
 #[test]
 fn a_restarted_voter_does_not_elect_a_second_allocator() {
     for seed in 0..100 {
@@ -810,10 +813,10 @@
     }
 }
 
-/// The limit of the measured budget.
+/// The limit of the budget that is measured.
 const FIGURES_LIMIT: Amount = 1_000_000;
 
-/// Returns a fleet in which all members demand the whole limit, after 12 seconds.
+/// Returns a fleet in which all members have demanded the whole limit for 12 seconds.
 fn settled_fleet(nodes: usize) -> Fleet {
     // A quarter of the limit is reserved. The reserved minimums of dead members are not available to others.
     let specs = [BudgetSpec {
@@ -848,7 +851,7 @@
     (0..fleet.nodes.len()).filter(|n| *n != allocator).collect()
 }
 
-/// Returns the usable share of the limit two seconds after the death of `deaths` members, the allocator not among them.
+/// Returns the usable share of the limit two seconds after the death of `deaths` members other than the allocator.
 fn usable_percent_after_deaths(mut fleet: Fleet, deaths: usize) -> Amount {
     let others = others(&fleet);
     others.iter().take(deaths).for_each(|n| fleet.kill(*n));
@@ -856,7 +859,7 @@
     usable_percent(&fleet)
 }
 
-/// Returns the time until the only member with a demand has nine tenths of the leasable amount.
+/// Returns the time until nine tenths of the leasable amount are leased to the only member with a demand.
 fn takeover_ms(mut fleet: Fleet) -> Micros {
     (1..fleet.nodes.len()).for_each(|n| fleet.demand(n, 0));
     let started_at = fleet.links.now;
--- a/budgets/tests/model.rs
+++ b/budgets/tests/model.rs
@@ -1,6 +1,6 @@
-//! Model check of the leases on the production types, with three members and one budget. Messages are lost, duplicated,
-//! delayed and reordered, and members stall or restart at any step. The sum of all leases in force must never exceed
-//! the limit.
+//! Model check of the leases with the production types, for three members and one budget. Messages are lost,
+//! duplicated, delayed and reordered, and members stall or restart at any step. The sum of all leases in force must
+//! never exceed the limit.
 
 use linnetknot_budgets::spec::BudgetSpec;
 use linnetknot_budgets::*;
@@ -14,9 +14,9 @@
     reserved: 5,
     settling_us: STEP_US,
 };
-/// The maximum number of messages in flight. The oldest ones beyond it are lost.
+/// The maximum number of messages in flight. When it is exceeded, the oldest messages are lost.
 const MAX_IN_FLIGHT: usize = 8;
-/// The duration of a stall, which is longer than that of a vote.
+/// The duration of a stall, which is longer than the duration of a vote.
 const STALL_US: Micros = 13 * STEP_US;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -66,7 +66,7 @@
     AdvanceTime,
     Deliver(usize),
     DeliverDuplicate(usize),
-    /// Restarts a member. The flag is whether it then believes that no other member is up.
+    /// Restarts a member. The flag states whether the member then believes that no other member is up.
     Restart(usize, bool),
     Stall(usize),
     Resume(usize),
--- a/purges/tests/bucket.rs
+++ b/purges/tests/bucket.rs
@@ -208,7 +208,7 @@
 }
 
 proptest! {
-    /// Guards against buckets from a sender whose clock is ahead.
+    /// Guards against times that a sender whose clock is ahead has recorded in a bucket.
     #[test]
     fn limited_buckets_have_no_purge_after_the_limit_and_lose_none(
         all in steps(),
--- a/purges/tests/common/formula.rs
+++ b/purges/tests/common/formula.rs
@@ -2,7 +2,7 @@
 
 use linnetknot_purges::BucketBits;
 
-/// Lookups per copy: one of its object and one of its group.
+/// The number of lookups per copy: one for its object and one for its group.
 pub(crate) const LOOKUPS: u64 = 2;
 /// The number of purges in a bucket before its watermark rises.
 const BUCKET_SLOTS: u32 = 7;
@@ -20,7 +20,7 @@
     (1.0 - below).max(0.0)
 }
 
-/// Returns the share of hits that buckets lose if `purges` purges have followed the creation of the copy.
+/// Returns the predicted share of hits that buckets lose for copies whose creation was followed by `purges` purges.
 pub(crate) fn predicted_by_buckets(bucket_bits: BucketBits, purges: f64) -> f64 {
     let mean = purges.max(0.0) / bucket_bits.buckets() as f64;
     let collided = mean.min(f64::from(BUCKET_SLOTS)) * COLLISION;
--- a/purges/tests/common/mod.rs
+++ b/purges/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! The share of cache hits that the purge state loses by the age of the copy, measured on virtual time, and the
-//! predictions for buckets and for a plain table.
+//! Measures on virtual time which share of cache hits the purge state loses, by the age of the copy. Also contains a
+//! plain table for comparison, and the predicted shares for both.
 
 use linnetknot_purges::hashing::mix;
 use linnetknot_purges::{BucketBits, CompactTable, KeyHash, Micros, PurgeTable};
@@ -8,7 +8,7 @@
 pub(crate) use formula::*;
 
 pub(crate) const SECOND_US: Micros = 1_000_000;
-/// The salt that keeps the looked-up keys distinct from the purged ones.
+/// The salt that makes the keys that are looked up differ from the purged keys.
 const LOOKUP_SALT: u64 = 0x5851_f42d_4c95_7f2d;
 
 /// A stream of purges at a constant rate, each of a new key.
@@ -20,7 +20,7 @@
 }
 
 impl Stream {
-    /// Returns the time of a purge.
+    /// Returns the time of the purge with this number.
     pub(crate) fn time(&self, number: u64) -> Micros {
         (number as f64 * 1e6 / self.per_second) as Micros
     }
@@ -30,7 +30,7 @@
         self.time(self.purges)
     }
 
-    /// Returns the key of a purge.
+    /// Returns the key of the purge with this number.
     pub(crate) fn key(&self, number: u64) -> KeyHash {
         KeyHash::from(mix(self.seed ^ mix(number + 1)))
     }
@@ -58,15 +58,15 @@
     }
 }
 
-/// The table for comparison: one time per row, for all keys whose hashes have the same top bits.
+/// The table for comparison. Each row holds one time, which applies to all keys whose hashes have the same top bits.
 pub(crate) struct PlainTable {
     rows: Vec<Option<Micros>>,
     shift: u32,
 }
 
 impl PlainTable {
-    /// Creates a plain table with the memory of a compact one: eight rows of 8 bytes, the length of a packed time, per
-    /// bucket.
+    /// Creates a plain table with the memory of a compact table. A row has 8 bytes, the length of a packed time, so
+    /// there are eight rows per bucket.
     pub(crate) fn in_memory_of(bucket_bits: BucketBits) -> Self {
         let rows = bucket_bits.buckets() * 8;
         PlainTable {
@@ -87,8 +87,9 @@
     }
 }
 
-/// Returns the share of never purged copies that the table invalidates, for each age. A copy is invalidated if it was
-/// created before the time that the table returns for its keys, so one lookup per copy covers all ages.
+/// Returns, for each age, the share of copies that the table invalidates although they were never purged. A copy is
+/// invalidated if it was created before the time that the table returns for its keys, so one lookup per copy is enough
+/// for all ages.
 pub(crate) fn lost_shares(
     table: &impl Lookup,
     now: Micros,
@@ -110,7 +111,7 @@
         .collect()
 }
 
-/// Returns the share of hits that a plain table of the same memory loses.
+/// Returns the predicted share of hits that a plain table of the same memory loses.
 pub(crate) fn predicted_by_plain_rows(bucket_bits: BucketBits, purges: f64) -> f64 {
     let mean = purges / (bucket_bits.buckets() * 8) as f64;
     1.0 - (-mean * LOOKUPS as f64).exp()
--- a/purges/tests/hashing.rs
+++ b/purges/tests/hashing.rs
@@ -1,4 +1,4 @@
-//! Purge hashes must not change, as they are exchanged between proxies and stored on disk.
+//! Purge hashes must not change, because they are exchanged between proxies and stored on disk.
 
 use linnetknot_purges::hashing::mix;
 use linnetknot_purges::KeyHash;
--- a/purges/tests/hit_loss.rs
+++ b/purges/tests/hit_loss.rs
@@ -1,6 +1,7 @@
-//! The share of cache hits that the purge state loses is the one derived in `docs/design/purge-state.md`.
+//! Checks that the purge state loses the share of cache hits that is derived in `docs/design/purge-state.md`.
 //!
-//! A short version of the example `hit_loss`, with a table of 1 MiB and two and a half times the purges that fill it.
+//! This is a short version of the example `hit_loss`, with a table of 1 MiB and two and a half times the purges that
+//! fill it.
 
 mod common;
 use common::*;
@@ -8,7 +9,8 @@
 
 const PURGES: u64 = 300_000;
 const COPIES: u64 = 40_000;
-/// The random deviation with 16,384 buckets and 40,000 copies is about 0.008.
+/// Allowed difference between the measured and the predicted share of lost hits. Random variation with 16,384 buckets
+/// and 40,000 copies accounts for about 0.008.
 const TOLERANCE: f64 = 0.012;
 
 fn stream() -> Stream {
@@ -55,7 +57,7 @@
     check(&by_plain, |age| {
         predicted_by_plain_rows(bits(), stream().since(age))
     });
-    // 33,000 purges have followed: two per bucket, or one per four rows.
+    // For the third age, 33,000 purges have followed the creation of the copy: two per bucket, or one per four rows.
     let (buckets, rows) = (measured[2], by_plain[2]);
     assert!(buckets < 0.01 && rows > 0.35, "{buckets} and {rows}");
 }
--- a/purges/tests/latest_purge.rs
+++ b/purges/tests/latest_purge.rs
@@ -1,6 +1,6 @@
-//! The time that a table returns for a key is never earlier than the key's latest purge, and never decreases, for any
-//! sequence of records, merges, resizes and restarts. The check also runs on a model with an injected fault, which it
-//! must detect.
+//! Checks that the time that a table returns for a key is never earlier than the key's latest purge, and never
+//! decreases, for any sequence of records, merges, resizes and restarts. The check also runs on a model with an
+//! injected fault, which the check must detect.
 
 use linnetknot_purges::bucket::FINGERPRINT_BITS;
 use linnetknot_purges::{
@@ -17,20 +17,20 @@
     BucketBits::new(bits).unwrap()
 }
 
-/// The common interface of the tables and the model.
+/// The interface through which the check uses the tables and the model.
 trait PurgeStore {
     fn record(&mut self, key: KeyHash, at: Micros);
     fn latest(&self, key: KeyHash) -> Option<Micros>;
     /// Merges all buckets of a table of another size.
     fn merge(&mut self, other: &CompactTable);
     fn resize(&mut self, bucket_bits: BucketBits);
-    /// Encodes everything and decodes it into an empty table.
+    /// Simulates a restart: encodes the whole content and decodes it into an empty table.
     fn restart(&mut self);
     fn purge_all(&mut self, at: Micros);
     fn compact(&mut self, now: Micros, keep_us: Micros);
 }
 
-/// Encodes and decodes each bucket of a table, as on a transfer.
+/// Encodes and decodes each bucket of a table, as in a transfer between proxies.
 fn send_buckets(from: &CompactTable, mut receive: impl FnMut(BucketIndex, &Bucket)) {
     for (index, bucket) in from.occupied(BucketIndex::default()) {
         let mut bytes = Vec::new();
@@ -200,7 +200,7 @@
     Compact(Micros, Micros),
 }
 
-/// Keys of few buckets that differ in all parts of their hashes.
+/// Generates keys that fall into few buckets but differ in all parts of their hashes.
 fn key() -> impl Strategy<Value = KeyHash> {
     (0..4u64, 0..4u64, 0..24u64).prop_map(|(top, middle, low)| {
         // For tables of 5 to 7 bits, the last bit of the bucket index comes from `middle`.
@@ -252,7 +252,7 @@
     }
 }
 
-/// Applies the steps and checks the returned times after each of them.
+/// Applies the steps and checks the returned times after each step.
 fn check_latest_times(table: &mut impl PurgeStore, steps: &[Step]) -> Result<(), TestCaseError> {
     let mut actual = BTreeMap::new();
     let mut previous: BTreeMap<KeyHash, Option<Micros>> = BTreeMap::new();
@@ -285,7 +285,7 @@
         check_latest_times(&mut PurgeTable::new(EXACT, bits(4)), &steps)?;
     }
 
-    /// The times match exactly if purges are recorded and nothing else is done.
+    /// After records alone, without merges, resizes or restarts, the returned times are exact.
     #[test]
     fn compact_tables_return_the_same_times_as_the_model(purges in prop::collection::vec(purge(), 0..200)) {
         let (mut table, mut model) = (CompactTable::new(bits(4)), Model::new(false));
@@ -329,8 +329,8 @@
     }
 }
 
-/// Runs the check on models, with the same cases each time. Each run needs its own runner, as a runner counts its cases
-/// over all runs.
+/// Runs the check on models, with the same cases each time. Each run needs a runner of its own, because a runner counts
+/// its cases over all runs.
 fn check_models(omits_watermark_update: bool) -> Result<(), TestError<Vec<Step>>> {
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let config = ProptestConfig {
