--- a/admin-api/src/state.rs
+++ b/admin-api/src/state.rs
@@ -37,7 +37,7 @@
 /// The result of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallOutcome {
-    /// The response.
+    /// The response to send to the operator.
     pub reply: Reply,
     /// The action to execute, or `None` if the call changed nothing.
     pub effect: Option<Effect>,
--- a/budgets/src/holding.rs
+++ b/budgets/src/holding.rs
@@ -115,7 +115,8 @@
         true
     }
 
-    /// Returns whether only the reserved minimum is left, if that has changed since the last call that returned a value.
+    /// Returns whether only the reserved minimum is left, if that has changed since the last call that returned a
+    /// value.
     pub(crate) fn reserved_only_change(&mut self, now: Micros) -> Option<bool> {
         let reserved_only = now >= self.granted.until;
         let reported = std::mem::replace(&mut self.reported_reserved_only, reserved_only);
--- a/budgets/src/ledger.rs
+++ b/budgets/src/ledger.rs
@@ -72,9 +72,9 @@
 /// The amount that a holder may spend or have unsettled, beyond its reserved minimum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct OutstandingGrant {
-    /// The holder.
+    /// The member that holds the lease.
     pub holder: MemberIndex,
-    /// The amount.
+    /// The amount, which counts against the leasable amount.
     pub amount: Amount,
 }
 
--- a/budgets/src/lib.rs
+++ b/budgets/src/lib.rs
@@ -67,8 +67,8 @@
 /// One process of a member. A new process does not know which votes and leases an earlier one gave, or what it spent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberProcess {
-    /// The member.
+    /// The index of the member.
     pub member: MemberIndex,
-    /// The process of that member.
+    /// The id of the member's process.
     pub process: ProcessId,
 }
--- a/budgets/src/member.rs
+++ b/budgets/src/member.rs
@@ -15,14 +15,14 @@
 pub enum Change {
     /// This member has started or stopped being the allocator of a group.
     Leader {
-        /// The group.
+        /// The index of the group.
         group: usize,
         /// Whether it is the allocator now.
         leads: bool,
     },
     /// This member's lease of a budget has expired, so that only the reserved minimum is left, or it has a lease again.
     ReservedOnly {
-        /// The budget.
+        /// The index of the budget.
         budget: usize,
         /// Whether only the reserved minimum is left now.
         active: bool,
@@ -46,9 +46,9 @@
 /// The error for a budget whose limit is too small for the members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct InvalidBudget {
-    /// The budget.
+    /// The index of the budget.
     pub budget: usize,
-    /// The cause.
+    /// The error of the limit, with the sum that it must reach.
     pub error: LimitTooSmall,
 }
 
@@ -71,14 +71,14 @@
     allocation: Allocation,
 }
 
-/// One member of the fleet.
+/// One member of the fleet: its part in the elections, and its leases and grants of all budgets.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
     own: MemberProcess,
     /// By member, whether it is believed to be up.
     up: Vec<bool>,
     options: Options,
-    /// By group.
+    /// This member's state in the election of each group, by group.
     elections: Vec<Election>,
     budgets: Vec<Budget>,
     /// The number of the last request.
--- a/budgets/src/message.rs
+++ b/budgets/src/message.rs
@@ -28,7 +28,7 @@
 /// A holder's request to the allocator for a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseRequest {
-    /// The budget.
+    /// The index of the budget.
     pub budget: usize,
     /// The number of the request, which the response repeats.
     pub number: u64,
@@ -66,11 +66,11 @@
     LeaseGrant(LeaseGrant),
 }
 
-/// A message to send.
+/// A message that the caller must send to another member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Outgoing {
-    /// The receiver.
+    /// The member to which the message is sent.
     pub to: MemberIndex,
-    /// The message.
+    /// The message, to be encoded by the caller.
     pub message: Message,
 }
--- a/budgets/src/options.rs
+++ b/budgets/src/options.rs
@@ -2,7 +2,7 @@
 
 use crate::Micros;
 
-/// Durations and bounds of the protocol. All members must use the same ones.
+/// Durations and bounds of the protocol. They must be the same at all members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Options {
     /// The duration of a vote.
--- a/budgets/src/pending.rs
+++ b/budgets/src/pending.rs
@@ -12,7 +12,7 @@
 pub(crate) struct PendingRequests(BTreeMap<u64, Micros>);
 
 impl PendingRequests {
-    /// Records that a request was sent. Evicts the oldest ones beyond the maximum.
+    /// Records that a request was sent. When the maximum is exceeded, evicts the oldest requests.
     pub(crate) fn insert(&mut self, number: u64, now: Micros) {
         self.0.insert(number, now);
         while self.0.len() > MAX_PENDING_REQUESTS {
--- a/budgets/src/wire.rs
+++ b/budgets/src/wire.rs
@@ -21,7 +21,7 @@
     pub fingerprint: u64,
     /// The sender's process.
     pub process: ProcessId,
-    /// The messages.
+    /// The messages, in the order in which they were sent.
     pub messages: Vec<Message>,
 }
 
--- a/budgets/tests/fleet.rs
+++ b/budgets/tests/fleet.rs
@@ -787,7 +787,7 @@
     for seed in 0..100 {
         let (mut fleet, allocator) = fleet_with_allocator(3, seed, &specs());
         let (voter, other) = ((allocator + 1) % 3, (allocator + 2) % 3);
-        // The allocator is the only member with a demand. It needs the voter's vote, as the other member is
+        // The allocator is the only member with a demand. It needs the voter's vote, because the other member is
         // unreachable.
         [voter, other].into_iter().for_each(|n| fleet.demand(n, 0));
         fleet.links.partition(fleet.nodes.len(), &[other]);
--- a/consul/src/mapping/instance.rs
+++ b/consul/src/mapping/instance.rs
@@ -179,7 +179,7 @@
         return (State::Draining, reason);
     }
     match checks.first_warning() {
-        // With a warning weight of 0 the instance takes no work in the warning state.
+        // With a warning weight of 0 the instance gets no new requests in the warning state.
         Some(check) if weight.is_nan() || weight <= 0.0 => {
             (State::Draining, Reason::Check(check.to_owned()))
         }
--- a/consul/src/watch/event.rs
+++ b/consul/src/watch/event.rs
@@ -42,7 +42,7 @@
     },
     /// An id is registered at two addresses.
     DuplicateId {
-        /// The id.
+        /// The id that the two registrations share.
         uid: String,
         /// The address that is used.
         accepted: SocketAddr,
--- a/discovery/src/cached_snapshot.rs
+++ b/discovery/src/cached_snapshot.rs
@@ -105,7 +105,7 @@
         at_us: at,
         entries: entries.map(entry).collect(),
     };
-    // Serialization can't fail, as the body consists of strings and numbers only.
+    // Serialization can't fail, because the body consists of strings and numbers only.
     let body = serde_json::to_vec(&body).unwrap_or_default();
     let mut out = format!(
         "{MAGIC} {FORMAT_VERSION} {:08x} {}\n",
--- a/discovery/src/evidence.rs
+++ b/discovery/src/evidence.rs
@@ -182,7 +182,7 @@
     TableFull(String),
     /// Two sources, or two entries of one source, use the same id for different caches. The first cache keeps the id.
     DuplicateId {
-        /// The id.
+        /// The id that both caches use.
         uid: String,
         /// Address of the cache that keeps the id.
         accepted: SocketAddr,
@@ -198,7 +198,7 @@
         uid: String,
         /// Id of the other cache.
         other: String,
-        /// The address.
+        /// The address that both caches use.
         endpoint: SocketAddr,
     },
     /// A cache is reported at a new address.
@@ -215,9 +215,9 @@
 /// An explanation of the status of a cache.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Explanation {
-    /// The published entry.
+    /// The entry of the cache that was last published.
     pub entry: Entry,
-    /// The published status.
+    /// The status of the cache that was last published.
     pub status: EndpointStatus,
     /// Time since which the cache has been published with that status.
     pub since: Micros,
--- a/membership/src/member.rs
+++ b/membership/src/member.rs
@@ -32,7 +32,7 @@
 /// A change of a member's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// The member.
+    /// The index of the member whose state has changed.
     pub peer: PeerIndex,
     /// The previous claim; `None` if nothing was known of the member.
     pub old: Option<Claim>,
--- a/membership/src/options.rs
+++ b/membership/src/options.rs
@@ -1,4 +1,4 @@
-//! The options of a member, and its counters.
+//! The options of the failure detector, and its counters.
 
 use crate::Micros;
 
--- a/membership/src/swim/mod.rs
+++ b/membership/src/swim/mod.rs
@@ -45,9 +45,9 @@
 /// A datagram to send, and its receiver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
-    /// The receiver.
+    /// The index of the peer to which the datagram is sent.
     pub peer: PeerIndex,
-    /// The datagram.
+    /// The encoded datagram.
     pub datagram: Vec<u8>,
 }
 
--- a/membership/src/swim/probes.rs
+++ b/membership/src/swim/probes.rs
@@ -119,7 +119,7 @@
         self.send(peer, Body::Ping { number, names }, None);
     }
 
-    /// Requests indirect probes if the direct one was not acknowledged in time.
+    /// Requests indirect probes if the direct probe was not acknowledged before its timeout.
     pub(super) fn extend_probe(&mut self, now: Micros) {
         let timeout_us = self.scaled_ack_timeout_us();
         let has_timed_out =
@@ -234,7 +234,7 @@
         self.ping(peer, own_number);
     }
 
-    /// Sends a nack for each ping on behalf of another member that was not acknowledged in time.
+    /// Sends a nack for each ping on behalf of another member that was not acknowledged before its timeout.
     pub(super) fn expire_indirect_probes(&mut self, now: Micros) {
         let indirect = self.indirect.iter();
         let expired: Vec<u32> = indirect
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -19,7 +19,7 @@
     pub id: Id,
     /// The member that makes the claim. Suspicions by different observers confirm each other.
     pub observer: Id,
-    /// The claim.
+    /// The claimed process, incarnation and state of the member.
     pub claim: Claim,
 }
 
@@ -72,11 +72,11 @@
 /// The content of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// The sender.
+    /// The sender, which implies a claim that it is alive.
     pub from: Sender,
-    /// The body.
+    /// The probe, response or announcement that the datagram was sent for.
     pub body: Body,
-    /// Piggybacked updates.
+    /// Updates about any members, which are gossiped with the datagram.
     pub updates: Vec<Update>,
 }
 
--- a/origin-health/src/lib.rs
+++ b/origin-health/src/lib.rs
@@ -63,7 +63,7 @@
 /// The share of requests that may go to the origin.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OriginShare {
-    /// The share, between 0 and 1.
+    /// The share of requests, between 0 and 1.
     pub share: f64,
     /// The time until which the share applies.
     pub until: Micros,
--- a/origin-health/src/report.rs
+++ b/origin-health/src/report.rs
@@ -62,7 +62,7 @@
 impl std::error::Error for DecodeError {}
 
 impl Report {
-    /// Returns whether the report is newer than another one of the same sender.
+    /// Returns whether the report is newer than another report of the same sender.
     pub(crate) fn is_newer_than(&self, other: &Report) -> bool {
         (self.started_at, self.number) > (other.started_at, other.number)
     }
--- a/purges/src/bucket.rs
+++ b/purges/src/bucket.rs
@@ -110,7 +110,7 @@
         self.slots.partition_point(|slot| *slot != EMPTY_SLOT)
     }
 
-    /// Returns whether nothing was recorded.
+    /// Returns whether no purge was recorded in the bucket.
     pub fn is_empty(&self) -> bool {
         *self == Bucket::default()
     }
--- a/purges/src/compact.rs
+++ b/purges/src/compact.rs
@@ -96,9 +96,9 @@
 /// The error of a bucket index that is out of range for the size of a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BucketIndexError {
-    /// The size of the table.
+    /// The size of the table to which the index was applied.
     pub bucket_bits: BucketBits,
-    /// The index of the bucket.
+    /// The index, which is not less than the table's number of buckets.
     pub index: BucketIndex,
 }
 
@@ -237,7 +237,7 @@
         self.occupied_slots
     }
 
-    /// Returns whether nothing was recorded.
+    /// Returns whether no purge was recorded in the table.
     pub fn is_empty(&self) -> bool {
         self.buckets.is_empty()
     }
--- a/purges/src/table.rs
+++ b/purges/src/table.rs
@@ -1,4 +1,4 @@
-//! The purge state of a proxy, with exact recent purges and a compact table of older ones.
+//! The purge state of a proxy: recent purges with exact times, and a compact table of older purges.
 
 use crate::bucket::Bucket;
 use crate::compact::{BucketBits, BucketIndex, BucketIndexError, CompactTable};
--- a/purges/tests/hit_loss.rs
+++ b/purges/tests/hit_loss.rs
@@ -29,7 +29,7 @@
     (1..=26).map(|step| step * 100 * SECOND_US).collect()
 }
 
-/// Checks that the measured shares are close to the predicted ones and increase with the age.
+/// Checks that the measured shares are within `TOLERANCE` of the predicted shares and increase with the age.
 fn check(measured: &[f64], predicted: impl Fn(Micros) -> f64) {
     for (age, share) in ages().into_iter().zip(measured) {
         let expected = predicted(age);
--- a/replication/src/compaction.rs
+++ b/replication/src/compaction.rs
@@ -12,7 +12,7 @@
 /// A log and its compacted index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CompactedLog {
-    /// The log.
+    /// The id of the log.
     pub log: LogId,
     /// The compacted index. Each purge through it is in the table or superseded.
     pub through: Index,
--- a/replication/src/log_store/mod.rs
+++ b/replication/src/log_store/mod.rs
@@ -283,7 +283,7 @@
         );
     }
 
-    /// Removes an entry.
+    /// Removes an entry, and returns it if it was stored.
     pub(crate) fn remove(&mut self, key: EntryKey) -> Option<Entry> {
         let record = self.live.remove(&key)?;
         self.first_seen.remove(&key);
--- a/replication/src/position.rs
+++ b/replication/src/position.rs
@@ -5,7 +5,7 @@
 /// The position of a replica in a log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LogPosition {
-    /// The log.
+    /// The id of the log.
     pub log: LogId,
     /// The replica has all live entries through this index. 0 if it has none.
     pub index: Index,
--- a/replication/src/received.rs
+++ b/replication/src/received.rs
@@ -8,7 +8,7 @@
 pub struct Outgoing {
     /// The peer's index in the list that [`crate::Replica::set_peers`] was given.
     pub peer: usize,
-    /// The datagram.
+    /// The datagram, to be encoded by the caller.
     pub datagram: Datagram,
 }
 
--- a/replication/src/replica/catch_up.rs
+++ b/replication/src/replica/catch_up.rs
@@ -249,7 +249,7 @@
         let table = &mut self.log_store.table;
         for indexed in buckets {
             let bucket = indexed.bucket.no_later_than(now);
-            // The merge does not fail, as decoding has checked the index.
+            // The merge does not fail, because decoding has checked the index.
             let changed = table
                 .merge_bucket(*bucket_bits, indexed.index, &bucket)
                 .unwrap_or_default();
--- a/replication/src/replica/mod.rs
+++ b/replication/src/replica/mod.rs
@@ -54,7 +54,7 @@
     snapshot_allowance: usize,
     /// The log with which the next digest starts. Not all logs fit into one digest.
     next_digest_log: Option<LogId>,
-    /// Entries that are not on the local disk.
+    /// Entries that are not yet known to be on the local disk.
     unsynced: Unsynced,
     /// Logs that a snapshot advanced and whose new index is not on the disk yet.
     pending_snapshots: BTreeMap<LogId, PendingSnapshot>,
--- a/replication/src/snapshot/mod.rs
+++ b/replication/src/snapshot/mod.rs
@@ -29,9 +29,9 @@
     Bucket(BucketIndex),
     /// Before the entry of a log at an index.
     Entry {
-        /// The log.
+        /// The log that contains the entry.
         log: LogId,
-        /// The index.
+        /// The index of the entry in its log.
         index: Index,
     },
     /// The end of the snapshot.
@@ -75,11 +75,11 @@
 pub struct IndexedBucket {
     /// The index of the bucket in the sender's table.
     pub index: BucketIndex,
-    /// The content of the bucket.
+    /// The purges recorded in the bucket.
     pub bucket: Bucket,
 }
 
-/// The content of a chunk.
+/// The content of a chunk, which belongs to one of the three sections of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SnapshotContent {
     /// All compacted logs between the chunk's cursors.
@@ -88,7 +88,7 @@
     Buckets {
         /// The size of the sender's table.
         bucket_bits: BucketBits,
-        /// The buckets.
+        /// The buckets, in the order of their indexes.
         buckets: Vec<IndexedBucket>,
     },
     /// All entries between the chunk's cursors that are not purges and are within the compacted index of their log.
--- a/replication/src/wire.rs
+++ b/replication/src/wire.rs
@@ -18,7 +18,7 @@
 /// The text that precedes the bytes of a snapshot chunk.
 pub(crate) const CHUNK_PREFIX: &str = "copies1 chunk ";
 
-/// A datagram between replicas.
+/// A datagram between replicas. Any datagram may be lost, duplicated or reordered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Datagram {
     /// An entry.
@@ -41,7 +41,7 @@
     /// Requests the live entries in these gaps of a log; the sender already has entries after each gap. Versions
     /// without gap requests drop the datagram, and receive a `RangeRequest` later.
     GapRequest {
-        /// The log.
+        /// The log with the gaps.
         log: LogId,
         /// The gaps, in order.
         gaps: Vec<Gap>,
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -169,7 +169,7 @@
 /// Returns the rank of this router in its group, if the settings contain a rank. The rank and the size of the group are
 /// both validated even if only one is given.
 fn rank(fields: &Fields) -> Result<Option<u32>> {
-    // Shares of fleet-wide limits are computed from both values, so invalid ones must be rejected.
+    // Shares of fleet-wide limits are computed from both values, so invalid values must be rejected.
     let group_size = int_or(fields, "group-size", u64::MAX)?;
     if group_size == 0 {
         return Err("field 'group-size' is 0, but a group contains at least this proxy".into());
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -34,7 +34,7 @@
     Error,
     /// The server, or the source of its fill, rejected the request before it ran.
     Full,
-    /// No answer arrived in time; the request may have run or may still be running.
+    /// No answer arrived within the timeout; the request may have run or may still be running.
     Timeout,
     /// The connection was refused; the request did not run.
     ConnectFailed,
@@ -54,7 +54,7 @@
 /// How the answer was produced, or why a fill failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Note {
-    /// Not reported.
+    /// The answer did not say.
     None,
     /// A cache hit.
     Hit,
@@ -62,7 +62,7 @@
     Filled,
     /// A miss that was filled from the origin, directly or through the source.
     FilledByOrigin,
-    /// A miss that was coalesced into a fill already in progress.
+    /// A miss that waited for a fill already in progress and was answered from it.
     Joined,
     /// A cache hit on a stale copy.
     Stale,
--- a/src/interface/servers.rs
+++ b/src/interface/servers.rs
@@ -7,7 +7,7 @@
 pub enum State {
     /// The server accepts new requests.
     Ready,
-    /// The server finishes its requests in flight and accepts no new ones.
+    /// The server finishes its requests in flight and accepts no new requests.
     Draining,
     /// The server has been removed from the list.
     #[default]
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -37,7 +37,7 @@
 use timers::TICK_TAG;
 
 const COUNT_HALF_LIFE_S: f64 = 10.0;
-/// Maximum number of entries of a table of request counts.
+/// Maximum number of entries of the tables that count requests by object and by part.
 const COUNT_TABLE_SIZE: usize = 20_000;
 /// Number of purges kept exactly. Completed purges are kept too, because a fill that overlaps a purge may store an
 /// older copy.
--- a/src/router/origin.rs
+++ b/src/router/origin.rs
@@ -10,7 +10,7 @@
 /// Maximum lateness that is taken into account. A later answer lowers the admitted share more, because a long queue at
 /// the origin delays the answers that show it.
 const MAX_ORIGIN_LATENESS: f64 = 3.0;
-/// Increase of the admitted share for an answer in time.
+/// Increase of the admitted share for an answer within the latency objective.
 const ORIGIN_SHARE_INCREASE: f64 = 0.04;
 /// Minimum admitted share, so that a recovery of the origin is detected.
 const MIN_ORIGIN_SHARE: f64 = 0.05;
--- a/src/router/retries.rs
+++ b/src/router/retries.rs
@@ -10,7 +10,7 @@
 const MAX_UNEXPLAINED_ERRORS: u32 = 2;
 /// Minimum time that an attempt needs for an answer.
 const MIN_ATTEMPT_US: Micros = 5_000;
-/// Retry-After of a refusal, short enough for the client's next request to be in time.
+/// Retry-After of a refusal, short enough for the client to retry before its deadline.
 const RETRY_AFTER_US: Micros = 200_000;
 
 impl Router {
--- a/src/router/statistics.rs
+++ b/src/router/statistics.rs
@@ -115,7 +115,7 @@
         self.miss_rate += MISS_STEP * (missed - self.miss_rate);
     }
 
-    /// Adds a fill to its source's slowdown average.
+    /// Adds a fill to the slowdown average of its source.
     pub(super) fn record_fill_slowdown(source: &mut Endpoint, end: &AttemptEnd) {
         let transfer_s = end.transfer_s + ROUND_TRIP_S;
         source
--- a/src/router/timers.rs
+++ b/src/router/timers.rs
@@ -5,7 +5,7 @@
 use crate::interface::{Action, Micros, Repeat, ServerId};
 use std::collections::BTreeMap;
 
-/// Interval between ticks.
+/// Interval at which the periodic work is performed.
 const TICK_US: Micros = 50_000;
 /// Tag of the recurring timer.
 pub(super) const TICK_TAG: u64 = 0;
--- a/store/src/error.rs
+++ b/store/src/error.rs
@@ -1,4 +1,4 @@
-//! The errors of the store, classified into transient and permanent ones.
+//! The errors of the store, which are either transient or permanent.
 
 use crate::file::Format;
 use std::io;
--- a/store/src/file.rs
+++ b/store/src/file.rs
@@ -131,7 +131,7 @@
     Ok(())
 }
 
-/// A key and its value.
+/// A key of a keyspace and its value, as returned by a scan.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyValue {
     /// The key.
@@ -153,7 +153,7 @@
 type Guard<'a> = AccessGuard<'a, &'static [u8]>;
 type Opener = Box<dyn FnMut() -> Result<Database, DatabaseError> + Send>;
 
-/// A store in an open file.
+/// A store in a file, which is opened again after a failed operation.
 pub struct Store {
     /// `None` after a failed operation, because redb rejects further operations until the file is opened again.
     database: Option<Database>,
--- a/store/tests/common/medium.rs
+++ b/store/tests/common/medium.rs
@@ -59,7 +59,7 @@
         Outage::new(calls, 0, u64::MAX)
     }
 
-    /// A single call fails, after `skipped_calls` successful ones.
+    /// A single call fails, after `skipped_calls` successful calls.
     pub(crate) fn single(calls: Calls, skipped_calls: u64) -> Self {
         Outage::new(calls, skipped_calls, 1)
     }
--- a/store/tests/crash.rs
+++ b/store/tests/crash.rs
@@ -24,7 +24,7 @@
     Store::open_on(move || medium.clone())
 }
 
-/// Commits groups that each overwrite a key of the previous group and remove another one. Returns the number of
+/// Commits groups that each overwrite a key of the previous group and remove another key. Returns the number of
 /// acknowledged groups.
 fn commit_groups(medium: &Medium) -> u64 {
     let Ok(mut store) = open(medium) else {
