--- a/admin-api/src/admin/call.rs
+++ b/admin-api/src/admin/call.rs
@@ -6,7 +6,7 @@
 /// Path prefix of the calls on a pop cache.
 const POP_CACHES: &str = "/control/pop-caches/";
 
-/// A call to the admin API.
+/// A call to the admin API, as parsed from the method and the path of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
     /// `GET /control/ready`: responds whether the process is ready to serve requests.
--- a/admin-api/src/admin/reply.rs
+++ b/admin-api/src/admin/reply.rs
@@ -5,7 +5,7 @@
 /// Value of the `Retry-After` header in the response to a call that can't be executed at the moment.
 const RETRY_AFTER_S: u32 = 1;
 
-/// A response of the admin API.
+/// A response of the admin API, without the HTTP headers that are the same for all responses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
     /// HTTP status: 2xx if the call was executed, otherwise 4xx or 5xx.
--- a/admin-api/src/state.rs
+++ b/admin-api/src/state.rs
@@ -28,13 +28,13 @@
     Ban(String),
     /// Use this pop cache again, with a slow start.
     Unban(String),
-    /// Begin to drain.
+    /// Fail the readiness check and close client connections as they become idle.
     Drain,
-    /// End the drain.
+    /// End the drain, so that the readiness check can succeed again.
     Resume,
 }
 
-/// The result of a call.
+/// The response to a call, and the action that the daemon has to execute for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallOutcome {
     /// The response to send to the operator.
--- a/budgets/src/holding.rs
+++ b/budgets/src/holding.rs
@@ -23,7 +23,7 @@
     pub unsettled: Amount,
 }
 
-/// The latest accepted lease.
+/// The lease that the holder accepted last, which may have expired.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct GrantedLease {
     /// The amount beyond the reserved minimum.
--- a/budgets/src/kinds.rs
+++ b/budgets/src/kinds.rs
@@ -13,9 +13,9 @@
 /// The unit of an amount.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unit {
-    /// Concurrent requests.
+    /// The amount is a number of concurrent requests.
     Concurrent,
-    /// Millionths of a server's capacity.
+    /// The amount is in millionths of a server's capacity.
     Millionths,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// A kind of budget.
+/// A kind of budget. Budgets of one kind limit the use of the same type of resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Kind {
     /// The name that `fleet budgets` and the log show.
--- a/budgets/src/ledger.rs
+++ b/budgets/src/ledger.rs
@@ -18,7 +18,7 @@
     settled_at: Micros,
 }
 
-/// The grants to one holder.
+/// The outstanding grants to one holder, and its last request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct HolderGrants {
     /// The process of the last request.
--- a/budgets/src/member.rs
+++ b/budgets/src/member.rs
@@ -29,12 +29,12 @@
     },
 }
 
-/// Counters for operators.
+/// Counters since the start of this process, which are shown to operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Counters {
-    /// Leases granted, including those to itself.
+    /// Leases that this member granted as an allocator, including leases to itself.
     pub granted: u64,
-    /// Leases accepted.
+    /// Leases that this member accepted as a holder.
     pub accepted: u64,
     /// Lease grants that were received after the lease had expired or after a later grant, and requests that were
     /// received after a later request.
--- a/budgets/src/message.rs
+++ b/budgets/src/message.rs
@@ -16,7 +16,7 @@
 pub struct VoteResponse {
     /// The group of the request.
     pub group: usize,
-    /// The number of the request.
+    /// The number of the request that this message answers.
     pub number: u64,
     /// Whether the candidate has the vote. It then lasts for
     /// [`Options::vote_duration_us`](crate::Options::vote_duration_us) from when the request was sent.
@@ -56,13 +56,13 @@
 /// A message between members. The sender is identified by its address and by the process id in the datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
-    /// Requests a vote.
+    /// A candidate requests a vote.
     VoteRequest(VoteRequest),
-    /// Grants or refuses a vote.
+    /// A member grants or refuses its vote.
     VoteResponse(VoteResponse),
-    /// Requests a lease.
+    /// A holder requests a lease from the allocator.
     LeaseRequest(LeaseRequest),
-    /// Grants a lease.
+    /// The allocator grants a lease.
     LeaseGrant(LeaseGrant),
 }
 
--- a/budgets/src/options.rs
+++ b/budgets/src/options.rs
@@ -5,7 +5,7 @@
 /// Durations and bounds of the protocol. They must be the same at all members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Options {
-    /// The duration of a vote.
+    /// The time for which a vote is valid, by the voter's clock.
     pub vote_duration_us: Micros,
     /// The maximum duration of a lease.
     pub max_lease_us: Micros,
--- a/budgets/src/vote.rs
+++ b/budgets/src/vote.rs
@@ -3,7 +3,7 @@
 use crate::{MemberIndex, MemberProcess, Micros};
 use std::collections::BTreeMap;
 
-/// A member's own vote.
+/// A member's own vote, which it can give to one candidate at a time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Vote {
     candidate: Option<MemberProcess>,
--- a/consul/src/error.rs
+++ b/consul/src/error.rs
@@ -63,7 +63,7 @@
 pub struct KeyError {
     /// Path of the key within the instance, such as `Service.Meta.az`.
     pub key: String,
-    /// The error of the value.
+    /// The reason why the value is invalid.
     pub error: ValueError,
 }
 
--- a/consul/src/http.rs
+++ b/consul/src/http.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// A call to an agent.
+/// An HTTP call that the caller must send to an agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
     /// Index of the agent in the configured list.
@@ -92,7 +92,7 @@
     }
 }
 
-/// A response to a call.
+/// A complete HTTP response to a call, as the caller received it.
 #[derive(Clone, Copy, Debug)]
 pub struct Response<'a> {
     /// HTTP status.
--- a/consul/src/mapping.rs
+++ b/consul/src/mapping.rs
@@ -67,7 +67,7 @@
     pub tagged_address: Option<String>,
 }
 
-/// A part of an identity.
+/// The part of a cache's identity that an error is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum IdPart {
     Node,
--- a/consul/src/watch/event.rs
+++ b/consul/src/watch/event.rs
@@ -8,7 +8,7 @@
 /// An event of a watch that is logged for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchEvent {
-    /// A query failed.
+    /// A query failed. Reported again only if the next failure has another agent or error.
     QueryFailed {
         /// Index of the agent.
         agent: usize,
@@ -26,16 +26,16 @@
     PermissionDenied {
         /// Index of the agent.
         agent: usize,
-        /// The message of the agent.
+        /// The first line of the agent's response body.
         message: String,
     },
     /// The registration of an instance is invalid.
     InstanceSkipped(SkippedInstance),
     /// More than half of the instances of a response are unusable, which indicates a wrong mapping.
     MostlyUnusable {
-        /// Number of unusable instances.
+        /// Number of instances in the response whose registration is invalid.
         unusable: usize,
-        /// Number of all instances.
+        /// Number of all instances in the response.
         total: usize,
         /// The first unusable instance.
         first: SkippedInstance,
@@ -53,7 +53,7 @@
     ConfirmationPending {
         /// Number of known caches that the response lists.
         listed: usize,
-        /// Number of known caches.
+        /// Number of caches in the last reported endpoint list.
         known: usize,
     },
     /// The catalog confirms the pending health response.
--- a/consul/src/watch/mod.rs
+++ b/consul/src/watch/mod.rs
@@ -38,7 +38,7 @@
 /// The results of a response or a failure.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WatchUpdate {
-    /// Changes of the endpoint list.
+    /// Changes of the endpoint list; `None` if there are none.
     pub evidence: Option<Evidence>,
     /// Events for the log. A condition that persists is reported once, when it begins.
     pub events: Vec<WatchEvent>,
@@ -51,7 +51,7 @@
 struct UnconfirmedShrink {
     /// Number of known caches that the response lists.
     listed: usize,
-    /// Number of known caches.
+    /// Number of caches in the last reported endpoint list.
     known: usize,
 }
 
--- a/consul/src/watch/reader.rs
+++ b/consul/src/watch/reader.rs
@@ -20,7 +20,7 @@
     pub(super) rejected: SocketAddr,
 }
 
-/// Parser of a response body.
+/// Parser of a response body, which is fed the bytes as they arrive.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ResponseReader {
     splitter: ListSplitter,
@@ -50,7 +50,7 @@
 
 /// The state of the watch that parsing depends on.
 pub(super) struct ReaderContext<'a> {
-    /// The query of the response.
+    /// The API that the response comes from.
     pub(super) query: Query,
     pub(super) mapping: &'a Mapping,
     /// The last reported endpoint list.
--- a/discovery/src/cached_snapshot.rs
+++ b/discovery/src/cached_snapshot.rs
@@ -17,7 +17,7 @@
 /// was written, and an hour behind when the list is read. The age of a list with a later time is unknown.
 const MAX_FUTURE_US: Micros = 2 * 60 * 60 * 1_000_000;
 
-/// A cached endpoint list.
+/// An endpoint list that was stored before a restart.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CachedSnapshot {
     /// Time at which the list was last confirmed, as Unix time in microseconds.
--- a/discovery/src/damping.rs
+++ b/discovery/src/damping.rs
@@ -97,7 +97,7 @@
     }
 }
 
-/// The flap penalty of a cache.
+/// The flap penalty of a cache, stored with the time of its last update.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Penalty {
     value: f64,
--- a/discovery/src/evidence.rs
+++ b/discovery/src/evidence.rs
@@ -205,9 +205,9 @@
     Moved {
         /// Id of the cache.
         uid: String,
-        /// The previous address.
+        /// The address at which the cache was reported before.
         from: SocketAddr,
-        /// The new address.
+        /// The address at which the cache is reported now.
         to: SocketAddr,
     },
 }
--- a/discovery/src/validation.rs
+++ b/discovery/src/validation.rs
@@ -28,7 +28,7 @@
         zone: String,
         /// Kind of the caches.
         kind: String,
-        /// Number of caches retained.
+        /// Number of omitted caches that are retained.
         retained: usize,
     },
     /// Entries that could not be parsed, with the error of each. Any of them may describe a cache that seems to be
@@ -71,7 +71,7 @@
     }
 }
 
-/// A list as it was received.
+/// A list as it was received from a source, before validation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedList {
     /// Revision of the list, if the source numbers its lists.
@@ -84,7 +84,7 @@
     pub unreadable: Vec<String>,
 }
 
-/// A list after validation.
+/// A list after validation, which can be applied as evidence.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ValidatedList {
     /// Whether the entries are a full list or a delta.
--- a/membership/src/gossip.rs
+++ b/membership/src/gossip.rs
@@ -25,7 +25,7 @@
 }
 
 impl Gossip {
-    /// Adds an update.
+    /// Adds an update, which replaces an earlier update about the same member.
     pub(crate) fn add(&mut self, update: Update) {
         self.updates.insert(
             update.id,
--- a/membership/src/member.rs
+++ b/membership/src/member.rs
@@ -21,7 +21,7 @@
 /// overrides the lesser. Only the member itself raises its incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Claim {
-    /// The member's process.
+    /// The process that the claim is about.
     pub process: ProcessId,
     /// The number of refutations by that process.
     pub incarnation: u32,
@@ -29,7 +29,7 @@
     pub state: MemberState,
 }
 
-/// A change of a member's state.
+/// A change of the current claim about a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Change {
     /// The index of the member whose state has changed.
@@ -40,7 +40,7 @@
     pub new: Claim,
 }
 
-/// The names of a member.
+/// The names of a member and of its machine, as the member reports them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Names {
     /// The member's name.
--- a/membership/src/options.rs
+++ b/membership/src/options.rs
@@ -35,10 +35,10 @@
     }
 }
 
-/// Counters for operators.
+/// Counters since the start of this process, which are shown to operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Probes started.
+    /// Probes of other members that this member started.
     pub probes: u64,
     /// Probes that were neither acknowledged directly nor indirectly.
     pub failed: u64,
--- a/membership/src/suspicion.rs
+++ b/membership/src/suspicion.rs
@@ -11,7 +11,7 @@
 /// The maximum timeout as a multiple of the minimum.
 const MAX_TIMEOUT_FACTOR: Micros = 5;
 
-/// A pending suspicion.
+/// A suspicion that has not been refuted and has not timed out.
 #[derive(Clone, Debug)]
 pub(crate) struct Suspicion {
     started_at: Micros,
--- a/membership/src/swim/mod.rs
+++ b/membership/src/swim/mod.rs
@@ -30,11 +30,11 @@
 pub struct MembershipConfig {
     /// The member's id.
     pub id: Id,
-    /// The id of its process.
+    /// The id of the member's process.
     pub process: ProcessId,
     /// The names that it reports to others.
     pub names: Names,
-    /// The number of its peers.
+    /// The number of other configured members.
     pub peers: usize,
     /// The seed of its random number generator.
     pub seed: u64,
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -62,14 +62,14 @@
     },
     /// Reports that the target of an indirect probe did not answer.
     Nack {
-        /// The number of the request.
+        /// The number of the request that the nack answers.
         number: u32,
     },
     /// Announces the sender's shutdown.
     Leave,
 }
 
-/// The content of a datagram.
+/// The decoded content of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
     /// The sender, which implies a claim that it is alive.
--- a/origin-health/src/lib.rs
+++ b/origin-health/src/lib.rs
@@ -69,14 +69,14 @@
     pub until: Micros,
 }
 
-/// Counters for operators.
+/// Counters since the start of this process, which are shown to operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Reports sent, each to all peers.
     pub sent: u64,
     /// Reports not sent because a report of another proxy in the zone still counted.
     pub suppressed: u64,
-    /// Reports received and used.
+    /// Reports received and accepted as newer than the sender's latest report.
     pub received: u64,
     /// Datagrams dropped because they were too long.
     pub too_long: u64,
--- a/replication/src/commit.rs
+++ b/replication/src/commit.rs
@@ -25,7 +25,7 @@
         /// The required number of machines.
         wanted: usize,
     },
-    /// Too many commits are pending.
+    /// The maximum number of pending commits is exceeded.
     TooManyPending,
 }
 
@@ -80,7 +80,7 @@
     durable: BTreeMap<Epoch, BTreeMap<usize, Index>>,
     /// The id of the process of each peer that sent the reports in `durable`.
     processes: BTreeMap<usize, u64>,
-    /// The machine of each peer.
+    /// The machine of each peer, by the index of the peer.
     machines: Vec<Machine>,
     own: Machine,
     /// Ordered by index. As commits are opened in the order of their indexes, this is also the order of `opened_at`.
--- a/replication/src/compaction.rs
+++ b/replication/src/compaction.rs
@@ -28,9 +28,9 @@
 pub struct Compaction {
     /// The changed buckets, whose content is in [`LogStore::table`].
     pub buckets: Vec<BucketIndex>,
-    /// The new compacted indexes.
+    /// The logs whose compacted index was raised, with the new index.
     pub logs: Vec<CompactedLog>,
-    /// The moved entries.
+    /// The purges that were moved to the table.
     pub entries: Vec<Entry>,
 }
 
--- a/replication/src/log_store/capacity.rs
+++ b/replication/src/log_store/capacity.rs
@@ -15,7 +15,7 @@
 }
 
 impl Capacity {
-    /// A capacity without limits.
+    /// A capacity that no insertion exceeds.
     pub const UNLIMITED: Capacity = Capacity {
         entries: usize::MAX,
         expiring_entries: usize::MAX,
@@ -64,8 +64,8 @@
     New,
     /// The index is not after the last index of the log: the entry is already stored or was superseded.
     Duplicate,
-    /// Entries before this one are missing.
+    /// The entry was not inserted, because entries before it are missing.
     OutOfOrder,
-    /// The capacity is exceeded.
+    /// The entry was not inserted, because it exceeds the capacity.
     Rejected(CapacityExceeded),
 }
--- a/replication/src/log_store/mod.rs
+++ b/replication/src/log_store/mod.rs
@@ -74,7 +74,7 @@
     }
 }
 
-/// Logs by writer and epoch.
+/// The logs that a proxy stores, with an index by subject and the table of compacted purges.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LogStore {
     progress: BTreeMap<LogId, LogProgress>,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -145,11 +145,11 @@
 /// Settings of a router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Classes of requests.
+    /// Classes of requests; at least one is required.
     pub classes: Vec<Class>,
     /// Tenants; the list may be empty.
     pub tenants: Vec<Tenant>,
-    /// All zones.
+    /// All zones of the deployment, including those without routers.
     pub zones: Vec<Zone>,
     /// Index of the router's own zone in `zones`.
     pub zone: usize,
