--- a/budgets/src/kinds.rs
+++ b/budgets/src/kinds.rs
@@ -2,20 +2,20 @@
 
 use crate::Amount;
 
-/// The ratio of a member's demand to its unsettled amount. It exceeds one so that a larger lease arrives before it is
-/// needed.
+/// The ratio of a member's demand to its unsettled amount. It exceeds one so that a member with a growing load requests
+/// a larger lease before the current one is used up.
 const DEMAND_FACTOR: Amount = 2;
-/// The number of requests that are demanded in addition.
+/// The number of requests that are added to each demand for concurrent requests.
 const SPARE_REQUESTS: Amount = 4;
-/// The amount that is demanded in addition is a server's capacity divided by this.
+/// A server's capacity divided by this is added to each demand for capacity.
 const SPARE_DIVISOR: Amount = 10;
 
 /// The unit of an amount.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unit {
-    /// Concurrent requests.
+    /// The amount is a number of concurrent requests.
     Concurrent,
-    /// Millionths of a server's capacity.
+    /// The amount is in millionths of a server's capacity.
     Millionths,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// A kind of budget.
+/// A kind of budget. Budgets of one kind limit the use of the same type of resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Kind {
     /// The name that `fleet budgets` and the log show.
--- a/consul/src/watch/event.rs
+++ b/consul/src/watch/event.rs
@@ -8,7 +8,7 @@
 /// An event of a watch that is logged for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchEvent {
-    /// A query failed.
+    /// A query failed. Reported again only if the next failure has another agent or error.
     QueryFailed {
         /// Index of the agent.
         agent: usize,
@@ -26,34 +26,34 @@
     PermissionDenied {
         /// Index of the agent.
         agent: usize,
-        /// The message of the agent.
+        /// The first line of the agent's response body.
         message: String,
     },
     /// The registration of an instance is invalid.
     InstanceSkipped(SkippedInstance),
     /// More than half of the instances of a response are unusable, which indicates a wrong mapping.
     MostlyUnusable {
-        /// Number of unusable instances.
+        /// Number of instances in the response whose registration is invalid.
         unusable: usize,
-        /// Number of all instances.
+        /// Number of all instances in the response.
         total: usize,
         /// The first unusable instance.
         first: SkippedInstance,
     },
     /// An id is registered at two addresses.
     DuplicateId {
-        /// The id.
+        /// The id that the two registrations share.
         uid: String,
         /// The address that is used.
         accepted: SocketAddr,
         /// The address that is skipped.
         rejected: SocketAddr,
     },
-    /// A health response omits so many known caches that the catalog has to confirm it.
+    /// A health response omits so many known caches that they are not removed before the catalog confirms the response.
     ConfirmationPending {
         /// Number of known caches that the response lists.
         listed: usize,
-        /// Number of known caches.
+        /// Number of caches in the last reported endpoint list.
         known: usize,
     },
     /// The catalog confirms the pending health response.
@@ -63,10 +63,9 @@
         /// Number of known caches that are registered.
         registered: usize,
     },
-    /// The last contact of the responding server with its leader was this many microseconds ago, which exceeds the
-    /// limit.
+    /// The responding server had its last contact with the leader this many microseconds ago, which exceeds the limit.
     StaleResponse(Micros),
-    /// The index went backwards, so the next query does not block or blocks after index 1.
+    /// Consul's index went backwards. The next query does not block, or waits for changes after index 1.
     IndexReset {
         /// The previous index.
         from: u64,
--- a/membership/src/gossip.rs
+++ b/membership/src/gossip.rs
@@ -1,5 +1,5 @@
 //! The selection of updates that are piggybacked on the next datagram. Each update is sent a bounded number of times,
-//! and those sent least often come first.
+//! and updates that have been sent least often come first.
 
 use crate::wire::Update;
 use crate::Id;
@@ -25,7 +25,7 @@
 }
 
 impl Gossip {
-    /// Adds an update.
+    /// Adds an update, which replaces an earlier update about the same member.
     pub(crate) fn add(&mut self, update: Update) {
         self.updates.insert(
             update.id,
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -12,25 +12,25 @@
 /// The maximum length of a name that is sent. Longer names are truncated.
 const MAX_NAME_BYTES: usize = 40;
 
-/// A claim about a member and the member that makes it.
+/// A claim about a member, with the member that makes the claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
     /// The member that the claim is about.
     pub id: Id,
     /// The member that makes the claim. Suspicions by different observers confirm each other.
     pub observer: Id,
-    /// The claim.
+    /// The claimed process, incarnation and state of the member.
     pub claim: Claim,
 }
 
 /// The sender of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sender {
-    /// Its id.
+    /// The id of the sender.
     pub id: Id,
-    /// Its process.
+    /// The process of the sender.
     pub process: ProcessId,
-    /// Its incarnation.
+    /// The incarnation of the sender.
     pub incarnation: u32,
 }
 
@@ -62,21 +62,21 @@
     },
     /// Reports that the target of an indirect probe did not answer.
     Nack {
-        /// The number of the request.
+        /// The number of the request that the nack answers.
         number: u32,
     },
     /// Announces the sender's shutdown.
     Leave,
 }
 
-/// The content of a datagram.
+/// The decoded content of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// The sender.
+    /// The sender, which implies a claim that it is alive.
     pub from: Sender,
-    /// The body.
+    /// The probe, response or announcement that the datagram was sent for.
     pub body: Body,
-    /// Piggybacked updates.
+    /// Updates about any members, which are gossiped with the datagram.
     pub updates: Vec<Update>,
 }
 
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -2,7 +2,7 @@
 
 use super::{ListMode, Load, Micros, RequestId, Server, ServerId};
 
-/// A client's request.
+/// A client's request, as the proxy passes it to the router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
     /// Id of the request.
@@ -34,7 +34,7 @@
     Error,
     /// The server, or the source of its fill, rejected the request before it ran.
     Full,
-    /// No answer arrived in time; the request may have run or may still be running.
+    /// No answer arrived within the timeout; the request may have run or may still be running.
     Timeout,
     /// The connection was refused; the request did not run.
     ConnectFailed,
@@ -45,7 +45,7 @@
     Reset,
     /// The router cancelled the attempt; the request may have run.
     Cancelled,
-    /// The attempt was not sent.
+    /// The attempt was not executed, and this says nothing about the health of its server.
     Moot,
     /// The cache has no usable copy and did not fill one.
     Miss,
@@ -54,7 +54,7 @@
 /// How the answer was produced, or why a fill failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Note {
-    /// Not reported.
+    /// The answer did not say.
     None,
     /// A cache hit.
     Hit,
@@ -62,7 +62,7 @@
     Filled,
     /// A miss that was filled from the origin, directly or through the source.
     FilledByOrigin,
-    /// A miss that was coalesced into a fill already in progress.
+    /// A miss that waited for a fill already in progress and was answered from it.
     Joined,
     /// A cache hit on a stale copy.
     Stale,
@@ -129,11 +129,11 @@
         attempt: u32,
         /// Server to which the attempt was sent.
         server: ServerId,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time from sending the attempt to its end.
         took_us: Micros,
-        /// The client has received its final answer.
+        /// The client has received its final answer, so the request is closed.
         settled: bool,
         /// How the answer was produced.
         note: Note,
@@ -156,9 +156,9 @@
     ProbeEnded {
         /// Id of the server.
         server: ServerId,
-        /// How it ended.
+        /// Outcome of the health check.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time from sending the health check to its end.
         took_us: Micros,
         /// The server's load report.
         load: Option<Load>,
--- a/store/src/error.rs
+++ b/store/src/error.rs
@@ -1,4 +1,4 @@
-//! The errors of the store, classified into transient and permanent ones.
+//! The errors of the store, which are either transient or permanent.
 
 use crate::file::Format;
 use std::io;
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Returns whether the error may disappear without intervention, as that of a full or failing disk may.
+    /// Returns whether the error may disappear without intervention, such as the error of a full or failing disk.
     pub fn is_transient(&self) -> bool {
         matches!(self, StoreError::Disk(_))
     }
--- a/store/tests/crash.rs
+++ b/store/tests/crash.rs
@@ -24,7 +24,7 @@
     Store::open_on(move || medium.clone())
 }
 
-/// Commits groups that each overwrite a key of the previous group and remove another one. Returns the number of
+/// Commits groups that each overwrite a key of the previous group and remove another key. Returns the number of
 /// acknowledged groups.
 fn commit_groups(medium: &Medium) -> u64 {
     let Ok(mut store) = open(medium) else {
@@ -53,7 +53,7 @@
     assert_eq!(commit_groups(&uninterrupted), 12);
     let all = uninterrupted.0.lock().unwrap().operations;
     assert!(all > 50, "{all} operations");
-    // The creation of the file is skipped, as an incomplete file is never renamed into place.
+    // Operations of the creation of the file are not tested, because an incomplete file is never renamed into place.
     let created = Medium::default();
     drop(open(&created).unwrap());
     let created = created.0.lock().unwrap().operations;
