--- a/rehearse/src/scale/daemons/command.rs
+++ b/rehearse/src/scale/daemons/command.rs
@@ -116,13 +116,13 @@
 
 fn prepare(arguments: &Arguments) -> Result<Run, CommandError> {
     let target = Target::load(arguments.target.as_deref())?;
-    let beside = || {
+    let sibling_executable = || {
         std::env::current_exe()
-            .map(|own| own.with_file_name("linnetknot"))
+            .map(|executable| executable.with_file_name("linnetknot"))
             .unwrap_or_default()
     };
     Ok(Run {
-        program: arguments.daemon.clone().unwrap_or_else(beside),
+        program: arguments.daemon.clone().unwrap_or_else(sibling_executable),
         daemons: arguments.daemons as usize,
         members: arguments.members as usize,
         seconds: arguments.seconds,
--- a/rehearse/src/scale/daemons/host.rs
+++ b/rehearse/src/scale/daemons/host.rs
@@ -289,9 +289,9 @@
         let Ok(Datagram::Ack { positions, .. }) = Datagram::decode(bytes) else {
             return;
         };
-        let (own, now) = (self.config.members[index].id, self.clock.now());
+        let (writer_id, now) = (self.config.members[index].id, self.clock.now());
         for position in positions {
-            if position.log.writer == own {
+            if position.log.writer == writer_id {
                 self.acks.acknowledged(index, daemon, position.index, now);
             }
         }
@@ -360,10 +360,10 @@
 }
 
 /// Returns the index of this writer's entry among the datagrams to the first daemon.
-fn own_entry(outgoing: &[Outgoing], own: Writer) -> Option<Index> {
+fn own_entry(outgoing: &[Outgoing], writer_id: Writer) -> Option<Index> {
     let mut to_first = outgoing.iter().filter(|outgoing| outgoing.to == 0);
     to_first.find_map(|outgoing| match Datagram::decode(&outgoing.bytes) {
-        Ok(Datagram::Entry(entry)) if entry.log.writer == own => Some(entry.index),
+        Ok(Datagram::Entry(entry)) if entry.log.writer == writer_id => Some(entry.index),
         _ => None,
     })
 }
--- a/rehearse/src/scale/daemons/real.rs
+++ b/rehearse/src/scale/daemons/real.rs
@@ -82,8 +82,10 @@
     pub fn budgets(&self) -> io::Result<Budgets> {
         let fields = |value: Value| value.as_object().cloned().unwrap_or_default();
         let mut config = Config::read(&fields(self.config(0))).map_err(io::Error::other)?;
-        let own = fields(self.interconnect(0, Path::new("purges")));
-        config.interconnect(&own).map_err(io::Error::other)?;
+        let interconnect = fields(self.interconnect(0, Path::new("purges")));
+        config
+            .interconnect(&interconnect)
+            .map_err(io::Error::other)?;
         Ok(config.budgets)
     }
 }
@@ -140,13 +142,17 @@
         for index in 0..daemons {
             let name = &files.members[index].name;
             let disk = running.folder.join(name);
-            let (config, own) = (
+            let (config, interconnect) = (
                 files.config(index),
                 files.interconnect(index, &disk.join("purges")),
             );
-            running
-                .processes
-                .push(Process::start(program, &disk, name, &config, &own)?);
+            running.processes.push(Process::start(
+                program,
+                &disk,
+                name,
+                &config,
+                &interconnect,
+            )?);
         }
         Ok(running)
     }
--- a/rehearse/src/scale/daemons/run.rs
+++ b/rehearse/src/scale/daemons/run.rs
@@ -134,7 +134,7 @@
     at: Micros,
     processes: Vec<ProcessStat>,
     dropped: Vec<u64>,
-    own: ProcessStat,
+    host_process: ProcessStat,
 }
 
 /// Runs the fleet and measures its daemons.
@@ -288,7 +288,7 @@
             at: self.host.now(),
             processes: self.daemons.process_stats()?,
             dropped: self.daemons.dropped_datagrams()?,
-            own: proc_stat::read(std::process::id())?,
+            host_process: proc_stat::read(std::process::id())?,
         })
     }
 
@@ -312,7 +312,7 @@
             .collect();
         Ok((
             resource_usage,
-            after.own.processor_time - before.own.processor_time,
+            after.host_process.processor_time - before.host_process.processor_time,
         ))
     }
 
--- a/rehearse/src/scale/hollow/mod.rs
+++ b/rehearse/src/scale/hollow/mod.rs
@@ -203,8 +203,7 @@
         true
     }
 
-    /// Updates the machines of the peers from their announced names, or from the configuration for peers not heard from
-    /// yet.
+    /// Updates the machines of the peers from their announced names, or from the configuration for peers without any.
     fn update_machines(&mut self) {
         let known = self
             .membership
--- a/rehearse/src/scale/hollow/purge_log.rs
+++ b/rehearse/src/scale/hollow/purge_log.rs
@@ -23,15 +23,15 @@
 pub struct DiskContents {
     logs: LogStore,
     /// Log that the next process continues, set after a graceful shutdown.
-    own: Option<LogId>,
+    own_log: Option<LogId>,
 }
 
 impl DiskContents {
-    /// Creates disk contents from logs, of which the next process continues `own`.
-    pub fn with_logs(logs: LogStore, own: LogId) -> Self {
+    /// Creates disk contents from logs, of which the next process continues `own_log`.
+    pub fn with_logs(logs: LogStore, own_log: LogId) -> Self {
         DiskContents {
             logs,
-            own: Some(own),
+            own_log: Some(own_log),
         }
     }
 
@@ -68,9 +68,9 @@
     ) -> Self {
         let me = &config.members[index];
         let is_fresh = disk.is_none();
-        let DiskContents { logs, own } = disk.unwrap_or_default();
-        let own = own.unwrap_or(LogId::new(me.id, now));
-        let mut replica = Replica::new(own, logs, now, config.replication);
+        let DiskContents { logs, own_log } = disk.unwrap_or_default();
+        let own_log = own_log.unwrap_or(LogId::new(me.id, now));
+        let mut replica = Replica::new(own_log, logs, now, config.replication);
         let machines: Vec<u64> = config.peers_of(index).map(|peer| peer.machine_id).collect();
         let times = RecoveryTimes {
             start: now,
@@ -119,8 +119,8 @@
     }
 
     /// Sets the machines of this member and of its peers.
-    pub(super) fn set_machines(&mut self, own: u64, machines: Vec<u64>) {
-        self.replica.set_peers(own, machines);
+    pub(super) fn set_machines(&mut self, own_machine: u64, machines: Vec<u64>) {
+        self.replica.set_peers(own_machine, machines);
     }
 
     pub(super) fn due(&self) -> Micros {
@@ -344,7 +344,7 @@
         if is_in_order && self.replica.is_synced() {
             return DiskContents {
                 logs: store.clone(),
-                own: Some(self.replica.own_log()),
+                own_log: Some(self.replica.own_log()),
             };
         }
         let is_durable = |entry: &Entry| entry.index <= self.replica.durable_index(entry.log);
@@ -353,7 +353,7 @@
         let logs = LogStore::restore(store.table().clone(), &compacted, entries);
         DiskContents {
             logs: logs.expect("each index of a log occurs once on the disk"),
-            own: None,
+            own_log: None,
         }
     }
 }
--- a/rehearse/src/scale/prefill.rs
+++ b/rehearse/src/scale/prefill.rs
@@ -55,13 +55,13 @@
 
 /// Returns the disks of all members: identical logs, with as many entries from each member, after the compacted purges.
 pub(super) fn disks(run: &Run, config: &FleetConfig, now: Micros) -> Vec<DiskContents> {
-    let own = |member: &MemberName| LogId::new(member.id, now);
+    let own_log = |member: &MemberName| LogId::new(member.id, now);
     let mut table = CompactTable::new(BucketBits::DEFAULT);
     for CompactedPurge { purge, at } in compacted(run, config, now) {
         table.record(KeyHash::of_object(&object(purge)), at);
     }
     let marker = |member| CompactedLog {
-        log: own(member),
+        log: own_log(member),
         through: 1,
     };
     let is_compacted = !table.is_empty();
@@ -80,12 +80,12 @@
             at: now,
             revoked: false,
         };
-        let entry = logs.append(own(writer), record, Capacity::UNLIMITED);
+        let entry = logs.append(own_log(writer), record, Capacity::UNLIMITED);
         entry.expect("the capacity is unlimited");
     }
     config
         .members
         .iter()
-        .map(|member| DiskContents::with_logs(logs.clone(), own(member)))
+        .map(|member| DiskContents::with_logs(logs.clone(), own_log(member)))
         .collect()
 }
--- a/rehearse/src/scale/slopes.rs
+++ b/rehearse/src/scale/slopes.rs
@@ -123,8 +123,8 @@
 }
 
 fn run_process(size: usize, options: &Options, file: &std::path::Path) -> Result<(), SizeError> {
-    let own = std::env::current_exe()?;
-    let mut command = Command::new(own);
+    let executable = std::env::current_exe()?;
+    let mut command = Command::new(executable);
     command.arg("scale").arg("--json").arg(file);
     for (name, value) in [
         ("--members", size.to_string()),
--- a/rehearse/tests/scale.rs
+++ b/rehearse/tests/scale.rs
@@ -395,17 +395,14 @@
 #[test]
 fn layout_matches_the_target_and_scales_down() {
     let target = target();
-    let whole = Layout::new(6_400, &target);
-    assert_eq!(
-        (whole.sites(), whole.zones(), whole.regions()),
-        (330, 29, 10)
-    );
+    let full = Layout::new(6_400, &target);
+    assert_eq!((full.sites(), full.zones(), full.regions()), (330, 29, 10));
     let small = Layout::new(300, &target);
     assert_eq!(
         (small.sites(), small.zones(), small.regions()),
         (15, 15, 10)
     );
-    for layout in [whole, small] {
+    for layout in [full, small] {
         let last = layout.members() - 1;
         assert_eq!(layout.distance(0, 1), Distance::Site);
         assert_eq!(layout.distance(0, last), Distance::BetweenRegions);
