--- a/rehearse/src/play/drain.rs
+++ b/rehearse/src/play/drain.rs
@@ -1,4 +1,4 @@
-//! A cache that drains while redirected requests are under way.
+//! A drain of a cache while redirected requests are in flight.
 
 use super::{content, failed, RehearsalDefect};
 use crate::Report;
@@ -12,19 +12,19 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Time from the notice of a drain until nothing new goes there, and what sockets add to every time limit.
+/// The grace period after the notice of a drain, with an allowance for the delay of sockets.
 const DRAIN_GRACE_MS: u64 = 1000 + 50;
-/// Requests that are redirected.
+/// The number of redirected requests.
 const REDIRECTED: usize = 12;
 
-/// A request that was redirected here and is under way.
+/// A redirected request in flight.
 struct Redirected {
     number: usize,
     answer: JoinHandle<io::Result<Answer>>,
 }
 
-/// Requests that were redirected here while their target cache is draining: one final answer each, and nothing new
-/// at the cache from the grace on.
+/// Drains a cache under redirected requests. Checks that each gets one final answer and that no new request reaches the
+/// cache after the grace period.
 pub(super) fn drain(
     running: &Process,
     bus: &Bus,
@@ -39,7 +39,7 @@
         });
     });
     let clients = redirect(running, report)?;
-    // The cache that the first of them waits at is draining.
+    // Drains the cache at which the first of them waits.
     let target = redirected_to(caches)?;
     if defect != Some(RehearsalDefect::DrainNotSent) {
         bus.list(false, vec![entry(target, "here", "box", "draining")]);
@@ -55,7 +55,7 @@
     for n in 0..2 * REDIRECTED {
         let answer = content(running.cdni, &format!("{:016x}", 0xc000 + n))?;
         report.check("one answer", !answer.surplus, || {
-            format!("bytes behind the answer to request {n} after a drain")
+            format!("extra bytes after the answer to request {n} after a drain")
         });
     }
     judge_drained(target, draining_ms, report);
@@ -66,14 +66,14 @@
     Ok(())
 }
 
-/// Nothing new reached a cache from the grace on.
+/// Checks that no new request reached the cache after the grace period.
 fn judge_drained(target: &FakeCache, draining_ms: u64, report: &mut Report) {
     let arrivals = target.arrivals();
     let is_late = |a: &&Arrival| a.command == "fetch" && a.at > draining_ms + DRAIN_GRACE_MS;
     for arrival in arrivals.iter().filter(is_late) {
         report.check("drain", false, || {
             format!(
-                "{} reached {} {} ms after the notice that it drains",
+                "{} reached {} {} ms after the notice of its drain",
                 arrival.id,
                 target.uid,
                 arrival.at - draining_ms
@@ -82,12 +82,12 @@
     }
 }
 
-/// The object that a redirected request asks for.
+/// Returns the object of a redirected request.
 fn redirected_object(number: usize) -> String {
     format!("{:016x}", 0xb000 + number)
 }
 
-/// Has requests redirected, and sends each where its redirection leads.
+/// Requests redirections and follows each.
 fn redirect(running: &Process, report: &mut Report) -> io::Result<Vec<Redirected>> {
     let mut clients = Vec::new();
     for number in 0..REDIRECTED {
@@ -105,7 +105,7 @@
             .and_then(|l| l.strip_prefix("http://cdn.example"));
         let Some(target) = location.map(str::to_owned) else {
             report.check("redirection", false, || {
-                format!("no redirection but {value}")
+                format!("no redirection in the answer {value}")
             });
             continue;
         };
@@ -116,7 +116,7 @@
     Ok(clients)
 }
 
-/// The cache that a redirected request has reached first.
+/// Waits for a redirected request to reach a cache and returns that cache.
 fn redirected_to(caches: &[FakeCache]) -> io::Result<&FakeCache> {
     let objects: Vec<_> = (0..REDIRECTED).map(redirected_object).collect();
     let redirected = |a: &Arrival| {
@@ -138,19 +138,22 @@
     }
 }
 
-/// Each redirected request has one final answer.
+/// Checks that each redirected request has one final answer.
 fn judge_redirected(clients: Vec<Redirected>, report: &mut Report) -> io::Result<()> {
     for Redirected { number, answer } in clients {
-        match answer.join().map_err(|_| failed("a client gave up"))? {
+        match answer
+            .join()
+            .map_err(|_| failed("a client thread panicked"))?
+        {
             Err(e) => report.check("one answer", false, || {
-                format!("redirected request {number} got none: {e}")
+                format!("redirected request {number} got no answer: {e}")
             }),
             Ok(answer) => {
                 let known = matches!(answer.status, 200 | 502 | 503 | 504);
                 report.check("one answer", known && !answer.surplus, || {
                     let (status, surplus) = (answer.status, answer.surplus);
                     format!(
-                        "redirected request {number} got {status} with more behind it: {surplus}"
+                        "redirected request {number} got {status}, extra bytes after it: {surplus}"
                     )
                 });
             }
--- a/rehearse/src/play/mod.rs
+++ b/rehearse/src/play/mod.rs
@@ -1,4 +1,4 @@
-//! The cases, and what must hold in them.
+//! The built-in rehearsal: a purge, a drain and a planned shutdown, with their checks.
 
 mod drain;
 
@@ -18,16 +18,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A fault that the fakes are made to show, to see that it is reported.
+/// A defect that the fakes inject, so that tests can check that it is reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RehearsalDefect {
-    /// The caches serve copies of any age, also after a purge, and say that they are new.
+    /// The caches ignore the requested age and serve old copies after a purge.
     StaleCopies,
-    /// The drain never reaches the daemon.
+    /// The drain is not announced to the daemon.
     DrainNotSent,
 }
 
-/// Time from the notice of a purge until nothing older is served, and what sockets add to every time limit.
+/// The grace period after the notice of a purge, with an allowance for the delay of sockets.
 const PURGE_GRACE_MS: u64 = 300 + 50;
 const OBJECT: &str = "00000000000000a1";
 
@@ -36,7 +36,7 @@
 }
 
 fn start(daemon: &Path, bus: &Bus, peer: SocketAddr) -> io::Result<Process> {
-    // Named by the bus's port: rehearsals may run side by side in one process.
+    // The bus's port makes the name unique among rehearsals in one process.
     let folder = std::env::temp_dir().join(format!(
         "linnetknot-rehearse-{}-{}",
         std::process::id(),
@@ -57,7 +57,7 @@
     process
 }
 
-/// Plays both cases against a daemon's program and reports every breach. Errors are those of the play itself.
+/// Plays all cases against a daemon and reports each breach. An error means that the play itself failed.
 pub fn rehearse(daemon: &Path, defect: Option<RehearsalDefect>) -> io::Result<Report> {
     let mut report = Report::default();
     let caches = [
@@ -104,13 +104,13 @@
     call(to, "GET", &format!("/content/photo/{object}/0?kb=40"), "")
 }
 
-/// A purge by the peer CDN: from its grace on, neither front serves an older copy.
+/// Purges an object through the peer CDN and checks that neither front serves an older copy after the grace period.
 fn purge(running: &Process, caches: &[FakeCache], report: &mut Report) -> io::Result<()> {
     let warm = content(running.cdni, OBJECT)?;
     report.check("one answer", warm.status == 200, || {
         format!("the first copy was answered {}", warm.status)
     });
-    // The purge must lie behind the copy by more than the clock's step.
+    // The purge must be later than the copy by more than the clock's resolution.
     thread::sleep(Duration::from_millis(5));
     let purged_ms = unix_ms();
     let url = format!("http://cdn.example/content/photo/{OBJECT}");
@@ -137,24 +137,24 @@
                 && answer.made().is_some_and(|made| made < purged_ms);
             report.check("purge", !is_stale, || {
                 format!(
-                    "by {front}, {} ms after the notice of the purge, a copy from before it was served",
+                    "{front} served a copy from before the purge {} ms after its notice",
                     sent - notified_ms
                 )
             });
             report.check("one answer", !answer.surplus, || {
-                format!("bytes behind an answer by {front}")
+                format!("extra bytes after an answer by {front}")
             });
         }
         thread::sleep(Duration::from_millis(20));
     }
     let reached: usize = caches.iter().map(|cache| cache.arrivals().len()).sum();
     report.cases.push(format!(
-        "a purge by CDNI, {requests} requests by each front, {reached} at the caches"
+        "a purge by CDNI, {requests} requests to each front, {reached} at the caches"
     ));
     Ok(())
 }
 
-/// The status that an answer to a trigger names says that the purge is complete.
+/// Checks that the status resource of a trigger reports the purge as complete.
 fn check_status(running: &Process, made: &Answer, report: &mut Report) -> io::Result<()> {
     let path = made
         .header("location")
@@ -164,12 +164,12 @@
     let done =
         serde_json::from_slice::<Value>(&status.body).is_ok_and(|v| v["status"] == "complete");
     report.check("trigger", done, || {
-        format!("the status resource {path} does not say that the purge is complete")
+        format!("the status resource {path} does not report the purge as complete")
     });
     Ok(())
 }
 
-/// Our footprint and a purge of the bus reach the peer CDN.
+/// Checks that the footprint and a purge from the bus reach the peer CDN.
 fn notices(
     bus: &Bus,
     requests: &mpsc::Receiver<PeerRequest>,
@@ -192,7 +192,7 @@
             && body["cdn-path"][0] == "AS64500:0";
     }
     report.check("notice", footprint, || {
-        "our footprint did not reach the peer CDN".to_owned()
+        "the footprint did not reach the peer CDN".to_owned()
     });
     report.check("notice", purge, || {
         "a purge of the event bus did not reach the peer CDN".to_owned()
@@ -203,7 +203,7 @@
     Ok(())
 }
 
-/// No request had more than six attempts.
+/// Checks that no request had more than six attempts.
 fn attempts(caches: &[FakeCache], origin: &FakeCache, report: &mut Report) {
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
     let all = caches.iter().chain([origin]).flat_map(FakeCache::arrivals);
@@ -214,7 +214,7 @@
     }
 }
 
-/// A planned end: what is open is answered, and the daemon ends well.
+/// Terminates the daemon with a request open, and checks that the request is answered and the exit status is 0.
 fn end(running: &mut Process, caches: &[FakeCache], report: &mut Report) -> io::Result<()> {
     let before: usize = caches.iter().map(|cache| cache.arrivals().len()).sum();
     caches.iter().for_each(|cache| {
@@ -241,16 +241,16 @@
         caches
             .iter()
             .any(|cache| cache.arrivals().iter().any(is_last_object)),
-        || "the last request strayed".into(),
+        || "the last request reached no cache".into(),
     );
-    // The shell sends the signal: the standard library can't.
+    // The standard library can't send signals.
     Command::new("sh")
         .arg("-c")
         .arg(format!("kill -TERM {}", running.child.id()))
         .status()?;
     let answer = server.end()?.1;
     report.check("end", answer.is_some(), || {
-        "an open request was not answered at the end".to_owned()
+        "an open request was not answered at shutdown".to_owned()
     });
     let status = running.child.wait()?;
     report.check("end", status.success(), || {
@@ -258,6 +258,6 @@
     });
     report
         .cases
-        .push("a planned end with a request open".to_owned());
+        .push("a planned shutdown with a request open".to_owned());
     Ok(())
 }
--- a/rehearse/src/player/clients.rs
+++ b/rehearse/src/player/clients.rs
@@ -1,4 +1,4 @@
-//! The readers of the clients' connections: they take answers in, and have rejected requests retried.
+//! The readers of the clients' connections, which record answers and schedule retries of refused requests.
 
 use crate::fakes::site_server::verified_copy_time_ms;
 use crate::load::Arrival;
@@ -10,12 +10,12 @@
 use std::sync::mpsc::Sender;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// How often a client retries a request that was rejected.
+/// The maximum number of retries of a refused request.
 const MAX_RETRIES: u32 = 2;
-/// The wait before a retry where the answer advises none.
+/// The delay before a retry if the answer advises none.
 const DEFAULT_RETRY_MS: u64 = 200;
 
-/// A request of a client, with its number among the retries of the first one.
+/// A request of a client with its retry number.
 #[derive(Clone)]
 pub(super) struct ClientRequest {
     pub(super) arrival: Arrival,
@@ -25,7 +25,7 @@
 }
 
 impl ClientRequest {
-    /// A first request.
+    /// Returns the first request for a planned arrival.
     pub(super) fn first(arrival: &Arrival) -> Self {
         ClientRequest {
             arrival: arrival.clone(),
@@ -35,27 +35,27 @@
     }
 }
 
-/// A request that is to be sent again.
+/// A scheduled retry.
 pub(super) struct Retry {
     pub(super) at: Micros,
     pub(super) request: ClientRequest,
 }
 
-/// What the clients know of their requests.
+/// The clients' record of sent requests and answers.
 #[derive(Default)]
 pub(super) struct ClientRecord {
     pub(super) answered: Vec<Answered>,
-    /// All that was sent, by id.
+    /// The sent requests by id.
     pub(super) sent: HashMap<String, ClientRequest>,
 }
 
-/// What the readers of answers share with the load generator.
+/// The state that the readers of answers share with the load generator.
 pub(super) struct Clients {
     record: Mutex<ClientRecord>,
     retries: Sender<Retry>,
 }
 
-/// The requests that are open on one connection: their ids, by their numbers there.
+/// The ids of the requests that are open on one connection, by FastCGI request number.
 #[derive(Default)]
 pub(super) struct OpenRequests(Mutex<HashMap<u16, String>>);
 
@@ -72,7 +72,7 @@
         self.lock().values().cloned().collect()
     }
 
-    /// Opens a request under the lowest number that is free.
+    /// Adds a request under the lowest free number.
     pub(super) fn insert(&self, id: String) -> u16 {
         let mut open = self.lock();
         let number = (1..=u16::MAX).find(|n| !open.contains_key(n)).unwrap_or(1);
@@ -86,7 +86,7 @@
 }
 
 impl Clients {
-    /// Clients that have sent nothing yet; what they retry goes to `retries`.
+    /// Returns clients without requests, which send their retries to `retries`.
     pub(super) fn new(retries: Sender<Retry>) -> Self {
         Clients {
             record: Mutex::default(),
@@ -98,7 +98,7 @@
         self.record.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Reads the answers of one connection until it ends, or has been idle for too long.
+    /// Reads the answers of one connection until it ends or times out without open requests.
     pub(super) fn read(&self, mut web: WebServer, open: &OpenRequests) {
         loop {
             match web.end() {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Takes an answer in; none came to a request that was aborted.
+    /// Records an answer and schedules a retry if it is a refusal. An aborted request has no answer.
     fn record_answer(&self, at: Micros, id: Option<String>, answer: Option<Answer>) {
         let (Some(id), Some(answer)) = (id, answer) else {
             return;
@@ -151,7 +151,7 @@
     }
 }
 
-/// What an answer is to the client of this request.
+/// Returns the outcome of this answer for the client.
 fn classify(arrival: &Arrival, answer: &Answer, advised_ms: Option<u64>) -> FinalAnswer {
     match answer.status {
         200 => {
--- a/rehearse/src/player/deployment.rs
+++ b/rehearse/src/player/deployment.rs
@@ -1,4 +1,4 @@
-//! The deployment that a scenario describes: the settings of its proxies and the nodes behind them.
+//! The deployment of a scenario: the settings of its proxies and the nodes behind them.
 
 use crate::fakes::site::{FakeSite, NodeKind, NodeParameters, SiteParameters};
 use crate::record::{Class, ColdStart, Micros, Repeat};
@@ -6,20 +6,21 @@
 use crate::timetable::cache_uid;
 use serde_json::{json, Value};
 
-/// What the proxies are told of cold boxes, and what the fakes do: a share at the start, warm after a time, and
-/// over by a multiple of what they can do for a while.
+// The behaviour of cold caches, used both in the settings of the proxies and by the fakes.
+
+/// The share of its capacity that a cache has at its start.
 const COLD_CAPACITY_SHARE: f64 = 0.15;
 const WARM_UP_US: Micros = 13_000_000;
 const OVERLOAD_MULTIPLE: f64 = 2.5;
 const OVERLOAD_WINDOW_US: Micros = 3_000_000;
-/// The origin drops repeats of a write's key for so long.
+/// The time for which the origin drops repeats of a write's key.
 const KEY_WINDOW_US: Micros = 3_000_000;
-/// An answer within this multiple of its own sending time is in time.
+/// The multiple of an answer's transfer time that is added to the response time objective.
 const OBJECTIVE_STRETCH: f64 = 2.0;
-/// Share of its worth that a late answer earns.
+/// The share of its weight that a late answer earns.
 const LATE_WEIGHT: f64 = 0.1;
 
-/// The time in which a request of a class should be answered.
+/// Returns the response time objective of a class.
 fn objective_us(class: &ClassLoad) -> Micros {
     if class.keyed {
         700_000
@@ -28,7 +29,7 @@
     }
 }
 
-/// What a request of a class is worth.
+/// Returns the weight of a request of a class in the score.
 fn weight(class: &ClassLoad) -> f64 {
     if class.keyed {
         3.0
@@ -37,7 +38,7 @@
     }
 }
 
-/// A class as the proxies' settings have it.
+/// Returns the entry of a class in the proxies' settings.
 fn category(class: &ClassLoad) -> Value {
     json!({
         "name": class.name, "aim-us": objective_us(class), "aim-stretch": OBJECTIVE_STRETCH,
@@ -46,7 +47,7 @@
     })
 }
 
-/// A class as the record has it.
+/// Returns the class for the record.
 pub(super) fn recorded_class(class: &ClassLoad) -> Class {
     Class {
         name: class.name.clone(),
@@ -62,7 +63,7 @@
     }
 }
 
-/// The settings object that every proxy of the scenario is started with.
+/// Returns the settings of each proxy of the scenario.
 pub(super) fn settings(scenario: &Scenario) -> Value {
     let classes = &scenario.load.classes;
     let each = |of: &dyn Fn(&ClassLoad) -> Value| classes.iter().map(of).collect::<Value>();
@@ -83,7 +84,7 @@
     })
 }
 
-/// How long a copy of a class may be served; 0 where none is kept.
+/// Returns the time for which a copy of a class may be served, or 0 if the class is not cached.
 pub(super) fn freshness_us(scenario: &Scenario, class: &ClassLoad) -> Micros {
     if class.keyed || class.parts.1 > 1 {
         0
@@ -96,7 +97,7 @@
     (ms * 1e3) as Micros
 }
 
-/// The figures of a node of this form.
+/// Returns the parameters of a node for the fake site.
 pub(super) fn parameters(node: &NodeForm) -> NodeParameters {
     NodeParameters {
         slots: node.slots as usize,
@@ -108,7 +109,7 @@
     }
 }
 
-/// A box started anew during the play: cold by the rules that the proxies are given.
+/// Returns the cold start of a cache, with the same figures as in the proxies' settings.
 pub(super) fn cold_start(uid: &str, at: Micros, capacity: f64) -> ColdStart {
     ColdStart {
         uid: uid.to_owned(),
@@ -121,29 +122,29 @@
     }
 }
 
-/// A node as the proxies are told of it.
+/// A node as it is listed to the proxies.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Node {
-    /// Its id.
+    /// The uid of the node.
     pub uid: String,
-    /// Its zone.
+    /// The zone of the node.
     pub zone: &'static str,
-    /// Its kind, as the event bus names it.
+    /// Its kind on the event bus.
     pub model: &'static str,
-    /// Its outgoing link, in transfers at full pace.
+    /// The capacity of its outgoing link, in transfers at full rate.
     pub capacity: f64,
 }
 
-/// The nodes of a rehearsal: as they behave, and as the proxies are told of them.
+/// The nodes of a rehearsal, both as fakes and as listed to the proxies.
 pub struct Deployment {
-    /// How they behave.
+    /// The fake site.
     pub site: FakeSite,
-    /// How they are listed.
+    /// The nodes as listed.
     pub nodes: Vec<Node>,
 }
 
 impl Deployment {
-    /// The nodes of a scenario as its site has them: boxes for each proxy, hub caches and an origin.
+    /// Returns the nodes of a scenario: edge caches for each proxy, parent caches and an origin.
     pub fn of(scenario: &Scenario) -> Self {
         let form = &scenario.site;
         let caches = form.boxes(scenario.proxies);
@@ -197,7 +198,7 @@
     }
 }
 
-/// What the nodes of a scenario share.
+/// Returns the parameters that the nodes of a scenario share.
 fn site(scenario: &Scenario, caches: usize) -> SiteParameters {
     let form = &scenario.site;
     SiteParameters {
--- a/rehearse/src/player/environment.rs
+++ b/rehearse/src/player/environment.rs
@@ -1,4 +1,4 @@
-//! What surrounds the proxies of a play: the nodes behind them, and the event buses that tell of these.
+//! The environment of the proxies in a play: the fake nodes and the event buses that announce them.
 
 use super::deployment::{cold_start, freshness_us, parameters, settings, Deployment, Node};
 use super::PlayDefect;
@@ -13,28 +13,28 @@
 use serde_json::{json, Value};
 use std::io;
 
-/// The nodes and buses of a play, and what was told and started there.
+/// The nodes and buses of a play, with the recorded notices and cold starts.
 pub(super) struct Environment<'a> {
     scenario: &'a Scenario,
     defect: Option<PlayDefect>,
     site_server: SiteServer,
     nodes: Vec<Node>,
-    /// One for each proxy: each is told the addresses at which it reaches the nodes.
+    /// One bus for each proxy, as the nodes have different addresses for each.
     buses: Vec<Bus>,
     notices: Vec<Notice>,
     cold_starts: Vec<ColdStart>,
 }
 
-/// What remains of an environment once it has ended.
+/// The record of an environment after its end.
 pub(super) struct EnvironmentRecord {
     pub(super) site: FakeSite,
     pub(super) notices: Vec<Notice>,
     pub(super) cold_starts: Vec<ColdStart>,
-    /// Kept until the proxies have ended, so that none of them loses its bus before.
+    /// Held until the proxies have ended, so that none of them loses its bus before.
     _buses: Vec<Bus>,
 }
 
-/// What a bus tells of a node.
+/// A node with the state in which a bus lists it.
 struct Listing<'a> {
     node: &'a Node,
     state: &'static str,
@@ -42,7 +42,7 @@
 }
 
 impl<'a> Environment<'a> {
-    /// Starts the nodes of a scenario, and a bus for each of its proxies.
+    /// Starts the nodes of a scenario and a bus for each proxy.
     pub(super) fn start(
         scenario: &'a Scenario,
         plan: &Plan,
@@ -67,7 +67,7 @@
         })
     }
 
-    /// A node as a proxy's bus lists it: at the address at which that proxy reaches it.
+    /// Returns the entry of a node on a proxy's bus, with the address for that proxy.
     fn node_entry(&self, proxy: usize, listing: &Listing<'_>) -> Value {
         let Listing {
             node,
@@ -79,7 +79,7 @@
             "state": state, "capacity_hint": node.capacity, "boot_ms": boot_ms})
     }
 
-    /// The configuration that a proxy is started with, the peers left out.
+    /// Returns the start configuration of a proxy without its peers.
     pub(super) fn proxy_config(&self, proxy: usize, seed: u64) -> Value {
         let ready = |node| {
             self.node_entry(
@@ -124,7 +124,7 @@
         self.change_site(step.clone());
     }
 
-    /// Notifies every proxy of a node's new state, each on its own bus.
+    /// Announces a node's new state to each proxy on its own bus.
     fn announce(
         &mut self,
         at: Micros,
@@ -173,7 +173,7 @@
         });
     }
 
-    /// Purges an object or a group: the proxies are notified, and the nodes learn of it by themselves, each in its own time.
+    /// Purges an object or a group. The proxies are notified at once, and each node applies the purge after a delay of its own.
     pub(super) fn purge(&mut self, purge: &Purge) {
         let at = unix_us();
         let what = purge.target;
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Ends the nodes, and gives what is to be judged.
+    /// Stops the nodes and returns the record.
     pub(super) fn end(self) -> io::Result<EnvironmentRecord> {
         let site = self.site_server.end()?;
         Ok(EnvironmentRecord {
@@ -218,7 +218,7 @@
     }
 }
 
-/// What the nodes must know of the load that the wire does not tell.
+/// Returns the properties of the load that the nodes can't learn from the wire.
 fn workload(scenario: &Scenario, plan: &Plan, defect: Option<PlayDefect>) -> Workload {
     let parts = plan
         .arrivals
--- a/rehearse/src/player/load_generator.rs
+++ b/rehearse/src/player/load_generator.rs
@@ -1,5 +1,4 @@
-//! The load generator: sends what is planned, and what is retried, when its time comes, and has the timetable carried
-//! out meanwhile.
+//! The load generator, which sends planned requests and retries when they are due and carries out the timetable.
 
 use super::clients::{ClientRequest, Clients, OpenRequests, Retry};
 use super::environment::Environment;
@@ -21,17 +20,17 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A connection is given up by its client before the proxy does so.
+/// The idle time after which a client closes a connection, shorter than the proxy's.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// A connection with fewer open requests than this takes one more, however few connections there are.
+/// A new connection is opened only if each has at least this many open requests.
 const MIN_REQUESTS_PER_CONNECTION: usize = 4;
-/// The most requests that are open on a connection.
+/// The maximum number of open requests on a connection.
 const MAX_REQUESTS_PER_CONNECTION: usize = 32;
-/// As long as there are fewer connections than this to a proxy, a busy one takes no more.
+/// The number of connections to a proxy beyond which busy connections are used rather than new ones opened.
 const TARGET_CONNECTIONS: usize = 16;
-/// How often whoever watches is told how far the play is.
+/// The interval of progress reports.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(100);
-/// How long the loop sleeps between looks at what is due.
+/// The interval of the loop.
 const TICK: Duration = Duration::from_micros(500);
 
 struct Connection {
@@ -40,7 +39,7 @@
     last_used: Instant,
 }
 
-/// A request as its fields are written.
+/// The fields of a request on the wire.
 struct Fields {
     id: String,
     object: String,
@@ -64,7 +63,7 @@
         }
     }
 
-    /// The bytes of the request under this number.
+    /// Returns the encoded request with this number.
     fn frame(&self, number: u16, class: &str, body: &[u8]) -> Vec<u8> {
         let mut fields = vec![
             ("HTTP_REQUEST_ID", self.id.as_str()),
@@ -79,32 +78,32 @@
     }
 }
 
-/// Sends what is planned, and what is tried again, when its time comes.
+/// Sends planned requests and retries when they are due.
 pub(super) struct LoadGenerator {
     scenario: Scenario,
     seed: u64,
     proxies: Proxies,
     clients: Arc<Clients>,
-    /// By proxy.
+    /// The open connections by proxy.
     connections: Vec<Vec<Connection>>,
-    /// What was open at a killed proxy is owed no more; false only to plant a fault.
+    /// Whether no answer is due to requests at a killed proxy. False only with an injected defect.
     release_killed: bool,
     sent: Sent,
 }
 
-/// What a load generator has sent.
+/// The requests sent by a load generator.
 #[derive(Default)]
 pub(super) struct Sent {
-    /// All requests that were sent.
+    /// The requests that were sent.
     pub(super) requests: Vec<Request>,
-    /// How much later than planned each of them was sent.
+    /// The delay of each request against its due time.
     pub(super) lags: Vec<Micros>,
-    /// Requests that no proxy took: all were down, or the connection broke as it was written.
+    /// The number of requests that no proxy accepted.
     pub(super) unsent: usize,
 }
 
 impl LoadGenerator {
-    /// A generator that has sent nothing yet.
+    /// Returns a generator that has sent nothing yet.
     pub(super) fn new(
         scenario: &Scenario,
         seed: u64,
@@ -123,7 +122,7 @@
         }
     }
 
-    /// Plays a schedule to its end, or until it is stopped by hand: then, after how many seconds.
+    /// Plays a schedule to its end. Returns the seconds after which it was interrupted, if it was.
     pub(super) fn play(
         &mut self,
         mut schedule: Schedule<'_>,
@@ -139,7 +138,7 @@
                 .stop
                 .is_some_and(|stop| stop.load(Ordering::Relaxed))
             {
-                // Ended by hand: clients give up on what is open, so it is owed no more.
+                // No answer is due to open requests after an interruption.
                 self.release(now, |_| true);
                 return Ok(Some(schedule.seconds_at(now)));
             }
@@ -172,12 +171,12 @@
         }
     }
 
-    /// Ends the proxies, and gives what was sent.
+    /// Stops the proxies and returns the sent requests.
     pub(super) fn end(self) -> Sent {
         self.sent
     }
 
-    /// Takes in the proxies that have come up again; one that could not start ends the play.
+    /// Takes restarted proxies back into use. One that could not start ends the play.
     fn take_restarted(&mut self) -> io::Result<()> {
         while let Some(proxy) = self.proxies.take_restarted()? {
             self.connections[proxy].clear();
@@ -185,7 +184,7 @@
         Ok(())
     }
 
-    /// Carries out a step of the timetable, on a proxy's process or on what surrounds the proxies.
+    /// Carries out a step of the timetable on a proxy's process or on the environment.
     fn carry_out(
         &mut self,
         now: Micros,
@@ -195,7 +194,7 @@
         match *step {
             Step::FreezeProxy(proxy) => {
                 self.proxies.freeze(proxy)?;
-                // Whoever stands still can answer nobody: its clients turn to the next one.
+                // Its clients turn to the next proxy.
                 self.release(now, |p| p == proxy);
                 self.connections[proxy].clear();
             }
@@ -205,13 +204,13 @@
             }
             Step::KillProxy(proxy) => {
                 self.proxies.kill(proxy)?;
-                // What was open there is owed no more: the rehearsal ended it.
+                // No answer is due to requests that the rehearsal itself ended.
                 if self.release_killed {
                     self.release(now, |p| p == proxy);
                 }
                 self.connections[proxy].clear();
             }
-            // Its connections stay, to read what it still answers; nothing new is sent on them.
+            // Its connections stay open for the remaining answers. Nothing new is sent on them.
             Step::TerminateProxy(proxy) => self.proxies.terminate(proxy)?,
             Step::RestartProxy(proxy) => self.proxies.restart(proxy),
             Step::DrainCache(_)
@@ -224,8 +223,7 @@
         Ok(())
     }
 
-    /// What is open at the proxies that `at` picks is owed no more from `now`: its client has left, or the rehearsal
-    /// ended the process that took it.
+    /// Marks the open requests at the proxies selected by `at` as released: no answer to them is due from `now`.
     fn release(&mut self, now: Micros, at: impl Fn(usize) -> bool) {
         let connections = self
             .connections
@@ -245,7 +243,7 @@
         }
     }
 
-    /// The place of a connection to a proxy that takes one more request; a new one where none does.
+    /// Returns the index of a connection to a proxy that takes one more request, and opens one if necessary.
     fn connection(&mut self, proxy: usize) -> io::Result<usize> {
         let connections = &mut self.connections[proxy];
         connections.retain(|c| c.last_used.elapsed() < IDLE_TIMEOUT || c.open.len() > 0);
@@ -257,7 +255,7 @@
             .enumerate()
             .filter(free)
             .min_by_key(|(_, c)| c.open.len());
-        // A few connections are kept, so that one that ends takes little with it.
+        // Several connections are used, so that the end of one affects few requests.
         let takes_more = |c: &Connection| {
             c.open.len() < MIN_REQUESTS_PER_CONNECTION || connections.len() >= TARGET_CONNECTIONS
         };
@@ -276,7 +274,7 @@
         Ok(connections.len() - 1)
     }
 
-    /// Sends a request that was due at this time; one that no proxy takes is counted.
+    /// Sends a request that was due at this time. Counts it as unsent if no proxy accepts it.
     fn send(&mut self, due: Micros, request: ClientRequest) -> io::Result<()> {
         let Some(proxy) = self.proxies.route(request.arrival.proxy as usize) else {
             self.sent.unsent += 1;
@@ -304,7 +302,7 @@
         Ok(())
     }
 
-    /// Writes a request to a connection, and notes it as sent. False: the proxy has ended this connection.
+    /// Writes a request to a connection and records it as sent. Returns false if the proxy has closed the connection.
     fn write(
         &mut self,
         proxy: usize,
@@ -333,7 +331,7 @@
         is_written
     }
 
-    /// A request as the record has it.
+    /// Returns the request for the record.
     fn sent_request(
         &self,
         fields: Fields,
@@ -360,7 +358,7 @@
     }
 }
 
-/// The id of the first request that this one, sent under `id`, retries; its own where it is the first.
+/// Returns the id of the first request that this one retries, or `id` if it is the first.
 fn first_id(request: &ClientRequest, id: &str) -> String {
     if request.first_id.is_empty() {
         id.to_owned()
--- a/rehearse/src/player/mod.rs
+++ b/rehearse/src/player/mod.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario's plan against real daemons and a fake site, and judges the record that remains.
+//! Plays a scenario against real daemons and a fake site, and checks the record against the rules.
 
 mod clients;
 mod deployment;
@@ -29,28 +29,28 @@
 use std::sync::{mpsc, Arc};
 use thiserror::Error;
 
-/// What a rehearsal came to.
+/// The outcome of a rehearsal.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
-    /// Requests sent, retries with them.
+    /// The number of requests sent, including retries.
     pub requests: usize,
-    /// How much later than planned requests were sent, p99 and most, in microseconds.
+    /// The delay of sent requests against the plan: 99th percentile and maximum.
     pub lag_us: (Micros, Micros),
     /// The score.
     pub score: Score,
-    /// How long clients waited, by class.
+    /// The waits of clients by class.
     pub waits: Vec<Waits>,
-    /// The rules that were broken.
+    /// The breaches of rules.
     pub breaches: Vec<Breach>,
-    /// Writes that ran, and those among them that ran under a key that had run before.
+    /// The number of writes that ran, and of those among them that repeated an earlier key.
     pub writes: (u64, u64),
-    /// Requests of the plan that no proxy took: all were down, or the connection broke as it was written.
+    /// The number of planned requests that no proxy accepted, as all were down or the connection broke.
     pub unsent: usize,
-    /// Where it was ended by hand: after so many seconds of its load.
+    /// The seconds of load after which it was interrupted, if it was.
     pub interrupted: Option<f64>,
 }
 
-/// Why a rehearsal proves nothing.
+/// The reason for which a rehearsal is inconclusive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Inconclusive {
     /// No request was sent.
@@ -59,19 +59,19 @@
     /// No request was answered.
     #[error("nothing was answered")]
     NoRequestAnswered,
-    /// The load generator did not keep its plan.
+    /// The load generator fell behind its plan.
     #[error("the load came {p99_ms} ms late (p99)")]
     LateLoadGenerator {
-        /// How late, p99.
+        /// The 99th percentile of the delay.
         p99_ms: u64,
     },
 }
 
 impl Outcome {
-    /// Checks that it has seen anything: a rehearsal that could not see must not pass for a good one.
+    /// Checks that the rehearsal is conclusive, so that one without traffic does not pass.
     ///
     /// # Errors
-    /// Where it proves nothing.
+    /// Returns the reason for which it is inconclusive.
     pub fn check_conclusive(&self) -> Result<(), Inconclusive> {
         if self.score.total.score().is_none() {
             return Err(Inconclusive::NoRequestSent);
@@ -88,35 +88,35 @@
     }
 }
 
-/// A load generator that is later than this has measured itself.
+/// The maximum delay of the load generator at the 99th percentile. Beyond it the results reflect the generator.
 pub const MAX_LAG_US: Micros = 50_000;
-/// The load begins this long after all has been started.
+/// The delay between the start of the processes and the load.
 const START_DELAY_US: Micros = 200_000;
 
-/// A fault of the fakes' own, to see that it is found.
+/// A defect that the fakes inject, so that tests can check that the rules detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlayDefect {
-    /// Purges count as told, but neither proxies nor nodes hear of them.
+    /// Purges are recorded as notified, but are sent neither to the proxies nor to the nodes.
     PurgesNotSent,
-    /// Every tenth answer's bytes are another part's.
+    /// Every tenth answer carries the bytes of another part.
     WrongBytes,
-    /// Drains count as told, but the proxies never hear of them.
+    /// Drains are recorded as notified, but are not sent to the proxies.
     DrainsNotSent,
-    /// What was open at a proxy that the rehearsal killed is still counted as owed.
+    /// Answers stay due to requests that were open at a killed proxy.
     KilledRequestsDue,
 }
 
-/// What watches a play from outside.
+/// Stops a play early and observes its progress.
 #[derive(Clone, Copy, Default)]
 pub struct PlayControl<'a> {
-    /// Set, by a handler of SIGINT say, to end the play at once: what is open then is owed no more, and the outcome
-    /// is judged on what happened until then.
+    /// Set to end the play at once, for example by a handler of SIGINT. No answer is due to open requests then, and the
+    /// outcome covers the events until that time.
     pub stop: Option<&'a AtomicBool>,
-    /// Told some ten times a second how far the play is: seconds from the start of its load, and requests sent.
+    /// Called about ten times a second with the seconds since the start of the load and the number of requests sent.
     pub progress: Option<&'a dyn Fn(f64, usize)>,
 }
 
-/// Plays a scenario with this daemon. Errors are those of the play itself.
+/// Plays a scenario with this daemon. An error means that the play itself failed.
 pub fn play(
     daemon: &Path,
     scenario: &Scenario,
@@ -126,7 +126,7 @@
     play_with_control(daemon, scenario, seed, defect, PlayControl::default())
 }
 
-/// Plays a scenario as `play` does, watched.
+/// Plays a scenario as `play` does, under a `PlayControl`.
 pub fn play_with_control(
     daemon: &Path,
     scenario: &Scenario,
@@ -145,7 +145,7 @@
     play_in_own_folder(daemon, scenario, &play)
 }
 
-/// Plays a scenario as `play` does, with points armed in each daemon (its `LINNETKNOT_POINTS`).
+/// Plays a scenario as `play` does, with fail points set in each daemon through `LINNETKNOT_POINTS`.
 pub fn play_with_fail_points(
     daemon: &Path,
     scenario: &Scenario,
@@ -164,7 +164,7 @@
 }
 
 fn play_in_own_folder(daemon: &Path, scenario: &Scenario, play: &Play<'_>) -> io::Result<Outcome> {
-    // Plays may run side by side in one process, with the same seed and in the same microsecond: each has a number.
+    // Plays may run in parallel in one process with the same seed, so each folder's name has a number.
     static PLAYS: AtomicU64 = AtomicU64::new(0);
     let n = PLAYS.fetch_add(1, Ordering::Relaxed);
     let name = format!("linnetknot-play-{}-{}-{n}", std::process::id(), play.seed);
@@ -175,17 +175,17 @@
     result
 }
 
-/// What is played, and how.
+/// The parameters of a play.
 struct Play<'a> {
     plan: &'a Plan,
     seed: u64,
     defect: Option<PlayDefect>,
     control: PlayControl<'a>,
-    /// Armed in each daemon.
+    /// The fail points to set in each daemon.
     fail_points: &'a str,
 }
 
-/// Plays in a folder of its own, and judges the record.
+/// Plays in this folder and checks the record.
 fn play_in(
     folder: &Path,
     daemon: &Path,
@@ -241,7 +241,7 @@
     })
 }
 
-/// What a record shows, with the sorted lags of its load.
+/// Returns the outcome of a record, given the sorted lags of its load.
 fn outcome_of(record: &Record, lags: &[Micros]) -> Outcome {
     let lag_us = (quantile(lags, 0.99), quantile(lags, 1.0));
     let limits = Limits {
@@ -260,7 +260,7 @@
     }
 }
 
-/// A quantile of sorted lags; 0 where there are none.
+/// Returns a quantile of sorted lags, or 0 if there are none.
 fn quantile(lags: &[Micros], share: f64) -> Micros {
     let index = (lags.len() as f64 * share) as usize;
     lags.get(index).or(lags.last()).copied().unwrap_or(0)
--- a/rehearse/src/player/proxies.rs
+++ b/rehearse/src/player/proxies.rs
@@ -1,4 +1,4 @@
-//! The proxies' processes: started for a play, killed, stopped and started again by its timetable.
+//! The proxies' processes, which the timetable of a play starts, stops, kills and restarts.
 
 use super::environment::Environment;
 use crate::scenario::Scenario;
@@ -13,14 +13,14 @@
 use std::sync::mpsc::{self, Receiver, Sender};
 use std::thread;
 
-/// What it takes to start a proxy, besides its configuration.
+/// The parameters that all proxies are started with.
 #[derive(Clone)]
 struct Launcher {
     daemon: PathBuf,
-    /// Armed in it.
+    /// The fail points to set in each.
     fail_points: String,
     folder: PathBuf,
-    /// The operators' own file of each.
+    /// The operators' configuration file.
     own_file: Value,
 }
 
@@ -36,22 +36,22 @@
     }
 }
 
-/// A proxy that was started again, or could not be.
+/// The result of starting a proxy again.
 struct Restarted {
     proxy: usize,
     process: io::Result<Process>,
 }
 
-/// The proxies' processes, and what it takes to start one again.
+/// The proxies' processes and the parameters to start one again.
 pub(super) struct Proxies {
-    /// Where clients reach each.
+    /// The address of each for clients.
     pub(super) addresses: Vec<SocketAddr>,
     running: Vec<Option<Process>>,
-    /// Those that stand still: they run, and nobody goes to them.
+    /// The proxies that are stopped by SIGSTOP, to which no requests are routed.
     frozen: Vec<bool>,
-    /// What stands between those that have peers.
+    /// The links between peers, if the scenario has peers.
     links: Option<FaultyLinks>,
-    /// Told to end; a restart waits for the end.
+    /// The processes that were sent SIGTERM. A restart waits for their end.
     terminating: Vec<Option<Process>>,
     configs: Vec<Value>,
     launcher: Launcher,
@@ -60,7 +60,7 @@
 }
 
 impl Proxies {
-    /// Starts the proxies of a scenario in their environment, with points armed in their program.
+    /// Starts the proxies of a scenario in their environment, with these fail points.
     pub(super) fn start(
         (daemon, fail_points): (&Path, &str),
         folder: &Path,
@@ -78,7 +78,7 @@
             .peers
             .then(|| FaultyLinks::between(&ports, seed))
             .transpose()?;
-        // Nothing else of the operators' own file: a rehearsal is of the platform's side.
+        // A rehearsal needs no other part of the operators' file.
         let own_file = if scenario.peers {
             json!({"peers": {"tell": true}})
         } else {
@@ -113,14 +113,13 @@
         })
     }
 
-    /// The proxy that takes a request meant for this one: itself if it is up, else the next that is, as a balancer
-    /// in front of them would do.
+    /// Returns this proxy if it is up, or else the next one that is, as a load balancer would.
     pub(super) fn route(&self, proxy: usize) -> Option<usize> {
         let all = self.running.len();
         (0..all).map(|k| (proxy + k) % all).find(|p| self.is_up(*p))
     }
 
-    /// Whether its process runs, neither killed nor told to end, or started again since.
+    /// Returns whether a proxy accepts requests: its process runs, is not frozen and was not sent SIGTERM.
     fn is_up(&self, proxy: usize) -> bool {
         self.running[proxy].is_some() && !self.frozen[proxy]
     }
@@ -131,21 +130,21 @@
             .map_or(Ok(()), |process| process.signal(signal))
     }
 
-    /// Stops a proxy where it stands (SIGSTOP).
+    /// Stops a proxy's process (SIGSTOP).
     pub(super) fn freeze(&mut self, proxy: usize) -> io::Result<()> {
         self.signal(proxy, Signal::STOP)?;
         self.frozen[proxy] = true;
         Ok(())
     }
 
-    /// Lets a frozen proxy go on.
+    /// Resumes a frozen proxy (SIGCONT).
     pub(super) fn thaw(&mut self, proxy: usize) -> io::Result<()> {
         self.signal(proxy, Signal::CONT)?;
         self.frozen[proxy] = false;
         Ok(())
     }
 
-    /// Kills a proxy's process.
+    /// Kills a proxy's process and waits for its end.
     pub(super) fn kill(&mut self, proxy: usize) -> io::Result<()> {
         if let Some(mut process) = self.running[proxy].take() {
             process.child.kill()?;
@@ -154,7 +153,7 @@
         Ok(())
     }
 
-    /// Tells a proxy to end.
+    /// Sends SIGTERM to a proxy's process.
     pub(super) fn terminate(&mut self, proxy: usize) -> io::Result<()> {
         if let Some(process) = self.running[proxy].take() {
             process.signal(Signal::TERM)?;
@@ -178,7 +177,10 @@
         });
     }
 
-    /// Takes in a proxy that has come up again, if one has; one that could not start is an error.
+    /// Returns the index of a restarted proxy, if there is a new one.
+    ///
+    /// # Errors
+    /// Returns an error if a proxy could not be started again.
     pub(super) fn take_restarted(&mut self) -> io::Result<Option<usize>> {
         let Ok(Restarted { proxy, process }) = self.restarted.try_recv() else {
             return Ok(None);
@@ -187,7 +189,8 @@
         Ok(Some(proxy))
     }
 
-    /// Sets the conditions of the links between these proxies and all others; only away from them where it is one way.
+    /// Sets the conditions of the links between these proxies and all others, or only of those from these proxies if
+    /// `one_way`.
     pub(super) fn set_links(&self, proxies: &[usize], conditions: LinkConditions, one_way: bool) {
         let Some(links) = &self.links else { return };
         for (from, to) in links.directions() {
@@ -200,7 +203,7 @@
     }
 }
 
-/// Adds a proxy's own port and its peers, each at the address at which it reaches them, to its configuration.
+/// Adds a proxy's peer port and the addresses of its peers to its configuration.
 fn add_peers(config: &mut Value, proxy: usize, ports: &[SocketAddr], links: &FaultyLinks) {
     let peer = |p: usize| {
         links
--- a/rehearse/src/player/schedule.rs
+++ b/rehearse/src/player/schedule.rs
@@ -1,4 +1,4 @@
-//! What a load generator has to do, in the order of time.
+//! The schedule of a load generator, in order of time.
 
 use super::clients::{ClientRequest, Retry};
 use crate::load::{Arrival, Plan, Purge};
@@ -7,11 +7,11 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// What is to be sent and done, in the order of time from the start; each part shrinks as it is carried out.
+/// The remaining arrivals, purges and steps of a play, each in order of time.
 pub(super) struct Schedule<'a> {
-    /// When it begins.
+    /// The time at which the play starts.
     pub(super) start: Micros,
-    /// When it is over.
+    /// The time at which the play ends.
     pub(super) end: Micros,
     arrivals: &'a [Arrival],
     purges: &'a [Purge],
@@ -19,7 +19,7 @@
 }
 
 impl<'a> Schedule<'a> {
-    /// The schedule of a plan that begins at a time and is over once the last request has been waited for.
+    /// Returns the schedule of a plan that starts at this time and ends after the longest wait of a client.
     pub(super) fn new(
         start: Micros,
         seconds: f64,
@@ -66,7 +66,7 @@
     Some(first)
 }
 
-/// Requests that are to be retried, the earliest first.
+/// Scheduled retries, the earliest first.
 #[derive(Default)]
 pub(super) struct RetryQueue {
     due: BinaryHeap<Reverse<(Micros, u64)>>,
--- a/rehearse/src/record.rs
+++ b/rehearse/src/record.rs
@@ -23,7 +23,7 @@
     pub repeat: Repeat,
     /// The response time objective, to which `stretch` times the transfer time of the answer is added.
     pub objective_us: Micros,
-    /// The share of the answer's own transfer time that is added to `objective_us`.
+    /// The multiple of the answer's own transfer time that is added to `objective_us`.
     pub stretch: f64,
     /// The weight of a request in the score.
     pub weight: f64,
