--- a/rehearse/src/fakes/cache_memory.rs
+++ b/rehearse/src/fakes/cache_memory.rs
@@ -1,10 +1,10 @@
-//! What a cache keeps: copies with ranks and ages within a bound on their size. What was ranked lowest goes first, of
-//! one rank what was used longest ago, and nothing goes for a copy of lower rank.
+//! The memory of a fake cache: copies with ranks and ages, bounded by size. Evicts the lowest rank first, the least recently
+//! used within a rank, and never a copy of a higher rank than the new one.
 
 use crate::record::Micros;
 use std::collections::{BTreeMap, HashMap};
 
-/// A part of an object.
+/// An object and the part within it.
 pub type Part = (u64, u64);
 
 #[derive(Clone, Debug)]
@@ -22,13 +22,13 @@
     capacity_kb: u64,
     used_kb: u64,
     copies: HashMap<Part, CachedCopy>,
-    /// By rank and last use: who goes first.
+    /// The copies by rank and last use, in order of eviction.
     eviction_order: BTreeMap<(u8, u64), Part>,
     use_count: u64,
 }
 
 impl CacheMemory {
-    /// An empty memory for so many bytes.
+    /// Returns an empty memory of this capacity.
     pub fn new(capacity_kb: u64) -> Self {
         CacheMemory {
             capacity_kb,
@@ -39,12 +39,13 @@
         }
     }
 
-    /// Bytes held.
+    /// Returns the size of all copies, in KB.
     pub fn used_kb(&self) -> u64 {
         self.used_kb
     }
 
-    /// When the copy of a part was made, if there is one that will do. A use sets its rank anew; rank 0 leaves it.
+    /// Returns the time of the copy of a part, if there is one that is not older than `min_made`. Sets its rank unless `rank`
+    /// is 0.
     pub fn get(&mut self, part: Part, min_made: Micros, rank: u8) -> Option<Micros> {
         let copy = self.copies.get_mut(&part).filter(|c| c.made >= min_made)?;
         self.use_count += 1;
@@ -56,7 +57,8 @@
         Some(copy.made)
     }
 
-    /// Keeps a copy in place of an older one; false where only copies of a higher rank would have to go for it.
+    /// Stores a copy and replaces an older one. Returns false without eviction if it has rank 0, is older than the stored
+    /// copy, or would evict copies of a higher rank.
     pub fn insert(&mut self, part: Part, group: u64, size: u64, made: Micros, rank: u8) -> bool {
         if rank == 0
             || size > self.capacity_kb
@@ -65,7 +67,7 @@
             return false;
         }
         let replaced_size = self.copies.get(&part).map_or(0, |c| c.size);
-        // Looked through before anything goes: a copy that is not kept in the end must cost nobody else.
+        // The evictions are determined first, so that a copy that does not fit evicts nothing.
         let mut free = self.capacity_kb - self.used_kb + replaced_size;
         let mut evicted = Vec::new();
         for ((other, _), victim) in &self.eviction_order {
@@ -100,7 +102,7 @@
         true
     }
 
-    /// Drops the copies of an object, or else of a group, that are older than a purge. Gives their number.
+    /// Removes the copies of an object (`Ok`) or a group (`Err`) that are older than a purge and returns their number.
     pub fn purge(&mut self, target: Result<u64, u64>, at: Micros) -> usize {
         let purged = |(part, c): (&Part, &CachedCopy)| {
             let is_targeted =
--- a/rehearse/src/fakes/mod.rs
+++ b/rehearse/src/fakes/mod.rs
@@ -1,4 +1,4 @@
-//! Fakes of a site: its cache servers, parent caches and origin, on virtual time and on loopback sockets.
+//! Fakes of a site with its caches, parent caches and origin, on virtual time and on loopback sockets.
 
 pub mod cache_memory;
 pub mod shared_link;
--- a/rehearse/src/fakes/shared_link.rs
+++ b/rehearse/src/fakes/shared_link.rs
@@ -1,30 +1,29 @@
-//! A link that its transfers share evenly, none faster than its own full pace: the outgoing link of a box, or a site's
-//! link for fills. Sans-IO: whoever drives it asks when the next transfer ends.
+//! A link with a capacity that its transfers share evenly, each up to its full rate. It models the outgoing link of a cache or
+//! a site's link for fills. It does no I/O; the caller asks when the next transfer ends.
 
 use crate::record::Micros;
 use std::collections::{BTreeMap, HashMap};
 
-/// A link.
+/// A shared link.
 ///
-/// What one transfer was given is the same for all that are on it, so a single figure, `progress_us`, grows with time, and a
-/// transfer ends when the figure has grown by its work. Each step costs the logarithm of the transfers, not their
-/// number.
+/// All transfers progress at the same rate, so a single counter, `progress_us`, grows with time, and a transfer ends when the
+/// counter has grown by its work. Each operation takes logarithmic time.
 #[derive(Clone, Debug)]
 pub struct SharedLink {
-    /// In transfers at full pace.
+    /// The capacity in transfers at full rate.
     capacity: f64,
-    /// What a transfer that was there all along has been given, in microseconds at full pace.
+    /// The progress of a transfer since the creation of the link, in microseconds at full rate.
     progress_us: f64,
     updated_at: Micros,
-    /// By the figure at which each ends, and by the order in which they came. The bits of a positive float order as
-    /// it does.
+    /// The ids of transfers by the progress at which each ends, as the ordered bits of a positive float, and by sequence
+    /// number.
     ends: BTreeMap<(u64, u64), u64>,
     positions: HashMap<u64, (u64, u64)>,
     sequence: u64,
 }
 
 impl SharedLink {
-    /// An idle link.
+    /// Returns an idle link.
     pub fn new(capacity: f64) -> Self {
         let (ends, positions) = Default::default();
         SharedLink {
@@ -37,26 +36,26 @@
         }
     }
 
-    /// Transfers on it.
+    /// Returns the number of transfers in progress.
     pub fn len(&self) -> usize {
         self.ends.len()
     }
 
-    /// Whether it is idle.
+    /// Returns whether no transfer is in progress.
     pub fn is_empty(&self) -> bool {
         self.ends.is_empty()
     }
 
-    /// Pace of each transfer: 1 is full.
+    /// Returns the rate of each transfer, where 1 is the full rate.
     fn rate(&self) -> f64 {
         (self.capacity / self.ends.len().max(1) as f64).min(1.0)
     }
 
-    /// Lets time pass; gives the transfers that have ended by then, each with its time, in order.
+    /// Advances the time and returns the transfers that have ended, each with its end time, in order.
     pub fn advance(&mut self, now: Micros) -> Vec<(u64, Micros)> {
         let mut ended = Vec::new();
         while let Some((&position, &id)) = self.ends.first_key_value() {
-            // Each end makes the others faster, so they are taken one by one.
+            // Each end raises the rate of the others.
             let wait = (f64::from_bits(position.0) - self.progress_us).max(0.0) / self.rate();
             let end = self.updated_at as f64 + wait;
             if end > now as f64 {
@@ -77,7 +76,7 @@
         ended
     }
 
-    /// Begins a transfer of so many microseconds at full pace. `advance` must have been called up to now.
+    /// Begins a transfer of this many microseconds at full rate. `advance` must have been called for the current time.
     pub fn begin(&mut self, id: u64, work_us: Micros) {
         self.sequence += 1;
         let position = ((self.progress_us + work_us as f64).to_bits(), self.sequence);
@@ -87,19 +86,19 @@
         self.ends.insert(position, id);
     }
 
-    /// Calls a transfer off: its share is the others'.
+    /// Cancels a transfer. Returns whether it was in progress.
     pub fn cancel(&mut self, id: u64) -> bool {
         self.positions
             .remove(&id)
             .is_some_and(|position| self.ends.remove(&position).is_some())
     }
 
-    /// Another capacity, from here on: a box that is cold, or warms up.
+    /// Sets the capacity, as when a cache warms up.
     pub fn set_capacity(&mut self, capacity: f64) {
         self.capacity = capacity.max(1e-6);
     }
 
-    /// When the next transfer ends, if nothing changes.
+    /// Returns the time at which the next transfer ends if nothing changes.
     pub fn next_due(&self) -> Option<Micros> {
         let (position, _) = self.ends.first_key_value()?;
         let wait = (f64::from_bits(position.0) - self.progress_us).max(0.0) / self.rate();
--- a/rehearse/src/fakes/site/fills.rs
+++ b/rehearse/src/fakes/site/fills.rs
@@ -1,22 +1,22 @@
-//! How a node begins a request: from its memory, by a fill from a source, or as a write at the origin.
+//! The start of a request at a node: from its memory, by a fill from a source, or as a write at the origin.
 
 use super::timers::Timer;
 use super::{FakeSite, Fetch, FillInProgress, NodeKind, Phase, SiteOutput};
 use crate::fakes::cache_memory::Part;
 use crate::record::Micros;
 
-/// What a source answers to a fill.
+/// The answer of a source to a fill.
 struct SourceAnswer {
-    /// The wait for its first byte.
+    /// The time until its first byte.
     wait_us: Micros,
-    /// How it was made, in the protocol's words.
+    /// The origin of the copy, as the protocol's field `how`.
     how: &'static str,
-    /// When it was made.
+    /// The time of the copy.
     made: Micros,
 }
 
 impl FakeSite {
-    /// Begins a request that has got a slot.
+    /// Starts a request that has a slot.
     pub(super) fn begin(
         &mut self,
         now: Micros,
@@ -57,7 +57,7 @@
         self.begin_fill(now, uid, request, fetch, out);
     }
 
-    /// Runs a write at the origin; no other node takes one.
+    /// Runs a write at the origin. Other nodes reject it.
     fn begin_write(&mut self, now: Micros, uid: &str, request: u64, out: &mut Vec<SiteOutput>) {
         if self
             .nodes
@@ -70,7 +70,7 @@
         self.reject(now, uid, request, "404", "", out);
     }
 
-    /// Joins the fill of the same part that is under way.
+    /// Joins the fill of the same part that is in progress.
     fn join_fill(
         &mut self,
         now: Micros,
@@ -85,7 +85,7 @@
         let Some(fill) = node.filling.get_mut(&fetch.part) else {
             return;
         };
-        // One that is under way from a copy that is too old for this one is nothing to join.
+        // A fill from a copy that is too old for this request can't be joined.
         if !fetch.join || fill.made < now.saturating_sub(fetch.max_age_us) {
             return self.reject(now, uid, request, "404", "rode", out);
         }
@@ -93,7 +93,7 @@
         fill.fetch.rank = fill.fetch.rank.max(fetch.rank);
         let (made, is_sending) = (fill.made, self.fills_on_link.contains_key(&fill.number));
         if let Some(open) = node.open.get_mut(&request).filter(|_| is_sending) {
-            // It has begun to come: this one is sent it from here on.
+            // The first byte has arrived, so the request is sent from here on.
             open.phase = Phase::Sending {
                 how: "rode",
                 made,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Begins a fill from the source that the request names.
+    /// Starts a fill from the source that the request names.
     fn begin_fill(
         &mut self,
         now: Micros,
@@ -157,7 +157,7 @@
         );
     }
 
-    /// The origin is asked: how long it takes, more where it is crowded.
+    /// Starts a request at the origin and returns its duration, which grows with the number of concurrent ones.
     fn begin_origin_request(&mut self, now: Micros) -> Micros {
         let workers = self
             .nodes
@@ -171,7 +171,7 @@
         took
     }
 
-    /// A source is asked for a part; none: it lacks it.
+    /// Returns the answer of a source to a fill, or none if it has no usable copy.
     fn query_source(&mut self, now: Micros, source: &str, f: &Fetch) -> Option<SourceAnswer> {
         let answer = |wait_us, how, made| Some(SourceAnswer { wait_us, how, made });
         let kind = self.nodes.get(source)?.kind;
@@ -199,7 +199,7 @@
         answer(near + took, "pulled_far", now + took)
     }
 
-    /// A fill has come whole: its copy is kept, by the highest rank that was asked for.
+    /// Completes a fill and stores its copy with the highest requested rank.
     pub(super) fn finish_fill(&mut self, uid: &str, part: Part, number: u64) {
         let Some(node) = self.nodes.get_mut(uid) else {
             return;
@@ -208,7 +208,7 @@
             let Some(FillInProgress { fetch: f, made, .. }) = node.filling.remove(&part) else {
                 return;
             };
-            // A copy from before a purge that was carried out here while it came is one of those that must go.
+            // The copy is older than a purge that the node applied during the fill.
             let is_purged = [Ok(part.0), Err(f.group)]
                 .iter()
                 .any(|w| node.applied_purges.get(w).is_some_and(|at| made < *at));
--- a/rehearse/src/fakes/site/forms.rs
+++ b/rehearse/src/fakes/site/forms.rs
@@ -1,90 +1,90 @@
-//! What goes into a fake site and comes out of it: figures, requests and answers.
+//! The inputs and outputs of a fake site: parameters, requests and answers.
 
 use crate::fakes::cache_memory::Part;
 use crate::record::Micros;
 
-/// What a node is.
+/// The kind of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeKind {
-    /// An edge box: keeps copies by rank and fills from others.
+    /// An edge cache, which stores copies by rank and fills from other nodes.
     EdgeCache,
-    /// A hub cache: fetches what it lacks from the origin, once for all who wait.
+    /// A parent cache, which fetches missing parts from the origin, once for all waiting requests.
     ParentCache,
-    /// The origin store: holds everything, and runs writes.
+    /// The origin, which has all objects and runs writes.
     Origin,
 }
 
-/// What a node can do.
+/// The parameters of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeParameters {
-    /// Requests in work.
+    /// The maximum number of requests being served.
     pub slots: usize,
-    /// Requests that wait for a slot; one more is turned away unseen.
+    /// The maximum number of requests waiting for a slot. Further ones are rejected.
     pub waiting: usize,
-    /// Its outgoing link, in transfers at full pace.
+    /// The capacity of its outgoing link, in transfers at full rate.
     pub capacity: f64,
-    /// Its memory, in KB.
+    /// The size of its memory, in KB.
     pub memory_kb: u64,
-    /// Fills at a time; of the origin, workers.
+    /// The maximum number of concurrent fills, or the number of workers of the origin.
     pub fills: usize,
-    /// A fill is given up if nothing has come after this.
+    /// The time after which a fill without a first byte is aborted.
     pub fill_timeout_us: Micros,
 }
 
-/// What the nodes share.
+/// The parameters that the nodes share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SiteParameters {
-    /// The one link in, which all fills share, in transfers at full pace to a client.
+    /// The capacity of the incoming link that all fills share, in transfers to a client at full rate.
     pub link: f64,
-    /// How many times as fast as a transfer to a client a fill can be.
+    /// The full rate of a fill relative to that of a transfer to a client.
     pub fill_pace: f64,
-    /// The way to a hub cache and back.
+    /// The round-trip time to a parent cache.
     pub near_us: Micros,
-    /// The way to the origin and back.
+    /// The round-trip time to the origin.
     pub far_us: Micros,
-    /// The origin's answer when it is not crowded.
+    /// The origin's response time without queueing.
     pub origin_us: Micros,
-    /// How long the origin drops repeats of a key.
+    /// The time for which the origin drops repeats of a key.
     pub key_us: Micros,
-    /// Within this time of a purge boxes and hub caches have dropped their older copies, each in its own time.
+    /// The maximum time until a cache applies a purge. Each cache has its own delay.
     pub purge_takes_us: Micros,
-    /// They drop what they hold, and then still keep what a fill brings that was under way.
+    /// Whether a fill in progress during a purge may store its old copy.
     pub late_fills: bool,
 }
 
-/// What is purged: an object, or else a group.
+/// A purged object (`Ok`) or group (`Err`).
 pub type PurgeTarget = Result<u64, u64>;
 
 /// A request as it arrives at a node.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Fetch {
-    /// Its connection, as the driver numbers them.
+    /// The number of its connection.
     pub connection: u64,
-    /// The proxy at its other end.
+    /// The index of the proxy that sent it.
     pub proxy: usize,
     /// Its id on the wire.
     pub id: String,
     /// The object and part.
     pub part: Part,
-    /// Group of the object.
+    /// The group of the object.
     pub group: u64,
-    /// Its sending time.
+    /// The transfer time of its answer at full rate.
     pub work_us: Micros,
-    /// Its size.
+    /// The size of the part, in KB.
     pub kb: u64,
-    /// Node that a miss is filled from; none: no fill.
+    /// The uid of the node to fill a miss from, if a fill is allowed.
     pub source: Option<String>,
-    /// Rank at which the copy is kept; 0: not kept.
+    /// The rank of the stored copy. 0 means that it is not stored.
     pub rank: u8,
-    /// Oldest copy that will do, by its age.
+    /// The maximum age of a usable copy.
     pub max_age_us: Micros,
-    /// It may join a fill that is under way.
+    /// Whether it may join a fill in progress.
     pub join: bool,
-    /// It is a write, under this key or none.
+    /// Set for a write, with its idempotency key if it has one.
     pub write: Option<Option<String>>,
 }
 
-/// What a node says.
+/// An output of the site.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SiteOutput {
     /// An answer to a request.
@@ -95,15 +95,15 @@
         id: String,
         /// `200`, `404` or `503`.
         status: &'static str,
-        /// How it was made, in the protocol's words.
+        /// The origin of the copy, as the protocol's field `how`.
         how: &'static str,
-        /// The wait for the source.
+        /// The time that it waited for the source.
         waited_us: Micros,
-        /// When the copy was made.
+        /// The time of the copy.
         made: Micros,
         /// The part.
         part: Part,
     },
-    /// The node has fallen over: all its connections are reset.
+    /// A node has crashed, and all its connections are reset.
     Crashed(String),
 }
--- a/rehearse/src/fakes/site/mod.rs
+++ b/rehearse/src/fakes/site/mod.rs
@@ -1,8 +1,8 @@
-//! A fake site: cache servers, parent caches and the origin, with slots, queues, shared links, copies, fills, slow starts
-//! and crashes under load. Sans-IO: requests go in with their time, answers come out with theirs; sockets are the driver's.
+//! A fake site of caches, parent caches and the origin, with slots, queues, shared links, stored copies, fills, slow starts and
+//! crashes under load. It does no I/O: requests go in with their time, and answers come out with theirs.
 //!
-//! All figures are data (`NodeParameters`, `SiteParameters`). Left out on purpose: sizes of answers on the wire, noise in load reports,
-//! and the transfer from a hub cache by its own link, which is wider than a site's.
+//! It does not model the sizes of answers on the wire, noise in load reports, or the outgoing link of a parent cache during
+//! fills.
 
 mod fills;
 mod forms;
@@ -17,7 +17,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use timers::Timer;
 
-/// For so long a node keeps out what a fill brings from before a purge: no fill takes longer.
+/// The time for which a node remembers a purge to reject older copies from fills. No fill takes longer.
 const PURGE_RETENTION_US: Micros = 600_000_000;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -36,12 +36,12 @@
     fetch: Fetch,
     phase: Phase,
     since: Micros,
-    /// Its place among the attempts.
+    /// The index of its attempt in the record.
     attempt: usize,
 }
 
 impl Open {
-    /// The answer to a request that has been sent, with its attempt's index; none where it was not being sent.
+    /// Returns the answer with the index of its attempt, if the request was being sent.
     fn into_answer(self) -> Option<(usize, SiteOutput)> {
         let Phase::Sending {
             how,
@@ -64,16 +64,16 @@
     }
 }
 
-/// A fill under way at a node, by its part.
+/// A fill in progress at a node.
 #[derive(Clone, Debug)]
 struct FillInProgress {
     number: u64,
     how: &'static str,
     made: Micros,
     started_at: Micros,
-    /// Those who were or are sent it; who gives up is none of them any more.
+    /// The requests that the fill serves, without aborted ones.
     waiters: Vec<u64>,
-    /// The first request for it, which tells its size; the rank is the highest that was asked for.
+    /// The first request for it, with the highest rank of all requests.
     fetch: Fetch,
 }
 
@@ -89,33 +89,33 @@
     open: BTreeMap<u64, Open>,
     waiting: VecDeque<u64>,
     filling: HashMap<Part, FillInProgress>,
-    /// Of a hub cache: what it fetches, and when that will be there.
+    /// At a parent cache, the fetches in progress: when each ends and the time of its copy.
     fetching: HashMap<Part, (Micros, Micros)>,
-    /// The purges that it has carried out, each with its time.
+    /// The applied purges with their times.
     applied_purges: HashMap<PurgeTarget, Micros>,
 }
 
-/// All nodes of a rehearsal.
+/// The nodes of a rehearsal.
 pub struct FakeSite {
     site: SiteParameters,
     site_link: SharedLink,
-    /// Fills on the site's link: node and part.
+    /// The node and part of each fill on the site's link, by number.
     fills_on_link: HashMap<u64, (String, Part)>,
     nodes: BTreeMap<String, Node>,
     timers: BTreeMap<(Micros, u64), Timer>,
     next: u64,
     origin_requests: usize,
-    /// How many times slower the origin is.
+    /// The factor by which the origin is slower.
     origin_slowdown: f64,
     keys: HashMap<String, Micros>,
-    /// Writes that ran, and of them those that ran under a key that had run before.
+    /// The number of writes that ran, and of those among them that repeated an earlier key.
     pub writes: (u64, u64),
-    /// All that has arrived.
+    /// The attempts that have arrived.
     pub attempts: Vec<Attempt>,
 }
 
 impl FakeSite {
-    /// A site without nodes.
+    /// Returns a site without nodes.
     pub fn new(site: SiteParameters) -> Self {
         FakeSite {
             site_link: SharedLink::new(site.link),
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Adds a node, or starts one anew with an empty memory. One that is given a `ColdStart` starts cold.
+    /// Adds a node, or starts one again with an empty memory. With a `ColdStart` it starts cold.
     pub fn start(
         &mut self,
         uid: &str,
@@ -161,7 +161,7 @@
         self.nodes.insert(uid.to_owned(), node);
     }
 
-    /// Takes a node down: what was open there is over.
+    /// Stops a node and ends its open requests.
     pub fn stop(&mut self, now: Micros, uid: &str) {
         let Some(node) = self.nodes.get_mut(uid) else {
             return;
@@ -175,7 +175,7 @@
         node.link = SharedLink::new(node.parameters.capacity);
     }
 
-    /// A node sends nothing for a while.
+    /// Stalls a node for a time, in which it sends nothing.
     pub fn stall(&mut self, now: Micros, uid: &str, lasts: Micros) {
         if let Some(node) = self.nodes.get_mut(uid) {
             node.stalled = true;
@@ -184,24 +184,24 @@
         }
     }
 
-    /// The origin is so many times slower from here on.
+    /// Sets the factor by which the origin is slower.
     pub fn set_origin_slowdown(&mut self, times: f64) {
         self.origin_slowdown = times;
     }
 
-    /// A purge is made: each box and hub cache drops its older copies in its own time.
+    /// Purges a target at all nodes, each after a delay of its own.
     pub fn purge_all(&mut self, now: Micros, what: PurgeTarget, at: Micros) {
         let uids: Vec<String> = self.nodes.keys().cloned().collect();
         for uid in uids {
             self.next += 1;
-            // Spread over the whole time, differently for each purge and node, and alike in each play.
+            // Spreads the delays deterministically over the allowed time.
             let spread = self.next.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 40;
             let after = self.site.purge_takes_us * spread / (1 << 24);
             self.schedule(now + after, Timer::ApplyPurge(uid, what, at));
         }
     }
 
-    /// A node carries out a purge.
+    /// Applies a purge at a node.
     pub fn purge(&mut self, uid: &str, what: PurgeTarget, at: Micros) {
         if let Some(node) = self.nodes.get_mut(uid) {
             node.memory.purge(what, at);
@@ -212,12 +212,12 @@
         }
     }
 
-    /// Whether a node runs.
+    /// Returns whether a node is running.
     pub fn is_up(&self, uid: &str) -> bool {
         self.nodes.get(uid).is_some_and(|n| n.up)
     }
 
-    /// Requests that a node holds.
+    /// Returns the number of open requests at a node.
     pub fn inflight(&self, uid: &str) -> usize {
         self.nodes.get(uid).map_or(0, |n| n.open.len())
     }
@@ -227,7 +227,7 @@
         self.timers.insert((at, self.next), timer);
     }
 
-    /// When `advance` has something to do.
+    /// Returns the time of the next event.
     pub fn next_due(&self) -> Option<Micros> {
         let links = self
             .nodes
@@ -238,7 +238,7 @@
         links.chain(timer).chain(self.site_link.next_due()).min()
     }
 
-    /// Lets time pass.
+    /// Advances the time and returns the outputs.
     pub fn advance(&mut self, now: Micros) -> Vec<SiteOutput> {
         let mut out = Vec::new();
         while let Some(due) = self.next_due().filter(|due| *due <= now) {
@@ -248,7 +248,7 @@
         out
     }
 
-    /// All that comes due at one moment.
+    /// Handles all events that are due at one time.
     fn step(&mut self, now: Micros, out: &mut Vec<SiteOutput>) {
         for (fill, _) in self.site_link.advance(now) {
             if let Some((uid, part)) = self.fills_on_link.remove(&fill) {
--- a/rehearse/src/fakes/site/requests.rs
+++ b/rehearse/src/fakes/site/requests.rs
@@ -1,10 +1,10 @@
-//! Requests that reach a node: they are admitted, queued, rejected or given up.
+//! Requests at a node: admission, queueing, rejection and abort.
 
 use super::{FakeSite, Fetch, Open, Phase, SiteOutput};
 use crate::record::{Attempt, Ended, Micros};
 
 impl FakeSite {
-    /// A request arrives. `advance` must have been called up to now.
+    /// Handles the arrival of a request. `advance` must have been called for the current time.
     pub fn fetch(&mut self, now: Micros, uid: &str, fetch: Fetch) -> Vec<SiteOutput> {
         let mut out = Vec::new();
         let Some(node) = self.nodes.get_mut(uid).filter(|n| n.up) else {
@@ -47,7 +47,7 @@
         out
     }
 
-    /// A request is given up, or its connection has ended.
+    /// Aborts the request with this id, or all requests of a connection that has ended.
     pub fn abort(&mut self, now: Micros, uid: &str, connection: u64, id: Option<&str>) {
         let Some(node) = self.nodes.get_mut(uid) else {
             return;
@@ -67,7 +67,7 @@
                 self.attempts[open.attempt].ended = Some((now, Ended::GivenUp));
             }
         }
-        // A fill whose clients have all left is dropped.
+        // A fill without remaining requests is cancelled.
         let (site_link, fills) = (&mut self.site_link, &mut self.fills_on_link);
         node.filling.retain(|_, f| {
             f.waiters.retain(|r| !aborted.contains(r));
@@ -79,7 +79,7 @@
         });
     }
 
-    /// Work is sent to a node: one that is cold falls over if that is too much. Whether it has.
+    /// Adds work to a node's load, and crashes a cold node that is overloaded. Returns whether it crashed.
     pub(super) fn add_load(
         &mut self,
         now: Micros,
@@ -113,7 +113,7 @@
         true
     }
 
-    /// Answers a request without having served it.
+    /// Rejects a request.
     pub(super) fn reject(
         &mut self,
         now: Micros,
@@ -148,7 +148,7 @@
         });
     }
 
-    /// Begins what waits, as far as there are slots.
+    /// Starts waiting requests while there are free slots.
     pub(super) fn admit(&mut self, now: Micros, uid: &str, out: &mut Vec<SiteOutput>) {
         loop {
             let Some(node) = self.nodes.get_mut(uid) else {
--- a/rehearse/src/fakes/site/timers.rs
+++ b/rehearse/src/fakes/site/timers.rs
@@ -1,27 +1,27 @@
-//! What comes due at a time: fills that begin to come or never do, writes, stalls and purges.
+//! Timed events of the nodes: first bytes and timeouts of fills, ends of writes and stalls, and purges.
 
 use super::{Ended, FakeSite, Fetch, FillInProgress, Phase, PurgeTarget, SiteOutput};
 use crate::fakes::cache_memory::Part;
 use crate::record::Micros;
 
-/// What comes due at a time.
+/// A timed event.
 pub(super) enum Timer {
-    /// The first byte of a fill has come: node, part and number of the fill.
+    /// The first byte of a fill arrives, with the node, the part and the number of the fill.
     FillFirstByte(String, Part, u64),
-    /// Nothing may have come of a fill.
+    /// The timeout of a fill, with the same fields.
     FillTimeout(String, Part, u64),
-    /// The origin has worked off something.
+    /// The origin finishes a request.
     OriginDone,
-    /// A write has run: node and request.
+    /// A write ends, with the node and the request.
     WriteDone(String, u64),
-    /// A stall is over.
+    /// The stall of a node ends.
     StallEnd(String),
-    /// A node carries out a purge of that time.
+    /// A node applies a purge of this target and time.
     ApplyPurge(String, PurgeTarget, Micros),
 }
 
 impl FakeSite {
-    /// Carries out what has come due.
+    /// Handles an event that is due.
     pub(super) fn run_timer(&mut self, now: Micros, timer: Timer, out: &mut Vec<SiteOutput>) {
         match timer {
             Timer::FillFirstByte(uid, part, number) => self.forward_fill(now, uid, part, number),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The first byte of a fill has come. Passed on while it comes: clients are sent what there is by now.
+    /// Starts the answers of the requests that wait for a fill, which are sent while the fill continues.
     fn forward_fill(&mut self, now: Micros, uid: String, part: Part, number: u64) {
         let Some(node) = self.nodes.get_mut(&uid) else {
             return;
@@ -60,7 +60,7 @@
             .begin(number, (work as f64 / self.site.fill_pace) as Micros);
     }
 
-    /// A fill of which nothing has come in time is given up.
+    /// Aborts a fill that has not started in time and rejects its requests.
     fn expire_fill(
         &mut self,
         now: Micros,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// A write has run at the origin, and is answered.
+    /// Answers a write that has run at the origin.
     fn finish_write(&mut self, now: Micros, uid: &str, request: u64, out: &mut Vec<SiteOutput>) {
         let Some(open) = self
             .nodes
@@ -125,7 +125,7 @@
         }
     }
 
-    /// A stall is over.
+    /// Ends the stall of a node.
     fn end_stall(&mut self, now: Micros, uid: &str) {
         let Some(node) = self.nodes.get_mut(uid) else {
             return;
--- a/rehearse/src/fakes/site_server.rs
+++ b/rehearse/src/fakes/site_server.rs
@@ -1,5 +1,5 @@
-//! A fake site on loopback sockets: one thread owns the site, others only read. Each proxy is given addresses of its
-//! own for every node, by which the record tells who sent what.
+//! A fake site on loopback sockets. One thread owns the site, and others read from the sockets. Each node has a separate
+//! address for each proxy, which identifies the sender in the record.
 
 use super::site::{FakeSite, Fetch, SiteOutput};
 use crate::record::Micros;
@@ -15,32 +15,32 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// What a part is, as far as the wire does not tell: its size in KB and its group.
+/// The size in KB and the group of each part, which the wire does not carry.
 pub type Parts = HashMap<(u64, u64), (f64, u64)>;
 
-/// What the driver must know of the load.
+/// The properties of the load that the nodes can't learn from the wire.
 pub struct Workload {
-    /// Parts.
+    /// The parts of all objects.
     pub parts: Parts,
-    /// Pace of one transfer to a client, KB a second.
+    /// The full rate of a transfer to a client, in KB per second.
     pub flow_kb_per_s: f64,
-    /// Classes, by their names.
+    /// The classes by name.
     pub classes: HashMap<String, ClassRules>,
-    /// Every tenth answer's bytes are another part's: a fault that is planted.
+    /// Injects a defect: every tenth answer carries the bytes of another part.
     pub corrupt_answers: bool,
 }
 
-/// What nodes must know of a class of requests.
+/// The properties of a class that the nodes use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassRules {
-    /// How long a copy is fresh, in microseconds; 0: for good.
+    /// The time for which a copy is fresh, in microseconds. 0 means without limit.
     pub freshness_us: Micros,
-    /// Its requests are writes.
+    /// Whether its requests are writes.
     pub is_write: bool,
 }
 
 impl Workload {
-    /// The request that these fields of a fetch describe; whose it is, its receiver fills in.
+    /// Parses the fields of a fetch. The caller sets the connection, the proxy and the id.
     fn fetch(&self, fields: &[u8]) -> Fetch {
         let field = |name: &str| resp::field(fields, name);
         let number = |name: &str| field(name).and_then(|value| value.parse::<u64>().ok());
@@ -90,19 +90,19 @@
     End,
 }
 
-/// The driver looks at its site at least this often, in microseconds.
+/// The maximum time between two steps of the site.
 const MAX_WAIT_US: Micros = 1_000_000;
 
-/// A site that is served.
+/// A running fake site.
 pub struct SiteServer {
-    /// By proxy and node: where that node listens for that proxy.
+    /// The address of each node for each proxy.
     pub addresses: BTreeMap<(usize, String), SocketAddr>,
     sender: Sender<Message>,
     site: JoinHandle<FakeSite>,
     _listeners: Vec<Listening>,
 }
 
-/// Listens at a port of its own for what one proxy sends to one node.
+/// Opens the listener of one node for one proxy.
 fn listen_for(
     proxy: usize,
     node: &str,
@@ -131,7 +131,7 @@
 }
 
 impl SiteServer {
-    /// Serves a site's nodes to so many proxies.
+    /// Starts a site's nodes for this number of proxies.
     pub fn start(
         site: FakeSite,
         nodes: &[String],
@@ -163,12 +163,12 @@
         })
     }
 
-    /// Changes the site.
+    /// Applies a change on the site's thread.
     pub fn change(&self, change: impl FnOnce(&mut FakeSite, Micros) + Send + 'static) {
         let _ = self.sender.send(Message::Change(Box::new(change)));
     }
 
-    /// Ends, and gives the site with its record.
+    /// Stops the site and returns it with its record.
     pub fn end(self) -> io::Result<FakeSite> {
         let _ = self.sender.send(Message::End);
         self.site
@@ -180,13 +180,13 @@
 struct Driver {
     site: FakeSite,
     workload: Workload,
-    /// Open connections, with their nodes.
+    /// The open connections with their nodes.
     sockets: HashMap<u64, (String, TcpStream)>,
     answers: u64,
 }
 
 impl Driver {
-    /// Lets time pass and takes messages, until it is told to end.
+    /// Advances the site and handles messages until the end.
     fn run(mut self, messages: &Receiver<Message>) -> FakeSite {
         loop {
             let now = unix_us();
@@ -281,7 +281,7 @@
         };
         let mut out = Vec::new();
         resp::write_array(&mut out, words);
-        // Whoever has gone is told of by the thread that reads.
+        // The reading thread reports a closed connection.
         let _ = socket.write_all(&out);
     }
 
@@ -328,7 +328,7 @@
     }
 }
 
-/// The bytes of a part in a copy made at this Unix millisecond: a client can tell whether it was given them whole.
+/// Returns the bytes of a part in a copy of this time, from which a client can verify that they are complete.
 pub fn part_bytes(part: (u64, u64), made_ms: u64) -> Vec<u8> {
     let head = format!("{:016x}/{}@{made_ms};", part.0, part.1);
     let fill = part.0 ^ part.1.wrapping_mul(0x9e37_79b9_7f4a_7c15);
@@ -338,7 +338,7 @@
         .collect()
 }
 
-/// When a copy was made that these are the bytes of, whole and unchanged, for this part.
+/// Returns the time of the copy if these are the complete bytes of the part.
 pub fn verified_copy_time_ms(part: (u64, u64), body: &[u8]) -> Option<u64> {
     let end = body.iter().take(64).position(|b| *b == b';')?;
     let head = std::str::from_utf8(&body[..end]).ok()?;
