--- a/rehearse/src/fault_matrix/matrix.rs
+++ b/rehearse/src/fault_matrix/matrix.rs
@@ -1,4 +1,4 @@
-//! The matrix of all plays: a row for each fault point and disk, and one for all.
+//! The result table of the fault matrix, with a row for each fault point and disk and one for the total.
 
 use super::{Case, PlayResult, CONVERGENCE_TIMEOUT, FAULT_POINTS};
 use crate::rules::commits::PurgeAnswer;
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Row {
     plays: usize,
-    /// Commits, rejections, and requests without an answer.
+    /// The numbers of commits, rejections and requests without an answer.
     answers: [usize; 3],
     lost_commits: usize,
     broken: BTreeMap<&'static str, usize>,
@@ -22,7 +22,7 @@
 }
 
 impl Row {
-    /// Takes a play in.
+    /// Adds the result of a play.
     fn add(&mut self, played: &PlayResult) {
         self.plays += 1;
         for purge in &played.record.purges {
@@ -46,7 +46,7 @@
         self.convergence_times.extend(played.converged_in);
     }
 
-    /// Adds another row to this one.
+    /// Adds the counts of another row.
     fn merge(&mut self, other: &Row) {
         self.plays += other.plays;
         (0..3).for_each(|n| self.answers[n] += other.answers[n]);
@@ -60,7 +60,7 @@
         self.inconclusive += other.inconclusive;
     }
 
-    /// The rules that were broken and how often; 0 where none was.
+    /// Returns the broken rules with their counts, or 0 if there are none.
     fn broken_rules(&self) -> String {
         if self.broken.is_empty() {
             return "0".to_owned();
@@ -73,7 +73,7 @@
         rules.join(", ")
     }
 
-    /// A percentile of the times to agreement, in milliseconds; a dash where there are none.
+    /// Returns a percentile of the convergence times in milliseconds, or a dash if there are none.
     fn convergence_ms(&self, percent: usize) -> String {
         let mut times = self.convergence_times.clone();
         times.sort_unstable();
@@ -83,7 +83,7 @@
             .map_or_else(|| "-".to_owned(), |d| d.as_millis().to_string())
     }
 
-    /// Writes the row under this name.
+    /// Writes the row with this name.
     fn write(&self, f: &mut fmt::Formatter<'_>, name: &str, disk: &str) -> fmt::Result {
         let [committed, rejected, unanswered] = self.answers;
         let Row {
@@ -106,16 +106,16 @@
     }
 }
 
-/// What all plays came to, by fault point and disk.
+/// The results of all plays by fault point and disk.
 #[derive(Clone, Debug, Default)]
 pub struct Matrix {
     rows: BTreeMap<(usize, bool), Row>,
-    /// Why plays proved nothing, and each breach with its case.
+    /// The reasons for inconclusive plays, and each breach with its case.
     pub notes: Vec<String>,
 }
 
 impl Matrix {
-    /// Takes a play in.
+    /// Adds the result of a play.
     pub fn add(&mut self, case: Case, played: io::Result<PlayResult>) {
         let row = self
             .rows
@@ -128,13 +128,13 @@
         match played {
             Err(e) => {
                 row.inconclusive += 1;
-                self.notes.push(format!("{name}: proved nothing: {e}"));
+                self.notes.push(format!("{name}: inconclusive: {e}"));
             }
             Ok(played) => {
                 row.add(&played);
                 if played.converged_in.is_none() {
                     self.notes.push(format!(
-                        "{name}: not all agreed within {} s",
+                        "{name}: did not converge within {} s",
                         CONVERGENCE_TIMEOUT.as_secs()
                     ));
                 }
@@ -148,7 +148,8 @@
         }
     }
 
-    /// 0 where no rule was broken and all agreed, 1 where one was or they did not, 2 where nothing was proved.
+    /// Returns the exit status: 0 if all plays passed, 1 if a rule was broken or a fleet did not converge, 2 if plays were
+    /// inconclusive.
     pub fn status(&self) -> u8 {
         let broken = self
             .rows
@@ -171,7 +172,10 @@
             f,
             "| fault point | disk | plays | committed | rejected | no answer | commits lost | rules broken "
         )?;
-        writeln!(f, "| did not agree | agree p50, p99 ms | proved nothing |")?;
+        writeln!(
+            f,
+            "| did not converge | converge p50, p99 ms | inconclusive |"
+        )?;
         writeln!(
             f,
             "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"
--- a/rehearse/src/fault_matrix/mod.rs
+++ b/rehearse/src/fault_matrix/mod.rs
@@ -1,6 +1,6 @@
-//! The fault matrix: several daemons that replicate each other's commits, one of which dies, is stopped or is cut off at
-//! a point of a commit drawn in advance, and comes back with its disk or on a new machine. What was committed must hold.
-//! The daemon needs its fail points (`--features points`).
+//! The fault matrix: several daemons replicate each other's commits, and one of them crashes, is stopped or is isolated at a
+//! point of a commit. It comes back with its disk or on a new machine, and no commit may be lost. The daemon must be built
+//! with fail points (`--features points`).
 
 mod matrix;
 mod points;
@@ -18,29 +18,29 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Proxies of a play.
+/// The number of proxies in a play.
 const PROXIES: usize = 3;
-/// How long all may take to agree.
+/// The time limit for all proxies to converge.
 const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long a death or a successor may take to be known.
+/// The time limit for the detection of a crash or a successor.
 const DETECTION_TIMEOUT: Duration = Duration::from_secs(20);
-/// What the proxies are told of the time for an answer.
+/// The time limit for an answer to a purge request.
 const TIMEOUT_US: u64 = 1_000_000;
-/// How late the kit may be: its threads share the cores with the daemons.
+/// The allowance for the delay of the kit, whose threads share the cores with the daemons.
 const TOLERANCE_US: u64 = 500_000;
 
-/// One play to come.
+/// The parameters of a play.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Case {
     /// The fault point, by its index in `FAULT_POINTS`.
     pub point: usize,
-    /// How the one it happens to comes back.
+    /// Whether the failed proxy comes back with its disk.
     pub disk: Disk,
-    /// For the conditions, who is who, and what the links draw.
+    /// The seed for the link conditions, the roles and the random faults of the links.
     pub seed: u64,
 }
 
-/// So many plays, through all fault points and both disks in turn.
+/// Returns this number of cases, which cycle through all fault points with both kinds of disk.
 pub fn cases(plays: usize, seed: u64) -> Vec<Case> {
     let case = |n: usize| Case {
         point: n % FAULT_POINTS.len(),
@@ -54,14 +54,14 @@
     (0..plays).map(case).collect()
 }
 
-/// What a play came to.
+/// The result of a play.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlayResult {
-    /// Its record.
+    /// The record of the play.
     pub record: CommitRecord,
-    /// What it broke.
+    /// The breaches of rules.
     pub breaches: Vec<Breach>,
-    /// From the return of the one it happened to until all agreed; none: they did not.
+    /// The time from the return of the failed proxy until all converged, if they did.
     pub converged_in: Option<Duration>,
 }
 
@@ -73,7 +73,7 @@
 }
 
 impl Play {
-    /// Starts the proxies of a play.
+    /// Starts the proxies.
     fn start(setup: Setup<'_>) -> io::Result<Self> {
         Ok(Play {
             fleet: Fleet::with(setup)?,
@@ -91,7 +91,7 @@
         self.started_at.elapsed().as_micros() as u64
     }
 
-    /// A neighbour tells a proxy of one more object.
+    /// Requests the purge of a new object at a proxy as a peer CDN, and records the answer.
     fn trigger_purge(&mut self, proxy: usize, excused: bool) -> PurgeAnswer {
         self.objects += 1;
         let object = format!("{:016x}", self.objects);
@@ -117,7 +117,7 @@
         answer
     }
 
-    /// Waits until something is so: whether it became so.
+    /// Waits for a condition. Returns whether it was met in time.
     fn wait_until(&self, timeout: Duration, condition: impl Fn(&Fleet) -> bool) -> bool {
         poll_until(timeout, || condition(&self.fleet))
     }
@@ -131,13 +131,13 @@
 
     fn wait_for_convergence(&self, timeout: Duration) -> io::Result<Option<Duration>> {
         let started_at = Instant::now();
-        // One that died of its point is none that could agree.
+        // A proxy that crashed at its fail point does not count.
         let converged = self.wait_until(timeout, |fleet| fleet.is_converged().unwrap_or(false));
         Ok(converged.then(|| started_at.elapsed()))
     }
 }
 
-/// The conditions of a play: calm, rough or slow.
+/// Returns the link conditions of a play: perfect, lossy or slow.
 fn conditions(seed: u64) -> LinkConditions {
     match seed % 3 {
         0 => LinkConditions::default(),
@@ -156,10 +156,10 @@
     }
 }
 
-/// Plays a case, with these points planted in all daemons.
+/// Plays a case, with the fail points of a defect set in all daemons.
 ///
 /// # Errors
-/// Where it could not be played: a daemon did not start, or has no points.
+/// Returns an error if a daemon did not start or was built without fail points.
 pub fn play(daemon: &Path, case: Case, planted: &str) -> io::Result<PlayResult> {
     let FaultPointEntry {
         point, fail_points, ..
@@ -203,21 +203,21 @@
     })
 }
 
-/// Who is who in a play, and what it happens under.
+/// The roles of the proxies in a play, with its conditions.
 struct Roles {
-    /// The proxy that gets the purge.
+    /// The proxy that receives the purge.
     writer: usize,
-    /// One that holds a copy.
+    /// A proxy that holds a replica.
     replica: usize,
-    /// What is armed at the one it happens to.
+    /// The fail points to set in the proxy that fails.
     fail_points: &'static str,
-    /// Whether a fault is planted in all daemons.
+    /// Whether a defect is injected in all daemons.
     has_defect: bool,
     conditions: LinkConditions,
 }
 
 impl Play {
-    /// Brings a fault about: the proxy that is lost by it.
+    /// Injects a fault and returns the index of the proxy that is lost by it.
     fn inject_fault(&mut self, point: FaultPoint, roles: &Roles) -> io::Result<usize> {
         let Roles {
             writer, replica, ..
@@ -262,37 +262,37 @@
             }
             FaultPoint::Successor => {
                 self.replace_writer(writer)?;
-                // The old machine is switched off at last.
+                // The old machine is shut down in the end.
                 Ok(writer)
             }
         }
     }
 
-    /// The writer dies of its point when it is told.
+    /// Crashes the writer at its fail point by a purge request.
     fn crash_writer(&mut self, roles: &Roles) -> io::Result<()> {
         self.restart_with_fail_points(roles.writer, roles.fail_points)?;
         if self.trigger_purge(roles.writer, true) != PurgeAnswer::None && !roles.has_defect {
             return Err(io::Error::other(
-                "the writer did not die: this daemon has no points",
+                "the writer did not crash: the daemon was built without fail points",
             ));
         }
         Ok(())
     }
 
-    /// The holder dies of its point when the writer is told.
+    /// Crashes the replica at its fail point by a purge request to the writer.
     fn crash_replica(&mut self, roles: &Roles) -> io::Result<()> {
         let replica = roles.replica;
         self.restart_with_fail_points(replica, roles.fail_points)?;
         self.trigger_purge(roles.writer, false);
         if !self.wait_until(DETECTION_TIMEOUT, |fleet| fleet.status(replica).is_err()) {
             return Err(io::Error::other(
-                "the holder did not die: this daemon has no points",
+                "the replica did not crash: the daemon was built without fail points",
             ));
         }
         Ok(())
     }
 
-    /// The replica is cut off for one commit and back for the next.
+    /// Isolates the replica for one commit and reconnects it for the next.
     fn isolate_replica(&mut self, roles: &Roles) -> io::Result<()> {
         self.wait_for_convergence(CONVERGENCE_TIMEOUT)?;
         self.fleet
@@ -304,7 +304,7 @@
         Ok(())
     }
 
-    /// The writer stands still while another takes its name, and goes on.
+    /// Stops the writer while a successor takes its name, and resumes it.
     fn replace_writer(&mut self, writer: usize) -> io::Result<()> {
         self.wait_for_convergence(CONVERGENCE_TIMEOUT)?;
         self.fleet.stall(writer)?;
@@ -315,14 +315,14 @@
             fleet.status(writer).is_ok_and(|s| s.replaced)
         }) {
             return Err(io::Error::other(
-                "the old process did not learn of its successor",
+                "the old process did not detect its successor",
             ));
         }
         self.trigger_purge(writer, false);
         Ok(())
     }
 
-    /// The others go on without the one that was lost, and then it comes back.
+    /// Requests a purge at another proxy and restarts the one that was lost.
     fn recover(&mut self, failed_proxy: usize, roles: &Roles, disk: Disk) -> io::Result<()> {
         let other = (0..PROXIES)
             .find(|proxy| *proxy != failed_proxy)
@@ -332,7 +332,7 @@
         self.fleet.restart(failed_proxy, disk)
     }
 
-    /// Writes down what each proxy that runs holds in the end.
+    /// Records the final state of each running proxy.
     fn record_final_states(&mut self, proxies: usize, has_converged: bool) -> io::Result<()> {
         let running: Vec<usize> = (0..proxies)
             .filter(|n| self.fleet.process(*n).is_ok())
--- a/rehearse/src/fault_matrix/points.rs
+++ b/rehearse/src/fault_matrix/points.rs
@@ -1,46 +1,46 @@
-//! The points of a commit at which the matrix has proxies fail, and the faults that can be planted in the daemons.
+//! The points of a commit at which the matrix makes proxies fail, and the defects that can be injected in the daemons.
 
-/// A step of a commit at which a proxy fails, and which proxy.
+/// A proxy and the step of a commit at which it fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FaultPoint {
-    /// The writer dies before it sends the entry to anybody.
+    /// The writer crashes before it sends the entry to its peers.
     WriterBeforeSend,
-    /// It dies once it has sent the entry to its peers.
+    /// The writer crashes after it has sent the entry to its peers.
     WriterAfterSend,
-    /// It dies before the entry is durable there.
+    /// The writer crashes before the entry is durable there.
     WriterBeforeDisk,
-    /// It dies once the entry is durable there.
+    /// The writer crashes after the entry is durable there.
     WriterAfterDisk,
-    /// It dies once the entry is replicated, before its answer.
+    /// The writer crashes after the entry is replicated and before its answer.
     WriterBeforeAnswer,
-    /// It is killed right after its answer.
+    /// The writer is killed right after its answer.
     WriterAfterAnswer,
-    /// It is cut off from all, gets a purge, and is lost before the links are back.
+    /// The writer is isolated, receives a purge, and is lost before it is reconnected.
     WriterIsolated,
-    /// Its disk fails.
+    /// The writer's disk fails.
     WriterDiskFails,
-    /// A replica dies before the entry is durable there.
+    /// A replica crashes before the entry is durable there.
     ReplicaBeforeDisk,
-    /// It dies once the entry is durable there.
+    /// A replica crashes after the entry is durable there.
     ReplicaAfterDisk,
-    /// It dies before it acknowledges the entry.
+    /// A replica crashes before it acknowledges the entry.
     ReplicaBeforeAck,
-    /// It is stopped, and is lost.
+    /// A replica is stopped (SIGSTOP) and lost.
     ReplicaStalled,
-    /// It is cut off for one commit and back for the next; the writer is lost then.
+    /// A replica is isolated for one commit and reconnected for the next, and then the writer is lost.
     ReplicaIsolated,
-    /// The writer is stopped while another takes its name, and goes on.
+    /// The writer is stopped while a successor takes its name, and is resumed.
     Successor,
 }
 
-/// A fault point, with its name and what is armed in the daemon.
+/// A fault point with its name and the daemon's fail point.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FaultPointEntry {
-    /// The point.
+    /// The fault point.
     pub point: FaultPoint,
     /// Its name in tables.
     pub name: &'static str,
-    /// The daemon's fail point; empty where the fault comes from outside.
+    /// The daemon's fail point, or empty if the fault comes from outside.
     pub fail_points: &'static str,
 }
 
@@ -110,18 +110,18 @@
     entry(FaultPoint::Successor, "successor", ""),
 ];
 
-/// A fault that can be planted in the daemons, so that the rules have something to find.
+/// A defect that can be injected in the daemons to check that the rules detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Defect {
     /// Its name on the command line.
     pub name: &'static str,
     /// The daemon's fail point.
     pub fail_points: &'static str,
-    /// What the daemons do wrong.
+    /// The wrong behaviour of the daemons.
     pub effect: &'static str,
 }
 
-/// All faults that can be planted.
+/// All defects that can be injected.
 pub const DEFECTS: [Defect; 3] = [
     Defect {
         name: "credit",
