--- a/rehearse/src/bin/linnetknot-rehearse/error.rs
+++ b/rehearse/src/bin/linnetknot-rehearse/error.rs
@@ -1,4 +1,4 @@
-//! Why a command could not do what it was asked for.
+//! Errors of the commands.
 
 use linnetknot_rehearse::report::{CompareError, ReportError};
 use linnetknot_rehearse::scenario::ScenarioError;
@@ -6,40 +6,40 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a command could not do what it was asked for; each ends the program with status 2.
+/// An error of a command, which ends the program with status 2.
 #[derive(Debug, Error)]
 pub(crate) enum CommandError {
     /// A file can't be read.
     #[error("{}: {error}", file.display())]
     ReadFile { file: PathBuf, error: io::Error },
-    /// A file holds no scenario.
+    /// A file is not a valid scenario.
     #[error("{}: {error}", file.display())]
     ScenarioFile {
         file: PathBuf,
         error: Box<ScenarioError>,
     },
-    /// A shipped scenario is unsound, or can't be scaled.
+    /// A shipped scenario is invalid or can't be scaled.
     #[error(transparent)]
     Scenario(#[from] ScenarioError),
-    /// A file holds no result.
+    /// A file is not a valid result.
     #[error("{}: {error}", file.display())]
     ReportFile { file: PathBuf, error: ReportError },
     /// Two results can't be compared.
     #[error(transparent)]
     Compare(#[from] CompareError),
-    /// The progress bar's template is unsound.
+    /// The progress bar's template is invalid.
     #[error(transparent)]
     ProgressBar(#[from] indicatif::style::TemplateError),
-    /// The daemons can't be run.
+    /// The play failed, for example as the daemon could not be started.
     #[error("could not be played with {}: {error}", daemon.display())]
     Play { daemon: PathBuf, error: io::Error },
-    /// A result has no form in JSON.
+    /// A result can't be represented in JSON.
     #[error("the result can't be written: {0}")]
     Result(#[from] ReportError),
     /// A result can't be written to its file.
     #[error("the result can't be written: {}: {error}", file.display())]
     WriteFile { file: PathBuf, error: io::Error },
-    /// There is no such fault to plant.
-    #[error("there is no fault '{0}' to plant")]
+    /// There is no defect of this name.
+    #[error("unknown defect '{0}'")]
     UnknownDefect(String),
 }
--- a/rehearse/src/bin/linnetknot-rehearse/fault_matrix.rs
+++ b/rehearse/src/bin/linnetknot-rehearse/fault_matrix.rs
@@ -1,4 +1,4 @@
-//! Plays the fault matrix.
+//! The command `fault-matrix`.
 
 use crate::arguments::MatrixArguments;
 use crate::daemon_path;
@@ -9,7 +9,7 @@
 use std::io;
 use std::process::ExitCode;
 
-/// The fail points that plant a fault in all daemons; none where none is asked for.
+/// Returns the fail points of the defect with this name, or none without a name.
 fn defect_fail_points(name: Option<&str>) -> Result<&'static str, CommandError> {
     let Some(name) = name else { return Ok("") };
     let defect = fault_matrix::DEFECTS
@@ -19,13 +19,13 @@
     Ok(defect.fail_points)
 }
 
-/// Plays the fault matrix; the exit status is that of the matrix.
+/// Plays the fault matrix and returns its exit status.
 pub(crate) fn run(arguments: MatrixArguments) -> Result<ExitCode, CommandError> {
     let planted = defect_fail_points(arguments.plant.as_deref())?;
     let daemon = daemon_path(arguments.daemon);
     let cases = fault_matrix::cases(arguments.plays as usize, arguments.seed);
     let plays = run_in_parallel(&cases, arguments.jobs.into(), |case| match is_stopped() {
-        true => Err(io::Error::other("not played: ended by hand")),
+        true => Err(io::Error::other("not played: interrupted")),
         false => fault_matrix::play(&daemon, *case, planted),
     });
     let mut matrix = fault_matrix::Matrix::default();
--- a/rehearse/src/bin/linnetknot-rehearse/main.rs
+++ b/rehearse/src/bin/linnetknot-rehearse/main.rs
@@ -1,4 +1,4 @@
-//! The rehearsal kit's command line.
+//! The command line program of the rehearsal kit.
 
 mod arguments;
 mod error;
@@ -18,12 +18,12 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// The exit status where a rule was broken.
+/// The exit status if a rule was broken.
 const RULE_BROKEN: u8 = 1;
-/// The exit status where nothing could be played.
+/// The exit status if nothing could be played.
 const NOT_PLAYED: u8 = 2;
 
-/// The daemon that is named, or the one beside this program.
+/// Returns the given path of the daemon, or that in the folder of this program.
 fn daemon_path(daemon: Option<PathBuf>) -> PathBuf {
     let own = || {
         std::env::current_exe()
@@ -33,7 +33,7 @@
     daemon.unwrap_or_else(own)
 }
 
-/// Plays a purge by CDNI, a drain under redirected requests and a planned end.
+/// Plays a purge by CDNI, a drain under redirected requests and a planned shutdown.
 fn run_built_in(daemon: Option<PathBuf>) -> ExitCode {
     let daemon = daemon_path(daemon);
     match linnetknot_rehearse::rehearse(&daemon, None) {
@@ -51,7 +51,7 @@
     }
 }
 
-/// The exit status of what was played.
+/// Returns the exit status of a play.
 fn exit_code(is_clean: bool) -> ExitCode {
     match is_clean {
         true => ExitCode::SUCCESS,
@@ -59,7 +59,7 @@
     }
 }
 
-/// Reads a result.
+/// Reads a result file.
 fn read_report(file: &Path) -> Result<Report, CommandError> {
     let text = std::fs::read_to_string(file).map_err(|error| CommandError::ReadFile {
         file: file.to_owned(),
@@ -71,14 +71,14 @@
     })
 }
 
-/// Puts two results side by side.
+/// Compares two result files.
 fn compare_files(a: &Path, b: &Path) -> Result<ExitCode, CommandError> {
     let (a, b) = (read_report(a)?, read_report(b)?);
     print(&compare(&a, &b)?);
     Ok(exit_code(b.breaches.is_empty()))
 }
 
-/// Does what the command line asks for.
+/// Runs a command.
 fn run(command: Option<Command>) -> Result<ExitCode, CommandError> {
     match command {
         None => Ok(run_built_in(None)),
@@ -103,10 +103,10 @@
 }
 
 fn main() -> ExitCode {
-    // Ctrl-C only sets the flag: the kit must live on to end the daemons, which are in a group of their own and
-    // do not get the signal.
+    // Ctrl-C only sets the flag, as the program still has to stop the daemons. They are in a process group of their own and do
+    // not get the signal.
     if let Err(e) = signal_hook::flag::register(SIGINT, STOP.clone()) {
-        eprintln!("Ctrl-C can't be heard: {e}");
+        eprintln!("the handler of Ctrl-C can't be set: {e}");
     }
     run(Arguments::parse().command).unwrap_or_else(|error| {
         eprintln!("{error}");
--- a/rehearse/src/bin/linnetknot-rehearse/scenarios.rs
+++ b/rehearse/src/bin/linnetknot-rehearse/scenarios.rs
@@ -1,4 +1,4 @@
-//! Scenarios by name or file: playing, checking, listing and showing them.
+//! The commands that play, validate, list and print scenarios.
 
 use crate::arguments::{PlayArguments, RunArguments};
 use crate::error::CommandError;
@@ -14,7 +14,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Breaches of one play that a series prints as they come.
+/// The maximum number of breaches of one play that a series prints.
 const MAX_SHOWN_BREACHES: usize = 5;
 
 /// Reads a scenario file.
@@ -29,7 +29,7 @@
     })
 }
 
-/// A scenario by its name or file, in a share of its time.
+/// Returns a scenario by its name or file, scaled in time.
 fn scenario(name: &str, time_scale: f64) -> Result<Scenario, CommandError> {
     let scenario = match shipped::find(name) {
         Some(scenario) => scenario?,
@@ -61,7 +61,7 @@
     })
 }
 
-/// Plays the chosen scenarios with all of these seeds; the exit status is the worst of theirs.
+/// Plays scenarios with all of these seeds and returns the worst exit status.
 pub(crate) fn run_series(arguments: &RunArguments, seeds: &Seeds) -> ExitCode {
     let daemon = daemon_path(arguments.daemon.clone());
     let all = ["all".to_owned()];
@@ -74,7 +74,7 @@
         .collect();
     let verdicts = run_in_parallel(&plays, arguments.jobs.into(), |(n, seed)| {
         if is_stopped() {
-            return Verdict::Inconclusive("not played: ended by hand".into());
+            return Verdict::Inconclusive("not played: interrupted".into());
         }
         let name = &names[*n];
         match play_seed(name, *seed, arguments.time_scale, &daemon) {
@@ -96,14 +96,14 @@
     ExitCode::from(summary.status())
 }
 
-/// Plays the chosen scenarios in turn; the exit status is the worst of theirs.
+/// Plays scenarios one after another and returns the worst exit status.
 pub(crate) fn run_all(arguments: &RunArguments) -> ExitCode {
     let names = shipped::expand_names(&arguments.scenarios);
     let daemon = daemon_path(arguments.daemon.clone());
     let mut worst = 0;
     for name in &names {
         if is_stopped() {
-            eprintln!("ended by hand: {name} and those after it are not played");
+            eprintln!("interrupted: {name} and the scenarios after it are not played");
             return ExitCode::from(worst.max(NOT_PLAYED));
         }
         let json = match (&arguments.json, names.len()) {
@@ -117,7 +117,7 @@
     ExitCode::from(worst)
 }
 
-/// The file for the result of one of several scenarios: its name stands before the extension.
+/// Returns the file for the result of one of several scenarios, with its name before the extension.
 fn result_file(file: &Path, scenario: &str) -> PathBuf {
     let stem = file.file_stem().unwrap_or_default().to_string_lossy();
     let extension = file
@@ -142,7 +142,7 @@
     ExitCode::from(status(played))
 }
 
-/// The exit status of a play; what kept it from being played is printed.
+/// Returns the exit status of a play and prints its error, if any.
 fn status(played: Result<Verdict, CommandError>) -> u8 {
     match played {
         Err(error) => {
@@ -150,16 +150,16 @@
             NOT_PLAYED
         }
         Ok(verdict) => {
-            // What was broken before an end by hand stands; what was not seen, nobody knows.
+            // Breaches before an interruption count. Without any, an interrupted play is inconclusive.
             if let Verdict::Inconclusive(reason) = &verdict {
-                eprintln!("the rehearsal proves nothing: {reason}");
+                eprintln!("the rehearsal is inconclusive: {reason}");
             }
             verdict.status()
         }
     }
 }
 
-/// Plays a scenario, prints what it came to and writes it to a file where one is named.
+/// Plays a scenario, prints its outcome and writes it to a file if one is given.
 fn play(
     scenario: &Scenario,
     seed: u64,
@@ -178,7 +178,7 @@
     Ok(Verdict::of(&outcome))
 }
 
-/// Plays a scenario with a progress bar, on a terminal only: indicatif draws nothing into a pipe.
+/// Plays a scenario with a progress bar, which is shown only on a terminal.
 fn play_with_progress(
     scenario: &Scenario,
     seed: u64,
@@ -209,18 +209,18 @@
 /// Lists the shipped scenarios.
 pub(crate) fn list() -> ExitCode {
     for (name, text) in shipped::SHIPPED {
-        let about = Scenario::read(text).map_or_else(|e| format!("unsound: {e}"), |s| s.about);
+        let about = Scenario::read(text).map_or_else(|e| format!("invalid: {e}"), |s| s.about);
         println!("{name:<16} {about}");
     }
     ExitCode::SUCCESS
 }
 
-/// Checks scenario files.
+/// Validates scenario files.
 pub(crate) fn check(files: &[PathBuf]) -> ExitCode {
     let mut status = ExitCode::SUCCESS;
     for file in files {
         match read(file) {
-            Ok(scenario) => println!("{}: sound: {}", file.display(), scenario.about),
+            Ok(scenario) => println!("{}: valid: {}", file.display(), scenario.about),
             Err(error) => {
                 status = ExitCode::from(NOT_PLAYED);
                 eprintln!("{error}");
@@ -230,7 +230,7 @@
     status
 }
 
-/// Shows what a scenario asks for.
+/// Prints the load of a scenario.
 pub(crate) fn show_plan(file: &Path, seed: u64) -> Result<ExitCode, CommandError> {
     let scenario = read(file)?;
     print(&tables::plan(&scenario, &plan(&scenario, seed)));
--- a/rehearse/src/bin/linnetknot-rehearse/tables.rs
+++ b/rehearse/src/bin/linnetknot-rehearse/tables.rs
@@ -1,15 +1,15 @@
-//! Outcomes and plans as tables.
+//! Tables of outcomes and plans.
 
 use linnetknot_rehearse::load::Plan;
 use linnetknot_rehearse::player::Outcome;
 use linnetknot_rehearse::scenario::Scenario;
 use std::collections::BTreeSet;
 
-/// What a rehearsal came to, as tables.
+/// Returns the tables of an outcome.
 pub(crate) fn outcome(scenario: &Scenario, o: &Outcome) -> String {
     let share = |s: f64, of: f64| format!("{:.1}%", 100.0 * s / of.max(1e-9));
     let mut out = format!(
-        "{}: {} requests sent, {} taken by no proxy, {:.1} ms late at most (p99 {:.1}); {} writes ran, {} of them again\n\n",
+        "{}: {} requests sent, {} accepted by no proxy, {:.1} ms late at most (p99 {:.1}); {} writes ran, {} of them repeated\n\n",
         scenario.name,
         o.requests,
         o.unsent,
@@ -18,7 +18,7 @@
         o.writes.0,
         o.writes.1
     );
-    out += "| | worth asked | in time | late | refused | failed | unanswered |\n";
+    out += "| | offered weight | in time | late | refused | failed | unanswered |\n";
     out += "| --- | --- | --- | --- | --- | --- | --- |\n";
     let names = scenario.load.classes.iter().map(|c| c.name.as_str());
     let rows = std::iter::once(("all", &o.score.total)).chain(names.zip(&o.score.classes));
@@ -30,7 +30,7 @@
             s.offered
         );
     }
-    out += "\n| ms, from when it was due | served | p50 | p90 | p99 | p99.9 | most |\n";
+    out += "\n| wait in ms from the due time | served | p50 | p90 | p99 | p99.9 | max |\n";
     out += "| --- | --- | --- | --- | --- | --- | --- |\n";
     for (class, w) in scenario.load.classes.iter().zip(&o.waits) {
         let [a, b, c, d, e] =
@@ -49,7 +49,7 @@
     out + &format!("{} breaches\n", o.breaches.len())
 }
 
-/// The plan as tables.
+/// Returns the tables of a plan.
 pub(crate) fn plan(scenario: &Scenario, plan: &Plan) -> String {
     let (name, seconds) = (&scenario.name, scenario.seconds);
     let mut out = format!(
