--- a/rehearse/tests/cli.rs
+++ b/rehearse/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line's answers that need no daemon: the list, and the status of what can't be played.
+//! Tests of the command line that need no daemon.
 
 use std::process::Command;
 
--- a/rehearse/tests/fake_site.rs
+++ b/rehearse/tests/fake_site.rs
@@ -1,5 +1,4 @@
-//! A fake site in virtual time: a link that is shared, a memory with ranks, and boxes, hub caches and the
-//! origin made of them.
+//! Tests of the fake site on virtual time: the shared link, the cache memory and the nodes.
 
 use linnetknot_rehearse::fakes::cache_memory::CacheMemory;
 use linnetknot_rehearse::fakes::shared_link::SharedLink;
@@ -19,13 +18,17 @@
     let mut link = SharedLink::new(2.0);
     link.begin(1, 100 * MS);
     link.begin(2, 100 * MS);
-    assert_eq!(link.next_due(), Some(100 * MS), "two fit");
+    assert_eq!(
+        link.next_due(),
+        Some(100 * MS),
+        "two transfers run at full rate"
+    );
     assert_eq!(link.advance(50 * MS), []);
-    // Two more halve the pace of all four: the first two end after another 100 ms.
+    // Four transfers run at half rate, so the first two end after another 100 ms.
     link.begin(3, 100 * MS);
     link.begin(4, 200 * MS);
     assert_eq!(link.advance(150 * MS), [(1, 150 * MS), (2, 150 * MS)]);
-    // 3 has 50 ms left, 4 has 150, and both fit again.
+    // Transfer 3 has 50 ms left and 4 has 150, and both run at full rate again.
     assert!(link.cancel(3) && !link.cancel(3));
     assert_eq!(link.next_due(), Some(300 * MS));
     link.set_capacity(0.5);
@@ -33,12 +36,11 @@
     assert_eq!(
         link.advance(10_000 * MS),
         [(4, 450 * MS)],
-        "told with the time at which it ended"
+        "reported with its end time"
     );
     assert!(link.is_empty() && link.next_due().is_none());
 }
 
-/// However it is looked at, a link gives no more than its capacity, and all that it was asked for in the end.
 #[test]
 fn link_delivers_all_work_and_never_exceeds_its_capacity() {
     let mut random = ChaCha8Rng::seed_from_u64(11);
@@ -49,7 +51,7 @@
             (0, 0, Vec::new(), Vec::new());
         for id in 0..40 {
             now += random.random_range(0..60 * MS);
-            // One is looked at all the time, the other only when something is begun.
+            // One link is advanced at each event, the other only when a transfer begins.
             while let Some(due) = link.next_due().filter(|due| *due <= now) {
                 ends.extend(link.advance(due));
             }
@@ -99,30 +101,33 @@
 fn eviction_follows_rank_and_never_favours_a_lower_rank() {
     let mut memory = CacheMemory::new(100);
     assert!(memory.insert((1, 0), 7, 40, 10, 1) && memory.insert((2, 0), 7, 40, 10, 2));
-    assert!(!memory.insert((3, 0), 7, 101, 10, 3), "larger than all");
-    assert!(!memory.insert((3, 0), 7, 10, 10, 0), "rank 0 is not kept");
-    // 1 has the lowest rank, whatever was used last.
+    assert!(
+        !memory.insert((3, 0), 7, 101, 10, 3),
+        "larger than the memory"
+    );
+    assert!(!memory.insert((3, 0), 7, 10, 10, 0), "rank 0 is not stored");
+    // Copy 1 has the lowest rank, although it was used last.
     assert_eq!(memory.get((1, 0), 10, 0), Some(10));
     assert!(memory.insert((3, 0), 7, 40, 10, 2));
     assert_eq!((memory.get((1, 0), 0, 0), memory.used_kb()), (None, 80));
-    // Of one rank, what was used longest ago.
+    // Within a rank, the least recently used copy is evicted.
     assert_eq!(memory.get((2, 0), 0, 0), Some(10));
     assert!(memory.insert((4, 0), 7, 40, 10, 2));
     assert_eq!(
         (memory.get((3, 0), 0, 0), memory.get((2, 0), 0, 0)),
         (None, Some(10))
     );
-    // One of lower rank is not kept, and costs nobody.
+    // A copy of lower rank is not stored and evicts nothing.
     assert!(!memory.insert((5, 0), 7, 40, 10, 1));
     assert_eq!(memory.used_kb(), 80);
-    // A use sets the rank anew: then it goes first.
+    // A use sets the rank, so this copy is evicted first.
     memory.get((4, 0), 0, 1);
     assert!(memory.insert((6, 0), 7, 50, 10, 1));
     assert_eq!(
         (memory.get((4, 0), 0, 0), memory.get((2, 0), 0, 0)),
         (None, Some(10))
     );
-    // An older copy never takes the place of a newer one, a newer one does; one that is too old will not do.
+    // A copy is replaced only by a newer one, and is not returned if it is too old.
     assert!(!memory.insert((2, 0), 7, 40, 9, 3) && memory.insert((2, 0), 7, 30, 20, 3));
     assert_eq!(
         (
@@ -132,7 +137,7 @@
         ),
         (None, Some(20), 80)
     );
-    // Purges strike what is older than they are, by object or by group.
+    // A purge removes older copies by object or by group.
     assert!(memory.insert((2, 1), 8, 20, 20, 3));
     assert_eq!((memory.purge(Ok(2), 20), memory.purge(Err(7), 20)), (0, 1));
     assert_eq!((memory.purge(Ok(2), 21), memory.used_kb()), (2, 0));
@@ -173,7 +178,7 @@
     }
 }
 
-/// Two boxes, a hub cache and the origin.
+/// Returns a site of two edge caches, a parent cache and the origin.
 fn two_tier_site() -> FakeSite {
     let mut site = FakeSite::new(site_parameters());
     for (uid, kind) in [
@@ -202,7 +207,7 @@
     }
 }
 
-/// Ids, words and notes, in order.
+/// Returns the id, the status and the `how` field of each output, in order.
 fn answers(out: Vec<SiteOutput>) -> Vec<(String, &'static str, &'static str)> {
     out.into_iter()
         .map(|o| match o {
@@ -226,7 +231,7 @@
 fn miss_is_filled_through_the_parent_and_cached() {
     let mut site = two_tier_site();
     assert_eq!(site.fetch(0, "a", fetch("1", 7, Some("hub"))), []);
-    // The way to the origin, its answer and the way to the hub cache pass before the first byte comes.
+    // The first byte takes the round trips to the origin and the parent cache and the origin's response time.
     assert_eq!(site.advance(170 * MS), []);
     assert_eq!(
         answers(site.advance(175 * MS)),
@@ -234,13 +239,13 @@
     );
     site.fetch(200 * MS, "a", fetch("2", 7, None));
     assert_eq!(answers(site.advance(300 * MS)), answer("2", "200", "local"));
-    // The other box finds it in the hub cache.
+    // The other edge cache finds it in the parent cache.
     site.fetch(300 * MS, "b", fetch("3", 7, Some("hub")));
     assert_eq!(
         answers(site.advance(405 * MS)),
         answer("3", "200", "pulled")
     );
-    // From a sibling; and one that joins is sent what the first is waiting for.
+    // A second request joins the fill, and a later one is filled from the sibling.
     site.fetch(500 * MS, "b", fetch("4", 8, Some("hub")));
     site.advance(510 * MS);
     site.fetch(510 * MS, "b", fetch("5", 8, Some("hub")));
@@ -254,7 +259,7 @@
         answers(site.advance(900 * MS)),
         answer("6", "200", "pulled")
     );
-    // A purge: the copy is gone, and an age that is asked for keeps older ones out.
+    // A purge removes the copy, and a maximum age excludes older copies.
     site.purge("a", Ok(8), 10_000 * MS);
     assert_eq!(
         answers(site.fetch(900 * MS, "a", fetch("7", 8, None))),
@@ -268,8 +273,8 @@
     );
 }
 
-/// A fill that runs across a purge brings a copy from before it, by way of a sibling too. The platform's word is that
-/// all older copies go, so such a one is not kept; a box that knows no better keeps it.
+/// A fill in progress during a purge may bring an older copy, also through a sibling. It is stored only if the site is
+/// configured with late fills.
 #[test]
 fn fill_older_than_a_purge_is_cached_only_with_late_fills() {
     for late_fills in [false, true] {
@@ -285,10 +290,10 @@
         ] {
             site.start(uid, kind, node_parameters(), None);
         }
-        // The hub cache has a copy made at 70 ms.
+        // The parent cache has a copy from 70 ms.
         site.fetch(0, "a", fetch("1", 7, Some("hub")));
         site.advance(1000 * MS);
-        // The sibling is filled from it, and the purge is carried out everywhere while that runs.
+        // The sibling is filled from it, and all nodes apply the purge during the fill.
         site.fetch(1000 * MS, "b", fetch("2", 7, Some("a")));
         site.advance(1010 * MS);
         ["a", "b", "hub"]
@@ -311,7 +316,7 @@
             answer("3", "404", "")
         };
         assert_eq!(found, expected, "late fills: {late_fills}");
-        // Whatever the box keeps, an age that is asked for holds.
+        // A maximum age excludes the copy in either case.
         let fresh_only = Fetch {
             max_age_us: 7990 * MS,
             ..fetch("4", 7, None)
@@ -358,8 +363,16 @@
         site.advance(at + 200 * MS);
         all.iter().filter(|held| **held).count()
     };
-    assert_eq!(held(&mut site, 1000 * MS), 2, "neither at once");
-    assert_eq!(held(&mut site, 7000 * MS), 0, "both within six seconds");
+    assert_eq!(
+        held(&mut site, 1000 * MS),
+        2,
+        "no cache has applied the purge yet"
+    );
+    assert_eq!(
+        held(&mut site, 7000 * MS),
+        0,
+        "both caches have applied it within six seconds"
+    );
 }
 
 #[test]
@@ -379,7 +392,7 @@
         answer("lost", "503", "cut_off")
     );
     site.start("hub", NodeKind::ParentCache, node_parameters(), None);
-    // Two places for fills, four slots, two that wait; one more is full.
+    // The cache has two fills, four slots and a queue of two. A further request is rejected.
     for n in 0..2 {
         assert_eq!(
             site.fetch(0, "a", fetch(&n.to_string(), 10 + n, Some("origin"))),
@@ -401,12 +414,12 @@
         answers(site.fetch(0, "a", fetch("full", 10, None))),
         answer("full", "503", "")
     );
-    // One is given up: its place is the next one's, and its fill is dropped.
+    // An aborted request frees its slot, and its fill is cancelled.
     site.abort(MS, "a", 1, Some("1"));
     assert_eq!(site.inflight("a"), 5);
     assert_eq!(answers(site.advance(10_000 * MS)).len(), 5);
     assert_eq!(site.inflight("a"), 0);
-    // An origin that is too slow: the fill is given up by the box itself.
+    // The cache aborts a fill from an origin that is too slow.
     site.set_origin_slowdown(100.0);
     site.fetch(20_000 * MS, "a", fetch("late", 30, Some("origin")));
     assert_eq!(answers(site.advance(21_999 * MS)), []);
@@ -433,7 +446,7 @@
         overload_multiple: 2.5,
         overload_window_us: 3000 * MS,
     };
-    // 2.5 x 2 x 3 s at 15% and rising is some 4 s of work: requests that are turned away count too.
+    // 2.5 x 2 x 3 s at 15% and rising is about 4 s of work. Rejected requests count too.
     for (uid, target, source) in [("a", "a", None), ("hub", "a", Some("hub"))] {
         let mut site = two_tier_site();
         site.start("a", NodeKind::EdgeCache, large_node_parameters(), None);
@@ -453,7 +466,10 @@
                 break;
             }
         }
-        assert!((30..58).contains(&crashed_at), "{uid} fell at {crashed_at}");
+        assert!(
+            (30..58).contains(&crashed_at),
+            "{uid} crashed at {crashed_at}"
+        );
         assert!(!site.is_up(uid));
     }
 }
@@ -468,7 +484,7 @@
     assert_eq!(
         answers(site.fetch(0, "a", post("0"))),
         answer("0", "404", ""),
-        "only the origin runs it"
+        "only the origin runs writes"
     );
     site.fetch(0, "origin", post("1"));
     assert_eq!(answers(site.advance(50 * MS)), answer("1", "200", "local"));
@@ -482,12 +498,10 @@
     assert_eq!(
         site.writes,
         (2, 1),
-        "the key was held no more: it has run twice, and that is counted"
+        "after the key window the write runs again and counts as repeated"
     );
 }
 
-/// An evening against boxes that behave, in virtual time: each request that arrives has one end, and the rules on
-/// attempts hold in the record that the site has kept.
 #[test]
 fn every_request_of_a_scenario_ends_once() {
     let scenario = Scenario::read(include_str!("../scenarios/chuseok-evening.json")).unwrap();
@@ -524,10 +538,10 @@
     let mut ids: Vec<_> = answers(out);
     assert_eq!(ids.len(), sent);
     let hits = ids.iter().filter(|a| a.2 == "local").count();
-    assert!(hits * 2 > sent, "{hits} of {sent} were found");
+    assert!(hits * 2 > sent, "{hits} hits of {sent} requests");
     ids.sort();
     ids.dedup_by(|a, b| a.0 == b.0);
-    assert_eq!(ids.len(), sent, "one end each");
+    assert_eq!(ids.len(), sent, "one answer for each request");
     assert!(site
         .attempts
         .iter()
--- a/rehearse/tests/load.rs
+++ b/rehearse/tests/load.rs
@@ -1,4 +1,4 @@
-//! Scenarios and the plans drawn from them.
+//! Tests of scenarios and of the plans drawn from them.
 
 use linnetknot_rehearse::load::{load_factor, plan, Arrival, Plan, GROUP_COUNT};
 use linnetknot_rehearse::scenario::{schema, Fault, Scenario, What};
@@ -27,7 +27,7 @@
     assert_ne!(of_class(&first, 1), of_class(&changed, 1));
     assert!(
         first.arrivals.windows(2).all(|w| w[0].at <= w[1].at),
-        "in the order of time"
+        "in order of time"
     );
     assert!(first
         .arrivals
@@ -58,11 +58,11 @@
             .filter(|a| (from * 1_000_000..to * 1_000_000).contains(&a.at))
             .count() as f64
     };
-    // 210 a second at the top; videos that began earlier go on into it.
+    // The peak is 210 per second, with parts of videos that began before it.
     let top = count_within(28, 44) / 16.0;
     assert!((170.0..250.0).contains(&top), "{top} a second");
     assert!(count_within(0, 8) / 8.0 < 0.65 * top);
-    // Each part of a video lies a gap behind the one before.
+    // Each part of a video follows the previous one after a gap.
     let mut behind: BTreeMap<(u64, u32, u64), Vec<u64>> = BTreeMap::new();
     for a in of_class(&plan, 0) {
         behind
@@ -76,9 +76,13 @@
         let gap = before
             .iter()
             .any(|at| (380_000..=740_001).contains(&a.at.saturating_sub(*at)));
-        assert!(gap, "part {} of {:x} follows none", a.part, a.object);
+        assert!(
+            gap,
+            "part {} of {:x} does not follow the previous part",
+            a.part, a.object
+        );
     }
-    // The same part has the same size whoever asks for it, and only posts carry keys, each its own.
+    // A part has the same size in each request, and only posts carry keys, which are unique.
     let mut sizes = BTreeMap::new();
     for a in &plan.arrivals {
         let first = sizes
@@ -103,9 +107,9 @@
     let once = counts.values().filter(|n| **n == 1).count() as f64 / of_class(&out, 1).len() as f64;
     assert!(
         (0.45..0.75).contains(&once),
-        "half, and the tail of the rest: {once}"
+        "half, and rare objects of the rest: {once}"
     );
-    // Among the videos begun while it lasts, three in ten are of the hot one.
+    // Three in ten of the videos that start during the fault are of the hot object.
     let period = 25_000_000..40_000_000;
     let started = |class: usize| {
         of_class(&out, class)
@@ -130,14 +134,14 @@
     let asked = |o: &u64| out.arrivals.iter().any(|a| a.object == *o);
     assert!(
         (15..60).contains(&objects.len()) && objects.iter().all(asked),
-        "what is purged was looked at"
+        "only requested objects are purged"
     );
     scenario.load.purges = 0.0;
     scenario.faults.clear();
     assert_eq!(plan(&scenario, 5).purges, []);
 }
 
-/// Slips in a scenario: what stands there, what is put in its place, and the start of the message.
+/// Errors in a scenario: the original text, its replacement, and the start of the message.
 const INVALID_SCENARIOS: [(&str, &str, &str); 16] = [
     (
         "\"seconds\": 60",
@@ -238,7 +242,7 @@
     );
 }
 
-/// After a change of the types: `linnetknot-rehearse schema > docs/scenario.schema.json`.
+/// Update the file with `linnetknot-rehearse schema > docs/scenario.schema.json`.
 #[test]
 fn published_schema_matches_the_types() {
     assert!(
@@ -263,7 +267,7 @@
         .iter()
         .filter(|n| n.model == "box")
         .all(|n| n.capacity == 20.0 && n.zone == "here"));
-    // Without a site the figures are the same as those the evening writes out.
+    // The defaults equal the values in the shipped scenario.
     let mut text: serde_json::Value = serde_json::from_str(EVENING).unwrap();
     text.as_object_mut().unwrap().remove("site");
     assert_eq!(Scenario::read(&text.to_string()).unwrap(), scenario);
@@ -309,7 +313,10 @@
     let (whole, short) = (plan(&evening, 3), plan(&quarter, 3));
     let rate = |p: &Plan, seconds: f64| p.arrivals.len() as f64 / seconds;
     let ratio = rate(&short, 15.0) / rate(&whole, 60.0);
-    assert!((0.8..1.25).contains(&ratio), "as busy a second: {ratio}");
+    assert!(
+        (0.8..1.25).contains(&ratio),
+        "requests per second change by the factor {ratio}"
+    );
     assert!(evening
         .scaled(0.001)
         .unwrap_err()
--- a/rehearse/tests/purges.rs
+++ b/rehearse/tests/purges.rs
@@ -1,6 +1,5 @@
-//! Purges on virtual time, the decision module against boxes that behave: fill begun, purge, fill ends, the time that
-//! boxes need passes, request. The boxes here let late fills in, so that only what the proxy asks for keeps old copies
-//! from its clients.
+//! Tests of purges during fills on virtual time, with the decision module and a fake site. The fake caches store old copies from
+//! late fills, so only the maximum age that the router requests keeps them from clients.
 
 use linnetknot::{
     Action, Event, Fill, ListMode, Micros, Note, Outcome, Request, Router, Server, State,
@@ -12,7 +11,7 @@
 
 const S: Micros = 1_000_000;
 const START_US: Micros = 1_000 * S;
-/// A fill that began so long ago has its copy from the origin, which gave it out after 50 ms, and has not ended.
+/// The time after the start of a fill at which the origin has sent the copy and the fill has not ended.
 const MID_FILL_US: Micros = 80_000;
 const OBJECT: u64 = 7;
 const GROUP: u64 = 3;
@@ -26,7 +25,7 @@
     NODES.iter().find(|n| n.0 == id).map_or("-", |n| n.1)
 }
 
-/// A router and the site behind it.
+/// A router and the fake site behind it.
 struct Play {
     router: Router,
     site: FakeSite,
@@ -35,7 +34,7 @@
 
 fn router(siblings: bool) -> Router {
     let mut form = settings();
-    // Good until purged.
+    // Copies are fresh until they are purged.
     form["family-info"]["good-for-us"] = serde_json::json!([0, 0]);
     form["family-info"]["neighbours"] = if siblings { "any" } else { "off" }.into();
     let read = linnetknot_settings::parse_settings(form.as_object().unwrap()).unwrap();
@@ -97,8 +96,8 @@
         self.router.handle(now, purged, &mut Vec::new());
     }
 
-    /// Asks through the router: which box was asked, and when the copy that it gave was made. What is to happen
-    /// while the attempt is out happens while its fill runs.
+    /// Sends a request through the router and returns the cache and the time of the served copy. Calls `meanwhile` during the
+    /// fill.
     fn ask(
         &mut self,
         now: Micros,
@@ -181,7 +180,6 @@
     }
 }
 
-/// The fill that runs across the purge leaves its copy in the box, which serves it to who asks for any age.
 #[test]
 fn copy_cached_by_a_fill_across_a_purge_is_not_served_later() {
     for by_object in [true, false] {
@@ -195,7 +193,7 @@
                 .for_each(|uid| p.site.purge(uid, target, purged_at));
             p.purge(purged_at, by_object);
         });
-        assert!(old < purged_at, "made before the purge");
+        assert!(old < purged_at, "the copy is older than the purge");
         let any = Fetch {
             max_age_us: u64::MAX,
             rank: 0,
@@ -225,14 +223,14 @@
     }
 }
 
-/// The old copy comes to the other box from its sibling, which a proxy that had no word yet named as the source.
+/// Another proxy, not yet notified, causes the other cache to fill the old copy from its sibling.
 #[test]
 fn stale_copy_filled_from_a_sibling_is_not_served() {
     let mut p = play(true);
     let (first, old) = p.ask(START_US, |_, _| {});
     let other = if first == "a" { "b" } else { "a" };
     let purged_at = START_US + 5 * S;
-    // The other box has carried the purge out when the first, which has not, passes its copy on.
+    // The other cache has applied the purge before the first one, which still has the old copy.
     p.site.purge(other, Ok(OBJECT), purged_at);
     p.purge(purged_at, true);
     let stale_fill = Fetch {
@@ -244,7 +242,7 @@
     p.site.fetch(purged_at + S / 10, other, stale_fill);
     p.site.advance(purged_at + S);
     p.site.purge(first, Ok(OBJECT), purged_at);
-    // Both boxes have had their six seconds. The router is made to ask the other one.
+    // Both caches have applied the purge. The first is removed from the list, so the router uses the other.
     let server = |state| Server {
         id: if first == "a" { 1 } else { 2 },
         zone: "here".into(),
@@ -267,7 +265,7 @@
     );
 }
 
-/// The process that an upgrade starts is told by the bus, late, of what the old one was told.
+/// A process started by an upgrade receives earlier purges from the bus late.
 #[test]
 fn restarted_process_enforces_purges_replayed_by_the_bus() {
     let mut p = play(false);
