--- a/rehearse/examples/commit_cost.rs
+++ b/rehearse/examples/commit_cost.rs
@@ -1,6 +1,6 @@
-//! What a commit costs: purges sent to one of three daemons, with commits that wait for 0, 1 and 2 further machines and
-//! with one replica that is stopped; one caller after the other for the wait, sixteen at once for the rate. Last, a new
-//! machine under an old name that fetches all that was committed. All in one run, to be read as ratios.
+//! Measures the cost of a commit. Sends purges to one of three daemons, with commits that wait for 0, 1 and 2 further machines
+//! and with a stopped replica: sequentially for the latency, and by sixteen callers for the rate. Then measures the recovery
+//! of all commits by a new machine with an old name. Compare the figures of one run only.
 //!
 //!     cargo build --release && cargo run --release -p linnetknot-rehearse --example commit_cost -- target/release/linnetknot
 
@@ -10,17 +10,17 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Commits one after the other, and at once: fewer than the 1,024 triggers that a proxy remembers for an hour.
-const IN_TURN: u64 = 300;
+/// The sequential commits, fewer together with the concurrent ones than the 1,024 triggers that a proxy stores.
+const SEQUENTIAL_COMMITS: u64 = 300;
 const CALLERS: u64 = 16;
-const OF_EACH_CALLER: u64 = 40;
-/// Commits that a new machine fetches.
-const FETCHED: u64 = 900;
+const COMMITS_PER_CALLER: u64 = 40;
+/// The number of commits that a new machine recovers.
+const RECOVERED_COMMITS: u64 = 900;
 
-/// What a commit waits for, and whether a replica is stopped.
+/// The replicas that a commit waits for, and whether one is stopped.
 struct Case {
     name: &'static str,
-    /// Further machines; none: nothing is replicated.
+    /// The number of further machines, or none without replication.
     wait: Option<usize>,
     is_stopped: bool,
 }
@@ -56,7 +56,7 @@
     time_clients(&mut fleet)
 }
 
-/// Prints what commits take in one case.
+/// Prints the latency and the rate of commits in one case.
 fn play(daemon: &Path, case: &Case) -> io::Result<()> {
     let fleet = Fleet::start(daemon, 3, 7, case.wait)?;
     if case.is_stopped {
@@ -64,13 +64,13 @@
     }
     let at = fleet.process(0)?.cdni;
     let mut waits = Vec::new();
-    for n in 0..IN_TURN {
-        let begun = Instant::now();
+    for n in 0..SEQUENTIAL_COMMITS {
+        let started_at = Instant::now();
         commit(at, n)?;
-        waits.push(begun.elapsed().as_micros());
+        waits.push(started_at.elapsed().as_micros());
     }
     waits.sort_unstable();
-    let rate = rate_at_once(at)?;
+    let rate = concurrent_rate(at)?;
     println!(
         "{:<28} {:>9} {:>9} {rate:>12.0}",
         case.name,
@@ -83,46 +83,46 @@
     Ok(())
 }
 
-/// Commits a second of several callers at once.
-fn rate_at_once(at: SocketAddr) -> io::Result<f64> {
-    let begun = Instant::now();
+/// Returns the commits per second of concurrent callers.
+fn concurrent_rate(at: SocketAddr) -> io::Result<f64> {
+    let started_at = Instant::now();
     let call = |caller: u64| {
         std::thread::spawn(move || {
-            (0..OF_EACH_CALLER).try_for_each(|n| commit(at, (caller + 1) << 32 | n))
+            (0..COMMITS_PER_CALLER).try_for_each(|n| commit(at, (caller + 1) << 32 | n))
         })
     };
     let callers: Vec<_> = (0..CALLERS).map(call).collect();
     for caller in callers {
         caller
             .join()
-            .map_err(|_| io::Error::other("a caller ended"))??;
+            .map_err(|_| io::Error::other("a caller thread panicked"))??;
     }
-    Ok((CALLERS * OF_EACH_CALLER) as f64 / begun.elapsed().as_secs_f64())
+    Ok((CALLERS * COMMITS_PER_CALLER) as f64 / started_at.elapsed().as_secs_f64())
 }
 
-/// A new machine under an old name fetches all that was committed.
+/// Prints the time until a new machine with an old name has recovered all commits.
 fn replace_machine(fleet: &mut Fleet) -> io::Result<()> {
     let at = fleet.process(0)?.cdni;
-    (0..FETCHED).try_for_each(|n| commit(at, n))?;
+    (0..RECOVERED_COMMITS).try_for_each(|n| commit(at, n))?;
     fleet.kill(0)?;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     fleet.restart(0, Disk::Lost)?;
-    let up = begun.elapsed();
+    let listening_after = started_at.elapsed();
     while !fleet.is_converged()? {
         std::thread::sleep(Duration::from_millis(20));
     }
     println!(
-        "a new machine listens after {} ms and has its {FETCHED} commits after {} ms",
-        up.as_millis(),
-        begun.elapsed().as_millis()
+        "a new machine listens after {} ms and has its {RECOVERED_COMMITS} commits after {} ms",
+        listening_after.as_millis(),
+        started_at.elapsed().as_millis()
     );
     Ok(())
 }
 
-/// Clients' requests at a proxy that has nothing else to do, and while it sends all it has to a new machine.
+/// Prints the latency of clients' requests at an idle proxy, and at one that sends all its commits to a new machine.
 fn time_clients(fleet: &mut Fleet) -> io::Result<()> {
-    let mut calm = Vec::new();
-    (0..1_000).try_for_each(|n| request(fleet, n, &mut calm))?;
+    let mut idle = Vec::new();
+    (0..1_000).try_for_each(|n| request(fleet, n, &mut idle))?;
     let mut busy = Vec::new();
     for _ in 0..5 {
         fleet.kill(2)?;
@@ -132,7 +132,10 @@
             request(fleet, 0, &mut busy)?;
         }
     }
-    for (name, mut waits) in [("at rest", calm), ("beside a copy of all it has", busy)] {
+    for (name, mut waits) in [
+        ("at rest", idle),
+        ("while sending all commits to a new machine", busy),
+    ] {
         waits.sort_unstable();
         let at = |share: usize| waits[waits.len() * share / 100];
         println!(
@@ -145,15 +148,15 @@
     Ok(())
 }
 
-/// One request of a client at the second proxy.
+/// Sends one client's request to the second proxy.
 fn request(fleet: &Fleet, n: u64, waits: &mut Vec<u128>) -> io::Result<()> {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     fleet.ask(1, &format!("{:016x}", 1_000_000 + n))?;
-    waits.push(begun.elapsed().as_micros());
+    waits.push(started_at.elapsed().as_micros());
     Ok(())
 }
 
-/// Purges an object, and is answered that it is committed.
+/// Purges an object and checks that the purge is committed.
 fn commit(at: SocketAddr, object: u64) -> io::Result<()> {
     match purge_at(at, &format!("{object:016x}"))? {
         201 => Ok(()),
--- a/rehearse/examples/upgrade/checks.rs
+++ b/rehearse/examples/upgrade/checks.rs
@@ -1,4 +1,4 @@
-//! What was checked, and how much of it failed.
+//! The results of checks.
 
 use std::fmt;
 
@@ -10,18 +10,18 @@
 }
 
 impl Checks {
-    /// Takes in whether something holds, and prints it with what was seen.
-    pub(crate) fn that(&mut self, what: &str, holds: bool, seen: impl FnOnce() -> String) {
+    /// Counts a check and prints it with the observation.
+    pub(crate) fn check(&mut self, what: &str, holds: bool, observed: impl FnOnce() -> String) {
         let (counter, mark) = if holds {
             (&mut self.passed, "ok  ")
         } else {
             (&mut self.failed, "FAIL")
         };
         *counter += 1;
-        println!("  {mark} {what}: {}", seen());
+        println!("  {mark} {what}: {}", observed());
     }
 
-    /// Whether any check failed.
+    /// Returns whether any check failed.
     pub(crate) fn has_failed(&self) -> bool {
         self.failed > 0
     }
--- a/rehearse/examples/upgrade/main.rs
+++ b/rehearse/examples/upgrade/main.rs
@@ -1,9 +1,9 @@
-//! An upgrade and the way back: the program of an earlier commit and a newer one on the same files in turn, and both side
-//! by side as peers that replicate.
+//! Checks upgrade and rollback: runs an older and a newer program alternately on the same files, and both as replicating
+//! peers.
 //!
 //!     cargo run --release -p linnetknot-rehearse --example upgrade -- OLD NEW
 //!
-//! Each check is printed with what was seen. Exits with 1 if any failed.
+//! Prints each check with its observation. Exits with 1 if any failed.
 
 mod checks;
 mod same_files;
@@ -29,7 +29,7 @@
     }
 }
 
-/// What a program is called in the output.
+/// A program with its name in the output.
 #[derive(Clone, Copy)]
 struct Program<'a> {
     label: &'static str,
@@ -65,7 +65,7 @@
     };
     let mut checks = Checks::default();
     if let Err(e) = run(&programs, &mut checks) {
-        checks.that("the trial runs to its end", false, || e.to_string());
+        checks.check("the trial runs to its end", false, || e.to_string());
     }
     println!("{checks}");
     if checks.has_failed() {
--- a/rehearse/examples/upgrade/same_files.rs
+++ b/rehearse/examples/upgrade/same_files.rs
@@ -1,5 +1,5 @@
-//! Two programs in turn on the same files: the store, the operators' state and the cached list of caches. Each finds what
-//! all before it wrote, and adds to it.
+//! Runs two programs alternately on the same files: the store, the operators' state and the cached list of caches. Each must
+//! find the data of all previous runs, and adds to it.
 
 use crate::checks::Checks;
 use crate::Program;
@@ -20,21 +20,22 @@
 use std::{env, fs, io, thread};
 
 const BASE: &str = "http://cdn.example";
-/// Triggers of each program's turn, and the objects of each.
+/// The number of triggers in each run.
 const TRIGGERS: u64 = 24;
 const OBJECTS: u64 = 2;
-/// Purges that a replicating proxy holds one by one: fewer than are told, so that its store has the second format.
+/// The number of purges that a replicating proxy stores exactly. It is below the number of all purges, so that the store
+/// uses the second format.
 const EXACT_PURGES: usize = 32;
-/// How long a promise may wait, so that a busy disk refuses none.
-const WITHIN_MS: u64 = 3_000;
-/// Requests by which it is seen which caches are used.
+/// The time limit for commits, long enough for a busy disk.
+const COMMIT_TIMEOUT_MS: u64 = 3_000;
+/// The number of requests that show which caches are used.
 const REQUESTS: u64 = 60;
-/// A process that is out of service is watched for so long.
+/// The time for which a process that is out of service is observed.
 const DRAIN_WATCH: Duration = Duration::from_millis(1_500);
-/// Never purged.
-const UNTOUCHED: u64 = 1 << 40;
+/// The first of the objects that are never purged.
+const FIRST_UNPURGED: u64 = 1 << 40;
 
-/// How a program's turn ends.
+/// The way in which a run ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stop {
     /// SIGKILL.
@@ -43,7 +44,7 @@
     Terminate,
 }
 
-/// The files, what stands around the process, and what the files have to tell.
+/// The files, the environment of the process, and the expected content of the files.
 pub(crate) struct Trial {
     is_replicating: bool,
     stop: Stop,
@@ -52,10 +53,10 @@
     agent: Agent,
     caches: [FakeCache; 3],
     config: Value,
-    own: Value,
-    /// The status of each trigger that was answered 201, by its path.
+    operator_config: Value,
+    /// The body of the status of each accepted trigger, by its path.
     statuses: BTreeMap<String, Vec<u8>>,
-    /// The objects that were purged.
+    /// The purged objects.
     purged: Vec<String>,
 }
 
@@ -69,15 +70,15 @@
     format!("{n:016x}")
 }
 
-fn operate(process: &Process, method: &str, path: &str) -> io::Result<u16> {
+fn call_admin(process: &Process, method: &str, path: &str) -> io::Result<u16> {
     Ok(call(process.admin, method, path, "")?.status)
 }
 
 fn is_ready(process: &Process) -> bool {
-    operate(process, "GET", "/control/ready").is_ok_and(|status| status == 200)
+    call_admin(process, "GET", "/control/ready").is_ok_and(|status| status == 200)
 }
 
-/// Asks for a photo, and gives the status of the answer.
+/// Requests a photo and returns the status of the answer.
 fn ask(process: &Process, object: &str) -> io::Result<u16> {
     let mut client = WebServer::connect(process.front)?;
     client.ask(1, "photo", object, 2_500)?;
@@ -85,7 +86,7 @@
 }
 
 impl Trial {
-    /// An empty folder, an agent that lists three caches, the last of them critical, and no process yet.
+    /// Creates an empty folder and an agent that lists three caches, the last of which is critical.
     pub(crate) fn start(is_replicating: bool, stop: Stop) -> io::Result<Self> {
         static TRIALS: AtomicU64 = AtomicU64::new(0);
         let n = TRIALS.fetch_add(1, Ordering::Relaxed);
@@ -103,16 +104,17 @@
             "seed": "1f", "settings": settings(), "limits": {"memory_mb": 192, "sockets": 256},
             "ops": "127.0.0.1:0", "peer_listen": peer.to_string(), "peers": [peer.to_string()],
         });
-        let mut own = json!({
+        let mut operator_config = json!({
             "cdni": {"listen": "127.0.0.1:0", "provider": "AS64500:0", "base": BASE,
                 "footprint": ["127.0.0.0/8"], "purges": folder.join("purges").display().to_string()},
             "consul": {"address": agent.address.to_string(), "answer_ms": 500, "wait_s": 1},
             "state": {"directory": folder.join("lists").display().to_string()},
             "peers": {"copies": is_replicating},
         });
-        own["copies"] = json!({"wait": 0, "within_ms": WITHIN_MS, "machine": "machine-0"});
+        operator_config["copies"] =
+            json!({"wait": 0, "within_ms": COMMIT_TIMEOUT_MS, "machine": "machine-0"});
         if is_replicating {
-            own["copies"]["exact_purges"] = EXACT_PURGES.into();
+            operator_config["copies"]["exact_purges"] = EXACT_PURGES.into();
         }
         Ok(Trial {
             is_replicating,
@@ -122,45 +124,50 @@
             agent,
             caches,
             config,
-            own,
+            operator_config,
             statuses: BTreeMap::new(),
             purged: Vec::new(),
         })
     }
 
-    /// Each program has its turn on the files.
+    /// Runs the programs in this order.
     pub(crate) fn run(mut self, order: &[Program<'_>], checks: &mut Checks) -> io::Result<()> {
         let labels: Vec<&str> = order.iter().map(|program| program.label).collect();
         println!(
-            "same files: {}; replication {}, each turn ended by {:?}",
+            "same files: {}; replication {}, each run ended by {:?}",
             labels.join(", "),
             if self.is_replicating { "on" } else { "off" },
             self.stop
         );
         for (turn, program) in order.iter().enumerate() {
-            println!(" turn {turn}, the {} program", program.label);
-            // The first learns the list from the agent. The others have the cached one only.
+            println!(" run {turn}, the {} program", program.label);
+            // The first run gets the list from the agent. Later ones have only the cached list.
             let manner = if turn == 0 {
                 Behaviour::Normal
             } else {
                 Behaviour::Unavailable
             };
             self.agent.set_behaviour(manner);
-            let process =
-                Process::start(program.path, &self.folder, "p0", &self.config, &self.own)?;
+            let process = Process::start(
+                program.path,
+                &self.folder,
+                "p0",
+                &self.config,
+                &self.operator_config,
+            )?;
             if turn == 0 {
                 self.begin(&process, checks)?;
             } else {
                 self.check_all(&process, checks)?;
             }
             self.add_triggers(&process, turn as u64, checks)?;
-            self.decide(&process, checks)?;
+            self.ban_and_drain(&process, checks)?;
             self.end(process)?;
         }
         Ok(())
     }
 
-    /// The first turn: the list comes from the agent, and all caches that are ready are used.
+    /// Checks in the first run that the list comes from the agent and that all ready caches are used.
     fn begin(&self, process: &Process, checks: &mut Checks) -> io::Result<()> {
         let statuses = ["passing", "passing", "critical"];
         let listed = self.caches.iter().zip(statuses);
@@ -169,13 +176,14 @@
             .collect();
         self.agent.register(&listed);
         let is_read = self.agent.wait_until_read() && poll_until(TIMEOUT, || is_ready(process));
-        checks.that("it is ready with the agent's list", is_read, || {
+        checks.check("it is ready with the agent's list", is_read, || {
             is_read.to_string()
         });
-        let used = self.used(process)?;
-        let is_expected = used[0] > 0 && used[1] > 0 && used[2] == 0;
-        checks.that("caches used before the ban", is_expected, || {
-            format!("{used:?}")
+        let requests_by_cache = self.requests_by_cache(process)?;
+        let is_expected =
+            requests_by_cache[0] > 0 && requests_by_cache[1] > 0 && requests_by_cache[2] == 0;
+        checks.check("caches used before the ban", is_expected, || {
+            format!("{requests_by_cache:?}")
         });
         let file = self.folder.join("lists").join("boxes-0.list");
         let is_written = poll_until(TIMEOUT, || {
@@ -185,29 +193,30 @@
                     .all(|c| text.contains(&c.address.to_string()))
             })
         });
-        checks.that("the list is on the disk", is_written, || {
+        checks.check("the list is on the disk", is_written, || {
             file.display().to_string()
         });
         Ok(())
     }
 
-    /// What the turns before wrote is found: drain, list, ban, statuses and purges.
+    /// Checks that the drain, the list, the ban, the statuses and the purges of previous runs are in effect.
     fn check_all(&self, process: &Process, checks: &mut Checks) -> io::Result<()> {
         let came_up = poll_until(DRAIN_WATCH, || is_ready(process));
-        checks.that("the drain is kept", !came_up, || {
+        checks.check("the drain is still in effect", !came_up, || {
             format!("ready within {} ms: {came_up}", DRAIN_WATCH.as_millis())
         });
-        let status = operate(process, "POST", "/control/in-service")?;
+        let status = call_admin(process, "POST", "/control/in-service")?;
         let is_back = status == 200 && poll_until(TIMEOUT, || is_ready(process));
-        checks.that("it is ready once in service", is_back, || {
+        checks.check("it is ready once in service", is_back, || {
             format!("the call was answered {status}")
         });
-        let used = self.used(process)?;
-        let is_expected = used[0] == 0 && used[1] > 0 && used[2] == 0;
-        checks.that(
-            "of the cached list the banned and the draining cache get nothing",
+        let requests_by_cache = self.requests_by_cache(process)?;
+        let is_expected =
+            requests_by_cache[0] == 0 && requests_by_cache[1] > 0 && requests_by_cache[2] == 0;
+        checks.check(
+            "the banned and the critical cache of the cached list get no requests",
             is_expected,
-            || format!("{used:?}"),
+            || format!("{requests_by_cache:?}"),
         );
         self.check_statuses(process, checks)?;
         self.check_floors(process, checks)
@@ -221,8 +230,8 @@
                 missing.push((path, answer.status));
             }
         }
-        checks.that(
-            "statuses are told as before, byte for byte",
+        checks.check(
+            "statuses are unchanged, byte for byte",
             missing.is_empty() && !self.statuses.is_empty(),
             || format!("{} of them, missed {missing:?}", self.statuses.len()),
         );
@@ -236,30 +245,32 @@
                 missing.push(object);
             }
         }
-        checks.that(
-            "no copy older than its purge is asked for",
+        checks.check(
+            "requests exclude copies older than their purge",
             missing.is_empty() && !self.purged.is_empty(),
             || format!("{} objects, missed {missing:?}", self.purged.len()),
         );
-        let untouched = self.has_floor(process, &object(UNTOUCHED))?;
-        checks.that("what was never purged has no floor", !untouched, || {
-            untouched.to_string()
-        });
+        let has_unpurged_floor = self.has_floor(process, &object(FIRST_UNPURGED))?;
+        checks.check(
+            "an object that was never purged has no age limit",
+            !has_unpurged_floor,
+            || has_unpurged_floor.to_string(),
+        );
         Ok(())
     }
 
-    /// How many requests each cache gets.
-    fn used(&self, process: &Process) -> io::Result<[usize; 3]> {
+    /// Returns the number of requests that reach each cache.
+    fn requests_by_cache(&self, process: &Process) -> io::Result<[usize; 3]> {
         let count = || [0, 1, 2].map(|n: usize| self.caches[n].arrivals().len());
         let before = count();
         for n in 0..REQUESTS {
-            ask(process, &object(UNTOUCHED + 1 + n))?;
+            ask(process, &object(FIRST_UNPURGED + 1 + n))?;
         }
         let after = count();
         Ok([0, 1, 2].map(|n| after[n] - before[n]))
     }
 
-    /// Whether a cache is asked for no copy of a photo that is older than something.
+    /// Returns whether a request to a cache for this photo limits the age of the copy.
     fn has_floor(&self, process: &Process, object: &str) -> io::Result<bool> {
         let before = [0, 1, 2].map(|n: usize| self.caches[n].arrivals().len());
         ask(process, object)?;
@@ -273,7 +284,7 @@
         Ok(request.field("maxage").is_some())
     }
 
-    /// A neighbour tells triggers, each of them new objects, and reads their statuses.
+    /// Sends triggers for new objects as a peer CDN and reads their statuses.
     fn add_triggers(
         &mut self,
         process: &Process,
@@ -293,23 +304,23 @@
                 None => refused += 1,
             }
         }
-        // What a status says settles within moments of its trigger.
+        // A status may still change shortly after its trigger.
         thread::sleep(Duration::from_millis(500));
         for (path, body) in &mut self.statuses {
             *body = call(process.cdni, "GET", path, "")?.body;
         }
-        checks.that("new triggers are answered 201", refused == 0, || {
+        checks.check("new triggers are answered 201", refused == 0, || {
             format!("{} of {TRIGGERS}", TRIGGERS - refused)
         });
         Ok(())
     }
 
-    /// An operator bans the first cache and takes the process out of service.
-    fn decide(&self, process: &Process, checks: &mut Checks) -> io::Result<()> {
-        let ban = operate(process, "POST", "/control/pop-caches/s-0a/offline")?;
-        let drain = operate(process, "POST", "/control/out-of-service")?;
-        checks.that(
-            "ban and drain are taken",
+    /// Bans the first cache and takes the process out of service, as an operator.
+    fn ban_and_drain(&self, process: &Process, checks: &mut Checks) -> io::Result<()> {
+        let ban = call_admin(process, "POST", "/control/pop-caches/s-0a/offline")?;
+        let drain = call_admin(process, "POST", "/control/out-of-service")?;
+        checks.check(
+            "ban and drain are accepted",
             (ban, drain) == (200, 200),
             || format!("{ban}, {drain}"),
         );
@@ -324,7 +335,7 @@
                 return Err(io::Error::other(format!("it ended with {status}")));
             }
         }
-        // Dropped, it is killed.
+        // Dropping the process kills it.
         Ok(())
     }
 }
--- a/rehearse/examples/upgrade/side_by_side.rs
+++ b/rehearse/examples/upgrade/side_by_side.rs
@@ -1,5 +1,5 @@
-//! Both programs as peers of one fleet that replicates: triggers told at each, statuses asked at each, `fleet status` and
-//! `fleet budgets` of each by either program, and restarts that change the program.
+//! Runs both programs as peers of one replicating fleet. Sends triggers and reads statuses at each proxy, calls `fleet status`
+//! and `fleet budgets` with either program, and restarts proxies with another program.
 
 use crate::checks::Checks;
 use crate::Program;
@@ -16,20 +16,20 @@
 use std::time::Duration;
 
 const PROXIES: usize = 4;
-/// Triggers told at each proxy in a round.
+/// The number of triggers sent to each proxy in a round.
 const TRIGGERS: usize = 8;
-/// Purges that each proxy holds one by one; more are told, so that who was away gets a snapshot.
+/// The number of purges that each proxy stores exactly. More are sent, so that a proxy that was down gets a snapshot.
 const EXACT_PURGES: usize = 32;
-/// Places at the origin, and those reserved for each.
+/// The budget of the origin.
 const LIMIT: u64 = 24;
 const RESERVED: u64 = 2;
-/// Clients of each proxy that press on the budget, and how long the origin holds a request of theirs.
+/// The number of clients of each proxy that load the budget.
 const CLIENTS: usize = 12;
 const HOLD_MS: u64 = 100;
-/// Agreement on a busy machine.
-const AGREEMENT: Duration = TIMEOUT.saturating_mul(3);
+/// The time limit for convergence on a busy machine.
+const CONVERGENCE_TIMEOUT: Duration = TIMEOUT.saturating_mul(3);
 
-/// A restart of one proxy, with a program and what is left of its disk.
+/// A restart of one proxy with a program, with or without its disk.
 struct Restart<'a> {
     proxy: usize,
     program: Program<'a>,
@@ -39,11 +39,11 @@
 struct Round<'a> {
     fleet: Fleet,
     programs: [Program<'a>; PROXIES],
-    told: BTreeSet<String>,
+    triggers: BTreeSet<String>,
     purged: Vec<String>,
 }
 
-/// Plays all restarts, with a round of checks before the first and after each.
+/// Runs all restarts, with a round of checks before the first and after each.
 pub(crate) fn run(old: Program<'_>, new: Program<'_>, checks: &mut Checks) -> io::Result<()> {
     let setup = Setup {
         within_ms: Some(3_000),
@@ -54,7 +54,7 @@
     let mut round = Round {
         fleet: Fleet::with(setup)?,
         programs: [old; PROXIES],
-        told: BTreeSet::new(),
+        triggers: BTreeSet::new(),
         purged: Vec::new(),
     };
     let restart = |proxy, program, disk| Restart {
@@ -107,8 +107,8 @@
     fn check(&mut self, programs: [Program<'_>; 2], checks: &mut Checks) -> io::Result<()> {
         println!("side by side: {}", self.name());
         self.check_ready(checks);
-        self.tell(checks)?;
-        self.check_agreement(checks);
+        self.trigger_purges(checks)?;
+        self.check_convergence(checks);
         self.check_statuses(checks)?;
         self.check_floors(checks)?;
         for n in 0..PROXIES {
@@ -128,47 +128,45 @@
                 .status(n)
                 .map_or(0, |status| status.alive_members)
         };
-        let all = poll_until(AGREEMENT, || {
+        let all = poll_until(CONVERGENCE_TIMEOUT, || {
             (0..PROXIES).all(|n| is_ready(n) && up(n) == PROXIES)
         });
-        checks.that("each is ready and believes that all run", all, || {
+        checks.check("each is ready and considers all members alive", all, || {
             format!("{:?}", [0, 1, 2, 3].map(up))
         });
     }
 
-    /// Triggers at each proxy.
-    fn tell(&mut self, checks: &mut Checks) -> io::Result<()> {
+    /// Sends triggers to each proxy.
+    fn trigger_purges(&mut self, checks: &mut Checks) -> io::Result<()> {
         let mut refused = 0;
         for n in 0..PROXIES {
             for _ in 0..TRIGGERS {
                 let object = format!("{:016x}", self.purged.len());
                 match status_path(&self.fleet.trigger(n, &[&object])?) {
                     Some(path) => {
-                        self.told.insert(path);
+                        self.triggers.insert(path);
                     }
                     None => refused += 1,
                 }
                 self.purged.push(object);
             }
         }
-        checks.that(
-            "triggers told at each are answered 201",
-            refused == 0,
-            || format!("{} of {}", PROXIES * TRIGGERS - refused, PROXIES * TRIGGERS),
-        );
+        checks.check("triggers at each are answered 201", refused == 0, || {
+            format!("{} of {}", PROXIES * TRIGGERS - refused, PROXIES * TRIGGERS)
+        });
         Ok(())
     }
 
-    /// The same digest everywhere, all of it on the disks. How many entries each holds one by one may differ: each
-    /// compacts for itself.
-    fn check_agreement(&self, checks: &mut Checks) {
-        let mut seen = Vec::new();
-        let agree = poll_until(AGREEMENT, || {
+    /// Checks that all proxies have the same digest with all entries durable. The numbers of entries may differ, as each proxy
+    /// compacts independently.
+    fn check_convergence(&self, checks: &mut Checks) {
+        let mut observed = Vec::new();
+        let converged = poll_until(CONVERGENCE_TIMEOUT, || {
             let all = (0..PROXIES).map(|n| self.fleet.status(n));
             let Ok(all) = all.collect::<io::Result<Vec<_>>>() else {
                 return false;
             };
-            seen = all.iter().map(shown).collect();
+            observed = all.iter().map(summary).collect();
             all.iter().all(|status| {
                 status.digest == all[0].digest
                     && !status.catching_up
@@ -179,8 +177,8 @@
                         .all(|log| log.last_index == log.durable_index)
             })
         });
-        checks.that("all have the same on their disks", agree, || {
-            seen.join("; ")
+        checks.check("all have the same durable entries", converged, || {
+            observed.join("; ")
         });
     }
 
@@ -188,11 +186,11 @@
         let mut differing = Vec::new();
         for n in 0..PROXIES {
             let listed = self.fleet.triggers(n)?;
-            if listed != self.told {
+            if listed != self.triggers {
                 differing.push(format!("p{n} lists {}", listed.len()));
             }
         }
-        for path in &self.told {
+        for path in &self.triggers {
             let mut bodies = BTreeSet::new();
             for n in 0..PROXIES {
                 let answer = self.fleet.cdni_call(n, "GET", path)?;
@@ -202,10 +200,10 @@
                 differing.push(path.clone());
             }
         }
-        checks.that(
-            "each tells all statuses, and the same of each",
+        checks.check(
+            "each lists all statuses, with equal bodies",
             differing.is_empty(),
-            || format!("{} statuses, differing {differing:?}", self.told.len()),
+            || format!("{} statuses, differing {differing:?}", self.triggers.len()),
         );
         Ok(())
     }
@@ -219,13 +217,13 @@
                 }
             }
         }
-        checks.that("each holds all purges", missing.is_empty(), || {
+        checks.check("each enforces all purges", missing.is_empty(), || {
             format!("{} purges, missed {missing:?}", self.purged.len())
         });
         Ok(())
     }
 
-    /// Both programs' command lines ask a proxy.
+    /// Checks the output of both programs' commands for a proxy.
     fn check_commands(
         &self,
         n: usize,
@@ -243,7 +241,7 @@
                 old["budgets"][0]["whole"] == LIMIT && new["budgets"][0]["whole"] == LIMIT
             };
             let label = self.programs[n].label;
-            checks.that(
+            checks.check(
                 &format!("`fleet {what}` of p{n} ({label}) by both programs"),
                 same && keys(&old) == keys(&new),
                 || format!("{} and {} keys", keys(&old), keys(&new)),
@@ -252,43 +250,44 @@
         Ok(())
     }
 
-    /// Under load at each, one leads, each gets more than is reserved for it, and the leases are within the limit.
+    /// Checks under load at each proxy that there is one leader, that each lease exceeds the reserved share, and that the sum
+    /// of the leases is within the limit.
     fn check_budgets(&self, checks: &mut Checks) -> io::Result<()> {
         let mut clients = Vec::new();
         for n in 0..PROXIES {
             clients.push(Pressure::on(self.fleet.process(n)?.front, CLIENTS));
         }
-        let mut seen = Vec::new();
-        let settled = poll_until(AGREEMENT, || {
+        let mut observed = Vec::new();
+        let settled = poll_until(CONVERGENCE_TIMEOUT, || {
             let all = (0..PROXIES).map(|n| self.fleet.budgets(n));
             let Ok(all) = all.collect::<io::Result<Vec<_>>>() else {
                 return false;
             };
             let of = |n: usize| &all[n].budgets[0];
-            seen = (0..PROXIES).map(|n| (of(n).leads, of(n).lease)).collect();
-            seen.iter().filter(|(leads, _)| *leads).count() == 1
-                && seen.iter().all(|(_, lease)| *lease > RESERVED)
-                && seen.iter().map(|(_, lease)| lease).sum::<u64>() <= LIMIT
+            observed = (0..PROXIES).map(|n| (of(n).leads, of(n).lease)).collect();
+            observed.iter().filter(|(leads, _)| *leads).count() == 1
+                && observed.iter().all(|(_, lease)| *lease > RESERVED)
+                && observed.iter().map(|(_, lease)| lease).sum::<u64>() <= LIMIT
         });
         drop(clients);
-        checks.that(
-            "under load one leads, and grants leases to all within the limit",
+        checks.check(
+            "under load one leader grants leases to all within the limit",
             settled,
-            || format!("{seen:?}"),
+            || format!("{observed:?}"),
         );
         Ok(())
     }
 }
 
-/// What a proxy says of its replication, in short.
-fn shown(status: &Status) -> String {
+/// Returns a summary of a proxy's replication status.
+fn summary(status: &Status) -> String {
     format!(
-        "{} entries, {} compacted, digest {}, {} short",
+        "{} entries, {} compacted, digest {}, {} under-replicated",
         status.entries, status.compacted, status.digest, status.under_replicated
     )
 }
 
-/// What a program's command line says of a proxy, as JSON.
+/// Returns the JSON output of a program's `fleet` command for a proxy.
 fn command(program: Program<'_>, what: &str, admin: SocketAddr) -> io::Result<Value> {
     let output = Command::new(program.path)
         .args(["fleet", what, &admin.to_string(), "--json"])
