--- a/rehearse/src/scenario/mod.rs
+++ b/rehearse/src/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! The form of a scenario: JSON, read with the path of the key at fault, its JSON Schema made from the types.
+//! The format of scenarios: JSON whose errors name the path of the invalid key, with a JSON Schema generated from the types.
 
 mod check;
 
@@ -9,79 +9,79 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// A scenario: how long it lasts, what is asked for, and what goes wrong when.
+/// A scenario: its duration, its load and its faults.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Its name.
+    /// The name of the scenario.
     pub name: String,
-    /// What it is for, in a sentence.
+    /// The purpose of the scenario, in a sentence.
     pub about: String,
-    /// How long clients ask, in seconds.
+    /// The duration of the load, in seconds.
     pub seconds: f64,
-    /// Proxies that clients come to.
+    /// The number of proxies.
     pub proxies: u32,
-    /// What is asked for.
+    /// The load.
     pub load: Load,
-    /// The boxes, hub caches and origin behind the proxies; the figures of a small site where left out.
+    /// The edge caches, parent caches and origin behind the proxies. The default is a small site.
     #[serde(default)]
     pub site: SiteForm,
-    /// The proxies talk to each other, as peers on the platform do, each pair through a fault-injecting link of the kit's own.
+    /// Whether the proxies are peers. Each pair is connected through a link that can inject faults.
     #[serde(default)]
     pub peers: bool,
-    /// What goes wrong, and when.
+    /// The faults.
     #[serde(default)]
     pub faults: Vec<Fault>,
 }
 
-/// What is asked for.
+/// The load of a scenario.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Requests a second at factor 1, over all classes.
+    /// The requests per second of all classes at load factor 1.
     pub rate: f64,
-    /// The evening's rise and fall: at these seconds these factors, in lines between them; 1 throughout if empty.
+    /// The load factor over time, as points of seconds and factors with linear interpolation. The factor is 1 if empty.
     #[serde(default)]
     pub shape: Vec<(f64, f64)>,
-    /// Classes.
+    /// The classes of requests.
     pub classes: Vec<ClassLoad>,
-    /// Purges of single objects, a second.
+    /// The purges of single objects per second.
     #[serde(default)]
     pub purges: f64,
 }
 
-/// What is asked for of one class.
+/// The load of one class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ClassLoad {
-    /// Its name, as the settings have it.
+    /// The name of the class in the settings.
     pub name: String,
-    /// Its share of all requests.
+    /// The share of all requests.
     pub share: f64,
-    /// Objects among which requests choose.
+    /// The number of objects.
     pub objects: u64,
-    /// Exponent of their popularity, by Zipf's law.
+    /// The exponent of the Zipf distribution of their popularity.
     pub zipf: f64,
-    /// Share of requests for objects that nobody else asks for.
+    /// The share of requests for objects that are requested only once.
     #[serde(default)]
     pub once: f64,
-    /// Places by which the order of popularity moves on, a second.
+    /// The number of ranks per second by which the order of popularity shifts.
     #[serde(default)]
     pub drift: f64,
-    /// Parts of an object, asked for in turn: least and most.
+    /// The minimum and maximum number of parts of an object, which are requested in order.
     #[serde(default = "one_part")]
     pub parts: (u64, u64),
-    /// Seconds between parts: least and most.
+    /// The minimum and maximum time between parts, in seconds.
     #[serde(default)]
     pub gap: (f64, f64),
-    /// Median size of a part, in KB.
+    /// The median size of a part, in KB.
     pub median_kb: f64,
-    /// Spread of the sizes: the standard deviation of their logarithm.
+    /// The standard deviation of the logarithm of the size.
     #[serde(default)]
     pub sigma: f64,
-    /// How long clients wait, in milliseconds.
+    /// The time that clients wait, in milliseconds.
     pub budget_ms: u64,
-    /// Requests carry a key.
+    /// Whether requests carry an idempotency key.
     #[serde(default)]
     pub keyed: bool,
 }
@@ -90,60 +90,60 @@
     (1, 1)
 }
 
-/// The nodes behind the proxies and what joins them. Each figure left out is that of a small site: four boxes a
-/// proxy, two hub caches and an origin of few workers.
+/// The nodes behind the proxies and their links. The defaults describe a small site: four edge caches for each proxy, two
+/// parent caches and an origin with few workers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct SiteForm {
-    /// Edge boxes for each proxy.
+    /// The number of edge caches for each proxy.
     pub boxes_per_proxy: u32,
-    /// Hub caches, shared by all proxies.
+    /// The number of parent caches, which all proxies share.
     pub hubs: u32,
-    /// Each edge box.
+    /// The parameters of each edge cache.
     #[serde(rename = "box")]
     pub edge_box: NodeForm,
-    /// Each hub cache.
+    /// The parameters of each parent cache.
     pub hub: NodeForm,
-    /// The origin store; its `fills` are its workers and its memory is none.
+    /// The parameters of the origin. Its `fills` are its workers, and it uses no memory.
     pub origin: NodeForm,
-    /// The one link in that all fills share, in transfers to a client at full pace, for each box.
+    /// The capacity of the incoming link that all fills share, for each edge cache, in transfers to a client at full rate.
     pub link_per_box: f64,
-    /// How many times as fast as a transfer to a client a fill can be.
+    /// The full rate of a fill relative to that of a transfer to a client.
     pub fill_pace: f64,
-    /// One transfer to a client at full pace, in KB a second.
+    /// The full rate of a transfer to a client, in KB per second.
     pub flow_kb_per_s: f64,
-    /// The way to a hub cache and back, in milliseconds.
+    /// The round-trip time to a parent cache, in milliseconds.
     pub near_ms: f64,
-    /// The way to the origin and back, in milliseconds.
+    /// The round-trip time to the origin, in milliseconds.
     pub far_ms: f64,
-    /// The origin's answer when it is not crowded, in milliseconds.
+    /// The origin's response time without queueing, in milliseconds.
     pub origin_ms: f64,
-    /// How long the origin drops a repeat of a key, in milliseconds.
+    /// The time for which the origin drops repeats of a key, in milliseconds.
     pub key_ms: f64,
-    /// How long a photo may be served from a copy, in milliseconds; parts and posts are never kept.
+    /// The time for which a copy of a single-part object is fresh, in milliseconds. Keyed requests are not cached.
     pub photo_fresh_ms: f64,
-    /// Within this time of a purge boxes and hub caches drop their older copies, each in its own time, in
-    /// milliseconds.
+    /// The maximum time until a cache applies a purge, in milliseconds. Each cache has its own delay.
     pub purge_takes_ms: f64,
-    /// They still keep what a fill brings that was under way when they dropped: harder than the platform's word.
+    /// Whether a fill in progress during a purge may store its old copy.
     pub late_fills: bool,
 }
 
-/// The figures of one kind of node.
+/// The parameters of one kind of node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct NodeForm {
-    /// Requests in work at a time.
+    /// The maximum number of requests being served.
     pub slots: u32,
-    /// Requests that wait for a slot; one more is answered 503.
+    /// The maximum number of requests waiting for a slot. Further ones are answered 503.
     pub waiting: u32,
-    /// Its outgoing link, in transfers to a client at full pace; the proxies are told it as the capacity hint.
+    /// The capacity of its outgoing link, in transfers to a client at full rate. It is announced to the proxies as the capacity
+    /// hint.
     pub capacity: f64,
-    /// Its memory of objects, in KB.
+    /// The size of its memory, in KB.
     pub memory_kb: u64,
-    /// Fills at a time; of the origin, workers.
+    /// The maximum number of concurrent fills, or the number of workers of the origin.
     pub fills: u32,
-    /// A fill is given up where nothing has come for this long, in milliseconds.
+    /// The time after which a fill without a first byte is aborted, in milliseconds.
     pub fill_timeout_ms: u64,
 }
 
@@ -182,147 +182,145 @@
     }
 }
 
-/// Something that goes wrong.
+/// A fault.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When it begins, in seconds.
+    /// The start of the fault, in seconds.
     pub at: f64,
-    /// How long it lasts, in seconds; 0 for what happens at once.
+    /// The duration of the fault, in seconds. 0 for a single event or a fault without end.
     #[serde(default)]
     pub lasts: f64,
-    /// What.
+    /// The kind of fault.
     pub what: What,
 }
 
-/// What can go wrong in what is asked for.
+/// The kinds of faults.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum What {
-    /// A share of all groups is purged at once.
+    /// Purges a share of all groups at once.
     MassPurge {
-        /// The share.
+        /// The share of groups.
         share: f64,
     },
-    /// One new object of a class draws this share of its requests.
+    /// Directs a share of a class's requests to one new object.
     HotObject {
         /// The class.
         class: String,
-        /// The share.
+        /// The share of requests.
         share: f64,
     },
-    /// Boxes are told to drain; where the fault lasts, they are told ready again after it, started anew
-    /// with an empty memory and cold.
+    /// Announces edge caches as draining. If the fault has a duration, they start again after it, cold and with an empty
+    /// memory, and are announced as ready.
     BoxDrains {
-        /// How many.
+        /// The number of edge caches.
         boxes: u32,
-        /// The place of the first of them among all boxes, from 0.
+        /// The index of the first of them among all edge caches.
         #[serde(default)]
         first: u32,
     },
-    /// Boxes die without a word: their connections are reset and new ones refused. Where the fault
-    /// lasts, another box takes each address after it, cold, and is told as ready with its late start.
+    /// Crashes edge caches: their connections are reset and new ones refused. If the fault has a duration, a cold cache takes
+    /// each address after it and is announced as ready with its start time.
     BoxDies {
-        /// How many.
+        /// The number of edge caches.
         boxes: u32,
-        /// The place of the first of them among all boxes, from 0.
+        /// The index of the first of them among all edge caches.
         #[serde(default)]
         first: u32,
     },
-    /// Boxes take requests and send nothing for as long as the fault lasts.
+    /// Stalls edge caches: they accept requests and send nothing during the fault.
     BoxStalls {
-        /// How many.
+        /// The number of edge caches.
         boxes: u32,
-        /// The place of the first of them among all boxes, from 0.
+        /// The index of the first of them among all edge caches.
         #[serde(default)]
         first: u32,
     },
-    /// The origin answers this many times as slowly for as long as the fault lasts.
+    /// Slows down the origin by a factor during the fault.
     SlowOrigin {
         /// The factor.
         times: f64,
     },
-    /// The event bus ends the connections of all who read.
+    /// Closes the connections of all readers of the event bus.
     BusBreaks,
-    /// Proxies are killed (SIGKILL); where the fault lasts, each is started again after it on its address, with the
-    /// configuration that it had. Clients go to the next proxy meanwhile.
+    /// Kills proxies (SIGKILL). If the fault has a duration, each is started again after it with its address and
+    /// configuration. Clients use the next proxy meanwhile.
     ProxyKilled {
-        /// How many.
+        /// The number of proxies.
         proxies: u32,
-        /// The place of the first of them, from 0.
+        /// The index of the first of them.
         #[serde(default)]
         first: u32,
     },
-    /// Proxies stand still (SIGSTOP) for as long as the fault lasts, and then go on as if nothing had been. Clients go
-    /// to the next proxy meanwhile; what they had open is lost to them.
+    /// Stops proxies (SIGSTOP) during the fault and resumes them after it. Clients use the next proxy meanwhile, and their
+    /// open requests get no answer.
     ProxyStalled {
-        /// How many.
+        /// The number of proxies.
         proxies: u32,
-        /// The place of the first of them, from 0.
+        /// The index of the first of them.
         #[serde(default)]
         first: u32,
     },
-    /// The links between these proxies and all others have these conditions for as long as the fault lasts; needs
-    /// `peers`.
+    /// Sets the conditions of the links between these proxies and all others during the fault. Requires `peers`.
     Links {
-        /// How many.
+        /// The number of proxies.
         proxies: u32,
-        /// The place of the first of them, from 0.
+        /// The index of the first of them.
         #[serde(default)]
         first: u32,
-        /// What the links do.
+        /// The conditions of the links.
         // Scenarios call the conditions `weather`.
         #[serde(rename = "weather")]
         conditions: LinkConditions,
-        /// Only what these proxies send, not what is sent to them.
+        /// Whether only datagrams from these proxies are affected, not those to them.
         #[serde(default)]
         one_way: bool,
     },
-    /// Proxies are told to end (SIGTERM) under load: what they took is still theirs to answer. Where the fault lasts,
-    /// each is started again after it, once it has ended.
+    /// Terminates proxies (SIGTERM) under load. They still have to answer their open requests. If the fault has a duration,
+    /// each is started again after it, once its process has ended.
     ProxyStopped {
-        /// How many.
+        /// The number of proxies.
         proxies: u32,
-        /// The place of the first of them, from 0.
+        /// The index of the first of them.
         #[serde(default)]
         first: u32,
     },
 }
 
-/// Why a scenario can't be read or scaled.
+/// An error in reading or scaling a scenario.
 #[derive(Debug, Error)]
 pub enum ScenarioError {
-    /// The text has not the form of a scenario.
+    /// The text is not a valid scenario.
     #[error("{path}: {error}")]
     Malformed {
-        /// The path of the key at fault.
+        /// The path of the invalid key.
         path: String,
-        /// What is wrong there.
+        /// The error at this key.
         error: serde_json::Error,
     },
-    /// There is more behind it.
+    /// There is text after the scenario.
     #[error("{0}")]
     TrailingText(serde_json::Error),
-    /// A value that it can't have.
+    /// A value is invalid.
     #[error(transparent)]
     Invalid(#[from] InvalidScenario),
-    /// A value that it can't have in another length of time.
+    /// A value is invalid after scaling.
     #[error("--time-scale {factor}: {error}")]
     Scaled {
         /// The factor.
         factor: f64,
-        /// The value at fault.
+        /// The error.
         error: InvalidScenario,
     },
 }
 
 impl Scenario {
-    /// The same scenario in another length of time: its seconds, the points of its shape and its faults' times and
-    /// lengths by `factor`; rates, sizes and clients' gaps as they are, so that a second is as busy as before. A
-    /// factor that would leave it shorter than a second, or above an hour, is refused.
+    /// Returns the scenario with its duration, the times of its load shape and the times and durations of its faults scaled by
+    /// `factor`. Rates, sizes and gaps between parts are unchanged.
     ///
     /// # Errors
-    /// Where a value of the scaled scenario can't be.
+    /// Returns an error if a value of the scaled scenario is invalid, such as a duration below a second or above an hour.
     pub fn scaled(&self, factor: f64) -> Result<Self, ScenarioError> {
         let mut scaled = self.clone();
         scaled.seconds *= factor;
@@ -341,10 +339,10 @@
             .map(|()| scaled)
     }
 
-    /// Reads a scenario.
+    /// Parses and validates a scenario.
     ///
     /// # Errors
-    /// Where the text is none; the key at fault is named by its path.
+    /// Returns an error with the path of the invalid key if the text is not a valid scenario.
     pub fn read(text: &str) -> Result<Self, ScenarioError> {
         let mut de = serde_json::Deserializer::from_str(text);
         let scenario: Scenario =
@@ -359,13 +357,13 @@
 }
 
 impl SiteForm {
-    /// The edge boxes in all.
+    /// Returns the total number of edge caches.
     pub fn boxes(&self, proxies: u32) -> usize {
         (self.boxes_per_proxy * proxies) as usize
     }
 }
 
-/// The form's JSON Schema.
+/// Returns the JSON Schema of scenarios.
 pub fn schema() -> String {
     serde_json::to_string_pretty(&schemars::schema_for!(Scenario)).unwrap_or_default() + "\n"
 }
