--- a/daemon/tests/admin.rs
+++ b/daemon/tests/admin.rs
@@ -41,7 +41,7 @@
     call(admin, method, target, "").unwrap().status
 }
 
-/// Polls a call until it is answered with the wanted status. Returns the time that took.
+/// Repeats a GET request until its response has the expected status. Returns the elapsed time.
 fn await_status(admin: SocketAddr, target: &str, wanted: u16) -> Duration {
     let start = Instant::now();
     while status(admin, "GET", target) != wanted {
@@ -53,7 +53,7 @@
     start.elapsed()
 }
 
-/// Returns the admin listener's response to these bytes and whether it closed the connection.
+/// Sends raw bytes to the admin listener. Returns its response and whether it closed the connection.
 fn send_raw(admin: SocketAddr, bytes: &[u8]) -> (String, bool) {
     let mut socket = TcpStream::connect(admin).unwrap();
     socket
@@ -109,7 +109,7 @@
             .unwrap();
         socket.write_all(bytes).unwrap();
         if bytes.ends_with(b"out-of") {
-            // The client ends its half of the connection in the middle of a request.
+            // The client shuts down its sending half in the middle of a request.
             socket.shutdown(std::net::Shutdown::Write).unwrap();
         }
         let mut response = Vec::new();
@@ -154,8 +154,9 @@
     );
     assert_eq!(status(admin, "POST", "/control/out-of-service"), 200);
     assert_eq!(status(admin, "GET", "/control/ready"), 503);
-    // The daemon closes a connection after an answer. A request that has already arrived is answered as well, late in the
-    // drain with a rejection, so that a client that keeps sending requests can not keep the connection open.
+    // During a drain the daemon closes a connection after a response. A request that has arrived before the close is
+    // still answered; late in the drain it is rejected, so that a client that sends requests without pause can not keep
+    // the connection open.
     let start = Instant::now();
     assert_eq!(
         send_and_receive(&mut active, "photo", &object_id(3)).status,
@@ -314,7 +315,7 @@
     let new_admin = new.admin.unwrap();
     await_status(new_admin, "/control/ready", 200);
     old.stop();
-    // The ban set in the old process holds in the new one, which serves from the other cache.
+    // The new process enforces the ban that was set in the old process, and fetches from the other cache.
     let mut web = new.web();
     for n in 0..20 {
         assert_eq!(
@@ -342,7 +343,7 @@
         200
     );
     assert_eq!(status(admin, "POST", "/control/out-of-service"), 200);
-    // Uses a write, since a slow read would be retried at another server, here after 0.35 s.
+    // The request is a write, because a slow read would be retried at another server after 0.35 s.
     rig.origin
         .set_behaviour(linnetknot_harness::fakes::cache::Behaviour {
             answer_delay_ms: 600,
@@ -380,7 +381,7 @@
         503,
         "the class does not exist yet"
     );
-    // An invalid file is not tested here, since a request can not tell whether its reload is over.
+    // A reload of an invalid file is not tested here, since no request shows whether the reload has finished.
     {
         let mut file = rig.config_file.lock().unwrap();
         let poster = json!({"name": "poster", "aim-us": 300_000, "deadline-us": 2_000_000, "repeat": "pure",
--- a/daemon/tests/budgets.rs
+++ b/daemon/tests/budgets.rs
@@ -1,5 +1,6 @@
-//! Shared budgets in a fleet of daemon processes with fault-injecting links. The origin counts its concurrent requests:
-//! they never exceed the limit whatever fails, and busy proxies can use what idle ones leave unused.
+//! Shared budgets in a fleet of daemon processes with fault-injecting links. The fake origin counts its concurrent
+//! requests: the count must never exceed the limit whatever fails, and busy proxies can use the part of the limit that
+//! idle proxies leave unused.
 
 use linnetknot_daemon::budgets::{BudgetStatus, GrantStatus, Status};
 use linnetknot_harness::clients::{poll_until, TIMEOUT};
@@ -17,18 +18,18 @@
 const LIMIT: u64 = 24;
 /// Part of the limit that is reserved for each proxy.
 const RESERVED: u64 = 2;
-/// Longest time a request may be open, within which spent budget settles.
+/// Maximum duration of a request. Budget that a proxy has spent is free again after this time at the latest.
 const DEADLINE_US: u64 = 1_000_000;
-/// Time the origin takes for each request.
+/// Response time of the fake origin.
 const HOLD_MS: u64 = 100;
-/// Clients of each proxy, more than the limit.
+/// Concurrent clients of each proxy. The clients of a single proxy already exceed the limit.
 const CLIENTS: usize = 26;
 
 fn origin(limit: u64) -> Value {
     json!({"origin": {"whole": limit, "floor": RESERVED}})
 }
 
-/// A fleet under load, with the limits that apply over time.
+/// A fleet whose clients keep it under load, with the history of the limits in force.
 struct BudgetTest {
     fleet: Fleet,
     clients: Vec<Option<Pressure>>,
@@ -167,7 +168,7 @@
 }
 
 const ALL_PROXIES: [usize; 3] = [0, 1, 2];
-/// Most of the limit that remains for the others while one proxy has its reserved minimum only.
+/// Concurrent requests that the other proxies must reach while one proxy has only its reserved minimum: most of the rest.
 const REMAINING_SHARE: f64 = (LIMIT - RESERVED) as f64 * 0.8;
 
 /// Starts a fleet that uses the whole limit, and returns it with its allocator.
@@ -178,7 +179,8 @@
     (test, allocator)
 }
 
-/// Makes the allocator fail, waits for a replacement and for the others to use the rest, then lets it recover as a member.
+/// Makes the allocator fail, and waits until another proxy is elected and the running proxies use the rest of the limit.
+/// The failed proxy then recovers as an ordinary member.
 fn allocator_fails_and_recovers(
     seed: u64,
     fail: impl FnOnce(&mut BudgetTest, usize),
@@ -230,8 +232,8 @@
     });
 }
 
-/// The allocator resumes after its votes have expired and another has been elected, so that both consider themselves the
-/// allocator for a moment.
+/// The allocator stalls until its votes have expired and another proxy is elected. After it resumes, both proxies consider
+/// themselves the allocator for a moment.
 #[test]
 fn a_stalled_allocator_does_not_allocate_after_its_replacement() {
     allocator_fails_and_recovers(
@@ -260,7 +262,7 @@
     );
 }
 
-/// All datagrams from the allocator are lost, those to it arrive.
+/// All datagrams that the allocator sends are lost, but it receives the datagrams of the others.
 #[test]
 fn an_allocator_that_can_only_receive_is_replaced() {
     let set_links = |test: &mut BudgetTest, allocator, conditions| {
@@ -373,7 +375,7 @@
     test.assert_limit_kept();
 }
 
-/// The restarted proxies have no memory of the leases they granted and held.
+/// The restarted proxies do not know which leases they granted or held before the restart.
 #[test]
 fn restarting_half_of_the_proxies_at_once_keeps_the_limit() {
     let (mut test, allocator) = start_saturated(4, 11, "");
@@ -411,7 +413,8 @@
             .iter()
             .all(|n| test.budget_status(*n).is_some_and(|b| b.limit == LIMIT / 2))
     });
-    // Leases of the old limit may be spent for one more second, and settle within the request deadline after it.
+    // Leases granted under the old limit may be used for one more second. Requests started with them end within the
+    // request deadline after that.
     test.run_for(Duration::from_micros(1_000_000 + DEADLINE_US));
     test.limits.push(LimitFrom {
         from: test.now(),
@@ -467,20 +470,21 @@
     assert_eq!(serde_json::to_value(status).unwrap(), expected);
 }
 
-/// Each planted fault makes the origin exceed the limit.
+/// Verifies that this test setup detects violations: each fault injected here makes the origin exceed the limit.
 #[test]
 fn planted_faults_are_detected() {
-    // Reserved minimums are not subtracted from what is granted.
+    // Fault: the allocator does not subtract the reserved minimums from the budget that it grants.
     let test = BudgetTest::start(3, 3, 20, "plant-floors=fail");
     test.until("the limit is exceeded", || !test.breaches().is_empty());
     drop(test);
-    // A holder ignores the end of its lease: once cut off, it keeps using what was granted to others.
+    // Fault: a lease holder ignores the expiry of its lease. Once cut off, it keeps using budget that has been granted to
+    // other proxies.
     let (test, allocator) = start_saturated(3, 21, "plant-lease=fail");
     let holder = others(allocator)[0];
     test.fleet.links.split(&[holder], LinkConditions::CUT);
     test.until("the limit is exceeded", || !test.breaches().is_empty());
     drop(test);
-    // An allocator does not need a majority: each side of a partition has one.
+    // Fault: a proxy becomes allocator without a majority, so each side of a partition has an allocator.
     let test = BudgetTest::start(3, 3, 22, "plant-votes=fail");
     test.until_in_use("the limit is in use", LIMIT as f64 * 0.8);
     test.fleet.links.split(&[0], LinkConditions::CUT);
--- a/daemon/tests/config.rs
+++ b/daemon/tests/config.rs
@@ -30,8 +30,8 @@
     assert_eq!(config.settings.rules.purge_completion_us, 6_050_000);
 }
 
-/// The second deployment has no peers, reports load in answers only, allows second copies, has writes that must not run
-/// twice, and configures link speeds. `linnetknot check` accepts it too.
+/// The second example deployment has no peers, reports load only in the caches' answers, allows a second copy of an
+/// object, has writes that must not run twice, and configures link speeds. `linnetknot check` must accept it.
 #[test]
 fn the_second_deployments_configuration_is_valid_without_peers() {
     let config = json!({
@@ -221,8 +221,8 @@
             .to_string();
         assert!(message.starts_with(path), "{path} | {message}");
     }
-    // Replication settings that need more machines than there are. Peers with one IP address count as one machine unless
-    // their machines are named.
+    // The settings require copies on more machines than the peer list has. Peers with the same IP address count as one
+    // machine unless the file names their machines.
     let copies = |copies: Value| {
         let cdni = json!({"listen": "127.0.0.1:0", "provider": "p", "base": "b", "purges": "/nowhere/purges"});
         json!({"cdni": cdni, "peers": {"copies": true}, "copies": copies})
@@ -371,7 +371,7 @@
     );
     let names: Vec<&str> = a.list.iter().map(|b| b.name.as_str()).collect();
     assert_eq!(names, ["origin", "cold-caches:hub", "cold-caches:here"]);
-    // Only the origin budget limits the duration of requests. The budgets for cold caches do not.
+    // Only a budget for the origin limits how long a request may take. Budgets for cold caches do not.
     assert_eq!(a.max_request_us(), Some(a.list[0].spec.settling_us));
     assert_eq!(
         budgets("127.0.0.1:2", json!({"cold": true})).max_request_us(),
@@ -385,7 +385,8 @@
         ),
         (1, None, 83_333)
     );
-    // Limits may differ between proxies while a change is rolled out. Any other difference changes the fingerprint.
+    // Proxies share budgets only if their fingerprints are equal. The limit may differ between proxies while a change is
+    // rolled out, so it is not part of the fingerprint; all other values are.
     assert_eq!(
         budgets("127.0.0.1:2", json!({"origin": {"whole": 8}, "cold": true})).fingerprint,
         a.fingerprint
@@ -414,7 +415,8 @@
     );
 }
 
-/// To update the file after a change of the types, run `linnetknot schema > docs/interconnect.schema.json`.
+/// After a change of the configuration types, update the file with
+/// `linnetknot schema > docs/interconnect.schema.json`.
 #[test]
 fn the_published_schema_matches_the_types() {
     let published = include_str!("../../docs/interconnect.schema.json");
@@ -456,7 +458,7 @@
         (Some(0), true),
         "{out}"
     );
-    // The zone is checked against the configuration's zones only if a configuration is given.
+    // The zone is compared with the zones of a configuration only if the caller passes a configuration.
     assert_eq!(run(&[check, own.as_ref()]).0, Some(0));
     let (code, out, err) = run(&[check, own.as_ref(), config.as_ref()]);
     assert_eq!((code, out.lines().count()), (Some(1), 1));
--- a/daemon/tests/fleet_faults.rs
+++ b/daemon/tests/fleet_faults.rs
@@ -14,9 +14,9 @@
     Fleet::start(Path::new(DAEMON), proxies, seed, None).unwrap()
 }
 
-/// Starts a fleet with replication, where a commit needs the disk of one further machine.
+/// Starts a fleet with replication, in which a commit succeeds once it is also on the disk of one other machine.
 fn replicating_fleet(proxies: usize, seed: u64) -> Fleet {
-    // A long time limit, so that commits succeed on a busy machine.
+    // A long commit timeout, so that commits succeed on a busy machine.
     let within_ms = Some(3_000);
     Fleet::with(Setup {
         within_ms,
@@ -57,7 +57,7 @@
     for n in 0..3 {
         let object = object(n);
         assert_eq!(fleet.purge(n as usize, &object).unwrap(), 201);
-        // Each datagram is sent three times. With this seed at least one of them arrives on every link.
+        // Each purge is sent in three datagrams per link. With this seed at least one of the three arrives on every link.
         for proxy in 0..4 {
             assert!(
                 fleet.wait_for_purge(proxy, &object).unwrap(),
@@ -138,7 +138,7 @@
     let fleet = replicating_fleet(3, 21);
     let object = object(1);
     fleet.links.set((0, 2), LinkConditions::CUT);
-    // Datagrams in flight at the time of the cut may still arrive.
+    // Datagrams that were in flight when the link was cut may still arrive.
     let before = fleet.links.counters((0, 2));
     assert_eq!(fleet.purge(0, &object).unwrap(), 201);
     assert!(
@@ -170,7 +170,8 @@
     assert!(fleet.wait_for_purge(1, &object).unwrap());
 }
 
-/// The writer loses its machine and disk right after its commits: the purges hold on the peers and on the replacement.
+/// The writer is killed and loses its disk right after its commits. Its peers and its replacement must still enforce the
+/// committed purges.
 #[test]
 fn replication_restores_a_writers_own_commits_after_a_lost_disk() {
     let mut fleet = replicating_fleet(3, 23);
@@ -189,7 +190,7 @@
     until("p0 recovers its own commits", || {
         objects.iter().all(|o| holds_floor(&fleet, 0, o))
     });
-    // The new incarnation continues to write. Its purges replicate beside those of the previous one.
+    // The new incarnation accepts further purges, which are replicated in addition to those of the previous incarnation.
     let later = object(40);
     assert_eq!(fleet.purge(0, &later).unwrap(), 201);
     until("the purge of the new incarnation is replicated", || {
@@ -204,7 +205,7 @@
     for n in 0..5 {
         assert_eq!(fleet.purge(n, &object(100 + n as u64)).unwrap(), 201);
     }
-    // One proxy on each side restarts during the partition, p0 without its disk.
+    // One proxy on each side restarts during the partition: p0 with an empty disk, p4 with its disk.
     assert!(holds_floor(&fleet, 1, &object(100)) && holds_floor(&fleet, 3, &object(104)));
     fleet.kill(0).unwrap();
     fleet.restart(0, Disk::Lost).unwrap();
@@ -242,11 +243,12 @@
     }
 }
 
-/// The writer crashes at each step of a commit and returns with or without its disk. A confirmed purge is held by all
-/// proxies, an unconfirmed one by all or by none.
+/// The writer crashes at each step of a commit and restarts with or without its disk. Afterwards all proxies must enforce
+/// a confirmed purge, and either all or none of them an unconfirmed purge.
 #[test]
 fn proxies_converge_after_a_writer_crash_at_any_commit_step() {
-    // Whether the peers hold the purge after a crash at that point; `None` where that is a race.
+    // Fail points, and whether the peers have received the purge when the writer crashes there; `None` if either is
+    // possible.
     let points = [
         ("peers-tell", Some(false)),
         ("peers-told", Some(true)),
@@ -272,7 +274,7 @@
                 "{case}: answered {result:?} although it must crash first"
             );
             fleet.kill(0).unwrap();
-            // A purge that was sent may still be in flight. One that was not sent must not appear.
+            // If the purge was sent before the crash, it may still be in flight. Otherwise the peer must not have it.
             let peer_has_purge = match reaches_peers {
                 Some(true) => fleet.wait_for_purge(1, &second).unwrap(),
                 _ => holds_floor(&fleet, 1, &second),
@@ -298,7 +300,7 @@
     }
 }
 
-/// The writer stalls after sending a purge to its peers and before confirming it.
+/// The writer stalls after sending a purge to its peers and before confirming the purge to the client.
 #[test]
 fn a_stalled_writer_confirms_its_commit_after_resuming() {
     let mut fleet = replicating_fleet(3, 40);
@@ -319,7 +321,7 @@
     assert!(holds_floor(fleet, 0, &object));
 }
 
-/// Each machine in turn is lost with its disk right after it confirmed a commit, over lossy links.
+/// On lossy links, each proxy in turn is killed and loses its disk right after it confirmed a commit.
 #[test]
 fn commits_survive_losing_the_writer_right_after_confirmation() {
     let lossy = LinkConditions {
@@ -365,7 +367,7 @@
         201,
         "the other side has a further machine"
     );
-    // Peers receive from p0, but their acknowledgements are lost.
+    // The peers receive the entries of p0, but their acknowledgements are lost.
     fleet.links.split(&[0], LinkConditions::default());
     fleet.links.set((1, 0), LinkConditions::CUT);
     fleet.links.set((2, 0), LinkConditions::CUT);
@@ -386,7 +388,7 @@
     assert!((0..3).all(|n| (500..504).all(|o| holds_floor(&fleet, n, &object(o)))));
 }
 
-/// The machine that a proxy reports for itself takes precedence over the one in its peers' configuration.
+/// The machine name that a proxy reports for itself takes precedence over the name in its peers' configuration.
 #[test]
 fn proxies_on_one_machine_count_as_one_replica() {
     let setup = Setup {
@@ -432,8 +434,8 @@
     assert!((0..3).all(|n| (510..513).all(|o| holds_floor(&fleet, n, &object(o)))));
 }
 
-/// A replica crashes before its write, after it, or before its acknowledgement. The other replica's acknowledgement
-/// suffices, and the crashed one catches up after its restart.
+/// A replica crashes before its write, after its write, or before its acknowledgement. The acknowledgement of the other
+/// replica suffices for the commit, and the crashed replica catches up after its restart.
 #[test]
 fn a_replica_crash_around_its_write_loses_no_commit() {
     for (seed, point) in ["store-commits", "store-committed", "holder-says"]
@@ -591,7 +593,8 @@
     fleet.resume(1).unwrap();
 }
 
-/// The pop cache keeps its state from before the first call, whichever pending call is rejected last.
+/// If all pending calls are rejected, the pop cache returns to its state before the first call, whatever the order of the
+/// rejections.
 #[test]
 fn rejected_conflicting_operator_calls_restore_the_previous_state() {
     // Long enough for all four calls to be pending at once on a busy machine.
@@ -683,7 +686,8 @@
     await_peer_state(&fleet, &[0, 1, 2], 3, "left");
 }
 
-/// Indirect probes over a third proxy keep both ends of a cut link alive. Only a proxy without any link is marked dead.
+/// Because of indirect probes through a third proxy, the proxies at both ends of a cut link stay alive. Only a proxy
+/// whose links are all cut is marked dead.
 #[test]
 fn a_cut_link_marks_nobody_dead_but_an_isolated_proxy_is() {
     let fleet = replicating_fleet(5, 61);
@@ -737,8 +741,8 @@
     assert_eq!(fleet.purge(3, &object(700)).unwrap(), 201);
 }
 
-/// A stalled process resumes after a replacement has taken its name: it rejects commits, and its earlier commits are held
-/// by the replacement.
+/// A stalled process resumes after a replacement process has started under the same name. The old process must reject
+/// commits, and the replacement must enforce the commits that the old process had confirmed.
 #[test]
 fn a_replaced_incarnation_that_resumes_is_fenced() {
     let setup = Setup {
@@ -779,21 +783,22 @@
     fleet.admin_call(n, "GET", "/control/ready").unwrap() == 200
 }
 
-/// Requests forty photos starting at number `from` and returns whether the proxy uses the given cache for any of them.
+/// Requests the forty photos with numbers from `from` on, and returns whether the proxy fetched any from the given cache.
 fn uses_cache(fleet: &Fleet, n: usize, cache: usize, from: u64) -> bool {
     let before = fleet.caches[cache].arrivals().len();
     (from..from + 40).for_each(|o| drop(fleet.ask(n, &object(o)).unwrap()));
     fleet.caches[cache].arrivals().len() > before
 }
 
-/// Waits until the proxy uses the given cache. On a busy machine a slow cache may be avoided for a while.
+/// Waits until the proxy fetches from the given cache. On a busy machine the proxy may avoid a slow cache for some
+/// seconds.
 fn await_cache_use(fleet: &Fleet, n: usize, cache: usize, from: u64) {
     until(&format!("p{n} uses cache {cache}"), || {
         uses_cache(fleet, n, cache, from)
     });
 }
 
-/// A proxy that replaces a lost machine is not ready before it has recovered the operators' decisions.
+/// A proxy that replaces a lost machine is not ready before it has recovered the bans and drains set by operators.
 #[test]
 fn bans_and_drains_survive_replacing_a_lost_machine() {
     let mut fleet = replicating_fleet(3, 70);
@@ -835,7 +840,7 @@
         "p0 sends nothing to the banned cache"
     );
     await_cache_use(&fleet, 0, 1, 900);
-    // The lifted ban is not restored.
+    // The ban of cache `s-0b` was lifted, so recovery must not restore it.
     await_cache_use(&fleet, 2, 1, 1000);
     assert!(!is_ready(&fleet, 1), "p1 is still out of service");
     assert_eq!(
@@ -882,8 +887,8 @@
     await_agreement("all proxies agree", &fleet);
 }
 
-/// A proxy without its disk is not ready until it has recovered from its peers or a time limit has passed. One with its
-/// disk needs no peer.
+/// A proxy that starts with an empty disk is not ready until it has recovered from its peers or a time limit has passed.
+/// A proxy that starts with its disk is ready without its peers.
 #[test]
 fn a_machine_without_its_disk_is_ready_only_after_recovery() {
     let mut fleet = replicating_fleet(3, 72);
@@ -923,14 +928,14 @@
     );
 }
 
-/// Returns the HTTP status and body that a proxy answers for a trigger status.
+/// Requests a trigger status from a proxy, and returns the HTTP status code and the body of the response.
 fn trigger_status(fleet: &Fleet, n: usize, path: &str) -> (u16, Vec<u8>) {
     let answer = fleet.cdni_call(n, "GET", path).unwrap();
     (answer.status, answer.body)
 }
 
-/// A trigger status longer than a datagram is served by every proxy after its machine is lost with its disk. The
-/// replacement does not reuse its name.
+/// A trigger status that does not fit into one datagram is served by every proxy after the machine that created it is
+/// lost with its disk. The replacement must not reuse the path of the status.
 #[test]
 fn a_trigger_status_is_served_by_all_and_survives_its_machine() {
     let mut fleet = replicating_fleet(3, 80);
@@ -980,7 +985,7 @@
     assert!(third != path && third != second);
 }
 
-/// A status that is deleted at another proxy than it was created at stays deleted after restarts and lost disks.
+/// A status that is created at one proxy and deleted through another stays deleted after restarts and lost disks.
 #[test]
 fn a_deleted_trigger_status_does_not_reappear() {
     let mut fleet = replicating_fleet(3, 81);
