--- a/daemon/tests/admin.rs
+++ b/daemon/tests/admin.rs
@@ -20,21 +20,21 @@
 }
 
 /// Starts a daemon with an admin listener and the given state folder.
-fn with_admin(boxes: &[&'static str], folder: &Path) -> TestProxy {
+fn with_admin(caches: &[&'static str], folder: &Path) -> TestProxy {
     let folder = folder.display().to_string();
-    TestProxy::with(boxes, move |c| {
+    TestProxy::with(caches, move |c| {
         c["ops"] = json!("127.0.0.1:0");
         c["ops_folder"] = json!(folder);
     })
 }
 
 /// Starts a daemon with an admin listener and waits until it is ready.
-fn ready_rig(boxes: &[&'static str], name: &str) -> (TestProxy, SocketAddr, PathBuf) {
+fn ready_proxy(caches: &[&'static str], name: &str) -> (TestProxy, SocketAddr, PathBuf) {
     let folder = folder(name);
-    let rig = with_admin(boxes, &folder);
-    let admin = rig.admin.expect("an admin listener");
+    let proxy = with_admin(caches, &folder);
+    let admin = proxy.admin.expect("an admin listener");
     await_status(admin, "/control/ready", 200);
-    (rig, admin, folder)
+    (proxy, admin, folder)
 }
 
 fn status(admin: SocketAddr, method: &str, target: &str) -> u16 {
@@ -42,12 +42,12 @@
 }
 
 /// Repeats a GET request until its response has the expected status. Returns the elapsed time.
-fn await_status(admin: SocketAddr, target: &str, wanted: u16) -> Duration {
+fn await_status(admin: SocketAddr, target: &str, expected: u16) -> Duration {
     let start = Instant::now();
-    while status(admin, "GET", target) != wanted {
+    while status(admin, "GET", target) != expected {
         assert!(
             start.elapsed() < Duration::from_secs(5),
-            "{target} never answered {wanted}"
+            "{target} never answered {expected}"
         );
     }
     start.elapsed()
@@ -67,7 +67,7 @@
 
 #[test]
 fn the_admin_listener_answers_beside_stalled_clients_and_rejects_invalid_requests() {
-    let (rig, admin, folder) = ready_rig(&["s-0a"], "calls");
+    let (proxy, admin, folder) = ready_proxy(&["s-0a"], "calls");
     // Forty clients with incomplete requests, more than the admin listener has slots.
     let stalled_clients: Vec<TcpStream> = (0..40)
         .map(|_| {
@@ -102,7 +102,7 @@
         ),
         (b"POST /control/out-of", "400"),
     ];
-    for (bytes, wanted) in bad {
+    for (bytes, expected) in bad {
         let mut socket = TcpStream::connect(admin).unwrap();
         socket
             .set_read_timeout(Some(Duration::from_secs(3)))
@@ -118,7 +118,7 @@
             .expect("the admin listener closes the connection");
         let response = String::from_utf8_lossy(&response);
         assert!(
-            response.starts_with(&format!("HTTP/1.1 {wanted} ")),
+            response.starts_with(&format!("HTTP/1.1 {expected} ")),
             "{bytes:?}: {response}"
         );
     }
@@ -128,22 +128,22 @@
         response.starts_with("HTTP/1.1 414 ") && closed,
         "{response}"
     );
-    let mut web = rig.web();
+    let mut web = proxy.web();
     assert_eq!(
         send_and_receive(&mut web, "photo", &object_id(1)).status,
         200
     );
     assert_eq!(status(admin, "GET", "/control/ready"), 200);
     drop(stalled_clients);
-    rig.stop();
+    proxy.stop();
     let _ = std::fs::remove_dir_all(&folder);
 }
 
 #[test]
 fn a_drain_reports_not_ready_and_closes_connections_until_in_service() {
-    let (rig, admin, folder) = ready_rig(&["s-0a"], "drain");
-    let mut active = rig.web();
-    let mut idle = rig.web();
+    let (proxy, admin, folder) = ready_proxy(&["s-0a"], "drain");
+    let mut active = proxy.web();
+    let mut idle = proxy.web();
     assert_eq!(
         send_and_receive(&mut active, "photo", &object_id(1)).status,
         200
@@ -185,7 +185,7 @@
         start.elapsed()
     );
     // A new connection during a drain is served and then closed.
-    let mut new_client = rig.web();
+    let mut new_client = proxy.web();
     assert_eq!(
         send_and_receive(&mut new_client, "photo", &object_id(4)).status,
         200
@@ -199,7 +199,7 @@
     );
     assert_eq!(status(admin, "POST", "/control/in-service"), 200);
     assert!(await_status(admin, "/control/ready", 200) < Duration::from_secs(2));
-    let mut after = rig.web();
+    let mut after = proxy.web();
     assert_eq!(
         send_and_receive(&mut after, "photo", &object_id(5)).status,
         200
@@ -209,28 +209,28 @@
         200,
         "connections stay open again"
     );
-    rig.stop();
+    proxy.stop();
 }
 
 #[test]
 fn a_banned_cache_gets_no_requests_across_a_restart_until_unbanned() {
-    let (rig, admin, folder) = ready_rig(&["s-0a", "s-0b"], "ban");
-    let mut web = rig.web();
+    let (proxy, admin, folder) = ready_proxy(&["s-0a", "s-0b"], "ban");
+    let mut web = proxy.web();
     for n in 0..40 {
         assert_eq!(
             send_and_receive(&mut web, "photo", &object_id(n)).status,
             200
         );
     }
-    let fetch_count = |rig: &TestProxy, uid: usize| {
-        rig.caches[uid]
+    let fetch_count = |proxy: &TestProxy, uid: usize| {
+        proxy.caches[uid]
             .arrivals()
             .iter()
             .filter(|a| a.command == "fetch")
             .count()
     };
     assert!(
-        fetch_count(&rig, 0) > 0 && fetch_count(&rig, 1) > 0,
+        fetch_count(&proxy, 0) > 0 && fetch_count(&proxy, 1) > 0,
         "both caches serve before the ban"
     );
     assert_eq!(
@@ -242,7 +242,7 @@
         200,
         "a repeated ban succeeds"
     );
-    let before = fetch_count(&rig, 0);
+    let before = fetch_count(&proxy, 0);
     for n in 100..140 {
         assert_eq!(
             send_and_receive(&mut web, "photo", &object_id(n)).status,
@@ -250,23 +250,23 @@
         );
     }
     assert_eq!(
-        fetch_count(&rig, 0),
+        fetch_count(&proxy, 0),
         before,
         "a banned cache gets no new requests"
     );
-    rig.stop();
+    proxy.stop();
     // The next process reads the ban from the state folder.
-    let rig = with_admin(&["s-0a", "s-0b"], &folder);
-    let admin = rig.admin.expect("an admin listener");
+    let proxy = with_admin(&["s-0a", "s-0b"], &folder);
+    let admin = proxy.admin.expect("an admin listener");
     await_status(admin, "/control/ready", 200);
-    let mut web = rig.web();
+    let mut web = proxy.web();
     for n in 200..240 {
         assert_eq!(
             send_and_receive(&mut web, "photo", &object_id(n)).status,
             200
         );
     }
-    assert_eq!(fetch_count(&rig, 0), 0, "the ban survives the restart");
+    assert_eq!(fetch_count(&proxy, 0), 0, "the ban survives the restart");
     assert_eq!(
         status(admin, "POST", "/control/pop-caches/s-0a/online"),
         200,
@@ -278,13 +278,13 @@
             send_and_receive(&mut web, "photo", &object_id(n)).status,
             200
         );
-        is_used_again |= fetch_count(&rig, 0) > 0;
+        is_used_again |= fetch_count(&proxy, 0) > 0;
     }
     assert!(
         is_used_again,
         "the cache is used again after the ban is lifted"
     );
-    rig.stop();
+    proxy.stop();
     let _ = std::fs::remove_dir_all(&folder);
 }
 
@@ -336,15 +336,16 @@
 
 #[test]
 fn a_draining_connection_rejects_further_requests_and_closes() {
-    let (rig, admin, folder) = ready_rig(&["s-0a"], "busy");
-    let mut web = rig.web();
+    let (proxy, admin, folder) = ready_proxy(&["s-0a"], "busy");
+    let mut web = proxy.web();
     assert_eq!(
         send_and_receive(&mut web, "photo", &object_id(1)).status,
         200
     );
     assert_eq!(status(admin, "POST", "/control/out-of-service"), 200);
     // The request is a write, because a slow read would be retried at another server after 0.35 s.
-    rig.origin
+    proxy
+        .origin
         .set_behaviour(linnetknot_harness::fakes::cache::Behaviour {
             answer_delay_ms: 600,
             ..Default::default()
@@ -368,14 +369,14 @@
         web.end().is_err(),
         "the connection closes after the last answer"
     );
-    rig.stop();
+    proxy.stop();
     let _ = std::fs::remove_dir_all(&folder);
 }
 
 #[test]
 fn reloading_settings_adds_a_class_and_keeps_the_existing_ones() {
-    let (mut rig, _, folder) = ready_rig(&["s-0a"], "retune");
-    let mut web = rig.web();
+    let (mut proxy, _, folder) = ready_proxy(&["s-0a"], "retune");
+    let mut web = proxy.web();
     assert_eq!(
         send_and_receive(&mut web, "poster", &object_id(1)).status,
         503,
@@ -383,7 +384,7 @@
     );
     // A reload of an invalid file is not tested here, since no request shows whether the reload has finished.
     {
-        let mut file = rig.config_file.lock().unwrap();
+        let mut file = proxy.config_file.lock().unwrap();
         let poster = json!({"name": "poster", "aim-us": 300_000, "deadline-us": 2_000_000, "repeat": "pure",
             "worth": 1.0});
         file["settings"]["categories"]
@@ -391,7 +392,7 @@
             .unwrap()
             .push(poster);
     }
-    rig.control.reload().unwrap();
+    proxy.control.reload().unwrap();
     let start = Instant::now();
     while send_and_receive(&mut web, "poster", &object_id(3)).status != 200 {
         assert!(
@@ -404,6 +405,6 @@
         200,
         "the existing class is still served"
     );
-    rig.stop();
+    proxy.stop();
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/daemon/tests/budgets.rs
+++ b/daemon/tests/budgets.rs
@@ -39,11 +39,11 @@
 
 impl BudgetTest {
     /// Starts a fleet of `proxies`, of which the first `proxies_with_clients` have clients.
-    fn start(proxies: usize, proxies_with_clients: usize, seed: u64, planted: &str) -> BudgetTest {
+    fn start(proxies: usize, proxies_with_clients: usize, seed: u64, points: &str) -> BudgetTest {
         let setup = Setup {
             budgets: origin(LIMIT),
             deadline_us: Some(DEADLINE_US),
-            fail_points: planted,
+            fail_points: points,
             ..Setup::replicating(Path::new(DAEMON), proxies, seed)
         };
         let fleet = Fleet::with(setup).unwrap();
@@ -172,8 +172,8 @@
 const REMAINING_SHARE: f64 = (LIMIT - RESERVED) as f64 * 0.8;
 
 /// Starts a fleet that uses the whole limit, and returns it with its allocator.
-fn start_saturated(proxies: usize, seed: u64, planted: &str) -> (BudgetTest, usize) {
-    let test = BudgetTest::start(proxies, proxies, seed, planted);
+fn start_saturated(proxies: usize, seed: u64, points: &str) -> (BudgetTest, usize) {
+    let test = BudgetTest::start(proxies, proxies, seed, points);
     test.until_in_use("the limit is in use", LIMIT as f64 * 0.8);
     let allocator = test.allocator(&(0..proxies).collect::<Vec<_>>());
     (test, allocator)
--- a/daemon/tests/clock_steps.rs
+++ b/daemon/tests/clock_steps.rs
@@ -12,12 +12,12 @@
 /// Triggers created before each clock step.
 const TRIGGERS: u64 = 64;
 
-fn fleet(proxies: usize, seed: u64, planted: &str) -> Fleet {
+fn fleet(proxies: usize, seed: u64, points: &str) -> Fleet {
     // A long time limit, so that commits succeed on a busy machine.
     let within_ms = Some(3_000);
     Fleet::with(Setup {
         within_ms,
-        fail_points: planted,
+        fail_points: points,
         ..Setup::replicating(Path::new(DAEMON), proxies, seed)
     })
     .unwrap()
@@ -61,7 +61,11 @@
         fleet
             .restart_with_fail_points(0, Disk::Kept, &clock_point(*offset))
             .unwrap();
-        assert_eq!(missing(&fleet, 0, &paths), 0, "life {restart}, {offset} s");
+        assert_eq!(
+            missing(&fleet, 0, &paths),
+            0,
+            "restart {restart}, {offset} s"
+        );
         // Names given before the restart must not be reused.
         let new_paths = triggers(&fleet, 0, 1 + TRIGGERS * (restart as u64 + 1));
         assert!(new_paths.iter().all(|path| !paths.contains(path)));
@@ -209,13 +213,21 @@
             fleet.admin_call(0, "GET", "/control/ready").unwrap() == 200
                 && status.peers.iter().any(|peer| peer.state == "alive")
         };
-        assert!(poll_until(TIMEOUT, is_settled), "life {restart}");
+        assert!(poll_until(TIMEOUT, is_settled), "restart {restart}");
         // Long enough for peers to gossip about the previous incarnation.
         for n in 0..20 {
             let purged = object(10 + 100 * restart as u64 + n);
-            assert_eq!(fleet.purge(0, &purged).unwrap(), 201, "life {restart}, {n}");
+            assert_eq!(
+                fleet.purge(0, &purged).unwrap(),
+                201,
+                "restart {restart}, {n}"
+            );
             let other = object(50 + 100 * restart as u64 + n);
-            assert_eq!(fleet.purge(1, &other).unwrap(), 201, "life {restart}, {n}");
+            assert_eq!(
+                fleet.purge(1, &other).unwrap(),
+                201,
+                "restart {restart}, {n}"
+            );
             thread::sleep(Duration::from_millis(200));
         }
     }
--- a/daemon/tests/config.rs
+++ b/daemon/tests/config.rs
@@ -350,9 +350,9 @@
         message.starts_with("budgets: 'peers' does not name this proxy's own"),
         "{message}"
     );
-    let budgets = |place: &str, budgets: Value| {
+    let budgets = |own_address: &str, budgets: Value| {
         let mut valid_config = valid_config();
-        valid_config["peer_listen"] = place.into();
+        valid_config["peer_listen"] = own_address.into();
         valid_config["peers"] = json!(["127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"]);
         let mut config = read(&valid_config).unwrap();
         config
--- a/daemon/tests/discovery.rs
+++ b/daemon/tests/discovery.rs
@@ -130,7 +130,10 @@
         let (before, mut web) = (agent.requests().len(), proxy.web());
         agent.set_behaviour(manner);
         if manner != Behaviour::Unavailable {
-            assert!(agent.wait_for(|asked| asked.len() > before), "{manner:?}");
+            assert!(
+                agent.wait_for(|requests| requests.len() > before),
+                "{manner:?}"
+            );
         }
         let fetches = fetches_per_cache(&proxy, &mut web);
         assert!(
@@ -182,7 +185,7 @@
     agent.lose_health();
     let consistent =
         |a: &linnetknot_harness::fakes::consul::AgentRequest| a.target.contains("?consistent");
-    assert!(agent.wait_for(|asked| asked[before..].iter().any(consistent)));
+    assert!(agent.wait_for(|requests| requests[before..].iter().any(consistent)));
     assert!(fetches_per_cache(&proxy, &mut web)[0] > 0);
     proxy.stop();
     // An empty response that the catalog confirms removes the caches.
@@ -198,7 +201,7 @@
     let (agent, proxy, mut web) =
         start_with_list(|config| config["consul"]["datacenters"] = json!(["seoul", "busan"]));
     for dc in ["dc=seoul", "dc=busan"] {
-        assert!(agent.wait_for(|asked| asked
+        assert!(agent.wait_for(|requests| requests
             .iter()
             .any(|a| a.target.contains(dc) && a.target.contains("index="))));
     }
@@ -377,7 +380,7 @@
     proxy.config_file.lock().unwrap()["consul"] =
         json!({"address": other.address.to_string(), "answer_ms": 500});
     proxy.control.reload().unwrap();
-    assert!(other.wait_for(|asked| asked.len() > 1));
+    assert!(other.wait_for(|requests| requests.len() > 1));
     assert!(
         fetches_per_cache(&proxy, &mut web).iter().all(|n| *n > 0),
         "the previous list stays in use"
--- a/daemon/tests/event_ordering.rs
+++ b/daemon/tests/event_ordering.rs
@@ -39,7 +39,7 @@
         send_and_receive(&mut leaving, "photo", &object_id(2)).status,
         200
     );
-    let held = proxy.hold();
+    let loop_guard = proxy.hold();
     // More than a single read takes, followed by the disconnect.
     for n in 0..30 {
         leaving
@@ -47,7 +47,7 @@
             .unwrap();
     }
     drop(leaving);
-    drop(held);
+    drop(loop_guard);
     assert_eq!(
         send_and_receive(&mut other, "photo", &object_id(3)).status,
         200
@@ -67,7 +67,7 @@
         send_and_receive(&mut web, "photo", &object_id(1)).status,
         200
     );
-    let held = proxy.hold();
+    let loop_guard = proxy.hold();
     let bytes = [
         photo_request(1, &object_id(2), 12_000),
         photo_request(2, &object_id(3), 12_000),
@@ -75,7 +75,7 @@
     ]
     .concat();
     web.send(&bytes).unwrap();
-    drop(held);
+    drop(loop_guard);
     let mut responses = [web.end().unwrap(), web.end().unwrap()];
     responses.sort_by_key(|response| response.0);
     assert!(responses[0].1.is_none() && responses[1].1.as_ref().is_some_and(|a| a.status == 200));
@@ -138,10 +138,10 @@
     // The request of a client that disconnects is not.
     leaving.send(&photo_request(2, &object_id(1), 0)).unwrap();
     let (cache, connection, fetch) = next_command(&mut caches);
-    let held = proxy.hold();
+    let loop_guard = proxy.hold();
     caches[cache].connections[connection].respond(&fetch[1], "503", "-", "");
     drop(leaving);
-    drop(held);
+    drop(loop_guard);
     other.send(&photo_request(3, &object_id(1), 0)).unwrap();
     let fetched = loop {
         let (_, _, command) = next_command(&mut caches);
@@ -167,10 +167,10 @@
         200
     );
     // The loop is held between polling and the deadlines, until the idle timeout has passed.
-    let held = proxy.hold();
+    let loop_guard = proxy.hold();
     busy_wait(idle);
     web.send(&photo_request(1, &object_id(2), 0)).unwrap();
-    drop(held);
+    drop(loop_guard);
     assert_eq!(web.end().unwrap().1.expect("an answer").status, 200);
     // Without a request the connection is closed with EOF, not with a reset.
     assert_eq!(web.end().unwrap_err().kind(), ErrorKind::UnexpectedEof);
@@ -222,9 +222,9 @@
             "the daemon did not handle SIGTERM"
         );
     }
-    let held = proxy.hold();
+    let loop_guard = proxy.hold();
     busy_wait(accept_period);
-    (proxy, held, web)
+    (proxy, loop_guard, web)
 }
 
 fn health(web: &mut WebServer) -> u16 {
@@ -235,9 +235,9 @@
 
 #[test]
 fn a_request_in_the_socket_buffer_at_shutdown_is_answered() {
-    let (proxy, held, mut web) = start_held_at_shutdown_accept_deadline(|_| {});
+    let (proxy, loop_guard, mut web) = start_held_at_shutdown_accept_deadline(|_| {});
     web.send(&photo_request(1, &object_id(2), 0)).unwrap();
-    drop(held);
+    drop(loop_guard);
     let (id, answer) = web
         .end()
         .expect("a response before the connection is closed");
@@ -254,12 +254,12 @@
 
 #[test]
 fn a_connection_in_the_accept_queue_at_shutdown_is_served() {
-    let (proxy, held, web) = start_held_at_shutdown_accept_deadline(|_| {});
+    let (proxy, loop_guard, web) = start_held_at_shutdown_accept_deadline(|_| {});
     let mut late = proxy.web();
     late.send(&photo_request(1, &object_id(2), 0)).unwrap();
     // This connection is accepted before its request arrives.
     let mut later = proxy.web();
-    drop(held);
+    drop(loop_guard);
     assert_eq!(late.end().expect("an answer").1.unwrap().status, 200);
     later.send(&photo_request(1, &object_id(3), 0)).unwrap();
     assert_eq!(later.end().expect("an answer").1.unwrap().status, 200);
@@ -269,8 +269,8 @@
 
 #[test]
 fn an_idle_client_reads_eof_at_shutdown_and_later_requests_are_not_forwarded() {
-    let (proxy, held, mut idle_client) = start_held_at_shutdown_accept_deadline(|_| {});
-    drop(held);
+    let (proxy, loop_guard, mut idle_client) = start_held_at_shutdown_accept_deadline(|_| {});
+    drop(loop_guard);
     assert_eq!(
         idle_client.end().unwrap_err().kind(),
         ErrorKind::UnexpectedEof
--- a/daemon/tests/fleet_faults.rs
+++ b/daemon/tests/fleet_faults.rs
@@ -285,10 +285,10 @@
                 (0..3).all(|n| holds_floor(&fleet, n, &first)),
                 "{case}: the first purge was committed"
             );
-            let held = (0..3).filter(|n| holds_floor(&fleet, *n, &second)).count();
+            let holders = (0..3).filter(|n| holds_floor(&fleet, *n, &second)).count();
             assert!(
-                held == 0 || held == 3,
-                "{case}: {held} proxies hold the second purge"
+                holders == 0 || holders == 3,
+                "{case}: {holders} proxies hold the second purge"
             );
             if disk == Disk::Kept {
                 assert!(
@@ -655,9 +655,9 @@
         .collect()
 }
 
-fn await_peer_state(fleet: &Fleet, at: &[usize], of: usize, wanted: &str) {
-    until(&format!("{at:?} report p{of} as {wanted}"), || {
-        at.iter().all(|n| peer_state(fleet, *n, of) == wanted)
+fn await_peer_state(fleet: &Fleet, at: &[usize], of: usize, expected: &str) {
+    until(&format!("{at:?} report p{of} as {expected}"), || {
+        at.iter().all(|n| peer_state(fleet, *n, of) == expected)
     });
 }
 
--- a/daemon/tests/shutdown_deadlines.rs
+++ b/daemon/tests/shutdown_deadlines.rs
@@ -43,7 +43,10 @@
         while web.is_open() {
             let at = Instant::now();
             let id = 1 + count as u16;
-            if web.ask(id, number * 100_000 + count, deadline).is_err() {
+            if web
+                .send_request(id, number * 100_000 + count, deadline)
+                .is_err()
+            {
                 return;
             }
             if sent_sender.send((id, at)).is_err() {
@@ -81,7 +84,7 @@
         !matches!(rustix::net::recv(&*self.0, &mut byte, flags), Ok((_, 0)))
     }
 
-    fn ask(&mut self, id: u16, number: u64, deadline: Duration) -> std::io::Result<()> {
+    fn send_request(&mut self, id: u16, number: u64, deadline: Duration) -> std::io::Result<()> {
         let (name, budget) = (format!("{number:016x}"), deadline.as_millis().to_string());
         let key = object_id(number);
         let fields = [
