--- a/daemon/tests/client_gone.rs
+++ b/daemon/tests/client_gone.rs
@@ -33,7 +33,7 @@
     Disconnect::Abort,
     Disconnect::HalfClose,
 ];
-/// Requests on the connection: one, and the maximum.
+/// Numbers of open requests per connection to test with: one, and the maximum.
 const REQUEST_COUNTS: [u16; 2] = [1, 32];
 /// Request number used by the client that stays connected.
 const REMAINING_CLIENT_REQUEST: u16 = 100;
@@ -141,7 +141,7 @@
     })
 }
 
-/// Asserts that this answer causes a retry for a client that stays connected.
+/// Asserts that this answer of a cache causes a retry while the client stays connected.
 fn assert_connected_client_is_retried(status: &str, fields: &str) {
     let (rig, mut caches) = start_site(status, fields);
     let mut remaining = rig.web();
@@ -201,7 +201,7 @@
     disconnect_before_answer("404", "-", false);
 }
 
-/// All requests are for one object, and wait at the cache for the fill of the first one.
+/// All requests are for one object. All but the first wait for the fill that the first request has caused.
 #[test]
 fn failed_shared_fill_after_client_disconnect_starts_no_retry() {
     disconnect_before_answer("503", "how=rode", true);
--- a/daemon/tests/clock_offsets.rs
+++ b/daemon/tests/clock_offsets.rs
@@ -1,4 +1,5 @@
-//! A proxy with a constant wall clock offset serves as well as one with a correct clock and breaks no rule.
+//! A proxy whose wall clock has a constant offset violates no rule of the load test, and its score is as good as with a
+//! correct clock.
 
 use linnetknot_rehearse::player::play;
 use linnetknot_rehearse::shipped;
@@ -10,7 +11,7 @@
 const OFFSETS_S: [i64; 7] = [0, -3_600, -60, -4, 4, 60, 3_600];
 const SEED: u64 = 62;
 const TIME_SCALE: f64 = 0.4;
-/// Allowed difference of the score from that with a correct clock.
+/// Allowed difference between the scores with an offset clock and with a correct clock.
 const TOLERANCE: f64 = 0.01;
 
 /// Writes a script that starts the daemon with its wall clock offset by `seconds`.
--- a/daemon/tests/clock_steps.rs
+++ b/daemon/tests/clock_steps.rs
@@ -1,5 +1,5 @@
-//! Daemon processes whose wall clocks differ, or step by an hour across a restart: no confirmed state is lost, and no
-//! purge stays in force for too long.
+//! Daemon processes whose wall clocks differ from each other, or step by an hour between two starts. No confirmed state
+//! may be lost, and no purge may stay in force longer than intended.
 
 use linnetknot_harness::clients::{poll_until, TIMEOUT};
 use linnetknot_harness::fakes::cache::FakeCache;
@@ -13,7 +13,7 @@
 const TRIGGERS: u64 = 64;
 
 fn fleet(proxies: usize, seed: u64, points: &str) -> Fleet {
-    // A long time limit, so that commits succeed on a busy machine.
+    // A long commit timeout, so that commits succeed on a busy machine.
     let within_ms = Some(3_000);
     Fleet::with(Setup {
         within_ms,
@@ -66,7 +66,7 @@
             0,
             "restart {restart}, {offset} s"
         );
-        // Names given before the restart must not be reused.
+        // Status paths that were assigned before the restart must not be reused.
         let new_paths = triggers(&fleet, 0, 1 + TRIGGERS * (restart as u64 + 1));
         assert!(new_paths.iter().all(|path| !paths.contains(path)));
         paths.extend(new_paths);
@@ -166,7 +166,7 @@
         fleet
             .restart_with_fail_points(0, Disk::Kept, &clock_point(offset))
             .unwrap();
-        // Answers from the origin let both proxies estimate its clock.
+        // Both proxies estimate the origin's clock from the answers to these requests.
         for proxy in 0..2 {
             for n in 500..510 {
                 fleet.ask(proxy, &object(n)).unwrap();
--- a/daemon/tests/compaction.rs
+++ b/daemon/tests/compaction.rs
@@ -107,7 +107,7 @@
     entries_on_disk(&copy)
 }
 
-/// Writes the bytes of a store as a version without the purge table wrote them.
+/// Writes a store in the format of versions that had no purge table.
 #[test]
 fn a_store_in_the_first_format_is_migrated() {
     let medium = Medium::default();
@@ -263,7 +263,7 @@
                 node.ledger.simulate_crash();
             }
             medium.0.lock().unwrap().lose_power(n);
-            // A table of either size can be opened with either setting.
+            // A store with a purge table of either size can be opened with either configured size.
             for bits in [BITS, bits, BITS] {
                 let reopened = TestNode::open(&medium, 1 << 51, bounds(WINDOW, bits)).unwrap();
                 assert_eq!(reopened.ledger.table().bucket_bits(), bits);
--- a/daemon/tests/compaction_fault_detection.rs
+++ b/daemon/tests/compaction_fault_detection.rs
@@ -1,5 +1,5 @@
-//! Verifies that the crash check of `compaction.rs` detects a planted fault: entries removed from the disk before their
-//! buckets are synced. The fail point is global to the process, so this test has its own.
+//! Verifies that the crash check of `compaction.rs` detects an injected fault: entries are removed from the disk before
+//! the buckets that replace them are synced. Fail points are global to a process, so this test needs its own test binary.
 
 #[path = "common/ledger_on_medium.rs"]
 mod ledger_on_medium;
--- a/daemon/tests/complete_requests_answered.rs
+++ b/daemon/tests/complete_requests_answered.rs
@@ -1,4 +1,5 @@
-//! A completely received request is answered before its connection closes, whatever the reason for closing it.
+//! A request that was received completely is answered before the daemon closes its connection, whatever the reason for
+//! closing the connection.
 
 mod scripted_caches;
 mod test_proxy;
@@ -142,7 +143,7 @@
             assert_eq!(status, 503, "a partial request");
             refused += 1;
         };
-        // The slow cache may be treated as unresponsive by now.
+        // The daemon may already treat the slow cache as unresponsive.
         assert!([200, 503].contains(&status), "client {n}: {status}");
     }
     assert!(refused > 0, "some partial requests are rejected");
@@ -247,7 +248,7 @@
         for n in 0..12 {
             let sent_at = Instant::now();
             let status = send_and_receive(&mut quiet, "photo", &object_id(1_000 + n)).status;
-            // The budget is 2.5 s. The rest allows for a busy machine.
+            // The request budget is 2.5 s. The additional time allows for a busy machine.
             assert!(sent_at.elapsed() < Duration::from_millis(3_000), "{n}");
             *statuses.entry(status).or_default() += 1;
         }
--- a/daemon/tests/core.rs
+++ b/daemon/tests/core.rs
@@ -221,8 +221,8 @@
     );
 }
 
-/// An attempt of which no byte is written can be withdrawn even if the settings forbid cancelling attempts, and is known
-/// not to have run.
+/// An attempt of which no byte has been written can be withdrawn even if the settings forbid cancelling attempts. The
+/// cache can not have executed the request.
 #[test]
 fn an_unstarted_attempt_ends_at_once_on_disconnect_or_deadline() {
     for cancel in [true, false] {
@@ -246,7 +246,7 @@
             core.dispatch(attempt).is_none() && core.is_idle(),
             "cancel: {cancel}"
         );
-        // A write that was never sent is answered as rejected and not as failed, since it can not have run.
+        // A write that was never sent is answered as rejected and not as failed, since no server can have executed it.
         let post = ClientRequest {
             class: "post".into(),
             ..client_request(0)
--- a/daemon/tests/deadline_propagation.rs
+++ b/daemon/tests/deadline_propagation.rs
@@ -97,7 +97,8 @@
     rig.stop();
 }
 
-/// The deadline counts from the arrival of the request's last byte, not from the time it is read.
+/// The deadline counts from the arrival of the request's last byte at the socket, not from the time at which the daemon
+/// reads that byte.
 #[test]
 fn requests_read_by_a_blocked_loop_carry_the_remaining_deadline() {
     let (mut rig, mut caches) = start_with_scripted_caches::<1>(|_| {});
--- a/daemon/tests/discovery.rs
+++ b/daemon/tests/discovery.rs
@@ -293,7 +293,7 @@
     let bytes = String::from_utf8(std::fs::read(&file).unwrap()).unwrap();
     let is_cached = |b: &FakeCache| bytes.contains(b.uid) && bytes.contains(&b.address.to_string());
     assert!(caches.iter().all(is_cached), "{bytes}");
-    // Without the agent, the cached list with its drain is used at once.
+    // While the agent is unreachable, the daemon starts with the cached list, including the drain recorded there.
     agent.set_behaviour(Behaviour::Unavailable);
     let mut proxy = start_with_agent(&agent, |config| config["state"] = state.clone());
     proxy.caches = caches;
--- a/daemon/tests/disk.rs
+++ b/daemon/tests/disk.rs
@@ -40,7 +40,7 @@
     fs::create_dir_all(&folder).unwrap();
     let path = folder.join("list");
     let own = format!("list.{}.new", std::process::id());
-    // A process id above the maximum, which no running process has.
+    // A process id above the system's maximum, so that no running process can have it.
     let leftover = "list.4194305.new";
     for name in [
         "list",
--- a/daemon/tests/event_ordering.rs
+++ b/daemon/tests/event_ordering.rs
@@ -1,5 +1,5 @@
-//! Tests of event orderings that are rare in production. The event loop is held until all events of a test are pending,
-//! so that each run has the same order.
+//! Tests of event orderings that are rare in production. The event loop is paused until all events of a test are pending,
+//! so that it processes them in the same order in every run.
 
 mod scripted_caches;
 mod test_proxy;
@@ -40,7 +40,7 @@
         200
     );
     let loop_guard = proxy.hold();
-    // More than a single read takes, followed by the disconnect.
+    // Sends more bytes than the daemon takes in a single read, and then disconnects.
     for n in 0..30 {
         leaving
             .send(&photo_request(n + 1, &object_id(100 + u64::from(n)), 4_000))
@@ -135,7 +135,7 @@
         "a copy",
     );
     assert_eq!(leaving.end().unwrap().1.unwrap().status, 200);
-    // The request of a client that disconnects is not.
+    // The request of a client that disconnects is not retried.
     leaving.send(&photo_request(2, &object_id(1), 0)).unwrap();
     let (cache, connection, fetch) = next_command(&mut caches);
     let loop_guard = proxy.hold();
@@ -166,7 +166,7 @@
         send_and_receive(&mut web, "photo", &object_id(1)).status,
         200
     );
-    // The loop is held between polling and the deadlines, until the idle timeout has passed.
+    // The loop is paused after polling and before it handles deadlines, until the idle timeout has passed.
     let loop_guard = proxy.hold();
     busy_wait(idle);
     web.send(&photo_request(1, &object_id(2), 0)).unwrap();
@@ -275,7 +275,8 @@
         idle_client.end().unwrap_err().kind(),
         ErrorKind::UnexpectedEof
     );
-    // Sent after the daemon has closed its half: it must not be forwarded, as it can't be answered.
+    // This request is sent after the daemon has shut down its sending half. It must not be forwarded, because it can not
+    // be answered.
     idle_client
         .send(&photo_request(1, &object_id(2), 0))
         .unwrap();
@@ -331,7 +332,8 @@
     proxy.thread.join().unwrap().unwrap();
 }
 
-/// A slow connect succeeds only if it is kept: if each attempt dialled anew, none would ever be established.
+/// A slow connect must be kept for later attempts. If each attempt started a new connect, no connection would ever be
+/// established.
 #[test]
 fn slow_connects_are_kept_without_further_dials_and_their_requests_are_not_sent() {
     let (proxy, mut caches) = start_with_scripted_caches::<1>(|config| {
@@ -440,13 +442,13 @@
         config["bus"] = address.clone();
         config["bounds"] = json!({"bus_read_timeout_us": 150_000});
     });
-    // Silent before the first event, without and with a response head.
+    // The bus stops sending before the first event, once without and once with a response head.
     let (_no_head, last) = bus.accept();
     assert_eq!(last, 0);
     let (mut head_only, last) = bus.accept();
     assert_eq!(last, 0);
     head_only.write_all(EVENT_STREAM_HEAD.as_bytes()).unwrap();
-    // Silent in the middle of the second event, which is sent again after the reconnect.
+    // The bus stops sending in the middle of the second event. It sends that event again after the reconnect.
     let (mut cut_off, last) = bus.accept();
     assert_eq!(last, 0);
     let purge = |tag: u64| json!({"ban": {"tag": tag, "ts": 1}});
@@ -572,7 +574,7 @@
 fn partial_requests_of_many_clients_are_bounded_and_others_are_served() {
     let proxy = TestProxy::with(&["s-0a"], |config| {
         config["limits"]["memory_mb"] = json!(16);
-        // Long enough that no connection is closed for its age.
+        // Long enough that no connection is closed by this timeout during the test.
         config["bounds"] = json!({"partial_request_timeout_us": 60_000_000});
     });
     let request = WebServer::request(
--- a/daemon/tests/failing_state_folder.rs
+++ b/daemon/tests/failing_state_folder.rs
@@ -98,8 +98,8 @@
     }
 }
 
-/// The folder fails for longer and no peer has its entries: all earlier copies count as purged, and calls that need the
-/// store are rejected until it recovers. A kill during the failure changes nothing.
+/// The folder fails for longer than one write, and no peer has its entries. Until the folder recovers, all copies made
+/// earlier count as purged, and calls that need the store are rejected. A kill during the failure does not change this.
 #[test]
 fn without_peers_only_calls_that_need_the_store_are_rejected_until_it_recovers() {
     let mut fleet = start_fleet(1, 73, None);
@@ -179,7 +179,7 @@
 }
 
 /// A ban or drain that was answered 503 is not in force after a restart, even if the daemon was killed before it undid
-/// the failed write. One that was answered 200 is.
+/// the failed write. A ban or drain that was answered 200 is in force after the restart.
 #[test]
 fn operator_changes_answered_200_persist_and_those_answered_503_do_not() {
     let post_drain = |fleet: &Fleet| {
@@ -272,7 +272,7 @@
 }
 
 /// The store of a running daemon fails once, for a while, or until the daemon is killed. Triggers that were answered 201
-/// exist after a restart. Those that were answered 503 do not if the failure ended before the kill.
+/// exist after a restart. Triggers that were answered 503 do not exist if the failure ended before the kill.
 #[test]
 fn a_store_failure_at_run_time_loses_no_trigger_answered_201() {
     let failures = [
--- a/daemon/tests/failing_system_calls.rs
+++ b/daemon/tests/failing_system_calls.rs
@@ -110,7 +110,7 @@
     }
 }
 
-/// Adds a third class, whose requests must not be repeated.
+/// Adds the request class `vote`, whose requests must not be executed twice.
 fn add_vote_class(config: &mut Value) {
     let categories = config["settings"]["categories"].as_array_mut().unwrap();
     let mut votes = categories[0].clone();
--- a/daemon/tests/fault_matrix.rs
+++ b/daemon/tests/fault_matrix.rs
@@ -1,5 +1,5 @@
 //! Runs a part of the matrix of `linnetknot-rehearse fault-matrix`, which injects faults at points of a commit, and checks
-//! that planted faults are detected.
+//! that deliberately injected violations are detected.
 
 use linnetknot_rehearse::fault_matrix::{cases, play, Case, Matrix, DEFECTS, FAULT_POINTS};
 use linnetknot_rehearse::series::run_in_parallel;
@@ -23,7 +23,7 @@
     assert_eq!(matrix.status(), 0, "{matrix}\n{:#?}", matrix.notes);
 }
 
-/// Each planted fault is reported by the matching rule.
+/// Each deliberately injected violation is reported by the rule that forbids it.
 #[test]
 fn planted_faults_are_detected() {
     for ((defect, point), rule) in DEFECTS
--- a/daemon/tests/fleet_status.rs
+++ b/daemon/tests/fleet_status.rs
@@ -68,7 +68,7 @@
     assert!(matches!(query_status(admin), Err(StatusError::Endless)));
 }
 
-/// Operators' tools read these keys.
+/// Guards the JSON keys, which operators' tools read, against renames of the fields.
 #[test]
 fn the_fleet_status_keeps_its_json_keys() {
     let mut status = status(1, 1);
--- a/daemon/tests/handover.rs
+++ b/daemon/tests/handover.rs
@@ -143,7 +143,7 @@
     assert_eq!(request_status(client_address, 1), 200);
     let (mut new, _) = site.start();
     send_sigterm(&old);
-    // Each client that connects while the old process exits is served by one of the two.
+    // Each client that connects while the old process exits is served by the old or the new process.
     let mut n = 2;
     let status = loop {
         assert_eq!(request_status(client_address, n), 200, "request {n}");
@@ -187,7 +187,7 @@
             rustix::net::sockopt::set_socket_recv_buffer_size(web.writer().unwrap(), 32 << 10)
                 .unwrap();
             web.ask(1, "photo", &format!("{n:016x}"), 2500).unwrap();
-            // Once the first byte has arrived, the daemon has written as much as the kernel takes.
+            // Once the first byte has arrived, the daemon has written as many bytes as the socket buffers accept.
             web.writer().unwrap().peek(&mut [0]).unwrap();
             web
         })
@@ -230,8 +230,8 @@
     site.caches[0].arrivals().len() - before
 }
 
-/// A process that dies at any point of storing a ban leaves a valid state with or without the ban. A confirmed ban
-/// persists.
+/// A process that dies at any point while it stores a ban leaves a valid state file, with or without the ban. A ban that
+/// was confirmed to the operator is in the file.
 #[test]
 fn a_process_that_dies_while_storing_a_ban_leaves_it_complete_or_absent() {
     for (point, holds) in [
--- a/daemon/tests/ledger.rs
+++ b/daemon/tests/ledger.rs
@@ -13,7 +13,7 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::Duration;
 
-/// Arrival time of datagrams, which these tests do not depend on.
+/// Arrival time given for all datagrams; the results of these tests do not depend on it.
 const NOW: Micros = Micros::MAX;
 
 fn open(path: &Path, now: Micros) -> Result<(Ledger, Receiver<()>), LedgerError> {
--- a/daemon/tests/net.rs
+++ b/daemon/tests/net.rs
@@ -103,7 +103,8 @@
     assert!(ready.is_empty(), "{ready:?}");
 }
 
-/// A frame that the socket takes no byte of is not buffered. The rest of a partially written frame is.
+/// A frame is not buffered if the socket accepts none of its bytes. If the socket accepts some of them, the remaining
+/// bytes are buffered.
 #[test]
 fn a_frame_is_buffered_only_once_its_first_byte_is_written() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -117,7 +118,7 @@
     let pending = tcp.output.len() as u64;
     assert!(pending < frame.len() as u64 && (tcp.written + pending) % frame.len() as u64 == 0);
     assert!(tcp.is_waiting_to_write());
-    // Discard the buffered rests until the socket takes no further byte.
+    // Discards the buffered remaining bytes until the socket accepts no further byte.
     let before = loop {
         tcp.output.consume(tcp.output.len());
         let before = tcp.written;
--- a/daemon/tests/rehearsal.rs
+++ b/daemon/tests/rehearsal.rs
@@ -1,4 +1,5 @@
-//! Runs the rehearsal kit against the real daemon: it must report no breach, and must report planted faults.
+//! Runs the load-test tool (`linnetknot-rehearse`) against the real daemon. It must report no rule violation of the
+//! daemon, and must report violations that are injected on purpose.
 
 use linnetknot_rehearse::player::{self, play};
 use linnetknot_rehearse::scenario::{ClassLoad, Fault, Load, Scenario, SiteForm, What};
@@ -219,7 +220,7 @@
     assert_eq!(outcome.breaches, []);
     assert_eq!(outcome.check_conclusive(), Ok(()));
     assert!(outcome.requests > 450 && outcome.unsent == 0, "{outcome:?}");
-    // With the planted fault, requests lost at the killed proxy count as breaches.
+    // With this injected fault, requests that are lost at the killed proxy count as violations.
     let outcome = play(
         daemon(),
         &proxy_restarts(),
--- a/daemon/tests/shutdown_deadlines.rs
+++ b/daemon/tests/shutdown_deadlines.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 use test_proxy::{object_id, TestProxy};
 
-/// Time from the longest deadline to SIGKILL.
+/// Time from the end of the longest request deadline to SIGKILL.
 const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
 const CLIENTS: u64 = 3;
 /// Time from SIGTERM until all caches stop responding.
@@ -117,7 +117,8 @@
             std::thread::spawn(move || run_client(web, number, deadline, sigterm_at))
         })
         .collect();
-    // Late in the accept period, so that the daemon has not yet detected the silent caches.
+    // The caches stop responding late in the period in which the daemon still accepts requests, so that it has not yet
+    // detected their failure.
     busy_wait(MUTE_AFTER);
     for cache in proxy.caches.iter().chain([&proxy.origin]) {
         cache.set_behaviour(Behaviour {
@@ -135,7 +136,7 @@
         );
         assert!(result.answered > 10);
         assert!(result.last_answer < kill_at, "{:?}", result.last_answer);
-        // A request that crosses the close of the connection was not forwarded. Its client sees the EOF.
+        // A request that was sent while the daemon closed the connection is not forwarded. Its client reads EOF.
         assert!(result.unanswered.len() <= 1, "{:?}", result.unanswered);
     }
     proxy.thread.join().unwrap().unwrap();
--- a/daemon/tests/snapshot_catch_up.rs
+++ b/daemon/tests/snapshot_catch_up.rs
@@ -12,7 +12,7 @@
 const PURGES: u64 = 60;
 
 fn fleet(seed: u64) -> Fleet {
-    // A long time limit, so that commits succeed on a busy machine.
+    // A long commit timeout, so that commits succeed on a busy machine.
     let within_ms = Some(3_000);
     let setup = Setup {
         within_ms,
@@ -49,7 +49,7 @@
     fleet.admin_call(n, "GET", "/control/ready").unwrap() == 200
 }
 
-/// Returns whether a proxy has the same state as another, on its disk.
+/// Returns whether a proxy has the same state as another proxy, in memory and on its disk.
 fn has_caught_up_with(fleet: &Fleet, n: usize, other: usize) -> bool {
     let (status, other) = (fleet.status(n).unwrap(), fleet.status(other).unwrap());
     let is_on_disk = status
@@ -124,7 +124,7 @@
     assert_all_floors(&fleet, 2);
 }
 
-/// The snapshot never arrives and the wait for it times out.
+/// The snapshot never arrives, and the proxy stops waiting for it after a timeout.
 #[test]
 fn a_proxy_without_its_snapshot_treats_every_copy_as_purged() {
     let mut fleet = fleet(54);
--- a/daemon/tests/syscall_errors.rs
+++ b/daemon/tests/syscall_errors.rs
@@ -156,7 +156,7 @@
             disarm_all();
         }
     }
-    // A persistent error must not keep the event loop in `accept`.
+    // If `accept` keeps failing, the event loop must not retry it endlessly.
     let (_poll, listener, _client) = pending_connection();
     arm(Accept, Plan::always(&[errno_named("EPROTO").unwrap()]));
     assert!(matches!(listener.accept(), Ok(None)));
--- a/daemon/tests/upstream.rs
+++ b/daemon/tests/upstream.rs
@@ -300,7 +300,7 @@
     let mut upstream = Upstream::new(true);
     let attempt = upstream.send("01");
     assert_eq!(upstream.live_streams_if_available("02"), Some(1));
-    // The connection counts as suspect only once it has been silent for longer than the timeout.
+    // The connection counts as suspect only after it has received no bytes for longer than the timeout.
     for (silent_us, room) in [
         (upstream.limits.suspect_timeout_us, Some(0)),
         (upstream.limits.suspect_timeout_us + 1, None),
@@ -493,8 +493,8 @@
     assert!(upstream.live_streams_if_available("01").is_some());
 }
 
-/// The response to an attempt may cross its abort on the wire. It must not finish a retry on the same connection, as
-/// the next retry would then run concurrently with that one.
+/// The response to an attempt may arrive after the attempt was aborted. It must not finish a retry on the same connection:
+/// that retry could still be running at the cache when the next retry starts.
 #[test]
 fn a_response_that_may_belong_to_an_aborted_attempt_aborts_the_retry_before_it_finishes() {
     let mut upstream = Upstream::new(true);
@@ -513,7 +513,7 @@
     upstream.now += upstream.limits.abort_transit_us;
     upstream.flush();
     assert_eq!(upstream.take_outcomes(), [(retry, Outcome::Full)]);
-    // If the retry's own response arrives in time, it determines the outcome.
+    // If the retry's own response has arrived as well, that response determines the outcome.
     let attempt = upstream.send("02");
     upstream.abort_and_wait(attempt);
     upstream.take_outcomes();
--- a/harness/src/fakes/event_bus.rs
+++ b/harness/src/fakes/event_bus.rs
@@ -1,4 +1,4 @@
-//! A fake of the platform's event bus.
+//! A fake of the event bus from which the daemon reads the endpoint list and purges.
 
 use crate::fakes::cache::FakeCache;
 use crate::listener::{listen, Listening};
--- a/harness/src/fleet/mod.rs
+++ b/harness/src/fleet/mod.rs
@@ -213,7 +213,7 @@
     /// Returns the process of a proxy.
     ///
     /// # Errors
-    /// Returns an error if it does not run: its addresses may then belong to another program.
+    /// Returns an error if the proxy does not run, because its addresses may then belong to another program.
     pub fn process(&self, n: usize) -> io::Result<&Process> {
         let process = self.members[n]
             .process
--- a/harness/src/links/conditions.rs
+++ b/harness/src/links/conditions.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct LinkConditions {
-    /// Nothing passes; the sender gets no error.
+    /// Whether the link is cut: nothing passes, and the sender gets no error.
     pub cut: bool,
     /// Fixed delay, in milliseconds.
     pub delay_ms: f64,
@@ -28,7 +28,7 @@
     pub trickle: u64,
     /// Number of bytes after which a stream is reset, also in the middle of a message; 0 means never.
     pub reset_after: u64,
-    /// Connections are accepted and never read.
+    /// Whether connections are accepted but never read.
     pub half_open: bool,
 }
 
@@ -42,9 +42,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
 #[error("{key}: {value} is not from 0 to {max}")]
 pub struct ConditionOutOfRange {
-    /// Key of the value.
+    /// Name of the condition.
     pub key: &'static str,
-    /// Value.
+    /// The rejected value.
     pub value: f64,
     /// Largest valid value.
     pub max: f64,
--- a/harness/src/links/mod.rs
+++ b/harness/src/links/mod.rs
@@ -1,6 +1,6 @@
 //! Fault-injecting links between proxies. All datagrams between two proxies pass through a link, which loses, delays,
 //! duplicates or reorders them according to its conditions. The decisions are made in `conditions`; this module has the
-//! sockets and threads. `stream` has the same for TCP connections.
+//! sockets and threads. `stream` contains the corresponding forwarder for TCP connections.
 //!
 //! Proxies accept datagrams only from the addresses of their peers. Each link therefore has one socket for each of its
 //! two proxies: a datagram that one proxy sends to its socket is delivered to the other from the other's socket.
--- a/harness/src/pressure.rs
+++ b/harness/src/pressure.rs
@@ -75,7 +75,7 @@
             thread::spawn(move || {
                 while !shared.stopped.load(Ordering::Relaxed) {
                     let target = *shared.target.lock().unwrap_or_else(PoisonError::into_inner);
-                    // The proxy is down: retries at its address of that time.
+                    // The proxy is down. The next attempt uses its address at that time.
                     if target.is_none_or(|to| send_requests(&shared, to).is_err()) {
                         thread::sleep(RETRY_DELAY);
                     }
--- a/membership/tests/fleet.rs
+++ b/membership/tests/fleet.rs
@@ -345,7 +345,7 @@
         fleet.start(0);
         assert!(fleet.run_until_agreed(20 * S).is_some(), "seed {seed}");
         let process = fleet.nodes[0].process;
-        // The old process resumes. The others ignore its claims and notify it of its successor.
+        // The old process resumes. The other members ignore its claims and notify it of its successor.
         let successor = std::mem::replace(&mut fleet.nodes[0].membership, old);
         fleet.resume(0);
         fleet.run(3 * S);
--- a/replication/tests/compaction/fleet.rs
+++ b/replication/tests/compaction/fleet.rs
@@ -385,7 +385,8 @@
         sums.all(|sum| Some(sum) == first)
     }
 
-    /// Returns the number of purges until a time that a member does not have with their time or a later one.
+    /// Returns the number of missing purges: of the purges up to a time, those that a member has neither with their own
+    /// time nor with a later time.
     pub(crate) fn missing_purges(&self, n: usize, until: Micros) -> usize {
         let store = self.replica(n).log_store();
         let has = |(subject, at): &(&Subject, &Micros)| {
--- a/replication/tests/compaction/main.rs
+++ b/replication/tests/compaction/main.rs
@@ -26,7 +26,7 @@
     fleet.replica(n).counters().snapshots_received
 }
 
-/// 400 purges per second for a minute at 64 members, which is 16 times the number that each stores as entries.
+/// 400 purges per second for a minute at 64 members: 16 times as many purges as each member stores as exact entries.
 #[test]
 fn no_purge_of_a_busy_fleet_is_rejected_and_all_members_have_all_purges() {
     let mut fleet = Fleet::new(64, 64, 1_500, 3);
@@ -205,7 +205,7 @@
             fleet.start(sender);
         }
         fleet.run_until_converged(120 * S);
-        // Another snapshot, of the sender's next process, may still be in progress.
+        // A transfer of another snapshot, from the restarted sender, may still be in progress.
         let converged_at = fleet.links.now;
         while fleet.replica(2).is_catching_up() {
             fleet.run(100 * MS);
--- a/replication/tests/fleet.rs
+++ b/replication/tests/fleet.rs
@@ -383,7 +383,8 @@
     }
 }
 
-/// The writer is lost with an entry that no other member has, and members have a later entry of its log.
+/// The writer is killed and does not return. The other members lack one entry of its log, which only the writer had, but
+/// have the next entry.
 #[test]
 fn gap_requests_for_lost_entries_are_as_infrequent_as_digests() {
     let mut fleet = Fleet::new(3, 5, (100, 0, MS));
@@ -525,7 +526,7 @@
 }
 
 /// Only entries on the disk can be moved to the compact table. Without a working disk, twice the maximum number of
-/// entries is stored and further ones are rejected.
+/// entries is stored, and further entries are rejected.
 #[test]
 fn unsynced_entries_are_limited_and_none_is_dropped() {
     const OWN: LogId = LogId::new(1, 7);
@@ -800,7 +801,7 @@
             datagram: ack
         }]
     );
-    // An acknowledgement to a peer that was removed is dropped.
+    // A pending acknowledgement is dropped if the peer to which it would be sent was removed.
     let entry = Entry {
         log: LogId::new(2, 9),
         index: 2,
--- a/replication/tests/model.rs
+++ b/replication/tests/model.rs
@@ -168,7 +168,7 @@
                 actions.push(Action::Start(n));
                 continue;
             };
-            // A proxy appends at most once, except after a restart with the fault `SameEpoch`.
+            // Each proxy appends one entry, and a second entry only after a restart with the fault `SameEpoch`.
             if !proxy.has_appended {
                 actions.push(Action::Append(n));
             }
--- a/replication/tests/reorder.rs
+++ b/replication/tests/reorder.rs
@@ -16,7 +16,7 @@
     }
 }
 
-/// Returns a replica that has index 1 of the log, with this capacity of the reorder buffer.
+/// Returns a replica that has received entry 1 of the log and whose reorder buffer has this capacity.
 fn replica(max_reordered_entries: usize) -> Replica {
     let options = Options {
         max_reordered_entries,
@@ -69,7 +69,7 @@
     assert_eq!(receive(&mut replica, entry(2, 1)), [2]);
     assert_eq!(receive(&mut replica, entry(3, 2)), [3, 5]);
     assert_eq!(requested_gaps(&mut replica, 2 * S), [(5, 6)]);
-    // 7 arrives again from a sender for which the entry before it is superseded.
+    // Entry 7 arrives again, from a sender at which entry 6 has been superseded.
     assert_eq!(receive(&mut replica, entry(7, 5)), [7, 8]);
     assert_eq!(requested_gaps(&mut replica, 3 * S), []);
     assert_eq!(replica.log_store().last_index(LOG), 8);
--- a/replication/tests/snapshot.rs
+++ b/replication/tests/snapshot.rs
@@ -139,7 +139,7 @@
     }
 }
 
-/// Chunks that were read before the compacted indexes do not cover the compactions in between.
+/// A chunk that was read earlier than the compacted indexes lacks purges that were compacted between the two reads.
 #[test]
 fn delayed_chunks_of_an_earlier_image_do_not_complete_a_snapshot() {
     let mut sender = sender(1..100, options());
@@ -248,7 +248,8 @@
     assert!(sent(&mut sender) > 0, "the next period has a new limit");
 }
 
-/// The receiver then asks random peers, and finally stops, so that it does not count as catching up forever.
+/// The receiver then requests the snapshot from random peers and finally stops, so that its state does not remain
+/// 'catching up' forever.
 #[test]
 fn the_transfer_from_a_sender_that_does_not_answer_is_abandoned() {
     let (mut sender, mut receiver) = (sender(1..100, options()), receiver());
--- a/tests/common/trace.rs
+++ b/tests/common/trace.rs
@@ -25,7 +25,7 @@
     x ^ (x >> 31)
 }
 
-/// Maps an optional time to a number that no time has.
+/// Maps an optional time to a number; `None` becomes a number that no time has.
 fn optional(us: Option<Micros>) -> u64 {
     us.unwrap_or(u64::MAX)
 }
@@ -127,7 +127,7 @@
         values.iter().for_each(|value| self.mix_in(*value));
     }
 
-    /// Adds a report line with all counts and the current digest.
+    /// Adds a line with all counts and the current digest to the report.
     pub(crate) fn checkpoint(&mut self, second: u64) {
         let Trace {
             name,
--- a/tests/common/world/mod.rs
+++ b/tests/common/world/mod.rs
@@ -26,7 +26,7 @@
     pub started: Option<Micros>,
     /// The server accepts connections.
     pub up: bool,
-    /// The server does not answer, and connections to it are not refused.
+    /// Attempts at the server get neither an answer nor a refused connection.
     pub vanished: bool,
     pub cached: BTreeSet<u64>,
     active: f64,
@@ -69,7 +69,7 @@
     End(usize, RequestId, u32, Outcome, Note, Micros),
     Deadline(usize, RequestId),
     List(usize, ListMode, Vec<Server>),
-    /// A callback to the test.
+    /// Calls the test back with this number.
     Call(u64),
 }
 
@@ -98,7 +98,7 @@
     /// Fraction of the requests that are writes, which must not run twice.
     pub write_share: f64,
     executed_writes: BTreeSet<RequestId>,
-    /// Answers carry load reports.
+    /// Whether answers contain load reports.
     sends_load_reports: bool,
     transfers_by_link: Vec<f64>,
     /// Capacity of the origin.
@@ -113,7 +113,7 @@
     pub deadline_us: Micros,
     /// Shares of the requests by tenant.
     pub tenant_shares: Vec<f64>,
-    /// Transfer time, tenant and success of each finished request.
+    /// Transfer time, tenant, and whether it succeeded, of each finished request.
     pub answers: Vec<(f64, usize, bool)>,
     /// Number of objects; requests concentrate on a few of them.
     pub object_count: f64,
--- a/tests/decision_trace/answers.rs
+++ b/tests/decision_trace/answers.rs
@@ -59,7 +59,7 @@
 }
 
 impl RandomFleet {
-    /// Returns the part of a note that the settings allow.
+    /// Returns a server's note with only the details that the settings allow.
     pub(crate) fn visible_note(&self, note: Note) -> Note {
         match (self.settings.answer_detail, note) {
             (AnswerDetail::All, note) => note,
--- a/tests/decision_trace/main.rs
+++ b/tests/decision_trace/main.rs
@@ -56,7 +56,7 @@
     checkpoint_seconds: 5,
     ..BUSY
 };
-/// Few objects, so that some are popular enough for several copies.
+/// Few objects, so that some of them are requested often enough to be stored on several caches.
 const HOT: Workload = Workload {
     object_count: 12,
     disturbance_interval_us: 600 * MS,
--- a/tests/decision_trace/random_fleet.rs
+++ b/tests/decision_trace/random_fleet.rs
@@ -39,7 +39,7 @@
 /// Rates and duration of a simulation.
 #[derive(Clone, Copy)]
 pub(crate) struct Workload {
-    /// Simulated time, and time between lines of the report.
+    /// Duration of the simulation, and interval between two lines of the report, both in simulated time.
     pub seconds: u64,
     pub checkpoint_seconds: u64,
     /// Mean time between requests.
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -41,7 +41,7 @@
     assert_eq!(harness.router.origin_requests_in_flight(), 2);
     let third = harness.send_request("order", "/o/9");
     assert!(sent(&harness.request("charge", "/o/10", 5 * S).1).is_none());
-    // The lease expires without an event, which leaves the reserved minimum.
+    // The lease expires by time, without an event. Then only the reserved minimum may be used.
     harness.now += S;
     for s in [first[3], first[4]] {
         harness.end_attempt(s.request, 0, 21, Outcome::Ok);
--- a/tests/platform_rules.rs
+++ b/tests/platform_rules.rs
@@ -474,8 +474,8 @@
     );
 }
 
-/// While an attempt waits for its connection, the deduplication window may end, a purge may arrive and its client may
-/// leave.
+/// While an attempt waits for its connection, the deduplication window may end, a purge may arrive, and the client may
+/// disconnect.
 #[test]
 fn a_queued_attempt_is_checked_again_before_it_is_sent() {
     let mut s = settings();
@@ -512,7 +512,8 @@
         None,
         "the window has ended"
     );
-    // The attempt was not sent. Its window has ended, so the request is not retried; its class allows a refusal.
+    // The attempt was not sent. Its deduplication window has ended, so the request is not retried. It is refused, as its
+    // class allows.
     harness.now += 50 * MS;
     let actions = harness.end_attempt(first.request, 1, first.server, Outcome::Moot);
     assert!(
@@ -543,7 +544,8 @@
     );
 }
 
-/// An unreachable server has not run the request, and its process has not necessarily restarted.
+/// A server that could not be reached has not executed the request. That it was unreachable does not prove that its
+/// process has restarted.
 #[test]
 fn an_unreachable_cache_is_not_treated_as_restarted() {
     for (outcome, restarted) in [(Outcome::Unreached, false), (Outcome::ConnectFailed, true)] {
--- a/tests/settings_reload.rs
+++ b/tests/settings_reload.rs
@@ -1,5 +1,5 @@
-//! Replacement of the settings of a running router: classes are added and removed, open requests keep theirs, and
-//! invalid settings change nothing.
+//! Replacement of the settings of a running router: classes are added and removed, open requests keep the class with
+//! which they started, and invalid settings change nothing.
 
 mod common;
 use common::*;
@@ -91,7 +91,7 @@
     new_settings.classes.reverse();
     for c in &mut new_settings.classes {
         match c.name.as_str() {
-            // New reads must not run twice, and new charges may.
+            // After the reload, requests of the class for reads must not run twice, and those of the class for charges may.
             "video" => c.repeat = Repeat::Unsafe,
             "charge" => c.repeat = Repeat::Safe,
             "order" => c.name = "bill".into(),
--- a/tests/slow_start_sharing.rs
+++ b/tests/slow_start_sharing.rs
@@ -7,21 +7,21 @@
 use linnetknot::*;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Knowledge of a proxy about the other proxies.
+/// Information from which a proxy derives its part of a server's slow-start budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BudgetKnowledge {
-    /// Its part of the budget, by a lease.
+    /// A lease states the proxy's part of the budget.
     Lease,
-    /// Its index among all proxies.
+    /// The proxy knows its index among all proxies.
     Index,
-    /// Only the number of proxies.
+    /// The proxy knows only the number of proxies.
     Count,
 }
 
-/// Scenarios of each kind.
+/// Number of scenarios of each kind, each with its own seed.
 const SEEDS: u64 = 4;
-/// Capacities relative to the default. The rule then allows N = 48 or 60 requests at the server's start, 14 or 18, and
-/// 3 or 4.
+/// Server capacities relative to the default. At the server's start the slow-start rule allows 48 requests (cache) or 60
+/// (parent) with the first, 14 or 18 with the second, and 3 or 4 with the third.
 const RELATIVE_CAPACITIES: [f64; 3] = [1.0, 0.3, 0.06];
 const FLEETS: [u32; 4] = [1, 3, 30, 300];
 /// Transfer time of each request at full rate.
@@ -38,7 +38,7 @@
     knowledge: BudgetKnowledge,
     /// The parent is in slow start; otherwise the cache is.
     is_parent: bool,
-    /// Capacity relative to the default; with 1, N is 48 or 60 at the server's start.
+    /// Capacity relative to the default, one of `RELATIVE_CAPACITIES`.
     relative_capacity: f64,
     seed: u64,
 }
@@ -74,7 +74,7 @@
     }
 }
 
-/// Largest excess of requests in any window.
+/// The window in which the requests exceed the limit by the most.
 #[derive(Clone, Copy, Debug)]
 struct Excess {
     /// Requests above the limit; negative if the limit was not reached.
--- a/tests/zone_and_parent_loss.rs
+++ b/tests/zone_and_parent_loss.rs
@@ -103,7 +103,7 @@
         w.sum(23..30, |s| s.origin_requests) > 0,
         "the origin received requests"
     );
-    // The losses are detected by attempts without an answer, whose cost is limited too.
+    // Proxies detect the lost servers by attempts that get no answer. The number of these attempts is limited too.
     let (failed, all) = count_failed(&w, 16..23);
     assert!(
         4 * failed < all,
