--- a/daemon/examples/purge_soak.rs
+++ b/daemon/examples/purge_soak.rs
@@ -33,7 +33,7 @@
 const SYNC_INTERVAL: u64 = 1_024;
 /// Timeout of a wait for the disk.
 const DISK_TIMEOUT: Duration = Duration::from_secs(60);
-/// Number of rows printed.
+/// Number of table rows printed, at equal intervals of purges.
 const ROWS: u64 = 24;
 /// Start of virtual time, as Unix time in microseconds.
 const START_US: Micros = 1_700_000_000_000_000;
--- a/daemon/tests/budgets.rs
+++ b/daemon/tests/budgets.rs
@@ -168,7 +168,8 @@
 }
 
 const ALL_PROXIES: [usize; 3] = [0, 1, 2];
-/// Concurrent requests that the other proxies must reach while one proxy has only its reserved minimum: most of the rest.
+/// Concurrent requests that the other proxies must reach while one proxy has only its reserved minimum: most of the
+/// rest.
 const REMAINING_SHARE: f64 = (LIMIT - RESERVED) as f64 * 0.8;
 
 /// Starts a fleet that uses the whole limit, and returns it with its allocator.
@@ -179,8 +180,8 @@
     (test, allocator)
 }
 
-/// Makes the allocator fail, and waits until another proxy is elected and the running proxies use the rest of the limit.
-/// The failed proxy then recovers as an ordinary member.
+/// Makes the allocator fail, and waits until another proxy is elected and the running proxies use the rest of the
+/// limit. The failed proxy then recovers as an ordinary member.
 fn allocator_fails_and_recovers(
     seed: u64,
     fail: impl FnOnce(&mut BudgetTest, usize),
@@ -232,8 +233,8 @@
     });
 }
 
-/// The allocator stalls until its votes have expired and another proxy is elected. After it resumes, both proxies consider
-/// themselves the allocator for a moment.
+/// The allocator stalls until its votes have expired and another proxy is elected. After it resumes, both proxies
+/// consider themselves the allocator for a moment.
 #[test]
 fn a_stalled_allocator_does_not_allocate_after_its_replacement() {
     allocator_fails_and_recovers(
@@ -477,8 +478,8 @@
     let test = BudgetTest::start(3, 3, 20, "plant-floors=fail");
     test.until("the limit is exceeded", || !test.breaches().is_empty());
     drop(test);
-    // Fault: a lease holder ignores the expiry of its lease. Once cut off, it keeps using budget that has been granted to
-    // other proxies.
+    // Fault: a lease holder ignores the expiry of its lease. Once cut off, it keeps using budget that has been granted
+    // to other proxies.
     let (test, allocator) = start_saturated(3, 21, "plant-lease=fail");
     let holder = others(allocator)[0];
     test.fleet.links.split(&[holder], LinkConditions::CUT);
--- a/daemon/tests/common/ledger_on_medium.rs
+++ b/daemon/tests/common/ledger_on_medium.rs
@@ -1,4 +1,5 @@
-//! A ledger with a small window on an in-memory medium that can stop at a chosen operation.
+//! A ledger that stores few exact purges before it compacts them, on an in-memory medium that can fail from a chosen
+//! operation on.
 #![allow(dead_code, reason = "each test file uses only some of these items")]
 
 use crate::medium::Medium;
@@ -15,9 +16,9 @@
 pub(crate) const WINDOW: usize = 8;
 /// Time between two purges.
 pub(crate) const STEP_US: Micros = 10_000;
-/// Limit on the wait for a completion of the disk worker.
+/// Maximum wait for the disk worker to report a completed write.
 const TIMEOUT: Duration = Duration::from_secs(10);
-/// Limit on the wait between two ticks, when there may be no completion.
+/// Maximum wait for a wakeup between two ticks. The wait may end without one if no write is pending.
 const TICK_TIMEOUT: Duration = Duration::from_millis(100);
 const MAX_TICKS: usize = 100;
 
--- a/daemon/tests/compaction_fault_detection.rs
+++ b/daemon/tests/compaction_fault_detection.rs
@@ -1,5 +1,6 @@
 //! Verifies that the crash check of `compaction.rs` detects an injected fault: entries are removed from the disk before
-//! the buckets that replace them are synced. Fail points are global to a process, so this test needs its own test binary.
+//! the buckets that replace them are synced. Fail points are global to a process, so this test needs its own test
+//! binary.
 
 #[path = "common/ledger_on_medium.rs"]
 mod ledger_on_medium;
--- a/daemon/tests/config.rs
+++ b/daemon/tests/config.rs
@@ -385,8 +385,8 @@
         ),
         (1, None, 83_333)
     );
-    // Proxies share budgets only if their fingerprints are equal. The limit may differ between proxies while a change is
-    // rolled out, so it is not part of the fingerprint; all other values are.
+    // Proxies share budgets only if their fingerprints are equal. The limit may differ between proxies while a change
+    // is rolled out, so it is not part of the fingerprint; all other values are.
     assert_eq!(
         budgets("127.0.0.1:2", json!({"origin": {"whole": 8}, "cold": true})).fingerprint,
         a.fingerprint
--- a/daemon/tests/event_ordering.rs
+++ b/daemon/tests/event_ordering.rs
@@ -1,5 +1,5 @@
-//! Tests of event orderings that are rare in production. The event loop is paused until all events of a test are pending,
-//! so that it processes them in the same order in every run.
+//! Tests of event orderings that are rare in production. The event loop is paused until all events of a test are
+//! pending, so that it processes them in the same order in every run.
 
 mod scripted_caches;
 mod test_proxy;
@@ -275,8 +275,8 @@
         idle_client.end().unwrap_err().kind(),
         ErrorKind::UnexpectedEof
     );
-    // This request is sent after the daemon has shut down its sending half. It must not be forwarded, because it can not
-    // be answered.
+    // This request is sent after the daemon has shut down its sending half. It must not be forwarded, because it can
+    // not be answered.
     idle_client
         .send(&photo_request(1, &object_id(2), 0))
         .unwrap();
--- a/daemon/tests/failing_system_calls_under_load.rs
+++ b/daemon/tests/failing_system_calls_under_load.rs
@@ -5,8 +5,8 @@
 use linnetknot_rehearse::scenario::{ClassLoad, Fault, Load, Scenario, SiteForm, What};
 use std::path::Path;
 
-/// Fail points that make every system call fail at intervals, with each errno that is transient or that concerns a single
-/// new connection.
+/// Fail points that make every system call fail at intervals, with each errno that is transient or that concerns a
+/// single new connection.
 const ALL_CALLS: &str =
     "sys-accept=errno(ECONNABORTED|EMFILE|EPROTO|ENFILE|ENOBUFS|ENETDOWN|ENOMEM|EINTR):every(4);\
     sys-socket=errno(ENFILE|ENOBUFS|ENOMEM|EMFILE):every(5);\
--- a/daemon/tests/fault_injection/mod.rs
+++ b/daemon/tests/fault_injection/mod.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Limit on each wait, sized for a busy machine.
+/// Maximum duration of each wait, long enough for a busy machine.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Returns an address on which nothing listens.
--- a/daemon/tests/fleet_faults.rs
+++ b/daemon/tests/fleet_faults.rs
@@ -57,7 +57,8 @@
     for n in 0..3 {
         let object = object(n);
         assert_eq!(fleet.purge(n as usize, &object).unwrap(), 201);
-        // Each purge is sent in three datagrams per link. With this seed at least one of the three arrives on every link.
+        // Each purge is sent in three datagrams per link. With this seed at least one of the three arrives on every
+        // link.
         for proxy in 0..4 {
             assert!(
                 fleet.wait_for_purge(proxy, &object).unwrap(),
@@ -170,8 +171,8 @@
     assert!(fleet.wait_for_purge(1, &object).unwrap());
 }
 
-/// The writer is killed and loses its disk right after its commits. Its peers and its replacement must still enforce the
-/// committed purges.
+/// The writer is killed and loses its disk right after its commits. Its peers and its replacement must still enforce
+/// the committed purges.
 #[test]
 fn replication_restores_a_writers_own_commits_after_a_lost_disk() {
     let mut fleet = replicating_fleet(3, 23);
@@ -190,7 +191,8 @@
     until("p0 recovers its own commits", || {
         objects.iter().all(|o| holds_floor(&fleet, 0, o))
     });
-    // The new incarnation accepts further purges, which are replicated in addition to those of the previous incarnation.
+    // The new incarnation accepts further purges, which are replicated in addition to those of the previous
+    // incarnation.
     let later = object(40);
     assert_eq!(fleet.purge(0, &later).unwrap(), 201);
     until("the purge of the new incarnation is replicated", || {
@@ -243,8 +245,8 @@
     }
 }
 
-/// The writer crashes at each step of a commit and restarts with or without its disk. Afterwards all proxies must enforce
-/// a confirmed purge, and either all or none of them an unconfirmed purge.
+/// The writer crashes at each step of a commit and restarts with or without its disk. Afterwards all proxies must
+/// enforce a confirmed purge, and either all or none of them an unconfirmed purge.
 #[test]
 fn proxies_converge_after_a_writer_crash_at_any_commit_step() {
     // Fail points, and whether the peers have received the purge when the writer crashes there; `None` if either is
@@ -593,8 +595,8 @@
     fleet.resume(1).unwrap();
 }
 
-/// If all pending calls are rejected, the pop cache returns to its state before the first call, whatever the order of the
-/// rejections.
+/// If all pending calls are rejected, the pop cache returns to its state before the first call, whatever the order of
+/// the rejections.
 #[test]
 fn rejected_conflicting_operator_calls_restore_the_previous_state() {
     // Long enough for all four calls to be pending at once on a busy machine.
@@ -783,7 +785,8 @@
     fleet.admin_call(n, "GET", "/control/ready").unwrap() == 200
 }
 
-/// Requests the forty photos with numbers from `from` on, and returns whether the proxy fetched any from the given cache.
+/// Requests the forty photos with numbers from `from` on, and returns whether the proxy fetched any from the given
+/// cache.
 fn uses_cache(fleet: &Fleet, n: usize, cache: usize, from: u64) -> bool {
     let before = fleet.caches[cache].arrivals().len();
     (from..from + 40).for_each(|o| drop(fleet.ask(n, &object(o)).unwrap()));
@@ -887,8 +890,8 @@
     await_agreement("all proxies agree", &fleet);
 }
 
-/// A proxy that starts with an empty disk is not ready until it has recovered from its peers or a time limit has passed.
-/// A proxy that starts with its disk is ready without its peers.
+/// A proxy that starts with an empty disk is not ready until it has recovered from its peers or a time limit has
+/// passed. A proxy that starts with its disk is ready without its peers.
 #[test]
 fn a_machine_without_its_disk_is_ready_only_after_recovery() {
     let mut fleet = replicating_fleet(3, 72);
--- a/daemon/tests/handover.rs
+++ b/daemon/tests/handover.rs
@@ -230,8 +230,8 @@
     site.caches[0].arrivals().len() - before
 }
 
-/// A process that dies at any point while it stores a ban leaves a valid state file, with or without the ban. A ban that
-/// was confirmed to the operator is in the file.
+/// A process that dies at any point while it stores a ban leaves a valid state file, with or without the ban. A ban
+/// that was confirmed to the operator is in the file.
 #[test]
 fn a_process_that_dies_while_storing_a_ban_leaves_it_complete_or_absent() {
     for (point, holds) in [
--- a/daemon/tests/plain_purge_datagrams.rs
+++ b/daemon/tests/plain_purge_datagrams.rs
@@ -181,9 +181,9 @@
     }
 }
 
-/// A proxy that missed a log entry receives the plain datagram of the same purge. It must not append that purge to its own
-/// log: the entry would get an index that is never sent to any peer, so that later entries of the log would be out of
-/// order at all peers.
+/// A proxy that missed a log entry receives the plain datagram of the same purge. It must not append that purge to its
+/// own log: the entry would get an index that is never sent to any peer, so that later entries of the log would be out
+/// of order at all peers.
 #[test]
 fn only_plain_purges_from_peers_without_replication_are_logged() {
     let mut fleet = TestFleet::start("plain-written");
--- a/daemon/tests/scripted_caches/mod.rs
+++ b/daemon/tests/scripted_caches/mod.rs
@@ -165,7 +165,8 @@
     }
 }
 
-/// Fills the listener's accept queue: further connections are not established until the returned one is accepted.
+/// Fills the listener's accept queue. Further connections are not established until the listener accepts the returned
+/// connection.
 pub(crate) fn fill_accept_queue(cache: &ScriptedCache) -> TcpStream {
     rustix::net::listen(&cache.listener, 0).unwrap();
     TcpStream::connect(cache.listener.local_addr().unwrap()).unwrap()
--- a/daemon/tests/slow_state_folder.rs
+++ b/daemon/tests/slow_state_folder.rs
@@ -1,5 +1,5 @@
-//! Tests a drain whose state is written to a slow disk, which blocks the event loop. Idle connections must still stay open
-//! for the full period that follows the first failing readiness check.
+//! Tests a drain whose state is written to a slow disk, which blocks the event loop. Idle connections must still stay
+//! open for the full period that follows the first failing readiness check.
 
 mod test_proxy;
 
--- a/daemon/tests/upstream.rs
+++ b/daemon/tests/upstream.rs
@@ -493,8 +493,8 @@
     assert!(upstream.live_streams_if_available("01").is_some());
 }
 
-/// The response to an attempt may arrive after the attempt was aborted. It must not finish a retry on the same connection:
-/// that retry could still be running at the cache when the next retry starts.
+/// The response to an attempt may arrive after the attempt was aborted. It must not finish a retry on the same
+/// connection: that retry could still be running at the cache when the next retry starts.
 #[test]
 fn a_response_that_may_belong_to_an_aborted_attempt_aborts_the_retry_before_it_finishes() {
     let mut upstream = Upstream::new(true);
--- a/harness/src/fakes/cache.rs
+++ b/harness/src/fakes/cache.rs
@@ -94,8 +94,8 @@
     /// Address of the listener.
     pub address: SocketAddr,
     state: Shared,
-    /// Shared by all clones except those of the serving threads, so that the listener closes when the test drops its last
-    /// clone.
+    /// Shared by all clones except those of the serving threads, so that the listener closes when the test drops its
+    /// last clone.
     _listening: Option<Arc<Listening>>,
 }
 
--- a/harness/src/fakes/consul/mod.rs
+++ b/harness/src/fakes/consul/mod.rs
@@ -198,8 +198,8 @@
         !waited.unwrap_or_else(PoisonError::into_inner).1.timed_out()
     }
 
-    /// Waits for a blocking query with the current index, which shows that its sender has read the latest state. Returns
-    /// false if no such query arrives before the timeout.
+    /// Waits for a blocking query with the current index, which shows that its sender has read the latest state.
+    /// Returns false if no such query arrives before the timeout.
     pub fn wait_until_read(&self) -> bool {
         let (parameter, since) = {
             let state = self.state();
--- a/replication/tests/fleet.rs
+++ b/replication/tests/fleet.rs
@@ -383,8 +383,8 @@
     }
 }
 
-/// The writer is killed and does not return. The other members lack one entry of its log, which only the writer had, but
-/// have the next entry.
+/// The writer is killed and does not return. The other members lack one entry of its log, which only the writer had,
+/// but have the next entry.
 #[test]
 fn gap_requests_for_lost_entries_are_as_infrequent_as_digests() {
     let mut fleet = Fleet::new(3, 5, (100, 0, MS));
--- a/tests/failure_handling.rs
+++ b/tests/failure_handling.rs
@@ -37,8 +37,8 @@
         "the cache is tried again after its ejection"
     );
     harness.now += 2 * S;
-    // All requests are sent at once and not answered. The slow-start rule allows 3 x (0.2 + 0.16) x 8 transfers of 0.1 s
-    // in one second.
+    // All requests are sent at once and not answered. In one second, the slow-start rule allows 3 x (0.2 + 0.16) x 8
+    // transfers of 0.1 s each.
     let mut accepted = 0;
     for n in 0..400 {
         let (_, actions) = harness.request("video", &format!("/o/x{n}"), 5 * S);
--- a/tests/fleet_failures.rs
+++ b/tests/fleet_failures.rs
@@ -148,8 +148,8 @@
     }
 }
 
-/// The server list is updated 3 s late or not at all, so the proxies have to detect the replaced caches by failed attempts.
-/// Each such trial may cost one attempt only.
+/// The server list is updated 3 s late or not at all, so the proxies have to detect the replaced caches by failed
+/// attempts. Each such trial may cost one attempt only.
 #[test]
 fn late_or_absent_discovery_during_a_release_costs_trials_but_few_requests() {
     for (delay, trials) in [(3 * S, 3), (100 * S, 8)] {
@@ -200,8 +200,8 @@
     );
 }
 
-/// All proxies send fills at the same time. Guards against congestion estimates that remain high after the congestion has
-/// ended.
+/// All proxies send fills at the same time. Guards against congestion estimates that remain high after the congestion
+/// has ended.
 #[test]
 fn a_link_congested_by_clearing_all_caches_recovers_within_four_seconds() {
     for (proxies, link_capacity, max_missed) in [(8, 6.0, 120), (16, 12.0, 90)] {
--- a/tests/platform_rules.rs
+++ b/tests/platform_rules.rs
@@ -512,8 +512,8 @@
         None,
         "the window has ended"
     );
-    // The attempt was not sent. Its deduplication window has ended, so the request is not retried. It is refused, as its
-    // class allows.
+    // The attempt was not sent. Its deduplication window has ended, so the request is not retried. It is refused, as
+    // its class allows.
     harness.now += 50 * MS;
     let actions = harness.end_attempt(first.request, 1, first.server, Outcome::Moot);
     assert!(
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -42,8 +42,8 @@
 
 #[test]
 fn the_number_of_copies_follows_the_share_of_requests() {
-    // With four caches, an object that gets a third of all requests is stored on two caches, and an object that gets all
-    // requests is stored on all four.
+    // With four caches, an object that gets a third of all requests is stored on two caches, and an object that gets
+    // all requests is stored on all four.
     for (others, copies) in [(2, 2), (0, 4)] {
         let mut harness = RouterHarness::new(settings(), fleet());
         let mut used = BTreeSet::new();
--- a/tests/settings_reload.rs
+++ b/tests/settings_reload.rs
@@ -91,7 +91,8 @@
     new_settings.classes.reverse();
     for c in &mut new_settings.classes {
         match c.name.as_str() {
-            // After the reload, requests of the class for reads must not run twice, and those of the class for charges may.
+            // After the reload, requests of the class for reads must not run twice, and those of the class for charges
+            // may.
             "video" => c.repeat = Repeat::Unsafe,
             "charge" => c.repeat = Repeat::Safe,
             "order" => c.name = "bill".into(),
--- a/tests/slow_start_sharing.rs
+++ b/tests/slow_start_sharing.rs
@@ -20,8 +20,8 @@
 
 /// Number of scenarios of each kind, each with its own seed.
 const SEEDS: u64 = 4;
-/// Server capacities relative to the default. At the server's start the slow-start rule allows 48 requests (cache) or 60
-/// (parent) with the first, 14 or 18 with the second, and 3 or 4 with the third.
+/// Server capacities relative to the default. At the server's start the slow-start rule allows 48 requests (cache) or
+/// 60 (parent) with the first, 14 or 18 with the second, and 3 or 4 with the third.
 const RELATIVE_CAPACITIES: [f64; 3] = [1.0, 0.3, 0.06];
 const FLEETS: [u32; 4] = [1, 3, 30, 300];
 /// Transfer time of each request at full rate.
