--- a/daemon/tests/client_gone.rs
+++ b/daemon/tests/client_gone.rs
@@ -143,17 +143,17 @@
 
 /// Asserts that this answer of a cache causes a retry while the client stays connected.
 fn assert_connected_client_is_retried(status: &str, fields: &str) {
-    let (rig, mut caches) = start_site(status, fields);
-    let mut remaining = rig.web();
+    let (proxy, mut caches) = start_site(status, fields);
+    let mut remaining = proxy.web();
     warm_up(&mut caches, &mut remaining);
-    let mut web = rig.web();
+    let mut web = proxy.web();
     web.send(&photo_request(1, &object_id(1), 0)).unwrap();
     let (at, connection, fetch) = next_command(&mut caches);
     caches[at].connections[connection].respond(&fetch[1], status, fields, "");
     let (_, _, retry) = next_command(&mut caches);
     assert_eq!(retry[..2], fetch[..2], "{status} {fields}");
     drop((remaining, web));
-    rig.stop();
+    proxy.stop();
 }
 
 /// Disconnects a client with open attempts, then answers each attempt in a way that would otherwise cause a retry, and
@@ -163,10 +163,10 @@
     for disconnect in DISCONNECTS {
         for count in REQUEST_COUNTS {
             let case = format!("{disconnect:?} with {count}, {status} {fields}");
-            let (rig, mut caches) = start_site(status, fields);
-            let mut remaining = rig.web();
+            let (proxy, mut caches) = start_site(status, fields);
+            let mut remaining = proxy.web();
             warm_up(&mut caches, &mut remaining);
-            let mut web = rig.web();
+            let mut web = proxy.web();
             for id in 1..=count {
                 let n = if same_object { 1 } else { u64::from(id) };
                 web.send(&photo_request(id, &object_id(n), 0)).unwrap();
@@ -185,7 +185,7 @@
             let retries = serve_remaining_client_twice(&mut caches, &mut remaining);
             assert!(retries.is_empty(), "{case}: {retries:?}");
             drop((kept_open, remaining));
-            rig.stop();
+            proxy.stop();
         }
     }
 }
@@ -220,11 +220,11 @@
 }
 
 fn disconnect_before_connection_is_up(disconnect: Disconnect, count: u16) {
-    let (rig, mut caches) = start_with_scripted_caches::<1>(|config| {
+    let (proxy, mut caches) = start_with_scripted_caches::<1>(|config| {
         config["settings"]["limits"]["connect-timeout-us"] = json!(8_000_000);
     });
     let blocker = fill_accept_queue(&caches[0]);
-    let (mut web, mut remaining) = (rig.web(), rig.web());
+    let (mut web, mut remaining) = (proxy.web(), proxy.web());
     for id in 1..=count {
         web.send(&photo_request(id, &object_id(u64::from(id)), 0))
             .unwrap();
@@ -252,25 +252,30 @@
         "{disconnect:?} with {count}"
     );
     drop((blocker, kept_open, remaining));
-    rig.stop();
+    proxy.stop();
 }
 
 /// Returns one object that is routed to cache `s-0a` first, and one that is routed to `s-0b` first.
 fn objects_by_cache() -> [String; 2] {
-    let rig = TestProxy::with(&["s-0a", "s-0b"], |_| {});
-    let mut web = rig.web();
+    let proxy = TestProxy::with(&["s-0a", "s-0b"], |_| {});
+    let mut web = proxy.web();
     let mut n = 500;
-    while rig.caches.iter().any(|cache| cache.arrivals().is_empty()) {
+    while proxy.caches.iter().any(|cache| cache.arrivals().is_empty()) {
         assert_eq!(
             send_and_receive(&mut web, "photo", &object_id(n)).status,
             200
         );
         n += 1;
     }
-    let first = |n: usize| rig.caches[n].arrivals()[0].field("key").unwrap().to_owned();
+    let first = |n: usize| {
+        proxy.caches[n].arrivals()[0]
+            .field("key")
+            .unwrap()
+            .to_owned()
+    };
     let objects = [first(0), first(1)];
     drop(web);
-    rig.stop();
+    proxy.stop();
     objects
 }
 
@@ -280,10 +285,10 @@
     let objects = objects_by_cache();
     let timeout = Duration::from_secs(1);
     for disconnect in [None, Some(Disconnect::Fin), Some(Disconnect::Abort)] {
-        let (mut rig, mut caches) = start_with_scripted_caches::<2>(|config| {
+        let (mut proxy, mut caches) = start_with_scripted_caches::<2>(|config| {
             config["settings"]["limits"]["connect-timeout-us"] = json!(1_000_000);
         });
-        let mut remaining = rig.web();
+        let mut remaining = proxy.web();
         remaining
             .send(&photo_request(REMAINING_CLIENT_REQUEST, &objects[1], 0))
             .unwrap();
@@ -297,11 +302,11 @@
         );
         assert_eq!(remaining.end().unwrap().1.unwrap().status, 200);
         let blocker = fill_accept_queue(&caches[0]);
-        let mut web = rig.web();
+        let mut web = proxy.web();
         await_processing(&mut web);
         web.send(&photo_request(1, &objects[0], 0)).unwrap();
         await_processing(&mut remaining);
-        let loop_guard = rig.hold();
+        let loop_guard = proxy.hold();
         assert_eq!(
             caches[1].take_commands(),
             [],
@@ -324,6 +329,6 @@
             Some(disconnect) => assert_eq!(retries, [""; 0], "{disconnect:?}"),
         }
         drop((blocker, kept_open, remaining));
-        rig.stop();
+        proxy.stop();
     }
 }
--- a/daemon/tests/complete_requests_answered.rs
+++ b/daemon/tests/complete_requests_answered.rs
@@ -49,8 +49,8 @@
     for (case, bytes) in invalid_bytes() {
         // Sends the invalid bytes together with the request, and separately after it.
         for separate in [false, true] {
-            let (rig, mut caches) = start_with_scripted_caches::<1>(|_| {});
-            let mut web = rig.web();
+            let (proxy, mut caches) = start_with_scripted_caches::<1>(|_| {});
+            let mut web = proxy.web();
             let complete = photo_request(1, &object_id(1), 0);
             let fetch = if separate {
                 web.send(&complete).unwrap();
@@ -61,7 +61,7 @@
                 web.send(&[complete, bytes.clone()].concat()).unwrap();
                 next_command(&mut caches)
             };
-            assert_eq!(serve_another_client(&rig, &mut caches), 200, "{case}");
+            assert_eq!(serve_another_client(&proxy, &mut caches), 200, "{case}");
             let (_, connection, fetch) = fetch;
             caches[0].connections[connection].respond(
                 &fetch[1],
@@ -87,14 +87,17 @@
                 "{case}, sent separately: {separate}"
             );
             drop(web);
-            rig.stop();
+            proxy.stop();
         }
     }
 }
 
 /// Serves a request of another client, so that the daemon has read all earlier input. Returns the answer's status.
-fn serve_another_client(rig: &TestProxy, caches: &mut [scripted_caches::ScriptedCache; 1]) -> u16 {
-    let mut other = rig.web();
+fn serve_another_client(
+    proxy: &TestProxy,
+    caches: &mut [scripted_caches::ScriptedCache; 1],
+) -> u16 {
+    let mut other = proxy.web();
     other.send(&photo_request(50, &object_id(50), 0)).unwrap();
     let (_, connection, fetch) = next_command(caches);
     caches[0].connections[connection].respond(
@@ -111,15 +114,15 @@
 fn partial_requests_over_the_memory_limit_reject_no_complete_request() {
     const CLIENTS: usize = 5;
     const PARTIAL_REQUESTS: u16 = 30;
-    let rig = TestProxy::with(&["s-0a"], |config| {
+    let proxy = TestProxy::with(&["s-0a"], |config| {
         config["limits"]["memory_mb"] = json!(16);
         config["bounds"] = json!({"partial_request_timeout_us": 60_000_000});
     });
-    rig.caches[0].set_behaviour(Behaviour {
+    proxy.caches[0].set_behaviour(Behaviour {
         answer_delay_ms: 1_000,
         ..Behaviour::default()
     });
-    let mut clients: Vec<WebServer> = (0..CLIENTS).map(|_| rig.web()).collect();
+    let mut clients: Vec<WebServer> = (0..CLIENTS).map(|_| proxy.web()).collect();
     for (n, web) in clients.iter_mut().enumerate() {
         web.ask(100, "photo", &object_id(n as u64), 2_500).unwrap();
     }
@@ -147,23 +150,23 @@
         assert!([200, 503].contains(&status), "client {n}: {status}");
     }
     assert!(refused > 0, "some partial requests are rejected");
-    rig.caches[0].set_behaviour(Behaviour::default());
+    proxy.caches[0].set_behaviour(Behaviour::default());
     assert_eq!(
-        send_and_receive(&mut rig.web(), "photo", &object_id(99)).status,
+        send_and_receive(&mut proxy.web(), "photo", &object_id(99)).status,
         200
     );
     drop(clients);
-    rig.stop();
+    proxy.stop();
 }
 
 /// A small request that arrives in pieces is not rejected while other clients hold far more memory.
 #[test]
 fn partial_request_memory_is_reclaimed_from_the_largest_holder() {
-    let rig = TestProxy::with(&["s-0a"], |config| {
+    let proxy = TestProxy::with(&["s-0a"], |config| {
         config["limits"]["memory_mb"] = json!(16);
         config["bounds"] = json!({"partial_request_timeout_us": 60_000_000});
     });
-    let mut busy_clients: Vec<WebServer> = (0..4).map(|_| rig.web()).collect();
+    let mut busy_clients: Vec<WebServer> = (0..4).map(|_| proxy.web()).collect();
     // Uses all but 2 KB of the limit of 4 MB.
     for (n, web) in busy_clients.iter_mut().enumerate() {
         for id in 1..=26 {
@@ -175,37 +178,37 @@
             web.send(&partial[..partial.len() - 8]).unwrap();
         }
     }
-    let mut quiet = rig.web();
+    let mut quiet = proxy.web();
     let complete = photo_request(1, &object_id(1), 9_000);
     for piece in complete.chunks(1_000) {
         quiet.send(piece).unwrap();
         // An answer to another client shows that the daemon has read this piece.
         assert_eq!(
-            send_and_receive(&mut rig.web(), "photo", &object_id(2)).status,
+            send_and_receive(&mut proxy.web(), "photo", &object_id(2)).status,
             200
         );
     }
     let (_, answer) = quiet.end().expect("an answer");
     assert_eq!(answer.unwrap().status, 200);
     drop((busy_clients, quiet));
-    rig.stop();
+    proxy.stop();
 }
 
 /// With all connection slots taken, idle time counts from the last answer and not from the last request.
 #[test]
 fn a_recently_answered_client_is_not_evicted_before_longer_idle_clients() {
     const CLIENT_SLOTS: usize = 24;
-    let rig = TestProxy::with(&["s-0a"], |config| {
+    let proxy = TestProxy::with(&["s-0a"], |config| {
         config["limits"] = json!({"memory_mb": 192, "sockets": 64});
         // Without cancellation the daemon waits for the slow cache.
         config["settings"]["limits"]["cancel"] = json!(false);
     });
-    rig.caches[0].set_behaviour(Behaviour {
+    proxy.caches[0].set_behaviour(Behaviour {
         answer_delay_ms: 600,
         ..Behaviour::default()
     });
     let connect_idle = || {
-        let mut web = rig.web();
+        let mut web = proxy.web();
         web.send(&WebServer::request(9, "/_health", &[], b""))
             .unwrap();
         assert_eq!(web.end().unwrap().1.unwrap().status, 200);
@@ -216,31 +219,31 @@
     let idle: Vec<WebServer> = (1..CLIENT_SLOTS).map(|_| connect_idle()).collect();
     assert_eq!(quiet.end().unwrap().1.unwrap().status, 200);
     let new_client = connect_idle();
-    rig.caches[0].set_behaviour(Behaviour::default());
+    proxy.caches[0].set_behaviour(Behaviour::default());
     assert_eq!(
         send_and_receive(&mut quiet, "photo", &object_id(2)).status,
         200
     );
     drop((quiet, idle, new_client));
-    rig.stop();
+    proxy.stop();
 }
 
 /// Forty other clients fill the request table while one of two caches never answers.
 #[test]
 fn a_quiet_client_is_answered_during_a_flood_with_an_unresponsive_cache() {
-    let mut rig = TestProxy::with(&["s-0a", "s-0b"], |config| {
+    let mut proxy = TestProxy::with(&["s-0a", "s-0b"], |config| {
         config["limits"] = json!({"memory_mb": 16, "sockets": 256});
     });
-    rig.caches[0].set_behaviour(Behaviour {
+    proxy.caches[0].set_behaviour(Behaviour {
         silent: true,
         ..Behaviour::default()
     });
-    let mut quiet = rig.web();
+    let mut quiet = proxy.web();
     assert!([200, 503].contains(&send_and_receive(&mut quiet, "photo", &object_id(1)).status));
     let stop = AtomicBool::new(false);
     let mut statuses = BTreeMap::<u16, u32>::new();
     std::thread::scope(|scope| {
-        let (front, stop) = (rig.client_address, StopOnDrop(&stop));
+        let (front, stop) = (proxy.client_address, StopOnDrop(&stop));
         for client in 0..40_u64 {
             let stop = stop.0;
             scope.spawn(move || flood(front, client, stop));
@@ -255,8 +258,8 @@
     });
     println!("answers of the quiet client: {statuses:?}");
     drop(quiet);
-    rig.control.stop().unwrap();
-    rig.thread.join().unwrap().unwrap();
+    proxy.control.stop().unwrap();
+    proxy.thread.join().unwrap().unwrap();
 }
 
 /// Stops the flooding threads when dropped, also if the test fails.
--- a/daemon/tests/deadline_propagation.rs
+++ b/daemon/tests/deadline_propagation.rs
@@ -52,8 +52,8 @@
 }
 
 fn check_retry_deadline(status: &str, fields: &str) {
-    let (rig, mut caches) = start_with_scripted_caches::<2>(add_parents);
-    let mut web = rig.web();
+    let (proxy, mut caches) = start_with_scripted_caches::<2>(add_parents);
+    let mut web = proxy.web();
     let sent_at = Instant::now();
     web.send(&photo_request(1, &object_id(1), 0)).unwrap();
     let (at, connection, fetch) = next_command(&mut caches);
@@ -70,16 +70,16 @@
     );
     assert_eq!(web.end().unwrap().1.unwrap().status, 200);
     drop(web);
-    rig.stop();
+    proxy.stop();
 }
 
 #[test]
 fn attempt_delayed_by_its_connection_carries_the_remaining_deadline() {
-    let (rig, mut caches) = start_with_scripted_caches::<1>(|config| {
+    let (proxy, mut caches) = start_with_scripted_caches::<1>(|config| {
         config["settings"]["limits"]["connect-timeout-us"] = json!(8_000_000);
     });
     let blocker = fill_accept_queue(&caches[0]);
-    let mut web = rig.web();
+    let mut web = proxy.web();
     let sent_at = Instant::now();
     web.send(&photo_request(1, &object_id(1), 0)).unwrap();
     // The kernel retransmits a SYN after one second, which delays the connection further.
@@ -94,15 +94,15 @@
     );
     assert_eq!(web.end().unwrap().1.unwrap().status, 200);
     drop((blocker, web));
-    rig.stop();
+    proxy.stop();
 }
 
 /// The deadline counts from the arrival of the request's last byte at the socket, not from the time at which the daemon
 /// reads that byte.
 #[test]
 fn requests_read_by_a_blocked_loop_carry_the_remaining_deadline() {
-    let (mut rig, mut caches) = start_with_scripted_caches::<1>(|_| {});
-    let mut existing_client = rig.web();
+    let (mut proxy, mut caches) = start_with_scripted_caches::<1>(|_| {});
+    let mut existing_client = proxy.web();
     existing_client
         .send(&photo_request(1, &object_id(1), 0))
         .unwrap();
@@ -114,12 +114,12 @@
         "a copy",
     );
     assert_eq!(existing_client.end().unwrap().1.unwrap().status, 200);
-    let loop_guard = rig.hold();
+    let loop_guard = proxy.hold();
     let sent_at = Instant::now();
     existing_client
         .send(&photo_request(2, &object_id(2), 0))
         .unwrap();
-    let mut new_client = rig.web();
+    let mut new_client = proxy.web();
     new_client
         .send(&photo_request(3, &object_id(3), 0))
         .unwrap();
@@ -152,7 +152,7 @@
     let (_, _, fetch) = next_command(&mut caches);
     assert!(forwarded_deadline(&fetch[2]) > BUDGET - SLACK, "{fetch:?}");
     drop((existing_client, new_client));
-    rig.stop();
+    proxy.stop();
 }
 
 /// A daemon process with a fake cache, origin and event bus.
--- a/daemon/tests/handover.rs
+++ b/daemon/tests/handover.rs
@@ -111,11 +111,11 @@
 
     /// Starts a process and waits until it is ready.
     fn start(&self) -> (Child, SocketAddr) {
-        self.start_armed("")
+        self.start_with_fail_points("")
     }
 
     /// Starts a process with fail points and waits until it is ready.
-    fn start_armed(&self, fail_points: &str) -> (Child, SocketAddr) {
+    fn start_with_fail_points(&self, fail_points: &str) -> (Child, SocketAddr) {
         let admin = free_address();
         let child = start_daemon(
             &self.listener,
@@ -240,7 +240,7 @@
         ("admin-kept", Some(true)),
     ] {
         let site = Site::new(point);
-        let (mut old, admin) = site.start_armed(&format!("{point}=die"));
+        let (mut old, admin) = site.start_with_fail_points(&format!("{point}=die"));
         assert!(requests_at_first_cache(&site, 1) > 0);
         assert!(
             call(admin, "POST", "/control/pop-caches/s-0a/offline", "").is_err(),
