--- a/daemon/tests/discovery.rs
+++ b/daemon/tests/discovery.rs
@@ -131,7 +131,7 @@
         agent.set_behaviour(behaviour);
         if behaviour != Behaviour::Unavailable {
             assert!(
-                agent.wait_for(|asked| asked.len() > before),
+                agent.wait_for(|requests| requests.len() > before),
                 "{behaviour:?}"
             );
         }
@@ -185,7 +185,7 @@
     agent.lose_health();
     let consistent =
         |a: &linnetknot_harness::fakes::consul::AgentRequest| a.target.contains("?consistent");
-    assert!(agent.wait_for(|asked| asked[before..].iter().any(consistent)));
+    assert!(agent.wait_for(|requests| requests[before..].iter().any(consistent)));
     assert!(fetches_per_cache(&proxy, &mut web)[0] > 0);
     proxy.stop();
     // An empty response that the catalog confirms removes the caches.
@@ -201,7 +201,7 @@
     let (agent, proxy, mut web) =
         start_with_list(|config| config["consul"]["datacenters"] = json!(["seoul", "busan"]));
     for dc in ["dc=seoul", "dc=busan"] {
-        assert!(agent.wait_for(|asked| asked
+        assert!(agent.wait_for(|requests| requests
             .iter()
             .any(|a| a.target.contains(dc) && a.target.contains("index="))));
     }
@@ -293,7 +293,7 @@
     let bytes = String::from_utf8(std::fs::read(&file).unwrap()).unwrap();
     let is_cached = |b: &FakeCache| bytes.contains(b.uid) && bytes.contains(&b.address.to_string());
     assert!(caches.iter().all(is_cached), "{bytes}");
-    // Without the agent, the cached list with its drain is used at once.
+    // While the agent is unreachable, the daemon starts with the cached list, including the drain recorded there.
     agent.set_behaviour(Behaviour::Unavailable);
     let mut proxy = start_with_agent(&agent, |config| config["state"] = state.clone());
     proxy.caches = caches;
@@ -380,7 +380,7 @@
     proxy.config_file.lock().unwrap()["consul"] =
         json!({"address": other.address.to_string(), "answer_ms": 500});
     proxy.control.reload().unwrap();
-    assert!(other.wait_for(|asked| asked.len() > 1));
+    assert!(other.wait_for(|requests| requests.len() > 1));
     assert!(
         fetches_per_cache(&proxy, &mut web).iter().all(|n| *n > 0),
         "the previous list stays in use"
--- a/daemon/tests/fault_matrix.rs
+++ b/daemon/tests/fault_matrix.rs
@@ -1,5 +1,5 @@
 //! Runs a part of the matrix of `linnetknot-rehearse fault-matrix`, which injects faults at points of a commit, and checks
-//! that planted faults are detected.
+//! that deliberately injected violations are detected.
 
 use linnetknot_rehearse::fault_matrix::{cases, play, Case, Matrix, DEFECTS, FAULT_POINTS};
 use linnetknot_rehearse::series::run_in_parallel;
@@ -7,8 +7,10 @@
 
 const DAEMON: &str = env!("CARGO_BIN_EXE_linnetknot");
 
-fn play_cases(cases: &[Case], armed_fault: &str) -> Matrix {
-    let plays = run_in_parallel(cases, 4, |case| play(Path::new(DAEMON), *case, armed_fault));
+fn play_cases(cases: &[Case], injected_fault: &str) -> Matrix {
+    let plays = run_in_parallel(cases, 4, |case| {
+        play(Path::new(DAEMON), *case, injected_fault)
+    });
     let mut matrix = Matrix::default();
     cases
         .iter()
@@ -23,7 +25,7 @@
     assert_eq!(matrix.status(), 0, "{matrix}\n{:#?}", matrix.notes);
 }
 
-/// Each planted fault is reported by the matching rule.
+/// Each deliberately injected violation is reported by the rule that forbids it.
 #[test]
 fn planted_faults_are_detected() {
     for ((defect, point), rule) in DEFECTS
--- a/daemon/tests/shutdown_deadlines.rs
+++ b/daemon/tests/shutdown_deadlines.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 use test_proxy::{object_id, TestProxy};
 
-/// Time from the longest deadline to SIGKILL.
+/// Time from the end of the longest request deadline to SIGKILL.
 const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
 const CLIENTS: u64 = 3;
 /// Time from SIGTERM until all caches stop responding.
@@ -43,7 +43,10 @@
         while web.is_open() {
             let at = Instant::now();
             let id = 1 + count as u16;
-            if web.ask(id, number * 100_000 + count, deadline).is_err() {
+            if web
+                .send_request(id, number * 100_000 + count, deadline)
+                .is_err()
+            {
                 return;
             }
             if sent_sender.send((id, at)).is_err() {
@@ -81,7 +84,7 @@
         !matches!(rustix::net::recv(&*self.0, &mut byte, flags), Ok((_, 0)))
     }
 
-    fn ask(&mut self, id: u16, number: u64, deadline: Duration) -> std::io::Result<()> {
+    fn send_request(&mut self, id: u16, number: u64, deadline: Duration) -> std::io::Result<()> {
         let (name, budget) = (format!("{number:016x}"), deadline.as_millis().to_string());
         let key = object_id(number);
         let fields = [
@@ -114,7 +117,8 @@
             std::thread::spawn(move || run_client(web, number, deadline, sigterm_at))
         })
         .collect();
-    // Late in the accept period, so that the daemon has not yet detected the silent caches.
+    // The caches stop responding late in the period in which the daemon still accepts requests, so that it has not yet
+    // detected their failure.
     busy_wait(MUTE_AFTER);
     for cache in proxy.caches.iter().chain([&proxy.origin]) {
         cache.set_behaviour(Behaviour {
@@ -132,7 +136,7 @@
         );
         assert!(result.answered > 10);
         assert!(result.last_answer < kill_at, "{:?}", result.last_answer);
-        // A request that crosses the close of the connection was not forwarded. Its client sees the EOF.
+        // A request that was sent while the daemon closed the connection is not forwarded. Its client reads EOF.
         assert!(result.unanswered.len() <= 1, "{:?}", result.unanswered);
     }
     proxy.thread.join().unwrap().unwrap();
