--- a/consul/tests/common/mod.rs
+++ b/consul/tests/common/mod.rs
@@ -51,7 +51,7 @@
         .collect()
 }
 
-/// A watch with a clock, and the endpoint list that results from its evidence.
+/// A watch with a test clock, and the endpoint list that results from the evidence that the watch reports.
 pub(crate) struct WatchFixture {
     pub(crate) watch: Watch,
     pub(crate) now: Micros,
--- a/consul/tests/watch.rs
+++ b/consul/tests/watch.rs
@@ -160,7 +160,7 @@
     assert!(fixture.list.is_empty() && fixture.events.last() == Some(&WatchEvent::Confirmed));
 }
 
-/// The empty list is wrong, such as that of a server that was restored without its data.
+/// The empty list is wrong, since the catalog still lists the instances.
 #[test]
 fn omissions_that_the_catalog_contradicts_remove_no_cache() {
     let mut fixture = WatchFixture::new(|_| {});
@@ -360,7 +360,7 @@
     // After a change the next query is due immediately.
     fixture.exchange(99, &ready_instances(&["a", "b"]));
     assert!(fixture.watch.due().unwrap() - fixture.now <= 10 * MILLISECOND_US);
-    // If an agent shortens the wait to 1 s, the next query is due with its response.
+    // If an agent shortens the wait to 1 s, the next query is due as soon as the agent's response arrives.
     let call = fixture.next_call();
     assert!(call.timeout_us > 10_000_000);
     fixture.now += 1_000_000;
--- a/discovery/tests/endpoint_table.rs
+++ b/discovery/tests/endpoint_table.rs
@@ -134,7 +134,7 @@
             .count(),
         6
     );
-    // The only cache of its kind is never suppressed.
+    // Damping never suppresses the only cache of a kind.
     let mut single_published = PublishedList::default();
     let mut table = common::table();
     for n in 0..9 {
@@ -305,7 +305,7 @@
         1,
         "independent of the order of the list"
     );
-    // Another source uses the id for another cache, whose drain does not apply to this one.
+    // Another source uses the same id for a different cache. The drain of that cache must not affect the first cache.
     let mut table = common::table();
     published.apply(&table.apply(
         SECOND_US,
--- a/harness/src/clients.rs
+++ b/harness/src/clients.rs
@@ -25,7 +25,7 @@
     pub status: u16,
     /// Headers as pairs of lowercase name and value.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// The complete response body.
     pub body: Vec<u8>,
     /// Whether the connection carried further bytes after the response.
     pub surplus: bool,
@@ -137,7 +137,7 @@
         self.send(&out)
     }
 
-    /// Waits until any request ends. Returns its id and its response; a request that was aborted may have none.
+    /// Waits until any request ends. Returns the request's id and response; an aborted request may have no response.
     pub fn end(&mut self) -> io::Result<(u16, Option<Answer>)> {
         loop {
             let (taken, record) = self
@@ -248,7 +248,7 @@
     }
 }
 
-/// Polls a condition until it holds or the timeout has passed. Returns whether it holds.
+/// Polls a condition until it holds or the timeout has passed. Returns whether the condition holds.
 pub fn poll_until(timeout: Duration, mut condition: impl FnMut() -> bool) -> bool {
     let started = Instant::now();
     while !condition() {
@@ -261,7 +261,7 @@
     true
 }
 
-/// Sends an HTTP request on a new connection and returns the response. The server closes the connection after it.
+/// Sends an HTTP request on a new connection and returns the response, after which the server closes the connection.
 pub fn call(to: SocketAddr, method: &str, target: &str, body: &str) -> io::Result<Answer> {
     let mut out = Vec::new();
     let headers = [("Host", "localhost"), ("Connection", "close")];
@@ -309,7 +309,7 @@
 pub struct PeerCdn {
     /// Address of the listener.
     pub address: SocketAddr,
-    /// Requests received, each after it was answered with 201.
+    /// Receives each request after the interface has answered it with 201.
     pub requests: mpsc::Receiver<PeerRequest>,
 }
 
--- a/harness/src/fakes/cache.rs
+++ b/harness/src/fakes/cache.rs
@@ -245,7 +245,8 @@
         let mut answer = move || {
             thread::sleep(Duration::from_millis(behaviour.answer_delay_ms));
             let out = encode_answer(&arrival, &copy, &behaviour);
-            // Ended before the answer is sent, as the client may send the next fetch as soon as it has the answer.
+            // The fetch is recorded as ended before the answer is sent, because the client may send the next fetch as
+            // soon as it has the answer.
             cache.finish(|fetch| fetch.connection == connection && fetch.id == arrival.id);
             let _ = socket.write_all(&out);
         };
@@ -261,9 +262,9 @@
 struct CachedCopy {
     /// Object and part.
     name: String,
-    /// Time at which the origin made it, in Unix milliseconds.
+    /// Time at which the origin made the copy, in Unix milliseconds.
     made: u64,
-    /// Whether the cache had stored it before.
+    /// Whether the cache already had the copy before this fetch.
     is_hit: bool,
 }
 
--- a/harness/src/fakes/consul/mod.rs
+++ b/harness/src/fakes/consul/mod.rs
@@ -15,7 +15,7 @@
 /// Wait of a blocking query that sets no `wait` parameter.
 const DEFAULT_WAIT_MS: u64 = 300_000;
 
-/// Behaviour of a fake agent. A change also applies to blocking queries that wait.
+/// Behaviour of a fake agent. A change also applies to blocking queries that are already waiting.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Behaviour {
     /// Answers correctly.
@@ -79,7 +79,8 @@
     /// Address of the listener.
     pub address: SocketAddr,
     state: Shared,
-    /// Shared by all clones except those of the serving threads, so that it closes with the last user.
+    /// Shared by all clones except those of the serving threads, so that the listener closes when the test drops its
+    /// last clone.
     _listening: Option<Arc<Listening>>,
 }
 
@@ -271,7 +272,8 @@
         answer.write(socket)
     }
 
-    /// Returns the response to a request, after the wait of a blocking query. Returns `None` if it gets no response.
+    /// Returns the response to a request, after the wait of a blocking query, or `None` if the request gets no
+    /// response.
     fn answer_to(&self, request: &AgentRequest) -> Option<HttpAnswer> {
         let (path, query) = request
             .target
--- a/harness/src/fakes/event_bus.rs
+++ b/harness/src/fakes/event_bus.rs
@@ -23,7 +23,8 @@
     /// Address of the listener.
     pub address: SocketAddr,
     state: Shared,
-    /// Shared by all clones except those of the serving threads, so that it closes with the last user.
+    /// Shared by all clones except those of the serving threads, so that the listener closes when the test drops its
+    /// last clone.
     _listening: Option<Arc<Listening>>,
 }
 
@@ -60,12 +61,12 @@
         self.state.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Publishes the full endpoint list if `all` is set, otherwise changes to it.
+    /// Publishes these entries: as the full endpoint list if `all` is set, otherwise as changes to the list.
     pub fn list(&self, all: bool, entries: Vec<Value>) {
         self.push(json!({"topology": {"rev": 1, "all": all, "targets": entries}}));
     }
 
-    /// Publishes an event; its offset is added here.
+    /// Publishes an event, to which this method adds the offset.
     pub fn push(&self, mut event: Value) {
         let mut state = self.state();
         event["offset"] = (state.events.len() + 1).into();
@@ -79,7 +80,7 @@
         self.state.1.notify_all();
     }
 
-    /// Waits up to ten seconds for the read request with this index. Returns the last event id that it sent.
+    /// Waits up to ten seconds for the read request with this index. Returns the request's `Last-Event-ID`.
     pub fn call(&self, index: usize) -> Option<u64> {
         let waited = self
             .state
--- a/harness/src/fleet/mod.rs
+++ b/harness/src/fleet/mod.rs
@@ -1,7 +1,8 @@
 //! Several daemons as child processes with fault-injecting links between each pair, for tests of failing links, stalled
 //! peers and killed processes.
 //!
-//! Each proxy has its own folder as its disk. It survives a kill and is removed only by a restart with [`Disk::Lost`].
+//! Each proxy has its own folder as its disk. The folder survives a kill and is removed only by a restart with
+//! [`Disk::Lost`].
 
 mod cdni;
 mod ports;
--- a/harness/src/fleet/queries.rs
+++ b/harness/src/fleet/queries.rs
@@ -54,7 +54,7 @@
             .ok_or_else(|| io::Error::other("the request was aborted"))
     }
 
-    /// Returns whether a purge of a photo is in force at a proxy, that is whether its fetch limits the age of the copy.
+    /// Returns whether a purge of a photo is in force at a proxy: whether the proxy's fetch limits the age of the copy.
     /// The response itself does not show this, as the caches are shared: a fetch of another proxy may have refreshed
     /// the copy.
     pub fn holds_floor(&self, n: usize, object: &str) -> io::Result<bool> {
--- a/harness/src/links/conditions.rs
+++ b/harness/src/links/conditions.rs
@@ -22,7 +22,7 @@
     pub drop: f64,
     /// Fraction of the datagrams that are delivered twice.
     pub duplicate: f64,
-    /// Fraction of the datagrams that are delayed until later ones have passed.
+    /// Fraction of the datagrams that are delayed so that later datagrams may overtake them.
     pub reorder: f64,
     /// Maximum rate of a stream, in bytes per second; 0 means no limit.
     pub trickle: u64,
--- a/membership/tests/fleet.rs
+++ b/membership/tests/fleet.rs
@@ -12,7 +12,7 @@
 struct Node {
     membership: Option<Membership>,
     process: ProcessId,
-    /// The datagrams that were received during a stall; `None` if it is not stalled.
+    /// The datagrams that were received during a stall; `None` if the member is not stalled.
     stalled_inbox: Option<Vec<(usize, Vec<u8>)>>,
 }
 
--- a/replication/tests/deferred_compaction.rs
+++ b/replication/tests/deferred_compaction.rs
@@ -47,7 +47,8 @@
     }
     purge(&mut sender, 1_000);
     assert!(sender.compact(2 * SECOND).is_some(), "the limit is reached");
-    // The image is dropped after it was not read for a while. From then on compaction is not deferred.
+    // The sender drops the snapshot image once the peer has not read it for some time. Then compaction is no longer
+    // deferred.
     (2_000..2_009).for_each(|n| purge(&mut sender, n));
     assert_eq!(sender.compact(2 * SECOND), None);
     (0..100).for_each(|n| drop(sender.tick((3 + n) * SECOND)));
--- a/replication/tests/fleet.rs
+++ b/replication/tests/fleet.rs
@@ -9,7 +9,7 @@
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
-/// The current time in tests in which it does not matter.
+/// The current time in tests whose results do not depend on it.
 const NOW: Micros = Micros::MAX;
 
 /// A member of the fleet, with its replica, the effective purges and its disk.
@@ -22,7 +22,7 @@
     writes: VecDeque<(Micros, Entry)>,
     /// The pending commits, with the subject and time of their purge.
     pending: Vec<(CommitId, Subject, Micros)>,
-    /// The datagrams that arrived while the member is stalled, or `None` if it is not.
+    /// The datagrams that arrived during a stall; `None` if the member is not stalled.
     stalled: Option<Vec<(usize, Vec<u8>)>>,
 }
 
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Returns the committed purges that no running member has with their time or a later one.
+    /// Returns the committed purges that no running member has, neither with their own time nor with a later time.
     fn lost_commits(&self) -> Vec<&Subject> {
         let runs = || self.members.iter().filter(|m| m.replica.is_some());
         let is_stored =
@@ -1013,7 +1013,7 @@
             prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
             prop_assert_eq!(Datagram::decode(&bytes), Ok(d));
             for cut in 1..bytes.len() {
-                // A truncated datagram is rejected or decoded to a different one.
+                // A truncated datagram is rejected, or decoded to a datagram that differs from the complete one.
                 prop_assert_ne!(Datagram::decode(&bytes[..cut]), Datagram::decode(&bytes));
             }
         }
--- a/replication/tests/wire.rs
+++ b/replication/tests/wire.rs
@@ -115,7 +115,7 @@
     }
 }
 
-/// Returns whether versions without snapshots know a datagram. They only accept text with one of these keywords.
+/// Returns whether versions without snapshots accept a datagram. Those versions accept only text with certain keywords.
 fn is_known_to_older(bytes: &[u8]) -> bool {
     let kinds = ["entry", "have", "want", "lack", "ask", "held"];
     let text = std::str::from_utf8(bytes)
