--- a/daemon/tests/config.rs
+++ b/daemon/tests/config.rs
@@ -314,7 +314,7 @@
         file["budgets"] = budgets;
         file
     };
-    let origin = |whole: u64, floor: u64| json!({"origin": {"whole": whole, "floor": floor}});
+    let origin = |limit: u64, floor: u64| json!({"origin": {"whole": limit, "floor": floor}});
     let without_copies = json!({"budgets": origin(9, 1)});
     for (file, path) in [
         (
