--- a/daemon/tests/fault_matrix.rs
+++ b/daemon/tests/fault_matrix.rs
@@ -7,10 +7,8 @@
 
 const DAEMON: &str = env!("CARGO_BIN_EXE_linnetknot");
 
-fn play_cases(cases: &[Case], injected_fault: &str) -> Matrix {
-    let plays = run_in_parallel(cases, 4, |case| {
-        play(Path::new(DAEMON), *case, injected_fault)
-    });
+fn play_cases(cases: &[Case], fault: &str) -> Matrix {
+    let plays = run_in_parallel(cases, 4, |case| play(Path::new(DAEMON), *case, fault));
     let mut matrix = Matrix::default();
     cases
         .iter()
