--- a/rehearse/src/fakes/site_server.rs
+++ b/rehearse/src/fakes/site_server.rs
@@ -227,7 +227,7 @@
             } => self.handle_command(now, connection, &node, proxy, &words),
             Message::Change(change) => {
                 change(&mut self.site, now);
-                // A node that has died resets what was open to it.
+                // A stopped node resets its connections.
                 let site = &self.site;
                 self.sockets.retain(|_, (node, socket)| {
                     site.is_up(node) || {
--- a/rehearse/src/rules/mod.rs
+++ b/rehearse/src/rules/mod.rs
@@ -41,7 +41,7 @@
             write!(f, ", request {request}")?;
         }
         if let Some(target) = &self.target {
-            write!(f, ", box {target}")?;
+            write!(f, ", cache {target}")?;
         }
         write!(f, ": {}", self.evidence)
     }
