--- a/admin-api/src/admin/reply.rs
+++ b/admin-api/src/admin/reply.rs
@@ -2,10 +2,10 @@
 
 use super::CallError;
 
-/// The `Retry-After` of a call that temporarily can't be executed.
+/// Value of the `Retry-After` header in the response to a call that can't be executed at the moment.
 const RETRY_AFTER_S: u32 = 1;
 
-/// A response of the admin API.
+/// A response of the admin API, without the HTTP headers that are the same for all responses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
     /// HTTP status: 2xx if the call was executed, otherwise 4xx or 5xx.
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Creates the response to a call that temporarily can't be executed.
+    /// Creates the response to a call that can't be executed at the moment.
     pub fn unavailable(text: impl Into<String>) -> Self {
         Reply {
             retry_after_s: Some(RETRY_AFTER_S),
--- a/budgets/src/message.rs
+++ b/budgets/src/message.rs
@@ -16,19 +16,19 @@
 pub struct VoteResponse {
     /// The group of the request.
     pub group: usize,
-    /// The number of the request.
+    /// The number of the request that this message answers.
     pub number: u64,
     /// Whether the candidate has the vote. It then lasts for
     /// [`Options::vote_duration_us`](crate::Options::vote_duration_us) from when the request was sent.
     pub granted: bool,
-    /// The member that has the voter's current vote.
+    /// The member that the voter currently votes for.
     pub voted_for: Option<MemberIndex>,
 }
 
 /// A holder's request to the allocator for a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseRequest {
-    /// The budget.
+    /// The index of the budget.
     pub budget: usize,
     /// The number of the request, which the response repeats.
     pub number: u64,
@@ -56,21 +56,21 @@
 /// A message between members. The sender is identified by its address and by the process id in the datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
-    /// Requests a vote.
+    /// A candidate requests a vote.
     VoteRequest(VoteRequest),
-    /// Grants or refuses a vote.
+    /// A member grants or refuses its vote.
     VoteResponse(VoteResponse),
-    /// Requests a lease.
+    /// A holder requests a lease from the allocator.
     LeaseRequest(LeaseRequest),
-    /// Grants a lease.
+    /// The allocator grants a lease.
     LeaseGrant(LeaseGrant),
 }
 
-/// A message to send.
+/// A message that the caller must send to another member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Outgoing {
-    /// The receiver.
+    /// The member to which the message is sent.
     pub to: MemberIndex,
-    /// The message.
+    /// The message, to be encoded by the caller.
     pub message: Message,
 }
--- a/budgets/src/options.rs
+++ b/budgets/src/options.rs
@@ -2,10 +2,10 @@
 
 use crate::Micros;
 
-/// Durations and bounds of the protocol. All members must use the same ones.
+/// Durations and bounds of the protocol. They must be the same at all members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Options {
-    /// The duration of a vote.
+    /// The time for which a vote is valid, by the voter's clock.
     pub vote_duration_us: Micros,
     /// The maximum duration of a lease.
     pub max_lease_us: Micros,
@@ -36,12 +36,12 @@
         duration_us.saturating_mul(2 * self.drift_ppm) / 1_000_000 + 1
     }
 
-    /// Shortens a duration that another member counts too, so that it ends here first.
+    /// Shortens a duration so that it ends here before another member's clock has counted the full duration.
     pub(crate) fn shortened_by_drift(&self, duration_us: Micros) -> Micros {
         duration_us.saturating_sub(self.max_drift(duration_us))
     }
 
-    /// Extends a duration that another member counts too, so that it ends there first.
+    /// Extends a duration so that it ends here after another member's clock has counted the full duration.
     pub(crate) fn extended_by_drift(&self, duration_us: Micros) -> Micros {
         duration_us.saturating_add(self.max_drift(duration_us))
     }
--- a/consul/src/http.rs
+++ b/consul/src/http.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// A call to an agent.
+/// An HTTP call that the caller must send to an agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
     /// Index of the agent in the configured list.
@@ -92,14 +92,14 @@
     }
 }
 
-/// A response to a call.
+/// A complete HTTP response to a call, as the caller received it.
 #[derive(Clone, Copy, Debug)]
 pub struct Response<'a> {
     /// HTTP status.
     pub status: u16,
     /// Names, in lower case, and values of the headers.
     pub headers: &'a [(String, String)],
-    /// The part of the body that was not passed to [`Watch::on_body`](crate::Watch::on_body).
+    /// The part of the body that has not been passed to [`Watch::on_body`](crate::Watch::on_body).
     pub body: &'a [u8],
 }
 
--- a/consul/src/watch/reader.rs
+++ b/consul/src/watch/reader.rs
@@ -20,7 +20,7 @@
     pub(super) rejected: SocketAddr,
 }
 
-/// Parser of a response body.
+/// Parser of a response body, which is fed the bytes as they arrive.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ResponseReader {
     splitter: ListSplitter,
@@ -50,7 +50,7 @@
 
 /// The state of the watch that parsing depends on.
 pub(super) struct ReaderContext<'a> {
-    /// The query of the response.
+    /// The API that the response comes from.
     pub(super) query: Query,
     pub(super) mapping: &'a Mapping,
     /// The last reported endpoint list.
@@ -121,8 +121,8 @@
         Ok(())
     }
 
-    /// Adds a report. Of two reports with the same id, the one at the known address is used, else the one that is
-    /// ready, else the first one.
+    /// Adds a report. Of two reports with the same id, the one with the known address is used. If neither has it, the
+    /// ready one is used, or else the first one.
     fn add_report(&mut self, report: Arc<Report>, context: &ReaderContext<'_>) {
         let uid = report.entry.uid.clone();
         let Some(first) = self.reports_by_uid.get_mut(&uid) else {
--- a/daemon/tests/admin.rs
+++ b/daemon/tests/admin.rs
@@ -1,14 +1,14 @@
 //! The admin listener on loopback: calls, invalid requests, drains, and bans that survive a restart.
 
-mod rig;
+mod test_proxy;
 
 use linnetknot_harness::clients::call;
-use rig::{object, one, Rig};
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
+use test_proxy::{object_id, send_and_receive, TestProxy};
 
 /// Creates a folder for the operator state of a test's daemons.
 fn folder(name: &str) -> PathBuf {
@@ -20,40 +20,40 @@
 }
 
 /// Starts a daemon with an admin listener and the given state folder.
-fn with_admin(boxes: &[&'static str], folder: &Path) -> Rig {
+fn with_admin(caches: &[&'static str], folder: &Path) -> TestProxy {
     let folder = folder.display().to_string();
-    Rig::with(boxes, move |c| {
+    TestProxy::with(caches, move |c| {
         c["ops"] = json!("127.0.0.1:0");
         c["ops_folder"] = json!(folder);
     })
 }
 
 /// Starts a daemon with an admin listener and waits until it is ready.
-fn ready_rig(boxes: &[&'static str], name: &str) -> (Rig, SocketAddr, PathBuf) {
+fn ready_proxy(caches: &[&'static str], name: &str) -> (TestProxy, SocketAddr, PathBuf) {
     let folder = folder(name);
-    let rig = with_admin(boxes, &folder);
-    let admin = rig.admin.expect("an admin listener");
+    let proxy = with_admin(caches, &folder);
+    let admin = proxy.admin.expect("an admin listener");
     await_status(admin, "/control/ready", 200);
-    (rig, admin, folder)
+    (proxy, admin, folder)
 }
 
 fn status(admin: SocketAddr, method: &str, target: &str) -> u16 {
     call(admin, method, target, "").unwrap().status
 }
 
-/// Polls a call until it is answered with the wanted status. Returns the time that took.
-fn await_status(admin: SocketAddr, target: &str, wanted: u16) -> Duration {
+/// Repeats a GET request until its response has the expected status. Returns the elapsed time.
+fn await_status(admin: SocketAddr, target: &str, expected: u16) -> Duration {
     let start = Instant::now();
-    while status(admin, "GET", target) != wanted {
+    while status(admin, "GET", target) != expected {
         assert!(
             start.elapsed() < Duration::from_secs(5),
-            "{target} never answered {wanted}"
+            "{target} never answered {expected}"
         );
     }
     start.elapsed()
 }
 
-/// Returns the admin listener's response to these bytes and whether it closed the connection.
+/// Sends raw bytes to the admin listener. Returns its response and whether it closed the connection.
 fn send_raw(admin: SocketAddr, bytes: &[u8]) -> (String, bool) {
     let mut socket = TcpStream::connect(admin).unwrap();
     socket
@@ -67,7 +67,7 @@
 
 #[test]
 fn the_admin_listener_answers_beside_stalled_clients_and_rejects_invalid_requests() {
-    let (rig, admin, folder) = ready_rig(&["s-0a"], "calls");
+    let (proxy, admin, folder) = ready_proxy(&["s-0a"], "calls");
     // Forty clients with incomplete requests, more than the admin listener has slots.
     let stalled_clients: Vec<TcpStream> = (0..40)
         .map(|_| {
@@ -102,14 +102,14 @@
         ),
         (b"POST /control/out-of", "400"),
     ];
-    for (bytes, wanted) in bad {
+    for (bytes, expected) in bad {
         let mut socket = TcpStream::connect(admin).unwrap();
         socket
             .set_read_timeout(Some(Duration::from_secs(3)))
             .unwrap();
         socket.write_all(bytes).unwrap();
         if bytes.ends_with(b"out-of") {
-            // The client ends its half of the connection in the middle of a request.
+            // The client shuts down its sending half in the middle of a request.
             socket.shutdown(std::net::Shutdown::Write).unwrap();
         }
         let mut response = Vec::new();
@@ -118,7 +118,7 @@
             .expect("the admin listener closes the connection");
         let response = String::from_utf8_lossy(&response);
         assert!(
-            response.starts_with(&format!("HTTP/1.1 {wanted} ")),
+            response.starts_with(&format!("HTTP/1.1 {expected} ")),
             "{bytes:?}: {response}"
         );
     }
@@ -128,29 +128,42 @@
         response.starts_with("HTTP/1.1 414 ") && closed,
         "{response}"
     );
-    let mut web = rig.web();
-    assert_eq!(one(&mut web, "photo", &object(1)).status, 200);
+    let mut web = proxy.web();
+    assert_eq!(
+        send_and_receive(&mut web, "photo", &object_id(1)).status,
+        200
+    );
     assert_eq!(status(admin, "GET", "/control/ready"), 200);
     drop(stalled_clients);
-    rig.stop();
+    proxy.stop();
     let _ = std::fs::remove_dir_all(&folder);
 }
 
 #[test]
 fn a_drain_reports_not_ready_and_closes_connections_until_in_service() {
-    let (rig, admin, folder) = ready_rig(&["s-0a"], "drain");
-    let mut active = rig.web();
-    let mut idle = rig.web();
-    assert_eq!(one(&mut active, "photo", &object(1)).status, 200);
-    assert_eq!(one(&mut idle, "photo", &object(2)).status, 200);
+    let (proxy, admin, folder) = ready_proxy(&["s-0a"], "drain");
+    let mut active = proxy.web();
+    let mut idle = proxy.web();
+    assert_eq!(
+        send_and_receive(&mut active, "photo", &object_id(1)).status,
+        200
+    );
+    assert_eq!(
+        send_and_receive(&mut idle, "photo", &object_id(2)).status,
+        200
+    );
     assert_eq!(status(admin, "POST", "/control/out-of-service"), 200);
     assert_eq!(status(admin, "GET", "/control/ready"), 503);
-    // The daemon closes a connection after an answer. A request that has already arrived is answered as well, late in the
-    // drain with a rejection, so that a client that keeps sending requests can not keep the connection open.
+    // During a drain the daemon closes a connection after a response. A request that has arrived before the close is
+    // still answered; late in the drain it is rejected, so that a client that sends requests without pause can not keep
+    // the connection open.
     let start = Instant::now();
-    assert_eq!(one(&mut active, "photo", &object(3)).status, 200);
+    assert_eq!(
+        send_and_receive(&mut active, "photo", &object_id(3)).status,
+        200
+    );
     let mut statuses = Vec::new();
-    while active.ask(2, "photo", &object(7), 2500).is_ok() {
+    while active.ask(2, "photo", &object_id(7), 2500).is_ok() {
         match active.end() {
             Ok((_, answer)) => statuses.push(answer.expect("an answer").status),
             Err(_) => break,
@@ -172,8 +185,11 @@
         start.elapsed()
     );
     // A new connection during a drain is served and then closed.
-    let mut new_client = rig.web();
-    assert_eq!(one(&mut new_client, "photo", &object(4)).status, 200);
+    let mut new_client = proxy.web();
+    assert_eq!(
+        send_and_receive(&mut new_client, "photo", &object_id(4)).status,
+        200
+    );
     assert!(new_client.end().is_err());
     assert!(
         linnetknot_admin_api::store::load(&folder)
@@ -183,32 +199,38 @@
     );
     assert_eq!(status(admin, "POST", "/control/in-service"), 200);
     assert!(await_status(admin, "/control/ready", 200) < Duration::from_secs(2));
-    let mut after = rig.web();
-    assert_eq!(one(&mut after, "photo", &object(5)).status, 200);
+    let mut after = proxy.web();
+    assert_eq!(
+        send_and_receive(&mut after, "photo", &object_id(5)).status,
+        200
+    );
     assert_eq!(
-        one(&mut after, "photo", &object(6)).status,
+        send_and_receive(&mut after, "photo", &object_id(6)).status,
         200,
         "connections stay open again"
     );
-    rig.stop();
+    proxy.stop();
 }
 
 #[test]
 fn a_banned_cache_gets_no_requests_across_a_restart_until_unbanned() {
-    let (rig, admin, folder) = ready_rig(&["s-0a", "s-0b"], "ban");
-    let mut web = rig.web();
+    let (proxy, admin, folder) = ready_proxy(&["s-0a", "s-0b"], "ban");
+    let mut web = proxy.web();
     for n in 0..40 {
-        assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
+        assert_eq!(
+            send_and_receive(&mut web, "photo", &object_id(n)).status,
+            200
+        );
     }
-    let fetch_count = |rig: &Rig, uid: usize| {
-        rig.boxes[uid]
+    let fetch_count = |proxy: &TestProxy, uid: usize| {
+        proxy.caches[uid]
             .arrivals()
             .iter()
             .filter(|a| a.command == "fetch")
             .count()
     };
     assert!(
-        fetch_count(&rig, 0) > 0 && fetch_count(&rig, 1) > 0,
+        fetch_count(&proxy, 0) > 0 && fetch_count(&proxy, 1) > 0,
         "both caches serve before the ban"
     );
     assert_eq!(
@@ -220,25 +242,31 @@
         200,
         "a repeated ban succeeds"
     );
-    let before = fetch_count(&rig, 0);
+    let before = fetch_count(&proxy, 0);
     for n in 100..140 {
-        assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
+        assert_eq!(
+            send_and_receive(&mut web, "photo", &object_id(n)).status,
+            200
+        );
     }
     assert_eq!(
-        fetch_count(&rig, 0),
+        fetch_count(&proxy, 0),
         before,
         "a banned cache gets no new requests"
     );
-    rig.stop();
+    proxy.stop();
     // The next process reads the ban from the state folder.
-    let rig = with_admin(&["s-0a", "s-0b"], &folder);
-    let admin = rig.admin.expect("an admin listener");
+    let proxy = with_admin(&["s-0a", "s-0b"], &folder);
+    let admin = proxy.admin.expect("an admin listener");
     await_status(admin, "/control/ready", 200);
-    let mut web = rig.web();
+    let mut web = proxy.web();
     for n in 200..240 {
-        assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
+        assert_eq!(
+            send_and_receive(&mut web, "photo", &object_id(n)).status,
+            200
+        );
     }
-    assert_eq!(fetch_count(&rig, 0), 0, "the ban survives the restart");
+    assert_eq!(fetch_count(&proxy, 0), 0, "the ban survives the restart");
     assert_eq!(
         status(admin, "POST", "/control/pop-caches/s-0a/online"),
         200,
@@ -246,14 +274,17 @@
     );
     let mut is_used_again = false;
     for n in 300..400 {
-        assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
-        is_used_again |= fetch_count(&rig, 0) > 0;
+        assert_eq!(
+            send_and_receive(&mut web, "photo", &object_id(n)).status,
+            200
+        );
+        is_used_again |= fetch_count(&proxy, 0) > 0;
     }
     assert!(
         is_used_again,
         "the cache is used again after the ban is lifted"
     );
-    rig.stop();
+    proxy.stop();
     let _ = std::fs::remove_dir_all(&folder);
 }
 
@@ -266,7 +297,7 @@
     let folder = folder("upgrade");
     let shown = folder.display().to_string();
     let start = |peers: String, shown: String| {
-        Rig::with(&["s-0a", "s-0b"], move |c| {
+        TestProxy::with(&["s-0a", "s-0b"], move |c| {
             c["ops"] = json!("127.0.0.1:0");
             c["ops_folder"] = json!(shown);
             c["peer_listen"] = json!(peers);
@@ -284,13 +315,19 @@
     let new_admin = new.admin.unwrap();
     await_status(new_admin, "/control/ready", 200);
     old.stop();
-    // The ban set in the old process holds in the new one, which serves from the other cache.
+    // The new process enforces the ban that was set in the old process, and fetches from the other cache.
     let mut web = new.web();
     for n in 0..20 {
-        assert_eq!(one(&mut web, "photo", &object(n)).status, 200);
+        assert_eq!(
+            send_and_receive(&mut web, "photo", &object_id(n)).status,
+            200
+        );
     }
     assert!(
-        new.boxes[0].arrivals().iter().all(|a| a.command != "fetch"),
+        new.caches[0]
+            .arrivals()
+            .iter()
+            .all(|a| a.command != "fetch"),
         "the ban holds in the new process"
     );
     new.stop();
@@ -299,19 +336,23 @@
 
 #[test]
 fn a_draining_connection_rejects_further_requests_and_closes() {
-    let (rig, admin, folder) = ready_rig(&["s-0a"], "busy");
-    let mut web = rig.web();
-    assert_eq!(one(&mut web, "photo", &object(1)).status, 200);
+    let (proxy, admin, folder) = ready_proxy(&["s-0a"], "busy");
+    let mut web = proxy.web();
+    assert_eq!(
+        send_and_receive(&mut web, "photo", &object_id(1)).status,
+        200
+    );
     assert_eq!(status(admin, "POST", "/control/out-of-service"), 200);
-    // Uses a write, since a slow read would be retried at another server, here after 0.35 s.
-    rig.origin
+    // The request is a write, because a slow read would be retried at another server after 0.35 s.
+    proxy
+        .origin
         .set_behaviour(linnetknot_harness::fakes::cache::Behaviour {
             answer_delay_ms: 600,
             ..Default::default()
         });
     // The second request arrives on the connection while the first is open.
-    web.ask(1, "post", &object(2), 2500).unwrap();
-    web.ask(2, "photo", &object(3), 2500).unwrap();
+    web.ask(1, "post", &object_id(2), 2500).unwrap();
+    web.ask(2, "photo", &object_id(3), 2500).unwrap();
     let mut answers = [web.end().unwrap(), web.end().unwrap()];
     answers.sort_by_key(|(id, _)| *id);
     assert_eq!(
@@ -328,22 +369,22 @@
         web.end().is_err(),
         "the connection closes after the last answer"
     );
-    rig.stop();
+    proxy.stop();
     let _ = std::fs::remove_dir_all(&folder);
 }
 
 #[test]
 fn reloading_settings_adds_a_class_and_keeps_the_existing_ones() {
-    let (mut rig, _, folder) = ready_rig(&["s-0a"], "retune");
-    let mut web = rig.web();
+    let (mut proxy, _, folder) = ready_proxy(&["s-0a"], "retune");
+    let mut web = proxy.web();
     assert_eq!(
-        one(&mut web, "poster", &object(1)).status,
+        send_and_receive(&mut web, "poster", &object_id(1)).status,
         503,
         "the class does not exist yet"
     );
-    // An invalid file is not tested here, since a request can not tell whether its reload is over.
+    // A reload of an invalid file is not tested here, since no request shows whether the reload has finished.
     {
-        let mut file = rig.file.lock().unwrap();
+        let mut file = proxy.config_file.lock().unwrap();
         let poster = json!({"name": "poster", "aim-us": 300_000, "deadline-us": 2_000_000, "repeat": "pure",
             "worth": 1.0});
         file["settings"]["categories"]
@@ -351,19 +392,19 @@
             .unwrap()
             .push(poster);
     }
-    rig.control.reload().unwrap();
+    proxy.control.reload().unwrap();
     let start = Instant::now();
-    while one(&mut web, "poster", &object(3)).status != 200 {
+    while send_and_receive(&mut web, "poster", &object_id(3)).status != 200 {
         assert!(
             start.elapsed() < Duration::from_secs(3),
             "the new class is never accepted"
         );
     }
     assert_eq!(
-        one(&mut web, "photo", &object(4)).status,
+        send_and_receive(&mut web, "photo", &object_id(4)).status,
         200,
         "the existing class is still served"
     );
-    rig.stop();
+    proxy.stop();
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/daemon/tests/complete_requests_answered.rs
+++ b/daemon/tests/complete_requests_answered.rs
@@ -1,19 +1,20 @@
-//! A completely received request is answered before its connection closes, whatever the reason for closing it.
+//! A request that was received completely is answered before the daemon closes its connection, whatever the reason for
+//! closing the connection.
 
-mod rig;
-mod scripted;
+mod scripted_caches;
+mod test_proxy;
 
 use linnetknot_daemon::wire::fastcgi::{self, kind};
 use linnetknot_harness::clients::WebServer;
 use linnetknot_harness::fakes::cache::Behaviour;
-use rig::{object, one, Rig};
-use scripted::{next_of, request, scripted};
+use scripted_caches::{next_command, photo_request, start_with_scripted_caches};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
+use test_proxy::{object_id, send_and_receive, TestProxy};
 
 /// Returns invalid byte sequences that follow a complete request, each with a description.
 fn invalid_bytes() -> Vec<(&'static str, Vec<u8>)> {
@@ -48,21 +49,21 @@
     for (case, bytes) in invalid_bytes() {
         // Sends the invalid bytes together with the request, and separately after it.
         for separate in [false, true] {
-            let (rig, mut caches) = scripted::<1>(|_| {});
-            let mut web = rig.web();
-            let complete = request(1, &object(1), 0);
+            let (proxy, mut caches) = start_with_scripted_caches::<1>(|_| {});
+            let mut web = proxy.web();
+            let complete = photo_request(1, &object_id(1), 0);
             let fetch = if separate {
                 web.send(&complete).unwrap();
-                let fetch = next_of(&mut caches);
+                let fetch = next_command(&mut caches);
                 web.send(&bytes).unwrap();
                 fetch
             } else {
                 web.send(&[complete, bytes.clone()].concat()).unwrap();
-                next_of(&mut caches)
+                next_command(&mut caches)
             };
-            assert_eq!(serve_another_client(&rig, &mut caches), 200, "{case}");
+            assert_eq!(serve_another_client(&proxy, &mut caches), 200, "{case}");
             let (_, connection, fetch) = fetch;
-            caches[0].wires[connection].answer(
+            caches[0].connections[connection].respond(
                 &fetch[1],
                 "200",
                 "how=local,made=1,etag=t1",
@@ -86,17 +87,25 @@
                 "{case}, sent separately: {separate}"
             );
             drop(web);
-            rig.stop();
+            proxy.stop();
         }
     }
 }
 
 /// Serves a request of another client, so that the daemon has read all earlier input. Returns the answer's status.
-fn serve_another_client(rig: &Rig, caches: &mut [scripted::Scripted; 1]) -> u16 {
-    let mut other = rig.web();
-    other.send(&request(50, &object(50), 0)).unwrap();
-    let (_, connection, fetch) = next_of(caches);
-    caches[0].wires[connection].answer(&fetch[1], "200", "how=local,made=1,etag=t1", "a copy");
+fn serve_another_client(
+    proxy: &TestProxy,
+    caches: &mut [scripted_caches::ScriptedCache; 1],
+) -> u16 {
+    let mut other = proxy.web();
+    other.send(&photo_request(50, &object_id(50), 0)).unwrap();
+    let (_, connection, fetch) = next_command(caches);
+    caches[0].connections[connection].respond(
+        &fetch[1],
+        "200",
+        "how=local,made=1,etag=t1",
+        "a copy",
+    );
     other.end().unwrap().1.unwrap().status
 }
 
@@ -105,17 +114,17 @@
 fn partial_requests_over_the_memory_limit_reject_no_complete_request() {
     const CLIENTS: usize = 5;
     const PARTIAL_REQUESTS: u16 = 30;
-    let rig = Rig::with(&["s-0a"], |config| {
+    let proxy = TestProxy::with(&["s-0a"], |config| {
         config["limits"]["memory_mb"] = json!(16);
         config["bounds"] = json!({"partial_request_timeout_us": 60_000_000});
     });
-    rig.boxes[0].set_behaviour(Behaviour {
+    proxy.caches[0].set_behaviour(Behaviour {
         answer_delay_ms: 1_000,
         ..Behaviour::default()
     });
-    let mut clients: Vec<WebServer> = (0..CLIENTS).map(|_| rig.web()).collect();
+    let mut clients: Vec<WebServer> = (0..CLIENTS).map(|_| proxy.web()).collect();
     for (n, web) in clients.iter_mut().enumerate() {
-        web.ask(100, "photo", &object(n as u64), 2_500).unwrap();
+        web.ask(100, "photo", &object_id(n as u64), 2_500).unwrap();
     }
     for web in &mut clients {
         for id in 1..=PARTIAL_REQUESTS {
@@ -137,24 +146,27 @@
             assert_eq!(status, 503, "a partial request");
             refused += 1;
         };
-        // The slow cache may be treated as unresponsive by now.
+        // The daemon may already treat the slow cache as unresponsive.
         assert!([200, 503].contains(&status), "client {n}: {status}");
     }
     assert!(refused > 0, "some partial requests are rejected");
-    rig.boxes[0].set_behaviour(Behaviour::default());
-    assert_eq!(one(&mut rig.web(), "photo", &object(99)).status, 200);
+    proxy.caches[0].set_behaviour(Behaviour::default());
+    assert_eq!(
+        send_and_receive(&mut proxy.web(), "photo", &object_id(99)).status,
+        200
+    );
     drop(clients);
-    rig.stop();
+    proxy.stop();
 }
 
 /// A small request that arrives in pieces is not rejected while other clients hold far more memory.
 #[test]
 fn partial_request_memory_is_reclaimed_from_the_largest_holder() {
-    let rig = Rig::with(&["s-0a"], |config| {
+    let proxy = TestProxy::with(&["s-0a"], |config| {
         config["limits"]["memory_mb"] = json!(16);
         config["bounds"] = json!({"partial_request_timeout_us": 60_000_000});
     });
-    let mut busy_clients: Vec<WebServer> = (0..4).map(|_| rig.web()).collect();
+    let mut busy_clients: Vec<WebServer> = (0..4).map(|_| proxy.web()).collect();
     // Uses all but 2 KB of the limit of 4 MB.
     for (n, web) in busy_clients.iter_mut().enumerate() {
         for id in 1..=26 {
@@ -166,82 +178,88 @@
             web.send(&partial[..partial.len() - 8]).unwrap();
         }
     }
-    let mut quiet = rig.web();
-    let complete = request(1, &object(1), 9_000);
+    let mut quiet = proxy.web();
+    let complete = photo_request(1, &object_id(1), 9_000);
     for piece in complete.chunks(1_000) {
         quiet.send(piece).unwrap();
         // An answer to another client shows that the daemon has read this piece.
-        assert_eq!(one(&mut rig.web(), "photo", &object(2)).status, 200);
+        assert_eq!(
+            send_and_receive(&mut proxy.web(), "photo", &object_id(2)).status,
+            200
+        );
     }
     let (_, answer) = quiet.end().expect("an answer");
     assert_eq!(answer.unwrap().status, 200);
     drop((busy_clients, quiet));
-    rig.stop();
+    proxy.stop();
 }
 
 /// With all connection slots taken, idle time counts from the last answer and not from the last request.
 #[test]
 fn a_recently_answered_client_is_not_evicted_before_longer_idle_clients() {
     const CLIENT_SLOTS: usize = 24;
-    let rig = Rig::with(&["s-0a"], |config| {
+    let proxy = TestProxy::with(&["s-0a"], |config| {
         config["limits"] = json!({"memory_mb": 192, "sockets": 64});
         // Without cancellation the daemon waits for the slow cache.
         config["settings"]["limits"]["cancel"] = json!(false);
     });
-    rig.boxes[0].set_behaviour(Behaviour {
+    proxy.caches[0].set_behaviour(Behaviour {
         answer_delay_ms: 600,
         ..Behaviour::default()
     });
     let connect_idle = || {
-        let mut web = rig.web();
+        let mut web = proxy.web();
         web.send(&WebServer::request(9, "/_health", &[], b""))
             .unwrap();
         assert_eq!(web.end().unwrap().1.unwrap().status, 200);
         web
     };
     let mut quiet = connect_idle();
-    quiet.ask(1, "photo", &object(1), 2_500).unwrap();
+    quiet.ask(1, "photo", &object_id(1), 2_500).unwrap();
     let idle: Vec<WebServer> = (1..CLIENT_SLOTS).map(|_| connect_idle()).collect();
     assert_eq!(quiet.end().unwrap().1.unwrap().status, 200);
     let new_client = connect_idle();
-    rig.boxes[0].set_behaviour(Behaviour::default());
-    assert_eq!(one(&mut quiet, "photo", &object(2)).status, 200);
+    proxy.caches[0].set_behaviour(Behaviour::default());
+    assert_eq!(
+        send_and_receive(&mut quiet, "photo", &object_id(2)).status,
+        200
+    );
     drop((quiet, idle, new_client));
-    rig.stop();
+    proxy.stop();
 }
 
 /// Forty other clients fill the request table while one of two caches never answers.
 #[test]
 fn a_quiet_client_is_answered_during_a_flood_with_an_unresponsive_cache() {
-    let mut rig = Rig::with(&["s-0a", "s-0b"], |config| {
+    let mut proxy = TestProxy::with(&["s-0a", "s-0b"], |config| {
         config["limits"] = json!({"memory_mb": 16, "sockets": 256});
     });
-    rig.boxes[0].set_behaviour(Behaviour {
+    proxy.caches[0].set_behaviour(Behaviour {
         silent: true,
         ..Behaviour::default()
     });
-    let mut quiet = rig.web();
-    assert!([200, 503].contains(&one(&mut quiet, "photo", &object(1)).status));
+    let mut quiet = proxy.web();
+    assert!([200, 503].contains(&send_and_receive(&mut quiet, "photo", &object_id(1)).status));
     let stop = AtomicBool::new(false);
     let mut statuses = BTreeMap::<u16, u32>::new();
     std::thread::scope(|scope| {
-        let (front, stop) = (rig.front, StopOnDrop(&stop));
+        let (front, stop) = (proxy.client_address, StopOnDrop(&stop));
         for client in 0..40_u64 {
             let stop = stop.0;
             scope.spawn(move || flood(front, client, stop));
         }
         for n in 0..12 {
             let sent_at = Instant::now();
-            let status = one(&mut quiet, "photo", &object(1_000 + n)).status;
-            // The budget is 2.5 s. The rest allows for a busy machine.
+            let status = send_and_receive(&mut quiet, "photo", &object_id(1_000 + n)).status;
+            // The request budget is 2.5 s. The additional time allows for a busy machine.
             assert!(sent_at.elapsed() < Duration::from_millis(3_000), "{n}");
             *statuses.entry(status).or_default() += 1;
         }
     });
     println!("answers of the quiet client: {statuses:?}");
     drop(quiet);
-    rig.control.stop().unwrap();
-    rig.run.join().unwrap().unwrap();
+    proxy.control.stop().unwrap();
+    proxy.thread.join().unwrap().unwrap();
 }
 
 /// Stops the flooding threads when dropped, also if the test fails.
@@ -264,7 +282,7 @@
                 .ask(
                     id,
                     "photo",
-                    &object(1_000_000 * (client + 1) + u64::from(id)),
+                    &object_id(1_000_000 * (client + 1) + u64::from(id)),
                     2_500,
                 )
                 .is_err()
--- a/harness/src/span.rs
+++ b/harness/src/span.rs
@@ -1,12 +1,12 @@
-//! Spans of time.
+//! Time intervals.
 
 use crate::time::Micros;
 
-/// A time in which a request was in flight.
+/// The interval during which a request was in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Span {
-    /// Its start.
+    /// Time at which the request was received.
     pub from: Micros,
-    /// Its end.
+    /// Time of the answer, the abort or the end of the connection; the time of the query while the request is open.
     pub until: Micros,
 }
--- a/membership/src/options.rs
+++ b/membership/src/options.rs
@@ -1,4 +1,4 @@
-//! The options of a member, and its counters.
+//! The options of the failure detector, and its counters.
 
 use crate::Micros;
 
@@ -35,16 +35,16 @@
     }
 }
 
-/// Counters for operators.
+/// Counters since the start of this process, which are shown to operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Probes started.
+    /// Probes of other members that this member started.
     pub probes: u64,
     /// Probes that were neither acknowledged directly nor indirectly.
     pub failed: u64,
-    /// Claims about this member that it refuted.
+    /// False claims about this member that it refuted.
     pub refuted: u64,
-    /// Detected stalls of this process.
+    /// Stalls of this process that were detected by a late tick.
     pub stalls: u64,
     /// Datagrams that could not be decoded.
     pub unreadable: u64,
--- a/rehearse/src/scale/daemons/purge_plan.rs
+++ b/rehearse/src/scale/daemons/purge_plan.rs
@@ -1,4 +1,4 @@
-//! Which purges are told when and where, and the clients that tell the daemons of theirs.
+//! Schedule of the purges of a run, and the clients that send the daemons' share of them.
 
 use super::real;
 use crate::scale::purge_number::{object, PurgeNumber};
@@ -11,18 +11,18 @@
 
 const SECOND_US: Micros = 1_000_000;
 
-/// A purge that is to be told.
+/// Scheduled purge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedPurge {
-    /// How long after the beginning.
+    /// Time after the start of the load.
     pub after_us: Micros,
-    /// Which.
+    /// Number of the purge.
     pub number: PurgeNumber,
-    /// Whom.
+    /// Member at which it is issued.
     pub member: usize,
 }
 
-/// Purges at an even rate, each told to one of all members, which are drawn with equal chances.
+/// Schedules purges at an even rate, each at a member drawn uniformly at random.
 pub fn plan(members: usize, per_second: u64, seconds: u64, seed: u64) -> Vec<PlannedPurge> {
     let mut random = Random::new(seed);
     let purges = per_second * seconds;
@@ -34,56 +34,58 @@
     planned.collect()
 }
 
-/// What became of the purges that one daemon was told by its second front.
+/// Results of the purges that one daemon received through its CDNI interface.
 #[derive(Debug)]
 pub struct TriggerOutcome {
-    /// How long each answer took, in microseconds.
-    pub answers: Histogram<u64>,
-    /// Those that were refused, and why.
+    /// Response times in microseconds.
+    pub response_times: Histogram<u64>,
+    /// Descriptions of the refused purges.
     pub refused: Vec<String>,
 }
 
-/// A client that tells one daemon of its purges, each when it is due, on a thread of its own.
+/// Client on its own thread that sends the scheduled purges of one daemon.
 pub struct TriggerClient(JoinHandle<TriggerOutcome>);
 
 impl TriggerClient {
-    /// Begins.
+    /// Starts the client.
     pub fn start(cdni: SocketAddr, purges: Vec<PlannedPurge>) -> Self {
-        let begun = Instant::now();
-        TriggerClient(thread::spawn(move || tell(cdni, &purges, begun)))
+        let started_at = Instant::now();
+        TriggerClient(thread::spawn(move || {
+            send_triggers(cdni, &purges, started_at)
+        }))
     }
 
-    /// Whether all are answered.
+    /// Returns whether all purges have been answered.
     pub fn is_finished(&self) -> bool {
         self.0.is_finished()
     }
 
-    /// Waits until all are answered.
+    /// Waits until all purges have been answered.
     pub fn join(self) -> TriggerOutcome {
-        let gave_up = |_| TriggerOutcome {
-            answers: super::acks::delay_histogram(),
-            refused: vec!["the client that tells purges gave up".to_owned()],
+        let on_panic = |_| TriggerOutcome {
+            response_times: super::acks::delay_histogram(),
+            refused: vec!["purge client panicked".to_owned()],
         };
-        self.0.join().unwrap_or_else(gave_up)
+        self.0.join().unwrap_or_else(on_panic)
     }
 }
 
-fn tell(cdni: SocketAddr, purges: &[PlannedPurge], begun: Instant) -> TriggerOutcome {
+fn send_triggers(cdni: SocketAddr, purges: &[PlannedPurge], started_at: Instant) -> TriggerOutcome {
     let mut outcome = TriggerOutcome {
-        answers: super::acks::delay_histogram(),
+        response_times: super::acks::delay_histogram(),
         refused: Vec::new(),
     };
     for purge in purges {
-        let due = begun + Duration::from_micros(purge.after_us);
+        let due = started_at + Duration::from_micros(purge.after_us);
         thread::sleep(due.saturating_duration_since(Instant::now()));
         let sent = Instant::now();
         match real::purge(cdni, &object(purge.number)) {
             Ok(()) => outcome
-                .answers
+                .response_times
                 .saturating_record(sent.elapsed().as_micros() as u64),
-            Err(why) => outcome
+            Err(reason) => outcome
                 .refused
-                .push(format!("purge {}: {why}", purge.number)),
+                .push(format!("purge {}: {reason}", purge.number)),
         }
     }
     outcome
--- a/rehearse/src/scale/daemons/run.rs
+++ b/rehearse/src/scale/daemons/run.rs
@@ -1,4 +1,4 @@
-//! One run: the fleet comes up, rests, bears its load and settles; what the daemons spent meanwhile.
+//! A run with real daemons: starts the fleet, measures it at rest and under load, and waits for convergence.
 
 use super::host::{HollowHost, RefusedPurge};
 use super::proc_stat::{self, ProcessStat};
@@ -7,7 +7,7 @@
 use super::sockets::MemberSockets;
 use super::traffic::Traffic;
 use crate::scale::fleet_config::FleetConfig;
-use crate::scale::run::Without;
+use crate::scale::run::DisabledParts;
 use crate::scale::target::Target;
 use hdrhistogram::Histogram;
 use linnetknot_simnet::Micros;
@@ -18,106 +18,106 @@
 
 const SECOND_US: Micros = 1_000_000;
 
-/// All members know each other within this, or something is wrong. Daemons find each other among all members by their own
-/// greetings, which go to 16 members in a second.
+/// Longest time until all members know each other. Each daemon discovers the members by pinging 16 of them per second.
 const MAX_WARM_UP_US: Micros = 75 * SECOND_US;
 
-/// Budgets have their allocators after this.
-const STEADY_US: Micros = 6 * SECOND_US;
+/// Time after which the budgets have elected their allocators.
+const BUDGET_ALLOCATION_US: Micros = 6 * SECOND_US;
 
-/// All members have the same logs this long after the last purge, or something is wrong.
+/// Longest time after the last purge until all members must have the same logs.
 const MAX_SETTLING_US: Micros = 30 * SECOND_US;
 
-/// How often daemons are asked where they stand, while nothing is measured.
-const ASK_US: Micros = SECOND_US / 4;
+/// Interval at which the daemons' status is polled outside the measured intervals.
+const STATUS_POLL_INTERVAL_US: Micros = SECOND_US / 4;
 
-/// Timers of hollow members that run later than this, in more than one case of a hundred, make the run no measurement.
+/// Upper bound of the 99th percentile of timer lateness; above it the figures are not valid.
 const MAX_LATENESS_US: u64 = 100_000;
 
-/// What is run.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// The daemon.
+    /// Path of the daemon executable.
     pub program: PathBuf,
-    /// Real daemons.
+    /// Number of real daemons.
     pub daemons: usize,
-    /// Hollow members.
+    /// Number of hollow members.
     pub members: usize,
-    /// Seconds under load.
+    /// Seconds to measure under load.
     pub seconds: u64,
-    /// Seconds at rest before.
+    /// Seconds to measure at rest before the load.
     pub rest_seconds: u64,
-    /// Purges told to the whole fleet in a second.
+    /// Purges per second across the whole fleet.
     pub purges_per_second: u64,
-    /// Draws who is told which purge.
+    /// Seed for the distribution of the purges.
     pub seed: u64,
-    /// Limits and budgets.
+    /// Target with the limits and budgets.
     pub target: Target,
 }
 
-/// What one daemon spent in a time.
+/// Resources used by one daemon in a measured interval.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Spent {
-    /// How long.
+pub struct ResourceUsage {
+    /// Duration of the interval in seconds.
     pub seconds: f64,
-    /// Of the processor.
+    /// Processor time of the daemon.
     pub processor_time: Duration,
-    /// Resident at its end, and the most until then, in bytes.
+    /// Resident memory in bytes at the end of the interval.
     pub resident_bytes: u64,
-    /// The most until then.
+    /// Peak resident memory in bytes since the daemon started.
     pub peak_resident_bytes: u64,
-    /// Between it and all hollow members.
+    /// Traffic between the daemon and all hollow members.
     pub traffic: Traffic,
-    /// Datagrams that found no room in its socket.
+    /// Datagrams dropped because the daemon's receive buffer was full.
     pub dropped: u64,
 }
 
-/// What a run came to for one daemon.
+/// Results of a run for one daemon.
 #[derive(Debug)]
 pub struct DaemonOutcome {
-    /// Without any purges.
-    pub at_rest: Spent,
-    /// With them.
-    pub under_load: Spent,
-    /// From a purge at a hollow member until this daemon acknowledged it, in microseconds.
+    /// Resources used without purges.
+    pub at_rest: ResourceUsage,
+    /// Resources used under the load of purges.
+    pub under_load: ResourceUsage,
+    /// Delays until this daemon acknowledged purges of hollow members, in microseconds.
     pub ack_delays: Histogram<u64>,
-    /// Purges of hollow members that it never acknowledged.
+    /// Purges of hollow members that the daemon did not acknowledge.
     pub unacknowledged: usize,
-    /// What it was told by its second front.
+    /// Results of the purges sent to its CDNI interface.
     pub triggers: TriggerOutcome,
     /// Entries in force at the end.
     pub entries: usize,
-    /// Its logs at the end.
+    /// Number of logs at the end.
     pub logs: usize,
-    /// Whether it has the logs that all hollow members have.
+    /// Whether its logs equal those of the hollow members.
     pub is_settled: bool,
 }
 
-/// What a run came to.
+/// Results of a run.
 #[derive(Debug)]
 pub struct Outcome {
-    /// By daemon.
+    /// Results by daemon.
     pub daemons: Vec<DaemonOutcome>,
-    /// Purges told to hollow members.
+    /// Purges issued at hollow members.
     pub hollow_purges: usize,
-    /// Purges that hollow members were refused or can't keep.
+    /// Purges that hollow members refused or could not store.
     pub refused: Vec<RefusedPurge>,
-    /// Times that a hollow member believed another member to be dead; all run.
+    /// Number of times that a hollow member considered another member dead, although all were running.
     pub false_deaths: u64,
-    /// Until all members knew each other, in microseconds; none: they never did.
+    /// Time until all members knew each other in microseconds, or `None` if they did not in time.
     pub warm_up_us: Option<Micros>,
-    /// From the last purge until all had the same logs; none: they never had.
+    /// Time from the end of the load until all members had the same logs in microseconds, or `None` if they did not in
+    /// time.
     pub settling_us: Option<Micros>,
-    /// Hollow members' timers ran so late under load, in microseconds: 99 of 100, and the latest.
+    /// 99th percentile of the lateness of hollow members' timers under load, in microseconds.
     pub lateness_p99_us: u64,
-    /// The latest.
+    /// Maximum of the lateness of hollow members' timers under load, in microseconds.
     pub lateness_max_us: u64,
-    /// Processor time of this process under load, as a share of one core.
+    /// Processor time of this process under load, as a fraction of one core.
     pub host_processor_share: f64,
 }
 
 impl Outcome {
-    /// Whether the hollow members kept pace, so that what was measured is the load that was meant.
+    /// Returns whether the hollow members kept pace, so that the figures describe the intended load.
     pub fn kept_pace(&self) -> bool {
         self.lateness_p99_us <= MAX_LATENESS_US
     }
@@ -129,18 +129,18 @@
     host: HollowHost,
 }
 
-/// What is read at the beginning and the end of a time.
-struct Reading {
+/// Counters at the start or end of a measured interval.
+struct Counters {
     at: Micros,
     processes: Vec<ProcessStat>,
     dropped: Vec<u64>,
-    own: ProcessStat,
+    host_process: ProcessStat,
 }
 
-/// Plays a run.
+/// Runs the fleet and measures its daemons.
 ///
 /// # Errors
-/// Where the fleet does not start, or a daemon ends before its time.
+/// Returns an error if the fleet does not start or a daemon exits early.
 pub fn play(run: &Run) -> io::Result<Outcome> {
     let mut fleet = Fleet::start(run)?;
     let warm_up_us = fleet.warm_up()?;
@@ -153,8 +153,8 @@
     );
     let settling_us = fleet.settle(&clients)?;
     let triggers: Vec<TriggerOutcome> = clients.into_iter().map(TriggerClient::join).collect();
-    let spent = at_rest.into_iter().zip(under_load).zip(triggers);
-    let outcomes = spent
+    let resource_usage = at_rest.into_iter().zip(under_load).zip(triggers);
+    let outcomes = resource_usage
         .enumerate()
         .map(|(daemon, ((at_rest, under_load), triggers))| {
             fleet.daemon_outcome(daemon, at_rest, under_load, triggers)
@@ -175,7 +175,7 @@
 impl<'a> Fleet<'a> {
     fn start(run: &'a Run) -> io::Result<Self> {
         let total = run.daemons + run.members;
-        let mut config = FleetConfig::new(&vec![0; total], &run.target, Without::default());
+        let mut config = FleetConfig::new(&vec![0; total], &run.target, DisabledParts::default());
         let daemon_addresses = daemon_addresses(run.daemons)?;
         let sockets = MemberSockets::bind(run.members, &daemon_addresses)?;
         let addresses = [&daemon_addresses[..], sockets.addresses()].concat();
@@ -188,29 +188,30 @@
         Ok(Fleet { run, daemons, host })
     }
 
-    /// Until all members know each other and their budgets are allocated: how long the first took.
+    /// Waits until all members know each other and the budgets are allocated, and returns the time until the former.
     fn warm_up(&mut self) -> io::Result<Option<Micros>> {
-        let begun = self.host.now();
+        let started_at = self.host.now();
         self.host.introduce()?;
         for daemon in 0..self.daemons.len() {
-            self.host.acquaint(daemon, self.daemons.process_id(daemon)?);
+            self.host
+                .introduce_daemon(daemon, self.daemons.process_id(daemon)?);
         }
         let is_known = self
-            .wait_until(MAX_WARM_UP_US, Self::is_acquainted)?
+            .wait_until(MAX_WARM_UP_US, Self::all_members_known)?
             .is_some();
-        let known_after = self.host.now() - begun;
-        self.host.run_until(begun + STEADY_US)?;
+        let known_after = self.host.now() - started_at;
+        self.host.run_until(started_at + BUDGET_ALLOCATION_US)?;
         Ok(is_known.then_some(known_after))
     }
 
-    fn is_acquainted(&self) -> io::Result<bool> {
+    fn all_members_known(&self) -> io::Result<bool> {
         let total = self.run.daemons + self.run.members;
         for daemon in 0..self.daemons.len() {
             if self.daemons.status(daemon)?.alive_members < total {
                 return Ok(false);
             }
         }
-        Ok(self.host.unacquainted() == 0)
+        Ok(self.host.members_missing_peers() == 0)
     }
 
     fn is_settled(&self) -> io::Result<bool> {
@@ -225,23 +226,24 @@
         Ok(true)
     }
 
-    /// Drives the members until a condition holds: how long it took; none: it did not within a time.
+    /// Drives the members until a condition holds and returns the time that took, or `None` after `max_us`.
     fn wait_until(
         &mut self,
         max_us: Micros,
-        is_so: impl Fn(&Self) -> io::Result<bool>,
+        condition: impl Fn(&Self) -> io::Result<bool>,
     ) -> io::Result<Option<Micros>> {
-        let begun = self.host.now();
-        while self.host.now() < begun + max_us {
-            if is_so(self)? {
-                return Ok(Some(self.host.now() - begun));
+        let started_at = self.host.now();
+        while self.host.now() < started_at + max_us {
+            if condition(self)? {
+                return Ok(Some(self.host.now() - started_at));
             }
-            self.host.run_until(self.host.now() + ASK_US)?;
+            self.host
+                .run_until(self.host.now() + STATUS_POLL_INTERVAL_US)?;
         }
         Ok(None)
     }
 
-    /// Until all purges are answered and in force everywhere: how long it took.
+    /// Waits until all purges are answered and in force everywhere, and returns the time that took.
     fn settle(&mut self, clients: &[TriggerClient]) -> io::Result<Option<Micros>> {
         let are_finished = || clients.iter().all(TriggerClient::is_finished);
         self.wait_until(MAX_SETTLING_US, |fleet| {
@@ -281,21 +283,22 @@
         (0..self.daemons.len()).map(client).collect()
     }
 
-    fn read(&self) -> io::Result<Reading> {
-        Ok(Reading {
+    fn read(&self) -> io::Result<Counters> {
+        Ok(Counters {
             at: self.host.now(),
             processes: self.daemons.process_stats()?,
             dropped: self.daemons.dropped_datagrams()?,
-            own: proc_stat::read(std::process::id())?,
+            host_process: proc_stat::read(std::process::id())?,
         })
     }
 
-    /// Drives the members for a time, telling them of purges: what each daemon spent, and this process's processor time.
+    /// Drives the members for a time while issuing purges; returns the resources used by each daemon and the processor
+    /// time of this process.
     fn measure(
         &mut self,
         seconds: u64,
         purges: &[PlannedPurge],
-    ) -> io::Result<(Vec<Spent>, Duration)> {
+    ) -> io::Result<(Vec<ResourceUsage>, Duration)> {
         self.host.reset();
         let before = self.read()?;
         for purge in purges {
@@ -304,15 +307,18 @@
         }
         self.host.run_until(before.at + seconds * SECOND_US)?;
         let after = self.read()?;
-        let spent = (0..self.daemons.len())
-            .map(|daemon| self.spent(daemon, &before, &after))
+        let resource_usage = (0..self.daemons.len())
+            .map(|daemon| self.resource_usage(daemon, &before, &after))
             .collect();
-        Ok((spent, after.own.processor_time - before.own.processor_time))
+        Ok((
+            resource_usage,
+            after.host_process.processor_time - before.host_process.processor_time,
+        ))
     }
 
-    fn spent(&self, daemon: usize, before: &Reading, after: &Reading) -> Spent {
+    fn resource_usage(&self, daemon: usize, before: &Counters, after: &Counters) -> ResourceUsage {
         let (first, last) = (before.processes[daemon], after.processes[daemon]);
-        Spent {
+        ResourceUsage {
             seconds: (after.at - before.at) as f64 / SECOND_US as f64,
             processor_time: last.processor_time - first.processor_time,
             resident_bytes: last.resident_bytes,
@@ -325,8 +331,8 @@
     fn daemon_outcome(
         &self,
         daemon: usize,
-        at_rest: Spent,
-        under_load: Spent,
+        at_rest: ResourceUsage,
+        under_load: ResourceUsage,
         triggers: TriggerOutcome,
     ) -> io::Result<DaemonOutcome> {
         let status = self.daemons.status(daemon)?;
--- a/rehearse/src/scale/hollow/budget_share.rs
+++ b/rehearse/src/scale/hollow/budget_share.rs
@@ -1,29 +1,29 @@
-//! A hollow member's part of what all members spend, as the daemon drives it, with a demand that is drawn.
+//! Budget protocol of a hollow member, driven as in the daemon, with random demand.
 
 use super::outbox::Outbox;
 use crate::scale::fleet_config::{FleetConfig, SharedBudget};
 use linnetknot_budgets::kinds::Unit;
-use linnetknot_budgets::{wire, Member as Shareholder, MemberProcess, Message, Outgoing};
+use linnetknot_budgets::{wire, Member as BudgetMember, MemberProcess, Message, Outgoing};
 use linnetknot_datagram::Random;
 use linnetknot_simnet::{member_at, peer_index, Micros};
 use std::collections::BTreeMap;
 
-/// The loop comes to its sockets between two looks at the budgets.
+/// Shortest time between two ticks of the budget protocol.
 const MIN_PAUSE_US: Micros = 1_000;
 
-/// Requests of the origin that a member would hold at a time, at most.
+/// Upper bound of a member's random demand for concurrent requests of the origin.
 const MAX_CONCURRENT: u64 = 6;
-/// Millionths of a cold cache that a member would spend, at most.
-const MAX_COLD: u64 = 30_000;
+/// Upper bound of a member's random demand on a cold cache, in millionths.
+const MAX_COLD_MILLIONTHS: u64 = 30_000;
 
-/// A member's part of all budgets.
+/// A member's shares of all budgets.
 #[derive(Clone, Debug)]
 pub(super) struct BudgetShare {
     index: usize,
     zone: usize,
     fingerprint: u64,
     budgets: Vec<SharedBudget>,
-    core: Shareholder,
+    core: BudgetMember,
     due: Micros,
     random: Random,
 }
@@ -35,14 +35,14 @@
             member: index,
             process: now,
         };
-        let core = Shareholder::new(
+        let core = BudgetMember::new(
             own,
             members,
             &config.budget_specs(),
             now,
             config.budget_options(),
         );
-        let core = core.unwrap_or_else(|error| panic!("the target's {error}"));
+        let core = core.unwrap_or_else(|error| panic!("invalid budget of the target: {error}"));
         BudgetShare {
             index,
             zone: config.members[index].zone,
@@ -54,7 +54,7 @@
         }
     }
 
-    pub(super) fn core(&self) -> &Shareholder {
+    pub(super) fn core(&self) -> &BudgetMember {
         &self.core
     }
 
@@ -62,14 +62,14 @@
         self.due
     }
 
-    /// Once in a while: what is wanted and spent, who runs, and what time has brought.
+    /// Draws new demand, updates which members are up, and advances the budget protocol.
     pub(super) fn tick(
         &mut self,
         now: Micros,
         is_up: impl Iterator<Item = bool>,
         outbox: &mut Outbox,
     ) {
-        self.say_demand(now);
+        self.update_demand(now);
         for (peer, is_up) in is_up.enumerate() {
             self.core.set_member_up(member_at(peer, self.index), is_up);
         }
@@ -78,21 +78,21 @@
         self.due = self.core.due().max(now + MIN_PAUSE_US);
     }
 
-    fn say_demand(&mut self, now: Micros) {
+    fn update_demand(&mut self, now: Micros) {
         for (number, budget) in self.budgets.iter().enumerate() {
-            let is_spent_here = budget.zone.is_none_or(|zone| zone == self.zone);
-            let wish = match budget.unit {
+            let may_spend = budget.zone.is_none_or(|zone| zone == self.zone);
+            let demand = match budget.unit {
                 Unit::Concurrent => self.random.below(MAX_CONCURRENT + 1),
-                Unit::Millionths => self.random.below(MAX_COLD + 1),
+                Unit::Millionths => self.random.below(MAX_COLD_MILLIONTHS + 1),
             };
             let lease = self.core.lease(now, number);
-            let spent = if is_spent_here {
-                wish.min(lease.amount)
+            let spent = if may_spend {
+                demand.min(lease.amount)
             } else {
                 0
             };
-            let wanted = if is_spent_here {
-                budget.unit.demand(wish)
+            let wanted = if may_spend {
+                budget.unit.demand(demand)
             } else {
                 0
             };
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Takes in a datagram of the budgets; false where it is none.
+    /// Handles a datagram of the budget protocol; returns `false` if it belongs to another protocol.
     pub(super) fn receive(
         &mut self,
         from: usize,
--- a/rehearse/src/scale/hollow/disk.rs
+++ b/rehearse/src/scale/hollow/disk.rs
@@ -1,28 +1,27 @@
-//! A simulated disk: a worker commits all that waits at once, and what comes meanwhile goes with the next commit.
+//! Simulated disk that commits all queued writes as one batch; writes queued during a commit are part of the next one.
 
 use linnetknot_replication::{Index, LogId};
 use linnetknot_simnet::Micros;
 use std::collections::VecDeque;
 
-/// How long one commit takes.
-const COMMIT_US: Micros = 3_000;
+const COMMIT_DURATION_US: Micros = 3_000;
 
-/// An entry on its way to the disk.
+/// Log entry to be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Write {
     pub(super) log: LogId,
     pub(super) index: Index,
 }
 
-/// The disk's queue.
+/// Simulated disk with a bounded write queue.
 #[derive(Clone, Debug)]
 pub(super) struct SimulatedDisk {
     queue: VecDeque<Write>,
     capacity: usize,
-    /// The writes of the commit that runs.
+    /// Number of writes in the current commit.
     committing: usize,
-    /// When it ends.
-    ends: Option<Micros>,
+    /// End of the current commit.
+    commit_ends_at: Option<Micros>,
 }
 
 impl SimulatedDisk {
@@ -31,7 +30,7 @@
             queue: VecDeque::new(),
             capacity,
             committing: 0,
-            ends: None,
+            commit_ends_at: None,
         }
     }
 
@@ -39,35 +38,38 @@
         self.queue.len() >= self.capacity
     }
 
-    /// Takes an entry; false where the queue is full.
+    /// Queues a write; returns `false` if the queue is full.
     pub(super) fn write(&mut self, write: Write, now: Micros) -> bool {
         if self.is_full() {
             return false;
         }
         self.queue.push_back(write);
-        if self.ends.is_none() {
-            self.begin(now);
+        if self.commit_ends_at.is_none() {
+            self.start_commit(now);
         }
         true
     }
 
-    fn begin(&mut self, now: Micros) {
+    fn start_commit(&mut self, now: Micros) {
         self.committing = self.queue.len();
-        self.ends = (self.committing > 0).then_some(now + COMMIT_US);
+        self.commit_ends_at = (self.committing > 0).then_some(now + COMMIT_DURATION_US);
     }
 
-    /// When the commit that runs ends.
+    /// Returns the end of the current commit.
     pub(super) fn due(&self) -> Option<Micros> {
-        self.ends
+        self.commit_ends_at
     }
 
-    /// The entries that are on the disk by now.
+    /// Returns the entries that have been committed by `now`.
     pub(super) fn synced(&mut self, now: Micros) -> Vec<Write> {
-        if self.ends.is_none_or(|ends| ends > now) {
+        if self
+            .commit_ends_at
+            .is_none_or(|commit_ends_at| commit_ends_at > now)
+        {
             return Vec::new();
         }
         let synced = self.queue.drain(..self.committing).collect();
-        self.begin(now);
+        self.start_commit(now);
         synced
     }
 
--- a/rehearse/src/scale/hollow/purge_log.rs
+++ b/rehearse/src/scale/hollow/purge_log.rs
@@ -1,4 +1,4 @@
-//! A hollow member's replicated logs, as the daemon drives them: purges, their commits, and the disk beside them.
+//! Replicated purge logs of a hollow member, driven as in the daemon: purges, commits and disk writes.
 
 use super::disk::{SimulatedDisk, Write};
 use super::outbox::Outbox;
@@ -12,30 +12,30 @@
 use linnetknot_simnet::Micros;
 use std::collections::BTreeMap;
 
-/// The loop comes to its sockets between two looks at the logs.
+/// Shortest time between two ticks of the replication protocol.
 const MIN_PAUSE_US: Micros = 1_000;
 
-/// How often entries whose time is over are looked for.
-const EXPIRE_US: Micros = 60_000_000;
+/// Interval at which expired entries are removed.
+const EXPIRY_INTERVAL_US: Micros = 60_000_000;
 
-/// What a member's disk has when its process ends, for the next one.
+/// Contents of a member's disk after its process ended.
 #[derive(Clone, Debug, Default)]
 pub struct DiskContents {
     logs: LogStore,
-    /// The log that goes on, where the process ended in order.
-    own: Option<LogId>,
+    /// Log that the next process continues, set after a graceful shutdown.
+    own_log: Option<LogId>,
 }
 
 impl DiskContents {
-    /// A disk with these logs, of which `own` goes on.
-    pub fn with_logs(logs: LogStore, own: LogId) -> Self {
+    /// Creates disk contents from logs, of which the next process continues `own_log`.
+    pub fn with_logs(logs: LogStore, own_log: LogId) -> Self {
         DiskContents {
             logs,
-            own: Some(own),
+            own_log: Some(own_log),
         }
     }
 
-    /// The purges that are on it.
+    /// Returns the numbers of the purges on the disk.
     pub fn purges(&self) -> impl Iterator<Item = PurgeNumber> + '_ {
         self.logs.entries().filter_map(|entry| entry_purge(&entry))
     }
@@ -48,13 +48,13 @@
     }
 }
 
-/// The logs of one member.
+/// Logs of one member with their disk and pending commits.
 #[derive(Clone, Debug)]
 pub(super) struct PurgeLog {
     replica: Replica,
     disk: SimulatedDisk,
     due: Micros,
-    expires: Micros,
+    next_expiry: Micros,
     commits: BTreeMap<CommitId, PurgeNumber>,
     recovery: Option<Recovery>,
 }
@@ -68,9 +68,9 @@
     ) -> Self {
         let me = &config.members[index];
         let is_fresh = disk.is_none();
-        let DiskContents { logs, own } = disk.unwrap_or_default();
-        let own = own.unwrap_or(LogId::new(me.id, now));
-        let mut replica = Replica::new(own, logs, now, config.replication);
+        let DiskContents { logs, own_log } = disk.unwrap_or_default();
+        let own_log = own_log.unwrap_or(LogId::new(me.id, now));
+        let mut replica = Replica::new(own_log, logs, now, config.replication);
         let machines: Vec<u64> = config.peers_of(index).map(|peer| peer.machine_id).collect();
         let times = RecoveryTimes {
             start: now,
@@ -85,7 +85,7 @@
             replica,
             disk: SimulatedDisk::new(config.limits.max_store_writes),
             due: now,
-            expires: now,
+            next_expiry: now,
             commits: BTreeMap::new(),
             recovery,
         }
@@ -103,7 +103,8 @@
         self.disk.len()
     }
 
-    /// Whether no copy of the purge's object from before it would be served, by an entry or by the compact table.
+    /// Returns whether the purge is in force through an entry or the compact table, so that copies from before `at` are
+    /// not served.
     pub(super) fn is_in_force(&self, purge: PurgeNumber, at: Micros) -> bool {
         let effective = self
             .replica
@@ -112,14 +113,14 @@
         effective.is_some_and(|effective| effective >= at)
     }
 
-    /// Whether it has all that it ever committed, and all that its peers compacted.
+    /// Returns whether recovery is over and the member is not catching up with the peers' snapshots.
     pub(super) fn has_recovered(&self) -> bool {
         self.recovery.as_ref().is_none_or(Recovery::is_over) && !self.replica.is_catching_up()
     }
 
-    /// The machines of the peers, as they are known now.
-    pub(super) fn set_machines(&mut self, own: u64, machines: Vec<u64>) {
-        self.replica.set_peers(own, machines);
+    /// Sets the machines of this member and of its peers.
+    pub(super) fn set_machines(&mut self, own_machine: u64, machines: Vec<u64>) {
+        self.replica.set_peers(own_machine, machines);
     }
 
     pub(super) fn due(&self) -> Micros {
@@ -130,16 +131,16 @@
             .fold(self.due, Micros::min)
     }
 
-    /// What is due: entries that are synced, the logs' own period, and recovery.
+    /// Handles synced writes and runs the replication and recovery timers that are due.
     pub(super) fn tick(&mut self, now: Micros, outbox: &mut Outbox, events: &mut Vec<MemberEvent>) {
         self.sync(now, outbox, events);
         if self.due <= now {
-            self.exchange(now, outbox, events);
+            self.run_replication(now, outbox, events);
         }
         self.recover(now, outbox);
     }
 
-    /// Moves the oldest purges to the compact table. The simulated disk has them there as soon as the replica does.
+    /// Moves the oldest purges to the compact table, which the simulated disk stores at once.
     pub(super) fn compact(&mut self, now: Micros) {
         let _ = self.replica.compact(now);
     }
@@ -153,28 +154,28 @@
             let acknowledgements = self.replica.record_synced(log, index);
             send_all(acknowledgements, outbox);
         }
-        self.settle(now, events);
+        self.resolve_commits(now, events);
     }
 
-    fn exchange(&mut self, now: Micros, outbox: &mut Outbox, events: &mut Vec<MemberEvent>) {
+    fn run_replication(&mut self, now: Micros, outbox: &mut Outbox, events: &mut Vec<MemberEvent>) {
         if !self.disk.is_full() {
             self.replica
                 .take_failed_syncs()
                 .iter()
                 .for_each(|entry| self.write(entry, now));
         }
-        if now >= self.expires {
-            self.expires = now + EXPIRE_US;
+        if now >= self.next_expiry {
+            self.next_expiry = now + EXPIRY_INTERVAL_US;
             self.replica.expire(now);
         }
         send_all(self.replica.tick(now), outbox);
-        // The daemon logs whether anything is under-replicated.
+        // The daemon computes this for its log, so its cost is included here.
         let _ = self.replica.under_replicated();
-        self.settle(now, events);
-        self.plan(now);
+        self.resolve_commits(now, events);
+        self.schedule_tick(now);
     }
 
-    fn plan(&mut self, now: Micros) {
+    fn schedule_tick(&mut self, now: Micros) {
         let due = self.replica.due().max(now + MIN_PAUSE_US);
         if self.due > due || self.due <= now {
             self.due = due;
@@ -215,7 +216,7 @@
         Ok(entry)
     }
 
-    /// A client tells this member of a purge.
+    /// Appends a purge issued by a client, broadcasts its entry and opens a commit.
     pub(super) fn purge(
         &mut self,
         purge: PurgeNumber,
@@ -234,10 +235,10 @@
         }
         match entry {
             Ok(entry) => self.commit(purge, entry.index, now, events),
-            Err(why) => events.push(MemberEvent::Refused { purge, why }),
+            Err(reason) => events.push(MemberEvent::Refused { purge, reason }),
         }
-        self.settle(now, events);
-        self.plan(now);
+        self.resolve_commits(now, events);
+        self.schedule_tick(now);
     }
 
     fn commit(
@@ -249,29 +250,29 @@
     ) {
         match self.replica.open_commit(now, index) {
             Ok(commit) => drop(self.commits.insert(commit, purge)),
-            Err(why) => events.push(MemberEvent::Refused {
+            Err(reason) => events.push(MemberEvent::Refused {
                 purge,
-                why: refusal(why),
+                reason: refusal(reason),
             }),
         }
     }
 
-    fn settle(&mut self, now: Micros, events: &mut Vec<MemberEvent>) {
-        for settled in self.replica.resolve_commits(now) {
-            let Some(purge) = self.commits.remove(&settled.commit) else {
+    fn resolve_commits(&mut self, now: Micros, events: &mut Vec<MemberEvent>) {
+        for resolved in self.replica.resolve_commits(now) {
+            let Some(purge) = self.commits.remove(&resolved.commit) else {
                 continue;
             };
-            events.push(match settled.result {
+            events.push(match resolved.result {
                 Ok(_) => MemberEvent::Committed { purge },
-                Err(why) => MemberEvent::Refused {
+                Err(reason) => MemberEvent::Refused {
                     purge,
-                    why: refusal(why),
+                    reason: refusal(reason),
                 },
             });
         }
     }
 
-    /// Takes in a datagram of the logs; false where it is none.
+    /// Handles a replication datagram; returns `false` if it belongs to another protocol.
     pub(super) fn receive(
         &mut self,
         from: usize,
@@ -285,15 +286,15 @@
             Err(DecodeError::Foreign) => return false,
             Err(_) => return true,
         };
-        let their_sum = match &datagram {
+        let peer_checksum = match &datagram {
             Datagram::Digest { checksum, .. } => Some(*checksum),
             _ => None,
         };
         let received = self.replica.receive(now, from, datagram);
         received.new.iter().for_each(|entry| self.write(entry, now));
         in_force(&received, events);
-        if their_sum == Some(self.replica.log_store().checksum()) {
-            // Whether that ended the wait is asked for when it matters.
+        if peer_checksum == Some(self.replica.log_store().checksum()) {
+            // The end of recovery is queried with `has_recovered` instead.
             let _ = self
                 .recovery
                 .as_mut()
@@ -310,13 +311,13 @@
                 outbox,
             );
         }
-        self.settle(now, events);
-        // The next part of a snapshot, or of what is missing, may be due sooner now.
-        self.plan(now);
+        self.resolve_commits(now, events);
+        // The next request or snapshot chunk may now be due earlier.
+        self.schedule_tick(now);
         true
     }
 
-    /// Writes a purge of a peer that does not replicate logs into this member's own log, if no log has it.
+    /// Appends a purge from a peer that does not replicate logs to this member's log, unless a log already has it.
     pub(super) fn write_plain(
         &mut self,
         purge: PurgeNumber,
@@ -331,18 +332,19 @@
         if known.is_some_and(|known| known >= at) {
             return;
         }
-        if let Err(why) = self.append(purge, at, now) {
-            events.push(MemberEvent::NotKept { purge, why });
+        if let Err(reason) = self.append(purge, at, now) {
+            events.push(MemberEvent::NotStored { purge, reason });
         }
     }
 
-    /// What the next process finds on the disk. Only one that ends in order, with all on the disk, goes on with its log.
+    /// Returns what the next process finds on the disk. Only a process that shut down gracefully with all entries
+    /// synced has its log continued.
     pub(super) fn disk_contents(&self, is_in_order: bool) -> DiskContents {
         let store = self.replica.log_store();
         if is_in_order && self.replica.is_synced() {
             return DiskContents {
                 logs: store.clone(),
-                own: Some(self.replica.own_log()),
+                own_log: Some(self.replica.own_log()),
             };
         }
         let is_durable = |entry: &Entry| entry.index <= self.replica.durable_index(entry.log);
@@ -350,21 +352,21 @@
         let compacted: Vec<CompactedLog> = store.compacted_logs(LogId::default()).collect();
         let logs = LogStore::restore(store.table().clone(), &compacted, entries);
         DiskContents {
-            logs: logs.expect("each index of a log stands once on the disk"),
-            own: None,
+            logs: logs.expect("each index of a log occurs once on the disk"),
+            own_log: None,
         }
     }
 }
 
-fn refusal(why: RejectReason) -> Refusal {
-    match why {
+fn refusal(reason: RejectReason) -> Refusal {
+    match reason {
         RejectReason::Disk => Refusal::Disk,
         RejectReason::TooManyPending => Refusal::Capacity,
         RejectReason::TooFewReplicas { .. } => Refusal::Acknowledgements,
     }
 }
 
-/// What is received is in force, whether or not there is room to keep it.
+/// Reports received purges as in force, including those that cannot be stored.
 fn in_force(received: &Received, events: &mut Vec<MemberEvent>) {
     for entry in received
         .new
@@ -378,9 +380,9 @@
     }
     for entry in &received.rejected {
         if let Some(purge) = entry_purge(entry) {
-            events.push(MemberEvent::NotKept {
+            events.push(MemberEvent::NotStored {
                 purge,
-                why: Refusal::Capacity,
+                reason: Refusal::Capacity,
             });
         }
     }
--- a/rehearse/src/scale/simulation/mod.rs
+++ b/rehearse/src/scale/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! The event loop: members, links and what happens to them, on virtual time.
+//! Discrete-event loop of the simulation: members, links and faults on virtual time.
 
 mod checks;
 mod faults;
@@ -26,28 +26,28 @@
 
 const SECOND_US: Micros = 1_000_000;
 
-/// The time at which a run begins.
+/// Virtual time at the start of a run.
 const START: Micros = SECOND_US;
 
-/// Before anything is measured: budgets have their allocators after some five seconds.
+/// Time before measuring begins; the budgets elect their allocators within about 5 s.
 const WARM_UP_US: Micros = 7 * SECOND_US;
 
-/// After the measured time the fleet is left alone, for so long at most.
+/// Longest time after the measured window to wait for all members to converge.
 const MAX_SETTLING_US: Micros = 20 * SECOND_US;
 
-/// How often members' states are compared then.
-const COMPARE_US: Micros = SECOND_US / 4;
+/// Interval at which the members' states are compared while waiting for convergence.
+const STATE_COMPARISON_INTERVAL_US: Micros = SECOND_US / 4;
 
-/// How often the sums of the budgets are checked.
-const CHECK_BUDGETS_US: Micros = SECOND_US / 10;
+/// Interval at which the sums of the leases are checked.
+const BUDGET_CHECK_INTERVAL_US: Micros = SECOND_US / 10;
 
-/// How often it is looked who allocates budgets, which costs more.
-const LOOK_FOR_ALLOCATORS_US: Micros = SECOND_US;
+/// Interval at which the budget allocators are sampled.
+const ALLOCATOR_SAMPLE_INTERVAL_US: Micros = SECOND_US;
 
-/// How often a member that joined is looked at.
-const LOOK_AT_JOINER_US: Micros = SECOND_US / 10;
+/// Interval at which the progress of a joining member is polled.
+const JOINER_POLL_INTERVAL_US: Micros = SECOND_US / 10;
 
-/// Something that is due.
+/// Scheduled event.
 #[derive(Debug)]
 enum Event {
     Arrival {
@@ -64,23 +64,23 @@
     PurgeDeadline {
         purge: u64,
     },
-    Happens {
+    ApplyAction {
         action: Action,
     },
     CheckBudgets,
-    LookForAllocators,
-    LookAtJoiner,
+    SampleAllocators,
+    PollJoiner,
 }
 
-/// Never: a member that is not running, or has no timer.
+/// Time value for a member that is not running or has no timer.
 const NEVER: Micros = Micros::MAX;
 
-/// A member and its process.
+/// A member with its process and disk.
 #[derive(Debug)]
 struct Node {
     member: Option<HollowMember>,
-    /// The time of its timer.
-    wakes: Micros,
+    /// Time at which its timer fires.
+    wake_at: Micros,
     running_since: Micros,
     disk: Option<DiskContents>,
     crashed_at: Option<Micros>,
@@ -89,7 +89,7 @@
 struct Joining {
     member: MemberIndex,
     since: Micros,
-    /// What the fleet had then.
+    /// Ends of the fleet's logs when the member started.
     ends: Vec<LogEnd>,
 }
 
@@ -114,16 +114,16 @@
     events: u64,
 }
 
-/// Plays a run.
+/// Simulates a run.
 pub fn play(run: &Run) -> Outcome {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut simulation = Simulation::new(run);
     simulation.start_fleet();
-    simulation.plan_run();
+    simulation.schedule_run();
     simulation.run_until(simulation.window.until);
     let states = simulation.states();
     let settling_us = simulation.settle();
-    simulation.judge_end();
+    simulation.check_end_state();
     let Simulation {
         network,
         meters,
@@ -146,7 +146,7 @@
         settling_us,
         verdict: simulation.verdict,
         events: simulation.events,
-        real: begun.elapsed(),
+        wall_time: started_at.elapsed(),
     }
 }
 
@@ -164,7 +164,7 @@
         };
         let node = || Node {
             member: None,
-            wakes: NEVER,
+            wake_at: NEVER,
             running_since: NEVER,
             disk: None,
             crashed_at: None,
@@ -191,9 +191,9 @@
         }
     }
 
-    // ---- The plan ----
+    // ---- Schedule ----
 
-    /// All members run and know each other, as in a fleet that has run for long.
+    /// Starts all members with complete membership views, as in a fleet that has been running for a long time.
     fn start_fleet(&mut self) {
         let members = self.nodes.len();
         let absent = joiner(self.run.fault, self.network.layout());
@@ -207,13 +207,13 @@
         {
             self.start(member, Some(disk));
             if let Some(hollow) = &mut self.nodes[member].member {
-                hollow.acquaint(&introductions, START);
+                hollow.receive_introductions(&introductions, START);
             }
-            self.plan_wake(member);
+            self.schedule_wake(member);
         }
     }
 
-    fn plan_run(&mut self) {
+    fn schedule_run(&mut self) {
         let mut random = Random::new(self.run.seed ^ 0x7265_6865_6172_7365);
         let layout = self.network.layout();
         let writers = writers(self.run.fault, layout);
@@ -227,7 +227,7 @@
         for scheduled in actions {
             self.queue.schedule(
                 scheduled.at,
-                Event::Happens {
+                Event::ApplyAction {
                     action: scheduled.action,
                 },
             );
@@ -240,10 +240,10 @@
         }
         self.queue.schedule(START, Event::CheckBudgets);
         self.queue
-            .schedule(self.window.from, Event::LookForAllocators);
+            .schedule(self.window.from, Event::SampleAllocators);
     }
 
-    // ---- Time ----
+    // ---- Events ----
 
     fn run_until(&mut self, end: Micros) {
         while let Some(Timed { at, event }) = self.queue.pop_due(end) {
@@ -258,12 +258,12 @@
         match event {
             Event::Arrival { from, to, bytes } => self.arrive(from as usize, to as usize, &bytes),
             Event::Wake { member } => self.wake(member as usize),
-            Event::Purge { writer } => self.tell_purge(writer as usize),
+            Event::Purge { writer } => self.issue_purge(writer as usize),
             Event::PurgeDeadline { purge } => self.check_purge(purge),
-            Event::Happens { action } => self.act(action),
+            Event::ApplyAction { action } => self.apply_action(action),
             Event::CheckBudgets => self.check_budgets(),
-            Event::LookForAllocators => self.look_for_allocators(),
-            Event::LookAtJoiner => self.look_at_joiner(),
+            Event::SampleAllocators => self.sample_allocators(),
+            Event::PollJoiner => self.poll_joiner(),
         }
     }
 
@@ -271,31 +271,33 @@
         (self.window.from..self.window.until).contains(&self.now)
     }
 
-    /// Gives a member something to do; what it has to send then goes out, and its timer is set.
+    /// Runs `work` on a member, sends the resulting datagrams and reschedules the member's timer.
     fn drive(&mut self, index: MemberIndex, work: impl FnOnce(&mut HollowMember, Micros)) {
         let (now, is_measured) = (self.now, self.is_measured());
         let Some(member) = &mut self.nodes[index].member else {
             return;
         };
-        let begun = is_measured.then(processor_time);
+        let started_at = is_measured.then(processor_time);
         work(member, now);
         let outgoing = member.take_outgoing();
         let events = member.take_events();
-        if let Some(begun) = begun {
-            self.meters[index].busy += processor_time().saturating_sub(begun);
+        if let Some(started_at) = started_at {
+            self.meters[index].busy += processor_time().saturating_sub(started_at);
         }
         self.send(index, outgoing);
-        events.into_iter().for_each(|event| self.note(index, event));
-        self.plan_wake(index);
+        events
+            .into_iter()
+            .for_each(|event| self.record_event(index, event));
+        self.schedule_wake(index);
     }
 
-    fn plan_wake(&mut self, index: MemberIndex) {
+    fn schedule_wake(&mut self, index: MemberIndex) {
         let node = &mut self.nodes[index];
         let Some(member) = &node.member else { return };
         let due = member.due().max(self.now);
-        // A timer that comes too early is set anew when it is over; only one that would come too late is replaced.
-        if due < node.wakes {
-            node.wakes = due;
+        // A timer that fires too early is rescheduled then; only one that would fire too late is replaced.
+        if due < node.wake_at {
+            node.wake_at = due;
             self.queue.schedule(
                 due,
                 Event::Wake {
@@ -308,16 +310,16 @@
     fn wake(&mut self, index: MemberIndex) {
         let now = self.now;
         let node = &mut self.nodes[index];
-        if node.wakes != now {
+        if node.wake_at != now {
             return;
         }
-        node.wakes = NEVER;
+        node.wake_at = NEVER;
         if node
             .member
             .as_ref()
             .is_some_and(|member| member.due() > now)
         {
-            return self.plan_wake(index);
+            return self.schedule_wake(index);
         }
         self.drive(index, HollowMember::tick);
     }
@@ -350,7 +352,7 @@
         if self.is_measured() {
             self.meters[to].received(bytes.len(), self.now);
         }
-        let place = peer_index(from, to);
-        self.drive(to, |member, now| member.receive(place, bytes, now));
+        let peer = peer_index(from, to);
+        self.drive(to, |member, now| member.receive(peer, bytes, now));
     }
 }
--- a/rehearse/src/scale/simulation/purges.rs
+++ b/rehearse/src/scale/simulation/purges.rs
@@ -1,4 +1,4 @@
-//! Purges that clients tell members of, and what becomes of them.
+//! Issues purges and records their progress.
 
 use super::{Event, Simulation, NEVER};
 use crate::scale::hollow::{MemberEvent, Refusal};
@@ -7,8 +7,8 @@
 use linnetknot_simnet::{member_at, Micros};
 
 impl Simulation<'_> {
-    /// A client tells a member of a purge, or the next one where that is away.
-    pub(super) fn tell_purge(&mut self, writer: MemberIndex) {
+    /// Issues a purge at a member, or at the next running one if it is down.
+    pub(super) fn issue_purge(&mut self, writer: MemberIndex) {
         let members = self.nodes.len();
         let candidates = (0..members).map(|offset| (writer + offset) % members);
         let Some(writer) = candidates
@@ -17,52 +17,54 @@
         else {
             return;
         };
-        let purge = self.purges.tell(writer, self.now);
+        let purge = self.purges.issue(writer, self.now);
         let limit = self.run.target.purge_limit_ms * 1_000;
         self.queue
             .schedule(self.now + limit, Event::PurgeDeadline { purge });
         self.drive(writer, |member, now| member.purge(purge, now));
     }
 
-    /// Since when a member has been there, and not cut off from another.
+    /// Returns the time since which a member has been running and connected to `from`, or `NEVER` if the link has been
+    /// down since `issued_at`.
     pub(super) fn connected_since(
         &self,
         member: MemberIndex,
         from: MemberIndex,
-        told_at: Micros,
+        issued_at: Micros,
     ) -> Micros {
-        match self.network.was_cut_since(member, from, told_at) {
+        match self.network.was_cut_since(member, from, issued_at) {
             true => NEVER,
             false => self.nodes[member].running_since,
         }
     }
 
-    pub(super) fn note(&mut self, member: MemberIndex, event: MemberEvent) {
+    pub(super) fn record_event(&mut self, member: MemberIndex, event: MemberEvent) {
         match event {
             MemberEvent::InForce { purge } => {
                 let Some(record) = self.purges.get(purge) else {
                     return;
                 };
-                let since = self.connected_since(member, record.writer, record.told_at);
-                self.purges.in_force(purge, member, self.now, since);
+                let since = self.connected_since(member, record.writer, record.issued_at);
+                self.purges.record_in_force(purge, member, self.now, since);
             }
             MemberEvent::Committed { purge } => self.purges.commit(purge),
-            MemberEvent::Refused { purge, why } => {
-                let rule = match why {
+            MemberEvent::Refused { purge, reason } => {
+                let rule = match reason {
                     Refusal::Capacity => Rule::PurgeHasRoom,
                     Refusal::Disk | Refusal::Acknowledgements => Rule::PurgeCommitted,
                 };
                 self.verdict.add(rule, || {
-                    format!("purge {purge} at its writer {member}: {why:?}")
+                    format!("purge {purge} at its writer {member}: {reason:?}")
                 });
             }
-            MemberEvent::NotKept { purge, why } => {
-                let example =
-                    || format!("purge {purge}, told by a peer, at member {member}: {why:?}");
+            MemberEvent::NotStored { purge, reason } => {
+                let example = || {
+                    format!("purge {purge}, received from a peer, at member {member}: {reason:?}")
+                };
                 self.verdict.add(Rule::PurgeHasRoom, example);
             }
             MemberEvent::Died { peer, started } => {
-                self.note_death(member, member_at(peer, member), started);
+                self.record_death(member, member_at(peer, member), started);
             }
         }
     }
--- a/replication/tests/fleet.rs
+++ b/replication/tests/fleet.rs
@@ -9,7 +9,7 @@
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
-/// The current time in tests in which it does not matter.
+/// The current time in tests whose results do not depend on it.
 const NOW: Micros = Micros::MAX;
 
 /// A member of the fleet, with its replica, the effective purges and its disk.
@@ -22,7 +22,7 @@
     writes: VecDeque<(Micros, Entry)>,
     /// The pending commits, with the subject and time of their purge.
     pending: Vec<(CommitId, Subject, Micros)>,
-    /// The datagrams that arrived while the member is stalled, or `None` if it is not.
+    /// The datagrams that arrived during a stall; `None` if the member is not stalled.
     stalled: Option<Vec<(usize, Vec<u8>)>>,
 }
 
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Returns the committed purges that no running member has with their time or a later one.
+    /// Returns the committed purges that no running member has, neither with their own time nor with a later time.
     fn lost_commits(&self) -> Vec<&Subject> {
         let runs = || self.members.iter().filter(|m| m.replica.is_some());
         let is_stored =
@@ -383,7 +383,8 @@
     }
 }
 
-/// The writer is lost with an entry that no other member has, and members have a later entry of its log.
+/// The writer is killed and does not return. The other members lack one entry of its log, which only the writer had,
+/// but have the next entry.
 #[test]
 fn gap_requests_for_lost_entries_are_as_infrequent_as_digests() {
     let mut fleet = Fleet::new(3, 5, (100, 0, MS));
@@ -525,7 +526,7 @@
 }
 
 /// Only entries on the disk can be moved to the compact table. Without a working disk, twice the maximum number of
-/// entries is stored and further ones are rejected.
+/// entries is stored, and further entries are rejected.
 #[test]
 fn unsynced_entries_are_limited_and_none_is_dropped() {
     const OWN: LogId = LogId::new(1, 7);
@@ -800,7 +801,7 @@
             datagram: ack
         }]
     );
-    // An acknowledgement to a peer that was removed is dropped.
+    // A pending acknowledgement is dropped if the peer to which it would be sent was removed.
     let entry = Entry {
         log: LogId::new(2, 9),
         index: 2,
@@ -1012,7 +1013,7 @@
             prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
             prop_assert_eq!(Datagram::decode(&bytes), Ok(d));
             for cut in 1..bytes.len() {
-                // A truncated datagram is rejected or decoded to a different one.
+                // A truncated datagram is rejected, or decoded to a datagram that differs from the complete one.
                 prop_assert_ne!(Datagram::decode(&bytes[..cut]), Datagram::decode(&bytes));
             }
         }
