--- a/rehearse/src/fakes/site_server.rs
+++ b/rehearse/src/fakes/site_server.rs
@@ -1,5 +1,5 @@
-//! A fake site on loopback sockets. One thread owns the site, and others read from the sockets. Each node has a separate
-//! address for each proxy, which identifies the sender in the record.
+//! A fake site on loopback sockets. One thread owns the site, and other threads read from the sockets. Each node
+//! listens on a separate address for each proxy, so that the record can name the proxy that sent a request.
 
 use super::site::{FakeSite, Fetch, SiteOutput};
 use crate::record::Micros;
@@ -227,7 +227,7 @@
             } => self.handle_command(now, connection, &node, proxy, &words),
             Message::Change(change) => {
                 change(&mut self.site, now);
-                // A node that has died resets what was open to it.
+                // The open connections of a node that has crashed are reset.
                 let site = &self.site;
                 self.sockets.retain(|_, (node, socket)| {
                     site.is_up(node) || {
--- a/rehearse/src/player/mod.rs
+++ b/rehearse/src/player/mod.rs
@@ -164,7 +164,8 @@
 }
 
 fn play_in_own_folder(daemon: &Path, scenario: &Scenario, play: &Play<'_>) -> io::Result<Outcome> {
-    // Plays may run in parallel in one process with the same seed, so each folder's name has a number.
+    // Several plays with the same seed may run in parallel in a process, so each folder's name contains a unique
+    // number.
     static PLAYS: AtomicU64 = AtomicU64::new(0);
     let n = PLAYS.fetch_add(1, Ordering::Relaxed);
     let name = format!("linnetknot-play-{}-{}-{n}", std::process::id(), play.seed);
@@ -185,7 +186,7 @@
     fail_points: &'a str,
 }
 
-/// Plays in this folder and checks the record.
+/// Plays a scenario, with its files in the given folder, and checks the record.
 fn play_in(
     folder: &Path,
     daemon: &Path,
--- a/rehearse/src/player/proxies.rs
+++ b/rehearse/src/player/proxies.rs
@@ -17,7 +17,7 @@
 #[derive(Clone)]
 struct Launcher {
     daemon: PathBuf,
-    /// The fail points to set in each.
+    /// The fail points to set in each proxy.
     fail_points: String,
     folder: PathBuf,
     /// The operators' configuration file.
@@ -42,16 +42,16 @@
     process: io::Result<Process>,
 }
 
-/// The proxies' processes and the parameters to start one again.
+/// The proxies' processes and the parameters needed to restart them.
 pub(super) struct Proxies {
-    /// The address of each for clients.
+    /// The address at which each proxy accepts clients.
     pub(super) addresses: Vec<SocketAddr>,
     running: Vec<Option<Process>>,
     /// The proxies that are stopped by SIGSTOP, to which no requests are routed.
     frozen: Vec<bool>,
     /// The links between peers, if the scenario has peers.
     links: Option<FaultyLinks>,
-    /// The processes that were sent SIGTERM. A restart waits for their end.
+    /// The processes that were sent SIGTERM. A restart waits until they have exited.
     terminating: Vec<Option<Process>>,
     configs: Vec<Value>,
     launcher: Launcher,
@@ -78,7 +78,7 @@
             .peers
             .then(|| FaultyLinks::between(&ports, seed))
             .transpose()?;
-        // A rehearsal needs no other part of the operators' file.
+        // Test runs ignore all other settings of the operators' file.
         let own_file = if scenario.peers {
             json!({"peers": {"tell": true}})
         } else {
@@ -113,7 +113,7 @@
         })
     }
 
-    /// Returns this proxy if it is up, or else the next one that is, as a load balancer would.
+    /// Returns the given proxy if it accepts requests, otherwise the next proxy that does, as a load balancer would.
     pub(super) fn route(&self, proxy: usize) -> Option<usize> {
         let all = self.running.len();
         (0..all).map(|k| (proxy + k) % all).find(|p| self.is_up(*p))
@@ -189,8 +189,8 @@
         Ok(Some(proxy))
     }
 
-    /// Sets the conditions of the links between these proxies and all others, or only of those from these proxies if
-    /// `one_way`.
+    /// Sets the conditions of the links between these proxies and all others. With `one_way`, only the links from these
+    /// proxies to the others are changed.
     pub(super) fn set_links(&self, proxies: &[usize], conditions: LinkConditions, one_way: bool) {
         let Some(links) = &self.links else { return };
         for (from, to) in links.directions() {
--- a/rehearse/src/record.rs
+++ b/rehearse/src/record.rs
@@ -17,9 +17,9 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name.
+    /// The name, as in the scenario.
     pub name: String,
-    /// The number of times that a request of it may take effect.
+    /// The number of times that a request of this class may take effect.
     pub repeat: Repeat,
     /// The response time objective, to which `stretch` times the transfer time of the answer is added.
     pub objective_us: Micros,
@@ -34,15 +34,15 @@
 /// A request that a client sent. Each retry is a request of its own.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its id, new with every retry.
+    /// The id of this request. Each retry has a new id.
     pub id: String,
-    /// The id of the first request that this one retries, or its own id if it is no retry.
+    /// The id of the first request in a series of retries, or the request's own id if it is not a retry.
     pub first: String,
-    /// The index of its class in the record.
+    /// The index of the request's class in `Record::classes`.
     pub class: usize,
     /// The index of the proxy that it was sent to.
     pub proxy: usize,
-    /// The object that it requests.
+    /// The requested object.
     pub object: String,
     /// The group of the object.
     pub group: u64,
@@ -50,11 +50,11 @@
     pub key: Option<String>,
     /// The time to transfer the answer at full rate.
     pub work_us: Micros,
-    /// The time at which the plan had it sent.
+    /// The scheduled time of sending.
     pub due: Micros,
-    /// The time at which its last byte was written.
+    /// The time at which the last byte of the request was written.
     pub at: Micros,
-    /// The time until which the client waits.
+    /// The time until which the client waits for the answer.
     pub deadline: Micros,
     /// The time from which no answer is due, as the client aborted it or the rehearsal ended the proxy's process.
     pub released: Option<Micros>,
@@ -84,20 +84,20 @@
 pub struct Answered {
     /// The id of the request.
     pub id: String,
-    /// The time at which the client had read the answer.
+    /// The time at which the client had read the whole answer.
     pub at: Micros,
     /// The answer.
     pub answer: FinalAnswer,
 }
 
-/// The end of an attempt at its cache.
+/// How an attempt ended at the cache that received it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ended {
-    /// The cache ran it.
+    /// The cache executed the request.
     Ran,
-    /// The cache rejected it without running it.
+    /// The cache rejected the request without executing it.
     Unseen,
-    /// The proxy aborted it, or its connection ended. It may have run.
+    /// The proxy aborted the attempt, or the connection ended. The cache may have executed the request.
     GivenUp,
 }
 
@@ -110,17 +110,17 @@
     pub proxy: usize,
     /// The uid of the cache, parent or origin that received it.
     pub target: String,
-    /// The uid of the source for its fill, if any.
+    /// The uid of the cache or origin from which the copy was to be filled, if any.
     pub source: Option<String>,
-    /// The time at which its first byte arrived.
+    /// The time at which the first byte of the request arrived.
     pub first_byte: Micros,
-    /// The time at which its last byte arrived.
+    /// The time at which the last byte of the request arrived.
     pub at: Micros,
-    /// The time and kind of its end, if it ended.
+    /// The time and the way in which the attempt ended, or `None` if it was still in progress at the end of the record.
     pub ended: Option<(Micros, Ended)>,
-    /// The work for the target, as the transfer time of its answer. 0 if it only looked up a copy.
+    /// The target's work in microseconds of transfer time. 0 if the target only looked up a copy.
     pub work_us: Micros,
-    /// The work of its fill for the source. 0 without a fill.
+    /// The work that the fill caused at its source, in the same unit. 0 without a fill.
     pub fill_us: Micros,
 }
 
@@ -160,13 +160,13 @@
     pub uid: String,
     /// The time at which it started.
     pub at: Micros,
-    /// Its capacity when warm, in transfers at full rate.
+    /// The capacity of the warm cache, in concurrent transfers at full rate.
     pub capacity: f64,
-    /// The share of `capacity` that it has at its start.
+    /// The share of `capacity` that is available at the start.
     pub share: f64,
-    /// The time from its start until it is warm.
+    /// The time from the start until the full capacity is available.
     pub warm_us: Micros,
-    /// The multiple of its current capacity above which load crashes it.
+    /// The multiple of the current capacity above which the load crashes the cache.
     pub overload_multiple: f64,
     /// The window over which the load is measured.
     pub overload_window_us: Micros,
@@ -187,7 +187,7 @@
         upto(to) - upto(from)
     }
 
-    /// Returns its capacity at a time, in transfers at full rate.
+    /// Returns the cache's capacity at a time, in concurrent transfers at full rate.
     pub fn capacity_at(&self, at: Micros) -> f64 {
         let age = at.saturating_sub(self.at) as f64 / self.warm_us.max(1) as f64;
         self.capacity * (self.share + (1.0 - self.share) * age).min(1.0)
@@ -203,7 +203,7 @@
     pub purge_us: Micros,
     /// The maximum number of attempts of a request.
     pub attempts: usize,
-    /// The delay of the rehearsal itself. Two threads may record events that are closer together than this in the wrong
+    /// The timing tolerance of the test harness: two threads may record events closer together than this in the wrong
     /// order.
     pub tolerance_us: Micros,
 }
--- a/rehearse/src/rules/attempts.rs
+++ b/rehearse/src/rules/attempts.rs
@@ -1,4 +1,5 @@
-//! Checks attempts: one in flight at a time, six at most, and repeats only as the request's class allows.
+//! Checks the attempts of each request: only one is in flight at a time, there are at most six, and an attempt is
+//! repeated only if the request's class allows it.
 
 use super::{Breach, Case};
 use crate::record::{Attempt, Ended, Repeat};
@@ -23,7 +24,8 @@
         // An attempt is in flight from its arrival until its answer is written or it is aborted.
         let mut before: Option<&Attempt> = None;
         for a in of {
-            // Two caches' threads recorded the end of one and the arrival of the other.
+            // The end of the earlier attempt and the arrival of the next are recorded by different threads, so their
+            // times may overlap slightly.
             let late = case.limits.tolerance_us;
             if let Some(b) = before.filter(|b| b.ended.is_none_or(|(end, _)| end > a.at + late)) {
                 let more = match b.ended {
@@ -49,7 +51,7 @@
 }
 
 pub(super) fn repeats(case: &Case<'_>, out: &mut Vec<Breach>) {
-    // Each retry of a client is a request of its own here.
+    // Each retry by a client is recorded as a separate request.
     for (id, of) in &case.attempts {
         let Some(request) = case.requests.get(id) else {
             out.push(breach(
--- a/rehearse/src/rules/budgets.rs
+++ b/rehearse/src/rules/budgets.rs
@@ -1,5 +1,5 @@
-//! The rule on fleet-wide budgets: compares the requests in flight at a fake, from all proxies together, with the limit
-//! for the fleet.
+//! Checks fleet-wide budgets: the requests in flight at a fake server, from all proxies together, must not exceed the
+//! limit for the fleet.
 
 use super::Breach;
 use crate::record::Micros;
@@ -31,7 +31,7 @@
 
 /// Returns the number of requests in flight after each change, in order of time.
 pub fn in_flight(spans: &[Span]) -> Vec<InFlightFrom> {
-    // In one microsecond, ends sort before starts.
+    // At the same microsecond, ends of requests are sorted before starts.
     let spans = spans.iter().filter(|span| span.from < span.until);
     let mut changes: Vec<(Micros, bool)> = spans
         .flat_map(|span| [(span.from, true), (span.until, false)])
@@ -51,9 +51,9 @@
 /// A period in which the requests in flight exceeded the limit.
 struct Excess {
     from: Micros,
-    /// The highest number in the period.
+    /// The highest number of requests in flight in the period.
     in_flight: u64,
-    /// The limit at its start.
+    /// The limit at the start of the period.
     limit: u64,
 }
 
--- a/rehearse/src/rules/cold.rs
+++ b/rehearse/src/rules/cold.rs
@@ -1,5 +1,5 @@
-//! Checks cold caches: the work that all proxies together send to one in any window stays below its overload multiple
-//! of the work it can do in that window.
+//! Checks the load on cold caches: in any window, the work that all proxies together send to a cold cache stays below
+//! the cache's overload multiple of the work that it can do in that window.
 
 use super::{Breach, Case};
 use crate::record::Micros;
@@ -20,7 +20,7 @@
         let (mut first, mut sum) = (0, 0.0);
         for n in 0..work.len() {
             sum += work[n].1;
-            // The window ends with this arrival. One that would begin before the cold start begins with it.
+            // The window ends with this arrival and begins no earlier than the cold start.
             while work[first].0 + c.overload_window_us < work[n].0 {
                 sum -= work[first].1;
                 first += 1;
--- a/rehearse/src/rules/commits.rs
+++ b/rehearse/src/rules/commits.rs
@@ -1,5 +1,5 @@
-//! Checks the replication of purges from a record: the purges that peer CDNs requested, the answers, and the final state
-//! of each proxy.
+//! Checks the replication of purges between proxies. The record consists of the purges that peer CDNs requested, the
+//! answers, and the final state of each proxy.
 
 use super::Breach;
 use crate::record::Micros;
@@ -37,16 +37,16 @@
     Committed,
     /// The purge is rejected.
     Rejected,
-    /// There was no answer, as the proxy stopped.
+    /// The proxy stopped before it answered.
     None,
 }
 
 /// A purge that a peer CDN requested of one proxy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PurgeRequest {
-    /// When it was sent.
+    /// The time at which the request was sent.
     pub sent_at: Micros,
-    /// When it was answered, or the connection ended.
+    /// The time of the answer, or of the end of the connection if there was no answer.
     pub answered_at: Micros,
     /// The index of the proxy.
     pub proxy: usize,
@@ -54,11 +54,11 @@
     pub object: String,
     /// The path of the trigger's status, if the purge was committed.
     pub trigger: Option<String>,
-    /// The answer.
+    /// The outcome that the peer CDN received.
     pub answer: PurgeAnswer,
-    /// No answer is due, as the test stops the proxy during the request.
+    /// The test stops the proxy during the request, so a missing answer breaks no rule.
     pub excused: bool,
-    /// The process already knew that another had replaced it.
+    /// The proxy process already knew that a newer process had replaced it, so it must not commit the purge.
     pub replaced: bool,
 }
 
@@ -67,11 +67,11 @@
 pub struct FinalState {
     /// The index of the proxy.
     pub proxy: usize,
-    /// The objects whose purges it enforces.
+    /// The objects whose purges are in force at the proxy.
     pub objects: BTreeSet<String>,
-    /// The status paths of the triggers that it lists.
+    /// The status paths of the triggers that the proxy lists.
     pub triggers: BTreeSet<String>,
-    /// The number of its commits with fewer replicas than the replication factor.
+    /// The number of the proxy's commits that have fewer replicas than the replication factor.
     pub under_replicated: usize,
 }
 
@@ -84,7 +84,7 @@
     pub final_states: Vec<FinalState>,
     /// The time limit for an answer.
     pub timeout_us: Micros,
-    /// The delay that the kit itself may add to an answer's time.
+    /// The delay that the test harness itself may add to the time of an answer.
     pub tolerance_us: Micros,
 }
 
@@ -108,7 +108,7 @@
     }
 }
 
-/// Returns a breach found in the final states, which belongs to no single purge.
+/// Returns a breach that was found in the final states and belongs to no particular request.
 fn breach_at_end(rule: &'static str, evidence: String) -> Breach {
     Breach {
         rule,
@@ -119,7 +119,7 @@
     }
 }
 
-/// Checks that each committed purge is enforced at all proxies, and any other at all or at none.
+/// Checks that each committed purge is in force at all proxies, and each other purge either at all proxies or at none.
 fn judge_objects(record: &CommitRecord) -> Vec<Breach> {
     // An object that is purged several times counts as committed if any of its purges was.
     let mut by_object: BTreeMap<&str, Vec<&PurgeRequest>> = BTreeMap::new();
@@ -164,7 +164,7 @@
     })
 }
 
-/// Checks that all proxies list the trigger of each commit.
+/// Checks that the trigger of each committed purge is listed by all proxies.
 fn judge_listed_triggers(record: &CommitRecord) -> Vec<Breach> {
     let mut breaches = Vec::new();
     for purge in &record.purges {
@@ -186,7 +186,8 @@
     breaches
 }
 
-/// Checks that each answer comes in time and that no process that knows that it was replaced commits.
+/// Checks that each answer arrives within the time limit and that a process does not commit purges once it knows that a
+/// newer process has replaced it.
 fn judge_answers(record: &CommitRecord) -> Vec<Breach> {
     let mut breaches = Vec::new();
     let max_us = record.timeout_us + record.tolerance_us;
@@ -216,8 +217,8 @@
     breaches
 }
 
-/// Checks that all proxies list the same triggers beside those in answers. A proxy that crashed before its answer may have
-/// created such a trigger.
+/// Checks that triggers that no answer named, for example of a proxy that crashed before it answered, are listed either
+/// by all proxies or by none.
 fn judge_unknown_triggers(record: &CommitRecord) -> Vec<Breach> {
     let known: BTreeSet<&String> = record
         .purges
--- a/rehearse/src/rules/drains.rs
+++ b/rehearse/src/rules/drains.rs
@@ -1,5 +1,5 @@
-//! Checks drains: no new attempt uses a cache, as target or as fill source, after the grace period of the notice to the
-//! proxy.
+//! Checks drains: once the grace period after a proxy's notice of a drain is over, the proxy's new attempts must not
+//! use the draining cache as target or as fill source.
 
 use super::{Breach, Case};
 use crate::record::{Micros, NoticeKind};
@@ -32,8 +32,8 @@
         StateNotices(notices)
     }
 
-    /// Returns the time since which a proxy knows that a cache is out of service. Repeated notices do not restart the grace
-    /// period.
+    /// Returns the time of the first notice that told this proxy that the cache is out of service. Repeated notices do
+    /// not restart the grace period.
     fn out_since(&self, proxy: usize, uid: &str, at: Micros) -> Option<Micros> {
         let notices = self.0.get(&(proxy, uid))?;
         let mut since = None;
--- a/rehearse/src/rules/mod.rs
+++ b/rehearse/src/rules/mod.rs
@@ -1,4 +1,4 @@
-//! The rules of a rehearsal, checked against its record. Each breach names the rule, the request, the cache, the time and
+//! Checks the record of a test run against the rules. Each breach names the rule, the request, the cache, the time and
 //! the evidence.
 
 mod answers;
--- a/rehearse/src/rules/purges.rs
+++ b/rehearse/src/rules/purges.rs
@@ -1,4 +1,5 @@
-//! Checks purges: no answer to an attempt that is sent after the grace period of a purge's notice comes from an older copy.
+//! Checks purges: once the grace period after a proxy's notice of a purge is over, attempts that this proxy sends must
+//! not be answered with a copy from before the purge.
 
 use super::{Breach, Case};
 use crate::record::{FinalAnswer, Micros, NoticeKind};
@@ -8,7 +9,7 @@
 type PurgeTarget<'a> = Result<&'a str, u64>;
 
 pub(super) fn check(case: &Case<'_>, out: &mut Vec<Breach>) {
-    // By proxy and target: the times of the notice and of the purge.
+    // The time of the notice and the time of the purge, by proxy and purged object or group.
     let mut purges: BTreeMap<(usize, PurgeTarget<'_>), Vec<(Micros, Micros)>> = BTreeMap::new();
     for t in &case.record.notices {
         if let NoticeKind::Purged { object, group, at } = &t.kind {
@@ -29,7 +30,7 @@
         let Some(request) = case.requests.get(a.id.as_str()) else {
             continue;
         };
-        // The answer comes from the last attempt, and its sending time decides.
+        // The answer belongs to the last attempt. The rule applies if that attempt was sent after the grace period.
         let Some(sent) = case.attempts.get(a.id.as_str()).and_then(|of| of.last()) else {
             continue;
         };
--- a/rehearse/src/scale/daemons/command.rs
+++ b/rehearse/src/scale/daemons/command.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Exit status of a run in which something is wrong.
+/// Exit status of a completed run whose checks failed.
 const WRONG: u8 = 1;
 /// Exit status when a run was not possible or its figures are not valid.
 const NOT_RUN: u8 = 2;
--- a/rehearse/src/scale/daemons/purge_plan.rs
+++ b/rehearse/src/scale/daemons/purge_plan.rs
@@ -18,7 +18,7 @@
     pub after_us: Micros,
     /// Number of the purge.
     pub number: PurgeNumber,
-    /// Member at which it is issued.
+    /// Member at which the purge is issued.
     pub member: usize,
 }
 
--- a/rehearse/src/scale/fleet_config.rs
+++ b/rehearse/src/scale/fleet_config.rs
@@ -1,4 +1,4 @@
-//! Configuration shared by all hollow members of a fleet.
+//! Configuration shared by all hollow members of a fleet (simulated proxies without clients or sockets).
 
 use crate::scale::run::{DisabledParts, Run};
 use crate::scale::target::Target;
@@ -10,8 +10,8 @@
 use linnetknot_discovery::server_id;
 use linnetknot_replication::Options as ReplicationOptions;
 
-/// Resources of each proxy's machine, for the limits derived from them. They bound client traffic, which hollow members
-/// do not have.
+/// Resources of each proxy's machine, from which the daemon derives its limits on client traffic. Hollow members have
+/// no client traffic, so the values do not affect the results.
 const DESCRIPTORS: usize = 1_024;
 const MEMORY_MB: usize = 256;
 
--- a/rehearse/src/scale/hollow/mod.rs
+++ b/rehearse/src/scale/hollow/mod.rs
@@ -203,7 +203,8 @@
         true
     }
 
-    /// Updates the machines of the peers from their announced names, or from the configuration for peers without any.
+    /// Updates the machine of each peer from the name that the peer announced, or from the configuration if it
+    /// announced none.
     fn update_machines(&mut self) {
         let known = self
             .membership
@@ -337,7 +338,7 @@
         self.flush_membership(now);
     }
 
-    /// Returns what the next process finds on its disk after a graceful shutdown or a crash.
+    /// Returns the disk contents with which the member's next process starts after a graceful shutdown or a crash.
     pub fn disk_contents(&self, is_in_order: bool) -> DiskContents {
         self.purge_log.disk_contents(is_in_order)
     }
@@ -353,7 +354,7 @@
     }
 }
 
-/// Returns whether a peer replicates logs, which all peers do that membership considers up.
+/// Returns whether a peer replicates logs. All peers that membership considers up do.
 fn replicates(membership: &Membership, peer: usize) -> bool {
     membership
         .members()
--- a/rehearse/src/scale/hollow/purge_log.rs
+++ b/rehearse/src/scale/hollow/purge_log.rs
@@ -317,7 +317,7 @@
         true
     }
 
-    /// Appends a purge from a peer that does not replicate logs to this member's log, unless a log already has it.
+    /// Appends a purge from a peer that does not replicate logs to this member's log, unless a log already contains it.
     pub(super) fn write_plain(
         &mut self,
         purge: PurgeNumber,
@@ -337,8 +337,8 @@
         }
     }
 
-    /// Returns what the next process finds on the disk. Only a process that shut down gracefully with all entries
-    /// synced has its log continued.
+    /// Returns the disk contents for the next process of the member. The next process continues the log only after a
+    /// graceful shutdown with all entries synced.
     pub(super) fn disk_contents(&self, is_in_order: bool) -> DiskContents {
         let store = self.replica.log_store();
         if is_in_order && self.replica.is_synced() {
--- a/rehearse/src/scale/prefill.rs
+++ b/rehearse/src/scale/prefill.rs
@@ -9,14 +9,15 @@
 use linnetknot_replication::{Capacity, CompactedLog, LogId, LogStore, Record, Subject};
 use linnetknot_simnet::Micros;
 
-/// Fill level of the logs of a full fleet, in percent; the rest is room for the purges of the run.
+/// Fill level of the logs of a full fleet, in percent; the remaining space is used by the purges of the run.
 const FILL_PERCENT: usize = 75;
 
-/// Purges in the compact table of a full fleet, per entry that a member may store. With the daemon's limits they are as
-/// many as the table's slots.
+/// Ratio of compacted purges to the log entries that a member may store, in a full fleet. With the daemon's limits, the
+/// number of compacted purges equals the number of slots in the table.
 const COMPACTED_PER_ENTRY: usize = 7;
 
-/// First numbers of the purges from before the run: those with log entries and those in the compact table.
+/// Numbers of purges issued before the run start here: first for those with log entries, second for those in the
+/// compact table.
 const FIRST_NUMBER: PurgeNumber = 1 << 40;
 const FIRST_COMPACTED: PurgeNumber = 1 << 41;
 
@@ -53,7 +54,8 @@
     })
 }
 
-/// Returns the disks of all members: identical logs, with as many entries from each member, after the compacted purges.
+/// Returns the disks of all members. All disks hold the compacted purges and the same logs, with an equal number of
+/// entries from each member.
 pub(super) fn disks(run: &Run, config: &FleetConfig, now: Micros) -> Vec<DiskContents> {
     let own_log = |member: &MemberName| LogId::new(member.id, now);
     let mut table = CompactTable::new(BucketBits::DEFAULT);
--- a/rehearse/src/scale/simulation/checks.rs
+++ b/rehearse/src/scale/simulation/checks.rs
@@ -165,7 +165,7 @@
         }
         let states = by_digest.len();
         let mut groups: Vec<Vec<MemberIndex>> = by_digest.into_values().collect();
-        // The largest group is taken as the reference.
+        // The largest group of members with identical logs is the reference for the others.
         groups.sort_by_key(Vec::len);
         groups.pop();
         for member in groups.into_iter().flatten() {
--- a/rehearse/src/scale/simulation/faults.rs
+++ b/rehearse/src/scale/simulation/faults.rs
@@ -119,7 +119,7 @@
     ) {
         let node = &self.nodes[victim];
         let Some(crashed_at) = node.crashed_at else {
-            // A report about an earlier process that did die may arrive late.
+            // The report may concern an earlier process of the member, which has exited.
             let is_running = node.member.is_some() && node.running_since == started;
             self.false_deaths += u64::from(is_running);
             return;
--- a/rehearse/src/scale/simulation/mod.rs
+++ b/rehearse/src/scale/simulation/mod.rs
@@ -79,7 +79,7 @@
 #[derive(Debug)]
 struct Node {
     member: Option<HollowMember>,
-    /// Time at which its timer fires.
+    /// Time at which the member's timer fires.
     wake_at: Micros,
     running_since: Micros,
     disk: Option<DiskContents>,
@@ -295,7 +295,7 @@
         let node = &mut self.nodes[index];
         let Some(member) = &node.member else { return };
         let due = member.due().max(self.now);
-        // A timer that fires too early is rescheduled then; only one that would fire too late is replaced.
+        // A timer that is set too early is rescheduled when it fires, so only a timer that is set too late is replaced.
         if due < node.wake_at {
             node.wake_at = due;
             self.queue.schedule(
--- a/rehearse/src/scale/simulation/purges.rs
+++ b/rehearse/src/scale/simulation/purges.rs
@@ -7,7 +7,7 @@
 use linnetknot_simnet::{member_at, Micros};
 
 impl Simulation<'_> {
-    /// Issues a purge at a member, or at the next running one if it is down.
+    /// Issues a purge at a member, or at the next running member if that member is down.
     pub(super) fn issue_purge(&mut self, writer: MemberIndex) {
         let members = self.nodes.len();
         let candidates = (0..members).map(|offset| (writer + offset) % members);
--- a/rehearse/tests/purges.rs
+++ b/rehearse/tests/purges.rs
@@ -11,7 +11,7 @@
 
 const S: Micros = 1_000_000;
 const START_US: Micros = 1_000 * S;
-/// The time after the start of a fill at which the origin has sent the copy and the fill has not ended.
+/// A delay after the start of a fill at which the origin has sent the copy but the fill is still in progress.
 const MID_FILL_US: Micros = 80_000;
 const OBJECT: u64 = 7;
 const GROUP: u64 = 3;
@@ -230,7 +230,7 @@
     let (first, old) = p.ask(START_US, |_, _| {});
     let other = if first == "a" { "b" } else { "a" };
     let purged_at = START_US + 5 * S;
-    // The other cache has applied the purge before the first one, which still has the old copy.
+    // The other cache has applied the purge. The first cache has not and still has the old copy.
     p.site.purge(other, Ok(OBJECT), purged_at);
     p.purge(purged_at, true);
     let stale_fill = Fetch {
--- a/rehearse/tests/rules.rs
+++ b/rehearse/tests/rules.rs
@@ -270,7 +270,7 @@
 #[test]
 fn grace_periods_and_released_requests_are_not_breaches() {
     let mut record = valid_record();
-    // Sent 1 s after the notice of a drain, and 350 ms after that of a purge.
+    // An attempt is sent 1 s after the notice of a drain, another 350 ms after the notice of a purge.
     record.notices = vec![
         notice(9 * S, NoticeKind::OutOfService("box-1".into())),
         notice(
@@ -284,11 +284,11 @@
     ];
     record.cold_starts.clear();
     assert_eq!(breaches_of(&record), []);
-    // 51 ms more, and both rules are broken.
+    // Sent 51 ms later, both attempts break the rules.
     record.notices.iter_mut().for_each(|t| t.at -= 51 * MS);
     let rules: Vec<&str> = breaches_of(&record).iter().map(|b| b.rule).collect();
     assert_eq!(rules, ["drains", "purges"]);
-    // The cache became ready again in between.
+    // No rule is broken if the cache became ready again before the attempt.
     record
         .notices
         .push(notice(9 * S + MS, NoticeKind::Ready("box-1".into())));
@@ -299,7 +299,7 @@
             .collect::<Vec<_>>(),
         ["purges"]
     );
-    // No answer is due to a released request.
+    // A request that its client aborted needs no answer.
     let mut record = valid_record();
     record.answered.remove(0);
     record.requests[0].released = Some(11 * S);
--- a/rehearse/tests/rules_budgets.rs
+++ b/rehearse/tests/rules_budgets.rs
@@ -37,7 +37,7 @@
         [(12, "4 of 2 in flight".to_owned())],
         "a request may start in the microsecond in which another ends"
     );
-    // Lowering the limit counts as a breach only from the next change on.
+    // After the limit is lowered, a breach is reported only once the number of requests changes again.
     assert_eq!(judged(&[(0, 4), (13, 0)]).len(), 2);
     assert_eq!(judged(&[]), [], "no limit is set");
     assert_eq!(
--- a/rehearse/tests/rules_commits.rs
+++ b/rehearse/tests/rules_commits.rs
@@ -58,7 +58,7 @@
     })
 }
 
-/// Returns the names of the rules that they break.
+/// Returns the names of the rules that these purges and final states break.
 fn broken_rules(purges: Vec<PurgeRequest>, final_states: Vec<FinalState>) -> Vec<&'static str> {
     let breaches = breaches_of(purges, final_states);
     breaches.iter().map(|breach| breach.rule).collect()
--- a/rehearse/tests/scale.rs
+++ b/rehearse/tests/scale.rs
@@ -16,7 +16,7 @@
 
 const MEMBERS: usize = 40;
 
-/// Number of entries that members store exactly in runs that exceed it.
+/// Number of individual log entries that a member stores in runs that test compaction.
 const EXACT_ENTRIES: usize = 500;
 
 fn target() -> Target {
@@ -37,7 +37,7 @@
     }
 }
 
-/// A low purge rate keeps runs with broken rules short.
+/// A low purge rate, which keeps runs with broken rules short.
 fn run_with_few_purges(fault: Fault) -> Run {
     let target = Target {
         purges_per_second: 10,
@@ -153,7 +153,7 @@
     );
 }
 
-/// More purges than each member stores exactly.
+/// Issues more purges than a member stores as individual entries, so the oldest are compacted.
 fn run_beyond_exact_capacity() -> Run {
     let target = Target {
         purges_per_second: 1_000,
@@ -235,7 +235,7 @@
 #[test]
 fn day_of_faults_detects_failures_and_restarted_members_catch_up() {
     let outcome = play_sound_run(Fault::Day);
-    // 730 restarts per day of 6,400 proxies scale to 5 of 40.
+    // 730 restarts per day in a fleet of 6,400 proxies scale to 5 in a fleet of 40.
     assert_eq!(outcome.starters.len(), 5);
     assert_eq!(
         outcome.states.len(),
@@ -322,7 +322,7 @@
     let outcome = play_sound_run(Fault::SlowOrigin);
     let calm = play(&run(Fault::Calm));
     let sent = |outcome: &Outcome| outcome.meters.iter().map(|m| m.sent_datagrams).sum::<u64>();
-    // At most two reports per second from each of five zones, to all other members, for two seconds.
+    // Each of five zones sends at most two reports per second to all other members, for two seconds.
     let reports = sent(&outcome).saturating_sub(sent(&calm));
     let members = MEMBERS as u64;
     assert!(
